--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -11,9 +11,11 @@
 
 func adminCmd() *cobra.Command {
 	var o operator
-	c := &cobra.Command{Use: "admin", Short: "Look at a cluster and drain its controllers and machines",
+	c := &cobra.Command{
+		Use: "admin", Short: "Look at a cluster and drain its controllers and machines",
 		Long: "Commands change one durable document, which every controller follows. With --revision (from `admin status`) a\n" +
-			"command is refused (exit 3) if somebody changed it since; the answer says who, and what."}
+			"command is refused (exit 3) if somebody changed it since; the answer says who, and what.",
+	}
 	o.flags(c)
 	c.AddCommand(
 		&cobra.Command{
--- a/cmd/harewalk/daemon_world_test.go
+++ b/cmd/harewalk/daemon_world_test.go
@@ -25,8 +25,10 @@
 )
 
 func plainJob(n, tasks int, estimate float64) *jobs.Spec {
-	return &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: tasks, CPUs: 1, Mem: 1,
-		Image: "i", ImageGB: 0.5, EstimateS: estimate, Spot: true}
+	return &jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: tasks, CPUs: 1, Mem: 1,
+		Image: "i", ImageGB: 0.5, EstimateS: estimate, Spot: true,
+	}
 }
 
 // drainWait is within what a drain may take.
@@ -225,8 +227,10 @@
 	if err := os.WriteFile(script, []byte("100ms crash-task\n200ms outage 300ms\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := dev{machines: 6, controllers: 3, zones: []string{"a", "b"}, seed: 1, speed: 40, script: script, logs: "error",
-		operator: filepath.Join("..", "..", "deploy", "licences.hcl")}
+	d := dev{
+		machines: 6, controllers: 3, zones: []string{"a", "b"}, seed: 1, speed: 40, script: script, logs: "error",
+		operator: filepath.Join("..", "..", "deploy", "licences.hcl"),
+	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	var out, errs lockedBuffer
@@ -297,8 +301,10 @@
 			t.Fatalf("status %d", status)
 		}
 	}
-	for id, want := range map[string]string{"req-000001": "team red is at its limit", "req-000002": "in the lanes of what is there now", "req-000003": "a gang of 4 tasks needs as many places",
-		"req-000004": "licence optimise: no seat is free"} {
+	for id, want := range map[string]string{
+		"req-000001": "team red is at its limit", "req-000002": "in the lanes of what is there now", "req-000003": "a gang of 4 tasks needs as many places",
+		"req-000004": "licence optimise: no seat is free",
+	} {
 		out, code := "", 0
 		until(t, id+" is explained: "+want, func() bool {
 			out, code = command(t, "job", "why", id, "--server", w.Public(1))
@@ -380,8 +386,10 @@
 		raw, _ := io.ReadAll(r.Body)
 		return string(raw)
 	}
-	for _, want := range []string{"harewalk_leading 1", `harewalk_licence_seats{pool="transcribe",what="count"} 24`, `harewalk_machines{condition="acting"}`,
-		`harewalk_tasks{state="on machine"} 0`, "go_goroutines"} {
+	for _, want := range []string{
+		"harewalk_leading 1", `harewalk_licence_seats{pool="transcribe",what="count"} 24`, `harewalk_machines{condition="acting"}`,
+		`harewalk_tasks{state="on machine"} 0`, "go_goroutines",
+	} {
 		until(t, want, func() bool { return strings.Contains(get("/metrics"), want) })
 	}
 	if !strings.Contains(get("/debug/pprof/"), "goroutine") {
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -94,7 +94,8 @@
 			}
 		}
 	}
-	w, err := world.New(world.Config{Seed: d.seed, Controllers: d.controllers, Zones: d.zones, Machines: d.machines, Speed: d.speed,
+	w, err := world.New(world.Config{
+		Seed: d.seed, Controllers: d.controllers, Zones: d.zones, Machines: d.machines, Speed: d.speed,
 		Types: []capacity.MachineType{
 			{Name: "small", CPUs: 8, Mem: 32, CacheGB: 50, FetchGB: 2, Price: 0.4, Spot: 0.15, BootS: 3, Zones: d.zones},
 			{Name: "gpu", CPUs: 32, GPUs: 4, Mem: 256, CacheGB: 200, FetchGB: 2, Price: 10, Spot: 4.5, BootS: 4, Zones: d.zones},
@@ -154,9 +155,11 @@
 }
 
 // sample is a job to begin with.
-var sample = map[string]any{"name_id": "req-000001", "breed": "train", "warren": "vision", "gait": "sweep", "urgency": "standard", "hops": 16,
+var sample = map[string]any{
+	"name_id": "req-000001", "breed": "train", "warren": "vision", "gait": "sweep", "urgency": "standard", "hops": 16,
 	"cpus": 1.0, "accelerators": 0.0, "memory_gb": 2.0, "pelt": "img-07", "size_gb": 1.5, "builds": nil, "meadow": nil,
-	"same_place": false, "apart": false, "stray": true, "stride_s": 20.0, "rest_s": 0.0, "stash_s": 0.0, "dusk_s": nil}
+	"same_place": false, "apart": false, "stray": true, "stride_s": 20.0, "rest_s": 0.0, "stash_s": 0.0, "dusk_s": nil,
+}
 
 func (d *dev) welcome(out io.Writer, w *world.World) {
 	raw, _ := json.Marshal(sample)
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -37,8 +37,10 @@
 	if running == 0 {
 		running = tasks * machines
 	}
-	return scale.Size{Name: name, Values: scale.Values{"machines": machines, "tasks_running": running, "tasks_reported_per_s": running / reportS,
-		"reports_per_s": machines / reportS, "starts_per_s": starts, "jobs_per_s": jobs}}
+	return scale.Size{Name: name, Values: scale.Values{
+		"machines": machines, "tasks_running": running, "tasks_reported_per_s": running / reportS,
+		"reports_per_s": machines / reportS, "starts_per_s": starts, "jobs_per_s": jobs,
+	}}
 }
 
 func labScaleCmd() *cobra.Command {
@@ -149,6 +151,8 @@
 
 // labStateCmd is the process of a scale run's state service.
 func labStateCmd() *cobra.Command {
-	return &cobra.Command{Use: scale.StateCommand, Hidden: true, Args: cobra.NoArgs, Short: "Play a state service for a scale run",
-		RunE: func(c *cobra.Command, _ []string) error { return scale.PlayState(c.InOrStdin(), c.OutOrStdout()) }}
+	return &cobra.Command{
+		Use: scale.StateCommand, Hidden: true, Args: cobra.NoArgs, Short: "Play a state service for a scale run",
+		RunE: func(c *cobra.Command, _ []string) error { return scale.PlayState(c.InOrStdin(), c.OutOrStdout()) },
+	}
 }
--- a/cmd/harewalk/operator.go
+++ b/cmd/harewalk/operator.go
@@ -51,9 +51,11 @@
 
 func licenceCmd() *cobra.Command {
 	var o operator
-	c := &cobra.Command{Use: "licence", Short: "Look at the pools of counted licences and change their counts",
+	c := &cobra.Command{
+		Use: "licence", Short: "Look at the pools of counted licences and change their counts",
 		Long: "Licences are declared in the operators' settings (docs/licences.md). Counts that are set here are kept by\n" +
-			"the state service: they survive every controller, and go before what is declared until they are reset."}
+			"the state service: they survive every controller, and go before what is declared until they are reset.",
+	}
 	o.flags(c)
 	c.AddCommand(
 		&cobra.Command{
--- a/cmd/harewalk/rollout.go
+++ b/cmd/harewalk/rollout.go
@@ -12,16 +12,22 @@
 
 func rolloutCmd() *cobra.Command {
 	var o operator
-	c := &cobra.Command{Use: "rollout", Short: "Look at a rollout of controllers and steer it",
+	c := &cobra.Command{
+		Use: "rollout", Short: "Look at a rollout of controllers and steer it",
 		Long: "Controllers are restarted with a new release one after the other, in the order that `rollout plan` gives. What is new\n" +
 			"in the stored state begins once all have it: the cluster's level rises then, by itself or on `rollout finish`.\n" +
-			"Until it has risen the former release can come back; docs/rollout.md says what to do when a rollout sticks."}
+			"Until it has risen the former release can come back; docs/rollout.md says what to do when a rollout sticks.",
+	}
 	o.flags(c)
 	c.AddCommand(
-		&cobra.Command{Use: "status", Short: "Show who runs what, the level, what is missing for the next one, and how far a migration is", Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return tell(&o, c, "GET", "/v2/rollout", nil, showRollout) }},
-		&cobra.Command{Use: "plan", Short: "Show which controller may be restarted next, and why not another", Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error { return tell(&o, c, "GET", "/v2/rollout", nil, showPlan) }},
+		&cobra.Command{
+			Use: "status", Short: "Show who runs what, the level, what is missing for the next one, and how far a migration is", Args: cobra.NoArgs,
+			RunE: func(c *cobra.Command, _ []string) error { return tell(&o, c, "GET", "/v2/rollout", nil, showRollout) },
+		},
+		&cobra.Command{
+			Use: "plan", Short: "Show which controller may be restarted next, and why not another", Args: cobra.NoArgs,
+			RunE: func(c *cobra.Command, _ []string) error { return tell(&o, c, "GET", "/v2/rollout", nil, showPlan) },
+		},
 		rolloutSay(&o, "hold", "Let nothing rise and advise no restart until `rollout free`", ""),
 		rolloutSay(&o, "finish", "Let the level rise as soon as all have announced the next one, without waiting",
 			"It is refused (exit 3) while some controller hasn't announced the next level; the answer names it.\n"+
@@ -34,14 +40,16 @@
 
 func rolloutSay(o *operator, op, short, long string) *cobra.Command {
 	var revision int64
-	c := &cobra.Command{Use: op, Short: short, Long: long, Args: cobra.NoArgs, Example: "  harewalk rollout " + op + " --server 127.0.0.1:8080",
+	c := &cobra.Command{
+		Use: op, Short: short, Long: long, Args: cobra.NoArgs, Example: "  harewalk rollout " + op + " --server 127.0.0.1:8080",
 		RunE: func(c *cobra.Command, _ []string) error {
 			body := map[string]any{"op": op, "by": whoami()}
 			if revision >= 0 {
 				body["revision"] = revision
 			}
 			return tell(o, c, "POST", "/v2/rollout", body, showRollout)
-		}}
+		},
+	}
 	c.Flags().Int64Var(&revision, "revision", -1, "refuse the command unless this is still the revision (of `rollout status`)")
 	return c
 }
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -42,9 +42,11 @@
 
 func sessionCmd() *cobra.Command {
 	var o operator
-	c := &cobra.Command{Use: "session", Short: "Open, attach to and close interactive sessions",
+	c := &cobra.Command{
+		Use: "session", Short: "Open, attach to and close interactive sessions",
 		Long: "A session is a job of one task that its user attaches to and leaves. After real idleness it is warned, its\n" +
-			"work is saved and its machine goes to others; attaching resumes it, with the same id (docs/sessions.md)."}
+			"work is saved and its machine goes to others; attaching resumes it, with the same id (docs/sessions.md).",
+	}
 	o.flags(c)
 	c.AddCommand(sessionOpen(&o), sessionList(&o),
 		sessionAct(&o, "attach ID", "Return to a session: takes a warning back, resumes a reclaimed one", "attach"),
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_world_test.go
@@ -32,14 +32,18 @@
 `
 
 func notebook(w *world.World, n int, cpus float64) *world.InteractiveSession {
-	return w.InteractiveSession(&jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
-		Tasks: 1, CPUs: cpus, Mem: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1}, "kana")
+	return w.InteractiveSession(&jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
+		Tasks: 1, CPUs: cpus, Mem: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
+	}, "kana")
 }
 
 func sessionWorld(t *testing.T, seed uint64, machines int) *world.World {
 	t.Helper()
-	w, err := world.New(world.Config{Seed: seed, Machines: machines, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
-		Types: []capacity.MachineType{{Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"}}}})
+	w, err := world.New(world.Config{
+		Seed: seed, Machines: machines, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+		Types: []capacity.MachineType{{Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"}}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,8 +272,10 @@
 		u := w.Users(13)
 		var waits []float64
 		for i := range 30 {
-			s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard", Tasks: 1,
-				CPUs: 4, Mem: 4, Image: "m", ImageGB: 1, EstimateS: 4}
+			s := &jobs.Spec{
+				ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard", Tasks: 1,
+				CPUs: 4, Mem: 4, Image: "m", ImageGB: 1, EstimateS: 4,
+			}
 			if status := u.Submit(s); status != 201 {
 				t.Fatalf("status %d", status)
 			}
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -90,9 +90,11 @@
 
 // licensed draws a job: arrays and gangs that need one pool, both or none.
 func licensed(rng *rand.Rand, n int) *jobs.Spec {
-	s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
+	s := &jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
 		Priority: []string{"urgent", "standard", "best_effort"}[rng.IntN(3)], Tasks: 2 + rng.IntN(12), CPUs: 1, Mem: 2,
-		Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 1, EstimateS: 0.4 + 0.6*rng.Float64(), Spot: rng.IntN(2) == 0}
+		Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 1, EstimateS: 0.4 + 0.6*rng.Float64(), Spot: rng.IntN(2) == 0,
+	}
 	if rng.IntN(4) == 0 {
 		s.Kind, s.Tasks = jobs.Gang, 1+rng.IntN(3)
 	}
@@ -119,9 +121,11 @@
 	if long() {
 		most, starts, often = 900, 5500, 1
 	}
-	w, err := world.New(world.Config{Seed: seed, Machines: 14, Pools: map[string]int{"transcribe": 24, "optimise": 8}, Linger: 3 * time.Second,
+	w, err := world.New(world.Config{
+		Seed: seed, Machines: 14, Pools: map[string]int{"transcribe": 24, "optimise": 8}, Linger: 3 * time.Second,
 		Types: []capacity.MachineType{{Name: "g4", CPUs: 8, GPUs: 2, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 1, Zones: []string{"a", "b"}}},
-		Teams: []config.Team{{Name: "red", CPUs: 10, CPUsMax: 60}, {Name: "blue", CPUs: 10, CPUsMax: 60}}})
+		Teams: []config.Team{{Name: "red", CPUs: 10, CPUsMax: 60}, {Name: "blue", CPUs: 10, CPUsMax: 60}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,8 +227,10 @@
 	cluster(t, w, fmt.Sprintf(strings.NewReplacer("count    = 24", "count    = 40", "reserve  = 2", "").Replace(pools), w.Licences.Addr))
 	u := w.Users(2)
 	for n := range 6 {
-		s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", n+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 100, CPUs: 1,
-			Mem: 1, Image: "i", ImageGB: 1, EstimateS: 5, Licences: map[string]int{"transcribe": 1}}
+		s := &jobs.Spec{
+			ID: fmt.Sprintf("req-%06d", n+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 100, CPUs: 1,
+			Mem: 1, Image: "i", ImageGB: 1, EstimateS: 5, Licences: map[string]int{"transcribe": 1},
+		}
 		if status := u.Submit(s); status != 201 {
 			t.Fatalf("status %d", status)
 		}
@@ -283,8 +289,10 @@
 		}
 		return out
 	}
-	s := &jobs.Spec{ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 30, CPUs: 1, Mem: 1, Image: "i",
-		ImageGB: 1, EstimateS: 600, CheckpointS: 5, SaveS: 0.2, Licences: map[string]int{"transcribe": 1}}
+	s := &jobs.Spec{
+		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 30, CPUs: 1, Mem: 1, Image: "i",
+		ImageGB: 1, EstimateS: 600, CheckpointS: 5, SaveS: 0.2, Licences: map[string]int{"transcribe": 1},
+	}
 	u := w.Users(3)
 	if status := u.Submit(s); status != 201 {
 		t.Fatalf("status %d", status)
--- a/cmd/harewalk/zone.go
+++ b/cmd/harewalk/zone.go
@@ -11,12 +11,15 @@
 
 func zoneCmd() *cobra.Command {
 	var o operator
-	c := &cobra.Command{Use: "zone", Short: "Look at zones as domains of failure, and at what losing one would mean",
+	c := &cobra.Command{
+		Use: "zone", Short: "Look at zones as domains of failure, and at what losing one would mean",
 		Long: "A zone is well, doubted, lost, returning or proving (docs/zones.md). What is on machines that are not heard counts as\n" +
-			"running there until their leases are over; new work goes elsewhere at once."}
+			"running there until their leases are over; new work goes elsewhere at once.",
+	}
 	o.flags(c)
 	c.AddCommand(
-		&cobra.Command{Use: "list", Short: "List the zones: state, machines, what is not heard, what they take", Args: cobra.NoArgs,
+		&cobra.Command{
+			Use: "list", Short: "List the zones: state, machines, what is not heard, what they take", Args: cobra.NoArgs,
 			RunE: func(c *cobra.Command, _ []string) error {
 				return tell(&o, c, "GET", "/v2/zones", nil, func(t *tabwriter.Writer, vs []controller.ZoneView) {
 					fmt.Fprintln(t, "ZONE\tSTATE\tFOR\tFLAPS\tMACHINES\tQUIET\tASIDE\tTASKS\tHELD\tRENTS\tTAKES")
@@ -24,8 +27,10 @@
 						fmt.Fprintf(t, "%s\t%s\t%.0f s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%s\n", v.Zone, v.State, v.ForS, v.Flaps, v.Machines, v.Quiet, v.Aside, v.Tasks, v.Held, v.Rents, v.Takes)
 					}
 				})
-			}},
-		&cobra.Command{Use: "plan ZONE", Short: "Show what would happen if a zone were lost now: who would wait, and for how long", Args: cobra.ExactArgs(1),
+			},
+		},
+		&cobra.Command{
+			Use: "plan ZONE", Short: "Show what would happen if a zone were lost now: who would wait, and for how long", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				return tell(&o, c, "GET", "/v2/zones/"+args[0], nil, func(t *tabwriter.Writer, v controller.ZoneView) {
 					fmt.Fprintf(t, "zone %s\t%s, %d machines, %d tasks\n", v.Zone, v.State, v.Machines, v.Tasks)
@@ -35,6 +40,7 @@
 						fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", l.Class, l.Team, l.Jobs, l.Tasks, l.Fit, l.Wait)
 					}
 				})
-			}})
+			},
+		})
 	return c
 }
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -174,8 +174,10 @@
 	if w := u.Who(c); !w.May("blue") || !w.Operator {
 		t.Errorf("%+v", w)
 	}
-	for bad, want := range map[string]string{ops + ops: "one block", strings.Replace(ada, "red", "green", 1): `no team "green"`, strings.Replace(ops, sc, sc[1:], 1): "64 hexadecimal",
-		ada + strings.Replace(ops, sc, sa, 1): "somebody's already", "user \"x\" {\n": "users.hcl", `user "x" { tokens_sha256 = [] }`: "empty"} {
+	for bad, want := range map[string]string{
+		ops + ops: "one block", strings.Replace(ada, "red", "green", 1): `no team "green"`, strings.Replace(ops, sc, sc[1:], 1): "64 hexadecimal",
+		ada + strings.Replace(ops, sc, sa, 1): "somebody's already", "user \"x\" {\n": "users.hcl", `user "x" { tokens_sha256 = [] }`: "empty",
+	} {
 		write(bad)
 		if err := u.Check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v does not say %q", bad, err, want)
--- a/internal/access/accesstest/accesstest.go
+++ b/internal/access/accesstest/accesstest.go
@@ -36,15 +36,19 @@
 	}
 	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must(err)
-	ca := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test authority"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	ca := &x509.Certificate{
+		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test authority"}, NotBefore: time.Now().Add(-time.Hour),
+		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
+	}
 	caDER, err := x509.CreateCertificate(rand.Reader, ca, ca, &caKey.PublicKey, caKey)
 	must(err)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must(err)
-	leaf := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "test"}, NotBefore: ca.NotBefore, NotAfter: ca.NotAfter, DNSNames: names,
+	leaf := &x509.Certificate{
+		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "test"}, NotBefore: ca.NotBefore, NotAfter: ca.NotAfter, DNSNames: names,
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
 	der, err := x509.CreateCertificate(rand.Reader, leaf, ca, &key.PublicKey, caKey)
 	must(err)
 	keyDER, err := x509.MarshalECPrivateKey(key)
--- a/internal/access/keys.go
+++ b/internal/access/keys.go
@@ -76,8 +76,10 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		now := k.now.Load()
 		// A ticket would let a peer in with the authority of yesterday.
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert}, ClientAuth: auth, ClientCAs: now.roots,
-			SessionTicketsDisabled: true}, nil
+		return &tls.Config{
+			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert}, ClientAuth: auth, ClientCAs: now.roots,
+			SessionTicketsDisabled: true,
+		}, nil
 	}}
 }
 
--- a/internal/allotment/model_test.go
+++ b/internal/allotment/model_test.go
@@ -36,8 +36,10 @@
 type without string
 
 func (m *model) clone() *model {
-	c := &model{doc: slices.Clone(m.doc), version: m.version, lead: slices.Clone(m.lead), plan: slices.Clone(m.plan),
-		way: slices.Clone(m.way), changes: m.changes, turns: m.turns}
+	c := &model{
+		doc: slices.Clone(m.doc), version: m.version, lead: slices.Clone(m.lead), plan: slices.Clone(m.plan),
+		way: slices.Clone(m.way), changes: m.changes, turns: m.turns,
+	}
 	for _, h := range m.owners {
 		k := *h
 		c.owners = append(c.owners, &k)
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -120,10 +120,12 @@
 
 func newMover(ops, n int) *mover {
 	m := &mover{}
-	m.Mover = NewMover(Env{Now: func() time.Duration { return m.t }, TxnOps: ops, WritesPerS: 40,
+	m.Mover = NewMover(Env{
+		Now: func() time.Duration { return m.t }, TxnOps: ops, WritesPerS: 40,
 		MayWrite: func(int) bool { return !m.full },
 		Commit:   func(t store.Txn, done func(store.Result)) { m.sent, m.done = append(m.sent, t), done },
-		Moved:    func(id string, _ Answer) { m.moved = append(m.moved, id) }})
+		Moved:    func(id string, _ Answer) { m.moved = append(m.moved, id) },
+	})
 	for i := range n {
 		m.jobs = append(m.jobs, Candidate{ID: "req-" + string(rune('a'+i)), Version: uint64(i + 1), Answer: Answer{jobs.Done, 1, 1}})
 	}
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -30,8 +30,11 @@
 // whether it lies in the window, and when that changes next.
 func TestEveryMinute(t *testing.T) {
 	windows := []struct{ days, from, to string }{
-		{"Fri", "18:00", "23:00"}, {"Mon,Tue,Wed,Thu,Fri", "09:00", "18:00"},
-		{"Sat,Sun", "22:30", "02:15"}, {"Sun", "01:30", "02:00"}, {"Mon,Wed", "00:00", "24:00"},
+		{"Fri", "18:00", "23:00"},
+		{"Mon,Tue,Wed,Thu,Fri", "09:00", "18:00"},
+		{"Sat,Sun", "22:30", "02:15"},
+		{"Sun", "01:30", "02:00"},
+		{"Mon,Wed", "00:00", "24:00"},
 	}
 	for i, zone := range zones {
 		loc, err := time.LoadLocation(zone)
@@ -99,9 +102,13 @@
 
 func TestWrongWindowsAreNamed(t *testing.T) {
 	for _, c := range [][5]string{
-		{"Fry", "18:00", "23:00", "UTC", `"Fry" is no day`}, {"Mon-", "18:00", "23:00", "UTC", "no day"},
-		{"Fri", "18", "23:00", "UTC", `"18" is no time`}, {"Fri", "18:00", "24:01", "UTC", `"24:01"`},
-		{"Fri", "24:00", "01:00", "UTC", "24:00"}, {"Fri", "18:00", "23:00", "Mars/Base", `"Mars/Base"`}, {"Fri", "18:00", "23:00", "", "name one"},
+		{"Fry", "18:00", "23:00", "UTC", `"Fry" is no day`},
+		{"Mon-", "18:00", "23:00", "UTC", "no day"},
+		{"Fri", "18", "23:00", "UTC", `"18" is no time`},
+		{"Fri", "18:00", "24:01", "UTC", `"24:01"`},
+		{"Fri", "24:00", "01:00", "UTC", "24:00"},
+		{"Fri", "18:00", "23:00", "Mars/Base", `"Mars/Base"`},
+		{"Fri", "18:00", "23:00", "", "name one"},
 	} {
 		if _, err := Parse(c[0], c[1], c[2], c[3]); err == nil || !strings.Contains(err.Error(), c[4]) {
 			t.Errorf("%v: error %v", c, err)
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -59,8 +59,10 @@
 
 // New starts a manager for a term.
 func New(s *config.Settings, c *Cloud, f *fleet.Fleet, d *jobs.NameIndex, types func() []MachineType, term uint64) *Manager {
-	m := &Manager{Settings: s, Cloud: c, Fleet: f, Names: d, Types: types, Term: term,
-		boots: map[string]*boot{}, took: bootTimes{}, zones: map[int32]int{}, refused: map[offer]time.Duration{}, toReturn: map[string]string{}, gone: map[string]time.Duration{}}
+	m := &Manager{
+		Settings: s, Cloud: c, Fleet: f, Names: d, Types: types, Term: term,
+		boots: map[string]*boot{}, took: bootTimes{}, zones: map[int32]int{}, refused: map[offer]time.Duration{}, toReturn: map[string]string{}, gone: map[string]time.Duration{},
+	}
 	z := s.Zones()
 	m.Zones = zones.New(zones.Config{Patience: z.Patience, Prove: z.Prove, Calm: z.Calm, Most: z.Most, Turned: m.zoneTurned})
 	f.Zones = func(zone int32, w zones.Work) bool { return m.Zones.Takes(f.Now(), zone, w) }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -113,12 +113,14 @@
 	c := &cloud{room: map[string]int{}, list: map[string]listed{}, born: map[string]time.Duration{}, claims: map[string]bool{}}
 	book := jobs.NewTable(0)
 	now := func() time.Duration { return c.now }
-	f := fleet.New(fleet.Env{Settings: s, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: now,
+	f := fleet.New(fleet.Env{
+		Settings: s, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: now,
 		Types: func(int32) *fleet.Type {
 			return &fleet.Type{Size: types[0].Size(), CacheGB: 10, FetchGB: 1, BootS: 40}
 		},
 		Room:   func(int) bool { return true },
-		Commit: func(store.Txn, func(store.Result)) {}}, 1, 0)
+		Commit: func(store.Txn, func(store.Result)) {},
+	}, 1, 0)
 	f.Load(0, nil)
 	b := &bench{cloud: c, book: book, authority: -time.Hour}
 	b.Manager = New(s, NewCloud("", c, now, 100), f, book.Names, func() []MachineType { return types }, 1)
@@ -127,8 +129,10 @@
 
 func (b *bench) submit(t *testing.T, tasks int, spot bool) {
 	b.rev++
-	sp := &jobs.Spec{ID: fmt.Sprintf("req-%06d", b.rev), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
-		CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 100, Spot: spot}
+	sp := &jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", b.rev), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
+		CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 100, Spot: spot,
+	}
 	j, _, err := b.book.Apply(sp.ID, jobs.EncodeRecord(jobs.Pending, 0, tasks, sp), b.rev)
 	if err != nil {
 		t.Fatal(err)
@@ -313,8 +317,10 @@
 		seq := uint64(0)
 		hear := func(i int) {
 			seq++
-			b.Fleet.Report(b.cloud.now, &fleet.Report{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m",
-				Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: seq, Token: 1 << 20})
+			b.Fleet.Report(b.cloud.now, &fleet.Report{
+				Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m",
+				Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: seq, Token: 1 << 20,
+			})
 		}
 		for step := range 15 {
 			b.cloud.now += time.Second
@@ -370,8 +376,10 @@
 	for _, outage := range []bool{true, false} {
 		b := setup(t)
 		for i := range 40 {
-			b.Fleet.Report(b.cloud.now, &fleet.Report{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m",
-				Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: 1, Token: 1 << 20})
+			b.Fleet.Report(b.cloud.now, &fleet.Report{
+				Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m",
+				Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: 1, Token: 1 << 20,
+			})
 		}
 		b.cloud.now += 9 * time.Second
 		if outage {
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -254,8 +254,10 @@
 func (c *Manager) ask(now time.Duration, o offer, n int) {
 	c.claims++
 	claim := fmt.Sprintf("r-%d-%d", c.Term, c.claims)
-	body := map[string]any{"claim": claim, "build": c.Names.Types.Name(o.typ), "meadow": c.Names.Zones.Name(o.zone),
-		"stray": o.spot, "how_many": n}
+	body := map[string]any{
+		"claim": claim, "build": c.Names.Types.Name(o.typ), "meadow": c.Names.Zones.Name(o.zone),
+		"stray": o.spot, "how_many": n,
+	}
 	c.renting = c.call("POST", "/machines", body, func(r httpio.Response) {
 		c.renting = false
 		at := c.Cloud.now()
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -57,8 +57,10 @@
 			return fmt.Errorf("licence %q is declared twice", d.Name)
 		}
 		seen[d.Name] = true
-		p := &licences.Pool{Name: d.Name, Count: d.Count, Server: d.Server, Poll: Seconds(d.PollS), Linger: Seconds(d.LingerS),
-			Reserve: d.Reserve, Lowering: licences.Lower(d.OnLower), Teams: map[string]licences.Share{}}
+		p := &licences.Pool{
+			Name: d.Name, Count: d.Count, Server: d.Server, Poll: Seconds(d.PollS), Linger: Seconds(d.LingerS),
+			Reserve: d.Reserve, Lowering: licences.Lower(d.OnLower), Teams: map[string]licences.Share{},
+		}
 		if d.Reserve > d.Count {
 			return fmt.Errorf("licence %q: reserve %d is more than its count %d", d.Name, d.Reserve, d.Count)
 		}
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -77,10 +77,12 @@
 	if err != nil {
 		return err
 	}
-	p := &sessions.Policies{On: true, Warn: duration(d.WarnS, defaultWarn), Save: duration(d.SaveS, defaultSave),
+	p := &sessions.Policies{
+		On: true, Warn: duration(d.WarnS, defaultWarn), Save: duration(d.SaveS, defaultSave),
 		Silent: duration(d.SilentS, defaultSilent), Keep: time.Duration(d.KeepDays * 24 * float64(time.Hour)),
 		PerUser: d.PerUser, PerTeam: d.PerTeam, ByTeam: map[string]*sessions.Policy{},
-		Default: &sessions.Policy{Limits: sessions.Limits{Rule: rule, Wanted: 0, Name: "default"}}}
+		Default: &sessions.Policy{Limits: sessions.Limits{Rule: rule, Wanted: 0, Name: "default"}},
+	}
 	teams := s.teamNames()
 	for i := range d.Policies {
 		q := &d.Policies[i]
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -49,8 +49,12 @@
 	for _, c := range []struct {
 		lease, cancel float64
 		hold, picture time.Duration
-	}{{19, 39, 6 * time.Second, 17462 * time.Millisecond}, {26.5, 46.5, 6 * time.Second, 17454 * time.Millisecond}, {30, 60, 6 * time.Second, 18 * time.Second},
-		{20, 26, 3474 * time.Millisecond, 3474 * time.Millisecond}} {
+	}{
+		{19, 39, 6 * time.Second, 17462 * time.Millisecond},
+		{26.5, 46.5, 6 * time.Second, 17454 * time.Millisecond},
+		{30, 60, 6 * time.Second, 18 * time.Second},
+		{20, 26, 3474 * time.Millisecond, 3474 * time.Millisecond},
+	} {
 		s, err := timed(t, c.lease, c.cancel, "")
 		if err != nil || s.HoldTTL() != c.hold || s.PictureFor().Round(10*time.Millisecond) != c.picture.Round(10*time.Millisecond) {
 			t.Errorf("%+v: %v, hold %v, picture %v", c, err, s.HoldTTL(), s.PictureFor())
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -21,7 +21,7 @@
 // following is a controller that follows a state service's keys, and a clock for both.
 func following(t *testing.T) (c *Controller, svc *state.Service, advance func(time.Duration)) {
 	t.Helper()
-	var raw = []byte(`{"node":"n0","public_addr":"a:80","back":"a:81","services":{"cloud":"c:1","state":"s:1"},
+	raw := []byte(`{"node":"n0","public_addr":"a:80","back":"a:81","services":{"cloud":"c:1","state":"s:1"},
 	 "params":{"workers":{"report_s":1,"lease_s":6,"gang_wait_s":10,"gang_peer_s":2,"cancel_s":20},
 	 "state":{"rps":1000,"write_rps":1000,"value_kb":8,"txn_ops":24},"cloud":{"rps":5,"list_lag_s":1}}}`)
 	s, err := config.Parse(raw)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -139,8 +139,10 @@
 func build(s *config.Settings, o Outside) *Controller {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(s.Node))
-	c := &Controller{s: s, loop: NewLoop(o.Now), status: map[string]heard{}, ended: make(chan struct{}), byType: map[int32]*fleet.Type{},
-		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed))}
+	c := &Controller{
+		s: s, loop: NewLoop(o.Now), status: map[string]heard{}, ended: make(chan struct{}), byType: map[int32]*fleet.Type{},
+		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
+	}
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
@@ -155,8 +157,10 @@
 	c.cloud = capacity.NewCloud(s.Services.Cloud, c.send, c.loop.Now, s.Params.Cloud.RPS*0.9)
 	c.mir = store.NewMirror(c.store, hot, s.PictureFor())
 	c.roll = c.newRollout()
-	c.mem = membership.New(membership.Config{Rollout: member{c.roll, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), Picture: s.PictureFor(), Rng: c.rng,
-		OnLead: c.lead, OnLose: c.lose}, c.store, c.mir.Fresh)
+	c.mem = membership.New(membership.Config{
+		Rollout: member{c.roll, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), Picture: s.PictureFor(), Rng: c.rng,
+		OnLead: c.lead, OnLose: c.lose,
+	}, c.store, c.mir.Fresh)
 	c.mir.OnItem = func(it store.Item) { c.item(c.loop.Now(), it) }
 	c.mir.OnDrop = func(k string, v uint64) {
 		if strings.HasPrefix(k, jobs.Prefix) {
@@ -173,9 +177,11 @@
 	c.mir.OnSynced = func() { c.roll.Synced(); c.mem.Synced(c.loop.Now()) }
 	c.archive = s.Archive()
 	c.archived = c.newReader(c.archive.CacheEntries)
-	c.in = intake.New(intake.Env{Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.mir.Synced,
+	c.in = intake.New(intake.Env{
+		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.mir.Synced,
 		Counts: c.counts, Learned: c.learned, Guard: c.roll.Guard, Fit: c.roll.Fit, TxnOps: s.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: s.Params.Limits.Tasks(),
-		MaxBytes: s.Params.Limits.QueueBytes(), MaxValue: s.Params.State.Limits().Value})
+		MaxBytes: s.Params.Limits.QueueBytes(), MaxValue: s.Params.State.Limits().Value,
+	})
 	return c
 }
 
@@ -208,8 +214,10 @@
 	}
 	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.hear(s) }) })
 	fail := make(chan error, 2)
-	routes := intake.Routes{Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.in, Up: c.up,
-		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.s.Params.Limits.Conns(), Crowded: c.s.Params.Limits.Crowded(), Users: c.s.Users(), Counter: &c.answers}
+	routes := intake.Routes{
+		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.in, Up: c.up,
+		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.s.Params.Limits.Conns(), Crowded: c.s.Params.Limits.Crowded(), Users: c.s.Users(), Counter: &c.answers,
+	}
 	if t := c.s.Operator.TLS; t != nil {
 		secure, err := net.Listen("tcp", t.Listen)
 		if err != nil {
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -33,8 +33,10 @@
 }
 
 // ListFields are the fields of a filter over jobs.
-var ListFields = query.Fields{"id": query.Text, "stance": query.Text, "class": query.Text, "team": query.Text, "kind": query.Text, "priority": query.Text,
-	"tasks": query.Number, "done": query.Number, "running": query.Number, "waiting": query.Number, "age_s": query.Number}
+var ListFields = query.Fields{
+	"id": query.Text, "stance": query.Text, "class": query.Text, "team": query.Text, "kind": query.Text, "priority": query.Text,
+	"tasks": query.Number, "done": query.Number, "running": query.Number, "waiting": query.Number, "age_s": query.Number,
+}
 
 // Text implements query.Row.
 func (l *Listed) Text(field string) string {
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -111,8 +111,10 @@
 const heardFor = 3 * time.Second
 
 func (c *Controller) cluster(now time.Duration) operate.Cluster {
-	k := operate.Cluster{Nodes: []string{c.s.Node}, Alive: []string{c.s.Node},
-		Machine: func(name string) bool { m := c.fleet.Find(name); return m != nil && m.Condition != fleet.Gone }}
+	k := operate.Cluster{
+		Nodes: []string{c.s.Node}, Alive: []string{c.s.Node},
+		Machine: func(name string) bool { m := c.fleet.Find(name); return m != nil && m.Condition != fleet.Gone },
+	}
 	for _, p := range c.s.Peers {
 		k.Nodes = append(k.Nodes, p.Node)
 		if h, ok := c.status[p.Node]; ok && now-h.at < heardFor && h.StateOK {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -15,8 +15,10 @@
 // newRollout makes this controller's side of rollouts.
 func (c *Controller) newRollout() *rollout.Rollout {
 	o := c.s.Rollout()
-	cfg := rollout.Config{Node: c.s.Node, Nodes: []rollout.Named{{Node: c.s.Node, Zone: c.s.Zone}}, Release: rollout.Release, Knows: rollout.Newest,
-		Auto: o.Auto, Soak: o.Soak, BornMS: c.jobs.WallMS(c.loop.Now()), Turned: c.rolloutTurned}
+	cfg := rollout.Config{
+		Node: c.s.Node, Nodes: []rollout.Named{{Node: c.s.Node, Zone: c.s.Zone}}, Release: rollout.Release, Knows: rollout.Newest,
+		Auto: o.Auto, Soak: o.Soak, BornMS: c.jobs.WallMS(c.loop.Now()), Turned: c.rolloutTurned,
+	}
 	if o.Knows > 0 {
 		cfg.Knows, cfg.Release = o.Knows, o.Release
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -70,8 +70,10 @@
 		return
 	}
 	c.statusAt = now
-	s := peers.Status{Node: c.s.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastOK() < 2500*time.Millisecond,
-		Workers: c.strays.count(now, config.Seconds(c.s.Params.Workers.ReportS), 0), Leaving: c.life != Serving}
+	s := peers.Status{
+		Node: c.s.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastOK() < 2500*time.Millisecond,
+		Workers: c.strays.count(now, config.Seconds(c.s.Params.Workers.ReportS), 0), Leaving: c.life != Serving,
+	}
 	if c.fleet != nil {
 		s.Term = c.mem.Term()
 		c.jobs.Live(func(j *jobs.Job) {
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -14,8 +14,10 @@
 func (c *Controller) setTypes(raw string, types []capacity.MachineType) {
 	c.typesRaw, c.types = raw, types
 	for _, t := range types {
-		c.byType[c.jobs.Names.Types.Index(t.Name)] = &fleet.Type{Size: t.Size(), CacheGB: t.CacheGB, FetchGB: t.FetchGB,
-			BootS: t.BootS, Price: t.Price, Spot: t.Spot}
+		c.byType[c.jobs.Names.Types.Index(t.Name)] = &fleet.Type{
+			Size: t.Size(), CacheGB: t.CacheGB, FetchGB: t.FetchGB,
+			BootS: t.BootS, Price: t.Price, Spot: t.Spot,
+		}
 	}
 }
 
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -27,8 +27,10 @@
 	Rollout                  // a rollout's state changed; the note says to which, and why
 )
 
-var kinds = [...]string{"term", "job_accepted", "job_done", "job_cancelled", "task_sent", "task_found", "task_running", "task_stopping",
-	"task_ended", "task_vanished", "task_lost", "task_done", "machine", "zone", "rollout"}
+var kinds = [...]string{
+	"term", "job_accepted", "job_done", "job_cancelled", "task_sent", "task_found", "task_running", "task_stopping",
+	"task_ended", "task_vanished", "task_lost", "task_done", "machine", "zone", "rollout",
+}
 
 func (k Kind) String() string { return kinds[k] }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -144,10 +144,12 @@
 
 // New starts a term at time now. Until Load has brought the durable plans nothing acts.
 func New(env Env, term uint64, now time.Duration) *Fleet {
-	f := &Fleet{Env: env, Term: term, since: now, byName: map[string]*Machine{},
+	f := &Fleet{
+		Env: env, Term: term, since: now, byName: map[string]*Machine{},
 		within: map[jobs.Index]bool{}, classes: map[int32]*classStats{}, LastReport: now,
 		hints: map[string][]cached{}, spread: map[jobs.Index]map[int32]int{}, barren: map[jobs.Index]time.Duration{}, pleaded: map[jobs.Index]time.Duration{}, failing: map[jobs.Index]*failing{}, first: map[jobs.Index]bool{},
-		unread: map[string]bool{}, grants: map[jobs.Index]licences.Grant{}, verdicts: map[jobs.Index]verdict{}, ordinary: map[int32]bool{}, kinds: map[int32]bool{}, listed: map[Ref]struct{}{}}
+		unread: map[string]bool{}, grants: map[jobs.Index]licences.Grant{}, verdicts: map[jobs.Index]verdict{}, ordinary: map[int32]bool{}, kinds: map[int32]bool{}, listed: map[Ref]struct{}{},
+	}
 	if f.Paged == nil {
 		f.Paged = func() bool { return true }
 	}
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -96,8 +96,10 @@
 }
 
 func spec(n int, tasks int) *jobs.Spec {
-	return &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
-		CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 10}
+	return &jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
+		CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 10,
+	}
 }
 
 func (g *rig) submit(s *jobs.Spec) *jobs.Job {
--- a/internal/fleet/liveness_test.go
+++ b/internal/fleet/liveness_test.go
@@ -302,8 +302,12 @@
 	for _, g := range []struct {
 		without string
 		begins  []string
-	}{{"old reports are void", nil}, {"a lost session is over", []string{"lost report", "17 s"}}, {"tokens never fall", []string{"restart", "order", "report"}},
-		{"the lease of a new life", []string{"3 s", "restart"}}} {
+	}{
+		{"old reports are void", nil},
+		{"a lost session is over", []string{"lost report", "17 s"}},
+		{"tokens never fall", []string{"restart", "order", "report"}},
+		{"the lease of a new life", []string{"3 s", "restart"}},
+	} {
 		if n, why := explore(t, "", 2, g.begins...); why != "" {
 			t.Fatalf("after %d runs: %s", n, why)
 		}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -208,9 +208,11 @@
 	if m, ok := f.byName[name]; ok {
 		return m
 	}
-	m := &Machine{Index: int32(len(f.machines)), Name: name, Type: jobs.None, Zone: jobs.None, Created: now,
+	m := &Machine{
+		Index: int32(len(f.machines)), Name: name, Type: jobs.None, Zone: jobs.None, Created: now,
 		Answered: now, Heard: now, IdleSince: now, On: map[Ref]struct{}{},
-		late: map[attempt]struct{}{}, slow: 1, Token: f.Term << tokenBits}
+		late: map[attempt]struct{}{}, slow: 1, Token: f.Term << tokenBits,
+	}
 	m.images = f.hints[name]
 	f.machines = append(f.machines, m)
 	f.byName[m.Name] = m
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -405,8 +405,10 @@
 			if at >= 0 {
 				continue
 			}
-			k := &onWorker{job: id, task: t, attempt: c.Attempt, state: fetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
-				run: time.Second + time.Duration(w.rng.Int64N(int64(12*time.Second)))}
+			k := &onWorker{
+				job: id, task: t, attempt: c.Attempt, state: fetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
+				run: time.Second + time.Duration(w.rng.Int64N(int64(12*time.Second))),
+			}
 			free := wk.size
 			for _, o := range wk.tasks {
 				if o.state != exited {
@@ -663,10 +665,12 @@
 	w.nextJob++
 	id := fmt.Sprintf("req-%06d", w.nextJob)
 	kinds := []jobs.Kind{jobs.Array, jobs.Array, jobs.Gang, jobs.Service}
-	s := &jobs.Spec{ID: id, Class: "c", Team: fmt.Sprintf("t%d", w.rng.IntN(2)), Kind: kinds[w.rng.IntN(len(kinds))],
+	s := &jobs.Spec{
+		ID: id, Class: "c", Team: fmt.Sprintf("t%d", w.rng.IntN(2)), Kind: kinds[w.rng.IntN(len(kinds))],
 		Priority: []string{"prod", "urgent", "standard", "best_effort"}[w.rng.IntN(4)], Tasks: 1 + w.rng.IntN(8),
 		CPUs: 1 + float64(w.rng.IntN(3)), Mem: 2, Image: fmt.Sprintf("i%d", w.rng.IntN(4)), ImageGB: 3, EstimateS: 6,
-		Spot: w.rng.IntN(2) == 0, OneZone: w.rng.IntN(3) == 0, SaveS: 1}
+		Spot: w.rng.IntN(2) == 0, OneZone: w.rng.IntN(3) == 0, SaveS: 1,
+	}
 	if s.Kind != jobs.Array {
 		s.Tasks = 1 + w.rng.IntN(3)
 	}
@@ -694,8 +698,10 @@
 	}
 	w.specs[id] = s
 	w.done[id] = map[int32]bool{}
-	w.apply(store.Txn{If: []store.Cond{{Key: jobs.RecordKey(id)}},
-		Then: []store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, w.now.Milliseconds(), s.Tasks, s)}}})
+	w.apply(store.Txn{
+		If:   []store.Cond{{Key: jobs.RecordKey(id)}},
+		Then: []store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, w.now.Milliseconds(), s.Tasks, s)}},
+	})
 }
 
 // cancel is a user's abort, as any controller carries it out.
@@ -706,23 +712,29 @@
 	if !ok || json.Unmarshal(it.raw, &r) != nil || r.Stance != "pending" {
 		return
 	}
-	w.apply(store.Txn{If: []store.Cond{{Key: key, Version: it.version}},
-		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.N, r.Spec)}}})
+	w.apply(store.Txn{
+		If:   []store.Cond{{Key: key, Version: it.version}},
+		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.N, r.Spec)}},
+	})
 	w.told[id] = w.now
 }
 
 func newWorld(t *testing.T, seed uint64, trouble float64, pools ...*licences.Pool) *world {
-	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), kv: map[string]kvItem{}, specs: map[string]*jobs.Spec{},
+	w := &world{
+		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), kv: map[string]kvItem{}, specs: map[string]*jobs.Spec{},
 		done: map[string]map[int32]bool{}, told: map[string]time.Duration{}, trouble: trouble,
-		pools: pools, most: map[string]int{}, peak: map[string]int{}}
+		pools: pools, most: map[string]int{}, peak: map[string]int{},
+	}
 	w.settings = &config.Settings{}
 	w.settings.Params.Teams = []config.Team{{Name: "t0", CPUs: 4, CPUsMax: 14}, {Name: "t1", CPUs: 4, CPUsMax: 14}}
 	w.settings.Params.Workers = config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 8, GangPeerS: 2, CancelS: 30}
 	w.settings.Params.State.ValueKB = 8
 	w.settings.Operator.NetworkFactor = 1
 	for i := range 7 {
-		wk := &worker{name: fmt.Sprintf("i-%03d", i), typ: "cpu", zone: []string{"a", "b"}[i%2], spot: i%3 == 2,
-			size: planner.Size{CPUs: 4, Mem: 16}, alive: true, session: 1}
+		wk := &worker{
+			name: fmt.Sprintf("i-%03d", i), typ: "cpu", zone: []string{"a", "b"}[i%2], spot: i%3 == 2,
+			size: planner.Size{CPUs: 4, Mem: 16}, alive: true, session: 1,
+		}
 		if i < 3 {
 			wk.typ, wk.size = "gpu", planner.Size{CPUs: 8, GPUs: 2, Mem: 32}
 		}
--- a/internal/intake/http_test.go
+++ b/internal/intake/http_test.go
@@ -37,10 +37,12 @@
 	d := newDesk(state.New())
 	post := func(f func()) bool { f(); return true }
 	go func() {
-		_ = Serve(ln, Routes{Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: d.Intake, Up: func() bool { return true },
+		_ = Serve(ln, Routes{
+			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: d.Intake, Up: func() bool { return true },
 			Report:   func(_ time.Duration, _ *fleet.Report, reply func(Reply)) { reply(Reply{Status: 200}) },
 			Leader:   &Leader{Licences: true, Sessions: true, Answer: func(_ time.Duration, _ Call, reply func(Reply)) { reply(Reply{Status: 200}) }},
-			MaxConns: 10, Crowded: 10, Users: users})
+			MaxConns: 10, Crowded: 10, Users: users,
+		})
 	}()
 	defer func() { _ = ln.Close() }()
 	ask := func(method, path, bearer string) int {
@@ -58,9 +60,11 @@
 		_ = r.Body.Close()
 		return r.StatusCode
 	}
-	for _, door := range []string{"POST /v2/runs", "GET /v2/runs", "GET /v2/runs/req-000001", "POST /v2/runs/req-000001/abort", "GET /v2/runs/req-000001/why", "GET /v2/runs/req-000001/events",
+	for _, door := range []string{
+		"POST /v2/runs", "GET /v2/runs", "GET /v2/runs/req-000001", "POST /v2/runs/req-000001/abort", "GET /v2/runs/req-000001/why", "GET /v2/runs/req-000001/events",
 		"GET /v2/events", "GET /v2/admin", "POST /v2/admin", "GET /v2/licences", "GET /v2/licences/x", "POST /v2/licences/x", "GET /v2/sessions", "POST /v2/sessions", "GET /v2/sessions/req-000001",
-		"GET /v2/sessions/req-000001/explain", "GET /V2/Runs", "GET /v2/runs/", "GET //v2/runs", "GET /v2/../v2/runs", "GET /v2/sessions/../runs", "GET /%76%32/runs", "POST /v2/sessions/../runs/req-000001/abort"} {
+		"GET /v2/sessions/req-000001/explain", "GET /V2/Runs", "GET /v2/runs/", "GET //v2/runs", "GET /v2/../v2/runs", "GET /v2/sessions/../runs", "GET /%76%32/runs", "POST /v2/sessions/../runs/req-000001/abort",
+	} {
 		method, path, _ := strings.Cut(door, " ")
 		if got := ask(method, path, ""); got != 401 && got != 404 {
 			t.Errorf("%s without a token: %d", door, got)
@@ -92,8 +96,10 @@
 	}
 	post := func(f func()) bool { f(); return true }
 	go func() {
-		_ = Serve(ln, Routes{Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: newDesk(state.New()).Intake, Up: func() bool { return true },
-			Report: func(_ time.Duration, _ *fleet.Report, reply func(Reply)) { reply(Reply{Status: 200}) }, Leader: &Leader{}, MaxConns: 20, Crowded: 10})
+		_ = Serve(ln, Routes{
+			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: newDesk(state.New()).Intake, Up: func() bool { return true },
+			Report: func(_ time.Duration, _ *fleet.Report, reply func(Reply)) { reply(Reply{Status: 200}) }, Leader: &Leader{}, MaxConns: 20, Crowded: 10,
+		})
 	}()
 	defer func() { _ = ln.Close() }()
 	stay := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
--- a/internal/intake/operator.go
+++ b/internal/intake/operator.go
@@ -59,8 +59,10 @@
 func (r Routes) leader(app *fiber.App) {
 	l := r.Leader
 	ask := func(c fiber.Ctx, what, verb string) error {
-		q := Call{What: what, Name: strings.Clone(c.Params("name")), Verb: verb, Bearer: bearer(c), Who: who(c),
-			Query: map[string]string{}}
+		q := Call{
+			What: what, Name: strings.Clone(c.Params("name")), Verb: verb, Bearer: bearer(c), Who: who(c),
+			Query: map[string]string{},
+		}
 		for _, k := range [...]string{"user", "team", "where", "since", "limit"} {
 			if v := c.Query(k); v != "" {
 				q.Query[k] = strings.Clone(v)
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -84,8 +84,10 @@
 func ValidID(id string) bool { return idForm.MatchString(id) }
 
 // requiredFields must be there and not null.
-var requiredFields = []string{"name_id", "breed", "warren", "gait", "urgency", "hops", "cpus", "accelerators",
-	"memory_gb", "pelt", "size_gb", "same_place", "apart", "stray", "stride_s", "rest_s", "stash_s"}
+var requiredFields = []string{
+	"name_id", "breed", "warren", "gait", "urgency", "hops", "cpus", "accelerators",
+	"memory_gb", "pelt", "size_gb", "same_place", "apart", "stray", "stride_s", "rest_s", "stash_s",
+}
 
 // ErrMalformed wraps every reason for a 400.
 var ErrMalformed = errors.New("malformed job")
@@ -144,8 +146,10 @@
 			return bad("builds names no machine type")
 		}
 	}
-	amounts := map[string]float64{"cpus": s.CPUs, "accelerators": s.GPUs, "memory_gb": s.Mem, "size_gb": s.ImageGB,
-		"stride_s": s.EstimateS, "rest_s": s.CheckpointS, "stash_s": s.SaveS}
+	amounts := map[string]float64{
+		"cpus": s.CPUs, "accelerators": s.GPUs, "memory_gb": s.Mem, "size_gb": s.ImageGB,
+		"stride_s": s.EstimateS, "rest_s": s.CheckpointS, "stash_s": s.SaveS,
+	}
 	if s.DeadlineS != nil {
 		amounts["dusk_s"] = *s.DeadlineS
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -117,8 +117,10 @@
 		d        Dist
 		p50, p95 float64
 	}{
-		{Dist{Kind: "fixed", Value: 7}, 7, 7}, {Dist{Kind: "uniform", Low: 10, High: 30}, 20, 29},
-		{Dist{Kind: "exponential", Median: 10}, 10, 43.2}, {Dist{Kind: "lognormal", Median: 20, P95: 90}, 20, 90},
+		{Dist{Kind: "fixed", Value: 7}, 7, 7},
+		{Dist{Kind: "uniform", Low: 10, High: 30}, 20, 29},
+		{Dist{Kind: "exponential", Median: 10}, 10, 43.2},
+		{Dist{Kind: "lognormal", Median: 20, P95: 90}, 20, 90},
 		{Dist{Kind: "pareto", Low: 1, Shape: 2}, 1.414, 4.47},
 	} {
 		f, err := c.d.draw(rand.NewPCG(1, 2))
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -48,8 +48,10 @@
 
 // WriteHTML writes a page that needs nothing else to be seen.
 func (r *Result) WriteHTML(out io.Writer) error {
-	t, err := template.New("page").Funcs(template.FuncMap{"colour": colour, "seconds": brief,
-		"percent": func(f float64) string { return fmt.Sprintf("%.1f %%", 100*f) }}).Parse(page)
+	t, err := template.New("page").Funcs(template.FuncMap{
+		"colour": colour, "seconds": brief,
+		"percent": func(f float64) string { return fmt.Sprintf("%.1f %%", 100*f) },
+	}).Parse(page)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -128,10 +128,12 @@
 func platform(p *Plan, s Step, limits config.State, addrs []string) world.Config {
 	zones := []string{"a", "b", "c"}
 	cores := float64(s.TasksPerMachine)
-	w := world.Config{Seed: 1, Controllers: s.Controllers, Zones: zones, Machines: s.Machines, State: limits, StateAddrs: addrs, Step: stepOfTime,
+	w := world.Config{
+		Seed: 1, Controllers: s.Controllers, Zones: zones, Machines: s.Machines, State: limits, StateAddrs: addrs, Step: stepOfTime,
 		Types:   []capacity.MachineType{{Name: "hollow", CPUs: cores, Mem: 4 * cores, CacheGB: 100, FetchGB: 2, Price: 1, BootS: 1, Zones: zones}},
 		Workers: config.Workers{ReportS: p.ReportS, LeaseS: p.LeaseS, GangWaitS: 30, GangPeerS: 5, CancelS: p.CancelS}, Cloud: config.Cloud{RPS: 20, ListLagS: 1},
-		Limits: config.Limits{Cores: &limitCores, MemMB: &limitMemMB, Sockets: &limitSockets}}
+		Limits: config.Limits{Cores: &limitCores, MemMB: &limitMemMB, Sockets: &limitSockets},
+	}
 	for i := range s.Teams {
 		w.Teams = append(w.Teams, config.Team{Name: teamName(i)})
 	}
@@ -258,8 +260,10 @@
 	rate := func(a, b int) float64 { return float64(b-a) / seconds }
 	kilobytes := func(a, b uint64) float64 { return float64(b-a) / 1024 / seconds }
 	cores := func(a, b Usage) float64 { return (b.CPUSeconds - a.CPUSeconds) / seconds }
-	v := Values{byMachines: float64(to.machines), byRunning: float64(to.running),
-		byReports: rate(from.stats.Reports, to.stats.Reports), byStarts: rate(from.stats.Starts, to.stats.Starts), byJobs: rate(from.users.ended, to.users.ended)}
+	v := Values{
+		byMachines: float64(to.machines), byRunning: float64(to.running),
+		byReports: rate(from.stats.Reports, to.stats.Reports), byStarts: rate(from.stats.Starts, to.stats.Starts), byJobs: rate(from.users.ended, to.users.ended),
+	}
 	v[byReported] = v[byReports] * v[byRunning] / max(1, v[byMachines])
 	v["state_requests"], v["state_writes"] = rate(from.figures.Requests, to.figures.Requests), rate(from.figures.Writes, to.figures.Writes)
 	v["state_refused"], v["state_followed"], v["state_keys"] = rate(from.figures.Refused, to.figures.Refused), float64(to.figures.Followed), float64(to.figures.Keys)
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -44,10 +44,12 @@
 )
 
 func newUsers(w *world.World, step Step, pollS float64) *users {
-	return &users{w: w, step: step, pollS: pollS, took: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(1, 2)),
+	return &users{
+		w: w, step: step, pollS: pollS, took: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(1, 2)),
 		client:  &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, MaxConnsPerHost: 4096},
 		waits:   hdrhistogram.New(1, mostMS, digits),
-		accepts: hdrhistogram.New(1, mostMS, digits)}
+		accepts: hdrhistogram.New(1, mostMS, digits),
+	}
 }
 
 // jobsUnderWay is how many jobs keep all machines of a step busy, and some more, so that work always waits.
@@ -88,8 +90,10 @@
 	defer u.mu.Unlock()
 	u.next++
 	seconds := u.step.TaskS * (0.5 + u.rng.Float64())
-	return &jobs.Spec{ID: fmt.Sprintf("req-%08d", u.next), Class: "hollow", Team: teamName(u.next % u.step.Teams), Kind: jobs.Array, Priority: "standard",
-		Tasks: u.step.TasksPerJob, CPUs: 1, Mem: 1, Image: fmt.Sprintf("image-%d", u.next%images), ImageGB: 1, EstimateS: seconds, Spot: false}
+	return &jobs.Spec{
+		ID: fmt.Sprintf("req-%08d", u.next), Class: "hollow", Team: teamName(u.next % u.step.Teams), Kind: jobs.Array, Priority: "standard",
+		Tasks: u.step.TasksPerJob, CPUs: 1, Mem: 1, Image: fmt.Sprintf("image-%d", u.next%images), ImageGB: 1, EstimateS: seconds, Spot: false,
+	}
 }
 
 // images is how many images the jobs need.
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -229,11 +229,13 @@
 
 // platform is the world that a configuration is played in.
 func (s *Scenario) platform(c Config, seed uint64) world.Config {
-	w := world.Config{Seed: seed, Controllers: s.Controllers, Zones: s.Zones, Machines: s.Machines, Pools: map[string]int{},
+	w := world.Config{
+		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, Machines: s.Machines, Pools: map[string]int{},
 		// Times and limits of a service at work, not those of short tests.
 		Workers: config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
 		State:   config.State{RPS: 400, WriteRPS: 150, ValueKB: 32, TxnOps: 24},
-		Cloud:   config.Cloud{RPS: 5, ListLagS: 3}, Step: 100 * time.Millisecond}
+		Cloud:   config.Cloud{RPS: 5, ListLagS: 3}, Step: 100 * time.Millisecond,
+	}
 	if c.Machines > 0 {
 		w.Machines = c.Machines
 	}
@@ -241,8 +243,10 @@
 		w.Controllers = c.Controllers
 	}
 	for _, t := range s.Types {
-		w.Types = append(w.Types, capacity.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, Mem: t.MemoryGB, CacheGB: 200, FetchGB: 2,
-			Price: t.Price, Spot: t.SpotPrice, BootS: t.BootS, Zones: s.Zones})
+		w.Types = append(w.Types, capacity.MachineType{
+			Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, Mem: t.MemoryGB, CacheGB: 200, FetchGB: 2,
+			Price: t.Price, Spot: t.SpotPrice, BootS: t.BootS, Zones: s.Zones,
+		})
 	}
 	for _, t := range s.Teams {
 		w.Teams = append(w.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -157,8 +157,10 @@
 func New(cat *Catalog, team func(string) int32, now time.Duration) *Ledger {
 	l := &Ledger{cat: cat, since: now}
 	for i, p := range cat.pools {
-		a := &account{Pool: p, index: int32(i), seats: map[Holder]*seat{}, current: map[Ref]Holder{}, teams: map[int32]*member{},
-			reserve: p.Reserve, lineAt: now, answered: now}
+		a := &account{
+			Pool: p, index: int32(i), seats: map[Holder]*seat{}, current: map[Ref]Holder{}, teams: map[int32]*member{},
+			reserve: p.Reserve, lineAt: now, answered: now,
+		}
 		for name, s := range p.Teams {
 			a.teams[team(name)] = &member{Share: s}
 		}
@@ -399,8 +401,10 @@
 )
 
 func (d Denial) String() string {
-	return [...]string{"granted", "no such licence pool", "no seat is free", "the team holds as many seats as it may",
-		"the licence server does not answer", "free seats go to others first"}[d]
+	return [...]string{
+		"granted", "no such licence pool", "no seat is free", "the team holds as many seats as it may",
+		"the licence server does not answer", "free seats go to others first",
+	}[d]
 }
 
 // Fits tells whether n more tasks may have their seats now, all of them, and if not, which
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -426,8 +426,11 @@
 	ifs, then := m.cfg.Rollout.Founding()
 	m.store.Txn(store.Txn{
 		If: append([]store.Cond{{Key: leaderKey}, {Key: termKey, Version: m.termVersion}}, ifs...),
-		Then: append([]store.Op{{Put: leaderKey, Value: lv, Hold: m.hold}, {Put: termKey, Value: tv},
-			{Put: mapKey, Value: pv}}, then...),
+		Then: append([]store.Op{
+			{Put: leaderKey, Value: lv, Hold: m.hold},
+			{Put: termKey, Value: tv},
+			{Put: mapKey, Value: pv},
+		}, then...),
 	}, store.Safety, func(r store.Result) {
 		now := m.store.Now()
 		if m.state != Campaigning || m.hold != hold {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -88,14 +88,16 @@
 	st := store.New("", n, now, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{Ops: 24, Value: 32 << 10})
 	n.seen = c.svc.Now
 	n.known = map[string]uint64{}
-	n.mem = New(Config{Node: n.name, TTL: 3 * time.Second, Picture: 9 * time.Second, Rng: c.rng, Rollout: oneRelease{n.name},
+	n.mem = New(Config{
+		Node: n.name, TTL: 3 * time.Second, Picture: 9 * time.Second, Rng: c.rng, Rollout: oneRelease{n.name},
 		OnLead: func(_ time.Duration, term uint64) {
 			if who, ok := c.terms[term]; ok {
 				c.t.Fatalf("term %d led by %s and %s", term, who, n.name)
 			}
 			c.terms[term] = fmt.Sprintf("%s.%d", n.name, n.gen)
 		},
-		OnLose: func(time.Duration) {}}, st, func() time.Duration { return n.seen })
+		OnLose: func(time.Duration) {},
+	}, st, func() time.Duration { return n.seen })
 }
 
 // follow shows a node the keys as they are, as its mirror would.
@@ -149,8 +151,10 @@
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
-	c := &cluster{t: t, rng: rand.New(rand.NewPCG(seed, 3)), terms: map[uint64]string{},
-		svc: state.New()}
+	c := &cluster{
+		t: t, rng: rand.New(rand.NewPCG(seed, 3)), terms: map[uint64]string{},
+		svc: state.New(),
+	}
 	for i := range 3 {
 		n := &node{c: c, name: fmt.Sprintf("n-%d", i)}
 		c.nodes = append(c.nodes, n)
--- a/internal/operate/operate_test.go
+++ b/internal/operate/operate_test.go
@@ -24,8 +24,10 @@
 		k := Cluster{Nodes: nodes, Alive: nodes, Machine: func(m string) bool { return m != "m-none" }}
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			k.Alive = rapid.SliceOfDistinct(rapid.SampledFrom(nodes), rapid.ID[string]).Draw(t, "alive")
-			c := Command{Op: rapid.SampledFrom([]string{"drain", "undrain"}).Draw(t, "op"), Kind: rapid.SampledFrom([]string{"node", "machine"}).Draw(t, "kind"),
-				By: "kana", Stop: rapid.Bool().Draw(t, "stop")}
+			c := Command{
+				Op: rapid.SampledFrom([]string{"drain", "undrain"}).Draw(t, "op"), Kind: rapid.SampledFrom([]string{"node", "machine"}).Draw(t, "kind"),
+				By: "kana", Stop: rapid.Bool().Draw(t, "stop"),
+			}
 			if c.Name = rapid.SampledFrom([]string{"m-1", "m-2", "m-none"}).Draw(t, "machine"); c.Kind == "node" {
 				c.Name = rapid.SampledFrom(nodes).Draw(t, "node")
 			}
--- a/internal/parts/choose_test.go
+++ b/internal/parts/choose_test.go
@@ -46,10 +46,12 @@
 	m := NewMap([]string{"a", "b", "c", "d"})
 	rapid.Check(t, func(t *rapid.T) {
 		only := rapid.Int32Range(-1, 2).Draw(t, "only type")
-		n := Need{ID: fmt.Sprintf("req-%d", rapid.IntRange(1, 1000).Draw(t, "id")), Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"),
+		n := Need{
+			ID: fmt.Sprintf("req-%d", rapid.IntRange(1, 1000).Draw(t, "id")), Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"),
 			Size:  planner.Size{CPUs: float64(rapid.IntRange(1, 9).Draw(t, "cpus")), GPUs: float64(rapid.IntRange(0, 2).Draw(t, "gpus")), Mem: 4},
 			Whole: rapid.Bool().Draw(t, "whole"), OneZone: rapid.Bool().Draw(t, "one zone"), ZoneMost: rapid.IntRange(0, 8).Draw(t, "zone most"),
-			Allows: func(typ, _ int32, _ bool) bool { return only < 0 || typ == only }}
+			Allows: func(typ, _ int32, _ bool) bool { return only < 0 || typ == only },
+		}
 		stocks := make([][]Stock, len(m))
 		led := 0
 		for p := range stocks {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -86,8 +86,10 @@
 		return s, errors.New("short frame")
 	}
 	w := wire.GetRootAsStatus(raw, 0)
-	s = Status{Node: string(w.Node()), Term: w.Term(), Leading: w.Leading(), StateOK: w.StateOk(), Workers: w.Workers(),
-		Leaving: w.Leaving()}
+	s = Status{
+		Node: string(w.Node()), Term: w.Term(), Leading: w.Leading(), StateOK: w.StateOk(), Workers: w.Workers(),
+		Leaving: w.Leaving(),
+	}
 	n := w.CountsLength()
 	if n < 0 || n > len(raw)/4 {
 		return Status{}, fmt.Errorf("broken frame: %d counts", n)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -11,8 +11,10 @@
 )
 
 func sample() Status {
-	return Status{Node: "n-1", Term: 7, Leading: true, StateOK: true, Workers: 21,
-		Counts: []Count{{"req-000001", 3, 4}, {"req-000002", 0, 9}}}
+	return Status{
+		Node: "n-1", Term: 7, Leading: true, StateOK: true, Workers: 21,
+		Counts: []Count{{"req-000001", 3, 4}, {"req-000002", 0, 9}},
+	}
 }
 
 func TestFramesSurviveTheWire(t *testing.T) {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -81,6 +81,7 @@
 	}
 	return a < b
 }
+
 func (h *loadHeap) Swap(i, j int) {
 	h.ids[i], h.ids[j] = h.ids[j], h.ids[i]
 	if h.at != nil {
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -65,8 +65,10 @@
 			t.Fatalf("%s: %v", text, err)
 		}
 		for range 10 {
-			r := row{"team": rapid.SampledFrom([]string{"red", "blue", ""}).Draw(t, "team"), "class": rapid.SampledFrom([]string{"red", "audit"}).Draw(t, "class"),
-				"waiting": float64(rapid.IntRange(-1, 4).Draw(t, "waiting")), "done": float64(rapid.IntRange(-1, 4).Draw(t, "done"))}
+			r := row{
+				"team": rapid.SampledFrom([]string{"red", "blue", ""}).Draw(t, "team"), "class": rapid.SampledFrom([]string{"red", "audit"}).Draw(t, "class"),
+				"waiting": float64(rapid.IntRange(-1, 4).Draw(t, "waiting")), "done": float64(rapid.IntRange(-1, 4).Draw(t, "done")),
+			}
 			if f.Match(r, fields) != means(r) {
 				t.Fatalf("%s matches %v: %v", text, r, !means(r))
 			}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -466,11 +466,19 @@
 		former uint8
 		silent bool
 		b      bounds
-	}{{"the lead", 2, false, bounds{1, 2, 0, 1, 1}}, {"the members' versions", 2, false, bounds{1, 1, 0, 1, 0}}, {"the words' version", 2, false, bounds{0, 2, 1, 0, 0}},
-		{"the present process", 2, true, bounds{1, 1, 0, 1, 0}}, {"all have announced", 1, false, bounds{0, 1, 0, 0, 0}},
-		{"the level in campaigns", returning, false, bounds{0, 2, 0, 0, 1}}, {"the level in everybody's writes", 2, false, bounds{0, 4, 0, 0, 0}},
-		{"the record's version", 2, false, bounds{0, 4, 0, 0, 0}}, {"nothing left", 2, false, bounds{0, 2, 0, 0, 0}},
-		{"staying out", 2, false, bounds{1, 2, 0, 1, 1}}, {"the term's format", 2, true, bounds{1, 2, 0, 1, 1}}} {
+	}{
+		{"the lead", 2, false, bounds{1, 2, 0, 1, 1}},
+		{"the members' versions", 2, false, bounds{1, 1, 0, 1, 0}},
+		{"the words' version", 2, false, bounds{0, 2, 1, 0, 0}},
+		{"the present process", 2, true, bounds{1, 1, 0, 1, 0}},
+		{"all have announced", 1, false, bounds{0, 1, 0, 0, 0}},
+		{"the level in campaigns", returning, false, bounds{0, 2, 0, 0, 1}},
+		{"the level in everybody's writes", 2, false, bounds{0, 4, 0, 0, 0}},
+		{"the record's version", 2, false, bounds{0, 4, 0, 0, 0}},
+		{"nothing left", 2, false, bounds{0, 2, 0, 0, 0}},
+		{"staying out", 2, false, bounds{1, 2, 0, 1, 1}},
+		{"the term's format", 2, true, bounds{1, 2, 0, 1, 1}},
+	} {
 		t.Run("without "+string(g.guard), func(t *testing.T) {
 			t.Parallel()
 			n, why := explore(g.guard, g.b, g.former, g.silent)
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -58,8 +58,11 @@
 	r.busy = true
 	doc, _ := json.Marshal(levelDoc{Level: next, By: r.cfg.Node, AtMS: r.cfg.BornMS + now.Milliseconds()})
 	mig, _ := json.Marshal(Migration{Level: next, Term: term, Turns: 1})
-	return store.Txn{If: seen.Conds(r.names()), Then: []store.Op{{Put: levelKey, Value: doc}, {Put: migrationKey, Value: mig},
-		{Put: termKey, Value: EncodeTerm(next, term)}}}, true
+	return store.Txn{If: seen.Conds(r.names()), Then: []store.Op{
+		{Put: levelKey, Value: doc},
+		{Put: migrationKey, Value: mig},
+		{Put: termKey, Value: EncodeTerm(next, term)},
+	}}, true
 }
 
 // migrating tells whether something may stand in a former format.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -115,8 +115,14 @@
 	for _, c := range []struct {
 		cmd  Command
 		want error
-	}{{Command{Op: "finish"}, ErrEarly}, {Command{Op: "stop"}, ErrMalformed}, {Command{Op: "hold", By: strings.Repeat("x", 101)}, ErrMalformed},
-		{Command{Op: "hold", Revision: &rev}, ErrChanged}, {Command{Op: "abort"}, nil}, {Command{Op: "hold"}, nil}} {
+	}{
+		{Command{Op: "finish"}, ErrEarly},
+		{Command{Op: "stop"}, ErrMalformed},
+		{Command{Op: "hold", By: strings.Repeat("x", 101)}, ErrMalformed},
+		{Command{Op: "hold", Revision: &rev}, ErrChanged},
+		{Command{Op: "abort"}, nil},
+		{Command{Op: "hold"}, nil},
+	} {
 		if _, err := r.Say(0, c.cmd, 0); !errors.Is(err, c.want) {
 			t.Errorf("%+v: %v", c.cmd, err)
 		}
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -63,8 +63,10 @@
 // View shows where the rollout stands.
 func (r *Rollout) View(now time.Duration, k Cluster) View {
 	seen := r.seenNow()
-	v := View{Revision: r.wordsVersion, Mode: r.words.Mode, By: r.words.By, State: r.state.String(), Told: r.cfg.Node, Level: r.Level(),
-		Next: seen.Next(r.cfg.Knows), Missing: r.missing(now), Unreadable: []Record{}}
+	v := View{
+		Revision: r.wordsVersion, Mode: r.words.Mode, By: r.words.By, State: r.state.String(), Told: r.cfg.Node, Level: r.Level(),
+		Next: seen.Next(r.cfg.Knows), Missing: r.missing(now), Unreadable: []Record{},
+	}
 	if v.Mode == Free {
 		v.Mode, v.By = "free", ""
 	}
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -86,8 +86,10 @@
 }
 
 func policies(t fataler) *Policies {
-	return &Policies{On: true, Warn: 10 * time.Second, Save: 8 * time.Second, Silent: 20 * time.Second, PerUser: 2, PerTeam: 3, ByTeam: map[string]*Policy{},
-		Default: &Policy{Limits: Limits{Rule: rule(t, "input_s > 30 && cpu < 0.5"), Limit: 60 * time.Second, Wanted: 5 * time.Second, Name: "default"}}}
+	return &Policies{
+		On: true, Warn: 10 * time.Second, Save: 8 * time.Second, Silent: 20 * time.Second, PerUser: 2, PerTeam: 3, ByTeam: map[string]*Policy{},
+		Default: &Policy{Limits: Limits{Rule: rule(t, "input_s > 30 && cpu < 0.5"), Limit: 60 * time.Second, Wanted: 5 * time.Second, Name: "default"}},
+	}
 }
 
 func (d *desk) lead(p *Policies) {
@@ -103,7 +105,8 @@
 		}
 	}
 	var m *Manager
-	m = New(Env{Policies: p, Jobs: d.book, Now: func() time.Duration { return d.now },
+	m = New(Env{
+		Policies: p, Jobs: d.book, Now: func() time.Duration { return d.now },
 		Wall: func(now time.Duration) time.Time { return time.Unix(1_790_000_000, 0).Add(now) },
 		Commit: func(t store.Txn, done func(store.Result)) {
 			d.commits = append(d.commits, func(outcome int) { d.commit(m, t, outcome, done) })
@@ -968,9 +971,11 @@
 func BenchmarkTick(b *testing.B) {
 	p := policies(b)
 	p.PerUser, p.PerTeam, p.Default.Limit = 0, 0, time.Hour
-	m := New(Env{Policies: p, Jobs: jobs.NewTable(0), Wall: func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
+	m := New(Env{
+		Policies: p, Jobs: jobs.NewTable(0), Wall: func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
 		Task: func(*jobs.Job) Task { return Task{On: true} }, Now: func() time.Duration { return 0 },
-		Wanted: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) }}, 1)
+		Wanted: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) },
+	}, 1)
 	const n = 10_000
 	ids := make([]string, n)
 	for i := range ids {
--- a/internal/sessions/session.go
+++ b/internal/sessions/session.go
@@ -177,8 +177,10 @@
 
 // activity is what the policy sees at a moment.
 func (s *session) activity(now time.Duration, wall time.Time) Activity {
-	a := Activity{InputS: (now - s.input).Seconds(), CPU: s.cpu, GPU: s.gpu, UnsavedMB: s.unsaved, Team: s.rec.Team, User: s.rec.User,
-		OpenS: max(0, wall.Sub(time.UnixMilli(s.rec.OpenedMS)).Seconds())}
+	a := Activity{
+		InputS: (now - s.input).Seconds(), CPU: s.cpu, GPU: s.gpu, UnsavedMB: s.unsaved, Team: s.rec.Team, User: s.rec.User,
+		OpenS: max(0, wall.Sub(time.UnixMilli(s.rec.OpenedMS)).Seconds()),
+	}
 	a.AttachedS = a.InputS
 	if s.attached > 0 {
 		a.AttachedS = min(a.InputS, (now - s.attached).Seconds())
--- a/internal/sessions/users.go
+++ b/internal/sessions/users.go
@@ -280,8 +280,10 @@
 }
 
 func (m *Manager) view(now time.Duration, s *session) View {
-	v := View{ID: s.id, User: s.rec.User, Team: s.rec.Team, State: s.state.String(), ForS: (now - s.since).Seconds(),
-		Cell: s.cellFrom > 0, UnsavedMB: s.unsaved, Saved: s.rec.Saved, Attachment: s.attachment, Why: s.reason}
+	v := View{
+		ID: s.id, User: s.rec.User, Team: s.rec.Team, State: s.state.String(), ForS: (now - s.since).Seconds(),
+		Cell: s.cellFrom > 0, UnsavedMB: s.unsaved, Saved: s.rec.Saved, Attachment: s.attachment, Why: s.reason,
+	}
 	if s.state == Quiet || s.state == Warned || s.state == Saving {
 		v.IdleS = (now - s.input).Seconds()
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -151,8 +151,10 @@
 
 // New makes a client with a share of the service's limits, whose transactions stay within limits.
 func New(addr string, send httpio.Sender, now func() time.Duration, s Share, limits Limits) *Client {
-	return &Client{addr: addr, send: send, now: now, limits: newLearner(limits), throttle: throttle{factor: 1}, share: s,
-		reqs: NewBudget(s.RPS, s.BurstS), writes: NewBudget(s.WriteRPS, s.BurstS)}
+	return &Client{
+		addr: addr, send: send, now: now, limits: newLearner(limits), throttle: throttle{factor: 1}, share: s,
+		reqs: NewBudget(s.RPS, s.BurstS), writes: NewBudget(s.WriteRPS, s.BurstS),
+	}
 }
 
 // SetShare changes the budget, for example on becoming leader.
--- a/internal/world/beside_test.go
+++ b/internal/world/beside_test.go
@@ -68,16 +68,20 @@
 			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
 				t.Parallel()
 				types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: zones}}
-				w, err := Simulated(Config{Seed: 341, Machines: c.machines, Types: types, Controllers: 3, Zones: zones, Step: 50 * time.Millisecond, Workers: tight, Uneven: true,
-					State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, nil)
+				w, err := Simulated(Config{
+					Seed: 341, Machines: c.machines, Types: types, Controllers: 3, Zones: zones, Step: 50 * time.Millisecond, Workers: tight, Uneven: true,
+					State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+				}, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
 				r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(341, 43))}
 				r.watch()
 				give := func(n int, change func(s *jobs.Spec)) {
-					s := &jobs.Spec{ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, Mem: 1,
-						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true}
+					s := &jobs.Spec{
+						ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, Mem: 1,
+						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true,
+					}
 					change(s)
 					(&simUser{w: r.World, rng: r.rng, spec: s}).submit()
 				}
--- a/internal/world/machine.go
+++ b/internal/world/machine.go
@@ -72,8 +72,10 @@
 
 // boot starts a machine; its worker reports once it is up.
 func (w *World) boot(now time.Duration, t typ, zone string, spot bool) (*Machine, error) {
-	m := &Machine{Name: machineName(len(w.machines) + 1), typ: t, zone: zone, spot: spot, rented: now,
-		boots: now + w.bootTime(t), session: 1, images: map[string]bool{}, keeper: w.rng.IntN(w.cfg.Controllers)}
+	m := &Machine{
+		Name: machineName(len(w.machines) + 1), typ: t, zone: zone, spot: spot, rented: now,
+		boots: now + w.bootTime(t), session: 1, images: map[string]bool{}, keeper: w.rng.IntN(w.cfg.Controllers),
+	}
 	var err error
 	if m.addr, err = w.ground.listen(m.Name, zone, func(q request, reply answer) { w.orders(m, q, reply) }); err != nil {
 		return nil, err
--- a/internal/world/many_test.go
+++ b/internal/world/many_test.go
@@ -42,8 +42,10 @@
 
 // submit hands a job in until it is accepted.
 func (m *many) submit(n int) {
-	s := &jobs.Spec{ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, Mem: 1,
-		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true}
+	s := &jobs.Spec{
+		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, Mem: 1,
+		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true,
+	}
 	m.Know(s)
 	body, _ := json.Marshal(s)
 	m.open++
@@ -129,8 +131,10 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		n = 220_000
 	}
-	w, err := Simulated(Config{Seed: 411, Machines: 16, Step: 50 * time.Millisecond, State: config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
-		Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
+	w, err := Simulated(Config{
+		Seed: 411, Machines: 16, Step: 50 * time.Millisecond, State: config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
+		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+	},
 		func(s *config.Settings) error {
 			return s.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
--- a/internal/world/meetings_test.go
+++ b/internal/world/meetings_test.go
@@ -27,8 +27,10 @@
 func metOn(t *testing.T, seed uint64, controllers, n int, workers config.Workers) (*rolling, *Balancer) {
 	t.Helper()
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
-	w, err := Simulated(Config{Seed: seed, Machines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: workers, Uneven: true,
-		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}}},
+	w, err := Simulated(Config{
+		Seed: seed, Machines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: workers, Uneven: true,
+		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
+	},
 		func(s *config.Settings) error { return s.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
 		t.Fatal(err)
@@ -50,8 +52,10 @@
 
 // giveAs does so with something changed.
 func (r *rolling) giveAs(i int, estimate float64, change func(*jobs.Spec)) *simUser {
-	s := &jobs.Spec{ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, Mem: 1,
-		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true}
+	s := &jobs.Spec{
+		ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, Mem: 1,
+		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true,
+	}
 	if i%5 > 0 { // machines stand in all zones
 		s.Zone = &[]string{"a", "b", "c"}[i%3]
 	}
--- a/internal/world/pairs_test.go
+++ b/internal/world/pairs_test.go
@@ -79,9 +79,11 @@
 // play plays a meeting and tells what went wrong, and how long the cancelled stayed at most.
 func (m meeting) play() (wrong []string, longest time.Duration) {
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
-	w, err := Simulated(Config{Seed: m.seed, Machines: 10, Types: types, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond, Workers: tight, Uneven: true,
+	w, err := Simulated(Config{
+		Seed: m.seed, Machines: 10, Types: types, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond, Workers: tight, Uneven: true,
 		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
-		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}},
+		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+	},
 		func(s *config.Settings) error {
 			return s.ReadOperator("o.hcl", []byte(chaosPools))
 		})
--- a/internal/world/rest_test.go
+++ b/internal/world/rest_test.go
@@ -39,8 +39,14 @@
 		zone bool
 		d    time.Duration
 		how  string
-	}{{1, false, 50 * time.Second, ""}, {6, false, 50 * time.Second, ""}, {99, true, 50 * time.Second, ""}, {6, false, 10 * time.Second, "killed"}, {99, true, 50 * time.Second, "killed"},
-		{99, true, 50 * time.Second, "drained"}} {
+	}{
+		{1, false, 50 * time.Second, ""},
+		{6, false, 50 * time.Second, ""},
+		{99, true, 50 * time.Second, ""},
+		{6, false, 10 * time.Second, "killed"},
+		{99, true, 50 * time.Second, "killed"},
+		{99, true, 50 * time.Second, "drained"},
+	} {
 		t.Run(fmt.Sprint(c.n, " ", c.d, " ", c.how), func(t *testing.T) {
 			t.Parallel()
 			r, _ := metOn(t, 321, 3, 24, rare)
@@ -99,8 +105,10 @@
 				zone := r.elsewhere()
 				var bound []*simUser
 				for k := range 18 {
-					s := &jobs.Spec{ID: fmt.Sprintf("req-4%05d", k), Class: "bound", Team: []string{"red", "blue"}[k%2], Kind: []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3], Priority: "standard",
-						Tasks: 1 + k%4, CPUs: 3, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 8, Spot: true}
+					s := &jobs.Spec{
+						ID: fmt.Sprintf("req-4%05d", k), Class: "bound", Team: []string{"red", "blue"}[k%2], Kind: []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3], Priority: "standard",
+						Tasks: 1 + k%4, CPUs: 3, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 8, Spot: true,
+					}
 					if k%2 == 0 {
 						s.Zone = &zone
 					} else {
--- a/internal/world/rollout_test.go
+++ b/internal/world/rollout_test.go
@@ -37,8 +37,10 @@
 // newRollingOn does so with a number of machines, types and teams.
 func newRollingOn(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string, machines int, types []capacity.MachineType, teams []config.Team) *rolling {
 	t.Helper()
-	w, err := Simulated(Config{Seed: seed, Machines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: teams},
+	w, err := Simulated(Config{
+		Seed: seed, Machines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
+		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: teams,
+	},
 		func(s *config.Settings) error {
 			if knows < rollout.Newest {
 				s.Earlier(knows, Former)
@@ -56,8 +58,10 @@
 // newRollingWith starts a cluster of three controllers whose settings are changed first.
 func newRollingWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *rolling {
 	t.Helper()
-	w, err := Simulated(Config{Seed: seed, Machines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond,
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
+	w, err := Simulated(Config{
+		Seed: seed, Machines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond,
+		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+	},
 		func(s *config.Settings) error {
 			if knows < rollout.Newest {
 				s.Earlier(knows, Former)
@@ -461,8 +465,10 @@
 		t.Run(c, func(t *testing.T) {
 			r := newRolling(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
-				s := &jobs.Spec{ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, Mem: 1,
-					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true}
+				s := &jobs.Spec{
+					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, Mem: 1,
+					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true,
+				}
 				u := &simUser{w: r.World, rng: r.rng, spec: s}
 				r.users = append(r.users, u)
 				r.After(time.Duration(i*100)*time.Millisecond, u.submit)
@@ -578,8 +584,10 @@
 	r.reach("migrated", 30*time.Second, r.migrated)
 
 	long := func(n int) *simUser {
-		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
-			Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true}}
+		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
+			Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true,
+		}}
 		u.submit()
 		return u
 	}
@@ -623,8 +631,10 @@
 	r := newRolling(t, 62, 3, rollout.Newest, "")
 	r.Advance(3 * time.Second)
 	submit := func(n int) {
-		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard",
-			Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true}}
+		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard",
+			Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
+		}}
 		r.users = append(r.users, u)
 		u.submit()
 	}
--- a/internal/world/script.go
+++ b/internal/world/script.go
@@ -130,8 +130,10 @@
 }
 
 // simulated are the faults that do something to controllers: a simulation's only.
-var simulated = map[string]bool{"close-looks": true, "odd-requests": true, "cancel-now": true, "cancel-at-end": true, "slow-links": true, "flip-leaders": true, "cut-off-leader": true, "unheard-leader": true, "kill-leader": true, "drain-leader": true, "freeze-leader": true, "kill-controllers": true,
-	"cut-zone": true, "hold-zone": true, "refuse-zone": true, "deaf-zone": true, "mute-zone": true, "flap-zone": true, "power-zone": true, "roll": true, "roll-back": true}
+var simulated = map[string]bool{
+	"close-looks": true, "odd-requests": true, "cancel-now": true, "cancel-at-end": true, "slow-links": true, "flip-leaders": true, "cut-off-leader": true, "unheard-leader": true, "kill-leader": true, "drain-leader": true, "freeze-leader": true, "kill-controllers": true,
+	"cut-zone": true, "hold-zone": true, "refuse-zone": true, "deaf-zone": true, "mute-zone": true, "flap-zone": true, "power-zone": true, "roll": true, "roll-back": true,
+}
 
 // lateBy is how many times longer than usual boots take under late-boots, fastBy under fast-boots: all are up within two seconds.
 const (
--- a/internal/world/seven_test.go
+++ b/internal/world/seven_test.go
@@ -295,8 +295,10 @@
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			t.Parallel()
 			types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
-			w, err := Simulated(Config{Seed: 307, Machines: 12, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: tight,
-				State: config.State{RPS: 120, WriteRPS: 30, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, nil)
+			w, err := Simulated(Config{
+				Seed: 307, Machines: 12, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: tight,
+				State: config.State{RPS: 120, WriteRPS: 30, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+			}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -308,8 +310,10 @@
 			const n = 600
 			for i := range n {
 				r.After(time.Duration(i)*250*time.Millisecond, func() {
-					s := &jobs.Spec{ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, Mem: 1,
-						Image: "i", ImageGB: 0.5, EstimateS: 5, Spot: true}
+					s := &jobs.Spec{
+						ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, Mem: 1,
+						Image: "i", ImageGB: 0.5, EstimateS: 5, Spot: true,
+					}
 					u := &simUser{w: r.World, rng: r.rng, spec: s}
 					r.users = append(r.users, u)
 					u.submit()
--- a/internal/world/sim.go
+++ b/internal/world/sim.go
@@ -295,8 +295,10 @@
 			})
 		}
 	}
-	n.c = controller.Simulate(n.s, controller.Outside{Now: func() time.Duration { return s.t - n.born }, EpochMS: n.epochMS + n.born.Milliseconds(),
-		Seed: s.rng.Uint64(), Sender: func(limit int) httpio.Sender { return &way{n: n, limit: limit} }}, links...)
+	n.c = controller.Simulate(n.s, controller.Outside{
+		Now: func() time.Duration { return s.t - n.born }, EpochMS: n.epochMS + n.born.Milliseconds(),
+		Seed: s.rng.Uint64(), Sender: func(limit int) httpio.Sender { return &way{n: n, limit: limit} },
+	}, links...)
 	var tick func()
 	tick = n.live(func() {
 		n.c.Tick()
--- a/internal/world/sim_test.go
+++ b/internal/world/sim_test.go
@@ -84,9 +84,11 @@
 
 // drawJob makes any kind of job that fits the world of a chaos run.
 func drawJob(rng *rand.Rand, n int) *jobs.Spec {
-	s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
+	s := &jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
 		Priority: []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)], Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(3)), Mem: 1,
-		Image: fmt.Sprintf("i-%d", rng.IntN(3)), ImageGB: 2, EstimateS: 1 + 8*rng.Float64(), Spot: rng.IntN(2) == 0}
+		Image: fmt.Sprintf("i-%d", rng.IntN(3)), ImageGB: 2, EstimateS: 1 + 8*rng.Float64(), Spot: rng.IntN(2) == 0,
+	}
 	switch rng.IntN(5) {
 	case 0:
 		s.Kind, s.Tasks = jobs.Gang, 2+rng.IntN(4)
@@ -121,8 +123,10 @@
 // and the network fail at random, several at once, then lets everything heal, and returns the world and its users.
 func chaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*World, []*simUser) {
 	t.Helper()
-	w, err := Simulated(Config{Seed: seed, Machines: 12, Controllers: 3 + 2*int(seed%2), Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
-		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}},
+	w, err := Simulated(Config{
+		Seed: seed, Machines: 12, Controllers: 3 + 2*int(seed%2), Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
+		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+	},
 		func(s *config.Settings) error { return s.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
 		t.Fatal(err)
@@ -318,10 +322,12 @@
 		t.Fatalf("%d events, the first %+v", len(all), all)
 	}
 	state, done, notes, kinds := map[string]string{}, map[string]int{}, map[string]int{}, map[string]int{}
-	after := map[string]string{"task_sent": " task_ended task_vanished task_lost", "task_found": "task_sent", "task_running": "task_sent task_found",
+	after := map[string]string{
+		"task_sent": " task_ended task_vanished task_lost", "task_found": "task_sent", "task_running": "task_sent task_found",
 		"task_stopping": "task_sent task_found task_running", "task_ended": "task_sent task_found task_running task_stopping",
 		"task_vanished": "task_sent task_found task_running task_stopping", "task_lost": "task_sent task_found task_running task_stopping",
-		"task_done": "task_sent task_found task_running task_stopping"}
+		"task_done": "task_sent task_found task_running task_stopping",
+	}
 	for _, e := range all {
 		kinds[e.Event]++
 		switch e.Event {
@@ -374,8 +380,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &simUser{w: w, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
-		Tasks: 20, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true}}
+	u := &simUser{w: w, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
+		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
+		Tasks: 20, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
+	}}
 	w.After(3*time.Second, u.submit)
 	w.Advance(15 * time.Second)
 	old, _ := w.Leader()
--- a/internal/world/stored_test.go
+++ b/internal/world/stored_test.go
@@ -132,8 +132,10 @@
 	for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", operate.Key} {
 		delete(all, key) // of holds that have run out, and of machines that this world doesn't have
 	}
-	w, err := Simulated(Config{Seed: 8, Machines: 14, Zones: []string{"a", "b"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond, Stored: all,
-		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}},
+	w, err := Simulated(Config{
+		Seed: 8, Machines: 14, Zones: []string{"a", "b"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond, Stored: all,
+		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+	},
 		func(s *config.Settings) error {
 			return s.ReadOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
 		})
--- a/internal/world/troubles_test.go
+++ b/internal/world/troubles_test.go
@@ -50,8 +50,14 @@
 		zone bool
 		d    time.Duration
 		lead bool
-	}{{"one", 1, false, 5 * time.Minute, false}, {"many", 14, false, 5 * time.Minute, false}, {"zone", 99, true, 5 * time.Minute, false},
-		{"zone and leader", 99, true, 5 * time.Minute, true}, {"many for a while", 14, false, 12 * time.Second, false}, {"many and leader", 14, false, 5 * time.Minute, true}} {
+	}{
+		{"one", 1, false, 5 * time.Minute, false},
+		{"many", 14, false, 5 * time.Minute, false},
+		{"zone", 99, true, 5 * time.Minute, false},
+		{"zone and leader", 99, true, 5 * time.Minute, true},
+		{"many for a while", 14, false, 12 * time.Second, false},
+		{"many and leader", 14, false, 5 * time.Minute, true},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, _ := standing(t, 81, 5)
 			zone := ""
@@ -353,8 +359,10 @@
 func TestMistakesAndFaultyMachines(t *testing.T) {
 	r, _ := standing(t, 87, 3)
 	for i := range 40 { // so much that no machine is idle
-		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{ID: fmt.Sprintf("req-81%04d", i), Class: "long", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 8, CPUs: 4,
-			Mem: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}}
+		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+			ID: fmt.Sprintf("req-81%04d", i), Class: "long", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 8, CPUs: 4,
+			Mem: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true,
+		}}
 		r.users = append(r.users, u)
 		u.submit()
 	}
@@ -484,8 +492,10 @@
 		return u
 	}
 	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *simUser {
-		return &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, Mem: 0.4,
-			Image: "i", ImageGB: 0.5, EstimateS: est, Spot: true}}
+		return &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+			ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, Mem: 0.4,
+			Image: "i", ImageGB: 0.5, EstimateS: est, Spot: true,
+		}}
 	}
 	give(job(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4))
 	give(job(500001, "guest", "idle", "best_effort", 60, 4, 30))
@@ -523,8 +533,10 @@
 		rng := rand.New(rand.NewPCG(93, 1))
 		var large []*simUser
 		submit := func(n, tasks int, priority string, est float64) *simUser {
-			u := &simUser{w: w, rng: rng, spec: &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, Mem: 1,
-				Image: "i", ImageGB: 1, EstimateS: est}}
+			u := &simUser{w: w, rng: rng, spec: &jobs.Spec{
+				ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, Mem: 1,
+				Image: "i", ImageGB: 1, EstimateS: est,
+			}}
 			u.submit()
 			return u
 		}
--- a/internal/world/users.go
+++ b/internal/world/users.go
@@ -28,8 +28,10 @@
 
 // Users makes a crowd of users.
 func (w *World) Users(seed uint64) *Users {
-	return &Users{w: w, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
-		rng: rand.New(rand.NewPCG(seed, 11)), final: map[string]string{}, open: map[string]bool{}, asked: map[string]bool{}}
+	return &Users{
+		w: w, client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
+		rng: rand.New(rand.NewPCG(seed, 11)), final: map[string]string{}, open: map[string]bool{}, asked: map[string]bool{},
+	}
 }
 
 // view is a job as users are told of it.
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -14,8 +14,10 @@
 // report is what a worker tells of itself.
 func (w *World) report(now time.Duration, m *Machine) fleet.Report {
 	m.seq++
-	r := fleet.Report{Machine: m.Name, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
-		Token: m.token, Tasks: []fleet.TaskReport{}}
+	r := fleet.Report{
+		Machine: m.Name, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
+		Token: m.token, Tasks: []fleet.TaskReport{},
+	}
 	if m.noticeAt > 0 {
 		s := (m.noticeAt - now).Seconds()
 		r.NoticeS = &s
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -184,11 +184,13 @@
 
 func start(cfg Config, on ground) (*World, error) {
 	cfg.defaults()
-	w := &World{cfg: cfg, ground: on, stop: make(chan struct{}), rng: rand.New(rand.NewPCG(cfg.Seed, 7)),
+	w := &World{
+		cfg: cfg, ground: on, stop: make(chan struct{}), rng: rand.New(rand.NewPCG(cfg.Seed, 7)),
 		svc: state.New(), cut: make([]bool, cfg.Controllers), stuck: make([]bool, cfg.Controllers),
 		byName: map[string]*Machine{}, claims: map[string][]string{}, specs: map[string]*jobs.Spec{},
 		mistaken: map[string]bool{}, told: map[string]time.Duration{}, tasks: map[string]*progress{}, interactive: map[string]*InteractiveSession{},
-		known: map[string]time.Duration{}, waits: map[string]time.Duration{}}
+		known: map[string]time.Duration{}, waits: map[string]time.Duration{},
+	}
 	w.delays.rng = rand.New(rand.NewPCG(cfg.Seed, 17))
 	w.answers = answers{jobs: map[string]*told{}, asked: map[string]bool{}, looks: looks{rng: rand.New(rand.NewPCG(cfg.Seed, 19))}}
 	w.usual = cfg.State
@@ -213,10 +215,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("no free port: %w", err)
 		}
-		s := config.Settings{Node: fmt.Sprintf("node-%d", i), Zone: cfg.Zones[i%len(cfg.Zones)], Public: public, Back: back,
-			Services: config.Services{Cloud: cloud, State: svc}}
-		s.Params = config.Params{Zones: cfg.Zones, Teams: cfg.Teams, Workers: cfg.Workers, State: cfg.State, Cloud: cfg.Cloud,
-			Limits: cfg.Limits, SkewMS: 100}
+		s := config.Settings{
+			Node: fmt.Sprintf("node-%d", i), Zone: cfg.Zones[i%len(cfg.Zones)], Public: public, Back: back,
+			Services: config.Services{Cloud: cloud, State: svc},
+		}
+		s.Params = config.Params{
+			Zones: cfg.Zones, Teams: cfg.Teams, Workers: cfg.Workers, State: cfg.State, Cloud: cfg.Cloud,
+			Limits: cfg.Limits, SkewMS: 100,
+		}
 		w.settings = append(w.settings, s)
 	}
 	for i := range w.settings {
--- a/internal/world/zones_test.go
+++ b/internal/world/zones_test.go
@@ -44,8 +44,10 @@
 // submitMany fills the cluster with work that goes on, so that machines stand in all zones.
 func (r *rolling) submitMany(n int, seconds float64) {
 	for i := range n {
-		s := &jobs.Spec{ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, Mem: 1,
-			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true}
+		s := &jobs.Spec{
+			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, Mem: 1,
+			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true,
+		}
 		u := &simUser{w: r.World, rng: r.rng, spec: s}
 		r.users = append(r.users, u)
 		u.submit()
