--- a/internal/controller/outside.go
+++ b/internal/controller/outside.go
@@ -147,5 +147,13 @@
 	}
 }
 
+// Call takes what operators, users of sessions and their agents ask of the leader.
+func (s *Simulated) Call(q intake.Call, reply func(status int, body []byte)) {
+	s.c.leaderCall(s.c.loop.Now(), q, func(r intake.Reply) {
+		raw, _ := json.Marshal(r.Body)
+		reply(r.Status, raw)
+	})
+}
+
 // JobsKnown is how many jobs it has in memory, ended ones that are not archived yet included.
 func (s *Simulated) JobsKnown() int { return s.c.jobs.Len() }
--- a/internal/world/ground.go
+++ b/internal/world/ground.go
@@ -13,6 +13,7 @@
 
 // request is one HTTP request to a part of the world.
 type request struct {
+	from         string // who sent it, in a simulation
 	method, path string
 	query        url.Values
 	body         []byte
--- a/internal/world/interactive.go
+++ b/internal/world/interactive.go
@@ -52,14 +52,21 @@
 	return n
 }
 
-// begins is when a session's task runs: a new process, frozen until it was told what to resume.
+// begins is when a session's task runs: a new process, whose agent reports.
 func (n *InteractiveSession) begins(now time.Duration, k *task) {
-	n.attempt, n.work, n.saved, n.frozen, n.save, n.cellTill, n.input, n.resumed, n.fresh = k.attempt, 0, 0, true, nil, 0, now, "", true
-	n.own, n.kept = "", ""
+	n.reset(now, k.attempt)
 	n.w.done.Add(1)
 	go n.talk(k)
 }
 
+// reset makes the process a new one, frozen until it was told what to resume.
+func (n *InteractiveSession) reset(now time.Duration, attempt uint64) {
+	n.attempt, n.work, n.saved = attempt, 0, 0
+	n.frozen, n.fresh, n.resumed = true, true, ""
+	n.input, n.cellTill = now, 0
+	n.save, n.own, n.kept = nil, "", ""
+}
+
 // halted is when its worker stops it, outside a close: that must be a reclaim, and a reclaim must
 // not end what runs or lose what was done.
 func (n *InteractiveSession) halted(now time.Duration, m *Machine) {
@@ -262,6 +269,12 @@
 
 // Open opens the session; it returns the status.
 func (n *InteractiveSession) Open() int {
+	status, _ := n.ask("", n.token, n.opening())
+	return status
+}
+
+// opening is the body of the request that opens the session.
+func (n *InteractiveSession) opening() []byte {
 	body := struct {
 		*jobs.Spec
 		User  string `json:"user"`
@@ -269,8 +282,7 @@
 		Agent string `json:"agent_sha256"`
 	}{n.Spec, n.User, sessions.Digest(n.token), sessions.Digest(n.agent)}
 	raw, _ := json.Marshal(body)
-	status, _ := n.ask("", n.token, raw)
-	return status
+	return raw
 }
 
 // Attach is the user's return.
--- a/internal/world/licence.go
+++ b/internal/world/licence.go
@@ -1,6 +1,8 @@
 package world
 
 import (
+	"cmp"
+	"slices"
 	"strings"
 	"time"
 
@@ -65,6 +67,9 @@
 	for k, h := range p.holders {
 		a.Holders = append(a.Holders, licences.Entry{Task: k.task, Attempt: k.attempt, Units: h.units})
 	}
+	slices.SortFunc(a.Holders, func(x, y licences.Entry) int { // the same run, the same answer
+		return cmp.Or(cmp.Compare(x.Task, y.Task), cmp.Compare(x.Attempt, y.Attempt))
+	})
 	if p.others > 0 {
 		a.Holders = append(a.Holders, licences.Entry{Task: "somebody else", Units: p.others})
 	}
--- a/internal/world/rollout_test.go
+++ b/internal/world/rollout_test.go
@@ -26,6 +26,8 @@
 	until time.Duration // jobs arrive until then
 
 	formats map[string]int // of each key, as last seen
+
+	sessions []*simSession // interactive ones, of the scenarios that have any
 }
 
 // newRolling starts a cluster whose controllers all run the former release, or the newest one.
--- a/internal/world/sim.go
+++ b/internal/world/sim.go
@@ -34,6 +34,7 @@
 	held   []held
 	rolls  int                    // how many were begun or stopped
 	cutOff map[string]Counterpart // by a controller's address for users: whom it has lost
+	record func(transmission)     // told of each message that is sent; nil: nobody is
 }
 
 // Network says what happens to messages from now on: the mean time on the way, the share of messages lost,
@@ -153,7 +154,9 @@
 	sent := w.now()
 	a, ok := about(method, path, body)
 	w.wanted(a)
-	w.sim.exchange("", w.sim.nodes[i].s.Public, request{method: method, path: path, body: body}, limit, w.sim.severed(w.sim.nodes[i].s.Public, FromUsers), func(status int, raw []byte) {
+	public := w.sim.nodes[i].s.Public
+	q := request{from: senderUser, method: method, path: path, body: body}
+	w.sim.exchange("", public, q, limit, w.sim.severed(public, FromUsers), func(status int, raw []byte) {
 		if ok {
 			w.received(a, sent, status, raw)
 		}
@@ -166,13 +169,15 @@
 	}
 }
 
-func (s *Sim) ask(_, zone, addr, path string, body []byte, then func(int, []byte)) {
-	s.exchange(zone, addr, request{method: "POST", path: path, body: body}, reportWait, s.severed(addr, FromWorkers), then)
+func (s *Sim) ask(machine, zone, addr, path string, body []byte, then func(int, []byte)) {
+	q := request{from: or(machine, senderCopy), method: "POST", path: path, body: body}
+	s.exchange(zone, addr, q, reportWait, s.severed(addr, FromWorkers), then)
 }
 
 // exchange carries a request from a zone there and an answer back, each after a time of its own. After the time
 // limit the answer is nobody's any more, though the request may be carried out.
 func (s *Sim) exchange(zone, addr string, q request, limit time.Duration, cut func() bool, then func(int, []byte)) {
+	s.sent(requestTo(addr, q))
 	over := false
 	finish := func(status int, body []byte) {
 		if !over {
@@ -203,6 +208,7 @@
 			if !ok {
 				raw, _ = json.Marshal(body)
 			}
+			s.sent(answerFrom(addr, q, status, raw))
 			if !cut() && (s.lost == 0 || s.rng.Float64() >= s.lost) {
 				s.after(jitter(s.rng, s.mean), func() { s.carry(s.zone[addr], zone, func() { finish(status, raw) }, refuse) })
 			}
@@ -258,7 +264,9 @@
 		panic(err) // a path of the controller's own making
 	}
 	life := n.lives
-	n.sim.exchange(n.s.Zone, addr, request{method: r.Method, path: u.Path, query: u.Query(), body: r.Body}, r.Timeout, n.sim.severed(n.s.Public, counterpart(addr)), func(status int, body []byte) {
+	q := request{from: n.s.Node, method: r.Method, path: u.Path, query: u.Query(), body: r.Body}
+	cut := n.sim.severed(n.s.Public, counterpart(addr))
+	n.sim.exchange(n.s.Zone, addr, q, r.Timeout, cut, func(status int, body []byte) {
 		if n.lives != life {
 			return
 		}
@@ -285,6 +293,7 @@
 	for _, p := range s.nodes {
 		if p != n {
 			links = append(links, func(raw []byte) {
+				s.sent(statusTo(p.s.Node, n.s.Node, raw))
 				s.after(jitter(s.rng, s.mean), func() {
 					s.carry(n.s.Zone, p.s.Zone, func() {
 						if p.c != nil && !s.severed(n.s.Public, FromPeers)() && !s.severed(p.s.Public, FromPeers)() {
--- a/internal/world/state/state.go
+++ b/internal/world/state/state.go
@@ -6,6 +6,7 @@
 import (
 	"encoding/json"
 	"net/url"
+	"slices"
 	"sort"
 	"strconv"
 	"strings"
@@ -25,6 +26,8 @@
 	Keys map[string]store.Item
 	Down bool   // an outage: nothing is carried out
 	Gone uint64 // follows from before this revision are too old
+	// Changed is told of each change of a key, in their order; nil: nobody is.
+	Changed func(store.Event)
 
 	holds map[uint64]hold
 	next  uint64
@@ -40,6 +43,9 @@
 
 // note keeps a change for those who follow.
 func (s *Service) note(key string, ev store.Event) {
+	if s.Changed != nil {
+		s.Changed(ev)
+	}
 	if s.log = append(s.log, change{key, ev.Version, ev}); len(s.log) > 2*kept {
 		s.log = append([]change(nil), s.log[kept:]...)
 		s.Gone = max(s.Gone, s.log[0].rev)
@@ -64,22 +70,32 @@
 
 // Expire ends the holds whose time has run out.
 func (s *Service) Expire() {
+	var over []uint64
 	for id, h := range s.holds {
 		if s.Now >= h.ends {
-			s.end(id)
+			over = append(over, id)
 		}
 	}
+	slices.Sort(over) // each change has a revision of its own: the same run, the same revisions
+	for _, id := range over {
+		s.end(id)
+	}
 }
 
 func (s *Service) end(id uint64) {
 	delete(s.holds, id)
+	var bound []string
 	for k, it := range s.Keys {
 		if it.Hold == id {
-			delete(s.Keys, k)
-			s.Rev++
-			s.note(k, store.Event{Delete: k, Version: s.Rev})
+			bound = append(bound, k)
 		}
 	}
+	slices.Sort(bound)
+	for _, k := range bound {
+		delete(s.Keys, k)
+		s.Rev++
+		s.note(k, store.Event{Delete: k, Version: s.Rev})
+	}
 }
 
 // Apply changes keys, all at one revision.
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -11,6 +11,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"net"
 	"slices"
@@ -193,8 +194,8 @@
 	w.answers = answers{jobs: map[string]*told{}, asked: map[string]bool{}, looks: looks{rng: rand.New(rand.NewPCG(cfg.Seed, 19))}}
 	w.usual = cfg.State
 	w.reqs, w.writes = bucket{rate: cfg.State.RPS}, bucket{rate: cfg.State.WriteRPS}
-	for k, raw := range cfg.Stored {
-		w.svc.Apply([]store.Op{{Put: k, Value: raw}})
+	for _, k := range slices.Sorted(maps.Keys(cfg.Stored)) { // each has a revision of its own
+		w.svc.Apply([]store.Op{{Put: k, Value: cfg.Stored[k]}})
 	}
 	w.Licences = newLicenceServer(w, cfg.Pools, cfg.Linger)
 	cloud, err := on.listen("cloud", "", at(w.cloud))
