--- a/internal/world/digest_scenarios_test.go
+++ b/internal/world/digest_scenarios_test.go
@@ -270,8 +270,10 @@
 
 // submitService submits a service whose replicas stand in different zones.
 func submitService(r *rolling) {
-	s := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
-		Tasks: 6, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, Spread: true}
+	s := &jobs.Spec{
+		ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
+		Tasks: 6, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, Spread: true,
+	}
 	(&simUser{w: r.World, rng: r.rng, spec: s}).submit()
 }
 
@@ -435,11 +437,15 @@
 // openSessions opens sessions that are used, left alone, reclaimed and attached again, and closed at last.
 func openSessions(r *rolling) {
 	for i := range 5 {
-		spec := &jobs.Spec{ID: fmt.Sprintf("req-%06d", 900+i), Class: "notebook", Team: "red", Kind: jobs.Service,
-			Priority: "standard", Tasks: 1, CPUs: 4, Mem: 1, Image: "n", ImageGB: 1}
+		spec := &jobs.Spec{
+			ID: fmt.Sprintf("req-%06d", 900+i), Class: "notebook", Team: "red", Kind: jobs.Service,
+			Priority: "standard", Tasks: 1, CPUs: 4, Mem: 1, Image: "n", ImageGB: 1,
+		}
 		r.Know(spec)
-		s := &simSession{r: r, InteractiveSession: &InteractiveSession{Spec: spec, User: fmt.Sprint("u", i%2), w: r.World,
-			token: "user-" + spec.ID, agent: "agent-" + spec.ID, saves: map[string]int{}}}
+		s := &simSession{r: r, InteractiveSession: &InteractiveSession{
+			Spec: spec, User: fmt.Sprint("u", i%2), w: r.World,
+			token: "user-" + spec.ID, agent: "agent-" + spec.ID, saves: map[string]int{},
+		}}
 		r.sessions = append(r.sessions, s)
 		r.After(time.Duration(5+2*i)*time.Second, s.open)
 		r.After(time.Duration(12+4*i)*time.Second, s.work)
--- a/internal/world/record.go
+++ b/internal/world/record.go
@@ -45,8 +45,10 @@
 }
 
 func answerFrom(addr string, q request, status int, body []byte) transmission {
-	return transmission{kind: kindAnswer, from: addr, to: q.from, method: q.method, path: q.target(),
-		status: status, body: body}
+	return transmission{
+		kind: kindAnswer, from: addr, to: q.from, method: q.method, path: q.target(),
+		status: status, body: body,
+	}
 }
 
 func statusTo(node, from string, body []byte) transmission {
