--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -56,10 +56,13 @@
 	return c
 }
 
+// maxDevMachines bounds the machines of a cluster in one process: a larger number is a slip of the hand.
+const maxDevMachines = 8192
+
 func (d *dev) check() error {
 	switch {
-	case d.machines < 1 || d.machines > 500:
-		return fmt.Errorf("--machines %d: 1 to 500 fit one process", d.machines)
+	case d.machines < 1 || d.machines > maxDevMachines:
+		return fmt.Errorf("--machines %d: 1 to %d", d.machines, maxDevMachines)
 	case d.controllers < 1 || d.controllers > 9:
 		return fmt.Errorf("--controllers %d: 1 to 9", d.controllers)
 	case !(d.speed > 0 && d.speed <= 1000):
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -29,6 +29,17 @@
 	}
 }
 
+// The heartbeats of a large fleet that arrive at once, after a takeover, all find room.
+func TestHeartbeatsOfALargeFleetFindRoom(t *testing.T) {
+	const machines = 4000
+	l := NewLoop(func() time.Duration { return 0 })
+	for i := range machines {
+		if !l.OfferWorker(func() {}) {
+			t.Fatalf("heartbeat %d of %d was refused", i, machines)
+		}
+	}
+}
+
 // A controller that falls behind takes its own answers first, then reports, then users, each
 // in their order, and refuses at once what it has no room for.
 func TestUrgentMessagesGoFirst(t *testing.T) {
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -22,8 +22,9 @@
 	now  func() time.Duration
 }
 
-// maxQueue bounds the messages that wait in each class.
-const maxQueue = 2048
+// maxQueue bounds the messages that wait in each class. After a takeover the heartbeats of a whole fleet arrive within
+// one interval: twice those of 4,000 machines fit.
+const maxQueue = 8192
 
 // NewLoop makes a loop on a steady clock.
 func NewLoop(now func() time.Duration) *Loop {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -40,10 +40,11 @@
 	return r
 }
 
-// Bounds of the queues.
+// Bounds of the queues, for a fleet of some 4,000 machines: a burst of that size is shed by the bytes that wait
+// (Env.MaxBytes) and by the state service's rate, not by a count.
 const (
-	maxSubmits = 400
-	maxChecks  = 2000
+	maxSubmits = 4096
+	maxChecks  = 4096
 )
 
 // Verdict says whether a job can ever run.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -25,13 +25,17 @@
 type desk struct {
 	*Intake
 	svc   *state.Service
-	lose  bool   // answers are lost after the request was carried out
-	drop  bool   // requests are lost
-	late  func() // what happens once the next request was carried out, before its answer comes
+	lose  bool                 // answers are lost after the request was carried out
+	drop  bool                 // requests are lost
+	late  func()               // what happens once the next request was carried out, before its answer comes
+	look  func(httpio.Request) // is shown each request, unless it is nil
 	queue []func()
 }
 
 func (d *desk) Send(_ string, r httpio.Request, done func(httpio.Response)) {
+	if d.look != nil {
+		d.look(r)
+	}
 	d.queue = append(d.queue, func() {
 		if d.drop {
 			done(httpio.Response{Err: httpio.ErrBusy})
@@ -304,6 +308,7 @@
 func TestFloodIsShed(t *testing.T) {
 	svc := state.New()
 	d := newDesk(svc)
+	d.MaxBytes = 16 << 20 // the count binds first
 	n := map[int]int{}
 	for i := range 3 * maxSubmits {
 		d.Submit(svc.Now, job(i), func(r Reply) { n[r.Status]++ })
--- a/internal/intake/question.go
+++ b/internal/intake/question.go
@@ -13,9 +13,17 @@
 // on its record and one on its archived answer.
 const (
 	condsPerCheck = 2
-	mostChecked   = 300
+	// checkBytes is what the conditions of one transaction may take, and condBytes what one takes beside its key. The
+	// state service takes 64 KiB altogether.
+	checkBytes = 60 << 10
+	condBytes  = 40
 )
 
+// checkSize is the most that a question about a job takes in a transaction.
+func checkSize(id string) int {
+	return len(jobs.RecordKey(id)) + len(archive.Key(id)) + condsPerCheck*condBytes
+}
+
 type check struct {
 	id      string
 	version uint64
@@ -63,9 +71,12 @@
 	var batch []check
 	seen := map[string]bool{}
 	t := store.Txn{}
-	k, most := 0, store.CondsPerOp*n.limits().Ops
-	for ; k < len(n.checks) && len(t.If)+condsPerCheck <= most && len(seen) < mostChecked; k++ {
+	k, size, most := 0, 0, store.CondsPerOp*n.limits().Ops
+	for ; k < len(n.checks) && len(t.If)+condsPerCheck <= most; k++ {
 		c := n.checks[k]
+		if size += checkSize(c.id); size > checkBytes {
+			break
+		}
 		c.version = 0
 		if j := n.Jobs.Get(c.id); j != nil {
 			c.version = j.Version
