--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/url"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -16,12 +17,7 @@
 			"command is refused (exit 3) if somebody changed it since; the answer says who, and what."}
 	o.flags(c)
 	c.AddCommand(
-		&cobra.Command{
-			Use: "status", Short: "Show controllers, machines that are being drained, and the revision", Args: cobra.NoArgs,
-			RunE: func(c *cobra.Command, _ []string) error {
-				return tell(&o, c, "GET", "/v2/admin", nil, showStatus)
-			},
-		},
+		adminStatus(&o),
 		adminAct(&o, "drain", "Drain a controller, or a machine, which is then given back",
 			"A drained controller hands its lead over, takes no users and stays until it is undrained; the last one that could\n"+
 				"serve can't be drained. On a drained machine nothing new starts; when it is empty it is given back to the cloud.",
@@ -30,6 +26,18 @@
 	return c
 }
 
+func adminStatus(o *operator) *cobra.Command {
+	var since string
+	c := &cobra.Command{
+		Use: "status", Short: "Show controllers, machines that are being drained, and the revision", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			return tell(o, c, "GET", "/v2/admin?since="+url.QueryEscape(since), nil, showStatus)
+		},
+	}
+	c.Flags().StringVar(&since, "since", "", "show machines that are being drained after this one, by name")
+	return c
+}
+
 func adminAct(o *operator, op, short, long, example string) *cobra.Command {
 	var stop bool
 	var revision int64
@@ -80,6 +88,9 @@
 			fmt.Fprintf(t, "machines %s\t%d\n", k, s.Machines[k])
 		}
 	}
+	if s.DrainingTotal > len(s.Draining) {
+		fmt.Fprintf(t, "draining\t%d machines, %d of them shown: --since NAME shows those after one\n", s.DrainingTotal, len(s.Draining))
+	}
 	for _, m := range s.Draining {
 		fmt.Fprintf(t, "draining %s\t%s, %d tasks left, for %s\n", m.Machine, m.State, m.Tasks, orSomebody(m.By))
 	}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"log/slog"
-	"slices"
 	"strings"
 	"time"
 
@@ -122,8 +121,11 @@
 func (c *Controller) resetKeys(items []store.Item) {
 	c.roll.Reset(items)
 	c.mem.Reset(c.loop.Now(), items)
-	c.pools.Reset(func(key string) bool {
-		return slices.ContainsFunc(items, func(it store.Item) bool { return it.Key == key })
-	})
+	present := make(map[string]bool, len(items))
+	for _, it := range items {
+		present[it.Key] = true
+	}
+	c.pools.Reset(func(key string) bool { return present[key] })
+	c.drains.Reset(c.mir.Revision(), func(key string) bool { return present[key] })
 	c.recordsRead(items)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,8 +104,9 @@
 	zoned     zoned
 	wishes    operate.Wishes
 	wishesVer uint64
+	drains    *operate.Drains
+	upkeep    drainUpkeep
 	listAt    time.Duration // when jobs were listed last
-	sweptAt   time.Duration // of marks of machines that are gone
 
 	strays  strays
 	answers intake.Counter
@@ -140,7 +141,7 @@
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(s.Node))
 	c := &Controller{s: s, loop: NewLoop(o.Now), status: map[string]heard{}, ended: make(chan struct{}), byType: map[int32]*fleet.Type{},
-		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed))}
+		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed)), drains: operate.NewDrains()}
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
@@ -168,6 +169,7 @@
 		if k == operate.Key {
 			c.wished(nil, v)
 		}
+		c.drains.Drop(k, v)
 	}
 	c.mir.OnReset = c.resetKeys
 	c.mir.OnSynced = func() { c.roll.Synced(); c.mem.Synced(c.loop.Now()) }
--- /dev/null
+++ b/internal/controller/drains.go
@@ -0,0 +1,242 @@
+package controller
+
+import (
+	"encoding/json"
+	"log/slog"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/operate"
+	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// This file keeps the drain requests of machines: each under a key of its own, from the cluster's level on at which
+// every controller reads them.
+
+const (
+	// sweepEvery spaces the looks for drain requests of machines that are gone, moveEvery the steps that take
+	// requests out of the document.
+	sweepEvery = 30 * time.Second
+	moveEvery  = 500 * time.Millisecond
+	// sweptAtOnce bounds the keys of one transaction that nobody waits for.
+	sweptAtOnce = 8
+	// forgetUnknown is for how long a leader must not have known a machine at all before its drain request is
+	// dropped: the machine went while nobody led, or before an earlier leader.
+	forgetUnknown = time.Hour
+)
+
+// drainUpkeep is what a term does about drain requests in the background.
+type drainUpkeep struct {
+	busy    bool // a transaction is under way
+	sweptAt time.Duration
+	movedAt time.Duration
+	unknown map[string]time.Duration // since when a machine that is to be drained isn't known, by name
+}
+
+// desired is all that operators want, as far as it was followed.
+func (c *Controller) desired() operate.Desired {
+	return operate.Desired{Document: c.wishes, Drains: c.drains, OwnKeys: c.roll.Level() >= rollout.DrainKeys}
+}
+
+// drainItem takes over the drain request of a machine.
+func (c *Controller) drainItem(it store.Item) {
+	if err := c.drains.Item(it.Key, it.Value, it.Version); err != nil {
+		c.roll.Unreadable(it.Key, it.Value, err)
+		return
+	}
+	c.roll.Readable(it.Key)
+}
+
+// drainMachines has the fleet drain what operators want drained, and keeps the requests.
+func (c *Controller) drainMachines(now time.Duration) {
+	want := c.desired()
+	if c.fleet == nil || !c.fleet.Loaded() || (!want.AnyMachine() && !c.fleet.AnyDrained()) {
+		return
+	}
+	c.fleet.Drained(now, func(machine string) (on, stop bool, by string) {
+		m, ok := want.Machine(machine)
+		return ok, m.Stop, m.By
+	})
+	if c.upkeep.busy || !c.mem.Authority(now) {
+		return
+	}
+	if c.moveDrains(now, want) {
+		return
+	}
+	if now-c.upkeep.sweptAt >= sweepEvery {
+		c.upkeep.sweptAt = now
+		c.sweepDrains(now, want)
+	}
+}
+
+// drainsLeft is how many drain requests stand in the document that belong under keys of their own.
+func (c *Controller) drainsLeft() int {
+	if c.roll.Level() < rollout.DrainKeys {
+		return 0
+	}
+	return len(c.wishes.Machines)
+}
+
+// moveDrains takes the next step that moves requests out of the document, if one is due, and tells whether it did.
+func (c *Controller) moveDrains(now time.Duration, want operate.Desired) bool {
+	if now-c.upkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
+		return false
+	}
+	c.upkeep.movedAt = now
+	most := c.spareDrains()
+	move, due := want.NextMove(most, c.store.Limits().Value, c.machineGone)
+	if !due || most == 0 {
+		return false
+	}
+	t := store.Txn{If: c.documentConds()}
+	for _, key := range slices.Sorted(maps.Keys(move.Keys)) {
+		t.If = append(t.If, store.Cond{Key: key})
+		t.Then = append(t.Then, store.Op{Put: key, Value: move.Keys[key]})
+	}
+	if len(t.Then) == 0 {
+		t.Then = []store.Op{documentOp(move.Document)}
+	}
+	c.keepDrains(t)
+	return true
+}
+
+// spareDrains is how many changes a transaction that nobody waits for may make now.
+func (c *Controller) spareDrains() int {
+	n := min(sweptAtOnce, c.store.Limits().Ops)
+	for n > 0 && !c.store.SpareFor(n) {
+		n /= 2
+	}
+	return n
+}
+
+// sweepDrains deletes the requests of machines that are gone.
+func (c *Controller) sweepDrains(now time.Duration, want operate.Desired) {
+	c.notUnknown(now, want)
+	if !want.OwnKeys {
+		if w, any := c.wishes.Without(c.machineGone); any {
+			c.keepDrains(store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(w)}})
+		}
+		return
+	}
+	t := store.Txn{If: []store.Cond{c.roll.Guard()}}
+	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
+		s, _ := c.drains.Of(name)
+		t.If = append(t.If, store.Cond{Key: operate.DrainKey(name), Version: s.Version})
+		t.Then = append(t.Then, store.Op{Delete: operate.DrainKey(name)})
+	}
+	if len(t.Then) > 0 {
+		c.keepDrains(t)
+	}
+}
+
+// notUnknown notes which machines that are to be drained the leader doesn't know, and since when.
+func (c *Controller) notUnknown(now time.Duration, want operate.Desired) {
+	was := c.upkeep.unknown
+	c.upkeep.unknown = map[string]time.Duration{}
+	for name := range want.Machines() {
+		if c.fleet.Find(name) != nil {
+			continue
+		}
+		since, ok := was[name]
+		if !ok {
+			since = now
+		}
+		c.upkeep.unknown[name] = since
+	}
+}
+
+// machineGone tells whether a machine's drain request means nothing any more.
+func (c *Controller) machineGone(name string) bool {
+	if m := c.fleet.Find(name); m != nil {
+		return m.Condition == fleet.Gone
+	}
+	since, ok := c.upkeep.unknown[name]
+	return ok && c.loop.Now()-since >= forgetUnknown
+}
+
+// keepDrains sends a transaction that nobody waits for.
+func (c *Controller) keepDrains(t store.Txn) {
+	c.upkeep.busy = true
+	c.commit(t, store.Bulk, func(r store.Result) {
+		c.upkeep.busy = false
+		if r.Outcome == store.Committed {
+			c.operatorsWrote(t, r.Revision)
+		} else {
+			slog.Info("drain requests not kept", "outcome", r.Outcome.String(), "failed", r.Failed)
+		}
+	})
+}
+
+// documentConds are what a write that was decided by the document depends on: its version, and the level, which says
+// where requests belong.
+func (c *Controller) documentConds() []store.Cond {
+	return []store.Cond{c.roll.Guard(), {Key: operate.Key, Version: c.wishesVer}}
+}
+
+func documentOp(w operate.Wishes) store.Op {
+	raw, _ := json.Marshal(w)
+	return store.Op{Put: operate.Key, Value: raw}
+}
+
+// writeChange writes what a command changes, in one transaction of at most two changes.
+func (c *Controller) writeChange(ch operate.Change, done func(store.Result)) {
+	t := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
+	if ch.Machine != "" {
+		key := operate.DrainKey(ch.Machine)
+		t.If = append(t.If, store.Cond{Key: key, Version: ch.Version})
+		switch {
+		case ch.Put != nil:
+			t.Then = append(t.Then, store.Op{Put: key, Value: ch.Put})
+		case ch.Delete:
+			t.Then = append(t.Then, store.Op{Delete: key})
+		}
+	}
+	c.commit(t, store.Ordinary, func(r store.Result) {
+		if r.Outcome == store.Committed {
+			c.operatorsWrote(t, r.Revision)
+		}
+		done(r)
+	})
+}
+
+// operatorsWrote takes over an own write, unless the followed keys have shown it already.
+func (c *Controller) operatorsWrote(t store.Txn, revision uint64) {
+	if revision <= c.mir.Revision() {
+		return
+	}
+	for _, o := range t.Then {
+		switch {
+		case o.Put == operate.Key:
+			c.wished(o.Value, revision)
+		case o.Put != "":
+			c.drainItem(store.Item{Key: o.Put, Value: o.Value, Version: revision})
+		default:
+			c.drains.Deleted(o.Delete, revision)
+		}
+	}
+}
+
+// shownDrains bounds the machines of one answer: it stays within what a line to users may be.
+const shownDrains = 200
+
+// drainStatus is what operators are told of machines that are being drained: those after a name, and how many there
+// are in all.
+func (c *Controller) drainStatus(after string) (shown []MachineStatus, total int) {
+	all := c.desired().Machines()
+	shown = []MachineStatus{}
+	for _, name := range slices.Sorted(maps.Keys(all)) {
+		if strings.Compare(name, after) <= 0 || len(shown) == shownDrains {
+			continue
+		}
+		v := MachineStatus{Machine: name, State: "unknown", By: all[name].By}
+		if m := c.fleet.Find(name); m != nil {
+			v.State, v.Tasks = m.Condition.String(), len(m.On)
+		}
+		shown = append(shown, v)
+	}
+	return shown, len(all)
+}
--- /dev/null
+++ b/internal/controller/drains_test.go
@@ -0,0 +1,56 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/operate"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// A large fleet whose machines are all drained is followed whole, and every answer about it stays within a line.
+func TestDrainsOfALargeFleetAreFollowedAndShown(t *testing.T) {
+	const machines = 4000
+	c, svc, advance := following(t)
+	for i := range machines {
+		name := fmt.Sprintf("i-%06d", i)
+		raw, _ := json.Marshal(operate.DrainRequest{Machine: name, Mark: operate.Mark{By: "kana", AtMS: 5}})
+		svc.Apply([]store.Op{{Put: operate.DrainKey(name), Value: raw}})
+	}
+	advance(time.Second)
+	c.lead(time.Second, 1)
+	shown, after := 0, ""
+	for {
+		s := c.adminStatus(2*time.Second, after)
+		if raw, _ := json.Marshal(s); len(raw) > 64<<10 || s.DrainingTotal != machines {
+			t.Fatalf("%d bytes, %d machines in all", len(raw), s.DrainingTotal)
+		}
+		if len(s.Draining) == 0 {
+			break
+		}
+		shown += len(s.Draining)
+		after = s.Draining[len(s.Draining)-1].Machine
+	}
+	if shown != machines {
+		t.Fatalf("%d machines shown", shown)
+	}
+}
+
+// Requests that were deleted while a controller's position was lost are gone after it has read all keys again.
+func TestDrainsDeletedWhilePositionLost(t *testing.T) {
+	c, svc, advance := following(t)
+	for _, name := range []string{"i-1", "i-2"} {
+		raw, _ := json.Marshal(operate.DrainRequest{Machine: name})
+		svc.Apply([]store.Op{{Put: operate.DrainKey(name), Value: raw}})
+	}
+	advance(time.Second)
+	if n := len(c.drains.All()); n != 2 {
+		t.Fatalf("%d requests are followed", n)
+	}
+	c.resetKeys([]store.Item{svc.Keys[operate.DrainKey("i-2")]})
+	if all := c.drains.All(); len(all) != 1 || all[0] != "i-2" {
+		t.Fatalf("left are %v", all)
+	}
+}
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/fleet"
@@ -31,9 +30,6 @@
 	c.wishes, c.wishesVer = w, version
 }
 
-// sweepEvery spaces the looks for marks of machines that are gone.
-const sweepEvery = 30 * time.Second
-
 // operate does what operators want: this controller drains or serves again; a leader drains
 // machines and forgets the marks of those that are gone.
 func (c *Controller) operate(now time.Duration) {
@@ -48,44 +44,20 @@
 		c.mem.Return(now)
 		c.turn(now, Serving, "operators want it back")
 	}
-	if c.fleet == nil || !c.fleet.Loaded() || (len(c.wishes.Machines) == 0 && !c.fleet.AnyDrained()) {
-		return
-	}
-	c.fleet.Drained(now, func(machine string) (on, stop bool, by string) {
-		m, ok := c.wishes.Machines[machine]
-		return ok, m.Stop, m.By
-	})
-	if now-c.sweptAt < sweepEvery || !c.mem.Authority(now) {
-		return
-	}
-	c.sweptAt = now
-	if w, any := c.wishes.Without(func(name string) bool {
-		m := c.fleet.Find(name)
-		return m != nil && m.Condition == fleet.Gone
-	}); any {
-		c.writeWishes(w, func(store.Result) {})
-	}
-}
-
-func (c *Controller) writeWishes(w operate.Wishes, done func(store.Result)) {
-	raw, _ := json.Marshal(w)
-	c.commit(store.Txn{If: []store.Cond{{Key: operate.Key, Version: c.wishesVer}}, Then: []store.Op{{Put: operate.Key, Value: raw}}}, store.Ordinary, func(r store.Result) {
-		if r.Outcome == store.Committed {
-			c.wished(raw, r.Revision)
-		}
-		done(r)
-	})
+	c.drainMachines(now)
 }
 
 // Status is what operators are shown of a cluster.
 type Status struct {
-	Revision uint64          `json:"revision"` // of the wishes
-	Last     string          `json:"last,omitempty"`
-	Term     uint64          `json:"term"`
-	Nodes    []NodeStatus    `json:"nodes"`
-	Draining []MachineStatus `json:"draining"` // machines
-	Machines map[string]int  `json:"machines"` // by condition
-	Jobs     int             `json:"jobs"`
+	Revision uint64       `json:"revision"` // of the wishes
+	Last     string       `json:"last,omitempty"`
+	Term     uint64       `json:"term"`
+	Nodes    []NodeStatus `json:"nodes"`
+	// Draining are machines that are being drained, by name: a page of them, of DrainingTotal in all.
+	Draining      []MachineStatus `json:"draining"`
+	DrainingTotal int             `json:"draining_total"`
+	Machines      map[string]int  `json:"machines"` // by condition
+	Jobs          int             `json:"jobs"`
 	// Archive is how far ended jobs are out of the way.
 	Archive ArchiveStatus `json:"archive"`
 }
@@ -126,7 +98,7 @@
 // adminCall answers an operator: the cluster's status, or a command.
 func (c *Controller) adminCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
 	if q.Verb == "show" {
-		reply(intake.Reply{Status: 200, Body: c.adminStatus(now)})
+		reply(intake.Reply{Status: 200, Body: c.adminStatus(now, q.Query["since"])})
 		return
 	}
 	var cmd operate.Command
@@ -142,7 +114,7 @@
 		return
 	}
 	cmd.AtMS = c.jobs.WallMS(now)
-	next, err := c.wishes.Apply(cmd, c.cluster(now))
+	next, err := c.desired().Apply(cmd, c.cluster(now))
 	switch {
 	case errors.Is(err, operate.ErrMalformed):
 		reply(intake.Refuse(400, err.Error()))
@@ -155,13 +127,13 @@
 		return
 	}
 	f := c.fleet
-	c.writeWishes(next, func(r store.Result) {
+	c.writeChange(next, func(r store.Result) {
 		switch {
 		case c.fleet != f:
 			reply(intake.Refuse(503, "the lead was lost: look at the status before giving the command again"))
 		case r.Outcome == store.Committed:
 			slog.Info("operators' command", "op", cmd.Op, "kind", cmd.Kind, "name", cmd.Name, "by", cmd.By)
-			reply(intake.Reply{Status: 200, Body: c.adminStatus(c.loop.Now())})
+			reply(intake.Reply{Status: 200, Body: c.adminStatus(c.loop.Now(), "")})
 		case r.Outcome == store.Conflict:
 			lost("another command")
 		default:
@@ -170,8 +142,8 @@
 	})
 }
 
-func (c *Controller) adminStatus(now time.Duration) Status {
-	s := Status{Revision: c.wishesVer, Last: c.wishes.Last, Term: c.mem.Term(), Machines: map[string]int{}, Draining: []MachineStatus{}}
+func (c *Controller) adminStatus(now time.Duration, after string) Status {
+	s := Status{Revision: c.wishesVer, Last: c.wishes.Last, Term: c.mem.Term(), Machines: map[string]int{}}
 	k := c.cluster(now)
 	for _, n := range k.Nodes {
 		m, drained := c.wishes.Nodes[n]
@@ -180,14 +152,7 @@
 	for _, m := range c.fleet.Machines() {
 		s.Machines[m.Condition.String()]++
 	}
-	for name, mark := range c.wishes.Machines {
-		v := MachineStatus{Machine: name, State: "unknown", By: mark.By}
-		if m := c.fleet.Find(name); m != nil {
-			v.State, v.Tasks = m.Condition.String(), len(m.On)
-		}
-		s.Draining = append(s.Draining, v)
-	}
-	slices.SortFunc(s.Draining, func(a, b MachineStatus) int { return strings.Compare(a.Machine, b.Machine) })
+	s.Draining, s.DrainingTotal = c.drainStatus(after)
 	s.Jobs = c.liveJobs()
 	s.Archive = c.archiveStatus()
 	return s
--- a/internal/controller/outside.go
+++ b/internal/controller/outside.go
@@ -131,7 +131,8 @@
 		}
 		c.leaderCall(now, q, say)
 	case u.Path == "/v2/rollout" || u.Path == "/v2/admin":
-		q := intake.Call{What: strings.TrimPrefix(u.Path, "/v2/"), Verb: "show", Body: body}
+		q := intake.Call{What: strings.TrimPrefix(u.Path, "/v2/"), Verb: "show", Body: body,
+			Query: map[string]string{"since": u.Query().Get("since")}}
 		if method == "POST" {
 			q.Verb = "set"
 		}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -20,6 +20,8 @@
 		c.counted(it)
 	case it.Key == operate.Key:
 		c.wished(it.Value, it.Version)
+	case strings.HasPrefix(it.Key, operate.DrainPrefix):
+		c.drainItem(it)
 	case isZoneKey(it.Key):
 		if it.Version > c.zoned.item.Version {
 			c.zoned.item = it
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -62,7 +62,7 @@
 		term = c.mem.Term()
 		c.roll.Heard(now, c.s.Node, c.life == Serving)
 		if c.roll.State() == rollout.Migrating {
-			work = rollout.Work{Left: c.fleet.OldPlans(), Done: c.fleet.Migrated()}
+			work = c.migrationWork()
 		}
 	}
 	t, due := c.roll.Tick(now, term, work)
@@ -72,6 +72,14 @@
 	c.commit(t, store.Ordinary, func(r store.Result) { c.roll.Done(c.loop.Now(), t, r) })
 }
 
+// migrationWork is what is left in former formats. Nothing is done before the followed keys have come past the level's
+// rise: until then something that was written before it may not have been seen.
+func (c *Controller) migrationWork() rollout.Work {
+	drains := c.drainsLeft()
+	passed := c.mir.Revision() >= c.roll.Guard().Version
+	return rollout.Work{Left: c.fleet.OldPlans() + drains, Done: c.fleet.Migrated() && drains == 0 && passed}
+}
+
 // rollEvery spaces the looks at a rollout.
 const rollEvery = 250 * time.Millisecond
 
@@ -82,7 +90,7 @@
 		k.Drained[n] = true
 	}
 	if c.fleet != nil && c.fleet.Loaded() {
-		k.Left = c.fleet.OldPlans()
+		k.Left = c.migrationWork().Left
 	}
 	return c.roll.View(now, k)
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -33,6 +33,7 @@
 	}, term, now)
 	c.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.s.Node})
 	c.mover = c.newMover()
+	c.upkeep = drainUpkeep{sweptAt: now}
 	c.cap = capacity.New(c.s, c.cloud, c.fleet, c.jobs.Names, func() []capacity.MachineType { return c.types }, term)
 	c.zoned.writing = false
 	c.recallZones()
--- a/internal/operate/operate.go
+++ b/internal/operate/operate.go
@@ -1,6 +1,7 @@
 // Package operate keeps what operators want of a running cluster: which controllers and machines
-// are to be drained. It is one durable document that every controller follows; commands change it
-// by transaction, so that of two that conflict one wins and the other is told by whom and what.
+// are to be drained. Every controller follows it. There is one durable document that each command
+// writes by transaction, so that of two that conflict one wins and the other is told by whom and
+// what; machines' drain requests have keys of their own beside it (drains.go).
 // The package decides what a command makes of the document; it neither writes it nor acts on it.
 package operate
 
@@ -69,12 +70,17 @@
 	ErrLast      = errors.New("nobody would be left")
 )
 
-// maxMachines bounds how many machines may be marked at once: the document has to fit a value.
+// maxMachines bounds how many machines may be drained at once while their requests are part of the
+// document, which has to fit a value: until every controller reads those with keys of their own.
 const maxMachines = 60
 
-// Apply is the document after a command. It refuses to drain the last controller that could serve,
-// and what is not known. A command that changes nothing gives the document back as it was.
-func (w Wishes) Apply(c Command, k Cluster) (Wishes, error) {
+// Apply is the document after a command, where it holds machines' requests too. It refuses to drain the
+// last controller that could serve, and what is not known. A command that changes nothing gives the
+// document back as it was.
+func (w Wishes) Apply(c Command, k Cluster) (Wishes, error) { return w.apply(c, k, maxMachines) }
+
+// apply does so with at most so many machines, 0: any number of them.
+func (w Wishes) apply(c Command, k Cluster, most int) (Wishes, error) {
 	if (c.Op != "drain" && c.Op != "undrain") || (c.Kind != "node" && c.Kind != "machine") || c.Name == "" || len(c.Name) > 100 || len(c.By) > 100 {
 		return w, fmt.Errorf("%w: op must be drain or undrain, kind node or machine, and name and by at most 100 characters", ErrMalformed)
 	}
@@ -97,8 +103,9 @@
 		return w, nil
 	case c.Kind == "machine" && !k.Machine(c.Name):
 		return w, fmt.Errorf("%w: machine %q is not known", ErrUnknown, c.Name)
-	case c.Kind == "machine" && !marked && len(out.Machines) >= maxMachines:
-		return w, fmt.Errorf("%w: %d machines are being drained already", ErrMalformed, maxMachines)
+	case c.Kind == "machine" && !marked && most > 0 && len(out.Machines) >= most:
+		return w, fmt.Errorf("%w: %d machines are being drained already, and no more fit until the rollout is finished: "+
+			"then there is no such bound (`harewalk rollout status`)", ErrMalformed, most)
 	case c.Kind == "node" && !slices.Contains(k.Nodes, c.Name):
 		return w, fmt.Errorf("%w: controller %q is none of %s", ErrUnknown, c.Name, strings.Join(k.Nodes, ", "))
 	case c.Kind == "node" && !w.othersServe(c.Name, k):
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -22,14 +22,16 @@
 	Base     Level = 1 // what releases wrote before there were levels
 	Paged    Level = 2 // plans stand in pages that many jobs share; the term is written so that those releases can't lead
 	Archived Level = 3 // ended jobs leave the followed keys for the archive
-	Newest         = Archived
+	// DrainKeys has the drain request of each machine under a key of its own, in place of one document for all.
+	DrainKeys Level = 4
+	Newest          = DrainKeys
 )
 
 // Release is this program's, in the order of semantic versions.
-const Release = "v0.22.0"
+const Release = "v0.23.0"
 
 // behaviours names what each level switches on, for people.
-var behaviours = map[Level]string{Base: "base", Paged: "plan-pages", Archived: "archive"}
+var behaviours = map[Level]string{Base: "base", Paged: "plan-pages", Archived: "archive", DrainKeys: "drain-keys"}
 
 // Guard is what keeps a controller from harm by a record whose format it doesn't know, or that is damaged.
 type Guard string
@@ -69,6 +71,9 @@
 // archiving is the release that began to archive ended jobs.
 const archiving = "v0.22.0"
 
+// draining is the release that began to give machines' drain requests keys of their own.
+const draining = "v0.23.0"
+
 func one(kind, prefix string, g Guard) Row {
 	return Row{kind, prefix, []int{1}, []Write{{Base, 1, first}}, g}
 }
@@ -88,6 +93,7 @@
 	one("licence-count", "h/l/", StandDown),
 	one("session", "s/", StandDown),
 	one("operators-wishes", "h/o/wishes", StandDown),
+	{"drain-request", "h/o/machines/", []int{1}, []Write{{Base, 0, first}, {DrainKeys, 1, draining}}, StandDown},
 	one("zones", "h/z/", Hint),
 	one("announcement", announcePrefix, Unsaid),
 	one("level", levelKey, StandDown),
--- a/internal/world/archive_test.go
+++ b/internal/world/archive_test.go
@@ -249,7 +249,7 @@
 		}
 		r.Advance(200 * time.Millisecond)
 	}
-	r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Archived })
+	r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Newest })
 	r.reach("begun", 30*time.Second, func() bool { return r.Keys(archive.Prefix) > 5 })
 	l, _ := r.World.Leader()
 	r.KillController(l)
--- /dev/null
+++ b/internal/world/drains_test.go
@@ -0,0 +1,124 @@
+package world
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/operate"
+	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// document is the operators' document as it is stored.
+func (r *rolling) document() (w operate.Wishes) {
+	_ = json.Unmarshal(r.Key(operate.Key).Value, &w)
+	return w
+}
+
+// drainMachine asks the leader to drain a machine, or to take it back.
+func (r *rolling) drainMachine(op, name string) (status int) {
+	r.t.Helper()
+	body := fmt.Sprintf(`{"op":%q,"kind":"machine","name":%q,"by":"test"}`, op, name)
+	r.Ask(r.led(), "POST", "/v2/admin", []byte(body), func(s int, _ []byte) { status = s })
+	r.reach("the answer to "+op, 5*time.Second, func() bool { return status != 0 })
+	return status
+}
+
+// machineNames are machines that act at the leader.
+func (r *rolling) machineNames(n int) (names []string) {
+	seen := map[string]bool{}
+	for end := r.Now() + time.Minute; len(names) < n && r.Now() < end; r.Advance(200 * time.Millisecond) {
+		if m := r.Busiest(); m != "" && !seen[m] {
+			seen[m] = true
+			names = append(names, m)
+		}
+	}
+	return names
+}
+
+// The former release's document is all that is written until every controller reads the keys; then its requests move,
+// over the leader's end too, none is lost, and those of machines that are gone are swept.
+func TestDrainRequestsWaitForTheLevel(t *testing.T) {
+	for _, how := range []string{"calm", "leader killed", "answers lost", "late writes", "limits shrink"} {
+		t.Run(how, func(t *testing.T) {
+			r := newRolling(t, 451, 3, rollout.Archived, "soak_s = 3")
+			// Machines that no leader knows, as after a long time without one: they are requests like any other.
+			const unknown = 55
+			old := operate.Wishes{Machines: map[string]operate.Mark{}, Last: "kana: drain machine i-old-19"}
+			for i := range unknown {
+				old.Machines[fmt.Sprintf("i-old-%02d", i)] = operate.Mark{By: "kana", AtMS: 5, Stop: i%2 == 0}
+			}
+			raw, _ := json.Marshal(old)
+			r.Store(store.Op{Put: operate.Key, Value: raw})
+			r.load(100 * time.Second)
+			r.Advance(20 * time.Second)
+			names := r.machineNames(2)
+			if len(names) < 2 {
+				t.Fatalf("machines %v", names)
+			}
+			if s := r.drainMachine("drain", names[0]); s != 200 {
+				t.Fatalf("status %d", s)
+			}
+			if r.Keys(operate.DrainPrefix) > 0 || len(r.document().Machines) != unknown+1 {
+				t.Fatalf("%d keys before the level, %d in the document", r.Keys(operate.DrainPrefix), len(r.document().Machines))
+			}
+			rolled := false
+			r.Roll(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
+			for !rolled || r.Level() < rollout.DrainKeys {
+				if r.Level() < rollout.DrainKeys && r.Keys(operate.DrainPrefix) > 0 {
+					t.Fatal("a request has a key before the level")
+				}
+				r.Advance(100 * time.Millisecond)
+			}
+			switch how {
+			case "leader killed":
+				r.reach("begun", 20*time.Second, func() bool { return r.Keys(operate.DrainPrefix) > 0 })
+				l := r.led()
+				r.KillController(l)
+				r.Advance(8 * time.Second)
+				r.StartController(l)
+			case "answers lost":
+				r.LoseAnswers(0.3)
+				r.After(10*time.Second, func() { r.LoseAnswers(0) })
+			case "limits shrink": // the document as it stands is larger than any value that is taken now
+				if n := len(r.Key(operate.Key).Value); n < 2<<10 {
+					t.Fatalf("a document of %d bytes", n)
+				}
+				r.Shrink(1.5, 5, 20)
+			case "late writes":
+				r.LateWrites(0.3, 500*time.Millisecond, 4*time.Second)
+				r.After(20*time.Second, func() { r.LateWrites(0, 0, 0) })
+			}
+			r.reach("migrated", 2*time.Minute, r.migrated)
+			if n := len(r.document().Machines); n > 0 {
+				t.Errorf("%d requests are in the document", n)
+			}
+			for name, m := range old.Machines {
+				var got operate.DrainRequest
+				err := json.Unmarshal(r.Key(operate.DrainKey(name)).Value, &got)
+				if err != nil || got.Mark != m || got.Machine != name {
+					t.Errorf("%s: %+v, %v", name, got, err)
+				}
+			}
+			r.Advance(25 * time.Second) // answers come in time again
+			if s := r.drainMachine("undrain", "i-old-07"); s != 200 || r.Key(operate.DrainKey("i-old-07")).Version != 0 {
+				t.Errorf("status %d, and the request still stands", s)
+			}
+			if s := r.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
+				t.Errorf("status %d", s)
+			}
+			r.reach("swept", 3*time.Minute, func() bool {
+				for key := range r.Stored(operate.DrainPrefix) {
+					if !strings.Contains(key, "i-old-") {
+						return false
+					}
+				}
+				return true
+			})
+			r.over()
+		})
+	}
+}
