--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -88,8 +88,12 @@
 			fmt.Fprintf(t, "machines %s\t%d\n", k, s.Machines[k])
 		}
 	}
+	if s.Full {
+		fmt.Fprintf(t, "machines at most\t%d, nothing more is rented; bound by %s\n", s.MaxMachines, s.MachinesBound)
+	}
 	if s.DrainingTotal > len(s.Draining) {
-		fmt.Fprintf(t, "draining\t%d machines, %d of them shown: --since NAME shows those after one\n", s.DrainingTotal, len(s.Draining))
+		fmt.Fprintf(t, "draining\t%d machines, %d of them shown: --since NAME shows those after one\n",
+			s.DrainingTotal, len(s.Draining))
 	}
 	for _, m := range s.Draining {
 		fmt.Fprintf(t, "draining %s\t%s, %d tasks left, for %s\n", m.Machine, m.State, m.Tasks, orSomebody(m.By))
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -54,6 +54,7 @@
 	gone      map[string]time.Duration // returned when: lagging lists may still show them
 	listedAt  time.Duration
 	excess    float64       // see excess
+	full      bool          // as many machines as max_machines allows, when rent last looked
 	zones     map[int32]int // machines by zone that act or boot, when rent last looked
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -194,6 +194,9 @@
 		if len(b.cloud.list) != most {
 			t.Errorf("%d machines, at most %d are allowed", len(b.cloud.list), most)
 		}
+		if !b.Full() {
+			t.Error("it isn't told that the bound binds")
+		}
 		// One less is there and full: what is rented ahead of need keeps to the bound, too.
 		b = setup(t)
 		b.Settings.Operator.MaxMachines, b.Settings.Operator.Headroom = most, 10
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -94,6 +94,7 @@
 		}
 		bins = append(bins, b)
 	}
+	c.noteFull(total)
 	overdue := c.overdue(now)
 	for _, name := range slices.Sorted(maps.Keys(c.boots)) { // in one order: the same run rents the same
 		bt := c.boots[name]
@@ -195,6 +196,24 @@
 	return all, idle
 }
 
+// Full tells whether there are as many machines as max_machines allows: nothing more is rented.
+func (c *Manager) Full() bool { return c.full }
+
+// noteFull logs when the bound on the number of machines begins or ceases to bind, and what would raise it.
+func (c *Manager) noteFull(total int) {
+	o := c.Settings.Operator
+	full := total >= o.MaxMachines
+	if full == c.full {
+		return
+	}
+	if c.full = full; full {
+		slog.Warn("as many machines as are allowed: nothing more is rented",
+			"machines", total, "max_machines", o.MaxMachines, "bound_by", string(o.MachinesBound))
+	} else {
+		slog.Info("fewer machines than are allowed", "machines", total, "max_machines", o.MaxMachines)
+	}
+}
+
 // spare rents ahead of need: a part of what the fleet costs may stand idle, so that a burst
 // does not have to wait for a boot. Each kind of job gets the cheapest machine for it.
 func (c *Manager) spare(now time.Duration, total int) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -200,6 +200,8 @@
 	Headroom float64 `hcl:"headroom,optional" validate:"gte=0,lte=1"`
 	// MaxMachines bounds how many machines are rented in all.
 	MaxMachines int `hcl:"max_machines,optional" validate:"gte=1"`
+	// MachinesBound is where that bound comes from.
+	MachinesBound Bound
 	// NetworkFactor scales the planner's q.
 	NetworkFactor float64 `hcl:"network_factor,optional" validate:"gte=0"`
 	// OperatorTokenFile holds the token that operators' commands must carry, one line. Without
@@ -364,8 +366,12 @@
 	if o.Headroom == 0 {
 		o.Headroom = 0.1
 	}
+	most, by := s.Params.Limits.mostMachines(w.ReportS)
 	if o.MaxMachines == 0 {
-		o.MaxMachines = s.Params.Limits.mostMachines(w.ReportS)
+		o.MaxMachines = most
+	}
+	if o.MachinesBound = by; o.MaxMachines != most {
+		o.MachinesBound = BySettings
 	}
 	for i := range o.Licences {
 		if o.Licences[i].OnLower == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -75,6 +75,29 @@
 	}
 }
 
+// Operators are told what bounds the number of machines, so that they know what would raise it.
+func TestWhatBoundsTheMachinesIsNamed(t *testing.T) {
+	for limits, want := range map[string]Bound{
+		`{"cores":0.18,"mem_mb":168.0,"sockets":2500}`: ByProcessor,
+		`{"cores":1.0,"mem_mb":130.0,"sockets":4000}`:  ByMemory,
+		`{"cores":1.0,"mem_mb":512.0,"sockets":300}`:   ByConnections,
+	} {
+		s, err := Parse([]byte(strings.Replace(settings, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := s.Operator.MachinesBound; got != want {
+			t.Errorf("%s: bound by %q, not %q", limits, got, want)
+		}
+		if err := s.ReadOperator("o.hcl", []byte("max_machines = 7")); err != nil {
+			t.Fatal(err)
+		}
+		if s.Operator.MaxMachines != 7 || s.Operator.MachinesBound != BySettings {
+			t.Errorf("%d machines, bound by %q", s.Operator.MaxMachines, s.Operator.MachinesBound)
+		}
+	}
+}
+
 func TestOperatorsFile(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, body string) string {
--- a/internal/config/machines.go
+++ b/internal/config/machines.go
@@ -19,11 +19,27 @@
 	processorForMachines = 0.5
 )
 
-// mostMachines is how many machines a leader can hold on its own machine: the least of what memory, processor and
-// connections allow. Connections count only while a report is answered, for where many are open they are closed after it.
-func (l Limits) mostMachines(reportS float64) int {
-	byMemory := (l.Memory()*memoryForMachines - baseMB) / machineMB
-	byProcessor := l.Processor() * processorForMachines / reportCores * reportS
-	bySockets := float64(l.Crowded()) / reportOpenS * reportS
-	return max(1, int(min(byMemory, byProcessor, bySockets)))
+// Bound names what bounds the number of machines, for operators.
+type Bound string
+
+// What may bind.
+const (
+	BySettings    Bound = "max_machines in the operators' settings"
+	ByMemory      Bound = "mem_mb: the controller's memory"
+	ByProcessor   Bound = "cores: the controller's processor"
+	ByConnections Bound = "sockets: the controller's connections"
+)
+
+// mostMachines is how many machines a leader can hold on its own machine, and which of memory, processor and
+// connections allows the least. Connections count only while a report is answered, for where many are open they are
+// closed after it.
+func (l Limits) mostMachines(reportS float64) (int, Bound) {
+	most, by := (l.Memory()*memoryForMachines-baseMB)/machineMB, ByMemory
+	if n := l.Processor() * processorForMachines / reportCores * reportS; n < most {
+		most, by = n, ByProcessor
+	}
+	if n := float64(l.Crowded()) / reportOpenS * reportS; n < most {
+		most, by = n, ByConnections
+	}
+	return max(1, int(most)), by
 }
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -57,7 +57,11 @@
 	Draining      []MachineStatus `json:"draining"`
 	DrainingTotal int             `json:"draining_total"`
 	Machines      map[string]int  `json:"machines"` // by condition
-	Jobs          int             `json:"jobs"`
+	// MaxMachines bounds how many machines are rented, MachinesBound says by what, and Full that it binds now.
+	MaxMachines   int    `json:"max_machines"`
+	MachinesBound string `json:"machines_bound"`
+	Full          bool   `json:"full"`
+	Jobs          int    `json:"jobs"`
 	// Archive is how far ended jobs are out of the way.
 	Archive ArchiveStatus `json:"archive"`
 }
@@ -143,7 +147,8 @@
 }
 
 func (c *Controller) adminStatus(now time.Duration, after string) Status {
-	s := Status{Revision: c.wishesVer, Last: c.wishes.Last, Term: c.mem.Term(), Machines: map[string]int{}}
+	s := Status{Revision: c.wishesVer, Last: c.wishes.Last, Term: c.mem.Term(), Machines: map[string]int{},
+		MaxMachines: c.s.Operator.MaxMachines, MachinesBound: string(c.s.Operator.MachinesBound), Full: c.cap.Full()}
 	k := c.cluster(now)
 	for _, n := range k.Nodes {
 		m, drained := c.wishes.Nodes[n]
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -75,7 +75,7 @@
 	if c.fleet != nil {
 		s.Term = c.mem.Term()
 		c.jobs.Live(func(j *jobs.Job) {
-			if j.Tasks != nil && len(s.Counts) < 2000 {
+			if j.Tasks != nil && len(s.Counts) < peers.MostCounts {
 				d, r := c.fleet.Counts(j)
 				s.Counts = append(s.Counts, peers.Count{Job: j.ID, Done: uint32(d), Running: uint32(r)})
 			}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -24,6 +24,9 @@
 // maxFrame bounds what a peer may make us hold.
 const maxFrame = 256 << 10
 
+// MostCounts bounds the jobs of which a status tells: with ids of the greatest length they fit a frame.
+const MostCounts = 4096
+
 // maxConns bounds the connections that peers may open.
 const maxConns = 16
 
