--- a/cmd/harewalk/daemon_world_test.go
+++ b/cmd/harewalk/daemon_world_test.go
@@ -26,7 +26,7 @@
 
 func plainJob(n, tasks int, estimate float64) *jobs.Spec {
 	return &jobs.Spec{
-		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: tasks, CPUs: 1, Mem: 1,
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: tasks, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 0.5, EstimateS: estimate, Spot: true,
 	}
 }
--- a/cmd/harewalk/rollout.go
+++ b/cmd/harewalk/rollout.go
@@ -55,7 +55,7 @@
 }
 
 func showRollout(t *tabwriter.Writer, v rollout.View) {
-	fmt.Fprintf(t, "state\t%s (told by %s)\nlevel\t%d\n", v.State, v.Told, v.Level)
+	fmt.Fprintf(t, "state\t%s (told by %s)\nlevel\t%d\n", v.State, v.ReportedBy, v.Level)
 	if v.Next > v.Level {
 		fmt.Fprintf(t, "next level\t%d, announced by all\n", v.Next)
 	}
@@ -70,7 +70,7 @@
 	if m := v.Migration; m != nil {
 		done := "done"
 		if !m.Done {
-			done = fmt.Sprintf("%d records left, %d leaders have worked on it", m.Left, m.Turns)
+			done = fmt.Sprintf("%d records left, %d leaders have worked on it", m.Left, m.Leaders)
 		}
 		fmt.Fprintf(t, "migration\t%s\n", done)
 	}
@@ -79,7 +79,7 @@
 	}
 	for _, n := range v.Nodes {
 		var what []string
-		for word, on := range map[string]bool{"leads": n.Leads, "behind: it stays out": n.Behind, "down": !n.Alive, "not well": n.Alive && !n.Well} {
+		for word, on := range map[string]bool{"leads": n.Leads, "behind: it stays out": n.Incompatible, "down": !n.Alive, "not well": n.Alive && !n.Healthy} {
 			if on {
 				what = append(what, word)
 			}
@@ -105,8 +105,8 @@
 	}
 	fmt.Fprintf(t, "restart next\t%s: %s\n", next, v.Why)
 	for _, n := range v.Nodes {
-		if n.NotNext != "" {
-			fmt.Fprintf(t, "not %s\t%s\n", n.Node, n.NotNext)
+		if n.NotNextReason != "" {
+			fmt.Fprintf(t, "not %s\t%s\n", n.Node, n.NotNextReason)
 		}
 	}
 }
--- a/cmd/harewalk/rollout_world_test.go
+++ b/cmd/harewalk/rollout_world_test.go
@@ -23,7 +23,7 @@
 	until(t, "a plan", func() bool {
 		for i := range 3 {
 			out, code := command(t, "rollout", "plan", "--server", w.Public(i), "-o", "json")
-			if code == 0 && json.Unmarshal([]byte(out), &v) == nil && v.Told != "" {
+			if code == 0 && json.Unmarshal([]byte(out), &v) == nil && v.ReportedBy != "" {
 				return true
 			}
 		}
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_world_test.go
@@ -34,7 +34,7 @@
 func notebook(w *world.World, n int, cpus float64) *world.InteractiveSession {
 	return w.InteractiveSession(&jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
-		Tasks: 1, CPUs: cpus, Mem: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
+		Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
 	}, "kana")
 }
 
@@ -274,7 +274,7 @@
 		for i := range 30 {
 			s := &jobs.Spec{
 				ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard", Tasks: 1,
-				CPUs: 4, Mem: 4, Image: "m", ImageGB: 1, EstimateS: 4,
+				CPUs: 4, MemoryGB: 4, Image: "m", ImageGB: 1, EstimateS: 4,
 			}
 			if status := u.Submit(s); status != 201 {
 				t.Fatalf("status %d", status)
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -92,7 +92,7 @@
 func licensed(rng *rand.Rand, n int) *jobs.Spec {
 	s := &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
-		Priority: []string{"urgent", "standard", "best_effort"}[rng.IntN(3)], Tasks: 2 + rng.IntN(12), CPUs: 1, Mem: 2,
+		Priority: []string{"urgent", "standard", "best_effort"}[rng.IntN(3)], Tasks: 2 + rng.IntN(12), CPUs: 1, MemoryGB: 2,
 		Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 1, EstimateS: 0.4 + 0.6*rng.Float64(), Spot: rng.IntN(2) == 0,
 	}
 	if rng.IntN(4) == 0 {
@@ -229,7 +229,7 @@
 	for n := range 6 {
 		s := &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 100, CPUs: 1,
-			Mem: 1, Image: "i", ImageGB: 1, EstimateS: 5, Licences: map[string]int{"transcribe": 1},
+			MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5, Licences: map[string]int{"transcribe": 1},
 		}
 		if status := u.Submit(s); status != 201 {
 			t.Fatalf("status %d", status)
@@ -290,7 +290,7 @@
 		return out
 	}
 	s := &jobs.Spec{
-		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 30, CPUs: 1, Mem: 1, Image: "i",
+		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 30, CPUs: 1, MemoryGB: 1, Image: "i",
 		ImageGB: 1, EstimateS: 600, CheckpointS: 5, SaveS: 0.2, Licences: map[string]int{"transcribe": 1},
 	}
 	u := w.Users(3)
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -29,13 +29,13 @@
 func Key(id string) string { return Prefix + id }
 
 // Absent is the condition that a job isn't archived. It goes with every write that makes a job's record.
-func Absent(id string) store.Cond { return store.Cond{Key: Key(id)} }
+func Absent(id string) store.Condition { return store.Condition{Key: Key(id)} }
 
 // Answer is all that is ever told of an archived job.
 type Answer struct {
-	Stance jobs.Stance // jobs.Done or jobs.Cancelled
-	Tasks  int
-	Done   int // tasks that were done when it ended; for display
+	State jobs.State // jobs.Done or jobs.Cancelled
+	Tasks int
+	Done  int // tasks that were done when it ended; for display
 }
 
 // record is an answer's stored form, format 1.
@@ -54,12 +54,12 @@
 
 // Encode writes an answer.
 func Encode(a Answer) json.RawMessage {
-	raw, _ := json.Marshal(record{Stance: a.Stance.String(), Tasks: a.Tasks, Done: a.Done})
+	raw, _ := json.Marshal(record{Stance: a.State.String(), Tasks: a.Tasks, Done: a.Done})
 	return raw
 }
 
-// MostBytes is more than the largest stored answer takes.
-const MostBytes = 96
+// MaxRecordBytes is more than the largest stored answer takes.
+const MaxRecordBytes = 96
 
 // Decode reads an answer. Its error wraps ErrUnreadable.
 func Decode(raw json.RawMessage) (Answer, error) {
@@ -70,26 +70,26 @@
 	if r.Format > newestFormat {
 		return Answer{}, fmt.Errorf("%w: format %d", ErrUnreadable, r.Format)
 	}
-	for _, s := range []jobs.Stance{jobs.Done, jobs.Cancelled} {
+	for _, s := range []jobs.State{jobs.Done, jobs.Cancelled} {
 		if r.Stance == s.String() {
-			return Answer{Stance: s, Tasks: r.Tasks, Done: r.Done}, nil
+			return Answer{State: s, Tasks: r.Tasks, Done: r.Done}, nil
 		}
 	}
 	return Answer{}, fmt.Errorf("%w: stance %q", ErrUnreadable, r.Stance)
 }
 
-// LeastTxnOps is how many changes a transaction must be able to hold for a job to be moved: the answer's key is
+// MinTxnOps is how many changes a transaction must be able to hold for a job to be moved: the answer's key is
 // written and the record's dropped together.
-const LeastTxnOps = 2
+const MinTxnOps = 2
 
 // Fits tells whether jobs can be archived within the state service's limits: changes in a transaction, and bytes of a
 // value. Its error names the limit that is too small.
 func Fits(txnOps, valueBytes int) error {
-	if txnOps < LeastTxnOps {
-		return fmt.Errorf("archive: \"params.state.txn_ops\" is %d, and moving a job takes %d changes in one transaction", txnOps, LeastTxnOps)
+	if txnOps < MinTxnOps {
+		return fmt.Errorf("archive: \"params.state.txn_ops\" is %d, and moving a job takes %d changes in one transaction", txnOps, MinTxnOps)
 	}
-	if valueBytes < MostBytes {
-		return fmt.Errorf("archive: \"params.state.value_kb\" allows values of %d bytes, and an answer takes up to %d", valueBytes, MostBytes)
+	if valueBytes < MaxRecordBytes {
+		return fmt.Errorf("archive: \"params.state.value_kb\" allows values of %d bytes, and an answer takes up to %d", valueBytes, MaxRecordBytes)
 	}
 	return nil
 }
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -16,8 +16,8 @@
 func TestAnswersAreReadBack(t *testing.T) {
 	for _, a := range []Answer{{jobs.Done, 1, 1}, {jobs.Cancelled, jobs.MaxTasks, jobs.MaxTasks}, {jobs.Cancelled, 7, 0}} {
 		raw := Encode(a)
-		if len(raw) > MostBytes {
-			t.Errorf("%s takes %d bytes, more than %d", raw, len(raw), MostBytes)
+		if len(raw) > MaxRecordBytes {
+			t.Errorf("%s takes %d bytes, more than %d", raw, len(raw), MaxRecordBytes)
 		}
 		if got, err := Decode(raw); err != nil || got != a {
 			t.Errorf("%s was read as %v, %v", raw, got, err)
@@ -36,13 +36,13 @@
 
 // Limits without room for a move are refused by name.
 func TestLimitsWithoutRoom(t *testing.T) {
-	if err := Fits(2, MostBytes); err != nil {
+	if err := Fits(2, MaxRecordBytes); err != nil {
 		t.Errorf("refused: %v", err)
 	}
 	if err := Fits(1, 1<<20); err == nil || !strings.Contains(err.Error(), "txn_ops") {
 		t.Errorf("one change in a transaction: %v", err)
 	}
-	if err := Fits(24, MostBytes-1); err == nil || !strings.Contains(err.Error(), "value_kb") {
+	if err := Fits(24, MaxRecordBytes-1); err == nil || !strings.Contains(err.Error(), "value_kb") {
 		t.Errorf("values too small: %v", err)
 	}
 }
@@ -54,7 +54,7 @@
 	err   error
 }
 
-func (k *keys) Get(key string, _ store.Class, done func(store.Item, error)) {
+func (k *keys) Get(key string, _ store.Priority, done func(store.Item, error)) {
 	k.reads++
 	it := k.items[key]
 	it.Key = key
@@ -71,7 +71,7 @@
 		var a Answer
 		var found bool
 		var err error
-		r.Find(id, store.Query, func(x Answer, f bool, e error) { a, found, err = x, f, e })
+		r.Find(id, store.QueryPriority, func(x Answer, f bool, e error) { a, found, err = x, f, e })
 		return a, found, err
 	}
 	for range 2 {
@@ -91,11 +91,11 @@
 	if k.reads != 1 {
 		t.Errorf("%d reads of an answer that never changes", k.reads)
 	}
-	if find("req-2"); r.Cached() != 2 {
-		t.Errorf("%d answers are cached", r.Cached())
+	if find("req-2"); r.CacheLen() != 2 {
+		t.Errorf("%d answers are cached", r.CacheLen())
 	}
-	if find("req-3"); r.Cached() != 2 {
-		t.Errorf("%d answers are cached, and the bound is 2", r.Cached())
+	if find("req-3"); r.CacheLen() != 2 {
+		t.Errorf("%d answers are cached, and the bound is 2", r.CacheLen())
 	}
 	k.items[Key("req-9")] = store.Item{Value: json.RawMessage(`{"v":9}`), Version: 6}
 	if _, found, err := find("req-9"); found || !errors.Is(err, ErrUnreadable) || unread != 1 {
@@ -122,9 +122,9 @@
 	m := &mover{}
 	m.Mover = NewMover(Env{
 		Now: func() time.Duration { return m.t }, TxnOps: ops, WritesPerS: 40,
-		MayWrite: func(int) bool { return !m.full },
-		Commit:   func(t store.Txn, done func(store.Result)) { m.sent, m.done = append(m.sent, t), done },
-		Moved:    func(id string, _ Answer) { m.moved = append(m.moved, id) },
+		CanWrite:   func(int) bool { return !m.full },
+		Commit:     func(t store.Txn, done func(store.Result)) { m.sent, m.done = append(m.sent, t), done },
+		OnArchived: func(id string, _ Answer) { m.moved = append(m.moved, id) },
 	})
 	for i := range n {
 		m.jobs = append(m.jobs, Candidate{ID: "req-" + string(rune('a'+i)), Version: uint64(i + 1), Answer: Answer{jobs.Done, 1, 1}})
@@ -146,7 +146,7 @@
 	if len(m.sent) == before {
 		return 0
 	}
-	return len(m.sent[before].Then) / LeastTxnOps
+	return len(m.sent[before].Then) / MinTxnOps
 }
 
 // A batch keeps within the limits, nothing else is sent while it is under way, and its rate is a part of what the
@@ -162,8 +162,8 @@
 	}
 	m.t = 0
 	m.done(store.Result{Outcome: store.Committed, Revision: 50})
-	if len(m.moved) != first || m.Figures.Moved != first {
-		t.Errorf("moved %v, counted %d", m.moved, m.Figures.Moved)
+	if len(m.moved) != first || m.Stats.Moved != first {
+		t.Errorf("moved %v, counted %d", m.moved, m.Stats.Moved)
 	}
 	// 24 writes at a tenth of 40 a second are six seconds' worth.
 	if n := m.tick(5900 * time.Millisecond); n != 0 {
@@ -192,7 +192,7 @@
 	var sizes []int
 	for range 5 {
 		sizes = append(sizes, m.tick(time.Minute))
-		m.done(store.Result{Outcome: store.NotDone})
+		m.done(store.Result{Outcome: store.NotApplied})
 	}
 	if !slices.Equal(sizes, []int{8, 4, 2, 1, 1}) {
 		t.Errorf("batches of %v", sizes)
@@ -209,7 +209,7 @@
 func TestConflictsAreLeftOut(t *testing.T) {
 	m := newMover(24, 3)
 	m.tick(0)
-	m.done(store.Result{Outcome: store.Conflict, Failed: []string{Key("req-b")}})
+	m.done(store.Result{Outcome: store.Conflict, FailedKeys: []string{Key("req-b")}})
 	if n := m.tick(pauseFor); n != 2 {
 		t.Errorf("%d jobs in the next batch, and one of three was moved before", n)
 	}
@@ -218,7 +218,7 @@
 			t.Error("the job whose answer stands is tried again at once")
 		}
 	}
-	m.Gone("req-b")
+	m.ForgetConflict("req-b")
 	if len(m.met) != 0 {
 		t.Errorf("remembered: %v", m.met)
 	}
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -123,7 +123,7 @@
 	if s.submits < 3 {
 		n := s
 		n.submits++
-		t := store.Txn{If: []store.Cond{{Key: recordKey}, Absent(modelID)}, Then: []store.Op{{Put: recordKey}}}
+		t := store.Txn{If: []store.Condition{{Key: recordKey}, Absent(modelID)}, Then: []store.Op{{Put: recordKey}}}
 		if g.lateSubmission {
 			t.If = t.If[:1]
 		}
@@ -261,7 +261,7 @@
 // The transactions of the real code depend on what the model says they do.
 func TestConditionsOfAMove(t *testing.T) {
 	x := transaction([]Candidate{{ID: modelID, Version: 7, Answer: Answer{jobs.Done, 2, 2}}})
-	if want := []store.Cond{{Key: recordKey, Version: 7}, {Key: answerKey}}; !slices.Equal(x.If, want) {
+	if want := []store.Condition{{Key: recordKey, Version: 7}, {Key: answerKey}}; !slices.Equal(x.If, want) {
 		t.Errorf("conditions %v", x.If)
 	}
 	if got := fmt.Sprintf("%s %s", x.Then[0].Put, x.Then[1].Delete); got != answerKey+" "+recordKey {
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -34,22 +34,22 @@
 
 // Env is what a mover needs of its surroundings.
 type Env struct {
-	// MayWrite tells whether a transaction with n changes may go out now, without taking the place of anybody's who
+	// CanWrite tells whether a transaction with n changes may go out now, without taking the place of anybody's who
 	// waits for an answer.
-	MayWrite func(n int) bool
+	CanWrite func(n int) bool
 	// Commit sends a transaction under the leader's guard.
 	Commit func(store.Txn, func(store.Result))
 	// Now is the steady clock, for answers.
 	Now func() time.Duration
-	// Moved is told of each job whose move is durable.
-	Moved func(id string, a Answer)
+	// OnArchived is told of each job whose move is durable.
+	OnArchived func(id string, a Answer)
 	// TxnOps bounds the changes in one transaction, WritesPerS those that the state service takes in a second.
 	TxnOps     int
 	WritesPerS float64
 }
 
-// Figures count what a mover has done in its term.
-type Figures struct {
+// Stats count what a mover has done in its term.
+type Stats struct {
 	Moved   uint64 // jobs
 	Batches uint64 // transactions that were carried out
 	Failed  uint64 // transactions that weren't, as far as is known
@@ -80,11 +80,11 @@
 // out, and a job that may be moved may always be moved.
 type Mover struct {
 	Env
-	state   State
-	until   time.Duration // of the pause
-	batch   int           // most jobs in the next batch
-	met     map[string]time.Duration
-	Figures Figures
+	state State
+	until time.Duration // of the pause
+	batch int           // most jobs in the next batch
+	met   map[string]time.Duration
+	Stats Stats
 }
 
 // NewMover starts a term.
@@ -98,7 +98,7 @@
 func (m *Mover) State() State { return m.state }
 
 // most is how many jobs a batch may hold at most: each takes two changes.
-func (m *Mover) most() int { return min(mostJobs, m.TxnOps/LeastTxnOps) }
+func (m *Mover) most() int { return min(mostJobs, m.TxnOps/MinTxnOps) }
 
 // to is the only place where the state changes.
 func (m *Mover) to(s State) { m.state = s }
@@ -110,7 +110,7 @@
 	if m.state == Waiting && now >= m.until {
 		m.to(Idle)
 	}
-	if m.state != Idle || m.batch < 1 || !m.MayWrite(LeastTxnOps) {
+	if m.state != Idle || m.batch < 1 || !m.CanWrite(MinTxnOps) {
 		return
 	}
 	var batch []Candidate
@@ -119,7 +119,7 @@
 			return true
 		}
 		batch = append(batch, c)
-		return len(batch) < m.batch && m.MayWrite(LeastTxnOps*(len(batch)+1))
+		return len(batch) < m.batch && m.CanWrite(MinTxnOps*(len(batch)+1))
 	})
 	if len(batch) == 0 {
 		return
@@ -135,7 +135,7 @@
 	if backlog {
 		part = backlogPart
 	}
-	return time.Duration(float64(LeastTxnOps*jobs) / (m.WritesPerS * part) * float64(time.Second))
+	return time.Duration(float64(MinTxnOps*jobs) / (m.WritesPerS * part) * float64(time.Second))
 }
 
 // settling tells whether a job's move has met a condition that didn't hold, not long ago.
@@ -152,7 +152,7 @@
 func transaction(batch []Candidate) store.Txn {
 	t := store.Txn{}
 	for _, c := range batch {
-		t.If = append(t.If, store.Cond{Key: jobs.RecordKey(c.ID), Version: c.Version}, Absent(c.ID))
+		t.If = append(t.If, store.Condition{Key: jobs.RecordKey(c.ID), Version: c.Version}, Absent(c.ID))
 		t.Then = append(t.Then, store.Op{Put: Key(c.ID), Value: Encode(c.Answer)}, store.Op{Delete: jobs.RecordKey(c.ID)})
 	}
 	return t
@@ -162,25 +162,25 @@
 func (m *Mover) outcome(batch []Candidate, r store.Result) {
 	now := m.Now()
 	if r.Outcome == store.Committed {
-		m.Figures.Moved += uint64(len(batch))
-		m.Figures.Batches++
+		m.Stats.Moved += uint64(len(batch))
+		m.Stats.Batches++
 		m.batch = min(m.most(), m.batch+1)
 		for _, c := range batch {
 			m.met[c.ID] = now + settleFor // until its record is seen to be gone
-			m.Moved(c.ID, c.Answer)
+			m.OnArchived(c.ID, c.Answer)
 		}
 		m.to(Waiting)
 		return
 	}
-	m.Figures.Failed++
+	m.Stats.Failed++
 	if r.Outcome == store.Conflict {
-		m.conflict(now, batch, r.Failed)
+		m.conflict(now, batch, r.FailedKeys)
 	} else {
 		// A transaction that is larger than the service takes is refused like one beyond its rate. Its limits may
 		// shrink without notice, so the next batch is smaller.
 		m.batch = max(1, m.batch/2)
 	}
-	slog.Debug("ended jobs were not moved", "outcome", r.Outcome.String(), "jobs", len(batch), "failed", r.Failed)
+	slog.Debug("ended jobs were not moved", "outcome", r.Outcome.String(), "jobs", len(batch), "failed", r.FailedKeys)
 	m.until = max(m.until, now+pauseFor)
 	m.to(Waiting)
 }
@@ -198,5 +198,5 @@
 	}
 }
 
-// Gone forgets what is remembered of a job whose record is seen to be gone.
-func (m *Mover) Gone(id string) { delete(m.met, id) }
+// ForgetConflict forgets what is remembered of a job whose record is seen to be gone.
+func (m *Mover) ForgetConflict(id string) { delete(m.met, id) }
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -10,7 +10,7 @@
 
 // Store is what a Reader needs of the state service's client.
 type Store interface {
-	Get(key string, class store.Class, done func(store.Item, error))
+	Get(key string, class store.Priority, done func(store.Item, error))
 }
 
 // Reader finds answers. What it has found it keeps in a cache of bounded size: an answer never changes, so nothing in
@@ -32,19 +32,19 @@
 	return &Reader{store: s, cache: cache}
 }
 
-// Known gives an answer that is in the cache.
-func (r *Reader) Known(id string) (Answer, bool) { return r.cache.Get(id) }
+// Cached gives an answer that is in the cache.
+func (r *Reader) Cached(id string) (Answer, bool) { return r.cache.Get(id) }
 
-// Learn keeps an answer that is durable.
-func (r *Reader) Learn(id string, a Answer) { r.cache.Add(id, a) }
+// Remember keeps an answer that is durable.
+func (r *Reader) Remember(id string, a Answer) { r.cache.Add(id, a) }
 
-// Cached is how many answers are in memory.
-func (r *Reader) Cached() int { return r.cache.Len() }
+// CacheLen is how many answers are in memory.
+func (r *Reader) CacheLen() int { return r.cache.Len() }
 
 // Find reads a job's answer. found is false if there was none when the state service carried out the read; that says
 // that the job was never accepted only if its record was seen to be absent before.
-func (r *Reader) Find(id string, class store.Class, done func(a Answer, found bool, err error)) {
-	if a, ok := r.Known(id); ok {
+func (r *Reader) Find(id string, class store.Priority, done func(a Answer, found bool, err error)) {
+	if a, ok := r.Cached(id); ok {
 		done(a, true, nil)
 		return
 	}
@@ -64,7 +64,7 @@
 		if r.Readable != nil {
 			r.Readable(it.Key)
 		}
-		r.Learn(id, a)
+		r.Remember(id, a)
 		done(a, true, nil)
 	})
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -65,8 +65,8 @@
 		boots: map[string]*boot{}, took: bootTimes{}, zones: map[int32]int{}, refused: map[offer]time.Duration{}, toReturn: map[string]string{}, gone: map[string]time.Duration{},
 	}
 	z := s.Zones()
-	m.Zones = zones.New(zones.Config{Patience: z.Patience, Prove: z.Prove, Calm: z.Calm, Most: z.Most, Turned: m.zoneTurned})
-	f.Zones = func(zone int32, w zones.Work) bool { return m.Zones.Takes(f.Now(), zone, w) }
+	m.Zones = zones.New(zones.Config{ReturnGrace: z.Patience, ProbationTime: z.Prove, FlapForgiveness: z.Calm, MaxProbation: z.Most, OnStateChange: m.zoneTurned})
+	f.Zones = func(zone int32, w zones.WorkKind) bool { return m.Zones.AcceptsWork(f.Now(), zone, w) }
 	return m
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -131,7 +131,7 @@
 	b.rev++
 	sp := &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", b.rev), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
-		CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 100, Spot: spot,
+		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 100, Spot: spot,
 	}
 	j, _, err := b.book.Apply(sp.ID, jobs.EncodeRecord(jobs.Pending, 0, tasks, sp), b.rev)
 	if err != nil {
--- a/internal/capacity/cloud.go
+++ b/internal/capacity/cloud.go
@@ -66,7 +66,7 @@
 }
 
 func (c *Cloud) call(method, path string, body any, done func(httpio.Response)) bool {
-	if !c.budget.Has(c.now(), 1, store.Safety) {
+	if !c.budget.Allows(c.now(), 1, store.SafetyPriority) {
 		return false
 	}
 	c.budget.Take(1)
--- a/internal/capacity/judge.go
+++ b/internal/capacity/judge.go
@@ -49,7 +49,7 @@
 	trust := steady && silent > 0 && silent <= max(1, up/4)
 	for _, m := range c.Fleet.Machines() {
 		quiet := now - m.Heard
-		if quiet > limit && c.Zones.Keeps(now, m.Zone, c.cutPatience(m)) {
+		if quiet > limit && c.Zones.RetainsMachines(now, m.Zone, c.cutPatience(m)) {
 			continue
 		}
 		switch m.Condition {
@@ -86,7 +86,7 @@
 // zoneTurned tells of a zone's change of state.
 func (c *Manager) zoneTurned(now time.Duration, zone int32, from, to zones.State, n zones.Count) {
 	slog.Info("zone", "name", c.Names.Zones.Name(zone), "from", from.String(), "to", to.String(), "machines", n.Machines, "quiet", n.Quiet, "silent", n.Silent,
-		"flaps", c.Zones.Of(zone).Flaps, "term", c.Term)
+		"flaps", c.Zones.Zone(zone).Flaps, "term", c.Term)
 	c.Fleet.Events.Add(events.Event{At: now, Kind: events.Zone, Task: events.None, Machine: events.None, Note: c.Names.Zones.Name(zone) + " " + to.String()})
 }
 
@@ -113,11 +113,11 @@
 		}
 		counts[m.Zone] = n
 	}
-	c.Zones.Judge(now, counts)
+	c.Zones.Evaluate(now, counts)
 	late := c.Fleet.HearWithin()
 	for _, m := range c.Fleet.Machines() {
 		if q := now - max(m.Heard, c.since); m.Condition == fleet.Acting && q > quiet {
-			if st := c.Zones.Of(m.Zone).State; st == zones.Lost || st == zones.Returning || q > late {
+			if st := c.Zones.Zone(m.Zone).State; st == zones.Lost || st == zones.Returning || q > late {
 				c.Fleet.SetAside(m)
 			}
 		}
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -255,7 +255,7 @@
 				if spot {
 					p = t.Spot
 				}
-				if full(zone) || !c.Zones.Rents(zone) || p <= 0 || !j.Allows(ty, zone, spot) || now < c.refused[o] {
+				if full(zone) || !c.Zones.AllowsRenting(zone) || p <= 0 || !j.Allows(ty, zone, spot) || now < c.refused[o] {
 					continue
 				}
 				// A task must not take a GPU machine it has no use for, and zones are
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -45,7 +45,7 @@
 		a.CacheEntries = max(leastCacheItems, int(s.Params.Limits.Memory()*cacheEntriesMB))
 	}
 	limits := s.Params.State.Limits()
-	a.Problem = archive.Fits(limits.Ops, limits.Value)
+	a.Problem = archive.Fits(limits.MaxOps, limits.MaxValueBytes)
 	return a
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -76,13 +76,13 @@
 // Limits are those that every transaction keeps to: the smaller of the present and of the announced ones, from the start,
 // so that nothing that is stored has to shrink when the moment comes.
 func (s State) Limits() store.Limits {
-	l := store.Limits{Ops: s.TxnOps, Value: int(s.ValueKB * bytesPerKilo)}
+	l := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKilo)}
 	if n := s.Next; n != nil {
 		if n.TxnOps > 0 {
-			l.Ops = min(l.Ops, n.TxnOps)
+			l.MaxOps = min(l.MaxOps, n.TxnOps)
 		}
 		if n.ValueKB > 0 {
-			l.Value = min(l.Value, int(n.ValueKB*bytesPerKilo))
+			l.MaxValueBytes = min(l.MaxValueBytes, int(n.ValueKB*bytesPerKilo))
 		}
 	}
 	return l
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -18,19 +18,19 @@
 // newReader makes what finds archived answers.
 func (c *Controller) newReader(entries int) *archive.Reader {
 	r := archive.NewReader(c.store, entries)
-	r.Unreadable = func(key string, raw json.RawMessage, cause error) { c.roll.Unreadable(key, raw, cause) }
-	r.Readable = func(key string) { c.roll.Readable(key) }
+	r.Unreadable = func(key string, raw json.RawMessage, cause error) { c.roll.MarkUnreadable(key, raw, cause) }
+	r.Readable = func(key string) { c.roll.MarkReadable(key) }
 	return r
 }
 
 // newMover makes what moves ended jobs into the archive, for a term.
 func (c *Controller) newMover() *archive.Mover {
 	return archive.NewMover(archive.Env{
-		MayWrite: func(n int) bool { return n <= c.store.Limits().Ops && c.store.SpareFor(n) },
-		Commit:   func(t store.Txn, done func(store.Result)) { c.commit(t, store.Bulk, done) },
-		Now:      c.loop.Now,
-		Moved:    c.archived.Learn,
-		TxnOps:   c.s.Params.State.Limits().Ops, WritesPerS: c.s.Params.State.WriteRPS,
+		CanWrite:   func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
+		Commit:     func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
+		Now:        c.loop.Now,
+		OnArchived: c.archived.Remember,
+		TxnOps:     c.s.Params.State.Limits().MaxOps, WritesPerS: c.s.Params.State.WriteRPS,
 	})
 }
 
@@ -41,18 +41,18 @@
 	}
 	c.archiveAt = now
 	c.mover.Tick(now, c.backlog(now), func(take func(archive.Candidate) bool) {
-		c.jobs.Ended(now-c.archive.Retain, func(j *jobs.Job) bool {
+		c.jobs.ForEachEnded(now-c.archive.Retain, func(j *jobs.Job) bool {
 			if !c.settled(j) {
 				return true
 			}
-			return take(archive.Candidate{ID: j.ID, Version: j.Version, Answer: archive.Answer{Stance: j.Stance, Tasks: j.N, Done: j.DoneN}})
+			return take(archive.Candidate{ID: j.ID, Version: j.Version, Answer: archive.Answer{State: j.State, Tasks: j.TaskCount, Done: j.FinishedTasks}})
 		})
 	})
 }
 
 // backlog tells whether some ended job has waited for more than twice the time for which it is retained.
 func (c *Controller) backlog(now time.Duration) (late bool) {
-	c.jobs.Ended(now-2*c.archive.Retain, func(j *jobs.Job) bool {
+	c.jobs.ForEachEnded(now-2*c.archive.Retain, func(j *jobs.Job) bool {
 		late = c.settled(j)
 		return !late
 	})
@@ -64,7 +64,7 @@
 	if c.sess != nil && c.sess.Stands(j.ID) {
 		return false
 	}
-	return c.fleet.Settled(j) && !c.jobs.Unread(j.ID)
+	return c.fleet.Settled(j) && !c.jobs.IsUnreadable(j.ID)
 }
 
 // recordGone takes over that a job's record has left the followed keys.
@@ -72,7 +72,7 @@
 	id := strings.TrimPrefix(key, jobs.Prefix)
 	c.jobs.Archive(id, version)
 	if c.mover != nil {
-		c.mover.Gone(id)
+		c.mover.ForgetConflict(id)
 	}
 }
 
@@ -100,7 +100,7 @@
 
 // archiveStatus is told by the leader.
 func (c *Controller) archiveStatus() ArchiveStatus {
-	s := ArchiveStatus{Moved: c.mover.Figures.Moved, Waiting: c.jobs.Len() - c.liveJobs(), RetainS: c.archive.Retain.Seconds(), State: c.mover.State().String()}
+	s := ArchiveStatus{Moved: c.mover.Stats.Moved, Waiting: c.jobs.Len() - c.liveJobs(), RetainS: c.archive.Retain.Seconds(), State: c.mover.State().String()}
 	switch {
 	case c.archive.Problem != nil:
 		s.Problem = c.archive.Problem.Error()
@@ -119,8 +119,8 @@
 
 // resetKeys takes a new reading of all followed keys: what it lacks is gone.
 func (c *Controller) resetKeys(items []store.Item) {
-	c.roll.Reset(items)
-	c.mem.Reset(c.loop.Now(), items)
+	c.roll.HandleReset(items)
+	c.mem.HandleReset(c.loop.Now(), items)
 	present := make(map[string]bool, len(items))
 	for _, it := range items {
 		present[it.Key] = true
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -110,14 +110,14 @@
 			version++
 			ix := book.Get(ids(old)).Index
 			book.Archive(ids(old), version)
-			if book.At(ix) != nil {
+			if book.ByIndex(ix) != nil {
 				t.Fatal("an index of a job that has left finds one")
 			}
 		}
 	}
 	n, ended := 0, 0
-	book.All(func(*jobs.Job) { n++ })
-	book.Ended(time.Hour, func(*jobs.Job) bool { ended++; return true })
+	book.ForEach(func(*jobs.Job) { n++ })
+	book.ForEachEnded(time.Hour, func(*jobs.Job) bool { ended++; return true })
 	if n != live || book.Len() != live || book.LiveTasks() != live || ended != 0 {
 		t.Errorf("%d jobs, %d by id, %d live tasks, %d ended, and %d are live", n, book.Len(), book.LiveTasks(), ended, live)
 	}
@@ -128,7 +128,7 @@
 	c, _, _ := following(t)
 	c.sess = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
 	c.sess.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
-	if c.settled(&jobs.Job{ID: "req-000001", Stance: jobs.Done}) {
+	if c.settled(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
 		t.Error("the job of a session that is recorded may be archived")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -65,7 +65,7 @@
 	seats httpio.Sender // to licence servers
 	pools *licences.Catalog
 	store *store.Client
-	mir   *store.Mirror
+	mir   *store.WatchCache
 	mem   *membership.Membership
 	roll  *rollout.Rollout
 	jobs  *jobs.Table
@@ -156,19 +156,19 @@
 	c.jobs.Names.Pools = c.pools
 	c.quota = quota.New(s.Params.Teams, c.jobs.Names.Teams.Index)
 	c.cloud = capacity.NewCloud(s.Services.Cloud, c.send, c.loop.Now, s.Params.Cloud.RPS*0.9)
-	c.mir = store.NewMirror(c.store, hot, s.PictureFor())
+	c.mir = store.NewWatchCache(c.store, hot, s.PictureFor())
 	c.roll = c.newRollout()
 	c.mem = membership.New(membership.Config{
-		Rollout: member{c.roll, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), Picture: s.PictureFor(), Rng: c.rng,
-		OnLead: c.lead, OnLose: c.lose,
-	}, c.store, c.mir.Fresh)
+		Rollout: member{c.roll, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), StalenessBound: s.PictureFor(), Rng: c.rng,
+		OnElected: c.lead, OnDeposed: c.lose,
+	}, c.store, c.mir.FreshAt)
 	c.mir.OnItem = func(it store.Item) { c.item(c.loop.Now(), it) }
-	c.mir.OnDrop = func(k string, v uint64) {
+	c.mir.OnDelete = func(k string, v uint64) {
 		if strings.HasPrefix(k, jobs.Prefix) {
 			c.recordGone(k, v)
 		}
-		c.roll.Drop(k, v)
-		c.mem.Drop(c.loop.Now(), k, v)
+		c.roll.HandleDelete(k, v)
+		c.mem.HandleDelete(c.loop.Now(), k, v)
 		c.pools.Drop(k, v)
 		if k == operate.Key {
 			c.wished(nil, v)
@@ -176,13 +176,13 @@
 		c.drains.Drop(k, v)
 	}
 	c.mir.OnReset = c.resetKeys
-	c.mir.OnSynced = func() { c.roll.Synced(); c.mem.Synced(c.loop.Now()) }
+	c.mir.OnSynced = func() { c.roll.HandleSynced(); c.mem.HandleSynced(c.loop.Now()) }
 	c.archive = s.Archive()
 	c.archived = c.newReader(c.archive.CacheEntries)
 	c.in = intake.New(intake.Env{
 		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.mir.Synced,
-		Counts: c.counts, Learned: c.learned, Guard: c.roll.Guard, Fit: c.roll.Fit, TxnOps: s.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: s.Params.Limits.Tasks(),
-		MaxBytes: s.Params.Limits.QueueBytes(), MaxValue: s.Params.State.Limits().Value,
+		Counts: c.counts, Learned: c.learned, Guard: c.roll.LevelCondition, Fit: c.roll.Compatible, TxnOps: s.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: s.Params.Limits.Tasks(),
+		MaxBytes: s.Params.Limits.QueueBytes(), MaxValue: s.Params.State.Limits().MaxValueBytes,
 	})
 	return c
 }
@@ -280,7 +280,7 @@
 	if c.fleet == nil {
 		return
 	}
-	auth := c.mem.Authority(now)
+	auth := c.mem.HasAuthority(now)
 	if !auth && c.blind(now) {
 		c.mem.Resign(now, "the followed keys are too old")
 		return
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -87,7 +87,7 @@
 // leave gives up the lead, or the hold of one that doesn't lead, so that nobody waits for it.
 func (c *Controller) leave(now time.Duration, cause string) {
 	c.turn(now, Leaving, cause)
-	c.mem.Leave(now)
+	c.mem.Withdraw(now)
 	c.calm = now
 }
 
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -45,10 +45,10 @@
 // drainItem takes over the drain request of a machine.
 func (c *Controller) drainItem(it store.Item) {
 	if err := c.drains.Item(it.Key, it.Value, it.Version); err != nil {
-		c.roll.Unreadable(it.Key, it.Value, err)
+		c.roll.MarkUnreadable(it.Key, it.Value, err)
 		return
 	}
-	c.roll.Readable(it.Key)
+	c.roll.MarkReadable(it.Key)
 }
 
 // drainMachines has the fleet drain what operators want drained, and keeps the requests.
@@ -61,7 +61,7 @@
 		m, ok := want.Machine(machine)
 		return ok, m.Stop, m.By
 	})
-	if c.upkeep.busy || !c.mem.Authority(now) {
+	if c.upkeep.busy || !c.mem.HasAuthority(now) {
 		return
 	}
 	if c.moveDrains(now, want) {
@@ -88,13 +88,13 @@
 	}
 	c.upkeep.movedAt = now
 	most := c.spareDrains()
-	move, due := want.NextMove(most, c.store.Limits().Value, c.machineGone)
+	move, due := want.NextMove(most, c.store.Limits().MaxValueBytes, c.machineGone)
 	if !due || most == 0 {
 		return false
 	}
 	t := store.Txn{If: c.documentConds()}
 	for _, key := range slices.Sorted(maps.Keys(move.Keys)) {
-		t.If = append(t.If, store.Cond{Key: key})
+		t.If = append(t.If, store.Condition{Key: key})
 		t.Then = append(t.Then, store.Op{Put: key, Value: move.Keys[key]})
 	}
 	if len(t.Then) == 0 {
@@ -106,8 +106,8 @@
 
 // spareDrains is how many changes a transaction that nobody waits for may make now.
 func (c *Controller) spareDrains() int {
-	n := min(sweptAtOnce, c.store.Limits().Ops)
-	for n > 0 && !c.store.SpareFor(n) {
+	n := min(sweptAtOnce, c.store.Limits().MaxOps)
+	for n > 0 && !c.store.HasSpareWritesFor(n) {
 		n /= 2
 	}
 	return n
@@ -122,10 +122,10 @@
 		}
 		return
 	}
-	t := store.Txn{If: []store.Cond{c.roll.Guard()}}
+	t := store.Txn{If: []store.Condition{c.roll.LevelCondition()}}
 	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
 		s, _ := c.drains.Of(name)
-		t.If = append(t.If, store.Cond{Key: operate.DrainKey(name), Version: s.Version})
+		t.If = append(t.If, store.Condition{Key: operate.DrainKey(name), Version: s.Version})
 		t.Then = append(t.Then, store.Op{Delete: operate.DrainKey(name)})
 	}
 	if len(t.Then) > 0 {
@@ -161,20 +161,20 @@
 // keepDrains sends a transaction that nobody waits for.
 func (c *Controller) keepDrains(t store.Txn) {
 	c.upkeep.busy = true
-	c.commit(t, store.Bulk, func(r store.Result) {
+	c.commit(t, store.BulkPriority, func(r store.Result) {
 		c.upkeep.busy = false
 		if r.Outcome == store.Committed {
 			c.operatorsWrote(t, r.Revision)
 		} else {
-			slog.Info("drain requests not kept", "outcome", r.Outcome.String(), "failed", r.Failed)
+			slog.Info("drain requests not kept", "outcome", r.Outcome.String(), "failed", r.FailedKeys)
 		}
 	})
 }
 
 // documentConds are what a write that was decided by the document depends on: its version, and the level, which says
 // where requests belong.
-func (c *Controller) documentConds() []store.Cond {
-	return []store.Cond{c.roll.Guard(), {Key: operate.Key, Version: c.wishesVer}}
+func (c *Controller) documentConds() []store.Condition {
+	return []store.Condition{c.roll.LevelCondition(), {Key: operate.Key, Version: c.wishesVer}}
 }
 
 func documentOp(w operate.Wishes) store.Op {
@@ -187,7 +187,7 @@
 	t := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
 	if ch.Machine != "" {
 		key := operate.DrainKey(ch.Machine)
-		t.If = append(t.If, store.Cond{Key: key, Version: ch.Version})
+		t.If = append(t.If, store.Condition{Key: key, Version: ch.Version})
 		switch {
 		case ch.Put != nil:
 			t.Then = append(t.Then, store.Op{Put: key, Value: ch.Put})
@@ -195,7 +195,7 @@
 			t.Then = append(t.Then, store.Op{Delete: key})
 		}
 	}
-	c.commit(t, store.Ordinary, func(r store.Result) {
+	c.commit(t, store.NormalPriority, func(r store.Result) {
 		if r.Outcome == store.Committed {
 			c.operatorsWrote(t, r.Revision)
 		}
--- a/internal/controller/handon.go
+++ b/internal/controller/handon.go
@@ -36,7 +36,7 @@
 // blind tells that the followed keys have been too old to act on for a while, though the service answers and the hold
 // is renewed: a leader whose watches are lost would keep everybody else from leading, and act for nobody.
 func (c *Controller) blind(now time.Duration) bool {
-	return now-c.mir.Fresh() > c.s.PictureFor()+c.s.HoldTTL() && now-c.store.LastOK() < time.Second
+	return now-c.mir.FreshAt() > c.s.PictureFor()+c.s.HoldTTL() && now-c.store.LastSuccess() < time.Second
 }
 
 // soonest is how long nobody must have been heard before a leader hands on because many workers ask others: for
--- a/internal/controller/leadercalls.go
+++ b/internal/controller/leadercalls.go
@@ -15,7 +15,7 @@
 // leaderCall answers such a request, or says who leads.
 func (c *Controller) leaderCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
 	switch {
-	case q.What == "rollout" && q.Verb == "show" && (!c.roll.Fit() || c.mem.Leader().Node == ""):
+	case q.What == "rollout" && q.Verb == "show" && (!c.roll.Compatible() || c.mem.Leader().Node == ""):
 		c.rolloutShow(now, reply) // what it knows itself: it may be what is in the way
 	case c.mem.State() != membership.Leading || c.fleet == nil:
 		l := c.mem.Leader()
@@ -28,7 +28,7 @@
 			Leader string `json:"leader"`
 			Secure string `json:"leader_tls,omitempty"`
 		}{"only the leader knows", l.Public, l.Secure}})
-	case !c.mem.Authority(now) || !c.fleet.Loaded():
+	case !c.mem.HasAuthority(now) || !c.fleet.Loaded():
 		reply(intake.Refuse(503, "the leader may not act now"))
 	case q.What == "rollout":
 		c.rolloutCall(now, q, reply)
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -49,7 +49,7 @@
 // counted takes over a count that was set.
 func (c *Controller) counted(it store.Item) {
 	if err := c.pools.Item(it.Key, it.Value, it.Version); err != nil {
-		c.roll.Unreadable(it.Key, it.Value, err)
+		c.roll.MarkUnreadable(it.Key, it.Value, err)
 	}
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	f := c.fleet
-	c.store.Txn(store.Txn{If: []store.Cond{c.mem.Guard(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.Ordinary, func(r store.Result) {
+	c.store.Txn(store.Txn{If: []store.Condition{c.mem.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(r store.Result) {
 		switch {
 		case r.Outcome == store.Committed && c.fleet == f:
 			if s.Reset {
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -111,7 +111,7 @@
 	}
 	var found []Listed
 	after := q.Query["since"]
-	c.jobs.All(func(j *jobs.Job) {
+	c.jobs.ForEach(func(j *jobs.Job) {
 		if j.ID > after {
 			if l := c.listed(now, j); f.Match(&l, ListFields) {
 				found = append(found, l)
@@ -124,14 +124,14 @@
 }
 
 func (c *Controller) listed(now time.Duration, j *jobs.Job) Listed {
-	l := Listed{ID: j.ID, Stance: j.Stance.String(), Tasks: j.N, Done: j.DoneN}
+	l := Listed{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Done: j.FinishedTasks}
 	if s := j.Spec; s != nil {
 		l.Class, l.Team, l.Kind, l.Priority = s.Class, s.Team, string(s.Kind), s.Priority
-		l.AgeS = max(0, (now - j.At).Seconds())
+		l.AgeS = max(0, (now - j.SubmittedAt).Seconds())
 	}
-	if j.Stance == jobs.Pending {
+	if j.State == jobs.Pending {
 		l.Done, l.Running = c.counts(j)
-		l.Waiting = j.N - l.Done - l.Running
+		l.Waiting = j.TaskCount - l.Done - l.Running
 		if l.Running > 0 {
 			l.Stance = "running"
 		}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -82,7 +82,7 @@
 
 // liveJobs is the number of jobs that are not over.
 func (c *Controller) liveJobs() (n int) {
-	c.jobs.Live(func(*jobs.Job) { n++ })
+	c.jobs.ForEachLive(func(*jobs.Job) { n++ })
 	return n
 }
 
@@ -97,36 +97,36 @@
 func (c *Controller) figures(now, asked time.Duration) (ms []metric) {
 	add := func(d *prometheus.Desc, v float64, labels ...string) { ms = append(ms, metric{d, v, labels}) }
 	add(upDesc, one(c.up()))
-	add(leadingDesc, one(c.mem.State() == membership.Leading && c.mem.Authority(now)))
+	add(leadingDesc, one(c.mem.State() == membership.Leading && c.mem.HasAuthority(now)))
 	add(termDesc, float64(c.mem.Leader().Term))
-	add(stateDesc, (now - c.store.LastOK()).Seconds())
+	add(stateDesc, (now - c.store.LastSuccess()).Seconds())
 	add(lagDesc, (now - asked).Seconds())
 	add(jobsDesc, float64(c.liveJobs()))
 	limits := c.store.Limits()
-	add(limitDesc, float64(limits.Ops), "changes")
-	add(limitDesc, float64(limits.Value), "value_bytes")
-	size, rate := c.store.Refusals()
+	add(limitDesc, float64(limits.MaxOps), "changes")
+	add(limitDesc, float64(limits.MaxValueBytes), "value_bytes")
+	size, rate := c.store.Rejections()
 	add(refusedDesc, float64(size), "size")
 	add(refusedDesc, float64(rate), "rate")
 	add(knownDesc, float64(c.jobs.Len()))
-	add(cachedDesc, float64(c.archived.Cached()))
+	add(cachedDesc, float64(c.archived.CacheLen()))
 	add(levelDesc, float64(c.roll.Level()), "cluster")
-	add(levelDesc, float64(c.roll.Knows()), "known")
-	for s := rollout.Reading; s <= rollout.Behind; s++ {
+	add(levelDesc, float64(c.roll.MaxLevel()), "known")
+	for s := rollout.Loading; s <= rollout.Incompatible; s++ {
 		add(rolloutDesc, one(s == c.roll.State()), s.String())
 	}
-	add(unreadDesc, float64(c.roll.Unread()))
+	add(unreadDesc, float64(c.roll.UnreadableCount()))
 	if c.fleet == nil || !c.fleet.Loaded() {
 		return ms
 	}
 	if c.roll.State() == rollout.Migrating {
 		add(movingDesc, float64(c.fleet.OldPlans()))
 	}
-	add(archivedDesc, float64(c.mover.Figures.Moved))
-	tasks := map[jobs.State]int{}
-	c.jobs.Live(func(j *jobs.Job) {
-		for s, n := range j.In {
-			tasks[jobs.State(s)] += n
+	add(archivedDesc, float64(c.mover.Stats.Moved))
+	tasks := map[jobs.TaskState]int{}
+	c.jobs.ForEachLive(func(j *jobs.Job) {
+		for s, n := range j.TasksByState {
+			tasks[jobs.TaskState(s)] += n
 		}
 	})
 	for s := jobs.Unplanned; s <= jobs.Finished; s++ {
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -23,7 +23,7 @@
 	if raw != nil {
 		var err error
 		if w, err = operate.Parse(raw); err != nil {
-			c.roll.Unreadable(operate.Key, raw, err)
+			c.roll.MarkUnreadable(operate.Key, raw, err)
 			return
 		}
 	}
@@ -41,7 +41,7 @@
 	case !drained && c.life == Parked:
 		c.parks = false
 		c.in.Resume()
-		c.mem.Return(now)
+		c.mem.Rejoin(now)
 		c.turn(now, Serving, "operators want it back")
 	}
 	c.drainMachines(now)
--- a/internal/controller/outside.go
+++ b/internal/controller/outside.go
@@ -58,7 +58,7 @@
 }
 
 // Leads tells whether it leads and may act.
-func (s *Simulated) Leads() bool { return s.c.fleet != nil && s.c.mem.Authority(s.c.loop.Now()) }
+func (s *Simulated) Leads() bool { return s.c.fleet != nil && s.c.mem.HasAuthority(s.c.loop.Now()) }
 
 // Step is where it stands between arriving and leading.
 func (s *Simulated) Step() string { return s.c.mem.State().String() }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -29,15 +29,15 @@
 	case it.Key == typesKey:
 		types, err := capacity.ParseTypes(it.Value)
 		if err != nil {
-			c.roll.Unreadable(it.Key, it.Value, err)
+			c.roll.MarkUnreadable(it.Key, it.Value, err)
 		} else if it.Version > c.typesVer {
 			c.typesVer = it.Version
 			c.setTypes(string(it.Value), types)
 		}
 	default:
-		c.roll.Item(it)
-		if err := c.mem.Item(now, it); err != nil {
-			c.roll.Unreadable(it.Key, it.Value, err)
+		c.roll.HandleItem(it)
+		if err := c.mem.HandleItem(now, it); err != nil {
+			c.roll.MarkUnreadable(it.Key, it.Value, err)
 		}
 	}
 }
@@ -55,10 +55,10 @@
 func (c *Controller) record(now time.Duration, it store.Item) {
 	j, changed, err := c.jobs.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
 	if err != nil {
-		c.roll.Unreadable(it.Key, it.Value, err)
+		c.roll.MarkUnreadable(it.Key, it.Value, err)
 		return
 	}
-	if changed && j.Stance.Terminal() {
+	if changed && j.State.Terminal() {
 		j.EndedAt = now
 	}
 	if changed && c.fleet != nil {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -16,14 +16,14 @@
 func (c *Controller) newRollout() *rollout.Rollout {
 	o := c.s.Rollout()
 	cfg := rollout.Config{
-		Node: c.s.Node, Nodes: []rollout.Named{{Node: c.s.Node, Zone: c.s.Zone}}, Release: rollout.Release, Knows: rollout.Newest,
-		Auto: o.Auto, Soak: o.Soak, BornMS: c.jobs.WallMS(c.loop.Now()), Turned: c.rolloutTurned,
+		Node: c.s.Node, Nodes: []rollout.NodeConfig{{Node: c.s.Node, Zone: c.s.Zone}}, Release: rollout.Release, MaxLevel: rollout.Newest,
+		Auto: o.Auto, Soak: o.Soak, StartedAtMS: c.jobs.WallMS(c.loop.Now()), OnStateChange: c.rolloutTurned,
 	}
 	if o.Knows > 0 {
-		cfg.Knows, cfg.Release = o.Knows, o.Release
+		cfg.MaxLevel, cfg.Release = o.Knows, o.Release
 	}
 	for _, p := range c.s.Peers {
-		cfg.Nodes = append(cfg.Nodes, rollout.Named{Node: p.Node, Zone: p.Zone})
+		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: p.Node, Zone: p.Zone})
 	}
 	return rollout.New(cfg)
 }
@@ -40,9 +40,9 @@
 	c *Controller
 }
 
-// Before implements membership.Rollout.
-func (m member) Before() int {
-	return m.Rollout.Before(m.c.jobs.WallMS(m.c.loop.Now()), func(node string) bool {
+// PreferredLeaders implements membership.Rollout.
+func (m member) PreferredLeaders() int {
+	return m.Rollout.PreferredLeaders(m.c.jobs.WallMS(m.c.loop.Now()), func(node string) bool {
 		_, drained := m.c.wishes.Nodes[node]
 		h, heard := m.c.status[node]
 		return drained || (heard && h.Leaving)
@@ -52,17 +52,17 @@
 // rolled goes on with a rollout: every controller judges, the leader acts.
 func (c *Controller) rolled(now time.Duration) {
 	// One that is behind, or has met what it doesn't understand, gives up the lead at once.
-	if !c.roll.Fit() && c.fleet != nil {
+	if !c.roll.Compatible() && c.fleet != nil {
 		c.mem.Resign(now, "this release is behind the cluster's stored state")
 	}
 	if now-c.rolledAt < rollEvery {
 		return
 	}
 	c.rolledAt = now
-	term, work := uint64(0), rollout.Work{}
-	if c.fleet != nil && c.fleet.Loaded() && c.mem.Authority(now) {
+	term, work := uint64(0), rollout.MigrationProgress{}
+	if c.fleet != nil && c.fleet.Loaded() && c.mem.HasAuthority(now) {
 		term = c.mem.Term()
-		c.roll.Heard(now, c.s.Node, c.life == Serving)
+		c.roll.HandleHealth(now, c.s.Node, c.life == Serving)
 		if c.roll.State() == rollout.Migrating {
 			work = c.migrationWork()
 		}
@@ -71,15 +71,15 @@
 	if !due {
 		return
 	}
-	c.commit(t, store.Ordinary, func(r store.Result) { c.roll.Done(c.loop.Now(), t, r) })
+	c.commit(t, store.NormalPriority, func(r store.Result) { c.roll.HandleOutcome(c.loop.Now(), t, r) })
 }
 
 // migrationWork is what is left in former formats. Nothing is done before the followed keys have come past the level's
 // rise: until then something that was written before it may not have been seen.
-func (c *Controller) migrationWork() rollout.Work {
+func (c *Controller) migrationWork() rollout.MigrationProgress {
 	drains := c.drainsLeft()
-	passed := c.mir.Revision() >= c.roll.Guard().Version
-	return rollout.Work{Left: c.fleet.OldPlans() + drains, Done: c.fleet.Migrated() && drains == 0 && passed}
+	passed := c.mir.Revision() >= c.roll.LevelCondition().Version
+	return rollout.MigrationProgress{Left: c.fleet.OldPlans() + drains, Done: c.fleet.Migrated() && drains == 0 && passed}
 }
 
 // rollEvery spaces the looks at a rollout.
@@ -113,7 +113,7 @@
 		reply(intake.Refuse(400, "not a command: "+err.Error()))
 		return
 	}
-	t, err := c.roll.Say(now, cmd, c.jobs.WallMS(now))
+	t, err := c.roll.Execute(now, cmd, c.jobs.WallMS(now))
 	switch {
 	case errors.Is(err, rollout.ErrMalformed):
 		reply(intake.Refuse(400, err.Error()))
@@ -122,12 +122,12 @@
 		reply(intake.Refuse(409, err.Error()))
 		return
 	}
-	c.commit(t, store.Ordinary, func(r store.Result) {
+	c.commit(t, store.NormalPriority, func(r store.Result) {
 		switch r.Outcome {
 		case store.Committed:
 			slog.Info("operators' word on the rollout", "op", cmd.Op, "by", cmd.By)
 			for _, o := range t.Then {
-				c.roll.Item(store.Item{Key: o.Put, Value: o.Value, Version: r.Revision})
+				c.roll.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: r.Revision})
 			}
 			reply(intake.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
 		case store.Conflict:
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -16,9 +16,9 @@
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.roll.Unreadable,
+		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.roll.MarkUnreadable,
 		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
-		Commit: func(t store.Txn, done func(store.Result)) { c.commit(t, store.Ordinary, done) },
+		Commit: func(t store.Txn, done func(store.Result)) { c.commit(t, store.NormalPriority, done) },
 		Task:   c.fleet.SessionTask, Park: c.fleet.Park, Wanted: c.fleet.Wanted,
 	}, term)
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -18,13 +18,13 @@
 	if c.fleet != nil && j.Tasks != nil {
 		return c.fleet.Counts(j)
 	}
-	return j.DoneN, j.RunningN
+	return j.FinishedTasks, j.ReportedRunning
 }
 
 // hear takes what another controller says of itself.
 func (c *Controller) hear(s peers.Status) {
 	c.status[s.Node] = heard{s, c.loop.Now()}
-	c.roll.Heard(c.loop.Now(), s.Node, s.StateOK && !s.Leaving)
+	c.roll.HandleHealth(c.loop.Now(), s.Node, s.StateOK && !s.Leaving)
 	c.display(s)
 }
 
@@ -34,8 +34,8 @@
 		return
 	}
 	for _, n := range s.Counts {
-		if j := c.jobs.Get(n.Job); j != nil && !j.Stance.Terminal() {
-			j.DoneN, j.RunningN = int(n.Done), int(n.Running)
+		if j := c.jobs.Get(n.Job); j != nil && !j.State.Terminal() {
+			j.FinishedTasks, j.ReportedRunning = int(n.Done), int(n.Running)
 		}
 	}
 }
@@ -44,10 +44,10 @@
 // answers nobody, this controller is as good as any other.
 func (c *Controller) up() bool {
 	now := c.loop.Now()
-	if !c.mir.Synced() || len(c.types) == 0 || c.life != Serving || !c.roll.Fit() {
+	if !c.mir.Synced() || len(c.types) == 0 || c.life != Serving || !c.roll.Compatible() {
 		return false
 	}
-	if now-c.store.LastOK() < 3*time.Second {
+	if now-c.store.LastSuccess() < 3*time.Second {
 		return true
 	}
 	peers := false
@@ -71,12 +71,12 @@
 	}
 	c.statusAt = now
 	s := peers.Status{
-		Node: c.s.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastOK() < 2500*time.Millisecond,
+		Node: c.s.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastSuccess() < 2500*time.Millisecond,
 		Workers: c.strays.count(now, config.Seconds(c.s.Params.Workers.ReportS), 0), Leaving: c.life != Serving,
 	}
 	if c.fleet != nil {
 		s.Term = c.mem.Term()
-		c.jobs.Live(func(j *jobs.Job) {
+		c.jobs.ForEachLive(func(j *jobs.Job) {
 			if j.Tasks != nil && len(s.Counts) < peers.MostCounts {
 				d, r := c.fleet.Counts(j)
 				s.Counts = append(s.Counts, peers.Count{Job: j.ID, Done: uint32(d), Running: uint32(r)})
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -18,15 +18,15 @@
 // lead starts a term.
 func (c *Controller) lead(now time.Duration, term uint64) {
 	c.store.SetShare(c.share(true))
-	c.jobs.Recall()
+	c.jobs.RecallArchived()
 	c.fleet = fleet.New(fleet.Env{
 		Settings: c.s, Jobs: c.jobs, Rng: c.rng, TxnOps: c.s.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxOrders: c.s.Params.Limits.Outgoing(workerSlots), Now: c.loop.Now, Learned: c.learned,
 		Types:      func(ix int32) *fleet.Type { return c.byType[ix] },
 		Paged:      func() bool { return c.roll.Level() >= rollout.Paged },
-		Unreadable: c.roll.Unreadable,
-		Room:       func(n int) bool { return c.store.Room(n, store.Bulk) },
-		Spare:      c.store.Spare,
-		Commit:     func(t store.Txn, done func(store.Result)) { c.commit(t, store.Bulk, done) },
+		Unreadable: c.roll.MarkUnreadable,
+		Room:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
+		Spare:      c.store.HasSpareWrites,
+		Commit:     func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
 		Read:       c.read,
 		Order:      c.order,
 		Events:     events.New(keptEvents(c.s.Params.Limits.Memory())),
@@ -41,8 +41,8 @@
 }
 
 // commit sends a transaction of the leader's term; its answer counts only within it.
-func (c *Controller) commit(t store.Txn, class store.Class, done func(store.Result)) {
-	t.If = append([]store.Cond{c.mem.Guard()}, t.If...)
+func (c *Controller) commit(t store.Txn, class store.Priority, done func(store.Result)) {
+	t.If = append([]store.Condition{c.mem.LeaderCondition()}, t.If...)
 	f := c.fleet
 	c.store.Txn(t, class, func(r store.Result) {
 		if c.fleet == f {
@@ -54,7 +54,7 @@
 // read re-reads a key for the leader's term.
 func (c *Controller) read(key string, done func(store.Item, error)) {
 	f := c.fleet
-	c.store.Get(key, store.Safety, func(it store.Item, err error) {
+	c.store.Get(key, store.SafetyPriority, func(it store.Item, err error) {
 		if c.fleet == f {
 			done(it, err)
 		}
@@ -68,8 +68,8 @@
 		c.cap.Close()
 	}
 	c.fleet, c.cap, c.sess, c.mover, c.loading = nil, nil, nil, nil, false
-	c.roll.Lost()
-	c.jobs.Recall()
+	c.roll.HandleLeadLost()
+	c.jobs.RecallArchived()
 }
 
 // order sends commands straight to a machine.
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -83,9 +83,9 @@
 		same := string(raw) == c.typesRaw
 		c.setTypes(string(raw), types)
 		if c.fleet != nil && (!same || c.typesVer == 0) {
-			t := store.Txn{If: []store.Cond{c.mem.Guard()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
-			t.If = append(t.If, store.Cond{Key: typesKey, Version: c.typesVer}) // older prices that land late change nothing
-			c.store.Txn(t, store.Ordinary, func(store.Result) {})
+			t := store.Txn{If: []store.Condition{c.mem.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
+			t.If = append(t.If, store.Condition{Key: typesKey, Version: c.typesVer}) // older prices that land late change nothing
+			c.store.Txn(t, store.NormalPriority, func(store.Result) {})
 		}
 	})
 }
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -36,9 +36,9 @@
 		reply(intake.Refuse(404, notKept))
 		return
 	}
-	w := Why{ID: j.ID, Stance: j.Stance.String(), Tasks: j.N, Waiting: []fleet.Part{}, Nearest: []string{}}
+	w := Why{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Waiting: []fleet.Part{}, Nearest: []string{}}
 	w.Done, w.Running = c.counts(j)
-	if j.Stance == jobs.Pending && j.Tasks != nil {
+	if j.State == jobs.Pending && j.Tasks != nil {
 		if w.Running > 0 {
 			w.Stance = "running"
 		}
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -14,7 +14,7 @@
 func (c *Controller) report(now time.Duration, r *fleet.Report, reply func(intake.Reply)) {
 	no := intake.Reply{Status: 503, Body: struct{}{}}
 	if c.mem.State() == membership.Leading && c.fleet != nil {
-		if !c.mem.Authority(now) || !c.fleet.Loaded() {
+		if !c.mem.HasAuthority(now) || !c.fleet.Loaded() {
 			reply(no)
 			return
 		}
@@ -41,7 +41,7 @@
 // hold lives; then whoever says itself that it leads. Two controllers that were cut off with their workers would
 // otherwise send them to one that has long lost the lead.
 func (c *Controller) keeper(now time.Duration, machine string) string {
-	if now-c.mir.Fresh() <= c.s.HoldTTL() {
+	if now-c.mir.FreshAt() <= c.s.HoldTTL() {
 		return c.mem.Owner(machine)
 	}
 	name, term := "", uint64(0)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -28,7 +28,7 @@
 	}
 	err := c.cap.Zones.Restore(c.zoned.item.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
 	if err != nil {
-		c.roll.Unreadable(zones.Key, c.zoned.item.Value, err)
+		c.roll.MarkUnreadable(zones.Key, c.zoned.item.Value, err)
 	}
 }
 
@@ -40,15 +40,15 @@
 	}
 	c.zoned.writing, c.zoned.at = true, now
 	raw := z.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
-	z.Clean()
-	c.commit(store.Txn{If: []store.Cond{{Key: zones.Key, Version: c.zoned.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.Ordinary, func(r store.Result) {
+	z.MarkStored()
+	c.commit(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.zoned.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(r store.Result) {
 		c.zoned.writing = false
 		if r.Outcome == store.Committed {
 			c.zoned.item = store.Item{Key: zones.Key, Value: raw, Version: r.Revision}
 			return
 		}
 		slog.Debug("zones not stored", "outcome", r.Outcome.String())
-		z.Again()
+		z.MarkDirty()
 	})
 }
 
@@ -112,12 +112,12 @@
 	out := make([]ZoneView, len(names))
 	for i, n := range names {
 		ix := c.jobs.Names.Zones.Index(n)
-		z := c.cap.Zones.Of(ix)
-		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.cap.Zones.Rents(ix), Takes: "all"}
+		z := c.cap.Zones.Zone(ix)
+		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.cap.Zones.AllowsRenting(ix), Takes: "all"}
 		switch {
-		case !c.cap.Zones.Takes(now, ix, zones.Together):
+		case !c.cap.Zones.AcceptsWork(now, ix, zones.Together):
 			out[i].Takes = "arrays"
-		case !c.cap.Zones.Takes(now, ix, zones.Lasting):
+		case !c.cap.Zones.AcceptsWork(now, ix, zones.Lasting):
 			out[i].Takes = "gangs"
 		}
 		by[ix] = &out[i]
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -22,7 +22,7 @@
 	for r := range m.On {
 		j := f.job(r.Job)
 		left := 1.0
-		if !j.Stance.Terminal() {
+		if !j.State.Terminal() {
 			left = f.left(now, j, r.Task)
 		}
 		m.ends = append(m.ends, end{r, now + config.Seconds(left), j.Spec.Size()})
@@ -76,7 +76,7 @@
 // planArray plans an array's unplanned tasks by Balance-Reduce over the lanes of all
 // machines that may take them.
 func (f *Fleet) planArray(now time.Duration, j *jobs.Job) {
-	if j.In[jobs.Unplanned] == 0 || now < f.barren[j.Index] {
+	if j.TasksByState[jobs.Unplanned] == 0 || now < f.barren[j.Index] {
 		return
 	}
 	if f.paused(now, j) {
@@ -88,12 +88,12 @@
 		return
 	}
 	var tasks []int32
-	slice := min(planSlice, f.granted(j, j.Left())-j.In[jobs.Planned])
+	slice := min(planSlice, f.granted(j, j.UnstartedTasks())-j.TasksByState[jobs.Planned])
 	if f.mistaken(j) != nil {
 		slice = min(slice, 1)
 	}
 	if f.first[j.Index] {
-		slice = min(slice, beginTasks-j.In[jobs.Planned])
+		slice = min(slice, beginTasks-j.TasksByState[jobs.Planned])
 	}
 	if slice <= 0 {
 		f.denied(j, 1)
@@ -105,8 +105,8 @@
 		if k.State != jobs.Unplanned {
 			continue
 		}
-		if k.Until > now {
-			retry = min(retry, k.Until)
+		if k.NotBefore > now {
+			retry = min(retry, k.NotBefore)
 		} else if tasks = append(tasks, int32(t)); len(tasks) == slice {
 			break
 		}
@@ -253,8 +253,8 @@
 
 // plan names a task's machine; the start waits until that is durable.
 func (f *Fleet) plan(now time.Duration, j *jobs.Job, t int32, m *Machine) {
-	f.must(j.Set(t, jobs.Planned))
+	f.must(j.SetTaskState(t, jobs.Planned))
 	j.Tasks[t].Machine = m.Index
 	f.lane(m, j, t)
-	j.Touch(t, true, now)
+	j.MarkDirty(t, true, now)
 }
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -37,26 +37,26 @@
 	for _, j := range f.order {
 		n := 1
 		if j.Spec.Kind == jobs.Gang {
-			n = j.N
+			n = j.TaskCount
 		}
-		if j.On() > 0 || j.Left() == 0 || j.Idle() || f.mistaken(j) != nil || !f.mayStart(j, n) {
-			j.Beside = 0
+		if j.TasksOnMachines() > 0 || j.UnstartedTasks() == 0 || j.Idle() || f.mistaken(j) != nil || !f.mayStart(j, n) {
+			j.RoomSince = 0
 			continue
 		}
 		k := ask{shapeOf(j), n, j.Spec.OneZone}
 		k.image = 0 // any machine may fetch it
 		room, ok := known[k]
-		if !ok || len(j.Avoid) > 0 {
+		if !ok || len(j.AvoidedMachines) > 0 {
 			room = f.roomFor(j, n)
 		}
-		if len(j.Avoid) == 0 {
+		if len(j.AvoidedMachines) == 0 {
 			known[k] = room
 		}
 		switch {
 		case !room:
-			j.Beside = 0
-		case j.Beside == 0:
-			j.Beside = now
+			j.RoomSince = 0
+		case j.RoomSince == 0:
+			j.RoomSince = now
 		}
 	}
 }
@@ -82,10 +82,10 @@
 
 // waited is for how long a job has stood beside room.
 func (f *Fleet) waited(j *jobs.Job) time.Duration {
-	if j == nil || j.Beside == 0 || j.On() > 0 {
+	if j == nil || j.RoomSince == 0 || j.TasksOnMachines() > 0 {
 		return 0
 	}
-	return f.Now() - j.Beside
+	return f.Now() - j.RoomSince
 }
 
 // aged tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -30,7 +30,7 @@
 				s.CPUs, s.ImageGB, s.EstimateS, s.Spot = 8, c.image, 300, true
 				change(s)
 				j := g.submit(s)
-				j.At = g.now
+				j.SubmittedAt = g.now
 				return j
 			}
 			run("busy")
@@ -49,10 +49,10 @@
 			}
 			j := give(3, func(s *jobs.Spec) { s.Kind, s.CPUs = c.kind, 7 })
 			at := g.now
-			for g.now-at < 80*time.Second && j.On() == 0 {
+			for g.now-at < 80*time.Second && j.TasksOnMachines() == 0 {
 				g.now += 700 * time.Millisecond
 				if !ages {
-					j.Beside = 0
+					j.RoomSince = 0
 				}
 				g.settleFor(3, store.Committed)
 				run("busy")
--- a/internal/fleet/batch.go
+++ b/internal/fleet/batch.go
@@ -15,11 +15,11 @@
 // its own or in a page, or a page is written.
 type pending struct {
 	job      *jobs.Job
-	chunk    *jobs.Chunk // nil: the job's record becomes done, or it is a page
+	chunk    *jobs.PlanSegment // nil: the job's record becomes done, or it is a page
 	snapshot []int32
 	key      string
 	raw      []byte
-	page     *pages.Put
+	page     *pages.PageWrite
 	inPage   bool // the chunk's value is in one of the pages written along
 	moved    bool // and its former key is dropped
 }
@@ -67,14 +67,14 @@
 }
 
 // chunk adds a chunk's value, where it is to stand now.
-func (w *write) chunk(j *jobs.Job, c *jobs.Chunk) bool {
+func (w *write) chunk(j *jobs.Job, c *jobs.PlanSegment) bool {
 	f := w.f
-	raw, snap, ok := j.EncodeWithin(c, f.Term, func(m int32) string { return f.machines[m].Name }, f.valueLimit()-len(j.PlanKey(c.No)))
+	raw, snap, ok := j.EncodeSegmentWithin(c, f.Term, func(m int32) string { return f.machines[m].Name }, f.valueLimit()-len(j.PlanKey(c.Number)))
 	if !ok {
 		return true // more of it runs, on more machines, than a value can name: it is written once some of that has ended
 	}
-	p := pending{job: j, chunk: c, snapshot: snap, key: j.PlanKey(c.No), raw: raw}
-	if w.batch == nil || c.Early {
+	p := pending{job: j, chunk: c, snapshot: snap, key: j.PlanKey(c.Number), raw: raw}
+	if w.batch == nil || c.CreateIndeterminate {
 		return w.key(p)
 	}
 	p.inPage, p.moved = true, c.Version != 0
@@ -90,7 +90,7 @@
 	} else if !w.changes(extra) {
 		return false
 	}
-	e := pages.Entry{Ref: planRef(j, c), Name: j.PlanName(c.No), Raw: raw}
+	e := pages.Entry{Ref: planRef(j, c), Name: j.PlanName(c.Number), Value: raw}
 	if !w.batch.Add(e, most, mostBytes-w.bytes-firstly) {
 		return false
 	}
@@ -102,8 +102,8 @@
 	return true
 }
 
-func planRef(j *jobs.Job, c *jobs.Chunk) pages.Ref {
-	return pages.Ref{A: int32(j.Index), B: int32(c.No)}
+func planRef(j *jobs.Job, c *jobs.PlanSegment) pages.Ref {
+	return pages.Ref{A: int32(j.Index), B: int32(c.Number)}
 }
 
 // migrate takes up chunks that still have a key of their own, where pages are in force, and reports whether there
@@ -114,8 +114,8 @@
 	}
 	n := 0
 	for _, j := range f.order {
-		for _, c := range j.Chunks {
-			if c.Version == 0 || c.Early || c.Sealed || c.Pending != nil {
+		for _, c := range j.Segments {
+			if c.Version == 0 || c.CreateIndeterminate || c.Quarantined || c.InFlight != nil {
 				continue
 			}
 			if n == migrateAtOnce || !w.chunk(j, c) {
@@ -136,8 +136,8 @@
 	n := len(f.garbage)
 	for _, js := range [][]*jobs.Job{f.order, f.over} {
 		for _, j := range js {
-			for _, c := range j.Chunks {
-				if c.Version != 0 || c.Early {
+			for _, c := range j.Segments {
+				if c.Version != 0 || c.CreateIndeterminate {
 					n++
 				}
 			}
@@ -168,7 +168,7 @@
 		case landed > 0:
 			f.pages.Commit(*x, it.Version)
 		case it.Version == x.Version:
-			f.pages.Doubt(*x)
+			f.pages.MarkIndeterminate(*x)
 		default:
 			// An earlier write of the page, given up before, has landed meanwhile.
 			f.pages.Reload(*x, it.Version, f.entries(it))
@@ -180,7 +180,7 @@
 		case landed > 0:
 			f.applied(now, p, 0)
 		default:
-			p.chunk.Doubted(p.snapshot)
+			p.chunk.AddIndeterminate(p.snapshot)
 			f.undone(now, p)
 		}
 	}
@@ -189,27 +189,27 @@
 
 // entries are the values on a page that belong to jobs known here.
 func (f *Fleet) entries(it store.Item) (es []pages.Entry) {
-	s, err := pages.Decode(jobs.PlanPages, it.Key, it.Value, it.Version)
+	s, err := pages.Decode(jobs.PlanPagePrefix, it.Key, it.Value, it.Version)
 	if err != nil {
 		slog.Error("a page of plans cannot be read", "key", it.Key, "cause", err)
 		return nil
 	}
 	for name, raw := range s.Values {
 		if j, c := f.chunkNamed(name); c != nil {
-			es = append(es, pages.Entry{Ref: planRef(j, c), Name: name, Raw: raw})
+			es = append(es, pages.Entry{Ref: planRef(j, c), Name: name, Value: raw})
 		}
 	}
 	return es
 }
 
 // chunkNamed finds a chunk of a job that is open here, by its name in a page.
-func (f *Fleet) chunkNamed(name string) (*jobs.Job, *jobs.Chunk) {
+func (f *Fleet) chunkNamed(name string) (*jobs.Job, *jobs.PlanSegment) {
 	id, no, ok := splitPlanName(name)
 	j := f.Jobs.Get(id)
-	if !ok || j == nil || no >= len(j.Chunks) {
+	if !ok || j == nil || no >= len(j.Segments) {
 		return nil, nil
 	}
-	return j, j.Chunks[no]
+	return j, j.Segments[no]
 }
 
 // unreadable tells of a stored record that can't be read.
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -86,7 +86,7 @@
 	j := g.Jobs.Get("req-000001")
 	b.ReportAllocs()
 	for b.Loop() {
-		j.EncodeChunk(j.Chunks[0], 1, func(m int32) string { return g.machines[m].Name })
+		j.EncodeSegment(j.Segments[0], 1, func(m int32) string { return g.machines[m].Name })
 	}
 }
 
@@ -120,7 +120,7 @@
 	g, _ := loaded(t, 40, 30, 100)
 	waiting := 0
 	for _, j := range g.order {
-		waiting += j.In[jobs.Planned]
+		waiting += j.TasksByState[jobs.Planned]
 	}
 	before := g.Steps
 	if g.push(g.now); g.Steps != before || waiting < 1000 {
@@ -142,14 +142,14 @@
 	for range 10 {
 		g.now += 100 * time.Millisecond
 		g.Tick(g.now, true)
-		if open := len(g.orders) - answered; open > 3 || j.In[jobs.Launched] != 4*len(g.sent) {
-			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sent), j.In[jobs.Launched])
+		if open := len(g.orders) - answered; open > 3 || j.TasksByState[jobs.Launched] != 4*len(g.sent) {
+			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sent), j.TasksByState[jobs.Launched])
 		}
 		for ; answered < len(g.orders); answered++ {
 			g.orders[answered](nil, true)
 		}
 	}
-	if j.In[jobs.Launched] != 40 {
-		t.Fatalf("%d of 40 tasks launched", j.In[jobs.Launched])
+	if j.TasksByState[jobs.Launched] != 40 {
+		t.Fatalf("%d of 40 tasks launched", j.TasksByState[jobs.Launched])
 	}
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -33,7 +33,7 @@
 	again := f.refs[:0]
 	for ref := range m.On {
 		j := f.job(ref.Job)
-		if j.Tasks[ref.Task].State != jobs.Launched || j.Stance.Terminal() {
+		if j.Tasks[ref.Task].State != jobs.Launched || j.State.Terminal() {
 			continue
 		}
 		if _, alive := f.listed[ref]; !alive {
@@ -62,7 +62,7 @@
 	if _, late := m.late[attempt{Ref{j.Index, t}, e.Attempt}]; late {
 		return false
 	}
-	if e.Why != whyDone || j.Stance.Terminal() {
+	if e.Why != whyDone || j.State.Terminal() {
 		return true
 	}
 	return j.Tasks != nil && j.IsDurablyDone(t)
@@ -70,14 +70,14 @@
 
 // mustStop tells whether a task that is alive on a machine has to go, and with what grace.
 func (f *Fleet) mustStop(now time.Duration, m *Machine, j *jobs.Job, t int32, e *TaskReport) (float64, bool) {
-	if j == nil || j.Stance.Terminal() || j.Tasks == nil {
+	if j == nil || j.State.Terminal() || j.Tasks == nil {
 		return 0, true
 	}
 	k := &j.Tasks[t]
 	if k.State == jobs.Finished || k.Machine != m.Index {
 		return 0, true
 	}
-	if k.Halting && e.State != saving {
+	if k.Stopping && e.State != saving {
 		return j.Spec.SaveS + 1, true
 	}
 	if m.Condition == Noticed && !m.Retiring && e.State != saving {
@@ -92,7 +92,7 @@
 func (f *Fleet) drain(now time.Duration, m *Machine, j *jobs.Job, t int32) (float64, bool) {
 	rest := (m.NoticeAt - now).Seconds()
 	k := &j.Tasks[t]
-	if j.Spec.Kind == jobs.Gang && j.N > 1 {
+	if j.Spec.Kind == jobs.Gang && j.TaskCount > 1 {
 		if rest > j.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1 && f.left(now, j, t) < rest*0.7 {
 			return 0, false
 		}
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -24,10 +24,10 @@
 	var out []Need
 	room := map[int32]planner.Size{}
 	for _, j := range f.order {
-		if j.Tasks == nil || j.Spec == nil || j.Stance.Terminal() || j.Idle() {
+		if j.Tasks == nil || j.Spec == nil || j.State.Terminal() || j.Idle() {
 			continue
 		}
-		n := j.Left()
+		n := j.UnstartedTasks()
 		if n == 0 {
 			continue
 		}
@@ -67,7 +67,7 @@
 }
 
 // Counts is what is displayed of a job.
-func (f *Fleet) Counts(j *jobs.Job) (done, running int) { return j.DoneN, j.Runs }
+func (f *Fleet) Counts(j *jobs.Job) (done, running int) { return j.FinishedTasks, j.RunningTasks }
 
 // Summary logs how full the fleet is, for operators who follow an incident.
 func (f *Fleet) Summary(now time.Duration) {
@@ -92,8 +92,8 @@
 	}
 	byClass := map[int32]int{}
 	for _, j := range f.order {
-		waiting += j.Left()
-		byClass[j.Class] += j.Left()
+		waiting += j.UnstartedTasks()
+		byClass[j.Class] += j.UnstartedTasks()
 	}
 	var classes []string
 	for c, n := range byClass {
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -34,10 +34,10 @@
 		}
 		for r := range m.On {
 			j := f.job(r.Job)
-			if j.Tasks[r.Task].Halting || j.Stance.Terminal() {
+			if j.Tasks[r.Task].Stopping || j.State.Terminal() {
 				continue
 			}
-			if j.Spec.Kind != jobs.Gang || j.N == 1 {
+			if j.Spec.Kind != jobs.Gang || j.TaskCount == 1 {
 				f.halt(j, r.Task)
 				continue
 			}
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -43,12 +43,12 @@
 func (f *Fleet) left(now time.Duration, j *jobs.Job, t int32) float64 {
 	k := &j.Tasks[t]
 	m := f.machines[k.Machine]
-	if k.Halting {
+	if k.Stopping {
 		return j.Spec.SaveS + 1
 	}
 	est := f.estimate(j) * m.slow
 	if k.Phase == jobs.Running || k.Phase == jobs.Saving {
-		ran := (now - k.RunSince).Seconds()
+		ran := (now - k.RunningSince).Seconds()
 		// An overdue task is most likely to run on for a part of what it has run.
 		return max(est-ran, 0.25*ran, 1)
 	}
@@ -56,5 +56,5 @@
 	if ty == nil || ty.FetchGB <= 0 {
 		return est
 	}
-	return est + max(0, j.Spec.ImageGB/ty.FetchGB-(now-k.Since).Seconds())
+	return est + max(0, j.Spec.ImageGB/ty.FetchGB-(now-k.LaunchedAt).Seconds())
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -74,7 +74,7 @@
 	Env
 	Term uint64
 	// Zones tells whether a zone takes new work of a kind; nil: all do.
-	Zones   func(zone int32, w zones.Work) bool
+	Zones   func(zone int32, w zones.WorkKind) bool
 	since   time.Duration // start of the term
 	loaded  bool
 	counter uint64
@@ -164,14 +164,14 @@
 	if f.Limits == nil {
 		return f.TxnOps
 	}
-	return min(f.TxnOps, f.Limits().Ops)
+	return min(f.TxnOps, f.Limits().MaxOps)
 }
 
 // valueLimit is how large a value of many parts may be made now, in bytes: a little less than what is taken.
 func (f *Fleet) valueLimit() int {
-	limit := f.Settings.Params.State.Limits().Value
+	limit := f.Settings.Params.State.Limits().MaxValueBytes
 	if f.Limits != nil {
-		limit = min(limit, f.Limits().Value)
+		limit = min(limit, f.Limits().MaxValueBytes)
 	}
 	return limit * 7 / 8
 }
@@ -207,24 +207,24 @@
 	}
 }
 
-func (f *Fleet) job(ix jobs.Index) *jobs.Job { return f.Jobs.At(ix) }
+func (f *Fleet) job(ix jobs.Index) *jobs.Job { return f.Jobs.ByIndex(ix) }
 
 // Jobs tells of a change in the job table: a new job is opened, a cancelled one stopped.
 func (f *Fleet) Changed(now time.Duration, j *jobs.Job) {
 	if !f.loaded {
 		return
 	}
-	if j.Stance == jobs.Pending {
-		j.Open()
+	if j.State == jobs.Pending {
+		j.OpenTasks()
 		// Its plan was passed over when this term began: what runs of it isn't known here. The next leader reads both.
-		j.Sealed = j.Sealed || f.unread[j.ID]
+		j.Quarantined = j.Quarantined || f.unread[j.ID]
 		f.ranked = 0
-		slog.Info("job accepted", "job", j.ID, "class", j.Spec.Class, "kind", string(j.Spec.Kind), "tasks", j.N, "term", f.Term)
+		slog.Info("job accepted", "job", j.ID, "class", j.Spec.Class, "kind", string(j.Spec.Kind), "tasks", j.TaskCount, "term", f.Term)
 		f.Events.Add(events.Event{At: now, Kind: events.JobAccepted, Job: j.ID, Task: events.None, Machine: events.None})
 		return
 	}
 	ended := events.JobDone
-	if j.Stance == jobs.Cancelled {
+	if j.State == jobs.Cancelled {
 		ended = events.JobCancelled
 	}
 	f.Events.Add(events.Event{At: now, Kind: ended, Job: j.ID, Task: events.None, Machine: events.None})
@@ -238,7 +238,7 @@
 		return
 	}
 	f.over = append(f.over, j)
-	slog.Info("job ended", "job", j.ID, "stance", j.Stance.String(), "term", f.Term)
+	slog.Info("job ended", "job", j.ID, "stance", j.State.String(), "term", f.Term)
 	for _, ix := range f.waitsAt(j) {
 		m := f.machines[ix]
 		n := len(m.waiting(j.Index))
@@ -249,7 +249,7 @@
 		k := &j.Tasks[t]
 		switch {
 		case k.State == jobs.Planned:
-			f.must(j.Set(int32(t), jobs.Unplanned))
+			f.must(j.SetTaskState(int32(t), jobs.Unplanned))
 		case k.State.Occupies():
 			f.halt(j, int32(t))
 		}
--- a/internal/fleet/floor.go
+++ b/internal/fleet/floor.go
@@ -22,7 +22,7 @@
 // submission, which is durable, so that it survives a change of the lead.
 func (f *Fleet) overdue(now time.Duration, j *jobs.Job) bool {
 	limit := config.Seconds(beginAt * f.Settings.Operator.BeginS)
-	return limit > 0 && !j.Started && j.DoneN == 0 && j.On() == 0 && now-j.At > limit && f.mistaken(j) == nil && !j.Idle()
+	return limit > 0 && !j.Started && j.FinishedTasks == 0 && j.TasksOnMachines() == 0 && now-j.SubmittedAt > limit && f.mistaken(j) == nil && !j.Idle()
 }
 
 // beginFirst moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
@@ -61,6 +61,6 @@
 		if d := places[a.Index] - places[b.Index]; d != 0 || places[a.Index]%2 == 0 && places[a.Index] > 0 {
 			return d
 		}
-		return int(min(1, max(-1, a.At-b.At))) // the oldest first among those that are overdue
+		return int(min(1, max(-1, a.SubmittedAt-b.SubmittedAt))) // the oldest first among those that are overdue
 	})
 }
--- a/internal/fleet/floor_test.go
+++ b/internal/fleet/floor_test.go
@@ -27,7 +27,7 @@
 			s.Priority = []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)]
 			s.Team = []string{"t", "u"}[rng.IntN(2)]
 			j := g.submit(s)
-			j.At, j.Started = time.Duration(rng.IntN(300))*time.Second, rng.IntN(3) == 0
+			j.SubmittedAt, j.Started = time.Duration(rng.IntN(300))*time.Second, rng.IntN(3) == 0
 		}
 		now := 300 * time.Second
 		g.Settings.Operator.BeginS = 0
@@ -36,7 +36,7 @@
 		g.Settings.Operator.BeginS = 240
 		g.Rank(now)
 		var want []*jobs.Job
-		late := func(j *jobs.Job) bool { return !j.Started && now-j.At > 120*time.Second }
+		late := func(j *jobs.Job) bool { return !j.Started && now-j.SubmittedAt > 120*time.Second }
 		take := func(oldest bool, f func(*jobs.Job) bool) {
 			var js []*jobs.Job
 			for _, j := range was {
@@ -45,7 +45,7 @@
 				}
 			}
 			if oldest {
-				slices.SortStableFunc(js, func(a, b *jobs.Job) int { return int((a.At - b.At) / time.Second) })
+				slices.SortStableFunc(js, func(a, b *jobs.Job) int { return int((a.SubmittedAt - b.SubmittedAt) / time.Second) })
 			}
 			want = append(want, js...)
 		}
@@ -86,15 +86,15 @@
 			if n%3 == 0 {                   // more small ones than the machines can do
 				s := spec(100+n, 1)
 				s.Kind, s.CPUs, s.EstimateS = jobs.Gang, 3, 14
-				g.submit(s).At = g.now
+				g.submit(s).SubmittedAt = g.now
 			}
 			if n == 40 {
 				bigJob = g.submit(big)
-				bigJob.At = g.now
+				bigJob.SubmittedAt = g.now
 				s := spec(2, 50)
 				s.Team, s.Priority, s.EstimateS, s.Class, s.CPUs = "guest", "best_effort", 5, "idle", 2
 				guestJob = g.submit(s)
-				guestJob.At = g.now
+				guestJob.SubmittedAt = g.now
 			}
 			for _, m := range names {
 				list := on[m][:0]
@@ -116,15 +116,15 @@
 				}
 			}
 			g.settleFor(3, store.Committed)
-			if bigJob != nil && !bigJob.Started && beginS < 1000 && beginS > 0 && g.now-bigJob.At > 125*time.Second {
+			if bigJob != nil && !bigJob.Started && beginS < 1000 && beginS > 0 && g.now-bigJob.SubmittedAt > 125*time.Second {
 				why := g.Why(g.now, bigJob)
 				told = told || len(why) == 1 && why[0].Why == GangShort && strings.Contains(why[0].Text, "kept for it") && strings.Contains(why[0].Text, "goes first")
 			}
 			if bigJob != nil && bigJob.Started && gang == 0 {
-				gang = g.now - bigJob.At
+				gang = g.now - bigJob.SubmittedAt
 			}
 			if guestJob != nil && guestJob.Started && guest == 0 {
-				guest = g.now - guestJob.At
+				guest = g.now - guestJob.SubmittedAt
 			}
 		}
 		return gang, guest
@@ -167,11 +167,11 @@
 		for range 160 {
 			g.now += time.Second
 			if !c.ages {
-				j.Beside = 0
+				j.RoomSince = 0
 			}
 			g.runAll("g1", "gpu", on)
 			g.settleFor(3, store.Committed)
-			if c.ages && !j.Started && g.now-j.At > 90*time.Second {
+			if c.ages && !j.Started && g.now-j.SubmittedAt > 90*time.Second {
 				t.Errorf("%+v: the guests haven't begun after 90 s", c)
 				break
 			}
@@ -210,8 +210,8 @@
 			used++
 		}
 	}
-	if used < 10 || used > 17 || j.On() < 30 {
-		t.Errorf("%d of 20 machines are used, by %d tasks", used, j.On())
+	if used < 10 || used > 17 || j.TasksOnMachines() < 30 {
+		t.Errorf("%d of 20 machines are used, by %d tasks", used, j.TasksOnMachines())
 	}
 }
 
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -68,7 +68,7 @@
 // field finds or makes the list of machines for a job. Jobs that must keep off some
 // machine, or away from their own tasks, have a list of their own.
 func (f *Fleet) field(now time.Duration, j *jobs.Job) *field {
-	common := len(j.Avoid) == 0 && j.On() == 0
+	common := len(j.AvoidedMachines) == 0 && j.TasksOnMachines() == 0
 	key := shapeOf(j)
 	key.aged = f.aged(j)
 	if fd := f.pass.fields[key]; common && fd != nil {
@@ -94,7 +94,7 @@
 	switch {
 	case j.Spec.Kind == jobs.Service:
 		return f.Zones(m.Zone, zones.Lasting)
-	case j.Spec.Kind == jobs.Gang && j.N > 1:
+	case j.Spec.Kind == jobs.Gang && j.TaskCount > 1:
 		return f.Zones(m.Zone, zones.Together)
 	}
 	return f.Zones(m.Zone, zones.Restartable)
@@ -163,7 +163,7 @@
 // placeGang places an unplanned gang whole, or claims the machines that will have room
 // first so that lower ranks don't keep taking what frees up.
 func (f *Fleet) placeGang(now time.Duration, j *jobs.Job) {
-	if j.In[jobs.Unplanned] < j.N {
+	if j.TasksByState[jobs.Unplanned] < j.TaskCount {
 		f.note(j, verdict{cause: Leaving})
 		return // still here, finished, or some of it not gone yet
 	}
@@ -172,13 +172,13 @@
 		return
 	}
 	for t := range j.Tasks {
-		if k := &j.Tasks[t]; k.Until > now {
-			f.retryNote(j, k.Until)
+		if k := &j.Tasks[t]; k.NotBefore > now {
+			f.retryNote(j, k.NotBefore)
 			return
 		}
 	}
-	if !f.mayStart(j, j.N) {
-		f.denied(j, j.N)
+	if !f.mayStart(j, j.TaskCount) {
+		f.denied(j, j.TaskCount)
 		return
 	}
 	fd := f.field(now, j)
@@ -190,7 +190,7 @@
 		return
 	}
 	zone, start := f.soonest(j, fd)
-	f.note(j, verdict{cause: GangShort, need: j.N, have: len(fd.open), start: start})
+	f.note(j, verdict{cause: GangShort, need: j.TaskCount, have: len(fd.open), start: start})
 	if f.mistaken(j) != nil {
 		return // nobody waits or is stopped for what will fail
 	}
@@ -206,7 +206,7 @@
 // placeIn plans a gang on machines that have room now.
 func (f *Fleet) placeIn(now time.Duration, j *jobs.Job, fd *field) bool {
 	size := j.Spec.Size()
-	if j.N == 1 {
+	if j.TaskCount == 1 {
 		for ; fd.next < len(fd.ps) && fd.ps[fd.next].at == 0; fd.next++ {
 			if m := fd.ps[fd.next].m; size.Fits(f.room(m, j)) {
 				f.plan(now, j, 0, m)
@@ -234,7 +234,7 @@
 	}
 	fd.open = keep
 	f.Steps += uint64(len(hosts))
-	got := planner.FirstFit(hosts, size, j.N, j.Spec.OneZone, j.Spec.ZoneLimit())
+	got := planner.FirstFit(hosts, size, j.TaskCount, j.Spec.OneZone, j.Spec.ZoneLimit())
 	for t, ix := range got {
 		f.plan(now, j, int32(t), f.machines[ix])
 	}
@@ -251,7 +251,7 @@
 			zone = p.m.Zone
 		}
 		f.Steps++
-		if n[zone]++; n[zone] >= j.N {
+		if n[zone]++; n[zone] >= j.TaskCount {
 			return zone, p.at + p.fetch
 		}
 	}
@@ -261,7 +261,7 @@
 // claim keeps what frees up first for a gang, and tells on how many machines.
 func (f *Fleet) claim(j *jobs.Job, fd *field, zone int32, firm bool) (n int) {
 	i := fd.claimed[zone]
-	for ; i < len(fd.ps) && n < j.N; i++ {
+	for ; i < len(fd.ps) && n < j.TaskCount; i++ {
 		m := fd.ps[i].m
 		if (zone == jobs.None || m.Zone == zone) && (m.claimRank > f.rankOf(j) || m.claim == (planner.Size{})) {
 			m.claim, m.claimRank, m.claimFirm = j.Spec.Size(), f.rankOf(j), firm
@@ -287,7 +287,7 @@
 
 // placeService plans the replicas that have no machine, one by one, first fit.
 func (f *Fleet) placeService(now time.Duration, j *jobs.Job) {
-	if j.In[jobs.Unplanned] == 0 {
+	if j.TasksByState[jobs.Unplanned] == 0 {
 		return
 	}
 	if f.paused(now, j) {
@@ -300,8 +300,8 @@
 		if k.State != jobs.Unplanned {
 			continue
 		}
-		if k.Until > now {
-			f.note(j, verdict{cause: Retry, until: k.Until})
+		if k.NotBefore > now {
+			f.note(j, verdict{cause: Retry, until: k.NotBefore})
 			continue
 		}
 		// Of the machines with room the first in the zone with fewest replicas: a loss takes as little of the service
@@ -316,7 +316,7 @@
 				i = n
 			}
 		}
-		if !f.mayStart(j, 1) || j.In[jobs.Planned] >= f.granted(j, j.N) {
+		if !f.mayStart(j, 1) || j.TasksByState[jobs.Planned] >= f.granted(j, j.TaskCount) {
 			f.denied(j, 1)
 			return
 		}
@@ -326,7 +326,7 @@
 		}
 		f.plan(now, j, int32(t), fd.ps[i].m)
 		use[fd.ps[i].m.Zone]++
-		if f.mistaken(j) != nil || f.first[j.Index] && j.In[jobs.Planned] >= beginTasks {
+		if f.mistaken(j) != nil || f.first[j.Index] && j.TasksByState[jobs.Planned] >= beginTasks {
 			return
 		}
 	}
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -98,7 +98,7 @@
 func spec(n int, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
-		CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 10,
+		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 10,
 	}
 }
 
@@ -108,7 +108,7 @@
 }
 
 func (g *rig) cancel(j *jobs.Job) {
-	g.learn(jobs.RecordKey(j.ID), jobs.EncodeRecord(jobs.Cancelled, 0, j.N, j.Spec))
+	g.learn(jobs.RecordKey(j.ID), jobs.EncodeRecord(jobs.Cancelled, 0, j.TaskCount, j.Spec))
 }
 
 // hear delivers a report of machine m at a token, and returns the commands.
@@ -160,7 +160,7 @@
 	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 || len(g.sent) != 0 {
 		t.Fatalf("started %v before the plan was durable", cs)
 	}
-	g.commit[0](store.NotDone)
+	g.commit[0](store.NotApplied)
 	g.commit = nil
 	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 {
 		t.Fatalf("started %v although the write was refused", cs)
@@ -177,13 +177,13 @@
 	g.hear("m", 1, fenced)
 	j := g.submit(spec(1, 1))
 	g.settle(store.Committed)
-	c := j.Chunks[0]
+	c := j.Segments[0]
 	m := j.Tasks[0].Machine
-	c.Pending = []int32{m + 1}
+	c.InFlight = []int32{m + 1}
 	if j.IsDurable(0) {
 		t.Fatal("durable although an open write names another machine")
 	}
-	c.Pending = []int32{m}
+	c.InFlight = []int32{m}
 	if !j.IsDurable(0) {
 		t.Fatal("an open write that repeats the machine must not block it")
 	}
@@ -318,8 +318,8 @@
 	g, j := launched(t)
 	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: exited, Why: whyDone})
 	g.settle(store.Committed)
-	if j.Tasks != nil || j.Stance != jobs.Done {
-		t.Fatalf("job not swept: %v", j.Stance)
+	if j.Tasks != nil || j.State != jobs.Done {
+		t.Fatalf("job not swept: %v", j.State)
 	}
 	g.orders[0](nil, true)
 }
@@ -329,10 +329,10 @@
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
 	g, j := launched(t)
 	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: exited, Why: whyDone})
-	var seen []store.Cond
+	var seen []store.Condition
 	g.Commit = func(tx store.Txn, done func(store.Result)) { seen = append(seen, tx.If...) }
 	g.Flush(g.now)
-	want := store.Cond{Key: jobs.RecordKey(j.ID), Version: j.Version}
+	want := store.Condition{Key: jobs.RecordKey(j.ID), Version: j.Version}
 	for _, c := range seen {
 		if c == want {
 			return
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -57,7 +57,7 @@
 		j := f.job(l.job)
 		for _, t := range l.tasks {
 			if j.Tasks != nil && j.Tasks[t].State == jobs.Planned && j.Tasks[t].Machine == m.Index {
-				f.must(j.Set(t, jobs.Unplanned))
+				f.must(j.SetTaskState(t, jobs.Unplanned))
 			}
 		}
 		m.wait(l.job, nil)
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -47,8 +47,8 @@
 		j := f.job(r.Job)
 		f.happened(now, events.TaskLost, j, r.Task, "")
 		f.release(now, j, r.Task, jobs.Unplanned, licences.Crashed)
-		if !j.Stance.Terminal() {
-			j.Touch(r.Task, false, now)
+		if !j.State.Terminal() {
+			j.MarkDirty(r.Task, false, now)
 		}
 	}
 	f.unlane(m)
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -22,8 +22,8 @@
 			f.loadImages(now, it)
 		}
 	}
-	found := map[*jobs.Chunk]uint64{}
-	for _, id := range f.Jobs.Unreads() {
+	found := map[*jobs.PlanSegment]uint64{}
+	for _, id := range f.Jobs.UnreadableIDs() {
 		f.unread[id] = true
 	}
 	values, lost := f.values(items)
@@ -35,14 +35,14 @@
 	if lost > 0 {
 		f.sealOlder(now, found, lost)
 	}
-	f.Jobs.Live(func(j *jobs.Job) {
-		j.Open()
-		if j.Spec.Kind == jobs.Gang && j.DoneN > 0 {
+	f.Jobs.ForEachLive(func(j *jobs.Job) {
+		j.OpenTasks()
+		if j.Spec.Kind == jobs.Gang && j.FinishedTasks > 0 {
 			f.gangDone(now, j)
 		}
 	})
-	f.Jobs.All(func(j *jobs.Job) {
-		if j.Stance.Terminal() && j.Tasks != nil {
+	f.Jobs.ForEach(func(j *jobs.Job) {
+		if j.State.Terminal() && j.Tasks != nil {
 			f.over = append(f.over, j)
 		}
 	})
@@ -63,21 +63,21 @@
 // taken over; lost is the version of the newest one that can't be read, 0: all can.
 func (f *Fleet) values(items []store.Item) (kept []value, lost uint64) {
 	var all []value
-	var read []pages.Stored
+	var read []pages.StoredPage
 	for _, it := range items {
 		switch {
 		case strings.HasPrefix(it.Key, imagesKey):
-		case strings.HasPrefix(it.Key, jobs.PlanPages):
-			s, err := pages.Decode(jobs.PlanPages, it.Key, it.Value, it.Version)
+		case strings.HasPrefix(it.Key, jobs.PlanPagePrefix):
+			s, err := pages.Decode(jobs.PlanPagePrefix, it.Key, it.Value, it.Version)
 			if err != nil {
 				f.unreadable(it.Key, it.Value, err)
-				f.pages.Reserve(s.No)
+				f.pages.Reserve(s.Number)
 				lost = max(lost, it.Version)
 				continue
 			}
 			read = append(read, s)
 			for name, raw := range s.Values {
-				all = append(all, value{name, raw, it.Version, s.No})
+				all = append(all, value{name, raw, it.Version, s.Number})
 			}
 		default:
 			all = append(all, value{strings.TrimPrefix(it.Key, jobs.PlanPrefix), it.Value, it.Version, -1})
@@ -98,20 +98,20 @@
 			ref := pages.Ref{A: -1 - int32(i), B: int32(no)}
 			if j := f.Jobs.Get(id); j != nil {
 				ref.A = int32(j.Index)
-			} else if !f.Jobs.Unread(id) {
+			} else if !f.Jobs.IsUnreadable(id) {
 				continue
 			} // else its record can't be read: the plan stays, wherever its page is written, under a number that no job has
-			live[v.page] = append(live[v.page], pages.Entry{Ref: ref, Name: v.name, Raw: v.raw})
+			live[v.page] = append(live[v.page], pages.Entry{Ref: ref, Name: v.name, Value: v.raw})
 		}
 	}
 	for _, s := range read {
-		f.pages.Load(s.No, s.Version, live[s.No])
+		f.pages.Load(s.Number, s.Version, live[s.Number])
 	}
 	return kept, lost
 }
 
 // loadChunk takes over one chunk and returns it, nil if it is nobody's any more.
-func (f *Fleet) loadChunk(now time.Duration, v value) *jobs.Chunk {
+func (f *Fleet) loadChunk(now time.Duration, v value) *jobs.PlanSegment {
 	key := jobs.PlanPrefix + v.name
 	id, no, ok := splitPlanName(v.name)
 	j := f.Jobs.Get(id)
@@ -124,20 +124,20 @@
 		}
 		f.garbage = append(f.garbage, key)
 	}
-	if !ok || j == nil || j.Stance == jobs.Done || j.Spec == nil {
-		if j == nil && f.Jobs.Unread(id) {
+	if !ok || j == nil || j.State == jobs.Done || j.Spec == nil {
+		if j == nil && f.Jobs.IsUnreadable(id) {
 			return nil // its record can't be read: its plan is nobody's to drop
 		}
 		drop()
 		return nil
 	}
-	j.Open()
-	if no >= len(j.Chunks) {
+	j.OpenTasks()
+	if no >= len(j.Segments) {
 		drop()
 		return nil
 	}
-	c := j.Chunks[no]
-	on, done, err := jobs.DecodeChunk(v.raw, len(c.Durable), func(name string) int32 { return f.Machine(now, name).Index })
+	c := j.Segments[no]
+	on, done, err := jobs.DecodeSegment(v.raw, len(c.DurableMachines), func(name string) int32 { return f.Machine(now, name).Index })
 	if v.page < 0 {
 		c.Version = v.version
 	}
@@ -147,13 +147,13 @@
 		return c
 	}
 	for i := range on {
-		t := int32(no*jobs.ChunkTasks + i)
+		t := int32(no*jobs.SegmentTasks + i)
 		switch {
 		case done[i]:
-			c.Durable[i] = jobs.DurablyDone
-			f.must(j.Set(t, jobs.Finished))
+			c.DurableMachines[i] = jobs.DurablyDone
+			f.must(j.SetTaskState(t, jobs.Finished))
 		case on[i] != jobs.None:
-			c.Durable[i] = on[i]
+			c.DurableMachines[i] = on[i]
 			j.Tasks[t].Machine = on[i]
 			j.Started = true
 			f.place(now, j, t, jobs.Recovered)
@@ -174,13 +174,13 @@
 
 // seal shuts a chunk whose stored value can't be read: any of its tasks may be on any machine. It is neither planned
 // nor written over, and counts in full against the limits for as long as this term lasts.
-func (f *Fleet) seal(now time.Duration, j *jobs.Job, c *jobs.Chunk) {
-	if c.Sealed {
+func (f *Fleet) seal(now time.Duration, j *jobs.Job, c *jobs.PlanSegment) {
+	if c.Quarantined {
 		return
 	}
-	c.Sealed, j.Sealed = true, true
-	for i := range c.Durable {
-		t := int32(c.No*jobs.ChunkTasks + i)
+	c.Quarantined, j.Quarantined = true, true
+	for i := range c.DurableMachines {
+		t := int32(c.Number*jobs.SegmentTasks + i)
 		if k := &j.Tasks[t]; !k.State.Occupies() && k.State != jobs.Finished {
 			f.Gate.Take(now, seatRef(j, t), 0, claimOf(j))
 		}
@@ -189,13 +189,13 @@
 
 // sealOlder shuts every chunk of a job that is not over whose value is older than a page that can't be read: it
 // may stand there anew.
-func (f *Fleet) sealOlder(now time.Duration, found map[*jobs.Chunk]uint64, page uint64) {
-	f.Jobs.All(func(j *jobs.Job) {
-		if j.Stance == jobs.Done || j.Spec == nil {
+func (f *Fleet) sealOlder(now time.Duration, found map[*jobs.PlanSegment]uint64, page uint64) {
+	f.Jobs.ForEach(func(j *jobs.Job) {
+		if j.State == jobs.Done || j.Spec == nil {
 			return
 		}
-		j.Open()
-		for _, c := range j.Chunks {
+		j.OpenTasks()
+		for _, c := range j.Segments {
 			if found[c] < page {
 				f.seal(now, j, c)
 			}
--- a/internal/fleet/loss.go
+++ b/internal/fleet/loss.go
@@ -44,7 +44,7 @@
 	f.sortRanked(ixs)
 	for _, ix := range ixs {
 		j := f.job(ix)
-		if j.Spec == nil || j.Stance.Terminal() {
+		if j.Spec == nil || j.State.Terminal() {
 			continue
 		}
 		k := kind{j.Class, j.Team}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -230,8 +230,8 @@
 		// Recovered tasks were counted before their machine's zone was known.
 		for r := range m.On {
 			j := f.job(r.Job)
-			j.ZoneUse[jobs.None]--
-			j.ZoneUse[z]++
+			j.TasksByZone[jobs.None]--
+			j.TasksByZone[z]++
 		}
 	}
 	m.Addr, m.Type, m.Zone, m.Spot = addr, d.Types.Index(typ), z, spot
--- a/internal/fleet/mistake.go
+++ b/internal/fleet/mistake.go
@@ -69,7 +69,7 @@
 // a service one task at a time. Thousands of tasks that fail at once, each with pauses of its own, took the starts of all others.
 func (f *Fleet) paused(now time.Duration, j *jobs.Job) bool {
 	r := f.mistaken(j)
-	return r != nil && (now < r.until || j.Spec.Kind != jobs.Gang && j.In[jobs.Planned]+j.On() > 0)
+	return r != nil && (now < r.until || j.Spec.Kind != jobs.Gang && j.TasksByState[jobs.Planned]+j.TasksOnMachines() > 0)
 }
 
 // failingNote says why nothing of such a job is started.
@@ -92,13 +92,13 @@
 
 // failed notes that a task of a job failed on a machine.
 func (f *Fleet) failed(now time.Duration, m *Machine, j *jobs.Job, t int32) {
-	if k := &j.Tasks[t]; j.Spec.Kind == jobs.Service && k.RunSince > 0 && now-k.RunSince >= provenS*time.Second {
+	if k := &j.Tasks[t]; j.Spec.Kind == jobs.Service && k.RunningSince > 0 && now-k.RunningSince >= provenS*time.Second {
 		f.proves(j, m)
 	}
 	r := f.failing[j.Index]
 	if r == nil {
 		r = &failing{}
-		if j.DoneN > 0 {
+		if j.FinishedTasks > 0 {
 			r.standing = Proven
 		}
 		f.failing[j.Index] = r
@@ -123,13 +123,13 @@
 	r.until = now + min(longPause, firstPause<<min(r.tries, 10))
 	r.tries++
 	// Images aren't fetched all over for it: it stays where it has been, but for a try now and then.
-	clear(j.Avoid)
+	clear(j.AvoidedMachines)
 	if r.tries%freshMachineEach == 0 {
 		for _, ix := range r.on {
 			f.avoid(now, f.machines[ix], j)
 		}
 	}
-	f.giveUpPlans(j, j.In[jobs.Planned])
+	f.giveUpPlans(j, j.TasksByState[jobs.Planned])
 }
 
 // proves notes that a task of a job is done.
--- a/internal/fleet/mistake_test.go
+++ b/internal/fleet/mistake_test.go
@@ -35,11 +35,11 @@
 		j := g.submit(s)
 		g.now = 5 * time.Minute
 		if c.done {
-			g.must(j.Set(0, jobs.Finished))
+			g.must(j.SetTaskState(0, jobs.Finished))
 		}
 		for i := range c.machines {
 			m := g.Machine(g.now, fmt.Sprintf("m%d", i))
-			j.Tasks[1].RunSince = g.now - c.ran
+			j.Tasks[1].RunningSince = g.now - c.ran
 			g.failed(g.now, m, j, 1)
 			g.now += time.Second
 		}
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -180,7 +180,7 @@
 		}
 	}
 	if failed != nil {
-		return store.Result{Outcome: store.Conflict, Failed: failed}
+		return store.Result{Outcome: store.Conflict, FailedKeys: failed}
 	}
 	w.rev++
 	for _, o := range t.Then {
@@ -189,11 +189,11 @@
 			continue
 		}
 		w.checkRecord(o.Put, o.Value)
-		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPages) && !strings.HasPrefix(o.Put, imagesKey) {
+		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imagesKey) {
 			// Of a job that is over nobody reads it any more.
 			id, _, _ := splitPlanName(plan)
 			var r jobs.Record
-			if _ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r); r.Stance == "pending" {
+			if _ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r); r.State == "pending" {
 				w.fail("%s is written with a key of its own, and the migration is over", plan)
 			}
 		}
@@ -223,11 +223,11 @@
 	_ = json.Unmarshal(raw, &is)
 	if old, ok := w.kv[key]; ok {
 		_ = json.Unmarshal(old.raw, &was)
-		if was.Stance != "pending" {
-			w.fail("went_back: %s was %s and becomes %s", id, was.Stance, is.Stance)
+		if was.State != "pending" {
+			w.fail("went_back: %s was %s and becomes %s", id, was.State, is.State)
 		}
 	}
-	if is.Stance == "done" {
+	if is.State == "done" {
 		if n := len(w.done[id]); n != w.specs[id].Tasks {
 			w.fail("not_done: %s is called done with %d of %d tasks", id, n, w.specs[id].Tasks)
 		}
@@ -270,7 +270,7 @@
 			plans = append(plans, store.Item{Key: k, Value: it.raw, Version: it.version})
 		}
 	}
-	term, guard := w.term, store.Cond{Key: "leader", Version: w.leader}
+	term, guard := w.term, store.Condition{Key: "leader", Version: w.leader}
 	var f *Fleet
 	f = New(Env{
 		Settings: w.settings, Jobs: w.book, Rng: w.rng, TxnOps: 5, Now: func() time.Duration { return w.now },
@@ -287,7 +287,7 @@
 		Room:  func(int) bool { return true },
 		Spare: func() bool { return true },
 		Commit: func(t store.Txn, done func(store.Result)) {
-			t.If = append([]store.Cond{guard}, t.If...)
+			t.If = append([]store.Condition{guard}, t.If...)
 			answer := func(r store.Result) {
 				if w.fleet == f {
 					done(r)
@@ -300,7 +300,7 @@
 				}
 				w.later(time.Second, func() { answer(store.Result{Outcome: store.Indeterminate}) })
 			case x < w.trouble:
-				w.later(20*time.Millisecond, func() { answer(store.Result{Outcome: store.NotDone}) })
+				w.later(20*time.Millisecond, func() { answer(store.Result{Outcome: store.NotApplied}) })
 			default:
 				w.later(time.Duration(w.rng.Int64N(int64(80*time.Millisecond))), func() { answer(w.apply(t)) })
 			}
@@ -447,7 +447,7 @@
 		w.fail("%s has a key of its own, and the migration is over", name)
 	}
 	for key, p := range w.kv {
-		if strings.HasPrefix(key, jobs.PlanPages) && p.version > it.version {
+		if strings.HasPrefix(key, jobs.PlanPagePrefix) && p.version > it.version {
 			var page struct{ Plans map[string]json.RawMessage }
 			if err := json.Unmarshal(p.raw, &page); err != nil {
 				w.fail("%s: %v", key, err)
@@ -464,16 +464,16 @@
 func (w *world) durable(id string, t int32) bool {
 	var r jobs.Record
 	_ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r)
-	if r.Stance != "pending" {
+	if r.State != "pending" {
 		return true
 	}
-	no := int(t) / jobs.ChunkTasks
+	no := int(t) / jobs.SegmentTasks
 	raw := w.planned(fmt.Sprintf("%s/%03d", id, no))
 	if raw == nil {
 		return false
 	}
-	_, done, err := jobs.DecodeChunk(raw, min(jobs.ChunkTasks, w.specs[id].Tasks-no*jobs.ChunkTasks), func(string) int32 { return 0 })
-	return err == nil && done[int(t)%jobs.ChunkTasks]
+	_, done, err := jobs.DecodeSegment(raw, min(jobs.SegmentTasks, w.specs[id].Tasks-no*jobs.SegmentTasks), func(string) int32 { return 0 })
+	return err == nil && done[int(t)%jobs.SegmentTasks]
 }
 
 func (w *world) expire(wk *worker) {
@@ -668,7 +668,7 @@
 	s := &jobs.Spec{
 		ID: id, Class: "c", Team: fmt.Sprintf("t%d", w.rng.IntN(2)), Kind: kinds[w.rng.IntN(len(kinds))],
 		Priority: []string{"prod", "urgent", "standard", "best_effort"}[w.rng.IntN(4)], Tasks: 1 + w.rng.IntN(8),
-		CPUs: 1 + float64(w.rng.IntN(3)), Mem: 2, Image: fmt.Sprintf("i%d", w.rng.IntN(4)), ImageGB: 3, EstimateS: 6,
+		CPUs: 1 + float64(w.rng.IntN(3)), MemoryGB: 2, Image: fmt.Sprintf("i%d", w.rng.IntN(4)), ImageGB: 3, EstimateS: 6,
 		Spot: w.rng.IntN(2) == 0, OneZone: w.rng.IntN(3) == 0, SaveS: 1,
 	}
 	if s.Kind != jobs.Array {
@@ -699,7 +699,7 @@
 	w.specs[id] = s
 	w.done[id] = map[int32]bool{}
 	w.apply(store.Txn{
-		If:   []store.Cond{{Key: jobs.RecordKey(id)}},
+		If:   []store.Condition{{Key: jobs.RecordKey(id)}},
 		Then: []store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, w.now.Milliseconds(), s.Tasks, s)}},
 	})
 }
@@ -709,12 +709,12 @@
 	key := jobs.RecordKey(id)
 	it, ok := w.kv[key]
 	var r jobs.Record
-	if !ok || json.Unmarshal(it.raw, &r) != nil || r.Stance != "pending" {
+	if !ok || json.Unmarshal(it.raw, &r) != nil || r.State != "pending" {
 		return
 	}
 	w.apply(store.Txn{
-		If:   []store.Cond{{Key: key, Version: it.version}},
-		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.N, r.Spec)}},
+		If:   []store.Condition{{Key: key, Version: it.version}},
+		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.Tasks, r.Spec)}},
 	})
 	w.told[id] = w.now
 }
@@ -940,10 +940,10 @@
 	for id := range w.specs {
 		var r jobs.Record
 		_ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r)
-		if r.Stance == "pending" {
+		if r.State == "pending" {
 			j := w.book.Get(id)
 			for i := range j.Tasks {
-				t.Logf("task %d %s on %d fails %d late %v", i, j.Tasks[i].State, j.Tasks[i].Machine, j.Tasks[i].Fails, j.Tasks[i].Late)
+				t.Logf("task %d %s on %d fails %d late %v", i, j.Tasks[i].State, j.Tasks[i].Machine, j.Tasks[i].Failures, j.Tasks[i].LaunchIndeterminate)
 			}
 			for _, wk := range w.workers {
 				if len(wk.tasks) > 0 {
@@ -953,7 +953,7 @@
 					}
 				}
 			}
-			t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v", w.seed, id, *w.specs[id], j.Denied, w.fleet.Why(w.now, j))
+			t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v", w.seed, id, *w.specs[id], j.LicenceDenial, w.fleet.Why(w.now, j))
 		}
 		ended++
 	}
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -57,7 +57,7 @@
 		return nil, 0
 	}
 	j := f.Jobs.Get(id)
-	if j == nil || int(t) >= j.N {
+	if j == nil || int(t) >= j.TaskCount {
 		return nil, 0
 	}
 	return j, t
@@ -90,7 +90,7 @@
 			return
 		}
 		f.dropLane(j, t) // planned elsewhere, but it is here
-		f.must(j.Set(t, jobs.Unplanned))
+		f.must(j.SetTaskState(t, jobs.Unplanned))
 	}
 	if k.State == jobs.Planned {
 		f.dropLane(j, t)
@@ -98,31 +98,31 @@
 	if k.State != jobs.OnMachine {
 		if k.Machine != m.Index {
 			k.Machine = m.Index
-			j.Touch(t, true, now)
+			j.MarkDirty(t, true, now)
 		}
-		if k.Since == 0 || !k.State.Occupies() {
-			k.Since = now
+		if k.LaunchedAt == 0 || !k.State.Occupies() {
+			k.LaunchedAt = now
 		}
 		f.place(now, j, t, jobs.OnMachine)
 		k.Attempt = e.Attempt
-		j.Attempt = max(j.Attempt, e.Attempt)
+		j.GangAttempt = max(j.GangAttempt, e.Attempt)
 		j.Started = true
-		if j.Stance.Terminal() || j.Parked {
+		if j.State.Terminal() || j.Suspended {
 			f.halt(j, t)
 		}
 	}
 	k.Attempt = e.Attempt
-	if len(j.Seats) > 0 {
-		f.Gate.Seats.Attempt(now, seatRef(j, t), e.Attempt, j.Seats)
+	if len(j.LicenceUnits) > 0 {
+		f.Gate.Seats.Attempt(now, seatRef(j, t), e.Attempt, j.LicenceUnits)
 	}
-	k.Late = false
+	k.LaunchIndeterminate = false
 	p := phaseOf(e.State)
 	if p == jobs.Running && k.Phase != jobs.Running {
-		k.RunSince = now
+		k.RunningSince = now
 		f.happened(now, events.TaskRunning, j, t, "")
 	}
 	if k.Phase != p {
-		j.Enter(t, p)
+		j.SetTaskPhase(t, p)
 		m.endsOK = false
 	}
 }
@@ -132,13 +132,13 @@
 func (f *Fleet) exit(now time.Duration, m *Machine, j *jobs.Job, t int32, e *TaskReport, again bool) {
 	k := &j.Tasks[t]
 	if e.Why == whyDone {
-		if j.Stance.Terminal() {
+		if j.State.Terminal() {
 			if k.State.Occupies() && k.Machine == m.Index {
 				f.release(now, j, t, jobs.Unplanned, licences.Clean)
 			}
 			return
 		}
-		if k.State.Occupies() && (k.Machine != m.Index || again || (k.Late && k.Attempt != e.Attempt)) {
+		if k.State.Occupies() && (k.Machine != m.Index || again || (k.LaunchIndeterminate && k.Attempt != e.Attempt)) {
 			// It is done, but another attempt may be on a machine: that counts until it
 			// is seen to be gone.
 			k.Done = true
@@ -162,27 +162,27 @@
 	slog.Info("task ended", "task", e.Task, "machine", m.Name, "cause", e.Why, "saved", e.Saved, "term", f.Term)
 	f.Events.Add(events.Event{At: now, Kind: events.TaskEnded, Job: j.ID, Task: t, Machine: m.Index, Attempt: k.Attempt, Note: e.Why, Saved: e.Saved})
 	f.release(now, j, t, jobs.Unplanned, endOf(e.Why))
-	j.Touch(t, false, now)
+	j.MarkDirty(t, false, now)
 	switch e.Why {
 	case whyError:
-		k.Fails = min(k.Fails+1, 6)
-		k.Until = now + time.Second<<k.Fails
+		k.Failures = min(k.Failures+1, 6)
+		k.NotBefore = now + time.Second<<k.Failures
 		f.avoid(now, m, j)
 		f.failed(now, m, j, t)
 	case whyNoRoom, whyUnknown:
-		k.Until = now + 2*time.Second
+		k.NotBefore = now + 2*time.Second
 	}
 }
 
 // avoid keeps a job off a machine on which one of its tasks failed.
 func (f *Fleet) avoid(now time.Duration, m *Machine, j *jobs.Job) {
-	if j.Avoid == nil {
-		j.Avoid = map[int32]time.Duration{}
+	if j.AvoidedMachines == nil {
+		j.AvoidedMachines = map[int32]time.Duration{}
 	}
-	j.Avoid[m.Index] = now + avoidFor
+	j.AvoidedMachines[m.Index] = now + avoidFor
 	for _, t := range slices.Clone(m.waiting(j.Index)) {
 		f.dropLane(j, t)
-		f.must(j.Set(t, jobs.Unplanned))
+		f.must(j.SetTaskState(t, jobs.Unplanned))
 	}
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	if seen && k.Machine == m.Index && k.Phase == jobs.Running {
-		f.learn(j, m, (now - k.RunSince).Seconds(), k.Fails == 0)
+		f.learn(j, m, (now - k.RunningSince).Seconds(), k.Failures == 0)
 		f.proves(j, m)
 	}
 	if k.State == jobs.Planned {
@@ -213,21 +213,21 @@
 	}
 	f.happened(now, events.TaskDone, j, t, "")
 	f.release(now, j, t, jobs.Finished, licences.Clean)
-	j.Touch(t, false, now)
-	if j.DoneN == j.N {
+	j.MarkDirty(t, false, now)
+	if j.FinishedTasks == j.TaskCount {
 		slog.Info("all tasks done", "job", j.ID, "term", f.Term)
 	}
 }
 
 // learn compares a run time with its estimate.
 func (f *Fleet) learn(j *jobs.Job, m *Machine, ran float64, clean bool) {
-	if j.Spec.EstimateS <= 0 || ran < 2 || !clean || j.Spec.CheckpointS > 0 && j.Attempt != 0 && ran < j.Spec.EstimateS/4 {
+	if j.Spec.EstimateS <= 0 || ran < 2 || !clean || j.Spec.CheckpointS > 0 && j.GangAttempt != 0 && ran < j.Spec.EstimateS/4 {
 		return
 	}
 	s := f.stats(j.Class)
 	r := math.Min(8, math.Max(0.1, ran/j.Spec.EstimateS))
 	// One job's tasks share its owner's error: a job counts once, not once a task.
-	w := 1 / math.Sqrt(float64(j.N))
+	w := 1 / math.Sqrt(float64(j.TaskCount))
 	rate := math.Max(w/(s.n+w), w*0.1)
 	m.slow += 0.2 * (math.Min(6, math.Max(0.5, r/s.ratio)) - m.slow)
 	s.ratio = math.Exp((1-rate)*math.Log(s.ratio) + rate*math.Log(r))
@@ -244,12 +244,12 @@
 		// Its launch went out directly, in an answer that is still under way (a direct
 		// report says nothing of that), or in one that the worker dropped. Only in the
 		// last case it surely won't start any more: it is sent again or given up.
-		if (j.Stance.Terminal() || m.Condition != Acting) && !k.Late && !direct {
+		if (j.State.Terminal() || m.Condition != Acting) && !k.LaunchIndeterminate && !direct {
 			f.release(now, j, ref.Task, jobs.Unplanned, licences.Unstarted)
 		}
 	case jobs.Recovered:
 		to := jobs.Planned
-		if j.Stance.Terminal() || j.Spec.Kind != jobs.Array || m.Condition != Acting {
+		if j.State.Terminal() || j.Spec.Kind != jobs.Array || m.Condition != Acting {
 			to = jobs.Unplanned
 		}
 		// It may have run and crashed under the owner before.
@@ -258,8 +258,8 @@
 		slog.Info("task vanished", "job", j.ID, "task", ref.Task, "machine", m.Name, "term", f.Term)
 		f.happened(now, events.TaskVanished, j, ref.Task, "")
 		f.release(now, j, ref.Task, jobs.Unplanned, licences.Crashed)
-		if !j.Stance.Terminal() {
-			j.Touch(ref.Task, false, now)
+		if !j.State.Terminal() {
+			j.MarkDirty(ref.Task, false, now)
 		}
 	}
 }
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -10,14 +10,14 @@
 )
 
 // place lets a task count as being on its machine.
-func (f *Fleet) place(now time.Duration, j *jobs.Job, t int32, s jobs.State) {
+func (f *Fleet) place(now time.Duration, j *jobs.Job, t int32, s jobs.TaskState) {
 	k := &j.Tasks[t]
 	if k.State.Occupies() {
-		f.must(j.Set(t, s))
+		f.must(j.SetTaskState(t, s))
 		return
 	}
 	m := f.machines[k.Machine]
-	f.must(j.Set(t, s))
+	f.must(j.SetTaskState(t, s))
 	size := j.Spec.Size()
 	m.On[Ref{j.Index, t}] = struct{}{}
 	m.Use = m.Use.Add(size)
@@ -28,7 +28,7 @@
 		kind = events.TaskSent
 	}
 	f.happened(now, kind, j, t, "")
-	j.ZoneUse[m.Zone]++
+	j.TasksByZone[m.Zone]++
 	if ty := f.typ(m); ty != nil {
 		if !m.HasImage(j.Image) {
 			f.newImage(m)
@@ -40,14 +40,14 @@
 
 // release ends a task's being on its machine; it then is to. how says what that means for its
 // licences.
-func (f *Fleet) release(now time.Duration, j *jobs.Job, t int32, to jobs.State, how licences.End) {
+func (f *Fleet) release(now time.Duration, j *jobs.Job, t int32, to jobs.TaskState, how licences.End) {
 	k := &j.Tasks[t]
 	if to != jobs.Finished && (j.GangDone || k.Done) {
 		to = jobs.Finished
 		f.happened(now, events.TaskDone, j, t, "")
 	}
 	if !k.State.Occupies() {
-		f.must(j.Set(t, to))
+		f.must(j.SetTaskState(t, to))
 		return
 	}
 	m := f.machines[k.Machine]
@@ -63,12 +63,12 @@
 		m.IdleSince = now
 	}
 	f.Gate.Give(now, seatRef(j, t), claimOf(j), how)
-	j.ZoneUse[m.Zone]--
-	f.must(j.Set(t, to))
+	j.TasksByZone[m.Zone]--
+	f.must(j.SetTaskState(t, to))
 	if to == jobs.Planned {
 		k.Machine = m.Index
-		j.Enter(t, jobs.NoPhase)
-		k.Attempt, k.Halting = 0, false
+		j.SetTaskPhase(t, jobs.NoPhase)
+		k.Attempt, k.Stopping = 0, false
 		f.lane(m, j, t)
 	}
 }
@@ -76,10 +76,10 @@
 // halt marks a task that is to be stopped.
 func (f *Fleet) halt(j *jobs.Job, t int32) {
 	k := &j.Tasks[t]
-	if !k.Halting {
+	if !k.Stopping {
 		f.happened(f.Now(), events.TaskStopping, j, t, "")
 	}
-	k.Halting = true
+	k.Stopping = true
 	if k.Machine != jobs.None {
 		m := f.machines[k.Machine]
 		m.halts, m.endsOK = true, false
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -93,13 +93,13 @@
 	var cs []claimant
 	var places []int // in f.order
 	for at, j := range f.order {
-		n := j.Left()
+		n := j.UnstartedTasks()
 		k := keys[j.Index]
 		if f.mistaken(j) != nil {
 			continue // it holds up nothing, and no deadline gives way to it
 		}
 		if j.Spec.Kind != jobs.Array || j.Spec.DeadlineS == nil || !k.ok || n == 0 {
-			pool = pool.Sub(j.Spec.Size().Times(float64(j.On())))
+			pool = pool.Sub(j.Spec.Size().Times(float64(j.TasksOnMachines())))
 			continue
 		}
 		js, places = append(js, j), append(places, at)
@@ -113,7 +113,7 @@
 	for lo := 0; lo < len(js); {
 		// Only within a rank that may not preempt the other.
 		hi := lo + 1
-		for hi < len(js) && js[hi].Level == js[lo].Level && f.within[js[hi].Index] == f.within[js[lo].Index] {
+		for hi < len(js) && js[hi].Priority == js[lo].Priority && f.within[js[hi].Index] == f.within[js[lo].Index] {
 			hi++
 		}
 		at := lo
--- a/internal/fleet/park.go
+++ b/internal/fleet/park.go
@@ -13,7 +13,7 @@
 // Park stops a job's tasks, with time to save, and keeps them off machines; or lets the job be
 // planned again.
 func (f *Fleet) Park(_ time.Duration, j *jobs.Job, on bool) {
-	if j.Parked = on; j.Tasks == nil {
+	if j.Suspended = on; j.Tasks == nil {
 		return
 	}
 	f.ranked, f.news = 0, true
@@ -24,7 +24,7 @@
 		switch k := &j.Tasks[t]; {
 		case k.State == jobs.Planned:
 			f.dropLane(j, int32(t))
-			f.must(j.Set(int32(t), jobs.Unplanned))
+			f.must(j.SetTaskState(int32(t), jobs.Unplanned))
 		case k.State.Occupies():
 			f.halt(j, int32(t))
 		}
@@ -38,7 +38,7 @@
 		return sessions.Task{On: !f.loaded}
 	}
 	k := &j.Tasks[0]
-	return sessions.Task{On: k.State.Occupies(), Ending: k.Halting, Attempt: k.Attempt}
+	return sessions.Task{On: k.State.Occupies(), Ending: k.Stopping, Attempt: k.Attempt}
 }
 
 // askedBy bounds the waiting jobs that are looked at for sessions to reclaim.
@@ -51,7 +51,7 @@
 	out := make([]string, len(of))
 	asked := 0
 	for _, j := range f.order {
-		n := j.Left()
+		n := j.UnstartedTasks()
 		if n == 0 || j.Idle() || j.Spec == nil {
 			continue
 		}
@@ -83,7 +83,7 @@
 	for _, m := range f.machines {
 		f.Steps++
 		if m.Condition == Acting && !m.Retiring && !m.Aside && f.allowed(m, j) && f.fits(m, j) {
-			if n += j.Spec.Size().Copies(m.Free()); n >= j.Left() {
+			if n += j.Spec.Size().Copies(m.Free()); n >= j.UnstartedTasks() {
 				return true
 			}
 		}
@@ -93,12 +93,12 @@
 
 // helps tells whether the end of a session's task would let a waiting job start one of its own.
 func (f *Fleet) helps(j, s *jobs.Job) bool {
-	if s.Tasks == nil || !s.Tasks[0].State.Occupies() || s.Tasks[0].Halting {
+	if s.Tasks == nil || !s.Tasks[0].State.Occupies() || s.Tasks[0].Stopping {
 		return false
 	}
 	if !f.mayStart(j, 1) {
 		if d, pool := f.Denial(j); d != 0 {
-			for _, u := range s.Seats {
+			for _, u := range s.LicenceUnits {
 				if u.Pool == pool {
 					return true
 				}
--- a/internal/fleet/pass.go
+++ b/internal/fleet/pass.go
@@ -57,8 +57,8 @@
 			}
 		}
 		// What its team's limit keeps waiting needs no room, nor what fails wherever it runs.
-		if s := j.Spec.Size(); s.GPUs > 0 && j.Left() > 0 && f.mistaken(j) == nil && f.mayStart(j, 1) {
-			if n := s.GPUs * float64(j.Left()); j.Spec.Spot {
+		if s := j.Spec.Size(); s.GPUs > 0 && j.UnstartedTasks() > 0 && f.mistaken(j) == nil && f.mayStart(j, 1) {
+			if n := s.GPUs * float64(j.UnstartedTasks()); j.Spec.Spot {
 				wait.any += n
 			} else {
 				wait.ordinary += n
@@ -67,9 +67,9 @@
 			f.perGPU.Mem = max(f.perGPU.Mem, s.Mem/s.GPUs)
 			switch w := f.within[j.Index]; {
 			case w && !f.gpuWithin:
-				f.gpuWithin, f.gpuLevel = true, j.Level
+				f.gpuWithin, f.gpuLevel = true, j.Priority
 			case w == f.gpuWithin:
-				f.gpuLevel = max(f.gpuLevel, j.Level)
+				f.gpuLevel = max(f.gpuLevel, j.Priority)
 			}
 		}
 	}
@@ -115,14 +115,14 @@
 		m.claim, m.claimRank, m.claimFirm = planner.Size{}, 1<<30, false
 	}
 	for _, j := range f.order {
-		f.pass.lowest = min(f.pass.lowest, j.Level)
+		f.pass.lowest = min(f.pass.lowest, j.Priority)
 	}
 	f.allot(now)
 	f.share()
 	f.standBeside(now)
 	f.Steps += uint64(len(f.machines) + 2*len(f.order))
 	for _, j := range f.order {
-		if j.DoneN == j.N || j.Idle() {
+		if j.FinishedTasks == j.TaskCount || j.Idle() {
 			continue
 		}
 		switch j.Spec.Kind {
@@ -142,7 +142,7 @@
 // unwedge replans gangs that cannot start as planned: a planned gang whose machine was
 // lost or filled up, and a running gang that lost a task.
 func (f *Fleet) unwedge(now time.Duration, j *jobs.Job) {
-	unplanned, planned, on := j.In[jobs.Unplanned], j.In[jobs.Planned], j.On()
+	unplanned, planned, on := j.TasksByState[jobs.Unplanned], j.TasksByState[jobs.Planned], j.TasksOnMachines()
 	if planned > 0 && on == 0 {
 		for t := range j.Tasks {
 			k := &j.Tasks[t]
@@ -156,14 +156,14 @@
 				for o := range j.Tasks {
 					if j.Tasks[o].State == jobs.Planned {
 						f.dropLane(j, int32(o))
-						f.must(j.Set(int32(o), jobs.Unplanned))
+						f.must(j.SetTaskState(int32(o), jobs.Unplanned))
 					}
 				}
 				return
 			}
 		}
 	}
-	if on > 0 && unplanned > 0 && j.N > 1 {
+	if on > 0 && unplanned > 0 && j.TaskCount > 1 {
 		// The rest must go before the gang can start anew.
 		for t := range j.Tasks {
 			k := &j.Tasks[t]
@@ -171,7 +171,7 @@
 				f.halt(j, int32(t))
 			} else if k.State == jobs.Planned {
 				f.dropLane(j, int32(t))
-				f.must(j.Set(int32(t), jobs.Unplanned))
+				f.must(j.SetTaskState(int32(t), jobs.Unplanned))
 			}
 		}
 	}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -33,16 +33,16 @@
 // priority, and what another team runs in excess of its guarantee if the job lies within
 // its own.
 func (f *Fleet) mayPreempt(j, victim *jobs.Job) bool {
-	if j == victim || victim.Spec == nil || j.Spec == nil || (victim.Spec.Kind != jobs.Array && victim.N > 1) {
+	if j == victim || victim.Spec == nil || j.Spec == nil || (victim.Spec.Kind != jobs.Array && victim.TaskCount > 1) {
 		return false
 	}
 	// This order must be that of Rank: otherwise two jobs can stop each other for ever,
 	// each taking the room that the other made.
 	switch wj, wv := f.within[j.Index], f.within[victim.Index]; {
 	case wj == wv:
-		return victim.Level < j.Level
+		return victim.Priority < j.Priority
 	case wj:
-		return victim.Team != j.Team || victim.Level < j.Level
+		return victim.Team != j.Team || victim.Priority < j.Priority
 	}
 	return false
 }
@@ -56,7 +56,7 @@
 	if j.Spec.CheckpointS > 0 {
 		return j.Spec.SaveS
 	}
-	return (now - k.RunSince).Seconds()
+	return (now - k.RunningSince).Seconds()
 }
 
 // victims finds the tasks whose end would make room for one task of a job on a machine,
@@ -73,7 +73,7 @@
 		v := f.job(r.Job)
 		k := &v.Tasks[r.Task]
 		switch {
-		case k.Halting:
+		case k.Stopping:
 			free = free.Add(v.Spec.Size()) // it is on its way out already
 		case k.State == jobs.OnMachine && f.mayPreempt(j, v):
 			cs = append(cs, candidate{r, f.loss(now, v, r.Task)})
@@ -132,11 +132,11 @@
 // task and in one zone if need be, counting wasted work as delay. start is when it would
 // start without.
 func (f *Fleet) preemptFor(now time.Duration, j *jobs.Job, ps []prospect, start float64) bool {
-	key := plea{shapeOf(j), j.Team, j.Level, f.within[j.Index], j.N, j.Spec.OneZone}
+	key := plea{shapeOf(j), j.Team, j.Priority, f.within[j.Index], j.TaskCount, j.Spec.OneZone}
 	if t, ok := f.pleaded[j.Index]; ok && now-t < cooling {
 		return false
 	}
-	if f.pass.vain[key] || f.pass.tries >= searches || (j.Level <= f.pass.lowest && !f.within[j.Index]) {
+	if f.pass.vain[key] || f.pass.tries >= searches || (j.Priority <= f.pass.lowest && !f.within[j.Index]) {
 		return false
 	}
 	f.pass.tries++
@@ -158,18 +158,18 @@
 	}
 	var best []sacrifice
 	for _, ss := range byZone {
-		if len(ss) < j.N {
+		if len(ss) < j.TaskCount {
 			continue
 		}
 		slices.SortFunc(ss, func(a, b sacrifice) int {
 			return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.m.Index, b.m.Index))
 		})
-		if ss = spread(ss, j.N, j.Spec.ZoneLimit()); ss == nil {
+		if ss = spread(ss, j.TaskCount, j.Spec.ZoneLimit()); ss == nil {
 			continue
 		}
-		a, b := ss[j.N-1], sacrifice{cost: math.Inf(1)}
+		a, b := ss[j.TaskCount-1], sacrifice{cost: math.Inf(1)}
 		if best != nil {
-			b = best[j.N-1]
+			b = best[j.TaskCount-1]
 		}
 		if a.cost < b.cost || (a.cost == b.cost && a.m.Index < b.m.Index) {
 			best = ss
@@ -189,7 +189,7 @@
 
 // preemptArray makes room for an array's planned tasks where they are planned.
 func (f *Fleet) preemptArray(now time.Duration, j *jobs.Job) {
-	if j.In[jobs.Planned] == 0 || f.mistaken(j) != nil || (j.Level <= f.pass.lowest && !f.within[j.Index]) || !f.mayStart(j, 1) {
+	if j.TasksByState[jobs.Planned] == 0 || f.mistaken(j) != nil || (j.Priority <= f.pass.lowest && !f.within[j.Index]) || !f.mayStart(j, 1) {
 		return
 	}
 	patient := f.canWait(now, j)
--- a/internal/fleet/push.go
+++ b/internal/fleet/push.go
@@ -44,13 +44,13 @@
 	for r := range m.On {
 		j := f.job(r.Job)
 		k := &j.Tasks[r.Task]
-		m.halts = m.halts || k.Halting
-		if k.Halting && k.State == jobs.OnMachine && k.Phase != jobs.Saving && now-k.HaltBy > time.Second {
+		m.halts = m.halts || k.Stopping
+		if k.Stopping && k.State == jobs.OnMachine && k.Phase != jobs.Saving && now-k.StopSentAt > time.Second {
 			grace := j.Spec.SaveS + 1
-			if j.Stance.Terminal() {
+			if j.State.Terminal() {
 				grace = 0
 			}
-			k.HaltBy = now
+			k.StopSentAt = now
 			calls = append(calls, Command{Op: opStop, Task: taskName(j, r.Task), Attempt: k.Attempt, GraceS: &grace})
 		}
 	}
@@ -67,7 +67,7 @@
 	for _, c := range calls[:started] {
 		j, t := f.resolve(c.Task)
 		sent = append(sent, attempt{Ref{j.Index, t}, c.Attempt})
-		j.Tasks[t].Late = true
+		j.Tasks[t].LaunchIndeterminate = true
 	}
 	f.Order(m, Orders{Token: m.Token, Session: session, Commands: calls}, func(r *Report, ok bool) {
 		m.ordering = false
@@ -75,7 +75,7 @@
 		for _, a := range sent {
 			// The job may have ended and been swept while the request was under way.
 			if j := f.job(a.Job); ok && j != nil && j.Tasks != nil && j.Tasks[a.Task].Attempt == a.n {
-				j.Tasks[a.Task].Late = false
+				j.Tasks[a.Task].LaunchIndeterminate = false
 			}
 			if !ok && m.Session == session {
 				m.late[a] = struct{}{}
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -20,11 +20,11 @@
 		}
 	}
 	if j.Spec.DeadlineS != nil {
-		consider(j.At + config.Seconds(*j.Spec.DeadlineS) - est)
+		consider(j.SubmittedAt + config.Seconds(*j.Spec.DeadlineS) - est)
 	}
 	for _, o := range f.Settings.Params.Objectives {
 		if o.Kind == "guarantee" && f.within[j.Index] && !j.Started {
-			consider(j.At + config.Seconds(o.WithinS))
+			consider(j.SubmittedAt + config.Seconds(o.WithinS))
 		}
 		if o.Class != j.Spec.Class {
 			continue
@@ -32,18 +32,18 @@
 		switch o.Kind {
 		case "wait":
 			if !j.Started {
-				consider(j.At + config.Seconds(o.WithinS))
+				consider(j.SubmittedAt + config.Seconds(o.WithinS))
 			}
 		case "finished":
-			consider(j.At + config.Seconds(o.WithinS) - est)
+			consider(j.SubmittedAt + config.Seconds(o.WithinS) - est)
 		case "deadline":
 			if j.Spec.DeadlineS != nil && o.Times > 1 {
-				consider(j.At + config.Seconds(*j.Spec.DeadlineS*o.Times) - est)
+				consider(j.SubmittedAt + config.Seconds(*j.Spec.DeadlineS*o.Times) - est)
 			}
 		}
 	}
 	if !ok {
-		return j.At, false
+		return j.SubmittedAt, false
 	}
 	return best, true
 }
@@ -61,17 +61,17 @@
 func (f *Fleet) Rank(now time.Duration) {
 	f.ranked = now
 	for _, j := range f.order {
-		j.Place = 0
+		j.QueuePosition = 0
 	}
 	f.order = f.order[:0]
-	f.Jobs.Live(func(j *jobs.Job) {
+	f.Jobs.ForEachLive(func(j *jobs.Job) {
 		if j.Tasks != nil && j.Spec != nil {
 			f.order = append(f.order, j)
 		}
 	})
 	sort.Slice(f.order, func(a, b int) bool {
-		if f.order[a].At != f.order[b].At {
-			return f.order[a].At < f.order[b].At
+		if f.order[a].SubmittedAt != f.order[b].SubmittedAt {
+			return f.order[a].SubmittedAt < f.order[b].SubmittedAt
 		}
 		return f.order[a].ID < f.order[b].ID
 	})
@@ -80,7 +80,7 @@
 	keys := make(map[jobs.Index]rankKey, len(f.order))
 	for _, j := range f.order {
 		s := j.Spec.Size()
-		n := float64(j.N - j.DoneN)
+		n := float64(j.TaskCount - j.FinishedTasks)
 		sum := demand[j.Team].Add(planner.Size{CPUs: s.CPUs * n, GPUs: s.GPUs * n})
 		demand[j.Team] = sum
 		f.within[j.Index] = f.Gate.Quota.Within(j.Team, s, sum)
@@ -91,7 +91,7 @@
 	f.yieldPlaces(now, keys)
 	f.beginFirst(now)
 	for i, j := range f.order {
-		j.Place = i + 1
+		j.QueuePosition = i + 1
 	}
 }
 
@@ -104,8 +104,8 @@
 		if wx, wy := f.within[x.Index], f.within[y.Index]; wx != wy {
 			return wx
 		}
-		if x.Level != y.Level {
-			return x.Level > y.Level
+		if x.Priority != y.Priority {
+			return x.Priority > y.Priority
 		}
 		kx, ky := keys[x.Index], keys[y.Index]
 		if kx.ok != ky.ok {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -54,7 +54,7 @@
 	out := []Command{}
 	for i := range r.Tasks {
 		e := &r.Tasks[i]
-		if j, _ := f.resolve(e.Task); j != nil && e.State != exited && j.Stance == jobs.Cancelled {
+		if j, _ := f.resolve(e.Task); j != nil && e.State != exited && j.State == jobs.Cancelled {
 			out = append(out, Command{Op: opStop, Task: e.Task, Attempt: e.Attempt, GraceS: new(float64)})
 		}
 	}
@@ -171,7 +171,7 @@
 func (f *Fleet) settleLate(m *Machine) {
 	clear(m.late)
 	for ref := range m.On {
-		f.job(ref.Job).Tasks[ref.Task].Late = false
+		f.job(ref.Job).Tasks[ref.Task].LaunchIndeterminate = false
 	}
 }
 
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -68,10 +68,10 @@
 		}
 		waiting := 0
 		for _, j := range g.order {
-			if j.In[jobs.Unplanned] > 0 {
+			if j.TasksByState[jobs.Unplanned] > 0 {
 				t.Fatalf("%s has unplanned tasks", j.ID)
 			}
-			waiting += j.In[jobs.Planned]
+			waiting += j.TasksByState[jobs.Planned]
 		}
 		if waiting == 0 {
 			t.Fatal("nothing waits")
@@ -89,7 +89,7 @@
 
 func gang(n, tasks int, team string) *jobs.Spec {
 	s := spec(n, tasks)
-	s.Kind, s.Team, s.CPUs, s.GPUs, s.Mem, s.EstimateS, s.SaveS = jobs.Gang, team, 10, 2, 70, 200, 1
+	s.Kind, s.Team, s.CPUs, s.GPUs, s.MemoryGB, s.EstimateS, s.SaveS = jobs.Gang, team, 10, 2, 70, 200, 1
 	return s
 }
 
@@ -107,7 +107,7 @@
 		g.settle(store.Committed)
 		n := len(starts(g.see("g1", "gpu", false)))
 		if waits != (n == 0) || len(starts(g.see("c1", "cpu", false))) == 0 {
-			t.Fatalf("gang waits: %v, %d small tasks of %d started beside the accelerators", waits, n, j.N)
+			t.Fatalf("gang waits: %v, %d small tasks of %d started beside the accelerators", waits, n, j.TaskCount)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 	g := mixed(t)
 	half := func(n int, estimate float64) *jobs.Job {
 		s := spec(n, 2)
-		s.CPUs, s.GPUs, s.Mem, s.Spot, s.EstimateS = 6, 1, 40, true, estimate
+		s.CPUs, s.GPUs, s.MemoryGB, s.Spot, s.EstimateS = 6, 1, 40, true, estimate
 		return g.submit(s)
 	}
 	g.see("spot", "gpu", true)
--- a/internal/fleet/seats.go
+++ b/internal/fleet/seats.go
@@ -21,7 +21,7 @@
 
 // claimOf is what one task of a job takes.
 func claimOf(j *jobs.Job) admission.Claim {
-	return admission.Claim{Team: j.Team, Size: j.Spec.Size(), Seats: j.Seats}
+	return admission.Claim{Team: j.Team, Size: j.Spec.Size(), Seats: j.LicenceUnits}
 }
 
 // mayStart tells whether n tasks of a job are let through together now, as far as limits and
@@ -32,7 +32,7 @@
 
 // granted is how many of n waiting tasks the last pass had seats for: all, if they need none.
 func (f *Fleet) granted(j *jobs.Job, n int) int {
-	if len(j.Seats) == 0 {
+	if len(j.LicenceUnits) == 0 {
 		return n
 	}
 	return min(n, f.grants[j.Index].Tasks)
@@ -55,7 +55,7 @@
 			refs = append(refs, seatRef(j, int32(t)))
 		}
 	}
-	f.Gate.Book(now, refs, j.Attempt, claimOf(j))
+	f.Gate.Book(now, refs, j.GangAttempt, claimOf(j))
 }
 
 // unbook gives back what is booked for tasks that won't be launched: their gang lost its plan,
@@ -63,7 +63,7 @@
 func (f *Fleet) unbook(now time.Duration) {
 	f.Gate.Unbook(now, func(r licences.Ref) bool {
 		j := f.job(jobs.Index(r.Job))
-		return j == nil || j.Stance.Terminal() || j.Tasks == nil || j.Tasks[r.Task].State != jobs.Planned || j.In[jobs.Unplanned] > 0
+		return j == nil || j.State.Terminal() || j.Tasks == nil || j.Tasks[r.Task].State != jobs.Planned || j.TasksByState[jobs.Unplanned] > 0
 	})
 }
 
@@ -89,7 +89,7 @@
 	}
 	var refs []Ref
 	for r := range m.On {
-		if j := f.job(r.Job); len(j.Seats) > 0 && j.Tasks[r.Task].State == jobs.Launched {
+		if j := f.job(r.Job); len(j.LicenceUnits) > 0 && j.Tasks[r.Task].State == jobs.Launched {
 			refs = append(refs, r)
 		}
 	}
@@ -106,11 +106,11 @@
 	var js []*jobs.Job
 	var asks []licences.Ask
 	for _, j := range f.order {
-		if len(j.Seats) == 0 || j.DoneN == j.N || j.Idle() {
+		if len(j.LicenceUnits) == 0 || j.FinishedTasks == j.TaskCount || j.Idle() {
 			continue
 		}
-		a := licences.Ask{Job: int32(j.Index), Team: j.Team, Needs: j.Seats, Whole: j.Spec.Kind == jobs.Gang, Tasks: j.Left()}
-		if a.Whole && a.Tasks < j.N {
+		a := licences.Ask{Job: int32(j.Index), Team: j.Team, Needs: j.LicenceUnits, Whole: j.Spec.Kind == jobs.Gang, Tasks: j.UnstartedTasks()}
+		if a.Whole && a.Tasks < j.TaskCount {
 			a.Tasks = 0 // some of it is still there, or on its way with its seats booked
 		}
 		js, asks = append(js, j), append(asks, a)
@@ -122,12 +122,12 @@
 	clear(f.grants)
 	for i, g := range f.Gate.Seats.Allot(asks) {
 		j := js[i]
-		if was := j.Denied; was != g.Why {
-			j.Denied = g.Why
+		if was := j.LicenceDenial; was != g.Why {
+			j.LicenceDenial = g.Why
 			slog.Debug("licences", "job", j.ID, "granted", g.Tasks, "of", asks[i].Tasks, "why", g.Why.String(), "term", f.Term)
 		}
 		f.grants[j.Index] = g
-		f.giveUpPlans(j, j.In[jobs.Planned]-g.Tasks)
+		f.giveUpPlans(j, j.TasksByState[jobs.Planned]-g.Tasks)
 	}
 	f.Steps += uint64(4 * len(js))
 	for i, j := range js {
@@ -144,7 +144,7 @@
 
 // giveUpPlans unplans n of a job's tasks that have not been started.
 func (f *Fleet) giveUpPlans(j *jobs.Job, n int) {
-	if n <= 0 || (j.Spec.Kind == jobs.Gang && j.On() > 0) {
+	if n <= 0 || (j.Spec.Kind == jobs.Gang && j.TasksOnMachines() > 0) {
 		return
 	}
 	for _, ix := range f.waitsAt(j) {
@@ -155,7 +155,7 @@
 			}
 			t := ts[len(ts)-1]
 			f.dropLane(j, t)
-			f.must(j.Set(t, jobs.Unplanned))
+			f.must(j.SetTaskState(t, jobs.Unplanned))
 			n--
 		}
 	}
@@ -172,24 +172,24 @@
 // holders lists who holds seats of a pool on a machine and may be stopped, least costly first:
 // seconds of work lost for each seat. Gangs go whole. halting is what is on its way out.
 func (f *Fleet) holders(now time.Duration, pool int32, may func(*jobs.Job) bool) (hs []holder, halting int) {
-	f.Jobs.All(func(j *jobs.Job) {
-		i := slices.IndexFunc(j.Seats, func(u licences.Unit) bool { return u.Pool == pool })
-		if i < 0 || j.Tasks == nil || j.On() == 0 {
+	f.Jobs.ForEach(func(j *jobs.Job) {
+		i := slices.IndexFunc(j.LicenceUnits, func(u licences.Unit) bool { return u.Pool == pool })
+		if i < 0 || j.Tasks == nil || j.TasksOnMachines() == 0 {
 			return
 		}
-		ok := !j.Stance.Terminal() && may(j)
+		ok := !j.State.Terminal() && may(j)
 		var gang holder
 		for t := range j.Tasks {
 			k := &j.Tasks[t]
 			switch {
 			case !k.State.Occupies():
-			case k.Halting || k.Done || j.GangDone:
-				halting += j.Seats[i].N
+			case k.Stopping || k.Done || j.GangDone:
+				halting += j.LicenceUnits[i].N
 			case ok && j.Spec.Kind == jobs.Gang:
-				gang.tasks, gang.units = append(gang.tasks, int32(t)), gang.units+j.Seats[i].N
+				gang.tasks, gang.units = append(gang.tasks, int32(t)), gang.units+j.LicenceUnits[i].N
 				gang.lost += f.loss(now, j, int32(t))
 			case ok:
-				hs = append(hs, holder{j, []int32{int32(t)}, j.Seats[i].N, f.loss(now, j, int32(t))})
+				hs = append(hs, holder{j, []int32{int32(t)}, j.LicenceUnits[i].N, f.loss(now, j, int32(t))})
 			}
 		}
 		if gang.tasks != nil {
@@ -253,11 +253,11 @@
 	if a.Whole {
 		n = a.Tasks
 	}
-	promised := f.Gate.Seats.Promised(j.Team, j.Seats, n)
-	if j.Level <= f.pass.lowest && !f.within[j.Index] && !promised {
+	promised := f.Gate.Seats.Promised(j.Team, j.LicenceUnits, n)
+	if j.Priority <= f.pass.lowest && !f.within[j.Index] && !promised {
 		return
 	}
-	if t, ok := f.pleaded[j.Index]; (ok && now-t < cooling) || now-j.At < patienceFor {
+	if t, ok := f.pleaded[j.Index]; (ok && now-t < cooling) || now-j.SubmittedAt < patienceFor {
 		return
 	}
 	// What a job of lower rank leaves free it gets without stopping anybody.
@@ -269,14 +269,14 @@
 		canWait = f.canWait(now, j)
 	}
 	var plan [][]holder
-	for _, u := range j.Seats {
+	for _, u := range j.LicenceUnits {
 		short := f.Gate.Seats.Short(u, n)
 		if short == 0 {
 			continue
 		}
 		hs, halting := f.holders(now, u.Pool, func(v *jobs.Job) bool {
 			return f.mayPreempt(j, v) || (promised && v.Team != j.Team && f.Gate.Seats.Over(u.Pool, v.Team) &&
-				!f.Gate.Seats.Promised(v.Team, v.Seats, 0) && (v.Spec.Kind == jobs.Array || v.N == 1))
+				!f.Gate.Seats.Promised(v.Team, v.LicenceUnits, 0) && (v.Spec.Kind == jobs.Array || v.TaskCount == 1))
 		})
 		if short -= halting; short <= 0 {
 			continue
@@ -298,8 +298,8 @@
 // soonestSeat estimates in how many seconds the next holder of a pool ends by itself.
 func (f *Fleet) soonestSeat(now time.Duration, pool int32) float64 {
 	soonest := 1e6
-	f.Jobs.All(func(j *jobs.Job) {
-		if j.Tasks == nil || j.On() == 0 || !slices.ContainsFunc(j.Seats, func(u licences.Unit) bool { return u.Pool == pool }) {
+	f.Jobs.ForEach(func(j *jobs.Job) {
+		if j.Tasks == nil || j.TasksOnMachines() == 0 || !slices.ContainsFunc(j.LicenceUnits, func(u licences.Unit) bool { return u.Pool == pool }) {
 			return
 		}
 		for t := range j.Tasks {
--- a/internal/fleet/seats_test.go
+++ b/internal/fleet/seats_test.go
@@ -41,8 +41,8 @@
 	j := g.submit(needing(1, 6, map[string]int{"p": 1}))
 	other := g.submit(spec(2, 4))
 	g.settle(store.Committed)
-	if j.In[jobs.Planned] != 2 || other.In[jobs.Planned] != 4 {
-		t.Fatalf("%d planned with two seats, %d without", j.In[jobs.Planned], other.In[jobs.Planned])
+	if j.TasksByState[jobs.Planned] != 2 || other.TasksByState[jobs.Planned] != 4 {
+		t.Fatalf("%d planned with two seats, %d without", j.TasksByState[jobs.Planned], other.TasksByState[jobs.Planned])
 	}
 	if d := g.Demand(g.now); len(d) != 2 || d[0].Tasks != 2 || d[1].Tasks != 4 {
 		t.Fatalf("demand %+v", d)
@@ -57,8 +57,8 @@
 	}
 	p.Count = 5
 	g.settle(store.Committed)
-	if j.In[jobs.Planned] != 3 {
-		t.Fatalf("%d planned with three more seats", j.In[jobs.Planned])
+	if j.TasksByState[jobs.Planned] != 3 {
+		t.Fatalf("%d planned with three more seats", j.TasksByState[jobs.Planned])
 	}
 }
 
@@ -75,8 +75,8 @@
 	n.hear("spare", 1, 2*fenced)
 	j2 := n.submit(needing(2, 1, map[string]int{"p": 1}))
 	n.settle(store.Committed)
-	if n.free(0) != 0 || j2.In[jobs.Planned] != 0 {
-		t.Fatalf("%d free, %d planned, while the first may run", n.free(0), j2.In[jobs.Planned])
+	if n.free(0) != 0 || j2.TasksByState[jobs.Planned] != 0 {
+		t.Fatalf("%d free, %d planned, while the first may run", n.free(0), j2.TasksByState[jobs.Planned])
 	}
 	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 || n.free(0) != 0 {
 		t.Fatalf("started %v, want the planned task, with the only seat", cs)
@@ -90,13 +90,13 @@
 	n.hear("m", 1, 2*fenced)
 	j := n.submit(needing(1, 1, map[string]int{"p": 1}))
 	n.settle(store.Committed)
-	if j.In[jobs.Planned] != 0 {
+	if j.TasksByState[jobs.Planned] != 0 {
 		t.Fatal("a seat was given out that a crashed task of the term before may hold")
 	}
 	n.now = 8 * time.Second
 	n.hear("m", 1, 2*fenced)
 	n.settle(store.Committed)
-	if j.In[jobs.Planned] != 1 {
+	if j.TasksByState[jobs.Planned] != 1 {
 		t.Fatal("no seat after the linger")
 	}
 }
@@ -134,10 +134,10 @@
 	a := g.submit(low)
 	g.settle(store.Committed)
 	b := g.submit(high)
-	was := a.In[jobs.Planned]
+	was := a.TasksByState[jobs.Planned]
 	g.settle(store.Committed)
-	if was != 2 || a.In[jobs.Planned] != 0 || b.In[jobs.Planned] != 2 {
-		t.Fatalf("planned %d, then %d beside %d of higher rank", was, a.In[jobs.Planned], b.In[jobs.Planned])
+	if was != 2 || a.TasksByState[jobs.Planned] != 0 || b.TasksByState[jobs.Planned] != 2 {
+		t.Fatalf("planned %d, then %d beside %d of higher rank", was, a.TasksByState[jobs.Planned], b.TasksByState[jobs.Planned])
 	}
 }
 
@@ -260,15 +260,15 @@
 		g.now += time.Second // the later, the less there is to lose
 		g.hear(m, 1, fenced, on[m]...)
 	}
-	if j.Runs != n {
-		t.Fatalf("%d of %d run", j.Runs, n)
+	if j.RunningTasks != n {
+		t.Fatalf("%d of %d run", j.RunningTasks, n)
 	}
 	return j, on
 }
 
 func halting(j *jobs.Job) (ts []int) {
 	for t := range j.Tasks {
-		if j.Tasks[t].Halting {
+		if j.Tasks[t].Stopping {
 			ts = append(ts, t)
 		}
 	}
@@ -294,7 +294,7 @@
 	}
 	for t2 := range j.Tasks {
 		for _, h := range hs {
-			if !j.Tasks[t2].Halting && j.Tasks[t2].RunSince > j.Tasks[h].RunSince {
+			if !j.Tasks[t2].Stopping && j.Tasks[t2].RunningSince > j.Tasks[h].RunningSince {
 				t.Fatalf("task %d was stopped, and %d had less to lose", h, t2)
 			}
 		}
@@ -330,15 +330,15 @@
 		}
 		for m, ts := range on {
 			for i := range ts {
-				if _, no := g.resolve(ts[i].Task); j.Tasks[no].Halting {
+				if _, no := g.resolve(ts[i].Task); j.Tasks[no].Stopping {
 					ts[i].State, ts[i].Why = exited, whyStopped
 				}
 			}
 			g.hear(m, 1, fenced, ts...)
 		}
 		g.settle(store.Committed)
-		if gang := g.Jobs.Get("req-000002"); gang.In[jobs.Planned]+gang.On() != 2 || j.In[jobs.Planned] != 0 {
-			t.Fatalf("guaranteed %v: the gang has %d planned, its victims %d", guaranteed, gang.In[jobs.Planned], j.In[jobs.Planned])
+		if gang := g.Jobs.Get("req-000002"); gang.TasksByState[jobs.Planned]+gang.TasksOnMachines() != 2 || j.TasksByState[jobs.Planned] != 0 {
+			t.Fatalf("guaranteed %v: the gang has %d planned, its victims %d", guaranteed, gang.TasksByState[jobs.Planned], j.TasksByState[jobs.Planned])
 		}
 	}
 }
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -23,7 +23,7 @@
 		return planner.Size{}
 	}
 	// What such work may stop anyway need only be kept from as much as waits and may come.
-	if !m.spared && j != nil && j.Level < f.gpuLevel && !f.within[j.Index] {
+	if !m.spared && j != nil && j.Priority < f.gpuLevel && !f.within[j.Index] {
 		return planner.Size{}
 	}
 	return f.perGPU.Times(idle)
@@ -34,7 +34,7 @@
 	if w := f.within[j.Index]; w != f.gpuWithin {
 		return w
 	}
-	return j.Level > f.gpuLevel
+	return j.Priority > f.gpuLevel
 }
 
 // yields is by how many seconds a job that may use spot machines puts off an ordinary one
@@ -65,8 +65,8 @@
 }
 
 func (f *Fleet) rankOf(j *jobs.Job) int {
-	if j.Place > 0 {
-		return j.Place - 1
+	if j.QueuePosition > 0 {
+		return j.QueuePosition - 1
 	}
 	return 1 << 30
 }
@@ -80,17 +80,17 @@
 
 // allowed tells whether a job's task may be on a machine, given where its others are.
 func (f *Fleet) allowed(m *Machine, j *jobs.Job) bool {
-	if !j.Allows(m.Type, m.Zone, m.Spot) || (len(j.Avoid) > 0 && f.Now() < j.Avoid[m.Index]) {
+	if !j.Allows(m.Type, m.Zone, m.Spot) || (len(j.AvoidedMachines) > 0 && f.Now() < j.AvoidedMachines[m.Index]) {
 		return false
 	}
 	if j.Spec.OneZone {
-		for z, n := range j.ZoneUse {
+		for z, n := range j.TasksByZone {
 			if n > 0 && z != m.Zone {
 				return false
 			}
 		}
 	}
-	if lim := j.Spec.ZoneLimit(); lim > 0 && j.ZoneUse[m.Zone]+j.ZoneUse[jobs.None] >= lim {
+	if lim := j.Spec.ZoneLimit(); lim > 0 && j.TasksByZone[m.Zone]+j.TasksByZone[jobs.None] >= lim {
 		return false
 	}
 	return true
@@ -99,7 +99,7 @@
 // startable tells whether a planned task may be launched now.
 func (f *Fleet) startable(now time.Duration, m *Machine, j *jobs.Job, t int32) bool {
 	k := &j.Tasks[t]
-	return j.Stance == jobs.Pending && !j.Sealed && k.State == jobs.Planned && k.Machine == m.Index && k.Until <= now &&
+	return j.State == jobs.Pending && !j.Quarantined && k.State == jobs.Planned && k.Machine == m.Index && k.NotBefore <= now &&
 		j.IsDurable(t) && f.allowed(m, j) && f.fits(m, j) && (f.Gate.Booked(seatRef(j, t)) || f.Gate.Fits(claimOf(j), 1))
 }
 
@@ -112,9 +112,9 @@
 // launch turns a planned task into a command.
 func (f *Fleet) launch(now time.Duration, m *Machine, j *jobs.Job, t int32, attempt uint64) Command {
 	k := &j.Tasks[t]
-	k.Since, k.RunSince, k.Attempt = now, 0, attempt
+	k.LaunchedAt, k.RunningSince, k.Attempt = now, 0, attempt
 	if !j.Started {
-		slog.Info("job starts", "job", j.ID, "class", j.Spec.Class, "tasks", j.N, "machine", m.Name, "waited_s", int((now - j.At).Seconds()),
+		slog.Info("job starts", "job", j.ID, "class", j.Spec.Class, "tasks", j.TaskCount, "machine", m.Name, "waited_s", int((now - j.SubmittedAt).Seconds()),
 			"fetch_s", int(f.fetchS(j, m)), "term", f.Term)
 	}
 	j.Started = true
@@ -173,7 +173,7 @@
 	for t := range j.Tasks {
 		k := &j.Tasks[t]
 		switch {
-		case k.State == jobs.Unplanned || k.State == jobs.Recovered || k.Halting || k.Until > now:
+		case k.State == jobs.Unplanned || k.State == jobs.Recovered || k.Stopping || k.NotBefore > now:
 			return nil
 		case k.State == jobs.Planned:
 			if !j.IsDurable(int32(t)) || f.machines[k.Machine].Condition != Acting {
@@ -188,8 +188,8 @@
 		if !f.mayStart(j, planned) {
 			return nil
 		}
-		j.Attempt = f.nextAttempt()
-		j.GangAt, j.FetchS = now, 0
+		j.GangAttempt = f.nextAttempt()
+		j.GangStartedAt, j.FetchS = now, 0
 		for t := range j.Tasks {
 			if k := &j.Tasks[t]; k.State == jobs.Planned {
 				j.FetchS = max(j.FetchS, f.fetchS(j, f.machines[k.Machine]))
@@ -200,14 +200,14 @@
 	// costs the whole gang its start: where the image is at hand the launch is put off for
 	// as long as the others fetch it, less a good part of what the task may wait.
 	lead := j.FetchS - f.fetchS(j, m) - f.Settings.Params.Workers.GangWaitS/4
-	if now < j.GangAt+config.Seconds(lead) {
+	if now < j.GangStartedAt+config.Seconds(lead) {
 		return nil
 	}
 	var out []Command
 	for _, t := range slices.Clone(m.waiting(j.Index)) {
 		if j.Tasks[t].State == jobs.Planned && f.startable(now, m, j, t) {
 			f.dropLane(j, t)
-			out = append(out, f.launch(now, m, j, t, j.Attempt))
+			out = append(out, f.launch(now, m, j, t, j.GangAttempt))
 		}
 	}
 	if first && len(out) > 0 {
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -43,7 +43,7 @@
 	var waiting []*jobs.Job
 	anyAged := false
 	for _, j := range f.order {
-		if j.Spec.Kind == jobs.Array && j.In[jobs.Planned] > 0 && f.mayStart(j, 1) {
+		if j.Spec.Kind == jobs.Array && j.TasksByState[jobs.Planned] > 0 && f.mayStart(j, 1) {
 			waiting = append(waiting, j)
 			least = least.Min(j.Spec.Size())
 			anyAged = anyAged || f.aged(j)
--- a/internal/fleet/why.go
+++ b/internal/fleet/why.go
@@ -74,15 +74,15 @@
 			parts = append(parts, Part{n, c, fmt.Sprintf(format, a...)})
 		}
 	}
-	if j.Tasks == nil || j.Stance.Terminal() {
+	if j.Tasks == nil || j.State.Terminal() {
 		return parts
 	}
-	if j.Sealed {
-		add(j.N-j.In[jobs.Finished], Sealed, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
+	if j.Quarantined {
+		add(j.TaskCount-j.TasksByState[jobs.Finished], Sealed, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
 		return parts
 	}
-	if j.Parked {
-		add(j.Left(), Parked, "its session was reclaimed; it resumes when its user attaches")
+	if j.Suspended {
+		add(j.UnstartedTasks(), Parked, "its session was reclaimed; it resumes when its user attaches")
 		return parts
 	}
 	f.unplannedWhy(now, j, add)
@@ -113,7 +113,7 @@
 }
 
 func (f *Fleet) unplannedWhy(now time.Duration, j *jobs.Job, add func(int, Cause, string, ...any)) {
-	n := j.In[jobs.Unplanned]
+	n := j.TasksByState[jobs.Unplanned]
 	v, known := f.verdicts[j.Index]
 	if n == 0 {
 		return
@@ -212,7 +212,7 @@
 func (f *Fleet) Ahead(j *jobs.Job, most int) (ids []string, n int) {
 	at := f.rankOf(j)
 	for i := min(at, len(f.order)) - 1; i >= 0; i-- {
-		if o := f.order[i]; o.Left() > 0 && !o.Idle() {
+		if o := f.order[i]; o.UnstartedTasks() > 0 && !o.Idle() {
 			if n++; len(ids) < most {
 				ids = append(ids, o.ID)
 			}
--- a/internal/fleet/why_test.go
+++ b/internal/fleet/why_test.go
@@ -32,8 +32,8 @@
 			writing++
 		}
 	}
-	if n+runs != j.N {
-		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", w.seed, w.now, j.ID, j.N, runs, parts)
+	if n+runs != j.TaskCount {
+		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", w.seed, w.now, j.ID, j.TaskCount, runs, parts)
 	}
 	use := planner.Size{}
 	free := map[string]int{}
@@ -60,7 +60,7 @@
 		case TeamLimit:
 			n := 1
 			if j.Spec.Kind == jobs.Gang {
-				n = j.N
+				n = j.TaskCount
 			}
 			// What gangs have booked beside counts for the limit, too.
 			if lim := w.settings.Params.Teams[0].CPUsMax; max(use.CPUs, f.Gate.Quota.Team(j.Team).Used.CPUs)+float64(n)*size.CPUs <= lim+1e-9 {
@@ -70,7 +70,7 @@
 			short := false
 			for name, k := range j.Spec.Licences {
 				if j.Spec.Kind == jobs.Gang {
-					k *= j.N
+					k *= j.TaskCount
 				}
 				short = short || free[name] < k
 			}
@@ -91,7 +91,7 @@
 					places += size.Copies(f.room(m, j))
 				}
 			}
-			if places >= j.N && !j.Spec.OneZone && j.Spec.ZoneLimit() == 0 && !claimed(f) {
+			if places >= j.TaskCount && !j.Spec.OneZone && j.Spec.ZoneLimit() == 0 && !claimed(f) {
 				wrong(p, "there are enough places")
 			}
 		case NotDurable:
@@ -130,7 +130,7 @@
 		w := newWorld(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
 		w.each = func() {
 			for _, j := range w.fleet.order {
-				if !j.Stance.Terminal() {
+				if !j.State.Terminal() {
 					checkWhy(t, w, j, seen)
 				}
 			}
--- a/internal/fleet/write.go
+++ b/internal/fleet/write.go
@@ -34,7 +34,7 @@
 	}
 	f.collect(now, w)
 	shard := f.nextShard(now)
-	if len(w.ops) == 0 && shard < 0 && !f.pages.Doubts() && !f.migrate(w) {
+	if len(w.ops) == 0 && shard < 0 && !f.pages.HasIndeterminate() && !f.migrate(w) {
 		f.sweep()
 		return
 	}
@@ -49,28 +49,28 @@
 		p := &w.ops[i]
 		switch {
 		case p.chunk == nil:
-			p.job.Closing = true
-			t.If = append(t.If, store.Cond{Key: p.key, Version: p.job.Version})
+			p.job.FinalWriteInFlight = true
+			t.If = append(t.If, store.Condition{Key: p.key, Version: p.job.Version})
 			t.Then = append(t.Then, store.Op{Put: p.key, Value: p.raw})
 			continue
 		case !p.inPage:
-			t.If = append(t.If, store.Cond{Key: p.key, Version: p.chunk.Version})
+			t.If = append(t.If, store.Condition{Key: p.key, Version: p.chunk.Version})
 			t.Then = append(t.Then, store.Op{Put: p.key, Value: p.raw})
 		case p.moved:
-			t.If = append(t.If, store.Cond{Key: p.key, Version: p.chunk.Version})
+			t.If = append(t.If, store.Condition{Key: p.key, Version: p.chunk.Version})
 			t.Then = append(t.Then, store.Op{Delete: p.key})
 		}
-		p.chunk.Dirty, p.chunk.Urgent, p.chunk.Pending = false, false, p.snapshot
+		p.chunk.Dirty, p.chunk.Urgent, p.chunk.InFlight = false, false, p.snapshot
 	}
 	ops := w.ops
 	if w.batch != nil {
 		// Pages come first: they say what became of the chunks in them.
 		var puts []pending
-		for _, x := range w.batch.Puts() {
-			key := pages.Key(jobs.PlanPages, x.No)
-			t.If = append(t.If, store.Cond{Key: key, Version: x.Version})
-			t.Then = append(t.Then, store.Op{Put: key, Value: x.Raw})
-			puts = append(puts, pending{key: key, raw: x.Raw, page: &x})
+		for _, x := range w.batch.Writes() {
+			key := pages.Key(jobs.PlanPagePrefix, x.Number)
+			t.If = append(t.If, store.Condition{Key: key, Version: x.Version})
+			t.Then = append(t.Then, store.Op{Put: key, Value: x.Value})
+			puts = append(puts, pending{key: key, raw: x.Value, page: &x})
 		}
 		ops = append(puts, ops...)
 	}
@@ -88,8 +88,8 @@
 // collect offers what is due, most urgent first.
 func (f *Fleet) collect(now time.Duration, w *write) {
 	for _, j := range f.order {
-		if j.Stance == jobs.Pending && j.DoneN == j.N && !j.Closing && j.Spec.Kind != jobs.Service {
-			raw := jobs.EncodeRecord(jobs.Done, 0, j.N, nil)
+		if j.State == jobs.Pending && j.FinishedTasks == j.TaskCount && !j.FinalWriteInFlight && j.Spec.Kind != jobs.Service {
+			raw := jobs.EncodeRecord(jobs.Done, 0, j.TaskCount, nil)
 			if !w.key(pending{job: j, key: jobs.RecordKey(j.ID), raw: raw}) {
 				return
 			}
@@ -102,11 +102,11 @@
 			return
 		}
 		for _, j := range f.order {
-			if j.Stance != jobs.Pending || j.DoneN == j.N {
+			if j.State != jobs.Pending || j.FinishedTasks == j.TaskCount {
 				continue
 			}
-			for _, c := range j.Chunks {
-				if !c.Dirty || c.Sealed || c.Pending != nil || c.Urgent != urgent || (!urgent && now-c.Since < gather) {
+			for _, c := range j.Segments {
+				if !c.Dirty || c.Quarantined || c.InFlight != nil || c.Urgent != urgent || (!urgent && now-c.DirtySince < gather) {
 					continue
 				}
 				if !w.chunk(j, c) {
@@ -131,8 +131,8 @@
 	if f.shard < len(f.shards) {
 		f.shards[f.shard] = true
 	}
-	slog.Debug("write failed", "outcome", r.Outcome.String(), "failed", r.Failed, "ops", len(ops), "term", f.Term)
-	if r.Outcome == store.NotDone || r.Outcome == store.NoHold {
+	slog.Debug("write failed", "outcome", r.Outcome.String(), "failed", r.FailedKeys, "ops", len(ops), "term", f.Term)
+	if r.Outcome == store.NotApplied || r.Outcome == store.LeaseExpired {
 		f.writing = false
 		for _, p := range ops {
 			f.undone(now, p)
@@ -177,16 +177,16 @@
 		case p.inPage: // not moved: what was its key may be gone by an earlier try
 			p.chunk.Version = it.Version
 		case p.chunk == nil:
-			p.job.Closing = false
+			p.job.FinalWriteInFlight = false
 			if it.Version != 0 {
 				f.Learned(now, it)
 			}
 		case it.Version != p.chunk.Version && string(it.Value) == string(p.raw):
 			f.applied(now, p, it.Version)
 		default:
-			p.chunk.Early = p.chunk.Early || p.chunk.Version == 0
+			p.chunk.CreateIndeterminate = p.chunk.CreateIndeterminate || p.chunk.Version == 0
 			p.chunk.Version = it.Version
-			p.chunk.Doubted(p.snapshot)
+			p.chunk.AddIndeterminate(p.snapshot)
 			f.undone(now, p)
 		}
 		f.settle(ops, i+1, read)
@@ -199,7 +199,7 @@
 	case p.page != nil:
 		f.pages.Commit(*p.page, version)
 	case p.chunk != nil:
-		p.chunk.Durable, p.chunk.Pending, p.chunk.Doubt = p.snapshot, nil, nil
+		p.chunk.DurableMachines, p.chunk.InFlight, p.chunk.Indeterminate = p.snapshot, nil, nil
 		if p.chunk.Version = version; p.inPage {
 			p.chunk.Version = 0 // it has no key of its own any more
 		}
@@ -213,12 +213,12 @@
 	case p.page != nil:
 		return
 	case p.chunk == nil:
-		p.job.Closing = false
+		p.job.FinalWriteInFlight = false
 		return
 	}
-	p.chunk.Pending = nil
+	p.chunk.InFlight = nil
 	if !p.chunk.Dirty {
-		p.chunk.Dirty, p.chunk.Since = true, now
+		p.chunk.Dirty, p.chunk.DirtySince = true, now
 	}
 	p.chunk.Urgent = true
 }
@@ -226,16 +226,16 @@
 // sweep removes plans of jobs that are over and have nothing on any machine any more.
 func (f *Fleet) sweep() {
 	f.over = slices.DeleteFunc(f.over, func(j *jobs.Job) bool {
-		if j.On() > 0 {
+		if j.TasksOnMachines() > 0 {
 			return false
 		}
-		for _, c := range j.Chunks {
+		for _, c := range j.Segments {
 			f.pages.Drop(planRef(j, c))
-			if c.Version != 0 || c.Early {
-				f.garbage = append(f.garbage, j.PlanKey(c.No))
+			if c.Version != 0 || c.CreateIndeterminate {
+				f.garbage = append(f.garbage, j.PlanKey(c.Number))
 			}
 		}
-		j.Tasks, j.Chunks = nil, nil
+		j.Tasks, j.Segments = nil, nil
 		return true
 	})
 	n := min(len(f.garbage), f.ops(), sweepAtOnce)
@@ -248,8 +248,8 @@
 		t.Then = append(t.Then, store.Op{Delete: k})
 	}
 	for i, no := range nos {
-		key := pages.Key(jobs.PlanPages, no)
-		t.If = append(t.If, store.Cond{Key: key, Version: versions[i]})
+		key := pages.Key(jobs.PlanPagePrefix, no)
+		t.If = append(t.If, store.Condition{Key: key, Version: versions[i]})
 		t.Then = append(t.Then, store.Op{Delete: key})
 	}
 	f.writing = true
@@ -259,9 +259,9 @@
 		switch r.Outcome {
 		case store.Committed:
 			f.garbage = f.garbage[n:]
-			f.pages.Retired()
+			f.pages.ConfirmRetired()
 		case store.Conflict: // an earlier try has landed
-			f.pages.Retired()
+			f.pages.ConfirmRetired()
 		}
 	})
 }
@@ -269,5 +269,5 @@
 // Settled tells whether an ended job has nothing left here: no task that may be on a machine, no plan that stands or
 // couldn't be read.
 func (f *Fleet) Settled(j *jobs.Job) bool {
-	return f.loaded && j.Stance.Terminal() && j.Tasks == nil && !j.Sealed && !f.unread[j.ID]
+	return f.loaded && j.State.Terminal() && j.Tasks == nil && !j.Quarantined && !f.unread[j.ID]
 }
--- a/internal/intake/abort.go
+++ b/internal/intake/abort.go
@@ -27,7 +27,7 @@
 
 func (n *Intake) abort(w *access.Who, id string, reply func(Reply), tries int) {
 	j := n.Jobs.Get(id)
-	if j != nil && j.Stance.Terminal() {
+	if j != nil && j.State.Terminal() {
 		reply(n.show(j, false))
 		return
 	}
@@ -36,7 +36,7 @@
 		return
 	}
 	again := func() {
-		n.Store.Get(jobs.RecordKey(id), store.Ordinary, func(it store.Item, err error) {
+		n.Store.Get(jobs.RecordKey(id), store.NormalPriority, func(it store.Item, err error) {
 			switch {
 			case err != nil || tries == 0:
 				reply(noStateReply)
@@ -44,7 +44,7 @@
 				n.archived(id, reply, false, noSuchJob, func(*jobs.Job) { n.abort(w, id, reply, tries-1) })
 			default:
 				n.Learned(n.Store.Now(), it)
-				if n.Jobs.Unread(id) {
+				if n.Jobs.IsUnreadable(id) {
 					reply(unreadable)
 					return
 				}
@@ -57,9 +57,9 @@
 		return
 	}
 	key := jobs.RecordKey(id)
-	raw := jobs.EncodeRecord(jobs.Cancelled, n.Jobs.WallMS(j.At), j.N, j.Spec)
-	n.Store.Txn(store.Txn{If: n.guarded(store.Cond{Key: key, Version: j.Version}), Then: []store.Op{{Put: key, Value: raw}}},
-		store.Ordinary, func(r store.Result) {
+	raw := jobs.EncodeRecord(jobs.Cancelled, n.Jobs.WallMS(j.SubmittedAt), j.TaskCount, j.Spec)
+	n.Store.Txn(store.Txn{If: n.guarded(store.Condition{Key: key, Version: j.Version}), Then: []store.Op{{Put: key, Value: raw}}},
+		store.NormalPriority, func(r store.Result) {
 			switch r.Outcome {
 			case store.Committed:
 				n.Learned(n.Store.Now(), store.Item{Key: key, Value: raw, Version: r.Revision})
--- a/internal/intake/archive_test.go
+++ b/internal/intake/archive_test.go
@@ -19,14 +19,14 @@
 // An archived job's answer is told to whoever asks, whatever is asked: a question, a repeated submission, a cancellation;
 // and a job that nobody submitted is unknown still.
 func TestArchivedJobsAreAnswered(t *testing.T) {
-	for _, st := range []jobs.Stance{jobs.Done, jobs.Cancelled} {
+	for _, st := range []jobs.State{jobs.Done, jobs.Cancelled} {
 		for what, ask := range map[string]func(d *desk) Reply{
 			"question":     func(d *desk) Reply { return d.query(t, job(1).ID) },
 			"submission":   func(d *desk) Reply { return d.submit(t, job(1)) },
 			"cancellation": func(d *desk) Reply { return d.abort(t, job(1).ID) },
 		} {
 			d := newDesk(state.New())
-			d.moved(job(1).ID, archive.Answer{Stance: st, Tasks: 3, Done: 2})
+			d.moved(job(1).ID, archive.Answer{State: st, Tasks: 3, Done: 2})
 			for range 2 { // from a read, and from memory
 				if r := ask(d); r.Status != 200 || stance(r) != st.String() {
 					t.Errorf("%s about a job that was %s: %d %q", what, st, r.Status, stance(r))
@@ -47,7 +47,7 @@
 	d := newDesk(state.New())
 	s := job(1)
 	s.Team = "a team that the settings no longer name"
-	d.moved(s.ID, archive.Answer{Stance: jobs.Done, Tasks: 3, Done: 3})
+	d.moved(s.ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
 	if r := d.submit(t, s); r.Status != 200 || stance(r) != "done" {
 		t.Errorf("%d %q", r.Status, stance(r))
 	}
@@ -76,7 +76,7 @@
 func TestMovedWhileAsked(t *testing.T) {
 	d := newDesk(state.New())
 	d.svc.Apply([]store.Op{{Put: jobs.RecordKey(job(1).ID), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
-	d.late = func() { d.moved(job(1).ID, archive.Answer{Stance: jobs.Done, Tasks: 3, Done: 3}) }
+	d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
 	if r := d.query(t, job(1).ID); r.Status != 200 || stance(r) != "done" {
 		t.Errorf("%d %q", r.Status, stance(r))
 	}
@@ -89,7 +89,7 @@
 	d.svc.Apply([]store.Op{{Put: jobs.RecordKey(job(1).ID), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
 	d.Learned = func(time.Duration, store.Item) {} // the followed keys have passed its version
 	d.late = func() {                              // after the check
-		d.late = func() { d.moved(job(1).ID, archive.Answer{Stance: jobs.Done, Tasks: 3, Done: 3}) } // after the read
+		d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) } // after the read
 	}
 	if r := d.query(t, job(1).ID); r.Status != 200 || stance(r) != "done" {
 		t.Errorf("%d %q", r.Status, stance(r))
@@ -101,7 +101,7 @@
 func TestArchivedBeforeItsSubmissionIsAnswered(t *testing.T) {
 	d := newDesk(state.New())
 	d.Learned = func(time.Duration, store.Item) {} // the followed keys have passed its version
-	d.late = func() { d.moved(job(1).ID, archive.Answer{Stance: jobs.Done, Tasks: 3, Done: 3}) }
+	d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
 	if r := d.submit(t, job(1)); r.Status != 200 || stance(r) != "done" {
 		t.Errorf("%d %q", r.Status, stance(r))
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -75,7 +75,7 @@
 	Learned func(now time.Duration, it store.Item)
 	// Guard is the condition that every write from here carries besides its own: the cluster's level is what this
 	// controller knows it to be. Fit tells whether this release may act at that level; nil: there are no levels.
-	Guard func() store.Cond
+	Guard func() store.Condition
 	Fit   func() bool
 	// TxnOps bounds a transaction. Limits is what one may hold now, which may be less; nil: it is TxnOps and MaxValue.
 	TxnOps int
@@ -100,10 +100,10 @@
 
 // limits is what a transaction may hold now.
 func (n *Intake) limits() store.Limits {
-	l := store.Limits{Ops: n.TxnOps, Value: n.MaxValue}
+	l := store.Limits{MaxOps: n.TxnOps, MaxValueBytes: n.MaxValue}
 	if n.Limits != nil {
 		now := n.Limits()
-		l = store.Limits{Ops: min(l.Ops, now.Ops), Value: min(l.Value, now.Value)}
+		l = store.Limits{MaxOps: min(l.MaxOps, now.MaxOps), MaxValueBytes: min(l.MaxValueBytes, now.MaxValueBytes)}
 	}
 	return l
 }
@@ -124,12 +124,12 @@
 
 // stateLost tells that the state service has not answered for so long that asking it
 // again would only hold the user back.
-func (n *Intake) stateLost(now time.Duration) bool { return now-n.Store.LastOK() > 3*time.Second }
+func (n *Intake) stateLost(now time.Duration) bool { return now-n.Store.LastSuccess() > 3*time.Second }
 
 func (n *Intake) show(j *jobs.Job, full bool) Reply {
-	v := view{ID: j.ID, Stance: j.Stance.String()}
-	done, running := j.DoneN, 0
-	if j.Stance == jobs.Pending {
+	v := view{ID: j.ID, Stance: j.State.String()}
+	done, running := j.FinishedTasks, 0
+	if j.State == jobs.Pending {
 		done, running = n.Counts(j)
 		if running > 0 {
 			v.Stance = "running"
@@ -151,7 +151,7 @@
 }
 
 // guarded are a write's conditions with the level's.
-func (n *Intake) guarded(cs ...store.Cond) []store.Cond {
+func (n *Intake) guarded(cs ...store.Condition) []store.Condition {
 	if n.Guard == nil {
 		return cs
 	}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -65,14 +65,14 @@
 
 func newDesk(svc *state.Service) *desk {
 	d := &desk{svc: svc}
-	st := store.New("", d, func() time.Duration { return svc.Now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{Ops: 24, Value: 32 << 10})
+	st := store.New("", d, func() time.Duration { return svc.Now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	book := jobs.NewTable(0)
 	d.Intake = New(Env{
 		Store: st, Jobs: book, Archive: archive.NewReader(st, 8), Ready: func() bool { return true }, TxnOps: 24, MaxTasks: 3000, MaxBytes: 1 << 20, MaxValue: 8 << 10,
 		Admit: func(s *jobs.Spec) Verdict {
 			return Verdict{OK: s.Team == "t", Known: s.Team != "unknown yet", Open: s.Team == "short of seats", Why: "team"}
 		},
-		Counts: func(j *jobs.Job) (int, int) { return j.DoneN, j.RunningN },
+		Counts: func(j *jobs.Job) (int, int) { return j.FinishedTasks, j.ReportedRunning },
 		Learned: func(_ time.Duration, it store.Item) {
 			_, _, _ = book.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
 		},
--- a/internal/intake/later_test.go
+++ b/internal/intake/later_test.go
@@ -16,7 +16,7 @@
 	svc := state.New()
 	d := newDesk(svc)
 	now := func() time.Duration { return svc.Now }
-	d.Store = store.New("", d, now, store.Share{RPS: 1e6, WriteRPS: perSecond, BurstS: 1}, store.Limits{Ops: 24, Value: 32 << 10})
+	d.Store = store.New("", d, now, store.Share{RPS: 1e6, WriteRPS: perSecond, BurstS: 1}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	d.Archive = archive.NewReader(d.Store, 8)
 	refused, accepted, last := 0, 0, time.Duration(0)
 	due := map[int]time.Duration{}
--- a/internal/intake/question.go
+++ b/internal/intake/question.go
@@ -58,7 +58,7 @@
 		return
 	}
 	// A flood of questions once took all that there was, and submissions and cancellations were refused beside it.
-	if !n.Store.Room(0, store.Query) {
+	if !n.Store.CanWrite(0, store.QueryPriority) {
 		if len(n.checks) > 200 {
 			for _, c := range n.checks {
 				c.reply(refuse(503, "the state service is at its limit"))
@@ -71,7 +71,7 @@
 	var batch []check
 	seen := map[string]bool{}
 	t := store.Txn{}
-	k, size, most := 0, 0, store.CondsPerOp*n.limits().Ops
+	k, size, most := 0, 0, store.ConditionsPerOp*n.limits().MaxOps
 	for ; k < len(n.checks) && len(t.If)+condsPerCheck <= most; k++ {
 		c := n.checks[k]
 		if size += checkSize(c.id); size > checkBytes {
@@ -83,7 +83,7 @@
 		}
 		if !seen[c.id] {
 			seen[c.id] = true
-			t.If = append(t.If, store.Cond{Key: jobs.RecordKey(c.id), Version: c.version})
+			t.If = append(t.If, store.Condition{Key: jobs.RecordKey(c.id), Version: c.version})
 			if c.version == 0 {
 				t.If = append(t.If, archive.Absent(c.id))
 			}
@@ -93,7 +93,7 @@
 	n.checks = n.checks[k:]
 	n.checking = true
 	n.nextCheck = now + 40*time.Millisecond
-	n.Store.Txn(t, store.Query, func(r store.Result) {
+	n.Store.Txn(t, store.QueryPriority, func(r store.Result) {
 		n.checking = false
 		n.checked(batch, r)
 		n.check(n.Store.Now())
@@ -102,7 +102,7 @@
 
 func (n *Intake) checked(batch []check, r store.Result) {
 	failed := map[string]bool{}
-	for _, k := range r.Failed {
+	for _, k := range r.FailedKeys {
 		failed[k] = true
 	}
 	if r.Outcome != store.Committed && r.Outcome != store.Conflict {
@@ -126,7 +126,7 @@
 			default:
 				n.again(c) // it has ended and left the table meanwhile
 			}
-		case j != nil && j.Stance.Terminal():
+		case j != nil && j.State.Terminal():
 			c.reply(n.show(j, !c.submit))
 		case !failed[jobs.RecordKey(c.id)] && c.version == 0:
 			// Its answer was there, and its record wasn't: one read tells it.
--- a/internal/intake/resolve.go
+++ b/internal/intake/resolve.go
@@ -24,12 +24,12 @@
 // final gives the answer about a job that is known to have ended; it never changes, so no read is needed.
 func (n *Intake) final(id string, full bool) (Reply, bool) {
 	if j := n.Jobs.Get(id); j != nil {
-		if !j.Stance.Terminal() {
+		if !j.State.Terminal() {
 			return Reply{}, false
 		}
 		return n.show(j, full), true
 	}
-	a, ok := n.Archive.Known(id)
+	a, ok := n.Archive.Cached(id)
 	return showArchived(id, a, full), ok
 }
 
@@ -56,7 +56,7 @@
 
 // showArchived tells an archived job's answer.
 func showArchived(id string, a archive.Answer, full bool) Reply {
-	v := view{ID: id, Stance: a.Stance.String()}
+	v := view{ID: id, Stance: a.State.String()}
 	if full {
 		running := 0
 		v.Done, v.Running = &a.Done, &running
@@ -65,11 +65,11 @@
 }
 
 // classOf is how urgent a read is: questions are asked again soon.
-func classOf(full bool) store.Class {
+func classOf(full bool) store.Priority {
 	if full {
-		return store.Query
+		return store.QueryPriority
 	}
-	return store.Ordinary
+	return store.NormalPriority
 }
 
 // reread answers from a fresh read of a job's record, or of its archived answer, with absent if there is neither.
@@ -86,7 +86,7 @@
 		}
 		n.Learned(n.Store.Now(), it)
 		switch j := n.Jobs.Get(id); {
-		case n.Jobs.Unread(id):
+		case n.Jobs.IsUnreadable(id):
 			reply(unreadable)
 		case j != nil:
 			reply(n.show(j, full))
--- a/internal/intake/scale_test.go
+++ b/internal/intake/scale_test.go
@@ -54,7 +54,7 @@
 	for _, length := range []int{10, 22} {
 		svc := state.New()
 		d := newDesk(svc)
-		d.TxnOps, d.Limits = 1<<20, func() store.Limits { return store.Limits{Ops: 1 << 20, Value: 1 << 20} }
+		d.TxnOps, d.Limits = 1<<20, func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
 		most, asked := 0, 0
 		d.look = func(r httpio.Request) {
 			var txn store.Txn
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -46,7 +46,7 @@
 		// A count of licences falls, or a machine type comes, while this job's record is on its way here
 		// from the controller that took it; or the job was accepted under other settings and is archived. Only a
 		// read tells a refusal from a repetition.
-		if n.stateLost(now) || !n.Store.Room(0, store.Ordinary) {
+		if n.stateLost(now) || !n.Store.CanWrite(0, store.NormalPriority) {
 			reply(noStateReply)
 			return
 		}
@@ -62,7 +62,7 @@
 		reply(refuse(422, "the job's description is larger than what can be stored of a job"))
 		return
 	}
-	if len(raw) > n.limits().Value {
+	if len(raw) > n.limits().MaxValueBytes {
 		reply(refuse(503, "the state service takes no value as large as the job's description now"))
 		return
 	}
@@ -92,7 +92,7 @@
 	}
 	size, k := 200, 0
 	seen := map[string]bool{}
-	for k < len(n.submits) && k < n.limits().Ops {
+	for k < len(n.submits) && k < n.limits().MaxOps {
 		s := n.submits[k]
 		if size += len(s.raw) + submitOverhead; size > 60<<10 || seen[s.spec.ID] {
 			break
@@ -100,8 +100,8 @@
 		seen[s.spec.ID] = true
 		k++
 	}
-	if !n.Store.Room(k, store.Ordinary) {
-		if k = 1; !n.Store.Room(k, store.Ordinary) {
+	if !n.Store.CanWrite(k, store.NormalPriority) {
+		if k = 1; !n.Store.CanWrite(k, store.NormalPriority) {
 			for _, s := range n.submits {
 				s.reply(n.later(now, "the state service is at its limit"))
 			}
@@ -116,12 +116,12 @@
 		n.bytes -= len(s.raw)
 		key := jobs.RecordKey(s.spec.ID)
 		// Should this land after the job was accepted elsewhere, has ended and was archived, it makes nothing.
-		t.If = append(t.If, store.Cond{Key: key}, archive.Absent(s.spec.ID))
+		t.If = append(t.If, store.Condition{Key: key}, archive.Absent(s.spec.ID))
 		t.Then = append(t.Then, store.Op{Put: key, Value: s.raw})
 	}
 	t.If = n.guarded(t.If...)
 	n.submitting = true
-	n.Store.Txn(t, store.Ordinary, func(r store.Result) {
+	n.Store.Txn(t, store.NormalPriority, func(r store.Result) {
 		n.submitting = false
 		n.submitted(n.Store.Now(), batch, r)
 		n.flush(n.Store.Now())
@@ -130,7 +130,7 @@
 
 func (n *Intake) submitted(now time.Duration, batch []submit, r store.Result) {
 	failed := map[string]bool{}
-	for _, k := range r.Failed {
+	for _, k := range r.FailedKeys {
 		failed[k] = true
 	}
 	for _, s := range batch {
@@ -163,7 +163,7 @@
 	switch j := n.Jobs.Get(s.spec.ID); {
 	case j == nil:
 		n.reread(s.spec.ID, s.reply, false, notStored)
-	case j.Stance.Terminal():
+	case j.State.Terminal():
 		s.reply(n.show(j, false))
 	default:
 		s.reply(Reply{Status: 201, Body: view{ID: s.spec.ID, Stance: "pending"}})
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -17,7 +17,7 @@
 
 func TestParseSpec(t *testing.T) {
 	s, err := ParseSpec([]byte(good))
-	if err != nil || s.Tasks != 16 || s.Zone != nil || *s.DeadlineS != 900 || s.Level() != 2 {
+	if err != nil || s.Tasks != 16 || s.Zone != nil || *s.DeadlineS != 900 || s.PriorityLevel() != 2 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	bad := map[string]string{
@@ -78,13 +78,13 @@
 	}
 	b := NewTable(0)
 	j, _, err := b.Apply(s.ID, EncodeRecord(Pending, 5, 16, s), 1)
-	if err != nil || len(j.Seats) != 1 || j.Seats[0].Pool != None {
-		t.Fatalf("seats %v of an undeclared pool, %v", j.Seats, err)
+	if err != nil || len(j.LicenceUnits) != 1 || j.LicenceUnits[0].Pool != None {
+		t.Fatalf("seats %v of an undeclared pool, %v", j.LicenceUnits, err)
 	}
 	b = NewTable(0)
 	b.Names.Pools = licences.NewCatalog([]*licences.Pool{{Name: "o"}, {Name: "p"}})
-	if j, _, err = b.Apply(s.ID, EncodeRecord(Pending, 5, 16, s), 1); err != nil || j.Seats[0] != (licences.Unit{Pool: 1, N: 2}) {
-		t.Fatalf("seats %v, %v", j.Seats, err)
+	if j, _, err = b.Apply(s.ID, EncodeRecord(Pending, 5, 16, s), 1); err != nil || j.LicenceUnits[0] != (licences.Unit{Pool: 1, N: 2}) {
+		t.Fatalf("seats %v, %v", j.LicenceUnits, err)
 	}
 }
 
@@ -101,7 +101,7 @@
 			continue
 		}
 		taken++
-		if s.Tasks < 1 || s.Tasks > MaxTasks || !ValidID(s.ID) || s.CPUs < 0 || s.Mem < 0 {
+		if s.Tasks < 1 || s.Tasks > MaxTasks || !ValidID(s.ID) || s.CPUs < 0 || s.MemoryGB < 0 {
 			t.Fatalf("taken: %+v from %s", s, raw)
 		}
 	}
@@ -122,9 +122,9 @@
 func TestChunksSurviveTheStore(t *testing.T) {
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 300 {
-		n := 1 + rng.IntN(3*ChunkTasks)
-		j := &Job{ID: "req-000001", N: n, Spec: spec(n), ZoneUse: map[int32]int{}}
-		j.Open()
+		n := 1 + rng.IntN(3*SegmentTasks)
+		j := &Job{ID: "req-000001", TaskCount: n, Spec: spec(n), TasksByZone: map[int32]int{}}
+		j.OpenTasks()
 		machines := 1 + rng.IntN(400)
 		for i := range j.Tasks {
 			switch rng.IntN(3) {
@@ -135,12 +135,12 @@
 				j.Tasks[i].State = Finished
 			}
 		}
-		for _, c := range j.Chunks {
-			raw, snap := j.EncodeChunk(c, 7, func(m int32) string { return fmt.Sprintf("i-%06d", m) })
+		for _, c := range j.Segments {
+			raw, snap := j.EncodeSegment(c, 7, func(m int32) string { return fmt.Sprintf("i-%06d", m) })
 			if len(raw) > 8<<10 {
 				t.Fatalf("value of %d bytes", len(raw))
 			}
-			on, done, err := DecodeChunk(raw, len(c.Durable), func(s string) int32 {
+			on, done, err := DecodeSegment(raw, len(c.DurableMachines), func(s string) int32 {
 				var m int32
 				_, _ = fmt.Sscanf(s, "i-%d", &m)
 				return m
@@ -149,7 +149,7 @@
 				t.Fatal(err)
 			}
 			for i := range on {
-				task := j.Tasks[c.No*ChunkTasks+i]
+				task := j.Tasks[c.Number*SegmentTasks+i]
 				if done[i] != (task.State == Finished) || (!done[i] && on[i] != task.Machine) {
 					t.Fatalf("task %d: %d %v, want %+v", i, on[i], done[i], task)
 				}
@@ -160,7 +160,7 @@
 			for range 30 { // a damaged value is refused or read, never a panic
 				b := append([]byte(nil), raw...)
 				b[rng.IntN(len(b))] = byte(32 + rng.IntN(95))
-				_, _, _ = DecodeChunk(b, len(c.Durable), func(string) int32 { return 0 })
+				_, _, _ = DecodeSegment(b, len(c.DurableMachines), func(string) int32 { return 0 })
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 	recs := []struct {
 		raw json.RawMessage
 		v   uint64
-		st  Stance
+		st  State
 	}{{EncodeRecord(Pending, 5, 2, s), 3, Pending}, {EncodeRecord(Pending, 5, 2, s), 4, Pending}, {EncodeRecord(Cancelled, 5, 2, s), 9, Cancelled}}
 	for range 200 {
 		b := NewTable(0)
@@ -183,12 +183,12 @@
 				t.Fatal(err)
 			}
 			newest = max(newest, i)
-			if j := b.Get(s.ID); j.Stance != recs[newest].st || j.Version != recs[newest].v {
-				t.Fatalf("told %v at %d, newest is %v at %d", j.Stance, j.Version, recs[newest].st, recs[newest].v)
+			if j := b.Get(s.ID); j.State != recs[newest].st || j.Version != recs[newest].v {
+				t.Fatalf("told %v at %d, newest is %v at %d", j.State, j.Version, recs[newest].st, recs[newest].v)
 			}
 		}
 		live := 0
-		b.Live(func(*Job) { live++ })
+		b.ForEachLive(func(*Job) { live++ })
 		if live != 0 {
 			t.Fatal("a cancelled job is live")
 		}
@@ -197,19 +197,19 @@
 
 // Only the listed changes of a task's state are possible.
 func TestTaskStatesAreGuarded(t *testing.T) {
-	j := &Job{ID: "req-000001", N: 1, Spec: spec(1), ZoneUse: map[int32]int{}}
-	j.Open()
-	for _, s := range []State{Launched, OnMachine} {
-		err := j.Set(0, s)
+	j := &Job{ID: "req-000001", TaskCount: 1, Spec: spec(1), TasksByZone: map[int32]int{}}
+	j.OpenTasks()
+	for _, s := range []TaskState{Launched, OnMachine} {
+		err := j.SetTaskState(0, s)
 		if s == Launched && err == nil {
 			t.Fatal("an unplanned task was launched")
 		}
 	}
-	if err := j.Set(0, Finished); err != nil || j.DoneN != 1 {
-		t.Fatal(err, j.DoneN)
+	if err := j.SetTaskState(0, Finished); err != nil || j.FinishedTasks != 1 {
+		t.Fatal(err, j.FinishedTasks)
 	}
 	for s := Unplanned; s <= Finished; s++ {
-		if j.Set(0, s) == nil {
+		if j.SetTaskState(0, s) == nil {
 			t.Fatalf("a finished task became %v", s)
 		}
 	}
@@ -218,16 +218,16 @@
 // A plan that moved a task away and was given up may land yet: the task must not start where the older plan has it, or the next
 // owner would believe the one that lands. Once a write of its key is through none of that counts any more.
 func TestOpenWritesHoldStarts(t *testing.T) {
-	j := &Job{ID: "req-000001", N: 2}
-	j.Open()
-	c := j.Chunks[0]
+	j := &Job{ID: "req-000001", TaskCount: 2}
+	j.OpenTasks()
+	c := j.Segments[0]
 	for i := range j.Tasks {
-		j.Tasks[i].Machine, c.Durable[i] = 4, 4
+		j.Tasks[i].Machine, c.DurableMachines[i] = 4, 4
 	}
 	if !j.IsDurable(0) || !j.IsDurable(1) {
 		t.Fatal("a durable plan doesn't count")
 	}
-	c.Doubted([]int32{7, 4})
+	c.AddIndeterminate([]int32{7, 4})
 	if j.IsDurable(0) || !j.IsDurable(1) {
 		t.Errorf("with a write open that plans the first elsewhere: %v, %v", j.IsDurable(0), j.IsDurable(1))
 	}
@@ -235,13 +235,13 @@
 	if j.IsDurable(0) {
 		t.Error("what only the open write says counts as durable")
 	}
-	c.Doubted([]int32{4, 9})
+	c.AddIndeterminate([]int32{4, 9})
 	for _, m := range []int32{4, 7} {
 		if j.Tasks[0].Machine = m; j.IsDurable(0) {
 			t.Errorf("two open writes differ, and machine %d counts", m)
 		}
 	}
-	c.Pending, c.Doubt = []int32{4, 5}, nil
+	c.InFlight, c.Indeterminate = []int32{4, 5}, nil
 	if j.Tasks[0].Machine = 4; !j.IsDurable(0) || j.IsDurable(1) {
 		t.Errorf("with a write under way: %v, %v", j.IsDurable(0), j.IsDurable(1))
 	}
--- a/internal/jobs/shards.go
+++ b/internal/jobs/shards.go
@@ -91,8 +91,8 @@
 	q.jobs, q.left = kept, 0
 }
 
-// Ended calls f for each terminal job whose end was learnt by a time, the earliest first, until it returns false.
-func (b *Table) Ended(by time.Duration, f func(*Job) bool) {
+// ForEachEnded calls f for each terminal job whose end was learnt by a time, the earliest first, until it returns false.
+func (b *Table) ForEachEnded(by time.Duration, f func(*Job) bool) {
 	for _, j := range b.ended.jobs {
 		if j.EndedAt > by {
 			return
@@ -117,7 +117,7 @@
 // Retain takes a new reading of all records, complete up to a version: jobs that were known by then and are not among
 // them have been archived meanwhile.
 func (b *Table) Retain(version uint64, present func(id string) bool) {
-	b.All(func(j *Job) {
+	b.ForEach(func(j *Job) {
 		if j.Version <= version && !present(j.ID) {
 			b.archive(j)
 		}
@@ -131,14 +131,14 @@
 	}
 	// Nobody but the leader archives, and only what it holds nothing of: another controller leads by now, and this
 	// one's picture is behind. Nothing more is planned or started of it here.
-	j.Archived, j.Sealed = true, true
+	j.Archived, j.Quarantined = true, true
 }
 
 // remove takes a job out of the table.
 func (b *Table) remove(j *Job) {
 	if _, live := b.live[j.Index]; live {
 		delete(b.live, j.Index)
-		b.tasks -= j.N
+		b.tasks -= j.TaskCount
 	} else {
 		b.ended.leave()
 	}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -47,7 +47,7 @@
 	Tasks       int      `json:"hops"`
 	CPUs        float64  `json:"cpus"`
 	GPUs        float64  `json:"accelerators"`
-	Mem         float64  `json:"memory_gb"`
+	MemoryGB    float64  `json:"memory_gb"`
 	Image       string   `json:"pelt"`
 	ImageGB     float64  `json:"size_gb"`
 	Types       []string `json:"builds"`
@@ -65,10 +65,10 @@
 }
 
 // Size is what one task takes.
-func (s *Spec) Size() planner.Size { return planner.Size{CPUs: s.CPUs, GPUs: s.GPUs, Mem: s.Mem} }
+func (s *Spec) Size() planner.Size { return planner.Size{CPUs: s.CPUs, GPUs: s.GPUs, Mem: s.MemoryGB} }
 
-// Level is the priority as a number; higher goes first.
-func (s *Spec) Level() int { return priorities[s.Priority] }
+// PriorityLevel is the priority as a number; higher goes first.
+func (s *Spec) PriorityLevel() int { return priorities[s.Priority] }
 
 // ZoneLimit is how many tasks one zone may hold, 0 for no bound.
 func (s *Spec) ZoneLimit() int {
@@ -147,7 +147,7 @@
 		}
 	}
 	amounts := map[string]float64{
-		"cpus": s.CPUs, "accelerators": s.GPUs, "memory_gb": s.Mem, "size_gb": s.ImageGB,
+		"cpus": s.CPUs, "accelerators": s.GPUs, "memory_gb": s.MemoryGB, "size_gb": s.ImageGB,
 		"stride_s": s.EstimateS, "rest_s": s.CheckpointS, "stash_s": s.SaveS,
 	}
 	if s.DeadlineS != nil {
@@ -166,35 +166,35 @@
 			return bad("licences: a task holds 1 to %d seats of a named pool, not %d of %q", maxSeats, n, pool)
 		}
 	}
-	if s.CPUs == 0 && s.GPUs == 0 && s.Mem == 0 {
+	if s.CPUs == 0 && s.GPUs == 0 && s.MemoryGB == 0 {
 		return bad("cpus, accelerators and memory_gb are all 0")
 	}
 	return s, nil
 }
 
-// Stance is what users are told of a job.
-type Stance uint8
+// State is what users are told of a job.
+type State uint8
 
 // The stances that are durable; "running" is only a display of Pending.
 const (
-	Pending Stance = iota
+	Pending State = iota
 	Done
 	Cancelled
 )
 
-func (s Stance) String() string { return [...]string{"pending", "done", "cancelled"}[s] }
+func (s State) String() string { return [...]string{"pending", "done", "cancelled"}[s] }
 
 // Terminal tells whether the stance can change no more.
-func (s Stance) Terminal() bool { return s != Pending }
+func (s State) Terminal() bool { return s != Pending }
 
 // Record is a job as it stands in the state service. A done one sheds its spec; a
 // cancelled one keeps it, since its tasks may still be on machines when another controller
 // takes over, and count against their team until they are gone.
 type Record struct {
 	Format int    `json:"v,omitempty"` // 0: 1
-	Stance string `json:"stance"`
+	State  string `json:"stance"`
 	AtMS   int64  `json:"at_ms,omitempty"`
-	N      int    `json:"n"`
+	Tasks  int    `json:"n"`
 	Spec   *Spec  `json:"spec,omitempty"`
 }
 
@@ -205,8 +205,8 @@
 func RecordKey(id string) string { return Prefix + id }
 
 // EncodeRecord writes a record.
-func EncodeRecord(st Stance, at int64, n int, spec *Spec) json.RawMessage {
-	r := Record{Stance: st.String(), N: n}
+func EncodeRecord(st State, at int64, n int, spec *Spec) json.RawMessage {
+	r := Record{State: st.String(), Tasks: n}
 	if st != Done {
 		r.AtMS, r.Spec = at, spec
 	}
@@ -221,7 +221,7 @@
 	return b
 }
 
-func decodeRecord(raw json.RawMessage) (Record, Stance, error) {
+func decodeRecord(raw json.RawMessage) (Record, State, error) {
 	var r Record
 	if err := json.Unmarshal(raw, &r); err != nil {
 		return r, 0, err
@@ -229,15 +229,15 @@
 	if r.Format > 1 {
 		return r, 0, fmt.Errorf("record in format %d", r.Format)
 	}
-	for _, s := range []Stance{Pending, Done, Cancelled} {
-		if r.Stance == s.String() {
+	for _, s := range []State{Pending, Done, Cancelled} {
+		if r.State == s.String() {
 			if s == Pending && r.Spec == nil {
 				return r, 0, errors.New("pending record without a spec")
 			}
 			return r, s, nil
 		}
 	}
-	return r, 0, fmt.Errorf("stance %q", r.Stance)
+	return r, 0, fmt.Errorf("stance %q", r.State)
 }
 
 // Seconds turns the wire's seconds into a duration.
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -15,58 +15,58 @@
 
 // Job is one job as this controller knows it. Tasks exist only where it is planned.
 type Job struct {
-	Index   Index
-	ID      string
-	Spec    *Spec // nil once terminal and nothing of it is left
-	Stance  Stance
-	Version uint64 // of the record
-	N       int
-	At      time.Duration // submission, on this controller's steady clock
-	Beside  time.Duration // since when nothing of it is on a machine though there is room, as its planner sees it; 0: that isn't so
-
-	Tasks  []Task
-	Chunks []*Chunk
-	In     [Finished + 1]int // tasks by state, kept by Set
-	Runs   int               // tasks that run or save, kept by Enter
-
-	DoneN    int // finished tasks, as far as known here
-	RunningN int // display only
-
-	Attempt uint64        // of a gang's current start
-	GangAt  time.Duration // when that was
-	FetchS  float64       // the longest fetch that it waits for, in seconds
-	Level   int
+	Index       Index
+	ID          string
+	Spec        *Spec // nil once terminal and nothing of it is left
+	State       State
+	Version     uint64 // of the record
+	TaskCount   int
+	SubmittedAt time.Duration // submission, on this controller's steady clock
+	RoomSince   time.Duration // since when nothing of it is on a machine though there is room, as its planner sees it; 0: that isn't so
+
+	Tasks        []Task
+	Segments     []*PlanSegment
+	TasksByState [Finished + 1]int // tasks by state, kept by Set
+	RunningTasks int               // tasks that run or save, kept by Enter
+
+	FinishedTasks   int // finished tasks, as far as known here
+	ReportedRunning int // display only
+
+	GangAttempt   uint64        // of a gang's current start
+	GangStartedAt time.Duration // when that was
+	FetchS        float64       // the longest fetch that it waits for, in seconds
+	Priority      int
 
 	// Dense indices of the names in the spec.
 	Class, Team, Image int32
 	Zone               int32   // the only zone, or None
 	Types              []int32 // the only machine types, or nil
-	// Seats is what each task holds of the licence pools. One that is not known here makes
+	// LicenceUnits is what each task holds of the licence pools. One that is not known here makes
 	// the job wait.
-	Seats []licences.Unit
-	// Denied is why its planner has no seats for its waiting tasks.
-	Denied licences.Denial
+	LicenceUnits []licences.Unit
+	// LicenceDenial is why its planner has no seats for its waiting tasks.
+	LicenceDenial licences.Denial
 
-	// ZoneUse counts, by dense zone, the tasks that may be on a machine there.
-	ZoneUse map[int32]int
+	// TasksByZone counts, by dense zone, the tasks that may be on a machine there.
+	TasksByZone map[int32]int
 
-	// Avoid holds machines on which a task of the job failed, and until when they are
+	// AvoidedMachines holds machines on which a task of the job failed, and until when they are
 	// avoided: mostly the machine is at fault, but a mistaken job fails on all.
-	Avoid map[int32]time.Duration
+	AvoidedMachines map[int32]time.Duration
 
 	// GangDone tells that a task of the gang is done, and so all are.
 	GangDone bool
 
-	// Parked keeps its tasks off machines: a session that was reclaimed.
-	Parked bool
-	// Sealed: something stored of it can't be read. Nothing of it is planned or started, nothing is told of it.
-	Sealed bool
+	// Suspended keeps its tasks off machines: a session that was reclaimed.
+	Suspended bool
+	// Quarantined: something stored of it can't be read. Nothing of it is planned or started, nothing is told of it.
+	Quarantined bool
 
-	Closing bool // the terminal record is being written
-	Started bool // some task was launched at least once
+	FinalWriteInFlight bool // the terminal record is being written
+	Started            bool // some task was launched at least once
 
-	// Place is its rank among the live jobs of its planner, from 1; 0: it has none.
-	Place int
+	// QueuePosition is its rank among the live jobs of its planner, from 1; 0: it has none.
+	QueuePosition int
 	// EndedAt is when this controller learnt that the job is terminal, on its steady clock.
 	EndedAt time.Duration
 	// Archived: its record is gone from the followed keys, and it leaves the table once its planner holds nothing of it.
@@ -119,12 +119,12 @@
 	for _, t := range s.Types {
 		j.Types = append(j.Types, d.Types.Index(t))
 	}
-	j.Seats = nil
+	j.LicenceUnits = nil
 	if len(s.Licences) > 0 {
 		var err error
-		if j.Seats, err = d.Pools.Needs(s.Licences); err != nil {
+		if j.LicenceUnits, err = d.Pools.Needs(s.Licences); err != nil {
 			// It was accepted where the pool is declared: here it must not start.
-			j.Seats = []licences.Unit{{Pool: None, N: 1}}
+			j.LicenceUnits = []licences.Unit{{Pool: None, N: 1}}
 		}
 	}
 }
@@ -163,17 +163,17 @@
 	return &Table{unread: map[string]uint64{}, byID: map[string]*Job{}, live: map[Index]*Job{}, epoch: epochMS, Names: &NameIndex{Pools: licences.NewCatalog(nil)}}
 }
 
-// At finds a job by index; nil: it has left the table. An index is never used for a second job.
-func (b *Table) At(i Index) *Job { return b.table.at(i) }
+// ByIndex finds a job by index; nil: it has left the table. An index is never used for a second job.
+func (b *Table) ByIndex(i Index) *Job { return b.table.at(i) }
 
 // Get finds a job by id, or nil.
 func (b *Table) Get(id string) *Job { return b.byID[id] }
 
-// Unread tells whether the newest record of a job can't be read: nothing may be told of it, and nothing done.
-func (b *Table) Unread(id string) bool { _, ok := b.unread[id]; return ok }
+// IsUnreadable tells whether the newest record of a job can't be read: nothing may be told of it, and nothing done.
+func (b *Table) IsUnreadable(id string) bool { _, ok := b.unread[id]; return ok }
 
-// Unreads lists the jobs whose newest record can't be read.
-func (b *Table) Unreads() []string { return slices.Sorted(maps.Keys(b.unread)) }
+// UnreadableIDs lists the jobs whose newest record can't be read.
+func (b *Table) UnreadableIDs() []string { return slices.Sorted(maps.Keys(b.unread)) }
 
 // Len is the number of jobs known.
 func (b *Table) Len() int { return len(b.byID) }
@@ -181,8 +181,8 @@
 // LiveTasks is the number of tasks of all jobs that are not terminal.
 func (b *Table) LiveTasks() int { return b.tasks }
 
-// Live calls f for every job that is not terminal; the order is not defined.
-func (b *Table) Live(f func(*Job)) {
+// ForEachLive calls f for every job that is not terminal; the order is not defined.
+func (b *Table) ForEachLive(f func(*Job)) {
 	for _, j := range b.live {
 		f(j)
 	}
@@ -193,14 +193,14 @@
 // follow may bring, is ignored, and a terminal stance stays.
 func (b *Table) Apply(id string, raw json.RawMessage, version uint64) (*Job, bool, error) {
 	j := b.Get(id)
-	if j != nil && (version <= j.Version || j.Stance.Terminal()) {
+	if j != nil && (version <= j.Version || j.State.Terminal()) {
 		return j, false, nil
 	}
 	r, st, err := decodeRecord(raw)
 	if err != nil {
 		b.unread[id] = version
 		if j != nil {
-			j.Sealed = true
+			j.Quarantined = true
 		}
 		return j, false, err
 	}
@@ -210,45 +210,45 @@
 		}
 		delete(b.unread, id)
 		if j != nil {
-			j.Sealed = false
+			j.Quarantined = false
 		}
 	}
 	if j == nil {
-		j = &Job{ID: strings.Clone(id), N: r.N, ZoneUse: map[int32]int{}}
+		j = &Job{ID: strings.Clone(id), TaskCount: r.Tasks, TasksByZone: map[int32]int{}}
 		b.table.add(j)
 		b.byID[j.ID] = j
-	} else if j.Stance == st {
+	} else if j.State == st {
 		j.Version = version
 		return j, false, nil
 	}
 	j.Version = version
-	b.setStance(j, st)
+	b.setState(j, st)
 	if r.Spec != nil {
 		j.Spec = r.Spec
-		j.Level = r.Spec.Level()
+		j.Priority = r.Spec.PriorityLevel()
 		b.Names.enter(j)
-		j.At = b.SteadyAt(r.AtMS)
+		j.SubmittedAt = b.SteadyAt(r.AtMS)
 	}
 	return j, true, nil
 }
 
-// setStance is the only place where a job's stance changes.
-func (b *Table) setStance(j *Job, st Stance) {
-	j.Stance = st
+// setState is the only place where a job's stance changes.
+func (b *Table) setState(j *Job, st State) {
+	j.State = st
 	if _, was := b.live[j.Index]; was != !st.Terminal() {
 		if was {
-			b.tasks -= j.N
+			b.tasks -= j.TaskCount
 		} else {
-			b.tasks += j.N
+			b.tasks += j.TaskCount
 		}
 	}
 	if st.Terminal() {
 		delete(b.live, j.Index)
 		b.ended.add(j)
 		if st == Done {
-			j.DoneN = j.N
+			j.FinishedTasks = j.TaskCount
 		}
-		j.RunningN = 0
+		j.ReportedRunning = 0
 		return
 	}
 	b.live[j.Index] = j
@@ -262,14 +262,14 @@
 	return time.Duration(wallMS-b.epoch) * time.Millisecond
 }
 
-// Recall drops what only the job's planner needs: after losing the lead.
-func (b *Table) Recall() {
-	b.All(func(j *Job) {
-		j.Runs, j.Place = 0, 0
-		j.Parked, j.Sealed = false, b.Unread(j.ID)
-		j.Tasks, j.Chunks, j.Closing, j.Started, j.GangDone, j.Attempt, j.Beside = nil, nil, false, false, false, 0, 0
-		clear(j.ZoneUse)
-		clear(j.Avoid)
+// RecallArchived drops what only the job's planner needs: after losing the lead.
+func (b *Table) RecallArchived() {
+	b.ForEach(func(j *Job) {
+		j.RunningTasks, j.QueuePosition = 0, 0
+		j.Suspended, j.Quarantined = false, b.IsUnreadable(j.ID)
+		j.Tasks, j.Segments, j.FinalWriteInFlight, j.Started, j.GangDone, j.GangAttempt, j.RoomSince = nil, nil, false, false, false, 0, 0
+		clear(j.TasksByZone)
+		clear(j.AvoidedMachines)
 		if j.Archived {
 			b.remove(j)
 		}
@@ -277,7 +277,7 @@
 }
 
 // Idle tells whether nothing of the job is to be planned.
-func (j *Job) Idle() bool { return j.Parked || j.Sealed }
+func (j *Job) Idle() bool { return j.Suspended || j.Quarantined }
 
-// All calls f for every job.
-func (b *Table) All(f func(*Job)) { b.table.all(f) }
+// ForEach calls f for every job.
+func (b *Table) ForEach(f func(*Job)) { b.table.all(f) }
