--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// State is where a task stands for its planner.
-type State uint8
+// TaskState is where a task stands for its planner.
+type TaskState uint8
 
 // The states of a task.
 //
@@ -23,7 +23,7 @@
 //	Launched, Recovered, OnMachine -> Unplanned  surely not on the machine any more
 //	any -> Finished                 a report says done, or the durable bitmap does
 const (
-	Unplanned State = iota
+	Unplanned TaskState = iota
 	Planned
 	Launched
 	Recovered
@@ -31,12 +31,12 @@
 	Finished
 )
 
-func (s State) String() string {
+func (s TaskState) String() string {
 	return [...]string{"unplanned", "planned", "launched", "recovered", "on machine", "finished"}[s]
 }
 
 // Occupies tells whether a task in this state counts as being on its machine.
-func (s State) Occupies() bool { return s == Launched || s == Recovered || s == OnMachine }
+func (s TaskState) Occupies() bool { return s == Launched || s == Recovered || s == OnMachine }
 
 // Phase is what a report says of a task on its machine.
 type Phase uint8
@@ -55,22 +55,22 @@
 
 // Task is one task of a job that is planned here.
 type Task struct {
-	State    State
-	Phase    Phase
-	Halting  bool // a halt was sent or is due
-	Late     bool // an unanswered direct launch may still arrive
-	Done     bool // known to be done, while an attempt may still be on a machine
-	Fails    uint8
-	Machine  int32
-	Attempt  uint64
-	Since    time.Duration // launch
-	RunSince time.Duration // first seen running
-	Until    time.Duration // not to be started before
-	HaltBy   time.Duration // when the last halt was sent
+	State               TaskState
+	Phase               Phase
+	Stopping            bool // a halt was sent or is due
+	LaunchIndeterminate bool // an unanswered direct launch may still arrive
+	Done                bool // known to be done, while an attempt may still be on a machine
+	Failures            uint8
+	Machine             int32
+	Attempt             uint64
+	LaunchedAt          time.Duration // launch
+	RunningSince        time.Duration // first seen running
+	NotBefore           time.Duration // not to be started before
+	StopSentAt          time.Duration // when the last halt was sent
 }
 
-// moves lists the changes of state that can be meant; anything else is a defect.
-var moves = map[State][]State{
+// taskTransitions lists the changes of state that can be meant; anything else is a defect.
+var taskTransitions = map[TaskState][]TaskState{
 	Unplanned: {Planned, Recovered, OnMachine, Finished},
 	Planned:   {Unplanned, Planned, Launched, OnMachine, Finished},
 	Launched:  {Unplanned, OnMachine, Finished},
@@ -79,89 +79,89 @@
 	Finished:  {},
 }
 
-// Set is the only place where a task's state changes.
-func (j *Job) Set(t int32, to State) error {
+// SetTaskState is the only place where a task's state changes.
+func (j *Job) SetTaskState(t int32, to TaskState) error {
 	k := &j.Tasks[t]
-	for _, ok := range moves[k.State] {
+	for _, ok := range taskTransitions[k.State] {
 		if ok != to {
 			continue
 		}
 		if to == Finished {
-			j.DoneN++
+			j.FinishedTasks++
 		}
 		if to == Planned {
-			k.Halting = false // a stop was meant for an earlier start
+			k.Stopping = false // a stop was meant for an earlier start
 		}
 		if to == Unplanned || to == Finished {
-			j.Enter(t, NoPhase)
-			k.Halting, k.Late, k.Attempt = false, false, 0
+			j.SetTaskPhase(t, NoPhase)
+			k.Stopping, k.LaunchIndeterminate, k.Attempt = false, false, 0
 			if to == Unplanned {
 				k.Machine = None
 			}
 		}
-		j.In[k.State]--
-		j.In[to]++
+		j.TasksByState[k.State]--
+		j.TasksByState[to]++
 		k.State = to
 		return nil
 	}
 	return fmt.Errorf("task %s/%d cannot go from %s to %s", j.ID, t, k.State, to)
 }
 
-// Enter is the only place where a task's phase changes.
-func (j *Job) Enter(t int32, p Phase) {
+// SetTaskPhase is the only place where a task's phase changes.
+func (j *Job) SetTaskPhase(t int32, p Phase) {
 	k := &j.Tasks[t]
 	if k.Phase >= Running {
-		j.Runs--
+		j.RunningTasks--
 	}
 	if k.Phase = p; p >= Running {
-		j.Runs++
+		j.RunningTasks++
 	}
 }
 
-// ChunkTasks is how many tasks share one key of the durable plan. Even with every task on
+// SegmentTasks is how many tasks share one key of the durable plan. Even with every task on
 // a machine of its own the value stays well below 8 KiB.
-const ChunkTasks = 256
+const SegmentTasks = 256
 
 // DurablyDone stands in Chunk.Durable for a task whose end is in the state service.
 const DurablyDone int32 = -2
 
-// Chunk is one key of a job's durable plan: the machine of each task and the bitmap of
+// PlanSegment is one key of a job's durable plan: the machine of each task and the bitmap of
 // the finished ones.
-type Chunk struct {
-	No      int
+type PlanSegment struct {
+	Number  int
 	Version uint64
-	// Durable is the machine of each task as it stands in the state service.
-	Durable []int32
-	Dirty   bool
+	// DurableMachines is the machine of each task as it stands in the state service.
+	DurableMachines []int32
+	Dirty           bool
 	// Urgent asks for a write as soon as the budget allows; otherwise changes gather.
-	Urgent bool
-	Since  time.Duration // when it became dirty
-	// Pending is what a write without an outcome yet would make durable, or nil. Nothing
+	Urgent     bool
+	DirtySince time.Duration // when it became dirty
+	// InFlight is what a write without an outcome yet would make durable, or nil. Nothing
 	// may start on a machine that either of the two does not name: after a crash the next
 	// owner would believe the one that landed.
-	Pending []int32
-	// Doubt is what writes that were given up without an outcome may still make durable, until the next
+	InFlight []int32
+	// Indeterminate is what writes that were given up without an outcome may still make durable, until the next
 	// write of the same key is through: nil, or a machine for each task, Several where they differ.
-	Doubt []int32
-	// Early: a write that makes its own key was given up without an outcome. It lands whenever the key isn't
+	Indeterminate []int32
+	// CreateIndeterminate: a write that makes its own key was given up without an outcome. It lands whenever the key isn't
 	// there, so the chunk stays in its own key for the rest of the term: moving it into a page drops the key.
-	Early bool
-	// Sealed: what is stored can't be read. Nothing of it is planned, started or written over.
-	Sealed bool
+	CreateIndeterminate bool
+	// Quarantined: what is stored can't be read. Nothing of it is planned, started or written over.
+	Quarantined bool
 }
 
-// Several stands in Chunk.Doubt for a task that open writes plan on different machines.
-const Several int32 = -3
+// Conflicting stands in Chunk.Doubt for a task that open writes plan on different machines.
+const Conflicting int32 = -3
 
-// Doubted notes that a snapshot may become durable yet.
-func (c *Chunk) Doubted(snapshot []int32) {
-	if c.Doubt == nil {
-		c.Doubt = slices.Clone(snapshot)
+// AddIndeterminate notes that a snapshot may become durable yet.
+func (c *PlanSegment) AddIndeterminate(snapshot []int32) {
+	if c.Indeterminate == nil {
+		c.Indeterminate = slices.Clone(snapshot)
 		return
 	}
 	for i, m := range snapshot {
-		if c.Doubt[i] != m {
-			c.Doubt[i] = Several
+		if c.Indeterminate[i] != m {
+			c.Indeterminate[i] = Conflicting
 		}
 	}
 }
@@ -172,51 +172,53 @@
 // PlanKey names a chunk's key.
 func (j *Job) PlanKey(no int) string { return PlanPrefix + j.PlanName(no) }
 
-// Open makes the tasks and chunks of a job, all unplanned.
-func (j *Job) Open() {
+// OpenTasks makes the tasks and chunks of a job, all unplanned.
+func (j *Job) OpenTasks() {
 	if j.Tasks != nil {
 		return
 	}
-	j.Tasks = make([]Task, j.N)
+	j.Tasks = make([]Task, j.TaskCount)
 	for i := range j.Tasks {
 		j.Tasks[i].Machine = None
 	}
-	for lo := 0; lo < j.N; lo += ChunkTasks {
-		c := &Chunk{No: lo / ChunkTasks, Durable: make([]int32, min(ChunkTasks, j.N-lo))}
-		for i := range c.Durable {
-			c.Durable[i] = None
+	for lo := 0; lo < j.TaskCount; lo += SegmentTasks {
+		c := &PlanSegment{Number: lo / SegmentTasks, DurableMachines: make([]int32, min(SegmentTasks, j.TaskCount-lo))}
+		for i := range c.DurableMachines {
+			c.DurableMachines[i] = None
 		}
-		j.Chunks = append(j.Chunks, c)
+		j.Segments = append(j.Segments, c)
 	}
-	j.DoneN, j.Runs = 0, 0
-	j.In = [Finished + 1]int{Unplanned: j.N}
+	j.FinishedTasks, j.RunningTasks = 0, 0
+	j.TasksByState = [Finished + 1]int{Unplanned: j.TaskCount}
 }
 
-// Left is the number of tasks that are not started.
-func (j *Job) Left() int { return j.In[Unplanned] + j.In[Planned] }
+// UnstartedTasks is the number of tasks that are not started.
+func (j *Job) UnstartedTasks() int { return j.TasksByState[Unplanned] + j.TasksByState[Planned] }
 
-// On is the number of tasks that count as being on a machine.
-func (j *Job) On() int { return j.In[Launched] + j.In[Recovered] + j.In[OnMachine] }
+// TasksOnMachines is the number of tasks that count as being on a machine.
+func (j *Job) TasksOnMachines() int {
+	return j.TasksByState[Launched] + j.TasksByState[Recovered] + j.TasksByState[OnMachine]
+}
 
-// ChunkOf finds a task's chunk.
-func (j *Job) ChunkOf(t int32) *Chunk { return j.Chunks[int(t)/ChunkTasks] }
+// SegmentOf finds a task's chunk.
+func (j *Job) SegmentOf(t int32) *PlanSegment { return j.Segments[int(t)/SegmentTasks] }
 
 // IsDurable tells whether the durable plan names the task's present machine.
 func (j *Job) IsDurable(t int32) bool {
-	m, c, i := j.Tasks[t].Machine, j.ChunkOf(t), int(t)%ChunkTasks
-	return m != None && c.Durable[i] == m && (c.Pending == nil || c.Pending[i] == m) && (c.Doubt == nil || c.Doubt[i] == m)
+	m, c, i := j.Tasks[t].Machine, j.SegmentOf(t), int(t)%SegmentTasks
+	return m != None && c.DurableMachines[i] == m && (c.InFlight == nil || c.InFlight[i] == m) && (c.Indeterminate == nil || c.Indeterminate[i] == m)
 }
 
 // IsDurablyDone tells whether the task's end stands in the state service.
 func (j *Job) IsDurablyDone(t int32) bool {
-	return j.ChunkOf(t).Durable[int(t)%ChunkTasks] == DurablyDone
+	return j.SegmentOf(t).DurableMachines[int(t)%SegmentTasks] == DurablyDone
 }
 
-// Touch marks a task's chunk as changed.
-func (j *Job) Touch(t int32, urgent bool, now time.Duration) {
-	c := j.ChunkOf(t)
+// MarkDirty marks a task's chunk as changed.
+func (j *Job) MarkDirty(t int32, urgent bool, now time.Duration) {
+	c := j.SegmentOf(t)
 	if !c.Dirty {
-		c.Dirty, c.Since = true, now
+		c.Dirty, c.DirtySince = true, now
 	}
 	c.Urgent = c.Urgent || urgent
 }
@@ -224,9 +226,9 @@
 // PlanName names a chunk's value in a page.
 func (j *Job) PlanName(no int) string { return fmt.Sprintf("%s/%03d", j.ID, no) }
 
-// PlanPages is the prefix of the pages that hold many jobs' plans, since level 2 of the stored state. No job has
+// PlanPagePrefix is the prefix of the pages that hold many jobs' plans, since level 2 of the stored state. No job has
 // such a name.
-const PlanPages = PlanPrefix + "@/"
+const PlanPagePrefix = PlanPrefix + "@/"
 
 // planValue is a chunk as stored. Machines are listed once by name; tasks point at them,
 // run-length coded as [count, machine] pairs.
@@ -238,11 +240,11 @@
 	Runs     []int32  `json:"runs"`
 }
 
-// EncodeChunk writes a chunk, and the machines it names as they will be durable. A
+// EncodeSegment writes a chunk, and the machines it names as they will be durable. A
 // finished task keeps its machine only as long as it is in the table.
-func (j *Job) EncodeChunk(c *Chunk, term uint64, name func(int32) string) (json.RawMessage, []int32) {
-	lo := c.No * ChunkTasks
-	n := len(c.Durable)
+func (j *Job) EncodeSegment(c *PlanSegment, term uint64, name func(int32) string) (json.RawMessage, []int32) {
+	lo := c.Number * SegmentTasks
+	n := len(c.DurableMachines)
 	bits := make([]byte, (n+7)/8)
 	v := planValue{Term: term}
 	snapshot := make([]int32, n)
@@ -277,17 +279,17 @@
 	return raw, snapshot
 }
 
-// EncodeWithin writes a chunk within a limit, in bytes. Where not all fits, planned tasks are left out, the last ones
+// EncodeSegmentWithin writes a chunk within a limit, in bytes. Where not all fits, planned tasks are left out, the last ones
 // first: they stand on no machine as far as this value says, so they don't start until a later write names them, as
 // others have ended. It is false if what has been launched alone takes more.
-func (j *Job) EncodeWithin(c *Chunk, term uint64, name func(int32) string, limit int) (json.RawMessage, []int32, bool) {
-	raw, snapshot := j.EncodeChunk(c, term, name)
+func (j *Job) EncodeSegmentWithin(c *PlanSegment, term uint64, name func(int32) string, limit int) (json.RawMessage, []int32, bool) {
+	raw, snapshot := j.EncodeSegment(c, term, name)
 	if len(raw) <= limit {
 		return raw, snapshot, true
 	}
 	var planned []int32
-	lo := int32(c.No * ChunkTasks)
-	for i := range c.Durable {
+	lo := int32(c.Number * SegmentTasks)
+	for i := range c.DurableMachines {
 		if t := lo + int32(i); j.Tasks[t].State == Planned {
 			planned = append(planned, t)
 		}
@@ -305,20 +307,20 @@
 }
 
 // encodeWithout writes a chunk as if some tasks had no machine.
-func (j *Job) encodeWithout(c *Chunk, term uint64, name func(int32) string, without []int32) (json.RawMessage, []int32) {
+func (j *Job) encodeWithout(c *PlanSegment, term uint64, name func(int32) string, without []int32) (json.RawMessage, []int32) {
 	at := make([]int32, len(without))
 	for i, t := range without {
 		at[i], j.Tasks[t].Machine = j.Tasks[t].Machine, None
 	}
-	raw, snapshot := j.EncodeChunk(c, term, name)
+	raw, snapshot := j.EncodeSegment(c, term, name)
 	for i, t := range without {
 		j.Tasks[t].Machine = at[i]
 	}
 	return raw, snapshot
 }
 
-// DecodeChunk reads a chunk back: machine and finished flag of each task.
-func DecodeChunk(raw json.RawMessage, n int, index func(string) int32) (on []int32, done []bool, err error) {
+// DecodeSegment reads a chunk back: machine and finished flag of each task.
+func DecodeSegment(raw json.RawMessage, n int, index func(string) int32) (on []int32, done []bool, err error) {
 	var v planValue
 	if err := json.Unmarshal(raw, &v); err != nil {
 		return nil, nil, err
--- a/internal/jobs/within_test.go
+++ b/internal/jobs/within_test.go
@@ -12,8 +12,8 @@
 	name := func(m int32) string { return fmt.Sprintf("i-%06d", m) }
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		j := &Job{ID: "req-000001", N: 1 + rng.IntN(ChunkTasks)}
-		j.Open()
+		j := &Job{ID: "req-000001", TaskCount: 1 + rng.IntN(SegmentTasks)}
+		j.OpenTasks()
 		launched := 0
 		for i := range j.Tasks {
 			j.Tasks[i].Machine = int32(rng.IntN(400))
@@ -26,10 +26,10 @@
 				j.Tasks[i].State, j.Tasks[i].Machine = Finished, None
 			}
 		}
-		c := j.Chunks[0]
-		whole, _ := j.EncodeChunk(c, 7, name)
+		c := j.Segments[0]
+		whole, _ := j.EncodeSegment(c, 7, name)
 		limit := 200 + rng.IntN(4000)
-		raw, snapshot, ok := j.EncodeWithin(c, 7, name, limit)
+		raw, snapshot, ok := j.EncodeSegmentWithin(c, 7, name, limit)
 		if !ok {
 			if len(whole) <= limit || launched == 0 {
 				t.Fatalf("seed %d: nothing is written within %d bytes, %d tasks were launched", seed, limit, launched)
@@ -39,7 +39,7 @@
 		if len(raw) > limit {
 			t.Fatalf("seed %d: %d bytes, and the limit is %d", seed, len(raw), limit)
 		}
-		on, done, err := DecodeChunk(raw, j.N, func(n string) int32 { var m int32; _, _ = fmt.Sscanf(n, "i-%d", &m); return m })
+		on, done, err := DecodeSegment(raw, j.TaskCount, func(n string) int32 { var m int32; _, _ = fmt.Sscanf(n, "i-%d", &m); return m })
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -92,7 +92,7 @@
 	seconds := u.step.TaskS * (0.5 + u.rng.Float64())
 	return &jobs.Spec{
 		ID: fmt.Sprintf("req-%08d", u.next), Class: "hollow", Team: teamName(u.next % u.step.Teams), Kind: jobs.Array, Priority: "standard",
-		Tasks: u.step.TasksPerJob, CPUs: 1, Mem: 1, Image: fmt.Sprintf("image-%d", u.next%images), ImageGB: 1, EstimateS: seconds, Spot: false,
+		Tasks: u.step.TasksPerJob, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", u.next%images), ImageGB: 1, EstimateS: seconds, Spot: false,
 	}
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -33,13 +33,13 @@
 //
 // From any of them a lost hold leads back to Holding.
 const (
-	Arriving    State = iota // the keys were not read yet
-	Clearing                 // ending the hold of this controller's former process
-	Holding                  // asking for a hold
-	Registering              // writing the member key
-	Member                   // alive, someone else may lead
-	Campaigning              // a campaign's outcome is open
-	Leading                  // leader key is ours, as long as the hold is
+	LoadingKeys      State = iota // the keys were not read yet
+	RevokingOldLease              // ending the hold of this controller's former process
+	AcquiringLease                // asking for a hold
+	Registering                   // writing the member key
+	Follower                      // alive, someone else may lead
+	Campaigning                   // a campaign's outcome is open
+	Leading                       // leader key is ours, as long as the hold is
 )
 
 func (s State) String() string {
@@ -50,19 +50,19 @@
 type Leader struct {
 	Node   string `json:"node"`
 	Term   uint64 `json:"term"`
-	Hold   uint64 `json:"hold"`
+	Lease  uint64 `json:"hold"`
 	Public string `json:"public"`
 	Secure string `json:"secure,omitempty"` // its address with TLS, if it has one
 }
 
-// PartMap says which controllers own machines, and since which term.
-type PartMap struct {
+// ShardMap says which controllers own machines, and since which term.
+type ShardMap struct {
 	Term   uint64   `json:"term"`
 	Owners []string `json:"owners"`
 }
 
 // Owner finds a machine's owner by rendezvous hash; "" if there is none.
-func (p PartMap) Owner(machine string) string {
+func (p ShardMap) Owner(machine string) string {
 	best, owner := uint64(0), ""
 	for _, o := range p.Owners {
 		h := fnv.New64a()
@@ -85,28 +85,28 @@
 type Config struct {
 	Node, Public, Secure string
 	TTL                  time.Duration
-	// Picture is how old the followed keys may be while this controller acts: cancellations since are not known.
-	Picture time.Duration
-	Rng     *rand.Rand
-	// OnLead and OnLose tell the start and the end of a term of our own.
-	OnLead func(now time.Duration, term uint64)
-	OnLose func(now time.Duration)
+	// StalenessBound is how old the followed keys may be while this controller acts: cancellations since are not known.
+	StalenessBound time.Duration
+	Rng            *rand.Rand
+	// OnElected and OnDeposed tell the start and the end of a term of our own.
+	OnElected func(now time.Duration, term uint64)
+	OnDeposed func(now time.Duration)
 	// Rollout says what releases and levels have to do with it.
 	Rollout Rollout
 }
 
 // Rollout is what membership asks of package rollout.
 type Rollout interface {
-	// Fit tells whether this controller may act at the cluster's level.
-	Fit() bool
+	// Compatible tells whether this controller may act at the cluster's level.
+	Compatible() bool
 	// Level is the cluster's.
 	Level() rollout.Level
-	// Announce is written whenever this controller registers.
-	Announce(hold uint64) store.Op
-	// Before counts the controllers that should lead rather than this one.
-	Before() int
-	// Founding is what a campaign depends on and writes besides.
-	Founding() ([]store.Cond, []store.Op)
+	// Announcement is written whenever this controller registers.
+	Announcement(hold uint64) store.Op
+	// PreferredLeaders counts the controllers that should lead rather than this one.
+	PreferredLeaders() int
+	// BootstrapConditions is what a campaign depends on and writes besides.
+	BootstrapConditions() ([]store.Condition, []store.Op)
 }
 
 // Membership is the state machine; it belongs to the event loop.
@@ -134,7 +134,7 @@
 	leaderVersion uint64
 	term          uint64
 	termVersion   uint64
-	parts         PartMap
+	parts         ShardMap
 	mapVersion    uint64
 
 	// self is the hold that this controller's member key names, as last known; 0: there is none.
@@ -156,10 +156,10 @@
 	m.state = s
 	slog.Info("membership", "from", was.String(), "to", s.String(), "term", m.term, "hold", m.hold)
 	if was == Leading {
-		m.cfg.OnLose(now)
+		m.cfg.OnDeposed(now)
 	}
 	if s == Leading {
-		m.cfg.OnLead(now, m.leader.Term)
+		m.cfg.OnElected(now, m.leader.Term)
 	}
 }
 
@@ -172,15 +172,17 @@
 // Leader is the leader as last seen; Node is "" if there is none.
 func (m *Membership) Leader() Leader { return m.leader }
 
-// Guard is the condition that every write of the leader carries.
-func (m *Membership) Guard() store.Cond { return store.Cond{Key: leaderKey, Version: m.leaderVersion} }
+// LeaderCondition is the condition that every write of the leader carries.
+func (m *Membership) LeaderCondition() store.Condition {
+	return store.Condition{Key: leaderKey, Version: m.leaderVersion}
+}
 
-// Authority tells whether this controller may answer reports and send commands. It ends a
+// HasAuthority tells whether this controller may answer reports and send commands. It ends a
 // margin before the hold can, counted from when the last good renewal was sent, and also
 // when the followed keys are too old: a renewal that succeeds, or a hold that outlives an
 // outage, doesn't make an old picture of the jobs new.
-func (m *Membership) Authority(now time.Duration) bool {
-	return m.state == Leading && now < m.until && now-m.freshness() < m.cfg.Picture
+func (m *Membership) HasAuthority(now time.Duration) bool {
+	return m.state == Leading && now < m.until && now-m.freshness() < m.cfg.StalenessBound
 }
 
 // Owns tells whether a machine lies in our part.
@@ -201,22 +203,22 @@
 	slog.Info("resigning", "cause", why, "term", m.leader.Term)
 	m.quiet = now + 15*time.Second
 	if m.hold != 0 {
-		m.store.EndHold(m.hold, func(bool) {})
+		m.store.RevokeLease(m.hold, func(bool) {})
 	}
 	m.lose(now)
 }
 
-// Leave ends the hold at once and stays away until Return: whoever takes over need not wait for it. Authority ends
+// Withdraw ends the hold at once and stays away until Return: whoever takes over need not wait for it. Authority ends
 // here, before the request goes out.
-func (m *Membership) Leave(now time.Duration) {
+func (m *Membership) Withdraw(now time.Duration) {
 	slog.Info("leaving", "term", m.leader.Term)
 	m.left, m.leaving = true, m.hold
 	m.lose(now)
 	m.release(now)
 }
 
-// Return takes part again after a Leave. A hold that could not be ended runs out by itself.
-func (m *Membership) Return(now time.Duration) {
+// Rejoin takes part again after a Leave. A hold that could not be ended runs out by itself.
+func (m *Membership) Rejoin(now time.Duration) {
 	slog.Info("returning", "term", m.term)
 	m.left, m.leaving, m.releasing, m.releaseAt = false, 0, false, 0
 	m.retryAt = now
@@ -228,7 +230,7 @@
 		return
 	}
 	m.releasing = true
-	m.store.EndHold(m.leaving, func(ok bool) {
+	m.store.RevokeLease(m.leaving, func(ok bool) {
 		if m.releasing, m.releaseAt = false, m.store.Now()+300*time.Millisecond; ok {
 			m.leaving = 0
 		}
@@ -238,33 +240,33 @@
 func (m *Membership) lose(now time.Duration) {
 	m.hold, m.until, m.busy, m.renewing = 0, 0, false, false
 	m.retryAt = now + 100*time.Millisecond
-	m.to(now, Holding)
+	m.to(now, AcquiringLease)
 }
 
-// Reset takes a new reading of all keys: those it lacks are gone.
-func (m *Membership) Reset(now time.Duration, items []store.Item) {
+// HandleReset takes a new reading of all keys: those it lacks are gone.
+func (m *Membership) HandleReset(now time.Duration, items []store.Item) {
 	seen := map[string]bool{}
 	for _, it := range items {
 		seen[it.Key] = true
 	}
 	if !seen[leaderKey] && m.leaderVersion != 0 {
-		m.Drop(now, leaderKey, ^uint64(0))
+		m.HandleDelete(now, leaderKey, ^uint64(0))
 	}
 	if !seen[memberKey+m.cfg.Node] {
 		m.self, m.selfVersion = 0, 0
 	}
 }
 
-// Synced tells that the keys have been read.
-func (m *Membership) Synced(now time.Duration) {
+// HandleSynced tells that the keys have been read.
+func (m *Membership) HandleSynced(now time.Duration) {
 	m.synced = true
-	if m.state == Arriving {
-		m.to(now, Clearing)
+	if m.state == LoadingKeys {
+		m.to(now, RevokingOldLease)
 	}
 }
 
-// Item takes over one changed key. Its error says why the key can't be read.
-func (m *Membership) Item(now time.Duration, it store.Item) error {
+// HandleItem takes over one changed key. Its error says why the key can't be read.
+func (m *Membership) HandleItem(now time.Duration, it store.Item) error {
 	switch it.Key {
 	case leaderKey:
 		if it.Version <= m.leaderVersion {
@@ -311,8 +313,8 @@
 		return
 	}
 	// A campaign of ours may land late: it counts as long as its hold is ours.
-	if m.leader.Node == m.cfg.Node && m.leader.Hold == m.hold && m.hold != 0 {
-		if m.state == Member || m.state == Campaigning {
+	if m.leader.Node == m.cfg.Node && m.leader.Lease == m.hold && m.hold != 0 {
+		if m.state == Follower || m.state == Campaigning {
 			m.busy = false
 			m.to(now, Leading)
 		}
@@ -322,7 +324,7 @@
 		m.lose(now)
 	} else if m.state == Campaigning {
 		m.busy = false
-		m.to(now, Member)
+		m.to(now, Follower)
 	}
 }
 
@@ -333,8 +335,8 @@
 	mostPatience = 2
 )
 
-// Drop takes over the end of a key.
-func (m *Membership) Drop(now time.Duration, key string, version uint64) {
+// HandleDelete takes over the end of a key.
+func (m *Membership) HandleDelete(now time.Duration, key string, version uint64) {
 	if key == memberKey+m.cfg.Node && version > m.selfVersion {
 		m.self, m.selfVersion = 0, 0
 	}
@@ -343,7 +345,7 @@
 	}
 	m.leader.Node = ""
 	m.leaderVersion = 0
-	m.campaign = now + time.Duration(m.cfg.Rng.Int64N(int64(150*time.Millisecond))) + patience*time.Duration(min(m.cfg.Rollout.Before(), mostPatience))
+	m.campaign = now + time.Duration(m.cfg.Rng.Int64N(int64(150*time.Millisecond))) + patience*time.Duration(min(m.cfg.Rollout.PreferredLeaders(), mostPatience))
 	if m.state == Leading {
 		m.lose(now)
 	}
@@ -361,32 +363,32 @@
 	}
 	retry := func() { m.busy, m.retryAt = false, m.store.Now()+300*time.Millisecond }
 	switch m.state {
-	case Clearing:
+	case RevokingOldLease:
 		m.busy = true
-		m.store.Get(memberKey+m.cfg.Node, store.Safety, func(it store.Item, err error) {
+		m.store.Get(memberKey+m.cfg.Node, store.SafetyPriority, func(it store.Item, err error) {
 			var v memberValue
 			switch {
 			case err != nil:
 				retry()
-			case it.Version == 0 || json.Unmarshal(it.Value, &v) != nil || v.Hold == 0:
+			case it.Version == 0 || json.Unmarshal(it.Value, &v) != nil || v.Lease == 0:
 				m.busy = false
-				m.to(now, Holding)
+				m.to(now, AcquiringLease)
 			default:
 				// The former process of this very controller is dead, so its hold
 				// protects nobody: ending it spares the cluster its time to live.
-				m.store.EndHold(v.Hold, func(ok bool) {
+				m.store.RevokeLease(v.Lease, func(ok bool) {
 					if !ok {
 						retry()
 						return
 					}
 					m.busy = false
-					m.to(m.store.Now(), Holding)
+					m.to(m.store.Now(), AcquiringLease)
 				})
 			}
 		})
-	case Holding:
+	case AcquiringLease:
 		m.busy = true
-		m.store.NewHold(m.cfg.TTL, func(id uint64, err error) {
+		m.store.GrantLease(m.cfg.TTL, func(id uint64, err error) {
 			if err != nil {
 				retry()
 				return
@@ -398,15 +400,15 @@
 		})
 	case Registering:
 		m.register(now, retry)
-	case Member:
-		if m.leader.Node == m.cfg.Node && m.leader.Hold != m.hold {
+	case Follower:
+		if m.leader.Node == m.cfg.Node && m.leader.Lease != m.hold {
 			// A campaign of this controller's former process has landed after its end was cleared away: its hold
 			// protects nobody. It once kept everybody from leading for as long as it lived.
 			m.busy = true
-			m.store.EndHold(m.leader.Hold, func(bool) { retry() })
+			m.store.RevokeLease(m.leader.Lease, func(bool) { retry() })
 			return
 		}
-		if m.leader.Node == "" && now >= m.campaign && now >= m.quiet && now < m.until && m.cfg.Rollout.Fit() {
+		if m.leader.Node == "" && now >= m.campaign && now >= m.quiet && now < m.until && m.cfg.Rollout.Compatible() {
 			m.run(now, retry)
 		}
 	}
@@ -419,19 +421,19 @@
 	next := m.term + 1
 	lv, _ := json.Marshal(Leader{m.cfg.Node, next, m.hold, m.cfg.Public, m.cfg.Secure})
 	tv := rollout.EncodeTerm(m.cfg.Rollout.Level(), next)
-	pm := PartMap{Term: next, Owners: []string{m.cfg.Node}}
+	pm := ShardMap{Term: next, Owners: []string{m.cfg.Node}}
 	pv, _ := json.Marshal(pm)
 	hold := m.hold
 	// A controller that has missed a rise of the level must not lead: its campaign fails.
-	ifs, then := m.cfg.Rollout.Founding()
+	ifs, then := m.cfg.Rollout.BootstrapConditions()
 	m.store.Txn(store.Txn{
-		If: append([]store.Cond{{Key: leaderKey}, {Key: termKey, Version: m.termVersion}}, ifs...),
+		If: append([]store.Condition{{Key: leaderKey}, {Key: termKey, Version: m.termVersion}}, ifs...),
 		Then: append([]store.Op{
-			{Put: leaderKey, Value: lv, Hold: m.hold},
+			{Put: leaderKey, Value: lv, Lease: m.hold},
 			{Put: termKey, Value: tv},
 			{Put: mapKey, Value: pv},
 		}, then...),
-	}, store.Safety, func(r store.Result) {
+	}, store.SafetyPriority, func(r store.Result) {
 		now := m.store.Now()
 		if m.state != Campaigning || m.hold != hold {
 			return
@@ -439,16 +441,16 @@
 		switch r.Outcome {
 		case store.Committed:
 			for key, v := range map[string]json.RawMessage{termKey: tv, mapKey: pv} {
-				_ = m.Item(now, store.Item{Key: key, Value: v, Version: r.Revision})
+				_ = m.HandleItem(now, store.Item{Key: key, Value: v, Version: r.Revision})
 			}
-			_ = m.Item(now, store.Item{Key: leaderKey, Value: lv, Version: r.Revision})
-		case store.NoHold:
+			_ = m.HandleItem(now, store.Item{Key: leaderKey, Value: lv, Version: r.Revision})
+		case store.LeaseExpired:
 			m.lose(now)
 		default:
 			// Lost, or open: the followed keys will show who leads.
 			retry()
 			m.campaign = now + 300*time.Millisecond
-			m.to(now, Member)
+			m.to(now, Follower)
 		}
 	})
 }
@@ -464,7 +466,7 @@
 	}
 	m.renewing = true
 	id := m.hold
-	m.store.RenewHold(id, func(ok, gone bool) {
+	m.store.RenewLease(id, func(ok, gone bool) {
 		if m.hold != id {
 			return
 		}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -73,30 +73,30 @@
 // oneRelease is a rollout in which everybody knows the same.
 type oneRelease struct{ node string }
 
-func (oneRelease) Fit() bool            { return true }
-func (oneRelease) Level() rollout.Level { return rollout.Newest }
-func (oneRelease) Before() int          { return 0 }
-func (o oneRelease) Announce(uint64) store.Op {
+func (oneRelease) Compatible() bool      { return true }
+func (oneRelease) Level() rollout.Level  { return rollout.Newest }
+func (oneRelease) PreferredLeaders() int { return 0 }
+func (o oneRelease) Announcement(uint64) store.Op {
 	return store.Op{Put: rollout.AnnounceKey(o.node), Value: []byte("{}")}
 }
-func (oneRelease) Founding() ([]store.Cond, []store.Op) { return nil, nil }
+func (oneRelease) BootstrapConditions() ([]store.Condition, []store.Op) { return nil, nil }
 
 func (n *node) start() {
 	n.gen++
 	c := n.c
 	now := func() time.Duration { return c.svc.Now }
-	st := store.New("", n, now, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{Ops: 24, Value: 32 << 10})
+	st := store.New("", n, now, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	n.seen = c.svc.Now
 	n.known = map[string]uint64{}
 	n.mem = New(Config{
-		Node: n.name, TTL: 3 * time.Second, Picture: 9 * time.Second, Rng: c.rng, Rollout: oneRelease{n.name},
-		OnLead: func(_ time.Duration, term uint64) {
+		Node: n.name, TTL: 3 * time.Second, StalenessBound: 9 * time.Second, Rng: c.rng, Rollout: oneRelease{n.name},
+		OnElected: func(_ time.Duration, term uint64) {
 			if who, ok := c.terms[term]; ok {
 				c.t.Fatalf("term %d led by %s and %s", term, who, n.name)
 			}
 			c.terms[term] = fmt.Sprintf("%s.%d", n.name, n.gen)
 		},
-		OnLose: func(time.Duration) {},
+		OnDeposed: func(time.Duration) {},
 	}, st, func() time.Duration { return n.seen })
 }
 
@@ -110,16 +110,16 @@
 	for k, v := range n.known {
 		if s.Keys[k].Version == 0 {
 			delete(n.known, k)
-			n.mem.Drop(s.Now, k, s.Rev+v)
+			n.mem.HandleDelete(s.Now, k, s.Rev+v)
 		}
 	}
 	for k, it := range s.Keys {
 		if n.known[k] != it.Version {
 			n.known[k] = it.Version
-			n.mem.Item(s.Now, it)
+			n.mem.HandleItem(s.Now, it)
 		}
 	}
-	n.mem.Synced(s.Now)
+	n.mem.HandleSynced(s.Now)
 }
 
 func (c *cluster) step() {
@@ -141,7 +141,7 @@
 			n.follow()
 		}
 		n.mem.Tick(c.svc.Now)
-		if n.mem.Authority(c.svc.Now) {
+		if n.mem.HasAuthority(c.svc.Now) {
 			if acting != "" {
 				c.t.Fatalf("%v: %s and %s both have authority", c.svc.Now, acting, n.name)
 			}
@@ -165,7 +165,7 @@
 
 func (c *cluster) leader() *node {
 	for _, n := range c.nodes {
-		if n.mem != nil && n.mem.Authority(c.svc.Now) {
+		if n.mem != nil && n.mem.HasAuthority(c.svc.Now) {
 			return n
 		}
 	}
@@ -190,11 +190,11 @@
 			switch c.rng.IntN(8) {
 			case 6:
 				if n.mem != nil {
-					n.mem.Leave(c.svc.Now)
+					n.mem.Withdraw(c.svc.Now)
 				}
 			case 7:
 				if n.mem != nil {
-					n.mem.Return(c.svc.Now)
+					n.mem.Rejoin(c.svc.Now)
 				}
 			case 0:
 				n.gen++
@@ -219,7 +219,7 @@
 			if n.mem == nil {
 				n.start()
 			}
-			n.mem.Return(c.svc.Now)
+			n.mem.Rejoin(c.svc.Now)
 		}
 		c.runFor(25 * time.Second)
 		if c.leader() == nil {
@@ -243,7 +243,7 @@
 	}
 	l.cut = true
 	c.runFor(3 * time.Second)
-	if l.mem.Authority(c.svc.Now) {
+	if l.mem.HasAuthority(c.svc.Now) {
 		t.Fatal("still acting after its hold has ended")
 	}
 	c.runFor(2 * time.Second)
@@ -258,8 +258,8 @@
 	c := newCluster(t, 3)
 	c.runFor(3 * time.Second)
 	l := c.leader()
-	l.mem.Leave(c.svc.Now)
-	if l.mem.Authority(c.svc.Now) {
+	l.mem.Withdraw(c.svc.Now)
+	if l.mem.HasAuthority(c.svc.Now) {
 		t.Fatal("still has authority")
 	}
 	c.runFor(800 * time.Millisecond)
@@ -276,7 +276,7 @@
 	if c.runFor(10 * time.Second); c.leader() != nil {
 		t.Fatal("one that has left leads again")
 	}
-	l.mem.Return(c.svc.Now)
+	l.mem.Rejoin(c.svc.Now)
 	if c.runFor(5 * time.Second); c.leader() != l {
 		t.Fatal("back, and alone, it doesn't lead")
 	}
@@ -318,8 +318,8 @@
 	if err := json.Unmarshal(body("POST", "/holds", `{"ttl_ms":60000}`).Body, &hold); err != nil || hold.ID == 0 {
 		t.Fatal(err)
 	}
-	raw, _ := json.Marshal(Leader{Node: l.name, Term: l.mem.Term() + 1, Hold: hold.ID})
-	txn, _ := json.Marshal(store.Txn{If: []store.Cond{}, Then: []store.Op{{Put: leaderKey, Value: raw, Hold: hold.ID}}})
+	raw, _ := json.Marshal(Leader{Node: l.name, Term: l.mem.Term() + 1, Lease: hold.ID})
+	txn, _ := json.Marshal(store.Txn{If: []store.Condition{}, Then: []store.Op{{Put: leaderKey, Value: raw, Lease: hold.ID}}})
 	if r := body("POST", "/txn", string(txn)); r.Status != 200 {
 		t.Fatal(r.Status)
 	}
@@ -335,8 +335,8 @@
 
 // Rendezvous hashing parts machines evenly and moves only those of a lost owner.
 func TestPartMap(t *testing.T) {
-	all := PartMap{Owners: []string{"a", "b", "c"}}
-	two := PartMap{Owners: []string{"a", "c"}}
+	all := ShardMap{Owners: []string{"a", "b", "c"}}
+	two := ShardMap{Owners: []string{"a", "c"}}
 	n := map[string]int{}
 	for i := range 3000 {
 		m := fmt.Sprintf("i-%06d", i)
@@ -351,7 +351,7 @@
 			t.Fatalf("%s owns %d of 3000", o, k)
 		}
 	}
-	if (PartMap{}).Owner("x") != "" {
+	if (ShardMap{}).Owner("x") != "" {
 		t.Fatal("an empty map has no owner")
 	}
 }
--- a/internal/membership/register.go
+++ b/internal/membership/register.go
@@ -10,8 +10,8 @@
 )
 
 type memberValue struct {
-	Node string `json:"node"`
-	Hold uint64 `json:"hold"`
+	Node  string `json:"node"`
+	Lease uint64 `json:"hold"`
 }
 
 // ours takes over this controller's own member key. Whatever can't be read there names none of its holds.
@@ -21,7 +21,7 @@
 	}
 	var v memberValue
 	_ = json.Unmarshal(it.Value, &v)
-	m.self, m.selfVersion = v.Hold, it.Version
+	m.self, m.selfVersion = v.Lease, it.Version
 }
 
 // register writes the member key and the announcement, as long as nobody else has written the key meanwhile: a former
@@ -31,8 +31,8 @@
 	m.busy = true
 	hold, key := m.hold, memberKey+m.cfg.Node
 	v, _ := json.Marshal(memberValue{m.cfg.Node, hold})
-	t := store.Txn{If: []store.Cond{{Key: key, Version: m.selfVersion}}, Then: []store.Op{{Put: key, Value: v, Hold: hold}, m.cfg.Rollout.Announce(hold)}}
-	m.store.Txn(t, store.Safety, func(r store.Result) {
+	t := store.Txn{If: []store.Condition{{Key: key, Version: m.selfVersion}}, Then: []store.Op{{Put: key, Value: v, Lease: hold}, m.cfg.Rollout.Announcement(hold)}}
+	m.store.Txn(t, store.SafetyPriority, func(r store.Result) {
 		if m.hold != hold {
 			return // the hold was lost meanwhile, another attempt is under way
 		}
@@ -41,11 +41,11 @@
 			m.busy = false
 			m.ours(store.Item{Value: v, Version: r.Revision})
 			m.registered(m.store.Now())
-		case store.NoHold:
+		case store.LeaseExpired:
 			m.lose(m.store.Now())
 		case store.Conflict, store.Indeterminate:
 			// Somebody wrote it, perhaps this very process with a request that was given up.
-			m.store.Get(key, store.Safety, func(it store.Item, err error) {
+			m.store.Get(key, store.SafetyPriority, func(it store.Item, err error) {
 				if m.hold != hold {
 					return
 				}
@@ -68,6 +68,6 @@
 // registered goes on once the member key names our hold.
 func (m *Membership) registered(now time.Duration) {
 	if m.state == Registering {
-		m.to(now, Member)
+		m.to(now, Follower)
 	}
 }
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -23,12 +23,12 @@
 
 // Entry is a value as it is to be stored: Name is its name in the page, Raw is JSON without spaces.
 type Entry struct {
-	Ref  Ref
-	Name string
-	Raw  []byte
+	Ref   Ref
+	Name  string
+	Value []byte
 }
 
-func (e *Entry) size() int { return len(e.Name) + len(e.Raw) + 4 }
+func (e *Entry) size() int { return len(e.Name) + len(e.Value) + 4 }
 
 // page is one key. Its state follows from its fields:
 //
@@ -38,25 +38,25 @@
 //	         should it land late, fails on its version
 //	retired  nothing lives on it and its key is to be dropped; its number is never used again
 type page struct {
-	no      int
-	version uint64
-	live    map[Ref]Entry
-	size    int // bytes of what lives
-	doubt   bool
-	retired bool
-	// early: a write that makes its key was given up. It lands whenever the key isn't there, so the key isn't
+	number        int
+	version       uint64
+	live          map[Ref]Entry
+	size          int // bytes of what lives
+	indeterminate bool
+	retired       bool
+	// createIndeterminate: a write that makes its key was given up. It lands whenever the key isn't there, so the key isn't
 	// dropped as long as this owner's writes can land.
-	early bool
+	createIndeterminate bool
 }
 
 // Pages are all pages of one kind. The zero value is not ready: use New.
 type Pages struct {
-	limit   int // bytes of a page's values
-	pages   []*page
-	at      map[Ref]*page
-	next    int
-	doubts  int
-	retired []*page
+	limit         int // bytes of a page's values
+	pages         []*page
+	pageOf        map[Ref]*page
+	next          int
+	indeterminate int
+	retired       []*page
 }
 
 // overhead is what a page takes beside its values.
@@ -65,16 +65,16 @@
 // New makes an empty set of pages whose values take at most limit bytes each. A larger value has a page for
 // itself.
 func New(limit int) *Pages {
-	return &Pages{limit: max(1, limit-overhead), at: map[Ref]*page{}}
+	return &Pages{limit: max(1, limit-overhead), pageOf: map[Ref]*page{}}
 }
 
 // SetLimit changes how much the values of a page may take from the next batch on. Pages that hold more are kept as they
 // are until what lives on them has moved.
 func (p *Pages) SetLimit(limit int) { p.limit = max(1, limit-overhead) }
 
-// Stored is a page as it was read.
-type Stored struct {
-	No      int
+// StoredPage is a page as it was read.
+type StoredPage struct {
+	Number  int
 	Version uint64 // of its key
 	Values  map[string]json.RawMessage
 }
@@ -89,25 +89,25 @@
 func Key(prefix string, no int) string { return fmt.Sprintf("%s%05d", prefix, no) }
 
 // Decode reads a page. Its error says what is wrong.
-func Decode(prefix, key string, raw json.RawMessage, version uint64) (Stored, error) {
+func Decode(prefix, key string, raw json.RawMessage, version uint64) (StoredPage, error) {
 	no, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
 	if err != nil || no < 0 {
-		return Stored{}, fmt.Errorf("page %q has no number", key)
+		return StoredPage{}, fmt.Errorf("page %q has no number", key)
 	}
 	var s stored
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return Stored{No: no}, err
+		return StoredPage{Number: no}, err
 	}
 	if s.Format > 1 {
-		return Stored{No: no}, fmt.Errorf("page in format %d", s.Format)
+		return StoredPage{Number: no}, fmt.Errorf("page in format %d", s.Format)
 	}
-	return Stored{no, version, s.Values}, nil
+	return StoredPage{no, version, s.Values}, nil
 }
 
 // Load takes over a page that was read, with those of its values that still count. The caller gives each value to
 // one page only: to the one with the highest version that holds it. An unreadable page is loaded by Reserve.
 func (p *Pages) Load(no int, version uint64, live []Entry) {
-	g := &page{no: no, version: version, live: map[Ref]Entry{}}
+	g := &page{number: no, version: version, live: map[Ref]Entry{}}
 	p.pages = append(p.pages, g)
 	p.next = max(p.next, no+1)
 	for _, e := range live {
@@ -122,24 +122,24 @@
 	p.Drop(e.Ref)
 	g.live[e.Ref] = e
 	g.size += e.size()
-	p.at[e.Ref] = g
+	p.pageOf[e.Ref] = g
 }
 
 // Drop forgets a value that is needed no more. What stands of it is dead.
 func (p *Pages) Drop(r Ref) {
-	if g := p.at[r]; g != nil {
+	if g := p.pageOf[r]; g != nil {
 		e := g.live[r]
 		g.size -= e.size()
 		delete(g.live, r)
-		delete(p.at, r)
+		delete(p.pageOf, r)
 	}
 }
 
-// Put is one page of a batch: what its key gets. Version is the key's version that the write depends on.
-type Put struct {
-	No      int
+// PageWrite is one page of a batch: what its key gets. Version is the key's version that the write depends on.
+type PageWrite struct {
+	Number  int
 	Version uint64
-	Raw     json.RawMessage
+	Value   json.RawMessage
 	page    *page
 	entries []Entry
 }
@@ -163,11 +163,11 @@
 // one of them holds beyond the limit moves to other pages with it, as far as a batch of at most pages pages has room.
 func (p *Pages) Begin(pages int) *Batch {
 	b := &Batch{p: p, moved: map[Ref]struct{}{}, inBatch: map[*page]struct{}{}}
-	if p.doubts == 0 {
+	if p.indeterminate == 0 {
 		return b
 	}
 	for _, g := range p.pages {
-		if g.doubt {
+		if g.indeterminate {
 			b.open(g)
 		}
 	}
@@ -186,13 +186,13 @@
 // over tells whether a page holds more than it may; a large value alone may stand anywhere.
 func (b *Batch) over(n *bin) bool { return n.size > b.p.limit && len(n.page.live)+len(n.add) > 1 }
 
-// mostShed bounds the bytes of a batch that moves what pages hold beyond their limit.
-const mostShed = 48 << 10
+// maxShedBytes bounds the bytes of a batch that moves what pages hold beyond their limit.
+const maxShedBytes = 48 << 10
 
 // shed moves what a page holds beyond the limit to others.
 func (b *Batch) shed(n *bin, pages int) {
 	for _, e := range sorted(n.page.live) {
-		if !b.over(n) || !b.Add(e, pages, mostShed) {
+		if !b.over(n) || !b.Add(e, pages, maxShedBytes) {
 			return
 		}
 	}
@@ -257,7 +257,7 @@
 		}
 		into = b.open(g)
 	}
-	if g := b.p.at[e.Ref]; g != nil {
+	if g := b.p.pageOf[e.Ref]; g != nil {
 		if _, ok := b.inBatch[g]; ok {
 			for _, n := range b.bins {
 				if n.page == g {
@@ -301,15 +301,15 @@
 }
 
 func (p *Pages) fresh() *page {
-	g := &page{no: p.next, live: map[Ref]Entry{}}
+	g := &page{number: p.next, live: map[Ref]Entry{}}
 	p.next++
 	p.pages = append(p.pages, g)
 	return g
 }
 
-// Puts is what the batch writes, in one transaction.
-func (b *Batch) Puts() []Put {
-	out := make([]Put, 0, len(b.bins))
+// Writes is what the batch writes, in one transaction.
+func (b *Batch) Writes() []PageWrite {
+	out := make([]PageWrite, 0, len(b.bins))
 	for _, n := range b.bins {
 		es := slices.Clone(n.add)
 		for r, e := range n.page.live {
@@ -318,7 +318,7 @@
 			}
 		}
 		slices.SortFunc(es, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
-		out = append(out, Put{No: n.page.no, Version: n.page.version, Raw: encode(es), page: n.page, entries: es})
+		out = append(out, PageWrite{Number: n.page.number, Version: n.page.version, Value: encode(es), page: n.page, entries: es})
 	}
 	return out
 }
@@ -333,7 +333,7 @@
 		w.WriteByte('"')
 		w.WriteString(e.Name)
 		w.WriteString(`":`)
-		w.Write(e.Raw)
+		w.Write(e.Value)
 	}
 	w.WriteString(`}}`)
 	return w.Bytes()
@@ -341,45 +341,45 @@
 
 // Commit takes over that a page was written, at a version of its key. Nothing may be dropped between a batch's Puts
 // and its outcome.
-func (p *Pages) Commit(x Put, version uint64) {
-	p.doubted(x.page, false)
+func (p *Pages) Commit(x PageWrite, version uint64) {
+	p.setIndeterminate(x.page, false)
 	x.page.version = version
 	for _, e := range x.entries {
 		p.put(x.page, e)
 	}
 }
 
-// Doubt takes over that a page was not written, as far as a read of it shows, but may be yet. It is written again
+// MarkIndeterminate takes over that a page was not written, as far as a read of it shows, but may be yet. It is written again
 // with the next batch, and until that is through nothing may depend on what only one of the two says.
-func (p *Pages) Doubt(x Put) {
-	x.page.early = x.page.early || x.Version == 0
-	p.doubted(x.page, true)
+func (p *Pages) MarkIndeterminate(x PageWrite) {
+	x.page.createIndeterminate = x.page.createIndeterminate || x.Version == 0
+	p.setIndeterminate(x.page, true)
 }
 
 // Reload takes over what a read shows on a page in place of what was to be written: an earlier write of it that
 // had been given up. All that stands there lives there; the page is written again with the next batch.
-func (p *Pages) Reload(x Put, version uint64, entries []Entry) {
+func (p *Pages) Reload(x PageWrite, version uint64, entries []Entry) {
 	x.page.version = version
-	x.page.early = x.page.early || x.Version == 0
+	x.page.createIndeterminate = x.page.createIndeterminate || x.Version == 0
 	for _, e := range entries {
 		p.put(x.page, e)
 	}
-	p.doubted(x.page, true)
+	p.setIndeterminate(x.page, true)
 }
 
-func (p *Pages) doubted(g *page, on bool) {
-	if g.doubt != on {
-		g.doubt = on
+func (p *Pages) setIndeterminate(g *page, on bool) {
+	if g.indeterminate != on {
+		g.indeterminate = on
 		if on {
-			p.doubts++
+			p.indeterminate++
 		} else {
-			p.doubts--
+			p.indeterminate--
 		}
 	}
 }
 
-// Doubts tells whether a page has to be written again.
-func (p *Pages) Doubts() bool { return p.doubts > 0 }
+// HasIndeterminate tells whether a page has to be written again.
+func (p *Pages) HasIndeterminate() bool { return p.indeterminate > 0 }
 
 // spare is how many empty pages are kept to be written next.
 const spare = 4
@@ -389,7 +389,7 @@
 func (p *Pages) Retire(n int) (nos []int, versions []uint64) {
 	empty := 0
 	for _, g := range p.pages {
-		if len(g.live) > 0 || g.doubt || g.early || g.version == 0 || g.retired {
+		if len(g.live) > 0 || g.indeterminate || g.createIndeterminate || g.version == 0 || g.retired {
 			continue
 		}
 		if empty++; empty > spare && len(p.retired) < n {
@@ -398,13 +398,13 @@
 		}
 	}
 	for _, g := range p.retired {
-		nos, versions = append(nos, g.no), append(versions, g.version)
+		nos, versions = append(nos, g.number), append(versions, g.version)
 	}
 	return nos, versions
 }
 
-// Retired takes over that the pages last named were dropped.
-func (p *Pages) Retired() {
+// ConfirmRetired takes over that the pages last named were dropped.
+func (p *Pages) ConfirmRetired() {
 	p.pages = slices.DeleteFunc(p.pages, func(g *page) bool { return g.retired })
 	p.retired = nil
 }
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -19,25 +19,25 @@
 }
 
 // land carries a transaction out, all of it or nothing.
-func (k *kept) land(puts []Put) bool {
+func (k *kept) land(puts []PageWrite) bool {
 	for _, x := range puts {
-		if k.keys[x.No].version != x.Version {
+		if k.keys[x.Number].version != x.Version {
 			return false
 		}
 	}
 	k.rev++
 	for _, x := range puts {
-		k.keys[x.No] = struct {
+		k.keys[x.Number] = struct {
 			raw     []byte
 			version uint64
-		}{x.Raw, k.rev}
+		}{x.Value, k.rev}
 	}
 	return true
 }
 
-func (k *kept) read(t *rapid.T) (map[string]string, []Stored) {
+func (k *kept) read(t *rapid.T) (map[string]string, []StoredPage) {
 	got, last := map[string]string{}, map[string]uint64{}
-	var all []Stored
+	var all []StoredPage
 	for no, it := range k.keys {
 		s, err := Decode("p/@/", Key("p/@/", no), it.raw, it.version)
 		if err != nil {
@@ -73,7 +73,7 @@
 		p := New(limit)
 		durable, maybe := map[string]string{}, map[string]map[string]bool{}
 		ended, there := map[string]bool{}, map[string]bool{}
-		var late [][]Put
+		var late [][]PageWrite
 		n := 0
 		write := func(names []string, fate int) {
 			b := p.Begin(100)
@@ -89,7 +89,7 @@
 				}
 				vals[name] = raw
 			}
-			puts := b.Puts()
+			puts := b.Writes()
 			if len(puts) > 6 {
 				t.Fatalf("%d pages in a batch", len(puts))
 			}
@@ -109,13 +109,13 @@
 			}
 			// The outcome is open or a conflict: each page is read again.
 			for _, x := range puts {
-				switch it := k.keys[x.No]; {
+				switch it := k.keys[x.Number]; {
 				case it.version == x.Version:
-					p.Doubt(x)
-				case string(it.raw) == string(x.Raw):
+					p.MarkIndeterminate(x)
+				case string(it.raw) == string(x.Value):
 					p.Commit(x, it.version)
 				default:
-					s, err := Decode("p/@/", Key("p/@/", x.No), it.raw, it.version)
+					s, err := Decode("p/@/", Key("p/@/", x.Number), it.raw, it.version)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -173,7 +173,7 @@
 				}
 			case 7:
 				for _, name := range names() {
-					if !p.Doubts() { // as its callers do
+					if !p.HasIndeterminate() { // as its callers do
 						ended[name] = true
 						p.Drop(ref(name))
 					}
@@ -186,7 +186,7 @@
 						}
 						delete(k.keys, no)
 					}
-					p.Retired()
+					p.ConfirmRetired()
 				}
 			case 9: // another owner: what was under way fails on its lead from now on
 				late = nil
@@ -205,7 +205,7 @@
 							live = append(live, Entry{ref(name), name, raw})
 						}
 					}
-					p.Load(s.No, s.Version, live)
+					p.Load(s.Number, s.Version, live)
 				}
 				for name, raw := range got {
 					durable[name] = raw
@@ -214,7 +214,7 @@
 			}
 			check()
 		}
-		for p.Doubts() {
+		for p.HasIndeterminate() {
 			write(nil, 0)
 		}
 		for _, x := range late { // whatever is still under way fails by now, or is dead
@@ -244,15 +244,15 @@
 			}
 		}
 		rev++
-		for _, x := range b.Puts() {
+		for _, x := range b.Writes() {
 			writes++
 			p.Commit(x, rev)
-			if len(x.Raw) > 7<<10 {
-				t.Fatalf("a page of %d bytes", len(x.Raw))
+			if len(x.Value) > 7<<10 {
+				t.Fatalf("a page of %d bytes", len(x.Value))
 			}
 		}
 	}
-	n, values := len(p.pages), len(p.at)
+	n, values := len(p.pages), len(p.pageOf)
 	t.Logf("4,000 values in %d writes, %d live in %d pages", writes, values, n)
 	if writes > 300 || n > 40 {
 		t.Fatalf("%d writes, %d pages", writes, n)
@@ -263,17 +263,17 @@
 // the first write would land and bring back what has long changed.
 func TestAnEarlyPageIsNotDropped(t *testing.T) {
 	p := New(60)
-	var first Put
+	var first PageWrite
 	for i := range int32(8) {
 		b := p.Begin(100)
 		b.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
-		x := b.Puts()[0]
+		x := b.Writes()[0]
 		if i == 0 {
 			first = x
-			p.Doubt(x)
+			p.MarkIndeterminate(x)
 			b = p.Begin(100)
 			b.Add(Entry{Ref{A: i}, "v0", []byte(`"a long value that fills a page"`)}, 1, 1000)
-			x = b.Puts()[0]
+			x = b.Writes()[0]
 		}
 		p.Commit(x, uint64(i)+1)
 	}
@@ -281,24 +281,24 @@
 		p.Drop(Ref{A: i})
 	}
 	nos, _ := p.Retire(8)
-	if len(nos) != 8-spare-1 || slices.Contains(nos, first.No) {
-		t.Fatalf("pages %v are dropped, page %d may come anew", nos, first.No)
+	if len(nos) != 8-spare-1 || slices.Contains(nos, first.Number) {
+		t.Fatalf("pages %v are dropped, page %d may come anew", nos, first.Number)
 	}
 }
 
 // The limit of a page shrinks while writes without an outcome name pages that hold more: the next batch names them all, and
 // what is beyond the limit moves to other pages with it. Where that doesn't fit, the batch says so.
 func TestLimitShrinksWhileInDoubt(t *testing.T) {
-	fill := func() (*Pages, []Put) {
+	fill := func() (*Pages, []PageWrite) {
 		p := New(2000)
 		b := p.Begin(8)
 		for i := range 30 {
-			e := Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Raw: []byte(`"` + strings.Repeat("x", 90) + `"`)}
+			e := Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Value: []byte(`"` + strings.Repeat("x", 90) + `"`)}
 			if !b.Add(e, 8, 60<<10) {
 				t.Fatal("no room")
 			}
 		}
-		puts := b.Puts()
+		puts := b.Writes()
 		for i, x := range puts {
 			p.Commit(x, uint64(i+1))
 		}
@@ -306,9 +306,9 @@
 	}
 	p, _ := fill()
 	b := p.Begin(8)
-	_ = b.Add(Entry{Ref: Ref{A: 0}, Name: "job-00", Raw: []byte(`"y"`)}, 8, 60<<10)
-	for _, x := range b.Puts() {
-		p.Doubt(x)
+	_ = b.Add(Entry{Ref: Ref{A: 0}, Name: "job-00", Value: []byte(`"y"`)}, 8, 60<<10)
+	for _, x := range b.Writes() {
+		p.MarkIndeterminate(x)
 	}
 	p.SetLimit(700)
 	b = p.Begin(8)
@@ -317,11 +317,11 @@
 	}
 	seen := map[string]bool{}
 	doubtful := 0
-	for _, x := range b.Puts() {
-		if len(x.Raw) > 700 {
-			t.Errorf("page %d takes %d bytes", x.No, len(x.Raw))
+	for _, x := range b.Writes() {
+		if len(x.Value) > 700 {
+			t.Errorf("page %d takes %d bytes", x.Number, len(x.Value))
 		}
-		if x.page.doubt {
+		if x.page.indeterminate {
 			doubtful++
 		}
 		for _, e := range x.entries {
@@ -332,11 +332,11 @@
 		}
 		p.Commit(x, 50)
 	}
-	if doubtful == 0 || p.Doubts() {
-		t.Errorf("%d pages of the batch were in doubt; in doubt still: %v", doubtful, p.Doubts())
+	if doubtful == 0 || p.HasIndeterminate() {
+		t.Errorf("%d pages of the batch were in doubt; in doubt still: %v", doubtful, p.HasIndeterminate())
 	}
 	for i := range 30 {
-		if p.at[Ref{A: int32(i)}] == nil {
+		if p.pageOf[Ref{A: int32(i)}] == nil {
 			t.Errorf("value %d is lost", i)
 		}
 	}
@@ -344,10 +344,10 @@
 	p, _ = fill()
 	b = p.Begin(8)
 	for i := range 30 {
-		b.Add(Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Raw: []byte(`"` + strings.Repeat("y", 90) + `"`)}, 8, 60<<10)
+		b.Add(Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Value: []byte(`"` + strings.Repeat("y", 90) + `"`)}, 8, 60<<10)
 	}
-	for _, x := range b.Puts() {
-		p.Doubt(x)
+	for _, x := range b.Writes() {
+		p.MarkIndeterminate(x)
 	}
 	p.SetLimit(300)
 	if p.Begin(3).Fits(3) {
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -9,22 +9,22 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Item takes over one changed key, of whatever kind.
-func (r *Rollout) Item(it store.Item) {
+// HandleItem takes over one changed key, of whatever kind.
+func (r *Rollout) HandleItem(it store.Item) {
 	if it.Version <= r.seen[it.Key] {
 		return
 	}
 	read := func(v any, format func() int) bool {
-		row, _ := RowOf(it.Key)
+		row, _ := RecordFormatOf(it.Key)
 		err := json.Unmarshal(it.Value, v)
-		if err == nil && format() > slices.Max(row.Reads) {
+		if err == nil && format() > slices.Max(row.ReadFormats) {
 			err = fmt.Errorf("format %d", format())
 		}
 		if err != nil {
-			r.Unreadable(it.Key, it.Value, err)
+			r.MarkUnreadable(it.Key, it.Value, err)
 			return false
 		}
-		r.Readable(it.Key)
+		r.MarkReadable(it.Key)
 		return true
 	}
 	switch {
@@ -36,9 +36,9 @@
 		}
 		r.levelVersion = it.Version
 	case it.Key == wordsKey:
-		var w Words
+		var w Directive
 		if !read(&w, func() int { return w.Format }) {
-			w = Words{Mode: Held, By: "a record that can't be read"}
+			w = Directive{Mode: PausedByOperator, By: "a record that can't be read"}
 		}
 		r.words, r.wordsVersion = w, it.Version
 	case it.Key == migrationKey:
@@ -57,11 +57,11 @@
 		}
 		var a Announcement
 		if read(&a, func() int { return a.Format }) {
-			p.said, p.Says, p.SaysHold, p.cause = a, a.Level, a.Hold, ""
+			p.said, p.AnnouncedLevel, p.AnnouncedLease, p.cause = a, a.Level, a.Lease, ""
 		} else {
-			p.said, p.Says, p.SaysHold, p.cause = Announcement{}, 0, 0, "its announcement can't be read"
+			p.said, p.AnnouncedLevel, p.AnnouncedLease, p.cause = Announcement{}, 0, 0, "its announcement can't be read"
 		}
-		p.SaysVersion = it.Version
+		p.AnnouncementVersion = it.Version
 	case strings.HasPrefix(it.Key, memberPrefix):
 		p := r.peer(strings.TrimPrefix(it.Key, memberPrefix))
 		if p == nil {
@@ -74,44 +74,44 @@
 		if !read(&v, func() int { return v.Format }) {
 			v.Hold = 0 // somebody is there, and nobody knows who
 		}
-		p.Hold, p.HoldVersion = v.Hold, it.Version
+		p.Lease, p.MemberVersion = v.Hold, it.Version
 	default:
 		return
 	}
 	r.seen[it.Key] = it.Version
 }
 
-// Drop takes over the end of a key.
-func (r *Rollout) Drop(key string, version uint64) {
+// HandleDelete takes over the end of a key.
+func (r *Rollout) HandleDelete(key string, version uint64) {
 	if version <= r.seen[key] {
 		return
 	}
 	if p := r.peer(strings.TrimPrefix(key, memberPrefix)); p != nil && strings.HasPrefix(key, memberPrefix) {
-		p.Hold, p.HoldVersion = 0, 0
+		p.Lease, p.MemberVersion = 0, 0
 	}
 	if strings.HasPrefix(key, memberPrefix) || strings.HasPrefix(key, prefix) {
 		r.seen[key] = version
 	}
-	r.Readable(key)
+	r.MarkReadable(key)
 }
 
-// Reset takes a new reading of all keys: members that it lacks are gone.
-func (r *Rollout) Reset(items []store.Item) {
+// HandleReset takes a new reading of all keys: members that it lacks are gone.
+func (r *Rollout) HandleReset(items []store.Item) {
 	there := map[string]bool{}
 	for _, it := range items {
 		there[it.Key] = true
 	}
 	for _, p := range r.peers {
 		if !there[memberPrefix+p.Node] {
-			p.Hold, p.HoldVersion = 0, 0
+			p.Lease, p.MemberVersion = 0, 0
 		}
 	}
 	for key := range r.unread {
 		if strings.HasPrefix(key, "h/") && !there[key] {
-			r.Readable(key)
+			r.MarkReadable(key)
 		}
 	}
 }
 
-// Synced tells that all keys have been read.
-func (r *Rollout) Synced() { r.synced = true }
+// HandleSynced tells that all keys have been read.
+func (r *Rollout) HandleSynced() { r.synced = true }
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -38,31 +38,31 @@
 
 // The guards.
 const (
-	// StandDown: a controller that meets a newer format gives up the lead and stays out, for others can read it.
+	// GuardStandDown: a controller that meets a newer format gives up the lead and stays out, for others can read it.
 	// A damaged record is kept as it is; what depends on it waits.
-	StandDown Guard = "stand-down"
-	// Seal: nothing of the one job it belongs to is planned, started, told or written.
-	Seal Guard = "seal"
-	// Unsaid: it counts as if it had not been written, where that is the safe side.
-	Unsaid Guard = "unsaid"
-	// Hint: nothing depends on it.
-	Hint Guard = "hint"
+	GuardStandDown Guard = "stand-down"
+	// GuardQuarantine: nothing of the one job it belongs to is planned, started, told or written.
+	GuardQuarantine Guard = "seal"
+	// GuardIgnore: it counts as if it had not been written, where that is the safe side.
+	GuardIgnore Guard = "unsaid"
+	// GuardAdvisory: nothing depends on it.
+	GuardAdvisory Guard = "hint"
 )
 
-// Write says that a format is written from a level on.
-type Write struct {
+// WriteFormat says that a format is written from a level on.
+type WriteFormat struct {
 	From   Level
 	Format int
 	Since  string // the release that began to
 }
 
-// Row is one kind of record: where it stands, which formats this release reads, and which it writes.
-type Row struct {
-	Kind   string
-	Prefix string
-	Reads  []int
-	Writes []Write // by rising level
-	Guard  Guard
+// RecordFormat is one kind of record: where it stands, which formats this release reads, and which it writes.
+type RecordFormat struct {
+	Kind         string
+	Prefix       string
+	ReadFormats  []int
+	WriteFormats []WriteFormat // by rising level
+	Guard        Guard
 }
 
 // first is the release that named formats; before it there was only format 1 of each.
@@ -74,51 +74,51 @@
 // draining is the release that began to give machines' drain requests keys of their own.
 const draining = "v0.23.0"
 
-func one(kind, prefix string, g Guard) Row {
-	return Row{kind, prefix, []int{1}, []Write{{Base, 1, first}}, g}
+func one(kind, prefix string, g Guard) RecordFormat {
+	return RecordFormat{kind, prefix, []int{1}, []WriteFormat{{Base, 1, first}}, g}
 }
 
-// Table lists every kind of record in the state service. A test holds each slice's code against it.
-var Table = []Row{
-	one("job", "h/j/", Seal),
-	{"archived-job", "a/", []int{1}, []Write{{Base, 0, first}, {Archived, 1, archiving}}, Seal},
-	{"plan", "p/", []int{1}, []Write{{Base, 1, first}, {Paged, 0, first}}, Seal}, // 0: no longer written by itself
-	{"plan-page", "p/@/", []int{1}, []Write{{Base, 0, first}, {Paged, 1, first}}, Seal},
-	one("image-hints", "p/images", Hint),
-	one("leader", "h/c/leader", StandDown),
-	{"term", "h/c/term", []int{1, 2}, []Write{{Base, 1, first}, {Paged, 2, first}}, StandDown},
-	one("part-map", "h/c/map", StandDown),
-	one("member", "h/c/n/", Unsaid),
-	one("machine-types", "h/c/types", Hint),
-	one("licence-count", "h/l/", StandDown),
-	one("session", "s/", StandDown),
-	one("operators-wishes", "h/o/wishes", StandDown),
-	{"drain-request", "h/o/machines/", []int{1}, []Write{{Base, 0, first}, {DrainKeys, 1, draining}}, StandDown},
-	one("zones", "h/z/", Hint),
-	one("announcement", announcePrefix, Unsaid),
-	one("level", levelKey, StandDown),
-	one("migration", migrationKey, StandDown),
-	one("rollout-words", wordsKey, StandDown),
+// RecordFormats lists every kind of record in the state service. A test holds each slice's code against it.
+var RecordFormats = []RecordFormat{
+	one("job", "h/j/", GuardQuarantine),
+	{"archived-job", "a/", []int{1}, []WriteFormat{{Base, 0, first}, {Archived, 1, archiving}}, GuardQuarantine},
+	{"plan", "p/", []int{1}, []WriteFormat{{Base, 1, first}, {Paged, 0, first}}, GuardQuarantine}, // 0: no longer written by itself
+	{"plan-page", "p/@/", []int{1}, []WriteFormat{{Base, 0, first}, {Paged, 1, first}}, GuardQuarantine},
+	one("image-hints", "p/images", GuardAdvisory),
+	one("leader", "h/c/leader", GuardStandDown),
+	{"term", "h/c/term", []int{1, 2}, []WriteFormat{{Base, 1, first}, {Paged, 2, first}}, GuardStandDown},
+	one("part-map", "h/c/map", GuardStandDown),
+	one("member", "h/c/n/", GuardIgnore),
+	one("machine-types", "h/c/types", GuardAdvisory),
+	one("licence-count", "h/l/", GuardStandDown),
+	one("session", "s/", GuardStandDown),
+	one("operators-wishes", "h/o/wishes", GuardStandDown),
+	{"drain-request", "h/o/machines/", []int{1}, []WriteFormat{{Base, 0, first}, {DrainKeys, 1, draining}}, GuardStandDown},
+	one("zones", "h/z/", GuardAdvisory),
+	one("announcement", announcePrefix, GuardIgnore),
+	one("level", levelKey, GuardStandDown),
+	one("migration", migrationKey, GuardStandDown),
+	one("rollout-words", wordsKey, GuardStandDown),
 }
 
-// RowOf finds the kind of a key; false: none is known.
-func RowOf(key string) (Row, bool) {
+// RecordFormatOf finds the kind of a key; false: none is known.
+func RecordFormatOf(key string) (RecordFormat, bool) {
 	best := -1
-	for i, r := range Table {
-		if strings.HasPrefix(key, r.Prefix) && (best < 0 || len(r.Prefix) > len(Table[best].Prefix)) {
+	for i, r := range RecordFormats {
+		if strings.HasPrefix(key, r.Prefix) && (best < 0 || len(r.Prefix) > len(RecordFormats[best].Prefix)) {
 			best = i
 		}
 	}
 	if best < 0 {
-		return Row{}, false
+		return RecordFormat{}, false
 	}
-	return Table[best], true
+	return RecordFormats[best], true
 }
 
 // WrittenAt is the format that is written at a level, 0: none.
-func (r Row) WrittenAt(l Level) int {
+func (r RecordFormat) WrittenAt(l Level) int {
 	f := 0
-	for _, w := range r.Writes {
+	for _, w := range r.WriteFormats {
 		if w.From <= l {
 			f = w.Format
 		}
@@ -138,22 +138,22 @@
 }
 
 // Newer tells whether a record names a format that this release doesn't read.
-func (r Row) Newer(raw json.RawMessage) bool {
-	return !slices.Contains(r.Reads, FormatOf(raw)) && FormatOf(raw) > slices.Max(r.Reads)
+func (r RecordFormat) Newer(raw json.RawMessage) bool {
+	return !slices.Contains(r.ReadFormats, FormatOf(raw)) && FormatOf(raw) > slices.Max(r.ReadFormats)
 }
 
 // reads and writes are what a controller announces: by kind, what it reads, and what it writes at a level.
 func reads() map[string][]int {
 	m := map[string][]int{}
-	for _, r := range Table {
-		m[r.Kind] = r.Reads
+	for _, r := range RecordFormats {
+		m[r.Kind] = r.ReadFormats
 	}
 	return m
 }
 
 func writes(l Level) map[string]int {
 	m := map[string]int{}
-	for _, r := range Table {
+	for _, r := range RecordFormats {
 		if f := r.WrittenAt(l); f > 0 {
 			m[r.Kind] = f
 		}
@@ -161,8 +161,8 @@
 	return m
 }
 
-// Record is a stored record that can't be read here.
-type Record struct {
+// UnreadableRecord is a stored record that can't be read here.
+type UnreadableRecord struct {
 	Key   string `json:"key"`
 	Kind  string `json:"kind"`
 	Cause string `json:"cause"`
@@ -170,10 +170,10 @@
 	Guard Guard  `json:"guard"`
 }
 
-func recordOf(key string, raw json.RawMessage, cause error) Record {
-	row, ok := RowOf(key)
+func recordOf(key string, raw json.RawMessage, cause error) UnreadableRecord {
+	row, ok := RecordFormatOf(key)
 	if !ok {
-		row = Row{Kind: "unknown", Guard: Hint}
+		row = RecordFormat{Kind: "unknown", Guard: GuardAdvisory}
 	}
-	return Record{Key: key, Kind: row.Kind, Cause: fmt.Sprint(cause), Newer: ok && row.Newer(raw), Guard: row.Guard}
+	return UnreadableRecord{Key: key, Kind: row.Kind, Cause: fmt.Sprint(cause), Newer: ok && row.Newer(raw), Guard: row.Guard}
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -69,16 +69,16 @@
 // taken names the guard that is taken out.
 type taken string
 
-func (m *state) seen(i int, w taken) Seen {
+func (m *state) seen(i int, w taken) Observation {
 	v := m.p[i].view
-	s := Seen{Level: Level(v.level), LevelVersion: uint64(v.levelVer), WordsVersion: uint64(v.wordsVer), Mode: Finish}
+	s := Observation{Level: Level(v.level), LevelVersion: uint64(v.levelVer), DirectiveVersion: uint64(v.wordsVer), Mode: FinishRequested}
 	if v.abort {
-		s.Mode = Aborted
+		s.Mode = AbortedByOperator
 	}
 	for n := range 3 {
-		p := Peer{Says: Level(v.says[n]), SaysHold: uint64(v.saysHold[n]), SaysVersion: uint64(v.saysVer[n]), Hold: uint64(v.hold[n]), HoldVersion: uint64(v.holdVer[n])}
+		p := PeerRecord{AnnouncedLevel: Level(v.says[n]), AnnouncedLease: uint64(v.saysHold[n]), AnnouncementVersion: uint64(v.saysVer[n]), Lease: uint64(v.hold[n]), MemberVersion: uint64(v.holdVer[n])}
 		if w == "the present process" {
-			p.SaysHold = p.Hold
+			p.AnnouncedLease = p.Lease
 		}
 		s.Peers = append(s.Peers, p)
 	}
@@ -304,7 +304,7 @@
 		}
 		v := p.view
 		by := uint8(n)
-		fit := Fits(Level(p.knows), Level(v.level)) || w == "staying out"
+		fit := IsCompatible(Level(p.knows), Level(v.level)) || w == "staying out"
 		if !fit && !p.silent {
 			continue
 		}
@@ -328,9 +328,9 @@
 			continue
 		}
 		lead := p.term
-		if s := m.seen(n, w); s.May(Level(p.knows), true, true) || (w == "all have announced" && p.knows > uint8(s.Level) && s.Mode != Aborted) {
+		if s := m.seen(n, w); s.MayRaise(Level(p.knows), true, true) || (w == "all have announced" && p.knows > uint8(s.Level) && s.Mode != AbortedByOperator) {
 			x := txn{kind: 'r', by: by, knows: p.knows, lead: lead, value: p.knows}
-			for i, c := range s.Conds(names) {
+			for i, c := range s.Conditions(names) {
 				x.conds[i] = uint8(c.Version)
 			}
 			step(func(c *state) bool { return c.send(x) })
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -24,20 +24,20 @@
 	return now-r.soakFrom >= r.cfg.Soak
 }
 
-// Work is what a leader does about migration: how many records are left in a former format, and whether none is.
-type Work struct {
+// MigrationProgress is what a leader does about migration: how many records are left in a former format, and whether none is.
+type MigrationProgress struct {
 	Left int
 	Done bool
 }
 
 // Tick judges where the rollout stands and gives the leader a transaction to send, if one is due; its outcome goes
 // to Done. term is 0 for a controller that doesn't lead or may not act.
-func (r *Rollout) Tick(now time.Duration, term uint64, w Work) (store.Txn, bool) {
+func (r *Rollout) Tick(now time.Duration, term uint64, w MigrationProgress) (store.Txn, bool) {
 	if !r.synced {
 		return store.Txn{}, false
 	}
-	if why := r.unfit(); why != "" {
-		r.to(now, Behind, why)
+	if why := r.incompatibility(); why != "" {
+		r.to(now, Incompatible, why)
 		return store.Txn{}, false
 	}
 	seen, soaked := r.seenNow(), r.soaked(now)
@@ -50,15 +50,15 @@
 	if r.migrating() {
 		return r.migrate(now, term, w)
 	}
-	if !seen.May(r.cfg.Knows, soaked, r.cfg.Auto) {
+	if !seen.MayRaise(r.cfg.MaxLevel, soaked, r.cfg.Auto) {
 		return store.Txn{}, false
 	}
-	next := seen.Next(r.cfg.Knows)
-	r.to(now, Raising, fmt.Sprintf("all have announced level %d", next))
+	next := seen.NextLevel(r.cfg.MaxLevel)
+	r.to(now, Upgrading, fmt.Sprintf("all have announced level %d", next))
 	r.busy = true
-	doc, _ := json.Marshal(levelDoc{Level: next, By: r.cfg.Node, AtMS: r.cfg.BornMS + now.Milliseconds()})
-	mig, _ := json.Marshal(Migration{Level: next, Term: term, Turns: 1})
-	return store.Txn{If: seen.Conds(r.names()), Then: []store.Op{
+	doc, _ := json.Marshal(levelDoc{Level: next, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS + now.Milliseconds()})
+	mig, _ := json.Marshal(Migration{Level: next, Term: term, Leaders: 1})
+	return store.Txn{If: seen.Conditions(r.names()), Then: []store.Op{
 		{Put: levelKey, Value: doc},
 		{Put: migrationKey, Value: mig},
 		{Put: termKey, Value: EncodeTerm(next, term)},
@@ -74,7 +74,7 @@
 func (r *Rollout) Migrated() bool { return !r.migrating() && r.levelVersion != 0 && r.level > Base }
 
 // migrate tells how far it has come: at its end, and when a leader takes it up.
-func (r *Rollout) migrate(now time.Duration, term uint64, w Work) (store.Txn, bool) {
+func (r *Rollout) migrate(now time.Duration, term uint64, w MigrationProgress) (store.Txn, bool) {
 	m := r.migration
 	if m.Level != r.level {
 		m = Migration{Level: r.level}
@@ -83,46 +83,46 @@
 		return store.Txn{}, false
 	}
 	if m.Term != term {
-		m.Turns++
+		m.Leaders++
 	}
 	m.Term, m.Left, m.Done = term, w.Left, w.Done
 	raw, _ := json.Marshal(m)
 	r.busy = true
-	return store.Txn{If: []store.Cond{r.Guard(), {Key: migrationKey, Version: r.migVersion}}, Then: []store.Op{{Put: migrationKey, Value: raw}}}, true
+	return store.Txn{If: []store.Condition{r.LevelCondition(), {Key: migrationKey, Version: r.migVersion}}, Then: []store.Op{{Put: migrationKey, Value: raw}}}, true
 }
 
-// Done takes the outcome of the transaction that Tick gave.
-func (r *Rollout) Done(now time.Duration, t store.Txn, res store.Result) {
+// HandleOutcome takes the outcome of the transaction that Tick gave.
+func (r *Rollout) HandleOutcome(now time.Duration, t store.Txn, res store.Result) {
 	r.busy = false
 	if res.Outcome == store.Committed {
 		for _, o := range t.Then {
-			r.Item(store.Item{Key: o.Put, Value: o.Value, Version: res.Revision})
+			r.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: res.Revision})
 		}
 		return
 	}
 	// What is not known may land yet; sent again with the same conditions it lands once.
-	slog.Info("rollout: not written", "outcome", res.Outcome.String(), "failed", res.Failed)
+	slog.Info("rollout: not written", "outcome", res.Outcome.String(), "failed", res.FailedKeys)
 	r.retryAt = now + time.Second
 }
 
-// Lost tells that the lead is lost: an outcome that was awaited is nobody's any more.
-func (r *Rollout) Lost() { r.busy, r.soaking = false, false }
+// HandleLeadLost tells that the lead is lost: an outcome that was awaited is nobody's any more.
+func (r *Rollout) HandleLeadLost() { r.busy, r.soaking = false, false }
 
 // judge finds the state by what is known.
-func (r *Rollout) judge(now time.Duration, s Seen, soaked bool) {
-	next := s.Next(r.cfg.Knows)
+func (r *Rollout) judge(now time.Duration, s Observation, soaked bool) {
+	next := s.NextLevel(r.cfg.MaxLevel)
 	switch {
 	case r.migrating():
 		r.to(now, Migrating, fmt.Sprintf("the level is %d", r.level))
-	case r.level >= r.cfg.Knows || r.levelVersion == 0 && !r.founded:
+	case r.level >= r.cfg.MaxLevel || r.levelVersion == 0 && !r.founded:
 		r.to(now, Settled, fmt.Sprintf("the level is %d", r.Level()))
 	case next <= s.Level:
 		r.to(now, Mixed, strings.Join(r.missing(now), "; "))
-	case s.Mode == Held || s.Mode == Aborted:
-		r.to(now, Stopped, fmt.Sprintf("%s by %s", s.Mode, r.words.By))
-	case !r.cfg.Auto && s.Mode != Finish:
+	case s.Mode == PausedByOperator || s.Mode == AbortedByOperator:
+		r.to(now, Paused, fmt.Sprintf("%s by %s", s.Mode, r.words.By))
+	case !r.cfg.Auto && s.Mode != FinishRequested:
 		r.to(now, Ready, "operators are to say `rollout finish`")
-	case !soaked && s.Mode != Finish:
+	case !soaked && s.Mode != FinishRequested:
 		r.to(now, Soaking, fmt.Sprintf("all have to be well for %v", r.cfg.Soak))
 	default:
 		r.to(now, Ready, "the leader lets the level rise")
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -16,7 +16,7 @@
 	Zone       string           `json:"zone,omitempty"`
 	Release    string           `json:"release"`
 	Level      Level            `json:"level"` // the highest that it knows
-	Hold       uint64           `json:"hold"`
+	Lease      uint64           `json:"hold"`
 	AtMS       int64            `json:"at_ms"` // when its process began
 	Reads      map[string][]int `json:"reads,omitempty"`
 	Writes     map[string]int   `json:"writes,omitempty"`
@@ -31,8 +31,8 @@
 	AtMS   int64  `json:"at_ms"`
 }
 
-// Words is operators' last word.
-type Words struct {
+// Directive is operators' last word.
+type Directive struct {
 	Format int    `json:"v,omitempty"`
 	Mode   Mode   `json:"mode"`
 	Level  Level  `json:"level,omitempty"` // to which Finish lets the cluster rise
@@ -44,12 +44,12 @@
 // from the records themselves: one that was moved no longer stands in its old place. So a leader that takes over
 // goes on with what is left, and nothing is moved twice.
 type Migration struct {
-	Format int    `json:"v,omitempty"`
-	Level  Level  `json:"level"`
-	Done   bool   `json:"done"`
-	Left   int    `json:"left"` // as of the last word of a leader
-	Term   uint64 `json:"term"`
-	Turns  int    `json:"turns"` // leaders that worked on it
+	Format  int    `json:"v,omitempty"`
+	Level   Level  `json:"level"`
+	Done    bool   `json:"done"`
+	Left    int    `json:"left"` // as of the last word of a leader
+	Term    uint64 `json:"term"`
+	Leaders int    `json:"turns"` // leaders that worked on it
 }
 
 // EncodeTerm writes the term key as it is written at a level. From Paged on the number is a string: releases that
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -40,15 +40,15 @@
 //
 // Any state leads to any other but Reading, by what is read; Raising only to those after its outcome is known.
 const (
-	Reading State = iota
+	Loading State = iota
 	Settled
 	Mixed
 	Soaking
 	Ready
-	Stopped
-	Raising
+	Paused
+	Upgrading
 	Migrating
-	Behind
+	Incompatible
 )
 
 func (s State) String() string {
@@ -57,26 +57,26 @@
 
 // Config is what a controller brings along.
 type Config struct {
-	Node    string
-	Nodes   []Named // all that the settings name, this one included
-	Release string
-	Knows   Level
+	Node     string
+	Nodes    []NodeConfig // all that the settings name, this one included
+	Release  string
+	MaxLevel Level
 	// Auto lets the level rise without operators' word once all have been well for Soak.
 	Auto bool
 	Soak time.Duration
-	// BornMS is the clock on the wall when this process began.
-	BornMS int64
-	// Turned is told of every change of state; nil for nobody.
-	Turned func(now time.Duration, to State, why string)
+	// StartedAtMS is the clock on the wall when this process began.
+	StartedAtMS int64
+	// OnStateChange is told of every change of state; nil for nobody.
+	OnStateChange func(now time.Duration, to State, why string)
 }
 
-// Named is a controller by the settings.
-type Named struct{ Node, Zone string }
+// NodeConfig is a controller by the settings.
+type NodeConfig struct{ Node, Zone string }
 
 // peer is all that is known of a controller.
 type peer struct {
-	Named
-	Peer
+	NodeConfig
+	PeerRecord
 	said  Announcement
 	cause string // why its announcement or member key can't be read
 	heard time.Duration
@@ -95,12 +95,12 @@
 	levelVersion uint64
 	by           string
 	founded      bool // a leader has ever been: a cluster without one starts at the newest level
-	words        Words
+	words        Directive
 	wordsVersion uint64
 	migration    Migration
 	migVersion   uint64
 	seen         map[string]uint64 // newest version seen, by key
-	unread       map[string]Record
+	unread       map[string]UnreadableRecord
 
 	busy     bool // a transaction is under way
 	retryAt  time.Duration
@@ -110,10 +110,10 @@
 
 // New makes a rollout of which nothing is known yet.
 func New(cfg Config) *Rollout {
-	r := &Rollout{cfg: cfg, level: Base, seen: map[string]uint64{}, unread: map[string]Record{}}
-	slices.SortFunc(r.cfg.Nodes, func(a, b Named) int { return strings.Compare(a.Node, b.Node) })
+	r := &Rollout{cfg: cfg, level: Base, seen: map[string]uint64{}, unread: map[string]UnreadableRecord{}}
+	slices.SortFunc(r.cfg.Nodes, func(a, b NodeConfig) int { return strings.Compare(a.Node, b.Node) })
 	for _, n := range r.cfg.Nodes {
-		r.peers = append(r.peers, &peer{Named: n})
+		r.peers = append(r.peers, &peer{NodeConfig: n})
 	}
 	return r
 }
@@ -124,70 +124,72 @@
 		return
 	}
 	log := slog.Info
-	if s == Behind {
+	if s == Incompatible {
 		log = slog.Error
 	}
-	log("rollout", "from", r.state.String(), "to", s.String(), "why", why, "level", int(r.level), "release", r.cfg.Release, "knows", int(r.cfg.Knows))
+	log("rollout", "from", r.state.String(), "to", s.String(), "why", why, "level", int(r.level), "release", r.cfg.Release, "knows", int(r.cfg.MaxLevel))
 	r.state = s
-	if r.cfg.Turned != nil {
-		r.cfg.Turned(now, s, why)
+	if r.cfg.OnStateChange != nil {
+		r.cfg.OnStateChange(now, s, why)
 	}
 }
 
 // State is the present state.
 func (r *Rollout) State() State { return r.state }
 
-// Knows is the highest level that this controller knows.
-func (r *Rollout) Knows() Level { return r.cfg.Knows }
+// MaxLevel is the highest level that this controller knows.
+func (r *Rollout) MaxLevel() Level { return r.cfg.MaxLevel }
 
 // Level is the cluster's. One that has never had a leader is founded at the highest that its founder knows.
 func (r *Rollout) Level() Level {
 	if r.levelVersion == 0 && !r.founded {
-		return r.cfg.Knows
+		return r.cfg.MaxLevel
 	}
 	return r.level
 }
 
-// Fit tells whether this controller may act: neither the level nor a record is beyond its release.
-func (r *Rollout) Fit() bool { return r.unfit() == "" }
+// Compatible tells whether this controller may act: neither the level nor a record is beyond its release.
+func (r *Rollout) Compatible() bool { return r.incompatibility() == "" }
 
-// unfit says why not.
-func (r *Rollout) unfit() string {
-	if !Fits(r.cfg.Knows, r.level) {
-		return fmt.Sprintf("the cluster is at level %d, and release %s knows no level above %d: start this controller with a release that does", r.level, r.cfg.Release, r.cfg.Knows)
+// incompatibility says why not.
+func (r *Rollout) incompatibility() string {
+	if !IsCompatible(r.cfg.MaxLevel, r.level) {
+		return fmt.Sprintf("the cluster is at level %d, and release %s knows no level above %d: start this controller with a release that does", r.level, r.cfg.Release, r.cfg.MaxLevel)
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.unread)) {
-		if u := r.unread[key]; u.Newer && u.Guard == StandDown {
+		if u := r.unread[key]; u.Newer && u.Guard == GuardStandDown {
 			return fmt.Sprintf("record %s is in a format that release %s doesn't know (%s): start this controller with a newer release", key, r.cfg.Release, u.Cause)
 		}
 	}
 	return ""
 }
 
-// Guard is the condition that what was decided at the present level carries, where it isn't the leader's.
-func (r *Rollout) Guard() store.Cond { return store.Cond{Key: levelKey, Version: r.levelVersion} }
+// LevelCondition is the condition that what was decided at the present level carries, where it isn't the leader's.
+func (r *Rollout) LevelCondition() store.Condition {
+	return store.Condition{Key: levelKey, Version: r.levelVersion}
+}
 
-// Founding is what a campaign adds to its transaction: the level must not have changed, and the first leader of
+// BootstrapConditions is what a campaign adds to its transaction: the level must not have changed, and the first leader of
 // all sets it.
-func (r *Rollout) Founding() ([]store.Cond, []store.Op) {
-	cond := []store.Cond{r.Guard()}
+func (r *Rollout) BootstrapConditions() ([]store.Condition, []store.Op) {
+	cond := []store.Condition{r.LevelCondition()}
 	if r.levelVersion != 0 || r.founded {
 		return cond, nil
 	}
-	raw, _ := json.Marshal(levelDoc{Level: r.cfg.Knows, By: r.cfg.Node, AtMS: r.cfg.BornMS})
-	done, _ := json.Marshal(Migration{Level: r.cfg.Knows, Done: true})
+	raw, _ := json.Marshal(levelDoc{Level: r.cfg.MaxLevel, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS})
+	done, _ := json.Marshal(Migration{Level: r.cfg.MaxLevel, Done: true})
 	return cond, []store.Op{{Put: levelKey, Value: raw}, {Put: migrationKey, Value: done}}
 }
 
-// Announce is what a controller writes beside its member key.
-func (r *Rollout) Announce(hold uint64) store.Op {
-	a := Announcement{Node: r.cfg.Node, Release: r.cfg.Release, Level: r.cfg.Knows, Hold: hold, AtMS: r.cfg.BornMS, Reads: reads(), Writes: writes(r.cfg.Knows)}
+// Announcement is what a controller writes beside its member key.
+func (r *Rollout) Announcement(hold uint64) store.Op {
+	a := Announcement{Node: r.cfg.Node, Release: r.cfg.Release, Level: r.cfg.MaxLevel, Lease: hold, AtMS: r.cfg.StartedAtMS, Reads: reads(), Writes: writes(r.cfg.MaxLevel)}
 	for _, n := range r.cfg.Nodes {
 		if n.Node == r.cfg.Node {
 			a.Zone = n.Zone
 		}
 	}
-	for l := Base; l <= r.cfg.Knows; l++ {
+	for l := Base; l <= r.cfg.MaxLevel; l++ {
 		a.Behaviours = append(a.Behaviours, behaviours[l])
 	}
 	raw, _ := json.Marshal(a)
@@ -202,8 +204,8 @@
 	return r.peers[i]
 }
 
-// Unreadable notes a record that can't be read, from wherever it was read.
-func (r *Rollout) Unreadable(key string, raw json.RawMessage, cause error) {
+// MarkUnreadable notes a record that can't be read, from wherever it was read.
+func (r *Rollout) MarkUnreadable(key string, raw json.RawMessage, cause error) {
 	u := recordOf(key, raw, cause)
 	if old, ok := r.unread[key]; !ok || old != u {
 		slog.Error("a stored record cannot be read", "key", key, "kind", u.Kind, "newer", u.Newer, "guard", string(u.Guard), "cause", cause)
@@ -211,17 +213,17 @@
 	r.unread[key] = u
 }
 
-// Unread is how many stored records can't be read here.
-func (r *Rollout) Unread() int { return len(r.unread) }
+// UnreadableCount is how many stored records can't be read here.
+func (r *Rollout) UnreadableCount() int { return len(r.unread) }
 
-// Readable notes that a record can be read, or is gone.
-func (r *Rollout) Readable(key string) { delete(r.unread, key) }
+// MarkReadable notes that a record can be read, or is gone.
+func (r *Rollout) MarkReadable(key string) { delete(r.unread, key) }
 
 // wellFor is how long a controller's last word counts.
 const wellFor = 3 * time.Second
 
-// Heard takes a controller's word that it is well, or not. Nothing about safety depends on it.
-func (r *Rollout) Heard(now time.Duration, node string, well bool) {
+// HandleHealth takes a controller's word that it is well, or not. Nothing about safety depends on it.
+func (r *Rollout) HandleHealth(now time.Duration, node string, well bool) {
 	p := r.peer(node)
 	if p == nil {
 		return
@@ -234,17 +236,17 @@
 
 // isWell tells whether a controller is there, says so, and is the one that has announced itself.
 func (p *peer) isWell(now time.Duration) bool {
-	return p.well && now-p.heard <= wellFor && p.HoldVersion != 0 && p.Hold == p.SaysHold
+	return p.well && now-p.heard <= wellFor && p.MemberVersion != 0 && p.Lease == p.AnnouncedLease
 }
 
 // seenNow is what a rise is decided by.
-func (r *Rollout) seenNow() Seen {
-	s := Seen{Level: r.level, LevelVersion: r.levelVersion, Mode: r.words.Mode, WordsVersion: r.wordsVersion}
+func (r *Rollout) seenNow() Observation {
+	s := Observation{Level: r.level, LevelVersion: r.levelVersion, Mode: r.words.Mode, DirectiveVersion: r.wordsVersion}
 	for _, p := range r.peers {
-		s.Peers = append(s.Peers, p.Peer)
+		s.Peers = append(s.Peers, p.PeerRecord)
 	}
-	if s.Mode == Finish && s.Next(r.cfg.Knows) > r.words.Level {
-		s.Mode = Free // it was said of an earlier rise
+	if s.Mode == FinishRequested && s.NextLevel(r.cfg.MaxLevel) > r.words.Level {
+		s.Mode = NoDirective // it was said of an earlier rise
 	}
 	return s
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,23 +15,23 @@
 
 // trio is a leader's rollout in a cluster of three, each in a zone of its own.
 func trio(auto bool) *Rollout {
-	r := New(Config{Node: "a", Nodes: []Named{{"c", "z3"}, {"a", "z1"}, {"b", "z2"}}, Release: "v0.21.0", Knows: Paged, Auto: auto, Soak: 10 * time.Second})
-	r.Item(store.Item{Key: termKey, Value: EncodeTerm(Base, 1), Version: 1})
-	r.Synced()
+	r := New(Config{Node: "a", Nodes: []NodeConfig{{"c", "z3"}, {"a", "z1"}, {"b", "z2"}}, Release: "v0.21.0", MaxLevel: Paged, Auto: auto, Soak: 10 * time.Second})
+	r.HandleItem(store.Item{Key: termKey, Value: EncodeTerm(Base, 1), Version: 1})
+	r.HandleSynced()
 	return r
 }
 
 // is lets a controller be there with a release, or be gone with hold 0.
 func is(r *Rollout, node, release string, knows Level, hold, version uint64) {
 	if hold == 0 {
-		r.Drop(memberPrefix+node, version)
+		r.HandleDelete(memberPrefix+node, version)
 		return
 	}
-	raw, _ := json.Marshal(Announcement{Node: node, Release: release, Level: knows, Hold: hold})
-	r.Item(store.Item{Key: AnnounceKey(node), Value: raw, Version: version})
+	raw, _ := json.Marshal(Announcement{Node: node, Release: release, Level: knows, Lease: hold})
+	r.HandleItem(store.Item{Key: AnnounceKey(node), Value: raw, Version: version})
 	raw, _ = json.Marshal(map[string]any{"node": node, "hold": hold})
-	r.Item(store.Item{Key: memberPrefix + node, Value: raw, Version: version})
-	r.Heard(0, node, true)
+	r.HandleItem(store.Item{Key: memberPrefix + node, Value: raw, Version: version})
+	r.HandleHealth(0, node, true)
 }
 
 // Who may be restarted next: one at a time, followers first, the leader last, towards the former release after an abort;
@@ -45,15 +45,15 @@
 		leader   string
 		next     string
 	}{
-		{"nothing has begun", [3]string{old, old, old}, Free, "a", "b"},
-		{"one is done", [3]string{old, now, old}, Free, "a", "c"},
-		{"the leader is left", [3]string{old, now, now}, Free, "a", "a"},
-		{"all is done", [3]string{now, now, now}, Free, "a", "b"},
-		{"another is out", [3]string{old, now, ""}, Free, "a", ""},
-		{"held", [3]string{old, now, old}, Held, "a", ""},
-		{"aborted", [3]string{old, now, old}, Aborted, "a", "b"},
-		{"aborted, the leader is new", [3]string{now, old, now}, Aborted, "a", "c"},
-		{"nobody leads", [3]string{old, now, old}, Free, "", ""},
+		{"nothing has begun", [3]string{old, old, old}, NoDirective, "a", "b"},
+		{"one is done", [3]string{old, now, old}, NoDirective, "a", "c"},
+		{"the leader is left", [3]string{old, now, now}, NoDirective, "a", "a"},
+		{"all is done", [3]string{now, now, now}, NoDirective, "a", "b"},
+		{"another is out", [3]string{old, now, ""}, NoDirective, "a", ""},
+		{"held", [3]string{old, now, old}, PausedByOperator, "a", ""},
+		{"aborted", [3]string{old, now, old}, AbortedByOperator, "a", "b"},
+		{"aborted, the leader is new", [3]string{now, old, now}, AbortedByOperator, "a", "c"},
+		{"nobody leads", [3]string{old, now, old}, NoDirective, "", ""},
 	} {
 		r := trio(true)
 		for i, n := range []string{"a", "b", "c"} {
@@ -61,16 +61,16 @@
 				is(r, n, rel, map[string]Level{old: Base, now: Paged}[rel], uint64(i+1), uint64(i+2))
 			}
 		}
-		raw, _ := json.Marshal(Words{Mode: c.mode})
-		r.Item(store.Item{Key: wordsKey, Value: raw, Version: 9})
-		r.Tick(0, 0, Work{})
+		raw, _ := json.Marshal(Directive{Mode: c.mode})
+		r.HandleItem(store.Item{Key: wordsKey, Value: raw, Version: 9})
+		r.Tick(0, 0, MigrationProgress{})
 		v := r.View(0, Cluster{Leader: c.leader})
 		if v.Restart != c.next || v.Why == "" {
 			t.Errorf("%s: %q (%s), want %q", c.name, v.Restart, v.Why, c.next)
 		}
 		for _, n := range v.Nodes {
-			if (n.NotNext == "") != (n.Node == v.Restart) {
-				t.Errorf("%s: %s is not next because of %q", c.name, n.Node, n.NotNext)
+			if (n.NotNextReason == "") != (n.Node == v.Restart) {
+				t.Errorf("%s: %s is not next because of %q", c.name, n.Node, n.NotNextReason)
 			}
 		}
 	}
@@ -84,22 +84,22 @@
 	is(r, "a", "v0.21.0", Paged, 1, 2)
 	is(r, "b", "v0.21.0", Paged, 2, 3)
 	is(r, "c", "v0.20.9", Base, 3, 4)
-	if n := r.Before(1_000_000, none); n != 0 {
+	if n := r.PreferredLeaders(1_000_000, none); n != 0 {
 		t.Errorf("%d come first", n)
 	}
 	is(r, "b", "v0.22.0", Paged, 5, 6)
-	if n := r.Before(1_000_000, none); n != 1 {
+	if n := r.PreferredLeaders(1_000_000, none); n != 1 {
 		t.Errorf("a newer one: %d come first", n)
 	}
-	if n := r.Before(1_000_000, func(n string) bool { return n == "b" }); n != 0 {
+	if n := r.PreferredLeaders(1_000_000, func(n string) bool { return n == "b" }); n != 0 {
 		t.Errorf("the newer one drains: %d come first", n)
 	}
-	raw, _ := json.Marshal(Announcement{Node: "b", Release: "v0.21.0", Level: Paged, Hold: 5, AtMS: 990_000})
-	r.Item(store.Item{Key: AnnounceKey("b"), Value: raw, Version: 7})
-	if n := r.Before(1_000_000, none); n != 1 {
+	raw, _ := json.Marshal(Announcement{Node: "b", Release: "v0.21.0", Level: Paged, Lease: 5, AtMS: 990_000})
+	r.HandleItem(store.Item{Key: AnnounceKey("b"), Value: raw, Version: 7})
+	if n := r.PreferredLeaders(1_000_000, none); n != 1 {
 		t.Errorf("one that has just been restarted: %d come first", n)
 	}
-	if n := r.Before(990_000+rollingFor.Milliseconds(), none); n != 0 {
+	if n := r.PreferredLeaders(990_000+rollingFor.Milliseconds(), none); n != 0 {
 		t.Errorf("long ago: %d come first", n)
 	}
 }
@@ -123,54 +123,54 @@
 		{Command{Op: "abort"}, nil},
 		{Command{Op: "hold"}, nil},
 	} {
-		if _, err := r.Say(0, c.cmd, 0); !errors.Is(err, c.want) {
+		if _, err := r.Execute(0, c.cmd, 0); !errors.Is(err, c.want) {
 			t.Errorf("%+v: %v", c.cmd, err)
 		}
 	}
 	is(r, "c", "v0.21.0", Paged, 4, 5)
 	for now := time.Duration(0); now < time.Minute; now += time.Second {
 		for _, n := range []string{"a", "b", "c"} {
-			r.Heard(now, n, true)
+			r.HandleHealth(now, n, true)
 		}
-		if _, due := r.Tick(now, 1, Work{}); due {
+		if _, due := r.Tick(now, 1, MigrationProgress{}); due {
 			t.Fatal("it rose without operators' word")
 		}
 	}
-	raw, _ := json.Marshal(Words{Mode: Finish, Level: Base})
-	r.Item(store.Item{Key: wordsKey, Value: raw, Version: 10})
-	if _, due := r.Tick(time.Minute, 1, Work{}); due {
+	raw, _ := json.Marshal(Directive{Mode: FinishRequested, Level: Base})
+	r.HandleItem(store.Item{Key: wordsKey, Value: raw, Version: 10})
+	if _, due := r.Tick(time.Minute, 1, MigrationProgress{}); due {
 		t.Fatal("it rose by a word that was said of an earlier rise")
 	}
-	x, err := r.Say(time.Minute, Command{Op: "finish", By: "ana"}, 0)
+	x, err := r.Execute(time.Minute, Command{Op: "finish", By: "ana"}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Item(store.Item{Key: wordsKey, Value: x.Then[0].Value, Version: 11})
-	x, due := r.Tick(time.Minute, 1, Work{})
+	r.HandleItem(store.Item{Key: wordsKey, Value: x.Then[0].Value, Version: 11})
+	x, due := r.Tick(time.Minute, 1, MigrationProgress{})
 	if !due || x.Then[0].Put != levelKey || len(x.If) != 8 {
 		t.Fatalf("%v %+v", due, x)
 	}
-	if r.Done(time.Minute, x, store.Result{Outcome: store.Committed, Revision: 12}); r.Level() != Paged || r.State() != Raising {
+	if r.HandleOutcome(time.Minute, x, store.Result{Outcome: store.Committed, Revision: 12}); r.Level() != Paged || r.State() != Upgrading {
 		t.Fatalf("level %d, %s", r.Level(), r.State())
 	}
-	if _, err := r.Say(time.Minute, Command{Op: "abort"}, 0); !errors.Is(err, ErrTooLate) {
+	if _, err := r.Execute(time.Minute, Command{Op: "abort"}, 0); !errors.Is(err, ErrTooLate) {
 		t.Errorf("an abort after the rise: %v", err)
 	}
 	// Each leader that takes the migration up says so once, and its end is told once.
-	if _, due := r.Tick(2*time.Minute, 1, Work{Left: 3}); due {
+	if _, due := r.Tick(2*time.Minute, 1, MigrationProgress{Left: 3}); due {
 		t.Error("the same leader says again that it migrates")
 	}
-	x, due = r.Tick(2*time.Minute, 2, Work{Left: 3})
+	x, due = r.Tick(2*time.Minute, 2, MigrationProgress{Left: 3})
 	if !due {
 		t.Fatal("another leader doesn't say that it goes on")
 	}
-	r.Done(2*time.Minute, x, store.Result{Outcome: store.Committed, Revision: 13})
-	x, due = r.Tick(2*time.Minute, 2, Work{Done: true})
+	r.HandleOutcome(2*time.Minute, x, store.Result{Outcome: store.Committed, Revision: 13})
+	x, due = r.Tick(2*time.Minute, 2, MigrationProgress{Done: true})
 	if !due {
 		t.Fatal("the end isn't told")
 	}
-	r.Done(2*time.Minute, x, store.Result{Outcome: store.Committed, Revision: 14})
-	if _, due := r.Tick(3*time.Minute, 2, Work{Done: true}); due || !r.Migrated() || r.State() != Settled {
+	r.HandleOutcome(2*time.Minute, x, store.Result{Outcome: store.Committed, Revision: 14})
+	if _, due := r.Tick(3*time.Minute, 2, MigrationProgress{Done: true}); due || !r.Migrated() || r.State() != Settled {
 		t.Errorf("the end is told twice, or not known: %s", r.State())
 	}
 }
@@ -203,23 +203,23 @@
 
 // Every kind's written formats are among those it reads, levels only rise, and the longest prefix decides.
 func TestTable(t *testing.T) {
-	for _, row := range Table {
+	for _, row := range RecordFormats {
 		last := Level(0)
-		for _, w := range row.Writes {
+		for _, w := range row.WriteFormats {
 			if w.From <= last {
 				t.Errorf("%s: levels out of order", row.Kind)
 			}
-			if last = w.From; w.Format > 0 && !strings.Contains(fmt.Sprint(row.Reads), fmt.Sprint(w.Format)) {
+			if last = w.From; w.Format > 0 && !strings.Contains(fmt.Sprint(row.ReadFormats), fmt.Sprint(w.Format)) {
 				t.Errorf("%s writes format %d and doesn't read it", row.Kind, w.Format)
 			}
 		}
 	}
 	for key, kind := range map[string]string{"p/@/00003": "plan-page", "p/req-000001/000": "plan", "p/images/0": "image-hints", "h/c/term": "term", "h/r/n/a": "announcement", "x": ""} {
-		if row, _ := RowOf(key); row.Kind != kind {
+		if row, _ := RecordFormatOf(key); row.Kind != kind {
 			t.Errorf("%s is taken for %q", key, row.Kind)
 		}
 	}
-	if len(reads()) != len(Table) || writes(Base)["plan"] != 1 || writes(Paged)["plan"] != 0 || writes(Paged)["term"] != 2 {
+	if len(reads()) != len(RecordFormats) || writes(Base)["plan"] != 1 || writes(Paged)["plan"] != 0 || writes(Paged)["term"] != 2 {
 		t.Error("what is announced is not what the table says")
 	}
 }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -15,42 +15,42 @@
 
 // View is what operators are shown of a rollout.
 type View struct {
-	Revision  uint64     `json:"revision"` // of operators' words
-	Mode      Mode       `json:"mode"`
-	By        string     `json:"by,omitempty"` // whose word that was
-	State     string     `json:"stance"`
-	Told      string     `json:"told_by"` // the controller that tells this
-	Level     Level      `json:"level"`
-	Next      Level      `json:"next_level"`
-	SoakLeftS float64    `json:"soak_left_s,omitempty"`
-	Missing   []string   `json:"missing"`
-	Migration *Moving    `json:"migration,omitempty"`
-	Nodes     []NodeView `json:"nodes"`
+	Revision   uint64         `json:"revision"` // of operators' words
+	Mode       Mode           `json:"mode"`
+	By         string         `json:"by,omitempty"` // whose word that was
+	State      string         `json:"stance"`
+	ReportedBy string         `json:"told_by"` // the controller that tells this
+	Level      Level          `json:"level"`
+	Next       Level          `json:"next_level"`
+	SoakLeftS  float64        `json:"soak_left_s,omitempty"`
+	Missing    []string       `json:"missing"`
+	Migration  *MigrationView `json:"migration,omitempty"`
+	Nodes      []NodeView     `json:"nodes"`
 	// Restart is who may be restarted next, "" for nobody; Why says why.
-	Restart    string   `json:"restart,omitempty"`
-	Why        string   `json:"why"`
-	Unreadable []Record `json:"unreadable"`
+	Restart    string             `json:"restart,omitempty"`
+	Why        string             `json:"why"`
+	Unreadable []UnreadableRecord `json:"unreadable"`
 }
 
-// Moving is how far a migration has come.
-type Moving struct {
-	Done  bool `json:"done"`
-	Left  int  `json:"left"`
-	Turns int  `json:"leaders"` // that have worked on it
+// MigrationView is how far a migration has come.
+type MigrationView struct {
+	Done    bool `json:"done"`
+	Left    int  `json:"left"`
+	Leaders int  `json:"leaders"` // that have worked on it
 }
 
 // NodeView is one controller.
 type NodeView struct {
-	Node    string `json:"node"`
-	Zone    string `json:"zone,omitempty"`
-	Release string `json:"release,omitempty"` // "": it has announced none that counts
-	Level   Level  `json:"knows_level"`
-	Alive   bool   `json:"alive"` // it keeps a hold
-	Well    bool   `json:"well"`
-	Leads   bool   `json:"leads"`
-	Behind  bool   `json:"behind"` // the cluster's level is beyond it: it stays out
-	// NotNext says why it should not be restarted now; "" for the one that may be.
-	NotNext string `json:"not_now,omitempty"`
+	Node         string `json:"node"`
+	Zone         string `json:"zone,omitempty"`
+	Release      string `json:"release,omitempty"` // "": it has announced none that counts
+	Level        Level  `json:"knows_level"`
+	Alive        bool   `json:"alive"` // it keeps a hold
+	Healthy      bool   `json:"well"`
+	Leads        bool   `json:"leads"`
+	Incompatible bool   `json:"behind"` // the cluster's level is beyond it: it stays out
+	// NotNextReason says why it should not be restarted now; "" for the one that may be.
+	NotNextReason string `json:"not_now,omitempty"`
 }
 
 // Cluster is what a view needs besides.
@@ -64,10 +64,10 @@
 func (r *Rollout) View(now time.Duration, k Cluster) View {
 	seen := r.seenNow()
 	v := View{
-		Revision: r.wordsVersion, Mode: r.words.Mode, By: r.words.By, State: r.state.String(), Told: r.cfg.Node, Level: r.Level(),
-		Next: seen.Next(r.cfg.Knows), Missing: r.missing(now), Unreadable: []Record{},
+		Revision: r.wordsVersion, Mode: r.words.Mode, By: r.words.By, State: r.state.String(), ReportedBy: r.cfg.Node, Level: r.Level(),
+		Next: seen.NextLevel(r.cfg.MaxLevel), Missing: r.missing(now), Unreadable: []UnreadableRecord{},
 	}
-	if v.Mode == Free {
+	if v.Mode == NoDirective {
 		v.Mode, v.By = "free", ""
 	}
 	if r.state == Soaking {
@@ -78,7 +78,7 @@
 		v.SoakLeftS = max(0, left.Seconds())
 	}
 	if r.levelVersion != 0 && r.level > Base {
-		v.Migration = &Moving{r.Migrated(), r.migration.Left, r.migration.Turns}
+		v.Migration = &MigrationView{r.Migrated(), r.migration.Left, r.migration.Leaders}
 		if !v.Migration.Done && k.Leader == r.cfg.Node {
 			v.Migration.Left = k.Left
 		}
@@ -86,12 +86,12 @@
 	for _, u := range r.unread {
 		v.Unreadable = append(v.Unreadable, u)
 	}
-	slices.SortFunc(v.Unreadable, func(a, b Record) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(v.Unreadable, func(a, b UnreadableRecord) int { return strings.Compare(a.Key, b.Key) })
 	for _, p := range r.peers {
-		n := NodeView{Node: p.Node, Zone: p.Zone, Alive: p.HoldVersion != 0, Well: p.isWell(now), Leads: p.Node == k.Leader}
+		n := NodeView{Node: p.Node, Zone: p.Zone, Alive: p.MemberVersion != 0, Healthy: p.isWell(now), Leads: p.Node == k.Leader}
 		if p.Announced() > 0 {
-			n.Release, n.Level = p.said.Release, p.Says
-			n.Behind = !Fits(p.Says, r.level)
+			n.Release, n.Level = p.said.Release, p.AnnouncedLevel
+			n.Incompatible = !IsCompatible(p.AnnouncedLevel, r.level)
 		}
 		v.Nodes = append(v.Nodes, n)
 	}
@@ -102,20 +102,20 @@
 // missing says what keeps the next level from coming, in plain words.
 func (r *Rollout) missing(now time.Duration) []string {
 	out := []string{}
-	if r.level >= r.cfg.Knows {
+	if r.level >= r.cfg.MaxLevel {
 		return out
 	}
 	for _, p := range r.peers {
 		switch {
 		case p.cause != "":
 			out = append(out, fmt.Sprintf("%s: %s", p.Node, p.cause))
-		case p.SaysVersion == 0 && p.HoldVersion == 0:
+		case p.AnnouncementVersion == 0 && p.MemberVersion == 0:
 			out = append(out, p.Node+" was never seen with a release that says what it knows: start it")
 		case p.Announced() == 0:
 			out = append(out, p.Node+" runs a release that doesn't say what it knows: it is older than "+first)
 		case p.Announced() <= r.level:
-			out = append(out, fmt.Sprintf("%s runs %s, which knows no level above %d", p.Node, p.said.Release, p.Says))
-		case !p.isWell(now) && p.HoldVersion == 0:
+			out = append(out, fmt.Sprintf("%s runs %s, which knows no level above %d", p.Node, p.said.Release, p.AnnouncedLevel))
+		case !p.isWell(now) && p.MemberVersion == 0:
 			out = append(out, p.Node+" is down; it announced "+p.said.Release)
 		case !p.isWell(now):
 			out = append(out, p.Node+" is not well: it isn't heard, drains, or doesn't reach the state service")
@@ -143,16 +143,16 @@
 	}
 	lost := lostZone(v.Nodes)
 	goal := newest
-	if v.Mode == Aborted {
+	if v.Mode == AbortedByOperator {
 		goal = oldest
 	}
 	nobody := ""
 	switch {
-	case r.state == Reading:
+	case r.state == Loading:
 		nobody = "the keys have not been read yet"
-	case r.state == Raising:
+	case r.state == Upgrading:
 		nobody = "the level is rising at this moment"
-	case v.Mode == Held:
+	case v.Mode == PausedByOperator:
 		nobody = fmt.Sprintf("%s holds the rollout", r.words.By)
 	case out != "" && lost != "":
 		nobody = fmt.Sprintf("no controller of zone %s is there: it may be lost", lost)
@@ -166,22 +166,22 @@
 		n := &v.Nodes[i]
 		switch {
 		case nobody != "":
-			n.NotNext = nobody
+			n.NotNextReason = nobody
 		case n.Release == goal && newest != oldest:
-			n.NotNext = "it runs " + orNone(goal) + " already"
+			n.NotNextReason = "it runs " + orNone(goal) + " already"
 		case n.Leads:
-			n.NotNext = "it leads: restarted last, the lead moves once"
+			n.NotNextReason = "it leads: restarted last, the lead moves once"
 		case next == nil:
 			next = n
 		default:
-			n.NotNext = fmt.Sprintf("%s comes first", next.Node)
+			n.NotNextReason = fmt.Sprintf("%s comes first", next.Node)
 		}
 	}
 	if next == nil && nobody == "" {
 		for i := range v.Nodes {
 			// Everybody else is there: the leader's turn has come.
 			if n := &v.Nodes[i]; n.Leads && (newest == oldest || n.Release != goal) {
-				next, n.NotNext = n, ""
+				next, n.NotNextReason = n, ""
 			}
 		}
 	}
@@ -228,19 +228,19 @@
 // rollingFor is how long after a controller's start a rollout may still be under way.
 const rollingFor = 2 * time.Minute
 
-// Before counts the controllers that should lead rather than this one: alive, not drained, and of a newer release; or
+// PreferredLeaders counts the controllers that should lead rather than this one: alive, not drained, and of a newer release; or
 // in the middle of restarts, restarted already, where this one may be next. wallMS is the clock on the wall now.
-func (r *Rollout) Before(wallMS int64, drained func(node string) bool) (n int) {
+func (r *Rollout) PreferredLeaders(wallMS int64, drained func(node string) bool) (n int) {
 	me := r.peer(r.cfg.Node)
 	fresh := func(p *peer) bool { return wallMS-p.said.AtMS < rollingFor.Milliseconds() }
 	for _, p := range r.peers {
-		if p == me || p.HoldVersion == 0 || p.Announced() == 0 || drained(p.Node) || !Fits(p.Says, r.level) {
+		if p == me || p.MemberVersion == 0 || p.Announced() == 0 || drained(p.Node) || !IsCompatible(p.AnnouncedLevel, r.level) {
 			continue
 		}
-		mine := Announcement{Level: r.cfg.Knows, Release: r.cfg.Release, AtMS: r.cfg.BornMS}
+		mine := Announcement{Level: r.cfg.MaxLevel, Release: r.cfg.Release, AtMS: r.cfg.StartedAtMS}
 		switch {
-		case p.Says != mine.Level:
-			if p.Says > mine.Level {
+		case p.AnnouncedLevel != mine.Level:
+			if p.AnnouncedLevel > mine.Level {
 				n++
 			}
 		case older(mine.Release, p.said.Release):
@@ -269,9 +269,9 @@
 	ErrEarly     = errors.New("not yet")
 )
 
-// Say is the transaction that keeps an operator's word, under the leader's guard. It refuses what can't be had.
-func (r *Rollout) Say(now time.Duration, c Command, wallMS int64) (store.Txn, error) {
-	mode, ok := map[string]Mode{"hold": Held, "finish": Finish, "abort": Aborted, "free": Free}[c.Op]
+// Execute is the transaction that keeps an operator's word, under the leader's guard. It refuses what can't be had.
+func (r *Rollout) Execute(now time.Duration, c Command, wallMS int64) (store.Txn, error) {
+	mode, ok := map[string]Mode{"hold": PausedByOperator, "finish": FinishRequested, "abort": AbortedByOperator, "free": NoDirective}[c.Op]
 	if !ok || len(c.By) > 100 {
 		return store.Txn{}, fmt.Errorf("%w: op must be hold, finish, abort or free, by at most 100 characters", ErrMalformed)
 	}
@@ -280,20 +280,20 @@
 	}
 	seen := r.seenNow()
 	// A rise that is under way and an abort meet in the state service: whichever comes first lets the other fail.
-	more := slices.ContainsFunc(r.peers, func(p *peer) bool { return p.Says > r.level })
+	more := slices.ContainsFunc(r.peers, func(p *peer) bool { return p.AnnouncedLevel > r.level })
 	switch {
-	case mode == Aborted && r.level > Base && !more:
+	case mode == AbortedByOperator && r.level > Base && !more:
 		return store.Txn{}, fmt.Errorf("%w: the level has risen to %d, and releases that know no level above %d can't read what is stored now. "+
 			"The way back is a newer release that migrates the other way; this one has none", ErrTooLate, r.level, r.level-1)
-	case mode == Finish && r.levelVersion != 0 && r.level >= r.cfg.Knows:
+	case mode == FinishRequested && r.levelVersion != 0 && r.level >= r.cfg.MaxLevel:
 		return store.Txn{}, fmt.Errorf("%w: the level is %d already, the highest that %s knows", ErrTooLate, r.level, r.cfg.Release)
-	case mode == Finish && seen.Next(r.cfg.Knows) <= r.level:
+	case mode == FinishRequested && seen.NextLevel(r.cfg.MaxLevel) <= r.level:
 		return store.Txn{}, fmt.Errorf("%w: %s", ErrEarly, strings.Join(r.missing(now), "; "))
 	}
 	by := c.By
 	if by == "" {
 		by = "somebody"
 	}
-	raw, _ := json.Marshal(Words{Mode: mode, Level: seen.Next(r.cfg.Knows), By: by, AtMS: wallMS})
-	return store.Txn{If: []store.Cond{{Key: wordsKey, Version: r.wordsVersion}, r.Guard()}, Then: []store.Op{{Put: wordsKey, Value: raw}}}, nil
+	raw, _ := json.Marshal(Directive{Mode: mode, Level: seen.NextLevel(r.cfg.MaxLevel), By: by, AtMS: wallMS})
+	return store.Txn{If: []store.Condition{{Key: wordsKey, Version: r.wordsVersion}, r.LevelCondition()}, Then: []store.Op{{Put: wordsKey, Value: raw}}}, nil
 }
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -96,7 +96,7 @@
 		if err != nil {
 			// Whether it was reclaimed isn't known: what runs of it goes on, nothing more is started.
 			if j := m.Jobs.Get(strings.TrimPrefix(it.Key, Prefix)); j != nil {
-				j.Sealed = true
+				j.Quarantined = true
 			}
 			if m.Unreadable != nil {
 				m.Unreadable(it.Key, it.Value, err)
@@ -149,7 +149,7 @@
 	if j == nil || s.writing {
 		return
 	}
-	if j.Stance.Terminal() {
+	if j.State.Terminal() {
 		m.forget(now, s)
 		return
 	}
@@ -295,7 +295,7 @@
 		return o, false, notYours
 	}
 	j := m.Jobs.Get(id)
-	if j == nil || j.Stance.Terminal() {
+	if j == nil || j.State.Terminal() {
 		return Order{State: Closed.String()}, true, ""
 	}
 	if r.Attempt < s.attempt || (r.Attempt == s.attempt && r.Seq <= s.seq) {
@@ -432,11 +432,11 @@
 		}
 	}
 	was := s.version
-	m.Commit(store.Txn{If: []store.Cond{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: raw}}}, func(r store.Result) {
+	m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: raw}}}, func(r store.Result) {
 		switch r.Outcome {
 		case store.Committed:
 			finish(true, r.Revision)
-		case store.NotDone, store.NoHold:
+		case store.NotApplied, store.LeaseExpired:
 			finish(false, 0)
 		default:
 			m.settle(s, raw, was, finish)
@@ -462,7 +462,7 @@
 			finish(false, 0)
 		default:
 			old, _ := json.Marshal(s.rec)
-			m.Commit(store.Txn{If: []store.Cond{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: old}}}, func(r store.Result) {
+			m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: old}}}, func(r store.Result) {
 				if r.Outcome != store.Committed {
 					again()
 					return
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -153,11 +153,11 @@
 	if outcome == 0 || outcome == 2 {
 		failed := d.failed(t)
 		if !d.apply(t) {
-			done(store.Result{Outcome: store.Conflict, Failed: failed})
+			done(store.Result{Outcome: store.Conflict, FailedKeys: failed})
 			return
 		}
 	}
-	done(store.Result{Outcome: []store.Outcome{store.Committed, store.NotDone, store.Indeterminate, store.Indeterminate}[outcome], Revision: d.rev})
+	done(store.Result{Outcome: []store.Outcome{store.Committed, store.NotApplied, store.Indeterminate, store.Indeterminate}[outcome], Revision: d.rev})
 }
 
 // failed lists the keys whose conditions don't hold.
@@ -740,7 +740,7 @@
 func TestIdOfAnArchivedJobIsTaken(t *testing.T) {
 	d := newDesk(t, policies(t))
 	d.rev++
-	d.kv[archive.Key(id)] = store.Item{Key: archive.Key(id), Value: archive.Encode(archive.Answer{Stance: jobs.Done, Tasks: 1, Done: 1}), Version: d.rev}
+	d.kv[archive.Key(id)] = store.Item{Key: archive.Key(id), Value: archive.Encode(archive.Answer{State: jobs.Done, Tasks: 1, Done: 1}), Version: d.rev}
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	status := 0
 	d.m.Open(d.now, &Request{Spec: spec, User: "kana", Token: Digest("user"), Agent: Digest("agent")}, func(a Answer) { status = a.Status })
@@ -957,8 +957,8 @@
 				t.Fatalf("status %d for another's token", status)
 			}
 			d.m.Close(d.now, id, "user", func(a Answer) { status = a.Status })
-			if d.settle(0); status != 200 || d.book.Get(id).Stance != jobs.Cancelled {
-				t.Fatalf("status %d, job %s", status, d.book.Get(id).Stance)
+			if d.settle(0); status != 200 || d.book.Get(id).State != jobs.Cancelled {
+				t.Fatalf("status %d, job %s", status, d.book.Get(id).State)
 			}
 		}
 		if d.state() != Closed || d.kv[Key(id)].Version != 0 || d.m.users["kana"] != 0 || d.m.teams["t"] != 0 {
--- a/internal/sessions/users.go
+++ b/internal/sessions/users.go
@@ -92,7 +92,7 @@
 	key := jobs.RecordKey(id)
 	m.opens["u/"+q.User]++
 	m.opens["t/"+team]++
-	m.Commit(store.Txn{If: []store.Cond{{Key: key}, archive.Absent(id), {Key: Key(id)}}, Then: []store.Op{{Put: key, Value: job}, {Put: Key(id), Value: raw}}}, func(r store.Result) {
+	m.Commit(store.Txn{If: []store.Condition{{Key: key}, archive.Absent(id), {Key: Key(id)}}, Then: []store.Op{{Put: key, Value: job}, {Put: Key(id), Value: raw}}}, func(r store.Result) {
 		at := m.Now()
 		for _, k := range []string{"u/" + q.User, "t/" + team} {
 			if m.opens[k]--; m.opens[k] == 0 {
@@ -106,7 +106,7 @@
 			reply(Answer{Status: 201, View: m.view(at, s)})
 		case store.Conflict, store.Indeterminate:
 			absent := no(503, "the session was not stored")
-			if slices.Contains(r.Failed, archive.Key(id)) {
+			if slices.Contains(r.FailedKeys, archive.Key(id)) {
 				absent = no(409, "the id %s is taken by a job that has ended", id)
 			}
 			m.reopen(q, absent, reply)
@@ -158,7 +158,7 @@
 
 func (m *Manager) attach(now time.Duration, s *session, reply func(Answer)) {
 	j := m.Jobs.Get(s.id)
-	if s.state == Closed || j == nil || j.Stance.Terminal() {
+	if s.state == Closed || j == nil || j.State.Terminal() {
 		reply(no(410, "the session is closed"))
 		return
 	}
@@ -224,7 +224,7 @@
 		reply = func(Answer) {}
 	}
 	j := m.Jobs.Get(s.id)
-	if s.state == Closed || j == nil || j.Stance.Terminal() {
+	if s.state == Closed || j == nil || j.State.Terminal() {
 		if s.state != Closed && !s.writing {
 			m.forget(now, s)
 		}
@@ -232,9 +232,9 @@
 		return
 	}
 	key := jobs.RecordKey(s.id)
-	raw := jobs.EncodeRecord(jobs.Cancelled, m.Jobs.WallMS(j.At), j.N, j.Spec)
+	raw := jobs.EncodeRecord(jobs.Cancelled, m.Jobs.WallMS(j.SubmittedAt), j.TaskCount, j.Spec)
 	s.writing = true
-	m.Commit(store.Txn{If: []store.Cond{{Key: key, Version: j.Version}}, Then: []store.Op{{Put: key, Value: raw}, {Delete: Key(s.id)}}}, func(r store.Result) {
+	m.Commit(store.Txn{If: []store.Condition{{Key: key, Version: j.Version}}, Then: []store.Op{{Put: key, Value: raw}, {Delete: Key(s.id)}}}, func(r store.Result) {
 		at := m.Now()
 		s.writing = false
 		if r.Outcome != store.Committed {
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -8,12 +8,12 @@
 // Limits are what the state service takes in one transaction: changes, and bytes of the largest value. It takes four
 // times as many conditions as changes.
 type Limits struct {
-	Ops   int
-	Value int
+	MaxOps        int
+	MaxValueBytes int
 }
 
-// CondsPerOp is how many conditions the state service takes for each change that it takes.
-const CondsPerOp = 4
+// ConditionsPerOp is how many conditions the state service takes for each change that it takes.
+const ConditionsPerOp = 4
 
 // The least that is assumed of a state service, whatever it refuses.
 const (
@@ -23,9 +23,9 @@
 
 // shapeOf is how large a transaction is: conditions count as the changes that they need.
 func shapeOf(t Txn) Limits {
-	s := Limits{Ops: max(len(t.Then), (len(t.If)+CondsPerOp-1)/CondsPerOp)}
+	s := Limits{MaxOps: max(len(t.Then), (len(t.If)+ConditionsPerOp-1)/ConditionsPerOp)}
 	for _, o := range t.Then {
-		s.Value = max(s.Value, len(o.Value))
+		s.MaxValueBytes = max(s.MaxValueBytes, len(o.Value))
 	}
 	return s
 }
@@ -59,27 +59,27 @@
 // refused takes over that a transaction of a shape was refused as too large.
 func (l *learner) refused(now time.Duration, s Limits) {
 	l.refusals++
-	if s.Ops <= l.taken.Ops && s.Value <= l.taken.Value {
+	if s.MaxOps <= l.taken.MaxOps && s.MaxValueBytes <= l.taken.MaxValueBytes {
 		l.taken = Limits{} // as large a one was taken before: the limits have shrunk
 	}
 	was := l.now
-	if s.Value > l.taken.Value {
-		l.now.Value = min(l.now.Value, max(leastValue, l.taken.Value, s.Value/2))
+	if s.MaxValueBytes > l.taken.MaxValueBytes {
+		l.now.MaxValueBytes = min(l.now.MaxValueBytes, max(leastValue, l.taken.MaxValueBytes, s.MaxValueBytes/2))
 	}
-	if s.Ops > l.taken.Ops {
-		l.now.Ops = min(l.now.Ops, max(leastOps, l.taken.Ops, s.Ops/2))
+	if s.MaxOps > l.taken.MaxOps {
+		l.now.MaxOps = min(l.now.MaxOps, max(leastOps, l.taken.MaxOps, s.MaxOps/2))
 	}
 	if l.raised {
 		l.wait = min(mostRaise, 2*l.wait) // that was too much
 	}
 	l.quietAt, l.raised = now, false
-	slog.Warn("the state service refuses a transaction as too large: smaller ones from now on", "changes", s.Ops, "largest_value", s.Value,
-		"changes_before", was.Ops, "changes_now", l.now.Ops, "value_before", was.Value, "value_now", l.now.Value)
+	slog.Warn("the state service refuses a transaction as too large: smaller ones from now on", "changes", s.MaxOps, "largest_value", s.MaxValueBytes,
+		"changes_before", was.MaxOps, "changes_now", l.now.MaxOps, "value_before", was.MaxValueBytes, "value_now", l.now.MaxValueBytes)
 }
 
 // took takes over that a transaction of a shape was not refused for its size.
 func (l *learner) took(now time.Duration, s Limits) {
-	l.taken = Limits{Ops: max(l.taken.Ops, s.Ops), Value: max(l.taken.Value, s.Value)}
+	l.taken = Limits{MaxOps: max(l.taken.MaxOps, s.MaxOps), MaxValueBytes: max(l.taken.MaxValueBytes, s.MaxValueBytes)}
 	if l.now == l.given || now-l.quietAt < l.wait {
 		return
 	}
@@ -89,9 +89,9 @@
 	}
 	l.raised = true
 	if l.raiseOps = !l.raiseOps; l.raiseOps {
-		l.now.Ops = min(l.given.Ops, l.now.Ops+2)
+		l.now.MaxOps = min(l.given.MaxOps, l.now.MaxOps+2)
 	} else {
-		l.now.Value = min(l.given.Value, l.now.Value*5/4)
+		l.now.MaxValueBytes = min(l.given.MaxValueBytes, l.now.MaxValueBytes*5/4)
 	}
 }
 
@@ -133,8 +133,8 @@
 	return h.factor
 }
 
-// Refusals counts what the service refused: transactions as too large, and writes beyond its rate.
-func (c *Client) Refusals() (size, rate int) { return c.limits.refusals, c.throttle.refusals }
+// Rejections counts what the service refused: transactions as too large, and writes beyond its rate.
+func (c *Client) Rejections() (size, rate int) { return c.limits.refusals, c.throttle.refusals }
 
 // Limits is what a transaction may hold now.
 func (c *Client) Limits() Limits { return c.limits.now }
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -11,15 +11,15 @@
 // A service takes less from one moment on: after a few refusals everything fits, no refusal follows but for rare tries, and
 // once it takes as much as before it is used in full again.
 func TestLimitsAreLearnt(t *testing.T) {
-	given := Limits{Ops: 24, Value: 8 << 10}
+	given := Limits{MaxOps: 24, MaxValueBytes: 8 << 10}
 	for _, small := range []Limits{{8, 2 << 10}, {24, 1 << 10}, {5, 8 << 10}, {4, 1 << 10}} {
 		l := newLearner(given)
 		now := time.Duration(0)
 		play := func(real Limits, d time.Duration) (refused int) {
 			for end := now + d; now < end; now += time.Second {
 				// What is written is as large as allowed, or smaller.
-				for _, s := range []Limits{l.now, {l.now.Ops / 2, l.now.Value}, {l.now.Ops, l.now.Value / 3}, {1, 200}} {
-					if s.Ops > real.Ops || s.Value > real.Value {
+				for _, s := range []Limits{l.now, {l.now.MaxOps / 2, l.now.MaxValueBytes}, {l.now.MaxOps, l.now.MaxValueBytes / 3}, {1, 200}} {
+					if s.MaxOps > real.MaxOps || s.MaxValueBytes > real.MaxValueBytes {
 						l.refused(now, s)
 						refused++
 					} else {
@@ -32,10 +32,10 @@
 		if n := play(given, time.Minute); n != 0 || l.now != given {
 			t.Errorf("%d refusals, %v, while all is taken", n, l.now)
 		}
-		if n := play(small, 5*time.Second); n > 12 || l.now.Ops > small.Ops || l.now.Value > small.Value {
+		if n := play(small, 5*time.Second); n > 12 || l.now.MaxOps > small.MaxOps || l.now.MaxValueBytes > small.MaxValueBytes {
 			t.Errorf("%v: %d refusals at first, then %v", small, n, l.now)
 		}
-		if n := play(small, 30*time.Minute); n > 60 || l.now.Ops < small.Ops/2 || l.now.Value < small.Value/2 {
+		if n := play(small, 30*time.Minute); n > 60 || l.now.MaxOps < small.MaxOps/2 || l.now.MaxValueBytes < small.MaxValueBytes/2 {
 			t.Errorf("%v: %d refusals in half an hour, %v", small, n, l.now)
 		}
 		if play(given, 12*time.Hour); l.now != given {
@@ -83,7 +83,7 @@
 	var t Txn
 	_ = json.Unmarshal(q.Body, &t)
 	r.sent = append(r.sent, t)
-	if s := shapeOf(t); s.Ops > r.limits.Ops || s.Value > r.limits.Value {
+	if s := shapeOf(t); s.MaxOps > r.limits.MaxOps || s.MaxValueBytes > r.limits.MaxValueBytes {
 		done(httpio.Response{Status: 400, Body: []byte(`{"error":"too large"}`)})
 		return
 	}
@@ -92,11 +92,11 @@
 
 // A transaction that is refused for its size wasn't carried out, and the next ones know it; conditions count too.
 func TestRefusedForItsSize(t *testing.T) {
-	r := &refusing{limits: Limits{Ops: 8, Value: 2 << 10}}
-	c := New("", r, func() time.Duration { return 0 }, Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 1}, Limits{Ops: 24, Value: 8 << 10})
+	r := &refusing{limits: Limits{MaxOps: 8, MaxValueBytes: 2 << 10}}
+	c := New("", r, func() time.Duration { return 0 }, Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 1}, Limits{MaxOps: 24, MaxValueBytes: 8 << 10})
 	conds := Txn{}
 	for range 90 {
-		conds.If = append(conds.If, Cond{Key: "k"})
+		conds.If = append(conds.If, Condition{Key: "k"})
 	}
 	for _, txn := range []Txn{conds, {Then: []Op{{Put: "k", Value: make([]byte, 0)}, {Put: "l", Value: json.RawMessage(`"` + string(make([]byte, 6000)) + `"`)}}}} {
 		before := c.Limits()
@@ -113,15 +113,15 @@
 			}
 		}
 		var got Outcome = 99
-		c.Txn(txn, Ordinary, func(x Result) { got = x.Outcome })
-		if got != NotDone || c.Limits() == before {
+		c.Txn(txn, NormalPriority, func(x Result) { got = x.Outcome })
+		if got != NotApplied || c.Limits() == before {
 			t.Errorf("outcome %s, limits %v", got, c.Limits())
 		}
 	}
-	if size, _ := c.Refusals(); size != 2 {
+	if size, _ := c.Rejections(); size != 2 {
 		t.Errorf("%d refusals", size)
 	}
-	if l := c.Limits(); l.Ops > 12 || l.Value > 3000 {
+	if l := c.Limits(); l.MaxOps > 12 || l.MaxValueBytes > 3000 {
 		t.Errorf("limits %v", l)
 	}
 }
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// MirrorState names what a mirror is doing.
-type MirrorState uint8
+// WatchState names what a mirror is doing.
+type WatchState uint8
 
 // The states of a mirror.
 const (
-	Empty     MirrorState = iota // nothing read yet, or the position was lost
-	Listing                      // reading all keys
-	Following                    // up to date, waiting for changes
+	Empty     WatchState = iota // nothing read yet, or the position was lost
+	Listing                     // reading all keys
+	Following                   // up to date, waiting for changes
 )
 
-// Mirror keeps a copy of all keys with a prefix by reading and then following them.
-type Mirror struct {
+// WatchCache keeps a copy of all keys with a prefix by reading and then following them.
+type WatchCache struct {
 	client *Client
 	prefix string
-	state  MirrorState
+	state  WatchState
 	busy   bool
 	rev    uint64
 	next   time.Duration // no request before
@@ -30,10 +30,10 @@
 	hasty  bool          // the one before was lost: the next is answered at once
 	turn   uint64        // of watches: the answer to an earlier one is nobody's any more
 
-	// OnItem, OnDrop and OnReset carry changes; OnReset comes before the items of a new
+	// OnItem, OnDelete and OnReset carry changes; OnReset comes before the items of a new
 	// reading, and OnSynced after them.
 	OnItem   func(Item)
-	OnDrop   func(key string, version uint64)
+	OnDelete func(key string, version uint64)
 	OnReset  func(items []Item)
 	OnSynced func()
 }
@@ -45,27 +45,27 @@
 // requests: then the watch is lost, and waiting for its end would leave the copy old for long.
 const overdue = time.Second
 
-// NewMirror makes a mirror; it starts with the first Tick. Its copy may get as old as picture before anybody minds: where
+// NewWatchCache makes a mirror; it starts with the first Tick. Its copy may get as old as picture before anybody minds: where
 // nothing changes it is two waits old when the next answer is due, and that answer may take as long again.
-func NewMirror(c *Client, prefix string, picture time.Duration) *Mirror {
-	return &Mirror{client: c, prefix: prefix, wait: min(mostWait, picture/4)}
+func NewWatchCache(c *Client, prefix string, picture time.Duration) *WatchCache {
+	return &WatchCache{client: c, prefix: prefix, wait: min(mostWait, picture/4)}
 }
 
 // Synced tells whether the keys were ever read in full.
-func (m *Mirror) Synced() bool { return m.synced }
+func (m *WatchCache) Synced() bool { return m.synced }
 
 // Revision is up to where the copy is complete: every change by then has been handed on.
-func (m *Mirror) Revision() uint64 { return m.rev }
+func (m *WatchCache) Revision() uint64 { return m.rev }
 
-// Fresh is a time at which the copy was surely complete.
-func (m *Mirror) Fresh() time.Duration { return m.fresh }
+// FreshAt is a time at which the copy was surely complete.
+func (m *WatchCache) FreshAt() time.Duration { return m.fresh }
 
 // to is the only place where the state changes.
-func (m *Mirror) to(s MirrorState) { m.state = s }
+func (m *WatchCache) to(s WatchState) { m.state = s }
 
 // Tick sends what is due.
-func (m *Mirror) Tick(now time.Duration) {
-	if late := m.asked + m.wait + overdue; m.busy && m.state == Following && now > late && m.client.LastOK() > late-overdue/2 {
+func (m *WatchCache) Tick(now time.Duration) {
+	if late := m.asked + m.wait + overdue; m.busy && m.state == Following && now > late && m.client.LastSuccess() > late-overdue/2 {
 		slog.Info("a watch is lost, asking anew", "prefix", m.prefix)
 		m.busy, m.hasty = false, true
 	}
@@ -84,7 +84,7 @@
 		if m.hasty {
 			wait, m.hasty = 0, false
 		}
-		m.client.Follow(m.prefix, m.rev, wait, func(rev uint64, ev []Event, gone bool, err error) {
+		m.client.Watch(m.prefix, m.rev, wait, func(rev uint64, ev []Event, gone bool, err error) {
 			if m.turn == turn {
 				m.followed(now, rev, ev, gone, err)
 			} else if m.state == Following && err == nil && !gone {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (m *Mirror) listed(sent time.Duration, items []Item, rev uint64, err error) {
+func (m *WatchCache) listed(sent time.Duration, items []Item, rev uint64, err error) {
 	m.busy = false
 	if err != nil {
 		slog.Debug("reading all keys failed", "prefix", m.prefix, "cause", err)
@@ -116,7 +116,7 @@
 	m.Tick(m.client.now())
 }
 
-func (m *Mirror) followed(sent time.Duration, rev uint64, ev []Event, gone bool, err error) {
+func (m *WatchCache) followed(sent time.Duration, rev uint64, ev []Event, gone bool, err error) {
 	m.busy = false
 	now := m.client.now()
 	switch {
@@ -139,7 +139,7 @@
 
 // take hands changes on, each once and in their order, whichever watch brings them: a watch that was given up may still be
 // answered, long after newer ones, and what it says of keys that have gone since would stand for ever.
-func (m *Mirror) take(sent time.Duration, rev uint64, ev []Event) {
+func (m *WatchCache) take(sent time.Duration, rev uint64, ev []Event) {
 	m.fresh = max(m.fresh, sent)
 	for _, e := range ev {
 		if e.Version <= m.rev {
@@ -148,7 +148,7 @@
 		if e.Put != "" {
 			m.OnItem(Item{Key: e.Put, Value: e.Value, Version: e.Version})
 		} else if e.Delete != "" {
-			m.OnDrop(e.Delete, e.Version)
+			m.OnDelete(e.Delete, e.Version)
 		}
 	}
 	m.rev = max(m.rev, rev)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -12,8 +12,8 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// Cond asks that a key has a version; 0 means that it does not exist.
-type Cond struct {
+// Condition asks that a key has a version; 0 means that it does not exist.
+type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
@@ -22,14 +22,14 @@
 type Op struct {
 	Put    string          `json:"set,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
-	Hold   uint64          `json:"tether,omitempty"`
+	Lease  uint64          `json:"tether,omitempty"`
 	Delete string          `json:"drop,omitempty"`
 }
 
 // Txn is an atomic change.
 type Txn struct {
-	If   []Cond `json:"if"`
-	Then []Op   `json:"apply,omitempty"`
+	If   []Condition `json:"if"`
+	Then []Op        `json:"apply,omitempty"`
 }
 
 // Item is one stored key.
@@ -37,7 +37,7 @@
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
 	Version uint64          `json:"stamp"`
-	Hold    uint64          `json:"tether"`
+	Lease   uint64          `json:"tether"`
 }
 
 // Event is one followed change.
@@ -55,8 +55,8 @@
 const (
 	Committed Outcome = iota
 	Conflict
-	NotDone       // surely not carried out: outage, limit, or our own budget
-	NoHold        // the hold named is gone
+	NotApplied    // surely not carried out: outage, limit, or our own budget
+	LeaseExpired  // the hold named is gone
 	Indeterminate // may have been carried out, or may be yet
 )
 
@@ -66,26 +66,26 @@
 
 // Result is the answer to a transaction.
 type Result struct {
-	Outcome  Outcome
-	Revision uint64
-	Failed   []string
+	Outcome    Outcome
+	Revision   uint64
+	FailedKeys []string
 }
 
-// Class orders requests when the budget runs low.
-type Class uint8
+// Priority orders requests when the budget runs low.
+type Priority uint8
 
 // Safety requests may use the whole budget. Ordinary ones, for which users wait, leave a
 // little of it; Query ones, which are asked again soon, leave enough for submissions and cancellations; and Bulk
 // ones, which come in floods, leave enough for all of those.
 const (
-	Safety Class = iota
-	Ordinary
-	Query
-	Bulk
+	SafetyPriority Priority = iota
+	NormalPriority
+	QueryPriority
+	BulkPriority
 )
 
 // reserves is the part of a bucket that each class leaves.
-var reserves = [...]float64{Safety: 0, Ordinary: 0.1, Query: 0.3, Bulk: 0.35}
+var reserves = [...]float64{SafetyPriority: 0, NormalPriority: 0.1, QueryPriority: 0.3, BulkPriority: 0.35}
 
 // Budget is a token bucket that leaves a reserve for safety.
 type Budget struct {
@@ -113,8 +113,8 @@
 	}
 }
 
-// Has tells whether n may be taken by a class.
-func (b *Budget) Has(now time.Duration, n float64, c Class) bool {
+// Allows tells whether n may be taken by a class.
+func (b *Budget) Allows(now time.Duration, n float64, c Priority) bool {
 	b.fill(now)
 	if n > b.burst {
 		// One transaction may be larger than the bucket: it waits for a full one.
@@ -128,22 +128,22 @@
 
 // Client talks to the state service. It belongs to the event loop.
 type Client struct {
-	addr      string
-	send      httpio.Sender
-	now       func() time.Duration
-	reqs      *Budget
-	writes    *Budget
-	limits    learner
-	throttle  throttle
-	share     Share
-	lastOK    time.Duration
-	lastHeard time.Duration
-
-	sent, wrote uint64
+	addr          string
+	send          httpio.Sender
+	now           func() time.Duration
+	requestBudget *Budget
+	writeBudget   *Budget
+	limits        learner
+	throttle      throttle
+	share         Share
+	lastSuccess   time.Duration
+	lastHeard     time.Duration
+
+	requestsSent, writesSent uint64
 }
 
 // Sent is how many requests were sent since the start, and how many writes were in them.
-func (c *Client) Sent() (requests, writes uint64) { return c.sent, c.wrote }
+func (c *Client) Sent() (requests, writes uint64) { return c.requestsSent, c.writesSent }
 
 // Share is the part of the service's limits that a controller may use: rates, and how
 // many seconds' worth may be used at once.
@@ -153,7 +153,7 @@
 func New(addr string, send httpio.Sender, now func() time.Duration, s Share, limits Limits) *Client {
 	return &Client{
 		addr: addr, send: send, now: now, limits: newLearner(limits), throttle: throttle{factor: 1}, share: s,
-		reqs: NewBudget(s.RPS, s.BurstS), writes: NewBudget(s.WriteRPS, s.BurstS),
+		requestBudget: NewBudget(s.RPS, s.BurstS), writeBudget: NewBudget(s.WriteRPS, s.BurstS),
 	}
 }
 
@@ -161,73 +161,75 @@
 func (c *Client) SetShare(s Share) {
 	now := c.now()
 	c.share = s
-	c.reqs.SetRate(now, s.RPS, s.BurstS)
-	c.pace(now)
+	c.requestBudget.SetRate(now, s.RPS, s.BurstS)
+	c.adjustWriteRate(now)
 }
 
-// pace sets the rate of writes to what the service lets through.
-func (c *Client) pace(now time.Duration) {
-	if rate := c.share.WriteRPS * c.throttle.recover(now); rate != c.writes.rate {
-		c.writes.SetRate(now, rate, c.share.BurstS)
+// adjustWriteRate sets the rate of writes to what the service lets through.
+func (c *Client) adjustWriteRate(now time.Duration) {
+	if rate := c.share.WriteRPS * c.throttle.recover(now); rate != c.writeBudget.rate {
+		c.writeBudget.SetRate(now, rate, c.share.BurstS)
 	}
 }
 
 // LastHeard is when the service last answered anything, a refusal too.
 func (c *Client) LastHeard() time.Duration { return c.lastHeard }
 
-// LastOK is when the service last carried out a request of ours.
-func (c *Client) LastOK() time.Duration { return c.lastOK }
+// LastSuccess is when the service last carried out a request of ours.
+func (c *Client) LastSuccess() time.Duration { return c.lastSuccess }
 
-// Room tells whether a transaction with n writes would be within the budget now.
-func (c *Client) Room(n int, class Class) bool {
+// CanWrite tells whether a transaction with n writes would be within the budget now.
+func (c *Client) CanWrite(n int, class Priority) bool {
 	now := c.now()
-	return c.reqs.Has(now, 1, class) && (n == 0 || c.writes.Has(now, float64(n), class))
+	return c.requestBudget.Allows(now, 1, class) && (n == 0 || c.writeBudget.Allows(now, float64(n), class))
 }
 
-// Spare tells whether half of the budget for writes is unused.
-func (c *Client) Spare() bool { return c.writes.Has(c.now(), c.writes.burst/2, Safety) }
+// HasSpareWrites tells whether half of the budget for writes is unused.
+func (c *Client) HasSpareWrites() bool {
+	return c.writeBudget.Allows(c.now(), c.writeBudget.burst/2, SafetyPriority)
+}
 
 // WriteRate is how many writes a second the budget allows.
-func (c *Client) WriteRate() float64 { return c.writes.rate }
+func (c *Client) WriteRate() float64 { return c.writeBudget.rate }
 
-// SpareFor tells whether half of the budget for writes would be unused after n more.
-func (c *Client) SpareFor(n int) bool {
-	return c.reqs.Has(c.now(), 1, Bulk) && c.writes.Has(c.now(), c.writes.burst/2+float64(n), Safety)
+// HasSpareWritesFor tells whether half of the budget for writes would be unused after n more.
+func (c *Client) HasSpareWritesFor(n int) bool {
+	return c.requestBudget.Allows(c.now(), 1, BulkPriority) && c.writeBudget.Allows(c.now(), c.writeBudget.burst/2+float64(n), SafetyPriority)
 }
 
-func (c *Client) call(req httpio.Request, writes int, class Class, done func(httpio.Response)) {
-	c.pace(c.now())
-	if !c.Room(writes, class) {
+func (c *Client) call(req httpio.Request, writes int, class Priority, done func(httpio.Response)) {
+	c.adjustWriteRate(c.now())
+	if !c.CanWrite(writes, class) {
 		done(httpio.Response{Status: 429})
 		return
 	}
-	c.reqs.Take(1)
-	c.writes.Take(float64(writes))
-	c.sent++
-	c.wrote += uint64(writes)
+	c.requestBudget.Take(1)
+	c.writeBudget.Take(float64(writes))
+	c.requestsSent++
+	c.writesSent += uint64(writes)
 	c.send.Send(c.addr, req, func(r httpio.Response) {
 		if r.Err == nil {
 			c.lastHeard = c.now()
 		}
 		if r.Err == nil && r.Status != 503 && r.Status != 429 {
-			c.lastOK = c.now()
+			c.lastSuccess = c.now()
 		}
 		if r.Err == nil && r.Status == 429 && writes > 0 {
 			c.throttle.refused(c.now())
-			c.pace(c.now())
+			c.adjustWriteRate(c.now())
 		}
 		done(r)
 	})
 }
 
 // Txn sends one transaction.
-func (c *Client) Txn(t Txn, class Class, done func(Result)) {
+func (c *Client) Txn(t Txn, class Priority, done func(Result)) {
 	if t.If == nil {
-		t.If = []Cond{}
+		t.If = []Condition{}
 	}
 	body, err := json.Marshal(t)
 	if err != nil || len(body) > 64<<10 {
-		done(Result{Outcome: NotDone})
+		done(Result{Outcome: NotApplied})
 		return
 	}
 	c.call(httpio.Request{Method: "POST", Path: "/txn", Body: body, Timeout: 2 * time.Second}, len(t.Then), class,
@@ -243,7 +245,7 @@
 	switch {
 	case o == Committed || o == Conflict:
 		c.limits.took(c.now(), s)
-	case r.Err == nil && r.Status == 400 && o != NoHold:
+	case r.Err == nil && r.Status == 400 && o != LeaseExpired:
 		c.limits.refused(c.now(), s)
 	}
 }
@@ -256,7 +258,7 @@
 	}
 	switch {
 	case r.Refused || r.Status == 429 || r.Status == 503:
-		return Result{Outcome: NotDone}
+		return Result{Outcome: NotApplied}
 	case r.Err != nil:
 		return Result{Outcome: Indeterminate}
 	}
@@ -265,18 +267,18 @@
 	case 200:
 		return Result{Outcome: Committed, Revision: b.Revision}
 	case 409:
-		return Result{Outcome: Conflict, Revision: b.Revision, Failed: b.Failed}
+		return Result{Outcome: Conflict, Revision: b.Revision, FailedKeys: b.Failed}
 	case 400:
 		if b.Error == "no such lease" {
-			return Result{Outcome: NoHold}
+			return Result{Outcome: LeaseExpired}
 		}
-		return Result{Outcome: NotDone}
+		return Result{Outcome: NotApplied}
 	}
 	return Result{Outcome: Indeterminate}
 }
 
 // Get reads one key; a missing key has version 0.
-func (c *Client) Get(key string, class Class, done func(Item, error)) {
+func (c *Client) Get(key string, class Priority, done func(Item, error)) {
 	c.call(httpio.Request{Method: "GET", Path: "/keys/" + key, Timeout: 1500 * time.Millisecond}, 0, class,
 		func(r httpio.Response) {
 			var it Item
@@ -309,7 +311,7 @@
 	if after != "" {
 		p += "&since=" + url.QueryEscape(after)
 	}
-	c.call(httpio.Request{Method: "GET", Path: p, Timeout: 4 * time.Second}, 0, Safety, func(r httpio.Response) {
+	c.call(httpio.Request{Method: "GET", Path: p, Timeout: 4 * time.Second}, 0, SafetyPriority, func(r httpio.Response) {
 		var b struct {
 			Items    []Item `json:"pairs"`
 			More     bool   `json:"has_next"`
@@ -331,13 +333,13 @@
 	})
 }
 
-// Follow waits for changes after a revision. gone tells that the revision is too old and
+// Watch waits for changes after a revision. gone tells that the revision is too old and
 // the keys must be read again.
-func (c *Client) Follow(prefix string, after uint64, wait time.Duration, done func(rev uint64, ev []Event, gone bool, err error)) {
+func (c *Client) Watch(prefix string, after uint64, wait time.Duration, done func(rev uint64, ev []Event, gone bool, err error)) {
 	p := "/follow?starts=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(after, 10) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	// An open follow may outlast an outage, so its time limit is far above its wait.
-	c.call(httpio.Request{Method: "GET", Path: p, Timeout: wait + 20*time.Second}, 0, Safety, func(r httpio.Response) {
+	c.call(httpio.Request{Method: "GET", Path: p, Timeout: wait + 20*time.Second}, 0, SafetyPriority, func(r httpio.Response) {
 		var b struct {
 			Revision uint64  `json:"epoch"`
 			Events   []Event `json:"events"`
@@ -353,10 +355,10 @@
 	})
 }
 
-// NewHold creates a hold.
-func (c *Client) NewHold(ttl time.Duration, done func(id uint64, err error)) {
+// GrantLease creates a hold.
+func (c *Client) GrantLease(ttl time.Duration, done func(id uint64, err error)) {
 	body, _ := json.Marshal(map[string]int64{"ttl_ms": ttl.Milliseconds()})
-	c.call(httpio.Request{Method: "POST", Path: "/holds", Body: body, Timeout: 1500 * time.Millisecond}, 0, Safety,
+	c.call(httpio.Request{Method: "POST", Path: "/holds", Body: body, Timeout: 1500 * time.Millisecond}, 0, SafetyPriority,
 		func(r httpio.Response) {
 			var b struct {
 				ID uint64 `json:"tether"`
@@ -369,18 +371,18 @@
 		})
 }
 
-// RenewHold renews a hold; gone tells that it has ended.
-func (c *Client) RenewHold(id uint64, done func(ok, gone bool)) {
+// RenewLease renews a hold; gone tells that it has ended.
+func (c *Client) RenewLease(id uint64, done func(ok, gone bool)) {
 	c.call(httpio.Request{Method: "POST", Path: fmt.Sprintf("/holds/%d/touch", id), Body: []byte("{}"), Timeout: 1500 * time.Millisecond},
-		0, Safety, func(r httpio.Response) {
+		0, SafetyPriority, func(r httpio.Response) {
 			done(r.Err == nil && r.Status == 200, r.Err == nil && r.Status == 404)
 		})
 }
 
-// EndHold ends a hold at once.
-func (c *Client) EndHold(id uint64, done func(ok bool)) {
+// RevokeLease ends a hold at once.
+func (c *Client) RevokeLease(id uint64, done func(ok bool)) {
 	c.call(httpio.Request{Method: "DELETE", Path: fmt.Sprintf("/holds/%d", id), Timeout: 1500 * time.Millisecond},
-		0, Safety, func(r httpio.Response) {
+		0, SafetyPriority, func(r httpio.Response) {
 			done(r.Err == nil && (r.Status/100 == 2 || r.Status == 404))
 		})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -39,31 +39,31 @@
 
 func TestBudgetKeepsAReserveForSafety(t *testing.T) {
 	b := store.NewBudget(10, 0.8)
-	spend := func(now time.Duration, c store.Class) (n int) {
-		for b.Has(now, 1, c) {
+	spend := func(now time.Duration, c store.Priority) (n int) {
+		for b.Allows(now, 1, c) {
 			b.Take(1)
 			n++
 		}
 		return n
 	}
-	ordinary := spend(0, store.Ordinary)
-	safety := spend(0, store.Safety)
+	ordinary := spend(0, store.NormalPriority)
+	safety := spend(0, store.SafetyPriority)
 	if ordinary < 5 || safety < 1 || ordinary+safety > 10 {
 		t.Fatalf("%d ordinary and %d safety requests of a burst of 10", ordinary, safety)
 	}
 	total := 0
 	for s := 1; s <= 100; s++ {
-		total += spend(time.Duration(s)*time.Second, store.Safety)
+		total += spend(time.Duration(s)*time.Second, store.SafetyPriority)
 	}
 	if total < 700 || total > 1000 {
 		t.Fatalf("%d requests in 100 s at 10 a second", total)
 	}
 	// One write larger than the bucket waits for a full one and is paid off afterwards.
-	if !b.Has(200*time.Second, 30, store.Safety) {
+	if !b.Allows(200*time.Second, 30, store.SafetyPriority) {
 		t.Fatal("an oversized transaction never goes out")
 	}
 	b.Take(30)
-	if b.Has(201*time.Second, 1, store.Safety) {
+	if b.Allows(201*time.Second, 1, store.SafetyPriority) {
 		t.Fatal("the debt was forgiven")
 	}
 }
@@ -72,18 +72,18 @@
 // ten of them on a quiet day.
 func TestPlanWritesLeaveRoomForUsers(t *testing.T) {
 	b := store.NewBudget(18, 0.8)
-	for b.Has(0, 1, store.Bulk) {
+	for b.Allows(0, 1, store.BulkPriority) {
 		b.Take(1)
 	}
 	users := 0
-	for b.Has(0, 1, store.Ordinary) {
+	for b.Allows(0, 1, store.NormalPriority) {
 		b.Take(1)
 		users++
 	}
 	if users < 3 {
 		t.Fatalf("room for %d submissions after a flood of plan writes", users)
 	}
-	if !b.Has(0, 1, store.Safety) {
+	if !b.Allows(0, 1, store.SafetyPriority) {
 		t.Fatal("no room left for safety")
 	}
 }
@@ -91,11 +91,11 @@
 func TestOutcomes(t *testing.T) {
 	now := time.Duration(0)
 	l := &line{svc: state.New()}
-	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1000, WriteRPS: 1000, BurstS: 0.8}, store.Limits{Ops: 24, Value: 32 << 10})
+	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1000, WriteRPS: 1000, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	var got store.Result
 	put := func(key string, version, hold uint64) store.Outcome {
-		c.Txn(store.Txn{If: []store.Cond{{Key: key, Version: version}}, Then: []store.Op{{Put: key, Value: json.RawMessage("1"), Hold: hold}}},
-			store.Safety, func(r store.Result) { got = r })
+		c.Txn(store.Txn{If: []store.Condition{{Key: key, Version: version}}, Then: []store.Op{{Put: key, Value: json.RawMessage("1"), Lease: hold}}},
+			store.SafetyPriority, func(r store.Result) { got = r })
 		return got.Outcome
 	}
 	cases := []struct {
@@ -105,8 +105,8 @@
 	}{
 		{"a new key", func() store.Outcome { return put("a", 0, 0) }, store.Committed},
 		{"the same again", func() store.Outcome { return put("a", 0, 0) }, store.Conflict},
-		{"an ended hold", func() store.Outcome { return put("b", 0, 99) }, store.NoHold},
-		{"an outage", func() store.Outcome { l.svc.Down = true; return put("b", 0, 0) }, store.NotDone},
+		{"an ended hold", func() store.Outcome { return put("b", 0, 99) }, store.LeaseExpired},
+		{"an outage", func() store.Outcome { l.svc.Down = true; return put("b", 0, 0) }, store.NotApplied},
 		{"no answer", func() store.Outcome {
 			l.answer = func(httpio.Request) (httpio.Response, bool) { return httpio.Response{Err: httpio.ErrBusy}, true }
 			return put("b", 0, 0)
@@ -120,7 +120,7 @@
 				return httpio.Response{Err: httpio.ErrBusy, Refused: true}, true
 			}
 			return put("b", 0, 0)
-		}, store.NotDone},
+		}, store.NotApplied},
 	}
 	for _, k := range cases {
 		if o := k.do(); o != k.want {
@@ -134,7 +134,7 @@
 func TestMirror(t *testing.T) {
 	now := time.Duration(0)
 	l := &line{svc: state.New()}
-	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{Ops: 24, Value: 32 << 10})
+	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	put := func(k, v string) {
 		l.svc.Serve(httpio.Request{Path: "/txn", Body: fmt.Appendf(nil, `{"if":[],"apply":[{"set":%q,"data":%q}]}`, k, v)})
 	}
@@ -143,9 +143,9 @@
 	}
 	put("p/other", "y")
 	seen := map[string]string{}
-	m := store.NewMirror(c, "h/", 18*time.Second)
+	m := store.NewWatchCache(c, "h/", 18*time.Second)
 	m.OnItem = func(it store.Item) { seen[it.Key] = string(it.Value) }
-	m.OnDrop = func(string, uint64) {}
+	m.OnDelete = func(string, uint64) {}
 	follows := 0
 	l.answer = func(r httpio.Request) (httpio.Response, bool) {
 		if len(r.Path) > 7 && r.Path[:7] == "/follow" {
@@ -160,7 +160,7 @@
 	put("h/00007", "new")
 	now += time.Second
 	m.Tick(now)
-	if seen["h/00007"] != `"new"` || m.Fresh() != now {
+	if seen["h/00007"] != `"new"` || m.FreshAt() != now {
 		t.Fatalf("a change was missed: %s", seen["h/00007"])
 	}
 	put("h/lost", "z")
@@ -194,11 +194,11 @@
 func TestOverdueWatch(t *testing.T) {
 	now := time.Duration(0)
 	l := &waiting{line: line{svc: state.New()}}
-	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{Ops: 24, Value: 32 << 10})
-	m := store.NewMirror(c, "h/", 18*time.Second)
+	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
+	m := store.NewWatchCache(c, "h/", 18*time.Second)
 	there, told := map[string]bool{}, 0
 	m.OnItem = func(it store.Item) { there[it.Key], told = true, told+1 }
-	m.OnDrop = func(k string, _ uint64) { delete(there, k); told++ }
+	m.OnDelete = func(k string, _ uint64) { delete(there, k); told++ }
 	m.Tick(now)
 	if len(l.watches) != 1 {
 		t.Fatalf("%d watches", len(l.watches))
@@ -210,7 +210,7 @@
 	if len(l.watches) != 1 {
 		t.Fatal("asked anew though the service answers nothing")
 	}
-	c.Get("x", store.Safety, func(store.Item, error) {})
+	c.Get("x", store.SafetyPriority, func(store.Item, error) {})
 	m.Tick(now)
 	if len(l.watches) != 2 {
 		t.Fatalf("%d watches: the one that is lost is waited for", len(l.watches))
@@ -220,9 +220,9 @@
 	}
 	put, drop, later := `{"set":"h/a","data":1,"stamp":1}`, `{"drop":"h/a","stamp":2}`, `{"set":"h/b","data":1,"stamp":3}`
 	say(1, 2, put+","+drop)
-	asked := m.Fresh()
+	asked := m.FreshAt()
 	say(0, 1, put) // what was so before it was dropped
-	if there["h/a"] || told != 2 || m.Fresh() != asked {
+	if there["h/a"] || told != 2 || m.FreshAt() != asked {
 		t.Errorf("an old answer counts: %v, %d changes told", there, told)
 	}
 	now += 50 * time.Millisecond
--- a/internal/world/answers.go
+++ b/internal/world/answers.go
@@ -199,7 +199,7 @@
 		var r jobs.Record
 		it, stored := w.svc.Keys[jobs.RecordKey(id)]
 		if !stored || on[id] || len(s.Licences) > 0 || w.mistaken[id] || w.interactive[id] != nil ||
-			json.Unmarshal(it.Value, &r) != nil || r.Stance != jobs.Pending.String() || w.allDone(id, s.Tasks) || !w.underLimit(s, used[s.Team]) || !fits(s, hosts) {
+			json.Unmarshal(it.Value, &r) != nil || r.State != jobs.Pending.String() || w.allDone(id, s.Tasks) || !w.underLimit(s, used[s.Team]) || !fits(s, hosts) {
 			delete(b.since, id)
 			continue
 		}
--- a/internal/world/archive_test.go
+++ b/internal/world/archive_test.go
@@ -341,7 +341,7 @@
 	r := newRolling(t, 408, 3, rollout.Newest, "soak_s = 3")
 	moved := r.movesNothingThatRuns()
 	r.Advance(3 * time.Second)
-	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}
+	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}
 	u := &simUser{w: r.World, rng: r.rng, spec: spec, asked: true}
 	r.users = append(r.users, u)
 	u.submit()
--- a/internal/world/beside_test.go
+++ b/internal/world/beside_test.go
@@ -79,7 +79,7 @@
 				r.watch()
 				give := func(n int, change func(s *jobs.Spec)) {
 					s := &jobs.Spec{
-						ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, Mem: 1,
+						ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, MemoryGB: 1,
 						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true,
 					}
 					change(s)
--- a/internal/world/digest_scenarios_test.go
+++ b/internal/world/digest_scenarios_test.go
@@ -272,7 +272,7 @@
 func submitService(r *rolling) {
 	s := &jobs.Spec{
 		ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
-		Tasks: 6, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, Spread: true,
+		Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true,
 	}
 	(&simUser{w: r.World, rng: r.rng, spec: s}).submit()
 }
@@ -439,7 +439,7 @@
 	for i := range 5 {
 		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", 900+i), Class: "notebook", Team: "red", Kind: jobs.Service,
-			Priority: "standard", Tasks: 1, CPUs: 4, Mem: 1, Image: "n", ImageGB: 1,
+			Priority: "standard", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "n", ImageGB: 1,
 		}
 		r.Know(spec)
 		s := &simSession{r: r, InteractiveSession: &InteractiveSession{
--- a/internal/world/limits_test.go
+++ b/internal/world/limits_test.go
@@ -46,7 +46,7 @@
 					give := func(n int) {
 						spec := &jobs.Spec{
 							ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard",
-							Tasks: 150, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true,
+							Tasks: 150, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true,
 						}
 						u := &simUser{w: r.World, rng: r.rng, spec: spec}
 						r.users = append(r.users, u)
--- a/internal/world/looks.go
+++ b/internal/world/looks.go
@@ -214,7 +214,7 @@
 
 // wrong is a submission that no controller may accept.
 func (w *World) wrong(id string, how int) []byte {
-	s := &jobs.Spec{ID: id, Class: "odd", Team: w.cfg.Teams[0].Name, Kind: jobs.Array, Priority: "standard", Tasks: 2, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 5, Spot: true}
+	s := &jobs.Spec{ID: id, Class: "odd", Team: w.cfg.Teams[0].Name, Kind: jobs.Array, Priority: "standard", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5, Spot: true}
 	switch how {
 	case 0:
 		s.CPUs = 1e6 // fits no machine
--- a/internal/world/many_test.go
+++ b/internal/world/many_test.go
@@ -43,7 +43,7 @@
 // submit hands a job in until it is accepted.
 func (m *many) submit(n int) {
 	s := &jobs.Spec{
-		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, Mem: 1,
+		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true,
 	}
 	m.Know(s)
--- a/internal/world/meetings_test.go
+++ b/internal/world/meetings_test.go
@@ -53,7 +53,7 @@
 // giveAs does so with something changed.
 func (r *rolling) giveAs(i int, estimate float64, change func(*jobs.Spec)) *simUser {
 	s := &jobs.Spec{
-		ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, Mem: 1,
+		ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true,
 	}
 	if i%5 > 0 { // machines stand in all zones
@@ -533,7 +533,7 @@
 						done[id] = r.Now()
 					}
 					var rec jobs.Record
-					if !stored[id] && json.Unmarshal(r.Key(jobs.RecordKey(id)).Value, &rec) == nil && rec.Stance == jobs.Done.String() {
+					if !stored[id] && json.Unmarshal(r.Key(jobs.RecordKey(id)).Value, &rec) == nil && rec.State == jobs.Done.String() {
 						stored[id] = true
 						worst = max(worst, r.Now()-done[id])
 					}
--- a/internal/world/rest_test.go
+++ b/internal/world/rest_test.go
@@ -107,7 +107,7 @@
 				for k := range 18 {
 					s := &jobs.Spec{
 						ID: fmt.Sprintf("req-4%05d", k), Class: "bound", Team: []string{"red", "blue"}[k%2], Kind: []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3], Priority: "standard",
-						Tasks: 1 + k%4, CPUs: 3, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 8, Spot: true,
+						Tasks: 1 + k%4, CPUs: 3, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 8, Spot: true,
 					}
 					if k%2 == 0 {
 						s.Zone = &zone
@@ -369,7 +369,7 @@
 	r.Advance(300 * time.Millisecond)
 	refused := 0
 	for k := range 12 {
-		s := &jobs.Spec{ID: fmt.Sprintf("req-3%05d", k), Class: "big", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 100, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true}
+		s := &jobs.Spec{ID: fmt.Sprintf("req-3%05d", k), Class: "big", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 100, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true}
 		r.Know(s)
 		body, _ := json.Marshal(s)
 		r.Ask(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
--- a/internal/world/rollout_test.go
+++ b/internal/world/rollout_test.go
@@ -192,7 +192,7 @@
 // oldPlans counts the plans with a key of their own.
 func (r *rolling) oldPlans() (n int) {
 	for k := range r.Stored(jobs.PlanPrefix) {
-		if !strings.HasPrefix(k, jobs.PlanPages) && !strings.HasPrefix(k, jobs.PlanPrefix+"images") {
+		if !strings.HasPrefix(k, jobs.PlanPagePrefix) && !strings.HasPrefix(k, jobs.PlanPrefix+"images") {
 			n++
 		}
 	}
@@ -468,7 +468,7 @@
 			r := newRolling(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
 				s := &jobs.Spec{
-					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, Mem: 1,
+					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, MemoryGB: 1,
 					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true,
 				}
 				u := &simUser{w: r.World, rng: r.rng, spec: s}
@@ -588,7 +588,7 @@
 	long := func(n int) *simUser {
 		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
-			Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true,
+			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true,
 		}}
 		u.submit()
 		return u
@@ -597,7 +597,7 @@
 	r.reach("running", 20*time.Second, func() bool { return r.Look().Running == 6 })
 	// Of a, the record is damaged; of both, the page with their plans. The next leader finds it so.
 	r.Store(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
-	for k := range r.Stored(jobs.PlanPages) {
+	for k := range r.Stored(jobs.PlanPagePrefix) {
 		r.Store(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
 	}
 	l, _ = r.World.Leader()
@@ -635,7 +635,7 @@
 	submit := func(n int) {
 		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard",
-			Tasks: 3, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
+			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
 		}}
 		r.users = append(r.users, u)
 		u.submit()
@@ -658,7 +658,7 @@
 		r.Advance(time.Second)
 	}
 	kept := false
-	for _, it := range r.Stored(jobs.PlanPages) {
+	for _, it := range r.Stored(jobs.PlanPagePrefix) {
 		kept = kept || strings.Contains(string(it.Value), `"req-000001/000"`)
 	}
 	if !kept {
--- a/internal/world/seven_test.go
+++ b/internal/world/seven_test.go
@@ -311,7 +311,7 @@
 			for i := range n {
 				r.After(time.Duration(i)*250*time.Millisecond, func() {
 					s := &jobs.Spec{
-						ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, Mem: 1,
+						ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1,
 						Image: "i", ImageGB: 0.5, EstimateS: 5, Spot: true,
 					}
 					u := &simUser{w: r.World, rng: r.rng, spec: s}
--- a/internal/world/sim_test.go
+++ b/internal/world/sim_test.go
@@ -86,7 +86,7 @@
 func drawJob(rng *rand.Rand, n int) *jobs.Spec {
 	s := &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
-		Priority: []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)], Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(3)), Mem: 1,
+		Priority: []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)], Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(3)), MemoryGB: 1,
 		Image: fmt.Sprintf("i-%d", rng.IntN(3)), ImageGB: 2, EstimateS: 1 + 8*rng.Float64(), Spot: rng.IntN(2) == 0,
 	}
 	switch rng.IntN(5) {
@@ -382,7 +382,7 @@
 	}
 	u := &simUser{w: w, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
 		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
-		Tasks: 20, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
+		Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
 	}}
 	w.After(3*time.Second, u.submit)
 	w.Advance(15 * time.Second)
@@ -435,7 +435,7 @@
 	w.Advance(3 * time.Second)
 	n, refused, slowest, done := 3000, 0, time.Duration(0), 0
 	for i := range n {
-		s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, Mem: 1, Image: "i", ImageGB: 0.1, EstimateS: 1}
+		s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 1}
 		body, _ := json.Marshal(s)
 		w.Know(s)
 		var again func()
--- a/internal/world/state/state.go
+++ b/internal/world/state/state.go
@@ -86,7 +86,7 @@
 	delete(s.holds, id)
 	var bound []string
 	for k, it := range s.Keys {
-		if it.Hold == id {
+		if it.Lease == id {
 			bound = append(bound, k)
 		}
 	}
@@ -109,7 +109,7 @@
 			s.note(o.Delete, store.Event{Delete: o.Delete, Version: s.Rev})
 			continue
 		}
-		s.Keys[o.Put] = store.Item{Key: o.Put, Value: o.Value, Version: s.Rev, Hold: o.Hold}
+		s.Keys[o.Put] = store.Item{Key: o.Put, Value: o.Value, Version: s.Rev, Lease: o.Lease}
 		s.note(o.Put, store.Event{Put: o.Put, Value: o.Value, Version: s.Rev})
 	}
 }
@@ -151,7 +151,7 @@
 		var t store.Txn
 		_ = json.Unmarshal(r.Body, &t)
 		for _, o := range t.Then {
-			if _, ok := s.holds[o.Hold]; o.Hold != 0 && !ok {
+			if _, ok := s.holds[o.Lease]; o.Lease != 0 && !ok {
 				return reply(400, map[string]string{"error": "no such lease"})
 			}
 		}
--- a/internal/world/stored_test.go
+++ b/internal/world/stored_test.go
@@ -58,13 +58,13 @@
 		}
 	}
 	for key, raw := range all {
-		row, ok := rollout.RowOf(key)
+		row, ok := rollout.RecordFormatOf(key)
 		if !ok {
 			t.Errorf("%s: of no kind that is known", key)
 			continue
 		}
 		kinds[row.Kind]++
-		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(row.Reads, f) || row.WrittenAt(rollout.Base) != 1 {
+		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(row.ReadFormats, f) || row.WrittenAt(rollout.Base) != 1 {
 			t.Errorf("%s: format %d, written at the first level: %d", key, f, row.WrittenAt(rollout.Base))
 		}
 		switch row.Kind {
@@ -73,33 +73,33 @@
 			if err := json.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
-			st := map[string]jobs.Stance{"pending": jobs.Pending, "done": jobs.Done, "cancelled": jobs.Cancelled}[r.Stance]
-			if got := jobs.EncodeRecord(st, r.AtMS, r.N, r.Spec); string(got) != string(raw) {
+			st := map[string]jobs.State{"pending": jobs.Pending, "done": jobs.Done, "cancelled": jobs.Cancelled}[r.State]
+			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, r.Spec); string(got) != string(raw) {
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
 		case "plan":
 			name := strings.TrimPrefix(key, jobs.PlanPrefix)
 			j := book.Get(name[:strings.Index(name, "/")])
-			if j.Stance == jobs.Done {
+			if j.State == jobs.Done {
 				continue
 			}
-			j.Open()
+			j.OpenTasks()
 			no := int(name[len(name)-1] - '0')
-			c := j.Chunks[no]
+			c := j.Segments[no]
 			var names jobs.Names
-			on, done, err := jobs.DecodeChunk(raw, len(c.Durable), names.Index)
+			on, done, err := jobs.DecodeSegment(raw, len(c.DurableMachines), names.Index)
 			if err != nil {
 				t.Errorf("%s: %v", key, err)
 				continue
 			}
 			for i := range on {
-				task := int32(no*jobs.ChunkTasks + i)
+				task := int32(no*jobs.SegmentTasks + i)
 				j.Tasks[task].Machine = on[i]
 				if done[i] {
-					_ = j.Set(task, jobs.Finished)
+					_ = j.SetTaskState(task, jobs.Finished)
 				}
 			}
-			if got, _ := j.EncodeChunk(c, 1, names.Name); string(got) != string(raw) {
+			if got, _ := j.EncodeSegment(c, 1, names.Name); string(got) != string(raw) {
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
 		case "term":
@@ -109,7 +109,7 @@
 		case "leader":
 			same[membership.Leader](t, key, raw)
 		case "part-map":
-			same[membership.PartMap](t, key, raw)
+			same[membership.ShardMap](t, key, raw)
 		case "licence-count":
 			same[licences.Set](t, key, raw)
 		case "operators-wishes":
@@ -148,7 +148,7 @@
 	for key, raw := range all {
 		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
 			var rec jobs.Record
-			if json.Unmarshal(raw, &rec) == nil && rec.Stance == "pending" {
+			if json.Unmarshal(raw, &rec) == nil && rec.State == "pending" {
 				w.Know(rec.Spec)
 				if rec.Spec.Kind != jobs.Service {
 					open++
@@ -170,7 +170,7 @@
 	pending := func() (n int) {
 		for _, it := range w.Stored(jobs.Prefix) {
 			var rec jobs.Record
-			if json.Unmarshal(it.Value, &rec) == nil && rec.Stance == "pending" && rec.Spec.Kind != jobs.Service {
+			if json.Unmarshal(it.Value, &rec) == nil && rec.State == "pending" && rec.Spec.Kind != jobs.Service {
 				n++
 			}
 		}
--- a/internal/world/troubles_test.go
+++ b/internal/world/troubles_test.go
@@ -361,7 +361,7 @@
 	for i := range 40 { // so much that no machine is idle
 		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-81%04d", i), Class: "long", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 8, CPUs: 4,
-			Mem: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true,
+			MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true,
 		}}
 		r.users = append(r.users, u)
 		u.submit()
@@ -370,7 +370,7 @@
 	var wrong []*simUser
 	for i, s := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
 		s.ID, s.Class, s.Team, s.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
-		s.CPUs, s.Mem, s.Image, s.ImageGB, s.EstimateS, s.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
+		s.CPUs, s.MemoryGB, s.Image, s.ImageGB, s.EstimateS, s.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
 		u := &simUser{w: r.World, rng: r.rng, spec: s}
 		r.Mistake(s.ID)
 		u.submit()
@@ -493,7 +493,7 @@
 	}
 	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *simUser {
 		return &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
-			ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, Mem: 0.4,
+			ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 0.4,
 			Image: "i", ImageGB: 0.5, EstimateS: est, Spot: true,
 		}}
 	}
@@ -534,7 +534,7 @@
 		var large []*simUser
 		submit := func(n, tasks int, priority string, est float64) *simUser {
 			u := &simUser{w: w, rng: rng, spec: &jobs.Spec{
-				ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, Mem: 1,
+				ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, MemoryGB: 1,
 				Image: "i", ImageGB: 1, EstimateS: est,
 			}}
 			u.submit()
--- a/internal/world/writes_test.go
+++ b/internal/world/writes_test.go
@@ -22,7 +22,7 @@
 // in docs/design.md says why each is enough.
 var conditions = []condition{
 	{prefix: "p/images", others: []string{"h/c/leader"}},
-	{prefix: jobs.PlanPages, own: true, others: []string{"h/c/leader"}},
+	{prefix: jobs.PlanPagePrefix, own: true, others: []string{"h/c/leader"}},
 	{prefix: jobs.PlanPrefix, own: true, others: []string{"h/c/leader"}},
 	{prefix: "h/j/", own: true},
 	{prefix: archive.Prefix, own: true, others: []string{"h/c/leader", "h/j/"}},
@@ -47,7 +47,7 @@
 	seen, wrong := map[string]int{}, map[string]bool{}
 	r.Watch(func(_ int, tx store.Txn) Fate {
 		has := func(prefix string) bool {
-			return slices.ContainsFunc(tx.If, func(c store.Cond) bool { return strings.HasPrefix(c.Key, prefix) })
+			return slices.ContainsFunc(tx.If, func(c store.Condition) bool { return strings.HasPrefix(c.Key, prefix) })
 		}
 		for _, o := range tx.Then {
 			key := o.Put + o.Delete
@@ -60,11 +60,11 @@
 			seen[c.prefix]++
 			// An old plan's key that is dropped is never written again.
 			gone := o.Delete != "" && c.prefix == jobs.PlanPrefix
-			if c.own && !gone && !slices.ContainsFunc(tx.If, func(x store.Cond) bool { return x.Key == key }) {
+			if c.own && !gone && !slices.ContainsFunc(tx.If, func(x store.Condition) bool { return x.Key == key }) {
 				wrong[c.prefix+" doesn't depend on its own version"] = true
 			}
 			// A job's record is made only where the job isn't archived: a first submission may land long after its end.
-			if made := slices.Contains(tx.If, store.Cond{Key: o.Put}); made && c.prefix == jobs.Prefix &&
+			if made := slices.Contains(tx.If, store.Condition{Key: o.Put}); made && c.prefix == jobs.Prefix &&
 				!slices.Contains(tx.If, archive.Absent(strings.TrimPrefix(o.Put, jobs.Prefix))) {
 				wrong[c.prefix+" is made without a look at the archive"] = true
 			}
@@ -97,7 +97,7 @@
 	for w := range wrong {
 		t.Error(w)
 	}
-	for _, p := range []string{jobs.PlanPages, jobs.PlanPrefix, "h/j/", archive.Prefix, "h/c/leader", "h/c/types", "h/c/n/", "h/r/level", "h/r/migration", "h/r/words", "h/z/", "h/o/"} {
+	for _, p := range []string{jobs.PlanPagePrefix, jobs.PlanPrefix, "h/j/", archive.Prefix, "h/c/leader", "h/c/types", "h/c/n/", "h/r/level", "h/r/migration", "h/r/words", "h/z/", "h/o/"} {
 		if seen[p] == 0 {
 			t.Errorf("no write of %s was seen: %v", p, seen)
 		}
--- a/internal/world/zones_test.go
+++ b/internal/world/zones_test.go
@@ -45,7 +45,7 @@
 func (r *rolling) submitMany(n int, seconds float64) {
 	for i := range n {
 		s := &jobs.Spec{
-			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, Mem: 1,
+			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, MemoryGB: 1,
 			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true,
 		}
 		u := &simUser{w: r.World, rng: r.rng, spec: s}
@@ -189,7 +189,7 @@
 	r := wide(t, 75, 3)
 	r.submitMany(24, 60) // machines in all zones
 	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
-	s := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, Mem: 1, Image: "i", ImageGB: 1, Spread: true}
+	s := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}
 	u := &simUser{w: r.World, rng: r.rng, spec: s}
 	u.submit()
 	on := func() map[string]int {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -25,11 +25,11 @@
 //	Proving   -> Well       it has stayed so for as long as its past asks for
 //	Returning, Proving -> Lost  it falls silent again: a flap, as is any loss soon after the one before
 const (
-	Well State = iota
-	Doubted
+	Healthy State = iota
+	Suspect
 	Lost
 	Returning
-	Proving
+	OnProbation
 )
 
 func (s State) String() string {
@@ -42,13 +42,13 @@
 
 // Config is what a zone is judged by; all of it follows from the workers' and the machines' times.
 type Config struct {
-	// Patience is how long machines that are not heard are kept once their zone returns; Prove how long it must stay
+	// ReturnGrace is how long machines that are not heard are kept once their zone returns; Prove how long it must stay
 	// before it counts as well, doubled with each flap lately. Calm is how long makes up for one flap.
-	Patience, Prove, Calm time.Duration
-	// Most is how long a zone that is heard again is kept from any work, whatever its past; 0: for as long as that asks for.
-	Most time.Duration
-	// Turned is told of every change of state; nil for nobody.
-	Turned func(now time.Duration, zone int32, from, to State, c Count)
+	ReturnGrace, ProbationTime, FlapForgiveness time.Duration
+	// MaxProbation is how long a zone that is heard again is kept from any work, whatever its past; 0: for as long as that asks for.
+	MaxProbation time.Duration
+	// OnStateChange is told of every change of state; nil for nobody.
+	OnStateChange func(now time.Duration, zone int32, from, to State, c Count)
 }
 
 // least is how many machines it takes to tell a zone's silence from theirs.
@@ -59,13 +59,13 @@
 
 // Zone is one zone.
 type Zone struct {
-	State State
-	Since time.Duration // of the state
-	Out   time.Duration // when it was lost last
-	Back  time.Duration // when it was heard again last
-	Flaps int           // losses lately, beyond the first
-	calm  time.Duration // the last time that a flap was made up for
-	was   bool          // it was lost before
+	State      State
+	Since      time.Duration // of the state
+	LostAt     time.Duration // when it was lost last
+	ReturnedAt time.Duration // when it was heard again last
+	Flaps      int           // losses lately, beyond the first
+	calm       time.Duration // the last time that a flap was made up for
+	was        bool          // it was lost before
 }
 
 // Zones are all zones; they belong to the leader of a term.
@@ -93,23 +93,23 @@
 	from := s.State
 	switch {
 	case to == Lost:
-		if from == Returning || from == Proving || (s.was && now-s.Out < z.cfg.Calm) {
+		if from == Returning || from == OnProbation || (s.was && now-s.LostAt < z.cfg.FlapForgiveness) {
 			s.Flaps = min(mostFlaps, s.Flaps+1)
 		}
-		s.Out, s.was = now, true
+		s.LostAt, s.was = now, true
 	case to == Returning:
-		s.Back = now
-	case to == Well && from == Proving:
+		s.ReturnedAt = now
+	case to == Healthy && from == OnProbation:
 		s.calm = now
 	}
-	s.State, s.Since, z.dirty = to, now, z.dirty || to != Doubted && from != Doubted || to == Lost
-	if z.cfg.Turned != nil {
-		z.cfg.Turned(now, zone, from, to, c)
+	s.State, s.Since, z.dirty = to, now, z.dirty || to != Suspect && from != Suspect || to == Lost
+	if z.cfg.OnStateChange != nil {
+		z.cfg.OnStateChange(now, zone, from, to, c)
 	}
 }
 
-// Judge looks at all zones by their present counts.
-func (z *Zones) Judge(now time.Duration, counts map[int32]Count) {
+// Evaluate looks at all zones by their present counts.
+func (z *Zones) Evaluate(now time.Duration, counts map[int32]Count) {
 	all := Count{}
 	zones := make([]int32, 0, len(counts))
 	for zone, c := range counts {
@@ -127,113 +127,113 @@
 		// Silence here while others are heard is this zone's; silence everywhere may be ours.
 		others := Count{Machines: all.Machines - c.Machines, Quiet: all.Quiet - c.Quiet}
 		heard := others.Machines >= least && 10*others.Quiet < 3*others.Machines
-		z.judge(now, zone, c, heard)
+		z.evaluate(now, zone, c, heard)
 	}
 }
 
-func (z *Zones) judge(now time.Duration, zone int32, c Count, othersHeard bool) {
+func (z *Zones) evaluate(now time.Duration, zone int32, c Count, othersHeard bool) {
 	s := z.at(zone)
 	silent := c.Machines >= least && (2*c.Silent > c.Machines || (othersHeard && 4*c.Quiet > 3*c.Machines))
 	switch s.State {
-	case Well, Doubted:
+	case Healthy, Suspect:
 		doubt := c.Machines >= least && 4*c.Quiet > c.Machines
 		switch {
 		case silent:
 			z.to(now, zone, Lost, c)
-		case s.State == Well && doubt:
-			z.to(now, zone, Doubted, c)
-		case s.State == Doubted && !doubt:
-			z.to(now, zone, Well, c)
-		case s.State == Well && s.Flaps > 0 && now-s.calm >= z.cfg.Calm:
+		case s.State == Healthy && doubt:
+			z.to(now, zone, Suspect, c)
+		case s.State == Suspect && !doubt:
+			z.to(now, zone, Healthy, c)
+		case s.State == Healthy && s.Flaps > 0 && now-s.calm >= z.cfg.FlapForgiveness:
 			s.Flaps, s.calm, z.dirty = s.Flaps-1, now, true
 		}
 	case Lost:
 		// Where no machine is left nobody will be heard: after a while it is tried again, or it would stay lost for ever.
-		if c.Machines > 0 && 2*c.Quiet <= c.Machines || c.Machines == 0 && now-s.Since >= z.cfg.Patience {
+		if c.Machines > 0 && 2*c.Quiet <= c.Machines || c.Machines == 0 && now-s.Since >= z.cfg.ReturnGrace {
 			z.to(now, zone, Returning, c)
 		}
 	case Returning:
 		switch {
 		case silent:
 			z.to(now, zone, Lost, c)
-		case 10*c.Quiet <= c.Machines || now-s.Since >= z.cfg.Patience:
-			z.to(now, zone, Proving, c)
+		case 10*c.Quiet <= c.Machines || now-s.Since >= z.cfg.ReturnGrace:
+			z.to(now, zone, OnProbation, c)
 		}
-	case Proving:
+	case OnProbation:
 		switch {
 		case silent:
 			z.to(now, zone, Lost, c)
-		case now-s.Since >= z.cfg.Prove<<s.Flaps:
-			z.to(now, zone, Well, c)
+		case now-s.Since >= z.cfg.ProbationTime<<s.Flaps:
+			z.to(now, zone, Healthy, c)
 		}
 	}
 }
 
-// Of is what is known of a zone.
-func (z *Zones) Of(zone int32) Zone {
+// Zone is what is known of a zone.
+func (z *Zones) Zone(zone int32) Zone {
 	if s := z.zones[zone]; s != nil {
 		return *s
 	}
 	return Zone{}
 }
 
-// Rents tells whether machines may be rented in a zone: not where they would not be heard, nor where it has flapped
+// AllowsRenting tells whether machines may be rented in a zone: not where they would not be heard, nor where it has flapped
 // and not proved itself since.
-func (z *Zones) Rents(zone int32) bool {
-	switch s := z.Of(zone); s.State {
-	case Well, Doubted:
+func (z *Zones) AllowsRenting(zone int32) bool {
+	switch s := z.Zone(zone); s.State {
+	case Healthy, Suspect:
 		return true
-	case Proving:
+	case OnProbation:
 		return s.Flaps == 0
 	}
 	return false
 }
 
-// Keeps tells whether a machine of the zone that is not heard is to be kept: its zone is gone, not it, for as
+// RetainsMachines tells whether a machine of the zone that is not heard is to be kept: its zone is gone, not it, for as
 // long as getting it back would be dearer; and once the zone returns it has its time to be heard.
-func (z *Zones) Keeps(now time.Duration, zone int32, dear time.Duration) bool {
-	switch s := z.Of(zone); s.State {
+func (z *Zones) RetainsMachines(now time.Duration, zone int32, dear time.Duration) bool {
+	switch s := z.Zone(zone); s.State {
 	case Lost:
 		return now-s.Since < dear
 	case Returning:
 		return true
-	case Proving:
-		return now-s.Since < z.cfg.Patience
+	case OnProbation:
+		return now-s.Since < z.cfg.ReturnGrace
 	}
 	return false
 }
 
-// Work is how much is lost with a place.
-type Work uint8
+// WorkKind is how much is lost with a place.
+type WorkKind uint8
 
 // The kinds of work, by what a loss takes.
 const (
-	Restartable Work = iota // each task goes on by itself
-	Together                // gangs: all of it is lost with one
-	Lasting                 // services: they stay where they are
+	Restartable WorkKind = iota // each task goes on by itself
+	Together                    // gangs: all of it is lost with one
+	Lasting                     // services: they stay where they are
 )
 
-// Takes tells whether new work of a kind may go to machines of a zone that are heard: restartable work always, gangs and
+// AcceptsWork tells whether new work of a kind may go to machines of a zone that are heard: restartable work always, gangs and
 // then services as the zone proves itself. One that flaps gets no gangs before it is well, but not for longer than Most:
 // with four flaps behind it, room there would stand idle for three minutes beside gangs that can go nowhere else.
-func (z *Zones) Takes(now time.Duration, zone int32, w Work) bool {
-	s := z.Of(zone)
-	if (s.State == Returning || s.State == Proving) && z.cfg.Most > 0 && now-s.Back >= z.cfg.Most {
+func (z *Zones) AcceptsWork(now time.Duration, zone int32, w WorkKind) bool {
+	s := z.Zone(zone)
+	if (s.State == Returning || s.State == OnProbation) && z.cfg.MaxProbation > 0 && now-s.ReturnedAt >= z.cfg.MaxProbation {
 		return true
 	}
 	switch w {
 	case Restartable:
 		return true
 	case Together:
-		return s.State == Well || s.State == Doubted || (s.Flaps == 0 && s.State != Lost)
+		return s.State == Healthy || s.State == Suspect || (s.Flaps == 0 && s.State != Lost)
 	}
-	return s.State == Well
+	return s.State == Healthy
 }
 
 // Unsettled tells whether any zone is on its way back: machines elsewhere are not given back meanwhile.
 func (z *Zones) Unsettled() bool {
 	for _, s := range z.zones {
-		if s.State == Returning || s.State == Proving {
+		if s.State == Returning || s.State == OnProbation {
 			return true
 		}
 	}
@@ -274,24 +274,24 @@
 // Dirty tells whether something has changed that the next leader should know; Clean, that it was written.
 func (z *Zones) Dirty() bool { return z.dirty }
 
-// Clean notes that what was encoded last is stored.
-func (z *Zones) Clean() { z.dirty = false }
+// MarkStored notes that what was encoded last is stored.
+func (z *Zones) MarkStored() { z.dirty = false }
 
-// Again notes that it was not stored after all.
-func (z *Zones) Again() { z.dirty = true }
+// MarkDirty notes that it was not stored after all.
+func (z *Zones) MarkDirty() { z.dirty = true }
 
 // Encode writes what the next leader should know: zones that are not simply well.
 func (z *Zones) Encode(name func(int32) string, wallMS func(time.Duration) int64) json.RawMessage {
 	d := doc{Zones: []stored{}}
 	for zone, s := range z.zones {
-		if s.State == Well && s.Flaps == 0 {
+		if s.State == Healthy && s.Flaps == 0 {
 			continue
 		}
 		st := s.State
-		if st == Doubted {
-			st = Well
+		if st == Suspect {
+			st = Healthy
 		}
-		d.Zones = append(d.Zones, stored{name(zone), st.String(), wallMS(s.Since), wallMS(s.Out), s.Flaps})
+		d.Zones = append(d.Zones, stored{name(zone), st.String(), wallMS(s.Since), wallMS(s.LostAt), s.Flaps})
 	}
 	slices.SortFunc(d.Zones, func(a, b stored) int { return cmp.Compare(a.Zone, b.Zone) })
 	raw, _ := json.Marshal(d)
@@ -309,9 +309,9 @@
 		return fmt.Errorf("zones in format %d", d.Format)
 	}
 	for _, s := range d.Zones {
-		for st := Well; st <= Proving; st++ {
+		for st := Healthy; st <= OnProbation; st++ {
 			if st.String() == s.State {
-				z.zones[index(s.Zone)] = &Zone{State: st, Since: steady(s.Since), Out: steady(s.Out), Back: steady(s.Since), Flaps: min(max(0, s.Flaps), mostFlaps), was: s.Out > 0}
+				z.zones[index(s.Zone)] = &Zone{State: st, Since: steady(s.Since), LostAt: steady(s.Out), ReturnedAt: steady(s.Since), Flaps: min(max(0, s.Flaps), mostFlaps), was: s.Out > 0}
 			}
 		}
 	}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -61,32 +61,32 @@
 func step(n node, look int, without string) (node, string) {
 	l := looks[look]
 	now := 1000 * unit
-	cfg := Config{Patience: patience * unit, Prove: prove * unit, Calm: calm * unit, Most: most * unit}
+	cfg := Config{ReturnGrace: patience * unit, ProbationTime: prove * unit, FlapForgiveness: calm * unit, MaxProbation: most * unit}
 	others := l.others
 	switch without {
 	case "others are heard":
 		others = true
 	case "patience":
-		cfg.Patience = 0
+		cfg.ReturnGrace = 0
 	case "proving":
-		cfg.Prove = 0
+		cfg.ProbationTime = 0
 	case "flaps":
 		n.z.Flaps = 0
 	case "calm":
-		cfg.Calm = 0
+		cfg.FlapForgiveness = 0
 	case "most":
-		cfg.Most = 0
+		cfg.MaxProbation = 0
 	case "enough machines":
 		l.c.Machines, l.c.Quiet, l.c.Silent = l.c.Machines*4, l.c.Quiet*4, l.c.Silent*4
 	}
 	z := New(cfg)
 	s := n.z
 	s.Since, s.calm = now-time.Duration(n.since)*unit, now-time.Duration(n.calm)*unit
-	s.Out = now - time.Duration(n.p.ago)*unit
-	s.Back = now - time.Duration(max(0, n.p.back)+1)*unit
+	s.LostAt = now - time.Duration(n.p.ago)*unit
+	s.ReturnedAt = now - time.Duration(max(0, n.p.back)+1)*unit
 	z.zones[0] = &s
 	before := s.State
-	z.judge(now, 0, l.c, others)
+	z.evaluate(now, 0, l.c, others)
 	got := *z.zones[0]
 	real := looks[look]
 	p := n.p
@@ -111,36 +111,36 @@
 	if p.out != (got.State == Lost) {
 		bad("it is out: %v", p.out)
 	}
-	if p.out && z.Rents(0) {
+	if p.out && z.AllowsRenting(0) {
 		bad("machines are rented in it")
 	}
-	if p.out && z.Takes(now, 0, Together) {
+	if p.out && z.AcceptsWork(now, 0, Together) {
 		bad("gangs are sent there")
 	}
-	if !lostNow && before == Well && got.State == Lost {
+	if !lostNow && before == Healthy && got.State == Lost {
 		bad("it counts as lost, and silence is everywhere or of too few")
 	}
 	// No room idle for long beside work: whatever its past, it takes work soon after its return.
-	if !p.out && p.back >= most && !(z.Takes(now, 0, Together) && z.Takes(now, 0, Lasting)) && got.State != Doubted {
+	if !p.out && p.back >= most && !(z.AcceptsWork(now, 0, Together) && z.AcceptsWork(now, 0, Lasting)) && got.State != Suspect {
 		bad("it takes no work %d steps after its return", p.back)
 	}
 	// Whoever isn't heard yet has time after the zone's return.
-	if !p.out && p.back >= 0 && p.back < patience && !p.settled && !z.Keeps(now, 0, 0) {
+	if !p.out && p.back >= 0 && p.back < patience && !p.settled && !z.RetainsMachines(now, 0, 0) {
 		bad("machines that are not heard yet are given back %d steps after its return", p.back)
 	}
 	// It counts as well only after it has stayed for as long as its past asks for.
-	if got.State == Proving {
-		if p.stays = min(far, p.stays+1); before != Proving {
+	if got.State == OnProbation {
+		if p.stays = min(far, p.stays+1); before != OnProbation {
 			p.stays = 0
 		}
 	}
-	if got.State == Well && before == Proving {
+	if got.State == Healthy && before == OnProbation {
 		if p.stays < prove<<p.flaps-1 {
 			bad("it is well after %d steps and %d flaps", p.stays, p.flaps)
 		}
 		p.settled = true
 	}
-	if p.settled && got.State == Well && got.Flaps < p.flaps {
+	if p.settled && got.State == Healthy && got.Flaps < p.flaps {
 		p.flaps = got.Flaps // made up for
 		if n.calm < calm {
 			bad("a flap is made up for after %d steps", n.calm)
@@ -153,7 +153,7 @@
 	out := node{z: got, p: p}
 	out.since = min(far, int((now-got.Since)/unit)+1)
 	out.calm = min(far, int((now-got.calm)/unit)+1)
-	out.z.Since, out.z.Out, out.z.Back, out.z.calm = 0, 0, 0, 0
+	out.z.Since, out.z.LostAt, out.z.ReturnedAt, out.z.calm = 0, 0, 0, 0
 	return out, why
 }
 
@@ -205,24 +205,24 @@
 		}
 		return -1
 	}
-	z := New(Config{Prove: time.Second})
+	z := New(Config{ProbationTime: time.Second})
 	quiet, heard := map[int32]Count{0: {8, 8, 8}, 1: {8, 0, 0}, 2: {8, 3, 0}}, map[int32]Count{0: {8, 0, 0}, 1: {8, 0, 0}, 2: {8, 0, 0}}
-	z.Judge(10*unit, quiet)
-	z.Judge(20*unit, heard)
-	z.Judge(21*unit, heard)
-	z.Judge(21*unit+unit/2, quiet)
+	z.Evaluate(10*unit, quiet)
+	z.Evaluate(20*unit, heard)
+	z.Evaluate(21*unit, heard)
+	z.Evaluate(21*unit+unit/2, quiet)
 	if !z.Dirty() {
 		t.Fatal("nothing to be stored")
 	}
 	raw := z.Encode(name, func(d time.Duration) int64 { return 1_000_000 + d.Milliseconds() })
-	next := New(Config{Prove: time.Second})
+	next := New(Config{ProbationTime: time.Second})
 	if err := next.Restore(raw, index, func(ms int64) time.Duration { return time.Duration(ms-1_020_000) * time.Millisecond }); err != nil {
 		t.Fatal(err)
 	}
-	if got := next.Of(0); got.State != Lost || got.Flaps != 1 || got.Since != 1500*time.Millisecond {
+	if got := next.Zone(0); got.State != Lost || got.Flaps != 1 || got.Since != 1500*time.Millisecond {
 		t.Errorf("%s: %+v", raw, got)
 	}
-	if next.Of(1) != (Zone{}) || next.Of(2).State != Well || next.Dirty() {
+	if next.Zone(1) != (Zone{}) || next.Zone(2).State != Healthy || next.Dirty() {
 		t.Errorf("%s", raw)
 	}
 	for _, bad := range []string{`[]`, `{"v":2}`, `{"zones":7}`} {
