--- a/cmd/harewalk/events.go
+++ b/cmd/harewalk/events.go
@@ -35,8 +35,8 @@
 			if follow {
 				return o.followEvents(c.OutOrStdout(), path, where, max(every, 200*time.Millisecond))
 			}
-			var all controller.Happenings
-			if _, err := o.events(path, where, "", func(h controller.Happenings) {
+			var all controller.EventPage
+			if _, err := o.events(path, where, "", func(h controller.EventPage) {
 				h.Events = append(all.Events, h.Events...)
 				all = h
 			}); err != nil {
@@ -57,9 +57,9 @@
 }
 
 // events asks for all pages from a place on and returns the place after them.
-func (o *operator) events(path, where, since string, page func(controller.Happenings)) (string, error) {
+func (o *operator) events(path, where, since string, page func(controller.EventPage)) (string, error) {
 	for {
-		var h controller.Happenings
+		var h controller.EventPage
 		if err := o.ask("GET", path+"?"+url.Values{"where": {where}, "since": {since}}.Encode(), nil, &h); err != nil {
 			return since, err
 		}
@@ -74,7 +74,7 @@
 func (o *operator) followEvents(out io.Writer, path, where string, every time.Duration) error {
 	for since := ""; ; time.Sleep(every) {
 		var err error
-		if since, err = o.events(path, where, since, func(h controller.Happenings) {
+		if since, err = o.events(path, where, since, func(h controller.EventPage) {
 			for _, e := range h.Events {
 				if o.output == "table" {
 					fmt.Fprintln(out, strings.Join(eventCells(e), "  "))
@@ -89,7 +89,7 @@
 	}
 }
 
-func eventCells(e controller.Happened) []string {
+func eventCells(e controller.EventView) []string {
 	task, attempt, note := "-", "-", e.Note
 	if e.Task != nil {
 		task = fmt.Sprint(*e.Task)
--- a/cmd/harewalk/list.go
+++ b/cmd/harewalk/list.go
@@ -29,9 +29,9 @@
 			if err := checkWhere(where, controller.ListFields); err != nil {
 				return err
 			}
-			all := []controller.Listed{}
+			all := []controller.JobSummary{}
 			for after := ""; ; {
-				var page controller.List
+				var page controller.JobPage
 				q := url.Values{"where": {where}, "since": {after}}
 				if err := o.ask("GET", "/v2/runs?"+q.Encode(), nil, &page); err != nil {
 					return err
--- a/cmd/harewalk/why.go
+++ b/cmd/harewalk/why.go
@@ -25,7 +25,7 @@
 	return c
 }
 
-func explainJob(t *tabwriter.Writer, w controller.Why) {
+func explainJob(t *tabwriter.Writer, w controller.JobPendingView) {
 	fmt.Fprintf(t, "%s is %s: %d of %d tasks done, %d running\n", w.ID, w.Stance, w.Done, w.Tasks, w.Running)
 	for _, p := range w.Waiting {
 		fmt.Fprintf(t, "%d wait:\t%s\n", p.Tasks, p.Text)
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,17 +23,17 @@
 // Denial says what keeps a task from starting; the zero value: nothing.
 type Denial struct {
 	TeamLimit bool // the team's limit of cores or accelerators
-	Seat      licences.Denial
+	Licence   licences.Denial
 	Pool      int32 // of Seat
 }
 
 // OK tells whether nothing is in the way.
-func (d Denial) OK() bool { return !d.TeamLimit && d.Seat == licences.Granted }
+func (d Denial) OK() bool { return !d.TeamLimit && d.Licence == licences.Granted }
 
 // Gate decides.
 type Gate struct {
-	Quota *quota.Ledger
-	Seats *licences.Ledger
+	Quota    *quota.Ledger
+	Licences *licences.Ledger
 	// booked are tasks of gangs that have begun to start: everything of theirs is taken,
 	// but their own launch is put off.
 	booked map[licences.Ref]Claim
@@ -41,7 +41,7 @@
 
 // New makes a gate in front of two ledgers.
 func New(q *quota.Ledger, s *licences.Ledger) *Gate {
-	return &Gate{Quota: q, Seats: s, booked: map[licences.Ref]Claim{}}
+	return &Gate{Quota: q, Licences: s, booked: map[licences.Ref]Claim{}}
 }
 
 // Ask tells whether n more tasks with a claim may start together now.
@@ -52,15 +52,15 @@
 	if len(c.Seats) == 0 {
 		return Denial{}
 	}
-	d, pool := g.Seats.Fits(c.Team, c.Seats, n)
-	return Denial{Seat: d, Pool: pool}
+	d, pool := g.Licences.Fits(c.Team, c.Seats, n)
+	return Denial{Licence: d, Pool: pool}
 }
 
 // Fits is Ask for callers that need no reason.
 func (g *Gate) Fits(c Claim, n int) bool { return g.Ask(c, n).OK() }
 
-// Booked tells whether a task was let through with its gang.
-func (g *Gate) Booked(ref licences.Ref) bool {
+// Reserved tells whether a task was let through with its gang.
+func (g *Gate) Reserved(ref licences.Ref) bool {
 	if len(g.booked) == 0 {
 		return false
 	}
@@ -68,45 +68,45 @@
 	return ok
 }
 
-// Book lets a whole gang through at once, so that nobody takes its place between the launches
+// Reserve lets a whole gang through at once, so that nobody takes its place between the launches
 // of its first and of its last task. The caller has asked for all of them.
-func (g *Gate) Book(now time.Duration, refs []licences.Ref, attempt uint64, c Claim) {
+func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, c Claim) {
 	for _, r := range refs {
-		if !g.Booked(r) {
+		if !g.Reserved(r) {
 			g.booked[r] = c
 			g.Quota.Take(c.Team, c.Size)
-			g.Seats.Take(now, r, attempt, c.Team, c.Seats, licences.Booked)
+			g.Licences.Take(now, r, attempt, c.Team, c.Seats, licences.Booked)
 		}
 	}
 }
 
-// Unbook gives back what was booked for tasks that will not be launched now, as the caller says.
-func (g *Gate) Unbook(now time.Duration, given func(licences.Ref) bool) {
+// ReleaseReserved gives back what was booked for tasks that will not be launched now, as the caller says.
+func (g *Gate) ReleaseReserved(now time.Duration, given func(licences.Ref) bool) {
 	for r, c := range g.booked {
 		if given(r) {
-			g.Give(now, r, c, licences.Unstarted)
+			g.Release(now, r, c, licences.Unstarted)
 		}
 	}
 }
 
-// Take counts a task as being on a machine, from before its launch is sent. Attempt is 0 where
+// Acquire counts a task as being on a machine, from before its launch is sent. Attempt is 0 where
 // it is not known.
-func (g *Gate) Take(now time.Duration, r licences.Ref, attempt uint64, c Claim) {
-	if g.Booked(r) {
+func (g *Gate) Acquire(now time.Duration, r licences.Ref, attempt uint64, c Claim) {
+	if g.Reserved(r) {
 		delete(g.booked, r)
 	} else {
 		g.Quota.Take(c.Team, c.Size)
 	}
 	if len(c.Seats) > 0 {
-		g.Seats.Take(now, r, attempt, c.Team, c.Seats, licences.Held)
+		g.Licences.Take(now, r, attempt, c.Team, c.Seats, licences.Held)
 	}
 }
 
-// Give ends that, once the task is known to be gone.
-func (g *Gate) Give(now time.Duration, r licences.Ref, c Claim, how licences.End) {
+// Release ends that, once the task is known to be gone.
+func (g *Gate) Release(now time.Duration, r licences.Ref, c Claim, how licences.End) {
 	delete(g.booked, r)
 	g.Quota.Give(c.Team, c.Size)
 	if len(c.Seats) > 0 {
-		g.Seats.Give(now, r, c.Seats, how)
+		g.Licences.Give(now, r, c.Seats, how)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,7 +22,7 @@
 	c := Claim{Team: 0, Size: planner.Size{CPUs: 4}, Seats: units}
 	state := func(cpus float64, free int) {
 		t.Helper()
-		used, v := g.Quota.Team(0).Used.CPUs, g.Seats.Show(0, 0, func(int32) string { return "" })
+		used, v := g.Quota.Team(0).Used.CPUs, g.Licences.Show(0, 0, func(int32) string { return "" })
 		if used != cpus || v.Free != free {
 			t.Fatalf("%v CPUs used and %d seats free, want %v and %d", used, v.Free, cpus, free)
 		}
@@ -32,31 +32,31 @@
 	}
 	small := c
 	small.Size.CPUs = 1
-	if d := g.Ask(small, 4); d.OK() || d.TeamLimit || d.Seat != licences.NoSeat || d.Pool != 0 {
+	if d := g.Ask(small, 4); d.OK() || d.TeamLimit || d.Licence != licences.NoSeat || d.Pool != 0 {
 		t.Fatalf("four seats of three: %+v", d)
 	}
 	state(0, 3)
 	a, b := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
-	g.Take(0, a, 7, c)
-	g.Book(0, []licences.Ref{a, b}[1:], 7, c)
-	g.Book(0, []licences.Ref{b}, 7, c)
+	g.Acquire(0, a, 7, c)
+	g.Reserve(0, []licences.Ref{a, b}[1:], 7, c)
+	g.Reserve(0, []licences.Ref{b}, 7, c)
 	state(8, 1)
-	if !g.Booked(b) || g.Booked(a) || g.Fits(c, 1) {
+	if !g.Reserved(b) || g.Reserved(a) || g.Fits(c, 1) {
 		t.Fatal("the limit of 10 has room for a third task of 4")
 	}
-	g.Take(0, b, 7, c) // its launch follows: it is counted already
+	g.Acquire(0, b, 7, c) // its launch follows: it is counted already
 	state(8, 1)
-	if g.Booked(b) {
+	if g.Reserved(b) {
 		t.Fatal("still booked after its launch")
 	}
-	g.Give(0, a, c, licences.Clean)
+	g.Release(0, a, c, licences.Clean)
 	state(4, 2)
-	g.Give(0, b, c, licences.Unstarted)
+	g.Release(0, b, c, licences.Unstarted)
 	state(0, 3)
-	g.Book(0, []licences.Ref{a, b}, 9, c)
-	g.Unbook(0, func(r licences.Ref) bool { return r == b })
+	g.Reserve(0, []licences.Ref{a, b}, 9, c)
+	g.ReleaseReserved(0, func(r licences.Ref) bool { return r == b })
 	state(4, 2)
-	g.Unbook(0, func(licences.Ref) bool { return true })
+	g.ReleaseReserved(0, func(licences.Ref) bool { return true })
 	state(0, 3)
 	none := Claim{Team: 0, Size: planner.Size{CPUs: 10}}
 	if !g.Fits(none, 1) || g.Fits(Claim{Team: 5}, 1) {
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -59,7 +59,7 @@
 		if t == nil {
 			continue
 		}
-		if over := now - b.since - c.took.usual(b.offer, t.BootS); over > 0 {
+		if over := now - b.since - c.bootTimes.usual(b.offer, t.BootS); over > 0 {
 			g := groups[b.offer]
 			if g == nil {
 				g = &group{}
@@ -70,7 +70,7 @@
 	}
 	out := map[string]bool{}
 	for o, g := range groups {
-		part := float64(g.worst) / float64(c.took.usual(o, c.typ(o.typ).BootS))
+		part := float64(g.worst) / float64(c.bootTimes.usual(o, c.typ(o.typ).BootS))
 		sort.Strings(g.names)
 		for _, name := range g.names[:min(len(g.names), int(math.Ceil(part*float64(len(g.names)))))] {
 			out[name] = true
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -19,8 +19,8 @@
 	failed  = "failed"
 )
 
-// boot is a machine that was rented and has not reported yet.
-type boot struct {
+// pendingBoot is a machine that was rented and has not reported yet.
+type pendingBoot struct {
 	offer
 	since time.Duration
 }
@@ -36,43 +36,43 @@
 	// Zones say where machines are heard.
 	Zones *zones.Zones
 
-	closed    bool
-	since     time.Duration // of authority, see Tick
-	claims    uint64
-	boots     map[string]*boot
-	took      bootTimes
-	refused   map[offer]time.Duration
-	renting   bool
-	listing   bool
-	returning bool
-	nextList  time.Duration
-	nextRent  time.Duration
-	nextJudge time.Duration
-	page      string
-	gathered  []listed
-	toReturn  map[string]string        // name -> cause
-	gone      map[string]time.Duration // returned when: lagging lists may still show them
-	listedAt  time.Duration
-	excess    float64       // see excess
-	full      bool          // as many machines as max_machines allows, when rent last looked
-	zones     map[int32]int // machines by zone that act or boot, when rent last looked
+	closed      bool
+	since       time.Duration // of authority, see Tick
+	claims      uint64
+	boots       map[string]*pendingBoot
+	bootTimes   bootTimes
+	refused     map[offer]time.Duration
+	renting     bool
+	listing     bool
+	returning   bool
+	nextList    time.Duration
+	nextRent    time.Duration
+	nextJudge   time.Duration
+	page        string
+	listedSoFar []listed
+	toReturn    map[string]string        // name -> cause
+	gone        map[string]time.Duration // returned when: lagging lists may still show them
+	listedAt    time.Duration
+	excess      float64       // see excess
+	full        bool          // as many machines as max_machines allows, when rent last looked
+	zones       map[int32]int // machines by zone that act or boot, when rent last looked
 }
 
 // New starts a manager for a term.
 func New(s *config.Settings, c *Cloud, f *fleet.Fleet, d *jobs.NameIndex, types func() []MachineType, term uint64) *Manager {
 	m := &Manager{
 		Settings: s, Cloud: c, Fleet: f, Names: d, Types: types, Term: term,
-		boots: map[string]*boot{}, took: bootTimes{}, zones: map[int32]int{}, refused: map[offer]time.Duration{}, toReturn: map[string]string{}, gone: map[string]time.Duration{},
+		boots: map[string]*pendingBoot{}, bootTimes: bootTimes{}, zones: map[int32]int{}, refused: map[offer]time.Duration{}, toReturn: map[string]string{}, gone: map[string]time.Duration{},
 	}
 	z := s.Zones()
 	m.Zones = zones.New(zones.Config{ReturnGrace: z.Patience, ProbationTime: z.Prove, FlapForgiveness: z.Calm, MaxProbation: z.Most, OnStateChange: m.zoneTurned})
-	f.Zones = func(zone int32, w zones.WorkKind) bool { return m.Zones.AcceptsWork(f.Now(), zone, w) }
+	f.ZoneAcceptsWork = func(zone int32, w zones.WorkKind) bool { return m.Zones.AcceptsWork(f.Now(), zone, w) }
 	return m
 }
 
-// Close ends the manager with its term. Answers that come later find a fleet whose tasks
+// Stop ends the manager with its term. Answers that come later find a fleet whose tasks
 // are no longer kept; touching it once ended the controller.
-func (c *Manager) Close() { c.closed = true }
+func (c *Manager) Stop() { c.closed = true }
 
 // call sends a request whose answer only counts within the term.
 func (c *Manager) call(method, path string, body any, done func(httpio.Response)) bool {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -115,13 +115,13 @@
 	now := func() time.Duration { return c.now }
 	f := fleet.New(fleet.Env{
 		Settings: s, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: now,
-		Types: func(int32) *fleet.Type {
-			return &fleet.Type{Size: types[0].Size(), CacheGB: 10, FetchGB: 1, BootS: 40}
+		Types: func(int32) *fleet.MachineType {
+			return &fleet.MachineType{Size: types[0].Size(), CacheGB: 10, FetchGB: 1, BootS: 40}
 		},
-		Room:   func(int) bool { return true },
-		Commit: func(store.Txn, func(store.Result)) {},
+		CanWrite: func(int) bool { return true },
+		Commit:   func(store.Txn, func(store.Result)) {},
 	}, 1, 0)
-	f.Load(0, nil)
+	f.LoadPlans(0, nil)
 	b := &bench{cloud: c, book: book, authority: -time.Hour}
 	b.Manager = New(s, NewCloud("", c, now, 100), f, book.Names, func() []MachineType { return types }, 1)
 	return b
@@ -137,8 +137,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Fleet.Changed(b.cloud.now, j)
-	b.Fleet.Rank(b.cloud.now)
+	b.Fleet.HandleJobChange(b.cloud.now, j)
+	b.Fleet.RankJobs(b.cloud.now)
 }
 
 func (b *bench) runFor(d time.Duration) {
@@ -207,11 +207,11 @@
 		b.cloud.room = map[string]int{"atrue": 40, "afalse": 40}
 		b.submit(t, 4*most, true)
 		for i := range most - 1 {
-			r := &fleet.Report{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m", Zone: "a", Spot: true, Session: 1, Seq: 1, Token: 1 << 20}
+			r := &fleet.Heartbeat{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m", Zone: "a", Spot: true, Session: 1, Seq: 1, Token: 1 << 20}
 			for k := range 4 {
 				r.Tasks = append(r.Tasks, fleet.TaskReport{Task: fmt.Sprintf("req-000001/%d", 4*i+k), Attempt: 1, State: "running"})
 			}
-			b.Fleet.Report(b.cloud.now, r)
+			b.Fleet.HandleHeartbeat(b.cloud.now, r)
 		}
 		b.listedAt = 1
 		b.spare(b.cloud.now, most-1)
@@ -260,21 +260,21 @@
 	typ := m.Names.Types.Index(m.Types()[0].Name)
 	here, there := offer{typ, m.Names.Zones.Index("a"), false}, offer{typ, m.Names.Zones.Index("b"), false}
 	bootS := m.Types()[0].BootS
-	plain := m.took.usual(here, bootS)
+	plain := m.bootTimes.usual(here, bootS)
 	for range 6 {
-		m.took.took(here, 2*plain)
+		m.bootTimes.took(here, 2*plain)
 	}
-	if got := m.took.usual(here, bootS); got < 2*plain || got > 4*plain || m.took.usual(there, bootS) != plain {
-		t.Fatalf("waits %v here, %v there, %v at first", got, m.took.usual(there, bootS), plain)
+	if got := m.bootTimes.usual(here, bootS); got < 2*plain || got > 4*plain || m.bootTimes.usual(there, bootS) != plain {
+		t.Fatalf("waits %v here, %v there, %v at first", got, m.bootTimes.usual(there, bootS), plain)
 	}
 	for range 30 {
-		m.took.took(here, plain/4)
+		m.bootTimes.took(here, plain/4)
 	}
-	if got := m.took.usual(here, bootS); got >= plain {
+	if got := m.bootTimes.usual(here, bootS); got >= plain {
 		t.Fatalf("waits %v after many quick ones", got)
 	}
 	for i := range 40 {
-		m.boots[fmt.Sprintf("i-%03d", i)] = &boot{there, 0}
+		m.boots[fmt.Sprintf("i-%03d", i)] = &pendingBoot{there, 0}
 	}
 	last := 0
 	for at := plain - time.Second; at < 2*plain+2*time.Second; at += time.Second {
@@ -293,7 +293,7 @@
 // the controller.
 func TestAnswersAfterTheTerm(t *testing.T) {
 	b := setup(t)
-	m := b.Fleet.Machine(0, "i-000001")
+	m := b.Fleet.RegisterMachine(0, "i-000001")
 	b.cloud.list[m.Name] = listed{Name: m.Name, Addr: "x", Type: "m", Zone: "a", State: failed}
 	b.cloud.held = true
 	b.toReturn[m.Name] = "failed"
@@ -301,7 +301,7 @@
 	if len(b.cloud.hold) < 2 {
 		t.Fatal("nothing was asked")
 	}
-	b.Close()
+	b.Stop()
 	before := m.Condition
 	for _, f := range b.cloud.hold {
 		f()
@@ -320,7 +320,7 @@
 		seq := uint64(0)
 		hear := func(i int) {
 			seq++
-			b.Fleet.Report(b.cloud.now, &fleet.Report{
+			b.Fleet.HandleHeartbeat(b.cloud.now, &fleet.Heartbeat{
 				Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m",
 				Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: seq, Token: 1 << 20,
 			})
@@ -355,20 +355,20 @@
 	for step := range 11 {
 		for i := range 20 {
 			if seq++; i != 3 || step == 0 {
-				b.Fleet.Report(b.cloud.now, &fleet.Report{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m", Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: seq, Token: 1 << 20})
+				b.Fleet.HandleHeartbeat(b.cloud.now, &fleet.Heartbeat{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m", Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: seq, Token: 1 << 20})
 			}
 		}
 		b.cloud.now += time.Second
 		b.judge(b.cloud.now, true)
 		for i := range 20 {
-			m := b.Fleet.Find(fmt.Sprintf("i-%d", i))
-			if m.Aside != (i == 3 && step >= 9) || m.Condition != fleet.Acting {
-				t.Fatalf("after %d s %s is %v, set aside: %v", step+1, m.Name, m.Condition, m.Aside)
+			m := b.Fleet.FindMachine(fmt.Sprintf("i-%d", i))
+			if m.Quarantined != (i == 3 && step >= 9) || m.Condition != fleet.Ready {
+				t.Fatalf("after %d s %s is %v, set aside: %v", step+1, m.Name, m.Condition, m.Quarantined)
 			}
 		}
 	}
-	b.Fleet.Report(b.cloud.now, &fleet.Report{Machine: "i-3", Addr: "x", Type: "m", Zone: "b", Session: 1, Seq: seq + 1, Token: 1 << 20})
-	if b.Fleet.Find("i-3").Aside {
+	b.Fleet.HandleHeartbeat(b.cloud.now, &fleet.Heartbeat{Machine: "i-3", Addr: "x", Type: "m", Zone: "b", Session: 1, Seq: seq + 1, Token: 1 << 20})
+	if b.Fleet.FindMachine("i-3").Quarantined {
 		t.Error("it is heard again and still set aside")
 	}
 }
@@ -379,7 +379,7 @@
 	for _, outage := range []bool{true, false} {
 		b := setup(t)
 		for i := range 40 {
-			b.Fleet.Report(b.cloud.now, &fleet.Report{
+			b.Fleet.HandleHeartbeat(b.cloud.now, &fleet.Heartbeat{
 				Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m",
 				Zone: "ab"[i%2 : i%2+1], Session: 1, Seq: 1, Token: 1 << 20,
 			})
--- a/internal/capacity/judge.go
+++ b/internal/capacity/judge.go
@@ -19,14 +19,14 @@
 // machines, and idle ones where money counts.
 func (c *Manager) judge(now time.Duration, steady bool) {
 	for name, b := range c.boots {
-		if m := c.Fleet.Find(name); m != nil && m.Session > 0 {
-			c.took.took(b.offer, now-b.since)
+		if m := c.Fleet.FindMachine(name); m != nil && m.Session > 0 {
+			c.bootTimes.took(b.offer, now-b.since)
 			delete(c.boots, name)
 			continue
 		}
 		// Some take several times as long as usual; far beyond that it is one of the
 		// few that never come up.
-		if t := c.typ(b.typ); t != nil && now-b.since > c.took.givenUp(b.offer, t.BootS) {
+		if t := c.typ(b.typ); t != nil && now-b.since > c.bootTimes.givenUp(b.offer, t.BootS) {
 			c.toReturn[name] = "never came up"
 		}
 	}
@@ -34,12 +34,12 @@
 	up, silent, idle := 0, 0, 0
 	limit := config.Seconds(c.Settings.Operator.SilentS)
 	for _, m := range c.Fleet.Machines() {
-		if m.Condition.There() {
+		if m.Condition.ExpectsHeartbeats() {
 			up++
-			if len(m.On) == 0 && m.Planned == 0 {
+			if len(m.Tasks) == 0 && m.QueuedTasks == 0 {
 				idle++
 			}
-			if now-m.Heard > limit {
+			if now-m.LastHeardAt > limit {
 				silent++
 			}
 		}
@@ -48,31 +48,31 @@
 	// Many silent at once speak for a cut between us and them, not for their death.
 	trust := steady && silent > 0 && silent <= max(1, up/4)
 	for _, m := range c.Fleet.Machines() {
-		quiet := now - m.Heard
+		quiet := now - m.LastHeardAt
 		if quiet > limit && c.Zones.RetainsMachines(now, m.Zone, c.cutPatience(m)) {
 			continue
 		}
 		switch m.Condition {
-		case fleet.Acting, fleet.Known, fleet.Deaf:
+		case fleet.Ready, fleet.Registered, fleet.OneWayUnreachable:
 			switch {
 			case quiet > limit && trust:
 				c.toReturn[m.Name] = "silent"
-			case m.Condition == fleet.Deaf && steady && silent < up && quiet > max(limit, c.cutPatience(m)):
+			case m.Condition == fleet.OneWayUnreachable && steady && silent < up && quiet > max(limit, c.cutPatience(m)):
 				// It talks, so it isn't us who are cut off: kept for as long as getting it back would be dearer.
 				c.toReturn[m.Name] = "deaf"
-			case m.Condition == fleet.Acting && c.Fleet.Faulty(m):
-				c.Fleet.Retire(m, "faulty")
-			case m.Condition == fleet.Acting && len(m.On) == 0 && m.Planned == 0 &&
+			case m.Condition == fleet.Ready && c.Fleet.Faulty(m):
+				c.Fleet.ReturnMachine(m, "faulty")
+			case m.Condition == fleet.Ready && len(m.Tasks) == 0 && m.QueuedTasks == 0 &&
 				now-m.IdleSince > c.idleLimit(m) && c.overBudget() && !c.Zones.Unsettled():
-				c.Fleet.Retire(m, "idle")
+				c.Fleet.ReturnMachine(m, "idle")
 			}
-		case fleet.Lost:
+		case fleet.LeaseExpired:
 			// However many they are: after a while what is kept in vain costs more than what it would spare.
-			if steady && quiet > 2*limit && now-m.Spoke > limit && (silent <= max(1, up/4) || quiet > 2*limit+c.cutPatience(m) && silent < up) {
+			if steady && quiet > 2*limit && now-m.LastHeartbeatAt > limit && (silent <= max(1, up/4) || quiet > 2*limit+c.cutPatience(m) && silent < up) {
 				c.toReturn[m.Name] = "lost"
 			}
 		}
-		if m.Retiring && m.Condition == fleet.Noticed && len(m.On) == 0 {
+		if m.Returning && m.Condition == fleet.ReclaimNoticed && len(m.Tasks) == 0 {
 			c.toReturn[m.Name] = "retired"
 		}
 	}
@@ -99,12 +99,12 @@
 	silent, quiet := config.Seconds(c.Settings.Operator.SilentS*0.6), c.QuietFor()
 	counts := map[int32]zones.Count{}
 	for _, m := range c.Fleet.Machines() {
-		if m.Condition == fleet.Gone || m.Zone == jobs.None {
+		if m.Condition == fleet.Terminated || m.Zone == jobs.None {
 			continue
 		}
 		n := counts[m.Zone]
 		n.Machines++
-		switch q := now - max(m.Heard, c.since); {
+		switch q := now - max(m.LastHeardAt, c.since); {
 		case q > silent:
 			n.Silent++
 			n.Quiet++
@@ -114,11 +114,11 @@
 		counts[m.Zone] = n
 	}
 	c.Zones.Evaluate(now, counts)
-	late := c.Fleet.HearWithin()
+	late := c.Fleet.ReachabilityTimeout()
 	for _, m := range c.Fleet.Machines() {
-		if q := now - max(m.Heard, c.since); m.Condition == fleet.Acting && q > quiet {
+		if q := now - max(m.LastHeardAt, c.since); m.Condition == fleet.Ready && q > quiet {
 			if st := c.Zones.Zone(m.Zone).State; st == zones.Lost || st == zones.Returning || q > late {
-				c.Fleet.SetAside(m)
+				c.Fleet.Quarantine(m)
 			}
 		}
 	}
--- a/internal/capacity/list.go
+++ b/internal/capacity/list.go
@@ -24,16 +24,16 @@
 			More     bool     `json:"has_next"`
 		}
 		if r.Err != nil || r.Status != 200 || json.Unmarshal(r.Body, &b) != nil {
-			c.page, c.gathered, c.nextList = "", nil, at+time.Second
+			c.page, c.listedSoFar, c.nextList = "", nil, at+time.Second
 			return
 		}
-		c.gathered = append(c.gathered, b.Machines...)
+		c.listedSoFar = append(c.listedSoFar, b.Machines...)
 		if b.More && len(b.Machines) > 0 {
 			c.page, c.nextList = b.Machines[len(b.Machines)-1].Name, at
 			return
 		}
-		all := c.gathered
-		c.page, c.gathered = "", nil
+		all := c.listedSoFar
+		c.page, c.listedSoFar = "", nil
 		c.nextList = at + config.Seconds(max(2, c.Settings.Params.Cloud.ListLagS/2))
 		c.take(at, all)
 	})
@@ -46,31 +46,31 @@
 	seen := map[string]bool{}
 	for _, l := range all {
 		seen[l.Name] = true
-		if m := c.Fleet.Find(l.Name); (m != nil && m.Condition == fleet.Gone) || c.gone[l.Name] > 0 {
+		if m := c.Fleet.FindMachine(l.Name); (m != nil && m.Condition == fleet.Terminated) || c.gone[l.Name] > 0 {
 			continue // the list lags
 		}
 		switch l.State {
 		case failed:
-			m := c.Fleet.Machine(now, l.Name)
-			c.Fleet.Describe(m, l.Addr, l.Type, l.Zone, l.Spot)
-			c.Fleet.Returned(now, m, "failed")
+			m := c.Fleet.RegisterMachine(now, l.Name)
+			c.Fleet.SetMachineDetails(m, l.Addr, l.Type, l.Zone, l.Spot)
+			c.Fleet.HandleReturned(now, m, "failed")
 			c.toReturn[l.Name] = "failed"
 			delete(c.boots, l.Name)
 		case booting:
-			m := c.Fleet.Find(l.Name)
+			m := c.Fleet.FindMachine(l.Name)
 			if m != nil && m.Session > 0 {
 				continue
 			}
 			b := c.boots[l.Name]
 			if b == nil {
-				b = &boot{offer: offer{c.Names.Types.Index(l.Type), c.Names.Zones.Index(l.Zone), l.Spot}}
+				b = &pendingBoot{offer: offer{c.Names.Types.Index(l.Type), c.Names.Zones.Index(l.Zone), l.Spot}}
 				c.boots[l.Name] = b
 			}
 			b.since = now - config.Seconds(l.AgeS)
 		default:
-			m := c.Fleet.Machine(now, l.Name)
+			m := c.Fleet.RegisterMachine(now, l.Name)
 			if m.Type == jobs.None {
-				c.Fleet.Describe(m, l.Addr, l.Type, l.Zone, l.Spot)
+				c.Fleet.SetMachineDetails(m, l.Addr, l.Type, l.Zone, l.Spot)
 			}
 			delete(c.boots, l.Name)
 		}
@@ -87,8 +87,8 @@
 		}
 	}
 	for _, m := range c.Fleet.Machines() {
-		if !seen[m.Name] && m.Condition == fleet.Lost && now-m.Heard > lag+10*time.Second {
-			c.Fleet.Returned(now, m, "no longer listed")
+		if !seen[m.Name] && m.Condition == fleet.LeaseExpired && now-m.LastHeardAt > lag+10*time.Second {
+			c.Fleet.HandleReturned(now, m, "no longer listed")
 		}
 	}
 }
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -52,8 +52,8 @@
 // maxAsk is the protocol's bound on the machines of one request.
 const maxAsk = 50
 
-// bin is a machine, at hand or booting, with the work it can do within a horizon.
-type bin struct {
+// rentalBin is a machine, at hand or booting, with the work it can do within a horizon.
+type rentalBin struct {
 	offer
 	room planner.Size // resource-seconds left
 }
@@ -62,7 +62,7 @@
 // time that a new machine would need to become useful, and rents for what is left over.
 func (c *Manager) rent(now time.Duration) {
 	types := c.Types()
-	if len(types) == 0 || !c.Fleet.Loaded() {
+	if len(types) == 0 || !c.Fleet.PlansLoaded() {
 		return
 	}
 	horizon := 0.0
@@ -74,22 +74,22 @@
 		horizon = max(horizon, h)
 	}
 	horizon *= eager
-	var bins []*bin
+	var bins []*rentalBin
 	total := len(c.boots)
 	clear(c.zones)
 	for _, m := range c.Fleet.Machines() {
-		if m.Condition == fleet.Lost || m.Condition == fleet.Gone {
+		if m.Condition == fleet.LeaseExpired || m.Condition == fleet.Terminated {
 			continue
 		}
 		total++
-		if m.Condition == fleet.Acting {
+		if m.Condition == fleet.Ready {
 			c.zones[m.Zone]++
 		}
-		if m.Condition == fleet.Noticed || m.Condition == fleet.Deaf || m.Aside || m.Type == jobs.None || m.Size == (planner.Size{}) {
+		if m.Condition == fleet.ReclaimNoticed || m.Condition == fleet.OneWayUnreachable || m.Quarantined || m.Type == jobs.None || m.Capacity == (planner.Size{}) {
 			continue
 		}
-		b := &bin{offer{m.Type, m.Zone, m.Spot}, m.Size.Times(horizon)}
-		for _, u := range c.Fleet.Running(now, m) {
+		b := &rentalBin{offer{m.Type, m.Zone, m.Spot}, m.Capacity.Times(horizon)}
+		for _, u := range c.Fleet.ExpectedWork(now, m) {
 			b.room = b.room.Sub(u.Size.Times(min(u.Left, horizon)))
 		}
 		bins = append(bins, b)
@@ -101,7 +101,7 @@
 		c.zones[bt.zone]++ // or one request after the other would go to the same zone
 		// One that is far overdue is not counted on any more.
 		if t := c.typ(bt.typ); t != nil && !overdue[name] {
-			bins = append(bins, &bin{bt.offer, t.Size().Times(horizon)})
+			bins = append(bins, &rentalBin{bt.offer, t.Size().Times(horizon)})
 		}
 	}
 	wanted := map[offer]int{}
@@ -115,7 +115,7 @@
 		// What must stay apart finds no room in a zone that has its part already, however much is free there.
 		lim, use := d.Job.Spec.ZoneLimit(), map[int32]int(nil)
 		if lim > 0 {
-			use = c.Fleet.InZones(d.Job)
+			use = c.Fleet.TasksByZone(d.Job)
 		}
 		full := func(zone int32) bool { return lim > 0 && use[zone] >= lim }
 		for _, b := range bins {
@@ -137,7 +137,7 @@
 			if !ok {
 				break
 			}
-			b := &bin{o, c.typ(o.typ).Size().Times(horizon)}
+			b := &rentalBin{o, c.typ(o.typ).Size().Times(horizon)}
 			n := min(left, need.Copies(b.room))
 			if n <= 0 {
 				break
@@ -180,12 +180,12 @@
 		return t.Price
 	}
 	for _, m := range c.Fleet.Machines() {
-		if m.Condition == fleet.Lost || m.Condition == fleet.Gone || m.Type == jobs.None {
+		if m.Condition == fleet.LeaseExpired || m.Condition == fleet.Terminated || m.Type == jobs.None {
 			continue
 		}
 		p := price(offer{m.Type, m.Zone, m.Spot})
 		all += p
-		if len(m.On) == 0 {
+		if len(m.Tasks) == 0 {
 			idle += p
 		}
 	}
@@ -219,7 +219,7 @@
 func (c *Manager) spare(now time.Duration, total int) {
 	all, idle := c.prices()
 	budget := c.Settings.Operator.Headroom * all
-	for _, j := range c.Fleet.Kinds() {
+	for _, j := range c.Fleet.WaitingShapes() {
 		o, ok := c.choose(now, j, func(int32) bool { return false })
 		if !ok || total >= c.Settings.Operator.MaxMachines {
 			continue
@@ -286,7 +286,7 @@
 		switch {
 		case r.Err == nil && r.Status == 200 && json.Unmarshal(r.Body, &b) == nil:
 			for _, name := range b.Machines {
-				c.boots[name] = &boot{o, now}
+				c.boots[name] = &pendingBoot{o, now}
 			}
 			if len(b.Machines) < n {
 				c.refused[o] = at + 20*time.Second
--- a/internal/capacity/return.go
+++ b/internal/capacity/return.go
@@ -27,7 +27,7 @@
 		s /= 2
 	}
 	s *= c.excess
-	if c.Fleet.Quiet() {
+	if c.Fleet.Quiescent() {
 		s = min(s, quietIdle)
 	}
 	return config.Seconds(s)
@@ -45,7 +45,7 @@
 // overBudget tells whether more stands idle than the headroom allows.
 func (c *Manager) overBudget() bool {
 	all, idle := c.prices()
-	return c.Fleet.Quiet() || idle > c.Settings.Operator.Headroom*all
+	return c.Fleet.Quiescent() || idle > c.Settings.Operator.Headroom*all
 }
 
 // quietIdle is the limit while there is no job at all.
@@ -69,8 +69,8 @@
 		at := c.Cloud.now()
 		for _, n := range names {
 			slog.Info("machine returned", "name", n, "cause", c.toReturn[n], "term", c.Term)
-			if m := c.Fleet.Find(n); m != nil {
-				c.Fleet.Returned(at, m, c.toReturn[n])
+			if m := c.Fleet.FindMachine(n); m != nil {
+				c.Fleet.HandleReturned(at, m, c.toReturn[n])
 			}
 			delete(c.toReturn, n)
 			delete(c.boots, n)
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -18,8 +18,8 @@
 // newReader makes what finds archived answers.
 func (c *Controller) newReader(entries int) *archive.Reader {
 	r := archive.NewReader(c.store, entries)
-	r.Unreadable = func(key string, raw json.RawMessage, cause error) { c.roll.MarkUnreadable(key, raw, cause) }
-	r.Readable = func(key string) { c.roll.MarkReadable(key) }
+	r.Unreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
+	r.Readable = func(key string) { c.rollout.MarkReadable(key) }
 	return r
 }
 
@@ -30,13 +30,13 @@
 		Commit:     func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
 		Now:        c.loop.Now,
 		OnArchived: c.archived.Remember,
-		TxnOps:     c.s.Params.State.Limits().MaxOps, WritesPerS: c.s.Params.State.WriteRPS,
+		TxnOps:     c.settings.Params.State.Limits().MaxOps, WritesPerS: c.settings.Params.State.WriteRPS,
 	})
 }
 
 // moveEnded archives ended jobs, where the cluster's level has every controller read them.
 func (c *Controller) moveEnded(now time.Duration) {
-	if c.mover == nil || now-c.archiveAt < archiveEvery || c.archive.Problem != nil || c.roll.Level() < rollout.Archived {
+	if c.mover == nil || now-c.archiveAt < archiveEvery || c.archive.Problem != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
 	c.archiveAt = now
@@ -61,10 +61,10 @@
 
 // settled tells whether an ended job can't have a task on any machine, and nothing else stands of it.
 func (c *Controller) settled(j *jobs.Job) bool {
-	if c.sess != nil && c.sess.Stands(j.ID) {
+	if c.sessions != nil && c.sessions.Stands(j.ID) {
 		return false
 	}
-	return c.fleet.Settled(j) && !c.jobs.IsUnreadable(j.ID)
+	return c.fleet.Finalized(j) && !c.jobs.IsUnreadable(j.ID)
 }
 
 // recordGone takes over that a job's record has left the followed keys.
@@ -84,7 +84,7 @@
 			present[strings.TrimPrefix(it.Key, jobs.Prefix)] = true
 		}
 	}
-	c.jobs.Retain(c.mir.Revision(), func(id string) bool { return present[id] })
+	c.jobs.Retain(c.watchCache.Revision(), func(id string) bool { return present[id] })
 }
 
 // ArchiveStatus is what operators are told of the archive.
@@ -104,7 +104,7 @@
 	switch {
 	case c.archive.Problem != nil:
 		s.Problem = c.archive.Problem.Error()
-	case c.roll.Level() < rollout.Archived:
+	case c.rollout.Level() < rollout.Archived:
 		s.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
 	}
 	return s
@@ -119,13 +119,13 @@
 
 // resetKeys takes a new reading of all followed keys: what it lacks is gone.
 func (c *Controller) resetKeys(items []store.Item) {
-	c.roll.HandleReset(items)
-	c.mem.HandleReset(c.loop.Now(), items)
+	c.rollout.HandleReset(items)
+	c.membership.HandleReset(c.loop.Now(), items)
 	present := make(map[string]bool, len(items))
 	for _, it := range items {
 		present[it.Key] = true
 	}
-	c.pools.Reset(func(key string) bool { return present[key] })
-	c.drains.Reset(c.mir.Revision(), func(key string) bool { return present[key] })
+	c.licencePools.Reset(func(key string) bool { return present[key] })
+	c.machineDrains.Reset(c.watchCache.Revision(), func(key string) bool { return present[key] })
 	c.recordsRead(items)
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -30,11 +30,11 @@
 	}
 	svc = state.New()
 	now := time.Duration(0)
-	c = build(s, Outside{Now: func() time.Duration { return now }, Sender: func(int) httpio.Sender { return direct{svc} }})
+	c = build(s, Environment{Now: func() time.Duration { return now }, Sender: func(int) httpio.Sender { return direct{svc} }})
 	advance = func(d time.Duration) {
 		now += d
 		svc.Now = now
-		c.mir.Tick(now)
+		c.watchCache.Tick(now)
 	}
 	advance(time.Second)
 	return c, svc, advance
@@ -126,8 +126,8 @@
 // A job whose session is still recorded isn't archived, whatever else is over: the session would be nobody's for ever.
 func TestSessionKeepsItsJob(t *testing.T) {
 	c, _, _ := following(t)
-	c.sess = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
-	c.sess.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
+	c.sessions = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
+	c.sessions.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
 	if c.settled(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
 		t.Error("the job of a session that is recorded may be archived")
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,8 +31,8 @@
 
 // hot is the prefix of the keys that every controller follows.
 const (
-	hot      = "h/"
-	typesKey = membership.Prefix + "types"
+	followedPrefix = "h/"
+	typesKey       = membership.Prefix + "types"
 )
 
 // leaderPart is the leader's part of the state service's rate: it writes the plans and
@@ -57,65 +57,65 @@
 
 // Controller is one process of the service.
 type Controller struct {
-	s     *config.Settings
-	loop  *Loop
-	rng   *rand.Rand
-	send  httpio.Sender // to the state service and the cloud
-	wire  httpio.Sender // to workers
-	seats httpio.Sender // to licence servers
-	pools *licences.Catalog
-	store *store.Client
-	mir   *store.WatchCache
-	mem   *membership.Membership
-	roll  *rollout.Rollout
-	jobs  *jobs.Table
-	in    *intake.Intake
-	cloud *capacity.Cloud
-	quota *quota.Ledger
+	settings      *config.Settings
+	loop          *Loop
+	rng           *rand.Rand
+	stateSender   httpio.Sender // to the state service and the cloud
+	workerSender  httpio.Sender // to workers
+	licenceSender httpio.Sender // to licence servers
+	licencePools  *licences.Catalog
+	store         *store.Client
+	watchCache    *store.WatchCache
+	membership    *membership.Membership
+	rollout       *rollout.Rollout
+	jobs          *jobs.Table
+	intake        *intake.Intake
+	cloud         *capacity.Cloud
+	quota         *quota.Ledger
 
 	types    []capacity.MachineType
-	byType   map[int32]*fleet.Type
+	byType   map[int32]*fleet.MachineType
 	typesRaw string
 	typesAt  time.Duration
 	askTypes bool
 	typesVer uint64
 
 	// While leading.
-	fleet   *fleet.Fleet
-	cap     *capacity.Manager
-	sess    *sessions.Manager // nil where sessions are off
-	mover   *archive.Mover
-	loading bool
-	loadAt  time.Duration
-	steady  time.Duration // since when authority was not interrupted
-	had     bool
+	fleet          *fleet.Fleet
+	capacity       *capacity.Manager
+	sessions       *sessions.Manager // nil where sessions are off
+	mover          *archive.Mover
+	loading        bool
+	loadAt         time.Duration
+	authoritySince time.Duration // since when authority was not interrupted
+	hadAuthority   bool
 
 	// A planned end.
-	life   Life
-	lifeAt time.Duration
-	calm   time.Duration // since when nothing was under way while leaving
-	parks  bool          // operators want it drained: it stays instead of ending
-	ended  chan struct{}
+	lifecycle        LifecycleState
+	lifecycleSince   time.Duration
+	quiescentSince   time.Duration // since when nothing was under way while leaving
+	staysWhenDrained bool          // operators want it drained: it stays instead of ending
+	ended            chan struct{}
 
-	rolledAt  time.Duration // when the rollout was looked at
-	archive   config.Archive
-	archived  *archive.Reader
-	archiveAt time.Duration // when ended jobs were looked at
-	zoned     zoned
-	wishes    operate.Wishes
-	wishesVer uint64
-	drains    *operate.Drains
-	upkeep    drainUpkeep
-	listAt    time.Duration // when jobs were listed last
+	rolledAt             time.Duration // when the rollout was looked at
+	archive              config.Archive
+	archived             *archive.Reader
+	archiveAt            time.Duration // when ended jobs were looked at
+	storedZones          storedZones
+	drainDocument        operate.Wishes
+	drainDocumentVersion uint64
+	machineDrains        *operate.Drains
+	drainUpkeep          drainUpkeep
+	listAt               time.Duration // when jobs were listed last
 
-	strays  strays
-	answers intake.Counter
-	pace    pace
+	foreignHeartbeats foreignHeartbeats
+	answers           intake.ResponseCounter
+	failoverTiming    failoverTiming
 
-	summary  time.Duration
-	links    []link
-	status   map[string]heard
-	statusAt time.Duration
+	summary    time.Duration
+	links      []link
+	peerStatus map[string]peerStatus
+	statusAt   time.Duration
 }
 
 // New builds a controller that is not yet listening.
@@ -125,7 +125,7 @@
 		debug.SetMemoryLimit(int64(s.Params.Limits.Memory() * 0.7 * (1 << 20)))
 	}
 	start := time.Now()
-	c := build(s, Outside{Now: func() time.Duration { return time.Since(start) }, EpochMS: start.UnixMilli(), Seed: uint64(start.UnixNano())})
+	c := build(s, Environment{Now: func() time.Duration { return time.Since(start) }, EpochMS: start.UnixMilli(), Seed: uint64(start.UnixNano())})
 	for _, p := range s.Peers {
 		dial := peers.Plain(p.Addr)
 		if t := s.Operator.TLS; t != nil && t.Peers {
@@ -137,51 +137,51 @@
 }
 
 // build puts a controller together on what is outside.
-func build(s *config.Settings, o Outside) *Controller {
+func build(s *config.Settings, o Environment) *Controller {
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(s.Node))
 	c := &Controller{
-		s: s, loop: NewLoop(o.Now), status: map[string]heard{}, drains: operate.NewDrains(), ended: make(chan struct{}), byType: map[int32]*fleet.Type{},
+		settings: s, loop: NewLoop(o.Now), peerStatus: map[string]peerStatus{}, machineDrains: operate.NewDrains(), ended: make(chan struct{}), byType: map[int32]*fleet.MachineType{},
 		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
 	}
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
-	c.send = o.Sender(s.Params.Limits.Outgoing(serviceSlots))
-	c.wire = o.Sender(s.Params.Limits.Outgoing(workerSlots))
-	c.store = store.New(s.Services.State, c.send, c.loop.Now, c.share(false), s.Params.State.Limits())
-	c.seats = o.Sender(s.Params.Limits.Outgoing(licenceSlots))
+	c.stateSender = o.Sender(s.Params.Limits.Outgoing(serviceSlots))
+	c.workerSender = o.Sender(s.Params.Limits.Outgoing(workerSlots))
+	c.store = store.New(s.Services.State, c.stateSender, c.loop.Now, c.share(false), s.Params.State.Limits())
+	c.licenceSender = o.Sender(s.Params.Limits.Outgoing(licenceSlots))
 	c.jobs = jobs.NewTable(o.EpochMS)
-	c.pools = licences.NewCatalog(s.Pools())
-	c.jobs.Names.Pools = c.pools
+	c.licencePools = licences.NewCatalog(s.Pools())
+	c.jobs.Names.Pools = c.licencePools
 	c.quota = quota.New(s.Params.Teams, c.jobs.Names.Teams.Index)
-	c.cloud = capacity.NewCloud(s.Services.Cloud, c.send, c.loop.Now, s.Params.Cloud.RPS*0.9)
-	c.mir = store.NewWatchCache(c.store, hot, s.PictureFor())
-	c.roll = c.newRollout()
-	c.mem = membership.New(membership.Config{
-		Rollout: member{c.roll, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), StalenessBound: s.PictureFor(), Rng: c.rng,
+	c.cloud = capacity.NewCloud(s.Services.Cloud, c.stateSender, c.loop.Now, s.Params.Cloud.RPS*0.9)
+	c.watchCache = store.NewWatchCache(c.store, followedPrefix, s.PictureFor())
+	c.rollout = c.newRollout()
+	c.membership = membership.New(membership.Config{
+		Rollout: member{c.rollout, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), StalenessBound: s.PictureFor(), Rng: c.rng,
 		OnElected: c.lead, OnDeposed: c.lose,
-	}, c.store, c.mir.FreshAt)
-	c.mir.OnItem = func(it store.Item) { c.item(c.loop.Now(), it) }
-	c.mir.OnDelete = func(k string, v uint64) {
+	}, c.store, c.watchCache.FreshAt)
+	c.watchCache.OnItem = func(it store.Item) { c.item(c.loop.Now(), it) }
+	c.watchCache.OnDelete = func(k string, v uint64) {
 		if strings.HasPrefix(k, jobs.Prefix) {
 			c.recordGone(k, v)
 		}
-		c.roll.HandleDelete(k, v)
-		c.mem.HandleDelete(c.loop.Now(), k, v)
-		c.pools.Drop(k, v)
+		c.rollout.HandleDelete(k, v)
+		c.membership.HandleDelete(c.loop.Now(), k, v)
+		c.licencePools.Drop(k, v)
 		if k == operate.Key {
-			c.wished(nil, v)
+			c.applyDrainDocument(nil, v)
 		}
-		c.drains.Drop(k, v)
+		c.machineDrains.Drop(k, v)
 	}
-	c.mir.OnReset = c.resetKeys
-	c.mir.OnSynced = func() { c.roll.HandleSynced(); c.mem.HandleSynced(c.loop.Now()) }
+	c.watchCache.OnReset = c.resetKeys
+	c.watchCache.OnSynced = func() { c.rollout.HandleSynced(); c.membership.HandleSynced(c.loop.Now()) }
 	c.archive = s.Archive()
 	c.archived = c.newReader(c.archive.CacheEntries)
-	c.in = intake.New(intake.Env{
-		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.mir.Synced,
-		Counts: c.counts, Learned: c.learned, Guard: c.roll.LevelCondition, Fit: c.roll.Compatible, TxnOps: s.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: s.Params.Limits.Tasks(),
+	c.intake = intake.New(intake.Env{
+		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.watchCache.Synced,
+		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: s.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: s.Params.Limits.Tasks(),
 		MaxBytes: s.Params.Limits.QueueBytes(), MaxValue: s.Params.State.Limits().MaxValueBytes,
 	})
 	return c
@@ -190,26 +190,26 @@
 // share is this controller's part of the state service's rate.
 func (c *Controller) share(leading bool) store.Share {
 	part, burst := leaderPart, leaderBurst
-	if others := len(c.s.Peers); !leading && others > 0 {
+	if others := len(c.settings.Peers); !leading && others > 0 {
 		part, burst = (1-leaderPart)/float64(others), otherBurst
 	}
-	return store.Share{RPS: c.s.Params.State.RPS * part, WriteRPS: c.s.Params.State.WriteRPS * part, BurstS: burst}
+	return store.Share{RPS: c.settings.Params.State.RPS * part, WriteRPS: c.settings.Params.State.WriteRPS * part, BurstS: burst}
 }
 
 // Run listens and serves until the process is ended.
 func (c *Controller) Run() error {
-	public, err := net.Listen("tcp4", c.s.Public)
+	public, err := net.Listen("tcp4", c.settings.Public)
 	if err != nil {
 		return fmt.Errorf("setting \"public_addr\": %w", err)
 	}
-	back, err := net.Listen("tcp4", c.s.Back)
+	back, err := net.Listen("tcp4", c.settings.Back)
 	if err != nil {
 		return fmt.Errorf("setting \"back\": %w", err)
 	}
-	if t := c.s.Operator.TLS; t != nil && t.Peers {
-		back = tls.NewListener(back, c.s.Keys().Peers())
+	if t := c.settings.Operator.TLS; t != nil && t.Peers {
+		back = tls.NewListener(back, c.settings.Keys().Peers())
 	}
-	if addr := c.s.Operator.DebugAddr; addr != "" {
+	if addr := c.settings.Operator.DebugAddr; addr != "" {
 		if err := c.observe(addr); err != nil {
 			return err
 		}
@@ -217,10 +217,10 @@
 	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.hear(s) }) })
 	fail := make(chan error, 2)
 	routes := intake.Routes{
-		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.in, Up: c.up,
-		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.s.Params.Limits.Conns(), Crowded: c.s.Params.Limits.Crowded(), Users: c.s.Users(), Counter: &c.answers,
+		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.intake, Up: c.up,
+		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
 	}
-	if t := c.s.Operator.TLS; t != nil {
+	if t := c.settings.Operator.TLS; t != nil {
 		secure, err := net.Listen("tcp", t.Listen)
 		if err != nil {
 			return fmt.Errorf("setting \"tls.listen\": %w", err)
@@ -230,13 +230,13 @@
 		over.MaxConns, over.Crowded = max(1, routes.MaxConns/4), max(1, routes.Crowded/4)
 		routes.MaxConns, routes.Crowded = routes.MaxConns-over.MaxConns, max(1, routes.Crowded-over.Crowded)
 		routes.WorkersOnly = t.Plain == "workers"
-		go func() { fail <- intake.Serve(tls.NewListener(secure, c.s.Keys().Users()), over) }()
+		go func() { fail <- intake.Serve(tls.NewListener(secure, c.settings.Keys().Users()), over) }()
 	}
 	go func() { fail <- intake.Serve(public, routes) }()
 	go c.checkFiles(checkFilesEvery)
 	c.sayArchive()
-	slog.Info("serving", "node", c.s.Node, "public", c.s.Public, "hold_ms", c.s.Operator.HoldTTLMS,
-		"money_counts", c.s.MoneyCounts(), "objectives", len(c.s.Params.Objectives))
+	slog.Info("serving", "node", c.settings.Node, "public", c.settings.Public, "hold_ms", c.settings.Operator.HoldTTLMS,
+		"money_counts", c.settings.MoneyCounts(), "objectives", len(c.settings.Params.Objectives))
 	go c.loop.Run(TickEvery, c.tick)
 	return <-fail
 }
@@ -251,14 +251,14 @@
 			slog.Error("a file cannot be taken over: what was read before counts", "what", what, "cause", err)
 		}
 	}
-	if c.s.Keys() == nil && c.s.Users() == nil {
+	if c.settings.Keys() == nil && c.settings.Users() == nil {
 		return
 	}
 	for range time.Tick(every) {
-		if k := c.s.Keys(); k != nil {
+		if k := c.settings.Keys(); k != nil {
 			check("keys", k.Check)
 		}
-		if u := c.s.Users(); u != nil {
+		if u := c.settings.Users(); u != nil {
 			check("users", u.Check)
 		}
 	}
@@ -266,48 +266,48 @@
 
 // tick does what is due at a time.
 func (c *Controller) tick(now time.Duration) {
-	c.mir.Tick(now)
-	c.mem.Tick(now)
-	c.in.Tick(now)
+	c.watchCache.Tick(now)
+	c.membership.Tick(now)
+	c.intake.Tick(now)
 	c.learnTypes(now)
 	c.tell(now)
-	if c.life != Serving {
+	if c.lifecycle != Serving {
 		c.drain(now)
 	}
-	c.operate(now)
+	c.applyDrains(now)
 	c.rolled(now)
 	c.keepPace(now)
 	if c.fleet == nil {
 		return
 	}
-	auth := c.mem.HasAuthority(now)
+	auth := c.membership.HasAuthority(now)
 	if !auth && c.blind(now) {
-		c.mem.Resign(now, "the followed keys are too old")
+		c.membership.Resign(now, "the followed keys are too old")
 		return
 	}
-	if !c.fleet.Loaded() {
+	if !c.fleet.PlansLoaded() {
 		c.load(now)
 		return
 	}
-	if c.fleet.Stuck() {
-		c.mem.Resign(now, "writes without an outcome don't fit the state service's limits any more")
+	if c.fleet.WritesStuck() {
+		c.membership.Resign(now, "writes without an outcome don't fit the state service's limits any more")
 		return
 	}
 	if now >= c.summary {
 		c.summary = now + 30*time.Second
 		c.fleet.Summary(now)
 	}
-	if auth && !c.had {
-		c.steady = now
+	if auth && !c.hadAuthority {
+		c.authoritySince = now
 	}
-	c.had = auth
+	c.hadAuthority = auth
 	c.fleet.Tick(now, auth)
-	if auth && c.sess != nil {
-		c.sess.Tick(now)
+	if auth && c.sessions != nil {
+		c.sessions.Tick(now)
 	}
 	if auth {
 		c.askServers(now)
-		c.cap.Tick(now, c.steady)
+		c.capacity.Tick(now, c.authoritySince)
 		c.keepZones(now)
 		c.cutOff(now)
 		c.moveEnded(now)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -14,7 +14,7 @@
 	for n := 1; n <= 9; n++ {
 		s := &config.Settings{Peers: make([]config.Peer, n-1)}
 		s.Params.State = config.State{RPS: 120, WriteRPS: 30}
-		c := &Controller{s: s}
+		c := &Controller{settings: s}
 		rps, writes, burst := 0.0, 0.0, 0.0
 		for i := range n {
 			h := c.share(i == 0)
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Life is where a controller stands between its start and a planned end.
-type Life uint8
+// LifecycleState is where a controller stands between its start and a planned end.
+type LifecycleState uint8
 
 // The states of a life.
 //
@@ -18,14 +18,14 @@
 //	Parked    -> Serving   they want it back
 //	Parked    -> Ended     it is told to end
 const (
-	Serving Life = iota
+	Serving LifecycleState = iota
 	Flushing
-	Leaving
+	HandingOver
 	Ended
-	Parked
+	Drained
 )
 
-func (l Life) String() string {
+func (l LifecycleState) String() string {
 	return [...]string{"serving", "flushing", "leaving", "ended", "parked"}[l]
 }
 
@@ -33,9 +33,9 @@
 const (
 	flushFor = time.Second     // for open writes of a leader
 	leaveFor = 5 * time.Second // for answers, and until another leads
-	// calmFor is how long nothing must have been under way: a load balancer takes two failed
+	// quiescentFor is how long nothing must have been under way: a load balancer takes two failed
 	// health checks, a second apart, to stop sending users.
-	calmFor = 2 * time.Second
+	quiescentFor = 2 * time.Second
 )
 
 // Drain takes the controller out of service: it takes no new submissions, fails its health check,
@@ -47,38 +47,38 @@
 }
 
 func (c *Controller) startLeaving() {
-	c.parks = false
-	switch now := c.loop.Now(); c.life {
+	c.staysWhenDrained = false
+	switch now := c.loop.Now(); c.lifecycle {
 	case Serving:
 		c.startDrain(now, "told to drain")
-	case Parked:
+	case Drained:
 		c.turn(now, Ended, "it was drained before")
 	}
 }
 
 func (c *Controller) startDrain(now time.Duration, cause string) {
-	c.in.Drain()
+	c.intake.Drain()
 	if c.fleet == nil {
 		c.leave(now, cause)
 		return
 	}
-	c.fleet.Hold()
+	c.fleet.StopStarting()
 	c.turn(now, Flushing, cause)
 }
 
 // over ends a drain, or leaves the controller where operators want it.
 func (c *Controller) over(now time.Duration, cause string) {
-	if c.parks {
-		c.turn(now, Parked, cause)
+	if c.staysWhenDrained {
+		c.turn(now, Drained, cause)
 		return
 	}
 	c.turn(now, Ended, cause)
 }
 
 // turn is the only place where the life's state changes.
-func (c *Controller) turn(now time.Duration, to Life, cause string) {
-	slog.Info("drain", "from", c.life.String(), "to", to.String(), "cause", cause)
-	c.life, c.lifeAt = to, now
+func (c *Controller) turn(now time.Duration, to LifecycleState, cause string) {
+	slog.Info("drain", "from", c.lifecycle.String(), "to", to.String(), "cause", cause)
+	c.lifecycle, c.lifecycleSince = to, now
 	if to == Ended {
 		close(c.ended)
 	}
@@ -86,32 +86,32 @@
 
 // leave gives up the lead, or the hold of one that doesn't lead, so that nobody waits for it.
 func (c *Controller) leave(now time.Duration, cause string) {
-	c.turn(now, Leaving, cause)
-	c.mem.Withdraw(now)
-	c.calm = now
+	c.turn(now, HandingOver, cause)
+	c.membership.Withdraw(now)
+	c.quiescentSince = now
 }
 
 // drain goes on with a drain.
 func (c *Controller) drain(now time.Duration) {
-	switch c.life {
+	switch c.lifecycle {
 	case Flushing:
 		switch {
 		case c.fleet == nil:
 			c.leave(now, "the lead is lost")
-		case !c.fleet.Writing():
+		case !c.fleet.WriteInFlight():
 			c.leave(now, "all writes are settled")
-		case now-c.lifeAt > flushFor:
+		case now-c.lifecycleSince > flushFor:
 			c.leave(now, "a write is open: the next leader reads what stands")
 		}
-	case Leaving:
-		if c.in.Busy() {
-			c.calm = now
+	case HandingOver:
+		if c.intake.Busy() {
+			c.quiescentSince = now
 		}
-		led := c.mem.Leader().Node != "" && c.mem.Leader().Node != c.s.Node
+		led := c.membership.Leader().Node != "" && c.membership.Leader().Node != c.settings.Node
 		switch {
-		case now-c.calm > calmFor && (led || len(c.s.Peers) == 0):
+		case now-c.quiescentSince > quiescentFor && (led || len(c.settings.Peers) == 0):
 			c.over(now, "all is answered and another leads")
-		case now-c.lifeAt > leaveFor:
+		case now-c.lifecycleSince > leaveFor:
 			c.over(now, "it takes too long")
 		}
 	}
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -37,56 +37,56 @@
 	unknown map[string]time.Duration // since when a machine that is to be drained isn't known, by name
 }
 
-// desired is all that operators want, as far as it was followed.
-func (c *Controller) desired() operate.Desired {
-	return operate.Desired{Document: c.wishes, Drains: c.drains, OwnKeys: c.roll.Level() >= rollout.DrainKeys}
+// desiredDrains is all that operators want, as far as it was followed.
+func (c *Controller) desiredDrains() operate.Desired {
+	return operate.Desired{Document: c.drainDocument, Drains: c.machineDrains, OwnKeys: c.rollout.Level() >= rollout.DrainKeys}
 }
 
-// drainItem takes over the drain request of a machine.
-func (c *Controller) drainItem(it store.Item) {
-	if err := c.drains.Item(it.Key, it.Value, it.Version); err != nil {
-		c.roll.MarkUnreadable(it.Key, it.Value, err)
+// handleDrainRequest takes over the drain request of a machine.
+func (c *Controller) handleDrainRequest(it store.Item) {
+	if err := c.machineDrains.Item(it.Key, it.Value, it.Version); err != nil {
+		c.rollout.MarkUnreadable(it.Key, it.Value, err)
 		return
 	}
-	c.roll.MarkReadable(it.Key)
+	c.rollout.MarkReadable(it.Key)
 }
 
 // drainMachines has the fleet drain what operators want drained, and keeps the requests.
 func (c *Controller) drainMachines(now time.Duration) {
-	want := c.desired()
-	if c.fleet == nil || !c.fleet.Loaded() || (!want.AnyMachine() && !c.fleet.AnyDrained()) {
+	want := c.desiredDrains()
+	if c.fleet == nil || !c.fleet.PlansLoaded() || (!want.AnyMachine() && !c.fleet.HasDrains()) {
 		return
 	}
-	c.fleet.Drained(now, func(machine string) (on, stop bool, by string) {
+	c.fleet.ApplyDrains(now, func(machine string) (on, stop bool, by string) {
 		m, ok := want.Machine(machine)
 		return ok, m.Stop, m.By
 	})
-	if c.upkeep.busy || !c.mem.HasAuthority(now) {
+	if c.drainUpkeep.busy || !c.membership.HasAuthority(now) {
 		return
 	}
 	if c.moveDrains(now, want) {
 		return
 	}
-	if now-c.upkeep.sweptAt >= sweepEvery {
-		c.upkeep.sweptAt = now
+	if now-c.drainUpkeep.sweptAt >= sweepEvery {
+		c.drainUpkeep.sweptAt = now
 		c.sweepDrains(now, want)
 	}
 }
 
 // drainsLeft is how many drain requests stand in the document that belong under keys of their own.
 func (c *Controller) drainsLeft() int {
-	if c.roll.Level() < rollout.DrainKeys {
+	if c.rollout.Level() < rollout.DrainKeys {
 		return 0
 	}
-	return len(c.wishes.Machines)
+	return len(c.drainDocument.Machines)
 }
 
 // moveDrains takes the next step that moves requests out of the document, if one is due, and tells whether it did.
 func (c *Controller) moveDrains(now time.Duration, want operate.Desired) bool {
-	if now-c.upkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
+	if now-c.drainUpkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
 		return false
 	}
-	c.upkeep.movedAt = now
+	c.drainUpkeep.movedAt = now
 	most := c.spareDrains()
 	move, due := want.NextMove(most, c.store.Limits().MaxValueBytes, c.machineGone)
 	if !due || most == 0 {
@@ -100,7 +100,7 @@
 	if len(t.Then) == 0 {
 		t.Then = []store.Op{documentOp(move.Document)}
 	}
-	c.keepDrains(t)
+	c.writeDrains(t)
 	return true
 }
 
@@ -115,56 +115,56 @@
 
 // sweepDrains deletes the requests of machines that are gone.
 func (c *Controller) sweepDrains(now time.Duration, want operate.Desired) {
-	c.notUnknown(now, want)
+	c.trackUnknownMachines(now, want)
 	if !want.OwnKeys {
-		if w, any := c.wishes.Without(c.machineGone); any {
-			c.keepDrains(store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(w)}})
+		if w, any := c.drainDocument.Without(c.machineGone); any {
+			c.writeDrains(store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(w)}})
 		}
 		return
 	}
-	t := store.Txn{If: []store.Condition{c.roll.LevelCondition()}}
+	t := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
 	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
-		s, _ := c.drains.Of(name)
+		s, _ := c.machineDrains.Of(name)
 		t.If = append(t.If, store.Condition{Key: operate.DrainKey(name), Version: s.Version})
 		t.Then = append(t.Then, store.Op{Delete: operate.DrainKey(name)})
 	}
 	if len(t.Then) > 0 {
-		c.keepDrains(t)
+		c.writeDrains(t)
 	}
 }
 
-// notUnknown notes which machines that are to be drained the leader doesn't know, and since when.
-func (c *Controller) notUnknown(now time.Duration, want operate.Desired) {
-	was := c.upkeep.unknown
-	c.upkeep.unknown = map[string]time.Duration{}
+// trackUnknownMachines notes which machines that are to be drained the leader doesn't know, and since when.
+func (c *Controller) trackUnknownMachines(now time.Duration, want operate.Desired) {
+	was := c.drainUpkeep.unknown
+	c.drainUpkeep.unknown = map[string]time.Duration{}
 	for name := range want.Machines() {
-		if c.fleet.Find(name) != nil {
+		if c.fleet.FindMachine(name) != nil {
 			continue
 		}
 		since, ok := was[name]
 		if !ok {
 			since = now
 		}
-		c.upkeep.unknown[name] = since
+		c.drainUpkeep.unknown[name] = since
 	}
 }
 
 // machineGone tells whether a machine's drain request means nothing any more.
 func (c *Controller) machineGone(name string) bool {
-	if m := c.fleet.Find(name); m != nil {
-		return m.Condition == fleet.Gone
+	if m := c.fleet.FindMachine(name); m != nil {
+		return m.Condition == fleet.Terminated
 	}
-	since, ok := c.upkeep.unknown[name]
+	since, ok := c.drainUpkeep.unknown[name]
 	return ok && c.loop.Now()-since >= forgetUnknown
 }
 
-// keepDrains sends a transaction that nobody waits for.
-func (c *Controller) keepDrains(t store.Txn) {
-	c.upkeep.busy = true
+// writeDrains sends a transaction that nobody waits for.
+func (c *Controller) writeDrains(t store.Txn) {
+	c.drainUpkeep.busy = true
 	c.commit(t, store.BulkPriority, func(r store.Result) {
-		c.upkeep.busy = false
+		c.drainUpkeep.busy = false
 		if r.Outcome == store.Committed {
-			c.operatorsWrote(t, r.Revision)
+			c.confirmDrainWrite(t, r.Revision)
 		} else {
 			slog.Info("drain requests not kept", "outcome", r.Outcome.String(), "failed", r.FailedKeys)
 		}
@@ -174,7 +174,7 @@
 // documentConds are what a write that was decided by the document depends on: its version, and the level, which says
 // where requests belong.
 func (c *Controller) documentConds() []store.Condition {
-	return []store.Condition{c.roll.LevelCondition(), {Key: operate.Key, Version: c.wishesVer}}
+	return []store.Condition{c.rollout.LevelCondition(), {Key: operate.Key, Version: c.drainDocumentVersion}}
 }
 
 func documentOp(w operate.Wishes) store.Op {
@@ -182,8 +182,8 @@
 	return store.Op{Put: operate.Key, Value: raw}
 }
 
-// writeChange writes what a command changes, in one transaction of at most two changes.
-func (c *Controller) writeChange(ch operate.Change, done func(store.Result)) {
+// writeDrainChange writes what a command changes, in one transaction of at most two changes.
+func (c *Controller) writeDrainChange(ch operate.Change, done func(store.Result)) {
 	t := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
 	if ch.Machine != "" {
 		key := operate.DrainKey(ch.Machine)
@@ -197,25 +197,25 @@
 	}
 	c.commit(t, store.NormalPriority, func(r store.Result) {
 		if r.Outcome == store.Committed {
-			c.operatorsWrote(t, r.Revision)
+			c.confirmDrainWrite(t, r.Revision)
 		}
 		done(r)
 	})
 }
 
-// operatorsWrote takes over an own write, unless the followed keys have shown it already.
-func (c *Controller) operatorsWrote(t store.Txn, revision uint64) {
-	if revision <= c.mir.Revision() {
+// confirmDrainWrite takes over an own write, unless the followed keys have shown it already.
+func (c *Controller) confirmDrainWrite(t store.Txn, revision uint64) {
+	if revision <= c.watchCache.Revision() {
 		return
 	}
 	for _, o := range t.Then {
 		switch {
 		case o.Put == operate.Key:
-			c.wished(o.Value, revision)
+			c.applyDrainDocument(o.Value, revision)
 		case o.Put != "":
-			c.drainItem(store.Item{Key: o.Put, Value: o.Value, Version: revision})
+			c.handleDrainRequest(store.Item{Key: o.Put, Value: o.Value, Version: revision})
 		default:
-			c.drains.Deleted(o.Delete, revision)
+			c.machineDrains.Deleted(o.Delete, revision)
 		}
 	}
 }
@@ -226,15 +226,15 @@
 // drainStatus is what operators are told of machines that are being drained: those after a name, and how many there
 // are in all.
 func (c *Controller) drainStatus(after string) (shown []MachineStatus, total int) {
-	all := c.desired().Machines()
+	all := c.desiredDrains().Machines()
 	shown = []MachineStatus{}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
 		if strings.Compare(name, after) <= 0 || len(shown) == shownDrains {
 			continue
 		}
 		v := MachineStatus{Machine: name, State: "unknown", By: all[name].By}
-		if m := c.fleet.Find(name); m != nil {
-			v.State, v.Tasks = m.Condition.String(), len(m.On)
+		if m := c.fleet.FindMachine(name); m != nil {
+			v.State, v.Tasks = m.Condition.String(), len(m.Tasks)
 		}
 		shown = append(shown, v)
 	}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -15,8 +15,8 @@
 // keptEvents bounds the events a leader keeps: some 70 bytes each, by the memory it may use.
 func keptEvents(memoryMB float64) int { return max(256, min(16384, int(memoryMB*32))) }
 
-// Happened is one event as it is told.
-type Happened struct {
+// EventView is one event as it is told.
+type EventView struct {
 	Seq     uint64  `json:"seq"`
 	AgeS    float64 `json:"age_s"`
 	Kind    string  `json:"event"`
@@ -28,21 +28,21 @@
 	Saved   bool    `json:"saved,omitempty"`
 }
 
-// Happenings is a page of events. First is the oldest that is kept, Next where to go on: both count
+// EventPage is a page of events. First is the oldest that is kept, Next where to go on: both count
 // within the term.
-type Happenings struct {
-	Term   uint64     `json:"term"`
-	First  uint64     `json:"first"`
-	Next   uint64     `json:"next"`
-	Events []Happened `json:"events"`
-	More   bool       `json:"has_next"`
+type EventPage struct {
+	Term   uint64      `json:"term"`
+	First  uint64      `json:"first"`
+	Next   uint64      `json:"next"`
+	Events []EventView `json:"events"`
+	More   bool        `json:"has_next"`
 }
 
 // EventFields are the fields of a filter over events.
 var EventFields = query.Fields{"event": query.Text, "id": query.Text, "machine": query.Text, "note": query.Text, "task": query.Number, "age_s": query.Number}
 
 // Text implements query.Row.
-func (h *Happened) Text(field string) string {
+func (h *EventView) Text(field string) string {
 	switch field {
 	case "event":
 		return h.Kind
@@ -55,7 +55,7 @@
 }
 
 // Number implements query.Row.
-func (h *Happened) Number(field string) float64 {
+func (h *EventView) Number(field string) float64 {
 	switch {
 	case field == "age_s":
 		return h.AgeS
@@ -70,7 +70,7 @@
 
 // eventsCall tells what happened from a number on: TERM-SEQ, from an earlier answer. A number of
 // another term is void: everything this leader has kept is told.
-func (c *Controller) eventsCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) eventsCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	f, ok := whereOf(q, EventFields, reply)
 	if !ok {
 		return
@@ -80,7 +80,7 @@
 		reply(intake.Refuse(429, "too many lists"))
 		return
 	}
-	out := Happenings{Term: c.mem.Term(), First: c.fleet.Events.First(), Events: []Happened{}}
+	out := EventPage{Term: c.membership.Term(), First: c.fleet.Events.First(), Events: []EventView{}}
 	from := out.First
 	if term, seq, ok := strings.Cut(q.Query["since"], "-"); ok && term == fmt.Sprint(out.Term) {
 		if n, err := strconv.ParseUint(seq, 10, 64); err == nil {
@@ -113,8 +113,8 @@
 // one, of which only the answer is kept.
 const notKept = "no such job here: it was never accepted, or has ended and was archived; `job get` tells which"
 
-func (c *Controller) happened(now time.Duration, e *events.Event) Happened {
-	h := Happened{Seq: e.Seq, AgeS: math.Round((now-e.At).Seconds()*1000) / 1000, Kind: e.Kind.String(), Attempt: e.Attempt, Note: e.Note, Saved: e.Saved}
+func (c *Controller) happened(now time.Duration, e *events.Event) EventView {
+	h := EventView{Seq: e.Seq, AgeS: math.Round((now-e.At).Seconds()*1000) / 1000, Kind: e.Kind.String(), Attempt: e.Attempt, Note: e.Note, Saved: e.Saved}
 	if e.Job != "" {
 		h.Job = e.Job
 		if e.Task != events.None {
--- a/internal/controller/leadercalls.go
+++ b/internal/controller/leadercalls.go
@@ -8,17 +8,17 @@
 )
 
 // leaderCalls are the requests that only the leader can answer.
-func (c *Controller) leaderCalls() *intake.Leader {
-	return &intake.Leader{Token: c.s.Operator.Token, Answer: c.leaderCall, Licences: len(c.pools.Pools()) > 0, Sessions: c.s.Sessions().On}
+func (c *Controller) leaderCalls() *intake.LeaderAPI {
+	return &intake.LeaderAPI{Token: c.settings.Operator.Token, Answer: c.leaderCall, Licences: len(c.licencePools.Pools()) > 0, Sessions: c.settings.Sessions().On}
 }
 
 // leaderCall answers such a request, or says who leads.
-func (c *Controller) leaderCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) leaderCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	switch {
-	case q.What == "rollout" && q.Verb == "show" && (!c.roll.Compatible() || c.mem.Leader().Node == ""):
+	case q.Resource == "rollout" && q.Verb == "show" && (!c.rollout.Compatible() || c.membership.Leader().Node == ""):
 		c.rolloutShow(now, reply) // what it knows itself: it may be what is in the way
-	case c.mem.State() != membership.Leading || c.fleet == nil:
-		l := c.mem.Leader()
+	case c.membership.State() != membership.Leading || c.fleet == nil:
+		l := c.membership.Leader()
 		if l.Node == "" {
 			reply(intake.Refuse(503, "no controller leads"))
 			return
@@ -28,21 +28,21 @@
 			Leader string `json:"leader"`
 			Secure string `json:"leader_tls,omitempty"`
 		}{"only the leader knows", l.Public, l.Secure}})
-	case !c.mem.HasAuthority(now) || !c.fleet.Loaded():
+	case !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded():
 		reply(intake.Refuse(503, "the leader may not act now"))
-	case q.What == "rollout":
+	case q.Resource == "rollout":
 		c.rolloutCall(now, q, reply)
-	case q.What == "zones":
+	case q.Resource == "zones":
 		c.zoneCall(now, q, reply)
-	case q.What == "why":
+	case q.Resource == "why":
 		c.whyCall(now, q, reply)
-	case q.What == "events":
+	case q.Resource == "events":
 		c.eventsCall(now, q, reply)
-	case q.What == "list":
+	case q.Resource == "list":
 		c.listCall(now, q, reply)
-	case q.What == "admin":
+	case q.Resource == "admin":
 		c.adminCall(now, q, reply)
-	case q.What == "licences":
+	case q.Resource == "licences":
 		c.licenceCall(now, q, reply)
 	default:
 		c.sessionCall(now, q, reply)
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -20,11 +20,11 @@
 // askServers asks the licence servers that are due.
 func (c *Controller) askServers(now time.Duration) {
 	f := c.fleet
-	if f.Gate.Seats.None() {
+	if f.Gate.Licences.None() {
 		return
 	}
-	for _, p := range f.Gate.Seats.Due(now) {
-		c.seats.Send(p.Server, httpio.Request{Method: "GET", Path: "/v1/pools/" + url.PathEscape(p.Name), Timeout: licences.AskTimeout}, func(r httpio.Response) {
+	for _, p := range f.Gate.Licences.Due(now) {
+		c.licenceSender.Send(p.Server, httpio.Request{Method: "GET", Path: "/v1/pools/" + url.PathEscape(p.Name), Timeout: licences.AskTimeout}, func(r httpio.Response) {
 			if c.fleet != f {
 				return
 			}
@@ -38,18 +38,18 @@
 			}
 			if err != nil {
 				slog.Debug("licence server asked in vain", "pool", p.Name, "cause", err)
-				f.Gate.Seats.Failed(at, p.Name)
+				f.Gate.Licences.Failed(at, p.Name)
 				return
 			}
-			f.Gate.Seats.Answered(at, now, p.Name, ans, f.Seated)
+			f.Gate.Licences.Answered(at, now, p.Name, ans, f.LicenceHolder)
 		})
 	}
 }
 
 // counted takes over a count that was set.
 func (c *Controller) counted(it store.Item) {
-	if err := c.pools.Item(it.Key, it.Value, it.Version); err != nil {
-		c.roll.MarkUnreadable(it.Key, it.Value, err)
+	if err := c.licencePools.Item(it.Key, it.Value, it.Version); err != nil {
+		c.rollout.MarkUnreadable(it.Key, it.Value, err)
 	}
 }
 
@@ -63,17 +63,17 @@
 }
 
 // licenceCall answers an operator's request about pools: all of them, one, or a new count.
-func (c *Controller) licenceCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
-	show := func(ix int32) licences.View { return c.fleet.Gate.Seats.Show(now, ix, c.jobs.Names.Teams.Name) }
+func (c *Controller) licenceCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
+	show := func(ix int32) licences.View { return c.fleet.Gate.Licences.Show(now, ix, c.jobs.Names.Teams.Name) }
 	if q.Name == "" {
 		all := []licences.View{}
-		for ix := range c.pools.Pools() {
+		for ix := range c.licencePools.Pools() {
 			all = append(all, show(int32(ix)))
 		}
 		reply(intake.Reply{Status: 200, Body: all})
 		return
 	}
-	ix, ok := c.pools.Index(q.Name)
+	ix, ok := c.licencePools.Index(q.Name)
 	switch {
 	case !ok:
 		reply(intake.Refuse(404, fmt.Sprintf("no licence pool %q is declared", q.Name)))
@@ -103,12 +103,12 @@
 		reply(intake.Refuse(400, "by is longer than 100 characters"))
 		return
 	}
-	stamp, by := c.pools.Stamp(ix)
+	stamp, by := c.licencePools.Stamp(ix)
 	if s.Version != nil && *s.Version != stamp {
 		reply(intake.Reply{Status: 409, Body: conflict(by, show())})
 		return
 	}
-	key := licences.Key(c.pools.Pools()[ix].Name)
+	key := licences.Key(c.licencePools.Pools()[ix].Name)
 	op := store.Op{Delete: key}
 	if !s.Reset {
 		raw, _ := json.Marshal(licences.Set{Count: *s.Count, Lower: s.Lower, By: s.By, AtMS: c.jobs.WallMS(now)})
@@ -118,15 +118,15 @@
 		return
 	}
 	f := c.fleet
-	c.store.Txn(store.Txn{If: []store.Condition{c.mem.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(r store.Result) {
+	c.store.Txn(store.Txn{If: []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(r store.Result) {
 		switch {
 		case r.Outcome == store.Committed && c.fleet == f:
 			if s.Reset {
-				c.pools.Drop(key, r.Revision)
+				c.licencePools.Drop(key, r.Revision)
 			} else {
 				c.counted(store.Item{Key: key, Value: op.Value, Version: r.Revision})
 			}
-			slog.Info("licences counted anew", "pool", c.pools.Pools()[ix].Name, "count", c.pools.Count(ix), "by", s.By, "on_lower", c.pools.Lowering(ix))
+			slog.Info("licences counted anew", "pool", c.licencePools.Pools()[ix].Name, "count", c.licencePools.Count(ix), "by", s.By, "on_lower", c.licencePools.Lowering(ix))
 			reply(intake.Reply{Status: 200, Body: show()})
 		case r.Outcome == store.Conflict && c.fleet == f:
 			reply(intake.Reply{Status: 409, Body: conflict("another command", show())})
@@ -147,7 +147,7 @@
 }
 
 // fitsPools tells whether a job's tasks can ever have their seats.
-func (c *Controller) fitsPools(of map[string]int, team string, n int) intake.Verdict {
-	ok, why := c.pools.Ever(of, team, n)
-	return intake.Verdict{OK: ok, Known: true, Open: !ok, Why: why}
+func (c *Controller) fitsPools(of map[string]int, team string, n int) intake.AdmissionResult {
+	ok, why := c.licencePools.Ever(of, team, n)
+	return intake.AdmissionResult{OK: ok, Known: true, Open: !ok, Why: why}
 }
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -11,8 +11,8 @@
 	"github.com/harewalk/harewalk/internal/query"
 )
 
-// Listed is one job in a list.
-type Listed struct {
+// JobSummary is one job in a list.
+type JobSummary struct {
 	ID       string  `json:"name_id"`
 	Stance   string  `json:"stance"`
 	Class    string  `json:"breed,omitempty"`
@@ -26,10 +26,10 @@
 	AgeS     float64 `json:"age_s"`
 }
 
-// List is a page of jobs, by id. More tells that others follow after the last.
-type List struct {
-	Jobs []Listed `json:"jobs"`
-	More bool     `json:"has_next"`
+// JobPage is a page of jobs, by id. More tells that others follow after the last.
+type JobPage struct {
+	Jobs []JobSummary `json:"jobs"`
+	More bool         `json:"has_next"`
 }
 
 // ListFields are the fields of a filter over jobs.
@@ -39,7 +39,7 @@
 }
 
 // Text implements query.Row.
-func (l *Listed) Text(field string) string {
+func (l *JobSummary) Text(field string) string {
 	switch field {
 	case "id":
 		return l.ID
@@ -56,7 +56,7 @@
 }
 
 // Number implements query.Row.
-func (l *Listed) Number(field string) float64 {
+func (l *JobSummary) Number(field string) float64 {
 	switch field {
 	case "tasks":
 		return float64(l.Tasks)
@@ -74,7 +74,7 @@
 const listEvery = 100 * time.Millisecond
 
 // whereOf reads a request's filter; ok is false if it is none, and that was answered.
-func whereOf(q intake.Call, fields query.Fields, reply func(intake.Reply)) (f query.Filter, ok bool) {
+func whereOf(q intake.LeaderRequest, fields query.Fields, reply func(intake.Reply)) (f query.Filter, ok bool) {
 	f, err := query.Parse(q.Query["where"], fields)
 	if err != nil {
 		reply(intake.Refuse(400, "where: "+err.Error()))
@@ -96,7 +96,7 @@
 const pageSize = 200
 
 // listCall lists jobs that match a filter, by id after the one named, a page at a time.
-func (c *Controller) listCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) listCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	f, ok := whereOf(q, ListFields, reply)
 	if !ok {
 		return
@@ -109,7 +109,7 @@
 	if n, err := strconv.Atoi(q.Query["limit"]); err == nil && n > 0 {
 		size = min(n, pageSize)
 	}
-	var found []Listed
+	var found []JobSummary
 	after := q.Query["since"]
 	c.jobs.ForEach(func(j *jobs.Job) {
 		if j.ID > after {
@@ -118,13 +118,13 @@
 			}
 		}
 	})
-	slices.SortFunc(found, func(a, b Listed) int { return strings.Compare(a.ID, b.ID) })
-	out := append([]Listed{}, found[:min(size, len(found))]...)
-	reply(intake.Reply{Status: 200, Body: List{Jobs: out, More: len(found) > size}})
+	slices.SortFunc(found, func(a, b JobSummary) int { return strings.Compare(a.ID, b.ID) })
+	out := append([]JobSummary{}, found[:min(size, len(found))]...)
+	reply(intake.Reply{Status: 200, Body: JobPage{Jobs: out, More: len(found) > size}})
 }
 
-func (c *Controller) listed(now time.Duration, j *jobs.Job) Listed {
-	l := Listed{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Done: j.FinishedTasks}
+func (c *Controller) listed(now time.Duration, j *jobs.Job) JobSummary {
+	l := JobSummary{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Done: j.FinishedTasks}
 	if s := j.Spec; s != nil {
 		l.Class, l.Team, l.Kind, l.Priority = s.Class, s.Team, string(s.Kind), s.Priority
 		l.AgeS = max(0, (now - j.SubmittedAt).Seconds())
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -97,8 +97,8 @@
 func (c *Controller) figures(now, asked time.Duration) (ms []metric) {
 	add := func(d *prometheus.Desc, v float64, labels ...string) { ms = append(ms, metric{d, v, labels}) }
 	add(upDesc, one(c.up()))
-	add(leadingDesc, one(c.mem.State() == membership.Leading && c.mem.HasAuthority(now)))
-	add(termDesc, float64(c.mem.Leader().Term))
+	add(leadingDesc, one(c.membership.State() == membership.Leading && c.membership.HasAuthority(now)))
+	add(termDesc, float64(c.membership.Leader().Term))
 	add(stateDesc, (now - c.store.LastSuccess()).Seconds())
 	add(lagDesc, (now - asked).Seconds())
 	add(jobsDesc, float64(c.liveJobs()))
@@ -110,17 +110,17 @@
 	add(refusedDesc, float64(rate), "rate")
 	add(knownDesc, float64(c.jobs.Len()))
 	add(cachedDesc, float64(c.archived.CacheLen()))
-	add(levelDesc, float64(c.roll.Level()), "cluster")
-	add(levelDesc, float64(c.roll.MaxLevel()), "known")
+	add(levelDesc, float64(c.rollout.Level()), "cluster")
+	add(levelDesc, float64(c.rollout.MaxLevel()), "known")
 	for s := rollout.Loading; s <= rollout.Incompatible; s++ {
-		add(rolloutDesc, one(s == c.roll.State()), s.String())
+		add(rolloutDesc, one(s == c.rollout.State()), s.String())
 	}
-	add(unreadDesc, float64(c.roll.UnreadableCount()))
-	if c.fleet == nil || !c.fleet.Loaded() {
+	add(unreadDesc, float64(c.rollout.UnreadableCount()))
+	if c.fleet == nil || !c.fleet.PlansLoaded() {
 		return ms
 	}
-	if c.roll.State() == rollout.Migrating {
-		add(movingDesc, float64(c.fleet.OldPlans()))
+	if c.rollout.State() == rollout.Migrating {
+		add(movingDesc, float64(c.fleet.UnmigratedPlans()))
 	}
 	add(archivedDesc, float64(c.mover.Stats.Moved))
 	tasks := map[jobs.TaskState]int{}
@@ -136,26 +136,26 @@
 	var cores, coresUsed, gpus, gpusUsed float64
 	for _, m := range c.fleet.Machines() {
 		machines[m.Condition]++
-		if m.Condition == fleet.Acting {
-			cores, gpus = cores+m.Size.CPUs, gpus+m.Size.GPUs
-			coresUsed, gpusUsed = coresUsed+m.Use.CPUs, gpusUsed+m.Use.GPUs
+		if m.Condition == fleet.Ready {
+			cores, gpus = cores+m.Capacity.CPUs, gpus+m.Capacity.GPUs
+			coresUsed, gpusUsed = coresUsed+m.Used.CPUs, gpusUsed+m.Used.GPUs
 		}
 	}
-	for k := fleet.Known; k <= fleet.Gone; k++ {
+	for k := fleet.Registered; k <= fleet.Terminated; k++ {
 		add(machinesDesc, float64(machines[k]), k.String())
 	}
 	add(coresDesc, cores, "there")
 	add(coresDesc, coresUsed, "used")
 	add(gpusDesc, gpus, "there")
 	add(gpusDesc, gpusUsed, "used")
-	for ix, p := range c.pools.Pools() {
-		v := c.fleet.Gate.Seats.Show(now, int32(ix), c.jobs.Names.Teams.Name)
+	for ix, p := range c.licencePools.Pools() {
+		v := c.fleet.Gate.Licences.Show(now, int32(ix), c.jobs.Names.Teams.Name)
 		for what, n := range map[string]int{"count": v.Count, "held": v.Held + v.Booked, "lingering": v.Lingering, "others": v.Others, "free": v.Free} {
 			add(seatsDesc, float64(n), p.Name, what)
 		}
 	}
-	if c.sess != nil {
-		for state, n := range c.sess.Count() {
+	if c.sessions != nil {
+		for state, n := range c.sessions.Count() {
 			add(sessionsDesc, float64(n), state)
 		}
 	}
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -14,34 +14,34 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// wished takes over the operators' document; an older version is ignored, raw nil: it was dropped.
-func (c *Controller) wished(raw json.RawMessage, version uint64) {
-	if version <= c.wishesVer {
+// applyDrainDocument takes over the operators' document; an older version is ignored, raw nil: it was dropped.
+func (c *Controller) applyDrainDocument(raw json.RawMessage, version uint64) {
+	if version <= c.drainDocumentVersion {
 		return
 	}
 	w := operate.Wishes{}
 	if raw != nil {
 		var err error
 		if w, err = operate.Parse(raw); err != nil {
-			c.roll.MarkUnreadable(operate.Key, raw, err)
+			c.rollout.MarkUnreadable(operate.Key, raw, err)
 			return
 		}
 	}
-	c.wishes, c.wishesVer = w, version
+	c.drainDocument, c.drainDocumentVersion = w, version
 }
 
-// operate does what operators want: this controller drains or serves again; a leader drains
+// applyDrains does what operators want: this controller drains or serves again; a leader drains
 // machines and forgets the marks of those that are gone.
-func (c *Controller) operate(now time.Duration) {
-	_, drained := c.wishes.Nodes[c.s.Node]
+func (c *Controller) applyDrains(now time.Duration) {
+	_, drained := c.drainDocument.Nodes[c.settings.Node]
 	switch {
-	case drained && c.life == Serving:
-		c.parks = true
+	case drained && c.lifecycle == Serving:
+		c.staysWhenDrained = true
 		c.startDrain(now, "operators want it drained")
-	case !drained && c.life == Parked:
-		c.parks = false
-		c.in.Resume()
-		c.mem.Rejoin(now)
+	case !drained && c.lifecycle == Drained:
+		c.staysWhenDrained = false
+		c.intake.Resume()
+		c.membership.Rejoin(now)
 		c.turn(now, Serving, "operators want it back")
 	}
 	c.drainMachines(now)
@@ -83,17 +83,20 @@
 	By      string `json:"by,omitempty"`
 }
 
-// heardFor is how long a controller's last status counts as its being alive.
-const heardFor = 3 * time.Second
+// peerStatusTTL is how long a controller's last status counts as its being alive.
+const peerStatusTTL = 3 * time.Second
 
 func (c *Controller) cluster(now time.Duration) operate.Cluster {
 	k := operate.Cluster{
-		Nodes: []string{c.s.Node}, Alive: []string{c.s.Node},
-		Machine: func(name string) bool { m := c.fleet.Find(name); return m != nil && m.Condition != fleet.Gone },
+		Nodes: []string{c.settings.Node}, Alive: []string{c.settings.Node},
+		Machine: func(name string) bool {
+			m := c.fleet.FindMachine(name)
+			return m != nil && m.Condition != fleet.Terminated
+		},
 	}
-	for _, p := range c.s.Peers {
+	for _, p := range c.settings.Peers {
 		k.Nodes = append(k.Nodes, p.Node)
-		if h, ok := c.status[p.Node]; ok && now-h.at < heardFor && h.StateOK {
+		if h, ok := c.peerStatus[p.Node]; ok && now-h.at < peerStatusTTL && h.StateOK {
 			k.Alive = append(k.Alive, p.Node)
 		}
 	}
@@ -102,7 +105,7 @@
 }
 
 // adminCall answers an operator: the cluster's status, or a command.
-func (c *Controller) adminCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) adminCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	if q.Verb == "show" {
 		reply(intake.Reply{Status: 200, Body: c.adminStatus(now, q.Query["since"])})
 		return
@@ -115,12 +118,12 @@
 	lost := func(by string) {
 		reply(intake.Refuse(409, fmt.Sprintf("something was changed meanwhile (%s): look at the status, and give the command again if it is still right", by)))
 	}
-	if cmd.Revision != nil && *cmd.Revision != c.wishesVer {
-		lost(c.wishes.Last)
+	if cmd.Revision != nil && *cmd.Revision != c.drainDocumentVersion {
+		lost(c.drainDocument.Last)
 		return
 	}
 	cmd.AtMS = c.jobs.WallMS(now)
-	next, err := c.desired().Apply(cmd, c.cluster(now))
+	next, err := c.desiredDrains().Apply(cmd, c.cluster(now))
 	switch {
 	case errors.Is(err, operate.ErrMalformed):
 		reply(intake.Refuse(400, err.Error()))
@@ -133,7 +136,7 @@
 		return
 	}
 	f := c.fleet
-	c.writeChange(next, func(r store.Result) {
+	c.writeDrainChange(next, func(r store.Result) {
 		switch {
 		case c.fleet != f:
 			reply(intake.Refuse(503, "the lead was lost: look at the status before giving the command again"))
@@ -150,13 +153,13 @@
 
 func (c *Controller) adminStatus(now time.Duration, after string) Status {
 	s := Status{
-		Revision: c.wishesVer, Last: c.wishes.Last, Term: c.mem.Term(), Machines: map[string]int{},
-		MaxMachines: c.s.Operator.MaxMachines, MachinesBound: string(c.s.Operator.MachinesBound), Full: c.cap.Full(),
+		Revision: c.drainDocumentVersion, Last: c.drainDocument.Last, Term: c.membership.Term(), Machines: map[string]int{},
+		MaxMachines: c.settings.Operator.MaxMachines, MachinesBound: string(c.settings.Operator.MachinesBound), Full: c.capacity.Full(),
 	}
 	k := c.cluster(now)
 	for _, n := range k.Nodes {
-		m, drained := c.wishes.Nodes[n]
-		s.Nodes = append(s.Nodes, NodeStatus{Node: n, Leads: n == c.s.Node, Alive: slices.Contains(k.Alive, n), Drained: drained, By: m.By})
+		m, drained := c.drainDocument.Nodes[n]
+		s.Nodes = append(s.Nodes, NodeStatus{Node: n, Leads: n == c.settings.Node, Alive: slices.Contains(k.Alive, n), Drained: drained, By: m.By})
 	}
 	for _, m := range c.fleet.Machines() {
 		s.Machines[m.Condition.String()]++
--- a/internal/controller/outside.go
+++ b/internal/controller/outside.go
@@ -17,8 +17,8 @@
 // link carries statuses to one other controller, without waiting.
 type link interface{ Send(raw []byte) }
 
-// Outside is all that a controller has of the world: its clocks, its randomness and its ways out.
-type Outside struct {
+// Environment is all that a controller has of the world: its clocks, its randomness and its ways out.
+type Environment struct {
 	// Now is a steady clock, EpochMS what the clock on the wall said when it stood at 0.
 	Now     func() time.Duration
 	EpochMS int64
@@ -32,7 +32,7 @@
 type Simulated struct{ c *Controller }
 
 // Simulate makes a controller whose statuses go to the links.
-func Simulate(s *config.Settings, o Outside, links ...func(raw []byte)) *Simulated {
+func Simulate(s *config.Settings, o Environment, links ...func(raw []byte)) *Simulated {
 	c := build(s, o)
 	for _, l := range links {
 		c.links = append(c.links, sendFunc(l))
@@ -58,18 +58,20 @@
 }
 
 // Leads tells whether it leads and may act.
-func (s *Simulated) Leads() bool { return s.c.fleet != nil && s.c.mem.HasAuthority(s.c.loop.Now()) }
+func (s *Simulated) Leads() bool {
+	return s.c.fleet != nil && s.c.membership.HasAuthority(s.c.loop.Now())
+}
 
 // Step is where it stands between arriving and leading.
-func (s *Simulated) Step() string { return s.c.mem.State().String() }
+func (s *Simulated) Step() string { return s.c.membership.State().String() }
 
 // Acts tells whether it gives a machine work.
 func (s *Simulated) Acts(machine string) bool {
 	if s.c.fleet == nil {
 		return false
 	}
-	m := s.c.fleet.Find(machine)
-	return m != nil && m.Condition == fleet.Acting
+	m := s.c.fleet.FindMachine(machine)
+	return m != nil && m.Condition == fleet.Ready
 }
 
 // Hears tells whether it gives a machine work by the report of a session at a sequence, or a later one.
@@ -77,7 +79,7 @@
 	if !s.Acts(machine) {
 		return false
 	}
-	m := s.c.fleet.Find(machine)
+	m := s.c.fleet.FindMachine(machine)
 	return m.Session == session && m.Seq+2 >= seq && m.Seq <= seq
 }
 
@@ -108,7 +110,7 @@
 			reply(503, []byte("{}"))
 		}
 	case path == "/checkin":
-		r, err := fleet.ParseReport(body)
+		r, err := fleet.ParseHeartbeat(body)
 		if err != nil {
 			say(intake.Refuse(400, "not a report"))
 			return
@@ -120,19 +122,19 @@
 			say(intake.Refuse(400, err.Error()))
 			return
 		}
-		c.in.Submit(now, spec, say)
+		c.intake.Submit(now, spec, say)
 	case u.Path == "/v2/runs" || u.Path == "/v2/events":
-		q := intake.Call{What: "list", Verb: "show", Query: map[string]string{}}
+		q := intake.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
 		if u.Path == "/v2/events" {
-			q.What = "events"
+			q.Resource = "events"
 		}
 		for k, v := range u.Query() {
 			q.Query[k] = v[0]
 		}
 		c.leaderCall(now, q, say)
 	case u.Path == "/v2/rollout" || u.Path == "/v2/admin":
-		q := intake.Call{
-			What: strings.TrimPrefix(u.Path, "/v2/"), Verb: "show", Body: body,
+		q := intake.LeaderRequest{
+			Resource: strings.TrimPrefix(u.Path, "/v2/"), Verb: "show", Body: body,
 			Query: map[string]string{"since": u.Query().Get("since")},
 		}
 		if method == "POST" {
@@ -140,18 +142,18 @@
 		}
 		c.leaderCall(now, q, say)
 	case strings.HasPrefix(u.Path, "/v2/zones"):
-		c.leaderCall(now, intake.Call{What: "zones", Verb: "show", Name: strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v2/zones"), "/")}, say)
+		c.leaderCall(now, intake.LeaderRequest{Resource: "zones", Verb: "show", Name: strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v2/zones"), "/")}, say)
 	case verb == "":
-		c.in.Query(now, id, say)
+		c.intake.Query(now, id, say)
 	case verb == "abort":
-		c.in.Abort(now, id, say)
+		c.intake.Abort(now, id, say)
 	default:
-		c.leaderCall(now, intake.Call{What: verb, Name: id, Verb: "show"}, say)
+		c.leaderCall(now, intake.LeaderRequest{Resource: verb, Name: id, Verb: "show"}, say)
 	}
 }
 
 // Call takes what operators, users of sessions and their agents ask of the leader.
-func (s *Simulated) Call(q intake.Call, reply func(status int, body []byte)) {
+func (s *Simulated) Call(q intake.LeaderRequest, reply func(status int, body []byte)) {
 	s.c.leaderCall(s.c.loop.Now(), q, func(r intake.Reply) {
 		raw, _ := json.Marshal(r.Body)
 		reply(r.Status, raw)
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -10,10 +10,10 @@
 	"github.com/harewalk/harewalk/internal/membership"
 )
 
-// pace logs, second by second, how a controller gets on in the seconds after it started or after the lead
+// failoverTiming logs, second by second, how a controller gets on in the seconds after it started or after the lead
 // passed: what users and workers were answered, and where processor, requests and writes went. Those
 // are the worst seconds of the service, and what they are short of isn't seen in means.
-type pace struct {
+type failoverTiming struct {
 	until time.Duration // log until then
 	from  time.Duration // the turn
 	next  time.Duration
@@ -21,18 +21,18 @@
 	was   tally
 }
 
-// paceFor is how long after a turn each second is logged.
-const paceFor = 20 * time.Second
+// failoverLogFor is how long after a turn each second is logged.
+const failoverLogFor = 20 * time.Second
 
 // tally is what was counted since the start.
 type tally struct {
-	intake.Answers
+	intake.ResponseCounts
 	requests, writes uint64 // to the state service
 	cpu              time.Duration
 }
 
 func (c *Controller) tally() tally {
-	t := tally{Answers: c.answers.Read()}
+	t := tally{ResponseCounts: c.answers.Read()}
 	t.requests, t.writes = c.store.Sent()
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
@@ -43,9 +43,9 @@
 
 // keepPace logs the second that is over.
 func (c *Controller) keepPace(now time.Duration) {
-	p := &c.pace
-	if term := c.mem.Leader().Term; term != p.term || p.from == 0 {
-		p.term, p.from, p.until, p.next, p.was = term, max(1, now), now+paceFor, now+time.Second, c.tally()
+	p := &c.failoverTiming
+	if term := c.membership.Leader().Term; term != p.term || p.from == 0 {
+		p.term, p.from, p.until, p.next, p.was = term, max(1, now), now+failoverLogFor, now+time.Second, c.tally()
 		return
 	}
 	if now < p.next || now >= p.until {
@@ -54,13 +54,13 @@
 	p.next += time.Second
 	t := c.tally()
 	acting, known := 0, 0
-	leads := c.fleet != nil && c.mem.State() == membership.Leading
+	leads := c.fleet != nil && c.membership.State() == membership.Leading
 	if leads {
 		for _, m := range c.fleet.Machines() {
 			switch m.Condition {
-			case fleet.Acting, fleet.Noticed:
+			case fleet.Ready, fleet.ReclaimNoticed:
 				acting++
-			case fleet.Known:
+			case fleet.Registered:
 				known++
 			}
 		}
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -19,25 +19,25 @@
 	case strings.HasPrefix(it.Key, licences.Prefix):
 		c.counted(it)
 	case it.Key == operate.Key:
-		c.wished(it.Value, it.Version)
+		c.applyDrainDocument(it.Value, it.Version)
 	case strings.HasPrefix(it.Key, operate.DrainPrefix):
-		c.drainItem(it)
+		c.handleDrainRequest(it)
 	case isZoneKey(it.Key):
-		if it.Version > c.zoned.item.Version {
-			c.zoned.item = it
+		if it.Version > c.storedZones.item.Version {
+			c.storedZones.item = it
 		}
 	case it.Key == typesKey:
 		types, err := capacity.ParseTypes(it.Value)
 		if err != nil {
-			c.roll.MarkUnreadable(it.Key, it.Value, err)
+			c.rollout.MarkUnreadable(it.Key, it.Value, err)
 		} else if it.Version > c.typesVer {
 			c.typesVer = it.Version
 			c.setTypes(string(it.Value), types)
 		}
 	default:
-		c.roll.HandleItem(it)
-		if err := c.mem.HandleItem(now, it); err != nil {
-			c.roll.MarkUnreadable(it.Key, it.Value, err)
+		c.rollout.HandleItem(it)
+		if err := c.membership.HandleItem(now, it); err != nil {
+			c.rollout.MarkUnreadable(it.Key, it.Value, err)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 // learned takes over a job's record that was read or written beside the followed keys. If they have passed its version
 // and the table lacks the job, it was archived since: an answer that came late must not let it live again.
 func (c *Controller) learned(now time.Duration, it store.Item) {
-	if c.jobs.Get(strings.TrimPrefix(it.Key, jobs.Prefix)) == nil && it.Version <= c.mir.Revision() {
+	if c.jobs.Get(strings.TrimPrefix(it.Key, jobs.Prefix)) == nil && it.Version <= c.watchCache.Revision() {
 		return
 	}
 	c.record(now, it)
@@ -55,13 +55,13 @@
 func (c *Controller) record(now time.Duration, it store.Item) {
 	j, changed, err := c.jobs.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
 	if err != nil {
-		c.roll.MarkUnreadable(it.Key, it.Value, err)
+		c.rollout.MarkUnreadable(it.Key, it.Value, err)
 		return
 	}
 	if changed && j.State.Terminal() {
 		j.EndedAt = now
 	}
 	if changed && c.fleet != nil {
-		c.fleet.Changed(now, j)
+		c.fleet.HandleJobChange(now, j)
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -14,15 +14,15 @@
 
 // newRollout makes this controller's side of rollouts.
 func (c *Controller) newRollout() *rollout.Rollout {
-	o := c.s.Rollout()
+	o := c.settings.Rollout()
 	cfg := rollout.Config{
-		Node: c.s.Node, Nodes: []rollout.NodeConfig{{Node: c.s.Node, Zone: c.s.Zone}}, Release: rollout.Release, MaxLevel: rollout.Newest,
+		Node: c.settings.Node, Nodes: []rollout.NodeConfig{{Node: c.settings.Node, Zone: c.settings.Zone}}, Release: rollout.Release, MaxLevel: rollout.Newest,
 		Auto: o.Auto, Soak: o.Soak, StartedAtMS: c.jobs.WallMS(c.loop.Now()), OnStateChange: c.rolloutTurned,
 	}
 	if o.Knows > 0 {
 		cfg.MaxLevel, cfg.Release = o.Knows, o.Release
 	}
-	for _, p := range c.s.Peers {
+	for _, p := range c.settings.Peers {
 		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: p.Node, Zone: p.Zone})
 	}
 	return rollout.New(cfg)
@@ -43,8 +43,8 @@
 // PreferredLeaders implements membership.Rollout.
 func (m member) PreferredLeaders() int {
 	return m.Rollout.PreferredLeaders(m.c.jobs.WallMS(m.c.loop.Now()), func(node string) bool {
-		_, drained := m.c.wishes.Nodes[node]
-		h, heard := m.c.status[node]
+		_, drained := m.c.drainDocument.Nodes[node]
+		h, heard := m.c.peerStatus[node]
 		return drained || (heard && h.Leaving)
 	})
 }
@@ -52,34 +52,34 @@
 // rolled goes on with a rollout: every controller judges, the leader acts.
 func (c *Controller) rolled(now time.Duration) {
 	// One that is behind, or has met what it doesn't understand, gives up the lead at once.
-	if !c.roll.Compatible() && c.fleet != nil {
-		c.mem.Resign(now, "this release is behind the cluster's stored state")
+	if !c.rollout.Compatible() && c.fleet != nil {
+		c.membership.Resign(now, "this release is behind the cluster's stored state")
 	}
 	if now-c.rolledAt < rollEvery {
 		return
 	}
 	c.rolledAt = now
 	term, work := uint64(0), rollout.MigrationProgress{}
-	if c.fleet != nil && c.fleet.Loaded() && c.mem.HasAuthority(now) {
-		term = c.mem.Term()
-		c.roll.HandleHealth(now, c.s.Node, c.life == Serving)
-		if c.roll.State() == rollout.Migrating {
+	if c.fleet != nil && c.fleet.PlansLoaded() && c.membership.HasAuthority(now) {
+		term = c.membership.Term()
+		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle == Serving)
+		if c.rollout.State() == rollout.Migrating {
 			work = c.migrationWork()
 		}
 	}
-	t, due := c.roll.Tick(now, term, work)
+	t, due := c.rollout.Tick(now, term, work)
 	if !due {
 		return
 	}
-	c.commit(t, store.NormalPriority, func(r store.Result) { c.roll.HandleOutcome(c.loop.Now(), t, r) })
+	c.commit(t, store.NormalPriority, func(r store.Result) { c.rollout.HandleOutcome(c.loop.Now(), t, r) })
 }
 
 // migrationWork is what is left in former formats. Nothing is done before the followed keys have come past the level's
 // rise: until then something that was written before it may not have been seen.
 func (c *Controller) migrationWork() rollout.MigrationProgress {
 	drains := c.drainsLeft()
-	passed := c.mir.Revision() >= c.roll.LevelCondition().Version
-	return rollout.MigrationProgress{Left: c.fleet.OldPlans() + drains, Done: c.fleet.Migrated() && drains == 0 && passed}
+	passed := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
+	return rollout.MigrationProgress{Left: c.fleet.UnmigratedPlans() + drains, Done: c.fleet.Migrated() && drains == 0 && passed}
 }
 
 // rollEvery spaces the looks at a rollout.
@@ -87,14 +87,14 @@
 
 // rolloutView is where the rollout stands, as this controller knows it.
 func (c *Controller) rolloutView(now time.Duration) rollout.View {
-	k := rollout.Cluster{Leader: c.mem.Leader().Node, Drained: map[string]bool{}}
-	for n := range c.wishes.Nodes {
+	k := rollout.Cluster{Leader: c.membership.Leader().Node, Drained: map[string]bool{}}
+	for n := range c.drainDocument.Nodes {
 		k.Drained[n] = true
 	}
-	if c.fleet != nil && c.fleet.Loaded() {
+	if c.fleet != nil && c.fleet.PlansLoaded() {
 		k.Left = c.migrationWork().Left
 	}
-	return c.roll.View(now, k)
+	return c.rollout.View(now, k)
 }
 
 // rolloutShow answers where it stands; a controller that is behind, or knows no leader, tells what it knows itself.
@@ -103,7 +103,7 @@
 }
 
 // rolloutCall takes an operator's word.
-func (c *Controller) rolloutCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) rolloutCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	if q.Verb == "show" {
 		c.rolloutShow(now, reply)
 		return
@@ -113,7 +113,7 @@
 		reply(intake.Refuse(400, "not a command: "+err.Error()))
 		return
 	}
-	t, err := c.roll.Execute(now, cmd, c.jobs.WallMS(now))
+	t, err := c.rollout.Execute(now, cmd, c.jobs.WallMS(now))
 	switch {
 	case errors.Is(err, rollout.ErrMalformed):
 		reply(intake.Refuse(400, err.Error()))
@@ -127,7 +127,7 @@
 		case store.Committed:
 			slog.Info("operators' word on the rollout", "op", cmd.Op, "by", cmd.By)
 			for _, o := range t.Then {
-				c.roll.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: r.Revision})
+				c.rollout.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: r.Revision})
 			}
 			reply(intake.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
 		case store.Conflict:
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -11,20 +11,20 @@
 
 // newSessions starts the sessions of a term, nil where they are off.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
-	p := c.s.Sessions()
+	p := c.settings.Sessions()
 	if !p.On {
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.roll.MarkUnreadable,
+		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
 		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
 		Commit: func(t store.Txn, done func(store.Result)) { c.commit(t, store.NormalPriority, done) },
-		Task:   c.fleet.SessionTask, Park: c.fleet.Park, Wanted: c.fleet.Wanted,
+		Task:   c.fleet.SessionTask, Park: c.fleet.Suspend, Wanted: c.fleet.WaitingJobsFor,
 	}, term)
 }
 
 // sessionCall answers a user, an operator or an agent about sessions.
-func (c *Controller) sessionCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) sessionCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	answer := func(a sessions.Answer) {
 		switch {
 		case a.Status < 300:
@@ -33,7 +33,7 @@
 			reply(intake.Refuse(a.Status, a.Why))
 		}
 	}
-	m := c.sess
+	m := c.sessions
 	switch q.Verb {
 	case "open":
 		r, err := sessions.ParseOpening(q.Body)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,29 +8,29 @@
 	"github.com/harewalk/harewalk/internal/peers"
 )
 
-// heard is the last status of another controller.
-type heard struct {
+// peerStatus is the last status of another controller.
+type peerStatus struct {
 	peers.Status
 	at time.Duration
 }
 
 func (c *Controller) counts(j *jobs.Job) (done, running int) {
 	if c.fleet != nil && j.Tasks != nil {
-		return c.fleet.Counts(j)
+		return c.fleet.TaskCounts(j)
 	}
 	return j.FinishedTasks, j.ReportedRunning
 }
 
 // hear takes what another controller says of itself.
 func (c *Controller) hear(s peers.Status) {
-	c.status[s.Node] = heard{s, c.loop.Now()}
-	c.roll.HandleHealth(c.loop.Now(), s.Node, s.StateOK && !s.Leaving)
+	c.peerStatus[s.Node] = peerStatus{s, c.loop.Now()}
+	c.rollout.HandleHealth(c.loop.Now(), s.Node, s.StateOK && !s.Leaving)
 	c.display(s)
 }
 
 // display takes over the leader's counts.
 func (c *Controller) display(s peers.Status) {
-	if c.fleet != nil || !s.Leading || s.Term < c.mem.Leader().Term {
+	if c.fleet != nil || !s.Leading || s.Term < c.membership.Leader().Term {
 		return
 	}
 	for _, n := range s.Counts {
@@ -44,15 +44,15 @@
 // answers nobody, this controller is as good as any other.
 func (c *Controller) up() bool {
 	now := c.loop.Now()
-	if !c.mir.Synced() || len(c.types) == 0 || c.life != Serving || !c.roll.Compatible() {
+	if !c.watchCache.Synced() || len(c.types) == 0 || c.lifecycle != Serving || !c.rollout.Compatible() {
 		return false
 	}
 	if now-c.store.LastSuccess() < 3*time.Second {
 		return true
 	}
 	peers := false
-	for _, h := range c.status {
-		if now-h.at < heardFor {
+	for _, h := range c.peerStatus {
+		if now-h.at < peerStatusTTL {
 			if h.StateOK {
 				return false
 			}
@@ -61,7 +61,7 @@
 	}
 	// Who hears neither the state service nor any other controller is cut off, and must not keep its users: an
 	// outage is told by answers of 503, and by others that are told the same.
-	return peers || len(c.s.Peers) == 0 || now-c.store.LastHeard() < 3*time.Second
+	return peers || len(c.settings.Peers) == 0 || now-c.store.LastHeard() < 3*time.Second
 }
 
 // tell sends the others a status.
@@ -71,14 +71,14 @@
 	}
 	c.statusAt = now
 	s := peers.Status{
-		Node: c.s.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastSuccess() < 2500*time.Millisecond,
-		Workers: c.strays.count(now, config.Seconds(c.s.Params.Workers.ReportS), 0), Leaving: c.life != Serving,
+		Node: c.settings.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastSuccess() < 2500*time.Millisecond,
+		Workers: c.foreignHeartbeats.count(now, config.Seconds(c.settings.Params.Workers.ReportS), 0), Leaving: c.lifecycle != Serving,
 	}
 	if c.fleet != nil {
-		s.Term = c.mem.Term()
+		s.Term = c.membership.Term()
 		c.jobs.ForEachLive(func(j *jobs.Job) {
 			if j.Tasks != nil && len(s.Counts) < peers.MostCounts {
-				d, r := c.fleet.Counts(j)
+				d, r := c.fleet.TaskCounts(j)
 				s.Counts = append(s.Counts, peers.Count{Job: j.ID, Done: uint32(d), Running: uint32(r)})
 			}
 		})
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -20,29 +20,29 @@
 	c.store.SetShare(c.share(true))
 	c.jobs.RecallArchived()
 	c.fleet = fleet.New(fleet.Env{
-		Settings: c.s, Jobs: c.jobs, Rng: c.rng, TxnOps: c.s.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxOrders: c.s.Params.Limits.Outgoing(workerSlots), Now: c.loop.Now, Learned: c.learned,
-		Types:      func(ix int32) *fleet.Type { return c.byType[ix] },
-		Paged:      func() bool { return c.roll.Level() >= rollout.Paged },
-		Unreadable: c.roll.MarkUnreadable,
-		Room:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
-		Spare:      c.store.HasSpareWrites,
-		Commit:     func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
-		Read:       c.read,
-		Order:      c.order,
-		Events:     events.New(keptEvents(c.s.Params.Limits.Memory())),
+		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.Outgoing(workerSlots), Now: c.loop.Now, OnJobRecord: c.learned,
+		Types:          func(ix int32) *fleet.MachineType { return c.byType[ix] },
+		PlansInPages:   func() bool { return c.rollout.Level() >= rollout.Paged },
+		OnUnreadable:   c.rollout.MarkUnreadable,
+		CanWrite:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
+		HasSpareWrites: c.store.HasSpareWrites,
+		Commit:         func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
+		Read:           c.read,
+		SendCommands:   c.order,
+		Events:         events.New(keptEvents(c.settings.Params.Limits.Memory())),
 	}, term, now)
-	c.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.s.Node})
+	c.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.settings.Node})
 	c.mover = c.newMover()
-	c.upkeep = drainUpkeep{sweptAt: now}
-	c.cap = capacity.New(c.s, c.cloud, c.fleet, c.jobs.Names, func() []capacity.MachineType { return c.types }, term)
-	c.zoned.writing = false
+	c.drainUpkeep = drainUpkeep{sweptAt: now}
+	c.capacity = capacity.New(c.settings, c.cloud, c.fleet, c.jobs.Names, func() []capacity.MachineType { return c.types }, term)
+	c.storedZones.writing = false
 	c.recallZones()
-	c.loading, c.loadAt, c.had = false, now, false
+	c.loading, c.loadAt, c.hadAuthority = false, now, false
 }
 
 // commit sends a transaction of the leader's term; its answer counts only within it.
 func (c *Controller) commit(t store.Txn, class store.Priority, done func(store.Result)) {
-	t.If = append([]store.Condition{c.mem.LeaderCondition()}, t.If...)
+	t.If = append([]store.Condition{c.membership.LeaderCondition()}, t.If...)
 	f := c.fleet
 	c.store.Txn(t, class, func(r store.Result) {
 		if c.fleet == f {
@@ -64,20 +64,20 @@
 // lose ends a term: nothing of its state may be used any more.
 func (c *Controller) lose(time.Duration) {
 	c.store.SetShare(c.share(false))
-	if c.cap != nil {
-		c.cap.Close()
+	if c.capacity != nil {
+		c.capacity.Stop()
 	}
-	c.fleet, c.cap, c.sess, c.mover, c.loading = nil, nil, nil, nil, false
-	c.roll.HandleLeadLost()
+	c.fleet, c.capacity, c.sessions, c.mover, c.loading = nil, nil, nil, nil, false
+	c.rollout.HandleLeadLost()
 	c.jobs.RecallArchived()
 }
 
 // order sends commands straight to a machine.
-func (c *Controller) order(m *fleet.Machine, o fleet.Orders, done func(*fleet.Report, bool)) {
+func (c *Controller) order(m *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
 	body, _ := json.Marshal(o)
 	f := c.fleet
 	// One connection each: a large fleet's idle ones would use up the sockets.
-	c.wire.Send(m.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(r httpio.Response) {
+	c.workerSender.Send(m.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(r httpio.Response) {
 		if c.fleet != f {
 			return
 		}
@@ -85,7 +85,7 @@
 			done(nil, r.Refused || (r.Err == nil && r.Status == 400))
 			return
 		}
-		rep, err := fleet.ParseReport(r.Body)
+		rep, err := fleet.ParseHeartbeat(r.Body)
 		if err != nil {
 			rep = nil
 		}
@@ -117,16 +117,16 @@
 	plans := func() {
 		list(jobs.PlanPrefix, func(at time.Duration, items []store.Item) {
 			c.loading = false
-			f.Load(at, items)
+			f.LoadPlans(at, items)
 		})
 	}
-	if c.sess = c.newSessions(f.Term); c.sess == nil {
+	if c.sessions = c.newSessions(f.Term); c.sessions == nil {
 		plans()
 		return
 	}
 	// Which sessions are reclaimed must be known before anything is planned.
 	list(sessions.Prefix, func(at time.Duration, items []store.Item) {
-		c.sess.Load(at, items)
+		c.sessions.Load(at, items)
 		plans()
 	})
 }
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -14,7 +14,7 @@
 func (c *Controller) setTypes(raw string, types []capacity.MachineType) {
 	c.typesRaw, c.types = raw, types
 	for _, t := range types {
-		c.byType[c.jobs.Names.Types.Index(t.Name)] = &fleet.Type{
+		c.byType[c.jobs.Names.Types.Index(t.Name)] = &fleet.MachineType{
 			Size: t.Size(), CacheGB: t.CacheGB, FetchGB: t.FetchGB,
 			BootS: t.BootS, Price: t.Price, Spot: t.Spot,
 		}
@@ -22,14 +22,14 @@
 }
 
 // admit tells whether a job can ever run.
-func (c *Controller) admit(s *jobs.Spec) intake.Verdict {
-	no := func(why string) intake.Verdict { return intake.Verdict{Known: true, Why: why} }
+func (c *Controller) admit(s *jobs.Spec) intake.AdmissionResult {
+	no := func(why string) intake.AdmissionResult { return intake.AdmissionResult{Known: true, Why: why} }
 	team := c.jobs.Names.Teams.Index(s.Team)
 	if c.quota.Team(team) == nil {
 		return no("unknown team")
 	}
 	if len(c.types) == 0 {
-		return intake.Verdict{Why: "the machine types are not known yet"}
+		return intake.AdmissionResult{Why: "the machine types are not known yet"}
 	}
 	n := 1
 	if s.Kind != jobs.Array {
@@ -70,7 +70,7 @@
 		}
 		every = time.Minute
 	}
-	if c.askTypes || !c.mir.Synced() || (c.typesAt > 0 && now-c.typesAt < every) {
+	if c.askTypes || !c.watchCache.Synced() || (c.typesAt > 0 && now-c.typesAt < every) {
 		return
 	}
 	c.typesAt = now
@@ -83,7 +83,7 @@
 		same := string(raw) == c.typesRaw
 		c.setTypes(string(raw), types)
 		if c.fleet != nil && (!same || c.typesVer == 0) {
-			t := store.Txn{If: []store.Condition{c.mem.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
+			t := store.Txn{If: []store.Condition{c.membership.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
 			t.If = append(t.If, store.Condition{Key: typesKey, Version: c.typesVer}) // older prices that land late change nothing
 			c.store.Txn(t, store.NormalPriority, func(store.Result) {})
 		}
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -9,14 +9,14 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Why is what is told of a job that waits.
-type Why struct {
-	ID      string       `json:"name_id"`
-	Stance  string       `json:"stance"`
-	Tasks   int          `json:"tasks"`
-	Done    int          `json:"done"`
-	Running int          `json:"running"`
-	Waiting []fleet.Part `json:"waiting"`
+// JobPendingView is what is told of a job that waits.
+type JobPendingView struct {
+	ID      string                `json:"name_id"`
+	Stance  string                `json:"stance"`
+	Tasks   int                   `json:"tasks"`
+	Done    int                   `json:"done"`
+	Running int                   `json:"running"`
+	Waiting []fleet.PendingReason `json:"waiting"`
 	// Ahead is how many jobs that wait rank before it, and the nearest of them.
 	Ahead   int      `json:"ahead"`
 	Nearest []string `json:"nearest"`
@@ -30,25 +30,25 @@
 const nearest = 5
 
 // whyCall answers why a job waits, from what planning has noted.
-func (c *Controller) whyCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) whyCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	j := c.jobs.Get(q.Name)
 	if j == nil {
 		reply(intake.Refuse(404, notKept))
 		return
 	}
-	w := Why{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Waiting: []fleet.Part{}, Nearest: []string{}}
+	w := JobPendingView{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Waiting: []fleet.PendingReason{}, Nearest: []string{}}
 	w.Done, w.Running = c.counts(j)
 	if j.State == jobs.Pending && j.Tasks != nil {
 		if w.Running > 0 {
 			w.Stance = "running"
 		}
-		if ps := c.fleet.Why(now, j); ps != nil {
+		if ps := c.fleet.PendingReasons(now, j); ps != nil {
 			w.Waiting = ps
 		}
-		if ids, n := c.fleet.Ahead(j, nearest); n > 0 {
+		if ids, n := c.fleet.JobsAhead(j, nearest); n > 0 {
 			w.Nearest, w.Ahead = ids, n
 		}
-		w.Booting, w.BootingS = c.cap.Booting(now, j)
+		w.Booting, w.BootingS = c.capacity.Booting(now, j)
 		w.BootingS = math.Round(w.BootingS)
 	}
 	reply(intake.Reply{Status: 200, Body: w})
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -11,26 +11,26 @@
 )
 
 // report answers a worker.
-func (c *Controller) report(now time.Duration, r *fleet.Report, reply func(intake.Reply)) {
+func (c *Controller) report(now time.Duration, r *fleet.Heartbeat, reply func(intake.Reply)) {
 	no := intake.Reply{Status: 503, Body: struct{}{}}
-	if c.mem.State() == membership.Leading && c.fleet != nil {
-		if !c.mem.HasAuthority(now) || !c.fleet.Loaded() {
+	if c.membership.State() == membership.Leading && c.fleet != nil {
+		if !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded() {
 			reply(no)
 			return
 		}
-		a, v := c.fleet.Report(now, r)
+		a, v := c.fleet.HandleHeartbeat(now, r)
 		switch v {
-		case fleet.Accept:
+		case fleet.Accepted:
 			reply(intake.Reply{Status: 200, Body: a})
 		case fleet.Deposed:
 			reply(no)
-			slog.Info("a worker has seen a higher token", "machine", r.Machine, "token", r.Token, "term", c.mem.Term())
+			slog.Info("a worker has seen a higher token", "machine", r.Machine, "token", r.Token, "term", c.membership.Term())
 		default:
 			reply(no)
 		}
 		return
 	}
-	c.strays.count(now, config.Seconds(c.s.Params.Workers.ReportS), 1)
+	c.foreignHeartbeats.count(now, config.Seconds(c.settings.Params.Workers.ReportS), 1)
 	type keeper struct {
 		Keeper string `json:"keeper,omitempty"`
 	}
@@ -41,12 +41,12 @@
 // hold lives; then whoever says itself that it leads. Two controllers that were cut off with their workers would
 // otherwise send them to one that has long lost the lead.
 func (c *Controller) keeper(now time.Duration, machine string) string {
-	if now-c.mir.FreshAt() <= c.s.HoldTTL() {
-		return c.mem.Owner(machine)
+	if now-c.watchCache.FreshAt() <= c.settings.HoldTTL() {
+		return c.membership.Owner(machine)
 	}
 	name, term := "", uint64(0)
-	for _, h := range c.status {
-		if h.Leading && h.Term > term && now-h.at < heardFor {
+	for _, h := range c.peerStatus {
+		if h.Leading && h.Term > term && now-h.at < peerStatusTTL {
 			name, term = h.Node, h.Term
 		}
 	}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -14,8 +14,8 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// zoned is what was read of zones, for the next term that is ours.
-type zoned struct {
+// storedZones is what was read of zones, for the next term that is ours.
+type storedZones struct {
 	item    store.Item
 	writing bool
 	at      time.Duration // of the last try
@@ -23,28 +23,28 @@
 
 // recallZones lets a term begin with what an earlier leader has found.
 func (c *Controller) recallZones() {
-	if c.zoned.item.Value == nil {
+	if c.storedZones.item.Value == nil {
 		return
 	}
-	err := c.cap.Zones.Restore(c.zoned.item.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
+	err := c.capacity.Zones.Restore(c.storedZones.item.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
 	if err != nil {
-		c.roll.MarkUnreadable(zones.Key, c.zoned.item.Value, err)
+		c.rollout.MarkUnreadable(zones.Key, c.storedZones.item.Value, err)
 	}
 }
 
 // keepZones stores what has changed of zones, for whoever leads next: it may be about to be us that is cut off.
 func (c *Controller) keepZones(now time.Duration) {
-	z := c.cap.Zones
-	if !z.Dirty() || c.zoned.writing || now-c.zoned.at < time.Second {
+	z := c.capacity.Zones
+	if !z.Dirty() || c.storedZones.writing || now-c.storedZones.at < time.Second {
 		return
 	}
-	c.zoned.writing, c.zoned.at = true, now
+	c.storedZones.writing, c.storedZones.at = true, now
 	raw := z.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
 	z.MarkStored()
-	c.commit(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.zoned.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(r store.Result) {
-		c.zoned.writing = false
+	c.commit(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.storedZones.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(r store.Result) {
+		c.storedZones.writing = false
 		if r.Outcome == store.Committed {
-			c.zoned.item = store.Item{Key: zones.Key, Value: raw, Version: r.Revision}
+			c.storedZones.item = store.Item{Key: zones.Key, Value: raw, Version: r.Revision}
 			return
 		}
 		slog.Debug("zones not stored", "outcome", r.Outcome.String())
@@ -65,7 +65,7 @@
 	Held     int     `json:"held"`  // of them, on machines that are set aside: until their leases end
 	Rents    bool    `json:"rents"`
 	Takes    string  `json:"takes"` // the most that it gets of new work: arrays, gangs or all
-	// IfLost is what its loss would mean now; only where it was asked for.
+	// EstimateZoneLoss is what its loss would mean now; only where it was asked for.
 	IfLost []LossView `json:"if_lost,omitempty"`
 	BootS  float64    `json:"boot_s,omitempty"`  // of the machines that would be rented instead
 	LeaseS float64    `json:"lease_s,omitempty"` // after which what was there may start elsewhere
@@ -82,7 +82,7 @@
 }
 
 // zoneCall answers about zones: all, or one with what its loss would mean.
-func (c *Controller) zoneCall(now time.Duration, q intake.Call, reply func(intake.Reply)) {
+func (c *Controller) zoneCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
 	views := c.zoneViews(now)
 	if q.Name == "" {
 		reply(intake.Reply{Status: 200, Body: views})
@@ -94,48 +94,48 @@
 		return
 	}
 	v := views[i]
-	v.LeaseS = c.s.Params.Workers.LeaseS
+	v.LeaseS = c.settings.Params.Workers.LeaseS
 	for _, t := range c.types {
 		v.BootS = max(v.BootS, t.BootS)
 	}
 	d := c.jobs.Names
-	for _, l := range c.fleet.IfLost(d.Zones.Index(v.Zone)) {
+	for _, l := range c.fleet.EstimateZoneLoss(d.Zones.Index(v.Zone)) {
 		v.IfLost = append(v.IfLost, LossView{d.Classes.Name(l.Class), d.Teams.Name(l.Team), l.Jobs, l.Tasks, l.Fit, l.Tasks - l.Fit})
 	}
 	reply(intake.Reply{Status: 200, Body: v})
 }
 
 func (c *Controller) zoneViews(now time.Duration) []ZoneView {
-	names := slices.Clone(c.s.Params.Zones)
+	names := slices.Clone(c.settings.Params.Zones)
 	slices.Sort(names)
 	by := map[int32]*ZoneView{}
 	out := make([]ZoneView, len(names))
 	for i, n := range names {
 		ix := c.jobs.Names.Zones.Index(n)
-		z := c.cap.Zones.Zone(ix)
-		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.cap.Zones.AllowsRenting(ix), Takes: "all"}
+		z := c.capacity.Zones.Zone(ix)
+		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.capacity.Zones.AllowsRenting(ix), Takes: "all"}
 		switch {
-		case !c.cap.Zones.AcceptsWork(now, ix, zones.Together):
+		case !c.capacity.Zones.AcceptsWork(now, ix, zones.Together):
 			out[i].Takes = "arrays"
-		case !c.cap.Zones.AcceptsWork(now, ix, zones.Lasting):
+		case !c.capacity.Zones.AcceptsWork(now, ix, zones.Lasting):
 			out[i].Takes = "gangs"
 		}
 		by[ix] = &out[i]
 	}
-	quiet := c.cap.QuietFor()
+	quiet := c.capacity.QuietFor()
 	for _, m := range c.fleet.Machines() {
 		v := by[m.Zone]
-		if v == nil || m.Condition == fleet.Gone || m.Zone == jobs.None {
+		if v == nil || m.Condition == fleet.Terminated || m.Zone == jobs.None {
 			continue
 		}
 		v.Machines++
-		v.Tasks += len(m.On)
-		if now-max(m.Heard, c.steady) > quiet {
+		v.Tasks += len(m.Tasks)
+		if now-max(m.LastHeardAt, c.authoritySince) > quiet {
 			v.Quiet++
 		}
-		if m.Aside {
+		if m.Quarantined {
 			v.Aside++
-			v.Held += len(m.On)
+			v.Held += len(m.Tasks)
 		}
 	}
 	return out
--- a/internal/fleet/alive_test.go
+++ b/internal/fleet/alive_test.go
@@ -33,27 +33,27 @@
 			session, on = session+1, nil
 		}
 		for i := range on { // what ran is done by now
-			on[i].State, on[i].Why = exited, whyDone
+			on[i].State, on[i].Why = taskExited, exitDone
 		}
 		if o.Session == session {
 			for _, c := range starts(o.Commands) {
-				on = append(on, TaskReport{Task: c.Task, Attempt: c.Attempt, State: running})
+				on = append(on, TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 				if sent++; g.now-last > 5*time.Second {
 					late++
 				}
 			}
 		}
 		g.seq++
-		done(&Report{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: o.Token, Tasks: on}, true)
+		done(&Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: o.Token, Tasks: on}, true)
 	}
 	if sent == 0 || late > 0 {
 		t.Errorf("of %d tasks sent, %d went to a machine that had missed its report", sent, late)
 	}
-	if m.Condition != Lost || len(m.On) > 0 {
-		t.Errorf("70 s after its last report it is %v, with %d tasks", m.Condition, len(m.On))
+	if m.Condition != LeaseExpired || len(m.Tasks) > 0 {
+		t.Errorf("70 s after its last report it is %v, with %d tasks", m.Condition, len(m.Tasks))
 	}
 	g.hear("m", session+1, m.Token)
-	if m.Condition != Acting {
+	if m.Condition != Ready {
 		t.Errorf("it reports again and is %v", m.Condition)
 	}
 }
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -13,56 +13,56 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// endsOf says when what is on a machine is expected to end, earliest first.
-func (f *Fleet) endsOf(now time.Duration, m *Machine) []end {
-	if m.endsOK && now-m.endsAt < endsFor {
-		return m.ends
+// expectedEnds says when what is on a machine is expected to end, earliest first.
+func (f *Fleet) expectedEnds(now time.Duration, m *Machine) []expectedEnd {
+	if m.endsValid && now-m.endsComputedAt < endsFor {
+		return m.expectedEnds
 	}
-	m.ends, m.endsAt, m.endsOK = m.ends[:0], now, true
-	for r := range m.On {
-		j := f.job(r.Job)
+	m.expectedEnds, m.endsComputedAt, m.endsValid = m.expectedEnds[:0], now, true
+	for r := range m.Tasks {
+		j := f.jobAt(r.Job)
 		left := 1.0
 		if !j.State.Terminal() {
-			left = f.left(now, j, r.Task)
+			left = f.remainingSeconds(now, j, r.Task)
 		}
-		m.ends = append(m.ends, end{r, now + config.Seconds(left), j.Spec.Size()})
+		m.expectedEnds = append(m.expectedEnds, expectedEnd{r, now + config.Seconds(left), j.Spec.Size()})
 	}
-	f.Steps += uint64(len(m.ends))
-	slices.SortFunc(m.ends, func(a, b end) int {
+	f.PlanningSteps += uint64(len(m.expectedEnds))
+	slices.SortFunc(m.expectedEnds, func(a, b expectedEnd) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 	})
-	return m.ends
+	return m.expectedEnds
 }
 
-// work lists what loads a machine: what is on it, then what is planned there and ranks
+// appendWork lists what loads a machine: what is on it, then what is planned there and ranks
 // before the job. Work that the job may preempt hardly counts.
-func (f *Fleet) work(ws []planner.Work, now time.Duration, m *Machine, rank int, over *jobs.Job) []planner.Work {
-	for _, e := range f.endsOf(now, m) {
+func (f *Fleet) appendWork(ws []planner.Work, now time.Duration, m *Machine, rank int, over *jobs.Job) []planner.Work {
+	for _, e := range f.expectedEnds(now, m) {
 		left := max(1, (e.at - now).Seconds())
-		if over != nil && f.mayPreempt(over, f.job(e.Job)) {
+		if over != nil && f.mayPreempt(over, f.jobAt(e.Job)) {
 			left = 1
 		}
 		ws = append(ws, planner.Work{Size: e.size, Left: left})
 	}
-	f.Steps += uint64(len(m.ends))
-	if rank < 0 || len(m.lanes) == 0 {
+	f.PlanningSteps += uint64(len(m.expectedEnds))
+	if rank < 0 || len(m.queues) == 0 {
 		return ws
 	}
-	ixs := f.ixs[:0]
-	for _, l := range m.lanes {
-		if f.rankOf(f.job(l.job)) <= rank {
+	ixs := f.jobScratch[:0]
+	for _, l := range m.queues {
+		if f.rankOf(f.jobAt(l.job)) <= rank {
 			ixs = append(ixs, l.job)
 		}
 	}
-	f.ixs = ixs
+	f.jobScratch = ixs
 	f.sortRanked(ixs)
-	f.Steps += uint64(len(ixs))
+	f.PlanningSteps += uint64(len(ixs))
 	for _, ix := range ixs {
-		j, n := f.job(ix), len(m.waiting(ix))
-		est := f.estimate(j) * m.slow
+		j, n := f.jobAt(ix), len(m.queued(ix))
+		est := f.estimate(j) * m.slowdown
 		if n > manyWork {
-			if c := j.Spec.Size().Copies(m.Size); c > 0 {
-				ws = append(ws, planner.Work{Size: m.Size, Left: est * float64(n) / float64(c)})
+			if c := j.Spec.Size().Copies(m.Capacity); c > 0 {
+				ws = append(ws, planner.Work{Size: m.Capacity, Left: est * float64(n) / float64(c)})
 			}
 			continue
 		}
@@ -76,27 +76,27 @@
 // planArray plans an array's unplanned tasks by Balance-Reduce over the lanes of all
 // machines that may take them.
 func (f *Fleet) planArray(now time.Duration, j *jobs.Job) {
-	if j.TasksByState[jobs.Unplanned] == 0 || now < f.barren[j.Index] {
+	if j.TasksByState[jobs.Unplanned] == 0 || now < f.noMachineUntil[j.Index] {
 		return
 	}
-	if f.paused(now, j) {
-		f.failingNote(j)
+	if f.inBackoff(now, j) {
+		f.noteCrashLoop(j)
 		return
 	}
-	if f.Steps-f.pass.began > arraySteps {
-		f.note(j, verdict{cause: NotYet})
+	if f.PlanningSteps-f.cycle.began > arraySteps {
+		f.setPendingNote(j, pendingNote{cause: PlanningBehind})
 		return
 	}
 	var tasks []int32
-	slice := min(planSlice, f.granted(j, j.UnstartedTasks())-j.TasksByState[jobs.Planned])
-	if f.mistaken(j) != nil {
+	slice := min(planSlice, f.grantedTasks(j, j.UnstartedTasks())-j.TasksByState[jobs.Planned])
+	if f.crashLooping(j) != nil {
 		slice = min(slice, 1)
 	}
-	if f.first[j.Index] {
-		slice = min(slice, beginTasks-j.TasksByState[jobs.Planned])
+	if f.startDeadlineDue[j.Index] {
+		slice = min(slice, startDeadlineTasks-j.TasksByState[jobs.Planned])
 	}
 	if slice <= 0 {
-		f.denied(j, 1)
+		f.noteDenied(j, 1)
 		return
 	}
 	retry := time.Duration(1 << 62)
@@ -112,7 +112,7 @@
 		}
 	}
 	if len(tasks) == 0 {
-		f.retryNote(j, retry)
+		f.noteRetry(j, retry)
 		return
 	}
 	p := &planner.Problem{Local: f.estimate(j)}
@@ -124,22 +124,22 @@
 	zone := f.oneZone(j)
 	rank := f.rankOf(j)
 	for _, m := range f.packed() {
-		if m.Condition != Acting || m.Retiring || !f.allowed(m, j) || (zone != jobs.None && m.Zone != zone) {
+		if m.Condition != Ready || m.Returning || !f.mayUse(m, j) || (zone != jobs.None && m.Zone != zone) {
 			continue
 		}
-		f.works = f.work(f.works[:0], now, m, rank, j)
-		p.Initial = planner.Lanes(p.Initial, m.Size.Sub(f.keeps(m, j, m.Size.GPUs)), size, f.works)
+		f.workScratch = f.appendWork(f.workScratch[:0], now, m, rank, j)
+		p.Initial = planner.Lanes(p.Initial, m.Capacity.Sub(f.keptFree(m, j, m.Capacity.GPUs)), size, f.workScratch)
 		if len(p.Initial) == len(lane) {
 			continue
 		}
-		if later := f.yields(m, j); later > 0 {
+		if later := f.spotWaitLimit(m, j); later > 0 {
 			for i := len(lane); i < len(p.Initial); i++ {
 				p.Initial[i] += later
 			}
 		}
 		hosts++
 		has := m.HasImage(j.Image)
-		if ty := f.typ(m); ty != nil && ty.FetchGB > 0 {
+		if ty := f.machineType(m); ty != nil && ty.FetchGB > 0 {
 			fetch = max(fetch, j.Spec.ImageGB/ty.FetchGB)
 		}
 		for len(lane) < len(p.Initial) {
@@ -152,13 +152,13 @@
 		}
 	}
 	if len(lane) == 0 {
-		f.barren[j.Index] = now + 500*time.Millisecond
-		f.note(j, verdict{cause: NoMachine})
+		f.noMachineUntil[j.Index] = now + 500*time.Millisecond
+		f.setPendingNote(j, pendingNote{cause: NoMachine})
 		return
 	}
-	delete(f.barren, j.Index)
-	f.note(j, verdict{cause: NotYet}) // the rest, if a pass takes only a part
-	f.Steps += uint64(4 * len(lane))
+	delete(f.noMachineUntil, j.Index)
+	f.setPendingNote(j, pendingNote{cause: PlanningBehind}) // the rest, if a pass takes only a part
+	f.PlanningSteps += uint64(4 * len(lane))
 	// A loop looks at every lane, so many lanes allow fewer loops.
 	p.MaxLoop = min(reduceLoop, max(16, reduceWork/len(lane)))
 	if len(prefer) == 0 {
@@ -177,7 +177,7 @@
 			continue
 		}
 		m := f.machines[lane[s]]
-		f.plan(now, j, t, m)
+		f.planTask(now, j, t, m)
 		n++
 	}
 	slog.Debug("array planned", "job", j.ID, "tasks", n, "remote", a.NRemote, "lanes", len(lane), "machines", hosts,
@@ -189,16 +189,16 @@
 // others stay free to be returned. The order is kept for the pass. It is made by counting: sorting
 // the fleet in each pass was a twentieth of a leader's processor time.
 func (f *Fleet) packed() []*Machine {
-	if f.pass.packed != nil {
-		return f.pass.packed
+	if f.cycle.packed != nil {
+		return f.cycle.packed
 	}
 	most, n := 0, 0
 	for _, m := range f.machines {
-		most = max(most, len(m.On))
+		most = max(most, len(m.Tasks))
 	}
 	// A machine's class is its place among the kinds of machine, first to last.
 	class := func(m *Machine) int {
-		c := most - len(m.On)
+		c := most - len(m.Tasks)
 		if !m.Spot {
 			c += most + 1
 		}
@@ -206,7 +206,7 @@
 	}
 	at := make([]int, 2*(most+1)+1)
 	for _, m := range f.machines {
-		if m.Condition == Acting && !m.Retiring && !m.Aside {
+		if m.Condition == Ready && !m.Returning && !m.Quarantined {
 			at[class(m)+1]++
 			n++
 		}
@@ -216,14 +216,14 @@
 	}
 	ms := make([]*Machine, n)
 	for _, m := range f.machines {
-		if m.Condition == Acting && !m.Retiring && !m.Aside {
+		if m.Condition == Ready && !m.Returning && !m.Quarantined {
 			c := class(m)
 			ms[at[c]] = m
 			at[c]++
 		}
 	}
-	f.Steps += uint64(2 * len(ms))
-	f.pass.packed = ms
+	f.PlanningSteps += uint64(2 * len(ms))
+	f.cycle.packed = ms
 	return ms
 }
 
@@ -241,7 +241,7 @@
 	best, zone := -1, jobs.None
 	sum := map[int32]int{}
 	for _, m := range f.machines {
-		if m.Condition == Acting && !m.Aside && f.allowed(m, j) {
+		if m.Condition == Ready && !m.Quarantined && f.mayUse(m, j) {
 			sum[m.Zone] += 1 + 4*j.Spec.Size().Copies(m.Free())
 			if sum[m.Zone] > best {
 				best, zone = sum[m.Zone], m.Zone
@@ -251,10 +251,10 @@
 	return zone
 }
 
-// plan names a task's machine; the start waits until that is durable.
-func (f *Fleet) plan(now time.Duration, j *jobs.Job, t int32, m *Machine) {
-	f.must(j.SetTaskState(t, jobs.Planned))
+// planTask names a task's machine; the start waits until that is durable.
+func (f *Fleet) planTask(now time.Duration, j *jobs.Job, t int32, m *Machine) {
+	f.checkTransition(j.SetTaskState(t, jobs.Planned))
 	j.Tasks[t].Machine = m.Index
-	f.lane(m, j, t)
+	f.enqueue(m, j, t)
 	j.MarkDirty(t, true, now)
 }
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -12,34 +12,34 @@
 // What keeps room idle: the claim of a gang that waits for more of it, cores beside accelerators that such work is to come
 // for, ordinary machines that others need, and the better choice of a busy machine that is free soon. All may wait for what never comes: a gang
 // larger than its zone, accelerators that nobody gives back, an estimate that doesn't come true. A job that has stood beside room
-// that fits for agedAfter lets none of them hold it up: it is backfilled. Only the claims of gangs that are overdue to
-// begin themselves hold against it, until firmAfter, which stays under the 90 s for which a job may wait so. What counts is the time
+// that fits for longWaitAfter lets none of them hold it up: it is backfilled. Only the claims of gangs that are overdue to
+// begin themselves hold against it, until firmReservationAfter, which stays under the 90 s for which a job may wait so. What counts is the time
 // beside room, not the time waited: in an overload everybody waits, and what had waited for long once took all that came free from
 // large gangs (they began after 873 s instead of 235).
 const (
-	agedAfter = 40 * time.Second
-	firmAfter = 75 * time.Second
+	longWaitAfter        = 40 * time.Second
+	firmReservationAfter = 75 * time.Second
 )
 
-// standBeside notes, for each waiting job, since when there has been room for it: machines that it may use with as much
+// trackRoom notes, for each waiting job, since when there has been room for it: machines that it may use with as much
 // free as it needs to begin, whatever that is held for, and its team under its limit.
-func (f *Fleet) standBeside(now time.Duration) {
-	if now < f.besideAt {
+func (f *Fleet) trackRoom(now time.Duration) {
+	if now < f.nextRoomCheck {
 		return
 	}
-	f.besideAt = now + time.Second
+	f.nextRoomCheck = now + time.Second
 	type ask struct {
-		shape
+		jobShape
 		n       int
 		oneZone bool
 	}
 	known := map[ask]bool{}
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		n := 1
 		if j.Spec.Kind == jobs.Gang {
 			n = j.TaskCount
 		}
-		if j.TasksOnMachines() > 0 || j.UnstartedTasks() == 0 || j.Idle() || f.mistaken(j) != nil || !f.mayStart(j, n) {
+		if j.TasksOnMachines() > 0 || j.UnstartedTasks() == 0 || j.Idle() || f.crashLooping(j) != nil || !f.mayStart(j, n) {
 			j.RoomSince = 0
 			continue
 		}
@@ -47,7 +47,7 @@
 		k.image = 0 // any machine may fetch it
 		room, ok := known[k]
 		if !ok || len(j.AvoidedMachines) > 0 {
-			room = f.roomFor(j, n)
+			room = f.hasRoomFor(j, n)
 		}
 		if len(j.AvoidedMachines) == 0 {
 			known[k] = room
@@ -61,12 +61,12 @@
 	}
 }
 
-// roomFor tells whether there is room for n tasks of a job.
-func (f *Fleet) roomFor(j *jobs.Job, n int) bool {
+// hasRoomFor tells whether there is room for n tasks of a job.
+func (f *Fleet) hasRoomFor(j *jobs.Job, n int) bool {
 	size, in := j.Spec.Size(), map[int32]int{}
 	for _, m := range f.machines {
-		f.Steps++
-		if m.Condition != Acting || m.Retiring || m.Aside || !size.Fits(m.Free()) || !f.allowed(m, j) || !f.takes(m, j) {
+		f.PlanningSteps++
+		if m.Condition != Ready || m.Returning || m.Quarantined || !size.Fits(m.Free()) || !f.mayUse(m, j) || !f.zoneAccepts(m, j) {
 			continue
 		}
 		zone := jobs.None
@@ -80,41 +80,41 @@
 	return false
 }
 
-// waited is for how long a job has stood beside room.
-func (f *Fleet) waited(j *jobs.Job) time.Duration {
+// waitedBesideRoom is for how long a job has stood beside room.
+func (f *Fleet) waitedBesideRoom(j *jobs.Job) time.Duration {
 	if j == nil || j.RoomSince == 0 || j.TasksOnMachines() > 0 {
 		return 0
 	}
 	return f.Now() - j.RoomSince
 }
 
-// aged tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
-func (f *Fleet) aged(j *jobs.Job) bool { return f.waited(j) > agedAfter }
+// hasWaitedLong tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
+func (f *Fleet) hasWaitedLong(j *jobs.Job) bool { return f.waitedBesideRoom(j) > longWaitAfter }
 
-// claimed tells whether the claim on a machine holds against a job.
-func (f *Fleet) claimed(m *Machine, j *jobs.Job) bool {
-	if m.claimRank >= f.rankOf(j) {
+// isReservedFrom tells whether the claim on a machine holds against a job.
+func (f *Fleet) isReservedFrom(m *Machine, j *jobs.Job) bool {
+	if m.reservedRank >= f.rankOf(j) {
 		return false
 	}
-	if m.claimFirm {
-		return f.waited(j) <= firmAfter
+	if m.reservedFirmly {
+		return f.waitedBesideRoom(j) <= firmReservationAfter
 	}
-	return !f.aged(j)
+	return !f.hasWaitedLong(j)
 }
 
-// unneeded is what of a machine's room what is planned there leaves for a job that would be moved there. What is planned may be
+// unneededRoom is what of a machine's room what is planned there leaves for a job that would be moved there. What is planned may be
 // held up itself by what holds a job that has waited for long no more: for such a job only gangs count, and others like it.
-func (f *Fleet) unneeded(m *Machine, j *jobs.Job) planner.Size {
-	if !f.aged(j) {
-		return m.Free().Sub(m.need)
+func (f *Fleet) unneededRoom(m *Machine, j *jobs.Job) planner.Size {
+	if !f.hasWaitedLong(j) {
+		return m.Free().Sub(m.queuedNeed)
 	}
-	free := m.Free().Sub(m.whole)
-	for _, l := range m.lanes {
-		if o := f.job(l.job); o.Spec.Kind == jobs.Array && f.aged(o) {
+	free := m.Free().Sub(m.queuedWhole)
+	for _, l := range m.queues {
+		if o := f.jobAt(l.job); o.Spec.Kind == jobs.Array && f.hasWaitedLong(o) {
 			size := o.Spec.Size() // what has no room there now takes none either
 			free = free.Sub(size.Times(float64(min(len(l.tasks), max(0, size.Copies(free))))))
 		}
 	}
-	f.Steps += uint64(len(m.lanes))
+	f.PlanningSteps += uint64(len(m.queues))
 	return free
 }
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -21,7 +21,7 @@
 			on, spot := map[string][]TaskReport{}, map[string]bool{"busy": c.spot}
 			run := func(m string) {
 				for _, cmd := range starts(g.see(m, "cpu", spot[m], on[m]...)) {
-					on[m] = append(on[m], TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: running})
+					on[m] = append(on[m], TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: taskRunning})
 				}
 				g.see(m, "cpu", spot[m], on[m]...)
 			}
--- a/internal/fleet/batch.go
+++ b/internal/fleet/batch.go
@@ -11,71 +11,71 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// pending is one change of a write under way: a job's record becomes done, a chunk gets a new value, in a key of
+// mutation is one change of a write under way: a job's record becomes done, a chunk gets a new value, in a key of
 // its own or in a page, or a page is written.
-type pending struct {
+type mutation struct {
 	job      *jobs.Job
-	chunk    *jobs.PlanSegment // nil: the job's record becomes done, or it is a page
+	segment  *jobs.PlanSegment // nil: the job's record becomes done, or it is a page
 	snapshot []int32
 	key      string
-	raw      []byte
+	value    []byte
 	page     *pages.PageWrite
 	inPage   bool // the chunk's value is in one of the pages written along
 	moved    bool // and its former key is dropped
 }
 
-// write gathers what one transaction changes, within its bounds.
-type write struct {
-	f     *Fleet
-	ops   []pending
-	n     int // changes, without pages
-	bytes int
-	batch *pages.Batch // nil: every chunk has a key of its own
+// writeBatch gathers what one transaction changes, within its bounds.
+type writeBatch struct {
+	f         *Fleet
+	mutations []mutation
+	n         int // changes, without pages
+	bytes     int
+	pages     *pages.Batch // nil: every chunk has a key of its own
 }
 
 const (
-	mostBytes = 60 << 10 // of a transaction
-	firstly   = 2000     // for what surrounds it
+	maxTxnBytes      = 60 << 10 // of a transaction
+	txnOverheadBytes = 2000     // for what surrounds it
 )
 
-func (w *write) changes(extra int) bool {
+func (w *writeBatch) fits(extra int) bool {
 	n := w.n + extra
-	if w.batch != nil {
-		k, _ := w.batch.Size()
+	if w.pages != nil {
+		k, _ := w.pages.Size()
 		n += k
 	}
-	return n <= w.f.ops() && w.f.Room(n)
+	return n <= w.f.maxOps() && w.f.CanWrite(n)
 }
 
-func (w *write) size() int {
-	if w.batch == nil {
+func (w *writeBatch) size() int {
+	if w.pages == nil {
 		return w.bytes
 	}
-	_, b := w.batch.Size()
+	_, b := w.pages.Size()
 	return w.bytes + b
 }
 
-// key adds a change of a key of its own.
-func (w *write) key(p pending) bool {
-	if !w.changes(1) || w.size()+len(p.raw)+len(p.key)+64 > mostBytes {
+// addKey adds a change of a key of its own.
+func (w *writeBatch) addKey(p mutation) bool {
+	if !w.fits(1) || w.size()+len(p.value)+len(p.key)+64 > maxTxnBytes {
 		return false
 	}
 	w.n++
-	w.bytes += len(p.raw) + 2*len(p.key) + 100
-	w.ops = append(w.ops, p)
+	w.bytes += len(p.value) + 2*len(p.key) + 100
+	w.mutations = append(w.mutations, p)
 	return true
 }
 
-// chunk adds a chunk's value, where it is to stand now.
-func (w *write) chunk(j *jobs.Job, c *jobs.PlanSegment) bool {
+// addSegment adds a chunk's value, where it is to stand now.
+func (w *writeBatch) addSegment(j *jobs.Job, c *jobs.PlanSegment) bool {
 	f := w.f
 	raw, snap, ok := j.EncodeSegmentWithin(c, f.Term, func(m int32) string { return f.machines[m].Name }, f.valueLimit()-len(j.PlanKey(c.Number)))
 	if !ok {
 		return true // more of it runs, on more machines, than a value can name: it is written once some of that has ended
 	}
-	p := pending{job: j, chunk: c, snapshot: snap, key: j.PlanKey(c.Number), raw: raw}
-	if w.batch == nil || c.CreateIndeterminate {
-		return w.key(p)
+	p := mutation{job: j, segment: c, snapshot: snap, key: j.PlanKey(c.Number), value: raw}
+	if w.pages == nil || c.CreateIndeterminate {
+		return w.addKey(p)
 	}
 	p.inPage, p.moved = true, c.Version != 0
 	extra := 0
@@ -83,22 +83,22 @@
 		extra = 1
 	}
 	// One page more must fit, and the end of the former key.
-	k, _ := w.batch.Size()
+	k, _ := w.pages.Size()
 	most := k
-	if w.changes(extra + 1) {
+	if w.fits(extra + 1) {
 		most++
-	} else if !w.changes(extra) {
+	} else if !w.fits(extra) {
 		return false
 	}
 	e := pages.Entry{Ref: planRef(j, c), Name: j.PlanName(c.Number), Value: raw}
-	if !w.batch.Add(e, most, mostBytes-w.bytes-firstly) {
+	if !w.pages.Add(e, most, maxTxnBytes-w.bytes-txnOverheadBytes) {
 		return false
 	}
 	if p.moved {
 		w.n++
 		w.bytes += 2*len(p.key) + 100
 	}
-	w.ops = append(w.ops, p)
+	w.mutations = append(w.mutations, p)
 	return true
 }
 
@@ -108,33 +108,33 @@
 
 // migrate takes up chunks that still have a key of their own, where pages are in force, and reports whether there
 // were any. It is the last thing that spare writes are for.
-func (f *Fleet) migrate(w *write) bool {
-	if w.batch == nil || f.migrated || !f.Spare() {
+func (f *Fleet) migrate(w *writeBatch) bool {
+	if w.pages == nil || f.migrated || !f.HasSpareWrites() {
 		return false
 	}
 	n := 0
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		for _, c := range j.Segments {
 			if c.Version == 0 || c.CreateIndeterminate || c.Quarantined || c.InFlight != nil {
 				continue
 			}
-			if n == migrateAtOnce || !w.chunk(j, c) {
+			if n == migrateBatch || !w.addSegment(j, c) {
 				return n > 0
 			}
 			n++
 		}
 	}
-	f.migrated = n == 0 && f.OldPlans() == 0
+	f.migrated = n == 0 && f.UnmigratedPlans() == 0
 	return n > 0
 }
 
-// migrateAtOnce is how many chunks a write moves in the background.
-const migrateAtOnce = 8
+// migrateBatch is how many chunks a write moves in the background.
+const migrateBatch = 8
 
-// OldPlans counts the keys of plans that stand in the form that pages replace, with those of jobs that are over.
-func (f *Fleet) OldPlans() int {
-	n := len(f.garbage)
-	for _, js := range [][]*jobs.Job{f.order, f.over} {
+// UnmigratedPlans counts the keys of plans that stand in the form that pages replace, with those of jobs that are over.
+func (f *Fleet) UnmigratedPlans() int {
+	n := len(f.obsoletePlanKeys)
+	for _, js := range [][]*jobs.Job{f.ranked, f.endedJobs} {
 		for _, j := range js {
 			for _, c := range j.Segments {
 				if c.Version != 0 || c.CreateIndeterminate {
@@ -150,12 +150,12 @@
 // none is written again where pages are in force.
 func (f *Fleet) Migrated() bool { return f.migrated }
 
-// settlePages takes over what became of a write's pages, its first operations, and of the chunks in them, by what
+// resolvePages takes over what became of a write's pages, its first operations, and of the chunks in them, by what
 // was read of each page. It is false if the write landed between two of the reads: then they say nothing.
-func (f *Fleet) settlePages(ops []pending, read []store.Item) bool {
+func (f *Fleet) resolvePages(ops []mutation, read []store.Item) bool {
 	landed := 0
 	for i, it := range read {
-		if it.Version != ops[i].page.Version && string(it.Value) == string(ops[i].raw) {
+		if it.Version != ops[i].page.Version && string(it.Value) == string(ops[i].value) {
 			landed++
 		}
 	}
@@ -178,10 +178,10 @@
 		switch {
 		case !p.inPage:
 		case landed > 0:
-			f.applied(now, p, 0)
+			f.confirmWrite(now, p, 0)
 		default:
-			p.chunk.AddIndeterminate(p.snapshot)
-			f.undone(now, p)
+			p.segment.AddIndeterminate(p.snapshot)
+			f.revertWrite(now, p)
 		}
 	}
 	return true
@@ -195,15 +195,15 @@
 		return nil
 	}
 	for name, raw := range s.Values {
-		if j, c := f.chunkNamed(name); c != nil {
+		if j, c := f.segmentByName(name); c != nil {
 			es = append(es, pages.Entry{Ref: planRef(j, c), Name: name, Value: raw})
 		}
 	}
 	return es
 }
 
-// chunkNamed finds a chunk of a job that is open here, by its name in a page.
-func (f *Fleet) chunkNamed(name string) (*jobs.Job, *jobs.PlanSegment) {
+// segmentByName finds a chunk of a job that is open here, by its name in a page.
+func (f *Fleet) segmentByName(name string) (*jobs.Job, *jobs.PlanSegment) {
 	id, no, ok := splitPlanName(name)
 	j := f.Jobs.Get(id)
 	if !ok || j == nil || no >= len(j.Segments) {
@@ -212,9 +212,9 @@
 	return j, j.Segments[no]
 }
 
-// unreadable tells of a stored record that can't be read.
-func (f *Fleet) unreadable(key string, raw json.RawMessage, cause error) {
-	if f.Unreadable != nil {
-		f.Unreadable(key, raw, cause)
+// reportUnreadable tells of a stored record that can't be read.
+func (f *Fleet) reportUnreadable(key string, raw json.RawMessage, cause error) {
+	if f.OnUnreadable != nil {
+		f.OnUnreadable(key, raw, cause)
 	}
 }
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -32,7 +32,7 @@
 	}
 	var reports [][]byte
 	for _, m := range g.machines {
-		raw, err := json.Marshal(Report{Machine: m.Name, Addr: m.Addr, Type: "ty", Zone: "z", Session: 1, Token: fenced, Tasks: on[m.Name]})
+		raw, err := json.Marshal(Heartbeat{Machine: m.Name, Addr: m.Addr, Type: "ty", Zone: "z", Session: 1, Token: fenced, Tasks: on[m.Name]})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,15 +42,15 @@
 }
 
 // answer reads and answers one report, as a connection and the event loop do.
-func (g *rig) answer(raw []byte) Answer {
-	r, err := ParseReport(raw)
+func (g *rig) answer(raw []byte) HeartbeatResponse {
+	r, err := ParseHeartbeat(raw)
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.seq++
 	r.Seq = g.seq
-	a, v := g.Report(g.now, r)
-	if v != Accept {
+	a, v := g.HandleHeartbeat(g.now, r)
+	if v != Accepted {
 		g.t.Fatalf("report refused: %d", v)
 	}
 	return a
@@ -77,7 +77,7 @@
 	g, _ := loaded(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.push(g.now)
+		g.dispatch(g.now)
 	}
 }
 
@@ -105,7 +105,7 @@
 // and its list of tasks, little else. Maps made for each report once doubled it.
 func TestAllocationsOfAReport(t *testing.T) {
 	g, reports := loaded(t, 20, 4, 100)
-	tasks := len(g.machines[0].On)
+	tasks := len(g.machines[0].Tasks)
 	if tasks < 4 {
 		t.Fatalf("%d tasks on a machine", tasks)
 	}
@@ -119,12 +119,12 @@
 func TestPushPassesFullMachinesOver(t *testing.T) {
 	g, _ := loaded(t, 40, 30, 100)
 	waiting := 0
-	for _, j := range g.order {
+	for _, j := range g.ranked {
 		waiting += j.TasksByState[jobs.Planned]
 	}
-	before := g.Steps
-	if g.push(g.now); g.Steps != before || waiting < 1000 {
-		t.Fatalf("%d steps for machines without room, with %d tasks waiting", g.Steps-before, waiting)
+	before := g.PlanningSteps
+	if g.dispatch(g.now); g.PlanningSteps != before || waiting < 1000 {
+		t.Fatalf("%d steps for machines without room, with %d tasks waiting", g.PlanningSteps-before, waiting)
 	}
 }
 
@@ -132,7 +132,7 @@
 // bound once counted as sent and came to nothing.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
-	g.MaxOrders = 3
+	g.MaxDirectRequests = 3
 	for i := range 10 {
 		g.see(fmt.Sprintf("m%d", i), "ty", false)
 	}
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,15 +9,15 @@
 
 func taskName(j *jobs.Job, t int32) string { return j.ID + "/" + strconv.Itoa(int(t)) }
 
-// commands answers a fenced report: forget what is recorded, stop what must stop, repeat
+// buildCommands answers a fenced report: forget what is recorded, stop what must stop, repeat
 // launches that did not arrive, and start what the machine's lanes hold. The report has
 // just been taken over: f.listed holds what it says is alive.
-func (f *Fleet) commands(now time.Duration, m *Machine, r *Report) []Command {
+func (f *Fleet) buildCommands(now time.Duration, m *Machine, r *Heartbeat) []Command {
 	out := []Command{}
 	for i := range r.Tasks {
 		e := &r.Tasks[i]
 		j, t := e.job, e.no
-		if e.State == exited {
+		if e.State == taskExited {
 			if f.forgettable(m, j, t, e) {
 				out = append(out, Command{Op: opForget, Task: e.Task, Attempt: e.Attempt})
 			}
@@ -27,42 +27,42 @@
 			out = append(out, Command{Op: opStop, Task: e.Task, Attempt: e.Attempt, GraceS: &grace})
 		}
 	}
-	if m.Condition != Acting {
+	if m.Condition != Ready {
 		return out
 	}
-	again := f.refs[:0]
-	for ref := range m.On {
-		j := f.job(ref.Job)
+	again := f.refScratch[:0]
+	for ref := range m.Tasks {
+		j := f.jobAt(ref.Job)
 		if j.Tasks[ref.Task].State != jobs.Launched || j.State.Terminal() {
 			continue
 		}
-		if _, alive := f.listed[ref]; !alive {
+		if _, alive := f.listedTasks[ref]; !alive {
 			again = append(again, ref)
 		}
 	}
-	f.refs = again
+	f.refScratch = again
 	sortRefs(again)
 	for _, ref := range again {
-		j := f.job(ref.Job)
+		j := f.jobAt(ref.Job)
 		out = append(out, Command{Op: opStart, Task: taskName(j, ref.Task), Attempt: j.Tasks[ref.Task].Attempt})
 	}
-	return append(out, f.starts(now, m)...)
+	return append(out, f.startCommands(now, m)...)
 }
 
 // forgettable tells whether an exited task may vanish from the reports: its outcome must
 // be durable, and no direct launch of the same attempt may still be under way, since a
 // worker that has forgotten an attempt would start it anew.
 func (f *Fleet) forgettable(m *Machine, j *jobs.Job, t int32, e *TaskReport) bool {
-	if m.ordering {
+	if m.directInFlight {
 		return false
 	}
 	if j == nil {
 		return true
 	}
-	if _, late := m.late[attempt{Ref{j.Index, t}, e.Attempt}]; late {
+	if _, late := m.indeterminateLaunches[taskAttempt{TaskRef{j.Index, t}, e.Attempt}]; late {
 		return false
 	}
-	if e.Why != whyDone || j.State.Terminal() {
+	if e.Why != exitDone || j.State.Terminal() {
 		return true
 	}
 	return j.Tasks != nil && j.IsDurablyDone(t)
@@ -77,10 +77,10 @@
 	if k.State == jobs.Finished || k.Machine != m.Index {
 		return 0, true
 	}
-	if k.Stopping && e.State != saving {
+	if k.Stopping && e.State != taskSaving {
 		return j.Spec.SaveS + 1, true
 	}
-	if m.Condition == Noticed && !m.Retiring && e.State != saving {
+	if m.Condition == ReclaimNoticed && !m.Returning && e.State != taskSaving {
 		return f.drain(now, m, j, t)
 	}
 	return 0, false
@@ -90,20 +90,20 @@
 // will be done in time goes on, one that can save does so while there is time, and one
 // that cannot is started elsewhere at once.
 func (f *Fleet) drain(now time.Duration, m *Machine, j *jobs.Job, t int32) (float64, bool) {
-	rest := (m.NoticeAt - now).Seconds()
+	rest := (m.ReclaimAt - now).Seconds()
 	k := &j.Tasks[t]
 	if j.Spec.Kind == jobs.Gang && j.TaskCount > 1 {
-		if rest > j.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1 && f.left(now, j, t) < rest*0.7 {
+		if rest > j.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1 && f.remainingSeconds(now, j, t) < rest*0.7 {
 			return 0, false
 		}
 		for o := range j.Tasks {
 			if j.Tasks[o].State.Occupies() {
-				f.halt(j, int32(o))
+				f.stopTask(j, int32(o))
 			}
 		}
 		return j.Spec.SaveS + 1, true
 	}
-	if k.Phase == jobs.Running && f.left(now, j, t) < rest*0.7 {
+	if k.Phase == jobs.Running && f.remainingSeconds(now, j, t) < rest*0.7 {
 		return 0, false
 	}
 	return j.Spec.SaveS + 1, true
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -23,7 +23,7 @@
 func (f *Fleet) Demand(now time.Duration) []Need {
 	var out []Need
 	room := map[int32]planner.Size{}
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		if j.Tasks == nil || j.Spec == nil || j.State.Terminal() || j.Idle() {
 			continue
 		}
@@ -31,14 +31,14 @@
 		if n == 0 {
 			continue
 		}
-		if f.paused(now, j) {
+		if f.inBackoff(now, j) {
 			continue
 		}
-		if f.mistaken(j) != nil && j.Spec.Kind != jobs.Gang {
+		if f.crashLooping(j) != nil && j.Spec.Kind != jobs.Gang {
 			n = 1
 		}
 		// What waits for a licence needs no machine yet.
-		if n = f.granted(j, n); n == 0 {
+		if n = f.grantedTasks(j, n); n == 0 {
 			continue
 		}
 		t := f.Gate.Quota.Team(j.Team)
@@ -60,14 +60,14 @@
 	return out
 }
 
-// Running lists what is on a machine with its remaining time, until the next call.
-func (f *Fleet) Running(now time.Duration, m *Machine) []planner.Work {
-	f.works = f.work(f.works[:0], now, m, -1, nil)
-	return f.works
+// ExpectedWork lists what is on a machine with its remaining time, until the next call.
+func (f *Fleet) ExpectedWork(now time.Duration, m *Machine) []planner.Work {
+	f.workScratch = f.appendWork(f.workScratch[:0], now, m, -1, nil)
+	return f.workScratch
 }
 
-// Counts is what is displayed of a job.
-func (f *Fleet) Counts(j *jobs.Job) (done, running int) { return j.FinishedTasks, j.RunningTasks }
+// TaskCounts is what is displayed of a job.
+func (f *Fleet) TaskCounts(j *jobs.Job) (done, running int) { return j.FinishedTasks, j.RunningTasks }
 
 // Summary logs how full the fleet is, for operators who follow an incident.
 func (f *Fleet) Summary(now time.Duration) {
@@ -75,9 +75,9 @@
 	var size, use planner.Size
 	for _, m := range f.machines {
 		switch m.Condition {
-		case Gone, Lost:
+		case Terminated, LeaseExpired:
 			continue
-		case Acting:
+		case Ready:
 			acting++
 		default:
 			other++
@@ -85,13 +85,13 @@
 		if m.Spot {
 			spot++
 		}
-		if len(m.On) == 0 {
+		if len(m.Tasks) == 0 {
 			idle++
 		}
-		size, use = size.Add(m.Size), use.Add(m.Use)
+		size, use = size.Add(m.Capacity), use.Add(m.Used)
 	}
 	byClass := map[int32]int{}
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		waiting += j.UnstartedTasks()
 		byClass[j.Class] += j.UnstartedTasks()
 	}
@@ -102,18 +102,18 @@
 		}
 	}
 	sort.Strings(classes)
-	took := max(1, (now - max(f.summed, f.since)).Seconds())
-	reports, orders := float64(f.reports)/took, float64(f.orders)/took
-	f.reports, f.orders, f.summed = 0, 0, now
+	took := max(1, (now - max(f.summarizedAt, f.termStartedAt)).Seconds())
+	reports, orders := float64(f.heartbeatCount)/took, float64(f.directRequestCount)/took
+	f.heartbeatCount, f.directRequestCount, f.summarizedAt = 0, 0, now
 	slog.Info("fleet", "term", f.Term, "reports_s", int(reports), "orders_s", int(orders), "acting", acting, "other", other, "spot", spot, "idle", idle, "cpus", int(size.CPUs),
-		"cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs), "jobs", len(f.order), "waiting", waiting,
+		"cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs), "jobs", len(f.ranked), "waiting", waiting,
 		"by_class", strings.Join(classes, " "))
 }
 
 // ImageGB is the mean size of the images that live jobs need.
 func (f *Fleet) ImageGB() float64 {
 	sum, n := 0.0, 0
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		if j.Spec != nil {
 			sum += j.Spec.ImageGB
 			n++
@@ -125,14 +125,14 @@
 	return sum / float64(n)
 }
 
-// Quiet tells that there is no job at all.
-func (f *Fleet) Quiet() bool { return f.loaded && len(f.order) == 0 }
+// Quiescent tells that there is no job at all.
+func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranked) == 0 }
 
-// Kinds gives one live job of each class, in rank order.
-func (f *Fleet) Kinds() []*jobs.Job {
+// WaitingShapes gives one live job of each class, in rank order.
+func (f *Fleet) WaitingShapes() []*jobs.Job {
 	var out []*jobs.Job
 	seen := map[int32]bool{}
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		if j.Spec != nil && !seen[j.Class] {
 			seen[j.Class] = true
 			out = append(out, j)
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -32,27 +32,27 @@
 
 // fetchS is how long a machine needs to fetch a job's image, 0 if it has it.
 func (f *Fleet) fetchS(j *jobs.Job, m *Machine) float64 {
-	ty := f.typ(m)
+	ty := f.machineType(m)
 	if ty == nil || ty.FetchGB <= 0 || m.HasImage(j.Image) {
 		return 0
 	}
 	return j.Spec.ImageGB / ty.FetchGB
 }
 
-// left is the estimated remaining time of a task on its machine, in seconds.
-func (f *Fleet) left(now time.Duration, j *jobs.Job, t int32) float64 {
+// remainingSeconds is the estimated remaining time of a task on its machine, in seconds.
+func (f *Fleet) remainingSeconds(now time.Duration, j *jobs.Job, t int32) float64 {
 	k := &j.Tasks[t]
 	m := f.machines[k.Machine]
 	if k.Stopping {
 		return j.Spec.SaveS + 1
 	}
-	est := f.estimate(j) * m.slow
+	est := f.estimate(j) * m.slowdown
 	if k.Phase == jobs.Running || k.Phase == jobs.Saving {
 		ran := (now - k.RunningSince).Seconds()
 		// An overdue task is most likely to run on for a part of what it has run.
 		return max(est-ran, 0.25*ran, 1)
 	}
-	ty := f.typ(m)
+	ty := f.machineType(m)
 	if ty == nil || ty.FetchGB <= 0 {
 		return est
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,8 +24,8 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// Type is a machine type as far as placing needs it.
-type Type struct {
+// MachineType is a machine type as far as placing needs it.
+type MachineType struct {
 	Size    planner.Size
 	CacheGB float64
 	FetchGB float64 // per second
@@ -38,33 +38,33 @@
 type Env struct {
 	Settings *config.Settings
 	Jobs     *jobs.Table
-	Types    func(int32) *Type // nil while unknown
+	Types    func(int32) *MachineType // nil while unknown
 	Rng      *rand.Rand
-	// Room tells whether a write of n operations may go out now.
-	Room func(n int) bool
-	// Spare tells whether half of the budget for writes is unused.
-	Spare func() bool
+	// CanWrite tells whether a write of n operations may go out now.
+	CanWrite func(n int) bool
+	// HasSpareWrites tells whether half of the budget for writes is unused.
+	HasSpareWrites func() bool
 	// Commit sends one transaction of the leader, guarded by its leader key.
 	Commit func(store.Txn, func(store.Result))
 	// Read re-reads one key after an open or failed write.
 	Read func(key string, done func(store.Item, error))
-	// Order sends commands straight to a machine; ok is false if the outcome is open.
-	Order func(m *Machine, o Orders, done func(r *Report, ok bool))
-	// Learned hands on a job record that this fleet has written or re-read.
-	Learned func(now time.Duration, it store.Item)
+	// SendCommands sends commands straight to a machine; ok is false if the outcome is open.
+	SendCommands func(m *Machine, o DirectCommands, done func(r *Heartbeat, ok bool))
+	// OnJobRecord hands on a job record that this fleet has written or re-read.
+	OnJobRecord func(now time.Duration, it store.Item)
 	// Now is the steady clock, for answers that come later than the call that asked.
 	Now func() time.Duration
 	// TxnOps bounds the operations of one transaction. Limits is what one may hold now, which may be less, for the state
 	// service's limits may shrink; nil: it is what TxnOps and the settings say.
 	TxnOps int
 	Limits func() store.Limits
-	// MaxOrders bounds the direct commands under way; 0: no bound.
-	MaxOrders int
-	// Paged tells whether plans are written into pages that many jobs share: from level 2 of the stored state on.
+	// MaxDirectRequests bounds the direct commands under way; 0: no bound.
+	MaxDirectRequests int
+	// PlansInPages tells whether plans are written into pages that many jobs share: from level 2 of the stored state on.
 	// nil: they are.
-	Paged func() bool
-	// Unreadable is told of a stored record that can't be read and why; nil for nobody.
-	Unreadable func(key string, raw json.RawMessage, cause error)
+	PlansInPages func() bool
+	// OnUnreadable is told of a stored record that can't be read and why; nil for nobody.
+	OnUnreadable func(key string, raw json.RawMessage, cause error)
 	// Events takes what happens, for whoever asks; nil for nobody.
 	Events *events.Log
 }
@@ -73,85 +73,85 @@
 type Fleet struct {
 	Env
 	Term uint64
-	// Zones tells whether a zone takes new work of a kind; nil: all do.
-	Zones   func(zone int32, w zones.WorkKind) bool
-	since   time.Duration // start of the term
-	loaded  bool
-	counter uint64
+	// ZoneAcceptsWork tells whether a zone takes new work of a kind; nil: all do.
+	ZoneAcceptsWork func(zone int32, w zones.WorkKind) bool
+	termStartedAt   time.Duration // start of the term
+	plansLoaded     bool
+	attemptCounter  uint64
 
 	machines []*Machine
 	byName   map[string]*Machine
 	// Gate decides whether a task may start and counts what may be on machines.
 	Gate *admission.Gate
 
-	// spread says, for each job with planned tasks, on which machines they wait and how
+	// queuedOn says, for each job with planned tasks, on which machines they wait and how
 	// many: planning looks at those instead of at the whole fleet.
-	spread map[jobs.Index]map[int32]int
+	queuedOn map[jobs.Index]map[int32]int
 
-	order  []*jobs.Job // live jobs by rank
-	within map[jobs.Index]bool
-	ranked time.Duration
+	ranked          []*jobs.Job // live jobs by rank
+	withinGuarantee map[jobs.Index]bool
+	rankedAt        time.Duration
 
 	classes map[int32]*classStats
 
-	pass     pass
-	nextPass time.Duration
-	// Steps counts the work of planning, in looks at a machine, lane or task. It paces the
+	cycle     schedulingCycle
+	nextCycle time.Duration
+	// PlanningSteps counts the work of planning, in looks at a machine, lane or task. It paces the
 	// passes, and tests bound it.
-	Steps  uint64
-	ixs    []jobs.Index     // scratch
-	works  []planner.Work   // scratch
-	refs   []Ref            // scratch
-	listed map[Ref]struct{} // what the report at hand says is on its machine
-	perGPU planner.Size     // what waiting work takes besides, for each accelerator
+	PlanningSteps uint64
+	jobScratch    []jobs.Index         // scratch
+	workScratch   []planner.Work       // scratch
+	refScratch    []TaskRef            // scratch
+	listedTasks   map[TaskRef]struct{} // what the report at hand says is on its machine
+	waitingPerGPU planner.Size         // what waiting work takes besides, for each accelerator
 	// Of that work, whether any lies within its team's guarantee, and the highest priority of it.
-	gpuWithin bool
-	gpuLevel  int
-	ordinary  map[int32]bool                // machine types that jobs which may not use spot need
-	kinds     map[int32]bool                // machine types seen
-	pleaded   map[jobs.Index]time.Duration  // jobs that had others stopped, when last
-	failing   map[jobs.Index]*failing       // jobs of which tasks failed
-	first     map[jobs.Index]bool           // arrays and services of which a few tasks go before everybody
-	verdicts  map[jobs.Index]verdict        // what planning last decided about what is unplanned
-	grants    map[jobs.Index]licences.Grant // of jobs that need licences, by the last pass
-	news      bool                          // a plan became durable since the last push
-	besideAt  time.Duration                 // no look at who stands beside room before
-	barren    map[jobs.Index]time.Duration  // arrays for which no machine was found, until when
+	gpuWithinGuarantee bool
+	gpuPriority        int
+	onDemandTypes      map[int32]bool                // machine types that jobs which may not use spot need
+	seenTypes          map[int32]bool                // machine types seen
+	preemptedAt        map[jobs.Index]time.Duration  // jobs that had others stopped, when last
+	crashLoops         map[jobs.Index]*crashLoop     // jobs of which tasks failed
+	startDeadlineDue   map[jobs.Index]bool           // arrays and services of which a few tasks go before everybody
+	pendingNotes       map[jobs.Index]pendingNote    // what planning last decided about what is unplanned
+	licenceGrants      map[jobs.Index]licences.Grant // of jobs that need licences, by the last pass
+	planBecameDurable  bool                          // a plan became durable since the last push
+	nextRoomCheck      time.Duration                 // no look at who stands beside room before
+	noMachineUntil     map[jobs.Index]time.Duration  // arrays for which no machine was found, until when
 
-	// hints are the caches that the owner before inferred, until their machines are heard.
-	hints    map[string][]cached
-	shards   []bool // hints that have changed since they were written
-	shard    int    // written last
-	imagesAt time.Duration
+	// imageHints are the caches that the owner before inferred, until their machines are heard.
+	imageHints      map[string][]cachedImage
+	dirtyHintShards []bool // hints that have changed since they were written
+	lastHintShard   int    // written last
+	hintsWrittenAt  time.Duration
 
-	held     bool // nothing new is started: the lead is being handed over
-	ordering int  // direct commands under way
-	writing  bool
-	stuck    bool // writes without an outcome can't be settled in this term
-	retry    func(time.Duration)
-	retryAt  time.Duration
-	over     []*jobs.Job // ended, with tasks that may still be on machines or plans that stand
-	garbage  []string
-	pages    *pages.Pages
-	unread   map[string]bool // jobs whose records could not be read when the term began
-	migrated bool            // no plan has a key of its own any more
-	// LastReport is when any worker was last heard.
-	LastReport time.Duration
+	startsStopped    bool // nothing new is started: the lead is being handed over
+	directRequests   int  // direct commands under way
+	writeInFlight    bool
+	writesStuck      bool // writes without an outcome can't be settled in this term
+	retry            func(time.Duration)
+	retryAt          time.Duration
+	endedJobs        []*jobs.Job // ended, with tasks that may still be on machines or plans that stand
+	obsoletePlanKeys []string
+	pages            *pages.Pages
+	unreadableJobs   map[string]bool // jobs whose records could not be read when the term began
+	migrated         bool            // no plan has a key of its own any more
+	// LastHeartbeat is when any worker was last heard.
+	LastHeartbeat time.Duration
 	// Since the last summary: reports taken and direct commands sent.
-	reports, orders int
-	summed          time.Duration
+	heartbeatCount, directRequestCount int
+	summarizedAt                       time.Duration
 }
 
 // New starts a term at time now. Until Load has brought the durable plans nothing acts.
 func New(env Env, term uint64, now time.Duration) *Fleet {
 	f := &Fleet{
-		Env: env, Term: term, since: now, byName: map[string]*Machine{},
-		within: map[jobs.Index]bool{}, classes: map[int32]*classStats{}, LastReport: now,
-		hints: map[string][]cached{}, spread: map[jobs.Index]map[int32]int{}, barren: map[jobs.Index]time.Duration{}, pleaded: map[jobs.Index]time.Duration{}, failing: map[jobs.Index]*failing{}, first: map[jobs.Index]bool{},
-		unread: map[string]bool{}, grants: map[jobs.Index]licences.Grant{}, verdicts: map[jobs.Index]verdict{}, ordinary: map[int32]bool{}, kinds: map[int32]bool{}, listed: map[Ref]struct{}{},
+		Env: env, Term: term, termStartedAt: now, byName: map[string]*Machine{},
+		withinGuarantee: map[jobs.Index]bool{}, classes: map[int32]*classStats{}, LastHeartbeat: now,
+		imageHints: map[string][]cachedImage{}, queuedOn: map[jobs.Index]map[int32]int{}, noMachineUntil: map[jobs.Index]time.Duration{}, preemptedAt: map[jobs.Index]time.Duration{}, crashLoops: map[jobs.Index]*crashLoop{}, startDeadlineDue: map[jobs.Index]bool{},
+		unreadableJobs: map[string]bool{}, licenceGrants: map[jobs.Index]licences.Grant{}, pendingNotes: map[jobs.Index]pendingNote{}, onDemandTypes: map[int32]bool{}, seenTypes: map[int32]bool{}, listedTasks: map[TaskRef]struct{}{},
 	}
-	if f.Paged == nil {
-		f.Paged = func() bool { return true }
+	if f.PlansInPages == nil {
+		f.PlansInPages = func() bool { return true }
 	}
 	f.pages = pages.New(f.pageLimit())
 	d := env.Jobs.Names
@@ -159,8 +159,8 @@
 	return f
 }
 
-// ops is how many changes a transaction may hold now.
-func (f *Fleet) ops() int {
+// maxOps is how many changes a transaction may hold now.
+func (f *Fleet) maxOps() int {
 	if f.Limits == nil {
 		return f.TxnOps
 	}
@@ -179,20 +179,20 @@
 // pageLimit is how much is put in one page now.
 func (f *Fleet) pageLimit() int { return min(pageBytes, f.valueLimit()) }
 
-// Hold starts nothing new from now on; what runs goes on, and what is due is written.
-func (f *Fleet) Hold() { f.held = true }
+// StopStarting starts nothing new from now on; what runs goes on, and what is due is written.
+func (f *Fleet) StopStarting() { f.startsStopped = true }
 
-// Writing tells whether a write is under way.
-func (f *Fleet) Writing() bool { return f.writing }
+// WriteInFlight tells whether a write is under way.
+func (f *Fleet) WriteInFlight() bool { return f.writeInFlight }
 
-// Loaded tells whether the durable plans were read.
-func (f *Fleet) Loaded() bool { return f.loaded }
+// PlansLoaded tells whether the durable plans were read.
+func (f *Fleet) PlansLoaded() bool { return f.plansLoaded }
 
 // Machines are all machines heard of in this term.
 func (f *Fleet) Machines() []*Machine { return f.machines }
 
-// happened keeps an event of a task; the note says more.
-func (f *Fleet) happened(now time.Duration, kind events.Kind, j *jobs.Job, t int32, note string) {
+// addTaskEvent keeps an event of a task; the note says more.
+func (f *Fleet) addTaskEvent(now time.Duration, kind events.Kind, j *jobs.Job, t int32, note string) {
 	k := &j.Tasks[t]
 	f.Events.Add(events.Event{At: now, Kind: kind, Job: j.ID, Task: t, Machine: k.Machine, Attempt: k.Attempt, Note: note})
 }
@@ -200,25 +200,25 @@
 // pageBytes is how much is put in one page at most, where a value may be larger: all of it is sent with each write.
 const pageBytes = 6 << 10
 
-// must reports a change of state that the rules do not know: a defect, never input.
-func (f *Fleet) must(err error) {
+// checkTransition reports a change of state that the rules do not know: a defect, never input.
+func (f *Fleet) checkTransition(err error) {
 	if err != nil {
 		slog.Error("state machine", "term", f.Term, "cause", err)
 	}
 }
 
-func (f *Fleet) job(ix jobs.Index) *jobs.Job { return f.Jobs.ByIndex(ix) }
+func (f *Fleet) jobAt(ix jobs.Index) *jobs.Job { return f.Jobs.ByIndex(ix) }
 
 // Jobs tells of a change in the job table: a new job is opened, a cancelled one stopped.
-func (f *Fleet) Changed(now time.Duration, j *jobs.Job) {
-	if !f.loaded {
+func (f *Fleet) HandleJobChange(now time.Duration, j *jobs.Job) {
+	if !f.plansLoaded {
 		return
 	}
 	if j.State == jobs.Pending {
 		j.OpenTasks()
 		// Its plan was passed over when this term began: what runs of it isn't known here. The next leader reads both.
-		j.Quarantined = j.Quarantined || f.unread[j.ID]
-		f.ranked = 0
+		j.Quarantined = j.Quarantined || f.unreadableJobs[j.ID]
+		f.rankedAt = 0
 		slog.Info("job accepted", "job", j.ID, "class", j.Spec.Class, "kind", string(j.Spec.Kind), "tasks", j.TaskCount, "term", f.Term)
 		f.Events.Add(events.Event{At: now, Kind: events.JobAccepted, Job: j.ID, Task: events.None, Machine: events.None})
 		return
@@ -228,30 +228,30 @@
 		ended = events.JobCancelled
 	}
 	f.Events.Add(events.Event{At: now, Kind: ended, Job: j.ID, Task: events.None, Machine: events.None})
-	f.ranked = 0
-	delete(f.barren, j.Index)
-	delete(f.pleaded, j.Index)
-	delete(f.failing, j.Index)
-	delete(f.grants, j.Index)
-	delete(f.verdicts, j.Index)
+	f.rankedAt = 0
+	delete(f.noMachineUntil, j.Index)
+	delete(f.preemptedAt, j.Index)
+	delete(f.crashLoops, j.Index)
+	delete(f.licenceGrants, j.Index)
+	delete(f.pendingNotes, j.Index)
 	if j.Tasks == nil {
 		return
 	}
-	f.over = append(f.over, j)
+	f.endedJobs = append(f.endedJobs, j)
 	slog.Info("job ended", "job", j.ID, "stance", j.State.String(), "term", f.Term)
-	for _, ix := range f.waitsAt(j) {
+	for _, ix := range f.queueMachines(j) {
 		m := f.machines[ix]
-		n := len(m.waiting(j.Index))
-		m.wait(j.Index, nil)
-		f.unqueue(m, j, n)
+		n := len(m.queued(j.Index))
+		m.setQueue(j.Index, nil)
+		f.removeQueued(m, j, n)
 	}
 	for t := range j.Tasks {
 		k := &j.Tasks[t]
 		switch {
 		case k.State == jobs.Planned:
-			f.must(j.SetTaskState(int32(t), jobs.Unplanned))
+			f.checkTransition(j.SetTaskState(int32(t), jobs.Unplanned))
 		case k.State.Occupies():
-			f.halt(j, int32(t))
+			f.stopTask(j, int32(t))
 		}
 	}
 }
--- a/internal/fleet/floor.go
+++ b/internal/fleet/floor.go
@@ -10,46 +10,46 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// beginTasks is how many tasks of an array or a service go before everybody else once it is overdue to begin. That is
+// startDeadlineTasks is how many tasks of an array or a service go before everybody else once it is overdue to begin. That is
 // so little that nobody's guarantee feels it, and stops with its first start.
-const beginTasks = 2
+const startDeadlineTasks = 2
 
-// beginAt is the part of the time in which every job is to begin after which one goes first: what a large gang needs is
+// startDeadlineFraction is the part of the time in which every job is to begin after which one goes first: what a large gang needs is
 // gathered as tasks end, and that takes the rest.
-const beginAt = 0.5
+const startDeadlineFraction = 0.5
 
 // overdue tells whether nothing of a job has ever started though it has waited for long. Its age counts from its
 // submission, which is durable, so that it survives a change of the lead.
 func (f *Fleet) overdue(now time.Duration, j *jobs.Job) bool {
-	limit := config.Seconds(beginAt * f.Settings.Operator.BeginS)
-	return limit > 0 && !j.Started && j.FinishedTasks == 0 && j.TasksOnMachines() == 0 && now-j.SubmittedAt > limit && f.mistaken(j) == nil && !j.Idle()
+	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.BeginS)
+	return limit > 0 && !j.Started && j.FinishedTasks == 0 && j.TasksOnMachines() == 0 && now-j.SubmittedAt > limit && f.crashLooping(j) == nil && !j.Idle()
 }
 
-// beginFirst moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
+// markStartDeadlines moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
 // everybody; gangs, which take more, before all others that lie within their team's guarantee like them, or don't. Without it
 // a large gang that has missed its aims ranks behind every younger one that still can meet them, for ever under a
 // constant stream, and guests behind everybody as long as anybody waits. It ends with a job's first start, so that
 // it and a job that may preempt it can't take turns.
-func (f *Fleet) beginFirst(now time.Duration) {
-	clear(f.first)
+func (f *Fleet) markStartDeadlines(now time.Duration) {
+	clear(f.startDeadlineDue)
 	place := func(j *jobs.Job) int {
 		late := f.overdue(now, j)
 		switch {
 		case late && j.Spec.Kind != jobs.Gang:
-			f.first[j.Index] = true
+			f.startDeadlineDue[j.Index] = true
 			return 0
-		case f.within[j.Index] && late:
+		case f.withinGuarantee[j.Index] && late:
 			return 1
-		case f.within[j.Index]:
+		case f.withinGuarantee[j.Index]:
 			return 2
 		case late:
 			return 3
 		}
 		return 4
 	}
-	places := make(map[jobs.Index]int, len(f.order))
+	places := make(map[jobs.Index]int, len(f.ranked))
 	moved := false
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		p := place(j)
 		places[j.Index] = p
 		moved = moved || p%2 == 1 || p == 0
@@ -57,7 +57,7 @@
 	if !moved {
 		return
 	}
-	slices.SortStableFunc(f.order, func(a, b *jobs.Job) int {
+	slices.SortStableFunc(f.ranked, func(a, b *jobs.Job) int {
 		if d := places[a.Index] - places[b.Index]; d != 0 || places[a.Index]%2 == 0 && places[a.Index] > 0 {
 			return d
 		}
--- a/internal/fleet/floor_test.go
+++ b/internal/fleet/floor_test.go
@@ -31,10 +31,10 @@
 		}
 		now := 300 * time.Second
 		g.Settings.Operator.BeginS = 0
-		g.Rank(now)
-		was := slices.Clone(g.order)
+		g.RankJobs(now)
+		was := slices.Clone(g.ranked)
 		g.Settings.Operator.BeginS = 240
-		g.Rank(now)
+		g.RankJobs(now)
 		var want []*jobs.Job
 		late := func(j *jobs.Job) bool { return !j.Started && now-j.SubmittedAt > 120*time.Second }
 		take := func(oldest bool, f func(*jobs.Job) bool) {
@@ -52,10 +52,10 @@
 		gang := func(j *jobs.Job) bool { return j.Spec.Kind == jobs.Gang }
 		take(true, func(j *jobs.Job) bool { return late(j) && !gang(j) })
 		for _, within := range []bool{true, false} {
-			take(true, func(j *jobs.Job) bool { return late(j) && gang(j) && g.within[j.Index] == within })
-			take(false, func(j *jobs.Job) bool { return !late(j) && g.within[j.Index] == within })
+			take(true, func(j *jobs.Job) bool { return late(j) && gang(j) && g.withinGuarantee[j.Index] == within })
+			take(false, func(j *jobs.Job) bool { return !late(j) && g.withinGuarantee[j.Index] == within })
 		}
-		if !slices.Equal(g.order, want) {
+		if !slices.Equal(g.ranked, want) {
 			t.Fatalf("ranked otherwise")
 		}
 		if !slices.Equal(was, want) {
@@ -99,8 +99,8 @@
 			for _, m := range names {
 				list := on[m][:0]
 				for _, k := range on[m] {
-					if g.now >= ends[k.Task] && k.State == running {
-						k.State, k.Why = exited, whyDone
+					if g.now >= ends[k.Task] && k.State == taskRunning {
+						k.State, k.Why = taskExited, exitDone
 					}
 					list = append(list, k)
 				}
@@ -108,7 +108,7 @@
 				for _, c := range g.see(m, "ty", false, on[m]...) {
 					switch c.Op {
 					case opStart:
-						on[m] = append(on[m], TaskReport{Task: c.Task, Attempt: c.Attempt, State: running})
+						on[m] = append(on[m], TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 						ends[c.Task] = g.now + time.Duration(10+rng.IntN(8))*time.Second
 					case opForget:
 						on[m] = slices.DeleteFunc(on[m], func(k TaskReport) bool { return k.Task == c.Task })
@@ -117,8 +117,8 @@
 			}
 			g.settleFor(3, store.Committed)
 			if bigJob != nil && !bigJob.Started && beginS < 1000 && beginS > 0 && g.now-bigJob.SubmittedAt > 125*time.Second {
-				why := g.Why(g.now, bigJob)
-				told = told || len(why) == 1 && why[0].Why == GangShort && strings.Contains(why[0].Text, "kept for it") && strings.Contains(why[0].Text, "goes first")
+				why := g.PendingReasons(g.now, bigJob)
+				told = told || len(why) == 1 && why[0].Cause == GangShort && strings.Contains(why[0].Text, "kept for it") && strings.Contains(why[0].Text, "goes first")
 			}
 			if bigJob != nil && bigJob.Started && gang == 0 {
 				gang = g.now - bigJob.SubmittedAt
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -22,8 +22,8 @@
 	kv     map[string]json.RawMessage
 	rev    uint64
 	commit []func(store.Outcome)
-	orders []func(r *Report, ok bool)
-	sent   []Orders
+	orders []func(r *Heartbeat, ok bool)
+	sent   []DirectCommands
 	seq    uint64
 }
 
@@ -51,9 +51,11 @@
 	}
 	g.Fleet = New(Env{
 		Settings: s, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: func() time.Duration { return g.now },
-		Types: func(int32) *Type { return &Type{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1} },
-		Room:  func(int) bool { return true },
-		Spare: func() bool { return true },
+		Types: func(int32) *MachineType {
+			return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1}
+		},
+		CanWrite:       func(int) bool { return true },
+		HasSpareWrites: func() bool { return true },
 		Commit: func(t store.Txn, done func(store.Result)) {
 			g.commit = append(g.commit, func(o store.Outcome) {
 				g.rev++
@@ -76,12 +78,12 @@
 			}
 			done(it, nil)
 		},
-		Order: func(_ *Machine, o Orders, done func(*Report, bool)) {
+		SendCommands: func(_ *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
 			g.sent, g.orders = append(g.sent, o), append(g.orders, done)
 		},
-		Learned: func(now time.Duration, it store.Item) { g.learn(it.Key, it.Value) },
+		OnJobRecord: func(now time.Duration, it store.Item) { g.learn(it.Key, it.Value) },
 	}, term, 0)
-	g.Load(0, plans)
+	g.LoadPlans(0, plans)
 	return g
 }
 
@@ -91,7 +93,7 @@
 	if j, changed, err := g.Jobs.Apply(key[len(jobs.Prefix):], raw, g.rev); err != nil {
 		g.t.Fatal(err)
 	} else if changed {
-		g.Changed(g.now, j)
+		g.HandleJobChange(g.now, j)
 	}
 }
 
@@ -114,8 +116,8 @@
 // hear delivers a report of machine m at a token, and returns the commands.
 func (g *rig) hear(m string, session, token uint64, tasks ...TaskReport) []Command {
 	g.seq++
-	a, v := g.Report(g.now, &Report{Machine: m, Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: token, Tasks: tasks})
-	if v != Accept {
+	a, v := g.HandleHeartbeat(g.now, &Heartbeat{Machine: m, Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: token, Tasks: tasks})
+	if v != Accepted {
 		g.t.Fatalf("report refused: %d", v)
 	}
 	return a.Commands
@@ -228,7 +230,7 @@
 // hearNothing keeps a machine from looking silent without touching its lanes.
 func (g *rig) hearNothing() {
 	for _, m := range g.machines {
-		m.Heard = g.now
+		m.LastHeardAt = g.now
 	}
 }
 
@@ -256,7 +258,7 @@
 func TestForgetWaitsForAnOpenLaunch(t *testing.T) {
 	g, j := launched(t)
 	at := j.Tasks[0].Attempt
-	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: exited, Why: whyError}
+	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: taskExited, Why: exitError}
 	has := func(cs []Command) bool {
 		for _, c := range cs {
 			if c.Op == opForget {
@@ -284,15 +286,15 @@
 	g.hear("m", 1, fenced)
 	g.now = 18 * time.Second
 	g.seq++
-	g.take(g.now, &Report{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 2, Seq: g.seq, Token: fenced}, asResponse)
+	g.acceptHeartbeat(g.now, &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 2, Seq: g.seq, Token: fenced}, asResponse)
 	g.now = 30 * time.Second
 	g.expire(g.now)
-	if c := g.machines[0].Condition; c == Lost {
+	if c := g.machines[0].Condition; c == LeaseExpired {
 		t.Fatal("lost 12 s into a session whose lease is 20 s")
 	}
 	g.now = 40 * time.Second
 	g.expire(g.now)
-	if c := g.machines[0].Condition; c != Lost {
+	if c := g.machines[0].Condition; c != LeaseExpired {
 		t.Fatalf("condition %v, the lease has run out", c)
 	}
 }
@@ -305,7 +307,7 @@
 	if used := n.Gate.Quota.Team(n.Jobs.Names.Teams.Index("t")).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, want the cancelled task counted", used)
 	}
-	task := TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: running}
+	task := TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: taskRunning}
 	cs := n.hear("m", 1, 2*fenced, task)
 	if len(cs) != 1 || cs[0].Op != opStop {
 		t.Fatalf("commands %v, want a stop", cs)
@@ -316,7 +318,7 @@
 // once ended the controller.
 func TestAnswerAfterTheJobWasSwept(t *testing.T) {
 	g, j := launched(t)
-	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: exited, Why: whyDone})
+	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: taskExited, Why: exitDone})
 	g.settle(store.Committed)
 	if j.Tasks != nil || j.State != jobs.Done {
 		t.Fatalf("job not swept: %v", j.State)
@@ -328,10 +330,10 @@
 // a cancellation that came first.
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
 	g, j := launched(t)
-	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: exited, Why: whyDone})
+	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: taskExited, Why: exitDone})
 	var seen []store.Condition
 	g.Commit = func(tx store.Txn, done func(store.Result)) { seen = append(seen, tx.If...) }
-	g.Flush(g.now)
+	g.FlushWrites(g.now)
 	want := store.Condition{Key: jobs.RecordKey(j.ID), Version: j.Version}
 	for _, c := range seen {
 		if c == want {
@@ -356,12 +358,12 @@
 		t.Fatal("no hints written")
 	}
 	n := newRig(t, 2, kv)
-	if m := n.Machine(0, "m"); !m.HasImage(n.Jobs.Names.Images.Index("i")) {
+	if m := n.RegisterMachine(0, "m"); !m.HasImage(n.Jobs.Names.Images.Index("i")) {
 		t.Fatal("the next owner does not know the image")
 	}
 	kv[imagesKey+"/0"] = json.RawMessage(`{"images":["i"],"gb":[1],"on":{"m":[0,7,-1]}}`)
-	if m := newRig(t, 3, kv).Machine(0, "m"); len(m.images) != 1 {
-		t.Fatalf("images %v from a damaged hint", m.images)
+	if m := newRig(t, 3, kv).RegisterMachine(0, "m"); len(m.cachedImages) != 1 {
+		t.Fatalf("images %v from a damaged hint", m.cachedImages)
 	}
 }
 
@@ -376,10 +378,10 @@
 	if len(cs) != 4 {
 		t.Fatalf("%d starts", len(cs))
 	}
-	failed := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: exited, Why: whyError}
+	failed := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: taskExited, Why: exitError}
 	alive := func() (out []TaskReport) {
 		for _, c := range cs[1:] {
-			out = append(out, TaskReport{Task: c.Task, Attempt: c.Attempt, State: running})
+			out = append(out, TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 		}
 		return out
 	}
@@ -409,11 +411,11 @@
 	}
 	preempts := 0
 	for range 20 {
-		g.Rank(g.now)
-		for ix := range g.within {
-			g.within[ix] = rng.IntN(2) == 0
+		g.RankJobs(g.now)
+		for ix := range g.withinGuarantee {
+			g.withinGuarantee[ix] = rng.IntN(2) == 0
 		}
-		sorted := append([]*jobs.Job(nil), g.order...)
+		sorted := append([]*jobs.Job(nil), g.ranked...)
 		g.sortByRank(sorted, map[jobs.Index]rankKey{})
 		for a, x := range sorted {
 			for b, y := range sorted {
@@ -454,9 +456,9 @@
 		states []string
 		other  bool
 		has    bool
-	}{{[]string{fetching}, false, false}, {[]string{fetching, running}, false, true}, {[]string{fetching}, true, true}} {
+	}{{[]string{taskFetching}, false, false}, {[]string{taskFetching, taskRunning}, false, true}, {[]string{taskFetching}, true, true}} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
-		m := g.Machine(0, "m")
+		m := g.RegisterMachine(0, "m")
 		g.hear("m", 1, 2*fenced)
 		n := 1
 		if c.other {
@@ -470,7 +472,7 @@
 			g.now += time.Second
 			tasks := []TaskReport{{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: state, Why: why}}
 			if c.other {
-				tasks = append(tasks, TaskReport{Task: "req-000001/1", Attempt: j.Tasks[1].Attempt, State: fetching})
+				tasks = append(tasks, TaskReport{Task: "req-000001/1", Attempt: j.Tasks[1].Attempt, State: taskFetching})
 			}
 			g.hear("m", 1, 2*fenced, tasks...)
 		}
@@ -480,8 +482,8 @@
 		if !m.HasImage(j.Image) {
 			t.Fatalf("%v: the image isn't expected there while it is fetched", c.states)
 		}
-		m.Retiring = true // nothing starts anew
-		report(exited, whyStopped)
+		m.Returning = true // nothing starts anew
+		report(taskExited, exitStopped)
 		if m.HasImage(j.Image) != c.has {
 			t.Errorf("%v, another that waits %v: the machine counts as having the image: %v", c.states, c.other, !c.has)
 		}
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -14,55 +14,55 @@
 // leader's.
 const imagesKey = jobs.PlanPrefix + "images"
 
-// imagesEvery spaces the writes of the hints.
-const imagesEvery = 4 * time.Second
+// hintsInterval spaces the writes of the hints.
+const hintsInterval = 4 * time.Second
 
-// shardMachines is how many machines share one key: a large fleet's hints outgrow a value.
-const shardMachines = 128
+// hintShardMachines is how many machines share one key: a large fleet's hints outgrow a value.
+const hintShardMachines = 128
 
-// imageHints is the stored form: machines point at images by place, least recent first.
-type imageHints struct {
+// imageHintRecord is the stored form: machines point at images by place, least recent first.
+type imageHintRecord struct {
 	Images   []string           `json:"images"`
 	GB       []float64          `json:"gb"`
 	Machines map[string][]int32 `json:"on"`
 }
 
-// nextShard is the shard of hints that is due to be written, or -1.
-func (f *Fleet) nextShard(now time.Duration) int {
-	if now-f.imagesAt < imagesEvery {
+// nextHintShard is the shard of hints that is due to be written, or -1.
+func (f *Fleet) nextHintShard(now time.Duration) int {
+	if now-f.hintsWrittenAt < hintsInterval {
 		return -1
 	}
-	for i := range f.shards {
-		if k := (f.shard + 1 + i) % len(f.shards); f.shards[k] {
+	for i := range f.dirtyHintShards {
+		if k := (f.lastHintShard + 1 + i) % len(f.dirtyHintShards); f.dirtyHintShards[k] {
 			return k
 		}
 	}
 	return -1
 }
 
-// newImage notes that a machine's inferred cache has changed.
-func (f *Fleet) newImage(m *Machine) {
-	k := int(m.Index) / shardMachines
-	for len(f.shards) <= k {
-		f.shards = append(f.shards, false)
+// addImage notes that a machine's inferred cache has changed.
+func (f *Fleet) addImage(m *Machine) {
+	k := int(m.Index) / hintShardMachines
+	for len(f.dirtyHintShards) <= k {
+		f.dirtyHintShards = append(f.dirtyHintShards, false)
 	}
-	f.shards[k] = true
+	f.dirtyHintShards[k] = true
 }
 
 // encodeImages writes a shard of the hints, as far as they fit a value.
 func (f *Fleet) encodeImages(shard int) json.RawMessage {
 	limit := f.valueLimit()
-	h := imageHints{Machines: map[string][]int32{}}
+	h := imageHintRecord{Machines: map[string][]int32{}}
 	at := map[int32]int32{}
 	size := 100
-	for _, m := range f.machines[shard*shardMachines : min(len(f.machines), (shard+1)*shardMachines)] {
-		if m.Condition == Gone || m.Condition == Lost || len(m.images) == 0 {
+	for _, m := range f.machines[shard*hintShardMachines : min(len(f.machines), (shard+1)*hintShardMachines)] {
+		if m.Condition == Terminated || m.Condition == LeaseExpired || len(m.cachedImages) == 0 {
 			continue
 		}
-		if size += len(m.Name) + 6 + 4*len(m.images); size > limit {
+		if size += len(m.Name) + 6 + 4*len(m.cachedImages); size > limit {
 			break
 		}
-		for _, c := range m.images {
+		for _, c := range m.cachedImages {
 			i, ok := at[c.image]
 			if !ok {
 				name := f.Jobs.Names.Images.Name(c.image)
@@ -83,18 +83,18 @@
 
 // loadImages takes over the hints of the owner before.
 func (f *Fleet) loadImages(now time.Duration, it store.Item) {
-	var h imageHints
+	var h imageHintRecord
 	if json.Unmarshal(it.Value, &h) != nil || len(h.GB) != len(h.Images) {
 		return
 	}
 	for name, list := range h.Machines {
-		m := f.hints[name]
+		m := f.imageHints[name]
 		for _, i := range list {
 			if i >= 0 && int(i) < len(h.Images) {
-				m = append(m, cached{f.Jobs.Names.Images.Index(h.Images[i]), h.GB[i]})
+				m = append(m, cachedImage{f.Jobs.Names.Images.Index(h.Images[i]), h.GB[i]})
 			}
 		}
-		f.hints[name] = m
+		f.imageHints[name] = m
 	}
 }
 
@@ -102,13 +102,13 @@
 // fetched, and the worker has given the fetch up. A gang whose image takes longer than its others wait once started
 // all its tasks together, on and on, because one machine was believed to have what it had never finished to fetch.
 func (f *Fleet) unfetched(m *Machine, image int32) {
-	for r := range m.On {
-		if f.job(r.Job).Image == image {
+	for r := range m.Tasks {
+		if f.jobAt(r.Job).Image == image {
 			return
 		}
 	}
-	if i := slices.IndexFunc(m.images, func(c cached) bool { return c.image == image }); i >= 0 {
-		m.images = slices.Delete(m.images, i, i+1)
-		f.newImage(m)
+	if i := slices.IndexFunc(m.cachedImages, func(c cachedImage) bool { return c.image == image }); i >= 0 {
+		m.cachedImages = slices.Delete(m.cachedImages, i, i+1)
+		f.addImage(m)
 	}
 }
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -17,56 +17,56 @@
 	lease := f.Settings.Lease()
 	limit := lease + lease/500 + time.Second
 	for _, m := range f.machines {
-		if m.Condition == Lost || m.Condition == Gone || now-m.Answered <= limit {
+		if m.Condition == LeaseExpired || m.Condition == Terminated || now-m.LastAnsweredAt <= limit {
 			continue
 		}
-		f.condition(m, Lost, "lease ran out")
-		m.hearing.over = m.Session
-		f.abandon(now, m)
+		f.setCondition(m, LeaseExpired, "lease ran out")
+		m.reachability.expiredSession = m.Session
+		f.forgetTasks(now, m)
 	}
 }
 
-// SetAside plans nothing more on a machine that isn't heard and whose zone is lost; what was planned there and not sent
+// Quarantine plans nothing more on a machine that isn't heard and whose zone is lost; what was planned there and not sent
 // goes elsewhere. What may run there counts as before. Its next report ends it.
-func (f *Fleet) SetAside(m *Machine) {
-	if m.Aside || m.Condition != Acting {
+func (f *Fleet) Quarantine(m *Machine) {
+	if m.Quarantined || m.Condition != Ready {
 		return
 	}
-	m.Aside = true
-	f.unlane(m)
+	m.Quarantined = true
+	f.clearQueues(m)
 }
 
-// abandon releases all of a machine's tasks, which are surely not on it any more.
-func (f *Fleet) abandon(now time.Duration, m *Machine) {
-	refs := make([]Ref, 0, len(m.On))
-	for r := range m.On {
+// forgetTasks releases all of a machine's tasks, which are surely not on it any more.
+func (f *Fleet) forgetTasks(now time.Duration, m *Machine) {
+	refs := make([]TaskRef, 0, len(m.Tasks))
+	for r := range m.Tasks {
 		refs = append(refs, r)
 	}
 	sortRefs(refs)
 	for _, r := range refs {
-		j := f.job(r.Job)
-		f.happened(now, events.TaskLost, j, r.Task, "")
+		j := f.jobAt(r.Job)
+		f.addTaskEvent(now, events.TaskLost, j, r.Task, "")
 		f.release(now, j, r.Task, jobs.Unplanned, licences.Crashed)
 		if !j.State.Terminal() {
 			j.MarkDirty(r.Task, false, now)
 		}
 	}
-	f.unlane(m)
-	clear(m.late)
-	m.images = nil
+	f.clearQueues(m)
+	clear(m.indeterminateLaunches)
+	m.cachedImages = nil
 }
 
-// Returned tells that the cloud confirmed that a machine is gone.
-func (f *Fleet) Returned(now time.Duration, m *Machine, cause string) {
-	f.condition(m, Gone, cause)
-	f.abandon(now, m)
+// HandleReturned tells that the cloud confirmed that a machine is gone.
+func (f *Fleet) HandleReturned(now time.Duration, m *Machine, cause string) {
+	f.setCondition(m, Terminated, cause)
+	f.forgetTasks(now, m)
 }
 
-// Retire stops new starts on a machine that is to be given back.
-func (f *Fleet) Retire(m *Machine, cause string) {
-	m.Retiring = true
-	if m.Condition == Acting {
-		f.condition(m, Noticed, cause)
+// ReturnMachine stops new starts on a machine that is to be given back.
+func (f *Fleet) ReturnMachine(m *Machine, cause string) {
+	m.Returning = true
+	if m.Condition == Ready {
+		f.setCondition(m, ReclaimNoticed, cause)
 	}
-	f.unlane(m)
+	f.clearQueues(m)
 }
