--- a/internal/fleet/liveness_test.go
+++ b/internal/fleet/liveness_test.go
@@ -31,7 +31,7 @@
 
 // told is a report that was sent.
 type told struct {
-	Report
+	Heartbeat
 	life    int
 	arrived bool
 }
@@ -56,11 +56,11 @@
 	}
 }
 
-func (l *lone) says() *Report {
+func (l *lone) says() *Heartbeat {
 	l.tally++
-	r := Report{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: l.session, Seq: l.tally, Token: l.token}
+	r := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: l.session, Seq: l.tally, Token: l.token}
 	if l.on > 0 {
-		r.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.on, State: running}}
+		r.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.on, State: taskRunning}}
 	}
 	l.said = append(l.said, told{r, l.life, false})
 	return &r
@@ -71,11 +71,11 @@
 	m := l.machines[0]
 	switch l.without {
 	case "tokens never fall":
-		m.hearing.seen = 0
+		m.reachability.highestToken = 0
 	}
 }
 
-func (l *lone) deliver(r *Report) (Answer, Verdict) {
+func (l *lone) deliver(r *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	if len(l.machines) > 0 {
 		l.guards()
 	}
@@ -84,21 +84,21 @@
 	if l.without == "old reports are void" && len(l.machines) > 0 && c.Session == l.machines[0].Session {
 		c.Seq = l.machines[0].Seq + 1
 	}
-	if m := l.Find("m"); l.without == "a lost session is over" && m != nil {
-		m.hearing.over = 0
+	if m := l.FindMachine("m"); l.without == "a lost session is over" && m != nil {
+		m.reachability.expiredSession = 0
 	}
-	return l.Report(l.now, &c)
+	return l.HandleHeartbeat(l.now, &c)
 }
 
 // copied lets a copy of an earlier report arrive. Nothing may follow from it, unless the report itself never arrived and is of the
 // present life, as far as that is known, in a session that hasn't surely ended.
 func (l *lone) copied(i int) {
 	m, r := l.machines[0], &l.said[i]
-	news := !r.arrived && r.life >= l.known && (m.Condition != Lost || r.Session > m.Session)
+	news := !r.arrived && r.life >= l.known && (m.Condition != LeaseExpired || r.Session > m.Session)
 	r.arrived = true
-	was := fmt.Sprint(m.Session, m.Seq, m.Heard, m.Condition, l.j.Tasks[0].State)
-	l.deliver(&r.Report)
-	if is := fmt.Sprint(m.Session, m.Seq, m.Heard, m.Condition, l.j.Tasks[0].State); is != was && !news && l.changed == "" {
+	was := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.Condition, l.j.Tasks[0].State)
+	l.deliver(&r.Heartbeat)
+	if is := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.Condition, l.j.Tasks[0].State); is != was && !news && l.changed == "" {
 		l.changed = fmt.Sprintf("a copy changes %s to %s", was, is)
 	}
 }
@@ -112,7 +112,7 @@
 	if m := l.machines[0]; m.Session == r.Session && m.Seq == r.Seq {
 		l.known = l.life
 	}
-	if v != Accept || !heard || a.Token < l.token {
+	if v != Accepted || !heard || a.Token < l.token {
 		return
 	}
 	l.token, l.base = a.Token, sent
@@ -133,14 +133,14 @@
 // order lets what is due go out directly: it arrives or not, and its answer is heard or not.
 func (l *lone) order(arrives, heard bool) {
 	m := l.machines[0]
-	answered := m.Answered
+	answered := m.LastAnsweredAt
 	l.Tick(l.now, true)
 	if len(l.orders) == 0 {
 		return
 	}
 	o, done := l.sent[len(l.sent)-1], l.orders[len(l.orders)-1]
 	l.orders = nil
-	var r *Report
+	var r *Heartbeat
 	if arrives && !l.dead {
 		l.expireLease()
 		if o.Token >= l.token && o.Session == l.session {
@@ -154,13 +154,13 @@
 		l.now += 2 * time.Second
 		done(nil, false)
 		if l.without == "the lease of a new life" {
-			m.Answered = answered
+			m.LastAnsweredAt = answered
 		}
 		return
 	}
 	c := *r
-	if done(&c, true); l.without == "the lease of a new life" && m.Answered == l.now {
-		m.Answered = answered
+	if done(&c, true); l.without == "the lease of a new life" && m.LastAnsweredAt == l.now {
+		m.LastAnsweredAt = answered
 	}
 }
 
@@ -234,15 +234,15 @@
 		// Copies of all that was ever said, several leases late.
 		l.now += 3 * l.Settings.Lease()
 		l.quick()
-		heard := m.Heard
+		heard := m.LastHeardAt
 		for i := range l.said {
 			// One that never arrived is the newest that is known of it.
 			if r := &l.said[len(l.said)-1-i]; r.arrived {
-				l.deliver(&r.Report)
+				l.deliver(&r.Heartbeat)
 				l.quick()
 			}
 		}
-		if m.Condition == Acting || len(m.On) > 0 || m.Heard > heard {
+		if m.Condition == Ready || len(m.Tasks) > 0 || m.LastHeardAt > heard {
 			return "copies bring a dead machine back"
 		}
 		return ""
@@ -254,11 +254,11 @@
 		if why := l.fault(); why != "" {
 			return why
 		}
-		if l.quick(); l.on > 0 && m.Condition == Acting && l.j.Tasks[0].State == jobs.OnMachine {
+		if l.quick(); l.on > 0 && m.Condition == Ready && l.j.Tasks[0].State == jobs.OnMachine {
 			return ""
 		}
 	}
-	return fmt.Sprintf("it is there again and gets nothing: %s, task %s, %+v", m.Condition, l.j.Tasks[0].State, m.hearing)
+	return fmt.Sprintf("it is there again and gets nothing: %s, task %s, %+v", m.Condition, l.j.Tasks[0].State, m.reachability)
 }
 
 // explore plays every run that begins with some events and goes on with a number of others.
@@ -323,13 +323,13 @@
 func TestLostAndBack(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
-		m := g.Machine(0, "m")
+		m := g.RegisterMachine(0, "m")
 		if known {
 			g.hear("m", 1, 2*fenced)
 			g.hear("m", 1, 2*fenced)
 		}
 		g.now += 30 * time.Second
-		if g.Tick(g.now, true); m.Condition != Lost {
+		if g.Tick(g.now, true); m.Condition != LeaseExpired {
 			t.Fatal(m.Condition)
 		}
 		tokens := []uint64{fenced, fenced, 2 * fenced} // the answer to the first is lost
@@ -340,7 +340,7 @@
 			g.now += time.Second
 			g.hear("m", 2, token)
 		}
-		if m.Condition != Acting {
+		if m.Condition != Ready {
 			t.Errorf("known before: %v: it is %s", known, m.Condition)
 		}
 	}
@@ -351,37 +351,37 @@
 // new life's reports go on counting.
 func TestCopyOfAHigherSessionOfAFormerLife(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	old := &Report{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 5, Seq: 900, Token: 2 * fenced}
+	old := &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 5, Seq: 900, Token: 2 * fenced}
 	for range 3 {
 		old.Seq++
-		g.Report(g.now, old)
+		g.HandleHeartbeat(g.now, old)
 	}
 	g.now += 10 * time.Second
-	life := Report{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 1, Seq: 1}
+	life := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 1, Seq: 1}
 	for life.Seq < 4 { // dared, it shows itself
 		life.Seq++
 		g.now += time.Second
-		a, v := g.Report(g.now, &life)
-		if v == Accept {
+		a, v := g.HandleHeartbeat(g.now, &life)
+		if v == Accepted {
 			life.Token = max(life.Token, a.Token)
 		}
 	}
-	m := g.Find("m")
-	if m.Session != 1 || m.Condition != Acting {
+	m := g.FindMachine("m")
+	if m.Session != 1 || m.Condition != Ready {
 		t.Fatalf("session %d, %v", m.Session, m.Condition)
 	}
-	m.late[attempt{Ref{0, 0}, 7}] = struct{}{}
-	was := fmt.Sprint(m.Session, m.Seq, m.Heard, m.Answered, m.Condition, m.Token, len(m.late))
+	m.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
+	was := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.LastAnsweredAt, m.Condition, m.Token, len(m.indeterminateLaunches))
 	g.now += time.Second
 	old.Seq++
-	if _, v := g.Report(g.now, old); v != Stale {
+	if _, v := g.HandleHeartbeat(g.now, old); v != Stale {
 		t.Errorf("the copy's verdict is %d", v)
 	}
-	if is := fmt.Sprint(m.Session, m.Seq, m.Heard, m.Answered, m.Condition, m.Token, len(m.late)); is != was {
+	if is := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.LastAnsweredAt, m.Condition, m.Token, len(m.indeterminateLaunches)); is != was {
 		t.Errorf("a copy changes %s to %s", was, is)
 	}
 	life.Seq++
-	if _, v := g.Report(g.now, &life); v != Accept {
+	if _, v := g.HandleHeartbeat(g.now, &life); v != Accepted {
 		t.Errorf("the new life's verdict is %d", v)
 	}
 }
@@ -392,11 +392,11 @@
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, 2*fenced)
 	g.hear("m", 1, 2*fenced)
-	m, r, from := g.Find("m"), Report{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 3, Seq: 2}, g.now
-	for g.now-from < 20*time.Second && (m.Session != 3 || m.Condition != Acting) {
+	m, r, from := g.FindMachine("m"), Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 3, Seq: 2}, g.now
+	for g.now-from < 20*time.Second && (m.Session != 3 || m.Condition != Ready) {
 		g.now += time.Second
 		r.Seq++
-		if a, v := g.Report(g.now, &r); v == Accept {
+		if a, v := g.HandleHeartbeat(g.now, &r); v == Accepted {
 			r.Token = max(r.Token, a.Token)
 		}
 	}
@@ -409,21 +409,21 @@
 // answers nothing else is given to it, and it isn't heard. It is again with the first report at the token that was raised.
 func TestNoEffectIsDeaf(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	m := g.Machine(0, "m")
+	m := g.RegisterMachine(0, "m")
 	g.hear("m", 1, 2*fenced)
 	g.submit(spec(1, 8))
 	g.settle(store.Committed)
 	given, from := 0, g.now
-	for g.now-from < 3*g.HearWithin() {
+	for g.now-from < 3*g.ReachabilityTimeout() {
 		g.now += 500 * time.Millisecond
-		if cs := g.hear("m", 1, 2*fenced); g.now-from > 2*g.HearWithin() {
+		if cs := g.hear("m", 1, 2*fenced); g.now-from > 2*g.ReachabilityTimeout() {
 			given += len(cs)
 		}
 	}
-	if m.Condition != Deaf || given > 0 || m.Planned > 0 || g.now-m.Heard < g.HearWithin() {
-		t.Errorf("%v, %d commands given to it lately, %d tasks planned on it, heard %v ago", m.Condition, given, m.Planned, g.now-m.Heard)
+	if m.Condition != OneWayUnreachable || given > 0 || m.QueuedTasks > 0 || g.now-m.LastHeardAt < g.ReachabilityTimeout() {
+		t.Errorf("%v, %d commands given to it lately, %d tasks planned on it, heard %v ago", m.Condition, given, m.QueuedTasks, g.now-m.LastHeardAt)
 	}
-	if g.hear("m", 1, m.Token); m.Condition != Acting {
+	if g.hear("m", 1, m.Token); m.Condition != Ready {
 		t.Errorf("%v though it carries the token that was raised", m.Condition)
 	}
 }
@@ -433,16 +433,16 @@
 func TestLostAndDeaf(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	m := g.Find("m")
-	last := m.Heard
+	m := g.FindMachine("m")
+	last := m.LastHeardAt
 	for session := uint64(1); session < 6; session++ {
 		g.now += 30 * time.Second
-		if g.Tick(g.now, true); m.Condition != Lost {
+		if g.Tick(g.now, true); m.Condition != LeaseExpired {
 			t.Fatal(m.Condition)
 		}
 		g.hear("m", session+1, fenced)
 	}
-	if m.Heard != last || m.Spoke != g.now {
-		t.Errorf("it counts as heard at %v", m.Heard)
+	if m.LastHeardAt != last || m.LastHeartbeatAt != g.now {
+		t.Errorf("it counts as heard at %v", m.LastHeardAt)
 	}
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -14,9 +14,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Load takes over the durable plans of earlier terms: every machine named there counts as
+// LoadPlans takes over the durable plans of earlier terms: every machine named there counts as
 // running its task until a fenced report or the end of its lease says otherwise.
-func (f *Fleet) Load(now time.Duration, items []store.Item) {
+func (f *Fleet) LoadPlans(now time.Duration, items []store.Item) {
 	for _, it := range items {
 		if strings.HasPrefix(it.Key, imagesKey) {
 			f.loadImages(now, it)
@@ -24,45 +24,45 @@
 	}
 	found := map[*jobs.PlanSegment]uint64{}
 	for _, id := range f.Jobs.UnreadableIDs() {
-		f.unread[id] = true
+		f.unreadableJobs[id] = true
 	}
-	values, lost := f.values(items)
+	values, lost := f.storedValues(items)
 	for _, v := range values {
-		if c := f.loadChunk(now, v); c != nil {
+		if c := f.loadSegment(now, v); c != nil {
 			found[c] = v.version
 		}
 	}
 	if lost > 0 {
-		f.sealOlder(now, found, lost)
+		f.quarantineOlder(now, found, lost)
 	}
 	f.Jobs.ForEachLive(func(j *jobs.Job) {
 		j.OpenTasks()
 		if j.Spec.Kind == jobs.Gang && j.FinishedTasks > 0 {
-			f.gangDone(now, j)
+			f.finishGang(now, j)
 		}
 	})
 	f.Jobs.ForEach(func(j *jobs.Job) {
 		if j.State.Terminal() && j.Tasks != nil {
-			f.over = append(f.over, j)
+			f.endedJobs = append(f.endedJobs, j)
 		}
 	})
-	f.loaded = true
-	f.Rank(now)
-	slog.Info("plans loaded", "term", f.Term, "keys", len(items), "jobs", len(f.order), "machines", len(f.machines))
+	f.plansLoaded = true
+	f.RankJobs(now)
+	slog.Info("plans loaded", "term", f.Term, "keys", len(items), "jobs", len(f.ranked), "machines", len(f.machines))
 }
 
-// value is one chunk's value as it was read, from a page or from a key of its own.
-type value struct {
+// storedValue is one chunk's value as it was read, from a page or from a key of its own.
+type storedValue struct {
 	name    string
 	raw     json.RawMessage
 	version uint64
 	page    int // -1: a key of its own
 }
 
-// values lists what counts of the stored plans, each chunk once: of two places the one written last. The pages are
+// storedValues lists what counts of the stored plans, each chunk once: of two places the one written last. The pages are
 // taken over; lost is the version of the newest one that can't be read, 0: all can.
-func (f *Fleet) values(items []store.Item) (kept []value, lost uint64) {
-	var all []value
+func (f *Fleet) storedValues(items []store.Item) (kept []storedValue, lost uint64) {
+	var all []storedValue
 	var read []pages.StoredPage
 	for _, it := range items {
 		switch {
@@ -70,26 +70,28 @@
 		case strings.HasPrefix(it.Key, jobs.PlanPagePrefix):
 			s, err := pages.Decode(jobs.PlanPagePrefix, it.Key, it.Value, it.Version)
 			if err != nil {
-				f.unreadable(it.Key, it.Value, err)
+				f.reportUnreadable(it.Key, it.Value, err)
 				f.pages.Reserve(s.Number)
 				lost = max(lost, it.Version)
 				continue
 			}
 			read = append(read, s)
 			for name, raw := range s.Values {
-				all = append(all, value{name, raw, it.Version, s.Number})
+				all = append(all, storedValue{name, raw, it.Version, s.Number})
 			}
 		default:
-			all = append(all, value{strings.TrimPrefix(it.Key, jobs.PlanPrefix), it.Value, it.Version, -1})
+			all = append(all, storedValue{strings.TrimPrefix(it.Key, jobs.PlanPrefix), it.Value, it.Version, -1})
 		}
 	}
-	slices.SortFunc(all, func(a, b value) int { return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(b.version, a.version)) })
+	slices.SortFunc(all, func(a, b storedValue) int {
+		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(b.version, a.version))
+	})
 	live := map[int][]pages.Entry{}
 	kept = all[:0]
 	for i, v := range all {
 		if i > 0 && all[i-1].name == v.name {
 			if v.page < 0 {
-				f.garbage = append(f.garbage, jobs.PlanPrefix+v.name)
+				f.obsoletePlanKeys = append(f.obsoletePlanKeys, jobs.PlanPrefix+v.name)
 			}
 			continue
 		}
@@ -110,8 +112,8 @@
 	return kept, lost
 }
 
-// loadChunk takes over one chunk and returns it, nil if it is nobody's any more.
-func (f *Fleet) loadChunk(now time.Duration, v value) *jobs.PlanSegment {
+// loadSegment takes over one chunk and returns it, nil if it is nobody's any more.
+func (f *Fleet) loadSegment(now time.Duration, v storedValue) *jobs.PlanSegment {
 	key := jobs.PlanPrefix + v.name
 	id, no, ok := splitPlanName(v.name)
 	j := f.Jobs.Get(id)
@@ -122,7 +124,7 @@
 			}
 			return
 		}
-		f.garbage = append(f.garbage, key)
+		f.obsoletePlanKeys = append(f.obsoletePlanKeys, key)
 	}
 	if !ok || j == nil || j.State == jobs.Done || j.Spec == nil {
 		if j == nil && f.Jobs.IsUnreadable(id) {
@@ -137,13 +139,13 @@
 		return nil
 	}
 	c := j.Segments[no]
-	on, done, err := jobs.DecodeSegment(v.raw, len(c.DurableMachines), func(name string) int32 { return f.Machine(now, name).Index })
+	on, done, err := jobs.DecodeSegment(v.raw, len(c.DurableMachines), func(name string) int32 { return f.RegisterMachine(now, name).Index })
 	if v.page < 0 {
 		c.Version = v.version
 	}
 	if err != nil {
-		f.unreadable(key, v.raw, err)
-		f.seal(now, j, c)
+		f.reportUnreadable(key, v.raw, err)
+		f.quarantineSegment(now, j, c)
 		return c
 	}
 	for i := range on {
@@ -151,12 +153,12 @@
 		switch {
 		case done[i]:
 			c.DurableMachines[i] = jobs.DurablyDone
-			f.must(j.SetTaskState(t, jobs.Finished))
+			f.checkTransition(j.SetTaskState(t, jobs.Finished))
 		case on[i] != jobs.None:
 			c.DurableMachines[i] = on[i]
 			j.Tasks[t].Machine = on[i]
 			j.Started = true
-			f.place(now, j, t, jobs.Recovered)
+			f.setOnMachine(now, j, t, jobs.Recovered)
 		}
 	}
 	return c
@@ -172,9 +174,9 @@
 	return name[:i], n, err == nil && n >= 0
 }
 
-// seal shuts a chunk whose stored value can't be read: any of its tasks may be on any machine. It is neither planned
+// quarantineSegment shuts a chunk whose stored value can't be read: any of its tasks may be on any machine. It is neither planned
 // nor written over, and counts in full against the limits for as long as this term lasts.
-func (f *Fleet) seal(now time.Duration, j *jobs.Job, c *jobs.PlanSegment) {
+func (f *Fleet) quarantineSegment(now time.Duration, j *jobs.Job, c *jobs.PlanSegment) {
 	if c.Quarantined {
 		return
 	}
@@ -182,14 +184,14 @@
 	for i := range c.DurableMachines {
 		t := int32(c.Number*jobs.SegmentTasks + i)
 		if k := &j.Tasks[t]; !k.State.Occupies() && k.State != jobs.Finished {
-			f.Gate.Take(now, seatRef(j, t), 0, claimOf(j))
+			f.Gate.Acquire(now, licenceRef(j, t), 0, admissionClaim(j))
 		}
 	}
 }
 
-// sealOlder shuts every chunk of a job that is not over whose value is older than a page that can't be read: it
+// quarantineOlder shuts every chunk of a job that is not over whose value is older than a page that can't be read: it
 // may stand there anew.
-func (f *Fleet) sealOlder(now time.Duration, found map[*jobs.PlanSegment]uint64, page uint64) {
+func (f *Fleet) quarantineOlder(now time.Duration, found map[*jobs.PlanSegment]uint64, page uint64) {
 	f.Jobs.ForEach(func(j *jobs.Job) {
 		if j.State == jobs.Done || j.Spec == nil {
 			return
@@ -197,7 +199,7 @@
 		j.OpenTasks()
 		for _, c := range j.Segments {
 			if found[c] < page {
-				f.seal(now, j, c)
+				f.quarantineSegment(now, j, c)
 			}
 		}
 	})
--- a/internal/fleet/loss.go
+++ b/internal/fleet/loss.go
@@ -10,47 +10,47 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Loss is what one class of one team would lose with a zone.
-type Loss struct {
+// ZoneLoss is what one class of one team would lose with a zone.
+type ZoneLoss struct {
 	Class, Team int32
 	Tasks       int // on machines there
 	Fit         int // of them, room for which is free elsewhere now
 	Jobs        int
 }
 
-// IfLost says what would happen if a zone were lost now: in rank order, with gangs whole, as much as the free room
+// EstimateZoneLoss says what would happen if a zone were lost now: in rank order, with gangs whole, as much as the free room
 // elsewhere takes. Nothing is changed by asking.
-func (f *Fleet) IfLost(zone int32) []Loss {
+func (f *Fleet) EstimateZoneLoss(zone int32) []ZoneLoss {
 	free := map[*Machine]planner.Size{}
 	var hosts []*Machine
 	on := map[jobs.Index]int{}
 	for _, m := range f.machines {
 		switch {
-		case m.Zone == zone && m.Condition != Gone && m.Condition != Lost:
-			for r := range m.On {
+		case m.Zone == zone && m.Condition != Terminated && m.Condition != LeaseExpired:
+			for r := range m.Tasks {
 				on[r.Job]++
 			}
-		case m.Condition == Acting && !m.Retiring && !m.Aside:
+		case m.Condition == Ready && !m.Returning && !m.Quarantined:
 			hosts = append(hosts, m)
-			free[m] = m.Free().Sub(m.need)
+			free[m] = m.Free().Sub(m.queuedNeed)
 		}
 	}
 	type kind struct{ class, team int32 }
-	by := map[kind]*Loss{}
+	by := map[kind]*ZoneLoss{}
 	ixs := make([]jobs.Index, 0, len(on))
 	for ix := range on {
 		ixs = append(ixs, ix)
 	}
 	f.sortRanked(ixs)
 	for _, ix := range ixs {
-		j := f.job(ix)
+		j := f.jobAt(ix)
 		if j.Spec == nil || j.State.Terminal() {
 			continue
 		}
 		k := kind{j.Class, j.Team}
 		l := by[k]
 		if l == nil {
-			l = &Loss{Class: j.Class, Team: j.Team}
+			l = &ZoneLoss{Class: j.Class, Team: j.Team}
 			by[k] = l
 		}
 		l.Tasks += on[ix]
@@ -76,10 +76,10 @@
 		}
 		l.Fit += len(took)
 	}
-	out := make([]Loss, 0, len(by))
+	out := make([]ZoneLoss, 0, len(by))
 	for _, l := range by {
 		out = append(out, *l)
 	}
-	slices.SortFunc(out, func(a, b Loss) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team)) })
+	slices.SortFunc(out, func(a, b ZoneLoss) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team)) })
 	return out
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Report is what a worker tells of itself.
-type Report struct {
+// Heartbeat is what a worker tells of itself.
+type Heartbeat struct {
 	Machine string       `json:"den"`
 	Addr    string       `json:"address"`
 	Type    string       `json:"build"`
@@ -39,21 +39,21 @@
 
 // The states of a task on a machine.
 const (
-	fetching = "pulling"
-	waiting  = "gathering"
-	running  = "running"
-	saving   = "flushing"
-	exited   = "exited"
+	taskFetching = "pulling"
+	taskWaiting  = "gathering"
+	taskRunning  = "running"
+	taskSaving   = "flushing"
+	taskExited   = "exited"
 )
 
 // The reasons of an exit.
 const (
-	whyDone    = "done"
-	whyStopped = "halted"
-	whyError   = "error"
-	whyNoRoom  = "full"
-	whyBusy    = "in_use"
-	whyUnknown = "no_such"
+	exitDone    = "done"
+	exitStopped = "halted"
+	exitError   = "error"
+	exitNoRoom  = "full"
+	exitBusy    = "in_use"
+	exitUnknown = "no_such"
 )
 
 // Command tells a worker to start, stop or forget a task.
@@ -71,24 +71,24 @@
 	opForget = "forget"
 )
 
-// Answer is the response to a report.
-type Answer struct {
+// HeartbeatResponse is the response to a report.
+type HeartbeatResponse struct {
 	Token    uint64    `json:"mark"`
 	Commands []Command `json:"calls"`
 }
 
-// Orders is the body of a direct command.
-type Orders struct {
+// DirectCommands is the body of a direct command.
+type DirectCommands struct {
 	Token    uint64    `json:"mark"`
 	Session  uint64    `json:"run"`
 	Commands []Command `json:"calls"`
 }
 
-// ParseReport reads a report and refuses what no worker would send. Reading reports with
+// ParseHeartbeat reads a report and refuses what no worker would send. Reading reports with
 // encoding/json took a quarter of the leader's processor time; this is its second version,
 // as a module of its own until the standard library has it.
-func ParseReport(body []byte) (*Report, error) {
-	r := &Report{}
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	r := &Heartbeat{}
 	if err := json.Unmarshal(body, r); err != nil {
 		return nil, err
 	}
@@ -98,8 +98,8 @@
 	return r, nil
 }
 
-// splitTask takes "req-000412/3" apart.
-func splitTask(name string) (job string, task int32, ok bool) {
+// parseTaskName takes "req-000412/3" apart.
+func parseTaskName(name string) (job string, task int32, ok bool) {
 	job, n, ok := strings.Cut(name, "/")
 	if !ok {
 		return "", 0, false
--- a/internal/fleet/mistake.go
+++ b/internal/fleet/mistake.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Standing is what a job's tasks have shown of it.
-type Standing uint8
+// CrashLoopState is what a job's tasks have shown of it.
+type CrashLoopState uint8
 
 // The standings of a job.
 //
@@ -19,136 +19,136 @@
 //	Untried  -> Mistaken  tasks fail on several machines and none is done
 //	Mistaken -> Proven    one is done after all: the machines were at fault
 const (
-	Untried Standing = iota
-	Proven
-	Mistaken
+	HealthUnknown CrashLoopState = iota
+	Healthy
+	CrashLooping
 )
 
-func (s Standing) String() string { return [...]string{"untried", "proven", "mistaken"}[s] }
+func (s CrashLoopState) String() string { return [...]string{"untried", "proven", "mistaken"}[s] }
 
 // What is asked of a mistaken job: how many machines it takes to tell it from a faulty one, the first and the longest
 // pause between two tries, and at which of them it goes to a machine that it hasn't tried.
 const (
-	mistakeOn        = 2
-	firstPause       = 2 * time.Second
-	longPause        = 64 * time.Second
-	freshMachineEach = 3
+	crashLoopMachines   = 2
+	minCrashLoopBackoff = 2 * time.Second
+	maxCrashLoopBackoff = 64 * time.Second
+	newMachineEvery     = 3
 )
 
-// failing is the record of a job of which tasks have failed.
-type failing struct {
-	standing Standing
-	on       []int32 // machines on which it failed, while it is untried; later, the last of them
+// crashLoop is the record of a job of which tasks have failed.
+type crashLoop struct {
+	state    CrashLoopState
+	failedOn []int32 // machines on which it failed, while it is untried; later, the last of them
 	machines int     // on how many it failed, as far as they were told apart
 	tries    int
-	until    time.Duration // Mistaken: no try before
+	retryAt  time.Duration // Mistaken: no try before
 }
 
-// stands is the only place where a job's standing changes.
-func (f *Fleet) stands(j *jobs.Job, r *failing, to Standing) {
-	slog.Info("job", "job", j.ID, "from", r.standing.String(), "to", to.String(), "machines", len(r.on), "term", f.Term)
-	r.standing = to
-	if to == Mistaken { // what it did on machines says nothing of them
+// setCrashLoopState is the only place where a job's standing changes.
+func (f *Fleet) setCrashLoopState(j *jobs.Job, r *crashLoop, to CrashLoopState) {
+	slog.Info("job", "job", j.ID, "from", r.state.String(), "to", to.String(), "machines", len(r.failedOn), "term", f.Term)
+	r.state = to
+	if to == CrashLooping { // what it did on machines says nothing of them
 		for _, m := range f.machines {
-			if i := slices.Index(m.failed, j.Index); i >= 0 {
-				m.failed = slices.Delete(m.failed, i, i+1)
+			if i := slices.Index(m.failedJobs, j.Index); i >= 0 {
+				m.failedJobs = slices.Delete(m.failedJobs, i, i+1)
 			}
 		}
 	}
 }
 
-// mistaken returns the record of a job that fails wherever it runs, nil for any other.
-func (f *Fleet) mistaken(j *jobs.Job) *failing {
-	if r := f.failing[j.Index]; r != nil && r.standing == Mistaken {
+// crashLooping returns the record of a job that fails wherever it runs, nil for any other.
+func (f *Fleet) crashLooping(j *jobs.Job) *crashLoop {
+	if r := f.crashLoops[j.Index]; r != nil && r.state == CrashLooping {
 		return r
 	}
 	return nil
 }
 
-// paused tells whether nothing of a mistaken job is to be started now: not before its pause is over, and of an array or
+// inBackoff tells whether nothing of a mistaken job is to be started now: not before its pause is over, and of an array or
 // a service one task at a time. Thousands of tasks that fail at once, each with pauses of its own, took the starts of all others.
-func (f *Fleet) paused(now time.Duration, j *jobs.Job) bool {
-	r := f.mistaken(j)
-	return r != nil && (now < r.until || j.Spec.Kind != jobs.Gang && j.TasksByState[jobs.Planned]+j.TasksOnMachines() > 0)
+func (f *Fleet) inBackoff(now time.Duration, j *jobs.Job) bool {
+	r := f.crashLooping(j)
+	return r != nil && (now < r.retryAt || j.Spec.Kind != jobs.Gang && j.TasksByState[jobs.Planned]+j.TasksOnMachines() > 0)
 }
 
-// failingNote says why nothing of such a job is started.
-func (f *Fleet) failingNote(j *jobs.Job) {
-	r := f.mistaken(j)
-	f.note(j, verdict{cause: Failing, have: r.machines, need: r.tries, until: r.until})
+// noteCrashLoop says why nothing of such a job is started.
+func (f *Fleet) noteCrashLoop(j *jobs.Job) {
+	r := f.crashLooping(j)
+	f.setPendingNote(j, pendingNote{cause: CrashLoopBackoff, have: r.machines, need: r.tries, until: r.retryAt})
 }
 
-// retryNote says that a job's tasks failed and when they are tried again.
-func (f *Fleet) retryNote(j *jobs.Job, until time.Duration) {
-	if f.mistaken(j) != nil {
-		f.failingNote(j)
+// noteRetry says that a job's tasks failed and when they are tried again.
+func (f *Fleet) noteRetry(j *jobs.Job, until time.Duration) {
+	if f.crashLooping(j) != nil {
+		f.noteCrashLoop(j)
 		return
 	}
-	f.note(j, verdict{cause: Retry, until: until})
+	f.setPendingNote(j, pendingNote{cause: RetryLater, until: until})
 }
 
-// provenS is how long a replica of a service must have run to say that its job is in order: it is never done.
-const provenS = 30
+// healthyAfterS is how long a replica of a service must have run to say that its job is in order: it is never done.
+const healthyAfterS = 30
 
-// failed notes that a task of a job failed on a machine.
-func (f *Fleet) failed(now time.Duration, m *Machine, j *jobs.Job, t int32) {
-	if k := &j.Tasks[t]; j.Spec.Kind == jobs.Service && k.RunningSince > 0 && now-k.RunningSince >= provenS*time.Second {
-		f.proves(j, m)
+// recordFailure notes that a task of a job failed on a machine.
+func (f *Fleet) recordFailure(now time.Duration, m *Machine, j *jobs.Job, t int32) {
+	if k := &j.Tasks[t]; j.Spec.Kind == jobs.Service && k.RunningSince > 0 && now-k.RunningSince >= healthyAfterS*time.Second {
+		f.recordSuccess(j, m)
 	}
-	r := f.failing[j.Index]
+	r := f.crashLoops[j.Index]
 	if r == nil {
-		r = &failing{}
+		r = &crashLoop{}
 		if j.FinishedTasks > 0 {
-			r.standing = Proven
+			r.state = Healthy
 		}
-		f.failing[j.Index] = r
+		f.crashLoops[j.Index] = r
 	}
-	if r.standing != Mistaken && !slices.Contains(m.failed, j.Index) && len(m.failed) < faultyAfter {
-		m.failed = append(m.failed, j.Index)
+	if r.state != CrashLooping && !slices.Contains(m.failedJobs, j.Index) && len(m.failedJobs) < faultyThreshold {
+		m.failedJobs = append(m.failedJobs, j.Index)
 	}
-	if r.standing == Proven {
+	if r.state == Healthy {
 		return
 	}
-	if !slices.Contains(r.on, m.Index) {
+	if !slices.Contains(r.failedOn, m.Index) {
 		r.machines++
-		r.on = append(r.on, m.Index)
-		r.on = r.on[max(0, len(r.on)-2*mistakeOn):]
+		r.failedOn = append(r.failedOn, m.Index)
+		r.failedOn = r.failedOn[max(0, len(r.failedOn)-2*crashLoopMachines):]
 	}
-	if r.standing == Untried && len(r.on) >= mistakeOn {
-		f.stands(j, r, Mistaken)
+	if r.state == HealthUnknown && len(r.failedOn) >= crashLoopMachines {
+		f.setCrashLoopState(j, r, CrashLooping)
 	}
-	if r.standing != Mistaken || now < r.until {
+	if r.state != CrashLooping || now < r.retryAt {
 		return // tasks that were sent before fail one after the other: that is one try
 	}
-	r.until = now + min(longPause, firstPause<<min(r.tries, 10))
+	r.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(r.tries, 10))
 	r.tries++
 	// Images aren't fetched all over for it: it stays where it has been, but for a try now and then.
 	clear(j.AvoidedMachines)
-	if r.tries%freshMachineEach == 0 {
-		for _, ix := range r.on {
+	if r.tries%newMachineEvery == 0 {
+		for _, ix := range r.failedOn {
 			f.avoid(now, f.machines[ix], j)
 		}
 	}
-	f.giveUpPlans(j, j.TasksByState[jobs.Planned])
+	f.dropPlans(j, j.TasksByState[jobs.Planned])
 }
 
-// proves notes that a task of a job is done.
-func (f *Fleet) proves(j *jobs.Job, m *Machine) {
-	m.failed = m.failed[:0]
-	r := f.failing[j.Index]
+// recordSuccess notes that a task of a job is done.
+func (f *Fleet) recordSuccess(j *jobs.Job, m *Machine) {
+	m.failedJobs = m.failedJobs[:0]
+	r := f.crashLoops[j.Index]
 	if r == nil && j.Spec.Kind == jobs.Service {
-		r = &failing{}
-		f.failing[j.Index] = r
+		r = &crashLoop{}
+		f.crashLoops[j.Index] = r
 	}
-	if r != nil && r.standing != Proven {
-		f.stands(j, r, Proven)
-		r.on, r.until, r.tries = nil, 0, 0
-		f.news = true
+	if r != nil && r.state != Healthy {
+		f.setCrashLoopState(j, r, Healthy)
+		r.failedOn, r.retryAt, r.tries = nil, 0, 0
+		f.planBecameDurable = true
 	}
 }
 
-// faultyAfter is how many jobs fail on a machine in a row until it is at fault.
-const faultyAfter = 2
+// faultyThreshold is how many jobs fail on a machine in a row until it is at fault.
+const faultyThreshold = 2
 
 // Faulty tells whether a machine fails what runs on it: several jobs in a row that don't fail elsewhere as well.
-func (f *Fleet) Faulty(m *Machine) bool { return len(m.failed) >= faultyAfter }
+func (f *Fleet) Faulty(m *Machine) bool { return len(m.failedJobs) >= faultyThreshold }
--- a/internal/fleet/mistake_test.go
+++ b/internal/fleet/mistake_test.go
@@ -20,14 +20,14 @@
 		done     bool          // a task of it was done before
 		ran      time.Duration // before it fails
 		machines int           // on which it fails
-		standing Standing
+		standing CrashLoopState
 	}{
-		{"once", jobs.Array, false, time.Second, 1, Untried},
-		{"on two machines", jobs.Array, false, time.Second, 2, Mistaken},
-		{"on three", jobs.Gang, false, time.Second, 3, Mistaken},
-		{"after one was done", jobs.Array, true, time.Second, 3, Proven},
-		{"a service at once", jobs.Service, false, time.Second, 2, Mistaken},
-		{"a service after a minute", jobs.Service, false, time.Minute, 3, Proven},
+		{"once", jobs.Array, false, time.Second, 1, HealthUnknown},
+		{"on two machines", jobs.Array, false, time.Second, 2, CrashLooping},
+		{"on three", jobs.Gang, false, time.Second, 3, CrashLooping},
+		{"after one was done", jobs.Array, true, time.Second, 3, Healthy},
+		{"a service at once", jobs.Service, false, time.Second, 2, CrashLooping},
+		{"a service after a minute", jobs.Service, false, time.Minute, 3, Healthy},
 	} {
 		g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 		s := spec(1, 3)
@@ -35,19 +35,19 @@
 		j := g.submit(s)
 		g.now = 5 * time.Minute
 		if c.done {
-			g.must(j.SetTaskState(0, jobs.Finished))
+			g.checkTransition(j.SetTaskState(0, jobs.Finished))
 		}
 		for i := range c.machines {
-			m := g.Machine(g.now, fmt.Sprintf("m%d", i))
+			m := g.RegisterMachine(g.now, fmt.Sprintf("m%d", i))
 			j.Tasks[1].RunningSince = g.now - c.ran
-			g.failed(g.now, m, j, 1)
+			g.recordFailure(g.now, m, j, 1)
 			g.now += time.Second
 		}
-		if r := g.failing[j.Index]; r == nil || r.standing != c.standing {
+		if r := g.crashLoops[j.Index]; r == nil || r.state != c.standing {
 			t.Errorf("%s: %+v, want %s", c.name, r, c.standing)
 		}
-		if m := g.Find("m0"); (len(m.failed) > 0) == (c.standing == Mistaken) {
-			t.Errorf("%s: a machine is blamed by %v", c.name, m.failed)
+		if m := g.FindMachine("m0"); (len(m.failedJobs) > 0) == (c.standing == CrashLooping) {
+			t.Errorf("%s: a machine is blamed by %v", c.name, m.failedJobs)
 		}
 	}
 }
@@ -68,23 +68,23 @@
 				}
 				last = g.now
 				g.now += 100 * time.Millisecond
-				gone := TaskReport{Task: c.Task, Attempt: c.Attempt, State: exited, Why: whyError}
+				gone := TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskExited, Why: exitError}
 				g.hear(name, 1, fenced, gone)
 				g.hear(name, 1, fenced)
 			}
 		}
 		g.settleFor(3, store.Committed)
 	}
-	r := g.mistaken(j)
+	r := g.crashLooping(j)
 	if r == nil || len(gaps) < 3 || gaps[len(gaps)-1] < 16*time.Second {
 		t.Fatalf("%+v, gaps %v", r, gaps)
 	}
 	for i, d := range gaps {
-		if i > 0 && d < gaps[i-1]-2*time.Second || d > longPause+3*time.Second {
+		if i > 0 && d < gaps[i-1]-2*time.Second || d > maxCrashLoopBackoff+3*time.Second {
 			t.Errorf("gaps %v", gaps)
 		}
 	}
-	if why := g.Why(g.now, j); len(why) == 0 || why[0].Why != Failing {
+	if why := g.PendingReasons(g.now, j); len(why) == 0 || why[0].Cause != CrashLoopBackoff {
 		t.Errorf("it is told %+v", why)
 	}
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -243,7 +243,7 @@
 		w.fail("record: %v", err)
 	}
 	if changed && w.fleet != nil {
-		w.fleet.Changed(w.now, j)
+		w.fleet.HandleJobChange(w.now, j)
 	}
 }
 
@@ -274,18 +274,18 @@
 	var f *Fleet
 	f = New(Env{
 		Settings: w.settings, Jobs: w.book, Rng: w.rng, TxnOps: 5, Now: func() time.Duration { return w.now },
-		Types: func(ix int32) *Type {
+		Types: func(ix int32) *MachineType {
 			switch w.book.Names.Types.Name(ix) {
 			case "gpu":
-				return &Type{Size: planner.Size{CPUs: 8, GPUs: 2, Mem: 32}, CacheGB: 8, FetchGB: 1}
+				return &MachineType{Size: planner.Size{CPUs: 8, GPUs: 2, Mem: 32}, CacheGB: 8, FetchGB: 1}
 			case "cpu":
-				return &Type{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 8, FetchGB: 1}
+				return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 8, FetchGB: 1}
 			}
 			return nil
 		},
-		Paged: func() bool { return w.paged },
-		Room:  func(int) bool { return true },
-		Spare: func() bool { return true },
+		PlansInPages:   func() bool { return w.paged },
+		CanWrite:       func(int) bool { return true },
+		HasSpareWrites: func() bool { return true },
 		Commit: func(t store.Txn, done func(store.Result)) {
 			t.If = append([]store.Condition{guard}, t.If...)
 			answer := func(r store.Result) {
@@ -313,7 +313,7 @@
 				}
 			})
 		},
-		Order: func(m *Machine, o Orders, done func(*Report, bool)) {
+		SendCommands: func(m *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
 			var wk *worker
 			for _, c := range w.workers {
 				if c.name == m.Name {
@@ -321,7 +321,7 @@
 				}
 			}
 			answered := false
-			finish := func(r *Report, ok bool) {
+			finish := func(r *Heartbeat, ok bool) {
 				if !answered && w.fleet == f {
 					answered = true
 					done(r, ok)
@@ -354,14 +354,14 @@
 				}
 			})
 		},
-		Learned: func(_ time.Duration, it store.Item) { w.learned(it.Key, it.Value, it.Version) },
+		OnJobRecord: func(_ time.Duration, it store.Item) { w.learned(it.Key, it.Value, it.Version) },
 	}, term, w.now)
 	w.fleet = f
-	f.Load(w.now, plans)
+	f.LoadPlans(w.now, plans)
 }
 
 // orders is a worker's direct entry.
-func (w *world) orders(wk *worker, o Orders) (*Report, bool) {
+func (w *world) orders(wk *worker, o DirectCommands) (*Heartbeat, bool) {
 	if !wk.alive {
 		return nil, false
 	}
@@ -373,9 +373,9 @@
 	return w.report(wk), true
 }
 
-func (w *world) report(wk *worker) *Report {
+func (w *world) report(wk *worker) *Heartbeat {
 	wk.seq++
-	r := &Report{Machine: wk.name, Addr: "x", Type: wk.typ, Zone: wk.zone, Spot: wk.spot, Session: wk.session, Seq: wk.seq, Token: wk.token}
+	r := &Heartbeat{Machine: wk.name, Addr: "x", Type: wk.typ, Zone: wk.zone, Spot: wk.spot, Session: wk.session, Seq: wk.seq, Token: wk.token}
 	if wk.notice > 0 {
 		s := (wk.notice - w.now).Seconds()
 		r.NoticeS = &s
@@ -388,14 +388,14 @@
 
 func (w *world) execute(wk *worker, cs []Command) {
 	for _, c := range cs {
-		id, t, _ := splitTask(c.Task)
+		id, t, _ := parseTaskName(c.Task)
 		at := -1
 		other := false
 		for i, k := range wk.tasks {
 			if k.job == id && k.task == t {
 				if k.attempt == c.Attempt {
 					at = i
-				} else if k.state != exited {
+				} else if k.state != taskExited {
 					other = true
 				}
 			}
@@ -406,31 +406,31 @@
 				continue
 			}
 			k := &onWorker{
-				job: id, task: t, attempt: c.Attempt, state: fetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
+				job: id, task: t, attempt: c.Attempt, state: taskFetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
 				run: time.Second + time.Duration(w.rng.Int64N(int64(12*time.Second))),
 			}
 			free := wk.size
 			for _, o := range wk.tasks {
-				if o.state != exited {
+				if o.state != taskExited {
 					free = free.Sub(w.specs[o.job].Size())
 				}
 			}
 			switch {
 			case w.specs[id] == nil:
-				k.state, k.why = exited, whyUnknown
+				k.state, k.why = taskExited, exitUnknown
 			case other:
-				k.state, k.why = exited, whyBusy
+				k.state, k.why = taskExited, exitBusy
 			case !w.specs[id].Size().Fits(free):
-				k.state, k.why = exited, whyNoRoom
+				k.state, k.why = taskExited, exitNoRoom
 			}
 			wk.tasks = append(wk.tasks, k)
 		case opStop:
-			if at >= 0 && wk.tasks[at].state != exited {
-				wk.tasks[at].state, wk.tasks[at].why, wk.tasks[at].counted = exited, whyStopped, false
+			if at >= 0 && wk.tasks[at].state != taskExited {
+				wk.tasks[at].state, wk.tasks[at].why, wk.tasks[at].counted = taskExited, exitStopped, false
 			}
 		case opForget:
-			if at >= 0 && wk.tasks[at].state == exited {
-				if wk.tasks[at].why == whyDone && !w.durable(id, t) {
+			if at >= 0 && wk.tasks[at].state == taskExited {
+				if wk.tasks[at].why == exitDone && !w.durable(id, t) {
 					w.fail("forgot %s before its end was durable", c.Task)
 				}
 				wk.tasks = append(wk.tasks[:at], wk.tasks[at+1:]...)
@@ -534,51 +534,51 @@
 func (w *world) step(wk *worker) {
 	w.expire(wk)
 	for _, k := range wk.tasks {
-		if k.state == exited {
+		if k.state == taskExited {
 			continue
 		}
 		if at, ok := w.told[k.job]; ok && w.now > at+config.Seconds(w.settings.Params.Workers.CancelS) && k.counted {
 			w.fail("ran_cancelled: %s/%d on %s", k.job, k.task, wk.name)
-			k.state, k.why, k.counted = exited, whyStopped, false
+			k.state, k.why, k.counted = taskExited, exitStopped, false
 			continue
 		}
 		switch k.state {
-		case fetching:
+		case taskFetching:
 			if w.now < k.ready {
 				continue
 			}
 			w.begin(wk, k)
 			switch {
 			case w.done[k.job][k.task]:
-				k.state, k.why, k.counted = exited, whyDone, false
+				k.state, k.why, k.counted = taskExited, exitDone, false
 			case w.specs[k.job].Kind == jobs.Gang:
-				k.state, k.waitFrom = waiting, w.now
+				k.state, k.waitFrom = taskWaiting, w.now
 			default:
-				k.state, k.started = running, w.now
+				k.state, k.started = taskRunning, w.now
 			}
-		case waiting:
+		case taskWaiting:
 			if w.now-k.waitFrom > config.Seconds(w.settings.Params.Workers.GangWaitS) {
-				k.state, k.why, k.counted = exited, "alone", false
+				k.state, k.why, k.counted = taskExited, "alone", false
 			} else if w.together(k) == w.specs[k.job].Tasks {
-				k.state, k.started = running, w.now
+				k.state, k.started = taskRunning, w.now
 			}
-		case running:
+		case taskRunning:
 			gang := w.specs[k.job].Kind == jobs.Gang
 			switch {
 			case gang && w.together(k) < w.specs[k.job].Tasks:
-				k.state, k.why, k.counted = exited, "peers", false
+				k.state, k.why, k.counted = taskExited, "peers", false
 			case w.specs[k.job].Kind == jobs.Service:
 			case w.now-k.started > k.run:
 				if w.rng.Float64() < 0.03 && !gang {
 					w.crash([]*onWorker{k})
-					k.state, k.why, k.counted = exited, whyError, false
+					k.state, k.why, k.counted = taskExited, exitError, false
 					continue
 				}
 				if gang {
 					w.finishGang(k)
 					continue
 				}
-				k.state, k.why, k.counted = exited, whyDone, false
+				k.state, k.why, k.counted = taskExited, exitDone, false
 				w.done[k.job][k.task] = true
 			}
 		}
@@ -601,8 +601,8 @@
 func (w *world) finishGang(k *onWorker) {
 	for _, o := range w.workers {
 		for _, x := range o.tasks {
-			if x.job == k.job && x.attempt == k.attempt && x.state == running {
-				x.state, x.why, x.counted = exited, whyDone, false
+			if x.job == k.job && x.attempt == k.attempt && x.state == taskRunning {
+				x.state, x.why, x.counted = taskExited, exitDone, false
 			}
 		}
 	}
@@ -627,7 +627,7 @@
 			if w.fleet != nil {
 				c := *r
 				c.Tasks = append([]TaskReport(nil), r.Tasks...)
-				w.fleet.Report(w.now, &c)
+				w.fleet.HandleHeartbeat(w.now, &c)
 			}
 		})
 	}
@@ -639,8 +639,8 @@
 		if w.fleet == nil {
 			return
 		}
-		a, v := w.fleet.Report(w.now, r)
-		if v != Accept || w.rng.Float64() < w.trouble/4 {
+		a, v := w.fleet.HandleHeartbeat(w.now, r)
+		if v != Accepted || w.rng.Float64() < w.trouble/4 {
 			return
 		}
 		w.later(w.delay(), func() {
@@ -843,11 +843,11 @@
 			n.inFlight, n.notice = false, 0
 			w.workers = append(w.workers, &n)
 		case w.chance(0.004) && wk.alive && w.fleet != nil: // the cloud confirms a return
-			if m := w.fleet.Find(wk.name); m != nil {
+			if m := w.fleet.FindMachine(wk.name); m != nil {
 				wk.alive = false
 				w.crash(wk.tasks)
 				wk.tasks = nil
-				w.fleet.Returned(w.now, m, "returned")
+				w.fleet.HandleReturned(w.now, m, "returned")
 				n := *wk
 				n.name, n.alive, n.hung, n.session, n.seq, n.token, n.base = fmt.Sprintf("i-%d", len(w.workers)+100), true, false, 1, 0, 0, w.now
 				n.inFlight, n.notice = false, 0
@@ -921,7 +921,7 @@
 				full++
 			}
 			ix, _ := w.book.Names.Pools.Index(p.Name)
-			if v := w.fleet.Gate.Seats.Show(w.now, ix, func(int32) string { return "" }); v.Free != p.Count {
+			if v := w.fleet.Gate.Licences.Show(w.now, ix, func(int32) string { return "" }); v.Free != p.Count {
 				t.Fatalf("seed %d: pool %s is empty but %+v", seed, p.Name, v)
 			}
 		}
@@ -953,12 +953,12 @@
 					}
 				}
 			}
-			t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v", w.seed, id, *w.specs[id], j.LicenceDenial, w.fleet.Why(w.now, j))
+			t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v", w.seed, id, *w.specs[id], j.LicenceDenial, w.fleet.PendingReasons(w.now, j))
 		}
 		ended++
 	}
 	if w.paged != w.allPaged {
-		t.Fatalf("seed %d: %d plans have keys of their own at the end", w.seed, w.fleet.OldPlans())
+		t.Fatalf("seed %d: %d plans have keys of their own at the end", w.seed, w.fleet.UnmigratedPlans())
 	}
 	return ended
 }
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -9,29 +9,29 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// place lets a task count as being on its machine.
-func (f *Fleet) place(now time.Duration, j *jobs.Job, t int32, s jobs.TaskState) {
+// setOnMachine lets a task count as being on its machine.
+func (f *Fleet) setOnMachine(now time.Duration, j *jobs.Job, t int32, s jobs.TaskState) {
 	k := &j.Tasks[t]
 	if k.State.Occupies() {
-		f.must(j.SetTaskState(t, s))
+		f.checkTransition(j.SetTaskState(t, s))
 		return
 	}
 	m := f.machines[k.Machine]
-	f.must(j.SetTaskState(t, s))
+	f.checkTransition(j.SetTaskState(t, s))
 	size := j.Spec.Size()
-	m.On[Ref{j.Index, t}] = struct{}{}
-	m.Use = m.Use.Add(size)
-	m.endsOK = false
-	f.Gate.Take(now, seatRef(j, t), k.Attempt, claimOf(j))
+	m.Tasks[TaskRef{j.Index, t}] = struct{}{}
+	m.Used = m.Used.Add(size)
+	m.endsValid = false
+	f.Gate.Acquire(now, licenceRef(j, t), k.Attempt, admissionClaim(j))
 	kind := events.TaskFound
 	if s == jobs.Launched {
 		kind = events.TaskSent
 	}
-	f.happened(now, kind, j, t, "")
+	f.addTaskEvent(now, kind, j, t, "")
 	j.TasksByZone[m.Zone]++
-	if ty := f.typ(m); ty != nil {
+	if ty := f.machineType(m); ty != nil {
 		if !m.HasImage(j.Image) {
-			f.newImage(m)
+			f.addImage(m)
 		}
 		m.touchImage(j.Image, j.Spec.ImageGB, ty.CacheGB)
 	}
@@ -44,44 +44,44 @@
 	k := &j.Tasks[t]
 	if to != jobs.Finished && (j.GangDone || k.Done) {
 		to = jobs.Finished
-		f.happened(now, events.TaskDone, j, t, "")
+		f.addTaskEvent(now, events.TaskDone, j, t, "")
 	}
 	if !k.State.Occupies() {
-		f.must(j.SetTaskState(t, to))
+		f.checkTransition(j.SetTaskState(t, to))
 		return
 	}
 	m := f.machines[k.Machine]
 	size := j.Spec.Size()
-	delete(m.On, Ref{j.Index, t})
+	delete(m.Tasks, TaskRef{j.Index, t})
 	if k.Phase == jobs.Fetching {
 		f.unfetched(m, j.Image)
 	}
-	m.Use = m.Use.Sub(size)
-	m.endsOK = false
-	if len(m.On) == 0 {
-		m.Use = planner.Size{} // decimals leave dust
+	m.Used = m.Used.Sub(size)
+	m.endsValid = false
+	if len(m.Tasks) == 0 {
+		m.Used = planner.Size{} // decimals leave dust
 		m.IdleSince = now
 	}
-	f.Gate.Give(now, seatRef(j, t), claimOf(j), how)
+	f.Gate.Release(now, licenceRef(j, t), admissionClaim(j), how)
 	j.TasksByZone[m.Zone]--
-	f.must(j.SetTaskState(t, to))
+	f.checkTransition(j.SetTaskState(t, to))
 	if to == jobs.Planned {
 		k.Machine = m.Index
 		j.SetTaskPhase(t, jobs.NoPhase)
 		k.Attempt, k.Stopping = 0, false
-		f.lane(m, j, t)
+		f.enqueue(m, j, t)
 	}
 }
 
-// halt marks a task that is to be stopped.
-func (f *Fleet) halt(j *jobs.Job, t int32) {
+// stopTask marks a task that is to be stopped.
+func (f *Fleet) stopTask(j *jobs.Job, t int32) {
 	k := &j.Tasks[t]
 	if !k.Stopping {
-		f.happened(f.Now(), events.TaskStopping, j, t, "")
+		f.addTaskEvent(f.Now(), events.TaskStopping, j, t, "")
 	}
 	k.Stopping = true
 	if k.Machine != jobs.None {
 		m := f.machines[k.Machine]
-		m.halts, m.endsOK = true, false
+		m.hasStops, m.endsValid = true, false
 	}
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -10,31 +10,31 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// claimant is a job with a deadline in an overload: its last task must start by due, and
+// deadlineJob is a job with a deadline in an overload: its last task must start by due, and
 // before that the work, in resource-seconds, has to be fitted in.
-type claimant struct {
+type deadlineJob struct {
 	due  time.Duration
 	work planner.Size
 }
 
-// heaviest orders claimants by what they take of the scarcest resource, largest first.
-type heaviest struct {
-	cs    []claimant
+// heaviestFirst orders claimants by what they take of the scarcest resource, largest first.
+type heaviestFirst struct {
+	cs    []deadlineJob
 	share func(planner.Size) float64
 	ids   []int
 }
 
-func (h *heaviest) Len() int { return len(h.ids) }
-func (h *heaviest) Less(a, b int) bool {
+func (h *heaviestFirst) Len() int { return len(h.ids) }
+func (h *heaviestFirst) Less(a, b int) bool {
 	x, y := h.share(h.cs[h.ids[a]].work), h.share(h.cs[h.ids[b]].work)
 	if x != y {
 		return x > y
 	}
 	return h.ids[a] < h.ids[b]
 }
-func (h *heaviest) Swap(a, b int) { h.ids[a], h.ids[b] = h.ids[b], h.ids[a] }
-func (h *heaviest) Push(x any)    { h.ids = append(h.ids, x.(int)) }
-func (h *heaviest) Pop() any {
+func (h *heaviestFirst) Swap(a, b int) { h.ids[a], h.ids[b] = h.ids[b], h.ids[a] }
+func (h *heaviestFirst) Push(x any)    { h.ids = append(h.ids, x.(int)) }
+func (h *heaviestFirst) Pop() any {
 	x := h.ids[len(h.ids)-1]
 	h.ids = h.ids[:len(h.ids)-1]
 	return x
@@ -55,14 +55,14 @@
 // giveUp chooses which of several jobs can't all be done in time by a pool of machines, so
 // that as many as possible are: by due time, and whenever too much has to be done before one
 // the largest so far is given up (Moore and Hodgson). It returns who is given up.
-func giveUp(now time.Duration, cs []claimant, pool planner.Size) []bool {
+func giveUp(now time.Duration, cs []deadlineJob, pool planner.Size) []bool {
 	late := make([]bool, len(cs))
 	order := make([]int, len(cs))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cs[a].due, cs[b].due) })
-	h := &heaviest{cs: cs, share: func(s planner.Size) float64 { return longest(s, pool) }}
+	h := &heaviestFirst{cs: cs, share: func(s planner.Size) float64 { return longest(s, pool) }}
 	sum := planner.Size{}
 	for _, i := range order {
 		heap.Push(h, i)
@@ -76,26 +76,26 @@
 	return late
 }
 
-// poolUse is the part of the machines that deadlines may count on.
-const poolUse = 0.75
+// overloadUtilization is the part of the machines that deadlines may count on.
+const overloadUtilization = 0.75
 
-// yieldPlaces lets the arrays whose next deadline is given up in an overload change places
+// yieldRanks lets the arrays whose next deadline is given up in an overload change places
 // with those that can still meet theirs. All other jobs keep their ranks: an array that was
 // moved behind every job without a deadline lost more than the overload took (harmonia).
-func (f *Fleet) yieldPlaces(now time.Duration, keys map[jobs.Index]rankKey) {
+func (f *Fleet) yieldRanks(now time.Duration, keys map[jobs.Index]rankKey) {
 	pool := planner.Size{}
 	for _, m := range f.machines {
-		if m.Condition == Acting && !m.Retiring && !m.Aside {
-			pool = pool.Add(m.Size.Sub(f.keeps(m, nil, m.Size.GPUs)))
+		if m.Condition == Ready && !m.Returning && !m.Quarantined {
+			pool = pool.Add(m.Capacity.Sub(f.keptFree(m, nil, m.Capacity.GPUs)))
 		}
 	}
 	var js []*jobs.Job
-	var cs []claimant
+	var cs []deadlineJob
 	var places []int // in f.order
-	for at, j := range f.order {
+	for at, j := range f.ranked {
 		n := j.UnstartedTasks()
 		k := keys[j.Index]
-		if f.mistaken(j) != nil {
+		if f.crashLooping(j) != nil {
 			continue // it holds up nothing, and no deadline gives way to it
 		}
 		if j.Spec.Kind != jobs.Array || j.Spec.DeadlineS == nil || !k.ok || n == 0 {
@@ -103,24 +103,24 @@
 			continue
 		}
 		js, places = append(js, j), append(places, at)
-		cs = append(cs, claimant{k.due, j.Spec.Size().Times(float64(n) * f.estimate(j))})
+		cs = append(cs, deadlineJob{k.due, j.Spec.Size().Times(float64(n) * f.estimate(j))})
 	}
-	f.Steps += uint64(len(f.machines) + 2*len(js))
+	f.PlanningSteps += uint64(len(f.machines) + 2*len(js))
 	// Estimates are wrong, machines are lost and lanes never fill up quite: a set that only
 	// just fits would miss its deadlines one after the other.
-	pool = pool.Times(poolUse)
+	pool = pool.Times(overloadUtilization)
 	late := giveUp(now, cs, pool)
 	for lo := 0; lo < len(js); {
 		// Only within a rank that may not preempt the other.
 		hi := lo + 1
-		for hi < len(js) && js[hi].Priority == js[lo].Priority && f.within[js[hi].Index] == f.within[js[lo].Index] {
+		for hi < len(js) && js[hi].Priority == js[lo].Priority && f.withinGuarantee[js[hi].Index] == f.withinGuarantee[js[lo].Index] {
 			hi++
 		}
 		at := lo
 		for _, given := range []bool{false, true} {
 			for i := lo; i < hi; i++ {
 				if late[i] == given {
-					f.order[places[at]] = js[i]
+					f.ranked[places[at]] = js[i]
 					at++
 				}
 			}
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -15,7 +15,7 @@
 
 // inTime is the slow plain model: can a set of claimants, worked off by due time, all be
 // done?
-func inTime(cs []claimant, set uint, pool planner.Size) bool {
+func inTime(cs []deadlineJob, set uint, pool planner.Size) bool {
 	var order []int
 	for i := range cs {
 		if set&(1<<i) != 0 {
@@ -40,10 +40,10 @@
 	pool := planner.Size{CPUs: 10, Mem: 1000}
 	tight := 0
 	for n := range 300 {
-		cs := make([]claimant, 1+rng.IntN(9))
+		cs := make([]deadlineJob, 1+rng.IntN(9))
 		for i := range cs {
 			w := 10 + 400*rng.Float64()
-			cs[i] = claimant{time.Duration(1+rng.IntN(100)) * time.Second, planner.Size{CPUs: w, Mem: w}}
+			cs[i] = deadlineJob{time.Duration(1+rng.IntN(100)) * time.Second, planner.Size{CPUs: w, Mem: w}}
 		}
 		best := 0
 		for set := range uint(1) << len(cs) {
@@ -84,13 +84,13 @@
 	large := job(1, 100, &soon) // 1,000 core-seconds for 4 cores within 90 s
 	between := job(2, 1, nil)   // past all aims from the start: ranks last
 	small := job(3, 10, &later) // 100 core-seconds within 120 s
-	g.Rank(g.now)
+	g.RankJobs(g.now)
 	if !(g.rankOf(small) == 0 && g.rankOf(large) == 1 && g.rankOf(between) == 2) {
 		t.Fatalf("small ranks %d, large %d, without a deadline %d", g.rankOf(small), g.rankOf(large), g.rankOf(between))
 	}
 	g.Settings.Params.Objectives = []config.Objective{{Kind: "finished", Class: "d", WithinS: 120}}
 	between.Spec.Class = "d" // due between the two deadlines
-	g.Rank(g.now)
+	g.RankJobs(g.now)
 	if !(g.rankOf(small) == 0 && g.rankOf(between) == 1 && g.rankOf(large) == 2) {
 		t.Fatalf("small ranks %d, due between %d, large %d", g.rankOf(small), g.rankOf(between), g.rankOf(large))
 	}
--- a/internal/fleet/push.go
+++ b/internal/fleet/push.go
@@ -9,42 +9,42 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// push sends launches and stops straight to machines instead of waiting for their next
+// dispatch sends launches and stops straight to machines instead of waiting for their next
 // reports. A machine has at most one such request under way.
-func (f *Fleet) push(now time.Duration) {
+func (f *Fleet) dispatch(now time.Duration) {
 	for _, m := range f.machines {
-		if f.MaxOrders > 0 && f.ordering >= f.MaxOrders {
+		if f.MaxDirectRequests > 0 && f.directRequests >= f.MaxDirectRequests {
 			// The rest stays where it is planned: what can't be sent now must not count as
 			// launched.
-			f.news = true
+			f.planBecameDurable = true
 			return
 		}
-		if m.Condition != Acting || m.ordering || m.fencing || m.Addr == "" || now-m.Heard > config.Seconds(f.Settings.Params.Workers.ReportS*1.6) ||
-			now-m.pushed < 200*time.Millisecond {
+		if m.Condition != Ready || m.directInFlight || m.fencing || m.Addr == "" || now-m.LastHeardAt > config.Seconds(f.Settings.Params.Workers.ReportS*1.6) ||
+			now-m.dispatchedAt < 200*time.Millisecond {
 			continue
 		}
-		if m.Planned == 0 && !m.halts {
+		if m.QueuedTasks == 0 && !m.hasStops {
 			continue
 		}
-		calls := f.starts(now, m)
+		calls := f.startCommands(now, m)
 		started := len(calls)
-		if m.halts {
-			calls = append(calls, f.stops(now, m)...)
+		if m.hasStops {
+			calls = append(calls, f.stopCommands(now, m)...)
 		}
 		if len(calls) == 0 {
 			continue
 		}
-		f.direct(now, m, calls, started)
+		f.sendDirect(now, m, calls, started)
 	}
 }
 
-// stops tells a machine's tasks that must go to stop, again if they have not after a second.
-func (f *Fleet) stops(now time.Duration, m *Machine) (calls []Command) {
-	m.halts = false
-	for r := range m.On {
-		j := f.job(r.Job)
+// stopCommands tells a machine's tasks that must go to stop, again if they have not after a second.
+func (f *Fleet) stopCommands(now time.Duration, m *Machine) (calls []Command) {
+	m.hasStops = false
+	for r := range m.Tasks {
+		j := f.jobAt(r.Job)
 		k := &j.Tasks[r.Task]
-		m.halts = m.halts || k.Stopping
+		m.hasStops = m.hasStops || k.Stopping
 		if k.Stopping && k.State == jobs.OnMachine && k.Phase != jobs.Saving && now-k.StopSentAt > time.Second {
 			grace := j.Spec.SaveS + 1
 			if j.State.Terminal() {
@@ -57,41 +57,41 @@
 	return calls
 }
 
-// direct sends one direct request and keeps track of launches whose arrival stays open.
-func (f *Fleet) direct(now time.Duration, m *Machine, calls []Command, started int) {
-	m.ordering, m.pushed = true, now
-	f.ordering++
-	f.orders++
+// sendDirect sends one direct request and keeps track of launches whose arrival stays open.
+func (f *Fleet) sendDirect(now time.Duration, m *Machine, calls []Command, started int) {
+	m.directInFlight, m.dispatchedAt = true, now
+	f.directRequests++
+	f.directRequestCount++
 	session, seq := m.Session, m.Seq
-	var sent []attempt
+	var sent []taskAttempt
 	for _, c := range calls[:started] {
-		j, t := f.resolve(c.Task)
-		sent = append(sent, attempt{Ref{j.Index, t}, c.Attempt})
+		j, t := f.findTask(c.Task)
+		sent = append(sent, taskAttempt{TaskRef{j.Index, t}, c.Attempt})
 		j.Tasks[t].LaunchIndeterminate = true
 	}
-	f.Order(m, Orders{Token: m.Token, Session: session, Commands: calls}, func(r *Report, ok bool) {
-		m.ordering = false
-		f.ordering--
+	f.SendCommands(m, DirectCommands{Token: m.Token, Session: session, Commands: calls}, func(r *Heartbeat, ok bool) {
+		m.directInFlight = false
+		f.directRequests--
 		for _, a := range sent {
 			// The job may have ended and been swept while the request was under way.
-			if j := f.job(a.Job); ok && j != nil && j.Tasks != nil && j.Tasks[a.Task].Attempt == a.n {
+			if j := f.jobAt(a.Job); ok && j != nil && j.Tasks != nil && j.Tasks[a.Task].Attempt == a.n {
 				j.Tasks[a.Task].LaunchIndeterminate = false
 			}
 			if !ok && m.Session == session {
-				m.late[a] = struct{}{}
+				m.indeterminateLaunches[a] = struct{}{}
 			}
 		}
 		if !ok {
 			// It may have restarted before the request got there, and the lease of its new life begins then: what it
 			// was just told to start counts that long.
-			m.Answered = max(m.Answered, f.Now())
+			m.LastAnsweredAt = max(m.LastAnsweredAt, f.Now())
 		}
 		if r != nil && r.Machine == m.Name {
 			how := asResponse
 			if r.Session == session && r.Seq <= seq {
 				how = asRestarted // a worker that has gone on counts on from what it had reported before
 			}
-			f.take(f.Now(), r, how)
+			f.acceptHeartbeat(f.Now(), r, how)
 		}
 	})
 }
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -9,9 +9,9 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// due is when a job's next start should have happened at the latest, and whether any of
+// nextDue is when a job's next start should have happened at the latest, and whether any of
 // its aims can still be met.
-func (f *Fleet) due(now time.Duration, j *jobs.Job) (time.Duration, bool) {
+func (f *Fleet) nextDue(now time.Duration, j *jobs.Job) (time.Duration, bool) {
 	best, ok := time.Duration(1<<62), false
 	est := config.Seconds(f.estimate(j))
 	consider := func(d time.Duration) {
@@ -23,7 +23,7 @@
 		consider(j.SubmittedAt + config.Seconds(*j.Spec.DeadlineS) - est)
 	}
 	for _, o := range f.Settings.Params.Objectives {
-		if o.Kind == "guarantee" && f.within[j.Index] && !j.Started {
+		if o.Kind == "guarantee" && f.withinGuarantee[j.Index] && !j.Started {
 			consider(j.SubmittedAt + config.Seconds(o.WithinS))
 		}
 		if o.Class != j.Spec.Class {
@@ -55,42 +55,42 @@
 	ok  bool
 }
 
-// Rank orders the live jobs: what lies within its team's guarantee first, then by
+// RankJobs orders the live jobs: what lies within its team's guarantee first, then by
 // priority, then the latest start that still meets an aim; jobs past all aims come last, oldest
 // first.
-func (f *Fleet) Rank(now time.Duration) {
-	f.ranked = now
-	for _, j := range f.order {
+func (f *Fleet) RankJobs(now time.Duration) {
+	f.rankedAt = now
+	for _, j := range f.ranked {
 		j.QueuePosition = 0
 	}
-	f.order = f.order[:0]
+	f.ranked = f.ranked[:0]
 	f.Jobs.ForEachLive(func(j *jobs.Job) {
 		if j.Tasks != nil && j.Spec != nil {
-			f.order = append(f.order, j)
+			f.ranked = append(f.ranked, j)
 		}
 	})
-	sort.Slice(f.order, func(a, b int) bool {
-		if f.order[a].SubmittedAt != f.order[b].SubmittedAt {
-			return f.order[a].SubmittedAt < f.order[b].SubmittedAt
+	sort.Slice(f.ranked, func(a, b int) bool {
+		if f.ranked[a].SubmittedAt != f.ranked[b].SubmittedAt {
+			return f.ranked[a].SubmittedAt < f.ranked[b].SubmittedAt
 		}
-		return f.order[a].ID < f.order[b].ID
+		return f.ranked[a].ID < f.ranked[b].ID
 	})
 	demand := map[int32]planner.Size{}
-	clear(f.within)
-	keys := make(map[jobs.Index]rankKey, len(f.order))
-	for _, j := range f.order {
+	clear(f.withinGuarantee)
+	keys := make(map[jobs.Index]rankKey, len(f.ranked))
+	for _, j := range f.ranked {
 		s := j.Spec.Size()
 		n := float64(j.TaskCount - j.FinishedTasks)
 		sum := demand[j.Team].Add(planner.Size{CPUs: s.CPUs * n, GPUs: s.GPUs * n})
 		demand[j.Team] = sum
-		f.within[j.Index] = f.Gate.Quota.Within(j.Team, s, sum)
-		d, ok := f.due(now, j)
+		f.withinGuarantee[j.Index] = f.Gate.Quota.Within(j.Team, s, sum)
+		d, ok := f.nextDue(now, j)
 		keys[j.Index] = rankKey{d, ok}
 	}
-	f.sortByRank(f.order, keys)
-	f.yieldPlaces(now, keys)
-	f.beginFirst(now)
-	for i, j := range f.order {
+	f.sortByRank(f.ranked, keys)
+	f.yieldRanks(now, keys)
+	f.markStartDeadlines(now)
+	for i, j := range f.ranked {
 		j.QueuePosition = i + 1
 	}
 }
@@ -101,7 +101,7 @@
 		x, y := js[a], js[b]
 		// What may preempt the other must also rank before it, or the room it made
 		// would be taken by its victims again.
-		if wx, wy := f.within[x.Index], f.within[y.Index]; wx != wy {
+		if wx, wy := f.withinGuarantee[x.Index], f.withinGuarantee[y.Index]; wx != wy {
 			return wx
 		}
 		if x.Priority != y.Priority {
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -18,11 +18,11 @@
 // and whose teams "t" and "u" are guaranteed 8 accelerators each.
 func mixed(t *testing.T) *rig {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t", GPUs: 8}, {Name: "u", GPUs: 8}})
-	g.Types = func(ix int32) *Type {
+	g.Types = func(ix int32) *MachineType {
 		if g.Jobs.Names.Types.Name(ix) == "gpu" {
-			return &Type{Size: planner.Size{CPUs: 12, GPUs: 2, Mem: 96}, CacheGB: 100, FetchGB: 1}
+			return &MachineType{Size: planner.Size{CPUs: 12, GPUs: 2, Mem: 96}, CacheGB: 100, FetchGB: 1}
 		}
-		return &Type{Size: planner.Size{CPUs: 8, Mem: 16}, CacheGB: 100, FetchGB: 1}
+		return &MachineType{Size: planner.Size{CPUs: 8, Mem: 16}, CacheGB: 100, FetchGB: 1}
 	}
 	return g
 }
@@ -30,8 +30,8 @@
 // see delivers a fenced report of a machine of a type.
 func (g *rig) see(name, typ string, spot bool, tasks ...TaskReport) []Command {
 	g.seq++
-	a, v := g.Report(g.now, &Report{Machine: name, Addr: "x", Type: typ, Zone: "z", Spot: spot, Session: 1, Seq: g.seq, Token: fenced, Tasks: tasks})
-	if v != Accept {
+	a, v := g.HandleHeartbeat(g.now, &Heartbeat{Machine: name, Addr: "x", Type: typ, Zone: "z", Spot: spot, Session: 1, Seq: g.seq, Token: fenced, Tasks: tasks})
+	if v != Accepted {
 		g.t.Fatalf("report refused: %d", v)
 	}
 	return a.Commands
@@ -40,7 +40,7 @@
 // runAll lets a machine run whatever it is told to start.
 func (g *rig) runAll(name, typ string, on map[string][]TaskReport) {
 	for _, c := range starts(g.see(name, typ, false, on[name]...)) {
-		on[name] = append(on[name], TaskReport{Task: c.Task, Attempt: c.Attempt, State: running})
+		on[name] = append(on[name], TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 	}
 	g.see(name, typ, false, on[name]...)
 }
@@ -67,7 +67,7 @@
 			}
 		}
 		waiting := 0
-		for _, j := range g.order {
+		for _, j := range g.ranked {
 			if j.TasksByState[jobs.Unplanned] > 0 {
 				t.Fatalf("%s has unplanned tasks", j.ID)
 			}
@@ -76,10 +76,10 @@
 		if waiting == 0 {
 			t.Fatal("nothing waits")
 		}
-		before := g.Steps
+		before := g.PlanningSteps
 		g.now += time.Millisecond
 		g.schedule(g.now)
-		return g.Steps - before
+		return g.PlanningSteps - before
 	}
 	few, many := steps(40, 20), steps(160, 80)
 	if many > 8*few || many > 160*40 {
@@ -149,9 +149,9 @@
 
 // Room is only made where a gang may use it: at most half of one that must be spread in a zone.
 func TestPreemptionKeepsToZones(t *testing.T) {
-	var ss []sacrifice
+	var ss []preemptionOption
 	for i, zone := range []int32{0, 0, 0, 1, 1} {
-		ss = append(ss, sacrifice{m: &Machine{Index: int32(i), Zone: zone}, cost: float64(i)})
+		ss = append(ss, preemptionOption{m: &Machine{Index: int32(i), Zone: zone}, cost: float64(i)})
 	}
 	got := spread(ss, 4, 2)
 	if len(got) != 4 || got[2].m.Index != 3 {
@@ -170,7 +170,7 @@
 	g.see("g2", "gpu", false)
 	s := gang(1, 2, "t")
 	s.ImageGB = 40 // 40 s, twice what a task waits for its gang
-	g.Find("g1").touchImage(g.Jobs.Names.Images.Index(s.Image), 40, 100)
+	g.FindMachine("g1").touchImage(g.Jobs.Names.Images.Index(s.Image), 40, 100)
 	g.submit(s)
 	g.settle(store.Committed)
 	at, on := map[string]time.Duration{}, map[string][]TaskReport{}
@@ -179,7 +179,7 @@
 		g.now += time.Second
 		for _, n := range []string{"g1", "g2"} {
 			for _, c := range starts(g.see(n, "gpu", false, on[n]...)) {
-				on[n] = append(on[n], TaskReport{Task: c.Task, Attempt: c.Attempt, State: fetching})
+				on[n] = append(on[n], TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskFetching})
 				at[n] = g.now - began
 			}
 		}
@@ -224,15 +224,15 @@
 		f := &Fleet{}
 		var want []*Machine
 		for i := range 1 + rng.IntN(60) {
-			m := &Machine{Index: int32(i), Spot: rng.IntN(2) == 0, Condition: Acting, On: map[Ref]struct{}{}, Retiring: rng.IntN(9) == 0}
+			m := &Machine{Index: int32(i), Spot: rng.IntN(2) == 0, Condition: Ready, Tasks: map[TaskRef]struct{}{}, Returning: rng.IntN(9) == 0}
 			if rng.IntN(5) == 0 {
-				m.Condition = Lost
+				m.Condition = LeaseExpired
 			}
 			for k := range rng.IntN(9) {
-				m.On[Ref{0, int32(k)}] = struct{}{}
+				m.Tasks[TaskRef{0, int32(k)}] = struct{}{}
 			}
 			f.machines = append(f.machines, m)
-			if m.Condition == Acting && !m.Retiring {
+			if m.Condition == Ready && !m.Returning {
 				want = append(want, m)
 			}
 		}
@@ -240,7 +240,7 @@
 			if a.Spot != b.Spot {
 				return map[bool]int{true: -1, false: 1}[a.Spot]
 			}
-			return len(b.On) - len(a.On)
+			return len(b.Tasks) - len(a.Tasks)
 		})
 		if got := f.packed(); !slices.Equal(got, want) {
 			t.Fatalf("%d machines in another order than sorted", len(got))
--- a/internal/fleet/seats_test.go
+++ b/internal/fleet/seats_test.go
@@ -23,7 +23,7 @@
 }
 
 func (g *rig) free(pool int32) int {
-	return g.Gate.Seats.Show(g.now, pool, func(int32) string { return "" }).Free
+	return g.Gate.Licences.Show(g.now, pool, func(int32) string { return "" }).Free
 }
 
 func task(j *jobs.Job, t int, attempt uint64, state, why string) TaskReport {
@@ -52,7 +52,7 @@
 		n += len(starts(g.hear(fmt.Sprintf("m%d", i), 1, fenced)))
 	}
 	g.settle(store.Committed)
-	if why, pool := g.Denial(j); n != 6 || g.free(0) != 0 || why != licences.NoSeat || pool != 0 || len(g.Demand(g.now)) != 0 {
+	if why, pool := g.LicenceDenial(j); n != 6 || g.free(0) != 0 || why != licences.NoSeat || pool != 0 || len(g.Demand(g.now)) != 0 {
 		t.Fatalf("%d starts, %d seats free, denied %q in %d", n, g.free(0), why, pool)
 	}
 	p.Count = 5
@@ -203,7 +203,7 @@
 	if used := g.Gate.Quota.Team(j.Team).Used.CPUs; used != 6 || g.free(0) != 1 {
 		t.Fatalf("the team uses %v CPUs, %d seats are free: the second task is not booked", used, g.free(0))
 	}
-	if !g.Gate.Booked(seatRef(j, 1)) && !g.Gate.Booked(seatRef(j, 0)) {
+	if !g.Gate.Reserved(licenceRef(j, 1)) && !g.Gate.Reserved(licenceRef(j, 0)) {
 		t.Fatal("nothing is booked")
 	}
 	if cs := starts(g.hear(g.machines[j.Tasks[1].Machine].Name, 1, fenced)); len(cs) != 1 || g.Gate.Quota.Team(j.Team).Used.CPUs != 6 {
@@ -231,12 +231,12 @@
 	g.settle(store.Committed)
 	first, second := g.machines[j.Tasks[0].Machine], g.machines[j.Tasks[1].Machine]
 	at := starts(g.hear(first.Name, 1, fenced))[0].Attempt
-	g.Returned(g.now, second, "gone")
+	g.HandleReturned(g.now, second, "gone")
 	g.settle(store.Committed)
 	if g.free(0) != 1 || g.Gate.Quota.Team(j.Team).Used.CPUs != 3 {
 		t.Fatalf("%d free, the team uses %v", g.free(0), g.Gate.Quota.Team(j.Team).Used.CPUs)
 	}
-	g.hear(first.Name, 1, fenced, task(j, 0, at, exited, "alone"))
+	g.hear(first.Name, 1, fenced, task(j, 0, at, taskExited, "alone"))
 	if g.free(0) != 2 {
 		t.Fatalf("%d free", g.free(0))
 	}
@@ -255,7 +255,7 @@
 	for i := range n {
 		m := fmt.Sprintf("m%d", i)
 		for _, c := range starts(g.hear(m, 1, fenced)) {
-			on[m] = append(on[m], TaskReport{Task: c.Task, Attempt: c.Attempt, State: running})
+			on[m] = append(on[m], TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 		}
 		g.now += time.Second // the later, the less there is to lose
 		g.hear(m, 1, fenced, on[m]...)
@@ -319,10 +319,10 @@
 		raw := jobs.EncodeRecord(jobs.Pending, g.now.Milliseconds(), s.Tasks, s)
 		g.learn(jobs.RecordKey(s.ID), raw)
 		g.settle(store.Committed)
-		if hs := halting(j); hs != nil && g.now < 4*time.Second+patienceFor {
+		if hs := halting(j); hs != nil && g.now < 4*time.Second+preemptionPatience {
 			t.Fatalf("tasks %v are stopped at once", hs)
 		}
-		g.now += patienceFor
+		g.now += preemptionPatience
 		g.settle(store.Committed)
 		hs := halting(j)
 		if len(hs) != 2 {
@@ -330,8 +330,8 @@
 		}
 		for m, ts := range on {
 			for i := range ts {
-				if _, no := g.resolve(ts[i].Task); j.Tasks[no].Stopping {
-					ts[i].State, ts[i].Why = exited, whyStopped
+				if _, no := g.findTask(ts[i].Task); j.Tasks[no].Stopping {
+					ts[i].State, ts[i].Why = taskExited, exitStopped
 				}
 			}
 			g.hear(m, 1, fenced, ts...)
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -13,34 +13,34 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// keeps is what tasks without an accelerator must leave of a machine, so that its idle
+// keptFree is what tasks without an accelerator must leave of a machine, so that its idle
 // accelerators can be used by work that waits for them: small tasks that took every core
 // as it came free would never let a large one in.
 // A job that ranks before all such work, or is overdue to begin, nil for none, leaves nothing: it would stop that work for room which was then kept
 // for the same work, again and again.
-func (f *Fleet) keeps(m *Machine, j *jobs.Job, idle float64) planner.Size {
-	if m.Size.GPUs == 0 || f.perGPU == (planner.Size{}) || j != nil && (j.Spec.GPUs > 0 || f.first[j.Index] || f.goesBefore(j) || f.aged(j)) {
+func (f *Fleet) keptFree(m *Machine, j *jobs.Job, idle float64) planner.Size {
+	if m.Capacity.GPUs == 0 || f.waitingPerGPU == (planner.Size{}) || j != nil && (j.Spec.GPUs > 0 || f.startDeadlineDue[j.Index] || f.isStartDeadlineDue(j) || f.hasWaitedLong(j)) {
 		return planner.Size{}
 	}
 	// What such work may stop anyway need only be kept from as much as waits and may come.
-	if !m.spared && j != nil && j.Priority < f.gpuLevel && !f.within[j.Index] {
+	if !m.keepsCPUsForGPUWork && j != nil && j.Priority < f.gpuPriority && !f.withinGuarantee[j.Index] {
 		return planner.Size{}
 	}
-	return f.perGPU.Times(idle)
+	return f.waitingPerGPU.Times(idle)
 }
 
-// goesBefore tells whether a job ranks before all work that waits for accelerators.
-func (f *Fleet) goesBefore(j *jobs.Job) bool {
-	if w := f.within[j.Index]; w != f.gpuWithin {
+// isStartDeadlineDue tells whether a job ranks before all work that waits for accelerators.
+func (f *Fleet) isStartDeadlineDue(j *jobs.Job) bool {
+	if w := f.withinGuarantee[j.Index]; w != f.gpuWithinGuarantee {
 		return w
 	}
-	return j.Priority > f.gpuLevel
+	return j.Priority > f.gpuPriority
 }
 
-// yields is by how many seconds a job that may use spot machines puts off an ordinary one
+// spotWaitLimit is by how many seconds a job that may use spot machines puts off an ordinary one
 // which live jobs that may not use spot could need: they have no other.
-func (f *Fleet) yields(m *Machine, j *jobs.Job) float64 {
-	if m.Spot || !j.Spec.Spot || !f.ordinary[m.Type] {
+func (f *Fleet) spotWaitLimit(m *Machine, j *jobs.Job) float64 {
+	if m.Spot || !j.Spec.Spot || !f.onDemandTypes[m.Type] {
 		return 0
 	}
 	if j.Spec.Kind == jobs.Array {
@@ -53,13 +53,13 @@
 func (f *Fleet) fits(m *Machine, j *jobs.Job) bool {
 	s := j.Spec.Size()
 	free := m.Free()
-	if f.claimed(m, j) {
-		free = free.Sub(m.claim)
+	if f.isReservedFrom(m, j) {
+		free = free.Sub(m.reserved)
 	}
-	free = free.Sub(f.keeps(m, j, m.Size.GPUs-m.Use.GPUs))
+	free = free.Sub(f.keptFree(m, j, m.Capacity.GPUs-m.Used.GPUs))
 	if j.Spec.Kind == jobs.Array {
 		// Gangs already planned here wait only for their plan to be durable.
-		free = free.Sub(m.whole)
+		free = free.Sub(m.queuedWhole)
 	}
 	return s.Fits(free)
 }
@@ -74,12 +74,12 @@
 // sortRanked orders jobs by rank.
 func (f *Fleet) sortRanked(ixs []jobs.Index) {
 	slices.SortFunc(ixs, func(a, b jobs.Index) int {
-		return cmp.Or(cmp.Compare(f.rankOf(f.job(a)), f.rankOf(f.job(b))), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(f.rankOf(f.jobAt(a)), f.rankOf(f.jobAt(b))), cmp.Compare(a, b))
 	})
 }
 
-// allowed tells whether a job's task may be on a machine, given where its others are.
-func (f *Fleet) allowed(m *Machine, j *jobs.Job) bool {
+// mayUse tells whether a job's task may be on a machine, given where its others are.
+func (f *Fleet) mayUse(m *Machine, j *jobs.Job) bool {
 	if !j.Allows(m.Type, m.Zone, m.Spot) || (len(j.AvoidedMachines) > 0 && f.Now() < j.AvoidedMachines[m.Index]) {
 		return false
 	}
@@ -100,13 +100,13 @@
 func (f *Fleet) startable(now time.Duration, m *Machine, j *jobs.Job, t int32) bool {
 	k := &j.Tasks[t]
 	return j.State == jobs.Pending && !j.Quarantined && k.State == jobs.Planned && k.Machine == m.Index && k.NotBefore <= now &&
-		j.IsDurable(t) && f.allowed(m, j) && f.fits(m, j) && (f.Gate.Booked(seatRef(j, t)) || f.Gate.Fits(claimOf(j), 1))
+		j.IsDurable(t) && f.mayUse(m, j) && f.fits(m, j) && (f.Gate.Reserved(licenceRef(j, t)) || f.Gate.Fits(admissionClaim(j), 1))
 }
 
 // nextAttempt makes an attempt that no term has used.
 func (f *Fleet) nextAttempt() uint64 {
-	f.counter++
-	return f.Term<<24 | f.counter
+	f.attemptCounter++
+	return f.Term<<24 | f.attemptCounter
 }
 
 // launch turns a planned task into a command.
@@ -118,33 +118,33 @@
 			"fetch_s", int(f.fetchS(j, m)), "term", f.Term)
 	}
 	j.Started = true
-	f.place(now, j, t, jobs.Launched)
+	f.setOnMachine(now, j, t, jobs.Launched)
 	return Command{Op: opStart, Task: taskName(j, t), Attempt: attempt}
 }
 
-// starts launches what a machine's lanes hold, best rank first: a lane that reports free
+// startCommands launches what a machine's lanes hold, best rank first: a lane that reports free
 // gets its next planned task.
-func (f *Fleet) starts(now time.Duration, m *Machine) []Command {
+func (f *Fleet) startCommands(now time.Duration, m *Machine) []Command {
 	var out []Command
-	if f.held || m.Condition != Acting || m.Retiring || m.Planned == 0 || !m.least.Fits(m.Free()) {
+	if f.startsStopped || m.Condition != Ready || m.Returning || m.QueuedTasks == 0 || !m.smallestQueued.Fits(m.Free()) {
 		return nil
 	}
-	ixs := f.ixs[:0]
-	for _, l := range m.lanes {
-		if j := f.job(l.job); j.Spec.Kind == jobs.Gang || f.fits(m, j) {
+	ixs := f.jobScratch[:0]
+	for _, l := range m.queues {
+		if j := f.jobAt(l.job); j.Spec.Kind == jobs.Gang || f.fits(m, j) {
 			ixs = append(ixs, l.job)
 		}
 	}
-	f.ixs = ixs
-	f.Steps += uint64(len(m.lanes))
+	f.jobScratch = ixs
+	f.PlanningSteps += uint64(len(m.queues))
 	f.sortRanked(ixs)
 	for _, ix := range ixs {
-		j := f.job(ix)
+		j := f.jobAt(ix)
 		if j.Spec.Kind == jobs.Gang {
 			out = append(out, f.startGang(now, m, j)...)
 			continue
 		}
-		ts := m.waiting(ix)
+		ts := m.queued(ix)
 		keep := ts[:0]
 		for i, t := range ts {
 			if !f.fits(m, j) {
@@ -158,8 +158,8 @@
 			out = append(out, f.launch(now, m, j, t, f.nextAttempt()))
 		}
 		if n := len(ts) - len(keep); n > 0 {
-			m.wait(ix, keep)
-			f.unqueue(m, j, n)
+			m.setQueue(ix, keep)
+			f.removeQueued(m, j, n)
 		}
 	}
 	return out
@@ -176,7 +176,7 @@
 		case k.State == jobs.Unplanned || k.State == jobs.Recovered || k.Stopping || k.NotBefore > now:
 			return nil
 		case k.State == jobs.Planned:
-			if !j.IsDurable(int32(t)) || f.machines[k.Machine].Condition != Acting {
+			if !j.IsDurable(int32(t)) || f.machines[k.Machine].Condition != Ready {
 				return nil
 			}
 			planned++
@@ -204,16 +204,16 @@
 		return nil
 	}
 	var out []Command
-	for _, t := range slices.Clone(m.waiting(j.Index)) {
+	for _, t := range slices.Clone(m.queued(j.Index)) {
 		if j.Tasks[t].State == jobs.Planned && f.startable(now, m, j, t) {
-			f.dropLane(j, t)
+			f.dequeue(j, t)
 			out = append(out, f.launch(now, m, j, t, j.GangAttempt))
 		}
 	}
 	if first && len(out) > 0 {
 		// The rest follows from other machines, some of it seconds later: nobody may take
 		// its place meanwhile.
-		f.book(now, j)
+		f.admitGang(now, j)
 	}
 	return out
 }
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -11,24 +11,24 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// behind is a machine on which a job's planned tasks wait, and for how long the last one
+// delayedMachine is a machine on which a job's planned tasks wait, and for how long the last one
 // is expected to wait there.
-type behind struct {
+type delayedMachine struct {
 	m    *Machine
 	wait float64
 }
 
-type delays []behind
+type delayHeap []delayedMachine
 
-func (d delays) Len() int { return len(d) }
+func (d delayHeap) Len() int { return len(d) }
 
-func (d delays) Less(a, b int) bool { return d[a].wait > d[b].wait }
+func (d delayHeap) Less(a, b int) bool { return d[a].wait > d[b].wait }
 
-func (d delays) Swap(a, b int) { d[a], d[b] = d[b], d[a] }
+func (d delayHeap) Swap(a, b int) { d[a], d[b] = d[b], d[a] }
 
-func (d *delays) Push(x any) { *d = append(*d, x.(behind)) }
+func (d *delayHeap) Push(x any) { *d = append(*d, x.(delayedMachine)) }
 
-func (d *delays) Pop() any {
+func (d *delayHeap) Pop() any {
 	old := *d
 	x := old[len(old)-1]
 	*d = old[:len(old)-1]
@@ -42,11 +42,11 @@
 	least := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
 	var waiting []*jobs.Job
 	anyAged := false
-	for _, j := range f.order {
+	for _, j := range f.ranked {
 		if j.Spec.Kind == jobs.Array && j.TasksByState[jobs.Planned] > 0 && f.mayStart(j, 1) {
 			waiting = append(waiting, j)
 			least = least.Min(j.Spec.Size())
-			anyAged = anyAged || f.aged(j)
+			anyAged = anyAged || f.hasWaitedLong(j)
 		}
 	}
 	if len(waiting) == 0 {
@@ -54,17 +54,17 @@
 	}
 	var idle []*Machine
 	for _, m := range f.packed() {
-		if least.Fits(m.Free().Sub(m.need)) || anyAged && least.Fits(m.Free().Sub(m.whole)) {
+		if least.Fits(m.Free().Sub(m.queuedNeed)) || anyAged && least.Fits(m.Free().Sub(m.queuedWhole)) {
 			idle = append(idle, m)
 		}
 	}
-	f.Steps += uint64(len(f.pass.packed))
+	f.PlanningSteps += uint64(len(f.cycle.packed))
 	for _, j := range waiting {
-		var ds delays
+		var ds delayHeap
 		size := j.Spec.Size()
 		for _, m := range idle {
-			f.Steps++
-			if !size.Fits(f.unneeded(m, j)) || !f.fits(m, j) || !f.allowed(m, j) {
+			f.PlanningSteps++
+			if !size.Fits(f.unneededRoom(m, j)) || !f.fits(m, j) || !f.mayUse(m, j) {
 				continue
 			}
 			if ds == nil {
@@ -79,22 +79,22 @@
 }
 
 // delays lists where a job's planned tasks wait, furthest behind first.
-func (f *Fleet) delays(now time.Duration, j *jobs.Job) delays {
-	ds := delays{}
-	for _, ix := range f.waitsAt(j) {
-		if w, ok := f.waits(now, j, f.machines[ix]); ok {
-			ds = append(ds, behind{f.machines[ix], w})
+func (f *Fleet) delays(now time.Duration, j *jobs.Job) delayHeap {
+	ds := delayHeap{}
+	for _, ix := range f.queueMachines(j) {
+		if w, ok := f.waitSeconds(now, j, f.machines[ix]); ok {
+			ds = append(ds, delayedMachine{f.machines[ix], w})
 		}
 	}
-	f.Steps += uint64(2 * len(ds))
+	f.PlanningSteps += uint64(2 * len(ds))
 	heap.Init(&ds)
 	return ds
 }
 
-// waits estimates how long the last of a job's planned tasks waits on a machine; ok is
+// waitSeconds estimates how long the last of a job's planned tasks waits on a machine; ok is
 // false if it can't be moved.
-func (f *Fleet) waits(now time.Duration, j *jobs.Job, m *Machine) (float64, bool) {
-	ts := m.waiting(j.Index)
+func (f *Fleet) waitSeconds(now time.Duration, j *jobs.Job, m *Machine) (float64, bool) {
+	ts := m.queued(j.Index)
 	if len(ts) == 0 || !j.IsDurable(ts[len(ts)-1]) {
 		return 0, false
 	}
@@ -105,29 +105,29 @@
 			wait = est
 		}
 	}
-	n := max(1, j.Spec.Size().Copies(m.Size))
-	return wait + est*m.slow*float64((len(ts)-1)/n) + f.fetchS(j, m), true
+	n := max(1, j.Spec.Size().Copies(m.Capacity))
+	return wait + est*m.slowdown*float64((len(ts)-1)/n) + f.fetchS(j, m), true
 }
 
 // stealFor moves a job's tasks to a machine for as long as it has room and they would start
 // sooner there, fetch included.
-func (f *Fleet) stealFor(now time.Duration, m *Machine, j *jobs.Job, ds *delays) {
+func (f *Fleet) stealFor(now time.Duration, m *Machine, j *jobs.Job, ds *delayHeap) {
 	size := j.Spec.Size()
-	sooner := f.fetchS(j, m) + 0.5 + f.yields(m, j)
-	if f.aged(j) {
+	sooner := f.fetchS(j, m) + 0.5 + f.spotWaitLimit(m, j)
+	if f.hasWaitedLong(j) {
 		sooner = 0 // what was expected of its lane hasn't come true for long
 	}
 	for range 64 {
-		if len(*ds) == 0 || (*ds)[0].wait <= sooner || !size.Fits(f.unneeded(m, j)) || !f.fits(m, j) {
+		if len(*ds) == 0 || (*ds)[0].wait <= sooner || !size.Fits(f.unneededRoom(m, j)) || !f.fits(m, j) {
 			return
 		}
 		v := (*ds)[0].m
-		ts := v.waiting(j.Index)
+		ts := v.queued(j.Index)
 		t := ts[len(ts)-1]
-		f.dropLane(j, t)
-		f.plan(now, j, t, m)
-		f.Steps += 4
-		if w, ok := f.waits(now, j, v); ok {
+		f.dequeue(j, t)
+		f.planTask(now, j, t, m)
+		f.PlanningSteps += 4
+		if w, ok := f.waitSeconds(now, j, v); ok {
 			(*ds)[0].wait = w
 			heap.Fix(ds, 0)
 		} else {
--- a/internal/fleet/why.go
+++ b/internal/fleet/why.go
@@ -11,32 +11,32 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Cause is why some of a job's tasks wait. It is noted where planning decides; who asks is told
+// PendingCause is why some of a job's tasks wait. It is noted where planning decides; who asks is told
 // what was decided and nothing guessed anew.
-type Cause string
+type PendingCause string
 
 // The causes.
 const (
-	TeamLimit  Cause = "team_limit"       // its team may use no more
-	Licence    Cause = "licence"          // a seat of a licence is missing
-	NoMachine  Cause = "no_machine"       // no machine that is up may take it
-	GangShort  Cause = "gang_short"       // too few machines have room for a gang at once
-	NoRoom     Cause = "no_room"          // no machine that may take a replica has room
-	Retry      Cause = "retry"            // it failed, and is tried again later
-	Failing    Cause = "failing"          // it fails wherever it runs
-	Parked     Cause = "parked"           // a session that was reclaimed
-	Sealed     Cause = "unreadable"       // something stored of it can't be read
-	ZoneLost   Cause = "zone_lost"        // on a machine of a lost zone that isn't heard
-	NotYet     Cause = "planning_behind"  // planning has not come to it yet
-	Lane       Cause = "lane"             // planned on machines that are busy now
-	NotDurable Cause = "plan_not_durable" // its plan is being written
-	Leaving    Cause = "gang_leaving"     // the rest of its gang must be gone first
-	Arriving   Cause = "starting"         // sent to its machine, not running yet
+	TeamLimit          PendingCause = "team_limit"       // its team may use no more
+	LicenceUnavailable PendingCause = "licence"          // a seat of a licence is missing
+	NoMachine          PendingCause = "no_machine"       // no machine that is up may take it
+	GangShort          PendingCause = "gang_short"       // too few machines have room for a gang at once
+	NoRoom             PendingCause = "no_room"          // no machine that may take a replica has room
+	RetryLater         PendingCause = "retry"            // it failed, and is tried again later
+	CrashLoopBackoff   PendingCause = "failing"          // it fails wherever it runs
+	SessionSuspended   PendingCause = "parked"           // a session that was reclaimed
+	RecordUnreadable   PendingCause = "unreadable"       // something stored of it can't be read
+	ZoneLost           PendingCause = "zone_lost"        // on a machine of a lost zone that isn't heard
+	PlanningBehind     PendingCause = "planning_behind"  // planning has not come to it yet
+	QueuedOnMachine    PendingCause = "lane"             // planned on machines that are busy now
+	PlanNotDurable     PendingCause = "plan_not_durable" // its plan is being written
+	GangStopping       PendingCause = "gang_leaving"     // the rest of its gang must be gone first
+	Arriving           PendingCause = "starting"         // sent to its machine, not running yet
 )
 
-// verdict is what planning last decided about a job's unplanned tasks.
-type verdict struct {
-	cause      Cause
+// pendingNote is what planning last decided about a job's unplanned tasks.
+type pendingNote struct {
+	cause      PendingCause
 	denial     admission.Denial
 	have, need int           // machines with room, and tasks, of a gang
 	held       int           // machines that are kept for a gang as they come free
@@ -45,44 +45,44 @@
 	start      float64       // seconds until it could start, as estimated; 0: unknown
 }
 
-// note keeps what planning decided about a job.
-func (f *Fleet) note(j *jobs.Job, v verdict) { f.verdicts[j.Index] = v }
+// setPendingNote keeps what planning decided about a job.
+func (f *Fleet) setPendingNote(j *jobs.Job, v pendingNote) { f.pendingNotes[j.Index] = v }
 
-// denied notes that the gate, or the seats handed out in this pass, keep a job from starting n
+// noteDenied notes that the gate, or the seats handed out in this pass, keep a job from starting n
 // tasks together.
-func (f *Fleet) denied(j *jobs.Job, n int) {
-	if d := f.Gate.Ask(claimOf(j), n); d.TeamLimit {
-		f.note(j, verdict{cause: TeamLimit, denial: d})
+func (f *Fleet) noteDenied(j *jobs.Job, n int) {
+	if d := f.Gate.Ask(admissionClaim(j), n); d.TeamLimit {
+		f.setPendingNote(j, pendingNote{cause: TeamLimit, denial: d})
 		return
 	}
-	g := f.grants[j.Index]
-	f.note(j, verdict{cause: Licence, denial: admission.Denial{Seat: g.Why, Pool: g.Pool}})
+	g := f.licenceGrants[j.Index]
+	f.setPendingNote(j, pendingNote{cause: LicenceUnavailable, denial: admission.Denial{Licence: g.Why, Pool: g.Pool}})
 }
 
-// Part is some of a job's tasks and why they wait.
-type Part struct {
-	Tasks int    `json:"tasks"`
-	Why   Cause  `json:"why"`
-	Text  string `json:"text"`
+// PendingReason is some of a job's tasks and why they wait.
+type PendingReason struct {
+	Tasks int          `json:"tasks"`
+	Cause PendingCause `json:"why"`
+	Text  string       `json:"text"`
 }
 
-// Why says why each part of a job waits.
-func (f *Fleet) Why(now time.Duration, j *jobs.Job) []Part {
-	var parts []Part
-	add := func(n int, c Cause, format string, a ...any) {
+// PendingReasons says why each part of a job waits.
+func (f *Fleet) PendingReasons(now time.Duration, j *jobs.Job) []PendingReason {
+	var parts []PendingReason
+	add := func(n int, c PendingCause, format string, a ...any) {
 		if n > 0 {
-			parts = append(parts, Part{n, c, fmt.Sprintf(format, a...)})
+			parts = append(parts, PendingReason{n, c, fmt.Sprintf(format, a...)})
 		}
 	}
 	if j.Tasks == nil || j.State.Terminal() {
 		return parts
 	}
 	if j.Quarantined {
-		add(j.TaskCount-j.TasksByState[jobs.Finished], Sealed, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
+		add(j.TaskCount-j.TasksByState[jobs.Finished], RecordUnreadable, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
 		return parts
 	}
 	if j.Suspended {
-		add(j.UnstartedTasks(), Parked, "its session was reclaimed; it resumes when its user attaches")
+		add(j.UnstartedTasks(), SessionSuspended, "its session was reclaimed; it resumes when its user attaches")
 		return parts
 	}
 	f.unplannedWhy(now, j, add)
@@ -90,7 +90,7 @@
 	arriving := 0
 	held := map[int32]int{} // by zone
 	for t := range j.Tasks {
-		if k := &j.Tasks[t]; k.State.Occupies() && f.machines[k.Machine].Aside {
+		if k := &j.Tasks[t]; k.State.Occupies() && f.machines[k.Machine].Quarantined {
 			held[f.machines[k.Machine].Zone]++
 			continue
 		}
@@ -101,8 +101,8 @@
 	for _, z := range slices.Sorted(maps.Keys(held)) {
 		last, since := time.Duration(0), now
 		for _, m := range f.machines {
-			if m.Aside && m.Zone == z {
-				last, since = max(last, m.Answered+f.Settings.Lease()-now), min(since, m.Heard)
+			if m.Quarantined && m.Zone == z {
+				last, since = max(last, m.LastAnsweredAt+f.Settings.Lease()-now), min(since, m.LastHeardAt)
 			}
 		}
 		add(held[z], ZoneLost, "on machines of zone %s, which have not been heard for up to %.0f s: they may still run there, and start elsewhere when the leases are over, in at most %.0f s",
@@ -112,14 +112,14 @@
 	return parts
 }
 
-func (f *Fleet) unplannedWhy(now time.Duration, j *jobs.Job, add func(int, Cause, string, ...any)) {
+func (f *Fleet) unplannedWhy(now time.Duration, j *jobs.Job, add func(int, PendingCause, string, ...any)) {
 	n := j.TasksByState[jobs.Unplanned]
-	v, known := f.verdicts[j.Index]
+	v, known := f.pendingNotes[j.Index]
 	if n == 0 {
 		return
 	}
 	if !known {
-		v.cause = NotYet
+		v.cause = PlanningBehind
 	}
 	s := j.Spec.Size()
 	switch v.cause {
@@ -127,15 +127,15 @@
 		t := f.Gate.Quota.Team(j.Team)
 		add(n, v.cause, "team %s uses %s, and each task needs %s: that is beyond the team's limit of %s", j.Spec.Team, amount(t.Used.CPUs, t.Used.GPUs),
 			amount(s.CPUs, s.GPUs), amount(t.Limit.CPUs, t.Limit.GPUs))
-	case Licence:
+	case LicenceUnavailable:
 		pool := "a pool that is not declared here"
 		if ps := f.Jobs.Names.Pools.Pools(); v.denial.Pool >= 0 && int(v.denial.Pool) < len(ps) {
 			pool = ps[v.denial.Pool].Name
 		}
-		add(n, v.cause, "licence %s: %s", pool, v.denial.Seat)
+		add(n, v.cause, "licence %s: %s", pool, v.denial.Licence)
 	case NoMachine:
 		add(n, v.cause, "no machine that is up may take it (%s, %g GB for each task)", amount(s.CPUs, s.GPUs), s.Mem)
-	case Leaving:
+	case GangStopping:
 		add(n, v.cause, "the rest of its gang is still on machines, and has to be gone before it starts anew")
 	case GangShort:
 		if v.need == 1 {
@@ -152,17 +152,17 @@
 		add(n, v.cause, "a gang of %d tasks needs as many places at once; %d machines have room now%s%s", v.need, v.have, soon(v.start), keeping)
 	case NoRoom:
 		add(n, v.cause, "no machine that may take a replica has room")
-	case Failing:
+	case CrashLoopBackoff:
 		add(n, v.cause, "its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s", v.have, v.need,
 			max(0, v.until-now).Round(time.Second))
-	case Retry:
+	case RetryLater:
 		add(n, v.cause, "a task failed; the next try comes in %s", max(0, v.until-now).Round(time.Second))
 	default:
-		add(n, NotYet, "planning has not come to it yet")
+		add(n, PlanningBehind, "planning has not come to it yet")
 	}
 }
 
-func (f *Fleet) plannedWhy(now time.Duration, j *jobs.Job, add func(int, Cause, string, ...any)) {
+func (f *Fleet) plannedWhy(now time.Duration, j *jobs.Job, add func(int, PendingCause, string, ...any)) {
 	writing, lanes := 0, 0
 	soonest := 1e9
 	for t := range j.Tasks {
@@ -182,14 +182,14 @@
 			}
 		}
 	}
-	add(writing, NotDurable, "planned; the plan is being written, and nothing starts before it is")
-	switch d := f.Gate.Ask(claimOf(j), 1); {
+	add(writing, PlanNotDurable, "planned; the plan is being written, and nothing starts before it is")
+	switch d := f.Gate.Ask(admissionClaim(j), 1); {
 	case d.TeamLimit:
 		add(lanes, TeamLimit, "planned, but team %s is at its limit", j.Spec.Team)
-	case d.Seat != licences.Granted:
-		add(lanes, Licence, "planned, but %s", d.Seat)
+	case d.Licence != licences.Granted:
+		add(lanes, LicenceUnavailable, "planned, but %s", d.Licence)
 	default:
-		add(lanes, Lane, "planned on %d machines, in the lanes of what is there now%s", len(f.spread[j.Index]), soon(soonest))
+		add(lanes, QueuedOnMachine, "planned on %d machines, in the lanes of what is there now%s", len(f.queuedOn[j.Index]), soon(soonest))
 	}
 }
 
@@ -207,12 +207,12 @@
 	return fmt.Sprintf("%g cores", cpus)
 }
 
-// Ahead names the jobs that rank before one and have tasks that wait, the nearest first, at most
+// JobsAhead names the jobs that rank before one and have tasks that wait, the nearest first, at most
 // most; and how many there are.
-func (f *Fleet) Ahead(j *jobs.Job, most int) (ids []string, n int) {
+func (f *Fleet) JobsAhead(j *jobs.Job, most int) (ids []string, n int) {
 	at := f.rankOf(j)
-	for i := min(at, len(f.order)) - 1; i >= 0; i-- {
-		if o := f.order[i]; o.UnstartedTasks() > 0 && !o.Idle() {
+	for i := min(at, len(f.ranked)) - 1; i >= 0; i-- {
+		if o := f.ranked[i]; o.UnstartedTasks() > 0 && !o.Idle() {
 			if n++; len(ids) < most {
 				ids = append(ids, o.ID)
 			}
--- a/internal/intake/abort.go
+++ b/internal/intake/abort.go
@@ -43,7 +43,7 @@
 			case it.Version == 0:
 				n.archived(id, reply, false, noSuchJob, func(*jobs.Job) { n.abort(w, id, reply, tries-1) })
 			default:
-				n.Learned(n.Store.Now(), it)
+				n.OnJobRecord(n.Store.Now(), it)
 				if n.Jobs.IsUnreadable(id) {
 					reply(unreadable)
 					return
@@ -62,7 +62,7 @@
 		store.NormalPriority, func(r store.Result) {
 			switch r.Outcome {
 			case store.Committed:
-				n.Learned(n.Store.Now(), store.Item{Key: key, Value: raw, Version: r.Revision})
+				n.OnJobRecord(n.Store.Now(), store.Item{Key: key, Value: raw, Version: r.Revision})
 				if r, ok := n.final(id, false); ok {
 					reply(r)
 					return
--- a/internal/intake/answers.go
+++ b/internal/intake/answers.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// Answers counts what was answered since the start.
-type Answers struct {
+// ResponseCounts counts what was answered since the start.
+type ResponseCounts struct {
 	Served, Busy, Unable uint64 // users: neither 429 nor 5xx, 429, 5xx
 	Reports, Void        uint64 // workers: 200, anything else
 }
 
-// Counter counts answers; connection goroutines use it at the same time. Its zero value is ready.
-type Counter struct{ served, busy, unable, reports, void atomic.Uint64 }
+// ResponseCounter counts answers; connection goroutines use it at the same time. Its zero value is ready.
+type ResponseCounter struct{ served, busy, unable, reports, void atomic.Uint64 }
 
-func (k *Counter) user(status int) {
+func (k *ResponseCounter) user(status int) {
 	switch {
 	case k == nil:
 	case status == 429:
@@ -23,7 +23,7 @@
 	}
 }
 
-func (k *Counter) worker(status int) {
+func (k *ResponseCounter) worker(status int) {
 	switch {
 	case k == nil:
 	case status == 200:
@@ -34,6 +34,6 @@
 }
 
 // Read tells what was counted.
-func (k *Counter) Read() Answers {
-	return Answers{k.served.Load(), k.busy.Load(), k.unable.Load(), k.reports.Load(), k.void.Load()}
+func (k *ResponseCounter) Read() ResponseCounts {
+	return ResponseCounts{k.served.Load(), k.busy.Load(), k.unable.Load(), k.reports.Load(), k.void.Load()}
 }
--- a/internal/intake/archive_test.go
+++ b/internal/intake/archive_test.go
@@ -87,8 +87,8 @@
 func TestMovedWhileItsRecordIsRead(t *testing.T) {
 	d := newDesk(state.New())
 	d.svc.Apply([]store.Op{{Put: jobs.RecordKey(job(1).ID), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
-	d.Learned = func(time.Duration, store.Item) {} // the followed keys have passed its version
-	d.late = func() {                              // after the check
+	d.OnJobRecord = func(time.Duration, store.Item) {} // the followed keys have passed its version
+	d.late = func() {                                  // after the check
 		d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) } // after the read
 	}
 	if r := d.query(t, job(1).ID); r.Status != 200 || stance(r) != "done" {
@@ -100,7 +100,7 @@
 // ended, as others were.
 func TestArchivedBeforeItsSubmissionIsAnswered(t *testing.T) {
 	d := newDesk(state.New())
-	d.Learned = func(time.Duration, store.Item) {} // the followed keys have passed its version
+	d.OnJobRecord = func(time.Duration, store.Item) {} // the followed keys have passed its version
 	d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
 	if r := d.submit(t, job(1)); r.Status != 200 || stance(r) != "done" {
 		t.Errorf("%d %q", r.Status, stance(r))
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -22,13 +22,13 @@
 	Now              func() time.Duration
 	Intake           *Intake
 	Up               func() bool
-	Report           func(now time.Duration, r *fleet.Report, reply func(Reply))
+	Report           func(now time.Duration, r *fleet.Heartbeat, reply func(Reply))
 	// Leader answers what only the leader can.
-	Leader *Leader
+	Leader *LeaderAPI
 	// MaxConns bounds open connections; beyond Crowded those of workers end with each answer.
 	MaxConns, Crowded int
 	// Counter counts what is answered; nil for nobody.
-	Counter *Counter
+	Counter *ResponseCounter
 	// Users are asked for their tokens, unless it is nil. WorkersOnly refuses everybody but
 	// workers and health checks.
 	Users       *access.Users
@@ -72,7 +72,7 @@
 		})
 	})
 	app.Post("/checkin", func(c fiber.Ctx) error {
-		rep, err := fleet.ParseReport(c.Body())
+		rep, err := fleet.ParseHeartbeat(c.Body())
 		if err != nil {
 			return send(c, refuse(400, "not a report"))
 		}
--- a/internal/intake/http_test.go
+++ b/internal/intake/http_test.go
@@ -39,8 +39,8 @@
 	go func() {
 		_ = Serve(ln, Routes{
 			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: d.Intake, Up: func() bool { return true },
-			Report:   func(_ time.Duration, _ *fleet.Report, reply func(Reply)) { reply(Reply{Status: 200}) },
-			Leader:   &Leader{Licences: true, Sessions: true, Answer: func(_ time.Duration, _ Call, reply func(Reply)) { reply(Reply{Status: 200}) }},
+			Report:   func(_ time.Duration, _ *fleet.Heartbeat, reply func(Reply)) { reply(Reply{Status: 200}) },
+			Leader:   &LeaderAPI{Licences: true, Sessions: true, Answer: func(_ time.Duration, _ LeaderRequest, reply func(Reply)) { reply(Reply{Status: 200}) }},
 			MaxConns: 10, Crowded: 10, Users: users,
 		})
 	}()
@@ -98,7 +98,7 @@
 	go func() {
 		_ = Serve(ln, Routes{
 			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: newDesk(state.New()).Intake, Up: func() bool { return true },
-			Report: func(_ time.Duration, _ *fleet.Report, reply func(Reply)) { reply(Reply{Status: 200}) }, Leader: &Leader{}, MaxConns: 20, Crowded: 10,
+			Report: func(_ time.Duration, _ *fleet.Heartbeat, reply func(Reply)) { reply(Reply{Status: 200}) }, Leader: &LeaderAPI{}, MaxConns: 20, Crowded: 10,
 		})
 	}()
 	defer func() { _ = ln.Close() }()
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -47,8 +47,8 @@
 	maxChecks  = 4096
 )
 
-// Verdict says whether a job can ever run.
-type Verdict struct {
+// AdmissionResult says whether a job can ever run.
+type AdmissionResult struct {
 	OK    bool
 	Known bool // false: it can't be told yet
 	// Open says that a no may become a yes, or was one: another controller, or this one a
@@ -57,8 +57,8 @@
 	Why  string
 }
 
-// Admission decides whether a job can ever run.
-type Admission func(*jobs.Spec) Verdict
+// AdmitFunc decides whether a job can ever run.
+type AdmitFunc func(*jobs.Spec) AdmissionResult
 
 // Env is what intake needs of its surroundings.
 type Env struct {
@@ -66,17 +66,17 @@
 	Jobs  *jobs.Table
 	// Archive finds the answers of jobs that ended long ago.
 	Archive *archive.Reader
-	Admit   Admission
+	Admit   AdmitFunc
 	// Ready tells whether the job table was read in full.
 	Ready func() bool
 	// Counts gives what is displayed of a pending job.
 	Counts func(*jobs.Job) (done, running int)
-	// Learned hands on a record that was written or read here.
-	Learned func(now time.Duration, it store.Item)
-	// Guard is the condition that every write from here carries besides its own: the cluster's level is what this
+	// OnJobRecord hands on a record that was written or read here.
+	OnJobRecord func(now time.Duration, it store.Item)
+	// LevelCondition is the condition that every write from here carries besides its own: the cluster's level is what this
 	// controller knows it to be. Fit tells whether this release may act at that level; nil: there are no levels.
-	Guard func() store.Condition
-	Fit   func() bool
+	LevelCondition func() store.Condition
+	Compatible     func() bool
 	// TxnOps bounds a transaction. Limits is what one may hold now, which may be less; nil: it is TxnOps and MaxValue.
 	TxnOps int
 	Limits func() store.Limits
@@ -88,14 +88,14 @@
 // Intake is the event-loop side.
 type Intake struct {
 	Env
-	submits    []submit
-	bytes      int // of the records in submits
-	submitting bool
-	checks     []check
-	checking   bool
-	nextCheck  time.Duration
-	draining   bool
-	promised   time.Duration // when the last refused submission was told to come back
+	submissions    []pendingSubmission
+	bytes          int // of the records in submits
+	submitInFlight bool
+	queries        []statusQuery
+	queryInFlight  bool
+	nextCheck      time.Duration
+	draining       bool
+	promised       time.Duration // when the last refused submission was told to come back
 }
 
 // limits is what a transaction may hold now.
@@ -116,7 +116,7 @@
 
 // Busy tells whether users wait for an answer.
 func (n *Intake) Busy() bool {
-	return n.submitting || n.checking || len(n.submits)+len(n.checks) > 0
+	return n.submitInFlight || n.queryInFlight || len(n.submissions)+len(n.queries) > 0
 }
 
 // New makes an intake.
@@ -143,7 +143,7 @@
 
 // fit refuses everybody where this release is behind the cluster's: what it would say or write could be wrong.
 func (n *Intake) fit(reply func(Reply)) bool {
-	if n.Fit == nil || n.Fit() {
+	if n.Compatible == nil || n.Compatible() {
 		return true
 	}
 	reply(refuse(503, "this controller's release is behind the cluster's: ask another"))
@@ -152,10 +152,10 @@
 
 // guarded are a write's conditions with the level's.
 func (n *Intake) guarded(cs ...store.Condition) []store.Condition {
-	if n.Guard == nil {
+	if n.LevelCondition == nil {
 		return cs
 	}
-	return append(cs, n.Guard())
+	return append(cs, n.LevelCondition())
 }
 
 // Tick sends a check that was spaced out.
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -69,11 +69,11 @@
 	book := jobs.NewTable(0)
 	d.Intake = New(Env{
 		Store: st, Jobs: book, Archive: archive.NewReader(st, 8), Ready: func() bool { return true }, TxnOps: 24, MaxTasks: 3000, MaxBytes: 1 << 20, MaxValue: 8 << 10,
-		Admit: func(s *jobs.Spec) Verdict {
-			return Verdict{OK: s.Team == "t", Known: s.Team != "unknown yet", Open: s.Team == "short of seats", Why: "team"}
+		Admit: func(s *jobs.Spec) AdmissionResult {
+			return AdmissionResult{OK: s.Team == "t", Known: s.Team != "unknown yet", Open: s.Team == "short of seats", Why: "team"}
 		},
 		Counts: func(j *jobs.Job) (int, int) { return j.FinishedTasks, j.ReportedRunning },
-		Learned: func(_ time.Duration, it store.Item) {
+		OnJobRecord: func(_ time.Duration, it store.Item) {
 			_, _, _ = book.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
 		},
 	})
@@ -173,7 +173,7 @@
 			t.Fatalf("abort elsewhere: %+v", r)
 		}
 		it := svc.Keys[jobs.RecordKey("req-000001")]
-		a.Learned(svc.Now, store.Item{Key: it.Key, Value: it.Value, Version: it.Version}) // it is followed
+		a.OnJobRecord(svc.Now, store.Item{Key: it.Key, Value: it.Value, Version: it.Version}) // it is followed
 	}
 	if r := a.submit(t, job(1)); r.Status != 200 || stance(r) != "cancelled" {
 		t.Errorf("its submission is answered %+v", r)
@@ -257,7 +257,7 @@
 		{"secret-secret-secret", "", "127.0.0.1", false},
 		{"secret-secret-secret", "secret-secret-secreT", "127.0.0.1", false},
 	} {
-		if ok, why := (&Leader{Token: c.token}).may(c.header, c.from); ok != c.may || ok == (why != "") {
+		if ok, why := (&LeaderAPI{Token: c.token}).may(c.header, c.from); ok != c.may || ok == (why != "") {
 			t.Errorf("%+v: %v, %q", c, ok, why)
 		}
 	}
@@ -330,17 +330,17 @@
 
 // Answers are counted by what they were to whom; a server without a counter counts nothing.
 func TestAnswersAreCounted(t *testing.T) {
-	var k Counter
+	var k ResponseCounter
 	for _, s := range []int{200, 201, 404, 422, 429, 503, 503} {
 		k.user(s)
 	}
 	for _, s := range []int{200, 421, 503} {
 		k.worker(s)
 	}
-	if got := k.Read(); got != (Answers{Served: 4, Busy: 1, Unable: 2, Reports: 1, Void: 2}) {
+	if got := k.Read(); got != (ResponseCounts{Served: 4, Busy: 1, Unable: 2, Reports: 1, Void: 2}) {
 		t.Fatalf("%+v", got)
 	}
-	var none *Counter
+	var none *ResponseCounter
 	none.user(200)
 	none.worker(200)
 }
--- a/internal/intake/operator.go
+++ b/internal/intake/operator.go
@@ -11,30 +11,30 @@
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// Call is a request that only the leader can answer: why a job waits, which jobs there are, about
+// LeaderRequest is a request that only the leader can answer: why a job waits, which jobs there are, about
 // operators' wishes, licences or sessions.
-type Call struct {
-	What   string      // "why", "list", "events", "admin", "rollout", "zones", "licences" or "sessions"
-	Name   string      // of the one it is about; "": all
-	Verb   string      // what is asked: "show", or the last part of the path
-	Body   []byte      // of a command
-	Bearer string      // the token that came with it
-	Who    *access.Who // whose it is, nil where nobody is asked for one
-	Query  map[string]string
+type LeaderRequest struct {
+	Resource string      // "why", "list", "events", "admin", "rollout", "zones", "licences" or "sessions"
+	Name     string      // of the one it is about; "": all
+	Verb     string      // what is asked: "show", or the last part of the path
+	Body     []byte      // of a command
+	Bearer   string      // the token that came with it
+	Who      *access.Who // whose it is, nil where nobody is asked for one
+	Query    map[string]string
 }
 
-// Leader answers Calls. Commands about licences carry the operators' token or, where none is set,
+// LeaderAPI answers Calls. Commands about licences carry the operators' token or, where none is set,
 // come from the controller's own machine; each session has tokens of its own.
-type Leader struct {
+type LeaderAPI struct {
 	Token  string // the operators', "": none set
-	Answer func(now time.Duration, c Call, reply func(Reply))
+	Answer func(now time.Duration, c LeaderRequest, reply func(Reply))
 	// Licences and Sessions tell which routes there are.
 	Licences, Sessions bool
 }
 
 // may tells whether an operator's command is allowed, and else why not. The comparison takes
 // the same time whatever was sent.
-func (l *Leader) may(bearer, from string) (bool, string) {
+func (l *LeaderAPI) may(bearer, from string) (bool, string) {
 	if l.Token == "" {
 		if ip := net.ParseIP(from); ip != nil && ip.IsLoopback() {
 			return true, ""
@@ -59,8 +59,8 @@
 func (r Routes) leader(app *fiber.App) {
 	l := r.Leader
 	ask := func(c fiber.Ctx, what, verb string) error {
-		q := Call{
-			What: what, Name: strings.Clone(c.Params("name")), Verb: verb, Bearer: bearer(c), Who: who(c),
+		q := LeaderRequest{
+			Resource: what, Name: strings.Clone(c.Params("name")), Verb: verb, Bearer: bearer(c), Who: who(c),
 			Query: map[string]string{},
 		}
 		for _, k := range [...]string{"user", "team", "where", "since", "limit"} {
--- a/internal/intake/question.go
+++ b/internal/intake/question.go
@@ -24,7 +24,7 @@
 	return len(jobs.RecordKey(id)) + len(archive.Key(id)) + condsPerCheck*condBytes
 }
 
-type check struct {
+type statusQuery struct {
 	id      string
 	version uint64
 	reply   func(Reply)
@@ -37,43 +37,43 @@
 	if n.settled(id, true, reply) {
 		return
 	}
-	n.queueCheck(now, check{id: id, reply: reply})
+	n.queueCheck(now, statusQuery{id: id, reply: reply})
 }
 
-func (n *Intake) queueCheck(now time.Duration, c check) {
+func (n *Intake) queueCheck(now time.Duration, c statusQuery) {
 	if n.stateLost(now) {
 		c.reply(noStateReply)
 		return
 	}
-	if len(n.checks) >= maxChecks {
+	if len(n.queries) >= maxChecks {
 		c.reply(refuse(429, "too many queries"))
 		return
 	}
-	n.checks = append(n.checks, c)
+	n.queries = append(n.queries, c)
 	n.check(now)
 }
 
 func (n *Intake) check(now time.Duration) {
-	if n.checking || len(n.checks) == 0 || now < n.nextCheck {
+	if n.queryInFlight || len(n.queries) == 0 || now < n.nextCheck {
 		return
 	}
 	// A flood of questions once took all that there was, and submissions and cancellations were refused beside it.
 	if !n.Store.CanWrite(0, store.QueryPriority) {
-		if len(n.checks) > 200 {
-			for _, c := range n.checks {
+		if len(n.queries) > 200 {
+			for _, c := range n.queries {
 				c.reply(refuse(503, "the state service is at its limit"))
 			}
-			n.checks = nil
+			n.queries = nil
 		}
 		n.nextCheck = now + 50*time.Millisecond
 		return
 	}
-	var batch []check
+	var batch []statusQuery
 	seen := map[string]bool{}
 	t := store.Txn{}
 	k, size, most := 0, 0, store.ConditionsPerOp*n.limits().MaxOps
-	for ; k < len(n.checks) && len(t.If)+condsPerCheck <= most; k++ {
-		c := n.checks[k]
+	for ; k < len(n.queries) && len(t.If)+condsPerCheck <= most; k++ {
+		c := n.queries[k]
 		if size += checkSize(c.id); size > checkBytes {
 			break
 		}
@@ -90,17 +90,17 @@
 		}
 		batch = append(batch, c)
 	}
-	n.checks = n.checks[k:]
-	n.checking = true
+	n.queries = n.queries[k:]
+	n.queryInFlight = true
 	n.nextCheck = now + 40*time.Millisecond
 	n.Store.Txn(t, store.QueryPriority, func(r store.Result) {
-		n.checking = false
+		n.queryInFlight = false
 		n.checked(batch, r)
 		n.check(n.Store.Now())
 	})
 }
 
-func (n *Intake) checked(batch []check, r store.Result) {
+func (n *Intake) checked(batch []statusQuery, r store.Result) {
 	failed := map[string]bool{}
 	for _, k := range r.FailedKeys {
 		failed[k] = true
@@ -138,7 +138,7 @@
 }
 
 // absentFor answers a question about a job that has neither record nor answer.
-func (n *Intake) absentFor(c check) Reply {
+func (n *Intake) absentFor(c statusQuery) Reply {
 	if c.submit {
 		return notStored
 	}
@@ -146,6 +146,6 @@
 }
 
 // again answers a question by reading, where a check has not settled it.
-func (n *Intake) again(c check) {
+func (n *Intake) again(c statusQuery) {
 	n.reread(c.id, c.reply, !c.submit, n.absentFor(c))
 }
--- a/internal/intake/resolve.go
+++ b/internal/intake/resolve.go
@@ -84,7 +84,7 @@
 			n.archived(id, reply, full, absent, accepted)
 			return
 		}
-		n.Learned(n.Store.Now(), it)
+		n.OnJobRecord(n.Store.Now(), it)
 		switch j := n.Jobs.Get(id); {
 		case n.Jobs.IsUnreadable(id):
 			reply(unreadable)
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -11,7 +11,7 @@
 // submitOverhead is more than what a submission takes in a transaction beside its record: its key and conditions.
 const submitOverhead = 180
 
-type submit struct {
+type pendingSubmission struct {
 	spec  *jobs.Spec
 	raw   []byte
 	reply func(Reply)
@@ -35,7 +35,7 @@
 		return
 	}
 	if n.Jobs.Get(s.ID) != nil {
-		n.queueCheck(now, check{id: s.ID, reply: reply, submit: true})
+		n.queueCheck(now, statusQuery{id: s.ID, reply: reply, submit: true})
 		return
 	}
 	switch v := n.Admit(s); {
@@ -71,29 +71,29 @@
 		reply(refuse(429, "too many unfinished tasks"))
 		return
 	}
-	n.enqueue(now, submit{s, raw, reply})
+	n.enqueue(now, pendingSubmission{s, raw, reply})
 }
 
 // enqueue lets a submission wait to be stored, if there is room.
-func (n *Intake) enqueue(now time.Duration, s submit) {
-	if len(n.submits) >= maxSubmits || n.bytes+len(s.raw) > n.MaxBytes {
+func (n *Intake) enqueue(now time.Duration, s pendingSubmission) {
+	if len(n.submissions) >= maxSubmits || n.bytes+len(s.raw) > n.MaxBytes {
 		s.reply(n.later(now, "too many submissions"))
 		return
 	}
-	n.submits, n.bytes = append(n.submits, s), n.bytes+len(s.raw)
+	n.submissions, n.bytes = append(n.submissions, s), n.bytes+len(s.raw)
 	n.flush(now)
 }
 
 // flush writes all waiting submissions in one transaction; those that come meanwhile form
 // the next.
 func (n *Intake) flush(now time.Duration) {
-	if n.submitting || len(n.submits) == 0 {
+	if n.submitInFlight || len(n.submissions) == 0 {
 		return
 	}
 	size, k := 200, 0
 	seen := map[string]bool{}
-	for k < len(n.submits) && k < n.limits().MaxOps {
-		s := n.submits[k]
+	for k < len(n.submissions) && k < n.limits().MaxOps {
+		s := n.submissions[k]
 		if size += len(s.raw) + submitOverhead; size > 60<<10 || seen[s.spec.ID] {
 			break
 		}
@@ -102,15 +102,15 @@
 	}
 	if !n.Store.CanWrite(k, store.NormalPriority) {
 		if k = 1; !n.Store.CanWrite(k, store.NormalPriority) {
-			for _, s := range n.submits {
+			for _, s := range n.submissions {
 				s.reply(n.later(now, "the state service is at its limit"))
 			}
-			n.submits, n.bytes = nil, 0
+			n.submissions, n.bytes = nil, 0
 			return
 		}
 	}
-	batch := append([]submit(nil), n.submits[:k]...)
-	n.submits = n.submits[k:]
+	batch := append([]pendingSubmission(nil), n.submissions[:k]...)
+	n.submissions = n.submissions[k:]
 	t := store.Txn{}
 	for _, s := range batch {
 		n.bytes -= len(s.raw)
@@ -120,15 +120,15 @@
 		t.Then = append(t.Then, store.Op{Put: key, Value: s.raw})
 	}
 	t.If = n.guarded(t.If...)
-	n.submitting = true
+	n.submitInFlight = true
 	n.Store.Txn(t, store.NormalPriority, func(r store.Result) {
-		n.submitting = false
+		n.submitInFlight = false
 		n.submitted(n.Store.Now(), batch, r)
 		n.flush(n.Store.Now())
 	})
 }
 
-func (n *Intake) submitted(now time.Duration, batch []submit, r store.Result) {
+func (n *Intake) submitted(now time.Duration, batch []pendingSubmission, r store.Result) {
 	failed := map[string]bool{}
 	for _, k := range r.FailedKeys {
 		failed[k] = true
@@ -137,12 +137,12 @@
 		key := jobs.RecordKey(s.spec.ID)
 		switch r.Outcome {
 		case store.Committed:
-			n.Learned(now, store.Item{Key: key, Value: s.raw, Version: r.Revision})
+			n.OnJobRecord(now, store.Item{Key: key, Value: s.raw, Version: r.Revision})
 			n.accepted(s)
 		case store.Conflict:
 			if failed[key] || failed[archive.Key(s.spec.ID)] {
 				n.reread(s.spec.ID, s.reply, false, notStored)
-			} else if n.Guard != nil && failed[n.Guard().Key] {
+			} else if n.LevelCondition != nil && failed[n.LevelCondition().Key] {
 				s.reply(refuse(503, "the cluster's level has just changed"))
 			} else {
 				n.enqueue(now, s)
@@ -159,7 +159,7 @@
 
 // accepted answers a submission whose record is durable. Others may have read the record, users may have cancelled the
 // job, and it may even be over, before the answer of the state service came: the newest that is known goes out.
-func (n *Intake) accepted(s submit) {
+func (n *Intake) accepted(s pendingSubmission) {
 	switch j := n.Jobs.Get(s.spec.ID); {
 	case j == nil:
 		n.reread(s.spec.ID, s.reply, false, notStored)
--- a/internal/sessions/session.go
+++ b/internal/sessions/session.go
@@ -240,7 +240,7 @@
 // maxAge bounds the ages in a report, in seconds.
 const maxAge = 1e8
 
-// ParseReport reads an agent's report and refuses what no agent would send.
+// ParseHeartbeat reads an agent's report and refuses what no agent would send.
 func ParseReport(raw []byte) (Report, error) {
 	var r Report
 	if err := json.Unmarshal(raw, &r); err != nil {
--- a/internal/world/digest_scenarios_test.go
+++ b/internal/world/digest_scenarios_test.go
@@ -299,14 +299,14 @@
 }
 
 // callLeader asks the leader what has no route for Ask; the answer comes at once, and a frozen leader gives none.
-func (r *rolling) callLeader(q intake.Call, then func(status int, body []byte)) {
+func (r *rolling) callLeader(q intake.LeaderRequest, then func(status int, body []byte)) {
 	l, _ := r.World.Leader()
 	if l < 0 || !r.Runs(l) {
 		then(0, nil)
 		return
 	}
 	n := r.sim.nodes[l]
-	asked := request{from: or(q.Bearer, senderUser), method: q.Verb, path: q.What + "/" + q.Name, body: q.Body}
+	asked := request{from: or(q.Bearer, senderUser), method: q.Verb, path: q.Resource + "/" + q.Name, body: q.Body}
 	r.sim.sent(requestTo(n.s.Public, asked))
 	n.live(func() {
 		n.c.Call(q, func(status int, body []byte) {
@@ -327,7 +327,7 @@
 
 func (r *rolling) licenceCallAt(at time.Duration, verb, body string) {
 	r.After(at, func() {
-		q := intake.Call{What: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
+		q := intake.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
 		r.callLeader(q, func(int, []byte) {})
 	})
 }
@@ -467,12 +467,12 @@
 }
 
 func (s *simSession) call(verb, token string, body []byte, then func(int, []byte)) {
-	s.r.callLeader(intake.Call{What: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body}, then)
+	s.r.callLeader(intake.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body}, then)
 }
 
 // open asks for the session until it is opened, and starts its agent.
 func (s *simSession) open() {
-	s.r.callLeader(intake.Call{What: "sessions", Verb: "open", Body: s.opening()}, func(status int, _ []byte) {
+	s.r.callLeader(intake.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.opening()}, func(status int, _ []byte) {
 		if status != 200 && status != 201 {
 			s.r.After(time.Second, s.open)
 			return
--- a/internal/world/sim.go
+++ b/internal/world/sim.go
@@ -304,7 +304,7 @@
 			})
 		}
 	}
-	n.c = controller.Simulate(n.s, controller.Outside{
+	n.c = controller.Simulate(n.s, controller.Environment{
 		Now: func() time.Duration { return s.t - n.born }, EpochMS: n.epochMS + n.born.Milliseconds(),
 		Seed: s.rng.Uint64(), Sender: func(limit int) httpio.Sender { return &way{n: n, limit: limit} },
 	}, links...)
--- a/internal/world/troubles.go
+++ b/internal/world/troubles.go
@@ -49,7 +49,7 @@
 
 // vain counts the launches in commands that never arrive.
 func (w *World) vain(body []byte) {
-	var o fleet.Answer // direct commands have the same field
+	var o fleet.HeartbeatResponse // direct commands have the same field
 	_ = json.Unmarshal(body, &o)
 	for _, c := range o.Commands {
 		if c.Op == "launch" {
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -12,9 +12,9 @@
 )
 
 // report is what a worker tells of itself.
-func (w *World) report(now time.Duration, m *Machine) fleet.Report {
+func (w *World) report(now time.Duration, m *Machine) fleet.Heartbeat {
 	m.seq++
-	r := fleet.Report{
+	r := fleet.Heartbeat{
 		Machine: m.Name, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
 		Token: m.token, Tasks: []fleet.TaskReport{},
 	}
@@ -263,7 +263,7 @@
 	}
 	switch status {
 	case 200:
-		var a fleet.Answer
+		var a fleet.HeartbeatResponse
 		if json.Unmarshal(body, &a) != nil || a.Token < m.token {
 			return
 		}
