--- a/cmd/harewalk/daemon_world_test.go
+++ b/cmd/harewalk/daemon_world_test.go
@@ -84,16 +84,16 @@
 	}()
 	rng := rand.New(rand.NewPCG(seed, 10))
 	for i := range n {
-		s := plainJob(i+1, 1+rng.IntN(8), 0.3+rng.Float64())
-		if status := u.Submit(s); status != 200 && status != 201 {
-			t.Fatalf("%s: status %d", s.ID, status)
+		spec := plainJob(i+1, 1+rng.IntN(8), 0.3+rng.Float64())
+		if status := u.Submit(spec); status != 200 && status != 201 {
+			t.Fatalf("%s: status %d", spec.ID, status)
 		}
 		if rng.IntN(4) == 0 {
 			cancels.Add(1)
 			go func() {
 				defer cancels.Done()
 				time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
-				u.Cancel(s.ID)
+				u.Cancel(spec.ID)
 			}()
 		}
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
@@ -296,8 +296,8 @@
 	gang.Kind, gang.Team, gang.CPUs = jobs.Gang, "blue", 10
 	seats := plainJob(4, 9, 600)
 	seats.Licences, seats.Team, seats.Priority = map[string]int{"optimise": 2}, "blue", "prod"
-	for _, s := range []*jobs.Spec{seats, limited, large, gang} {
-		if status := u.Submit(s); status != 201 {
+	for _, spec := range []*jobs.Spec{seats, limited, large, gang} {
+		if status := u.Submit(spec); status != 201 {
 			t.Fatalf("status %d", status)
 		}
 	}
@@ -369,14 +369,14 @@
 	if err := os.WriteFile(file, []byte(fmt.Sprintf("debug_addr = %q\n", addr)+fmt.Sprintf(pools, w.Licences.Addr)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	s, err := config.Parse(w.Settings(0))
+	settings, err := config.Parse(w.Settings(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.LoadOperator(file); err != nil {
+	if err := settings.LoadOperator(file); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = controller.New(s).Run() }()
+	go func() { _ = controller.New(settings).Run() }()
 	get := func(path string) string {
 		r, err := http.Get("http://" + addr + path)
 		if err != nil {
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -111,11 +111,11 @@
 	defer w.Close()
 	fail := make(chan error, d.controllers)
 	for i := range d.controllers {
-		s, err := d.settings(w, i)
+		settings, err := d.settings(w, i)
 		if err != nil {
 			return coded{exitUsage, err}
 		}
-		go func() { fail <- controller.New(s).Run() }()
+		go func() { fail <- controller.New(settings).Run() }()
 	}
 	if err := awaitReady(ctx, w, d.controllers); err != nil {
 		return coded{exitFailed, err}
@@ -136,11 +136,11 @@
 
 // settings are a controller's: the world's, with the operators' own on top.
 func (d *dev) settings(w *world.World, i int) (*config.Settings, error) {
-	s, err := config.Parse(w.Settings(i))
+	settings, err := config.Parse(w.Settings(i))
 	if err == nil && d.operator != "" {
-		err = s.LoadOperator(d.operator)
+		err = settings.LoadOperator(d.operator)
 	}
-	return s, err
+	return settings, err
 }
 
 func awaitReady(ctx context.Context, w *world.World, controllers int) error {
--- a/cmd/harewalk/main.go
+++ b/cmd/harewalk/main.go
@@ -90,12 +90,12 @@
 			if err := logTo(os.Stderr, os.Getenv("LOG_LEVEL")); err != nil {
 				return coded{exitUsage, err}
 			}
-			s, err := config.Load(file, hcl)
+			settings, err := config.Load(file, hcl)
 			if err != nil {
 				return coded{exitUsage, err}
 			}
-			settle(s)
-			return serve(controller.New(s))
+			settle(settings)
+			return serve(controller.New(settings))
 		},
 	}
 	settingsFlags(c, &file, &hcl)
@@ -154,16 +154,16 @@
 	c := &cobra.Command{
 		Use: "check-config --config FILE", Short: "Check the settings and print what is derived from them", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			s, err := config.Load(file, hcl)
+			settings, err := config.Load(file, hcl)
 			if err != nil {
 				return coded{exitUsage, err}
 			}
 			fmt.Fprintf(c.OutOrStdout(), "settings of %s are good: %d others, %d teams, %d objectives\n",
-				s.Node, len(s.Peers), len(s.Params.Teams), len(s.Params.Objectives))
-			o := s.Operator
+				settings.Node, len(settings.Peers), len(settings.Params.Teams), len(settings.Params.Objectives))
+			o := settings.Operator
 			fmt.Fprintf(c.OutOrStdout(), "hold_ttl_ms = %d\nsilent_s = %g\nidle_s = %g\nheadroom = %g\nmax_machines = %d\nnetwork_factor = %g\n",
 				o.HoldTTLMS, o.SilentS, o.IdleS, o.Headroom, o.MaxMachines, o.NetworkFactor)
-			l := s.Params.Limits
+			l := settings.Params.Limits
 			fmt.Fprintf(c.OutOrStdout(), "connections taken = %d\nunfinished tasks = %d\nbytes of waiting submissions = %d\n",
 				l.Conns(), l.Tasks(), l.QueueBytes())
 			return nil
--- a/cmd/harewalk/rollout_world_test.go
+++ b/cmd/harewalk/rollout_world_test.go
@@ -153,18 +153,18 @@
 			case <-time.After(time.Duration(rng.IntN(800)) * time.Millisecond):
 			}
 			n++
-			s := licensed(rng, n)
-			s.Licences, s.Class = nil, "c"
-			s.EstimateS *= 4
-			if s.Kind == jobs.Array && n%7 == 0 {
-				s.Tasks = 300
-				s.EstimateS /= 8
+			spec := licensed(rng, n)
+			spec.Licences, spec.Class = nil, "c"
+			spec.EstimateS *= 4
+			if spec.Kind == jobs.Array && n%7 == 0 {
+				spec.Tasks = 300
+				spec.EstimateS /= 8
 			}
-			if status := u.Submit(s); status != 200 && status != 201 {
-				t.Errorf("%s: status %d", s.ID, status)
+			if status := u.Submit(spec); status != 200 && status != 201 {
+				t.Errorf("%s: status %d", spec.ID, status)
 			}
 			if n%9 == 0 {
-				go u.Cancel(s.ID)
+				go u.Cancel(spec.ID)
 			}
 		}
 	}()
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_world_test.go
@@ -272,11 +272,11 @@
 		u := w.Users(13)
 		var waits []float64
 		for i := range 30 {
-			s := &jobs.Spec{
+			spec := &jobs.Spec{
 				ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard", Tasks: 1,
 				CPUs: 4, MemoryGB: 4, Image: "m", ImageGB: 1, EstimateS: 4,
 			}
-			if status := u.Submit(s); status != 201 {
+			if status := u.Submit(spec); status != 201 {
 				t.Fatalf("status %d", status)
 			}
 			time.Sleep(500 * time.Millisecond)
@@ -284,8 +284,8 @@
 		if err := u.Wait(5 * time.Minute); err != nil {
 			t.Error(err)
 		}
-		for _, d := range w.Waits("roster") {
-			waits = append(waits, d.Seconds())
+		for _, duration := range w.Waits("roster") {
+			waits = append(waits, duration.Seconds())
 		}
 		slices.Sort(waits)
 		t.Logf("reclaim %v: %d jobs of 4 cores on 32, 24 of them held by notebooks: time to start p50 %.1f s, p95 %.1f s", reclaim, len(waits),
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		if os.Getenv(asFormer) != "" {
-			settle = func(s *config.Settings) { s.Earlier(rollout.Newest-1, world.Former) }
+			settle = func(settings *config.Settings) { settings.Earlier(rollout.Newest-1, world.Former) }
 		}
 		main()
 		return
@@ -90,27 +90,27 @@
 
 // licensed draws a job: arrays and gangs that need one pool, both or none.
 func licensed(rng *rand.Rand, n int) *jobs.Spec {
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
 		Priority: []string{"urgent", "standard", "best_effort"}[rng.IntN(3)], Tasks: 2 + rng.IntN(12), CPUs: 1, MemoryGB: 2,
 		Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 1, EstimateS: 0.4 + 0.6*rng.Float64(), Spot: rng.IntN(2) == 0,
 	}
 	if rng.IntN(4) == 0 {
-		s.Kind, s.Tasks = jobs.Gang, 1+rng.IntN(3)
+		spec.Kind, spec.Tasks = jobs.Gang, 1+rng.IntN(3)
 	}
 	if rng.IntN(3) == 0 {
-		s.CheckpointS, s.SaveS = 0.2, 0.2
+		spec.CheckpointS, spec.SaveS = 0.2, 0.2
 	}
 	switch rng.IntN(6) {
 	case 0:
 	case 1:
-		s.Licences = map[string]int{"optimise": 1}
+		spec.Licences = map[string]int{"optimise": 1}
 	case 2:
-		s.Licences = map[string]int{"transcribe": 1, "optimise": 1}
+		spec.Licences = map[string]int{"transcribe": 1, "optimise": 1}
 	default:
-		s.Licences = map[string]int{"transcribe": 1 + rng.IntN(2)}
+		spec.Licences = map[string]int{"transcribe": 1 + rng.IntN(2)}
 	}
-	return s
+	return spec
 }
 
 // Tasks, workers, controllers and the licence server crash, hang and come back; commands land
@@ -144,9 +144,9 @@
 			continue
 		}
 		n++
-		s := licensed(rng, n)
-		if status := u.Submit(s); status != 201 && status != 200 {
-			t.Fatalf("%s: status %d", s.ID, status)
+		spec := licensed(rng, n)
+		if status := u.Submit(spec); status != 201 && status != 200 {
+			t.Fatalf("%s: status %d", spec.ID, status)
 		}
 	}
 	close(stop)
@@ -227,11 +227,11 @@
 	cluster(t, w, fmt.Sprintf(strings.NewReplacer("count    = 24", "count    = 40", "reserve  = 2", "").Replace(pools), w.Licences.Addr))
 	u := w.Users(2)
 	for n := range 6 {
-		s := &jobs.Spec{
+		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 100, CPUs: 1,
 			MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5, Licences: map[string]int{"transcribe": 1},
 		}
-		if status := u.Submit(s); status != 201 {
+		if status := u.Submit(spec); status != 201 {
 			t.Fatalf("status %d", status)
 		}
 	}
@@ -289,12 +289,12 @@
 		}
 		return out
 	}
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 30, CPUs: 1, MemoryGB: 1, Image: "i",
 		ImageGB: 1, EstimateS: 600, CheckpointS: 5, SaveS: 0.2, Licences: map[string]int{"transcribe": 1},
 	}
 	u := w.Users(3)
-	if status := u.Submit(s); status != 201 {
+	if status := u.Submit(spec); status != 201 {
 		t.Fatalf("status %d", status)
 	}
 	until := func(what string, ok func() bool) {
@@ -343,12 +343,12 @@
 	if out, code := command(t, "licence", "show", "nothing", "--server", w.Public(0)); code != 2 || !strings.Contains(out, `no licence pool "nothing"`) {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	wrong := *s
+	wrong := *spec
 	wrong.ID, wrong.Licences = "req-000002", map[string]int{"transcribe": 23}
 	if status := u.Submit(&wrong); status != 422 {
 		t.Fatalf("more than the pool could ever give: status %d", status)
 	}
-	u.Cancel(s.ID)
+	u.Cancel(spec.ID)
 	until("given back", using(0))
 	for _, b := range w.Broken() {
 		t.Error(b)
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -53,8 +53,8 @@
 var ErrUnreadable = errors.New("an archived answer cannot be read")
 
 // Encode writes an answer.
-func Encode(a Answer) json.RawMessage {
-	raw, _ := json.Marshal(record{Stance: a.State.String(), Tasks: a.Tasks, Done: a.Done})
+func Encode(answer Answer) json.RawMessage {
+	raw, _ := json.Marshal(record{Stance: answer.State.String(), Tasks: answer.Tasks, Done: answer.Done})
 	return raw
 }
 
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -14,12 +14,12 @@
 
 // Every answer is read back as it was written, and the largest fits what is asked of the state service's values.
 func TestAnswersAreReadBack(t *testing.T) {
-	for _, a := range []Answer{{jobs.Done, 1, 1}, {jobs.Cancelled, jobs.MaxTasks, jobs.MaxTasks}, {jobs.Cancelled, 7, 0}} {
-		raw := Encode(a)
+	for _, answer := range []Answer{{jobs.Done, 1, 1}, {jobs.Cancelled, jobs.MaxTasks, jobs.MaxTasks}, {jobs.Cancelled, 7, 0}} {
+		raw := Encode(answer)
 		if len(raw) > MaxRecordBytes {
 			t.Errorf("%s takes %d bytes, more than %d", raw, len(raw), MaxRecordBytes)
 		}
-		if got, err := Decode(raw); err != nil || got != a {
+		if got, err := Decode(raw); err != nil || got != answer {
 			t.Errorf("%s was read as %v, %v", raw, got, err)
 		}
 	}
@@ -28,8 +28,8 @@
 // What can't be read is an error that says so, never a stance.
 func TestUnreadableAnswers(t *testing.T) {
 	for _, raw := range []string{``, `7`, `{}`, `{"stance":"pending","n":1}`, `{"v":2,"stance":"done","n":1}`, `{"stance":"done","n":"x"}`} {
-		if a, err := Decode(json.RawMessage(raw)); !errors.Is(err, ErrUnreadable) {
-			t.Errorf("%q was read as %v, %v", raw, a, err)
+		if answer, err := Decode(json.RawMessage(raw)); !errors.Is(err, ErrUnreadable) {
+			t.Errorf("%q was read as %v, %v", raw, answer, err)
 		}
 	}
 }
@@ -56,9 +56,9 @@
 
 func (k *keys) Get(key string, _ store.Priority, done func(store.Item, error)) {
 	k.reads++
-	it := k.items[key]
-	it.Key = key
-	done(it, k.err)
+	item := k.items[key]
+	item.Key = key
+	done(item, k.err)
 }
 
 // An answer is read once; absence and failure are asked for anew, and the cache is bounded.
@@ -68,11 +68,11 @@
 	unread := 0
 	r.Unreadable = func(string, json.RawMessage, error) { unread++ }
 	find := func(id string) (Answer, bool, error) {
-		var a Answer
+		var answer Answer
 		var found bool
 		var err error
-		r.Find(id, store.QueryPriority, func(x Answer, f bool, e error) { a, found, err = x, f, e })
-		return a, found, err
+		r.Find(id, store.QueryPriority, func(x Answer, f bool, e error) { answer, found, err = x, f, e })
+		return answer, found, err
 	}
 	for range 2 {
 		if _, found, err := find("req-1"); found || err != nil {
@@ -84,8 +84,8 @@
 	}
 	k.reads = 0
 	for range 3 {
-		if a, found, err := find("req-1"); !found || err != nil || a.Tasks != 3 {
-			t.Errorf("%v, %v, %v", a, found, err)
+		if answer, found, err := find("req-1"); !found || err != nil || answer.Tasks != 3 {
+			t.Errorf("%v, %v, %v", answer, found, err)
 		}
 	}
 	if k.reads != 1 {
@@ -123,7 +123,7 @@
 	m.Mover = NewMover(Env{
 		Now: func() time.Duration { return m.t }, TxnOps: ops, WritesPerS: 40,
 		CanWrite:   func(int) bool { return !m.full },
-		Commit:     func(t store.Txn, done func(store.Result)) { m.sent, m.done = append(m.sent, t), done },
+		Commit:     func(txn store.Txn, done func(store.Result)) { m.sent, m.done = append(m.sent, txn), done },
 		OnArchived: func(id string, _ Answer) { m.moved = append(m.moved, id) },
 	})
 	for i := range n {
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -63,9 +63,9 @@
 }
 
 // fromTxn turns a real transaction into the model's.
-func fromTxn(name string, t store.Txn) sentTxn {
+func fromTxn(name string, txn store.Txn) sentTxn {
 	x := sentTxn{name: name, ifs: [2]uint64{anyVersion, anyVersion}}
-	for _, c := range t.If {
+	for _, c := range txn.If {
 		switch c.Key {
 		case recordKey:
 			x.ifs[0] = c.Version
@@ -73,7 +73,7 @@
 			x.ifs[1] = c.Version
 		}
 	}
-	for _, o := range t.Then {
+	for _, o := range txn.Then {
 		switch {
 		case o.Delete == recordKey:
 			x.puts[0] = "-"
@@ -123,11 +123,11 @@
 	if s.submits < 3 {
 		n := s
 		n.submits++
-		t := store.Txn{If: []store.Condition{{Key: recordKey}, Absent(modelID)}, Then: []store.Op{{Put: recordKey}}}
+		txn := store.Txn{If: []store.Condition{{Key: recordKey}, Absent(modelID)}, Then: []store.Op{{Put: recordKey}}}
 		if g.lateSubmission {
-			t.If = t.If[:1]
+			txn.If = txn.If[:1]
 		}
-		add(n.send(fromTxn("submission", t)))
+		add(n.send(fromTxn("submission", txn)))
 	}
 	if s.record.value == "pending" && s.ends < 1 {
 		n := s
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -42,7 +42,7 @@
 	// Now is the steady clock, for answers.
 	Now func() time.Duration
 	// OnArchived is told of each job whose move is durable.
-	OnArchived func(id string, a Answer)
+	OnArchived func(id string, answer Answer)
 	// TxnOps bounds the changes in one transaction, WritesPerS those that the state service takes in a second.
 	TxnOps     int
 	WritesPerS float64
@@ -126,7 +126,7 @@
 	}
 	m.to(Moving)
 	m.until = now + m.pause(len(batch), backlog)
-	m.Commit(transaction(batch), func(r store.Result) { m.outcome(batch, r) })
+	m.Commit(transaction(batch), func(result store.Result) { m.outcome(batch, result) })
 }
 
 // pause is how long a batch uses up the share of moves in the state service's writes.
@@ -150,18 +150,18 @@
 
 // transaction moves a batch: all of it, or nothing.
 func transaction(batch []Candidate) store.Txn {
-	t := store.Txn{}
+	txn := store.Txn{}
 	for _, c := range batch {
-		t.If = append(t.If, store.Condition{Key: jobs.RecordKey(c.ID), Version: c.Version}, Absent(c.ID))
-		t.Then = append(t.Then, store.Op{Put: Key(c.ID), Value: Encode(c.Answer)}, store.Op{Delete: jobs.RecordKey(c.ID)})
+		txn.If = append(txn.If, store.Condition{Key: jobs.RecordKey(c.ID), Version: c.Version}, Absent(c.ID))
+		txn.Then = append(txn.Then, store.Op{Put: Key(c.ID), Value: Encode(c.Answer)}, store.Op{Delete: jobs.RecordKey(c.ID)})
 	}
-	return t
+	return txn
 }
 
 // outcome takes over what became of a batch.
-func (m *Mover) outcome(batch []Candidate, r store.Result) {
+func (m *Mover) outcome(batch []Candidate, result store.Result) {
 	now := m.Now()
-	if r.Outcome == store.Committed {
+	if result.Outcome == store.Committed {
 		m.Stats.Moved += uint64(len(batch))
 		m.Stats.Batches++
 		m.batch = min(m.most(), m.batch+1)
@@ -173,14 +173,14 @@
 		return
 	}
 	m.Stats.Failed++
-	if r.Outcome == store.Conflict {
-		m.conflict(now, batch, r.FailedKeys)
+	if result.Outcome == store.Conflict {
+		m.conflict(now, batch, result.FailedKeys)
 	} else {
 		// A transaction that is larger than the service takes is refused like one beyond its rate. Its limits may
 		// shrink without notice, so the next batch is smaller.
 		m.batch = max(1, m.batch/2)
 	}
-	slog.Debug("ended jobs were not moved", "outcome", r.Outcome.String(), "jobs", len(batch), "failed", r.FailedKeys)
+	slog.Debug("ended jobs were not moved", "outcome", result.Outcome.String(), "jobs", len(batch), "failed", result.FailedKeys)
 	m.until = max(m.until, now+pauseFor)
 	m.to(Waiting)
 }
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -36,35 +36,35 @@
 func (r *Reader) Cached(id string) (Answer, bool) { return r.cache.Get(id) }
 
 // Remember keeps an answer that is durable.
-func (r *Reader) Remember(id string, a Answer) { r.cache.Add(id, a) }
+func (r *Reader) Remember(id string, answer Answer) { r.cache.Add(id, answer) }
 
 // CacheLen is how many answers are in memory.
 func (r *Reader) CacheLen() int { return r.cache.Len() }
 
 // Find reads a job's answer. found is false if there was none when the state service carried out the read; that says
 // that the job was never accepted only if its record was seen to be absent before.
-func (r *Reader) Find(id string, class store.Priority, done func(a Answer, found bool, err error)) {
-	if a, ok := r.Cached(id); ok {
-		done(a, true, nil)
+func (r *Reader) Find(id string, class store.Priority, done func(answer Answer, found bool, err error)) {
+	if answer, ok := r.Cached(id); ok {
+		done(answer, true, nil)
 		return
 	}
-	r.store.Get(Key(id), class, func(it store.Item, err error) {
-		if err != nil || it.Version == 0 {
+	r.store.Get(Key(id), class, func(item store.Item, err error) {
+		if err != nil || item.Version == 0 {
 			done(Answer{}, false, err)
 			return
 		}
-		a, err := Decode(it.Value)
+		answer, err := Decode(item.Value)
 		if err != nil {
 			if r.Unreadable != nil {
-				r.Unreadable(it.Key, it.Value, err)
+				r.Unreadable(item.Key, item.Value, err)
 			}
 			done(Answer{}, false, err)
 			return
 		}
 		if r.Readable != nil {
-			r.Readable(it.Key)
+			r.Readable(item.Key)
 		}
-		r.Remember(id, a)
-		done(a, true, nil)
+		r.Remember(id, answer)
+		done(answer, true, nil)
 	})
 }
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -21,9 +21,9 @@
 type bootTimes map[place][]float64
 
 // took notes a boot that has come up.
-func (b bootTimes) took(o offer, d time.Duration) {
+func (b bootTimes) took(o offer, duration time.Duration) {
 	p := place{o.typ, o.zone}
-	b[p] = append(b[p], d.Seconds())
+	b[p] = append(b[p], duration.Seconds())
 	b[p] = b[p][max(0, len(b[p])-keptBoots):]
 }
 
@@ -55,11 +55,11 @@
 func (c *Manager) overdue(now time.Duration) map[string]bool {
 	groups := map[offer]*group{}
 	for name, b := range c.boots {
-		t := c.typ(b.typ)
-		if t == nil {
+		machineType := c.typ(b.typ)
+		if machineType == nil {
 			continue
 		}
-		if over := now - b.since - c.bootTimes.usual(b.offer, t.BootS); over > 0 {
+		if over := now - b.since - c.bootTimes.usual(b.offer, machineType.BootS); over > 0 {
 			g := groups[b.offer]
 			if g == nil {
 				g = &group{}
@@ -69,8 +69,8 @@
 		}
 	}
 	out := map[string]bool{}
-	for o, g := range groups {
-		part := float64(g.worst) / float64(c.bootTimes.usual(o, c.typ(o.typ).BootS))
+	for offer, g := range groups {
+		part := float64(g.worst) / float64(c.bootTimes.usual(offer, c.typ(offer.typ).BootS))
 		sort.Strings(g.names)
 		for _, name := range g.names[:min(len(g.names), int(math.Ceil(part*float64(len(g.names)))))] {
 			out[name] = true
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -59,12 +59,12 @@
 }
 
 // New starts a manager for a term.
-func New(s *config.Settings, c *Cloud, f *fleet.Fleet, d *jobs.NameIndex, types func() []MachineType, term uint64) *Manager {
+func New(settings *config.Settings, c *Cloud, f *fleet.Fleet, d *jobs.NameIndex, types func() []MachineType, term uint64) *Manager {
 	m := &Manager{
-		Settings: s, Cloud: c, Fleet: f, Names: d, Types: types, Term: term,
+		Settings: settings, Cloud: c, Fleet: f, Names: d, Types: types, Term: term,
 		boots: map[string]*pendingBoot{}, bootTimes: bootTimes{}, zones: map[int32]int{}, refused: map[offer]time.Duration{}, toReturn: map[string]string{}, gone: map[string]time.Duration{},
 	}
-	z := s.Zones()
+	z := settings.Zones()
 	m.Zones = zones.New(zones.Config{ReturnGrace: z.Patience, ProbationTime: z.Prove, FlapForgiveness: z.Calm, MaxProbation: z.Most, OnStateChange: m.zoneTurned})
 	f.ZoneAcceptsWork = func(zone int32, w zones.WorkKind) bool { return m.Zones.AcceptsWork(f.Now(), zone, w) }
 	return m
@@ -76,9 +76,9 @@
 
 // call sends a request whose answer only counts within the term.
 func (c *Manager) call(method, path string, body any, done func(httpio.Response)) bool {
-	return c.Cloud.call(method, path, body, func(r httpio.Response) {
+	return c.Cloud.call(method, path, body, func(response httpio.Response) {
 		if !c.closed {
-			done(r)
+			done(response)
 		}
 	})
 }
@@ -104,15 +104,15 @@
 
 // Booting tells how many machines are on their way that a job may use, and in how many seconds
 // the first of them is expected, 0 where it is overdue.
-func (c *Manager) Booting(now time.Duration, j *jobs.Job) (n int, next float64) {
+func (c *Manager) Booting(now time.Duration, job *jobs.Job) (n int, next float64) {
 	next = math.Inf(1)
 	for _, b := range c.boots {
-		t := c.typ(b.typ)
-		if t == nil || !j.Allows(b.typ, b.zone, b.spot) || !j.Spec.Size().Fits(t.Size()) {
+		machineType := c.typ(b.typ)
+		if machineType == nil || !job.Allows(b.typ, b.zone, b.spot) || !job.Spec.Size().Fits(machineType.Size()) {
 			continue
 		}
 		n++
-		next = min(next, max(0, t.BootS-(now-b.since).Seconds()))
+		next = min(next, max(0, machineType.BootS-(now-b.since).Seconds()))
 	}
 	if n == 0 {
 		return 0, 0
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -34,8 +34,8 @@
 	asked  []string
 }
 
-func (c *cloud) Send(_ string, r httpio.Request, done func(httpio.Response)) {
-	res := c.serve(r)
+func (c *cloud) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+	res := c.serve(request)
 	c.hold = append(c.hold, func() { done(res) })
 }
 
@@ -44,19 +44,19 @@
 	return httpio.Response{Status: status, Body: b}
 }
 
-func (c *cloud) serve(r httpio.Request) httpio.Response {
+func (c *cloud) serve(request httpio.Request) httpio.Response {
 	switch {
-	case r.Path == "/machines/return":
+	case request.Path == "/machines/return":
 		var b struct {
 			Names []string `json:"dens"`
 		}
-		_ = json.Unmarshal(r.Body, &b)
+		_ = json.Unmarshal(request.Body, &b)
 		for _, n := range b.Names {
 			delete(c.list, n)
 		}
 		c.asked = append(c.asked, "return")
 		return answer(200, nil)
-	case r.Method == "POST":
+	case request.Method == "POST":
 		var b struct {
 			Claim string `json:"claim"`
 			Type  string `json:"build"`
@@ -64,7 +64,7 @@
 			Spot  bool   `json:"stray"`
 			N     int    `json:"how_many"`
 		}
-		_ = json.Unmarshal(r.Body, &b)
+		_ = json.Unmarshal(request.Body, &b)
 		if c.claims[b.Claim] {
 			panic("claim used twice: " + b.Claim)
 		}
@@ -104,17 +104,17 @@
 }
 
 func setup(t *testing.T) *bench {
-	s := &config.Settings{}
-	s.Params.Teams = []config.Team{{Name: "t"}}
-	s.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20}
-	s.Params.Cloud = config.Cloud{RPS: 100, ListLagS: 4}
-	s.Operator = config.Operator{SilentS: 13, MaxMachines: 50, NetworkFactor: 1}
+	settings := &config.Settings{}
+	settings.Params.Teams = []config.Team{{Name: "t"}}
+	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20}
+	settings.Params.Cloud = config.Cloud{RPS: 100, ListLagS: 4}
+	settings.Operator = config.Operator{SilentS: 13, MaxMachines: 50, NetworkFactor: 1}
 	types := []MachineType{{Name: "m", CPUs: 4, Mem: 16, CacheGB: 10, FetchGB: 1, Price: 2, Spot: 1, BootS: 40, Zones: []string{"a", "b"}}}
 	c := &cloud{room: map[string]int{}, list: map[string]listed{}, born: map[string]time.Duration{}, claims: map[string]bool{}}
 	book := jobs.NewTable(0)
 	now := func() time.Duration { return c.now }
 	f := fleet.New(fleet.Env{
-		Settings: s, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: now,
+		Settings: settings, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: now,
 		Types: func(int32) *fleet.MachineType {
 			return &fleet.MachineType{Size: types[0].Size(), CacheGB: 10, FetchGB: 1, BootS: 40}
 		},
@@ -123,7 +123,7 @@
 	}, 1, 0)
 	f.LoadPlans(0, nil)
 	b := &bench{cloud: c, book: book, authority: -time.Hour}
-	b.Manager = New(s, NewCloud("", c, now, 100), f, book.Names, func() []MachineType { return types }, 1)
+	b.Manager = New(settings, NewCloud("", c, now, 100), f, book.Names, func() []MachineType { return types }, 1)
 	return b
 }
 
@@ -133,16 +133,16 @@
 		ID: fmt.Sprintf("req-%06d", b.rev), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
 		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 100, Spot: spot,
 	}
-	j, _, err := b.book.Apply(sp.ID, jobs.EncodeRecord(jobs.Pending, 0, tasks, sp), b.rev)
+	job, _, err := b.book.Apply(sp.ID, jobs.EncodeRecord(jobs.Pending, 0, tasks, sp), b.rev)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Fleet.HandleJobChange(b.cloud.now, j)
+	b.Fleet.HandleJobChange(b.cloud.now, job)
 	b.Fleet.RankJobs(b.cloud.now)
 }
 
-func (b *bench) runFor(d time.Duration) {
-	for end := b.cloud.now + d; b.cloud.now < end; b.cloud.now += 100 * time.Millisecond {
+func (b *bench) runFor(duration time.Duration) {
+	for end := b.cloud.now + duration; b.cloud.now < end; b.cloud.now += 100 * time.Millisecond {
 		b.Tick(b.cloud.now, b.authority)
 		for len(b.cloud.hold) > 0 && !b.cloud.held {
 			f := b.cloud.hold[0]
@@ -207,11 +207,11 @@
 		b.cloud.room = map[string]int{"atrue": 40, "afalse": 40}
 		b.submit(t, 4*most, true)
 		for i := range most - 1 {
-			r := &fleet.Heartbeat{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m", Zone: "a", Spot: true, Session: 1, Seq: 1, Token: 1 << 20}
+			heartbeat := &fleet.Heartbeat{Machine: fmt.Sprintf("i-%d", i), Addr: "x", Type: "m", Zone: "a", Spot: true, Session: 1, Seq: 1, Token: 1 << 20}
 			for k := range 4 {
-				r.Tasks = append(r.Tasks, fleet.TaskReport{Task: fmt.Sprintf("req-000001/%d", 4*i+k), Attempt: 1, State: "running"})
+				heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskReport{Task: fmt.Sprintf("req-000001/%d", 4*i+k), Attempt: 1, State: "running"})
 			}
-			b.Fleet.HandleHeartbeat(b.cloud.now, r)
+			b.Fleet.HandleHeartbeat(b.cloud.now, heartbeat)
 		}
 		b.listedAt = 1
 		b.spare(b.cloud.now, most-1)
@@ -293,21 +293,21 @@
 // the controller.
 func TestAnswersAfterTheTerm(t *testing.T) {
 	b := setup(t)
-	m := b.Fleet.RegisterMachine(0, "i-000001")
-	b.cloud.list[m.Name] = listed{Name: m.Name, Addr: "x", Type: "m", Zone: "a", State: failed}
+	machine := b.Fleet.RegisterMachine(0, "i-000001")
+	b.cloud.list[machine.Name] = listed{Name: machine.Name, Addr: "x", Type: "m", Zone: "a", State: failed}
 	b.cloud.held = true
-	b.toReturn[m.Name] = "failed"
+	b.toReturn[machine.Name] = "failed"
 	b.runFor(time.Second)
 	if len(b.cloud.hold) < 2 {
 		t.Fatal("nothing was asked")
 	}
 	b.Stop()
-	before := m.Condition
+	before := machine.Condition
 	for _, f := range b.cloud.hold {
 		f()
 	}
-	if m.Condition != before {
-		t.Fatalf("condition became %v after the term", m.Condition)
+	if machine.Condition != before {
+		t.Fatalf("condition became %v after the term", machine.Condition)
 	}
 }
 
@@ -361,9 +361,9 @@
 		b.cloud.now += time.Second
 		b.judge(b.cloud.now, true)
 		for i := range 20 {
-			m := b.Fleet.FindMachine(fmt.Sprintf("i-%d", i))
-			if m.Quarantined != (i == 3 && step >= 9) || m.Condition != fleet.Ready {
-				t.Fatalf("after %d s %s is %v, set aside: %v", step+1, m.Name, m.Condition, m.Quarantined)
+			machine := b.Fleet.FindMachine(fmt.Sprintf("i-%d", i))
+			if machine.Quarantined != (i == 3 && step >= 9) || machine.Condition != fleet.Ready {
+				t.Fatalf("after %d s %s is %v, set aside: %v", step+1, machine.Name, machine.Condition, machine.Quarantined)
 			}
 		}
 	}
--- a/internal/capacity/cloud.go
+++ b/internal/capacity/cloud.go
@@ -80,16 +80,16 @@
 
 // Types asks for the machine types.
 func (c *Cloud) Types(done func(raw []byte, types []MachineType)) bool {
-	return c.call("GET", "/machine_types", nil, func(r httpio.Response) {
-		if r.Err != nil || r.Status != 200 {
+	return c.call("GET", "/machine_types", nil, func(response httpio.Response) {
+		if response.Err != nil || response.Status != 200 {
 			done(nil, nil)
 			return
 		}
-		types, err := ParseTypes(r.Body)
+		types, err := ParseTypes(response.Body)
 		if err != nil {
 			done(nil, nil)
 			return
 		}
-		done(r.Body, types)
+		done(response.Body, types)
 	})
 }
--- a/internal/capacity/judge.go
+++ b/internal/capacity/judge.go
@@ -19,27 +19,27 @@
 // machines, and idle ones where money counts.
 func (c *Manager) judge(now time.Duration, steady bool) {
 	for name, b := range c.boots {
-		if m := c.Fleet.FindMachine(name); m != nil && m.Session > 0 {
+		if machine := c.Fleet.FindMachine(name); machine != nil && machine.Session > 0 {
 			c.bootTimes.took(b.offer, now-b.since)
 			delete(c.boots, name)
 			continue
 		}
 		// Some take several times as long as usual; far beyond that it is one of the
 		// few that never come up.
-		if t := c.typ(b.typ); t != nil && now-b.since > c.bootTimes.givenUp(b.offer, t.BootS) {
+		if machineType := c.typ(b.typ); machineType != nil && now-b.since > c.bootTimes.givenUp(b.offer, machineType.BootS) {
 			c.toReturn[name] = "never came up"
 		}
 	}
 	c.judgeZones(now)
 	up, silent, idle := 0, 0, 0
 	limit := config.Seconds(c.Settings.Operator.SilentS)
-	for _, m := range c.Fleet.Machines() {
-		if m.Condition.ExpectsHeartbeats() {
+	for _, machine := range c.Fleet.Machines() {
+		if machine.Condition.ExpectsHeartbeats() {
 			up++
-			if len(m.Tasks) == 0 && m.QueuedTasks == 0 {
+			if len(machine.Tasks) == 0 && machine.QueuedTasks == 0 {
 				idle++
 			}
-			if now-m.LastHeardAt > limit {
+			if now-machine.LastHeardAt > limit {
 				silent++
 			}
 		}
@@ -47,33 +47,33 @@
 	c.excess = excess(up, idle, c.Settings.Operator.Headroom)
 	// Many silent at once speak for a cut between us and them, not for their death.
 	trust := steady && silent > 0 && silent <= max(1, up/4)
-	for _, m := range c.Fleet.Machines() {
-		quiet := now - m.LastHeardAt
-		if quiet > limit && c.Zones.RetainsMachines(now, m.Zone, c.cutPatience(m)) {
+	for _, machine := range c.Fleet.Machines() {
+		quiet := now - machine.LastHeardAt
+		if quiet > limit && c.Zones.RetainsMachines(now, machine.Zone, c.cutPatience(machine)) {
 			continue
 		}
-		switch m.Condition {
+		switch machine.Condition {
 		case fleet.Ready, fleet.Registered, fleet.OneWayUnreachable:
 			switch {
 			case quiet > limit && trust:
-				c.toReturn[m.Name] = "silent"
-			case m.Condition == fleet.OneWayUnreachable && steady && silent < up && quiet > max(limit, c.cutPatience(m)):
+				c.toReturn[machine.Name] = "silent"
+			case machine.Condition == fleet.OneWayUnreachable && steady && silent < up && quiet > max(limit, c.cutPatience(machine)):
 				// It talks, so it isn't us who are cut off: kept for as long as getting it back would be dearer.
-				c.toReturn[m.Name] = "deaf"
-			case m.Condition == fleet.Ready && c.Fleet.Faulty(m):
-				c.Fleet.ReturnMachine(m, "faulty")
-			case m.Condition == fleet.Ready && len(m.Tasks) == 0 && m.QueuedTasks == 0 &&
-				now-m.IdleSince > c.idleLimit(m) && c.overBudget() && !c.Zones.Unsettled():
-				c.Fleet.ReturnMachine(m, "idle")
+				c.toReturn[machine.Name] = "deaf"
+			case machine.Condition == fleet.Ready && c.Fleet.Faulty(machine):
+				c.Fleet.ReturnMachine(machine, "faulty")
+			case machine.Condition == fleet.Ready && len(machine.Tasks) == 0 && machine.QueuedTasks == 0 &&
+				now-machine.IdleSince > c.idleLimit(machine) && c.overBudget() && !c.Zones.Unsettled():
+				c.Fleet.ReturnMachine(machine, "idle")
 			}
 		case fleet.LeaseExpired:
 			// However many they are: after a while what is kept in vain costs more than what it would spare.
-			if steady && quiet > 2*limit && now-m.LastHeartbeatAt > limit && (silent <= max(1, up/4) || quiet > 2*limit+c.cutPatience(m) && silent < up) {
-				c.toReturn[m.Name] = "lost"
+			if steady && quiet > 2*limit && now-machine.LastHeartbeatAt > limit && (silent <= max(1, up/4) || quiet > 2*limit+c.cutPatience(machine) && silent < up) {
+				c.toReturn[machine.Name] = "lost"
 			}
 		}
-		if m.Returning && m.Condition == fleet.ReclaimNoticed && len(m.Tasks) == 0 {
-			c.toReturn[m.Name] = "retired"
+		if machine.Returning && machine.Condition == fleet.ReclaimNoticed && len(machine.Tasks) == 0 {
+			c.toReturn[machine.Name] = "retired"
 		}
 	}
 }
@@ -98,27 +98,27 @@
 	// Well before the first of them is given up, or many would be gone when it shows.
 	silent, quiet := config.Seconds(c.Settings.Operator.SilentS*0.6), c.QuietFor()
 	counts := map[int32]zones.Count{}
-	for _, m := range c.Fleet.Machines() {
-		if m.Condition == fleet.Terminated || m.Zone == jobs.None {
+	for _, machine := range c.Fleet.Machines() {
+		if machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
 			continue
 		}
-		n := counts[m.Zone]
+		n := counts[machine.Zone]
 		n.Machines++
-		switch q := now - max(m.LastHeardAt, c.since); {
+		switch q := now - max(machine.LastHeardAt, c.since); {
 		case q > silent:
 			n.Silent++
 			n.Quiet++
 		case q > quiet:
 			n.Quiet++
 		}
-		counts[m.Zone] = n
+		counts[machine.Zone] = n
 	}
 	c.Zones.Evaluate(now, counts)
 	late := c.Fleet.ReachabilityTimeout()
-	for _, m := range c.Fleet.Machines() {
-		if q := now - max(m.LastHeardAt, c.since); m.Condition == fleet.Ready && q > quiet {
-			if st := c.Zones.Zone(m.Zone).State; st == zones.Lost || st == zones.Returning || q > late {
-				c.Fleet.Quarantine(m)
+	for _, machine := range c.Fleet.Machines() {
+		if q := now - max(machine.LastHeardAt, c.since); machine.Condition == fleet.Ready && q > quiet {
+			if st := c.Zones.Zone(machine.Zone).State; st == zones.Lost || st == zones.Returning || q > late {
+				c.Fleet.Quarantine(machine)
 			}
 		}
 	}
@@ -126,12 +126,12 @@
 
 // cutPatience is how long a machine in a silent zone is kept: twice as long as getting it
 // back would take.
-func (c *Manager) cutPatience(m *fleet.Machine) time.Duration {
+func (c *Manager) cutPatience(machine *fleet.Machine) time.Duration {
 	s := 60.0
-	if t := c.typ(m.Type); t != nil {
-		s = t.BootS
-		if t.FetchGB > 0 {
-			s += c.Fleet.ImageGB() / t.FetchGB
+	if machineType := c.typ(machine.Type); machineType != nil {
+		s = machineType.BootS
+		if machineType.FetchGB > 0 {
+			s += c.Fleet.ImageGB() / machineType.FetchGB
 		}
 	}
 	return config.Seconds(2 * s)
--- a/internal/capacity/list.go
+++ b/internal/capacity/list.go
@@ -16,14 +16,14 @@
 	if c.page != "" {
 		path += "&since=" + url.QueryEscape(c.page)
 	}
-	c.listing = c.call("GET", path, nil, func(r httpio.Response) {
+	c.listing = c.call("GET", path, nil, func(response httpio.Response) {
 		c.listing = false
 		at := c.Cloud.now()
 		var b struct {
 			Machines []listed `json:"dens"`
 			More     bool     `json:"has_next"`
 		}
-		if r.Err != nil || r.Status != 200 || json.Unmarshal(r.Body, &b) != nil {
+		if response.Err != nil || response.Status != 200 || json.Unmarshal(response.Body, &b) != nil {
 			c.page, c.listedSoFar, c.nextList = "", nil, at+time.Second
 			return
 		}
@@ -46,19 +46,19 @@
 	seen := map[string]bool{}
 	for _, l := range all {
 		seen[l.Name] = true
-		if m := c.Fleet.FindMachine(l.Name); (m != nil && m.Condition == fleet.Terminated) || c.gone[l.Name] > 0 {
+		if machine := c.Fleet.FindMachine(l.Name); (machine != nil && machine.Condition == fleet.Terminated) || c.gone[l.Name] > 0 {
 			continue // the list lags
 		}
 		switch l.State {
 		case failed:
-			m := c.Fleet.RegisterMachine(now, l.Name)
-			c.Fleet.SetMachineDetails(m, l.Addr, l.Type, l.Zone, l.Spot)
-			c.Fleet.HandleReturned(now, m, "failed")
+			machine := c.Fleet.RegisterMachine(now, l.Name)
+			c.Fleet.SetMachineDetails(machine, l.Addr, l.Type, l.Zone, l.Spot)
+			c.Fleet.HandleReturned(now, machine, "failed")
 			c.toReturn[l.Name] = "failed"
 			delete(c.boots, l.Name)
 		case booting:
-			m := c.Fleet.FindMachine(l.Name)
-			if m != nil && m.Session > 0 {
+			machine := c.Fleet.FindMachine(l.Name)
+			if machine != nil && machine.Session > 0 {
 				continue
 			}
 			b := c.boots[l.Name]
@@ -68,9 +68,9 @@
 			}
 			b.since = now - config.Seconds(l.AgeS)
 		default:
-			m := c.Fleet.RegisterMachine(now, l.Name)
-			if m.Type == jobs.None {
-				c.Fleet.SetMachineDetails(m, l.Addr, l.Type, l.Zone, l.Spot)
+			machine := c.Fleet.RegisterMachine(now, l.Name)
+			if machine.Type == jobs.None {
+				c.Fleet.SetMachineDetails(machine, l.Addr, l.Type, l.Zone, l.Spot)
 			}
 			delete(c.boots, l.Name)
 		}
@@ -86,9 +86,9 @@
 			delete(c.gone, name)
 		}
 	}
-	for _, m := range c.Fleet.Machines() {
-		if !seen[m.Name] && m.Condition == fleet.LeaseExpired && now-m.LastHeardAt > lag+10*time.Second {
-			c.Fleet.HandleReturned(now, m, "no longer listed")
+	for _, machine := range c.Fleet.Machines() {
+		if !seen[machine.Name] && machine.Condition == fleet.LeaseExpired && now-machine.LastHeardAt > lag+10*time.Second {
+			c.Fleet.HandleReturned(now, machine, "no longer listed")
 		}
 	}
 }
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -37,8 +37,8 @@
 		return nil
 	}
 	name := c.Names.Types.Name(ix)
-	for i, t := range c.Types() {
-		if t.Name == name {
+	for i, machineType := range c.Types() {
+		if machineType.Name == name {
 			return &c.Types()[i]
 		}
 	}
@@ -66,10 +66,10 @@
 		return
 	}
 	horizon := 0.0
-	for _, t := range types {
-		h := t.BootS
-		if t.FetchGB > 0 {
-			h += c.Fleet.ImageGB() / t.FetchGB
+	for _, machineType := range types {
+		h := machineType.BootS
+		if machineType.FetchGB > 0 {
+			h += c.Fleet.ImageGB() / machineType.FetchGB
 		}
 		horizon = max(horizon, h)
 	}
@@ -77,19 +77,19 @@
 	var bins []*rentalBin
 	total := len(c.boots)
 	clear(c.zones)
-	for _, m := range c.Fleet.Machines() {
-		if m.Condition == fleet.LeaseExpired || m.Condition == fleet.Terminated {
+	for _, machine := range c.Fleet.Machines() {
+		if machine.Condition == fleet.LeaseExpired || machine.Condition == fleet.Terminated {
 			continue
 		}
 		total++
-		if m.Condition == fleet.Ready {
-			c.zones[m.Zone]++
+		if machine.Condition == fleet.Ready {
+			c.zones[machine.Zone]++
 		}
-		if m.Condition == fleet.ReclaimNoticed || m.Condition == fleet.OneWayUnreachable || m.Quarantined || m.Type == jobs.None || m.Capacity == (planner.Size{}) {
+		if machine.Condition == fleet.ReclaimNoticed || machine.Condition == fleet.OneWayUnreachable || machine.Quarantined || machine.Type == jobs.None || machine.Capacity == (planner.Size{}) {
 			continue
 		}
-		b := &rentalBin{offer{m.Type, m.Zone, m.Spot}, m.Capacity.Times(horizon)}
-		for _, u := range c.Fleet.ExpectedWork(now, m) {
+		b := &rentalBin{offer{machine.Type, machine.Zone, machine.Spot}, machine.Capacity.Times(horizon)}
+		for _, u := range c.Fleet.ExpectedWork(now, machine) {
 			b.room = b.room.Sub(u.Size.Times(min(u.Left, horizon)))
 		}
 		bins = append(bins, b)
@@ -100,8 +100,8 @@
 		bt := c.boots[name]
 		c.zones[bt.zone]++ // or one request after the other would go to the same zone
 		// One that is far overdue is not counted on any more.
-		if t := c.typ(bt.typ); t != nil && !overdue[name] {
-			bins = append(bins, &rentalBin{bt.offer, t.Size().Times(horizon)})
+		if machineType := c.typ(bt.typ); machineType != nil && !overdue[name] {
+			bins = append(bins, &rentalBin{bt.offer, machineType.Size().Times(horizon)})
 		}
 	}
 	wanted := map[offer]int{}
@@ -133,31 +133,31 @@
 			}
 		}
 		for left > 0 && total < c.Settings.Operator.MaxMachines {
-			o, ok := c.choose(now, d.Job, full)
+			offer, ok := c.choose(now, d.Job, full)
 			if !ok {
 				break
 			}
-			b := &rentalBin{o, c.typ(o.typ).Size().Times(horizon)}
+			b := &rentalBin{offer, c.typ(offer.typ).Size().Times(horizon)}
 			n := min(left, need.Copies(b.room))
 			if n <= 0 {
 				break
 			}
 			if lim > 0 {
-				n = min(n, lim-use[o.zone])
-				use[o.zone] += n
+				n = min(n, lim-use[offer.zone])
+				use[offer.zone] += n
 			}
 			b.room = b.room.Sub(need.Times(float64(n)))
 			left -= n
 			total++
 			bins = append(bins, b)
-			wanted[o]++
+			wanted[offer]++
 		}
 	}
 	// One request a turn: the offer of which most are wanted.
 	var best offer
-	for o, n := range wanted {
-		if n > wanted[best] || (n == wanted[best] && o.before(best)) {
-			best = o
+	for offer, n := range wanted {
+		if n > wanted[best] || (n == wanted[best] && offer.before(best)) {
+			best = offer
 		}
 	}
 	if n := wanted[best]; n > 0 {
@@ -170,22 +170,22 @@
 // prices adds up what the fleet costs in an hour, and what of it stands idle or boots.
 func (c *Manager) prices() (all, idle float64) {
 	price := func(o offer) float64 {
-		t := c.typ(o.typ)
+		machineType := c.typ(o.typ)
 		switch {
-		case t == nil:
+		case machineType == nil:
 			return 0
 		case o.spot:
-			return t.Spot
+			return machineType.Spot
 		}
-		return t.Price
+		return machineType.Price
 	}
-	for _, m := range c.Fleet.Machines() {
-		if m.Condition == fleet.LeaseExpired || m.Condition == fleet.Terminated || m.Type == jobs.None {
+	for _, machine := range c.Fleet.Machines() {
+		if machine.Condition == fleet.LeaseExpired || machine.Condition == fleet.Terminated || machine.Type == jobs.None {
 			continue
 		}
-		p := price(offer{m.Type, m.Zone, m.Spot})
+		p := price(offer{machine.Type, machine.Zone, machine.Spot})
 		all += p
-		if len(m.Tasks) == 0 {
+		if len(machine.Tasks) == 0 {
 			idle += p
 		}
 	}
@@ -219,19 +219,19 @@
 func (c *Manager) spare(now time.Duration, total int) {
 	all, idle := c.prices()
 	budget := c.Settings.Operator.Headroom * all
-	for _, j := range c.Fleet.WaitingShapes() {
-		o, ok := c.choose(now, j, func(int32) bool { return false })
+	for _, job := range c.Fleet.WaitingShapes() {
+		offer, ok := c.choose(now, job, func(int32) bool { return false })
 		if !ok || total >= c.Settings.Operator.MaxMachines {
 			continue
 		}
-		t := c.typ(o.typ)
-		p := t.Price
-		if o.spot {
-			p = t.Spot
+		machineType := c.typ(offer.typ)
+		p := machineType.Price
+		if offer.spot {
+			p = machineType.Spot
 		}
 		if n := int((budget - idle) / p); n > 0 {
 			// Never beyond the bound: five at a time once went four over it.
-			c.ask(now, o, min(n, 5, c.Settings.Operator.MaxMachines-total))
+			c.ask(now, offer, min(n, 5, c.Settings.Operator.MaxMachines-total))
 			return
 		}
 	}
@@ -239,23 +239,23 @@
 
 // choose finds the offer with the lowest price for a job's task that was not refused
 // lately, in a zone that isn't full for it; where money does not count, cheap is still preferred.
-func (c *Manager) choose(now time.Duration, j *jobs.Job, full func(zone int32) bool) (offer, bool) {
+func (c *Manager) choose(now time.Duration, job *jobs.Job, full func(zone int32) bool) (offer, bool) {
 	best, price, ok := offer{}, math.Inf(1), false
-	for _, t := range c.Types() {
-		n := j.Spec.Size().Copies(t.Size())
+	for _, machineType := range c.Types() {
+		n := job.Spec.Size().Copies(machineType.Size())
 		if n <= 0 {
 			continue
 		}
-		ty := c.Names.Types.Index(t.Name)
-		for _, z := range t.Zones {
+		ty := c.Names.Types.Index(machineType.Name)
+		for _, z := range machineType.Zones {
 			zone := c.Names.Zones.Index(z)
 			for _, spot := range []bool{true, false} {
 				o := offer{ty, zone, spot}
-				p := t.Price
+				p := machineType.Price
 				if spot {
-					p = t.Spot
+					p = machineType.Spot
 				}
-				if full(zone) || !c.Zones.AllowsRenting(zone) || p <= 0 || !j.Allows(ty, zone, spot) || now < c.refused[o] {
+				if full(zone) || !c.Zones.AllowsRenting(zone) || p <= 0 || !job.Allows(ty, zone, spot) || now < c.refused[o] {
 					continue
 				}
 				// A task must not take a GPU machine it has no use for, and zones are
@@ -277,14 +277,14 @@
 		"claim": claim, "build": c.Names.Types.Name(o.typ), "meadow": c.Names.Zones.Name(o.zone),
 		"stray": o.spot, "how_many": n,
 	}
-	c.renting = c.call("POST", "/machines", body, func(r httpio.Response) {
+	c.renting = c.call("POST", "/machines", body, func(response httpio.Response) {
 		c.renting = false
 		at := c.Cloud.now()
 		var b struct {
 			Machines []string `json:"dens"`
 		}
 		switch {
-		case r.Err == nil && r.Status == 200 && json.Unmarshal(r.Body, &b) == nil:
+		case response.Err == nil && response.Status == 200 && json.Unmarshal(response.Body, &b) == nil:
 			for _, name := range b.Machines {
 				c.boots[name] = &pendingBoot{o, now}
 			}
@@ -293,7 +293,7 @@
 			}
 			slog.Info("machines rented", "claim", claim, "type", c.Names.Types.Name(o.typ), "zone", c.Names.Zones.Name(o.zone),
 				"spot", o.spot, "asked", n, "got", len(b.Machines), "term", c.Term)
-		case r.Err == nil && r.Status == 429:
+		case response.Err == nil && response.Status == 429:
 		default:
 			// Refused, in trouble or open: if machines do come of it, the list shows them.
 			c.refused[o] = at + 20*time.Second
--- a/internal/capacity/return.go
+++ b/internal/capacity/return.go
@@ -14,13 +14,13 @@
 // idleLimit is how long a machine is kept idle. By default that is the time for which the
 // same money would be spent on getting it back: its boot and the fetch of one image. Nobody
 // can know whether work comes first, and this bounds the regret to twice the best choice.
-func (c *Manager) idleLimit(m *fleet.Machine) time.Duration {
+func (c *Manager) idleLimit(machine *fleet.Machine) time.Duration {
 	s := c.Settings.Operator.IdleS
-	t := c.typ(m.Type)
-	if s == 0 && t != nil {
-		s = t.BootS
-		if t.FetchGB > 0 {
-			s += c.Fleet.ImageGB() / t.FetchGB
+	machineType := c.typ(machine.Type)
+	if s == 0 && machineType != nil {
+		s = machineType.BootS
+		if machineType.FetchGB > 0 {
+			s += c.Fleet.ImageGB() / machineType.FetchGB
 		}
 	}
 	if c.Settings.MoneyCounts() {
@@ -61,16 +61,16 @@
 	}
 	sort.Strings(names)
 	names = names[:min(len(names), 100)]
-	c.returning = c.call("POST", "/machines/return", map[string]any{"dens": names}, func(r httpio.Response) {
+	c.returning = c.call("POST", "/machines/return", map[string]any{"dens": names}, func(response httpio.Response) {
 		c.returning = false
-		if r.Err != nil || r.Status != 200 {
+		if response.Err != nil || response.Status != 200 {
 			return
 		}
 		at := c.Cloud.now()
 		for _, n := range names {
 			slog.Info("machine returned", "name", n, "cause", c.toReturn[n], "term", c.Term)
-			if m := c.Fleet.FindMachine(n); m != nil {
-				c.Fleet.HandleReturned(at, m, c.toReturn[n])
+			if machine := c.Fleet.FindMachine(n); machine != nil {
+				c.Fleet.HandleReturned(at, machine, c.toReturn[n])
 			}
 			delete(c.toReturn, n)
 			delete(c.boots, n)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -269,16 +269,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	s, err := Parse(raw)
+	settings, err := Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if hclPath != "" {
-		if err := s.LoadOperator(hclPath); err != nil {
+		if err := settings.LoadOperator(hclPath); err != nil {
 			return nil, err
 		}
 	}
-	return s, nil
+	return settings, nil
 }
 
 // LoadOperator adds the operators' own settings from a file.
@@ -324,30 +324,30 @@
 
 // Parse reads and validates the platform's settings.
 func Parse(raw []byte) (*Settings, error) {
-	s := &Settings{}
-	if err := json.Unmarshal(raw, s); err != nil {
+	settings := &Settings{}
+	if err := json.Unmarshal(raw, settings); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
 			return nil, fmt.Errorf("setting %q: %s is not a %s", te.Field, te.Value, te.Type)
 		}
 		return nil, fmt.Errorf("settings are not valid JSON: %w", err)
 	}
-	s.derive()
-	s.sessions = &sessions.Policies{}
-	if err := newValidator().Struct(s); err != nil {
+	settings.derive()
+	settings.sessions = &sessions.Policies{}
+	if err := newValidator().Struct(settings); err != nil {
 		return nil, explain(err)
 	}
-	if err := s.checkTiming(); err != nil {
+	if err := settings.checkTiming(); err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
-	for _, t := range s.Params.Teams {
+	for _, t := range settings.Params.Teams {
 		if seen[t.Name] {
 			return nil, fmt.Errorf("setting \"params.teams\": team %q is named twice", t.Name)
 		}
 		seen[t.Name] = true
 	}
-	return s, nil
+	return settings, nil
 }
 
 // derive fills what the operators left open from the platform's settings.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -157,10 +157,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := s.Pools()[0]
+	pool := s.Pools()[0]
 	friday := time.Date(2026, 12, 4, 10, 0, 0, 0, time.UTC)
-	if len(s.Pools()) != 2 || p.Poll != 1500*time.Millisecond || p.Lowering != "wait" || p.Teams["t"].Most != 6 || p.ReserveAt(friday) != 4 || p.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
-		t.Fatalf("%+v", p)
+	if len(s.Pools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.Lowering != "wait" || pool.Teams["t"].Most != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
+		t.Fatalf("%+v", pool)
 	}
 	for body, want := range map[string]string{
 		`licence "p" { count = -1 }`: "count", `licence "p" {}`: "o.hcl:1", `licence "a/b" { count = 1 }`: "licence[0].name",
@@ -215,11 +215,11 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"licences.hcl", "sessions.hcl"} {
-		s, err := Load(js, filepath.Join("..", "..", "deploy", name))
+		settings, err := Load(js, filepath.Join("..", "..", "deploy", name))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(s.Pools()) == 0 && !s.Sessions().On {
+		if len(settings.Pools()) == 0 && !settings.Sessions().On {
 			t.Fatalf("%s switches nothing on", name)
 		}
 	}
@@ -232,13 +232,15 @@
 		t.Fatalf("%+v %+v", r, z)
 	}
 	for name, ok := range map[string]func(*Settings) bool{
-		"rollout.hcl": func(s *Settings) bool { return !s.Rollout().Auto && s.Rollout().Soak == 10*time.Minute },
-		"zones.hcl": func(s *Settings) bool {
-			return s.Zones() == Zones{time.Minute, 20 * time.Second, 10 * time.Minute, mostHeld}
+		"rollout.hcl": func(settings *Settings) bool {
+			return !settings.Rollout().Auto && settings.Rollout().Soak == 10*time.Minute
+		},
+		"zones.hcl": func(settings *Settings) bool {
+			return settings.Zones() == Zones{time.Minute, 20 * time.Second, 10 * time.Minute, mostHeld}
 		},
 	} {
-		s, err := Load(js, filepath.Join("..", "..", "deploy", name))
-		if err != nil || !ok(s) {
+		settings, err := Load(js, filepath.Join("..", "..", "deploy", name))
+		if err != nil || !ok(settings) {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -57,7 +57,7 @@
 			return fmt.Errorf("licence %q is declared twice", d.Name)
 		}
 		seen[d.Name] = true
-		p := &licences.Pool{
+		pool := &licences.Pool{
 			Name: d.Name, Count: d.Count, Server: d.Server, Poll: Seconds(d.PollS), Linger: Seconds(d.LingerS),
 			Reserve: d.Reserve, Lowering: licences.Lower(d.OnLower), Teams: map[string]licences.Share{},
 		}
@@ -66,7 +66,7 @@
 		}
 		promised := 0
 		for _, t := range d.Teams {
-			switch _, twice := p.Teams[t.Name]; {
+			switch _, twice := pool.Teams[t.Name]; {
 			case !teams[t.Name]:
 				return fmt.Errorf("licence %q: team %q is not one of the platform's", d.Name, t.Name)
 			case twice:
@@ -74,7 +74,7 @@
 			case t.Most > 0 && t.Guarantee > t.Most:
 				return fmt.Errorf("licence %q: team %q is guaranteed %d but may hold %d at most", d.Name, t.Name, t.Guarantee, t.Most)
 			}
-			p.Teams[t.Name] = licences.Share{Guarantee: t.Guarantee, Most: t.Most}
+			pool.Teams[t.Name] = licences.Share{Guarantee: t.Guarantee, Most: t.Most}
 			promised += t.Guarantee
 		}
 		if promised > d.Count-d.Reserve {
@@ -85,9 +85,9 @@
 			if err != nil {
 				return fmt.Errorf("licence %q, reserve_during %q: %w", d.Name, w.Name, err)
 			}
-			p.Windows = append(p.Windows, licences.Reserve{Units: w.Seats, During: win})
+			pool.Windows = append(pool.Windows, licences.Reserve{Units: w.Seats, During: win})
 		}
-		s.pools = append(s.pools, p)
+		s.pools = append(s.pools, pool)
 	}
 	return nil
 }
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -23,7 +23,7 @@
 	refused := 0
 	for lease := 2.0; lease <= 90; lease += 4.25 {
 		for cancel := 1.0; cancel <= 150; cancel += 1.5 {
-			s, err := timed(t, lease, cancel, "")
+			settings, err := timed(t, lease, cancel, "")
 			if err != nil {
 				if refused++; !strings.Contains(err.Error(), `"params.workers.cancel_s"`) {
 					t.Fatal(err)
@@ -33,9 +33,9 @@
 				}
 				continue
 			}
-			worst := s.PictureFor() + Seconds(lease*1.0005) + 2*time.Second
-			if worst > Seconds(cancel*0.9995) || s.PictureFor() < s.HoldTTL() || s.HoldTTL() < 2*time.Second || s.HoldTTL() > 6*time.Second {
-				t.Errorf("lease %g, cancel %g: picture %v, hold %v, gone after %v", lease, cancel, s.PictureFor(), s.HoldTTL(), worst)
+			worst := settings.PictureFor() + Seconds(lease*1.0005) + 2*time.Second
+			if worst > Seconds(cancel*0.9995) || settings.PictureFor() < settings.HoldTTL() || settings.HoldTTL() < 2*time.Second || settings.HoldTTL() > 6*time.Second {
+				t.Errorf("lease %g, cancel %g: picture %v, hold %v, gone after %v", lease, cancel, settings.PictureFor(), settings.HoldTTL(), worst)
 			}
 		}
 	}
@@ -55,9 +55,9 @@
 		{30, 60, 6 * time.Second, 18 * time.Second},
 		{20, 26, 3474 * time.Millisecond, 3474 * time.Millisecond},
 	} {
-		s, err := timed(t, c.lease, c.cancel, "")
-		if err != nil || s.HoldTTL() != c.hold || s.PictureFor().Round(10*time.Millisecond) != c.picture.Round(10*time.Millisecond) {
-			t.Errorf("%+v: %v, hold %v, picture %v", c, err, s.HoldTTL(), s.PictureFor())
+		settings, err := timed(t, c.lease, c.cancel, "")
+		if err != nil || settings.HoldTTL() != c.hold || settings.PictureFor().Round(10*time.Millisecond) != c.picture.Round(10*time.Millisecond) {
+			t.Errorf("%+v: %v, hold %v, picture %v", c, err, settings.HoldTTL(), settings.PictureFor())
 		}
 	}
 	if _, err := timed(t, 19, 39, "hold_ttl_ms = 17000\n"); err != nil {
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -27,7 +27,7 @@
 func (c *Controller) newMover() *archive.Mover {
 	return archive.NewMover(archive.Env{
 		CanWrite:   func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
-		Commit:     func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
+		Commit:     func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.BulkPriority, done) },
 		Now:        c.loop.Now,
 		OnArchived: c.archived.Remember,
 		TxnOps:     c.settings.Params.State.Limits().MaxOps, WritesPerS: c.settings.Params.State.WriteRPS,
@@ -41,30 +41,30 @@
 	}
 	c.archiveAt = now
 	c.mover.Tick(now, c.backlog(now), func(take func(archive.Candidate) bool) {
-		c.jobs.ForEachEnded(now-c.archive.Retain, func(j *jobs.Job) bool {
-			if !c.settled(j) {
+		c.jobs.ForEachEnded(now-c.archive.Retain, func(job *jobs.Job) bool {
+			if !c.settled(job) {
 				return true
 			}
-			return take(archive.Candidate{ID: j.ID, Version: j.Version, Answer: archive.Answer{State: j.State, Tasks: j.TaskCount, Done: j.FinishedTasks}})
+			return take(archive.Candidate{ID: job.ID, Version: job.Version, Answer: archive.Answer{State: job.State, Tasks: job.TaskCount, Done: job.FinishedTasks}})
 		})
 	})
 }
 
 // backlog tells whether some ended job has waited for more than twice the time for which it is retained.
 func (c *Controller) backlog(now time.Duration) (late bool) {
-	c.jobs.ForEachEnded(now-2*c.archive.Retain, func(j *jobs.Job) bool {
-		late = c.settled(j)
+	c.jobs.ForEachEnded(now-2*c.archive.Retain, func(job *jobs.Job) bool {
+		late = c.settled(job)
 		return !late
 	})
 	return late
 }
 
 // settled tells whether an ended job can't have a task on any machine, and nothing else stands of it.
-func (c *Controller) settled(j *jobs.Job) bool {
-	if c.sessions != nil && c.sessions.Stands(j.ID) {
+func (c *Controller) settled(job *jobs.Job) bool {
+	if c.sessions != nil && c.sessions.Stands(job.ID) {
 		return false
 	}
-	return c.fleet.Finalized(j) && !c.jobs.IsUnreadable(j.ID)
+	return c.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
 }
 
 // recordGone takes over that a job's record has left the followed keys.
@@ -79,9 +79,9 @@
 // recordsRead takes over a new reading of all followed keys, as far as jobs are concerned.
 func (c *Controller) recordsRead(items []store.Item) {
 	present := make(map[string]bool, len(items))
-	for _, it := range items {
-		if strings.HasPrefix(it.Key, jobs.Prefix) {
-			present[strings.TrimPrefix(it.Key, jobs.Prefix)] = true
+	for _, item := range items {
+		if strings.HasPrefix(item.Key, jobs.Prefix) {
+			present[strings.TrimPrefix(item.Key, jobs.Prefix)] = true
 		}
 	}
 	c.jobs.Retain(c.watchCache.Revision(), func(id string) bool { return present[id] })
@@ -122,8 +122,8 @@
 	c.rollout.HandleReset(items)
 	c.membership.HandleReset(c.loop.Now(), items)
 	present := make(map[string]bool, len(items))
-	for _, it := range items {
-		present[it.Key] = true
+	for _, item := range items {
+		present[item.Key] = true
 	}
 	c.licencePools.Reset(func(key string) bool { return present[key] })
 	c.machineDrains.Reset(c.watchCache.Revision(), func(key string) bool { return present[key] })
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -16,7 +16,9 @@
 // direct carries requests to a stand-in for the state service, which answers at once.
 type direct struct{ svc *state.Service }
 
-func (d direct) Send(_ string, r httpio.Request, done func(httpio.Response)) { done(d.svc.Serve(r)) }
+func (d direct) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+	done(d.svc.Serve(request))
+}
 
 // following is a controller that follows a state service's keys, and a clock for both.
 func following(t *testing.T) (c *Controller, svc *state.Service, advance func(time.Duration)) {
@@ -24,15 +26,15 @@
 	raw := []byte(`{"node":"n0","public_addr":"a:80","back":"a:81","services":{"cloud":"c:1","state":"s:1"},
 	 "params":{"workers":{"report_s":1,"lease_s":6,"gang_wait_s":10,"gang_peer_s":2,"cancel_s":20},
 	 "state":{"rps":1000,"write_rps":1000,"value_kb":8,"txn_ops":24},"cloud":{"rps":5,"list_lag_s":1}}}`)
-	s, err := config.Parse(raw)
+	settings, err := config.Parse(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
 	svc = state.New()
 	now := time.Duration(0)
-	c = build(s, Environment{Now: func() time.Duration { return now }, Sender: func(int) httpio.Sender { return direct{svc} }})
-	advance = func(d time.Duration) {
-		now += d
+	c = build(settings, Environment{Now: func() time.Duration { return now }, Sender: func(int) httpio.Sender { return direct{svc} }})
+	advance = func(duration time.Duration) {
+		now += duration
 		svc.Now = now
 		c.watchCache.Tick(now)
 	}
@@ -99,18 +101,18 @@
 	ids := func(i int) string { return fmt.Sprintf("req-%06d", i) }
 	for i := range rounds {
 		version++
-		j, _, err := book.Apply(ids(i), pending, version)
-		if err != nil || seen[j.Index] {
-			t.Fatalf("job %d: %v, an index that was another's: %v", i, err, seen[j.Index])
+		job, _, err := book.Apply(ids(i), pending, version)
+		if err != nil || seen[job.Index] {
+			t.Fatalf("job %d: %v, an index that was another's: %v", i, err, seen[job.Index])
 		}
-		seen[j.Index] = true
+		seen[job.Index] = true
 		if old := i - live; old >= 0 {
 			version++
 			_, _, _ = book.Apply(ids(old), done, version)
 			version++
-			ix := book.Get(ids(old)).Index
+			jobIndex := book.Get(ids(old)).Index
 			book.Archive(ids(old), version)
-			if book.ByIndex(ix) != nil {
+			if book.ByIndex(jobIndex) != nil {
 				t.Fatal("an index of a job that has left finds one")
 			}
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -119,17 +119,17 @@
 }
 
 // New builds a controller that is not yet listening.
-func New(s *config.Settings) *Controller {
-	if s.Params.Limits.MemMB != nil {
+func New(settings *config.Settings) *Controller {
+	if settings.Params.Limits.MemMB != nil {
 		// Stay clear of the limit at which the process would be ended.
-		debug.SetMemoryLimit(int64(s.Params.Limits.Memory() * 0.7 * (1 << 20)))
+		debug.SetMemoryLimit(int64(settings.Params.Limits.Memory() * 0.7 * (1 << 20)))
 	}
 	start := time.Now()
-	c := build(s, Environment{Now: func() time.Duration { return time.Since(start) }, EpochMS: start.UnixMilli(), Seed: uint64(start.UnixNano())})
-	for _, p := range s.Peers {
+	c := build(settings, Environment{Now: func() time.Duration { return time.Since(start) }, EpochMS: start.UnixMilli(), Seed: uint64(start.UnixNano())})
+	for _, p := range settings.Peers {
 		dial := peers.Plain(p.Addr)
-		if t := s.Operator.TLS; t != nil && t.Peers {
-			dial = peers.Secure(p.Addr, func() *tls.Config { return s.Keys().Peer(p.Node) })
+		if t := settings.Operator.TLS; t != nil && t.Peers {
+			dial = peers.Secure(p.Addr, func() *tls.Config { return settings.Keys().Peer(p.Node) })
 		}
 		c.links = append(c.links, peers.NewLink(dial))
 	}
@@ -137,32 +137,32 @@
 }
 
 // build puts a controller together on what is outside.
-func build(s *config.Settings, o Environment) *Controller {
+func build(settings *config.Settings, o Environment) *Controller {
 	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(s.Node))
+	_, _ = seed.Write([]byte(settings.Node))
 	c := &Controller{
-		settings: s, loop: NewLoop(o.Now), peerStatus: map[string]peerStatus{}, machineDrains: operate.NewDrains(), ended: make(chan struct{}), byType: map[int32]*fleet.MachineType{},
+		settings: settings, loop: NewLoop(o.Now), peerStatus: map[string]peerStatus{}, machineDrains: operate.NewDrains(), ended: make(chan struct{}), byType: map[int32]*fleet.MachineType{},
 		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
 	}
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
-	c.stateSender = o.Sender(s.Params.Limits.Outgoing(serviceSlots))
-	c.workerSender = o.Sender(s.Params.Limits.Outgoing(workerSlots))
-	c.store = store.New(s.Services.State, c.stateSender, c.loop.Now, c.share(false), s.Params.State.Limits())
-	c.licenceSender = o.Sender(s.Params.Limits.Outgoing(licenceSlots))
+	c.stateSender = o.Sender(settings.Params.Limits.Outgoing(serviceSlots))
+	c.workerSender = o.Sender(settings.Params.Limits.Outgoing(workerSlots))
+	c.store = store.New(settings.Services.State, c.stateSender, c.loop.Now, c.share(false), settings.Params.State.Limits())
+	c.licenceSender = o.Sender(settings.Params.Limits.Outgoing(licenceSlots))
 	c.jobs = jobs.NewTable(o.EpochMS)
-	c.licencePools = licences.NewCatalog(s.Pools())
+	c.licencePools = licences.NewCatalog(settings.Pools())
 	c.jobs.Names.Pools = c.licencePools
-	c.quota = quota.New(s.Params.Teams, c.jobs.Names.Teams.Index)
-	c.cloud = capacity.NewCloud(s.Services.Cloud, c.stateSender, c.loop.Now, s.Params.Cloud.RPS*0.9)
-	c.watchCache = store.NewWatchCache(c.store, followedPrefix, s.PictureFor())
+	c.quota = quota.New(settings.Params.Teams, c.jobs.Names.Teams.Index)
+	c.cloud = capacity.NewCloud(settings.Services.Cloud, c.stateSender, c.loop.Now, settings.Params.Cloud.RPS*0.9)
+	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.PictureFor())
 	c.rollout = c.newRollout()
 	c.membership = membership.New(membership.Config{
-		Rollout: member{c.rollout, c}, Node: s.Node, Public: s.Public, Secure: s.Secure(), TTL: s.HoldTTL(), StalenessBound: s.PictureFor(), Rng: c.rng,
+		Rollout: member{c.rollout, c}, Node: settings.Node, Public: settings.Public, Secure: settings.Secure(), TTL: settings.HoldTTL(), StalenessBound: settings.PictureFor(), Rng: c.rng,
 		OnElected: c.lead, OnDeposed: c.lose,
 	}, c.store, c.watchCache.FreshAt)
-	c.watchCache.OnItem = func(it store.Item) { c.item(c.loop.Now(), it) }
+	c.watchCache.OnItem = func(item store.Item) { c.item(c.loop.Now(), item) }
 	c.watchCache.OnDelete = func(k string, v uint64) {
 		if strings.HasPrefix(k, jobs.Prefix) {
 			c.recordGone(k, v)
@@ -177,12 +177,12 @@
 	}
 	c.watchCache.OnReset = c.resetKeys
 	c.watchCache.OnSynced = func() { c.rollout.HandleSynced(); c.membership.HandleSynced(c.loop.Now()) }
-	c.archive = s.Archive()
+	c.archive = settings.Archive()
 	c.archived = c.newReader(c.archive.CacheEntries)
 	c.intake = intake.New(intake.Env{
 		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.watchCache.Synced,
-		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: s.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: s.Params.Limits.Tasks(),
-		MaxBytes: s.Params.Limits.QueueBytes(), MaxValue: s.Params.State.Limits().MaxValueBytes,
+		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
+		MaxBytes: settings.Params.Limits.QueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
 	})
 	return c
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -12,9 +12,9 @@
 // bursts, for any number of controllers: five once had 1.3 times the rate between them.
 func TestSharesAddUp(t *testing.T) {
 	for n := 1; n <= 9; n++ {
-		s := &config.Settings{Peers: make([]config.Peer, n-1)}
-		s.Params.State = config.State{RPS: 120, WriteRPS: 30}
-		c := &Controller{settings: s}
+		settings := &config.Settings{Peers: make([]config.Peer, n-1)}
+		settings.Params.State = config.State{RPS: 120, WriteRPS: 30}
+		c := &Controller{settings: settings}
 		rps, writes, burst := 0.0, 0.0, 0.0
 		for i := range n {
 			h := c.share(i == 0)
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -43,12 +43,12 @@
 }
 
 // handleDrainRequest takes over the drain request of a machine.
-func (c *Controller) handleDrainRequest(it store.Item) {
-	if err := c.machineDrains.Item(it.Key, it.Value, it.Version); err != nil {
-		c.rollout.MarkUnreadable(it.Key, it.Value, err)
+func (c *Controller) handleDrainRequest(item store.Item) {
+	if err := c.machineDrains.Item(item.Key, item.Value, item.Version); err != nil {
+		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		return
 	}
-	c.rollout.MarkReadable(it.Key)
+	c.rollout.MarkReadable(item.Key)
 }
 
 // drainMachines has the fleet drain what operators want drained, and keeps the requests.
@@ -92,15 +92,15 @@
 	if !due || most == 0 {
 		return false
 	}
-	t := store.Txn{If: c.documentConds()}
+	txn := store.Txn{If: c.documentConds()}
 	for _, key := range slices.Sorted(maps.Keys(move.Keys)) {
-		t.If = append(t.If, store.Condition{Key: key})
-		t.Then = append(t.Then, store.Op{Put: key, Value: move.Keys[key]})
+		txn.If = append(txn.If, store.Condition{Key: key})
+		txn.Then = append(txn.Then, store.Op{Put: key, Value: move.Keys[key]})
 	}
-	if len(t.Then) == 0 {
-		t.Then = []store.Op{documentOp(move.Document)}
+	if len(txn.Then) == 0 {
+		txn.Then = []store.Op{documentOp(move.Document)}
 	}
-	c.writeDrains(t)
+	c.writeDrains(txn)
 	return true
 }
 
@@ -122,14 +122,14 @@
 		}
 		return
 	}
-	t := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
+	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
 	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
 		s, _ := c.machineDrains.Of(name)
-		t.If = append(t.If, store.Condition{Key: operate.DrainKey(name), Version: s.Version})
-		t.Then = append(t.Then, store.Op{Delete: operate.DrainKey(name)})
+		txn.If = append(txn.If, store.Condition{Key: operate.DrainKey(name), Version: s.Version})
+		txn.Then = append(txn.Then, store.Op{Delete: operate.DrainKey(name)})
 	}
-	if len(t.Then) > 0 {
-		c.writeDrains(t)
+	if len(txn.Then) > 0 {
+		c.writeDrains(txn)
 	}
 }
 
@@ -151,22 +151,22 @@
 
 // machineGone tells whether a machine's drain request means nothing any more.
 func (c *Controller) machineGone(name string) bool {
-	if m := c.fleet.FindMachine(name); m != nil {
-		return m.Condition == fleet.Terminated
+	if machine := c.fleet.FindMachine(name); machine != nil {
+		return machine.Condition == fleet.Terminated
 	}
 	since, ok := c.drainUpkeep.unknown[name]
 	return ok && c.loop.Now()-since >= forgetUnknown
 }
 
 // writeDrains sends a transaction that nobody waits for.
-func (c *Controller) writeDrains(t store.Txn) {
+func (c *Controller) writeDrains(txn store.Txn) {
 	c.drainUpkeep.busy = true
-	c.commit(t, store.BulkPriority, func(r store.Result) {
+	c.commit(txn, store.BulkPriority, func(result store.Result) {
 		c.drainUpkeep.busy = false
-		if r.Outcome == store.Committed {
-			c.confirmDrainWrite(t, r.Revision)
+		if result.Outcome == store.Committed {
+			c.confirmDrainWrite(txn, result.Revision)
 		} else {
-			slog.Info("drain requests not kept", "outcome", r.Outcome.String(), "failed", r.FailedKeys)
+			slog.Info("drain requests not kept", "outcome", result.Outcome.String(), "failed", result.FailedKeys)
 		}
 	})
 }
@@ -184,31 +184,31 @@
 
 // writeDrainChange writes what a command changes, in one transaction of at most two changes.
 func (c *Controller) writeDrainChange(ch operate.Change, done func(store.Result)) {
-	t := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
+	txn := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
 	if ch.Machine != "" {
 		key := operate.DrainKey(ch.Machine)
-		t.If = append(t.If, store.Condition{Key: key, Version: ch.Version})
+		txn.If = append(txn.If, store.Condition{Key: key, Version: ch.Version})
 		switch {
 		case ch.Put != nil:
-			t.Then = append(t.Then, store.Op{Put: key, Value: ch.Put})
+			txn.Then = append(txn.Then, store.Op{Put: key, Value: ch.Put})
 		case ch.Delete:
-			t.Then = append(t.Then, store.Op{Delete: key})
+			txn.Then = append(txn.Then, store.Op{Delete: key})
 		}
 	}
-	c.commit(t, store.NormalPriority, func(r store.Result) {
-		if r.Outcome == store.Committed {
-			c.confirmDrainWrite(t, r.Revision)
+	c.commit(txn, store.NormalPriority, func(result store.Result) {
+		if result.Outcome == store.Committed {
+			c.confirmDrainWrite(txn, result.Revision)
 		}
-		done(r)
+		done(result)
 	})
 }
 
 // confirmDrainWrite takes over an own write, unless the followed keys have shown it already.
-func (c *Controller) confirmDrainWrite(t store.Txn, revision uint64) {
+func (c *Controller) confirmDrainWrite(txn store.Txn, revision uint64) {
 	if revision <= c.watchCache.Revision() {
 		return
 	}
-	for _, o := range t.Then {
+	for _, o := range txn.Then {
 		switch {
 		case o.Put == operate.Key:
 			c.applyDrainDocument(o.Value, revision)
@@ -233,8 +233,8 @@
 			continue
 		}
 		v := MachineStatus{Machine: name, State: "unknown", By: all[name].By}
-		if m := c.fleet.FindMachine(name); m != nil {
-			v.State, v.Tasks = m.Condition.String(), len(m.Tasks)
+		if machine := c.fleet.FindMachine(name); machine != nil {
+			v.State, v.Tasks = machine.Condition.String(), len(machine.Tasks)
 		}
 		shown = append(shown, v)
 	}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -70,19 +70,19 @@
 
 // eventsCall tells what happened from a number on: TERM-SEQ, from an earlier answer. A number of
 // another term is void: everything this leader has kept is told.
-func (c *Controller) eventsCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
-	f, ok := whereOf(q, EventFields, reply)
+func (c *Controller) eventsCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+	f, ok := whereOf(request, EventFields, reply)
 	if !ok {
 		return
 	}
-	only := q.Name
+	only := request.Name
 	if !c.mayList(now) {
 		reply(intake.Refuse(429, "too many lists"))
 		return
 	}
 	out := EventPage{Term: c.membership.Term(), First: c.fleet.Events.First(), Events: []EventView{}}
 	from := out.First
-	if term, seq, ok := strings.Cut(q.Query["since"], "-"); ok && term == fmt.Sprint(out.Term) {
+	if term, seq, ok := strings.Cut(request.Query["since"], "-"); ok && term == fmt.Sprint(out.Term) {
 		if n, err := strconv.ParseUint(seq, 10, 64); err == nil {
 			from = n
 		}
--- a/internal/controller/handon.go
+++ b/internal/controller/handon.go
@@ -19,8 +19,8 @@
 		return
 	}
 	there, heard := 0, c.othersHear(now)
-	for _, m := range c.fleet.Machines() {
-		if m.Condition.ExpectsHeartbeats() {
+	for _, machine := range c.fleet.Machines() {
+		if machine.Condition.ExpectsHeartbeats() {
 			there++
 		}
 	}
--- a/internal/controller/leadercalls.go
+++ b/internal/controller/leadercalls.go
@@ -13,9 +13,9 @@
 }
 
 // leaderCall answers such a request, or says who leads.
-func (c *Controller) leaderCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) leaderCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
 	switch {
-	case q.Resource == "rollout" && q.Verb == "show" && (!c.rollout.Compatible() || c.membership.Leader().Node == ""):
+	case request.Resource == "rollout" && request.Verb == "show" && (!c.rollout.Compatible() || c.membership.Leader().Node == ""):
 		c.rolloutShow(now, reply) // what it knows itself: it may be what is in the way
 	case c.membership.State() != membership.Leading || c.fleet == nil:
 		l := c.membership.Leader()
@@ -30,21 +30,21 @@
 		}{"only the leader knows", l.Public, l.Secure}})
 	case !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded():
 		reply(intake.Refuse(503, "the leader may not act now"))
-	case q.Resource == "rollout":
-		c.rolloutCall(now, q, reply)
-	case q.Resource == "zones":
-		c.zoneCall(now, q, reply)
-	case q.Resource == "why":
-		c.whyCall(now, q, reply)
-	case q.Resource == "events":
-		c.eventsCall(now, q, reply)
-	case q.Resource == "list":
-		c.listCall(now, q, reply)
-	case q.Resource == "admin":
-		c.adminCall(now, q, reply)
-	case q.Resource == "licences":
-		c.licenceCall(now, q, reply)
+	case request.Resource == "rollout":
+		c.rolloutCall(now, request, reply)
+	case request.Resource == "zones":
+		c.zoneCall(now, request, reply)
+	case request.Resource == "why":
+		c.whyCall(now, request, reply)
+	case request.Resource == "events":
+		c.eventsCall(now, request, reply)
+	case request.Resource == "list":
+		c.listCall(now, request, reply)
+	case request.Resource == "admin":
+		c.adminCall(now, request, reply)
+	case request.Resource == "licences":
+		c.licenceCall(now, request, reply)
 	default:
-		c.sessionCall(now, q, reply)
+		c.sessionCall(now, request, reply)
 	}
 }
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -23,33 +23,33 @@
 	if f.Gate.Licences.None() {
 		return
 	}
-	for _, p := range f.Gate.Licences.Due(now) {
-		c.licenceSender.Send(p.Server, httpio.Request{Method: "GET", Path: "/v1/pools/" + url.PathEscape(p.Name), Timeout: licences.AskTimeout}, func(r httpio.Response) {
+	for _, pool := range f.Gate.Licences.Due(now) {
+		c.licenceSender.Send(pool.Server, httpio.Request{Method: "GET", Path: "/v1/pools/" + url.PathEscape(pool.Name), Timeout: licences.AskTimeout}, func(response httpio.Response) {
 			if c.fleet != f {
 				return
 			}
 			at := c.loop.Now()
-			ans, err := licences.Answer{}, r.Err
-			if err == nil && r.Status != 200 {
-				err = fmt.Errorf("licence server answered %d", r.Status)
+			ans, err := licences.Answer{}, response.Err
+			if err == nil && response.Status != 200 {
+				err = fmt.Errorf("licence server answered %d", response.Status)
 			}
 			if err == nil {
-				ans, err = licences.ParseAnswer(r.Body)
+				ans, err = licences.ParseAnswer(response.Body)
 			}
 			if err != nil {
-				slog.Debug("licence server asked in vain", "pool", p.Name, "cause", err)
-				f.Gate.Licences.Failed(at, p.Name)
+				slog.Debug("licence server asked in vain", "pool", pool.Name, "cause", err)
+				f.Gate.Licences.Failed(at, pool.Name)
 				return
 			}
-			f.Gate.Licences.Answered(at, now, p.Name, ans, f.LicenceHolder)
+			f.Gate.Licences.Answered(at, now, pool.Name, ans, f.LicenceHolder)
 		})
 	}
 }
 
 // counted takes over a count that was set.
-func (c *Controller) counted(it store.Item) {
-	if err := c.licencePools.Item(it.Key, it.Value, it.Version); err != nil {
-		c.rollout.MarkUnreadable(it.Key, it.Value, err)
+func (c *Controller) counted(item store.Item) {
+	if err := c.licencePools.Item(item.Key, item.Value, item.Version); err != nil {
+		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 	}
 }
 
@@ -63,9 +63,9 @@
 }
 
 // licenceCall answers an operator's request about pools: all of them, one, or a new count.
-func (c *Controller) licenceCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) licenceCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
 	show := func(ix int32) licences.View { return c.fleet.Gate.Licences.Show(now, ix, c.jobs.Names.Teams.Name) }
-	if q.Name == "" {
+	if request.Name == "" {
 		all := []licences.View{}
 		for ix := range c.licencePools.Pools() {
 			all = append(all, show(int32(ix)))
@@ -73,14 +73,14 @@
 		reply(intake.Reply{Status: 200, Body: all})
 		return
 	}
-	ix, ok := c.licencePools.Index(q.Name)
+	ix, ok := c.licencePools.Index(request.Name)
 	switch {
 	case !ok:
-		reply(intake.Refuse(404, fmt.Sprintf("no licence pool %q is declared", q.Name)))
-	case q.Verb == "show":
+		reply(intake.Refuse(404, fmt.Sprintf("no licence pool %q is declared", request.Name)))
+	case request.Verb == "show":
 		reply(intake.Reply{Status: 200, Body: show(ix)})
 	default:
-		c.setCount(now, ix, q.Body, func() licences.View { return show(ix) }, reply)
+		c.setCount(now, ix, request.Body, func() licences.View { return show(ix) }, reply)
 	}
 }
 
@@ -118,17 +118,17 @@
 		return
 	}
 	f := c.fleet
-	c.store.Txn(store.Txn{If: []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(r store.Result) {
+	c.store.Txn(store.Txn{If: []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(result store.Result) {
 		switch {
-		case r.Outcome == store.Committed && c.fleet == f:
+		case result.Outcome == store.Committed && c.fleet == f:
 			if s.Reset {
-				c.licencePools.Drop(key, r.Revision)
+				c.licencePools.Drop(key, result.Revision)
 			} else {
-				c.counted(store.Item{Key: key, Value: op.Value, Version: r.Revision})
+				c.counted(store.Item{Key: key, Value: op.Value, Version: result.Revision})
 			}
 			slog.Info("licences counted anew", "pool", c.licencePools.Pools()[ix].Name, "count", c.licencePools.Count(ix), "by", s.By, "on_lower", c.licencePools.Lowering(ix))
 			reply(intake.Reply{Status: 200, Body: show()})
-		case r.Outcome == store.Conflict && c.fleet == f:
+		case result.Outcome == store.Conflict && c.fleet == f:
 			reply(intake.Reply{Status: 409, Body: conflict("another command", show())})
 		default:
 			reply(intake.Refuse(503, "it is not known whether the count was set: look before setting it again"))
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -74,8 +74,8 @@
 const listEvery = 100 * time.Millisecond
 
 // whereOf reads a request's filter; ok is false if it is none, and that was answered.
-func whereOf(q intake.LeaderRequest, fields query.Fields, reply func(intake.Reply)) (f query.Filter, ok bool) {
-	f, err := query.Parse(q.Query["where"], fields)
+func whereOf(request intake.LeaderRequest, fields query.Fields, reply func(intake.Reply)) (f query.Filter, ok bool) {
+	f, err := query.Parse(request.Query["where"], fields)
 	if err != nil {
 		reply(intake.Refuse(400, "where: "+err.Error()))
 		return f, false
@@ -96,8 +96,8 @@
 const pageSize = 200
 
 // listCall lists jobs that match a filter, by id after the one named, a page at a time.
-func (c *Controller) listCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
-	f, ok := whereOf(q, ListFields, reply)
+func (c *Controller) listCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+	f, ok := whereOf(request, ListFields, reply)
 	if !ok {
 		return
 	}
@@ -106,14 +106,14 @@
 		return
 	}
 	size := pageSize
-	if n, err := strconv.Atoi(q.Query["limit"]); err == nil && n > 0 {
+	if n, err := strconv.Atoi(request.Query["limit"]); err == nil && n > 0 {
 		size = min(n, pageSize)
 	}
 	var found []JobSummary
-	after := q.Query["since"]
-	c.jobs.ForEach(func(j *jobs.Job) {
-		if j.ID > after {
-			if l := c.listed(now, j); f.Match(&l, ListFields) {
+	after := request.Query["since"]
+	c.jobs.ForEach(func(job *jobs.Job) {
+		if job.ID > after {
+			if l := c.listed(now, job); f.Match(&l, ListFields) {
 				found = append(found, l)
 			}
 		}
@@ -123,15 +123,15 @@
 	reply(intake.Reply{Status: 200, Body: JobPage{Jobs: out, More: len(found) > size}})
 }
 
-func (c *Controller) listed(now time.Duration, j *jobs.Job) JobSummary {
-	l := JobSummary{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Done: j.FinishedTasks}
-	if s := j.Spec; s != nil {
-		l.Class, l.Team, l.Kind, l.Priority = s.Class, s.Team, string(s.Kind), s.Priority
-		l.AgeS = max(0, (now - j.SubmittedAt).Seconds())
+func (c *Controller) listed(now time.Duration, job *jobs.Job) JobSummary {
+	l := JobSummary{ID: job.ID, Stance: job.State.String(), Tasks: job.TaskCount, Done: job.FinishedTasks}
+	if spec := job.Spec; spec != nil {
+		l.Class, l.Team, l.Kind, l.Priority = spec.Class, spec.Team, string(spec.Kind), spec.Priority
+		l.AgeS = max(0, (now - job.SubmittedAt).Seconds())
 	}
-	if j.State == jobs.Pending {
-		l.Done, l.Running = c.counts(j)
-		l.Waiting = j.TaskCount - l.Done - l.Running
+	if job.State == jobs.Pending {
+		l.Done, l.Running = c.counts(job)
+		l.Waiting = job.TaskCount - l.Done - l.Running
 		if l.Running > 0 {
 			l.Stance = "running"
 		}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -124,8 +124,8 @@
 	}
 	add(archivedDesc, float64(c.mover.Stats.Moved))
 	tasks := map[jobs.TaskState]int{}
-	c.jobs.ForEachLive(func(j *jobs.Job) {
-		for s, n := range j.TasksByState {
+	c.jobs.ForEachLive(func(job *jobs.Job) {
+		for s, n := range job.TasksByState {
 			tasks[jobs.TaskState(s)] += n
 		}
 	})
@@ -134,11 +134,11 @@
 	}
 	machines := map[fleet.Condition]int{}
 	var cores, coresUsed, gpus, gpusUsed float64
-	for _, m := range c.fleet.Machines() {
-		machines[m.Condition]++
-		if m.Condition == fleet.Ready {
-			cores, gpus = cores+m.Capacity.CPUs, gpus+m.Capacity.GPUs
-			coresUsed, gpusUsed = coresUsed+m.Used.CPUs, gpusUsed+m.Used.GPUs
+	for _, machine := range c.fleet.Machines() {
+		machines[machine.Condition]++
+		if machine.Condition == fleet.Ready {
+			cores, gpus = cores+machine.Capacity.CPUs, gpus+machine.Capacity.GPUs
+			coresUsed, gpusUsed = coresUsed+machine.Used.CPUs, gpusUsed+machine.Used.GPUs
 		}
 	}
 	for k := fleet.Registered; k <= fleet.Terminated; k++ {
@@ -148,10 +148,10 @@
 	add(coresDesc, coresUsed, "used")
 	add(gpusDesc, gpus, "there")
 	add(gpusDesc, gpusUsed, "used")
-	for ix, p := range c.licencePools.Pools() {
+	for ix, pool := range c.licencePools.Pools() {
 		v := c.fleet.Gate.Licences.Show(now, int32(ix), c.jobs.Names.Teams.Name)
 		for what, n := range map[string]int{"count": v.Count, "held": v.Held + v.Booked, "lingering": v.Lingering, "others": v.Others, "free": v.Free} {
-			add(seatsDesc, float64(n), p.Name, what)
+			add(seatsDesc, float64(n), pool.Name, what)
 		}
 	}
 	if c.sessions != nil {
--- a/internal/controller/operate.go
+++ b/internal/controller/operate.go
@@ -90,8 +90,8 @@
 	k := operate.Cluster{
 		Nodes: []string{c.settings.Node}, Alive: []string{c.settings.Node},
 		Machine: func(name string) bool {
-			m := c.fleet.FindMachine(name)
-			return m != nil && m.Condition != fleet.Terminated
+			machine := c.fleet.FindMachine(name)
+			return machine != nil && machine.Condition != fleet.Terminated
 		},
 	}
 	for _, p := range c.settings.Peers {
@@ -105,13 +105,13 @@
 }
 
 // adminCall answers an operator: the cluster's status, or a command.
-func (c *Controller) adminCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
-	if q.Verb == "show" {
-		reply(intake.Reply{Status: 200, Body: c.adminStatus(now, q.Query["since"])})
+func (c *Controller) adminCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+	if request.Verb == "show" {
+		reply(intake.Reply{Status: 200, Body: c.adminStatus(now, request.Query["since"])})
 		return
 	}
 	var cmd operate.Command
-	if err := json.Unmarshal(q.Body, &cmd); err != nil {
+	if err := json.Unmarshal(request.Body, &cmd); err != nil {
 		reply(intake.Refuse(400, "not a command: "+err.Error()))
 		return
 	}
@@ -136,14 +136,14 @@
 		return
 	}
 	f := c.fleet
-	c.writeDrainChange(next, func(r store.Result) {
+	c.writeDrainChange(next, func(result store.Result) {
 		switch {
 		case c.fleet != f:
 			reply(intake.Refuse(503, "the lead was lost: look at the status before giving the command again"))
-		case r.Outcome == store.Committed:
+		case result.Outcome == store.Committed:
 			slog.Info("operators' command", "op", cmd.Op, "kind", cmd.Kind, "name", cmd.Name, "by", cmd.By)
 			reply(intake.Reply{Status: 200, Body: c.adminStatus(c.loop.Now(), "")})
-		case r.Outcome == store.Conflict:
+		case result.Outcome == store.Conflict:
 			lost("another command")
 		default:
 			reply(intake.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
@@ -161,8 +161,8 @@
 		m, drained := c.drainDocument.Nodes[n]
 		s.Nodes = append(s.Nodes, NodeStatus{Node: n, Leads: n == c.settings.Node, Alive: slices.Contains(k.Alive, n), Drained: drained, By: m.By})
 	}
-	for _, m := range c.fleet.Machines() {
-		s.Machines[m.Condition.String()]++
+	for _, machine := range c.fleet.Machines() {
+		s.Machines[machine.Condition.String()]++
 	}
 	s.Draining, s.DrainingTotal = c.drainStatus(after)
 	s.Jobs = c.liveJobs()
--- a/internal/controller/outside.go
+++ b/internal/controller/outside.go
@@ -32,8 +32,8 @@
 type Simulated struct{ c *Controller }
 
 // Simulate makes a controller whose statuses go to the links.
-func Simulate(s *config.Settings, o Environment, links ...func(raw []byte)) *Simulated {
-	c := build(s, o)
+func Simulate(settings *config.Settings, o Environment, links ...func(raw []byte)) *Simulated {
+	c := build(settings, o)
 	for _, l := range links {
 		c.links = append(c.links, sendFunc(l))
 	}
@@ -110,12 +110,12 @@
 			reply(503, []byte("{}"))
 		}
 	case path == "/checkin":
-		r, err := fleet.ParseHeartbeat(body)
+		heartbeat, err := fleet.ParseHeartbeat(body)
 		if err != nil {
 			say(intake.Refuse(400, "not a report"))
 			return
 		}
-		c.report(now, r, say)
+		c.report(now, heartbeat, say)
 	case u.Path == "/v2/runs" && method == "POST":
 		spec, err := jobs.ParseSpec(body)
 		if err != nil {
@@ -124,23 +124,23 @@
 		}
 		c.intake.Submit(now, spec, say)
 	case u.Path == "/v2/runs" || u.Path == "/v2/events":
-		q := intake.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
+		request := intake.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
 		if u.Path == "/v2/events" {
-			q.Resource = "events"
+			request.Resource = "events"
 		}
 		for k, v := range u.Query() {
-			q.Query[k] = v[0]
+			request.Query[k] = v[0]
 		}
-		c.leaderCall(now, q, say)
+		c.leaderCall(now, request, say)
 	case u.Path == "/v2/rollout" || u.Path == "/v2/admin":
-		q := intake.LeaderRequest{
+		request := intake.LeaderRequest{
 			Resource: strings.TrimPrefix(u.Path, "/v2/"), Verb: "show", Body: body,
 			Query: map[string]string{"since": u.Query().Get("since")},
 		}
 		if method == "POST" {
-			q.Verb = "set"
+			request.Verb = "set"
 		}
-		c.leaderCall(now, q, say)
+		c.leaderCall(now, request, say)
 	case strings.HasPrefix(u.Path, "/v2/zones"):
 		c.leaderCall(now, intake.LeaderRequest{Resource: "zones", Verb: "show", Name: strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v2/zones"), "/")}, say)
 	case verb == "":
@@ -153,8 +153,8 @@
 }
 
 // Call takes what operators, users of sessions and their agents ask of the leader.
-func (s *Simulated) Call(q intake.LeaderRequest, reply func(status int, body []byte)) {
-	s.c.leaderCall(s.c.loop.Now(), q, func(r intake.Reply) {
+func (s *Simulated) Call(request intake.LeaderRequest, reply func(status int, body []byte)) {
+	s.c.leaderCall(s.c.loop.Now(), request, func(r intake.Reply) {
 		raw, _ := json.Marshal(r.Body)
 		reply(r.Status, raw)
 	})
--- a/internal/controller/pace.go
+++ b/internal/controller/pace.go
@@ -56,8 +56,8 @@
 	acting, known := 0, 0
 	leads := c.fleet != nil && c.membership.State() == membership.Leading
 	if leads {
-		for _, m := range c.fleet.Machines() {
-			switch m.Condition {
+		for _, machine := range c.fleet.Machines() {
+			switch machine.Condition {
 			case fleet.Ready, fleet.ReclaimNoticed:
 				acting++
 			case fleet.Registered:
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -12,56 +12,56 @@
 )
 
 // item takes over a followed key.
-func (c *Controller) item(now time.Duration, it store.Item) {
+func (c *Controller) item(now time.Duration, item store.Item) {
 	switch {
-	case strings.HasPrefix(it.Key, jobs.Prefix):
-		c.record(now, it)
-	case strings.HasPrefix(it.Key, licences.Prefix):
-		c.counted(it)
-	case it.Key == operate.Key:
-		c.applyDrainDocument(it.Value, it.Version)
-	case strings.HasPrefix(it.Key, operate.DrainPrefix):
-		c.handleDrainRequest(it)
-	case isZoneKey(it.Key):
-		if it.Version > c.storedZones.item.Version {
-			c.storedZones.item = it
+	case strings.HasPrefix(item.Key, jobs.Prefix):
+		c.record(now, item)
+	case strings.HasPrefix(item.Key, licences.Prefix):
+		c.counted(item)
+	case item.Key == operate.Key:
+		c.applyDrainDocument(item.Value, item.Version)
+	case strings.HasPrefix(item.Key, operate.DrainPrefix):
+		c.handleDrainRequest(item)
+	case isZoneKey(item.Key):
+		if item.Version > c.storedZones.item.Version {
+			c.storedZones.item = item
 		}
-	case it.Key == typesKey:
-		types, err := capacity.ParseTypes(it.Value)
+	case item.Key == typesKey:
+		types, err := capacity.ParseTypes(item.Value)
 		if err != nil {
-			c.rollout.MarkUnreadable(it.Key, it.Value, err)
-		} else if it.Version > c.typesVer {
-			c.typesVer = it.Version
-			c.setTypes(string(it.Value), types)
+			c.rollout.MarkUnreadable(item.Key, item.Value, err)
+		} else if item.Version > c.typesVer {
+			c.typesVer = item.Version
+			c.setTypes(string(item.Value), types)
 		}
 	default:
-		c.rollout.HandleItem(it)
-		if err := c.membership.HandleItem(now, it); err != nil {
-			c.rollout.MarkUnreadable(it.Key, it.Value, err)
+		c.rollout.HandleItem(item)
+		if err := c.membership.HandleItem(now, item); err != nil {
+			c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		}
 	}
 }
 
 // learned takes over a job's record that was read or written beside the followed keys. If they have passed its version
 // and the table lacks the job, it was archived since: an answer that came late must not let it live again.
-func (c *Controller) learned(now time.Duration, it store.Item) {
-	if c.jobs.Get(strings.TrimPrefix(it.Key, jobs.Prefix)) == nil && it.Version <= c.watchCache.Revision() {
+func (c *Controller) learned(now time.Duration, item store.Item) {
+	if c.jobs.Get(strings.TrimPrefix(item.Key, jobs.Prefix)) == nil && item.Version <= c.watchCache.Revision() {
 		return
 	}
-	c.record(now, it)
+	c.record(now, item)
 }
 
 // record takes over a job's record.
-func (c *Controller) record(now time.Duration, it store.Item) {
-	j, changed, err := c.jobs.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
+func (c *Controller) record(now time.Duration, item store.Item) {
+	job, changed, err := c.jobs.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
 	if err != nil {
-		c.rollout.MarkUnreadable(it.Key, it.Value, err)
+		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		return
 	}
-	if changed && j.State.Terminal() {
-		j.EndedAt = now
+	if changed && job.State.Terminal() {
+		job.EndedAt = now
 	}
 	if changed && c.fleet != nil {
-		c.fleet.HandleJobChange(now, j)
+		c.fleet.HandleJobChange(now, job)
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -67,11 +67,11 @@
 			work = c.migrationWork()
 		}
 	}
-	t, due := c.rollout.Tick(now, term, work)
+	txn, due := c.rollout.Tick(now, term, work)
 	if !due {
 		return
 	}
-	c.commit(t, store.NormalPriority, func(r store.Result) { c.rollout.HandleOutcome(c.loop.Now(), t, r) })
+	c.commit(txn, store.NormalPriority, func(result store.Result) { c.rollout.HandleOutcome(c.loop.Now(), txn, result) })
 }
 
 // migrationWork is what is left in former formats. Nothing is done before the followed keys have come past the level's
@@ -103,17 +103,17 @@
 }
 
 // rolloutCall takes an operator's word.
-func (c *Controller) rolloutCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
-	if q.Verb == "show" {
+func (c *Controller) rolloutCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+	if request.Verb == "show" {
 		c.rolloutShow(now, reply)
 		return
 	}
 	var cmd rollout.Command
-	if err := json.Unmarshal(q.Body, &cmd); err != nil {
+	if err := json.Unmarshal(request.Body, &cmd); err != nil {
 		reply(intake.Refuse(400, "not a command: "+err.Error()))
 		return
 	}
-	t, err := c.rollout.Execute(now, cmd, c.jobs.WallMS(now))
+	txn, err := c.rollout.Execute(now, cmd, c.jobs.WallMS(now))
 	switch {
 	case errors.Is(err, rollout.ErrMalformed):
 		reply(intake.Refuse(400, err.Error()))
@@ -122,12 +122,12 @@
 		reply(intake.Refuse(409, err.Error()))
 		return
 	}
-	c.commit(t, store.NormalPriority, func(r store.Result) {
-		switch r.Outcome {
+	c.commit(txn, store.NormalPriority, func(result store.Result) {
+		switch result.Outcome {
 		case store.Committed:
 			slog.Info("operators' word on the rollout", "op", cmd.Op, "by", cmd.By)
-			for _, o := range t.Then {
-				c.rollout.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: r.Revision})
+			for _, o := range txn.Then {
+				c.rollout.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: result.Revision})
 			}
 			reply(intake.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
 		case store.Conflict:
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -18,13 +18,13 @@
 	return sessions.New(sessions.Env{
 		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
 		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
-		Commit: func(t store.Txn, done func(store.Result)) { c.commit(t, store.NormalPriority, done) },
+		Commit: func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.NormalPriority, done) },
 		Task:   c.fleet.SessionTask, Park: c.fleet.Suspend, Wanted: c.fleet.WaitingJobsFor,
 	}, term)
 }
 
 // sessionCall answers a user, an operator or an agent about sessions.
-func (c *Controller) sessionCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) sessionCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
 	answer := func(a sessions.Answer) {
 		switch {
 		case a.Status < 300:
@@ -34,15 +34,15 @@
 		}
 	}
 	m := c.sessions
-	switch q.Verb {
+	switch request.Verb {
 	case "open":
-		r, err := sessions.ParseOpening(q.Body)
+		r, err := sessions.ParseOpening(request.Body)
 		if err != nil {
 			reply(intake.Refuse(400, err.Error()))
 			return
 		}
-		if q.Who != nil && !q.Who.May(r.Spec.Team) {
-			reply(intake.Refuse(403, q.Who.Name+" may not open sessions of team "+r.Spec.Team))
+		if request.Who != nil && !request.Who.May(r.Spec.Team) {
+			reply(intake.Refuse(403, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
 			return
 		}
 		if v := c.admit(r.Spec); !v.OK {
@@ -55,32 +55,32 @@
 		}
 		m.Open(now, r, answer)
 	case "attach":
-		m.Attach(now, q.Name, q.Bearer, answer)
+		m.Attach(now, request.Name, request.Bearer, answer)
 	case "keep":
 		var b struct {
 			Attachment uint64 `json:"attachment"`
 		}
-		if json.Unmarshal(q.Body, &b) != nil {
+		if json.Unmarshal(request.Body, &b) != nil {
 			reply(intake.Refuse(400, "attachment must be there"))
 			return
 		}
-		answer(m.Keep(now, q.Name, q.Bearer, b.Attachment))
+		answer(m.Keep(now, request.Name, request.Bearer, b.Attachment))
 	case "close":
-		m.Close(now, q.Name, q.Bearer, answer)
+		m.Close(now, request.Name, request.Bearer, answer)
 	case "report":
-		r, err := sessions.ParseReport(q.Body)
+		r, err := sessions.ParseReport(request.Body)
 		if err != nil {
 			reply(intake.Refuse(400, err.Error()))
 			return
 		}
-		o, ok, why := m.Report(now, q.Name, q.Bearer, r)
+		o, ok, why := m.Report(now, request.Name, request.Bearer, r)
 		if !ok {
 			reply(intake.Refuse(409, why))
 			return
 		}
 		reply(intake.Reply{Status: 200, Body: o})
 	case "explain":
-		lines, ok := m.Explain(now, q.Name)
+		lines, ok := m.Explain(now, request.Name)
 		if !ok {
 			reply(intake.Refuse(404, "no such session"))
 			return
@@ -88,13 +88,13 @@
 		reply(intake.Reply{Status: 200, Body: struct {
 			ID  string   `json:"name_id"`
 			Why []string `json:"why"`
-		}{q.Name, lines}})
+		}{request.Name, lines}})
 	default:
-		if q.Name == "" {
-			reply(intake.Reply{Status: 200, Body: m.List(now, q.Query["user"], q.Query["team"])})
+		if request.Name == "" {
+			reply(intake.Reply{Status: 200, Body: m.List(now, request.Query["user"], request.Query["team"])})
 			return
 		}
-		v, ok := m.Show(now, q.Name)
+		v, ok := m.Show(now, request.Name)
 		if !ok {
 			reply(intake.Refuse(404, "no such session"))
 			return
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -14,11 +14,11 @@
 	at time.Duration
 }
 
-func (c *Controller) counts(j *jobs.Job) (done, running int) {
-	if c.fleet != nil && j.Tasks != nil {
-		return c.fleet.TaskCounts(j)
+func (c *Controller) counts(job *jobs.Job) (done, running int) {
+	if c.fleet != nil && job.Tasks != nil {
+		return c.fleet.TaskCounts(job)
 	}
-	return j.FinishedTasks, j.ReportedRunning
+	return job.FinishedTasks, job.ReportedRunning
 }
 
 // hear takes what another controller says of itself.
@@ -34,8 +34,8 @@
 		return
 	}
 	for _, n := range s.Counts {
-		if j := c.jobs.Get(n.Job); j != nil && !j.State.Terminal() {
-			j.FinishedTasks, j.ReportedRunning = int(n.Done), int(n.Running)
+		if job := c.jobs.Get(n.Job); job != nil && !job.State.Terminal() {
+			job.FinishedTasks, job.ReportedRunning = int(n.Done), int(n.Running)
 		}
 	}
 }
@@ -76,10 +76,10 @@
 	}
 	if c.fleet != nil {
 		s.Term = c.membership.Term()
-		c.jobs.ForEachLive(func(j *jobs.Job) {
-			if j.Tasks != nil && len(s.Counts) < peers.MostCounts {
-				d, r := c.fleet.TaskCounts(j)
-				s.Counts = append(s.Counts, peers.Count{Job: j.ID, Done: uint32(d), Running: uint32(r)})
+		c.jobs.ForEachLive(func(job *jobs.Job) {
+			if job.Tasks != nil && len(s.Counts) < peers.MostCounts {
+				d, r := c.fleet.TaskCounts(job)
+				s.Counts = append(s.Counts, peers.Count{Job: job.ID, Done: uint32(d), Running: uint32(r)})
 			}
 		})
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -26,7 +26,7 @@
 		OnUnreadable:   c.rollout.MarkUnreadable,
 		CanWrite:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
 		HasSpareWrites: c.store.HasSpareWrites,
-		Commit:         func(t store.Txn, done func(store.Result)) { c.commit(t, store.BulkPriority, done) },
+		Commit:         func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.BulkPriority, done) },
 		Read:           c.read,
 		SendCommands:   c.order,
 		Events:         events.New(keptEvents(c.settings.Params.Limits.Memory())),
@@ -41,12 +41,12 @@
 }
 
 // commit sends a transaction of the leader's term; its answer counts only within it.
-func (c *Controller) commit(t store.Txn, class store.Priority, done func(store.Result)) {
-	t.If = append([]store.Condition{c.membership.LeaderCondition()}, t.If...)
+func (c *Controller) commit(txn store.Txn, class store.Priority, done func(store.Result)) {
+	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
 	f := c.fleet
-	c.store.Txn(t, class, func(r store.Result) {
+	c.store.Txn(txn, class, func(result store.Result) {
 		if c.fleet == f {
-			done(r)
+			done(result)
 		}
 	})
 }
@@ -54,9 +54,9 @@
 // read re-reads a key for the leader's term.
 func (c *Controller) read(key string, done func(store.Item, error)) {
 	f := c.fleet
-	c.store.Get(key, store.SafetyPriority, func(it store.Item, err error) {
+	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
 		if c.fleet == f {
-			done(it, err)
+			done(item, err)
 		}
 	})
 }
@@ -73,19 +73,19 @@
 }
 
 // order sends commands straight to a machine.
-func (c *Controller) order(m *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
+func (c *Controller) order(machine *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
 	body, _ := json.Marshal(o)
 	f := c.fleet
 	// One connection each: a large fleet's idle ones would use up the sockets.
-	c.workerSender.Send(m.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(r httpio.Response) {
+	c.workerSender.Send(machine.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(response httpio.Response) {
 		if c.fleet != f {
 			return
 		}
-		if r.Err != nil || (r.Status != 200 && r.Status != 409) {
-			done(nil, r.Refused || (r.Err == nil && r.Status == 400))
+		if response.Err != nil || (response.Status != 200 && response.Status != 409) {
+			done(nil, response.Refused || (response.Err == nil && response.Status == 400))
 			return
 		}
-		rep, err := fleet.ParseHeartbeat(r.Body)
+		rep, err := fleet.ParseHeartbeat(response.Body)
 		if err != nil {
 			rep = nil
 		}
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -13,18 +13,18 @@
 
 func (c *Controller) setTypes(raw string, types []capacity.MachineType) {
 	c.typesRaw, c.types = raw, types
-	for _, t := range types {
-		c.byType[c.jobs.Names.Types.Index(t.Name)] = &fleet.MachineType{
-			Size: t.Size(), CacheGB: t.CacheGB, FetchGB: t.FetchGB,
-			BootS: t.BootS, Price: t.Price, Spot: t.Spot,
+	for _, machineType := range types {
+		c.byType[c.jobs.Names.Types.Index(machineType.Name)] = &fleet.MachineType{
+			Size: machineType.Size(), CacheGB: machineType.CacheGB, FetchGB: machineType.FetchGB,
+			BootS: machineType.BootS, Price: machineType.Price, Spot: machineType.Spot,
 		}
 	}
 }
 
 // admit tells whether a job can ever run.
-func (c *Controller) admit(s *jobs.Spec) intake.AdmissionResult {
+func (c *Controller) admit(spec *jobs.Spec) intake.AdmissionResult {
 	no := func(why string) intake.AdmissionResult { return intake.AdmissionResult{Known: true, Why: why} }
-	team := c.jobs.Names.Teams.Index(s.Team)
+	team := c.jobs.Names.Teams.Index(spec.Team)
 	if c.quota.Team(team) == nil {
 		return no("unknown team")
 	}
@@ -32,32 +32,32 @@
 		return intake.AdmissionResult{Why: "the machine types are not known yet"}
 	}
 	n := 1
-	if s.Kind != jobs.Array {
-		n = s.Tasks
+	if spec.Kind != jobs.Array {
+		n = spec.Tasks
 	}
-	if !c.quota.Ever(team, s.Size(), n) {
+	if !c.quota.Ever(team, spec.Size(), n) {
 		return no("the job needs more than the team's limit")
 	}
-	if !slices.ContainsFunc(c.types, func(t capacity.MachineType) bool { return fitsType(s, t) }) {
+	if !slices.ContainsFunc(c.types, func(machineType capacity.MachineType) bool { return fitsType(spec, machineType) }) {
 		// Types are learnt, by each controller in its time: one that knew a new type had accepted a job that another,
 		// behind it, refused for good.
 		v := no("a task fits no allowed machine type")
 		v.Open = true
 		return v
 	}
-	return c.fitsPools(s.Licences, s.Team, n)
+	return c.fitsPools(spec.Licences, spec.Team, n)
 }
 
-func fitsType(s *jobs.Spec, t capacity.MachineType) bool {
-	allowed := s.Types == nil
-	for _, n := range s.Types {
-		allowed = allowed || n == t.Name
+func fitsType(spec *jobs.Spec, machineType capacity.MachineType) bool {
+	allowed := spec.Types == nil
+	for _, n := range spec.Types {
+		allowed = allowed || n == machineType.Name
 	}
-	zone := s.Zone == nil
-	for _, z := range t.Zones {
-		zone = zone || z == *s.Zone
+	zone := spec.Zone == nil
+	for _, z := range machineType.Zones {
+		zone = zone || z == *spec.Zone
 	}
-	return allowed && zone && s.Size().Fits(t.Size())
+	return allowed && zone && spec.Size().Fits(machineType.Size())
 }
 
 // learnTypes keeps the machine types and prices up to date; the leader stores them, so
@@ -83,9 +83,9 @@
 		same := string(raw) == c.typesRaw
 		c.setTypes(string(raw), types)
 		if c.fleet != nil && (!same || c.typesVer == 0) {
-			t := store.Txn{If: []store.Condition{c.membership.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
-			t.If = append(t.If, store.Condition{Key: typesKey, Version: c.typesVer}) // older prices that land late change nothing
-			c.store.Txn(t, store.NormalPriority, func(store.Result) {})
+			txn := store.Txn{If: []store.Condition{c.membership.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
+			txn.If = append(txn.If, store.Condition{Key: typesKey, Version: c.typesVer}) // older prices that land late change nothing
+			c.store.Txn(txn, store.NormalPriority, func(store.Result) {})
 		}
 	})
 }
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -30,25 +30,25 @@
 const nearest = 5
 
 // whyCall answers why a job waits, from what planning has noted.
-func (c *Controller) whyCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
-	j := c.jobs.Get(q.Name)
-	if j == nil {
+func (c *Controller) whyCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+	job := c.jobs.Get(request.Name)
+	if job == nil {
 		reply(intake.Refuse(404, notKept))
 		return
 	}
-	w := JobPendingView{ID: j.ID, Stance: j.State.String(), Tasks: j.TaskCount, Waiting: []fleet.PendingReason{}, Nearest: []string{}}
-	w.Done, w.Running = c.counts(j)
-	if j.State == jobs.Pending && j.Tasks != nil {
+	w := JobPendingView{ID: job.ID, Stance: job.State.String(), Tasks: job.TaskCount, Waiting: []fleet.PendingReason{}, Nearest: []string{}}
+	w.Done, w.Running = c.counts(job)
+	if job.State == jobs.Pending && job.Tasks != nil {
 		if w.Running > 0 {
 			w.Stance = "running"
 		}
-		if ps := c.fleet.PendingReasons(now, j); ps != nil {
+		if ps := c.fleet.PendingReasons(now, job); ps != nil {
 			w.Waiting = ps
 		}
-		if ids, n := c.fleet.JobsAhead(j, nearest); n > 0 {
+		if ids, n := c.fleet.JobsAhead(job, nearest); n > 0 {
 			w.Nearest, w.Ahead = ids, n
 		}
-		w.Booting, w.BootingS = c.capacity.Booting(now, j)
+		w.Booting, w.BootingS = c.capacity.Booting(now, job)
 		w.BootingS = math.Round(w.BootingS)
 	}
 	reply(intake.Reply{Status: 200, Body: w})
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -11,20 +11,20 @@
 )
 
 // report answers a worker.
-func (c *Controller) report(now time.Duration, r *fleet.Heartbeat, reply func(intake.Reply)) {
+func (c *Controller) report(now time.Duration, heartbeat *fleet.Heartbeat, reply func(intake.Reply)) {
 	no := intake.Reply{Status: 503, Body: struct{}{}}
 	if c.membership.State() == membership.Leading && c.fleet != nil {
 		if !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded() {
 			reply(no)
 			return
 		}
-		a, v := c.fleet.HandleHeartbeat(now, r)
+		a, v := c.fleet.HandleHeartbeat(now, heartbeat)
 		switch v {
 		case fleet.Accepted:
 			reply(intake.Reply{Status: 200, Body: a})
 		case fleet.Deposed:
 			reply(no)
-			slog.Info("a worker has seen a higher token", "machine", r.Machine, "token", r.Token, "term", c.membership.Term())
+			slog.Info("a worker has seen a higher token", "machine", heartbeat.Machine, "token", heartbeat.Token, "term", c.membership.Term())
 		default:
 			reply(no)
 		}
@@ -34,7 +34,7 @@
 	type keeper struct {
 		Keeper string `json:"keeper,omitempty"`
 	}
-	reply(intake.Reply{Status: 421, Body: keeper{c.keeper(now, r.Machine)}})
+	reply(intake.Reply{Status: 421, Body: keeper{c.keeper(now, heartbeat.Machine)}})
 }
 
 // keeper is whom a worker is sent to, "" if that isn't known: the owner by the followed keys, unless they are older than a
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -41,13 +41,13 @@
 	c.storedZones.writing, c.storedZones.at = true, now
 	raw := z.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
 	z.MarkStored()
-	c.commit(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.storedZones.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(r store.Result) {
+	c.commit(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.storedZones.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(result store.Result) {
 		c.storedZones.writing = false
-		if r.Outcome == store.Committed {
-			c.storedZones.item = store.Item{Key: zones.Key, Value: raw, Version: r.Revision}
+		if result.Outcome == store.Committed {
+			c.storedZones.item = store.Item{Key: zones.Key, Value: raw, Version: result.Revision}
 			return
 		}
-		slog.Debug("zones not stored", "outcome", r.Outcome.String())
+		slog.Debug("zones not stored", "outcome", result.Outcome.String())
 		z.MarkDirty()
 	})
 }
@@ -82,21 +82,21 @@
 }
 
 // zoneCall answers about zones: all, or one with what its loss would mean.
-func (c *Controller) zoneCall(now time.Duration, q intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) zoneCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
 	views := c.zoneViews(now)
-	if q.Name == "" {
+	if request.Name == "" {
 		reply(intake.Reply{Status: 200, Body: views})
 		return
 	}
-	i := slices.IndexFunc(views, func(v ZoneView) bool { return v.Zone == q.Name })
+	i := slices.IndexFunc(views, func(v ZoneView) bool { return v.Zone == request.Name })
 	if i < 0 {
-		reply(intake.Refuse(404, fmt.Sprintf("no zone %q", q.Name)))
+		reply(intake.Refuse(404, fmt.Sprintf("no zone %q", request.Name)))
 		return
 	}
 	v := views[i]
 	v.LeaseS = c.settings.Params.Workers.LeaseS
-	for _, t := range c.types {
-		v.BootS = max(v.BootS, t.BootS)
+	for _, machineType := range c.types {
+		v.BootS = max(v.BootS, machineType.BootS)
 	}
 	d := c.jobs.Names
 	for _, l := range c.fleet.EstimateZoneLoss(d.Zones.Index(v.Zone)) {
@@ -123,19 +123,19 @@
 		by[ix] = &out[i]
 	}
 	quiet := c.capacity.QuietFor()
-	for _, m := range c.fleet.Machines() {
-		v := by[m.Zone]
-		if v == nil || m.Condition == fleet.Terminated || m.Zone == jobs.None {
+	for _, machine := range c.fleet.Machines() {
+		v := by[machine.Zone]
+		if v == nil || machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
 			continue
 		}
 		v.Machines++
-		v.Tasks += len(m.Tasks)
-		if now-max(m.LastHeardAt, c.authoritySince) > quiet {
+		v.Tasks += len(machine.Tasks)
+		if now-max(machine.LastHeardAt, c.authoritySince) > quiet {
 			v.Quiet++
 		}
-		if m.Quarantined {
+		if machine.Quarantined {
 			v.Aside++
-			v.Held += len(m.Tasks)
+			v.Held += len(machine.Tasks)
 		}
 	}
 	return out
--- a/internal/fleet/alive_test.go
+++ b/internal/fleet/alive_test.go
@@ -15,7 +15,7 @@
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, 0)
 	g.hear("m", 1, fenced)
-	m, last, session := g.machines[0], g.now, uint64(1)
+	machine, last, session := g.machines[0], g.now, uint64(1)
 	var on []TaskReport
 	sent, late := 0, 0
 	for n := 1; g.now-last < 70*time.Second; n++ {
@@ -49,11 +49,11 @@
 	if sent == 0 || late > 0 {
 		t.Errorf("of %d tasks sent, %d went to a machine that had missed its report", sent, late)
 	}
-	if m.Condition != LeaseExpired || len(m.Tasks) > 0 {
-		t.Errorf("70 s after its last report it is %v, with %d tasks", m.Condition, len(m.Tasks))
+	if machine.Condition != LeaseExpired || len(machine.Tasks) > 0 {
+		t.Errorf("70 s after its last report it is %v, with %d tasks", machine.Condition, len(machine.Tasks))
 	}
-	g.hear("m", session+1, m.Token)
-	if m.Condition != Ready {
-		t.Errorf("it reports again and is %v", m.Condition)
+	g.hear("m", session+1, machine.Token)
+	if machine.Condition != Ready {
+		t.Errorf("it reports again and is %v", machine.Condition)
 	}
 }
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -34,46 +34,46 @@
 		oneZone bool
 	}
 	known := map[ask]bool{}
-	for _, j := range f.ranked {
+	for _, job := range f.ranked {
 		n := 1
-		if j.Spec.Kind == jobs.Gang {
-			n = j.TaskCount
+		if job.Spec.Kind == jobs.Gang {
+			n = job.TaskCount
 		}
-		if j.TasksOnMachines() > 0 || j.UnstartedTasks() == 0 || j.Idle() || f.crashLooping(j) != nil || !f.mayStart(j, n) {
-			j.RoomSince = 0
+		if job.TasksOnMachines() > 0 || job.UnstartedTasks() == 0 || job.Idle() || f.crashLooping(job) != nil || !f.mayStart(job, n) {
+			job.RoomSince = 0
 			continue
 		}
-		k := ask{shapeOf(j), n, j.Spec.OneZone}
+		k := ask{shapeOf(job), n, job.Spec.OneZone}
 		k.image = 0 // any machine may fetch it
 		room, ok := known[k]
-		if !ok || len(j.AvoidedMachines) > 0 {
-			room = f.hasRoomFor(j, n)
+		if !ok || len(job.AvoidedMachines) > 0 {
+			room = f.hasRoomFor(job, n)
 		}
-		if len(j.AvoidedMachines) == 0 {
+		if len(job.AvoidedMachines) == 0 {
 			known[k] = room
 		}
 		switch {
 		case !room:
-			j.RoomSince = 0
-		case j.RoomSince == 0:
-			j.RoomSince = now
+			job.RoomSince = 0
+		case job.RoomSince == 0:
+			job.RoomSince = now
 		}
 	}
 }
 
 // hasRoomFor tells whether there is room for n tasks of a job.
-func (f *Fleet) hasRoomFor(j *jobs.Job, n int) bool {
-	size, in := j.Spec.Size(), map[int32]int{}
-	for _, m := range f.machines {
+func (f *Fleet) hasRoomFor(job *jobs.Job, n int) bool {
+	size, in := job.Spec.Size(), map[int32]int{}
+	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if m.Condition != Ready || m.Returning || m.Quarantined || !size.Fits(m.Free()) || !f.mayUse(m, j) || !f.zoneAccepts(m, j) {
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined || !size.Fits(machine.Free()) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
 			continue
 		}
 		zone := jobs.None
-		if j.Spec.OneZone {
-			zone = m.Zone
+		if job.Spec.OneZone {
+			zone = machine.Zone
 		}
-		if in[zone] += size.Copies(m.Free()); in[zone] >= n {
+		if in[zone] += size.Copies(machine.Free()); in[zone] >= n {
 			return true
 		}
 	}
@@ -81,40 +81,40 @@
 }
 
 // waitedBesideRoom is for how long a job has stood beside room.
-func (f *Fleet) waitedBesideRoom(j *jobs.Job) time.Duration {
-	if j == nil || j.RoomSince == 0 || j.TasksOnMachines() > 0 {
+func (f *Fleet) waitedBesideRoom(job *jobs.Job) time.Duration {
+	if job == nil || job.RoomSince == 0 || job.TasksOnMachines() > 0 {
 		return 0
 	}
-	return f.Now() - j.RoomSince
+	return f.Now() - job.RoomSince
 }
 
 // hasWaitedLong tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
-func (f *Fleet) hasWaitedLong(j *jobs.Job) bool { return f.waitedBesideRoom(j) > longWaitAfter }
+func (f *Fleet) hasWaitedLong(job *jobs.Job) bool { return f.waitedBesideRoom(job) > longWaitAfter }
 
 // isReservedFrom tells whether the claim on a machine holds against a job.
-func (f *Fleet) isReservedFrom(m *Machine, j *jobs.Job) bool {
-	if m.reservedRank >= f.rankOf(j) {
+func (f *Fleet) isReservedFrom(machine *Machine, job *jobs.Job) bool {
+	if machine.reservedRank >= f.rankOf(job) {
 		return false
 	}
-	if m.reservedFirmly {
-		return f.waitedBesideRoom(j) <= firmReservationAfter
+	if machine.reservedFirmly {
+		return f.waitedBesideRoom(job) <= firmReservationAfter
 	}
-	return !f.hasWaitedLong(j)
+	return !f.hasWaitedLong(job)
 }
 
 // unneededRoom is what of a machine's room what is planned there leaves for a job that would be moved there. What is planned may be
 // held up itself by what holds a job that has waited for long no more: for such a job only gangs count, and others like it.
-func (f *Fleet) unneededRoom(m *Machine, j *jobs.Job) planner.Size {
-	if !f.hasWaitedLong(j) {
-		return m.Free().Sub(m.queuedNeed)
+func (f *Fleet) unneededRoom(machine *Machine, job *jobs.Job) planner.Size {
+	if !f.hasWaitedLong(job) {
+		return machine.Free().Sub(machine.queuedNeed)
 	}
-	free := m.Free().Sub(m.queuedWhole)
-	for _, l := range m.queues {
-		if o := f.jobAt(l.job); o.Spec.Kind == jobs.Array && f.hasWaitedLong(o) {
+	free := machine.Free().Sub(machine.queuedWhole)
+	for _, queue := range machine.queues {
+		if o := f.jobAt(queue.job); o.Spec.Kind == jobs.Array && f.hasWaitedLong(o) {
 			size := o.Spec.Size() // what has no room there now takes none either
-			free = free.Sub(size.Times(float64(min(len(l.tasks), max(0, size.Copies(free))))))
+			free = free.Sub(size.Times(float64(min(len(queue.tasks), max(0, size.Copies(free))))))
 		}
 	}
-	f.PlanningSteps += uint64(len(m.queues))
+	f.PlanningSteps += uint64(len(machine.queues))
 	return free
 }
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -29,30 +29,30 @@
 				s := spec(n, 1)
 				s.CPUs, s.ImageGB, s.EstimateS, s.Spot = 8, c.image, 300, true
 				change(s)
-				j := g.submit(s)
-				j.SubmittedAt = g.now
-				return j
+				job := g.submit(s)
+				job.SubmittedAt = g.now
+				return job
 			}
 			run("busy")
-			give(1, func(s *jobs.Spec) { s.EstimateS = 1 }) // it runs for far longer than that
+			give(1, func(spec *jobs.Spec) { spec.EstimateS = 1 }) // it runs for far longer than that
 			for range 3 {
 				g.settleFor(3, store.Committed)
 				run("busy")
 			}
 			run("free")
 			if c.spot { // what ordinary machines are needed for
-				give(2, func(s *jobs.Spec) { s.Spot, s.CPUs = false, 1 })
+				give(2, func(spec *jobs.Spec) { spec.Spot, spec.CPUs = false, 1 })
 			}
 			for range 3 {
 				g.settleFor(3, store.Committed)
 				run("free")
 			}
-			j := give(3, func(s *jobs.Spec) { s.Kind, s.CPUs = c.kind, 7 })
+			job := give(3, func(spec *jobs.Spec) { spec.Kind, spec.CPUs = c.kind, 7 })
 			at := g.now
-			for g.now-at < 80*time.Second && j.TasksOnMachines() == 0 {
+			for g.now-at < 80*time.Second && job.TasksOnMachines() == 0 {
 				g.now += 700 * time.Millisecond
 				if !ages {
-					j.RoomSince = 0
+					job.RoomSince = 0
 				}
 				g.settleFor(3, store.Committed)
 				run("busy")
--- a/internal/fleet/batch.go
+++ b/internal/fleet/batch.go
@@ -56,30 +56,30 @@
 }
 
 // addKey adds a change of a key of its own.
-func (w *writeBatch) addKey(p mutation) bool {
-	if !w.fits(1) || w.size()+len(p.value)+len(p.key)+64 > maxTxnBytes {
+func (w *writeBatch) addKey(change mutation) bool {
+	if !w.fits(1) || w.size()+len(change.value)+len(change.key)+64 > maxTxnBytes {
 		return false
 	}
 	w.n++
-	w.bytes += len(p.value) + 2*len(p.key) + 100
-	w.mutations = append(w.mutations, p)
+	w.bytes += len(change.value) + 2*len(change.key) + 100
+	w.mutations = append(w.mutations, change)
 	return true
 }
 
 // addSegment adds a chunk's value, where it is to stand now.
-func (w *writeBatch) addSegment(j *jobs.Job, c *jobs.PlanSegment) bool {
+func (w *writeBatch) addSegment(job *jobs.Job, segment *jobs.PlanSegment) bool {
 	f := w.f
-	raw, snap, ok := j.EncodeSegmentWithin(c, f.Term, func(m int32) string { return f.machines[m].Name }, f.valueLimit()-len(j.PlanKey(c.Number)))
+	raw, snap, ok := job.EncodeSegmentWithin(segment, f.Term, func(m int32) string { return f.machines[m].Name }, f.valueLimit()-len(job.PlanKey(segment.Number)))
 	if !ok {
 		return true // more of it runs, on more machines, than a value can name: it is written once some of that has ended
 	}
-	p := mutation{job: j, segment: c, snapshot: snap, key: j.PlanKey(c.Number), value: raw}
-	if w.pages == nil || c.CreateIndeterminate {
-		return w.addKey(p)
+	change := mutation{job: job, segment: segment, snapshot: snap, key: job.PlanKey(segment.Number), value: raw}
+	if w.pages == nil || segment.CreateIndeterminate {
+		return w.addKey(change)
 	}
-	p.inPage, p.moved = true, c.Version != 0
+	change.inPage, change.moved = true, segment.Version != 0
 	extra := 0
-	if p.moved {
+	if change.moved {
 		extra = 1
 	}
 	// One page more must fit, and the end of the former key.
@@ -90,35 +90,35 @@
 	} else if !w.fits(extra) {
 		return false
 	}
-	e := pages.Entry{Ref: planRef(j, c), Name: j.PlanName(c.Number), Value: raw}
-	if !w.pages.Add(e, most, maxTxnBytes-w.bytes-txnOverheadBytes) {
+	entry := pages.Entry{Ref: planRef(job, segment), Name: job.PlanName(segment.Number), Value: raw}
+	if !w.pages.Add(entry, most, maxTxnBytes-w.bytes-txnOverheadBytes) {
 		return false
 	}
-	if p.moved {
+	if change.moved {
 		w.n++
-		w.bytes += 2*len(p.key) + 100
+		w.bytes += 2*len(change.key) + 100
 	}
-	w.mutations = append(w.mutations, p)
+	w.mutations = append(w.mutations, change)
 	return true
 }
 
-func planRef(j *jobs.Job, c *jobs.PlanSegment) pages.Ref {
-	return pages.Ref{A: int32(j.Index), B: int32(c.Number)}
+func planRef(job *jobs.Job, segment *jobs.PlanSegment) pages.Ref {
+	return pages.Ref{A: int32(job.Index), B: int32(segment.Number)}
 }
 
 // migrate takes up chunks that still have a key of their own, where pages are in force, and reports whether there
 // were any. It is the last thing that spare writes are for.
-func (f *Fleet) migrate(w *writeBatch) bool {
-	if w.pages == nil || f.migrated || !f.HasSpareWrites() {
+func (f *Fleet) migrate(batch *writeBatch) bool {
+	if batch.pages == nil || f.migrated || !f.HasSpareWrites() {
 		return false
 	}
 	n := 0
-	for _, j := range f.ranked {
-		for _, c := range j.Segments {
-			if c.Version == 0 || c.CreateIndeterminate || c.Quarantined || c.InFlight != nil {
+	for _, job := range f.ranked {
+		for _, segment := range job.Segments {
+			if segment.Version == 0 || segment.CreateIndeterminate || segment.Quarantined || segment.InFlight != nil {
 				continue
 			}
-			if n == migrateBatch || !w.addSegment(j, c) {
+			if n == migrateBatch || !batch.addSegment(job, segment) {
 				return n > 0
 			}
 			n++
@@ -134,10 +134,10 @@
 // UnmigratedPlans counts the keys of plans that stand in the form that pages replace, with those of jobs that are over.
 func (f *Fleet) UnmigratedPlans() int {
 	n := len(f.obsoletePlanKeys)
-	for _, js := range [][]*jobs.Job{f.ranked, f.endedJobs} {
-		for _, j := range js {
-			for _, c := range j.Segments {
-				if c.Version != 0 || c.CreateIndeterminate {
+	for _, jobList := range [][]*jobs.Job{f.ranked, f.endedJobs} {
+		for _, job := range jobList {
+			for _, segment := range job.Segments {
+				if segment.Version != 0 || segment.CreateIndeterminate {
 					n++
 				}
 			}
@@ -154,8 +154,8 @@
 // was read of each page. It is false if the write landed between two of the reads: then they say nothing.
 func (f *Fleet) resolvePages(ops []mutation, read []store.Item) bool {
 	landed := 0
-	for i, it := range read {
-		if it.Version != ops[i].page.Version && string(it.Value) == string(ops[i].value) {
+	for i, item := range read {
+		if item.Version != ops[i].page.Version && string(item.Value) == string(ops[i].value) {
 			landed++
 		}
 	}
@@ -163,53 +163,53 @@
 		return false
 	}
 	now := f.Now()
-	for i, it := range read {
+	for i, item := range read {
 		switch x := ops[i].page; {
 		case landed > 0:
-			f.pages.Commit(*x, it.Version)
-		case it.Version == x.Version:
+			f.pages.Commit(*x, item.Version)
+		case item.Version == x.Version:
 			f.pages.MarkIndeterminate(*x)
 		default:
 			// An earlier write of the page, given up before, has landed meanwhile.
-			f.pages.Reload(*x, it.Version, f.entries(it))
+			f.pages.Reload(*x, item.Version, f.entries(item))
 		}
 	}
-	for _, p := range ops {
+	for _, change := range ops {
 		switch {
-		case !p.inPage:
+		case !change.inPage:
 		case landed > 0:
-			f.confirmWrite(now, p, 0)
+			f.confirmWrite(now, change, 0)
 		default:
-			p.segment.AddIndeterminate(p.snapshot)
-			f.revertWrite(now, p)
+			change.segment.AddIndeterminate(change.snapshot)
+			f.revertWrite(now, change)
 		}
 	}
 	return true
 }
 
 // entries are the values on a page that belong to jobs known here.
-func (f *Fleet) entries(it store.Item) (es []pages.Entry) {
-	s, err := pages.Decode(jobs.PlanPagePrefix, it.Key, it.Value, it.Version)
+func (f *Fleet) entries(item store.Item) (entries []pages.Entry) {
+	s, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
 	if err != nil {
-		slog.Error("a page of plans cannot be read", "key", it.Key, "cause", err)
+		slog.Error("a page of plans cannot be read", "key", item.Key, "cause", err)
 		return nil
 	}
 	for name, raw := range s.Values {
-		if j, c := f.segmentByName(name); c != nil {
-			es = append(es, pages.Entry{Ref: planRef(j, c), Name: name, Value: raw})
+		if job, segment := f.segmentByName(name); segment != nil {
+			entries = append(entries, pages.Entry{Ref: planRef(job, segment), Name: name, Value: raw})
 		}
 	}
-	return es
+	return entries
 }
 
 // segmentByName finds a chunk of a job that is open here, by its name in a page.
 func (f *Fleet) segmentByName(name string) (*jobs.Job, *jobs.PlanSegment) {
 	id, no, ok := splitPlanName(name)
-	j := f.Jobs.Get(id)
-	if !ok || j == nil || no >= len(j.Segments) {
+	job := f.Jobs.Get(id)
+	if !ok || job == nil || no >= len(job.Segments) {
 		return nil, nil
 	}
-	return j, j.Segments[no]
+	return job, job.Segments[no]
 }
 
 // reportUnreadable tells of a stored record that can't be read.
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -31,8 +31,8 @@
 		}
 	}
 	var reports [][]byte
-	for _, m := range g.machines {
-		raw, err := json.Marshal(Heartbeat{Machine: m.Name, Addr: m.Addr, Type: "ty", Zone: "z", Session: 1, Token: fenced, Tasks: on[m.Name]})
+	for _, machine := range g.machines {
+		raw, err := json.Marshal(Heartbeat{Machine: machine.Name, Addr: machine.Addr, Type: "ty", Zone: "z", Session: 1, Token: fenced, Tasks: on[machine.Name]})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,13 +43,13 @@
 
 // answer reads and answers one report, as a connection and the event loop do.
 func (g *rig) answer(raw []byte) HeartbeatResponse {
-	r, err := ParseHeartbeat(raw)
+	heartbeat, err := ParseHeartbeat(raw)
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.seq++
-	r.Seq = g.seq
-	a, v := g.HandleHeartbeat(g.now, r)
+	heartbeat.Seq = g.seq
+	a, v := g.HandleHeartbeat(g.now, heartbeat)
 	if v != Accepted {
 		g.t.Fatalf("report refused: %d", v)
 	}
@@ -83,10 +83,10 @@
 
 func BenchmarkPlanWrite(b *testing.B) {
 	g, _ := loaded(b, 700, 4, 2000)
-	j := g.Jobs.Get("req-000001")
+	job := g.Jobs.Get("req-000001")
 	b.ReportAllocs()
 	for b.Loop() {
-		j.EncodeSegment(j.Segments[0], 1, func(m int32) string { return g.machines[m].Name })
+		job.EncodeSegment(job.Segments[0], 1, func(m int32) string { return g.machines[m].Name })
 	}
 }
 
@@ -119,8 +119,8 @@
 func TestPushPassesFullMachinesOver(t *testing.T) {
 	g, _ := loaded(t, 40, 30, 100)
 	waiting := 0
-	for _, j := range g.ranked {
-		waiting += j.TasksByState[jobs.Planned]
+	for _, job := range g.ranked {
+		waiting += job.TasksByState[jobs.Planned]
 	}
 	before := g.PlanningSteps
 	if g.dispatch(g.now); g.PlanningSteps != before || waiting < 1000 {
@@ -136,20 +136,20 @@
 	for i := range 10 {
 		g.see(fmt.Sprintf("m%d", i), "ty", false)
 	}
-	j := g.submit(spec(1, 40))
+	job := g.submit(spec(1, 40))
 	g.settle(store.Committed) // without authority: planned and durable, nothing sent
 	answered := 0
 	for range 10 {
 		g.now += 100 * time.Millisecond
 		g.Tick(g.now, true)
-		if open := len(g.orders) - answered; open > 3 || j.TasksByState[jobs.Launched] != 4*len(g.sent) {
-			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sent), j.TasksByState[jobs.Launched])
+		if open := len(g.orders) - answered; open > 3 || job.TasksByState[jobs.Launched] != 4*len(g.sent) {
+			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sent), job.TasksByState[jobs.Launched])
 		}
 		for ; answered < len(g.orders); answered++ {
 			g.orders[answered](nil, true)
 		}
 	}
-	if j.TasksByState[jobs.Launched] != 40 {
-		t.Fatalf("%d of 40 tasks launched", j.TasksByState[jobs.Launched])
+	if job.TasksByState[jobs.Launched] != 40 {
+		t.Fatalf("%d of 40 tasks launched", job.TasksByState[jobs.Launched])
 	}
 }
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -7,33 +7,35 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-func taskName(j *jobs.Job, t int32) string { return j.ID + "/" + strconv.Itoa(int(t)) }
+func taskName(job *jobs.Job, taskIndex int32) string {
+	return job.ID + "/" + strconv.Itoa(int(taskIndex))
+}
 
 // buildCommands answers a fenced report: forget what is recorded, stop what must stop, repeat
 // launches that did not arrive, and start what the machine's lanes hold. The report has
 // just been taken over: f.listed holds what it says is alive.
-func (f *Fleet) buildCommands(now time.Duration, m *Machine, r *Heartbeat) []Command {
+func (f *Fleet) buildCommands(now time.Duration, machine *Machine, heartbeat *Heartbeat) []Command {
 	out := []Command{}
-	for i := range r.Tasks {
-		e := &r.Tasks[i]
-		j, t := e.job, e.no
-		if e.State == taskExited {
-			if f.forgettable(m, j, t, e) {
-				out = append(out, Command{Op: opForget, Task: e.Task, Attempt: e.Attempt})
+	for i := range heartbeat.Tasks {
+		taskReport := &heartbeat.Tasks[i]
+		job, taskIndex := taskReport.job, taskReport.no
+		if taskReport.State == taskExited {
+			if f.forgettable(machine, job, taskIndex, taskReport) {
+				out = append(out, Command{Op: opForget, Task: taskReport.Task, Attempt: taskReport.Attempt})
 			}
 			continue
 		}
-		if grace, stop := f.mustStop(now, m, j, t, e); stop {
-			out = append(out, Command{Op: opStop, Task: e.Task, Attempt: e.Attempt, GraceS: &grace})
+		if grace, stop := f.mustStop(now, machine, job, taskIndex, taskReport); stop {
+			out = append(out, Command{Op: opStop, Task: taskReport.Task, Attempt: taskReport.Attempt, GraceS: &grace})
 		}
 	}
-	if m.Condition != Ready {
+	if machine.Condition != Ready {
 		return out
 	}
 	again := f.refScratch[:0]
-	for ref := range m.Tasks {
-		j := f.jobAt(ref.Job)
-		if j.Tasks[ref.Task].State != jobs.Launched || j.State.Terminal() {
+	for ref := range machine.Tasks {
+		job := f.jobAt(ref.Job)
+		if job.Tasks[ref.Task].State != jobs.Launched || job.State.Terminal() {
 			continue
 		}
 		if _, alive := f.listedTasks[ref]; !alive {
@@ -43,45 +45,45 @@
 	f.refScratch = again
 	sortRefs(again)
 	for _, ref := range again {
-		j := f.jobAt(ref.Job)
-		out = append(out, Command{Op: opStart, Task: taskName(j, ref.Task), Attempt: j.Tasks[ref.Task].Attempt})
+		job := f.jobAt(ref.Job)
+		out = append(out, Command{Op: opStart, Task: taskName(job, ref.Task), Attempt: job.Tasks[ref.Task].Attempt})
 	}
-	return append(out, f.startCommands(now, m)...)
+	return append(out, f.startCommands(now, machine)...)
 }
 
 // forgettable tells whether an exited task may vanish from the reports: its outcome must
 // be durable, and no direct launch of the same attempt may still be under way, since a
 // worker that has forgotten an attempt would start it anew.
-func (f *Fleet) forgettable(m *Machine, j *jobs.Job, t int32, e *TaskReport) bool {
-	if m.directInFlight {
+func (f *Fleet) forgettable(machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) bool {
+	if machine.directInFlight {
 		return false
 	}
-	if j == nil {
+	if job == nil {
 		return true
 	}
-	if _, late := m.indeterminateLaunches[taskAttempt{TaskRef{j.Index, t}, e.Attempt}]; late {
+	if _, late := machine.indeterminateLaunches[taskAttempt{TaskRef{job.Index, taskIndex}, taskReport.Attempt}]; late {
 		return false
 	}
-	if e.Why != exitDone || j.State.Terminal() {
+	if taskReport.Why != exitDone || job.State.Terminal() {
 		return true
 	}
-	return j.Tasks != nil && j.IsDurablyDone(t)
+	return job.Tasks != nil && job.IsDurablyDone(taskIndex)
 }
 
 // mustStop tells whether a task that is alive on a machine has to go, and with what grace.
-func (f *Fleet) mustStop(now time.Duration, m *Machine, j *jobs.Job, t int32, e *TaskReport) (float64, bool) {
-	if j == nil || j.State.Terminal() || j.Tasks == nil {
+func (f *Fleet) mustStop(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) (float64, bool) {
+	if job == nil || job.State.Terminal() || job.Tasks == nil {
 		return 0, true
 	}
-	k := &j.Tasks[t]
-	if k.State == jobs.Finished || k.Machine != m.Index {
+	task := &job.Tasks[taskIndex]
+	if task.State == jobs.Finished || task.Machine != machine.Index {
 		return 0, true
 	}
-	if k.Stopping && e.State != taskSaving {
-		return j.Spec.SaveS + 1, true
+	if task.Stopping && taskReport.State != taskSaving {
+		return job.Spec.SaveS + 1, true
 	}
-	if m.Condition == ReclaimNoticed && !m.Returning && e.State != taskSaving {
-		return f.drain(now, m, j, t)
+	if machine.Condition == ReclaimNoticed && !machine.Returning && taskReport.State != taskSaving {
+		return f.drain(now, machine, job, taskIndex)
 	}
 	return 0, false
 }
@@ -89,22 +91,22 @@
 // drain decides whether a task on a machine that is being taken should stop now: one that
 // will be done in time goes on, one that can save does so while there is time, and one
 // that cannot is started elsewhere at once.
-func (f *Fleet) drain(now time.Duration, m *Machine, j *jobs.Job, t int32) (float64, bool) {
-	rest := (m.ReclaimAt - now).Seconds()
-	k := &j.Tasks[t]
-	if j.Spec.Kind == jobs.Gang && j.TaskCount > 1 {
-		if rest > j.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1 && f.remainingSeconds(now, j, t) < rest*0.7 {
+func (f *Fleet) drain(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) (float64, bool) {
+	rest := (machine.ReclaimAt - now).Seconds()
+	task := &job.Tasks[taskIndex]
+	if job.Spec.Kind == jobs.Gang && job.TaskCount > 1 {
+		if rest > job.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1 && f.remainingSeconds(now, job, taskIndex) < rest*0.7 {
 			return 0, false
 		}
-		for o := range j.Tasks {
-			if j.Tasks[o].State.Occupies() {
-				f.stopTask(j, int32(o))
+		for o := range job.Tasks {
+			if job.Tasks[o].State.Occupies() {
+				f.stopTask(job, int32(o))
 			}
 		}
-		return j.Spec.SaveS + 1, true
+		return job.Spec.SaveS + 1, true
 	}
-	if k.Phase == jobs.Running && f.remainingSeconds(now, j, t) < rest*0.7 {
+	if task.Phase == jobs.Running && f.remainingSeconds(now, job, taskIndex) < rest*0.7 {
 		return 0, false
 	}
-	return j.Spec.SaveS + 1, true
+	return job.Spec.SaveS + 1, true
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -23,58 +23,60 @@
 func (f *Fleet) Demand(now time.Duration) []Need {
 	var out []Need
 	room := map[int32]planner.Size{}
-	for _, j := range f.ranked {
-		if j.Tasks == nil || j.Spec == nil || j.State.Terminal() || j.Idle() {
+	for _, job := range f.ranked {
+		if job.Tasks == nil || job.Spec == nil || job.State.Terminal() || job.Idle() {
 			continue
 		}
-		n := j.UnstartedTasks()
+		n := job.UnstartedTasks()
 		if n == 0 {
 			continue
 		}
-		if f.inBackoff(now, j) {
+		if f.inBackoff(now, job) {
 			continue
 		}
-		if f.crashLooping(j) != nil && j.Spec.Kind != jobs.Gang {
+		if f.crashLooping(job) != nil && job.Spec.Kind != jobs.Gang {
 			n = 1
 		}
 		// What waits for a licence needs no machine yet.
-		if n = f.grantedTasks(j, n); n == 0 {
+		if n = f.grantedTasks(job, n); n == 0 {
 			continue
 		}
-		t := f.Gate.Quota.Team(j.Team)
+		t := f.Gate.Quota.Team(job.Team)
 		if t == nil {
 			continue
 		}
-		left, ok := room[j.Team]
+		left, ok := room[job.Team]
 		if !ok {
 			left = t.Limit.Sub(t.Used)
 		}
-		n = min(n, max(0, j.Spec.Size().Copies(left)))
+		n = min(n, max(0, job.Spec.Size().Copies(left)))
 		if n == 0 {
 			continue
 		}
-		s := j.Spec.Size()
-		room[j.Team] = left.Sub(planner.Size{CPUs: s.CPUs * float64(n), GPUs: s.GPUs * float64(n)})
-		out = append(out, Need{j, n, f.estimate(j), j.Spec.Kind != jobs.Array})
+		size := job.Spec.Size()
+		room[job.Team] = left.Sub(planner.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
+		out = append(out, Need{job, n, f.estimate(job), job.Spec.Kind != jobs.Array})
 	}
 	return out
 }
 
 // ExpectedWork lists what is on a machine with its remaining time, until the next call.
-func (f *Fleet) ExpectedWork(now time.Duration, m *Machine) []planner.Work {
-	f.workScratch = f.appendWork(f.workScratch[:0], now, m, -1, nil)
+func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
+	f.workScratch = f.appendWork(f.workScratch[:0], now, machine, -1, nil)
 	return f.workScratch
 }
 
 // TaskCounts is what is displayed of a job.
-func (f *Fleet) TaskCounts(j *jobs.Job) (done, running int) { return j.FinishedTasks, j.RunningTasks }
+func (f *Fleet) TaskCounts(job *jobs.Job) (done, running int) {
+	return job.FinishedTasks, job.RunningTasks
+}
 
 // Summary logs how full the fleet is, for operators who follow an incident.
 func (f *Fleet) Summary(now time.Duration) {
 	var acting, idle, spot, other, waiting int
 	var size, use planner.Size
-	for _, m := range f.machines {
-		switch m.Condition {
+	for _, machine := range f.machines {
+		switch machine.Condition {
 		case Terminated, LeaseExpired:
 			continue
 		case Ready:
@@ -82,18 +84,18 @@
 		default:
 			other++
 		}
-		if m.Spot {
+		if machine.Spot {
 			spot++
 		}
-		if len(m.Tasks) == 0 {
+		if len(machine.Tasks) == 0 {
 			idle++
 		}
-		size, use = size.Add(m.Capacity), use.Add(m.Used)
+		size, use = size.Add(machine.Capacity), use.Add(machine.Used)
 	}
 	byClass := map[int32]int{}
-	for _, j := range f.ranked {
-		waiting += j.UnstartedTasks()
-		byClass[j.Class] += j.UnstartedTasks()
+	for _, job := range f.ranked {
+		waiting += job.UnstartedTasks()
+		byClass[job.Class] += job.UnstartedTasks()
 	}
 	var classes []string
 	for c, n := range byClass {
@@ -113,9 +115,9 @@
 // ImageGB is the mean size of the images that live jobs need.
 func (f *Fleet) ImageGB() float64 {
 	sum, n := 0.0, 0
-	for _, j := range f.ranked {
-		if j.Spec != nil {
-			sum += j.Spec.ImageGB
+	for _, job := range f.ranked {
+		if job.Spec != nil {
+			sum += job.Spec.ImageGB
 			n++
 		}
 	}
@@ -132,10 +134,10 @@
 func (f *Fleet) WaitingShapes() []*jobs.Job {
 	var out []*jobs.Job
 	seen := map[int32]bool{}
-	for _, j := range f.ranked {
-		if j.Spec != nil && !seen[j.Class] {
-			seen[j.Class] = true
-			out = append(out, j)
+	for _, job := range f.ranked {
+		if job.Spec != nil && !seen[job.Class] {
+			seen[job.Class] = true
+			out = append(out, job)
 		}
 	}
 	return out
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -23,38 +23,38 @@
 }
 
 // estimate is a task's expected run time in seconds, corrected by its class.
-func (f *Fleet) estimate(j *jobs.Job) float64 {
-	if j.Spec.EstimateS <= 0 {
+func (f *Fleet) estimate(job *jobs.Job) float64 {
+	if job.Spec.EstimateS <= 0 {
 		return 1
 	}
-	return j.Spec.EstimateS * f.stats(j.Class).ratio
+	return job.Spec.EstimateS * f.stats(job.Class).ratio
 }
 
 // fetchS is how long a machine needs to fetch a job's image, 0 if it has it.
-func (f *Fleet) fetchS(j *jobs.Job, m *Machine) float64 {
-	ty := f.machineType(m)
-	if ty == nil || ty.FetchGB <= 0 || m.HasImage(j.Image) {
+func (f *Fleet) fetchS(job *jobs.Job, machine *Machine) float64 {
+	ty := f.machineType(machine)
+	if ty == nil || ty.FetchGB <= 0 || machine.HasImage(job.Image) {
 		return 0
 	}
-	return j.Spec.ImageGB / ty.FetchGB
+	return job.Spec.ImageGB / ty.FetchGB
 }
 
 // remainingSeconds is the estimated remaining time of a task on its machine, in seconds.
-func (f *Fleet) remainingSeconds(now time.Duration, j *jobs.Job, t int32) float64 {
-	k := &j.Tasks[t]
-	m := f.machines[k.Machine]
-	if k.Stopping {
-		return j.Spec.SaveS + 1
+func (f *Fleet) remainingSeconds(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
+	task := &job.Tasks[taskIndex]
+	machine := f.machines[task.Machine]
+	if task.Stopping {
+		return job.Spec.SaveS + 1
 	}
-	est := f.estimate(j) * m.slowdown
-	if k.Phase == jobs.Running || k.Phase == jobs.Saving {
-		ran := (now - k.RunningSince).Seconds()
+	est := f.estimate(job) * machine.slowdown
+	if task.Phase == jobs.Running || task.Phase == jobs.Saving {
+		ran := (now - task.RunningSince).Seconds()
 		// An overdue task is most likely to run on for a part of what it has run.
 		return max(est-ran, 0.25*ran, 1)
 	}
-	ty := f.machineType(m)
+	ty := f.machineType(machine)
 	if ty == nil || ty.FetchGB <= 0 {
 		return est
 	}
-	return est + max(0, j.Spec.ImageGB/ty.FetchGB-(now-k.LaunchedAt).Seconds())
+	return est + max(0, job.Spec.ImageGB/ty.FetchGB-(now-task.LaunchedAt).Seconds())
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -49,9 +49,9 @@
 	// Read re-reads one key after an open or failed write.
 	Read func(key string, done func(store.Item, error))
 	// SendCommands sends commands straight to a machine; ok is false if the outcome is open.
-	SendCommands func(m *Machine, o DirectCommands, done func(r *Heartbeat, ok bool))
+	SendCommands func(machine *Machine, o DirectCommands, done func(heartbeat *Heartbeat, ok bool))
 	// OnJobRecord hands on a job record that this fleet has written or re-read.
-	OnJobRecord func(now time.Duration, it store.Item)
+	OnJobRecord func(now time.Duration, item store.Item)
 	// Now is the steady clock, for answers that come later than the call that asked.
 	Now func() time.Duration
 	// TxnOps bounds the operations of one transaction. Limits is what one may hold now, which may be less, for the state
@@ -192,9 +192,9 @@
 func (f *Fleet) Machines() []*Machine { return f.machines }
 
 // addTaskEvent keeps an event of a task; the note says more.
-func (f *Fleet) addTaskEvent(now time.Duration, kind events.Kind, j *jobs.Job, t int32, note string) {
-	k := &j.Tasks[t]
-	f.Events.Add(events.Event{At: now, Kind: kind, Job: j.ID, Task: t, Machine: k.Machine, Attempt: k.Attempt, Note: note})
+func (f *Fleet) addTaskEvent(now time.Duration, kind events.Kind, job *jobs.Job, taskIndex int32, note string) {
+	task := &job.Tasks[taskIndex]
+	f.Events.Add(events.Event{At: now, Kind: kind, Job: job.ID, Task: taskIndex, Machine: task.Machine, Attempt: task.Attempt, Note: note})
 }
 
 // pageBytes is how much is put in one page at most, where a value may be larger: all of it is sent with each write.
@@ -207,51 +207,51 @@
 	}
 }
 
-func (f *Fleet) jobAt(ix jobs.Index) *jobs.Job { return f.Jobs.ByIndex(ix) }
+func (f *Fleet) jobAt(jobIndex jobs.Index) *jobs.Job { return f.Jobs.ByIndex(jobIndex) }
 
 // Jobs tells of a change in the job table: a new job is opened, a cancelled one stopped.
-func (f *Fleet) HandleJobChange(now time.Duration, j *jobs.Job) {
+func (f *Fleet) HandleJobChange(now time.Duration, job *jobs.Job) {
 	if !f.plansLoaded {
 		return
 	}
-	if j.State == jobs.Pending {
-		j.OpenTasks()
+	if job.State == jobs.Pending {
+		job.OpenTasks()
 		// Its plan was passed over when this term began: what runs of it isn't known here. The next leader reads both.
-		j.Quarantined = j.Quarantined || f.unreadableJobs[j.ID]
+		job.Quarantined = job.Quarantined || f.unreadableJobs[job.ID]
 		f.rankedAt = 0
-		slog.Info("job accepted", "job", j.ID, "class", j.Spec.Class, "kind", string(j.Spec.Kind), "tasks", j.TaskCount, "term", f.Term)
-		f.Events.Add(events.Event{At: now, Kind: events.JobAccepted, Job: j.ID, Task: events.None, Machine: events.None})
+		slog.Info("job accepted", "job", job.ID, "class", job.Spec.Class, "kind", string(job.Spec.Kind), "tasks", job.TaskCount, "term", f.Term)
+		f.Events.Add(events.Event{At: now, Kind: events.JobAccepted, Job: job.ID, Task: events.None, Machine: events.None})
 		return
 	}
 	ended := events.JobDone
-	if j.State == jobs.Cancelled {
+	if job.State == jobs.Cancelled {
 		ended = events.JobCancelled
 	}
-	f.Events.Add(events.Event{At: now, Kind: ended, Job: j.ID, Task: events.None, Machine: events.None})
+	f.Events.Add(events.Event{At: now, Kind: ended, Job: job.ID, Task: events.None, Machine: events.None})
 	f.rankedAt = 0
-	delete(f.noMachineUntil, j.Index)
-	delete(f.preemptedAt, j.Index)
-	delete(f.crashLoops, j.Index)
-	delete(f.licenceGrants, j.Index)
-	delete(f.pendingNotes, j.Index)
-	if j.Tasks == nil {
+	delete(f.noMachineUntil, job.Index)
+	delete(f.preemptedAt, job.Index)
+	delete(f.crashLoops, job.Index)
+	delete(f.licenceGrants, job.Index)
+	delete(f.pendingNotes, job.Index)
+	if job.Tasks == nil {
 		return
 	}
-	f.endedJobs = append(f.endedJobs, j)
-	slog.Info("job ended", "job", j.ID, "stance", j.State.String(), "term", f.Term)
-	for _, ix := range f.queueMachines(j) {
-		m := f.machines[ix]
-		n := len(m.queued(j.Index))
-		m.setQueue(j.Index, nil)
-		f.removeQueued(m, j, n)
+	f.endedJobs = append(f.endedJobs, job)
+	slog.Info("job ended", "job", job.ID, "stance", job.State.String(), "term", f.Term)
+	for _, ix := range f.queueMachines(job) {
+		machine := f.machines[ix]
+		n := len(machine.queued(job.Index))
+		machine.setQueue(job.Index, nil)
+		f.removeQueued(machine, job, n)
 	}
-	for t := range j.Tasks {
-		k := &j.Tasks[t]
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
 		switch {
-		case k.State == jobs.Planned:
-			f.checkTransition(j.SetTaskState(int32(t), jobs.Unplanned))
-		case k.State.Occupies():
-			f.stopTask(j, int32(t))
+		case task.State == jobs.Planned:
+			f.checkTransition(job.SetTaskState(int32(t), jobs.Unplanned))
+		case task.State.Occupies():
+			f.stopTask(job, int32(t))
 		}
 	}
 }
--- a/internal/fleet/floor.go
+++ b/internal/fleet/floor.go
@@ -20,9 +20,9 @@
 
 // overdue tells whether nothing of a job has ever started though it has waited for long. Its age counts from its
 // submission, which is durable, so that it survives a change of the lead.
-func (f *Fleet) overdue(now time.Duration, j *jobs.Job) bool {
+func (f *Fleet) overdue(now time.Duration, job *jobs.Job) bool {
 	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.BeginS)
-	return limit > 0 && !j.Started && j.FinishedTasks == 0 && j.TasksOnMachines() == 0 && now-j.SubmittedAt > limit && f.crashLooping(j) == nil && !j.Idle()
+	return limit > 0 && !job.Started && job.FinishedTasks == 0 && job.TasksOnMachines() == 0 && now-job.SubmittedAt > limit && f.crashLooping(job) == nil && !job.Idle()
 }
 
 // markStartDeadlines moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
@@ -32,15 +32,15 @@
 // it and a job that may preempt it can't take turns.
 func (f *Fleet) markStartDeadlines(now time.Duration) {
 	clear(f.startDeadlineDue)
-	place := func(j *jobs.Job) int {
-		late := f.overdue(now, j)
+	place := func(job *jobs.Job) int {
+		late := f.overdue(now, job)
 		switch {
-		case late && j.Spec.Kind != jobs.Gang:
-			f.startDeadlineDue[j.Index] = true
+		case late && job.Spec.Kind != jobs.Gang:
+			f.startDeadlineDue[job.Index] = true
 			return 0
-		case f.withinGuarantee[j.Index] && late:
+		case f.withinGuarantee[job.Index] && late:
 			return 1
-		case f.withinGuarantee[j.Index]:
+		case f.withinGuarantee[job.Index]:
 			return 2
 		case late:
 			return 3
@@ -49,9 +49,9 @@
 	}
 	places := make(map[jobs.Index]int, len(f.ranked))
 	moved := false
-	for _, j := range f.ranked {
-		p := place(j)
-		places[j.Index] = p
+	for _, job := range f.ranked {
+		p := place(job)
+		places[job.Index] = p
 		moved = moved || p%2 == 1 || p == 0
 	}
 	if !moved {
--- a/internal/fleet/floor_test.go
+++ b/internal/fleet/floor_test.go
@@ -26,8 +26,8 @@
 			s.Kind = []jobs.Kind{jobs.Array, jobs.Gang, jobs.Service}[rng.IntN(3)]
 			s.Priority = []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)]
 			s.Team = []string{"t", "u"}[rng.IntN(2)]
-			j := g.submit(s)
-			j.SubmittedAt, j.Started = time.Duration(rng.IntN(300))*time.Second, rng.IntN(3) == 0
+			job := g.submit(s)
+			job.SubmittedAt, job.Started = time.Duration(rng.IntN(300))*time.Second, rng.IntN(3) == 0
 		}
 		now := 300 * time.Second
 		g.Settings.Operator.BeginS = 0
@@ -36,24 +36,24 @@
 		g.Settings.Operator.BeginS = 240
 		g.RankJobs(now)
 		var want []*jobs.Job
-		late := func(j *jobs.Job) bool { return !j.Started && now-j.SubmittedAt > 120*time.Second }
+		late := func(job *jobs.Job) bool { return !job.Started && now-job.SubmittedAt > 120*time.Second }
 		take := func(oldest bool, f func(*jobs.Job) bool) {
-			var js []*jobs.Job
-			for _, j := range was {
-				if f(j) {
-					js = append(js, j)
+			var jobList []*jobs.Job
+			for _, job := range was {
+				if f(job) {
+					jobList = append(jobList, job)
 				}
 			}
 			if oldest {
-				slices.SortStableFunc(js, func(a, b *jobs.Job) int { return int((a.SubmittedAt - b.SubmittedAt) / time.Second) })
+				slices.SortStableFunc(jobList, func(a, b *jobs.Job) int { return int((a.SubmittedAt - b.SubmittedAt) / time.Second) })
 			}
-			want = append(want, js...)
+			want = append(want, jobList...)
 		}
-		gang := func(j *jobs.Job) bool { return j.Spec.Kind == jobs.Gang }
-		take(true, func(j *jobs.Job) bool { return late(j) && !gang(j) })
+		gang := func(job *jobs.Job) bool { return job.Spec.Kind == jobs.Gang }
+		take(true, func(job *jobs.Job) bool { return late(job) && !gang(job) })
 		for _, within := range []bool{true, false} {
-			take(true, func(j *jobs.Job) bool { return late(j) && gang(j) && g.withinGuarantee[j.Index] == within })
-			take(false, func(j *jobs.Job) bool { return !late(j) && g.withinGuarantee[j.Index] == within })
+			take(true, func(job *jobs.Job) bool { return late(job) && gang(job) && g.withinGuarantee[job.Index] == within })
+			take(false, func(job *jobs.Job) bool { return !late(job) && g.withinGuarantee[job.Index] == within })
 		}
 		if !slices.Equal(g.ranked, want) {
 			t.Fatalf("ranked otherwise")
@@ -163,20 +163,20 @@
 		}
 		guest := spec(2, 5)
 		guest.Priority, guest.Class = "best_effort", "idle"
-		j := g.submit(guest)
+		job := g.submit(guest)
 		for range 160 {
 			g.now += time.Second
 			if !c.ages {
-				j.RoomSince = 0
+				job.RoomSince = 0
 			}
 			g.runAll("g1", "gpu", on)
 			g.settleFor(3, store.Committed)
-			if c.ages && !j.Started && g.now-j.SubmittedAt > 90*time.Second {
+			if c.ages && !job.Started && g.now-job.SubmittedAt > 90*time.Second {
 				t.Errorf("%+v: the guests haven't begun after 90 s", c)
 				break
 			}
 		}
-		if began := j.Started; began != (c.beginS > 0 || c.ages) {
+		if began := job.Started; began != (c.beginS > 0 || c.ages) {
 			t.Errorf("%+v: the guests began: %v", c, began)
 		}
 	}
@@ -196,7 +196,7 @@
 	g.submit(s)
 	guest := spec(2, 200)
 	guest.Priority, guest.Class, guest.CPUs = "best_effort", "idle", 4
-	j := g.submit(guest)
+	job := g.submit(guest)
 	on := map[string][]TaskReport{}
 	for range 6 {
 		g.settleFor(3, store.Committed)
@@ -210,8 +210,8 @@
 			used++
 		}
 	}
-	if used < 10 || used > 17 || j.TasksOnMachines() < 30 {
-		t.Errorf("%d of 20 machines are used, by %d tasks", used, j.TasksOnMachines())
+	if used < 10 || used > 17 || job.TasksOnMachines() < 30 {
+		t.Errorf("%d of 20 machines are used, by %d tasks", used, job.TasksOnMachines())
 	}
 }
 
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -22,7 +22,7 @@
 	kv     map[string]json.RawMessage
 	rev    uint64
 	commit []func(store.Outcome)
-	orders []func(r *Heartbeat, ok bool)
+	orders []func(heartbeat *Heartbeat, ok bool)
 	sent   []DirectCommands
 	seq    uint64
 }
@@ -33,11 +33,11 @@
 
 func newRigOf(t testing.TB, term uint64, kv map[string]json.RawMessage, teams []config.Team, pools ...*licences.Pool) *rig {
 	g := &rig{t: t, kv: kv, rev: 100 * term}
-	s := &config.Settings{}
-	s.Params.Teams = teams
-	s.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
-	s.Params.State.ValueKB = 8
-	s.Operator.NetworkFactor = 1
+	settings := &config.Settings{}
+	settings.Params.Teams = teams
+	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
+	settings.Params.State.ValueKB = 8
+	settings.Operator.NetworkFactor = 1
 	book := jobs.NewTable(0)
 	book.Names.Pools = licences.NewCatalog(pools)
 	var plans []store.Item
@@ -50,17 +50,17 @@
 		}
 	}
 	g.Fleet = New(Env{
-		Settings: s, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: func() time.Duration { return g.now },
+		Settings: settings, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: func() time.Duration { return g.now },
 		Types: func(int32) *MachineType {
 			return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1}
 		},
 		CanWrite:       func(int) bool { return true },
 		HasSpareWrites: func() bool { return true },
-		Commit: func(t store.Txn, done func(store.Result)) {
+		Commit: func(txn store.Txn, done func(store.Result)) {
 			g.commit = append(g.commit, func(o store.Outcome) {
 				g.rev++
 				if o == store.Committed {
-					for _, op := range t.Then {
+					for _, op := range txn.Then {
 						if op.Delete != "" {
 							delete(kv, op.Delete)
 						} else {
@@ -72,16 +72,16 @@
 			})
 		},
 		Read: func(key string, done func(store.Item, error)) {
-			it := store.Item{Key: key, Value: kv[key]}
-			if it.Value != nil {
-				it.Version = g.rev
+			item := store.Item{Key: key, Value: kv[key]}
+			if item.Value != nil {
+				item.Version = g.rev
 			}
-			done(it, nil)
+			done(item, nil)
 		},
 		SendCommands: func(_ *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
 			g.sent, g.orders = append(g.sent, o), append(g.orders, done)
 		},
-		OnJobRecord: func(now time.Duration, it store.Item) { g.learn(it.Key, it.Value) },
+		OnJobRecord: func(now time.Duration, item store.Item) { g.learn(item.Key, item.Value) },
 	}, term, 0)
 	g.LoadPlans(0, plans)
 	return g
@@ -90,10 +90,10 @@
 func (g *rig) learn(key string, raw json.RawMessage) {
 	g.rev++
 	g.kv[key] = raw
-	if j, changed, err := g.Jobs.Apply(key[len(jobs.Prefix):], raw, g.rev); err != nil {
+	if job, changed, err := g.Jobs.Apply(key[len(jobs.Prefix):], raw, g.rev); err != nil {
 		g.t.Fatal(err)
 	} else if changed {
-		g.HandleJobChange(g.now, j)
+		g.HandleJobChange(g.now, job)
 	}
 }
 
@@ -104,13 +104,13 @@
 	}
 }
 
-func (g *rig) submit(s *jobs.Spec) *jobs.Job {
-	g.learn(jobs.RecordKey(s.ID), jobs.EncodeRecord(jobs.Pending, 0, s.Tasks, s))
-	return g.Jobs.Get(s.ID)
+func (g *rig) submit(spec *jobs.Spec) *jobs.Job {
+	g.learn(jobs.RecordKey(spec.ID), jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec))
+	return g.Jobs.Get(spec.ID)
 }
 
-func (g *rig) cancel(j *jobs.Job) {
-	g.learn(jobs.RecordKey(j.ID), jobs.EncodeRecord(jobs.Cancelled, 0, j.TaskCount, j.Spec))
+func (g *rig) cancel(job *jobs.Job) {
+	g.learn(jobs.RecordKey(job.ID), jobs.EncodeRecord(jobs.Cancelled, 0, job.TaskCount, job.Spec))
 }
 
 // hear delivers a report of machine m at a token, and returns the commands.
@@ -154,10 +154,10 @@
 func TestNothingStartsBeforeItsPlanIsDurable(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	j := g.submit(spec(1, 2))
+	job := g.submit(spec(1, 2))
 	g.Tick(g.now, true)
-	if j.Tasks[0].State != jobs.Planned || len(g.commit) != 1 {
-		t.Fatalf("state %v with %d writes, want a plan being written", j.Tasks[0].State, len(g.commit))
+	if job.Tasks[0].State != jobs.Planned || len(g.commit) != 1 {
+		t.Fatalf("state %v with %d writes, want a plan being written", job.Tasks[0].State, len(g.commit))
 	}
 	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 || len(g.sent) != 0 {
 		t.Fatalf("started %v before the plan was durable", cs)
@@ -177,16 +177,16 @@
 func TestOpenMoveBlocksStartsOnBothMachines(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	j := g.submit(spec(1, 1))
+	job := g.submit(spec(1, 1))
 	g.settle(store.Committed)
-	c := j.Segments[0]
-	m := j.Tasks[0].Machine
-	c.InFlight = []int32{m + 1}
-	if j.IsDurable(0) {
+	segment := job.Segments[0]
+	m := job.Tasks[0].Machine
+	segment.InFlight = []int32{m + 1}
+	if job.IsDurable(0) {
 		t.Fatal("durable although an open write names another machine")
 	}
-	c.InFlight = []int32{m}
-	if !j.IsDurable(0) {
+	segment.InFlight = []int32{m}
+	if !job.IsDurable(0) {
 		t.Fatal("an open write that repeats the machine must not block it")
 	}
 }
@@ -201,12 +201,12 @@
 	g.settle(store.Committed)
 
 	n := newRig(t, 2, kv)
-	j := n.Jobs.Get("req-000001")
-	if j.Tasks[0].State != jobs.Recovered || n.Gate.Quota.Team(j.Team).Used.CPUs != 1 {
-		t.Fatalf("state %v using %v, want recovered and counted", j.Tasks[0].State, n.Gate.Quota.Team(j.Team).Used)
+	job := n.Jobs.Get("req-000001")
+	if job.Tasks[0].State != jobs.Recovered || n.Gate.Quota.Team(job.Team).Used.CPUs != 1 {
+		t.Fatalf("state %v using %v, want recovered and counted", job.Tasks[0].State, n.Gate.Quota.Team(job.Team).Used)
 	}
-	if cs := n.hear("m", 1, fenced); len(cs) != 0 || j.Tasks[0].State != jobs.Recovered {
-		t.Fatalf("acted on a report at the former token: %v, %v", cs, j.Tasks[0].State)
+	if cs := n.hear("m", 1, fenced); len(cs) != 0 || job.Tasks[0].State != jobs.Recovered {
+		t.Fatalf("acted on a report at the former token: %v, %v", cs, job.Tasks[0].State)
 	}
 	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 {
 		t.Fatalf("started %v, want the task that is surely not there", cs)
@@ -217,47 +217,47 @@
 func launched(t *testing.T) (*rig, *jobs.Job) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	j := g.submit(spec(1, 1))
+	job := g.submit(spec(1, 1))
 	g.settle(store.Committed)
 	g.hearNothing()
 	g.Tick(g.now, true)
-	if len(g.sent) != 1 || j.Tasks[0].State != jobs.Launched {
-		t.Fatalf("%d direct commands, state %v", len(g.sent), j.Tasks[0].State)
+	if len(g.sent) != 1 || job.Tasks[0].State != jobs.Launched {
+		t.Fatalf("%d direct commands, state %v", len(g.sent), job.Tasks[0].State)
 	}
-	return g, j
+	return g, job
 }
 
 // hearNothing keeps a machine from looking silent without touching its lanes.
 func (g *rig) hearNothing() {
-	for _, m := range g.machines {
-		m.LastHeardAt = g.now
+	for _, machine := range g.machines {
+		machine.LastHeardAt = g.now
 	}
 }
 
 // A direct launch whose outcome is open counts until a report carries a raised token, and
 // is not lost for the team afterwards.
 func TestOpenDirectLaunchCountsUntilFenced(t *testing.T) {
-	g, j := launched(t)
+	g, job := launched(t)
 	g.orders[0](nil, false)
-	g.cancel(j)
+	g.cancel(job)
 	g.hear("m", 1, fenced) // this answer raises the token
-	if used := g.Gate.Quota.Team(j.Team).Used.CPUs; used != 1 {
+	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, but the launch may still arrive", used)
 	}
 	g.hear("m", 1, fenced)
-	if used := g.Gate.Quota.Team(j.Team).Used.CPUs; used != 1 {
+	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, but no report carries the raised token yet", used)
 	}
 	g.hear("m", 1, fenced+1)
-	if used := g.Gate.Quota.Team(j.Team).Used.CPUs; used != 0 {
+	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 0 {
 		t.Fatalf("uses %v, but nothing can arrive any more", used)
 	}
 }
 
 // A worker that forgot an attempt would start it anew if its launch arrived again.
 func TestForgetWaitsForAnOpenLaunch(t *testing.T) {
-	g, j := launched(t)
-	at := j.Tasks[0].Attempt
+	g, job := launched(t)
+	at := job.Tasks[0].Attempt
 	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: taskExited, Why: exitError}
 	has := func(cs []Command) bool {
 		for _, c := range cs {
@@ -301,13 +301,13 @@
 
 // A cancelled job's tasks still run after a takeover and count against the team.
 func TestCancelledTasksCountAfterTakeover(t *testing.T) {
-	g, j := launched(t)
-	g.cancel(j)
+	g, job := launched(t)
+	g.cancel(job)
 	n := newRig(t, 2, g.kv)
 	if used := n.Gate.Quota.Team(n.Jobs.Names.Teams.Index("t")).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, want the cancelled task counted", used)
 	}
-	task := TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: taskRunning}
+	task := TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskRunning}
 	cs := n.hear("m", 1, 2*fenced, task)
 	if len(cs) != 1 || cs[0].Op != opStop {
 		t.Fatalf("commands %v, want a stop", cs)
@@ -317,11 +317,11 @@
 // The answer to a direct command may come after its job has ended and been swept. This
 // once ended the controller.
 func TestAnswerAfterTheJobWasSwept(t *testing.T) {
-	g, j := launched(t)
-	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: taskExited, Why: exitDone})
+	g, job := launched(t)
+	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone})
 	g.settle(store.Committed)
-	if j.Tasks != nil || j.State != jobs.Done {
-		t.Fatalf("job not swept: %v", j.State)
+	if job.Tasks != nil || job.State != jobs.Done {
+		t.Fatalf("job not swept: %v", job.State)
 	}
 	g.orders[0](nil, true)
 }
@@ -329,12 +329,12 @@
 // A job's terminal record carries the version it was read at, so that it can never go over
 // a cancellation that came first.
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
-	g, j := launched(t)
-	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: taskExited, Why: exitDone})
+	g, job := launched(t)
+	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone})
 	var seen []store.Condition
 	g.Commit = func(tx store.Txn, done func(store.Result)) { seen = append(seen, tx.If...) }
 	g.FlushWrites(g.now)
-	want := store.Condition{Key: jobs.RecordKey(j.ID), Version: j.Version}
+	want := store.Condition{Key: jobs.RecordKey(job.ID), Version: job.Version}
 	for _, c := range seen {
 		if c == want {
 			return
@@ -358,12 +358,12 @@
 		t.Fatal("no hints written")
 	}
 	n := newRig(t, 2, kv)
-	if m := n.RegisterMachine(0, "m"); !m.HasImage(n.Jobs.Names.Images.Index("i")) {
+	if machine := n.RegisterMachine(0, "m"); !machine.HasImage(n.Jobs.Names.Images.Index("i")) {
 		t.Fatal("the next owner does not know the image")
 	}
 	kv[imagesKey+"/0"] = json.RawMessage(`{"images":["i"],"gb":[1],"on":{"m":[0,7,-1]}}`)
-	if m := newRig(t, 3, kv).RegisterMachine(0, "m"); len(m.cachedImages) != 1 {
-		t.Fatalf("images %v from a damaged hint", m.cachedImages)
+	if machine := newRig(t, 3, kv).RegisterMachine(0, "m"); len(machine.cachedImages) != 1 {
+		t.Fatalf("images %v from a damaged hint", machine.cachedImages)
 	}
 }
 
@@ -372,7 +372,7 @@
 func TestFailedTasksRunElsewhere(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	j := g.submit(spec(1, 6)) // four run, two wait in the lanes
+	job := g.submit(spec(1, 6)) // four run, two wait in the lanes
 	g.settle(store.Committed)
 	cs := starts(g.hear("m", 1, fenced))
 	if len(cs) != 4 {
@@ -394,7 +394,7 @@
 	g.now += 5 * time.Second
 	g.hearNothing()
 	g.settle(store.Committed)
-	if other := starts(g.hear("n", 1, fenced)); len(other) != 1 || j.Spec.Tasks != 6 {
+	if other := starts(g.hear("n", 1, fenced)); len(other) != 1 || job.Spec.Tasks != 6 {
 		// The team's limit of 4 CPUs leaves room for one.
 		t.Fatalf("started %v on the other machine, want one", other)
 	}
@@ -412,8 +412,8 @@
 	preempts := 0
 	for range 20 {
 		g.RankJobs(g.now)
-		for ix := range g.withinGuarantee {
-			g.withinGuarantee[ix] = rng.IntN(2) == 0
+		for jobIndex := range g.withinGuarantee {
+			g.withinGuarantee[jobIndex] = rng.IntN(2) == 0
 		}
 		sorted := append([]*jobs.Job(nil), g.ranked...)
 		g.sortByRank(sorted, map[jobs.Index]rankKey{})
@@ -458,33 +458,33 @@
 		has    bool
 	}{{[]string{taskFetching}, false, false}, {[]string{taskFetching, taskRunning}, false, true}, {[]string{taskFetching}, true, true}} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
-		m := g.RegisterMachine(0, "m")
+		machine := g.RegisterMachine(0, "m")
 		g.hear("m", 1, 2*fenced)
 		n := 1
 		if c.other {
 			n = 2
 		}
-		j := g.submit(spec(1, n))
+		job := g.submit(spec(1, n))
 		g.settle(store.Committed)
 		g.now += time.Second
 		g.hear("m", 1, 2*fenced)
 		report := func(state, why string) {
 			g.now += time.Second
-			tasks := []TaskReport{{Task: "req-000001/0", Attempt: j.Tasks[0].Attempt, State: state, Why: why}}
+			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, Why: why}}
 			if c.other {
-				tasks = append(tasks, TaskReport{Task: "req-000001/1", Attempt: j.Tasks[1].Attempt, State: taskFetching})
+				tasks = append(tasks, TaskReport{Task: "req-000001/1", Attempt: job.Tasks[1].Attempt, State: taskFetching})
 			}
 			g.hear("m", 1, 2*fenced, tasks...)
 		}
 		for _, s := range c.states {
 			report(s, "")
 		}
-		if !m.HasImage(j.Image) {
+		if !machine.HasImage(job.Image) {
 			t.Fatalf("%v: the image isn't expected there while it is fetched", c.states)
 		}
-		m.Returning = true // nothing starts anew
+		machine.Returning = true // nothing starts anew
 		report(taskExited, exitStopped)
-		if m.HasImage(j.Image) != c.has {
+		if machine.HasImage(job.Image) != c.has {
 			t.Errorf("%v, another that waits %v: the machine counts as having the image: %v", c.states, c.other, !c.has)
 		}
 	}
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -41,8 +41,8 @@
 }
 
 // addImage notes that a machine's inferred cache has changed.
-func (f *Fleet) addImage(m *Machine) {
-	k := int(m.Index) / hintShardMachines
+func (f *Fleet) addImage(machine *Machine) {
+	k := int(machine.Index) / hintShardMachines
 	for len(f.dirtyHintShards) <= k {
 		f.dirtyHintShards = append(f.dirtyHintShards, false)
 	}
@@ -55,14 +55,14 @@
 	h := imageHintRecord{Machines: map[string][]int32{}}
 	at := map[int32]int32{}
 	size := 100
-	for _, m := range f.machines[shard*hintShardMachines : min(len(f.machines), (shard+1)*hintShardMachines)] {
-		if m.Condition == Terminated || m.Condition == LeaseExpired || len(m.cachedImages) == 0 {
+	for _, machine := range f.machines[shard*hintShardMachines : min(len(f.machines), (shard+1)*hintShardMachines)] {
+		if machine.Condition == Terminated || machine.Condition == LeaseExpired || len(machine.cachedImages) == 0 {
 			continue
 		}
-		if size += len(m.Name) + 6 + 4*len(m.cachedImages); size > limit {
+		if size += len(machine.Name) + 6 + 4*len(machine.cachedImages); size > limit {
 			break
 		}
-		for _, c := range m.cachedImages {
+		for _, c := range machine.cachedImages {
 			i, ok := at[c.image]
 			if !ok {
 				name := f.Jobs.Names.Images.Name(c.image)
@@ -74,7 +74,7 @@
 				h.Images = append(h.Images, name)
 				h.GB = append(h.GB, c.gb)
 			}
-			h.Machines[m.Name] = append(h.Machines[m.Name], i)
+			h.Machines[machine.Name] = append(h.Machines[machine.Name], i)
 		}
 	}
 	raw, _ := json.Marshal(h)
@@ -82,9 +82,9 @@
 }
 
 // loadImages takes over the hints of the owner before.
-func (f *Fleet) loadImages(now time.Duration, it store.Item) {
+func (f *Fleet) loadImages(now time.Duration, item store.Item) {
 	var h imageHintRecord
-	if json.Unmarshal(it.Value, &h) != nil || len(h.GB) != len(h.Images) {
+	if json.Unmarshal(item.Value, &h) != nil || len(h.GB) != len(h.Images) {
 		return
 	}
 	for name, list := range h.Machines {
@@ -101,14 +101,14 @@
 // unfetched takes back that a machine has an image: the last task there that waited for it has ended while it was being
 // fetched, and the worker has given the fetch up. A gang whose image takes longer than its others wait once started
 // all its tasks together, on and on, because one machine was believed to have what it had never finished to fetch.
-func (f *Fleet) unfetched(m *Machine, image int32) {
-	for r := range m.Tasks {
+func (f *Fleet) unfetched(machine *Machine, image int32) {
+	for r := range machine.Tasks {
 		if f.jobAt(r.Job).Image == image {
 			return
 		}
 	}
-	if i := slices.IndexFunc(m.cachedImages, func(c cachedImage) bool { return c.image == image }); i >= 0 {
-		m.cachedImages = slices.Delete(m.cachedImages, i, i+1)
-		f.addImage(m)
+	if i := slices.IndexFunc(machine.cachedImages, func(c cachedImage) bool { return c.image == image }); i >= 0 {
+		machine.cachedImages = slices.Delete(machine.cachedImages, i, i+1)
+		f.addImage(machine)
 	}
 }
--- a/internal/fleet/lanes.go
+++ b/internal/fleet/lanes.go
@@ -8,66 +8,66 @@
 )
 
 // enqueue queues a planned task at its machine.
-func (f *Fleet) enqueue(m *Machine, j *jobs.Job, t int32) {
-	m.setQueue(j.Index, append(m.queued(j.Index), t))
-	at := f.queuedOn[j.Index]
+func (f *Fleet) enqueue(machine *Machine, job *jobs.Job, taskIndex int32) {
+	machine.setQueue(job.Index, append(machine.queued(job.Index), taskIndex))
+	at := f.queuedOn[job.Index]
 	if at == nil {
 		at = map[int32]int{}
-		f.queuedOn[j.Index] = at
+		f.queuedOn[job.Index] = at
 	}
-	at[m.Index]++
-	size := j.Spec.Size()
-	if m.QueuedTasks == 0 {
-		m.smallestQueued = size
+	at[machine.Index]++
+	size := job.Spec.Size()
+	if machine.QueuedTasks == 0 {
+		machine.smallestQueued = size
 	}
-	m.smallestQueued = m.smallestQueued.Min(size)
-	m.QueuedTasks++
-	m.queuedNeed = m.queuedNeed.Add(size)
-	if j.Spec.Kind != jobs.Array {
-		m.queuedWhole = m.queuedWhole.Add(size)
+	machine.smallestQueued = machine.smallestQueued.Min(size)
+	machine.QueuedTasks++
+	machine.queuedNeed = machine.queuedNeed.Add(size)
+	if job.Spec.Kind != jobs.Array {
+		machine.queuedWhole = machine.queuedWhole.Add(size)
 	}
 }
 
 // removeQueued keeps the books when n of a job's tasks have left a machine's lanes.
-func (f *Fleet) removeQueued(m *Machine, j *jobs.Job, n int) {
-	if at := f.queuedOn[j.Index]; at != nil {
-		if at[m.Index] -= n; at[m.Index] <= 0 {
-			delete(at, m.Index)
+func (f *Fleet) removeQueued(machine *Machine, job *jobs.Job, n int) {
+	if at := f.queuedOn[job.Index]; at != nil {
+		if at[machine.Index] -= n; at[machine.Index] <= 0 {
+			delete(at, machine.Index)
 		}
 		if len(at) == 0 {
-			delete(f.queuedOn, j.Index)
+			delete(f.queuedOn, job.Index)
 		}
 	}
-	m.QueuedTasks -= n
-	if m.QueuedTasks == 0 {
-		m.queuedNeed, m.queuedWhole = planner.Size{}, planner.Size{} // decimals leave dust
+	machine.QueuedTasks -= n
+	if machine.QueuedTasks == 0 {
+		machine.queuedNeed, machine.queuedWhole = planner.Size{}, planner.Size{} // decimals leave dust
 		return
 	}
-	size := j.Spec.Size().Times(float64(n))
-	m.queuedNeed = m.queuedNeed.Sub(size)
-	if j.Spec.Kind != jobs.Array {
-		m.queuedWhole = m.queuedWhole.Sub(size)
+	size := job.Spec.Size().Times(float64(n))
+	machine.queuedNeed = machine.queuedNeed.Sub(size)
+	if job.Spec.Kind != jobs.Array {
+		machine.queuedWhole = machine.queuedWhole.Sub(size)
 	}
 }
 
 // clearQueues empties a machine's lanes: its planned tasks are to be planned anew.
-func (f *Fleet) clearQueues(m *Machine) {
-	for len(m.queues) > 0 {
-		l := m.queues[len(m.queues)-1]
-		j := f.jobAt(l.job)
-		for _, t := range l.tasks {
-			if j.Tasks != nil && j.Tasks[t].State == jobs.Planned && j.Tasks[t].Machine == m.Index {
-				f.checkTransition(j.SetTaskState(t, jobs.Unplanned))
+func (f *Fleet) clearQueues(machine *Machine) {
+	for len(machine.queues) > 0 {
+		queue := machine.queues[len(machine.queues)-1]
+		job := f.jobAt(queue.job)
+		for _, taskIndex := range queue.tasks {
+			if job.Tasks != nil && job.Tasks[taskIndex].State == jobs.Planned && job.Tasks[taskIndex].Machine == machine.Index {
+				f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 			}
 		}
-		m.setQueue(l.job, nil)
-		f.removeQueued(m, j, len(l.tasks))
+		machine.setQueue(queue.job, nil)
+		f.removeQueued(machine, job, len(queue.tasks))
 	}
 }
 
 // queueMachines lists the machines on which a job's planned tasks wait, in a fixed order.
-func (f *Fleet) queueMachines(j *jobs.Job) []int32 {
-	at := f.queuedOn[j.Index]
+func (f *Fleet) queueMachines(job *jobs.Job) []int32 {
+	at := f.queuedOn[job.Index]
 	out := make([]int32, 0, len(at))
 	for m := range at {
 		out = append(out, m)
@@ -77,15 +77,15 @@
 }
 
 // dequeue takes a task out of its machine's lanes.
-func (f *Fleet) dequeue(j *jobs.Job, t int32) {
-	k := &j.Tasks[t]
-	if k.Machine == jobs.None {
+func (f *Fleet) dequeue(job *jobs.Job, taskIndex int32) {
+	task := &job.Tasks[taskIndex]
+	if task.Machine == jobs.None {
 		return
 	}
-	m := f.machines[k.Machine]
-	ts := m.queued(j.Index)
-	if i := slices.Index(ts, t); i >= 0 {
-		m.setQueue(j.Index, slices.Delete(ts, i, i+1))
-		f.removeQueued(m, j, 1)
+	machine := f.machines[task.Machine]
+	ts := machine.queued(job.Index)
+	if i := slices.Index(ts, taskIndex); i >= 0 {
+		machine.setQueue(job.Index, slices.Delete(ts, i, i+1))
+		f.removeQueued(machine, job, 1)
 	}
 }
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -16,57 +16,57 @@
 func (f *Fleet) expire(now time.Duration) {
 	lease := f.Settings.Lease()
 	limit := lease + lease/500 + time.Second
-	for _, m := range f.machines {
-		if m.Condition == LeaseExpired || m.Condition == Terminated || now-m.LastAnsweredAt <= limit {
+	for _, machine := range f.machines {
+		if machine.Condition == LeaseExpired || machine.Condition == Terminated || now-machine.LastAnsweredAt <= limit {
 			continue
 		}
-		f.setCondition(m, LeaseExpired, "lease ran out")
-		m.reachability.expiredSession = m.Session
-		f.forgetTasks(now, m)
+		f.setCondition(machine, LeaseExpired, "lease ran out")
+		machine.reachability.expiredSession = machine.Session
+		f.forgetTasks(now, machine)
 	}
 }
 
 // Quarantine plans nothing more on a machine that isn't heard and whose zone is lost; what was planned there and not sent
 // goes elsewhere. What may run there counts as before. Its next report ends it.
-func (f *Fleet) Quarantine(m *Machine) {
-	if m.Quarantined || m.Condition != Ready {
+func (f *Fleet) Quarantine(machine *Machine) {
+	if machine.Quarantined || machine.Condition != Ready {
 		return
 	}
-	m.Quarantined = true
-	f.clearQueues(m)
+	machine.Quarantined = true
+	f.clearQueues(machine)
 }
 
 // forgetTasks releases all of a machine's tasks, which are surely not on it any more.
-func (f *Fleet) forgetTasks(now time.Duration, m *Machine) {
-	refs := make([]TaskRef, 0, len(m.Tasks))
-	for r := range m.Tasks {
+func (f *Fleet) forgetTasks(now time.Duration, machine *Machine) {
+	refs := make([]TaskRef, 0, len(machine.Tasks))
+	for r := range machine.Tasks {
 		refs = append(refs, r)
 	}
 	sortRefs(refs)
 	for _, r := range refs {
-		j := f.jobAt(r.Job)
-		f.addTaskEvent(now, events.TaskLost, j, r.Task, "")
-		f.release(now, j, r.Task, jobs.Unplanned, licences.Crashed)
-		if !j.State.Terminal() {
-			j.MarkDirty(r.Task, false, now)
+		job := f.jobAt(r.Job)
+		f.addTaskEvent(now, events.TaskLost, job, r.Task, "")
+		f.release(now, job, r.Task, jobs.Unplanned, licences.Crashed)
+		if !job.State.Terminal() {
+			job.MarkDirty(r.Task, false, now)
 		}
 	}
-	f.clearQueues(m)
-	clear(m.indeterminateLaunches)
-	m.cachedImages = nil
+	f.clearQueues(machine)
+	clear(machine.indeterminateLaunches)
+	machine.cachedImages = nil
 }
 
 // HandleReturned tells that the cloud confirmed that a machine is gone.
-func (f *Fleet) HandleReturned(now time.Duration, m *Machine, cause string) {
-	f.setCondition(m, Terminated, cause)
-	f.forgetTasks(now, m)
+func (f *Fleet) HandleReturned(now time.Duration, machine *Machine, cause string) {
+	f.setCondition(machine, Terminated, cause)
+	f.forgetTasks(now, machine)
 }
 
 // ReturnMachine stops new starts on a machine that is to be given back.
-func (f *Fleet) ReturnMachine(m *Machine, cause string) {
-	m.Returning = true
-	if m.Condition == Ready {
-		f.setCondition(m, ReclaimNoticed, cause)
+func (f *Fleet) ReturnMachine(machine *Machine, cause string) {
+	machine.Returning = true
+	if machine.Condition == Ready {
+		f.setCondition(machine, ReclaimNoticed, cause)
 	}
-	f.clearQueues(m)
+	f.clearQueues(machine)
 }
--- a/internal/fleet/liveness_test.go
+++ b/internal/fleet/liveness_test.go
@@ -68,24 +68,24 @@
 
 // guards does what taking one of them out comes to.
 func (l *lone) guards() {
-	m := l.machines[0]
+	machine := l.machines[0]
 	switch l.without {
 	case "tokens never fall":
-		m.reachability.highestToken = 0
+		machine.reachability.highestToken = 0
 	}
 }
 
-func (l *lone) deliver(r *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
+func (l *lone) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	if len(l.machines) > 0 {
 		l.guards()
 	}
-	c := *r
-	c.Tasks = append([]TaskReport(nil), r.Tasks...)
+	c := *heartbeat
+	c.Tasks = append([]TaskReport(nil), heartbeat.Tasks...)
 	if l.without == "old reports are void" && len(l.machines) > 0 && c.Session == l.machines[0].Session {
 		c.Seq = l.machines[0].Seq + 1
 	}
-	if m := l.FindMachine("m"); l.without == "a lost session is over" && m != nil {
-		m.reachability.expiredSession = 0
+	if machine := l.FindMachine("m"); l.without == "a lost session is over" && machine != nil {
+		machine.reachability.expiredSession = 0
 	}
 	return l.HandleHeartbeat(l.now, &c)
 }
@@ -93,12 +93,12 @@
 // copied lets a copy of an earlier report arrive. Nothing may follow from it, unless the report itself never arrived and is of the
 // present life, as far as that is known, in a session that hasn't surely ended.
 func (l *lone) copied(i int) {
-	m, r := l.machines[0], &l.said[i]
-	news := !r.arrived && r.life >= l.known && (m.Condition != LeaseExpired || r.Session > m.Session)
+	machine, r := l.machines[0], &l.said[i]
+	news := !r.arrived && r.life >= l.known && (machine.Condition != LeaseExpired || r.Session > machine.Session)
 	r.arrived = true
-	was := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.Condition, l.j.Tasks[0].State)
+	was := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.j.Tasks[0].State)
 	l.deliver(&r.Heartbeat)
-	if is := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.Condition, l.j.Tasks[0].State); is != was && !news && l.changed == "" {
+	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.j.Tasks[0].State); is != was && !news && l.changed == "" {
 		l.changed = fmt.Sprintf("a copy changes %s to %s", was, is)
 	}
 }
@@ -106,10 +106,10 @@
 // report sends a report that arrives; heard: so does its answer.
 func (l *lone) report(heard bool) {
 	l.expireLease()
-	r, sent := l.says(), l.now
+	heartbeat, sent := l.says(), l.now
 	l.said[len(l.said)-1].arrived = true
-	a, v := l.deliver(r)
-	if m := l.machines[0]; m.Session == r.Session && m.Seq == r.Seq {
+	a, v := l.deliver(heartbeat)
+	if machine := l.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
 		l.known = l.life
 	}
 	if v != Accepted || !heard || a.Token < l.token {
@@ -132,35 +132,35 @@
 
 // order lets what is due go out directly: it arrives or not, and its answer is heard or not.
 func (l *lone) order(arrives, heard bool) {
-	m := l.machines[0]
-	answered := m.LastAnsweredAt
+	machine := l.machines[0]
+	answered := machine.LastAnsweredAt
 	l.Tick(l.now, true)
 	if len(l.orders) == 0 {
 		return
 	}
 	o, done := l.sent[len(l.sent)-1], l.orders[len(l.orders)-1]
 	l.orders = nil
-	var r *Heartbeat
+	var heartbeat *Heartbeat
 	if arrives && !l.dead {
 		l.expireLease()
 		if o.Token >= l.token && o.Session == l.session {
 			l.token = o.Token
 			l.execute(o.Commands)
 		}
-		r = l.says()
+		heartbeat = l.says()
 		l.said = l.said[:len(l.said)-1] // only reports come as copies
 	}
-	if r == nil || !heard {
+	if heartbeat == nil || !heard {
 		l.now += 2 * time.Second
 		done(nil, false)
 		if l.without == "the lease of a new life" {
-			m.LastAnsweredAt = answered
+			machine.LastAnsweredAt = answered
 		}
 		return
 	}
-	c := *r
-	if done(&c, true); l.without == "the lease of a new life" && m.LastAnsweredAt == l.now {
-		m.LastAnsweredAt = answered
+	c := *heartbeat
+	if done(&c, true); l.without == "the lease of a new life" && machine.LastAnsweredAt == l.now {
+		machine.LastAnsweredAt = answered
 	}
 }
 
@@ -211,8 +211,8 @@
 	if l.changed != "" {
 		return l.changed
 	}
-	if k := &l.j.Tasks[0]; l.on > 0 && !k.State.Occupies() {
-		return fmt.Sprintf("the task is on the machine and counts as %s", k.State)
+	if task := &l.j.Tasks[0]; l.on > 0 && !task.State.Occupies() {
+		return fmt.Sprintf("the task is on the machine and counts as %s", task.State)
 	}
 	return ""
 }
@@ -229,12 +229,12 @@
 			return why
 		}
 	}
-	m := l.machines[0]
+	machine := l.machines[0]
 	if l.dead {
 		// Copies of all that was ever said, several leases late.
 		l.now += 3 * l.Settings.Lease()
 		l.quick()
-		heard := m.LastHeardAt
+		heard := machine.LastHeardAt
 		for i := range l.said {
 			// One that never arrived is the newest that is known of it.
 			if r := &l.said[len(l.said)-1-i]; r.arrived {
@@ -242,7 +242,7 @@
 				l.quick()
 			}
 		}
-		if m.Condition == Ready || len(m.Tasks) > 0 || m.LastHeardAt > heard {
+		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastHeardAt > heard {
 			return "copies bring a dead machine back"
 		}
 		return ""
@@ -254,11 +254,11 @@
 		if why := l.fault(); why != "" {
 			return why
 		}
-		if l.quick(); l.on > 0 && m.Condition == Ready && l.j.Tasks[0].State == jobs.OnMachine {
+		if l.quick(); l.on > 0 && machine.Condition == Ready && l.j.Tasks[0].State == jobs.OnMachine {
 			return ""
 		}
 	}
-	return fmt.Sprintf("it is there again and gets nothing: %s, task %s, %+v", m.Condition, l.j.Tasks[0].State, m.reachability)
+	return fmt.Sprintf("it is there again and gets nothing: %s, task %s, %+v", machine.Condition, l.j.Tasks[0].State, machine.reachability)
 }
 
 // explore plays every run that begins with some events and goes on with a number of others.
@@ -323,14 +323,14 @@
 func TestLostAndBack(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
-		m := g.RegisterMachine(0, "m")
+		machine := g.RegisterMachine(0, "m")
 		if known {
 			g.hear("m", 1, 2*fenced)
 			g.hear("m", 1, 2*fenced)
 		}
 		g.now += 30 * time.Second
-		if g.Tick(g.now, true); m.Condition != LeaseExpired {
-			t.Fatal(m.Condition)
+		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
+			t.Fatal(machine.Condition)
 		}
 		tokens := []uint64{fenced, fenced, 2 * fenced} // the answer to the first is lost
 		if known {
@@ -340,8 +340,8 @@
 			g.now += time.Second
 			g.hear("m", 2, token)
 		}
-		if m.Condition != Ready {
-			t.Errorf("known before: %v: it is %s", known, m.Condition)
+		if machine.Condition != Ready {
+			t.Errorf("known before: %v: it is %s", known, machine.Condition)
 		}
 	}
 }
@@ -366,18 +366,18 @@
 			life.Token = max(life.Token, a.Token)
 		}
 	}
-	m := g.FindMachine("m")
-	if m.Session != 1 || m.Condition != Ready {
-		t.Fatalf("session %d, %v", m.Session, m.Condition)
+	machine := g.FindMachine("m")
+	if machine.Session != 1 || machine.Condition != Ready {
+		t.Fatalf("session %d, %v", machine.Session, machine.Condition)
 	}
-	m.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
-	was := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.LastAnsweredAt, m.Condition, m.Token, len(m.indeterminateLaunches))
+	machine.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
+	was := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition, machine.Token, len(machine.indeterminateLaunches))
 	g.now += time.Second
 	old.Seq++
 	if _, v := g.HandleHeartbeat(g.now, old); v != Stale {
 		t.Errorf("the copy's verdict is %d", v)
 	}
-	if is := fmt.Sprint(m.Session, m.Seq, m.LastHeardAt, m.LastAnsweredAt, m.Condition, m.Token, len(m.indeterminateLaunches)); is != was {
+	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition, machine.Token, len(machine.indeterminateLaunches)); is != was {
 		t.Errorf("a copy changes %s to %s", was, is)
 	}
 	life.Seq++
@@ -392,16 +392,16 @@
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, 2*fenced)
 	g.hear("m", 1, 2*fenced)
-	m, r, from := g.FindMachine("m"), Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 3, Seq: 2}, g.now
-	for g.now-from < 20*time.Second && (m.Session != 3 || m.Condition != Ready) {
+	machine, r, from := g.FindMachine("m"), Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 3, Seq: 2}, g.now
+	for g.now-from < 20*time.Second && (machine.Session != 3 || machine.Condition != Ready) {
 		g.now += time.Second
 		r.Seq++
 		if a, v := g.HandleHeartbeat(g.now, &r); v == Accepted {
 			r.Token = max(r.Token, a.Token)
 		}
 	}
-	if d := g.now - from; d > 10*time.Second {
-		t.Errorf("session %d, %v after %v", m.Session, m.Condition, d)
+	if duration := g.now - from; duration > 10*time.Second {
+		t.Errorf("session %d, %v after %v", machine.Session, machine.Condition, duration)
 	}
 }
 
@@ -409,7 +409,7 @@
 // answers nothing else is given to it, and it isn't heard. It is again with the first report at the token that was raised.
 func TestNoEffectIsDeaf(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	m := g.RegisterMachine(0, "m")
+	machine := g.RegisterMachine(0, "m")
 	g.hear("m", 1, 2*fenced)
 	g.submit(spec(1, 8))
 	g.settle(store.Committed)
@@ -420,11 +420,11 @@
 			given += len(cs)
 		}
 	}
-	if m.Condition != OneWayUnreachable || given > 0 || m.QueuedTasks > 0 || g.now-m.LastHeardAt < g.ReachabilityTimeout() {
-		t.Errorf("%v, %d commands given to it lately, %d tasks planned on it, heard %v ago", m.Condition, given, m.QueuedTasks, g.now-m.LastHeardAt)
+	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 || g.now-machine.LastHeardAt < g.ReachabilityTimeout() {
+		t.Errorf("%v, %d commands given to it lately, %d tasks planned on it, heard %v ago", machine.Condition, given, machine.QueuedTasks, g.now-machine.LastHeardAt)
 	}
-	if g.hear("m", 1, m.Token); m.Condition != Ready {
-		t.Errorf("%v though it carries the token that was raised", m.Condition)
+	if g.hear("m", 1, machine.Token); machine.Condition != Ready {
+		t.Errorf("%v though it carries the token that was raised", machine.Condition)
 	}
 }
 
@@ -433,16 +433,16 @@
 func TestLostAndDeaf(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	m := g.FindMachine("m")
-	last := m.LastHeardAt
+	machine := g.FindMachine("m")
+	last := machine.LastHeardAt
 	for session := uint64(1); session < 6; session++ {
 		g.now += 30 * time.Second
-		if g.Tick(g.now, true); m.Condition != LeaseExpired {
-			t.Fatal(m.Condition)
+		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
+			t.Fatal(machine.Condition)
 		}
 		g.hear("m", session+1, fenced)
 	}
-	if m.LastHeardAt != last || m.LastHeartbeatAt != g.now {
-		t.Errorf("it counts as heard at %v", m.LastHeardAt)
+	if machine.LastHeardAt != last || machine.LastHeartbeatAt != g.now {
+		t.Errorf("it counts as heard at %v", machine.LastHeardAt)
 	}
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -17,9 +17,9 @@
 // LoadPlans takes over the durable plans of earlier terms: every machine named there counts as
 // running its task until a fenced report or the end of its lease says otherwise.
 func (f *Fleet) LoadPlans(now time.Duration, items []store.Item) {
-	for _, it := range items {
-		if strings.HasPrefix(it.Key, imagesKey) {
-			f.loadImages(now, it)
+	for _, item := range items {
+		if strings.HasPrefix(item.Key, imagesKey) {
+			f.loadImages(now, item)
 		}
 	}
 	found := map[*jobs.PlanSegment]uint64{}
@@ -28,22 +28,22 @@
 	}
 	values, lost := f.storedValues(items)
 	for _, v := range values {
-		if c := f.loadSegment(now, v); c != nil {
-			found[c] = v.version
+		if segment := f.loadSegment(now, v); segment != nil {
+			found[segment] = v.version
 		}
 	}
 	if lost > 0 {
 		f.quarantineOlder(now, found, lost)
 	}
-	f.Jobs.ForEachLive(func(j *jobs.Job) {
-		j.OpenTasks()
-		if j.Spec.Kind == jobs.Gang && j.FinishedTasks > 0 {
-			f.finishGang(now, j)
+	f.Jobs.ForEachLive(func(job *jobs.Job) {
+		job.OpenTasks()
+		if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
+			f.finishGang(now, job)
 		}
 	})
-	f.Jobs.ForEach(func(j *jobs.Job) {
-		if j.State.Terminal() && j.Tasks != nil {
-			f.endedJobs = append(f.endedJobs, j)
+	f.Jobs.ForEach(func(job *jobs.Job) {
+		if job.State.Terminal() && job.Tasks != nil {
+			f.endedJobs = append(f.endedJobs, job)
 		}
 	})
 	f.plansLoaded = true
@@ -64,23 +64,23 @@
 func (f *Fleet) storedValues(items []store.Item) (kept []storedValue, lost uint64) {
 	var all []storedValue
 	var read []pages.StoredPage
-	for _, it := range items {
+	for _, item := range items {
 		switch {
-		case strings.HasPrefix(it.Key, imagesKey):
-		case strings.HasPrefix(it.Key, jobs.PlanPagePrefix):
-			s, err := pages.Decode(jobs.PlanPagePrefix, it.Key, it.Value, it.Version)
+		case strings.HasPrefix(item.Key, imagesKey):
+		case strings.HasPrefix(item.Key, jobs.PlanPagePrefix):
+			s, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
 			if err != nil {
-				f.reportUnreadable(it.Key, it.Value, err)
+				f.reportUnreadable(item.Key, item.Value, err)
 				f.pages.Reserve(s.Number)
-				lost = max(lost, it.Version)
+				lost = max(lost, item.Version)
 				continue
 			}
 			read = append(read, s)
 			for name, raw := range s.Values {
-				all = append(all, storedValue{name, raw, it.Version, s.Number})
+				all = append(all, storedValue{name, raw, item.Version, s.Number})
 			}
 		default:
-			all = append(all, storedValue{strings.TrimPrefix(it.Key, jobs.PlanPrefix), it.Value, it.Version, -1})
+			all = append(all, storedValue{strings.TrimPrefix(item.Key, jobs.PlanPrefix), item.Value, item.Version, -1})
 		}
 	}
 	slices.SortFunc(all, func(a, b storedValue) int {
@@ -98,8 +98,8 @@
 		kept = append(kept, v)
 		if id, no, ok := splitPlanName(v.name); ok && v.page >= 0 {
 			ref := pages.Ref{A: -1 - int32(i), B: int32(no)}
-			if j := f.Jobs.Get(id); j != nil {
-				ref.A = int32(j.Index)
+			if job := f.Jobs.Get(id); job != nil {
+				ref.A = int32(job.Index)
 			} else if !f.Jobs.IsUnreadable(id) {
 				continue
 			} // else its record can't be read: the plan stays, wherever its page is written, under a number that no job has
@@ -116,52 +116,52 @@
 func (f *Fleet) loadSegment(now time.Duration, v storedValue) *jobs.PlanSegment {
 	key := jobs.PlanPrefix + v.name
 	id, no, ok := splitPlanName(v.name)
-	j := f.Jobs.Get(id)
+	job := f.Jobs.Get(id)
 	drop := func() {
 		if v.page >= 0 {
-			if j != nil {
-				f.pages.Drop(pages.Ref{A: int32(j.Index), B: int32(no)})
+			if job != nil {
+				f.pages.Drop(pages.Ref{A: int32(job.Index), B: int32(no)})
 			}
 			return
 		}
 		f.obsoletePlanKeys = append(f.obsoletePlanKeys, key)
 	}
-	if !ok || j == nil || j.State == jobs.Done || j.Spec == nil {
-		if j == nil && f.Jobs.IsUnreadable(id) {
+	if !ok || job == nil || job.State == jobs.Done || job.Spec == nil {
+		if job == nil && f.Jobs.IsUnreadable(id) {
 			return nil // its record can't be read: its plan is nobody's to drop
 		}
 		drop()
 		return nil
 	}
-	j.OpenTasks()
-	if no >= len(j.Segments) {
+	job.OpenTasks()
+	if no >= len(job.Segments) {
 		drop()
 		return nil
 	}
-	c := j.Segments[no]
-	on, done, err := jobs.DecodeSegment(v.raw, len(c.DurableMachines), func(name string) int32 { return f.RegisterMachine(now, name).Index })
+	segment := job.Segments[no]
+	on, done, err := jobs.DecodeSegment(v.raw, len(segment.DurableMachines), func(name string) int32 { return f.RegisterMachine(now, name).Index })
 	if v.page < 0 {
-		c.Version = v.version
+		segment.Version = v.version
 	}
 	if err != nil {
 		f.reportUnreadable(key, v.raw, err)
-		f.quarantineSegment(now, j, c)
-		return c
+		f.quarantineSegment(now, job, segment)
+		return segment
 	}
 	for i := range on {
-		t := int32(no*jobs.SegmentTasks + i)
+		taskIndex := int32(no*jobs.SegmentTasks + i)
 		switch {
 		case done[i]:
-			c.DurableMachines[i] = jobs.DurablyDone
-			f.checkTransition(j.SetTaskState(t, jobs.Finished))
+			segment.DurableMachines[i] = jobs.DurablyDone
+			f.checkTransition(job.SetTaskState(taskIndex, jobs.Finished))
 		case on[i] != jobs.None:
-			c.DurableMachines[i] = on[i]
-			j.Tasks[t].Machine = on[i]
-			j.Started = true
-			f.setOnMachine(now, j, t, jobs.Recovered)
+			segment.DurableMachines[i] = on[i]
+			job.Tasks[taskIndex].Machine = on[i]
+			job.Started = true
+			f.setOnMachine(now, job, taskIndex, jobs.Recovered)
 		}
 	}
-	return c
+	return segment
 }
 
 // splitPlanName reads a chunk's name: its job and number.
@@ -176,15 +176,15 @@
 
 // quarantineSegment shuts a chunk whose stored value can't be read: any of its tasks may be on any machine. It is neither planned
 // nor written over, and counts in full against the limits for as long as this term lasts.
-func (f *Fleet) quarantineSegment(now time.Duration, j *jobs.Job, c *jobs.PlanSegment) {
-	if c.Quarantined {
+func (f *Fleet) quarantineSegment(now time.Duration, job *jobs.Job, segment *jobs.PlanSegment) {
+	if segment.Quarantined {
 		return
 	}
-	c.Quarantined, j.Quarantined = true, true
-	for i := range c.DurableMachines {
-		t := int32(c.Number*jobs.SegmentTasks + i)
-		if k := &j.Tasks[t]; !k.State.Occupies() && k.State != jobs.Finished {
-			f.Gate.Acquire(now, licenceRef(j, t), 0, admissionClaim(j))
+	segment.Quarantined, job.Quarantined = true, true
+	for i := range segment.DurableMachines {
+		taskIndex := int32(segment.Number*jobs.SegmentTasks + i)
+		if task := &job.Tasks[taskIndex]; !task.State.Occupies() && task.State != jobs.Finished {
+			f.Gate.Acquire(now, licenceRef(job, taskIndex), 0, admissionClaim(job))
 		}
 	}
 }
@@ -192,14 +192,14 @@
 // quarantineOlder shuts every chunk of a job that is not over whose value is older than a page that can't be read: it
 // may stand there anew.
 func (f *Fleet) quarantineOlder(now time.Duration, found map[*jobs.PlanSegment]uint64, page uint64) {
-	f.Jobs.ForEach(func(j *jobs.Job) {
-		if j.State == jobs.Done || j.Spec == nil {
+	f.Jobs.ForEach(func(job *jobs.Job) {
+		if job.State == jobs.Done || job.Spec == nil {
 			return
 		}
-		j.OpenTasks()
-		for _, c := range j.Segments {
-			if found[c] < page {
-				f.quarantineSegment(now, j, c)
+		job.OpenTasks()
+		for _, segment := range job.Segments {
+			if found[segment] < page {
+				f.quarantineSegment(now, job, segment)
 			}
 		}
 	})
--- a/internal/fleet/loss.go
+++ b/internal/fleet/loss.go
@@ -24,53 +24,53 @@
 	free := map[*Machine]planner.Size{}
 	var hosts []*Machine
 	on := map[jobs.Index]int{}
-	for _, m := range f.machines {
+	for _, machine := range f.machines {
 		switch {
-		case m.Zone == zone && m.Condition != Terminated && m.Condition != LeaseExpired:
-			for r := range m.Tasks {
+		case machine.Zone == zone && machine.Condition != Terminated && machine.Condition != LeaseExpired:
+			for r := range machine.Tasks {
 				on[r.Job]++
 			}
-		case m.Condition == Ready && !m.Returning && !m.Quarantined:
-			hosts = append(hosts, m)
-			free[m] = m.Free().Sub(m.queuedNeed)
+		case machine.Condition == Ready && !machine.Returning && !machine.Quarantined:
+			hosts = append(hosts, machine)
+			free[machine] = machine.Free().Sub(machine.queuedNeed)
 		}
 	}
 	type kind struct{ class, team int32 }
 	by := map[kind]*ZoneLoss{}
 	ixs := make([]jobs.Index, 0, len(on))
-	for ix := range on {
-		ixs = append(ixs, ix)
+	for jobIndex := range on {
+		ixs = append(ixs, jobIndex)
 	}
 	f.sortRanked(ixs)
-	for _, ix := range ixs {
-		j := f.jobAt(ix)
-		if j.Spec == nil || j.State.Terminal() {
+	for _, jobIndex := range ixs {
+		job := f.jobAt(jobIndex)
+		if job.Spec == nil || job.State.Terminal() {
 			continue
 		}
-		k := kind{j.Class, j.Team}
+		k := kind{job.Class, job.Team}
 		l := by[k]
 		if l == nil {
-			l = &ZoneLoss{Class: j.Class, Team: j.Team}
+			l = &ZoneLoss{Class: job.Class, Team: job.Team}
 			by[k] = l
 		}
-		l.Tasks += on[ix]
+		l.Tasks += on[jobIndex]
 		l.Jobs++
 		// A gang that loses a task starts anew, all of it; the rest of it makes room where it is.
-		need := on[ix]
-		size := j.Spec.Size()
+		need := on[jobIndex]
+		size := job.Spec.Size()
 		var took []*Machine
-		for _, m := range hosts {
-			for len(took) < need && j.Allows(m.Type, m.Zone, m.Spot) && size.Fits(free[m]) {
-				free[m] = free[m].Sub(size)
-				took = append(took, m)
+		for _, machine := range hosts {
+			for len(took) < need && job.Allows(machine.Type, machine.Zone, machine.Spot) && size.Fits(free[machine]) {
+				free[machine] = free[machine].Sub(size)
+				took = append(took, machine)
 			}
 			if len(took) == need {
 				break
 			}
 		}
-		if j.Spec.Kind == jobs.Gang && len(took) < need {
-			for _, m := range took {
-				free[m] = free[m].Add(size)
+		if job.Spec.Kind == jobs.Gang && len(took) < need {
+			for _, machine := range took {
+				free[machine] = free[machine].Add(size)
 			}
 			continue
 		}
