--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -127,9 +127,9 @@
 }
 
 // queued lists the tasks of a job that are planned here and not started.
-func (m *Machine) queued(ix jobs.Index) []int32 {
+func (m *Machine) queued(jobIndex jobs.Index) []int32 {
 	for i := range m.queues {
-		if m.queues[i].job == ix {
+		if m.queues[i].job == jobIndex {
 			return m.queues[i].tasks
 		}
 	}
@@ -137,9 +137,9 @@
 }
 
 // setQueue replaces the tasks of a job that are planned here; none ends its lane.
-func (m *Machine) setQueue(ix jobs.Index, tasks []int32) {
+func (m *Machine) setQueue(jobIndex jobs.Index, tasks []int32) {
 	for i := range m.queues {
-		if m.queues[i].job != ix {
+		if m.queues[i].job != jobIndex {
 			continue
 		}
 		if m.queues[i].tasks = tasks; len(tasks) == 0 {
@@ -148,7 +148,7 @@
 		return
 	}
 	if len(tasks) > 0 {
-		m.queues = append(m.queues, taskQueue{ix, tasks})
+		m.queues = append(m.queues, taskQueue{jobIndex, tasks})
 	}
 }
 
@@ -207,59 +207,59 @@
 
 // RegisterMachine finds or makes a machine by name.
 func (f *Fleet) RegisterMachine(now time.Duration, name string) *Machine {
-	if m, ok := f.byName[name]; ok {
-		return m
+	if machine, ok := f.byName[name]; ok {
+		return machine
 	}
-	m := &Machine{
+	machine := &Machine{
 		Index: int32(len(f.machines)), Name: name, Type: jobs.None, Zone: jobs.None, FirstSeenAt: now,
 		LastAnsweredAt: now, LastHeardAt: now, IdleSince: now, Tasks: map[TaskRef]struct{}{},
 		indeterminateLaunches: map[taskAttempt]struct{}{}, slowdown: 1, Token: f.Term << tokenBits,
 	}
-	m.cachedImages = f.imageHints[name]
-	f.machines = append(f.machines, m)
-	f.byName[m.Name] = m
-	return m
+	machine.cachedImages = f.imageHints[name]
+	f.machines = append(f.machines, machine)
+	f.byName[machine.Name] = machine
+	return machine
 }
 
 // FindMachine finds a machine by name, or nil.
 func (f *Fleet) FindMachine(name string) *Machine { return f.byName[name] }
 
 // SetMachineDetails notes what the list or a report tells of a machine.
-func (f *Fleet) SetMachineDetails(m *Machine, addr, typ, zone string, spot bool) {
+func (f *Fleet) SetMachineDetails(machine *Machine, addr, typ, zone string, spot bool) {
 	d := f.Jobs.Names
 	z := d.Zones.Index(zone)
-	if m.Zone == jobs.None {
+	if machine.Zone == jobs.None {
 		// Recovered tasks were counted before their machine's zone was known.
-		for r := range m.Tasks {
-			j := f.jobAt(r.Job)
-			j.TasksByZone[jobs.None]--
-			j.TasksByZone[z]++
+		for r := range machine.Tasks {
+			job := f.jobAt(r.Job)
+			job.TasksByZone[jobs.None]--
+			job.TasksByZone[z]++
 		}
 	}
-	m.Addr, m.Type, m.Zone, m.Spot = addr, d.Types.Index(typ), z, spot
-	f.setCapacity(m)
+	machine.Addr, machine.Type, machine.Zone, machine.Spot = addr, d.Types.Index(typ), z, spot
+	f.setCapacity(machine)
 }
 
-func (f *Fleet) setCapacity(m *Machine) {
-	if t := f.machineType(m); t != nil {
-		f.seenTypes[m.Type] = true
-		m.Capacity = t.Size
+func (f *Fleet) setCapacity(machine *Machine) {
+	if machineType := f.machineType(machine); machineType != nil {
+		f.seenTypes[machine.Type] = true
+		machine.Capacity = machineType.Size
 	}
 }
 
-func (f *Fleet) machineType(m *Machine) *MachineType {
-	if m.Type == jobs.None {
+func (f *Fleet) machineType(machine *Machine) *MachineType {
+	if machine.Type == jobs.None {
 		return nil
 	}
-	return f.Types(m.Type)
+	return f.Types(machine.Type)
 }
 
 // setCondition is the only place where a machine's condition changes.
-func (f *Fleet) setCondition(m *Machine, c Condition, cause string) {
-	if m.Condition == c {
+func (f *Fleet) setCondition(machine *Machine, c Condition, cause string) {
+	if machine.Condition == c {
 		return
 	}
-	slog.Info("machine", "name", m.Name, "from", m.Condition.String(), "to", c.String(), "term", f.Term, "cause", cause)
-	m.Condition = c
-	f.Events.Add(events.Event{At: f.Now(), Kind: events.Machine, Machine: m.Index, Note: c.String()})
+	slog.Info("machine", "name", machine.Name, "from", machine.Condition.String(), "to", c.String(), "term", f.Term, "cause", cause)
+	machine.Condition = c
+	f.Events.Add(events.Event{At: f.Now(), Kind: events.Machine, Machine: machine.Index, Note: c.String()})
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -88,14 +88,14 @@
 // encoding/json took a quarter of the leader's processor time; this is its second version,
 // as a module of its own until the standard library has it.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	r := &Heartbeat{}
-	if err := json.Unmarshal(body, r); err != nil {
+	heartbeat := &Heartbeat{}
+	if err := json.Unmarshal(body, heartbeat); err != nil {
 		return nil, err
 	}
-	if r.Machine == "" || len(r.Machine) > 200 || r.Type == "" || r.Zone == "" || r.Session == 0 {
+	if heartbeat.Machine == "" || len(heartbeat.Machine) > 200 || heartbeat.Type == "" || heartbeat.Zone == "" || heartbeat.Session == 0 {
 		return nil, errors.New("report lacks a field")
 	}
-	return r, nil
+	return heartbeat, nil
 }
 
 // parseTaskName takes "req-000412/3" apart.
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -14,8 +14,8 @@
 	g.submit(spec(1, 3))
 	good := []byte(`{"den":"m","address":"10.1.0.2:9000","build":"ty","meadow":"z","stray":true,"run":1,"tally":88,"mark":1048576,
  "warning_s":null,"hops":[{"hop":"req-000001/1","try":2,"stance":"running"},{"hop":"req-000001/0","try":1,"stance":"exited","cause":"done"}]}`)
-	if r, err := ParseHeartbeat(good); err != nil || len(r.Tasks) != 2 || r.Token != fenced || r.NoticeS != nil {
-		t.Fatalf("%+v, %v", r, err)
+	if heartbeat, err := ParseHeartbeat(good); err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.NoticeS != nil {
+		t.Fatalf("%+v, %v", heartbeat, err)
 	}
 	rng := rand.New(rand.NewPCG(9, 9))
 	taken, refused := 0, 0
@@ -24,14 +24,14 @@
 		for range 1 + rng.IntN(4) {
 			raw[rng.IntN(len(raw))] = byte(32 + rng.IntN(95))
 		}
-		r, err := ParseHeartbeat(raw)
+		heartbeat, err := ParseHeartbeat(raw)
 		if err != nil {
 			refused++
 			continue
 		}
 		taken++
-		r.Seq = uint64(100 + i)
-		g.HandleHeartbeat(g.now, r)
+		heartbeat.Seq = uint64(100 + i)
+		g.HandleHeartbeat(g.now, heartbeat)
 	}
 	if taken == 0 || refused == 0 {
 		t.Fatalf("%d taken, %d refused: the test decides nothing", taken, refused)
--- a/internal/fleet/mistake.go
+++ b/internal/fleet/mistake.go
@@ -45,104 +45,104 @@
 }
 
 // setCrashLoopState is the only place where a job's standing changes.
-func (f *Fleet) setCrashLoopState(j *jobs.Job, r *crashLoop, to CrashLoopState) {
-	slog.Info("job", "job", j.ID, "from", r.state.String(), "to", to.String(), "machines", len(r.failedOn), "term", f.Term)
-	r.state = to
+func (f *Fleet) setCrashLoopState(job *jobs.Job, loop *crashLoop, to CrashLoopState) {
+	slog.Info("job", "job", job.ID, "from", loop.state.String(), "to", to.String(), "machines", len(loop.failedOn), "term", f.Term)
+	loop.state = to
 	if to == CrashLooping { // what it did on machines says nothing of them
-		for _, m := range f.machines {
-			if i := slices.Index(m.failedJobs, j.Index); i >= 0 {
-				m.failedJobs = slices.Delete(m.failedJobs, i, i+1)
+		for _, machine := range f.machines {
+			if i := slices.Index(machine.failedJobs, job.Index); i >= 0 {
+				machine.failedJobs = slices.Delete(machine.failedJobs, i, i+1)
 			}
 		}
 	}
 }
 
 // crashLooping returns the record of a job that fails wherever it runs, nil for any other.
-func (f *Fleet) crashLooping(j *jobs.Job) *crashLoop {
-	if r := f.crashLoops[j.Index]; r != nil && r.state == CrashLooping {
-		return r
+func (f *Fleet) crashLooping(job *jobs.Job) *crashLoop {
+	if loop := f.crashLoops[job.Index]; loop != nil && loop.state == CrashLooping {
+		return loop
 	}
 	return nil
 }
 
 // inBackoff tells whether nothing of a mistaken job is to be started now: not before its pause is over, and of an array or
 // a service one task at a time. Thousands of tasks that fail at once, each with pauses of its own, took the starts of all others.
-func (f *Fleet) inBackoff(now time.Duration, j *jobs.Job) bool {
-	r := f.crashLooping(j)
-	return r != nil && (now < r.retryAt || j.Spec.Kind != jobs.Gang && j.TasksByState[jobs.Planned]+j.TasksOnMachines() > 0)
+func (f *Fleet) inBackoff(now time.Duration, job *jobs.Job) bool {
+	loop := f.crashLooping(job)
+	return loop != nil && (now < loop.retryAt || job.Spec.Kind != jobs.Gang && job.TasksByState[jobs.Planned]+job.TasksOnMachines() > 0)
 }
 
 // noteCrashLoop says why nothing of such a job is started.
-func (f *Fleet) noteCrashLoop(j *jobs.Job) {
-	r := f.crashLooping(j)
-	f.setPendingNote(j, pendingNote{cause: CrashLoopBackoff, have: r.machines, need: r.tries, until: r.retryAt})
+func (f *Fleet) noteCrashLoop(job *jobs.Job) {
+	loop := f.crashLooping(job)
+	f.setPendingNote(job, pendingNote{cause: CrashLoopBackoff, have: loop.machines, need: loop.tries, until: loop.retryAt})
 }
 
 // noteRetry says that a job's tasks failed and when they are tried again.
-func (f *Fleet) noteRetry(j *jobs.Job, until time.Duration) {
-	if f.crashLooping(j) != nil {
-		f.noteCrashLoop(j)
+func (f *Fleet) noteRetry(job *jobs.Job, until time.Duration) {
+	if f.crashLooping(job) != nil {
+		f.noteCrashLoop(job)
 		return
 	}
-	f.setPendingNote(j, pendingNote{cause: RetryLater, until: until})
+	f.setPendingNote(job, pendingNote{cause: RetryLater, until: until})
 }
 
 // healthyAfterS is how long a replica of a service must have run to say that its job is in order: it is never done.
 const healthyAfterS = 30
 
 // recordFailure notes that a task of a job failed on a machine.
-func (f *Fleet) recordFailure(now time.Duration, m *Machine, j *jobs.Job, t int32) {
-	if k := &j.Tasks[t]; j.Spec.Kind == jobs.Service && k.RunningSince > 0 && now-k.RunningSince >= healthyAfterS*time.Second {
-		f.recordSuccess(j, m)
+func (f *Fleet) recordFailure(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) {
+	if task := &job.Tasks[taskIndex]; job.Spec.Kind == jobs.Service && task.RunningSince > 0 && now-task.RunningSince >= healthyAfterS*time.Second {
+		f.recordSuccess(job, machine)
 	}
-	r := f.crashLoops[j.Index]
-	if r == nil {
-		r = &crashLoop{}
-		if j.FinishedTasks > 0 {
-			r.state = Healthy
+	loop := f.crashLoops[job.Index]
+	if loop == nil {
+		loop = &crashLoop{}
+		if job.FinishedTasks > 0 {
+			loop.state = Healthy
 		}
-		f.crashLoops[j.Index] = r
+		f.crashLoops[job.Index] = loop
 	}
-	if r.state != CrashLooping && !slices.Contains(m.failedJobs, j.Index) && len(m.failedJobs) < faultyThreshold {
-		m.failedJobs = append(m.failedJobs, j.Index)
+	if loop.state != CrashLooping && !slices.Contains(machine.failedJobs, job.Index) && len(machine.failedJobs) < faultyThreshold {
+		machine.failedJobs = append(machine.failedJobs, job.Index)
 	}
-	if r.state == Healthy {
+	if loop.state == Healthy {
 		return
 	}
-	if !slices.Contains(r.failedOn, m.Index) {
-		r.machines++
-		r.failedOn = append(r.failedOn, m.Index)
-		r.failedOn = r.failedOn[max(0, len(r.failedOn)-2*crashLoopMachines):]
+	if !slices.Contains(loop.failedOn, machine.Index) {
+		loop.machines++
+		loop.failedOn = append(loop.failedOn, machine.Index)
+		loop.failedOn = loop.failedOn[max(0, len(loop.failedOn)-2*crashLoopMachines):]
 	}
-	if r.state == HealthUnknown && len(r.failedOn) >= crashLoopMachines {
-		f.setCrashLoopState(j, r, CrashLooping)
+	if loop.state == HealthUnknown && len(loop.failedOn) >= crashLoopMachines {
+		f.setCrashLoopState(job, loop, CrashLooping)
 	}
-	if r.state != CrashLooping || now < r.retryAt {
+	if loop.state != CrashLooping || now < loop.retryAt {
 		return // tasks that were sent before fail one after the other: that is one try
 	}
-	r.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(r.tries, 10))
-	r.tries++
+	loop.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(loop.tries, 10))
+	loop.tries++
 	// Images aren't fetched all over for it: it stays where it has been, but for a try now and then.
-	clear(j.AvoidedMachines)
-	if r.tries%newMachineEvery == 0 {
-		for _, ix := range r.failedOn {
-			f.avoid(now, f.machines[ix], j)
+	clear(job.AvoidedMachines)
+	if loop.tries%newMachineEvery == 0 {
+		for _, ix := range loop.failedOn {
+			f.avoid(now, f.machines[ix], job)
 		}
 	}
-	f.dropPlans(j, j.TasksByState[jobs.Planned])
+	f.dropPlans(job, job.TasksByState[jobs.Planned])
 }
 
 // recordSuccess notes that a task of a job is done.
-func (f *Fleet) recordSuccess(j *jobs.Job, m *Machine) {
-	m.failedJobs = m.failedJobs[:0]
-	r := f.crashLoops[j.Index]
-	if r == nil && j.Spec.Kind == jobs.Service {
-		r = &crashLoop{}
-		f.crashLoops[j.Index] = r
+func (f *Fleet) recordSuccess(job *jobs.Job, machine *Machine) {
+	machine.failedJobs = machine.failedJobs[:0]
+	loop := f.crashLoops[job.Index]
+	if loop == nil && job.Spec.Kind == jobs.Service {
+		loop = &crashLoop{}
+		f.crashLoops[job.Index] = loop
 	}
-	if r != nil && r.state != Healthy {
-		f.setCrashLoopState(j, r, Healthy)
-		r.failedOn, r.retryAt, r.tries = nil, 0, 0
+	if loop != nil && loop.state != Healthy {
+		f.setCrashLoopState(job, loop, Healthy)
+		loop.failedOn, loop.retryAt, loop.tries = nil, 0, 0
 		f.planBecameDurable = true
 	}
 }
@@ -151,4 +151,4 @@
 const faultyThreshold = 2
 
 // Faulty tells whether a machine fails what runs on it: several jobs in a row that don't fail elsewhere as well.
-func (f *Fleet) Faulty(m *Machine) bool { return len(m.failedJobs) >= faultyThreshold }
+func (f *Fleet) Faulty(machine *Machine) bool { return len(machine.failedJobs) >= faultyThreshold }
--- a/internal/fleet/mistake_test.go
+++ b/internal/fleet/mistake_test.go
@@ -32,22 +32,22 @@
 		g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 		s := spec(1, 3)
 		s.Kind = c.kind
-		j := g.submit(s)
+		job := g.submit(s)
 		g.now = 5 * time.Minute
 		if c.done {
-			g.checkTransition(j.SetTaskState(0, jobs.Finished))
+			g.checkTransition(job.SetTaskState(0, jobs.Finished))
 		}
 		for i := range c.machines {
-			m := g.RegisterMachine(g.now, fmt.Sprintf("m%d", i))
-			j.Tasks[1].RunningSince = g.now - c.ran
-			g.recordFailure(g.now, m, j, 1)
+			machine := g.RegisterMachine(g.now, fmt.Sprintf("m%d", i))
+			job.Tasks[1].RunningSince = g.now - c.ran
+			g.recordFailure(g.now, machine, job, 1)
 			g.now += time.Second
 		}
-		if r := g.crashLoops[j.Index]; r == nil || r.state != c.standing {
-			t.Errorf("%s: %+v, want %s", c.name, r, c.standing)
+		if loop := g.crashLoops[job.Index]; loop == nil || loop.state != c.standing {
+			t.Errorf("%s: %+v, want %s", c.name, loop, c.standing)
 		}
-		if m := g.FindMachine("m0"); (len(m.failedJobs) > 0) == (c.standing == CrashLooping) {
-			t.Errorf("%s: a machine is blamed by %v", c.name, m.failedJobs)
+		if machine := g.FindMachine("m0"); (len(machine.failedJobs) > 0) == (c.standing == CrashLooping) {
+			t.Errorf("%s: a machine is blamed by %v", c.name, machine.failedJobs)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 // The pauses of a mistaken job double up to a bound, and between two tries nothing of it is planned.
 func TestPausesGrow(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
-	j := g.submit(spec(1, 100))
+	job := g.submit(spec(1, 100))
 	ms := []string{"m0", "m1", "m2"}
 	last, tries := time.Duration(0), 0
 	var gaps []time.Duration
@@ -75,16 +75,16 @@
 		}
 		g.settleFor(3, store.Committed)
 	}
-	r := g.crashLooping(j)
-	if r == nil || len(gaps) < 3 || gaps[len(gaps)-1] < 16*time.Second {
-		t.Fatalf("%+v, gaps %v", r, gaps)
+	loop := g.crashLooping(job)
+	if loop == nil || len(gaps) < 3 || gaps[len(gaps)-1] < 16*time.Second {
+		t.Fatalf("%+v, gaps %v", loop, gaps)
 	}
-	for i, d := range gaps {
-		if i > 0 && d < gaps[i-1]-2*time.Second || d > maxCrashLoopBackoff+3*time.Second {
+	for i, duration := range gaps {
+		if i > 0 && duration < gaps[i-1]-2*time.Second || duration > maxCrashLoopBackoff+3*time.Second {
 			t.Errorf("gaps %v", gaps)
 		}
 	}
-	if why := g.PendingReasons(g.now, j); len(why) == 0 || why[0].Cause != CrashLoopBackoff {
+	if why := g.PendingReasons(g.now, job); len(why) == 0 || why[0].Cause != CrashLoopBackoff {
 		t.Errorf("it is told %+v", why)
 	}
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -121,8 +121,8 @@
 }
 
 // seats checks, at a start, that no pool has more seats taken than there were lately.
-func (w *world) seats(s *jobs.Spec) {
-	for pool := range s.Licences {
+func (w *world) seats(spec *jobs.Spec) {
+	for pool := range spec.Licences {
 		n := 0
 		for _, l := range w.lingers {
 			if l.pool == pool && l.until > w.now {
@@ -137,7 +137,7 @@
 			}
 		}
 		if w.peak[pool] = max(w.peak[pool], n); n > w.most[pool] {
-			w.fail("seats: %d of %d of %s taken by a start of %s", n, w.most[pool], pool, s.ID)
+			w.fail("seats: %d of %d of %s taken by a start of %s", n, w.most[pool], pool, spec.ID)
 		}
 	}
 }
@@ -149,11 +149,11 @@
 		return
 	}
 	w.changed = w.now + time.Minute
-	for _, p := range w.pools {
-		was := p.Count
-		p.Count = 3 + w.rng.IntN(5)
-		p.Lowering = []licences.Lower{licences.Wait, licences.Stop}[w.rng.IntN(2)]
-		w.most[p.Name] = max(was, p.Count)
+	for _, pool := range w.pools {
+		was := pool.Count
+		pool.Count = 3 + w.rng.IntN(5)
+		pool.Lowering = []licences.Lower{licences.Wait, licences.Stop}[w.rng.IntN(2)]
+		w.most[pool.Name] = max(was, pool.Count)
 	}
 }
 
@@ -161,7 +161,9 @@
 	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, a...))
 }
 
-func (w *world) later(d time.Duration, f func()) { w.net = append(w.net, delayed{w.now + d, f}) }
+func (w *world) later(duration time.Duration, f func()) {
+	w.net = append(w.net, delayed{w.now + duration, f})
+}
 
 // delay is how long a message takes; late ones outlive whatever waits for them.
 func (w *world) delay() time.Duration {
@@ -172,9 +174,9 @@
 }
 
 // apply is the state service.
-func (w *world) apply(t store.Txn) store.Result {
+func (w *world) apply(txn store.Txn) store.Result {
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range txn.If {
 		if w.kv[c.Key].version != c.Version {
 			failed = append(failed, c.Key)
 		}
@@ -183,7 +185,7 @@
 		return store.Result{Outcome: store.Conflict, FailedKeys: failed}
 	}
 	w.rev++
-	for _, o := range t.Then {
+	for _, o := range txn.Then {
 		if o.Delete != "" {
 			delete(w.kv, o.Delete)
 			continue
@@ -200,7 +202,7 @@
 		w.kv[o.Put] = kvItem{o.Value, w.rev}
 	}
 	rev := w.rev
-	for _, o := range t.Then {
+	for _, o := range txn.Then {
 		if len(o.Put) > 4 && o.Put[:4] == jobs.Prefix {
 			key, raw := o.Put, o.Value
 			w.later(w.followDelay(), func() { w.learned(key, raw, rev) })
@@ -238,12 +240,12 @@
 	if w.book == nil {
 		return
 	}
-	j, changed, err := w.book.Apply(key[4:], raw, version)
+	job, changed, err := w.book.Apply(key[4:], raw, version)
 	if err != nil {
 		w.fail("record: %v", err)
 	}
 	if changed && w.fleet != nil {
-		w.fleet.HandleJobChange(w.now, j)
+		w.fleet.HandleJobChange(w.now, job)
 	}
 }
 
@@ -286,23 +288,23 @@
 		PlansInPages:   func() bool { return w.paged },
 		CanWrite:       func(int) bool { return true },
 		HasSpareWrites: func() bool { return true },
-		Commit: func(t store.Txn, done func(store.Result)) {
-			t.If = append([]store.Condition{guard}, t.If...)
-			answer := func(r store.Result) {
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			txn.If = append([]store.Condition{guard}, txn.If...)
+			answer := func(result store.Result) {
 				if w.fleet == f {
-					done(r)
+					done(result)
 				}
 			}
 			switch x := w.rng.Float64(); {
 			case x < w.trouble/2: // applied late or not at all, the answer is lost
 				if w.rng.IntN(2) == 0 {
-					w.later(w.delay(), func() { w.apply(t) })
+					w.later(w.delay(), func() { w.apply(txn) })
 				}
 				w.later(time.Second, func() { answer(store.Result{Outcome: store.Indeterminate}) })
 			case x < w.trouble:
 				w.later(20*time.Millisecond, func() { answer(store.Result{Outcome: store.NotApplied}) })
 			default:
-				w.later(time.Duration(w.rng.Int64N(int64(80*time.Millisecond))), func() { answer(w.apply(t)) })
+				w.later(time.Duration(w.rng.Int64N(int64(80*time.Millisecond))), func() { answer(w.apply(txn)) })
 			}
 		},
 		Read: func(key string, done func(store.Item, error)) {
@@ -313,18 +315,18 @@
 				}
 			})
 		},
-		SendCommands: func(m *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
+		SendCommands: func(machine *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
 			var wk *worker
 			for _, c := range w.workers {
-				if c.name == m.Name {
+				if c.name == machine.Name {
 					wk = c
 				}
 			}
 			answered := false
-			finish := func(r *Heartbeat, ok bool) {
+			finish := func(heartbeat *Heartbeat, ok bool) {
 				if !answered && w.fleet == f {
 					answered = true
-					done(r, ok)
+					done(heartbeat, ok)
 				}
 			}
 			w.later(2*time.Second, func() { finish(nil, false) })
@@ -348,13 +350,13 @@
 					})
 					return
 				}
-				r, ok := w.orders(wk, o)
+				heartbeat, ok := w.orders(wk, o)
 				if ok {
-					w.later(w.delay(), func() { finish(r, true) })
+					w.later(w.delay(), func() { finish(heartbeat, true) })
 				}
 			})
 		},
-		OnJobRecord: func(_ time.Duration, it store.Item) { w.learned(it.Key, it.Value, it.Version) },
+		OnJobRecord: func(_ time.Duration, item store.Item) { w.learned(item.Key, item.Value, item.Version) },
 	}, term, w.now)
 	w.fleet = f
 	f.LoadPlans(w.now, plans)
@@ -375,24 +377,24 @@
 
 func (w *world) report(wk *worker) *Heartbeat {
 	wk.seq++
-	r := &Heartbeat{Machine: wk.name, Addr: "x", Type: wk.typ, Zone: wk.zone, Spot: wk.spot, Session: wk.session, Seq: wk.seq, Token: wk.token}
+	heartbeat := &Heartbeat{Machine: wk.name, Addr: "x", Type: wk.typ, Zone: wk.zone, Spot: wk.spot, Session: wk.session, Seq: wk.seq, Token: wk.token}
 	if wk.notice > 0 {
 		s := (wk.notice - w.now).Seconds()
-		r.NoticeS = &s
+		heartbeat.NoticeS = &s
 	}
 	for _, k := range wk.tasks {
-		r.Tasks = append(r.Tasks, TaskReport{Task: fmt.Sprintf("%s/%d", k.job, k.task), Attempt: k.attempt, State: k.state, Why: k.why})
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{Task: fmt.Sprintf("%s/%d", k.job, k.task), Attempt: k.attempt, State: k.state, Why: k.why})
 	}
-	return r
+	return heartbeat
 }
 
 func (w *world) execute(wk *worker, cs []Command) {
 	for _, c := range cs {
-		id, t, _ := parseTaskName(c.Task)
+		id, taskIndex, _ := parseTaskName(c.Task)
 		at := -1
 		other := false
 		for i, k := range wk.tasks {
-			if k.job == id && k.task == t {
+			if k.job == id && k.task == taskIndex {
 				if k.attempt == c.Attempt {
 					at = i
 				} else if k.state != taskExited {
@@ -406,7 +408,7 @@
 				continue
 			}
 			k := &onWorker{
-				job: id, task: t, attempt: c.Attempt, state: taskFetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
+				job: id, task: taskIndex, attempt: c.Attempt, state: taskFetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
 				run: time.Second + time.Duration(w.rng.Int64N(int64(12*time.Second))),
 			}
 			free := wk.size
@@ -430,7 +432,7 @@
 			}
 		case opForget:
 			if at >= 0 && wk.tasks[at].state == taskExited {
-				if wk.tasks[at].why == exitDone && !w.durable(id, t) {
+				if wk.tasks[at].why == exitDone && !w.durable(id, taskIndex) {
 					w.fail("forgot %s before its end was durable", c.Task)
 				}
 				wk.tasks = append(wk.tasks[:at], wk.tasks[at+1:]...)
@@ -461,19 +463,19 @@
 }
 
 // durable tells whether the state service knows that a task is done.
-func (w *world) durable(id string, t int32) bool {
+func (w *world) durable(id string, taskIndex int32) bool {
 	var r jobs.Record
 	_ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r)
 	if r.State != "pending" {
 		return true
 	}
-	no := int(t) / jobs.SegmentTasks
+	no := int(taskIndex) / jobs.SegmentTasks
 	raw := w.planned(fmt.Sprintf("%s/%03d", id, no))
 	if raw == nil {
 		return false
 	}
 	_, done, err := jobs.DecodeSegment(raw, min(jobs.SegmentTasks, w.specs[id].Tasks-no*jobs.SegmentTasks), func(string) int32 { return 0 })
-	return err == nil && done[int(t)%jobs.SegmentTasks]
+	return err == nil && done[int(taskIndex)%jobs.SegmentTasks]
 }
 
 func (w *world) expire(wk *worker) {
@@ -490,8 +492,8 @@
 func (w *world) begin(wk *worker, k *onWorker) {
 	k.counted = true
 	w.starts++
-	s := w.specs[k.job]
-	w.seats(s)
+	spec := w.specs[k.job]
+	w.seats(spec)
 	use, zones := planner.Size{}, map[string]int{}
 	for _, o := range w.workers {
 		for _, x := range o.tasks {
@@ -501,7 +503,7 @@
 			if x.job == k.job && x.task == k.task && o != wk {
 				w.fail("ran_twice: %s/%d on %s and %s", k.job, k.task, o.name, wk.name)
 			}
-			if w.specs[x.job].Team == s.Team {
+			if w.specs[x.job].Team == spec.Team {
 				use = use.Add(w.specs[x.job].Size())
 			}
 			if x.job == k.job && x != k {
@@ -510,19 +512,19 @@
 		}
 	}
 	if lim := w.settings.Params.Teams[0].CPUsMax; use.CPUs > lim+1e-9 {
-		w.fail("quota: team %s uses %v of %v CPUs with %s/%d on %s", s.Team, use.CPUs, lim, k.job, k.task, wk.name)
+		w.fail("quota: team %s uses %v of %v CPUs with %s/%d on %s", spec.Team, use.CPUs, lim, k.job, k.task, wk.name)
 	}
-	ok := !wk.spot || s.Spot
-	if s.Zone != nil && *s.Zone != wk.zone {
+	ok := !wk.spot || spec.Spot
+	if spec.Zone != nil && *spec.Zone != wk.zone {
 		ok = false
 	}
-	if s.Types != nil && s.Types[0] != wk.typ {
+	if spec.Types != nil && spec.Types[0] != wk.typ {
 		ok = false
 	}
-	if s.OneZone && len(zones) > 0 && (len(zones) > 1 || zones[wk.zone] == 0) {
+	if spec.OneZone && len(zones) > 0 && (len(zones) > 1 || zones[wk.zone] == 0) {
 		ok = false
 	}
-	if s.Spread && zones[wk.zone]+1 > (s.Tasks+1)/2 {
+	if spec.Spread && zones[wk.zone]+1 > (spec.Tasks+1)/2 {
 		ok = false
 	}
 	if !ok {
@@ -619,14 +621,14 @@
 	if wk.inFlight || w.now < wk.next {
 		return
 	}
-	r := w.report(wk)
+	heartbeat := w.report(wk)
 	sent, session, life := w.now, wk.session, wk.life
 	if w.odd && w.rng.IntN(8) == 0 {
 		w.copies++
 		w.later(time.Second+time.Duration(w.rng.Int64N(int64(40*time.Second))), func() {
 			if w.fleet != nil {
-				c := *r
-				c.Tasks = append([]TaskReport(nil), r.Tasks...)
+				c := *heartbeat
+				c.Tasks = append([]TaskReport(nil), heartbeat.Tasks...)
 				w.fleet.HandleHeartbeat(w.now, &c)
 			}
 		})
@@ -639,7 +641,7 @@
 		if w.fleet == nil {
 			return
 		}
-		a, v := w.fleet.HandleHeartbeat(w.now, r)
+		a, v := w.fleet.HandleHeartbeat(w.now, heartbeat)
 		if v != Accepted || w.rng.Float64() < w.trouble/4 {
 			return
 		}
@@ -665,42 +667,42 @@
 	w.nextJob++
 	id := fmt.Sprintf("req-%06d", w.nextJob)
 	kinds := []jobs.Kind{jobs.Array, jobs.Array, jobs.Gang, jobs.Service}
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: id, Class: "c", Team: fmt.Sprintf("t%d", w.rng.IntN(2)), Kind: kinds[w.rng.IntN(len(kinds))],
 		Priority: []string{"prod", "urgent", "standard", "best_effort"}[w.rng.IntN(4)], Tasks: 1 + w.rng.IntN(8),
 		CPUs: 1 + float64(w.rng.IntN(3)), MemoryGB: 2, Image: fmt.Sprintf("i%d", w.rng.IntN(4)), ImageGB: 3, EstimateS: 6,
 		Spot: w.rng.IntN(2) == 0, OneZone: w.rng.IntN(3) == 0, SaveS: 1,
 	}
-	if s.Kind != jobs.Array {
-		s.Tasks = 1 + w.rng.IntN(3)
+	if spec.Kind != jobs.Array {
+		spec.Tasks = 1 + w.rng.IntN(3)
 	}
 	switch w.rng.IntN(5) {
 	case 0:
 		z := []string{"a", "b"}[w.rng.IntN(2)]
-		s.Zone = &z
+		spec.Zone = &z
 	case 1:
-		s.Types = []string{[]string{"gpu", "cpu"}[w.rng.IntN(2)]}
+		spec.Types = []string{[]string{"gpu", "cpu"}[w.rng.IntN(2)]}
 	case 2:
-		s.GPUs = 1
+		spec.GPUs = 1
 	case 3:
-		if !s.OneZone && s.Kind == jobs.Array {
-			s.Spread = true
+		if !spec.OneZone && spec.Kind == jobs.Array {
+			spec.Spread = true
 		}
 	}
-	if s.Kind != jobs.Array && (s.OneZone || s.GPUs > 0 || s.Zone != nil || s.Types != nil) {
-		s.Tasks, s.CPUs = min(s.Tasks, 2), 1 // nobody rents here: it must fit one machine
+	if spec.Kind != jobs.Array && (spec.OneZone || spec.GPUs > 0 || spec.Zone != nil || spec.Types != nil) {
+		spec.Tasks, spec.CPUs = min(spec.Tasks, 2), 1 // nobody rents here: it must fit one machine
 	}
 	if w.pools != nil && w.rng.IntN(3) > 0 {
-		s.Licences = map[string]int{"p": 1}
+		spec.Licences = map[string]int{"p": 1}
 		if w.rng.IntN(2) == 0 {
-			s.Licences["q"] = 1
+			spec.Licences["q"] = 1
 		}
 	}
-	w.specs[id] = s
+	w.specs[id] = spec
 	w.done[id] = map[int32]bool{}
 	w.apply(store.Txn{
 		If:   []store.Condition{{Key: jobs.RecordKey(id)}},
-		Then: []store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, w.now.Milliseconds(), s.Tasks, s)}},
+		Then: []store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, w.now.Milliseconds(), spec.Tasks, spec)}},
 	})
 }
 
@@ -759,11 +761,11 @@
 		if !rough && !healed {
 			healed = true
 			w.trouble = 0
-			for _, p := range w.pools {
-				p.Count, w.most[p.Name] = 8, 8
+			for _, pool := range w.pools {
+				pool.Count, w.most[pool.Name] = 8, 8
 			}
-			for id, s := range w.specs {
-				if s.Kind == jobs.Service {
+			for id, spec := range w.specs {
+				if spec.Kind == jobs.Service {
 					w.cancel(id)
 				}
 			}
@@ -843,11 +845,11 @@
 			n.inFlight, n.notice = false, 0
 			w.workers = append(w.workers, &n)
 		case w.chance(0.004) && wk.alive && w.fleet != nil: // the cloud confirms a return
-			if m := w.fleet.FindMachine(wk.name); m != nil {
+			if machine := w.fleet.FindMachine(wk.name); machine != nil {
 				wk.alive = false
 				w.crash(wk.tasks)
 				wk.tasks = nil
-				w.fleet.HandleReturned(w.now, m, "returned")
+				w.fleet.HandleReturned(w.now, machine, "returned")
 				n := *wk
 				n.name, n.alive, n.hung, n.session, n.seq, n.token, n.base = fmt.Sprintf("i-%d", len(w.workers)+100), true, false, 1, 0, 0, w.now
 				n.inFlight, n.notice = false, 0
@@ -916,13 +918,13 @@
 		w := newWorld(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
 		ended += w.play(t)
 		starts += w.starts
-		for _, p := range w.pools {
-			if w.peak[p.Name] >= 5 {
+		for _, pool := range w.pools {
+			if w.peak[pool.Name] >= 5 {
 				full++
 			}
-			ix, _ := w.book.Names.Pools.Index(p.Name)
-			if v := w.fleet.Gate.Licences.Show(w.now, ix, func(int32) string { return "" }); v.Free != p.Count {
-				t.Fatalf("seed %d: pool %s is empty but %+v", seed, p.Name, v)
+			ix, _ := w.book.Names.Pools.Index(pool.Name)
+			if v := w.fleet.Gate.Licences.Show(w.now, ix, func(int32) string { return "" }); v.Free != pool.Count {
+				t.Fatalf("seed %d: pool %s is empty but %+v", seed, pool.Name, v)
 			}
 		}
 	}
@@ -941,9 +943,9 @@
 		var r jobs.Record
 		_ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r)
 		if r.State == "pending" {
-			j := w.book.Get(id)
-			for i := range j.Tasks {
-				t.Logf("task %d %s on %d fails %d late %v", i, j.Tasks[i].State, j.Tasks[i].Machine, j.Tasks[i].Failures, j.Tasks[i].LaunchIndeterminate)
+			job := w.book.Get(id)
+			for i := range job.Tasks {
+				t.Logf("task %d %s on %d fails %d late %v", i, job.Tasks[i].State, job.Tasks[i].Machine, job.Tasks[i].Failures, job.Tasks[i].LaunchIndeterminate)
 			}
 			for _, wk := range w.workers {
 				if len(wk.tasks) > 0 {
@@ -953,7 +955,7 @@
 					}
 				}
 			}
-			t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v", w.seed, id, *w.specs[id], j.LicenceDenial, w.fleet.PendingReasons(w.now, j))
+			t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v", w.seed, id, *w.specs[id], job.LicenceDenial, w.fleet.PendingReasons(w.now, job))
 		}
 		ended++
 	}
--- a/internal/fleet/observe.go
+++ b/internal/fleet/observe.go
@@ -13,29 +13,29 @@
 )
 
 // reconcileTasks compares the list of a fenced report with what is known.
-func (f *Fleet) reconcileTasks(now time.Duration, m *Machine, r *Heartbeat, direct bool) {
+func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, direct bool) {
 	clear(f.listedTasks)
 	// Exits first: a refused attempt may stand beside the one that runs.
-	for i := range r.Tasks {
-		e := &r.Tasks[i]
-		if e.job, e.no = f.findTask(e.Task); e.job != nil && e.State != taskExited {
-			f.listedTasks[TaskRef{e.job.Index, e.no}] = struct{}{}
+	for i := range heartbeat.Tasks {
+		taskReport := &heartbeat.Tasks[i]
+		if taskReport.job, taskReport.no = f.findTask(taskReport.Task); taskReport.job != nil && taskReport.State != taskExited {
+			f.listedTasks[TaskRef{taskReport.job.Index, taskReport.no}] = struct{}{}
 		}
 	}
-	for i := range r.Tasks {
-		e := &r.Tasks[i]
-		if e.job == nil || e.job.Tasks == nil {
+	for i := range heartbeat.Tasks {
+		taskReport := &heartbeat.Tasks[i]
+		if taskReport.job == nil || taskReport.job.Tasks == nil {
 			continue
 		}
-		if e.State == taskExited {
-			_, again := f.listedTasks[TaskRef{e.job.Index, e.no}]
-			f.handleExit(now, m, e.job, e.no, e, again)
+		if taskReport.State == taskExited {
+			_, again := f.listedTasks[TaskRef{taskReport.job.Index, taskReport.no}]
+			f.handleExit(now, machine, taskReport.job, taskReport.no, taskReport, again)
 		} else {
-			f.handleLive(now, m, e.job, e.no, e)
+			f.handleLive(now, machine, taskReport.job, taskReport.no, taskReport)
 		}
 	}
 	missing := f.refScratch[:0]
-	for ref := range m.Tasks {
+	for ref := range machine.Tasks {
 		if _, ok := f.listedTasks[ref]; !ok {
 			missing = append(missing, ref)
 		}
@@ -43,24 +43,24 @@
 	f.refScratch = missing
 	sortRefs(missing)
 	for _, ref := range missing {
-		f.handleMissing(now, m, ref, direct)
+		f.handleMissing(now, machine, ref, direct)
 	}
 }
 
-func sortRefs(rs []TaskRef) {
-	slices.SortFunc(rs, func(a, b TaskRef) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task)) })
+func sortRefs(refs []TaskRef) {
+	slices.SortFunc(refs, func(a, b TaskRef) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task)) })
 }
 
 func (f *Fleet) findTask(name string) (*jobs.Job, int32) {
-	id, t, ok := parseTaskName(name)
+	id, taskIndex, ok := parseTaskName(name)
 	if !ok {
 		return nil, 0
 	}
-	j := f.Jobs.Get(id)
-	if j == nil || int(t) >= j.TaskCount {
+	job := f.Jobs.Get(id)
+	if job == nil || int(taskIndex) >= job.TaskCount {
 		return nil, 0
 	}
-	return j, t
+	return job, taskIndex
 }
 
 func phaseOf(state string) jobs.Phase {
@@ -78,188 +78,188 @@
 }
 
 // handleLive takes over a task that is on the machine.
-func (f *Fleet) handleLive(now time.Duration, m *Machine, j *jobs.Job, t int32, e *TaskReport) {
-	k := &j.Tasks[t]
-	if k.State == jobs.Finished {
+func (f *Fleet) handleLive(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) {
+	task := &job.Tasks[taskIndex]
+	if task.State == jobs.Finished {
 		return // commands will stop it
 	}
-	if k.State != jobs.Unplanned && k.Machine != m.Index {
-		if k.State.Occupies() {
-			slog.Error("task seen on a machine that it was not sent to", "task", e.Task, "machine", m.Name,
-				"expected", f.machines[k.Machine].Name, "term", f.Term)
+	if task.State != jobs.Unplanned && task.Machine != machine.Index {
+		if task.State.Occupies() {
+			slog.Error("task seen on a machine that it was not sent to", "task", taskReport.Task, "machine", machine.Name,
+				"expected", f.machines[task.Machine].Name, "term", f.Term)
 			return
 		}
-		f.dequeue(j, t) // planned elsewhere, but it is here
-		f.checkTransition(j.SetTaskState(t, jobs.Unplanned))
+		f.dequeue(job, taskIndex) // planned elsewhere, but it is here
+		f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 	}
-	if k.State == jobs.Planned {
-		f.dequeue(j, t)
+	if task.State == jobs.Planned {
+		f.dequeue(job, taskIndex)
 	}
-	if k.State != jobs.OnMachine {
-		if k.Machine != m.Index {
-			k.Machine = m.Index
-			j.MarkDirty(t, true, now)
+	if task.State != jobs.OnMachine {
+		if task.Machine != machine.Index {
+			task.Machine = machine.Index
+			job.MarkDirty(taskIndex, true, now)
 		}
-		if k.LaunchedAt == 0 || !k.State.Occupies() {
-			k.LaunchedAt = now
+		if task.LaunchedAt == 0 || !task.State.Occupies() {
+			task.LaunchedAt = now
 		}
-		f.setOnMachine(now, j, t, jobs.OnMachine)
-		k.Attempt = e.Attempt
-		j.GangAttempt = max(j.GangAttempt, e.Attempt)
-		j.Started = true
-		if j.State.Terminal() || j.Suspended {
-			f.stopTask(j, t)
+		f.setOnMachine(now, job, taskIndex, jobs.OnMachine)
+		task.Attempt = taskReport.Attempt
+		job.GangAttempt = max(job.GangAttempt, taskReport.Attempt)
+		job.Started = true
+		if job.State.Terminal() || job.Suspended {
+			f.stopTask(job, taskIndex)
 		}
 	}
-	k.Attempt = e.Attempt
-	if len(j.LicenceUnits) > 0 {
-		f.Gate.Licences.Attempt(now, licenceRef(j, t), e.Attempt, j.LicenceUnits)
+	task.Attempt = taskReport.Attempt
+	if len(job.LicenceUnits) > 0 {
+		f.Gate.Licences.Attempt(now, licenceRef(job, taskIndex), taskReport.Attempt, job.LicenceUnits)
 	}
-	k.LaunchIndeterminate = false
-	p := phaseOf(e.State)
-	if p == jobs.Running && k.Phase != jobs.Running {
-		k.RunningSince = now
-		f.addTaskEvent(now, events.TaskRunning, j, t, "")
+	task.LaunchIndeterminate = false
+	p := phaseOf(taskReport.State)
+	if p == jobs.Running && task.Phase != jobs.Running {
+		task.RunningSince = now
+		f.addTaskEvent(now, events.TaskRunning, job, taskIndex, "")
 	}
-	if k.Phase != p {
-		j.SetTaskPhase(t, p)
-		m.endsValid = false
+	if task.Phase != p {
+		job.SetTaskPhase(taskIndex, p)
+		machine.endsValid = false
 	}
 }
 
 // handleExit takes over the end of a task. again tells that another attempt of it is listed as
 // alive on the same machine.
-func (f *Fleet) handleExit(now time.Duration, m *Machine, j *jobs.Job, t int32, e *TaskReport, again bool) {
-	k := &j.Tasks[t]
-	if e.Why == exitDone {
-		if j.State.Terminal() {
-			if k.State.Occupies() && k.Machine == m.Index {
-				f.release(now, j, t, jobs.Unplanned, licences.Clean)
+func (f *Fleet) handleExit(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport, again bool) {
+	task := &job.Tasks[taskIndex]
+	if taskReport.Why == exitDone {
+		if job.State.Terminal() {
+			if task.State.Occupies() && task.Machine == machine.Index {
+				f.release(now, job, taskIndex, jobs.Unplanned, licences.Clean)
 			}
 			return
 		}
-		if k.State.Occupies() && (k.Machine != m.Index || again || (k.LaunchIndeterminate && k.Attempt != e.Attempt)) {
+		if task.State.Occupies() && (task.Machine != machine.Index || again || (task.LaunchIndeterminate && task.Attempt != taskReport.Attempt)) {
 			// It is done, but another attempt may be on a machine: that counts until it
 			// is seen to be gone.
-			k.Done = true
-			f.stopTask(j, t)
+			task.Done = true
+			f.stopTask(job, taskIndex)
 			return
 		}
-		f.finishTask(now, m, j, t, true)
-		if j.Spec.Kind == jobs.Gang {
-			f.finishGang(now, j)
+		f.finishTask(now, machine, job, taskIndex, true)
+		if job.Spec.Kind == jobs.Gang {
+			f.finishGang(now, job)
 		}
 		return
 	}
-	mine := k.Machine == m.Index && k.State.Occupies() && (k.Attempt == e.Attempt || k.State == jobs.Recovered)
+	mine := task.Machine == machine.Index && task.State.Occupies() && (task.Attempt == taskReport.Attempt || task.State == jobs.Recovered)
 	if !mine || again {
 		return
 	}
-	if e.Why == exitBusy {
+	if taskReport.Why == exitBusy {
 		// Another attempt of it is here: the next report lists it, or nothing of it.
 		return
 	}
-	slog.Info("task ended", "task", e.Task, "machine", m.Name, "cause", e.Why, "saved", e.Saved, "term", f.Term)
-	f.Events.Add(events.Event{At: now, Kind: events.TaskEnded, Job: j.ID, Task: t, Machine: m.Index, Attempt: k.Attempt, Note: e.Why, Saved: e.Saved})
-	f.release(now, j, t, jobs.Unplanned, licenceEnd(e.Why))
-	j.MarkDirty(t, false, now)
-	switch e.Why {
+	slog.Info("task ended", "task", taskReport.Task, "machine", machine.Name, "cause", taskReport.Why, "saved", taskReport.Saved, "term", f.Term)
+	f.Events.Add(events.Event{At: now, Kind: events.TaskEnded, Job: job.ID, Task: taskIndex, Machine: machine.Index, Attempt: task.Attempt, Note: taskReport.Why, Saved: taskReport.Saved})
+	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(taskReport.Why))
+	job.MarkDirty(taskIndex, false, now)
+	switch taskReport.Why {
 	case exitError:
-		k.Failures = min(k.Failures+1, 6)
-		k.NotBefore = now + time.Second<<k.Failures
-		f.avoid(now, m, j)
-		f.recordFailure(now, m, j, t)
+		task.Failures = min(task.Failures+1, 6)
+		task.NotBefore = now + time.Second<<task.Failures
+		f.avoid(now, machine, job)
+		f.recordFailure(now, machine, job, taskIndex)
 	case exitNoRoom, exitUnknown:
-		k.NotBefore = now + 2*time.Second
+		task.NotBefore = now + 2*time.Second
 	}
 }
 
 // avoid keeps a job off a machine on which one of its tasks failed.
-func (f *Fleet) avoid(now time.Duration, m *Machine, j *jobs.Job) {
-	if j.AvoidedMachines == nil {
-		j.AvoidedMachines = map[int32]time.Duration{}
+func (f *Fleet) avoid(now time.Duration, machine *Machine, job *jobs.Job) {
+	if job.AvoidedMachines == nil {
+		job.AvoidedMachines = map[int32]time.Duration{}
 	}
-	j.AvoidedMachines[m.Index] = now + avoidFor
-	for _, t := range slices.Clone(m.queued(j.Index)) {
-		f.dequeue(j, t)
-		f.checkTransition(j.SetTaskState(t, jobs.Unplanned))
+	job.AvoidedMachines[machine.Index] = now + avoidFor
+	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
+		f.dequeue(job, taskIndex)
+		f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 	}
 }
 
 // finishGang follows from one task of a gang being done: every one is. Those that may still
 // be on a machine count there until they are seen to be gone, since a task that is started
 // again after its gang was done is on its machine for a moment before it exits.
-func (f *Fleet) finishGang(now time.Duration, j *jobs.Job) {
-	j.GangDone = true
-	for t := range j.Tasks {
-		if !j.Tasks[t].State.Occupies() {
-			f.finishTask(now, nil, j, int32(t), false)
+func (f *Fleet) finishGang(now time.Duration, job *jobs.Job) {
+	job.GangDone = true
+	for t := range job.Tasks {
+		if !job.Tasks[t].State.Occupies() {
+			f.finishTask(now, nil, job, int32(t), false)
 		}
 	}
 }
 
 // finishTask records a task's completion.
-func (f *Fleet) finishTask(now time.Duration, m *Machine, j *jobs.Job, t int32, seen bool) {
-	k := &j.Tasks[t]
-	if k.State == jobs.Finished {
+func (f *Fleet) finishTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, seen bool) {
+	task := &job.Tasks[taskIndex]
+	if task.State == jobs.Finished {
 		return
 	}
-	if seen && k.Machine == m.Index && k.Phase == jobs.Running {
-		f.recordRunTime(j, m, (now - k.RunningSince).Seconds(), k.Failures == 0)
-		f.recordSuccess(j, m)
+	if seen && task.Machine == machine.Index && task.Phase == jobs.Running {
+		f.recordRunTime(job, machine, (now - task.RunningSince).Seconds(), task.Failures == 0)
+		f.recordSuccess(job, machine)
 	}
-	if k.State == jobs.Planned {
-		f.dequeue(j, t)
+	if task.State == jobs.Planned {
+		f.dequeue(job, taskIndex)
 	}
-	f.addTaskEvent(now, events.TaskDone, j, t, "")
-	f.release(now, j, t, jobs.Finished, licences.Clean)
-	j.MarkDirty(t, false, now)
-	if j.FinishedTasks == j.TaskCount {
-		slog.Info("all tasks done", "job", j.ID, "term", f.Term)
+	f.addTaskEvent(now, events.TaskDone, job, taskIndex, "")
+	f.release(now, job, taskIndex, jobs.Finished, licences.Clean)
+	job.MarkDirty(taskIndex, false, now)
+	if job.FinishedTasks == job.TaskCount {
+		slog.Info("all tasks done", "job", job.ID, "term", f.Term)
 	}
 }
 
 // recordRunTime compares a run time with its estimate.
-func (f *Fleet) recordRunTime(j *jobs.Job, m *Machine, ran float64, clean bool) {
-	if j.Spec.EstimateS <= 0 || ran < 2 || !clean || j.Spec.CheckpointS > 0 && j.GangAttempt != 0 && ran < j.Spec.EstimateS/4 {
+func (f *Fleet) recordRunTime(job *jobs.Job, machine *Machine, ran float64, clean bool) {
+	if job.Spec.EstimateS <= 0 || ran < 2 || !clean || job.Spec.CheckpointS > 0 && job.GangAttempt != 0 && ran < job.Spec.EstimateS/4 {
 		return
 	}
-	s := f.stats(j.Class)
-	r := math.Min(8, math.Max(0.1, ran/j.Spec.EstimateS))
+	s := f.stats(job.Class)
+	r := math.Min(8, math.Max(0.1, ran/job.Spec.EstimateS))
 	// One job's tasks share its owner's error: a job counts once, not once a task.
-	w := 1 / math.Sqrt(float64(j.TaskCount))
+	w := 1 / math.Sqrt(float64(job.TaskCount))
 	rate := math.Max(w/(s.n+w), w*0.1)
-	m.slowdown += 0.2 * (math.Min(6, math.Max(0.5, r/s.ratio)) - m.slowdown)
+	machine.slowdown += 0.2 * (math.Min(6, math.Max(0.5, r/s.ratio)) - machine.slowdown)
 	s.ratio = math.Exp((1-rate)*math.Log(s.ratio) + rate*math.Log(r))
 	s.n += w
 }
 
 // handleMissing handles a task that should be on the machine but is not listed by a fenced
 // report.
-func (f *Fleet) handleMissing(now time.Duration, m *Machine, ref TaskRef, direct bool) {
-	j := f.jobAt(ref.Job)
-	k := &j.Tasks[ref.Task]
-	switch k.State {
+func (f *Fleet) handleMissing(now time.Duration, machine *Machine, ref TaskRef, direct bool) {
+	job := f.jobAt(ref.Job)
+	task := &job.Tasks[ref.Task]
+	switch task.State {
 	case jobs.Launched:
 		// Its launch went out directly, in an answer that is still under way (a direct
 		// report says nothing of that), or in one that the worker dropped. Only in the
 		// last case it surely won't start any more: it is sent again or given up.
-		if (j.State.Terminal() || m.Condition != Ready) && !k.LaunchIndeterminate && !direct {
-			f.release(now, j, ref.Task, jobs.Unplanned, licences.Unstarted)
+		if (job.State.Terminal() || machine.Condition != Ready) && !task.LaunchIndeterminate && !direct {
+			f.release(now, job, ref.Task, jobs.Unplanned, licences.Unstarted)
 		}
 	case jobs.Recovered:
 		to := jobs.Planned
-		if j.State.Terminal() || j.Spec.Kind != jobs.Array || m.Condition != Ready {
+		if job.State.Terminal() || job.Spec.Kind != jobs.Array || machine.Condition != Ready {
 			to = jobs.Unplanned
 		}
 		// It may have run and crashed under the owner before.
-		f.release(now, j, ref.Task, to, licences.Crashed)
+		f.release(now, job, ref.Task, to, licences.Crashed)
 	case jobs.OnMachine:
-		slog.Info("task vanished", "job", j.ID, "task", ref.Task, "machine", m.Name, "term", f.Term)
-		f.addTaskEvent(now, events.TaskVanished, j, ref.Task, "")
-		f.release(now, j, ref.Task, jobs.Unplanned, licences.Crashed)
-		if !j.State.Terminal() {
-			j.MarkDirty(ref.Task, false, now)
+		slog.Info("task vanished", "job", job.ID, "task", ref.Task, "machine", machine.Name, "term", f.Term)
+		f.addTaskEvent(now, events.TaskVanished, job, ref.Task, "")
+		f.release(now, job, ref.Task, jobs.Unplanned, licences.Crashed)
+		if !job.State.Terminal() {
+			job.MarkDirty(ref.Task, false, now)
 		}
 	}
 }
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -10,78 +10,78 @@
 )
 
 // setOnMachine lets a task count as being on its machine.
-func (f *Fleet) setOnMachine(now time.Duration, j *jobs.Job, t int32, s jobs.TaskState) {
-	k := &j.Tasks[t]
-	if k.State.Occupies() {
-		f.checkTransition(j.SetTaskState(t, s))
+func (f *Fleet) setOnMachine(now time.Duration, job *jobs.Job, taskIndex int32, s jobs.TaskState) {
+	task := &job.Tasks[taskIndex]
+	if task.State.Occupies() {
+		f.checkTransition(job.SetTaskState(taskIndex, s))
 		return
 	}
-	m := f.machines[k.Machine]
-	f.checkTransition(j.SetTaskState(t, s))
-	size := j.Spec.Size()
-	m.Tasks[TaskRef{j.Index, t}] = struct{}{}
-	m.Used = m.Used.Add(size)
-	m.endsValid = false
-	f.Gate.Acquire(now, licenceRef(j, t), k.Attempt, admissionClaim(j))
+	machine := f.machines[task.Machine]
+	f.checkTransition(job.SetTaskState(taskIndex, s))
+	size := job.Spec.Size()
+	machine.Tasks[TaskRef{job.Index, taskIndex}] = struct{}{}
+	machine.Used = machine.Used.Add(size)
+	machine.endsValid = false
+	f.Gate.Acquire(now, licenceRef(job, taskIndex), task.Attempt, admissionClaim(job))
 	kind := events.TaskFound
 	if s == jobs.Launched {
 		kind = events.TaskSent
 	}
-	f.addTaskEvent(now, kind, j, t, "")
-	j.TasksByZone[m.Zone]++
-	if ty := f.machineType(m); ty != nil {
-		if !m.HasImage(j.Image) {
-			f.addImage(m)
+	f.addTaskEvent(now, kind, job, taskIndex, "")
+	job.TasksByZone[machine.Zone]++
+	if ty := f.machineType(machine); ty != nil {
+		if !machine.HasImage(job.Image) {
+			f.addImage(machine)
 		}
-		m.touchImage(j.Image, j.Spec.ImageGB, ty.CacheGB)
+		machine.touchImage(job.Image, job.Spec.ImageGB, ty.CacheGB)
 	}
-	m.IdleSince = now
+	machine.IdleSince = now
 }
 
 // release ends a task's being on its machine; it then is to. how says what that means for its
 // licences.
-func (f *Fleet) release(now time.Duration, j *jobs.Job, t int32, to jobs.TaskState, how licences.End) {
-	k := &j.Tasks[t]
-	if to != jobs.Finished && (j.GangDone || k.Done) {
+func (f *Fleet) release(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState, how licences.End) {
+	task := &job.Tasks[taskIndex]
+	if to != jobs.Finished && (job.GangDone || task.Done) {
 		to = jobs.Finished
-		f.addTaskEvent(now, events.TaskDone, j, t, "")
+		f.addTaskEvent(now, events.TaskDone, job, taskIndex, "")
 	}
-	if !k.State.Occupies() {
-		f.checkTransition(j.SetTaskState(t, to))
+	if !task.State.Occupies() {
+		f.checkTransition(job.SetTaskState(taskIndex, to))
 		return
 	}
-	m := f.machines[k.Machine]
-	size := j.Spec.Size()
-	delete(m.Tasks, TaskRef{j.Index, t})
-	if k.Phase == jobs.Fetching {
-		f.unfetched(m, j.Image)
+	machine := f.machines[task.Machine]
+	size := job.Spec.Size()
+	delete(machine.Tasks, TaskRef{job.Index, taskIndex})
+	if task.Phase == jobs.Fetching {
+		f.unfetched(machine, job.Image)
 	}
-	m.Used = m.Used.Sub(size)
-	m.endsValid = false
-	if len(m.Tasks) == 0 {
-		m.Used = planner.Size{} // decimals leave dust
-		m.IdleSince = now
+	machine.Used = machine.Used.Sub(size)
+	machine.endsValid = false
+	if len(machine.Tasks) == 0 {
+		machine.Used = planner.Size{} // decimals leave dust
+		machine.IdleSince = now
 	}
-	f.Gate.Release(now, licenceRef(j, t), admissionClaim(j), how)
-	j.TasksByZone[m.Zone]--
-	f.checkTransition(j.SetTaskState(t, to))
+	f.Gate.Release(now, licenceRef(job, taskIndex), admissionClaim(job), how)
+	job.TasksByZone[machine.Zone]--
+	f.checkTransition(job.SetTaskState(taskIndex, to))
 	if to == jobs.Planned {
-		k.Machine = m.Index
-		j.SetTaskPhase(t, jobs.NoPhase)
-		k.Attempt, k.Stopping = 0, false
-		f.enqueue(m, j, t)
+		task.Machine = machine.Index
+		job.SetTaskPhase(taskIndex, jobs.NoPhase)
+		task.Attempt, task.Stopping = 0, false
+		f.enqueue(machine, job, taskIndex)
 	}
 }
 
 // stopTask marks a task that is to be stopped.
-func (f *Fleet) stopTask(j *jobs.Job, t int32) {
-	k := &j.Tasks[t]
-	if !k.Stopping {
-		f.addTaskEvent(f.Now(), events.TaskStopping, j, t, "")
+func (f *Fleet) stopTask(job *jobs.Job, taskIndex int32) {
+	task := &job.Tasks[taskIndex]
+	if !task.Stopping {
+		f.addTaskEvent(f.Now(), events.TaskStopping, job, taskIndex, "")
 	}
-	k.Stopping = true
-	if k.Machine != jobs.None {
-		m := f.machines[k.Machine]
-		m.hasStops, m.endsValid = true, false
+	task.Stopping = true
+	if task.Machine != jobs.None {
+		machine := f.machines[task.Machine]
+		machine.hasStops, machine.endsValid = true, false
 	}
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -62,7 +62,7 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cs[a].due, cs[b].due) })
-	h := &heaviestFirst{cs: cs, share: func(s planner.Size) float64 { return longest(s, pool) }}
+	h := &heaviestFirst{cs: cs, share: func(size planner.Size) float64 { return longest(size, pool) }}
 	sum := planner.Size{}
 	for _, i := range order {
 		heap.Push(h, i)
@@ -84,43 +84,43 @@
 // moved behind every job without a deadline lost more than the overload took (harmonia).
 func (f *Fleet) yieldRanks(now time.Duration, keys map[jobs.Index]rankKey) {
 	pool := planner.Size{}
-	for _, m := range f.machines {
-		if m.Condition == Ready && !m.Returning && !m.Quarantined {
-			pool = pool.Add(m.Capacity.Sub(f.keptFree(m, nil, m.Capacity.GPUs)))
+	for _, machine := range f.machines {
+		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined {
+			pool = pool.Add(machine.Capacity.Sub(f.keptFree(machine, nil, machine.Capacity.GPUs)))
 		}
 	}
-	var js []*jobs.Job
+	var jobList []*jobs.Job
 	var cs []deadlineJob
 	var places []int // in f.order
-	for at, j := range f.ranked {
-		n := j.UnstartedTasks()
-		k := keys[j.Index]
-		if f.crashLooping(j) != nil {
+	for at, job := range f.ranked {
+		n := job.UnstartedTasks()
+		k := keys[job.Index]
+		if f.crashLooping(job) != nil {
 			continue // it holds up nothing, and no deadline gives way to it
 		}
-		if j.Spec.Kind != jobs.Array || j.Spec.DeadlineS == nil || !k.ok || n == 0 {
-			pool = pool.Sub(j.Spec.Size().Times(float64(j.TasksOnMachines())))
+		if job.Spec.Kind != jobs.Array || job.Spec.DeadlineS == nil || !k.ok || n == 0 {
+			pool = pool.Sub(job.Spec.Size().Times(float64(job.TasksOnMachines())))
 			continue
 		}
-		js, places = append(js, j), append(places, at)
-		cs = append(cs, deadlineJob{k.due, j.Spec.Size().Times(float64(n) * f.estimate(j))})
+		jobList, places = append(jobList, job), append(places, at)
+		cs = append(cs, deadlineJob{k.due, job.Spec.Size().Times(float64(n) * f.estimate(job))})
 	}
-	f.PlanningSteps += uint64(len(f.machines) + 2*len(js))
+	f.PlanningSteps += uint64(len(f.machines) + 2*len(jobList))
 	// Estimates are wrong, machines are lost and lanes never fill up quite: a set that only
 	// just fits would miss its deadlines one after the other.
 	pool = pool.Times(overloadUtilization)
 	late := giveUp(now, cs, pool)
-	for lo := 0; lo < len(js); {
+	for lo := 0; lo < len(jobList); {
 		// Only within a rank that may not preempt the other.
 		hi := lo + 1
-		for hi < len(js) && js[hi].Priority == js[lo].Priority && f.withinGuarantee[js[hi].Index] == f.withinGuarantee[js[lo].Index] {
+		for hi < len(jobList) && jobList[hi].Priority == jobList[lo].Priority && f.withinGuarantee[jobList[hi].Index] == f.withinGuarantee[jobList[lo].Index] {
 			hi++
 		}
 		at := lo
 		for _, given := range []bool{false, true} {
 			for i := lo; i < hi; i++ {
 				if late[i] == given {
-					f.ranked[places[at]] = js[i]
+					f.ranked[places[at]] = jobList[i]
 					at++
 				}
 			}
--- a/internal/fleet/park.go
+++ b/internal/fleet/park.go
@@ -12,33 +12,33 @@
 
 // Suspend stops a job's tasks, with time to save, and keeps them off machines; or lets the job be
 // planned again.
-func (f *Fleet) Suspend(_ time.Duration, j *jobs.Job, on bool) {
-	if j.Suspended = on; j.Tasks == nil {
+func (f *Fleet) Suspend(_ time.Duration, job *jobs.Job, on bool) {
+	if job.Suspended = on; job.Tasks == nil {
 		return
 	}
 	f.rankedAt, f.planBecameDurable = 0, true
 	if !on {
 		return
 	}
-	for t := range j.Tasks {
-		switch k := &j.Tasks[t]; {
-		case k.State == jobs.Planned:
-			f.dequeue(j, int32(t))
-			f.checkTransition(j.SetTaskState(int32(t), jobs.Unplanned))
-		case k.State.Occupies():
-			f.stopTask(j, int32(t))
+	for t := range job.Tasks {
+		switch task := &job.Tasks[t]; {
+		case task.State == jobs.Planned:
+			f.dequeue(job, int32(t))
+			f.checkTransition(job.SetTaskState(int32(t), jobs.Unplanned))
+		case task.State.Occupies():
+			f.stopTask(job, int32(t))
 		}
 	}
 }
 
 // SessionTask is where the only task of a session's job stands.
-func (f *Fleet) SessionTask(j *jobs.Job) sessions.Task {
-	if !f.plansLoaded || j.Tasks == nil {
+func (f *Fleet) SessionTask(job *jobs.Job) sessions.Task {
+	if !f.plansLoaded || job.Tasks == nil {
 		// What is not known yet is not gone.
 		return sessions.Task{On: !f.plansLoaded}
 	}
-	k := &j.Tasks[0]
-	return sessions.Task{On: k.State.Occupies(), Ending: k.Stopping, Attempt: k.Attempt}
+	task := &job.Tasks[0]
+	return sessions.Task{On: task.State.Occupies(), Ending: task.Stopping, Attempt: task.Attempt}
 }
 
 // maxWaitingJobs bounds the waiting jobs that are looked at for sessions to reclaim.
@@ -50,23 +50,23 @@
 func (f *Fleet) WaitingJobsFor(now time.Duration, of []*jobs.Job) []string {
 	out := make([]string, len(of))
 	asked := 0
-	for _, j := range f.ranked {
-		n := j.UnstartedTasks()
-		if n == 0 || j.Idle() || j.Spec == nil {
+	for _, job := range f.ranked {
+		n := job.UnstartedTasks()
+		if n == 0 || job.Idle() || job.Spec == nil {
 			continue
 		}
 		if asked++; asked > maxWaitingJobs {
 			break
 		}
-		if f.startsSoon(j) {
+		if f.startsSoon(job) {
 			continue
 		}
 		for i, s := range of {
 			if n == 0 {
 				break
 			}
-			if out[i] == "" && s != j && f.wouldLetStart(j, s) {
-				out[i] = j.ID
+			if out[i] == "" && s != job && f.wouldLetStart(job, s) {
+				out[i] = job.ID
 				n--
 			}
 		}
@@ -75,15 +75,15 @@
 }
 
 // startsSoon tells whether a job can have all it needs without anybody's leaving.
-func (f *Fleet) startsSoon(j *jobs.Job) bool {
-	if !f.mayStart(j, 1) {
+func (f *Fleet) startsSoon(job *jobs.Job) bool {
+	if !f.mayStart(job, 1) {
 		return false
 	}
 	n := 0
-	for _, m := range f.machines {
+	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if m.Condition == Ready && !m.Returning && !m.Quarantined && f.mayUse(m, j) && f.fits(m, j) {
-			if n += j.Spec.Size().Copies(m.Free()); n >= j.UnstartedTasks() {
+		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined && f.mayUse(machine, job) && f.fits(machine, job) {
+			if n += job.Spec.Size().Copies(machine.Free()); n >= job.UnstartedTasks() {
 				return true
 			}
 		}
@@ -92,21 +92,21 @@
 }
 
 // wouldLetStart tells whether the end of a session's task would let a waiting job start one of its own.
-func (f *Fleet) wouldLetStart(j, s *jobs.Job) bool {
+func (f *Fleet) wouldLetStart(job, s *jobs.Job) bool {
 	if s.Tasks == nil || !s.Tasks[0].State.Occupies() || s.Tasks[0].Stopping {
 		return false
 	}
-	if !f.mayStart(j, 1) {
-		if d, pool := f.LicenceDenial(j); d != 0 {
-			for _, u := range s.LicenceUnits {
-				if u.Pool == pool {
+	if !f.mayStart(job, 1) {
+		if d, pool := f.LicenceDenial(job); d != 0 {
+			for _, unit := range s.LicenceUnits {
+				if unit.Pool == pool {
 					return true
 				}
 			}
 			return false
 		}
-		return s.Team == j.Team // the limit of the team
+		return s.Team == job.Team // the limit of the team
 	}
-	m := f.machines[s.Tasks[0].Machine]
-	return m.Condition == Ready && !m.Returning && f.mayUse(m, j) && j.Spec.Size().Fits(m.Free().Add(s.Spec.Size()))
+	machine := f.machines[s.Tasks[0].Machine]
+	return machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) && job.Spec.Size().Fits(machine.Free().Add(s.Spec.Size()))
 }
--- a/internal/fleet/pass.go
+++ b/internal/fleet/pass.go
@@ -45,31 +45,31 @@
 	f.waitingPerGPU, f.gpuWithinGuarantee, f.gpuPriority = planner.Size{}, false, math.MinInt
 	var wait waitingAccelerators
 	clear(f.onDemandTypes)
-	for _, j := range f.ranked {
-		if j.Idle() {
+	for _, job := range f.ranked {
+		if job.Idle() {
 			continue
 		}
-		if !j.Spec.Spot {
+		if !job.Spec.Spot {
 			for ix := range f.seenTypes {
-				if t := f.Types(ix); t != nil && j.Allows(ix, j.Zone, false) && j.Spec.Size().Fits(t.Size) {
+				if machineType := f.Types(ix); machineType != nil && job.Allows(ix, job.Zone, false) && job.Spec.Size().Fits(machineType.Size) {
 					f.onDemandTypes[ix] = true
 				}
 			}
 		}
 		// What its team's limit keeps waiting needs no room, nor what fails wherever it runs.
-		if s := j.Spec.Size(); s.GPUs > 0 && j.UnstartedTasks() > 0 && f.crashLooping(j) == nil && f.mayStart(j, 1) {
-			if n := s.GPUs * float64(j.UnstartedTasks()); j.Spec.Spot {
+		if size := job.Spec.Size(); size.GPUs > 0 && job.UnstartedTasks() > 0 && f.crashLooping(job) == nil && f.mayStart(job, 1) {
+			if n := size.GPUs * float64(job.UnstartedTasks()); job.Spec.Spot {
 				wait.any += n
 			} else {
 				wait.ordinary += n
 			}
-			f.waitingPerGPU.CPUs = max(f.waitingPerGPU.CPUs, s.CPUs/s.GPUs)
-			f.waitingPerGPU.Mem = max(f.waitingPerGPU.Mem, s.Mem/s.GPUs)
-			switch w := f.withinGuarantee[j.Index]; {
+			f.waitingPerGPU.CPUs = max(f.waitingPerGPU.CPUs, size.CPUs/size.GPUs)
+			f.waitingPerGPU.Mem = max(f.waitingPerGPU.Mem, size.Mem/size.GPUs)
+			switch w := f.withinGuarantee[job.Index]; {
 			case w && !f.gpuWithinGuarantee:
-				f.gpuWithinGuarantee, f.gpuPriority = true, j.Priority
+				f.gpuWithinGuarantee, f.gpuPriority = true, job.Priority
 			case w == f.gpuWithinGuarantee:
-				f.gpuPriority = max(f.gpuPriority, j.Priority)
+				f.gpuPriority = max(f.gpuPriority, job.Priority)
 			}
 		}
 	}
@@ -89,17 +89,17 @@
 // machine as long as a single task waited: three thousand tasks without accelerators stood beside three hundred idle machines.
 func (f *Fleet) reserveCPUsForGPUWork(w waitingAccelerators) {
 	all, left := map[bool]float64{}, map[bool]float64{}
-	for _, m := range f.machines {
-		if m.Condition == Ready && !m.Returning {
-			all[m.Spot] += m.Capacity.GPUs
+	for _, machine := range f.machines {
+		if machine.Condition == Ready && !machine.Returning {
+			all[machine.Spot] += machine.Capacity.GPUs
 		}
 	}
 	left[true] = 2*w.any + reservedGPUFraction*all[true]
 	left[false] = 2*(w.any+w.ordinary) + reservedGPUFraction*all[false]
-	for _, m := range f.machines {
-		m.keepsCPUsForGPUWork = left[m.Spot] > 0
-		if m.Condition == Ready && !m.Returning {
-			left[m.Spot] -= m.Capacity.GPUs - m.Used.GPUs
+	for _, machine := range f.machines {
+		machine.keepsCPUsForGPUWork = left[machine.Spot] > 0
+		if machine.Condition == Ready && !machine.Returning {
+			left[machine.Spot] -= machine.Capacity.GPUs - machine.Used.GPUs
 		}
 	}
 	f.PlanningSteps += uint64(2 * len(f.machines))
@@ -111,29 +111,29 @@
 	if now-f.rankedAt > 500*time.Millisecond || f.rankedAt == 0 {
 		f.RankJobs(now)
 	}
-	for _, m := range f.machines {
-		m.reserved, m.reservedRank, m.reservedFirmly = planner.Size{}, 1<<30, false
+	for _, machine := range f.machines {
+		machine.reserved, machine.reservedRank, machine.reservedFirmly = planner.Size{}, 1<<30, false
 	}
-	for _, j := range f.ranked {
-		f.cycle.lowest = min(f.cycle.lowest, j.Priority)
+	for _, job := range f.ranked {
+		f.cycle.lowest = min(f.cycle.lowest, job.Priority)
 	}
 	f.grantLicences(now)
 	f.findGPUReserve()
 	f.trackRoom(now)
 	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranked))
-	for _, j := range f.ranked {
-		if j.FinishedTasks == j.TaskCount || j.Idle() {
+	for _, job := range f.ranked {
+		if job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
-		switch j.Spec.Kind {
+		switch job.Spec.Kind {
 		case jobs.Gang:
-			f.replanGang(now, j)
-			f.placeGang(now, j)
+			f.replanGang(now, job)
+			f.placeGang(now, job)
 		case jobs.Service:
-			f.placeService(now, j)
+			f.placeService(now, job)
 		default:
-			f.planArray(now, j)
-			f.preemptArray(now, j)
+			f.planArray(now, job)
+			f.preemptArray(now, job)
 		}
 	}
 	f.steal(now)
@@ -141,37 +141,37 @@
 
 // replanGang replans gangs that cannot start as planned: a planned gang whose machine was
 // lost or filled up, and a running gang that lost a task.
-func (f *Fleet) replanGang(now time.Duration, j *jobs.Job) {
-	unplanned, planned, on := j.TasksByState[jobs.Unplanned], j.TasksByState[jobs.Planned], j.TasksOnMachines()
+func (f *Fleet) replanGang(now time.Duration, job *jobs.Job) {
+	unplanned, planned, on := job.TasksByState[jobs.Unplanned], job.TasksByState[jobs.Planned], job.TasksOnMachines()
 	if planned > 0 && on == 0 {
-		for t := range j.Tasks {
-			k := &j.Tasks[t]
-			if k.State != jobs.Planned {
+		for t := range job.Tasks {
+			task := &job.Tasks[t]
+			if task.State != jobs.Planned {
 				continue
 			}
-			m := f.machines[k.Machine]
+			machine := f.machines[task.Machine]
 			// Placed gangs are started at the next chance; one that no longer fits
 			// (its room went to a task that a report brought up) is placed anew.
-			if m.Condition != Ready || m.Returning || (j.IsDurable(int32(t)) && !f.fits(m, j)) || unplanned > 0 {
-				for o := range j.Tasks {
-					if j.Tasks[o].State == jobs.Planned {
-						f.dequeue(j, int32(o))
-						f.checkTransition(j.SetTaskState(int32(o), jobs.Unplanned))
+			if machine.Condition != Ready || machine.Returning || (job.IsDurable(int32(t)) && !f.fits(machine, job)) || unplanned > 0 {
+				for o := range job.Tasks {
+					if job.Tasks[o].State == jobs.Planned {
+						f.dequeue(job, int32(o))
+						f.checkTransition(job.SetTaskState(int32(o), jobs.Unplanned))
 					}
 				}
 				return
 			}
 		}
 	}
-	if on > 0 && unplanned > 0 && j.TaskCount > 1 {
+	if on > 0 && unplanned > 0 && job.TaskCount > 1 {
 		// The rest must go before the gang can start anew.
-		for t := range j.Tasks {
-			k := &j.Tasks[t]
-			if k.State.Occupies() {
-				f.stopTask(j, int32(t))
-			} else if k.State == jobs.Planned {
-				f.dequeue(j, int32(t))
-				f.checkTransition(j.SetTaskState(int32(t), jobs.Unplanned))
+		for t := range job.Tasks {
+			task := &job.Tasks[t]
+			if task.State.Occupies() {
+				f.stopTask(job, int32(t))
+			} else if task.State == jobs.Planned {
+				f.dequeue(job, int32(t))
+				f.checkTransition(job.SetTaskState(int32(t), jobs.Unplanned))
 			}
 		}
 	}
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -21,61 +21,61 @@
 
 // secondsToWait is how many seconds a job may wait for a natural end before one of its aims is
 // missed; stopping others any earlier wastes their work for nothing.
-func (f *Fleet) secondsToWait(now time.Duration, j *jobs.Job) float64 {
-	d, ok := f.nextDue(now, j)
-	if !ok || f.withinGuarantee[j.Index] {
+func (f *Fleet) secondsToWait(now time.Duration, job *jobs.Job) float64 {
+	duration, ok := f.nextDue(now, job)
+	if !ok || f.withinGuarantee[job.Index] {
 		return preemptionPatienceS // a guarantee is owed now
 	}
-	return max(preemptionPatienceS, (d-now).Seconds()-preemptionPatienceS)
+	return max(preemptionPatienceS, (duration-now).Seconds()-preemptionPatienceS)
 }
 
 // mayPreempt tells whether a job may have another's tasks stopped: those of a lower
 // priority, and what another team runs in excess of its guarantee if the job lies within
 // its own.
-func (f *Fleet) mayPreempt(j, victim *jobs.Job) bool {
-	if j == victim || victim.Spec == nil || j.Spec == nil || (victim.Spec.Kind != jobs.Array && victim.TaskCount > 1) {
+func (f *Fleet) mayPreempt(job, victim *jobs.Job) bool {
+	if job == victim || victim.Spec == nil || job.Spec == nil || (victim.Spec.Kind != jobs.Array && victim.TaskCount > 1) {
 		return false
 	}
 	// This order must be that of Rank: otherwise two jobs can stop each other for ever,
 	// each taking the room that the other made.
-	switch wj, wv := f.withinGuarantee[j.Index], f.withinGuarantee[victim.Index]; {
+	switch wj, wv := f.withinGuarantee[job.Index], f.withinGuarantee[victim.Index]; {
 	case wj == wv:
-		return victim.Priority < j.Priority
+		return victim.Priority < job.Priority
 	case wj:
-		return victim.Team != j.Team || victim.Priority < j.Priority
+		return victim.Team != job.Team || victim.Priority < job.Priority
 	}
 	return false
 }
 
 // lostWork is the work that stopping a task would waste, in seconds.
-func (f *Fleet) lostWork(now time.Duration, j *jobs.Job, t int32) float64 {
-	k := &j.Tasks[t]
-	if k.Phase != jobs.Running {
+func (f *Fleet) lostWork(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
+	task := &job.Tasks[taskIndex]
+	if task.Phase != jobs.Running {
 		return 0
 	}
-	if j.Spec.CheckpointS > 0 {
-		return j.Spec.SaveS
+	if job.Spec.CheckpointS > 0 {
+		return job.Spec.SaveS
 	}
-	return (now - k.RunningSince).Seconds()
+	return (now - task.RunningSince).Seconds()
 }
 
 // victims finds the tasks whose end would make room for one task of a job on a machine,
 // at the least loss; ok is false if there is no such set.
-func (f *Fleet) victims(now time.Duration, m *Machine, j *jobs.Job) (out []TaskRef, lost float64, ok bool) {
+func (f *Fleet) victims(now time.Duration, machine *Machine, job *jobs.Job) (out []TaskRef, lost float64, ok bool) {
 	type candidate struct {
 		TaskRef
 		lost float64
 	}
-	free := f.room(m, j)
-	size := j.Spec.Size()
+	free := f.room(machine, job)
+	size := job.Spec.Size()
 	var cs []candidate
-	for r := range m.Tasks {
+	for r := range machine.Tasks {
 		v := f.jobAt(r.Job)
-		k := &v.Tasks[r.Task]
+		task := &v.Tasks[r.Task]
 		switch {
-		case k.Stopping:
+		case task.Stopping:
 			free = free.Add(v.Spec.Size()) // it is on its way out already
-		case k.State == jobs.OnMachine && f.mayPreempt(j, v):
+		case task.State == jobs.OnMachine && f.mayPreempt(job, v):
 			cs = append(cs, candidate{r, f.lostWork(now, v, r.Task)})
 		}
 	}
@@ -89,7 +89,7 @@
 		return cs[a].Task < cs[b].Task
 	})
 	// What must be left for accelerators counts: room that the job would not be let into was made again and again.
-	fits := func() bool { return size.Fits(free.Sub(f.keptFree(m, j, free.GPUs))) }
+	fits := func() bool { return size.Fits(free.Sub(f.keptFree(machine, job, free.GPUs))) }
 	for _, c := range cs {
 		if fits() {
 			break
@@ -131,45 +131,45 @@
 // preemptFor makes room for a gang on the machines where it can start soonest, one for each
 // task and in one zone if need be, counting wasted work as delay. start is when it would
 // start without.
-func (f *Fleet) preemptFor(now time.Duration, j *jobs.Job, ps []candidate, start float64) bool {
-	key := preemptionShape{shapeOf(j), j.Team, j.Priority, f.withinGuarantee[j.Index], j.TaskCount, j.Spec.OneZone}
-	if t, ok := f.preemptedAt[j.Index]; ok && now-t < preemptionCooldown {
+func (f *Fleet) preemptFor(now time.Duration, job *jobs.Job, candidates []candidate, start float64) bool {
+	key := preemptionShape{shapeOf(job), job.Team, job.Priority, f.withinGuarantee[job.Index], job.TaskCount, job.Spec.OneZone}
+	if t, ok := f.preemptedAt[job.Index]; ok && now-t < preemptionCooldown {
 		return false
 	}
-	if f.cycle.vain[key] || f.cycle.tries >= searches || (j.Priority <= f.cycle.lowest && !f.withinGuarantee[j.Index]) {
+	if f.cycle.vain[key] || f.cycle.tries >= searches || (job.Priority <= f.cycle.lowest && !f.withinGuarantee[job.Index]) {
 		return false
 	}
 	f.cycle.tries++
 	weight := 1.0
-	if f.withinGuarantee[j.Index] {
+	if f.withinGuarantee[job.Index] {
 		weight = 0.05 // the guarantee goes before the loss
 	}
 	byZone := map[int32][]preemptionOption{}
-	for _, p := range ps {
-		refs, lost, ok := f.victims(now, p.m, j)
-		f.PlanningSteps += uint64(len(p.m.Tasks))
-		if c := 1 + p.fetch + weight*lost; ok && c < start-preemptionPatienceS {
+	for _, candidate := range candidates {
+		refs, lost, ok := f.victims(now, candidate.m, job)
+		f.PlanningSteps += uint64(len(candidate.m.Tasks))
+		if c := 1 + candidate.fetch + weight*lost; ok && c < start-preemptionPatienceS {
 			zone := jobs.None
-			if j.Spec.OneZone {
-				zone = p.m.Zone
+			if job.Spec.OneZone {
+				zone = candidate.m.Zone
 			}
-			byZone[zone] = append(byZone[zone], preemptionOption{p.m, refs, c})
+			byZone[zone] = append(byZone[zone], preemptionOption{candidate.m, refs, c})
 		}
 	}
 	var best []preemptionOption
 	for _, ss := range byZone {
-		if len(ss) < j.TaskCount {
+		if len(ss) < job.TaskCount {
 			continue
 		}
 		slices.SortFunc(ss, func(a, b preemptionOption) int {
 			return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.m.Index, b.m.Index))
 		})
-		if ss = spread(ss, j.TaskCount, j.Spec.ZoneLimit()); ss == nil {
+		if ss = spread(ss, job.TaskCount, job.Spec.ZoneLimit()); ss == nil {
 			continue
 		}
-		a, b := ss[j.TaskCount-1], preemptionOption{cost: math.Inf(1)}
+		a, b := ss[job.TaskCount-1], preemptionOption{cost: math.Inf(1)}
 		if best != nil {
-			b = best[j.TaskCount-1]
+			b = best[job.TaskCount-1]
 		}
 		if a.cost < b.cost || (a.cost == b.cost && a.m.Index < b.m.Index) {
 			best = ss
@@ -179,40 +179,40 @@
 		f.cycle.vain[key] = true
 		return false
 	}
-	f.preemptedAt[j.Index] = now
+	f.preemptedAt[job.Index] = now
 	for _, s := range best {
-		f.stopForPreemption(now, s.m, j, s.victims)
-		s.m.reserved, s.m.reservedRank, s.m.reservedFirmly = j.Spec.Size(), f.rankOf(j), false
+		f.stopForPreemption(now, s.m, job, s.victims)
+		s.m.reserved, s.m.reservedRank, s.m.reservedFirmly = job.Spec.Size(), f.rankOf(job), false
 	}
 	return true
 }
 
 // preemptArray makes room for an array's planned tasks where they are planned.
-func (f *Fleet) preemptArray(now time.Duration, j *jobs.Job) {
-	if j.TasksByState[jobs.Planned] == 0 || f.crashLooping(j) != nil || (j.Priority <= f.cycle.lowest && !f.withinGuarantee[j.Index]) || !f.mayStart(j, 1) {
+func (f *Fleet) preemptArray(now time.Duration, job *jobs.Job) {
+	if job.TasksByState[jobs.Planned] == 0 || f.crashLooping(job) != nil || (job.Priority <= f.cycle.lowest && !f.withinGuarantee[job.Index]) || !f.mayStart(job, 1) {
 		return
 	}
-	patient := f.secondsToWait(now, j)
-	for _, ix := range f.queueMachines(j) {
-		m := f.machines[ix]
+	patient := f.secondsToWait(now, job)
+	for _, ix := range f.queueMachines(job) {
+		machine := f.machines[ix]
 		f.PlanningSteps++
-		if m.Condition != Ready || m.Returning || m.Quarantined || f.fits(m, j) || f.freeIn(now, m, j) < patient || !f.mayUse(m, j) {
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined || f.fits(machine, job) || f.freeIn(now, machine, job) < patient || !f.mayUse(machine, job) {
 			continue
 		}
-		if refs, _, ok := f.victims(now, m, j); ok {
-			f.stopForPreemption(now, m, j, refs)
-			if m.reserved == (planner.Size{}) {
-				m.reserved, m.reservedRank, m.reservedFirmly = j.Spec.Size(), f.rankOf(j), false
+		if refs, _, ok := f.victims(now, machine, job); ok {
+			f.stopForPreemption(now, machine, job, refs)
+			if machine.reserved == (planner.Size{}) {
+				machine.reserved, machine.reservedRank, machine.reservedFirmly = job.Spec.Size(), f.rankOf(job), false
 			}
 		}
 	}
 }
 
-func (f *Fleet) stopForPreemption(now time.Duration, m *Machine, j *jobs.Job, refs []TaskRef) {
+func (f *Fleet) stopForPreemption(now time.Duration, machine *Machine, job *jobs.Job, refs []TaskRef) {
 	for _, r := range refs {
 		f.stopTask(f.jobAt(r.Job), r.Task)
 	}
 	if len(refs) > 0 {
-		slog.Info("preempting", "job", j.ID, "machine", m.Name, "tasks", len(refs), "term", f.Term)
+		slog.Info("preempting", "job", job.ID, "machine", machine.Name, "tasks", len(refs), "term", f.Term)
 	}
 }
--- a/internal/fleet/push.go
+++ b/internal/fleet/push.go
@@ -12,86 +12,86 @@
 // dispatch sends launches and stops straight to machines instead of waiting for their next
 // reports. A machine has at most one such request under way.
 func (f *Fleet) dispatch(now time.Duration) {
-	for _, m := range f.machines {
+	for _, machine := range f.machines {
 		if f.MaxDirectRequests > 0 && f.directRequests >= f.MaxDirectRequests {
 			// The rest stays where it is planned: what can't be sent now must not count as
 			// launched.
 			f.planBecameDurable = true
 			return
 		}
-		if m.Condition != Ready || m.directInFlight || m.fencing || m.Addr == "" || now-m.LastHeardAt > config.Seconds(f.Settings.Params.Workers.ReportS*1.6) ||
-			now-m.dispatchedAt < 200*time.Millisecond {
+		if machine.Condition != Ready || machine.directInFlight || machine.fencing || machine.Addr == "" || now-machine.LastHeardAt > config.Seconds(f.Settings.Params.Workers.ReportS*1.6) ||
+			now-machine.dispatchedAt < 200*time.Millisecond {
 			continue
 		}
-		if m.QueuedTasks == 0 && !m.hasStops {
+		if machine.QueuedTasks == 0 && !machine.hasStops {
 			continue
 		}
-		calls := f.startCommands(now, m)
+		calls := f.startCommands(now, machine)
 		started := len(calls)
-		if m.hasStops {
-			calls = append(calls, f.stopCommands(now, m)...)
+		if machine.hasStops {
+			calls = append(calls, f.stopCommands(now, machine)...)
 		}
 		if len(calls) == 0 {
 			continue
 		}
-		f.sendDirect(now, m, calls, started)
+		f.sendDirect(now, machine, calls, started)
 	}
 }
 
 // stopCommands tells a machine's tasks that must go to stop, again if they have not after a second.
-func (f *Fleet) stopCommands(now time.Duration, m *Machine) (calls []Command) {
-	m.hasStops = false
-	for r := range m.Tasks {
-		j := f.jobAt(r.Job)
-		k := &j.Tasks[r.Task]
-		m.hasStops = m.hasStops || k.Stopping
-		if k.Stopping && k.State == jobs.OnMachine && k.Phase != jobs.Saving && now-k.StopSentAt > time.Second {
-			grace := j.Spec.SaveS + 1
-			if j.State.Terminal() {
+func (f *Fleet) stopCommands(now time.Duration, machine *Machine) (calls []Command) {
+	machine.hasStops = false
+	for r := range machine.Tasks {
+		job := f.jobAt(r.Job)
+		task := &job.Tasks[r.Task]
+		machine.hasStops = machine.hasStops || task.Stopping
+		if task.Stopping && task.State == jobs.OnMachine && task.Phase != jobs.Saving && now-task.StopSentAt > time.Second {
+			grace := job.Spec.SaveS + 1
+			if job.State.Terminal() {
 				grace = 0
 			}
-			k.StopSentAt = now
-			calls = append(calls, Command{Op: opStop, Task: taskName(j, r.Task), Attempt: k.Attempt, GraceS: &grace})
+			task.StopSentAt = now
+			calls = append(calls, Command{Op: opStop, Task: taskName(job, r.Task), Attempt: task.Attempt, GraceS: &grace})
 		}
 	}
 	return calls
 }
 
 // sendDirect sends one direct request and keeps track of launches whose arrival stays open.
-func (f *Fleet) sendDirect(now time.Duration, m *Machine, calls []Command, started int) {
-	m.directInFlight, m.dispatchedAt = true, now
+func (f *Fleet) sendDirect(now time.Duration, machine *Machine, calls []Command, started int) {
+	machine.directInFlight, machine.dispatchedAt = true, now
 	f.directRequests++
 	f.directRequestCount++
-	session, seq := m.Session, m.Seq
+	session, seq := machine.Session, machine.Seq
 	var sent []taskAttempt
 	for _, c := range calls[:started] {
-		j, t := f.findTask(c.Task)
-		sent = append(sent, taskAttempt{TaskRef{j.Index, t}, c.Attempt})
-		j.Tasks[t].LaunchIndeterminate = true
+		job, taskIndex := f.findTask(c.Task)
+		sent = append(sent, taskAttempt{TaskRef{job.Index, taskIndex}, c.Attempt})
+		job.Tasks[taskIndex].LaunchIndeterminate = true
 	}
-	f.SendCommands(m, DirectCommands{Token: m.Token, Session: session, Commands: calls}, func(r *Heartbeat, ok bool) {
-		m.directInFlight = false
+	f.SendCommands(machine, DirectCommands{Token: machine.Token, Session: session, Commands: calls}, func(heartbeat *Heartbeat, ok bool) {
+		machine.directInFlight = false
 		f.directRequests--
 		for _, a := range sent {
 			// The job may have ended and been swept while the request was under way.
-			if j := f.jobAt(a.Job); ok && j != nil && j.Tasks != nil && j.Tasks[a.Task].Attempt == a.n {
-				j.Tasks[a.Task].LaunchIndeterminate = false
+			if job := f.jobAt(a.Job); ok && job != nil && job.Tasks != nil && job.Tasks[a.Task].Attempt == a.n {
+				job.Tasks[a.Task].LaunchIndeterminate = false
 			}
-			if !ok && m.Session == session {
-				m.indeterminateLaunches[a] = struct{}{}
+			if !ok && machine.Session == session {
+				machine.indeterminateLaunches[a] = struct{}{}
 			}
 		}
 		if !ok {
 			// It may have restarted before the request got there, and the lease of its new life begins then: what it
 			// was just told to start counts that long.
-			m.LastAnsweredAt = max(m.LastAnsweredAt, f.Now())
+			machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
 		}
-		if r != nil && r.Machine == m.Name {
+		if heartbeat != nil && heartbeat.Machine == machine.Name {
 			how := asResponse
-			if r.Session == session && r.Seq <= seq {
+			if heartbeat.Session == session && heartbeat.Seq <= seq {
 				how = asRestarted // a worker that has gone on counts on from what it had reported before
 			}
-			f.acceptHeartbeat(f.Now(), r, how)
+			f.acceptHeartbeat(f.Now(), heartbeat, how)
 		}
 	})
 }
--- a/internal/fleet/rank.go
+++ b/internal/fleet/rank.go
@@ -11,39 +11,39 @@
 
 // nextDue is when a job's next start should have happened at the latest, and whether any of
 // its aims can still be met.
-func (f *Fleet) nextDue(now time.Duration, j *jobs.Job) (time.Duration, bool) {
+func (f *Fleet) nextDue(now time.Duration, job *jobs.Job) (time.Duration, bool) {
 	best, ok := time.Duration(1<<62), false
-	est := config.Seconds(f.estimate(j))
-	consider := func(d time.Duration) {
-		if d >= now && d < best {
-			best, ok = d, true
+	est := config.Seconds(f.estimate(job))
+	consider := func(duration time.Duration) {
+		if duration >= now && duration < best {
+			best, ok = duration, true
 		}
 	}
-	if j.Spec.DeadlineS != nil {
-		consider(j.SubmittedAt + config.Seconds(*j.Spec.DeadlineS) - est)
+	if job.Spec.DeadlineS != nil {
+		consider(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS) - est)
 	}
 	for _, o := range f.Settings.Params.Objectives {
-		if o.Kind == "guarantee" && f.withinGuarantee[j.Index] && !j.Started {
-			consider(j.SubmittedAt + config.Seconds(o.WithinS))
+		if o.Kind == "guarantee" && f.withinGuarantee[job.Index] && !job.Started {
+			consider(job.SubmittedAt + config.Seconds(o.WithinS))
 		}
-		if o.Class != j.Spec.Class {
+		if o.Class != job.Spec.Class {
 			continue
 		}
 		switch o.Kind {
 		case "wait":
-			if !j.Started {
-				consider(j.SubmittedAt + config.Seconds(o.WithinS))
+			if !job.Started {
+				consider(job.SubmittedAt + config.Seconds(o.WithinS))
 			}
 		case "finished":
-			consider(j.SubmittedAt + config.Seconds(o.WithinS) - est)
+			consider(job.SubmittedAt + config.Seconds(o.WithinS) - est)
 		case "deadline":
-			if j.Spec.DeadlineS != nil && o.Times > 1 {
-				consider(j.SubmittedAt + config.Seconds(*j.Spec.DeadlineS*o.Times) - est)
+			if job.Spec.DeadlineS != nil && o.Times > 1 {
+				consider(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS*o.Times) - est)
 			}
 		}
 	}
 	if !ok {
-		return j.SubmittedAt, false
+		return job.SubmittedAt, false
 	}
 	return best, true
 }
@@ -60,13 +60,13 @@
 // first.
 func (f *Fleet) RankJobs(now time.Duration) {
 	f.rankedAt = now
-	for _, j := range f.ranked {
-		j.QueuePosition = 0
+	for _, job := range f.ranked {
+		job.QueuePosition = 0
 	}
 	f.ranked = f.ranked[:0]
-	f.Jobs.ForEachLive(func(j *jobs.Job) {
-		if j.Tasks != nil && j.Spec != nil {
-			f.ranked = append(f.ranked, j)
+	f.Jobs.ForEachLive(func(job *jobs.Job) {
+		if job.Tasks != nil && job.Spec != nil {
+			f.ranked = append(f.ranked, job)
 		}
 	})
 	sort.Slice(f.ranked, func(a, b int) bool {
@@ -78,27 +78,27 @@
 	demand := map[int32]planner.Size{}
 	clear(f.withinGuarantee)
 	keys := make(map[jobs.Index]rankKey, len(f.ranked))
-	for _, j := range f.ranked {
-		s := j.Spec.Size()
-		n := float64(j.TaskCount - j.FinishedTasks)
-		sum := demand[j.Team].Add(planner.Size{CPUs: s.CPUs * n, GPUs: s.GPUs * n})
-		demand[j.Team] = sum
-		f.withinGuarantee[j.Index] = f.Gate.Quota.Within(j.Team, s, sum)
-		d, ok := f.nextDue(now, j)
-		keys[j.Index] = rankKey{d, ok}
+	for _, job := range f.ranked {
+		size := job.Spec.Size()
+		n := float64(job.TaskCount - job.FinishedTasks)
+		sum := demand[job.Team].Add(planner.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n})
+		demand[job.Team] = sum
+		f.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, sum)
+		duration, ok := f.nextDue(now, job)
+		keys[job.Index] = rankKey{duration, ok}
 	}
 	f.sortByRank(f.ranked, keys)
 	f.yieldRanks(now, keys)
 	f.markStartDeadlines(now)
-	for i, j := range f.ranked {
-		j.QueuePosition = i + 1
+	for i, job := range f.ranked {
+		job.QueuePosition = i + 1
 	}
 }
 
 // sortByRank orders jobs among which equal ones keep their places.
-func (f *Fleet) sortByRank(js []*jobs.Job, keys map[jobs.Index]rankKey) {
-	sort.SliceStable(js, func(a, b int) bool {
-		x, y := js[a], js[b]
+func (f *Fleet) sortByRank(jobList []*jobs.Job, keys map[jobs.Index]rankKey) {
+	sort.SliceStable(jobList, func(a, b int) bool {
+		x, y := jobList[a], jobList[b]
 		// What may preempt the other must also rank before it, or the room it made
 		// would be taken by its victims again.
 		if wx, wy := f.withinGuarantee[x.Index], f.withinGuarantee[y.Index]; wx != wy {
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -20,28 +20,28 @@
 
 // HandleHeartbeat takes over one report that came as a request and answers it. The caller has
 // checked that this controller has authority.
-func (f *Fleet) HandleHeartbeat(now time.Duration, r *Heartbeat) (a HeartbeatResponse, v HeartbeatResult) {
+func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (a HeartbeatResponse, v HeartbeatResult) {
 	f.heartbeatCount++
-	m, v := f.acceptHeartbeat(now, r, asRequest)
-	if v == Stale && f.shouldChallenge(now, m, r) {
-		return HeartbeatResponse{Token: m.Token, Commands: f.stopCancelled(r)}, Accepted
+	machine, v := f.acceptHeartbeat(now, heartbeat, asRequest)
+	if v == Stale && f.shouldChallenge(now, machine, heartbeat) {
+		return HeartbeatResponse{Token: machine.Token, Commands: f.stopCancelled(heartbeat)}, Accepted
 	}
 	if v != Accepted {
 		return HeartbeatResponse{}, v
 	}
-	m.LastAnsweredAt = now
-	defer func() { m.recordResponse(now, r, a) }()
-	a = HeartbeatResponse{Token: m.Token, Commands: []Command{}}
-	if r.Token < m.Token || !f.plansLoaded {
-		a.Commands = f.stopCancelled(r) // for all else the token has to be seen first
+	machine.LastAnsweredAt = now
+	defer func() { machine.recordResponse(now, heartbeat, a) }()
+	a = HeartbeatResponse{Token: machine.Token, Commands: []Command{}}
+	if heartbeat.Token < machine.Token || !f.plansLoaded {
+		a.Commands = f.stopCancelled(heartbeat) // for all else the token has to be seen first
 		return a, Accepted
 	}
-	m.fence()
-	a.Token = m.Token
-	if m.Condition == Ready || m.Condition == ReclaimNoticed {
-		a.Commands = f.buildCommands(now, m, r)
+	machine.fence()
+	a.Token = machine.Token
+	if machine.Condition == Ready || machine.Condition == ReclaimNoticed {
+		a.Commands = f.buildCommands(now, machine, heartbeat)
 	} else {
-		a.Commands = f.stopCancelled(r)
+		a.Commands = f.stopCancelled(heartbeat)
 	}
 	return a, Accepted
 }
@@ -50,12 +50,12 @@
 // ever heard again or not: none may go out without these, not even the first one of a new owner, whose token the machine
 // hasn't seen. A machine that was last heard from at the very end of a cut, and then by nobody, ran cancelled work
 // for a lease longer than cancel_s allows. A cancellation is final, so the stop is never wrong.
-func (f *Fleet) stopCancelled(r *Heartbeat) []Command {
+func (f *Fleet) stopCancelled(heartbeat *Heartbeat) []Command {
 	out := []Command{}
-	for i := range r.Tasks {
-		e := &r.Tasks[i]
-		if j, _ := f.findTask(e.Task); j != nil && e.State != taskExited && j.State == jobs.Cancelled {
-			out = append(out, Command{Op: opStop, Task: e.Task, Attempt: e.Attempt, GraceS: new(float64)})
+	for i := range heartbeat.Tasks {
+		taskReport := &heartbeat.Tasks[i]
+		if job, _ := f.findTask(taskReport.Task); job != nil && taskReport.State != taskExited && job.State == jobs.Cancelled {
+			out = append(out, Command{Op: opStop, Task: taskReport.Task, Attempt: taskReport.Attempt, GraceS: new(float64)})
 		}
 	}
 	return out
@@ -71,106 +71,106 @@
 )
 
 // acceptHeartbeat brings the machine's state up to a report.
-func (f *Fleet) acceptHeartbeat(now time.Duration, r *Heartbeat, how heartbeatOrigin) (*Machine, HeartbeatResult) {
+func (f *Fleet) acceptHeartbeat(now time.Duration, heartbeat *Heartbeat, how heartbeatOrigin) (*Machine, HeartbeatResult) {
 	direct := how != asRequest
-	if r.Token>>tokenBits > f.Term {
+	if heartbeat.Token>>tokenBits > f.Term {
 		return nil, Deposed
 	}
-	m := f.RegisterMachine(now, r.Machine)
-	if m.Condition == Terminated {
+	machine := f.RegisterMachine(now, heartbeat.Machine)
+	if machine.Condition == Terminated {
 		// The cloud confirmed its return: this report was under way for long.
-		return m, Stale
+		return machine, Stale
 	}
 	if how == asRestarted {
-		f.challenge(now, m)
-		m.reachability.restarted = true
-		return m, Accepted
+		f.challenge(now, machine)
+		machine.reachability.restarted = true
+		return machine, Accepted
 	}
-	past, dared := m.mayBeStaleCopy(r), m.answeredChallenge(r)
-	if !dared && (past || m.reachability.challengeToken != 0 && r.Session == m.Session) {
+	past, dared := machine.mayBeStaleCopy(heartbeat), machine.answeredChallenge(heartbeat)
+	if !dared && (past || machine.reachability.challengeToken != 0 && heartbeat.Session == machine.Session) {
 		if !past {
-			return m, Accepted // of which life it is nobody knows: the raised token goes out, and nothing follows
+			return machine, Accepted // of which life it is nobody knows: the raised token goes out, and nothing follows
 		}
-		return m, Stale
+		return machine, Stale
 	}
 	if dared && past {
-		slog.Info("a machine has restarted", "machine", m.Name, "session", r.Session, "term", f.Term)
-		m.reachability, m.cachedImages = reachability{}, nil
+		slog.Info("a machine has restarted", "machine", machine.Name, "session", heartbeat.Session, "term", f.Term)
+		machine.reachability, machine.cachedImages = reachability{}, nil
 	}
-	m.reachability.challengeToken, m.reachability.restarted = 0, false
-	unheard := r.Session > m.Session && m.Session > 0 && now-m.LastAnsweredAt < f.Settings.Lease()
-	if r.Session != m.Session {
+	machine.reachability.challengeToken, machine.reachability.restarted = 0, false
+	unheard := heartbeat.Session > machine.Session && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.Lease()
+	if heartbeat.Session != machine.Session {
 		// Direct commands name their session: those of the old one are refused now.
-		f.resolveLaunches(m)
-		f.handleWorkerRestart(now, m)
+		f.resolveLaunches(machine)
+		f.handleWorkerRestart(now, machine)
 		// The lease of a session counts from its beginning, even if no report of it was
 		// ever answered: a direct launch may run that long.
-		m.LastAnsweredAt = now
+		machine.LastAnsweredAt = now
 	}
-	f.SetMachineDetails(m, r.Addr, r.Type, r.Zone, r.Spot)
-	if r.Session > m.Session {
-		m.reachability.highestToken, m.reachability.unconfirmedSince, m.reachability.witness = 0, 0, Command{}
+	f.SetMachineDetails(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	if heartbeat.Session > machine.Session {
+		machine.reachability.highestToken, machine.reachability.unconfirmedSince, machine.reachability.witness = 0, 0, Command{}
 	}
-	m.Session, m.Seq, m.reachability.highestToken = r.Session, r.Seq, max(m.reachability.highestToken, r.Token)
+	machine.Session, machine.Seq, machine.reachability.highestToken = heartbeat.Session, heartbeat.Seq, max(machine.reachability.highestToken, heartbeat.Token)
 	if unheard && !direct {
 		// Its lease ran out although its reports were answered.
-		f.markOneWayUnreachable(now, m, "its lease ran out although it was answered")
+		f.markOneWayUnreachable(now, machine, "its lease ran out although it was answered")
 	}
-	f.checkTokenTimeout(now, m, r)
-	if r.Token < m.Token || !f.plansLoaded {
+	f.checkTokenTimeout(now, machine, heartbeat)
+	if heartbeat.Token < machine.Token || !f.plansLoaded {
 		// Not fenced yet: a former owner's command may still arrive. Our token goes
 		// out with the answer, and the next report will carry it.
 		// One that was lost has to show that it hears first: a zone of machines that don't once counted as back with
 		// each of their new sessions, and more were rented there.
 		if direct {
-			return m, Accepted
+			return machine, Accepted
 		}
-		if m.LastHeartbeatAt = now; m.Condition != OneWayUnreachable && m.Condition != LeaseExpired {
-			f.markHeard(now, m)
+		if machine.LastHeartbeatAt = now; machine.Condition != OneWayUnreachable && machine.Condition != LeaseExpired {
+			f.markHeard(now, machine)
 		}
-		return m, Accepted
+		return machine, Accepted
 	}
 	if direct {
-		m.reachability.unconfirmedSince, m.reachability.witness = 0, Command{}
-	} else if !f.confirmsLastResponse(now, m, r) {
-		return m, Accepted
+		machine.reachability.unconfirmedSince, machine.reachability.witness = 0, Command{}
+	} else if !f.confirmsLastResponse(now, machine, heartbeat) {
+		return machine, Accepted
 	}
 	// What it was asked it answers, and may reach nobody all the same: then it dies with its lease, and no new work belongs
 	// there. Only a report tells that it lives.
 	if !direct {
-		f.markHeard(now, m)
+		f.markHeard(now, machine)
 	}
-	if m.fencing {
-		m.fencing = false
-		f.resolveLaunches(m)
+	if machine.fencing {
+		machine.fencing = false
+		f.resolveLaunches(machine)
 	}
 	switch {
-	case r.NoticeS != nil && !m.Returning:
-		if m.Condition != ReclaimNoticed {
-			m.ReclaimAt = now + config.Seconds(*r.NoticeS)
-			f.setCondition(m, ReclaimNoticed, "spot notice")
-			f.clearQueues(m)
+	case heartbeat.NoticeS != nil && !machine.Returning:
+		if machine.Condition != ReclaimNoticed {
+			machine.ReclaimAt = now + config.Seconds(*heartbeat.NoticeS)
+			f.setCondition(machine, ReclaimNoticed, "spot notice")
+			f.clearQueues(machine)
 		}
-	case m.Condition != Ready && !m.Returning && !direct:
-		if m.UpSince == 0 {
-			m.UpSince = now
+	case machine.Condition != Ready && !machine.Returning && !direct:
+		if machine.UpSince == 0 {
+			machine.UpSince = now
 		}
-		f.setCondition(m, Ready, "report at our token")
+		f.setCondition(machine, Ready, "report at our token")
 	}
-	f.reconcileTasks(now, m, r, direct)
-	return m, Accepted
+	f.reconcileTasks(now, machine, heartbeat, direct)
+	return machine, Accepted
 }
 
 // markHeard notes that a machine is there. One that doesn't hear is not: nothing can be done with it.
-func (f *Fleet) markHeard(now time.Duration, m *Machine) {
-	m.LastHeardAt, m.LastHeartbeatAt, m.Quarantined = now, now, false
+func (f *Fleet) markHeard(now time.Duration, machine *Machine) {
+	machine.LastHeardAt, machine.LastHeartbeatAt, machine.Quarantined = now, now, false
 	f.LastHeartbeat = now
 }
 
 // resolveLaunches notes that no direct launch sent so far can be executed any more.
-func (f *Fleet) resolveLaunches(m *Machine) {
-	clear(m.indeterminateLaunches)
-	for ref := range m.Tasks {
+func (f *Fleet) resolveLaunches(machine *Machine) {
+	clear(machine.indeterminateLaunches)
+	for ref := range machine.Tasks {
 		f.jobAt(ref.Job).Tasks[ref.Task].LaunchIndeterminate = false
 	}
 }
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -67,11 +67,11 @@
 			}
 		}
 		waiting := 0
-		for _, j := range g.ranked {
-			if j.TasksByState[jobs.Unplanned] > 0 {
-				t.Fatalf("%s has unplanned tasks", j.ID)
+		for _, job := range g.ranked {
+			if job.TasksByState[jobs.Unplanned] > 0 {
+				t.Fatalf("%s has unplanned tasks", job.ID)
 			}
-			waiting += j.TasksByState[jobs.Planned]
+			waiting += job.TasksByState[jobs.Planned]
 		}
 		if waiting == 0 {
 			t.Fatal("nothing waits")
@@ -103,11 +103,11 @@
 		if waits {
 			g.submit(gang(1, 2, "t")) // needs a second machine, which is not there
 		}
-		j := g.submit(spec(2, 30))
+		job := g.submit(spec(2, 30))
 		g.settle(store.Committed)
 		n := len(starts(g.see("g1", "gpu", false)))
 		if waits != (n == 0) || len(starts(g.see("c1", "cpu", false))) == 0 {
-			t.Fatalf("gang waits: %v, %d small tasks of %d started beside the accelerators", waits, n, j.TaskCount)
+			t.Fatalf("gang waits: %v, %d small tasks of %d started beside the accelerators", waits, n, job.TaskCount)
 		}
 	}
 }
@@ -168,10 +168,10 @@
 	g := mixed(t)
 	g.see("g1", "gpu", false)
 	g.see("g2", "gpu", false)
-	s := gang(1, 2, "t")
-	s.ImageGB = 40 // 40 s, twice what a task waits for its gang
-	g.FindMachine("g1").touchImage(g.Jobs.Names.Images.Index(s.Image), 40, 100)
-	g.submit(s)
+	spec := gang(1, 2, "t")
+	spec.ImageGB = 40 // 40 s, twice what a task waits for its gang
+	g.FindMachine("g1").touchImage(g.Jobs.Names.Images.Index(spec.Image), 40, 100)
+	g.submit(spec)
 	g.settle(store.Committed)
 	at, on := map[string]time.Duration{}, map[string][]TaskReport{}
 	began := g.now
@@ -206,11 +206,11 @@
 	}
 	g.see("ordinary", "gpu", false)
 	g.submit(gang(2, 4, "t")) // may not use spot, and keeps waiting
-	j := half(3, 100)
+	job := half(3, 100)
 	g.now += 100 * time.Millisecond
 	g.Tick(g.now, false)
-	for i := range j.Tasks {
-		if m := j.Tasks[i].Machine; m == jobs.None || !g.machines[m].Spot {
+	for i := range job.Tasks {
+		if m := job.Tasks[i].Machine; m == jobs.None || !g.machines[m].Spot {
 			t.Fatalf("task %d is not planned on the spot machine", i)
 		}
 	}
@@ -224,16 +224,16 @@
 		f := &Fleet{}
 		var want []*Machine
 		for i := range 1 + rng.IntN(60) {
-			m := &Machine{Index: int32(i), Spot: rng.IntN(2) == 0, Condition: Ready, Tasks: map[TaskRef]struct{}{}, Returning: rng.IntN(9) == 0}
+			machine := &Machine{Index: int32(i), Spot: rng.IntN(2) == 0, Condition: Ready, Tasks: map[TaskRef]struct{}{}, Returning: rng.IntN(9) == 0}
 			if rng.IntN(5) == 0 {
-				m.Condition = LeaseExpired
+				machine.Condition = LeaseExpired
 			}
 			for k := range rng.IntN(9) {
-				m.Tasks[TaskRef{0, int32(k)}] = struct{}{}
+				machine.Tasks[TaskRef{0, int32(k)}] = struct{}{}
 			}
-			f.machines = append(f.machines, m)
-			if m.Condition == Ready && !m.Returning {
-				want = append(want, m)
+			f.machines = append(f.machines, machine)
+			if machine.Condition == Ready && !machine.Returning {
+				want = append(want, machine)
 			}
 		}
 		slices.SortStableFunc(want, func(a, b *Machine) int {
--- a/internal/fleet/seats.go
+++ b/internal/fleet/seats.go
@@ -15,55 +15,55 @@
 // order, and a job plans and rents only for tasks that have one. What it does not do is decide a
 // start; that is the gate's, when the launch is about to be sent.
 
-func licenceRef(j *jobs.Job, t int32) licences.Ref {
-	return licences.Ref{Job: int32(j.Index), Task: t}
+func licenceRef(job *jobs.Job, taskIndex int32) licences.Ref {
+	return licences.Ref{Job: int32(job.Index), Task: taskIndex}
 }
 
 // admissionClaim is what one task of a job takes.
-func admissionClaim(j *jobs.Job) admission.Claim {
-	return admission.Claim{Team: j.Team, Size: j.Spec.Size(), Seats: j.LicenceUnits}
+func admissionClaim(job *jobs.Job) admission.Claim {
+	return admission.Claim{Team: job.Team, Size: job.Spec.Size(), Seats: job.LicenceUnits}
 }
 
 // mayStart tells whether n tasks of a job are let through together now, as far as limits and
 // licences are concerned.
-func (f *Fleet) mayStart(j *jobs.Job, n int) bool {
-	return f.grantedTasks(j, n) >= n && f.Gate.Fits(admissionClaim(j), n)
+func (f *Fleet) mayStart(job *jobs.Job, n int) bool {
+	return f.grantedTasks(job, n) >= n && f.Gate.Fits(admissionClaim(job), n)
 }
 
 // grantedTasks is how many of n waiting tasks the last pass had seats for: all, if they need none.
-func (f *Fleet) grantedTasks(j *jobs.Job, n int) int {
-	if len(j.LicenceUnits) == 0 {
+func (f *Fleet) grantedTasks(job *jobs.Job, n int) int {
+	if len(job.LicenceUnits) == 0 {
 		return n
 	}
-	return min(n, f.licenceGrants[j.Index].Tasks)
+	return min(n, f.licenceGrants[job.Index].Tasks)
 }
 
 // LicenceHolder finds a task of ours by its name, as a licence server knows its holder.
 func (f *Fleet) LicenceHolder(task string) (licences.Ref, bool) {
-	j, t := f.findTask(task)
-	if j == nil {
+	job, taskIndex := f.findTask(task)
+	if job == nil {
 		return licences.Ref{}, false
 	}
-	return licenceRef(j, t), true
+	return licenceRef(job, taskIndex), true
 }
 
 // admitGang lets a whole gang through whose first task is about to be launched.
-func (f *Fleet) admitGang(now time.Duration, j *jobs.Job) {
+func (f *Fleet) admitGang(now time.Duration, job *jobs.Job) {
 	var refs []licences.Ref
-	for t := range j.Tasks {
-		if j.Tasks[t].State == jobs.Planned {
-			refs = append(refs, licenceRef(j, int32(t)))
+	for t := range job.Tasks {
+		if job.Tasks[t].State == jobs.Planned {
+			refs = append(refs, licenceRef(job, int32(t)))
 		}
 	}
-	f.Gate.Reserve(now, refs, j.GangAttempt, admissionClaim(j))
+	f.Gate.Reserve(now, refs, job.GangAttempt, admissionClaim(job))
 }
 
 // releaseUnusedAdmissions gives back what is booked for tasks that won't be launched: their gang lost its plan,
 // a task, or its reason to run.
 func (f *Fleet) releaseUnusedAdmissions(now time.Duration) {
 	f.Gate.ReleaseReserved(now, func(r licences.Ref) bool {
-		j := f.jobAt(jobs.Index(r.Job))
-		return j == nil || j.State.Terminal() || j.Tasks == nil || j.Tasks[r.Task].State != jobs.Planned || j.TasksByState[jobs.Unplanned] > 0
+		job := f.jobAt(jobs.Index(r.Job))
+		return job == nil || job.State.Terminal() || job.Tasks == nil || job.Tasks[r.Task].State != jobs.Planned || job.TasksByState[jobs.Unplanned] > 0
 	})
 }
 
@@ -83,13 +83,13 @@
 // Whatever of it the worker had started it has killed, and what was under way names that
 // session or is dropped with its answer. Sending the same attempt again, as is done for tasks
 // without licences, would let two processes hold seats in the name of one.
-func (f *Fleet) handleWorkerRestart(now time.Duration, m *Machine) {
+func (f *Fleet) handleWorkerRestart(now time.Duration, machine *Machine) {
 	if f.Gate.Licences.None() || !f.plansLoaded {
 		return
 	}
 	var refs []TaskRef
-	for r := range m.Tasks {
-		if j := f.jobAt(r.Job); len(j.LicenceUnits) > 0 && j.Tasks[r.Task].State == jobs.Launched {
+	for r := range machine.Tasks {
+		if job := f.jobAt(r.Job); len(job.LicenceUnits) > 0 && job.Tasks[r.Task].State == jobs.Launched {
 			refs = append(refs, r)
 		}
 	}
@@ -103,59 +103,59 @@
 // the rest of their plans up, so that what is planned never exceeds what is granted.
 func (f *Fleet) grantLicences(now time.Duration) {
 	f.releaseUnusedAdmissions(now)
-	var js []*jobs.Job
+	var jobList []*jobs.Job
 	var asks []licences.Ask
-	for _, j := range f.ranked {
-		if len(j.LicenceUnits) == 0 || j.FinishedTasks == j.TaskCount || j.Idle() {
+	for _, job := range f.ranked {
+		if len(job.LicenceUnits) == 0 || job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
-		a := licences.Ask{Job: int32(j.Index), Team: j.Team, Needs: j.LicenceUnits, Whole: j.Spec.Kind == jobs.Gang, Tasks: j.UnstartedTasks()}
-		if a.Whole && a.Tasks < j.TaskCount {
-			a.Tasks = 0 // some of it is still there, or on its way with its seats booked
+		ask := licences.Ask{Job: int32(job.Index), Team: job.Team, Needs: job.LicenceUnits, Whole: job.Spec.Kind == jobs.Gang, Tasks: job.UnstartedTasks()}
+		if ask.Whole && ask.Tasks < job.TaskCount {
+			ask.Tasks = 0 // some of it is still there, or on its way with its seats booked
 		}
-		js, asks = append(js, j), append(asks, a)
+		jobList, asks = append(jobList, job), append(asks, ask)
 	}
-	if len(js) == 0 {
+	if len(jobList) == 0 {
 		clear(f.licenceGrants)
 		return
 	}
 	clear(f.licenceGrants)
-	for i, g := range f.Gate.Licences.Allot(asks) {
-		j := js[i]
-		if was := j.LicenceDenial; was != g.Why {
-			j.LicenceDenial = g.Why
-			slog.Debug("licences", "job", j.ID, "granted", g.Tasks, "of", asks[i].Tasks, "why", g.Why.String(), "term", f.Term)
+	for i, grant := range f.Gate.Licences.Allot(asks) {
+		job := jobList[i]
+		if was := job.LicenceDenial; was != grant.Why {
+			job.LicenceDenial = grant.Why
+			slog.Debug("licences", "job", job.ID, "granted", grant.Tasks, "of", asks[i].Tasks, "why", grant.Why.String(), "term", f.Term)
 		}
-		f.licenceGrants[j.Index] = g
-		f.dropPlans(j, j.TasksByState[jobs.Planned]-g.Tasks)
+		f.licenceGrants[job.Index] = grant
+		f.dropPlans(job, job.TasksByState[jobs.Planned]-grant.Tasks)
 	}
-	f.PlanningSteps += uint64(4 * len(js))
-	for i, j := range js {
-		if g := f.licenceGrants[j.Index]; g.Tasks < asks[i].Tasks {
-			f.preemptForLicences(now, j, asks[i], g)
+	f.PlanningSteps += uint64(4 * len(jobList))
+	for i, job := range jobList {
+		if grant := f.licenceGrants[job.Index]; grant.Tasks < asks[i].Tasks {
+			f.preemptForLicences(now, job, asks[i], grant)
 		}
 	}
-	for _, p := range f.Jobs.Names.Pools.Pools() {
-		if ix, ok := f.Jobs.Names.Pools.Index(p.Name); ok {
+	for _, pool := range f.Jobs.Names.Pools.Pools() {
+		if ix, ok := f.Jobs.Names.Pools.Index(pool.Name); ok {
 			f.stopExcess(now, ix)
 		}
 	}
 }
 
 // dropPlans unplans n of a job's tasks that have not been started.
-func (f *Fleet) dropPlans(j *jobs.Job, n int) {
-	if n <= 0 || (j.Spec.Kind == jobs.Gang && j.TasksOnMachines() > 0) {
+func (f *Fleet) dropPlans(job *jobs.Job, n int) {
+	if n <= 0 || (job.Spec.Kind == jobs.Gang && job.TasksOnMachines() > 0) {
 		return
 	}
-	for _, ix := range f.queueMachines(j) {
+	for _, ix := range f.queueMachines(job) {
 		for n > 0 {
-			ts := f.machines[ix].queued(j.Index)
+			ts := f.machines[ix].queued(job.Index)
 			if len(ts) == 0 {
 				break
 			}
-			t := ts[len(ts)-1]
-			f.dequeue(j, t)
-			f.checkTransition(j.SetTaskState(t, jobs.Unplanned))
+			taskIndex := ts[len(ts)-1]
+			f.dequeue(job, taskIndex)
+			f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 			n--
 		}
 	}
@@ -172,28 +172,28 @@
 // licenceHolders lists who holds seats of a pool on a machine and may be stopped, least costly first:
 // seconds of work lost for each seat. Gangs go whole. halting is what is on its way out.
 func (f *Fleet) licenceHolders(now time.Duration, pool int32, may func(*jobs.Job) bool) (hs []licenceHolder, halting int) {
-	f.Jobs.ForEach(func(j *jobs.Job) {
-		i := slices.IndexFunc(j.LicenceUnits, func(u licences.Unit) bool { return u.Pool == pool })
-		if i < 0 || j.Tasks == nil || j.TasksOnMachines() == 0 {
+	f.Jobs.ForEach(func(job *jobs.Job) {
+		i := slices.IndexFunc(job.LicenceUnits, func(unit licences.Unit) bool { return unit.Pool == pool })
+		if i < 0 || job.Tasks == nil || job.TasksOnMachines() == 0 {
 			return
 		}
-		ok := !j.State.Terminal() && may(j)
+		ok := !job.State.Terminal() && may(job)
 		var gang licenceHolder
-		for t := range j.Tasks {
-			k := &j.Tasks[t]
+		for t := range job.Tasks {
+			task := &job.Tasks[t]
 			switch {
-			case !k.State.Occupies():
-			case k.Stopping || k.Done || j.GangDone:
-				halting += j.LicenceUnits[i].N
-			case ok && j.Spec.Kind == jobs.Gang:
-				gang.tasks, gang.units = append(gang.tasks, int32(t)), gang.units+j.LicenceUnits[i].N
-				gang.lost += f.lostWork(now, j, int32(t))
+			case !task.State.Occupies():
+			case task.Stopping || task.Done || job.GangDone:
+				halting += job.LicenceUnits[i].N
+			case ok && job.Spec.Kind == jobs.Gang:
+				gang.tasks, gang.units = append(gang.tasks, int32(t)), gang.units+job.LicenceUnits[i].N
+				gang.lost += f.lostWork(now, job, int32(t))
 			case ok:
-				hs = append(hs, licenceHolder{j, []int32{int32(t)}, j.LicenceUnits[i].N, f.lostWork(now, j, int32(t))})
+				hs = append(hs, licenceHolder{job, []int32{int32(t)}, job.LicenceUnits[i].N, f.lostWork(now, job, int32(t))})
 			}
 		}
 		if gang.tasks != nil {
-			gang.job = j
+			gang.job = job
 			hs = append(hs, gang)
 		}
 	})
@@ -217,8 +217,8 @@
 
 func (f *Fleet) stopHolders(hs []licenceHolder, cause, pool string) {
 	for _, h := range hs {
-		for _, t := range h.tasks {
-			f.stopTask(h.job, t)
+		for _, taskIndex := range h.tasks {
+			f.stopTask(h.job, taskIndex)
 		}
 		slog.Info("stopped for its licence", "job", h.job.ID, "tasks", len(h.tasks), "pool", pool, "units", h.units,
 			"cause", cause, "term", f.Term)
@@ -245,51 +245,51 @@
 // preemptForLicences has others stopped for a job that waits for seats, by the same rules as for
 // machines: after patience, and where waiting for a natural end would miss an aim or a
 // guarantee is owed.
-func (f *Fleet) preemptForLicences(now time.Duration, j *jobs.Job, a licences.Ask, g licences.Grant) {
-	if g.Why != licences.NoSeat && g.Why != licences.OtherFirst {
+func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, ask licences.Ask, grant licences.Grant) {
+	if grant.Why != licences.NoSeat && grant.Why != licences.OtherFirst {
 		return
 	}
 	n := 1
-	if a.Whole {
-		n = a.Tasks
+	if ask.Whole {
+		n = ask.Tasks
 	}
-	promised := f.Gate.Licences.Promised(j.Team, j.LicenceUnits, n)
-	if j.Priority <= f.cycle.lowest && !f.withinGuarantee[j.Index] && !promised {
+	promised := f.Gate.Licences.Promised(job.Team, job.LicenceUnits, n)
+	if job.Priority <= f.cycle.lowest && !f.withinGuarantee[job.Index] && !promised {
 		return
 	}
-	if t, ok := f.preemptedAt[j.Index]; (ok && now-t < preemptionCooldown) || now-j.SubmittedAt < preemptionPatience {
+	if t, ok := f.preemptedAt[job.Index]; (ok && now-t < preemptionCooldown) || now-job.SubmittedAt < preemptionPatience {
 		return
 	}
 	// What a job of lower rank leaves free it gets without stopping anybody.
-	if g.Tasks >= n {
+	if grant.Tasks >= n {
 		return
 	}
 	canWait := preemptionPatienceS
 	if !promised {
-		canWait = f.secondsToWait(now, j)
+		canWait = f.secondsToWait(now, job)
 	}
 	var plan [][]licenceHolder
-	for _, u := range j.LicenceUnits {
-		short := f.Gate.Licences.Short(u, n)
+	for _, unit := range job.LicenceUnits {
+		short := f.Gate.Licences.Short(unit, n)
 		if short == 0 {
 			continue
 		}
-		hs, halting := f.licenceHolders(now, u.Pool, func(v *jobs.Job) bool {
-			return f.mayPreempt(j, v) || (promised && v.Team != j.Team && f.Gate.Licences.Over(u.Pool, v.Team) &&
+		hs, halting := f.licenceHolders(now, unit.Pool, func(v *jobs.Job) bool {
+			return f.mayPreempt(job, v) || (promised && v.Team != job.Team && f.Gate.Licences.Over(unit.Pool, v.Team) &&
 				!f.Gate.Licences.Promised(v.Team, v.LicenceUnits, 0) && (v.Spec.Kind == jobs.Array || v.TaskCount == 1))
 		})
 		if short -= halting; short <= 0 {
 			continue
 		}
 		chosen := f.pickHolders(hs, short)
-		if chosen == nil || f.earliestLicence(now, u.Pool) < canWait {
+		if chosen == nil || f.earliestLicence(now, unit.Pool) < canWait {
 			return // all pools or none: half of the seats would help nobody
 		}
 		plan = append(plan, chosen)
 	}
 	for _, hs := range plan {
-		f.preemptedAt[j.Index] = now
-		f.stopHolders(hs, "preempted by "+j.ID, "")
+		f.preemptedAt[job.Index] = now
+		f.stopHolders(hs, "preempted by "+job.ID, "")
 	}
 }
 
@@ -298,13 +298,13 @@
 // earliestLicence estimates in how many seconds the next holder of a pool ends by itself.
 func (f *Fleet) earliestLicence(now time.Duration, pool int32) float64 {
 	soonest := 1e6
-	f.Jobs.ForEach(func(j *jobs.Job) {
-		if j.Tasks == nil || j.TasksOnMachines() == 0 || !slices.ContainsFunc(j.LicenceUnits, func(u licences.Unit) bool { return u.Pool == pool }) {
+	f.Jobs.ForEach(func(job *jobs.Job) {
+		if job.Tasks == nil || job.TasksOnMachines() == 0 || !slices.ContainsFunc(job.LicenceUnits, func(unit licences.Unit) bool { return unit.Pool == pool }) {
 			return
 		}
-		for t := range j.Tasks {
-			if j.Tasks[t].State.Occupies() && j.Spec != nil {
-				soonest = min(soonest, f.remainingSeconds(now, j, int32(t)))
+		for t := range job.Tasks {
+			if job.Tasks[t].State.Occupies() && job.Spec != nil {
+				soonest = min(soonest, f.remainingSeconds(now, job, int32(t)))
 			}
 		}
 	})
@@ -312,10 +312,10 @@
 }
 
 // LicenceDenial says why a job's waiting tasks have no seats, and the pool in the way.
-func (f *Fleet) LicenceDenial(j *jobs.Job) (licences.Denial, int32) {
-	g, ok := f.licenceGrants[j.Index]
+func (f *Fleet) LicenceDenial(job *jobs.Job) (licences.Denial, int32) {
+	grant, ok := f.licenceGrants[job.Index]
 	if !ok {
 		return licences.Granted, -1
 	}
-	return g.Why, g.Pool
+	return grant.Why, grant.Pool
 }
--- a/internal/fleet/seats_test.go
+++ b/internal/fleet/seats_test.go
@@ -26,23 +26,23 @@
 	return g.Gate.Licences.Show(g.now, pool, func(int32) string { return "" }).Free
 }
 
-func task(j *jobs.Job, t int, attempt uint64, state, why string) TaskReport {
-	return TaskReport{Task: taskName(j, int32(t)), Attempt: attempt, State: state, Why: why}
+func task(job *jobs.Job, t int, attempt uint64, state, why string) TaskReport {
+	return TaskReport{Task: taskName(job, int32(t)), Attempt: attempt, State: state, Why: why}
 }
 
 // What waits for a seat is neither planned nor rented for, and doesn't keep work that needs
 // none from starting; a raised count is used at the next pass.
 func TestOnlyWhatHasASeatIsPlanned(t *testing.T) {
-	p := &licences.Pool{Name: "p", Count: 2}
-	g := seatRig(t, 1, map[string]json.RawMessage{}, p)
+	pool := &licences.Pool{Name: "p", Count: 2}
+	g := seatRig(t, 1, map[string]json.RawMessage{}, pool)
 	for i := range 3 {
 		g.hear(fmt.Sprintf("m%d", i), 1, fenced)
 	}
-	j := g.submit(needing(1, 6, map[string]int{"p": 1}))
+	job := g.submit(needing(1, 6, map[string]int{"p": 1}))
 	other := g.submit(spec(2, 4))
 	g.settle(store.Committed)
-	if j.TasksByState[jobs.Planned] != 2 || other.TasksByState[jobs.Planned] != 4 {
-		t.Fatalf("%d planned with two seats, %d without", j.TasksByState[jobs.Planned], other.TasksByState[jobs.Planned])
+	if job.TasksByState[jobs.Planned] != 2 || other.TasksByState[jobs.Planned] != 4 {
+		t.Fatalf("%d planned with two seats, %d without", job.TasksByState[jobs.Planned], other.TasksByState[jobs.Planned])
 	}
 	if d := g.Demand(g.now); len(d) != 2 || d[0].Tasks != 2 || d[1].Tasks != 4 {
 		t.Fatalf("demand %+v", d)
@@ -52,13 +52,13 @@
 		n += len(starts(g.hear(fmt.Sprintf("m%d", i), 1, fenced)))
 	}
 	g.settle(store.Committed)
-	if why, pool := g.LicenceDenial(j); n != 6 || g.free(0) != 0 || why != licences.NoSeat || pool != 0 || len(g.Demand(g.now)) != 0 {
+	if why, pool := g.LicenceDenial(job); n != 6 || g.free(0) != 0 || why != licences.NoSeat || pool != 0 || len(g.Demand(g.now)) != 0 {
 		t.Fatalf("%d starts, %d seats free, denied %q in %d", n, g.free(0), why, pool)
 	}
-	p.Count = 5
+	pool.Count = 5
 	g.settle(store.Committed)
-	if j.TasksByState[jobs.Planned] != 3 {
-		t.Fatalf("%d planned with three more seats", j.TasksByState[jobs.Planned])
+	if job.TasksByState[jobs.Planned] != 3 {
+		t.Fatalf("%d planned with three more seats", job.TasksByState[jobs.Planned])
 	}
 }
 
@@ -88,15 +88,15 @@
 func TestTakeoverWaitsForUnknownLingers(t *testing.T) {
 	n := seatRig(t, 2, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 8 * time.Second})
 	n.hear("m", 1, 2*fenced)
-	j := n.submit(needing(1, 1, map[string]int{"p": 1}))
+	job := n.submit(needing(1, 1, map[string]int{"p": 1}))
 	n.settle(store.Committed)
-	if j.TasksByState[jobs.Planned] != 0 {
+	if job.TasksByState[jobs.Planned] != 0 {
 		t.Fatal("a seat was given out that a crashed task of the term before may hold")
 	}
 	n.now = 8 * time.Second
 	n.hear("m", 1, 2*fenced)
 	n.settle(store.Committed)
-	if j.TasksByState[jobs.Planned] != 1 {
+	if job.TasksByState[jobs.Planned] != 1 {
 		t.Fatal("no seat after the linger")
 	}
 }
@@ -146,12 +146,12 @@
 func TestLateLaunchHoldsItsSeat(t *testing.T) {
 	g := seatRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1})
 	g.hear("m", 1, fenced)
-	j := g.submit(needing(1, 1, map[string]int{"p": 1}))
+	job := g.submit(needing(1, 1, map[string]int{"p": 1}))
 	g.settle(store.Committed)
 	g.hearNothing()
 	g.Tick(g.now, true)
 	g.orders[0](nil, false)
-	g.cancel(j)
+	g.cancel(job)
 	for _, token := range []uint64{fenced, fenced} {
 		if g.hear("m", 1, token); g.free(0) != 0 {
 			t.Fatal("the seat is free while the launch may land")
@@ -169,10 +169,10 @@
 	g := seatRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 5 * time.Second})
 	g.now = 6 * time.Second // past the lingers of an earlier term
 	g.hear("m", 1, fenced)
-	j := g.submit(needing(1, 1, map[string]int{"p": 1}))
+	job := g.submit(needing(1, 1, map[string]int{"p": 1}))
 	g.settle(store.Committed)
 	cs := starts(g.hear("m", 1, fenced))
-	if len(cs) != 1 || j.Tasks[0].State != jobs.Launched {
+	if len(cs) != 1 || job.Tasks[0].State != jobs.Launched {
 		t.Fatalf("commands %v", cs)
 	}
 	g.now += 21 * time.Second // its lease
@@ -193,29 +193,29 @@
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t", CPUsMax: 6}}, &licences.Pool{Name: "p", Count: 3})
 	g.hear("a", 1, fenced)
 	g.hear("b", 1, fenced)
-	s := needing(1, 2, map[string]int{"p": 1})
-	s.Kind, s.CPUs = jobs.Gang, 3
-	j := g.submit(s)
+	spec := needing(1, 2, map[string]int{"p": 1})
+	spec.Kind, spec.CPUs = jobs.Gang, 3
+	job := g.submit(spec)
 	g.settle(store.Committed)
-	if cs := starts(g.hear(g.machines[j.Tasks[0].Machine].Name, 1, fenced)); len(cs) != 1 {
+	if cs := starts(g.hear(g.machines[job.Tasks[0].Machine].Name, 1, fenced)); len(cs) != 1 {
 		t.Fatalf("commands %v, want the first of the gang", cs)
 	}
-	if used := g.Gate.Quota.Team(j.Team).Used.CPUs; used != 6 || g.free(0) != 1 {
+	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 6 || g.free(0) != 1 {
 		t.Fatalf("the team uses %v CPUs, %d seats are free: the second task is not booked", used, g.free(0))
 	}
-	if !g.Gate.Reserved(licenceRef(j, 1)) && !g.Gate.Reserved(licenceRef(j, 0)) {
+	if !g.Gate.Reserved(licenceRef(job, 1)) && !g.Gate.Reserved(licenceRef(job, 0)) {
 		t.Fatal("nothing is booked")
 	}
-	if cs := starts(g.hear(g.machines[j.Tasks[1].Machine].Name, 1, fenced)); len(cs) != 1 || g.Gate.Quota.Team(j.Team).Used.CPUs != 6 {
+	if cs := starts(g.hear(g.machines[job.Tasks[1].Machine].Name, 1, fenced)); len(cs) != 1 || g.Gate.Quota.Team(job.Team).Used.CPUs != 6 {
 		t.Fatalf("commands %v, want the second", cs)
 	}
 	// It ends before the other was reported: what is booked or held goes with it.
-	g.cancel(j)
-	for i := range j.Tasks {
-		g.hear(g.machines[j.Tasks[i].Machine].Name, 1, fenced)
+	g.cancel(job)
+	for i := range job.Tasks {
+		g.hear(g.machines[job.Tasks[i].Machine].Name, 1, fenced)
 	}
 	g.settle(store.Committed)
-	if used := g.Gate.Quota.Team(j.Team).Used.CPUs; used != 0 || g.free(0) != 3 {
+	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 0 || g.free(0) != 3 {
 		t.Fatalf("the team uses %v CPUs, %d seats are free after its end", used, g.free(0))
 	}
 }
@@ -225,18 +225,18 @@
 	g := seatRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 2})
 	g.hear("a", 1, fenced)
 	g.hear("b", 1, fenced)
-	s := needing(1, 2, map[string]int{"p": 1})
-	s.Kind, s.CPUs = jobs.Gang, 3
-	j := g.submit(s)
+	spec := needing(1, 2, map[string]int{"p": 1})
+	spec.Kind, spec.CPUs = jobs.Gang, 3
+	job := g.submit(spec)
 	g.settle(store.Committed)
-	first, second := g.machines[j.Tasks[0].Machine], g.machines[j.Tasks[1].Machine]
+	first, second := g.machines[job.Tasks[0].Machine], g.machines[job.Tasks[1].Machine]
 	at := starts(g.hear(first.Name, 1, fenced))[0].Attempt
 	g.HandleReturned(g.now, second, "gone")
 	g.settle(store.Committed)
-	if g.free(0) != 1 || g.Gate.Quota.Team(j.Team).Used.CPUs != 3 {
-		t.Fatalf("%d free, the team uses %v", g.free(0), g.Gate.Quota.Team(j.Team).Used.CPUs)
+	if g.free(0) != 1 || g.Gate.Quota.Team(job.Team).Used.CPUs != 3 {
+		t.Fatalf("%d free, the team uses %v", g.free(0), g.Gate.Quota.Team(job.Team).Used.CPUs)
 	}
-	g.hear(first.Name, 1, fenced, task(j, 0, at, taskExited, "alone"))
+	g.hear(first.Name, 1, fenced, task(job, 0, at, taskExited, "alone"))
 	if g.free(0) != 2 {
 		t.Fatalf("%d free", g.free(0))
 	}
@@ -248,9 +248,9 @@
 	for i := range n {
 		g.hear(fmt.Sprintf("m%d", i), 1, fenced)
 	}
-	s := needing(1, n, map[string]int{"p": 1})
-	s.CPUs, s.EstimateS, s.Priority = 4, 1000, "best_effort"
-	j := g.submit(s)
+	spec := needing(1, n, map[string]int{"p": 1})
+	spec.CPUs, spec.EstimateS, spec.Priority = 4, 1000, "best_effort"
+	job := g.submit(spec)
 	g.settle(store.Committed)
 	for i := range n {
 		m := fmt.Sprintf("m%d", i)
@@ -260,15 +260,15 @@
 		g.now += time.Second // the later, the less there is to lose
 		g.hear(m, 1, fenced, on[m]...)
 	}
-	if j.RunningTasks != n {
-		t.Fatalf("%d of %d run", j.RunningTasks, n)
+	if job.RunningTasks != n {
+		t.Fatalf("%d of %d run", job.RunningTasks, n)
 	}
-	return j, on
+	return job, on
 }
 
-func halting(j *jobs.Job) (ts []int) {
-	for t := range j.Tasks {
-		if j.Tasks[t].Stopping {
+func halting(job *jobs.Job) (ts []int) {
+	for t := range job.Tasks {
+		if job.Tasks[t].Stopping {
 			ts = append(ts, t)
 		}
 	}
@@ -278,23 +278,23 @@
 // The count falls below what is in use. Operators chose: nothing is stopped, or those with the
 // least work to lose are, as many as it takes and no more.
 func TestCountLoweredWhileTasksRun(t *testing.T) {
-	p := &licences.Pool{Name: "p", Count: 5, Lowering: licences.Wait}
-	g := seatRig(t, 1, map[string]json.RawMessage{}, p)
-	j, _ := holding(t, g, 5)
-	p.Count = 3
+	pool := &licences.Pool{Name: "p", Count: 5, Lowering: licences.Wait}
+	g := seatRig(t, 1, map[string]json.RawMessage{}, pool)
+	job, _ := holding(t, g, 5)
+	pool.Count = 3
 	g.settle(store.Committed)
-	if hs := halting(j); hs != nil {
+	if hs := halting(job); hs != nil {
 		t.Fatalf("tasks %v are stopped, and the operators want to wait", hs)
 	}
-	p.Lowering = licences.Stop
+	pool.Lowering = licences.Stop
 	g.settle(store.Committed)
-	hs := halting(j)
+	hs := halting(job)
 	if len(hs) != 2 {
 		t.Fatalf("tasks %v are stopped, want two", hs)
 	}
-	for t2 := range j.Tasks {
+	for t2 := range job.Tasks {
 		for _, h := range hs {
-			if !j.Tasks[t2].Stopping && j.Tasks[t2].RunningSince > j.Tasks[h].RunningSince {
+			if !job.Tasks[t2].Stopping && job.Tasks[t2].RunningSince > job.Tasks[h].RunningSince {
 				t.Fatalf("task %d was stopped, and %d had less to lose", h, t2)
 			}
 		}
@@ -305,40 +305,40 @@
 // once, and no more of them than it needs; so does one within its team's guaranteed seats.
 func TestSeatsArePreempted(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
-		p := &licences.Pool{Name: "p", Count: 4, Teams: map[string]licences.Share{"u": {Guarantee: 2}}}
-		g := seatRig(t, 1, map[string]json.RawMessage{}, p)
-		j, on := holding(t, g, 4)
+		pool := &licences.Pool{Name: "p", Count: 4, Teams: map[string]licences.Share{"u": {Guarantee: 2}}}
+		g := seatRig(t, 1, map[string]json.RawMessage{}, pool)
+		job, on := holding(t, g, 4)
 		g.hear("spare", 1, fenced)
-		s := needing(2, 2, map[string]int{"p": 1})
-		s.Kind, s.Priority = jobs.Gang, "prod"
+		spec := needing(2, 2, map[string]int{"p": 1})
+		spec.Kind, spec.Priority = jobs.Gang, "prod"
 		if guaranteed {
-			s.Priority, s.Team = "best_effort", "u"
+			spec.Priority, spec.Team = "best_effort", "u"
 		}
 		deadline := 10.0
-		s.DeadlineS, s.EstimateS = &deadline, 2
-		raw := jobs.EncodeRecord(jobs.Pending, g.now.Milliseconds(), s.Tasks, s)
-		g.learn(jobs.RecordKey(s.ID), raw)
+		spec.DeadlineS, spec.EstimateS = &deadline, 2
+		raw := jobs.EncodeRecord(jobs.Pending, g.now.Milliseconds(), spec.Tasks, spec)
+		g.learn(jobs.RecordKey(spec.ID), raw)
 		g.settle(store.Committed)
-		if hs := halting(j); hs != nil && g.now < 4*time.Second+preemptionPatience {
+		if hs := halting(job); hs != nil && g.now < 4*time.Second+preemptionPatience {
 			t.Fatalf("tasks %v are stopped at once", hs)
 		}
 		g.now += preemptionPatience
 		g.settle(store.Committed)
-		hs := halting(j)
+		hs := halting(job)
 		if len(hs) != 2 {
 			t.Fatalf("guaranteed %v: tasks %v are stopped, want two", guaranteed, hs)
 		}
 		for m, ts := range on {
 			for i := range ts {
-				if _, no := g.findTask(ts[i].Task); j.Tasks[no].Stopping {
+				if _, no := g.findTask(ts[i].Task); job.Tasks[no].Stopping {
 					ts[i].State, ts[i].Why = taskExited, exitStopped
 				}
 			}
 			g.hear(m, 1, fenced, ts...)
 		}
 		g.settle(store.Committed)
-		if gang := g.Jobs.Get("req-000002"); gang.TasksByState[jobs.Planned]+gang.TasksOnMachines() != 2 || j.TasksByState[jobs.Planned] != 0 {
-			t.Fatalf("guaranteed %v: the gang has %d planned, its victims %d", guaranteed, gang.TasksByState[jobs.Planned], j.TasksByState[jobs.Planned])
+		if gang := g.Jobs.Get("req-000002"); gang.TasksByState[jobs.Planned]+gang.TasksOnMachines() != 2 || job.TasksByState[jobs.Planned] != 0 {
+			t.Fatalf("guaranteed %v: the gang has %d planned, its victims %d", guaranteed, gang.TasksByState[jobs.Planned], job.TasksByState[jobs.Planned])
 		}
 	}
 }
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -18,55 +18,55 @@
 // as it came free would never let a large one in.
 // A job that ranks before all such work, or is overdue to begin, nil for none, leaves nothing: it would stop that work for room which was then kept
 // for the same work, again and again.
-func (f *Fleet) keptFree(m *Machine, j *jobs.Job, idle float64) planner.Size {
-	if m.Capacity.GPUs == 0 || f.waitingPerGPU == (planner.Size{}) || j != nil && (j.Spec.GPUs > 0 || f.startDeadlineDue[j.Index] || f.isStartDeadlineDue(j) || f.hasWaitedLong(j)) {
+func (f *Fleet) keptFree(machine *Machine, job *jobs.Job, idle float64) planner.Size {
+	if machine.Capacity.GPUs == 0 || f.waitingPerGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.startDeadlineDue[job.Index] || f.isStartDeadlineDue(job) || f.hasWaitedLong(job)) {
 		return planner.Size{}
 	}
 	// What such work may stop anyway need only be kept from as much as waits and may come.
-	if !m.keepsCPUsForGPUWork && j != nil && j.Priority < f.gpuPriority && !f.withinGuarantee[j.Index] {
+	if !machine.keepsCPUsForGPUWork && job != nil && job.Priority < f.gpuPriority && !f.withinGuarantee[job.Index] {
 		return planner.Size{}
 	}
 	return f.waitingPerGPU.Times(idle)
 }
 
 // isStartDeadlineDue tells whether a job ranks before all work that waits for accelerators.
-func (f *Fleet) isStartDeadlineDue(j *jobs.Job) bool {
-	if w := f.withinGuarantee[j.Index]; w != f.gpuWithinGuarantee {
+func (f *Fleet) isStartDeadlineDue(job *jobs.Job) bool {
+	if w := f.withinGuarantee[job.Index]; w != f.gpuWithinGuarantee {
 		return w
 	}
-	return j.Priority > f.gpuPriority
+	return job.Priority > f.gpuPriority
 }
 
 // spotWaitLimit is by how many seconds a job that may use spot machines puts off an ordinary one
 // which live jobs that may not use spot could need: they have no other.
-func (f *Fleet) spotWaitLimit(m *Machine, j *jobs.Job) float64 {
-	if m.Spot || !j.Spec.Spot || !f.onDemandTypes[m.Type] {
+func (f *Fleet) spotWaitLimit(machine *Machine, job *jobs.Job) float64 {
+	if machine.Spot || !job.Spec.Spot || !f.onDemandTypes[machine.Type] {
 		return 0
 	}
-	if j.Spec.Kind == jobs.Array {
-		return yieldArray * f.estimate(j)
+	if job.Spec.Kind == jobs.Array {
+		return yieldArray * f.estimate(job)
 	}
-	return yieldGang * f.estimate(j)
+	return yieldGang * f.estimate(job)
 }
 
 // fits tells whether one more task of a job has room on a machine now.
-func (f *Fleet) fits(m *Machine, j *jobs.Job) bool {
-	s := j.Spec.Size()
-	free := m.Free()
-	if f.isReservedFrom(m, j) {
-		free = free.Sub(m.reserved)
-	}
-	free = free.Sub(f.keptFree(m, j, m.Capacity.GPUs-m.Used.GPUs))
-	if j.Spec.Kind == jobs.Array {
+func (f *Fleet) fits(machine *Machine, job *jobs.Job) bool {
+	size := job.Spec.Size()
+	free := machine.Free()
+	if f.isReservedFrom(machine, job) {
+		free = free.Sub(machine.reserved)
+	}
+	free = free.Sub(f.keptFree(machine, job, machine.Capacity.GPUs-machine.Used.GPUs))
+	if job.Spec.Kind == jobs.Array {
 		// Gangs already planned here wait only for their plan to be durable.
-		free = free.Sub(m.queuedWhole)
+		free = free.Sub(machine.queuedWhole)
 	}
-	return s.Fits(free)
+	return size.Fits(free)
 }
 
-func (f *Fleet) rankOf(j *jobs.Job) int {
-	if j.QueuePosition > 0 {
-		return j.QueuePosition - 1
+func (f *Fleet) rankOf(job *jobs.Job) int {
+	if job.QueuePosition > 0 {
+		return job.QueuePosition - 1
 	}
 	return 1 << 30
 }
@@ -79,28 +79,28 @@
 }
 
 // mayUse tells whether a job's task may be on a machine, given where its others are.
-func (f *Fleet) mayUse(m *Machine, j *jobs.Job) bool {
-	if !j.Allows(m.Type, m.Zone, m.Spot) || (len(j.AvoidedMachines) > 0 && f.Now() < j.AvoidedMachines[m.Index]) {
+func (f *Fleet) mayUse(machine *Machine, job *jobs.Job) bool {
+	if !job.Allows(machine.Type, machine.Zone, machine.Spot) || (len(job.AvoidedMachines) > 0 && f.Now() < job.AvoidedMachines[machine.Index]) {
 		return false
 	}
-	if j.Spec.OneZone {
-		for z, n := range j.TasksByZone {
-			if n > 0 && z != m.Zone {
+	if job.Spec.OneZone {
+		for z, n := range job.TasksByZone {
+			if n > 0 && z != machine.Zone {
 				return false
 			}
 		}
 	}
-	if lim := j.Spec.ZoneLimit(); lim > 0 && j.TasksByZone[m.Zone]+j.TasksByZone[jobs.None] >= lim {
+	if lim := job.Spec.ZoneLimit(); lim > 0 && job.TasksByZone[machine.Zone]+job.TasksByZone[jobs.None] >= lim {
 		return false
 	}
 	return true
 }
 
 // startable tells whether a planned task may be launched now.
-func (f *Fleet) startable(now time.Duration, m *Machine, j *jobs.Job, t int32) bool {
-	k := &j.Tasks[t]
-	return j.State == jobs.Pending && !j.Quarantined && k.State == jobs.Planned && k.Machine == m.Index && k.NotBefore <= now &&
-		j.IsDurable(t) && f.mayUse(m, j) && f.fits(m, j) && (f.Gate.Reserved(licenceRef(j, t)) || f.Gate.Fits(admissionClaim(j), 1))
+func (f *Fleet) startable(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
+	task := &job.Tasks[taskIndex]
+	return job.State == jobs.Pending && !job.Quarantined && task.State == jobs.Planned && task.Machine == machine.Index && task.NotBefore <= now &&
+		job.IsDurable(taskIndex) && f.mayUse(machine, job) && f.fits(machine, job) && (f.Gate.Reserved(licenceRef(job, taskIndex)) || f.Gate.Fits(admissionClaim(job), 1))
 }
 
 // nextAttempt makes an attempt that no term has used.
@@ -110,56 +110,56 @@
 }
 
 // launch turns a planned task into a command.
-func (f *Fleet) launch(now time.Duration, m *Machine, j *jobs.Job, t int32, attempt uint64) Command {
-	k := &j.Tasks[t]
-	k.LaunchedAt, k.RunningSince, k.Attempt = now, 0, attempt
-	if !j.Started {
-		slog.Info("job starts", "job", j.ID, "class", j.Spec.Class, "tasks", j.TaskCount, "machine", m.Name, "waited_s", int((now - j.SubmittedAt).Seconds()),
-			"fetch_s", int(f.fetchS(j, m)), "term", f.Term)
-	}
-	j.Started = true
-	f.setOnMachine(now, j, t, jobs.Launched)
-	return Command{Op: opStart, Task: taskName(j, t), Attempt: attempt}
+func (f *Fleet) launch(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, attempt uint64) Command {
+	task := &job.Tasks[taskIndex]
+	task.LaunchedAt, task.RunningSince, task.Attempt = now, 0, attempt
+	if !job.Started {
+		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name, "waited_s", int((now - job.SubmittedAt).Seconds()),
+			"fetch_s", int(f.fetchS(job, machine)), "term", f.Term)
+	}
+	job.Started = true
+	f.setOnMachine(now, job, taskIndex, jobs.Launched)
+	return Command{Op: opStart, Task: taskName(job, taskIndex), Attempt: attempt}
 }
 
 // startCommands launches what a machine's lanes hold, best rank first: a lane that reports free
 // gets its next planned task.
-func (f *Fleet) startCommands(now time.Duration, m *Machine) []Command {
+func (f *Fleet) startCommands(now time.Duration, machine *Machine) []Command {
 	var out []Command
-	if f.startsStopped || m.Condition != Ready || m.Returning || m.QueuedTasks == 0 || !m.smallestQueued.Fits(m.Free()) {
+	if f.startsStopped || machine.Condition != Ready || machine.Returning || machine.QueuedTasks == 0 || !machine.smallestQueued.Fits(machine.Free()) {
 		return nil
 	}
 	ixs := f.jobScratch[:0]
-	for _, l := range m.queues {
-		if j := f.jobAt(l.job); j.Spec.Kind == jobs.Gang || f.fits(m, j) {
-			ixs = append(ixs, l.job)
+	for _, queue := range machine.queues {
+		if job := f.jobAt(queue.job); job.Spec.Kind == jobs.Gang || f.fits(machine, job) {
+			ixs = append(ixs, queue.job)
 		}
 	}
 	f.jobScratch = ixs
-	f.PlanningSteps += uint64(len(m.queues))
+	f.PlanningSteps += uint64(len(machine.queues))
 	f.sortRanked(ixs)
-	for _, ix := range ixs {
-		j := f.jobAt(ix)
-		if j.Spec.Kind == jobs.Gang {
-			out = append(out, f.startGang(now, m, j)...)
+	for _, jobIndex := range ixs {
+		job := f.jobAt(jobIndex)
+		if job.Spec.Kind == jobs.Gang {
+			out = append(out, f.startGang(now, machine, job)...)
 			continue
 		}
-		ts := m.queued(ix)
+		ts := machine.queued(jobIndex)
 		keep := ts[:0]
-		for i, t := range ts {
-			if !f.fits(m, j) {
+		for i, taskIndex := range ts {
+			if !f.fits(machine, job) {
 				keep = append(keep, ts[i:]...)
 				break
 			}
-			if !f.startable(now, m, j, t) {
-				keep = append(keep, t)
+			if !f.startable(now, machine, job, taskIndex) {
+				keep = append(keep, taskIndex)
 				continue
 			}
-			out = append(out, f.launch(now, m, j, t, f.nextAttempt()))
+			out = append(out, f.launch(now, machine, job, taskIndex, f.nextAttempt()))
 		}
 		if n := len(ts) - len(keep); n > 0 {
-			m.setQueue(ix, keep)
-			f.removeQueued(m, j, n)
+			machine.setQueue(jobIndex, keep)
+			f.removeQueued(machine, job, n)
 		}
 	}
 	return out
@@ -167,53 +167,53 @@
 
 // startGang launches a gang's tasks on one machine, once the whole gang is planned
 // durably and fits the team's limit. All tasks carry the attempt of the first.
-func (f *Fleet) startGang(now time.Duration, m *Machine, j *jobs.Job) []Command {
+func (f *Fleet) startGang(now time.Duration, machine *Machine, job *jobs.Job) []Command {
 	first := true
 	planned := 0
-	for t := range j.Tasks {
-		k := &j.Tasks[t]
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
 		switch {
-		case k.State == jobs.Unplanned || k.State == jobs.Recovered || k.Stopping || k.NotBefore > now:
+		case task.State == jobs.Unplanned || task.State == jobs.Recovered || task.Stopping || task.NotBefore > now:
 			return nil
-		case k.State == jobs.Planned:
-			if !j.IsDurable(int32(t)) || f.machines[k.Machine].Condition != Ready {
+		case task.State == jobs.Planned:
+			if !job.IsDurable(int32(t)) || f.machines[task.Machine].Condition != Ready {
 				return nil
 			}
 			planned++
-		case k.State.Occupies():
+		case task.State.Occupies():
 			first = false
 		}
 	}
 	if first {
-		if !f.mayStart(j, planned) {
+		if !f.mayStart(job, planned) {
 			return nil
 		}
-		j.GangAttempt = f.nextAttempt()
-		j.GangStartedAt, j.FetchS = now, 0
-		for t := range j.Tasks {
-			if k := &j.Tasks[t]; k.State == jobs.Planned {
-				j.FetchS = max(j.FetchS, f.fetchS(j, f.machines[k.Machine]))
+		job.GangAttempt = f.nextAttempt()
+		job.GangStartedAt, job.FetchS = now, 0
+		for t := range job.Tasks {
+			if task := &job.Tasks[t]; task.State == jobs.Planned {
+				job.FetchS = max(job.FetchS, f.fetchS(job, f.machines[task.Machine]))
 			}
 		}
 	}
 	// A task that has its image waits gang_wait_s for the others and then gives up, which
 	// costs the whole gang its start: where the image is at hand the launch is put off for
 	// as long as the others fetch it, less a good part of what the task may wait.
-	lead := j.FetchS - f.fetchS(j, m) - f.Settings.Params.Workers.GangWaitS/4
-	if now < j.GangStartedAt+config.Seconds(lead) {
+	lead := job.FetchS - f.fetchS(job, machine) - f.Settings.Params.Workers.GangWaitS/4
+	if now < job.GangStartedAt+config.Seconds(lead) {
 		return nil
 	}
 	var out []Command
-	for _, t := range slices.Clone(m.queued(j.Index)) {
-		if j.Tasks[t].State == jobs.Planned && f.startable(now, m, j, t) {
-			f.dequeue(j, t)
-			out = append(out, f.launch(now, m, j, t, j.GangAttempt))
+	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
+		if job.Tasks[taskIndex].State == jobs.Planned && f.startable(now, machine, job, taskIndex) {
+			f.dequeue(job, taskIndex)
+			out = append(out, f.launch(now, machine, job, taskIndex, job.GangAttempt))
 		}
 	}
 	if first && len(out) > 0 {
 		// The rest follows from other machines, some of it seconds later: nobody may take
 		// its place meanwhile.
-		f.admitGang(now, j)
+		f.admitGang(now, job)
 	}
 	return out
 }
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -42,35 +42,35 @@
 	least := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
 	var waiting []*jobs.Job
 	anyAged := false
-	for _, j := range f.ranked {
-		if j.Spec.Kind == jobs.Array && j.TasksByState[jobs.Planned] > 0 && f.mayStart(j, 1) {
-			waiting = append(waiting, j)
-			least = least.Min(j.Spec.Size())
-			anyAged = anyAged || f.hasWaitedLong(j)
+	for _, job := range f.ranked {
+		if job.Spec.Kind == jobs.Array && job.TasksByState[jobs.Planned] > 0 && f.mayStart(job, 1) {
+			waiting = append(waiting, job)
+			least = least.Min(job.Spec.Size())
+			anyAged = anyAged || f.hasWaitedLong(job)
 		}
 	}
 	if len(waiting) == 0 {
 		return
 	}
 	var idle []*Machine
-	for _, m := range f.packed() {
-		if least.Fits(m.Free().Sub(m.queuedNeed)) || anyAged && least.Fits(m.Free().Sub(m.queuedWhole)) {
-			idle = append(idle, m)
+	for _, machine := range f.packed() {
+		if least.Fits(machine.Free().Sub(machine.queuedNeed)) || anyAged && least.Fits(machine.Free().Sub(machine.queuedWhole)) {
+			idle = append(idle, machine)
 		}
 	}
 	f.PlanningSteps += uint64(len(f.cycle.packed))
-	for _, j := range waiting {
+	for _, job := range waiting {
 		var ds delayHeap
-		size := j.Spec.Size()
-		for _, m := range idle {
+		size := job.Spec.Size()
+		for _, machine := range idle {
 			f.PlanningSteps++
-			if !size.Fits(f.unneededRoom(m, j)) || !f.fits(m, j) || !f.mayUse(m, j) {
+			if !size.Fits(f.unneededRoom(machine, job)) || !f.fits(machine, job) || !f.mayUse(machine, job) {
 				continue
 			}
 			if ds == nil {
-				ds = f.delays(now, j)
+				ds = f.delays(now, job)
 			}
-			f.stealFor(now, m, j, &ds)
+			f.stealFor(now, machine, job, &ds)
 			if len(ds) == 0 {
 				break
 			}
@@ -79,10 +79,10 @@
 }
 
 // delays lists where a job's planned tasks wait, furthest behind first.
-func (f *Fleet) delays(now time.Duration, j *jobs.Job) delayHeap {
+func (f *Fleet) delays(now time.Duration, job *jobs.Job) delayHeap {
 	ds := delayHeap{}
-	for _, ix := range f.queueMachines(j) {
-		if w, ok := f.waitSeconds(now, j, f.machines[ix]); ok {
+	for _, ix := range f.queueMachines(job) {
+		if w, ok := f.waitSeconds(now, job, f.machines[ix]); ok {
 			ds = append(ds, delayedMachine{f.machines[ix], w})
 		}
 	}
@@ -93,41 +93,41 @@
 
 // waitSeconds estimates how long the last of a job's planned tasks waits on a machine; ok is
 // false if it can't be moved.
-func (f *Fleet) waitSeconds(now time.Duration, j *jobs.Job, m *Machine) (float64, bool) {
-	ts := m.queued(j.Index)
-	if len(ts) == 0 || !j.IsDurable(ts[len(ts)-1]) {
+func (f *Fleet) waitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (float64, bool) {
+	ts := machine.queued(job.Index)
+	if len(ts) == 0 || !job.IsDurable(ts[len(ts)-1]) {
 		return 0, false
 	}
-	est := f.estimate(j)
+	est := f.estimate(job)
 	wait := 0.0
-	if !f.fits(m, j) {
-		if wait = f.freeIn(now, m, j); wait > 1e5 {
+	if !f.fits(machine, job) {
+		if wait = f.freeIn(now, machine, job); wait > 1e5 {
 			wait = est
 		}
 	}
-	n := max(1, j.Spec.Size().Copies(m.Capacity))
-	return wait + est*m.slowdown*float64((len(ts)-1)/n) + f.fetchS(j, m), true
+	n := max(1, job.Spec.Size().Copies(machine.Capacity))
+	return wait + est*machine.slowdown*float64((len(ts)-1)/n) + f.fetchS(job, machine), true
 }
 
 // stealFor moves a job's tasks to a machine for as long as it has room and they would start
 // sooner there, fetch included.
-func (f *Fleet) stealFor(now time.Duration, m *Machine, j *jobs.Job, ds *delayHeap) {
-	size := j.Spec.Size()
-	sooner := f.fetchS(j, m) + 0.5 + f.spotWaitLimit(m, j)
-	if f.hasWaitedLong(j) {
+func (f *Fleet) stealFor(now time.Duration, machine *Machine, job *jobs.Job, ds *delayHeap) {
+	size := job.Spec.Size()
+	sooner := f.fetchS(job, machine) + 0.5 + f.spotWaitLimit(machine, job)
+	if f.hasWaitedLong(job) {
 		sooner = 0 // what was expected of its lane hasn't come true for long
 	}
 	for range 64 {
-		if len(*ds) == 0 || (*ds)[0].wait <= sooner || !size.Fits(f.unneededRoom(m, j)) || !f.fits(m, j) {
+		if len(*ds) == 0 || (*ds)[0].wait <= sooner || !size.Fits(f.unneededRoom(machine, job)) || !f.fits(machine, job) {
 			return
 		}
 		v := (*ds)[0].m
-		ts := v.queued(j.Index)
-		t := ts[len(ts)-1]
-		f.dequeue(j, t)
-		f.planTask(now, j, t, m)
+		ts := v.queued(job.Index)
+		taskIndex := ts[len(ts)-1]
+		f.dequeue(job, taskIndex)
+		f.planTask(now, job, taskIndex, machine)
 		f.PlanningSteps += 4
-		if w, ok := f.waitSeconds(now, j, v); ok {
+		if w, ok := f.waitSeconds(now, job, v); ok {
 			(*ds)[0].wait = w
 			heap.Fix(ds, 0)
 		} else {
--- a/internal/fleet/why.go
+++ b/internal/fleet/why.go
@@ -46,17 +46,17 @@
 }
 
 // setPendingNote keeps what planning decided about a job.
-func (f *Fleet) setPendingNote(j *jobs.Job, v pendingNote) { f.pendingNotes[j.Index] = v }
+func (f *Fleet) setPendingNote(job *jobs.Job, v pendingNote) { f.pendingNotes[job.Index] = v }
 
 // noteDenied notes that the gate, or the seats handed out in this pass, keep a job from starting n
 // tasks together.
-func (f *Fleet) noteDenied(j *jobs.Job, n int) {
-	if d := f.Gate.Ask(admissionClaim(j), n); d.TeamLimit {
-		f.setPendingNote(j, pendingNote{cause: TeamLimit, denial: d})
+func (f *Fleet) noteDenied(job *jobs.Job, n int) {
+	if d := f.Gate.Ask(admissionClaim(job), n); d.TeamLimit {
+		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: d})
 		return
 	}
-	g := f.licenceGrants[j.Index]
-	f.setPendingNote(j, pendingNote{cause: LicenceUnavailable, denial: admission.Denial{Licence: g.Why, Pool: g.Pool}})
+	grant := f.licenceGrants[job.Index]
+	f.setPendingNote(job, pendingNote{cause: LicenceUnavailable, denial: admission.Denial{Licence: grant.Why, Pool: grant.Pool}})
 }
 
 // PendingReason is some of a job's tasks and why they wait.
@@ -67,42 +67,42 @@
 }
 
 // PendingReasons says why each part of a job waits.
-func (f *Fleet) PendingReasons(now time.Duration, j *jobs.Job) []PendingReason {
+func (f *Fleet) PendingReasons(now time.Duration, job *jobs.Job) []PendingReason {
 	var parts []PendingReason
 	add := func(n int, c PendingCause, format string, a ...any) {
 		if n > 0 {
 			parts = append(parts, PendingReason{n, c, fmt.Sprintf(format, a...)})
 		}
 	}
-	if j.Tasks == nil || j.State.Terminal() {
+	if job.Tasks == nil || job.State.Terminal() {
 		return parts
 	}
-	if j.Quarantined {
-		add(j.TaskCount-j.TasksByState[jobs.Finished], RecordUnreadable, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
+	if job.Quarantined {
+		add(job.TaskCount-job.TasksByState[jobs.Finished], RecordUnreadable, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
 		return parts
 	}
-	if j.Suspended {
-		add(j.UnstartedTasks(), SessionSuspended, "its session was reclaimed; it resumes when its user attaches")
+	if job.Suspended {
+		add(job.UnstartedTasks(), SessionSuspended, "its session was reclaimed; it resumes when its user attaches")
 		return parts
 	}
-	f.unplannedWhy(now, j, add)
-	f.plannedWhy(now, j, add)
+	f.unplannedWhy(now, job, add)
+	f.plannedWhy(now, job, add)
 	arriving := 0
 	held := map[int32]int{} // by zone
-	for t := range j.Tasks {
-		if k := &j.Tasks[t]; k.State.Occupies() && f.machines[k.Machine].Quarantined {
-			held[f.machines[k.Machine].Zone]++
+	for t := range job.Tasks {
+		if task := &job.Tasks[t]; task.State.Occupies() && f.machines[task.Machine].Quarantined {
+			held[f.machines[task.Machine].Zone]++
 			continue
 		}
-		if k := &j.Tasks[t]; k.State == jobs.Launched || k.State == jobs.Recovered || (k.State == jobs.OnMachine && k.Phase < jobs.Running) {
+		if task := &job.Tasks[t]; task.State == jobs.Launched || task.State == jobs.Recovered || (task.State == jobs.OnMachine && task.Phase < jobs.Running) {
 			arriving++
 		}
 	}
 	for _, z := range slices.Sorted(maps.Keys(held)) {
 		last, since := time.Duration(0), now
-		for _, m := range f.machines {
-			if m.Quarantined && m.Zone == z {
-				last, since = max(last, m.LastAnsweredAt+f.Settings.Lease()-now), min(since, m.LastHeardAt)
+		for _, machine := range f.machines {
+			if machine.Quarantined && machine.Zone == z {
+				last, since = max(last, machine.LastAnsweredAt+f.Settings.Lease()-now), min(since, machine.LastHeardAt)
 			}
 		}
 		add(held[z], ZoneLost, "on machines of zone %s, which have not been heard for up to %.0f s: they may still run there, and start elsewhere when the leases are over, in at most %.0f s",
@@ -112,21 +112,21 @@
 	return parts
 }
 
-func (f *Fleet) unplannedWhy(now time.Duration, j *jobs.Job, add func(int, PendingCause, string, ...any)) {
-	n := j.TasksByState[jobs.Unplanned]
-	v, known := f.pendingNotes[j.Index]
+func (f *Fleet) unplannedWhy(now time.Duration, job *jobs.Job, add func(int, PendingCause, string, ...any)) {
+	n := job.TasksByState[jobs.Unplanned]
+	v, known := f.pendingNotes[job.Index]
 	if n == 0 {
 		return
 	}
 	if !known {
 		v.cause = PlanningBehind
 	}
-	s := j.Spec.Size()
+	size := job.Spec.Size()
 	switch v.cause {
 	case TeamLimit:
-		t := f.Gate.Quota.Team(j.Team)
-		add(n, v.cause, "team %s uses %s, and each task needs %s: that is beyond the team's limit of %s", j.Spec.Team, amount(t.Used.CPUs, t.Used.GPUs),
-			amount(s.CPUs, s.GPUs), amount(t.Limit.CPUs, t.Limit.GPUs))
+		t := f.Gate.Quota.Team(job.Team)
+		add(n, v.cause, "team %s uses %s, and each task needs %s: that is beyond the team's limit of %s", job.Spec.Team, amount(t.Used.CPUs, t.Used.GPUs),
+			amount(size.CPUs, size.GPUs), amount(t.Limit.CPUs, t.Limit.GPUs))
 	case LicenceUnavailable:
 		pool := "a pool that is not declared here"
 		if ps := f.Jobs.Names.Pools.Pools(); v.denial.Pool >= 0 && int(v.denial.Pool) < len(ps) {
@@ -134,7 +134,7 @@
 		}
 		add(n, v.cause, "licence %s: %s", pool, v.denial.Licence)
 	case NoMachine:
-		add(n, v.cause, "no machine that is up may take it (%s, %g GB for each task)", amount(s.CPUs, s.GPUs), s.Mem)
+		add(n, v.cause, "no machine that is up may take it (%s, %g GB for each task)", amount(size.CPUs, size.GPUs), size.Mem)
 	case GangStopping:
 		add(n, v.cause, "the rest of its gang is still on machines, and has to be gone before it starts anew")
 	case GangShort:
@@ -162,34 +162,34 @@
 	}
 }
 
-func (f *Fleet) plannedWhy(now time.Duration, j *jobs.Job, add func(int, PendingCause, string, ...any)) {
+func (f *Fleet) plannedWhy(now time.Duration, job *jobs.Job, add func(int, PendingCause, string, ...any)) {
 	writing, lanes := 0, 0
 	soonest := 1e9
-	for t := range j.Tasks {
-		k := &j.Tasks[t]
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
 		switch {
-		case k.State != jobs.Planned:
-		case !j.IsDurable(int32(t)):
+		case task.State != jobs.Planned:
+		case !job.IsDurable(int32(t)):
 			writing++
 		default:
 			lanes++
-			if m := f.machines[k.Machine]; soonest > 0 {
-				if f.fits(m, j) {
+			if machine := f.machines[task.Machine]; soonest > 0 {
+				if f.fits(machine, job) {
 					soonest = 0
 				} else {
-					soonest = min(soonest, f.freeIn(now, m, j))
+					soonest = min(soonest, f.freeIn(now, machine, job))
 				}
 			}
 		}
 	}
 	add(writing, PlanNotDurable, "planned; the plan is being written, and nothing starts before it is")
-	switch d := f.Gate.Ask(admissionClaim(j), 1); {
+	switch d := f.Gate.Ask(admissionClaim(job), 1); {
 	case d.TeamLimit:
-		add(lanes, TeamLimit, "planned, but team %s is at its limit", j.Spec.Team)
+		add(lanes, TeamLimit, "planned, but team %s is at its limit", job.Spec.Team)
 	case d.Licence != licences.Granted:
 		add(lanes, LicenceUnavailable, "planned, but %s", d.Licence)
 	default:
-		add(lanes, QueuedOnMachine, "planned on %d machines, in the lanes of what is there now%s", len(f.queuedOn[j.Index]), soon(soonest))
+		add(lanes, QueuedOnMachine, "planned on %d machines, in the lanes of what is there now%s", len(f.queuedOn[job.Index]), soon(soonest))
 	}
 }
 
@@ -209,8 +209,8 @@
 
 // JobsAhead names the jobs that rank before one and have tasks that wait, the nearest first, at most
 // most; and how many there are.
-func (f *Fleet) JobsAhead(j *jobs.Job, most int) (ids []string, n int) {
-	at := f.rankOf(j)
+func (f *Fleet) JobsAhead(job *jobs.Job, most int) (ids []string, n int) {
+	at := f.rankOf(job)
 	for i := min(at, len(f.ranked)) - 1; i >= 0; i-- {
 		if o := f.ranked[i]; o.UnstartedTasks() > 0 && !o.Idle() {
 			if n++; len(ids) < most {
--- a/internal/fleet/why_test.go
+++ b/internal/fleet/why_test.go
@@ -11,39 +11,39 @@
 )
 
 // checkWhy holds what a job is told against a plain look at everything.
-func checkWhy(t *testing.T, w *world, j *jobs.Job, seen map[PendingCause]int) {
+func checkWhy(t *testing.T, w *world, job *jobs.Job, seen map[PendingCause]int) {
 	f := w.fleet
-	parts := f.PendingReasons(w.now, j)
+	parts := f.PendingReasons(w.now, job)
 	n := 0
 	for _, p := range parts {
 		n += p.Tasks
 		seen[p.Cause]++
 		if p.Text == "" {
-			t.Fatalf("seed %d, %v: %s is told nothing but %s", w.seed, w.now, j.ID, p.Cause)
+			t.Fatalf("seed %d, %v: %s is told nothing but %s", w.seed, w.now, job.ID, p.Cause)
 		}
 	}
 	runs, writing := 0, 0
-	for i := range j.Tasks {
-		k := &j.Tasks[i]
-		if k.State == jobs.Finished || (k.State == jobs.OnMachine && k.Phase >= jobs.Running) {
+	for i := range job.Tasks {
+		task := &job.Tasks[i]
+		if task.State == jobs.Finished || (task.State == jobs.OnMachine && task.Phase >= jobs.Running) {
 			runs++
 		}
-		if k.State == jobs.Planned && !j.IsDurable(int32(i)) {
+		if task.State == jobs.Planned && !job.IsDurable(int32(i)) {
 			writing++
 		}
 	}
-	if n+runs != j.TaskCount {
-		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", w.seed, w.now, j.ID, j.TaskCount, runs, parts)
+	if n+runs != job.TaskCount {
+		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", w.seed, w.now, job.ID, job.TaskCount, runs, parts)
 	}
 	use := planner.Size{}
 	free := map[string]int{}
-	for _, p := range w.pools {
-		free[p.Name] = p.Count
+	for _, pool := range w.pools {
+		free[pool.Name] = pool.Count
 	}
-	for _, m := range f.machines {
-		for r := range m.Tasks {
+	for _, machine := range f.machines {
+		for r := range machine.Tasks {
 			o := f.jobAt(r.Job)
-			if o.Team == j.Team {
+			if o.Team == job.Team {
 				use = use.Add(o.Spec.Size())
 			}
 			for name, k := range o.Spec.Licences {
@@ -51,47 +51,47 @@
 			}
 		}
 	}
-	size := j.Spec.Size()
+	size := job.Spec.Size()
 	wrong := func(p PendingReason, what string) {
-		t.Fatalf("seed %d, %v: %s (%+v) is told %+v, and %s", w.seed, w.now, j.ID, *j.Spec, p, what)
+		t.Fatalf("seed %d, %v: %s (%+v) is told %+v, and %s", w.seed, w.now, job.ID, *job.Spec, p, what)
 	}
 	for _, p := range parts {
 		switch p.Cause {
 		case TeamLimit:
 			n := 1
-			if j.Spec.Kind == jobs.Gang {
-				n = j.TaskCount
+			if job.Spec.Kind == jobs.Gang {
+				n = job.TaskCount
 			}
 			// What gangs have booked beside counts for the limit, too.
-			if lim := w.settings.Params.Teams[0].CPUsMax; max(use.CPUs, f.Gate.Quota.Team(j.Team).Used.CPUs)+float64(n)*size.CPUs <= lim+1e-9 {
+			if lim := w.settings.Params.Teams[0].CPUsMax; max(use.CPUs, f.Gate.Quota.Team(job.Team).Used.CPUs)+float64(n)*size.CPUs <= lim+1e-9 {
 				wrong(p, "its team has room")
 			}
 		case LicenceUnavailable:
 			short := false
-			for name, k := range j.Spec.Licences {
-				if j.Spec.Kind == jobs.Gang {
-					k *= j.TaskCount
+			for name, k := range job.Spec.Licences {
+				if job.Spec.Kind == jobs.Gang {
+					k *= job.TaskCount
 				}
 				short = short || free[name] < k
 			}
-			if g := f.licenceGrants[j.Index]; !short && g.Why != licences.OtherFirst && g.Why != licences.NoAnswer && !lingers(f) {
+			if grant := f.licenceGrants[job.Index]; !short && grant.Why != licences.OtherFirst && grant.Why != licences.NoAnswer && !lingers(f) {
 				wrong(p, "seats are free")
 			}
 		case NoMachine:
-			for _, m := range f.machines {
-				if m.Condition == Ready && !m.Returning && w.now-m.UpSince > time.Second && w.now-m.LastHeardAt < time.Second && f.mayUse(m, j) &&
-					size.Fits(m.Capacity.Sub(f.keptFree(m, j, m.Capacity.GPUs))) && w.now >= f.noMachineUntil[j.Index] {
-					wrong(p, "machine "+m.Name+" may take it")
+			for _, machine := range f.machines {
+				if machine.Condition == Ready && !machine.Returning && w.now-machine.UpSince > time.Second && w.now-machine.LastHeardAt < time.Second && f.mayUse(machine, job) &&
+					size.Fits(machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs))) && w.now >= f.noMachineUntil[job.Index] {
+					wrong(p, "machine "+machine.Name+" may take it")
 				}
 			}
 		case GangShort:
 			places := 0
-			for _, m := range f.machines {
-				if m.Condition == Ready && !m.Returning && f.mayUse(m, j) {
-					places += size.Copies(f.room(m, j))
+			for _, machine := range f.machines {
+				if machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) {
+					places += size.Copies(f.room(machine, job))
 				}
 			}
-			if places >= j.TaskCount && !j.Spec.OneZone && j.Spec.ZoneLimit() == 0 && !claimed(f) {
+			if places >= job.TaskCount && !job.Spec.OneZone && job.Spec.ZoneLimit() == 0 && !claimed(f) {
 				wrong(p, "there are enough places")
 			}
 		case PlanNotDurable:
@@ -114,8 +114,8 @@
 }
 
 func claimed(f *Fleet) bool {
-	for _, m := range f.machines {
-		if m.reserved != (planner.Size{}) {
+	for _, machine := range f.machines {
+		if machine.reserved != (planner.Size{}) {
 			return true
 		}
 	}
@@ -129,9 +129,9 @@
 	for seed := uint64(1); seed <= 25; seed++ {
 		w := newWorld(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
 		w.each = func() {
-			for _, j := range w.fleet.ranked {
-				if !j.State.Terminal() {
-					checkWhy(t, w, j, seen)
+			for _, job := range w.fleet.ranked {
+				if !job.State.Terminal() {
+					checkWhy(t, w, job, seen)
 				}
 			}
 		}
@@ -149,9 +149,9 @@
 func TestAhead(t *testing.T) {
 	g := seatRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 0})
 	for i := range 5 {
-		s := needing(i+1, 1, map[string]int{"p": 1})
-		s.Priority = []string{"prod", "urgent", "standard", "standard", "best_effort"}[i]
-		g.submit(s)
+		spec := needing(i+1, 1, map[string]int{"p": 1})
+		spec.Priority = []string{"prod", "urgent", "standard", "standard", "best_effort"}[i]
+		g.submit(spec)
 	}
 	g.settle(0)
 	ids, n := g.JobsAhead(g.Jobs.Get("req-000005"), 2)
--- a/internal/fleet/write.go
+++ b/internal/fleet/write.go
@@ -24,61 +24,61 @@
 	if f.writeInFlight || !f.plansLoaded {
 		return
 	}
-	w := &writeBatch{f: f, bytes: txnOverheadBytes}
+	batch := &writeBatch{f: f, bytes: txnOverheadBytes}
 	if f.PlansInPages() {
 		f.pages.SetLimit(f.pageLimit())
-		w.pages = f.pages.Begin(f.maxOps())
-		if f.writesStuck = !w.pages.Fits(f.maxOps()); f.writesStuck {
+		batch.pages = f.pages.Begin(f.maxOps())
+		if f.writesStuck = !batch.pages.Fits(f.maxOps()); f.writesStuck {
 			return
 		}
 	}
-	f.collectWrites(now, w)
+	f.collectWrites(now, batch)
 	shard := f.nextHintShard(now)
-	if len(w.mutations) == 0 && shard < 0 && !f.pages.HasIndeterminate() && !f.migrate(w) {
+	if len(batch.mutations) == 0 && shard < 0 && !f.pages.HasIndeterminate() && !f.migrate(batch) {
 		f.deleteObsoletePlans()
 		return
 	}
-	t := store.Txn{}
-	if shard >= 0 && w.fits(1) {
-		if hints := f.encodeImages(shard); w.size()+len(hints) < maxTxnBytes {
+	txn := store.Txn{}
+	if shard >= 0 && batch.fits(1) {
+		if hints := f.encodeImages(shard); batch.size()+len(hints) < maxTxnBytes {
 			f.hintsWrittenAt, f.lastHintShard, f.dirtyHintShards[shard] = now, shard, false
-			t.Then = append(t.Then, store.Op{Put: fmt.Sprintf("%s/%d", imagesKey, shard), Value: hints})
+			txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imagesKey, shard), Value: hints})
 		}
 	}
-	for i := range w.mutations {
-		p := &w.mutations[i]
+	for i := range batch.mutations {
+		change := &batch.mutations[i]
 		switch {
-		case p.segment == nil:
-			p.job.FinalWriteInFlight = true
-			t.If = append(t.If, store.Condition{Key: p.key, Version: p.job.Version})
-			t.Then = append(t.Then, store.Op{Put: p.key, Value: p.value})
+		case change.segment == nil:
+			change.job.FinalWriteInFlight = true
+			txn.If = append(txn.If, store.Condition{Key: change.key, Version: change.job.Version})
+			txn.Then = append(txn.Then, store.Op{Put: change.key, Value: change.value})
 			continue
-		case !p.inPage:
-			t.If = append(t.If, store.Condition{Key: p.key, Version: p.segment.Version})
-			t.Then = append(t.Then, store.Op{Put: p.key, Value: p.value})
-		case p.moved:
-			t.If = append(t.If, store.Condition{Key: p.key, Version: p.segment.Version})
-			t.Then = append(t.Then, store.Op{Delete: p.key})
+		case !change.inPage:
+			txn.If = append(txn.If, store.Condition{Key: change.key, Version: change.segment.Version})
+			txn.Then = append(txn.Then, store.Op{Put: change.key, Value: change.value})
+		case change.moved:
+			txn.If = append(txn.If, store.Condition{Key: change.key, Version: change.segment.Version})
+			txn.Then = append(txn.Then, store.Op{Delete: change.key})
 		}
-		p.segment.Dirty, p.segment.Urgent, p.segment.InFlight = false, false, p.snapshot
+		change.segment.Dirty, change.segment.Urgent, change.segment.InFlight = false, false, change.snapshot
 	}
-	ops := w.mutations
-	if w.pages != nil {
+	ops := batch.mutations
+	if batch.pages != nil {
 		// Pages come first: they say what became of the chunks in them.
 		var puts []mutation
-		for _, x := range w.pages.Writes() {
-			key := pages.Key(jobs.PlanPagePrefix, x.Number)
-			t.If = append(t.If, store.Condition{Key: key, Version: x.Version})
-			t.Then = append(t.Then, store.Op{Put: key, Value: x.Value})
-			puts = append(puts, mutation{key: key, value: x.Value, page: &x})
+		for _, write := range batch.pages.Writes() {
+			key := pages.Key(jobs.PlanPagePrefix, write.Number)
+			txn.If = append(txn.If, store.Condition{Key: key, Version: write.Version})
+			txn.Then = append(txn.Then, store.Op{Put: key, Value: write.Value})
+			puts = append(puts, mutation{key: key, value: write.Value, page: &write})
 		}
 		ops = append(puts, ops...)
 	}
-	if len(t.Then) == 0 {
+	if len(txn.Then) == 0 {
 		return
 	}
 	f.writeInFlight = true
-	f.Commit(t, func(r store.Result) { f.handleOutcome(ops, r) })
+	f.Commit(txn, func(result store.Result) { f.handleOutcome(ops, result) })
 }
 
 // WritesStuck tells that writes without an outcome can't be settled in this term: the pages that they name take more than the
@@ -86,11 +86,11 @@
 func (f *Fleet) WritesStuck() bool { return f.writesStuck }
 
 // collectWrites offers what is due, most urgent first.
-func (f *Fleet) collectWrites(now time.Duration, w *writeBatch) {
-	for _, j := range f.ranked {
-		if j.State == jobs.Pending && j.FinishedTasks == j.TaskCount && !j.FinalWriteInFlight && j.Spec.Kind != jobs.Service {
-			raw := jobs.EncodeRecord(jobs.Done, 0, j.TaskCount, nil)
-			if !w.addKey(mutation{job: j, key: jobs.RecordKey(j.ID), value: raw}) {
+func (f *Fleet) collectWrites(now time.Duration, batch *writeBatch) {
+	for _, job := range f.ranked {
+		if job.State == jobs.Pending && job.FinishedTasks == job.TaskCount && !job.FinalWriteInFlight && job.Spec.Kind != jobs.Service {
+			raw := jobs.EncodeRecord(jobs.Done, 0, job.TaskCount, nil)
+			if !batch.addKey(mutation{job: job, key: jobs.RecordKey(job.ID), value: raw}) {
 				return
 			}
 		}
@@ -101,15 +101,15 @@
 			// for the plans of the next second.
 			return
 		}
-		for _, j := range f.ranked {
-			if j.State != jobs.Pending || j.FinishedTasks == j.TaskCount {
+		for _, job := range f.ranked {
+			if job.State != jobs.Pending || job.FinishedTasks == job.TaskCount {
 				continue
 			}
-			for _, c := range j.Segments {
-				if !c.Dirty || c.Quarantined || c.InFlight != nil || c.Urgent != urgent || (!urgent && now-c.DirtySince < gatherDelay) {
+			for _, segment := range job.Segments {
+				if !segment.Dirty || segment.Quarantined || segment.InFlight != nil || segment.Urgent != urgent || (!urgent && now-segment.DirtySince < gatherDelay) {
 					continue
 				}
-				if !w.addSegment(j, c) {
+				if !batch.addSegment(job, segment) {
 					return
 				}
 			}
@@ -118,12 +118,12 @@
 }
 
 // handleOutcome takes over a write's outcome.
-func (f *Fleet) handleOutcome(ops []mutation, r store.Result) {
+func (f *Fleet) handleOutcome(ops []mutation, result store.Result) {
 	now := f.Now()
-	if r.Outcome == store.Committed {
+	if result.Outcome == store.Committed {
 		f.writeInFlight = false
-		for _, p := range ops {
-			f.confirmWrite(now, p, r.Revision)
+		for _, change := range ops {
+			f.confirmWrite(now, change, result.Revision)
 		}
 		f.FlushWrites(now)
 		return
@@ -131,11 +131,11 @@
 	if f.lastHintShard < len(f.dirtyHintShards) {
 		f.dirtyHintShards[f.lastHintShard] = true
 	}
-	slog.Debug("write failed", "outcome", r.Outcome.String(), "failed", r.FailedKeys, "ops", len(ops), "term", f.Term)
-	if r.Outcome == store.NotApplied || r.Outcome == store.LeaseExpired {
+	slog.Debug("write failed", "outcome", result.Outcome.String(), "failed", result.FailedKeys, "ops", len(ops), "term", f.Term)
+	if result.Outcome == store.NotApplied || result.Outcome == store.LeaseExpired {
 		f.writeInFlight = false
-		for _, p := range ops {
-			f.revertWrite(now, p)
+		for _, change := range ops {
+			f.revertWrite(now, change)
 		}
 		return
 	}
@@ -151,16 +151,16 @@
 		f.writeInFlight = false
 		return
 	}
-	p := ops[i]
-	if p.page == nil && i == len(read) && i > 0 && !f.resolvePages(ops, read) {
+	change := ops[i]
+	if change.page == nil && i == len(read) && i > 0 && !f.resolvePages(ops, read) {
 		f.resolveOutcome(ops, 0, nil) // it landed between two reads
 		return
 	}
-	if p.inPage && (!p.moved || p.segment.Version == 0) { // settled with its page
+	if change.inPage && (!change.moved || change.segment.Version == 0) { // settled with its page
 		f.resolveOutcome(ops, i+1, read)
 		return
 	}
-	f.Read(p.key, func(it store.Item, err error) {
+	f.Read(change.key, func(item store.Item, err error) {
 		now := f.Now()
 		if err != nil {
 			f.retry = func(time.Duration) { f.resolveOutcome(ops, i, read) }
@@ -168,74 +168,74 @@
 			return
 		}
 		switch {
-		case p.page != nil:
-			read = append(read, it)
+		case change.page != nil:
+			read = append(read, item)
 			if i == len(ops)-1 && !f.resolvePages(ops, read) {
 				f.resolveOutcome(ops, 0, nil)
 				return
 			}
-		case p.inPage: // not moved: what was its key may be gone by an earlier try
-			p.segment.Version = it.Version
-		case p.segment == nil:
-			p.job.FinalWriteInFlight = false
-			if it.Version != 0 {
-				f.OnJobRecord(now, it)
+		case change.inPage: // not moved: what was its key may be gone by an earlier try
+			change.segment.Version = item.Version
+		case change.segment == nil:
+			change.job.FinalWriteInFlight = false
+			if item.Version != 0 {
+				f.OnJobRecord(now, item)
 			}
-		case it.Version != p.segment.Version && string(it.Value) == string(p.value):
-			f.confirmWrite(now, p, it.Version)
+		case item.Version != change.segment.Version && string(item.Value) == string(change.value):
+			f.confirmWrite(now, change, item.Version)
 		default:
-			p.segment.CreateIndeterminate = p.segment.CreateIndeterminate || p.segment.Version == 0
-			p.segment.Version = it.Version
-			p.segment.AddIndeterminate(p.snapshot)
-			f.revertWrite(now, p)
+			change.segment.CreateIndeterminate = change.segment.CreateIndeterminate || change.segment.Version == 0
+			change.segment.Version = item.Version
+			change.segment.AddIndeterminate(change.snapshot)
+			f.revertWrite(now, change)
 		}
 		f.resolveOutcome(ops, i+1, read)
 	})
 }
 
-func (f *Fleet) confirmWrite(now time.Duration, p mutation, version uint64) {
+func (f *Fleet) confirmWrite(now time.Duration, change mutation, version uint64) {
 	f.planBecameDurable = true
 	switch {
-	case p.page != nil:
-		f.pages.Commit(*p.page, version)
-	case p.segment != nil:
-		p.segment.DurableMachines, p.segment.InFlight, p.segment.Indeterminate = p.snapshot, nil, nil
-		if p.segment.Version = version; p.inPage {
-			p.segment.Version = 0 // it has no key of its own any more
+	case change.page != nil:
+		f.pages.Commit(*change.page, version)
+	case change.segment != nil:
+		change.segment.DurableMachines, change.segment.InFlight, change.segment.Indeterminate = change.snapshot, nil, nil
+		if change.segment.Version = version; change.inPage {
+			change.segment.Version = 0 // it has no key of its own any more
 		}
 	default:
-		f.OnJobRecord(now, store.Item{Key: p.key, Value: p.value, Version: version})
+		f.OnJobRecord(now, store.Item{Key: change.key, Value: change.value, Version: version})
 	}
 }
 
-func (f *Fleet) revertWrite(now time.Duration, p mutation) {
+func (f *Fleet) revertWrite(now time.Duration, change mutation) {
 	switch {
-	case p.page != nil:
+	case change.page != nil:
 		return
-	case p.segment == nil:
-		p.job.FinalWriteInFlight = false
+	case change.segment == nil:
+		change.job.FinalWriteInFlight = false
 		return
 	}
-	p.segment.InFlight = nil
-	if !p.segment.Dirty {
-		p.segment.Dirty, p.segment.DirtySince = true, now
+	change.segment.InFlight = nil
+	if !change.segment.Dirty {
+		change.segment.Dirty, change.segment.DirtySince = true, now
 	}
-	p.segment.Urgent = true
+	change.segment.Urgent = true
 }
 
 // deleteObsoletePlans removes plans of jobs that are over and have nothing on any machine any more.
 func (f *Fleet) deleteObsoletePlans() {
-	f.endedJobs = slices.DeleteFunc(f.endedJobs, func(j *jobs.Job) bool {
-		if j.TasksOnMachines() > 0 {
+	f.endedJobs = slices.DeleteFunc(f.endedJobs, func(job *jobs.Job) bool {
+		if job.TasksOnMachines() > 0 {
 			return false
 		}
-		for _, c := range j.Segments {
-			f.pages.Drop(planRef(j, c))
-			if c.Version != 0 || c.CreateIndeterminate {
-				f.obsoletePlanKeys = append(f.obsoletePlanKeys, j.PlanKey(c.Number))
+		for _, segment := range job.Segments {
+			f.pages.Drop(planRef(job, segment))
+			if segment.Version != 0 || segment.CreateIndeterminate {
+				f.obsoletePlanKeys = append(f.obsoletePlanKeys, job.PlanKey(segment.Number))
 			}
 		}
-		j.Tasks, j.Segments = nil, nil
+		job.Tasks, job.Segments = nil, nil
 		return true
 	})
 	n := min(len(f.obsoletePlanKeys), f.maxOps(), deleteBatch)
@@ -243,20 +243,20 @@
 	if n+len(nos) == 0 || !f.CanWrite((n+len(nos))*2) {
 		return
 	}
-	t := store.Txn{}
+	txn := store.Txn{}
 	for _, k := range f.obsoletePlanKeys[:n] {
-		t.Then = append(t.Then, store.Op{Delete: k})
+		txn.Then = append(txn.Then, store.Op{Delete: k})
 	}
 	for i, no := range nos {
 		key := pages.Key(jobs.PlanPagePrefix, no)
-		t.If = append(t.If, store.Condition{Key: key, Version: versions[i]})
-		t.Then = append(t.Then, store.Op{Delete: key})
+		txn.If = append(txn.If, store.Condition{Key: key, Version: versions[i]})
+		txn.Then = append(txn.Then, store.Op{Delete: key})
 	}
 	f.writeInFlight = true
-	f.Commit(t, func(r store.Result) {
+	f.Commit(txn, func(result store.Result) {
 		f.writeInFlight = false
 		// A page's number is not used again in this term, and a key that is gone may be dropped once more.
-		switch r.Outcome {
+		switch result.Outcome {
 		case store.Committed:
 			f.obsoletePlanKeys = f.obsoletePlanKeys[n:]
 			f.pages.ConfirmRetired()
@@ -268,6 +268,6 @@
 
 // Finalized tells whether an ended job has nothing left here: no task that may be on a machine, no plan that stands or
 // couldn't be read.
-func (f *Fleet) Finalized(j *jobs.Job) bool {
-	return f.plansLoaded && j.State.Terminal() && j.Tasks == nil && !j.Quarantined && !f.unreadableJobs[j.ID]
+func (f *Fleet) Finalized(job *jobs.Job) bool {
+	return f.plansLoaded && job.State.Terminal() && job.Tasks == nil && !job.Quarantined && !f.unreadableJobs[job.ID]
 }
--- a/internal/httpio/httpio.go
+++ b/internal/httpio/httpio.go
@@ -83,9 +83,9 @@
 		return
 	}
 	go func() {
-		r := c.do(addr, req)
+		response := c.do(addr, req)
 		<-c.slots
-		c.post(func() { done(r) })
+		c.post(func() { done(response) })
 	}()
 }
 
@@ -104,8 +104,8 @@
 	if err := c.client.DoTimeout(q, p, req.Timeout); err != nil {
 		return Response{Err: err}
 	}
-	r := Response{Status: p.StatusCode(), Body: append([]byte(nil), p.Body()...)}
+	response := Response{Status: p.StatusCode(), Body: append([]byte(nil), p.Body()...)}
 	fasthttp.ReleaseRequest(q)
 	fasthttp.ReleaseResponse(p)
-	return r
+	return response
 }
--- a/internal/intake/abort.go
+++ b/internal/intake/abort.go
@@ -26,24 +26,24 @@
 }
 
 func (n *Intake) abort(w *access.Who, id string, reply func(Reply), tries int) {
-	j := n.Jobs.Get(id)
-	if j != nil && j.State.Terminal() {
-		reply(n.show(j, false))
+	job := n.Jobs.Get(id)
+	if job != nil && job.State.Terminal() {
+		reply(n.show(job, false))
 		return
 	}
-	if j != nil && w != nil && !w.May(j.Spec.Team) {
-		reply(refuse(403, w.Name+" may not cancel jobs of team "+j.Spec.Team))
+	if job != nil && w != nil && !w.May(job.Spec.Team) {
+		reply(refuse(403, w.Name+" may not cancel jobs of team "+job.Spec.Team))
 		return
 	}
 	again := func() {
-		n.Store.Get(jobs.RecordKey(id), store.NormalPriority, func(it store.Item, err error) {
+		n.Store.Get(jobs.RecordKey(id), store.NormalPriority, func(item store.Item, err error) {
 			switch {
 			case err != nil || tries == 0:
 				reply(noStateReply)
-			case it.Version == 0:
+			case item.Version == 0:
 				n.archived(id, reply, false, noSuchJob, func(*jobs.Job) { n.abort(w, id, reply, tries-1) })
 			default:
-				n.OnJobRecord(n.Store.Now(), it)
+				n.OnJobRecord(n.Store.Now(), item)
 				if n.Jobs.IsUnreadable(id) {
 					reply(unreadable)
 					return
@@ -52,17 +52,17 @@
 			}
 		})
 	}
-	if j == nil {
+	if job == nil {
 		again()
 		return
 	}
 	key := jobs.RecordKey(id)
-	raw := jobs.EncodeRecord(jobs.Cancelled, n.Jobs.WallMS(j.SubmittedAt), j.TaskCount, j.Spec)
-	n.Store.Txn(store.Txn{If: n.guarded(store.Condition{Key: key, Version: j.Version}), Then: []store.Op{{Put: key, Value: raw}}},
-		store.NormalPriority, func(r store.Result) {
-			switch r.Outcome {
+	raw := jobs.EncodeRecord(jobs.Cancelled, n.Jobs.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
+	n.Store.Txn(store.Txn{If: n.guarded(store.Condition{Key: key, Version: job.Version}), Then: []store.Op{{Put: key, Value: raw}}},
+		store.NormalPriority, func(result store.Result) {
+			switch result.Outcome {
 			case store.Committed:
-				n.OnJobRecord(n.Store.Now(), store.Item{Key: key, Value: raw, Version: r.Revision})
+				n.OnJobRecord(n.Store.Now(), store.Item{Key: key, Value: raw, Version: result.Revision})
 				if r, ok := n.final(id, false); ok {
 					reply(r)
 					return
--- a/internal/intake/archive_test.go
+++ b/internal/intake/archive_test.go
@@ -12,8 +12,8 @@
 )
 
 // moved lets a job stand in the archive and nowhere else, as after a move by another controller.
-func (d *desk) moved(id string, a archive.Answer) {
-	d.svc.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(a)}})
+func (d *desk) moved(id string, answer archive.Answer) {
+	d.svc.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(answer)}})
 }
 
 // An archived job's answer is told to whoever asks, whatever is asked: a question, a repeated submission, a cancellation;
@@ -45,14 +45,14 @@
 // A job that was accepted and archived is never refused, though one like it could not run here now.
 func TestNoRefusalOfAnArchivedJob(t *testing.T) {
 	d := newDesk(state.New())
-	s := job(1)
-	s.Team = "a team that the settings no longer name"
-	d.moved(s.ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
-	if r := d.submit(t, s); r.Status != 200 || stance(r) != "done" {
+	spec := job(1)
+	spec.Team = "a team that the settings no longer name"
+	d.moved(spec.ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+	if r := d.submit(t, spec); r.Status != 200 || stance(r) != "done" {
 		t.Errorf("%d %q", r.Status, stance(r))
 	}
-	s.ID = job(2).ID
-	if r := d.submit(t, s); r.Status != 422 {
+	spec.ID = job(2).ID
+	if r := d.submit(t, spec); r.Status != 422 {
 		t.Errorf("a new one: %d", r.Status)
 	}
 }
--- a/internal/intake/bench_test.go
+++ b/internal/intake/bench_test.go
@@ -40,14 +40,14 @@
 // BenchmarkFollow takes over the records of 300 new jobs, as every controller does.
 func BenchmarkFollow(b *testing.B) {
 	var items []store.Item
-	for _, it := range polled(300).svc.Keys {
-		items = append(items, it)
+	for _, item := range polled(300).svc.Keys {
+		items = append(items, item)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		book := jobs.NewTable(0)
-		for _, it := range items {
-			if _, _, err := book.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version); err != nil {
+		for _, item := range items {
+			if _, _, err := book.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/intake/http.go
+++ b/internal/intake/http.go
@@ -22,7 +22,7 @@
 	Now              func() time.Duration
 	Intake           *Intake
 	Up               func() bool
-	Report           func(now time.Duration, r *fleet.Heartbeat, reply func(Reply))
+	Report           func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
 	// Leader answers what only the leader can.
 	Leader *LeaderAPI
 	// MaxConns bounds open connections; beyond Crowded those of workers end with each answer.
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -72,7 +72,7 @@
 	// Counts gives what is displayed of a pending job.
 	Counts func(*jobs.Job) (done, running int)
 	// OnJobRecord hands on a record that was written or read here.
-	OnJobRecord func(now time.Duration, it store.Item)
+	OnJobRecord func(now time.Duration, item store.Item)
 	// LevelCondition is the condition that every write from here carries besides its own: the cluster's level is what this
 	// controller knows it to be. Fit tells whether this release may act at that level; nil: there are no levels.
 	LevelCondition func() store.Condition
@@ -126,11 +126,11 @@
 // again would only hold the user back.
 func (n *Intake) stateLost(now time.Duration) bool { return now-n.Store.LastSuccess() > 3*time.Second }
 
-func (n *Intake) show(j *jobs.Job, full bool) Reply {
-	v := view{ID: j.ID, Stance: j.State.String()}
-	done, running := j.FinishedTasks, 0
-	if j.State == jobs.Pending {
-		done, running = n.Counts(j)
+func (n *Intake) show(job *jobs.Job, full bool) Reply {
+	v := view{ID: job.ID, Stance: job.State.String()}
+	done, running := job.FinishedTasks, 0
+	if job.State == jobs.Pending {
+		done, running = n.Counts(job)
 		if running > 0 {
 			v.Stance = "running"
 		}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -32,17 +32,17 @@
 	queue []func()
 }
 
-func (d *desk) Send(_ string, r httpio.Request, done func(httpio.Response)) {
+func (d *desk) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	if d.look != nil {
-		d.look(r)
+		d.look(request)
 	}
 	d.queue = append(d.queue, func() {
 		if d.drop {
 			done(httpio.Response{Err: httpio.ErrBusy})
 			return
 		}
-		res := d.svc.Serve(r)
-		if d.lose && r.Path == "/txn" {
+		res := d.svc.Serve(request)
+		if d.lose && request.Path == "/txn" {
 			res = httpio.Response{Err: httpio.ErrBusy}
 		}
 		if f := d.late; f != nil {
@@ -69,12 +69,12 @@
 	book := jobs.NewTable(0)
 	d.Intake = New(Env{
 		Store: st, Jobs: book, Archive: archive.NewReader(st, 8), Ready: func() bool { return true }, TxnOps: 24, MaxTasks: 3000, MaxBytes: 1 << 20, MaxValue: 8 << 10,
-		Admit: func(s *jobs.Spec) AdmissionResult {
-			return AdmissionResult{OK: s.Team == "t", Known: s.Team != "unknown yet", Open: s.Team == "short of seats", Why: "team"}
+		Admit: func(spec *jobs.Spec) AdmissionResult {
+			return AdmissionResult{OK: spec.Team == "t", Known: spec.Team != "unknown yet", Open: spec.Team == "short of seats", Why: "team"}
 		},
-		Counts: func(j *jobs.Job) (int, int) { return j.FinishedTasks, j.ReportedRunning },
-		OnJobRecord: func(_ time.Duration, it store.Item) {
-			_, _, _ = book.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
+		Counts: func(job *jobs.Job) (int, int) { return job.FinishedTasks, job.ReportedRunning },
+		OnJobRecord: func(_ time.Duration, item store.Item) {
+			_, _, _ = book.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
 		},
 	})
 	return d
@@ -96,9 +96,9 @@
 	return got[0]
 }
 
-func (d *desk) submit(t *testing.T, s *jobs.Spec) Reply {
+func (d *desk) submit(t *testing.T, spec *jobs.Spec) Reply {
 	t.Helper()
-	return d.ask(t, func(r func(Reply)) { d.Submit(d.svc.Now, s, r) })
+	return d.ask(t, func(r func(Reply)) { d.Submit(d.svc.Now, spec, r) })
 }
 
 func (d *desk) query(t *testing.T, id string) Reply {
@@ -172,8 +172,8 @@
 		if r := b.abort(t, "req-000001"); stance(r) != "cancelled" {
 			t.Fatalf("abort elsewhere: %+v", r)
 		}
-		it := svc.Keys[jobs.RecordKey("req-000001")]
-		a.OnJobRecord(svc.Now, store.Item{Key: it.Key, Value: it.Value, Version: it.Version}) // it is followed
+		item := svc.Keys[jobs.RecordKey("req-000001")]
+		a.OnJobRecord(svc.Now, store.Item{Key: item.Key, Value: item.Value, Version: item.Version}) // it is followed
 	}
 	if r := a.submit(t, job(1)); r.Status != 200 || stance(r) != "cancelled" {
 		t.Errorf("its submission is answered %+v", r)
@@ -186,9 +186,9 @@
 	svc := state.New()
 	d := newDesk(svc)
 	large := func(n, tasks int) *jobs.Spec {
-		s := job(n)
-		s.Tasks = tasks
-		return s
+		spec := job(n)
+		spec.Tasks = tasks
+		return spec
 	}
 	if r := d.submit(t, large(1, 100_000)); r.Status != 201 {
 		t.Fatalf("one job alone: %+v", r)
@@ -226,18 +226,18 @@
 func TestSeatsRefusedOnlyAfterARead(t *testing.T) {
 	svc := state.New()
 	d := newDesk(svc)
-	s := job(1)
-	s.Team = "short of seats"
-	if r := d.submit(t, s); r.Status != 422 {
+	spec := job(1)
+	spec.Team = "short of seats"
+	if r := d.submit(t, spec); r.Status != 422 {
 		t.Fatalf("never accepted: %+v", r)
 	}
 	svc.Serve(httpio.Request{Method: "POST", Path: "/txn", Body: []byte(fmt.Sprintf(`{"if":[],"apply":[{"set":%q,"data":%s}]}`,
-		jobs.RecordKey(s.ID), jobs.EncodeRecord(jobs.Pending, 0, s.Tasks, s)))})
-	if r := d.submit(t, s); r.Status != 200 || stance(r) != "pending" {
+		jobs.RecordKey(spec.ID), jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec)))})
+	if r := d.submit(t, spec); r.Status != 200 || stance(r) != "pending" {
 		t.Fatalf("accepted by another controller: %+v", r)
 	}
 	svc.Down = true
-	if r := newDesk(svc).submit(t, s); r.Status != 503 {
+	if r := newDesk(svc).submit(t, spec); r.Status != 503 {
 		t.Fatalf("nobody can tell: %+v", r)
 	}
 }
--- a/internal/intake/operator.go
+++ b/internal/intake/operator.go
@@ -59,19 +59,19 @@
 func (r Routes) leader(app *fiber.App) {
 	l := r.Leader
 	ask := func(c fiber.Ctx, what, verb string) error {
-		q := LeaderRequest{
+		request := LeaderRequest{
 			Resource: what, Name: strings.Clone(c.Params("name")), Verb: verb, Bearer: bearer(c), Who: who(c),
 			Query: map[string]string{},
 		}
 		for _, k := range [...]string{"user", "team", "where", "since", "limit"} {
 			if v := c.Query(k); v != "" {
-				q.Query[k] = strings.Clone(v)
+				request.Query[k] = strings.Clone(v)
 			}
 		}
 		if c.Method() == fiber.MethodPost {
-			q.Body = append([]byte{}, c.Body()...)
+			request.Body = append([]byte{}, c.Body()...)
 		}
-		return r.ask(c, r.Post, userWait, func(reply func(Reply)) { l.Answer(r.Now(), q, reply) })
+		return r.ask(c, r.Post, userWait, func(reply func(Reply)) { l.Answer(r.Now(), request, reply) })
 	}
 	on := func(what, verb string) fiber.Handler {
 		return func(c fiber.Ctx) error { return ask(c, what, verb) }
--- a/internal/intake/question.go
+++ b/internal/intake/question.go
@@ -70,22 +70,22 @@
 	}
 	var batch []statusQuery
 	seen := map[string]bool{}
-	t := store.Txn{}
+	txn := store.Txn{}
 	k, size, most := 0, 0, store.ConditionsPerOp*n.limits().MaxOps
-	for ; k < len(n.queries) && len(t.If)+condsPerCheck <= most; k++ {
+	for ; k < len(n.queries) && len(txn.If)+condsPerCheck <= most; k++ {
 		c := n.queries[k]
 		if size += checkSize(c.id); size > checkBytes {
 			break
 		}
 		c.version = 0
-		if j := n.Jobs.Get(c.id); j != nil {
-			c.version = j.Version
+		if job := n.Jobs.Get(c.id); job != nil {
+			c.version = job.Version
 		}
 		if !seen[c.id] {
 			seen[c.id] = true
-			t.If = append(t.If, store.Condition{Key: jobs.RecordKey(c.id), Version: c.version})
+			txn.If = append(txn.If, store.Condition{Key: jobs.RecordKey(c.id), Version: c.version})
 			if c.version == 0 {
-				t.If = append(t.If, archive.Absent(c.id))
+				txn.If = append(txn.If, archive.Absent(c.id))
 			}
 		}
 		batch = append(batch, c)
@@ -93,44 +93,44 @@
 	n.queries = n.queries[k:]
 	n.queryInFlight = true
 	n.nextCheck = now + 40*time.Millisecond
-	n.Store.Txn(t, store.QueryPriority, func(r store.Result) {
+	n.Store.Txn(txn, store.QueryPriority, func(result store.Result) {
 		n.queryInFlight = false
-		n.checked(batch, r)
+		n.checked(batch, result)
 		n.check(n.Store.Now())
 	})
 }
 
-func (n *Intake) checked(batch []statusQuery, r store.Result) {
+func (n *Intake) checked(batch []statusQuery, result store.Result) {
 	failed := map[string]bool{}
-	for _, k := range r.FailedKeys {
+	for _, k := range result.FailedKeys {
 		failed[k] = true
 	}
-	if r.Outcome != store.Committed && r.Outcome != store.Conflict {
-		slog.Debug("queries not checked", "n", len(batch), "outcome", r.Outcome.String())
+	if result.Outcome != store.Committed && result.Outcome != store.Conflict {
+		slog.Debug("queries not checked", "n", len(batch), "outcome", result.Outcome.String())
 		for _, c := range batch {
 			c.reply(noStateReply)
 		}
 		return
 	}
 	for _, c := range batch {
-		j := n.Jobs.Get(c.id)
+		job := n.Jobs.Get(c.id)
 		switch {
 		case !failed[jobs.RecordKey(c.id)] && !failed[archive.Key(c.id)]:
 			// Our version was the newest when the check ran. What has been learnt since
 			// is newer still.
 			switch {
-			case j != nil:
-				c.reply(n.show(j, !c.submit))
+			case job != nil:
+				c.reply(n.show(job, !c.submit))
 			case c.version == 0:
 				c.reply(noSuchJob) // neither its record nor its answer was there, at one moment
 			default:
 				n.again(c) // it has ended and left the table meanwhile
 			}
-		case j != nil && j.State.Terminal():
-			c.reply(n.show(j, !c.submit))
+		case job != nil && job.State.Terminal():
+			c.reply(n.show(job, !c.submit))
 		case !failed[jobs.RecordKey(c.id)] && c.version == 0:
 			// Its answer was there, and its record wasn't: one read tells it.
-			n.archived(c.id, c.reply, !c.submit, n.absentFor(c), func(j *jobs.Job) { c.reply(n.show(j, !c.submit)) })
+			n.archived(c.id, c.reply, !c.submit, n.absentFor(c), func(job *jobs.Job) { c.reply(n.show(job, !c.submit)) })
 		default:
 			n.again(c)
 		}
--- a/internal/intake/resolve.go
+++ b/internal/intake/resolve.go
@@ -23,14 +23,14 @@
 
 // final gives the answer about a job that is known to have ended; it never changes, so no read is needed.
 func (n *Intake) final(id string, full bool) (Reply, bool) {
-	if j := n.Jobs.Get(id); j != nil {
-		if !j.State.Terminal() {
+	if job := n.Jobs.Get(id); job != nil {
+		if !job.State.Terminal() {
 			return Reply{}, false
 		}
-		return n.show(j, full), true
+		return n.show(job, full), true
 	}
-	a, ok := n.Archive.Cached(id)
-	return showArchived(id, a, full), ok
+	answer, ok := n.Archive.Cached(id)
+	return showArchived(id, answer, full), ok
 }
 
 // settled answers what needs no read: an id that is none, a controller that can't answer, a job that has ended. It is
@@ -55,11 +55,11 @@
 }
 
 // showArchived tells an archived job's answer.
-func showArchived(id string, a archive.Answer, full bool) Reply {
-	v := view{ID: id, Stance: a.State.String()}
+func showArchived(id string, answer archive.Answer, full bool) Reply {
+	v := view{ID: id, Stance: answer.State.String()}
 	if full {
 		running := 0
-		v.Done, v.Running = &a.Done, &running
+		v.Done, v.Running = &answer.Done, &running
 	}
 	return Reply{Status: 200, Body: v}
 }
@@ -74,22 +74,22 @@
 
 // reread answers from a fresh read of a job's record, or of its archived answer, with absent if there is neither.
 func (n *Intake) reread(id string, reply func(Reply), full bool, absent Reply) {
-	accepted := func(j *jobs.Job) { reply(n.show(j, full)) }
-	n.Store.Get(jobs.RecordKey(id), classOf(full), func(it store.Item, err error) {
+	accepted := func(job *jobs.Job) { reply(n.show(job, full)) }
+	n.Store.Get(jobs.RecordKey(id), classOf(full), func(item store.Item, err error) {
 		if err != nil {
 			reply(noStateReply)
 			return
 		}
-		if it.Version == 0 {
+		if item.Version == 0 {
 			n.archived(id, reply, full, absent, accepted)
 			return
 		}
-		n.OnJobRecord(n.Store.Now(), it)
-		switch j := n.Jobs.Get(id); {
+		n.OnJobRecord(n.Store.Now(), item)
+		switch job := n.Jobs.Get(id); {
 		case n.Jobs.IsUnreadable(id):
 			reply(unreadable)
-		case j != nil:
-			reply(n.show(j, full))
+		case job != nil:
+			reply(n.show(job, full))
 		default:
 			// The followed keys have already seen this record go: it was moved after it was read.
 			n.archived(id, reply, full, notStored, accepted)
@@ -100,16 +100,16 @@
 // archived answers from a job's archived answer, after its record was seen to be absent; accepted goes on with a job that
 // was accepted since then.
 func (n *Intake) archived(id string, reply func(Reply), full bool, absent Reply, accepted func(*jobs.Job)) {
-	n.Archive.Find(id, classOf(full), func(a archive.Answer, found bool, err error) {
-		switch j := n.Jobs.Get(id); {
+	n.Archive.Find(id, classOf(full), func(answer archive.Answer, found bool, err error) {
+		switch job := n.Jobs.Get(id); {
 		case errors.Is(err, archive.ErrUnreadable):
 			reply(unreadable)
 		case err != nil:
 			reply(noStateReply)
 		case found:
-			reply(showArchived(id, a, full))
-		case j != nil:
-			accepted(j)
+			reply(showArchived(id, answer, full))
+		case job != nil:
+			accepted(job)
 		default:
 			reply(absent)
 		}
--- a/internal/intake/scale_test.go
+++ b/internal/intake/scale_test.go
@@ -56,10 +56,10 @@
 		d := newDesk(svc)
 		d.TxnOps, d.Limits = 1<<20, func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
 		most, asked := 0, 0
-		d.look = func(r httpio.Request) {
+		d.look = func(request httpio.Request) {
 			var txn store.Txn
-			if err := json.Unmarshal(r.Body, &txn); err != nil || len(r.Body) > 64<<10 {
-				t.Fatalf("a transaction of %d bytes: %v", len(r.Body), err)
+			if err := json.Unmarshal(request.Body, &txn); err != nil || len(request.Body) > 64<<10 {
+				t.Fatalf("a transaction of %d bytes: %v", len(request.Body), err)
 			}
 			most = max(most, len(txn.If))
 		}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -18,7 +18,7 @@
 }
 
 // Submit takes a parsed submission.
-func (n *Intake) Submit(now time.Duration, s *jobs.Spec, reply func(Reply)) {
+func (n *Intake) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
 	if n.draining {
 		reply(refuse(503, "this controller is being drained: ask another"))
 		return
@@ -30,15 +30,15 @@
 		reply(refuse(503, "still reading the jobs"))
 		return
 	}
-	if r, ok := n.final(s.ID, false); ok {
+	if r, ok := n.final(spec.ID, false); ok {
 		reply(r)
 		return
 	}
-	if n.Jobs.Get(s.ID) != nil {
-		n.queueCheck(now, statusQuery{id: s.ID, reply: reply, submit: true})
+	if n.Jobs.Get(spec.ID) != nil {
+		n.queueCheck(now, statusQuery{id: spec.ID, reply: reply, submit: true})
 		return
 	}
-	switch v := n.Admit(s); {
+	switch v := n.Admit(spec); {
 	case !v.Known:
 		reply(refuse(503, v.Why))
 		return
@@ -50,14 +50,14 @@
 			reply(noStateReply)
 			return
 		}
-		n.reread(s.ID, reply, false, refuse(422, v.Why))
+		n.reread(spec.ID, reply, false, refuse(422, v.Why))
 		return
 	}
 	if n.stateLost(now) {
 		reply(noStateReply)
 		return
 	}
-	raw := jobs.EncodeRecord(jobs.Pending, n.Jobs.WallMS(now), s.Tasks, s)
+	raw := jobs.EncodeRecord(jobs.Pending, n.Jobs.WallMS(now), spec.Tasks, spec)
 	if len(raw) > n.MaxValue {
 		reply(refuse(422, "the job's description is larger than what can be stored of a job"))
 		return
@@ -67,11 +67,11 @@
 		return
 	}
 	// Every job is taken for itself; together they must fit the leader's memory.
-	if live := n.Jobs.LiveTasks(); live > 0 && live+s.Tasks > n.MaxTasks {
+	if live := n.Jobs.LiveTasks(); live > 0 && live+spec.Tasks > n.MaxTasks {
 		reply(refuse(429, "too many unfinished tasks"))
 		return
 	}
-	n.enqueue(now, pendingSubmission{s, raw, reply})
+	n.enqueue(now, pendingSubmission{spec, raw, reply})
 }
 
 // enqueue lets a submission wait to be stored, if there is room.
@@ -111,33 +111,33 @@
 	}
 	batch := append([]pendingSubmission(nil), n.submissions[:k]...)
 	n.submissions = n.submissions[k:]
-	t := store.Txn{}
+	txn := store.Txn{}
 	for _, s := range batch {
 		n.bytes -= len(s.raw)
 		key := jobs.RecordKey(s.spec.ID)
 		// Should this land after the job was accepted elsewhere, has ended and was archived, it makes nothing.
-		t.If = append(t.If, store.Condition{Key: key}, archive.Absent(s.spec.ID))
-		t.Then = append(t.Then, store.Op{Put: key, Value: s.raw})
+		txn.If = append(txn.If, store.Condition{Key: key}, archive.Absent(s.spec.ID))
+		txn.Then = append(txn.Then, store.Op{Put: key, Value: s.raw})
 	}
-	t.If = n.guarded(t.If...)
+	txn.If = n.guarded(txn.If...)
 	n.submitInFlight = true
-	n.Store.Txn(t, store.NormalPriority, func(r store.Result) {
+	n.Store.Txn(txn, store.NormalPriority, func(result store.Result) {
 		n.submitInFlight = false
-		n.submitted(n.Store.Now(), batch, r)
+		n.submitted(n.Store.Now(), batch, result)
 		n.flush(n.Store.Now())
 	})
 }
 
-func (n *Intake) submitted(now time.Duration, batch []pendingSubmission, r store.Result) {
+func (n *Intake) submitted(now time.Duration, batch []pendingSubmission, result store.Result) {
 	failed := map[string]bool{}
-	for _, k := range r.FailedKeys {
+	for _, k := range result.FailedKeys {
 		failed[k] = true
 	}
 	for _, s := range batch {
 		key := jobs.RecordKey(s.spec.ID)
-		switch r.Outcome {
+		switch result.Outcome {
 		case store.Committed:
-			n.OnJobRecord(now, store.Item{Key: key, Value: s.raw, Version: r.Revision})
+			n.OnJobRecord(now, store.Item{Key: key, Value: s.raw, Version: result.Revision})
 			n.accepted(s)
 		case store.Conflict:
 			if failed[key] || failed[archive.Key(s.spec.ID)] {
@@ -160,11 +160,11 @@
 // accepted answers a submission whose record is durable. Others may have read the record, users may have cancelled the
 // job, and it may even be over, before the answer of the state service came: the newest that is known goes out.
 func (n *Intake) accepted(s pendingSubmission) {
-	switch j := n.Jobs.Get(s.spec.ID); {
-	case j == nil:
+	switch job := n.Jobs.Get(s.spec.ID); {
+	case job == nil:
 		n.reread(s.spec.ID, s.reply, false, notStored)
-	case j.State.Terminal():
-		s.reply(n.show(j, false))
+	case job.State.Terminal():
+		s.reply(n.show(job, false))
 	default:
 		s.reply(Reply{Status: 201, Body: view{ID: s.spec.ID, Stance: "pending"}})
 	}
