--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -16,9 +16,9 @@
  "same_place":true,"apart":false,"stray":true,"stride_s":240.0,"rest_s":30.0,"stash_s":4.0,"dusk_s":900.0,"new":[1]}`
 
 func TestParseSpec(t *testing.T) {
-	s, err := ParseSpec([]byte(good))
-	if err != nil || s.Tasks != 16 || s.Zone != nil || *s.DeadlineS != 900 || s.PriorityLevel() != 2 {
-		t.Fatalf("%+v, %v", s, err)
+	spec, err := ParseSpec([]byte(good))
+	if err != nil || spec.Tasks != 16 || spec.Zone != nil || *spec.DeadlineS != 900 || spec.PriorityLevel() != 2 {
+		t.Fatalf("%+v, %v", spec, err)
 	}
 	bad := map[string]string{
 		"not JSON":       `{"name_id":`,
@@ -62,29 +62,29 @@
 // A job without licences is stored byte for byte as before there were any; one with them keeps
 // them, and where its pool is not declared nothing of it starts.
 func TestLicencesOfAJob(t *testing.T) {
-	s, err := ParseSpec([]byte(good))
+	spec, err := ParseSpec([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
 	const was = `{"stance":"pending","at_ms":5,"n":16,"spec":{"name_id":"req-000412","breed":"train","warren":"vision","gait":"gang",` +
 		`"urgency":"urgent","hops":16,"cpus":8,"accelerators":1,"memory_gb":64,"pelt":"img-07","size_gb":6.2,"builds":["g8"],"meadow":null,` +
 		`"same_place":true,"apart":false,"stray":true,"stride_s":240,"rest_s":30,"stash_s":4,"dusk_s":900}}`
-	if raw := string(EncodeRecord(Pending, 5, 16, s)); raw != was {
+	if raw := string(EncodeRecord(Pending, 5, 16, spec)); raw != was {
 		t.Fatalf("stored as %s", raw)
 	}
-	s, err = ParseSpec([]byte(strings.Replace(good, `"new":[1]`, `"licences":{"p":2}`, 1)))
-	if err != nil || s.Licences["p"] != 2 {
-		t.Fatalf("%+v, %v", s, err)
+	spec, err = ParseSpec([]byte(strings.Replace(good, `"new":[1]`, `"licences":{"p":2}`, 1)))
+	if err != nil || spec.Licences["p"] != 2 {
+		t.Fatalf("%+v, %v", spec, err)
 	}
 	b := NewTable(0)
-	j, _, err := b.Apply(s.ID, EncodeRecord(Pending, 5, 16, s), 1)
-	if err != nil || len(j.LicenceUnits) != 1 || j.LicenceUnits[0].Pool != None {
-		t.Fatalf("seats %v of an undeclared pool, %v", j.LicenceUnits, err)
+	job, _, err := b.Apply(spec.ID, EncodeRecord(Pending, 5, 16, spec), 1)
+	if err != nil || len(job.LicenceUnits) != 1 || job.LicenceUnits[0].Pool != None {
+		t.Fatalf("seats %v of an undeclared pool, %v", job.LicenceUnits, err)
 	}
 	b = NewTable(0)
 	b.Names.Pools = licences.NewCatalog([]*licences.Pool{{Name: "o"}, {Name: "p"}})
-	if j, _, err = b.Apply(s.ID, EncodeRecord(Pending, 5, 16, s), 1); err != nil || j.LicenceUnits[0] != (licences.Unit{Pool: 1, N: 2}) {
-		t.Fatalf("seats %v, %v", j.LicenceUnits, err)
+	if job, _, err = b.Apply(spec.ID, EncodeRecord(Pending, 5, 16, spec), 1); err != nil || job.LicenceUnits[0] != (licences.Unit{Pool: 1, N: 2}) {
+		t.Fatalf("seats %v, %v", job.LicenceUnits, err)
 	}
 }
 
@@ -96,13 +96,13 @@
 		for range 1 + rng.IntN(3) {
 			raw[rng.IntN(len(raw))] = byte(32 + rng.IntN(95))
 		}
-		s, err := ParseSpec(raw)
+		spec, err := ParseSpec(raw)
 		if err != nil {
 			continue
 		}
 		taken++
-		if s.Tasks < 1 || s.Tasks > MaxTasks || !ValidID(s.ID) || s.CPUs < 0 || s.MemoryGB < 0 {
-			t.Fatalf("taken: %+v from %s", s, raw)
+		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidID(spec.ID) || spec.CPUs < 0 || spec.MemoryGB < 0 {
+			t.Fatalf("taken: %+v from %s", spec, raw)
 		}
 	}
 	if taken == 0 || taken == 20_000 {
@@ -111,11 +111,11 @@
 }
 
 func spec(n int) *Spec {
-	s, err := ParseSpec([]byte(strings.Replace(good, `"hops":16`, fmt.Sprintf(`"hops":%d`, n), 1)))
+	spec, err := ParseSpec([]byte(strings.Replace(good, `"hops":16`, fmt.Sprintf(`"hops":%d`, n), 1)))
 	if err != nil {
 		panic(err)
 	}
-	return s
+	return spec
 }
 
 // A chunk read back is what was written, for random plans, and fits a small value.
@@ -123,24 +123,24 @@
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 300 {
 		n := 1 + rng.IntN(3*SegmentTasks)
-		j := &Job{ID: "req-000001", TaskCount: n, Spec: spec(n), TasksByZone: map[int32]int{}}
-		j.OpenTasks()
+		job := &Job{ID: "req-000001", TaskCount: n, Spec: spec(n), TasksByZone: map[int32]int{}}
+		job.OpenTasks()
 		machines := 1 + rng.IntN(400)
-		for i := range j.Tasks {
+		for i := range job.Tasks {
 			switch rng.IntN(3) {
 			case 0:
-				j.Tasks[i].Machine = int32(rng.IntN(machines))
-				j.Tasks[i].State = Planned
+				job.Tasks[i].Machine = int32(rng.IntN(machines))
+				job.Tasks[i].State = Planned
 			case 1:
-				j.Tasks[i].State = Finished
+				job.Tasks[i].State = Finished
 			}
 		}
-		for _, c := range j.Segments {
-			raw, snap := j.EncodeSegment(c, 7, func(m int32) string { return fmt.Sprintf("i-%06d", m) })
+		for _, segment := range job.Segments {
+			raw, snap := job.EncodeSegment(segment, 7, func(m int32) string { return fmt.Sprintf("i-%06d", m) })
 			if len(raw) > 8<<10 {
 				t.Fatalf("value of %d bytes", len(raw))
 			}
-			on, done, err := DecodeSegment(raw, len(c.DurableMachines), func(s string) int32 {
+			on, done, err := DecodeSegment(raw, len(segment.DurableMachines), func(s string) int32 {
 				var m int32
 				_, _ = fmt.Sscanf(s, "i-%d", &m)
 				return m
@@ -149,7 +149,7 @@
 				t.Fatal(err)
 			}
 			for i := range on {
-				task := j.Tasks[c.Number*SegmentTasks+i]
+				task := job.Tasks[segment.Number*SegmentTasks+i]
 				if done[i] != (task.State == Finished) || (!done[i] && on[i] != task.Machine) {
 					t.Fatalf("task %d: %d %v, want %+v", i, on[i], done[i], task)
 				}
@@ -160,7 +160,7 @@
 			for range 30 { // a damaged value is refused or read, never a panic
 				b := append([]byte(nil), raw...)
 				b[rng.IntN(len(b))] = byte(32 + rng.IntN(95))
-				_, _, _ = DecodeSegment(b, len(c.DurableMachines), func(string) int32 { return 0 })
+				_, _, _ = DecodeSegment(b, len(segment.DurableMachines), func(string) int32 { return 0 })
 			}
 		}
 	}
@@ -183,8 +183,8 @@
 				t.Fatal(err)
 			}
 			newest = max(newest, i)
-			if j := b.Get(s.ID); j.State != recs[newest].st || j.Version != recs[newest].v {
-				t.Fatalf("told %v at %d, newest is %v at %d", j.State, j.Version, recs[newest].st, recs[newest].v)
+			if job := b.Get(s.ID); job.State != recs[newest].st || job.Version != recs[newest].v {
+				t.Fatalf("told %v at %d, newest is %v at %d", job.State, job.Version, recs[newest].st, recs[newest].v)
 			}
 		}
 		live := 0
@@ -197,19 +197,19 @@
 
 // Only the listed changes of a task's state are possible.
 func TestTaskStatesAreGuarded(t *testing.T) {
-	j := &Job{ID: "req-000001", TaskCount: 1, Spec: spec(1), TasksByZone: map[int32]int{}}
-	j.OpenTasks()
+	job := &Job{ID: "req-000001", TaskCount: 1, Spec: spec(1), TasksByZone: map[int32]int{}}
+	job.OpenTasks()
 	for _, s := range []TaskState{Launched, OnMachine} {
-		err := j.SetTaskState(0, s)
+		err := job.SetTaskState(0, s)
 		if s == Launched && err == nil {
 			t.Fatal("an unplanned task was launched")
 		}
 	}
-	if err := j.SetTaskState(0, Finished); err != nil || j.FinishedTasks != 1 {
-		t.Fatal(err, j.FinishedTasks)
+	if err := job.SetTaskState(0, Finished); err != nil || job.FinishedTasks != 1 {
+		t.Fatal(err, job.FinishedTasks)
 	}
 	for s := Unplanned; s <= Finished; s++ {
-		if j.SetTaskState(0, s) == nil {
+		if job.SetTaskState(0, s) == nil {
 			t.Fatalf("a finished task became %v", s)
 		}
 	}
@@ -218,31 +218,31 @@
 // A plan that moved a task away and was given up may land yet: the task must not start where the older plan has it, or the next
 // owner would believe the one that lands. Once a write of its key is through none of that counts any more.
 func TestOpenWritesHoldStarts(t *testing.T) {
-	j := &Job{ID: "req-000001", TaskCount: 2}
-	j.OpenTasks()
-	c := j.Segments[0]
-	for i := range j.Tasks {
-		j.Tasks[i].Machine, c.DurableMachines[i] = 4, 4
+	job := &Job{ID: "req-000001", TaskCount: 2}
+	job.OpenTasks()
+	segment := job.Segments[0]
+	for i := range job.Tasks {
+		job.Tasks[i].Machine, segment.DurableMachines[i] = 4, 4
 	}
-	if !j.IsDurable(0) || !j.IsDurable(1) {
+	if !job.IsDurable(0) || !job.IsDurable(1) {
 		t.Fatal("a durable plan doesn't count")
 	}
-	c.AddIndeterminate([]int32{7, 4})
-	if j.IsDurable(0) || !j.IsDurable(1) {
-		t.Errorf("with a write open that plans the first elsewhere: %v, %v", j.IsDurable(0), j.IsDurable(1))
+	segment.AddIndeterminate([]int32{7, 4})
+	if job.IsDurable(0) || !job.IsDurable(1) {
+		t.Errorf("with a write open that plans the first elsewhere: %v, %v", job.IsDurable(0), job.IsDurable(1))
 	}
-	j.Tasks[0].Machine = 7
-	if j.IsDurable(0) {
+	job.Tasks[0].Machine = 7
+	if job.IsDurable(0) {
 		t.Error("what only the open write says counts as durable")
 	}
-	c.AddIndeterminate([]int32{4, 9})
+	segment.AddIndeterminate([]int32{4, 9})
 	for _, m := range []int32{4, 7} {
-		if j.Tasks[0].Machine = m; j.IsDurable(0) {
+		if job.Tasks[0].Machine = m; job.IsDurable(0) {
 			t.Errorf("two open writes differ, and machine %d counts", m)
 		}
 	}
-	c.InFlight, c.Indeterminate = []int32{4, 5}, nil
-	if j.Tasks[0].Machine = 4; !j.IsDurable(0) || j.IsDurable(1) {
-		t.Errorf("with a write under way: %v, %v", j.IsDurable(0), j.IsDurable(1))
+	segment.InFlight, segment.Indeterminate = []int32{4, 5}, nil
+	if job.Tasks[0].Machine = 4; !job.IsDurable(0) || job.IsDurable(1) {
+		t.Errorf("with a write under way: %v, %v", job.IsDurable(0), job.IsDurable(1))
 	}
 }
--- a/internal/jobs/shards.go
+++ b/internal/jobs/shards.go
@@ -18,14 +18,14 @@
 }
 
 // add gives a job its index.
-func (t *shardedJobs) add(j *Job) {
-	j.Index = t.next
+func (t *shardedJobs) add(job *Job) {
+	job.Index = t.next
 	t.next++
-	if int(j.Index)/shardJobs == len(t.shards) {
+	if int(job.Index)/shardJobs == len(t.shards) {
 		t.shards = append(t.shards, &shard{})
 	}
-	s := t.shards[j.Index/shardJobs]
-	s.jobs[j.Index%shardJobs] = j
+	s := t.shards[job.Index/shardJobs]
+	s.jobs[job.Index%shardJobs] = job
 	s.n++
 }
 
@@ -41,8 +41,8 @@
 }
 
 // remove takes a job out.
-func (t *shardedJobs) remove(j *Job) {
-	i := int(j.Index)
+func (t *shardedJobs) remove(job *Job) {
+	i := int(job.Index)
 	s := t.shards[i/shardJobs]
 	s.jobs[i%shardJobs] = nil
 	s.n--
@@ -57,9 +57,9 @@
 		if s == nil {
 			continue
 		}
-		for _, j := range s.jobs {
-			if j != nil {
-				f(j)
+		for _, job := range s.jobs {
+			if job != nil {
+				f(job)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	left int // of the jobs listed, how many have left the table
 }
 
-func (q *endedQueue) add(j *Job) { q.jobs = append(q.jobs, j) }
+func (q *endedQueue) add(job *Job) { q.jobs = append(q.jobs, job) }
 
 // leastEnded is how many jobs that have left the queue may list whatever its length.
 const leastEnded = 64
@@ -83,9 +83,9 @@
 		return
 	}
 	kept := make([]*Job, 0, len(q.jobs)-q.left)
-	for _, j := range q.jobs {
-		if !j.gone {
-			kept = append(kept, j)
+	for _, job := range q.jobs {
+		if !job.gone {
+			kept = append(kept, job)
 		}
 	}
 	q.jobs, q.left = kept, 0
@@ -93,11 +93,11 @@
 
 // ForEachEnded calls f for each terminal job whose end was learnt by a time, the earliest first, until it returns false.
 func (b *Table) ForEachEnded(by time.Duration, f func(*Job) bool) {
-	for _, j := range b.ended.jobs {
-		if j.EndedAt > by {
+	for _, job := range b.ended.jobs {
+		if job.EndedAt > by {
 			return
 		}
-		if !j.gone && !j.Archived && !f(j) {
+		if !job.gone && !job.Archived && !f(job) {
 			return
 		}
 	}
@@ -107,42 +107,42 @@
 // at once, or with the end of the term if its planner still holds something of it.
 func (b *Table) Archive(id string, version uint64) {
 	delete(b.unread, id)
-	j := b.Get(id)
-	if j == nil || version <= j.Version {
+	job := b.Get(id)
+	if job == nil || version <= job.Version {
 		return
 	}
-	b.archive(j)
+	b.archive(job)
 }
 
 // Retain takes a new reading of all records, complete up to a version: jobs that were known by then and are not among
 // them have been archived meanwhile.
 func (b *Table) Retain(version uint64, present func(id string) bool) {
-	b.ForEach(func(j *Job) {
-		if j.Version <= version && !present(j.ID) {
-			b.archive(j)
+	b.ForEach(func(job *Job) {
+		if job.Version <= version && !present(job.ID) {
+			b.archive(job)
 		}
 	})
 }
 
-func (b *Table) archive(j *Job) {
-	if j.Tasks == nil {
-		b.remove(j)
+func (b *Table) archive(job *Job) {
+	if job.Tasks == nil {
+		b.remove(job)
 		return
 	}
 	// Nobody but the leader archives, and only what it holds nothing of: another controller leads by now, and this
 	// one's picture is behind. Nothing more is planned or started of it here.
-	j.Archived, j.Quarantined = true, true
+	job.Archived, job.Quarantined = true, true
 }
 
 // remove takes a job out of the table.
-func (b *Table) remove(j *Job) {
-	if _, live := b.live[j.Index]; live {
-		delete(b.live, j.Index)
-		b.tasks -= j.TaskCount
+func (b *Table) remove(job *Job) {
+	if _, live := b.live[job.Index]; live {
+		delete(b.live, job.Index)
+		b.tasks -= job.TaskCount
 	} else {
 		b.ended.leave()
 	}
-	j.gone = true
-	delete(b.byID, j.ID)
-	b.table.remove(j)
+	job.gone = true
+	delete(b.byID, job.ID)
+	b.table.remove(job)
 }
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -109,67 +109,67 @@
 			return bad("field %s is missing", f)
 		}
 	}
-	s := &Spec{}
-	if err := json.Unmarshal(body, s); err != nil {
+	spec := &Spec{}
+	if err := json.Unmarshal(body, spec); err != nil {
 		var te *json.UnmarshalTypeError
 		if errors.As(err, &te) {
 			return bad("field %s has the wrong type", te.Field)
 		}
 		return bad("%v", err)
 	}
-	if !ValidID(s.ID) {
+	if !ValidID(spec.ID) {
 		return bad("name_id is not an id")
 	}
-	if s.Kind != Array && s.Kind != Gang && s.Kind != Service {
-		return bad("gait %q is unknown", s.Kind)
+	if spec.Kind != Array && spec.Kind != Gang && spec.Kind != Service {
+		return bad("gait %q is unknown", spec.Kind)
 	}
-	if _, ok := priorities[s.Priority]; !ok {
-		return bad("urgency %q is unknown", s.Priority)
+	if _, ok := priorities[spec.Priority]; !ok {
+		return bad("urgency %q is unknown", spec.Priority)
 	}
-	if s.Tasks < 1 || s.Tasks > MaxTasks {
+	if spec.Tasks < 1 || spec.Tasks > MaxTasks {
 		return bad("hops must be 1 to %d", MaxTasks)
 	}
-	names := map[string]string{"breed": s.Class, "warren": s.Team, "pelt": s.Image}
-	if s.Zone != nil {
-		names["meadow"] = *s.Zone
+	names := map[string]string{"breed": spec.Class, "warren": spec.Team, "pelt": spec.Image}
+	if spec.Zone != nil {
+		names["meadow"] = *spec.Zone
 	}
 	for f, v := range names {
 		if v == "" || len(v) > 200 {
 			return bad("%s must have 1 to 200 characters", f)
 		}
 	}
-	if len(s.Types) > 64 || (s.Types != nil && len(s.Types) == 0) {
+	if len(spec.Types) > 64 || (spec.Types != nil && len(spec.Types) == 0) {
 		return bad("builds must name 1 to 64 machine types")
 	}
-	for _, t := range s.Types {
+	for _, t := range spec.Types {
 		if t == "" || len(t) > 200 {
 			return bad("builds names no machine type")
 		}
 	}
 	amounts := map[string]float64{
-		"cpus": s.CPUs, "accelerators": s.GPUs, "memory_gb": s.MemoryGB, "size_gb": s.ImageGB,
-		"stride_s": s.EstimateS, "rest_s": s.CheckpointS, "stash_s": s.SaveS,
+		"cpus": spec.CPUs, "accelerators": spec.GPUs, "memory_gb": spec.MemoryGB, "size_gb": spec.ImageGB,
+		"stride_s": spec.EstimateS, "rest_s": spec.CheckpointS, "stash_s": spec.SaveS,
 	}
-	if s.DeadlineS != nil {
-		amounts["dusk_s"] = *s.DeadlineS
+	if spec.DeadlineS != nil {
+		amounts["dusk_s"] = *spec.DeadlineS
 	}
 	for f, v := range amounts {
 		if v < 0 || v > 1e9 || math.IsNaN(v) {
 			return bad("%s is out of range", f)
 		}
 	}
-	if len(s.Licences) > maxPools {
+	if len(spec.Licences) > maxPools {
 		return bad("licences names more than %d pools", maxPools)
 	}
-	for pool, n := range s.Licences {
+	for pool, n := range spec.Licences {
 		if pool == "" || len(pool) > 64 || n < 1 || n > maxSeats {
 			return bad("licences: a task holds 1 to %d seats of a named pool, not %d of %q", maxSeats, n, pool)
 		}
 	}
-	if s.CPUs == 0 && s.GPUs == 0 && s.MemoryGB == 0 {
+	if spec.CPUs == 0 && spec.GPUs == 0 && spec.MemoryGB == 0 {
 		return bad("cpus, accelerators and memory_gb are all 0")
 	}
-	return s, nil
+	return spec, nil
 }
 
 // State is what users are told of a job.
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -109,22 +109,22 @@
 }
 
 // enter maps a spec's names.
-func (d *NameIndex) enter(j *Job) {
-	s := j.Spec
-	j.Class, j.Team, j.Image, j.Zone = d.Classes.Index(s.Class), d.Teams.Index(s.Team), d.Images.Index(s.Image), None
-	if s.Zone != nil {
-		j.Zone = d.Zones.Index(*s.Zone)
+func (d *NameIndex) enter(job *Job) {
+	spec := job.Spec
+	job.Class, job.Team, job.Image, job.Zone = d.Classes.Index(spec.Class), d.Teams.Index(spec.Team), d.Images.Index(spec.Image), None
+	if spec.Zone != nil {
+		job.Zone = d.Zones.Index(*spec.Zone)
 	}
-	j.Types = nil
-	for _, t := range s.Types {
-		j.Types = append(j.Types, d.Types.Index(t))
+	job.Types = nil
+	for _, t := range spec.Types {
+		job.Types = append(job.Types, d.Types.Index(t))
 	}
-	j.LicenceUnits = nil
-	if len(s.Licences) > 0 {
+	job.LicenceUnits = nil
+	if len(spec.Licences) > 0 {
 		var err error
-		if j.LicenceUnits, err = d.Pools.Needs(s.Licences); err != nil {
+		if job.LicenceUnits, err = d.Pools.Needs(spec.Licences); err != nil {
 			// It was accepted where the pool is declared: here it must not start.
-			j.LicenceUnits = []licences.Unit{{Pool: None, N: 1}}
+			job.LicenceUnits = []licences.Unit{{Pool: None, N: 1}}
 		}
 	}
 }
@@ -137,8 +137,8 @@
 	if j.Types == nil {
 		return true
 	}
-	for _, t := range j.Types {
-		if t == typ {
+	for _, taskIndex := range j.Types {
+		if taskIndex == typ {
 			return true
 		}
 	}
@@ -183,8 +183,8 @@
 
 // ForEachLive calls f for every job that is not terminal; the order is not defined.
 func (b *Table) ForEachLive(f func(*Job)) {
-	for _, j := range b.live {
-		f(j)
+	for _, job := range b.live {
+		f(job)
 	}
 }
 
@@ -192,66 +192,66 @@
 // is new here. Records only go forward: an older version, which a read that raced with the
 // follow may bring, is ignored, and a terminal stance stays.
 func (b *Table) Apply(id string, raw json.RawMessage, version uint64) (*Job, bool, error) {
-	j := b.Get(id)
-	if j != nil && (version <= j.Version || j.State.Terminal()) {
-		return j, false, nil
+	job := b.Get(id)
+	if job != nil && (version <= job.Version || job.State.Terminal()) {
+		return job, false, nil
 	}
 	r, st, err := decodeRecord(raw)
 	if err != nil {
 		b.unread[id] = version
-		if j != nil {
-			j.Quarantined = true
+		if job != nil {
+			job.Quarantined = true
 		}
-		return j, false, err
+		return job, false, err
 	}
 	if v, was := b.unread[id]; was {
 		if version < v {
-			return j, false, nil // what can't be read is newer
+			return job, false, nil // what can't be read is newer
 		}
 		delete(b.unread, id)
-		if j != nil {
-			j.Quarantined = false
+		if job != nil {
+			job.Quarantined = false
 		}
 	}
-	if j == nil {
-		j = &Job{ID: strings.Clone(id), TaskCount: r.Tasks, TasksByZone: map[int32]int{}}
-		b.table.add(j)
-		b.byID[j.ID] = j
-	} else if j.State == st {
-		j.Version = version
-		return j, false, nil
+	if job == nil {
+		job = &Job{ID: strings.Clone(id), TaskCount: r.Tasks, TasksByZone: map[int32]int{}}
+		b.table.add(job)
+		b.byID[job.ID] = job
+	} else if job.State == st {
+		job.Version = version
+		return job, false, nil
 	}
-	j.Version = version
-	b.setState(j, st)
+	job.Version = version
+	b.setState(job, st)
 	if r.Spec != nil {
-		j.Spec = r.Spec
-		j.Priority = r.Spec.PriorityLevel()
-		b.Names.enter(j)
-		j.SubmittedAt = b.SteadyAt(r.AtMS)
+		job.Spec = r.Spec
+		job.Priority = r.Spec.PriorityLevel()
+		b.Names.enter(job)
+		job.SubmittedAt = b.SteadyAt(r.AtMS)
 	}
-	return j, true, nil
+	return job, true, nil
 }
 
 // setState is the only place where a job's stance changes.
-func (b *Table) setState(j *Job, st State) {
-	j.State = st
-	if _, was := b.live[j.Index]; was != !st.Terminal() {
+func (b *Table) setState(job *Job, st State) {
+	job.State = st
+	if _, was := b.live[job.Index]; was != !st.Terminal() {
 		if was {
-			b.tasks -= j.TaskCount
+			b.tasks -= job.TaskCount
 		} else {
-			b.tasks += j.TaskCount
+			b.tasks += job.TaskCount
 		}
 	}
 	if st.Terminal() {
-		delete(b.live, j.Index)
-		b.ended.add(j)
+		delete(b.live, job.Index)
+		b.ended.add(job)
 		if st == Done {
-			j.FinishedTasks = j.TaskCount
+			job.FinishedTasks = job.TaskCount
 		}
-		j.ReportedRunning = 0
+		job.ReportedRunning = 0
 		return
 	}
-	b.live[j.Index] = j
+	b.live[job.Index] = job
 }
 
 // WallMS is the wall clock at a steady time.
@@ -264,14 +264,14 @@
 
 // RecallArchived drops what only the job's planner needs: after losing the lead.
 func (b *Table) RecallArchived() {
-	b.ForEach(func(j *Job) {
-		j.RunningTasks, j.QueuePosition = 0, 0
-		j.Suspended, j.Quarantined = false, b.IsUnreadable(j.ID)
-		j.Tasks, j.Segments, j.FinalWriteInFlight, j.Started, j.GangDone, j.GangAttempt, j.RoomSince = nil, nil, false, false, false, 0, 0
-		clear(j.TasksByZone)
-		clear(j.AvoidedMachines)
-		if j.Archived {
-			b.remove(j)
+	b.ForEach(func(job *Job) {
+		job.RunningTasks, job.QueuePosition = 0, 0
+		job.Suspended, job.Quarantined = false, b.IsUnreadable(job.ID)
+		job.Tasks, job.Segments, job.FinalWriteInFlight, job.Started, job.GangDone, job.GangAttempt, job.RoomSince = nil, nil, false, false, false, 0, 0
+		clear(job.TasksByZone)
+		clear(job.AvoidedMachines)
+		if job.Archived {
+			b.remove(job)
 		}
 	})
 }
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -80,9 +80,9 @@
 }
 
 // SetTaskState is the only place where a task's state changes.
-func (j *Job) SetTaskState(t int32, to TaskState) error {
-	k := &j.Tasks[t]
-	for _, ok := range taskTransitions[k.State] {
+func (j *Job) SetTaskState(taskIndex int32, to TaskState) error {
+	task := &j.Tasks[taskIndex]
+	for _, ok := range taskTransitions[task.State] {
 		if ok != to {
 			continue
 		}
@@ -90,30 +90,30 @@
 			j.FinishedTasks++
 		}
 		if to == Planned {
-			k.Stopping = false // a stop was meant for an earlier start
+			task.Stopping = false // a stop was meant for an earlier start
 		}
 		if to == Unplanned || to == Finished {
-			j.SetTaskPhase(t, NoPhase)
-			k.Stopping, k.LaunchIndeterminate, k.Attempt = false, false, 0
+			j.SetTaskPhase(taskIndex, NoPhase)
+			task.Stopping, task.LaunchIndeterminate, task.Attempt = false, false, 0
 			if to == Unplanned {
-				k.Machine = None
+				task.Machine = None
 			}
 		}
-		j.TasksByState[k.State]--
+		j.TasksByState[task.State]--
 		j.TasksByState[to]++
-		k.State = to
+		task.State = to
 		return nil
 	}
-	return fmt.Errorf("task %s/%d cannot go from %s to %s", j.ID, t, k.State, to)
+	return fmt.Errorf("task %s/%d cannot go from %s to %s", j.ID, taskIndex, task.State, to)
 }
 
 // SetTaskPhase is the only place where a task's phase changes.
-func (j *Job) SetTaskPhase(t int32, p Phase) {
-	k := &j.Tasks[t]
-	if k.Phase >= Running {
+func (j *Job) SetTaskPhase(taskIndex int32, p Phase) {
+	task := &j.Tasks[taskIndex]
+	if task.Phase >= Running {
 		j.RunningTasks--
 	}
-	if k.Phase = p; p >= Running {
+	if task.Phase = p; p >= Running {
 		j.RunningTasks++
 	}
 }
@@ -182,11 +182,11 @@
 		j.Tasks[i].Machine = None
 	}
 	for lo := 0; lo < j.TaskCount; lo += SegmentTasks {
-		c := &PlanSegment{Number: lo / SegmentTasks, DurableMachines: make([]int32, min(SegmentTasks, j.TaskCount-lo))}
-		for i := range c.DurableMachines {
-			c.DurableMachines[i] = None
+		segment := &PlanSegment{Number: lo / SegmentTasks, DurableMachines: make([]int32, min(SegmentTasks, j.TaskCount-lo))}
+		for i := range segment.DurableMachines {
+			segment.DurableMachines[i] = None
 		}
-		j.Segments = append(j.Segments, c)
+		j.Segments = append(j.Segments, segment)
 	}
 	j.FinishedTasks, j.RunningTasks = 0, 0
 	j.TasksByState = [Finished + 1]int{Unplanned: j.TaskCount}
@@ -201,26 +201,26 @@
 }
 
 // SegmentOf finds a task's chunk.
-func (j *Job) SegmentOf(t int32) *PlanSegment { return j.Segments[int(t)/SegmentTasks] }
+func (j *Job) SegmentOf(taskIndex int32) *PlanSegment { return j.Segments[int(taskIndex)/SegmentTasks] }
 
 // IsDurable tells whether the durable plan names the task's present machine.
-func (j *Job) IsDurable(t int32) bool {
-	m, c, i := j.Tasks[t].Machine, j.SegmentOf(t), int(t)%SegmentTasks
-	return m != None && c.DurableMachines[i] == m && (c.InFlight == nil || c.InFlight[i] == m) && (c.Indeterminate == nil || c.Indeterminate[i] == m)
+func (j *Job) IsDurable(taskIndex int32) bool {
+	m, segment, i := j.Tasks[taskIndex].Machine, j.SegmentOf(taskIndex), int(taskIndex)%SegmentTasks
+	return m != None && segment.DurableMachines[i] == m && (segment.InFlight == nil || segment.InFlight[i] == m) && (segment.Indeterminate == nil || segment.Indeterminate[i] == m)
 }
 
 // IsDurablyDone tells whether the task's end stands in the state service.
-func (j *Job) IsDurablyDone(t int32) bool {
-	return j.SegmentOf(t).DurableMachines[int(t)%SegmentTasks] == DurablyDone
+func (j *Job) IsDurablyDone(taskIndex int32) bool {
+	return j.SegmentOf(taskIndex).DurableMachines[int(taskIndex)%SegmentTasks] == DurablyDone
 }
 
 // MarkDirty marks a task's chunk as changed.
-func (j *Job) MarkDirty(t int32, urgent bool, now time.Duration) {
-	c := j.SegmentOf(t)
-	if !c.Dirty {
-		c.Dirty, c.DirtySince = true, now
+func (j *Job) MarkDirty(taskIndex int32, urgent bool, now time.Duration) {
+	segment := j.SegmentOf(taskIndex)
+	if !segment.Dirty {
+		segment.Dirty, segment.DirtySince = true, now
 	}
-	c.Urgent = c.Urgent || urgent
+	segment.Urgent = segment.Urgent || urgent
 }
 
 // PlanName names a chunk's value in a page.
@@ -242,9 +242,9 @@
 
 // EncodeSegment writes a chunk, and the machines it names as they will be durable. A
 // finished task keeps its machine only as long as it is in the table.
-func (j *Job) EncodeSegment(c *PlanSegment, term uint64, name func(int32) string) (json.RawMessage, []int32) {
-	lo := c.Number * SegmentTasks
-	n := len(c.DurableMachines)
+func (j *Job) EncodeSegment(segment *PlanSegment, term uint64, name func(int32) string) (json.RawMessage, []int32) {
+	lo := segment.Number * SegmentTasks
+	n := len(segment.DurableMachines)
 	bits := make([]byte, (n+7)/8)
 	v := planValue{Term: term}
 	snapshot := make([]int32, n)
@@ -282,39 +282,39 @@
 // EncodeSegmentWithin writes a chunk within a limit, in bytes. Where not all fits, planned tasks are left out, the last ones
 // first: they stand on no machine as far as this value says, so they don't start until a later write names them, as
 // others have ended. It is false if what has been launched alone takes more.
-func (j *Job) EncodeSegmentWithin(c *PlanSegment, term uint64, name func(int32) string, limit int) (json.RawMessage, []int32, bool) {
-	raw, snapshot := j.EncodeSegment(c, term, name)
+func (j *Job) EncodeSegmentWithin(segment *PlanSegment, term uint64, name func(int32) string, limit int) (json.RawMessage, []int32, bool) {
+	raw, snapshot := j.EncodeSegment(segment, term, name)
 	if len(raw) <= limit {
 		return raw, snapshot, true
 	}
 	var planned []int32
-	lo := int32(c.Number * SegmentTasks)
-	for i := range c.DurableMachines {
-		if t := lo + int32(i); j.Tasks[t].State == Planned {
-			planned = append(planned, t)
+	lo := int32(segment.Number * SegmentTasks)
+	for i := range segment.DurableMachines {
+		if taskIndex := lo + int32(i); j.Tasks[taskIndex].State == Planned {
+			planned = append(planned, taskIndex)
 		}
 	}
 	// As many planned tasks as fit: fewer never take more than one run and one machine each, so the size grows with them.
 	fits := sort.Search(len(planned)+1, func(left int) bool {
-		raw, snapshot = j.encodeWithout(c, term, name, planned[len(planned)-left:])
+		raw, snapshot = j.encodeWithout(segment, term, name, planned[len(planned)-left:])
 		return len(raw) <= limit
 	})
 	if fits > len(planned) {
 		return nil, nil, false
 	}
-	raw, snapshot = j.encodeWithout(c, term, name, planned[len(planned)-fits:])
+	raw, snapshot = j.encodeWithout(segment, term, name, planned[len(planned)-fits:])
 	return raw, snapshot, true
 }
 
 // encodeWithout writes a chunk as if some tasks had no machine.
-func (j *Job) encodeWithout(c *PlanSegment, term uint64, name func(int32) string, without []int32) (json.RawMessage, []int32) {
+func (j *Job) encodeWithout(segment *PlanSegment, term uint64, name func(int32) string, without []int32) (json.RawMessage, []int32) {
 	at := make([]int32, len(without))
-	for i, t := range without {
-		at[i], j.Tasks[t].Machine = j.Tasks[t].Machine, None
+	for i, taskIndex := range without {
+		at[i], j.Tasks[taskIndex].Machine = j.Tasks[taskIndex].Machine, None
 	}
-	raw, snapshot := j.EncodeSegment(c, term, name)
-	for i, t := range without {
-		j.Tasks[t].Machine = at[i]
+	raw, snapshot := j.EncodeSegment(segment, term, name)
+	for i, taskIndex := range without {
+		j.Tasks[taskIndex].Machine = at[i]
 	}
 	return raw, snapshot
 }
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -58,17 +58,17 @@
 
 // spec is a job of the load.
 func (l *Load) spec(id string, tasks int, seconds float64) *jobs.Spec {
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: id, Class: l.Name, Team: l.Team, Kind: kinds[l.Kind], Priority: l.Priority, Tasks: tasks, CPUs: l.CPUs, GPUs: l.GPUs, MemoryGB: l.MemoryGB,
 		Image: "image-" + l.Name, ImageGB: 1, Spot: !l.OnDemand, EstimateS: seconds, CheckpointS: l.CheckpointS, Licences: l.Licences,
 	}
-	if s.Priority == "" {
-		s.Priority = "standard"
+	if spec.Priority == "" {
+		spec.Priority = "standard"
 	}
 	if l.CheckpointS > 0 {
-		s.SaveS = 1
+		spec.SaveS = 1
 	}
-	return s
+	return spec
 }
 
 // maxArrivals bounds a run.
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -135,8 +135,8 @@
 	r.leads = w.Led()
 	r.starts, r.stats, r.broken, r.end = w.Starts(), w.Stats(), w.Broken(), w.Now()
 	for _, u := range r.users {
-		if d, ok := w.FirstStart(u.spec.ID); ok {
-			u.started, u.hasStarted = d, true
+		if duration, ok := w.FirstStart(u.spec.ID); ok {
+			u.started, u.hasStarted = duration, true
 		}
 	}
 	progress(1)
@@ -217,8 +217,8 @@
 }
 
 // later calls f after about a time.
-func (c *generator) later(d time.Duration, f func()) {
-	c.w.After(time.Duration((0.75+0.5*c.rng.Float64())*float64(d)), f)
+func (c *generator) later(duration time.Duration, f func()) {
+	c.w.After(time.Duration((0.75+0.5*c.rng.Float64())*float64(duration)), f)
 }
 
 func (u *user) since() time.Duration { return u.generator.w.Now() - u.at }
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -22,16 +22,16 @@
 
 // brief says a time in seconds as people do.
 func brief(s float64) string {
-	d := time.Duration(s * float64(time.Second))
+	duration := time.Duration(s * float64(time.Second))
 	switch {
 	case s < 10:
 		return fmt.Sprintf("%.2f s", s)
 	case s < 120:
 		return fmt.Sprintf("%.0f s", s)
 	case s < 7200:
-		return fmt.Sprintf("%.0f min", d.Minutes())
+		return fmt.Sprintf("%.0f min", duration.Minutes())
 	}
-	return fmt.Sprintf("%.1f h", d.Hours())
+	return fmt.Sprintf("%.1f h", duration.Hours())
 }
 
 // loadPage is what the page shows of one load.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -95,8 +95,8 @@
 	return hdrhistogram.New(1, (14 * 24 * time.Hour).Milliseconds(), 3)
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(1, d.Milliseconds()), h.HighestTrackableValue()))
+func record(h *hdrhistogram.Histogram, duration time.Duration) {
+	_ = h.RecordValue(min(max(1, duration.Milliseconds()), h.HighestTrackableValue()))
 }
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -74,10 +74,10 @@
 }
 
 // sleep waits, or less if the context ends.
-func sleep(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
 
@@ -101,9 +101,9 @@
 
 // one hands in a job and follows it to its end.
 func (u *users) one(ctx context.Context) {
-	s := u.spec()
-	u.w.Know(s)
-	body, err := json.Marshal(s)
+	spec := u.spec()
+	u.w.Know(spec)
+	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // a job of this package's own making
 	}
@@ -126,12 +126,12 @@
 	u.accepted++
 	if !u.from.IsZero() && sent.After(u.from) {
 		_ = u.accepts.RecordValue(max(1, took.Milliseconds()))
-		u.took[s.ID] = took
+		u.took[spec.ID] = took
 	}
 	u.mu.Unlock()
 	for ctx.Err() == nil {
 		sleep(ctx, time.Duration(u.pollS*float64(time.Second)))
-		if status, stance := u.ask("GET", "/v2/runs/"+s.ID, nil); status == 200 && stance == "done" {
+		if status, stance := u.ask("GET", "/v2/runs/"+spec.ID, nil); status == 200 && stance == "done" {
 			u.mu.Lock()
 			u.ended++
 			u.mu.Unlock()
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -266,12 +266,12 @@
 	return err
 }
 
-func (c Config) settings(s *config.Settings) error {
+func (c Config) settings(settings *config.Settings) error {
 	if c.Former {
-		s.Earlier(rollout.Newest-1, world.Former)
+		settings.Earlier(rollout.Newest-1, world.Former)
 	}
 	if c.Operator == "" {
 		return nil
 	}
-	return s.ReadOperator("operator.hcl", []byte(c.Operator))
+	return settings.ReadOperator("operator.hcl", []byte(c.Operator))
 }
--- a/internal/licences/allot.go
+++ b/internal/licences/allot.go
@@ -77,9 +77,9 @@
 }
 
 func (r *round) declared(a *Ask, g *Grant) bool {
-	for _, u := range a.Needs {
-		if r.l.account(u.Pool) == nil {
-			g.Why, g.Pool = NoPool, u.Pool
+	for _, unit := range a.Needs {
+		if r.l.account(unit.Pool) == nil {
+			g.Why, g.Pool = NoPool, unit.Pool
 			return false
 		}
 	}
@@ -89,16 +89,16 @@
 // most is how many of n tasks can have their seats now; g learns what is in the way.
 func (r *round) most(a *Ask, n int, guaranteed bool, g *Grant) int {
 	promised := false
-	for _, u := range a.Needs {
-		acc := r.l.pools[u.Pool]
+	for _, unit := range a.Needs {
+		acc := r.l.pools[unit.Pool]
 		share := Share{}
 		if m := acc.teams[a.Team]; m != nil {
 			share = m.Share
 		}
-		had := r.team[u.Pool][a.Team]
+		had := r.team[unit.Pool][a.Team]
 		limit := func(units int, why Denial) {
-			if k := max(0, units) / u.N; k < n {
-				n, g.Why, g.Pool = k, why, u.Pool
+			if k := max(0, units) / unit.N; k < n {
+				n, g.Why, g.Pool = k, why, unit.Pool
 			}
 		}
 		if guaranteed && share.Guarantee > 0 {
@@ -112,10 +112,10 @@
 		switch {
 		case acc.line == Unasked || acc.line == Silent:
 			why = NoAnswer
-		case r.l.free(acc) >= u.N:
+		case r.l.free(acc) >= unit.N:
 			why = OtherFirst
 		}
-		limit(r.free[u.Pool], why)
+		limit(r.free[unit.Pool], why)
 	}
 	if guaranteed && !promised {
 		return 0
@@ -127,24 +127,24 @@
 	if n == 0 {
 		return
 	}
-	for _, u := range a.Needs {
-		r.free[u.Pool] -= n * u.N
-		r.team[u.Pool][a.Team] += n * u.N
+	for _, unit := range a.Needs {
+		r.free[unit.Pool] -= n * unit.N
+		r.team[unit.Pool][a.Team] += n * unit.N
 	}
 }
 
 // keep sets the free seats aside that a job which must have all at once waits for. One that
 // could not have them even alone keeps nothing.
 func (r *round) keep(a *Ask) {
-	for _, u := range a.Needs {
-		acc := r.l.pools[u.Pool]
-		need := u.N * a.Tasks
-		if m := acc.teams[a.Team]; need > r.l.total(acc)-acc.reserve || (m != nil && m.Most > 0 && r.team[u.Pool][a.Team]+need > m.Most) {
+	for _, unit := range a.Needs {
+		acc := r.l.pools[unit.Pool]
+		need := unit.N * a.Tasks
+		if m := acc.teams[a.Team]; need > r.l.total(acc)-acc.reserve || (m != nil && m.Most > 0 && r.team[unit.Pool][a.Team]+need > m.Most) {
 			return
 		}
 	}
-	for _, u := range a.Needs {
-		r.free[u.Pool] = max(0, r.free[u.Pool]-u.N*a.Tasks)
+	for _, unit := range a.Needs {
+		r.free[unit.Pool] = max(0, r.free[unit.Pool]-unit.N*a.Tasks)
 	}
 }
 
@@ -152,13 +152,13 @@
 // more of its tasks, in every pool it needs and for which it has a guarantee.
 func (l *Ledger) Promised(team int32, needs []Unit, n int) bool {
 	promised := false
-	for _, u := range needs {
-		a := l.account(u.Pool)
+	for _, unit := range needs {
+		a := l.account(unit.Pool)
 		if a == nil {
 			return false
 		}
 		if m := a.teams[team]; m != nil && m.Guarantee > 0 {
-			if m.units+u.N*n > m.Guarantee {
+			if m.units+unit.N*n > m.Guarantee {
 				return false
 			}
 			promised = true
@@ -178,12 +178,12 @@
 }
 
 // Short is how many units of a pool a job lacks for n more tasks, 0 if it lacks none.
-func (l *Ledger) Short(u Unit, n int) int {
-	a := l.account(u.Pool)
+func (l *Ledger) Short(unit Unit, n int) int {
+	a := l.account(unit.Pool)
 	if a == nil || a.line == Unasked || a.line == Silent {
 		return 0
 	}
-	return max(0, u.N*n-l.free(a))
+	return max(0, unit.N*n-l.free(a))
 }
 
 // Excess is how many units must be given up since the count was lowered: 0 unless the pool's
@@ -228,8 +228,8 @@
 
 // Declare shows a pool as any controller knows it, without what only the leader counts.
 func (c *Catalog) Declare(ix int32) View {
-	p := c.pools[ix]
-	v := View{Pool: p.Name, Count: c.Count(ix), Declared: p.Count, Lowering: c.Lowering(ix), Reserve: p.Reserve, Server: p.Server}
+	pool := c.pools[ix]
+	v := View{Pool: pool.Name, Count: c.Count(ix), Declared: pool.Count, Lowering: c.Lowering(ix), Reserve: pool.Reserve, Server: pool.Server}
 	v.Version, v.SetBy = c.Stamp(ix)
 	return v
 }
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -156,15 +156,15 @@
 // index.
 func New(cat *Catalog, team func(string) int32, now time.Duration) *Ledger {
 	l := &Ledger{cat: cat, since: now}
-	for i, p := range cat.pools {
+	for i, pool := range cat.pools {
 		a := &account{
-			Pool: p, index: int32(i), seats: map[Holder]*seat{}, current: map[Ref]Holder{}, teams: map[int32]*member{},
-			reserve: p.Reserve, lineAt: now, answered: now,
+			Pool: pool, index: int32(i), seats: map[Holder]*seat{}, current: map[Ref]Holder{}, teams: map[int32]*member{},
+			reserve: pool.Reserve, lineAt: now, answered: now,
 		}
-		for name, s := range p.Teams {
+		for name, s := range pool.Teams {
 			a.teams[team(name)] = &member{Share: s}
 		}
-		if p.Server == "" && p.Linger == 0 {
+		if pool.Server == "" && pool.Linger == 0 {
 			a.line = Open // there is nothing that an earlier term could have left behind
 		}
 		l.pools = append(l.pools, a)
@@ -262,8 +262,8 @@
 // its gang's is (Booked), or because it was found on a machine. Taking again changes only the
 // state.
 func (l *Ledger) Take(now time.Duration, ref Ref, attempt uint64, team int32, needs []Unit, to State) {
-	for _, u := range needs {
-		a := l.account(u.Pool)
+	for _, unit := range needs {
+		a := l.account(unit.Pool)
 		if a == nil {
 			continue
 		}
@@ -283,7 +283,7 @@
 			continue
 		}
 		before := s.weight()
-		s.team, s.units = team, u.N
+		s.team, s.units = team, unit.N
 		a.weight += s.weight() - before
 		l.set(now, a, h, s, to)
 	}
@@ -323,8 +323,8 @@
 
 // Attempt tells which attempt of a task is on its machine.
 func (l *Ledger) Attempt(now time.Duration, ref Ref, attempt uint64, needs []Unit) {
-	for _, u := range needs {
-		if a := l.account(u.Pool); a != nil {
+	for _, unit := range needs {
+		if a := l.account(unit.Pool); a != nil {
 			if was, ok := a.current[ref]; ok && was.Attempt != attempt {
 				l.rename(now, a, was, attempt)
 			}
@@ -335,8 +335,8 @@
 // Give takes a booking back once the task is known to be gone: by a fenced report, the cloud's
 // confirmation, or the end of its worker's lease. What a server may still count lingers.
 func (l *Ledger) Give(now time.Duration, ref Ref, needs []Unit, how End) {
-	for _, u := range needs {
-		a := l.account(u.Pool)
+	for _, unit := range needs {
+		a := l.account(unit.Pool)
 		if a == nil {
 			continue
 		}
@@ -410,18 +410,18 @@
 // Fits tells whether n more tasks may have their seats now, all of them, and if not, which
 // pool is in the way.
 func (l *Ledger) Fits(team int32, needs []Unit, n int) (Denial, int32) {
-	for _, u := range needs {
-		a := l.account(u.Pool)
+	for _, unit := range needs {
+		a := l.account(unit.Pool)
 		switch {
 		case a == nil:
-			return NoPool, u.Pool
+			return NoPool, unit.Pool
 		case a.line == Unasked || a.line == Silent:
-			return NoAnswer, u.Pool
-		case l.free(a) < u.N*n:
-			return NoSeat, u.Pool
+			return NoAnswer, unit.Pool
+		case l.free(a) < unit.N*n:
+			return NoSeat, unit.Pool
 		}
-		if m := a.teams[team]; m != nil && m.Most > 0 && m.units+u.N*n > m.Most {
-			return TeamMost, u.Pool
+		if m := a.teams[team]; m != nil && m.Most > 0 && m.units+unit.N*n > m.Most {
+			return TeamMost, unit.Pool
 		}
 	}
 	return Granted, -1
--- a/internal/licences/ledger_test.go
+++ b/internal/licences/ledger_test.go
@@ -229,8 +229,8 @@
 func TestNeverMoreThanThereAre(t *testing.T) {
 	peak := 0
 	rapid.Check(t, func(t *rapid.T) {
-		p := &Pool{Name: "p", Count: 4, Server: "s", Poll: 100 * time.Millisecond, Linger: 5 * time.Second, Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), Lowering: Wait}
-		w := &truth{t: t, pool: p, cat: NewCatalog([]*Pool{p}), tasks: map[Holder]*process{}, server: map[Holder]*checkout{}, count: 4, now: time.Second}
+		pool := &Pool{Name: "p", Count: 4, Server: "s", Poll: 100 * time.Millisecond, Linger: 5 * time.Second, Reserve: rapid.IntRange(0, 2).Draw(t, "reserve"), Lowering: Wait}
+		w := &truth{t: t, pool: pool, cat: NewCatalog([]*Pool{pool}), tasks: map[Holder]*process{}, server: map[Holder]*checkout{}, count: 4, now: time.Second}
 		w.led = New(w.cat, team, w.now)
 		w.ask(t)
 		w.answer(t)
@@ -261,8 +261,8 @@
 			}
 			w.asked = nil
 		}
-		if f := w.led.free(w.led.pools[0]); f != p.Count-p.Reserve {
-			t.Fatalf("all has ended and %d of %d are free: %+v", f, p.Count-p.Reserve, w.led.Show(w.now, 0, func(int32) string { return "" }))
+		if f := w.led.free(w.led.pools[0]); f != pool.Count-pool.Reserve {
+			t.Fatalf("all has ended and %d of %d are free: %+v", f, pool.Count-pool.Reserve, w.led.Show(w.now, 0, func(int32) string { return "" }))
 		}
 	})
 	if peak < 6 {
@@ -313,15 +313,15 @@
 		}
 	}
 	got := make([]int, len(asks))
-	fits := func(a Ask, n int, guaranteed bool) bool {
+	fits := func(ask Ask, n int, guaranteed bool) bool {
 		promised := false
-		for _, u := range a.Needs {
+		for _, unit := range ask.Needs {
 			s := Share{}
-			if m := l.pools[u.Pool].teams[a.Team]; m != nil {
+			if m := l.pools[unit.Pool].teams[ask.Team]; m != nil {
 				s = m.Share
 			}
-			with := has[[2]int32{u.Pool, a.Team}] + n*u.N
-			if n*u.N > free[u.Pool] || (s.Most > 0 && with > s.Most) || (guaranteed && s.Guarantee > 0 && with > s.Guarantee) {
+			with := has[[2]int32{unit.Pool, ask.Team}] + n*unit.N
+			if n*unit.N > free[unit.Pool] || (s.Most > 0 && with > s.Most) || (guaranteed && s.Guarantee > 0 && with > s.Guarantee) {
 				return false
 			}
 			promised = promised || s.Guarantee > 0
@@ -329,35 +329,35 @@
 		return promised || !guaranteed
 	}
 	take := func(i, n int) {
-		for _, u := range asks[i].Needs {
-			free[u.Pool] -= n * u.N
-			has[[2]int32{u.Pool, asks[i].Team}] += n * u.N
+		for _, unit := range asks[i].Needs {
+			free[unit.Pool] -= n * unit.N
+			has[[2]int32{unit.Pool, asks[i].Team}] += n * unit.N
 		}
 		got[i] += n
 	}
 	for _, guaranteed := range []bool{true, false} {
-		for i, a := range asks {
-			if !a.Whole {
-				for got[i] < a.Tasks && fits(a, 1, guaranteed) {
+		for i, ask := range asks {
+			if !ask.Whole {
+				for got[i] < ask.Tasks && fits(ask, 1, guaranteed) {
 					take(i, 1)
 				}
 				continue
 			}
-			if got[i] > 0 || a.Tasks == 0 {
+			if got[i] > 0 || ask.Tasks == 0 {
 				continue
 			}
-			if fits(a, a.Tasks, guaranteed) {
-				take(i, a.Tasks)
+			if fits(ask, ask.Tasks, guaranteed) {
+				take(i, ask.Tasks)
 			} else if !guaranteed {
 				could := true
-				for _, u := range a.Needs {
-					m := l.pools[u.Pool].teams[a.Team]
-					could = could && u.N*a.Tasks <= l.total(l.pools[u.Pool])-l.pools[u.Pool].reserve &&
-						(m == nil || m.Most == 0 || has[[2]int32{u.Pool, a.Team}]+u.N*a.Tasks <= m.Most)
+				for _, unit := range ask.Needs {
+					m := l.pools[unit.Pool].teams[ask.Team]
+					could = could && unit.N*ask.Tasks <= l.total(l.pools[unit.Pool])-l.pools[unit.Pool].reserve &&
+						(m == nil || m.Most == 0 || has[[2]int32{unit.Pool, ask.Team}]+unit.N*ask.Tasks <= m.Most)
 				}
-				for _, u := range a.Needs {
+				for _, unit := range ask.Needs {
 					if could {
-						free[u.Pool] = max(0, free[u.Pool]-u.N*a.Tasks)
+						free[unit.Pool] = max(0, free[unit.Pool]-unit.N*ask.Tasks)
 					}
 				}
 			}
@@ -374,12 +374,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var pools []*Pool
 		for i := range rapid.IntRange(1, 3).Draw(t, "pools") {
-			p := &Pool{Name: fmt.Sprint(i), Count: rapid.IntRange(0, 20).Draw(t, "count"), Reserve: 0, Teams: map[string]Share{}}
+			pool := &Pool{Name: fmt.Sprint(i), Count: rapid.IntRange(0, 20).Draw(t, "count"), Reserve: 0, Teams: map[string]Share{}}
 			for _, n := range teams {
 				most := rapid.IntRange(0, 12).Draw(t, "most")
-				p.Teams[n] = Share{Guarantee: rapid.IntRange(0, 6).Draw(t, "guarantee"), Most: most}
+				pool.Teams[n] = Share{Guarantee: rapid.IntRange(0, 6).Draw(t, "guarantee"), Most: most}
 			}
-			pools = append(pools, p)
+			pools = append(pools, pool)
 		}
 		l := New(NewCatalog(pools), index, 0)
 		draw := func(label string) (us []Unit) {
@@ -407,16 +407,16 @@
 		for i, a := range l.pools {
 			left[i] = l.free(a)
 		}
-		for i, g := range l.Allot(asks) {
-			if g.Tasks != want[i] {
-				t.Fatalf("%+v was granted %d, one by one %d", asks[i], g.Tasks, want[i])
+		for i, grant := range l.Allot(asks) {
+			if grant.Tasks != want[i] {
+				t.Fatalf("%+v was granted %d, one by one %d", asks[i], grant.Tasks, want[i])
 			}
-			if (g.Tasks < asks[i].Tasks) != (g.Why != Granted) {
-				t.Fatalf("%+v got %d and is told %q", asks[i], g.Tasks, g.Why)
+			if (grant.Tasks < asks[i].Tasks) != (grant.Why != Granted) {
+				t.Fatalf("%+v got %d and is told %q", asks[i], grant.Tasks, grant.Why)
 			}
-			for _, u := range asks[i].Needs {
-				if left[u.Pool] -= u.N * g.Tasks; left[u.Pool] < 0 {
-					t.Fatalf("more was handed out of pool %d than is free", u.Pool)
+			for _, unit := range asks[i].Needs {
+				if left[unit.Pool] -= unit.N * grant.Tasks; left[unit.Pool] < 0 {
+					t.Fatalf("more was handed out of pool %d than is free", unit.Pool)
 				}
 			}
 		}
@@ -454,8 +454,8 @@
 
 // served is a pool with a server that has answered once.
 func served(count int) (*Ledger, *account, func(at time.Duration, es ...Entry)) {
-	p := &Pool{Name: "p", Count: count, Server: "s", Poll: 2 * time.Second, Linger: 20 * time.Second, Lowering: Stop}
-	l := New(NewCatalog([]*Pool{p}), team, 0)
+	pool := &Pool{Name: "p", Count: count, Server: "s", Poll: 2 * time.Second, Linger: 20 * time.Second, Lowering: Stop}
+	l := New(NewCatalog([]*Pool{pool}), team, 0)
 	say := func(at time.Duration, es ...Entry) {
 		l.Answered(at, at, "p", Answer{Holders: append([]Entry{}, es...)}, known)
 	}
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -97,8 +97,8 @@
 // NewCatalog makes a catalog; a pool's place in it is its dense index.
 func NewCatalog(pools []*Pool) *Catalog {
 	c := &Catalog{pools: pools, byName: map[string]int32{}, set: map[int32]Set{}, stamps: map[int32]uint64{}, seen: map[int32]uint64{}}
-	for i, p := range pools {
-		c.byName[p.Name] = int32(i)
+	for i, pool := range pools {
+		c.byName[pool.Name] = int32(i)
 	}
 	return c
 }
@@ -198,14 +198,14 @@
 	if err != nil {
 		return false, err.Error()
 	}
-	for _, u := range needs {
-		p := c.pools[u.Pool]
-		most := c.Count(u.Pool) - p.Reserve
-		if m := p.Teams[team].Most; m > 0 {
+	for _, unit := range needs {
+		pool := c.pools[unit.Pool]
+		most := c.Count(unit.Pool) - pool.Reserve
+		if m := pool.Teams[team].Most; m > 0 {
 			most = min(most, m)
 		}
-		if u.N*n > most {
-			return false, fmt.Sprintf("the job needs %d seats of %q at once, which never gives it more than %d", u.N*n, p.Name, max(0, most))
+		if unit.N*n > most {
+			return false, fmt.Sprintf("the job needs %d seats of %q at once, which never gives it more than %d", unit.N*n, pool.Name, max(0, most))
 		}
 	}
 	return true, ""
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -246,8 +246,8 @@
 // HandleReset takes a new reading of all keys: those it lacks are gone.
 func (m *Membership) HandleReset(now time.Duration, items []store.Item) {
 	seen := map[string]bool{}
-	for _, it := range items {
-		seen[it.Key] = true
+	for _, item := range items {
+		seen[item.Key] = true
 	}
 	if !seen[leaderKey] && m.leaderVersion != 0 {
 		m.HandleDelete(now, leaderKey, ^uint64(0))
@@ -266,43 +266,43 @@
 }
 
 // HandleItem takes over one changed key. Its error says why the key can't be read.
-func (m *Membership) HandleItem(now time.Duration, it store.Item) error {
-	switch it.Key {
+func (m *Membership) HandleItem(now time.Duration, item store.Item) error {
+	switch item.Key {
 	case leaderKey:
-		if it.Version <= m.leaderVersion {
+		if item.Version <= m.leaderVersion {
 			return nil
 		}
-		if f := rollout.FormatOf(it.Value); f > 1 {
+		if f := rollout.FormatOf(item.Value); f > 1 {
 			return fmt.Errorf("leader in format %d", f)
 		}
 		var l Leader
-		if err := json.Unmarshal(it.Value, &l); err != nil {
+		if err := json.Unmarshal(item.Value, &l); err != nil {
 			return err
 		}
 		mine := m.state == Leading && l.Term == m.leader.Term && l.Node == m.cfg.Node
-		m.leader, m.leaderVersion = l, it.Version
+		m.leader, m.leaderVersion = l, item.Version
 		m.judge(now, mine)
 	case termKey:
 		// Who can't read the term doesn't know its version either, and can't campaign.
-		if it.Version > m.termVersion {
-			term, err := rollout.DecodeTerm(it.Value)
+		if item.Version > m.termVersion {
+			term, err := rollout.DecodeTerm(item.Value)
 			if err != nil {
 				return err
 			}
-			m.term, m.termVersion = term, it.Version
+			m.term, m.termVersion = term, item.Version
 		}
 	case mapKey:
-		if it.Version > m.mapVersion {
-			if f := rollout.FormatOf(it.Value); f > 1 {
+		if item.Version > m.mapVersion {
+			if f := rollout.FormatOf(item.Value); f > 1 {
 				return fmt.Errorf("part map in format %d", f)
 			}
-			if err := json.Unmarshal(it.Value, &m.parts); err != nil {
+			if err := json.Unmarshal(item.Value, &m.parts); err != nil {
 				return err
 			}
-			m.mapVersion = it.Version
+			m.mapVersion = item.Version
 		}
 	case memberKey + m.cfg.Node:
-		m.ours(it)
+		m.ours(item)
 	}
 	return nil
 }
@@ -365,12 +365,12 @@
 	switch m.state {
 	case RevokingOldLease:
 		m.busy = true
-		m.store.Get(memberKey+m.cfg.Node, store.SafetyPriority, func(it store.Item, err error) {
+		m.store.Get(memberKey+m.cfg.Node, store.SafetyPriority, func(item store.Item, err error) {
 			var v memberValue
 			switch {
 			case err != nil:
 				retry()
-			case it.Version == 0 || json.Unmarshal(it.Value, &v) != nil || v.Lease == 0:
+			case item.Version == 0 || json.Unmarshal(item.Value, &v) != nil || v.Lease == 0:
 				m.busy = false
 				m.to(now, AcquiringLease)
 			default:
@@ -433,17 +433,17 @@
 			{Put: termKey, Value: tv},
 			{Put: mapKey, Value: pv},
 		}, then...),
-	}, store.SafetyPriority, func(r store.Result) {
+	}, store.SafetyPriority, func(result store.Result) {
 		now := m.store.Now()
 		if m.state != Campaigning || m.hold != hold {
 			return
 		}
-		switch r.Outcome {
+		switch result.Outcome {
 		case store.Committed:
 			for key, v := range map[string]json.RawMessage{termKey: tv, mapKey: pv} {
-				_ = m.HandleItem(now, store.Item{Key: key, Value: v, Version: r.Revision})
+				_ = m.HandleItem(now, store.Item{Key: key, Value: v, Version: result.Revision})
 			}
-			_ = m.HandleItem(now, store.Item{Key: leaderKey, Value: lv, Version: r.Revision})
+			_ = m.HandleItem(now, store.Item{Key: leaderKey, Value: lv, Version: result.Revision})
 		case store.LeaseExpired:
 			m.lose(now)
 		default:
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -48,7 +48,7 @@
 }
 
 // Send implements httpio.Sender.
-func (n *node) Send(_ string, r httpio.Request, done func(httpio.Response)) {
+func (n *node) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	c, gen := n.c, n.gen
 	back := func(res httpio.Response) {
 		if n.gen == gen {
@@ -59,13 +59,13 @@
 	if n.cut || c.rng.Float64() < c.lossy {
 		late := c.rng.IntN(2) == 0 // what was given up may still be carried out, late
 		if late {
-			c.net = append(c.net, flight{c.svc.Now + time.Duration(c.rng.Int64N(int64(8*time.Second))), func() { c.svc.Serve(r) }})
+			c.net = append(c.net, flight{c.svc.Now + time.Duration(c.rng.Int64N(int64(8*time.Second))), func() { c.svc.Serve(request) }})
 		}
-		c.net = append(c.net, flight{c.svc.Now + r.Timeout, func() { back(httpio.Response{Err: httpio.ErrBusy}) }})
+		c.net = append(c.net, flight{c.svc.Now + request.Timeout, func() { back(httpio.Response{Err: httpio.ErrBusy}) }})
 		return
 	}
 	c.net = append(c.net, flight{c.svc.Now + delay(), func() {
-		res := c.svc.Serve(r)
+		res := c.svc.Serve(request)
 		c.net = append(c.net, flight{c.svc.Now + delay(), func() { back(res) }})
 	}})
 }
@@ -113,10 +113,10 @@
 			n.mem.HandleDelete(s.Now, k, s.Rev+v)
 		}
 	}
-	for k, it := range s.Keys {
-		if n.known[k] != it.Version {
-			n.known[k] = it.Version
-			n.mem.HandleItem(s.Now, it)
+	for k, item := range s.Keys {
+		if n.known[k] != item.Version {
+			n.known[k] = item.Version
+			n.mem.HandleItem(s.Now, item)
 		}
 	}
 	n.mem.HandleSynced(s.Now)
@@ -172,8 +172,8 @@
 	return nil
 }
 
-func (c *cluster) runFor(d time.Duration) {
-	for end := c.svc.Now + d; c.svc.Now < end; {
+func (c *cluster) runFor(duration time.Duration) {
+	for end := c.svc.Now + duration; c.svc.Now < end; {
 		c.step()
 	}
 }
@@ -320,8 +320,8 @@
 	}
 	raw, _ := json.Marshal(Leader{Node: l.name, Term: l.mem.Term() + 1, Lease: hold.ID})
 	txn, _ := json.Marshal(store.Txn{If: []store.Condition{}, Then: []store.Op{{Put: leaderKey, Value: raw, Lease: hold.ID}}})
-	if r := body("POST", "/txn", string(txn)); r.Status != 200 {
-		t.Fatal(r.Status)
+	if response := body("POST", "/txn", string(txn)); response.Status != 200 {
+		t.Fatal(response.Status)
 	}
 	c.runFor(200 * time.Millisecond)
 	if c.leader() != nil {
--- a/internal/membership/register.go
+++ b/internal/membership/register.go
@@ -15,13 +15,13 @@
 }
 
 // ours takes over this controller's own member key. Whatever can't be read there names none of its holds.
-func (m *Membership) ours(it store.Item) {
-	if it.Version <= m.selfVersion {
+func (m *Membership) ours(item store.Item) {
+	if item.Version <= m.selfVersion {
 		return
 	}
 	var v memberValue
-	_ = json.Unmarshal(it.Value, &v)
-	m.self, m.selfVersion = v.Lease, it.Version
+	_ = json.Unmarshal(item.Value, &v)
+	m.self, m.selfVersion = v.Lease, item.Version
 }
 
 // register writes the member key and the announcement, as long as nobody else has written the key meanwhile: a former
@@ -31,21 +31,21 @@
 	m.busy = true
 	hold, key := m.hold, memberKey+m.cfg.Node
 	v, _ := json.Marshal(memberValue{m.cfg.Node, hold})
-	t := store.Txn{If: []store.Condition{{Key: key, Version: m.selfVersion}}, Then: []store.Op{{Put: key, Value: v, Lease: hold}, m.cfg.Rollout.Announcement(hold)}}
-	m.store.Txn(t, store.SafetyPriority, func(r store.Result) {
+	txn := store.Txn{If: []store.Condition{{Key: key, Version: m.selfVersion}}, Then: []store.Op{{Put: key, Value: v, Lease: hold}, m.cfg.Rollout.Announcement(hold)}}
+	m.store.Txn(txn, store.SafetyPriority, func(result store.Result) {
 		if m.hold != hold {
 			return // the hold was lost meanwhile, another attempt is under way
 		}
-		switch r.Outcome {
+		switch result.Outcome {
 		case store.Committed:
 			m.busy = false
-			m.ours(store.Item{Value: v, Version: r.Revision})
+			m.ours(store.Item{Value: v, Version: result.Revision})
 			m.registered(m.store.Now())
 		case store.LeaseExpired:
 			m.lose(m.store.Now())
 		case store.Conflict, store.Indeterminate:
 			// Somebody wrote it, perhaps this very process with a request that was given up.
-			m.store.Get(key, store.SafetyPriority, func(it store.Item, err error) {
+			m.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
 				if m.hold != hold {
 					return
 				}
@@ -53,9 +53,9 @@
 					return
 				}
 				m.retryAt = m.store.Now()
-				if it.Version == 0 {
+				if item.Version == 0 {
 					m.self, m.selfVersion = 0, 0
-				} else if m.ours(it); m.self == hold {
+				} else if m.ours(item); m.self == hold {
 					m.registered(m.store.Now())
 				}
 			})
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -110,27 +110,27 @@
 	g := &page{number: no, version: version, live: map[Ref]Entry{}}
 	p.pages = append(p.pages, g)
 	p.next = max(p.next, no+1)
-	for _, e := range live {
-		p.put(g, e)
+	for _, entry := range live {
+		p.put(g, entry)
 	}
 }
 
 // Reserve keeps a page's number from being used: what stands there can't be read, and must not be written over.
 func (p *Pages) Reserve(no int) { p.next = max(p.next, no+1) }
 
-func (p *Pages) put(g *page, e Entry) {
-	p.Drop(e.Ref)
-	g.live[e.Ref] = e
-	g.size += e.size()
-	p.pageOf[e.Ref] = g
+func (p *Pages) put(g *page, entry Entry) {
+	p.Drop(entry.Ref)
+	g.live[entry.Ref] = entry
+	g.size += entry.size()
+	p.pageOf[entry.Ref] = g
 }
 
 // Drop forgets a value that is needed no more. What stands of it is dead.
 func (p *Pages) Drop(r Ref) {
-	if g := p.pageOf[r]; g != nil {
-		e := g.live[r]
-		g.size -= e.size()
-		delete(g.live, r)
+	if page := p.pageOf[r]; page != nil {
+		entry := page.live[r]
+		page.size -= entry.size()
+		delete(page.live, r)
 		delete(p.pageOf, r)
 	}
 }
@@ -166,13 +166,13 @@
 	if p.indeterminate == 0 {
 		return b
 	}
-	for _, g := range p.pages {
-		if g.indeterminate {
-			b.open(g)
+	for _, page := range p.pages {
+		if page.indeterminate {
+			b.open(page)
 		}
 	}
-	for _, n := range b.bins[:len(b.bins):len(b.bins)] {
-		b.shed(n, pages)
+	for _, bin := range b.bins[:len(b.bins):len(b.bins)] {
+		b.shed(bin, pages)
 	}
 	return b
 }
@@ -191,8 +191,8 @@
 
 // shed moves what a page holds beyond the limit to others.
 func (b *Batch) shed(n *bin, pages int) {
-	for _, e := range sorted(n.page.live) {
-		if !b.over(n) || !b.Add(e, pages, maxShedBytes) {
+	for _, entry := range sorted(n.page.live) {
+		if !b.over(n) || !b.Add(entry, pages, maxShedBytes) {
 			return
 		}
 	}
@@ -200,12 +200,12 @@
 
 // sorted lists a page's values by name.
 func sorted(live map[Ref]Entry) []Entry {
-	es := make([]Entry, 0, len(live))
-	for _, e := range live {
-		es = append(es, e)
+	entries := make([]Entry, 0, len(live))
+	for _, entry := range live {
+		entries = append(entries, entry)
 	}
-	slices.SortFunc(es, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
-	return es
+	slices.SortFunc(entries, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
+	return entries
 }
 
 func (b *Batch) open(g *page) *bin {
@@ -219,9 +219,9 @@
 // stays is the size of what lives on a page and is not moved by this batch.
 func (b *Batch) stays(g *page) int {
 	size := g.size
-	for r, e := range g.live {
+	for r, entry := range g.live {
 		if _, ok := b.moved[r]; ok {
-			size -= e.size()
+			size -= entry.size()
 		}
 	}
 	return size
@@ -232,15 +232,15 @@
 func (b *Batch) Size() (pages, bytes int) { return len(b.bins), b.bytes }
 
 // Add takes a value into the batch unless that would need more than pages pages or bytes bytes.
-func (b *Batch) Add(e Entry, pages, bytes int) bool {
-	size := e.size()
+func (b *Batch) Add(entry Entry, pages, bytes int) bool {
+	size := entry.size()
 	if b.bytes+size > bytes {
 		return false
 	}
 	var into *bin
-	for _, n := range b.bins {
-		if len(n.add) == 0 && n.size == 0 || n.size+size <= b.p.limit {
-			into = n
+	for _, bin := range b.bins {
+		if len(bin.add) == 0 && bin.size == 0 || bin.size+size <= b.p.limit {
+			into = bin
 			break
 		}
 	}
@@ -248,28 +248,28 @@
 		if len(b.bins) >= pages {
 			return false
 		}
-		g := b.emptiest(size)
-		if stays := b.stays(g); b.bytes+size+stays+overhead > bytes {
+		page := b.emptiest(size)
+		if stays := b.stays(page); b.bytes+size+stays+overhead > bytes {
 			if b.bytes+size+overhead > bytes {
 				return false
 			}
-			g = b.p.fresh()
+			page = b.p.fresh()
 		}
-		into = b.open(g)
+		into = b.open(page)
 	}
-	if g := b.p.pageOf[e.Ref]; g != nil {
-		if _, ok := b.inBatch[g]; ok {
-			for _, n := range b.bins {
-				if n.page == g {
-					old := g.live[e.Ref]
-					n.size -= old.size()
+	if page := b.p.pageOf[entry.Ref]; page != nil {
+		if _, ok := b.inBatch[page]; ok {
+			for _, bin := range b.bins {
+				if bin.page == page {
+					old := page.live[entry.Ref]
+					bin.size -= old.size()
 					b.bytes -= old.size()
 				}
 			}
 		}
 	}
-	b.moved[e.Ref] = struct{}{}
-	into.add = append(into.add, e)
+	b.moved[entry.Ref] = struct{}{}
+	into.add = append(into.add, entry)
 	into.size += size
 	b.bytes += size
 	return true
@@ -282,13 +282,13 @@
 	if least <= 0 {
 		least = 1 // a large value goes alone
 	}
-	for _, g := range b.p.pages {
-		if _, in := b.inBatch[g]; in || g.retired {
+	for _, page := range b.p.pages {
+		if _, in := b.inBatch[page]; in || page.retired {
 			continue
 		}
 		// An upper bound first: what is moved only makes it smaller.
-		if g.size < least {
-			best, least = g, g.size
+		if page.size < least {
+			best, least = page, page.size
 			if least == 0 {
 				break
 			}
@@ -310,30 +310,30 @@
 // Writes is what the batch writes, in one transaction.
 func (b *Batch) Writes() []PageWrite {
 	out := make([]PageWrite, 0, len(b.bins))
-	for _, n := range b.bins {
-		es := slices.Clone(n.add)
-		for r, e := range n.page.live {
+	for _, bin := range b.bins {
+		entries := slices.Clone(bin.add)
+		for r, entry := range bin.page.live {
 			if _, ok := b.moved[r]; !ok {
-				es = append(es, e)
+				entries = append(entries, entry)
 			}
 		}
-		slices.SortFunc(es, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
-		out = append(out, PageWrite{Number: n.page.number, Version: n.page.version, Value: encode(es), page: n.page, entries: es})
+		slices.SortFunc(entries, func(x, y Entry) int { return cmp.Compare(x.Name, y.Name) })
+		out = append(out, PageWrite{Number: bin.page.number, Version: bin.page.version, Value: encode(entries), page: bin.page, entries: entries})
 	}
 	return out
 }
 
-func encode(es []Entry) json.RawMessage {
+func encode(entries []Entry) json.RawMessage {
 	var w bytes.Buffer
 	w.WriteString(`{"plans":{`)
-	for i, e := range es {
+	for i, entry := range entries {
 		if i > 0 {
 			w.WriteByte(',')
 		}
 		w.WriteByte('"')
-		w.WriteString(e.Name)
+		w.WriteString(entry.Name)
 		w.WriteString(`":`)
-		w.Write(e.Value)
+		w.Write(entry.Value)
 	}
 	w.WriteString(`}}`)
 	return w.Bytes()
@@ -341,30 +341,30 @@
 
 // Commit takes over that a page was written, at a version of its key. Nothing may be dropped between a batch's Puts
 // and its outcome.
-func (p *Pages) Commit(x PageWrite, version uint64) {
-	p.setIndeterminate(x.page, false)
-	x.page.version = version
-	for _, e := range x.entries {
-		p.put(x.page, e)
+func (p *Pages) Commit(write PageWrite, version uint64) {
+	p.setIndeterminate(write.page, false)
+	write.page.version = version
+	for _, entry := range write.entries {
+		p.put(write.page, entry)
 	}
 }
 
 // MarkIndeterminate takes over that a page was not written, as far as a read of it shows, but may be yet. It is written again
 // with the next batch, and until that is through nothing may depend on what only one of the two says.
-func (p *Pages) MarkIndeterminate(x PageWrite) {
-	x.page.createIndeterminate = x.page.createIndeterminate || x.Version == 0
-	p.setIndeterminate(x.page, true)
+func (p *Pages) MarkIndeterminate(write PageWrite) {
+	write.page.createIndeterminate = write.page.createIndeterminate || write.Version == 0
+	p.setIndeterminate(write.page, true)
 }
 
 // Reload takes over what a read shows on a page in place of what was to be written: an earlier write of it that
 // had been given up. All that stands there lives there; the page is written again with the next batch.
-func (p *Pages) Reload(x PageWrite, version uint64, entries []Entry) {
-	x.page.version = version
-	x.page.createIndeterminate = x.page.createIndeterminate || x.Version == 0
-	for _, e := range entries {
-		p.put(x.page, e)
+func (p *Pages) Reload(write PageWrite, version uint64, entries []Entry) {
+	write.page.version = version
+	write.page.createIndeterminate = write.page.createIndeterminate || write.Version == 0
+	for _, entry := range entries {
+		p.put(write.page, entry)
 	}
-	p.setIndeterminate(x.page, true)
+	p.setIndeterminate(write.page, true)
 }
 
 func (p *Pages) setIndeterminate(g *page, on bool) {
@@ -388,17 +388,17 @@
 // It names them again until Retired says that they are gone.
 func (p *Pages) Retire(n int) (nos []int, versions []uint64) {
 	empty := 0
-	for _, g := range p.pages {
-		if len(g.live) > 0 || g.indeterminate || g.createIndeterminate || g.version == 0 || g.retired {
+	for _, page := range p.pages {
+		if len(page.live) > 0 || page.indeterminate || page.createIndeterminate || page.version == 0 || page.retired {
 			continue
 		}
 		if empty++; empty > spare && len(p.retired) < n {
-			g.retired = true
-			p.retired = append(p.retired, g)
+			page.retired = true
+			p.retired = append(p.retired, page)
 		}
 	}
-	for _, g := range p.retired {
-		nos, versions = append(nos, g.number), append(versions, g.version)
+	for _, page := range p.retired {
+		nos, versions = append(nos, page.number), append(versions, page.version)
 	}
 	return nos, versions
 }
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -20,17 +20,17 @@
 
 // land carries a transaction out, all of it or nothing.
 func (k *kept) land(puts []PageWrite) bool {
-	for _, x := range puts {
-		if k.keys[x.Number].version != x.Version {
+	for _, write := range puts {
+		if k.keys[write.Number].version != write.Version {
 			return false
 		}
 	}
 	k.rev++
-	for _, x := range puts {
-		k.keys[x.Number] = struct {
+	for _, write := range puts {
+		k.keys[write.Number] = struct {
 			raw     []byte
 			version uint64
-		}{x.Value, k.rev}
+		}{write.Value, k.rev}
 	}
 	return true
 }
@@ -98,8 +98,8 @@
 				late = append(late, puts)
 			}
 			if fate == 0 && landed {
-				for _, x := range puts {
-					p.Commit(x, k.rev)
+				for _, write := range puts {
+					p.Commit(write, k.rev)
 				}
 				for name, raw := range vals {
 					durable[name] = raw
@@ -108,22 +108,22 @@
 				return
 			}
 			// The outcome is open or a conflict: each page is read again.
-			for _, x := range puts {
-				switch it := k.keys[x.Number]; {
-				case it.version == x.Version:
-					p.MarkIndeterminate(x)
-				case string(it.raw) == string(x.Value):
-					p.Commit(x, it.version)
+			for _, write := range puts {
+				switch it := k.keys[write.Number]; {
+				case it.version == write.Version:
+					p.MarkIndeterminate(write)
+				case string(it.raw) == string(write.Value):
+					p.Commit(write, it.version)
 				default:
-					s, err := Decode("p/@/", Key("p/@/", x.Number), it.raw, it.version)
+					s, err := Decode("p/@/", Key("p/@/", write.Number), it.raw, it.version)
 					if err != nil {
 						t.Fatal(err)
 					}
-					var es []Entry
+					var entries []Entry
 					for name, raw := range s.Values {
-						es = append(es, Entry{ref(name), name, raw})
+						entries = append(entries, Entry{ref(name), name, raw})
 					}
-					p.Reload(x, it.version, es)
+					p.Reload(write, it.version, entries)
 				}
 			}
 			for name, raw := range vals {
@@ -244,11 +244,11 @@
 			}
 		}
 		rev++
-		for _, x := range b.Writes() {
+		for _, write := range b.Writes() {
 			writes++
-			p.Commit(x, rev)
-			if len(x.Value) > 7<<10 {
-				t.Fatalf("a page of %d bytes", len(x.Value))
+			p.Commit(write, rev)
+			if len(write.Value) > 7<<10 {
+				t.Fatalf("a page of %d bytes", len(write.Value))
 			}
 		}
 	}
@@ -267,15 +267,15 @@
 	for i := range int32(8) {
 		b := p.Begin(100)
 		b.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
-		x := b.Writes()[0]
+		write := b.Writes()[0]
 		if i == 0 {
-			first = x
-			p.MarkIndeterminate(x)
+			first = write
+			p.MarkIndeterminate(write)
 			b = p.Begin(100)
 			b.Add(Entry{Ref{A: i}, "v0", []byte(`"a long value that fills a page"`)}, 1, 1000)
-			x = b.Writes()[0]
+			write = b.Writes()[0]
 		}
-		p.Commit(x, uint64(i)+1)
+		p.Commit(write, uint64(i)+1)
 	}
 	for i := range int32(8) {
 		p.Drop(Ref{A: i})
@@ -293,22 +293,22 @@
 		p := New(2000)
 		b := p.Begin(8)
 		for i := range 30 {
-			e := Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Value: []byte(`"` + strings.Repeat("x", 90) + `"`)}
-			if !b.Add(e, 8, 60<<10) {
+			entry := Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Value: []byte(`"` + strings.Repeat("x", 90) + `"`)}
+			if !b.Add(entry, 8, 60<<10) {
 				t.Fatal("no room")
 			}
 		}
 		puts := b.Writes()
-		for i, x := range puts {
-			p.Commit(x, uint64(i+1))
+		for i, write := range puts {
+			p.Commit(write, uint64(i+1))
 		}
 		return p, puts
 	}
 	p, _ := fill()
 	b := p.Begin(8)
 	_ = b.Add(Entry{Ref: Ref{A: 0}, Name: "job-00", Value: []byte(`"y"`)}, 8, 60<<10)
-	for _, x := range b.Writes() {
-		p.MarkIndeterminate(x)
+	for _, write := range b.Writes() {
+		p.MarkIndeterminate(write)
 	}
 	p.SetLimit(700)
 	b = p.Begin(8)
@@ -317,20 +317,20 @@
 	}
 	seen := map[string]bool{}
 	doubtful := 0
-	for _, x := range b.Writes() {
-		if len(x.Value) > 700 {
-			t.Errorf("page %d takes %d bytes", x.Number, len(x.Value))
+	for _, write := range b.Writes() {
+		if len(write.Value) > 700 {
+			t.Errorf("page %d takes %d bytes", write.Number, len(write.Value))
 		}
-		if x.page.indeterminate {
+		if write.page.indeterminate {
 			doubtful++
 		}
-		for _, e := range x.entries {
-			if seen[e.Name] {
-				t.Errorf("%s is on two pages of one batch", e.Name)
+		for _, entry := range write.entries {
+			if seen[entry.Name] {
+				t.Errorf("%s is on two pages of one batch", entry.Name)
 			}
-			seen[e.Name] = true
+			seen[entry.Name] = true
 		}
-		p.Commit(x, 50)
+		p.Commit(write, 50)
 	}
 	if doubtful == 0 || p.HasIndeterminate() {
 		t.Errorf("%d pages of the batch were in doubt; in doubt still: %v", doubtful, p.HasIndeterminate())
@@ -346,8 +346,8 @@
 	for i := range 30 {
 		b.Add(Entry{Ref: Ref{A: int32(i)}, Name: fmt.Sprintf("job-%02d", i), Value: []byte(`"` + strings.Repeat("y", 90) + `"`)}, 8, 60<<10)
 	}
-	for _, x := range b.Writes() {
-		p.MarkIndeterminate(x)
+	for _, write := range b.Writes() {
+		p.MarkIndeterminate(write)
 	}
 	p.SetLimit(300)
 	if p.Begin(3).Fits(3) {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -45,33 +45,33 @@
 func (l *Ledger) Team(ix int32) *Team { return l.teams[ix] }
 
 // Fits tells whether n more tasks of a size keep the team within its limit.
-func (l *Ledger) Fits(team int32, s planner.Size, n int) bool {
+func (l *Ledger) Fits(team int32, size planner.Size, n int) bool {
 	t := l.teams[team]
 	if t == nil {
 		return false
 	}
 	k := float64(n)
-	return t.Used.Add(planner.Size{CPUs: s.CPUs * k, GPUs: s.GPUs * k}).Fits(t.Limit)
+	return t.Used.Add(planner.Size{CPUs: size.CPUs * k, GPUs: size.GPUs * k}).Fits(t.Limit)
 }
 
 // Ever tells whether n tasks could run if the team ran nothing else.
-func (l *Ledger) Ever(team int32, s planner.Size, n int) bool {
+func (l *Ledger) Ever(team int32, size planner.Size, n int) bool {
 	t := l.teams[team]
 	k := float64(n)
-	return t != nil && planner.Size{CPUs: s.CPUs * k, GPUs: s.GPUs * k}.Fits(t.Limit)
+	return t != nil && planner.Size{CPUs: size.CPUs * k, GPUs: size.GPUs * k}.Fits(t.Limit)
 }
 
 // Take books a task that may be on a machine from now on.
-func (l *Ledger) Take(team int32, s planner.Size) {
+func (l *Ledger) Take(team int32, size planner.Size) {
 	if t := l.teams[team]; t != nil {
-		t.Used = t.Used.Add(s)
+		t.Used = t.Used.Add(size)
 	}
 }
 
 // Give takes a booking back.
-func (l *Ledger) Give(team int32, s planner.Size) {
+func (l *Ledger) Give(team int32, size planner.Size) {
 	if t := l.teams[team]; t != nil {
-		t.Used = t.Used.Sub(s)
+		t.Used = t.Used.Sub(size)
 	}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -27,17 +27,17 @@
 			running = append(running[:i], running[i+1:]...)
 			continue
 		}
-		s := planner.Size{CPUs: float64(rng.IntN(20)), GPUs: 0.5 * float64(rng.IntN(5))}
-		sum := s.GPUs
+		size := planner.Size{CPUs: float64(rng.IntN(20)), GPUs: 0.5 * float64(rng.IntN(5))}
+		sum := size.GPUs
 		for _, r := range running {
 			sum += r.GPUs
 		}
-		if l.Fits(0, s, 1) != (sum <= 6) {
-			t.Fatalf("fits says %v with %v of 6 GPUs", l.Fits(0, s, 1), sum)
+		if l.Fits(0, size, 1) != (sum <= 6) {
+			t.Fatalf("fits says %v with %v of 6 GPUs", l.Fits(0, size, 1), sum)
 		}
 		if sum <= 6 {
-			l.Take(0, s)
-			running = append(running, s)
+			l.Take(0, size)
+			running = append(running, size)
 		} else {
 			refused++
 		}
--- a/internal/rollout/follow.go
+++ b/internal/rollout/follow.go
@@ -10,61 +10,61 @@
 )
 
 // HandleItem takes over one changed key, of whatever kind.
-func (r *Rollout) HandleItem(it store.Item) {
-	if it.Version <= r.seen[it.Key] {
+func (r *Rollout) HandleItem(item store.Item) {
+	if item.Version <= r.seen[item.Key] {
 		return
 	}
 	read := func(v any, format func() int) bool {
-		row, _ := RecordFormatOf(it.Key)
-		err := json.Unmarshal(it.Value, v)
+		row, _ := RecordFormatOf(item.Key)
+		err := json.Unmarshal(item.Value, v)
 		if err == nil && format() > slices.Max(row.ReadFormats) {
 			err = fmt.Errorf("format %d", format())
 		}
 		if err != nil {
-			r.MarkUnreadable(it.Key, it.Value, err)
+			r.MarkUnreadable(item.Key, item.Value, err)
 			return false
 		}
-		r.MarkReadable(it.Key)
+		r.MarkReadable(item.Key)
 		return true
 	}
 	switch {
-	case it.Key == levelKey:
+	case item.Key == levelKey:
 		// A newer release may write it in another form, but always with its level.
 		var d levelDoc
 		if read(&d, func() int { return d.Format }) || d.Level > 0 {
 			r.level, r.by = d.Level, d.By
 		}
-		r.levelVersion = it.Version
-	case it.Key == wordsKey:
+		r.levelVersion = item.Version
+	case item.Key == wordsKey:
 		var w Directive
 		if !read(&w, func() int { return w.Format }) {
 			w = Directive{Mode: PausedByOperator, By: "a record that can't be read"}
 		}
-		r.words, r.wordsVersion = w, it.Version
-	case it.Key == migrationKey:
+		r.words, r.wordsVersion = w, item.Version
+	case item.Key == migrationKey:
 		var m Migration
 		if read(&m, func() int { return m.Format }) {
 			r.migration = m
 		}
-		r.migVersion = it.Version
-	case it.Key == termKey:
+		r.migVersion = item.Version
+	case item.Key == termKey:
 		r.founded = true
 		return
-	case strings.HasPrefix(it.Key, announcePrefix):
-		p := r.peer(strings.TrimPrefix(it.Key, announcePrefix))
-		if p == nil {
+	case strings.HasPrefix(item.Key, announcePrefix):
+		peer := r.peer(strings.TrimPrefix(item.Key, announcePrefix))
+		if peer == nil {
 			return
 		}
 		var a Announcement
 		if read(&a, func() int { return a.Format }) {
-			p.said, p.AnnouncedLevel, p.AnnouncedLease, p.cause = a, a.Level, a.Lease, ""
+			peer.said, peer.AnnouncedLevel, peer.AnnouncedLease, peer.cause = a, a.Level, a.Lease, ""
 		} else {
-			p.said, p.AnnouncedLevel, p.AnnouncedLease, p.cause = Announcement{}, 0, 0, "its announcement can't be read"
+			peer.said, peer.AnnouncedLevel, peer.AnnouncedLease, peer.cause = Announcement{}, 0, 0, "its announcement can't be read"
 		}
-		p.AnnouncementVersion = it.Version
-	case strings.HasPrefix(it.Key, memberPrefix):
-		p := r.peer(strings.TrimPrefix(it.Key, memberPrefix))
-		if p == nil {
+		peer.AnnouncementVersion = item.Version
+	case strings.HasPrefix(item.Key, memberPrefix):
+		peer := r.peer(strings.TrimPrefix(item.Key, memberPrefix))
+		if peer == nil {
 			return
 		}
 		var v struct {
@@ -74,11 +74,11 @@
 		if !read(&v, func() int { return v.Format }) {
 			v.Hold = 0 // somebody is there, and nobody knows who
 		}
-		p.Lease, p.MemberVersion = v.Hold, it.Version
+		peer.Lease, peer.MemberVersion = v.Hold, item.Version
 	default:
 		return
 	}
-	r.seen[it.Key] = it.Version
+	r.seen[item.Key] = item.Version
 }
 
 // HandleDelete takes over the end of a key.
@@ -86,8 +86,8 @@
 	if version <= r.seen[key] {
 		return
 	}
-	if p := r.peer(strings.TrimPrefix(key, memberPrefix)); p != nil && strings.HasPrefix(key, memberPrefix) {
-		p.Lease, p.MemberVersion = 0, 0
+	if peer := r.peer(strings.TrimPrefix(key, memberPrefix)); peer != nil && strings.HasPrefix(key, memberPrefix) {
+		peer.Lease, peer.MemberVersion = 0, 0
 	}
 	if strings.HasPrefix(key, memberPrefix) || strings.HasPrefix(key, prefix) {
 		r.seen[key] = version
@@ -98,12 +98,12 @@
 // HandleReset takes a new reading of all keys: members that it lacks are gone.
 func (r *Rollout) HandleReset(items []store.Item) {
 	there := map[string]bool{}
-	for _, it := range items {
-		there[it.Key] = true
+	for _, item := range items {
+		there[item.Key] = true
 	}
-	for _, p := range r.peers {
-		if !there[memberPrefix+p.Node] {
-			p.Lease, p.MemberVersion = 0, 0
+	for _, peer := range r.peers {
+		if !there[memberPrefix+peer.Node] {
+			peer.Lease, peer.MemberVersion = 0, 0
 		}
 	}
 	for key := range r.unread {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -71,18 +71,18 @@
 
 func (m *state) seen(i int, w taken) Observation {
 	v := m.p[i].view
-	s := Observation{Level: Level(v.level), LevelVersion: uint64(v.levelVer), DirectiveVersion: uint64(v.wordsVer), Mode: FinishRequested}
+	observed := Observation{Level: Level(v.level), LevelVersion: uint64(v.levelVer), DirectiveVersion: uint64(v.wordsVer), Mode: FinishRequested}
 	if v.abort {
-		s.Mode = AbortedByOperator
+		observed.Mode = AbortedByOperator
 	}
 	for n := range 3 {
 		p := PeerRecord{AnnouncedLevel: Level(v.says[n]), AnnouncedLease: uint64(v.saysHold[n]), AnnouncementVersion: uint64(v.saysVer[n]), Lease: uint64(v.hold[n]), MemberVersion: uint64(v.holdVer[n])}
 		if w == "the present process" {
 			p.AnnouncedLease = p.Lease
 		}
-		s.Peers = append(s.Peers, p)
+		observed.Peers = append(observed.Peers, p)
 	}
-	return s
+	return observed
 }
 
 func (m *state) send(x txn) bool {
@@ -328,9 +328,9 @@
 			continue
 		}
 		lead := p.term
-		if s := m.seen(n, w); s.MayRaise(Level(p.knows), true, true) || (w == "all have announced" && p.knows > uint8(s.Level) && s.Mode != AbortedByOperator) {
+		if observed := m.seen(n, w); observed.MayRaise(Level(p.knows), true, true) || (w == "all have announced" && p.knows > uint8(observed.Level) && observed.Mode != AbortedByOperator) {
 			x := txn{kind: 'r', by: by, knows: p.knows, lead: lead, value: p.knows}
-			for i, c := range s.Conditions(names) {
+			for i, c := range observed.Conditions(names) {
 				x.conds[i] = uint8(c.Version)
 			}
 			step(func(c *state) bool { return c.send(x) })
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -12,8 +12,8 @@
 
 // soaked tells whether all have been well for long enough.
 func (r *Rollout) soaked(now time.Duration) bool {
-	for _, p := range r.peers {
-		if !p.isWell(now) {
+	for _, peer := range r.peers {
+		if !peer.isWell(now) {
 			r.soaking = false
 			return false
 		}
@@ -92,16 +92,16 @@
 }
 
 // HandleOutcome takes the outcome of the transaction that Tick gave.
-func (r *Rollout) HandleOutcome(now time.Duration, t store.Txn, res store.Result) {
+func (r *Rollout) HandleOutcome(now time.Duration, txn store.Txn, result store.Result) {
 	r.busy = false
-	if res.Outcome == store.Committed {
-		for _, o := range t.Then {
-			r.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: res.Revision})
+	if result.Outcome == store.Committed {
+		for _, o := range txn.Then {
+			r.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: result.Revision})
 		}
 		return
 	}
 	// What is not known may land yet; sent again with the same conditions it lands once.
-	slog.Info("rollout: not written", "outcome", res.Outcome.String(), "failed", res.FailedKeys)
+	slog.Info("rollout: not written", "outcome", result.Outcome.String(), "failed", result.FailedKeys)
 	r.retryAt = now + time.Second
 }
 
@@ -109,20 +109,20 @@
 func (r *Rollout) HandleLeadLost() { r.busy, r.soaking = false, false }
 
 // judge finds the state by what is known.
-func (r *Rollout) judge(now time.Duration, s Observation, soaked bool) {
-	next := s.NextLevel(r.cfg.MaxLevel)
+func (r *Rollout) judge(now time.Duration, observed Observation, soaked bool) {
+	next := observed.NextLevel(r.cfg.MaxLevel)
 	switch {
 	case r.migrating():
 		r.to(now, Migrating, fmt.Sprintf("the level is %d", r.level))
 	case r.level >= r.cfg.MaxLevel || r.levelVersion == 0 && !r.founded:
 		r.to(now, Settled, fmt.Sprintf("the level is %d", r.Level()))
-	case next <= s.Level:
+	case next <= observed.Level:
 		r.to(now, Mixed, strings.Join(r.missing(now), "; "))
-	case s.Mode == PausedByOperator || s.Mode == AbortedByOperator:
-		r.to(now, Paused, fmt.Sprintf("%s by %s", s.Mode, r.words.By))
-	case !r.cfg.Auto && s.Mode != FinishRequested:
+	case observed.Mode == PausedByOperator || observed.Mode == AbortedByOperator:
+		r.to(now, Paused, fmt.Sprintf("%s by %s", observed.Mode, r.words.By))
+	case !r.cfg.Auto && observed.Mode != FinishRequested:
 		r.to(now, Ready, "operators are to say `rollout finish`")
-	case !soaked && s.Mode != FinishRequested:
+	case !soaked && observed.Mode != FinishRequested:
 		r.to(now, Soaking, fmt.Sprintf("all have to be well for %v", r.cfg.Soak))
 	default:
 		r.to(now, Ready, "the leader lets the level rise")
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -224,14 +224,14 @@
 
 // HandleHealth takes a controller's word that it is well, or not. Nothing about safety depends on it.
 func (r *Rollout) HandleHealth(now time.Duration, node string, well bool) {
-	p := r.peer(node)
-	if p == nil {
+	peer := r.peer(node)
+	if peer == nil {
 		return
 	}
-	if !well || !p.well || now-p.heard > wellFor {
-		p.since = now
+	if !well || !peer.well || now-peer.heard > wellFor {
+		peer.since = now
 	}
-	p.heard, p.well = now, well
+	peer.heard, peer.well = now, well
 }
 
 // isWell tells whether a controller is there, says so, and is the one that has announced itself.
@@ -241,19 +241,19 @@
 
 // seenNow is what a rise is decided by.
 func (r *Rollout) seenNow() Observation {
-	s := Observation{Level: r.level, LevelVersion: r.levelVersion, Mode: r.words.Mode, DirectiveVersion: r.wordsVersion}
-	for _, p := range r.peers {
-		s.Peers = append(s.Peers, p.PeerRecord)
+	observed := Observation{Level: r.level, LevelVersion: r.levelVersion, Mode: r.words.Mode, DirectiveVersion: r.wordsVersion}
+	for _, peer := range r.peers {
+		observed.Peers = append(observed.Peers, peer.PeerRecord)
 	}
-	if s.Mode == FinishRequested && s.NextLevel(r.cfg.MaxLevel) > r.words.Level {
-		s.Mode = NoDirective // it was said of an earlier rise
+	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.words.Level {
+		observed.Mode = NoDirective // it was said of an earlier rise
 	}
-	return s
+	return observed
 }
 
 func (r *Rollout) names() (ns []string) {
-	for _, p := range r.peers {
-		ns = append(ns, p.Node)
+	for _, peer := range r.peers {
+		ns = append(ns, peer.Node)
 	}
 	return ns
 }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -87,11 +87,11 @@
 		v.Unreadable = append(v.Unreadable, u)
 	}
 	slices.SortFunc(v.Unreadable, func(a, b UnreadableRecord) int { return strings.Compare(a.Key, b.Key) })
-	for _, p := range r.peers {
-		n := NodeView{Node: p.Node, Zone: p.Zone, Alive: p.MemberVersion != 0, Healthy: p.isWell(now), Leads: p.Node == k.Leader}
-		if p.Announced() > 0 {
-			n.Release, n.Level = p.said.Release, p.AnnouncedLevel
-			n.Incompatible = !IsCompatible(p.AnnouncedLevel, r.level)
+	for _, peer := range r.peers {
+		n := NodeView{Node: peer.Node, Zone: peer.Zone, Alive: peer.MemberVersion != 0, Healthy: peer.isWell(now), Leads: peer.Node == k.Leader}
+		if peer.Announced() > 0 {
+			n.Release, n.Level = peer.said.Release, peer.AnnouncedLevel
+			n.Incompatible = !IsCompatible(peer.AnnouncedLevel, r.level)
 		}
 		v.Nodes = append(v.Nodes, n)
 	}
@@ -105,20 +105,20 @@
 	if r.level >= r.cfg.MaxLevel {
 		return out
 	}
-	for _, p := range r.peers {
+	for _, peer := range r.peers {
 		switch {
-		case p.cause != "":
-			out = append(out, fmt.Sprintf("%s: %s", p.Node, p.cause))
-		case p.AnnouncementVersion == 0 && p.MemberVersion == 0:
-			out = append(out, p.Node+" was never seen with a release that says what it knows: start it")
-		case p.Announced() == 0:
-			out = append(out, p.Node+" runs a release that doesn't say what it knows: it is older than "+first)
-		case p.Announced() <= r.level:
-			out = append(out, fmt.Sprintf("%s runs %s, which knows no level above %d", p.Node, p.said.Release, p.AnnouncedLevel))
-		case !p.isWell(now) && p.MemberVersion == 0:
-			out = append(out, p.Node+" is down; it announced "+p.said.Release)
-		case !p.isWell(now):
-			out = append(out, p.Node+" is not well: it isn't heard, drains, or doesn't reach the state service")
+		case peer.cause != "":
+			out = append(out, fmt.Sprintf("%s: %s", peer.Node, peer.cause))
+		case peer.AnnouncementVersion == 0 && peer.MemberVersion == 0:
+			out = append(out, peer.Node+" was never seen with a release that says what it knows: start it")
+		case peer.Announced() == 0:
+			out = append(out, peer.Node+" runs a release that doesn't say what it knows: it is older than "+first)
+		case peer.Announced() <= r.level:
+			out = append(out, fmt.Sprintf("%s runs %s, which knows no level above %d", peer.Node, peer.said.Release, peer.AnnouncedLevel))
+		case !peer.isWell(now) && peer.MemberVersion == 0:
+			out = append(out, peer.Node+" is down; it announced "+peer.said.Release)
+		case !peer.isWell(now):
+			out = append(out, peer.Node+" is not well: it isn't heard, drains, or doesn't reach the state service")
 		}
 	}
 	return out
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -30,11 +30,11 @@
 	// Read re-reads one key after an open write.
 	Read func(key string, done func(store.Item, error))
 	// Learned hands on a job's record that was written here.
-	Learned func(now time.Duration, it store.Item)
+	Learned func(now time.Duration, item store.Item)
 	// Task finds a session's task.
 	Task func(*jobs.Job) Task
 	// Park has a job's task stopped and kept off machines, or lets it run again.
-	Park func(now time.Duration, j *jobs.Job, on bool)
+	Park func(now time.Duration, job *jobs.Job, on bool)
 	// Wanted tells who waits for what each of some sessions holds, "" for nobody; no more are
 	// named than it takes to serve those who wait.
 	Wanted func(now time.Duration, of []*jobs.Job) []string
@@ -87,28 +87,28 @@
 // anything is planned; what else was known of activity the agents say again, and warnings begin
 // anew.
 func (m *Manager) Load(now time.Duration, items []store.Item) {
-	for _, it := range items {
+	for _, item := range items {
 		var r Record
-		err := json.Unmarshal(it.Value, &r)
+		err := json.Unmarshal(item.Value, &r)
 		if err == nil && r.Format > 1 {
 			err = fmt.Errorf("session in format %d", r.Format)
 		}
 		if err != nil {
 			// Whether it was reclaimed isn't known: what runs of it goes on, nothing more is started.
-			if j := m.Jobs.Get(strings.TrimPrefix(it.Key, Prefix)); j != nil {
-				j.Quarantined = true
+			if job := m.Jobs.Get(strings.TrimPrefix(item.Key, Prefix)); job != nil {
+				job.Quarantined = true
 			}
 			if m.Unreadable != nil {
-				m.Unreadable(it.Key, it.Value, err)
+				m.Unreadable(item.Key, item.Value, err)
 			}
 			continue
 		}
-		s := m.add(now, strings.TrimPrefix(it.Key, Prefix), r, it.Version)
+		s := m.add(now, strings.TrimPrefix(item.Key, Prefix), r, item.Version)
 		if r.Reclaimed {
 			s.state = Reclaimed
 			m.teams[r.Team]--
-			if j := m.Jobs.Get(s.id); j != nil {
-				m.Park(now, j, true)
+			if job := m.Jobs.Get(s.id); job != nil {
+				m.Park(now, job, true)
 			}
 		}
 	}
@@ -145,18 +145,18 @@
 
 // look moves a session on, as far as time alone does.
 func (m *Manager) look(now time.Duration, s *session) {
-	j := m.Jobs.Get(s.id)
-	if j == nil || s.writing {
+	job := m.Jobs.Get(s.id)
+	if job == nil || s.writing {
 		return
 	}
-	if j.State.Terminal() {
+	if job.State.Terminal() {
 		m.forget(now, s)
 		return
 	}
 	silent := now-s.heard > m.Policies.Silent
 	switch s.state {
 	case Active, Quiet, Warned, Saving:
-		if t := m.Task(j); s.attempt != 0 && (!t.On || (t.Attempt != 0 && t.Attempt != s.attempt)) {
+		if t := m.Task(job); s.attempt != 0 && (!t.On || (t.Attempt != 0 && t.Attempt != s.attempt)) {
 			// Proof of the fleet's kind, not silence, says that it is gone.
 			s.attempt = 0
 			s.to(now, Lost, "its task is gone")
@@ -182,7 +182,7 @@
 			s.to(now, Quiet, "its agent is silent")
 		case !m.idle(now, s):
 			s.to(now, Active, "not idle any more")
-		case now >= at && s.wanted && m.Wanted(now, []*jobs.Job{j})[0] == "":
+		case now >= at && s.wanted && m.Wanted(now, []*jobs.Job{job})[0] == "":
 			s.to(now, Quiet, "nobody waits any more")
 		case now >= at:
 			m.orders++
@@ -257,8 +257,8 @@
 	var of []*jobs.Job
 	var ss []*session
 	for _, s := range m.asking {
-		if j := m.Jobs.Get(s.id); j != nil && s.state == Quiet {
-			of, ss = append(of, j), append(ss, s)
+		if job := m.Jobs.Get(s.id); job != nil && s.state == Quiet {
+			of, ss = append(of, job), append(ss, s)
 		}
 	}
 	m.asking = m.asking[:0]
@@ -294,14 +294,14 @@
 	if s == nil || !opens(token, s.rec.Agent) {
 		return o, false, notYours
 	}
-	j := m.Jobs.Get(id)
-	if j == nil || j.State.Terminal() {
+	job := m.Jobs.Get(id)
+	if job == nil || job.State.Terminal() {
 		return Order{State: Closed.String()}, true, ""
 	}
 	if r.Attempt < s.attempt || (r.Attempt == s.attempt && r.Seq <= s.seq) {
 		return o, false, "a newer report was heard"
 	}
-	switch t := m.Task(j); {
+	switch t := m.Task(job); {
 	case !t.On || (t.Attempt != 0 && t.Attempt != r.Attempt):
 		return o, false, "this attempt is not the one that runs"
 	case t.Ending:
@@ -330,11 +330,11 @@
 	if s.state == Opening || s.state == Lost {
 		s.to(now, Active, "its agent was heard")
 	}
-	return m.answer(now, s, j, r), true, ""
+	return m.answer(now, s, job, r), true, ""
 }
 
 // answer moves a session on by its agent's report.
-func (m *Manager) answer(now time.Duration, s *session, j *jobs.Job, r Report) Order {
+func (m *Manager) answer(now time.Duration, s *session, job *jobs.Job, r Report) Order {
 	o := Order{ReportS: reportEvery.Seconds()}
 	if r.Fresh && r.Resumed != s.kept() {
 		o.Resume = s.kept()
@@ -344,7 +344,7 @@
 	if !s.writing {
 		switch {
 		case s.state == Saving && r.Save != nil && r.Save.Order == s.order:
-			m.saved(now, s, j, r)
+			m.saved(now, s, job, r)
 		case s.state == Saving && r.Cell:
 			s.to(now, Active, "a cell runs")
 		default:
@@ -383,7 +383,7 @@
 
 // saved takes over the outcome of an ordered save. The session is reclaimed only if all its work
 // is saved and it is frozen, and once that is durable.
-func (m *Manager) saved(now time.Duration, s *session, j *jobs.Job, r Report) {
+func (m *Manager) saved(now time.Duration, s *session, job *jobs.Job, r Report) {
 	switch {
 	case !r.Save.OK:
 		m.failed(now, s, r.Save.Why)
@@ -409,7 +409,7 @@
 				s.to(at, Reclaimed, why)
 				m.teams[s.rec.Team]--
 				s.attempt, s.seq, s.cellFrom = 0, 0, 0
-				m.Park(at, j, true)
+				m.Park(at, job, true)
 			}
 		}
 	})
@@ -432,10 +432,10 @@
 		}
 	}
 	was := s.version
-	m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: raw}}}, func(r store.Result) {
-		switch r.Outcome {
+	m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: raw}}}, func(result store.Result) {
+		switch result.Outcome {
 		case store.Committed:
-			finish(true, r.Revision)
+			finish(true, result.Revision)
 		case store.NotApplied, store.LeaseExpired:
 			finish(false, 0)
 		default:
@@ -451,23 +451,23 @@
 	again := func() {
 		m.later = append(m.later, reread{m.Now() + rereadAfter, func() { m.settle(s, raw, was, finish) }})
 	}
-	m.Read(Key(s.id), func(it store.Item, err error) {
+	m.Read(Key(s.id), func(item store.Item, err error) {
 		switch {
 		case err != nil:
 			again()
-		case it.Version != was && string(it.Value) == string(raw):
-			finish(true, it.Version)
-		case it.Version != was:
-			s.version = it.Version
+		case item.Version != was && string(item.Value) == string(raw):
+			finish(true, item.Version)
+		case item.Version != was:
+			s.version = item.Version
 			finish(false, 0)
 		default:
 			old, _ := json.Marshal(s.rec)
-			m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: old}}}, func(r store.Result) {
-				if r.Outcome != store.Committed {
+			m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: old}}}, func(result store.Result) {
+				if result.Outcome != store.Committed {
 					again()
 					return
 				}
-				s.version = r.Revision
+				s.version = result.Revision
 				finish(false, 0)
 			})
 		}
@@ -495,9 +495,9 @@
 // forget drops a session whose job has ended; its record goes with it.
 func (m *Manager) forget(now time.Duration, s *session) {
 	s.writing = true
-	m.Commit(store.Txn{Then: []store.Op{{Delete: Key(s.id)}}}, func(r store.Result) {
+	m.Commit(store.Txn{Then: []store.Op{{Delete: Key(s.id)}}}, func(result store.Result) {
 		s.writing = false
-		if r.Outcome == store.Committed {
+		if result.Outcome == store.Committed {
 			m.remove(m.Now(), s)
 		} else {
 			m.queue.at(s, m.Now()+time.Second)
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -97,27 +97,27 @@
 	d.commits, d.parked = nil, false // a new term's fleet parks what it is told to
 	d.book = jobs.NewTable(0)
 	var items []store.Item
-	for k, it := range d.kv {
+	for k, item := range d.kv {
 		if strings.HasPrefix(k, Prefix) {
-			items = append(items, it)
+			items = append(items, item)
 		} else {
-			_, _, _ = d.book.Apply(strings.TrimPrefix(k, jobs.Prefix), it.Value, it.Version)
+			_, _, _ = d.book.Apply(strings.TrimPrefix(k, jobs.Prefix), item.Value, item.Version)
 		}
 	}
 	var m *Manager
 	m = New(Env{
 		Policies: p, Jobs: d.book, Now: func() time.Duration { return d.now },
 		Wall: func(now time.Duration) time.Time { return time.Unix(1_790_000_000, 0).Add(now) },
-		Commit: func(t store.Txn, done func(store.Result)) {
-			d.commits = append(d.commits, func(outcome int) { d.commit(m, t, outcome, done) })
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			d.commits = append(d.commits, func(outcome int) { d.commit(m, txn, outcome, done) })
 		},
 		Read: func(key string, done func(store.Item, error)) {
-			it := d.kv[key]
-			it.Key = key
-			done(it, nil)
+			item := d.kv[key]
+			item.Key = key
+			done(item, nil)
 		},
-		Learned: func(_ time.Duration, it store.Item) {
-			_, _, _ = d.book.Apply(strings.TrimPrefix(it.Key, jobs.Prefix), it.Value, it.Version)
+		Learned: func(_ time.Duration, item store.Item) {
+			_, _, _ = d.book.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
 		},
 		Task: func(*jobs.Job) Task {
 			if d.nb == nil {
@@ -139,20 +139,20 @@
 }
 
 // commit carries a transaction out: 0 committed, 1 not done, 2 done with the answer lost, 3 lost.
-func (d *desk) commit(m *Manager, t store.Txn, outcome int, done func(store.Result)) {
+func (d *desk) commit(m *Manager, txn store.Txn, outcome int, done func(store.Result)) {
 	if m != d.m {
 		return // of an earlier term: its guard fails
 	}
 	if outcome == 3 { // it may land yet, as long as this leader's key stands
 		d.late = append(d.late, func() {
 			if m == d.m {
-				d.apply(t)
+				d.apply(txn)
 			}
 		})
 	}
 	if outcome == 0 || outcome == 2 {
-		failed := d.failed(t)
-		if !d.apply(t) {
+		failed := d.failed(txn)
+		if !d.apply(txn) {
 			done(store.Result{Outcome: store.Conflict, FailedKeys: failed})
 			return
 		}
@@ -161,8 +161,8 @@
 }
 
 // failed lists the keys whose conditions don't hold.
-func (d *desk) failed(t store.Txn) (keys []string) {
-	for _, c := range t.If {
+func (d *desk) failed(txn store.Txn) (keys []string) {
+	for _, c := range txn.If {
 		if d.kv[c.Key].Version != c.Version {
 			keys = append(keys, c.Key)
 		}
@@ -171,14 +171,14 @@
 }
 
 // apply carries out a transaction whose conditions hold.
-func (d *desk) apply(t store.Txn) bool {
-	for _, c := range t.If {
+func (d *desk) apply(txn store.Txn) bool {
+	for _, c := range txn.If {
 		if d.kv[c.Key].Version != c.Version {
 			return false
 		}
 	}
 	d.rev++
-	for _, o := range t.Then {
+	for _, o := range txn.Then {
 		if o.Delete != "" {
 			delete(d.kv, o.Delete)
 		} else {
@@ -762,8 +762,8 @@
 		t.Fatalf("status %d for a write that was lost", s)
 	}
 	d.land()
-	it := d.kv[jobs.RecordKey(id)]
-	_, _, _ = d.book.Apply(id, it.Value, it.Version) // as its follow brings it
+	item := d.kv[jobs.RecordKey(id)]
+	_, _, _ = d.book.Apply(id, item.Value, item.Version) // as its follow brings it
 	if s := open("another"); s != 409 {
 		t.Fatalf("status %d for another's id", s)
 	}
@@ -945,9 +945,9 @@
 		d.start()
 		d.talk(2 * time.Second)
 		if otherwise {
-			j := d.book.Get(id)
+			job := d.book.Get(id)
 			d.rev++
-			_, _, _ = d.book.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, j.Spec), d.rev)
+			_, _, _ = d.book.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, job.Spec), d.rev)
 			d.pass(time.Minute)
 			d.settle(0)
 		} else {
--- a/internal/sessions/users.go
+++ b/internal/sessions/users.go
@@ -92,21 +92,21 @@
 	key := jobs.RecordKey(id)
 	m.opens["u/"+q.User]++
 	m.opens["t/"+team]++
-	m.Commit(store.Txn{If: []store.Condition{{Key: key}, archive.Absent(id), {Key: Key(id)}}, Then: []store.Op{{Put: key, Value: job}, {Put: Key(id), Value: raw}}}, func(r store.Result) {
+	m.Commit(store.Txn{If: []store.Condition{{Key: key}, archive.Absent(id), {Key: Key(id)}}, Then: []store.Op{{Put: key, Value: job}, {Put: Key(id), Value: raw}}}, func(result store.Result) {
 		at := m.Now()
 		for _, k := range []string{"u/" + q.User, "t/" + team} {
 			if m.opens[k]--; m.opens[k] == 0 {
 				delete(m.opens, k)
 			}
 		}
-		switch r.Outcome {
+		switch result.Outcome {
 		case store.Committed:
-			s := m.add(at, id, rec, r.Revision)
-			m.Learned(at, store.Item{Key: key, Value: job, Version: r.Revision})
+			s := m.add(at, id, rec, result.Revision)
+			m.Learned(at, store.Item{Key: key, Value: job, Version: result.Revision})
 			reply(Answer{Status: 201, View: m.view(at, s)})
 		case store.Conflict, store.Indeterminate:
 			absent := no(503, "the session was not stored")
-			if slices.Contains(r.FailedKeys, archive.Key(id)) {
+			if slices.Contains(result.FailedKeys, archive.Key(id)) {
 				absent = no(409, "the id %s is taken by a job that has ended", id)
 			}
 			m.reopen(q, absent, reply)
@@ -119,18 +119,18 @@
 // reopen answers from what stands, after a write that may have been carried out; with absent if
 // there is no session of that id.
 func (m *Manager) reopen(q *Request, absent Answer, reply func(Answer)) {
-	m.Read(Key(q.Spec.ID), func(it store.Item, err error) {
+	m.Read(Key(q.Spec.ID), func(item store.Item, err error) {
 		var r Record
 		switch {
 		case err != nil:
 			reply(no(503, "the state service does not answer"))
-		case it.Version == 0:
+		case item.Version == 0:
 			reply(absent)
-		case json.Unmarshal(it.Value, &r) != nil || r.Token != q.Token || r.User != q.User:
+		case json.Unmarshal(item.Value, &r) != nil || r.Token != q.Token || r.User != q.User:
 			reply(no(409, "the id %s is taken", q.Spec.ID))
 		default:
 			if m.byID[q.Spec.ID] == nil {
-				m.add(m.Now(), q.Spec.ID, r, it.Version)
+				m.add(m.Now(), q.Spec.ID, r, item.Version)
 			}
 			reply(Answer{Status: 200, View: m.view(m.Now(), m.byID[q.Spec.ID])})
 		}
@@ -157,8 +157,8 @@
 }
 
 func (m *Manager) attach(now time.Duration, s *session, reply func(Answer)) {
-	j := m.Jobs.Get(s.id)
-	if s.state == Closed || j == nil || j.State.Terminal() {
+	job := m.Jobs.Get(s.id)
+	if s.state == Closed || job == nil || job.State.Terminal() {
 		reply(no(410, "the session is closed"))
 		return
 	}
@@ -187,7 +187,7 @@
 		s.to(at, Opening, "its user returned")
 		m.teams[s.rec.Team]++
 		s.input, s.heard = at, at
-		m.Park(at, j, false)
+		m.Park(at, job, false)
 		reply(Answer{Status: 200, View: m.view(at, s)})
 	})
 }
@@ -223,8 +223,8 @@
 	if reply == nil {
 		reply = func(Answer) {}
 	}
-	j := m.Jobs.Get(s.id)
-	if s.state == Closed || j == nil || j.State.Terminal() {
+	job := m.Jobs.Get(s.id)
+	if s.state == Closed || job == nil || job.State.Terminal() {
 		if s.state != Closed && !s.writing {
 			m.forget(now, s)
 		}
@@ -232,16 +232,16 @@
 		return
 	}
 	key := jobs.RecordKey(s.id)
-	raw := jobs.EncodeRecord(jobs.Cancelled, m.Jobs.WallMS(j.SubmittedAt), j.TaskCount, j.Spec)
+	raw := jobs.EncodeRecord(jobs.Cancelled, m.Jobs.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
 	s.writing = true
-	m.Commit(store.Txn{If: []store.Condition{{Key: key, Version: j.Version}}, Then: []store.Op{{Put: key, Value: raw}, {Delete: Key(s.id)}}}, func(r store.Result) {
+	m.Commit(store.Txn{If: []store.Condition{{Key: key, Version: job.Version}}, Then: []store.Op{{Put: key, Value: raw}, {Delete: Key(s.id)}}}, func(result store.Result) {
 		at := m.Now()
 		s.writing = false
-		if r.Outcome != store.Committed {
+		if result.Outcome != store.Committed {
 			m.queue.at(s, at+time.Second)
 			reply(no(503, "it is not known whether the session was closed"))
 		} else {
-			m.Learned(at, store.Item{Key: key, Value: raw, Version: r.Revision})
+			m.Learned(at, store.Item{Key: key, Value: raw, Version: result.Revision})
 			m.remove(at, s)
 			reply(Answer{Status: 200, View: View{ID: s.id, User: s.rec.User, Team: s.rec.Team, State: Closed.String()}})
 		}
@@ -303,7 +303,7 @@
 	p := m.Policies.Of(s.rec.Team)
 	l := p.At(wall)
 	a := s.activity(now, wall)
-	for_ := func(d time.Duration) string { return d.Round(time.Second).String() }
+	for_ := func(duration time.Duration) string { return duration.Round(time.Second).String() }
 	at := func(t time.Duration) string {
 		return fmt.Sprintf("in %s, at %s", for_(max(0, t-now)), wall.Add(t-now).UTC().Format("15:04:05 MST"))
 	}
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -22,9 +22,9 @@
 )
 
 // shapeOf is how large a transaction is: conditions count as the changes that they need.
-func shapeOf(t Txn) Limits {
-	s := Limits{MaxOps: max(len(t.Then), (len(t.If)+ConditionsPerOp-1)/ConditionsPerOp)}
-	for _, o := range t.Then {
+func shapeOf(txn Txn) Limits {
+	s := Limits{MaxOps: max(len(txn.Then), (len(txn.If)+ConditionsPerOp-1)/ConditionsPerOp)}
+	for _, o := range txn.Then {
 		s.MaxValueBytes = max(s.MaxValueBytes, len(o.Value))
 	}
 	return s
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -15,8 +15,8 @@
 	for _, small := range []Limits{{8, 2 << 10}, {24, 1 << 10}, {5, 8 << 10}, {4, 1 << 10}} {
 		l := newLearner(given)
 		now := time.Duration(0)
-		play := func(real Limits, d time.Duration) (refused int) {
-			for end := now + d; now < end; now += time.Second {
+		play := func(real Limits, duration time.Duration) (refused int) {
+			for end := now + duration; now < end; now += time.Second {
 				// What is written is as large as allowed, or smaller.
 				for _, s := range []Limits{l.now, {l.now.MaxOps / 2, l.now.MaxValueBytes}, {l.now.MaxOps, l.now.MaxValueBytes / 3}, {1, 200}} {
 					if s.MaxOps > real.MaxOps || s.MaxValueBytes > real.MaxValueBytes {
@@ -49,8 +49,8 @@
 	h := throttle{factor: 1}
 	const share, real = 30.0, 21.0
 	now, level := time.Duration(0), 0.0
-	play := func(rate float64, d time.Duration) (carried, refused float64) {
-		for end := now + d; now < end; now += 100 * time.Millisecond {
+	play := func(rate float64, duration time.Duration) (carried, refused float64) {
+		for end := now + duration; now < end; now += 100 * time.Millisecond {
 			level = max(0, level-rate/10)
 			want := share * h.recover(now) / 10
 			if level+want > rate { // a burst of a second's worth
@@ -80,10 +80,10 @@
 }
 
 func (r *refusing) Send(_ string, q httpio.Request, done func(httpio.Response)) {
-	var t Txn
-	_ = json.Unmarshal(q.Body, &t)
-	r.sent = append(r.sent, t)
-	if s := shapeOf(t); s.MaxOps > r.limits.MaxOps || s.MaxValueBytes > r.limits.MaxValueBytes {
+	var txn Txn
+	_ = json.Unmarshal(q.Body, &txn)
+	r.sent = append(r.sent, txn)
+	if s := shapeOf(txn); s.MaxOps > r.limits.MaxOps || s.MaxValueBytes > r.limits.MaxValueBytes {
 		done(httpio.Response{Status: 400, Body: []byte(`{"error":"too large"}`)})
 		return
 	}
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -107,8 +107,8 @@
 	if m.OnReset != nil {
 		m.OnReset(items)
 	}
-	for _, it := range items {
-		m.OnItem(it)
+	for _, item := range items {
+		m.OnItem(item)
 	}
 	if m.OnSynced != nil {
 		m.OnSynced()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -207,63 +207,63 @@
 	c.writeBudget.Take(float64(writes))
 	c.requestsSent++
 	c.writesSent += uint64(writes)
-	c.send.Send(c.addr, req, func(r httpio.Response) {
-		if r.Err == nil {
+	c.send.Send(c.addr, req, func(response httpio.Response) {
+		if response.Err == nil {
 			c.lastHeard = c.now()
 		}
-		if r.Err == nil && r.Status != 503 && r.Status != 429 {
+		if response.Err == nil && response.Status != 503 && response.Status != 429 {
 			c.lastSuccess = c.now()
 		}
-		if r.Err == nil && r.Status == 429 && writes > 0 {
+		if response.Err == nil && response.Status == 429 && writes > 0 {
 			c.throttle.refused(c.now())
 			c.adjustWriteRate(c.now())
 		}
-		done(r)
+		done(response)
 	})
 }
 
 // Txn sends one transaction.
-func (c *Client) Txn(t Txn, class Priority, done func(Result)) {
-	if t.If == nil {
-		t.If = []Condition{}
+func (c *Client) Txn(txn Txn, class Priority, done func(Result)) {
+	if txn.If == nil {
+		txn.If = []Condition{}
 	}
-	body, err := json.Marshal(t)
+	body, err := json.Marshal(txn)
 	if err != nil || len(body) > 64<<10 {
 		done(Result{Outcome: NotApplied})
 		return
 	}
-	c.call(httpio.Request{Method: "POST", Path: "/txn", Body: body, Timeout: 2 * time.Second}, len(t.Then), class,
-		func(r httpio.Response) {
-			res := parseTxn(r)
-			c.learn(shapeOf(t), r, res.Outcome)
-			done(res)
+	c.call(httpio.Request{Method: "POST", Path: "/txn", Body: body, Timeout: 2 * time.Second}, len(txn.Then), class,
+		func(response httpio.Response) {
+			result := parseTxn(response)
+			c.learn(shapeOf(txn), response, result.Outcome)
+			done(result)
 		})
 }
 
 // learn takes over what an answer says of the service's limits.
-func (c *Client) learn(s Limits, r httpio.Response, o Outcome) {
+func (c *Client) learn(s Limits, response httpio.Response, o Outcome) {
 	switch {
 	case o == Committed || o == Conflict:
 		c.limits.took(c.now(), s)
-	case r.Err == nil && r.Status == 400 && o != LeaseExpired:
+	case response.Err == nil && response.Status == 400 && o != LeaseExpired:
 		c.limits.refused(c.now(), s)
 	}
 }
 
-func parseTxn(r httpio.Response) Result {
+func parseTxn(response httpio.Response) Result {
 	var b struct {
 		Revision uint64   `json:"epoch"`
 		Failed   []string `json:"failed"`
 		Error    string   `json:"error"`
 	}
 	switch {
-	case r.Refused || r.Status == 429 || r.Status == 503:
+	case response.Refused || response.Status == 429 || response.Status == 503:
 		return Result{Outcome: NotApplied}
-	case r.Err != nil:
+	case response.Err != nil:
 		return Result{Outcome: Indeterminate}
 	}
-	_ = json.Unmarshal(r.Body, &b)
-	switch r.Status {
+	_ = json.Unmarshal(response.Body, &b)
+	switch response.Status {
 	case 200:
 		return Result{Outcome: Committed, Revision: b.Revision}
 	case 409:
@@ -280,24 +280,24 @@
 // Get reads one key; a missing key has version 0.
 func (c *Client) Get(key string, class Priority, done func(Item, error)) {
 	c.call(httpio.Request{Method: "GET", Path: "/keys/" + key, Timeout: 1500 * time.Millisecond}, 0, class,
-		func(r httpio.Response) {
-			var it Item
+		func(response httpio.Response) {
+			var item Item
 			switch {
-			case r.Err == nil && r.Status == 404:
+			case response.Err == nil && response.Status == 404:
 				done(Item{Key: key}, nil)
-			case r.Err == nil && r.Status == 200 && json.Unmarshal(r.Body, &it) == nil:
-				done(it, nil)
+			case response.Err == nil && response.Status == 200 && json.Unmarshal(response.Body, &item) == nil:
+				done(item, nil)
 			default:
-				done(Item{}, failure(r))
+				done(Item{}, failure(response))
 			}
 		})
 }
 
-func failure(r httpio.Response) error {
-	if r.Err != nil {
-		return r.Err
+func failure(response httpio.Response) error {
+	if response.Err != nil {
+		return response.Err
 	}
-	return fmt.Errorf("state service answered %d", r.Status)
+	return fmt.Errorf("state service answered %d", response.Status)
 }
 
 // List reads all keys with a prefix, page by page, and the revision of the first page: a
@@ -311,14 +311,14 @@
 	if after != "" {
 		p += "&since=" + url.QueryEscape(after)
 	}
-	c.call(httpio.Request{Method: "GET", Path: p, Timeout: 4 * time.Second}, 0, SafetyPriority, func(r httpio.Response) {
+	c.call(httpio.Request{Method: "GET", Path: p, Timeout: 4 * time.Second}, 0, SafetyPriority, func(response httpio.Response) {
 		var b struct {
 			Items    []Item `json:"pairs"`
 			More     bool   `json:"has_next"`
 			Revision uint64 `json:"epoch"`
 		}
-		if r.Err != nil || r.Status != 200 || json.Unmarshal(r.Body, &b) != nil {
-			done(nil, 0, failure(r))
+		if response.Err != nil || response.Status != 200 || json.Unmarshal(response.Body, &b) != nil {
+			done(nil, 0, failure(response))
 			return
 		}
 		if after == "" {
@@ -339,18 +339,18 @@
 	p := "/follow?starts=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(after, 10) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	// An open follow may outlast an outage, so its time limit is far above its wait.
-	c.call(httpio.Request{Method: "GET", Path: p, Timeout: wait + 20*time.Second}, 0, SafetyPriority, func(r httpio.Response) {
+	c.call(httpio.Request{Method: "GET", Path: p, Timeout: wait + 20*time.Second}, 0, SafetyPriority, func(response httpio.Response) {
 		var b struct {
 			Revision uint64  `json:"epoch"`
 			Events   []Event `json:"events"`
 		}
 		switch {
-		case r.Err == nil && r.Status == 410:
+		case response.Err == nil && response.Status == 410:
 			done(0, nil, true, nil)
-		case r.Err == nil && r.Status == 200 && json.Unmarshal(r.Body, &b) == nil:
+		case response.Err == nil && response.Status == 200 && json.Unmarshal(response.Body, &b) == nil:
 			done(b.Revision, b.Events, false, nil)
 		default:
-			done(0, nil, false, failure(r))
+			done(0, nil, false, failure(response))
 		}
 	})
 }
@@ -359,12 +359,12 @@
 func (c *Client) GrantLease(ttl time.Duration, done func(id uint64, err error)) {
 	body, _ := json.Marshal(map[string]int64{"ttl_ms": ttl.Milliseconds()})
 	c.call(httpio.Request{Method: "POST", Path: "/holds", Body: body, Timeout: 1500 * time.Millisecond}, 0, SafetyPriority,
-		func(r httpio.Response) {
+		func(response httpio.Response) {
 			var b struct {
 				ID uint64 `json:"tether"`
 			}
-			if r.Err != nil || r.Status != 200 || json.Unmarshal(r.Body, &b) != nil || b.ID == 0 {
-				done(0, failure(r))
+			if response.Err != nil || response.Status != 200 || json.Unmarshal(response.Body, &b) != nil || b.ID == 0 {
+				done(0, failure(response))
 				return
 			}
 			done(b.ID, nil)
@@ -374,16 +374,16 @@
 // RenewLease renews a hold; gone tells that it has ended.
 func (c *Client) RenewLease(id uint64, done func(ok, gone bool)) {
 	c.call(httpio.Request{Method: "POST", Path: fmt.Sprintf("/holds/%d/touch", id), Body: []byte("{}"), Timeout: 1500 * time.Millisecond},
-		0, SafetyPriority, func(r httpio.Response) {
-			done(r.Err == nil && r.Status == 200, r.Err == nil && r.Status == 404)
+		0, SafetyPriority, func(response httpio.Response) {
+			done(response.Err == nil && response.Status == 200, response.Err == nil && response.Status == 404)
 		})
 }
 
 // RevokeLease ends a hold at once.
 func (c *Client) RevokeLease(id uint64, done func(ok bool)) {
 	c.call(httpio.Request{Method: "DELETE", Path: fmt.Sprintf("/holds/%d", id), Timeout: 1500 * time.Millisecond},
-		0, SafetyPriority, func(r httpio.Response) {
-			done(r.Err == nil && (r.Status/100 == 2 || r.Status == 404))
+		0, SafetyPriority, func(response httpio.Response) {
+			done(response.Err == nil && (response.Status/100 == 2 || response.Status == 404))
 		})
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -26,15 +26,15 @@
 	answer func(httpio.Request) (httpio.Response, bool)
 }
 
-func (l *line) Send(_ string, r httpio.Request, done func(httpio.Response)) {
+func (l *line) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	l.sent++
 	if l.answer != nil {
-		if res, ok := l.answer(r); ok {
+		if res, ok := l.answer(request); ok {
 			done(res)
 			return
 		}
 	}
-	done(l.svc.Serve(r))
+	done(l.svc.Serve(request))
 }
 
 func TestBudgetKeepsAReserveForSafety(t *testing.T) {
@@ -95,7 +95,7 @@
 	var got store.Result
 	put := func(key string, version, hold uint64) store.Outcome {
 		c.Txn(store.Txn{If: []store.Condition{{Key: key, Version: version}}, Then: []store.Op{{Put: key, Value: json.RawMessage("1"), Lease: hold}}},
-			store.SafetyPriority, func(r store.Result) { got = r })
+			store.SafetyPriority, func(result store.Result) { got = result })
 		return got.Outcome
 	}
 	cases := []struct {
@@ -144,11 +144,11 @@
 	put("p/other", "y")
 	seen := map[string]string{}
 	m := store.NewWatchCache(c, "h/", 18*time.Second)
-	m.OnItem = func(it store.Item) { seen[it.Key] = string(it.Value) }
+	m.OnItem = func(item store.Item) { seen[item.Key] = string(item.Value) }
 	m.OnDelete = func(string, uint64) {}
 	follows := 0
-	l.answer = func(r httpio.Request) (httpio.Response, bool) {
-		if len(r.Path) > 7 && r.Path[:7] == "/follow" {
+	l.answer = func(request httpio.Request) (httpio.Response, bool) {
+		if len(request.Path) > 7 && request.Path[:7] == "/follow" {
 			follows++
 		}
 		return httpio.Response{}, false
@@ -181,12 +181,12 @@
 	watches []func(httpio.Response)
 }
 
-func (l *waiting) Send(addr string, r httpio.Request, done func(httpio.Response)) {
-	if strings.HasPrefix(r.Path, "/follow") {
+func (l *waiting) Send(addr string, request httpio.Request, done func(httpio.Response)) {
+	if strings.HasPrefix(request.Path, "/follow") {
 		l.watches = append(l.watches, done)
 		return
 	}
-	l.line.Send(addr, r, done)
+	l.line.Send(addr, request, done)
 }
 
 // A watch gets no answer while the service answers other requests: it is asked anew, once it is overdue. Its own answer, which
@@ -197,7 +197,7 @@
 	c := store.New("", l, func() time.Duration { return now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	m := store.NewWatchCache(c, "h/", 18*time.Second)
 	there, told := map[string]bool{}, 0
-	m.OnItem = func(it store.Item) { there[it.Key], told = true, told+1 }
+	m.OnItem = func(item store.Item) { there[item.Key], told = true, told+1 }
 	m.OnDelete = func(k string, _ uint64) { delete(there, k); told++ }
 	m.Tick(now)
 	if len(l.watches) != 1 {
--- a/internal/world/answers.go
+++ b/internal/world/answers.go
@@ -116,31 +116,31 @@
 }
 
 // canRun judges a job by the protocol: its team is known, a task fits an allowed type, and it needs no more than its team's limit.
-func (w *World) canRun(s *jobs.Spec) bool {
+func (w *World) canRun(spec *jobs.Spec) bool {
 	n := 1
-	if s.Kind != jobs.Array {
-		n = s.Tasks
+	if spec.Kind != jobs.Array {
+		n = spec.Tasks
 	}
 	team := false
 	for _, t := range w.cfg.Teams {
-		if t.Name == s.Team {
-			team = (t.CPUsMax == 0 || s.CPUs*float64(n) <= t.CPUsMax+1e-9) && (t.GPUsMax == 0 || s.GPUs*float64(n) <= t.GPUsMax+1e-9)
+		if t.Name == spec.Team {
+			team = (t.CPUsMax == 0 || spec.CPUs*float64(n) <= t.CPUsMax+1e-9) && (t.GPUsMax == 0 || spec.GPUs*float64(n) <= t.GPUsMax+1e-9)
 		}
 	}
-	return team && slices.ContainsFunc(w.cfg.Types, func(t typ) bool { return allows(s, t, "", false) && s.Size().Fits(t.Size()) })
+	return team && slices.ContainsFunc(w.cfg.Types, func(t typ) bool { return allows(spec, t, "", false) && spec.Size().Fits(t.Size()) })
 }
 
 // allows tells whether a job's tasks may be on a kind of machine; zone "" is any of the type's.
-func allows(s *jobs.Spec, t typ, zone string, spot bool) bool {
+func allows(spec *jobs.Spec, t typ, zone string, spot bool) bool {
 	switch {
-	case spot && !s.Spot, s.Types != nil && !slices.Contains(s.Types, t.Name):
+	case spot && !spec.Spot, spec.Types != nil && !slices.Contains(spec.Types, t.Name):
 		return false
-	case s.Zone == nil:
+	case spec.Zone == nil:
 		return true
 	case zone == "":
-		return slices.Contains(t.Zones, *s.Zone)
+		return slices.Contains(t.Zones, *spec.Zone)
 	}
-	return *s.Zone == zone
+	return *spec.Zone == zone
 }
 
 // Room beside work: once all troubles are over, no job of which nothing is on a machine waits for long while machines that fit
@@ -195,11 +195,11 @@
 			hosts = append(hosts, place{m, free})
 		}
 	}
-	for id, s := range w.specs {
+	for id, spec := range w.specs {
 		var r jobs.Record
-		it, stored := w.svc.Keys[jobs.RecordKey(id)]
-		if !stored || on[id] || len(s.Licences) > 0 || w.mistaken[id] || w.interactive[id] != nil ||
-			json.Unmarshal(it.Value, &r) != nil || r.State != jobs.Pending.String() || w.allDone(id, s.Tasks) || !w.underLimit(s, used[s.Team]) || !fits(s, hosts) {
+		item, stored := w.svc.Keys[jobs.RecordKey(id)]
+		if !stored || on[id] || len(spec.Licences) > 0 || w.mistaken[id] || w.interactive[id] != nil ||
+			json.Unmarshal(item.Value, &r) != nil || r.State != jobs.Pending.String() || w.allDone(id, spec.Tasks) || !w.underLimit(spec, used[spec.Team]) || !fits(spec, hosts) {
 			delete(b.since, id)
 			continue
 		}
@@ -207,8 +207,8 @@
 		if !ok {
 			b.since[id], at = now, now
 		}
-		if d := now - at; d > b.longest || d == b.longest && id < b.job {
-			b.longest, b.job = d, id
+		if duration := now - at; duration > b.longest || duration == b.longest && id < b.job {
+			b.longest, b.job = duration, id
 		}
 		if now-at > besideMost {
 			w.fail("beside: %s waits for %v and there is room", id, now-at)
@@ -224,15 +224,15 @@
 }
 
 // fits tells whether a job could begin on some of the machines: an array or a service with one task, a gang whole.
-func fits(s *jobs.Spec, on []place) bool {
+func fits(spec *jobs.Spec, on []place) bool {
 	n := 1
-	if s.Kind == jobs.Gang {
-		n = s.Tasks
+	if spec.Kind == jobs.Gang {
+		n = spec.Tasks
 	}
 	zones := map[string]int32{}
 	var hosts []planner.Host
 	for i, p := range on {
-		if !allows(s, p.m.typ, p.m.zone, p.m.spot) {
+		if !allows(spec, p.m.typ, p.m.zone, p.m.spot) {
 			continue
 		}
 		if _, ok := zones[p.m.zone]; !ok {
@@ -240,18 +240,18 @@
 		}
 		hosts = append(hosts, planner.Host{ID: int32(i), Zone: zones[p.m.zone], Free: p.free})
 	}
-	return planner.FirstFit(hosts, s.Size(), n, s.OneZone, s.ZoneLimit()) != nil
+	return planner.FirstFit(hosts, spec.Size(), n, spec.OneZone, spec.ZoneLimit()) != nil
 }
 
 // underLimit tells whether a job's tasks would keep its team within its limit.
-func (w *World) underLimit(s *jobs.Spec, used [2]float64) bool {
+func (w *World) underLimit(spec *jobs.Spec, used [2]float64) bool {
 	n := 1.0
-	if s.Kind == jobs.Gang {
-		n = float64(s.Tasks)
+	if spec.Kind == jobs.Gang {
+		n = float64(spec.Tasks)
 	}
 	for _, t := range w.cfg.Teams {
-		if t.Name == s.Team {
-			return (t.CPUsMax == 0 || used[0]+n*s.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || used[1]+n*s.GPUs <= t.GPUsMax)
+		if t.Name == spec.Team {
+			return (t.CPUsMax == 0 || used[0]+n*spec.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || used[1]+n*spec.GPUs <= t.GPUsMax)
 		}
 	}
 	return false
--- a/internal/world/archive_test.go
+++ b/internal/world/archive_test.go
@@ -47,8 +47,8 @@
 func (r *rolling) recordsLeft() int { return r.Keys(jobs.Prefix) }
 
 // moves tells whether a transaction moves jobs into the archive.
-func moves(t store.Txn) bool {
-	for _, o := range t.Then {
+func moves(txn store.Txn) bool {
+	for _, o := range txn.Then {
 		if strings.HasPrefix(o.Put, archive.Prefix) {
 			return true
 		}
@@ -57,8 +57,8 @@
 }
 
 // makes tells whether a transaction makes a job's record.
-func makes(t store.Txn, id string) bool {
-	for _, o := range t.Then {
+func makes(txn store.Txn, id string) bool {
+	for _, o := range txn.Then {
 		if o.Put == jobs.RecordKey(id) {
 			return true
 		}
--- a/internal/world/balancer.go
+++ b/internal/world/balancer.go
@@ -50,7 +50,7 @@
 
 // pause is how long a controller stays out at least: 3 s, doubled for each further removal within two minutes.
 func (n *backend) pause(now time.Duration) time.Duration {
-	d := 3 * time.Second
+	duration := 3 * time.Second
 	lately := 0
 	for _, at := range n.removed {
 		if now-at < 2*time.Minute {
@@ -58,9 +58,9 @@
 		}
 	}
 	for range lately - 1 {
-		d = min(2*d, time.Minute)
+		duration = min(2*duration, time.Minute)
 	}
-	return d
+	return duration
 }
 
 func (b *Balancer) probed(i int, ok bool) {
--- a/internal/world/beside_test.go
+++ b/internal/world/beside_test.go
@@ -15,23 +15,23 @@
 // or never, accelerators that others wait for, a zone that came back, machines on which tasks failed.
 func TestNoRoomIdleBesideWork(t *testing.T) {
 	zones := []string{"a", "b", "c"}
-	type put func(n int, change func(s *jobs.Spec))
+	type put func(n int, change func(spec *jobs.Spec))
 	for what, c := range map[string]struct {
 		machines int
 		begin    func(r *rolling, give put)
 	}{
 		// A gang that needs more machines of one zone than there will ever be.
 		"never in one zone": {15, func(r *rolling, give put) {
-			give(1, func(s *jobs.Spec) {
-				s.Kind, s.Tasks, s.CPUs, s.OneZone, s.Priority, s.Class = jobs.Gang, 12, 12, true, "urgent", "gang"
+			give(1, func(spec *jobs.Spec) {
+				spec.Kind, spec.Tasks, spec.CPUs, spec.OneZone, spec.Priority, spec.Class = jobs.Gang, 12, 12, true, "urgent", "gang"
 			})
 		}},
 		// Large gangs, one after the other, that begin whenever enough is free.
 		"one after the other": {12, func(r *rolling, give put) {
 			for k := range 8 {
 				r.After(time.Duration(40*k)*time.Second, func() {
-					give(10+k, func(s *jobs.Spec) {
-						s.Kind, s.Tasks, s.CPUs, s.Priority, s.Class, s.EstimateS = jobs.Gang, 9, 12, "urgent", "gang", 30
+					give(10+k, func(spec *jobs.Spec) {
+						spec.Kind, spec.Tasks, spec.CPUs, spec.Priority, spec.Class, spec.EstimateS = jobs.Gang, 9, 12, "urgent", "gang", 30
 					})
 				})
 			}
@@ -39,8 +39,8 @@
 		// Work for accelerators that can't begin: its type has none left in its only zone.
 		"accelerators": {12, func(r *rolling, give put) {
 			for k := range 6 {
-				give(20+k, func(s *jobs.Spec) {
-					s.Kind, s.Tasks, s.CPUs, s.GPUs, s.OneZone, s.Class = jobs.Gang, 9, 4, 4, true, "gang"
+				give(20+k, func(spec *jobs.Spec) {
+					spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.OneZone, spec.Class = jobs.Gang, 9, 4, 4, true, "gang"
 				})
 			}
 		}},
@@ -48,7 +48,7 @@
 		"ordinary ones": {12, func(r *rolling, give put) {
 			for k := range 60 {
 				r.After(time.Duration(8*k)*time.Second, func() {
-					give(40+k, func(s *jobs.Spec) { s.Spot, s.CPUs, s.EstimateS, s.Class = false, 9, 12, "ordinary" })
+					give(40+k, func(spec *jobs.Spec) { spec.Spot, spec.CPUs, spec.EstimateS, spec.Class = false, 9, 12, "ordinary" })
 				})
 			}
 		}},
@@ -56,8 +56,8 @@
 		"images": {12, func(r *rolling, give put) {
 			for k := range 100 {
 				r.After(time.Duration(4*k)*time.Second, func() {
-					give(400+k, func(s *jobs.Spec) {
-						s.Image, s.ImageGB, s.CPUs, s.EstimateS, s.Class = fmt.Sprint("big", k%4), 60, 10, 15, "imaged"
+					give(400+k, func(spec *jobs.Spec) {
+						spec.Image, spec.ImageGB, spec.CPUs, spec.EstimateS, spec.Class = fmt.Sprint("big", k%4), 60, 10, 15, "imaged"
 					})
 				})
 			}
@@ -77,13 +77,13 @@
 				}
 				r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(341, 43))}
 				r.watch()
-				give := func(n int, change func(s *jobs.Spec)) {
-					s := &jobs.Spec{
+				give := func(n int, change func(spec *jobs.Spec)) {
+					spec := &jobs.Spec{
 						ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, MemoryGB: 1,
 						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true,
 					}
-					change(s)
-					(&simUser{w: r.World, rng: r.rng, spec: s}).submit()
+					change(spec)
+					(&simUser{w: r.World, rng: r.rng, spec: spec}).submit()
 				}
 				r.Advance(5 * time.Second)
 				for k := range 260 { // about as much as there is room for
--- a/internal/world/digest_scenarios_test.go
+++ b/internal/world/digest_scenarios_test.go
@@ -270,11 +270,11 @@
 
 // submitService submits a service whose replicas stand in different zones.
 func submitService(r *rolling) {
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
 		Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true,
 	}
-	(&simUser{w: r.World, rng: r.rng, spec: s}).submit()
+	(&simUser{w: r.World, rng: r.rng, spec: spec}).submit()
 }
 
 // wordAt gives the leader an operator's word about the rollout at a time.
@@ -327,8 +327,8 @@
 
 func (r *rolling) licenceCallAt(at time.Duration, verb, body string) {
 	r.After(at, func() {
-		q := intake.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
-		r.callLeader(q, func(int, []byte) {})
+		request := intake.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
+		r.callLeader(request, func(int, []byte) {})
 	})
 }
 
--- a/internal/world/faults.go
+++ b/internal/world/faults.go
@@ -9,11 +9,11 @@
 )
 
 // Know lets workers know a job, as users do who upload it with its submission.
-func (w *World) Know(s *jobs.Spec) {
+func (w *World) Know(spec *jobs.Spec) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.specs[s.ID] = s
-	w.known[s.ID] = w.now()
+	w.specs[spec.ID] = spec
+	w.known[spec.ID] = w.now()
 }
 
 // Cancelled notes that a user was told that a job is cancelled.
@@ -84,7 +84,7 @@
 
 // Hang lets one machine stand still for a time. What ran on it goes on afterwards, unless its
 // lease has run out meanwhile.
-func (w *World) Hang(d time.Duration) bool {
+func (w *World) Hang(duration time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ms := w.shuffled()
@@ -92,7 +92,7 @@
 		return false
 	}
 	w.stats.Hung++
-	ms[0].hungTill = w.now() + d
+	ms[0].hungTill = w.now() + duration
 	for _, k := range ms[0].tasks {
 		w.Licences.silent(w.now(), k)
 	}
@@ -100,24 +100,24 @@
 }
 
 // Delay holds the next direct commands to one machine back for a time.
-func (w *World) Delay(d time.Duration) bool {
+func (w *World) Delay(duration time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	ms := w.shuffled()
 	if len(ms) == 0 {
 		return false
 	}
-	ms[0].late = d
+	ms[0].late = duration
 	return true
 }
 
 // Notice announces that the cloud takes one spot machine back after a time.
-func (w *World) Notice(d time.Duration) bool {
+func (w *World) Notice(duration time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, m := range w.shuffled() {
 		if m.spot && m.noticeAt == 0 {
-			m.noticeAt = w.now() + d
+			m.noticeAt = w.now() + duration
 			return true
 		}
 	}
--- a/internal/world/ground.go
+++ b/internal/world/ground.go
@@ -30,7 +30,7 @@
 	// now is the time since the world's start.
 	now() time.Duration
 	// after calls f once a time has passed, unless the world has ended.
-	after(d time.Duration, f func())
+	after(duration time.Duration, f func())
 	// listen makes an address in a zone, "" for none, at which h is asked; name is unique.
 	listen(name, zone string, h handler) (addr string, err error)
 	// addresses are a controller's, for users and for the others.
@@ -64,8 +64,8 @@
 
 func (l *loopback) now() time.Duration { return time.Since(l.start) }
 
-func (l *loopback) after(d time.Duration, f func()) {
-	time.AfterFunc(d, func() {
+func (l *loopback) after(duration time.Duration, f func()) {
+	time.AfterFunc(duration, func() {
 		select {
 		case <-l.stop:
 		default:
--- a/internal/world/interactive.go
+++ b/internal/world/interactive.go
@@ -221,13 +221,13 @@
 }
 
 // Cell runs a cell for a time.
-func (n *InteractiveSession) Cell(d time.Duration) bool {
+func (n *InteractiveSession) Cell(duration time.Duration) bool {
 	if !n.Use() {
 		return false
 	}
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
-	n.cellFrom, n.cellTill = n.w.now(), n.w.now()+d
+	n.cellFrom, n.cellTill = n.w.now(), n.w.now()+duration
 	return true
 }
 
@@ -253,13 +253,13 @@
 }
 
 // NoticeMachine announces that the cloud takes the machine back on which the session runs.
-func (n *InteractiveSession) NoticeMachine(d time.Duration) bool {
+func (n *InteractiveSession) NoticeMachine(duration time.Duration) bool {
 	n.w.mu.Lock()
 	defer n.w.mu.Unlock()
 	for _, m := range n.w.machines {
 		for _, k := range m.tasks {
 			if !m.dead && k.spec == n.Spec && k.state == running {
-				m.noticeAt = n.w.now() + d
+				m.noticeAt = n.w.now() + duration
 				return true
 			}
 		}
--- a/internal/world/looks.go
+++ b/internal/world/looks.go
@@ -130,9 +130,9 @@
 }
 
 // ends is the moment in which a job's last task has come to its end.
-func (w *World) ends(s *jobs.Spec) {
+func (w *World) ends(spec *jobs.Spec) {
 	l := &w.answers.looks
-	if l.atEnd == 0 || w.sim == nil || !w.allDone(s.ID, s.Tasks) || l.rng.Float64() >= l.atEnd {
+	if l.atEnd == 0 || w.sim == nil || !w.allDone(spec.ID, spec.Tasks) || l.rng.Float64() >= l.atEnd {
 		return
 	}
 	w.stats.CalledOff++
@@ -140,7 +140,7 @@
 	if l.rng.IntN(2) == 0 {
 		at = time.Duration(l.rng.IntN(5)) * time.Millisecond
 	}
-	w.ground.after(at, func() { w.CallOff(s.ID, to) })
+	w.ground.after(at, func() { w.CallOff(spec.ID, to) })
 }
 
 // OddRequests lets users repeat submissions of unfinished jobs, cancel jobs that are done, and send jobs that fit no machine, exceed
@@ -214,24 +214,24 @@
 
 // wrong is a submission that no controller may accept.
 func (w *World) wrong(id string, how int) []byte {
-	s := &jobs.Spec{ID: id, Class: "odd", Team: w.cfg.Teams[0].Name, Kind: jobs.Array, Priority: "standard", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5, Spot: true}
+	spec := &jobs.Spec{ID: id, Class: "odd", Team: w.cfg.Teams[0].Name, Kind: jobs.Array, Priority: "standard", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5, Spot: true}
 	switch how {
 	case 0:
-		s.CPUs = 1e6 // fits no machine
+		spec.CPUs = 1e6 // fits no machine
 	case 1:
-		s.Team = "nobody"
+		spec.Team = "nobody"
 	case 2:
-		s.Types = []string{"no-such-type"}
+		spec.Types = []string{"no-such-type"}
 	case 3: // exceeds its team's limit
-		s.Kind, s.Tasks = jobs.Gang, 90_000
+		spec.Kind, spec.Tasks = jobs.Gang, 90_000
 	case 4:
 		zone := "nowhere"
-		s.Zone = &zone
+		spec.Zone = &zone
 	}
 	if t := w.cfg.Teams[0]; how == 3 && t.CPUsMax == 0 {
-		s.Team = "nobody"
+		spec.Team = "nobody"
 	}
-	raw, _ := json.Marshal(s)
+	raw, _ := json.Marshal(spec)
 	if how == 5 { // lacks a field
 		raw = []byte(strings.Replace(string(raw), `"hops":2,`, "", 1))
 	}
--- a/internal/world/many_test.go
+++ b/internal/world/many_test.go
@@ -42,18 +42,18 @@
 
 // submit hands a job in until it is accepted.
 func (m *many) submit(n int) {
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true,
 	}
-	m.Know(s)
-	body, _ := json.Marshal(s)
+	m.Know(spec)
+	body, _ := json.Marshal(spec)
 	m.open++
 	var again func()
 	again = func() {
 		m.Ask(m.rng.IntN(3), "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status == 200 || status == 201 {
-				m.accepted = append(m.accepted, s.ID)
+				m.accepted = append(m.accepted, spec.ID)
 				m.open--
 				return
 			}
@@ -135,8 +135,8 @@
 		Seed: 411, Machines: 16, Step: 50 * time.Millisecond, State: config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
-		func(s *config.Settings) error {
-			return s.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
+		func(settings *config.Settings) error {
+			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/world/meetings.go
+++ b/internal/world/meetings.go
@@ -81,32 +81,32 @@
 	w.kept = nil
 	for i, c := range kept {
 		w.stats.Kept++
-		d := time.Duration(w.delays.rng.IntN(800)) * time.Millisecond
+		duration := time.Duration(w.delays.rng.IntN(800)) * time.Millisecond
 		if i%2 == 1 {
-			d += 1500*time.Millisecond + time.Duration(w.delays.rng.Int64N(int64(w.lateness(1))))
+			duration += 1500*time.Millisecond + time.Duration(w.delays.rng.Int64N(int64(w.lateness(1))))
 		}
 		for _, s := range w.settings {
-			w.ground.after(d, func() { w.ground.ask("", c.zone, s.Public, "/checkin", c.body, func(int, []byte) {}) })
+			w.ground.after(duration, func() { w.ground.ask("", c.zone, s.Public, "/checkin", c.body, func(int, []byte) {}) })
 		}
 	}
 }
 
 // FlipLeaders lets whoever leads end n times, evenly over a time, and come back within a second.
-func (w *World) FlipLeaders(n int, d time.Duration) {
+func (w *World) FlipLeaders(n int, duration time.Duration) {
 	for i := range n {
-		w.ground.after(time.Duration(i)*d/time.Duration(n), func() { toLeader(700*time.Millisecond, (*World).KillController)(w) })
+		w.ground.after(time.Duration(i)*duration/time.Duration(n), func() { toLeader(700*time.Millisecond, (*World).KillController)(w) })
 	}
 }
 
 // lateWrite tells what becomes of a transaction while writes are late.
-func (w *World) lateWrite(t store.Txn) Fate {
+func (w *World) lateWrite(txn store.Txn) Fate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.delays.lost > 0 && len(t.Then) > 0 && w.delays.rng.Float64() < w.delays.lost {
+	if w.delays.lost > 0 && len(txn.Then) > 0 && w.delays.rng.Float64() < w.delays.lost {
 		w.stats.LostAnswers++
 		return Fate{Unanswered: true}
 	}
-	if w.delays.share == 0 || len(t.Then) == 0 || w.delays.rng.Float64() >= w.delays.share {
+	if w.delays.share == 0 || len(txn.Then) == 0 || w.delays.rng.Float64() >= w.delays.share {
 		return Fate{}
 	}
 	w.stats.LateWrites++
@@ -140,18 +140,18 @@
 }
 
 // later calls f after a time, at once if that is 0.
-func (w *World) later(d time.Duration, f func()) {
-	if d == 0 {
+func (w *World) later(duration time.Duration, f func()) {
+	if duration == 0 {
 		f()
 		return
 	}
-	w.ground.after(d, f)
+	w.ground.after(duration, f)
 }
 
 // slowly puts a request to the state service off, or its answer.
 func (w *World) slowly(carry func(answer), reply answer) {
-	d := w.late(&w.delays.state)
-	if d == 0 {
+	duration := w.late(&w.delays.state)
+	if duration == 0 {
 		carry(reply)
 		return
 	}
@@ -159,10 +159,10 @@
 	first := w.delays.rng.IntN(2) == 0
 	w.mu.Unlock()
 	if first {
-		w.ground.after(d, func() { carry(reply) })
+		w.ground.after(duration, func() { carry(reply) })
 		return
 	}
-	carry(func(status int, body any) { w.ground.after(d, func() { reply(status, body) }) })
+	carry(func(status int, body any) { w.ground.after(duration, func() { reply(status, body) }) })
 }
 
 // stays looks at a task that is on a machine though its user was told that its job is cancelled.
@@ -178,10 +178,10 @@
 }
 
 // RefuseLeader lets the state service refuse whoever leads now, and serve it again after a time.
-func (w *World) RefuseLeader(d time.Duration) {
+func (w *World) RefuseLeader(duration time.Duration) {
 	if i, _ := w.Leader(); i >= 0 {
 		w.Refuse(i, true)
-		w.ground.after(d, func() { w.Refuse(i, false) })
+		w.ground.after(duration, func() { w.Refuse(i, false) })
 	}
 }
 
@@ -194,10 +194,10 @@
 }
 
 // stickLeader does so to whoever leads now, for a time.
-func (w *World) stickLeader(d time.Duration) {
+func (w *World) stickLeader(duration time.Duration) {
 	if i, _ := w.Leader(); i >= 0 {
 		w.Stick(i, true)
-		w.ground.after(d, func() { w.Stick(i, false) })
+		w.ground.after(duration, func() { w.Stick(i, false) })
 	}
 }
 
--- a/internal/world/meetings_test.go
+++ b/internal/world/meetings_test.go
@@ -31,7 +31,7 @@
 		Seed: seed, Machines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: workers, Uneven: true,
 		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
 	},
-		func(s *config.Settings) error { return s.ReadOperator("o.hcl", []byte(chaosPools)) })
+		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,21 +52,21 @@
 
 // giveAs does so with something changed.
 func (r *rolling) giveAs(i int, estimate float64, change func(*jobs.Spec)) *simUser {
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true,
 	}
 	if i%5 > 0 { // machines stand in all zones
-		s.Zone = &[]string{"a", "b", "c"}[i%3]
+		spec.Zone = &[]string{"a", "b", "c"}[i%3]
 	}
 	switch i % 4 {
 	case 1:
-		s.Kind = jobs.Gang
+		spec.Kind = jobs.Gang
 	case 2:
-		s.CheckpointS, s.SaveS = 1, 1.5
+		spec.CheckpointS, spec.SaveS = 1, 1.5
 	}
-	change(s)
-	u := &simUser{w: r.World, rng: r.rng, spec: s}
+	change(spec)
+	u := &simUser{w: r.World, rng: r.rng, spec: spec}
 	r.users = append(r.users, u)
 	u.submit()
 	return u
@@ -300,13 +300,13 @@
 func TestLeaderEndsWhileMachinesAreOut(t *testing.T) {
 	ends := map[string]func(r *rolling, l int){"killed": inside["leader killed"], "frozen": inside["leader frozen"], "drained": inside["leader drained"]}
 	for how := Lost; how <= Mute; how++ {
-		for _, d := range []time.Duration{3 * time.Second, 8 * time.Second, 16 * time.Second} {
+		for _, duration := range []time.Duration{3 * time.Second, 8 * time.Second, 16 * time.Second} {
 			for what, end := range ends {
-				t.Run(fmt.Sprint(how, " ", d, " ", what), func(t *testing.T) {
+				t.Run(fmt.Sprint(how, " ", duration, " ", what), func(t *testing.T) {
 					r, _ := met(t, 206, 5, 30)
 					l, zone := r.led(), r.elsewhere()
 					r.CutZone(zone, how)
-					r.Deafen(3, "", d)
+					r.Deafen(3, "", duration)
 					r.After(300*time.Millisecond, func() { end(r, l) })
 					for k := range 6 {
 						r.After(time.Duration(400*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+1)%5) })
@@ -314,7 +314,7 @@
 					for k := range 10 { // those that wait for a place, at their teams' limits
 						r.give(100+k, 4)
 					}
-					r.Advance(d)
+					r.Advance(duration)
 					r.CutZone(zone, Whole)
 					r.Advance(time.Second)
 					r.settled()
@@ -351,8 +351,8 @@
 			r.Advance(back + 500*time.Millisecond)
 			from := r.Now()
 			r.reach("led", 16*time.Second, func() bool { return len(r.Leading()) == 1 })
-			if d := r.Now() - from; late == 0 && d > 6*time.Second {
-				t.Errorf("round %d: %v without a leader", round, d)
+			if duration := r.Now() - from; late == 0 && duration > 6*time.Second {
+				t.Errorf("round %d: %v without a leader", round, duration)
 			}
 			r.Advance(time.Second)
 		}
@@ -422,19 +422,19 @@
 // A leader is cut off from state service and others while workers and users still reach it, and jobs are cancelled through
 // the new one: asked afterwards, the old one never says anything older, and what was cancelled is gone in time.
 func TestCutOffLeaderAndCancellations(t *testing.T) {
-	for _, d := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 25 * time.Second} {
+	for _, duration := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 25 * time.Second} {
 		for what, f := range inside {
-			t.Run(fmt.Sprint(d, " ", what), func(t *testing.T) {
+			t.Run(fmt.Sprint(duration, " ", what), func(t *testing.T) {
 				r, b := met(t, 215, 3, 24)
 				a := r.asked(b)
 				l := r.led()
 				r.Sever(l, FromState|FromPeers)
-				r.After(d, func() { r.Sever(l, 0) })
+				r.After(duration, func() { r.Sever(l, 0) })
 				r.After(700*time.Millisecond, func() { f(r, l) })
 				for k := range 14 {
 					r.After(time.Duration(100+450*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+1+k%2)%3) })
 				}
-				r.Advance(d + 12*time.Second)
+				r.Advance(duration + 12*time.Second)
 				from := r.Now()
 				r.settled()
 				if gap, job := a.Longest(from, r.Now()); gap > 30*time.Second {
--- a/internal/world/pairs_test.go
+++ b/internal/world/pairs_test.go
@@ -52,9 +52,9 @@
 	draw := func() time.Duration {
 		return seconds(scale[rng.IntN(len(scale))] * (0.8 + 0.4*rng.Float64())).Truncate(time.Millisecond)
 	}
-	line := func(at time.Duration, word string, d time.Duration) string {
+	line := func(at time.Duration, word string, duration time.Duration) string {
 		if word == "flap-zone" {
-			d /= 2 * flaps // it lasts that many times as long as it is told
+			duration /= 2 * flaps // it lasts that many times as long as it is told
 		}
 		s := at.String() + " " + word
 		for _, arg := range faults[word].args {
@@ -66,7 +66,7 @@
 			case 'z':
 				s += " " + []string{"a", "b", "c"}[rng.IntN(3)]
 			default:
-				s += " " + max(50*time.Millisecond, d).String()
+				s += " " + max(50*time.Millisecond, duration).String()
 			}
 		}
 		return s
@@ -84,8 +84,8 @@
 		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
-		func(s *config.Settings) error {
-			return s.ReadOperator("o.hcl", []byte(chaosPools))
+		func(settings *config.Settings) error {
+			return settings.ReadOperator("o.hcl", []byte(chaosPools))
 		})
 	if err != nil {
 		return []string{err.Error()}, 0
@@ -99,10 +99,10 @@
 	rng := rand.New(rand.NewPCG(m.seed, 51))
 	var users []*simUser
 	for i := range m.jobs {
-		s := drawJob(rng, i+1)
-		s.EstimateS = 2 + 18*rng.Float64()
-		s.Tasks = min(s.Tasks, 4)
-		u := &simUser{w: w, rng: rand.New(rand.NewPCG(m.seed, uint64(100+i))), spec: s}
+		spec := drawJob(rng, i+1)
+		spec.EstimateS = 2 + 18*rng.Float64()
+		spec.Tasks = min(spec.Tasks, 4)
+		u := &simUser{w: w, rng: rand.New(rand.NewPCG(m.seed, uint64(100+i))), spec: spec}
 		users = append(users, u)
 		at := time.Duration(3000+rng.IntN(30000)) * time.Millisecond
 		w.After(at, u.submit)
@@ -112,7 +112,7 @@
 		var follow func()
 		follow = func() {
 			if u.status == 200 || u.status == 201 {
-				a.Follow(s.ID, nil)
+				a.Follow(spec.ID, nil)
 				return
 			}
 			w.After(time.Second, follow)
--- a/internal/world/releases.go
+++ b/internal/world/releases.go
@@ -37,9 +37,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]store.Item{}
-	for k, it := range w.svc.Keys {
+	for k, item := range w.svc.Keys {
 		if strings.HasPrefix(k, prefix) {
-			out[k] = it
+			out[k] = item
 		}
 	}
 	return out
@@ -83,17 +83,17 @@
 }
 
 // Watch asks f what becomes of each transaction, nil: each is carried out and answered.
-func (w *World) Watch(f func(controller int, t store.Txn) Fate) { w.fate = f }
+func (w *World) Watch(f func(controller int, txn store.Txn) Fate) { w.fate = f }
 
 // fated does to a transaction what whoever watches says; false: it goes its ordinary way.
 func (w *World) fated(controller int, q request) bool {
-	var t store.Txn
-	if q.path != "/txn" || json.Unmarshal(q.body, &t) != nil {
+	var txn store.Txn
+	if q.path != "/txn" || json.Unmarshal(q.body, &txn) != nil {
 		return false
 	}
-	f := w.lateWrite(t)
+	f := w.lateWrite(txn)
 	if f == (Fate{}) && w.fate != nil {
-		f = w.fate(controller, t)
+		f = w.fate(controller, txn)
 	}
 	carry := func() {
 		w.mu.Lock()
--- a/internal/world/rest_test.go
+++ b/internal/world/rest_test.go
@@ -105,16 +105,16 @@
 				zone := r.elsewhere()
 				var bound []*simUser
 				for k := range 18 {
-					s := &jobs.Spec{
+					spec := &jobs.Spec{
 						ID: fmt.Sprintf("req-4%05d", k), Class: "bound", Team: []string{"red", "blue"}[k%2], Kind: []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3], Priority: "standard",
 						Tasks: 1 + k%4, CPUs: 3, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 8, Spot: true,
 					}
 					if k%2 == 0 {
-						s.Zone = &zone
+						spec.Zone = &zone
 					} else {
-						s.OneZone = true
+						spec.OneZone = true
 					}
-					u := &simUser{w: r.World, rng: r.rng, spec: s}
+					u := &simUser{w: r.World, rng: r.rng, spec: spec}
 					r.users, bound = append(r.users, u), append(bound, u)
 					r.After(time.Duration(k)*600*time.Millisecond, u.submit)
 				}
@@ -177,9 +177,9 @@
 			a := b.Watchers()
 			for k := range 150 {
 				r.After(time.Duration(300*k)*time.Millisecond, func() {
-					u := r.giveAs(k, 14, func(s *jobs.Spec) {
-						s.Priority, s.CPUs = []string{"urgent", "standard", "best_effort"}[k%3], 4
-						s.Class = s.Priority
+					u := r.giveAs(k, 14, func(spec *jobs.Spec) {
+						spec.Priority, spec.CPUs = []string{"urgent", "standard", "best_effort"}[k%3], 4
+						spec.Class = spec.Priority
 					})
 					r.After(8*time.Second, func() { a.Follow(u.spec.ID, nil) })
 					if k%9 == 0 {
@@ -369,12 +369,12 @@
 	r.Advance(300 * time.Millisecond)
 	refused := 0
 	for k := range 12 {
-		s := &jobs.Spec{ID: fmt.Sprintf("req-3%05d", k), Class: "big", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 100, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true}
-		r.Know(s)
-		body, _ := json.Marshal(s)
+		spec := &jobs.Spec{ID: fmt.Sprintf("req-3%05d", k), Class: "big", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 100, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true}
+		r.Know(spec)
+		body, _ := json.Marshal(spec)
 		r.Ask(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status != 201 {
-				t.Errorf("%s is answered %d", s.ID, status)
+				t.Errorf("%s is answered %d", spec.ID, status)
 			}
 		})
 		r.After(30*time.Millisecond, func() {
--- a/internal/world/rollout_test.go
+++ b/internal/world/rollout_test.go
@@ -43,11 +43,11 @@
 		Seed: seed, Machines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
 		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: teams,
 	},
-		func(s *config.Settings) error {
+		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				s.Earlier(knows, Former)
+				settings.Earlier(knows, Former)
 			}
-			return s.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
+			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
@@ -64,12 +64,12 @@
 		Seed: seed, Machines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond,
 		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
-		func(s *config.Settings) error {
+		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				s.Earlier(knows, Former)
+				settings.Earlier(knows, Former)
 			}
-			change(s)
-			return s.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
+			change(settings)
+			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
@@ -80,8 +80,8 @@
 }
 
 // load lets jobs arrive for a time, about two a second.
-func (r *rolling) load(d time.Duration) {
-	r.until = r.Now() + d
+func (r *rolling) load(duration time.Duration) {
+	r.until = r.Now() + duration
 	var arrive func()
 	arrive = func() {
 		if r.Now() >= r.until {
@@ -120,12 +120,12 @@
 			}
 		}
 		newest := last
-		for k, it := range r.Stored("h/") {
-			if it.Version <= last {
+		for k, item := range r.Stored("h/") {
+			if item.Version <= last {
 				continue
 			}
-			newest = max(newest, it.Version)
-			if f := rollout.FormatOf(it.Value); f < r.formats[k] {
+			newest = max(newest, item.Version)
+			if f := rollout.FormatOf(item.Value); f < r.formats[k] {
 				r.Break("%s falls from format %d to %d", k, r.formats[k], f)
 			} else {
 				r.formats[k] = f
@@ -467,11 +467,11 @@
 		t.Run(c, func(t *testing.T) {
 			r := newRolling(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
-				s := &jobs.Spec{
+				spec := &jobs.Spec{
 					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, MemoryGB: 1,
 					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true,
 				}
-				u := &simUser{w: r.World, rng: r.rng, spec: s}
+				u := &simUser{w: r.World, rng: r.rng, spec: spec}
 				r.users = append(r.users, u)
 				r.After(time.Duration(i*100)*time.Millisecond, u.submit)
 			}
@@ -658,8 +658,8 @@
 		r.Advance(time.Second)
 	}
 	kept := false
-	for _, it := range r.Stored(jobs.PlanPagePrefix) {
-		kept = kept || strings.Contains(string(it.Value), `"req-000001/000"`)
+	for _, item := range r.Stored(jobs.PlanPagePrefix) {
+		kept = kept || strings.Contains(string(item.Value), `"req-000001/000"`)
 	}
 	if !kept {
 		t.Error("the plan of a job whose record can't be read was dropped")
@@ -717,7 +717,7 @@
 		r.load(100 * time.Second)
 		n := r.Controllers()
 		for at := time.Duration(0); at < 110*time.Second; at += time.Duration(rng.IntN(7000)) * time.Millisecond {
-			i, d := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
+			i, duration := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
 			what, zone, how := rng.IntN(14), []string{"a", "b", "c"}[rng.IntN(3)], Cut(1+rng.IntN(5))
 			level := rollout.Level(1 + rng.IntN(2))
 			if at > 60*time.Second {
@@ -727,20 +727,20 @@
 				switch what {
 				case 0, 1, 2:
 					r.KillController(i)
-					r.After(d/3, func() { r.Release(i, level); r.StartController(i) })
+					r.After(duration/3, func() { r.Release(i, level); r.StartController(i) })
 				case 3, 4:
-					r.DrainController(i, func() { r.After(d/4, func() { r.Release(i, level); r.StartController(i) }) })
+					r.DrainController(i, func() { r.After(duration/4, func() { r.Release(i, level); r.StartController(i) }) })
 				case 5:
 					if l, _ := r.World.Leader(); l >= 0 && r.Runs(l) {
-						r.FreezeController(l, d)
+						r.FreezeController(l, duration)
 					}
 				case 6:
-					during(d, (*World).Outage)(r.World)
+					during(duration, (*World).Outage)(r.World)
 				case 7:
-					during(d, func(w *World, on bool) { w.Refuse(i, on) })(r.World)
+					during(duration, func(w *World, on bool) { w.Refuse(i, on) })(r.World)
 				case 8, 9:
 					r.CutZone(zone, how)
-					r.After(d, func() { r.CutZone(zone, Whole) })
+					r.After(duration, func() { r.CutZone(zone, Whole) })
 				case 10:
 					if l, _ := r.World.Leader(); l >= 0 {
 						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
@@ -749,10 +749,10 @@
 				case 11:
 					r.KillMachine()
 				case 12:
-					r.Hang(d)
+					r.Hang(duration)
 				case 13:
 					done := false
-					r.Roll(level, d/4, nil, func() { done = true })
+					r.Roll(level, duration/4, nil, func() { done = true })
 					_ = done
 				}
 			})
--- a/internal/world/script.go
+++ b/internal/world/script.go
@@ -25,90 +25,118 @@
 // first, which is a controller's number, cancel-now's, which is how many jobs, and a zone's name.
 var faults = map[string]struct {
 	args string
-	make func(d time.Duration, n int, zone string) func(*World)
+	make func(duration time.Duration, n int, zone string) func(*World)
 }{
 	"crash-task":   {"", func(time.Duration, int, string) func(*World) { return func(w *World) { w.CrashTask() } }},
 	"kill-machine": {"", func(time.Duration, int, string) func(*World) { return func(w *World) { w.KillMachine() } }},
-	"hang":         {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Hang(d) } }},
-	"delay":        {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Delay(d) } }},
-	"notice":       {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Notice(d) } }},
-	"outage":       {"t", func(d time.Duration, _ int, _ string) func(*World) { return during(d, (*World).Outage) }},
-	"cloud-outage": {"t", func(d time.Duration, _ int, _ string) func(*World) { return during(d, (*World).CloudOutage) }},
-	"deaf-machine": {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Deafen(1, "", d) } }},
-	"mute-machine": {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Silence(1, "", d) } }},
-	"deaf-machines": {"zt", func(d time.Duration, _ int, zone string) func(*World) {
-		return func(w *World) { w.Deafen(1<<30, zone, d) }
-	}},
-	"restart-machine": {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Rebirth("", d) } }},
-	"late-boots":      {"t", bootsFor(lateBy, 0)},
-	"no-boots":        {"t", bootsFor(1, 1)},
-	"copies": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) {
+	"hang":         {"t", func(duration time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Hang(duration) } }},
+	"delay": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Delay(duration) }
+	}},
+	"notice": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Notice(duration) }
+	}},
+	"outage": {"t", func(duration time.Duration, _ int, _ string) func(*World) { return during(duration, (*World).Outage) }},
+	"cloud-outage": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, (*World).CloudOutage)
+	}},
+	"deaf-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Deafen(1, "", duration) }
+	}},
+	"mute-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Silence(1, "", duration) }
+	}},
+	"deaf-machines": {"zt", func(duration time.Duration, _ int, zone string) func(*World) {
+		return func(w *World) { w.Deafen(1<<30, zone, duration) }
+	}},
+	"restart-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Rebirth("", duration) }
+	}},
+	"late-boots": {"t", bootsFor(lateBy, 0)},
+	"no-boots":   {"t", bootsFor(1, 1)},
+	"copies": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) {
 			w.Copies(map[bool]float64{true: 0.2}[on], time.Second, seconds(2*w.cfg.Workers.LeaseS))
 		})
 	}},
-	"late-writes": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) {
+	"late-writes": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) {
 			w.LateWrites(map[bool]float64{true: 0.2}[on], w.lateness(1./12), w.lateness(1./2))
 		})
 	}},
-	"slow-state":    {"t", heldFor((*World).SlowState, 1./200, 1./5)},
-	"hold-orders":   {"t", heldFor((*World).HoldOrders, 1./50, 2./3)},
-	"hold-answers":  {"t", heldFor((*World).HoldAnswers, 1./50, 2./3)},
-	"refuse-leader": {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.RefuseLeader(d) } }},
-	"stick-leader":  {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.stickLeader(d) } }},
-	"outage-at-cancel": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.OnCancelled(func() { during(d, (*World).Outage)(w) }) }
+	"slow-state":   {"t", heldFor((*World).SlowState, 1./200, 1./5)},
+	"hold-orders":  {"t", heldFor((*World).HoldOrders, 1./50, 2./3)},
+	"hold-answers": {"t", heldFor((*World).HoldAnswers, 1./50, 2./3)},
+	"refuse-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.RefuseLeader(duration) }
+	}},
+	"stick-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.stickLeader(duration) }
 	}},
-	"lost-answers": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) { w.LoseAnswers(map[bool]float64{true: 0.3}[on]) })
+	"outage-at-cancel": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.OnCancelled(func() { during(duration, (*World).Outage)(w) }) }
+	}},
+	"lost-answers": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) { w.LoseAnswers(map[bool]float64{true: 0.3}[on]) })
+	}},
+	"small-limits": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, (*World).SmallLimits)
 	}},
-	"small-limits":   {"t", func(d time.Duration, _ int, _ string) func(*World) { return during(d, (*World).SmallLimits) }},
 	"lose-positions": {"t", func(time.Duration, int, string) func(*World) { return (*World).LosePositions }},
-	"keep-copies": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) { w.KeepCopies(map[bool]float64{true: 0.3}[on]) })
+	"keep-copies": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) { w.KeepCopies(map[bool]float64{true: 0.3}[on]) })
+	}},
+	"close-looks": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, (*World).CloseLooks)
+	}},
+	"odd-requests": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, (*World).OddRequests)
 	}},
-	"close-looks":  {"t", func(d time.Duration, _ int, _ string) func(*World) { return during(d, (*World).CloseLooks) }},
-	"odd-requests": {"t", func(d time.Duration, _ int, _ string) func(*World) { return during(d, (*World).OddRequests) }},
-	"cancel-now": {"ct", func(d time.Duration, n int, _ string) func(*World) {
-		return func(w *World) { w.CancelNow(n, d) }
+	"cancel-now": {"ct", func(duration time.Duration, n int, _ string) func(*World) {
+		return func(w *World) { w.CancelNow(n, duration) }
 	}},
-	"cancel-at-end": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) { w.CancelAtEnd(map[bool]float64{true: 0.5}[on]) })
+	"cancel-at-end": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) { w.CancelAtEnd(map[bool]float64{true: 0.5}[on]) })
 	}},
-	"shut-machine": {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Shut(1, "", d) } }},
-	"shut-machines": {"zt", func(d time.Duration, _ int, zone string) func(*World) {
-		return func(w *World) { w.Shut(1<<30, zone, d) }
+	"shut-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Shut(1, "", duration) }
+	}},
+	"shut-machines": {"zt", func(duration time.Duration, _ int, zone string) func(*World) {
+		return func(w *World) { w.Shut(1<<30, zone, duration) }
 	}},
 	"fast-boots": {"t", bootsFor(fastBy, 0)},
-	"slow-links": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) { w.SlowLinks(map[bool]time.Duration{true: slowLink}[on]) })
+	"slow-links": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) { w.SlowLinks(map[bool]time.Duration{true: slowLink}[on]) })
+	}},
+	"flip-leaders": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.FlipLeaders(flips, duration) }
+	}},
+	"licence-down": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) { w.Licences.Down(on) })
 	}},
-	"flip-leaders": {"t", func(d time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.FlipLeaders(flips, d) } }},
-	"licence-down": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) { w.Licences.Down(on) })
+	"kill-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return toLeader(duration, (*World).KillController)
 	}},
-	"kill-leader":  {"t", func(d time.Duration, _ int, _ string) func(*World) { return toLeader(d, (*World).KillController) }},
-	"drain-leader": {"t", func(d time.Duration, _ int, _ string) func(*World) { return toLeader(d, drainNow) }},
-	"freeze-leader": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return toLeader(0, func(w *World, i int) { w.FreezeController(i, d) })
+	"drain-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) { return toLeader(duration, drainNow) }},
+	"freeze-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return toLeader(0, func(w *World, i int) { w.FreezeController(i, duration) })
 	}},
-	"cut-off-leader": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return toLeader(0, func(w *World, i int) { severFor(w, i, FromState|FromPeers, d) })
+	"cut-off-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return toLeader(0, func(w *World, i int) { severFor(w, i, FromState|FromPeers, duration) })
 	}},
-	"unheard-leader": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return toLeader(0, func(w *World, i int) { severFor(w, i, FromWorkers, d) })
+	"unheard-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return toLeader(0, func(w *World, i int) { severFor(w, i, FromWorkers, duration) })
 	}},
-	"kill-controllers": {"t", func(d time.Duration, _ int, _ string) func(*World) {
+	"kill-controllers": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
 		return func(w *World) {
 			for i := range w.cfg.Controllers {
 				w.KillController(i)
-				w.ground.after(d, func() { w.StartController(i) })
+				w.ground.after(duration, func() { w.StartController(i) })
 			}
 		}
 	}},
-	"refuse": {"nt", func(d time.Duration, n int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) {
+	"refuse": {"nt", func(duration time.Duration, n int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) {
 			if n < w.cfg.Controllers {
 				w.Refuse(n, on)
 			}
@@ -121,11 +149,11 @@
 	"mute-zone":   {"zt", cutFor(Mute)},
 	"flap-zone":   {"zt", flapZone},
 	"power-zone":  {"zt", powerLost},
-	"roll": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Roll(rollout.Newest, d, nil, func() {}) }
+	"roll": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Roll(rollout.Newest, duration, nil, func() {}) }
 	}},
-	"roll-back": {"t", func(d time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Roll(rollout.Newest-1, d, nil, func() {}) }
+	"roll-back": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
+		return func(w *World) { w.Roll(rollout.Newest-1, duration, nil, func() {}) }
 	}},
 }
 
@@ -148,9 +176,9 @@
 )
 
 // heldFor is a script's fault: messages of a kind are held up by a part of a lease for a time.
-func heldFor(set func(w *World, least, most time.Duration), least, most float64) func(d time.Duration, _ int, _ string) func(*World) {
-	return func(d time.Duration, _ int, _ string) func(*World) {
-		return during(d, func(w *World, on bool) {
+func heldFor(set func(w *World, least, most time.Duration), least, most float64) func(duration time.Duration, _ int, _ string) func(*World) {
+	return func(duration time.Duration, _ int, _ string) func(*World) {
+		return during(duration, func(w *World, on bool) {
 			if !on {
 				set(w, 0, 0)
 				return
@@ -160,18 +188,18 @@
 	}
 }
 
-func bootsFor(factor, never float64) func(d time.Duration, _ int, _ string) func(*World) {
-	return func(d time.Duration, _ int, _ string) func(*World) {
+func bootsFor(factor, never float64) func(duration time.Duration, _ int, _ string) func(*World) {
+	return func(duration time.Duration, _ int, _ string) func(*World) {
 		return func(w *World) {
 			w.Boots(factor, never)
-			w.ground.after(d, func() { w.Boots(0, 0) })
+			w.ground.after(duration, func() { w.Boots(0, 0) })
 		}
 	}
 }
 
-func severFor(w *World, i int, from Counterpart, d time.Duration) {
+func severFor(w *World, i int, from Counterpart, duration time.Duration) {
 	w.Sever(i, from)
-	w.ground.after(d, func() { w.Sever(i, 0) })
+	w.ground.after(duration, func() { w.Sever(i, 0) })
 }
 
 func drainNow(w *World, i int) { w.DrainController(i, func() {}) }
@@ -197,10 +225,10 @@
 }
 
 // during switches something on for a time.
-func during(d time.Duration, set func(*World, bool)) func(*World) {
+func during(duration time.Duration, set func(*World, bool)) func(*World) {
 	return func(w *World) {
 		set(w, true)
-		w.ground.after(d, func() { set(w, false) })
+		w.ground.after(duration, func() { set(w, false) })
 	}
 }
 
@@ -236,7 +264,7 @@
 		if len(fs)-2 != len(f.args) {
 			return nil, wrong(fmt.Sprintf("%s takes %d arguments", fs[1], len(f.args)))
 		}
-		var d time.Duration
+		var duration time.Duration
 		n, zone := 0, ""
 		for i, kind := range f.args {
 			switch kind {
@@ -245,13 +273,13 @@
 			case 'z':
 				zone = fs[2+i]
 			default:
-				d, err = time.ParseDuration(fs[2+i])
+				duration, err = time.ParseDuration(fs[2+i])
 			}
-			if err != nil || d < 0 || n < 0 {
+			if err != nil || duration < 0 || n < 0 {
 				return nil, wrong(fs[2+i] + " is not what belongs there")
 			}
 		}
-		out = append(out, Fault{at, strings.Join(fs[1:], " "), f.make(d, n, zone), simulated[fs[1]]})
+		out = append(out, Fault{at, strings.Join(fs[1:], " "), f.make(duration, n, zone), simulated[fs[1]]})
 	}
 	sort.SliceStable(out, func(a, b int) bool { return out[a].At < out[b].At })
 	return out, lines.Err()
--- a/internal/world/services.go
+++ b/internal/world/services.go
@@ -123,17 +123,17 @@
 	}
 	now := w.now()
 	writes := 0.0
-	var t store.Txn
+	var txn store.Txn
 	if q.path == "/txn" {
-		if json.Unmarshal(q.body, &t) != nil || len(t.Then) > w.cfg.State.TxnOps || len(t.If) > 4*w.cfg.State.TxnOps {
+		if json.Unmarshal(q.body, &txn) != nil || len(txn.Then) > w.cfg.State.TxnOps || len(txn.If) > 4*w.cfg.State.TxnOps {
 			return 400, nil
 		}
-		for _, o := range t.Then {
+		for _, o := range txn.Then {
 			if len(o.Value) > int(w.cfg.State.ValueKB*1024) {
 				return 400, nil
 			}
 		}
-		writes = float64(len(t.Then))
+		writes = float64(len(txn.Then))
 	}
 	w.stats.StateRequests++
 	if !w.reqs.take(now, 1) || !w.writes.take(now, writes) {
@@ -147,13 +147,13 @@
 	if len(q.query) > 0 {
 		path += "?" + q.query.Encode()
 	}
-	r := w.svc.Serve(httpio.Request{Method: q.method, Path: path, Body: q.body})
+	response := w.svc.Serve(httpio.Request{Method: q.method, Path: path, Body: q.body})
 	w.woken(rev)
-	if r.Status == 200 && slices.ContainsFunc(t.Then, func(o store.Op) bool { return o.Put == membership.Prefix+"leader" }) {
+	if response.Status == 200 && slices.ContainsFunc(txn.Then, func(o store.Op) bool { return o.Put == membership.Prefix+"leader" }) {
 		w.led = append(w.led, now)
 		w.deliverKept()
 	}
-	return r.Status, r.Body
+	return response.Status, response.Body
 }
 
 // follow answers once something with the prefix has changed, or the wait is over. An open watch
--- a/internal/world/seven_test.go
+++ b/internal/world/seven_test.go
@@ -136,17 +136,17 @@
 // Every team is at its limit while jobs are cancelled whose machines are cut off, deaf, shut or hang, for less than a lease and for
 // more, and the lead passes: what may still run counts, and no longer than that.
 func TestEveryTeamAtItsLimit(t *testing.T) {
-	outs := map[string]func(r *rolling, zone string, d time.Duration){
-		"cut":  func(r *rolling, zone string, d time.Duration) { cutFor(Lost)(d, 0, zone)(r.World) },
-		"held": func(r *rolling, zone string, d time.Duration) { cutFor(Held)(d, 0, zone)(r.World) },
-		"deaf": func(r *rolling, zone string, d time.Duration) { r.Deafen(9, zone, d) },
-		"shut": func(r *rolling, zone string, d time.Duration) { r.Shut(9, zone, d) },
+	outs := map[string]func(r *rolling, zone string, duration time.Duration){
+		"cut":  func(r *rolling, zone string, duration time.Duration) { cutFor(Lost)(duration, 0, zone)(r.World) },
+		"held": func(r *rolling, zone string, duration time.Duration) { cutFor(Held)(duration, 0, zone)(r.World) },
+		"deaf": func(r *rolling, zone string, duration time.Duration) { r.Deafen(9, zone, duration) },
+		"shut": func(r *rolling, zone string, duration time.Duration) { r.Shut(9, zone, duration) },
 		"hang": func(*rolling, string, time.Duration) {},
 	}
 	for what, out := range outs {
-		for _, d := range []time.Duration{4 * time.Second, 9 * time.Second} {
+		for _, duration := range []time.Duration{4 * time.Second, 9 * time.Second} {
 			for _, how := range []string{"killed", "frozen", "drained"} {
-				t.Run(fmt.Sprint(what, " ", d, " ", how), func(t *testing.T) {
+				t.Run(fmt.Sprint(what, " ", duration, " ", how), func(t *testing.T) {
 					t.Parallel()
 					r, _ := met(t, 303, 3, 24)
 					for k := range 60 { // more than both teams may run
@@ -154,17 +154,17 @@
 					}
 					r.reach("at the limits", 30*time.Second, func() bool { return r.used("red") > 120 && r.used("blue") > 120 })
 					l, zone := r.led(), r.elsewhere()
-					out(r, zone, d)
+					out(r, zone, duration)
 					hang := time.Duration(0)
 					if what == "hang" {
-						hang = d
+						hang = duration
 					}
 					if n := len(r.CancelNow(16, hang)); n < 12 {
 						t.Errorf("%d jobs were called off", n)
 					}
 					r.After(250*time.Millisecond, func() { changes[how](r, l) })
-					r.After(d/2, func() { r.CancelNow(8, 0) })
-					r.Advance(d + 4*time.Second)
+					r.After(duration/2, func() { r.CancelNow(8, 0) })
+					r.Advance(duration + 4*time.Second)
 					r.settled()
 				})
 			}
@@ -238,8 +238,8 @@
 // neverPlans lets every third write of plans get no answer: it is never carried out, or late.
 func (r *rolling) neverPlans() {
 	n := 0
-	r.Watch(func(_ int, t store.Txn) Fate {
-		if !slices.ContainsFunc(t.Then, func(o store.Op) bool { return len(o.Put) > 1 && o.Put[:2] == jobs.PlanPrefix[:2] }) {
+	r.Watch(func(_ int, txn store.Txn) Fate {
+		if !slices.ContainsFunc(txn.Then, func(o store.Op) bool { return len(o.Put) > 1 && o.Put[:2] == jobs.PlanPrefix[:2] }) {
 			return Fate{}
 		}
 		switch n++; n % 6 {
@@ -310,11 +310,11 @@
 			const n = 600
 			for i := range n {
 				r.After(time.Duration(i)*250*time.Millisecond, func() {
-					s := &jobs.Spec{
+					spec := &jobs.Spec{
 						ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1,
 						Image: "i", ImageGB: 0.5, EstimateS: 5, Spot: true,
 					}
-					u := &simUser{w: r.World, rng: r.rng, spec: s}
+					u := &simUser{w: r.World, rng: r.rng, spec: spec}
 					r.users = append(r.users, u)
 					u.submit()
 					if i%4 == 0 {
--- a/internal/world/sim.go
+++ b/internal/world/sim.go
@@ -113,9 +113,9 @@
 
 func (s *Sim) now() time.Duration { return s.t }
 
-func (s *Sim) after(d time.Duration, f func()) {
+func (s *Sim) after(duration time.Duration, f func()) {
 	s.seq++
-	heap.Push(&s.queue, event{s.t + max(0, d), s.seq, f})
+	heap.Push(&s.queue, event{s.t + max(0, duration), s.seq, f})
 }
 
 func (s *Sim) listen(name, zone string, h handler) (string, error) {
@@ -131,9 +131,9 @@
 func (s *Sim) close() { s.queue = nil }
 
 // Advance lets time pass, by d.
-func (w *World) Advance(d time.Duration) {
+func (w *World) Advance(duration time.Duration) {
 	s := w.sim
-	end := s.t + d
+	end := s.t + duration
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := heap.Pop(&s.queue).(event)
 		s.t = e.at
@@ -143,7 +143,7 @@
 }
 
 // After calls f in the world's time.
-func (w *World) After(d time.Duration, f func()) { w.ground.after(d, f) }
+func (w *World) After(duration time.Duration, f func()) { w.ground.after(duration, f) }
 
 // Ask sends a user's request to a controller; status 0: no answer came.
 func (w *World) Ask(i int, method, path string, body []byte, then func(status int, body []byte)) {
@@ -358,13 +358,15 @@
 
 // FreezeController lets a controller stand still for a time: what comes in waits, and its steady clock
 // has jumped when it goes on.
-func (w *World) FreezeController(i int, d time.Duration) {
-	w.sim.nodes[i].frozen = w.sim.t + d
+func (w *World) FreezeController(i int, duration time.Duration) {
+	w.sim.nodes[i].frozen = w.sim.t + duration
 	w.stats.Freezes++
 }
 
 // SetWall moves a controller's clock on the wall; it counts from its next start.
-func (w *World) SetWall(i int, d time.Duration) { w.sim.nodes[i].epochMS += d.Milliseconds() }
+func (w *World) SetWall(i int, duration time.Duration) {
+	w.sim.nodes[i].epochMS += duration.Milliseconds()
+}
 
 // Leading lists the controllers that lead and may act now, as they believe themselves.
 func (w *World) Leading() (ix []int) {
--- a/internal/world/sim_test.go
+++ b/internal/world/sim_test.go
@@ -84,20 +84,20 @@
 
 // drawJob makes any kind of job that fits the world of a chaos run.
 func drawJob(rng *rand.Rand, n int) *jobs.Spec {
-	s := &jobs.Spec{
+	spec := &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
 		Priority: []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)], Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(3)), MemoryGB: 1,
 		Image: fmt.Sprintf("i-%d", rng.IntN(3)), ImageGB: 2, EstimateS: 1 + 8*rng.Float64(), Spot: rng.IntN(2) == 0,
 	}
 	switch rng.IntN(5) {
 	case 0:
-		s.Kind, s.Tasks = jobs.Gang, 2+rng.IntN(4)
+		spec.Kind, spec.Tasks = jobs.Gang, 2+rng.IntN(4)
 	case 1:
-		s.CheckpointS, s.SaveS = 1, 0.5
+		spec.CheckpointS, spec.SaveS = 1, 0.5
 	case 2:
-		s.Licences = map[string]int{"transcribe": 1}
+		spec.Licences = map[string]int{"transcribe": 1}
 	}
-	return s
+	return spec
 }
 
 // watchActing holds that at most one controller believes that it may act, at every moment.
@@ -127,7 +127,7 @@
 		Seed: seed, Machines: 12, Controllers: 3 + 2*int(seed%2), Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
-		func(s *config.Settings) error { return s.ReadOperator("o.hcl", []byte(chaosPools)) })
+		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 	secs := func(most int) time.Duration { return time.Duration(rng.IntN(most*1000)) * time.Millisecond }
 	n := w.Controllers()
 	for at := secs(4); at < faulty; at += secs(6) {
-		i, d := rng.IntN(n), 500*time.Millisecond+secs(9)
+		i, duration := rng.IntN(n), 500*time.Millisecond+secs(9)
 		what := rng.IntN(12)
 		w.After(at, func() {
 			switch what {
@@ -155,31 +155,31 @@
 			case 1:
 				w.KillMachine()
 			case 2:
-				w.Hang(d)
+				w.Hang(duration)
 			case 3:
-				w.Delay(d)
+				w.Delay(duration)
 			case 4:
-				w.Notice(d)
+				w.Notice(duration)
 			case 5:
 				w.KillController(i)
-				w.After(d, func() { w.StartController(i) })
+				w.After(duration, func() { w.StartController(i) })
 			case 6:
 				if l, _ := w.Leader(); l >= 0 {
 					w.KillController(l)
-					w.After(d/3, func() { w.StartController(l) })
+					w.After(duration/3, func() { w.StartController(l) })
 				}
 			case 7:
 				if l, _ := w.Leader(); l >= 0 && w.Runs(l) {
-					w.FreezeController(l, d)
+					w.FreezeController(l, duration)
 				}
 			case 8:
-				w.DrainController(i, func() { w.After(d/4, func() { w.StartController(i) }) })
+				w.DrainController(i, func() { w.After(duration/4, func() { w.StartController(i) }) })
 			case 9:
-				during(d, (*World).Outage)(w)
+				during(duration, (*World).Outage)(w)
 			case 10:
-				during(d, func(w *World, on bool) { w.Refuse(i, on) })(w)
+				during(duration, func(w *World, on bool) { w.Refuse(i, on) })(w)
 			case 11:
-				during(d, (*World).CloudOutage)(w)
+				during(duration, (*World).CloudOutage)(w)
 			}
 		})
 	}
@@ -274,9 +274,9 @@
 	rng := rand.New(rand.NewPCG(3, 5))
 	var users []*simUser
 	for i := range 40 {
-		s := drawJob(rng, i+1)
-		s.Licences = nil
-		u := &simUser{w: w, rng: rng, spec: s}
+		spec := drawJob(rng, i+1)
+		spec.Licences = nil
+		u := &simUser{w: w, rng: rng, spec: spec}
 		users = append(users, u)
 		w.After(time.Duration(rng.IntN(60))*time.Second, u.submit)
 	}
@@ -435,9 +435,9 @@
 	w.Advance(3 * time.Second)
 	n, refused, slowest, done := 3000, 0, time.Duration(0), 0
 	for i := range n {
-		s := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 1}
-		body, _ := json.Marshal(s)
-		w.Know(s)
+		spec := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 1}
+		body, _ := json.Marshal(spec)
+		w.Know(spec)
 		var again func()
 		again = func() {
 			at := w.Now()
@@ -450,7 +450,7 @@
 					refused++
 					w.After(time.Duration(1000+i%700)*time.Millisecond, again)
 				default:
-					t.Errorf("%s: status %d", s.ID, status)
+					t.Errorf("%s: status %d", spec.ID, status)
 				}
 			})
 		}
--- a/internal/world/state/state.go
+++ b/internal/world/state/state.go
@@ -85,8 +85,8 @@
 func (s *Service) end(id uint64) {
 	delete(s.holds, id)
 	var bound []string
-	for k, it := range s.Keys {
-		if it.Lease == id {
+	for k, item := range s.Keys {
+		if item.Lease == id {
 			bound = append(bound, k)
 		}
 	}
@@ -120,43 +120,43 @@
 }
 
 // Serve carries out one request.
-func (s *Service) Serve(r httpio.Request) httpio.Response {
+func (s *Service) Serve(request httpio.Request) httpio.Response {
 	s.Expire()
 	if s.Down {
 		return reply(503, nil)
 	}
 	switch {
-	case r.Path == "/holds":
+	case request.Path == "/holds":
 		var b struct {
 			TTL int64 `json:"ttl_ms"`
 		}
-		_ = json.Unmarshal(r.Body, &b)
+		_ = json.Unmarshal(request.Body, &b)
 		s.next++
 		ttl := time.Duration(b.TTL) * time.Millisecond
 		s.holds[s.next] = hold{s.Now + ttl, ttl}
 		return reply(200, map[string]uint64{"tether": s.next})
-	case strings.HasPrefix(r.Path, "/holds/"):
-		id, _ := strconv.ParseUint(strings.Split(r.Path, "/")[2], 10, 64)
+	case strings.HasPrefix(request.Path, "/holds/"):
+		id, _ := strconv.ParseUint(strings.Split(request.Path, "/")[2], 10, 64)
 		h, ok := s.holds[id]
 		if !ok {
 			return reply(404, nil)
 		}
-		if r.Method == "DELETE" {
+		if request.Method == "DELETE" {
 			s.end(id)
 		} else {
 			s.holds[id] = hold{s.Now + h.ttl, h.ttl}
 		}
 		return reply(200, nil)
-	case r.Path == "/txn":
-		var t store.Txn
-		_ = json.Unmarshal(r.Body, &t)
-		for _, o := range t.Then {
+	case request.Path == "/txn":
+		var txn store.Txn
+		_ = json.Unmarshal(request.Body, &txn)
+		for _, o := range txn.Then {
 			if _, ok := s.holds[o.Lease]; o.Lease != 0 && !ok {
 				return reply(400, map[string]string{"error": "no such lease"})
 			}
 		}
 		var failed []string
-		for _, c := range t.If {
+		for _, c := range txn.If {
 			if s.Keys[c.Key].Version != c.Version {
 				failed = append(failed, c.Key)
 			}
@@ -164,16 +164,16 @@
 		if failed != nil {
 			return reply(409, map[string]any{"failed": failed, "epoch": s.Rev})
 		}
-		s.Apply(t.Then)
+		s.Apply(txn.Then)
 		return reply(200, map[string]uint64{"epoch": s.Rev})
-	case strings.HasPrefix(r.Path, "/keys/"):
-		it, ok := s.Keys[strings.TrimPrefix(r.Path, "/keys/")]
+	case strings.HasPrefix(request.Path, "/keys/"):
+		item, ok := s.Keys[strings.TrimPrefix(request.Path, "/keys/")]
 		if !ok {
 			return reply(404, nil)
 		}
-		return reply(200, it)
+		return reply(200, item)
 	}
-	u, err := url.Parse(r.Path)
+	u, err := url.Parse(request.Path)
 	if err != nil {
 		return reply(400, nil)
 	}
--- a/internal/world/stored_test.go
+++ b/internal/world/stored_test.go
@@ -79,27 +79,27 @@
 			}
 		case "plan":
 			name := strings.TrimPrefix(key, jobs.PlanPrefix)
-			j := book.Get(name[:strings.Index(name, "/")])
-			if j.State == jobs.Done {
+			job := book.Get(name[:strings.Index(name, "/")])
+			if job.State == jobs.Done {
 				continue
 			}
-			j.OpenTasks()
+			job.OpenTasks()
 			no := int(name[len(name)-1] - '0')
-			c := j.Segments[no]
+			segment := job.Segments[no]
 			var names jobs.Names
-			on, done, err := jobs.DecodeSegment(raw, len(c.DurableMachines), names.Index)
+			on, done, err := jobs.DecodeSegment(raw, len(segment.DurableMachines), names.Index)
 			if err != nil {
 				t.Errorf("%s: %v", key, err)
 				continue
 			}
 			for i := range on {
 				task := int32(no*jobs.SegmentTasks + i)
-				j.Tasks[task].Machine = on[i]
+				job.Tasks[task].Machine = on[i]
 				if done[i] {
-					_ = j.SetTaskState(task, jobs.Finished)
+					_ = job.SetTaskState(task, jobs.Finished)
 				}
 			}
-			if got, _ := j.EncodeSegment(c, 1, names.Name); string(got) != string(raw) {
+			if got, _ := job.EncodeSegment(segment, 1, names.Name); string(got) != string(raw) {
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
 		case "term":
@@ -136,8 +136,8 @@
 		Seed: 8, Machines: 14, Zones: []string{"a", "b"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond, Stored: all,
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
-		func(s *config.Settings) error {
-			return s.ReadOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
+		func(settings *config.Settings) error {
+			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
@@ -168,9 +168,9 @@
 		t.Errorf("%+v", v.Unreadable)
 	}
 	pending := func() (n int) {
-		for _, it := range w.Stored(jobs.Prefix) {
+		for _, item := range w.Stored(jobs.Prefix) {
 			var rec jobs.Record
-			if json.Unmarshal(it.Value, &rec) == nil && rec.State == "pending" && rec.Spec.Kind != jobs.Service {
+			if json.Unmarshal(item.Value, &rec) == nil && rec.State == "pending" && rec.Spec.Kind != jobs.Service {
 				n++
 			}
 		}
--- a/internal/world/troubles.go
+++ b/internal/world/troubles.go
@@ -16,19 +16,19 @@
 const failAfter = 300 * time.Millisecond
 
 // Deafen lets some machines hear nothing for a time, though what they say arrives; zone "" means any. It returns their names.
-func (w *World) Deafen(n int, zone string, d time.Duration) []string {
-	return w.oneWay(n, zone, func(m *Machine) { m.deafTill = w.now() + d })
+func (w *World) Deafen(n int, zone string, duration time.Duration) []string {
+	return w.oneWay(n, zone, func(m *Machine) { m.deafTill = w.now() + duration })
 }
 
 // Silence lets nothing of what some machines say arrive for a time, though they hear.
-func (w *World) Silence(n int, zone string, d time.Duration) []string {
-	return w.oneWay(n, zone, func(m *Machine) { m.muteTill = w.now() + d })
+func (w *World) Silence(n int, zone string, duration time.Duration) []string {
+	return w.oneWay(n, zone, func(m *Machine) { m.muteTill = w.now() + duration })
 }
 
 // Shut lets some machines reach no controller for a time: their connections fail, while direct commands reach them and are
 // answered.
-func (w *World) Shut(n int, zone string, d time.Duration) []string {
-	return w.oneWay(n, zone, func(m *Machine) { m.shutTill = w.now() + d })
+func (w *World) Shut(n int, zone string, duration time.Duration) []string {
+	return w.oneWay(n, zone, func(m *Machine) { m.shutTill = w.now() + duration })
 }
 
 func (w *World) oneWay(n int, zone string, set func(*Machine)) (names []string) {
@@ -111,14 +111,14 @@
 
 // bootTime draws how long a machine takes to come up.
 func (w *World) bootTime(t typ) time.Duration {
-	d := seconds(t.BootS * (0.6 + 0.9*w.rng.Float64()))
+	duration := seconds(t.BootS * (0.6 + 0.9*w.rng.Float64()))
 	if !w.boots.on {
-		return d
+		return duration
 	}
 	if w.rng.Float64() < w.boots.never {
 		return 1000 * time.Hour
 	}
-	return time.Duration(float64(d) * w.boots.factor)
+	return time.Duration(float64(duration) * w.boots.factor)
 }
 
 // copying is how often a message is delivered once more, and how late.
@@ -141,9 +141,9 @@
 		return
 	}
 	w.stats.Copies++
-	d := c.least + time.Duration(w.rng.Float64()*float64(c.to-c.least))
+	duration := c.least + time.Duration(w.rng.Float64()*float64(c.to-c.least))
 	to := w.settings[w.rng.IntN(w.cfg.Controllers)].Public
-	w.ground.after(d, func() { w.ground.ask("", zone, to, path, body, func(int, []byte) {}) })
+	w.ground.after(duration, func() { w.ground.ask("", zone, to, path, body, func(int, []byte) {}) })
 }
 
 // Counterpart is whom a controller talks with.
--- a/internal/world/troubles_test.go
+++ b/internal/world/troubles_test.go
@@ -247,8 +247,8 @@
 		r.RebirthAt(r.rng.IntN(3), steps[round%len(steps)], time.Duration(50+r.rng.IntN(850))*time.Millisecond)
 		from := r.Now()
 		r.reach("led", 14*time.Second, func() bool { return len(r.Leading()) == 1 })
-		if d := r.Now() - from; d > 8*time.Second {
-			t.Logf("round %d: %v without a leader", round, d)
+		if duration := r.Now() - from; duration > 8*time.Second {
+			t.Logf("round %d: %v without a leader", round, duration)
 		}
 		r.Advance(2 * time.Second)
 	}
@@ -307,8 +307,8 @@
 				}
 			}
 			t.Logf("%d machines: all heard or given back after %v, %d given back", len(names), r.Now()-from, returned)
-			if d := r.Now() - from; d > 10*time.Second || returned > len(names)/4 {
-				t.Errorf("%d of %d machines were neither heard nor given back within %v, %d given back", len(left), len(names), d, returned)
+			if duration := r.Now() - from; duration > 10*time.Second || returned > len(names)/4 {
+				t.Errorf("%d of %d machines were neither heard nor given back within %v, %d given back", len(left), len(names), duration, returned)
 			}
 			r.over()
 		})
@@ -368,11 +368,11 @@
 	}
 	r.Advance(20 * time.Second)
 	var wrong []*simUser
-	for i, s := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
-		s.ID, s.Class, s.Team, s.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
-		s.CPUs, s.MemoryGB, s.Image, s.ImageGB, s.EstimateS, s.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
-		u := &simUser{w: r.World, rng: r.rng, spec: s}
-		r.Mistake(s.ID)
+	for i, spec := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
+		spec.ID, spec.Class, spec.Team, spec.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
+		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
+		u := &simUser{w: r.World, rng: r.rng, spec: spec}
+		r.Mistake(spec.ID)
 		u.submit()
 		wrong = append(wrong, u)
 	}
@@ -526,7 +526,7 @@
 	began := func(operator string) (longest time.Duration, left int) {
 		types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b"}}}
 		w, err := Simulated(Config{Seed: 93, Machines: 16, Types: types, Step: 50 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
-			func(s *config.Settings) error { return s.ReadOperator("o.hcl", []byte(operator)) })
+			func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -550,8 +550,8 @@
 		w.After(170*time.Second, func() { toLeader(0, func(w *World, i int) { w.FreezeController(i, 70*time.Second) })(w) })
 		w.Advance(450 * time.Second)
 		for _, u := range large {
-			if d, ok := w.FirstStart(u.spec.ID); ok {
-				longest = max(longest, d)
+			if duration, ok := w.FirstStart(u.spec.ID); ok {
+				longest = max(longest, duration)
 			} else {
 				left++
 			}
@@ -574,7 +574,7 @@
 
 // wild plays all of it together at random over kills, freezes, drains, cuts and outages, then lets everything heal, and tells
 // the longest time in which no question about one job was answered, from then on.
-func wild(t *testing.T, seed uint64, d time.Duration) (*rolling, time.Duration, string) {
+func wild(t *testing.T, seed uint64, duration time.Duration) (*rolling, time.Duration, string) {
 	t.Helper()
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 5, Zones: []string{"a", "b", "c"}}}
 	r := newRollingOn(t, seed, 3+2*int(seed%2), rollout.Newest, "", 16, types, []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}})
@@ -583,10 +583,10 @@
 	r.Copies(0.1*rng.Float64(), time.Second, 30*time.Second)
 	b := r.Balance()
 	a := b.Watchers()
-	r.load(d)
+	r.load(duration)
 	var mistakes []*simUser
 	n := r.Controllers()
-	for at := 4 * time.Second; at < d; at += time.Duration(rng.IntN(5000)) * time.Millisecond {
+	for at := 4 * time.Second; at < duration; at += time.Duration(rng.IntN(5000)) * time.Millisecond {
 		i, what, long := rng.IntN(n), rng.IntN(31), time.Duration(500+rng.IntN(15000))*time.Millisecond
 		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Counterpart(1+rng.IntN(31)), rng.IntN(6)
 		blink := time.Duration(50+rng.IntN(850)) * time.Millisecond
@@ -630,10 +630,10 @@
 				r.Boots(factor, never)
 				r.After(long, func() { r.Boots(0, 0) })
 			case 11:
-				s := drawJob(rng, 700000+len(mistakes))
-				u := &simUser{w: r.World, rng: r.rng, spec: s}
+				spec := drawJob(rng, 700000+len(mistakes))
+				u := &simUser{w: r.World, rng: r.rng, spec: spec}
 				mistakes = append(mistakes, u)
-				r.Mistake(s.ID)
+				r.Mistake(spec.ID)
 				u.submit()
 				r.After(long, u.cancel)
 			case 12:
@@ -695,7 +695,7 @@
 		r.After(time.Second, follow)
 	}
 	follow()
-	r.Advance(d)
+	r.Advance(duration)
 	// Everything heals; the last freeze ends by itself.
 	r.Network(2*time.Millisecond, 0, 0, 0)
 	r.Copies(0, 0, 0)
@@ -724,7 +724,7 @@
 	begun, all := map[string]int{}, map[string]int{}
 	count := func(set string, u *simUser) {
 		all[set]++
-		if d, ok := r.FirstStart(u.spec.ID); ok && d <= 4*time.Minute {
+		if duration, ok := r.FirstStart(u.spec.ID); ok && duration <= 4*time.Minute {
 			begun[set]++
 		}
 	}
--- a/internal/world/users.go
+++ b/internal/world/users.go
@@ -73,18 +73,18 @@
 
 // Submit hands a job in, again for up to a minute, and then follows it until it is over or
 // the world's end; it returns the first final status of the submission, 0 if none came.
-func (u *Users) Submit(s *jobs.Spec) int {
-	u.w.Know(s)
-	body, _ := json.Marshal(s)
+func (u *Users) Submit(spec *jobs.Spec) int {
+	u.w.Know(spec)
+	body, _ := json.Marshal(spec)
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 		status, _, _ := u.call("POST", "/v2/runs", body)
 		switch status {
 		case 200, 201:
 			u.mu.Lock()
-			u.open[s.ID] = true
+			u.open[spec.ID] = true
 			u.mu.Unlock()
 			u.wait.Add(1)
-			go u.follow(s)
+			go u.follow(spec)
 			return status
 		case 400, 422:
 			return status
@@ -114,18 +114,18 @@
 }
 
 // follow polls until a job is over, and once more later: what was said stays.
-func (u *Users) follow(s *jobs.Spec) {
+func (u *Users) follow(spec *jobs.Spec) {
 	defer u.wait.Done()
-	h := History{ID: s.ID, Tasks: s.Tasks}
+	h := History{ID: spec.ID, Tasks: spec.Tasks}
 	for {
 		select {
 		case <-u.w.stop:
 			return
 		case <-time.After(400 * time.Millisecond):
 		}
-		status, v, _ := u.call("GET", "/v2/runs/"+s.ID, nil)
+		status, v, _ := u.call("GET", "/v2/runs/"+spec.ID, nil)
 		u.mu.Lock()
-		asked := u.asked[s.ID]
+		asked := u.asked[spec.ID]
 		u.mu.Unlock()
 		u.w.Heard(&h, status, v.Stance, asked)
 		if status == 404 {
@@ -133,8 +133,8 @@
 		}
 		if h.Times == 3 {
 			u.mu.Lock()
-			u.final[s.ID] = h.Final
-			delete(u.open, s.ID)
+			u.final[spec.ID] = h.Final
+			delete(u.open, spec.ID)
 			u.mu.Unlock()
 			return
 		}
@@ -181,13 +181,13 @@
 }
 
 // Wait waits until all accepted jobs are over, and says which are not after a time.
-func (u *Users) Wait(d time.Duration) error {
+func (u *Users) Wait(duration time.Duration) error {
 	done := make(chan struct{})
 	go func() { u.wait.Wait(); close(done) }()
 	select {
 	case <-done:
 		return nil
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -195,7 +195,7 @@
 	for id := range u.open {
 		ids = append(ids, id)
 	}
-	return fmt.Errorf("%d jobs are not over after %v: %v", len(ids), d, ids[:min(5, len(ids))])
+	return fmt.Errorf("%d jobs are not over after %v: %v", len(ids), duration, ids[:min(5, len(ids))])
 }
 
 // Check asks every controller about every job that is over, and about jobs that nobody
--- a/internal/world/worker.go
+++ b/internal/world/worker.go
@@ -221,8 +221,8 @@
 			unheard()
 			return
 		}
-		if d := w.late(&w.delays.answers); w.now()+d-now <= reportWait {
-			w.later(d, func() { heard(status, answer) })
+		if duration := w.late(&w.delays.answers); w.now()+duration-now <= reportWait {
+			w.later(duration, func() { heard(status, answer) })
 			return
 		}
 		unheard()
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -105,7 +105,7 @@
 	writes  bucket
 	usual   config.State // its limits at the start
 	down    bool
-	fate    func(controller int, t store.Txn) Fate
+	fate    func(controller int, txn store.Txn) Fate
 	cut     []bool // by controller: the state service refuses it
 	stuck   []bool // by controller: its watches aren't answered, everything else is
 	// loseWatches: a watch that comes in is never answered.
@@ -252,10 +252,10 @@
 func (w *World) Boot(n int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t := w.cfg.Types[0]
-	t.BootS = 0
+	machineType := w.cfg.Types[0]
+	machineType.BootS = 0
 	for i := range n {
-		if _, err := w.boot(w.now(), t, t.Zones[i%len(t.Zones)], false); err != nil {
+		if _, err := w.boot(w.now(), machineType, machineType.Zones[i%len(machineType.Zones)], false); err != nil {
 			return err
 		}
 	}
@@ -374,8 +374,8 @@
 func (w *World) FirstStart(id string) (time.Duration, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d, ok := w.waits[id]
-	return d, ok
+	duration, ok := w.waits[id]
+	return duration, ok
 }
 
 // Now is the world's time, from its start.
@@ -398,9 +398,9 @@
 func (w *World) Waits(class string) (ds []time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for id, d := range w.waits {
+	for id, duration := range w.waits {
 		if w.specs[id].Class == class {
-			ds = append(ds, d)
+			ds = append(ds, duration)
 		}
 	}
 	return ds
--- a/internal/world/zones.go
+++ b/internal/world/zones.go
@@ -96,11 +96,11 @@
 }
 
 // cutFor is a script's fault: a zone is cut off for a time.
-func cutFor(how Cut) func(d time.Duration, _ int, zone string) func(*World) {
-	return func(d time.Duration, _ int, zone string) func(*World) {
+func cutFor(how Cut) func(duration time.Duration, _ int, zone string) func(*World) {
+	return func(duration time.Duration, _ int, zone string) func(*World) {
 		return func(w *World) {
 			w.CutZone(zone, how)
-			w.ground.after(d, func() { w.CutZone(zone, Whole) })
+			w.ground.after(duration, func() { w.CutZone(zone, Whole) })
 		}
 	}
 }
@@ -108,19 +108,19 @@
 // flaps is how often flap-zone cuts a zone off.
 const flaps = 5
 
-func flapZone(d time.Duration, _ int, zone string) func(*World) {
+func flapZone(duration time.Duration, _ int, zone string) func(*World) {
 	return func(w *World) {
 		for i := range flaps {
-			w.ground.after(time.Duration(2*i)*d, func() { w.CutZone(zone, Lost) })
-			w.ground.after(time.Duration(2*i+1)*d, func() { w.CutZone(zone, Whole) })
+			w.ground.after(time.Duration(2*i)*duration, func() { w.CutZone(zone, Lost) })
+			w.ground.after(time.Duration(2*i+1)*duration, func() { w.CutZone(zone, Whole) })
 		}
 	}
 }
 
-func powerLost(d time.Duration, _ int, zone string) func(*World) {
+func powerLost(duration time.Duration, _ int, zone string) func(*World) {
 	return func(w *World) {
 		w.PowerLost(zone)
-		w.ground.after(d, func() {
+		w.ground.after(duration, func() {
 			for i := range w.settings {
 				if w.settings[i].Zone == zone {
 					w.StartController(i)
