--- a/internal/world/zones_test.go
+++ b/internal/world/zones_test.go
@@ -44,11 +44,11 @@
 // submitMany fills the cluster with work that goes on, so that machines stand in all zones.
 func (r *rolling) submitMany(n int, seconds float64) {
 	for i := range n {
-		s := &jobs.Spec{
+		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, MemoryGB: 1,
 			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true,
 		}
-		u := &simUser{w: r.World, rng: r.rng, spec: s}
+		u := &simUser{w: r.World, rng: r.rng, spec: spec}
 		r.users = append(r.users, u)
 		u.submit()
 	}
@@ -189,8 +189,8 @@
 	r := wide(t, 75, 3)
 	r.submitMany(24, 60) // machines in all zones
 	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
-	s := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}
-	u := &simUser{w: r.World, rng: r.rng, spec: s}
+	spec := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}
+	u := &simUser{w: r.World, rng: r.rng, spec: spec}
 	u.submit()
 	on := func() map[string]int {
 		r.mu.Lock()
@@ -198,7 +198,7 @@
 		m := map[string]int{}
 		for _, x := range r.machines {
 			for _, k := range x.tasks {
-				if k.spec == s && k.state != exited && !x.dead {
+				if k.spec == spec && k.state != exited && !x.dead {
 					m[x.zone]++
 				}
 			}
@@ -270,33 +270,33 @@
 		r.load(90 * time.Second)
 		n := r.Controllers()
 		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
-			zone, how, d := []string{"a", "b", "c"}[rng.IntN(3)], Cut(1+rng.IntN(5)), time.Duration(500+rng.IntN(20000))*time.Millisecond
+			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Cut(1+rng.IntN(5)), time.Duration(500+rng.IntN(20000))*time.Millisecond
 			i, what := rng.IntN(n), rng.IntN(10)
 			r.After(at, func() {
 				switch what {
 				case 0, 1, 2, 3:
 					r.CutZone(zone, how)
-					r.After(d, func() { r.CutZone(zone, Whole) })
+					r.After(duration, func() { r.CutZone(zone, Whole) })
 					lost++
 				case 4:
-					flapZone(d/8, 0, zone)(r.World)
+					flapZone(duration/8, 0, zone)(r.World)
 					lost++
 				case 5:
 					r.PowerLost(zone)
-					r.After(d/4, func() {
+					r.After(duration/4, func() {
 						for i := range n {
 							r.StartController(i)
 						}
 					})
 				case 6:
 					r.KillController(i)
-					r.After(d/4, func() { r.StartController(i) })
+					r.After(duration/4, func() { r.StartController(i) })
 				case 7:
-					r.DrainController(i, func() { r.After(d/8, func() { r.StartController(i) }) })
+					r.DrainController(i, func() { r.After(duration/8, func() { r.StartController(i) }) })
 				case 8:
-					during(d/3, (*World).Outage)(r.World)
+					during(duration/3, (*World).Outage)(r.World)
 				case 9:
-					during(d/2, (*World).CloudOutage)(r.World)
+					during(duration/2, (*World).CloudOutage)(r.World)
 				}
 			})
 		}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -214,7 +214,7 @@
 	if !z.Dirty() {
 		t.Fatal("nothing to be stored")
 	}
-	raw := z.Encode(name, func(d time.Duration) int64 { return 1_000_000 + d.Milliseconds() })
+	raw := z.Encode(name, func(duration time.Duration) int64 { return 1_000_000 + duration.Milliseconds() })
 	next := New(Config{ProbationTime: time.Second})
 	if err := next.Restore(raw, index, func(ms int64) time.Duration { return time.Duration(ms-1_020_000) * time.Millisecond }); err != nil {
 		t.Fatal(err)
