--- a/cmd/harewalk/daemon_world_test.go
+++ b/cmd/harewalk/daemon_world_test.go
@@ -21,7 +21,7 @@
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/controller"
 	"github.com/harewalk/harewalk/internal/jobs"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 func plainJob(n, tasks int, estimate float64) *jobs.Spec {
@@ -42,7 +42,7 @@
 	if long() {
 		n = 600
 	}
-	w, err := world.New(world.Config{Seed: seed, Machines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	w, err := simulator.New(simulator.Config{Seed: seed, Machines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 // The leader is drained while work flows: another leads without waiting for its hold to run out. How
 // long nothing starts is logged beside the same for a leader that is killed.
 func TestPlannedHandOver(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 22, Machines: 8, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	w, err := simulator.New(simulator.Config{Seed: 22, Machines: 8, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 // The leader is drained while the state service answers nobody: its end comes within bounds all the
 // same, and what was accepted goes on afterwards. A second signal ends a drain at once.
 func TestDrainInAnOutage(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 23, Machines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	w, err := simulator.New(simulator.Config{Seed: 23, Machines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,7 +283,7 @@
 
 // A user asks any controller why a job waits, and is told in plain words.
 func TestWhyCommand(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 24, Machines: 2, Teams: []config.Team{{Name: "red", CPUsMax: 4}, {Name: "blue"}}, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
+	w, err := simulator.New(simulator.Config{Seed: 24, Machines: 2, Teams: []config.Team{{Name: "red", CPUsMax: 4}, {Name: "blue"}}, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,7 +354,7 @@
 // Figures are served on an address of their own, by every controller; only the leader tells of
 // machines and seats.
 func TestMetrics(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 25, Machines: 2, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
+	w, err := simulator.New(simulator.Config{Seed: 25, Machines: 2, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -401,7 +401,7 @@
 // controllers one is told that nobody would be left, or of the other's command; and what is undrained serves
 // again.
 func TestOperatorsDrain(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 26, Machines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	w, err := simulator.New(simulator.Config{Seed: 26, Machines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -17,7 +17,7 @@
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/controller"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // dev is what `harewalk dev` was asked for.
@@ -36,7 +36,7 @@
 		Long: "Run a cluster that needs nothing else: controllers, and a stand-in state service, cloud, workers and licence\n" +
 			"server, all in this process and on loopback addresses only. Machines are not real and tasks only wait; what is\n" +
 			"decided is. Ctrl-C ends it.\n\n" +
-			"A script has one fault a line, with its time: \"30s outage 5s\". Faults: " + strings.Join(world.FaultWords(), ", ") + ".",
+			"A script has one fault a line, with its time: \"30s outage 5s\". Faults: " + strings.Join(simulator.FaultWords(), ", ") + ".",
 		Example: "  harewalk dev\n  harewalk dev --machines 50 --zones a,b,c --speed 4 --script faults.txt --operator deploy/licences.hcl",
 		RunE: func(c *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -81,14 +81,14 @@
 	if err := logTo(errs, d.logs); err != nil {
 		return coded{exitUsage, err}
 	}
-	var script []world.Fault
+	var script []simulator.Fault
 	if d.script != "" {
 		f, err := os.Open(d.script)
 		if err != nil {
 			return coded{exitUsage, fmt.Errorf("--script: %w", err)}
 		}
 		defer func() { _ = f.Close() }()
-		if script, err = world.ParseScript(f); err != nil {
+		if script, err = simulator.ParseScript(f); err != nil {
 			return coded{exitUsage, fmt.Errorf("--script %s: %w", d.script, err)}
 		}
 		for _, f := range script {
@@ -97,7 +97,7 @@
 			}
 		}
 	}
-	w, err := world.New(world.Config{
+	w, err := simulator.New(simulator.Config{
 		Seed: d.seed, Controllers: d.controllers, Zones: d.zones, Machines: d.machines, Speed: d.speed,
 		Types: []capacity.MachineType{
 			{Name: "small", CPUs: 8, Mem: 32, CacheGB: 50, FetchGB: 2, Price: 0.4, Spot: 0.15, BootS: 3, Zones: d.zones},
@@ -121,7 +121,7 @@
 		return coded{exitFailed, err}
 	}
 	d.welcome(out, w)
-	w.Play(script, func(f world.Fault) { fmt.Fprintf(errs, "fault at %v: %s\n", f.At, f.Text) })
+	w.Play(script, func(f simulator.Fault) { fmt.Fprintf(errs, "fault at %v: %s\n", f.At, f.Text) })
 	select {
 	case err := <-fail:
 		return coded{exitFailed, err}
@@ -135,7 +135,7 @@
 }
 
 // settings are a controller's: the world's, with the operators' own on top.
-func (d *dev) settings(w *world.World, i int) (*config.Settings, error) {
+func (d *dev) settings(w *simulator.World, i int) (*config.Settings, error) {
 	settings, err := config.Parse(w.Settings(i))
 	if err == nil && d.operator != "" {
 		err = settings.LoadOperator(d.operator)
@@ -143,7 +143,7 @@
 	return settings, err
 }
 
-func awaitReady(ctx context.Context, w *world.World, controllers int) error {
+func awaitReady(ctx context.Context, w *simulator.World, controllers int) error {
 	for i := range controllers {
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			if status, _, _, err := once("GET", "http://"+w.Public(i)+"/up", nil); err == nil && status == 200 {
@@ -164,7 +164,7 @@
 	"same_place": false, "apart": false, "stray": true, "stride_s": 20.0, "rest_s": 0.0, "stash_s": 0.0, "dusk_s": nil,
 }
 
-func (d *dev) welcome(out io.Writer, w *world.World) {
+func (d *dev) welcome(out io.Writer, w *simulator.World) {
 	raw, _ := json.Marshal(sample)
 	fmt.Fprintf(out, "A cluster of %d controllers runs here, with a stand-in cloud of up to %d machines in zones %s.\n\n", d.controllers, d.machines, strings.Join(d.zones, ", "))
 	for i := range d.controllers {
--- a/cmd/harewalk/rollout_world_test.go
+++ b/cmd/harewalk/rollout_world_test.go
@@ -14,11 +14,11 @@
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // plan asks the command line which controller is next.
-func plan(t *testing.T, w *world.World) (v rollout.View) {
+func plan(t *testing.T, w *simulator.World) (v rollout.View) {
 	t.Helper()
 	until(t, "a plan", func() bool {
 		for i := range 3 {
@@ -33,7 +33,7 @@
 }
 
 // rollBy restarts controllers in the order of the command line's plan until as many as there are run something else.
-func rollBy(t *testing.T, w *world.World, c *world.Cluster, swap func(i int)) {
+func rollBy(t *testing.T, w *simulator.World, c *simulator.Cluster, swap func(i int)) {
 	t.Helper()
 	for done := map[string]bool{}; len(done) < 3; {
 		v := plan(t, w)
@@ -60,7 +60,7 @@
 // Real processes of the former release are rolled to this one by the command line, under load: in the order of its plan,
 // held by an operator until the word is given; then nothing leads back, and the answers say so.
 func TestRollProcesses(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 31, Machines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	w, err := simulator.New(simulator.Config{Seed: 31, Machines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,7 +124,7 @@
 		t.Skip("HAREWALK_EARLIER names no program of an earlier revision")
 	}
 	seed := uint64(77)
-	w, err := world.New(world.Config{Seed: seed, Machines: 12, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	w, err := simulator.New(simulator.Config{Seed: seed, Machines: 12, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_world_test.go
@@ -14,7 +14,7 @@
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 const sessionPolicy = `
@@ -31,16 +31,16 @@
 }
 `
 
-func notebook(w *world.World, n int, cpus float64) *world.InteractiveSession {
+func notebook(w *simulator.World, n int, cpus float64) *simulator.InteractiveSession {
 	return w.InteractiveSession(&jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
 		Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
 	}, "kana")
 }
 
-func sessionWorld(t *testing.T, seed uint64, machines int) *world.World {
+func sessionWorld(t *testing.T, seed uint64, machines int) *simulator.World {
 	t.Helper()
-	w, err := world.New(world.Config{
+	w, err := simulator.New(simulator.Config{
 		Seed: seed, Machines: machines, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 		Types: []capacity.MachineType{{Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"}}},
 	})
@@ -66,11 +66,11 @@
 	}
 }
 
-func in(n *world.InteractiveSession, states ...string) func() bool {
+func in(n *simulator.InteractiveSession, states ...string) func() bool {
 	return func() bool { return slices.Contains(states, n.Show().State) }
 }
 
-func usable(n *world.InteractiveSession) func() bool {
+func usable(n *simulator.InteractiveSession) func() bool {
 	return func() bool { _, ok := n.Work(); return ok }
 }
 
@@ -141,7 +141,7 @@
 	w := sessionWorld(t, 12, 8)
 	cluster(t, w, sessionPolicy)
 	var wait sync.WaitGroup
-	script := func(n int, name string, f func(t *testing.T, n *world.InteractiveSession)) {
+	script := func(n int, name string, f func(t *testing.T, n *simulator.InteractiveSession)) {
 		nb := notebook(w, n, 1)
 		if status := nb.Open(); status != 201 {
 			t.Fatalf("%s: status %d", name, status)
@@ -155,7 +155,7 @@
 			})
 		}()
 	}
-	script(1, "a long cell runs", func(t *testing.T, n *world.InteractiveSession) {
+	script(1, "a long cell runs", func(t *testing.T, n *simulator.InteractiveSession) {
 		if !n.Cell(8 * time.Second) {
 			t.Fatal("no cell")
 		}
@@ -166,7 +166,7 @@
 		}
 		until(t, "reclaimed after the cell", in(n, "reclaimed"))
 	})
-	script(2, "the user returns before the save", func(t *testing.T, n *world.InteractiveSession) {
+	script(2, "the user returns before the save", func(t *testing.T, n *simulator.InteractiveSession) {
 		until(t, "warned", in(n, "warned"))
 		if status, v := n.Attach(); status != 200 || v.State != "active" {
 			t.Fatalf("status %d, %+v", status, v)
@@ -176,7 +176,7 @@
 			t.Fatalf("%d steps", work)
 		}
 	})
-	script(3, "the user returns after the save was ordered", func(t *testing.T, n *world.InteractiveSession) {
+	script(3, "the user returns after the save was ordered", func(t *testing.T, n *simulator.InteractiveSession) {
 		n.Saves(false, 1500*time.Millisecond)
 		until(t, "saving", in(n, "saving"))
 		if status, _ := n.Attach(); status != 200 {
@@ -187,7 +187,7 @@
 			t.Fatalf("%d steps", work)
 		}
 	})
-	script(4, "the save fails", func(t *testing.T, n *world.InteractiveSession) {
+	script(4, "the save fails", func(t *testing.T, n *simulator.InteractiveSession) {
 		n.Saves(true, 0)
 		until(t, "saving", in(n, "saving"))
 		until(t, "quiet again", in(n, "quiet", "active"))
@@ -197,7 +197,7 @@
 		n.Saves(false, 0)
 		until(t, "reclaimed once saves work", in(n, "reclaimed"))
 	})
-	script(5, "the save takes too long", func(t *testing.T, n *world.InteractiveSession) {
+	script(5, "the save takes too long", func(t *testing.T, n *simulator.InteractiveSession) {
 		n.Saves(false, 30*time.Second)
 		until(t, "saving", in(n, "saving"))
 		until(t, "given up", in(n, "quiet", "active"))
@@ -206,7 +206,7 @@
 			t.Fatal("reclaimed without its save")
 		}
 	})
-	script(6, "two attaches at once, and a flood of keep-alives", func(t *testing.T, n *world.InteractiveSession) {
+	script(6, "two attaches at once, and a flood of keep-alives", func(t *testing.T, n *simulator.InteractiveSession) {
 		var ids [2]uint64
 		var both sync.WaitGroup
 		for i := range ids {
@@ -235,7 +235,7 @@
 			t.Fatalf("a flood was taken: %v", statuses)
 		}
 	})
-	script(8, "spot notice while warned", func(t *testing.T, n *world.InteractiveSession) {
+	script(8, "spot notice while warned", func(t *testing.T, n *simulator.InteractiveSession) {
 		until(t, "warned", in(n, "warned"))
 		n.NoticeMachine(4 * time.Second) // or it was stopped already
 		until(t, "elsewhere", func() bool {
--- a/cmd/harewalk/tls_world_test.go
+++ b/cmd/harewalk/tls_world_test.go
@@ -9,13 +9,13 @@
 	"testing"
 
 	"github.com/harewalk/harewalk/internal/access/accesstest"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // Users are served over TLS only, with tokens, while workers go on without; keys and users change
 // without a restart, and what a token may is checked by every controller.
 func TestTLSAndTokens(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 27, Machines: 3})
+	w, err := simulator.New(simulator.Config{Seed: 27, Machines: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -16,7 +16,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/licences"
 	"github.com/harewalk/harewalk/internal/rollout"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // asProgram lets the test's own binary be the program: the controllers of a world are processes
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		if os.Getenv(asFormer) != "" {
-			settle = func(settings *config.Settings) { settings.Earlier(rollout.Newest-1, world.Former) }
+			settle = func(settings *config.Settings) { settings.Earlier(rollout.Newest-1, simulator.Former) }
 		}
 		main()
 		return
@@ -41,7 +41,7 @@
 func long() bool { return os.Getenv("HAREWALK_LONG") != "" }
 
 // startAll starts the three controllers of a cluster and waits until they are ready.
-func startAll(t *testing.T, c *world.Cluster) {
+func startAll(t *testing.T, c *simulator.Cluster) {
 	t.Helper()
 	for i := range 3 {
 		if err := c.Start(i); err != nil {
@@ -56,7 +56,7 @@
 }
 
 // cluster starts the controllers of a world and waits until they are ready.
-func cluster(t *testing.T, w *world.World, operator string) *world.Cluster {
+func cluster(t *testing.T, w *simulator.World, operator string) *simulator.Cluster {
 	t.Helper()
 	dir := t.TempDir()
 	if keep := os.Getenv("HAREWALK_KEEP"); keep != "" {
@@ -121,7 +121,7 @@
 	if long() {
 		most, starts, often = 900, 5500, 1
 	}
-	w, err := world.New(world.Config{
+	w, err := simulator.New(simulator.Config{
 		Seed: seed, Machines: 14, Pools: map[string]int{"transcribe": 24, "optimise": 8}, Linger: 3 * time.Second,
 		Types: []capacity.MachineType{{Name: "g4", CPUs: 8, GPUs: 2, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 1, Zones: []string{"a", "b"}}},
 		Teams: []config.Team{{Name: "red", CPUs: 10, CPUsMax: 60}, {Name: "blue", CPUs: 10, CPUsMax: 60}},
@@ -170,7 +170,7 @@
 
 // trouble plays faults until it is stopped, and heals what it broke.
 // often scales how many.
-func trouble(stop chan struct{}, w *world.World, c *world.Cluster, often int) {
+func trouble(stop chan struct{}, w *simulator.World, c *simulator.Cluster, often int) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	back := [3]time.Time{}
 	server := time.Time{}
@@ -219,7 +219,7 @@
 	if !long() {
 		t.Skip("a measurement: set HAREWALK_LONG")
 	}
-	w, err := world.New(world.Config{Seed: 2, Machines: 12, Pools: map[string]int{"transcribe": 40, "optimise": 8}})
+	w, err := simulator.New(simulator.Config{Seed: 2, Machines: 12, Pools: map[string]int{"transcribe": 40, "optimise": 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -267,7 +267,7 @@
 // An operator looks at pools and changes their counts while tasks run, through any controller;
 // the count survives all controllers, and of two conflicting commands one is told of the other.
 func TestOperatorsCountLicences(t *testing.T) {
-	w, err := world.New(world.Config{Seed: 3, Machines: 4, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
+	w, err := simulator.New(simulator.Config{Seed: 3, Machines: 4, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/allotment/allotment.go
+++ b/internal/allocation/allocation.go
@@ -1,4 +1,4 @@
-// Package allotment divides a limit (a team's cores, a pool's seats) among the parts of the fleet, each
+// Package allocation divides a limit (a team's cores, a pool's seats) among the parts of the fleet, each
 // with an owner that plans alone. The division is one durable document; a part may use what the
 // document gives it, and the parts together never more than the limit, whatever lands late and whoever
 // owns them.
@@ -12,7 +12,7 @@
 //   - while it is open whether a change was carried out, the lesser of both counts, until the document
 //     is seen at a newer version: a change that was lost may land as long as its version stands;
 //   - a change is void once its owner doesn't lead the part any more.
-package allotment
+package allocation
 
 import (
 	"fmt"
--- a/internal/allotment/model_test.go
+++ b/internal/allocation/model_test.go
@@ -1,4 +1,4 @@
-package allotment
+package allocation
 
 import (
 	"fmt"
--- a/internal/intake/abort.go
+++ b/internal/api/abort.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"time"
@@ -9,12 +9,12 @@
 )
 
 // Abort cancels a job. The answer is given once that is durable.
-func (n *Intake) Abort(now time.Duration, id string, reply func(Reply)) {
+func (n *Service) Abort(now time.Duration, id string, reply func(Reply)) {
 	n.AbortBy(now, nil, id, reply)
 }
 
 // AbortBy cancels a job for a user, who must be one of its team; nil is anybody.
-func (n *Intake) AbortBy(now time.Duration, w *access.Who, id string, reply func(Reply)) {
+func (n *Service) AbortBy(now time.Duration, w *access.Who, id string, reply func(Reply)) {
 	if n.settled(id, false, reply) {
 		return
 	}
@@ -25,7 +25,7 @@
 	n.abort(w, id, reply, 4)
 }
 
-func (n *Intake) abort(w *access.Who, id string, reply func(Reply), tries int) {
+func (n *Service) abort(w *access.Who, id string, reply func(Reply), tries int) {
 	job := n.Jobs.Get(id)
 	if job != nil && job.State.Terminal() {
 		reply(n.show(job, false))
--- a/internal/intake/archive_test.go
+++ b/internal/api/archive_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 // moved lets a job stand in the archive and nowhere else, as after a move by another controller.
--- a/internal/intake/bench_test.go
+++ b/internal/api/bench_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 // polled is a controller that knows n jobs and has asked about nothing yet.
--- a/internal/intake/http.go
+++ b/internal/api/http.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"errors"
@@ -20,7 +20,7 @@
 type Routes struct {
 	Post, PostReport func(func()) bool
 	Now              func() time.Duration
-	Intake           *Intake
+	Intake           *Service
 	Up               func() bool
 	Report           func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
 	// Leader answers what only the leader can.
--- a/internal/intake/http_test.go
+++ b/internal/api/http_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 
 	"github.com/harewalk/harewalk/internal/access"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/world/state"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 )
 
 // Where tokens are asked for, every door for users is shut without one, however its path is spelled; what a
@@ -38,7 +38,7 @@
 	post := func(f func()) bool { f(); return true }
 	go func() {
 		_ = Serve(ln, Routes{
-			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: d.Intake, Up: func() bool { return true },
+			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: d.Service, Up: func() bool { return true },
 			Report:   func(_ time.Duration, _ *fleet.Heartbeat, reply func(Reply)) { reply(Reply{Status: 200}) },
 			Leader:   &LeaderAPI{Licences: true, Sessions: true, Answer: func(_ time.Duration, _ LeaderRequest, reply func(Reply)) { reply(Reply{Status: 200}) }},
 			MaxConns: 10, Crowded: 10, Users: users,
@@ -97,7 +97,7 @@
 	post := func(f func()) bool { f(); return true }
 	go func() {
 		_ = Serve(ln, Routes{
-			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: newDesk(state.New()).Intake, Up: func() bool { return true },
+			Post: post, PostReport: post, Now: func() time.Duration { return 0 }, Intake: newDesk(state.New()).Service, Up: func() bool { return true },
 			Report: func(_ time.Duration, _ *fleet.Heartbeat, reply func(Reply)) { reply(Reply{Status: 200}) }, Leader: &LeaderAPI{}, MaxConns: 20, Crowded: 10,
 		})
 	}()
--- a/internal/intake/resolve.go
+++ b/internal/api/indeterminate.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"errors"
@@ -22,7 +22,7 @@
 )
 
 // final gives the answer about a job that is known to have ended; it never changes, so no read is needed.
-func (n *Intake) final(id string, full bool) (Reply, bool) {
+func (n *Service) final(id string, full bool) (Reply, bool) {
 	if job := n.Jobs.Get(id); job != nil {
 		if !job.State.Terminal() {
 			return Reply{}, false
@@ -35,7 +35,7 @@
 
 // settled answers what needs no read: an id that is none, a controller that can't answer, a job that has ended. It is
 // false if it has answered nothing.
-func (n *Intake) settled(id string, full bool, reply func(Reply)) bool {
+func (n *Service) settled(id string, full bool, reply func(Reply)) bool {
 	if !jobs.ValidID(id) {
 		reply(noSuchJob)
 		return true
@@ -73,7 +73,7 @@
 }
 
 // reread answers from a fresh read of a job's record, or of its archived answer, with absent if there is neither.
-func (n *Intake) reread(id string, reply func(Reply), full bool, absent Reply) {
+func (n *Service) reread(id string, reply func(Reply), full bool, absent Reply) {
 	accepted := func(job *jobs.Job) { reply(n.show(job, full)) }
 	n.Store.Get(jobs.RecordKey(id), classOf(full), func(item store.Item, err error) {
 		if err != nil {
@@ -99,7 +99,7 @@
 
 // archived answers from a job's archived answer, after its record was seen to be absent; accepted goes on with a job that
 // was accepted since then.
-func (n *Intake) archived(id string, reply func(Reply), full bool, absent Reply, accepted func(*jobs.Job)) {
+func (n *Service) archived(id string, reply func(Reply), full bool, absent Reply, accepted func(*jobs.Job)) {
 	n.Archive.Find(id, classOf(full), func(answer archive.Answer, found bool, err error) {
 		switch job := n.Jobs.Get(id); {
 		case errors.Is(err, archive.ErrUnreadable):
--- a/internal/intake/operator.go
+++ b/internal/api/leader.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"crypto/subtle"
--- a/internal/intake/later.go
+++ b/internal/api/retryafter.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 // later refuses a submission at once, and says when there will be room for it: each refused one has a place of its own in
 // the budget for writes that is to come. Told to come back after a second, whatever the backlog, a thousand users once
 // asked again every second for as long as it lasted, four refusals for every job.
-func (n *Intake) later(now time.Duration, why string) Reply {
+func (n *Service) later(now time.Duration, why string) Reply {
 	perWrite := time.Duration(float64(time.Second) / (n.Store.WriteRate() * usablePart))
 	n.promised = max(n.promised, now) + perWrite
 	r := refuse(429, why)
--- a/internal/intake/later_test.go
+++ b/internal/api/retryafter_test.go
@@ -1,12 +1,12 @@
-package intake
+package api
 
 import (
 	"testing"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 // Three hundred jobs come in one moment where ten a second can be stored, and their users come back when they are told to:
--- a/internal/intake/scale_test.go
+++ b/internal/api/scale_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 // fleetSize is a fleet below whose needs no fixed bound may stand.
--- a/internal/intake/intake.go
+++ b/internal/api/service.go
@@ -1,6 +1,6 @@
-// Package intake answers users: submissions, queries, aborts and the health check. It
+// Package api answers users: submissions, queries, aborts and the health check. It
 // runs on the event loop; http.go brings the requests in.
-package intake
+package api
 
 import (
 	"time"
@@ -85,8 +85,8 @@
 	MaxTasks, MaxBytes, MaxValue int
 }
 
-// Intake is the event-loop side.
-type Intake struct {
+// Service is the event-loop side.
+type Service struct {
 	Env
 	submissions    []pendingSubmission
 	bytes          int // of the records in submits
@@ -99,7 +99,7 @@
 }
 
 // limits is what a transaction may hold now.
-func (n *Intake) limits() store.Limits {
+func (n *Service) limits() store.Limits {
 	l := store.Limits{MaxOps: n.TxnOps, MaxValueBytes: n.MaxValue}
 	if n.Limits != nil {
 		now := n.Limits()
@@ -109,24 +109,24 @@
 }
 
 // Drain refuses submissions from now on; what was taken is answered.
-func (n *Intake) Drain() { n.draining = true }
+func (n *Service) Drain() { n.draining = true }
 
 // Resume takes submissions again.
-func (n *Intake) Resume() { n.draining = false }
+func (n *Service) Resume() { n.draining = false }
 
 // Busy tells whether users wait for an answer.
-func (n *Intake) Busy() bool {
+func (n *Service) Busy() bool {
 	return n.submitInFlight || n.queryInFlight || len(n.submissions)+len(n.queries) > 0
 }
 
 // New makes an intake.
-func New(env Env) *Intake { return &Intake{Env: env} }
+func New(env Env) *Service { return &Service{Env: env} }
 
 // stateLost tells that the state service has not answered for so long that asking it
 // again would only hold the user back.
-func (n *Intake) stateLost(now time.Duration) bool { return now-n.Store.LastSuccess() > 3*time.Second }
+func (n *Service) stateLost(now time.Duration) bool { return now-n.Store.LastSuccess() > 3*time.Second }
 
-func (n *Intake) show(job *jobs.Job, full bool) Reply {
+func (n *Service) show(job *jobs.Job, full bool) Reply {
 	v := view{ID: job.ID, Stance: job.State.String()}
 	done, running := job.FinishedTasks, 0
 	if job.State == jobs.Pending {
@@ -142,7 +142,7 @@
 }
 
 // fit refuses everybody where this release is behind the cluster's: what it would say or write could be wrong.
-func (n *Intake) fit(reply func(Reply)) bool {
+func (n *Service) fit(reply func(Reply)) bool {
 	if n.Compatible == nil || n.Compatible() {
 		return true
 	}
@@ -151,7 +151,7 @@
 }
 
 // guarded are a write's conditions with the level's.
-func (n *Intake) guarded(cs ...store.Condition) []store.Condition {
+func (n *Service) guarded(cs ...store.Condition) []store.Condition {
 	if n.LevelCondition == nil {
 		return cs
 	}
@@ -159,4 +159,4 @@
 }
 
 // Tick sends a check that was spaced out.
-func (n *Intake) Tick(now time.Duration) { n.check(now) }
+func (n *Service) Tick(now time.Duration) { n.check(now) }
--- a/internal/intake/intake_test.go
+++ b/internal/api/service_test.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 func TestMain(m *testing.M) {
@@ -23,7 +23,7 @@
 
 // desk is one controller's intake before the stand-in; the test delivers answers.
 type desk struct {
-	*Intake
+	*Service
 	svc   *state.Service
 	lose  bool                 // answers are lost after the request was carried out
 	drop  bool                 // requests are lost
@@ -67,7 +67,7 @@
 	d := &desk{svc: svc}
 	st := store.New("", d, func() time.Duration { return svc.Now }, store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	book := jobs.NewTable(0)
-	d.Intake = New(Env{
+	d.Service = New(Env{
 		Store: st, Jobs: book, Archive: archive.NewReader(st, 8), Ready: func() bool { return true }, TxnOps: 24, MaxTasks: 3000, MaxBytes: 1 << 20, MaxValue: 8 << 10,
 		Admit: func(spec *jobs.Spec) AdmissionResult {
 			return AdmissionResult{OK: spec.Team == "t", Known: spec.Team != "unknown yet", Open: spec.Team == "short of seats", Why: "team"}
--- a/internal/intake/question.go
+++ b/internal/api/statusquery.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"log/slog"
@@ -33,14 +33,14 @@
 
 // Query answers what has become of a job. What can still change is checked against the
 // state service, many jobs in one transaction without changes.
-func (n *Intake) Query(now time.Duration, id string, reply func(Reply)) {
+func (n *Service) Query(now time.Duration, id string, reply func(Reply)) {
 	if n.settled(id, true, reply) {
 		return
 	}
 	n.queueCheck(now, statusQuery{id: id, reply: reply})
 }
 
-func (n *Intake) queueCheck(now time.Duration, c statusQuery) {
+func (n *Service) queueCheck(now time.Duration, c statusQuery) {
 	if n.stateLost(now) {
 		c.reply(noStateReply)
 		return
@@ -53,7 +53,7 @@
 	n.check(now)
 }
 
-func (n *Intake) check(now time.Duration) {
+func (n *Service) check(now time.Duration) {
 	if n.queryInFlight || len(n.queries) == 0 || now < n.nextCheck {
 		return
 	}
@@ -100,7 +100,7 @@
 	})
 }
 
-func (n *Intake) checked(batch []statusQuery, result store.Result) {
+func (n *Service) checked(batch []statusQuery, result store.Result) {
 	failed := map[string]bool{}
 	for _, k := range result.FailedKeys {
 		failed[k] = true
@@ -138,7 +138,7 @@
 }
 
 // absentFor answers a question about a job that has neither record nor answer.
-func (n *Intake) absentFor(c statusQuery) Reply {
+func (n *Service) absentFor(c statusQuery) Reply {
 	if c.submit {
 		return notStored
 	}
@@ -146,6 +146,6 @@
 }
 
 // again answers a question by reading, where a check has not settled it.
-func (n *Intake) again(c statusQuery) {
+func (n *Service) again(c statusQuery) {
 	n.reread(c.id, c.reply, !c.submit, n.absentFor(c))
 }
--- a/internal/intake/submit.go
+++ b/internal/api/submit.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"time"
@@ -18,7 +18,7 @@
 }
 
 // Submit takes a parsed submission.
-func (n *Intake) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
+func (n *Service) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
 	if n.draining {
 		reply(refuse(503, "this controller is being drained: ask another"))
 		return
@@ -75,7 +75,7 @@
 }
 
 // enqueue lets a submission wait to be stored, if there is room.
-func (n *Intake) enqueue(now time.Duration, s pendingSubmission) {
+func (n *Service) enqueue(now time.Duration, s pendingSubmission) {
 	if len(n.submissions) >= maxSubmits || n.bytes+len(s.raw) > n.MaxBytes {
 		s.reply(n.later(now, "too many submissions"))
 		return
@@ -86,7 +86,7 @@
 
 // flush writes all waiting submissions in one transaction; those that come meanwhile form
 // the next.
-func (n *Intake) flush(now time.Duration) {
+func (n *Service) flush(now time.Duration) {
 	if n.submitInFlight || len(n.submissions) == 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 	})
 }
 
-func (n *Intake) submitted(now time.Duration, batch []pendingSubmission, result store.Result) {
+func (n *Service) submitted(now time.Duration, batch []pendingSubmission, result store.Result) {
 	failed := map[string]bool{}
 	for _, k := range result.FailedKeys {
 		failed[k] = true
@@ -159,7 +159,7 @@
 
 // accepted answers a submission whose record is durable. Others may have read the record, users may have cancelled the
 // job, and it may even be over, before the answer of the state service came: the newest that is known goes out.
-func (n *Intake) accepted(s pendingSubmission) {
+func (n *Service) accepted(s pendingSubmission) {
 	switch job := n.Jobs.Get(s.spec.ID); {
 	case job == nil:
 		n.reread(s.spec.ID, s.reply, false, notStored)
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -9,8 +9,8 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/sessions"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 // direct carries requests to a stand-in for the state service, which answers at once.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,16 +12,16 @@
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/httpio"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/licences"
 	"github.com/harewalk/harewalk/internal/membership"
-	"github.com/harewalk/harewalk/internal/operate"
 	"github.com/harewalk/harewalk/internal/peers"
 	"github.com/harewalk/harewalk/internal/quota"
 	"github.com/harewalk/harewalk/internal/rollout"
@@ -69,7 +69,7 @@
 	membership    *membership.Membership
 	rollout       *rollout.Rollout
 	jobs          *jobs.Table
-	intake        *intake.Intake
+	intake        *api.Service
 	cloud         *capacity.Cloud
 	quota         *quota.Ledger
 
@@ -102,14 +102,14 @@
 	archived             *archive.Reader
 	archiveAt            time.Duration // when ended jobs were looked at
 	storedZones          storedZones
-	drainDocument        operate.Wishes
+	drainDocument        drain.Document
 	drainDocumentVersion uint64
-	machineDrains        *operate.Drains
+	machineDrains        *drain.MachineRequests
 	drainUpkeep          drainUpkeep
 	listAt               time.Duration // when jobs were listed last
 
 	foreignHeartbeats foreignHeartbeats
-	answers           intake.ResponseCounter
+	answers           api.ResponseCounter
 	failoverTiming    failoverTiming
 
 	summary    time.Duration
@@ -141,7 +141,7 @@
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(settings.Node))
 	c := &Controller{
-		settings: settings, loop: NewLoop(o.Now), peerStatus: map[string]peerStatus{}, machineDrains: operate.NewDrains(), ended: make(chan struct{}), byType: map[int32]*fleet.MachineType{},
+		settings: settings, loop: NewLoop(o.Now), peerStatus: map[string]peerStatus{}, machineDrains: drain.NewMachineRequests(), ended: make(chan struct{}), byType: map[int32]*fleet.MachineType{},
 		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
 	}
 	if o.Sender == nil {
@@ -170,16 +170,16 @@
 		c.rollout.HandleDelete(k, v)
 		c.membership.HandleDelete(c.loop.Now(), k, v)
 		c.licencePools.Drop(k, v)
-		if k == operate.Key {
+		if k == drain.DocumentKey {
 			c.applyDrainDocument(nil, v)
 		}
-		c.machineDrains.Drop(k, v)
+		c.machineDrains.HandleDelete(k, v)
 	}
 	c.watchCache.OnReset = c.resetKeys
 	c.watchCache.OnSynced = func() { c.rollout.HandleSynced(); c.membership.HandleSynced(c.loop.Now()) }
 	c.archive = settings.Archive()
 	c.archived = c.newReader(c.archive.CacheEntries)
-	c.intake = intake.New(intake.Env{
+	c.intake = api.New(api.Env{
 		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.watchCache.Synced,
 		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
 		MaxBytes: settings.Params.Limits.QueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
@@ -216,7 +216,7 @@
 	}
 	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.hear(s) }) })
 	fail := make(chan error, 2)
-	routes := intake.Routes{
+	routes := api.Routes{
 		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.intake, Up: c.up,
 		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
 	}
@@ -230,9 +230,9 @@
 		over.MaxConns, over.Crowded = max(1, routes.MaxConns/4), max(1, routes.Crowded/4)
 		routes.MaxConns, routes.Crowded = routes.MaxConns-over.MaxConns, max(1, routes.Crowded-over.Crowded)
 		routes.WorkersOnly = t.Plain == "workers"
-		go func() { fail <- intake.Serve(tls.NewListener(secure, c.settings.Keys().Users()), over) }()
+		go func() { fail <- api.Serve(tls.NewListener(secure, c.settings.Keys().Users()), over) }()
 	}
-	go func() { fail <- intake.Serve(public, routes) }()
+	go func() { fail <- api.Serve(public, routes) }()
 	go c.checkFiles(checkFilesEvery)
 	c.sayArchive()
 	slog.Info("serving", "node", c.settings.Node, "public", c.settings.Public, "hold_ms", c.settings.Operator.HoldTTLMS,
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/operate"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -38,13 +38,13 @@
 }
 
 // desiredDrains is all that operators want, as far as it was followed.
-func (c *Controller) desiredDrains() operate.Desired {
-	return operate.Desired{Document: c.drainDocument, Drains: c.machineDrains, OwnKeys: c.rollout.Level() >= rollout.DrainKeys}
+func (c *Controller) desiredDrains() drain.DesiredState {
+	return drain.DesiredState{Document: c.drainDocument, Drains: c.machineDrains, OwnKeys: c.rollout.Level() >= rollout.DrainKeys}
 }
 
 // handleDrainRequest takes over the drain request of a machine.
 func (c *Controller) handleDrainRequest(item store.Item) {
-	if err := c.machineDrains.Item(item.Key, item.Value, item.Version); err != nil {
+	if err := c.machineDrains.HandleItem(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // moveDrains takes the next step that moves requests out of the document, if one is due, and tells whether it did.
-func (c *Controller) moveDrains(now time.Duration, want operate.Desired) bool {
+func (c *Controller) moveDrains(now time.Duration, want drain.DesiredState) bool {
 	if now-c.drainUpkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
 		return false
 	}
@@ -114,7 +114,7 @@
 }
 
 // sweepDrains deletes the requests of machines that are gone.
-func (c *Controller) sweepDrains(now time.Duration, want operate.Desired) {
+func (c *Controller) sweepDrains(now time.Duration, want drain.DesiredState) {
 	c.trackUnknownMachines(now, want)
 	if !want.OwnKeys {
 		if w, any := c.drainDocument.Without(c.machineGone); any {
@@ -125,8 +125,8 @@
 	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
 	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
 		s, _ := c.machineDrains.Of(name)
-		txn.If = append(txn.If, store.Condition{Key: operate.DrainKey(name), Version: s.Version})
-		txn.Then = append(txn.Then, store.Op{Delete: operate.DrainKey(name)})
+		txn.If = append(txn.If, store.Condition{Key: drain.MachineKey(name), Version: s.Version})
+		txn.Then = append(txn.Then, store.Op{Delete: drain.MachineKey(name)})
 	}
 	if len(txn.Then) > 0 {
 		c.writeDrains(txn)
@@ -134,7 +134,7 @@
 }
 
 // trackUnknownMachines notes which machines that are to be drained the leader doesn't know, and since when.
-func (c *Controller) trackUnknownMachines(now time.Duration, want operate.Desired) {
+func (c *Controller) trackUnknownMachines(now time.Duration, want drain.DesiredState) {
 	was := c.drainUpkeep.unknown
 	c.drainUpkeep.unknown = map[string]time.Duration{}
 	for name := range want.Machines() {
@@ -174,19 +174,19 @@
 // documentConds are what a write that was decided by the document depends on: its version, and the level, which says
 // where requests belong.
 func (c *Controller) documentConds() []store.Condition {
-	return []store.Condition{c.rollout.LevelCondition(), {Key: operate.Key, Version: c.drainDocumentVersion}}
+	return []store.Condition{c.rollout.LevelCondition(), {Key: drain.DocumentKey, Version: c.drainDocumentVersion}}
 }
 
-func documentOp(w operate.Wishes) store.Op {
+func documentOp(w drain.Document) store.Op {
 	raw, _ := json.Marshal(w)
-	return store.Op{Put: operate.Key, Value: raw}
+	return store.Op{Put: drain.DocumentKey, Value: raw}
 }
 
 // writeDrainChange writes what a command changes, in one transaction of at most two changes.
-func (c *Controller) writeDrainChange(ch operate.Change, done func(store.Result)) {
+func (c *Controller) writeDrainChange(ch drain.Change, done func(store.Result)) {
 	txn := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
 	if ch.Machine != "" {
-		key := operate.DrainKey(ch.Machine)
+		key := drain.MachineKey(ch.Machine)
 		txn.If = append(txn.If, store.Condition{Key: key, Version: ch.Version})
 		switch {
 		case ch.Put != nil:
@@ -210,12 +210,12 @@
 	}
 	for _, o := range txn.Then {
 		switch {
-		case o.Put == operate.Key:
+		case o.Put == drain.DocumentKey:
 			c.applyDrainDocument(o.Value, revision)
 		case o.Put != "":
 			c.handleDrainRequest(store.Item{Key: o.Put, Value: o.Value, Version: revision})
 		default:
-			c.machineDrains.Deleted(o.Delete, revision)
+			c.machineDrains.ConfirmDelete(o.Delete, revision)
 		}
 	}
 }
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/operate"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -16,8 +16,8 @@
 	c, svc, advance := following(t)
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
-		raw, _ := json.Marshal(operate.DrainRequest{Machine: name, Mark: operate.Mark{By: "kana", AtMS: 5}})
-		svc.Apply([]store.Op{{Put: operate.DrainKey(name), Value: raw}})
+		raw, _ := json.Marshal(drain.MachineRecord{Machine: name, Request: drain.Request{By: "kana", AtMS: 5}})
+		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
 	c.lead(time.Second, 1)
@@ -42,14 +42,14 @@
 func TestDrainsDeletedWhilePositionLost(t *testing.T) {
 	c, svc, advance := following(t)
 	for _, name := range []string{"i-1", "i-2"} {
-		raw, _ := json.Marshal(operate.DrainRequest{Machine: name})
-		svc.Apply([]store.Op{{Put: operate.DrainKey(name), Value: raw}})
+		raw, _ := json.Marshal(drain.MachineRecord{Machine: name})
+		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
 	if n := len(c.machineDrains.All()); n != 2 {
 		t.Fatalf("%d requests are followed", n)
 	}
-	c.resetKeys([]store.Item{svc.Keys[operate.DrainKey("i-2")]})
+	c.resetKeys([]store.Item{svc.Keys[drain.MachineKey("i-2")]})
 	if all := c.machineDrains.All(); len(all) != 1 || all[0] != "i-2" {
 		t.Fatalf("left are %v", all)
 	}
--- a/internal/controller/outside.go
+++ b/internal/controller/environment.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/httpio"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/peers"
 )
@@ -92,13 +92,13 @@
 // Ask takes a request as its HTTP side does; reply is called once, unless the controller ends before.
 func (s *Simulated) Ask(method, path string, body []byte, reply func(status int, body []byte)) {
 	c, now := s.c, s.c.loop.Now()
-	say := func(r intake.Reply) {
+	say := func(r api.Reply) {
 		raw, _ := json.Marshal(r.Body)
 		reply(r.Status, raw)
 	}
 	u, err := url.Parse(path)
 	if err != nil {
-		say(intake.Refuse(400, err.Error()))
+		say(api.Refuse(400, err.Error()))
 		return
 	}
 	id, verb, _ := strings.Cut(strings.TrimPrefix(u.Path, "/v2/runs/"), "/")
@@ -112,19 +112,19 @@
 	case path == "/checkin":
 		heartbeat, err := fleet.ParseHeartbeat(body)
 		if err != nil {
-			say(intake.Refuse(400, "not a report"))
+			say(api.Refuse(400, "not a report"))
 			return
 		}
 		c.report(now, heartbeat, say)
 	case u.Path == "/v2/runs" && method == "POST":
 		spec, err := jobs.ParseSpec(body)
 		if err != nil {
-			say(intake.Refuse(400, err.Error()))
+			say(api.Refuse(400, err.Error()))
 			return
 		}
 		c.intake.Submit(now, spec, say)
 	case u.Path == "/v2/runs" || u.Path == "/v2/events":
-		request := intake.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
+		request := api.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
 		if u.Path == "/v2/events" {
 			request.Resource = "events"
 		}
@@ -133,7 +133,7 @@
 		}
 		c.leaderCall(now, request, say)
 	case u.Path == "/v2/rollout" || u.Path == "/v2/admin":
-		request := intake.LeaderRequest{
+		request := api.LeaderRequest{
 			Resource: strings.TrimPrefix(u.Path, "/v2/"), Verb: "show", Body: body,
 			Query: map[string]string{"since": u.Query().Get("since")},
 		}
@@ -142,19 +142,19 @@
 		}
 		c.leaderCall(now, request, say)
 	case strings.HasPrefix(u.Path, "/v2/zones"):
-		c.leaderCall(now, intake.LeaderRequest{Resource: "zones", Verb: "show", Name: strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v2/zones"), "/")}, say)
+		c.leaderCall(now, api.LeaderRequest{Resource: "zones", Verb: "show", Name: strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v2/zones"), "/")}, say)
 	case verb == "":
 		c.intake.Query(now, id, say)
 	case verb == "abort":
 		c.intake.Abort(now, id, say)
 	default:
-		c.leaderCall(now, intake.LeaderRequest{Resource: verb, Name: id, Verb: "show"}, say)
+		c.leaderCall(now, api.LeaderRequest{Resource: verb, Name: id, Verb: "show"}, say)
 	}
 }
 
 // Call takes what operators, users of sessions and their agents ask of the leader.
-func (s *Simulated) Call(request intake.LeaderRequest, reply func(status int, body []byte)) {
-	s.c.leaderCall(s.c.loop.Now(), request, func(r intake.Reply) {
+func (s *Simulated) Call(request api.LeaderRequest, reply func(status int, body []byte)) {
+	s.c.leaderCall(s.c.loop.Now(), request, func(r api.Reply) {
 		raw, _ := json.Marshal(r.Body)
 		reply(r.Status, raw)
 	})
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/events"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/query"
 )
 
@@ -70,14 +70,14 @@
 
 // eventsCall tells what happened from a number on: TERM-SEQ, from an earlier answer. A number of
 // another term is void: everything this leader has kept is told.
-func (c *Controller) eventsCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) eventsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	f, ok := whereOf(request, EventFields, reply)
 	if !ok {
 		return
 	}
 	only := request.Name
 	if !c.mayList(now) {
-		reply(intake.Refuse(429, "too many lists"))
+		reply(api.Refuse(429, "too many lists"))
 		return
 	}
 	out := EventPage{Term: c.membership.Term(), First: c.fleet.Events.First(), Events: []EventView{}}
@@ -103,10 +103,10 @@
 		return true
 	})
 	if only != "" && !about && c.jobs.Get(only) == nil {
-		reply(intake.Refuse(404, notKept))
+		reply(api.Refuse(404, notKept))
 		return
 	}
-	reply(intake.Reply{Status: 200, Body: out})
+	reply(api.Reply{Status: 200, Body: out})
 }
 
 // notKept is told of a job that the leader's table lacks: it can't tell a job that was never accepted from an archived
--- a/internal/controller/pace.go
+++ b/internal/controller/failover.go
@@ -5,8 +5,8 @@
 	"syscall"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/membership"
 )
 
@@ -26,7 +26,7 @@
 
 // tally is what was counted since the start.
 type tally struct {
-	intake.ResponseCounts
+	api.ResponseCounts
 	requests, writes uint64 // to the state service
 	cpu              time.Duration
 }
--- a/internal/controller/leadercalls.go
+++ b/internal/controller/leaderapi.go
@@ -3,33 +3,33 @@
 import (
 	"time"
 
-	"github.com/harewalk/harewalk/internal/intake"
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/membership"
 )
 
 // leaderCalls are the requests that only the leader can answer.
-func (c *Controller) leaderCalls() *intake.LeaderAPI {
-	return &intake.LeaderAPI{Token: c.settings.Operator.Token, Answer: c.leaderCall, Licences: len(c.licencePools.Pools()) > 0, Sessions: c.settings.Sessions().On}
+func (c *Controller) leaderCalls() *api.LeaderAPI {
+	return &api.LeaderAPI{Token: c.settings.Operator.Token, Answer: c.leaderCall, Licences: len(c.licencePools.Pools()) > 0, Sessions: c.settings.Sessions().On}
 }
 
 // leaderCall answers such a request, or says who leads.
-func (c *Controller) leaderCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) leaderCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	switch {
 	case request.Resource == "rollout" && request.Verb == "show" && (!c.rollout.Compatible() || c.membership.Leader().Node == ""):
 		c.rolloutShow(now, reply) // what it knows itself: it may be what is in the way
 	case c.membership.State() != membership.Leading || c.fleet == nil:
 		l := c.membership.Leader()
 		if l.Node == "" {
-			reply(intake.Refuse(503, "no controller leads"))
+			reply(api.Refuse(503, "no controller leads"))
 			return
 		}
-		reply(intake.Reply{Status: 421, Body: struct {
+		reply(api.Reply{Status: 421, Body: struct {
 			Error  string `json:"error"`
 			Leader string `json:"leader"`
 			Secure string `json:"leader_tls,omitempty"`
 		}{"only the leader knows", l.Public, l.Secure}})
 	case !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded():
-		reply(intake.Refuse(503, "the leader may not act now"))
+		reply(api.Refuse(503, "the leader may not act now"))
 	case request.Resource == "rollout":
 		c.rolloutCall(now, request, reply)
 	case request.Resource == "zones":
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -7,8 +7,8 @@
 	"net/url"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/httpio"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/licences"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -63,22 +63,22 @@
 }
 
 // licenceCall answers an operator's request about pools: all of them, one, or a new count.
-func (c *Controller) licenceCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) licenceCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	show := func(ix int32) licences.View { return c.fleet.Gate.Licences.Show(now, ix, c.jobs.Names.Teams.Name) }
 	if request.Name == "" {
 		all := []licences.View{}
 		for ix := range c.licencePools.Pools() {
 			all = append(all, show(int32(ix)))
 		}
-		reply(intake.Reply{Status: 200, Body: all})
+		reply(api.Reply{Status: 200, Body: all})
 		return
 	}
 	ix, ok := c.licencePools.Index(request.Name)
 	switch {
 	case !ok:
-		reply(intake.Refuse(404, fmt.Sprintf("no licence pool %q is declared", request.Name)))
+		reply(api.Refuse(404, fmt.Sprintf("no licence pool %q is declared", request.Name)))
 	case request.Verb == "show":
-		reply(intake.Reply{Status: 200, Body: show(ix)})
+		reply(api.Reply{Status: 200, Body: show(ix)})
 	default:
 		c.setCount(now, ix, request.Body, func() licences.View { return show(ix) }, reply)
 	}
@@ -87,25 +87,25 @@
 // maxCount is the largest count that can be set.
 const maxCount = 1_000_000
 
-func (c *Controller) setCount(now time.Duration, ix int32, body []byte, show func() licences.View, reply func(intake.Reply)) {
+func (c *Controller) setCount(now time.Duration, ix int32, body []byte, show func() licences.View, reply func(api.Reply)) {
 	var s setCount
 	switch err := json.Unmarshal(body, &s); {
 	case err != nil:
-		reply(intake.Refuse(400, "not a command: "+err.Error()))
+		reply(api.Refuse(400, "not a command: "+err.Error()))
 		return
 	case !s.Reset && (s.Count == nil || *s.Count < 0 || *s.Count > maxCount):
-		reply(intake.Refuse(400, fmt.Sprintf("count must be 0 to %d", maxCount)))
+		reply(api.Refuse(400, fmt.Sprintf("count must be 0 to %d", maxCount)))
 		return
 	case s.Lower != "" && s.Lower != licences.Wait && s.Lower != licences.Stop:
-		reply(intake.Refuse(400, `on_lower must be "wait" or "stop"`))
+		reply(api.Refuse(400, `on_lower must be "wait" or "stop"`))
 		return
 	case len(s.By) > 100:
-		reply(intake.Refuse(400, "by is longer than 100 characters"))
+		reply(api.Refuse(400, "by is longer than 100 characters"))
 		return
 	}
 	stamp, by := c.licencePools.Stamp(ix)
 	if s.Version != nil && *s.Version != stamp {
-		reply(intake.Reply{Status: 409, Body: conflict(by, show())})
+		reply(api.Reply{Status: 409, Body: conflict(by, show())})
 		return
 	}
 	key := licences.Key(c.licencePools.Pools()[ix].Name)
@@ -114,7 +114,7 @@
 		raw, _ := json.Marshal(licences.Set{Count: *s.Count, Lower: s.Lower, By: s.By, AtMS: c.jobs.WallMS(now)})
 		op = store.Op{Put: key, Value: raw}
 	} else if stamp == 0 {
-		reply(intake.Reply{Status: 200, Body: show()})
+		reply(api.Reply{Status: 200, Body: show()})
 		return
 	}
 	f := c.fleet
@@ -127,11 +127,11 @@
 				c.counted(store.Item{Key: key, Value: op.Value, Version: result.Revision})
 			}
 			slog.Info("licences counted anew", "pool", c.licencePools.Pools()[ix].Name, "count", c.licencePools.Count(ix), "by", s.By, "on_lower", c.licencePools.Lowering(ix))
-			reply(intake.Reply{Status: 200, Body: show()})
+			reply(api.Reply{Status: 200, Body: show()})
 		case result.Outcome == store.Conflict && c.fleet == f:
-			reply(intake.Reply{Status: 409, Body: conflict("another command", show())})
+			reply(api.Reply{Status: 409, Body: conflict("another command", show())})
 		default:
-			reply(intake.Refuse(503, "it is not known whether the count was set: look before setting it again"))
+			reply(api.Refuse(503, "it is not known whether the count was set: look before setting it again"))
 		}
 	})
 }
@@ -147,7 +147,7 @@
 }
 
 // fitsPools tells whether a job's tasks can ever have their seats.
-func (c *Controller) fitsPools(of map[string]int, team string, n int) intake.AdmissionResult {
+func (c *Controller) fitsPools(of map[string]int, team string, n int) api.AdmissionResult {
 	ok, why := c.licencePools.Ever(of, team, n)
-	return intake.AdmissionResult{OK: ok, Known: true, Open: !ok, Why: why}
+	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Why: why}
 }
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/intake"
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/query"
 )
@@ -74,10 +74,10 @@
 const listEvery = 100 * time.Millisecond
 
 // whereOf reads a request's filter; ok is false if it is none, and that was answered.
-func whereOf(request intake.LeaderRequest, fields query.Fields, reply func(intake.Reply)) (f query.Filter, ok bool) {
+func whereOf(request api.LeaderRequest, fields query.Fields, reply func(api.Reply)) (f query.Filter, ok bool) {
 	f, err := query.Parse(request.Query["where"], fields)
 	if err != nil {
-		reply(intake.Refuse(400, "where: "+err.Error()))
+		reply(api.Refuse(400, "where: "+err.Error()))
 		return f, false
 	}
 	return f, true
@@ -96,13 +96,13 @@
 const pageSize = 200
 
 // listCall lists jobs that match a filter, by id after the one named, a page at a time.
-func (c *Controller) listCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) listCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	f, ok := whereOf(request, ListFields, reply)
 	if !ok {
 		return
 	}
 	if !c.mayList(now) {
-		reply(intake.Refuse(429, "too many lists"))
+		reply(api.Refuse(429, "too many lists"))
 		return
 	}
 	size := pageSize
@@ -120,7 +120,7 @@
 	})
 	slices.SortFunc(found, func(a, b JobSummary) int { return strings.Compare(a.ID, b.ID) })
 	out := append([]JobSummary{}, found[:min(size, len(found))]...)
-	reply(intake.Reply{Status: 200, Body: JobPage{Jobs: out, More: len(found) > size}})
+	reply(api.Reply{Status: 200, Body: JobPage{Jobs: out, More: len(found) > size}})
 }
 
 func (c *Controller) listed(now time.Duration, job *jobs.Job) JobSummary {
--- a/internal/controller/operate.go
+++ b/internal/controller/operator.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/intake"
-	"github.com/harewalk/harewalk/internal/operate"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -19,11 +19,11 @@
 	if version <= c.drainDocumentVersion {
 		return
 	}
-	w := operate.Wishes{}
+	w := drain.Document{}
 	if raw != nil {
 		var err error
-		if w, err = operate.Parse(raw); err != nil {
-			c.rollout.MarkUnreadable(operate.Key, raw, err)
+		if w, err = drain.ParseDocument(raw); err != nil {
+			c.rollout.MarkUnreadable(drain.DocumentKey, raw, err)
 			return
 		}
 	}
@@ -86,8 +86,8 @@
 // peerStatusTTL is how long a controller's last status counts as its being alive.
 const peerStatusTTL = 3 * time.Second
 
-func (c *Controller) cluster(now time.Duration) operate.Cluster {
-	k := operate.Cluster{
+func (c *Controller) cluster(now time.Duration) drain.Cluster {
+	k := drain.Cluster{
 		Nodes: []string{c.settings.Node}, Alive: []string{c.settings.Node},
 		Machine: func(name string) bool {
 			machine := c.fleet.FindMachine(name)
@@ -105,18 +105,18 @@
 }
 
 // adminCall answers an operator: the cluster's status, or a command.
-func (c *Controller) adminCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) adminCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	if request.Verb == "show" {
-		reply(intake.Reply{Status: 200, Body: c.adminStatus(now, request.Query["since"])})
+		reply(api.Reply{Status: 200, Body: c.adminStatus(now, request.Query["since"])})
 		return
 	}
-	var cmd operate.Command
+	var cmd drain.Command
 	if err := json.Unmarshal(request.Body, &cmd); err != nil {
-		reply(intake.Refuse(400, "not a command: "+err.Error()))
+		reply(api.Refuse(400, "not a command: "+err.Error()))
 		return
 	}
 	lost := func(by string) {
-		reply(intake.Refuse(409, fmt.Sprintf("something was changed meanwhile (%s): look at the status, and give the command again if it is still right", by)))
+		reply(api.Refuse(409, fmt.Sprintf("something was changed meanwhile (%s): look at the status, and give the command again if it is still right", by)))
 	}
 	if cmd.Revision != nil && *cmd.Revision != c.drainDocumentVersion {
 		lost(c.drainDocument.Last)
@@ -125,28 +125,28 @@
 	cmd.AtMS = c.jobs.WallMS(now)
 	next, err := c.desiredDrains().Apply(cmd, c.cluster(now))
 	switch {
-	case errors.Is(err, operate.ErrMalformed):
-		reply(intake.Refuse(400, err.Error()))
+	case errors.Is(err, drain.ErrMalformed):
+		reply(api.Refuse(400, err.Error()))
 		return
-	case errors.Is(err, operate.ErrUnknown):
-		reply(intake.Refuse(404, err.Error()))
+	case errors.Is(err, drain.ErrUnknown):
+		reply(api.Refuse(404, err.Error()))
 		return
 	case err != nil:
-		reply(intake.Refuse(409, err.Error()))
+		reply(api.Refuse(409, err.Error()))
 		return
 	}
 	f := c.fleet
 	c.writeDrainChange(next, func(result store.Result) {
 		switch {
 		case c.fleet != f:
-			reply(intake.Refuse(503, "the lead was lost: look at the status before giving the command again"))
+			reply(api.Refuse(503, "the lead was lost: look at the status before giving the command again"))
 		case result.Outcome == store.Committed:
 			slog.Info("operators' command", "op", cmd.Op, "kind", cmd.Kind, "name", cmd.Name, "by", cmd.By)
-			reply(intake.Reply{Status: 200, Body: c.adminStatus(c.loop.Now(), "")})
+			reply(api.Reply{Status: 200, Body: c.adminStatus(c.loop.Now(), "")})
 		case result.Outcome == store.Conflict:
 			lost("another command")
 		default:
-			reply(intake.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
+			reply(api.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
 		}
 	})
 }
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/capacity"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/licences"
-	"github.com/harewalk/harewalk/internal/operate"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -18,9 +18,9 @@
 		c.record(now, item)
 	case strings.HasPrefix(item.Key, licences.Prefix):
 		c.counted(item)
-	case item.Key == operate.Key:
+	case item.Key == drain.DocumentKey:
 		c.applyDrainDocument(item.Value, item.Version)
-	case strings.HasPrefix(item.Key, operate.DrainPrefix):
+	case strings.HasPrefix(item.Key, drain.MachinePrefix):
 		c.handleDrainRequest(item)
 	case isZoneKey(item.Key):
 		if item.Version > c.storedZones.item.Version {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/events"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -98,28 +98,28 @@
 }
 
 // rolloutShow answers where it stands; a controller that is behind, or knows no leader, tells what it knows itself.
-func (c *Controller) rolloutShow(now time.Duration, reply func(intake.Reply)) {
-	reply(intake.Reply{Status: 200, Body: c.rolloutView(now)})
+func (c *Controller) rolloutShow(now time.Duration, reply func(api.Reply)) {
+	reply(api.Reply{Status: 200, Body: c.rolloutView(now)})
 }
 
 // rolloutCall takes an operator's word.
-func (c *Controller) rolloutCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) rolloutCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	if request.Verb == "show" {
 		c.rolloutShow(now, reply)
 		return
 	}
 	var cmd rollout.Command
 	if err := json.Unmarshal(request.Body, &cmd); err != nil {
-		reply(intake.Refuse(400, "not a command: "+err.Error()))
+		reply(api.Refuse(400, "not a command: "+err.Error()))
 		return
 	}
 	txn, err := c.rollout.Execute(now, cmd, c.jobs.WallMS(now))
 	switch {
 	case errors.Is(err, rollout.ErrMalformed):
-		reply(intake.Refuse(400, err.Error()))
+		reply(api.Refuse(400, err.Error()))
 		return
 	case err != nil:
-		reply(intake.Refuse(409, err.Error()))
+		reply(api.Refuse(409, err.Error()))
 		return
 	}
 	c.commit(txn, store.NormalPriority, func(result store.Result) {
@@ -129,11 +129,11 @@
 			for _, o := range txn.Then {
 				c.rollout.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: result.Revision})
 			}
-			reply(intake.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
+			reply(api.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
 		case store.Conflict:
-			reply(intake.Refuse(409, "something was changed meanwhile: look at the status, and give the command again if it is still right"))
+			reply(api.Refuse(409, "something was changed meanwhile: look at the status, and give the command again if it is still right"))
 		default:
-			reply(intake.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
+			reply(api.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
 		}
 	})
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/intake"
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/sessions"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -24,13 +24,13 @@
 }
 
 // sessionCall answers a user, an operator or an agent about sessions.
-func (c *Controller) sessionCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) sessionCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	answer := func(a sessions.Answer) {
 		switch {
 		case a.Status < 300:
-			reply(intake.Reply{Status: a.Status, Body: a.View})
+			reply(api.Reply{Status: a.Status, Body: a.View})
 		default:
-			reply(intake.Refuse(a.Status, a.Why))
+			reply(api.Refuse(a.Status, a.Why))
 		}
 	}
 	m := c.sessions
@@ -38,11 +38,11 @@
 	case "open":
 		r, err := sessions.ParseOpening(request.Body)
 		if err != nil {
-			reply(intake.Refuse(400, err.Error()))
+			reply(api.Refuse(400, err.Error()))
 			return
 		}
 		if request.Who != nil && !request.Who.May(r.Spec.Team) {
-			reply(intake.Refuse(403, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
+			reply(api.Refuse(403, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
 			return
 		}
 		if v := c.admit(r.Spec); !v.OK {
@@ -50,7 +50,7 @@
 			if !v.Known {
 				status = 503
 			}
-			reply(intake.Refuse(status, v.Why))
+			reply(api.Refuse(status, v.Why))
 			return
 		}
 		m.Open(now, r, answer)
@@ -61,7 +61,7 @@
 			Attachment uint64 `json:"attachment"`
 		}
 		if json.Unmarshal(request.Body, &b) != nil {
-			reply(intake.Refuse(400, "attachment must be there"))
+			reply(api.Refuse(400, "attachment must be there"))
 			return
 		}
 		answer(m.Keep(now, request.Name, request.Bearer, b.Attachment))
@@ -70,35 +70,35 @@
 	case "report":
 		r, err := sessions.ParseReport(request.Body)
 		if err != nil {
-			reply(intake.Refuse(400, err.Error()))
+			reply(api.Refuse(400, err.Error()))
 			return
 		}
 		o, ok, why := m.Report(now, request.Name, request.Bearer, r)
 		if !ok {
-			reply(intake.Refuse(409, why))
+			reply(api.Refuse(409, why))
 			return
 		}
-		reply(intake.Reply{Status: 200, Body: o})
+		reply(api.Reply{Status: 200, Body: o})
 	case "explain":
 		lines, ok := m.Explain(now, request.Name)
 		if !ok {
-			reply(intake.Refuse(404, "no such session"))
+			reply(api.Refuse(404, "no such session"))
 			return
 		}
-		reply(intake.Reply{Status: 200, Body: struct {
+		reply(api.Reply{Status: 200, Body: struct {
 			ID  string   `json:"name_id"`
 			Why []string `json:"why"`
 		}{request.Name, lines}})
 	default:
 		if request.Name == "" {
-			reply(intake.Reply{Status: 200, Body: m.List(now, request.Query["user"], request.Query["team"])})
+			reply(api.Reply{Status: 200, Body: m.List(now, request.Query["user"], request.Query["team"])})
 			return
 		}
 		v, ok := m.Show(now, request.Name)
 		if !ok {
-			reply(intake.Refuse(404, "no such session"))
+			reply(api.Refuse(404, "no such session"))
 			return
 		}
-		reply(intake.Reply{Status: 200, Body: v})
+		reply(api.Reply{Status: 200, Body: v})
 	}
 }
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -22,14 +22,14 @@
 }
 
 // admit tells whether a job can ever run.
-func (c *Controller) admit(spec *jobs.Spec) intake.AdmissionResult {
-	no := func(why string) intake.AdmissionResult { return intake.AdmissionResult{Known: true, Why: why} }
+func (c *Controller) admit(spec *jobs.Spec) api.AdmissionResult {
+	no := func(why string) api.AdmissionResult { return api.AdmissionResult{Known: true, Why: why} }
 	team := c.jobs.Names.Teams.Index(spec.Team)
 	if c.quota.Team(team) == nil {
 		return no("unknown team")
 	}
 	if len(c.types) == 0 {
-		return intake.AdmissionResult{Why: "the machine types are not known yet"}
+		return api.AdmissionResult{Why: "the machine types are not known yet"}
 	}
 	n := 1
 	if spec.Kind != jobs.Array {
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
@@ -30,10 +30,10 @@
 const nearest = 5
 
 // whyCall answers why a job waits, from what planning has noted.
-func (c *Controller) whyCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) whyCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	job := c.jobs.Get(request.Name)
 	if job == nil {
-		reply(intake.Refuse(404, notKept))
+		reply(api.Refuse(404, notKept))
 		return
 	}
 	w := JobPendingView{ID: job.ID, Stance: job.State.String(), Tasks: job.TaskCount, Waiting: []fleet.PendingReason{}, Nearest: []string{}}
@@ -51,5 +51,5 @@
 		w.Booting, w.BootingS = c.capacity.Booting(now, job)
 		w.BootingS = math.Round(w.BootingS)
 	}
-	reply(intake.Reply{Status: 200, Body: w})
+	reply(api.Reply{Status: 200, Body: w})
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -4,15 +4,15 @@
 	"log/slog"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/membership"
 )
 
 // report answers a worker.
-func (c *Controller) report(now time.Duration, heartbeat *fleet.Heartbeat, reply func(intake.Reply)) {
-	no := intake.Reply{Status: 503, Body: struct{}{}}
+func (c *Controller) report(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
+	no := api.Reply{Status: 503, Body: struct{}{}}
 	if c.membership.State() == membership.Leading && c.fleet != nil {
 		if !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded() {
 			reply(no)
@@ -21,7 +21,7 @@
 		a, v := c.fleet.HandleHeartbeat(now, heartbeat)
 		switch v {
 		case fleet.Accepted:
-			reply(intake.Reply{Status: 200, Body: a})
+			reply(api.Reply{Status: 200, Body: a})
 		case fleet.Deposed:
 			reply(no)
 			slog.Info("a worker has seen a higher token", "machine", heartbeat.Machine, "token", heartbeat.Token, "term", c.membership.Term())
@@ -34,7 +34,7 @@
 	type keeper struct {
 		Keeper string `json:"keeper,omitempty"`
 	}
-	reply(intake.Reply{Status: 421, Body: keeper{c.keeper(now, heartbeat.Machine)}})
+	reply(api.Reply{Status: 421, Body: keeper{c.keeper(now, heartbeat.Machine)}})
 }
 
 // keeper is whom a worker is sent to, "" if that isn't known: the owner by the followed keys, unless they are older than a
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/intake"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 	"github.com/harewalk/harewalk/internal/zones"
@@ -82,15 +82,15 @@
 }
 
 // zoneCall answers about zones: all, or one with what its loss would mean.
-func (c *Controller) zoneCall(now time.Duration, request intake.LeaderRequest, reply func(intake.Reply)) {
+func (c *Controller) zoneCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	views := c.zoneViews(now)
 	if request.Name == "" {
-		reply(intake.Reply{Status: 200, Body: views})
+		reply(api.Reply{Status: 200, Body: views})
 		return
 	}
 	i := slices.IndexFunc(views, func(v ZoneView) bool { return v.Zone == request.Name })
 	if i < 0 {
-		reply(intake.Refuse(404, fmt.Sprintf("no zone %q", request.Name)))
+		reply(api.Refuse(404, fmt.Sprintf("no zone %q", request.Name)))
 		return
 	}
 	v := views[i]
@@ -102,7 +102,7 @@
 	for _, l := range c.fleet.EstimateZoneLoss(d.Zones.Index(v.Zone)) {
 		v.IfLost = append(v.IfLost, LossView{d.Classes.Name(l.Class), d.Teams.Name(l.Team), l.Jobs, l.Tasks, l.Fit, l.Tasks - l.Fit})
 	}
-	reply(intake.Reply{Status: 200, Body: v})
+	reply(api.Reply{Status: 200, Body: v})
 }
 
 func (c *Controller) zoneViews(now time.Duration) []ZoneView {
--- a/internal/operate/operate.go
+++ b/internal/drain/drain.go
@@ -1,9 +1,9 @@
-// Package operate keeps what operators want of a running cluster: which controllers and machines
+// Package drain keeps what operators want of a running cluster: which controllers and machines
 // are to be drained. Every controller follows it. There is one durable document that each command
 // writes by transaction, so that of two that conflict one wins and the other is told by whom and
 // what; machines' drain requests have keys of their own beside it (drains.go).
 // The package decides what a command makes of the document; it neither writes it nor acts on it.
-package operate
+package drain
 
 import (
 	"encoding/json"
@@ -14,29 +14,29 @@
 	"strings"
 )
 
-// Key is where the document stands.
-const Key = "h/o/wishes"
+// DocumentKey is where the document stands.
+const DocumentKey = "h/o/wishes"
 
-// Mark says who wanted something, and since when.
-type Mark struct {
+// Request says who wanted something, and since when.
+type Request struct {
 	By   string `json:"by,omitempty"`
 	AtMS int64  `json:"at_ms"`
 	// Stop has a machine's tasks stopped, with time to save, instead of waiting for their end.
 	Stop bool `json:"stop,omitempty"`
 }
 
-// Wishes is the document: what is to be drained, by name. The zero value wants nothing.
-type Wishes struct {
-	Format   int             `json:"v,omitempty"`
-	Nodes    map[string]Mark `json:"nodes,omitempty"`
-	Machines map[string]Mark `json:"machines,omitempty"`
+// Document is the document: what is to be drained, by name. The zero value wants nothing.
+type Document struct {
+	Format   int                `json:"v,omitempty"`
+	Nodes    map[string]Request `json:"nodes,omitempty"`
+	Machines map[string]Request `json:"machines,omitempty"`
 	// Last says who changed it last, and what.
 	Last string `json:"last,omitempty"`
 }
 
-// Parse reads the document.
-func Parse(raw json.RawMessage) (Wishes, error) {
-	var w Wishes
+// ParseDocument reads the document.
+func ParseDocument(raw json.RawMessage) (Document, error) {
+	var w Document
 	err := json.Unmarshal(raw, &w)
 	if err == nil && w.Format > 1 {
 		err = fmt.Errorf("wishes in format %d", w.Format)
@@ -77,15 +77,15 @@
 // Apply is the document after a command, where it holds machines' requests too. It refuses to drain the
 // last controller that could serve, and what is not known. A command that changes nothing gives the
 // document back as it was.
-func (w Wishes) Apply(c Command, k Cluster) (Wishes, error) { return w.apply(c, k, maxMachines) }
+func (w Document) Apply(c Command, k Cluster) (Document, error) { return w.apply(c, k, maxMachines) }
 
 // apply does so with at most so many machines, 0: any number of them.
-func (w Wishes) apply(c Command, k Cluster, most int) (Wishes, error) {
+func (w Document) apply(c Command, k Cluster, most int) (Document, error) {
 	if (c.Op != "drain" && c.Op != "undrain") || (c.Kind != "node" && c.Kind != "machine") || c.Name == "" || len(c.Name) > 100 || len(c.By) > 100 {
 		return w, fmt.Errorf("%w: op must be drain or undrain, kind node or machine, and name and by at most 100 characters", ErrMalformed)
 	}
 	c.Stop = c.Stop && c.Kind == "machine"
-	out := Wishes{Nodes: maps.Clone(w.Nodes), Machines: maps.Clone(w.Machines), Last: w.Last}
+	out := Document{Nodes: maps.Clone(w.Nodes), Machines: maps.Clone(w.Machines), Last: w.Last}
 	at := &out.Machines
 	if c.Kind == "node" {
 		at = &out.Nodes
@@ -112,13 +112,13 @@
 		return w, fmt.Errorf("%w: no other controller is alive and not drained", ErrLast)
 	}
 	if *at == nil {
-		*at = map[string]Mark{}
+		*at = map[string]Request{}
 	}
-	(*at)[c.Name] = Mark{By: c.By, AtMS: c.AtMS, Stop: c.Stop}
+	(*at)[c.Name] = Request{By: c.By, AtMS: c.AtMS, Stop: c.Stop}
 	return out.by(c), nil
 }
 
-func (w Wishes) by(c Command) Wishes {
+func (w Document) by(c Command) Document {
 	who := c.By
 	if who == "" {
 		who = "somebody"
@@ -128,7 +128,7 @@
 }
 
 // othersServe tells whether another controller is alive that nobody wants drained.
-func (w Wishes) othersServe(name string, k Cluster) bool {
+func (w Document) othersServe(name string, k Cluster) bool {
 	return slices.ContainsFunc(k.Alive, func(n string) bool {
 		_, drained := w.Nodes[n]
 		return n != name && !drained
@@ -136,8 +136,8 @@
 }
 
 // Without is the document without the marks of machines that are gone, and whether there were any.
-func (w Wishes) Without(gone func(machine string) bool) (Wishes, bool) {
-	out := Wishes{Nodes: w.Nodes, Machines: maps.Clone(w.Machines), Last: w.Last}
-	maps.DeleteFunc(out.Machines, func(name string, _ Mark) bool { return gone(name) })
+func (w Document) Without(gone func(machine string) bool) (Document, bool) {
+	out := Document{Nodes: w.Nodes, Machines: maps.Clone(w.Machines), Last: w.Last}
+	maps.DeleteFunc(out.Machines, func(name string, _ Request) bool { return gone(name) })
 	return out, len(out.Machines) != len(w.Machines)
 }
--- a/internal/operate/operate_test.go
+++ b/internal/drain/drain_test.go
@@ -1,4 +1,4 @@
-package operate
+package drain
 
 import (
 	"encoding/json"
@@ -19,7 +19,7 @@
 	nodes := []string{"n-0", "n-1", "n-2"}
 	refused := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := Wishes{}
+		w := Document{}
 		drained := map[string]bool{} // the plain model
 		k := Cluster{Nodes: nodes, Alive: nodes, Machine: func(m string) bool { return m != "m-none" }}
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
@@ -61,7 +61,7 @@
 
 func TestBoundsAndGoneMachines(t *testing.T) {
 	k := Cluster{Machine: func(string) bool { return true }}
-	w, err := Wishes{}, error(nil)
+	w, err := Document{}, error(nil)
 	for i := range maxMachines + 1 {
 		w2, e := w.Apply(Command{Op: "drain", Kind: "machine", Name: fmt.Sprintf("i-%096d", i), By: "somebody with a rather long name of his own"}, k)
 		if w, err = w2, e; (err != nil) != (i == maxMachines) {
--- a/internal/operate/drains_test.go
+++ b/internal/drain/drains_test.go
@@ -1,4 +1,4 @@
-package operate
+package drain
 
 import (
 	"encoding/json"
@@ -18,18 +18,18 @@
 // stored is a plain state service for drain requests: the document and the keys with their versions.
 type stored struct {
 	revision uint64
-	document Wishes
+	document Document
 	version  uint64 // of the document
 	keys     map[string]uint64
-	want     Desired
+	want     DesiredState
 }
 
 func newStored() *stored {
-	return &stored{keys: map[string]uint64{}, want: Desired{Drains: NewDrains()}}
+	return &stored{keys: map[string]uint64{}, want: DesiredState{Drains: NewMachineRequests()}}
 }
 
 // write carries out a transaction on the document's version and that of one key, and tells whether it did.
-func (s *stored) write(documentVersion uint64, document *Wishes, puts map[string]json.RawMessage,
+func (s *stored) write(documentVersion uint64, document *Document, puts map[string]json.RawMessage,
 	deletes, conds map[string]uint64,
 ) bool {
 	for key, version := range conds {
@@ -47,13 +47,13 @@
 	}
 	for key, raw := range puts {
 		s.keys[key] = s.revision
-		if err := s.want.Drains.Item(key, raw, s.revision); err != nil {
+		if err := s.want.Drains.HandleItem(key, raw, s.revision); err != nil {
 			panic(err)
 		}
 	}
 	for key := range deletes {
 		delete(s.keys, key)
-		s.want.Drains.Drop(key, s.revision)
+		s.want.Drains.HandleDelete(key, s.revision)
 	}
 	return true
 }
@@ -63,7 +63,7 @@
 	if ch.Machine == "" {
 		return s.write(documentVersion, &ch.Document, nil, nil, nil)
 	}
-	key := DrainKey(ch.Machine)
+	key := MachineKey(ch.Machine)
 	puts, deletes := map[string]json.RawMessage{}, map[string]uint64{}
 	if ch.Put != nil {
 		puts[key] = ch.Put
@@ -163,9 +163,9 @@
 				moved++
 			}
 		}
-		s.document.Machines = map[string]Mark{}
+		s.document.Machines = map[string]Request{}
 		for _, name := range rapid.SliceOfDistinct(rapid.SampledFrom(names), rapid.ID[string]).Draw(t, "at first") {
-			s.document.Machines[name], model[name] = Mark{By: "kana"}, false
+			s.document.Machines[name], model[name] = Request{By: "kana"}, false
 		}
 		s.want.Document = s.document
 		rise := rapid.IntRange(0, 30).Draw(t, "rise")
@@ -203,7 +203,7 @@
 			case 3:
 				for _, name := range s.want.Gone(2, gone) {
 					st, _ := s.want.Drains.Of(name)
-					key := DrainKey(name)
+					key := MachineKey(name)
 					s.write(s.version, nil, nil, map[string]uint64{key: 0}, map[string]uint64{key: st.Version})
 				}
 			case 4, 6:
@@ -230,9 +230,9 @@
 
 // A request that can't be read is an error and changes nothing; older versions are ignored, whoever brings them.
 func TestDrainRequestsAreRead(t *testing.T) {
-	d := NewDrains()
-	key := DrainKey("i-1")
-	put := func(raw string, version uint64) error { return d.Item(key, json.RawMessage(raw), version) }
+	d := NewMachineRequests()
+	key := MachineKey("i-1")
+	put := func(raw string, version uint64) error { return d.HandleItem(key, json.RawMessage(raw), version) }
 	if err := put(`{"machine":"i-1","by":"kana","at_ms":5}`, 10); err != nil {
 		t.Fatal(err)
 	}
@@ -241,11 +241,11 @@
 			t.Errorf("%s was read", raw)
 		}
 	}
-	d.Deleted(key, 30) // by an own write; the followed keys are behind
+	d.ConfirmDelete(key, 30) // by an own write; the followed keys are behind
 	if err := put(`{"machine":"i-1"}`, 20); err != nil || len(d.All()) > 0 {
 		t.Fatalf("an older version came back: %v, %v", d.All(), err)
 	}
-	d.Drop(key, 30)
+	d.HandleDelete(key, 30)
 	if len(d.dropped) > 0 {
 		t.Fatalf("%v is kept", d.dropped)
 	}
@@ -264,8 +264,8 @@
 func TestEveryNameFitsAKey(t *testing.T) {
 	long := []string{strings.Repeat("\u00e9", 50), strings.Repeat("x", 100), strings.Repeat("y", 300)}
 	for _, name := range append(long, "i-000231", "a b", "%41", "\n") {
-		key := DrainKey(name)
-		if len(key) > 200 || strings.ContainsAny(key, " \n") || !strings.HasPrefix(key, DrainPrefix) {
+		key := MachineKey(name)
+		if len(key) > 200 || strings.ContainsAny(key, " \n") || !strings.HasPrefix(key, MachinePrefix) {
 			t.Errorf("%q stands at %q", name, key)
 		}
 	}
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 func TestMain(m *testing.M) {
@@ -148,13 +148,13 @@
 	}
 	slices.Sort(r.starts)
 	for i := range 10 {
-		r.users = append(r.users, &user{started: sec(float64(i + 1)), hasStarted: true, accepted: sec(0.01), over: sec(20), heard: world.History{Final: "done"}})
+		r.users = append(r.users, &user{started: sec(float64(i + 1)), hasStarted: true, accepted: sec(0.01), over: sec(20), heard: simulator.History{Final: "done"}})
 		for at := 100; at < 130; at++ {
 			r.answers = append(r.answers, answered{sec(float64(at)), at >= 104 || i < 5 || at == 101})
 		}
 	}
 	for range samples {
-		r.pictures = append(r.pictures, world.Picture{CPUs: 10, UsedCPUs: 5})
+		r.pictures = append(r.pictures, simulator.Picture{CPUs: 10, UsedCPUs: 5})
 	}
 	c := s.sum([][]*run{{r}}).Configs[0]
 	if f := c.Faults[0]; f.NoStart != 7 || f.Unserved != 4 {
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // Progress is told how far the runs are, from 0 to 1 in all; nil for nobody.
@@ -77,11 +77,11 @@
 type run struct {
 	seed     uint64
 	users    []*user
-	pictures []world.Picture
+	pictures []simulator.Picture
 	starts   []time.Duration
 	leads    []time.Duration // when the lead passed
 	answers  []answered
-	stats    world.Stats
+	stats    simulator.Stats
 	broken   []string
 	end      time.Duration
 }
@@ -94,7 +94,7 @@
 
 // play plays one run.
 func (s *Scenario) play(c Config, seed uint64, clock func(func() time.Duration), progress Progress) (*run, error) {
-	w, err := world.Simulated(s.platform(c, seed), c.settings)
+	w, err := simulator.Simulated(s.platform(c, seed), c.settings)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	r := &run{seed: seed}
 	load := &generator{w: w, rng: rand.New(rand.NewPCG(seed, 17)), run: r}
 	load.balance()
-	w.Play(script, func(world.Fault) {})
+	w.Play(script, func(simulator.Fault) {})
 	for _, a := range all {
 		u := &user{generator: load, arrival: a}
 		r.users = append(r.users, u)
@@ -145,7 +145,7 @@
 
 // generator are the users of a run, behind a load balancer. They watch that no answer contradicts another.
 type generator struct {
-	w     *world.World
+	w     *simulator.World
 	rng   *rand.Rand
 	run   *run
 	open  int   // jobs submitted and not over
@@ -199,7 +199,7 @@
 	hasStarted bool
 	over       time.Duration // when the user learnt of its end, after its arrival
 	refused    bool
-	heard      world.History
+	heard      simulator.History
 	asked      bool // for its end
 }
 
@@ -238,7 +238,7 @@
 		switch status {
 		case 200, 201:
 			u.accepted, u.body = max(1, u.since()), nil
-			u.heard = world.History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+			u.heard = simulator.History{ID: u.spec.ID, Tasks: u.spec.Tasks}
 			u.generator.later(2*time.Second, u.poll)
 		case 400, 422:
 			u.refused = true
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -11,7 +11,7 @@
 
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // Options say how a plan is run.
@@ -68,9 +68,9 @@
 
 // cluster is everything that plays one step.
 type cluster struct {
-	world *world.World
+	world *simulator.World
 	state *stateProcess
-	procs *world.Cluster
+	procs *simulator.Cluster
 	users *users
 	dir   string
 	stop  context.CancelFunc
@@ -88,7 +88,7 @@
 	if c.state, err = startState(o.Program, o.Env, stateOrder{s.Controllers, limits}); err != nil {
 		return c, err
 	}
-	if c.world, err = world.New(platform(p, s, limits, c.state.addrs)); err != nil {
+	if c.world, err = simulator.New(platform(p, s, limits, c.state.addrs)); err != nil {
 		return c, err
 	}
 	if err = c.world.Boot(s.Machines); err != nil {
@@ -125,10 +125,10 @@
 const stepOfTime = 100 * time.Millisecond
 
 // platform is the world of a step: machines with a core for each task, and nothing that limits them but these.
-func platform(p *Plan, s Step, limits config.State, addrs []string) world.Config {
+func platform(p *Plan, s Step, limits config.State, addrs []string) simulator.Config {
 	zones := []string{"a", "b", "c"}
 	cores := float64(s.TasksPerMachine)
-	w := world.Config{
+	w := simulator.Config{
 		Seed: 1, Controllers: s.Controllers, Zones: zones, Machines: s.Machines, State: limits, StateAddrs: addrs, Step: stepOfTime,
 		Types:   []capacity.MachineType{{Name: "hollow", CPUs: cores, Mem: 4 * cores, CacheGB: 100, FetchGB: 2, Price: 1, BootS: 1, Zones: zones}},
 		Workers: config.Workers{ReportS: p.ReportS, LeaseS: p.LeaseS, GangWaitS: 30, GangPeerS: 5, CancelS: p.CancelS}, Cloud: config.Cloud{RPS: 20, ListLagS: 1},
@@ -206,7 +206,7 @@
 	state    Usage
 	figures  StateFigures
 	metrics  []map[string]float64
-	stats    world.Stats
+	stats    simulator.Stats
 	users    counted
 	running  int
 	machines int
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -10,7 +10,7 @@
 	"syscall"
 
 	"github.com/harewalk/harewalk/internal/config"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // StateCommand is the hidden argument of `harewalk lab` that plays a state service.
@@ -50,7 +50,7 @@
 	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
 		return fmt.Errorf("not an order: %w", err)
 	}
-	w, err := world.New(world.Config{Controllers: o.Controllers, State: o.Limits})
+	w, err := simulator.New(simulator.Config{Controllers: o.Controllers, State: o.Limits})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -12,12 +12,12 @@
 	"github.com/valyala/fasthttp"
 
 	"github.com/harewalk/harewalk/internal/jobs"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // users keep a number of jobs under way: whoever sees a job done hands in the next. They count what they were answered.
 type users struct {
-	w      *world.World
+	w      *simulator.World
 	client *fasthttp.Client
 	step   Step
 	pollS  float64
@@ -43,7 +43,7 @@
 	askFor   = 5 * time.Second
 )
 
-func newUsers(w *world.World, step Step, pollS float64) *users {
+func newUsers(w *simulator.World, step Step, pollS float64) *users {
 	return &users{
 		w: w, step: step, pollS: pollS, took: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(1, 2)),
 		client:  &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, MaxConnsPerHost: 4096},
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -21,7 +21,7 @@
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
-	"github.com/harewalk/harewalk/internal/world"
+	"github.com/harewalk/harewalk/internal/simulator"
 )
 
 // Scenario is what is played; it is written in HCL.
@@ -215,12 +215,12 @@
 }
 
 // script are the faults, by time.
-func (s *Scenario) script() ([]world.Fault, error) {
+func (s *Scenario) script() ([]simulator.Fault, error) {
 	var lines strings.Builder
 	for _, f := range s.Faults {
 		fmt.Fprintf(&lines, "%s %s\n", time.Duration(f.AtS*float64(time.Second)), f.Do)
 	}
-	script, err := world.ParseScript(strings.NewReader(lines.String()))
+	script, err := simulator.ParseScript(strings.NewReader(lines.String()))
 	if err != nil {
 		return nil, fmt.Errorf("faults, %w", err)
 	}
@@ -228,8 +228,8 @@
 }
 
 // platform is the world that a configuration is played in.
-func (s *Scenario) platform(c Config, seed uint64) world.Config {
-	w := world.Config{
+func (s *Scenario) platform(c Config, seed uint64) simulator.Config {
+	w := simulator.Config{
 		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, Machines: s.Machines, Pools: map[string]int{},
 		// Times and limits of a service at work, not those of short tests.
 		Workers: config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
@@ -258,17 +258,17 @@
 }
 
 // operator checks a configuration's operators' settings.
-func (c Config) operator(w world.Config) error {
+func (c Config) operator(w simulator.Config) error {
 	if c.Operator == "" {
 		return nil
 	}
-	_, err := world.Simulated(w, c.settings)
+	_, err := simulator.Simulated(w, c.settings)
 	return err
 }
 
 func (c Config) settings(settings *config.Settings) error {
 	if c.Former {
-		settings.Earlier(rollout.Newest-1, world.Former)
+		settings.Earlier(rollout.Newest-1, simulator.Former)
 	}
 	if c.Operator == "" {
 		return nil
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/parts/tenure.go
+++ b/internal/shards/lease.go
@@ -1,4 +1,4 @@
-package parts
+package shards
 
 // State is where an owner stands with one machine.
 type State uint8
--- a/internal/parts/parts.go
+++ b/internal/shards/shards.go
@@ -1,9 +1,9 @@
-// Package parts divides the fleet among owners. There are as many parts as controllers; each part is
+// Package shards divides the fleet among owners. There are as many parts as controllers; each part is
 // led by one of them at a time, in a term of its own, and usually by the controller it is named after. A
 // machine's part follows from its name, so no part changes when a controller ends: another leads the
 // part that was its, and only there starts stand still. What a part needs beyond its own machines it
 // borrows, one machine at a time, by a written hand-over (tenure.go).
-package parts
+package shards
 
 import (
 	"hash/fnv"
--- a/internal/parts/parts_test.go
+++ b/internal/shards/shards_test.go
@@ -1,4 +1,4 @@
-package parts
+package shards
 
 import (
 	"fmt"
--- a/internal/world/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"encoding/json"
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/config"
-	"github.com/harewalk/harewalk/internal/intake"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/jobs"
-	"github.com/harewalk/harewalk/internal/operate"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/sessions"
 )
@@ -299,7 +299,7 @@
 }
 
 // callLeader asks the leader what has no route for Ask; the answer comes at once, and a frozen leader gives none.
-func (r *rolling) callLeader(q intake.LeaderRequest, then func(status int, body []byte)) {
+func (r *rolling) callLeader(q api.LeaderRequest, then func(status int, body []byte)) {
 	l, _ := r.World.Leader()
 	if l < 0 || !r.Runs(l) {
 		then(0, nil)
@@ -327,7 +327,7 @@
 
 func (r *rolling) licenceCallAt(at time.Duration, verb, body string) {
 	r.After(at, func() {
-		request := intake.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
+		request := api.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
 		r.callLeader(request, func(int, []byte) {})
 	})
 }
@@ -352,7 +352,7 @@
 
 // drainByOperator drains machines and a controller, and takes it back.
 func drainByOperator(r *rolling) {
-	for i, c := range []operate.Command{
+	for i, c := range []drain.Command{
 		{Op: "drain", Kind: "machine"},
 		{Op: "drain", Kind: "machine", Stop: true},
 		{Op: "drain", Kind: "node", Name: "node-1"},
@@ -377,7 +377,7 @@
 func clusterOnStored(seed uint64) func(t *testing.T) *rolling {
 	return func(t *testing.T) *rolling {
 		all := storedBefore(t)
-		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", operate.Key} {
+		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
 			delete(all, key) // of holds that have run out, and of machines that this world doesn't have
 		}
 		r := operatedCluster(t, Config{Seed: seed, Machines: 14, Stored: all}, "rollout { soak_s = 5 }\n")
@@ -467,12 +467,12 @@
 }
 
 func (s *simSession) call(verb, token string, body []byte, then func(int, []byte)) {
-	s.r.callLeader(intake.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body}, then)
+	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body}, then)
 }
 
 // open asks for the session until it is opened, and starts its agent.
 func (s *simSession) open() {
-	s.r.callLeader(intake.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.opening()}, func(status int, _ []byte) {
+	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.opening()}, func(status int, _ []byte) {
 		if status != 200 && status != 201 {
 			s.r.After(time.Second, s.open)
 			return
--- a/internal/world/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"encoding/json"
@@ -7,14 +7,14 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/operate"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
 // document is the operators' document as it is stored.
-func (r *rolling) document() (w operate.Wishes) {
-	_ = json.Unmarshal(r.Key(operate.Key).Value, &w)
+func (r *rolling) document() (w drain.Document) {
+	_ = json.Unmarshal(r.Key(drain.DocumentKey).Value, &w)
 	return w
 }
 
@@ -47,12 +47,12 @@
 			r := newRolling(t, 451, 3, rollout.Archived, "soak_s = 3")
 			// Machines that no leader knows, as after a long time without one: they are requests like any other.
 			const unknown = 55
-			old := operate.Wishes{Machines: map[string]operate.Mark{}, Last: "kana: drain machine i-old-19"}
+			old := drain.Document{Machines: map[string]drain.Request{}, Last: "kana: drain machine i-old-19"}
 			for i := range unknown {
-				old.Machines[fmt.Sprintf("i-old-%02d", i)] = operate.Mark{By: "kana", AtMS: 5, Stop: i%2 == 0}
+				old.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
 			}
 			raw, _ := json.Marshal(old)
-			r.Store(store.Op{Put: operate.Key, Value: raw})
+			r.Store(store.Op{Put: drain.DocumentKey, Value: raw})
 			r.load(100 * time.Second)
 			r.Advance(20 * time.Second)
 			names := r.machineNames(2)
@@ -62,20 +62,20 @@
 			if s := r.drainMachine("drain", names[0]); s != 200 {
 				t.Fatalf("status %d", s)
 			}
-			if r.Keys(operate.DrainPrefix) > 0 || len(r.document().Machines) != unknown+1 {
-				t.Fatalf("%d keys before the level, %d in the document", r.Keys(operate.DrainPrefix), len(r.document().Machines))
+			if r.Keys(drain.MachinePrefix) > 0 || len(r.document().Machines) != unknown+1 {
+				t.Fatalf("%d keys before the level, %d in the document", r.Keys(drain.MachinePrefix), len(r.document().Machines))
 			}
 			rolled := false
 			r.Roll(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
 			for !rolled || r.Level() < rollout.DrainKeys {
-				if r.Level() < rollout.DrainKeys && r.Keys(operate.DrainPrefix) > 0 {
+				if r.Level() < rollout.DrainKeys && r.Keys(drain.MachinePrefix) > 0 {
 					t.Fatal("a request has a key before the level")
 				}
 				r.Advance(100 * time.Millisecond)
 			}
 			switch how {
 			case "leader killed":
-				r.reach("begun", 20*time.Second, func() bool { return r.Keys(operate.DrainPrefix) > 0 })
+				r.reach("begun", 20*time.Second, func() bool { return r.Keys(drain.MachinePrefix) > 0 })
 				l := r.led()
 				r.KillController(l)
 				r.Advance(8 * time.Second)
@@ -84,7 +84,7 @@
 				r.LoseAnswers(0.3)
 				r.After(10*time.Second, func() { r.LoseAnswers(0) })
 			case "limits shrink": // the document as it stands is larger than any value that is taken now
-				if n := len(r.Key(operate.Key).Value); n < 2<<10 {
+				if n := len(r.Key(drain.DocumentKey).Value); n < 2<<10 {
 					t.Fatalf("a document of %d bytes", n)
 				}
 				r.Shrink(1.5, 5, 20)
@@ -97,21 +97,21 @@
 				t.Errorf("%d requests are in the document", n)
 			}
 			for name, m := range old.Machines {
-				var got operate.DrainRequest
-				err := json.Unmarshal(r.Key(operate.DrainKey(name)).Value, &got)
-				if err != nil || got.Mark != m || got.Machine != name {
+				var got drain.MachineRecord
+				err := json.Unmarshal(r.Key(drain.MachineKey(name)).Value, &got)
+				if err != nil || got.Request != m || got.Machine != name {
 					t.Errorf("%s: %+v, %v", name, got, err)
 				}
 			}
 			r.Advance(25 * time.Second) // answers come in time again
-			if s := r.drainMachine("undrain", "i-old-07"); s != 200 || r.Key(operate.DrainKey("i-old-07")).Version != 0 {
+			if s := r.drainMachine("undrain", "i-old-07"); s != 200 || r.Key(drain.MachineKey("i-old-07")).Version != 0 {
 				t.Errorf("status %d, and the request still stands", s)
 			}
 			if s := r.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
 				t.Errorf("status %d", s)
 			}
 			r.reach("swept", 3*time.Minute, func() bool {
-				for key := range r.Stored(operate.DrainPrefix) {
+				for key := range r.Stored(drain.MachinePrefix) {
 					if !strings.Contains(key, "i-old-") {
 						return false
 					}
--- a/internal/world/meetings_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"encoding/json"
--- a/internal/world/record.go
+++ b/internal/simulator/record.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 // transmissionKind tells what a message on the simulated network is.
 type transmissionKind string
--- a/internal/world/stored_test.go
+++ b/internal/simulator/stored_test.go
@@ -1,4 +1,4 @@
-package world
+package simulator
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/licences"
 	"github.com/harewalk/harewalk/internal/membership"
-	"github.com/harewalk/harewalk/internal/operate"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/sessions"
 )
@@ -113,7 +113,7 @@
 		case "licence-count":
 			same[licences.Set](t, key, raw)
 		case "operators-wishes":
-			same[operate.Wishes](t, key, raw)
+			same[drain.Document](t, key, raw)
 		case "session":
 			same[sessions.Record](t, key, raw)
 		}
@@ -129,7 +129,7 @@
 // migrates, and every job comes to its end.
 func TestStartOnStoredState(t *testing.T) {
 	all := storedBefore(t)
-	for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", operate.Key} {
+	for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
 		delete(all, key) // of holds that have run out, and of machines that this world doesn't have
 	}
 	w, err := Simulated(Config{
--- a/internal/world/world.go
+++ b/internal/simulator/world.go
@@ -1,4 +1,4 @@
-// Package world is everything around the controllers, played on loopback by the published
+// Package simulator is everything around the controllers, played on loopback by the published
 // protocols: the state service, the cloud, machines with their workers, a licence server and a
 // load balancer's worth of users. Faults come on command or from a seed. It is for tests, the
 // development cluster and experiments; it knows the truth, and Broken says which rule did not
@@ -6,7 +6,7 @@
 //
 // A World belongs to no event loop: one mutex guards all of it. It stands on real time and loopback
 // sockets, or on a simulation, in which the controllers run too and hours pass in seconds.
-package world
+package simulator
 
 import (
 	"encoding/json"
@@ -21,8 +21,8 @@
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 // Config says what is played. Zero values are replaced by defaults that suit a test.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
-	"github.com/harewalk/harewalk/internal/world/state"
 )
 
 func TestMain(m *testing.M) {
