--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -29,19 +29,19 @@
 		CanWrite:   func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
 		Commit:     func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.BulkPriority, done) },
 		Now:        c.loop.Now,
-		OnArchived: c.archived.Remember,
+		OnArchived: c.archive.reader.Remember,
 		TxnOps:     c.settings.Params.State.Limits().MaxOps, WritesPerS: c.settings.Params.State.WriteRPS,
 	})
 }
 
 // moveEnded archives ended jobs, where the cluster's level has every controller read them.
 func (c *Controller) moveEnded(now time.Duration) {
-	if c.mover == nil || now-c.archiveAt < archiveEvery || c.archive.Problem != nil || c.rollout.Level() < rollout.Archived {
+	if c.term.mover == nil || now-c.archive.checkedAt < archiveEvery || c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
-	c.archiveAt = now
-	c.mover.Tick(now, c.backlog(now), func(take func(archive.Candidate) bool) {
-		c.jobs.ForEachEnded(now-c.archive.Retain, func(job *jobs.Job) bool {
+	c.archive.checkedAt = now
+	c.term.mover.Tick(now, c.backlog(now), func(take func(archive.Candidate) bool) {
+		c.jobs.ForEachEnded(now-c.archive.settings.Retain, func(job *jobs.Job) bool {
 			if !c.settled(job) {
 				return true
 			}
@@ -52,7 +52,7 @@
 
 // backlog tells whether some ended job has waited for more than twice the time for which it is retained.
 func (c *Controller) backlog(now time.Duration) (late bool) {
-	c.jobs.ForEachEnded(now-2*c.archive.Retain, func(job *jobs.Job) bool {
+	c.jobs.ForEachEnded(now-2*c.archive.settings.Retain, func(job *jobs.Job) bool {
 		late = c.settled(job)
 		return !late
 	})
@@ -61,18 +61,18 @@
 
 // settled tells whether an ended job can't have a task on any machine, and nothing else stands of it.
 func (c *Controller) settled(job *jobs.Job) bool {
-	if c.sessions != nil && c.sessions.Stands(job.ID) {
+	if c.term.sessions != nil && c.term.sessions.Stands(job.ID) {
 		return false
 	}
-	return c.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
+	return c.term.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
 }
 
 // recordGone takes over that a job's record has left the followed keys.
 func (c *Controller) recordGone(key string, version uint64) {
 	id := strings.TrimPrefix(key, jobs.Prefix)
 	c.jobs.Archive(id, version)
-	if c.mover != nil {
-		c.mover.ForgetConflict(id)
+	if c.term.mover != nil {
+		c.term.mover.ForgetConflict(id)
 	}
 }
 
@@ -100,10 +100,10 @@
 
 // archiveStatus is told by the leader.
 func (c *Controller) archiveStatus() ArchiveStatus {
-	s := ArchiveStatus{Moved: c.mover.Stats.Moved, Waiting: c.jobs.Len() - c.liveJobs(), RetainS: c.archive.Retain.Seconds(), State: c.mover.State().String()}
+	s := ArchiveStatus{Moved: c.term.mover.Stats.Moved, Waiting: c.jobs.Len() - c.liveJobs(), RetainS: c.archive.settings.Retain.Seconds(), State: c.term.mover.State().String()}
 	switch {
-	case c.archive.Problem != nil:
-		s.Problem = c.archive.Problem.Error()
+	case c.archive.settings.Problem != nil:
+		s.Problem = c.archive.settings.Problem.Error()
 	case c.rollout.Level() < rollout.Archived:
 		s.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
 	}
@@ -112,8 +112,8 @@
 
 // sayArchive logs at the start why nothing will be archived.
 func (c *Controller) sayArchive() {
-	if c.archive.Problem != nil {
-		slog.Error("ended jobs are not archived: memory grows with each job", "cause", c.archive.Problem)
+	if c.archive.settings.Problem != nil {
+		slog.Error("ended jobs are not archived: memory grows with each job", "cause", c.archive.settings.Problem)
 	}
 }
 
@@ -126,6 +126,6 @@
 		present[item.Key] = true
 	}
 	c.licencePools.Reset(func(key string) bool { return present[key] })
-	c.machineDrains.Reset(c.watchCache.Revision(), func(key string) bool { return present[key] })
+	c.drains.machines.Reset(c.watchCache.Revision(), func(key string) bool { return present[key] })
 	c.recordsRead(items)
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -128,8 +128,8 @@
 // A job whose session is still recorded isn't archived, whatever else is over: the session would be nobody's for ever.
 func TestSessionKeepsItsJob(t *testing.T) {
 	c, _, _ := following(t)
-	c.sessions = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
-	c.sessions.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
+	c.term.sessions = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
+	c.term.sessions.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
 	if c.settled(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
 		t.Error("the job of a session that is recorded may be archived")
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,7 +13,6 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
-	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/drain"
@@ -25,7 +24,6 @@
 	"github.com/harewalk/harewalk/internal/peers"
 	"github.com/harewalk/harewalk/internal/quota"
 	"github.com/harewalk/harewalk/internal/rollout"
-	"github.com/harewalk/harewalk/internal/sessions"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -57,65 +55,39 @@
 
 // Controller is one process of the service.
 type Controller struct {
-	settings      *config.Settings
-	loop          *Loop
-	rng           *rand.Rand
+	settings *config.Settings
+	loop     *Loop
+	rng      *rand.Rand
+
 	stateSender   httpio.Sender // to the state service and the cloud
-	workerSender  httpio.Sender // to workers
+	workerSender  httpio.Sender
 	licenceSender httpio.Sender // to licence servers
-	licencePools  *licences.Catalog
-	store         *store.Client
-	watchCache    *store.WatchCache
-	membership    *membership.Membership
-	rollout       *rollout.Rollout
-	jobs          *jobs.Table
-	intake        *api.Service
-	cloud         *capacity.Cloud
-	quota         *quota.Ledger
-
-	types    []capacity.MachineType
-	byType   map[int32]*fleet.MachineType
-	typesRaw string
-	typesAt  time.Duration
-	askTypes bool
-	typesVer uint64
-
-	// While leading.
-	fleet          *fleet.Fleet
-	capacity       *capacity.Manager
-	sessions       *sessions.Manager // nil where sessions are off
-	mover          *archive.Mover
-	loading        bool
-	loadAt         time.Duration
-	authoritySince time.Duration // since when authority was not interrupted
-	hadAuthority   bool
 
-	// A planned end.
-	lifecycle        LifecycleState
-	lifecycleSince   time.Duration
-	quiescentSince   time.Duration // since when nothing was under way while leaving
-	staysWhenDrained bool          // operators want it drained: it stays instead of ending
-	ended            chan struct{}
+	store      *store.Client
+	watchCache *store.WatchCache
+	membership *membership.Membership
+	rollout    *rollout.Rollout
+	jobs       *jobs.Table
+	api        *api.Service
+	cloud      *capacity.Cloud
+	quota      *quota.Ledger
 
-	rolledAt             time.Duration // when the rollout was looked at
-	archive              config.Archive
-	archived             *archive.Reader
-	archiveAt            time.Duration // when ended jobs were looked at
-	storedZones          storedZones
-	drainDocument        drain.Document
-	drainDocumentVersion uint64
-	machineDrains        *drain.MachineRequests
-	drainUpkeep          drainUpkeep
-	listAt               time.Duration // when jobs were listed last
+	licencePools *licences.Catalog
+	machineTypes machineTypes
+	term         leaderTerm
+	lifecycle    lifecycle
+	archive      jobArchive
+	storedZones  storedZones
+	drains       drainState
+	peers        peerSet
 
 	foreignHeartbeats foreignHeartbeats
 	answers           api.ResponseCounter
 	failoverTiming    failoverTiming
 
-	summary    time.Duration
-	links      []link
-	peerStatus map[string]peerStatus
-	statusAt   time.Duration
+	rolloutCheckedAt time.Duration
+	jobsListedAt     time.Duration
+	summarizedAt     time.Duration
 }
 
 // New builds a controller that is not yet listening.
@@ -131,7 +103,7 @@
 		if t := settings.Operator.TLS; t != nil && t.Peers {
 			dial = peers.Secure(p.Addr, func() *tls.Config { return settings.Keys().Peer(p.Node) })
 		}
-		c.links = append(c.links, peers.NewLink(dial))
+		c.peers.links = append(c.peers.links, peers.NewLink(dial))
 	}
 	return c
 }
@@ -141,8 +113,13 @@
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(settings.Node))
 	c := &Controller{
-		settings: settings, loop: NewLoop(o.Now), peerStatus: map[string]peerStatus{}, machineDrains: drain.NewMachineRequests(), ended: make(chan struct{}), byType: map[int32]*fleet.MachineType{},
-		rng: rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
+		settings:     settings,
+		loop:         NewLoop(o.Now),
+		rng:          rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
+		machineTypes: machineTypes{byIndex: map[int32]*fleet.MachineType{}},
+		lifecycle:    lifecycle{ended: make(chan struct{})},
+		drains:       drainState{machines: drain.NewMachineRequests()},
+		peers:        peerSet{status: map[string]peerStatus{}},
 	}
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
@@ -173,14 +150,14 @@
 		if k == drain.DocumentKey {
 			c.applyDrainDocument(nil, v)
 		}
-		c.machineDrains.HandleDelete(k, v)
+		c.drains.machines.HandleDelete(k, v)
 	}
 	c.watchCache.OnReset = c.resetKeys
 	c.watchCache.OnSynced = func() { c.rollout.HandleSynced(); c.membership.HandleSynced(c.loop.Now()) }
-	c.archive = settings.Archive()
-	c.archived = c.newReader(c.archive.CacheEntries)
-	c.intake = api.New(api.Env{
-		Store: c.store, Jobs: c.jobs, Archive: c.archived, Admit: c.admit, Ready: c.watchCache.Synced,
+	c.archive.settings = settings.Archive()
+	c.archive.reader = c.newReader(c.archive.settings.CacheEntries)
+	c.api = api.New(api.Env{
+		Store: c.store, Jobs: c.jobs, Archive: c.archive.reader, Admit: c.admit, Ready: c.watchCache.Synced,
 		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
 		MaxBytes: settings.Params.Limits.QueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
 	})
@@ -217,7 +194,7 @@
 	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.hear(s) }) })
 	fail := make(chan error, 2)
 	routes := api.Routes{
-		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.intake, Up: c.up,
+		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.api, Up: c.up,
 		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
 	}
 	if t := c.settings.Operator.TLS; t != nil {
@@ -268,16 +245,16 @@
 func (c *Controller) tick(now time.Duration) {
 	c.watchCache.Tick(now)
 	c.membership.Tick(now)
-	c.intake.Tick(now)
+	c.api.Tick(now)
 	c.learnTypes(now)
 	c.tell(now)
-	if c.lifecycle != Serving {
+	if c.lifecycle.state != Serving {
 		c.drain(now)
 	}
 	c.applyDrains(now)
 	c.rolled(now)
 	c.keepPace(now)
-	if c.fleet == nil {
+	if c.term.fleet == nil {
 		return
 	}
 	auth := c.membership.HasAuthority(now)
@@ -285,29 +262,29 @@
 		c.membership.Resign(now, "the followed keys are too old")
 		return
 	}
-	if !c.fleet.PlansLoaded() {
+	if !c.term.fleet.PlansLoaded() {
 		c.load(now)
 		return
 	}
-	if c.fleet.WritesStuck() {
+	if c.term.fleet.WritesStuck() {
 		c.membership.Resign(now, "writes without an outcome don't fit the state service's limits any more")
 		return
 	}
-	if now >= c.summary {
-		c.summary = now + 30*time.Second
-		c.fleet.Summary(now)
+	if now >= c.summarizedAt {
+		c.summarizedAt = now + 30*time.Second
+		c.term.fleet.Summary(now)
 	}
-	if auth && !c.hadAuthority {
-		c.authoritySince = now
+	if auth && !c.term.hadAuthority {
+		c.term.authoritySince = now
 	}
-	c.hadAuthority = auth
-	c.fleet.Tick(now, auth)
-	if auth && c.sessions != nil {
-		c.sessions.Tick(now)
+	c.term.hadAuthority = auth
+	c.term.fleet.Tick(now, auth)
+	if auth && c.term.sessions != nil {
+		c.term.sessions.Tick(now)
 	}
 	if auth {
 		c.askServers(now)
-		c.capacity.Tick(now, c.authoritySince)
+		c.term.capacity.Tick(now, c.term.authoritySince)
 		c.keepZones(now)
 		c.cutOff(now)
 		c.moveEnded(now)
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -43,12 +43,12 @@
 // is closed when it may end, which is within a few seconds.
 func (c *Controller) Drain() <-chan struct{} {
 	c.loop.Post(c.startLeaving)
-	return c.ended
+	return c.lifecycle.ended
 }
 
 func (c *Controller) startLeaving() {
-	c.staysWhenDrained = false
-	switch now := c.loop.Now(); c.lifecycle {
+	c.lifecycle.staysWhenDrained = false
+	switch now := c.loop.Now(); c.lifecycle.state {
 	case Serving:
 		c.startDrain(now, "told to drain")
 	case Drained:
@@ -57,18 +57,18 @@
 }
 
 func (c *Controller) startDrain(now time.Duration, cause string) {
-	c.intake.Drain()
-	if c.fleet == nil {
+	c.api.Drain()
+	if c.term.fleet == nil {
 		c.leave(now, cause)
 		return
 	}
-	c.fleet.StopStarting()
+	c.term.fleet.StopStarting()
 	c.turn(now, Flushing, cause)
 }
 
 // over ends a drain, or leaves the controller where operators want it.
 func (c *Controller) over(now time.Duration, cause string) {
-	if c.staysWhenDrained {
+	if c.lifecycle.staysWhenDrained {
 		c.turn(now, Drained, cause)
 		return
 	}
@@ -77,10 +77,10 @@
 
 // turn is the only place where the life's state changes.
 func (c *Controller) turn(now time.Duration, to LifecycleState, cause string) {
-	slog.Info("drain", "from", c.lifecycle.String(), "to", to.String(), "cause", cause)
-	c.lifecycle, c.lifecycleSince = to, now
+	slog.Info("drain", "from", c.lifecycle.state.String(), "to", to.String(), "cause", cause)
+	c.lifecycle.state, c.lifecycle.since = to, now
 	if to == Ended {
-		close(c.ended)
+		close(c.lifecycle.ended)
 	}
 }
 
@@ -88,30 +88,30 @@
 func (c *Controller) leave(now time.Duration, cause string) {
 	c.turn(now, HandingOver, cause)
 	c.membership.Withdraw(now)
-	c.quiescentSince = now
+	c.lifecycle.quiescentSince = now
 }
 
 // drain goes on with a drain.
 func (c *Controller) drain(now time.Duration) {
-	switch c.lifecycle {
+	switch c.lifecycle.state {
 	case Flushing:
 		switch {
-		case c.fleet == nil:
+		case c.term.fleet == nil:
 			c.leave(now, "the lead is lost")
-		case !c.fleet.WriteInFlight():
+		case !c.term.fleet.WriteInFlight():
 			c.leave(now, "all writes are settled")
-		case now-c.lifecycleSince > flushFor:
+		case now-c.lifecycle.since > flushFor:
 			c.leave(now, "a write is open: the next leader reads what stands")
 		}
 	case HandingOver:
-		if c.intake.Busy() {
-			c.quiescentSince = now
+		if c.api.Busy() {
+			c.lifecycle.quiescentSince = now
 		}
 		led := c.membership.Leader().Node != "" && c.membership.Leader().Node != c.settings.Node
 		switch {
-		case now-c.quiescentSince > quiescentFor && (led || len(c.settings.Peers) == 0):
+		case now-c.lifecycle.quiescentSince > quiescentFor && (led || len(c.settings.Peers) == 0):
 			c.over(now, "all is answered and another leads")
-		case now-c.lifecycleSince > leaveFor:
+		case now-c.lifecycle.since > leaveFor:
 			c.over(now, "it takes too long")
 		}
 	}
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -29,7 +29,7 @@
 	forgetUnknown = time.Hour
 )
 
-// drainUpkeep is what a term does about drain requests in the background.
+// drains.upkeep is what a term does about drain requests in the background.
 type drainUpkeep struct {
 	busy    bool // a transaction is under way
 	sweptAt time.Duration
@@ -39,12 +39,12 @@
 
 // desiredDrains is all that operators want, as far as it was followed.
 func (c *Controller) desiredDrains() drain.DesiredState {
-	return drain.DesiredState{Document: c.drainDocument, Drains: c.machineDrains, OwnKeys: c.rollout.Level() >= rollout.DrainKeys}
+	return drain.DesiredState{Document: c.drains.document, Drains: c.drains.machines, OwnKeys: c.rollout.Level() >= rollout.DrainKeys}
 }
 
 // handleDrainRequest takes over the drain request of a machine.
 func (c *Controller) handleDrainRequest(item store.Item) {
-	if err := c.machineDrains.HandleItem(item.Key, item.Value, item.Version); err != nil {
+	if err := c.drains.machines.HandleItem(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		return
 	}
@@ -54,21 +54,21 @@
 // drainMachines has the fleet drain what operators want drained, and keeps the requests.
 func (c *Controller) drainMachines(now time.Duration) {
 	want := c.desiredDrains()
-	if c.fleet == nil || !c.fleet.PlansLoaded() || (!want.AnyMachine() && !c.fleet.HasDrains()) {
+	if c.term.fleet == nil || !c.term.fleet.PlansLoaded() || (!want.AnyMachine() && !c.term.fleet.HasDrains()) {
 		return
 	}
-	c.fleet.ApplyDrains(now, func(machine string) (on, stop bool, by string) {
+	c.term.fleet.ApplyDrains(now, func(machine string) (on, stop bool, by string) {
 		m, ok := want.Machine(machine)
 		return ok, m.Stop, m.By
 	})
-	if c.drainUpkeep.busy || !c.membership.HasAuthority(now) {
+	if c.drains.upkeep.busy || !c.membership.HasAuthority(now) {
 		return
 	}
 	if c.moveDrains(now, want) {
 		return
 	}
-	if now-c.drainUpkeep.sweptAt >= sweepEvery {
-		c.drainUpkeep.sweptAt = now
+	if now-c.drains.upkeep.sweptAt >= sweepEvery {
+		c.drains.upkeep.sweptAt = now
 		c.sweepDrains(now, want)
 	}
 }
@@ -78,15 +78,15 @@
 	if c.rollout.Level() < rollout.DrainKeys {
 		return 0
 	}
-	return len(c.drainDocument.Machines)
+	return len(c.drains.document.Machines)
 }
 
 // moveDrains takes the next step that moves requests out of the document, if one is due, and tells whether it did.
 func (c *Controller) moveDrains(now time.Duration, want drain.DesiredState) bool {
-	if now-c.drainUpkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
+	if now-c.drains.upkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
 		return false
 	}
-	c.drainUpkeep.movedAt = now
+	c.drains.upkeep.movedAt = now
 	most := c.spareDrains()
 	move, due := want.NextMove(most, c.store.Limits().MaxValueBytes, c.machineGone)
 	if !due || most == 0 {
@@ -117,14 +117,14 @@
 func (c *Controller) sweepDrains(now time.Duration, want drain.DesiredState) {
 	c.trackUnknownMachines(now, want)
 	if !want.OwnKeys {
-		if w, any := c.drainDocument.Without(c.machineGone); any {
+		if w, any := c.drains.document.Without(c.machineGone); any {
 			c.writeDrains(store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(w)}})
 		}
 		return
 	}
 	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
 	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
-		s, _ := c.machineDrains.Of(name)
+		s, _ := c.drains.machines.Of(name)
 		txn.If = append(txn.If, store.Condition{Key: drain.MachineKey(name), Version: s.Version})
 		txn.Then = append(txn.Then, store.Op{Delete: drain.MachineKey(name)})
 	}
@@ -135,34 +135,34 @@
 
 // trackUnknownMachines notes which machines that are to be drained the leader doesn't know, and since when.
 func (c *Controller) trackUnknownMachines(now time.Duration, want drain.DesiredState) {
-	was := c.drainUpkeep.unknown
-	c.drainUpkeep.unknown = map[string]time.Duration{}
+	was := c.drains.upkeep.unknown
+	c.drains.upkeep.unknown = map[string]time.Duration{}
 	for name := range want.Machines() {
-		if c.fleet.FindMachine(name) != nil {
+		if c.term.fleet.FindMachine(name) != nil {
 			continue
 		}
 		since, ok := was[name]
 		if !ok {
 			since = now
 		}
-		c.drainUpkeep.unknown[name] = since
+		c.drains.upkeep.unknown[name] = since
 	}
 }
 
 // machineGone tells whether a machine's drain request means nothing any more.
 func (c *Controller) machineGone(name string) bool {
-	if machine := c.fleet.FindMachine(name); machine != nil {
+	if machine := c.term.fleet.FindMachine(name); machine != nil {
 		return machine.Condition == fleet.Terminated
 	}
-	since, ok := c.drainUpkeep.unknown[name]
+	since, ok := c.drains.upkeep.unknown[name]
 	return ok && c.loop.Now()-since >= forgetUnknown
 }
 
 // writeDrains sends a transaction that nobody waits for.
 func (c *Controller) writeDrains(txn store.Txn) {
-	c.drainUpkeep.busy = true
+	c.drains.upkeep.busy = true
 	c.commit(txn, store.BulkPriority, func(result store.Result) {
-		c.drainUpkeep.busy = false
+		c.drains.upkeep.busy = false
 		if result.Outcome == store.Committed {
 			c.confirmDrainWrite(txn, result.Revision)
 		} else {
@@ -174,7 +174,7 @@
 // documentConds are what a write that was decided by the document depends on: its version, and the level, which says
 // where requests belong.
 func (c *Controller) documentConds() []store.Condition {
-	return []store.Condition{c.rollout.LevelCondition(), {Key: drain.DocumentKey, Version: c.drainDocumentVersion}}
+	return []store.Condition{c.rollout.LevelCondition(), {Key: drain.DocumentKey, Version: c.drains.documentVersion}}
 }
 
 func documentOp(w drain.Document) store.Op {
@@ -215,7 +215,7 @@
 		case o.Put != "":
 			c.handleDrainRequest(store.Item{Key: o.Put, Value: o.Value, Version: revision})
 		default:
-			c.machineDrains.ConfirmDelete(o.Delete, revision)
+			c.drains.machines.ConfirmDelete(o.Delete, revision)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 			continue
 		}
 		v := MachineStatus{Machine: name, State: "unknown", By: all[name].By}
-		if machine := c.fleet.FindMachine(name); machine != nil {
+		if machine := c.term.fleet.FindMachine(name); machine != nil {
 			v.State, v.Tasks = machine.Condition.String(), len(machine.Tasks)
 		}
 		shown = append(shown, v)
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -46,11 +46,11 @@
 		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
-	if n := len(c.machineDrains.All()); n != 2 {
+	if n := len(c.drains.machines.All()); n != 2 {
 		t.Fatalf("%d requests are followed", n)
 	}
 	c.resetKeys([]store.Item{svc.Keys[drain.MachineKey("i-2")]})
-	if all := c.machineDrains.All(); len(all) != 1 || all[0] != "i-2" {
+	if all := c.drains.machines.All(); len(all) != 1 || all[0] != "i-2" {
 		t.Fatalf("left are %v", all)
 	}
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -35,7 +35,7 @@
 func Simulate(settings *config.Settings, o Environment, links ...func(raw []byte)) *Simulated {
 	c := build(settings, o)
 	for _, l := range links {
-		c.links = append(c.links, sendFunc(l))
+		c.peers.links = append(c.peers.links, sendFunc(l))
 	}
 	return &Simulated{c}
 }
@@ -59,7 +59,7 @@
 
 // Leads tells whether it leads and may act.
 func (s *Simulated) Leads() bool {
-	return s.c.fleet != nil && s.c.membership.HasAuthority(s.c.loop.Now())
+	return s.c.term.fleet != nil && s.c.membership.HasAuthority(s.c.loop.Now())
 }
 
 // Step is where it stands between arriving and leading.
@@ -67,10 +67,10 @@
 
 // Acts tells whether it gives a machine work.
 func (s *Simulated) Acts(machine string) bool {
-	if s.c.fleet == nil {
+	if s.c.term.fleet == nil {
 		return false
 	}
-	m := s.c.fleet.FindMachine(machine)
+	m := s.c.term.fleet.FindMachine(machine)
 	return m != nil && m.Condition == fleet.Ready
 }
 
@@ -79,14 +79,14 @@
 	if !s.Acts(machine) {
 		return false
 	}
-	m := s.c.fleet.FindMachine(machine)
+	m := s.c.term.fleet.FindMachine(machine)
 	return m.Session == session && m.Seq+2 >= seq && m.Seq <= seq
 }
 
 // Drain is what SIGTERM does.
 func (s *Simulated) Drain() <-chan struct{} {
 	s.c.startLeaving()
-	return s.c.ended
+	return s.c.lifecycle.ended
 }
 
 // Ask takes a request as its HTTP side does; reply is called once, unless the controller ends before.
@@ -122,7 +122,7 @@
 			say(api.Refuse(400, err.Error()))
 			return
 		}
-		c.intake.Submit(now, spec, say)
+		c.api.Submit(now, spec, say)
 	case u.Path == "/v2/runs" || u.Path == "/v2/events":
 		request := api.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
 		if u.Path == "/v2/events" {
@@ -144,9 +144,9 @@
 	case strings.HasPrefix(u.Path, "/v2/zones"):
 		c.leaderCall(now, api.LeaderRequest{Resource: "zones", Verb: "show", Name: strings.TrimPrefix(strings.TrimPrefix(u.Path, "/v2/zones"), "/")}, say)
 	case verb == "":
-		c.intake.Query(now, id, say)
+		c.api.Query(now, id, say)
 	case verb == "abort":
-		c.intake.Abort(now, id, say)
+		c.api.Abort(now, id, say)
 	default:
 		c.leaderCall(now, api.LeaderRequest{Resource: verb, Name: id, Verb: "show"}, say)
 	}
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -80,7 +80,7 @@
 		reply(api.Refuse(429, "too many lists"))
 		return
 	}
-	out := EventPage{Term: c.membership.Term(), First: c.fleet.Events.First(), Events: []EventView{}}
+	out := EventPage{Term: c.membership.Term(), First: c.term.fleet.Events.First(), Events: []EventView{}}
 	from := out.First
 	if term, seq, ok := strings.Cut(request.Query["since"], "-"); ok && term == fmt.Sprint(out.Term) {
 		if n, err := strconv.ParseUint(seq, 10, 64); err == nil {
@@ -88,7 +88,7 @@
 		}
 	}
 	looks, about := 0, false
-	out.Next = c.fleet.Events.Since(from, func(e *events.Event) bool {
+	out.Next = c.term.fleet.Events.Since(from, func(e *events.Event) bool {
 		if looks++; looks > maxLooks || len(out.Events) == pageSize {
 			out.More = true
 			return false
@@ -122,7 +122,7 @@
 		}
 	}
 	if e.Machine != events.None {
-		h.Machine = c.fleet.Machines()[e.Machine].Name
+		h.Machine = c.term.fleet.Machines()[e.Machine].Name
 	}
 	return h
 }
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -54,9 +54,9 @@
 	p.next += time.Second
 	t := c.tally()
 	acting, known := 0, 0
-	leads := c.fleet != nil && c.membership.State() == membership.Leading
+	leads := c.term.fleet != nil && c.membership.State() == membership.Leading
 	if leads {
-		for _, machine := range c.fleet.Machines() {
+		for _, machine := range c.term.fleet.Machines() {
 			switch machine.Condition {
 			case fleet.Ready, fleet.ReclaimNoticed:
 				acting++
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -14,12 +14,12 @@
 // every machine gone, left the next one to count the leases anew: they never ran out, and nothing was rented.
 func (c *Controller) cutOff(now time.Duration) {
 	limit := config.Seconds(2*c.settings.Params.Workers.ReportS + 4)
-	silent := min(now-c.fleet.LastHeartbeat, now-c.authoritySince)
+	silent := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
 	if silent < soonest(c.settings.Params.Workers.ReportS) {
 		return
 	}
 	there, heard := 0, c.othersHear(now)
-	for _, machine := range c.fleet.Machines() {
+	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
 			there++
 		}
@@ -45,7 +45,7 @@
 
 // othersHear counts the reports that other controllers have heard lately.
 func (c *Controller) othersHear(now time.Duration) (n int) {
-	for _, h := range c.peerStatus {
+	for _, h := range c.peers.status {
 		if now-h.at < peerStatusTTL {
 			n += int(h.Workers)
 		}
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -17,7 +17,7 @@
 	switch {
 	case request.Resource == "rollout" && request.Verb == "show" && (!c.rollout.Compatible() || c.membership.Leader().Node == ""):
 		c.rolloutShow(now, reply) // what it knows itself: it may be what is in the way
-	case c.membership.State() != membership.Leading || c.fleet == nil:
+	case c.membership.State() != membership.Leading || c.term.fleet == nil:
 		l := c.membership.Leader()
 		if l.Node == "" {
 			reply(api.Refuse(503, "no controller leads"))
@@ -28,7 +28,7 @@
 			Leader string `json:"leader"`
 			Secure string `json:"leader_tls,omitempty"`
 		}{"only the leader knows", l.Public, l.Secure}})
-	case !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded():
+	case !c.membership.HasAuthority(now) || !c.term.fleet.PlansLoaded():
 		reply(api.Refuse(503, "the leader may not act now"))
 	case request.Resource == "rollout":
 		c.rolloutCall(now, request, reply)
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -19,13 +19,13 @@
 
 // askServers asks the licence servers that are due.
 func (c *Controller) askServers(now time.Duration) {
-	f := c.fleet
+	f := c.term.fleet
 	if f.Gate.Licences.None() {
 		return
 	}
 	for _, pool := range f.Gate.Licences.Due(now) {
 		c.licenceSender.Send(pool.Server, httpio.Request{Method: "GET", Path: "/v1/pools/" + url.PathEscape(pool.Name), Timeout: licences.AskTimeout}, func(response httpio.Response) {
-			if c.fleet != f {
+			if c.term.fleet != f {
 				return
 			}
 			at := c.loop.Now()
@@ -64,7 +64,7 @@
 
 // licenceCall answers an operator's request about pools: all of them, one, or a new count.
 func (c *Controller) licenceCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	show := func(ix int32) licences.View { return c.fleet.Gate.Licences.Show(now, ix, c.jobs.Names.Teams.Name) }
+	show := func(ix int32) licences.View { return c.term.fleet.Gate.Licences.Show(now, ix, c.jobs.Names.Teams.Name) }
 	if request.Name == "" {
 		all := []licences.View{}
 		for ix := range c.licencePools.Pools() {
@@ -117,10 +117,10 @@
 		reply(api.Reply{Status: 200, Body: show()})
 		return
 	}
-	f := c.fleet
+	f := c.term.fleet
 	c.store.Txn(store.Txn{If: []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(result store.Result) {
 		switch {
-		case result.Outcome == store.Committed && c.fleet == f:
+		case result.Outcome == store.Committed && c.term.fleet == f:
 			if s.Reset {
 				c.licencePools.Drop(key, result.Revision)
 			} else {
@@ -128,7 +128,7 @@
 			}
 			slog.Info("licences counted anew", "pool", c.licencePools.Pools()[ix].Name, "count", c.licencePools.Count(ix), "by", s.By, "on_lower", c.licencePools.Lowering(ix))
 			reply(api.Reply{Status: 200, Body: show()})
-		case result.Outcome == store.Conflict && c.fleet == f:
+		case result.Outcome == store.Conflict && c.term.fleet == f:
 			reply(api.Reply{Status: 409, Body: conflict("another command", show())})
 		default:
 			reply(api.Refuse(503, "it is not known whether the count was set: look before setting it again"))
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -85,10 +85,10 @@
 
 // mayList tells whether a list may be made now, and counts it.
 func (c *Controller) mayList(now time.Duration) bool {
-	if c.listAt > 0 && now-c.listAt < listEvery {
+	if c.jobsListedAt > 0 && now-c.jobsListedAt < listEvery {
 		return false
 	}
-	c.listAt = now
+	c.jobsListedAt = now
 	return true
 }
 
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -109,20 +109,20 @@
 	add(refusedDesc, float64(size), "size")
 	add(refusedDesc, float64(rate), "rate")
 	add(knownDesc, float64(c.jobs.Len()))
-	add(cachedDesc, float64(c.archived.CacheLen()))
+	add(cachedDesc, float64(c.archive.reader.CacheLen()))
 	add(levelDesc, float64(c.rollout.Level()), "cluster")
 	add(levelDesc, float64(c.rollout.MaxLevel()), "known")
 	for s := rollout.Loading; s <= rollout.Incompatible; s++ {
 		add(rolloutDesc, one(s == c.rollout.State()), s.String())
 	}
 	add(unreadDesc, float64(c.rollout.UnreadableCount()))
-	if c.fleet == nil || !c.fleet.PlansLoaded() {
+	if c.term.fleet == nil || !c.term.fleet.PlansLoaded() {
 		return ms
 	}
 	if c.rollout.State() == rollout.Migrating {
-		add(movingDesc, float64(c.fleet.UnmigratedPlans()))
+		add(movingDesc, float64(c.term.fleet.UnmigratedPlans()))
 	}
-	add(archivedDesc, float64(c.mover.Stats.Moved))
+	add(archivedDesc, float64(c.term.mover.Stats.Moved))
 	tasks := map[jobs.TaskState]int{}
 	c.jobs.ForEachLive(func(job *jobs.Job) {
 		for s, n := range job.TasksByState {
@@ -134,7 +134,7 @@
 	}
 	machines := map[fleet.Condition]int{}
 	var cores, coresUsed, gpus, gpusUsed float64
-	for _, machine := range c.fleet.Machines() {
+	for _, machine := range c.term.fleet.Machines() {
 		machines[machine.Condition]++
 		if machine.Condition == fleet.Ready {
 			cores, gpus = cores+machine.Capacity.CPUs, gpus+machine.Capacity.GPUs
@@ -149,13 +149,13 @@
 	add(gpusDesc, gpus, "there")
 	add(gpusDesc, gpusUsed, "used")
 	for ix, pool := range c.licencePools.Pools() {
-		v := c.fleet.Gate.Licences.Show(now, int32(ix), c.jobs.Names.Teams.Name)
+		v := c.term.fleet.Gate.Licences.Show(now, int32(ix), c.jobs.Names.Teams.Name)
 		for what, n := range map[string]int{"count": v.Count, "held": v.Held + v.Booked, "lingering": v.Lingering, "others": v.Others, "free": v.Free} {
 			add(seatsDesc, float64(n), pool.Name, what)
 		}
 	}
-	if c.sessions != nil {
-		for state, n := range c.sessions.Count() {
+	if c.term.sessions != nil {
+		for state, n := range c.term.sessions.Count() {
 			add(sessionsDesc, float64(n), state)
 		}
 	}
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -16,7 +16,7 @@
 
 // applyDrainDocument takes over the operators' document; an older version is ignored, raw nil: it was dropped.
 func (c *Controller) applyDrainDocument(raw json.RawMessage, version uint64) {
-	if version <= c.drainDocumentVersion {
+	if version <= c.drains.documentVersion {
 		return
 	}
 	w := drain.Document{}
@@ -27,20 +27,20 @@
 			return
 		}
 	}
-	c.drainDocument, c.drainDocumentVersion = w, version
+	c.drains.document, c.drains.documentVersion = w, version
 }
 
 // applyDrains does what operators want: this controller drains or serves again; a leader drains
 // machines and forgets the marks of those that are gone.
 func (c *Controller) applyDrains(now time.Duration) {
-	_, drained := c.drainDocument.Nodes[c.settings.Node]
+	_, drained := c.drains.document.Nodes[c.settings.Node]
 	switch {
-	case drained && c.lifecycle == Serving:
-		c.staysWhenDrained = true
+	case drained && c.lifecycle.state == Serving:
+		c.lifecycle.staysWhenDrained = true
 		c.startDrain(now, "operators want it drained")
-	case !drained && c.lifecycle == Drained:
-		c.staysWhenDrained = false
-		c.intake.Resume()
+	case !drained && c.lifecycle.state == Drained:
+		c.lifecycle.staysWhenDrained = false
+		c.api.Resume()
 		c.membership.Rejoin(now)
 		c.turn(now, Serving, "operators want it back")
 	}
@@ -90,13 +90,13 @@
 	k := drain.Cluster{
 		Nodes: []string{c.settings.Node}, Alive: []string{c.settings.Node},
 		Machine: func(name string) bool {
-			machine := c.fleet.FindMachine(name)
+			machine := c.term.fleet.FindMachine(name)
 			return machine != nil && machine.Condition != fleet.Terminated
 		},
 	}
 	for _, p := range c.settings.Peers {
 		k.Nodes = append(k.Nodes, p.Node)
-		if h, ok := c.peerStatus[p.Node]; ok && now-h.at < peerStatusTTL && h.StateOK {
+		if h, ok := c.peers.status[p.Node]; ok && now-h.at < peerStatusTTL && h.StateOK {
 			k.Alive = append(k.Alive, p.Node)
 		}
 	}
@@ -118,8 +118,8 @@
 	lost := func(by string) {
 		reply(api.Refuse(409, fmt.Sprintf("something was changed meanwhile (%s): look at the status, and give the command again if it is still right", by)))
 	}
-	if cmd.Revision != nil && *cmd.Revision != c.drainDocumentVersion {
-		lost(c.drainDocument.Last)
+	if cmd.Revision != nil && *cmd.Revision != c.drains.documentVersion {
+		lost(c.drains.document.Last)
 		return
 	}
 	cmd.AtMS = c.jobs.WallMS(now)
@@ -135,10 +135,10 @@
 		reply(api.Refuse(409, err.Error()))
 		return
 	}
-	f := c.fleet
+	f := c.term.fleet
 	c.writeDrainChange(next, func(result store.Result) {
 		switch {
-		case c.fleet != f:
+		case c.term.fleet != f:
 			reply(api.Refuse(503, "the lead was lost: look at the status before giving the command again"))
 		case result.Outcome == store.Committed:
 			slog.Info("operators' command", "op", cmd.Op, "kind", cmd.Kind, "name", cmd.Name, "by", cmd.By)
@@ -153,15 +153,15 @@
 
 func (c *Controller) adminStatus(now time.Duration, after string) Status {
 	s := Status{
-		Revision: c.drainDocumentVersion, Last: c.drainDocument.Last, Term: c.membership.Term(), Machines: map[string]int{},
-		MaxMachines: c.settings.Operator.MaxMachines, MachinesBound: string(c.settings.Operator.MachinesBound), Full: c.capacity.Full(),
+		Revision: c.drains.documentVersion, Last: c.drains.document.Last, Term: c.membership.Term(), Machines: map[string]int{},
+		MaxMachines: c.settings.Operator.MaxMachines, MachinesBound: string(c.settings.Operator.MachinesBound), Full: c.term.capacity.Full(),
 	}
 	k := c.cluster(now)
 	for _, n := range k.Nodes {
-		m, drained := c.drainDocument.Nodes[n]
+		m, drained := c.drains.document.Nodes[n]
 		s.Nodes = append(s.Nodes, NodeStatus{Node: n, Leads: n == c.settings.Node, Alive: slices.Contains(k.Alive, n), Drained: drained, By: m.By})
 	}
-	for _, machine := range c.fleet.Machines() {
+	for _, machine := range c.term.fleet.Machines() {
 		s.Machines[machine.Condition.String()]++
 	}
 	s.Draining, s.DrainingTotal = c.drainStatus(after)
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -30,8 +30,8 @@
 		types, err := capacity.ParseTypes(item.Value)
 		if err != nil {
 			c.rollout.MarkUnreadable(item.Key, item.Value, err)
-		} else if item.Version > c.typesVer {
-			c.typesVer = item.Version
+		} else if item.Version > c.machineTypes.version {
+			c.machineTypes.version = item.Version
 			c.setTypes(string(item.Value), types)
 		}
 	default:
@@ -61,7 +61,7 @@
 	if changed && job.State.Terminal() {
 		job.EndedAt = now
 	}
-	if changed && c.fleet != nil {
-		c.fleet.HandleJobChange(now, job)
+	if changed && c.term.fleet != nil {
+		c.term.fleet.HandleJobChange(now, job)
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -29,8 +29,8 @@
 }
 
 func (c *Controller) rolloutTurned(now time.Duration, to rollout.State, why string) {
-	if c.fleet != nil {
-		c.fleet.Events.Add(events.Event{At: now, Kind: events.Rollout, Task: events.None, Machine: events.None, Note: to.String() + ": " + why})
+	if c.term.fleet != nil {
+		c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Rollout, Task: events.None, Machine: events.None, Note: to.String() + ": " + why})
 	}
 }
 
@@ -43,8 +43,8 @@
 // PreferredLeaders implements membership.Rollout.
 func (m member) PreferredLeaders() int {
 	return m.Rollout.PreferredLeaders(m.c.jobs.WallMS(m.c.loop.Now()), func(node string) bool {
-		_, drained := m.c.drainDocument.Nodes[node]
-		h, heard := m.c.peerStatus[node]
+		_, drained := m.c.drains.document.Nodes[node]
+		h, heard := m.c.peers.status[node]
 		return drained || (heard && h.Leaving)
 	})
 }
@@ -52,17 +52,17 @@
 // rolled goes on with a rollout: every controller judges, the leader acts.
 func (c *Controller) rolled(now time.Duration) {
 	// One that is behind, or has met what it doesn't understand, gives up the lead at once.
-	if !c.rollout.Compatible() && c.fleet != nil {
+	if !c.rollout.Compatible() && c.term.fleet != nil {
 		c.membership.Resign(now, "this release is behind the cluster's stored state")
 	}
-	if now-c.rolledAt < rollEvery {
+	if now-c.rolloutCheckedAt < rollEvery {
 		return
 	}
-	c.rolledAt = now
+	c.rolloutCheckedAt = now
 	term, work := uint64(0), rollout.MigrationProgress{}
-	if c.fleet != nil && c.fleet.PlansLoaded() && c.membership.HasAuthority(now) {
+	if c.term.fleet != nil && c.term.fleet.PlansLoaded() && c.membership.HasAuthority(now) {
 		term = c.membership.Term()
-		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle == Serving)
+		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle.state == Serving)
 		if c.rollout.State() == rollout.Migrating {
 			work = c.migrationWork()
 		}
@@ -79,7 +79,7 @@
 func (c *Controller) migrationWork() rollout.MigrationProgress {
 	drains := c.drainsLeft()
 	passed := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
-	return rollout.MigrationProgress{Left: c.fleet.UnmigratedPlans() + drains, Done: c.fleet.Migrated() && drains == 0 && passed}
+	return rollout.MigrationProgress{Left: c.term.fleet.UnmigratedPlans() + drains, Done: c.term.fleet.Migrated() && drains == 0 && passed}
 }
 
 // rollEvery spaces the looks at a rollout.
@@ -88,10 +88,10 @@
 // rolloutView is where the rollout stands, as this controller knows it.
 func (c *Controller) rolloutView(now time.Duration) rollout.View {
 	k := rollout.Cluster{Leader: c.membership.Leader().Node, Drained: map[string]bool{}}
-	for n := range c.drainDocument.Nodes {
+	for n := range c.drains.document.Nodes {
 		k.Drained[n] = true
 	}
-	if c.fleet != nil && c.fleet.PlansLoaded() {
+	if c.term.fleet != nil && c.term.fleet.PlansLoaded() {
 		k.Left = c.migrationWork().Left
 	}
 	return c.rollout.View(now, k)
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -19,7 +19,7 @@
 		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
 		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
 		Commit: func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.NormalPriority, done) },
-		Task:   c.fleet.SessionTask, Park: c.fleet.Suspend, Wanted: c.fleet.WaitingJobsFor,
+		Task:   c.term.fleet.SessionTask, Park: c.term.fleet.Suspend, Wanted: c.term.fleet.WaitingJobsFor,
 	}, term)
 }
 
@@ -33,7 +33,7 @@
 			reply(api.Refuse(a.Status, a.Why))
 		}
 	}
-	m := c.sessions
+	m := c.term.sessions
 	switch request.Verb {
 	case "open":
 		r, err := sessions.ParseOpening(request.Body)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,29 +8,29 @@
 	"github.com/harewalk/harewalk/internal/peers"
 )
 
-// peerStatus is the last status of another controller.
+// peers.status is the last status of another controller.
 type peerStatus struct {
 	peers.Status
 	at time.Duration
 }
 
 func (c *Controller) counts(job *jobs.Job) (done, running int) {
-	if c.fleet != nil && job.Tasks != nil {
-		return c.fleet.TaskCounts(job)
+	if c.term.fleet != nil && job.Tasks != nil {
+		return c.term.fleet.TaskCounts(job)
 	}
 	return job.FinishedTasks, job.ReportedRunning
 }
 
 // hear takes what another controller says of itself.
 func (c *Controller) hear(s peers.Status) {
-	c.peerStatus[s.Node] = peerStatus{s, c.loop.Now()}
+	c.peers.status[s.Node] = peerStatus{s, c.loop.Now()}
 	c.rollout.HandleHealth(c.loop.Now(), s.Node, s.StateOK && !s.Leaving)
 	c.display(s)
 }
 
 // display takes over the leader's counts.
 func (c *Controller) display(s peers.Status) {
-	if c.fleet != nil || !s.Leading || s.Term < c.membership.Leader().Term {
+	if c.term.fleet != nil || !s.Leading || s.Term < c.membership.Leader().Term {
 		return
 	}
 	for _, n := range s.Counts {
@@ -44,14 +44,14 @@
 // answers nobody, this controller is as good as any other.
 func (c *Controller) up() bool {
 	now := c.loop.Now()
-	if !c.watchCache.Synced() || len(c.types) == 0 || c.lifecycle != Serving || !c.rollout.Compatible() {
+	if !c.watchCache.Synced() || len(c.machineTypes.list) == 0 || c.lifecycle.state != Serving || !c.rollout.Compatible() {
 		return false
 	}
 	if now-c.store.LastSuccess() < 3*time.Second {
 		return true
 	}
 	peers := false
-	for _, h := range c.peerStatus {
+	for _, h := range c.peers.status {
 		if now-h.at < peerStatusTTL {
 			if h.StateOK {
 				return false
@@ -66,25 +66,25 @@
 
 // tell sends the others a status.
 func (c *Controller) tell(now time.Duration) {
-	if now-c.statusAt < time.Second {
+	if now-c.peers.statusSentAt < time.Second {
 		return
 	}
-	c.statusAt = now
+	c.peers.statusSentAt = now
 	s := peers.Status{
-		Node: c.settings.Node, Leading: c.fleet != nil, StateOK: now-c.store.LastSuccess() < 2500*time.Millisecond,
-		Workers: c.foreignHeartbeats.count(now, config.Seconds(c.settings.Params.Workers.ReportS), 0), Leaving: c.lifecycle != Serving,
+		Node: c.settings.Node, Leading: c.term.fleet != nil, StateOK: now-c.store.LastSuccess() < 2500*time.Millisecond,
+		Workers: c.foreignHeartbeats.count(now, config.Seconds(c.settings.Params.Workers.ReportS), 0), Leaving: c.lifecycle.state != Serving,
 	}
-	if c.fleet != nil {
+	if c.term.fleet != nil {
 		s.Term = c.membership.Term()
 		c.jobs.ForEachLive(func(job *jobs.Job) {
 			if job.Tasks != nil && len(s.Counts) < peers.MostCounts {
-				d, r := c.fleet.TaskCounts(job)
+				d, r := c.term.fleet.TaskCounts(job)
 				s.Counts = append(s.Counts, peers.Count{Job: job.ID, Done: uint32(d), Running: uint32(r)})
 			}
 		})
 	}
 	raw := peers.Encode(s)
-	for _, l := range c.links {
+	for _, l := range c.peers.links {
 		l.Send(raw)
 	}
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -19,9 +19,9 @@
 func (c *Controller) lead(now time.Duration, term uint64) {
 	c.store.SetShare(c.share(true))
 	c.jobs.RecallArchived()
-	c.fleet = fleet.New(fleet.Env{
+	c.term.fleet = fleet.New(fleet.Env{
 		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.Outgoing(workerSlots), Now: c.loop.Now, OnJobRecord: c.learned,
-		Types:          func(ix int32) *fleet.MachineType { return c.byType[ix] },
+		Types:          func(ix int32) *fleet.MachineType { return c.machineTypes.byIndex[ix] },
 		PlansInPages:   func() bool { return c.rollout.Level() >= rollout.Paged },
 		OnUnreadable:   c.rollout.MarkUnreadable,
 		CanWrite:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
@@ -31,21 +31,21 @@
 		SendCommands:   c.order,
 		Events:         events.New(keptEvents(c.settings.Params.Limits.Memory())),
 	}, term, now)
-	c.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.settings.Node})
-	c.mover = c.newMover()
-	c.drainUpkeep = drainUpkeep{sweptAt: now}
-	c.capacity = capacity.New(c.settings, c.cloud, c.fleet, c.jobs.Names, func() []capacity.MachineType { return c.types }, term)
+	c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.settings.Node})
+	c.term.mover = c.newMover()
+	c.drains.upkeep = drainUpkeep{sweptAt: now}
+	c.term.capacity = capacity.New(c.settings, c.cloud, c.term.fleet, c.jobs.Names, func() []capacity.MachineType { return c.machineTypes.list }, term)
 	c.storedZones.writing = false
 	c.recallZones()
-	c.loading, c.loadAt, c.hadAuthority = false, now, false
+	c.term.loading, c.term.loadAt, c.term.hadAuthority = false, now, false
 }
 
 // commit sends a transaction of the leader's term; its answer counts only within it.
 func (c *Controller) commit(txn store.Txn, class store.Priority, done func(store.Result)) {
 	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
-	f := c.fleet
+	f := c.term.fleet
 	c.store.Txn(txn, class, func(result store.Result) {
-		if c.fleet == f {
+		if c.term.fleet == f {
 			done(result)
 		}
 	})
@@ -53,9 +53,9 @@
 
 // read re-reads a key for the leader's term.
 func (c *Controller) read(key string, done func(store.Item, error)) {
-	f := c.fleet
+	f := c.term.fleet
 	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
-		if c.fleet == f {
+		if c.term.fleet == f {
 			done(item, err)
 		}
 	})
@@ -64,10 +64,10 @@
 // lose ends a term: nothing of its state may be used any more.
 func (c *Controller) lose(time.Duration) {
 	c.store.SetShare(c.share(false))
-	if c.capacity != nil {
-		c.capacity.Stop()
+	if c.term.capacity != nil {
+		c.term.capacity.Stop()
 	}
-	c.fleet, c.capacity, c.sessions, c.mover, c.loading = nil, nil, nil, nil, false
+	c.term.fleet, c.term.capacity, c.term.sessions, c.term.mover, c.term.loading = nil, nil, nil, nil, false
 	c.rollout.HandleLeadLost()
 	c.jobs.RecallArchived()
 }
@@ -75,10 +75,10 @@
 // order sends commands straight to a machine.
 func (c *Controller) order(machine *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
 	body, _ := json.Marshal(o)
-	f := c.fleet
+	f := c.term.fleet
 	// One connection each: a large fleet's idle ones would use up the sockets.
 	c.workerSender.Send(machine.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(response httpio.Response) {
-		if c.fleet != f {
+		if c.term.fleet != f {
 			return
 		}
 		if response.Err != nil || (response.Status != 200 && response.Status != 409) {
@@ -95,20 +95,20 @@
 
 // load reads the durable plans at the start of a term.
 func (c *Controller) load(now time.Duration) {
-	if c.loading || now < c.loadAt {
+	if c.term.loading || now < c.term.loadAt {
 		return
 	}
-	c.loading = true
-	f := c.fleet
+	c.term.loading = true
+	f := c.term.fleet
 	// list reads keys; what goes wrong begins anew a little later.
 	list := func(prefix string, then func(at time.Duration, items []store.Item)) {
 		c.store.List(prefix, func(items []store.Item, _ uint64, err error) {
-			if c.fleet != f {
+			if c.term.fleet != f {
 				return
 			}
 			at := c.loop.Now()
 			if err != nil {
-				c.loading, c.loadAt = false, at+200*time.Millisecond
+				c.term.loading, c.term.loadAt = false, at+200*time.Millisecond
 				return
 			}
 			then(at, items)
@@ -116,17 +116,17 @@
 	}
 	plans := func() {
 		list(jobs.PlanPrefix, func(at time.Duration, items []store.Item) {
-			c.loading = false
+			c.term.loading = false
 			f.LoadPlans(at, items)
 		})
 	}
-	if c.sessions = c.newSessions(f.Term); c.sessions == nil {
+	if c.term.sessions = c.newSessions(f.Term); c.term.sessions == nil {
 		plans()
 		return
 	}
 	// Which sessions are reclaimed must be known before anything is planned.
 	list(sessions.Prefix, func(at time.Duration, items []store.Item) {
-		c.sessions.Load(at, items)
+		c.term.sessions.Load(at, items)
 		plans()
 	})
 }
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -12,9 +12,9 @@
 )
 
 func (c *Controller) setTypes(raw string, types []capacity.MachineType) {
-	c.typesRaw, c.types = raw, types
+	c.machineTypes.raw, c.machineTypes.list = raw, types
 	for _, machineType := range types {
-		c.byType[c.jobs.Names.Types.Index(machineType.Name)] = &fleet.MachineType{
+		c.machineTypes.byIndex[c.jobs.Names.Types.Index(machineType.Name)] = &fleet.MachineType{
 			Size: machineType.Size(), CacheGB: machineType.CacheGB, FetchGB: machineType.FetchGB,
 			BootS: machineType.BootS, Price: machineType.Price, Spot: machineType.Spot,
 		}
@@ -28,7 +28,7 @@
 	if c.quota.Team(team) == nil {
 		return no("unknown team")
 	}
-	if len(c.types) == 0 {
+	if len(c.machineTypes.list) == 0 {
 		return api.AdmissionResult{Why: "the machine types are not known yet"}
 	}
 	n := 1
@@ -38,7 +38,7 @@
 	if !c.quota.Ever(team, spec.Size(), n) {
 		return no("the job needs more than the team's limit")
 	}
-	if !slices.ContainsFunc(c.types, func(machineType capacity.MachineType) bool { return fitsType(spec, machineType) }) {
+	if !slices.ContainsFunc(c.machineTypes.list, func(machineType capacity.MachineType) bool { return fitsType(spec, machineType) }) {
 		// Types are learnt, by each controller in its time: one that knew a new type had accepted a job that another,
 		// behind it, refused for good.
 		v := no("a task fits no allowed machine type")
@@ -64,27 +64,27 @@
 // that controllers that start during trouble of the cloud know them too.
 func (c *Controller) learnTypes(now time.Duration) {
 	every := 5 * time.Second
-	if len(c.types) > 0 {
-		if c.fleet == nil {
+	if len(c.machineTypes.list) > 0 {
+		if c.term.fleet == nil {
 			return
 		}
 		every = time.Minute
 	}
-	if c.askTypes || !c.watchCache.Synced() || (c.typesAt > 0 && now-c.typesAt < every) {
+	if c.machineTypes.requesting || !c.watchCache.Synced() || (c.machineTypes.fetchedAt > 0 && now-c.machineTypes.fetchedAt < every) {
 		return
 	}
-	c.typesAt = now
-	c.askTypes = c.cloud.Types(func(raw []byte, types []capacity.MachineType) {
-		c.askTypes = false
+	c.machineTypes.fetchedAt = now
+	c.machineTypes.requesting = c.cloud.Types(func(raw []byte, types []capacity.MachineType) {
+		c.machineTypes.requesting = false
 		if types == nil {
-			c.typesAt = c.loop.Now() - every + 2*time.Second
+			c.machineTypes.fetchedAt = c.loop.Now() - every + 2*time.Second
 			return
 		}
-		same := string(raw) == c.typesRaw
+		same := string(raw) == c.machineTypes.raw
 		c.setTypes(string(raw), types)
-		if c.fleet != nil && (!same || c.typesVer == 0) {
+		if c.term.fleet != nil && (!same || c.machineTypes.version == 0) {
 			txn := store.Txn{If: []store.Condition{c.membership.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
-			txn.If = append(txn.If, store.Condition{Key: typesKey, Version: c.typesVer}) // older prices that land late change nothing
+			txn.If = append(txn.If, store.Condition{Key: typesKey, Version: c.machineTypes.version}) // older prices that land late change nothing
 			c.store.Txn(txn, store.NormalPriority, func(store.Result) {})
 		}
 	})
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -42,13 +42,13 @@
 		if w.Running > 0 {
 			w.Stance = "running"
 		}
-		if ps := c.fleet.PendingReasons(now, job); ps != nil {
+		if ps := c.term.fleet.PendingReasons(now, job); ps != nil {
 			w.Waiting = ps
 		}
-		if ids, n := c.fleet.JobsAhead(job, nearest); n > 0 {
+		if ids, n := c.term.fleet.JobsAhead(job, nearest); n > 0 {
 			w.Nearest, w.Ahead = ids, n
 		}
-		w.Booting, w.BootingS = c.capacity.Booting(now, job)
+		w.Booting, w.BootingS = c.term.capacity.Booting(now, job)
 		w.BootingS = math.Round(w.BootingS)
 	}
 	reply(api.Reply{Status: 200, Body: w})
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -13,12 +13,12 @@
 // report answers a worker.
 func (c *Controller) report(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
 	no := api.Reply{Status: 503, Body: struct{}{}}
-	if c.membership.State() == membership.Leading && c.fleet != nil {
-		if !c.membership.HasAuthority(now) || !c.fleet.PlansLoaded() {
+	if c.membership.State() == membership.Leading && c.term.fleet != nil {
+		if !c.membership.HasAuthority(now) || !c.term.fleet.PlansLoaded() {
 			reply(no)
 			return
 		}
-		a, v := c.fleet.HandleHeartbeat(now, heartbeat)
+		a, v := c.term.fleet.HandleHeartbeat(now, heartbeat)
 		switch v {
 		case fleet.Accepted:
 			reply(api.Reply{Status: 200, Body: a})
@@ -45,7 +45,7 @@
 		return c.membership.Owner(machine)
 	}
 	name, term := "", uint64(0)
-	for _, h := range c.peerStatus {
+	for _, h := range c.peers.status {
 		if h.Leading && h.Term > term && now-h.at < peerStatusTTL {
 			name, term = h.Node, h.Term
 		}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -26,7 +26,7 @@
 	if c.storedZones.item.Value == nil {
 		return
 	}
-	err := c.capacity.Zones.Restore(c.storedZones.item.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
+	err := c.term.capacity.Zones.Restore(c.storedZones.item.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
 	if err != nil {
 		c.rollout.MarkUnreadable(zones.Key, c.storedZones.item.Value, err)
 	}
@@ -34,7 +34,7 @@
 
 // keepZones stores what has changed of zones, for whoever leads next: it may be about to be us that is cut off.
 func (c *Controller) keepZones(now time.Duration) {
-	z := c.capacity.Zones
+	z := c.term.capacity.Zones
 	if !z.Dirty() || c.storedZones.writing || now-c.storedZones.at < time.Second {
 		return
 	}
@@ -95,11 +95,11 @@
 	}
 	v := views[i]
 	v.LeaseS = c.settings.Params.Workers.LeaseS
-	for _, machineType := range c.types {
+	for _, machineType := range c.machineTypes.list {
 		v.BootS = max(v.BootS, machineType.BootS)
 	}
 	d := c.jobs.Names
-	for _, l := range c.fleet.EstimateZoneLoss(d.Zones.Index(v.Zone)) {
+	for _, l := range c.term.fleet.EstimateZoneLoss(d.Zones.Index(v.Zone)) {
 		v.IfLost = append(v.IfLost, LossView{d.Classes.Name(l.Class), d.Teams.Name(l.Team), l.Jobs, l.Tasks, l.Fit, l.Tasks - l.Fit})
 	}
 	reply(api.Reply{Status: 200, Body: v})
@@ -112,25 +112,25 @@
 	out := make([]ZoneView, len(names))
 	for i, n := range names {
 		ix := c.jobs.Names.Zones.Index(n)
-		z := c.capacity.Zones.Zone(ix)
-		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.capacity.Zones.AllowsRenting(ix), Takes: "all"}
+		z := c.term.capacity.Zones.Zone(ix)
+		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.term.capacity.Zones.AllowsRenting(ix), Takes: "all"}
 		switch {
-		case !c.capacity.Zones.AcceptsWork(now, ix, zones.Together):
+		case !c.term.capacity.Zones.AcceptsWork(now, ix, zones.Together):
 			out[i].Takes = "arrays"
-		case !c.capacity.Zones.AcceptsWork(now, ix, zones.Lasting):
+		case !c.term.capacity.Zones.AcceptsWork(now, ix, zones.Lasting):
 			out[i].Takes = "gangs"
 		}
 		by[ix] = &out[i]
 	}
-	quiet := c.capacity.QuietFor()
-	for _, machine := range c.fleet.Machines() {
+	quiet := c.term.capacity.QuietFor()
+	for _, machine := range c.term.fleet.Machines() {
 		v := by[machine.Zone]
 		if v == nil || machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
 			continue
 		}
 		v.Machines++
 		v.Tasks += len(machine.Tasks)
-		if now-max(machine.LastHeardAt, c.authoritySince) > quiet {
+		if now-max(machine.LastHeardAt, c.term.authoritySince) > quiet {
 			v.Quiet++
 		}
 		if machine.Quarantined {
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -48,13 +48,13 @@
 	if rank < 0 || len(machine.queues) == 0 {
 		return ws
 	}
-	ixs := f.jobScratch[:0]
+	ixs := f.scratch.jobs[:0]
 	for _, queue := range machine.queues {
 		if f.rankOf(f.jobAt(queue.job)) <= rank {
 			ixs = append(ixs, queue.job)
 		}
 	}
-	f.jobScratch = ixs
+	f.scratch.jobs = ixs
 	f.sortRanked(ixs)
 	f.PlanningSteps += uint64(len(ixs))
 	for _, jobIndex := range ixs {
@@ -92,7 +92,7 @@
 	if f.crashLooping(job) != nil {
 		slice = min(slice, 1)
 	}
-	if f.startDeadlineDue[job.Index] {
+	if f.ranking.startDeadlineDue[job.Index] {
 		slice = min(slice, startDeadlineTasks-job.TasksByState[jobs.Planned])
 	}
 	if slice <= 0 {
@@ -127,8 +127,8 @@
 		if machine.Condition != Ready || machine.Returning || !f.mayUse(machine, job) || (zone != jobs.None && machine.Zone != zone) {
 			continue
 		}
-		f.workScratch = f.appendWork(f.workScratch[:0], now, machine, rank, job)
-		p.Initial = planner.Lanes(p.Initial, machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs)), size, f.workScratch)
+		f.scratch.work = f.appendWork(f.scratch.work[:0], now, machine, rank, job)
+		p.Initial = planner.Lanes(p.Initial, machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs)), size, f.scratch.work)
 		if len(p.Initial) == len(lane) {
 			continue
 		}
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -34,7 +34,7 @@
 		oneZone bool
 	}
 	known := map[ask]bool{}
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		n := 1
 		if job.Spec.Kind == jobs.Gang {
 			n = job.TaskCount
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -119,7 +119,7 @@
 func TestPushPassesFullMachinesOver(t *testing.T) {
 	g, _ := loaded(t, 40, 30, 100)
 	waiting := 0
-	for _, job := range g.ranked {
+	for _, job := range g.ranking.jobs {
 		waiting += job.TasksByState[jobs.Planned]
 	}
 	before := g.PlanningSteps
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -32,17 +32,17 @@
 	if machine.Condition != Ready {
 		return out
 	}
-	again := f.refScratch[:0]
+	again := f.scratch.refs[:0]
 	for ref := range machine.Tasks {
 		job := f.jobAt(ref.Job)
 		if job.Tasks[ref.Task].State != jobs.Launched || job.State.Terminal() {
 			continue
 		}
-		if _, alive := f.listedTasks[ref]; !alive {
+		if _, alive := f.scratch.listed[ref]; !alive {
 			again = append(again, ref)
 		}
 	}
-	f.refScratch = again
+	f.scratch.refs = again
 	sortRefs(again)
 	for _, ref := range again {
 		job := f.jobAt(ref.Job)
--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -143,7 +143,7 @@
 	if loop != nil && loop.state != Healthy {
 		f.setCrashLoopState(job, loop, Healthy)
 		loop.failedOn, loop.retryAt, loop.tries = nil, 0, 0
-		f.planBecameDurable = true
+		f.writer.planBecameDurable = true
 	}
 }
 
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -42,17 +42,17 @@
 
 // findGPUReserve finds what waiting work takes of a machine for each accelerator.
 func (f *Fleet) findGPUReserve() {
-	f.waitingPerGPU, f.gpuWithinGuarantee, f.gpuPriority = planner.Size{}, false, math.MinInt
+	f.gpuReserve.perGPU, f.gpuReserve.withinGuarantee, f.gpuReserve.priority = planner.Size{}, false, math.MinInt
 	var wait waitingAccelerators
-	clear(f.onDemandTypes)
-	for _, job := range f.ranked {
+	clear(f.gpuReserve.onDemandTypes)
+	for _, job := range f.ranking.jobs {
 		if job.Idle() {
 			continue
 		}
 		if !job.Spec.Spot {
-			for ix := range f.seenTypes {
+			for ix := range f.gpuReserve.seenTypes {
 				if machineType := f.Types(ix); machineType != nil && job.Allows(ix, job.Zone, false) && job.Spec.Size().Fits(machineType.Size) {
-					f.onDemandTypes[ix] = true
+					f.gpuReserve.onDemandTypes[ix] = true
 				}
 			}
 		}
@@ -63,17 +63,17 @@
 			} else {
 				wait.ordinary += n
 			}
-			f.waitingPerGPU.CPUs = max(f.waitingPerGPU.CPUs, size.CPUs/size.GPUs)
-			f.waitingPerGPU.Mem = max(f.waitingPerGPU.Mem, size.Mem/size.GPUs)
-			switch w := f.withinGuarantee[job.Index]; {
-			case w && !f.gpuWithinGuarantee:
-				f.gpuWithinGuarantee, f.gpuPriority = true, job.Priority
-			case w == f.gpuWithinGuarantee:
-				f.gpuPriority = max(f.gpuPriority, job.Priority)
+			f.gpuReserve.perGPU.CPUs = max(f.gpuReserve.perGPU.CPUs, size.CPUs/size.GPUs)
+			f.gpuReserve.perGPU.Mem = max(f.gpuReserve.perGPU.Mem, size.Mem/size.GPUs)
+			switch w := f.ranking.withinGuarantee[job.Index]; {
+			case w && !f.gpuReserve.withinGuarantee:
+				f.gpuReserve.withinGuarantee, f.gpuReserve.priority = true, job.Priority
+			case w == f.gpuReserve.withinGuarantee:
+				f.gpuReserve.priority = max(f.gpuReserve.priority, job.Priority)
 			}
 		}
 	}
-	if f.waitingPerGPU != (planner.Size{}) {
+	if f.gpuReserve.perGPU != (planner.Size{}) {
 		f.reserveCPUsForGPUWork(wait)
 	}
 }
@@ -108,20 +108,20 @@
 // schedule plans what is unplanned, in rank order, and lets free lanes steal.
 func (f *Fleet) schedule(now time.Duration) {
 	f.cycle = schedulingCycle{fields: map[jobShape]*candidateList{}, vain: map[preemptionShape]bool{}, began: f.PlanningSteps, lowest: math.MaxInt}
-	if now-f.rankedAt > 500*time.Millisecond || f.rankedAt == 0 {
+	if now-f.ranking.at > 500*time.Millisecond || f.ranking.at == 0 {
 		f.RankJobs(now)
 	}
 	for _, machine := range f.machines {
 		machine.reserved, machine.reservedRank, machine.reservedFirmly = planner.Size{}, 1<<30, false
 	}
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		f.cycle.lowest = min(f.cycle.lowest, job.Priority)
 	}
 	f.grantLicences(now)
 	f.findGPUReserve()
 	f.trackRoom(now)
-	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranked))
-	for _, job := range f.ranked {
+	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranking.jobs))
+	for _, job := range f.ranking.jobs {
 		if job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
@@ -182,9 +182,9 @@
 	if !f.plansLoaded {
 		return
 	}
-	if f.retry != nil && now >= f.retryAt {
-		again := f.retry
-		f.retry = nil
+	if f.writer.retry != nil && now >= f.writer.retryAt {
+		again := f.writer.retry
+		f.writer.retry = nil
 		again(now)
 	}
 	f.expire(now)
@@ -201,8 +201,8 @@
 		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-before)*float64(stepPause)/cores)
 	}
 	f.FlushWrites(now)
-	if authority && (planned || f.planBecameDurable) {
-		f.planBecameDurable = false
+	if authority && (planned || f.writer.planBecameDurable) {
+		f.writer.planBecameDurable = false
 		f.dispatch(now)
 	}
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -23,7 +23,7 @@
 func (f *Fleet) Demand(now time.Duration) []Need {
 	var out []Need
 	room := map[int32]planner.Size{}
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		if job.Tasks == nil || job.Spec == nil || job.State.Terminal() || job.Idle() {
 			continue
 		}
@@ -62,8 +62,8 @@
 
 // ExpectedWork lists what is on a machine with its remaining time, until the next call.
 func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
-	f.workScratch = f.appendWork(f.workScratch[:0], now, machine, -1, nil)
-	return f.workScratch
+	f.scratch.work = f.appendWork(f.scratch.work[:0], now, machine, -1, nil)
+	return f.scratch.work
 }
 
 // TaskCounts is what is displayed of a job.
@@ -93,7 +93,7 @@
 		size, use = size.Add(machine.Capacity), use.Add(machine.Used)
 	}
 	byClass := map[int32]int{}
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		waiting += job.UnstartedTasks()
 		byClass[job.Class] += job.UnstartedTasks()
 	}
@@ -104,18 +104,18 @@
 		}
 	}
 	sort.Strings(classes)
-	took := max(1, (now - max(f.summarizedAt, f.termStartedAt)).Seconds())
-	reports, orders := float64(f.heartbeatCount)/took, float64(f.directRequestCount)/took
-	f.heartbeatCount, f.directRequestCount, f.summarizedAt = 0, 0, now
+	took := max(1, (now - max(f.activity.summarizedAt, f.termStartedAt)).Seconds())
+	reports, orders := float64(f.activity.heartbeats)/took, float64(f.activity.directRequests)/took
+	f.activity.heartbeats, f.activity.directRequests, f.activity.summarizedAt = 0, 0, now
 	slog.Info("fleet", "term", f.Term, "reports_s", int(reports), "orders_s", int(orders), "acting", acting, "other", other, "spot", spot, "idle", idle, "cpus", int(size.CPUs),
-		"cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs), "jobs", len(f.ranked), "waiting", waiting,
+		"cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs), "jobs", len(f.ranking.jobs), "waiting", waiting,
 		"by_class", strings.Join(classes, " "))
 }
 
 // ImageGB is the mean size of the images that live jobs need.
 func (f *Fleet) ImageGB() float64 {
 	sum, n := 0.0, 0
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		if job.Spec != nil {
 			sum += job.Spec.ImageGB
 			n++
@@ -128,13 +128,13 @@
 }
 
 // Quiescent tells that there is no job at all.
-func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranked) == 0 }
+func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranking.jobs) == 0 }
 
 // WaitingShapes gives one live job of each class, in rank order.
 func (f *Fleet) WaitingShapes() []*jobs.Job {
 	var out []*jobs.Job
 	seen := map[int32]bool{}
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		if job.Spec != nil && !seen[job.Class] {
 			seen[job.Class] = true
 			out = append(out, job)
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -16,7 +16,7 @@
 		if f.MaxDirectRequests > 0 && f.directRequests >= f.MaxDirectRequests {
 			// The rest stays where it is planned: what can't be sent now must not count as
 			// launched.
-			f.planBecameDurable = true
+			f.writer.planBecameDurable = true
 			return
 		}
 		if machine.Condition != Ready || machine.directInFlight || machine.fencing || machine.Addr == "" || now-machine.LastHeardAt > config.Seconds(f.Settings.Params.Workers.ReportS*1.6) ||
@@ -61,7 +61,7 @@
 func (f *Fleet) sendDirect(now time.Duration, machine *Machine, calls []Command, started int) {
 	machine.directInFlight, machine.dispatchedAt = true, now
 	f.directRequests++
-	f.directRequestCount++
+	f.activity.directRequests++
 	session, seq := machine.Session, machine.Seq
 	var sent []taskAttempt
 	for _, c := range calls[:started] {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,93 +69,80 @@
 	Events *events.Log
 }
 
-// Fleet is the owner's state.
+// Fleet is the state of one leader's term over the machines and the work on them. The fields are grouped by the
+// concern that changes them; each group is described in state.go.
 type Fleet struct {
 	Env
 	Term uint64
 	// ZoneAcceptsWork tells whether a zone takes new work of a kind; nil: all do.
-	ZoneAcceptsWork func(zone int32, w zones.WorkKind) bool
-	termStartedAt   time.Duration // start of the term
-	plansLoaded     bool
-	attemptCounter  uint64
-
-	machines []*Machine
-	byName   map[string]*Machine
+	ZoneAcceptsWork func(zone int32, kind zones.WorkKind) bool
 	// Gate decides whether a task may start and counts what may be on machines.
 	Gate *admission.Gate
-
-	// queuedOn says, for each job with planned tasks, on which machines they wait and how
-	// many: planning looks at those instead of at the whole fleet.
-	queuedOn map[jobs.Index]map[int32]int
-
-	ranked          []*jobs.Job // live jobs by rank
-	withinGuarantee map[jobs.Index]bool
-	rankedAt        time.Duration
-
-	classes map[int32]*classStats
-
-	cycle     schedulingCycle
-	nextCycle time.Duration
-	// PlanningSteps counts the work of planning, in looks at a machine, lane or task. It paces the
-	// passes, and tests bound it.
+	// PlanningSteps counts the work of planning, in looks at a machine, queue or task. It spaces the scheduling
+	// cycles, and tests bound it.
 	PlanningSteps uint64
-	jobScratch    []jobs.Index         // scratch
-	workScratch   []planner.Work       // scratch
-	refScratch    []TaskRef            // scratch
-	listedTasks   map[TaskRef]struct{} // what the report at hand says is on its machine
-	waitingPerGPU planner.Size         // what waiting work takes besides, for each accelerator
-	// Of that work, whether any lies within its team's guarantee, and the highest priority of it.
-	gpuWithinGuarantee bool
-	gpuPriority        int
-	onDemandTypes      map[int32]bool                // machine types that jobs which may not use spot need
-	seenTypes          map[int32]bool                // machine types seen
-	preemptedAt        map[jobs.Index]time.Duration  // jobs that had others stopped, when last
-	crashLoops         map[jobs.Index]*crashLoop     // jobs of which tasks failed
-	startDeadlineDue   map[jobs.Index]bool           // arrays and services of which a few tasks go before everybody
-	pendingNotes       map[jobs.Index]pendingNote    // what planning last decided about what is unplanned
-	licenceGrants      map[jobs.Index]licences.Grant // of jobs that need licences, by the last pass
-	planBecameDurable  bool                          // a plan became durable since the last push
-	nextRoomCheck      time.Duration                 // no look at who stands beside room before
-	noMachineUntil     map[jobs.Index]time.Duration  // arrays for which no machine was found, until when
-
-	// imageHints are the caches that the owner before inferred, until their machines are heard.
-	imageHints      map[string][]cachedImage
-	dirtyHintShards []bool // hints that have changed since they were written
-	lastHintShard   int    // written last
-	hintsWrittenAt  time.Duration
-
-	startsStopped    bool // nothing new is started: the lead is being handed over
-	directRequests   int  // direct commands under way
-	writeInFlight    bool
-	writesStuck      bool // writes without an outcome can't be settled in this term
-	retry            func(time.Duration)
-	retryAt          time.Duration
-	endedJobs        []*jobs.Job // ended, with tasks that may still be on machines or plans that stand
-	obsoletePlanKeys []string
-	pages            *pages.Pages
-	unreadableJobs   map[string]bool // jobs whose records could not be read when the term began
-	migrated         bool            // no plan has a key of its own any more
 	// LastHeartbeat is when any worker was last heard.
 	LastHeartbeat time.Duration
-	// Since the last summary: reports taken and direct commands sent.
-	heartbeatCount, directRequestCount int
-	summarizedAt                       time.Duration
+
+	termStartedAt  time.Duration
+	plansLoaded    bool
+	startsStopped  bool            // nothing new is started: the lead is being handed over
+	attemptCounter uint64          // of this term's launches
+	unreadableJobs map[string]bool // jobs whose records could not be read when the term began
+
+	machines       []*Machine // by dense index
+	byName         map[string]*Machine
+	directRequests int // direct commands without a response yet
+
+	ranking    ranking
+	cycle      schedulingCycle
+	nextCycle  time.Duration
+	gpuReserve gpuReserve
+	scratch    scratch
+	writer     planWriter
+	hints      hintCache
+	activity   activity
+
+	// queuedOn holds, for each job with planned tasks, the machines on which they wait and how many on each:
+	// planning looks at those instead of at the whole fleet.
+	queuedOn       map[jobs.Index]map[int32]int
+	classes        map[int32]*classStats
+	preemptedAt    map[jobs.Index]time.Duration  // when a job last had others stopped
+	crashLoops     map[jobs.Index]*crashLoop     // jobs of which tasks failed
+	pendingNotes   map[jobs.Index]pendingNote    // why a job's unplanned tasks wait, as of the last cycle
+	licenceGrants  map[jobs.Index]licences.Grant // by the last cycle, for jobs that need licences
+	nextRoomCheck  time.Duration                 // earliest next look at which jobs wait beside free room
+	noMachineUntil map[jobs.Index]time.Duration  // arrays for which no machine was found: not tried before
 }
 
-// New starts a term at time now. Until Load has brought the durable plans nothing acts.
+// New starts a term at time now. Until LoadPlans has read the durable plans nothing acts.
 func New(env Env, term uint64, now time.Duration) *Fleet {
 	f := &Fleet{
-		Env: env, Term: term, termStartedAt: now, byName: map[string]*Machine{},
-		withinGuarantee: map[jobs.Index]bool{}, classes: map[int32]*classStats{}, LastHeartbeat: now,
-		imageHints: map[string][]cachedImage{}, queuedOn: map[jobs.Index]map[int32]int{}, noMachineUntil: map[jobs.Index]time.Duration{}, preemptedAt: map[jobs.Index]time.Duration{}, crashLoops: map[jobs.Index]*crashLoop{}, startDeadlineDue: map[jobs.Index]bool{},
-		unreadableJobs: map[string]bool{}, licenceGrants: map[jobs.Index]licences.Grant{}, pendingNotes: map[jobs.Index]pendingNote{}, onDemandTypes: map[int32]bool{}, seenTypes: map[int32]bool{}, listedTasks: map[TaskRef]struct{}{},
+		Env:            env,
+		Term:           term,
+		LastHeartbeat:  now,
+		termStartedAt:  now,
+		unreadableJobs: map[string]bool{},
+		byName:         map[string]*Machine{},
+		ranking:        newRanking(),
+		gpuReserve:     newGPUReserve(),
+		scratch:        scratch{listed: map[TaskRef]struct{}{}},
+		hints:          hintCache{inherited: map[string][]cachedImage{}},
+		queuedOn:       map[jobs.Index]map[int32]int{},
+		classes:        map[int32]*classStats{},
+		preemptedAt:    map[jobs.Index]time.Duration{},
+		crashLoops:     map[jobs.Index]*crashLoop{},
+		pendingNotes:   map[jobs.Index]pendingNote{},
+		licenceGrants:  map[jobs.Index]licences.Grant{},
+		noMachineUntil: map[jobs.Index]time.Duration{},
 	}
 	if f.PlansInPages == nil {
 		f.PlansInPages = func() bool { return true }
 	}
-	f.pages = pages.New(f.pageLimit())
-	d := env.Jobs.Names
-	f.Gate = admission.New(quota.New(env.Settings.Params.Teams, d.Teams.Index), licences.New(d.Pools, d.Teams.Index, now))
+	f.writer.pages = pages.New(f.pageLimit())
+	names := env.Jobs.Names
+	limits := quota.New(env.Settings.Params.Teams, names.Teams.Index)
+	f.Gate = admission.New(limits, licences.New(names.Pools, names.Teams.Index, now))
 	return f
 }
 
@@ -183,7 +170,7 @@
 func (f *Fleet) StopStarting() { f.startsStopped = true }
 
 // WriteInFlight tells whether a write is under way.
-func (f *Fleet) WriteInFlight() bool { return f.writeInFlight }
+func (f *Fleet) WriteInFlight() bool { return f.writer.inFlight }
 
 // PlansLoaded tells whether the durable plans were read.
 func (f *Fleet) PlansLoaded() bool { return f.plansLoaded }
@@ -218,7 +205,7 @@
 		job.OpenTasks()
 		// Its plan was passed over when this term began: what runs of it isn't known here. The next leader reads both.
 		job.Quarantined = job.Quarantined || f.unreadableJobs[job.ID]
-		f.rankedAt = 0
+		f.ranking.at = 0
 		slog.Info("job accepted", "job", job.ID, "class", job.Spec.Class, "kind", string(job.Spec.Kind), "tasks", job.TaskCount, "term", f.Term)
 		f.Events.Add(events.Event{At: now, Kind: events.JobAccepted, Job: job.ID, Task: events.None, Machine: events.None})
 		return
@@ -228,7 +215,7 @@
 		ended = events.JobCancelled
 	}
 	f.Events.Add(events.Event{At: now, Kind: ended, Job: job.ID, Task: events.None, Machine: events.None})
-	f.rankedAt = 0
+	f.ranking.at = 0
 	delete(f.noMachineUntil, job.Index)
 	delete(f.preemptedAt, job.Index)
 	delete(f.crashLoops, job.Index)
@@ -237,7 +224,7 @@
 	if job.Tasks == nil {
 		return
 	}
-	f.endedJobs = append(f.endedJobs, job)
+	f.writer.endedJobs = append(f.writer.endedJobs, job)
 	slog.Info("job ended", "job", job.ID, "stance", job.State.String(), "term", f.Term)
 	for _, ix := range f.queueMachines(job) {
 		machine := f.machines[ix]
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -326,7 +326,7 @@
 		}
 		f.planTask(now, job, int32(t), candidates.ps[i].m)
 		use[candidates.ps[i].m.Zone]++
-		if f.crashLooping(job) != nil || f.startDeadlineDue[job.Index] && job.TasksByState[jobs.Planned] >= startDeadlineTasks {
+		if f.crashLooping(job) != nil || f.ranking.startDeadlineDue[job.Index] && job.TasksByState[jobs.Planned] >= startDeadlineTasks {
 			return
 		}
 	}
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -412,10 +412,10 @@
 	preempts := 0
 	for range 20 {
 		g.RankJobs(g.now)
-		for jobIndex := range g.withinGuarantee {
-			g.withinGuarantee[jobIndex] = rng.IntN(2) == 0
+		for jobIndex := range g.ranking.withinGuarantee {
+			g.ranking.withinGuarantee[jobIndex] = rng.IntN(2) == 0
 		}
-		sorted := append([]*jobs.Job(nil), g.ranked...)
+		sorted := append([]*jobs.Job(nil), g.ranking.jobs...)
 		g.sortByRank(sorted, map[jobs.Index]rankKey{})
 		for a, x := range sorted {
 			for b, y := range sorted {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -21,7 +21,7 @@
 // HandleHeartbeat takes over one report that came as a request and answers it. The caller has
 // checked that this controller has authority.
 func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (a HeartbeatResponse, v HeartbeatResult) {
-	f.heartbeatCount++
+	f.activity.heartbeats++
 	machine, v := f.acceptHeartbeat(now, heartbeat, asRequest)
 	if v == Stale && f.shouldChallenge(now, machine, heartbeat) {
 		return HeartbeatResponse{Token: machine.Token, Commands: f.stopCancelled(heartbeat)}, Accepted
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -29,11 +29,11 @@
 
 // nextHintShard is the shard of hints that is due to be written, or -1.
 func (f *Fleet) nextHintShard(now time.Duration) int {
-	if now-f.hintsWrittenAt < hintsInterval {
+	if now-f.hints.writtenAt < hintsInterval {
 		return -1
 	}
-	for i := range f.dirtyHintShards {
-		if k := (f.lastHintShard + 1 + i) % len(f.dirtyHintShards); f.dirtyHintShards[k] {
+	for i := range f.hints.dirtyShards {
+		if k := (f.hints.lastShard + 1 + i) % len(f.hints.dirtyShards); f.hints.dirtyShards[k] {
 			return k
 		}
 	}
@@ -43,10 +43,10 @@
 // addImage notes that a machine's inferred cache has changed.
 func (f *Fleet) addImage(machine *Machine) {
 	k := int(machine.Index) / hintShardMachines
-	for len(f.dirtyHintShards) <= k {
-		f.dirtyHintShards = append(f.dirtyHintShards, false)
+	for len(f.hints.dirtyShards) <= k {
+		f.hints.dirtyShards = append(f.hints.dirtyShards, false)
 	}
-	f.dirtyHintShards[k] = true
+	f.hints.dirtyShards[k] = true
 }
 
 // encodeImages writes a shard of the hints, as far as they fit a value.
@@ -88,13 +88,13 @@
 		return
 	}
 	for name, list := range h.Machines {
-		m := f.imageHints[name]
+		m := f.hints.inherited[name]
 		for _, i := range list {
 			if i >= 0 && int(i) < len(h.Images) {
 				m = append(m, cachedImage{f.Jobs.Names.Images.Index(h.Images[i]), h.GB[i]})
 			}
 		}
-		f.imageHints[name] = m
+		f.hints.inherited[name] = m
 	}
 }
 
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -105,7 +105,7 @@
 	f.releaseUnusedAdmissions(now)
 	var jobList []*jobs.Job
 	var asks []licences.Ask
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		if len(job.LicenceUnits) == 0 || job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
@@ -254,7 +254,7 @@
 		n = ask.Tasks
 	}
 	promised := f.Gate.Licences.Promised(job.Team, job.LicenceUnits, n)
-	if job.Priority <= f.cycle.lowest && !f.withinGuarantee[job.Index] && !promised {
+	if job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index] && !promised {
 		return
 	}
 	if t, ok := f.preemptedAt[job.Index]; (ok && now-t < preemptionCooldown) || now-job.SubmittedAt < preemptionPatience {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -215,7 +215,7 @@
 		LastAnsweredAt: now, LastHeardAt: now, IdleSince: now, Tasks: map[TaskRef]struct{}{},
 		indeterminateLaunches: map[taskAttempt]struct{}{}, slowdown: 1, Token: f.Term << tokenBits,
 	}
-	machine.cachedImages = f.imageHints[name]
+	machine.cachedImages = f.hints.inherited[name]
 	f.machines = append(f.machines, machine)
 	f.byName[machine.Name] = machine
 	return machine
@@ -242,7 +242,7 @@
 
 func (f *Fleet) setCapacity(machine *Machine) {
 	if machineType := f.machineType(machine); machineType != nil {
-		f.seenTypes[machine.Type] = true
+		f.gpuReserve.seenTypes[machine.Type] = true
 		machine.Capacity = machineType.Size
 	}
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -92,7 +92,7 @@
 	var jobList []*jobs.Job
 	var cs []deadlineJob
 	var places []int // in f.order
-	for at, job := range f.ranked {
+	for at, job := range f.ranking.jobs {
 		n := job.UnstartedTasks()
 		k := keys[job.Index]
 		if f.crashLooping(job) != nil {
@@ -113,14 +113,14 @@
 	for lo := 0; lo < len(jobList); {
 		// Only within a rank that may not preempt the other.
 		hi := lo + 1
-		for hi < len(jobList) && jobList[hi].Priority == jobList[lo].Priority && f.withinGuarantee[jobList[hi].Index] == f.withinGuarantee[jobList[lo].Index] {
+		for hi < len(jobList) && jobList[hi].Priority == jobList[lo].Priority && f.ranking.withinGuarantee[jobList[hi].Index] == f.ranking.withinGuarantee[jobList[lo].Index] {
 			hi++
 		}
 		at := lo
 		for _, given := range []bool{false, true} {
 			for i := lo; i < hi; i++ {
 				if late[i] == given {
-					f.ranked[places[at]] = jobList[i]
+					f.ranking.jobs[places[at]] = jobList[i]
 					at++
 				}
 			}
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -211,8 +211,8 @@
 // most; and how many there are.
 func (f *Fleet) JobsAhead(job *jobs.Job, most int) (ids []string, n int) {
 	at := f.rankOf(job)
-	for i := min(at, len(f.ranked)) - 1; i >= 0; i-- {
-		if o := f.ranked[i]; o.UnstartedTasks() > 0 && !o.Idle() {
+	for i := min(at, len(f.ranking.jobs)) - 1; i >= 0; i-- {
+		if o := f.ranking.jobs[i]; o.UnstartedTasks() > 0 && !o.Idle() {
 			if n++; len(ids) < most {
 				ids = append(ids, o.ID)
 			}
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -129,7 +129,7 @@
 	for seed := uint64(1); seed <= 25; seed++ {
 		w := newWorld(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
 		w.each = func() {
-			for _, job := range w.fleet.ranked {
+			for _, job := range w.fleet.ranking.jobs {
 				if !job.State.Terminal() {
 					checkWhy(t, w, job, seen)
 				}
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -21,27 +21,27 @@
 // records, gathered bitmaps, and the removal of plans that are no longer needed. Only one
 // write is under way at a time, so an open outcome is settled before the next.
 func (f *Fleet) FlushWrites(now time.Duration) {
-	if f.writeInFlight || !f.plansLoaded {
+	if f.writer.inFlight || !f.plansLoaded {
 		return
 	}
 	batch := &writeBatch{f: f, bytes: txnOverheadBytes}
 	if f.PlansInPages() {
-		f.pages.SetLimit(f.pageLimit())
-		batch.pages = f.pages.Begin(f.maxOps())
-		if f.writesStuck = !batch.pages.Fits(f.maxOps()); f.writesStuck {
+		f.writer.pages.SetLimit(f.pageLimit())
+		batch.pages = f.writer.pages.Begin(f.maxOps())
+		if f.writer.stuck = !batch.pages.Fits(f.maxOps()); f.writer.stuck {
 			return
 		}
 	}
 	f.collectWrites(now, batch)
 	shard := f.nextHintShard(now)
-	if len(batch.mutations) == 0 && shard < 0 && !f.pages.HasIndeterminate() && !f.migrate(batch) {
+	if len(batch.mutations) == 0 && shard < 0 && !f.writer.pages.HasIndeterminate() && !f.migrate(batch) {
 		f.deleteObsoletePlans()
 		return
 	}
 	txn := store.Txn{}
 	if shard >= 0 && batch.fits(1) {
 		if hints := f.encodeImages(shard); batch.size()+len(hints) < maxTxnBytes {
-			f.hintsWrittenAt, f.lastHintShard, f.dirtyHintShards[shard] = now, shard, false
+			f.hints.writtenAt, f.hints.lastShard, f.hints.dirtyShards[shard] = now, shard, false
 			txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imagesKey, shard), Value: hints})
 		}
 	}
@@ -77,17 +77,17 @@
 	if len(txn.Then) == 0 {
 		return
 	}
-	f.writeInFlight = true
+	f.writer.inFlight = true
 	f.Commit(txn, func(result store.Result) { f.handleOutcome(ops, result) })
 }
 
 // WritesStuck tells that writes without an outcome can't be settled in this term: the pages that they name take more than the
 // state service, whose limits have shrunk, lets one transaction hold. The next leader's writes don't have to wait for them.
-func (f *Fleet) WritesStuck() bool { return f.writesStuck }
+func (f *Fleet) WritesStuck() bool { return f.writer.stuck }
 
 // collectWrites offers what is due, most urgent first.
 func (f *Fleet) collectWrites(now time.Duration, batch *writeBatch) {
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		if job.State == jobs.Pending && job.FinishedTasks == job.TaskCount && !job.FinalWriteInFlight && job.Spec.Kind != jobs.Service {
 			raw := jobs.EncodeRecord(jobs.Done, 0, job.TaskCount, nil)
 			if !batch.addKey(mutation{job: job, key: jobs.RecordKey(job.ID), value: raw}) {
@@ -101,7 +101,7 @@
 			// for the plans of the next second.
 			return
 		}
-		for _, job := range f.ranked {
+		for _, job := range f.ranking.jobs {
 			if job.State != jobs.Pending || job.FinishedTasks == job.TaskCount {
 				continue
 			}
@@ -121,19 +121,19 @@
 func (f *Fleet) handleOutcome(ops []mutation, result store.Result) {
 	now := f.Now()
 	if result.Outcome == store.Committed {
-		f.writeInFlight = false
+		f.writer.inFlight = false
 		for _, change := range ops {
 			f.confirmWrite(now, change, result.Revision)
 		}
 		f.FlushWrites(now)
 		return
 	}
-	if f.lastHintShard < len(f.dirtyHintShards) {
-		f.dirtyHintShards[f.lastHintShard] = true
+	if f.hints.lastShard < len(f.hints.dirtyShards) {
+		f.hints.dirtyShards[f.hints.lastShard] = true
 	}
 	slog.Debug("write failed", "outcome", result.Outcome.String(), "failed", result.FailedKeys, "ops", len(ops), "term", f.Term)
 	if result.Outcome == store.NotApplied || result.Outcome == store.LeaseExpired {
-		f.writeInFlight = false
+		f.writer.inFlight = false
 		for _, change := range ops {
 			f.revertWrite(now, change)
 		}
@@ -148,7 +148,7 @@
 // resolveOutcome re-reads the keys of a write, one after the other: its pages first, for they are written all or none.
 func (f *Fleet) resolveOutcome(ops []mutation, i int, read []store.Item) {
 	if i == len(ops) {
-		f.writeInFlight = false
+		f.writer.inFlight = false
 		return
 	}
 	change := ops[i]
@@ -163,8 +163,8 @@
 	f.Read(change.key, func(item store.Item, err error) {
 		now := f.Now()
 		if err != nil {
-			f.retry = func(time.Duration) { f.resolveOutcome(ops, i, read) }
-			f.retryAt = now + 300*time.Millisecond
+			f.writer.retry = func(time.Duration) { f.resolveOutcome(ops, i, read) }
+			f.writer.retryAt = now + 300*time.Millisecond
 			return
 		}
 		switch {
@@ -194,10 +194,10 @@
 }
 
 func (f *Fleet) confirmWrite(now time.Duration, change mutation, version uint64) {
-	f.planBecameDurable = true
+	f.writer.planBecameDurable = true
 	switch {
 	case change.page != nil:
-		f.pages.Commit(*change.page, version)
+		f.writer.pages.Commit(*change.page, version)
 	case change.segment != nil:
 		change.segment.DurableMachines, change.segment.InFlight, change.segment.Indeterminate = change.snapshot, nil, nil
 		if change.segment.Version = version; change.inPage {
@@ -225,26 +225,26 @@
 
 // deleteObsoletePlans removes plans of jobs that are over and have nothing on any machine any more.
 func (f *Fleet) deleteObsoletePlans() {
-	f.endedJobs = slices.DeleteFunc(f.endedJobs, func(job *jobs.Job) bool {
+	f.writer.endedJobs = slices.DeleteFunc(f.writer.endedJobs, func(job *jobs.Job) bool {
 		if job.TasksOnMachines() > 0 {
 			return false
 		}
 		for _, segment := range job.Segments {
-			f.pages.Drop(planRef(job, segment))
+			f.writer.pages.Drop(planRef(job, segment))
 			if segment.Version != 0 || segment.CreateIndeterminate {
-				f.obsoletePlanKeys = append(f.obsoletePlanKeys, job.PlanKey(segment.Number))
+				f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, job.PlanKey(segment.Number))
 			}
 		}
 		job.Tasks, job.Segments = nil, nil
 		return true
 	})
-	n := min(len(f.obsoletePlanKeys), f.maxOps(), deleteBatch)
-	nos, versions := f.pages.Retire(min(f.maxOps(), deleteBatch) - n)
+	n := min(len(f.writer.obsoleteKeys), f.maxOps(), deleteBatch)
+	nos, versions := f.writer.pages.Retire(min(f.maxOps(), deleteBatch) - n)
 	if n+len(nos) == 0 || !f.CanWrite((n+len(nos))*2) {
 		return
 	}
 	txn := store.Txn{}
-	for _, k := range f.obsoletePlanKeys[:n] {
+	for _, k := range f.writer.obsoleteKeys[:n] {
 		txn.Then = append(txn.Then, store.Op{Delete: k})
 	}
 	for i, no := range nos {
@@ -252,16 +252,16 @@
 		txn.If = append(txn.If, store.Condition{Key: key, Version: versions[i]})
 		txn.Then = append(txn.Then, store.Op{Delete: key})
 	}
-	f.writeInFlight = true
+	f.writer.inFlight = true
 	f.Commit(txn, func(result store.Result) {
-		f.writeInFlight = false
+		f.writer.inFlight = false
 		// A page's number is not used again in this term, and a key that is gone may be dropped once more.
 		switch result.Outcome {
 		case store.Committed:
-			f.obsoletePlanKeys = f.obsoletePlanKeys[n:]
-			f.pages.ConfirmRetired()
+			f.writer.obsoleteKeys = f.writer.obsoleteKeys[n:]
+			f.writer.pages.ConfirmRetired()
 		case store.Conflict: // an earlier try has landed
-			f.pages.ConfirmRetired()
+			f.writer.pages.ConfirmRetired()
 		}
 	})
 }
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -23,7 +23,7 @@
 // missed; stopping others any earlier wastes their work for nothing.
 func (f *Fleet) secondsToWait(now time.Duration, job *jobs.Job) float64 {
 	duration, ok := f.nextDue(now, job)
-	if !ok || f.withinGuarantee[job.Index] {
+	if !ok || f.ranking.withinGuarantee[job.Index] {
 		return preemptionPatienceS // a guarantee is owed now
 	}
 	return max(preemptionPatienceS, (duration-now).Seconds()-preemptionPatienceS)
@@ -38,7 +38,7 @@
 	}
 	// This order must be that of Rank: otherwise two jobs can stop each other for ever,
 	// each taking the room that the other made.
-	switch wj, wv := f.withinGuarantee[job.Index], f.withinGuarantee[victim.Index]; {
+	switch wj, wv := f.ranking.withinGuarantee[job.Index], f.ranking.withinGuarantee[victim.Index]; {
 	case wj == wv:
 		return victim.Priority < job.Priority
 	case wj:
@@ -132,16 +132,16 @@
 // task and in one zone if need be, counting wasted work as delay. start is when it would
 // start without.
 func (f *Fleet) preemptFor(now time.Duration, job *jobs.Job, candidates []candidate, start float64) bool {
-	key := preemptionShape{shapeOf(job), job.Team, job.Priority, f.withinGuarantee[job.Index], job.TaskCount, job.Spec.OneZone}
+	key := preemptionShape{shapeOf(job), job.Team, job.Priority, f.ranking.withinGuarantee[job.Index], job.TaskCount, job.Spec.OneZone}
 	if t, ok := f.preemptedAt[job.Index]; ok && now-t < preemptionCooldown {
 		return false
 	}
-	if f.cycle.vain[key] || f.cycle.tries >= searches || (job.Priority <= f.cycle.lowest && !f.withinGuarantee[job.Index]) {
+	if f.cycle.vain[key] || f.cycle.tries >= searches || (job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]) {
 		return false
 	}
 	f.cycle.tries++
 	weight := 1.0
-	if f.withinGuarantee[job.Index] {
+	if f.ranking.withinGuarantee[job.Index] {
 		weight = 0.05 // the guarantee goes before the loss
 	}
 	byZone := map[int32][]preemptionOption{}
@@ -189,7 +189,7 @@
 
 // preemptArray makes room for an array's planned tasks where they are planned.
 func (f *Fleet) preemptArray(now time.Duration, job *jobs.Job) {
-	if job.TasksByState[jobs.Planned] == 0 || f.crashLooping(job) != nil || (job.Priority <= f.cycle.lowest && !f.withinGuarantee[job.Index]) || !f.mayStart(job, 1) {
+	if job.TasksByState[jobs.Planned] == 0 || f.crashLooping(job) != nil || (job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]) || !f.mayStart(job, 1) {
 		return
 	}
 	patient := f.secondsToWait(now, job)
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -23,7 +23,7 @@
 		consider(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS) - est)
 	}
 	for _, o := range f.Settings.Params.Objectives {
-		if o.Kind == "guarantee" && f.withinGuarantee[job.Index] && !job.Started {
+		if o.Kind == "guarantee" && f.ranking.withinGuarantee[job.Index] && !job.Started {
 			consider(job.SubmittedAt + config.Seconds(o.WithinS))
 		}
 		if o.Class != job.Spec.Class {
@@ -59,38 +59,38 @@
 // priority, then the latest start that still meets an aim; jobs past all aims come last, oldest
 // first.
 func (f *Fleet) RankJobs(now time.Duration) {
-	f.rankedAt = now
-	for _, job := range f.ranked {
+	f.ranking.at = now
+	for _, job := range f.ranking.jobs {
 		job.QueuePosition = 0
 	}
-	f.ranked = f.ranked[:0]
+	f.ranking.jobs = f.ranking.jobs[:0]
 	f.Jobs.ForEachLive(func(job *jobs.Job) {
 		if job.Tasks != nil && job.Spec != nil {
-			f.ranked = append(f.ranked, job)
+			f.ranking.jobs = append(f.ranking.jobs, job)
 		}
 	})
-	sort.Slice(f.ranked, func(a, b int) bool {
-		if f.ranked[a].SubmittedAt != f.ranked[b].SubmittedAt {
-			return f.ranked[a].SubmittedAt < f.ranked[b].SubmittedAt
+	sort.Slice(f.ranking.jobs, func(a, b int) bool {
+		if f.ranking.jobs[a].SubmittedAt != f.ranking.jobs[b].SubmittedAt {
+			return f.ranking.jobs[a].SubmittedAt < f.ranking.jobs[b].SubmittedAt
 		}
-		return f.ranked[a].ID < f.ranked[b].ID
+		return f.ranking.jobs[a].ID < f.ranking.jobs[b].ID
 	})
 	demand := map[int32]planner.Size{}
-	clear(f.withinGuarantee)
-	keys := make(map[jobs.Index]rankKey, len(f.ranked))
-	for _, job := range f.ranked {
+	clear(f.ranking.withinGuarantee)
+	keys := make(map[jobs.Index]rankKey, len(f.ranking.jobs))
+	for _, job := range f.ranking.jobs {
 		size := job.Spec.Size()
 		n := float64(job.TaskCount - job.FinishedTasks)
 		sum := demand[job.Team].Add(planner.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n})
 		demand[job.Team] = sum
-		f.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, sum)
+		f.ranking.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, sum)
 		duration, ok := f.nextDue(now, job)
 		keys[job.Index] = rankKey{duration, ok}
 	}
-	f.sortByRank(f.ranked, keys)
+	f.sortByRank(f.ranking.jobs, keys)
 	f.yieldRanks(now, keys)
 	f.markStartDeadlines(now)
-	for i, job := range f.ranked {
+	for i, job := range f.ranking.jobs {
 		job.QueuePosition = i + 1
 	}
 }
@@ -101,7 +101,7 @@
 		x, y := jobList[a], jobList[b]
 		// What may preempt the other must also rank before it, or the room it made
 		// would be taken by its victims again.
-		if wx, wy := f.withinGuarantee[x.Index], f.withinGuarantee[y.Index]; wx != wy {
+		if wx, wy := f.ranking.withinGuarantee[x.Index], f.ranking.withinGuarantee[y.Index]; wx != wy {
 			return wx
 		}
 		if x.Priority != y.Priority {
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -14,12 +14,12 @@
 
 // reconcileTasks compares the list of a fenced report with what is known.
 func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, direct bool) {
-	clear(f.listedTasks)
+	clear(f.scratch.listed)
 	// Exits first: a refused attempt may stand beside the one that runs.
 	for i := range heartbeat.Tasks {
 		taskReport := &heartbeat.Tasks[i]
 		if taskReport.job, taskReport.no = f.findTask(taskReport.Task); taskReport.job != nil && taskReport.State != taskExited {
-			f.listedTasks[TaskRef{taskReport.job.Index, taskReport.no}] = struct{}{}
+			f.scratch.listed[TaskRef{taskReport.job.Index, taskReport.no}] = struct{}{}
 		}
 	}
 	for i := range heartbeat.Tasks {
@@ -28,19 +28,19 @@
 			continue
 		}
 		if taskReport.State == taskExited {
-			_, again := f.listedTasks[TaskRef{taskReport.job.Index, taskReport.no}]
+			_, again := f.scratch.listed[TaskRef{taskReport.job.Index, taskReport.no}]
 			f.handleExit(now, machine, taskReport.job, taskReport.no, taskReport, again)
 		} else {
 			f.handleLive(now, machine, taskReport.job, taskReport.no, taskReport)
 		}
 	}
-	missing := f.refScratch[:0]
+	missing := f.scratch.refs[:0]
 	for ref := range machine.Tasks {
-		if _, ok := f.listedTasks[ref]; !ok {
+		if _, ok := f.scratch.listed[ref]; !ok {
 			missing = append(missing, ref)
 		}
 	}
-	f.refScratch = missing
+	f.scratch.refs = missing
 	sortRefs(missing)
 	for _, ref := range missing {
 		f.handleMissing(now, machine, ref, direct)
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -43,12 +43,12 @@
 	})
 	f.Jobs.ForEach(func(job *jobs.Job) {
 		if job.State.Terminal() && job.Tasks != nil {
-			f.endedJobs = append(f.endedJobs, job)
+			f.writer.endedJobs = append(f.writer.endedJobs, job)
 		}
 	})
 	f.plansLoaded = true
 	f.RankJobs(now)
-	slog.Info("plans loaded", "term", f.Term, "keys", len(items), "jobs", len(f.ranked), "machines", len(f.machines))
+	slog.Info("plans loaded", "term", f.Term, "keys", len(items), "jobs", len(f.ranking.jobs), "machines", len(f.machines))
 }
 
 // storedValue is one chunk's value as it was read, from a page or from a key of its own.
@@ -71,7 +71,7 @@
 			s, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
 			if err != nil {
 				f.reportUnreadable(item.Key, item.Value, err)
-				f.pages.Reserve(s.Number)
+				f.writer.pages.Reserve(s.Number)
 				lost = max(lost, item.Version)
 				continue
 			}
@@ -91,7 +91,7 @@
 	for i, v := range all {
 		if i > 0 && all[i-1].name == v.name {
 			if v.page < 0 {
-				f.obsoletePlanKeys = append(f.obsoletePlanKeys, jobs.PlanPrefix+v.name)
+				f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, jobs.PlanPrefix+v.name)
 			}
 			continue
 		}
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, s := range read {
-		f.pages.Load(s.Number, s.Version, live[s.Number])
+		f.writer.pages.Load(s.Number, s.Version, live[s.Number])
 	}
 	return kept, lost
 }
@@ -120,11 +120,11 @@
 	drop := func() {
 		if v.page >= 0 {
 			if job != nil {
-				f.pages.Drop(pages.Ref{A: int32(job.Index), B: int32(no)})
+				f.writer.pages.Drop(pages.Ref{A: int32(job.Index), B: int32(no)})
 			}
 			return
 		}
-		f.obsoletePlanKeys = append(f.obsoletePlanKeys, key)
+		f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, key)
 	}
 	if !ok || job == nil || job.State == jobs.Done || job.Spec == nil {
 		if job == nil && f.Jobs.IsUnreadable(id) {
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -67,7 +67,7 @@
 			}
 		}
 		waiting := 0
-		for _, job := range g.ranked {
+		for _, job := range g.ranking.jobs {
 			if job.TasksByState[jobs.Unplanned] > 0 {
 				t.Fatalf("%s has unplanned tasks", job.ID)
 			}
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -19,28 +19,28 @@
 // A job that ranks before all such work, or is overdue to begin, nil for none, leaves nothing: it would stop that work for room which was then kept
 // for the same work, again and again.
 func (f *Fleet) keptFree(machine *Machine, job *jobs.Job, idle float64) planner.Size {
-	if machine.Capacity.GPUs == 0 || f.waitingPerGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.startDeadlineDue[job.Index] || f.isStartDeadlineDue(job) || f.hasWaitedLong(job)) {
+	if machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.ranking.startDeadlineDue[job.Index] || f.isStartDeadlineDue(job) || f.hasWaitedLong(job)) {
 		return planner.Size{}
 	}
 	// What such work may stop anyway need only be kept from as much as waits and may come.
-	if !machine.keepsCPUsForGPUWork && job != nil && job.Priority < f.gpuPriority && !f.withinGuarantee[job.Index] {
+	if !machine.keepsCPUsForGPUWork && job != nil && job.Priority < f.gpuReserve.priority && !f.ranking.withinGuarantee[job.Index] {
 		return planner.Size{}
 	}
-	return f.waitingPerGPU.Times(idle)
+	return f.gpuReserve.perGPU.Times(idle)
 }
 
 // isStartDeadlineDue tells whether a job ranks before all work that waits for accelerators.
 func (f *Fleet) isStartDeadlineDue(job *jobs.Job) bool {
-	if w := f.withinGuarantee[job.Index]; w != f.gpuWithinGuarantee {
+	if w := f.ranking.withinGuarantee[job.Index]; w != f.gpuReserve.withinGuarantee {
 		return w
 	}
-	return job.Priority > f.gpuPriority
+	return job.Priority > f.gpuReserve.priority
 }
 
 // spotWaitLimit is by how many seconds a job that may use spot machines puts off an ordinary one
 // which live jobs that may not use spot could need: they have no other.
 func (f *Fleet) spotWaitLimit(machine *Machine, job *jobs.Job) float64 {
-	if machine.Spot || !job.Spec.Spot || !f.onDemandTypes[machine.Type] {
+	if machine.Spot || !job.Spec.Spot || !f.gpuReserve.onDemandTypes[machine.Type] {
 		return 0
 	}
 	if job.Spec.Kind == jobs.Array {
@@ -129,13 +129,13 @@
 	if f.startsStopped || machine.Condition != Ready || machine.Returning || machine.QueuedTasks == 0 || !machine.smallestQueued.Fits(machine.Free()) {
 		return nil
 	}
-	ixs := f.jobScratch[:0]
+	ixs := f.scratch.jobs[:0]
 	for _, queue := range machine.queues {
 		if job := f.jobAt(queue.job); job.Spec.Kind == jobs.Gang || f.fits(machine, job) {
 			ixs = append(ixs, queue.job)
 		}
 	}
-	f.jobScratch = ixs
+	f.scratch.jobs = ixs
 	f.PlanningSteps += uint64(len(machine.queues))
 	f.sortRanked(ixs)
 	for _, jobIndex := range ixs {
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -31,25 +31,25 @@
 // constant stream, and guests behind everybody as long as anybody waits. It ends with a job's first start, so that
 // it and a job that may preempt it can't take turns.
 func (f *Fleet) markStartDeadlines(now time.Duration) {
-	clear(f.startDeadlineDue)
+	clear(f.ranking.startDeadlineDue)
 	place := func(job *jobs.Job) int {
 		late := f.overdue(now, job)
 		switch {
 		case late && job.Spec.Kind != jobs.Gang:
-			f.startDeadlineDue[job.Index] = true
+			f.ranking.startDeadlineDue[job.Index] = true
 			return 0
-		case f.withinGuarantee[job.Index] && late:
+		case f.ranking.withinGuarantee[job.Index] && late:
 			return 1
-		case f.withinGuarantee[job.Index]:
+		case f.ranking.withinGuarantee[job.Index]:
 			return 2
 		case late:
 			return 3
 		}
 		return 4
 	}
-	places := make(map[jobs.Index]int, len(f.ranked))
+	places := make(map[jobs.Index]int, len(f.ranking.jobs))
 	moved := false
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		p := place(job)
 		places[job.Index] = p
 		moved = moved || p%2 == 1 || p == 0
@@ -57,7 +57,7 @@
 	if !moved {
 		return
 	}
-	slices.SortStableFunc(f.ranked, func(a, b *jobs.Job) int {
+	slices.SortStableFunc(f.ranking.jobs, func(a, b *jobs.Job) int {
 		if d := places[a.Index] - places[b.Index]; d != 0 || places[a.Index]%2 == 0 && places[a.Index] > 0 {
 			return d
 		}
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -32,7 +32,7 @@
 		now := 300 * time.Second
 		g.Settings.Operator.BeginS = 0
 		g.RankJobs(now)
-		was := slices.Clone(g.ranked)
+		was := slices.Clone(g.ranking.jobs)
 		g.Settings.Operator.BeginS = 240
 		g.RankJobs(now)
 		var want []*jobs.Job
@@ -52,10 +52,12 @@
 		gang := func(job *jobs.Job) bool { return job.Spec.Kind == jobs.Gang }
 		take(true, func(job *jobs.Job) bool { return late(job) && !gang(job) })
 		for _, within := range []bool{true, false} {
-			take(true, func(job *jobs.Job) bool { return late(job) && gang(job) && g.withinGuarantee[job.Index] == within })
-			take(false, func(job *jobs.Job) bool { return !late(job) && g.withinGuarantee[job.Index] == within })
+			take(true, func(job *jobs.Job) bool {
+				return late(job) && gang(job) && g.ranking.withinGuarantee[job.Index] == within
+			})
+			take(false, func(job *jobs.Job) bool { return !late(job) && g.ranking.withinGuarantee[job.Index] == within })
 		}
-		if !slices.Equal(g.ranked, want) {
+		if !slices.Equal(g.ranking.jobs, want) {
 			t.Fatalf("ranked otherwise")
 		}
 		if !slices.Equal(was, want) {
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -42,7 +42,7 @@
 	least := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
 	var waiting []*jobs.Job
 	anyAged := false
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		if job.Spec.Kind == jobs.Array && job.TasksByState[jobs.Planned] > 0 && f.mayStart(job, 1) {
 			waiting = append(waiting, job)
 			least = least.Min(job.Spec.Size())
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -16,7 +16,7 @@
 	if job.Suspended = on; job.Tasks == nil {
 		return
 	}
-	f.rankedAt, f.planBecameDurable = 0, true
+	f.ranking.at, f.writer.planBecameDurable = 0, true
 	if !on {
 		return
 	}
@@ -50,7 +50,7 @@
 func (f *Fleet) WaitingJobsFor(now time.Duration, of []*jobs.Job) []string {
 	out := make([]string, len(of))
 	asked := 0
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		n := job.UnstartedTasks()
 		if n == 0 || job.Idle() || job.Spec == nil {
 			continue
--- a/internal/fleet/writebatch.go
+++ b/internal/fleet/writebatch.go
@@ -109,11 +109,11 @@
 // migrate takes up chunks that still have a key of their own, where pages are in force, and reports whether there
 // were any. It is the last thing that spare writes are for.
 func (f *Fleet) migrate(batch *writeBatch) bool {
-	if batch.pages == nil || f.migrated || !f.HasSpareWrites() {
+	if batch.pages == nil || f.writer.migrated || !f.HasSpareWrites() {
 		return false
 	}
 	n := 0
-	for _, job := range f.ranked {
+	for _, job := range f.ranking.jobs {
 		for _, segment := range job.Segments {
 			if segment.Version == 0 || segment.CreateIndeterminate || segment.Quarantined || segment.InFlight != nil {
 				continue
@@ -124,7 +124,7 @@
 			n++
 		}
 	}
-	f.migrated = n == 0 && f.UnmigratedPlans() == 0
+	f.writer.migrated = n == 0 && f.UnmigratedPlans() == 0
 	return n > 0
 }
 
@@ -133,8 +133,8 @@
 
 // UnmigratedPlans counts the keys of plans that stand in the form that pages replace, with those of jobs that are over.
 func (f *Fleet) UnmigratedPlans() int {
-	n := len(f.obsoletePlanKeys)
-	for _, jobList := range [][]*jobs.Job{f.ranked, f.endedJobs} {
+	n := len(f.writer.obsoleteKeys)
+	for _, jobList := range [][]*jobs.Job{f.ranking.jobs, f.writer.endedJobs} {
 		for _, job := range jobList {
 			for _, segment := range job.Segments {
 				if segment.Version != 0 || segment.CreateIndeterminate {
@@ -148,7 +148,7 @@
 
 // Migrated tells whether no plan stands in the form that pages replace any more, as far as this term has found:
 // none is written again where pages are in force.
-func (f *Fleet) Migrated() bool { return f.migrated }
+func (f *Fleet) Migrated() bool { return f.writer.migrated }
 
 // resolvePages takes over what became of a write's pages, its first operations, and of the chunks in them, by what
 // was read of each page. It is false if the write landed between two of the reads: then they say nothing.
@@ -166,12 +166,12 @@
 	for i, item := range read {
 		switch x := ops[i].page; {
 		case landed > 0:
-			f.pages.Commit(*x, item.Version)
+			f.writer.pages.Commit(*x, item.Version)
 		case item.Version == x.Version:
-			f.pages.MarkIndeterminate(*x)
+			f.writer.pages.MarkIndeterminate(*x)
 		default:
 			// An earlier write of the page, given up before, has landed meanwhile.
-			f.pages.Reload(*x, item.Version, f.entries(item))
+			f.writer.pages.Reload(*x, item.Version, f.entries(item))
 		}
 	}
 	for _, change := range ops {
