--- a/internal/api/abort.go
+++ b/internal/api/abort.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if job != nil && w != nil && !w.May(job.Spec.Team) {
-		reply(refuse(403, w.Name+" may not cancel jobs of team "+job.Spec.Team))
+		reply(Refuse(Forbidden, w.Name+" may not cancel jobs of team "+job.Spec.Team))
 		return
 	}
 	again := func() {
@@ -70,12 +70,12 @@
 				n.reread(id, reply, false, notStored) // archived before this answer came
 			case store.Conflict, store.Indeterminate:
 				if tries == 0 {
-					reply(refuse(503, "the job keeps changing"))
+					reply(Refuse(Unavailable, "the job keeps changing"))
 					return
 				}
 				again()
 			default:
-				reply(refuse(503, "the state service did not take it"))
+				reply(Refuse(Unavailable, "the state service did not take it"))
 			}
 		})
 }
--- a/internal/api/http.go
+++ b/internal/api/http.go
@@ -57,7 +57,7 @@
 			if status == fiber.StatusRequestEntityTooLarge {
 				status = fiber.StatusBadRequest // the protocol's word for a body too large
 			}
-			return c.Status(status).JSON(fault{err.Error()})
+			return c.Status(status).JSON(errorBody{err.Error()})
 		},
 	})
 	app.Get("/up", func(c fiber.Ctx) error {
@@ -68,13 +68,13 @@
 				}{true}})
 				return
 			}
-			reply(refuse(503, "not ready"))
+			reply(Refuse(Unavailable, "not ready"))
 		})
 	})
 	app.Post("/checkin", func(c fiber.Ctx) error {
 		rep, err := fleet.ParseHeartbeat(c.Body())
 		if err != nil {
-			return send(c, refuse(400, "not a report"))
+			return send(c, Refuse(InvalidRequest, "not a report"))
 		}
 		// A fleet larger than the sockets reports over connections that are made anew: it was the sockets that bounded it.
 		if int(app.Server().GetOpenConnectionsCount()) > r.Crowded {
@@ -83,7 +83,7 @@
 		return r.wait(c, r.PostReport, workerWait, r.Counter.worker, func(reply func(Reply)) { r.Report(r.Now(), rep, reply) })
 	})
 	if r.WorkersOnly {
-		app.Use(func(c fiber.Ctx) error { return send(c, refuse(403, "users are served over TLS only")) })
+		app.Use(func(c fiber.Ctx) error { return send(c, Refuse(Forbidden, "users are served over TLS only")) })
 	}
 	if r.Users != nil {
 		app.Use("/v2", r.known)
@@ -91,10 +91,10 @@
 	app.Post("/v2/runs", func(c fiber.Ctx) error {
 		spec, err := jobs.ParseSpec(c.Body())
 		if err != nil {
-			return send(c, refuse(400, err.Error()))
+			return send(c, Refuse(InvalidRequest, err.Error()))
 		}
 		if w := who(c); w != nil && !w.May(spec.Team) {
-			return send(c, refuse(403, w.Name+" may not submit jobs of team "+spec.Team))
+			return send(c, Refuse(Forbidden, w.Name+" may not submit jobs of team "+spec.Team))
 		}
 		return r.ask(c, r.Post, userWait, func(reply func(Reply)) { r.Intake.Submit(r.Now(), spec, reply) })
 	})
@@ -119,7 +119,7 @@
 	}
 	w := r.Users.Who(bearer(c))
 	if w == nil {
-		return send(c, refuse(401, "the token is missing or unknown"))
+		return send(c, Refuse(Unauthenticated, "the token is missing or unknown"))
 	}
 	c.Locals(whoKey{}, w)
 	return c.Next()
@@ -160,7 +160,7 @@
 		})
 	})
 	if !ok {
-		return send(c, refuse(503, "overloaded"))
+		return send(c, Refuse(Unavailable, "overloaded"))
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -168,7 +168,7 @@
 	case a := <-ch:
 		return send(c, a)
 	case <-t.C:
-		return send(c, refuse(503, "no answer in time"))
+		return send(c, Refuse(Unavailable, "no answer in time"))
 	}
 }
 
--- a/internal/api/indeterminate.go
+++ b/internal/api/indeterminate.go
@@ -14,11 +14,11 @@
 
 // Answers about a job that can't be told more of.
 var (
-	noSuchJob = refuse(404, "no such job")
+	noSuchJob = Refuse(NotFound, "no such job")
 	// notStored is the answer to a submission whose record is not there: it may come yet.
-	notStored    = refuse(503, "the job was not stored")
-	unreadable   = refuse(503, "the job's record cannot be read")
-	noStateReply = refuse(503, "the state service does not answer")
+	notStored    = Refuse(Unavailable, "the job was not stored")
+	unreadable   = Refuse(Unavailable, "the job's record cannot be read")
+	noStateReply = Refuse(Unavailable, "the state service does not answer")
 )
 
 // final gives the answer about a job that is known to have ended; it never changes, so no read is needed.
@@ -44,7 +44,7 @@
 		return true
 	}
 	if !n.Ready() {
-		reply(refuse(503, "still reading the jobs"))
+		reply(Refuse(Unavailable, "still reading the jobs"))
 		return true
 	}
 	r, ok := n.final(id, full)
--- a/internal/api/leader.go
+++ b/internal/api/leader.go
@@ -80,10 +80,10 @@
 		return func(c fiber.Ctx) error {
 			if w := who(c); w != nil {
 				if !w.Operator {
-					return send(c, refuse(403, w.Name+" is no operator"))
+					return send(c, Refuse(Forbidden, w.Name+" is no operator"))
 				}
 			} else if ok, why := l.may(bearer(c), c.IP()); !ok {
-				return send(c, refuse(403, why))
+				return send(c, Refuse(Forbidden, why))
 			}
 			return ask(c, what, verb)
 		}
--- a/internal/api/retryafter.go
+++ b/internal/api/retryafter.go
@@ -17,7 +17,7 @@
 func (n *Service) later(now time.Duration, why string) Reply {
 	perWrite := time.Duration(float64(time.Second) / (n.Store.WriteRate() * usablePart))
 	n.promised = max(n.promised, now) + perWrite
-	r := refuse(429, why)
+	r := Refuse(TooManyRequests, why)
 	r.RetryAfter = min(mostRetryAfter, max(1, int(math.Ceil((n.promised-now).Seconds()))))
 	if n.promised > now+mostRetryAfter*time.Second {
 		n.promised = now + mostRetryAfter*time.Second // beyond that nobody was promised anything
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -25,21 +25,6 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-type fault struct {
-	Error string `json:"error"`
-}
-
-// Refuse is an answer that says why not; 429 and 503 carry Retry-After.
-func Refuse(status int, why string) Reply { return refuse(status, why) }
-
-func refuse(status int, why string) Reply {
-	r := Reply{Status: status, Body: fault{why}}
-	if status == 429 || status == 503 {
-		r.RetryAfter = 1
-	}
-	return r
-}
-
 // Bounds of the queues, for a fleet of some 4,000 machines: a burst of that size is shed by the bytes that wait
 // (Env.MaxBytes) and by the state service's rate, not by a count.
 const (
@@ -146,7 +131,7 @@
 	if n.Compatible == nil || n.Compatible() {
 		return true
 	}
-	reply(refuse(503, "this controller's release is behind the cluster's: ask another"))
+	reply(Refuse(Unavailable, "this controller's release is behind the cluster's: ask another"))
 	return false
 }
 
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if len(n.queries) >= maxChecks {
-		c.reply(refuse(429, "too many queries"))
+		c.reply(Refuse(TooManyRequests, "too many queries"))
 		return
 	}
 	n.queries = append(n.queries, c)
@@ -61,7 +61,7 @@
 	if !n.Store.CanWrite(0, store.QueryPriority) {
 		if len(n.queries) > 200 {
 			for _, c := range n.queries {
-				c.reply(refuse(503, "the state service is at its limit"))
+				c.reply(Refuse(Unavailable, "the state service is at its limit"))
 			}
 			n.queries = nil
 		}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -20,14 +20,14 @@
 // Submit takes a parsed submission.
 func (n *Service) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
 	if n.draining {
-		reply(refuse(503, "this controller is being drained: ask another"))
+		reply(Refuse(Unavailable, "this controller is being drained: ask another"))
 		return
 	}
 	if !n.fit(reply) {
 		return
 	}
 	if !n.Ready() {
-		reply(refuse(503, "still reading the jobs"))
+		reply(Refuse(Unavailable, "still reading the jobs"))
 		return
 	}
 	if r, ok := n.final(spec.ID, false); ok {
@@ -40,7 +40,7 @@
 	}
 	switch v := n.Admit(spec); {
 	case !v.Known:
-		reply(refuse(503, v.Why))
+		reply(Refuse(Unavailable, v.Why))
 		return
 	case !v.OK:
 		// A count of licences falls, or a machine type comes, while this job's record is on its way here
@@ -50,7 +50,7 @@
 			reply(noStateReply)
 			return
 		}
-		n.reread(spec.ID, reply, false, refuse(422, v.Why))
+		n.reread(spec.ID, reply, false, Refuse(Unprocessable, v.Why))
 		return
 	}
 	if n.stateLost(now) {
@@ -59,16 +59,16 @@
 	}
 	raw := jobs.EncodeRecord(jobs.Pending, n.Jobs.WallMS(now), spec.Tasks, spec)
 	if len(raw) > n.MaxValue {
-		reply(refuse(422, "the job's description is larger than what can be stored of a job"))
+		reply(Refuse(Unprocessable, "the job's description is larger than what can be stored of a job"))
 		return
 	}
 	if len(raw) > n.limits().MaxValueBytes {
-		reply(refuse(503, "the state service takes no value as large as the job's description now"))
+		reply(Refuse(Unavailable, "the state service takes no value as large as the job's description now"))
 		return
 	}
 	// Every job is taken for itself; together they must fit the leader's memory.
 	if live := n.Jobs.LiveTasks(); live > 0 && live+spec.Tasks > n.MaxTasks {
-		reply(refuse(429, "too many unfinished tasks"))
+		reply(Refuse(TooManyRequests, "too many unfinished tasks"))
 		return
 	}
 	n.enqueue(now, pendingSubmission{spec, raw, reply})
@@ -143,7 +143,7 @@
 			if failed[key] || failed[archive.Key(s.spec.ID)] {
 				n.reread(s.spec.ID, s.reply, false, notStored)
 			} else if n.LevelCondition != nil && failed[n.LevelCondition().Key] {
-				s.reply(refuse(503, "the cluster's level has just changed"))
+				s.reply(Refuse(Unavailable, "the cluster's level has just changed"))
 			} else {
 				n.enqueue(now, s)
 			}
@@ -152,7 +152,7 @@
 			// be; then the user's retry finds it.
 			n.reread(s.spec.ID, s.reply, false, notStored)
 		default:
-			s.reply(refuse(503, "the state service did not take the job"))
+			s.reply(Refuse(Unavailable, "the state service did not take the job"))
 		}
 	}
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -98,7 +98,7 @@
 	}
 	u, err := url.Parse(path)
 	if err != nil {
-		say(api.Refuse(400, err.Error()))
+		say(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	}
 	id, verb, _ := strings.Cut(strings.TrimPrefix(u.Path, "/v2/runs/"), "/")
@@ -112,14 +112,14 @@
 	case path == "/checkin":
 		heartbeat, err := fleet.ParseHeartbeat(body)
 		if err != nil {
-			say(api.Refuse(400, "not a report"))
+			say(api.Refuse(api.InvalidRequest, "not a report"))
 			return
 		}
 		c.report(now, heartbeat, say)
 	case u.Path == "/v2/runs" && method == "POST":
 		spec, err := jobs.ParseSpec(body)
 		if err != nil {
-			say(api.Refuse(400, err.Error()))
+			say(api.Refuse(api.InvalidRequest, err.Error()))
 			return
 		}
 		c.api.Submit(now, spec, say)
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -77,7 +77,7 @@
 	}
 	only := request.Name
 	if !c.mayList(now) {
-		reply(api.Refuse(429, "too many lists"))
+		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
 	out := EventPage{Term: c.membership.Term(), First: c.term.fleet.Events.First(), Events: []EventView{}}
@@ -103,7 +103,7 @@
 		return true
 	})
 	if only != "" && !about && c.jobs.Get(only) == nil {
-		reply(api.Refuse(404, notKept))
+		reply(api.Refuse(api.NotFound, notKept))
 		return
 	}
 	reply(api.Reply{Status: 200, Body: out})
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -20,7 +20,7 @@
 	case c.membership.State() != membership.Leading || c.term.fleet == nil:
 		l := c.membership.Leader()
 		if l.Node == "" {
-			reply(api.Refuse(503, "no controller leads"))
+			reply(api.Refuse(api.Unavailable, "no controller leads"))
 			return
 		}
 		reply(api.Reply{Status: 421, Body: struct {
@@ -29,7 +29,7 @@
 			Secure string `json:"leader_tls,omitempty"`
 		}{"only the leader knows", l.Public, l.Secure}})
 	case !c.membership.HasAuthority(now) || !c.term.fleet.PlansLoaded():
-		reply(api.Refuse(503, "the leader may not act now"))
+		reply(api.Refuse(api.Unavailable, "the leader may not act now"))
 	case request.Resource == "rollout":
 		c.rolloutCall(now, request, reply)
 	case request.Resource == "zones":
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -76,7 +76,7 @@
 	ix, ok := c.licencePools.Index(request.Name)
 	switch {
 	case !ok:
-		reply(api.Refuse(404, fmt.Sprintf("no licence pool %q is declared", request.Name)))
+		reply(api.Refuse(api.NotFound, fmt.Sprintf("no licence pool %q is declared", request.Name)))
 	case request.Verb == "show":
 		reply(api.Reply{Status: 200, Body: show(ix)})
 	default:
@@ -91,16 +91,16 @@
 	var s setCount
 	switch err := json.Unmarshal(body, &s); {
 	case err != nil:
-		reply(api.Refuse(400, "not a command: "+err.Error()))
+		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
 		return
 	case !s.Reset && (s.Count == nil || *s.Count < 0 || *s.Count > maxCount):
-		reply(api.Refuse(400, fmt.Sprintf("count must be 0 to %d", maxCount)))
+		reply(api.Refuse(api.InvalidRequest, fmt.Sprintf("count must be 0 to %d", maxCount)))
 		return
 	case s.Lower != "" && s.Lower != licences.Wait && s.Lower != licences.Stop:
-		reply(api.Refuse(400, `on_lower must be "wait" or "stop"`))
+		reply(api.Refuse(api.InvalidRequest, `on_lower must be "wait" or "stop"`))
 		return
 	case len(s.By) > 100:
-		reply(api.Refuse(400, "by is longer than 100 characters"))
+		reply(api.Refuse(api.InvalidRequest, "by is longer than 100 characters"))
 		return
 	}
 	stamp, by := c.licencePools.Stamp(ix)
@@ -131,7 +131,7 @@
 		case result.Outcome == store.Conflict && c.term.fleet == f:
 			reply(api.Reply{Status: 409, Body: conflict("another command", show())})
 		default:
-			reply(api.Refuse(503, "it is not known whether the count was set: look before setting it again"))
+			reply(api.Refuse(api.Unavailable, "it is not known whether the count was set: look before setting it again"))
 		}
 	})
 }
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -77,7 +77,7 @@
 func whereOf(request api.LeaderRequest, fields query.Fields, reply func(api.Reply)) (f query.Filter, ok bool) {
 	f, err := query.Parse(request.Query["where"], fields)
 	if err != nil {
-		reply(api.Refuse(400, "where: "+err.Error()))
+		reply(api.Refuse(api.InvalidRequest, "where: "+err.Error()))
 		return f, false
 	}
 	return f, true
@@ -102,7 +102,7 @@
 		return
 	}
 	if !c.mayList(now) {
-		reply(api.Refuse(429, "too many lists"))
+		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
 	size := pageSize
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -112,11 +112,11 @@
 	}
 	var cmd drain.Command
 	if err := json.Unmarshal(request.Body, &cmd); err != nil {
-		reply(api.Refuse(400, "not a command: "+err.Error()))
+		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
 		return
 	}
 	lost := func(by string) {
-		reply(api.Refuse(409, fmt.Sprintf("something was changed meanwhile (%s): look at the status, and give the command again if it is still right", by)))
+		reply(api.Refuse(api.Conflict, fmt.Sprintf("something was changed meanwhile (%s): look at the status, and give the command again if it is still right", by)))
 	}
 	if cmd.Revision != nil && *cmd.Revision != c.drains.documentVersion {
 		lost(c.drains.document.Last)
@@ -126,27 +126,27 @@
 	next, err := c.desiredDrains().Apply(cmd, c.cluster(now))
 	switch {
 	case errors.Is(err, drain.ErrMalformed):
-		reply(api.Refuse(400, err.Error()))
+		reply(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	case errors.Is(err, drain.ErrUnknown):
-		reply(api.Refuse(404, err.Error()))
+		reply(api.Refuse(api.NotFound, err.Error()))
 		return
 	case err != nil:
-		reply(api.Refuse(409, err.Error()))
+		reply(api.Refuse(api.Conflict, err.Error()))
 		return
 	}
 	f := c.term.fleet
 	c.writeDrainChange(next, func(result store.Result) {
 		switch {
 		case c.term.fleet != f:
-			reply(api.Refuse(503, "the lead was lost: look at the status before giving the command again"))
+			reply(api.Refuse(api.Unavailable, "the lead was lost: look at the status before giving the command again"))
 		case result.Outcome == store.Committed:
 			slog.Info("operators' command", "op", cmd.Op, "kind", cmd.Kind, "name", cmd.Name, "by", cmd.By)
 			reply(api.Reply{Status: 200, Body: c.adminStatus(c.loop.Now(), "")})
 		case result.Outcome == store.Conflict:
 			lost("another command")
 		default:
-			reply(api.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
+			reply(api.Refuse(api.Unavailable, "it is not known whether the command was taken: look at the status before giving it again"))
 		}
 	})
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -110,16 +110,16 @@
 	}
 	var cmd rollout.Command
 	if err := json.Unmarshal(request.Body, &cmd); err != nil {
-		reply(api.Refuse(400, "not a command: "+err.Error()))
+		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
 		return
 	}
 	txn, err := c.rollout.Execute(now, cmd, c.jobs.WallMS(now))
 	switch {
 	case errors.Is(err, rollout.ErrMalformed):
-		reply(api.Refuse(400, err.Error()))
+		reply(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	case err != nil:
-		reply(api.Refuse(409, err.Error()))
+		reply(api.Refuse(api.Conflict, err.Error()))
 		return
 	}
 	c.commit(txn, store.NormalPriority, func(result store.Result) {
@@ -131,9 +131,9 @@
 			}
 			reply(api.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
 		case store.Conflict:
-			reply(api.Refuse(409, "something was changed meanwhile: look at the status, and give the command again if it is still right"))
+			reply(api.Refuse(api.Conflict, "something was changed meanwhile: look at the status, and give the command again if it is still right"))
 		default:
-			reply(api.Refuse(503, "it is not known whether the command was taken: look at the status before giving it again"))
+			reply(api.Refuse(api.Unavailable, "it is not known whether the command was taken: look at the status before giving it again"))
 		}
 	})
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -30,7 +30,7 @@
 		case a.Status < 300:
 			reply(api.Reply{Status: a.Status, Body: a.View})
 		default:
-			reply(api.Refuse(a.Status, a.Why))
+			reply(api.Refuse(api.RefusalKindOf(a.Status), a.Why))
 		}
 	}
 	m := c.term.sessions
@@ -38,19 +38,19 @@
 	case "open":
 		r, err := sessions.ParseOpening(request.Body)
 		if err != nil {
-			reply(api.Refuse(400, err.Error()))
+			reply(api.Refuse(api.InvalidRequest, err.Error()))
 			return
 		}
 		if request.Who != nil && !request.Who.May(r.Spec.Team) {
-			reply(api.Refuse(403, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
+			reply(api.Refuse(api.Forbidden, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
 			return
 		}
 		if v := c.admit(r.Spec); !v.OK {
-			status := 422
+			kind := api.Unprocessable
 			if !v.Known {
-				status = 503
+				kind = api.Unavailable
 			}
-			reply(api.Refuse(status, v.Why))
+			reply(api.Refuse(kind, v.Why))
 			return
 		}
 		m.Open(now, r, answer)
@@ -61,7 +61,7 @@
 			Attachment uint64 `json:"attachment"`
 		}
 		if json.Unmarshal(request.Body, &b) != nil {
-			reply(api.Refuse(400, "attachment must be there"))
+			reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
 			return
 		}
 		answer(m.Keep(now, request.Name, request.Bearer, b.Attachment))
@@ -70,19 +70,19 @@
 	case "report":
 		r, err := sessions.ParseReport(request.Body)
 		if err != nil {
-			reply(api.Refuse(400, err.Error()))
+			reply(api.Refuse(api.InvalidRequest, err.Error()))
 			return
 		}
 		o, ok, why := m.Report(now, request.Name, request.Bearer, r)
 		if !ok {
-			reply(api.Refuse(409, why))
+			reply(api.Refuse(api.Conflict, why))
 			return
 		}
 		reply(api.Reply{Status: 200, Body: o})
 	case "explain":
 		lines, ok := m.Explain(now, request.Name)
 		if !ok {
-			reply(api.Refuse(404, "no such session"))
+			reply(api.Refuse(api.NotFound, "no such session"))
 			return
 		}
 		reply(api.Reply{Status: 200, Body: struct {
@@ -96,7 +96,7 @@
 		}
 		v, ok := m.Show(now, request.Name)
 		if !ok {
-			reply(api.Refuse(404, "no such session"))
+			reply(api.Refuse(api.NotFound, "no such session"))
 			return
 		}
 		reply(api.Reply{Status: 200, Body: v})
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -33,7 +33,7 @@
 func (c *Controller) whyCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	job := c.jobs.Get(request.Name)
 	if job == nil {
-		reply(api.Refuse(404, notKept))
+		reply(api.Refuse(api.NotFound, notKept))
 		return
 	}
 	w := JobPendingView{ID: job.ID, Stance: job.State.String(), Tasks: job.TaskCount, Waiting: []fleet.PendingReason{}, Nearest: []string{}}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -90,7 +90,7 @@
 	}
 	i := slices.IndexFunc(views, func(v ZoneView) bool { return v.Zone == request.Name })
 	if i < 0 {
-		reply(api.Refuse(404, fmt.Sprintf("no zone %q", request.Name)))
+		reply(api.Refuse(api.NotFound, fmt.Sprintf("no zone %q", request.Name)))
 		return
 	}
 	v := views[i]
