--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -116,7 +116,9 @@
 	for k, item := range s.Keys {
 		if n.known[k] != item.Version {
 			n.known[k] = item.Version
-			n.mem.HandleItem(s.Now, item)
+			if err := n.mem.HandleItem(s.Now, item); err != nil {
+				n.c.t.Fatal(err)
+			}
 		}
 	}
 	n.mem.HandleSynced(s.Now)
--- /dev/null
+++ b/internal/membership/registration.go
@@ -0,0 +1,94 @@
+package membership
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// memberValue is the stored value of a controller's member key, which is bound to its lease.
+type memberValue struct {
+	Node  string `json:"node"`
+	Lease uint64 `json:"hold"`
+}
+
+// registration is this controller's member key as last seen.
+type registration struct {
+	leaseID uint64 // the lease that the key names; 0: none
+	version uint64 // 0: there is no key
+}
+
+// handleMemberItem takes over this controller's own member key. A value that can't be read names no lease.
+func (m *Membership) handleMemberItem(item store.Item) {
+	if item.Version <= m.registered.version {
+		return
+	}
+	var member memberValue
+	_ = json.Unmarshal(item.Value, &member)
+	m.registered = registration{leaseID: member.Lease, version: item.Version}
+}
+
+// register writes the member key and the announcement on the condition that the key is as last seen: a late
+// registration of this controller's former process would otherwise delete the key when its lease ends, and this
+// controller would count as absent for as long as it lives.
+func (m *Membership) register() {
+	m.requestPending = true
+	leaseID := m.lease.id
+	key := memberKeyPrefix + m.cfg.Node
+	value, _ := json.Marshal(memberValue{Node: m.cfg.Node, Lease: leaseID})
+	txn := store.Txn{
+		If: []store.Condition{{Key: key, Version: m.registered.version}},
+		Then: []store.Op{
+			{Put: key, Value: value, Lease: leaseID},
+			m.cfg.Rollout.Announcement(leaseID),
+		},
+	}
+	m.store.Txn(txn, store.SafetyPriority, func(result store.Result) {
+		if m.lease.id != leaseID {
+			return // the lease was lost meanwhile, another attempt is under way
+		}
+		switch result.Outcome {
+		case store.Committed:
+			m.requestPending = false
+			m.handleMemberItem(store.Item{Value: value, Version: result.Revision})
+			m.finishRegistration(m.store.Now())
+		case store.LeaseExpired:
+			m.dropLease(m.store.Now(), "lease expired")
+		case store.Conflict, store.Indeterminate:
+			m.readRegistration(key, leaseID)
+		default:
+			m.retryLater()
+		}
+	})
+}
+
+// readRegistration reads the member key after a registration that may or may not have been carried out: the key may
+// have been written by the former process, or by this one with a request that was given up.
+func (m *Membership) readRegistration(key string, leaseID uint64) {
+	m.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
+		if m.lease.id != leaseID {
+			return
+		}
+		m.retryLater()
+		if err != nil {
+			return
+		}
+		m.retryAt = m.store.Now()
+		if item.Version == 0 {
+			m.registered = registration{}
+			return
+		}
+		m.handleMemberItem(item)
+		if m.registered.leaseID == leaseID {
+			m.finishRegistration(m.store.Now())
+		}
+	})
+}
+
+// finishRegistration goes on once the member key names this controller's lease.
+func (m *Membership) finishRegistration(now time.Duration) {
+	if m.state == Registering {
+		m.transition(now, Follower, "registered")
+	}
+}
--- /dev/null
+++ b/internal/membership/state.go
@@ -0,0 +1,58 @@
+package membership
+
+import (
+	"log/slog"
+	"time"
+)
+
+// State is a controller's progress from its start to leadership.
+type State uint8
+
+// The states of membership.
+//
+//	LoadingKeys -> RevokingOldLease -> AcquiringLease -> Registering -> Follower -> Campaigning -> Leading
+//
+// A campaign that fails leads back to Follower, a campaign that is found to have succeeded late from Follower to
+// Leading. A lost lease leads back to AcquiringLease from any state.
+const (
+	LoadingKeys      State = iota // the followed keys have not been read yet
+	RevokingOldLease              // revoking the lease of this controller's former process
+	AcquiringLease                // requesting a lease
+	Registering                   // writing the member key
+	Follower                      // registered, without the leader key
+	Campaigning                   // a campaign's outcome is open
+	Leading                       // holding the leader key, for as long as the lease lives
+)
+
+// String returns the name of the state in log lines.
+func (s State) String() string {
+	return [...]string{
+		"loading_keys",
+		"revoking_old_lease",
+		"acquiring_lease",
+		"registering",
+		"follower",
+		"campaigning",
+		"leading",
+	}[s]
+}
+
+// State returns the present state.
+func (m *Membership) State() State { return m.state }
+
+// transition is the only place where the state changes.
+func (m *Membership) transition(now time.Duration, to State, cause string) {
+	if to == m.state {
+		return
+	}
+	from := m.state
+	m.state = to
+	slog.Info("membership state changed",
+		"from", from.String(), "to", to.String(), "cause", cause, "term", m.term, "lease", m.lease.id)
+	if from == Leading {
+		m.cfg.OnDeposed(now)
+	}
+	if to == Leading {
+		m.cfg.OnElected(now, m.leader.Term)
+	}
+}
--- a/internal/simulator/troubles_test.go
+++ b/internal/simulator/troubles_test.go
@@ -11,6 +11,7 @@
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/membership"
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
@@ -228,11 +229,20 @@
 	r.over()
 }
 
+// membershipStates returns the names of all states between a controller's start and its leadership, in their order.
+func membershipStates() []string {
+	var names []string
+	for state := membership.LoadingKeys; state <= membership.Leading; state++ {
+		names = append(names, state.String())
+	}
+	return names
+}
+
 // Controllers are killed and back within 50 to 900 ms, between all steps of an election, again and again: somebody leads
 // soon, one at most acts, and every job ends once.
 func TestControllersBackAtOnce(t *testing.T) {
 	r, _ := standing(t, 84, 3)
-	steps := []string{"arriving", "clearing", "holding", "registering", "member", "campaigning", "leading"}
+	steps := membershipStates()
 	for round := range 14 {
 		all := round%3 == 2
 		l, _ := r.World.Leader()
@@ -590,7 +600,7 @@
 		i, what, long := rng.IntN(n), rng.IntN(31), time.Duration(500+rng.IntN(15000))*time.Millisecond
 		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Counterpart(1+rng.IntN(31)), rng.IntN(6)
 		blink := time.Duration(50+rng.IntN(850)) * time.Millisecond
-		step := []string{"arriving", "clearing", "holding", "registering", "member", "campaigning", "leading"}[rng.IntN(7)]
+		step := membershipStates()[rng.IntN(7)]
 		factor, never := []float64{0.01, 4, 10}[rng.IntN(3)], []float64{0, 0.3, 1}[rng.IntN(3)]
 		r.After(at, func() {
 			switch what {
