--- /dev/null
+++ b/internal/membership/cluster_test.go
@@ -0,0 +1,239 @@
+package membership
+
+import (
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/simulator/state"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	os.Exit(m.Run())
+}
+
+const (
+	testTTL            = 3 * time.Second
+	testStalenessBound = 9 * time.Second
+	stepInterval       = 20 * time.Millisecond
+	maxNetworkDelay    = 30 * time.Millisecond
+	// maxLateDelay bounds how late a request that its sender has given up is carried out.
+	maxLateDelay = 8 * time.Second
+)
+
+// delivery is a message on the network that arrives at a time.
+type delivery struct {
+	at      time.Duration
+	deliver func()
+}
+
+// cluster runs several memberships against one state service over a network that delays and loses messages.
+type cluster struct {
+	t        *testing.T
+	rng      *rand.Rand
+	service  *state.Service
+	nodes    []*node
+	network  []delivery
+	leaders  map[uint64]string // by term
+	lossRate float64
+}
+
+// node is a controller; it runs one process after the other.
+type node struct {
+	cluster    *cluster
+	name       string
+	process    int         // counts its processes
+	membership *Membership // nil: not running
+	syncedAt   time.Duration
+	versions   map[string]uint64 // of the followed keys, as last seen
+	isCut      bool              // from the state service
+}
+
+func newCluster(t *testing.T, seed uint64) *cluster {
+	t.Helper()
+	c := &cluster{
+		t:       t,
+		rng:     rand.New(rand.NewPCG(seed, 3)),
+		leaders: map[uint64]string{},
+		service: state.New(),
+	}
+	for i := range 3 {
+		n := &node{cluster: c, name: fmt.Sprintf("n-%d", i)}
+		c.nodes = append(c.nodes, n)
+		n.start()
+	}
+	return c
+}
+
+// randomDuration returns a duration below a bound.
+func (c *cluster) randomDuration(bound time.Duration) time.Duration {
+	return time.Duration(c.rng.Int64N(int64(bound)))
+}
+
+func (c *cluster) deliverAfter(delay time.Duration, deliver func()) {
+	c.network = append(c.network, delivery{at: c.service.Now + delay, deliver: deliver})
+}
+
+// leader returns the node that has authority; nil if none has.
+func (c *cluster) leader() *node {
+	for _, n := range c.nodes {
+		if n.membership != nil && n.membership.HasAuthority(c.service.Now) {
+			return n
+		}
+	}
+	return nil
+}
+
+func (c *cluster) runFor(duration time.Duration) {
+	c.t.Helper()
+	for end := c.service.Now + duration; c.service.Now < end; {
+		c.step()
+	}
+}
+
+// step advances the time, delivers messages and runs each controller. It fails the test if two have authority.
+func (c *cluster) step() {
+	c.t.Helper()
+	c.service.Now += stepInterval
+	c.service.Expire()
+	c.deliverDue()
+	authority := ""
+	for _, n := range c.nodes {
+		if n.membership == nil {
+			continue
+		}
+		if c.rng.IntN(4) == 0 {
+			n.follow()
+		}
+		n.membership.Tick(c.service.Now)
+		if !n.membership.HasAuthority(c.service.Now) {
+			continue
+		}
+		if authority != "" {
+			c.t.Fatalf("%v: %s and %s both have authority", c.service.Now, authority, n.name)
+		}
+		authority = n.name
+	}
+}
+
+// deliverDue delivers the messages that are due, those included that a delivery adds.
+func (c *cluster) deliverDue() {
+	for i := 0; i < len(c.network); i++ {
+		if message := c.network[i]; message.at <= c.service.Now {
+			c.network = append(c.network[:i], c.network[i+1:]...)
+			i--
+			message.deliver()
+		}
+	}
+}
+
+// call sends a request to the state service without the network.
+func (c *cluster) call(method, path string, body []byte) httpio.Response {
+	return c.service.Serve(httpio.Request{Method: method, Path: path, Body: body})
+}
+
+// start runs a new process of the node.
+func (n *node) start() {
+	n.cluster.t.Helper()
+	n.process++
+	c := n.cluster
+	now := func() time.Duration { return c.service.Now }
+	share := store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8}
+	limits := store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10}
+	client := store.New("", n, now, share, limits)
+	n.syncedAt = c.service.Now
+	n.versions = map[string]uint64{}
+	n.membership = New(Config{
+		Node:           n.name,
+		TTL:            testTTL,
+		StalenessBound: testStalenessBound,
+		Rng:            c.rng,
+		Rollout:        oneRelease{n.name},
+		OnElected:      n.recordTerm,
+		OnDeposed:      func(time.Duration) {},
+	}, client, func() time.Duration { return n.syncedAt })
+}
+
+// kill ends the node's process: answers that are under way don't arrive any more.
+func (n *node) kill() {
+	n.process++
+	n.membership = nil
+}
+
+// recordTerm fails the test if the term has a leader already.
+func (n *node) recordTerm(_ time.Duration, term uint64) {
+	leaders := n.cluster.leaders
+	if other, ok := leaders[term]; ok {
+		n.cluster.t.Fatalf("term %d led by %s and %s", term, other, n.name)
+	}
+	leaders[term] = fmt.Sprintf("%s.%d", n.name, n.process)
+}
+
+// Send implements httpio.Sender.
+func (n *node) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+	c, process := n.cluster, n.process
+	answer := func(response httpio.Response) {
+		if n.process == process {
+			done(response)
+		}
+	}
+	if n.isCut || c.rng.Float64() < c.lossRate {
+		if isLate := c.rng.IntN(2) == 0; isLate {
+			c.deliverAfter(c.randomDuration(maxLateDelay), func() { c.service.Serve(request) })
+		}
+		c.deliverAfter(request.Timeout, func() { answer(httpio.Response{Err: httpio.ErrBusy}) })
+		return
+	}
+	c.deliverAfter(c.randomDuration(maxNetworkDelay), func() {
+		response := c.service.Serve(request)
+		c.deliverAfter(c.randomDuration(maxNetworkDelay), func() { answer(response) })
+	})
+}
+
+// follow passes the present keys to the node, as its watch cache would.
+func (n *node) follow() {
+	n.cluster.t.Helper()
+	service := n.cluster.service
+	if n.isCut || service.Down {
+		return
+	}
+	n.syncedAt = service.Now
+	for key, version := range n.versions {
+		if service.Keys[key].Version == 0 {
+			delete(n.versions, key)
+			n.membership.HandleDelete(service.Now, key, service.Rev+version)
+		}
+	}
+	for key, item := range service.Keys {
+		if n.versions[key] == item.Version {
+			continue
+		}
+		n.versions[key] = item.Version
+		if err := n.membership.HandleItem(service.Now, item); err != nil {
+			n.cluster.t.Fatal(err)
+		}
+	}
+	n.membership.HandleSynced(service.Now)
+}
+
+// oneRelease is a Rollout of a cluster in which all controllers have the same release.
+type oneRelease struct{ node string }
+
+func (oneRelease) Compatible() bool { return true }
+
+func (oneRelease) Level() rollout.Level { return rollout.Newest }
+
+func (oneRelease) PreferredLeaders() int { return 0 }
+
+func (o oneRelease) Announcement(uint64) store.Op {
+	return store.Op{Put: rollout.AnnounceKey(o.node), Value: []byte("{}")}
+}
+
+func (oneRelease) BootstrapConditions() ([]store.Condition, []store.Op) { return nil, nil }
