--- a/internal/membership/authority.go
+++ b/internal/membership/authority.go
@@ -6,9 +6,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// HasAuthority reports whether this controller may answer heartbeats and send commands. Authority ends a margin before
-// the lease can, counted from when the last successful renewal was sent. It also ends when the followed keys are older
-// than Config.StalenessBound: a renewal that succeeds, or a lease that outlives an outage, doesn't refresh them.
+// HasAuthority reports whether this controller may answer heartbeats and send commands. Authority ends a margin
+// before the lease can, counted from when the last successful renewal was sent. It also ends when the followed keys
+// are older than Config.StalenessBound: a renewal that succeeds, or a lease that outlives an outage, doesn't
+// refresh them.
 func (m *Membership) HasAuthority(now time.Duration) bool {
 	return m.state == Leading && now < m.lease.authorityUntil && now-m.freshAt() < m.cfg.StalenessBound
 }
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// At no time do two controllers have authority, no term is led twice, and once all faults have ended there is a leader:
-// over crashes, restarts, cuts, outages, withdrawals and late transactions.
+// At no time do two controllers have authority, no term is led twice, and once all faults have ended there is a
+// leader: over crashes, restarts, cuts, outages, withdrawals and late transactions.
 func TestAtMostOneHasAuthority(t *testing.T) {
 	terms := 0
 	for seed := uint64(1); seed <= 25; seed++ {
@@ -72,8 +72,8 @@
 	}
 }
 
-// A leader that is cut from the state service alone has no authority before its lease can expire, and another one takes
-// over.
+// A leader that is cut from the state service alone has no authority before its lease can expire, and another one
+// takes over.
 func TestLeaderCutFromTheStateServiceAlone(t *testing.T) {
 	c := newCluster(t, 1)
 	c.runFor(3 * time.Second)
@@ -145,8 +145,9 @@
 	return c, leader
 }
 
-// A campaign of a former process is carried out after the new process has revoked the old lease: the leader key names a
-// lease that the new process doesn't have. Without a revocation nobody would lead for as long as that lease lives.
+// A campaign of a former process is carried out after the new process has revoked the old lease: the leader key
+// names a lease that the new process doesn't have. Without a revocation nobody would lead for as long as that lease
+// lives.
 func TestFormerCampaignLandsLate(t *testing.T) {
 	c, restarted := restartOnlyTheLeader(t, 3)
 	var granted struct {
--- a/internal/membership/followed.go
+++ b/internal/membership/followed.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// HandleItem takes over one changed key. Keys of others and versions that were seen before are ignored. The error tells
-// why a value can't be read; its version doesn't count as seen then.
+// HandleItem takes over one changed key. Keys of others and versions that were seen before are ignored. The error
+// tells why a value can't be read; its version doesn't count as seen then.
 func (m *Membership) HandleItem(now time.Duration, item store.Item) error {
 	switch item.Key {
 	case leaderKey:
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// handleTermItem takes over the term. While it can't be read its version isn't taken over either, so that a campaign of
-// this controller fails.
+// handleTermItem takes over the term. While it can't be read its version isn't taken over either, so that a
+// campaign of this controller fails.
 func (m *Membership) handleTermItem(item store.Item) error {
 	if item.Version <= m.termVersion {
 		return nil
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -45,8 +45,8 @@
 	l.renewAt = sentAt + ttl/renewalsPerTTL
 }
 
-// revokeOldLease revokes the lease that the member key names. It was held by this controller's former process, which has
-// ended: revoking it spares the cluster the wait for its expiry.
+// revokeOldLease revokes the lease that the member key names. It was held by this controller's former process,
+// which has ended: revoking it spares the cluster the wait for its expiry.
 func (m *Membership) revokeOldLease() {
 	m.requestPending = true
 	m.store.Get(memberKeyPrefix+m.cfg.Node, store.SafetyPriority, func(item store.Item, err error) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
 // Package membership decides which controller may act. It owns this controller's lease, its registration as a member,
 // leader election, the term and the shard map.
 //
-// Each controller has a lease at the state service and a member key bound to it. Leader, term and shard map change only
-// in one transaction, a campaign; every later write of the leader is conditional on its leader key, which is bound to
-// its lease.
+// Each controller has a lease at the state service and a member key bound to it. Leader, term and shard map change
+// only in one transaction, a campaign; every later write of the leader is conditional on its leader key, which is
+// bound to its lease.
 //
 // A Membership is a state machine without a goroutine or a clock: it belongs to the controller's event loop, which
-// passes it the time, the changes of the followed keys and the answers of the state service. It never contacts workers
-// or other controllers.
+// passes it the time, the changes of the followed keys and the answers of the state service. It never contacts
+// workers or other controllers.
 package membership
 
 import (
@@ -87,7 +87,8 @@
 	shardMapVersion uint64
 }
 
-// New returns a Membership in state LoadingKeys. freshAt returns when the followed keys were last complete for certain.
+// New returns a Membership in state LoadingKeys. freshAt returns when the followed keys were last complete for
+// certain.
 func New(cfg Config, client *store.Client, freshAt func() time.Duration) *Membership {
 	return &Membership{cfg: cfg, store: client, freshAt: freshAt}
 }
--- a/internal/membership/shardmap.go
+++ b/internal/membership/shardmap.go
@@ -9,8 +9,8 @@
 	Owners []string `json:"owners"`
 }
 
-// Owner returns the controller that owns a machine, by rendezvous hashing; "" if the map has no owners. A change of the
-// owners moves only the machines of those that were added or removed.
+// Owner returns the controller that owns a machine, by rendezvous hashing; "" if the map has no owners. A change of
+// the owners moves only the machines of those that were added or removed.
 func (s ShardMap) Owner(machine string) string {
 	maxWeight, owner := uint64(0), ""
 	for _, candidate := range s.Owners {
