--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -1,21 +1,45 @@
 package archive
 
 import (
+	"iter"
 	"log/slog"
+	"slices"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// State is what a mover is doing.
+// opsPerMove is how many changes of a transaction the move of one job takes: its answer's key is written and its
+// record's key deleted together.
+const opsPerMove = 2
+
+// Parts of the state service's write rate that moves may use, of all controllers' together: the usual one, and the
+// one while ended jobs wait for more than twice the time for which they are retained. Without such a bound the
+// leader's moves take the writes that the other controllers' submissions need.
+const (
+	usualWriteShare   = 0.1
+	backlogWriteShare = 0.25
+)
+
+const (
+	// maxBatchJobs bounds the jobs in a batch.
+	maxBatchJobs = 16
+	// failureBackoff passes after a batch that wasn't carried out.
+	failureBackoff = 2 * time.Second
+	// conflictBackoff is for how long a job isn't tried again whose move met a condition that didn't hold, or was
+	// carried out: an earlier move of it has succeeded, and the followed keys are about to show it.
+	conflictBackoff = 30 * time.Second
+)
+
+// State is what a Mover is doing.
 type State uint8
 
-// The states of a mover.
+// The states of a Mover.
 //
 //	Idle    -> Moving   a batch was sent
 //	Moving  -> Waiting  it is durable, and its share of the writes is used up for a while; or it wasn't carried out,
-//	                    met a condition that didn't hold, or nobody knows
+//	                    met a condition that didn't hold, or its outcome is indeterminate
 //	Waiting -> Idle     the pause is over
 const (
 	Idle State = iota
@@ -23,6 +47,7 @@
 	Waiting
 )
 
+// String returns the name of the state, as operators read it over HTTP.
 func (s State) String() string { return [...]string{"idle", "moving", "waiting"}[s] }
 
 // Candidate is an ended job whose record may be moved: no task of it can be on a machine.
@@ -32,171 +57,172 @@
 	Answer  Answer
 }
 
-// Env is what a mover needs of its surroundings.
+// Env is what a Mover needs of the controller.
 type Env struct {
-	// CanWrite tells whether a transaction with n changes may go out now, without taking the place of anybody's who
-	// waits for an answer.
-	CanWrite func(n int) bool
-	// Commit sends a transaction under the leader's guard.
+	// CanWrite reports whether a transaction with ops changes may be sent now without delaying the writes that users
+	// wait for.
+	CanWrite func(ops int) bool
+	// Commit sends a transaction on the condition that this controller still leads.
 	Commit func(store.Txn, func(store.Result))
-	// Now is the steady clock, for answers.
+	// Now returns the monotonic time, for results.
 	Now func() time.Duration
-	// OnArchived is told of each job whose move is durable.
+	// OnArchived is called for each job whose move is durable.
 	OnArchived func(id string, answer Answer)
-	// TxnOps bounds the changes in one transaction, WritesPerS those that the state service takes in a second.
-	TxnOps     int
+	// TxnOps is the most changes in one transaction.
+	TxnOps int
+	// WritesPerS is how many writes per second the state service takes of all controllers.
 	WritesPerS float64
 }
 
-// Stats count what a mover has done in its term.
+// Stats counts what a Mover has done in its term.
 type Stats struct {
 	Moved   uint64 // jobs
 	Batches uint64 // transactions that were carried out
-	Failed  uint64 // transactions that weren't, as far as is known
+	Failed  uint64 // transactions that weren't, or whose outcome is indeterminate
 }
 
-// Parts of the state service's rate of writes that moves may use, of all controllers' together: the usual one, and the
-// one where ended jobs wait for more than twice the time for which they are retained. Moves once used whatever the
-// leader had left over; with five controllers the service then refused submissions that the others had room for.
-const (
-	usualPart   = 0.1
-	backlogPart = 0.25
-)
-
-// Bounds of a batch, in jobs, and of the pause after one that wasn't carried out.
-const (
-	mostJobs = 16
-	pauseFor = 2 * time.Second
-	// settleFor is for how long a job isn't tried again that met a condition which didn't hold: an earlier move of
-	// it has landed, and the followed keys are about to say so.
-	settleFor = 30 * time.Second
-)
-
 // Mover moves ended jobs into the archive, a batch at a time, for one term of a leader. What is left to move follows
-// from the records that still stand, so a later leader goes on without being told anything.
+// from the records that still exist, so a later leader needs nothing from an earlier one.
 //
-// A batch without an answer may be carried out later, or twice as far as its author knows. Both are harmless: each
-// job's move depends on the version of its record and on the absence of its answer, so of all attempts one is carried
-// out, and a job that may be moved may always be moved.
+// A batch without an answer may be carried out later, or after it was sent again. Both are harmless: each job's move
+// depends on the version of its record and on the absence of its answer, so of all attempts one is carried out, and a
+// job that may be moved may always be moved.
 type Mover struct {
-	Env
-	state State
-	until time.Duration // of the pause
-	batch int           // most jobs in the next batch
-	met   map[string]time.Duration
+	env         Env
+	state       State
+	pausedUntil time.Duration
+	batchLimit  int                      // of jobs in the next batch; shrinks after failures
+	retryAt     map[string]time.Duration // by job; for those that aren't tried before
+	// Stats may be read by the owner of the Mover.
 	Stats Stats
 }
 
-// NewMover starts a term.
+// NewMover returns a Mover for one term.
 func NewMover(env Env) *Mover {
-	m := &Mover{Env: env, met: map[string]time.Duration{}}
-	m.batch = m.most()
+	m := &Mover{env: env, retryAt: map[string]time.Duration{}}
+	m.batchLimit = m.maxBatch()
 	return m
 }
 
-// State is what the mover is doing.
+// State returns what the mover is doing.
 func (m *Mover) State() State { return m.state }
 
-// most is how many jobs a batch may hold at most: each takes two changes.
-func (m *Mover) most() int { return min(mostJobs, m.TxnOps/MinTxnOps) }
-
-// to is the only place where the state changes.
-func (m *Mover) to(s State) { m.state = s }
+// maxBatch is how many jobs a batch may hold within the limits of a transaction.
+func (m *Mover) maxBatch() int { return min(maxBatchJobs, m.env.TxnOps/opsPerMove) }
 
-// Tick sends a batch if one is due. next calls its argument for each job that may be moved, the one that ended first
-// at the beginning, until the argument returns false. backlog tells that some have waited for much longer than they
-// are to be retained.
-func (m *Mover) Tick(now time.Duration, backlog bool, next func(func(Candidate) bool)) {
-	if m.state == Waiting && now >= m.until {
-		m.to(Idle)
+// Tick sends a batch if one is due. candidates are the jobs that may be moved, the one that ended first at the
+// beginning. hasBacklog is whether some have waited for much longer than they are to be retained.
+func (m *Mover) Tick(now time.Duration, hasBacklog bool, candidates iter.Seq[Candidate]) {
+	if m.state == Waiting && now >= m.pausedUntil {
+		m.state = Idle
 	}
-	if m.state != Idle || m.batch < 1 || !m.CanWrite(MinTxnOps) {
+	if m.state != Idle || m.batchLimit < 1 || !m.env.CanWrite(opsPerMove) {
 		return
 	}
-	var batch []Candidate
-	next(func(c Candidate) bool {
-		if m.settling(now, c.ID) {
-			return true
-		}
-		batch = append(batch, c)
-		return len(batch) < m.batch && m.CanWrite(MinTxnOps*(len(batch)+1))
-	})
+	batch := m.nextBatch(now, candidates)
 	if len(batch) == 0 {
 		return
 	}
-	m.to(Moving)
-	m.until = now + m.pause(len(batch), backlog)
-	m.Commit(transaction(batch), func(result store.Result) { m.outcome(batch, result) })
+	m.state = Moving
+	m.pausedUntil = now + m.pause(len(batch), hasBacklog)
+	m.env.Commit(moveTxn(batch), func(result store.Result) { m.handleResult(batch, result) })
 }
 
-// pause is how long a batch uses up the share of moves in the state service's writes.
-func (m *Mover) pause(jobs int, backlog bool) time.Duration {
-	part := usualPart
-	if backlog {
-		part = backlogPart
+// nextBatch picks the first candidates that aren't backed off, as many as may be written now.
+func (m *Mover) nextBatch(now time.Duration, candidates iter.Seq[Candidate]) []Candidate {
+	var batch []Candidate
+	for candidate := range candidates {
+		if m.isBackedOff(now, candidate.ID) {
+			continue
+		}
+		batch = append(batch, candidate)
+		if len(batch) == m.batchLimit || !m.env.CanWrite(opsPerMove*(len(batch)+1)) {
+			break
+		}
+	}
+	return batch
+}
+
+// pause is how long a batch of jobs uses up the share of moves in the state service's writes.
+func (m *Mover) pause(jobs int, hasBacklog bool) time.Duration {
+	share := usualWriteShare
+	if hasBacklog {
+		share = backlogWriteShare
 	}
-	return time.Duration(float64(MinTxnOps*jobs) / (m.WritesPerS * part) * float64(time.Second))
+	seconds := float64(opsPerMove*jobs) / (m.env.WritesPerS * share)
+	return time.Duration(seconds * float64(time.Second))
 }
 
-// settling tells whether a job's move has met a condition that didn't hold, not long ago.
-func (m *Mover) settling(now time.Duration, id string) bool {
-	until, met := m.met[id]
-	if met && now >= until {
-		delete(m.met, id)
+// isBackedOff reports whether a job isn't to be tried yet.
+func (m *Mover) isBackedOff(now time.Duration, id string) bool {
+	retryAt, ok := m.retryAt[id]
+	if ok && now >= retryAt {
+		delete(m.retryAt, id)
 		return false
 	}
-	return met
+	return ok
 }
 
-// transaction moves a batch: all of it, or nothing.
-func transaction(batch []Candidate) store.Txn {
+// moveTxn returns the transaction that moves a batch: all of it, or nothing.
+func moveTxn(batch []Candidate) store.Txn {
 	txn := store.Txn{}
-	for _, c := range batch {
-		txn.If = append(txn.If, store.Condition{Key: jobs.RecordKey(c.ID), Version: c.Version}, Absent(c.ID))
-		txn.Then = append(txn.Then, store.Op{Put: Key(c.ID), Value: Encode(c.Answer)}, store.Op{Delete: jobs.RecordKey(c.ID)})
+	for _, candidate := range batch {
+		recordKey := jobs.RecordKey(candidate.ID)
+		txn.If = append(txn.If,
+			store.Condition{Key: recordKey, Version: candidate.Version},
+			Absent(candidate.ID))
+		txn.Then = append(txn.Then,
+			store.Op{Put: Key(candidate.ID), Value: Encode(candidate.Answer)},
+			store.Op{Delete: recordKey})
 	}
 	return txn
 }
 
-// outcome takes over what became of a batch.
-func (m *Mover) outcome(batch []Candidate, result store.Result) {
-	now := m.Now()
+// handleResult takes over the outcome of the batch under way.
+func (m *Mover) handleResult(batch []Candidate, result store.Result) {
+	now := m.env.Now()
 	if result.Outcome == store.Committed {
-		m.Stats.Moved += uint64(len(batch))
-		m.Stats.Batches++
-		m.batch = min(m.most(), m.batch+1)
-		for _, c := range batch {
-			m.met[c.ID] = now + settleFor // until its record is seen to be gone
-			m.OnArchived(c.ID, c.Answer)
-		}
-		m.to(Waiting)
-		return
+		m.handleMoved(now, batch)
+	} else {
+		m.handleFailure(now, batch, result)
+	}
+	m.state = Waiting
+}
+
+func (m *Mover) handleMoved(now time.Duration, batch []Candidate) {
+	m.Stats.Moved += uint64(len(batch))
+	m.Stats.Batches++
+	m.batchLimit = min(m.maxBatch(), m.batchLimit+1)
+	for _, candidate := range batch {
+		m.retryAt[candidate.ID] = now + conflictBackoff // until its record is seen to be deleted
+		m.env.OnArchived(candidate.ID, candidate.Answer)
 	}
+}
+
+func (m *Mover) handleFailure(now time.Duration, batch []Candidate, result store.Result) {
 	m.Stats.Failed++
 	if result.Outcome == store.Conflict {
-		m.conflict(now, batch, result.FailedKeys)
+		m.backOffConflicts(now, batch, result.FailedKeys)
 	} else {
 		// A transaction that is larger than the service takes is refused like one beyond its rate. Its limits may
 		// shrink without notice, so the next batch is smaller.
-		m.batch = max(1, m.batch/2)
+		m.batchLimit = max(1, m.batchLimit/2)
 	}
-	slog.Debug("ended jobs were not moved", "outcome", result.Outcome.String(), "jobs", len(batch), "failed", result.FailedKeys)
-	m.until = max(m.until, now+pauseFor)
-	m.to(Waiting)
+	slog.Debug("archive batch not committed",
+		"outcome", result.Outcome.String(), "jobs", len(batch), "failed_keys", result.FailedKeys)
+	m.pausedUntil = max(m.pausedUntil, now+failureBackoff)
 }
 
-// conflict leaves out the jobs whose conditions didn't hold for a while.
-func (m *Mover) conflict(now time.Duration, batch []Candidate, failed []string) {
-	keys := make(map[string]bool, len(failed))
-	for _, k := range failed {
-		keys[k] = true
-	}
-	for _, c := range batch {
-		if keys[jobs.RecordKey(c.ID)] || keys[Key(c.ID)] {
-			m.met[c.ID] = now + settleFor
+// backOffConflicts leaves out the jobs whose conditions didn't hold for a while.
+func (m *Mover) backOffConflicts(now time.Duration, batch []Candidate, failedKeys []string) {
+	for _, candidate := range batch {
+		recordFailed := slices.Contains(failedKeys, jobs.RecordKey(candidate.ID))
+		answerFailed := slices.Contains(failedKeys, Key(candidate.ID))
+		if recordFailed || answerFailed {
+			m.retryAt[candidate.ID] = now + conflictBackoff
 		}
 	}
 }
 
-// ForgetConflict forgets what is remembered of a job whose record is seen to be gone.
-func (m *Mover) ForgetConflict(id string) { delete(m.met, id) }
+// ForgetConflict ends the back-off of a job whose record is seen to be deleted.
+func (m *Mover) ForgetConflict(id string) { delete(m.retryAt, id) }
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -10,39 +10,42 @@
 
 // Store is what a Reader needs of the state service's client.
 type Store interface {
+	// Get reads one key; a missing key has version 0.
 	Get(key string, class store.Priority, done func(store.Item, error))
 }
 
-// Reader finds answers. What it has found it keeps in a cache of bounded size: an answer never changes, so nothing in
-// the cache is ever out of date, and what isn't in the cache means nothing.
+// Reader finds answers. It keeps those it has found in a cache of bounded size: an answer never changes, so nothing
+// in the cache is ever out of date. The absence of an answer is not cached.
 type Reader struct {
 	store Store
 	cache *lru.Cache[string, Answer]
-	// Unreadable and Readable are told of stored answers that can't be read, and of those that can; nil for nobody.
+	// Unreadable and Readable are called for stored answers that can't be read, and for those that can; nil for no
+	// call.
 	Unreadable func(key string, raw json.RawMessage, cause error)
 	Readable   func(key string)
 }
 
-// NewReader makes a reader that keeps at most size answers in memory.
-func NewReader(s Store, size int) *Reader {
+// NewReader returns a Reader that keeps at most size answers in memory, and at least one.
+func NewReader(client Store, size int) *Reader {
 	cache, err := lru.New[string, Answer](max(1, size))
 	if err != nil {
 		panic(err) // only a size below 1 is refused
 	}
-	return &Reader{store: s, cache: cache}
+	return &Reader{store: client, cache: cache}
 }
 
-// Cached gives an answer that is in the cache.
+// Cached returns an answer that is in the cache.
 func (r *Reader) Cached(id string) (Answer, bool) { return r.cache.Get(id) }
 
-// Remember keeps an answer that is durable.
+// Remember caches an answer that is durable.
 func (r *Reader) Remember(id string, answer Answer) { r.cache.Add(id, answer) }
 
-// CacheLen is how many answers are in memory.
+// CacheLen returns how many answers are in memory.
 func (r *Reader) CacheLen() int { return r.cache.Len() }
 
-// Find reads a job's answer. found is false if there was none when the state service carried out the read; that says
-// that the job was never accepted only if its record was seen to be absent before.
+// Find reads a job's answer and passes it to done, at once if it is cached. found is false if there was none when the
+// state service carried out the read; that shows that the job was never accepted only if its record was seen to be
+// absent before. err wraps ErrUnreadable if there is an answer that can't be read; any other error is the read's.
 func (r *Reader) Find(id string, class store.Priority, done func(answer Answer, found bool, err error)) {
 	if answer, ok := r.Cached(id); ok {
 		done(answer, true, nil)
@@ -53,18 +56,24 @@
 			done(Answer{}, false, err)
 			return
 		}
-		answer, err := Decode(item.Value)
+		answer, err := r.decode(item)
 		if err != nil {
-			if r.Unreadable != nil {
-				r.Unreadable(item.Key, item.Value, err)
-			}
 			done(Answer{}, false, err)
 			return
 		}
-		if r.Readable != nil {
-			r.Readable(item.Key)
-		}
 		r.Remember(id, answer)
 		done(answer, true, nil)
 	})
 }
+
+// decode reads a stored answer and reports whether that was possible.
+func (r *Reader) decode(item store.Item) (Answer, error) {
+	answer, err := Decode(item.Value)
+	switch {
+	case err != nil && r.Unreadable != nil:
+		r.Unreadable(item.Key, item.Value, err)
+	case err == nil && r.Readable != nil:
+		r.Readable(item.Key)
+	}
+	return answer, err
+}
