--- /dev/null
+++ b/internal/zones/policy.go
@@ -0,0 +1,65 @@
+package zones
+
+import "time"
+
+// WorkKind is a kind of work, by what is lost with a machine.
+type WorkKind uint8
+
+// The kinds of work.
+const (
+	Restartable WorkKind = iota // each task is restarted by itself
+	Together                    // gangs: all tasks are lost with one
+	Lasting                     // services: their tasks stay where they are
+)
+
+// AcceptsWork reports whether new work of a kind may go to machines of a zone that are heard: restartable work
+// always, gangs and then services as the zone recovers. A zone that flaps gets no gangs before it is healthy, but
+// not for longer than Config.MaxProbation: after four flaps its machines would be idle for three minutes beside
+// gangs that can run nowhere else.
+func (z *Zones) AcceptsWork(now time.Duration, zone int32, kind WorkKind) bool {
+	known := z.Zone(zone)
+	isRecovering := known.State == Returning || known.State == OnProbation
+	if isRecovering && z.cfg.MaxProbation > 0 && now-known.ReturnedAt >= z.cfg.MaxProbation {
+		return true
+	}
+	switch kind {
+	case Restartable:
+		return true
+	case Together:
+		if known.State == Healthy || known.State == Suspect {
+			return true
+		}
+		return known.State != Lost && known.Flaps == 0
+	}
+	return known.State == Healthy
+}
+
+// AllowsRenting reports whether machines may be rented in a zone: not where they would not be heard, nor where it has
+// flapped and is still on probation.
+func (z *Zones) AllowsRenting(zone int32) bool {
+	known := z.Zone(zone)
+	switch known.State {
+	case Healthy, Suspect:
+		return true
+	case OnProbation:
+		return known.Flaps == 0
+	}
+	return false
+}
+
+// RetainsMachines reports whether a machine of a zone that is not heard is to be retained. While the zone is lost
+// that is so for maxRetention, after which a replacement is cheaper than the wait; once the zone returns the
+// machine has Config.ReturnGrace to be heard.
+func (z *Zones) RetainsMachines(now time.Duration, zone int32, maxRetention time.Duration) bool {
+	known := z.Zone(zone)
+	inState := now - known.Since
+	switch known.State {
+	case Lost:
+		return inState < maxRetention
+	case Returning:
+		return true
+	case OnProbation:
+		return inState < z.cfg.ReturnGrace
+	}
+	return false
+}
