--- /dev/null
+++ b/internal/drain/command.go
@@ -0,0 +1,148 @@
+package drain
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+const (
+	opDrain   = "drain"
+	opUndrain = "undrain"
+
+	kindNode    = "node" // a controller
+	kindMachine = "machine"
+)
+
+// maxNameLength bounds the names in a command, in bytes.
+const maxNameLength = 100
+
+// unlimited is the limit of machines' requests where these have keys of their own.
+const unlimited = 0
+
+// Reasons for refusing a command. Each is wrapped with what it is about.
+var (
+	// ErrMalformed is the refusal of a command that can't be carried out on any cluster, or for which there is no
+	// room.
+	ErrMalformed = errors.New("not a command")
+	// ErrUnknown is the refusal of a command about a controller or machine that doesn't exist.
+	ErrUnknown = errors.New("no such thing")
+	// ErrLast is the refusal to drain the last controller that could serve.
+	ErrLast = errors.New("nobody would be left")
+)
+
+// Command is what an operator requests, as it is sent over HTTP.
+type Command struct {
+	Op   string `json:"op"`   // "drain" or "undrain"
+	Kind string `json:"kind"` // "node" or "machine"
+	Name string `json:"name"`
+	By   string `json:"by"`
+	Stop bool   `json:"stop"`
+	// Revision is the document's version that the command is based on; nil: any.
+	Revision *uint64 `json:"revision"`
+	AtMS     int64   `json:"-"` // Unix time in milliseconds
+}
+
+// Cluster is what a command is checked against.
+type Cluster struct {
+	// Alive are the controllers that are heard and reach the state service; Nodes are all.
+	Alive, Nodes []string
+	// Machine reports whether there is a machine with a name.
+	Machine func(name string) bool
+}
+
+// validate checks what can be checked without the cluster.
+func (c Command) validate() error {
+	isOp := c.Op == opDrain || c.Op == opUndrain
+	isKind := c.Kind == kindNode || c.Kind == kindMachine
+	isNamed := c.Name != "" && len(c.Name) <= maxNameLength
+	if !isOp || !isKind || !isNamed || len(c.By) > maxNameLength {
+		return fmt.Errorf("%w: op must be drain or undrain, kind node or machine, "+
+			"and name and by at most 100 characters", ErrMalformed)
+	}
+	return nil
+}
+
+// Apply returns the document after a command, where it holds machines' requests too. A command that changes nothing
+// returns the document as it was. The error wraps ErrMalformed, ErrUnknown or ErrLast.
+func (d Document) Apply(command Command, cluster Cluster) (Document, error) {
+	return d.apply(command, cluster, maxMachines)
+}
+
+// apply returns the document after a command, with at most limit machines, or unlimited.
+func (d Document) apply(command Command, cluster Cluster, limit int) (Document, error) {
+	if err := command.validate(); err != nil {
+		return d, err
+	}
+	if command.Kind != kindMachine {
+		command.Stop = false
+	}
+	next := d.clone()
+	requests := next.requestsOf(command.Kind)
+	current, isRequested := (*requests)[command.Name]
+	if command.Op == opUndrain {
+		if !isRequested {
+			return d, nil
+		}
+		delete(*requests, command.Name)
+		return next.changedBy(command), nil
+	}
+	if isRequested && current.Stop == command.Stop {
+		return d, nil
+	}
+	if err := d.checkDrain(command, cluster, limit); err != nil {
+		return d, err
+	}
+	if *requests == nil {
+		*requests = map[string]Request{}
+	}
+	(*requests)[command.Name] = Request{By: command.By, AtMS: command.AtMS, Stop: command.Stop}
+	return next.changedBy(command), nil
+}
+
+// checkDrain returns why a controller or machine must not be drained.
+func (d Document) checkDrain(command Command, cluster Cluster, limit int) error {
+	if command.Kind == kindMachine {
+		return d.checkDrainMachine(command.Name, cluster, limit)
+	}
+	if !slices.Contains(cluster.Nodes, command.Name) {
+		nodes := strings.Join(cluster.Nodes, ", ")
+		return fmt.Errorf("%w: controller %q is none of %s", ErrUnknown, command.Name, nodes)
+	}
+	if !d.othersServe(command.Name, cluster) {
+		return fmt.Errorf("%w: no other controller is alive and not drained", ErrLast)
+	}
+	return nil
+}
+
+func (d Document) checkDrainMachine(name string, cluster Cluster, limit int) error {
+	if !cluster.Machine(name) {
+		return fmt.Errorf("%w: machine %q is not known", ErrUnknown, name)
+	}
+	_, isRequested := d.Machines[name]
+	if !isRequested && limit != unlimited && len(d.Machines) >= limit {
+		return fmt.Errorf("%w: %d machines are being drained already, "+
+			"and no more fit until the rollout is finished: "+
+			"then there is no such bound (`harewalk rollout status`)", ErrMalformed, limit)
+	}
+	return nil
+}
+
+// othersServe reports whether another controller is alive that isn't to be drained.
+func (d Document) othersServe(name string, cluster Cluster) bool {
+	return slices.ContainsFunc(cluster.Alive, func(node string) bool {
+		_, isDrained := d.Nodes[node]
+		return node != name && !isDrained
+	})
+}
+
+// changedBy returns the document with a command as its last change.
+func (d Document) changedBy(command Command) Document {
+	by := command.By
+	if by == "" {
+		by = "somebody"
+	}
+	d.Last = fmt.Sprintf("%s: %s %s %s", by, command.Op, command.Kind, command.Name)
+	return d
+}
