--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -131,6 +133,32 @@
 	}
 }
 
+// A restarted controller, leader or not, revokes the lease of its former process before it requests one of its own.
+func TestOldLeaseIsRevokedBeforeANewOneIsAcquired(t *testing.T) {
+	for _, isLeader := range []bool{true, false} {
+		t.Run(fmt.Sprintf("leader=%v", isLeader), func(t *testing.T) {
+			c := newCluster(t, 4)
+			c.runFor(3 * time.Second)
+			i := slices.IndexFunc(c.nodes, func(n *node) bool { return (n == c.leader()) == isLeader })
+			restarted := c.nodes[i]
+			oldLease := restarted.membership.lease.id
+			restarted.kill()
+			restarted.start()
+			deadline := c.service.Now + testTTL/2 // too soon for the old lease to expire
+			for restarted.membership.State() <= RevokingOldLease && c.service.Now < deadline {
+				c.step()
+			}
+			if state := restarted.membership.State(); state != AcquiringLease {
+				t.Fatalf("its state is %s", state)
+			}
+			path := fmt.Sprintf("/holds/%d/touch", oldLease)
+			if response := c.call("POST", path, nil); response.Status != 404 {
+				t.Fatalf("renewing the old lease is answered with %d", response.Status)
+			}
+		})
+	}
+}
+
 // restartOnlyTheLeader ends all controllers of a cluster and starts only the one that led again, a second ago.
 func restartOnlyTheLeader(t *testing.T, seed uint64) (*cluster, *node) {
 	t.Helper()
