--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -12,7 +12,7 @@
 	// maxCampaignJitter bounds the random delay of a campaign after the leader key was deleted.
 	maxCampaignJitter = 150 * time.Millisecond
 	// yieldDelay is how much longer a controller waits before a campaign for each other one that should lead rather
-	// than it: one that is alive has been elected by then.
+	// than it: one that is up has been elected by then.
 	yieldDelay = 300 * time.Millisecond
 	// maxYields bounds how many other controllers a campaign waits for.
 	maxYields = 2
@@ -50,7 +50,7 @@
 func (m *Membership) follow(now time.Duration) {
 	if m.leader.Node == m.cfg.Node && m.leader.Lease != m.lease.id {
 		// A campaign of this controller's former process was carried out late. No running process uses the lease that
-		// it names, and no controller can lead while that lease lives.
+		// it names, and no controller can lead until that lease has ended.
 		m.requestPending = true
 		m.store.RevokeLease(m.leader.Lease, func(bool) { m.retryLater() })
 		return
--- a/internal/membership/followed.go
+++ b/internal/membership/followed.go
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// decode reads a stored value unless its format is newer than this release. The name is for the error.
+// decode reads a stored value unless its format is newer than this release. The error, which operators read among the
+// records that can't be read, has the name.
 func decode(name string, raw json.RawMessage, value any) error {
 	if format := rollout.FormatOf(raw); format > newestFormat {
 		return fmt.Errorf("%s in format %d", name, format)
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -31,7 +31,7 @@
 
 // register writes the member key and the announcement on the condition that the key is as last seen: a late
 // registration of this controller's former process would otherwise delete the key when its lease ends, and this
-// controller would count as absent for as long as it lives.
+// controller would count as absent until it restarts.
 func (m *Membership) register() {
 	m.requestPending = true
 	leaseID := m.lease.id
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -21,7 +21,7 @@
 	Registering                   // writing the member key
 	Follower                      // registered, without the leader key
 	Campaigning                   // a campaign's outcome is open
-	Leading                       // holding the leader key, for as long as the lease lives
+	Leading                       // holding the leader key, until the lease expires at the latest
 )
 
 // String returns the name of the state in log lines.
--- a/internal/zones/policy.go
+++ b/internal/zones/policy.go
@@ -17,32 +17,32 @@
 // not for longer than Config.MaxProbation: after four flaps its machines would be idle for three minutes beside
 // gangs that can run nowhere else.
 func (z *Zones) AcceptsWork(now time.Duration, zone int32, kind WorkKind) bool {
-	known := z.Zone(zone)
-	isRecovering := known.State == Returning || known.State == OnProbation
-	if isRecovering && z.cfg.MaxProbation > 0 && now-known.ReturnedAt >= z.cfg.MaxProbation {
+	health := z.Zone(zone)
+	isRecovering := health.State == Returning || health.State == OnProbation
+	if isRecovering && z.cfg.MaxProbation > 0 && now-health.ReturnedAt >= z.cfg.MaxProbation {
 		return true
 	}
 	switch kind {
 	case Restartable:
 		return true
 	case Together:
-		if known.State == Healthy || known.State == Suspect {
+		if health.State == Healthy || health.State == Suspect {
 			return true
 		}
-		return known.State != Lost && known.Flaps == 0
+		return health.State != Lost && health.Flaps == 0
 	}
-	return known.State == Healthy
+	return health.State == Healthy
 }
 
 // AllowsRenting reports whether machines may be rented in a zone: not where they would not be heard, nor where it has
 // flapped and is still on probation.
 func (z *Zones) AllowsRenting(zone int32) bool {
-	known := z.Zone(zone)
-	switch known.State {
+	health := z.Zone(zone)
+	switch health.State {
 	case Healthy, Suspect:
 		return true
 	case OnProbation:
-		return known.Flaps == 0
+		return health.Flaps == 0
 	}
 	return false
 }
@@ -51,9 +51,9 @@
 // that is so for maxRetention, after which a replacement is cheaper than the wait; once the zone returns the
 // machine has Config.ReturnGrace to be heard.
 func (z *Zones) RetainsMachines(now time.Duration, zone int32, maxRetention time.Duration) bool {
-	known := z.Zone(zone)
-	inState := now - known.Since
-	switch known.State {
+	health := z.Zone(zone)
+	inState := now - health.Since
+	switch health.State {
 	case Lost:
 		return inState < maxRetention
 	case Returning:
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -55,20 +55,20 @@
 
 // Zone returns the health of a zone.
 func (z *Zones) Zone(zone int32) Zone {
-	if known := z.zones[zone]; known != nil {
-		return *known
+	if health := z.zones[zone]; health != nil {
+		return *health
 	}
 	return Zone{}
 }
 
 // at returns a zone that may be changed.
 func (z *Zones) at(zone int32) *Zone {
-	known := z.zones[zone]
-	if known == nil {
-		known = &Zone{}
-		z.zones[zone] = known
+	health := z.zones[zone]
+	if health == nil {
+		health = &Zone{}
+		z.zones[zone] = health
 	}
-	return known
+	return health
 }
 
 // Unsettled reports whether any zone is returning or on probation: machines elsewhere are not returned to the cloud
