--- a/cmd/harewalk/daemon_world_test.go
+++ b/cmd/harewalk/daemon_world_test.go
@@ -42,13 +42,13 @@
 	if long() {
 		n = 600
 	}
-	w, err := simulator.New(simulator.Config{Seed: seed, Machines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: seed, MaxMachines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := cluster(t, w, "")
-	u := w.Users(seed)
+	defer sim.Close()
+	c := cluster(t, sim, "")
+	users := sim.Users(seed)
 	stop := make(chan struct{})
 	var playing, cancels sync.WaitGroup
 	var drained atomic.Int32
@@ -85,7 +85,7 @@
 	rng := rand.New(rand.NewPCG(seed, 10))
 	for i := range n {
 		spec := plainJob(i+1, 1+rng.IntN(8), 0.3+rng.Float64())
-		if status := u.Submit(spec); status != 200 && status != 201 {
+		if status := users.Submit(spec); status != 200 && status != 201 {
 			t.Fatalf("%s: status %d", spec.ID, status)
 		}
 		if rng.IntN(4) == 0 {
@@ -93,7 +93,7 @@
 			go func() {
 				defer cancels.Done()
 				time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
-				u.Cancel(spec.ID)
+				users.Cancel(spec.ID)
 			}()
 		}
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
@@ -107,33 +107,33 @@
 			t.Fatal(err)
 		}
 	}
-	if err := u.Wait(3 * time.Minute); err != nil {
+	if err := users.Wait(3 * time.Minute); err != nil {
 		t.Error(err)
 	}
-	u.Check()
-	for _, b := range w.Broken() {
+	users.Check()
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
-	final, repeated := u.Final()
+	final, repeated := users.Results()
 	if got := final["done"] + final["cancelled"]; got != n || final["done"] == 0 || final["cancelled"] == 0 {
 		t.Errorf("%d jobs, final answers %v", n, final)
 	}
-	t.Logf("%d jobs: %v; %d requests repeated; %d killed, %d drained", n, final, repeated, c.Kills, drained.Load())
+	t.Logf("%d jobs: %v; %d requests repeated; %d killed, %d drained", n, final, repeated, c.Killed, drained.Load())
 }
 
 // The leader is drained while work flows: another leads without waiting for its hold to run out. How
 // long nothing starts is logged beside the same for a leader that is killed.
 func TestPlannedHandOver(t *testing.T) {
-	w, err := simulator.New(simulator.Config{Seed: 22, Machines: 8, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: 22, MaxMachines: 8, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := cluster(t, w, "")
-	u := w.Users(22)
+	defer sim.Close()
+	c := cluster(t, sim, "")
+	users := sim.Users(22)
 	for i := range 6 {
 		// More than can be done meanwhile: where work runs out, nothing starts for want of it.
-		if status := u.Submit(plainJob(i+1, 20_000, 0.5)); status != 201 {
+		if status := users.Submit(plainJob(i+1, 20_000, 0.5)); status != 201 {
 			t.Fatalf("status %d", status)
 		}
 	}
@@ -141,22 +141,22 @@
 	if long() {
 		rounds = 5
 	}
-	until(t, "work flows", func() bool { return w.Stats().Starts > 100 })
+	until(t, "work flows", func() bool { return sim.Stats().TaskStarts > 100 })
 	var drained, killed []time.Duration
 	for range rounds {
 		for _, kill := range []bool{false, true} {
 			leader, term := -1, uint64(0)
-			until(t, "a leader", func() bool { leader, term = w.Leader(); return leader >= 0 && c.Runs(leader) })
+			until(t, "a leader", func() bool { leader, term = sim.Leader(); return leader >= 0 && c.Running(leader) })
 			time.Sleep(3 * time.Second)
-			from := w.Now()
+			from := sim.Now()
 			if kill {
 				c.Kill(leader)
 			} else if code := c.Signal(leader, syscall.SIGTERM, drainWait); code != 0 {
 				t.Fatalf("the leader's drain ended with exit code %d", code)
 			}
-			until(t, "another leads", func() bool { l, now := w.Leader(); return l >= 0 && now > term })
+			until(t, "another leads", func() bool { l, now := sim.Leader(); return l >= 0 && now > term })
 			time.Sleep(4 * time.Second)
-			if gap := w.Gap(from, w.Now()-time.Second); kill {
+			if gap := sim.LongestStartGap(from, sim.Now()-time.Second); kill {
 				killed = append(killed, gap)
 			} else {
 				drained = append(drained, gap)
@@ -164,17 +164,17 @@
 			if err := c.Start(leader); err != nil {
 				t.Fatal(err)
 			}
-			if err := c.Ready(leader, 20*time.Second); err != nil {
+			if err := c.WaitReady(leader, 20*time.Second); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	before := w.Stats().Starts
-	until(t, "work still flows at the end", func() bool { return w.Stats().Starts > before })
+	before := sim.Stats().TaskStarts
+	until(t, "work still flows at the end", func() bool { return sim.Stats().TaskStarts > before })
 	for i := range 6 {
-		u.Cancel(fmt.Sprintf("req-%06d", i+1))
+		users.Cancel(fmt.Sprintf("req-%06d", i+1))
 	}
-	for _, b := range w.Broken() {
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 	t.Logf("longest time without a start: leader drained %v, leader killed %v (hold's life 2 s)", drained, killed)
@@ -183,19 +183,19 @@
 // The leader is drained while the state service answers nobody: its end comes within bounds all the
 // same, and what was accepted goes on afterwards. A second signal ends a drain at once.
 func TestDrainInAnOutage(t *testing.T) {
-	w, err := simulator.New(simulator.Config{Seed: 23, Machines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: 23, MaxMachines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := cluster(t, w, "")
-	u := w.Users(23)
-	if status := u.Submit(plainJob(1, 40, 0.5)); status != 201 {
+	defer sim.Close()
+	c := cluster(t, sim, "")
+	users := sim.Users(23)
+	if status := users.Submit(plainJob(1, 40, 0.5)); status != 201 {
 		t.Fatalf("status %d", status)
 	}
-	until(t, "work flows", func() bool { return w.Stats().Starts > 5 })
-	leader, _ := w.Leader()
-	w.Outage(true)
+	until(t, "work flows", func() bool { return sim.Stats().TaskStarts > 5 })
+	leader, _ := sim.Leader()
+	sim.SetStateOutage(true)
 	if code := c.Signal(leader, syscall.SIGTERM, drainWait); code != 0 {
 		t.Fatalf("exit code %d", code)
 	}
@@ -205,17 +205,17 @@
 	if code := c.Signal(other, syscall.SIGTERM, drainWait); code != 1 {
 		t.Fatalf("exit code %d after a second signal", code)
 	}
-	w.Outage(false)
+	sim.SetStateOutage(false)
 	for _, i := range []int{leader, other} {
 		if err := c.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := u.Wait(time.Minute); err != nil {
+	if err := users.Wait(time.Minute); err != nil {
 		t.Error(err)
 	}
-	u.Check()
-	for _, b := range w.Broken() {
+	users.Check()
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
@@ -283,13 +283,13 @@
 
 // A user asks any controller why a job waits, and is told in plain words.
 func TestWhyCommand(t *testing.T) {
-	w, err := simulator.New(simulator.Config{Seed: 24, Machines: 2, Teams: []config.Team{{Name: "red", CPUsMax: 4}, {Name: "blue"}}, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: 24, MaxMachines: 2, Teams: []config.Team{{Name: "red", CPUsMax: 4}, {Name: "blue"}}, LicencePools: map[string]int{"transcribe": 24, "optimise": 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	cluster(t, w, fmt.Sprintf(pools, w.Licences.Addr))
-	u := w.Users(24)
+	defer sim.Close()
+	cluster(t, sim, fmt.Sprintf(pools, sim.Licences.Addr))
+	users := sim.Users(24)
 	limited, large := plainJob(1, 10, 600), plainJob(2, 60, 600)
 	large.Team = "blue"
 	gang := plainJob(3, 4, 600)
@@ -297,7 +297,7 @@
 	seats := plainJob(4, 9, 600)
 	seats.Licences, seats.Team, seats.Priority = map[string]int{"optimise": 2}, "blue", "prod"
 	for _, spec := range []*jobs.Spec{seats, limited, large, gang} {
-		if status := u.Submit(spec); status != 201 {
+		if status := users.Submit(spec); status != 201 {
 			t.Fatalf("status %d", status)
 		}
 	}
@@ -307,28 +307,28 @@
 	} {
 		out, code := "", 0
 		until(t, id+" is explained: "+want, func() bool {
-			out, code = command(t, "job", "why", id, "--server", w.Public(1))
+			out, code = command(t, "job", "why", id, "--server", sim.UserAddr(1))
 			return code == 0 && strings.Contains(out, want)
 		})
 	}
-	if out, code := command(t, "job", "why", "req-000099", "--server", w.Public(2)); code != 2 || !strings.Contains(out, "no such job") {
+	if out, code := command(t, "job", "why", "req-000099", "--server", sim.UserAddr(2)); code != 2 || !strings.Contains(out, "no such job") {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	if out, code := command(t, "job", "why", "req-000003", "-o", "json", "--server", w.Public(2)); code != 0 || !strings.Contains(out, `"why": "gang_short"`) {
+	if out, code := command(t, "job", "why", "req-000003", "-o", "json", "--server", sim.UserAddr(2)); code != 0 || !strings.Contains(out, `"why": "gang_short"`) {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	if out, code := command(t, "job", "why", "req-000003", "-o", "yaml", "--server", w.Public(2)); code != 0 || !strings.Contains(out, "why: gang_short") {
+	if out, code := command(t, "job", "why", "req-000003", "-o", "yaml", "--server", sim.UserAddr(2)); code != 0 || !strings.Contains(out, "why: gang_short") {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	if out, code := command(t, "job", "list", "-o", "xml", "--server", w.Public(2)); code != 2 || !strings.Contains(out, `"xml"`) {
+	if out, code := command(t, "job", "list", "-o", "xml", "--server", sim.UserAddr(2)); code != 2 || !strings.Contains(out, `"xml"`) {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	if out, code := command(t, "job", "events", "req-000004", "--where", "event = task_running and task < 4", "--server", w.Public(1)); code != 0 || strings.Count(out, "task_running") != 4 || !strings.Contains(out, "i-0000") {
+	if out, code := command(t, "job", "events", "req-000004", "--where", "event = task_running and task < 4", "--server", sim.UserAddr(1)); code != 0 || strings.Count(out, "task_running") != 4 || !strings.Contains(out, "i-0000") {
 		t.Fatalf("exit %d: %s", code, out)
 	}
 	list := func(want int, where string) string {
 		t.Helper()
-		out, code := command(t, "job", "list", "--where", where, "--server", w.Public(2))
+		out, code := command(t, "job", "list", "--where", where, "--server", sim.UserAddr(2))
 		if code != want {
 			t.Fatalf("%s: exit %d: %s", where, code, out)
 		}
@@ -341,12 +341,12 @@
 		t.Fatal(out)
 	}
 	for i := 1; i <= 4; i++ {
-		u.Cancel(fmt.Sprintf("req-%06d", i))
+		users.Cancel(fmt.Sprintf("req-%06d", i))
 	}
-	if out, code := command(t, "job", "watch", "req-000001", "--server", w.Public(0)); code != 3 || !strings.Contains(out, "req-000001 cancelled") {
+	if out, code := command(t, "job", "watch", "req-000001", "--server", sim.UserAddr(0)); code != 3 || !strings.Contains(out, "req-000001 cancelled") {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	for _, b := range w.Broken() {
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
@@ -354,11 +354,11 @@
 // Figures are served on an address of their own, by every controller; only the leader tells of
 // machines and seats.
 func TestMetrics(t *testing.T) {
-	w, err := simulator.New(simulator.Config{Seed: 25, Machines: 2, Pools: map[string]int{"transcribe": 24, "optimise": 8}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: 25, MaxMachines: 2, LicencePools: map[string]int{"transcribe": 24, "optimise": 8}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer sim.Close()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -366,10 +366,10 @@
 	addr := l.Addr().String()
 	_ = l.Close()
 	file := filepath.Join(t.TempDir(), "o.hcl")
-	if err := os.WriteFile(file, []byte(fmt.Sprintf("debug_addr = %q\n", addr)+fmt.Sprintf(pools, w.Licences.Addr)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(fmt.Sprintf("debug_addr = %q\n", addr)+fmt.Sprintf(pools, sim.Licences.Addr)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	settings, err := config.Parse(w.Settings(0))
+	settings, err := config.Parse(sim.SettingsJSON(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -401,22 +401,22 @@
 // controllers one is told that nobody would be left, or of the other's command; and what is undrained serves
 // again.
 func TestOperatorsDrain(t *testing.T) {
-	w, err := simulator.New(simulator.Config{Seed: 26, Machines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: 26, MaxMachines: 4, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	c := cluster(t, w, "")
-	u := w.Users(26)
+	defer sim.Close()
+	c := cluster(t, sim, "")
+	users := sim.Users(26)
 	long := plainJob(1, 20, 600)
 	long.CheckpointS, long.SaveS = 1, 0.2
-	if status := u.Submit(long); status != 201 {
+	if status := users.Submit(long); status != 201 {
 		t.Fatalf("status %d", status)
 	}
-	until(t, "all run", func() bool { return w.Stats().Starts >= 20 })
+	until(t, "all run", func() bool { return sim.Stats().TaskStarts >= 20 })
 	admin := func(want int, args ...string) string {
 		t.Helper()
-		out, code := command(t, append(append([]string{"admin"}, args...), "--server", w.Public(0))...)
+		out, code := command(t, append(append([]string{"admin"}, args...), "--server", sim.UserAddr(0))...)
 		if code != want {
 			t.Fatalf("admin %v: exit %d, want %d: %s", args, code, want, out)
 		}
@@ -438,24 +438,24 @@
 		return true
 	})
 	was := status()
-	machine := w.Busiest()
+	machine := sim.BusiestMachine()
 	admin(0, "drain", "machine", machine, "--stop", "--revision", fmt.Sprint(was.Revision))
 	if out := admin(3, "drain", "machine", machine, "--revision", fmt.Sprint(was.Revision)); !strings.Contains(out, "drain machine "+machine) {
 		t.Fatalf("of two conflicting commands the second is told: %s", out)
 	}
-	until(t, "given back", func() bool { return w.Returned(machine) })
+	until(t, "given back", func() bool { return sim.MachineReturned(machine) })
 	until(t, "its tasks run elsewhere", func() bool {
-		out, _ := command(t, "job", "why", long.ID, "-o", "json", "--server", w.Public(2))
+		out, _ := command(t, "job", "why", long.ID, "-o", "json", "--server", sim.UserAddr(2))
 		return strings.Contains(out, `"running": 20`)
 	})
-	leader, term := w.Leader()
+	leader, term := sim.Leader()
 	admin(0, "drain", "node", fmt.Sprintf("node-%d", leader))
-	until(t, "another leads", func() bool { l, now := w.Leader(); return l >= 0 && l != leader && now > term })
+	until(t, "another leads", func() bool { l, now := sim.Leader(); return l >= 0 && l != leader && now > term })
 	until(t, "out of service", func() bool {
-		s, _, _, err := once("GET", "http://"+w.Public(leader)+"/up", nil)
+		s, _, _, err := once("GET", "http://"+sim.UserAddr(leader)+"/up", nil)
 		return err == nil && s == 503
 	})
-	second, _ := w.Leader()
+	second, _ := sim.Leader()
 	third := 3 - leader - second
 	var wait sync.WaitGroup
 	var codes [2]int
@@ -464,19 +464,19 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			outs[k], codes[k] = command(t, "admin", "drain", "node", fmt.Sprintf("node-%d", i), "--server", w.Public(third))
+			outs[k], codes[k] = command(t, "admin", "drain", "node", fmt.Sprintf("node-%d", i), "--server", sim.UserAddr(third))
 		}()
 	}
 	wait.Wait()
 	if codes[0]+codes[1] != 3 || codes[0]*codes[1] != 0 || !(strings.Contains(outs[0]+outs[1], "nobody would be left") || strings.Contains(outs[0]+outs[1], "changed meanwhile")) {
 		t.Fatalf("exit codes %v: %v", codes, outs)
 	}
-	until(t, "somebody leads", func() bool { l, _ := w.Leader(); return l >= 0 && l != leader })
+	until(t, "somebody leads", func() bool { l, _ := sim.Leader(); return l >= 0 && l != leader })
 	for i := range 3 {
 		admin(0, "undrain", "node", fmt.Sprintf("node-%d", i))
 	}
 	for i := range 3 {
-		if err := c.Ready(i, 20*time.Second); err != nil {
+		if err := c.WaitReady(i, 20*time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -485,8 +485,8 @@
 	if code := c.Signal(leader, syscall.SIGTERM, drainWait); code != 0 {
 		t.Fatalf("exit code %d of one that was drained before", code)
 	}
-	u.Cancel(long.ID)
-	for _, b := range w.Broken() {
+	users.Cancel(long.ID)
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -92,13 +92,13 @@
 			return coded{exitUsage, fmt.Errorf("--script %s: %w", d.script, err)}
 		}
 		for _, f := range script {
-			if f.Simulated {
+			if f.VirtualTimeOnly {
 				return coded{exitUsage, fmt.Errorf("--script %s: %q is for `harewalk lab` only: here the controllers share one process", d.script, f.Text)}
 			}
 		}
 	}
-	w, err := simulator.New(simulator.Config{
-		Seed: d.seed, Controllers: d.controllers, Zones: d.zones, Machines: d.machines, Speed: d.speed,
+	sim, err := simulator.NewRealTime(simulator.Config{
+		Seed: d.seed, Controllers: d.controllers, Zones: d.zones, MaxMachines: d.machines, Speed: d.speed,
 		Types: []capacity.MachineType{
 			{Name: "small", CPUs: 8, Mem: 32, CacheGB: 50, FetchGB: 2, Price: 0.4, Spot: 0.15, BootS: 3, Zones: d.zones},
 			{Name: "gpu", CPUs: 32, GPUs: 4, Mem: 256, CacheGB: 200, FetchGB: 2, Price: 10, Spot: 4.5, BootS: 4, Zones: d.zones},
@@ -108,26 +108,26 @@
 	if err != nil {
 		return coded{exitFailed, err}
 	}
-	defer w.Close()
+	defer sim.Close()
 	fail := make(chan error, d.controllers)
 	for i := range d.controllers {
-		settings, err := d.settings(w, i)
+		settings, err := d.settings(sim, i)
 		if err != nil {
 			return coded{exitUsage, err}
 		}
 		go func() { fail <- controller.New(settings).Run() }()
 	}
-	if err := awaitReady(ctx, w, d.controllers); err != nil {
+	if err := awaitReady(ctx, sim, d.controllers); err != nil {
 		return coded{exitFailed, err}
 	}
-	d.welcome(out, w)
-	w.Play(script, func(f simulator.Fault) { fmt.Fprintf(errs, "fault at %v: %s\n", f.At, f.Text) })
+	d.welcome(out, sim)
+	sim.Play(script, func(f simulator.Fault) { fmt.Fprintf(errs, "fault at %v: %s\n", f.After, f.Text) })
 	select {
 	case err := <-fail:
 		return coded{exitFailed, err}
 	case <-ctx.Done():
 	}
-	if broken := w.Broken(); len(broken) > 0 {
+	if broken := sim.Violations(); len(broken) > 0 {
 		return coded{exitFailed, fmt.Errorf("%d rules did not hold; the first: %s", len(broken), broken[0])}
 	}
 	fmt.Fprintln(out, "ended")
@@ -135,18 +135,18 @@
 }
 
 // settings are a controller's: the world's, with the operators' own on top.
-func (d *dev) settings(w *simulator.World, i int) (*config.Settings, error) {
-	settings, err := config.Parse(w.Settings(i))
+func (d *dev) settings(sim *simulator.Simulation, i int) (*config.Settings, error) {
+	settings, err := config.Parse(sim.SettingsJSON(i))
 	if err == nil && d.operator != "" {
 		err = settings.LoadOperator(d.operator)
 	}
 	return settings, err
 }
 
-func awaitReady(ctx context.Context, w *simulator.World, controllers int) error {
+func awaitReady(ctx context.Context, sim *simulator.Simulation, controllers int) error {
 	for i := range controllers {
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-			if status, _, _, err := once("GET", "http://"+w.Public(i)+"/up", nil); err == nil && status == 200 {
+			if status, _, _, err := once("GET", "http://"+sim.UserAddr(i)+"/up", nil); err == nil && status == 200 {
 				break
 			}
 			if ctx.Err() != nil || time.Now().After(end) {
@@ -164,18 +164,18 @@
 	"same_place": false, "apart": false, "stray": true, "stride_s": 20.0, "rest_s": 0.0, "stash_s": 0.0, "dusk_s": nil,
 }
 
-func (d *dev) welcome(out io.Writer, w *simulator.World) {
+func (d *dev) welcome(out io.Writer, sim *simulator.Simulation) {
 	raw, _ := json.Marshal(sample)
 	fmt.Fprintf(out, "A cluster of %d controllers runs here, with a stand-in cloud of up to %d machines in zones %s.\n\n", d.controllers, d.machines, strings.Join(d.zones, ", "))
 	for i := range d.controllers {
-		fmt.Fprintf(out, "  controller %d   %s\n", i, w.Public(i))
+		fmt.Fprintf(out, "  controller %d   %s\n", i, sim.UserAddr(i))
 	}
-	fmt.Fprintf(out, "  licence server %s\n\nTry, in another terminal:\n\n", w.Licences.Addr)
+	fmt.Fprintf(out, "  licence server %s\n\nTry, in another terminal:\n\n", sim.Licences.Addr)
 	fmt.Fprintf(out, "  echo '%s' > job.json\n\n", raw)
 	fmt.Fprintf(out, "  harewalk job submit job.json --server %s\n  harewalk job get req-000001 --server %s\n  harewalk job cancel req-000001 --server %s\n",
-		w.Public(0), w.Public(1), w.Public(2))
+		sim.UserAddr(0), sim.UserAddr(1), sim.UserAddr(2))
 	if d.operator != "" {
-		fmt.Fprintf(out, "  harewalk licence list --server %s\n  harewalk session list --server %s\n", w.Public(0), w.Public(0))
+		fmt.Fprintf(out, "  harewalk licence list --server %s\n  harewalk session list --server %s\n", sim.UserAddr(0), sim.UserAddr(0))
 	}
 	fmt.Fprintf(out, "\nCtrl-C ends it.\n")
 }
--- a/cmd/harewalk/rollout_world_test.go
+++ b/cmd/harewalk/rollout_world_test.go
@@ -18,11 +18,11 @@
 )
 
 // plan asks the command line which controller is next.
-func plan(t *testing.T, w *simulator.World) (v rollout.View) {
+func plan(t *testing.T, sim *simulator.Simulation) (v rollout.View) {
 	t.Helper()
 	until(t, "a plan", func() bool {
 		for i := range 3 {
-			out, code := command(t, "rollout", "plan", "--server", w.Public(i), "-o", "json")
+			out, code := command(t, "rollout", "plan", "--server", sim.UserAddr(i), "-o", "json")
 			if code == 0 && json.Unmarshal([]byte(out), &v) == nil && v.ReportedBy != "" {
 				return true
 			}
@@ -33,24 +33,24 @@
 }
 
 // rollBy restarts controllers in the order of the command line's plan until as many as there are run something else.
-func rollBy(t *testing.T, w *simulator.World, c *simulator.Cluster, swap func(i int)) {
+func rollBy(t *testing.T, sim *simulator.Simulation, cluster *simulator.Cluster, swap func(i int)) {
 	t.Helper()
 	for done := map[string]bool{}; len(done) < 3; {
-		v := plan(t, w)
+		v := plan(t, sim)
 		if v.Restart == "" || done[v.Restart] {
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
 		var i int
 		_, _ = fmt.Sscanf(v.Restart, "node-%d", &i)
-		if code := c.Signal(i, syscall.SIGTERM, drainWait); code != 0 {
+		if code := cluster.Signal(i, syscall.SIGTERM, drainWait); code != 0 {
 			t.Fatalf("a drain ended with exit code %d", code)
 		}
 		swap(i)
-		if err := c.Start(i); err != nil {
+		if err := cluster.Start(i); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Ready(i, 20*time.Second); err != nil {
+		if err := cluster.WaitReady(i, 20*time.Second); err != nil {
 			t.Fatal(err)
 		}
 		done[v.Restart] = true
@@ -60,37 +60,37 @@
 // Real processes of the former release are rolled to this one by the command line, under load: in the order of its plan,
 // held by an operator until the word is given; then nothing leads back, and the answers say so.
 func TestRollProcesses(t *testing.T) {
-	w, err := simulator.New(simulator.Config{Seed: 31, Machines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: 31, MaxMachines: 10, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer sim.Close()
 	now, former := []string{asProgram + "=1", "LOG_LEVEL=info"}, []string{asProgram + "=1", asFormer + "=1", "LOG_LEVEL=info"}
-	c, err := w.Run(t.TempDir(), "rollout { finish = \"operator\" }\n", former, os.Args[0], "serve")
+	cluster, err := sim.NewCluster(t.TempDir(), "rollout { finish = \"operator\" }\n", former, os.Args[0], "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
-	startAll(t, c)
-	u := w.Users(31)
+	t.Cleanup(cluster.Close)
+	startAll(t, cluster)
+	users := sim.Users(31)
 	for i := range 12 {
-		if status := u.Submit(plainJob(i+1, 60, 0.6)); status != 201 {
+		if status := users.Submit(plainJob(i+1, 60, 0.6)); status != 201 {
 			t.Fatalf("status %d", status)
 		}
 	}
-	until(t, "work flows", func() bool { return w.Stats().Starts > 20 })
-	_, before := w.Leader()
-	rollBy(t, w, c, func(i int) { c.Program(i, now, os.Args[0], "serve") })
-	if _, after := w.Leader(); after != before+1 {
+	until(t, "work flows", func() bool { return sim.Stats().TaskStarts > 20 })
+	_, before := sim.Leader()
+	rollBy(t, sim, cluster, func(i int) { cluster.SetProgram(i, now, os.Args[0], "serve") })
+	if _, after := sim.Leader(); after != before+1 {
 		t.Errorf("the lead moved %d times", after-before)
 	}
-	l, _ := w.Leader()
-	server := w.Public(l)
+	l, _ := sim.Leader()
+	server := sim.UserAddr(l)
 	until(t, "all have announced it", func() bool {
 		out, code := command(t, "rollout", "status", "--server", server)
 		return code == 0 && strings.Contains(out, "announced by all")
 	})
-	if w.Level() != rollout.Newest-1 { // the former release's, at which it founded the cluster
+	if sim.ClusterLevel() != rollout.Newest-1 { // the former release's, at which it founded the cluster
 		t.Error("the level rose without an operator's word")
 	}
 	if out, code := command(t, "rollout", "finish", "--server", server, "--revision", "7"); code != exitRefused {
@@ -101,16 +101,16 @@
 	}
 	until(t, "the migration's end", func() bool {
 		out, code := command(t, "rollout", "status", "--server", server)
-		return code == 0 && w.Level() == rollout.Newest && strings.Contains(out, "done")
+		return code == 0 && sim.ClusterLevel() == rollout.Newest && strings.Contains(out, "done")
 	})
 	if out, code := command(t, "rollout", "abort", "--server", server); code != exitRefused || !strings.Contains(out, "can't read what is stored") {
 		t.Errorf("exit code %d: %s", code, out)
 	}
-	if err := u.Wait(2 * time.Minute); err != nil {
+	if err := users.Wait(2 * time.Minute); err != nil {
 		t.Error(err)
 	}
-	u.Check()
-	for _, b := range w.Broken() {
+	users.Check()
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
@@ -124,21 +124,21 @@
 		t.Skip("HAREWALK_EARLIER names no program of an earlier revision")
 	}
 	seed := uint64(77)
-	w, err := simulator.New(simulator.Config{Seed: seed, Machines: 12, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
+	sim, err := simulator.NewRealTime(simulator.Config{Seed: seed, MaxMachines: 12, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer sim.Close()
 	// No operators' settings: what is new in them the earlier one would refuse.
-	c, err := w.Run(t.TempDir(), "", []string{"LOG_LEVEL=info"}, earlier, "serve")
+	cluster, err := sim.NewCluster(t.TempDir(), "", []string{"LOG_LEVEL=info"}, earlier, "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Close)
-	now := func(i int) { c.Program(i, []string{asProgram + "=1", "LOG_LEVEL=info"}, os.Args[0], "serve") }
-	back := func(i int) { c.Program(i, []string{"LOG_LEVEL=info"}, earlier, "serve") }
-	startAll(t, c)
-	u := w.Users(seed)
+	t.Cleanup(cluster.Close)
+	now := func(i int) { cluster.SetProgram(i, []string{asProgram + "=1", "LOG_LEVEL=info"}, os.Args[0], "serve") }
+	back := func(i int) { cluster.SetProgram(i, []string{"LOG_LEVEL=info"}, earlier, "serve") }
+	startAll(t, cluster)
+	users := sim.Users(seed)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	stop := make(chan struct{})
 	var loading sync.WaitGroup
@@ -160,71 +160,71 @@
 				spec.Tasks = 300
 				spec.EstimateS /= 8
 			}
-			if status := u.Submit(spec); status != 200 && status != 201 {
+			if status := users.Submit(spec); status != 200 && status != 201 {
 				t.Errorf("%s: status %d", spec.ID, status)
 			}
 			if n%9 == 0 {
-				go u.Cancel(spec.ID)
+				go users.Cancel(spec.ID)
 			}
 		}
 	}()
 	wave := func(swap func(i int), kill bool) {
 		for i := range 3 {
 			if kill {
-				c.Kill(i)
+				cluster.Kill(i)
 			} else {
-				c.Signal(i, syscall.SIGTERM, drainWait)
+				cluster.Signal(i, syscall.SIGTERM, drainWait)
 			}
 			swap(i)
 			time.Sleep(300 * time.Millisecond)
-			if err := c.Start(i); err != nil {
+			if err := cluster.Start(i); err != nil {
 				t.Fatal(err)
 			}
-			if err := c.Ready(i, 20*time.Second); err != nil {
+			if err := cluster.WaitReady(i, 20*time.Second); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(2 * time.Second)
 		}
 	}
 	time.Sleep(3 * time.Second)
-	founded := w.Level() // the highest that the earlier revision knows
+	founded := sim.ClusterLevel() // the highest that the earlier revision knows
 	wave(now, false)
-	if w.Level() != founded || founded >= rollout.Newest {
+	if sim.ClusterLevel() != founded || founded >= rollout.Newest {
 		t.Error("the level rose before the soak time was over")
 	}
 	wave(back, true)
 	wave(now, true)
-	until(t, "the level rises", func() bool { time.Sleep(time.Second); return w.Level() == rollout.Newest })
+	until(t, "the level rises", func() bool { time.Sleep(time.Second); return sim.ClusterLevel() == rollout.Newest })
 	// One goes back though it must not: it doesn't know of levels, and can't read the term.
-	l, _ := w.Leader()
+	l, _ := sim.Leader()
 	old := (l + 1) % 3
-	c.Kill(old)
+	cluster.Kill(old)
 	back(old)
-	if err := c.Start(old); err != nil {
+	if err := cluster.Start(old); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(3 * time.Second)
-	c.Kill(l)
-	until(t, "another leads", func() bool { x, _ := w.Leader(); return x >= 0 && x != l })
-	if x, _ := w.Leader(); x == old {
+	cluster.Kill(l)
+	until(t, "another leads", func() bool { x, _ := sim.Leader(); return x >= 0 && x != l })
+	if x, _ := sim.Leader(); x == old {
 		t.Error("a release that knows nothing of levels leads")
 	}
-	c.Kill(old)
+	cluster.Kill(old)
 	now(old)
 	for _, i := range []int{l, old} {
-		if err := c.Start(i); err != nil {
+		if err := cluster.Start(i); err != nil {
 			t.Fatal(err)
 		}
 	}
 	close(stop)
 	loading.Wait()
-	if err := u.Wait(3 * time.Minute); err != nil {
+	if err := users.Wait(3 * time.Minute); err != nil {
 		t.Error(err)
 	}
-	u.Check()
-	for _, b := range w.Broken() {
+	users.Check()
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
-	final, repeated := u.Final()
-	t.Logf("%d jobs: %v; %d starts, %d requests repeated, %d kills", n, final, w.Stats().Starts, repeated, c.Kills)
+	final, repeated := users.Results()
+	t.Logf("%d jobs: %v; %d starts, %d requests repeated, %d kills", n, final, sim.Stats().TaskStarts, repeated, cluster.Killed)
 }
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_world_test.go
@@ -31,29 +31,29 @@
 }
 `
 
-func notebook(w *simulator.World, n int, cpus float64) *simulator.InteractiveSession {
-	return w.InteractiveSession(&jobs.Spec{
+func notebook(sim *simulator.Simulation, n int, cpus float64) *simulator.InteractiveSession {
+	return sim.InteractiveSession(&jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
 		Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
 	}, "kana")
 }
 
-func sessionWorld(t *testing.T, seed uint64, machines int) *simulator.World {
+func sessionWorld(t *testing.T, seed uint64, machines int) *simulator.Simulation {
 	t.Helper()
-	w, err := simulator.New(simulator.Config{
-		Seed: seed, Machines: machines, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+	sim, err := simulator.NewRealTime(simulator.Config{
+		Seed: seed, MaxMachines: machines, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 		Types: []capacity.MachineType{{Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"}}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		w.Close()
-		for _, b := range w.Broken() {
+		sim.Close()
+		for _, b := range sim.Violations() {
 			t.Error(b)
 		}
 	})
-	return w
+	return sim
 }
 
 // until waits until something is so; the time is a bound for what hangs, no measurement.
@@ -66,12 +66,12 @@
 	}
 }
 
-func in(n *simulator.InteractiveSession, states ...string) func() bool {
-	return func() bool { return slices.Contains(states, n.Show().State) }
+func in(session *simulator.InteractiveSession, states ...string) func() bool {
+	return func() bool { return slices.Contains(states, session.View().State) }
 }
 
-func usable(n *simulator.InteractiveSession) func() bool {
-	return func() bool { _, ok := n.Work(); return ok }
+func usable(session *simulator.InteractiveSession) func() bool {
+	return func() bool { _, ok := session.Progress(); return ok }
 }
 
 // Every controller is killed whenever a session comes to a state, for each state on the way: no
@@ -81,11 +81,11 @@
 	if long() {
 		states = []string{"opening", "active", "quiet", "warned", "saving", "reclaimed"}
 	}
-	w := sessionWorld(t, 11, 6)
-	c := cluster(t, w, sessionPolicy)
+	sim := sessionWorld(t, 11, 6)
+	c := cluster(t, sim, sessionPolicy)
 	for i, kill := range states {
-		n := notebook(w, i+1, 1)
-		if status := n.Open(); status != 201 && status != 200 {
+		session := notebook(sim, i+1, 1)
+		if status := session.Open(); status != 201 && status != 200 {
 			t.Fatalf("%s: status %d", kill, status)
 		}
 		killed := false
@@ -103,46 +103,46 @@
 			}
 		}
 		at("opening")
-		until(t, kill+": usable", usable(n))
+		until(t, kill+": usable", usable(session))
 		steps := 0
 		for range 5 {
-			if n.Use() {
+			if session.Input() {
 				steps++
 			}
 		}
 		if kill == "saving" {
-			n.Saves(false, time.Second) // so that there is time to be killed in
+			session.SetSaveBehavior(false, time.Second) // so that there is time to be killed in
 		}
 		until(t, kill+": reclaimed", func() bool {
-			state := n.Show().State
+			state := session.View().State
 			at(state)
 			return state == "reclaimed"
 		})
 		at("reclaimed")
-		until(t, kill+": stopped", func() bool { r, _ := n.Counts(); return r > 0 })
-		status, v := n.Attach()
+		until(t, kill+": stopped", func() bool { r, _ := session.Counts(); return r > 0 })
+		status, v := session.Attach()
 		if status != 200 {
 			t.Fatalf("%s: attached with status %d", kill, status)
 		}
-		until(t, kill+": resumed", usable(n))
-		work, _ := n.Work()
+		until(t, kill+": resumed", usable(session))
+		work, _ := session.Progress()
 		if work != steps || !killed {
 			t.Fatalf("%s: %d of %d steps are back, killed %v, attached to %+v", kill, work, steps, killed, v)
 		}
-		if status := n.Close(); status != 200 {
+		if status := session.Close(); status != 200 {
 			t.Fatalf("%s: closed with status %d", kill, status)
 		}
 	}
-	t.Logf("%d sessions, %d controllers killed", len(states), c.Kills)
+	t.Logf("%d sessions, %d controllers killed", len(states), c.Killed)
 }
 
 // The hard cases, each scripted, in one cluster at the same time.
 func TestSessionsHardCases(t *testing.T) {
-	w := sessionWorld(t, 12, 8)
-	cluster(t, w, sessionPolicy)
+	sim := sessionWorld(t, 12, 8)
+	cluster(t, sim, sessionPolicy)
 	var wait sync.WaitGroup
-	script := func(n int, name string, f func(t *testing.T, n *simulator.InteractiveSession)) {
-		nb := notebook(w, n, 1)
+	script := func(n int, name string, f func(t *testing.T, session *simulator.InteractiveSession)) {
+		nb := notebook(sim, n, 1)
 		if status := nb.Open(); status != 201 {
 			t.Fatalf("%s: status %d", name, status)
 		}
@@ -150,70 +150,70 @@
 		go func() {
 			defer wait.Done()
 			t.Run(name, func(t *testing.T) {
-				until(t, "used", nb.Use)
+				until(t, "used", nb.Input)
 				f(t, nb)
 			})
 		}()
 	}
-	script(1, "a long cell runs", func(t *testing.T, n *simulator.InteractiveSession) {
-		if !n.Cell(8 * time.Second) {
+	script(1, "a long cell runs", func(t *testing.T, session *simulator.InteractiveSession) {
+		if !session.RunCell(8 * time.Second) {
 			t.Fatal("no cell")
 		}
 		for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			if r, _ := n.Counts(); r > 0 {
+			if r, _ := session.Counts(); r > 0 {
 				t.Fatal("reclaimed while a cell runs")
 			}
 		}
-		until(t, "reclaimed after the cell", in(n, "reclaimed"))
+		until(t, "reclaimed after the cell", in(session, "reclaimed"))
 	})
-	script(2, "the user returns before the save", func(t *testing.T, n *simulator.InteractiveSession) {
-		until(t, "warned", in(n, "warned"))
-		if status, v := n.Attach(); status != 200 || v.State != "active" {
+	script(2, "the user returns before the save", func(t *testing.T, session *simulator.InteractiveSession) {
+		until(t, "warned", in(session, "warned"))
+		if status, v := session.Attach(); status != 200 || v.State != "active" {
 			t.Fatalf("status %d, %+v", status, v)
 		}
-		until(t, "usable", usable(n))
-		if work, _ := n.Work(); work != 1 {
+		until(t, "usable", usable(session))
+		if work, _ := session.Progress(); work != 1 {
 			t.Fatalf("%d steps", work)
 		}
 	})
-	script(3, "the user returns after the save was ordered", func(t *testing.T, n *simulator.InteractiveSession) {
-		n.Saves(false, 1500*time.Millisecond)
-		until(t, "saving", in(n, "saving"))
-		if status, _ := n.Attach(); status != 200 {
+	script(3, "the user returns after the save was ordered", func(t *testing.T, session *simulator.InteractiveSession) {
+		session.SetSaveBehavior(false, 1500*time.Millisecond)
+		until(t, "saving", in(session, "saving"))
+		if status, _ := session.Attach(); status != 200 {
 			t.Fatalf("status %d", status)
 		}
-		until(t, "usable", usable(n))
-		if work, _ := n.Work(); work != 1 {
+		until(t, "usable", usable(session))
+		if work, _ := session.Progress(); work != 1 {
 			t.Fatalf("%d steps", work)
 		}
 	})
-	script(4, "the save fails", func(t *testing.T, n *simulator.InteractiveSession) {
-		n.Saves(true, 0)
-		until(t, "saving", in(n, "saving"))
-		until(t, "quiet again", in(n, "quiet", "active"))
-		if r, _ := n.Counts(); r > 0 {
+	script(4, "the save fails", func(t *testing.T, session *simulator.InteractiveSession) {
+		session.SetSaveBehavior(true, 0)
+		until(t, "saving", in(session, "saving"))
+		until(t, "quiet again", in(session, "quiet", "active"))
+		if r, _ := session.Counts(); r > 0 {
 			t.Fatal("reclaimed although its save failed")
 		}
-		n.Saves(false, 0)
-		until(t, "reclaimed once saves work", in(n, "reclaimed"))
+		session.SetSaveBehavior(false, 0)
+		until(t, "reclaimed once saves work", in(session, "reclaimed"))
 	})
-	script(5, "the save takes too long", func(t *testing.T, n *simulator.InteractiveSession) {
-		n.Saves(false, 30*time.Second)
-		until(t, "saving", in(n, "saving"))
-		until(t, "given up", in(n, "quiet", "active"))
-		until(t, "usable", usable(n))
-		if r, _ := n.Counts(); r > 0 {
+	script(5, "the save takes too long", func(t *testing.T, session *simulator.InteractiveSession) {
+		session.SetSaveBehavior(false, 30*time.Second)
+		until(t, "saving", in(session, "saving"))
+		until(t, "given up", in(session, "quiet", "active"))
+		until(t, "usable", usable(session))
+		if r, _ := session.Counts(); r > 0 {
 			t.Fatal("reclaimed without its save")
 		}
 	})
-	script(6, "two attaches at once, and a flood of keep-alives", func(t *testing.T, n *simulator.InteractiveSession) {
+	script(6, "two attaches at once, and a flood of keep-alives", func(t *testing.T, session *simulator.InteractiveSession) {
 		var ids [2]uint64
 		var both sync.WaitGroup
 		for i := range ids {
 			both.Add(1)
 			go func() {
 				defer both.Done()
-				_, v := n.Attach()
+				_, v := session.Attach()
 				ids[i] = v.Attachment
 			}()
 		}
@@ -223,27 +223,27 @@
 		}
 		statuses := map[int]int{}
 		for range 200 {
-			statuses[n.Keep(min(ids[0], ids[1]))]++
+			statuses[session.KeepAlive(min(ids[0], ids[1]))]++
 		}
 		if statuses[200] > 0 {
 			t.Fatalf("the earlier attachment keeps it alive: %v", statuses)
 		}
 		for range 200 {
-			statuses[n.Keep(max(ids[0], ids[1]))]++
+			statuses[session.KeepAlive(max(ids[0], ids[1]))]++
 		}
 		if statuses[200] > 20 {
 			t.Fatalf("a flood was taken: %v", statuses)
 		}
 	})
-	script(8, "spot notice while warned", func(t *testing.T, n *simulator.InteractiveSession) {
-		until(t, "warned", in(n, "warned"))
-		n.NoticeMachine(4 * time.Second) // or it was stopped already
+	script(8, "spot notice while warned", func(t *testing.T, session *simulator.InteractiveSession) {
+		until(t, "warned", in(session, "warned"))
+		session.ReclaimMachine(4 * time.Second) // or it was stopped already
 		until(t, "elsewhere", func() bool {
-			if n.Show().State == "reclaimed" {
-				n.Attach()
+			if session.View().State == "reclaimed" {
+				session.Attach()
 			}
-			work, ok := n.Work()
-			return ok && work == 1 && n.Show().State == "active"
+			work, ok := session.Progress()
+			return ok && work == 1 && session.View().State == "active"
 		})
 	})
 	wait.Wait()
@@ -260,31 +260,31 @@
 		if !reclaim {
 			policy = "sessions {\n policy \"default\" {\n idle = \"false\"\n wanted_s = -1\n }\n}\n"
 		}
-		w := sessionWorld(t, 13, 4) // 32 cores
-		c := cluster(t, w, policy)
+		sim := sessionWorld(t, 13, 4) // 32 cores
+		c := cluster(t, sim, policy)
 		for i := range 24 {
-			n := notebook(w, 1000+i, 1)
-			if status := n.Open(); status != 201 {
+			session := notebook(sim, 1000+i, 1)
+			if status := session.Open(); status != 201 {
 				t.Fatalf("status %d", status)
 			}
 		}
 		time.Sleep(6 * time.Second)
-		u := w.Users(13)
+		users := sim.Users(13)
 		var waits []float64
 		for i := range 30 {
 			spec := &jobs.Spec{
 				ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard", Tasks: 1,
 				CPUs: 4, MemoryGB: 4, Image: "m", ImageGB: 1, EstimateS: 4,
 			}
-			if status := u.Submit(spec); status != 201 {
+			if status := users.Submit(spec); status != 201 {
 				t.Fatalf("status %d", status)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
-		if err := u.Wait(5 * time.Minute); err != nil {
+		if err := users.Wait(5 * time.Minute); err != nil {
 			t.Error(err)
 		}
-		for _, duration := range w.Waits("roster") {
+		for _, duration := range sim.StartDelays("roster") {
 			waits = append(waits, duration.Seconds())
 		}
 		slices.Sort(waits)
@@ -297,10 +297,10 @@
 // A user opens, finds, attaches to and closes a session with the command-line client, and learns
 // why it is or isn't reclaimed.
 func TestSessionCommands(t *testing.T) {
-	w := sessionWorld(t, 14, 2)
-	cluster(t, w, sessionPolicy)
-	n := notebook(w, 1, 1) // its spec is known to the workers
-	raw, err := json.Marshal(n.Spec)
+	sim := sessionWorld(t, 14, 2)
+	cluster(t, sim, sessionPolicy)
+	session := notebook(sim, 1, 1) // its spec is known to the workers
+	raw, err := json.Marshal(session.Spec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,7 +311,7 @@
 	}
 	run := func(want int, args ...string) string {
 		t.Helper()
-		out, code := command(t, append(append([]string{"session"}, args...), "--server", w.Public(2))...)
+		out, code := command(t, append(append([]string{"session"}, args...), "--server", sim.UserAddr(2))...)
 		if code != want {
 			t.Fatalf("session %v: exit %d, want %d: %s", args, code, want, out)
 		}
@@ -349,5 +349,5 @@
 	if out := run(0, "close", opened.ID, "--session-token-file", token); !strings.Contains(out, "closed") {
 		t.Fatal(out)
 	}
-	w.Cancelled(opened.ID)
+	sim.ConfirmCancelled(opened.ID)
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -77,7 +77,7 @@
 type run struct {
 	seed     uint64
 	users    []*user
-	pictures []simulator.Picture
+	pictures []simulator.Utilization
 	starts   []time.Duration
 	leads    []time.Duration // when the lead passed
 	answers  []answered
@@ -94,13 +94,13 @@
 
 // play plays one run.
 func (s *Scenario) play(c Config, seed uint64, clock func(func() time.Duration), progress Progress) (*run, error) {
-	w, err := simulator.Simulated(s.platform(c, seed), c.settings)
+	sim, err := simulator.NewVirtualTime(s.platform(c, seed), c.settings)
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
+	defer sim.Close()
 	if clock != nil {
-		clock(w.Now)
+		clock(sim.Now)
 	}
 	all, err := s.arrivals(seed)
 	if err != nil {
@@ -112,30 +112,30 @@
 	}
 	if n := s.Network; n != nil {
 		mean := time.Duration(n.MeanMS * float64(time.Millisecond))
-		w.Network(max(mean, 100*time.Microsecond), n.Lost, n.Late, time.Duration(n.LateS*float64(time.Second)))
+		sim.SetNetwork(max(mean, 100*time.Microsecond), n.Lost, n.Late, time.Duration(n.LateS*float64(time.Second)))
 	}
 	r := &run{seed: seed}
-	load := &generator{w: w, rng: rand.New(rand.NewPCG(seed, 17)), run: r}
+	load := &generator{w: sim, rng: rand.New(rand.NewPCG(seed, 17)), run: r}
 	load.balance()
-	w.Play(script, func(simulator.Fault) {})
+	sim.Play(script, func(simulator.Fault) {})
 	for _, a := range all {
 		u := &user{generator: load, arrival: a}
 		r.users = append(r.users, u)
-		w.After(a.at, u.arrive)
+		sim.After(a.at, u.arrive)
 	}
 	length := time.Duration(s.DurationS * float64(time.Second))
 	for i := range samples {
-		w.Advance(length / samples)
-		r.pictures = append(r.pictures, w.Look())
+		sim.Advance(length / samples)
+		r.pictures = append(r.pictures, sim.Utilization())
 		progress(float64(i) / samples * 0.9)
 	}
 	for late := time.Duration(0); late < time.Duration(s.DrainS*float64(time.Second)) && load.open > 0; late += 10 * time.Second {
-		w.Advance(10 * time.Second)
+		sim.Advance(10 * time.Second)
 	}
-	r.leads = w.Led()
-	r.starts, r.stats, r.broken, r.end = w.Starts(), w.Stats(), w.Broken(), w.Now()
+	r.leads = sim.LeaderChanges()
+	r.starts, r.stats, r.broken, r.end = sim.StartTimes(), sim.Stats(), sim.Violations(), sim.Now()
 	for _, u := range r.users {
-		if duration, ok := w.FirstStart(u.spec.ID); ok {
+		if duration, ok := sim.FirstStart(u.spec.ID); ok {
 			u.started, u.hasStarted = duration, true
 		}
 	}
@@ -145,7 +145,7 @@
 
 // generator are the users of a run, behind a load balancer. They watch that no answer contradicts another.
 type generator struct {
-	w     *simulator.World
+	w     *simulator.Simulation
 	rng   *rand.Rand
 	run   *run
 	open  int   // jobs submitted and not over
@@ -163,7 +163,7 @@
 	for i := range c.fails {
 		var check func()
 		check = func() {
-			c.w.Ask(i, "GET", "/up", nil, func(status int, _ []byte) {
+			c.w.Request(i, "GET", "/up", nil, func(status int, _ []byte) {
 				if c.fails[i]++; status == 200 {
 					c.fails[i] = 0
 				}
@@ -206,7 +206,7 @@
 // ask sends a request through the load balancer, and notes whether it was served.
 func (c *generator) ask(method, path string, body []byte, then func(status int, stance string)) {
 	at := c.w.Now()
-	c.w.Ask(c.some(), method, path, body, func(status int, raw []byte) {
+	c.w.Request(c.some(), method, path, body, func(status int, raw []byte) {
 		c.run.answers = append(c.run.answers, answered{at, status > 0 && status < 429})
 		var v struct {
 			Stance string `json:"stance"`
@@ -225,7 +225,7 @@
 
 func (u *user) arrive() {
 	u.body, _ = json.Marshal(u.spec)
-	u.generator.w.Know(u.spec)
+	u.generator.w.AddJob(u.spec)
 	u.generator.open++
 	u.submit()
 	if u.cancel > 0 {
@@ -259,7 +259,7 @@
 		case status != 200:
 			u.generator.later(time.Second, u.abort)
 		case stance == "cancelled":
-			u.generator.w.Cancelled(u.spec.ID)
+			u.generator.w.ConfirmCancelled(u.spec.ID)
 		}
 	})
 }
@@ -267,15 +267,15 @@
 // poll asks for the job until it is over, and twice more after that.
 func (u *user) poll() {
 	u.generator.ask("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, stance string) {
-		u.generator.w.Heard(&u.heard, status, stance, u.asked)
+		u.generator.w.CheckAnswer(&u.heard, status, stance, u.asked)
 		if status == 404 {
 			return
 		}
-		if u.heard.Times == 1 && u.over == 0 {
+		if u.heard.FinalAnswers == 1 && u.over == 0 {
 			u.over = u.since()
 			u.generator.open--
 		}
-		if u.heard.Times < 3 {
+		if u.heard.FinalAnswers < 3 {
 			u.generator.later(max(2*time.Second, min(u.since()/10, 30*time.Second)), u.poll)
 		}
 	})
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -167,7 +167,7 @@
 			out.Machines[i] += float64(p.Machines) / n
 		}
 		cost := r.pictures[len(r.pictures)-1].Cost
-		out.Jobs, out.Starts, out.Cost = out.Jobs+len(r.users), out.Starts+r.stats.Starts, out.Cost+cost/n
+		out.Jobs, out.Starts, out.Cost = out.Jobs+len(r.users), out.Starts+r.stats.TaskStarts, out.Cost+cost/n
 		out.Broken = append(out.Broken, r.broken...)
 		out.Runs = append(out.Runs, RunResult{Seed: r.seed, Jobs: len(r.users), WaitP90: quantiles(one).P90, Cost: cost, Broken: len(r.broken)})
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -68,7 +68,7 @@
 
 // cluster is everything that plays one step.
 type cluster struct {
-	world *simulator.World
+	world *simulator.Simulation
 	state *stateProcess
 	procs *simulator.Cluster
 	users *users
@@ -88,17 +88,17 @@
 	if c.state, err = startState(o.Program, o.Env, stateOrder{s.Controllers, limits}); err != nil {
 		return c, err
 	}
-	if c.world, err = simulator.New(platform(p, s, limits, c.state.addrs)); err != nil {
+	if c.world, err = simulator.NewRealTime(platform(p, s, limits, c.state.addrs)); err != nil {
 		return c, err
 	}
-	if err = c.world.Boot(s.Machines); err != nil {
+	if err = c.world.BootMachines(s.Machines); err != nil {
 		return c, err
 	}
 	if c.dir, err = os.MkdirTemp("", "harewalk-scale-"); err != nil {
 		return c, err
 	}
 	program := append(append([]string{}, o.Program...), "serve")
-	if c.procs, err = c.world.Run(c.dir, fmt.Sprintf(operatorSettings, s.Machines), append(o.Env, "LOG_LEVEL=error"), program...); err != nil {
+	if c.procs, err = c.world.NewCluster(c.dir, fmt.Sprintf(operatorSettings, s.Machines), append(o.Env, "LOG_LEVEL=error"), program...); err != nil {
 		return c, err
 	}
 	for i := range s.Controllers {
@@ -107,7 +107,7 @@
 		}
 	}
 	for i := range s.Controllers {
-		if err = c.procs.Ready(i, readyWithin); err != nil {
+		if err = c.procs.WaitReady(i, readyWithin); err != nil {
 			return c, err
 		}
 	}
@@ -129,7 +129,7 @@
 	zones := []string{"a", "b", "c"}
 	cores := float64(s.TasksPerMachine)
 	w := simulator.Config{
-		Seed: 1, Controllers: s.Controllers, Zones: zones, Machines: s.Machines, State: limits, StateAddrs: addrs, Step: stepOfTime,
+		Seed: 1, Controllers: s.Controllers, Zones: zones, MaxMachines: s.Machines, State: limits, StateAddrs: addrs, TickInterval: stepOfTime,
 		Types:   []capacity.MachineType{{Name: "hollow", CPUs: cores, Mem: 4 * cores, CacheGB: 100, FetchGB: 2, Price: 1, BootS: 1, Zones: zones}},
 		Workers: config.Workers{ReportS: p.ReportS, LeaseS: p.LeaseS, GangWaitS: 30, GangPeerS: 5, CancelS: p.CancelS}, Cloud: config.Cloud{RPS: 20, ListLagS: 1},
 		Limits: config.Limits{Cores: &limitCores, MemMB: &limitMemMB, Sockets: &limitSockets},
@@ -175,7 +175,7 @@
 		return nil, err
 	}
 	c.users.measure()
-	o.say("  %d tasks run, settled %v: measuring for %g s", c.world.Look().Running, settled, p.MeasureS)
+	o.say("  %d tasks run, settled %v: measuring for %g s", c.world.Utilization().Running, settled, p.MeasureS)
 	sleep(ctx, time.Duration(p.MeasureS*float64(time.Second)))
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
@@ -195,7 +195,7 @@
 func (c *cluster) settle(ctx context.Context, p *Plan, s Step) bool {
 	goal := int(busyPart * float64(s.Machines*s.TasksPerMachine))
 	sleep(ctx, time.Duration(p.SettleS*float64(time.Second)))
-	return c.world.Look().Running >= goal
+	return c.world.Utilization().Running >= goal
 }
 
 // picture is what all processes have used, and what has happened, up to a moment.
@@ -243,13 +243,13 @@
 		return nil, err
 	}
 	for i := range c.world.Controllers() {
-		_, page, err := fasthttp.GetTimeout(nil, "http://"+c.procs.Debug[i]+"/metrics", askFor)
+		_, page, err := fasthttp.GetTimeout(nil, "http://"+c.procs.DebugAddrs[i]+"/metrics", askFor)
 		if err != nil {
 			return nil, fmt.Errorf("controller %d: %w", i, err)
 		}
 		p.metrics = append(p.metrics, parseMetrics(page))
 	}
-	look := c.world.Look()
+	look := c.world.Utilization()
 	p.stats, p.users, p.running, p.machines = c.world.Stats(), c.users.counts(), look.Running, look.Machines
 	return p, nil
 }
@@ -262,7 +262,7 @@
 	cores := func(a, b Usage) float64 { return (b.CPUSeconds - a.CPUSeconds) / seconds }
 	v := Values{
 		byMachines: float64(to.machines), byRunning: float64(to.running),
-		byReports: rate(from.stats.Reports, to.stats.Reports), byStarts: rate(from.stats.Starts, to.stats.Starts), byJobs: rate(from.users.ended, to.users.ended),
+		byReports: rate(from.stats.Heartbeats, to.stats.Heartbeats), byStarts: rate(from.stats.TaskStarts, to.stats.TaskStarts), byJobs: rate(from.users.ended, to.users.ended),
 	}
 	v[byReported] = v[byReports] * v[byRunning] / max(1, v[byMachines])
 	v["state_requests"], v["state_writes"] = rate(from.figures.Requests, to.figures.Requests), rate(from.figures.Writes, to.figures.Writes)
@@ -286,10 +286,10 @@
 	for _, name := range []string{"follower_cpu", "follower_rss", "follower_read"} {
 		v[name] /= max(1, others)
 	}
-	v["workers_bytes"] = kilobytes(from.stats.ReportBytes+from.stats.AnswerBytes, to.stats.ReportBytes+to.stats.AnswerBytes)
+	v["workers_bytes"] = kilobytes(from.stats.HeartbeatBytes+from.stats.HeartbeatAnswerBytes, to.stats.HeartbeatBytes+to.stats.HeartbeatAnswerBytes)
 	v["workers_cpu"], v["workers_rss"] = cores(from.self, to.self), megabytes(to.self.RSSBytes)
-	broken := c.world.Broken()
-	got := &StepResult{Step: s, Values: v, Refused: to.users.refused - from.users.refused, Broken: len(broken), Again: to.stats.Again}
+	broken := c.world.Violations()
+	got := &StepResult{Step: s, Values: v, Refused: to.users.refused - from.users.refused, Broken: len(broken), Again: to.stats.TasksRerun}
 	if len(broken) > 0 {
 		got.First = broken[0]
 	}
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -50,21 +50,21 @@
 	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
 		return fmt.Errorf("not an order: %w", err)
 	}
-	w, err := simulator.New(simulator.Config{Controllers: o.Controllers, State: o.Limits})
+	sim, err := simulator.NewRealTime(simulator.Config{Controllers: o.Controllers, State: o.Limits})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
+	defer sim.Close()
 	var ready stateReady
 	for i := range o.Controllers {
-		ready.Addrs = append(ready.Addrs, w.StateAddr(i))
+		ready.Addrs = append(ready.Addrs, sim.StateAddr(i))
 	}
 	if err := say.Encode(ready); err != nil {
 		return err
 	}
 	for lines.Scan() {
-		s := w.Stats()
-		f := StateFigures{Requests: s.StateRequests, Writes: s.StateWrites, Refused: s.StateRefused, Keys: w.Keys(""), Followed: w.Keys(followedPrefix)}
+		s := sim.Stats()
+		f := StateFigures{Requests: s.StateRequests, Writes: s.StateWrites, Refused: s.StateRefused, Keys: sim.CountKeys(""), Followed: sim.CountKeys(followedPrefix)}
 		if err := say.Encode(f); err != nil {
 			return err
 		}
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -17,7 +17,7 @@
 
 // users keep a number of jobs under way: whoever sees a job done hands in the next. They count what they were answered.
 type users struct {
-	w      *simulator.World
+	w      *simulator.Simulation
 	client *fasthttp.Client
 	step   Step
 	pollS  float64
@@ -43,9 +43,9 @@
 	askFor   = 5 * time.Second
 )
 
-func newUsers(w *simulator.World, step Step, pollS float64) *users {
+func newUsers(sim *simulator.Simulation, step Step, pollS float64) *users {
 	return &users{
-		w: w, step: step, pollS: pollS, took: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(1, 2)),
+		w: sim, step: step, pollS: pollS, took: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(1, 2)),
 		client:  &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, MaxConnsPerHost: 4096},
 		waits:   hdrhistogram.New(1, mostMS, digits),
 		accepts: hdrhistogram.New(1, mostMS, digits),
@@ -102,7 +102,7 @@
 // one hands in a job and follows it to its end.
 func (u *users) one(ctx context.Context) {
 	spec := u.spec()
-	u.w.Know(spec)
+	u.w.AddJob(spec)
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // a job of this package's own making
@@ -154,7 +154,7 @@
 // ask asks some controller; status 0: no answer.
 func (u *users) ask(method, path string, body []byte) (status int, stance string) {
 	u.mu.Lock()
-	to := u.w.Public(u.rng.IntN(u.step.Controllers))
+	to := u.w.UserAddr(u.rng.IntN(u.step.Controllers))
 	u.mu.Unlock()
 	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer func() { fasthttp.ReleaseRequest(q); fasthttp.ReleaseResponse(p) }()
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -230,14 +230,14 @@
 // platform is the world that a configuration is played in.
 func (s *Scenario) platform(c Config, seed uint64) simulator.Config {
 	w := simulator.Config{
-		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, Machines: s.Machines, Pools: map[string]int{},
+		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, MaxMachines: s.Machines, LicencePools: map[string]int{},
 		// Times and limits of a service at work, not those of short tests.
 		Workers: config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
 		State:   config.State{RPS: 400, WriteRPS: 150, ValueKB: 32, TxnOps: 24},
-		Cloud:   config.Cloud{RPS: 5, ListLagS: 3}, Step: 100 * time.Millisecond,
+		Cloud:   config.Cloud{RPS: 5, ListLagS: 3}, TickInterval: 100 * time.Millisecond,
 	}
 	if c.Machines > 0 {
-		w.Machines = c.Machines
+		w.MaxMachines = c.Machines
 	}
 	if c.Controllers > 0 {
 		w.Controllers = c.Controllers
@@ -252,7 +252,7 @@
 		w.Teams = append(w.Teams, config.Team{Name: t.Name, CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax})
 	}
 	for _, p := range s.Pools {
-		w.Pools[p.Name] = p.Seats
+		w.LicencePools[p.Name] = p.Seats
 	}
 	return w
 }
@@ -262,13 +262,13 @@
 	if c.Operator == "" {
 		return nil
 	}
-	_, err := simulator.Simulated(w, c.settings)
+	_, err := simulator.NewVirtualTime(w, c.settings)
 	return err
 }
 
 func (c Config) settings(settings *config.Settings) error {
 	if c.Former {
-		settings.Earlier(rollout.Newest-1, simulator.Former)
+		settings.Earlier(rollout.Newest-1, simulator.FormerRelease)
 	}
 	if c.Operator == "" {
 		return nil
--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -29,12 +29,12 @@
 func (r *rolling) holdsEverywhere(id string, status int, stance string) {
 	r.t.Helper()
 	for i := range r.Controllers() {
-		if !r.Runs(i) {
+		if !r.ControllerRuns(i) {
 			continue
 		}
 		got, told := 503, ""
 		for tries := 0; got != 200 && got != 404 && tries < 40; tries++ {
-			r.Ask(i, "GET", "/v2/runs/"+id, nil, func(s int, raw []byte) { got, told = s, stanceOf(raw) })
+			r.Request(i, "GET", "/v2/runs/"+id, nil, func(s int, raw []byte) { got, told = s, jobStateIn(raw) })
 			r.Advance(200 * time.Millisecond)
 		}
 		if got != status || told != stance {
@@ -44,7 +44,7 @@
 }
 
 // recordsLeft counts the jobs' records that every controller follows.
-func (r *rolling) recordsLeft() int { return r.Keys(jobs.Prefix) }
+func (r *rolling) recordsLeft() int { return r.CountKeys(jobs.Prefix) }
 
 // moves tells whether a transaction moves jobs into the archive.
 func moves(txn store.Txn) bool {
@@ -74,7 +74,7 @@
 	r.Advance(40 * time.Second)
 	r.over()
 	r.reach("all moved", time.Minute, func() bool { return r.recordsLeft() == 0 })
-	if n := r.Keys(archive.Prefix); n != len(r.users) {
+	if n := r.CountKeys(archive.Prefix); n != len(r.users) {
 		t.Errorf("%d answers are kept of %d jobs", n, len(r.users))
 	}
 	r.everywhere()
@@ -83,8 +83,8 @@
 		if body, _ = json.Marshal(u.spec); i%2 == 0 {
 			path, body = "/v2/runs/"+u.spec.ID+"/abort", []byte("{}")
 		}
-		r.Ask(i%3, "POST", path, body, func(status int, raw []byte) {
-			if got := stanceOf(raw); status != 200 || got != u.told[0] {
+		r.Request(i%3, "POST", path, body, func(status int, raw []byte) {
+			if got := jobStateIn(raw); status != 200 || got != u.told[0] {
 				t.Errorf("%s on %s: %d %q, and it is %s", path, u.spec.ID, status, got, u.told[0])
 			}
 		})
@@ -104,25 +104,25 @@
 			r.Advance(12 * time.Second)
 			held := 0
 			id := "req-000001"
-			r.Watch(func(_ int, tx store.Txn) Fate {
+			r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 				if makes(tx, id) && held == 0 {
 					held++
-					return Fate{Later: late}
+					return TxnOutcome{Delay: late}
 				}
-				return Fate{}
+				return TxnOutcome{}
 			})
 			spec := drawJob(r.rng, 1)
 			spec.ID, spec.EstimateS, spec.Tasks, spec.Kind, spec.Licences = id, 2, 2, jobs.Array, nil
-			u := &simUser{w: r.World, rng: r.rng, spec: spec}
+			u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 			r.users = append(r.users, u)
 			u.submit()
-			r.reach("moved", 30*time.Second, func() bool { return r.Key(archive.Key(id)).Version != 0 })
+			r.reach("moved", 30*time.Second, func() bool { return r.StoredItem(archive.Key(id)).Version != 0 })
 			moved := r.Now()
-			starts := r.Stats().Starts
+			starts := r.Stats().TaskStarts
 			r.Advance(late + 10*time.Second)
-			if held != 1 || r.Key(jobs.RecordKey(id)).Version != 0 || r.Stats().Starts != starts {
+			if held != 1 || r.StoredItem(jobs.RecordKey(id)).Version != 0 || r.Stats().TaskStarts != starts {
 				t.Errorf("moved at %v; %d transactions were late; the record is at version %d; %d starts after the move",
-					moved, held, r.Key(jobs.RecordKey(id)).Version, r.Stats().Starts-starts)
+					moved, held, r.StoredItem(jobs.RecordKey(id)).Version, r.Stats().TaskStarts-starts)
 			}
 			r.holdsEverywhere(id, 200, "done")
 			r.over()
@@ -134,26 +134,26 @@
 // after they sent one, while watches lose their position or one controller is refused by the state service: every job
 // keeps its one answer at every controller, and all are moved in the end.
 func TestMovesMeetTroubles(t *testing.T) {
-	fates := map[string]func(n int) Fate{
-		"lost":       func(n int) Fate { return Fate{Never: n%2 == 0} },
-		"unanswered": func(n int) Fate { return Fate{Unanswered: n%2 == 0} },
-		"late":       func(n int) Fate { return Fate{Later: time.Duration(n%3) * 4 * time.Second} },
+	fates := map[string]func(n int) TxnOutcome{
+		"lost":       func(n int) TxnOutcome { return TxnOutcome{Dropped: n%2 == 0} },
+		"unanswered": func(n int) TxnOutcome { return TxnOutcome{Unanswered: n%2 == 0} },
+		"late":       func(n int) TxnOutcome { return TxnOutcome{Delay: time.Duration(n%3) * 4 * time.Second} },
 	}
 	around := map[string]func(r *rolling, l int){
 		"nothing":       func(*rolling, int) {},
 		"leader killed": func(r *rolling, l int) { r.KillController(l); r.After(3*time.Second, func() { r.StartController(l) }) },
 		"leader frozen": func(r *rolling, l int) { r.FreezeController(l, 8*time.Second) },
 		"handed over":   func(r *rolling, l int) { r.DrainController(l, func() { r.StartController(l) }) },
-		"positions":     func(r *rolling, _ int) { r.LosePositions() },
+		"positions":     func(r *rolling, _ int) { r.CompactHistory() },
 		"refused": func(r *rolling, l int) {
 			other := (l + 1) % r.Controllers()
-			r.Refuse(other, true)
-			r.After(9*time.Second, func() { r.Refuse(other, false) })
+			r.RefuseController(other, true)
+			r.After(9*time.Second, func() { r.RefuseController(other, false) })
 		},
 		"watches stick": func(r *rolling, l int) {
 			other := (l + 1) % r.Controllers()
-			r.Stick(other, true)
-			r.After(12*time.Second, func() { r.Stick(other, false) })
+			r.StallWatches(other, true)
+			r.After(12*time.Second, func() { r.StallWatches(other, false) })
 		},
 	}
 	for fate, f := range fates {
@@ -161,11 +161,11 @@
 			t.Run(fate+" "+what, func(t *testing.T) {
 				t.Parallel()
 				r := newRolling(t, 403, 3, rollout.Newest, "soak_s = 3")
-				r.CloseLooks(true)
+				r.SetPollBursts(true)
 				n, next := 0, time.Duration(0)
-				r.Watch(func(controller int, tx store.Txn) Fate {
+				r.InterceptTxns(func(controller int, tx store.Txn) TxnOutcome {
 					if !moves(tx) || r.Now() > 80*time.Second {
-						return Fate{}
+						return TxnOutcome{}
 					}
 					if r.Now() >= next {
 						next = r.Now() + 15*time.Second
@@ -205,30 +205,30 @@
 	r.Advance(12 * time.Second)
 	u := r.users[0]
 	key := archive.Key(u.spec.ID)
-	was := r.Key(key).Value
-	r.Store(store.Op{Put: key, Value: json.RawMessage(`{"v":7,"stance":"done"}`)})
+	was := r.StoredItem(key).Value
+	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":7,"stance":"done"}`)})
 	body, _ := json.Marshal(u.spec)
 	for i := range r.Controllers() {
 		for path, b := range map[string][]byte{"/v2/runs": body, "/v2/runs/" + u.spec.ID + "/abort": []byte("{}")} {
-			r.Ask(i, "POST", path, b, func(status int, raw []byte) {
+			r.Request(i, "POST", path, b, func(status int, raw []byte) {
 				if status != 503 {
 					t.Errorf("controller %d answers %s with %d %s", i, path, status, raw)
 				}
 			})
 			r.Advance(300 * time.Millisecond)
 		}
-		r.Ask(i, "GET", "/v2/runs/"+u.spec.ID, nil, func(status int, raw []byte) {
+		r.Request(i, "GET", "/v2/runs/"+u.spec.ID, nil, func(status int, raw []byte) {
 			if status != 503 {
 				t.Errorf("controller %d says %d %s of what it can't read", i, status, raw)
 			}
 		})
 		r.Advance(300 * time.Millisecond)
 	}
-	if r.recordsLeft() != 0 || string(r.Key(key).Value) == string(was) {
+	if r.recordsLeft() != 0 || string(r.StoredItem(key).Value) == string(was) {
 		t.Error("something was decided on what can't be read")
 	}
 	r.holdsEverywhere(r.users[1].spec.ID, 200, r.users[1].told[0])
-	r.Store(store.Op{Put: key, Value: was})
+	r.WriteKeys(store.Op{Put: key, Value: was})
 	r.everywhere()
 }
 
@@ -238,20 +238,20 @@
 	r := newRolling(t, 405, 3, rollout.Paged, "soak_s = 3")
 	r.load(100 * time.Second)
 	r.Advance(45 * time.Second)
-	if n := r.Keys(archive.Prefix); n != 0 || r.Level() != rollout.Paged {
-		t.Fatalf("%d jobs are archived at level %d", n, r.Level())
+	if n := r.CountKeys(archive.Prefix); n != 0 || r.ClusterLevel() != rollout.Paged {
+		t.Fatalf("%d jobs are archived at level %d", n, r.ClusterLevel())
 	}
 	rolled := false
-	r.Roll(rollout.Newest, 2*time.Second, func(i int) bool { return i == 1 }, func() { rolled = true })
+	r.RollingRestart(rollout.Newest, 2*time.Second, func(i int) bool { return i == 1 }, func() { rolled = true })
 	for !rolled {
-		if r.Level() < rollout.Archived && r.Keys(archive.Prefix) > 0 {
+		if r.ClusterLevel() < rollout.Archived && r.CountKeys(archive.Prefix) > 0 {
 			t.Fatal("archived before the level")
 		}
 		r.Advance(200 * time.Millisecond)
 	}
-	r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Newest })
-	r.reach("begun", 30*time.Second, func() bool { return r.Keys(archive.Prefix) > 5 })
-	l, _ := r.World.Leader()
+	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
+	r.reach("begun", 30*time.Second, func() bool { return r.CountKeys(archive.Prefix) > 5 })
+	l, _ := r.Simulation.Leader()
 	r.KillController(l)
 	r.everywhere()
 	r.StartController(l)
@@ -264,7 +264,7 @@
 // answers, and a controller that starts reads as little after many jobs as after few.
 func TestWhatIsFollowedIsBounded(t *testing.T) {
 	r := newRolling(t, 406, 3, rollout.Newest, "soak_s = 3")
-	followed := func() int { return r.Keys("h/") }
+	followed := func() int { return r.CountKeys("h/") }
 	var seen []int
 	for range 4 {
 		r.load(60 * time.Second)
@@ -283,9 +283,9 @@
 func (r *rolling) onMachines(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.machines {
-		for _, k := range m.tasks {
-			if !m.dead && k.spec.ID == id && k.state != exited {
+	for _, machine := range r.machines {
+		for _, task := range machine.tasks {
+			if !machine.dead && task.spec.ID == id && task.state != taskExited {
 				return true
 			}
 		}
@@ -296,15 +296,15 @@
 // movesNothingThatRuns breaks the run if a job is moved of which a task is on a machine.
 func (r *rolling) movesNothingThatRuns() (moved *int) {
 	moved = new(int)
-	r.Watch(func(_ int, tx store.Txn) Fate {
+	r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 		for _, o := range tx.Then {
 			if id, ok := strings.CutPrefix(o.Put, archive.Prefix); ok {
 				if *moved++; r.onMachines(id) {
-					r.Break("%s is archived, and a task of it is on a machine", id)
+					r.ReportViolation("%s is archived, and a task of it is on a machine", id)
 				}
 			}
 		}
-		return Fate{}
+		return TxnOutcome{}
 	})
 	return moved
 }
@@ -317,15 +317,15 @@
 	r.load(90 * time.Second)
 	for i := range 12 {
 		r.After(time.Duration(6*i+4)*time.Second, func() {
-			r.Hang(5 * time.Second)
-			r.Deafen(2, "", 6*time.Second)
+			r.HangMachine(5 * time.Second)
+			r.DropInbound(2, "", 6*time.Second)
 			for _, u := range r.users[max(0, len(r.users)-6):] {
 				u.cancel()
 			}
 		})
 	}
 	for i := range 3 {
-		r.After(time.Duration(25*i+15)*time.Second, func() { toLeader(3*time.Second, (*World).KillController)(r.World) })
+		r.After(time.Duration(25*i+15)*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(r.Simulation) })
 	}
 	r.Advance(100 * time.Second)
 	r.over()
@@ -342,12 +342,12 @@
 	moved := r.movesNothingThatRuns()
 	r.Advance(3 * time.Second)
 	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}
-	u := &simUser{w: r.World, rng: r.rng, spec: spec, asked: true}
+	u := &simUser{w: r.Simulation, rng: r.rng, spec: spec, asked: true}
 	r.users = append(r.users, u)
 	u.submit()
-	r.reach("running", 20*time.Second, func() bool { return r.Look().Running == 3 })
+	r.reach("running", 20*time.Second, func() bool { return r.Utilization().Running == 3 })
 	key := jobs.RecordKey(spec.ID)
-	r.Store(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
+	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
 	for i := range 3 {
 		r.KillController(i)
 	}
@@ -355,18 +355,18 @@
 	for i := range 3 {
 		r.StartController(i)
 	}
-	r.reach("led", 20*time.Second, func() bool { return len(r.Leading()) > 0 })
-	r.Advance(2 * time.Second)     // plans are read
-	for _, m := range r.machines { // their reports say nothing meanwhile
-		m.muteTill = r.Now() + 4*time.Second
+	r.reach("led", 20*time.Second, func() bool { return len(r.ActingLeaders()) > 0 })
+	r.Advance(2 * time.Second)           // plans are read
+	for _, machine := range r.machines { // their reports say nothing meanwhile
+		machine.outboundLostUntil = r.Now() + 4*time.Second
 	}
-	r.Store(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
-	r.Cancelled(spec.ID)
+	r.WriteKeys(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
+	r.ConfirmCancelled(spec.ID)
 	r.Advance(20 * time.Second)
 	if *moved != 0 {
 		t.Errorf("%d jobs were moved by a leader that doesn't know their plans", *moved)
 	}
-	l, _ := r.World.Leader()
+	l, _ := r.Simulation.Leader()
 	r.KillController(l)
 	r.Advance(5 * time.Second)
 	r.StartController(l)
--- a/internal/simulator/close_questions_test.go
+++ b/internal/simulator/close_questions_test.go
@@ -18,20 +18,26 @@
 
 // changes are the ways in which one controller's work passes on to another, by name; each is given the leader.
 var changes = map[string]func(r *rolling, l int){
-	"killed":      inside["leader killed"],
-	"at once":     inside["leader back at once"],
-	"frozen":      inside["leader frozen"],
-	"drained":     inside["leader drained"],
-	"refused":     func(r *rolling, l int) { r.Refuse(l, true); r.After(6*time.Second, func() { r.Refuse(l, false) }) },
-	"cut off":     func(r *rolling, l int) { severFor(r.World, l, FromState|FromPeers, 6*time.Second) },
-	"all killed":  func(r *rolling, _ int) { killAll(r.World, 300*time.Millisecond) },
-	"watch stuck": func(r *rolling, l int) { r.Stick(l, true); r.After(12*time.Second, func() { r.Stick(l, false) }) },
+	"killed":  inside["leader killed"],
+	"at once": inside["leader back at once"],
+	"frozen":  inside["leader frozen"],
+	"drained": inside["leader drained"],
+	"refused": func(r *rolling, l int) {
+		r.RefuseController(l, true)
+		r.After(6*time.Second, func() { r.RefuseController(l, false) })
+	},
+	"cut off":    func(r *rolling, l int) { cutLinksFor(r.Simulation, l, StateLink|PeerLinks, 6*time.Second) },
+	"all killed": func(r *rolling, _ int) { killAll(r.Simulation, 300*time.Millisecond) },
+	"watch stuck": func(r *rolling, l int) {
+		r.StallWatches(l, true)
+		r.After(12*time.Second, func() { r.StallWatches(l, false) })
+	},
 }
 
-func killAll(w *World, back time.Duration) {
-	for i := range w.Controllers() {
-		w.KillController(i)
-		w.After(back+time.Duration(i)*200*time.Millisecond, func() { w.StartController(i) })
+func killAll(sim *Simulation, back time.Duration) {
+	for i := range sim.Controllers() {
+		sim.KillController(i)
+		sim.After(back+time.Duration(i)*200*time.Millisecond, func() { sim.StartController(i) })
 	}
 }
 
@@ -41,13 +47,13 @@
 func TestLookedAtClosely(t *testing.T) {
 	meets := map[string]func(r *rolling){
 		"nothing":      func(*rolling) {},
-		"lost answers": func(r *rolling) { r.LoseAnswers(0.2) },
-		"late writes":  func(r *rolling) { r.LateWrites(0.15, 300*time.Millisecond, 3*time.Second) },
-		"slow state":   func(r *rolling) { r.SlowState(5*time.Millisecond, 700*time.Millisecond) },
+		"lost answers": func(r *rolling) { r.LoseTxnAnswers(0.2) },
+		"late writes":  func(r *rolling) { r.DelayWrites(0.15, 300*time.Millisecond, 3*time.Second) },
+		"slow state":   func(r *rolling) { r.DelayStateAnswers(5*time.Millisecond, 700*time.Millisecond) },
 		"changes": func(r *rolling) {
 			for i, how := range []string{"killed", "drained", "refused", "frozen"} {
 				r.After(time.Duration(2+7*i)*time.Second, func() {
-					if l, _ := r.World.Leader(); l >= 0 {
+					if l, _ := r.Simulation.Leader(); l >= 0 {
 						changes[how](r, l)
 					}
 				})
@@ -55,7 +61,9 @@
 		},
 		"watches stick": func(r *rolling) {
 			for i := range r.Controllers() {
-				r.After(time.Duration(4*i)*time.Second, func() { during(4*time.Second, func(w *World, on bool) { w.Stick(i, on) })(r.World) })
+				r.After(time.Duration(4*i)*time.Second, func() {
+					during(4*time.Second, func(sim *Simulation, on bool) { sim.StallWatches(i, on) })(r.Simulation)
+				})
 			}
 		},
 	}
@@ -64,21 +72,21 @@
 			t.Run(fmt.Sprint(what, " ", controllers), func(t *testing.T) {
 				t.Parallel()
 				r, _ := met(t, 301, controllers, 8)
-				r.CloseLooks(true)
-				r.CancelAtEnd(0.3)
-				r.OddRequests(true)
+				r.SetPollBursts(true)
+				r.CancelAtCompletion(0.3)
+				r.SetOddRequests(true)
 				f(r)
 				r.load(24 * time.Second)
 				for k := range 8 {
 					r.After(time.Duration(2+2*k)*time.Second, func() { r.cancelAt(r.users[k], k%controllers) })
 				}
 				r.Advance(32 * time.Second)
-				r.LoseAnswers(0)
-				r.LateWrites(0, 0, 0)
-				r.SlowState(0, 0)
+				r.LoseTxnAnswers(0)
+				r.DelayWrites(0, 0, 0)
+				r.DelayStateAnswers(0, 0)
 				r.Advance(5 * time.Second)
 				r.settled()
-				if s := r.Stats(); s.CloseLooks < 40 || s.Odd < 60 || s.Refused < 10 || s.CalledOff < 4 {
+				if s := r.Stats(); s.PollBursts < 40 || s.OddRequests < 60 || s.OddRequestsRefused < 10 || s.JobsCancelled < 4 {
 					t.Errorf("hardly anybody looked: %+v", s)
 				}
 			})
@@ -94,15 +102,15 @@
 			t.Run(fmt.Sprint(share, " ", controllers), func(t *testing.T) {
 				t.Parallel()
 				r, _ := met(t, 302, controllers, 12)
-				r.CloseLooks(true)
+				r.SetPollBursts(true)
 				r.load(30 * time.Second)
-				r.LoseAnswers(share)
+				r.LoseTxnAnswers(share)
 				for k := range 10 {
 					r.After(time.Duration(1+2*k)*time.Second, func() { r.cancelAt(r.users[k], k%controllers) })
 				}
 				for i, how := range []string{"killed", "drained", "all killed", "at once"} {
 					r.After(time.Duration(3+7*i)*time.Second, func() {
-						if l, _ := r.World.Leader(); l >= 0 {
+						if l, _ := r.Simulation.Leader(); l >= 0 {
 							changes[how](r, l)
 						}
 					})
@@ -111,7 +119,7 @@
 				if n := r.Stats().LostAnswers; n < 20 {
 					t.Errorf("%d answers were lost", n)
 				}
-				r.LoseAnswers(0)
+				r.LoseTxnAnswers(0)
 				r.Advance(5 * time.Second)
 				r.settled()
 			})
@@ -123,10 +131,10 @@
 func (r *rolling) used(team string) (cpus float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.machines {
-		for _, k := range m.tasks {
-			if !m.dead && k.counted && k.spec.Team == team {
-				cpus += k.spec.CPUs
+	for _, machine := range r.machines {
+		for _, task := range machine.tasks {
+			if !machine.dead && task.counted && task.spec.Team == team {
+				cpus += task.spec.CPUs
 			}
 		}
 	}
@@ -137,10 +145,14 @@
 // more, and the lead passes: what may still run counts, and no longer than that.
 func TestEveryTeamAtItsLimit(t *testing.T) {
 	outs := map[string]func(r *rolling, zone string, duration time.Duration){
-		"cut":  func(r *rolling, zone string, duration time.Duration) { cutFor(Lost)(duration, 0, zone)(r.World) },
-		"held": func(r *rolling, zone string, duration time.Duration) { cutFor(Held)(duration, 0, zone)(r.World) },
-		"deaf": func(r *rolling, zone string, duration time.Duration) { r.Deafen(9, zone, duration) },
-		"shut": func(r *rolling, zone string, duration time.Duration) { r.Shut(9, zone, duration) },
+		"cut": func(r *rolling, zone string, duration time.Duration) {
+			partitionFault(DropBoth)(duration, 0, zone)(r.Simulation)
+		},
+		"held": func(r *rolling, zone string, duration time.Duration) {
+			partitionFault(DelayBoth)(duration, 0, zone)(r.Simulation)
+		},
+		"deaf": func(r *rolling, zone string, duration time.Duration) { r.DropInbound(9, zone, duration) },
+		"shut": func(r *rolling, zone string, duration time.Duration) { r.RefuseOutbound(9, zone, duration) },
 		"hang": func(*rolling, string, time.Duration) {},
 	}
 	for what, out := range outs {
@@ -159,11 +171,11 @@
 					if what == "hang" {
 						hang = duration
 					}
-					if n := len(r.CancelNow(16, hang)); n < 12 {
+					if n := len(r.CancelRunning(16, hang)); n < 12 {
 						t.Errorf("%d jobs were called off", n)
 					}
 					r.After(250*time.Millisecond, func() { changes[how](r, l) })
-					r.After(duration/2, func() { r.CancelNow(8, 0) })
+					r.After(duration/2, func() { r.CancelRunning(8, 0) })
 					r.Advance(duration + 4*time.Second)
 					r.settled()
 				})
@@ -182,7 +194,7 @@
 				r, _ := met(t, 304, controllers, 40)
 				r.load(12 * time.Second)
 				l := r.led()
-				r.CloseLooks(true)
+				r.SetPollBursts(true)
 				for k := range 40 {
 					r.After(time.Duration(100*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+k)%controllers) })
 				}
@@ -198,9 +210,9 @@
 // plan doesn't name, and nothing twice.
 func TestBootsAtOnce(t *testing.T) {
 	lag := map[string]func(r *rolling){
-		"late":  func(r *rolling) { r.LateWrites(0.35, 500*time.Millisecond, 4*time.Second) },
-		"slow":  func(r *rolling) { r.SlowState(100*time.Millisecond, 1500*time.Millisecond) },
-		"lost":  func(r *rolling) { r.LoseAnswers(0.5) },
+		"late":  func(r *rolling) { r.DelayWrites(0.35, 500*time.Millisecond, 4*time.Second) },
+		"slow":  func(r *rolling) { r.DelayStateAnswers(100*time.Millisecond, 1500*time.Millisecond) },
+		"lost":  func(r *rolling) { r.LoseTxnAnswers(0.5) },
 		"never": func(r *rolling) { r.neverPlans() },
 	}
 	for what, f := range lag {
@@ -208,7 +220,7 @@
 			t.Run(what+" "+how, func(t *testing.T) {
 				t.Parallel()
 				r, _ := met(t, 305, 3, 24)
-				r.Boots(0.01, 0)
+				r.SetBootFault(0.01, 0)
 				f(r)
 				for range 3 {
 					for range 5 {
@@ -218,16 +230,16 @@
 						r.give(100+len(r.users)+k, 5)
 					}
 					r.Advance(1200 * time.Millisecond)
-					if l, _ := r.World.Leader(); l >= 0 {
+					if l, _ := r.Simulation.Leader(); l >= 0 {
 						changes[how](r, l)
 					}
 					r.Advance(7 * time.Second)
 				}
-				r.Boots(0, 0)
-				r.LateWrites(0, 0, 0)
-				r.SlowState(0, 0)
-				r.LoseAnswers(0)
-				r.Watch(nil)
+				r.SetBootFault(0, 0)
+				r.DelayWrites(0, 0, 0)
+				r.DelayStateAnswers(0, 0)
+				r.LoseTxnAnswers(0)
+				r.InterceptTxns(nil)
 				r.Advance(5 * time.Second)
 				r.settled()
 			})
@@ -238,17 +250,17 @@
 // neverPlans lets every third write of plans get no answer: it is never carried out, or late.
 func (r *rolling) neverPlans() {
 	n := 0
-	r.Watch(func(_ int, txn store.Txn) Fate {
+	r.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
 		if !slices.ContainsFunc(txn.Then, func(o store.Op) bool { return len(o.Put) > 1 && o.Put[:2] == jobs.PlanPrefix[:2] }) {
-			return Fate{}
+			return TxnOutcome{}
 		}
 		switch n++; n % 6 {
 		case 0:
-			return Fate{Never: true}
+			return TxnOutcome{Dropped: true}
 		case 3:
-			return Fate{Later: 2500 * time.Millisecond}
+			return TxnOutcome{Delay: 2500 * time.Millisecond}
 		}
-		return Fate{}
+		return TxnOutcome{}
 	})
 }
 
@@ -257,10 +269,13 @@
 func TestOldReportsAsALeaderBegins(t *testing.T) {
 	meets := map[string]func(r *rolling){
 		"nothing":  func(*rolling) {},
-		"sessions": func(r *rolling) { r.Deafen(4, "", 7*time.Second); r.Shut(4, "", 7*time.Second) },
-		"lives":    func(r *rolling) { r.Rebirth("", 200*time.Millisecond); r.Rebirth("", 900*time.Millisecond) },
-		"ends":     func(r *rolling) { r.CrashTask(); r.KillMachine(); r.Notice(time.Second) },
-		"cancel":   func(r *rolling) { r.CancelNow(4, 3*time.Second) },
+		"sessions": func(r *rolling) { r.DropInbound(4, "", 7*time.Second); r.RefuseOutbound(4, "", 7*time.Second) },
+		"lives": func(r *rolling) {
+			r.RestartMachine("", 200*time.Millisecond)
+			r.RestartMachine("", 900*time.Millisecond)
+		},
+		"ends":   func(r *rolling) { r.CrashTask(); r.KillMachine(); r.ReclaimSpotMachine(time.Second) },
+		"cancel": func(r *rolling) { r.CancelRunning(4, 3*time.Second) },
 	}
 	for what, f := range meets {
 		for _, how := range []string{"killed", "drained", "all killed", "cut off"} {
@@ -268,17 +283,17 @@
 				t.Parallel()
 				r, _ := met(t, 306, 3, 20)
 				r.load(40 * time.Second)
-				r.KeepCopies(0.6)
+				r.ReplayHeartbeats(0.6)
 				for range 5 {
 					f(r)
 					r.Advance(3 * time.Second)
-					if l, _ := r.World.Leader(); l >= 0 {
+					if l, _ := r.Simulation.Leader(); l >= 0 {
 						changes[how](r, l)
 					}
 					r.Advance(6 * time.Second)
 				}
-				r.KeepCopies(0)
-				if n := r.Stats().Kept; n < 100 {
+				r.ReplayHeartbeats(0)
+				if n := r.Stats().HeartbeatsReplayed; n < 100 {
 					t.Errorf("%d copies were kept", n)
 				}
 				r.Advance(6 * time.Second)
@@ -295,17 +310,17 @@
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			t.Parallel()
 			types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
-			w, err := Simulated(Config{
-				Seed: 307, Machines: 12, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: tight,
+			sim, err := NewVirtualTime(Config{
+				Seed: 307, MaxMachines: 12, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, TickInterval: 20 * time.Millisecond, Workers: tight,
 				State: config.State{RPS: 120, WriteRPS: 30, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 			}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(307, 43))}
+			r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(307, 43))}
 			r.watch()
 			r.led()
-			r.CloseLooks(true)
+			r.SetPollBursts(true)
 			tries, latest := 0, time.Duration(0)
 			const n = 600
 			for i := range n {
@@ -314,7 +329,7 @@
 						ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1,
 						Image: "i", ImageGB: 0.5, EstimateS: 5, Spot: true,
 					}
-					u := &simUser{w: r.World, rng: r.rng, spec: spec}
+					u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 					r.users = append(r.users, u)
 					u.submit()
 					if i%4 == 0 {
@@ -333,11 +348,11 @@
 					r.After(50*time.Millisecond, look)
 				})
 			}
-			r.After(50*time.Second, func() { l := r.Leading(); changes["killed"](r, l[0]) })
-			r.After(100*time.Second, func() { l := r.Leading(); changes["drained"](r, l[0]) })
+			r.After(50*time.Second, func() { l := r.ActingLeaders(); changes["killed"](r, l[0]) })
+			r.After(100*time.Second, func() { l := r.ActingLeaders(); changes["drained"](r, l[0]) })
 			r.Advance(n * 250 * time.Millisecond)
 			r.settled()
-			waits := r.Waits("tiny")
+			waits := r.StartDelays("tiny")
 			slices.Sort(waits)
 			t.Logf("%d began, half within %v, 98%% within %v, the last after %v; the latest was accepted after %v", len(waits), waits[len(waits)/2], waits[len(waits)*98/100], waits[len(waits)-1], latest)
 			if len(waits) < n*3/4 || waits[len(waits)/2] > 2*time.Second || waits[len(waits)-1] > 30*time.Second || latest > 10*time.Second {
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -15,77 +15,81 @@
 
 // Cluster is the world's controllers as processes of the operating system.
 type Cluster struct {
-	w     *World
-	dir   string
-	progs []program // by controller
-	mu    sync.Mutex
-	proc  []*exec.Cmd
-
-	operator bool // there are operators' settings
-	// Secure are free addresses, one for each controller: {tls} in its operators' settings; Debug likewise: {debug}.
-	Secure, Debug []string
-	// Kills counts the controllers that were killed.
-	Kills int
+	simulation *Simulation
+	dir        string
+	programs   []program // by controller
+	mu         sync.Mutex
+	processes  []*exec.Cmd
+
+	hasOperatorSettings bool // there are operators' settings
+	// TLSAddrs are free addresses, one for each controller: {tls} in its operators' settings; Debug likewise: {debug}.
+	TLSAddrs, DebugAddrs []string
+	// Killed counts the controllers that were killed.
+	Killed int
 }
 
 // program is what a controller runs.
 type program struct{ argv, env []string }
 
-// Run prepares the controllers: each is argv with its settings file behind "--config", and env
+// NewCluster prepares the controllers: each is argv with its settings file behind "--config", and env
 // beside the environment. Files stand under dir; operator is the operators' HCL, "" for none.
-func (w *World) Run(dir, operator string, env []string, argv ...string) (*Cluster, error) {
-	c := &Cluster{w: w, dir: dir, proc: make([]*exec.Cmd, w.cfg.Controllers), progs: make([]program, w.cfg.Controllers)}
-	c.operator = operator != ""
-	for i := range c.proc {
-		c.Program(i, env, argv...)
-		for _, addrs := range []*[]string{&c.Secure, &c.Debug} {
+func (w *Simulation) NewCluster(dir, operator string, env []string, argv ...string) (*Cluster, error) {
+	cluster := &Cluster{simulation: w, dir: dir, processes: make([]*exec.Cmd, w.cfg.Controllers), programs: make([]program, w.cfg.Controllers)}
+	cluster.hasOperatorSettings = operator != ""
+	for i := range cluster.processes {
+		cluster.SetProgram(i, env, argv...)
+		for _, addrs := range []*[]string{&cluster.TLSAddrs, &cluster.DebugAddrs} {
 			addr, err := freePort()
 			if err != nil {
 				return nil, err
 			}
 			*addrs = append(*addrs, addr)
 		}
-		own := strings.NewReplacer("{tls}", c.Secure[i], "{debug}", c.Debug[i]).Replace(operator)
-		if err := os.WriteFile(c.own(i), []byte(own), 0o600); err != nil {
+		own := strings.NewReplacer("{tls}", cluster.TLSAddrs[i], "{debug}", cluster.DebugAddrs[i]).Replace(operator)
+		if err := os.WriteFile(cluster.operatorFile(i), []byte(own), 0o600); err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(c.settings(i), w.Settings(i), 0o600); err != nil {
+		if err := os.WriteFile(cluster.settingsFile(i), w.SettingsJSON(i), 0o600); err != nil {
 			return nil, err
 		}
 	}
-	return c, nil
+	return cluster, nil
 }
 
-// Program gives a controller another program, another build perhaps, from its next start on.
-func (c *Cluster) Program(i int, env []string, argv ...string) {
+// SetProgram gives a controller another program, another build perhaps, from its next start on.
+func (c *Cluster) SetProgram(i int, env []string, argv ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.progs[i] = program{argv, append(os.Environ(), env...)}
+	c.programs[i] = program{argv, append(os.Environ(), env...)}
 }
 
-// own is a controller's file of operators' settings.
-func (c *Cluster) own(i int) string { return filepath.Join(c.dir, fmt.Sprintf("operator-%d.hcl", i)) }
+// operatorFile is a controller's file of operators' settings.
+func (c *Cluster) operatorFile(i int) string {
+	return filepath.Join(c.dir, fmt.Sprintf("operator-%d.hcl", i))
+}
 
-func (c *Cluster) settings(i int) string { return filepath.Join(c.dir, fmt.Sprintf("node-%d.json", i)) }
+func (c *Cluster) settingsFile(i int) string {
+	return filepath.Join(c.dir, fmt.Sprintf("node-%d.json", i))
+}
 
-// Log is where a controller's output goes.
-func (c *Cluster) Log(i int) string { return filepath.Join(c.dir, fmt.Sprintf("node-%d.log", i)) }
+// LogFile is where a controller's output goes.
+func (c *Cluster) LogFile(i int) string { return filepath.Join(c.dir, fmt.Sprintf("node-%d.log", i)) }
 
 // Start starts a controller that does not run.
 func (c *Cluster) Start(i int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.proc[i] != nil {
+	if c.processes[i] != nil {
 		return nil
 	}
-	log, err := os.OpenFile(c.Log(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(c.LogFile(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	prog := c.progs[i]
-	args := append(append([]string{}, prog.argv[1:]...), "--config", c.settings(i))
-	if c.operator {
-		args = append(args, "--operator", c.own(i))
+	prog := c.programs[i]
+	args := append(append([]string{}, prog.argv[1:]...), "--config", c.settingsFile(i))
+	if c.hasOperatorSettings {
+		args = append(args, "--operator", c.operatorFile(i))
 	}
 	p := exec.Command(prog.argv[0], args...)
 	p.Env, p.Stderr, p.Stdout = prog.env, log, log
@@ -95,7 +99,7 @@
 		return err
 	}
 	_ = log.Close()
-	c.proc[i] = p
+	c.processes[i] = p
 	return nil
 }
 
@@ -103,11 +107,11 @@
 func (c *Cluster) Kill(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.proc[i]; p != nil {
+	if p := c.processes[i]; p != nil {
 		_ = p.Process.Kill()
 		_ = p.Wait()
-		c.proc[i] = nil
-		c.Kills++
+		c.processes[i] = nil
+		c.Killed++
 	}
 }
 
@@ -115,17 +119,17 @@
 func (c *Cluster) PID(i int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.proc[i] == nil {
+	if c.processes[i] == nil {
 		return 0
 	}
-	return c.proc[i].Process.Pid
+	return c.processes[i].Process.Pid
 }
 
-// Runs tells whether a controller has a process.
-func (c *Cluster) Runs(i int) bool {
+// Running tells whether a controller has a process.
+func (c *Cluster) Running(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.proc[i] != nil
+	return c.processes[i] != nil
 }
 
 // Signal sends a controller's process a signal and, if wait is not 0, waits so long for its
@@ -133,7 +137,7 @@
 func (c *Cluster) Signal(i int, s syscall.Signal, wait time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.proc[i]
+	p := c.processes[i]
 	if p == nil {
 		return -1
 	}
@@ -145,7 +149,7 @@
 	go func() { _ = p.Wait(); close(end) }()
 	select {
 	case <-end:
-		c.proc[i] = nil
+		c.processes[i] = nil
 		return p.ProcessState.ExitCode()
 	case <-time.After(wait):
 		return -1
@@ -154,18 +158,18 @@
 
 // Close kills all controllers.
 func (c *Cluster) Close() {
-	for i := range c.proc {
+	for i := range c.processes {
 		c.Kill(i)
 	}
 }
 
-// Ready waits until a controller says that it can take requests.
-func (c *Cluster) Ready(i int, wait time.Duration) error {
+// WaitReady waits until a controller says that it can take requests.
+func (c *Cluster) WaitReady(i int, wait time.Duration) error {
 	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if status, _, err := fasthttp.GetTimeout(nil, "http://"+c.w.Public(i)+"/up", time.Second); err == nil && status == 200 {
+		if status, _, err := fasthttp.GetTimeout(nil, "http://"+c.simulation.UserAddr(i)+"/up", time.Second); err == nil && status == 200 {
 			return nil
 		}
 	}
-	tail, _ := os.ReadFile(c.Log(i))
+	tail, _ := os.ReadFile(c.LogFile(i))
 	return fmt.Errorf("controller %d is not ready after %v; its log ends with: %s", i, wait, tail[max(0, len(tail)-2000):])
 }
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	r := s.cluster(t)
-	recorder := recordBehaviour(t, r.World, traceFile(t, s.name))
+	recorder := recordBehaviour(t, r.Simulation, traceFile(t, s.name))
 	r.Play(script, func(Fault) {})
 	if s.begin != nil {
 		s.begin(r)
@@ -46,7 +46,7 @@
 	if s.reached != nil {
 		s.reached(r)
 	}
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		t.Error(b)
 	}
 	d, err := recorder.end()
@@ -252,7 +252,7 @@
 		length:  90 * time.Second,
 		script: "10s copies 20s\n15s keep-copies 30s\n25s kill-leader 1s\n" +
 			"35s hold-orders 8s\n45s hold-answers 8s\n55s slow-links 8s\n",
-		begin: func(r *rolling) { r.Network(8*time.Millisecond, 0.01, 0.01, 5*time.Second) },
+		begin: func(r *rolling) { r.SetNetwork(8*time.Millisecond, 0.01, 0.01, 5*time.Second) },
 	},
 	{
 		name:    "stored by an earlier release",
@@ -263,8 +263,8 @@
 }
 
 func hasRisen(r *rolling) {
-	if r.Level() != rollout.Newest {
-		r.t.Errorf("level %d", r.Level())
+	if r.ClusterLevel() != rollout.Newest {
+		r.t.Errorf("level %d", r.ClusterLevel())
 	}
 }
 
@@ -274,7 +274,7 @@
 		ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
 		Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true,
 	}
-	(&simUser{w: r.World, rng: r.rng, spec: spec}).submit()
+	(&simUser{w: r.Simulation, rng: r.rng, spec: spec}).submit()
 }
 
 // wordAt gives the leader an operator's word about the rollout at a time.
@@ -285,8 +285,8 @@
 // askLeaderAt asks whoever leads at a time; nobody if no controller leads.
 func (r *rolling) askLeaderAt(at time.Duration, method, path, body string) {
 	r.After(at, func() {
-		if l, _ := r.World.Leader(); l >= 0 {
-			r.Ask(l, method, path, []byte(body), func(int, []byte) {})
+		if l, _ := r.Simulation.Leader(); l >= 0 {
+			r.Request(l, method, path, []byte(body), func(int, []byte) {})
 		}
 	})
 }
@@ -300,17 +300,17 @@
 
 // callLeader asks the leader what has no route for Ask; the answer comes at once, and a frozen leader gives none.
 func (r *rolling) callLeader(q api.LeaderRequest, then func(status int, body []byte)) {
-	l, _ := r.World.Leader()
-	if l < 0 || !r.Runs(l) {
+	l, _ := r.Simulation.Leader()
+	if l < 0 || !r.ControllerRuns(l) {
 		then(0, nil)
 		return
 	}
-	n := r.sim.nodes[l]
-	asked := request{from: or(q.Bearer, senderUser), method: q.Verb, path: q.Resource + "/" + q.Name, body: q.Body}
-	r.sim.sent(requestTo(n.s.Public, asked))
-	n.live(func() {
-		n.c.Call(q, func(status int, body []byte) {
-			r.sim.sent(answerFrom(n.s.Public, asked, status, body))
+	controller := r.virtual.controllers[l]
+	asked := httpRequest{sender: valueOr(q.Bearer, senderUser), method: q.Verb, path: q.Resource + "/" + q.Name, body: q.Body}
+	r.virtual.recordMessage(requestTo(controller.settings.Public, asked))
+	controller.whileRunning(func() {
+		controller.process.Call(q, func(status int, body []byte) {
+			r.virtual.recordMessage(answerFrom(controller.settings.Public, asked, status, body))
 			then(status, body)
 		})
 	})()
@@ -318,8 +318,8 @@
 
 // changeLicences changes how many seats the cluster may use, and then how many of the others outsiders hold.
 func changeLicences(r *rolling) {
-	r.After(45*time.Second, func() { r.Licences.Others("transcribe", 3) })
-	r.After(50*time.Second, func() { r.Licences.Others("transcribe", 0) })
+	r.After(45*time.Second, func() { r.Licences.SetForeignUse("transcribe", 3) })
+	r.After(50*time.Second, func() { r.Licences.SetForeignUse("transcribe", 0) })
 	r.licenceCallAt(20*time.Second, "set", `{"count":4,"lower":"stop","by":"test"}`)
 	r.licenceCallAt(55*time.Second, "set", `{"count":9,"by":"test"}`)
 	r.licenceCallAt(60*time.Second, "show", "")
@@ -340,8 +340,8 @@
 			if body, _ = json.Marshal(u.spec); i%2 == 0 {
 				path, body = "/v2/runs/"+u.spec.ID+"/abort", []byte("{}")
 			}
-			r.Ask(i%r.Controllers(), "GET", "/v2/runs/"+u.spec.ID, nil, func(int, []byte) {})
-			r.Ask(i%r.Controllers(), "POST", path, body, func(int, []byte) {})
+			r.Request(i%r.Controllers(), "GET", "/v2/runs/"+u.spec.ID, nil, func(int, []byte) {})
+			r.Request(i%r.Controllers(), "POST", path, body, func(int, []byte) {})
 		}
 	}
 	r.After(45*time.Second, again)
@@ -362,7 +362,7 @@
 	} {
 		r.After(time.Duration(12+8*i)*time.Second, func() {
 			if c.Kind == "machine" {
-				c.Name = r.Busiest()
+				c.Name = r.BusiestMachine()
 			}
 			c.By = "test"
 			body, _ := json.Marshal(c)
@@ -380,11 +380,11 @@
 		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
 			delete(all, key) // of holds that have run out, and of machines that this world doesn't have
 		}
-		r := operatedCluster(t, Config{Seed: seed, Machines: 14, Stored: all}, "rollout { soak_s = 5 }\n")
+		r := operatedCluster(t, Config{Seed: seed, MaxMachines: 14, InitialKeys: all}, "rollout { soak_s = 5 }\n")
 		for key, raw := range all {
 			var rec jobs.Record
 			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &rec) == nil && rec.Spec != nil {
-				r.Know(rec.Spec)
+				r.AddJob(rec.Spec)
 			}
 		}
 		return r
@@ -394,15 +394,15 @@
 // operatedCluster is a cluster with operators' settings beside those of licences and the archive.
 func operatedCluster(t *testing.T, cfg Config, settings string) *rolling {
 	t.Helper()
-	cfg.Pools, cfg.Step = map[string]int{"transcribe": 12}, 20*time.Millisecond
+	cfg.LicencePools, cfg.TickInterval = map[string]int{"transcribe": 12}, 20*time.Millisecond
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
-	w, err := Simulated(cfg, func(s *config.Settings) error {
+	sim, err := NewVirtualTime(cfg, func(s *config.Settings) error {
 		return s.ReadOperator("o.hcl", []byte(chaosPools+settings))
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(cfg.Seed, 41))}
+	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(cfg.Seed, 41))}
 	r.watch()
 	return r
 }
@@ -421,7 +421,9 @@
 `
 
 func sessionCluster(seed uint64) func(t *testing.T) *rolling {
-	return func(t *testing.T) *rolling { return operatedCluster(t, Config{Seed: seed, Machines: 3}, sessionPolicy) }
+	return func(t *testing.T) *rolling {
+		return operatedCluster(t, Config{Seed: seed, MaxMachines: 3}, sessionPolicy)
+	}
 }
 
 // simSession is an interactive session in simulated time, with its agent.
@@ -441,16 +443,16 @@
 			ID: fmt.Sprintf("req-%06d", 900+i), Class: "notebook", Team: "red", Kind: jobs.Service,
 			Priority: "standard", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "n", ImageGB: 1,
 		}
-		r.Know(spec)
+		r.AddJob(spec)
 		s := &simSession{r: r, InteractiveSession: &InteractiveSession{
-			Spec: spec, User: fmt.Sprint("u", i%2), w: r.World,
-			token: "user-" + spec.ID, agent: "agent-" + spec.ID, saves: map[string]int{},
+			Spec: spec, User: fmt.Sprint("u", i%2), simulation: r.Simulation,
+			userToken: "user-" + spec.ID, agentToken: "agent-" + spec.ID, savedSteps: map[string]int{},
 		}}
 		r.sessions = append(r.sessions, s)
 		r.After(time.Duration(5+2*i)*time.Second, s.open)
 		r.After(time.Duration(12+4*i)*time.Second, s.work)
-		r.After(time.Duration(36+3*i)*time.Second, func() { s.call("attach", s.token, []byte("{}"), func(int, []byte) {}) })
-		r.After(time.Duration(60+3*i)*time.Second, func() { s.call("close", s.token, []byte("{}"), func(int, []byte) {}) })
+		r.After(time.Duration(36+3*i)*time.Second, func() { s.call("attach", s.userToken, []byte("{}"), func(int, []byte) {}) })
+		r.After(time.Duration(60+3*i)*time.Second, func() { s.call("close", s.userToken, []byte("{}"), func(int, []byte) {}) })
 	}
 	r.After(30*time.Second, func() { r.sessions[0].call("show", "", nil, func(int, []byte) {}) })
 	r.After(31*time.Second, func() { r.sessions[0].call("explain", "", nil, func(int, []byte) {}) })
@@ -472,7 +474,7 @@
 
 // open asks for the session until it is opened, and starts its agent.
 func (s *simSession) open() {
-	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.opening()}, func(status int, _ []byte) {
+	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.openRequest()}, func(status int, _ []byte) {
 		if status != 200 && status != 201 {
 			s.r.After(time.Second, s.open)
 			return
@@ -484,38 +486,38 @@
 // work is ten inputs, a second apart, and a cell at the end.
 func (s *simSession) work() {
 	for i := range 10 {
-		s.r.After(time.Duration(i)*time.Second, func() { s.Use() })
+		s.r.After(time.Duration(i)*time.Second, func() { s.Input() })
 	}
-	s.r.After(10*time.Second, func() { s.Cell(3 * time.Second) })
+	s.r.After(10*time.Second, func() { s.RunCell(3 * time.Second) })
 }
 
 // talk is the agent: it reports as long as a process of the session runs.
 func (s *simSession) talk() {
 	s.r.After(agentEvery, s.talk)
-	k := s.process()
-	if k == nil {
+	task := s.process()
+	if task == nil {
 		return
 	}
-	if k.attempt != s.attempt {
-		s.reset(s.r.Now(), k.attempt)
+	if task.attempt != s.attempt {
+		s.reset(s.r.Now(), task.attempt)
 	}
 	s.seq++
 	report := s.report(s.r.Now(), s.seq)
 	raw, _ := json.Marshal(report)
-	s.call("report", s.agent, raw, func(status int, body []byte) {
+	s.call("report", s.agentToken, raw, func(status int, body []byte) {
 		var o sessions.Order
 		if status == 200 && json.Unmarshal(body, &o) == nil {
-			s.told(s.r.Now(), k, report, o)
+			s.applyOrder(s.r.Now(), task, report, o)
 		}
 	})
 }
 
 // process is the session's task that runs, nil if there is none.
-func (s *simSession) process() *task {
-	for _, m := range s.r.machines {
-		for _, k := range m.tasks {
-			if !m.dead && k.spec.ID == s.Spec.ID && k.state == running {
-				return k
+func (s *simSession) process() *workerTask {
+	for _, machine := range s.r.machines {
+		for _, task := range machine.tasks {
+			if !machine.dead && task.spec.ID == s.Spec.ID && task.state == taskRunning {
+				return task
 			}
 		}
 	}
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -43,27 +43,27 @@
 
 // behaviourRecorder writes what passes the edges of a simulation, in its order, into a hash and a log.
 type behaviourRecorder struct {
-	world *World
+	world *Simulation
 	hash  *xxhash.Digest
 	log   *bufio.Writer
 	seen  behaviourDigest
 }
 
 // recordBehaviour records a simulation that has not begun yet. The log may be io.Discard.
-func recordBehaviour(t *testing.T, w *World, log io.Writer) *behaviourRecorder {
+func recordBehaviour(t *testing.T, sim *Simulation, log io.Writer) *behaviourRecorder {
 	t.Helper()
-	if w.Now() != 0 {
-		t.Fatalf("the recorder comes %v too late", w.Now())
+	if sim.Now() != 0 {
+		t.Fatalf("the recorder comes %v too late", sim.Now())
 	}
-	r := &behaviourRecorder{world: w, hash: xxhash.New(), log: bufio.NewWriter(log)}
-	w.sim.record = r.message
-	w.svc.Changed = r.change
+	r := &behaviourRecorder{world: sim, hash: xxhash.New(), log: bufio.NewWriter(log)}
+	sim.virtual.recorder = r.message
+	sim.stateService.Changed = r.change
 	return r
 }
 
 // message records a message. Two things are sorted, for controllers send them in the order of a map: the counts of a
 // status, and halts next to each other. JSON objects need nothing, for encoding/json sorts the keys of maps.
-func (r *behaviourRecorder) message(t transmission) {
+func (r *behaviourRecorder) message(t message) {
 	r.seen.Messages++
 	if t.kind == kindStatus {
 		t.body = normalStatus(t.body)
@@ -140,7 +140,7 @@
 
 // end is the digest of what was recorded.
 func (r *behaviourRecorder) end() (behaviourDigest, error) {
-	r.world.sim.record, r.world.svc.Changed = nil, nil
+	r.world.virtual.recorder, r.world.stateService.Changed = nil, nil
 	r.seen.Digest = fmt.Sprintf("%016x", r.hash.Sum64())
 	return r.seen, r.log.Flush()
 }
--- a/internal/simulator/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -14,7 +14,7 @@
 
 // document is the operators' document as it is stored.
 func (r *rolling) document() (w drain.Document) {
-	_ = json.Unmarshal(r.Key(drain.DocumentKey).Value, &w)
+	_ = json.Unmarshal(r.StoredItem(drain.DocumentKey).Value, &w)
 	return w
 }
 
@@ -22,7 +22,7 @@
 func (r *rolling) drainMachine(op, name string) (status int) {
 	r.t.Helper()
 	body := fmt.Sprintf(`{"op":%q,"kind":"machine","name":%q,"by":"test"}`, op, name)
-	r.Ask(r.led(), "POST", "/v2/admin", []byte(body), func(s int, _ []byte) { status = s })
+	r.Request(r.led(), "POST", "/v2/admin", []byte(body), func(s int, _ []byte) { status = s })
 	r.reach("the answer to "+op, 5*time.Second, func() bool { return status != 0 })
 	return status
 }
@@ -31,7 +31,7 @@
 func (r *rolling) machineNames(n int) (names []string) {
 	seen := map[string]bool{}
 	for end := r.Now() + time.Minute; len(names) < n && r.Now() < end; r.Advance(200 * time.Millisecond) {
-		if m := r.Busiest(); m != "" && !seen[m] {
+		if m := r.BusiestMachine(); m != "" && !seen[m] {
 			seen[m] = true
 			names = append(names, m)
 		}
@@ -52,7 +52,7 @@
 				old.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
 			}
 			raw, _ := json.Marshal(old)
-			r.Store(store.Op{Put: drain.DocumentKey, Value: raw})
+			r.WriteKeys(store.Op{Put: drain.DocumentKey, Value: raw})
 			r.load(100 * time.Second)
 			r.Advance(20 * time.Second)
 			names := r.machineNames(2)
@@ -62,35 +62,35 @@
 			if s := r.drainMachine("drain", names[0]); s != 200 {
 				t.Fatalf("status %d", s)
 			}
-			if r.Keys(drain.MachinePrefix) > 0 || len(r.document().Machines) != unknown+1 {
-				t.Fatalf("%d keys before the level, %d in the document", r.Keys(drain.MachinePrefix), len(r.document().Machines))
+			if r.CountKeys(drain.MachinePrefix) > 0 || len(r.document().Machines) != unknown+1 {
+				t.Fatalf("%d keys before the level, %d in the document", r.CountKeys(drain.MachinePrefix), len(r.document().Machines))
 			}
 			rolled := false
-			r.Roll(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
-			for !rolled || r.Level() < rollout.DrainKeys {
-				if r.Level() < rollout.DrainKeys && r.Keys(drain.MachinePrefix) > 0 {
+			r.RollingRestart(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
+			for !rolled || r.ClusterLevel() < rollout.DrainKeys {
+				if r.ClusterLevel() < rollout.DrainKeys && r.CountKeys(drain.MachinePrefix) > 0 {
 					t.Fatal("a request has a key before the level")
 				}
 				r.Advance(100 * time.Millisecond)
 			}
 			switch how {
 			case "leader killed":
-				r.reach("begun", 20*time.Second, func() bool { return r.Keys(drain.MachinePrefix) > 0 })
+				r.reach("begun", 20*time.Second, func() bool { return r.CountKeys(drain.MachinePrefix) > 0 })
 				l := r.led()
 				r.KillController(l)
 				r.Advance(8 * time.Second)
 				r.StartController(l)
 			case "answers lost":
-				r.LoseAnswers(0.3)
-				r.After(10*time.Second, func() { r.LoseAnswers(0) })
+				r.LoseTxnAnswers(0.3)
+				r.After(10*time.Second, func() { r.LoseTxnAnswers(0) })
 			case "limits shrink": // the document as it stands is larger than any value that is taken now
-				if n := len(r.Key(drain.DocumentKey).Value); n < 2<<10 {
+				if n := len(r.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
 					t.Fatalf("a document of %d bytes", n)
 				}
-				r.Shrink(1.5, 5, 20)
+				r.LowerStateLimits(1.5, 5, 20)
 			case "late writes":
-				r.LateWrites(0.3, 500*time.Millisecond, 4*time.Second)
-				r.After(20*time.Second, func() { r.LateWrites(0, 0, 0) })
+				r.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
+				r.After(20*time.Second, func() { r.DelayWrites(0, 0, 0) })
 			}
 			r.reach("migrated", 2*time.Minute, r.migrated)
 			if n := len(r.document().Machines); n > 0 {
@@ -98,20 +98,20 @@
 			}
 			for name, m := range old.Machines {
 				var got drain.MachineRecord
-				err := json.Unmarshal(r.Key(drain.MachineKey(name)).Value, &got)
+				err := json.Unmarshal(r.StoredItem(drain.MachineKey(name)).Value, &got)
 				if err != nil || got.Request != m || got.Machine != name {
 					t.Errorf("%s: %+v, %v", name, got, err)
 				}
 			}
 			r.Advance(25 * time.Second) // answers come in time again
-			if s := r.drainMachine("undrain", "i-old-07"); s != 200 || r.Key(drain.MachineKey("i-old-07")).Version != 0 {
+			if s := r.drainMachine("undrain", "i-old-07"); s != 200 || r.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
 				t.Errorf("status %d, and the request still stands", s)
 			}
 			if s := r.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
 				t.Errorf("status %d", s)
 			}
 			r.reach("swept", 3*time.Minute, func() bool {
-				for key := range r.Stored(drain.MachinePrefix) {
+				for key := range r.StoredItems(drain.MachinePrefix) {
 					if !strings.Contains(key, "i-old-") {
 						return false
 					}
--- a/internal/simulator/fault_matrix_test.go
+++ b/internal/simulator/fault_matrix_test.go
@@ -54,10 +54,10 @@
 	}
 	line := func(at time.Duration, word string, duration time.Duration) string {
 		if word == "flap-zone" {
-			duration /= 2 * flaps // it lasts that many times as long as it is told
+			duration /= 2 * flapCount // it lasts that many times as long as it is told
 		}
 		s := at.String() + " " + word
-		for _, arg := range faults[word].args {
+		for _, arg := range faultKinds[word].args {
 			switch arg {
 			case 'n':
 				s += " " + strconv.Itoa(rng.IntN(3))
@@ -79,9 +79,9 @@
 // play plays a meeting and tells what went wrong, and how long the cancelled stayed at most.
 func (m meeting) play() (wrong []string, longest time.Duration) {
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
-	w, err := Simulated(Config{
-		Seed: m.seed, Machines: 10, Types: types, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond, Workers: tight, Uneven: true,
-		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+	sim, err := NewVirtualTime(Config{
+		Seed: m.seed, MaxMachines: 10, Types: types, Controllers: 3, Zones: []string{"a", "b", "c"}, TickInterval: 50 * time.Millisecond, Workers: tight, VariedRunTimes: true,
+		LicencePools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error {
@@ -94,58 +94,58 @@
 	if err != nil {
 		return []string{err.Error()}, 0
 	}
-	w.Play(script, func(Fault) {})
-	a := w.Balance().Watchers()
+	sim.Play(script, func(Fault) {})
+	pollers := sim.Balance().JobPollers()
 	rng := rand.New(rand.NewPCG(m.seed, 51))
 	var users []*simUser
 	for i := range m.jobs {
 		spec := drawJob(rng, i+1)
 		spec.EstimateS = 2 + 18*rng.Float64()
 		spec.Tasks = min(spec.Tasks, 4)
-		u := &simUser{w: w, rng: rand.New(rand.NewPCG(m.seed, uint64(100+i))), spec: spec}
+		u := &simUser{w: sim, rng: rand.New(rand.NewPCG(m.seed, uint64(100+i))), spec: spec}
 		users = append(users, u)
 		at := time.Duration(3000+rng.IntN(30000)) * time.Millisecond
-		w.After(at, u.submit)
+		sim.After(at, u.submit)
 		if rng.IntN(5) < 2 {
-			w.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, u.cancel)
+			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, u.cancel)
 		}
 		var follow func()
 		follow = func() {
 			if u.status == 200 || u.status == 201 {
-				a.Follow(spec.ID, nil)
+				pollers.Follow(spec.ID, nil)
 				return
 			}
-			w.After(time.Second, follow)
+			sim.After(time.Second, follow)
 		}
-		w.After(at, follow)
+		sim.After(at, follow)
 	}
-	w.watchActing()
+	sim.watchActing()
 	// The last trouble has ended by then.
 	healed := 12*time.Second + 4*seconds(tight.CancelS*1.5)
-	w.Advance(healed)
-	for i := range w.Controllers() {
-		w.StartController(i)
+	sim.Advance(healed)
+	for i := range sim.Controllers() {
+		sim.StartController(i)
 	}
-	for end := w.Now() + 3*time.Minute; w.Now() < end; w.Advance(2 * time.Second) {
+	for end := sim.Now() + 3*time.Minute; sim.Now() < end; sim.Advance(2 * time.Second) {
 		if !slices.ContainsFunc(users, func(u *simUser) bool { return len(u.told) < 4 }) {
 			break
 		}
 	}
-	wrong = w.Broken()
+	wrong = sim.Violations()
 	for _, u := range users {
 		if len(u.told) == 0 {
 			wrong = append(wrong, fmt.Sprintf("%s is not over (status %d)", u.spec.ID, u.status))
 		}
 	}
-	for _, n := range w.nodes() {
-		if w.Key("h/c/n/"+n).Version == 0 {
+	for _, n := range sim.nodeNames() {
+		if sim.StoredItem("h/c/n/"+n).Version == 0 {
 			wrong = append(wrong, n+" is there and has no member key")
 		}
 	}
-	if gap, job := a.Longest(healed, w.Now()); gap >= 75*time.Second {
+	if gap, job := pollers.LongestUnanswered(healed, sim.Now()); gap >= 75*time.Second {
 		wrong = append(wrong, fmt.Sprintf("no question about %s was answered for %v", job, gap))
 	}
-	return wrong, w.Stats().LongestCancelled
+	return wrong, sim.Stats().LongestRunAfterCancel
 }
 
 // shorten finds a smaller meeting that fails as well: with one fault, with fewer jobs.
@@ -180,8 +180,8 @@
 		}
 		return
 	}
-	words := make([]string, 0, len(faults))
-	for name := range faults {
+	words := make([]string, 0, len(faultKinds))
+	for name := range faultKinds {
 		words = append(words, name)
 	}
 	slices.Sort(words)
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -27,22 +27,22 @@
 func metOn(t *testing.T, seed uint64, controllers, n int, workers config.Workers) (*rolling, *Balancer) {
 	t.Helper()
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
-	w, err := Simulated(Config{
-		Seed: seed, Machines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Step: 20 * time.Millisecond, Workers: workers, Uneven: true,
-		Pools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
+	sim, err := NewVirtualTime(Config{
+		Seed: seed, MaxMachines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, TickInterval: 20 * time.Millisecond, Workers: workers, VariedRunTimes: true,
+		LicencePools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
 	},
 		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(seed, 43))}
+	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 43))}
 	r.watch()
-	b := r.Balance()
+	balancer := r.Balance()
 	for i := range n {
 		r.give(i, 20)
 	}
-	r.reach("working", 40*time.Second, func() bool { return n == 0 || r.Look().Running > n })
-	return r, b
+	r.reach("working", 40*time.Second, func() bool { return n == 0 || r.Utilization().Running > n })
+	return r, balancer
 }
 
 // give submits a long job: an array, a gang, or an array that saves.
@@ -66,7 +66,7 @@
 		spec.CheckpointS, spec.SaveS = 1, 1.5
 	}
 	change(spec)
-	u := &simUser{w: r.World, rng: r.rng, spec: spec}
+	u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 	r.users = append(r.users, u)
 	u.submit()
 	return u
@@ -75,12 +75,12 @@
 // cancelAt lets a user's cancellation go through one controller, and elsewhere if that doesn't take it.
 func (r *rolling) cancelAt(u *simUser, i int) {
 	u.asked = true
-	r.Ask(i, "POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, raw []byte) {
+	r.Request(i, "POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, raw []byte) {
 		switch {
 		case status != 200:
 			r.After(time.Second, u.cancel)
-		case stanceOf(raw) == "cancelled":
-			r.Cancelled(u.spec.ID)
+		case jobStateIn(raw) == "cancelled":
+			r.ConfirmCancelled(u.spec.ID)
 		}
 	})
 }
@@ -88,8 +88,8 @@
 // led names the controller that leads; one must.
 func (r *rolling) led() int {
 	r.t.Helper()
-	r.reach("led", 15*time.Second, func() bool { return len(r.Leading()) == 1 })
-	return r.Leading()[0]
+	r.reach("led", 15*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
+	return r.ActingLeaders()[0]
 }
 
 // settled lets everything heal, waits for the end of all jobs, and checks what must hold then.
@@ -98,16 +98,16 @@
 	for i := range r.Controllers() {
 		r.StartController(i)
 	}
-	beside := r.Healed()
+	beside := r.WatchIdleCapacity()
 	r.over()
-	for _, n := range r.nodes() {
-		if r.Key("h/c/n/"+n).Version == 0 {
+	for _, n := range r.nodeNames() {
+		if r.StoredItem("h/c/n/"+n).Version == 0 {
 			r.t.Errorf("%s is there and has no member key", n)
 		}
 	}
 	s := r.Stats()
 	longest, job := beside()
-	r.t.Logf("cancelled tasks stayed %v at most, of %v; %s waited %v beside room; %d tasks began after their cancellation, the latest %v", s.LongestCancelled, seconds(tight.CancelS), job, longest, s.AfterCancel, s.LatestAfterCancel)
+	r.t.Logf("cancelled tasks stayed %v at most, of %v; %s waited %v beside room; %d tasks began after their cancellation, the latest %v", s.LongestRunAfterCancel, seconds(tight.CancelS), job, longest, s.StartsAfterCancel, s.LatestStartAfterCancel)
 }
 
 // inside is what else goes on in a gap, by name; each is given the leader.
@@ -122,16 +122,19 @@
 	"leader drained": func(r *rolling, l int) { r.DrainController(l, func() { r.StartController(l) }) },
 	"machines hang": func(r *rolling, _ int) {
 		for range 6 {
-			r.Hang(5 * time.Second)
+			r.HangMachine(5 * time.Second)
 		}
 	},
-	"machines deaf": func(r *rolling, _ int) { r.Deafen(8, "", 9*time.Second) },
+	"machines deaf": func(r *rolling, _ int) { r.DropInbound(8, "", 9*time.Second) },
 	"commands held": func(r *rolling, _ int) {
-		r.HoldOrders(time.Second, 5*time.Second)
-		r.After(6*time.Second, func() { r.HoldOrders(0, 0) })
+		r.DelayCommands(time.Second, 5*time.Second)
+		r.After(6*time.Second, func() { r.DelayCommands(0, 0) })
 	},
-	"watches stick": func(r *rolling, l int) { r.Stick(l, true); r.After(20*time.Second, func() { r.Stick(l, false) }) },
-	"copies":        func(r *rolling, _ int) { r.Copies(0.4, 200*time.Millisecond, 20*time.Second) },
+	"watches stick": func(r *rolling, l int) {
+		r.StallWatches(l, true)
+		r.After(20*time.Second, func() { r.StallWatches(l, false) })
+	},
+	"copies": func(r *rolling, _ int) { r.DuplicateMessages(0.4, 200*time.Millisecond, 20*time.Second) },
 }
 
 // The gap: the state service refuses the leader alone, another controller confirms cancellations, then the service is down for
@@ -145,22 +148,22 @@
 				told := 0
 				for gap := range 2 {
 					l := r.led()
-					r.Refuse(l, true)
-					r.After(refused, func() { r.Refuse(l, false) })
+					r.RefuseController(l, true)
+					r.After(refused, func() { r.RefuseController(l, false) })
 					r.After(300*time.Millisecond, func() { f(r, l) })
 					for k := range 8 {
 						u := r.users[8*gap+k]
 						r.After(time.Duration(50+140*k)*time.Millisecond, func() { r.cancelAt(u, (l+1+k%2)%3) })
 					}
-					r.After(1100*time.Millisecond, func() { r.Outage(true) })
+					r.After(1100*time.Millisecond, func() { r.SetStateOutage(true) })
 					r.Advance(1100*time.Millisecond + seconds(1.2*tight.CancelS))
 					r.mu.Lock()
-					if len(r.told) < told+4 {
-						t.Errorf("gap %d: %d cancellations were confirmed", gap, len(r.told)-told)
+					if len(r.cancelledAt) < told+4 {
+						t.Errorf("gap %d: %d cancellations were confirmed", gap, len(r.cancelledAt)-told)
 					}
-					told = len(r.told)
+					told = len(r.cancelledAt)
 					r.mu.Unlock()
-					r.Outage(false)
+					r.SetStateOutage(false)
 					r.Advance(6 * time.Second)
 				}
 				r.settled()
@@ -175,18 +178,18 @@
 	for _, slow := range []bool{false, true} {
 		r, _ := met(t, 202, 3, 24)
 		l, from := r.led(), r.Now()
-		r.Stick(l, true)
+		r.StallWatches(l, true)
 		if slow {
-			r.SlowState(20*time.Millisecond, 900*time.Millisecond)
+			r.DelayStateAnswers(20*time.Millisecond, 900*time.Millisecond)
 		}
 		for k := range 12 {
 			r.After(time.Duration(100+300*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+1+k%2)%3) })
 		}
-		r.reach("led from elsewhere", 14*time.Second, func() bool { n, _ := r.World.Leader(); return n >= 0 && n != l })
+		r.reach("led from elsewhere", 14*time.Second, func() bool { n, _ := r.Simulation.Leader(); return n >= 0 && n != l })
 		t.Logf("led from elsewhere after %v", r.Now()-from)
 		r.Advance(10 * time.Second)
-		r.Stick(l, false)
-		r.SlowState(0, 0)
+		r.StallWatches(l, false)
+		r.DelayStateAnswers(0, 0)
 		r.settled()
 	}
 }
@@ -195,19 +198,19 @@
 func TestLostWatch(t *testing.T) {
 	r, _ := met(t, 203, 3, 6)
 	l := r.led()
-	_, term := r.World.Leader()
+	_, term := r.Simulation.Leader()
 	r.mu.Lock()
-	r.loseWatches = true
+	r.dropWatches = true
 	r.mu.Unlock()
 	r.Advance(1600 * time.Millisecond)
 	r.mu.Lock()
-	r.loseWatches = false
+	r.dropWatches = false
 	r.mu.Unlock()
 	r.Advance(10 * time.Second)
-	if n, now := r.World.Leader(); n != l || now != term {
+	if n, now := r.Simulation.Leader(); n != l || now != term {
 		t.Errorf("controller %d leads in term %d, it was %d in %d", n, now, l, term)
 	}
-	if len(r.Leading()) != 1 {
+	if len(r.ActingLeaders()) != 1 {
 		t.Error("nobody may act: the watch is waited for")
 	}
 	r.settled()
@@ -219,7 +222,7 @@
 	r, _ := met(t, 204, 3, 30)
 	l := r.led()
 	zone := r.elsewhere()
-	r.CutZone(zone, Refused)
+	r.PartitionZone(zone, RefuseBoth)
 	from := r.Now()
 	for k, u := range r.users {
 		r.After(time.Duration(20*k)*time.Millisecond, func() { r.cancelAt(u, (l+1+k%2)%3) })
@@ -229,19 +232,19 @@
 	r.After(30*time.Second, func() { r.StartController(l) })
 	old := map[string]uint64{}
 	r.mu.Lock()
-	for _, m := range r.up() {
-		old[m.Name] = m.token
+	for _, machine := range r.readyMachines() {
+		old[machine.Name] = machine.token
 	}
 	r.mu.Unlock()
 	r.Advance(5400*time.Millisecond - (r.Now() - from))
-	r.CutZone(zone, Whole)
+	r.PartitionZone(zone, Connected)
 	last := 0
 	for range 800 {
 		r.Advance(time.Millisecond)
 		r.mu.Lock()
-		for _, m := range r.up() {
-			if m.zone == zone && m.token > old[m.Name] && m.deafTill == 0 && old[m.Name] > 0 {
-				m.deafTill, m.muteTill = r.now()+40*time.Second, r.now()+40*time.Second
+		for _, machine := range r.readyMachines() {
+			if machine.zone == zone && machine.token > old[machine.Name] && machine.inboundLostUntil == 0 && old[machine.Name] > 0 {
+				machine.inboundLostUntil, machine.outboundLostUntil = r.now()+40*time.Second, r.now()+40*time.Second
 				last++
 			}
 		}
@@ -258,20 +261,20 @@
 func TestHeldUp(t *testing.T) {
 	const d = 12 * time.Second
 	hold := map[string]func(r *rolling, most time.Duration){
-		"commands": func(r *rolling, most time.Duration) { r.HoldOrders(most/4, most) },
-		"answers":  func(r *rolling, most time.Duration) { r.HoldAnswers(most/4, most) },
+		"commands": func(r *rolling, most time.Duration) { r.DelayCommands(most/4, most) },
+		"answers":  func(r *rolling, most time.Duration) { r.DelayHeartbeatAnswers(most/4, most) },
 		"both": func(r *rolling, most time.Duration) {
-			r.HoldOrders(most/4, most)
-			r.HoldAnswers(most/8, most/2)
+			r.DelayCommands(most/4, most)
+			r.DelayHeartbeatAnswers(most/8, most/2)
 		},
 	}
 	meets := map[string]func(r *rolling, k int){
 		"cancel": func(r *rolling, k int) { r.cancelAt(r.users[k], k%3) },
-		"move":   func(r *rolling, k int) { r.Notice(2 * time.Second); r.KillMachine() },
+		"move":   func(r *rolling, k int) { r.ReclaimSpotMachine(2 * time.Second); r.KillMachine() },
 		"takeover": func(r *rolling, k int) {
-			toLeader(time.Duration(100+k*300)*time.Millisecond, (*World).KillController)(r.World)
+			onLeader(time.Duration(100+k*300)*time.Millisecond, (*Simulation).KillController)(r.Simulation)
 		},
-		"session": func(r *rolling, k int) { r.Silence(3, "", 7*time.Second); r.Hang(7 * time.Second) },
+		"session": func(r *rolling, k int) { r.DropOutbound(3, "", 7*time.Second); r.HangMachine(7 * time.Second) },
 		"attempt": func(r *rolling, k int) { r.CrashTask(); r.CrashTask() },
 	}
 	for what, h := range hold {
@@ -286,8 +289,8 @@
 					r.After(time.Duration(k)*d/6+500*time.Millisecond, func() { f(r, k) })
 				}
 				r.Advance(d)
-				r.HoldOrders(0, 0)
-				r.HoldAnswers(0, 0)
+				r.DelayCommands(0, 0)
+				r.DelayHeartbeatAnswers(0, 0)
 				r.Advance(2 * time.Second)
 				r.settled()
 			})
@@ -299,14 +302,14 @@
 // than one, and more than cancel_s: what is on them counts until proof, teams' limits and zones of gangs included, and no longer.
 func TestLeaderEndsWhileMachinesAreOut(t *testing.T) {
 	ends := map[string]func(r *rolling, l int){"killed": inside["leader killed"], "frozen": inside["leader frozen"], "drained": inside["leader drained"]}
-	for how := Lost; how <= Mute; how++ {
+	for how := DropBoth; how <= DropOutOf; how++ {
 		for _, duration := range []time.Duration{3 * time.Second, 8 * time.Second, 16 * time.Second} {
 			for what, end := range ends {
 				t.Run(fmt.Sprint(how, " ", duration, " ", what), func(t *testing.T) {
 					r, _ := met(t, 206, 5, 30)
 					l, zone := r.led(), r.elsewhere()
-					r.CutZone(zone, how)
-					r.Deafen(3, "", duration)
+					r.PartitionZone(zone, how)
+					r.DropInbound(3, "", duration)
 					r.After(300*time.Millisecond, func() { end(r, l) })
 					for k := range 6 {
 						r.After(time.Duration(400*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+1)%5) })
@@ -315,7 +318,7 @@
 						r.give(100+k, 4)
 					}
 					r.Advance(duration)
-					r.CutZone(zone, Whole)
+					r.PartitionZone(zone, Connected)
 					r.Advance(time.Second)
 					r.settled()
 				})
@@ -330,9 +333,9 @@
 	for _, late := range []float64{0, 0.3} {
 		r, _ := met(t, 207, 3, 16)
 		r.load(40 * time.Second)
-		r.LateWrites(late, 500*time.Millisecond, 4*time.Second)
-		r.HoldOrders(50*time.Millisecond, 3*time.Second)
-		r.Copies(0.3, 100*time.Millisecond, 10*time.Second)
+		r.DelayWrites(late, 500*time.Millisecond, 4*time.Second)
+		r.DelayCommands(50*time.Millisecond, 3*time.Second)
+		r.DuplicateMessages(0.3, 100*time.Millisecond, 10*time.Second)
 		for round := range 9 {
 			l := r.led()
 			back := time.Duration(50+r.rng.IntN(900)) * time.Millisecond
@@ -350,15 +353,15 @@
 			}
 			r.Advance(back + 500*time.Millisecond)
 			from := r.Now()
-			r.reach("led", 16*time.Second, func() bool { return len(r.Leading()) == 1 })
+			r.reach("led", 16*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
 			if duration := r.Now() - from; late == 0 && duration > 6*time.Second {
 				t.Errorf("round %d: %v without a leader", round, duration)
 			}
 			r.Advance(time.Second)
 		}
-		r.LateWrites(0, 0, 0)
-		r.HoldOrders(0, 0)
-		r.Copies(0, 0, 0)
+		r.DelayWrites(0, 0, 0)
+		r.DelayCommands(0, 0)
+		r.DuplicateMessages(0, 0, 0)
 		r.Advance(5 * time.Second)
 		r.settled()
 	}
@@ -370,18 +373,18 @@
 	for seed := range uint64(4) {
 		r, _ := met(t, 210+seed, 3, 16)
 		r.load(50 * time.Second)
-		r.LateWrites([]float64{0.15, 0.4, 0.7}[seed%3], 500*time.Millisecond, []time.Duration{3 * time.Second, 6 * time.Second}[seed%2])
+		r.DelayWrites([]float64{0.15, 0.4, 0.7}[seed%3], 500*time.Millisecond, []time.Duration{3 * time.Second, 6 * time.Second}[seed%2])
 		for k := range 12 {
 			r.After(time.Duration(2+3*k)*time.Second, func() { r.cancelAt(r.users[k], k%3) })
 		}
-		r.After(12*time.Second, func() { toLeader(200*time.Millisecond, (*World).KillController)(r.World) })
-		r.After(24*time.Second, func() { toLeader(time.Second, drainNow)(r.World) })
-		r.After(36*time.Second, func() { toLeader(3*time.Second, (*World).KillController)(r.World) })
+		r.After(12*time.Second, func() { onLeader(200*time.Millisecond, (*Simulation).KillController)(r.Simulation) })
+		r.After(24*time.Second, func() { onLeader(time.Second, drainController)(r.Simulation) })
+		r.After(36*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(r.Simulation) })
 		r.Advance(50 * time.Second)
 		if n := r.Stats().LateWrites; n < 30 {
 			t.Errorf("%d writes were late", n)
 		}
-		r.LateWrites(0, 0, 0)
+		r.DelayWrites(0, 0, 0)
 		r.Advance(8 * time.Second)
 		r.settled()
 	}
@@ -393,17 +396,17 @@
 	for _, after := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 		r, _ := met(t, 214, 3, 6)
 		i, caught := (r.led()+1)%3, 0
-		key := "h/c/n/" + r.nodes()[i]
+		key := "h/c/n/" + r.nodeNames()[i]
 		r.KillController(i)
 		r.Advance(3 * time.Second)
-		r.Watch(func(from int, tx store.Txn) Fate {
+		r.InterceptTxns(func(from int, tx store.Txn) TxnOutcome {
 			if from == i && caught == 0 && slices.ContainsFunc(tx.Then, func(o store.Op) bool { return o.Put == key }) {
 				caught++
 				r.After(100*time.Millisecond, func() { r.KillController(i) })
 				r.After(150*time.Millisecond, func() { r.StartController(i) })
-				return Fate{Later: after}
+				return TxnOutcome{Delay: after}
 			}
-			return Fate{}
+			return TxnOutcome{}
 		})
 		r.StartController(i)
 		r.Advance(8 * time.Second)
@@ -411,10 +414,10 @@
 			t.Fatal("it did not register")
 		}
 		var v struct{ Hold uint64 }
-		if _ = json.Unmarshal(r.Key(key).Value, &v); v.Hold == 0 {
+		if _ = json.Unmarshal(r.StoredItem(key).Value, &v); v.Hold == 0 {
 			t.Errorf("%v: %s has no member key", after, key)
 		}
-		r.Watch(nil)
+		r.InterceptTxns(nil)
 		r.settled()
 	}
 }
@@ -425,11 +428,11 @@
 	for _, duration := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 25 * time.Second} {
 		for what, f := range inside {
 			t.Run(fmt.Sprint(duration, " ", what), func(t *testing.T) {
-				r, b := met(t, 215, 3, 24)
-				a := r.asked(b)
+				r, balancer := met(t, 215, 3, 24)
+				pollers := r.asked(balancer)
 				l := r.led()
-				r.Sever(l, FromState|FromPeers)
-				r.After(duration, func() { r.Sever(l, 0) })
+				r.CutLinks(l, StateLink|PeerLinks)
+				r.After(duration, func() { r.CutLinks(l, 0) })
 				r.After(700*time.Millisecond, func() { f(r, l) })
 				for k := range 14 {
 					r.After(time.Duration(100+450*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+1+k%2)%3) })
@@ -437,7 +440,7 @@
 				r.Advance(duration + 12*time.Second)
 				from := r.Now()
 				r.settled()
-				if gap, job := a.Longest(from, r.Now()); gap > 30*time.Second {
+				if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 30*time.Second {
 					t.Errorf("no question about %s was answered for %v", job, gap)
 				}
 			})
@@ -450,28 +453,28 @@
 func TestOldReports(t *testing.T) {
 	meets := map[string]func(r *rolling, k int){
 		"takeover": func(r *rolling, k int) {
-			toLeader(time.Duration(100+k*300)*time.Millisecond, (*World).KillController)(r.World)
+			onLeader(time.Duration(100+k*300)*time.Millisecond, (*Simulation).KillController)(r.Simulation)
 		},
-		"move":    func(r *rolling, k int) { r.KillMachine(); r.Notice(time.Second) },
+		"move":    func(r *rolling, k int) { r.KillMachine(); r.ReclaimSpotMachine(time.Second) },
 		"forget":  func(r *rolling, k int) { r.CrashTask(); r.cancelAt(r.users[k], k%3) },
-		"restart": func(r *rolling, k int) { r.Rebirth("", 200*time.Millisecond); r.Rebirth("", time.Second) },
-		"session": func(r *rolling, k int) { r.Deafen(4, "", 7*time.Second) },
-		"cut":     func(r *rolling, k int) { cutFor(Held)(2*time.Second, 0, "a")(r.World) },
+		"restart": func(r *rolling, k int) { r.RestartMachine("", 200*time.Millisecond); r.RestartMachine("", time.Second) },
+		"session": func(r *rolling, k int) { r.DropInbound(4, "", 7*time.Second) },
+		"cut":     func(r *rolling, k int) { partitionFault(DelayBoth)(2*time.Second, 0, "a")(r.Simulation) },
 	}
 	for what, f := range meets {
 		for _, most := range []time.Duration{3 * time.Second, 24 * time.Second} {
 			t.Run(fmt.Sprint(what, " ", most), func(t *testing.T) {
 				r, _ := met(t, 216, 3, 16)
 				r.load(24 * time.Second)
-				r.Copies(0.7, 100*time.Millisecond, most)
+				r.DuplicateMessages(0.7, 100*time.Millisecond, most)
 				for k := range 8 {
 					r.After(time.Duration(3*k)*time.Second, func() { f(r, k) })
 				}
 				r.Advance(25 * time.Second)
 				if what != "takeover" {
-					r.HoldAnswers(100*time.Millisecond, 2*time.Second)
+					r.DelayHeartbeatAnswers(100*time.Millisecond, 2*time.Second)
 					r.Advance(4 * time.Second)
-					r.HoldAnswers(0, 0)
+					r.DelayHeartbeatAnswers(0, 0)
 				}
 				r.settled()
 			})
@@ -483,27 +486,27 @@
 // and ask: nobody is told anything older or that there is no such job, and soon afterwards all are answered.
 func TestSlowThenGone(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 2200 * time.Millisecond} {
-		r, b := met(t, 217, 5, 24)
-		a := r.asked(b)
+		r, balancer := met(t, 217, 5, 24)
+		pollers := r.asked(balancer)
 		r.load(30 * time.Second)
-		r.SlowState(10*time.Millisecond, slow)
+		r.DelayStateAnswers(10*time.Millisecond, slow)
 		r.Advance(4 * time.Second)
-		if l, _ := r.World.Leader(); l >= 0 {
-			r.Refuse(l, true)
-			r.After(12*time.Second, func() { r.Refuse(l, false) })
+		if l, _ := r.Simulation.Leader(); l >= 0 {
+			r.RefuseController(l, true)
+			r.After(12*time.Second, func() { r.RefuseController(l, false) })
 		}
 		for k := range 14 {
 			r.After(time.Duration(250*k)*time.Millisecond, func() { r.cancelAt(r.users[k], k%5) })
 		}
 		r.Advance(3 * time.Second)
-		r.Outage(true)
+		r.SetStateOutage(true)
 		r.Advance(seconds(1.3 * tight.CancelS))
-		r.Outage(false)
+		r.SetStateOutage(false)
 		r.Advance(10 * time.Second)
-		r.SlowState(0, 0)
+		r.DelayStateAnswers(0, 0)
 		from := r.Now()
 		r.Advance(75 * time.Second)
-		if gap, job := a.Longest(from, r.Now()); gap > 30*time.Second {
+		if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 30*time.Second {
 			t.Errorf("%v: no question about %s was answered for %v", slow, job, gap)
 		}
 		r.settled()
@@ -519,7 +522,7 @@
 		t.Run(what, func(t *testing.T) {
 			r, _ := met(t, 218, 3, 0)
 			if what == "late writes" {
-				r.LateWrites(0.2, 500*time.Millisecond, 3*time.Second)
+				r.DelayWrites(0.2, 500*time.Millisecond, 3*time.Second)
 			}
 			done, stored, worst := map[string]time.Duration{}, map[string]bool{}, time.Duration(0)
 			for i := range 40 {
@@ -533,7 +536,7 @@
 						done[id] = r.Now()
 					}
 					var rec jobs.Record
-					if !stored[id] && json.Unmarshal(r.Key(jobs.RecordKey(id)).Value, &rec) == nil && rec.State == jobs.Done.String() {
+					if !stored[id] && json.Unmarshal(r.StoredItem(jobs.RecordKey(id)).Value, &rec) == nil && rec.State == jobs.Done.String() {
 						stored[id] = true
 						worst = max(worst, r.Now()-done[id])
 					}
@@ -546,10 +549,10 @@
 				f(r, r.led())
 			}
 			r.Advance(6 * time.Second)
-			r.LateWrites(0, 0, 0)
+			r.DelayWrites(0, 0, 0)
 			r.settled()
 			s := r.Stats()
-			t.Logf("done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again", worst, s.LeaseEnds, s.Again)
+			t.Logf("done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again", worst, s.WorkerLeasesExpired, s.TasksRerun)
 			most := 8 * time.Second
 			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
 				most = 14 * time.Second
@@ -557,8 +560,8 @@
 			if worst > most {
 				t.Errorf("that a job is done was durable %v after its last task had ended", worst)
 			}
-			if s.Again > 0 && s.LeaseEnds == 0 {
-				t.Errorf("%d tasks began again though they were done", s.Again)
+			if s.TasksRerun > 0 && s.WorkerLeasesExpired == 0 {
+				t.Errorf("%d tasks began again though they were done", s.TasksRerun)
 			}
 		})
 	}
--- a/internal/simulator/further_meetings_test.go
+++ b/internal/simulator/further_meetings_test.go
@@ -19,8 +19,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range names {
-		for _, k := range r.byName[name].tasks {
-			if k.given >= since {
+		for _, task := range r.machineByName[name].tasks {
+			if task.launchedAt >= since {
 				n++
 			}
 		}
@@ -58,9 +58,9 @@
 			if c.zone {
 				zone = r.elsewhere()
 			}
-			names := r.Shut(c.n, zone, c.d)
+			names := r.RefuseOutbound(c.n, zone, c.d)
 			from := r.Now()
-			r.After(time.Second, func() { r.CancelNow(6, 0) })
+			r.After(time.Second, func() { r.CancelRunning(6, 0) })
 			if c.how != "" {
 				r.After(2*time.Second, func() { changes[c.how](r, l) })
 			}
@@ -91,11 +91,11 @@
 				r.After(time.Duration(i)*700*time.Millisecond, func() { r.killIn(zone) })
 			}
 		},
-		"all":   func(r *rolling, zone string) { powerLost(4*time.Second, 0, zone)(r.World) },
-		"flaps": func(r *rolling, zone string) { flapZone(4*time.Second, 0, zone)(r.World) },
-		"long":  func(r *rolling, zone string) { cutFor(Lost)(18*time.Second, 0, zone)(r.World) },
-		"held":  func(r *rolling, zone string) { cutFor(Held)(9*time.Second, 0, zone)(r.World) },
-		"deaf":  func(r *rolling, zone string) { r.Deafen(99, zone, 14*time.Second) },
+		"all":   func(r *rolling, zone string) { powerZoneFault(4*time.Second, 0, zone)(r.Simulation) },
+		"flaps": func(r *rolling, zone string) { flapZoneFault(4*time.Second, 0, zone)(r.Simulation) },
+		"long":  func(r *rolling, zone string) { partitionFault(DropBoth)(18*time.Second, 0, zone)(r.Simulation) },
+		"held":  func(r *rolling, zone string) { partitionFault(DelayBoth)(9*time.Second, 0, zone)(r.Simulation) },
+		"deaf":  func(r *rolling, zone string) { r.DropInbound(99, zone, 14*time.Second) },
 	}
 	for what, lose := range losses {
 		for _, how := range []string{"", "killed"} {
@@ -114,7 +114,7 @@
 					} else {
 						spec.OneZone = true
 					}
-					u := &simUser{w: r.World, rng: r.rng, spec: spec}
+					u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 					r.users, bound = append(r.users, u), append(bound, u)
 					r.After(time.Duration(k)*600*time.Millisecond, u.submit)
 				}
@@ -138,10 +138,10 @@
 func (r *rolling) killIn(zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, m := range r.shuffled() {
-		if m.zone == zone {
+	for _, machine := range r.shuffledReadyMachines() {
+		if machine.zone == zone {
 			r.stats.MachinesKilled++
-			r.end(r.now(), m)
+			r.terminate(r.now(), machine)
 			return
 		}
 	}
@@ -153,15 +153,15 @@
 	defer r.mu.Unlock()
 	for _, u := range us {
 		in := map[string]bool{}
-		for _, m := range r.machines {
-			for _, k := range m.tasks {
-				if k.counted && !m.dead && k.spec.ID == u.spec.ID {
-					in[m.zone] = true
+		for _, machine := range r.machines {
+			for _, task := range machine.tasks {
+				if task.counted && !machine.dead && task.spec.ID == u.spec.ID {
+					in[machine.zone] = true
 				}
 			}
 		}
 		if len(in) > 1 || u.spec.Zone != nil && len(in) == 1 && !in[zone] {
-			r.fail("wrong_place: %s stands in %v", u.spec.ID, in)
+			r.violate("wrong_place: %s stands in %v", u.spec.ID, in)
 		}
 	}
 }
@@ -172,16 +172,16 @@
 	for _, mean := range []time.Duration{60 * time.Millisecond, 250 * time.Millisecond} {
 		t.Run(fmt.Sprint(mean), func(t *testing.T) {
 			t.Parallel()
-			r, b := met(t, 323, 3, 0)
-			r.SlowLinks(mean)
-			a := b.Watchers()
+			r, balancer := met(t, 323, 3, 0)
+			r.SetLinkDelay(mean)
+			pollers := balancer.JobPollers()
 			for k := range 150 {
 				r.After(time.Duration(300*k)*time.Millisecond, func() {
 					u := r.giveAs(k, 14, func(spec *jobs.Spec) {
 						spec.Priority, spec.CPUs = []string{"urgent", "standard", "best_effort"}[k%3], 4
 						spec.Class = spec.Priority
 					})
-					r.After(8*time.Second, func() { a.Follow(u.spec.ID, nil) })
+					r.After(8*time.Second, func() { pollers.Follow(u.spec.ID, nil) })
 					if k%9 == 0 {
 						r.After(12*time.Second, u.cancel)
 					}
@@ -191,15 +191,15 @@
 			l := r.led()
 			changes["killed"](r, l)
 			r.Advance(20 * time.Second)
-			r.SlowLinks(0)
+			r.SetLinkDelay(0)
 			from := r.Now()
 			r.settled()
-			urgent, rest := r.Waits("urgent"), append(r.Waits("standard"), r.Waits("best_effort")...)
+			urgent, rest := r.StartDelays("urgent"), append(r.StartDelays("standard"), r.StartDelays("best_effort")...)
 			t.Logf("urgent ones waited %v at most, the others %v", slices.Max(urgent), slices.Max(rest))
 			if slices.Max(rest) > 4*time.Minute || slices.Max(urgent) > slices.Max(rest) {
 				t.Error("they began too late, or in the wrong order")
 			}
-			if gap, job := a.Longest(from, min(r.Now(), from+75*time.Second)); gap > 30*time.Second {
+			if gap, job := pollers.LongestUnanswered(from, min(r.Now(), from+75*time.Second)); gap > 30*time.Second {
 				t.Errorf("no question about %s was answered for %v", job, gap)
 			}
 		})
@@ -214,18 +214,18 @@
 				t.Parallel()
 				r, _ := met(t, 324, controllers, 16)
 				r.load(2 * time.Minute)
-				_, term := r.World.Leader()
-				r.FlipLeaders(10, 2*time.Minute)
+				_, term := r.Simulation.Leader()
+				r.KillLeaders(10, 2*time.Minute)
 				if outage > 0 {
 					for _, at := range []time.Duration{11 * time.Second, 46 * time.Second, 83 * time.Second} {
-						r.After(at, func() { during(outage, (*World).Outage)(r.World) })
+						r.After(at, func() { during(outage, (*Simulation).SetStateOutage)(r.Simulation) })
 					}
 				}
 				for k := range 16 {
 					r.After(time.Duration(3+7*k)*time.Second, func() { r.cancelAt(r.users[k], k%controllers) })
 				}
 				r.Advance(2 * time.Minute)
-				_, now := r.World.Leader()
+				_, now := r.Simulation.Leader()
 				if most := uint64(8); now < term+most && outage < 14*time.Second {
 					t.Errorf("the lead passed %d times", now-term)
 				}
@@ -250,10 +250,10 @@
 				for k := range 4 { // these meet the end of the controllers
 					r.cancelAt(r.users[8+k], k%controllers)
 				}
-				r.After(5*time.Millisecond, func() { killAll(r.World, seconds(part*tight.LeaseS)) })
+				r.After(5*time.Millisecond, func() { killAll(r.Simulation, seconds(part*tight.LeaseS)) })
 				r.Advance(seconds(part*tight.LeaseS) + 6*time.Second)
-				if s := r.Stats(); part > 1 && s.LeaseEnds < 10 {
-					t.Errorf("%d leases ran out", s.LeaseEnds)
+				if s := r.Stats(); part > 1 && s.WorkerLeasesExpired < 10 {
+					t.Errorf("%d leases ran out", s.WorkerLeasesExpired)
 				}
 				r.settled()
 			})
@@ -266,8 +266,8 @@
 func TestEndOfTheLastTask(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		r, _ := met(t, 326, controllers, 0)
-		r.CancelAtEnd(0.7)
-		r.CloseLooks(true)
+		r.CancelAtCompletion(0.7)
+		r.SetPollBursts(true)
 		for k := range 120 {
 			r.After(time.Duration(120*k)*time.Millisecond, func() { r.give(k, 1.5) })
 		}
@@ -277,8 +277,8 @@
 		for _, u := range r.users {
 			ends[u.told[0]]++
 		}
-		t.Logf("%v, %d called off at their end", ends, r.Stats().CalledOff)
-		if ends["done"] < 10 || ends["cancelled"] < 10 || r.Stats().CalledOff < 40 {
+		t.Logf("%v, %d called off at their end", ends, r.Stats().JobsCancelled)
+		if ends["done"] < 10 || ends["cancelled"] < 10 || r.Stats().JobsCancelled < 40 {
 			t.Errorf("%v: they did not meet", ends)
 		}
 	}
@@ -293,19 +293,19 @@
 				t.Parallel()
 				r, _ := met(t, 327, controllers, 24)
 				l := r.led()
-				r.CloseLooks(true)
-				r.After(time.Second, func() { r.Refuse(l, true) })
+				r.SetPollBursts(true)
+				r.After(time.Second, func() { r.RefuseController(l, true) })
 				for k := range 12 {
 					r.After(time.Second+at+time.Duration(k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+k)%controllers) })
 				}
 				r.Advance(2 * time.Second)
-				r.Outage(true)
+				r.SetStateOutage(true)
 				r.Advance(seconds(1.15 * tight.CancelS))
-				r.Outage(false)
+				r.SetStateOutage(false)
 				r.Advance(2 * time.Second)
-				r.Refuse(l, false)
+				r.RefuseController(l, false)
 				r.mu.Lock()
-				n := len(r.told)
+				n := len(r.cancelledAt)
 				r.mu.Unlock()
 				if n < 8 {
 					t.Errorf("%d cancellations were confirmed", n)
@@ -320,28 +320,28 @@
 // asked about on both sides.
 func TestZoneCutOffWithItsController(t *testing.T) {
 	for _, leads := range []bool{true, false} {
-		for _, how := range []Cut{Lost, Held, Refused} {
+		for _, how := range []Partition{DropBoth, DelayBoth, RefuseBoth} {
 			for _, part := range []float64{1.3, 2.5} {
 				t.Run(fmt.Sprint(leads, " ", how, " ", part), func(t *testing.T) {
 					t.Parallel()
-					r, b := met(t, 328, 3, 24)
-					a := r.asked(b)
+					r, balancer := met(t, 328, 3, 24)
+					pollers := r.asked(balancer)
 					l := r.led()
 					zone := r.settings[l].Zone
 					if !leads {
 						zone = r.elsewhere()
 					}
-					r.CloseLooks(true)
-					r.CutZone(zone, how)
+					r.SetPollBursts(true)
+					r.PartitionZone(zone, how)
 					for k := range 12 {
 						r.After(time.Duration(50+400*k)*time.Millisecond, func() { r.cancelAt(r.users[k], k%3) })
 					}
 					r.load(6 * time.Second)
 					r.Advance(seconds(part * tight.LeaseS))
-					r.CutZone(zone, Whole)
+					r.PartitionZone(zone, Connected)
 					from := r.Now()
 					r.Advance(40 * time.Second)
-					if gap, job := a.Longest(from, r.Now()); gap > 30*time.Second {
+					if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 30*time.Second {
 						t.Errorf("no question about %s was answered for %v", job, gap)
 					}
 					r.settled()
@@ -357,28 +357,28 @@
 	r, _ := met(t, 329, 3, 6)
 	l := r.led()
 	behind := (l + 1) % 3
-	r.Stick(behind, true)
-	r.CloseLooks(true)
+	r.StallWatches(behind, true)
+	r.SetPollBursts(true)
 	big := r.cfg.Types[0]
 	big.Name, big.CPUs = "g40", 160
 	r.mu.Lock()
 	r.cfg.Types = append(slices.Clone(r.cfg.Types), big)
 	raw, _ := json.Marshal(map[string]any{"builds": r.cfg.Types})
 	r.mu.Unlock()
-	r.Store(store.Op{Put: "h/c/types", Value: raw})
+	r.WriteKeys(store.Op{Put: "h/c/types", Value: raw})
 	r.Advance(300 * time.Millisecond)
 	refused := 0
 	for k := range 12 {
 		spec := &jobs.Spec{ID: fmt.Sprintf("req-3%05d", k), Class: "big", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 100, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true}
-		r.Know(spec)
+		r.AddJob(spec)
 		body, _ := json.Marshal(spec)
-		r.Ask(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
+		r.Request(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status != 201 {
 				t.Errorf("%s is answered %d", spec.ID, status)
 			}
 		})
 		r.After(30*time.Millisecond, func() {
-			r.Ask(behind, "POST", "/v2/runs", body, func(status int, _ []byte) {
+			r.Request(behind, "POST", "/v2/runs", body, func(status int, _ []byte) {
 				if status == 400 || status == 422 {
 					refused++
 				}
@@ -386,12 +386,12 @@
 		})
 		r.Advance(50 * time.Millisecond)
 	}
-	r.Stick(behind, false)
+	r.StallWatches(behind, false)
 	r.Advance(3 * time.Second)
 	if refused > 0 {
 		t.Errorf("%d accepted jobs were refused for good", refused)
 	}
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/simulator/idle_room_test.go
+++ b/internal/simulator/idle_room_test.go
@@ -62,20 +62,20 @@
 				})
 			}
 		}},
-		"a zone flaps": {12, func(r *rolling, give put) { flapZone(9*time.Second, 0, "b")(r.World) }},
+		"a zone flaps": {12, func(r *rolling, give put) { flapZoneFault(9*time.Second, 0, "b")(r.Simulation) }},
 	} {
 		for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
 			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
 				t.Parallel()
 				types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: zones}}
-				w, err := Simulated(Config{
-					Seed: 341, Machines: c.machines, Types: types, Controllers: 3, Zones: zones, Step: 50 * time.Millisecond, Workers: tight, Uneven: true,
+				sim, err := NewVirtualTime(Config{
+					Seed: 341, MaxMachines: c.machines, Types: types, Controllers: 3, Zones: zones, TickInterval: 50 * time.Millisecond, Workers: tight, VariedRunTimes: true,
 					State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 				}, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(341, 43))}
+				r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(341, 43))}
 				r.watch()
 				give := func(n int, change func(spec *jobs.Spec)) {
 					spec := &jobs.Spec{
@@ -83,7 +83,7 @@
 						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true,
 					}
 					change(spec)
-					(&simUser{w: r.World, rng: r.rng, spec: spec}).submit()
+					(&simUser{w: r.Simulation, rng: r.rng, spec: spec}).submit()
 				}
 				r.Advance(5 * time.Second)
 				for k := range 260 { // about as much as there is room for
@@ -92,11 +92,11 @@
 				r.Advance(20 * time.Second)
 				c.begin(r, give)
 				r.Advance(90 * time.Second)
-				beside := r.Healed()
+				beside := r.WatchIdleCapacity()
 				r.Advance(380 * time.Second)
 				longest, job := beside()
 				t.Logf("%s waited %v beside room", job, longest)
-				for _, b := range r.Broken() {
+				for _, b := range r.Violations() {
 					t.Error(b)
 				}
 			})
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -19,17 +19,17 @@
 	around := map[string]func(r *rolling){
 		"calm": func(*rolling) {},
 		"leader ends": func(r *rolling) {
-			r.After(5*time.Second, func() { toLeader(3*time.Second, (*World).KillController)(r.World) })
+			r.After(5*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(r.Simulation) })
 		},
 		"in a takeover": func(r *rolling) {
 			l := r.led()
 			r.KillController(l)
 			r.After(2*time.Second, func() { r.StartController(l) })
 		},
-		"outage": func(r *rolling) { r.Outage(true); r.After(8*time.Second, func() { r.Outage(false) }) },
+		"outage": func(r *rolling) { r.SetStateOutage(true); r.After(8*time.Second, func() { r.SetStateOutage(false) }) },
 		"answers lost": func(r *rolling) {
-			r.LoseAnswers(0.3)
-			r.After(6*time.Second, func() { r.LoseAnswers(0) })
+			r.LoseTxnAnswers(0.3)
+			r.After(6*time.Second, func() { r.LoseTxnAnswers(0) })
 		},
 	}
 	for name, s := range shrinks {
@@ -48,7 +48,7 @@
 							ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard",
 							Tasks: 150, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true,
 						}
-						u := &simUser{w: r.World, rng: r.rng, spec: spec}
+						u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 						r.users = append(r.users, u)
 						u.submit()
 					}
@@ -57,10 +57,10 @@
 					}
 					r.Advance(20 * time.Second)
 					at := r.Now()
-					r.Shrink(s[0], int(s[1]), s[2])
+					r.LowerStateLimits(s[0], int(s[1]), s[2])
 					do(r)
 					r.Advance(30 * time.Second)
-					if gap := r.Gap(at+14*time.Second, at+30*time.Second); gap > 6*time.Second {
+					if gap := r.LongestStartGap(at+14*time.Second, at+30*time.Second); gap > 6*time.Second {
 						t.Errorf("nothing started for %v after the limits fell", gap)
 					}
 					r.over()
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -9,244 +9,244 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-type typ = capacity.MachineType
+type MachineType = capacity.MachineType
 
 // Machine is a rented machine and its worker.
 type Machine struct {
-	Name     string
-	addr     string
-	typ      typ
-	zone     string
-	spot     bool
-	rented   time.Duration
-	boots    time.Duration // when it is up
-	dead     bool
-	diedAt   time.Duration
-	returned bool
-	hungTill time.Duration
-	late     time.Duration // direct commands are held back for so long
-	deafTill time.Duration // it hears nothing, though it is heard
-	muteTill time.Duration // it isn't heard, though it hears
-	shutTill time.Duration // it reaches no controller, though direct commands reach it and are answered
-	faulty   bool          // every task fails on it
-	life     int           // times it was started
-	noticeAt time.Duration // the cloud takes it then; 0: it does not
+	Name                 string
+	addr                 string
+	machineType          MachineType
+	zone                 string
+	spot                 bool
+	rentedAt             time.Duration
+	upAt                 time.Duration // when it is up
+	dead                 bool
+	diedAt               time.Duration
+	returned             bool
+	hungUntil            time.Duration
+	commandDelay         time.Duration // direct commands are held back for so long
+	inboundLostUntil     time.Duration // it hears nothing, though it is heard
+	outboundLostUntil    time.Duration // it isn't heard, though it hears
+	outboundRefusedUntil time.Duration // it reaches no controller, though direct commands reach it and are answered
+	faulty               bool          // every task fails on it
+	incarnation          int           // times it was started
+	noticeAt             time.Duration // the cloud takes it then; 0: it does not
 
 	session, seq, token uint64
-	base                time.Duration // the lease counts from here
-	next                time.Duration // report
-	reported            string        // what the last report said, to see changes
+	leaseBase           time.Duration // the lease counts from here
+	nextHeartbeat       time.Duration // report
+	lastSummary         string        // what the last report said, to see changes
 	lastSent            time.Duration
-	keeper              int // controller reported to
-	tasks               []*task
+	controller          int // controller reported to
+	tasks               []*workerTask
 	images              map[string]bool
 }
 
-// task is one attempt on a machine.
-type task struct {
-	name    string
-	spec    *jobs.Spec
-	attempt uint64
-	state   string
-	why     string
-	saved   bool
-	faulty  bool          // its machine is
-	ready   time.Duration // has its image
-	waits   time.Duration // for its gang since
-	since   time.Duration // running since
-	work    float64       // seconds still to do when it began to run
-	flushed time.Duration // saved by then
-	counted bool          // on the machine, by the rules
-	direct  bool          // launched by a direct command
-	given   time.Duration // when its launch came
+// workerTask is one attempt on a machine.
+type workerTask struct {
+	name             string
+	spec             *jobs.Spec
+	attempt          uint64
+	state            string
+	reason           string
+	saved            bool
+	faulty           bool          // its machine is
+	imageReadyAt     time.Duration // has its image
+	gatheringSince   time.Duration // for its gang since
+	runningSince     time.Duration // running since
+	remainingSeconds float64       // seconds still to do when it began to run
+	checkpointDoneAt time.Duration // saved by then
+	counted          bool          // on the machine, by the rules
+	directLaunch     bool          // launched by a direct command
+	launchedAt       time.Duration // when its launch came
 }
 
 // States and reasons on the wire.
 const (
-	pulling   = "pulling"
-	gathering = "gathering"
-	running   = "running"
-	flushing  = "flushing"
-	exited    = "exited"
+	taskPulling       = "pulling"
+	taskGathering     = "gathering"
+	taskRunning       = "running"
+	taskCheckpointing = "flushing"
+	taskExited        = "exited"
 )
 
-// boot starts a machine; its worker reports once it is up.
-func (w *World) boot(now time.Duration, t typ, zone string, spot bool) (*Machine, error) {
-	m := &Machine{
-		Name: machineName(len(w.machines) + 1), typ: t, zone: zone, spot: spot, rented: now,
-		boots: now + w.bootTime(t), session: 1, images: map[string]bool{}, keeper: w.rng.IntN(w.cfg.Controllers),
+// startMachine starts a machine; its worker reports once it is up.
+func (w *Simulation) startMachine(now time.Duration, t MachineType, zone string, spot bool) (*Machine, error) {
+	machine := &Machine{
+		Name: machineName(len(w.machines) + 1), machineType: t, zone: zone, spot: spot, rentedAt: now,
+		upAt: now + w.bootTime(t), session: 1, images: map[string]bool{}, controller: w.rng.IntN(w.cfg.Controllers),
 	}
 	var err error
-	if m.addr, err = w.ground.listen(m.Name, zone, func(q request, reply answer) { w.orders(m, q, reply) }); err != nil {
+	if machine.addr, err = w.env.listen(machine.Name, zone, func(request httpRequest, reply replyFunc) { w.serveCommands(machine, request, reply) }); err != nil {
 		return nil, err
 	}
-	m.base, m.next = m.boots, m.boots
-	w.machines = append(w.machines, m)
-	w.byName[m.Name] = m
-	w.ground.after(m.boots-now, func() { w.reports(m) })
-	return m, nil
+	machine.leaseBase, machine.nextHeartbeat = machine.upAt, machine.upAt
+	w.machines = append(w.machines, machine)
+	w.machineByName[machine.Name] = machine
+	w.env.schedule(machine.upAt-now, func() { w.heartbeatLoop(machine) })
+	return machine, nil
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// end takes a machine and everything on it away.
-func (w *World) end(now time.Duration, m *Machine) {
-	w.drop(now, m)
-	if !m.dead {
-		w.spent += m.cost(now)
+// terminate takes a machine and everything on it away.
+func (w *Simulation) terminate(now time.Duration, machine *Machine) {
+	w.dropTasks(now, machine)
+	if !machine.dead {
+		w.costOfEndedMachines += machine.cost(now)
 	}
-	m.dead, m.diedAt = true, now
+	machine.dead, machine.diedAt = true, now
 }
 
 // cost is a machine's price from its renting on.
 func (m *Machine) cost(now time.Duration) float64 {
-	price := m.typ.Price
+	price := m.machineType.Price
 	if m.spot {
-		price = m.typ.Spot
+		price = m.machineType.Spot
 	}
-	return price * (now - m.rented).Hours()
+	return price * (now - m.rentedAt).Hours()
 }
 
-// drop ends a machine's tasks without notice.
-func (w *World) drop(now time.Duration, m *Machine) {
-	for _, k := range m.tasks {
-		if k.state != exited {
-			w.Licences.silent(now, k)
+// dropTasks ends a machine's tasks without notice.
+func (w *Simulation) dropTasks(now time.Duration, machine *Machine) {
+	for _, task := range machine.tasks {
+		if task.state != taskExited {
+			w.Licences.holderLost(now, task)
 		}
 	}
-	m.tasks = nil
+	machine.tasks = nil
 }
 
-// expire ends the session of a worker whose lease has run out.
-func (w *World) expire(now time.Duration, m *Machine) {
-	if now-m.base > seconds(w.cfg.Workers.LeaseS) {
-		w.stats.LeaseEnds++
-		w.drop(now, m)
-		m.session++
-		m.base = now
+// expireWorkerLease ends the session of a worker whose lease has run out.
+func (w *Simulation) expireWorkerLease(now time.Duration, machine *Machine) {
+	if now-machine.leaseBase > seconds(w.cfg.Workers.LeaseS) {
+		w.stats.WorkerLeasesExpired++
+		w.dropTasks(now, machine)
+		machine.session++
+		machine.leaseBase = now
 	}
 }
 
-// live lets time pass on a machine.
-func (w *World) live(now time.Duration, m *Machine) {
-	if m.noticeAt > 0 && now >= m.noticeAt && !m.dead {
-		w.end(now, m)
+// advanceMachine lets time pass on a machine.
+func (w *Simulation) advanceMachine(now time.Duration, machine *Machine) {
+	if machine.noticeAt > 0 && now >= machine.noticeAt && !machine.dead {
+		w.terminate(now, machine)
 	}
-	if m.dead || now < m.boots {
+	if machine.dead || now < machine.upAt {
 		return
 	}
-	if now < m.hungTill {
+	if now < machine.hungUntil {
 		// It executes nothing, and beyond its lease it never will: what is on it is gone.
-		if now-m.base > seconds(w.cfg.Workers.LeaseS) {
-			w.drop(now, m)
+		if now-machine.leaseBase > seconds(w.cfg.Workers.LeaseS) {
+			w.dropTasks(now, machine)
 		}
-		for _, k := range m.tasks {
-			w.stays(now, m, k)
+		for _, task := range machine.tasks {
+			w.checkCancelledTask(now, machine, task)
 		}
 		return
 	}
-	w.expire(now, m)
-	for _, k := range m.tasks {
-		w.stays(now, m, k)
-		w.move(now, m, k)
+	w.expireWorkerLease(now, machine)
+	for _, task := range machine.tasks {
+		w.checkCancelledTask(now, machine, task)
+		w.advanceTask(now, machine, task)
 	}
 }
 
-// move lets one task go on.
-func (w *World) move(now time.Duration, m *Machine, k *task) {
-	switch k.state {
-	case pulling:
-		if now < k.ready {
+// advanceTask lets one task go on.
+func (w *Simulation) advanceTask(now time.Duration, machine *Machine, task *workerTask) {
+	switch task.state {
+	case taskPulling:
+		if now < task.imageReadyAt {
 			return
 		}
-		m.images[k.spec.Image] = true
-		w.begin(now, m, k)
-		k.state, k.waits, k.faulty = gathering, now, m.faulty
-		if k.spec.Kind != jobs.Gang {
-			w.runs(now, k)
+		machine.images[task.spec.Image] = true
+		w.taskStarted(now, machine, task)
+		task.state, task.gatheringSince, task.faulty = taskGathering, now, machine.faulty
+		if task.spec.Kind != jobs.Gang {
+			w.startRunning(now, task)
 		}
-	case gathering:
+	case taskGathering:
 		switch {
-		case w.together(k) == k.spec.Tasks:
-			w.runs(now, k)
-		case now-k.waits > seconds(w.cfg.Workers.GangWaitS):
-			w.exit(now, k, "alone")
+		case w.countGangMembers(task) == task.spec.Tasks:
+			w.startRunning(now, task)
+		case now-task.gatheringSince > seconds(w.cfg.Workers.GangWaitS):
+			w.exitTask(now, task, "alone")
 		}
-	case running:
-		if !w.Licences.checkOut(now, k) {
-			w.exit(now, k, "error") // what the users call failing late and noisily
+	case taskRunning:
+		if !w.Licences.checkOut(now, task) {
+			w.exitTask(now, task, "error") // what the users call failing late and noisily
 			return
 		}
-		gang := k.spec.Kind == jobs.Gang
+		gang := task.spec.Kind == jobs.Gang
 		switch {
-		case now-k.since >= failAfter && (k.faulty || w.mistaken[k.spec.ID]):
-			w.exit(now, k, "error")
-		case gang && w.together(k) < k.spec.Tasks && w.stat(k).done:
-			w.exit(now, k, "done")
-		case gang && w.together(k) < k.spec.Tasks:
-			w.exit(now, k, "peers")
-		case k.spec.Kind != jobs.Service && now-k.since >= seconds(k.work):
-			w.finish(now, k)
+		case now-task.runningSince >= failingTaskRunTime && (task.faulty || w.failingJobs[task.spec.ID]):
+			w.exitTask(now, task, "error")
+		case gang && w.countGangMembers(task) < task.spec.Tasks && w.progressOf(task).done:
+			w.exitTask(now, task, "done")
+		case gang && w.countGangMembers(task) < task.spec.Tasks:
+			w.exitTask(now, task, "peers")
+		case task.spec.Kind != jobs.Service && now-task.runningSince >= seconds(task.remainingSeconds):
+			w.completeTask(now, task)
 		}
-	case flushing:
-		if now >= k.flushed {
-			p := w.stat(k)
-			p.saved = min(k.spec.EstimateS, p.saved+(k.flushed-k.since).Seconds()-k.spec.SaveS)
-			k.saved = true
-			w.exit(now, k, "halted")
+	case taskCheckpointing:
+		if now >= task.checkpointDoneAt {
+			p := w.progressOf(task)
+			p.savedSeconds = min(task.spec.EstimateS, p.savedSeconds+(task.checkpointDoneAt-task.runningSince).Seconds()-task.spec.SaveS)
+			task.saved = true
+			w.exitTask(now, task, "halted")
 		}
 	}
 }
 
-func (w *World) stat(k *task) *progress {
-	p := w.tasks[k.name]
+func (w *Simulation) progressOf(task *workerTask) *progress {
+	p := w.taskProgress[task.name]
 	if p == nil {
 		p = &progress{}
-		w.tasks[k.name] = p
+		w.taskProgress[task.name] = p
 	}
 	return p
 }
 
-func (w *World) runs(now time.Duration, k *task) {
-	k.state, k.since = running, now
-	if n := w.interactive[k.spec.ID]; n != nil {
-		n.begins(now, k)
+func (w *Simulation) startRunning(now time.Duration, task *workerTask) {
+	task.state, task.runningSince = taskRunning, now
+	if session := w.sessions[task.spec.ID]; session != nil {
+		session.processStarted(now, task)
 	}
 	factor := 0.8 + 0.4*w.rng.Float64()
-	if w.cfg.Uneven {
+	if w.cfg.VariedRunTimes {
 		factor = 0.25 + 1.75*w.rng.Float64()
 	}
-	k.work = max(0.01, (k.spec.EstimateS-w.stat(k).saved)*factor/w.cfg.Speed)
+	task.remainingSeconds = max(0.01, (task.spec.EstimateS-w.progressOf(task).savedSeconds)*factor/w.cfg.Speed)
 }
 
-// exit ends a task by itself: what it held it gives back, unless it fails.
-func (w *World) exit(now time.Duration, k *task, why string) {
-	k.state, k.why, k.counted = exited, why, false
+// exitTask ends a task by itself: what it held it gives back, unless it fails.
+func (w *Simulation) exitTask(now time.Duration, task *workerTask, why string) {
+	task.state, task.reason, task.counted = taskExited, why, false
 	if why == "error" {
-		w.stats.Crashed++
-		w.Licences.silent(now, k)
+		w.stats.TasksCrashed++
+		w.Licences.holderLost(now, task)
 		return
 	}
-	w.Licences.checkIn(k)
+	w.Licences.checkIn(task)
 }
 
-func (w *World) finish(now time.Duration, k *task) {
-	w.stat(k).done = true
-	w.exit(now, k, "done")
-	w.stats.Done++
-	defer w.ends(k.spec)
-	if k.spec.Kind == jobs.Gang {
-		for t := range k.spec.Tasks {
-			w.stat(&task{name: k.spec.ID + "/" + strconv.Itoa(t)}).done = true
+func (w *Simulation) completeTask(now time.Duration, task *workerTask) {
+	w.progressOf(task).done = true
+	w.exitTask(now, task, "done")
+	w.stats.TasksDone++
+	defer w.jobCompleted(task.spec)
+	if task.spec.Kind == jobs.Gang {
+		for t := range task.spec.Tasks {
+			w.progressOf(&workerTask{name: task.spec.ID + "/" + strconv.Itoa(t)}).done = true
 		}
 	}
 }
 
-// together counts the tasks of an attempt that have their image.
-func (w *World) together(k *task) (n int) {
-	for _, o := range w.machines {
-		for _, x := range o.tasks {
-			if x.spec.ID == k.spec.ID && x.attempt == k.attempt && x.counted {
+// countGangMembers counts the tasks of an attempt that have their image.
+func (w *Simulation) countGangMembers(task *workerTask) (n int) {
+	for _, machine := range w.machines {
+		for _, other := range machine.tasks {
+			if other.spec.ID == task.spec.ID && other.attempt == task.attempt && other.counted {
 				n++
 			}
 		}
@@ -254,41 +254,41 @@
 	return n
 }
 
-// begin is the moment a task has its image: the rules look here.
-func (w *World) begin(now time.Duration, m *Machine, k *task) {
-	k.counted = true
-	w.began = append(w.began, now)
-	if _, ok := w.waits[k.spec.ID]; !ok {
-		w.waits[k.spec.ID] = now - w.known[k.spec.ID]
+// taskStarted is the moment a task has its image: the rules look here.
+func (w *Simulation) taskStarted(now time.Duration, m *Machine, task *workerTask) {
+	task.counted = true
+	w.startTimes = append(w.startTimes, now)
+	if _, ok := w.startDelays[task.spec.ID]; !ok {
+		w.startDelays[task.spec.ID] = now - w.submittedAt[task.spec.ID]
 	}
-	w.stats.Starts++
-	if at, ok := w.told[k.spec.ID]; ok {
-		w.stats.AfterCancel++
-		if k.direct {
-			w.stats.AfterCancelDirect++
+	w.stats.TaskStarts++
+	if at, ok := w.cancelledAt[task.spec.ID]; ok {
+		w.stats.StartsAfterCancel++
+		if task.directLaunch {
+			w.stats.DirectStartsAfterCancel++
 		}
-		w.stats.LatestAfterCancel = max(w.stats.LatestAfterCancel, now-at)
+		w.stats.LatestStartAfterCancel = max(w.stats.LatestStartAfterCancel, now-at)
 	}
-	if w.stat(k).done {
-		w.stats.Again++
+	if w.progressOf(task).done {
+		w.stats.TasksRerun++
 	}
 	var use planner.Size
 	for _, o := range w.machines {
-		for _, x := range o.tasks {
-			if !x.counted || o.dead {
+		for _, other := range o.tasks {
+			if !other.counted || o.dead {
 				continue
 			}
-			if x.name == k.name && x != k {
-				w.fail("ran_twice: %s on %s and %s", k.name, o.Name, m.Name)
+			if other.name == task.name && other != task {
+				w.violate("ran_twice: %s on %s and %s", task.name, o.Name, m.Name)
 			}
-			if x.spec.Team == k.spec.Team {
-				use = use.Add(x.spec.Size())
+			if other.spec.Team == task.spec.Team {
+				use = use.Add(other.spec.Size())
 			}
 		}
 	}
 	for _, t := range w.cfg.Teams {
-		if t.Name == k.spec.Team && ((t.CPUsMax > 0 && use.CPUs > t.CPUsMax+1e-6) || (t.GPUsMax > 0 && use.GPUs > t.GPUsMax+1e-6)) {
-			w.fail("quota: team %s uses %v with %s", t.Name, use, k.name)
+		if t.Name == task.spec.Team && ((t.CPUsMax > 0 && use.CPUs > t.CPUsMax+1e-6) || (t.GPUsMax > 0 && use.GPUs > t.GPUsMax+1e-6)) {
+			w.violate("quota: team %s uses %v with %s", t.Name, use, task.name)
 		}
 	}
 }
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -33,7 +33,7 @@
 
 // many is a cluster that is given a great number of small jobs while it fails again and again.
 type many struct {
-	*World
+	*Simulation
 	t        *testing.T
 	rng      *rand.Rand
 	accepted []string
@@ -46,12 +46,12 @@
 		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true,
 	}
-	m.Know(spec)
+	m.AddJob(spec)
 	body, _ := json.Marshal(spec)
 	m.open++
 	var again func()
 	again = func() {
-		m.Ask(m.rng.IntN(3), "POST", "/v2/runs", body, func(status int, _ []byte) {
+		m.Request(m.rng.IntN(3), "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status == 200 || status == 201 {
 				m.accepted = append(m.accepted, spec.ID)
 				m.open--
@@ -73,13 +73,13 @@
 	case 1:
 		m.FreezeController(i, time.Duration(1+m.rng.IntN(9))*time.Second)
 	case 2:
-		m.Outage(true)
-		m.After(time.Duration(1+m.rng.IntN(8))*time.Second, func() { m.Outage(false) })
+		m.SetStateOutage(true)
+		m.After(time.Duration(1+m.rng.IntN(8))*time.Second, func() { m.SetStateOutage(false) })
 	case 3:
-		m.Refuse(i, true)
-		m.After(6*time.Second, func() { m.Refuse(i, false) })
+		m.RefuseController(i, true)
+		m.After(6*time.Second, func() { m.RefuseController(i, false) })
 	case 4:
-		m.LosePositions()
+		m.CompactHistory()
 	case 5:
 		m.DrainController(i, func() { m.StartController(i) })
 	}
@@ -90,7 +90,7 @@
 	for i := range 3 {
 		m.StartController(i)
 	}
-	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.open > 0 || m.Keys(jobs.Prefix) > 0); {
+	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.open > 0 || m.CountKeys(jobs.Prefix) > 0); {
 		m.Advance(time.Second)
 	}
 	m.Advance(10 * time.Second)
@@ -98,14 +98,14 @@
 
 // measure looks at what controllers hold and at what a start takes: each is ended and started again in turn.
 func (m *many) measure() footprint {
-	h := footprint{jobs: len(m.accepted), records: m.Keys("h/")}
-	for i, n := range m.sim.nodes {
-		if n.c == nil {
+	h := footprint{jobs: len(m.accepted), records: m.CountKeys("h/")}
+	for i, controller := range m.virtual.controllers {
+		if controller.process == nil {
 			m.t.Fatalf("controller %d doesn't run", i)
 		}
-		h.known = max(h.known, n.c.JobsKnown())
+		h.known = max(h.known, controller.process.JobsKnown())
 	}
-	for i := range m.sim.nodes {
+	for i := range m.virtual.controllers {
 		before := heapMB()
 		m.KillController(i)
 		m.Advance(eventsOfEnded)
@@ -131,8 +131,8 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		n = 220_000
 	}
-	w, err := Simulated(Config{
-		Seed: 411, Machines: 16, Step: 50 * time.Millisecond, State: config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
+	sim, err := NewVirtualTime(Config{
+		Seed: 411, MaxMachines: 16, TickInterval: 50 * time.Millisecond, State: config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
 		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &many{World: w, t: t, rng: rand.New(rand.NewPCG(411, 47))}
+	m := &many{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(411, 47))}
 	m.Advance(10 * time.Second)
 	var seen []footprint
 	const every = 25 * time.Millisecond
@@ -170,25 +170,25 @@
 		}
 	}
 	m.answersEverywhere(checked)
-	for _, b := range m.Broken() {
+	for _, b := range m.Violations() {
 		t.Error(b)
 	}
 	s := m.Stats()
-	t.Logf("%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained", n, m.Now(), s.Starts, s.Kills, s.Freezes, s.Drains)
+	t.Logf("%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained", n, m.Now(), s.TaskStarts, s.ControllersKilled, s.ControllersFrozen, s.ControllersDrained)
 }
 
 // answersEverywhere asks every controller about every step-th job: each has one answer, done.
 func (m *many) answersEverywhere(step int) {
 	m.t.Helper()
 	right, wrong := 0, 0
-	for i := range m.sim.nodes {
+	for i := range m.virtual.controllers {
 		for k := 0; k < len(m.accepted); k += step {
 			id, tries := m.accepted[k], 0
 			var ask func()
 			ask = func() {
-				m.Ask(i, "GET", "/v2/runs/"+id, nil, func(status int, raw []byte) {
+				m.Request(i, "GET", "/v2/runs/"+id, nil, func(status int, raw []byte) {
 					switch {
-					case status == 200 && stanceOf(raw) == "done":
+					case status == 200 && jobStateIn(raw) == "done":
 						right++
 					case status == 503 || status == 429 || status == 0:
 						if tries++; tries < 100 {
