--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -19,7 +19,7 @@
 // rolling is a simulated cluster through a rollout, with a load that goes on.
 type rolling struct {
 	beside time.Duration // the longest wait of a job beside room, once all was well
-	*World
+	*Simulation
 	t     *testing.T
 	rng   *rand.Rand
 	users []*simUser
@@ -39,20 +39,20 @@
 // newRollingOn does so with a number of machines, types and teams.
 func newRollingOn(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string, machines int, types []capacity.MachineType, teams []config.Team) *rolling {
 	t.Helper()
-	w, err := Simulated(Config{
-		Seed: seed, Machines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
+	sim, err := NewVirtualTime(Config{
+		Seed: seed, MaxMachines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond,
 		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: teams,
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				settings.Earlier(knows, Former)
+				settings.Earlier(knows, FormerRelease)
 			}
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
+	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
 	r.watch()
 	return r
 }
@@ -60,13 +60,13 @@
 // newRollingWith starts a cluster of three controllers whose settings are changed first.
 func newRollingWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *rolling {
 	t.Helper()
-	w, err := Simulated(Config{
-		Seed: seed, Machines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, Step: 50 * time.Millisecond,
+	sim, err := NewVirtualTime(Config{
+		Seed: seed, MaxMachines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, TickInterval: 50 * time.Millisecond,
 		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				settings.Earlier(knows, Former)
+				settings.Earlier(knows, FormerRelease)
 			}
 			change(settings)
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{World: w, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
+	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
 	r.watch()
 	return r
 }
@@ -87,7 +87,7 @@
 		if r.Now() >= r.until {
 			return
 		}
-		u := &simUser{w: r.World, rng: r.rng, spec: drawJob(r.rng, len(r.users)+1)}
+		u := &simUser{w: r.Simulation, rng: r.rng, spec: drawJob(r.rng, len(r.users)+1)}
 		r.users = append(r.users, u)
 		u.submit()
 		if r.rng.IntN(8) == 0 {
@@ -105,28 +105,28 @@
 	level, last := rollout.Base, uint64(0)
 	var look func()
 	look = func() {
-		now := r.Level()
+		now := r.ClusterLevel()
 		if now < level {
-			r.Break("the level falls from %d to %d", level, now)
+			r.ReportViolation("the level falls from %d to %d", level, now)
 		}
 		level = now
-		ls := r.Leading()
+		ls := r.ActingLeaders()
 		if len(ls) > 1 {
-			r.Break("controllers %v believe that they may act", ls)
+			r.ReportViolation("controllers %v believe that they may act", ls)
 		}
 		for _, i := range ls {
-			if r.running(i) < level {
-				r.Break("controller %d knows level %d and acts at level %d", i, r.running(i), level)
+			if r.runningLevel(i) < level {
+				r.ReportViolation("controller %d knows level %d and acts at level %d", i, r.runningLevel(i), level)
 			}
 		}
 		newest := last
-		for k, item := range r.Stored("h/") {
+		for k, item := range r.StoredItems("h/") {
 			if item.Version <= last {
 				continue
 			}
 			newest = max(newest, item.Version)
 			if f := rollout.FormatOf(item.Value); f < r.formats[k] {
-				r.Break("%s falls from format %d to %d", k, r.formats[k], f)
+				r.ReportViolation("%s falls from format %d to %d", k, r.formats[k], f)
 			} else {
 				r.formats[k] = f
 			}
@@ -140,7 +140,7 @@
 // view asks a controller where the rollout stands.
 func (r *rolling) view(i int) (v rollout.View) {
 	r.t.Helper()
-	r.Ask(i, "GET", "/v2/rollout", nil, func(status int, raw []byte) {
+	r.Request(i, "GET", "/v2/rollout", nil, func(status int, raw []byte) {
 		if err := json.Unmarshal(raw, &v); err != nil || status != 200 {
 			r.t.Errorf("status %d: %s", status, raw)
 		}
@@ -155,7 +155,7 @@
 	if l < 0 {
 		return 503, "nobody leads"
 	}
-	r.Ask(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"test"}`, op)), func(s int, raw []byte) { status, body = s, string(raw) })
+	r.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"test"}`, op)), func(s int, raw []byte) { status, body = s, string(raw) })
 	r.Advance(200 * time.Millisecond)
 	return status, body
 }
@@ -168,17 +168,17 @@
 			return
 		}
 	}
-	l, _ := r.World.Leader()
+	l, _ := r.Simulation.Leader()
 	if l >= 0 {
 		r.t.Logf("%+v", r.view(l))
 	}
-	r.t.Fatalf("%v: not %s after %v; level %d, broken %v", r.Now(), what, most, r.Level(), r.Broken())
+	r.t.Fatalf("%v: not %s after %v; level %d, broken %v", r.Now(), what, most, r.ClusterLevel(), r.Violations())
 }
 
 // restart ends a controller and starts it with a release a little later.
 func (r *rolling) restart(i int, knows rollout.Level) {
 	r.KillController(i)
-	r.Release(i, knows)
+	r.SetRelease(i, knows)
 	r.Advance(time.Second)
 	r.StartController(i)
 }
@@ -186,12 +186,12 @@
 // migrated tells whether the migration's end is durable.
 func (r *rolling) migrated() bool {
 	var m rollout.Migration
-	return json.Unmarshal(r.Key("h/r/migration").Value, &m) == nil && m.Done && m.Level == rollout.Newest
+	return json.Unmarshal(r.StoredItem("h/r/migration").Value, &m) == nil && m.Done && m.Level == rollout.Newest
 }
 
 // oldPlans counts the plans with a key of their own.
 func (r *rolling) oldPlans() (n int) {
-	for k := range r.Stored(jobs.PlanPrefix) {
+	for k := range r.StoredItems(jobs.PlanPrefix) {
 		if !strings.HasPrefix(k, jobs.PlanPagePrefix) && !strings.HasPrefix(k, jobs.PlanPrefix+"images") {
 			n++
 		}
@@ -211,14 +211,14 @@
 			break
 		}
 	}
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		r.t.Error(b)
 	}
 	for _, u := range r.users {
 		switch {
 		case len(u.told) == 0:
 			r.t.Errorf("%s is not over (status %d)", u.spec.ID, u.status)
-		case u.told[0] == "cancelled" && !u.asked && !r.AskedToEnd(u.spec.ID):
+		case u.told[0] == "cancelled" && !u.asked && !r.CancelRequested(u.spec.ID):
 			r.t.Errorf("%s is cancelled, and nobody asked for it", u.spec.ID)
 		}
 		for _, s := range u.told {
@@ -235,18 +235,18 @@
 	r := newRolling(t, 51, 5, rollout.Base, "soak_s = 5")
 	r.load(3 * time.Minute)
 	r.Advance(30 * time.Second)
-	if r.Level() != rollout.Base || r.oldPlans() == 0 {
-		t.Fatalf("level %d, %d plans of the former form", r.Level(), r.oldPlans())
+	if r.ClusterLevel() != rollout.Base || r.oldPlans() == 0 {
+		t.Fatalf("level %d, %d plans of the former form", r.ClusterLevel(), r.oldPlans())
 	}
-	_, before := r.World.Leader()
+	_, before := r.Simulation.Leader()
 	from, rolled := r.Now(), false
-	r.Roll(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
+	r.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
 	r.reach("rolled", 2*time.Minute, func() bool { return rolled })
-	r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Newest })
-	if _, after := r.World.Leader(); after != before+1 {
+	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
+	if _, after := r.Simulation.Leader(); after != before+1 {
 		t.Errorf("the lead moved %d times", after-before)
 	}
-	gap := r.Gap(from, r.Now())
+	gap := r.LongestStartGap(from, r.Now())
 	r.reach("migrated", time.Minute, r.migrated)
 	if n := r.oldPlans(); n > 0 {
 		t.Errorf("%d plans of the former form", n)
@@ -266,11 +266,11 @@
 			r := newRolling(t, 52, 3, rollout.Base, "finish = \"operator\"")
 			r.load(70 * time.Second)
 			rolled, caught := false, 0
-			r.Roll(rollout.Newest, time.Second, nil, func() { rolled = true })
+			r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 			r.reach("rolled", time.Minute, func() bool { return rolled })
 			r.Advance(2 * time.Second)
-			leader, _ := r.World.Leader()
-			r.Watch(func(i int, tx store.Txn) Fate {
+			leader, _ := r.Simulation.Leader()
+			r.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
 				for _, o := range tx.Then {
 					if o.Put != "h/r/level" || caught > 0 {
 						continue
@@ -278,18 +278,18 @@
 					caught++
 					switch c {
 					case "the answer is lost":
-						return Fate{Unanswered: true}
+						return TxnOutcome{Unanswered: true}
 					case "the leader dies before the answer":
 						r.After(0, func() { r.KillController(i) })
-						return Fate{Unanswered: true}
+						return TxnOutcome{Unanswered: true}
 					}
-					return Fate{Later: 1500 * time.Millisecond}
+					return TxnOutcome{Delay: 1500 * time.Millisecond}
 				}
 				// The leader asks again after a second: that one must not hide what becomes of the first.
 				if caught > 0 && len(tx.Then) > 0 && tx.Then[0].Put == "h/r/level" {
-					return Fate{Never: true}
+					return TxnOutcome{Dropped: true}
 				}
-				return Fate{}
+				return TxnOutcome{}
 			})
 			if status, body := r.say("finish"); status != 200 {
 				t.Fatalf("%d %s", status, body)
@@ -306,13 +306,13 @@
 				want = rollout.Base
 			}
 			r.Advance(12 * time.Second)
-			r.Watch(nil)
+			r.InterceptTxns(nil)
 			r.Advance(5 * time.Second)
-			if r.Level() != want {
-				t.Fatalf("level %d", r.Level())
+			if r.ClusterLevel() != want {
+				t.Fatalf("level %d", r.ClusterLevel())
 			}
 			for i := range 3 {
-				if !r.Runs(i) {
+				if !r.ControllerRuns(i) {
 					r.StartController(i)
 				}
 			}
@@ -328,7 +328,7 @@
 	r := newRolling(t, 53, 3, rollout.Base, "soak_s = 2")
 	r.load(2 * time.Minute)
 	r.Advance(5 * time.Second)
-	leader, _ := r.World.Leader()
+	leader, _ := r.Simulation.Leader()
 	out := (leader + 1) % 3
 	r.KillController(out)
 	for i := range 3 {
@@ -337,7 +337,7 @@
 			r.Advance(10 * time.Second)
 		}
 	}
-	if r.Level() != rollout.Base {
+	if r.ClusterLevel() != rollout.Base {
 		t.Fatal("the level rose, and one was down that doesn't know it")
 	}
 	if status, body := r.say("finish"); status != 409 || !strings.Contains(body, fmt.Sprintf("node-%d", out)) {
@@ -345,32 +345,32 @@
 	}
 	r.StartController(out)
 	r.Advance(10 * time.Second)
-	l, _ := r.World.Leader()
-	if v := r.view(l); r.Level() != rollout.Base || len(v.Missing) != 1 || v.Restart != fmt.Sprintf("node-%d", out) {
-		t.Errorf("level %d, %+v", r.Level(), v)
+	l, _ := r.Simulation.Leader()
+	if v := r.view(l); r.ClusterLevel() != rollout.Base || len(v.Missing) != 1 || v.Restart != fmt.Sprintf("node-%d", out) {
+		t.Errorf("level %d, %+v", r.ClusterLevel(), v)
 	}
 	r.restart(out, rollout.Newest)
-	r.reach("risen", 20*time.Second, func() bool { return r.Level() == rollout.Newest })
+	r.reach("risen", 20*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 	r.reach("migrated", 30*time.Second, r.migrated)
 
 	r.restart(out, rollout.Base)
 	r.Advance(8 * time.Second)
 	ups := 0
 	for range 3 {
-		r.Ask(out, "GET", "/up", nil, func(status int, _ []byte) {
+		r.Request(out, "GET", "/up", nil, func(status int, _ []byte) {
 			if ups++; status != 503 {
 				t.Errorf("it says that it is well: %d", status)
 			}
 		})
-		r.Ask(out, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
+		r.Request(out, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
 			if status == 201 {
 				t.Error("it took a job")
 			}
 		})
 		r.Advance(time.Second)
 	}
-	if v := r.view(out); ups != 3 || !r.Runs(out) || v.State != "behind" {
-		t.Errorf("%d answers, runs %v, %+v", ups, r.Runs(out), v)
+	if v := r.view(out); ups != 3 || !r.ControllerRuns(out) || v.State != "behind" {
+		t.Errorf("%d answers, runs %v, %+v", ups, r.ControllerRuns(out), v)
 	}
 	// Both others end: nobody leads rather than one that can't read what is stored.
 	for i := range 3 {
@@ -379,7 +379,7 @@
 		}
 	}
 	r.Advance(15 * time.Second)
-	if l, _ := r.World.Leader(); l >= 0 {
+	if l, _ := r.Simulation.Leader(); l >= 0 {
 		t.Errorf("controller %d leads", l)
 	}
 	for i := range 3 {
@@ -394,7 +394,7 @@
 	r.load(3 * time.Minute)
 	roll := func(to rollout.Level) {
 		done := false
-		r.Roll(to, time.Second, nil, func() { done = true })
+		r.RollingRestart(to, time.Second, nil, func() { done = true })
 		r.reach("rolled", 2*time.Minute, func() bool { return done })
 	}
 	if s, b := r.say("abort"); s != 503 && s != 200 {
@@ -409,7 +409,7 @@
 		r.Advance(8 * time.Second)
 	}
 	r.Advance(10 * time.Second)
-	if r.Level() != rollout.Base {
+	if r.ClusterLevel() != rollout.Base {
 		t.Fatal("it rose though it was aborted")
 	}
 	roll(rollout.Base) // nothing is lost
@@ -420,7 +420,7 @@
 		t.Fatalf("%d %s", s, b)
 	}
 	roll(rollout.Newest)
-	r.reach("risen", 20*time.Second, func() bool { return r.Level() == rollout.Newest })
+	r.reach("risen", 20*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 	if s, b := r.say("abort"); s != 409 || !strings.Contains(b, "can't read") {
 		t.Errorf("an abort that comes too late: %d %s", s, b)
 	}
@@ -433,7 +433,7 @@
 	r := newRolling(t, 55, 3, rollout.Base, "finish = \"operator\"")
 	r.load(90 * time.Second)
 	r.Advance(5 * time.Second)
-	leader, _ := r.World.Leader()
+	leader, _ := r.Simulation.Leader()
 	for i := range 3 {
 		if i != leader {
 			r.restart(i, rollout.Newest)
@@ -441,12 +441,12 @@
 	}
 	r.Advance(5 * time.Second)
 	held := 0
-	r.Watch(func(i int, tx store.Txn) Fate {
-		if i == leader && r.running(i) == rollout.Base && len(tx.Then) > 0 && strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
+	r.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
+		if i == leader && r.runningLevel(i) == rollout.Base && len(tx.Then) > 0 && strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
 			held++
-			return Fate{Later: 40 * time.Second}
+			return TxnOutcome{Delay: 40 * time.Second}
 		}
-		return Fate{}
+		return TxnOutcome{}
 	})
 	r.reach("held back", 10*time.Second, func() bool { return held > 0 })
 	r.restart(leader, rollout.Newest)
@@ -471,39 +471,39 @@
 					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, MemoryGB: 1,
 					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true,
 				}
-				u := &simUser{w: r.World, rng: r.rng, spec: spec}
+				u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 				r.users = append(r.users, u)
 				r.After(time.Duration(i*100)*time.Millisecond, u.submit)
 			}
 			r.Advance(40 * time.Second)
 			rolled := false
-			r.Roll(rollout.Newest, time.Second, nil, func() { rolled = true })
+			r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 			r.reach("rolled", 2*time.Minute, func() bool { return rolled })
-			r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Newest })
+			r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 			// From here on only the leader's most urgent writes go through at once.
 			start := r.oldPlans()
 			switch c {
 			case "takeovers":
 				for range 3 {
-					if l, _ := r.World.Leader(); l >= 0 {
+					if l, _ := r.Simulation.Leader(); l >= 0 {
 						r.KillController(l)
 						r.Advance(8 * time.Second)
 						r.StartController(l)
 					}
 				}
 			case "outage":
-				r.Outage(true)
+				r.SetStateOutage(true)
 				r.Advance(15 * time.Second)
-				r.Outage(false)
+				r.SetStateOutage(false)
 			case "zone":
-				l, _ := r.World.Leader()
+				l, _ := r.Simulation.Leader()
 				zone := r.settings[l].Zone
-				r.CutZone(zone, Held)
+				r.PartitionZone(zone, DelayBoth)
 				r.Advance(20 * time.Second)
-				if n, _ := r.World.Leader(); n < 0 || r.settings[n].Zone == zone {
+				if n, _ := r.Simulation.Leader(); n < 0 || r.settings[n].Zone == zone {
 					t.Errorf("controller %d leads, in a zone that is cut off", n)
 				}
-				r.CutZone(zone, Whole)
+				r.PartitionZone(zone, Connected)
 			}
 			r.reach("migrated", 2*time.Minute, r.migrated)
 			t.Logf("%d plans in the former form when the level rose", start)
@@ -521,7 +521,7 @@
 	r.load(2 * time.Minute)
 	r.Advance(5 * time.Second)
 	rolled, n := false, 0
-	r.Roll(rollout.Newest, 2*time.Second, func(int) bool { n++; return n%2 == 0 }, func() { rolled = true })
+	r.RollingRestart(rollout.Newest, 2*time.Second, func(int) bool { n++; return n%2 == 0 }, func() { rolled = true })
 	r.reach("rolled", 3*time.Minute, func() bool { return rolled })
 	r.reach("migrated", time.Minute, r.migrated)
 	r.over()
@@ -533,14 +533,14 @@
 	r := newRolling(t, 58, 3, rollout.Base, "finish = \"operator\"")
 	r.load(80 * time.Second)
 	rolled := false
-	r.Roll(rollout.Newest, time.Second, nil, func() { rolled = true })
+	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 	r.reach("rolled", time.Minute, func() bool { return rolled })
-	old, _ := r.World.Leader()
+	old, _ := r.Simulation.Leader()
 	r.FreezeController(old, 25*time.Second)
-	r.reach("led by another", 15*time.Second, func() bool { l, _ := r.World.Leader(); return l >= 0 && l != old })
+	r.reach("led by another", 15*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && l != old })
 	r.Advance(time.Second)
 	r.reach("told", 10*time.Second, func() bool { s, _ := r.say("finish"); return s == 200 })
-	r.reach("risen", 5*time.Second, func() bool { return r.Level() == rollout.Newest })
+	r.reach("risen", 5*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 	r.over()
 }
 
@@ -549,7 +549,7 @@
 	for seed := range uint64(8) {
 		r := newRolling(t, 80+seed, 5, rollout.Base, "soak_s = 600")
 		r.Advance(3 * time.Second)
-		leader, _ := r.World.Leader()
+		leader, _ := r.Simulation.Leader()
 		newer := (leader + 2) % 5
 		r.restart(newer, rollout.Newest)
 		r.Advance(8 * time.Second)
@@ -559,7 +559,7 @@
 			r.DrainController(leader, func() {})
 		}
 		r.Advance(12 * time.Second)
-		if l, _ := r.World.Leader(); l != newer {
+		if l, _ := r.Simulation.Leader(); l != newer {
 			t.Errorf("seed %d: controller %d leads, %d has the new release", 80+seed, l, newer)
 		}
 	}
@@ -570,23 +570,23 @@
 func TestUnreadableRecords(t *testing.T) {
 	r := newRolling(t, 59, 3, rollout.Base, "soak_s = 2")
 	r.Advance(3 * time.Second)
-	leader, _ := r.World.Leader()
+	leader, _ := r.Simulation.Leader()
 	other := (leader + 1) % 3
 	key := rollout.AnnounceKey(fmt.Sprintf("node-%d", other))
 	rolled := false
-	r.Roll(rollout.Newest, time.Second, nil, func() { rolled = true })
+	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 	r.reach("rolled", time.Minute, func() bool { return rolled })
-	r.Store(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
+	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
 	r.Advance(10 * time.Second)
-	l, _ := r.World.Leader()
-	if v := r.view(l); r.Level() != rollout.Base || len(v.Unreadable) != 1 || v.Unreadable[0].Key != key || len(v.Missing) != 1 {
-		t.Fatalf("level %d, %+v", r.Level(), v)
+	l, _ := r.Simulation.Leader()
+	if v := r.view(l); r.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 || v.Unreadable[0].Key != key || len(v.Missing) != 1 {
+		t.Fatalf("level %d, %+v", r.ClusterLevel(), v)
 	}
 	r.restart(other, rollout.Newest) // it says it anew
 	r.reach("migrated", 30*time.Second, r.migrated)
 
 	long := func(n int) *simUser {
-		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+		u := &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
 			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true,
 		}}
@@ -594,34 +594,34 @@
 		return u
 	}
 	a, b := long(1), long(2)
-	r.reach("running", 20*time.Second, func() bool { return r.Look().Running == 6 })
+	r.reach("running", 20*time.Second, func() bool { return r.Utilization().Running == 6 })
 	// Of a, the record is damaged; of both, the page with their plans. The next leader finds it so.
-	r.Store(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
-	for k := range r.Stored(jobs.PlanPagePrefix) {
-		r.Store(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
+	r.WriteKeys(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
+	for k := range r.StoredItems(jobs.PlanPagePrefix) {
+		r.WriteKeys(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
 	}
-	l, _ = r.World.Leader()
+	l, _ = r.Simulation.Leader()
 	r.KillController(l)
 	r.Advance(12 * time.Second)
-	l2, _ := r.World.Leader()
+	l2, _ := r.Simulation.Leader()
 	r.StartController(l)
-	starts := r.Stats().Starts
+	starts := r.Stats().TaskStarts
 	v := r.view(l2)
 	if len(v.Unreadable) < 2 {
 		t.Errorf("%+v", v.Unreadable)
 	}
 	why := ""
-	r.Ask(l2, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
-	r.Ask(l2, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
+	r.Request(l2, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
+	r.Request(l2, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
 		if status != 503 {
 			t.Errorf("a job whose record can't be read is told with status %d", status)
 		}
 	})
 	r.Advance(40 * time.Second)
-	if r.Stats().Starts != starts || !strings.Contains(why, "unreadable") {
-		t.Errorf("%d starts on a guess; why: %s", r.Stats().Starts-starts, why)
+	if r.Stats().TaskStarts != starts || !strings.Contains(why, "unreadable") {
+		t.Errorf("%d starts on a guess; why: %s", r.Stats().TaskStarts-starts, why)
 	}
-	for _, x := range r.Broken() {
+	for _, x := range r.Violations() {
 		t.Error(x)
 	}
 	_, _ = a, b
@@ -633,7 +633,7 @@
 	r := newRolling(t, 62, 3, rollout.Newest, "")
 	r.Advance(3 * time.Second)
 	submit := func(n int) {
-		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+		u := &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard",
 			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
 		}}
@@ -641,10 +641,10 @@
 		u.submit()
 	}
 	submit(1)
-	r.reach("running", 20*time.Second, func() bool { return r.Look().Running == 3 })
+	r.reach("running", 20*time.Second, func() bool { return r.Utilization().Running == 3 })
 	key := jobs.RecordKey("req-000001")
-	was := r.Key(key).Value
-	r.Store(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
+	was := r.StoredItem(key).Value
+	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
 	for i := range 3 {
 		r.KillController(i)
 	}
@@ -658,18 +658,18 @@
 		r.Advance(time.Second)
 	}
 	kept := false
-	for _, item := range r.Stored(jobs.PlanPagePrefix) {
+	for _, item := range r.StoredItems(jobs.PlanPagePrefix) {
 		kept = kept || strings.Contains(string(item.Value), `"req-000001/000"`)
 	}
 	if !kept {
 		t.Error("the plan of a job whose record can't be read was dropped")
 	}
 	// It can be read again: this leader doesn't know what runs of it and starts nothing, the next one reads both.
-	r.Store(store.Op{Put: key, Value: was})
+	r.WriteKeys(store.Op{Put: key, Value: was})
 	r.Advance(time.Second)
-	l, _ := r.World.Leader()
+	l, _ := r.Simulation.Leader()
 	why := ""
-	r.Ask(l, "GET", "/v2/runs/req-000001/why", nil, func(_ int, raw []byte) { why = string(raw) })
+	r.Request(l, "GET", "/v2/runs/req-000001/why", nil, func(_ int, raw []byte) { why = string(raw) })
 	r.Advance(time.Second)
 	if !strings.Contains(why, "unreadable") {
 		t.Errorf("planned without its plan: %s", why)
@@ -686,19 +686,19 @@
 	r := newRolling(t, 60, 3, rollout.Newest, "")
 	r.load(5 * time.Second)
 	r.Advance(10 * time.Second)
-	was := r.Key("h/r/migration").Value
-	r.Store(store.Op{Put: "h/r/migration", Value: json.RawMessage(`{"v":7,"level":2}`)})
+	was := r.StoredItem("h/r/migration").Value
+	r.WriteKeys(store.Op{Put: "h/r/migration", Value: json.RawMessage(`{"v":7,"level":2}`)})
 	r.Advance(10 * time.Second)
-	if ls := r.Leading(); len(ls) > 0 {
+	if ls := r.ActingLeaders(); len(ls) > 0 {
 		t.Errorf("controllers %v lead", ls)
 	}
 	for i := range 3 {
-		if v := r.view(i); !r.Runs(i) || v.State != "behind" {
+		if v := r.view(i); !r.ControllerRuns(i) || v.State != "behind" {
 			t.Errorf("controller %d: %+v", i, v)
 		}
 	}
 	delete(r.formats, "h/r/migration")
-	r.Store(store.Op{Put: "h/r/migration", Value: was})
+	r.WriteKeys(store.Op{Put: "h/r/migration", Value: was})
 	r.Advance(20 * time.Second)
 	r.over()
 }
@@ -713,12 +713,12 @@
 	for seed := range seeds {
 		r := newRolling(t, uint64(100+seed), 3+2*(seed%2), rollout.Base, "soak_s = 3")
 		rng := r.rng
-		r.Network(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+		r.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 		r.load(100 * time.Second)
 		n := r.Controllers()
 		for at := time.Duration(0); at < 110*time.Second; at += time.Duration(rng.IntN(7000)) * time.Millisecond {
 			i, duration := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
-			what, zone, how := rng.IntN(14), []string{"a", "b", "c"}[rng.IntN(3)], Cut(1+rng.IntN(5))
+			what, zone, how := rng.IntN(14), []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5))
 			level := rollout.Level(1 + rng.IntN(2))
 			if at > 60*time.Second {
 				level = rollout.Newest
@@ -727,42 +727,42 @@
 				switch what {
 				case 0, 1, 2:
 					r.KillController(i)
-					r.After(duration/3, func() { r.Release(i, level); r.StartController(i) })
+					r.After(duration/3, func() { r.SetRelease(i, level); r.StartController(i) })
 				case 3, 4:
-					r.DrainController(i, func() { r.After(duration/4, func() { r.Release(i, level); r.StartController(i) }) })
+					r.DrainController(i, func() { r.After(duration/4, func() { r.SetRelease(i, level); r.StartController(i) }) })
 				case 5:
-					if l, _ := r.World.Leader(); l >= 0 && r.Runs(l) {
+					if l, _ := r.Simulation.Leader(); l >= 0 && r.ControllerRuns(l) {
 						r.FreezeController(l, duration)
 					}
 				case 6:
-					during(duration, (*World).Outage)(r.World)
+					during(duration, (*Simulation).SetStateOutage)(r.Simulation)
 				case 7:
-					during(duration, func(w *World, on bool) { w.Refuse(i, on) })(r.World)
+					during(duration, func(sim *Simulation, on bool) { sim.RefuseController(i, on) })(r.Simulation)
 				case 8, 9:
-					r.CutZone(zone, how)
-					r.After(duration, func() { r.CutZone(zone, Whole) })
+					r.PartitionZone(zone, how)
+					r.After(duration, func() { r.PartitionZone(zone, Connected) })
 				case 10:
-					if l, _ := r.World.Leader(); l >= 0 {
+					if l, _ := r.Simulation.Leader(); l >= 0 {
 						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
-						r.Ask(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)), func(int, []byte) {})
+						r.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)), func(int, []byte) {})
 					}
 				case 11:
 					r.KillMachine()
 				case 12:
-					r.Hang(duration)
+					r.HangMachine(duration)
 				case 13:
 					done := false
-					r.Roll(level, duration/4, nil, func() { done = true })
+					r.RollingRestart(level, duration/4, nil, func() { done = true })
 					_ = done
 				}
 			})
 		}
 		r.Advance(135 * time.Second)
-		r.StopRoll()
+		r.StopRollingRestart()
 		r.Advance(15 * time.Second)
-		r.Network(2*time.Millisecond, 0, 0, 0)
+		r.SetNetwork(2*time.Millisecond, 0, 0, 0)
 		for _, z := range []string{"a", "b", "c"} {
-			r.CutZone(z, Whole)
+			r.PartitionZone(z, Connected)
 		}
 		for i := range n {
 			r.restart(i, rollout.Newest)
@@ -774,7 +774,7 @@
 			}
 			r.Advance(3 * time.Second)
 		}
-		r.reach("risen", time.Minute, func() bool { return r.Level() == rollout.Newest })
+		r.reach("risen", time.Minute, func() bool { return r.ClusterLevel() == rollout.Newest })
 		r.reach("migrated", time.Minute, r.migrated)
 		risen++
 		r.over()
@@ -784,7 +784,7 @@
 			}
 		}
 		s := r.Stats()
-		starts, kills = starts+s.Starts, kills+s.Kills
+		starts, kills = starts+s.TaskStarts, kills+s.ControllersKilled
 		if t.Failed() {
 			t.Fatalf("seed %d", 100+seed)
 		}
@@ -799,15 +799,15 @@
 	r.load(20 * time.Second)
 	r.Advance(25 * time.Second)
 	for _, z := range []string{"a", "b", "c"} {
-		r.PowerLost(z)
+		r.PowerOffZone(z)
 	}
 	r.Advance(5 * time.Second)
-	_, term := r.World.Leader()
+	_, term := r.Simulation.Leader()
 	for i := range 3 {
 		r.StartController(i)
 	}
 	r.over()
-	if _, now := r.World.Leader(); now > term+3 {
+	if _, now := r.Simulation.Leader(); now > term+3 {
 		t.Errorf("the lead passed %d times", now-term)
 	}
 }
--- a/internal/simulator/script.go
+++ b/internal/simulator/script.go
@@ -14,228 +14,234 @@
 
 // Fault is one line of a script: what happens when.
 type Fault struct {
-	At   time.Duration
-	Text string
-	Do   func(*World)
-	// Simulated tells that it can be played in a simulation only.
-	Simulated bool
+	After time.Duration
+	Text  string
+	Apply func(*Simulation)
+	// VirtualTimeOnly tells that it can be played in a simulation only.
+	VirtualTimeOnly bool
 }
 
-// faults are the words of a script, with how many arguments each takes: times, but for refuse's
+// faultKinds are the words of a script, with how many arguments each takes: times, but for refuse's
 // first, which is a controller's number, cancel-now's, which is how many jobs, and a zone's name.
-var faults = map[string]struct {
+var faultKinds = map[string]struct {
 	args string
-	make func(duration time.Duration, n int, zone string) func(*World)
+	make func(duration time.Duration, n int, zone string) func(*Simulation)
 }{
-	"crash-task":   {"", func(time.Duration, int, string) func(*World) { return func(w *World) { w.CrashTask() } }},
-	"kill-machine": {"", func(time.Duration, int, string) func(*World) { return func(w *World) { w.KillMachine() } }},
-	"hang":         {"t", func(duration time.Duration, _ int, _ string) func(*World) { return func(w *World) { w.Hang(duration) } }},
-	"delay": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Delay(duration) }
+	"crash-task":   {"", func(time.Duration, int, string) func(*Simulation) { return func(sim *Simulation) { sim.CrashTask() } }},
+	"kill-machine": {"", func(time.Duration, int, string) func(*Simulation) { return func(sim *Simulation) { sim.KillMachine() } }},
+	"hang": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.HangMachine(duration) }
 	}},
-	"notice": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Notice(duration) }
+	"delay": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.DelayMachineCommands(duration) }
 	}},
-	"outage": {"t", func(duration time.Duration, _ int, _ string) func(*World) { return during(duration, (*World).Outage) }},
-	"cloud-outage": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, (*World).CloudOutage)
+	"notice": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.ReclaimSpotMachine(duration) }
 	}},
-	"deaf-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Deafen(1, "", duration) }
+	"outage": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, (*Simulation).SetStateOutage)
 	}},
-	"mute-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Silence(1, "", duration) }
+	"cloud-outage": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, (*Simulation).SetCloudOutage)
 	}},
-	"deaf-machines": {"zt", func(duration time.Duration, _ int, zone string) func(*World) {
-		return func(w *World) { w.Deafen(1<<30, zone, duration) }
+	"deaf-machine": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.DropInbound(1, "", duration) }
 	}},
-	"restart-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Rebirth("", duration) }
+	"mute-machine": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.DropOutbound(1, "", duration) }
 	}},
-	"late-boots": {"t", bootsFor(lateBy, 0)},
-	"no-boots":   {"t", bootsFor(1, 1)},
-	"copies": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) {
-			w.Copies(map[bool]float64{true: 0.2}[on], time.Second, seconds(2*w.cfg.Workers.LeaseS))
+	"deaf-machines": {"zt", func(duration time.Duration, _ int, zone string) func(*Simulation) {
+		return func(sim *Simulation) { sim.DropInbound(1<<30, zone, duration) }
+	}},
+	"restart-machine": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.RestartMachine("", duration) }
+	}},
+	"late-boots": {"t", bootTimeFault(lateBootFactor, 0)},
+	"no-boots":   {"t", bootTimeFault(1, 1)},
+	"copies": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) {
+			sim.DuplicateMessages(map[bool]float64{true: 0.2}[on], time.Second, seconds(2*sim.cfg.Workers.LeaseS))
 		})
 	}},
-	"late-writes": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) {
-			w.LateWrites(map[bool]float64{true: 0.2}[on], w.lateness(1./12), w.lateness(1./2))
+	"late-writes": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) {
+			sim.DelayWrites(map[bool]float64{true: 0.2}[on], sim.leaseFraction(1./12), sim.leaseFraction(1./2))
 		})
 	}},
-	"slow-state":   {"t", heldFor((*World).SlowState, 1./200, 1./5)},
-	"hold-orders":  {"t", heldFor((*World).HoldOrders, 1./50, 2./3)},
-	"hold-answers": {"t", heldFor((*World).HoldAnswers, 1./50, 2./3)},
-	"refuse-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.RefuseLeader(duration) }
+	"slow-state":   {"t", delayFault((*Simulation).DelayStateAnswers, 1./200, 1./5)},
+	"hold-orders":  {"t", delayFault((*Simulation).DelayCommands, 1./50, 2./3)},
+	"hold-answers": {"t", delayFault((*Simulation).DelayHeartbeatAnswers, 1./50, 2./3)},
+	"refuse-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.RefuseLeader(duration) }
+	}},
+	"stick-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.stallLeaderWatches(duration) }
 	}},
-	"stick-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.stickLeader(duration) }
+	"outage-at-cancel": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.OnCancelled(func() { during(duration, (*Simulation).SetStateOutage)(sim) }) }
 	}},
-	"outage-at-cancel": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.OnCancelled(func() { during(duration, (*World).Outage)(w) }) }
+	"lost-answers": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) { sim.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })
 	}},
-	"lost-answers": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) { w.LoseAnswers(map[bool]float64{true: 0.3}[on]) })
+	"small-limits": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, (*Simulation).SetSmallLimits)
 	}},
-	"small-limits": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, (*World).SmallLimits)
+	"lose-positions": {"t", func(time.Duration, int, string) func(*Simulation) { return (*Simulation).CompactHistory }},
+	"keep-copies": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) { sim.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })
 	}},
-	"lose-positions": {"t", func(time.Duration, int, string) func(*World) { return (*World).LosePositions }},
-	"keep-copies": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) { w.KeepCopies(map[bool]float64{true: 0.3}[on]) })
+	"close-looks": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, (*Simulation).SetPollBursts)
 	}},
-	"close-looks": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, (*World).CloseLooks)
+	"odd-requests": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, (*Simulation).SetOddRequests)
 	}},
-	"odd-requests": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, (*World).OddRequests)
+	"cancel-now": {"ct", func(duration time.Duration, n int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.CancelRunning(n, duration) }
 	}},
-	"cancel-now": {"ct", func(duration time.Duration, n int, _ string) func(*World) {
-		return func(w *World) { w.CancelNow(n, duration) }
+	"cancel-at-end": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) { sim.CancelAtCompletion(map[bool]float64{true: 0.5}[on]) })
 	}},
-	"cancel-at-end": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) { w.CancelAtEnd(map[bool]float64{true: 0.5}[on]) })
+	"shut-machine": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.RefuseOutbound(1, "", duration) }
 	}},
-	"shut-machine": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Shut(1, "", duration) }
+	"shut-machines": {"zt", func(duration time.Duration, _ int, zone string) func(*Simulation) {
+		return func(sim *Simulation) { sim.RefuseOutbound(1<<30, zone, duration) }
 	}},
-	"shut-machines": {"zt", func(duration time.Duration, _ int, zone string) func(*World) {
-		return func(w *World) { w.Shut(1<<30, zone, duration) }
+	"fast-boots": {"t", bootTimeFault(fastBootFactor, 0)},
+	"slow-links": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) { sim.SetLinkDelay(map[bool]time.Duration{true: slowLinkDelay}[on]) })
 	}},
-	"fast-boots": {"t", bootsFor(fastBy, 0)},
-	"slow-links": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) { w.SlowLinks(map[bool]time.Duration{true: slowLink}[on]) })
+	"flip-leaders": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.KillLeaders(leaderKillCount, duration) }
 	}},
-	"flip-leaders": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.FlipLeaders(flips, duration) }
+	"licence-down": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) { sim.Licences.SetDown(on) })
 	}},
-	"licence-down": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) { w.Licences.Down(on) })
+	"kill-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return onLeader(duration, (*Simulation).KillController)
 	}},
-	"kill-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return toLeader(duration, (*World).KillController)
+	"drain-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return onLeader(duration, drainController)
 	}},
-	"drain-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) { return toLeader(duration, drainNow) }},
-	"freeze-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return toLeader(0, func(w *World, i int) { w.FreezeController(i, duration) })
+	"freeze-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return onLeader(0, func(sim *Simulation, i int) { sim.FreezeController(i, duration) })
 	}},
-	"cut-off-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return toLeader(0, func(w *World, i int) { severFor(w, i, FromState|FromPeers, duration) })
+	"cut-off-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return onLeader(0, func(sim *Simulation, i int) { cutLinksFor(sim, i, StateLink|PeerLinks, duration) })
 	}},
-	"unheard-leader": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return toLeader(0, func(w *World, i int) { severFor(w, i, FromWorkers, duration) })
+	"unheard-leader": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return onLeader(0, func(sim *Simulation, i int) { cutLinksFor(sim, i, WorkerLinks, duration) })
 	}},
-	"kill-controllers": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) {
-			for i := range w.cfg.Controllers {
-				w.KillController(i)
-				w.ground.after(duration, func() { w.StartController(i) })
+	"kill-controllers": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) {
+			for i := range sim.cfg.Controllers {
+				sim.KillController(i)
+				sim.env.schedule(duration, func() { sim.StartController(i) })
 			}
 		}
 	}},
-	"refuse": {"nt", func(duration time.Duration, n int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) {
-			if n < w.cfg.Controllers {
-				w.Refuse(n, on)
+	"refuse": {"nt", func(duration time.Duration, n int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) {
+			if n < sim.cfg.Controllers {
+				sim.RefuseController(n, on)
 			}
 		})
 	}},
-	"cut-zone":    {"zt", cutFor(Lost)},
-	"hold-zone":   {"zt", cutFor(Held)},
-	"refuse-zone": {"zt", cutFor(Refused)},
-	"deaf-zone":   {"zt", cutFor(Deaf)},
-	"mute-zone":   {"zt", cutFor(Mute)},
-	"flap-zone":   {"zt", flapZone},
-	"power-zone":  {"zt", powerLost},
-	"roll": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Roll(rollout.Newest, duration, nil, func() {}) }
+	"cut-zone":    {"zt", partitionFault(DropBoth)},
+	"hold-zone":   {"zt", partitionFault(DelayBoth)},
+	"refuse-zone": {"zt", partitionFault(RefuseBoth)},
+	"deaf-zone":   {"zt", partitionFault(DropInto)},
+	"mute-zone":   {"zt", partitionFault(DropOutOf)},
+	"flap-zone":   {"zt", flapZoneFault},
+	"power-zone":  {"zt", powerZoneFault},
+	"roll": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.RollingRestart(rollout.Newest, duration, nil, func() {}) }
 	}},
-	"roll-back": {"t", func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) { w.Roll(rollout.Newest-1, duration, nil, func() {}) }
+	"roll-back": {"t", func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) { sim.RollingRestart(rollout.Newest-1, duration, nil, func() {}) }
 	}},
 }
 
-// simulated are the faults that do something to controllers: a simulation's only.
-var simulated = map[string]bool{
+// virtualTimeOnly are the faults that do something to controllers: a simulation's only.
+var virtualTimeOnly = map[string]bool{
 	"close-looks": true, "odd-requests": true, "cancel-now": true, "cancel-at-end": true, "slow-links": true, "flip-leaders": true, "cut-off-leader": true, "unheard-leader": true, "kill-leader": true, "drain-leader": true, "freeze-leader": true, "kill-controllers": true,
 	"cut-zone": true, "hold-zone": true, "refuse-zone": true, "deaf-zone": true, "mute-zone": true, "flap-zone": true, "power-zone": true, "roll": true, "roll-back": true,
 }
 
-// lateBy is how many times longer than usual boots take under late-boots, fastBy under fast-boots: all are up within two seconds.
+// lateBootFactor is how many times longer than usual boots take under late-boots, fastBootFactor under fast-boots: all are up within two seconds.
 const (
-	lateBy = 5
-	fastBy = 0.01
+	lateBootFactor = 5
+	fastBootFactor = 0.01
 )
 
-// slowLink is the mean time of a message on its way under slow-links, and flips how often flip-leaders ends whoever leads.
+// slowLinkDelay is the mean time of a message on its way under slow-links, and flips how often flip-leaders ends whoever leads.
 const (
-	slowLink = 150 * time.Millisecond
-	flips    = 10
+	slowLinkDelay   = 150 * time.Millisecond
+	leaderKillCount = 10
 )
 
-// heldFor is a script's fault: messages of a kind are held up by a part of a lease for a time.
-func heldFor(set func(w *World, least, most time.Duration), least, most float64) func(duration time.Duration, _ int, _ string) func(*World) {
-	return func(duration time.Duration, _ int, _ string) func(*World) {
-		return during(duration, func(w *World, on bool) {
+// delayFault is a script's fault: messages of a kind are held up by a part of a lease for a time.
+func delayFault(set func(sim *Simulation, least, most time.Duration), least, most float64) func(duration time.Duration, _ int, _ string) func(*Simulation) {
+	return func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return during(duration, func(sim *Simulation, on bool) {
 			if !on {
-				set(w, 0, 0)
+				set(sim, 0, 0)
 				return
 			}
-			set(w, w.lateness(least), w.lateness(most))
+			set(sim, sim.leaseFraction(least), sim.leaseFraction(most))
 		})
 	}
 }
 
-func bootsFor(factor, never float64) func(duration time.Duration, _ int, _ string) func(*World) {
-	return func(duration time.Duration, _ int, _ string) func(*World) {
-		return func(w *World) {
-			w.Boots(factor, never)
-			w.ground.after(duration, func() { w.Boots(0, 0) })
+func bootTimeFault(factor, never float64) func(duration time.Duration, _ int, _ string) func(*Simulation) {
+	return func(duration time.Duration, _ int, _ string) func(*Simulation) {
+		return func(sim *Simulation) {
+			sim.SetBootFault(factor, never)
+			sim.env.schedule(duration, func() { sim.SetBootFault(0, 0) })
 		}
 	}
 }
 
-func severFor(w *World, i int, from Counterpart, duration time.Duration) {
-	w.Sever(i, from)
-	w.ground.after(duration, func() { w.Sever(i, 0) })
+func cutLinksFor(sim *Simulation, i int, from Links, duration time.Duration) {
+	sim.CutLinks(i, from)
+	sim.env.schedule(duration, func() { sim.CutLinks(i, 0) })
 }
 
-func drainNow(w *World, i int) { w.DrainController(i, func() {}) }
+func drainController(sim *Simulation, i int) { sim.DrainController(i, func() {}) }
 
-// toLeader does something to the controller that leads, and starts it again after a time.
-func toLeader(again time.Duration, do func(*World, int)) func(*World) {
-	return func(w *World) {
-		i, _ := w.Leader()
+// onLeader does something to the controller that leads, and starts it again after a time.
+func onLeader(again time.Duration, do func(*Simulation, int)) func(*Simulation) {
+	return func(sim *Simulation) {
+		i, _ := sim.Leader()
 		if i < 0 {
 			return
 		}
-		do(w, i)
+		do(sim, i)
 		if again > 0 {
 			var restart func()
 			restart = func() {
-				if w.StartController(i); w.sim.nodes[i].drains {
-					w.ground.after(w.cfg.Step, restart) // it still drains
+				if sim.StartController(i); sim.virtual.controllers[i].draining {
+					sim.env.schedule(sim.cfg.TickInterval, restart) // it still drains
 				}
 			}
-			w.ground.after(again, restart)
+			sim.env.schedule(again, restart)
 		}
 	}
 }
 
 // during switches something on for a time.
-func during(duration time.Duration, set func(*World, bool)) func(*World) {
-	return func(w *World) {
-		set(w, true)
-		w.ground.after(duration, func() { set(w, false) })
+func during(duration time.Duration, set func(*Simulation, bool)) func(*Simulation) {
+	return func(sim *Simulation) {
+		set(sim, true)
+		sim.env.schedule(duration, func() { set(sim, false) })
 	}
 }
 
 // FaultWords lists what a script may say.
 func FaultWords() []string {
 	var ws []string
-	for name, f := range faults {
+	for name, f := range faultKinds {
 		ws = append(ws, strings.TrimSpace(name+" "+strings.NewReplacer("n", "CONTROLLER ", "c", "COUNT ", "z", "ZONE ", "t", "TIME").Replace(f.args)))
 	}
 	sort.Strings(ws)
@@ -257,7 +263,7 @@
 		if err != nil || at < 0 || len(fs) < 2 {
 			return nil, wrong("begin with a time and a fault, such as \"12s kill-machine\"")
 		}
-		f, ok := faults[fs[1]]
+		f, ok := faultKinds[fs[1]]
 		if !ok {
 			return nil, wrong("no such fault; there are " + strings.Join(FaultWords(), ", "))
 		}
@@ -279,18 +285,18 @@
 				return nil, wrong(fs[2+i] + " is not what belongs there")
 			}
 		}
-		out = append(out, Fault{at, strings.Join(fs[1:], " "), f.make(duration, n, zone), simulated[fs[1]]})
+		out = append(out, Fault{at, strings.Join(fs[1:], " "), f.make(duration, n, zone), virtualTimeOnly[fs[1]]})
 	}
-	sort.SliceStable(out, func(a, b int) bool { return out[a].At < out[b].At })
+	sort.SliceStable(out, func(a, b int) bool { return out[a].After < out[b].After })
 	return out, lines.Err()
 }
 
 // Play plays a script from now on; say is told of each fault.
-func (w *World) Play(script []Fault, say func(Fault)) {
+func (w *Simulation) Play(script []Fault, say func(Fault)) {
 	for _, f := range script {
-		w.ground.after(f.At, func() {
+		w.env.schedule(f.After, func() {
 			say(f)
-			f.Do(w)
+			f.Apply(w)
 		})
 	}
 }
--- a/internal/simulator/sim_test.go
+++ b/internal/simulator/sim_test.go
@@ -24,7 +24,7 @@
 
 // simUser follows one job of a simulation and keeps what it was told.
 type simUser struct {
-	w      *World
+	w      *Simulation
 	rng    *rand.Rand
 	spec   *jobs.Spec
 	told   []string // final answers
@@ -34,15 +34,15 @@
 }
 
 func (u *simUser) ask(method, path string, body []byte, then func(int, string)) {
-	u.w.Ask(u.rng.IntN(u.w.Controllers()), method, path, body, func(status int, raw []byte) {
-		var v view
+	u.w.Request(u.rng.IntN(u.w.Controllers()), method, path, body, func(status int, raw []byte) {
+		var v jobView
 		_ = json.Unmarshal(raw, &v)
-		then(status, v.Stance)
+		then(status, v.State)
 	})
 }
 
 func (u *simUser) submit() {
-	u.w.Know(u.spec)
+	u.w.AddJob(u.spec)
 	body, _ := json.Marshal(u.spec)
 	var again func()
 	again = func() {
@@ -65,15 +65,15 @@
 		case status != 200:
 			u.w.After(time.Second, u.cancel)
 		case stance == "cancelled":
-			u.w.Cancelled(u.spec.ID)
+			u.w.ConfirmCancelled(u.spec.ID)
 		}
 	})
 }
 
 func (u *simUser) poll() {
 	u.ask("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, stance string) {
-		u.w.Heard(&u.heard, status, stance, u.asked)
-		if u.heard.Times > len(u.told) {
+		u.w.CheckAnswer(&u.heard, status, stance, u.asked)
+		if u.heard.FinalAnswers > len(u.told) {
 			u.told = append(u.told, stance)
 		}
 		if len(u.told) < 4 {
@@ -101,9 +101,9 @@
 }
 
 // watchActing holds that at most one controller believes that it may act, at every moment.
-func (w *World) watchActing() {
-	if ls := w.Leading(); len(ls) > 1 {
-		w.Break("controllers %v believe that they may act", ls)
+func (w *Simulation) watchActing() {
+	if ls := w.ActingLeaders(); len(ls) > 1 {
+		w.ReportViolation("controllers %v believe that they may act", ls)
 	}
 	w.After(20*time.Millisecond, w.watchActing)
 }
@@ -121,10 +121,10 @@
 
 // chaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
 // and the network fail at random, several at once, then lets everything heal, and returns the world and its users.
-func chaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*World, []*simUser) {
+func chaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*simUser) {
 	t.Helper()
-	w, err := Simulated(Config{
-		Seed: seed, Machines: 12, Controllers: 3 + 2*int(seed%2), Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond,
+	sim, err := NewVirtualTime(Config{
+		Seed: seed, MaxMachines: 12, Controllers: 3 + 2*int(seed%2), LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond,
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
@@ -132,66 +132,66 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 31))
-	w.Network(time.Duration(1+rng.IntN(20))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+	sim.SetNetwork(time.Duration(1+rng.IntN(20))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 	var users []*simUser
 	for i := range njobs {
-		u := &simUser{w: w, rng: rng, spec: drawJob(rng, i+1)}
+		u := &simUser{w: sim, rng: rng, spec: drawJob(rng, i+1)}
 		users = append(users, u)
 		at := time.Duration(rng.Int64N(int64(faulty)))
-		w.After(at, u.submit)
+		sim.After(at, u.submit)
 		if rng.IntN(6) == 0 {
-			w.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, u.cancel)
+			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, u.cancel)
 		}
 	}
 	secs := func(most int) time.Duration { return time.Duration(rng.IntN(most*1000)) * time.Millisecond }
-	n := w.Controllers()
+	n := sim.Controllers()
 	for at := secs(4); at < faulty; at += secs(6) {
 		i, duration := rng.IntN(n), 500*time.Millisecond+secs(9)
 		what := rng.IntN(12)
-		w.After(at, func() {
+		sim.After(at, func() {
 			switch what {
 			case 0:
-				w.CrashTask()
+				sim.CrashTask()
 			case 1:
-				w.KillMachine()
+				sim.KillMachine()
 			case 2:
-				w.Hang(duration)
+				sim.HangMachine(duration)
 			case 3:
-				w.Delay(duration)
+				sim.DelayMachineCommands(duration)
 			case 4:
-				w.Notice(duration)
+				sim.ReclaimSpotMachine(duration)
 			case 5:
-				w.KillController(i)
-				w.After(duration, func() { w.StartController(i) })
+				sim.KillController(i)
+				sim.After(duration, func() { sim.StartController(i) })
 			case 6:
-				if l, _ := w.Leader(); l >= 0 {
-					w.KillController(l)
-					w.After(duration/3, func() { w.StartController(l) })
+				if l, _ := sim.Leader(); l >= 0 {
+					sim.KillController(l)
+					sim.After(duration/3, func() { sim.StartController(l) })
 				}
 			case 7:
-				if l, _ := w.Leader(); l >= 0 && w.Runs(l) {
-					w.FreezeController(l, duration)
+				if l, _ := sim.Leader(); l >= 0 && sim.ControllerRuns(l) {
+					sim.FreezeController(l, duration)
 				}
 			case 8:
-				w.DrainController(i, func() { w.After(duration/4, func() { w.StartController(i) }) })
+				sim.DrainController(i, func() { sim.After(duration/4, func() { sim.StartController(i) }) })
 			case 9:
-				during(duration, (*World).Outage)(w)
+				during(duration, (*Simulation).SetStateOutage)(sim)
 			case 10:
-				during(duration, func(w *World, on bool) { w.Refuse(i, on) })(w)
+				during(duration, func(sim *Simulation, on bool) { sim.RefuseController(i, on) })(sim)
 			case 11:
-				during(duration, (*World).CloudOutage)(w)
+				during(duration, (*Simulation).SetCloudOutage)(sim)
 			}
 		})
 	}
-	w.watchActing()
+	sim.watchActing()
 	// A clock on the wall that is off by an hour, forward or back, from a controller's next start on.
-	w.SetWall(rng.IntN(n), time.Duration(rng.IntN(3)-1)*time.Hour)
-	w.Advance(faulty + 25*time.Second)
-	w.Network(2*time.Millisecond, 0, 0, 0)
+	sim.MoveWallClock(rng.IntN(n), time.Duration(rng.IntN(3)-1)*time.Hour)
+	sim.Advance(faulty + 25*time.Second)
+	sim.SetNetwork(2*time.Millisecond, 0, 0, 0)
 	for i := range n {
-		w.StartController(i)
+		sim.StartController(i)
 	}
-	for end := w.Now() + 10*time.Minute; w.Now() < end; w.Advance(5 * time.Second) {
+	for end := sim.Now() + 10*time.Minute; sim.Now() < end; sim.Advance(5 * time.Second) {
 		open := 0
 		for _, u := range users {
 			if len(u.told) < 4 {
@@ -202,7 +202,7 @@
 			break
 		}
 	}
-	return w, users
+	return sim, users
 }
 
 // The real code of all controllers through random faults that overlap, in simulated time: no rule of the
@@ -216,8 +216,8 @@
 	var all Stats
 	ends := map[string]int{}
 	for seed := range seeds {
-		w, users := chaos(t, uint64(seed+1), 60, 2*time.Minute)
-		for _, b := range w.Broken() {
+		sim, users := chaos(t, uint64(seed+1), 60, 2*time.Minute)
+		for _, b := range sim.Violations() {
 			t.Errorf("seed %d: %s", seed+1, b)
 		}
 		for _, u := range users {
@@ -235,15 +235,15 @@
 				}
 			}
 		}
-		s := w.Stats()
-		all.Starts, all.Crashed, all.MachinesKilled, all.Hung = all.Starts+s.Starts, all.Crashed+s.Crashed, all.MachinesKilled+s.MachinesKilled, all.Hung+s.Hung
-		all.Kills, all.Freezes, all.Drains, all.LateOrders = all.Kills+s.Kills, all.Freezes+s.Freezes, all.Drains+s.Drains, all.LateOrders+s.LateOrders
+		s := sim.Stats()
+		all.TaskStarts, all.TasksCrashed, all.MachinesKilled, all.MachinesHung = all.TaskStarts+s.TaskStarts, all.TasksCrashed+s.TasksCrashed, all.MachinesKilled+s.MachinesKilled, all.MachinesHung+s.MachinesHung
+		all.ControllersKilled, all.ControllersFrozen, all.ControllersDrained, all.CommandsDelayed = all.ControllersKilled+s.ControllersKilled, all.ControllersFrozen+s.ControllersFrozen, all.ControllersDrained+s.ControllersDrained, all.CommandsDelayed+s.CommandsDelayed
 		if t.Failed() {
 			break
 		}
 	}
 	t.Logf("%d seeds: %v; %+v", seeds, ends, all)
-	if all.Kills == 0 || all.Freezes == 0 || all.Drains == 0 || all.Hung == 0 || all.MachinesKilled == 0 || ends["cancelled"] == 0 {
+	if all.ControllersKilled == 0 || all.ControllersFrozen == 0 || all.ControllersDrained == 0 || all.MachinesHung == 0 || all.MachinesKilled == 0 || ends["cancelled"] == 0 {
 		t.Error("a kind of fault never came")
 	}
 }
@@ -251,8 +251,8 @@
 // The same seed gives the same run, to the last event.
 func TestSimulationRepeats(t *testing.T) {
 	digest := func() string {
-		w, users := chaos(t, 7, 25, 40*time.Second)
-		s := fmt.Sprint(w.Stats(), w.Now(), w.Starts())
+		sim, users := chaos(t, 7, 25, 40*time.Second)
+		s := fmt.Sprint(sim.Stats(), sim.Now(), sim.StartTimes())
 		for _, u := range users {
 			s += fmt.Sprint(u.told)
 		}
@@ -267,7 +267,7 @@
 // perhaps runs, and comes to one end, in this order; a job's acceptance comes first and its end last; and as many
 // tasks are told done as there are.
 func TestEventsTellWhatHappened(t *testing.T) {
-	w, err := Simulated(Config{Seed: 3, Machines: 8, Step: 20 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, nil)
+	sim, err := NewVirtualTime(Config{Seed: 3, MaxMachines: 8, TickInterval: 20 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -276,19 +276,19 @@
 	for i := range 40 {
 		spec := drawJob(rng, i+1)
 		spec.Licences = nil
-		u := &simUser{w: w, rng: rng, spec: spec}
+		u := &simUser{w: sim, rng: rng, spec: spec}
 		users = append(users, u)
-		w.After(time.Duration(rng.IntN(60))*time.Second, u.submit)
+		sim.After(time.Duration(rng.IntN(60))*time.Second, u.submit)
 	}
 	for i := range 12 {
-		w.After(time.Duration(10+5*i)*time.Second, func() {
+		sim.After(time.Duration(10+5*i)*time.Second, func() {
 			switch i % 3 {
 			case 0:
-				w.CrashTask()
+				sim.CrashTask()
 			case 1:
-				w.KillMachine()
+				sim.KillMachine()
 			default:
-				w.Hang(8 * time.Second)
+				sim.HangMachine(8 * time.Second)
 			}
 		})
 	}
@@ -301,10 +301,10 @@
 	var all []happened
 	since := ""
 	for range 40 {
-		w.Advance(5 * time.Second)
-		l, _ := w.Leader()
+		sim.Advance(5 * time.Second)
+		l, _ := sim.Leader()
 		for more := true; more; {
-			w.Ask(l, "GET", "/v2/events?since="+since, nil, func(status int, raw []byte) {
+			sim.Request(l, "GET", "/v2/events?since="+since, nil, func(status int, raw []byte) {
 				var page struct {
 					Term, Next uint64
 					Events     []happened
@@ -315,7 +315,7 @@
 				}
 				all, since, more = append(all, page.Events...), fmt.Sprintf("%d-%d", page.Term, page.Next), page.More
 			})
-			w.Advance(200 * time.Millisecond)
+			sim.Advance(200 * time.Millisecond)
 		}
 	}
 	if len(all) == 0 || all[0].Event != "term" {
@@ -367,7 +367,7 @@
 	if notes["error"] == 0 || kinds["task_lost"] == 0 || kinds["machine"] == 0 {
 		t.Errorf("not every kind was seen: %v, %v", kinds, notes)
 	}
-	for _, b := range w.Broken() {
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
@@ -376,51 +376,51 @@
 // has done anything else it is asked, by a worker, a user and an operator, and it acts for nobody; nor does the
 // one that leads now hear of it. Users and operators are told to come back, or who leads.
 func TestAskedAfterItsAuthorityEnded(t *testing.T) {
-	w, err := Simulated(Config{Seed: 5, Machines: 4, Teams: []config.Team{{Name: "red"}}}, nil)
+	sim, err := NewVirtualTime(Config{Seed: 5, MaxMachines: 4, Teams: []config.Team{{Name: "red"}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &simUser{w: w, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
+	u := &simUser{w: sim, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
 		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
 		Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
 	}}
-	w.After(3*time.Second, u.submit)
-	w.Advance(15 * time.Second)
-	old, _ := w.Leader()
-	w.FreezeController(old, 12*time.Second)
+	sim.After(3*time.Second, u.submit)
+	sim.Advance(15 * time.Second)
+	old, _ := sim.Leader()
+	sim.FreezeController(old, 12*time.Second)
 	said := map[string][]int{}
 	note := func(what string) func(int, []byte) {
 		return func(status int, _ []byte) { said[what] = append(said[what], status) }
 	}
 	// They wait in its sockets and are the first that it sees.
 	u.asked = true
-	w.After(11*time.Second+900*time.Millisecond, func() {
-		w.Ask(old, "GET", "/v2/runs", nil, note("list"))
-		w.Ask(old, "GET", "/v2/runs/req-000001/why", nil, note("why"))
-		w.Ask(old, "POST", "/v2/runs/req-000001/abort", []byte("{}"), note("abort"))
-		w.Ask(old, "GET", "/v2/runs/req-000001", nil, note("get"))
-		m := w.byName[w.Busiest()]
-		body, _ := json.Marshal(w.report(w.now(), m))
-		w.Ask(old, "POST", "/checkin", body, note("report"))
+	sim.After(11*time.Second+900*time.Millisecond, func() {
+		sim.Request(old, "GET", "/v2/runs", nil, note("list"))
+		sim.Request(old, "GET", "/v2/runs/req-000001/why", nil, note("why"))
+		sim.Request(old, "POST", "/v2/runs/req-000001/abort", []byte("{}"), note("abort"))
+		sim.Request(old, "GET", "/v2/runs/req-000001", nil, note("get"))
+		machine := sim.machineByName[sim.BusiestMachine()]
+		body, _ := json.Marshal(sim.heartbeat(sim.now(), machine))
+		sim.Request(old, "POST", "/checkin", body, note("report"))
 	})
-	w.Advance(13 * time.Second)
+	sim.Advance(13 * time.Second)
 	for what, ok := range map[string][]int{"list": {421, 503}, "why": {421, 503}, "report": {421, 503}, "get": {200, 503}, "abort": {200, 503}} {
 		if len(said[what]) != 1 || !slices.Contains(ok, said[what][0]) {
 			t.Errorf("%s was answered %v", what, said[what])
 		}
 	}
-	w.Advance(2 * time.Second)
-	l, _ := w.Leader()
+	sim.Advance(2 * time.Second)
+	l, _ := sim.Leader()
 	if l < 0 || l == old {
 		t.Fatalf("controller %d leads", l)
 	}
-	w.Ask(old, "GET", "/v2/runs", nil, func(status int, raw []byte) {
-		if status != 421 || !strings.Contains(string(raw), w.Public(l)) {
+	sim.Request(old, "GET", "/v2/runs", nil, func(status int, raw []byte) {
+		if status != 421 || !strings.Contains(string(raw), sim.UserAddr(l)) {
 			t.Errorf("who leads: %d %s", status, raw)
 		}
 	})
-	w.Advance(time.Second)
-	for _, b := range w.Broken() {
+	sim.Advance(time.Second)
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
@@ -428,27 +428,27 @@
 // Far more users than buffers hold submit and ask at one moment, at one controller: everybody is answered at once,
 // who is not served is told to come back, and in the end all are.
 func TestFullBuffers(t *testing.T) {
-	w, err := Simulated(Config{Seed: 6, Machines: 20, Teams: []config.Team{{Name: "red"}}, Step: 50 * time.Millisecond}, nil)
+	sim, err := NewVirtualTime(Config{Seed: 6, MaxMachines: 20, Teams: []config.Team{{Name: "red"}}, TickInterval: 50 * time.Millisecond}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Advance(3 * time.Second)
+	sim.Advance(3 * time.Second)
 	n, refused, slowest, done := 3000, 0, time.Duration(0), 0
 	for i := range n {
 		spec := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 1}
 		body, _ := json.Marshal(spec)
-		w.Know(spec)
+		sim.AddJob(spec)
 		var again func()
 		again = func() {
-			at := w.Now()
-			w.Ask(0, "POST", "/v2/runs", body, func(status int, _ []byte) {
-				slowest = max(slowest, w.Now()-at)
+			at := sim.Now()
+			sim.Request(0, "POST", "/v2/runs", body, func(status int, _ []byte) {
+				slowest = max(slowest, sim.Now()-at)
 				switch status {
 				case 200, 201:
 					done++
 				case 429, 503:
 					refused++
-					w.After(time.Duration(1000+i%700)*time.Millisecond, again)
+					sim.After(time.Duration(1000+i%700)*time.Millisecond, again)
 				default:
 					t.Errorf("%s: status %d", spec.ID, status)
 				}
@@ -456,11 +456,11 @@
 		}
 		again()
 	}
-	w.Advance(3 * time.Minute)
+	sim.Advance(3 * time.Minute)
 	if done != n || refused < n/2 || slowest > 3*time.Second {
 		t.Fatalf("%d of %d accepted, %d times refused, the slowest answer took %v", done, n, refused, slowest)
 	}
-	for _, b := range w.Broken() {
+	for _, b := range sim.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/simulator/stored_test.go
+++ b/internal/simulator/stored_test.go
@@ -132,8 +132,8 @@
 	for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
 		delete(all, key) // of holds that have run out, and of machines that this world doesn't have
 	}
-	w, err := Simulated(Config{
-		Seed: 8, Machines: 14, Zones: []string{"a", "b"}, Pools: map[string]int{"transcribe": 12}, Step: 20 * time.Millisecond, Stored: all,
+	sim, err := NewVirtualTime(Config{
+		Seed: 8, MaxMachines: 14, Zones: []string{"a", "b"}, LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond, InitialKeys: all,
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error {
@@ -142,14 +142,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{World: w, t: t}
+	r := &rolling{Simulation: sim, t: t}
 	r.watch()
 	open := 0
 	for key, raw := range all {
 		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
 			var rec jobs.Record
 			if json.Unmarshal(raw, &rec) == nil && rec.State == "pending" {
-				w.Know(rec.Spec)
+				sim.AddJob(rec.Spec)
 				if rec.Spec.Kind != jobs.Service {
 					open++
 				}
@@ -157,18 +157,18 @@
 			}
 		}
 	}
-	w.Advance(4 * time.Second)
-	if r.Level() != rollout.Base {
+	sim.Advance(4 * time.Second)
+	if r.ClusterLevel() != rollout.Base {
 		t.Fatal("it began at a level that an earlier release doesn't know")
 	}
-	r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Newest })
+	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 	r.reach("migrated", 30*time.Second, r.migrated)
-	l, _ := w.Leader()
+	l, _ := sim.Leader()
 	if v := r.view(l); len(v.Unreadable) > 0 {
 		t.Errorf("%+v", v.Unreadable)
 	}
 	pending := func() (n int) {
-		for _, item := range w.Stored(jobs.Prefix) {
+		for _, item := range sim.StoredItems(jobs.Prefix) {
 			var rec jobs.Record
 			if json.Unmarshal(item.Value, &rec) == nil && rec.State == "pending" && rec.Spec.Kind != jobs.Service {
 				n++
@@ -180,7 +180,7 @@
 		t.Fatalf("only %d jobs were open", open)
 	}
 	r.reach("done", 10*time.Minute, func() bool { return pending() == 0 })
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/simulator/troubles_test.go
+++ b/internal/simulator/troubles_test.go
@@ -18,28 +18,28 @@
 // standing is a cluster with machines in three zones that have long work, with users' questions through a balancer.
 func standing(t *testing.T, seed uint64, controllers int) (*rolling, *Balancer) {
 	r := wide(t, seed, controllers)
-	b := r.Balance()
+	balancer := r.Balance()
 	r.submitMany(24, 20)
 	r.load(60 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
+	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
 	r.Advance(3 * time.Second)
-	return r, b
+	return r, balancer
 }
 
 // asked lets users ask about the jobs of the crowd from now on, through the balancer.
-func (r *rolling) asked(b *Balancer) *Watchers {
-	a := b.Watchers()
+func (r *rolling) asked(balancer *Balancer) *JobPollers {
+	pollers := balancer.JobPollers()
 	for _, u := range r.users[:24] {
-		a.Follow(u.spec.ID, nil)
+		pollers.Follow(u.spec.ID, nil)
 	}
-	return a
+	return pollers
 }
 
 // alive tells whether a machine is rented still.
 func (r *rolling) alive(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.byName[name].dead
+	return !r.machineByName[name].dead
 }
 
 // Machines report but hear nothing: one, many, all of a zone; the lead changes meanwhile, and some hear again. Little is sent
@@ -65,9 +65,9 @@
 			if c.zone {
 				zone = r.elsewhere()
 			}
-			deaf := r.Deafen(c.n, zone, c.d)
+			deaf := r.DropInbound(c.n, zone, c.d)
 			if c.lead {
-				l, _ := r.World.Leader()
+				l, _ := r.Simulation.Leader()
 				r.After(2*time.Second, func() { r.KillController(l) })
 				r.After(4*time.Second, func() { r.StartController(l) })
 			}
@@ -85,9 +85,9 @@
 			}
 			// A lane or two each before it shows, not one each lease.
 			s := r.Stats()
-			t.Logf("%d launches sent in vain to %d machines", s.Vain, len(deaf))
-			if s.Vain > 6*len(deaf) {
-				t.Errorf("%d launches were sent to %d machines that don't hear", s.Vain, len(deaf))
+			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(deaf))
+			if s.LaunchesLost > 6*len(deaf) {
+				t.Errorf("%d launches were sent to %d machines that don't hear", s.LaunchesLost, len(deaf))
 			}
 			r.over()
 		})
@@ -97,7 +97,7 @@
 // A machine hears but isn't heard: it is silent.
 func TestHearsButIsNotHeard(t *testing.T) {
 	r, _ := standing(t, 82, 3)
-	mute := r.Silence(3, "", 5*time.Minute)
+	mute := r.DropOutbound(3, "", 5*time.Minute)
 	r.Advance(40 * time.Second)
 	for _, m := range mute {
 		if r.alive(m) {
@@ -112,31 +112,31 @@
 func TestLateCopies(t *testing.T) {
 	for seed := range uint64(3) {
 		r, _ := standing(t, 90+seed, 3)
-		r.Copies(0.4, time.Second, 40*time.Second)
+		r.DuplicateMessages(0.4, time.Second, 40*time.Second)
 		dead := map[string]time.Duration{}
 		for i := range 8 {
 			r.After(time.Duration(4*i)*time.Second, func() {
-				if name := r.Busiest(); name != "" {
+				if name := r.BusiestMachine(); name != "" {
 					r.mu.Lock()
-					r.end(r.now(), r.byName[name])
+					r.terminate(r.now(), r.machineByName[name])
 					r.mu.Unlock()
 					dead[name] = r.Now()
 				}
 			})
 		}
-		r.After(12*time.Second, func() { toLeader(time.Second, (*World).KillController)(r.World) })
+		r.After(12*time.Second, func() { onLeader(time.Second, (*Simulation).KillController)(r.Simulation) })
 		zone := r.elsewhere()
-		r.After(20*time.Second, func() { r.CutZone(zone, Held) })
-		r.After(32*time.Second, func() { r.CutZone(zone, Whole) })
+		r.After(20*time.Second, func() { r.PartitionZone(zone, DelayBoth) })
+		r.After(32*time.Second, func() { r.PartitionZone(zone, Connected) })
 		revived := 0
 		for range 100 {
 			r.Advance(time.Second)
-			l, _ := r.World.Leader()
+			l, _ := r.Simulation.Leader()
 			if l < 0 {
 				continue
 			}
 			for name, at := range dead {
-				if c := r.sim.nodes[l].c; c != nil && r.Now()-at > 40*time.Second && c.Acts(name) {
+				if c := r.virtual.controllers[l].process; c != nil && r.Now()-at > 40*time.Second && c.Acts(name) {
 					revived++
 				}
 			}
@@ -153,8 +153,8 @@
 func TestCutOffWithItsWorkers(t *testing.T) {
 	for _, c := range []string{"leader", "other", "two", "rolling"} {
 		t.Run(c, func(t *testing.T) {
-			r, b := standing(t, 83, 5)
-			first, _ := r.World.Leader()
+			r, balancer := standing(t, 83, 5)
+			first, _ := r.Simulation.Leader()
 			gone := []int{first}
 			switch c {
 			case "other":
@@ -162,32 +162,32 @@
 			case "two":
 				gone = append(gone, (first+2)%5)
 			case "rolling":
-				r.Roll(rollout.Newest, time.Second, nil, func() {})
+				r.RollingRestart(rollout.Newest, time.Second, nil, func() {})
 				r.Advance(2 * time.Second)
-				first, _ = r.World.Leader()
+				first, _ = r.Simulation.Leader()
 				gone = []int{first}
 			}
-			a := r.asked(b)
+			pollers := r.asked(balancer)
 			before := r.Now()
 			for _, i := range gone {
-				r.Sever(i, FromState|FromPeers)
+				r.CutLinks(i, StateLink|PeerLinks)
 			}
 			r.Advance(8 * time.Second)
 			for _, i := range gone {
-				if b.Healthy(i) && r.Runs(i) {
+				if balancer.Healthy(i) && r.ControllerRuns(i) {
 					t.Errorf("controller %d is healthy after 8 s without state service and the others", i)
 				}
 			}
 			if c == "leader" || c == "two" {
-				r.reach("led from elsewhere", 10*time.Second, func() bool { l, _ := r.World.Leader(); return l >= 0 && !slices.Contains(gone, l) })
+				r.reach("led from elsewhere", 10*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && !slices.Contains(gone, l) })
 			}
 			r.Advance(6 * time.Second)
 			// Everybody reports to whoever leads.
-			l, _ := r.World.Leader()
+			l, _ := r.Simulation.Leader()
 			astray := 0
 			r.mu.Lock()
-			for _, m := range r.up() {
-				if m.keeper != l && r.now()-m.rented > 30*time.Second {
+			for _, machine := range r.readyMachines() {
+				if machine.controller != l && r.now()-machine.rentedAt > 30*time.Second {
 					astray++
 				}
 			}
@@ -195,16 +195,16 @@
 			if astray > 2 {
 				t.Errorf("%d machines report to a controller that doesn't lead", astray)
 			}
-			term := func() uint64 { _, n := r.World.Leader(); return n }
+			term := func() uint64 { _, n := r.Simulation.Leader(); return n }
 			was := term()
 			for _, i := range gone {
-				r.Sever(i, 0)
+				r.CutLinks(i, 0)
 			}
 			r.Advance(20 * time.Second)
 			if now := term(); now != was && c != "rolling" {
 				t.Errorf("the lead changed from term %d to %d on the return", was, now)
 			}
-			if gap, job := a.Longest(before, r.Now()); gap > 25*time.Second {
+			if gap, job := pollers.LongestUnanswered(before, r.Now()); gap > 25*time.Second {
 				t.Errorf("no question about %s was answered for %v", job, gap)
 			}
 			r.over()
@@ -216,16 +216,16 @@
 // lead doesn't wander.
 func TestLeaderLosesItsWorkers(t *testing.T) {
 	r, _ := standing(t, 89, 5)
-	old, was := r.World.Leader()
-	r.Sever(old, FromWorkers)
+	old, was := r.Simulation.Leader()
+	r.CutLinks(old, WorkerLinks)
 	from := r.Now()
-	r.reach("led from elsewhere", 9*time.Second, func() bool { l, _ := r.World.Leader(); return l >= 0 && l != old })
+	r.reach("led from elsewhere", 9*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && l != old })
 	t.Logf("led from elsewhere after %v", r.Now()-from)
 	r.Advance(40 * time.Second)
-	if l, term := r.World.Leader(); term != was+1 || l == old {
+	if l, term := r.Simulation.Leader(); term != was+1 || l == old {
 		t.Errorf("controller %d leads in term %d, the former one was %d", l, term, was)
 	}
-	r.Sever(old, 0)
+	r.CutLinks(old, 0)
 	r.over()
 }
 
@@ -245,7 +245,7 @@
 	steps := membershipStates()
 	for round := range 14 {
 		all := round%3 == 2
-		l, _ := r.World.Leader()
+		l, _ := r.Simulation.Leader()
 		for i := range 3 {
 			if all || i == l {
 				r.KillController(i)
@@ -254,9 +254,9 @@
 			}
 		}
 		r.Advance(time.Second)
-		r.RebirthAt(r.rng.IntN(3), steps[round%len(steps)], time.Duration(50+r.rng.IntN(850))*time.Millisecond)
+		r.RestartControllerAtStep(r.rng.IntN(3), steps[round%len(steps)], time.Duration(50+r.rng.IntN(850))*time.Millisecond)
 		from := r.Now()
-		r.reach("led", 14*time.Second, func() bool { return len(r.Leading()) == 1 })
+		r.reach("led", 14*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
 		if duration := r.Now() - from; duration > 8*time.Second {
 			t.Logf("round %d: %v without a leader", round, duration)
 		}
@@ -271,23 +271,23 @@
 	for _, n := range []int{1, 12, 99} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			r, _ := standing(t, 85, 3)
-			r.Copies(0.2, time.Second, 20*time.Second)
+			r.DuplicateMessages(0.2, time.Second, 20*time.Second)
 			r.mu.Lock()
-			for _, m := range r.machines {
-				m.seq += 100_000 // they have been up for hours
+			for _, machine := range r.machines {
+				machine.seq += 100_000 // they have been up for hours
 			}
 			r.mu.Unlock()
 			r.Advance(15 * time.Second)
 			var names []string
 			r.mu.Lock()
-			for _, m := range r.shuffled() {
+			for _, machine := range r.shuffledReadyMachines() {
 				if len(names) < n {
-					names = append(names, m.Name)
+					names = append(names, machine.Name)
 				}
 			}
 			r.mu.Unlock()
 			for _, name := range names {
-				r.Rebirth(name, time.Duration(50+r.rng.IntN(850))*time.Millisecond)
+				r.RestartMachine(name, time.Duration(50+r.rng.IntN(850))*time.Millisecond)
 			}
 			r.load(30 * time.Second)
 			left := map[string]bool{}
@@ -296,14 +296,14 @@
 			}
 			from, l := r.Now(), 0
 			for end := r.Now() + time.Minute; r.Now() < end && len(left) > 0; r.Advance(250 * time.Millisecond) {
-				if l, _ = r.World.Leader(); l < 0 {
+				if l, _ = r.Simulation.Leader(); l < 0 {
 					continue
 				}
 				for name := range left {
 					r.mu.Lock()
-					m := r.byName[name]
-					known := !m.dead && r.sim.nodes[l].c != nil && r.sim.nodes[l].c.Hears(name, m.session, m.seq)
-					dead := m.dead
+					machine := r.machineByName[name]
+					known := !machine.dead && r.virtual.controllers[l].process != nil && r.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
+					dead := machine.dead
 					r.mu.Unlock()
 					if dead || known {
 						delete(left, name)
@@ -334,27 +334,27 @@
 	}{{"late", 6, 0}, {"never", 1, 0.6}, {"at once", 0.01, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := wide(t, 86, 3)
-			r.Boots(c.factor, c.never)
+			r.SetBootFault(c.factor, c.never)
 			r.submitMany(16, 15)
 			most := 0
 			for range 90 {
 				r.Advance(time.Second)
 				r.mu.Lock()
 				n := 0
-				for _, m := range r.machines {
-					if !m.dead {
+				for _, machine := range r.machines {
+					if !machine.dead {
 						n++
 					}
 				}
 				r.mu.Unlock()
 				most = max(most, n)
 			}
-			r.Boots(0, 0)
+			r.SetBootFault(0, 0)
 			r.Advance(2 * time.Minute)
 			r.mu.Lock()
-			for _, m := range r.machines {
-				if !m.dead && m.boots > r.now()+time.Hour {
-					t.Errorf("%s never comes up and is paid for after %v", m.Name, r.now()-m.rented)
+			for _, machine := range r.machines {
+				if !machine.dead && machine.upAt > r.now()+time.Hour {
+					t.Errorf("%s never comes up and is paid for after %v", machine.Name, r.now()-machine.rentedAt)
 				}
 			}
 			r.mu.Unlock()
@@ -369,7 +369,7 @@
 func TestMistakesAndFaultyMachines(t *testing.T) {
 	r, _ := standing(t, 87, 3)
 	for i := range 40 { // so much that no machine is idle
-		u := &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+		u := &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-81%04d", i), Class: "long", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 8, CPUs: 4,
 			MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true,
 		}}
@@ -381,8 +381,8 @@
 	for i, spec := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
 		spec.ID, spec.Class, spec.Team, spec.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
 		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
-		u := &simUser{w: r.World, rng: r.rng, spec: spec}
-		r.Mistake(spec.ID)
+		u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
+		r.FailJob(spec.ID)
 		u.submit()
 		wrong = append(wrong, u)
 	}
@@ -390,8 +390,8 @@
 	returned := func() (n int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for _, m := range r.machines {
-			if m.returned && !m.faulty && m.life == 0 {
+		for _, machine := range r.machines {
+			if machine.returned && !machine.faulty && machine.incarnation == 0 {
 				n++
 			}
 		}
@@ -399,7 +399,7 @@
 	}
 	was := returned()
 	r.Advance(60 * time.Second)
-	crashed := r.Stats().Crashed - before.Crashed
+	crashed := r.Stats().TasksCrashed - before.TasksCrashed
 	t.Logf("%d failures in 60 s, %d machines returned", crashed, returned()-was)
 	if crashed > 120 {
 		t.Errorf("%d failures in a minute", crashed)
@@ -407,8 +407,8 @@
 	if n := returned() - was; n > 0 {
 		t.Errorf("%d machines were returned while only jobs were at fault", n)
 	}
-	bad := r.Busiest()
-	r.Fail(bad)
+	bad := r.BusiestMachine()
+	r.FailTasksOnMachine(bad)
 	r.reach("faulty machine given back", 90*time.Second, func() bool { return !r.alive(bad) })
 	for _, u := range wrong {
 		u.cancel()
@@ -420,18 +420,18 @@
 // A leader stands still for more than a minute, and so does the next: each time another leads within its hold's life, and
 // whoever wakes does nothing on its old authority.
 func TestSilentForAMinute(t *testing.T) {
-	r, b := standing(t, 88, 5)
-	a := r.asked(b)
+	r, balancer := standing(t, 88, 5)
+	pollers := r.asked(balancer)
 	r.load(2 * time.Minute)
 	from := r.Now()
 	for range 3 {
-		l, _ := r.World.Leader()
+		l, _ := r.Simulation.Leader()
 		r.FreezeController(l, 70*time.Second)
-		r.reach("led from elsewhere", 12*time.Second, func() bool { n, _ := r.World.Leader(); return n >= 0 && n != l })
+		r.reach("led from elsewhere", 12*time.Second, func() bool { n, _ := r.Simulation.Leader(); return n >= 0 && n != l })
 		r.Advance(10 * time.Second)
 	}
 	r.Advance(90 * time.Second)
-	if gap, job := a.Longest(from, r.Now()); gap > 30*time.Second {
+	if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 30*time.Second {
 		t.Errorf("no question about %s was answered for %v", job, gap)
 	}
 	r.over()
@@ -440,8 +440,8 @@
 // Users ask many times as often, for jobs that run, that are over and that nobody submitted, while the leader stands still:
 // everybody is answered at once or told to come back, no lease runs out for it, submissions are taken and no job's questions starve.
 func TestFloodOfQuestions(t *testing.T) {
-	r, b := standing(t, 91, 3)
-	a := r.asked(b)
+	r, balancer := standing(t, 91, 3)
+	pollers := r.asked(balancer)
 	r.Advance(20 * time.Second)
 	before, from := r.Stats(), r.Now()
 	statuses := map[int]int{}
@@ -453,8 +453,8 @@
 		}
 		r.After(time.Duration(i)*time.Millisecond, func() {
 			at, to := r.Now(), i%3
-			frozen := r.sim.nodes[to].frozen > at
-			r.Ask(to, "GET", "/v2/runs/"+id, nil, func(status int, _ []byte) {
+			frozen := r.virtual.controllers[to].frozenUntil > at
+			r.Request(to, "GET", "/v2/runs/"+id, nil, func(status int, _ []byte) {
 				statuses[status]++
 				if !frozen && status != 0 {
 					slowest = max(slowest, r.Now()-at)
@@ -468,14 +468,16 @@
 			})
 		})
 	}
-	r.After(20*time.Second, func() { toLeader(0, func(w *World, i int) { w.FreezeController(i, 12*time.Second) })(r.World) })
+	r.After(20*time.Second, func() {
+		onLeader(0, func(sim *Simulation, i int) { sim.FreezeController(i, 12*time.Second) })(r.Simulation)
+	})
 	r.load(60 * time.Second)
 	r.Advance(62 * time.Second)
 	t.Logf("answers %v, the slowest of a controller that doesn't stand still %v, %d late", statuses, slowest, late)
-	if n := r.Stats().LeaseEnds - before.LeaseEnds; n > 0 {
+	if n := r.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
 		t.Errorf("%d leases ran out under a flood of questions", n)
 	}
-	if gap, job := a.Longest(from, r.Now()); gap > 20*time.Second {
+	if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 20*time.Second {
 		t.Errorf("no question about %s was answered for %v", job, gap)
 	}
 	if statuses[200] == 0 || statuses[404] == 0 {
@@ -502,7 +504,7 @@
 		return u
 	}
 	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *simUser {
-		return &simUser{w: r.World, rng: r.rng, spec: &jobs.Spec{
+		return &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 0.4,
 			Image: "i", ImageGB: 0.5, EstimateS: est, Spot: true,
 		}}
@@ -517,16 +519,16 @@
 	}
 	r.Advance(65 * time.Second)
 	r.over()
-	if n := len(r.Waits("owed")); n != 20 {
+	if n := len(r.StartDelays("owed")); n != 20 {
 		t.Fatalf("%d jobs with a guarantee began", n)
 	}
-	if w := slices.Max(r.Waits("owed")); w > 10*time.Second {
+	if w := slices.Max(r.StartDelays("owed")); w > 10*time.Second {
 		t.Errorf("a job within its guarantee waited %v", w)
 	}
-	if w := slices.Max(append(r.Waits("sweep"), r.Waits("idle")...)); w > 4*time.Minute {
+	if w := slices.Max(append(r.StartDelays("sweep"), r.StartDelays("idle")...)); w > 4*time.Minute {
 		t.Errorf("guests waited %v", w)
 	}
-	t.Logf("within the guarantee %v at most, guests %v, tiny ones %v", slices.Max(r.Waits("owed")), slices.Max(append(r.Waits("sweep"), r.Waits("idle")...)), slices.Max(r.Waits("tiny")))
+	t.Logf("within the guarantee %v at most, guests %v, tiny ones %v", slices.Max(r.StartDelays("owed")), slices.Max(append(r.StartDelays("sweep"), r.StartDelays("idle")...)), slices.Max(r.StartDelays("tiny")))
 }
 
 // Gangs that need half of all machines at once, under a constant stream of small urgent ones that takes most of them, while the
@@ -535,7 +537,7 @@
 func TestTheLargestBeginWhoeverLeads(t *testing.T) {
 	began := func(operator string) (longest time.Duration, left int) {
 		types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b"}}}
-		w, err := Simulated(Config{Seed: 93, Machines: 16, Types: types, Step: 50 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
+		sim, err := NewVirtualTime(Config{Seed: 93, MaxMachines: 16, Types: types, TickInterval: 50 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
 			func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
 		if err != nil {
 			t.Fatal(err)
@@ -543,7 +545,7 @@
 		rng := rand.New(rand.NewPCG(93, 1))
 		var large []*simUser
 		submit := func(n, tasks int, priority string, est float64) *simUser {
-			u := &simUser{w: w, rng: rng, spec: &jobs.Spec{
+			u := &simUser{w: sim, rng: rng, spec: &jobs.Spec{
 				ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, MemoryGB: 1,
 				Image: "i", ImageGB: 1, EstimateS: est,
 			}}
@@ -551,22 +553,22 @@
 			return u
 		}
 		for i := range 300 { // 16 machines, of which these take some 13
-			w.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
+			sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
 		}
 		for i := range 3 {
-			w.After(time.Duration(60+70*i)*time.Second, func() { large = append(large, submit(900+i, 8, "standard", 10)) })
+			sim.After(time.Duration(60+70*i)*time.Second, func() { large = append(large, submit(900+i, 8, "standard", 10)) })
 		}
-		w.After(100*time.Second, func() { toLeader(3*time.Second, (*World).KillController)(w) })
-		w.After(170*time.Second, func() { toLeader(0, func(w *World, i int) { w.FreezeController(i, 70*time.Second) })(w) })
-		w.Advance(450 * time.Second)
+		sim.After(100*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(sim) })
+		sim.After(170*time.Second, func() { onLeader(0, func(sim *Simulation, i int) { sim.FreezeController(i, 70*time.Second) })(sim) })
+		sim.Advance(450 * time.Second)
 		for _, u := range large {
-			if duration, ok := w.FirstStart(u.spec.ID); ok {
+			if duration, ok := sim.FirstStart(u.spec.ID); ok {
 				longest = max(longest, duration)
 			} else {
 				left++
 			}
 		}
-		for _, b := range w.Broken() {
+		for _, b := range sim.Violations() {
 			t.Error(b)
 		}
 		return longest, left
@@ -589,38 +591,38 @@
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 5, Zones: []string{"a", "b", "c"}}}
 	r := newRollingOn(t, seed, 3+2*int(seed%2), rollout.Newest, "", 16, types, []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}})
 	rng := rand.New(rand.NewPCG(seed, 77))
-	r.Network(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-	r.Copies(0.1*rng.Float64(), time.Second, 30*time.Second)
-	b := r.Balance()
-	a := b.Watchers()
+	r.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+	r.DuplicateMessages(0.1*rng.Float64(), time.Second, 30*time.Second)
+	balancer := r.Balance()
+	pollers := balancer.JobPollers()
 	r.load(duration)
 	var mistakes []*simUser
 	n := r.Controllers()
 	for at := 4 * time.Second; at < duration; at += time.Duration(rng.IntN(5000)) * time.Millisecond {
 		i, what, long := rng.IntN(n), rng.IntN(31), time.Duration(500+rng.IntN(15000))*time.Millisecond
-		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Counterpart(1+rng.IntN(31)), rng.IntN(6)
+		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Links(1+rng.IntN(31)), rng.IntN(6)
 		blink := time.Duration(50+rng.IntN(850)) * time.Millisecond
 		step := membershipStates()[rng.IntN(7)]
 		factor, never := []float64{0.01, 4, 10}[rng.IntN(3)], []float64{0, 0.3, 1}[rng.IntN(3)]
 		r.After(at, func() {
 			switch what {
 			case 0:
-				r.Deafen(1+k, "", long)
+				r.DropInbound(1+k, "", long)
 			case 1:
-				r.Deafen(99, zone, long)
+				r.DropInbound(99, zone, long)
 			case 2:
-				r.Silence(1+k, "", long)
+				r.DropOutbound(1+k, "", long)
 			case 3, 4:
-				r.Sever(i, from)
-				r.After(long, func() { r.Sever(i, 0) })
+				r.CutLinks(i, from)
+				r.After(long, func() { r.CutLinks(i, 0) })
 			case 5:
-				if l, _ := r.World.Leader(); l >= 0 {
-					r.Sever(l, FromState|FromPeers)
-					r.After(long, func() { r.Sever(l, 0) })
+				if l, _ := r.Simulation.Leader(); l >= 0 {
+					r.CutLinks(l, StateLink|PeerLinks)
+					r.After(long, func() { r.CutLinks(l, 0) })
 				}
 			case 6:
 				for range 1 + k {
-					r.Rebirth("", blink)
+					r.RestartMachine("", blink)
 				}
 			case 7:
 				for i := range n {
@@ -630,66 +632,68 @@
 					}
 				}
 			case 8:
-				if l, _ := r.World.Leader(); l >= 0 {
+				if l, _ := r.Simulation.Leader(); l >= 0 {
 					r.KillController(l)
 					r.After(blink, func() { r.StartController(l) })
 				}
 			case 9:
-				r.RebirthAt(i, step, blink)
+				r.RestartControllerAtStep(i, step, blink)
 			case 10:
-				r.Boots(factor, never)
-				r.After(long, func() { r.Boots(0, 0) })
+				r.SetBootFault(factor, never)
+				r.After(long, func() { r.SetBootFault(0, 0) })
 			case 11:
 				spec := drawJob(rng, 700000+len(mistakes))
-				u := &simUser{w: r.World, rng: r.rng, spec: spec}
+				u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 				mistakes = append(mistakes, u)
-				r.Mistake(spec.ID)
+				r.FailJob(spec.ID)
 				u.submit()
 				r.After(long, u.cancel)
 			case 12:
-				if l, _ := r.World.Leader(); l >= 0 {
+				if l, _ := r.Simulation.Leader(); l >= 0 {
 					r.FreezeController(l, 5*long)
 				}
 			case 13:
 				r.FreezeController(i, long)
 			case 14:
-				r.CutZone(zone, Cut(1+k%5))
-				r.After(long, func() { r.CutZone(zone, Whole) })
+				r.PartitionZone(zone, Partition(1+k%5))
+				r.After(long, func() { r.PartitionZone(zone, Connected) })
 			case 15:
-				during(long/2, (*World).Outage)(r.World)
+				during(long/2, (*Simulation).SetStateOutage)(r.Simulation)
 			case 16:
-				during(long, func(w *World, on bool) { w.Refuse(i, on) })(r.World)
+				during(long, func(sim *Simulation, on bool) { sim.RefuseController(i, on) })(r.Simulation)
 			case 17:
 				r.DrainController(i, func() { r.After(blink, func() { r.StartController(i) }) })
 			case 18:
-				r.Hang(long)
+				r.HangMachine(long)
 				r.KillMachine()
 			case 19:
-				r.Delay(long)
+				r.DelayMachineCommands(long)
 			case 20:
-				r.Shut(1+k, "", long)
+				r.RefuseOutbound(1+k, "", long)
 			case 21:
-				r.Shut(99, zone, long)
+				r.RefuseOutbound(99, zone, long)
 			case 22:
-				during(long, func(w *World, on bool) { w.LoseAnswers(map[bool]float64{true: 0.3}[on]) })(r.World)
+				during(long, func(sim *Simulation, on bool) { sim.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })(r.Simulation)
 			case 23:
-				during(long, func(w *World, on bool) {
-					w.LateWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
-				})(r.World)
+				during(long, func(sim *Simulation, on bool) {
+					sim.DelayWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
+				})(r.Simulation)
 			case 24:
-				during(2*long, func(w *World, on bool) { w.KeepCopies(map[bool]float64{true: 0.3}[on]) })(r.World)
+				during(2*long, func(sim *Simulation, on bool) { sim.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })(r.Simulation)
 			case 25:
-				during(long, (*World).CloseLooks)(r.World)
+				during(long, (*Simulation).SetPollBursts)(r.Simulation)
 			case 26:
-				during(long, (*World).OddRequests)(r.World)
+				during(long, (*Simulation).SetOddRequests)(r.Simulation)
 			case 27:
-				during(long, func(w *World, on bool) { w.CancelAtEnd(map[bool]float64{true: 0.4}[on]) })(r.World)
+				during(long, func(sim *Simulation, on bool) { sim.CancelAtCompletion(map[bool]float64{true: 0.4}[on]) })(r.Simulation)
 			case 28:
-				r.CancelNow(1+k, long/2)
+				r.CancelRunning(1+k, long/2)
 			case 29:
-				r.FlipLeaders(2+k, long)
+				r.KillLeaders(2+k, long)
 			case 30:
-				during(long, func(w *World, on bool) { w.SlowState(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on]) })(r.World)
+				during(long, func(sim *Simulation, on bool) {
+					sim.DelayStateAnswers(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on])
+				})(r.Simulation)
 			}
 		})
 	}
@@ -700,27 +704,27 @@
 			if s := r.users[followed].status; s != 200 && s != 201 {
 				break
 			}
-			a.Follow(r.users[followed].spec.ID, nil)
+			pollers.Follow(r.users[followed].spec.ID, nil)
 		}
 		r.After(time.Second, follow)
 	}
 	follow()
 	r.Advance(duration)
 	// Everything heals; the last freeze ends by itself.
-	r.Network(2*time.Millisecond, 0, 0, 0)
-	r.Copies(0, 0, 0)
-	r.Boots(0, 0)
+	r.SetNetwork(2*time.Millisecond, 0, 0, 0)
+	r.DuplicateMessages(0, 0, 0)
+	r.SetBootFault(0, 0)
 	for _, z := range []string{"a", "b", "c"} {
-		r.CutZone(z, Whole)
+		r.PartitionZone(z, Connected)
 	}
 	r.Advance(80 * time.Second)
 	for i := range n {
-		r.Sever(i, 0)
+		r.CutLinks(i, 0)
 		r.StartController(i)
 	}
-	healed, beside := r.Now(), r.Healed()
+	healed, beside := r.Now(), r.WatchIdleCapacity()
 	r.Advance(75 * time.Second)
-	gap, job := a.Longest(healed, r.Now())
+	gap, job := pollers.LongestUnanswered(healed, r.Now())
 	r.users = append(r.users, mistakes...)
 	r.over()
 	r.beside, _ = beside()
@@ -739,7 +743,7 @@
 		}
 	}
 	for _, u := range r.users {
-		if u.asked || r.AskedToEnd(u.spec.ID) {
+		if u.asked || r.CancelRequested(u.spec.ID) {
 			continue
 		}
 		kind := string(u.spec.Kind)
@@ -790,18 +794,18 @@
 		}
 		s := r.Stats()
 		beside = max(beside, r.beside)
-		all.LostAnswers, all.LateWrites, all.Kept, all.CloseLooks, all.CalledOff, all.Odd, all.Refused = all.LostAnswers+s.LostAnswers, all.LateWrites+s.LateWrites, all.Kept+s.Kept,
-			all.CloseLooks+s.CloseLooks, all.CalledOff+s.CalledOff, all.Odd+s.Odd, all.Refused+s.Refused
-		all.AfterCancel, all.AfterCancelDirect, all.LatestAfterCancel = all.AfterCancel+s.AfterCancel, all.AfterCancelDirect+s.AfterCancelDirect, max(all.LatestAfterCancel, s.LatestAfterCancel)
-		all.LongestCancelled = max(all.LongestCancelled, s.LongestCancelled)
-		all.Starts, all.OneWay, all.Copies, all.Reborn, all.Severed, all.Kills, all.Freezes = all.Starts+s.Starts, all.OneWay+s.OneWay,
-			all.Copies+s.Copies, all.Reborn+s.Reborn, all.Severed+s.Severed, all.Kills+s.Kills, all.Freezes+s.Freezes
+		all.LostAnswers, all.LateWrites, all.HeartbeatsReplayed, all.PollBursts, all.JobsCancelled, all.OddRequests, all.OddRequestsRefused = all.LostAnswers+s.LostAnswers, all.LateWrites+s.LateWrites, all.HeartbeatsReplayed+s.HeartbeatsReplayed,
+			all.PollBursts+s.PollBursts, all.JobsCancelled+s.JobsCancelled, all.OddRequests+s.OddRequests, all.OddRequestsRefused+s.OddRequestsRefused
+		all.StartsAfterCancel, all.DirectStartsAfterCancel, all.LatestStartAfterCancel = all.StartsAfterCancel+s.StartsAfterCancel, all.DirectStartsAfterCancel+s.DirectStartsAfterCancel, max(all.LatestStartAfterCancel, s.LatestStartAfterCancel)
+		all.LongestRunAfterCancel = max(all.LongestRunAfterCancel, s.LongestRunAfterCancel)
+		all.TaskStarts, all.OneWayFaults, all.DuplicatesSent, all.MachinesRestarted, all.LinksCut, all.ControllersKilled, all.ControllersFrozen = all.TaskStarts+s.TaskStarts, all.OneWayFaults+s.OneWayFaults,
+			all.DuplicatesSent+s.DuplicatesSent, all.MachinesRestarted+s.MachinesRestarted, all.LinksCut+s.LinksCut, all.ControllersKilled+s.ControllersKilled, all.ControllersFrozen+s.ControllersFrozen
 		if t.Failed() {
 			t.Fatalf("seed %d", 600+seed)
 		}
 	}
 	t.Logf("%d seeds: %v, %+v; the longest gap without an answer %v, the longest wait beside room %v; least shares that began within four minutes %v", seeds, ends, all, worst, beside, least)
-	if all.LostAnswers == 0 || all.LateWrites == 0 || all.Kept == 0 || all.CloseLooks == 0 || all.CalledOff == 0 || all.Refused == 0 || all.OneWay == 0 || all.Copies == 0 || all.Reborn == 0 || all.Severed == 0 || all.Freezes == 0 {
+	if all.LostAnswers == 0 || all.LateWrites == 0 || all.HeartbeatsReplayed == 0 || all.PollBursts == 0 || all.JobsCancelled == 0 || all.OddRequestsRefused == 0 || all.OneWayFaults == 0 || all.DuplicatesSent == 0 || all.MachinesRestarted == 0 || all.LinksCut == 0 || all.ControllersFrozen == 0 {
 		t.Error("a kind of trouble never came")
 	}
 }
--- a/internal/simulator/writes_test.go
+++ b/internal/simulator/writes_test.go
@@ -45,7 +45,7 @@
 func TestEveryWriteHasItsCondition(t *testing.T) {
 	r := newRolling(t, 221, 3, rollout.Base, "soak_s = 3")
 	seen, wrong := map[string]int{}, map[string]bool{}
-	r.Watch(func(_ int, tx store.Txn) Fate {
+	r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 		has := func(prefix string) bool {
 			return slices.ContainsFunc(tx.If, func(c store.Condition) bool { return strings.HasPrefix(c.Key, prefix) })
 		}
@@ -74,25 +74,25 @@
 				}
 			}
 		}
-		return Fate{}
+		return TxnOutcome{}
 	})
 	r.load(80 * time.Second)
 	r.Advance(15 * time.Second)
-	r.After(2*time.Second, func() { toLeader(time.Second, (*World).KillController)(r.World) })
+	r.After(2*time.Second, func() { onLeader(time.Second, (*Simulation).KillController)(r.Simulation) })
 	r.Advance(10 * time.Second)
-	if l, _ := r.World.Leader(); l >= 0 {
-		r.Ask(l, "POST", "/v2/admin", []byte(`{"op":"drain","kind":"machine","name":"`+r.Busiest()+`","by":"test"}`), func(int, []byte) {})
+	if l, _ := r.Simulation.Leader(); l >= 0 {
+		r.Request(l, "POST", "/v2/admin", []byte(`{"op":"drain","kind":"machine","name":"`+r.BusiestMachine()+`","by":"test"}`), func(int, []byte) {})
 	}
 	rolled := false
-	r.Roll(rollout.Newest, time.Second, nil, func() { rolled = true })
+	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 	r.reach("rolled", time.Minute, func() bool { return rolled })
-	r.reach("risen", 30*time.Second, func() bool { return r.Level() == rollout.Newest })
+	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 	r.say("hold")
-	r.CutZone("a", Lost)
+	r.PartitionZone("a", DropBoth)
 	r.Advance(12 * time.Second)
-	r.CutZone("a", Whole)
+	r.PartitionZone("a", Connected)
 	r.Advance(70 * time.Second) // prices are asked for once a minute
-	r.Watch(nil)
+	r.InterceptTxns(nil)
 	r.over()
 	for w := range wrong {
 		t.Error(w)
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -19,11 +19,11 @@
 // zoneViews asks the leader about zones, by name.
 func (r *rolling) zoneViews() map[string]controller.ZoneView {
 	out := map[string]controller.ZoneView{}
-	l, _ := r.World.Leader()
+	l, _ := r.Simulation.Leader()
 	if l < 0 {
 		return out
 	}
-	r.Ask(l, "GET", "/v2/zones", nil, func(_ int, raw []byte) {
+	r.Request(l, "GET", "/v2/zones", nil, func(_ int, raw []byte) {
 		var vs []controller.ZoneView
 		if json.Unmarshal(raw, &vs) == nil {
 			for _, v := range vs {
@@ -48,7 +48,7 @@
 			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, MemoryGB: 1,
 			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true,
 		}
-		u := &simUser{w: r.World, rng: r.rng, spec: spec}
+		u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 		r.users = append(r.users, u)
 		u.submit()
 	}
@@ -56,7 +56,7 @@
 
 // elsewhere is a zone that the leader isn't in.
 func (r *rolling) elsewhere() string {
-	l, _ := r.World.Leader()
+	l, _ := r.Simulation.Leader()
 	for _, z := range []string{"a", "b", "c"} {
 		if r.settings[l].Zone != z {
 			return z
@@ -68,25 +68,25 @@
 // A zone is cut off and comes back: it is found lost before its leases are over, nothing is rented there meanwhile, what was
 // planned there goes elsewhere, its machines are kept when it returns, and it counts as well again in the end.
 func TestZoneLostAndBack(t *testing.T) {
-	for _, how := range []Cut{Lost, Held, Refused, Deaf, Mute} {
+	for _, how := range []Partition{DropBoth, DelayBoth, RefuseBoth, DropInto, DropOutOf} {
 		t.Run(fmt.Sprint(how), func(t *testing.T) {
 			r := wide(t, 71, 5)
 			r.submitMany(24, 20)
 			r.load(40 * time.Second)
-			r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
+			r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
 			r.Advance(5 * time.Second)
 			zone := r.elsewhere()
 			there := r.zoneViews()[zone].Machines
 			if there < 4 {
 				t.Fatalf("only %d machines in the zone", there)
 			}
-			r.CutZone(zone, how)
+			r.PartitionZone(zone, how)
 			r.reach("found lost", 4*time.Second, func() bool { return r.zoneViews()[zone].State == "lost" })
 			if v := r.zoneViews()[zone]; v.Rents || v.Takes != "arrays" {
 				t.Errorf("%+v", v)
 			}
 			r.Advance(5 * time.Second)
-			r.CutZone(zone, Whole)
+			r.PartitionZone(zone, Connected)
 			r.reach("heard again", 5*time.Second, func() bool { s := r.zoneViews()[zone].State; return s == "returning" || s == "proving" })
 			r.Advance(500 * time.Millisecond)
 			if v := r.zoneViews()[zone]; v.Machines < there*3/4 {
@@ -104,17 +104,17 @@
 	r := wide(t, 72, 5)
 	r.submitMany(24, 20)
 	r.load(50 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
-	old, _ := r.World.Leader()
+	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+	old, _ := r.Simulation.Leader()
 	zone := r.settings[old].Zone
-	r.CutZone(zone, Held)
-	r.reach("led from elsewhere", 15*time.Second, func() bool { l, _ := r.World.Leader(); return l >= 0 && r.settings[l].Zone != zone })
-	next, _ := r.World.Leader()
-	r.Refuse(next, true)
+	r.PartitionZone(zone, DelayBoth)
+	r.reach("led from elsewhere", 15*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && r.settings[l].Zone != zone })
+	next, _ := r.Simulation.Leader()
+	r.RefuseController(next, true)
 	r.Advance(10 * time.Second)
-	r.Refuse(next, false)
+	r.RefuseController(next, false)
 	r.reach("found lost", 20*time.Second, func() bool { return r.zoneViews()[zone].State == "lost" })
-	r.reach("stored", 3*time.Second, func() bool { return strings.Contains(string(r.Key(zones.Key).Value), `"lost"`) })
+	r.reach("stored", 3*time.Second, func() bool { return strings.Contains(string(r.StoredItem(zones.Key).Value), `"lost"`) })
 	for i := range 5 {
 		if r.settings[i].Zone != zone {
 			r.KillController(i)
@@ -125,7 +125,7 @@
 		r.StartController(i)
 	}
 	r.reach("known at once", 12*time.Second, func() bool { v := r.zoneViews()[zone]; return v.State == "lost" && v.ForS > 5 })
-	r.CutZone(zone, Whole)
+	r.PartitionZone(zone, Connected)
 	r.over()
 }
 
@@ -135,13 +135,13 @@
 	r := wide(t, 73, 5)
 	r.submitMany(24, 30)
 	r.load(60 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
+	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
 	zone := r.elsewhere()
 	most, rented := 0, 0
 	for range 5 {
-		r.CutZone(zone, Lost)
+		r.PartitionZone(zone, DropBoth)
 		r.Advance(4 * time.Second)
-		r.CutZone(zone, Whole)
+		r.PartitionZone(zone, Connected)
 		for range 20 {
 			r.Advance(80 * time.Millisecond)
 			v := r.zoneViews()[zone]
@@ -163,20 +163,20 @@
 	r := wide(t, 74, 5)
 	r.submitMany(24, 15)
 	r.load(60 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
-	r.CutZone("a", Held)
+	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+	r.PartitionZone("a", DelayBoth)
 	r.Advance(6 * time.Second)
-	r.CutZone("b", Lost)
+	r.PartitionZone("b", DropBoth)
 	r.Advance(15 * time.Second)
-	r.CutZone("a", Whole)
-	r.Outage(true) // the state service is out as the zone returns
+	r.PartitionZone("a", Connected)
+	r.SetStateOutage(true) // the state service is out as the zone returns
 	r.Advance(3 * time.Second)
-	r.Outage(false)
-	r.CutZone("b", Whole)
-	r.CloudOutage(true)
-	r.PowerLost("c")
+	r.SetStateOutage(false)
+	r.PartitionZone("b", Connected)
+	r.SetCloudOutage(true)
+	r.PowerOffZone("c")
 	r.Advance(10 * time.Second)
-	r.CloudOutage(false)
+	r.SetCloudOutage(false)
 	for i := range 5 {
 		r.StartController(i)
 	}
@@ -188,17 +188,17 @@
 func TestServicesAreSpread(t *testing.T) {
 	r := wide(t, 75, 3)
 	r.submitMany(24, 60) // machines in all zones
-	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
+	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
 	spec := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}
-	u := &simUser{w: r.World, rng: r.rng, spec: spec}
+	u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
 	u.submit()
 	on := func() map[string]int {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		m := map[string]int{}
 		for _, x := range r.machines {
-			for _, k := range x.tasks {
-				if k.spec == spec && k.state != exited && !x.dead {
+			for _, task := range x.tasks {
+				if task.spec == spec && task.state != taskExited && !x.dead {
 					m[x.zone]++
 				}
 			}
@@ -223,7 +223,7 @@
 		t.Errorf("all replicas stand in one zone: %v", on())
 	}
 	zone := r.elsewhere()
-	r.PowerLost(zone)
+	r.PowerOffZone(zone)
 	r.reach("up again", 40*time.Second, func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 })
 	for i := range 3 {
 		r.StartController(i)
@@ -238,17 +238,17 @@
 func TestEveryZoneEmptied(t *testing.T) {
 	r := wide(t, 76, 3)
 	r.submitMany(24, 15)
-	r.reach("working", 60*time.Second, func() bool { return r.Look().Running > 60 })
+	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
 	for _, z := range []string{"a", "b", "c"} {
-		r.CutZone(z, Lost)
+		r.PartitionZone(z, DropBoth)
 		r.Advance(3 * time.Second)
 	}
 	for _, z := range []string{"a", "b", "c"} {
-		r.PowerLost(z)
+		r.PowerOffZone(z)
 	}
 	r.Advance(20 * time.Second)
 	for _, z := range []string{"a", "b", "c"} {
-		r.CutZone(z, Whole)
+		r.PartitionZone(z, Connected)
 	}
 	for i := range 3 {
 		r.StartController(i)
@@ -266,23 +266,23 @@
 	for seed := range seeds {
 		r := newRolling(t, uint64(400+seed), 3+2*(seed%2), rollout.Newest, "")
 		rng := r.rng
-		r.Network(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+		r.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 		r.load(90 * time.Second)
 		n := r.Controllers()
 		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
-			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Cut(1+rng.IntN(5)), time.Duration(500+rng.IntN(20000))*time.Millisecond
+			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5)), time.Duration(500+rng.IntN(20000))*time.Millisecond
 			i, what := rng.IntN(n), rng.IntN(10)
 			r.After(at, func() {
 				switch what {
 				case 0, 1, 2, 3:
-					r.CutZone(zone, how)
-					r.After(duration, func() { r.CutZone(zone, Whole) })
+					r.PartitionZone(zone, how)
+					r.After(duration, func() { r.PartitionZone(zone, Connected) })
 					lost++
 				case 4:
-					flapZone(duration/8, 0, zone)(r.World)
+					flapZoneFault(duration/8, 0, zone)(r.Simulation)
 					lost++
 				case 5:
-					r.PowerLost(zone)
+					r.PowerOffZone(zone)
 					r.After(duration/4, func() {
 						for i := range n {
 							r.StartController(i)
@@ -294,16 +294,16 @@
 				case 7:
 					r.DrainController(i, func() { r.After(duration/8, func() { r.StartController(i) }) })
 				case 8:
-					during(duration/3, (*World).Outage)(r.World)
+					during(duration/3, (*Simulation).SetStateOutage)(r.Simulation)
 				case 9:
-					during(duration/2, (*World).CloudOutage)(r.World)
+					during(duration/2, (*Simulation).SetCloudOutage)(r.Simulation)
 				}
 			})
 		}
 		r.Advance(120 * time.Second)
-		r.Network(2*time.Millisecond, 0, 0, 0)
+		r.SetNetwork(2*time.Millisecond, 0, 0, 0)
 		for _, z := range []string{"a", "b", "c"} {
-			r.CutZone(z, Whole)
+			r.PartitionZone(z, Connected)
 		}
 		r.Advance(time.Second)
 		for i := range n {
@@ -316,7 +316,7 @@
 				ends[u.told[0]]++
 			}
 		}
-		starts += r.Stats().Starts
+		starts += r.Stats().TaskStarts
 		if t.Failed() {
 			t.Fatalf("seed %d", 400+seed)
 		}
