--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -251,7 +251,7 @@
 	}
 	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
 	r.reach("begun", 30*time.Second, func() bool { return r.CountKeys(archive.Prefix) > 5 })
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	r.KillController(l)
 	r.everywhere()
 	r.StartController(l)
@@ -283,7 +283,7 @@
 func (r *rolling) onMachines(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, machine := range r.machines {
+	for _, machine := range r.cloud.machines {
 		for _, task := range machine.tasks {
 			if !machine.dead && task.spec.ID == id && task.state != taskExited {
 				return true
@@ -325,7 +325,7 @@
 		})
 	}
 	for i := range 3 {
-		r.After(time.Duration(25*i+15)*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(r.Simulation) })
+		r.After(time.Duration(25*i+15)*time.Second, func() { r.onLeader(3*time.Second, r.KillController) })
 	}
 	r.Advance(100 * time.Second)
 	r.over()
@@ -356,8 +356,8 @@
 		r.StartController(i)
 	}
 	r.reach("led", 20*time.Second, func() bool { return len(r.ActingLeaders()) > 0 })
-	r.Advance(2 * time.Second)           // plans are read
-	for _, machine := range r.machines { // their reports say nothing meanwhile
+	r.Advance(2 * time.Second)                 // plans are read
+	for _, machine := range r.cloud.machines { // their reports say nothing meanwhile
 		machine.outboundLostUntil = r.Now() + 4*time.Second
 	}
 	r.WriteKeys(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
@@ -366,7 +366,7 @@
 	if *moved != 0 {
 		t.Errorf("%d jobs were moved by a leader that doesn't know their plans", *moved)
 	}
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	r.KillController(l)
 	r.Advance(5 * time.Second)
 	r.StartController(l)
--- a/internal/simulator/close_questions_test.go
+++ b/internal/simulator/close_questions_test.go
@@ -26,7 +26,7 @@
 		r.RefuseController(l, true)
 		r.After(6*time.Second, func() { r.RefuseController(l, false) })
 	},
-	"cut off":    func(r *rolling, l int) { cutLinksFor(r.Simulation, l, StateLink|PeerLinks, 6*time.Second) },
+	"cut off":    func(r *rolling, l int) { r.cutLinksFor(l, StateLink|PeerLinks, 6*time.Second) },
 	"all killed": func(r *rolling, _ int) { killAll(r.Simulation, 300*time.Millisecond) },
 	"watch stuck": func(r *rolling, l int) {
 		r.StallWatches(l, true)
@@ -53,7 +53,7 @@
 		"changes": func(r *rolling) {
 			for i, how := range []string{"killed", "drained", "refused", "frozen"} {
 				r.After(time.Duration(2+7*i)*time.Second, func() {
-					if l, _ := r.Simulation.Leader(); l >= 0 {
+					if l, _ := r.Leader(); l >= 0 {
 						changes[how](r, l)
 					}
 				})
@@ -62,7 +62,7 @@
 		"watches stick": func(r *rolling) {
 			for i := range r.Controllers() {
 				r.After(time.Duration(4*i)*time.Second, func() {
-					during(4*time.Second, func(sim *Simulation, on bool) { sim.StallWatches(i, on) })(r.Simulation)
+					r.during(4*time.Second, func(on bool) { r.StallWatches(i, on) })
 				})
 			}
 		},
@@ -110,7 +110,7 @@
 				}
 				for i, how := range []string{"killed", "drained", "all killed", "at once"} {
 					r.After(time.Duration(3+7*i)*time.Second, func() {
-						if l, _ := r.Simulation.Leader(); l >= 0 {
+						if l, _ := r.Leader(); l >= 0 {
 							changes[how](r, l)
 						}
 					})
@@ -131,7 +131,7 @@
 func (r *rolling) used(team string) (cpus float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, machine := range r.machines {
+	for _, machine := range r.cloud.machines {
 		for _, task := range machine.tasks {
 			if !machine.dead && task.counted && task.spec.Team == team {
 				cpus += task.spec.CPUs
@@ -146,10 +146,10 @@
 func TestEveryTeamAtItsLimit(t *testing.T) {
 	outs := map[string]func(r *rolling, zone string, duration time.Duration){
 		"cut": func(r *rolling, zone string, duration time.Duration) {
-			partitionFault(DropBoth)(duration, 0, zone)(r.Simulation)
+			r.partitionZoneFor(zone, DropBoth, duration)
 		},
 		"held": func(r *rolling, zone string, duration time.Duration) {
-			partitionFault(DelayBoth)(duration, 0, zone)(r.Simulation)
+			r.partitionZoneFor(zone, DelayBoth, duration)
 		},
 		"deaf": func(r *rolling, zone string, duration time.Duration) { r.DropInbound(9, zone, duration) },
 		"shut": func(r *rolling, zone string, duration time.Duration) { r.RefuseOutbound(9, zone, duration) },
@@ -230,7 +230,7 @@
 						r.give(100+len(r.users)+k, 5)
 					}
 					r.Advance(1200 * time.Millisecond)
-					if l, _ := r.Simulation.Leader(); l >= 0 {
+					if l, _ := r.Leader(); l >= 0 {
 						changes[how](r, l)
 					}
 					r.Advance(7 * time.Second)
@@ -287,7 +287,7 @@
 				for range 5 {
 					f(r)
 					r.Advance(3 * time.Second)
-					if l, _ := r.Simulation.Leader(); l >= 0 {
+					if l, _ := r.Leader(); l >= 0 {
 						changes[how](r, l)
 					}
 					r.Advance(6 * time.Second)
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -13,57 +14,83 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Cluster is the world's controllers as processes of the operating system.
+const (
+	readyPoll    = 20 * time.Millisecond
+	readyTimeout = time.Second // of one health check
+	logTail      = 2000        // bytes of a log in an error
+	filePerm     = 0o600
+)
+
+// Cluster is the controllers of a simulation in real time, as processes of the operating system. Its methods are
+// safe for concurrent use.
 type Cluster struct {
-	simulation *Simulation
-	dir        string
-	programs   []program // by controller
-	mu         sync.Mutex
-	processes  []*exec.Cmd
-
-	hasOperatorSettings bool // there are operators' settings
-	// TLSAddrs are free addresses, one for each controller: {tls} in its operators' settings; Debug likewise: {debug}.
+	simulation          *Simulation
+	dir                 string
+	hasOperatorSettings bool
+	// TLSAddrs are free addresses, one for each controller, for {tls} in the operators' settings; DebugAddrs
+	// likewise for {debug}.
 	TLSAddrs, DebugAddrs []string
 	// Killed counts the controllers that were killed.
 	Killed int
+
+	mu        sync.Mutex // guards Killed and all that follows
+	programs  []program  // by controller
+	processes []*exec.Cmd
 }
 
-// program is what a controller runs.
+// program is what a controller executes.
 type program struct{ argv, env []string }
 
-// NewCluster prepares the controllers: each is argv with its settings file behind "--config", and env
-// beside the environment. Files stand under dir; operator is the operators' HCL, "" for none.
-func (w *Simulation) NewCluster(dir, operator string, env []string, argv ...string) (*Cluster, error) {
-	cluster := &Cluster{simulation: w, dir: dir, processes: make([]*exec.Cmd, w.cfg.Controllers), programs: make([]program, w.cfg.Controllers)}
-	cluster.hasOperatorSettings = operator != ""
-	for i := range cluster.processes {
-		cluster.SetProgram(i, env, argv...)
-		for _, addrs := range []*[]string{&cluster.TLSAddrs, &cluster.DebugAddrs} {
-			addr, err := freePort()
-			if err != nil {
-				return nil, err
-			}
-			*addrs = append(*addrs, addr)
-		}
-		own := strings.NewReplacer("{tls}", cluster.TLSAddrs[i], "{debug}", cluster.DebugAddrs[i]).Replace(operator)
-		if err := os.WriteFile(cluster.operatorFile(i), []byte(own), 0o600); err != nil {
+// NewCluster prepares the controllers, without starting them: each executes argv with "--config" and its settings
+// file, and with env beside the environment. The files are written to dir; operator is the operators' HCL, "" for
+// none. The caller closes the cluster.
+func (sim *Simulation) NewCluster(dir, operator string, env []string, argv ...string) (*Cluster, error) {
+	c := &Cluster{
+		simulation:          sim,
+		dir:                 dir,
+		hasOperatorSettings: operator != "",
+		programs:            make([]program, sim.cfg.Controllers),
+		processes:           make([]*exec.Cmd, sim.cfg.Controllers),
+	}
+	for i := range c.processes {
+		c.SetProgram(i, env, argv...)
+		if err := c.addAddrs(); err != nil {
 			return nil, err
 		}
-		if err := os.WriteFile(cluster.settingsFile(i), w.SettingsJSON(i), 0o600); err != nil {
+		if err := c.writeSettings(i, operator); err != nil {
 			return nil, err
 		}
 	}
-	return cluster, nil
+	return c, nil
+}
+
+// addAddrs finds the next controller's free addresses.
+func (c *Cluster) addAddrs() error {
+	for _, addrs := range []*[]string{&c.TLSAddrs, &c.DebugAddrs} {
+		addr, err := freePort()
+		if err != nil {
+			return err
+		}
+		*addrs = append(*addrs, addr)
+	}
+	return nil
+}
+
+func (c *Cluster) writeSettings(i int, operator string) error {
+	addrs := strings.NewReplacer("{tls}", c.TLSAddrs[i], "{debug}", c.DebugAddrs[i])
+	if err := os.WriteFile(c.operatorFile(i), []byte(addrs.Replace(operator)), filePerm); err != nil {
+		return err
+	}
+	return os.WriteFile(c.settingsFile(i), c.simulation.SettingsJSON(i), filePerm)
 }
 
-// SetProgram gives a controller another program, another build perhaps, from its next start on.
+// SetProgram changes what a controller executes, perhaps another build, from its next start on.
 func (c *Cluster) SetProgram(i int, env []string, argv ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.programs[i] = program{argv, append(os.Environ(), env...)}
 }
 
-// operatorFile is a controller's file of operators' settings.
 func (c *Cluster) operatorFile(i int) string {
 	return filepath.Join(c.dir, fmt.Sprintf("operator-%d.hcl", i))
 }
@@ -72,50 +99,52 @@
 	return filepath.Join(c.dir, fmt.Sprintf("node-%d.json", i))
 }
 
-// LogFile is where a controller's output goes.
+// LogFile returns the file to which a controller's output is appended.
 func (c *Cluster) LogFile(i int) string { return filepath.Join(c.dir, fmt.Sprintf("node-%d.log", i)) }
 
-// Start starts a controller that does not run.
+// Start starts a controller that doesn't run. Its process ends with this one.
 func (c *Cluster) Start(i int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.processes[i] != nil {
 		return nil
 	}
-	log, err := os.OpenFile(c.LogFile(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(c.LogFile(i), os.O_CREATE|os.O_APPEND|os.O_WRONLY, filePerm)
 	if err != nil {
 		return err
 	}
-	prog := c.programs[i]
-	args := append(append([]string{}, prog.argv[1:]...), "--config", c.settingsFile(i))
+	defer log.Close() //nolint:errcheck // nothing is written through this descriptor: the process has its own
+	executed := c.programs[i]
+	args := append([]string{}, executed.argv[1:]...)
+	args = append(args, "--config", c.settingsFile(i))
 	if c.hasOperatorSettings {
 		args = append(args, "--operator", c.operatorFile(i))
 	}
-	p := exec.Command(prog.argv[0], args...)
-	p.Env, p.Stderr, p.Stdout = prog.env, log, log
-	// A controller must not outlive whoever plays its world.
-	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.Start(); err != nil {
+	process := exec.Command(executed.argv[0], args...)
+	process.Env = executed.env
+	process.Stdout = log
+	process.Stderr = log
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := process.Start(); err != nil {
 		return err
 	}
-	_ = log.Close()
-	c.processes[i] = p
+	c.processes[i] = process
 	return nil
 }
 
-// Kill ends a controller without notice.
+// Kill ends a controller's process, if it has one, without notice.
 func (c *Cluster) Kill(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.processes[i]; p != nil {
-		_ = p.Process.Kill()
-		_ = p.Wait()
+	if process := c.processes[i]; process != nil {
+		_ = process.Process.Kill()
+		_ = process.Wait()
 		c.processes[i] = nil
 		c.Killed++
 	}
 }
 
-// PID is the number of a controller's process, 0: it has none.
+// PID returns the id of a controller's process, 0 if it has none.
 func (c *Cluster) PID(i int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,32 +154,35 @@
 	return c.processes[i].Process.Pid
 }
 
-// Running tells whether a controller has a process.
+// Running reports whether a controller has a process.
 func (c *Cluster) Running(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.processes[i] != nil
 }
 
-// Signal sends a controller's process a signal and, if wait is not 0, waits so long for its
-// end; it returns the exit code, -1 if it still runs or was killed.
-func (c *Cluster) Signal(i int, s syscall.Signal, wait time.Duration) int {
+// Signal sends a controller's process a signal and, if wait isn't 0, waits up to that long for its end. It returns
+// the exit code, -1 if the process still runs, was killed, or doesn't exist.
+func (c *Cluster) Signal(i int, signal syscall.Signal, wait time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.processes[i]
-	if p == nil {
+	process := c.processes[i]
+	if process == nil {
 		return -1
 	}
-	_ = p.Process.Signal(s)
+	_ = process.Process.Signal(signal)
 	if wait == 0 {
 		return -1
 	}
-	end := make(chan struct{})
-	go func() { _ = p.Wait(); close(end) }()
+	ended := make(chan struct{})
+	go func() {
+		_ = process.Wait()
+		close(ended)
+	}()
 	select {
-	case <-end:
+	case <-ended:
 		c.processes[i] = nil
-		return p.ProcessState.ExitCode()
+		return process.ProcessState.ExitCode()
 	case <-time.After(wait):
 		return -1
 	}
@@ -163,13 +195,17 @@
 	}
 }
 
-// WaitReady waits until a controller says that it can take requests.
-func (c *Cluster) WaitReady(i int, wait time.Duration) error {
-	for end := time.Now().Add(wait); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if status, _, err := fasthttp.GetTimeout(nil, "http://"+c.simulation.UserAddr(i)+"/up", time.Second); err == nil && status == 200 {
+// WaitReady waits until a controller's health check passes. After a time limit it returns an error with the log's
+// end.
+func (c *Cluster) WaitReady(i int, limit time.Duration) error {
+	healthCheck := "http://" + c.simulation.UserAddr(i) + "/up"
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(readyPoll) {
+		status, _, err := fasthttp.GetTimeout(nil, healthCheck, readyTimeout)
+		if err == nil && status == http.StatusOK {
 			return nil
 		}
 	}
-	tail, _ := os.ReadFile(c.LogFile(i))
-	return fmt.Errorf("controller %d is not ready after %v; its log ends with: %s", i, wait, tail[max(0, len(tail)-2000):])
+	log, _ := os.ReadFile(c.LogFile(i))
+	tail := log[max(0, len(log)-logTail):]
+	return fmt.Errorf("controller %d is not ready after %v; its log ends with: %s", i, limit, tail)
 }
--- /dev/null
+++ b/internal/simulator/controllers.go
@@ -0,0 +1,235 @@
+package simulator
+
+import (
+	"net/url"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/controller"
+	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/rollout"
+)
+
+// simulatedController is one controller in virtual time. It stays the same over restarts; process is what runs.
+type simulatedController struct {
+	env         *virtualTime
+	index       int
+	settings    *config.Settings
+	epochMS     int64 // of the wall clock at the simulation's start
+	incarnation int   // raised by each start
+
+	process     *controller.Simulated // nil while it doesn't run
+	startedAt   time.Duration
+	frozenUntil time.Duration // what arrives before waits
+	draining    bool
+	maxLevel    rollout.Level // the highest that the process supports
+}
+
+// whileRunning returns a function that calls f in the controller's present incarnation: once it is no longer
+// frozen, and never if it has ended.
+func (c *simulatedController) whileRunning(f func()) func() {
+	incarnation := c.incarnation
+	var guarded func()
+	guarded = func() {
+		switch {
+		case c.process == nil || c.incarnation != incarnation:
+		case c.frozenUntil > c.env.clock:
+			c.env.schedule(c.frozenUntil-c.env.clock, guarded)
+		default:
+			f()
+		}
+	}
+	return guarded
+}
+
+// serve is the controller's HTTP side.
+func (c *simulatedController) serve(request httpRequest, reply replyFunc) {
+	if c.process == nil {
+		reply(0, nil)
+		return
+	}
+	c.whileRunning(func() {
+		answer := func(status int, body []byte) { reply(status, body) }
+		c.process.Ask(request.method, request.path, request.body, answer)
+	})()
+}
+
+// controllerSender sends a controller's requests to the services and the workers. It belongs to one incarnation.
+type controllerSender struct {
+	controller *simulatedController
+	limit      int // of requests in flight
+	inFlight   int
+}
+
+// Send implements httpio.Sender.
+func (s *controllerSender) Send(addr string, outgoing httpio.Request, done func(httpio.Response)) {
+	c := s.controller
+	if s.inFlight >= s.limit {
+		busy := httpio.Response{Err: httpio.ErrBusy, Refused: true}
+		c.env.schedule(0, c.whileRunning(func() { done(busy) }))
+		return
+	}
+	s.inFlight++
+	target, err := url.Parse(outgoing.Path)
+	if err != nil {
+		panic(err) // a path of the controller's own making
+	}
+	incarnation := c.incarnation
+	request := httpRequest{
+		sender: c.settings.Node,
+		method: outgoing.Method,
+		path:   target.Path,
+		query:  target.Query(),
+		body:   outgoing.Body,
+	}
+	isCut := c.env.linkCheck(c.settings.Public, linkTo(addr))
+	c.env.roundTrip(c.settings.Zone, addr, request, outgoing.Timeout, isCut, func(status int, body []byte) {
+		if c.incarnation != incarnation {
+			return
+		}
+		s.inFlight--
+		result := httpio.Response{Status: status, Body: body}
+		if status == 0 {
+			result = httpio.Response{Err: httpio.ErrLost}
+		}
+		c.whileRunning(func() { done(result) })()
+	})
+}
+
+// StartController starts a controller that doesn't run, with nothing but its settings.
+func (sim *Simulation) StartController(i int) {
+	env := sim.virtual
+	c := env.controllers[i]
+	if c.process != nil {
+		return
+	}
+	c.incarnation++
+	c.startedAt = env.clock
+	c.frozenUntil = 0
+	c.maxLevel = sim.MaxLevel(i)
+	var links []func([]byte)
+	for _, peer := range env.controllers {
+		if peer != c {
+			links = append(links, func(status []byte) { c.sendStatus(peer, status) })
+		}
+	}
+	c.process = controller.Simulate(c.settings, controller.Environment{
+		Now:     func() time.Duration { return env.clock - c.startedAt },
+		EpochMS: c.epochMS + c.startedAt.Milliseconds(),
+		Seed:    env.rng.Uint64(),
+		Sender:  func(limit int) httpio.Sender { return &controllerSender{controller: c, limit: limit} },
+	}, links...)
+	var tick func()
+	tick = c.whileRunning(func() {
+		c.process.Tick()
+		env.schedule(controller.TickEvery, tick)
+	})
+	env.schedule(jitter(env.rng, controller.TickEvery), tick)
+}
+
+// sendStatus sends a controller's status to a peer.
+func (c *simulatedController) sendStatus(peer *simulatedController, status []byte) {
+	env := c.env
+	env.recordMessage(statusTo(peer.settings.Node, c.settings.Node, status))
+	hear := func() {
+		cut := env.linkCheck(c.settings.Public, PeerLinks)() || env.linkCheck(peer.settings.Public, PeerLinks)()
+		if peer.process != nil && !cut {
+			peer.whileRunning(func() { peer.process.Hear(status) })()
+		}
+	}
+	env.schedule(jitter(env.rng, env.network.meanDelay), func() {
+		env.deliver(c.settings.Zone, peer.settings.Zone, hear, func() {})
+	})
+}
+
+// KillController ends a controller without notice.
+func (sim *Simulation) KillController(i int) {
+	if c := sim.virtual.controllers[i]; c.process != nil {
+		c.process = nil
+		sim.stats.ControllersKilled++
+	}
+}
+
+// DrainController does to a controller what SIGTERM does, and calls ended when its process has ended.
+func (sim *Simulation) DrainController(i int, ended func()) {
+	c := sim.virtual.controllers[i]
+	if c.process == nil {
+		ended()
+		return
+	}
+	drained := c.process.Drain()
+	c.draining = true
+	sim.stats.ControllersDrained++
+	incarnation := c.incarnation
+	var poll func()
+	poll = func() {
+		select {
+		case <-drained:
+			c.process = nil
+			c.draining = false
+			ended()
+		default:
+			if c.process == nil || c.incarnation != incarnation { // killed while it drained
+				c.draining = false
+				ended()
+				return
+			}
+			sim.virtual.schedule(sim.cfg.TickInterval, poll)
+		}
+	}
+	poll()
+}
+
+// ControllerRuns reports whether a controller runs.
+func (sim *Simulation) ControllerRuns(i int) bool { return sim.virtual.controllers[i].process != nil }
+
+// FreezeController stops a controller for a time: what arrives waits, and its steady clock has jumped when it goes
+// on.
+func (sim *Simulation) FreezeController(i int, duration time.Duration) {
+	sim.virtual.controllers[i].frozenUntil = sim.virtual.clock + duration
+	sim.stats.ControllersFrozen++
+}
+
+// MoveWallClock moves a controller's wall clock by a time, from the controller's next start on.
+func (sim *Simulation) MoveWallClock(i int, by time.Duration) {
+	sim.virtual.controllers[i].epochMS += by.Milliseconds()
+}
+
+// ActingLeaders lists the controllers whose own state is that they lead and may act now.
+func (sim *Simulation) ActingLeaders() (controllers []int) {
+	for i, c := range sim.virtual.controllers {
+		if c.process != nil && c.frozenUntil <= sim.virtual.clock && c.process.Leads() {
+			controllers = append(controllers, i)
+		}
+	}
+	return controllers
+}
+
+// ControllerStep returns a controller's step between its start and leading, as its log names it; "" if it doesn't
+// run.
+func (sim *Simulation) ControllerStep(i int) string {
+	if c := sim.virtual.controllers[i]; c.process != nil {
+		return c.process.Step()
+	}
+	return ""
+}
+
+// electionPoll is how often RestartControllerAtStep compares a controller's step.
+const electionPoll = time.Millisecond
+
+// RestartControllerAtStep kills a controller when it reaches a step of an election, and starts it again after a time.
+func (sim *Simulation) RestartControllerAtStep(i int, step string, after time.Duration) {
+	incarnation := sim.virtual.controllers[i].incarnation
+	var poll func()
+	poll = func() {
+		switch {
+		case sim.virtual.controllers[i].incarnation != incarnation:
+		case sim.ControllerStep(i) == step:
+			sim.KillController(i)
+			sim.env.schedule(after, func() { sim.StartController(i) })
+		default:
+			sim.env.schedule(electionPoll, poll)
+		}
+	}
+	poll()
+}
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -285,7 +285,7 @@
 // askLeaderAt asks whoever leads at a time; nobody if no controller leads.
 func (r *rolling) askLeaderAt(at time.Duration, method, path, body string) {
 	r.After(at, func() {
-		if l, _ := r.Simulation.Leader(); l >= 0 {
+		if l, _ := r.Leader(); l >= 0 {
 			r.Request(l, method, path, []byte(body), func(int, []byte) {})
 		}
 	})
@@ -300,7 +300,7 @@
 
 // callLeader asks the leader what has no route for Ask; the answer comes at once, and a frozen leader gives none.
 func (r *rolling) callLeader(q api.LeaderRequest, then func(status int, body []byte)) {
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	if l < 0 || !r.ControllerRuns(l) {
 		then(0, nil)
 		return
@@ -461,7 +461,7 @@
 func wereReclaimed(r *rolling) {
 	resumed := 0
 	for _, s := range r.sessions {
-		resumed += s.Resumes
+		resumed += s.resumes
 	}
 	if resumed == 0 {
 		r.t.Error("no session was reclaimed and resumed")
@@ -499,7 +499,7 @@
 		return
 	}
 	if task.attempt != s.attempt {
-		s.reset(s.r.Now(), task.attempt)
+		s.resetProcess(s.r.Now(), task.attempt)
 	}
 	s.seq++
 	report := s.report(s.r.Now(), s.seq)
@@ -507,14 +507,14 @@
 	s.call("report", s.agentToken, raw, func(status int, body []byte) {
 		var o sessions.Order
 		if status == 200 && json.Unmarshal(body, &o) == nil {
-			s.applyOrder(s.r.Now(), task, report, o)
+			s.applyOrder(s.r.Now(), task, o)
 		}
 	})
 }
 
 // process is the session's task that runs, nil if there is none.
 func (s *simSession) process() *workerTask {
-	for _, machine := range s.r.machines {
+	for _, machine := range s.r.cloud.machines {
 		for _, task := range machine.tasks {
 			if !machine.dead && task.spec.ID == s.Spec.ID && task.state == taskRunning {
 				return task
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -57,7 +57,7 @@
 	}
 	r := &behaviourRecorder{world: sim, hash: xxhash.New(), log: bufio.NewWriter(log)}
 	sim.virtual.recorder = r.message
-	sim.stateService.Changed = r.change
+	sim.state.service.Changed = r.change
 	return r
 }
 
@@ -140,7 +140,7 @@
 
 // end is the digest of what was recorded.
 func (r *behaviourRecorder) end() (behaviourDigest, error) {
-	r.world.virtual.recorder, r.world.stateService.Changed = nil, nil
+	r.world.virtual.recorder, r.world.state.service.Changed = nil, nil
 	r.seen.Digest = fmt.Sprintf("%016x", r.hash.Sum64())
 	return r.seen, r.log.Flush()
 }
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -158,10 +158,10 @@
 					r.After(1100*time.Millisecond, func() { r.SetStateOutage(true) })
 					r.Advance(1100*time.Millisecond + seconds(1.2*tight.CancelS))
 					r.mu.Lock()
-					if len(r.cancelledAt) < told+4 {
-						t.Errorf("gap %d: %d cancellations were confirmed", gap, len(r.cancelledAt)-told)
+					if len(r.work.cancelledAt) < told+4 {
+						t.Errorf("gap %d: %d cancellations were confirmed", gap, len(r.work.cancelledAt)-told)
 					}
-					told = len(r.cancelledAt)
+					told = len(r.work.cancelledAt)
 					r.mu.Unlock()
 					r.SetStateOutage(false)
 					r.Advance(6 * time.Second)
@@ -185,7 +185,7 @@
 		for k := range 12 {
 			r.After(time.Duration(100+300*k)*time.Millisecond, func() { r.cancelAt(r.users[k], (l+1+k%2)%3) })
 		}
-		r.reach("led from elsewhere", 14*time.Second, func() bool { n, _ := r.Simulation.Leader(); return n >= 0 && n != l })
+		r.reach("led from elsewhere", 14*time.Second, func() bool { n, _ := r.Leader(); return n >= 0 && n != l })
 		t.Logf("led from elsewhere after %v", r.Now()-from)
 		r.Advance(10 * time.Second)
 		r.StallWatches(l, false)
@@ -198,16 +198,16 @@
 func TestLostWatch(t *testing.T) {
 	r, _ := met(t, 203, 3, 6)
 	l := r.led()
-	_, term := r.Simulation.Leader()
+	_, term := r.Leader()
 	r.mu.Lock()
-	r.dropWatches = true
+	r.state.dropWatches = true
 	r.mu.Unlock()
 	r.Advance(1600 * time.Millisecond)
 	r.mu.Lock()
-	r.dropWatches = false
+	r.state.dropWatches = false
 	r.mu.Unlock()
 	r.Advance(10 * time.Second)
-	if n, now := r.Simulation.Leader(); n != l || now != term {
+	if n, now := r.Leader(); n != l || now != term {
 		t.Errorf("controller %d leads in term %d, it was %d in %d", n, now, l, term)
 	}
 	if len(r.ActingLeaders()) != 1 {
@@ -272,7 +272,7 @@
 		"cancel": func(r *rolling, k int) { r.cancelAt(r.users[k], k%3) },
 		"move":   func(r *rolling, k int) { r.ReclaimSpotMachine(2 * time.Second); r.KillMachine() },
 		"takeover": func(r *rolling, k int) {
-			onLeader(time.Duration(100+k*300)*time.Millisecond, (*Simulation).KillController)(r.Simulation)
+			r.onLeader(time.Duration(100+k*300)*time.Millisecond, r.KillController)
 		},
 		"session": func(r *rolling, k int) { r.DropOutbound(3, "", 7*time.Second); r.HangMachine(7 * time.Second) },
 		"attempt": func(r *rolling, k int) { r.CrashTask(); r.CrashTask() },
@@ -377,9 +377,9 @@
 		for k := range 12 {
 			r.After(time.Duration(2+3*k)*time.Second, func() { r.cancelAt(r.users[k], k%3) })
 		}
-		r.After(12*time.Second, func() { onLeader(200*time.Millisecond, (*Simulation).KillController)(r.Simulation) })
-		r.After(24*time.Second, func() { onLeader(time.Second, drainController)(r.Simulation) })
-		r.After(36*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(r.Simulation) })
+		r.After(12*time.Second, func() { r.onLeader(200*time.Millisecond, r.KillController) })
+		r.After(24*time.Second, func() { r.onLeader(time.Second, r.drainController) })
+		r.After(36*time.Second, func() { r.onLeader(3*time.Second, r.KillController) })
 		r.Advance(50 * time.Second)
 		if n := r.Stats().LateWrites; n < 30 {
 			t.Errorf("%d writes were late", n)
@@ -453,13 +453,13 @@
 func TestOldReports(t *testing.T) {
 	meets := map[string]func(r *rolling, k int){
 		"takeover": func(r *rolling, k int) {
-			onLeader(time.Duration(100+k*300)*time.Millisecond, (*Simulation).KillController)(r.Simulation)
+			r.onLeader(time.Duration(100+k*300)*time.Millisecond, r.KillController)
 		},
 		"move":    func(r *rolling, k int) { r.KillMachine(); r.ReclaimSpotMachine(time.Second) },
 		"forget":  func(r *rolling, k int) { r.CrashTask(); r.cancelAt(r.users[k], k%3) },
 		"restart": func(r *rolling, k int) { r.RestartMachine("", 200*time.Millisecond); r.RestartMachine("", time.Second) },
 		"session": func(r *rolling, k int) { r.DropInbound(4, "", 7*time.Second) },
-		"cut":     func(r *rolling, k int) { partitionFault(DelayBoth)(2*time.Second, 0, "a")(r.Simulation) },
+		"cut":     func(r *rolling, k int) { r.partitionZoneFor("a", DelayBoth, 2*time.Second) },
 	}
 	for what, f := range meets {
 		for _, most := range []time.Duration{3 * time.Second, 24 * time.Second} {
@@ -491,7 +491,7 @@
 		r.load(30 * time.Second)
 		r.DelayStateAnswers(10*time.Millisecond, slow)
 		r.Advance(4 * time.Second)
-		if l, _ := r.Simulation.Leader(); l >= 0 {
+		if l, _ := r.Leader(); l >= 0 {
 			r.RefuseController(l, true)
 			r.After(12*time.Second, func() { r.RefuseController(l, false) })
 		}
--- a/internal/simulator/further_meetings_test.go
+++ b/internal/simulator/further_meetings_test.go
@@ -19,7 +19,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range names {
-		for _, task := range r.machineByName[name].tasks {
+		for _, task := range r.cloud.machineByName[name].tasks {
 			if task.launchedAt >= since {
 				n++
 			}
@@ -91,10 +91,10 @@
 				r.After(time.Duration(i)*700*time.Millisecond, func() { r.killIn(zone) })
 			}
 		},
-		"all":   func(r *rolling, zone string) { powerZoneFault(4*time.Second, 0, zone)(r.Simulation) },
-		"flaps": func(r *rolling, zone string) { flapZoneFault(4*time.Second, 0, zone)(r.Simulation) },
-		"long":  func(r *rolling, zone string) { partitionFault(DropBoth)(18*time.Second, 0, zone)(r.Simulation) },
-		"held":  func(r *rolling, zone string) { partitionFault(DelayBoth)(9*time.Second, 0, zone)(r.Simulation) },
+		"all":   func(r *rolling, zone string) { r.powerOffZoneFor(zone, 4*time.Second) },
+		"flaps": func(r *rolling, zone string) { r.flapZone(zone, 4*time.Second) },
+		"long":  func(r *rolling, zone string) { r.partitionZoneFor(zone, DropBoth, 18*time.Second) },
+		"held":  func(r *rolling, zone string) { r.partitionZoneFor(zone, DelayBoth, 9*time.Second) },
 		"deaf":  func(r *rolling, zone string) { r.DropInbound(99, zone, 14*time.Second) },
 	}
 	for what, lose := range losses {
@@ -153,7 +153,7 @@
 	defer r.mu.Unlock()
 	for _, u := range us {
 		in := map[string]bool{}
-		for _, machine := range r.machines {
+		for _, machine := range r.cloud.machines {
 			for _, task := range machine.tasks {
 				if task.counted && !machine.dead && task.spec.ID == u.spec.ID {
 					in[machine.zone] = true
@@ -214,18 +214,18 @@
 				t.Parallel()
 				r, _ := met(t, 324, controllers, 16)
 				r.load(2 * time.Minute)
-				_, term := r.Simulation.Leader()
+				_, term := r.Leader()
 				r.KillLeaders(10, 2*time.Minute)
 				if outage > 0 {
 					for _, at := range []time.Duration{11 * time.Second, 46 * time.Second, 83 * time.Second} {
-						r.After(at, func() { during(outage, (*Simulation).SetStateOutage)(r.Simulation) })
+						r.After(at, func() { r.during(outage, r.SetStateOutage) })
 					}
 				}
 				for k := range 16 {
 					r.After(time.Duration(3+7*k)*time.Second, func() { r.cancelAt(r.users[k], k%controllers) })
 				}
 				r.Advance(2 * time.Minute)
-				_, now := r.Simulation.Leader()
+				_, now := r.Leader()
 				if most := uint64(8); now < term+most && outage < 14*time.Second {
 					t.Errorf("the lead passed %d times", now-term)
 				}
@@ -305,7 +305,7 @@
 				r.Advance(2 * time.Second)
 				r.RefuseController(l, false)
 				r.mu.Lock()
-				n := len(r.cancelledAt)
+				n := len(r.work.cancelledAt)
 				r.mu.Unlock()
 				if n < 8 {
 					t.Errorf("%d cancellations were confirmed", n)
--- /dev/null
+++ b/internal/simulator/idle_capacity.go
@@ -0,0 +1,168 @@
+package simulator
+
+import (
+	"encoding/json"
+	"math"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/planner"
+)
+
+// This file checks that no capacity stays idle beside work: once all faults have ended, no job without a task on a
+// machine waits for long while its team is under its limit and ready machines that it allows have room. This is
+// judged by the machines' true state, not by what the leader believes.
+
+const (
+	// maxIdleWait is how long a job may wait beside idle capacity.
+	maxIdleWait = 90 * time.Second
+	// idleCheckInterval is the time between two checks.
+	idleCheckInterval = time.Second
+)
+
+// idleCapacityWatch records since when each job has waited beside idle capacity.
+type idleCapacityWatch struct {
+	waitingSince map[string]time.Duration
+	longest      time.Duration
+	longestJob   string
+}
+
+// WatchIdleCapacity begins to check, from the moment when all faults have ended. It returns a function that returns
+// the longest wait of a job beside idle capacity so far, and the job. It needs virtual time.
+func (sim *Simulation) WatchIdleCapacity() func() (longest time.Duration, job string) {
+	watch := &idleCapacityWatch{waitingSince: map[string]time.Duration{}}
+	var check func()
+	check = func() {
+		sim.mu.Lock()
+		sim.checkIdleCapacity(watch)
+		sim.mu.Unlock()
+		sim.env.schedule(idleCheckInterval, check)
+	}
+	sim.env.schedule(idleCheckInterval, check)
+	return func() (time.Duration, string) { return watch.longest, watch.longestJob }
+}
+
+// capacityUse is the true use of the machines at one moment.
+type capacityUse struct {
+	placed map[string]bool         // jobs with a task on a machine
+	byTeam map[string]planner.Size // what the team's tasks on machines need
+	ready  []candidateMachine
+}
+
+// candidateMachine is a machine that can take work, and its free room.
+type candidateMachine struct {
+	machine *Machine
+	free    planner.Size
+}
+
+func (sim *Simulation) capacityUse(now time.Duration) capacityUse {
+	use := capacityUse{placed: map[string]bool{}, byTeam: map[string]planner.Size{}}
+	for _, machine := range sim.cloud.machines {
+		if machine.dead {
+			continue
+		}
+		free := machine.machineType.Size()
+		for _, task := range machine.tasks {
+			if task.state == taskExited {
+				continue
+			}
+			size := task.spec.Size()
+			use.placed[task.spec.ID] = true
+			use.byTeam[task.spec.Team] = use.byTeam[task.spec.Team].Add(size)
+			free = free.Sub(size)
+		}
+		if machine.takesWork(now) {
+			use.ready = append(use.ready, candidateMachine{machine, free})
+		}
+	}
+	return use
+}
+
+// takesWork reports whether a machine has an owner, no fault and no notice.
+func (m *Machine) takesWork(now time.Duration) bool {
+	isUp := now >= m.upAt && now >= m.hungUntil
+	isConnected := now >= m.inboundLostUntil && now >= m.outboundLostUntil && now >= m.outboundRefusedUntil
+	return isUp && isConnected && m.noticeAt == 0 && !m.faulty && m.token > 0
+}
+
+func (sim *Simulation) checkIdleCapacity(watch *idleCapacityWatch) {
+	now := sim.now()
+	use := sim.capacityUse(now)
+	for job, spec := range sim.work.specs {
+		if !sim.waitsBesideCapacity(spec, &use) {
+			delete(watch.waitingSince, job)
+			continue
+		}
+		since, ok := watch.waitingSince[job]
+		if !ok {
+			since = now
+			watch.waitingSince[job] = now
+		}
+		waited := now - since
+		if waited > watch.longest || waited == watch.longest && job < watch.longestJob {
+			watch.longest = waited
+			watch.longestJob = job
+		}
+		if waited > maxIdleWait {
+			sim.violate("beside: %s waits for %v and there is room", job, waited)
+			watch.waitingSince[job] = math.MaxInt64 // reported once
+		}
+	}
+}
+
+// waitsBesideCapacity reports whether a job is pending, has nothing on a machine, and could start now. Jobs that
+// wait for licences, fail or are interactive aren't judged.
+func (sim *Simulation) waitsBesideCapacity(spec *jobs.Spec, use *capacityUse) bool {
+	job := spec.ID
+	item, stored := sim.state.service.Keys[jobs.RecordKey(job)]
+	notJudged := len(spec.Licences) > 0 || sim.faults.failingJobs[job] || sim.work.sessions[job] != nil
+	if !stored || use.placed[job] || notJudged {
+		return false
+	}
+	var record jobs.Record
+	if json.Unmarshal(item.Value, &record) != nil || record.State != jobs.Pending.String() {
+		return false
+	}
+	if sim.allDone(job, spec.Tasks) || !sim.underLimit(spec, use.byTeam[spec.Team]) {
+		return false
+	}
+	return fits(spec, use.ready)
+}
+
+// startingTasks is how many tasks of a job start together: all of a gang, one of an array or a service.
+func startingTasks(spec *jobs.Spec) int {
+	if spec.Kind == jobs.Gang {
+		return spec.Tasks
+	}
+	return 1
+}
+
+// fits reports whether a job could start on some of the machines.
+func fits(spec *jobs.Spec, ready []candidateMachine) bool {
+	zones := map[string]int32{}
+	var hosts []planner.Host
+	for i, candidate := range ready {
+		machine := candidate.machine
+		if !allows(spec, machine.machineType, machine.zone, machine.spot) {
+			continue
+		}
+		if _, ok := zones[machine.zone]; !ok {
+			zones[machine.zone] = int32(len(zones))
+		}
+		hosts = append(hosts, planner.Host{ID: int32(i), Zone: zones[machine.zone], Free: candidate.free})
+	}
+	return planner.FirstFit(hosts, spec.Size(), startingTasks(spec), spec.OneZone, spec.ZoneLimit()) != nil
+}
+
+// underLimit reports whether a job's start would keep its team, which uses that much, within its limit.
+func (sim *Simulation) underLimit(spec *jobs.Spec, used planner.Size) bool {
+	tasks := float64(startingTasks(spec))
+	for _, team := range sim.cfg.Teams {
+		if team.Name == spec.Team {
+			cpusFit := team.CPUsMax == 0 || used.CPUs+tasks*spec.CPUs <= team.CPUsMax
+			gpusFit := team.GPUsMax == 0 || used.GPUs+tasks*spec.GPUs <= team.GPUsMax
+			return cpusFit && gpusFit
+		}
+	}
+	return false
+}
--- a/internal/simulator/idle_room_test.go
+++ b/internal/simulator/idle_room_test.go
@@ -62,7 +62,7 @@
 				})
 			}
 		}},
-		"a zone flaps": {12, func(r *rolling, give put) { flapZoneFault(9*time.Second, 0, "b")(r.Simulation) }},
+		"a zone flaps": {12, func(r *rolling, give put) { r.flapZone("b", 9*time.Second) }},
 	} {
 		for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
 			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
--- a/internal/simulator/interactive_session.go
+++ b/internal/simulator/interactive_session.go
@@ -3,125 +3,174 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// InteractiveSession is an interactive session as its user and its agent see it: the stand-in for both.
-// Work is counted in steps; what was saved outlives the machine.
+const (
+	sessionsPath = "/v2/sessions"
+	// agentReportInterval is the time between two reports of an agent.
+	agentReportInterval = 300 * time.Millisecond
+	// sessionRetry is the time until a request that no leader answered is sent again, maxSessionRetry how long that
+	// goes on.
+	sessionRetry    = 100 * time.Millisecond
+	maxSessionRetry = time.Minute
+)
+
+// Reasons why a save failed.
+const (
+	saveFailedDisk = "disk full"
+	saveFailedCell = "a cell runs"
+)
+
+// InteractiveSession is an interactive session in real time, with its user and its agent. Work is counted in steps;
+// what was saved outlives the machine.
 type InteractiveSession struct {
-	Spec       *jobs.Spec
-	User       string
-	userToken  string // the user's
-	agentToken string // its agent's
+	Spec *jobs.Spec
+	User string
 
 	simulation *Simulation
-	savedSteps map[string]int
-
-	// Of the process that runs now.
-	attempt                       uint64
-	steps                         int
-	stepsSaved                    int
-	cellEnd                       time.Duration
-	cellStart                     time.Duration
-	lastInput                     time.Duration
-	frozen                        bool
-	resumedFrom                   string
-	fresh                         bool
-	ownCheckpoint, keptCheckpoint string // saves of its own: the newest, and what the controllers keep
-	save                          *sessions.Save
-	saveDoneAt                    time.Duration // a save under way is done then
-	savesFail                     bool          // saves fail
-	saveDuration                  time.Duration // saves take so long
-	closed                        bool
-	Reclaims                      int // times the session was stopped with its work saved
-	Resumes                       int
+	userToken  string
+	agentToken string
+
+	savedSteps   map[string]int // by checkpoint; like all that follows guarded by the simulation's mutex
+	savesFail    bool
+	saveDuration time.Duration
+	closed       bool
+	reclaims     int // times the session was stopped with its work saved
+	resumes      int
+
+	sessionProcess
+}
+
+// sessionProcess is the state of the session's process that runs now.
+type sessionProcess struct {
+	attempt    uint64
+	steps      int
+	stepsSaved int
+	lastInput  time.Duration
+	cellStart  time.Duration
+	cellEnd    time.Duration
+
+	frozen      bool   // it takes no input
+	fresh       bool   // it hasn't been thawed since its start
+	resumedFrom string // a checkpoint
+
+	save           *sessions.Save // the newest that was ordered
+	saveDoneAt     time.Duration  // of a save under way; 0: there is none
+	ownCheckpoint  string         // the newest without an order
+	keptCheckpoint string         // the one that the controllers keep
 }
 
-// InteractiveSession makes a session for a user, as yet unopened.
-func (w *Simulation) InteractiveSession(spec *jobs.Spec, user string) *InteractiveSession {
-	session := &InteractiveSession{Spec: spec, User: user, simulation: w, userToken: "user-" + spec.ID, agentToken: "agent-" + spec.ID, savedSteps: map[string]int{}}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.specs[spec.ID] = spec
-	w.sessions[spec.ID] = session
+// InteractiveSession returns a session of a user that isn't open yet.
+func (sim *Simulation) InteractiveSession(spec *jobs.Spec, user string) *InteractiveSession {
+	session := &InteractiveSession{
+		Spec:       spec,
+		User:       user,
+		simulation: sim,
+		userToken:  "user-" + spec.ID,
+		agentToken: "agent-" + spec.ID,
+		savedSteps: map[string]int{},
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.work.specs[spec.ID] = spec
+	sim.work.sessions[spec.ID] = session
 	return session
 }
 
-// processStarted is when a session's task runs: a new process, whose agent reports.
-func (n *InteractiveSession) processStarted(now time.Duration, task *workerTask) {
-	n.reset(now, task.attempt)
-	n.simulation.sessionAgents.Add(1)
-	go n.runAgent(task)
+// processStarted begins a new process as the session's task runs, and its agent, which ends with the process or the
+// simulation.
+func (s *InteractiveSession) processStarted(now time.Duration, task *workerTask) {
+	s.resetProcess(now, task.attempt)
+	s.simulation.sessionAgents.Add(1)
+	go s.runAgent(task)
 }
 
-// reset makes the process a new one, frozen until it was told what to resume.
-func (n *InteractiveSession) reset(now time.Duration, attempt uint64) {
-	n.attempt, n.steps, n.stepsSaved = attempt, 0, 0
-	n.frozen, n.fresh, n.resumedFrom = true, true, ""
-	n.lastInput, n.cellEnd = now, 0
-	n.save, n.ownCheckpoint, n.keptCheckpoint = nil, "", ""
+// resetProcess replaces the process by a new one, frozen until an order names what to resume from.
+func (s *InteractiveSession) resetProcess(now time.Duration, attempt uint64) {
+	s.attempt = attempt
+	s.steps = 0
+	s.stepsSaved = 0
+	s.lastInput = now
+	s.cellEnd = 0
+	s.frozen = true
+	s.fresh = true
+	s.resumedFrom = ""
+	s.save = nil
+	s.ownCheckpoint = ""
+	s.keptCheckpoint = ""
 }
 
-// processHalted is when its worker stops it, outside a close: that must be a reclaim, and a reclaim must
-// not end what runs or lose what was done.
-func (n *InteractiveSession) processHalted(now time.Duration, machine *Machine) {
-	if n.closed {
+// processHalted checks a halt of the process by its worker. Unless the session was closed this is a reclaim, which
+// must not interrupt a cell or lose work.
+func (s *InteractiveSession) processHalted(now time.Duration, machine *Machine) {
+	if s.closed {
 		return
 	}
 	if machine.noticeAt > 0 {
-		// Its machine is taken: it saves what it can while it is being stopped.
-		if !n.fresh {
-			n.ownCheckpoint, n.frozen, n.save = fmt.Sprintf("%s-%d-end", n.Spec.ID, n.attempt), true, nil
-			n.savedSteps[n.ownCheckpoint], n.stepsSaved = n.steps, n.steps
-		}
+		s.saveBeforeReclaim()
 		return
 	}
-	if now < n.cellEnd {
-		n.simulation.violate("reclaim: %s was stopped while a cell runs", n.Spec.ID)
+	if now < s.cellEnd {
+		s.simulation.violate("reclaim: %s was stopped while a cell runs", s.Spec.ID)
+	}
+	if s.steps != s.stepsSaved || !s.frozen {
+		s.simulation.violate("reclaim: %s was stopped with %d steps, %d saved, frozen %v",
+			s.Spec.ID, s.steps, s.stepsSaved, s.frozen)
 	}
-	if n.steps != n.stepsSaved || !n.frozen {
-		n.simulation.violate("reclaim: %s was stopped with %d steps, %d saved, frozen %v", n.Spec.ID, n.steps, n.stepsSaved, n.frozen)
+	s.reclaims++
+}
+
+// saveBeforeReclaim saves what the process has while it is stopped, because the cloud reclaims its machine.
+func (s *InteractiveSession) saveBeforeReclaim() {
+	if s.fresh {
+		return
 	}
-	n.Reclaims++
+	s.ownCheckpoint = fmt.Sprintf("%s-%d-end", s.Spec.ID, s.attempt)
+	s.frozen = true
+	s.save = nil
+	s.savedSteps[s.ownCheckpoint] = s.steps
+	s.stepsSaved = s.steps
+}
+
+// redirectToLeader is the body of an answer that names the leader's address.
+type redirectToLeader struct {
+	Leader string `json:"leader"`
+}
+
+// leaderIn returns the leader's address in an answer, "" if there is none.
+func leaderIn(body []byte) string {
+	var redirected redirectToLeader
+	_ = json.Unmarshal(body, &redirected)
+	return redirected.Leader
 }
 
-// runAgent is the agent: it reports until its process is gone.
-func (n *InteractiveSession) runAgent(task *workerTask) {
-	sim := n.simulation
+// runAgent sends the agent's reports until its process has ended.
+func (s *InteractiveSession) runAgent(task *workerTask) {
+	sim := s.simulation
 	defer sim.sessionAgents.Done()
-	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true}
+	client := newUserClient()
 	defer client.CloseIdleConnections()
 	to := sim.UserAddr(0)
-	every := 300 * time.Millisecond
 	for seq := uint64(1); ; seq++ {
 		sim.mu.Lock()
-		if task.state == taskExited || n.attempt != task.attempt || !sim.onMachine(task) {
+		if task.state == taskExited || s.attempt != task.attempt || !sim.onMachine(task) {
 			sim.mu.Unlock()
 			return
 		}
-		r := n.report(sim.now(), seq)
+		raw, _ := json.Marshal(s.report(sim.now(), seq))
 		sim.mu.Unlock()
-		raw, _ := json.Marshal(r)
-		status, body := send(client, to, "/v2/sessions/"+n.Spec.ID+"/report", n.agentToken, raw)
+		status, body := send(client, to, sessionsPath+"/"+s.Spec.ID+"/report", s.agentToken, raw)
 		switch status {
-		case 200:
-			var o sessions.Order
-			if json.Unmarshal(body, &o) == nil {
-				sim.mu.Lock()
-				n.applyOrder(sim.now(), task, r, o)
-				sim.mu.Unlock()
-			}
-		case 421:
-			var l struct {
-				Leader string `json:"leader"`
-			}
-			if json.Unmarshal(body, &l) == nil && l.Leader != "" {
-				to = l.Leader
+		case http.StatusOK:
+			s.reportAnswered(task, body)
+		case http.StatusMisdirectedRequest:
+			if leader := leaderIn(body); leader != "" {
+				to = leader
 			}
 		default:
 			to = sim.UserAddr(int(seq) % sim.cfg.Controllers)
@@ -129,14 +178,24 @@
 		select {
 		case <-sim.closing:
 			return
-		case <-time.After(every):
+		case <-time.After(agentReportInterval):
 		}
 	}
 }
 
-// onMachine tells whether a task is still on a machine that lives.
-func (w *Simulation) onMachine(task *workerTask) bool {
-	for _, machine := range w.machines {
+func (s *InteractiveSession) reportAnswered(task *workerTask, body []byte) {
+	var order sessions.Order
+	if json.Unmarshal(body, &order) != nil {
+		return
+	}
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	s.applyOrder(s.simulation.now(), task, order)
+}
+
+// onMachine reports whether a task is on a machine that hasn't ended.
+func (sim *Simulation) onMachine(task *workerTask) bool {
+	for _, machine := range sim.cloud.machines {
 		if machine.dead {
 			continue
 		}
@@ -149,70 +208,100 @@
 	return false
 }
 
-func (n *InteractiveSession) report(now time.Duration, seq uint64) sessions.Report {
-	if n.save != nil && n.saveDoneAt > 0 && now >= n.saveDoneAt {
-		n.saveDoneAt = 0
-		ref := fmt.Sprintf("%s-%d-%d", n.Spec.ID, n.attempt, n.save.Order)
-		if n.savesFail {
-			n.save.Why = "disk full"
-		} else {
-			n.savedSteps[ref], n.stepsSaved = n.steps, n.steps
-			n.save.OK, n.save.Ref = true, ref
-		}
+// report makes the agent's next report.
+func (s *InteractiveSession) report(now time.Duration, seq uint64) sessions.Report {
+	if s.save != nil && s.saveDoneAt > 0 && now >= s.saveDoneAt {
+		s.finishSave()
+	}
+	report := sessions.Report{
+		Attempt: s.attempt,
+		Seq:     seq,
+		InputS:  (now - s.lastInput).Seconds(),
+		Unsaved: float64(s.steps - s.stepsSaved),
+		Frozen:  s.frozen,
+		Resumed: s.resumedFrom,
+		Fresh:   s.fresh,
+	}
+	if s.saveDoneAt == 0 && s.save != nil {
+		save := *s.save
+		report.Save = &save
 	}
-	r := sessions.Report{Attempt: n.attempt, Seq: seq, InputS: (now - n.lastInput).Seconds(), Unsaved: float64(n.steps - n.stepsSaved), Frozen: n.frozen, Resumed: n.resumedFrom, Fresh: n.fresh}
-	if n.saveDoneAt == 0 && n.save != nil {
-		s := *n.save
-		r.Save = &s
+	if report.Save == nil && s.ownCheckpoint != s.keptCheckpoint && s.ownCheckpoint != "" {
+		report.Save = &sessions.Save{OK: true, Ref: s.ownCheckpoint}
 	}
-	if r.Save == nil && n.ownCheckpoint != n.keptCheckpoint && n.ownCheckpoint != "" {
-		r.Save = &sessions.Save{OK: true, Ref: n.ownCheckpoint}
+	if now < s.cellEnd {
+		report.Cell = true
+		report.CellS = (now - s.cellStart).Seconds()
+		report.CPU = 1
 	}
-	if now < n.cellEnd {
-		r.Cell, r.CellS, r.CPU = true, (now - n.cellStart).Seconds(), 1
+	return report
+}
+
+// finishSave ends the save under way.
+func (s *InteractiveSession) finishSave() {
+	s.saveDoneAt = 0
+	if s.savesFail {
+		s.save.Why = saveFailedDisk
+		return
 	}
-	return r
+	checkpoint := fmt.Sprintf("%s-%d-%d", s.Spec.ID, s.attempt, s.save.Order)
+	s.savedSteps[checkpoint] = s.steps
+	s.stepsSaved = s.steps
+	s.save.OK = true
+	s.save.Ref = checkpoint
 }
 
-// applyOrder takes the answer to a report.
-func (n *InteractiveSession) applyOrder(now time.Duration, task *workerTask, r sessions.Report, o sessions.Order) {
-	if task.attempt != n.attempt {
+// applyOrder carries out the answer to a report.
+func (s *InteractiveSession) applyOrder(now time.Duration, task *workerTask, order sessions.Order) {
+	if task.attempt != s.attempt {
 		return
 	}
-	n.keptCheckpoint = o.Kept
-	if o.Resume != "" && o.Resume != n.resumedFrom {
-		n.steps, n.stepsSaved, n.resumedFrom = n.savedSteps[o.Resume], n.savedSteps[o.Resume], o.Resume
-		n.Resumes++
+	s.keptCheckpoint = order.Kept
+	if order.Resume != "" && order.Resume != s.resumedFrom {
+		s.steps = s.savedSteps[order.Resume]
+		s.stepsSaved = s.steps
+		s.resumedFrom = order.Resume
+		s.resumes++
 	}
-	if o.Thaw {
-		n.frozen, n.fresh, n.save, n.saveDoneAt = false, false, nil, 0
+	if order.Thaw {
+		s.frozen = false
+		s.fresh = false
+		s.save = nil
+		s.saveDoneAt = 0
 	}
-	if o.Save != 0 && (n.save == nil || n.save.Order != o.Save) {
-		n.save = &sessions.Save{Order: o.Save}
-		if now < n.cellEnd {
-			n.save.Why = "a cell runs"
-			return
-		}
-		n.frozen, n.saveDoneAt = true, now+max(n.saveDuration, 1)
+	if order.Save != 0 && (s.save == nil || s.save.Order != order.Save) {
+		s.beginSave(now, order.Save)
 	}
 }
 
-// Input is a user's input, one step of work; false if the process is gone or frozen.
-func (n *InteractiveSession) Input() bool {
-	n.simulation.mu.Lock()
-	defer n.simulation.mu.Unlock()
-	if n.frozen || !n.running() {
+// beginSave begins an ordered save, which fails at once while a cell runs.
+func (s *InteractiveSession) beginSave(now time.Duration, number uint64) {
+	s.save = &sessions.Save{Order: number}
+	if now < s.cellEnd {
+		s.save.Why = saveFailedCell
+		return
+	}
+	s.frozen = true
+	s.saveDoneAt = now + max(s.saveDuration, 1)
+}
+
+// Input is a user's input, which is one step of work. It returns false if no process takes it.
+func (s *InteractiveSession) Input() bool {
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	if s.frozen || !s.running() {
 		return false
 	}
-	n.lastInput = n.simulation.now()
-	n.steps++
+	s.lastInput = s.simulation.now()
+	s.steps++
 	return true
 }
 
-func (n *InteractiveSession) running() bool {
-	for _, machine := range n.simulation.machines {
+// running reports whether the session's process runs on a machine.
+func (s *InteractiveSession) running() bool {
+	for _, machine := range s.simulation.cloud.machines {
 		for _, task := range machine.tasks {
-			if !machine.dead && task.spec == n.Spec && task.attempt == n.attempt && task.state == taskRunning {
+			if !machine.dead && task.spec == s.Spec && task.attempt == s.attempt && task.state == taskRunning {
 				return true
 			}
 		}
@@ -220,46 +309,49 @@
 	return false
 }
 
-// RunCell runs a cell for a time.
-func (n *InteractiveSession) RunCell(duration time.Duration) bool {
-	if !n.Input() {
+// RunCell runs a cell for a time. It returns false if no process takes it.
+func (s *InteractiveSession) RunCell(duration time.Duration) bool {
+	if !s.Input() {
 		return false
 	}
-	n.simulation.mu.Lock()
-	defer n.simulation.mu.Unlock()
-	n.cellStart, n.cellEnd = n.simulation.now(), n.simulation.now()+duration
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	s.cellStart = s.simulation.now()
+	s.cellEnd = s.cellStart + duration
 	return true
 }
 
-// SetSaveBehavior lets saves fail, or take a time.
-func (n *InteractiveSession) SetSaveBehavior(failing bool, slow time.Duration) {
-	n.simulation.mu.Lock()
-	defer n.simulation.mu.Unlock()
-	n.savesFail, n.saveDuration = failing, slow
+// SetSaveBehavior makes saves fail or succeed, and take a time.
+func (s *InteractiveSession) SetSaveBehavior(fail bool, duration time.Duration) {
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	s.savesFail = fail
+	s.saveDuration = duration
 }
 
-// Progress is how many steps are done and not lost, and whether the process takes input.
-func (n *InteractiveSession) Progress() (steps int, usable bool) {
-	n.simulation.mu.Lock()
-	defer n.simulation.mu.Unlock()
-	return n.steps, n.running() && !n.frozen
+// Progress returns how many steps are done and not lost, and whether the process takes input.
+func (s *InteractiveSession) Progress() (steps int, usable bool) {
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	return s.steps, s.running() && !s.frozen
 }
 
-// Counts tells how often it was reclaimed and resumed.
-func (n *InteractiveSession) Counts() (reclaims, resumes int) {
-	n.simulation.mu.Lock()
-	defer n.simulation.mu.Unlock()
-	return n.Reclaims, n.Resumes
+// Counts returns how often the session was reclaimed and resumed.
+func (s *InteractiveSession) Counts() (reclaims, resumes int) {
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	return s.reclaims, s.resumes
 }
 
-// ReclaimMachine announces that the cloud takes the machine back on which the session runs.
-func (n *InteractiveSession) ReclaimMachine(duration time.Duration) bool {
-	n.simulation.mu.Lock()
-	defer n.simulation.mu.Unlock()
-	for _, machine := range n.simulation.machines {
+// ReclaimMachine gives the machine on which the session runs notice that the cloud reclaims it after a time. It
+// returns false if the session runs on none.
+func (s *InteractiveSession) ReclaimMachine(after time.Duration) bool {
+	s.simulation.mu.Lock()
+	defer s.simulation.mu.Unlock()
+	for _, machine := range s.simulation.cloud.machines {
 		for _, task := range machine.tasks {
-			if !machine.dead && task.spec == n.Spec && task.state == taskRunning {
-				machine.noticeAt = n.simulation.now() + duration
+			if !machine.dead && task.spec == s.Spec && task.state == taskRunning {
+				machine.noticeAt = s.simulation.now() + after
 				return true
 			}
 		}
@@ -267,99 +359,79 @@
 	return false
 }
 
-// Open opens the session; it returns the status.
-func (n *InteractiveSession) Open() int {
-	status, _ := n.requestLeader("", n.userToken, n.openRequest())
+// Open opens the session, and returns the answer's status.
+func (s *InteractiveSession) Open() int {
+	status, _ := s.requestLeader("", s.userToken, s.openRequest())
 	return status
 }
 
-// openRequest is the body of the request that opens the session.
-func (n *InteractiveSession) openRequest() []byte {
+// openRequest returns the body of the request that opens the session.
+func (s *InteractiveSession) openRequest() []byte {
 	body := struct {
 		*jobs.Spec
-		User  string `json:"user"`
-		Token string `json:"token_sha256"`
-		Agent string `json:"agent_sha256"`
-	}{n.Spec, n.User, sessions.Digest(n.userToken), sessions.Digest(n.agentToken)}
+		User        string `json:"user"`
+		TokenDigest string `json:"token_sha256"`
+		AgentDigest string `json:"agent_sha256"`
+	}{s.Spec, s.User, sessions.Digest(s.userToken), sessions.Digest(s.agentToken)}
 	raw, _ := json.Marshal(body)
 	return raw
 }
 
-// Attach is the user's return.
-func (n *InteractiveSession) Attach() (int, sessions.View) {
-	return n.requestLeader("/"+n.Spec.ID+"/attach", n.userToken, []byte("{}"))
+// Attach attaches the user again, and returns the answer.
+func (s *InteractiveSession) Attach() (status int, view sessions.View) {
+	return s.requestLeader("/"+s.Spec.ID+"/attach", s.userToken, emptyBody)
 }
 
-// KeepAlive is a client's sign of life.
-func (n *InteractiveSession) KeepAlive(attachment uint64) int {
-	status, _ := n.requestOnce(n.simulation.UserAddr(0), "/"+n.Spec.ID+"/keep", n.userToken, []byte(fmt.Sprintf(`{"attachment":%d}`, attachment)))
+// KeepAlive renews a client's attachment, and returns the answer's status.
+func (s *InteractiveSession) KeepAlive(attachment uint64) int {
+	body := fmt.Appendf(nil, `{"attachment":%d}`, attachment)
+	status, _ := s.requestOnce(s.simulation.UserAddr(0), "/"+s.Spec.ID+"/keep", s.userToken, body)
 	return status
 }
 
-// Close ends the session for good.
-func (n *InteractiveSession) Close() int {
-	n.simulation.mu.Lock()
-	n.closed = true
-	n.simulation.mu.Unlock()
-	status, _ := n.requestLeader("/"+n.Spec.ID+"/close", n.userToken, []byte("{}"))
-	if status == 200 {
-		n.simulation.ConfirmCancelled(n.Spec.ID)
+// Close closes the session for good, and returns the answer's status.
+func (s *InteractiveSession) Close() int {
+	s.simulation.mu.Lock()
+	s.closed = true
+	s.simulation.mu.Unlock()
+	status, _ := s.requestLeader("/"+s.Spec.ID+"/close", s.userToken, emptyBody)
+	if status == http.StatusOK {
+		s.simulation.ConfirmCancelled(s.Spec.ID)
 	}
 	return status
 }
 
-// View is the session as any user sees it.
-func (n *InteractiveSession) View() sessions.View {
-	_, v := n.requestLeader("/"+n.Spec.ID, "", nil)
-	return v
+// View returns the session as any user sees it.
+func (s *InteractiveSession) View() sessions.View {
+	_, view := s.requestLeader("/"+s.Spec.ID, "", nil)
+	return view
 }
 
-// requestLeader asks until it is answered by a leader, for up to a minute.
-func (n *InteractiveSession) requestLeader(path, token string, body []byte) (int, sessions.View) {
-	to := n.simulation.UserAddr(0)
-	for i, end := 0, time.Now().Add(time.Minute); time.Now().Before(end); i++ {
-		status, raw := n.requestOnce(to, path, token, body)
-		switch {
-		case status == 421:
-			var l struct {
-				Leader string `json:"leader"`
-			}
-			if _ = json.Unmarshal(raw, &l); l.Leader != "" && l.Leader != to {
-				to = l.Leader
+// requestLeader sends a request until a leader answers it, for up to a minute; status 0 stands for no answer.
+func (s *InteractiveSession) requestLeader(path, token string, body []byte) (status int, view sessions.View) {
+	to := s.simulation.UserAddr(0)
+	end := time.Now().Add(maxSessionRetry)
+	for i := 0; time.Now().Before(end); i++ {
+		status, raw := s.requestOnce(to, path, token, body)
+		switch status {
+		case http.StatusMisdirectedRequest:
+			if leader := leaderIn(raw); leader != "" && leader != to {
+				to = leader
 				continue
 			}
-		case status != 0 && status != 503 && status != 429:
-			var v sessions.View
-			_ = json.Unmarshal(raw, &v)
-			return status, v
+		case 0, http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		default:
+			_ = json.Unmarshal(raw, &view)
+			return status, view
 		}
-		time.Sleep(100 * time.Millisecond)
-		to = n.simulation.UserAddr(i % n.simulation.cfg.Controllers)
+		time.Sleep(sessionRetry)
+		to = s.simulation.UserAddr(i % s.simulation.cfg.Controllers)
 	}
 	return 0, sessions.View{}
 }
 
-func (n *InteractiveSession) requestOnce(to, path, token string, body []byte) (int, []byte) {
-	client := &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true}
+func (s *InteractiveSession) requestOnce(to, path, token string, body []byte) (status int, answer []byte) {
+	client := newUserClient()
 	defer client.CloseIdleConnections()
-	return send(client, to, "/v2/sessions"+path, token, body)
-}
-
-// send sends a request, with a token if there is one; status 0: no answer within 4 s.
-func send(c *fasthttp.Client, to, path, token string, body []byte) (int, []byte) {
-	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	q.SetRequestURI("http://" + to + path)
-	if body != nil {
-		q.Header.SetMethod("POST")
-		q.Header.SetContentType("application/json")
-		q.SetBody(body)
-	}
-	if token != "" {
-		q.Header.Set("Authorization", "Bearer "+token)
-	}
-	if c.DoTimeout(q, p, 4*time.Second) != nil {
-		return 0, nil
-	}
-	defer func() { fasthttp.ReleaseRequest(q); fasthttp.ReleaseResponse(p) }()
-	return p.StatusCode(), append([]byte(nil), p.Body()...)
+	return send(client, to, sessionsPath+path, token, body)
 }
--- a/internal/simulator/licence_server.go
+++ b/internal/simulator/licence_server.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -9,23 +10,28 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// LicenceServer counts the seats of pools on its own, as tasks check them out and in.
+// foreignHolder is the holder of units that no task of the cluster uses.
+const foreignHolder = "somebody else"
+
+// LicenceServer counts the units of licence pools by itself, as tasks check them out and in.
 type LicenceServer struct {
-	Addr       string
+	Addr string
+
 	simulation *Simulation
-	timeout    time.Duration
+	timeout    time.Duration // of a checkout whose holder is no longer heard
 	down       bool
 	pools      map[string]*licencePool
 }
 
 type licencePool struct {
-	count        int
-	holders      map[checkoutKey]*checkout
-	foreignUnits int
-	peak         int
-	denied       int // check-outs for which there was no seat: the count would have been exceeded
+	size         int
+	checkouts    map[checkoutKey]*checkout
+	foreignUnits int // used outside the cluster
+	peak         int // of the units in use
+	denied       int // checkouts that would have exceeded the size
 }
 
+// checkoutKey identifies the attempt of a task that holds units.
 type checkoutKey struct {
 	task    string
 	attempt uint64
@@ -33,134 +39,144 @@
 
 type checkout struct {
 	units     int
-	expiresAt time.Duration // of a holder that is heard no more; 0: it lives
+	expiresAt time.Duration // of a holder that is no longer heard; 0: it is heard
 }
 
-func newLicenceServer(sim *Simulation, pools map[string]int, linger time.Duration) *LicenceServer {
-	server := &LicenceServer{simulation: sim, timeout: linger, pools: map[string]*licencePool{}}
-	for n, c := range pools {
-		server.pools[n] = &licencePool{count: c, holders: map[checkoutKey]*checkout{}}
+func newLicenceServer(sim *Simulation, sizes map[string]int, timeout time.Duration) *LicenceServer {
+	server := &LicenceServer{simulation: sim, timeout: timeout, pools: map[string]*licencePool{}}
+	for name, size := range sizes {
+		server.pools[name] = &licencePool{size: size, checkouts: map[checkoutKey]*checkout{}}
 	}
 	return server
 }
 
 func (p *licencePool) used() int {
-	n := p.foreignUnits
-	for _, h := range p.holders {
-		n += h.units
+	units := p.foreignUnits
+	for _, checkout := range p.checkouts {
+		units += checkout.units
+	}
+	return units
+}
+
+// entries lists who holds units, in a fixed order.
+func (p *licencePool) entries() []licences.Entry {
+	entries := []licences.Entry{}
+	for key, checkout := range p.checkouts {
+		entries = append(entries, licences.Entry{Task: key.task, Attempt: key.attempt, Units: checkout.units})
 	}
-	return n
+	slices.SortFunc(entries, func(a, b licences.Entry) int {
+		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
+	})
+	if p.foreignUnits > 0 {
+		entries = append(entries, licences.Entry{Task: foreignHolder, Units: p.foreignUnits})
+	}
+	return entries
 }
 
-// serve is the server's HTTP side, as docs/licences.md publishes it.
-func (s *LicenceServer) serve(request httpRequest) (int, any) {
+// serve is the server's HTTP side, by docs/licences.md.
+func (s *LicenceServer) serve(request httpRequest) (status int, body any) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
 	pool := s.pools[strings.TrimPrefix(request.path, "/v1/pools/")]
 	switch {
 	case s.down:
-		return 503, nil
+		return http.StatusServiceUnavailable, nil
 	case pool == nil:
-		return 404, nil
-	}
-	a := licences.Answer{Count: pool.count, Holders: []licences.Entry{}}
-	for k, h := range pool.holders {
-		a.Holders = append(a.Holders, licences.Entry{Task: k.task, Attempt: k.attempt, Units: h.units})
-	}
-	slices.SortFunc(a.Holders, func(x, y licences.Entry) int { // the same run, the same answer
-		return cmp.Or(cmp.Compare(x.Task, y.Task), cmp.Compare(x.Attempt, y.Attempt))
-	})
-	if pool.foreignUnits > 0 {
-		a.Holders = append(a.Holders, licences.Entry{Task: "somebody else", Units: pool.foreignUnits})
+		return http.StatusNotFound, nil
 	}
-	return 200, a
+	return http.StatusOK, licences.Answer{Count: pool.size, Holders: pool.entries()}
 }
 
-// checkOut gives a running task its seats, or keeps them its own; false: there are none. While
-// the server is down the task goes on and asks again.
-func (s *LicenceServer) checkOut(_ time.Duration, task *workerTask) bool {
+// checkOut gives a running task its units, or keeps them its own. It returns false if there are too few. While the
+// server is down the task goes on and asks again.
+func (s *LicenceServer) checkOut(task *workerTask) bool {
 	if s.down {
 		return true
 	}
+	key := checkoutKey{task.name, task.attempt}
 	for name, units := range task.spec.Licences {
 		pool := s.pools[name]
-		key := checkoutKey{task.name, task.attempt}
 		if pool == nil {
 			continue
 		}
-		if h := pool.holders[key]; h != nil {
-			h.expiresAt = 0 // it was silent for a while
+		if held := pool.checkouts[key]; held != nil {
+			held.expiresAt = 0
 			continue
 		}
-		if pool.used()+units > pool.count {
+		if used := pool.used(); used+units > pool.size {
 			pool.denied++
-			s.simulation.violate("seats: %s asks for %d of %s, %d of %d are taken", task.name, units, name, pool.used(), pool.count)
+			s.simulation.violate("seats: %s asks for %d of %s, %d of %d are taken",
+				task.name, units, name, used, pool.size)
 			return false
 		}
-		pool.holders[key] = &checkout{units: units}
+		pool.checkouts[key] = &checkout{units: units}
 		pool.peak = max(pool.peak, pool.used())
 	}
 	return true
 }
 
-// checkIn gives a task's seats back.
+// checkIn returns a task's units.
 func (s *LicenceServer) checkIn(task *workerTask) {
 	for name := range task.spec.Licences {
 		if pool := s.pools[name]; pool != nil {
-			delete(pool.holders, checkoutKey{task.name, task.attempt})
+			delete(pool.checkouts, checkoutKey{task.name, task.attempt})
 		}
 	}
 }
 
-// holderLost notes that a holder is heard no more: its seats are free after the linger.
+// holderLost records that a task is no longer heard: its units are free after the timeout.
 func (s *LicenceServer) holderLost(now time.Duration, task *workerTask) {
 	for name := range task.spec.Licences {
-		if pool := s.pools[name]; pool != nil {
-			if h := pool.holders[checkoutKey{task.name, task.attempt}]; h != nil {
-				h.expiresAt = now + s.timeout
-			}
+		pool := s.pools[name]
+		if pool == nil {
+			continue
+		}
+		if held := pool.checkouts[checkoutKey{task.name, task.attempt}]; held != nil {
+			held.expiresAt = now + s.timeout
 		}
 	}
 }
 
+// expire frees the units of holders that weren't heard for the timeout.
 func (s *LicenceServer) expire(now time.Duration) {
 	for _, pool := range s.pools {
-		for k, h := range pool.holders {
-			if h.expiresAt > 0 && now >= h.expiresAt {
-				delete(pool.holders, k)
+		for key, checkout := range pool.checkouts {
+			if checkout.expiresAt > 0 && now >= checkout.expiresAt {
+				delete(pool.checkouts, key)
 			}
 		}
 	}
 }
 
-// SetDown ends the server, or starts it anew with no memory of who holds what.
-func (s *LicenceServer) SetDown(on bool) {
+// SetDown stops the server, which loses all checkouts, or starts it again.
+func (s *LicenceServer) SetDown(down bool) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
-	if s.down = on; on {
-		s.simulation.stats.LicenceServerCrashes++
-		for _, pool := range s.pools {
-			clear(pool.holders)
-		}
+	s.down = down
+	if !down {
+		return
+	}
+	s.simulation.stats.LicenceServerCrashes++
+	for _, pool := range s.pools {
+		clear(pool.checkouts)
 	}
 }
 
-// SetCount changes how many seats a pool has.
-func (s *LicenceServer) SetCount(pool string, n int) {
+// SetCount changes the number of a pool's units.
+func (s *LicenceServer) SetCount(pool string, units int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
-	s.pools[pool].count = n
+	s.pools[pool].size = units
 }
 
-// SetForeignUse lets outsiders hold seats of a pool.
-func (s *LicenceServer) SetForeignUse(pool string, n int) {
+// SetForeignUse changes how many of a pool's units are used outside the cluster.
+func (s *LicenceServer) SetForeignUse(pool string, units int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
-	s.pools[pool].foreignUnits = n
+	s.pools[pool].foreignUnits = units
 }
 
-// Usage is how many seats of a pool are taken, the most that ever were, and how many times there
-// were too few.
+// Usage returns how many units of a pool are in use, the most that ever were, and how many checkouts were denied.
 func (s *LicenceServer) Usage(pool string) (used, peak, denied int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/limits_test.go
@@ -19,7 +19,7 @@
 	around := map[string]func(r *rolling){
 		"calm": func(*rolling) {},
 		"leader ends": func(r *rolling) {
-			r.After(5*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(r.Simulation) })
+			r.After(5*time.Second, func() { r.onLeader(3*time.Second, r.KillController) })
 		},
 		"in a takeover": func(r *rolling) {
 			l := r.led()
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -2,47 +2,21 @@
 
 import (
 	"slices"
-	"strconv"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/capacity"
 )
 
-// AddJob lets workers know a job, as users do who upload it with its submission.
-func (w *Simulation) AddJob(spec *jobs.Spec) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.specs[spec.ID] = spec
-	w.submittedAt[spec.ID] = w.now()
-}
-
-// ConfirmCancelled notes that a user was told that a job is cancelled.
-func (w *Simulation) ConfirmCancelled(id string) {
-	for _, f := range w.recordCancelled(id) {
-		f()
-	}
-}
+// allMachines is a count above that of any simulation's machines.
+const allMachines = 1 << 30
 
-// AllDone tells whether every task of a job is done.
-func (w *Simulation) AllDone(id string, tasks int) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.allDone(id, tasks)
-}
+// neverBoots is the boot time of a machine that doesn't come up.
+const neverBoots = 1000 * time.Hour
 
-func (w *Simulation) allDone(id string, tasks int) bool {
-	for t := range tasks {
-		if p := w.taskProgress[id+"/"+strconv.Itoa(t)]; p == nil || !p.done {
-			return false
-		}
-	}
-	return true
-}
-
-// readyMachines lists the machines that are up and do not hang.
-func (w *Simulation) readyMachines() (machines []*Machine) {
-	now := w.now()
-	for _, machine := range w.machines {
+// readyMachines lists the machines that are up and don't hang.
+func (sim *Simulation) readyMachines() (machines []*Machine) {
+	now := sim.now()
+	for _, machine := range sim.cloud.machines {
 		if !machine.dead && now >= machine.upAt && now >= machine.hungUntil {
 			machines = append(machines, machine)
 		}
@@ -50,60 +24,61 @@
 	return machines
 }
 
-// CrashTask lets one running task fail; false: none runs.
-func (w *Simulation) CrashTask() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, machine := range w.shuffledReadyMachines() {
-		if i := slices.IndexFunc(machine.tasks, func(task *workerTask) bool { return task.state == taskRunning }); i >= 0 {
-			w.exitTask(w.now(), machine.tasks[i], "error")
+func (sim *Simulation) shuffledReadyMachines() []*Machine {
+	machines := sim.readyMachines()
+	sim.rng.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
+	return machines
+}
+
+// CrashTask makes one running task fail. It returns false if none runs.
+func (sim *Simulation) CrashTask() bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, machine := range sim.shuffledReadyMachines() {
+		i := slices.IndexFunc(machine.tasks, func(task *workerTask) bool { return task.state == taskRunning })
+		if i >= 0 {
+			sim.exitTask(sim.now(), machine.tasks[i], reasonError)
 			return true
 		}
 	}
 	return false
 }
 
-func (w *Simulation) shuffledReadyMachines() []*Machine {
-	machines := w.readyMachines()
-	w.rng.Shuffle(len(machines), func(a, b int) { machines[a], machines[b] = machines[b], machines[a] })
-	return machines
-}
-
-// KillMachine ends one machine with all that is on it.
-func (w *Simulation) KillMachine() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	machines := w.shuffledReadyMachines()
+// KillMachine ends one ready machine with everything on it. It returns false if there is none.
+func (sim *Simulation) KillMachine() bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	machines := sim.shuffledReadyMachines()
 	if len(machines) == 0 {
 		return false
 	}
-	w.stats.MachinesKilled++
-	w.terminate(w.now(), machines[0])
+	sim.stats.MachinesKilled++
+	sim.terminate(sim.now(), machines[0])
 	return true
 }
 
-// HangMachine lets one machine stand still for a time. What ran on it goes on afterwards, unless its
-// lease has run out meanwhile.
-func (w *Simulation) HangMachine(duration time.Duration) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	machines := w.shuffledReadyMachines()
+// HangMachine makes one ready machine hang for a time. What ran on it goes on afterwards, unless its lease has run
+// out meanwhile. It returns false if no machine is ready.
+func (sim *Simulation) HangMachine(duration time.Duration) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	machines := sim.shuffledReadyMachines()
 	if len(machines) == 0 {
 		return false
 	}
-	w.stats.MachinesHung++
-	machines[0].hungUntil = w.now() + duration
+	sim.stats.MachinesHung++
+	machines[0].hungUntil = sim.now() + duration
 	for _, task := range machines[0].tasks {
-		w.Licences.holderLost(w.now(), task)
+		sim.Licences.holderLost(sim.now(), task)
 	}
 	return true
 }
 
-// DelayMachineCommands holds the next direct commands to one machine back for a time.
-func (w *Simulation) DelayMachineCommands(duration time.Duration) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	machines := w.shuffledReadyMachines()
+// DelayMachineCommands delays the next direct commands to one ready machine. It returns false if there is none.
+func (sim *Simulation) DelayMachineCommands(duration time.Duration) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	machines := sim.shuffledReadyMachines()
 	if len(machines) == 0 {
 		return false
 	}
@@ -111,36 +86,141 @@
 	return true
 }
 
-// ReclaimSpotMachine announces that the cloud takes one spot machine back after a time.
-func (w *Simulation) ReclaimSpotMachine(duration time.Duration) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, machine := range w.shuffledReadyMachines() {
+// ReclaimSpotMachine gives one spot machine notice that the cloud reclaims it after a time. It returns false if
+// there is none.
+func (sim *Simulation) ReclaimSpotMachine(after time.Duration) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, machine := range sim.shuffledReadyMachines() {
 		if machine.spot && machine.noticeAt == 0 {
-			machine.noticeAt = w.now() + duration
+			machine.noticeAt = sim.now() + after
 			return true
 		}
 	}
 	return false
 }
 
-// BusiestMachine names the machine with most tasks on it.
-func (w *Simulation) BusiestMachine() (name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	most := -1
-	for _, machine := range w.readyMachines() {
-		if len(machine.tasks) > most {
-			most, name = len(machine.tasks), machine.Name
+// BusiestMachine returns the name of the ready machine with most tasks.
+func (sim *Simulation) BusiestMachine() (name string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	maxTasks := -1
+	for _, machine := range sim.readyMachines() {
+		if len(machine.tasks) > maxTasks {
+			maxTasks = len(machine.tasks)
+			name = machine.Name
 		}
 	}
 	return name
 }
 
-// MachineReturned tells whether a machine was given back.
-func (w *Simulation) MachineReturned(name string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	machine := w.machineByName[name]
+// MachineReturned reports whether a machine was returned to the cloud.
+func (sim *Simulation) MachineReturned(name string) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	machine := sim.cloud.machineByName[name]
 	return machine != nil && machine.returned
 }
+
+// DropInbound makes up to n ready machines of a zone ("" for any) receive nothing for a time, though what they send
+// arrives. It returns their names.
+func (sim *Simulation) DropInbound(n int, zone string, duration time.Duration) []string {
+	return sim.affectMachines(n, zone, func(machine *Machine) {
+		machine.inboundLostUntil = sim.now() + duration
+	})
+}
+
+// DropOutbound makes what up to n ready machines of a zone ("" for any) send get lost for a time, though they
+// receive. It returns their names.
+func (sim *Simulation) DropOutbound(n int, zone string, duration time.Duration) []string {
+	return sim.affectMachines(n, zone, func(machine *Machine) {
+		machine.outboundLostUntil = sim.now() + duration
+	})
+}
+
+// RefuseOutbound makes the connections of up to n ready machines of a zone ("" for any) fail for a time, while direct
+// commands reach them and are answered. It returns their names.
+func (sim *Simulation) RefuseOutbound(n int, zone string, duration time.Duration) []string {
+	return sim.affectMachines(n, zone, func(machine *Machine) {
+		machine.outboundRefusedUntil = sim.now() + duration
+	})
+}
+
+func (sim *Simulation) affectMachines(n int, zone string, apply func(*Machine)) (names []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, machine := range sim.shuffledReadyMachines() {
+		if len(names) == n {
+			break
+		}
+		if zone == "" || machine.zone == zone {
+			apply(machine)
+			sim.stats.OneWayFaults++
+			names = append(names, machine.Name)
+		}
+	}
+	return names
+}
+
+// RestartMachine restarts a ready machine ("" for any) with nothing on it within a time, under its old name and
+// address, its session and sequence from the start. It returns its name, "" if there is none.
+func (sim *Simulation) RestartMachine(name string, after time.Duration) string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, machine := range sim.shuffledReadyMachines() {
+		if name != "" && machine.Name != name {
+			continue
+		}
+		now := sim.now()
+		sim.dropTasks(now, machine)
+		machine.incarnation++
+		machine.noticeAt = 0
+		machine.upAt = now + after
+		machine.worker = sim.newWorker(machine.upAt)
+		sim.stats.MachinesRestarted++
+		return machine.Name
+	}
+	return ""
+}
+
+// FailTasksOnMachine makes every task fail that starts on a machine from now on.
+func (sim *Simulation) FailTasksOnMachine(name string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.cloud.machineByName[name].faulty = true
+}
+
+// FailJob makes every task of a job fail, on any machine.
+func (sim *Simulation) FailJob(job string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.faults.failingJobs[job] = true
+}
+
+// bootFault is what happens to machines that are rented while it is on.
+type bootFault struct {
+	on         bool
+	factor     float64 // of the usual boot time
+	neverShare float64 // of machines that never come up
+}
+
+// SetBootFault makes machines rented from now on boot in a multiple of their usual time, and a share of them never
+// come up; factor 0 ends it.
+func (sim *Simulation) SetBootFault(factor, neverShare float64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.cloud.bootFault = bootFault{on: factor > 0, factor: factor, neverShare: neverShare}
+}
+
+// bootTime draws how long a machine takes to boot.
+func (sim *Simulation) bootTime(machineType capacity.MachineType) time.Duration {
+	usual := seconds(machineType.BootS * (0.6 + 0.9*sim.rng.Float64()))
+	fault := sim.cloud.bootFault
+	if !fault.on {
+		return usual
+	}
+	if sim.rng.Float64() < fault.neverShare {
+		return neverBoots
+	}
+	return time.Duration(float64(usual) * fault.factor)
+}
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -2,212 +2,236 @@
 
 import (
 	"encoding/json"
-	"strings"
+	"math/rand/v2"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/store"
 )
 
-// What fails by halves: machines heard that don't hear, and the converse; late copies of messages; controllers that
-// have lost some of their counterparts; machines back at once; boots that are late, early or never end; jobs with a
-// mistake.
+// messageFaults is what is injected at messages and jobs.
+type messageFaults struct {
+	failingJobs    map[string]bool // jobs whose tasks fail on any machine
+	duplication    duplication
+	delays         delays
+	keptHeartbeats []keptHeartbeat // they wait for the next leader
+}
+
+// countLostLaunches counts the launches in commands that are never received.
+func (sim *Simulation) countLostLaunches(body []byte) {
+	var lost fleet.HeartbeatResponse // direct commands have the same field
+	_ = json.Unmarshal(body, &lost)
+	for _, command := range lost.Commands {
+		if command.Op == commandLaunch {
+			sim.stats.LaunchesLost++
+		}
+	}
+}
 
-// failingTaskRunTime is how long a task that fails runs.
-const failingTaskRunTime = 300 * time.Millisecond
+// duplication is how often a message is delivered once more, and how late.
+type duplication struct {
+	share float64
+	delay delayRange
+}
 
-// DropInbound lets some machines hear nothing for a time, though what they say arrives; zone "" means any. It returns their names.
-func (w *Simulation) DropInbound(n int, zone string, duration time.Duration) []string {
-	return w.affectMachines(n, zone, func(machine *Machine) { machine.inboundLostUntil = w.now() + duration })
+// DuplicateMessages makes a share of the workers' heartbeats and of the users' requests arrive once more, at any
+// controller, between minDelay and maxDelay later, whatever has become of their senders; share 0 ends it.
+func (sim *Simulation) DuplicateMessages(share float64, minDelay, maxDelay time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.faults.duplication = duplication{share: share, delay: delayRange{minDelay, maxDelay}}
 }
 
-// DropOutbound lets nothing of what some machines say arrive for a time, though they hear.
-func (w *Simulation) DropOutbound(n int, zone string, duration time.Duration) []string {
-	return w.affectMachines(n, zone, func(machine *Machine) { machine.outboundLostUntil = w.now() + duration })
+// duplicate schedules a copy of a message, if one is drawn. The caller holds the mutex.
+func (sim *Simulation) duplicate(zone, path string, body []byte) {
+	copies := sim.faults.duplication
+	if copies.share == 0 || sim.rng.Float64() >= copies.share {
+		return
+	}
+	sim.stats.DuplicatesSent++
+	spread := float64(copies.delay.max - copies.delay.min)
+	delay := copies.delay.min + time.Duration(sim.rng.Float64()*spread)
+	to := sim.settings[sim.rng.IntN(sim.cfg.Controllers)].Public
+	sim.env.schedule(delay, func() { sim.postCopy(zone, to, path, body) })
 }
 
-// RefuseOutbound lets some machines reach no controller for a time: their connections fail, while direct commands reach them and are
-// answered.
-func (w *Simulation) RefuseOutbound(n int, zone string, duration time.Duration) []string {
-	return w.affectMachines(n, zone, func(machine *Machine) { machine.outboundRefusedUntil = w.now() + duration })
+// postCopy sends a late copy, whose answer is dropped.
+func (sim *Simulation) postCopy(zone, to, path string, body []byte) {
+	sim.env.post("", zone, to, path, body, func(int, []byte) {})
 }
 
-func (w *Simulation) affectMachines(n int, zone string, set func(*Machine)) (names []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, machine := range w.shuffledReadyMachines() {
-		if len(names) == n {
-			break
-		}
-		if zone == "" || machine.zone == zone {
-			set(machine)
-			w.stats.OneWayFaults++
-			names = append(names, machine.Name)
-		}
-	}
-	return names
+// keptHeartbeat is a copy of a heartbeat that waits for the next leader.
+type keptHeartbeat struct {
+	zone string
+	body []byte
 }
 
-// countLostLaunches counts the launches in commands that never arrive.
-func (w *Simulation) countLostLaunches(body []byte) {
-	var o fleet.HeartbeatResponse // direct commands have the same field
-	_ = json.Unmarshal(body, &o)
-	for _, c := range o.Commands {
-		if c.Op == "launch" {
-			w.stats.LaunchesLost++
-		}
+// maxKeptHeartbeats bounds the copies that wait: the newest are kept.
+const maxKeptHeartbeats = 200
+
+// Delivery of kept heartbeats, after a leader's key was written: every second one comes early, the others late.
+const (
+	earlyReplayMS  = 800 // at the latest
+	lateReplayFrom = 1500 * time.Millisecond
+)
+
+// ReplayHeartbeats keeps copies of a share of the workers' heartbeats for the next leader: half of them reach every
+// controller just as its term begins, the others once it has acted; 0 ends it.
+func (sim *Simulation) ReplayHeartbeats(share float64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.faults.delays.replayShare = share
+	if share == 0 {
+		sim.faults.keptHeartbeats = nil
 	}
 }
 
-// RestartMachine restarts a machine with nothing on it within a time, under its old name and address, its session and sequence
-// from the start; "" for any machine. It returns its name.
-func (w *Simulation) RestartMachine(name string, after time.Duration) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, machine := range w.shuffledReadyMachines() {
-		if name != "" && machine.Name != name {
-			continue
+// keepHeartbeat keeps a copy of a heartbeat, if it is drawn. The caller holds the mutex.
+func (sim *Simulation) keepHeartbeat(zone string, body []byte) {
+	delays := &sim.faults.delays
+	if delays.replayShare == 0 || delays.rng.Float64() >= delays.replayShare {
+		return
+	}
+	kept := append(sim.faults.keptHeartbeats, keptHeartbeat{zone, body})
+	sim.faults.keptHeartbeats = kept[max(0, len(kept)-maxKeptHeartbeats):]
+}
+
+// replayHeartbeats schedules the kept heartbeats, as a leader's key is written. The caller holds the mutex.
+func (sim *Simulation) replayHeartbeats() {
+	kept := sim.faults.keptHeartbeats
+	sim.faults.keptHeartbeats = nil
+	rng := sim.faults.delays.rng
+	for i, heartbeat := range kept {
+		sim.stats.HeartbeatsReplayed++
+		delay := time.Duration(rng.IntN(earlyReplayMS)) * time.Millisecond
+		if i%2 == 1 {
+			delay += lateReplayFrom + time.Duration(rng.Int64N(int64(sim.leaseFraction(1))))
+		}
+		for _, settings := range sim.settings {
+			sim.env.schedule(delay, func() {
+				sim.postCopy(heartbeat.zone, settings.Public, heartbeatPath, heartbeat.body)
+			})
 		}
-		now := w.now()
-		w.dropTasks(now, machine)
-		machine.incarnation++
-		machine.session, machine.seq, machine.token, machine.noticeAt = 1, 0, 0, 0
-		machine.upAt = now + after
-		machine.leaseBase, machine.nextHeartbeat, machine.lastSent, machine.lastSummary = machine.upAt, machine.upAt, 0, ""
-		machine.images = map[string]bool{}
-		machine.controller = w.rng.IntN(w.cfg.Controllers)
-		w.stats.MachinesRestarted++
-		return machine.Name
 	}
-	return ""
 }
 
-// FailTasksOnMachine lets every task on a machine fail from now on.
-func (w *Simulation) FailTasksOnMachine(name string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.machineByName[name].faulty = true
+// delays are the times by which messages of each kind are late now.
+type delays struct {
+	rng                  *rand.Rand // of its own: what is late doesn't change what else is drawn
+	txnDelay             delayRange // of transactions without an answer
+	txnDelayShare        float64    // of transactions that are carried out late, without an answer
+	txnAnswerLossShare   float64    // of transactions that are carried out at once, without an answer
+	replayShare          float64    // of heartbeats of which a copy is kept for the next leader
+	stateDelay           delayRange // of the state service's answers
+	commandDelay         delayRange // of direct commands, and of the answers to them
+	heartbeatAnswerDelay delayRange
 }
 
-// FailJob lets every task of a job fail, on whatever machine.
-func (w *Simulation) FailJob(job string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.failingJobs[job] = true
+// delayRange is a range of delays; its zero value is none.
+type delayRange struct{ min, max time.Duration }
+
+func (r delayRange) draw(rng *rand.Rand) time.Duration {
+	if r.max <= r.min {
+		return r.min
+	}
+	return r.min + time.Duration(rng.Int64N(int64(r.max-r.min)))
 }
 
-// bootFault is what happens to machines that are rented while it lasts.
-type bootFault struct {
-	on         bool
-	factor     float64 // of the usual time
-	neverShare float64 // share that never comes up
+// DelayWrites makes a share of the transactions get no answer and be carried out between minDelay and maxDelay later,
+// after newer ones of the same controller; share 0 ends it.
+func (sim *Simulation) DelayWrites(share float64, minDelay, maxDelay time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.faults.delays.txnDelayShare = share
+	sim.faults.delays.txnDelay = delayRange{minDelay, maxDelay}
 }
 
-// SetBootFault lets machines rented from now on take a multiple of their usual time, or never come up; factor 0 ends it.
-func (w *Simulation) SetBootFault(factor, never float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.bootFault = bootFault{factor > 0, factor, never}
+// LoseTxnAnswers makes a share of the transactions be carried out at once without an answer; 0 ends it.
+func (sim *Simulation) LoseTxnAnswers(share float64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.faults.delays.txnAnswerLossShare = share
 }
 
-// bootTime draws how long a machine takes to come up.
-func (w *Simulation) bootTime(t MachineType) time.Duration {
-	duration := seconds(t.BootS * (0.6 + 0.9*w.rng.Float64()))
-	if !w.bootFault.on {
-		return duration
+// drawTxnOutcome draws what becomes of a transaction while writes are delayed or answers lost.
+func (sim *Simulation) drawTxnOutcome(txn store.Txn) TxnOutcome {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	delays := &sim.faults.delays
+	if len(txn.Then) == 0 {
+		return TxnOutcome{}
+	}
+	if delays.txnAnswerLossShare > 0 && delays.rng.Float64() < delays.txnAnswerLossShare {
+		sim.stats.LostAnswers++
+		return TxnOutcome{Unanswered: true}
 	}
-	if w.rng.Float64() < w.bootFault.neverShare {
-		return 1000 * time.Hour
+	if delays.txnDelayShare == 0 || delays.rng.Float64() >= delays.txnDelayShare {
+		return TxnOutcome{}
 	}
-	return time.Duration(float64(duration) * w.bootFault.factor)
+	sim.stats.LateWrites++
+	return TxnOutcome{Delay: delays.txnDelay.draw(delays.rng)}
 }
 
-// duplication is how often a message is delivered once more, and how late.
-type duplication struct {
-	share              float64
-	minDelay, maxDelay time.Duration
+// DelayStateAnswers delays every answer of the state service between minDelay and maxDelay, whether the request is
+// carried out at once or only then; maxDelay 0 ends it.
+func (sim *Simulation) DelayStateAnswers(minDelay, maxDelay time.Duration) {
+	sim.setDelay(&sim.faults.delays.stateDelay, minDelay, maxDelay)
 }
 
-// DuplicateMessages lets a share of workers' reports and of users' requests arrive once more, at any controller, between least and
-// most later, whatever has become of who sent them.
-func (w *Simulation) DuplicateMessages(share float64, least, most time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.duplication = duplication{share, least, most}
+// DelayCommands delays direct commands, and the answers to them, between minDelay and maxDelay; maxDelay 0 ends it.
+func (sim *Simulation) DelayCommands(minDelay, maxDelay time.Duration) {
+	sim.setDelay(&sim.faults.delays.commandDelay, minDelay, maxDelay)
 }
 
-func (w *Simulation) duplicate(zone, path string, body []byte) {
-	c := w.duplication
-	if c.share == 0 || w.rng.Float64() >= c.share {
-		return
-	}
-	w.stats.DuplicatesSent++
-	duration := c.minDelay + time.Duration(w.rng.Float64()*float64(c.maxDelay-c.minDelay))
-	to := w.settings[w.rng.IntN(w.cfg.Controllers)].Public
-	w.env.schedule(duration, func() { w.env.post("", zone, to, path, body, func(int, []byte) {}) })
+// DelayHeartbeatAnswers delays the answers to heartbeats between minDelay and maxDelay; maxDelay 0 ends it.
+func (sim *Simulation) DelayHeartbeatAnswers(minDelay, maxDelay time.Duration) {
+	sim.setDelay(&sim.faults.delays.heartbeatAnswerDelay, minDelay, maxDelay)
 }
 
-// Links is whom a controller talks with.
-type Links uint8
-
-// The counterparts; they can be added up.
-const (
-	StateLink Links = 1 << iota
-	PeerLinks
-	WorkerLinks
-	UserLinks
-	CloudLink
-)
-
-// CutLinks cuts a controller off from some of its counterparts, and connects it with all others; 0 ends it. What is sent
-// meanwhile is lost. It is for simulations.
-func (w *Simulation) CutLinks(controller int, from Links) {
-	env := w.virtual
-	if env.cutLinks == nil {
-		env.cutLinks = map[string]Links{}
-	}
-	env.cutLinks[env.controllers[controller].settings.Public] = from
-	if from != 0 {
-		w.stats.LinksCut++
-	}
+func (sim *Simulation) setDelay(delays *delayRange, minDelay, maxDelay time.Duration) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	*delays = delayRange{minDelay, maxDelay}
 }
 
-// linkCheck tells, whenever it is asked, whether a controller is cut off from a counterpart.
-func (s *virtualTime) linkCheck(public string, from Links) func() bool {
-	return func() bool { return s.cutLinks[public]&from != 0 }
+// drawDelay draws a message's delay, 0 if messages of its kind aren't delayed.
+func (sim *Simulation) drawDelay(delays *delayRange) time.Duration {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if delays.max == 0 {
+		return 0
+	}
+	return delays.draw(sim.faults.delays.rng)
 }
 
-// linkTo tells whom a controller reaches at an address.
-func linkTo(addr string) Links {
-	switch {
-	case strings.HasPrefix(addr, "state-"):
-		return StateLink
-	case strings.HasPrefix(addr, "cloud"), strings.HasPrefix(addr, "licences"):
-		return CloudLink
+// afterDelay calls f after a delay, at once if that is 0.
+func (sim *Simulation) afterDelay(delay time.Duration, f func()) {
+	if delay == 0 {
+		f()
+		return
 	}
-	return WorkerLinks
+	sim.env.schedule(delay, f)
 }
 
-// ControllerStep is where a controller stands between arriving and leading, as its log names it; "" if it does not run.
-func (w *Simulation) ControllerStep(i int) string {
-	if controller := w.virtual.controllers[i]; controller.process != nil {
-		return controller.process.Step()
+// withStateDelay carries out a request to the state service, and delays either the request or its answer.
+func (sim *Simulation) withStateDelay(carryOut func(replyFunc), reply replyFunc) {
+	delay := sim.drawDelay(&sim.faults.delays.stateDelay)
+	if delay == 0 {
+		carryOut(reply)
+		return
 	}
-	return ""
-}
-
-// RestartControllerAtStep kills a controller when it reaches a step of an election, and starts it again after a time.
-func (w *Simulation) RestartControllerAtStep(i int, step string, after time.Duration) {
-	life := w.virtual.controllers[i].incarnation
-	var look func()
-	look = func() {
-		switch controller := w.virtual.controllers[i]; {
-		case controller.incarnation != life:
-		case w.ControllerStep(i) == step:
-			w.KillController(i)
-			w.env.schedule(after, func() { w.StartController(i) })
-		default:
-			w.env.schedule(time.Millisecond, look)
-		}
+	sim.mu.Lock()
+	delayRequest := sim.faults.delays.rng.IntN(2) == 0
+	sim.mu.Unlock()
+	if delayRequest {
+		sim.env.schedule(delay, func() { carryOut(reply) })
+		return
 	}
-	look()
+	carryOut(func(status int, body any) { sim.env.schedule(delay, func() { reply(status, body) }) })
+}
+
+// leaseFraction returns a part of a worker's lease, the unit of delays in scripts: they then mean the same with short
+// leases as with long ones.
+func (sim *Simulation) leaseFraction(part float64) time.Duration {
+	return seconds(part * sim.cfg.Workers.LeaseS)
 }
--- a/internal/simulator/recorder.go
+++ b/internal/simulator/recorder.go
@@ -1,6 +1,6 @@
 package simulator
 
-// messageKind tells what a message on the simulated network is.
+// messageKind is the kind of a message on the simulated network.
 type messageKind string
 
 const (
@@ -15,8 +15,8 @@
 	senderDuplicate = "copy" // the network, which delivers a request once more
 )
 
-// message is one message as its sender hands it to the simulated network, whether or not it arrives. In an
-// answer, method and path are those of its request.
+// message is one message as its sender hands it to the simulated network, whether or not it arrives. In an answer,
+// method and path are those of its request.
 type message struct {
 	kind         messageKind
 	from, to     string
@@ -25,29 +25,33 @@
 	body         []byte
 }
 
-// recordMessage tells the recorder, if there is one, of a message. Nothing in the simulation depends on it.
-func (s *virtualTime) recordMessage(t message) {
-	if s.recorder != nil {
-		s.recorder(t)
+// recordMessage passes a message to the recorder, if there is one. Nothing in the simulation depends on it.
+func (env *virtualTime) recordMessage(m message) {
+	if env.recorder != nil {
+		env.recorder(m)
 	}
 }
 
-// target is a request's path with its query, whose parameters are sorted by name.
-func (q httpRequest) target() string {
-	if len(q.query) == 0 {
-		return q.path
-	}
-	return q.path + "?" + q.query.Encode()
-}
-
 func requestTo(addr string, request httpRequest) message {
-	return message{kind: kindRequest, from: request.sender, to: addr, method: request.method, path: request.target(), body: request.body}
+	return message{
+		kind:   kindRequest,
+		from:   request.sender,
+		to:     addr,
+		method: request.method,
+		path:   request.target(),
+		body:   request.body,
+	}
 }
 
 func answerFrom(addr string, request httpRequest, status int, body []byte) message {
 	return message{
-		kind: kindAnswer, from: addr, to: request.sender, method: request.method, path: request.target(),
-		status: status, body: body,
+		kind:   kindAnswer,
+		from:   addr,
+		to:     request.sender,
+		method: request.method,
+		path:   request.target(),
+		status: status,
+		body:   body,
 	}
 }
 
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"strings"
 	"time"
 
@@ -9,184 +10,232 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file is about controllers of several releases in a simulation: a controller runs today's code, but knows no
-// level above the one that it is given, which is what an earlier release is.
+// Controllers of several releases, in virtual time: a controller runs today's code, but supports no level above the
+// one that it is given, as an earlier release does.
 
-// FormerRelease is the release that a simulated controller names where it is an earlier one.
+// FormerRelease is the release that a simulated controller announces where it stands for an earlier one.
 const FormerRelease = "v0.20.9"
 
-// SetRelease makes a controller one of a release that knows levels up to one, from its next start on.
-func (w *Simulation) SetRelease(i int, knows rollout.Level) {
-	name := rollout.Release
-	if knows < rollout.Newest {
-		name = FormerRelease
+// levelKey is the stored key of the cluster's level.
+const levelKey = "h/r/level"
+
+// SetRelease makes a controller one of a release that supports levels up to one, from its next start on.
+func (sim *Simulation) SetRelease(controller int, maxLevel rollout.Level) {
+	release := rollout.Release
+	if maxLevel < rollout.Newest {
+		release = FormerRelease
 	}
-	w.virtual.controllers[i].settings.Earlier(knows, name)
+	sim.virtual.controllers[controller].settings.Earlier(maxLevel, release)
 }
 
-// MaxLevel is the highest level that a controller would know after its next start.
-func (w *Simulation) MaxLevel(i int) rollout.Level {
-	if k := w.virtual.controllers[i].settings.Rollout().Knows; k > 0 {
-		return k
+// MaxLevel returns the highest level that a controller would support after its next start.
+func (sim *Simulation) MaxLevel(controller int) rollout.Level {
+	if level := sim.virtual.controllers[controller].settings.Rollout().Knows; level > 0 {
+		return level
 	}
 	return rollout.Newest
 }
 
-// StoredItems is what the state service holds under a prefix.
-func (w *Simulation) StoredItems(prefix string) map[string]store.Item {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := map[string]store.Item{}
-	for k, item := range w.stateService.Keys {
-		if strings.HasPrefix(k, prefix) {
-			out[k] = item
+// StoredItems returns what the state service stores under a prefix, by key.
+func (sim *Simulation) StoredItems(prefix string) map[string]store.Item {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	items := map[string]store.Item{}
+	for key, item := range sim.state.service.Keys {
+		if strings.HasPrefix(key, prefix) {
+			items[key] = item
 		}
 	}
-	return out
+	return items
 }
 
-// StoredItem is one stored key, with version 0 if there is none.
-func (w *Simulation) StoredItem(key string) store.Item {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.stateService.Keys[key]
+// StoredItem returns one stored key, with version 0 if there is none.
+func (sim *Simulation) StoredItem(key string) store.Item {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.state.service.Keys[key]
 }
 
-// WriteKeys changes keys behind the controllers' backs, as damage does.
-func (w *Simulation) WriteKeys(ops ...store.Op) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	before := w.stateService.Rev
-	w.stateService.Now = w.now()
-	w.stateService.Apply(ops)
-	w.wakeWatchers(before)
+// WriteKeys changes keys without the controllers' knowledge, as damage or an operator does.
+func (sim *Simulation) WriteKeys(ops ...store.Op) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	before := sim.state.service.Rev
+	sim.state.service.Now = sim.now()
+	sim.state.service.Apply(ops)
+	sim.wakeWatchers(before)
 }
 
-// ClusterLevel is the cluster's level by what is stored.
-func (w *Simulation) ClusterLevel() rollout.Level {
-	var d struct {
+// ClusterLevel returns the stored level of the cluster.
+func (sim *Simulation) ClusterLevel() rollout.Level {
+	var stored struct {
 		Level rollout.Level `json:"level"`
 	}
-	if raw := w.StoredItem("h/r/level").Value; raw == nil || json.Unmarshal(raw, &d) != nil {
+	raw := sim.StoredItem(levelKey).Value
+	if raw == nil || json.Unmarshal(raw, &stored) != nil {
 		return rollout.Base
 	}
-	return d.Level
+	return stored.Level
 }
 
-// TxnOutcome is what becomes of a transaction and of its answer.
+// TxnOutcome is what becomes of a transaction and of its answer. The zero value is the ordinary one.
 type TxnOutcome struct {
-	// Dropped: it is not carried out; Later: only after a time. Either way no answer comes.
+	// Dropped: it is not carried out, and there is no answer.
 	Dropped bool
-	Delay   time.Duration
-	// Unanswered: it is carried out, and its answer is lost.
+	// Delay: it is carried out after this time, without an answer.
+	Delay time.Duration
+	// Unanswered: it is carried out at once, without an answer.
 	Unanswered bool
 }
 
-// InterceptTxns asks f what becomes of each transaction, nil: each is carried out and answered.
-func (w *Simulation) InterceptTxns(f func(controller int, txn store.Txn) TxnOutcome) {
-	w.interceptTxn = f
+// InterceptTxns sets the function that decides what becomes of each transaction; nil ends it. It is set before or
+// between events of a simulation in virtual time.
+func (sim *Simulation) InterceptTxns(decide func(controller int, txn store.Txn) TxnOutcome) {
+	sim.state.interceptTxn = decide
 }
 
-// intercepted does to a transaction what whoever watches says; false: it goes its ordinary way.
-func (w *Simulation) intercepted(controller int, request httpRequest) bool {
+// intercepted does to a transaction what is injected. It returns false if the request goes its ordinary way.
+func (sim *Simulation) intercepted(controller int, request httpRequest) bool {
 	var txn store.Txn
 	if request.path != "/txn" || json.Unmarshal(request.body, &txn) != nil {
 		return false
 	}
-	f := w.txnFault(txn)
-	if f == (TxnOutcome{}) && w.interceptTxn != nil {
-		f = w.interceptTxn(controller, txn)
+	outcome := sim.drawTxnOutcome(txn)
+	if outcome == (TxnOutcome{}) && sim.state.interceptTxn != nil {
+		outcome = sim.state.interceptTxn(controller, txn)
 	}
-	carry := func() {
-		w.mu.Lock()
-		_, _ = w.applyStateRequest(controller, request)
-		w.mu.Unlock()
+	carryOut := func() {
+		sim.mu.Lock()
+		defer sim.mu.Unlock()
+		_, _ = sim.applyStateRequest(controller, request)
 	}
 	switch {
-	case f.Dropped:
-	case f.Delay > 0:
-		w.env.schedule(f.Delay, carry)
-	case f.Unanswered:
-		carry()
+	case outcome.Dropped:
+	case outcome.Delay > 0:
+		sim.env.schedule(outcome.Delay, carryOut)
+	case outcome.Unanswered:
+		carryOut()
 	default:
 		return false
 	}
 	return true
 }
 
-// RollingRestart restarts all controllers, one after the other in the order that the leader's plan gives, with a release that
-// knows levels up to one. Each is drained, or killed, and back after gap; done is called when all run it.
-func (w *Simulation) RollingRestart(knows rollout.Level, gap time.Duration, kill func(i int) bool, done func()) {
-	nodes := w.nodeNames()
-	w.StopRollingRestart()
-	turn := w.virtual.rolloutGeneration
-	var next func()
-	again := func() { w.env.schedule(500*time.Millisecond, next) }
-	restart := func(i int) {
-		back := func() {
-			w.env.schedule(gap, func() {
-				w.SetRelease(i, knows)
-				w.StartController(i)
-				again()
-			})
-		}
-		if kill != nil && kill(i) {
-			w.DrainController(i, func() {})
-			w.env.schedule(200*time.Millisecond, func() { w.KillController(i); back() })
-			return
-		}
-		w.DrainController(i, back)
+// CompactHistory makes every watch that is opened from now on, at a revision before the present one, fail because its
+// revision is no longer in the history.
+func (sim *Simulation) CompactHistory() {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.state.service.Gone = sim.state.service.Rev + 1
+}
+
+const (
+	// rollPoll is the time between two questions about which controller to restart next.
+	rollPoll = 500 * time.Millisecond
+	// drainBeforeKill is how long a controller drains that is killed meanwhile.
+	drainBeforeKill = 200 * time.Millisecond
+)
+
+// rollingRestart restarts all controllers with another release.
+type rollingRestart struct {
+	sim        *Simulation
+	generation int // of virtualTime when it began: another one has ended it
+	level      rollout.Level
+	gap        time.Duration
+	kill       func(controller int) bool
+	done       func()
+}
+
+// RollingRestart restarts all controllers, one after the other in the order of the leader's plan, with a release
+// that supports levels up to one. Each is drained or, if kill isn't nil and returns true, killed while it drains,
+// and started again after gap. When all run the release, done is called. It needs virtual time.
+func (sim *Simulation) RollingRestart(
+	level rollout.Level,
+	gap time.Duration,
+	kill func(controller int) bool,
+	done func(),
+) {
+	sim.StopRollingRestart()
+	rolling := &rollingRestart{
+		sim:        sim,
+		generation: sim.virtual.rolloutGeneration,
+		level:      level,
+		gap:        gap,
+		kill:       kill,
+		done:       done,
 	}
-	next = func() {
-		if w.virtual.rolloutGeneration != turn {
-			return
-		}
-		left := false
-		for i := range nodes {
-			left = left || w.runningLevel(i) != knows
-		}
-		if !left {
-			done()
-			return
-		}
-		l, _ := w.Leader()
-		if l < 0 {
-			again()
+	rolling.next()
+}
+
+// StopRollingRestart ends a rolling restart after the restart that is under way.
+func (sim *Simulation) StopRollingRestart() { sim.virtual.rolloutGeneration++ }
+
+// next restarts the controller that the leader's plan names, and calls itself again until all run the release.
+func (r *rollingRestart) next() {
+	sim := r.sim
+	if sim.virtual.rolloutGeneration != r.generation {
+		return
+	}
+	if r.complete() {
+		r.done()
+		return
+	}
+	leader, _ := sim.Leader()
+	if leader < 0 {
+		r.retry()
+		return
+	}
+	sim.Request(leader, http.MethodGet, "/v2/rollout", nil, func(status int, raw []byte) {
+		var view rollout.View
+		if status != http.StatusOK || json.Unmarshal(raw, &view) != nil || view.Restart == "" {
+			r.retry()
 			return
 		}
-		w.Request(l, "GET", "/v2/rollout", nil, func(status int, raw []byte) {
-			var v rollout.View
-			if status != 200 || json.Unmarshal(raw, &v) != nil || v.Restart == "" {
-				again()
+		for i, node := range sim.nodeNames() {
+			if node == view.Restart && sim.runningLevel(i) != r.level {
+				r.restart(i)
 				return
 			}
-			for i, n := range nodes {
-				if n == v.Restart && w.runningLevel(i) != knows {
-					restart(i)
-					return
-				}
-			}
-			again()
-		})
+		}
+		r.retry()
+	})
+}
+
+func (r *rollingRestart) complete() bool {
+	for i := range r.sim.cfg.Controllers {
+		if r.sim.runningLevel(i) != r.level {
+			return false
+		}
 	}
-	next()
+	return true
 }
 
-// StopRollingRestart ends a roll after the restart that is under way.
-func (w *Simulation) StopRollingRestart() { w.virtual.rolloutGeneration++ }
+func (r *rollingRestart) retry() { r.sim.env.schedule(rollPoll, r.next) }
 
-// runningLevel is the highest level that a controller's present process knows, 0: it has none.
-func (w *Simulation) runningLevel(i int) rollout.Level {
-	if !w.ControllerRuns(i) {
-		return 0
+func (r *rollingRestart) restart(controller int) {
+	sim := r.sim
+	startAgain := func() {
+		sim.env.schedule(r.gap, func() {
+			sim.SetRelease(controller, r.level)
+			sim.StartController(controller)
+			r.retry()
+		})
+	}
+	if r.kill == nil || !r.kill(controller) {
+		sim.DrainController(controller, startAgain)
+		return
 	}
-	return w.virtual.controllers[i].maxLevel
+	sim.DrainController(controller, func() {})
+	sim.env.schedule(drainBeforeKill, func() {
+		sim.KillController(controller)
+		startAgain()
+	})
 }
 
-// CompactHistory lets every watch that is opened from now on, at a revision before the present one, be told that its
-// position is too old.
-func (w *Simulation) CompactHistory() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.stateService.Gone = w.stateService.Rev + 1
+// runningLevel returns the highest level that a controller's process supports, 0 if there is none.
+func (sim *Simulation) runningLevel(controller int) rollout.Level {
+	if !sim.ControllerRuns(controller) {
+		return 0
+	}
+	return sim.virtual.controllers[controller].maxLevel
 }
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -168,7 +168,7 @@
 			return
 		}
 	}
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	if l >= 0 {
 		r.t.Logf("%+v", r.view(l))
 	}
@@ -238,12 +238,12 @@
 	if r.ClusterLevel() != rollout.Base || r.oldPlans() == 0 {
 		t.Fatalf("level %d, %d plans of the former form", r.ClusterLevel(), r.oldPlans())
 	}
-	_, before := r.Simulation.Leader()
+	_, before := r.Leader()
 	from, rolled := r.Now(), false
 	r.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
 	r.reach("rolled", 2*time.Minute, func() bool { return rolled })
 	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	if _, after := r.Simulation.Leader(); after != before+1 {
+	if _, after := r.Leader(); after != before+1 {
 		t.Errorf("the lead moved %d times", after-before)
 	}
 	gap := r.LongestStartGap(from, r.Now())
@@ -269,7 +269,7 @@
 			r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 			r.reach("rolled", time.Minute, func() bool { return rolled })
 			r.Advance(2 * time.Second)
-			leader, _ := r.Simulation.Leader()
+			leader, _ := r.Leader()
 			r.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
 				for _, o := range tx.Then {
 					if o.Put != "h/r/level" || caught > 0 {
@@ -328,7 +328,7 @@
 	r := newRolling(t, 53, 3, rollout.Base, "soak_s = 2")
 	r.load(2 * time.Minute)
 	r.Advance(5 * time.Second)
-	leader, _ := r.Simulation.Leader()
+	leader, _ := r.Leader()
 	out := (leader + 1) % 3
 	r.KillController(out)
 	for i := range 3 {
@@ -345,7 +345,7 @@
 	}
 	r.StartController(out)
 	r.Advance(10 * time.Second)
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	if v := r.view(l); r.ClusterLevel() != rollout.Base || len(v.Missing) != 1 || v.Restart != fmt.Sprintf("node-%d", out) {
 		t.Errorf("level %d, %+v", r.ClusterLevel(), v)
 	}
@@ -379,7 +379,7 @@
 		}
 	}
 	r.Advance(15 * time.Second)
-	if l, _ := r.Simulation.Leader(); l >= 0 {
+	if l, _ := r.Leader(); l >= 0 {
 		t.Errorf("controller %d leads", l)
 	}
 	for i := range 3 {
@@ -433,7 +433,7 @@
 	r := newRolling(t, 55, 3, rollout.Base, "finish = \"operator\"")
 	r.load(90 * time.Second)
 	r.Advance(5 * time.Second)
-	leader, _ := r.Simulation.Leader()
+	leader, _ := r.Leader()
 	for i := range 3 {
 		if i != leader {
 			r.restart(i, rollout.Newest)
@@ -485,7 +485,7 @@
 			switch c {
 			case "takeovers":
 				for range 3 {
-					if l, _ := r.Simulation.Leader(); l >= 0 {
+					if l, _ := r.Leader(); l >= 0 {
 						r.KillController(l)
 						r.Advance(8 * time.Second)
 						r.StartController(l)
@@ -496,11 +496,11 @@
 				r.Advance(15 * time.Second)
 				r.SetStateOutage(false)
 			case "zone":
-				l, _ := r.Simulation.Leader()
+				l, _ := r.Leader()
 				zone := r.settings[l].Zone
 				r.PartitionZone(zone, DelayBoth)
 				r.Advance(20 * time.Second)
-				if n, _ := r.Simulation.Leader(); n < 0 || r.settings[n].Zone == zone {
+				if n, _ := r.Leader(); n < 0 || r.settings[n].Zone == zone {
 					t.Errorf("controller %d leads, in a zone that is cut off", n)
 				}
 				r.PartitionZone(zone, Connected)
@@ -535,9 +535,9 @@
 	rolled := false
 	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 	r.reach("rolled", time.Minute, func() bool { return rolled })
-	old, _ := r.Simulation.Leader()
+	old, _ := r.Leader()
 	r.FreezeController(old, 25*time.Second)
-	r.reach("led by another", 15*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && l != old })
+	r.reach("led by another", 15*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && l != old })
 	r.Advance(time.Second)
 	r.reach("told", 10*time.Second, func() bool { s, _ := r.say("finish"); return s == 200 })
 	r.reach("risen", 5*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
@@ -549,7 +549,7 @@
 	for seed := range uint64(8) {
 		r := newRolling(t, 80+seed, 5, rollout.Base, "soak_s = 600")
 		r.Advance(3 * time.Second)
-		leader, _ := r.Simulation.Leader()
+		leader, _ := r.Leader()
 		newer := (leader + 2) % 5
 		r.restart(newer, rollout.Newest)
 		r.Advance(8 * time.Second)
@@ -559,7 +559,7 @@
 			r.DrainController(leader, func() {})
 		}
 		r.Advance(12 * time.Second)
-		if l, _ := r.Simulation.Leader(); l != newer {
+		if l, _ := r.Leader(); l != newer {
 			t.Errorf("seed %d: controller %d leads, %d has the new release", 80+seed, l, newer)
 		}
 	}
@@ -570,7 +570,7 @@
 func TestUnreadableRecords(t *testing.T) {
 	r := newRolling(t, 59, 3, rollout.Base, "soak_s = 2")
 	r.Advance(3 * time.Second)
-	leader, _ := r.Simulation.Leader()
+	leader, _ := r.Leader()
 	other := (leader + 1) % 3
 	key := rollout.AnnounceKey(fmt.Sprintf("node-%d", other))
 	rolled := false
@@ -578,7 +578,7 @@
 	r.reach("rolled", time.Minute, func() bool { return rolled })
 	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
 	r.Advance(10 * time.Second)
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	if v := r.view(l); r.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 || v.Unreadable[0].Key != key || len(v.Missing) != 1 {
 		t.Fatalf("level %d, %+v", r.ClusterLevel(), v)
 	}
@@ -600,10 +600,10 @@
 	for k := range r.StoredItems(jobs.PlanPagePrefix) {
 		r.WriteKeys(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
 	}
-	l, _ = r.Simulation.Leader()
+	l, _ = r.Leader()
 	r.KillController(l)
 	r.Advance(12 * time.Second)
-	l2, _ := r.Simulation.Leader()
+	l2, _ := r.Leader()
 	r.StartController(l)
 	starts := r.Stats().TaskStarts
 	v := r.view(l2)
@@ -667,7 +667,7 @@
 	// It can be read again: this leader doesn't know what runs of it and starts nothing, the next one reads both.
 	r.WriteKeys(store.Op{Put: key, Value: was})
 	r.Advance(time.Second)
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	why := ""
 	r.Request(l, "GET", "/v2/runs/req-000001/why", nil, func(_ int, raw []byte) { why = string(raw) })
 	r.Advance(time.Second)
@@ -731,18 +731,18 @@
 				case 3, 4:
 					r.DrainController(i, func() { r.After(duration/4, func() { r.SetRelease(i, level); r.StartController(i) }) })
 				case 5:
-					if l, _ := r.Simulation.Leader(); l >= 0 && r.ControllerRuns(l) {
+					if l, _ := r.Leader(); l >= 0 && r.ControllerRuns(l) {
 						r.FreezeController(l, duration)
 					}
 				case 6:
-					during(duration, (*Simulation).SetStateOutage)(r.Simulation)
+					r.during(duration, r.SetStateOutage)
 				case 7:
-					during(duration, func(sim *Simulation, on bool) { sim.RefuseController(i, on) })(r.Simulation)
+					r.during(duration, func(on bool) { r.RefuseController(i, on) })
 				case 8, 9:
 					r.PartitionZone(zone, how)
 					r.After(duration, func() { r.PartitionZone(zone, Connected) })
 				case 10:
-					if l, _ := r.Simulation.Leader(); l >= 0 {
+					if l, _ := r.Leader(); l >= 0 {
 						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
 						r.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)), func(int, []byte) {})
 					}
@@ -802,12 +802,12 @@
 		r.PowerOffZone(z)
 	}
 	r.Advance(5 * time.Second)
-	_, term := r.Simulation.Leader()
+	_, term := r.Leader()
 	for i := range 3 {
 		r.StartController(i)
 	}
 	r.over()
-	if _, now := r.Simulation.Leader(); now > term+3 {
+	if _, now := r.Leader(); now > term+3 {
 		t.Errorf("the lead passed %d times", now-term)
 	}
 }
--- a/internal/simulator/sim_test.go
+++ b/internal/simulator/sim_test.go
@@ -100,12 +100,12 @@
 	return spec
 }
 
-// watchActing holds that at most one controller believes that it may act, at every moment.
-func (w *Simulation) watchActing() {
-	if ls := w.ActingLeaders(); len(ls) > 1 {
-		w.ReportViolation("controllers %v believe that they may act", ls)
+// watchActing checks that at most one controller may act by its own state, at every moment.
+func (sim *Simulation) watchActing() {
+	if leaders := sim.ActingLeaders(); len(leaders) > 1 {
+		sim.ReportViolation("controllers %v believe that they may act", leaders)
 	}
-	w.After(20*time.Millisecond, w.watchActing)
+	sim.After(20*time.Millisecond, sim.watchActing)
 }
 
 const chaosPools = `licence "transcribe" {
@@ -175,11 +175,11 @@
 			case 8:
 				sim.DrainController(i, func() { sim.After(duration/4, func() { sim.StartController(i) }) })
 			case 9:
-				during(duration, (*Simulation).SetStateOutage)(sim)
+				sim.during(duration, sim.SetStateOutage)
 			case 10:
-				during(duration, func(sim *Simulation, on bool) { sim.RefuseController(i, on) })(sim)
+				sim.during(duration, func(on bool) { sim.RefuseController(i, on) })
 			case 11:
-				during(duration, (*Simulation).SetCloudOutage)(sim)
+				sim.during(duration, sim.SetCloudOutage)
 			}
 		})
 	}
@@ -399,7 +399,7 @@
 		sim.Request(old, "GET", "/v2/runs/req-000001/why", nil, note("why"))
 		sim.Request(old, "POST", "/v2/runs/req-000001/abort", []byte("{}"), note("abort"))
 		sim.Request(old, "GET", "/v2/runs/req-000001", nil, note("get"))
-		machine := sim.machineByName[sim.BusiestMachine()]
+		machine := sim.cloud.machineByName[sim.BusiestMachine()]
 		body, _ := json.Marshal(sim.heartbeat(sim.now(), machine))
 		sim.Request(old, "POST", "/checkin", body, note("report"))
 	})
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -1,11 +1,15 @@
-// Package simulator is everything around the controllers, played on loopback by the published
-// protocols: the state service, the cloud, machines with their workers, a licence server and a
-// load balancer's worth of users. Faults come on command or from a seed. It is for tests, the
-// development cluster and experiments; it knows the truth, and Broken says which rule did not
-// hold.
+// Package simulator stands in for everything around the controllers, by the published protocols: the state service,
+// the cloud, machines with their workers, a licence server, a load balancer and users. It injects faults on
+// command, from a script or from a seed, and checks the rules of the protocol against the true state of the
+// machines; Violations lists those that didn't hold. It never decides anything for a controller and shares no state
+// with one.
 //
-// A World belongs to no event loop: one mutex guards all of it. It stands on real time and loopback
-// sockets, or on a simulation, in which the controllers run too and hours pass in seconds.
+// Tests, the development cluster (harewalk dev) and the experiments of package lab use it. NewRealTime serves on
+// real time and loopback sockets, for controllers in processes of their own (Cluster). NewVirtualTime runs the
+// controllers too, on one goroutine in virtual time, in which hours pass in seconds and the same seed gives the
+// same run.
+//
+// A Simulation belongs to no event loop: one mutex guards all of it.
 package simulator
 
 import (
@@ -18,429 +22,312 @@
 	"sync"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Config says what is played. Zero values are replaced by defaults that suit a test.
-type Config struct {
-	Seed        uint64
-	Controllers int
-	Zones       []string
-	Types       []capacity.MachineType
-	Teams       []config.Team
-	Workers     config.Workers
-	State       config.State
-	Cloud       config.Cloud
-	// MaxMachines bounds what the cloud gives out.
-	MaxMachines int
-	// LicencePools are the licence pools of the licence server, by name.
-	LicencePools map[string]int
-	// Speed is how many times faster tasks run than their owners estimate.
-	Speed float64
-	// VariedRunTimes lets the tasks of a job run between a quarter and twice as long as estimated.
-	VariedRunTimes bool
-	// TickInterval is how often time passes for machines and holds.
-	TickInterval time.Duration
-	// InitialKeys is what the state service holds from the start, by key.
-	InitialKeys map[string]json.RawMessage
-	// LicenceTimeout is how long it counts a holder that it hears no more.
-	LicenceTimeout time.Duration
-	// StateAddrs are the addresses, one for each controller, of a state service that another process plays; nil: this
-	// world plays it.
-	StateAddrs []string
-	// Limits is what each controller may use of its machine.
-	Limits config.Limits
-}
-
-func valueOr[T comparable](given, otherwise T) T {
-	var zero T
-	if given == zero {
-		return otherwise
-	}
-	return given
-}
-
-func (c *Config) defaults() {
-	c.Controllers = valueOr(c.Controllers, 3)
-	c.MaxMachines = valueOr(c.MaxMachines, 20)
-	c.LicenceTimeout = valueOr(c.LicenceTimeout, 4*time.Second)
-	c.Speed = valueOr(c.Speed, 1)
-	c.TickInterval = valueOr(c.TickInterval, 10*time.Millisecond)
-	if c.Zones == nil {
-		c.Zones = []string{"a", "b"}
-	}
-	if c.Types == nil {
-		c.Types = []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 1, Zones: c.Zones}}
-	}
-	if c.Teams == nil {
-		c.Teams = []config.Team{{Name: "red", CPUs: 40}, {Name: "blue", CPUs: 40, CPUsMax: 120}}
-	}
-	c.Workers = valueOr(c.Workers, config.Workers{ReportS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 20})
-	c.State = valueOr(c.State, config.State{RPS: 2000, WriteRPS: 600, ValueKB: 32, TxnOps: 40})
-	c.Cloud = valueOr(c.Cloud, config.Cloud{RPS: 20, ListLagS: 0.5})
-	cores, mem, sockets := 1.0, 512.0, 4096
-	c.Limits = valueOr(c.Limits, config.Limits{Cores: &cores, MemMB: &mem, Sockets: &sockets})
-}
-
-// Simulation is what is played.
+// Simulation is one simulated surroundings of a cluster of controllers. Its methods are safe for concurrent use in
+// real time; in virtual time all calls come from one goroutine.
 type Simulation struct {
 	cfg           Config
 	env           environment
-	virtual       *virtualTime  // the ground, if it is a simulation
-	closing       chan struct{} // closed at the end
-	sessionAgents sync.WaitGroup
+	virtual       *virtualTime   // env, in virtual time; nil in real time
+	closing       chan struct{}  // closed by Close
+	sessionAgents sync.WaitGroup // agents of interactive sessions, in real time; Close waits for them
+	settings      []config.Settings
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards all that follows
 	rng        *rand.Rand
 	violations []string
-	settings   []config.Settings
-
-	stateService   *state.Service
-	keyWaiters     []func() // who waits for the next change of a key
-	requestLimit   bucket
-	writeLimit     bucket
-	initialLimits  config.State // its limits at the start
-	stateDown      bool
-	interceptTxn   func(controller int, txn store.Txn) TxnOutcome
-	refused        []bool // by controller: the state service refuses it
-	watchesStalled []bool // by controller: its watches aren't answered, everything else is
-	// dropWatches: a watch that comes in is never answered.
-	dropWatches bool
-
-	machines      []*Machine
-	machineByName map[string]*Machine
-	claims        map[string][]string
-	cloudDown     bool
-
-	bootFault      bootFault
-	failingJobs    map[string]bool // jobs that fail wherever they run
-	duplication    duplication
-	delays         delays
-	onCancelled    []func()
-	userAnswers    userAnswers
-	keptHeartbeats []keptHeartbeat // reports whose copies wait for the next leader
-
-	specs        map[string]*jobs.Spec
-	cancelledAt  map[string]time.Duration // cancelled
-	taskProgress map[string]*progress     // by task name
-
-	sessions map[string]*InteractiveSession
+	stats      Stats
 
+	state  stateServer
+	cloud  cloud
+	work   workRecords
+	users  userAnswers
+	faults messageFaults
 	// Licences is the licence server.
-	Licences            *LicenceServer
-	stats               Stats
-	costOfEndedMachines float64                  // for machines that are gone
-	startTimes          []time.Duration          // when tasks started
-	leaderChanges       []time.Duration          // when the lead passed
-	submittedAt         map[string]time.Duration // jobs, since when
-	startDelays         map[string]time.Duration // from there to a job's first start
+	Licences *LicenceServer
 }
 
-// Stats counts what happened.
-type Stats struct {
-	TaskStarts, TasksDone, TasksCrashed, MachinesKilled, MachinesHung, WorkerLeasesExpired, CommandsDelayed, LicenceServerCrashes int
-	// Of controllers, in a simulation.
-	ControllersKilled, ControllersFrozen, ControllersDrained int
-	// OneWayFaults counts machines that were deaf or mute, Copies late copies, Reborn machines that were back at once, Severed
-	// controllers cut off from some of their counterparts.
-	OneWayFaults, DuplicatesSent, MachinesRestarted, LinksCut int
-	// LaunchesLost counts the launches sent to machines that were deaf.
-	LaunchesLost int
-	// TasksRerun counts the tasks that began once more after they were done.
-	TasksRerun int
-	// DelayWrites counts the transactions that got no answer and were carried out late, LostAnswers those carried out at once
-	// whose answer was lost.
-	LateWrites, LostAnswers int
-	// Heartbeats counts those that were sent, HeartbeatBytes and HeartbeatAnswerBytes the bodies of reports and of their answers.
-	Heartbeats                           int
-	HeartbeatBytes, HeartbeatAnswerBytes uint64
-	// StateRequests counts what the state service was asked, StateWrites the changes carried out or tried, StateRefused
-	// what it refused for its rates.
-	StateRequests, StateWrites, StateRefused int
-	// HeartbeatsReplayed counts copies of reports that were kept for a new leader and delivered as its term began, or once it had acted.
-	HeartbeatsReplayed int
-	// PollBursts counts what users looked at closely, JobsCancelled jobs that they called off as they ran or ended, Odd their odd
-	// requests, and Refused those of them that were refused for good.
-	PollBursts, JobsCancelled, OddRequests, OddRequestsRefused int
-	// StartsAfterCancel counts the tasks that started after their user was told that the job is cancelled, DirectStartsAfterCancel those of
-	// them that were launched by a direct command; LatestStartAfterCancel is how long after it the latest of them did.
-	StartsAfterCancel, DirectStartsAfterCancel int
-	LatestStartAfterCancel                     time.Duration
-	// LongestRunAfterCancel is how long a task stayed on a machine at most after its user was told that it is cancelled.
-	LongestRunAfterCancel time.Duration
+// workRecords is what is recorded of jobs and tasks beside what is on machines.
+type workRecords struct {
+	specs       map[string]*jobs.Spec
+	sessions    map[string]*InteractiveSession
+	progress    map[string]*progress     // by task name
+	submittedAt map[string]time.Duration // by job
+	startDelays map[string]time.Duration // by job: from its submission to its first task's start
+	startTimes  []time.Duration          // of all tasks
+	cancelledAt map[string]time.Duration // by job: when a user received the confirmation
 }
 
-// progress is what is kept of a task outside its machine.
+// progress is what outlives a task's machine.
 type progress struct {
 	done         bool
-	savedSeconds float64 // seconds of work
+	savedSeconds float64 // work in the newest checkpoint
 }
 
-// NewRealTime starts a world without machines and controllers, in real time and on loopback.
+// Sequence numbers of the random generators: each concern draws from its own, so that switching one on doesn't change
+// what the others draw.
+const (
+	simulationStream  = 7
+	userStream        = 11
+	virtualTimeStream = 13
+	delayStream       = 17
+	userHabitStream   = 19
+)
+
+// NewRealTime starts a simulation on real time and loopback sockets, without machines. Its controllers are started
+// with NewCluster. The caller closes it.
 func NewRealTime(cfg Config) (*Simulation, error) {
 	return newSimulation(cfg, newRealTimeEnvironment())
 }
 
-func newSimulation(cfg Config, on environment) (*Simulation, error) {
-	cfg.defaults()
+func newSimulation(cfg Config, env environment) (*Simulation, error) {
+	cfg.setDefaults()
 	sim := &Simulation{
-		cfg: cfg, env: on, closing: make(chan struct{}), rng: rand.New(rand.NewPCG(cfg.Seed, 7)),
-		stateService: state.New(), refused: make([]bool, cfg.Controllers), watchesStalled: make([]bool, cfg.Controllers),
-		machineByName: map[string]*Machine{}, claims: map[string][]string{}, specs: map[string]*jobs.Spec{},
-		failingJobs: map[string]bool{}, cancelledAt: map[string]time.Duration{}, taskProgress: map[string]*progress{}, sessions: map[string]*InteractiveSession{},
-		submittedAt: map[string]time.Duration{}, startDelays: map[string]time.Duration{},
-	}
-	sim.delays.rng = rand.New(rand.NewPCG(cfg.Seed, 17))
-	sim.userAnswers = userAnswers{jobs: map[string]*jobAnswers{}, cancelRequested: map[string]bool{}, habits: userHabits{rng: rand.New(rand.NewPCG(cfg.Seed, 19))}}
-	sim.initialLimits = cfg.State
-	sim.requestLimit, sim.writeLimit = bucket{rate: cfg.State.RPS}, bucket{rate: cfg.State.WriteRPS}
-	for _, k := range slices.Sorted(maps.Keys(cfg.InitialKeys)) { // each has a revision of its own
-		sim.stateService.Apply([]store.Op{{Put: k, Value: cfg.InitialKeys[k]}})
+		cfg:     cfg,
+		env:     env,
+		closing: make(chan struct{}),
+		rng:     rand.New(rand.NewPCG(cfg.Seed, simulationStream)),
+		state:   newStateServer(cfg),
+		cloud: cloud{
+			machineByName: map[string]*Machine{},
+			claims:        map[string][]string{},
+		},
+		work: workRecords{
+			specs:       map[string]*jobs.Spec{},
+			sessions:    map[string]*InteractiveSession{},
+			progress:    map[string]*progress{},
+			submittedAt: map[string]time.Duration{},
+			startDelays: map[string]time.Duration{},
+			cancelledAt: map[string]time.Duration{},
+		},
+		users: userAnswers{
+			jobs:            map[string]*jobAnswers{},
+			cancelRequested: map[string]bool{},
+			habits:          userHabits{rng: rand.New(rand.NewPCG(cfg.Seed, userHabitStream))},
+		},
+		faults: messageFaults{
+			failingJobs: map[string]bool{},
+			delays:      delays{rng: rand.New(rand.NewPCG(cfg.Seed, delayStream))},
+		},
 	}
 	sim.Licences = newLicenceServer(sim, cfg.LicencePools, cfg.LicenceTimeout)
-	cloud, err := on.listen("cloud", "", immediate(sim.serveCloud))
-	if err != nil {
+	if err := sim.listen(); err != nil {
 		return nil, err
 	}
-	if sim.Licences.Addr, err = on.listen("licences", "", immediate(sim.Licences.serve)); err != nil {
-		return nil, err
+	env.schedule(cfg.TickInterval, sim.tick)
+	return sim, nil
+}
+
+func newStateServer(cfg Config) stateServer {
+	server := stateServer{
+		service:        state.New(),
+		requestLimit:   rateLimit{rate: cfg.State.RPS},
+		writeLimit:     rateLimit{rate: cfg.State.WriteRPS},
+		initialLimits:  cfg.State,
+		refused:        make([]bool, cfg.Controllers),
+		watchesStalled: make([]bool, cfg.Controllers),
 	}
-	for i := range cfg.Controllers {
-		svc, err := sim.stateAddr(i)
-		if err != nil {
-			return nil, err
-		}
-		public, back, err := on.controllerAddrs(i)
+	for _, key := range slices.Sorted(maps.Keys(cfg.InitialKeys)) { // each has a revision of its own
+		server.service.Apply([]store.Op{{Put: key, Value: cfg.InitialKeys[key]}})
+	}
+	return server
+}
+
+// listen opens the addresses of all services and fills in the controllers' settings.
+func (sim *Simulation) listen() error {
+	cloudAddr, err := sim.env.listen("cloud", "", immediate(sim.serveCloud))
+	if err != nil {
+		return err
+	}
+	sim.Licences.Addr, err = sim.env.listen("licences", "", immediate(sim.Licences.serve))
+	if err != nil {
+		return err
+	}
+	for i := range sim.cfg.Controllers {
+		settings, err := sim.controllerSettings(i, cloudAddr)
 		if err != nil {
-			return nil, fmt.Errorf("no free port: %w", err)
-		}
-		s := config.Settings{
-			Node: fmt.Sprintf("node-%d", i), Zone: cfg.Zones[i%len(cfg.Zones)], Public: public, Back: back,
-			Services: config.Services{Cloud: cloud, State: svc},
-		}
-		s.Params = config.Params{
-			Zones: cfg.Zones, Teams: cfg.Teams, Workers: cfg.Workers, State: cfg.State, Cloud: cfg.Cloud,
-			Limits: cfg.Limits, SkewMS: 100,
+			return err
 		}
-		sim.settings = append(sim.settings, s)
+		sim.settings = append(sim.settings, settings)
 	}
 	for i := range sim.settings {
-		for k, o := range sim.settings {
-			if k != i {
-				sim.settings[i].Peers = append(sim.settings[i].Peers, config.Peer{Node: o.Node, Zone: o.Zone, Addr: o.Back})
-			}
+		sim.settings[i].Peers = sim.peersOf(i)
+	}
+	return nil
+}
+
+// controllerSettings are a controller's settings without its peers.
+func (sim *Simulation) controllerSettings(controller int, cloudAddr string) (config.Settings, error) {
+	stateAddr, err := sim.listenState(controller)
+	if err != nil {
+		return config.Settings{}, err
+	}
+	public, back, err := sim.env.controllerAddrs(controller)
+	if err != nil {
+		return config.Settings{}, fmt.Errorf("no free port: %w", err)
+	}
+	cfg := &sim.cfg
+	settings := config.Settings{
+		Node:     fmt.Sprintf("node-%d", controller),
+		Zone:     cfg.Zones[controller%len(cfg.Zones)],
+		Public:   public,
+		Back:     back,
+		Services: config.Services{Cloud: cloudAddr, State: stateAddr},
+	}
+	settings.Params = config.Params{
+		Zones:   cfg.Zones,
+		Teams:   cfg.Teams,
+		Workers: cfg.Workers,
+		State:   cfg.State,
+		Cloud:   cfg.Cloud,
+		Limits:  cfg.Limits,
+		SkewMS:  100,
+	}
+	return settings, nil
+}
+
+func (sim *Simulation) peersOf(controller int) (peers []config.Peer) {
+	for i, other := range sim.settings {
+		if i != controller {
+			peers = append(peers, config.Peer{Node: other.Node, Zone: other.Zone, Addr: other.Back})
 		}
 	}
-	on.schedule(cfg.TickInterval, sim.tick)
-	return sim, nil
+	return peers
 }
 
-// stateAddr is where a controller finds the state service.
-func (w *Simulation) stateAddr(controller int) (string, error) {
-	if w.cfg.StateAddrs != nil {
-		return w.cfg.StateAddrs[controller], nil
+// listenState returns the address at which a controller reaches the state service.
+func (sim *Simulation) listenState(controller int) (string, error) {
+	if sim.cfg.StateAddrs != nil {
+		return sim.cfg.StateAddrs[controller], nil
 	}
-	return w.env.listen(fmt.Sprintf("state-%d", controller), "", func(request httpRequest, reply replyFunc) { w.serveState(controller, request, reply) })
+	serve := func(request httpRequest, reply replyFunc) { sim.serveState(controller, request, reply) }
+	return sim.env.listen(fmt.Sprintf("state-%d", controller), "", serve)
 }
 
-// StateAddr is where a controller finds the state service, by its settings.
-func (w *Simulation) StateAddr(controller int) string { return w.settings[controller].Services.State }
+// StateAddr returns the address of the state service in a controller's settings.
+func (sim *Simulation) StateAddr(controller int) string {
+	return sim.settings[controller].Services.State
+}
 
-// BootMachines rents machines of the first type, spread over its zones, as if they had been up before the world's start.
-func (w *Simulation) BootMachines(n int) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	machineType := w.cfg.Types[0]
+// BootMachines rents machines of the first type, spread over its zones, that are up at once. It returns an error if a
+// machine's address can't be opened.
+func (sim *Simulation) BootMachines(n int) error {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	machineType := sim.cfg.Types[0]
 	machineType.BootS = 0
 	for i := range n {
-		if _, err := w.startMachine(w.now(), machineType, machineType.Zones[i%len(machineType.Zones)], false); err != nil {
+		zone := machineType.Zones[i%len(machineType.Zones)]
+		if _, err := sim.startMachine(sim.now(), machineType, zone, false); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// immediate makes a handler of one that answers at once.
-func immediate(f func(httpRequest) (int, any)) handlerFunc {
-	return func(request httpRequest, reply replyFunc) { reply(f(request)) }
+// immediate makes a handler of a function that returns its answer.
+func immediate(serve func(httpRequest) (int, any)) handlerFunc {
+	return func(request httpRequest, reply replyFunc) { reply(serve(request)) }
 }
 
-// Ports for controllers are looked for below those that the system gives to sockets without one. A port that was free when
-// it was looked for was once given to one of a thousand machines before its controller listened there.
+// Ports for controllers are taken from below the range that the system assigns to sockets without a port. A port that
+// was free when it was tried was once, for one machine in a thousand, assigned before its controller listened there.
 const (
 	minPort         = 12_000
 	portRange       = 20_000
 	maxPortAttempts = 200
 )
 
-// freePort finds a loopback address that nobody listens on now.
+// freePort finds a loopback address on which nothing listens at this moment.
 func freePort() (string, error) {
 	for range maxPortAttempts {
 		addr := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(portRange))
-		l, err := net.Listen("tcp4", addr)
+		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
 			continue
 		}
-		return addr, l.Close()
+		return addr, listener.Close()
 	}
 	return "", fmt.Errorf("no free port among %d from %d on", portRange, minPort)
 }
 
-// SettingsJSON is the platform's file of a controller, as JSON.
-func (w *Simulation) SettingsJSON(i int) []byte {
-	raw, _ := json.Marshal(w.settings[i])
+// SettingsJSON returns the platform's settings file of a controller.
+func (sim *Simulation) SettingsJSON(controller int) []byte {
+	raw, _ := json.Marshal(sim.settings[controller])
 	return raw
 }
 
-// Controllers is how many there are.
-func (w *Simulation) Controllers() int { return w.cfg.Controllers }
+// Controllers returns the number of controllers, running or not.
+func (sim *Simulation) Controllers() int { return sim.cfg.Controllers }
 
-// UserAddr is a controller's address for users.
-func (w *Simulation) UserAddr(i int) string { return w.settings[i].Public }
+// UserAddr returns a controller's address for users and workers.
+func (sim *Simulation) UserAddr(controller int) string { return sim.settings[controller].Public }
 
-// Close ends the world and everything in it.
-func (w *Simulation) Close() {
-	close(w.closing)
-	w.sessionAgents.Wait()
-	w.env.close()
-}
-
-// Violations lists the rules that did not hold.
-func (w *Simulation) Violations() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]string(nil), w.violations...)
-}
-
-// Stats tells what has happened so far.
-func (w *Simulation) Stats() Stats {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.stats
-}
-
-// Utilization is what the world looks like at one moment.
-type Utilization struct {
-	Machines           int     // up
-	CPUs, GPUs         float64 // of machines that are up
-	UsedCPUs, UsedGPUs float64 // of tasks on machines
-	Running            int     // tasks on machines
-	Cost               float64 // of all machines so far, from their renting on
-}
-
-// Utilization takes a picture.
-func (w *Simulation) Utilization() (p Utilization) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	p.Cost = w.costOfEndedMachines
-	for _, machine := range w.machines {
-		if machine.dead {
-			continue
-		}
-		p.Cost += machine.cost(now)
-		if now < machine.upAt {
-			continue
-		}
-		p.Machines++
-		p.CPUs, p.GPUs = p.CPUs+machine.machineType.CPUs, p.GPUs+machine.machineType.GPUs
-		for _, task := range machine.tasks {
-			if task.counted {
-				p.Running++
-				p.UsedCPUs, p.UsedGPUs = p.UsedCPUs+task.spec.CPUs, p.UsedGPUs+task.spec.GPUs
-			}
-		}
+// nodeNames returns the controllers' names.
+func (sim *Simulation) nodeNames() (names []string) {
+	for _, settings := range sim.settings {
+		names = append(names, settings.Node)
 	}
-	return p
+	return names
 }
 
-// StartTimes lists when tasks started.
-func (w *Simulation) StartTimes() []time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.startTimes)
+// Close ends the simulation, its agents and its servers.
+func (sim *Simulation) Close() {
+	close(sim.closing)
+	sim.sessionAgents.Wait()
+	sim.env.close()
 }
 
-// LeaderChanges lists when the lead passed, the first time included.
-func (w *Simulation) LeaderChanges() []time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.leaderChanges)
-}
+// Now returns the time since the simulation's start.
+func (sim *Simulation) Now() time.Duration { return sim.now() }
 
-// FirstStart is when a job's first task started, after it was known; false: none has.
-func (w *Simulation) FirstStart(id string) (time.Duration, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	duration, ok := w.startDelays[id]
-	return duration, ok
-}
+func (sim *Simulation) now() time.Duration { return sim.env.now() }
 
-// Now is the world's time, from its start.
-func (w *Simulation) Now() time.Duration { return w.now() }
-
-// LongestStartGap is the longest time without any start between two moments.
-func (w *Simulation) LongestStartGap(from, to time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	last, gap := from, time.Duration(0)
-	for _, t := range w.startTimes {
-		if t >= from && t <= to {
-			gap, last = max(gap, t-last), t
-		}
-	}
-	return max(gap, to-last)
-}
-
-// StartDelays lists how long the jobs of a class waited for their first start.
-func (w *Simulation) StartDelays(class string) (ds []time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, duration := range w.startDelays {
-		if w.specs[id].Class == class {
-			ds = append(ds, duration)
-		}
-	}
-	return ds
-}
+// After calls f after a time, unless the simulation has been closed.
+func (sim *Simulation) After(duration time.Duration, f func()) { sim.env.schedule(duration, f) }
 
-func (w *Simulation) violate(format string, a ...any) {
-	if len(w.violations) < 100 {
-		w.violations = append(w.violations, fmt.Sprintf("%.2f s: ", w.now().Seconds())+fmt.Sprintf(format, a...))
+// tick advances leases, licence checkouts and machines, and schedules the next tick.
+func (sim *Simulation) tick() {
+	sim.mu.Lock()
+	now := sim.now()
+	sim.expireLeases(now)
+	sim.Licences.expire(now)
+	for _, machine := range sim.cloud.machines {
+		sim.advanceMachine(now, machine)
 	}
+	sim.mu.Unlock()
+	sim.env.schedule(sim.cfg.TickInterval, sim.tick)
 }
 
-func (w *Simulation) now() time.Duration { return w.env.now() }
+// maxViolations bounds the violations that are kept: the first ones.
+const maxViolations = 100
 
-// tick lets a step of time pass.
-func (w *Simulation) tick() {
-	w.mu.Lock()
-	now := w.now()
-	w.expireLeases(now)
-	w.Licences.expire(now)
-	for _, machine := range w.machines {
-		w.advanceMachine(now, machine)
-	}
-	w.mu.Unlock()
-	w.env.schedule(w.cfg.TickInterval, w.tick)
+// Violations lists the rules that did not hold, each with its time, in their order.
+func (sim *Simulation) Violations() []string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return append([]string(nil), sim.violations...)
 }
 
-// bucket bounds a rate, with bursts of a second's worth.
-type bucket struct {
-	rate, level float64
-	at          time.Duration
+// ReportViolation records that a rule did not hold, as a user observed.
+func (sim *Simulation) ReportViolation(format string, args ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.violate(format, args...)
 }
 
-func (b *bucket) take(now time.Duration, n float64) bool {
-	b.level = max(0, b.level-b.rate*(now-b.at).Seconds())
-	b.at = now
-	if b.level+n > b.rate {
-		return false
+// violate records that a rule did not hold. The caller holds the mutex.
+func (sim *Simulation) violate(format string, args ...any) {
+	if len(sim.violations) < maxViolations {
+		at := fmt.Sprintf("%.2f s: ", sim.now().Seconds())
+		sim.violations = append(sim.violations, at+fmt.Sprintf(format, args...))
 	}
-	b.level += n
-	return true
 }
+
+// seconds converts a number of seconds, the unit of settings and job specifications.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -2,338 +2,284 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/membership"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// SetStateOutage lets the state service answer nobody, or everybody again.
-func (w *Simulation) SetStateOutage(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stateDown = on; !on {
-		w.stateService.Now = w.now()
-		w.stateService.Recover()
+// stateServer is the state service's HTTP side: rate limits, waiting watches, outages and what is injected.
+type stateServer struct {
+	service       *state.Service
+	waiters       []func() // called at the next change of a key
+	requestLimit  rateLimit
+	writeLimit    rateLimit
+	initialLimits config.State
+	leaderChanges []time.Duration
+
+	down           bool
+	refused        []bool // by controller: all its requests are refused
+	watchesStalled []bool // by controller: its watches aren't answered, everything else is
+	dropWatches    bool   // a watch that comes in is never answered
+	interceptTxn   func(controller int, txn store.Txn) TxnOutcome
+}
+
+// stallRetry is how often a watch that can't be answered now is tried again.
+const stallRetry = 50 * time.Millisecond
+
+// SetStateOutage makes the state service refuse every request, or serve again.
+func (sim *Simulation) SetStateOutage(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.state.down = on
+	if !on {
+		sim.state.service.Now = sim.now()
+		sim.state.service.Recover()
 	}
 }
 
-// RefuseController lets the state service refuse one controller, or serve it again.
-func (w *Simulation) RefuseController(controller int, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.refused[controller] = on
+// RefuseController makes the state service refuse one controller, or serve it again.
+func (sim *Simulation) RefuseController(controller int, on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.state.refused[controller] = on
 }
 
-// LowerStateLimits lets the state service take less from now on, without notice: 0 leaves a limit as it is. What is stored stays
+// LowerStateLimits changes the state service's limits without notice; 0 leaves a limit as it is. What is stored stays
 // readable.
-func (w *Simulation) LowerStateLimits(valueKB float64, txnOps int, writeRPS float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := &w.cfg.State
-	s.ValueKB, s.TxnOps = valueOr(valueKB, s.ValueKB), valueOr(txnOps, s.TxnOps)
-	s.WriteRPS = valueOr(writeRPS, s.WriteRPS)
-	w.writeLimit.rate = s.WriteRPS
+func (sim *Simulation) LowerStateLimits(valueKB float64, txnOps int, writeRPS float64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	limits := &sim.cfg.State
+	limits.ValueKB = valueOr(valueKB, limits.ValueKB)
+	limits.TxnOps = valueOr(txnOps, limits.TxnOps)
+	limits.WriteRPS = valueOr(writeRPS, limits.WriteRPS)
+	sim.state.writeLimit.rate = limits.WriteRPS
 }
 
-// Of the state service's limits, those under SetSmallLimits.
+// Limits of the state service under SetSmallLimits.
 const (
 	smallValueKB        = 2
 	smallTxnOps         = 8
-	smallWriteRateShare = 0.4 // of the usual rate of writes
+	smallWriteRateShare = 0.4 // of the initial rate of writes
 )
 
-// SetSmallLimits lets the state service take much less, or as much as at the start again.
-func (w *Simulation) SetSmallLimits(on bool) {
+// SetSmallLimits lowers the state service's limits to a fraction, or restores the initial ones.
+func (sim *Simulation) SetSmallLimits(on bool) {
+	initial := sim.state.initialLimits
 	if on {
-		w.LowerStateLimits(smallValueKB, smallTxnOps, smallWriteRateShare*w.initialLimits.WriteRPS)
+		sim.LowerStateLimits(smallValueKB, smallTxnOps, smallWriteRateShare*initial.WriteRPS)
 		return
 	}
-	w.LowerStateLimits(w.initialLimits.ValueKB, w.initialLimits.TxnOps, w.initialLimits.WriteRPS)
+	sim.LowerStateLimits(initial.ValueKB, initial.TxnOps, initial.WriteRPS)
 }
 
-// CountKeys counts the keys with a prefix.
-func (w *Simulation) CountKeys(prefix string) (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for k := range w.stateService.Keys {
-		if strings.HasPrefix(k, prefix) {
+// CountKeys counts the stored keys with a prefix.
+func (sim *Simulation) CountKeys(prefix string) (n int) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for key := range sim.state.service.Keys {
+		if strings.HasPrefix(key, prefix) {
 			n++
 		}
 	}
 	return n
 }
 
-// Leader is the controller that leads by what the state service holds, -1 for none, and its term.
-func (w *Simulation) Leader() (controller int, term uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var l membership.Leader
-	_ = json.Unmarshal(w.stateService.Keys[membership.Prefix+"leader"].Value, &l)
-	return slices.Index(w.nodeNames(), l.Node), l.Term
+const leaderKey = membership.Prefix + "leader"
+
+// Leader returns the stored leader's controller, -1 for none, and its term.
+func (sim *Simulation) Leader() (controller int, term uint64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	var leader membership.Leader
+	_ = json.Unmarshal(sim.state.service.Keys[leaderKey].Value, &leader)
+	return slices.Index(sim.nodeNames(), leader.Node), leader.Term
 }
 
-func (w *Simulation) expireLeases(now time.Duration) {
-	if w.stateDown {
+// expireLeases ends leases that have run out. An outage stops their time.
+func (sim *Simulation) expireLeases(now time.Duration) {
+	if sim.state.down {
 		return
 	}
-	rev := w.stateService.Rev
-	w.stateService.Now = now
-	w.stateService.Expire()
-	w.wakeWatchers(rev)
+	before := sim.state.service.Rev
+	sim.state.service.Now = now
+	sim.state.service.Expire()
+	sim.wakeWatchers(before)
 }
 
-// wakeWatchers tells those who follow that a key has changed.
-func (w *Simulation) wakeWatchers(before uint64) {
-	if w.stateService.Rev != before {
-		for _, f := range w.keyWaiters {
-			w.env.schedule(0, f)
-		}
-		w.keyWaiters = nil
+// wakeWatchers schedules all waiting watches if a key has changed since a revision.
+func (sim *Simulation) wakeWatchers(before uint64) {
+	if sim.state.service.Rev == before {
+		return
 	}
+	for _, wake := range sim.state.waiters {
+		sim.env.schedule(0, wake)
+	}
+	sim.state.waiters = nil
 }
 
-// serveState answers one controller's request to the state service.
-func (w *Simulation) serveState(controller int, request httpRequest, reply replyFunc) {
-	w.withStateDelay(func(reply replyFunc) { w.carryOutStateRequest(controller, request, reply) }, reply)
+// serveState answers one controller's request to the state service, late if answers are delayed.
+func (sim *Simulation) serveState(controller int, request httpRequest, reply replyFunc) {
+	carryOut := func(reply replyFunc) { sim.carryOutStateRequest(controller, request, reply) }
+	sim.withStateDelay(carryOut, reply)
 }
 
-func (w *Simulation) carryOutStateRequest(controller int, request httpRequest, reply replyFunc) {
+func (sim *Simulation) carryOutStateRequest(controller int, request httpRequest, reply replyFunc) {
 	if request.path == "/follow" {
-		w.serveWatch(controller, request, reply)
+		sim.serveWatch(controller, request, reply)
 		return
 	}
-	if w.intercepted(controller, request) {
+	if sim.intercepted(controller, request) {
 		return
 	}
-	w.mu.Lock()
-	status, body := w.applyStateRequest(controller, request)
-	w.mu.Unlock()
+	sim.mu.Lock()
+	status, body := sim.applyStateRequest(controller, request)
+	sim.mu.Unlock()
 	reply(status, body)
 }
 
-func (w *Simulation) applyStateRequest(controller int, request httpRequest) (int, any) {
-	if w.stateDown || w.refused[controller] {
-		return 503, nil
+// applyStateRequest carries out a request other than a watch, within the limits. The caller holds the mutex.
+func (sim *Simulation) applyStateRequest(controller int, request httpRequest) (status int, body any) {
+	if sim.state.down || sim.state.refused[controller] {
+		return http.StatusServiceUnavailable, nil
 	}
-	now := w.now()
-	writes := 0.0
+	now := sim.now()
 	var txn store.Txn
 	if request.path == "/txn" {
-		if json.Unmarshal(request.body, &txn) != nil || len(txn.Then) > w.cfg.State.TxnOps || len(txn.If) > 4*w.cfg.State.TxnOps {
-			return 400, nil
-		}
-		for _, o := range txn.Then {
-			if len(o.Value) > int(w.cfg.State.ValueKB*1024) {
-				return 400, nil
-			}
+		if json.Unmarshal(request.body, &txn) != nil || !sim.withinTxnLimits(txn) {
+			return http.StatusBadRequest, nil
 		}
-		writes = float64(len(txn.Then))
 	}
-	w.stats.StateRequests++
-	if !w.requestLimit.take(now, 1) || !w.writeLimit.take(now, writes) {
-		w.stats.StateRefused++
-		return 429, nil
+	writes := len(txn.Then)
+	sim.stats.StateRequests++
+	if !sim.state.requestLimit.take(now, 1) || !sim.state.writeLimit.take(now, float64(writes)) {
+		sim.stats.StateRefused++
+		return http.StatusTooManyRequests, nil
 	}
-	w.stats.StateWrites += int(writes)
-	rev := w.stateService.Rev
-	w.stateService.Now = now
-	path := request.path
-	if len(request.query) > 0 {
-		path += "?" + request.query.Encode()
-	}
-	response := w.stateService.Serve(httpio.Request{Method: request.method, Path: path, Body: request.body})
-	w.wakeWatchers(rev)
-	if response.Status == 200 && slices.ContainsFunc(txn.Then, func(o store.Op) bool { return o.Put == membership.Prefix+"leader" }) {
-		w.leaderChanges = append(w.leaderChanges, now)
-		w.replayHeartbeats()
+	sim.stats.StateWrites += writes
+	before := sim.state.service.Rev
+	sim.state.service.Now = now
+	response := sim.state.service.Serve(httpio.Request{
+		Method: request.method,
+		Path:   request.target(),
+		Body:   request.body,
+	})
+	sim.wakeWatchers(before)
+	if response.Status == http.StatusOK && putsLeader(txn) {
+		sim.state.leaderChanges = append(sim.state.leaderChanges, now)
+		sim.replayHeartbeats()
 	}
 	return response.Status, response.Body
 }
 
-// serveWatch answers once something with the prefix has changed, or the wait is over. An open watch
-// waits through an outage.
-func (w *Simulation) serveWatch(controller int, request httpRequest, reply replyFunc) {
-	since, _ := strconv.ParseUint(request.query.Get("since"), 10, 64)
-	ms, _ := strconv.Atoi(request.query.Get("wait_ms"))
-	prefix := request.query.Get("starts")
-	w.mu.Lock()
-	ends := w.now() + time.Duration(ms)*time.Millisecond
-	if w.stateDown || w.refused[controller] || !w.requestLimit.take(w.now(), 1) {
-		w.mu.Unlock()
-		reply(503, nil)
-		return
-	}
-	lost := w.dropWatches
-	w.mu.Unlock()
-	if lost {
-		return
+func (sim *Simulation) withinTxnLimits(txn store.Txn) bool {
+	limits := &sim.cfg.State
+	if len(txn.Then) > limits.TxnOps || len(txn.If) > 4*limits.TxnOps {
+		return false
 	}
-	var look func()
-	var mine uint64 // which of the two that may wake it is the newest: the other is void
-	look = func() {
-		w.mu.Lock()
-		now := w.now()
-		if w.stateDown || w.refused[controller] || w.watchesStalled[controller] {
-			w.mu.Unlock()
-			w.env.schedule(50*time.Millisecond, look)
-			return
-		}
-		evs, ok := w.stateService.Since(prefix, since)
-		rev := w.stateService.Rev
-		switch {
-		case !ok:
-			w.mu.Unlock()
-			reply(410, nil)
-		case len(evs) > 0 || now >= ends:
-			w.mu.Unlock()
-			if evs == nil {
-				evs = []store.Event{}
-			}
-			reply(200, map[string]any{"epoch": rev, "events": evs})
-		default:
-			mine++
-			turn := mine
-			once := func() {
-				w.mu.Lock()
-				void := mine != turn
-				if !void {
-					mine++
-				}
-				w.mu.Unlock()
-				if !void {
-					look()
-				}
-			}
-			w.keyWaiters = append(w.keyWaiters, once)
-			w.mu.Unlock()
-			w.env.schedule(ends-now, once)
+	for _, op := range txn.Then {
+		if len(op.Value) > int(limits.ValueKB*1024) {
+			return false
 		}
 	}
-	look()
+	return true
 }
 
-// cloudMachine is a machine as the cloud lists it.
-type cloudMachine struct {
-	Name  string  `json:"name_id"`
-	Addr  string  `json:"address"`
-	Type  string  `json:"build"`
-	Zone  string  `json:"meadow"`
-	Spot  bool    `json:"stray"`
-	State string  `json:"stance"`
-	AgeS  float64 `json:"age_s"`
+func putsLeader(txn store.Txn) bool {
+	return slices.ContainsFunc(txn.Then, func(op store.Op) bool { return op.Put == leaderKey })
 }
 
-// SetCloudOutage lets the cloud answer nobody, or everybody again.
-func (w *Simulation) SetCloudOutage(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cloudDown = on
+// watch is an open watch of a controller.
+type watch struct {
+	sim        *Simulation
+	controller int
+	prefix     string
+	since      uint64
+	ends       time.Duration
+	reply      replyFunc
+	// waits counts the waits so far. A wait is ended by a change or by the watch's end, whichever is first; the other
+	// finds another number and does nothing.
+	waits uint64
 }
 
-// serveCloud answers a request to the cloud.
-func (w *Simulation) serveCloud(request httpRequest) (int, any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.cloudDown {
-		return 503, map[string]string{"error": "trouble"}
+// serveWatch answers once a key with the prefix has changed, or the wait is over. An open watch outlasts an outage.
+func (sim *Simulation) serveWatch(controller int, request httpRequest, reply replyFunc) {
+	since, _ := strconv.ParseUint(request.query.Get("since"), 10, 64)
+	waitMS, _ := strconv.Atoi(request.query.Get("wait_ms"))
+	sim.mu.Lock()
+	now := sim.now()
+	if sim.state.down || sim.state.refused[controller] || !sim.state.requestLimit.take(now, 1) {
+		sim.mu.Unlock()
+		reply(http.StatusServiceUnavailable, nil)
+		return
 	}
-	now := w.now()
-	switch {
-	case request.path == "/machine_types":
-		return 200, map[string]any{"builds": w.cfg.Types}
-	case request.path == "/machines" && request.method == "GET":
-		return w.listMachines(now, request)
-	case request.path == "/machines":
-		return w.rentMachines(now, request)
-	case request.path == "/machines/return":
-		var b struct {
-			Names []string `json:"dens"`
-		}
-		if json.Unmarshal(request.body, &b) != nil || len(b.Names) > 100 {
-			return 400, nil
-		}
-		for _, n := range b.Names {
-			if machine := w.machineByName[n]; machine != nil && !machine.returned {
-				w.terminate(now, machine)
-				machine.returned = true
-			}
-		}
-		return 200, map[string]any{}
+	dropped := sim.state.dropWatches
+	sim.mu.Unlock()
+	if dropped {
+		return
+	}
+	open := &watch{
+		sim:        sim,
+		controller: controller,
+		prefix:     request.query.Get("starts"),
+		since:      since,
+		ends:       now + time.Duration(waitMS)*time.Millisecond,
+		reply:      reply,
 	}
-	return 404, nil
+	open.poll()
 }
 
-func (w *Simulation) listMachines(now time.Duration, request httpRequest) (int, any) {
-	lag := time.Duration(w.cfg.Cloud.ListLagS * float64(time.Second))
-	limit, _ := strconv.Atoi(request.query.Get("limit"))
-	after := request.query.Get("since")
-	var out []cloudMachine
-	for _, machine := range w.machines {
-		if machine.Name <= after || now-machine.rentedAt < lag || machine.returned {
-			continue
-		}
-		l := cloudMachine{machine.Name, machine.addr, machine.machineType.Name, machine.zone, machine.spot, "running", (now - machine.rentedAt).Seconds()}
-		switch {
-		case now < machine.upAt:
-			l.State = "starting"
-		case machine.dead && now-machine.diedAt > 3*time.Second:
-			l.State = "failed"
-		}
-		out = append(out, l)
-	}
-	more := limit > 0 && len(out) > limit
-	if more {
-		out = out[:limit]
+// poll answers the watch if it can be answered, and waits otherwise.
+func (w *watch) poll() {
+	sim := w.sim
+	sim.mu.Lock()
+	now := sim.now()
+	if sim.state.down || sim.state.refused[w.controller] || sim.state.watchesStalled[w.controller] {
+		sim.mu.Unlock()
+		sim.env.schedule(stallRetry, w.poll)
+		return
 	}
-	if out == nil {
-		out = []cloudMachine{}
+	events, ok := sim.state.service.Since(w.prefix, w.since)
+	revision := sim.state.service.Rev
+	switch {
+	case !ok:
+		sim.mu.Unlock()
+		w.reply(http.StatusGone, nil)
+	case len(events) > 0 || now >= w.ends:
+		sim.mu.Unlock()
+		if events == nil {
+			events = []store.Event{}
+		}
+		w.reply(http.StatusOK, state.WatchResponse{Revision: revision, Events: events})
+	default:
+		wake := w.newWait()
+		sim.state.waiters = append(sim.state.waiters, wake)
+		sim.mu.Unlock()
+		sim.env.schedule(w.ends-now, wake)
 	}
-	return 200, map[string]any{"dens": out, "has_next": more}
 }
 
-func (w *Simulation) rentMachines(now time.Duration, request httpRequest) (int, any) {
-	var b struct {
-		Claim string `json:"claim"`
-		Type  string `json:"build"`
-		Zone  string `json:"meadow"`
-		Spot  bool   `json:"stray"`
-		Count int    `json:"how_many"`
-	}
-	if json.Unmarshal(request.body, &b) != nil || b.Count < 1 || b.Count > 50 {
-		return 400, nil
-	}
-	if got, ok := w.claims[b.Claim]; ok {
-		return 200, map[string]any{"dens": got}
-	}
-	i := slices.IndexFunc(w.cfg.Types, func(t MachineType) bool { return t.Name == b.Type && slices.Contains(t.Zones, b.Zone) })
-	if i < 0 {
-		return 400, nil
-	}
-	up := 0
-	for _, machine := range w.machines {
-		if !machine.returned && !machine.dead {
-			up++
+// newWait returns a function that polls once more, if it is the first to end this wait. The caller holds the mutex.
+func (w *watch) newWait() func() {
+	w.waits++
+	wait := w.waits
+	return func() {
+		w.sim.mu.Lock()
+		first := w.waits == wait
+		if first {
+			w.waits++
 		}
-	}
-	var names []string
-	for ; b.Count > 0 && up < w.cfg.MaxMachines; b.Count, up = b.Count-1, up+1 {
-		machine, err := w.startMachine(now, w.cfg.Types[i], b.Zone, b.Spot)
-		if err != nil {
-			break
+		w.sim.mu.Unlock()
+		if first {
+			w.poll()
 		}
-		names = append(names, machine.Name)
 	}
-	if names == nil {
-		return 503, map[string]string{"error": "no capacity"}
-	}
-	w.claims[b.Claim] = names
-	return 200, map[string]any{"dens": names}
 }
-
-func machineName(n int) string { return fmt.Sprintf("i-%06d", n) }
--- a/internal/simulator/troubles_test.go
+++ b/internal/simulator/troubles_test.go
@@ -39,7 +39,7 @@
 func (r *rolling) alive(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.machineByName[name].dead
+	return !r.cloud.machineByName[name].dead
 }
 
 // Machines report but hear nothing: one, many, all of a zone; the lead changes meanwhile, and some hear again. Little is sent
@@ -67,7 +67,7 @@
 			}
 			deaf := r.DropInbound(c.n, zone, c.d)
 			if c.lead {
-				l, _ := r.Simulation.Leader()
+				l, _ := r.Leader()
 				r.After(2*time.Second, func() { r.KillController(l) })
 				r.After(4*time.Second, func() { r.StartController(l) })
 			}
@@ -118,20 +118,20 @@
 			r.After(time.Duration(4*i)*time.Second, func() {
 				if name := r.BusiestMachine(); name != "" {
 					r.mu.Lock()
-					r.terminate(r.now(), r.machineByName[name])
+					r.terminate(r.now(), r.cloud.machineByName[name])
 					r.mu.Unlock()
 					dead[name] = r.Now()
 				}
 			})
 		}
-		r.After(12*time.Second, func() { onLeader(time.Second, (*Simulation).KillController)(r.Simulation) })
+		r.After(12*time.Second, func() { r.onLeader(time.Second, r.KillController) })
 		zone := r.elsewhere()
 		r.After(20*time.Second, func() { r.PartitionZone(zone, DelayBoth) })
 		r.After(32*time.Second, func() { r.PartitionZone(zone, Connected) })
 		revived := 0
 		for range 100 {
 			r.Advance(time.Second)
-			l, _ := r.Simulation.Leader()
+			l, _ := r.Leader()
 			if l < 0 {
 				continue
 			}
@@ -154,7 +154,7 @@
 	for _, c := range []string{"leader", "other", "two", "rolling"} {
 		t.Run(c, func(t *testing.T) {
 			r, balancer := standing(t, 83, 5)
-			first, _ := r.Simulation.Leader()
+			first, _ := r.Leader()
 			gone := []int{first}
 			switch c {
 			case "other":
@@ -164,7 +164,7 @@
 			case "rolling":
 				r.RollingRestart(rollout.Newest, time.Second, nil, func() {})
 				r.Advance(2 * time.Second)
-				first, _ = r.Simulation.Leader()
+				first, _ = r.Leader()
 				gone = []int{first}
 			}
 			pollers := r.asked(balancer)
@@ -179,11 +179,11 @@
 				}
 			}
 			if c == "leader" || c == "two" {
-				r.reach("led from elsewhere", 10*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && !slices.Contains(gone, l) })
+				r.reach("led from elsewhere", 10*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && !slices.Contains(gone, l) })
 			}
 			r.Advance(6 * time.Second)
 			// Everybody reports to whoever leads.
-			l, _ := r.Simulation.Leader()
+			l, _ := r.Leader()
 			astray := 0
 			r.mu.Lock()
 			for _, machine := range r.readyMachines() {
@@ -195,7 +195,7 @@
 			if astray > 2 {
 				t.Errorf("%d machines report to a controller that doesn't lead", astray)
 			}
-			term := func() uint64 { _, n := r.Simulation.Leader(); return n }
+			term := func() uint64 { _, n := r.Leader(); return n }
 			was := term()
 			for _, i := range gone {
 				r.CutLinks(i, 0)
@@ -216,13 +216,13 @@
 // lead doesn't wander.
 func TestLeaderLosesItsWorkers(t *testing.T) {
 	r, _ := standing(t, 89, 5)
-	old, was := r.Simulation.Leader()
+	old, was := r.Leader()
 	r.CutLinks(old, WorkerLinks)
 	from := r.Now()
-	r.reach("led from elsewhere", 9*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && l != old })
+	r.reach("led from elsewhere", 9*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && l != old })
 	t.Logf("led from elsewhere after %v", r.Now()-from)
 	r.Advance(40 * time.Second)
-	if l, term := r.Simulation.Leader(); term != was+1 || l == old {
+	if l, term := r.Leader(); term != was+1 || l == old {
 		t.Errorf("controller %d leads in term %d, the former one was %d", l, term, was)
 	}
 	r.CutLinks(old, 0)
@@ -245,7 +245,7 @@
 	steps := membershipStates()
 	for round := range 14 {
 		all := round%3 == 2
-		l, _ := r.Simulation.Leader()
+		l, _ := r.Leader()
 		for i := range 3 {
 			if all || i == l {
 				r.KillController(i)
@@ -273,7 +273,7 @@
 			r, _ := standing(t, 85, 3)
 			r.DuplicateMessages(0.2, time.Second, 20*time.Second)
 			r.mu.Lock()
-			for _, machine := range r.machines {
+			for _, machine := range r.cloud.machines {
 				machine.seq += 100_000 // they have been up for hours
 			}
 			r.mu.Unlock()
@@ -296,12 +296,12 @@
 			}
 			from, l := r.Now(), 0
 			for end := r.Now() + time.Minute; r.Now() < end && len(left) > 0; r.Advance(250 * time.Millisecond) {
-				if l, _ = r.Simulation.Leader(); l < 0 {
+				if l, _ = r.Leader(); l < 0 {
 					continue
 				}
 				for name := range left {
 					r.mu.Lock()
-					machine := r.machineByName[name]
+					machine := r.cloud.machineByName[name]
 					known := !machine.dead && r.virtual.controllers[l].process != nil && r.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
 					dead := machine.dead
 					r.mu.Unlock()
@@ -341,7 +341,7 @@
 				r.Advance(time.Second)
 				r.mu.Lock()
 				n := 0
-				for _, machine := range r.machines {
+				for _, machine := range r.cloud.machines {
 					if !machine.dead {
 						n++
 					}
@@ -352,7 +352,7 @@
 			r.SetBootFault(0, 0)
 			r.Advance(2 * time.Minute)
 			r.mu.Lock()
-			for _, machine := range r.machines {
+			for _, machine := range r.cloud.machines {
 				if !machine.dead && machine.upAt > r.now()+time.Hour {
 					t.Errorf("%s never comes up and is paid for after %v", machine.Name, r.now()-machine.rentedAt)
 				}
@@ -390,7 +390,7 @@
 	returned := func() (n int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		for _, machine := range r.machines {
+		for _, machine := range r.cloud.machines {
 			if machine.returned && !machine.faulty && machine.incarnation == 0 {
 				n++
 			}
@@ -425,9 +425,9 @@
 	r.load(2 * time.Minute)
 	from := r.Now()
 	for range 3 {
-		l, _ := r.Simulation.Leader()
+		l, _ := r.Leader()
 		r.FreezeController(l, 70*time.Second)
-		r.reach("led from elsewhere", 12*time.Second, func() bool { n, _ := r.Simulation.Leader(); return n >= 0 && n != l })
+		r.reach("led from elsewhere", 12*time.Second, func() bool { n, _ := r.Leader(); return n >= 0 && n != l })
 		r.Advance(10 * time.Second)
 	}
 	r.Advance(90 * time.Second)
@@ -469,7 +469,7 @@
 		})
 	}
 	r.After(20*time.Second, func() {
-		onLeader(0, func(sim *Simulation, i int) { sim.FreezeController(i, 12*time.Second) })(r.Simulation)
+		r.onLeader(0, func(i int) { r.FreezeController(i, 12*time.Second) })
 	})
 	r.load(60 * time.Second)
 	r.Advance(62 * time.Second)
@@ -558,8 +558,8 @@
 		for i := range 3 {
 			sim.After(time.Duration(60+70*i)*time.Second, func() { large = append(large, submit(900+i, 8, "standard", 10)) })
 		}
-		sim.After(100*time.Second, func() { onLeader(3*time.Second, (*Simulation).KillController)(sim) })
-		sim.After(170*time.Second, func() { onLeader(0, func(sim *Simulation, i int) { sim.FreezeController(i, 70*time.Second) })(sim) })
+		sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
+		sim.After(170*time.Second, func() { sim.onLeader(0, func(i int) { sim.FreezeController(i, 70*time.Second) }) })
 		sim.Advance(450 * time.Second)
 		for _, u := range large {
 			if duration, ok := sim.FirstStart(u.spec.ID); ok {
@@ -616,7 +616,7 @@
 				r.CutLinks(i, from)
 				r.After(long, func() { r.CutLinks(i, 0) })
 			case 5:
-				if l, _ := r.Simulation.Leader(); l >= 0 {
+				if l, _ := r.Leader(); l >= 0 {
 					r.CutLinks(l, StateLink|PeerLinks)
 					r.After(long, func() { r.CutLinks(l, 0) })
 				}
@@ -632,7 +632,7 @@
 					}
 				}
 			case 8:
-				if l, _ := r.Simulation.Leader(); l >= 0 {
+				if l, _ := r.Leader(); l >= 0 {
 					r.KillController(l)
 					r.After(blink, func() { r.StartController(l) })
 				}
@@ -649,7 +649,7 @@
 				u.submit()
 				r.After(long, u.cancel)
 			case 12:
-				if l, _ := r.Simulation.Leader(); l >= 0 {
+				if l, _ := r.Leader(); l >= 0 {
 					r.FreezeController(l, 5*long)
 				}
 			case 13:
@@ -658,9 +658,9 @@
 				r.PartitionZone(zone, Partition(1+k%5))
 				r.After(long, func() { r.PartitionZone(zone, Connected) })
 			case 15:
-				during(long/2, (*Simulation).SetStateOutage)(r.Simulation)
+				r.during(long/2, r.SetStateOutage)
 			case 16:
-				during(long, func(sim *Simulation, on bool) { sim.RefuseController(i, on) })(r.Simulation)
+				r.during(long, func(on bool) { r.RefuseController(i, on) })
 			case 17:
 				r.DrainController(i, func() { r.After(blink, func() { r.StartController(i) }) })
 			case 18:
@@ -673,27 +673,27 @@
 			case 21:
 				r.RefuseOutbound(99, zone, long)
 			case 22:
-				during(long, func(sim *Simulation, on bool) { sim.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })(r.Simulation)
+				r.during(long, func(on bool) { r.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })
 			case 23:
-				during(long, func(sim *Simulation, on bool) {
-					sim.DelayWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
-				})(r.Simulation)
+				r.during(long, func(on bool) {
+					r.DelayWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
+				})
 			case 24:
-				during(2*long, func(sim *Simulation, on bool) { sim.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })(r.Simulation)
+				r.during(2*long, func(on bool) { r.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })
 			case 25:
-				during(long, (*Simulation).SetPollBursts)(r.Simulation)
+				r.during(long, r.SetPollBursts)
 			case 26:
-				during(long, (*Simulation).SetOddRequests)(r.Simulation)
+				r.during(long, r.SetOddRequests)
 			case 27:
-				during(long, func(sim *Simulation, on bool) { sim.CancelAtCompletion(map[bool]float64{true: 0.4}[on]) })(r.Simulation)
+				r.during(long, func(on bool) { r.CancelAtCompletion(map[bool]float64{true: 0.4}[on]) })
 			case 28:
 				r.CancelRunning(1+k, long/2)
 			case 29:
 				r.KillLeaders(2+k, long)
 			case 30:
-				during(long, func(sim *Simulation, on bool) {
-					sim.DelayStateAnswers(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on])
-				})(r.Simulation)
+				r.during(long, func(on bool) {
+					r.DelayStateAnswers(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on])
+				})
 			}
 		})
 	}
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -2,257 +2,256 @@
 
 import (
 	"encoding/json"
-	"math"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/jobs"
-	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Monotonic reads over all controllers, by real time: a question sent after an answer was received, whoever gave it, never
-// gets an older one. Every answer to a user of a simulation is held against what users had been told before its request went out.
+// This file checks that reads are monotonic over all controllers, by real time: a request that is sent after an
+// answer was received, from any controller, never gets an older one. Every answer to a user in virtual time is
+// compared with what users had received before its request was sent.
 
-// jobAnswers is what users were told of one job.
+// Paths of the users' interface.
+const (
+	runsPath    = "/v2/runs"
+	abortSuffix = "/abort"
+)
+
+// States of a job in answers to users.
+const (
+	stateDone      = "done"
+	stateCancelled = "cancelled"
+)
+
+// isFinal reports whether a job's state never changes.
+func isFinal(state string) bool { return state == stateDone || state == stateCancelled }
+
+// jobView is a job in an answer to a user.
+type jobView struct {
+	ID    string `json:"name_id"`
+	State string `json:"stance"`
+}
+
+func jobStateIn(body []byte) string {
+	var view jobView
+	_ = json.Unmarshal(body, &view)
+	return view.State
+}
+
+// jobAnswers is what users received about one job.
 type jobAnswers struct {
 	accepted   bool
 	acceptedAt time.Duration
-	final      string // "done" or "cancelled"
+	final      string // the final state, once it was received
 	finalAt    time.Duration
 }
 
-// userAnswers are what users were told, and who asked for what.
+// userAnswers is what users received, and what they do.
 type userAnswers struct {
 	jobs            map[string]*jobAnswers
 	cancelRequested map[string]bool // jobs that somebody asked to cancel
+	onCancelled     []func()        // called at the next confirmation of a cancellation
 	habits          userHabits
 }
 
 // userRequest is what a user's request is about.
 type userRequest struct {
-	id                        string
+	job                       string
 	submits, queries, cancels bool
 }
 
-// parseUserRequest reads a user's request; false: it isn't about the stance of one job.
-func parseUserRequest(method, path string, body []byte) (request userRequest, ok bool) {
-	rest, runs := strings.CutPrefix(path, "/v2/runs")
+// parseUserRequest reads a user's request. It returns false unless that is about the state of one job.
+func parseUserRequest(method, path string, body []byte) (about userRequest, ok bool) {
+	rest, ofRuns := strings.CutPrefix(path, runsPath)
 	switch {
-	case !runs:
-		return request, false
-	case method == "POST" && rest == "":
-		var v jobView
-		_ = json.Unmarshal(body, &v)
-		return userRequest{id: v.ID, submits: true}, v.ID != ""
-	case method == "POST" && strings.HasSuffix(rest, "/abort"):
-		return userRequest{id: strings.TrimSuffix(rest[1:], "/abort"), cancels: true}, true
-	case method == "GET" && len(rest) > 1 && !strings.Contains(rest[1:], "/"):
-		return userRequest{id: rest[1:], queries: true}, true
+	case !ofRuns:
+		return about, false
+	case method == http.MethodPost && rest == "":
+		var view jobView
+		_ = json.Unmarshal(body, &view)
+		return userRequest{job: view.ID, submits: true}, view.ID != ""
+	case method == http.MethodPost && strings.HasSuffix(rest, abortSuffix):
+		return userRequest{job: strings.TrimSuffix(rest[1:], abortSuffix), cancels: true}, true
+	case method == http.MethodGet && len(rest) > 1 && !strings.Contains(rest[1:], "/"):
+		return userRequest{job: rest[1:], queries: true}, true
 	}
-	return request, false
+	return about, false
 }
 
-// CancelRequested tells whether any user has asked to cancel a job.
-func (w *Simulation) CancelRequested(id string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.userAnswers.cancelRequested[id]
+// AddJob records a job's submission, so that workers find its specification.
+func (sim *Simulation) AddJob(spec *jobs.Spec) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.work.specs[spec.ID] = spec
+	sim.work.submittedAt[spec.ID] = sim.now()
 }
 
-// noteCancelRequest notes a request for a job's end as it goes out.
-func (w *Simulation) noteCancelRequest(request userRequest) {
-	if request.cancels {
-		w.mu.Lock()
-		w.userAnswers.cancelRequested[request.id] = true
-		w.mu.Unlock()
-	}
+// AllDone reports whether every task of a job is done.
+func (sim *Simulation) AllDone(job string, tasks int) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.allDone(job, tasks)
 }
 
-// checkUserAnswer holds an answer against what users had been told when its request was sent, and adds it to that.
-func (w *Simulation) checkUserAnswer(request userRequest, sent time.Duration, status int, raw []byte) {
-	stance := jobStateIn(raw)
-	w.mu.Lock()
-	t := w.userAnswers.jobs[request.id]
-	if t == nil {
-		t = &jobAnswers{}
-		w.userAnswers.jobs[request.id] = t
+func (sim *Simulation) allDone(job string, tasks int) bool {
+	for index := range tasks {
+		if p := sim.work.progress[taskName(job, index)]; p == nil || !p.done {
+			return false
+		}
 	}
-	switch known := t.accepted && t.acceptedAt < sent; {
-	case known && status == 404 && !request.submits:
-		w.violate("forgotten: %s is answered 404 after it was accepted", request.id)
-	case known && request.submits && (status == 400 || status == 422):
-		w.violate("forgotten: a repeated submission of %s is answered %d", request.id, status)
+	return true
+}
+
+// CancelRequested reports whether any user has asked to cancel a job.
+func (sim *Simulation) CancelRequested(job string) bool {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return sim.users.cancelRequested[job]
+}
+
+// noteCancelRequest records a request for a job's cancellation as it is sent.
+func (sim *Simulation) noteCancelRequest(about userRequest) {
+	if about.cancels {
+		sim.mu.Lock()
+		sim.users.cancelRequested[about.job] = true
+		sim.mu.Unlock()
 	}
-	if status != 200 && status != 201 {
-		w.mu.Unlock()
-		return
+}
+
+// OnCancelled calls f once, as soon as the next cancellation of a job is confirmed to a user.
+func (sim *Simulation) OnCancelled(f func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.users.onCancelled = append(sim.users.onCancelled, f)
+}
+
+// ConfirmCancelled records that a job's cancellation was confirmed to a user.
+func (sim *Simulation) ConfirmCancelled(job string) {
+	for _, f := range sim.recordCancelled(job) {
+		f()
 	}
-	final := stance == "done" || stance == "cancelled"
-	switch {
-	case t.final != "" && final && stance != t.final:
-		w.violate("went_back: %s was %s and is %s", request.id, t.final, stance)
-	case t.final != "" && !final && t.finalAt < sent:
-		w.violate("went_back: %s was %s and is %s", request.id, t.final, stance)
+}
+
+// recordCancelled records a confirmation, and returns what is to be called without the mutex.
+func (sim *Simulation) recordCancelled(job string) (waiting []func()) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if _, ok := sim.work.cancelledAt[job]; ok {
+		return nil
 	}
-	if spec := w.specs[request.id]; request.submits && !t.accepted && spec != nil && !w.canRun(spec) {
-		w.violate("accepted: %s can't run", request.id)
+	sim.work.cancelledAt[job] = sim.now()
+	waiting = sim.users.onCancelled
+	sim.users.onCancelled = nil
+	return waiting
+}
+
+// checkUserAnswer compares an answer with what users had received when its request was sent, and records it.
+func (sim *Simulation) checkUserAnswer(about userRequest, sentAt time.Duration, status int, body []byte) {
+	sim.mu.Lock()
+	answers := sim.users.jobs[about.job]
+	if answers == nil {
+		answers = &jobAnswers{}
+		sim.users.jobs[about.job] = answers
 	}
-	now := w.now()
-	first := !t.accepted
-	if first {
-		t.accepted, t.acceptedAt = true, now
+	sim.checkNotForgotten(about, answers, sentAt, status)
+	if status != http.StatusOK && status != http.StatusCreated {
+		sim.mu.Unlock()
+		return
 	}
-	if final && t.final == "" {
-		t.final, t.finalAt, first = stance, now, true
+	state := jobStateIn(body)
+	sim.checkNotReverted(about.job, answers, sentAt, state)
+	if about.submits && !answers.accepted {
+		if spec := sim.work.specs[about.job]; spec != nil && !sim.canRun(spec) {
+			sim.violate("accepted: %s can't run", about.job)
+		}
 	}
-	w.mu.Unlock()
-	if stance == "cancelled" {
-		w.ConfirmCancelled(request.id)
+	isNew := answers.record(sim.now(), state)
+	sim.mu.Unlock()
+	if state == stateCancelled {
+		sim.ConfirmCancelled(about.job)
 	}
-	if first {
-		w.pollBurst(request.id)
+	if isNew {
+		sim.pollBurst(about.job)
 	}
 }
 
-// canRun judges a job by the protocol: its team is known, a task fits an allowed type, and it needs no more than its team's limit.
-func (w *Simulation) canRun(spec *jobs.Spec) bool {
-	n := 1
-	if spec.Kind != jobs.Array {
-		n = spec.Tasks
-	}
-	team := false
-	for _, t := range w.cfg.Teams {
-		if t.Name == spec.Team {
-			team = (t.CPUsMax == 0 || spec.CPUs*float64(n) <= t.CPUsMax+1e-9) && (t.GPUsMax == 0 || spec.GPUs*float64(n) <= t.GPUsMax+1e-9)
-		}
+// checkNotForgotten checks that a job is still known that was accepted before the request was sent.
+func (sim *Simulation) checkNotForgotten(about userRequest, answers *jobAnswers, sentAt time.Duration, status int) {
+	if !answers.accepted || answers.acceptedAt >= sentAt {
+		return
 	}
-	return team && slices.ContainsFunc(w.cfg.Types, func(t MachineType) bool { return allows(spec, t, "", false) && spec.Size().Fits(t.Size()) })
-}
-
-// allows tells whether a job's tasks may be on a kind of machine; zone "" is any of the type's.
-func allows(spec *jobs.Spec, t MachineType, zone string, spot bool) bool {
+	rejected := status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 	switch {
-	case spot && !spec.Spot, spec.Types != nil && !slices.Contains(spec.Types, t.Name):
-		return false
-	case spec.Zone == nil:
-		return true
-	case zone == "":
-		return slices.Contains(t.Zones, *spec.Zone)
+	case status == http.StatusNotFound && !about.submits:
+		sim.violate("forgotten: %s is answered 404 after it was accepted", about.job)
+	case about.submits && rejected:
+		sim.violate("forgotten: a repeated submission of %s is answered %d", about.job, status)
 	}
-	return *spec.Zone == zone
-}
-
-// Room beside work: once all troubles are over, no job of which nothing is on a machine waits for long while machines that fit
-// have room for it and its team is under its limit. It is judged by the truth, not by what the leader believes.
-
-// maxIdleWait is how long that may be.
-const maxIdleWait = 90 * time.Second
-
-// idleCapacityWatch is since when each job has waited beside room.
-type idleCapacityWatch struct {
-	since   map[string]time.Duration
-	longest time.Duration
-	job     string // that waited so
 }
 
-// WatchIdleCapacity says that all troubles are over: from now on no job may wait beside room. It returns how long any has at most, and which.
-// It is for simulations.
-func (w *Simulation) WatchIdleCapacity() func() (time.Duration, string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	b := &idleCapacityWatch{since: map[string]time.Duration{}}
-	var look func()
-	look = func() {
-		w.mu.Lock()
-		w.checkIdleCapacity(b)
-		w.mu.Unlock()
-		w.env.schedule(time.Second, look)
+// checkNotReverted checks that a final state that was received isn't followed by another.
+func (sim *Simulation) checkNotReverted(job string, answers *jobAnswers, sentAt time.Duration, state string) {
+	if answers.final == "" || state == answers.final {
+		return
+	}
+	if isFinal(state) || answers.finalAt < sentAt {
+		sim.violate("went_back: %s was %s and is %s", job, answers.final, state)
 	}
-	w.env.schedule(time.Second, look)
-	return func() (time.Duration, string) { return b.longest, b.job }
 }
 
-func (w *Simulation) checkIdleCapacity(b *idleCapacityWatch) {
-	now := w.now()
-	on, used := map[string]bool{}, map[string][2]float64{}
-	var hosts []candidateMachine
-	for _, machine := range w.machines {
-		if machine.dead {
-			continue
-		}
-		free := machine.machineType.Size()
-		for _, task := range machine.tasks {
-			if task.state == taskExited {
-				continue
-			}
-			on[task.spec.ID] = true
-			u := used[task.spec.Team]
-			used[task.spec.Team] = [2]float64{u[0] + task.spec.CPUs, u[1] + task.spec.GPUs}
-			free = free.Sub(task.spec.Size())
-		}
-		if now >= machine.upAt && now >= machine.hungUntil && now >= machine.inboundLostUntil && now >= machine.outboundLostUntil && now >= machine.outboundRefusedUntil && machine.noticeAt == 0 && !machine.faulty && machine.token > 0 {
-			hosts = append(hosts, candidateMachine{machine, free})
-		}
+// record adds an answer with status 200 or 201. It returns whether it is the first one or the first final one.
+func (a *jobAnswers) record(now time.Duration, state string) (isNew bool) {
+	if !a.accepted {
+		a.accepted = true
+		a.acceptedAt = now
+		isNew = true
 	}
-	for id, spec := range w.specs {
-		var r jobs.Record
-		item, stored := w.stateService.Keys[jobs.RecordKey(id)]
-		if !stored || on[id] || len(spec.Licences) > 0 || w.failingJobs[id] || w.sessions[id] != nil ||
-			json.Unmarshal(item.Value, &r) != nil || r.State != jobs.Pending.String() || w.allDone(id, spec.Tasks) || !w.underLimit(spec, used[spec.Team]) || !fits(spec, hosts) {
-			delete(b.since, id)
-			continue
-		}
-		at, ok := b.since[id]
-		if !ok {
-			b.since[id], at = now, now
-		}
-		if duration := now - at; duration > b.longest || duration == b.longest && id < b.job {
-			b.longest, b.job = duration, id
-		}
-		if now-at > maxIdleWait {
-			w.violate("beside: %s waits for %v and there is room", id, now-at)
-			b.since[id] = math.MaxInt64 // told once
-		}
+	if isFinal(state) && a.final == "" {
+		a.final = state
+		a.finalAt = now
+		isNew = true
 	}
+	return isNew
 }
 
-// candidateMachine is a machine that could take work, and its free room.
-type candidateMachine struct {
-	machine *Machine
-	free    planner.Size
-}
-
-// fits tells whether a job could begin on some of the machines: an array or a service with one task, a gang whole.
-func fits(spec *jobs.Spec, on []candidateMachine) bool {
-	n := 1
-	if spec.Kind == jobs.Gang {
-		n = spec.Tasks
+// canRun judges a job by the protocol: its team exists, a task fits a type that the job allows, and it needs no
+// more than its team's limit.
+func (sim *Simulation) canRun(spec *jobs.Spec) bool {
+	tasks := 1
+	if spec.Kind != jobs.Array {
+		tasks = spec.Tasks
 	}
-	zones := map[string]int32{}
-	var hosts []planner.Host
-	for i, p := range on {
-		if !allows(spec, p.machine.machineType, p.machine.zone, p.machine.spot) {
-			continue
-		}
-		if _, ok := zones[p.machine.zone]; !ok {
-			zones[p.machine.zone] = int32(len(zones))
+	withinLimit := false
+	for _, team := range sim.cfg.Teams {
+		if team.Name == spec.Team {
+			cpusFit := team.CPUsMax == 0 || spec.CPUs*float64(tasks) <= team.CPUsMax+sizeTolerance
+			gpusFit := team.GPUsMax == 0 || spec.GPUs*float64(tasks) <= team.GPUsMax+sizeTolerance
+			withinLimit = cpusFit && gpusFit
 		}
-		hosts = append(hosts, planner.Host{ID: int32(i), Zone: zones[p.machine.zone], Free: p.free})
 	}
-	return planner.FirstFit(hosts, spec.Size(), n, spec.OneZone, spec.ZoneLimit()) != nil
+	return withinLimit && slices.ContainsFunc(sim.cfg.Types, func(machineType capacity.MachineType) bool {
+		return allows(spec, machineType, "", false) && spec.Size().Fits(machineType.Size())
+	})
 }
 
-// underLimit tells whether a job's tasks would keep its team within its limit.
-func (w *Simulation) underLimit(spec *jobs.Spec, used [2]float64) bool {
-	n := 1.0
-	if spec.Kind == jobs.Gang {
-		n = float64(spec.Tasks)
-	}
-	for _, t := range w.cfg.Teams {
-		if t.Name == spec.Team {
-			return (t.CPUsMax == 0 || used[0]+n*spec.CPUs <= t.CPUsMax) && (t.GPUsMax == 0 || used[1]+n*spec.GPUs <= t.GPUsMax)
-		}
+// sizeTolerance is the rounding error accepted when a job's size is compared with its team's limit.
+const sizeTolerance = 1e-9
+
+// allows reports whether a job's tasks may run on a kind of machine; zone "" stands for any of the type's.
+func allows(spec *jobs.Spec, machineType capacity.MachineType, zone string, spot bool) bool {
+	switch {
+	case spot && !spec.Spot:
+		return false
+	case spec.Types != nil && !slices.Contains(spec.Types, machineType.Name):
+		return false
+	case spec.Zone == nil:
+		return true
+	case zone == "":
+		return slices.Contains(machineType.Zones, *spec.Zone)
 	}
-	return false
+	return *spec.Zone == zone
 }
