--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -11,228 +12,324 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// What users do that meets other troubles: they look closely, ask for odd things, and call jobs off while they run or at the
-// moment of their end. All of it goes through the controllers of a simulation.
+// What users do, through the controllers and in virtual time, that coincides with faults: bursts of status queries,
+// odd requests, and cancellations while jobs run or at the moment of their end.
 
-// userHabits are the users' habits now.
+const (
+	// cancelRetry is the time until a cancellation that wasn't answered is sent to the next controller.
+	cancelRetry = time.Second
+	// burstCancelShare is the share of the jobs with a burst of queries that are then cancelled.
+	burstCancelShare = 0.15
+	// burstSubmitEvery is how many queries of a burst come with one repeated submission.
+	burstSubmitEvery = 3
+	// maxHungMachines bounds the machines that CancelRunning makes hang.
+	maxHungMachines = 8
+)
+
+// emptyBody is the body of a request without parameters.
+var emptyBody = []byte("{}")
+
+// burstTimes are the times of a burst's queries to each controller, in milliseconds.
+var burstTimes = [...]int{0, 1, 3, 8, 20, 60, 150}
+
+// userHabits is what users do now.
 type userHabits struct {
 	rng                *rand.Rand // of its own: what users do besides doesn't change what else is drawn
 	pollBursts         bool
 	oddRequests        bool
-	cancelAtCompletion float64 // share of the jobs that end which are called off at that moment
-	invalidJobs        int     // odd jobs so far
+	cancelAtCompletion float64 // share of the jobs that are cancelled at the moment of their end
+	invalidJobs        int     // submitted so far
+}
+
+// drawMillis draws a time below n milliseconds.
+func (h *userHabits) drawMillis(n int) time.Duration {
+	return time.Duration(h.rng.IntN(n)) * time.Millisecond
 }
 
-// PollBursts lets users ask at every controller, again and again within milliseconds, and repeat the submission, right after a
-// job was accepted, ended or confirmed as cancelled; some then cancel it.
-func (w *Simulation) SetPollBursts(on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.userAnswers.habits.pollBursts = on
+func ignoreAnswer(int, []byte) {}
+
+// SetPollBursts makes users query every controller, again and again within milliseconds, and repeat the submission,
+// right after a job was accepted, ended or confirmed as cancelled; some then cancel it.
+func (sim *Simulation) SetPollBursts(on bool) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.users.habits.pollBursts = on
+}
+
+// scheduledQuery is one query of a burst.
+type scheduledQuery struct {
+	after      time.Duration
+	controller int
 }
 
-// pollBurst is what users do right after they were told something new of a job.
-func (w *Simulation) pollBurst(id string) {
-	w.mu.Lock()
-	l := &w.userAnswers.habits
-	spec := w.specs[id]
-	if !l.pollBursts || spec == nil {
-		w.mu.Unlock()
+// pollBurst is what users do right after they received something new about a job.
+func (sim *Simulation) pollBurst(job string) {
+	sim.mu.Lock()
+	habits := &sim.users.habits
+	spec := sim.work.specs[job]
+	if !habits.pollBursts || spec == nil {
+		sim.mu.Unlock()
 		return
 	}
-	w.stats.PollBursts++
-	aborts := l.rng.Float64() < 0.15
-	body, _ := json.Marshal(spec)
-	type ask struct {
-		at time.Duration
-		to int
-	}
-	var all []ask
-	for to := range w.cfg.Controllers {
-		for _, at := range []time.Duration{0, 1, 3, 8, 20, 60, 150} {
-			all = append(all, ask{(at + time.Duration(l.rng.IntN(2))) * time.Millisecond, to})
-		}
-	}
-	at, to := time.Duration(l.rng.IntN(5))*time.Millisecond, l.rng.IntN(w.cfg.Controllers)
-	w.mu.Unlock()
-	nobody := func(int, []byte) {}
-	for i, a := range all {
-		w.env.schedule(a.at, func() {
-			w.Request(a.to, "GET", "/v2/runs/"+id, nil, nobody)
-			if i%3 == 0 {
-				w.Request(a.to, "POST", "/v2/runs", body, nobody)
+	sim.stats.PollBursts++
+	cancels := habits.rng.Float64() < burstCancelShare
+	submission, _ := json.Marshal(spec)
+	queries := habits.drawBurst(sim.cfg.Controllers)
+	cancelAfter := habits.drawMillis(5)
+	cancelAt := habits.rng.IntN(sim.cfg.Controllers)
+	sim.mu.Unlock()
+	for i, query := range queries {
+		sim.env.schedule(query.after, func() {
+			sim.Request(query.controller, http.MethodGet, runsPath+"/"+job, nil, ignoreAnswer)
+			if i%burstSubmitEvery == 0 {
+				sim.Request(query.controller, http.MethodPost, runsPath, submission, ignoreAnswer)
 			}
 		})
 	}
-	if aborts {
-		w.env.schedule(at, func() { w.CancelJob(id, to) })
+	if cancels {
+		sim.env.schedule(cancelAfter, func() { sim.CancelJob(job, cancelAt) })
 	}
 }
 
-// CancelJob lets a user cancel a job through a controller, and through others until one answers.
-func (w *Simulation) CancelJob(id string, to int) {
-	w.Request(to, "POST", "/v2/runs/"+id+"/abort", []byte("{}"), func(status int, _ []byte) {
-		if status != 200 && status != 404 {
-			w.env.schedule(time.Second, func() { w.CancelJob(id, (to+1)%w.cfg.Controllers) })
+func (h *userHabits) drawBurst(controllers int) (queries []scheduledQuery) {
+	for controller := range controllers {
+		for _, ms := range burstTimes {
+			after := time.Duration(ms+h.rng.IntN(2)) * time.Millisecond
+			queries = append(queries, scheduledQuery{after, controller})
+		}
+	}
+	return queries
+}
+
+// CancelJob lets a user cancel a job through a controller, and through the others until one answers.
+func (sim *Simulation) CancelJob(job string, controller int) {
+	path := runsPath + "/" + job + abortSuffix
+	sim.Request(controller, http.MethodPost, path, emptyBody, func(status int, _ []byte) {
+		if status != http.StatusOK && status != http.StatusNotFound {
+			next := (controller + 1) % sim.cfg.Controllers
+			sim.env.schedule(cancelRetry, func() { sim.CancelJob(job, next) })
 		}
 	})
 }
 
-// CancelRunning lets users call off n jobs that run and have longest to go, within a fifth of a second; with hang, up to eight of
-// their machines stand still that long from then on.
-func (w *Simulation) CancelRunning(n int, hang time.Duration) (ids []string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	left, on := map[string]time.Duration{}, map[string][]*Machine{}
-	for _, machine := range w.readyMachines() {
+// runningJob is a job with tasks that run.
+type runningJob struct {
+	id        string
+	remaining time.Duration // of the task that has longest to run
+	machines  []*Machine    // one for each running task
+}
+
+// runningJobs lists the jobs that run, services left out, those with longest to run first.
+func (sim *Simulation) runningJobs(now time.Duration) []*runningJob {
+	byID := map[string]*runningJob{}
+	var running []*runningJob
+	for _, machine := range sim.readyMachines() {
 		for _, task := range machine.tasks {
 			if task.state != taskRunning || task.spec.Kind == jobs.Service {
 				continue
 			}
-			id := task.spec.ID
-			left[id] = max(left[id], seconds(task.remainingSeconds)-(now-task.runningSince))
-			on[id] = append(on[id], machine)
+			job := byID[task.spec.ID]
+			if job == nil {
+				job = &runningJob{id: task.spec.ID}
+				byID[job.id] = job
+				running = append(running, job)
+			}
+			job.remaining = max(job.remaining, seconds(task.remainingSeconds)-(now-task.runningSince))
+			job.machines = append(job.machines, machine)
 		}
 	}
-	for id := range left {
-		ids = append(ids, id)
-	}
-	slices.SortFunc(ids, func(a, b string) int {
-		if left[a] != left[b] {
-			return int(min(1, max(-1, left[b]-left[a])))
+	slices.SortFunc(running, func(a, b *runningJob) int {
+		if a.remaining != b.remaining {
+			return int(min(1, max(-1, b.remaining-a.remaining)))
 		}
-		return strings.Compare(a, b)
+		return strings.Compare(a.id, b.id)
 	})
-	ids = ids[:min(n, len(ids))]
-	l := &w.userAnswers.habits
+	return running
+}
+
+// CancelRunning lets users cancel the n running jobs that have longest to run, within a fifth of a second. With hang,
+// some of their machines hang for that time from now on. It returns the jobs.
+func (sim *Simulation) CancelRunning(n int, hang time.Duration) (cancelled []string) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	now := sim.now()
+	habits := &sim.users.habits
+	running := sim.runningJobs(now)
 	hung := 0
-	for _, id := range ids {
-		at, to := time.Duration(l.rng.IntN(200))*time.Millisecond, l.rng.IntN(w.cfg.Controllers)
-		w.env.schedule(at, func() { w.CancelJob(id, to) })
-		for _, machine := range on[id] {
-			if hang > 0 && hung < 8 && now >= machine.hungUntil {
+	for _, job := range running[:min(n, len(running))] {
+		cancelled = append(cancelled, job.id)
+		after := habits.drawMillis(200)
+		controller := habits.rng.IntN(sim.cfg.Controllers)
+		sim.env.schedule(after, func() { sim.CancelJob(job.id, controller) })
+		for _, machine := range job.machines {
+			if hang > 0 && hung < maxHungMachines && now >= machine.hungUntil {
 				machine.hungUntil = now + hang
 				hung++
-				w.stats.MachinesHung++
+				sim.stats.MachinesHung++
 			}
 		}
 	}
-	w.stats.JobsCancelled += len(ids)
-	return ids
+	sim.stats.JobsCancelled += len(cancelled)
+	return cancelled
 }
 
-// CancelAtCompletion lets a share of the jobs that end be called off at the moment of their end; 0 ends it.
-func (w *Simulation) CancelAtCompletion(share float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.userAnswers.habits.cancelAtCompletion = share
+// CancelAtCompletion makes users cancel a share of the jobs that end at the moment of their end; 0 ends it.
+func (sim *Simulation) CancelAtCompletion(share float64) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.users.habits.cancelAtCompletion = share
 }
 
-// jobCompleted is the moment in which a job's last task has come to its end.
-func (w *Simulation) jobCompleted(spec *jobs.Spec) {
-	l := &w.userAnswers.habits
-	if l.cancelAtCompletion == 0 || w.virtual == nil || !w.allDone(spec.ID, spec.Tasks) || l.rng.Float64() >= l.cancelAtCompletion {
+// jobCompleted lets users cancel a job as its last task completes, if it is drawn. The caller holds the mutex.
+func (sim *Simulation) jobCompleted(spec *jobs.Spec) {
+	habits := &sim.users.habits
+	if habits.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
+		return
+	}
+	if habits.rng.Float64() >= habits.cancelAtCompletion {
 		return
 	}
-	w.stats.JobsCancelled++
-	at, to := time.Duration(l.rng.IntN(700))*time.Millisecond, l.rng.IntN(w.cfg.Controllers)
-	if l.rng.IntN(2) == 0 {
-		at = time.Duration(l.rng.IntN(5)) * time.Millisecond
+	sim.stats.JobsCancelled++
+	after := habits.drawMillis(700)
+	controller := habits.rng.IntN(sim.cfg.Controllers)
+	if habits.rng.IntN(2) == 0 {
+		after = habits.drawMillis(5)
 	}
-	w.env.schedule(at, func() { w.CancelJob(spec.ID, to) })
+	sim.env.schedule(after, func() { sim.CancelJob(spec.ID, controller) })
 }
 
-// SetOddRequests lets users repeat submissions of unfinished jobs, cancel jobs that are done, and send jobs that fit no machine, exceed
-// a limit or lack a field.
-func (w *Simulation) SetOddRequests(on bool) {
-	w.mu.Lock()
-	was := w.userAnswers.habits.oddRequests
-	w.userAnswers.habits.oddRequests = on
-	w.mu.Unlock()
+// SetOddRequests makes users repeat submissions of unfinished jobs, cancel jobs that are done, and submit invalid
+// jobs.
+func (sim *Simulation) SetOddRequests(on bool) {
+	sim.mu.Lock()
+	was := sim.users.habits.oddRequests
+	sim.users.habits.oddRequests = on
+	sim.mu.Unlock()
 	if on && !was {
-		w.sendOddRequest()
+		sim.sendOddRequest()
 	}
 }
 
-// sendOddRequest sends one odd request, and the next a little later.
-func (w *Simulation) sendOddRequest() {
-	w.mu.Lock()
-	l := &w.userAnswers.habits
-	if !l.oddRequests {
-		w.mu.Unlock()
+// oddRequestKind is a kind of odd request.
+type oddRequestKind int
+
+const (
+	repeatSubmission oddRequestKind = iota
+	cancelDoneJob
+	submitInvalidJob
+	oddRequestKinds int = iota
+)
+
+// sendOddRequest sends one odd request, and schedules the next.
+func (sim *Simulation) sendOddRequest() {
+	sim.mu.Lock()
+	habits := &sim.users.habits
+	if !habits.oddRequests {
+		sim.mu.Unlock()
 		return
 	}
-	w.stats.OddRequests++
-	to, what := l.rng.IntN(w.cfg.Controllers), l.rng.IntN(3)
-	var done, open []string
-	for id, t := range w.userAnswers.jobs {
+	sim.stats.OddRequests++
+	controller := habits.rng.IntN(sim.cfg.Controllers)
+	kind := oddRequestKind(habits.rng.IntN(oddRequestKinds))
+	done, unfinished := sim.answeredJobs()
+	path := runsPath
+	var body []byte
+	answered := ignoreAnswer
+	switch {
+	case kind == repeatSubmission && len(unfinished) > 0:
+		job := unfinished[habits.rng.IntN(len(unfinished))]
+		body, _ = json.Marshal(sim.work.specs[job])
+	case kind == cancelDoneJob && len(done) > 0:
+		job := done[habits.rng.IntN(len(done))]
+		path = runsPath + "/" + job + abortSuffix
+		body = emptyBody
+	default:
+		habits.invalidJobs++
+		job := fmt.Sprintf("req-77%04d", habits.invalidJobs)
+		body = sim.invalidSubmission(job, invalidity(habits.rng.IntN(invalidities)))
+		answered = func(status int, _ []byte) { sim.invalidJobAnswered(job, body, status) }
+	}
+	next := time.Duration(100+habits.rng.IntN(400)) * time.Millisecond
+	sim.mu.Unlock()
+	sim.Request(controller, http.MethodPost, path, body, answered)
+	sim.env.schedule(next, sim.sendOddRequest)
+}
+
+// answeredJobs lists the jobs whose users received that they are done, and those that were accepted and aren't final.
+func (sim *Simulation) answeredJobs() (done, unfinished []string) {
+	for job, answers := range sim.users.jobs {
 		switch {
-		case t.final == "done":
-			done = append(done, id)
-		case t.accepted && t.final == "" && w.specs[id] != nil:
-			open = append(open, id)
+		case answers.final == stateDone:
+			done = append(done, job)
+		case answers.accepted && answers.final == "" && sim.work.specs[job] != nil:
+			unfinished = append(unfinished, job)
 		}
 	}
 	slices.Sort(done)
-	slices.Sort(open)
-	var body []byte
-	id := ""
-	switch {
-	case what == 0 && len(open) > 0:
-		id = open[l.rng.IntN(len(open))]
-		body, _ = json.Marshal(w.specs[id])
-	case what == 1 && len(done) > 0:
-		id = done[l.rng.IntN(len(done))]
-	default:
-		what = 2
-		l.invalidJobs++
-		id = fmt.Sprintf("req-77%04d", l.invalidJobs)
-		body = w.invalidSubmission(id, l.rng.IntN(6))
-	}
-	next := time.Duration(100+l.rng.IntN(400)) * time.Millisecond
-	w.mu.Unlock()
-	switch what {
-	case 0:
-		w.Request(to, "POST", "/v2/runs", body, func(int, []byte) {})
-	case 1:
-		w.Request(to, "POST", "/v2/runs/"+id+"/abort", []byte("{}"), func(int, []byte) {})
-	default:
-		w.Request(to, "POST", "/v2/runs", body, func(status int, _ []byte) {
-			switch status {
-			case 200, 201:
-				w.ReportViolation("accepted: %s can't run: %s", id, body)
-			case 400, 422:
-				w.mu.Lock()
-				w.stats.OddRequestsRefused++
-				w.mu.Unlock()
-			}
-		})
+	slices.Sort(unfinished)
+	return done, unfinished
+}
+
+func (sim *Simulation) invalidJobAnswered(job string, body []byte, status int) {
+	switch status {
+	case http.StatusOK, http.StatusCreated:
+		sim.ReportViolation("accepted: %s can't run: %s", job, body)
+	case http.StatusBadRequest, http.StatusUnprocessableEntity:
+		sim.mu.Lock()
+		sim.stats.OddRequestsRefused++
+		sim.mu.Unlock()
 	}
-	w.env.schedule(next, w.sendOddRequest)
 }
 
-// invalidSubmission is a submission that no controller may accept.
-func (w *Simulation) invalidSubmission(id string, how int) []byte {
-	spec := &jobs.Spec{ID: id, Class: "odd", Team: w.cfg.Teams[0].Name, Kind: jobs.Array, Priority: "standard", Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 5, Spot: true}
-	switch how {
-	case 0:
-		spec.CPUs = 1e6 // fits no machine
-	case 1:
-		spec.Team = "nobody"
-	case 2:
+// invalidity is what is wrong with an invalid submission.
+type invalidity int
+
+const (
+	fitsNoMachine invalidity = iota
+	unknownTeam
+	unknownType
+	exceedsLimit
+	unknownZone
+	lacksField
+	invalidities int = iota
+)
+
+// invalidSubmission returns a submission that no controller may accept.
+func (sim *Simulation) invalidSubmission(job string, wrong invalidity) []byte {
+	spec := &jobs.Spec{
+		ID:        job,
+		Class:     "odd",
+		Team:      sim.cfg.Teams[0].Name,
+		Kind:      jobs.Array,
+		Priority:  "standard",
+		Tasks:     2,
+		CPUs:      1,
+		MemoryGB:  1,
+		Image:     "i",
+		ImageGB:   1,
+		EstimateS: 5,
+		Spot:      true,
+	}
+	const noTeam = "nobody"
+	switch wrong {
+	case fitsNoMachine:
+		spec.CPUs = 1e6
+	case unknownTeam:
+		spec.Team = noTeam
+	case unknownType:
 		spec.Types = []string{"no-such-type"}
-	case 3: // exceeds its team's limit
-		spec.Kind, spec.Tasks = jobs.Gang, 90_000
-	case 4:
+	case exceedsLimit:
+		spec.Kind = jobs.Gang
+		spec.Tasks = 90_000
+		if sim.cfg.Teams[0].CPUsMax == 0 {
+			spec.Team = noTeam
+		}
+	case unknownZone:
 		zone := "nowhere"
 		spec.Zone = &zone
 	}
-	if t := w.cfg.Teams[0]; how == 3 && t.CPUsMax == 0 {
-		spec.Team = "nobody"
-	}
 	raw, _ := json.Marshal(spec)
-	if how == 5 { // lacks a field
+	if wrong == lacksField {
 		raw = []byte(strings.Replace(string(raw), `"hops":2,`, "", 1))
 	}
 	return raw
--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -2,110 +2,129 @@
 
 import (
 	"container/heap"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
-	"net/url"
+	"net/http"
 	"strings"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
-	"github.com/harewalk/harewalk/internal/controller"
-	"github.com/harewalk/harewalk/internal/httpio"
-	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// virtualTime is a simulation: one queue of events in simulated time, in which the world and the real code
-// of the controllers run on one goroutine. The same seed gives the same run. Processors take no time in it.
+const (
+	// defaultMeanDelay is the mean time of a message on its way unless SetNetwork or SetLinkDelay changes it.
+	defaultMeanDelay = 2 * time.Millisecond
+	// userTimeout is how long a user waits for an answer.
+	userTimeout = 5 * time.Second
+	// initialEpochMS is the controllers' wall clock at the start, in milliseconds since the Unix epoch.
+	initialEpochMS = 1_800_000_000_000
+)
+
+// virtualTime is the environment of virtual time: one queue of events, in which the simulation and the real code of
+// the controllers run on the goroutine that calls Advance. The same seed gives the same run. Processors take no
+// time in it.
 type virtualTime struct {
-	simulation        *Simulation
-	clock             time.Duration
-	queue             eventQueue
-	nextSeq           uint64
-	rng               *rand.Rand
-	handlers          map[string]handlerFunc
-	controllers       []*simulatedController
-	meanDelay         time.Duration // of a message on its way
-	lossShare         float64       // share of messages that are lost
-	lateShare         float64       // share of requests that arrive after lag at most, perhaps when nobody waits any more
-	maxLateness       time.Duration
-	zoneOf            map[string]string    // by address; none of those that belong to no zone
-	partitions        map[string]Partition // by zone
-	delayed           []delayedMessage
-	rolloutGeneration int              // how many were begun or stopped
-	cutLinks          map[string]Links // by a controller's address for users: whom it has lost
-	recorder          func(message)    // told of each message that is sent; nil: nobody is
+	clock       time.Duration
+	queue       eventQueue
+	nextSeq     uint64
+	rng         *rand.Rand
+	controllers []*simulatedController
+	recorder    func(message) // called for each message that is sent, unless it is nil
+
+	handlers map[string]handlerFunc // by address
+	zoneOf   map[string]string      // by address; none for those that belong to no zone
+	network  network
+
+	rolloutGeneration int // raised when a rolling restart begins or is stopped
 }
 
-// SetNetwork says what happens to messages from now on: the mean time on the way, the share of messages lost,
-// and the share of requests that arrive late, by up to lag, long after who sent them gave up.
-func (w *Simulation) SetNetwork(mean time.Duration, lost, late float64, lag time.Duration) {
-	w.virtual.meanDelay, w.virtual.lossShare, w.virtual.lateShare, w.virtual.maxLateness = mean, lost, late, lag
+// network is what happens to messages on their way.
+type network struct {
+	meanDelay   time.Duration
+	lossShare   float64       // of all messages
+	lateShare   float64       // of requests that arrive late, by up to maxLateness
+	maxLateness time.Duration // perhaps long after the sender gave up
+	partitions  map[string]Partition
+	delayed     []delayedMessage // by partitions
+	cutLinks    map[string]Links // by a controller's address for users
 }
 
-// SetLinkDelay lets messages take a mean time on their way from now on; 0 is the usual one.
-func (w *Simulation) SetLinkDelay(mean time.Duration) {
-	w.virtual.meanDelay = max(mean, defaultMeanDelay)
+// SetNetwork changes what happens to messages from now on: their mean time on the way, the share of messages lost,
+// and the share of requests that arrive late, by up to maxLateness, perhaps long after the sender gave up.
+func (sim *Simulation) SetNetwork(mean time.Duration, lossShare, lateShare float64, maxLateness time.Duration) {
+	network := &sim.virtual.network
+	network.meanDelay = mean
+	network.lossShare = lossShare
+	network.lateShare = lateShare
+	network.maxLateness = maxLateness
 }
 
-// defaultMeanDelay is the mean time of a message on its way where nothing else is said.
-const defaultMeanDelay = 2 * time.Millisecond
+// SetLinkDelay changes the mean time of messages on their way from now on; 0 restores the default.
+func (sim *Simulation) SetLinkDelay(mean time.Duration) {
+	sim.virtual.network.meanDelay = max(mean, defaultMeanDelay)
+}
 
+// event is a call that is due at a time.
 type event struct {
 	due time.Duration
 	seq uint64
 	run func()
 }
 
+// eventQueue is a heap of events, ordered by when they are due and then by when they were scheduled.
 type eventQueue []event
 
-func (e eventQueue) Len() int { return len(e) }
-func (e eventQueue) Less(a, b int) bool {
-	return e[a].due < e[b].due || (e[a].due == e[b].due && e[a].seq < e[b].seq)
-}
-func (e eventQueue) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *eventQueue) Pop() any {
-	last := (*e)[len(*e)-1]
-	(*e)[len(*e)-1] = event{}
-	*e = (*e)[:len(*e)-1]
-	return last
+// Len implements heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
+func (q eventQueue) Less(a, b int) bool {
+	return q[a].due < q[b].due || (q[a].due == q[b].due && q[a].seq < q[b].seq)
 }
 
-// simulatedController is one controller of a simulation.
-type simulatedController struct {
-	env         *virtualTime
-	index       int
-	settings    *config.Settings
-	process     *controller.Simulated // nil while it does not run
-	startedAt   time.Duration
-	frozenUntil time.Duration // nothing happens in it before
-	incarnation int           // times it was started
-	draining    bool
-	epochMS     int64
-	maxLevel    rollout.Level // the highest that its present process knows
+// Swap implements heap.Interface.
+func (q eventQueue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+
+// Push implements heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop implements heap.Interface.
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	(*q)[len(*q)-1] = event{}
+	*q = (*q)[:len(*q)-1]
+	return last
 }
 
-// NewVirtualTime starts a world in simulated time, with its controllers; operator, unless it is nil, adds
-// operators' settings to each.
+// NewVirtualTime starts a simulation in virtual time, with its controllers. The function operator, unless it is
+// nil, adds operators' settings to each controller's; its error, like one of the settings, is returned.
 func NewVirtualTime(cfg Config, operator func(*config.Settings) error) (*Simulation, error) {
-	env := &virtualTime{rng: rand.New(rand.NewPCG(cfg.Seed, 13)), handlers: map[string]handlerFunc{}, zoneOf: map[string]string{}, meanDelay: defaultMeanDelay}
+	env := &virtualTime{
+		rng:      rand.New(rand.NewPCG(cfg.Seed, virtualTimeStream)),
+		handlers: map[string]handlerFunc{},
+		zoneOf:   map[string]string{},
+		network: network{
+			meanDelay:  defaultMeanDelay,
+			partitions: map[string]Partition{},
+			cutLinks:   map[string]Links{},
+		},
+	}
 	sim, err := newSimulation(cfg, env)
 	if err != nil {
 		return nil, err
 	}
-	env.simulation, sim.virtual = sim, env
+	sim.virtual = env
 	for i := range sim.settings {
-		set, err := config.Parse(sim.SettingsJSON(i))
-		if err == nil && operator != nil {
-			err = operator(set)
-		}
+		settings, err := config.Parse(sim.SettingsJSON(i))
 		if err != nil {
 			return nil, err
 		}
-		controller := &simulatedController{env: env, index: i, settings: set, epochMS: 1_800_000_000_000}
-		env.controllers = append(env.controllers, controller)
-		env.handlers[set.Public], env.zoneOf[set.Public] = controller.serve, set.Zone
+		if operator != nil {
+			if err := operator(settings); err != nil {
+				return nil, err
+			}
+		}
+		env.addController(i, settings)
 	}
 	for i := range env.controllers {
 		sim.StartController(i)
@@ -113,269 +132,153 @@
 	return sim, nil
 }
 
-func (s *virtualTime) now() time.Duration { return s.clock }
+func (env *virtualTime) addController(index int, settings *config.Settings) {
+	controller := &simulatedController{env: env, index: index, settings: settings, epochMS: initialEpochMS}
+	env.controllers = append(env.controllers, controller)
+	env.handlers[settings.Public] = controller.serve
+	env.zoneOf[settings.Public] = settings.Zone
+}
+
+func (env *virtualTime) now() time.Duration { return env.clock }
 
-func (s *virtualTime) schedule(duration time.Duration, f func()) {
-	s.nextSeq++
-	heap.Push(&s.queue, event{s.clock + max(0, duration), s.nextSeq, f})
+func (env *virtualTime) schedule(duration time.Duration, f func()) {
+	env.nextSeq++
+	heap.Push(&env.queue, event{due: env.clock + max(0, duration), seq: env.nextSeq, run: f})
 }
 
-func (s *virtualTime) listen(name, zone string, handler handlerFunc) (string, error) {
+func (env *virtualTime) listen(name, zone string, handler handlerFunc) (string, error) {
 	addr := name + ":80"
-	s.handlers[addr], s.zoneOf[addr] = handler, zone
+	env.handlers[addr] = handler
+	env.zoneOf[addr] = zone
 	return addr, nil
 }
 
-func (s *virtualTime) controllerAddrs(i int) (public, back string, err error) {
+func (env *virtualTime) controllerAddrs(i int) (public, back string, err error) {
 	return fmt.Sprintf("node-%d:80", i), fmt.Sprintf("node-%d:81", i), nil
 }
 
-func (s *virtualTime) close() { s.queue = nil }
+func (env *virtualTime) close() { env.queue = nil }
 
-// Advance lets time pass, by d.
-func (w *Simulation) Advance(duration time.Duration) {
-	env := w.virtual
+// Advance runs all events of a time from now on.
+func (sim *Simulation) Advance(duration time.Duration) {
+	env := sim.virtual
 	end := env.clock + duration
 	for len(env.queue) > 0 && env.queue[0].due <= end {
-		e := heap.Pop(&env.queue).(event)
-		env.clock = e.due
-		e.run()
+		next := heap.Pop(&env.queue).(event)
+		env.clock = next.due
+		next.run()
 	}
 	env.clock = end
 }
 
-// After calls f in the world's time.
-func (w *Simulation) After(duration time.Duration, f func()) { w.env.schedule(duration, f) }
-
-// Request sends a user's request to a controller; status 0: no answer came.
-func (w *Simulation) Request(i int, method, path string, body []byte, then func(status int, body []byte)) {
-	w.request(i, method, path, body, 5*time.Second, then)
+// Request sends a user's request to a controller, and checks its answer against those that users had received;
+// status 0 stands for no answer.
+func (sim *Simulation) Request(
+	controller int,
+	method, path string,
+	body []byte,
+	then func(status int, body []byte),
+) {
+	sim.requestWithin(userTimeout, controller, method, path, body, then)
 }
 
-func (w *Simulation) request(i int, method, path string, body []byte, limit time.Duration, then func(status int, body []byte)) {
-	sent := w.now()
-	a, ok := parseUserRequest(method, path, body)
-	w.noteCancelRequest(a)
-	public := w.virtual.controllers[i].settings.Public
-	q := httpRequest{sender: senderUser, method: method, path: path, body: body}
-	w.virtual.roundTrip("", public, q, limit, w.virtual.linkCheck(public, UserLinks), func(status int, raw []byte) {
-		if ok {
-			w.checkUserAnswer(a, sent, status, raw)
+func (sim *Simulation) requestWithin(
+	timeout time.Duration,
+	controller int,
+	method, path string,
+	body []byte,
+	then func(status int, body []byte),
+) {
+	sentAt := sim.now()
+	about, ofJob := parseUserRequest(method, path, body)
+	sim.noteCancelRequest(about)
+	public := sim.virtual.controllers[controller].settings.Public
+	request := httpRequest{sender: senderUser, method: method, path: path, body: body}
+	answered := func(status int, raw []byte) {
+		if ofJob {
+			sim.checkUserAnswer(about, sentAt, status, raw)
 		}
 		then(status, raw)
-	})
-	if method == "POST" && (path == "/v2/runs" || strings.HasSuffix(path, "/abort")) {
-		w.mu.Lock()
-		w.duplicate("", path, body)
-		w.mu.Unlock()
-	}
-}
-
-func (s *virtualTime) post(machine, zone, addr, path string, body []byte, then func(int, []byte)) {
-	request := httpRequest{sender: valueOr(machine, senderDuplicate), method: "POST", path: path, body: body}
-	s.roundTrip(zone, addr, request, heartbeatTimeout, s.linkCheck(addr, WorkerLinks), then)
-}
-
-// roundTrip carries a request from a zone there and an answer back, each after a time of its own. After the time
-// limit the answer is nobody's any more, though the request may be carried out.
-func (s *virtualTime) roundTrip(zone, addr string, request httpRequest, limit time.Duration, cut func() bool, then func(int, []byte)) {
-	s.recordMessage(requestTo(addr, request))
-	over := false
-	finish := func(status int, body []byte) {
-		if !over {
-			over = true
-			then(status, body)
-		}
 	}
-	s.schedule(limit, func() { finish(0, nil) })
-	way := jitter(s.rng, s.meanDelay)
-	if s.lateShare > 0 && s.rng.Float64() < s.lateShare {
-		way += time.Duration(s.rng.Float64() * float64(s.maxLateness))
-	}
-	if s.lossShare > 0 && s.rng.Float64() < s.lossShare {
-		return
-	}
-	refuse := func() { finish(0, nil) }
-	there := func() {
-		if cut() {
-			return
-		}
-		handler := s.handlers[addr]
-		if handler == nil {
-			refuse()
-			return
-		}
-		handler(request, func(status int, body any) {
-			raw, ok := body.([]byte)
-			if !ok {
-				raw, _ = json.Marshal(body)
-			}
-			s.recordMessage(answerFrom(addr, request, status, raw))
-			if !cut() && (s.lossShare == 0 || s.rng.Float64() >= s.lossShare) {
-				s.schedule(jitter(s.rng, s.meanDelay), func() { s.deliver(s.zoneOf[addr], zone, func() { finish(status, raw) }, refuse) })
-			}
-		})
+	sim.virtual.roundTrip("", public, request, timeout, sim.virtual.linkCheck(public, UserLinks), answered)
+	if method == http.MethodPost && (path == runsPath || strings.HasSuffix(path, abortSuffix)) {
+		sim.mu.Lock()
+		sim.duplicate("", path, body)
+		sim.mu.Unlock()
 	}
-	s.schedule(way, func() { s.deliver(zone, s.zoneOf[addr], there, refuse) })
 }
 
-// whileRunning calls f in a controller's present life, later if it is frozen, never if it has ended.
-func (n *simulatedController) whileRunning(f func()) func() {
-	life := n.incarnation
-	var g func()
-	g = func() {
-		switch {
-		case n.process == nil || n.incarnation != life:
-		case n.frozenUntil > n.env.clock:
-			n.env.schedule(n.frozenUntil-n.env.clock, g)
-		default:
-			f()
-		}
-	}
-	return g
-}
-
-// serve is the controller's HTTP side.
-func (n *simulatedController) serve(request httpRequest, reply replyFunc) {
-	if n.process == nil {
-		reply(0, nil)
-		return
-	}
-	n.whileRunning(func() {
-		n.process.Ask(request.method, request.path, request.body, func(status int, body []byte) { reply(status, body) })
-	})()
+func (env *virtualTime) post(machine, zone, addr, path string, body []byte, then func(int, []byte)) {
+	request := httpRequest{sender: valueOr(machine, senderDuplicate), method: http.MethodPost, path: path, body: body}
+	env.roundTrip(zone, addr, request, heartbeatTimeout, env.linkCheck(addr, WorkerLinks), then)
 }
 
-// controllerSender is a controller's way out; it belongs to one life.
-type controllerSender struct {
-	controller *simulatedController
-	limit      int
-	inFlight   int
+// exchange is one request from a zone to an address, and its answer.
+type exchange struct {
+	env     *virtualTime
+	zone    string
+	addr    string
+	request httpRequest
+	isCut   func() bool // whether the link is cut at this moment
+	then    func(status int, body []byte)
+	over    bool
 }
 
-// Send implements httpio.Sender.
-func (y *controllerSender) Send(addr string, r httpio.Request, done func(httpio.Response)) {
-	controller := y.controller
-	if y.inFlight >= y.limit {
-		controller.env.schedule(0, controller.whileRunning(func() { done(httpio.Response{Err: httpio.ErrBusy, Refused: true}) }))
-		return
+// roundTrip delivers a request from a zone, and the answer back, each after a time of its own. After the time limit
+// the answer is dropped, though the request may be carried out.
+func (env *virtualTime) roundTrip(
+	zone, addr string,
+	request httpRequest,
+	limit time.Duration,
+	isCut func() bool,
+	then func(int, []byte),
+) {
+	env.recordMessage(requestTo(addr, request))
+	x := &exchange{env: env, zone: zone, addr: addr, request: request, isCut: isCut, then: then}
+	env.schedule(limit, x.fail)
+	network := &env.network
+	delay := jitter(env.rng, network.meanDelay)
+	if network.lateShare > 0 && env.rng.Float64() < network.lateShare {
+		delay += time.Duration(env.rng.Float64() * float64(network.maxLateness))
 	}
-	y.inFlight++
-	u, err := url.Parse(r.Path)
-	if err != nil {
-		panic(err) // a path of the controller's own making
-	}
-	life := controller.incarnation
-	request := httpRequest{sender: controller.settings.Node, method: r.Method, path: u.Path, query: u.Query(), body: r.Body}
-	cut := controller.env.linkCheck(controller.settings.Public, linkTo(addr))
-	controller.env.roundTrip(controller.settings.Zone, addr, request, r.Timeout, cut, func(status int, body []byte) {
-		if controller.incarnation != life {
-			return
-		}
-		y.inFlight--
-		controller.whileRunning(func() { // whoever stands still hears of it later
-			if status == 0 {
-				done(httpio.Response{Err: httpio.ErrLost})
-				return
-			}
-			done(httpio.Response{Status: status, Body: body})
-		})()
-	})
-}
-
-// StartController starts a controller that does not run, with nothing but its settings.
-func (w *Simulation) StartController(i int) {
-	n, env := w.virtual.controllers[i], w.virtual
-	if n.process != nil {
+	if network.lossShare > 0 && env.rng.Float64() < network.lossShare {
 		return
 	}
-	n.incarnation++
-	n.startedAt, n.frozenUntil, n.maxLevel = env.clock, 0, w.MaxLevel(i)
-	var links []func([]byte)
-	for _, p := range env.controllers {
-		if p != n {
-			links = append(links, func(raw []byte) {
-				env.recordMessage(statusTo(p.settings.Node, n.settings.Node, raw))
-				env.schedule(jitter(env.rng, env.meanDelay), func() {
-					env.deliver(n.settings.Zone, p.settings.Zone, func() {
-						if p.process != nil && !env.linkCheck(n.settings.Public, PeerLinks)() && !env.linkCheck(p.settings.Public, PeerLinks)() {
-							p.whileRunning(func() { p.process.Hear(raw) })()
-						}
-					}, func() {})
-				})
-			})
-		}
-	}
-	n.process = controller.Simulate(n.settings, controller.Environment{
-		Now: func() time.Duration { return env.clock - n.startedAt }, EpochMS: n.epochMS + n.startedAt.Milliseconds(),
-		Seed: env.rng.Uint64(), Sender: func(limit int) httpio.Sender { return &controllerSender{controller: n, limit: limit} },
-	}, links...)
-	var tick func()
-	tick = n.whileRunning(func() {
-		n.process.Tick()
-		env.schedule(controller.TickEvery, tick)
-	})
-	env.schedule(jitter(env.rng, controller.TickEvery), tick)
+	env.schedule(delay, func() { env.deliver(zone, env.zoneOf[addr], x.requestArrived, x.fail) })
 }
 
-// KillController ends a controller without notice.
-func (w *Simulation) KillController(i int) {
-	if controller := w.virtual.controllers[i]; controller.process != nil {
-		controller.process = nil
-		w.stats.ControllersKilled++
+// finish passes an answer on, the first time that it is called.
+func (x *exchange) finish(status int, body []byte) {
+	if !x.over {
+		x.over = true
+		x.then(status, body)
 	}
 }
 
-// DrainController does to a controller what SIGTERM does, and calls ended when its process has ended.
-func (w *Simulation) DrainController(i int, ended func()) {
-	controller := w.virtual.controllers[i]
-	if controller.process == nil {
-		ended()
+func (x *exchange) fail() { x.finish(0, nil) }
+
+func (x *exchange) requestArrived() {
+	if x.isCut() {
 		return
 	}
-	out := controller.process.Drain()
-	controller.draining = true
-	w.stats.ControllersDrained++
-	var look func()
-	life := controller.incarnation
-	look = func() {
-		select {
-		case <-out:
-			controller.process, controller.draining = nil, false
-			ended()
-		default:
-			if controller.process == nil || controller.incarnation != life { // killed while it drained
-				controller.draining = false
-				ended()
-				return
-			}
-			w.virtual.schedule(w.cfg.TickInterval, look)
-		}
+	handler := x.env.handlers[x.addr]
+	if handler == nil {
+		x.fail()
+		return
 	}
-	look()
-}
-
-// ControllerRuns tells whether a controller runs.
-func (w *Simulation) ControllerRuns(i int) bool { return w.virtual.controllers[i].process != nil }
-
-// FreezeController lets a controller stand still for a time: what comes in waits, and its steady clock
-// has jumped when it goes on.
-func (w *Simulation) FreezeController(i int, duration time.Duration) {
-	w.virtual.controllers[i].frozenUntil = w.virtual.clock + duration
-	w.stats.ControllersFrozen++
-}
-
-// MoveWallClock moves a controller's clock on the wall; it counts from its next start.
-func (w *Simulation) MoveWallClock(i int, duration time.Duration) {
-	w.virtual.controllers[i].epochMS += duration.Milliseconds()
+	handler(x.request, x.reply)
 }
 
-// ActingLeaders lists the controllers that lead and may act now, as they believe themselves.
-func (w *Simulation) ActingLeaders() (ix []int) {
-	for i, controller := range w.virtual.controllers {
-		if controller.process != nil && controller.frozenUntil <= w.virtual.clock && controller.process.Leads() {
-			ix = append(ix, i)
-		}
+// reply sends the answer back.
+func (x *exchange) reply(status int, body any) {
+	env := x.env
+	raw := encodeBody(body)
+	env.recordMessage(answerFrom(x.addr, x.request, status, raw))
+	if x.isCut() || env.network.lossShare != 0 && env.rng.Float64() < env.network.lossShare {
+		return
 	}
-	return ix
+	arrived := func() { x.finish(status, raw) }
+	env.schedule(jitter(env.rng, env.network.meanDelay), func() {
+		env.deliver(env.zoneOf[x.addr], x.zone, arrived, x.fail)
+	})
 }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -11,105 +11,147 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// heartbeat is what a worker tells of itself.
-func (w *Simulation) heartbeat(now time.Duration, machine *Machine) fleet.Heartbeat {
+const (
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// maxEarlyGap is the longest time after a heartbeat until a change may make the next one early.
+	maxEarlyGap = 500 * time.Millisecond
+	// newOwnerGap is the time to the next heartbeat after the machine got a higher token.
+	newOwnerGap = 100 * time.Millisecond
+	// maxRetryS is the longest time, in seconds, to the next heartbeat after one that failed.
+	maxRetryS = 1
+)
+
+const heartbeatPath = "/checkin"
+
+// Names of commands on the wire.
+const (
+	commandLaunch = "launch"
+	commandHalt   = "halt"
+	commandForget = "forget"
+)
+
+// directCommands is the body of a request to a worker's own address.
+type directCommands struct {
+	Token    *uint64         `json:"mark"`
+	Session  *uint64         `json:"run"`
+	Commands []fleet.Command `json:"calls"`
+}
+
+// redirect is the body of an answer that names the controller to turn to.
+type redirect struct {
+	Node string `json:"keeper"`
+}
+
+// heartbeat makes a worker's next heartbeat.
+func (sim *Simulation) heartbeat(now time.Duration, machine *Machine) fleet.Heartbeat {
 	machine.seq++
-	r := fleet.Heartbeat{
-		Machine: machine.Name, Addr: machine.addr, Type: machine.machineType.Name, Zone: machine.zone, Spot: machine.spot, Session: machine.session, Seq: machine.seq,
-		Token: machine.token, Tasks: []fleet.TaskReport{},
+	heartbeat := fleet.Heartbeat{
+		Machine: machine.Name,
+		Addr:    machine.addr,
+		Type:    machine.machineType.Name,
+		Zone:    machine.zone,
+		Spot:    machine.spot,
+		Session: machine.session,
+		Seq:     machine.seq,
+		Token:   machine.token,
+		Tasks:   []fleet.TaskReport{},
 	}
 	if machine.noticeAt > 0 {
-		s := (machine.noticeAt - now).Seconds()
-		r.NoticeS = &s
+		remaining := (machine.noticeAt - now).Seconds()
+		heartbeat.NoticeS = &remaining
 	}
 	for _, task := range machine.tasks {
-		r.Tasks = append(r.Tasks, fleet.TaskReport{Task: task.name, Attempt: task.attempt, State: task.state, Why: task.reason, Saved: task.saved})
+		heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskReport{
+			Task:    task.name,
+			Attempt: task.attempt,
+			State:   task.state,
+			Why:     task.reason,
+			Saved:   task.saved,
+		})
 	}
-	return r
+	return heartbeat
 }
 
-// serveCommands is a worker's direct entry. A machine that hangs takes what waits once it resumes,
-// and commands that are held back on the way are carried out long after their sender gave up.
-func (w *Simulation) serveCommands(machine *Machine, request httpRequest, reply replyFunc) {
-	back := w.drawDelay(&w.delays.commandDelay)
-	w.afterDelay(w.drawDelay(&w.delays.commandDelay), func() {
-		w.receiveCommands(machine, request, func(status int, body any) { w.afterDelay(back, func() { reply(status, body) }) })
-	})
+// serveCommands answers direct requests to a worker, each way delayed if commands are. A machine that hangs serves
+// what waits once it resumes, and delayed commands are carried out long after their sender gave up.
+func (sim *Simulation) serveCommands(machine *Machine, request httpRequest, reply replyFunc) {
+	answerDelay := sim.drawDelay(&sim.faults.delays.commandDelay)
+	requestDelay := sim.drawDelay(&sim.faults.delays.commandDelay)
+	delayedReply := func(status int, body any) {
+		sim.afterDelay(answerDelay, func() { reply(status, body) })
+	}
+	sim.afterDelay(requestDelay, func() { sim.receiveCommands(machine, request, delayedReply) })
 }
 
-func (w *Simulation) receiveCommands(machine *Machine, request httpRequest, reply replyFunc) {
-	w.mu.Lock()
-	now := w.now()
-	wait := max(machine.hungUntil-now, machine.commandDelay)
+func (sim *Simulation) receiveCommands(machine *Machine, request httpRequest, reply replyFunc) {
+	sim.mu.Lock()
+	now := sim.now()
 	if now < machine.inboundLostUntil {
-		w.countLostLaunches(request.body)
-		w.mu.Unlock()
-		return // it never arrives
+		sim.countLostLaunches(request.body)
+		sim.mu.Unlock()
+		return
 	}
 	if machine.dead || now < machine.upAt {
-		w.mu.Unlock()
-		reply(504, nil)
+		sim.mu.Unlock()
+		reply(http.StatusGatewayTimeout, nil)
 		return
 	}
-	if wait > 0 {
+	if wait := max(machine.hungUntil-now, machine.commandDelay); wait > 0 {
 		if machine.commandDelay > 0 {
-			w.stats.CommandsDelayed++
+			sim.stats.CommandsDelayed++
 			machine.commandDelay = 0
 		}
-		w.mu.Unlock()
-		w.env.schedule(wait, func() { w.receiveCommands(machine, request, reply) })
+		sim.mu.Unlock()
+		sim.env.schedule(wait, func() { sim.receiveCommands(machine, request, reply) })
 		return
 	}
-	status, body := w.carryOutCommands(now, machine, request)
-	mute := now < machine.outboundLostUntil
-	w.mu.Unlock()
-	if !mute {
+	status, body := sim.carryOutCommands(now, machine, request)
+	answerLost := now < machine.outboundLostUntil
+	sim.mu.Unlock()
+	if !answerLost {
 		reply(status, body)
 	}
 }
 
-func (w *Simulation) carryOutCommands(now time.Duration, machine *Machine, request httpRequest) (int, any) {
-	w.expireWorkerLease(now, machine)
+// carryOutCommands answers with the worker's status, and 409 to commands of a former owner or for a former session.
+func (sim *Simulation) carryOutCommands(now time.Duration, machine *Machine, request httpRequest) (int, any) {
+	sim.expireWorkerLease(now, machine)
 	if request.path == "/status" {
-		return 200, w.heartbeat(now, machine)
+		return http.StatusOK, sim.heartbeat(now, machine)
 	}
-	var o struct {
-		Token    *uint64         `json:"mark"`
-		Session  *uint64         `json:"run"`
-		Commands []fleet.Command `json:"calls"`
+	var direct directCommands
+	if json.Unmarshal(request.body, &direct) != nil || direct.Token == nil || direct.Session == nil {
+		return http.StatusBadRequest, nil
 	}
-	if json.Unmarshal(request.body, &o) != nil || o.Token == nil || o.Session == nil {
-		return 400, nil
+	if *direct.Token < machine.token || *direct.Session != machine.session {
+		return http.StatusConflict, sim.heartbeat(now, machine)
 	}
-	if *o.Token < machine.token || *o.Session != machine.session {
-		return 409, w.heartbeat(now, machine)
-	}
-	machine.token = *o.Token
-	had := len(machine.tasks)
-	w.execute(now, machine, o.Commands)
-	for _, task := range machine.tasks[min(had, len(machine.tasks)):] {
+	machine.token = *direct.Token
+	before := len(machine.tasks)
+	sim.execute(now, machine, direct.Commands)
+	for _, task := range machine.tasks[min(before, len(machine.tasks)):] {
 		task.directLaunch = true
 	}
-	return 200, w.heartbeat(now, machine)
+	return http.StatusOK, sim.heartbeat(now, machine)
 }
 
-// execute carries commands out.
-func (w *Simulation) execute(now time.Duration, machine *Machine, cs []fleet.Command) {
-	for _, c := range cs {
-		i := slices.IndexFunc(machine.tasks, func(task *workerTask) bool { return task.name == c.Task && task.attempt == c.Attempt })
-		switch c.Op {
-		case "launch":
+// execute carries out commands. Those for what the machine doesn't have are ignored.
+func (sim *Simulation) execute(now time.Duration, machine *Machine, commands []fleet.Command) {
+	for _, command := range commands {
+		i := slices.IndexFunc(machine.tasks, func(task *workerTask) bool {
+			return task.name == command.Task && task.attempt == command.Attempt
+		})
+		switch command.Op {
+		case commandLaunch:
 			if i < 0 {
-				machine.tasks = append(machine.tasks, w.launch(now, machine, c))
+				machine.tasks = append(machine.tasks, sim.launch(now, machine, command))
 			}
-		case "halt":
+		case commandHalt:
 			if i >= 0 && machine.tasks[i].state != taskExited {
-				if session := w.sessions[machine.tasks[i].spec.ID]; session != nil && machine.tasks[i].state == taskRunning {
-					session.processHalted(now, machine)
-				}
-				w.halt(now, machine.tasks[i], c)
+				sim.halt(now, machine, machine.tasks[i], command)
 			}
-		case "forget":
+		case commandForget:
 			if i >= 0 && machine.tasks[i].state == taskExited {
 				machine.tasks = slices.Delete(machine.tasks, i, i+1)
 			}
@@ -117,27 +159,35 @@
 	}
 }
 
-func (w *Simulation) launch(now time.Duration, machine *Machine, c fleet.Command) *workerTask {
-	id, _, _ := strings.Cut(c.Task, "/")
-	task := &workerTask{name: c.Task, attempt: c.Attempt, spec: w.spec(id), state: taskPulling, imageReadyAt: now, launchedAt: now}
+// launch returns the task that a command launches, exited already if it can't run.
+func (sim *Simulation) launch(now time.Duration, machine *Machine, command fleet.Command) *workerTask {
+	job, _, _ := strings.Cut(command.Task, "/")
+	task := &workerTask{
+		name:         command.Task,
+		attempt:      command.Attempt,
+		spec:         sim.spec(job),
+		state:        taskPulling,
+		imageReadyAt: now,
+		launchedAt:   now,
+	}
 	if task.spec == nil {
-		task.spec = &jobs.Spec{ID: id}
-		task.state, task.reason = taskExited, "no_such"
+		task.spec = &jobs.Spec{ID: job}
+		task.reject(reasonUnknownJob)
 		return task
 	}
 	free := machine.machineType.Size()
-	for _, o := range machine.tasks {
-		if o.state == taskExited {
+	for _, other := range machine.tasks {
+		if other.state == taskExited {
 			continue
 		}
-		if o.name == c.Task {
-			task.state, task.reason = taskExited, "in_use"
+		if other.name == command.Task {
+			task.reject(reasonDuplicate)
 			return task
 		}
-		free = free.Sub(o.spec.Size())
+		free = free.Sub(other.spec.Size())
 	}
 	if !task.spec.Size().Fits(free) {
-		task.state, task.reason = taskExited, "full"
+		task.reject(reasonNoRoom)
 		return task
 	}
 	if !machine.images[task.spec.Image] {
@@ -146,152 +196,189 @@
 	return task
 }
 
-// spec finds a job's description: as its user uploaded it or, where nobody did, as it stands
-// in the state service.
-func (w *Simulation) spec(id string) *jobs.Spec {
-	if w.specs[id] == nil {
-		var r jobs.Record
-		if json.Unmarshal(w.stateService.Keys[jobs.RecordKey(id)].Value, &r) == nil && r.Spec != nil {
-			w.specs[id] = r.Spec
+func (task *workerTask) reject(reason string) {
+	task.state = taskExited
+	task.reason = reason
+}
+
+// spec finds a job's specification: as its user uploaded it or, where nobody did, as the state service stores it. It
+// returns nil if there is none.
+func (sim *Simulation) spec(job string) *jobs.Spec {
+	if sim.work.specs[job] == nil {
+		var record jobs.Record
+		stored := sim.state.service.Keys[jobs.RecordKey(job)].Value
+		if json.Unmarshal(stored, &record) == nil && record.Spec != nil {
+			sim.work.specs[job] = record.Spec
 		}
 	}
-	return w.specs[id]
+	return sim.work.specs[job]
 }
 
-func (w *Simulation) halt(now time.Duration, task *workerTask, c fleet.Command) {
+// halt stops a task, after a checkpoint if its job can make one within the command's grace period.
+func (sim *Simulation) halt(now time.Duration, machine *Machine, task *workerTask, command fleet.Command) {
+	if session := sim.work.sessions[task.spec.ID]; session != nil && task.state == taskRunning {
+		session.processHalted(now, machine)
+	}
 	grace := 0.0
-	if c.GraceS != nil {
-		grace = *c.GraceS
+	if command.GraceS != nil {
+		grace = *command.GraceS
 	}
+	canCheckpoint := task.spec.CheckpointS > 0 && grace >= task.spec.SaveS && task.spec.Kind != jobs.Gang
 	switch {
 	case task.state == taskCheckpointing && grace > 0:
-	case task.state == taskRunning && task.spec.CheckpointS > 0 && grace >= task.spec.SaveS && task.spec.Kind != jobs.Gang:
-		task.state, task.checkpointDoneAt = taskCheckpointing, now+seconds(task.spec.SaveS)
+	case task.state == taskRunning && canCheckpoint:
+		task.state = taskCheckpointing
+		task.checkpointDoneAt = now + seconds(task.spec.SaveS)
 	default:
-		w.exitTask(now, task, "halted")
+		sim.exitTask(now, task, reasonHalted)
 	}
 }
 
-// heartbeatLoop sends a worker's next report when it is due, until the machine is gone.
-func (w *Simulation) heartbeatLoop(machine *Machine) {
-	gap := min(500*time.Millisecond, seconds(w.cfg.Workers.ReportS/4))
-	w.mu.Lock()
-	now := w.now()
+// sentHeartbeat identifies a heartbeat on its way.
+type sentHeartbeat struct {
+	sim         *Simulation
+	machine     *Machine
+	incarnation int
+	session     uint64
+	sentAt      time.Duration
+}
+
+// heartbeatLoop sends a worker's next heartbeat when it is due, and reschedules itself until the machine has ended.
+func (sim *Simulation) heartbeatLoop(machine *Machine) {
+	sim.mu.Lock()
+	now := sim.now()
 	if machine.dead {
-		w.mu.Unlock()
+		sim.mu.Unlock()
 		return
 	}
-	due := now >= machine.nextHeartbeat || (now-machine.lastSent >= gap && machine.summary() != machine.lastSummary)
-	if wait := max(machine.hungUntil, machine.upAt) - now; wait > 0 || !due {
-		w.mu.Unlock()
-		w.env.schedule(max(w.cfg.TickInterval, wait), func() { w.heartbeatLoop(machine) })
+	wait := max(machine.hungUntil, machine.upAt) - now
+	if wait > 0 || !sim.heartbeatDue(now, machine) {
+		sim.mu.Unlock()
+		sim.env.schedule(max(sim.cfg.TickInterval, wait), func() { sim.heartbeatLoop(machine) })
 		return
 	}
-	w.expireWorkerLease(now, machine)
-	r := w.heartbeat(now, machine)
-	body, _ := json.Marshal(r)
-	w.stats.Heartbeats++
-	w.stats.HeartbeatBytes += uint64(len(body))
-	machine.lastSummary, machine.lastSent = machine.summary(), now
-	machine.nextHeartbeat = now + seconds(w.cfg.Workers.ReportS*(0.75+0.5*w.rng.Float64()))
-	to, life, mute, shut := w.settings[machine.controller].Public, machine.incarnation, now < machine.outboundLostUntil, now < machine.outboundRefusedUntil
-	if !shut {
-		w.duplicate(machine.zone, "/checkin", body)
-		w.keepHeartbeat(machine.zone, body)
-	}
-	w.mu.Unlock()
-	heard := func(status int, answer []byte) { w.heartbeatAnswered(machine, life, now, r.Session, status, answer) }
-	unheard := func() { w.env.schedule(max(0, now+heartbeatTimeout-w.now()), func() { heard(0, nil) }) }
-	if mute {
-		unheard()
+	sim.expireWorkerLease(now, machine)
+	body := sim.nextHeartbeatBody(now, machine)
+	sent := &sentHeartbeat{
+		sim:         sim,
+		machine:     machine,
+		incarnation: machine.incarnation,
+		session:     machine.session,
+		sentAt:      now,
+	}
+	to := sim.settings[machine.controller].Public
+	lost := now < machine.outboundLostUntil
+	refused := now < machine.outboundRefusedUntil
+	if !refused {
+		sim.duplicate(machine.zone, heartbeatPath, body)
+		sim.keepHeartbeat(machine.zone, body)
+	}
+	sim.mu.Unlock()
+	switch {
+	case lost:
+		sent.timeOut()
+	case refused:
+		sim.env.schedule(0, func() { sent.answered(0, nil) })
+	default:
+		sim.env.post(machine.Name, machine.zone, to, heartbeatPath, body, sent.answerArrived)
+	}
+}
+
+// heartbeatDue reports whether it is time for the next heartbeat, which a change makes early.
+func (sim *Simulation) heartbeatDue(now time.Duration, machine *Machine) bool {
+	earlyGap := min(maxEarlyGap, seconds(sim.cfg.Workers.ReportS/4))
+	changed := func() bool { return machine.summary() != machine.lastSummary }
+	return now >= machine.nextHeartbeat || (now-machine.lastHeartbeat >= earlyGap && changed())
+}
+
+// nextHeartbeatBody makes and counts a heartbeat, and draws when the next is due.
+func (sim *Simulation) nextHeartbeatBody(now time.Duration, machine *Machine) []byte {
+	body, _ := json.Marshal(sim.heartbeat(now, machine))
+	sim.stats.Heartbeats++
+	sim.stats.HeartbeatBytes += uint64(len(body))
+	machine.lastSummary = machine.summary()
+	machine.lastHeartbeat = now
+	machine.nextHeartbeat = now + seconds(sim.cfg.Workers.ReportS*(0.75+0.5*sim.rng.Float64()))
+	return body
+}
+
+// answerArrived passes an answer on to the worker, unless it is lost or later than the worker waits.
+func (h *sentHeartbeat) answerArrived(status int, body []byte) {
+	sim := h.sim
+	sim.mu.Lock()
+	lost := sim.now() < h.machine.inboundLostUntil
+	if lost {
+		sim.countLostLaunches(body)
+	}
+	sim.mu.Unlock()
+	if lost {
+		h.timeOut()
 		return
 	}
-	if shut { // its connections fail at once
-		w.env.schedule(0, func() { heard(0, nil) })
+	delay := sim.drawDelay(&sim.faults.delays.heartbeatAnswerDelay)
+	if sim.now()+delay-h.sentAt > heartbeatTimeout {
+		h.timeOut()
 		return
 	}
-	w.env.post(machine.Name, machine.zone, to, "/checkin", body, func(status int, answer []byte) {
-		w.mu.Lock()
-		deaf := w.now() < machine.inboundLostUntil
-		if deaf {
-			w.countLostLaunches(answer)
-		}
-		w.mu.Unlock()
-		if deaf {
-			unheard()
-			return
-		}
-		if duration := w.drawDelay(&w.delays.heartbeatAnswerDelay); w.now()+duration-now <= heartbeatTimeout {
-			w.afterDelay(duration, func() { heard(status, answer) })
-			return
-		}
-		unheard()
-	})
+	sim.afterDelay(delay, func() { h.answered(status, body) })
 }
 
-// heartbeatTimeout is how long a worker waits for the answer to a report.
-const heartbeatTimeout = 4 * time.Second
-
-// summary is what of a report changes with its tasks.
-func (m *Machine) summary() string {
-	var b strings.Builder
-	fmt.Fprint(&b, m.session, m.noticeAt)
-	for _, task := range m.tasks {
-		b.WriteString(task.name + task.state)
-	}
-	return b.String()
+// timeOut ends the heartbeat without an answer once the worker no longer waits.
+func (h *sentHeartbeat) timeOut() {
+	wait := max(0, h.sentAt+heartbeatTimeout-h.sim.now())
+	h.sim.env.schedule(wait, func() { h.answered(0, nil) })
 }
 
-// heartbeatAnswered takes the answer to a report.
-func (w *Simulation) heartbeatAnswered(machine *Machine, life int, sent time.Duration, session uint64, status int, body []byte) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	if now < machine.hungUntil && !machine.dead { // it reads the answer once it resumes
-		w.env.schedule(machine.hungUntil-now, func() { w.heartbeatAnswered(machine, life, sent, session, status, body) })
+// answered is the worker's handling of the answer to a heartbeat; status 0 stands for none. A machine that hangs
+// reads it once it resumes.
+func (h *sentHeartbeat) answered(status int, body []byte) {
+	sim, machine := h.sim, h.machine
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	now := sim.now()
+	if now < machine.hungUntil && !machine.dead {
+		sim.env.schedule(machine.hungUntil-now, func() { h.answered(status, body) })
 		return
 	}
-	defer w.env.schedule(w.cfg.TickInterval, func() { w.heartbeatLoop(machine) })
-	if machine.incarnation != life {
-		machine.nextHeartbeat = now // a former life's answer: the connection is gone
+	defer sim.env.schedule(sim.cfg.TickInterval, func() { sim.heartbeatLoop(machine) })
+	if machine.incarnation != h.incarnation {
+		machine.nextHeartbeat = now // the former incarnation's connection is gone
 		return
 	}
-	w.expireWorkerLease(now, machine)
-	w.stats.HeartbeatAnswerBytes += uint64(len(body))
-	if machine.dead || machine.session != session || now-sent > heartbeatTimeout {
+	sim.expireWorkerLease(now, machine)
+	sim.stats.HeartbeatAnswerBytes += uint64(len(body))
+	if machine.dead || machine.session != h.session || now-h.sentAt > heartbeatTimeout {
 		return
 	}
 	switch status {
-	case 200:
-		var a fleet.HeartbeatResponse
-		if json.Unmarshal(body, &a) != nil || a.Token < machine.token {
-			return
-		}
-		if a.Token > machine.token {
-			machine.nextHeartbeat = now + 100*time.Millisecond
-		}
-		machine.token, machine.leaseBase = a.Token, sent
-		w.execute(now, machine, a.Commands)
+	case http.StatusOK:
+		sim.heartbeatAccepted(now, machine, h.sentAt, body)
 		return
-	case 421:
-		var a struct {
-			Keeper string `json:"keeper"`
-		}
-		_ = json.Unmarshal(body, &a)
-		i := slices.IndexFunc(w.nodeNames(), func(n string) bool { return n == a.Keeper })
+	case http.StatusMisdirectedRequest:
+		var to redirect
+		_ = json.Unmarshal(body, &to)
+		i := slices.Index(sim.nodeNames(), to.Node)
 		if i >= 0 && i != machine.controller {
-			machine.controller, machine.nextHeartbeat = i, now
+			machine.controller = i
+			machine.nextHeartbeat = now
 			return
 		}
 	}
-	machine.controller = (machine.controller + 1) % w.cfg.Controllers
-	machine.nextHeartbeat = now + seconds(min(1, w.cfg.Workers.ReportS))
+	machine.controller = (machine.controller + 1) % sim.cfg.Controllers
+	machine.nextHeartbeat = now + seconds(min(maxRetryS, sim.cfg.Workers.ReportS))
 }
 
-// nodeNames are the controllers' names.
-func (w *Simulation) nodeNames() (ns []string) {
-	for _, s := range w.settings {
-		ns = append(ns, s.Node)
+// heartbeatAccepted renews the worker's lease from when the heartbeat was sent, and carries out the answer's
+// commands.
+func (sim *Simulation) heartbeatAccepted(now time.Duration, machine *Machine, sentAt time.Duration, body []byte) {
+	var answer fleet.HeartbeatResponse
+	if json.Unmarshal(body, &answer) != nil || answer.Token < machine.token {
+		return
+	}
+	if answer.Token > machine.token {
+		machine.nextHeartbeat = now + newOwnerGap
 	}
-	return ns
+	machine.token = answer.Token
+	machine.leaseBase = sentAt
+	sim.execute(now, machine, answer.Commands)
 }
--- a/internal/simulator/writes_test.go
+++ b/internal/simulator/writes_test.go
@@ -78,9 +78,9 @@
 	})
 	r.load(80 * time.Second)
 	r.Advance(15 * time.Second)
-	r.After(2*time.Second, func() { onLeader(time.Second, (*Simulation).KillController)(r.Simulation) })
+	r.After(2*time.Second, func() { r.onLeader(time.Second, r.KillController) })
 	r.Advance(10 * time.Second)
-	if l, _ := r.Simulation.Leader(); l >= 0 {
+	if l, _ := r.Leader(); l >= 0 {
 		r.Request(l, "POST", "/v2/admin", []byte(`{"op":"drain","kind":"machine","name":"`+r.BusiestMachine()+`","by":"test"}`), func(int, []byte) {})
 	}
 	rolled := false
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -19,7 +19,7 @@
 // zoneViews asks the leader about zones, by name.
 func (r *rolling) zoneViews() map[string]controller.ZoneView {
 	out := map[string]controller.ZoneView{}
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	if l < 0 {
 		return out
 	}
@@ -56,7 +56,7 @@
 
 // elsewhere is a zone that the leader isn't in.
 func (r *rolling) elsewhere() string {
-	l, _ := r.Simulation.Leader()
+	l, _ := r.Leader()
 	for _, z := range []string{"a", "b", "c"} {
 		if r.settings[l].Zone != z {
 			return z
@@ -105,11 +105,11 @@
 	r.submitMany(24, 20)
 	r.load(50 * time.Second)
 	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
-	old, _ := r.Simulation.Leader()
+	old, _ := r.Leader()
 	zone := r.settings[old].Zone
 	r.PartitionZone(zone, DelayBoth)
-	r.reach("led from elsewhere", 15*time.Second, func() bool { l, _ := r.Simulation.Leader(); return l >= 0 && r.settings[l].Zone != zone })
-	next, _ := r.Simulation.Leader()
+	r.reach("led from elsewhere", 15*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && r.settings[l].Zone != zone })
+	next, _ := r.Leader()
 	r.RefuseController(next, true)
 	r.Advance(10 * time.Second)
 	r.RefuseController(next, false)
@@ -196,7 +196,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		m := map[string]int{}
-		for _, x := range r.machines {
+		for _, x := range r.cloud.machines {
 			for _, task := range x.tasks {
 				if task.spec == spec && task.state != taskExited && !x.dead {
 					m[x.zone]++
@@ -279,7 +279,7 @@
 					r.After(duration, func() { r.PartitionZone(zone, Connected) })
 					lost++
 				case 4:
-					flapZoneFault(duration/8, 0, zone)(r.Simulation)
+					r.flapZone(zone, duration/8)
 					lost++
 				case 5:
 					r.PowerOffZone(zone)
@@ -294,9 +294,9 @@
 				case 7:
 					r.DrainController(i, func() { r.After(duration/8, func() { r.StartController(i) }) })
 				case 8:
-					during(duration/3, (*Simulation).SetStateOutage)(r.Simulation)
+					r.during(duration/3, r.SetStateOutage)
 				case 9:
-					during(duration/2, (*Simulation).SetCloudOutage)(r.Simulation)
+					r.during(duration/2, r.SetCloudOutage)
 				}
 			})
 		}
