--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -13,20 +13,20 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// everywhere asks every controller about every job, and about jobs that nobody submitted: one answer each.
-func (r *rolling) everywhere() {
+// checkAnswersEverywhere asks every controller about every job, and about jobs that nobody submitted: one answer each.
+func (r *testCluster) checkAnswersEverywhere() {
 	r.t.Helper()
-	for _, u := range r.users {
-		if len(u.told) == 0 {
+	for _, user := range r.users {
+		if len(user.finalStates) == 0 {
 			continue
 		}
-		r.holdsEverywhere(u.spec.ID, 200, u.told[0])
+		r.checkAnswerEverywhere(user.spec.ID, 200, user.finalStates[0])
 	}
-	r.holdsEverywhere("req-999999", 404, "")
+	r.checkAnswerEverywhere("req-999999", 404, "")
 }
 
-// holdsEverywhere asks every controller that runs about a job until each has told something else than 503.
-func (r *rolling) holdsEverywhere(id string, status int, stance string) {
+// checkAnswerEverywhere asks every controller that runs about a job until each has told something else than 503.
+func (r *testCluster) checkAnswerEverywhere(id string, status int, stance string) {
 	r.t.Helper()
 	for i := range r.Controllers() {
 		if !r.ControllerRuns(i) {
@@ -43,11 +43,11 @@
 	}
 }
 
-// recordsLeft counts the jobs' records that every controller follows.
-func (r *rolling) recordsLeft() int { return r.CountKeys(jobs.Prefix) }
+// countRecords counts the jobs' records that every controller follows.
+func (r *testCluster) countRecords() int { return r.CountKeys(jobs.Prefix) }
 
-// moves tells whether a transaction moves jobs into the archive.
-func moves(txn store.Txn) bool {
+// archivesJob tells whether a transaction moves jobs into the archive.
+func archivesJob(txn store.Txn) bool {
 	for _, o := range txn.Then {
 		if strings.HasPrefix(o.Put, archive.Prefix) {
 			return true
@@ -56,8 +56,8 @@
 	return false
 }
 
-// makes tells whether a transaction makes a job's record.
-func makes(txn store.Txn, id string) bool {
+// createsJob tells whether a transaction makes a job's record.
+func createsJob(txn store.Txn, id string) bool {
 	for _, o := range txn.Then {
 		if o.Put == jobs.RecordKey(id) {
 			return true
@@ -69,63 +69,63 @@
 // All ended jobs leave the followed keys, and every controller goes on telling what became of each; repeated
 // submissions and cancellations of them are answered like questions.
 func TestEndedJobsAreArchived(t *testing.T) {
-	r := newRolling(t, 401, 3, rollout.Newest, "soak_s = 3")
-	r.load(40 * time.Second)
-	r.Advance(40 * time.Second)
-	r.over()
-	r.reach("all moved", time.Minute, func() bool { return r.recordsLeft() == 0 })
-	if n := r.CountKeys(archive.Prefix); n != len(r.users) {
-		t.Errorf("%d answers are kept of %d jobs", n, len(r.users))
+	cluster := newTestCluster(t, 401, 3, rollout.Newest, "soak_s = 3")
+	cluster.submitJobs(40 * time.Second)
+	cluster.Advance(40 * time.Second)
+	cluster.waitUntilDone()
+	cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
+	if n := cluster.CountKeys(archive.Prefix); n != len(cluster.users) {
+		t.Errorf("%d answers are kept of %d jobs", n, len(cluster.users))
 	}
-	r.everywhere()
-	for i, u := range r.users {
+	cluster.checkAnswersEverywhere()
+	for i, user := range cluster.users {
 		path, body := "/v2/runs", []byte(nil)
-		if body, _ = json.Marshal(u.spec); i%2 == 0 {
-			path, body = "/v2/runs/"+u.spec.ID+"/abort", []byte("{}")
+		if body, _ = json.Marshal(user.spec); i%2 == 0 {
+			path, body = "/v2/runs/"+user.spec.ID+"/abort", []byte("{}")
 		}
-		r.Request(i%3, "POST", path, body, func(status int, raw []byte) {
-			if got := jobStateIn(raw); status != 200 || got != u.told[0] {
-				t.Errorf("%s on %s: %d %q, and it is %s", path, u.spec.ID, status, got, u.told[0])
+		cluster.Request(i%3, "POST", path, body, func(status int, raw []byte) {
+			if got := jobStateIn(raw); status != 200 || got != user.finalStates[0] {
+				t.Errorf("%s on %s: %d %q, and it is %s", path, user.spec.ID, status, got, user.finalStates[0])
 			}
 		})
-		r.Advance(50 * time.Millisecond)
+		cluster.Advance(50 * time.Millisecond)
 	}
-	if n := r.recordsLeft(); n != 0 {
+	if n := cluster.countRecords(); n != 0 {
 		t.Errorf("%d records were made again", n)
 	}
 }
 
 // A first submission's transaction is carried out long after its user's retry was accepted elsewhere, the job has ended
 // and been moved: it makes nothing.
-func TestFirstSubmissionLandsAfterTheMove(t *testing.T) {
+func TestDelayedSubmissionAfterArchivingCreatesNothing(t *testing.T) {
 	for _, late := range []time.Duration{25 * time.Second, 2 * time.Minute, 20 * time.Minute} {
 		t.Run(late.String(), func(t *testing.T) {
-			r := newRolling(t, 402, 3, rollout.Newest, "soak_s = 3")
-			r.Advance(12 * time.Second)
+			cluster := newTestCluster(t, 402, 3, rollout.Newest, "soak_s = 3")
+			cluster.Advance(12 * time.Second)
 			held := 0
 			id := "req-000001"
-			r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
-				if makes(tx, id) && held == 0 {
+			cluster.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
+				if createsJob(tx, id) && held == 0 {
 					held++
 					return TxnOutcome{Delay: late}
 				}
 				return TxnOutcome{}
 			})
-			spec := drawJob(r.rng, 1)
+			spec := drawJob(cluster.rng, 1)
 			spec.ID, spec.EstimateS, spec.Tasks, spec.Kind, spec.Licences = id, 2, 2, jobs.Array, nil
-			u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-			r.users = append(r.users, u)
-			u.submit()
-			r.reach("moved", 30*time.Second, func() bool { return r.StoredItem(archive.Key(id)).Version != 0 })
-			moved := r.Now()
-			starts := r.Stats().TaskStarts
-			r.Advance(late + 10*time.Second)
-			if held != 1 || r.StoredItem(jobs.RecordKey(id)).Version != 0 || r.Stats().TaskStarts != starts {
+			user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+			cluster.users = append(cluster.users, user)
+			user.submit()
+			cluster.waitFor("moved", 30*time.Second, func() bool { return cluster.StoredItem(archive.Key(id)).Version != 0 })
+			moved := cluster.Now()
+			starts := cluster.Stats().TaskStarts
+			cluster.Advance(late + 10*time.Second)
+			if held != 1 || cluster.StoredItem(jobs.RecordKey(id)).Version != 0 || cluster.Stats().TaskStarts != starts {
 				t.Errorf("moved at %v; %d transactions were late; the record is at version %d; %d starts after the move",
-					moved, held, r.StoredItem(jobs.RecordKey(id)).Version, r.Stats().TaskStarts-starts)
+					moved, held, cluster.StoredItem(jobs.RecordKey(id)).Version, cluster.Stats().TaskStarts-starts)
 			}
-			r.holdsEverywhere(id, 200, "done")
-			r.over()
+			cluster.checkAnswerEverywhere(id, 200, "done")
+			cluster.waitUntilDone()
 		})
 	}
 }
@@ -133,55 +133,58 @@
 // Moves that are lost, unanswered, carried out late or twice, by leaders that are killed, frozen or handed over right
 // after they sent one, while watches lose their position or one controller is refused by the state service: every job
 // keeps its one answer at every controller, and all are moved in the end.
-func TestMovesMeetTroubles(t *testing.T) {
+func TestArchivingDuringFaults(t *testing.T) {
 	fates := map[string]func(n int) TxnOutcome{
 		"lost":       func(n int) TxnOutcome { return TxnOutcome{Dropped: n%2 == 0} },
 		"unanswered": func(n int) TxnOutcome { return TxnOutcome{Unanswered: n%2 == 0} },
 		"late":       func(n int) TxnOutcome { return TxnOutcome{Delay: time.Duration(n%3) * 4 * time.Second} },
 	}
-	around := map[string]func(r *rolling, l int){
-		"nothing":       func(*rolling, int) {},
-		"leader killed": func(r *rolling, l int) { r.KillController(l); r.After(3*time.Second, func() { r.StartController(l) }) },
-		"leader frozen": func(r *rolling, l int) { r.FreezeController(l, 8*time.Second) },
-		"handed over":   func(r *rolling, l int) { r.DrainController(l, func() { r.StartController(l) }) },
-		"positions":     func(r *rolling, _ int) { r.CompactHistory() },
-		"refused": func(r *rolling, l int) {
-			other := (l + 1) % r.Controllers()
-			r.RefuseController(other, true)
-			r.After(9*time.Second, func() { r.RefuseController(other, false) })
+	around := map[string]func(cluster *testCluster, l int){
+		"nothing": func(*testCluster, int) {},
+		"leader killed": func(cluster *testCluster, l int) {
+			cluster.KillController(l)
+			cluster.After(3*time.Second, func() { cluster.StartController(l) })
 		},
-		"watches stick": func(r *rolling, l int) {
-			other := (l + 1) % r.Controllers()
-			r.StallWatches(other, true)
-			r.After(12*time.Second, func() { r.StallWatches(other, false) })
+		"leader frozen": func(cluster *testCluster, l int) { cluster.FreezeController(l, 8*time.Second) },
+		"handed over":   func(cluster *testCluster, l int) { cluster.DrainController(l, func() { cluster.StartController(l) }) },
+		"positions":     func(cluster *testCluster, _ int) { cluster.CompactHistory() },
+		"refused": func(cluster *testCluster, l int) {
+			other := (l + 1) % cluster.Controllers()
+			cluster.RefuseController(other, true)
+			cluster.After(9*time.Second, func() { cluster.RefuseController(other, false) })
+		},
+		"watches stick": func(cluster *testCluster, l int) {
+			other := (l + 1) % cluster.Controllers()
+			cluster.StallWatches(other, true)
+			cluster.After(12*time.Second, func() { cluster.StallWatches(other, false) })
 		},
 	}
 	for fate, f := range fates {
 		for what, do := range around {
 			t.Run(fate+" "+what, func(t *testing.T) {
 				t.Parallel()
-				r := newRolling(t, 403, 3, rollout.Newest, "soak_s = 3")
-				r.SetPollBursts(true)
+				cluster := newTestCluster(t, 403, 3, rollout.Newest, "soak_s = 3")
+				cluster.SetPollBursts(true)
 				n, next := 0, time.Duration(0)
-				r.InterceptTxns(func(controller int, tx store.Txn) TxnOutcome {
-					if !moves(tx) || r.Now() > 80*time.Second {
+				cluster.InterceptTxns(func(controller int, tx store.Txn) TxnOutcome {
+					if !archivesJob(tx) || cluster.Now() > 80*time.Second {
 						return TxnOutcome{}
 					}
-					if r.Now() >= next {
-						next = r.Now() + 15*time.Second
-						r.After(time.Millisecond, func() { do(r, controller) })
+					if cluster.Now() >= next {
+						next = cluster.Now() + 15*time.Second
+						cluster.After(time.Millisecond, func() { do(cluster, controller) })
 					}
 					n++
 					return f(n)
 				})
-				r.load(50 * time.Second)
-				r.Advance(90 * time.Second)
-				for i := range r.Controllers() {
-					r.StartController(i)
+				cluster.submitJobs(50 * time.Second)
+				cluster.Advance(90 * time.Second)
+				for i := range cluster.Controllers() {
+					cluster.StartController(i)
 				}
-				r.over()
-				r.reach("all moved", 2*time.Minute, func() bool { return r.recordsLeft() == 0 })
-				r.everywhere()
+				cluster.waitUntilDone()
+				cluster.waitFor("all moved", 2*time.Minute, func() bool { return cluster.countRecords() == 0 })
+				cluster.checkAnswersEverywhere()
 				if n < 3 {
 					t.Errorf("%d moves were sent", n)
 				}
@@ -192,95 +195,95 @@
 
 // An answer that can't be read: nothing is told of its job by anybody, nothing is decided, and every other job is told
 // of as ever. Once it can be read it is told.
-func TestUnreadableAnswer(t *testing.T) {
-	r := newRolling(t, 404, 3, rollout.Newest, "soak_s = 3")
-	r.load(15 * time.Second)
-	r.Advance(15 * time.Second)
-	r.over()
-	r.reach("all moved", time.Minute, func() bool { return r.recordsLeft() == 0 })
-	for i := range r.Controllers() { // nobody has it in memory any more
-		r.KillController(i)
-		r.StartController(i)
+func TestUnreadableArchivedAnswerIsUnavailable(t *testing.T) {
+	cluster := newTestCluster(t, 404, 3, rollout.Newest, "soak_s = 3")
+	cluster.submitJobs(15 * time.Second)
+	cluster.Advance(15 * time.Second)
+	cluster.waitUntilDone()
+	cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
+	for i := range cluster.Controllers() { // nobody has it in memory any more
+		cluster.KillController(i)
+		cluster.StartController(i)
 	}
-	r.Advance(12 * time.Second)
-	u := r.users[0]
-	key := archive.Key(u.spec.ID)
-	was := r.StoredItem(key).Value
-	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":7,"stance":"done"}`)})
-	body, _ := json.Marshal(u.spec)
-	for i := range r.Controllers() {
-		for path, b := range map[string][]byte{"/v2/runs": body, "/v2/runs/" + u.spec.ID + "/abort": []byte("{}")} {
-			r.Request(i, "POST", path, b, func(status int, raw []byte) {
+	cluster.Advance(12 * time.Second)
+	user := cluster.users[0]
+	key := archive.Key(user.spec.ID)
+	was := cluster.StoredItem(key).Value
+	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":7,"stance":"done"}`)})
+	body, _ := json.Marshal(user.spec)
+	for i := range cluster.Controllers() {
+		for path, b := range map[string][]byte{"/v2/runs": body, "/v2/runs/" + user.spec.ID + "/abort": []byte("{}")} {
+			cluster.Request(i, "POST", path, b, func(status int, raw []byte) {
 				if status != 503 {
 					t.Errorf("controller %d answers %s with %d %s", i, path, status, raw)
 				}
 			})
-			r.Advance(300 * time.Millisecond)
+			cluster.Advance(300 * time.Millisecond)
 		}
-		r.Request(i, "GET", "/v2/runs/"+u.spec.ID, nil, func(status int, raw []byte) {
+		cluster.Request(i, "GET", "/v2/runs/"+user.spec.ID, nil, func(status int, raw []byte) {
 			if status != 503 {
 				t.Errorf("controller %d says %d %s of what it can't read", i, status, raw)
 			}
 		})
-		r.Advance(300 * time.Millisecond)
+		cluster.Advance(300 * time.Millisecond)
 	}
-	if r.recordsLeft() != 0 || string(r.StoredItem(key).Value) == string(was) {
+	if cluster.countRecords() != 0 || string(cluster.StoredItem(key).Value) == string(was) {
 		t.Error("something was decided on what can't be read")
 	}
-	r.holdsEverywhere(r.users[1].spec.ID, 200, r.users[1].told[0])
-	r.WriteKeys(store.Op{Put: key, Value: was})
-	r.everywhere()
+	cluster.checkAnswerEverywhere(cluster.users[1].spec.ID, 200, cluster.users[1].finalStates[0])
+	cluster.WriteKeys(store.Op{Put: key, Value: was})
+	cluster.checkAnswersEverywhere()
 }
 
 // Nothing is moved before every controller can read the archive; after the rise what earlier releases stored is moved,
 // whoever leads, and found at every moment.
-func TestArchiveWaitsForTheLevel(t *testing.T) {
-	r := newRolling(t, 405, 3, rollout.Paged, "soak_s = 3")
-	r.load(100 * time.Second)
-	r.Advance(45 * time.Second)
-	if n := r.CountKeys(archive.Prefix); n != 0 || r.ClusterLevel() != rollout.Paged {
-		t.Fatalf("%d jobs are archived at level %d", n, r.ClusterLevel())
+func TestArchivingWaitsForTheLevel(t *testing.T) {
+	cluster := newTestCluster(t, 405, 3, rollout.Paged, "soak_s = 3")
+	cluster.submitJobs(100 * time.Second)
+	cluster.Advance(45 * time.Second)
+	if n := cluster.CountKeys(archive.Prefix); n != 0 || cluster.ClusterLevel() != rollout.Paged {
+		t.Fatalf("%d jobs are archived at level %d", n, cluster.ClusterLevel())
 	}
 	rolled := false
-	r.RollingRestart(rollout.Newest, 2*time.Second, func(i int) bool { return i == 1 }, func() { rolled = true })
+	cluster.RollingRestart(rollout.Newest, 2*time.Second, func(i int) bool { return i == 1 }, func() { rolled = true })
 	for !rolled {
-		if r.ClusterLevel() < rollout.Archived && r.CountKeys(archive.Prefix) > 0 {
+		if cluster.ClusterLevel() < rollout.Archived && cluster.CountKeys(archive.Prefix) > 0 {
 			t.Fatal("archived before the level")
 		}
-		r.Advance(200 * time.Millisecond)
+		cluster.Advance(200 * time.Millisecond)
 	}
-	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	r.reach("begun", 30*time.Second, func() bool { return r.CountKeys(archive.Prefix) > 5 })
-	l, _ := r.Leader()
-	r.KillController(l)
-	r.everywhere()
-	r.StartController(l)
-	r.over()
-	r.reach("all moved", 2*time.Minute, func() bool { return r.recordsLeft() == 0 })
-	r.everywhere()
+	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("begun", 30*time.Second, func() bool { return cluster.CountKeys(archive.Prefix) > 5 })
+	l, _ := cluster.Leader()
+	cluster.KillController(l)
+	cluster.checkAnswersEverywhere()
+	cluster.StartController(l)
+	cluster.waitUntilDone()
+	cluster.waitFor("all moved", 2*time.Minute, func() bool { return cluster.countRecords() == 0 })
+	cluster.checkAnswersEverywhere()
 }
 
 // What controllers know of jobs that ended long ago doesn't grow with their number: the state service holds their
 // answers, and a controller that starts reads as little after many jobs as after few.
-func TestWhatIsFollowedIsBounded(t *testing.T) {
-	r := newRolling(t, 406, 3, rollout.Newest, "soak_s = 3")
-	followed := func() int { return r.CountKeys("h/") }
+func TestControllerMemoryIsBoundedByLiveJobs(t *testing.T) {
+	cluster := newTestCluster(t, 406, 3, rollout.Newest, "soak_s = 3")
+	followed := func() int { return cluster.CountKeys("h/") }
 	var seen []int
 	for range 4 {
-		r.load(60 * time.Second)
-		r.Advance(60 * time.Second)
-		r.over()
-		r.reach("all moved", time.Minute, func() bool { return r.recordsLeft() == 0 })
+		cluster.submitJobs(60 * time.Second)
+		cluster.Advance(60 * time.Second)
+		cluster.waitUntilDone()
+		cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
 		seen = append(seen, followed())
 	}
 	if fmt.Sprint(seen[1:]) != fmt.Sprint([]int{seen[1], seen[1], seen[1]}) {
-		t.Errorf("%d keys are followed after each of four rounds, %d jobs in all", seen, len(r.users))
+		t.Errorf("%d keys are followed after each of four rounds, %d jobs in all", seen, len(cluster.users))
 	}
-	r.everywhere()
+	cluster.checkAnswersEverywhere()
 }
 
-// onMachines tells whether a task of a job is on some machine, by the world's truth.
-func (r *rolling) onMachines(id string) bool {
+// hasTasks tells whether a task of a job is on some machine, by the world's truth.
+func (r *testCluster) hasTasks(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, machine := range r.cloud.machines {
@@ -293,13 +296,13 @@
 	return false
 }
 
-// movesNothingThatRuns breaks the run if a job is moved of which a task is on a machine.
-func (r *rolling) movesNothingThatRuns() (moved *int) {
+// checkArchivedJobsAreGone breaks the run if a job is moved of which a task is on a machine.
+func (r *testCluster) checkArchivedJobsAreGone() (moved *int) {
 	moved = new(int)
 	r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 		for _, o := range tx.Then {
 			if id, ok := strings.CutPrefix(o.Put, archive.Prefix); ok {
-				if *moved++; r.onMachines(id) {
+				if *moved++; r.hasTasks(id) {
 					r.ReportViolation("%s is archived, and a task of it is on a machine", id)
 				}
 			}
@@ -311,25 +314,25 @@
 
 // Jobs are cancelled while their machines hang or hear nothing, so that their tasks stay for long, and the lead changes: none
 // is archived before the last of its tasks is gone.
-func TestNothingIsArchivedThatMayRun(t *testing.T) {
-	r := newRolling(t, 407, 3, rollout.Newest, "soak_s = 3")
-	moved := r.movesNothingThatRuns()
-	r.load(90 * time.Second)
+func TestJobsWithTasksOnMachinesAreNotArchived(t *testing.T) {
+	cluster := newTestCluster(t, 407, 3, rollout.Newest, "soak_s = 3")
+	moved := cluster.checkArchivedJobsAreGone()
+	cluster.submitJobs(90 * time.Second)
 	for i := range 12 {
-		r.After(time.Duration(6*i+4)*time.Second, func() {
-			r.HangMachine(5 * time.Second)
-			r.DropInbound(2, "", 6*time.Second)
-			for _, u := range r.users[max(0, len(r.users)-6):] {
-				u.cancel()
+		cluster.After(time.Duration(6*i+4)*time.Second, func() {
+			cluster.HangMachine(5 * time.Second)
+			cluster.DropInbound(2, "", 6*time.Second)
+			for _, user := range cluster.users[max(0, len(cluster.users)-6):] {
+				user.cancel()
 			}
 		})
 	}
 	for i := range 3 {
-		r.After(time.Duration(25*i+15)*time.Second, func() { r.onLeader(3*time.Second, r.KillController) })
+		cluster.After(time.Duration(25*i+15)*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
 	}
-	r.Advance(100 * time.Second)
-	r.over()
-	r.reach("all moved", time.Minute, func() bool { return r.recordsLeft() == 0 })
+	cluster.Advance(100 * time.Second)
+	cluster.waitUntilDone()
+	cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
 	if *moved < 30 {
 		t.Errorf("%d jobs were moved", *moved)
 	}
@@ -338,38 +341,38 @@
 // A job's record can't be read as a term begins, so that nobody knows what its plan says, and can be read again as one that
 // was cancelled while its tasks run: it isn't archived in that term.
 func TestUnreadableRecordIsNotArchived(t *testing.T) {
-	r := newRolling(t, 408, 3, rollout.Newest, "soak_s = 3")
-	moved := r.movesNothingThatRuns()
-	r.Advance(3 * time.Second)
+	cluster := newTestCluster(t, 408, 3, rollout.Newest, "soak_s = 3")
+	moved := cluster.checkArchivedJobsAreGone()
+	cluster.Advance(3 * time.Second)
 	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}
-	u := &simUser{w: r.Simulation, rng: r.rng, spec: spec, asked: true}
-	r.users = append(r.users, u)
-	u.submit()
-	r.reach("running", 20*time.Second, func() bool { return r.Utilization().Running == 3 })
+	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec, cancelRequested: true}
+	cluster.users = append(cluster.users, user)
+	user.submit()
+	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 3 })
 	key := jobs.RecordKey(spec.ID)
-	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
+	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
 	for i := range 3 {
-		r.KillController(i)
+		cluster.KillController(i)
 	}
-	r.Advance(time.Second)
+	cluster.Advance(time.Second)
 	for i := range 3 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.reach("led", 20*time.Second, func() bool { return len(r.ActingLeaders()) > 0 })
-	r.Advance(2 * time.Second)                 // plans are read
-	for _, machine := range r.cloud.machines { // their reports say nothing meanwhile
-		machine.outboundLostUntil = r.Now() + 4*time.Second
+	cluster.waitFor("led", 20*time.Second, func() bool { return len(cluster.ActingLeaders()) > 0 })
+	cluster.Advance(2 * time.Second)                 // plans are read
+	for _, machine := range cluster.cloud.machines { // their reports say nothing meanwhile
+		machine.outboundLostUntil = cluster.Now() + 4*time.Second
 	}
-	r.WriteKeys(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
-	r.ConfirmCancelled(spec.ID)
-	r.Advance(20 * time.Second)
+	cluster.WriteKeys(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
+	cluster.ConfirmCancelled(spec.ID)
+	cluster.Advance(20 * time.Second)
 	if *moved != 0 {
 		t.Errorf("%d jobs were moved by a leader that doesn't know their plans", *moved)
 	}
-	l, _ := r.Leader()
-	r.KillController(l)
-	r.Advance(5 * time.Second)
-	r.StartController(l)
-	r.over()
-	r.reach("moved by the next", time.Minute, func() bool { return r.recordsLeft() == 0 })
+	l, _ := cluster.Leader()
+	cluster.KillController(l)
+	cluster.Advance(5 * time.Second)
+	cluster.StartController(l)
+	cluster.waitUntilDone()
+	cluster.waitFor("moved by the next", time.Minute, func() bool { return cluster.countRecords() == 0 })
 }
--- a/internal/simulator/sim_test.go
+++ b/internal/simulator/chaos_test.go
@@ -22,62 +22,62 @@
 	os.Exit(m.Run())
 }
 
-// simUser follows one job of a simulation and keeps what it was told.
-type simUser struct {
-	w      *Simulation
-	rng    *rand.Rand
-	spec   *jobs.Spec
-	told   []string // final answers
-	heard  History
-	asked  bool
-	status int
+// testUser follows one job of a simulation and keeps what it was told.
+type testUser struct {
+	simulation      *Simulation
+	rng             *rand.Rand
+	spec            *jobs.Spec
+	finalStates     []string // final answers
+	history         History
+	cancelRequested bool
+	status          int
 }
 
-func (u *simUser) ask(method, path string, body []byte, then func(int, string)) {
-	u.w.Request(u.rng.IntN(u.w.Controllers()), method, path, body, func(status int, raw []byte) {
+func (u *testUser) request(method, path string, body []byte, then func(int, string)) {
+	u.simulation.Request(u.rng.IntN(u.simulation.Controllers()), method, path, body, func(status int, raw []byte) {
 		var v jobView
 		_ = json.Unmarshal(raw, &v)
 		then(status, v.State)
 	})
 }
 
-func (u *simUser) submit() {
-	u.w.AddJob(u.spec)
+func (u *testUser) submit() {
+	u.simulation.AddJob(u.spec)
 	body, _ := json.Marshal(u.spec)
 	var again func()
 	again = func() {
-		u.ask("POST", "/v2/runs", body, func(status int, _ string) {
+		u.request("POST", "/v2/runs", body, func(status int, _ string) {
 			if u.status = status; status == 200 || status == 201 {
-				u.heard = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+				u.history = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
 				u.poll()
 				return
 			}
-			u.w.After(time.Second, again)
+			u.simulation.After(time.Second, again)
 		})
 	}
 	again()
 }
 
-func (u *simUser) cancel() {
-	u.asked = true
-	u.ask("POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, stance string) {
+func (u *testUser) cancel() {
+	u.cancelRequested = true
+	u.request("POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, stance string) {
 		switch {
 		case status != 200:
-			u.w.After(time.Second, u.cancel)
+			u.simulation.After(time.Second, u.cancel)
 		case stance == "cancelled":
-			u.w.ConfirmCancelled(u.spec.ID)
+			u.simulation.ConfirmCancelled(u.spec.ID)
 		}
 	})
 }
 
-func (u *simUser) poll() {
-	u.ask("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, stance string) {
-		u.w.CheckAnswer(&u.heard, status, stance, u.asked)
-		if u.heard.FinalAnswers > len(u.told) {
-			u.told = append(u.told, stance)
+func (u *testUser) poll() {
+	u.request("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, stance string) {
+		u.simulation.CheckAnswer(&u.history, status, stance, u.cancelRequested)
+		if u.history.FinalAnswers > len(u.finalStates) {
+			u.finalStates = append(u.finalStates, stance)
 		}
-		if len(u.told) < 4 {
-			u.w.After(time.Duration(500+u.rng.IntN(1500))*time.Millisecond, u.poll)
+		if len(u.finalStates) < 4 {
+			u.simulation.After(time.Duration(500+u.rng.IntN(1500))*time.Millisecond, u.poll)
 		}
 	})
 }
@@ -100,12 +100,12 @@
 	return spec
 }
 
-// watchActing checks that at most one controller may act by its own state, at every moment.
-func (sim *Simulation) watchActing() {
+// watchActingLeaders checks that at most one controller may act by its own state, at every moment.
+func (sim *Simulation) watchActingLeaders() {
 	if leaders := sim.ActingLeaders(); len(leaders) > 1 {
 		sim.ReportViolation("controllers %v believe that they may act", leaders)
 	}
-	sim.After(20*time.Millisecond, sim.watchActing)
+	sim.After(20*time.Millisecond, sim.watchActingLeaders)
 }
 
 const chaosPools = `licence "transcribe" {
@@ -119,9 +119,9 @@
 }
 `
 
-// chaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
+// runChaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
 // and the network fail at random, several at once, then lets everything heal, and returns the world and its users.
-func chaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*simUser) {
+func runChaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*testUser) {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
 		Seed: seed, MaxMachines: 12, Controllers: 3 + 2*int(seed%2), LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond,
@@ -133,14 +133,14 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 31))
 	sim.SetNetwork(time.Duration(1+rng.IntN(20))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-	var users []*simUser
+	var users []*testUser
 	for i := range njobs {
-		u := &simUser{w: sim, rng: rng, spec: drawJob(rng, i+1)}
-		users = append(users, u)
+		user := &testUser{simulation: sim, rng: rng, spec: drawJob(rng, i+1)}
+		users = append(users, user)
 		at := time.Duration(rng.Int64N(int64(faulty)))
-		sim.After(at, u.submit)
+		sim.After(at, user.submit)
 		if rng.IntN(6) == 0 {
-			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, u.cancel)
+			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
 		}
 	}
 	secs := func(most int) time.Duration { return time.Duration(rng.IntN(most*1000)) * time.Millisecond }
@@ -183,7 +183,7 @@
 			}
 		})
 	}
-	sim.watchActing()
+	sim.watchActingLeaders()
 	// A clock on the wall that is off by an hour, forward or back, from a controller's next start on.
 	sim.MoveWallClock(rng.IntN(n), time.Duration(rng.IntN(3)-1)*time.Hour)
 	sim.Advance(faulty + 25*time.Second)
@@ -193,8 +193,8 @@
 	}
 	for end := sim.Now() + 10*time.Minute; sim.Now() < end; sim.Advance(5 * time.Second) {
 		open := 0
-		for _, u := range users {
-			if len(u.told) < 4 {
+		for _, user := range users {
+			if len(user.finalStates) < 4 {
 				open++
 			}
 		}
@@ -216,22 +216,22 @@
 	var all Stats
 	ends := map[string]int{}
 	for seed := range seeds {
-		sim, users := chaos(t, uint64(seed+1), 60, 2*time.Minute)
+		sim, users := runChaos(t, uint64(seed+1), 60, 2*time.Minute)
 		for _, b := range sim.Violations() {
 			t.Errorf("seed %d: %s", seed+1, b)
 		}
-		for _, u := range users {
+		for _, user := range users {
 			switch {
-			case len(u.told) == 0:
-				t.Errorf("seed %d: %s is not over (status %d)", seed+1, u.spec.ID, u.status)
-			case u.told[0] == "cancelled" && !u.asked:
-				t.Errorf("seed %d: %s is cancelled, and nobody asked for it", seed+1, u.spec.ID)
+			case len(user.finalStates) == 0:
+				t.Errorf("seed %d: %s is not over (status %d)", seed+1, user.spec.ID, user.status)
+			case user.finalStates[0] == "cancelled" && !user.cancelRequested:
+				t.Errorf("seed %d: %s is cancelled, and nobody asked for it", seed+1, user.spec.ID)
 			default:
-				ends[u.told[0]]++
+				ends[user.finalStates[0]]++
 			}
-			for _, s := range u.told {
-				if s != u.told[0] {
-					t.Errorf("seed %d: %s was told %v", seed+1, u.spec.ID, u.told)
+			for _, s := range user.finalStates {
+				if s != user.finalStates[0] {
+					t.Errorf("seed %d: %s was told %v", seed+1, user.spec.ID, user.finalStates)
 				}
 			}
 		}
@@ -249,12 +249,12 @@
 }
 
 // The same seed gives the same run, to the last event.
-func TestSimulationRepeats(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	digest := func() string {
-		sim, users := chaos(t, 7, 25, 40*time.Second)
+		sim, users := runChaos(t, 7, 25, 40*time.Second)
 		s := fmt.Sprint(sim.Stats(), sim.Now(), sim.StartTimes())
-		for _, u := range users {
-			s += fmt.Sprint(u.told)
+		for _, user := range users {
+			s += fmt.Sprint(user.finalStates)
 		}
 		return s
 	}
@@ -266,19 +266,19 @@
 // Events against a plain automaton: through crashes, killed and hung machines each attempt of a task is sent,
 // perhaps runs, and comes to one end, in this order; a job's acceptance comes first and its end last; and as many
 // tasks are told done as there are.
-func TestEventsTellWhatHappened(t *testing.T) {
+func TestEventsMatchWhatHappened(t *testing.T) {
 	sim, err := NewVirtualTime(Config{Seed: 3, MaxMachines: 8, TickInterval: 20 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(3, 5))
-	var users []*simUser
+	var users []*testUser
 	for i := range 40 {
 		spec := drawJob(rng, i+1)
 		spec.Licences = nil
-		u := &simUser{w: sim, rng: rng, spec: spec}
-		users = append(users, u)
-		sim.After(time.Duration(rng.IntN(60))*time.Second, u.submit)
+		user := &testUser{simulation: sim, rng: rng, spec: spec}
+		users = append(users, user)
+		sim.After(time.Duration(rng.IntN(60))*time.Second, user.submit)
 	}
 	for i := range 12 {
 		sim.After(time.Duration(10+5*i)*time.Second, func() {
@@ -359,9 +359,9 @@
 			notes[e.Note]++
 		}
 	}
-	for _, u := range users {
-		if len(u.told) == 0 || u.told[0] != "done" || done[u.spec.ID] != u.spec.Tasks || state[u.spec.ID] != "job_done" {
-			t.Errorf("%s: told %v, %d of %d tasks done, %s", u.spec.ID, u.told, done[u.spec.ID], u.spec.Tasks, state[u.spec.ID])
+	for _, user := range users {
+		if len(user.finalStates) == 0 || user.finalStates[0] != "done" || done[user.spec.ID] != user.spec.Tasks || state[user.spec.ID] != "job_done" {
+			t.Errorf("%s: told %v, %d of %d tasks done, %s", user.spec.ID, user.finalStates, done[user.spec.ID], user.spec.Tasks, state[user.spec.ID])
 		}
 	}
 	if notes["error"] == 0 || kinds["task_lost"] == 0 || kinds["machine"] == 0 {
@@ -375,16 +375,16 @@
 // A leader stands still for longer than its hold lives. Its steady clock has jumped when it goes on: before it
 // has done anything else it is asked, by a worker, a user and an operator, and it acts for nobody; nor does the
 // one that leads now hear of it. Users and operators are told to come back, or who leads.
-func TestAskedAfterItsAuthorityEnded(t *testing.T) {
+func TestRequestsAfterAuthorityEndedAreRedirected(t *testing.T) {
 	sim, err := NewVirtualTime(Config{Seed: 5, MaxMachines: 4, Teams: []config.Team{{Name: "red"}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &simUser{w: sim, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
+	user := &testUser{simulation: sim, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
 		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
 		Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
 	}}
-	sim.After(3*time.Second, u.submit)
+	sim.After(3*time.Second, user.submit)
 	sim.Advance(15 * time.Second)
 	old, _ := sim.Leader()
 	sim.FreezeController(old, 12*time.Second)
@@ -393,7 +393,7 @@
 		return func(status int, _ []byte) { said[what] = append(said[what], status) }
 	}
 	// They wait in its sockets and are the first that it sees.
-	u.asked = true
+	user.cancelRequested = true
 	sim.After(11*time.Second+900*time.Millisecond, func() {
 		sim.Request(old, "GET", "/v2/runs", nil, note("list"))
 		sim.Request(old, "GET", "/v2/runs/req-000001/why", nil, note("why"))
@@ -427,7 +427,7 @@
 
 // Far more users than buffers hold submit and ask at one moment, at one controller: everybody is answered at once,
 // who is not served is told to come back, and in the end all are.
-func TestFullBuffers(t *testing.T) {
+func TestFullBuffersShedLoad(t *testing.T) {
 	sim, err := NewVirtualTime(Config{Seed: 6, MaxMachines: 20, Teams: []config.Team{{Name: "red"}}, TickInterval: 50 * time.Millisecond}, nil)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/simulator/coinciding_faults_test.go
@@ -0,0 +1,579 @@
+package simulator
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/capacity"
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// Where two troubles meet: each of the users' meetings, with its ingredients crossed. The holds live for 2 s here, a lease is
+// 6 s and cancel_s 11.5 s, 1 s more than the least that the settings accept.
+
+// newBusyCluster is a cluster on tight workers, with jobs of all kinds that run for long, so that something is to be lost.
+func newBusyCluster(t *testing.T, seed uint64, controllers, n int) (*testCluster, *Balancer) {
+	t.Helper()
+	return newBusyClusterOn(t, seed, controllers, n, shortTimers)
+}
+
+// newBusyClusterOn does so on other workers.
+func newBusyClusterOn(t *testing.T, seed uint64, controllers, n int, workers config.Workers) (*testCluster, *Balancer) {
+	t.Helper()
+	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
+	sim, err := NewVirtualTime(Config{
+		Seed: seed, MaxMachines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, TickInterval: 20 * time.Millisecond, Workers: workers, VariedRunTimes: true,
+		LicencePools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
+	},
+		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 43))}
+	cluster.watchInvariants()
+	balancer := cluster.Balance()
+	for i := range n {
+		cluster.submitLongJob(i, 20)
+	}
+	cluster.waitFor("working", 40*time.Second, func() bool { return n == 0 || cluster.Utilization().Running > n })
+	return cluster, balancer
+}
+
+// submitLongJob submits a long job: an array, a gang, or an array that saves.
+func (r *testCluster) submitLongJob(i int, estimate float64) *testUser {
+	return r.submitLongJobWith(i, estimate, func(*jobs.Spec) {})
+}
+
+// submitLongJobWith does so with something changed.
+func (r *testCluster) submitLongJobWith(i int, estimate float64, change func(*jobs.Spec)) *testUser {
+	spec := &jobs.Spec{
+		ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, MemoryGB: 1,
+		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true,
+	}
+	if i%5 > 0 { // machines stand in all zones
+		spec.Zone = &[]string{"a", "b", "c"}[i%3]
+	}
+	switch i % 4 {
+	case 1:
+		spec.Kind = jobs.Gang
+	case 2:
+		spec.CheckpointS, spec.SaveS = 1, 1.5
+	}
+	change(spec)
+	user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
+	r.users = append(r.users, user)
+	user.submit()
+	return user
+}
+
+// cancelAt lets a user's cancellation go through one controller, and elsewhere if that doesn't take it.
+func (r *testCluster) cancelAt(user *testUser, i int) {
+	user.cancelRequested = true
+	r.Request(i, "POST", "/v2/runs/"+user.spec.ID+"/abort", []byte("{}"), func(status int, raw []byte) {
+		switch {
+		case status != 200:
+			r.After(time.Second, user.cancel)
+		case jobStateIn(raw) == "cancelled":
+			r.ConfirmCancelled(user.spec.ID)
+		}
+	})
+}
+
+// waitForLeader names the controller that leads; one must.
+func (r *testCluster) waitForLeader() int {
+	r.t.Helper()
+	r.waitFor("led", 15*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
+	return r.ActingLeaders()[0]
+}
+
+// recoverAndCheck lets everything heal, waits for the end of all jobs, and checks what must hold then.
+func (r *testCluster) recoverAndCheck() {
+	r.t.Helper()
+	for i := range r.Controllers() {
+		r.StartController(i)
+	}
+	beside := r.WatchIdleCapacity()
+	r.waitUntilDone()
+	for _, n := range r.nodeNames() {
+		if r.StoredItem("h/c/n/"+n).Version == 0 {
+			r.t.Errorf("%s is there and has no member key", n)
+		}
+	}
+	s := r.Stats()
+	longest, job := beside()
+	r.t.Logf("cancelled tasks stayed %v at most, of %v; %s waited %v beside room; %d tasks began after their cancellation, the latest %v", s.LongestRunAfterCancel, seconds(shortTimers.CancelS), job, longest, s.StartsAfterCancel, s.LatestStartAfterCancel)
+}
+
+// gapFaults is what else goes on in a gap, by name; each is given the leader.
+var gapFaults = map[string]func(cluster *testCluster, l int){
+	"nothing": func(*testCluster, int) {},
+	"leader killed": func(cluster *testCluster, l int) {
+		cluster.KillController(l)
+		cluster.After(4*time.Second, func() { cluster.StartController(l) })
+	},
+	"leader back at once": func(cluster *testCluster, l int) {
+		cluster.KillController(l)
+		cluster.After(100*time.Millisecond, func() { cluster.StartController(l) })
+	},
+	"leader frozen":  func(cluster *testCluster, l int) { cluster.FreezeController(l, 5*time.Second) },
+	"leader drained": func(cluster *testCluster, l int) { cluster.DrainController(l, func() { cluster.StartController(l) }) },
+	"machines hang": func(cluster *testCluster, _ int) {
+		for range 6 {
+			cluster.HangMachine(5 * time.Second)
+		}
+	},
+	"machines deaf": func(cluster *testCluster, _ int) { cluster.DropInbound(8, "", 9*time.Second) },
+	"commands held": func(cluster *testCluster, _ int) {
+		cluster.DelayCommands(time.Second, 5*time.Second)
+		cluster.After(6*time.Second, func() { cluster.DelayCommands(0, 0) })
+	},
+	"watches stick": func(cluster *testCluster, l int) {
+		cluster.StallWatches(l, true)
+		cluster.After(20*time.Second, func() { cluster.StallWatches(l, false) })
+	},
+	"copies": func(cluster *testCluster, _ int) {
+		cluster.DuplicateMessages(0.4, 200*time.Millisecond, 20*time.Second)
+	},
+}
+
+// The gap: the state service refuses the leader alone, another controller confirms cancellations, then the service is down for
+// all for longer than cancel_s, while the workers keep reporting to the old leader; and once more. The refusal ends before, in or
+// after the outage, and something else goes on inside.
+func TestCancellationsAcrossStateOutages(t *testing.T) {
+	for what, f := range gapFaults {
+		for _, refused := range []time.Duration{400 * time.Millisecond, 8 * time.Second, 22 * time.Second} {
+			t.Run(fmt.Sprint(what, " ", refused), func(t *testing.T) {
+				cluster, _ := newBusyCluster(t, 201, 3, 24)
+				told := 0
+				for gap := range 2 {
+					l := cluster.waitForLeader()
+					cluster.RefuseController(l, true)
+					cluster.After(refused, func() { cluster.RefuseController(l, false) })
+					cluster.After(300*time.Millisecond, func() { f(cluster, l) })
+					for k := range 8 {
+						user := cluster.users[8*gap+k]
+						cluster.After(time.Duration(50+140*k)*time.Millisecond, func() { cluster.cancelAt(user, (l+1+k%2)%3) })
+					}
+					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
+					cluster.Advance(1100*time.Millisecond + seconds(1.2*shortTimers.CancelS))
+					cluster.mu.Lock()
+					if len(cluster.work.cancelledAt) < told+4 {
+						t.Errorf("gap %d: %d cancellations were confirmed", gap, len(cluster.work.cancelledAt)-told)
+					}
+					told = len(cluster.work.cancelledAt)
+					cluster.mu.Unlock()
+					cluster.SetStateOutage(false)
+					cluster.Advance(6 * time.Second)
+				}
+				cluster.recoverAndCheck()
+			})
+		}
+	}
+}
+
+// The followed keys of a leader don't come while its renewals and reads succeed, and jobs are cancelled through others: it
+// stops acting when its picture is too old for cancel_s, and hands on so that somebody else can lead.
+func TestLeaderWithStaleStateStepsDown(t *testing.T) {
+	for _, slow := range []bool{false, true} {
+		cluster, _ := newBusyCluster(t, 202, 3, 24)
+		l, from := cluster.waitForLeader(), cluster.Now()
+		cluster.StallWatches(l, true)
+		if slow {
+			cluster.DelayStateAnswers(20*time.Millisecond, 900*time.Millisecond)
+		}
+		for k := range 12 {
+			cluster.After(time.Duration(100+300*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) })
+		}
+		cluster.waitFor("led from elsewhere", 14*time.Second, func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l })
+		t.Logf("led from elsewhere after %v", cluster.Now()-from)
+		cluster.Advance(10 * time.Second)
+		cluster.StallWatches(l, false)
+		cluster.DelayStateAnswers(0, 0)
+		cluster.recoverAndCheck()
+	}
+}
+
+// A watch of the leader is lost while the service answers everything else: it is asked anew, and the lead stays.
+func TestLostWatchIsReopened(t *testing.T) {
+	cluster, _ := newBusyCluster(t, 203, 3, 6)
+	l := cluster.waitForLeader()
+	_, term := cluster.Leader()
+	cluster.mu.Lock()
+	cluster.state.dropWatches = true
+	cluster.mu.Unlock()
+	cluster.Advance(1600 * time.Millisecond)
+	cluster.mu.Lock()
+	cluster.state.dropWatches = false
+	cluster.mu.Unlock()
+	cluster.Advance(10 * time.Second)
+	if n, now := cluster.Leader(); n != l || now != term {
+		t.Errorf("controller %d leads in term %d, it was %d in %d", n, now, l, term)
+	}
+	if len(cluster.ActingLeaders()) != 1 {
+		t.Error("nobody may act: the watch is waited for")
+	}
+	cluster.recoverAndCheck()
+}
+
+// The first answer of a new leader is the last that a machine hears: it hasn't seen the token yet, and what was cancelled
+// on it must have been stopped by that answer, for it extends the lease.
+func TestFirstHeartbeatAnswerHaltsCancelledTasks(t *testing.T) {
+	cluster, _ := newBusyCluster(t, 204, 3, 30)
+	l := cluster.waitForLeader()
+	zone := cluster.zoneWithoutLeader()
+	cluster.PartitionZone(zone, RefuseBoth)
+	from := cluster.Now()
+	for k, user := range cluster.users {
+		cluster.After(time.Duration(20*k)*time.Millisecond, func() { cluster.cancelAt(user, (l+1+k%2)%3) })
+	}
+	cluster.Advance(200 * time.Millisecond)
+	cluster.KillController(l)
+	cluster.After(30*time.Second, func() { cluster.StartController(l) })
+	old := map[string]uint64{}
+	cluster.mu.Lock()
+	for _, machine := range cluster.readyMachines() {
+		old[machine.Name] = machine.token
+	}
+	cluster.mu.Unlock()
+	cluster.Advance(5400*time.Millisecond - (cluster.Now() - from))
+	cluster.PartitionZone(zone, Connected)
+	last := 0
+	for range 800 {
+		cluster.Advance(time.Millisecond)
+		cluster.mu.Lock()
+		for _, machine := range cluster.readyMachines() {
+			if machine.zone == zone && machine.token > old[machine.Name] && machine.inboundLostUntil == 0 && old[machine.Name] > 0 {
+				machine.inboundLostUntil, machine.outboundLostUntil = cluster.now()+40*time.Second, cluster.now()+40*time.Second
+				last++
+			}
+		}
+		cluster.mu.Unlock()
+	}
+	if last == 0 {
+		t.Error("no machine heard of the new leader")
+	}
+	cluster.recoverAndCheck()
+}
+
+// A command or its answer, or the answer to a report, is held up for up to a lease, and the machine then goes on: over
+// cancellations, moves, takeovers, new sessions and new attempts.
+func TestDelayedMessages(t *testing.T) {
+	const d = 12 * time.Second
+	hold := map[string]func(cluster *testCluster, most time.Duration){
+		"commands": func(cluster *testCluster, most time.Duration) { cluster.DelayCommands(most/4, most) },
+		"answers":  func(cluster *testCluster, most time.Duration) { cluster.DelayHeartbeatAnswers(most/4, most) },
+		"both": func(cluster *testCluster, most time.Duration) {
+			cluster.DelayCommands(most/4, most)
+			cluster.DelayHeartbeatAnswers(most/8, most/2)
+		},
+	}
+	meets := map[string]func(cluster *testCluster, k int){
+		"cancel": func(cluster *testCluster, k int) { cluster.cancelAt(cluster.users[k], k%3) },
+		"move":   func(cluster *testCluster, k int) { cluster.ReclaimSpotMachine(2 * time.Second); cluster.KillMachine() },
+		"takeover": func(cluster *testCluster, k int) {
+			cluster.onLeader(time.Duration(100+k*300)*time.Millisecond, cluster.KillController)
+		},
+		"session": func(cluster *testCluster, k int) {
+			cluster.DropOutbound(3, "", 7*time.Second)
+			cluster.HangMachine(7 * time.Second)
+		},
+		"attempt": func(cluster *testCluster, k int) { cluster.CrashTask(); cluster.CrashTask() },
+	}
+	for what, h := range hold {
+		for with, f := range meets {
+			t.Run(what+" "+with, func(t *testing.T) {
+				cluster, _ := newBusyCluster(t, 205, 3, 16)
+				cluster.submitJobs(d)
+				for k, most := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
+					cluster.After(time.Duration(k)*d/3, func() { h(cluster, most) })
+				}
+				for k := range 6 {
+					cluster.After(time.Duration(k)*d/6+500*time.Millisecond, func() { f(cluster, k) })
+				}
+				cluster.Advance(d)
+				cluster.DelayCommands(0, 0)
+				cluster.DelayHeartbeatAnswers(0, 0)
+				cluster.Advance(2 * time.Second)
+				cluster.recoverAndCheck()
+			})
+		}
+	}
+}
+
+// A leader ends while machines with long tasks can't be reached, or don't hear the next one's answer, for less than a lease, more
+// than one, and more than cancel_s: what is on them counts until proof, teams' limits and zones of gangs included, and no longer.
+func TestLeaderKilledWhileMachinesAreUnreachable(t *testing.T) {
+	ends := map[string]func(cluster *testCluster, l int){"killed": gapFaults["leader killed"], "frozen": gapFaults["leader frozen"], "drained": gapFaults["leader drained"]}
+	for how := DropBoth; how <= DropOutOf; how++ {
+		for _, duration := range []time.Duration{3 * time.Second, 8 * time.Second, 16 * time.Second} {
+			for what, end := range ends {
+				t.Run(fmt.Sprint(how, " ", duration, " ", what), func(t *testing.T) {
+					cluster, _ := newBusyCluster(t, 206, 5, 30)
+					l, zone := cluster.waitForLeader(), cluster.zoneWithoutLeader()
+					cluster.PartitionZone(zone, how)
+					cluster.DropInbound(3, "", duration)
+					cluster.After(300*time.Millisecond, func() { end(cluster, l) })
+					for k := range 6 {
+						cluster.After(time.Duration(400*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+1)%5) })
+					}
+					for k := range 10 { // those that wait for a place, at their teams' limits
+						cluster.submitLongJob(100+k, 4)
+					}
+					cluster.Advance(duration)
+					cluster.PartitionZone(zone, Connected)
+					cluster.Advance(time.Second)
+					cluster.recoverAndCheck()
+				})
+			}
+		}
+	}
+}
+
+// Controllers hand over and back, all end and one returns, also within a second, with their old requests, writes and reports
+// still about: each time somebody leads soon, every controller has its member key, and nothing runs twice.
+func TestRepeatedHandovers(t *testing.T) {
+	for _, late := range []float64{0, 0.3} {
+		cluster, _ := newBusyCluster(t, 207, 3, 16)
+		cluster.submitJobs(40 * time.Second)
+		cluster.DelayWrites(late, 500*time.Millisecond, 4*time.Second)
+		cluster.DelayCommands(50*time.Millisecond, 3*time.Second)
+		cluster.DuplicateMessages(0.3, 100*time.Millisecond, 10*time.Second)
+		for round := range 9 {
+			l := cluster.waitForLeader()
+			back := time.Duration(50+cluster.rng.IntN(900)) * time.Millisecond
+			switch round % 3 {
+			case 0: // A to B
+				cluster.KillController(l)
+				cluster.After(back, func() { cluster.StartController(l) })
+			case 1:
+				cluster.DrainController(l, func() { cluster.After(back, func() { cluster.StartController(l) }) })
+			default: // all end, one returns, the others later
+				for i := range 3 {
+					cluster.KillController(i)
+					cluster.After(back+time.Duration((i-l+3)%3)*2*time.Second, func() { cluster.StartController(i) })
+				}
+			}
+			cluster.Advance(back + 500*time.Millisecond)
+			from := cluster.Now()
+			cluster.waitFor("led", 16*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
+			if duration := cluster.Now() - from; late == 0 && duration > 6*time.Second {
+				t.Errorf("round %d: %v without a leader", round, duration)
+			}
+			cluster.Advance(time.Second)
+		}
+		cluster.DelayWrites(0, 0, 0)
+		cluster.DelayCommands(0, 0)
+		cluster.DuplicateMessages(0, 0, 0)
+		cluster.Advance(5 * time.Second)
+		cluster.recoverAndCheck()
+	}
+}
+
+// Transactions without an answer are carried out late, after newer ones of the same controller, while jobs come, end and are
+// cancelled, machines are rented, and controllers restart.
+func TestDelayedWritesHaveNoEffect(t *testing.T) {
+	for seed := range uint64(4) {
+		cluster, _ := newBusyCluster(t, 210+seed, 3, 16)
+		cluster.submitJobs(50 * time.Second)
+		cluster.DelayWrites([]float64{0.15, 0.4, 0.7}[seed%3], 500*time.Millisecond, []time.Duration{3 * time.Second, 6 * time.Second}[seed%2])
+		for k := range 12 {
+			cluster.After(time.Duration(2+3*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%3) })
+		}
+		cluster.After(12*time.Second, func() { cluster.onLeader(200*time.Millisecond, cluster.KillController) })
+		cluster.After(24*time.Second, func() { cluster.onLeader(time.Second, cluster.drainController) })
+		cluster.After(36*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
+		cluster.Advance(50 * time.Second)
+		if n := cluster.Stats().LateWrites; n < 30 {
+			t.Errorf("%d writes were late", n)
+		}
+		cluster.DelayWrites(0, 0, 0)
+		cluster.Advance(8 * time.Second)
+		cluster.recoverAndCheck()
+	}
+}
+
+// A controller's registration gets no answer, it is killed and back at once, and the registration lands after that of its new
+// life: it must not take the member key with it when the former hold ends.
+func TestDelayedRegistrationOfFormerIncarnation(t *testing.T) {
+	for _, after := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
+		cluster, _ := newBusyCluster(t, 214, 3, 6)
+		i, caught := (cluster.waitForLeader()+1)%3, 0
+		key := "h/c/n/" + cluster.nodeNames()[i]
+		cluster.KillController(i)
+		cluster.Advance(3 * time.Second)
+		cluster.InterceptTxns(func(from int, tx store.Txn) TxnOutcome {
+			if from == i && caught == 0 && slices.ContainsFunc(tx.Then, func(o store.Op) bool { return o.Put == key }) {
+				caught++
+				cluster.After(100*time.Millisecond, func() { cluster.KillController(i) })
+				cluster.After(150*time.Millisecond, func() { cluster.StartController(i) })
+				return TxnOutcome{Delay: after}
+			}
+			return TxnOutcome{}
+		})
+		cluster.StartController(i)
+		cluster.Advance(8 * time.Second)
+		if caught == 0 {
+			t.Fatal("it did not register")
+		}
+		var v struct{ Hold uint64 }
+		if _ = json.Unmarshal(cluster.StoredItem(key).Value, &v); v.Hold == 0 {
+			t.Errorf("%v: %s has no member key", after, key)
+		}
+		cluster.InterceptTxns(nil)
+		cluster.recoverAndCheck()
+	}
+}
+
+// A leader is cut off from state service and others while workers and users still reach it, and jobs are cancelled through
+// the new one: asked afterwards, the old one never says anything older, and what was cancelled is gone in time.
+func TestDisconnectedLeaderAndCancellations(t *testing.T) {
+	for _, duration := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 25 * time.Second} {
+		for what, f := range gapFaults {
+			t.Run(fmt.Sprint(duration, " ", what), func(t *testing.T) {
+				cluster, balancer := newBusyCluster(t, 215, 3, 24)
+				pollers := cluster.startPolling(balancer)
+				l := cluster.waitForLeader()
+				cluster.CutLinks(l, StateLink|PeerLinks)
+				cluster.After(duration, func() { cluster.CutLinks(l, 0) })
+				cluster.After(700*time.Millisecond, func() { f(cluster, l) })
+				for k := range 14 {
+					cluster.After(time.Duration(100+450*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) })
+				}
+				cluster.Advance(duration + 12*time.Second)
+				from := cluster.Now()
+				cluster.recoverAndCheck()
+				if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
+					t.Errorf("no question about %s was answered for %v", job, gap)
+				}
+			})
+		}
+	}
+}
+
+// An old report arrives after newer ones, also of an earlier session or attempt: before and after a takeover, a move, a forget
+// and a restart of its machine.
+func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
+	meets := map[string]func(cluster *testCluster, k int){
+		"takeover": func(cluster *testCluster, k int) {
+			cluster.onLeader(time.Duration(100+k*300)*time.Millisecond, cluster.KillController)
+		},
+		"move":   func(cluster *testCluster, k int) { cluster.KillMachine(); cluster.ReclaimSpotMachine(time.Second) },
+		"forget": func(cluster *testCluster, k int) { cluster.CrashTask(); cluster.cancelAt(cluster.users[k], k%3) },
+		"restart": func(cluster *testCluster, k int) {
+			cluster.RestartMachine("", 200*time.Millisecond)
+			cluster.RestartMachine("", time.Second)
+		},
+		"session": func(cluster *testCluster, k int) { cluster.DropInbound(4, "", 7*time.Second) },
+		"cut":     func(cluster *testCluster, k int) { cluster.partitionZoneFor("a", DelayBoth, 2*time.Second) },
+	}
+	for what, f := range meets {
+		for _, most := range []time.Duration{3 * time.Second, 24 * time.Second} {
+			t.Run(fmt.Sprint(what, " ", most), func(t *testing.T) {
+				cluster, _ := newBusyCluster(t, 216, 3, 16)
+				cluster.submitJobs(24 * time.Second)
+				cluster.DuplicateMessages(0.7, 100*time.Millisecond, most)
+				for k := range 8 {
+					cluster.After(time.Duration(3*k)*time.Second, func() { f(cluster, k) })
+				}
+				cluster.Advance(25 * time.Second)
+				if what != "takeover" {
+					cluster.DelayHeartbeatAnswers(100*time.Millisecond, 2*time.Second)
+					cluster.Advance(4 * time.Second)
+					cluster.DelayHeartbeatAnswers(0, 0)
+				}
+				cluster.recoverAndCheck()
+			})
+		}
+	}
+}
+
+// The state service answers slowly, refuses the leader alone and then everybody for longer than cancel_s, while users cancel
+// and ask: nobody is told anything older or that there is no such job, and soon afterwards all are answered.
+func TestAnswersAfterSlowStateServiceFails(t *testing.T) {
+	for _, slow := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 2200 * time.Millisecond} {
+		cluster, balancer := newBusyCluster(t, 217, 5, 24)
+		pollers := cluster.startPolling(balancer)
+		cluster.submitJobs(30 * time.Second)
+		cluster.DelayStateAnswers(10*time.Millisecond, slow)
+		cluster.Advance(4 * time.Second)
+		if l, _ := cluster.Leader(); l >= 0 {
+			cluster.RefuseController(l, true)
+			cluster.After(12*time.Second, func() { cluster.RefuseController(l, false) })
+		}
+		for k := range 14 {
+			cluster.After(time.Duration(250*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], k%5) })
+		}
+		cluster.Advance(3 * time.Second)
+		cluster.SetStateOutage(true)
+		cluster.Advance(seconds(1.3 * shortTimers.CancelS))
+		cluster.SetStateOutage(false)
+		cluster.Advance(10 * time.Second)
+		cluster.DelayStateAnswers(0, 0)
+		from := cluster.Now()
+		cluster.Advance(75 * time.Second)
+		if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
+			t.Errorf("%v: no question about %s was answered for %v", slow, job, gap)
+		}
+		cluster.recoverAndCheck()
+	}
+}
+
+// Jobs of two or three tasks end far apart across changes of the leader, one of them without any leader: a job is done when all
+// of them are, soon, and nothing that is done begins once more.
+func TestTasksThatEndFarApartAreNotRerun(t *testing.T) {
+	// For longer than its hold, and not for so long that workers, who wait 4 s for an answer, outwait their lease of 6.
+	frozen := func(cluster *testCluster, l int) { cluster.FreezeController(l, 2600*time.Millisecond) }
+	for what, f := range map[string]func(cluster *testCluster, l int){"killed": gapFaults["leader back at once"], "frozen": frozen, "drained": gapFaults["leader drained"], "late writes": gapFaults["leader killed"]} {
+		t.Run(what, func(t *testing.T) {
+			cluster, _ := newBusyCluster(t, 218, 3, 0)
+			if what == "late writes" {
+				cluster.DelayWrites(0.2, 500*time.Millisecond, 3*time.Second)
+			}
+			done, stored, worst := map[string]time.Duration{}, map[string]bool{}, time.Duration(0)
+			for i := range 40 {
+				cluster.After(time.Duration(500*i)*time.Millisecond, func() { cluster.submitLongJob(i, 6) })
+			}
+			var look func()
+			look = func() {
+				for _, user := range cluster.users {
+					id := user.spec.ID
+					if _, ok := done[id]; !ok && cluster.AllDone(id, user.spec.Tasks) {
+						done[id] = cluster.Now()
+					}
+					var rec jobs.Record
+					if !stored[id] && json.Unmarshal(cluster.StoredItem(jobs.RecordKey(id)).Value, &rec) == nil && rec.State == jobs.Done.String() {
+						stored[id] = true
+						worst = max(worst, cluster.Now()-done[id])
+					}
+				}
+				cluster.After(50*time.Millisecond, look)
+			}
+			look()
+			for range 5 {
+				cluster.Advance(5 * time.Second)
+				f(cluster, cluster.waitForLeader())
+			}
+			cluster.Advance(6 * time.Second)
+			cluster.DelayWrites(0, 0, 0)
+			cluster.recoverAndCheck()
+			s := cluster.Stats()
+			t.Logf("done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again", worst, s.WorkerLeasesExpired, s.TasksRerun)
+			most := 8 * time.Second
+			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
+				most = 14 * time.Second
+			}
+			if worst > most {
+				t.Errorf("that a job is done was durable %v after its last task had ended", worst)
+			}
+			if s.TasksRerun > 0 && s.WorkerLeasesExpired == 0 {
+				t.Errorf("%d tasks began again though they were done", s.TasksRerun)
+			}
+		})
+	}
+}
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -19,12 +19,12 @@
 // digestScenario is a simulation that is played for its digest: a cluster under load, a script of faults, and more.
 type digestScenario struct {
 	name    string
-	cluster func(t *testing.T) *rolling
+	cluster func(t *testing.T) *testCluster
 	load    time.Duration // jobs arrive for so long
 	length  time.Duration
 	script  string
-	begin   func(r *rolling) // plans what no script can say; nil: nothing
-	reached func(r *rolling) // checks that the scenario led to what it is for; nil: nothing to check
+	begin   func(cluster *testCluster) // plans what no script can say; nil: nothing
+	reached func(cluster *testCluster) // checks that the scenario led to what it is for; nil: nothing to check
 }
 
 func (s digestScenario) digest(t *testing.T) behaviourDigest {
@@ -33,20 +33,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := s.cluster(t)
-	recorder := recordBehaviour(t, r.Simulation, traceFile(t, s.name))
-	r.Play(script, func(Fault) {})
+	cluster := s.cluster(t)
+	recorder := recordBehaviour(t, cluster.Simulation, traceFile(t, s.name))
+	cluster.Play(script, func(Fault) {})
 	if s.begin != nil {
-		s.begin(r)
+		s.begin(cluster)
 	}
 	if s.load > 0 {
-		r.load(s.load)
+		cluster.submitJobs(s.load)
 	}
-	r.Advance(s.length)
+	cluster.Advance(s.length)
 	if s.reached != nil {
-		s.reached(r)
+		s.reached(cluster)
 	}
-	for _, b := range r.Violations() {
+	for _, b := range cluster.Violations() {
 		t.Error(b)
 	}
 	d, err := recorder.end()
@@ -57,13 +57,13 @@
 }
 
 // rollingCluster makes clusters of controllers that know levels up to one, with operators' words about the rollout.
-func rollingCluster(seed uint64, controllers int, knows rollout.Level, words string) func(t *testing.T) *rolling {
-	return func(t *testing.T) *rolling { return newRolling(t, seed, controllers, knows, words) }
+func rollingCluster(seed uint64, controllers int, knows rollout.Level, words string) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, knows, words) }
 }
 
 // wideCluster makes clusters with many machines in each zone.
-func wideCluster(seed uint64, controllers int) func(t *testing.T) *rolling {
-	return func(t *testing.T) *rolling { return wide(t, seed, controllers) }
+func wideCluster(seed uint64, controllers int) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster { return newWideCluster(t, seed, controllers) }
 }
 
 // digestScenarios are played by TestBehaviourDigests.
@@ -79,7 +79,7 @@
 		cluster: wideCluster(502, 5),
 		load:    30 * time.Second,
 		length:  60 * time.Second,
-		begin:   func(r *rolling) { r.submitMany(24, 15) },
+		begin:   func(cluster *testCluster) { cluster.submitSmallJobs(24, 15) },
 	},
 	{
 		name:    "former level",
@@ -151,7 +151,7 @@
 		load:    40 * time.Second,
 		length:  85 * time.Second,
 		script:  "30s cut-zone a 15s\n60s deaf-zone b 8s\n",
-		begin:   func(r *rolling) { r.submitMany(24, 15) },
+		begin:   func(cluster *testCluster) { cluster.submitSmallJobs(24, 15) },
 	},
 	{
 		name:    "zone held and flapping",
@@ -159,7 +159,7 @@
 		load:    40 * time.Second,
 		length:  85 * time.Second,
 		script:  "28s hold-zone b 10s\n45s flap-zone c 2s\n68s refuse-zone a 6s\n",
-		begin:   func(r *rolling) { r.submitMany(24, 15) },
+		begin:   func(cluster *testCluster) { cluster.submitSmallJobs(24, 15) },
 	},
 	{
 		name:    "zone loses power",
@@ -167,7 +167,7 @@
 		load:    40 * time.Second,
 		length:  80 * time.Second,
 		script:  "30s power-zone a 10s\n",
-		begin:   func(r *rolling) { r.submitMany(24, 15); submitService(r) },
+		begin:   func(cluster *testCluster) { cluster.submitSmallJobs(24, 15); submitService(cluster) },
 	},
 	{
 		name:    "rollout with a rise",
@@ -175,7 +175,7 @@
 		load:    60 * time.Second,
 		length:  90 * time.Second,
 		script:  "20s roll 1s\n",
-		reached: hasRisen,
+		reached: checkLevelRose,
 	},
 	{
 		name:    "rollout that operators finish",
@@ -183,8 +183,8 @@
 		load:    70 * time.Second,
 		length:  100 * time.Second,
 		script:  "10s roll 1s\n",
-		begin:   func(r *rolling) { finishWhenRolled(r) },
-		reached: hasRisen,
+		begin:   func(cluster *testCluster) { finishAfterRolling(cluster) },
+		reached: checkLevelRose,
 	},
 	{
 		name:    "rollout held, aborted and rolled back",
@@ -192,10 +192,10 @@
 		load:    70 * time.Second,
 		length:  100 * time.Second,
 		script:  "10s roll 1s\n50s roll-back 1s\n",
-		begin: func(r *rolling) {
-			r.wordAt(14*time.Second, "hold")
-			r.wordAt(20*time.Second, "free")
-			r.wordAt(24*time.Second, "abort")
+		begin: func(cluster *testCluster) {
+			cluster.rolloutCommandAt(14*time.Second, "hold")
+			cluster.rolloutCommandAt(20*time.Second, "free")
+			cluster.rolloutCommandAt(24*time.Second, "abort")
 		},
 	},
 	{
@@ -204,7 +204,7 @@
 		load:    70 * time.Second,
 		length:  110 * time.Second,
 		script:  "10s roll 1s\n18s kill-leader 2s\n30s outage 3s\n40s crash-task\n",
-		reached: hasRisen,
+		reached: checkLevelRose,
 	},
 	{
 		name:    "licences",
@@ -220,7 +220,7 @@
 		length:  80 * time.Second,
 		script:  "40s kill-leader 1s\n",
 		begin:   openSessions,
-		reached: wereReclaimed,
+		reached: checkSessionsResumed,
 	},
 	{
 		name:    "archived jobs are asked for",
@@ -228,7 +228,7 @@
 		load:    25 * time.Second,
 		length:  80 * time.Second,
 		script:  "50s kill-leader 1s\n",
-		begin:   askForEnded,
+		begin:   queryArchivedJobs,
 	},
 	{
 		name:    "operators drain",
@@ -252,38 +252,38 @@
 		length:  90 * time.Second,
 		script: "10s copies 20s\n15s keep-copies 30s\n25s kill-leader 1s\n" +
 			"35s hold-orders 8s\n45s hold-answers 8s\n55s slow-links 8s\n",
-		begin: func(r *rolling) { r.SetNetwork(8*time.Millisecond, 0.01, 0.01, 5*time.Second) },
+		begin: func(cluster *testCluster) { cluster.SetNetwork(8*time.Millisecond, 0.01, 0.01, 5*time.Second) },
 	},
 	{
 		name:    "stored by an earlier release",
-		cluster: clusterOnStored(525),
+		cluster: storedStateCluster(525),
 		length:  60 * time.Second,
-		reached: hasRisen,
+		reached: checkLevelRose,
 	},
 }
 
-func hasRisen(r *rolling) {
-	if r.ClusterLevel() != rollout.Newest {
-		r.t.Errorf("level %d", r.ClusterLevel())
+func checkLevelRose(cluster *testCluster) {
+	if cluster.ClusterLevel() != rollout.Newest {
+		cluster.t.Errorf("level %d", cluster.ClusterLevel())
 	}
 }
 
 // submitService submits a service whose replicas stand in different zones.
-func submitService(r *rolling) {
+func submitService(cluster *testCluster) {
 	spec := &jobs.Spec{
 		ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
 		Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true,
 	}
-	(&simUser{w: r.Simulation, rng: r.rng, spec: spec}).submit()
+	(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
 }
 
-// wordAt gives the leader an operator's word about the rollout at a time.
-func (r *rolling) wordAt(at time.Duration, op string) {
-	r.askLeaderAt(at, "POST", "/v2/rollout", fmt.Sprintf(`{"op":%q,"by":"test"}`, op))
+// rolloutCommandAt gives the leader an operator's word about the rollout at a time.
+func (r *testCluster) rolloutCommandAt(at time.Duration, op string) {
+	r.requestLeaderAt(at, "POST", "/v2/rollout", fmt.Sprintf(`{"op":%q,"by":"test"}`, op))
 }
 
-// askLeaderAt asks whoever leads at a time; nobody if no controller leads.
-func (r *rolling) askLeaderAt(at time.Duration, method, path, body string) {
+// requestLeaderAt asks whoever leads at a time; nobody if no controller leads.
+func (r *testCluster) requestLeaderAt(at time.Duration, method, path, body string) {
 	r.After(at, func() {
 		if l, _ := r.Leader(); l >= 0 {
 			r.Request(l, method, path, []byte(body), func(int, []byte) {})
@@ -291,15 +291,15 @@
 	})
 }
 
-// finishWhenRolled gives the word to finish again and again, until the level has risen.
-func finishWhenRolled(r *rolling) {
+// finishAfterRolling gives the word to finish again and again, until the level has risen.
+func finishAfterRolling(cluster *testCluster) {
 	for at := 30 * time.Second; at < 80*time.Second; at += 5 * time.Second {
-		r.wordAt(at, "finish")
+		cluster.rolloutCommandAt(at, "finish")
 	}
 }
 
 // callLeader asks the leader what has no route for Ask; the answer comes at once, and a frozen leader gives none.
-func (r *rolling) callLeader(q api.LeaderRequest, then func(status int, body []byte)) {
+func (r *testCluster) callLeader(q api.LeaderRequest, then func(status int, body []byte)) {
 	l, _ := r.Leader()
 	if l < 0 || !r.ControllerRuns(l) {
 		then(0, nil)
@@ -317,41 +317,41 @@
 }
 
 // changeLicences changes how many seats the cluster may use, and then how many of the others outsiders hold.
-func changeLicences(r *rolling) {
-	r.After(45*time.Second, func() { r.Licences.SetForeignUse("transcribe", 3) })
-	r.After(50*time.Second, func() { r.Licences.SetForeignUse("transcribe", 0) })
-	r.licenceCallAt(20*time.Second, "set", `{"count":4,"lower":"stop","by":"test"}`)
-	r.licenceCallAt(55*time.Second, "set", `{"count":9,"by":"test"}`)
-	r.licenceCallAt(60*time.Second, "show", "")
+func changeLicences(cluster *testCluster) {
+	cluster.After(45*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 3) })
+	cluster.After(50*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 0) })
+	cluster.licenceCallAt(20*time.Second, "set", `{"count":4,"lower":"stop","by":"test"}`)
+	cluster.licenceCallAt(55*time.Second, "set", `{"count":9,"by":"test"}`)
+	cluster.licenceCallAt(60*time.Second, "show", "")
 }
 
-func (r *rolling) licenceCallAt(at time.Duration, verb, body string) {
+func (r *testCluster) licenceCallAt(at time.Duration, verb, body string) {
 	r.After(at, func() {
 		request := api.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
 		r.callLeader(request, func(int, []byte) {})
 	})
 }
 
-// askForEnded asks for jobs long after their end, and submits and cancels them once more.
-func askForEnded(r *rolling) {
+// queryArchivedJobs asks for jobs long after their end, and submits and cancels them once more.
+func queryArchivedJobs(cluster *testCluster) {
 	again := func() {
-		for i, u := range r.users {
+		for i, user := range cluster.users {
 			path, body := "/v2/runs", []byte(nil)
-			if body, _ = json.Marshal(u.spec); i%2 == 0 {
-				path, body = "/v2/runs/"+u.spec.ID+"/abort", []byte("{}")
+			if body, _ = json.Marshal(user.spec); i%2 == 0 {
+				path, body = "/v2/runs/"+user.spec.ID+"/abort", []byte("{}")
 			}
-			r.Request(i%r.Controllers(), "GET", "/v2/runs/"+u.spec.ID, nil, func(int, []byte) {})
-			r.Request(i%r.Controllers(), "POST", path, body, func(int, []byte) {})
+			cluster.Request(i%cluster.Controllers(), "GET", "/v2/runs/"+user.spec.ID, nil, func(int, []byte) {})
+			cluster.Request(i%cluster.Controllers(), "POST", path, body, func(int, []byte) {})
 		}
 	}
-	r.After(45*time.Second, again)
-	r.After(65*time.Second, again)
-	r.askLeaderAt(70*time.Second, "GET", "/v2/runs", "")
-	r.askLeaderAt(71*time.Second, "GET", "/v2/events", "")
+	cluster.After(45*time.Second, again)
+	cluster.After(65*time.Second, again)
+	cluster.requestLeaderAt(70*time.Second, "GET", "/v2/runs", "")
+	cluster.requestLeaderAt(71*time.Second, "GET", "/v2/events", "")
 }
 
 // drainByOperator drains machines and a controller, and takes it back.
-func drainByOperator(r *rolling) {
+func drainByOperator(cluster *testCluster) {
 	for i, c := range []drain.Command{
 		{Op: "drain", Kind: "machine"},
 		{Op: "drain", Kind: "machine", Stop: true},
@@ -360,39 +360,39 @@
 		{Op: "drain", Kind: "node", Name: "node-0"},
 		{Op: "undrain", Kind: "node", Name: "node-0"},
 	} {
-		r.After(time.Duration(12+8*i)*time.Second, func() {
+		cluster.After(time.Duration(12+8*i)*time.Second, func() {
 			if c.Kind == "machine" {
-				c.Name = r.BusiestMachine()
+				c.Name = cluster.BusiestMachine()
 			}
 			c.By = "test"
 			body, _ := json.Marshal(c)
-			r.askLeaderAt(0, "POST", "/v2/admin", string(body))
+			cluster.requestLeaderAt(0, "POST", "/v2/admin", string(body))
 		})
 	}
-	r.askLeaderAt(30*time.Second, "GET", "/v2/admin", "")
-	r.askLeaderAt(31*time.Second, "GET", "/v2/zones", "")
+	cluster.requestLeaderAt(30*time.Second, "GET", "/v2/admin", "")
+	cluster.requestLeaderAt(31*time.Second, "GET", "/v2/zones", "")
 }
 
-// clusterOnStored makes clusters that start on what an earlier release has stored.
-func clusterOnStored(seed uint64) func(t *testing.T) *rolling {
-	return func(t *testing.T) *rolling {
+// storedStateCluster makes clusters that start on what an earlier release has stored.
+func storedStateCluster(seed uint64) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster {
 		all := storedBefore(t)
 		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
 			delete(all, key) // of holds that have run out, and of machines that this world doesn't have
 		}
-		r := operatedCluster(t, Config{Seed: seed, MaxMachines: 14, InitialKeys: all}, "rollout { soak_s = 5 }\n")
+		cluster := clusterWithSettings(t, Config{Seed: seed, MaxMachines: 14, InitialKeys: all}, "rollout { soak_s = 5 }\n")
 		for key, raw := range all {
 			var rec jobs.Record
 			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &rec) == nil && rec.Spec != nil {
-				r.AddJob(rec.Spec)
+				cluster.AddJob(rec.Spec)
 			}
 		}
-		return r
+		return cluster
 	}
 }
 
-// operatedCluster is a cluster with operators' settings beside those of licences and the archive.
-func operatedCluster(t *testing.T, cfg Config, settings string) *rolling {
+// clusterWithSettings is a cluster with operators' settings beside those of licences and the archive.
+func clusterWithSettings(t *testing.T, cfg Config, settings string) *testCluster {
 	t.Helper()
 	cfg.LicencePools, cfg.TickInterval = map[string]int{"transcribe": 12}, 20*time.Millisecond
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
@@ -402,9 +402,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(cfg.Seed, 41))}
-	r.watch()
-	return r
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(cfg.Seed, 41))}
+	cluster.watchInvariants()
+	return cluster
 }
 
 const sessionPolicy = `sessions {
@@ -420,16 +420,16 @@
 }
 `
 
-func sessionCluster(seed uint64) func(t *testing.T) *rolling {
-	return func(t *testing.T) *rolling {
-		return operatedCluster(t, Config{Seed: seed, MaxMachines: 3}, sessionPolicy)
+func sessionCluster(seed uint64) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster {
+		return clusterWithSettings(t, Config{Seed: seed, MaxMachines: 3}, sessionPolicy)
 	}
 }
 
-// simSession is an interactive session in simulated time, with its agent.
-type simSession struct {
+// testSession is an interactive session in simulated time, with its agent.
+type testSession struct {
 	*InteractiveSession
-	r   *rolling
+	r   *testCluster
 	seq uint64
 }
 
@@ -437,64 +437,64 @@
 const agentEvery = 300 * time.Millisecond
 
 // openSessions opens sessions that are used, left alone, reclaimed and attached again, and closed at last.
-func openSessions(r *rolling) {
+func openSessions(cluster *testCluster) {
 	for i := range 5 {
 		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", 900+i), Class: "notebook", Team: "red", Kind: jobs.Service,
 			Priority: "standard", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "n", ImageGB: 1,
 		}
-		r.AddJob(spec)
-		s := &simSession{r: r, InteractiveSession: &InteractiveSession{
-			Spec: spec, User: fmt.Sprint("u", i%2), simulation: r.Simulation,
+		cluster.AddJob(spec)
+		session := &testSession{r: cluster, InteractiveSession: &InteractiveSession{
+			Spec: spec, User: fmt.Sprint("u", i%2), simulation: cluster.Simulation,
 			userToken: "user-" + spec.ID, agentToken: "agent-" + spec.ID, savedSteps: map[string]int{},
 		}}
-		r.sessions = append(r.sessions, s)
-		r.After(time.Duration(5+2*i)*time.Second, s.open)
-		r.After(time.Duration(12+4*i)*time.Second, s.work)
-		r.After(time.Duration(36+3*i)*time.Second, func() { s.call("attach", s.userToken, []byte("{}"), func(int, []byte) {}) })
-		r.After(time.Duration(60+3*i)*time.Second, func() { s.call("close", s.userToken, []byte("{}"), func(int, []byte) {}) })
+		cluster.sessions = append(cluster.sessions, session)
+		cluster.After(time.Duration(5+2*i)*time.Second, session.open)
+		cluster.After(time.Duration(12+4*i)*time.Second, session.useSession)
+		cluster.After(time.Duration(36+3*i)*time.Second, func() { session.call("attach", session.userToken, []byte("{}"), func(int, []byte) {}) })
+		cluster.After(time.Duration(60+3*i)*time.Second, func() { session.call("close", session.userToken, []byte("{}"), func(int, []byte) {}) })
 	}
-	r.After(30*time.Second, func() { r.sessions[0].call("show", "", nil, func(int, []byte) {}) })
-	r.After(31*time.Second, func() { r.sessions[0].call("explain", "", nil, func(int, []byte) {}) })
+	cluster.After(30*time.Second, func() { cluster.sessions[0].call("show", "", nil, func(int, []byte) {}) })
+	cluster.After(31*time.Second, func() { cluster.sessions[0].call("explain", "", nil, func(int, []byte) {}) })
 }
 
-func wereReclaimed(r *rolling) {
+func checkSessionsResumed(cluster *testCluster) {
 	resumed := 0
-	for _, s := range r.sessions {
-		resumed += s.resumes
+	for _, session := range cluster.sessions {
+		resumed += session.resumes
 	}
 	if resumed == 0 {
-		r.t.Error("no session was reclaimed and resumed")
+		cluster.t.Error("no session was reclaimed and resumed")
 	}
 }
 
-func (s *simSession) call(verb, token string, body []byte, then func(int, []byte)) {
+func (s *testSession) call(verb, token string, body []byte, then func(int, []byte)) {
 	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body}, then)
 }
 
 // open asks for the session until it is opened, and starts its agent.
-func (s *simSession) open() {
+func (s *testSession) open() {
 	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.openRequest()}, func(status int, _ []byte) {
 		if status != 200 && status != 201 {
 			s.r.After(time.Second, s.open)
 			return
 		}
-		s.talk()
+		s.runAgentInVirtualTime()
 	})
 }
 
-// work is ten inputs, a second apart, and a cell at the end.
-func (s *simSession) work() {
+// useSession is ten inputs, a second apart, and a cell at the end.
+func (s *testSession) useSession() {
 	for i := range 10 {
 		s.r.After(time.Duration(i)*time.Second, func() { s.Input() })
 	}
 	s.r.After(10*time.Second, func() { s.RunCell(3 * time.Second) })
 }
 
-// talk is the agent: it reports as long as a process of the session runs.
-func (s *simSession) talk() {
-	s.r.After(agentEvery, s.talk)
-	task := s.process()
+// runAgentInVirtualTime is the agent: it reports as long as a process of the session runs.
+func (s *testSession) runAgentInVirtualTime() {
+	s.r.After(agentEvery, s.runAgentInVirtualTime)
+	task := s.runningTask()
 	if task == nil {
 		return
 	}
@@ -512,8 +512,8 @@
 	})
 }
 
-// process is the session's task that runs, nil if there is none.
-func (s *simSession) process() *workerTask {
+// runningTask is the session's task that runs, nil if there is none.
+func (s *testSession) runningTask() *workerTask {
 	for _, machine := range s.r.cloud.machines {
 		for _, task := range machine.tasks {
 			if !machine.dead && task.spec.ID == s.Spec.ID && task.state == taskRunning {
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -43,10 +43,10 @@
 
 // behaviourRecorder writes what passes the edges of a simulation, in its order, into a hash and a log.
 type behaviourRecorder struct {
-	world *Simulation
-	hash  *xxhash.Digest
-	log   *bufio.Writer
-	seen  behaviourDigest
+	simulation *Simulation
+	hash       *xxhash.Digest
+	log        *bufio.Writer
+	seen       behaviourDigest
 }
 
 // recordBehaviour records a simulation that has not begun yet. The log may be io.Discard.
@@ -55,7 +55,7 @@
 	if sim.Now() != 0 {
 		t.Fatalf("the recorder comes %v too late", sim.Now())
 	}
-	r := &behaviourRecorder{world: sim, hash: xxhash.New(), log: bufio.NewWriter(log)}
+	r := &behaviourRecorder{simulation: sim, hash: xxhash.New(), log: bufio.NewWriter(log)}
 	sim.virtual.recorder = r.message
 	sim.state.service.Changed = r.change
 	return r
@@ -72,7 +72,7 @@
 		t.body = normalCommands(t.body)
 	}
 	r.write(fmt.Sprintf("%d %s %s > %s %s %s %d %s\n",
-		r.world.Now(), t.kind, t.from, t.to, t.method, t.path, t.status, t.body))
+		r.simulation.Now(), t.kind, t.from, t.to, t.method, t.path, t.status, t.body))
 }
 
 // normalStatus is a status as quoted text with its counts sorted by job. A controller sends them in the order of a map,
@@ -124,10 +124,10 @@
 func (r *behaviourRecorder) change(e store.Event) {
 	r.seen.Changes++
 	if e.Delete != "" {
-		r.write(fmt.Sprintf("%d delete %s %d\n", r.world.Now(), e.Delete, e.Version))
+		r.write(fmt.Sprintf("%d delete %s %d\n", r.simulation.Now(), e.Delete, e.Version))
 		return
 	}
-	r.write(fmt.Sprintf("%d put %s %d %s\n", r.world.Now(), e.Put, e.Version, e.Value))
+	r.write(fmt.Sprintf("%d put %s %d %s\n", r.simulation.Now(), e.Put, e.Version, e.Value))
 }
 
 // write logs a line, in which the release has a name that stays when the next one is made.
@@ -140,7 +140,7 @@
 
 // end is the digest of what was recorded.
 func (r *behaviourRecorder) end() (behaviourDigest, error) {
-	r.world.virtual.recorder, r.world.state.service.Changed = nil, nil
+	r.simulation.virtual.recorder, r.simulation.state.service.Changed = nil, nil
 	r.seen.Digest = fmt.Sprintf("%016x", r.hash.Sum64())
 	return r.seen, r.log.Flush()
 }
--- a/internal/simulator/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -12,23 +12,23 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// document is the operators' document as it is stored.
-func (r *rolling) document() (w drain.Document) {
+// drainDocument is the operators' document as it is stored.
+func (r *testCluster) drainDocument() (w drain.Document) {
 	_ = json.Unmarshal(r.StoredItem(drain.DocumentKey).Value, &w)
 	return w
 }
 
 // drainMachine asks the leader to drain a machine, or to take it back.
-func (r *rolling) drainMachine(op, name string) (status int) {
+func (r *testCluster) drainMachine(op, name string) (status int) {
 	r.t.Helper()
 	body := fmt.Sprintf(`{"op":%q,"kind":"machine","name":%q,"by":"test"}`, op, name)
-	r.Request(r.led(), "POST", "/v2/admin", []byte(body), func(s int, _ []byte) { status = s })
-	r.reach("the answer to "+op, 5*time.Second, func() bool { return status != 0 })
+	r.Request(r.waitForLeader(), "POST", "/v2/admin", []byte(body), func(s int, _ []byte) { status = s })
+	r.waitFor("the answer to "+op, 5*time.Second, func() bool { return status != 0 })
 	return status
 }
 
 // machineNames are machines that act at the leader.
-func (r *rolling) machineNames(n int) (names []string) {
+func (r *testCluster) machineNames(n int) (names []string) {
 	seen := map[string]bool{}
 	for end := r.Now() + time.Minute; len(names) < n && r.Now() < end; r.Advance(200 * time.Millisecond) {
 		if m := r.BusiestMachine(); m != "" && !seen[m] {
@@ -44,7 +44,7 @@
 func TestDrainRequestsWaitForTheLevel(t *testing.T) {
 	for _, how := range []string{"calm", "leader killed", "answers lost", "late writes", "limits shrink"} {
 		t.Run(how, func(t *testing.T) {
-			r := newRolling(t, 451, 3, rollout.Archived, "soak_s = 3")
+			cluster := newTestCluster(t, 451, 3, rollout.Archived, "soak_s = 3")
 			// Machines that no leader knows, as after a long time without one: they are requests like any other.
 			const unknown = 55
 			old := drain.Document{Machines: map[string]drain.Request{}, Last: "kana: drain machine i-old-19"}
@@ -52,73 +52,73 @@
 				old.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
 			}
 			raw, _ := json.Marshal(old)
-			r.WriteKeys(store.Op{Put: drain.DocumentKey, Value: raw})
-			r.load(100 * time.Second)
-			r.Advance(20 * time.Second)
-			names := r.machineNames(2)
+			cluster.WriteKeys(store.Op{Put: drain.DocumentKey, Value: raw})
+			cluster.submitJobs(100 * time.Second)
+			cluster.Advance(20 * time.Second)
+			names := cluster.machineNames(2)
 			if len(names) < 2 {
 				t.Fatalf("machines %v", names)
 			}
-			if s := r.drainMachine("drain", names[0]); s != 200 {
+			if s := cluster.drainMachine("drain", names[0]); s != 200 {
 				t.Fatalf("status %d", s)
 			}
-			if r.CountKeys(drain.MachinePrefix) > 0 || len(r.document().Machines) != unknown+1 {
-				t.Fatalf("%d keys before the level, %d in the document", r.CountKeys(drain.MachinePrefix), len(r.document().Machines))
+			if cluster.CountKeys(drain.MachinePrefix) > 0 || len(cluster.drainDocument().Machines) != unknown+1 {
+				t.Fatalf("%d keys before the level, %d in the document", cluster.CountKeys(drain.MachinePrefix), len(cluster.drainDocument().Machines))
 			}
 			rolled := false
-			r.RollingRestart(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
-			for !rolled || r.ClusterLevel() < rollout.DrainKeys {
-				if r.ClusterLevel() < rollout.DrainKeys && r.CountKeys(drain.MachinePrefix) > 0 {
+			cluster.RollingRestart(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
+			for !rolled || cluster.ClusterLevel() < rollout.DrainKeys {
+				if cluster.ClusterLevel() < rollout.DrainKeys && cluster.CountKeys(drain.MachinePrefix) > 0 {
 					t.Fatal("a request has a key before the level")
 				}
-				r.Advance(100 * time.Millisecond)
+				cluster.Advance(100 * time.Millisecond)
 			}
 			switch how {
 			case "leader killed":
-				r.reach("begun", 20*time.Second, func() bool { return r.CountKeys(drain.MachinePrefix) > 0 })
-				l := r.led()
-				r.KillController(l)
-				r.Advance(8 * time.Second)
-				r.StartController(l)
+				cluster.waitFor("begun", 20*time.Second, func() bool { return cluster.CountKeys(drain.MachinePrefix) > 0 })
+				l := cluster.waitForLeader()
+				cluster.KillController(l)
+				cluster.Advance(8 * time.Second)
+				cluster.StartController(l)
 			case "answers lost":
-				r.LoseTxnAnswers(0.3)
-				r.After(10*time.Second, func() { r.LoseTxnAnswers(0) })
+				cluster.LoseTxnAnswers(0.3)
+				cluster.After(10*time.Second, func() { cluster.LoseTxnAnswers(0) })
 			case "limits shrink": // the document as it stands is larger than any value that is taken now
-				if n := len(r.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
+				if n := len(cluster.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
 					t.Fatalf("a document of %d bytes", n)
 				}
-				r.LowerStateLimits(1.5, 5, 20)
+				cluster.LowerStateLimits(1.5, 5, 20)
 			case "late writes":
-				r.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
-				r.After(20*time.Second, func() { r.DelayWrites(0, 0, 0) })
+				cluster.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
+				cluster.After(20*time.Second, func() { cluster.DelayWrites(0, 0, 0) })
 			}
-			r.reach("migrated", 2*time.Minute, r.migrated)
-			if n := len(r.document().Machines); n > 0 {
+			cluster.waitFor("migrated", 2*time.Minute, cluster.migrated)
+			if n := len(cluster.drainDocument().Machines); n > 0 {
 				t.Errorf("%d requests are in the document", n)
 			}
 			for name, m := range old.Machines {
 				var got drain.MachineRecord
-				err := json.Unmarshal(r.StoredItem(drain.MachineKey(name)).Value, &got)
+				err := json.Unmarshal(cluster.StoredItem(drain.MachineKey(name)).Value, &got)
 				if err != nil || got.Request != m || got.Machine != name {
 					t.Errorf("%s: %+v, %v", name, got, err)
 				}
 			}
-			r.Advance(25 * time.Second) // answers come in time again
-			if s := r.drainMachine("undrain", "i-old-07"); s != 200 || r.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
+			cluster.Advance(25 * time.Second) // answers come in time again
+			if s := cluster.drainMachine("undrain", "i-old-07"); s != 200 || cluster.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
 				t.Errorf("status %d, and the request still stands", s)
 			}
-			if s := r.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
+			if s := cluster.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
 				t.Errorf("status %d", s)
 			}
-			r.reach("swept", 3*time.Minute, func() bool {
-				for key := range r.StoredItems(drain.MachinePrefix) {
+			cluster.waitFor("swept", 3*time.Minute, func() bool {
+				for key := range cluster.StoredItems(drain.MachinePrefix) {
 					if !strings.Contains(key, "i-old-") {
 						return false
 					}
 				}
 				return true
 			})
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
--- a/internal/simulator/idle_room_test.go
+++ b/internal/simulator/idle_capacity_test.go
@@ -13,23 +13,23 @@
 
 // What keeps room, each for itself and all together, keeps it for less than 90 s beside work that fits: gangs that can't begin yet,
 // or never, accelerators that others wait for, a zone that came back, machines on which tasks failed.
-func TestNoRoomIdleBesideWork(t *testing.T) {
+func TestNoCapacityIdleBesideWork(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	type put func(n int, change func(spec *jobs.Spec))
 	for what, c := range map[string]struct {
 		machines int
-		begin    func(r *rolling, give put)
+		begin    func(cluster *testCluster, give put)
 	}{
 		// A gang that needs more machines of one zone than there will ever be.
-		"never in one zone": {15, func(r *rolling, give put) {
+		"never in one zone": {15, func(cluster *testCluster, give put) {
 			give(1, func(spec *jobs.Spec) {
 				spec.Kind, spec.Tasks, spec.CPUs, spec.OneZone, spec.Priority, spec.Class = jobs.Gang, 12, 12, true, "urgent", "gang"
 			})
 		}},
 		// Large gangs, one after the other, that begin whenever enough is free.
-		"one after the other": {12, func(r *rolling, give put) {
+		"one after the other": {12, func(cluster *testCluster, give put) {
 			for k := range 8 {
-				r.After(time.Duration(40*k)*time.Second, func() {
+				cluster.After(time.Duration(40*k)*time.Second, func() {
 					give(10+k, func(spec *jobs.Spec) {
 						spec.Kind, spec.Tasks, spec.CPUs, spec.Priority, spec.Class, spec.EstimateS = jobs.Gang, 9, 12, "urgent", "gang", 30
 					})
@@ -37,7 +37,7 @@
 			}
 		}},
 		// Work for accelerators that can't begin: its type has none left in its only zone.
-		"accelerators": {12, func(r *rolling, give put) {
+		"accelerators": {12, func(cluster *testCluster, give put) {
 			for k := range 6 {
 				give(20+k, func(spec *jobs.Spec) {
 					spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.OneZone, spec.Class = jobs.Gang, 9, 4, 4, true, "gang"
@@ -45,58 +45,58 @@
 			}
 		}},
 		// Ordinary machines, which some jobs need and those that may use spot ones put off, with estimates that are far too low.
-		"ordinary ones": {12, func(r *rolling, give put) {
+		"ordinary ones": {12, func(cluster *testCluster, give put) {
 			for k := range 60 {
-				r.After(time.Duration(8*k)*time.Second, func() {
+				cluster.After(time.Duration(8*k)*time.Second, func() {
 					give(40+k, func(spec *jobs.Spec) { spec.Spot, spec.CPUs, spec.EstimateS, spec.Class = false, 9, 12, "ordinary" })
 				})
 			}
 		}},
 		// Images that not every machine has, large ones: a machine that is busy and has it is the better choice, for how long?
-		"images": {12, func(r *rolling, give put) {
+		"images": {12, func(cluster *testCluster, give put) {
 			for k := range 100 {
-				r.After(time.Duration(4*k)*time.Second, func() {
+				cluster.After(time.Duration(4*k)*time.Second, func() {
 					give(400+k, func(spec *jobs.Spec) {
 						spec.Image, spec.ImageGB, spec.CPUs, spec.EstimateS, spec.Class = fmt.Sprint("big", k%4), 60, 10, 15, "imaged"
 					})
 				})
 			}
 		}},
-		"a zone flaps": {12, func(r *rolling, give put) { r.flapZone("b", 9*time.Second) }},
+		"a zone flaps": {12, func(cluster *testCluster, give put) { cluster.flapZone("b", 9*time.Second) }},
 	} {
 		for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
 			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
 				t.Parallel()
 				types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: zones}}
 				sim, err := NewVirtualTime(Config{
-					Seed: 341, MaxMachines: c.machines, Types: types, Controllers: 3, Zones: zones, TickInterval: 50 * time.Millisecond, Workers: tight, VariedRunTimes: true,
+					Seed: 341, MaxMachines: c.machines, Types: types, Controllers: 3, Zones: zones, TickInterval: 50 * time.Millisecond, Workers: shortTimers, VariedRunTimes: true,
 					State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 				}, nil)
 				if err != nil {
 					t.Fatal(err)
 				}
-				r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(341, 43))}
-				r.watch()
+				cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(341, 43))}
+				cluster.watchInvariants()
 				give := func(n int, change func(spec *jobs.Spec)) {
 					spec := &jobs.Spec{
 						ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, MemoryGB: 1,
 						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true,
 					}
 					change(spec)
-					(&simUser{w: r.Simulation, rng: r.rng, spec: spec}).submit()
+					(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
 				}
-				r.Advance(5 * time.Second)
+				cluster.Advance(5 * time.Second)
 				for k := range 260 { // about as much as there is room for
-					r.After(time.Duration(k)*2*time.Second, func() { give(1000+k, func(*jobs.Spec) {}) })
+					cluster.After(time.Duration(k)*2*time.Second, func() { give(1000+k, func(*jobs.Spec) {}) })
 				}
-				r.Advance(20 * time.Second)
-				c.begin(r, give)
-				r.Advance(90 * time.Second)
-				beside := r.WatchIdleCapacity()
-				r.Advance(380 * time.Second)
+				cluster.Advance(20 * time.Second)
+				c.begin(cluster, give)
+				cluster.Advance(90 * time.Second)
+				beside := cluster.WatchIdleCapacity()
+				cluster.Advance(380 * time.Second)
 				longest, job := beside()
 				t.Logf("%s waited %v beside room", job, longest)
-				for _, b := range r.Violations() {
+				for _, b := range cluster.Violations() {
 					t.Error(b)
 				}
 			})
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -31,8 +31,8 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// many is a cluster that is given a great number of small jobs while it fails again and again.
-type many struct {
+// manyJobs is a cluster that is given a great number of small jobs while it fails again and again.
+type manyJobs struct {
 	*Simulation
 	t        *testing.T
 	rng      *rand.Rand
@@ -41,7 +41,7 @@
 }
 
 // submit hands a job in until it is accepted.
-func (m *many) submit(n int) {
+func (m *manyJobs) submit(n int) {
 	spec := &jobs.Spec{
 		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true,
@@ -63,8 +63,8 @@
 	again()
 }
 
-// trouble lets something fail, and heal.
-func (m *many) trouble() {
+// injectFaults lets something fail, and heal.
+func (m *manyJobs) injectFaults() {
 	i := m.rng.IntN(3)
 	switch m.rng.IntN(6) {
 	case 0:
@@ -85,8 +85,8 @@
 	}
 }
 
-// calm lets everything heal and all jobs that are done be archived.
-func (m *many) calm() {
+// endFaults lets everything heal and all jobs that are done be archived.
+func (m *manyJobs) endFaults() {
 	for i := range 3 {
 		m.StartController(i)
 	}
@@ -97,7 +97,7 @@
 }
 
 // measure looks at what controllers hold and at what a start takes: each is ended and started again in turn.
-func (m *many) measure() footprint {
+func (m *manyJobs) measure() footprint {
 	h := footprint{jobs: len(m.accepted), records: m.CountKeys("h/")}
 	for i, controller := range m.virtual.controllers {
 		if controller.process == nil {
@@ -141,7 +141,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &many{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(411, 47))}
+	m := &manyJobs{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(411, 47))}
 	m.Advance(10 * time.Second)
 	var seen []footprint
 	const every = 25 * time.Millisecond
@@ -149,10 +149,10 @@
 		m.submit(i)
 		m.Advance(every)
 		if i%1200 == 600 {
-			m.trouble()
+			m.injectFaults()
 		}
 		if i == n/10 || i == n-1 {
-			m.calm()
+			m.endFaults()
 			h := m.measure()
 			t.Logf("after %d jobs: %d keys followed, %d jobs in memory, %d requests around a start, controllers hold %.2f MB", h.jobs, h.records, h.known, h.requests, h.heap)
 			seen = append(seen, h)
@@ -169,7 +169,7 @@
 			}
 		}
 	}
-	m.answersEverywhere(checked)
+	m.checkAnswersEverywhere(checked)
 	for _, b := range m.Violations() {
 		t.Error(b)
 	}
@@ -177,8 +177,8 @@
 	t.Logf("%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained", n, m.Now(), s.TaskStarts, s.ControllersKilled, s.ControllersFrozen, s.ControllersDrained)
 }
 
-// answersEverywhere asks every controller about every step-th job: each has one answer, done.
-func (m *many) answersEverywhere(step int) {
+// checkAnswersEverywhere asks every controller about every step-th job: each has one answer, done.
+func (m *manyJobs) checkAnswersEverywhere(step int) {
 	m.t.Helper()
 	right, wrong := 0, 0
 	for i := range m.virtual.controllers {
--- a/internal/simulator/troubles_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -15,28 +15,28 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// standing is a cluster with machines in three zones that have long work, with users' questions through a balancer.
-func standing(t *testing.T, seed uint64, controllers int) (*rolling, *Balancer) {
-	r := wide(t, seed, controllers)
-	balancer := r.Balance()
-	r.submitMany(24, 20)
-	r.load(60 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
-	r.Advance(3 * time.Second)
-	return r, balancer
+// newSteadyCluster is a cluster with machines in three zones that have long work, with users' questions through a balancer.
+func newSteadyCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
+	cluster := newWideCluster(t, seed, controllers)
+	balancer := cluster.Balance()
+	cluster.submitSmallJobs(24, 20)
+	cluster.submitJobs(60 * time.Second)
+	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.Advance(3 * time.Second)
+	return cluster, balancer
 }
 
-// asked lets users ask about the jobs of the crowd from now on, through the balancer.
-func (r *rolling) asked(balancer *Balancer) *JobPollers {
+// startPolling lets users ask about the jobs of the crowd from now on, through the balancer.
+func (r *testCluster) startPolling(balancer *Balancer) *JobPollers {
 	pollers := balancer.JobPollers()
-	for _, u := range r.users[:24] {
-		pollers.Follow(u.spec.ID, nil)
+	for _, user := range r.users[:24] {
+		pollers.Follow(user.spec.ID, nil)
 	}
 	return pollers
 }
 
-// alive tells whether a machine is rented still.
-func (r *rolling) alive(name string) bool {
+// machineAlive tells whether a machine is rented still.
+func (r *testCluster) machineAlive(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.cloud.machineByName[name].dead
@@ -44,7 +44,7 @@
 
 // Machines report but hear nothing: one, many, all of a zone; the lead changes meanwhile, and some hear again. Little is sent
 // to them in vain, they are given back and replaced, or taken back when they hear, and all jobs come to their end.
-func TestTalksButDoesNotHear(t *testing.T) {
+func TestMachineWithLostInbound(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		n    int
@@ -60,22 +60,22 @@
 		{"many and leader", 14, false, 5 * time.Minute, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, _ := standing(t, 81, 5)
+			cluster, _ := newSteadyCluster(t, 81, 5)
 			zone := ""
 			if c.zone {
-				zone = r.elsewhere()
+				zone = cluster.zoneWithoutLeader()
 			}
-			deaf := r.DropInbound(c.n, zone, c.d)
+			deaf := cluster.DropInbound(c.n, zone, c.d)
 			if c.lead {
-				l, _ := r.Leader()
-				r.After(2*time.Second, func() { r.KillController(l) })
-				r.After(4*time.Second, func() { r.StartController(l) })
+				l, _ := cluster.Leader()
+				cluster.After(2*time.Second, func() { cluster.KillController(l) })
+				cluster.After(4*time.Second, func() { cluster.StartController(l) })
 			}
-			r.Advance(c.d / 2)
+			cluster.Advance(c.d / 2)
 			if c.d > time.Minute {
 				left := 0
 				for _, m := range deaf {
-					if r.alive(m) {
+					if cluster.machineAlive(m) {
 						left++
 					}
 				}
@@ -84,59 +84,59 @@
 				}
 			}
 			// A lane or two each before it shows, not one each lease.
-			s := r.Stats()
+			s := cluster.Stats()
 			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(deaf))
 			if s.LaunchesLost > 6*len(deaf) {
 				t.Errorf("%d launches were sent to %d machines that don't hear", s.LaunchesLost, len(deaf))
 			}
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
 
 // A machine hears but isn't heard: it is silent.
-func TestHearsButIsNotHeard(t *testing.T) {
-	r, _ := standing(t, 82, 3)
-	mute := r.DropOutbound(3, "", 5*time.Minute)
-	r.Advance(40 * time.Second)
+func TestMachineWithLostOutbound(t *testing.T) {
+	cluster, _ := newSteadyCluster(t, 82, 3)
+	mute := cluster.DropOutbound(3, "", 5*time.Minute)
+	cluster.Advance(40 * time.Second)
 	for _, m := range mute {
-		if r.alive(m) {
+		if cluster.machineAlive(m) {
 			t.Errorf("%s is still paid for", m)
 		}
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Copies of reports and requests arrive from one second to several leases late, at whatever controller, over killed machines,
 // kills of leaders and a zone that is lost: none revives, frees or finishes anything.
-func TestLateCopies(t *testing.T) {
+func TestDuplicatedMessagesHaveNoEffect(t *testing.T) {
 	for seed := range uint64(3) {
-		r, _ := standing(t, 90+seed, 3)
-		r.DuplicateMessages(0.4, time.Second, 40*time.Second)
+		cluster, _ := newSteadyCluster(t, 90+seed, 3)
+		cluster.DuplicateMessages(0.4, time.Second, 40*time.Second)
 		dead := map[string]time.Duration{}
 		for i := range 8 {
-			r.After(time.Duration(4*i)*time.Second, func() {
-				if name := r.BusiestMachine(); name != "" {
-					r.mu.Lock()
-					r.terminate(r.now(), r.cloud.machineByName[name])
-					r.mu.Unlock()
-					dead[name] = r.Now()
+			cluster.After(time.Duration(4*i)*time.Second, func() {
+				if name := cluster.BusiestMachine(); name != "" {
+					cluster.mu.Lock()
+					cluster.terminate(cluster.now(), cluster.cloud.machineByName[name])
+					cluster.mu.Unlock()
+					dead[name] = cluster.Now()
 				}
 			})
 		}
-		r.After(12*time.Second, func() { r.onLeader(time.Second, r.KillController) })
-		zone := r.elsewhere()
-		r.After(20*time.Second, func() { r.PartitionZone(zone, DelayBoth) })
-		r.After(32*time.Second, func() { r.PartitionZone(zone, Connected) })
+		cluster.After(12*time.Second, func() { cluster.onLeader(time.Second, cluster.KillController) })
+		zone := cluster.zoneWithoutLeader()
+		cluster.After(20*time.Second, func() { cluster.PartitionZone(zone, DelayBoth) })
+		cluster.After(32*time.Second, func() { cluster.PartitionZone(zone, Connected) })
 		revived := 0
 		for range 100 {
-			r.Advance(time.Second)
-			l, _ := r.Leader()
+			cluster.Advance(time.Second)
+			l, _ := cluster.Leader()
 			if l < 0 {
 				continue
 			}
 			for name, at := range dead {
-				if c := r.virtual.controllers[l].process; c != nil && r.Now()-at > 40*time.Second && c.Acts(name) {
+				if c := cluster.virtual.controllers[l].process; c != nil && cluster.Now()-at > 40*time.Second && c.Acts(name) {
 					revived++
 				}
 			}
@@ -144,17 +144,17 @@
 		if revived > 0 {
 			t.Errorf("seed %d: machines that are gone counted as heard %d times", seed, revived)
 		}
-		r.over()
+		cluster.waitUntilDone()
 	}
 }
 
 // A controller loses the state service and the others but not its workers, the leader or another, alone, two at once, and
 // during a rollout: it answers no report after its hold, its workers and users are elsewhere soon, and its return disturbs nothing.
-func TestCutOffWithItsWorkers(t *testing.T) {
+func TestControllerPartitionedWithItsWorkers(t *testing.T) {
 	for _, c := range []string{"leader", "other", "two", "rolling"} {
 		t.Run(c, func(t *testing.T) {
-			r, balancer := standing(t, 83, 5)
-			first, _ := r.Leader()
+			cluster, balancer := newSteadyCluster(t, 83, 5)
+			first, _ := cluster.Leader()
 			gone := []int{first}
 			switch c {
 			case "other":
@@ -162,52 +162,52 @@
 			case "two":
 				gone = append(gone, (first+2)%5)
 			case "rolling":
-				r.RollingRestart(rollout.Newest, time.Second, nil, func() {})
-				r.Advance(2 * time.Second)
-				first, _ = r.Leader()
+				cluster.RollingRestart(rollout.Newest, time.Second, nil, func() {})
+				cluster.Advance(2 * time.Second)
+				first, _ = cluster.Leader()
 				gone = []int{first}
 			}
-			pollers := r.asked(balancer)
-			before := r.Now()
+			pollers := cluster.startPolling(balancer)
+			before := cluster.Now()
 			for _, i := range gone {
-				r.CutLinks(i, StateLink|PeerLinks)
+				cluster.CutLinks(i, StateLink|PeerLinks)
 			}
-			r.Advance(8 * time.Second)
+			cluster.Advance(8 * time.Second)
 			for _, i := range gone {
-				if balancer.Healthy(i) && r.ControllerRuns(i) {
+				if balancer.Healthy(i) && cluster.ControllerRuns(i) {
 					t.Errorf("controller %d is healthy after 8 s without state service and the others", i)
 				}
 			}
 			if c == "leader" || c == "two" {
-				r.reach("led from elsewhere", 10*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && !slices.Contains(gone, l) })
+				cluster.waitFor("led from elsewhere", 10*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(gone, l) })
 			}
-			r.Advance(6 * time.Second)
+			cluster.Advance(6 * time.Second)
 			// Everybody reports to whoever leads.
-			l, _ := r.Leader()
+			l, _ := cluster.Leader()
 			astray := 0
-			r.mu.Lock()
-			for _, machine := range r.readyMachines() {
-				if machine.controller != l && r.now()-machine.rentedAt > 30*time.Second {
+			cluster.mu.Lock()
+			for _, machine := range cluster.readyMachines() {
+				if machine.controller != l && cluster.now()-machine.rentedAt > 30*time.Second {
 					astray++
 				}
 			}
-			r.mu.Unlock()
+			cluster.mu.Unlock()
 			if astray > 2 {
 				t.Errorf("%d machines report to a controller that doesn't lead", astray)
 			}
-			term := func() uint64 { _, n := r.Leader(); return n }
+			term := func() uint64 { _, n := cluster.Leader(); return n }
 			was := term()
 			for _, i := range gone {
-				r.CutLinks(i, 0)
+				cluster.CutLinks(i, 0)
 			}
-			r.Advance(20 * time.Second)
+			cluster.Advance(20 * time.Second)
 			if now := term(); now != was && c != "rolling" {
 				t.Errorf("the lead changed from term %d to %d on the return", was, now)
 			}
-			if gap, job := pollers.LongestUnanswered(before, r.Now()); gap > 25*time.Second {
+			if gap, job := pollers.LongestUnanswered(before, cluster.Now()); gap > 25*time.Second {
 				t.Errorf("no question about %s was answered for %v", job, gap)
 			}
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
@@ -215,18 +215,18 @@
 // The leader loses its workers alone: another leads as soon as they ask others, it stays away while the cut lasts, and the
 // lead doesn't wander.
 func TestLeaderLosesItsWorkers(t *testing.T) {
-	r, _ := standing(t, 89, 5)
-	old, was := r.Leader()
-	r.CutLinks(old, WorkerLinks)
-	from := r.Now()
-	r.reach("led from elsewhere", 9*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && l != old })
-	t.Logf("led from elsewhere after %v", r.Now()-from)
-	r.Advance(40 * time.Second)
-	if l, term := r.Leader(); term != was+1 || l == old {
+	cluster, _ := newSteadyCluster(t, 89, 5)
+	old, was := cluster.Leader()
+	cluster.CutLinks(old, WorkerLinks)
+	from := cluster.Now()
+	cluster.waitFor("led from elsewhere", 9*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old })
+	t.Logf("led from elsewhere after %v", cluster.Now()-from)
+	cluster.Advance(40 * time.Second)
+	if l, term := cluster.Leader(); term != was+1 || l == old {
 		t.Errorf("controller %d leads in term %d, the former one was %d", l, term, was)
 	}
-	r.CutLinks(old, 0)
-	r.over()
+	cluster.CutLinks(old, 0)
+	cluster.waitUntilDone()
 }
 
 // membershipStates returns the names of all states between a controller's start and its leadership, in their order.
@@ -240,71 +240,71 @@
 
 // Controllers are killed and back within 50 to 900 ms, between all steps of an election, again and again: somebody leads
 // soon, one at most acts, and every job ends once.
-func TestControllersBackAtOnce(t *testing.T) {
-	r, _ := standing(t, 84, 3)
+func TestControllersThatRestartAtOnce(t *testing.T) {
+	cluster, _ := newSteadyCluster(t, 84, 3)
 	steps := membershipStates()
 	for round := range 14 {
 		all := round%3 == 2
-		l, _ := r.Leader()
+		l, _ := cluster.Leader()
 		for i := range 3 {
 			if all || i == l {
-				r.KillController(i)
-				after := time.Duration(50+r.rng.IntN(850)) * time.Millisecond
-				r.After(after, func() { r.StartController(i) })
+				cluster.KillController(i)
+				after := time.Duration(50+cluster.rng.IntN(850)) * time.Millisecond
+				cluster.After(after, func() { cluster.StartController(i) })
 			}
 		}
-		r.Advance(time.Second)
-		r.RestartControllerAtStep(r.rng.IntN(3), steps[round%len(steps)], time.Duration(50+r.rng.IntN(850))*time.Millisecond)
-		from := r.Now()
-		r.reach("led", 14*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
-		if duration := r.Now() - from; duration > 8*time.Second {
+		cluster.Advance(time.Second)
+		cluster.RestartControllerAtStep(cluster.rng.IntN(3), steps[round%len(steps)], time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
+		from := cluster.Now()
+		cluster.waitFor("led", 14*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
+		if duration := cluster.Now() - from; duration > 8*time.Second {
 			t.Logf("round %d: %v without a leader", round, duration)
 		}
-		r.Advance(2 * time.Second)
+		cluster.Advance(2 * time.Second)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Machines restart within a fraction of a second under their names, session and sequence from the start, while copies of their
 // earlier reports are about: one, many, all of a zone, all. They are used again or given back, soon.
-func TestMachinesBackAtOnce(t *testing.T) {
+func TestMachinesThatRestartAtOnce(t *testing.T) {
 	for _, n := range []int{1, 12, 99} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			r, _ := standing(t, 85, 3)
-			r.DuplicateMessages(0.2, time.Second, 20*time.Second)
-			r.mu.Lock()
-			for _, machine := range r.cloud.machines {
+			cluster, _ := newSteadyCluster(t, 85, 3)
+			cluster.DuplicateMessages(0.2, time.Second, 20*time.Second)
+			cluster.mu.Lock()
+			for _, machine := range cluster.cloud.machines {
 				machine.seq += 100_000 // they have been up for hours
 			}
-			r.mu.Unlock()
-			r.Advance(15 * time.Second)
+			cluster.mu.Unlock()
+			cluster.Advance(15 * time.Second)
 			var names []string
-			r.mu.Lock()
-			for _, machine := range r.shuffledReadyMachines() {
+			cluster.mu.Lock()
+			for _, machine := range cluster.shuffledReadyMachines() {
 				if len(names) < n {
 					names = append(names, machine.Name)
 				}
 			}
-			r.mu.Unlock()
+			cluster.mu.Unlock()
 			for _, name := range names {
-				r.RestartMachine(name, time.Duration(50+r.rng.IntN(850))*time.Millisecond)
+				cluster.RestartMachine(name, time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
 			}
-			r.load(30 * time.Second)
+			cluster.submitJobs(30 * time.Second)
 			left := map[string]bool{}
 			for _, name := range names {
 				left[name] = true
 			}
-			from, l := r.Now(), 0
-			for end := r.Now() + time.Minute; r.Now() < end && len(left) > 0; r.Advance(250 * time.Millisecond) {
-				if l, _ = r.Leader(); l < 0 {
+			from, l := cluster.Now(), 0
+			for end := cluster.Now() + time.Minute; cluster.Now() < end && len(left) > 0; cluster.Advance(250 * time.Millisecond) {
+				if l, _ = cluster.Leader(); l < 0 {
 					continue
 				}
 				for name := range left {
-					r.mu.Lock()
-					machine := r.cloud.machineByName[name]
-					known := !machine.dead && r.virtual.controllers[l].process != nil && r.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
+					cluster.mu.Lock()
+					machine := cluster.cloud.machineByName[name]
+					known := !machine.dead && cluster.virtual.controllers[l].process != nil && cluster.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
 					dead := machine.dead
-					r.mu.Unlock()
+					cluster.mu.Unlock()
 					if dead || known {
 						delete(left, name)
 					}
@@ -312,85 +312,85 @@
 			}
 			returned := 0
 			for _, name := range names {
-				if !r.alive(name) {
+				if !cluster.machineAlive(name) {
 					returned++
 				}
 			}
-			t.Logf("%d machines: all heard or given back after %v, %d given back", len(names), r.Now()-from, returned)
-			if duration := r.Now() - from; duration > 10*time.Second || returned > len(names)/4 {
+			t.Logf("%d machines: all heard or given back after %v, %d given back", len(names), cluster.Now()-from, returned)
+			if duration := cluster.Now() - from; duration > 10*time.Second || returned > len(names)/4 {
 				t.Errorf("%d of %d machines were neither heard nor given back within %v, %d given back", len(left), len(names), duration, returned)
 			}
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
 
 // Machines come up late by a multiple of their time, never, or at once: what never comes is given back, replaced, and not
 // rented anew in a wave; what is late is used or given back.
-func TestBootsLateOrNever(t *testing.T) {
+func TestMachinesThatBootLateOrNever(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		factor, never float64
 	}{{"late", 6, 0}, {"never", 1, 0.6}, {"at once", 0.01, 0}} {
 		t.Run(c.name, func(t *testing.T) {
-			r := wide(t, 86, 3)
-			r.SetBootFault(c.factor, c.never)
-			r.submitMany(16, 15)
+			cluster := newWideCluster(t, 86, 3)
+			cluster.SetBootFault(c.factor, c.never)
+			cluster.submitSmallJobs(16, 15)
 			most := 0
 			for range 90 {
-				r.Advance(time.Second)
-				r.mu.Lock()
+				cluster.Advance(time.Second)
+				cluster.mu.Lock()
 				n := 0
-				for _, machine := range r.cloud.machines {
+				for _, machine := range cluster.cloud.machines {
 					if !machine.dead {
 						n++
 					}
 				}
-				r.mu.Unlock()
+				cluster.mu.Unlock()
 				most = max(most, n)
 			}
-			r.SetBootFault(0, 0)
-			r.Advance(2 * time.Minute)
-			r.mu.Lock()
-			for _, machine := range r.cloud.machines {
-				if !machine.dead && machine.upAt > r.now()+time.Hour {
-					t.Errorf("%s never comes up and is paid for after %v", machine.Name, r.now()-machine.rentedAt)
+			cluster.SetBootFault(0, 0)
+			cluster.Advance(2 * time.Minute)
+			cluster.mu.Lock()
+			for _, machine := range cluster.cloud.machines {
+				if !machine.dead && machine.upAt > cluster.now()+time.Hour {
+					t.Errorf("%s never comes up and is paid for after %v", machine.Name, cluster.now()-machine.rentedAt)
 				}
 			}
-			r.mu.Unlock()
+			cluster.mu.Unlock()
 			t.Logf("at most %d machines", most)
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
 
 // Jobs that fail on every machine until they are cancelled stand beside others: single, gang and array. No machine is given
 // back for them, the others don't wait for them, and a machine that is faulty is found out all the same.
-func TestMistakesAndFaultyMachines(t *testing.T) {
-	r, _ := standing(t, 87, 3)
+func TestFailingJobsAndFaultyMachines(t *testing.T) {
+	cluster, _ := newSteadyCluster(t, 87, 3)
 	for i := range 40 { // so much that no machine is idle
-		u := &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
+		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-81%04d", i), Class: "long", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 8, CPUs: 4,
 			MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true,
 		}}
-		r.users = append(r.users, u)
-		u.submit()
+		cluster.users = append(cluster.users, user)
+		user.submit()
 	}
-	r.Advance(20 * time.Second)
-	var wrong []*simUser
+	cluster.Advance(20 * time.Second)
+	var wrong []*testUser
 	for i, spec := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
 		spec.ID, spec.Class, spec.Team, spec.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
 		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
-		u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-		r.FailJob(spec.ID)
-		u.submit()
-		wrong = append(wrong, u)
+		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+		cluster.FailJob(spec.ID)
+		user.submit()
+		wrong = append(wrong, user)
 	}
-	before := r.Stats()
+	before := cluster.Stats()
 	returned := func() (n int) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		for _, machine := range r.cloud.machines {
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
+		for _, machine := range cluster.cloud.machines {
 			if machine.returned && !machine.faulty && machine.incarnation == 0 {
 				n++
 			}
@@ -398,8 +398,8 @@
 		return n
 	}
 	was := returned()
-	r.Advance(60 * time.Second)
-	crashed := r.Stats().TasksCrashed - before.TasksCrashed
+	cluster.Advance(60 * time.Second)
+	crashed := cluster.Stats().TasksCrashed - before.TasksCrashed
 	t.Logf("%d failures in 60 s, %d machines returned", crashed, returned()-was)
 	if crashed > 120 {
 		t.Errorf("%d failures in a minute", crashed)
@@ -407,104 +407,104 @@
 	if n := returned() - was; n > 0 {
 		t.Errorf("%d machines were returned while only jobs were at fault", n)
 	}
-	bad := r.BusiestMachine()
-	r.FailTasksOnMachine(bad)
-	r.reach("faulty machine given back", 90*time.Second, func() bool { return !r.alive(bad) })
-	for _, u := range wrong {
-		u.cancel()
+	bad := cluster.BusiestMachine()
+	cluster.FailTasksOnMachine(bad)
+	cluster.waitFor("faulty machine given back", 90*time.Second, func() bool { return !cluster.machineAlive(bad) })
+	for _, user := range wrong {
+		user.cancel()
 	}
-	r.users = append(r.users, wrong...)
-	r.over()
+	cluster.users = append(cluster.users, wrong...)
+	cluster.waitUntilDone()
 }
 
 // A leader stands still for more than a minute, and so does the next: each time another leads within its hold's life, and
 // whoever wakes does nothing on its old authority.
-func TestSilentForAMinute(t *testing.T) {
-	r, balancer := standing(t, 88, 5)
-	pollers := r.asked(balancer)
-	r.load(2 * time.Minute)
-	from := r.Now()
+func TestLeadersFrozenForAMinute(t *testing.T) {
+	cluster, balancer := newSteadyCluster(t, 88, 5)
+	pollers := cluster.startPolling(balancer)
+	cluster.submitJobs(2 * time.Minute)
+	from := cluster.Now()
 	for range 3 {
-		l, _ := r.Leader()
-		r.FreezeController(l, 70*time.Second)
-		r.reach("led from elsewhere", 12*time.Second, func() bool { n, _ := r.Leader(); return n >= 0 && n != l })
-		r.Advance(10 * time.Second)
+		l, _ := cluster.Leader()
+		cluster.FreezeController(l, 70*time.Second)
+		cluster.waitFor("led from elsewhere", 12*time.Second, func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l })
+		cluster.Advance(10 * time.Second)
 	}
-	r.Advance(90 * time.Second)
-	if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 30*time.Second {
+	cluster.Advance(90 * time.Second)
+	if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
 		t.Errorf("no question about %s was answered for %v", job, gap)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Users ask many times as often, for jobs that run, that are over and that nobody submitted, while the leader stands still:
 // everybody is answered at once or told to come back, no lease runs out for it, submissions are taken and no job's questions starve.
-func TestFloodOfQuestions(t *testing.T) {
-	r, balancer := standing(t, 91, 3)
-	pollers := r.asked(balancer)
-	r.Advance(20 * time.Second)
-	before, from := r.Stats(), r.Now()
+func TestFloodOfQueriesIsShed(t *testing.T) {
+	cluster, balancer := newSteadyCluster(t, 91, 3)
+	pollers := cluster.startPolling(balancer)
+	cluster.Advance(20 * time.Second)
+	before, from := cluster.Stats(), cluster.Now()
 	statuses := map[int]int{}
 	slowest, late := time.Duration(0), 0
 	for i := range 60_000 { // a thousand a second
 		id, real := fmt.Sprintf("req-7%05d", i%1000), false
 		if i%3 > 0 {
-			id, real = r.users[i%len(r.users)].spec.ID, true
+			id, real = cluster.users[i%len(cluster.users)].spec.ID, true
 		}
-		r.After(time.Duration(i)*time.Millisecond, func() {
-			at, to := r.Now(), i%3
-			frozen := r.virtual.controllers[to].frozenUntil > at
-			r.Request(to, "GET", "/v2/runs/"+id, nil, func(status int, _ []byte) {
+		cluster.After(time.Duration(i)*time.Millisecond, func() {
+			at, to := cluster.Now(), i%3
+			frozen := cluster.virtual.controllers[to].frozenUntil > at
+			cluster.Request(to, "GET", "/v2/runs/"+id, nil, func(status int, _ []byte) {
 				statuses[status]++
 				if !frozen && status != 0 {
-					slowest = max(slowest, r.Now()-at)
+					slowest = max(slowest, cluster.Now()-at)
 				}
-				if status == 200 && !real || status == 404 && real && r.accepted(id) {
+				if status == 200 && !real || status == 404 && real && cluster.accepted(id) {
 					t.Errorf("%s is answered %d", id, status)
 				}
-				if r.Now()-at > 2*time.Second {
+				if cluster.Now()-at > 2*time.Second {
 					late++
 				}
 			})
 		})
 	}
-	r.After(20*time.Second, func() {
-		r.onLeader(0, func(i int) { r.FreezeController(i, 12*time.Second) })
+	cluster.After(20*time.Second, func() {
+		cluster.onLeader(0, func(i int) { cluster.FreezeController(i, 12*time.Second) })
 	})
-	r.load(60 * time.Second)
-	r.Advance(62 * time.Second)
+	cluster.submitJobs(60 * time.Second)
+	cluster.Advance(62 * time.Second)
 	t.Logf("answers %v, the slowest of a controller that doesn't stand still %v, %d late", statuses, slowest, late)
-	if n := r.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
+	if n := cluster.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
 		t.Errorf("%d leases ran out under a flood of questions", n)
 	}
-	if gap, job := pollers.LongestUnanswered(from, r.Now()); gap > 20*time.Second {
+	if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 20*time.Second {
 		t.Errorf("no question about %s was answered for %v", job, gap)
 	}
 	if statuses[200] == 0 || statuses[404] == 0 {
 		t.Errorf("answers %v", statuses)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // accepted tells whether a user's submission was taken.
-func (r *rolling) accepted(id string) bool {
-	return slices.ContainsFunc(r.users, func(u *simUser) bool { return u.spec.ID == id && (u.status == 200 || u.status == 201) })
+func (r *testCluster) accepted(id string) bool {
+	return slices.ContainsFunc(r.users, func(user *testUser) bool { return user.spec.ID == id && (user.status == 200 || user.status == 201) })
 }
 
 // Guests without a guarantee bring one array of thousands of short tasks, a flood of tiny jobs and idle-time work: those who have
 // a guarantee wait no longer for it, and the guests are served.
-func TestGuests(t *testing.T) {
+func TestJobsWithoutGuaranteeDoNotDelayOthers(t *testing.T) {
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b", "c"}}}
-	r := newRollingOn(t, 92, 3, rollout.Newest, "", 24, types, []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}, {Name: "guest"}})
-	r.submitMany(10, 15)
-	r.Advance(30 * time.Second)
-	give := func(u *simUser) *simUser {
-		r.users = append(r.users, u)
-		u.submit()
-		return u
-	}
-	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *simUser {
-		return &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
+	cluster := newTestClusterOn(t, 92, 3, rollout.Newest, "", 24, types, []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}, {Name: "guest"}})
+	cluster.submitSmallJobs(10, 15)
+	cluster.Advance(30 * time.Second)
+	give := func(user *testUser) *testUser {
+		cluster.users = append(cluster.users, user)
+		user.submit()
+		return user
+	}
+	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *testUser {
+		return &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 0.4,
 			Image: "i", ImageGB: 0.5, EstimateS: est, Spot: true,
 		}}
@@ -512,29 +512,29 @@
 	give(job(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4))
 	give(job(500001, "guest", "idle", "best_effort", 60, 4, 30))
 	for i := range 200 {
-		r.After(time.Duration(i)*300*time.Millisecond, func() { give(job(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)) })
+		cluster.After(time.Duration(i)*300*time.Millisecond, func() { give(job(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)) })
 	}
 	for i := range 20 {
-		r.After(time.Duration(3*i)*time.Second, func() { give(job(520000+i, "red", "owed", "standard", 4, 4, 10)) })
+		cluster.After(time.Duration(3*i)*time.Second, func() { give(job(520000+i, "red", "owed", "standard", 4, 4, 10)) })
 	}
-	r.Advance(65 * time.Second)
-	r.over()
-	if n := len(r.StartDelays("owed")); n != 20 {
+	cluster.Advance(65 * time.Second)
+	cluster.waitUntilDone()
+	if n := len(cluster.StartDelays("owed")); n != 20 {
 		t.Fatalf("%d jobs with a guarantee began", n)
 	}
-	if w := slices.Max(r.StartDelays("owed")); w > 10*time.Second {
+	if w := slices.Max(cluster.StartDelays("owed")); w > 10*time.Second {
 		t.Errorf("a job within its guarantee waited %v", w)
 	}
-	if w := slices.Max(append(r.StartDelays("sweep"), r.StartDelays("idle")...)); w > 4*time.Minute {
+	if w := slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)); w > 4*time.Minute {
 		t.Errorf("guests waited %v", w)
 	}
-	t.Logf("within the guarantee %v at most, guests %v, tiny ones %v", slices.Max(r.StartDelays("owed")), slices.Max(append(r.StartDelays("sweep"), r.StartDelays("idle")...)), slices.Max(r.StartDelays("tiny")))
+	t.Logf("within the guarantee %v at most, guests %v, tiny ones %v", slices.Max(cluster.StartDelays("owed")), slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)), slices.Max(cluster.StartDelays("tiny")))
 }
 
 // Gangs that need half of all machines at once, under a constant stream of small urgent ones that takes most of them, while the
 // leader is killed and the next one stands still: they begin within four minutes of their submission, whoever leads. Without the rule
 // they don't.
-func TestTheLargestBeginWhoeverLeads(t *testing.T) {
+func TestLargestJobsStartAcrossFailovers(t *testing.T) {
 	began := func(operator string) (longest time.Duration, left int) {
 		types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b"}}}
 		sim, err := NewVirtualTime(Config{Seed: 93, MaxMachines: 16, Types: types, TickInterval: 50 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
@@ -543,14 +543,14 @@
 			t.Fatal(err)
 		}
 		rng := rand.New(rand.NewPCG(93, 1))
-		var large []*simUser
-		submit := func(n, tasks int, priority string, est float64) *simUser {
-			u := &simUser{w: sim, rng: rng, spec: &jobs.Spec{
+		var large []*testUser
+		submit := func(n, tasks int, priority string, est float64) *testUser {
+			user := &testUser{simulation: sim, rng: rng, spec: &jobs.Spec{
 				ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, MemoryGB: 1,
 				Image: "i", ImageGB: 1, EstimateS: est,
 			}}
-			u.submit()
-			return u
+			user.submit()
+			return user
 		}
 		for i := range 300 { // 16 machines, of which these take some 13
 			sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
@@ -561,8 +561,8 @@
 		sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
 		sim.After(170*time.Second, func() { sim.onLeader(0, func(i int) { sim.FreezeController(i, 70*time.Second) }) })
 		sim.Advance(450 * time.Second)
-		for _, u := range large {
-			if duration, ok := sim.FirstStart(u.spec.ID); ok {
+		for _, user := range large {
+			if duration, ok := sim.FirstStart(user.spec.ID); ok {
 				longest = max(longest, duration)
 			} else {
 				left++
@@ -584,115 +584,115 @@
 	t.Logf("without the rule %d don't begin, the last of the others after %v", left, longest)
 }
 
-// wild plays all of it together at random over kills, freezes, drains, cuts and outages, then lets everything heal, and tells
+// runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets everything heal, and tells
 // the longest time in which no question about one job was answered, from then on.
-func wild(t *testing.T, seed uint64, duration time.Duration) (*rolling, time.Duration, string) {
+func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
 	t.Helper()
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 5, Zones: []string{"a", "b", "c"}}}
-	r := newRollingOn(t, seed, 3+2*int(seed%2), rollout.Newest, "", 16, types, []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}})
+	cluster := newTestClusterOn(t, seed, 3+2*int(seed%2), rollout.Newest, "", 16, types, []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}})
 	rng := rand.New(rand.NewPCG(seed, 77))
-	r.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-	r.DuplicateMessages(0.1*rng.Float64(), time.Second, 30*time.Second)
-	balancer := r.Balance()
+	cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+	cluster.DuplicateMessages(0.1*rng.Float64(), time.Second, 30*time.Second)
+	balancer := cluster.Balance()
 	pollers := balancer.JobPollers()
-	r.load(duration)
-	var mistakes []*simUser
-	n := r.Controllers()
+	cluster.submitJobs(duration)
+	var mistakes []*testUser
+	n := cluster.Controllers()
 	for at := 4 * time.Second; at < duration; at += time.Duration(rng.IntN(5000)) * time.Millisecond {
 		i, what, long := rng.IntN(n), rng.IntN(31), time.Duration(500+rng.IntN(15000))*time.Millisecond
 		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Links(1+rng.IntN(31)), rng.IntN(6)
 		blink := time.Duration(50+rng.IntN(850)) * time.Millisecond
 		step := membershipStates()[rng.IntN(7)]
 		factor, never := []float64{0.01, 4, 10}[rng.IntN(3)], []float64{0, 0.3, 1}[rng.IntN(3)]
-		r.After(at, func() {
+		cluster.After(at, func() {
 			switch what {
 			case 0:
-				r.DropInbound(1+k, "", long)
+				cluster.DropInbound(1+k, "", long)
 			case 1:
-				r.DropInbound(99, zone, long)
+				cluster.DropInbound(99, zone, long)
 			case 2:
-				r.DropOutbound(1+k, "", long)
+				cluster.DropOutbound(1+k, "", long)
 			case 3, 4:
-				r.CutLinks(i, from)
-				r.After(long, func() { r.CutLinks(i, 0) })
+				cluster.CutLinks(i, from)
+				cluster.After(long, func() { cluster.CutLinks(i, 0) })
 			case 5:
-				if l, _ := r.Leader(); l >= 0 {
-					r.CutLinks(l, StateLink|PeerLinks)
-					r.After(long, func() { r.CutLinks(l, 0) })
+				if l, _ := cluster.Leader(); l >= 0 {
+					cluster.CutLinks(l, StateLink|PeerLinks)
+					cluster.After(long, func() { cluster.CutLinks(l, 0) })
 				}
 			case 6:
 				for range 1 + k {
-					r.RestartMachine("", blink)
+					cluster.RestartMachine("", blink)
 				}
 			case 7:
 				for i := range n {
 					if k > 2 || i == k {
-						r.KillController(i)
-						r.After(blink, func() { r.StartController(i) })
+						cluster.KillController(i)
+						cluster.After(blink, func() { cluster.StartController(i) })
 					}
 				}
 			case 8:
-				if l, _ := r.Leader(); l >= 0 {
-					r.KillController(l)
-					r.After(blink, func() { r.StartController(l) })
+				if l, _ := cluster.Leader(); l >= 0 {
+					cluster.KillController(l)
+					cluster.After(blink, func() { cluster.StartController(l) })
 				}
 			case 9:
-				r.RestartControllerAtStep(i, step, blink)
+				cluster.RestartControllerAtStep(i, step, blink)
 			case 10:
-				r.SetBootFault(factor, never)
-				r.After(long, func() { r.SetBootFault(0, 0) })
+				cluster.SetBootFault(factor, never)
+				cluster.After(long, func() { cluster.SetBootFault(0, 0) })
 			case 11:
 				spec := drawJob(rng, 700000+len(mistakes))
-				u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-				mistakes = append(mistakes, u)
-				r.FailJob(spec.ID)
-				u.submit()
-				r.After(long, u.cancel)
+				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+				mistakes = append(mistakes, user)
+				cluster.FailJob(spec.ID)
+				user.submit()
+				cluster.After(long, user.cancel)
 			case 12:
-				if l, _ := r.Leader(); l >= 0 {
-					r.FreezeController(l, 5*long)
+				if l, _ := cluster.Leader(); l >= 0 {
+					cluster.FreezeController(l, 5*long)
 				}
 			case 13:
-				r.FreezeController(i, long)
+				cluster.FreezeController(i, long)
 			case 14:
-				r.PartitionZone(zone, Partition(1+k%5))
-				r.After(long, func() { r.PartitionZone(zone, Connected) })
+				cluster.PartitionZone(zone, Partition(1+k%5))
+				cluster.After(long, func() { cluster.PartitionZone(zone, Connected) })
 			case 15:
-				r.during(long/2, r.SetStateOutage)
+				cluster.during(long/2, cluster.SetStateOutage)
 			case 16:
-				r.during(long, func(on bool) { r.RefuseController(i, on) })
+				cluster.during(long, func(on bool) { cluster.RefuseController(i, on) })
 			case 17:
-				r.DrainController(i, func() { r.After(blink, func() { r.StartController(i) }) })
+				cluster.DrainController(i, func() { cluster.After(blink, func() { cluster.StartController(i) }) })
 			case 18:
-				r.HangMachine(long)
-				r.KillMachine()
+				cluster.HangMachine(long)
+				cluster.KillMachine()
 			case 19:
-				r.DelayMachineCommands(long)
+				cluster.DelayMachineCommands(long)
 			case 20:
-				r.RefuseOutbound(1+k, "", long)
+				cluster.RefuseOutbound(1+k, "", long)
 			case 21:
-				r.RefuseOutbound(99, zone, long)
+				cluster.RefuseOutbound(99, zone, long)
 			case 22:
-				r.during(long, func(on bool) { r.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })
+				cluster.during(long, func(on bool) { cluster.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })
 			case 23:
-				r.during(long, func(on bool) {
-					r.DelayWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
+				cluster.during(long, func(on bool) {
+					cluster.DelayWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
 				})
 			case 24:
-				r.during(2*long, func(on bool) { r.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })
+				cluster.during(2*long, func(on bool) { cluster.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })
 			case 25:
-				r.during(long, r.SetPollBursts)
+				cluster.during(long, cluster.SetPollBursts)
 			case 26:
-				r.during(long, r.SetOddRequests)
+				cluster.during(long, cluster.SetOddRequests)
 			case 27:
-				r.during(long, func(on bool) { r.CancelAtCompletion(map[bool]float64{true: 0.4}[on]) })
+				cluster.during(long, func(on bool) { cluster.CancelAtCompletion(map[bool]float64{true: 0.4}[on]) })
 			case 28:
-				r.CancelRunning(1+k, long/2)
+				cluster.CancelRunning(1+k, long/2)
 			case 29:
-				r.KillLeaders(2+k, long)
+				cluster.KillLeaders(2+k, long)
 			case 30:
-				r.during(long, func(on bool) {
-					r.DelayStateAnswers(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on])
+				cluster.during(long, func(on bool) {
+					cluster.DelayStateAnswers(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on])
 				})
 			}
 		})
@@ -700,63 +700,63 @@
 	followed := 0
 	var follow func()
 	follow = func() {
-		for ; followed < len(r.users); followed++ {
-			if s := r.users[followed].status; s != 200 && s != 201 {
+		for ; followed < len(cluster.users); followed++ {
+			if s := cluster.users[followed].status; s != 200 && s != 201 {
 				break
 			}
-			pollers.Follow(r.users[followed].spec.ID, nil)
+			pollers.Follow(cluster.users[followed].spec.ID, nil)
 		}
-		r.After(time.Second, follow)
+		cluster.After(time.Second, follow)
 	}
 	follow()
-	r.Advance(duration)
+	cluster.Advance(duration)
 	// Everything heals; the last freeze ends by itself.
-	r.SetNetwork(2*time.Millisecond, 0, 0, 0)
-	r.DuplicateMessages(0, 0, 0)
-	r.SetBootFault(0, 0)
+	cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
+	cluster.DuplicateMessages(0, 0, 0)
+	cluster.SetBootFault(0, 0)
 	for _, z := range []string{"a", "b", "c"} {
-		r.PartitionZone(z, Connected)
+		cluster.PartitionZone(z, Connected)
 	}
-	r.Advance(80 * time.Second)
+	cluster.Advance(80 * time.Second)
 	for i := range n {
-		r.CutLinks(i, 0)
-		r.StartController(i)
-	}
-	healed, beside := r.Now(), r.WatchIdleCapacity()
-	r.Advance(75 * time.Second)
-	gap, job := pollers.LongestUnanswered(healed, r.Now())
-	r.users = append(r.users, mistakes...)
-	r.over()
-	r.beside, _ = beside()
-	return r, gap, job
+		cluster.CutLinks(i, 0)
+		cluster.StartController(i)
+	}
+	healed, beside := cluster.Now(), cluster.WatchIdleCapacity()
+	cluster.Advance(75 * time.Second)
+	gap, job := pollers.LongestUnanswered(healed, cluster.Now())
+	cluster.users = append(cluster.users, mistakes...)
+	cluster.waitUntilDone()
+	cluster.idleWait, _ = beside()
+	return cluster, gap, job
 }
 
-// served is the share of jobs that began within four minutes, by kind, by team, and of the largest quarter of a kind; those that
+// startedWork is the share of jobs that began within four minutes, by kind, by team, and of the largest quarter of a kind; those that
 // their users gave up don't count.
-func (r *rolling) served() map[string]float64 {
-	byKind := map[string][]*simUser{}
+func (r *testCluster) startedWork() map[string]float64 {
+	byKind := map[string][]*testUser{}
 	begun, all := map[string]int{}, map[string]int{}
-	count := func(set string, u *simUser) {
+	count := func(set string, user *testUser) {
 		all[set]++
-		if duration, ok := r.FirstStart(u.spec.ID); ok && duration <= 4*time.Minute {
+		if duration, ok := r.FirstStart(user.spec.ID); ok && duration <= 4*time.Minute {
 			begun[set]++
 		}
 	}
-	for _, u := range r.users {
-		if u.asked || r.CancelRequested(u.spec.ID) {
+	for _, user := range r.users {
+		if user.cancelRequested || r.CancelRequested(user.spec.ID) {
 			continue
 		}
-		kind := string(u.spec.Kind)
-		byKind[kind] = append(byKind[kind], u)
-		count(kind, u)
-		count("team "+u.spec.Team, u)
+		kind := string(user.spec.Kind)
+		byKind[kind] = append(byKind[kind], user)
+		count(kind, user)
+		count("team "+user.spec.Team, user)
 	}
-	for kind, us := range byKind {
-		slices.SortStableFunc(us, func(a, b *simUser) int {
+	for kind, users := range byKind {
+		slices.SortStableFunc(users, func(a, b *testUser) int {
 			return int(b.spec.CPUs)*b.spec.Tasks - int(a.spec.CPUs)*a.spec.Tasks
 		})
-		for _, u := range us[:(len(us)+3)/4] {
-			count("largest "+kind, u)
+		for _, user := range users[:(len(users)+3)/4] {
+			count("largest "+kind, user)
 		}
 	}
 	share := map[string]float64{}
@@ -767,7 +767,7 @@
 }
 
 // All of the troubles of this file together, overlapping, in simulated time.
-func TestChaosOfTroubles(t *testing.T) {
+func TestRandomPartialFaults(t *testing.T) {
 	seeds := 12
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
@@ -775,16 +775,16 @@
 	ends, worst, least, beside := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
 	var all Stats
 	for seed := range seeds {
-		r, gap, job := wild(t, uint64(600+seed), 90*time.Second)
+		cluster, gap, job := runRandomFaults(t, uint64(600+seed), 90*time.Second)
 		if worst = max(worst, gap); gap > 75*time.Second-time.Second {
 			t.Errorf("seed %d: no question about %s was answered for %v once everything had healed", 600+seed, job, gap)
 		}
-		for _, u := range r.users {
-			if len(u.told) > 0 {
-				ends[u.told[0]]++
+		for _, user := range cluster.users {
+			if len(user.finalStates) > 0 {
+				ends[user.finalStates[0]]++
 			}
 		}
-		for set, share := range r.served() {
+		for set, share := range cluster.startedWork() {
 			if share < 0.5 {
 				t.Errorf("seed %d: %.2f of %s began within four minutes", 600+seed, share, set)
 			}
@@ -792,8 +792,8 @@
 				least[set] = share
 			}
 		}
-		s := r.Stats()
-		beside = max(beside, r.beside)
+		s := cluster.Stats()
+		beside = max(beside, cluster.idleWait)
 		all.LostAnswers, all.LateWrites, all.HeartbeatsReplayed, all.PollBursts, all.JobsCancelled, all.OddRequests, all.OddRequestsRefused = all.LostAnswers+s.LostAnswers, all.LateWrites+s.LateWrites, all.HeartbeatsReplayed+s.HeartbeatsReplayed,
 			all.PollBursts+s.PollBursts, all.JobsCancelled+s.JobsCancelled, all.OddRequests+s.OddRequests, all.OddRequestsRefused+s.OddRequestsRefused
 		all.StartsAfterCancel, all.DirectStartsAfterCancel, all.LatestStartAfterCancel = all.StartsAfterCancel+s.StartsAfterCancel, all.DirectStartsAfterCancel+s.DirectStartsAfterCancel, max(all.LatestStartAfterCancel, s.LatestStartAfterCancel)
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -16,28 +16,28 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// rolling is a simulated cluster through a rollout, with a load that goes on.
-type rolling struct {
-	beside time.Duration // the longest wait of a job beside room, once all was well
+// testCluster is a simulated cluster through a rollout, with a load that goes on.
+type testCluster struct {
+	idleWait time.Duration // the longest wait of a job beside room, once all was well
 	*Simulation
-	t     *testing.T
-	rng   *rand.Rand
-	users []*simUser
-	until time.Duration // jobs arrive until then
+	t           *testing.T
+	rng         *rand.Rand
+	users       []*testUser
+	submitUntil time.Duration // jobs arrive until then
 
 	formats map[string]int // of each key, as last seen
 
-	sessions []*simSession // interactive ones, of the scenarios that have any
+	sessions []*testSession // interactive ones, of the scenarios that have any
 }
 
-// newRolling starts a cluster whose controllers all run the former release, or the newest one.
-func newRolling(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string) *rolling {
+// newTestCluster starts a cluster whose controllers all run the former release, or the newest one.
+func newTestCluster(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string) *testCluster {
 	t.Helper()
-	return newRollingOn(t, seed, controllers, knows, words, 14, nil, []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}})
+	return newTestClusterOn(t, seed, controllers, knows, words, 14, nil, []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}})
 }
 
-// newRollingOn does so with a number of machines, types and teams.
-func newRollingOn(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string, machines int, types []capacity.MachineType, teams []config.Team) *rolling {
+// newTestClusterOn does so with a number of machines, types and teams.
+func newTestClusterOn(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string, machines int, types []capacity.MachineType, teams []config.Team) *testCluster {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
 		Seed: seed, MaxMachines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond,
@@ -52,13 +52,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
-	r.watch()
-	return r
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
+	cluster.watchInvariants()
+	return cluster
 }
 
-// newRollingWith starts a cluster of three controllers whose settings are changed first.
-func newRollingWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *rolling {
+// newTestClusterWith starts a cluster of three controllers whose settings are changed first.
+func newTestClusterWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *testCluster {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
 		Seed: seed, MaxMachines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, TickInterval: 50 * time.Millisecond,
@@ -74,33 +74,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
-	r.watch()
-	return r
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
+	cluster.watchInvariants()
+	return cluster
 }
 
-// load lets jobs arrive for a time, about two a second.
-func (r *rolling) load(duration time.Duration) {
-	r.until = r.Now() + duration
+// submitJobs lets jobs arrive for a time, about two a second.
+func (r *testCluster) submitJobs(duration time.Duration) {
+	r.submitUntil = r.Now() + duration
 	var arrive func()
 	arrive = func() {
-		if r.Now() >= r.until {
+		if r.Now() >= r.submitUntil {
 			return
 		}
-		u := &simUser{w: r.Simulation, rng: r.rng, spec: drawJob(r.rng, len(r.users)+1)}
-		r.users = append(r.users, u)
-		u.submit()
+		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: drawJob(r.rng, len(r.users)+1)}
+		r.users = append(r.users, user)
+		user.submit()
 		if r.rng.IntN(8) == 0 {
-			r.After(time.Duration(r.rng.IntN(15000))*time.Millisecond, u.cancel)
+			r.After(time.Duration(r.rng.IntN(15000))*time.Millisecond, user.cancel)
 		}
 		r.After(time.Duration(r.rng.IntN(1000))*time.Millisecond, arrive)
 	}
 	arrive()
 }
 
-// watch looks at what must hold at every moment: nobody acts at a level it doesn't know, at most one acts, the level
+// watchInvariants looks at what must hold at every moment: nobody acts at a level it doesn't know, at most one acts, the level
 // never falls, and no record falls back to a former format.
-func (r *rolling) watch() {
+func (r *testCluster) watchInvariants() {
 	r.formats = map[string]int{}
 	level, last := rollout.Base, uint64(0)
 	var look func()
@@ -137,8 +137,8 @@
 	look()
 }
 
-// view asks a controller where the rollout stands.
-func (r *rolling) view(i int) (v rollout.View) {
+// rolloutView asks a controller where the rollout stands.
+func (r *testCluster) rolloutView(i int) (v rollout.View) {
 	r.t.Helper()
 	r.Request(i, "GET", "/v2/rollout", nil, func(status int, raw []byte) {
 		if err := json.Unmarshal(raw, &v); err != nil || status != 200 {
@@ -149,8 +149,8 @@
 	return v
 }
 
-// say gives an operator's word and returns the answer.
-func (r *rolling) say(op string) (status int, body string) {
+// rolloutCommand gives an operator's word and returns the answer.
+func (r *testCluster) rolloutCommand(op string) (status int, body string) {
 	l, _ := r.Leader()
 	if l < 0 {
 		return 503, "nobody leads"
@@ -160,8 +160,8 @@
 	return status, body
 }
 
-// reach lets time pass until something holds.
-func (r *rolling) reach(what string, most time.Duration, f func() bool) {
+// waitFor lets time pass until something holds.
+func (r *testCluster) waitFor(what string, most time.Duration, f func() bool) {
 	r.t.Helper()
 	for end := r.Now() + most; r.Now() < end; r.Advance(100 * time.Millisecond) {
 		if f() {
@@ -170,13 +170,13 @@
 	}
 	l, _ := r.Leader()
 	if l >= 0 {
-		r.t.Logf("%+v", r.view(l))
+		r.t.Logf("%+v", r.rolloutView(l))
 	}
 	r.t.Fatalf("%v: not %s after %v; level %d, broken %v", r.Now(), what, most, r.ClusterLevel(), r.Violations())
 }
 
 // restart ends a controller and starts it with a release a little later.
-func (r *rolling) restart(i int, knows rollout.Level) {
+func (r *testCluster) restart(i int, knows rollout.Level) {
 	r.KillController(i)
 	r.SetRelease(i, knows)
 	r.Advance(time.Second)
@@ -184,13 +184,13 @@
 }
 
 // migrated tells whether the migration's end is durable.
-func (r *rolling) migrated() bool {
+func (r *testCluster) migrated() bool {
 	var m rollout.Migration
 	return json.Unmarshal(r.StoredItem("h/r/migration").Value, &m) == nil && m.Done && m.Level == rollout.Newest
 }
 
-// oldPlans counts the plans with a key of their own.
-func (r *rolling) oldPlans() (n int) {
+// unmigratedPlans counts the plans with a key of their own.
+func (r *testCluster) unmigratedPlans() (n int) {
 	for k := range r.StoredItems(jobs.PlanPrefix) {
 		if !strings.HasPrefix(k, jobs.PlanPagePrefix) && !strings.HasPrefix(k, jobs.PlanPrefix+"images") {
 			n++
@@ -199,13 +199,13 @@
 	return n
 }
 
-// over waits for the end of all jobs and checks what users were told.
-func (r *rolling) over() {
+// waitUntilDone waits for the end of all jobs and checks what users were told.
+func (r *testCluster) waitUntilDone() {
 	r.t.Helper()
 	for end := r.Now() + 10*time.Minute; r.Now() < end; r.Advance(2 * time.Second) {
-		open := r.until > r.Now()
-		for _, u := range r.users {
-			open = open || len(u.told) < 4
+		open := r.submitUntil > r.Now()
+		for _, user := range r.users {
+			open = open || len(user.finalStates) < 4
 		}
 		if !open {
 			break
@@ -214,16 +214,16 @@
 	for _, b := range r.Violations() {
 		r.t.Error(b)
 	}
-	for _, u := range r.users {
+	for _, user := range r.users {
 		switch {
-		case len(u.told) == 0:
-			r.t.Errorf("%s is not over (status %d)", u.spec.ID, u.status)
-		case u.told[0] == "cancelled" && !u.asked && !r.CancelRequested(u.spec.ID):
-			r.t.Errorf("%s is cancelled, and nobody asked for it", u.spec.ID)
+		case len(user.finalStates) == 0:
+			r.t.Errorf("%s is not over (status %d)", user.spec.ID, user.status)
+		case user.finalStates[0] == "cancelled" && !user.cancelRequested && !r.CancelRequested(user.spec.ID):
+			r.t.Errorf("%s is cancelled, and nobody asked for it", user.spec.ID)
 		}
-		for _, s := range u.told {
-			if s != u.told[0] {
-				r.t.Errorf("%s was told %v", u.spec.ID, u.told)
+		for _, s := range user.finalStates {
+			if s != user.finalStates[0] {
+				r.t.Errorf("%s was told %v", user.spec.ID, user.finalStates)
 			}
 		}
 	}
@@ -231,46 +231,46 @@
 
 // A roll of five controllers in the order of the plan, under load: the lead moves once, the level rises by itself after
 // the soak time, everything migrates, and hardly a second passes without a start.
-func TestRollOfFive(t *testing.T) {
-	r := newRolling(t, 51, 5, rollout.Base, "soak_s = 5")
-	r.load(3 * time.Minute)
-	r.Advance(30 * time.Second)
-	if r.ClusterLevel() != rollout.Base || r.oldPlans() == 0 {
-		t.Fatalf("level %d, %d plans of the former form", r.ClusterLevel(), r.oldPlans())
-	}
-	_, before := r.Leader()
-	from, rolled := r.Now(), false
-	r.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
-	r.reach("rolled", 2*time.Minute, func() bool { return rolled })
-	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	if _, after := r.Leader(); after != before+1 {
+func TestRollingUpgradeOfFive(t *testing.T) {
+	cluster := newTestCluster(t, 51, 5, rollout.Base, "soak_s = 5")
+	cluster.submitJobs(3 * time.Minute)
+	cluster.Advance(30 * time.Second)
+	if cluster.ClusterLevel() != rollout.Base || cluster.unmigratedPlans() == 0 {
+		t.Fatalf("level %d, %d plans of the former form", cluster.ClusterLevel(), cluster.unmigratedPlans())
+	}
+	_, before := cluster.Leader()
+	from, rolled := cluster.Now(), false
+	cluster.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
+	cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
+	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	if _, after := cluster.Leader(); after != before+1 {
 		t.Errorf("the lead moved %d times", after-before)
 	}
-	gap := r.LongestStartGap(from, r.Now())
-	r.reach("migrated", time.Minute, r.migrated)
-	if n := r.oldPlans(); n > 0 {
+	gap := cluster.LongestStartGap(from, cluster.Now())
+	cluster.waitFor("migrated", time.Minute, cluster.migrated)
+	if n := cluster.unmigratedPlans(); n > 0 {
 		t.Errorf("%d plans of the former form", n)
 	}
-	t.Logf("rolled in %v, the longest time without a start %v", r.Now()-from, gap)
+	t.Logf("rolled in %v, the longest time without a start %v", cluster.Now()-from, gap)
 	if gap > 2*time.Second {
 		t.Errorf("nothing started for %v", gap)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // The leader dies between the transaction that lets the level rise and its answer; or the transaction lands only after
 // operators have aborted, or after a controller has come back with the former release.
-func TestRiseLate(t *testing.T) {
+func TestRiseOfLevelWaits(t *testing.T) {
 	for _, c := range []string{"the leader dies before the answer", "after an abort", "after an old one came back", "the answer is lost"} {
 		t.Run(c, func(t *testing.T) {
-			r := newRolling(t, 52, 3, rollout.Base, "finish = \"operator\"")
-			r.load(70 * time.Second)
+			cluster := newTestCluster(t, 52, 3, rollout.Base, "finish = \"operator\"")
+			cluster.submitJobs(70 * time.Second)
 			rolled, caught := false, 0
-			r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-			r.reach("rolled", time.Minute, func() bool { return rolled })
-			r.Advance(2 * time.Second)
-			leader, _ := r.Leader()
-			r.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
+			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
+			cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+			cluster.Advance(2 * time.Second)
+			leader, _ := cluster.Leader()
+			cluster.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
 				for _, o := range tx.Then {
 					if o.Put != "h/r/level" || caught > 0 {
 						continue
@@ -280,7 +280,7 @@
 					case "the answer is lost":
 						return TxnOutcome{Unanswered: true}
 					case "the leader dies before the answer":
-						r.After(0, func() { r.KillController(i) })
+						cluster.After(0, func() { cluster.KillController(i) })
 						return TxnOutcome{Unanswered: true}
 					}
 					return TxnOutcome{Delay: 1500 * time.Millisecond}
@@ -291,32 +291,32 @@
 				}
 				return TxnOutcome{}
 			})
-			if status, body := r.say("finish"); status != 200 {
+			if status, body := cluster.rolloutCommand("finish"); status != 200 {
 				t.Fatalf("%d %s", status, body)
 			}
-			r.reach("sent", 5*time.Second, func() bool { return caught > 0 })
+			cluster.waitFor("sent", 5*time.Second, func() bool { return caught > 0 })
 			want := rollout.Newest
 			switch c {
 			case "after an abort":
 				// Whoever leads now may say so again; the word goes through before the rise does.
-				r.reach("aborted", 2*time.Second, func() bool { s, _ := r.say("abort"); return s == 200 })
+				cluster.waitFor("aborted", 2*time.Second, func() bool { s, _ := cluster.rolloutCommand("abort"); return s == 200 })
 				want = rollout.Base
 			case "after an old one came back":
-				r.restart((leader+1)%3, rollout.Base)
+				cluster.restart((leader+1)%3, rollout.Base)
 				want = rollout.Base
 			}
-			r.Advance(12 * time.Second)
-			r.InterceptTxns(nil)
-			r.Advance(5 * time.Second)
-			if r.ClusterLevel() != want {
-				t.Fatalf("level %d", r.ClusterLevel())
+			cluster.Advance(12 * time.Second)
+			cluster.InterceptTxns(nil)
+			cluster.Advance(5 * time.Second)
+			if cluster.ClusterLevel() != want {
+				t.Fatalf("level %d", cluster.ClusterLevel())
 			}
 			for i := range 3 {
-				if !r.ControllerRuns(i) {
-					r.StartController(i)
+				if !cluster.ControllerRuns(i) {
+					cluster.StartController(i)
 				}
 			}
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
@@ -324,242 +324,242 @@
 // A controller is down while all others are rolled. Its last word was the former release's: nothing rises, and who asks
 // is told so. It comes back as it was: nothing rises. Once it is new the level does; an old one that comes then
 // stays out, does not end, and says what to do.
-func TestOneComesBackOld(t *testing.T) {
-	r := newRolling(t, 53, 3, rollout.Base, "soak_s = 2")
-	r.load(2 * time.Minute)
-	r.Advance(5 * time.Second)
-	leader, _ := r.Leader()
+func TestOldReleaseStaysOutAfterUpgrade(t *testing.T) {
+	cluster := newTestCluster(t, 53, 3, rollout.Base, "soak_s = 2")
+	cluster.submitJobs(2 * time.Minute)
+	cluster.Advance(5 * time.Second)
+	leader, _ := cluster.Leader()
 	out := (leader + 1) % 3
-	r.KillController(out)
+	cluster.KillController(out)
 	for i := range 3 {
 		if i != out {
-			r.restart(i, rollout.Newest)
-			r.Advance(10 * time.Second)
+			cluster.restart(i, rollout.Newest)
+			cluster.Advance(10 * time.Second)
 		}
 	}
-	if r.ClusterLevel() != rollout.Base {
+	if cluster.ClusterLevel() != rollout.Base {
 		t.Fatal("the level rose, and one was down that doesn't know it")
 	}
-	if status, body := r.say("finish"); status != 409 || !strings.Contains(body, fmt.Sprintf("node-%d", out)) {
+	if status, body := cluster.rolloutCommand("finish"); status != 409 || !strings.Contains(body, fmt.Sprintf("node-%d", out)) {
 		t.Errorf("%d %s", status, body)
 	}
-	r.StartController(out)
-	r.Advance(10 * time.Second)
-	l, _ := r.Leader()
-	if v := r.view(l); r.ClusterLevel() != rollout.Base || len(v.Missing) != 1 || v.Restart != fmt.Sprintf("node-%d", out) {
-		t.Errorf("level %d, %+v", r.ClusterLevel(), v)
+	cluster.StartController(out)
+	cluster.Advance(10 * time.Second)
+	l, _ := cluster.Leader()
+	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Missing) != 1 || v.Restart != fmt.Sprintf("node-%d", out) {
+		t.Errorf("level %d, %+v", cluster.ClusterLevel(), v)
 	}
-	r.restart(out, rollout.Newest)
-	r.reach("risen", 20*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	r.reach("migrated", 30*time.Second, r.migrated)
+	cluster.restart(out, rollout.Newest)
+	cluster.waitFor("risen", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 
-	r.restart(out, rollout.Base)
-	r.Advance(8 * time.Second)
+	cluster.restart(out, rollout.Base)
+	cluster.Advance(8 * time.Second)
 	ups := 0
 	for range 3 {
-		r.Request(out, "GET", "/up", nil, func(status int, _ []byte) {
+		cluster.Request(out, "GET", "/up", nil, func(status int, _ []byte) {
 			if ups++; status != 503 {
 				t.Errorf("it says that it is well: %d", status)
 			}
 		})
-		r.Request(out, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
+		cluster.Request(out, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
 			if status == 201 {
 				t.Error("it took a job")
 			}
 		})
-		r.Advance(time.Second)
+		cluster.Advance(time.Second)
 	}
-	if v := r.view(out); ups != 3 || !r.ControllerRuns(out) || v.State != "behind" {
-		t.Errorf("%d answers, runs %v, %+v", ups, r.ControllerRuns(out), v)
+	if v := cluster.rolloutView(out); ups != 3 || !cluster.ControllerRuns(out) || v.State != "behind" {
+		t.Errorf("%d answers, runs %v, %+v", ups, cluster.ControllerRuns(out), v)
 	}
 	// Both others end: nobody leads rather than one that can't read what is stored.
 	for i := range 3 {
 		if i != out {
-			r.KillController(i)
+			cluster.KillController(i)
 		}
 	}
-	r.Advance(15 * time.Second)
-	if l, _ := r.Leader(); l >= 0 {
+	cluster.Advance(15 * time.Second)
+	if l, _ := cluster.Leader(); l >= 0 {
 		t.Errorf("controller %d leads", l)
 	}
 	for i := range 3 {
-		r.restart(i, rollout.Newest)
+		cluster.restart(i, rollout.Newest)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Forward, held, back, forward again, and back once more when it is too late, with work all the time.
-func TestForwardAndBack(t *testing.T) {
-	r := newRolling(t, 54, 3, rollout.Base, "soak_s = 2")
-	r.load(3 * time.Minute)
+func TestRollForwardAndBack(t *testing.T) {
+	cluster := newTestCluster(t, 54, 3, rollout.Base, "soak_s = 2")
+	cluster.submitJobs(3 * time.Minute)
 	roll := func(to rollout.Level) {
 		done := false
-		r.RollingRestart(to, time.Second, nil, func() { done = true })
-		r.reach("rolled", 2*time.Minute, func() bool { return done })
+		cluster.RollingRestart(to, time.Second, nil, func() { done = true })
+		cluster.waitFor("rolled", 2*time.Minute, func() bool { return done })
 	}
-	if s, b := r.say("abort"); s != 503 && s != 200 {
+	if s, b := cluster.rolloutCommand("abort"); s != 503 && s != 200 {
 		t.Fatalf("%d %s", s, b)
 	}
-	r.Advance(5 * time.Second)
-	if s, b := r.say("abort"); s != 200 { // plan the way back from the start: nothing rises
+	cluster.Advance(5 * time.Second)
+	if s, b := cluster.rolloutCommand("abort"); s != 200 { // plan the way back from the start: nothing rises
 		t.Fatalf("%d %s", s, b)
 	}
 	for i := range 3 {
-		r.restart(i, rollout.Newest)
-		r.Advance(8 * time.Second)
+		cluster.restart(i, rollout.Newest)
+		cluster.Advance(8 * time.Second)
 	}
-	r.Advance(10 * time.Second)
-	if r.ClusterLevel() != rollout.Base {
+	cluster.Advance(10 * time.Second)
+	if cluster.ClusterLevel() != rollout.Base {
 		t.Fatal("it rose though it was aborted")
 	}
 	roll(rollout.Base) // nothing is lost
-	if r.oldPlans() == 0 {
+	if cluster.unmigratedPlans() == 0 {
 		t.Error("no plan stands in the form that the former release reads")
 	}
-	if s, b := r.say("free"); s != 200 {
+	if s, b := cluster.rolloutCommand("free"); s != 200 {
 		t.Fatalf("%d %s", s, b)
 	}
 	roll(rollout.Newest)
-	r.reach("risen", 20*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	if s, b := r.say("abort"); s != 409 || !strings.Contains(b, "can't read") {
+	cluster.waitFor("risen", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	if s, b := cluster.rolloutCommand("abort"); s != 409 || !strings.Contains(b, "can't read") {
 		t.Errorf("an abort that comes too late: %d %s", s, b)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // A leader of the former release has plans on their way when it ends; they land after the level has risen and the
 // migration is over. None does anything.
-func TestOldWritesLandLate(t *testing.T) {
-	r := newRolling(t, 55, 3, rollout.Base, "finish = \"operator\"")
-	r.load(90 * time.Second)
-	r.Advance(5 * time.Second)
-	leader, _ := r.Leader()
+func TestDelayedWritesOfOldReleaseHaveNoEffect(t *testing.T) {
+	cluster := newTestCluster(t, 55, 3, rollout.Base, "finish = \"operator\"")
+	cluster.submitJobs(90 * time.Second)
+	cluster.Advance(5 * time.Second)
+	leader, _ := cluster.Leader()
 	for i := range 3 {
 		if i != leader {
-			r.restart(i, rollout.Newest)
+			cluster.restart(i, rollout.Newest)
 		}
 	}
-	r.Advance(5 * time.Second)
+	cluster.Advance(5 * time.Second)
 	held := 0
-	r.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
-		if i == leader && r.runningLevel(i) == rollout.Base && len(tx.Then) > 0 && strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
+	cluster.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
+		if i == leader && cluster.runningLevel(i) == rollout.Base && len(tx.Then) > 0 && strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
 			held++
 			return TxnOutcome{Delay: 40 * time.Second}
 		}
 		return TxnOutcome{}
 	})
-	r.reach("held back", 10*time.Second, func() bool { return held > 0 })
-	r.restart(leader, rollout.Newest)
-	r.Advance(4 * time.Second)
-	r.reach("told", 10*time.Second, func() bool { s, _ := r.say("finish"); return s == 200 })
-	r.reach("migrated", 20*time.Second, r.migrated)
-	r.Advance(45 * time.Second)
-	if n := r.oldPlans(); n > 0 {
+	cluster.waitFor("held back", 10*time.Second, func() bool { return held > 0 })
+	cluster.restart(leader, rollout.Newest)
+	cluster.Advance(4 * time.Second)
+	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("migrated", 20*time.Second, cluster.migrated)
+	cluster.Advance(45 * time.Second)
+	if n := cluster.unmigratedPlans(); n > 0 {
 		t.Errorf("%d plans in the former form", n)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // The migration goes on where it was, through three takeovers, an outage of the state service, and a zone that is cut
 // off with two of five controllers, the leader's among them.
-func TestMigrationIsCut(t *testing.T) {
+func TestMigrationIsInterrupted(t *testing.T) {
 	for _, c := range []string{"takeovers", "outage", "zone"} {
 		t.Run(c, func(t *testing.T) {
-			r := newRolling(t, 56, 5, rollout.Base, "soak_s = 1")
+			cluster := newTestCluster(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
 				spec := &jobs.Spec{
 					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, MemoryGB: 1,
 					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true,
 				}
-				u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-				r.users = append(r.users, u)
-				r.After(time.Duration(i*100)*time.Millisecond, u.submit)
+				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+				cluster.users = append(cluster.users, user)
+				cluster.After(time.Duration(i*100)*time.Millisecond, user.submit)
 			}
-			r.Advance(40 * time.Second)
+			cluster.Advance(40 * time.Second)
 			rolled := false
-			r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-			r.reach("rolled", 2*time.Minute, func() bool { return rolled })
-			r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
+			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
+			cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
+			cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 			// From here on only the leader's most urgent writes go through at once.
-			start := r.oldPlans()
+			start := cluster.unmigratedPlans()
 			switch c {
 			case "takeovers":
 				for range 3 {
-					if l, _ := r.Leader(); l >= 0 {
-						r.KillController(l)
-						r.Advance(8 * time.Second)
-						r.StartController(l)
+					if l, _ := cluster.Leader(); l >= 0 {
+						cluster.KillController(l)
+						cluster.Advance(8 * time.Second)
+						cluster.StartController(l)
 					}
 				}
 			case "outage":
-				r.SetStateOutage(true)
-				r.Advance(15 * time.Second)
-				r.SetStateOutage(false)
+				cluster.SetStateOutage(true)
+				cluster.Advance(15 * time.Second)
+				cluster.SetStateOutage(false)
 			case "zone":
-				l, _ := r.Leader()
-				zone := r.settings[l].Zone
-				r.PartitionZone(zone, DelayBoth)
-				r.Advance(20 * time.Second)
-				if n, _ := r.Leader(); n < 0 || r.settings[n].Zone == zone {
+				l, _ := cluster.Leader()
+				zone := cluster.settings[l].Zone
+				cluster.PartitionZone(zone, DelayBoth)
+				cluster.Advance(20 * time.Second)
+				if n, _ := cluster.Leader(); n < 0 || cluster.settings[n].Zone == zone {
 					t.Errorf("controller %d leads, in a zone that is cut off", n)
 				}
-				r.PartitionZone(zone, Connected)
+				cluster.PartitionZone(zone, Connected)
 			}
-			r.reach("migrated", 2*time.Minute, r.migrated)
+			cluster.waitFor("migrated", 2*time.Minute, cluster.migrated)
 			t.Logf("%d plans in the former form when the level rose", start)
-			if start == 0 || r.oldPlans() != 0 {
-				t.Errorf("%d plans to migrate, %d left", start, r.oldPlans())
+			if start == 0 || cluster.unmigratedPlans() != 0 {
+				t.Errorf("%d plans to migrate, %d left", start, cluster.unmigratedPlans())
 			}
-			r.over()
+			cluster.waitUntilDone()
 		})
 	}
 }
 
 // A roll in which every second controller is killed while it drains.
 func TestRollWithKills(t *testing.T) {
-	r := newRolling(t, 57, 5, rollout.Base, "soak_s = 3")
-	r.load(2 * time.Minute)
-	r.Advance(5 * time.Second)
+	cluster := newTestCluster(t, 57, 5, rollout.Base, "soak_s = 3")
+	cluster.submitJobs(2 * time.Minute)
+	cluster.Advance(5 * time.Second)
 	rolled, n := false, 0
-	r.RollingRestart(rollout.Newest, 2*time.Second, func(int) bool { n++; return n%2 == 0 }, func() { rolled = true })
-	r.reach("rolled", 3*time.Minute, func() bool { return rolled })
-	r.reach("migrated", time.Minute, r.migrated)
-	r.over()
+	cluster.RollingRestart(rollout.Newest, 2*time.Second, func(int) bool { n++; return n%2 == 0 }, func() { rolled = true })
+	cluster.waitFor("rolled", 3*time.Minute, func() bool { return rolled })
+	cluster.waitFor("migrated", time.Minute, cluster.migrated)
+	cluster.waitUntilDone()
 }
 
 // The leader stands still while another takes over and lets the level rise. When it goes on it still believes, for a
 // moment, that it leads at the former level: it acts for nobody.
-func TestRiseWhileTheLeaderStandsStill(t *testing.T) {
-	r := newRolling(t, 58, 3, rollout.Base, "finish = \"operator\"")
-	r.load(80 * time.Second)
+func TestRiseOfLevelWhileLeaderIsFrozen(t *testing.T) {
+	cluster := newTestCluster(t, 58, 3, rollout.Base, "finish = \"operator\"")
+	cluster.submitJobs(80 * time.Second)
 	rolled := false
-	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-	r.reach("rolled", time.Minute, func() bool { return rolled })
-	old, _ := r.Leader()
-	r.FreezeController(old, 25*time.Second)
-	r.reach("led by another", 15*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && l != old })
-	r.Advance(time.Second)
-	r.reach("told", 10*time.Second, func() bool { s, _ := r.say("finish"); return s == 200 })
-	r.reach("risen", 5*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	r.over()
+	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
+	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+	old, _ := cluster.Leader()
+	cluster.FreezeController(old, 25*time.Second)
+	cluster.waitFor("led by another", 15*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old })
+	cluster.Advance(time.Second)
+	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("risen", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitUntilDone()
 }
 
 // In the middle of a rollout the leader is lost: whoever follows has the new release, if one that has it is there.
 func TestSuccessorHasTheNewRelease(t *testing.T) {
 	for seed := range uint64(8) {
-		r := newRolling(t, 80+seed, 5, rollout.Base, "soak_s = 600")
-		r.Advance(3 * time.Second)
-		leader, _ := r.Leader()
+		cluster := newTestCluster(t, 80+seed, 5, rollout.Base, "soak_s = 600")
+		cluster.Advance(3 * time.Second)
+		leader, _ := cluster.Leader()
 		newer := (leader + 2) % 5
-		r.restart(newer, rollout.Newest)
-		r.Advance(8 * time.Second)
+		cluster.restart(newer, rollout.Newest)
+		cluster.Advance(8 * time.Second)
 		if seed%2 == 0 {
-			r.KillController(leader)
+			cluster.KillController(leader)
 		} else {
-			r.DrainController(leader, func() {})
+			cluster.DrainController(leader, func() {})
 		}
-		r.Advance(12 * time.Second)
-		if l, _ := r.Leader(); l != newer {
+		cluster.Advance(12 * time.Second)
+		if l, _ := cluster.Leader(); l != newer {
 			t.Errorf("seed %d: controller %d leads, %d has the new release", 80+seed, l, newer)
 		}
 	}
@@ -568,60 +568,60 @@
 // What can't be read is not skipped: a controller's announcement keeps the level down, a job's record and a plan keep
 // the job from starting anywhere else, and status, figures and `job why` say so.
 func TestUnreadableRecords(t *testing.T) {
-	r := newRolling(t, 59, 3, rollout.Base, "soak_s = 2")
-	r.Advance(3 * time.Second)
-	leader, _ := r.Leader()
+	cluster := newTestCluster(t, 59, 3, rollout.Base, "soak_s = 2")
+	cluster.Advance(3 * time.Second)
+	leader, _ := cluster.Leader()
 	other := (leader + 1) % 3
 	key := rollout.AnnounceKey(fmt.Sprintf("node-%d", other))
 	rolled := false
-	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-	r.reach("rolled", time.Minute, func() bool { return rolled })
-	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
-	r.Advance(10 * time.Second)
-	l, _ := r.Leader()
-	if v := r.view(l); r.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 || v.Unreadable[0].Key != key || len(v.Missing) != 1 {
-		t.Fatalf("level %d, %+v", r.ClusterLevel(), v)
-	}
-	r.restart(other, rollout.Newest) // it says it anew
-	r.reach("migrated", 30*time.Second, r.migrated)
-
-	long := func(n int) *simUser {
-		u := &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
+	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
+	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
+	cluster.Advance(10 * time.Second)
+	l, _ := cluster.Leader()
+	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 || v.Unreadable[0].Key != key || len(v.Missing) != 1 {
+		t.Fatalf("level %d, %+v", cluster.ClusterLevel(), v)
+	}
+	cluster.restart(other, rollout.Newest) // it says it anew
+	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
+
+	long := func(n int) *testUser {
+		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
 			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true,
 		}}
-		u.submit()
-		return u
+		user.submit()
+		return user
 	}
 	a, b := long(1), long(2)
-	r.reach("running", 20*time.Second, func() bool { return r.Utilization().Running == 6 })
+	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 6 })
 	// Of a, the record is damaged; of both, the page with their plans. The next leader finds it so.
-	r.WriteKeys(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
-	for k := range r.StoredItems(jobs.PlanPagePrefix) {
-		r.WriteKeys(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
-	}
-	l, _ = r.Leader()
-	r.KillController(l)
-	r.Advance(12 * time.Second)
-	l2, _ := r.Leader()
-	r.StartController(l)
-	starts := r.Stats().TaskStarts
-	v := r.view(l2)
+	cluster.WriteKeys(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
+	for k := range cluster.StoredItems(jobs.PlanPagePrefix) {
+		cluster.WriteKeys(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
+	}
+	l, _ = cluster.Leader()
+	cluster.KillController(l)
+	cluster.Advance(12 * time.Second)
+	l2, _ := cluster.Leader()
+	cluster.StartController(l)
+	starts := cluster.Stats().TaskStarts
+	v := cluster.rolloutView(l2)
 	if len(v.Unreadable) < 2 {
 		t.Errorf("%+v", v.Unreadable)
 	}
 	why := ""
-	r.Request(l2, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
-	r.Request(l2, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
+	cluster.Request(l2, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
+	cluster.Request(l2, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
 		if status != 503 {
 			t.Errorf("a job whose record can't be read is told with status %d", status)
 		}
 	})
-	r.Advance(40 * time.Second)
-	if r.Stats().TaskStarts != starts || !strings.Contains(why, "unreadable") {
-		t.Errorf("%d starts on a guess; why: %s", r.Stats().TaskStarts-starts, why)
+	cluster.Advance(40 * time.Second)
+	if cluster.Stats().TaskStarts != starts || !strings.Contains(why, "unreadable") {
+		t.Errorf("%d starts on a guess; why: %s", cluster.Stats().TaskStarts-starts, why)
 	}
-	for _, x := range r.Violations() {
+	for _, x := range cluster.Violations() {
 		t.Error(x)
 	}
 	_, _ = a, b
@@ -630,92 +630,92 @@
 // A job's record is damaged, and every controller begins anew: none has ever read it. Its plan stands in a page that is
 // written again and again meanwhile; it is kept there, and counts when the record can be read.
 func TestPlanOfAnUnreadableRecordStays(t *testing.T) {
-	r := newRolling(t, 62, 3, rollout.Newest, "")
-	r.Advance(3 * time.Second)
+	cluster := newTestCluster(t, 62, 3, rollout.Newest, "")
+	cluster.Advance(3 * time.Second)
 	submit := func(n int) {
-		u := &simUser{w: r.Simulation, rng: r.rng, spec: &jobs.Spec{
+		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard",
 			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
 		}}
-		r.users = append(r.users, u)
-		u.submit()
+		cluster.users = append(cluster.users, user)
+		user.submit()
 	}
 	submit(1)
-	r.reach("running", 20*time.Second, func() bool { return r.Utilization().Running == 3 })
+	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 3 })
 	key := jobs.RecordKey("req-000001")
-	was := r.StoredItem(key).Value
-	r.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
+	was := cluster.StoredItem(key).Value
+	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
 	for i := range 3 {
-		r.KillController(i)
+		cluster.KillController(i)
 	}
-	r.Advance(time.Second)
+	cluster.Advance(time.Second)
 	for i := range 3 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.Advance(5 * time.Second)
+	cluster.Advance(5 * time.Second)
 	for n := range 6 {
 		submit(10 + n)
-		r.Advance(time.Second)
+		cluster.Advance(time.Second)
 	}
 	kept := false
-	for _, item := range r.StoredItems(jobs.PlanPagePrefix) {
+	for _, item := range cluster.StoredItems(jobs.PlanPagePrefix) {
 		kept = kept || strings.Contains(string(item.Value), `"req-000001/000"`)
 	}
 	if !kept {
 		t.Error("the plan of a job whose record can't be read was dropped")
 	}
 	// It can be read again: this leader doesn't know what runs of it and starts nothing, the next one reads both.
-	r.WriteKeys(store.Op{Put: key, Value: was})
-	r.Advance(time.Second)
-	l, _ := r.Leader()
+	cluster.WriteKeys(store.Op{Put: key, Value: was})
+	cluster.Advance(time.Second)
+	l, _ := cluster.Leader()
 	why := ""
-	r.Request(l, "GET", "/v2/runs/req-000001/why", nil, func(_ int, raw []byte) { why = string(raw) })
-	r.Advance(time.Second)
+	cluster.Request(l, "GET", "/v2/runs/req-000001/why", nil, func(_ int, raw []byte) { why = string(raw) })
+	cluster.Advance(time.Second)
 	if !strings.Contains(why, "unreadable") {
 		t.Errorf("planned without its plan: %s", why)
 	}
-	r.KillController(l)
-	r.Advance(5 * time.Second)
-	r.StartController(l)
-	r.over()
+	cluster.KillController(l)
+	cluster.Advance(5 * time.Second)
+	cluster.StartController(l)
+	cluster.waitUntilDone()
 }
 
 // A record in a format that this release doesn't know, written by one to come: whoever leads gives up, all stay out,
 // and nobody ends.
 func TestNewerFormatIsNotActedOn(t *testing.T) {
-	r := newRolling(t, 60, 3, rollout.Newest, "")
-	r.load(5 * time.Second)
-	r.Advance(10 * time.Second)
-	was := r.StoredItem("h/r/migration").Value
-	r.WriteKeys(store.Op{Put: "h/r/migration", Value: json.RawMessage(`{"v":7,"level":2}`)})
-	r.Advance(10 * time.Second)
-	if ls := r.ActingLeaders(); len(ls) > 0 {
+	cluster := newTestCluster(t, 60, 3, rollout.Newest, "")
+	cluster.submitJobs(5 * time.Second)
+	cluster.Advance(10 * time.Second)
+	was := cluster.StoredItem("h/r/migration").Value
+	cluster.WriteKeys(store.Op{Put: "h/r/migration", Value: json.RawMessage(`{"v":7,"level":2}`)})
+	cluster.Advance(10 * time.Second)
+	if ls := cluster.ActingLeaders(); len(ls) > 0 {
 		t.Errorf("controllers %v lead", ls)
 	}
 	for i := range 3 {
-		if v := r.view(i); !r.ControllerRuns(i) || v.State != "behind" {
+		if v := cluster.rolloutView(i); !cluster.ControllerRuns(i) || v.State != "behind" {
 			t.Errorf("controller %d: %+v", i, v)
 		}
 	}
-	delete(r.formats, "h/r/migration")
-	r.WriteKeys(store.Op{Put: "h/r/migration", Value: was})
-	r.Advance(20 * time.Second)
-	r.over()
+	delete(cluster.formats, "h/r/migration")
+	cluster.WriteKeys(store.Op{Put: "h/r/migration", Value: was})
+	cluster.Advance(20 * time.Second)
+	cluster.waitUntilDone()
 }
 
 // Random rolls forward and back that overlap with kills, drains, freezes, cuts, outages and operators' words, under load.
-func TestChaosOfRolls(t *testing.T) {
+func TestRandomRollsUnderFaults(t *testing.T) {
 	seeds := 8
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 240
 	}
 	risen, ends, starts, kills := 0, map[string]int{}, 0, 0
 	for seed := range seeds {
-		r := newRolling(t, uint64(100+seed), 3+2*(seed%2), rollout.Base, "soak_s = 3")
-		rng := r.rng
-		r.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-		r.load(100 * time.Second)
-		n := r.Controllers()
+		cluster := newTestCluster(t, uint64(100+seed), 3+2*(seed%2), rollout.Base, "soak_s = 3")
+		rng := cluster.rng
+		cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+		cluster.submitJobs(100 * time.Second)
+		n := cluster.Controllers()
 		for at := time.Duration(0); at < 110*time.Second; at += time.Duration(rng.IntN(7000)) * time.Millisecond {
 			i, duration := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
 			what, zone, how := rng.IntN(14), []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5))
@@ -723,67 +723,67 @@
 			if at > 60*time.Second {
 				level = rollout.Newest
 			}
-			r.After(at, func() {
+			cluster.After(at, func() {
 				switch what {
 				case 0, 1, 2:
-					r.KillController(i)
-					r.After(duration/3, func() { r.SetRelease(i, level); r.StartController(i) })
+					cluster.KillController(i)
+					cluster.After(duration/3, func() { cluster.SetRelease(i, level); cluster.StartController(i) })
 				case 3, 4:
-					r.DrainController(i, func() { r.After(duration/4, func() { r.SetRelease(i, level); r.StartController(i) }) })
+					cluster.DrainController(i, func() { cluster.After(duration/4, func() { cluster.SetRelease(i, level); cluster.StartController(i) }) })
 				case 5:
-					if l, _ := r.Leader(); l >= 0 && r.ControllerRuns(l) {
-						r.FreezeController(l, duration)
+					if l, _ := cluster.Leader(); l >= 0 && cluster.ControllerRuns(l) {
+						cluster.FreezeController(l, duration)
 					}
 				case 6:
-					r.during(duration, r.SetStateOutage)
+					cluster.during(duration, cluster.SetStateOutage)
 				case 7:
-					r.during(duration, func(on bool) { r.RefuseController(i, on) })
+					cluster.during(duration, func(on bool) { cluster.RefuseController(i, on) })
 				case 8, 9:
-					r.PartitionZone(zone, how)
-					r.After(duration, func() { r.PartitionZone(zone, Connected) })
+					cluster.PartitionZone(zone, how)
+					cluster.After(duration, func() { cluster.PartitionZone(zone, Connected) })
 				case 10:
-					if l, _ := r.Leader(); l >= 0 {
+					if l, _ := cluster.Leader(); l >= 0 {
 						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
-						r.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)), func(int, []byte) {})
+						cluster.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)), func(int, []byte) {})
 					}
 				case 11:
-					r.KillMachine()
+					cluster.KillMachine()
 				case 12:
-					r.HangMachine(duration)
+					cluster.HangMachine(duration)
 				case 13:
 					done := false
-					r.RollingRestart(level, duration/4, nil, func() { done = true })
+					cluster.RollingRestart(level, duration/4, nil, func() { done = true })
 					_ = done
 				}
 			})
 		}
-		r.Advance(135 * time.Second)
-		r.StopRollingRestart()
-		r.Advance(15 * time.Second)
-		r.SetNetwork(2*time.Millisecond, 0, 0, 0)
+		cluster.Advance(135 * time.Second)
+		cluster.StopRollingRestart()
+		cluster.Advance(15 * time.Second)
+		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
 		for _, z := range []string{"a", "b", "c"} {
-			r.PartitionZone(z, Connected)
+			cluster.PartitionZone(z, Connected)
 		}
 		for i := range n {
-			r.restart(i, rollout.Newest)
+			cluster.restart(i, rollout.Newest)
 		}
-		r.Advance(10 * time.Second)
+		cluster.Advance(10 * time.Second)
 		for range 5 {
-			if s, _ := r.say("free"); s == 200 {
+			if s, _ := cluster.rolloutCommand("free"); s == 200 {
 				break
 			}
-			r.Advance(3 * time.Second)
+			cluster.Advance(3 * time.Second)
 		}
-		r.reach("risen", time.Minute, func() bool { return r.ClusterLevel() == rollout.Newest })
-		r.reach("migrated", time.Minute, r.migrated)
+		cluster.waitFor("risen", time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+		cluster.waitFor("migrated", time.Minute, cluster.migrated)
 		risen++
-		r.over()
-		for _, u := range r.users {
-			if len(u.told) > 0 {
-				ends[u.told[0]]++
+		cluster.waitUntilDone()
+		for _, user := range cluster.users {
+			if len(user.finalStates) > 0 {
+				ends[user.finalStates[0]]++
 			}
 		}
-		s := r.Stats()
+		s := cluster.Stats()
 		starts, kills = starts+s.TaskStarts, kills+s.ControllersKilled
 		if t.Failed() {
 			t.Fatalf("seed %d", 100+seed)
@@ -794,20 +794,20 @@
 
 // Every machine is gone while no controller runs. Those who lead then hear nobody; they must not hand the lead to and
 // fro for ever, each counting the leases from its own beginning, but rent anew once they have run out.
-func TestEveryMachineGone(t *testing.T) {
-	r := newRolling(t, 61, 3, rollout.Newest, "")
-	r.load(20 * time.Second)
-	r.Advance(25 * time.Second)
+func TestEveryMachineGoneWhileNoControllerRuns(t *testing.T) {
+	cluster := newTestCluster(t, 61, 3, rollout.Newest, "")
+	cluster.submitJobs(20 * time.Second)
+	cluster.Advance(25 * time.Second)
 	for _, z := range []string{"a", "b", "c"} {
-		r.PowerOffZone(z)
+		cluster.PowerOffZone(z)
 	}
-	r.Advance(5 * time.Second)
-	_, term := r.Leader()
+	cluster.Advance(5 * time.Second)
+	_, term := cluster.Leader()
 	for i := range 3 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.over()
-	if _, now := r.Leader(); now > term+3 {
+	cluster.waitUntilDone()
+	if _, now := cluster.Leader(); now > term+3 {
 		t.Errorf("the lead passed %d times", now-term)
 	}
 }
--- a/internal/simulator/script_test.go
+++ b/internal/simulator/script_test.go
@@ -7,7 +7,7 @@
 )
 
 // A script says what happens when; a mistake in it is named with its line.
-func TestScripts(t *testing.T) {
+func TestParseScript(t *testing.T) {
 	s, err := ParseScript(strings.NewReader("# a bad minute\n30s outage 5s\n\n12s hang 5s # one machine\n1m refuse 2 3s\n12s crash-task\n"))
 	if err != nil || len(s) != 4 || s[0].Text != "hang 5s" || s[1].Text != "crash-task" || s[3].After != time.Minute {
 		t.Fatalf("%+v, %v", s, err)
--- a/internal/simulator/limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -14,22 +14,25 @@
 // with a takeover right after, in a takeover, before and after an outage, while writes get no answer: starts go on within
 // seconds, all jobs come to their end, and no rule is broken. Arrays of a hundred tasks spread over all machines make values
 // as large as they get.
-func TestLimitsShrink(t *testing.T) {
+func TestLowerStateLimits(t *testing.T) {
 	shrinks := map[string][3]float64{"value": {2, 0, 0}, "changes": {0, 8, 0}, "rate": {0, 0, 24}, "all": {2, 8, 24}, "tiny": {1.5, 5, 20}}
-	around := map[string]func(r *rolling){
-		"calm": func(*rolling) {},
-		"leader ends": func(r *rolling) {
-			r.After(5*time.Second, func() { r.onLeader(3*time.Second, r.KillController) })
+	around := map[string]func(cluster *testCluster){
+		"calm": func(*testCluster) {},
+		"leader ends": func(cluster *testCluster) {
+			cluster.After(5*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
 		},
-		"in a takeover": func(r *rolling) {
-			l := r.led()
-			r.KillController(l)
-			r.After(2*time.Second, func() { r.StartController(l) })
+		"in a takeover": func(cluster *testCluster) {
+			l := cluster.waitForLeader()
+			cluster.KillController(l)
+			cluster.After(2*time.Second, func() { cluster.StartController(l) })
 		},
-		"outage": func(r *rolling) { r.SetStateOutage(true); r.After(8*time.Second, func() { r.SetStateOutage(false) }) },
-		"answers lost": func(r *rolling) {
-			r.LoseTxnAnswers(0.3)
-			r.After(6*time.Second, func() { r.LoseTxnAnswers(0) })
+		"outage": func(cluster *testCluster) {
+			cluster.SetStateOutage(true)
+			cluster.After(8*time.Second, func() { cluster.SetStateOutage(false) })
+		},
+		"answers lost": func(cluster *testCluster) {
+			cluster.LoseTxnAnswers(0.3)
+			cluster.After(6*time.Second, func() { cluster.LoseTxnAnswers(0) })
 		},
 	}
 	for name, s := range shrinks {
@@ -37,33 +40,33 @@
 			for _, announced := range []bool{false, true} {
 				t.Run(fmt.Sprint(name, " ", what, " ", announced), func(t *testing.T) {
 					t.Parallel()
-					r := newRollingWith(t, 421, rollout.Newest, func(set *config.Settings) {
+					cluster := newTestClusterWith(t, 421, rollout.Newest, func(set *config.Settings) {
 						if announced {
 							set.Params.State.Next = &config.NextState{ValueKB: s[0], TxnOps: int(s[1]), WriteRPS: s[2]}
 						}
 					})
-					r.Advance(10 * time.Second)
+					cluster.Advance(10 * time.Second)
 					give := func(n int) {
 						spec := &jobs.Spec{
 							ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard",
 							Tasks: 150, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true,
 						}
-						u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-						r.users = append(r.users, u)
-						u.submit()
+						user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+						cluster.users = append(cluster.users, user)
+						user.submit()
 					}
 					for n := range 60 { // twelve at a time, so that plans of many jobs are written together
-						r.After(time.Duration(n/12)*9*time.Second, func() { give(n + 1) })
+						cluster.After(time.Duration(n/12)*9*time.Second, func() { give(n + 1) })
 					}
-					r.Advance(20 * time.Second)
-					at := r.Now()
-					r.LowerStateLimits(s[0], int(s[1]), s[2])
-					do(r)
-					r.Advance(30 * time.Second)
-					if gap := r.LongestStartGap(at+14*time.Second, at+30*time.Second); gap > 6*time.Second {
+					cluster.Advance(20 * time.Second)
+					at := cluster.Now()
+					cluster.LowerStateLimits(s[0], int(s[1]), s[2])
+					do(cluster)
+					cluster.Advance(30 * time.Second)
+					if gap := cluster.LongestStartGap(at+14*time.Second, at+30*time.Second); gap > 6*time.Second {
 						t.Errorf("nothing started for %v after the limits fell", gap)
 					}
-					r.over()
+					cluster.waitUntilDone()
 				})
 			}
 		}
--- a/internal/simulator/stored_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -46,7 +46,7 @@
 
 // Every record that an earlier release wrote is read, and at the level of that release written back to the byte: who
 // goes back to it finds what it knows.
-func TestStoredByEarlierReleases(t *testing.T) {
+func TestStoredStateOfEarlierReleasesIsRead(t *testing.T) {
 	all := storedBefore(t)
 	kinds := map[string]int{}
 	book := jobs.NewTable(0)
@@ -142,8 +142,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rolling{Simulation: sim, t: t}
-	r.watch()
+	cluster := &testCluster{Simulation: sim, t: t}
+	cluster.watchInvariants()
 	open := 0
 	for key, raw := range all {
 		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
@@ -158,13 +158,13 @@
 		}
 	}
 	sim.Advance(4 * time.Second)
-	if r.ClusterLevel() != rollout.Base {
+	if cluster.ClusterLevel() != rollout.Base {
 		t.Fatal("it began at a level that an earlier release doesn't know")
 	}
-	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	r.reach("migrated", 30*time.Second, r.migrated)
+	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 	l, _ := sim.Leader()
-	if v := r.view(l); len(v.Unreadable) > 0 {
+	if v := cluster.rolloutView(l); len(v.Unreadable) > 0 {
 		t.Errorf("%+v", v.Unreadable)
 	}
 	pending := func() (n int) {
@@ -179,8 +179,8 @@
 	if open < 10 {
 		t.Fatalf("only %d jobs were open", open)
 	}
-	r.reach("done", 10*time.Minute, func() bool { return pending() == 0 })
-	for _, b := range r.Violations() {
+	cluster.waitFor("done", 10*time.Minute, func() bool { return pending() == 0 })
+	for _, b := range cluster.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/simulator/writes_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -43,9 +43,9 @@
 // Every transaction that controllers send, through jobs that come, end and are cancelled, takeovers, a rollout, a zone that is lost
 // and operators' words, depends on what the table asks for; a write without a row in it is a write that nobody has thought about.
 func TestEveryWriteHasItsCondition(t *testing.T) {
-	r := newRolling(t, 221, 3, rollout.Base, "soak_s = 3")
+	cluster := newTestCluster(t, 221, 3, rollout.Base, "soak_s = 3")
 	seen, wrong := map[string]int{}, map[string]bool{}
-	r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
+	cluster.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 		has := func(prefix string) bool {
 			return slices.ContainsFunc(tx.If, func(c store.Condition) bool { return strings.HasPrefix(c.Key, prefix) })
 		}
@@ -76,24 +76,24 @@
 		}
 		return TxnOutcome{}
 	})
-	r.load(80 * time.Second)
-	r.Advance(15 * time.Second)
-	r.After(2*time.Second, func() { r.onLeader(time.Second, r.KillController) })
-	r.Advance(10 * time.Second)
-	if l, _ := r.Leader(); l >= 0 {
-		r.Request(l, "POST", "/v2/admin", []byte(`{"op":"drain","kind":"machine","name":"`+r.BusiestMachine()+`","by":"test"}`), func(int, []byte) {})
+	cluster.submitJobs(80 * time.Second)
+	cluster.Advance(15 * time.Second)
+	cluster.After(2*time.Second, func() { cluster.onLeader(time.Second, cluster.KillController) })
+	cluster.Advance(10 * time.Second)
+	if l, _ := cluster.Leader(); l >= 0 {
+		cluster.Request(l, "POST", "/v2/admin", []byte(`{"op":"drain","kind":"machine","name":"`+cluster.BusiestMachine()+`","by":"test"}`), func(int, []byte) {})
 	}
 	rolled := false
-	r.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-	r.reach("rolled", time.Minute, func() bool { return rolled })
-	r.reach("risen", 30*time.Second, func() bool { return r.ClusterLevel() == rollout.Newest })
-	r.say("hold")
-	r.PartitionZone("a", DropBoth)
-	r.Advance(12 * time.Second)
-	r.PartitionZone("a", Connected)
-	r.Advance(70 * time.Second) // prices are asked for once a minute
-	r.InterceptTxns(nil)
-	r.over()
+	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
+	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.rolloutCommand("hold")
+	cluster.PartitionZone("a", DropBoth)
+	cluster.Advance(12 * time.Second)
+	cluster.PartitionZone("a", Connected)
+	cluster.Advance(70 * time.Second) // prices are asked for once a minute
+	cluster.InterceptTxns(nil)
+	cluster.waitUntilDone()
 	for w := range wrong {
 		t.Error(w)
 	}
