--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -17,7 +17,7 @@
 )
 
 // zoneViews asks the leader about zones, by name.
-func (r *rolling) zoneViews() map[string]controller.ZoneView {
+func (r *testCluster) zoneViews() map[string]controller.ZoneView {
 	out := map[string]controller.ZoneView{}
 	l, _ := r.Leader()
 	if l < 0 {
@@ -35,27 +35,27 @@
 	return out
 }
 
-// wide is a cluster with many machines in each zone, which take a while to boot.
-func wide(t *testing.T, seed uint64, controllers int) *rolling {
+// newWideCluster is a cluster with many machines in each zone, which take a while to boot.
+func newWideCluster(t *testing.T, seed uint64, controllers int) *testCluster {
 	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b", "c"}}}
-	return newRollingOn(t, seed, controllers, rollout.Newest, "", 36, types, []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}})
+	return newTestClusterOn(t, seed, controllers, rollout.Newest, "", 36, types, []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}})
 }
 
-// submitMany fills the cluster with work that goes on, so that machines stand in all zones.
-func (r *rolling) submitMany(n int, seconds float64) {
+// submitSmallJobs fills the cluster with work that goes on, so that machines stand in all zones.
+func (r *testCluster) submitSmallJobs(n int, seconds float64) {
 	for i := range n {
 		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, MemoryGB: 1,
 			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true,
 		}
-		u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-		r.users = append(r.users, u)
-		u.submit()
+		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
+		r.users = append(r.users, user)
+		user.submit()
 	}
 }
 
-// elsewhere is a zone that the leader isn't in.
-func (r *rolling) elsewhere() string {
+// zoneWithoutLeader is a zone that the leader isn't in.
+func (r *testCluster) zoneWithoutLeader() string {
 	l, _ := r.Leader()
 	for _, z := range []string{"a", "b", "c"} {
 		if r.settings[l].Zone != z {
@@ -67,33 +67,33 @@
 
 // A zone is cut off and comes back: it is found lost before its leases are over, nothing is rented there meanwhile, what was
 // planned there goes elsewhere, its machines are kept when it returns, and it counts as well again in the end.
-func TestZoneLostAndBack(t *testing.T) {
+func TestZoneLostAndRestored(t *testing.T) {
 	for _, how := range []Partition{DropBoth, DelayBoth, RefuseBoth, DropInto, DropOutOf} {
 		t.Run(fmt.Sprint(how), func(t *testing.T) {
-			r := wide(t, 71, 5)
-			r.submitMany(24, 20)
-			r.load(40 * time.Second)
-			r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
-			r.Advance(5 * time.Second)
-			zone := r.elsewhere()
-			there := r.zoneViews()[zone].Machines
+			cluster := newWideCluster(t, 71, 5)
+			cluster.submitSmallJobs(24, 20)
+			cluster.submitJobs(40 * time.Second)
+			cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+			cluster.Advance(5 * time.Second)
+			zone := cluster.zoneWithoutLeader()
+			there := cluster.zoneViews()[zone].Machines
 			if there < 4 {
 				t.Fatalf("only %d machines in the zone", there)
 			}
-			r.PartitionZone(zone, how)
-			r.reach("found lost", 4*time.Second, func() bool { return r.zoneViews()[zone].State == "lost" })
-			if v := r.zoneViews()[zone]; v.Rents || v.Takes != "arrays" {
+			cluster.PartitionZone(zone, how)
+			cluster.waitFor("found lost", 4*time.Second, func() bool { return cluster.zoneViews()[zone].State == "lost" })
+			if v := cluster.zoneViews()[zone]; v.Rents || v.Takes != "arrays" {
 				t.Errorf("%+v", v)
 			}
-			r.Advance(5 * time.Second)
-			r.PartitionZone(zone, Connected)
-			r.reach("heard again", 5*time.Second, func() bool { s := r.zoneViews()[zone].State; return s == "returning" || s == "proving" })
-			r.Advance(500 * time.Millisecond)
-			if v := r.zoneViews()[zone]; v.Machines < there*3/4 {
+			cluster.Advance(5 * time.Second)
+			cluster.PartitionZone(zone, Connected)
+			cluster.waitFor("heard again", 5*time.Second, func() bool { s := cluster.zoneViews()[zone].State; return s == "returning" || s == "proving" })
+			cluster.Advance(500 * time.Millisecond)
+			if v := cluster.zoneViews()[zone]; v.Machines < there*3/4 {
 				t.Errorf("%d of %d machines are kept: %+v", v.Machines, there, v)
 			}
-			r.reach("well", 30*time.Second, func() bool { return r.zoneViews()[zone].State == "well" })
-			r.over()
+			cluster.waitFor("well", 30*time.Second, func() bool { return cluster.zoneViews()[zone].State == "well" })
+			cluster.waitUntilDone()
 		})
 	}
 }
@@ -101,50 +101,50 @@
 // The leader's zone is the one that is lost, and its successor loses the state service; every controller restarts while a
 // zone is lost: the next leader knows since when, and how often.
 func TestLeaderLostWithItsZone(t *testing.T) {
-	r := wide(t, 72, 5)
-	r.submitMany(24, 20)
-	r.load(50 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
-	old, _ := r.Leader()
-	zone := r.settings[old].Zone
-	r.PartitionZone(zone, DelayBoth)
-	r.reach("led from elsewhere", 15*time.Second, func() bool { l, _ := r.Leader(); return l >= 0 && r.settings[l].Zone != zone })
-	next, _ := r.Leader()
-	r.RefuseController(next, true)
-	r.Advance(10 * time.Second)
-	r.RefuseController(next, false)
-	r.reach("found lost", 20*time.Second, func() bool { return r.zoneViews()[zone].State == "lost" })
-	r.reach("stored", 3*time.Second, func() bool { return strings.Contains(string(r.StoredItem(zones.Key).Value), `"lost"`) })
+	cluster := newWideCluster(t, 72, 5)
+	cluster.submitSmallJobs(24, 20)
+	cluster.submitJobs(50 * time.Second)
+	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	old, _ := cluster.Leader()
+	zone := cluster.settings[old].Zone
+	cluster.PartitionZone(zone, DelayBoth)
+	cluster.waitFor("led from elsewhere", 15*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && cluster.settings[l].Zone != zone })
+	next, _ := cluster.Leader()
+	cluster.RefuseController(next, true)
+	cluster.Advance(10 * time.Second)
+	cluster.RefuseController(next, false)
+	cluster.waitFor("found lost", 20*time.Second, func() bool { return cluster.zoneViews()[zone].State == "lost" })
+	cluster.waitFor("stored", 3*time.Second, func() bool { return strings.Contains(string(cluster.StoredItem(zones.Key).Value), `"lost"`) })
 	for i := range 5 {
-		if r.settings[i].Zone != zone {
-			r.KillController(i)
+		if cluster.settings[i].Zone != zone {
+			cluster.KillController(i)
 		}
 	}
-	r.Advance(3 * time.Second)
+	cluster.Advance(3 * time.Second)
 	for i := range 5 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.reach("known at once", 12*time.Second, func() bool { v := r.zoneViews()[zone]; return v.State == "lost" && v.ForS > 5 })
-	r.PartitionZone(zone, Connected)
-	r.over()
+	cluster.waitFor("known at once", 12*time.Second, func() bool { v := cluster.zoneViews()[zone]; return v.State == "lost" && v.ForS > 5 })
+	cluster.PartitionZone(zone, Connected)
+	cluster.waitUntilDone()
 }
 
 // A zone that comes back for a moment and goes again, five times: each time it has to prove itself for longer, and
 // machines are not rented there in between.
-func TestZoneFlaps(t *testing.T) {
-	r := wide(t, 73, 5)
-	r.submitMany(24, 30)
-	r.load(60 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
-	zone := r.elsewhere()
+func TestFlappingZone(t *testing.T) {
+	cluster := newWideCluster(t, 73, 5)
+	cluster.submitSmallJobs(24, 30)
+	cluster.submitJobs(60 * time.Second)
+	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	zone := cluster.zoneWithoutLeader()
 	most, rented := 0, 0
 	for range 5 {
-		r.PartitionZone(zone, DropBoth)
-		r.Advance(4 * time.Second)
-		r.PartitionZone(zone, Connected)
+		cluster.PartitionZone(zone, DropBoth)
+		cluster.Advance(4 * time.Second)
+		cluster.PartitionZone(zone, Connected)
 		for range 20 {
-			r.Advance(80 * time.Millisecond)
-			v := r.zoneViews()[zone]
+			cluster.Advance(80 * time.Millisecond)
+			v := cluster.zoneViews()[zone]
 			most = max(most, v.Flaps)
 			if v.State == "returning" && v.Rents {
 				rented++
@@ -154,49 +154,49 @@
 	if most < 2 || rented > 0 {
 		t.Errorf("%d flaps were seen, renting was open %d times while it returned", most, rented)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Two zones one after the other, so that less than half the fleet stands; power lost in one; half of what is in a zone
 // dead and the rest heard: in the end all jobs are over and no rule is broken.
-func TestZonesOverlap(t *testing.T) {
-	r := wide(t, 74, 5)
-	r.submitMany(24, 15)
-	r.load(60 * time.Second)
-	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
-	r.PartitionZone("a", DelayBoth)
-	r.Advance(6 * time.Second)
-	r.PartitionZone("b", DropBoth)
-	r.Advance(15 * time.Second)
-	r.PartitionZone("a", Connected)
-	r.SetStateOutage(true) // the state service is out as the zone returns
-	r.Advance(3 * time.Second)
-	r.SetStateOutage(false)
-	r.PartitionZone("b", Connected)
-	r.SetCloudOutage(true)
-	r.PowerOffZone("c")
-	r.Advance(10 * time.Second)
-	r.SetCloudOutage(false)
+func TestZoneFaultsOverlap(t *testing.T) {
+	cluster := newWideCluster(t, 74, 5)
+	cluster.submitSmallJobs(24, 15)
+	cluster.submitJobs(60 * time.Second)
+	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.PartitionZone("a", DelayBoth)
+	cluster.Advance(6 * time.Second)
+	cluster.PartitionZone("b", DropBoth)
+	cluster.Advance(15 * time.Second)
+	cluster.PartitionZone("a", Connected)
+	cluster.SetStateOutage(true) // the state service is out as the zone returns
+	cluster.Advance(3 * time.Second)
+	cluster.SetStateOutage(false)
+	cluster.PartitionZone("b", Connected)
+	cluster.SetCloudOutage(true)
+	cluster.PowerOffZone("c")
+	cluster.Advance(10 * time.Second)
+	cluster.SetCloudOutage(false)
 	for i := range 5 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Replicas of a service are spread, so that no zone holds most of them where others have room; with two zones left a
 // service that must stay apart keeps its bound, and what can't be placed waits.
 func TestServicesAreSpread(t *testing.T) {
-	r := wide(t, 75, 3)
-	r.submitMany(24, 60) // machines in all zones
-	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+	cluster := newWideCluster(t, 75, 3)
+	cluster.submitSmallJobs(24, 60) // machines in all zones
+	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
 	spec := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}
-	u := &simUser{w: r.Simulation, rng: r.rng, spec: spec}
-	u.submit()
+	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+	user.submit()
 	on := func() map[string]int {
-		r.mu.Lock()
-		defer r.mu.Unlock()
+		cluster.mu.Lock()
+		defer cluster.mu.Unlock()
 		m := map[string]int{}
-		for _, x := range r.cloud.machines {
+		for _, x := range cluster.cloud.machines {
 			for _, task := range x.tasks {
 				if task.spec == spec && task.state != taskExited && !x.dead {
 					m[x.zone]++
@@ -211,9 +211,9 @@
 		}
 		return n
 	}
-	r.reach("up", 40*time.Second, func() bool { return total() == 6 })
+	cluster.waitFor("up", 40*time.Second, func() bool { return total() == 6 })
 	up := map[string]int{}
-	for z := range r.zoneViews() {
+	for z := range cluster.zoneViews() {
 		up[z] = on()[z]
 		if up[z] > 3 {
 			t.Errorf("%v", up)
@@ -222,101 +222,101 @@
 	if len(on()) < 2 {
 		t.Errorf("all replicas stand in one zone: %v", on())
 	}
-	zone := r.elsewhere()
-	r.PowerOffZone(zone)
-	r.reach("up again", 40*time.Second, func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 })
+	zone := cluster.zoneWithoutLeader()
+	cluster.PowerOffZone(zone)
+	cluster.waitFor("up again", 40*time.Second, func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 })
 	for i := range 3 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.Advance(3 * time.Second)
-	u.cancel()
-	r.over()
+	cluster.Advance(3 * time.Second)
+	user.cancel()
+	cluster.waitUntilDone()
 }
 
 // A zone is cut off and its machines die there, all of them, in every zone: when the network is back somebody has to
 // try to rent there again, though nobody is left to be heard.
-func TestEveryZoneEmptied(t *testing.T) {
-	r := wide(t, 76, 3)
-	r.submitMany(24, 15)
-	r.reach("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+func TestAllZonesEmptied(t *testing.T) {
+	cluster := newWideCluster(t, 76, 3)
+	cluster.submitSmallJobs(24, 15)
+	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
 	for _, z := range []string{"a", "b", "c"} {
-		r.PartitionZone(z, DropBoth)
-		r.Advance(3 * time.Second)
+		cluster.PartitionZone(z, DropBoth)
+		cluster.Advance(3 * time.Second)
 	}
 	for _, z := range []string{"a", "b", "c"} {
-		r.PowerOffZone(z)
+		cluster.PowerOffZone(z)
 	}
-	r.Advance(20 * time.Second)
+	cluster.Advance(20 * time.Second)
 	for _, z := range []string{"a", "b", "c"} {
-		r.PartitionZone(z, Connected)
+		cluster.PartitionZone(z, Connected)
 	}
 	for i := range 3 {
-		r.StartController(i)
+		cluster.StartController(i)
 	}
-	r.over()
+	cluster.waitUntilDone()
 }
 
 // Random zones lost, flapping, without power and returning, over kills, drains, outages and rolls, under load.
-func TestChaosOfZones(t *testing.T) {
+func TestRandomZoneFaults(t *testing.T) {
 	seeds := 5
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
 	ends, starts, lost, jobsN := map[string]int{}, 0, 0, 0
 	for seed := range seeds {
-		r := newRolling(t, uint64(400+seed), 3+2*(seed%2), rollout.Newest, "")
-		rng := r.rng
-		r.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-		r.load(90 * time.Second)
-		n := r.Controllers()
+		cluster := newTestCluster(t, uint64(400+seed), 3+2*(seed%2), rollout.Newest, "")
+		rng := cluster.rng
+		cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+		cluster.submitJobs(90 * time.Second)
+		n := cluster.Controllers()
 		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
 			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5)), time.Duration(500+rng.IntN(20000))*time.Millisecond
 			i, what := rng.IntN(n), rng.IntN(10)
-			r.After(at, func() {
+			cluster.After(at, func() {
 				switch what {
 				case 0, 1, 2, 3:
-					r.PartitionZone(zone, how)
-					r.After(duration, func() { r.PartitionZone(zone, Connected) })
+					cluster.PartitionZone(zone, how)
+					cluster.After(duration, func() { cluster.PartitionZone(zone, Connected) })
 					lost++
 				case 4:
-					r.flapZone(zone, duration/8)
+					cluster.flapZone(zone, duration/8)
 					lost++
 				case 5:
-					r.PowerOffZone(zone)
-					r.After(duration/4, func() {
+					cluster.PowerOffZone(zone)
+					cluster.After(duration/4, func() {
 						for i := range n {
-							r.StartController(i)
+							cluster.StartController(i)
 						}
 					})
 				case 6:
-					r.KillController(i)
-					r.After(duration/4, func() { r.StartController(i) })
+					cluster.KillController(i)
+					cluster.After(duration/4, func() { cluster.StartController(i) })
 				case 7:
-					r.DrainController(i, func() { r.After(duration/8, func() { r.StartController(i) }) })
+					cluster.DrainController(i, func() { cluster.After(duration/8, func() { cluster.StartController(i) }) })
 				case 8:
-					r.during(duration/3, r.SetStateOutage)
+					cluster.during(duration/3, cluster.SetStateOutage)
 				case 9:
-					r.during(duration/2, r.SetCloudOutage)
+					cluster.during(duration/2, cluster.SetCloudOutage)
 				}
 			})
 		}
-		r.Advance(120 * time.Second)
-		r.SetNetwork(2*time.Millisecond, 0, 0, 0)
+		cluster.Advance(120 * time.Second)
+		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
 		for _, z := range []string{"a", "b", "c"} {
-			r.PartitionZone(z, Connected)
+			cluster.PartitionZone(z, Connected)
 		}
-		r.Advance(time.Second)
+		cluster.Advance(time.Second)
 		for i := range n {
-			r.StartController(i)
+			cluster.StartController(i)
 		}
-		r.over()
-		jobsN += len(r.users)
-		for _, u := range r.users {
-			if len(u.told) > 0 {
-				ends[u.told[0]]++
+		cluster.waitUntilDone()
+		jobsN += len(cluster.users)
+		for _, user := range cluster.users {
+			if len(user.finalStates) > 0 {
+				ends[user.finalStates[0]]++
 			}
 		}
-		starts += r.Stats().TaskStarts
+		starts += cluster.Stats().TaskStarts
 		if t.Failed() {
 			t.Fatalf("seed %d", 400+seed)
 		}
