--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -13,7 +13,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// checkAnswersEverywhere asks every controller about every job, and about jobs that nobody submitted: one answer each.
+// checkAnswersEverywhere asks every controller about every job, and about jobs that nobody submitted: one answer
+// each.
 func (r *testCluster) checkAnswersEverywhere() {
 	r.t.Helper()
 	for _, user := range r.users {
@@ -25,20 +26,21 @@
 	r.checkAnswerEverywhere("req-999999", 404, "")
 }
 
-// checkAnswerEverywhere asks every controller that runs about a job until each has told something else than 503.
-func (r *testCluster) checkAnswerEverywhere(id string, status int, stance string) {
+// checkAnswerEverywhere queries every running controller about a job until each has answered with another status
+// than 503.
+func (r *testCluster) checkAnswerEverywhere(id string, status int, want string) {
 	r.t.Helper()
 	for i := range r.Controllers() {
 		if !r.ControllerRuns(i) {
 			continue
 		}
-		got, told := 503, ""
+		got, state := 503, ""
 		for tries := 0; got != 200 && got != 404 && tries < 40; tries++ {
-			r.Request(i, "GET", "/v2/runs/"+id, nil, func(s int, raw []byte) { got, told = s, jobStateIn(raw) })
+			r.Request(i, "GET", "/v2/runs/"+id, nil, func(s int, raw []byte) { got, state = s, jobStateIn(raw) })
 			r.Advance(200 * time.Millisecond)
 		}
-		if got != status || told != stance {
-			r.t.Errorf("controller %d says %d %q of %s, and it is %d %q", i, got, told, id, status, stance)
+		if got != status || state != want {
+			r.t.Errorf("controller %d answers %d %q about %s, and it is %d %q", i, got, state, id, status, want)
 		}
 	}
 }
@@ -66,8 +68,8 @@
 	return false
 }
 
-// All ended jobs leave the followed keys, and every controller goes on telling what became of each; repeated
-// submissions and cancellations of them are answered like questions.
+// TestEndedJobsAreArchived checks that the records of all ended jobs leave the watched keys, that every controller
+// still answers for each, and that repeated submissions and cancellations of them are answered like status queries.
 func TestEndedJobsAreArchived(t *testing.T) {
 	cluster := newTestCluster(t, 401, 3, rollout.Newest, "soak_s = 3")
 	cluster.submitJobs(40 * time.Second)
@@ -95,8 +97,8 @@
 	}
 }
 
-// A first submission's transaction is carried out long after its user's retry was accepted elsewhere, the job has ended
-// and been moved: it makes nothing.
+// TestDelayedSubmissionAfterArchivingCreatesNothing carries a first submission's transaction out long after its
+// user's retry was accepted elsewhere and the job has ended and been archived: it creates nothing.
 func TestDelayedSubmissionAfterArchivingCreatesNothing(t *testing.T) {
 	for _, late := range []time.Duration{25 * time.Second, 2 * time.Minute, 20 * time.Minute} {
 		t.Run(late.String(), func(t *testing.T) {
@@ -116,13 +118,23 @@
 			user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 			cluster.users = append(cluster.users, user)
 			user.submit()
-			cluster.waitFor("moved", 30*time.Second, func() bool { return cluster.StoredItem(archive.Key(id)).Version != 0 })
+			cluster.waitFor(
+				"moved",
+				30*time.Second,
+				func() bool { return cluster.StoredItem(archive.Key(id)).Version != 0 },
+			)
 			moved := cluster.Now()
 			starts := cluster.Stats().TaskStarts
 			cluster.Advance(late + 10*time.Second)
-			if held != 1 || cluster.StoredItem(jobs.RecordKey(id)).Version != 0 || cluster.Stats().TaskStarts != starts {
-				t.Errorf("moved at %v; %d transactions were late; the record is at version %d; %d starts after the move",
-					moved, held, cluster.StoredItem(jobs.RecordKey(id)).Version, cluster.Stats().TaskStarts-starts)
+			if held != 1 || cluster.StoredItem(jobs.RecordKey(id)).Version != 0 ||
+				cluster.Stats().TaskStarts != starts {
+				t.Errorf(
+					"moved at %v; %d transactions were late; the record is at version %d; %d starts after the move",
+					moved,
+					held,
+					cluster.StoredItem(jobs.RecordKey(id)).Version,
+					cluster.Stats().TaskStarts-starts,
+				)
 			}
 			cluster.checkAnswerEverywhere(id, 200, "done")
 			cluster.waitUntilDone()
@@ -130,9 +142,9 @@
 	}
 }
 
-// Moves that are lost, unanswered, carried out late or twice, by leaders that are killed, frozen or handed over right
-// after they sent one, while watches lose their position or one controller is refused by the state service: every job
-// keeps its one answer at every controller, and all are moved in the end.
+// TestArchivingDuringFaults makes archiving transactions be lost, unanswered, late or repeated, with leaders that
+// are killed, frozen or hand over right after sending one, while watches lose their position or the state service
+// refuses a controller: every job keeps its one answer at every controller, and all are archived in the end.
 func TestArchivingDuringFaults(t *testing.T) {
 	fates := map[string]func(n int) TxnOutcome{
 		"lost":       func(n int) TxnOutcome { return TxnOutcome{Dropped: n%2 == 0} },
@@ -193,8 +205,9 @@
 	}
 }
 
-// An answer that can't be read: nothing is told of its job by anybody, nothing is decided, and every other job is told
-// of as ever. Once it can be read it is told.
+// TestUnreadableArchivedAnswerIsUnavailable checks that no controller answers for a job whose archived answer can't
+// be read or decides anything about it, that all other jobs are answered as usual, and that the answer is given
+// once it can be read.
 func TestUnreadableArchivedAnswerIsUnavailable(t *testing.T) {
 	cluster := newTestCluster(t, 404, 3, rollout.Newest, "soak_s = 3")
 	cluster.submitJobs(15 * time.Second)
@@ -222,7 +235,7 @@
 		}
 		cluster.Request(i, "GET", "/v2/runs/"+user.spec.ID, nil, func(status int, raw []byte) {
 			if status != 503 {
-				t.Errorf("controller %d says %d %s of what it can't read", i, status, raw)
+				t.Errorf("controller %d answers %d %s about what it can't read", i, status, raw)
 			}
 		})
 		cluster.Advance(300 * time.Millisecond)
@@ -235,8 +248,8 @@
 	cluster.checkAnswersEverywhere()
 }
 
-// Nothing is moved before every controller can read the archive; after the rise what earlier releases stored is moved,
-// whoever leads, and found at every moment.
+// TestArchivingWaitsForTheLevel checks that nothing is archived before every controller can read the archive; after
+// the rise what earlier releases stored is archived under any leader, and found at every moment.
 func TestArchivingWaitsForTheLevel(t *testing.T) {
 	cluster := newTestCluster(t, 405, 3, rollout.Paged, "soak_s = 3")
 	cluster.submitJobs(100 * time.Second)
@@ -245,7 +258,12 @@
 		t.Fatalf("%d jobs are archived at level %d", n, cluster.ClusterLevel())
 	}
 	rolled := false
-	cluster.RollingRestart(rollout.Newest, 2*time.Second, func(i int) bool { return i == 1 }, func() { rolled = true })
+	cluster.RollingRestart(
+		rollout.Newest,
+		2*time.Second,
+		func(i int) bool { return i == 1 },
+		func() { rolled = true },
+	)
 	for !rolled {
 		if cluster.ClusterLevel() < rollout.Archived && cluster.CountKeys(archive.Prefix) > 0 {
 			t.Fatal("archived before the level")
@@ -263,8 +281,8 @@
 	cluster.checkAnswersEverywhere()
 }
 
-// What controllers know of jobs that ended long ago doesn't grow with their number: the state service holds their
-// answers, and a controller that starts reads as little after many jobs as after few.
+// TestControllerMemoryIsBoundedByLiveJobs checks that what controllers keep of jobs that ended long ago doesn't
+// grow with their number, and that a controller that starts reads as little after many jobs as after few.
 func TestControllerMemoryIsBoundedByLiveJobs(t *testing.T) {
 	cluster := newTestCluster(t, 406, 3, rollout.Newest, "soak_s = 3")
 	followed := func() int { return cluster.CountKeys("h/") }
@@ -282,7 +300,7 @@
 	cluster.checkAnswersEverywhere()
 }
 
-// hasTasks tells whether a task of a job is on some machine, by the world's truth.
+// hasTasks reports whether a task of a job is on some machine, by the machines' true state.
 func (r *testCluster) hasTasks(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -312,8 +330,8 @@
 	return moved
 }
 
-// Jobs are cancelled while their machines hang or hear nothing, so that their tasks stay for long, and the lead changes: none
-// is archived before the last of its tasks is gone.
+// TestJobsWithTasksOnMachinesAreNotArchived cancels jobs while their machines hang or receive nothing, so that
+// their tasks stay for long, and changes the leader: no job is archived before the last of its tasks is gone.
 func TestJobsWithTasksOnMachinesAreNotArchived(t *testing.T) {
 	cluster := newTestCluster(t, 407, 3, rollout.Newest, "soak_s = 3")
 	moved := cluster.checkArchivedJobsAreGone()
@@ -328,7 +346,10 @@
 		})
 	}
 	for i := range 3 {
-		cluster.After(time.Duration(25*i+15)*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
+		cluster.After(
+			time.Duration(25*i+15)*time.Second,
+			func() { cluster.onLeader(3*time.Second, cluster.KillController) },
+		)
 	}
 	cluster.Advance(100 * time.Second)
 	cluster.waitUntilDone()
@@ -338,13 +359,26 @@
 	}
 }
 
-// A job's record can't be read as a term begins, so that nobody knows what its plan says, and can be read again as one that
-// was cancelled while its tasks run: it isn't archived in that term.
+// TestUnreadableRecordIsNotArchived makes a job's record unreadable as a term begins, so that its plan isn't read,
+// and readable again as that of a job that was cancelled while its tasks run: it isn't archived in that term.
 func TestUnreadableRecordIsNotArchived(t *testing.T) {
 	cluster := newTestCluster(t, 408, 3, rollout.Newest, "soak_s = 3")
 	moved := cluster.checkArchivedJobsAreGone()
 	cluster.Advance(3 * time.Second)
-	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true}
+	spec := &jobs.Spec{
+		ID:        "req-000001",
+		Class:     "c",
+		Team:      "blue",
+		Kind:      jobs.Array,
+		Priority:  "standard",
+		Tasks:     3,
+		CPUs:      1,
+		MemoryGB:  1,
+		Image:     "i",
+		ImageGB:   1,
+		EstimateS: 60,
+		Spot:      true,
+	}
 	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec, cancelRequested: true}
 	cluster.users = append(cluster.users, user)
 	user.submit()
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -15,6 +15,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
+// TestMain discards the log unless HAREWALK_LOG is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("HAREWALK_LOG") == "" {
 		slog.SetDefault(slog.New(slog.DiscardHandler))
@@ -22,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// testUser follows one job of a simulation and keeps what it was told.
+// testUser submits one job of a simulation, polls it and records its final states.
 type testUser struct {
 	simulation      *Simulation
 	rng             *rand.Rand
@@ -82,12 +83,21 @@
 	})
 }
 
-// drawJob makes any kind of job that fits the world of a chaos run.
+// drawJob draws any kind of job that fits the machines and teams of a chaos run.
 func drawJob(rng *rand.Rand, n int) *jobs.Spec {
 	spec := &jobs.Spec{
-		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
-		Priority: []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)], Tasks: 1 + rng.IntN(12), CPUs: float64(1 + rng.IntN(3)), MemoryGB: 1,
-		Image: fmt.Sprintf("i-%d", rng.IntN(3)), ImageGB: 2, EstimateS: 1 + 8*rng.Float64(), Spot: rng.IntN(2) == 0,
+		ID:        fmt.Sprintf("req-%06d", n),
+		Class:     "c",
+		Team:      []string{"red", "blue"}[rng.IntN(2)],
+		Kind:      jobs.Array,
+		Priority:  []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)],
+		Tasks:     1 + rng.IntN(12),
+		CPUs:      float64(1 + rng.IntN(3)),
+		MemoryGB:  1,
+		Image:     fmt.Sprintf("i-%d", rng.IntN(3)),
+		ImageGB:   2,
+		EstimateS: 1 + 8*rng.Float64(),
+		Spot:      rng.IntN(2) == 0,
 	}
 	switch rng.IntN(5) {
 	case 0:
@@ -124,8 +134,12 @@
 func runChaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*testUser) {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
-		Seed: seed, MaxMachines: 12, Controllers: 3 + 2*int(seed%2), LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond,
-		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+		Seed:         seed,
+		MaxMachines:  12,
+		Controllers:  3 + 2*int(seed%2),
+		LicencePools: map[string]int{"transcribe": 12},
+		TickInterval: 20 * time.Millisecond,
+		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
@@ -205,9 +219,8 @@
 	return sim, users
 }
 
-// The real code of all controllers through random faults that overlap, in simulated time: no rule of the
-// protocol breaks, every accepted job gets one final answer that never changes, and afterwards
-// everything comes to its end.
+// TestChaos runs the real code of all controllers through random faults that overlap, in virtual time: no rule of
+// the protocol breaks, every accepted job gets one final answer that never changes, and afterwards every job ends.
 func TestChaos(t *testing.T) {
 	seeds := 12
 	if os.Getenv("HAREWALK_LONG") != "" {
@@ -231,7 +244,7 @@
 			}
 			for _, s := range user.finalStates {
 				if s != user.finalStates[0] {
-					t.Errorf("seed %d: %s was told %v", seed+1, user.spec.ID, user.finalStates)
+					t.Errorf("seed %d: %s was answered %v", seed+1, user.spec.ID, user.finalStates)
 				}
 			}
 		}
@@ -243,12 +256,15 @@
 		}
 	}
 	t.Logf("%d seeds: %v; %+v", seeds, ends, all)
-	if all.ControllersKilled == 0 || all.ControllersFrozen == 0 || all.ControllersDrained == 0 || all.MachinesHung == 0 || all.MachinesKilled == 0 || ends["cancelled"] == 0 {
+	if all.ControllersKilled == 0 || all.ControllersFrozen == 0 || all.ControllersDrained == 0 ||
+		all.MachinesHung == 0 ||
+		all.MachinesKilled == 0 ||
+		ends["cancelled"] == 0 {
 		t.Error("a kind of fault never came")
 	}
 }
 
-// The same seed gives the same run, to the last event.
+// TestSameSeedGivesSameRun checks that the same seed gives the same run, to the last event.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	digest := func() string {
 		sim, users := runChaos(t, 7, 25, 40*time.Second)
@@ -263,11 +279,19 @@
 	}
 }
 
-// Events against a plain automaton: through crashes, killed and hung machines each attempt of a task is sent,
-// perhaps runs, and comes to one end, in this order; a job's acceptance comes first and its end last; and as many
-// tasks are told done as there are.
+// TestEventsMatchWhatHappened compares events with a plain automaton: through crashes and killed and hung machines
+// each attempt of a task is sent, perhaps runs, and has one end, in this order; a job's acceptance comes first and
+// its end last; and as many tasks are reported done as there are.
 func TestEventsMatchWhatHappened(t *testing.T) {
-	sim, err := NewVirtualTime(Config{Seed: 3, MaxMachines: 8, TickInterval: 20 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}}, nil)
+	sim, err := NewVirtualTime(
+		Config{
+			Seed:         3,
+			MaxMachines:  8,
+			TickInterval: 20 * time.Millisecond,
+			Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
+		},
+		nil,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -360,8 +384,16 @@
 		}
 	}
 	for _, user := range users {
-		if len(user.finalStates) == 0 || user.finalStates[0] != "done" || done[user.spec.ID] != user.spec.Tasks || state[user.spec.ID] != "job_done" {
-			t.Errorf("%s: told %v, %d of %d tasks done, %s", user.spec.ID, user.finalStates, done[user.spec.ID], user.spec.Tasks, state[user.spec.ID])
+		if len(user.finalStates) == 0 || user.finalStates[0] != "done" || done[user.spec.ID] != user.spec.Tasks ||
+			state[user.spec.ID] != "job_done" {
+			t.Errorf(
+				"%s: answered %v, %d of %d tasks done, %s",
+				user.spec.ID,
+				user.finalStates,
+				done[user.spec.ID],
+				user.spec.Tasks,
+				state[user.spec.ID],
+			)
 		}
 	}
 	if notes["error"] == 0 || kinds["task_lost"] == 0 || kinds["machine"] == 0 {
@@ -372,18 +404,33 @@
 	}
 }
 
-// A leader stands still for longer than its hold lives. Its steady clock has jumped when it goes on: before it
-// has done anything else it is asked, by a worker, a user and an operator, and it acts for nobody; nor does the
-// one that leads now hear of it. Users and operators are told to come back, or who leads.
+// TestRequestsAfterAuthorityEndedAreRedirected freezes a leader for longer than its lease. Its steady clock has
+// jumped when it goes on: requests of a worker, a user and an operator reach it before it has done anything else,
+// and it acts on none; nor does the present leader receive them. Users and operators get a retry or the leader's
+// address.
 func TestRequestsAfterAuthorityEndedAreRedirected(t *testing.T) {
 	sim, err := NewVirtualTime(Config{Seed: 5, MaxMachines: 4, Teams: []config.Team{{Name: "red"}}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	user := &testUser{simulation: sim, rng: rand.New(rand.NewPCG(5, 5)), spec: &jobs.Spec{
-		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
-		Tasks: 20, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
-	}}
+	user := &testUser{
+		simulation: sim,
+		rng:        rand.New(rand.NewPCG(5, 5)),
+		spec: &jobs.Spec{
+			ID:        "req-000001",
+			Class:     "c",
+			Team:      "red",
+			Kind:      jobs.Array,
+			Priority:  "standard",
+			Tasks:     20,
+			CPUs:      1,
+			MemoryGB:  1,
+			Image:     "i",
+			ImageGB:   1,
+			EstimateS: 30,
+			Spot:      true,
+		},
+	}
 	sim.After(3*time.Second, user.submit)
 	sim.Advance(15 * time.Second)
 	old, _ := sim.Leader()
@@ -425,17 +472,33 @@
 	}
 }
 
-// Far more users than buffers hold submit and ask at one moment, at one controller: everybody is answered at once,
-// who is not served is told to come back, and in the end all are.
+// TestFullBuffersShedLoad sends submissions and queries of far more users than buffers have room for, at one
+// moment, to one controller: each is answered at once, those not served with a retry, and in the end all are
+// served.
 func TestFullBuffersShedLoad(t *testing.T) {
-	sim, err := NewVirtualTime(Config{Seed: 6, MaxMachines: 20, Teams: []config.Team{{Name: "red"}}, TickInterval: 50 * time.Millisecond}, nil)
+	sim, err := NewVirtualTime(
+		Config{Seed: 6, MaxMachines: 20, Teams: []config.Team{{Name: "red"}}, TickInterval: 50 * time.Millisecond},
+		nil,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	sim.Advance(3 * time.Second)
 	n, refused, slowest, done := 3000, 0, time.Duration(0), 0
 	for i := range n {
-		spec := &jobs.Spec{ID: fmt.Sprintf("req-%06d", i+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 0.1, EstimateS: 1}
+		spec := &jobs.Spec{
+			ID:        fmt.Sprintf("req-%06d", i+1),
+			Class:     "c",
+			Team:      "red",
+			Kind:      jobs.Array,
+			Priority:  "standard",
+			Tasks:     1,
+			CPUs:      1,
+			MemoryGB:  1,
+			Image:     "i",
+			ImageGB:   0.1,
+			EstimateS: 1,
+		}
 		body, _ := json.Marshal(spec)
 		sim.AddJob(spec)
 		var again func()
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -14,22 +14,52 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Where two troubles meet: each of the users' meetings, with its ingredients crossed. The holds live for 2 s here, a lease is
-// 6 s and cancel_s 11.5 s, 1 s more than the least that the settings accept.
+// Tests of two faults that coincide, with the parameters of each varied. A controller's lease is 2 s here, a
+// worker's 6 s, and cancel_s 11.5 s, 1 s more than the least that the settings accept.
 
-// newBusyCluster is a cluster on tight workers, with jobs of all kinds that run for long, so that something is to be lost.
+// newBusyCluster is a cluster on tight workers, with jobs of all kinds that run for long, so that something is to
+// be lost.
 func newBusyCluster(t *testing.T, seed uint64, controllers, n int) (*testCluster, *Balancer) {
 	t.Helper()
 	return newBusyClusterOn(t, seed, controllers, n, shortTimers)
 }
 
 // newBusyClusterOn does so on other workers.
-func newBusyClusterOn(t *testing.T, seed uint64, controllers, n int, workers config.Workers) (*testCluster, *Balancer) {
+func newBusyClusterOn(
+	t *testing.T,
+	seed uint64,
+	controllers, n int,
+	workers config.Workers,
+) (*testCluster, *Balancer) {
 	t.Helper()
-	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
+	types := []capacity.MachineType{
+		{
+			Name:    "g4",
+			CPUs:    16,
+			GPUs:    4,
+			Mem:     128,
+			CacheGB: 100,
+			FetchGB: 10,
+			Price:   4,
+			Spot:    1.5,
+			BootS:   3,
+			Zones:   []string{"a", "b", "c"},
+		},
+	}
 	sim, err := NewVirtualTime(Config{
-		Seed: seed, MaxMachines: 20, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, TickInterval: 20 * time.Millisecond, Workers: workers, VariedRunTimes: true,
-		LicencePools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
+		Seed:           seed,
+		MaxMachines:    20,
+		Types:          types,
+		Controllers:    controllers,
+		Zones:          []string{"a", "b", "c"},
+		TickInterval:   20 * time.Millisecond,
+		Workers:        workers,
+		VariedRunTimes: true,
+		LicencePools: map[string]int{
+			"transcribe": 12,
+		},
+		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+		Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
 	},
 		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
 	if err != nil {
@@ -53,8 +83,18 @@
 // submitLongJobWith does so with something changed.
 func (r *testCluster) submitLongJobWith(i int, estimate float64, change func(*jobs.Spec)) *testUser {
 	spec := &jobs.Spec{
-		ID: fmt.Sprintf("req-6%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + i%3, CPUs: 3, MemoryGB: 1,
-		Image: "i", ImageGB: 1, EstimateS: estimate, Spot: true,
+		ID:        fmt.Sprintf("req-6%05d", i),
+		Class:     "long",
+		Team:      []string{"red", "blue"}[i%2],
+		Kind:      jobs.Array,
+		Priority:  "standard",
+		Tasks:     1 + i%3,
+		CPUs:      3,
+		MemoryGB:  1,
+		Image:     "i",
+		ImageGB:   1,
+		EstimateS: estimate,
+		Spot:      true,
 	}
 	if i%5 > 0 { // machines stand in all zones
 		spec.Zone = &[]string{"a", "b", "c"}[i%3]
@@ -92,13 +132,13 @@
 	return r.ActingLeaders()[0]
 }
 
-// recoverAndCheck lets everything heal, waits for the end of all jobs, and checks what must hold then.
+// recoverAndCheck starts all controllers, waits for the end of all jobs, and checks the rules that apply then.
 func (r *testCluster) recoverAndCheck() {
 	r.t.Helper()
 	for i := range r.Controllers() {
 		r.StartController(i)
 	}
-	beside := r.WatchIdleCapacity()
+	idleWait := r.WatchIdleCapacity()
 	r.waitUntilDone()
 	for _, n := range r.nodeNames() {
 		if r.StoredItem("h/c/n/"+n).Version == 0 {
@@ -106,8 +146,16 @@
 		}
 	}
 	s := r.Stats()
-	longest, job := beside()
-	r.t.Logf("cancelled tasks stayed %v at most, of %v; %s waited %v beside room; %d tasks began after their cancellation, the latest %v", s.LongestRunAfterCancel, seconds(shortTimers.CancelS), job, longest, s.StartsAfterCancel, s.LatestStartAfterCancel)
+	longest, job := idleWait()
+	r.t.Logf(
+		"cancelled tasks stayed %v at most, of %v; %s waited %v beside idle capacity; %d tasks began after their cancellation, the latest %v",
+		s.LongestRunAfterCancel,
+		seconds(shortTimers.CancelS),
+		job,
+		longest,
+		s.StartsAfterCancel,
+		s.LatestStartAfterCancel,
+	)
 }
 
 // gapFaults is what else goes on in a gap, by name; each is given the leader.
@@ -142,15 +190,15 @@
 	},
 }
 
-// The gap: the state service refuses the leader alone, another controller confirms cancellations, then the service is down for
-// all for longer than cancel_s, while the workers keep reporting to the old leader; and once more. The refusal ends before, in or
-// after the outage, and something else goes on inside.
+// TestCancellationsAcrossStateOutages makes the state service refuse the leader alone while another controller
+// confirms cancellations, then fail for all for longer than cancel_s, while the workers keep sending heartbeats to
+// the old leader; and once more. The refusal ends before, in or after the outage, and another fault goes on inside.
 func TestCancellationsAcrossStateOutages(t *testing.T) {
 	for what, f := range gapFaults {
 		for _, refused := range []time.Duration{400 * time.Millisecond, 8 * time.Second, 22 * time.Second} {
 			t.Run(fmt.Sprint(what, " ", refused), func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 201, 3, 24)
-				told := 0
+				confirmed := 0
 				for gap := range 2 {
 					l := cluster.waitForLeader()
 					cluster.RefuseController(l, true)
@@ -158,15 +206,22 @@
 					cluster.After(300*time.Millisecond, func() { f(cluster, l) })
 					for k := range 8 {
 						user := cluster.users[8*gap+k]
-						cluster.After(time.Duration(50+140*k)*time.Millisecond, func() { cluster.cancelAt(user, (l+1+k%2)%3) })
+						cluster.After(
+							time.Duration(50+140*k)*time.Millisecond,
+							func() { cluster.cancelAt(user, (l+1+k%2)%3) },
+						)
 					}
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
 					cluster.Advance(1100*time.Millisecond + seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
-					if len(cluster.work.cancelledAt) < told+4 {
-						t.Errorf("gap %d: %d cancellations were confirmed", gap, len(cluster.work.cancelledAt)-told)
+					if len(cluster.work.cancelledAt) < confirmed+4 {
+						t.Errorf(
+							"gap %d: %d cancellations were confirmed",
+							gap,
+							len(cluster.work.cancelledAt)-confirmed,
+						)
 					}
-					told = len(cluster.work.cancelledAt)
+					confirmed = len(cluster.work.cancelledAt)
 					cluster.mu.Unlock()
 					cluster.SetStateOutage(false)
 					cluster.Advance(6 * time.Second)
@@ -177,8 +232,9 @@
 	}
 }
 
-// The followed keys of a leader don't come while its renewals and reads succeed, and jobs are cancelled through others: it
-// stops acting when its picture is too old for cancel_s, and hands on so that somebody else can lead.
+// TestLeaderWithStaleStateStepsDown stalls the leader's watches while its renewals and reads succeed, and cancels
+// jobs through others: the leader stops acting when its state is too old for cancel_s, and hands over so that
+// another can lead.
 func TestLeaderWithStaleStateStepsDown(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		cluster, _ := newBusyCluster(t, 202, 3, 24)
@@ -188,9 +244,16 @@
 			cluster.DelayStateAnswers(20*time.Millisecond, 900*time.Millisecond)
 		}
 		for k := range 12 {
-			cluster.After(time.Duration(100+300*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) })
+			cluster.After(
+				time.Duration(100+300*k)*time.Millisecond,
+				func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
+			)
 		}
-		cluster.waitFor("led from elsewhere", 14*time.Second, func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l })
+		cluster.waitFor(
+			"led from elsewhere",
+			14*time.Second,
+			func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l },
+		)
 		t.Logf("led from elsewhere after %v", cluster.Now()-from)
 		cluster.Advance(10 * time.Second)
 		cluster.StallWatches(l, false)
@@ -199,7 +262,8 @@
 	}
 }
 
-// A watch of the leader is lost while the service answers everything else: it is asked anew, and the lead stays.
+// TestLostWatchIsReopened loses a watch of the leader while the state service answers everything else: the watch is
+// opened again, and the leader stays.
 func TestLostWatchIsReopened(t *testing.T) {
 	cluster, _ := newBusyCluster(t, 203, 3, 6)
 	l := cluster.waitForLeader()
@@ -221,8 +285,9 @@
 	cluster.recoverAndCheck()
 }
 
-// The first answer of a new leader is the last that a machine hears: it hasn't seen the token yet, and what was cancelled
-// on it must have been stopped by that answer, for it extends the lease.
+// TestFirstHeartbeatAnswerHaltsCancelledTasks makes the first answer of a new leader the last that a machine
+// receives: the machine doesn't have the new token yet, and what was cancelled on it must be halted by that answer,
+// for it extends the lease.
 func TestFirstHeartbeatAnswerHaltsCancelledTasks(t *testing.T) {
 	cluster, _ := newBusyCluster(t, 204, 3, 30)
 	l := cluster.waitForLeader()
@@ -248,7 +313,8 @@
 		cluster.Advance(time.Millisecond)
 		cluster.mu.Lock()
 		for _, machine := range cluster.readyMachines() {
-			if machine.zone == zone && machine.token > old[machine.Name] && machine.inboundLostUntil == 0 && old[machine.Name] > 0 {
+			if machine.zone == zone && machine.token > old[machine.Name] && machine.inboundLostUntil == 0 &&
+				old[machine.Name] > 0 {
 				machine.inboundLostUntil, machine.outboundLostUntil = cluster.now()+40*time.Second, cluster.now()+40*time.Second
 				last++
 			}
@@ -261,11 +327,11 @@
 	cluster.recoverAndCheck()
 }
 
-// A command or its answer, or the answer to a report, is held up for up to a lease, and the machine then goes on: over
-// cancellations, moves, takeovers, new sessions and new attempts.
+// TestDelayedMessages delays a command or its answer, or the answer to a heartbeat, for up to a lease, and the
+// machine then goes on: across cancellations, moves of tasks, failovers, new sessions and new attempts.
 func TestDelayedMessages(t *testing.T) {
 	const d = 12 * time.Second
-	hold := map[string]func(cluster *testCluster, most time.Duration){
+	delayFaults := map[string]func(cluster *testCluster, maxDelay time.Duration){
 		"commands": func(cluster *testCluster, most time.Duration) { cluster.DelayCommands(most/4, most) },
 		"answers":  func(cluster *testCluster, most time.Duration) { cluster.DelayHeartbeatAnswers(most/4, most) },
 		"both": func(cluster *testCluster, most time.Duration) {
@@ -285,13 +351,13 @@
 		},
 		"attempt": func(cluster *testCluster, k int) { cluster.CrashTask(); cluster.CrashTask() },
 	}
-	for what, h := range hold {
+	for what, delay := range delayFaults {
 		for with, f := range meets {
 			t.Run(what+" "+with, func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 205, 3, 16)
 				cluster.submitJobs(d)
 				for k, most := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
-					cluster.After(time.Duration(k)*d/3, func() { h(cluster, most) })
+					cluster.After(time.Duration(k)*d/3, func() { delay(cluster, most) })
 				}
 				for k := range 6 {
 					cluster.After(time.Duration(k)*d/6+500*time.Millisecond, func() { f(cluster, k) })
@@ -306,10 +372,15 @@
 	}
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear the next one's answer, for less than a lease, more
-// than one, and more than cancel_s: what is on them counts until proof, teams' limits and zones of gangs included, and no longer.
+// TestLeaderKilledWhileMachinesAreUnreachable kills a leader while machines with long tasks can't be reached or
+// don't receive the next leader's answer, for less than a lease, more than one, and more than cancel_s: what is on
+// them counts until proof, with teams' limits and zones of gangs, and no longer.
 func TestLeaderKilledWhileMachinesAreUnreachable(t *testing.T) {
-	ends := map[string]func(cluster *testCluster, l int){"killed": gapFaults["leader killed"], "frozen": gapFaults["leader frozen"], "drained": gapFaults["leader drained"]}
+	ends := map[string]func(cluster *testCluster, l int){
+		"killed":  gapFaults["leader killed"],
+		"frozen":  gapFaults["leader frozen"],
+		"drained": gapFaults["leader drained"],
+	}
 	for how := DropBoth; how <= DropOutOf; how++ {
 		for _, duration := range []time.Duration{3 * time.Second, 8 * time.Second, 16 * time.Second} {
 			for what, end := range ends {
@@ -320,7 +391,10 @@
 					cluster.DropInbound(3, "", duration)
 					cluster.After(300*time.Millisecond, func() { end(cluster, l) })
 					for k := range 6 {
-						cluster.After(time.Duration(400*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+1)%5) })
+						cluster.After(
+							time.Duration(400*k)*time.Millisecond,
+							func() { cluster.cancelAt(cluster.users[k], (l+1)%5) },
+						)
 					}
 					for k := range 10 { // those that wait for a place, at their teams' limits
 						cluster.submitLongJob(100+k, 4)
@@ -335,8 +409,9 @@
 	}
 }
 
-// Controllers hand over and back, all end and one returns, also within a second, with their old requests, writes and reports
-// still about: each time somebody leads soon, every controller has its member key, and nothing runs twice.
+// TestRepeatedHandovers lets controllers hand over and back, and all of them end and one return, also within a
+// second, while their old requests, writes and heartbeats are still on their way: each time there is a leader soon,
+// every controller has its member key, and nothing runs twice.
 func TestRepeatedHandovers(t *testing.T) {
 	for _, late := range []float64{0, 0.3} {
 		cluster, _ := newBusyCluster(t, 207, 3, 16)
@@ -375,13 +450,17 @@
 	}
 }
 
-// Transactions without an answer are carried out late, after newer ones of the same controller, while jobs come, end and are
-// cancelled, machines are rented, and controllers restart.
+// TestDelayedWritesHaveNoEffect carries unanswered transactions out late, after newer ones of the same controller,
+// while jobs are submitted, end and are cancelled, machines are rented, and controllers restart.
 func TestDelayedWritesHaveNoEffect(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster, _ := newBusyCluster(t, 210+seed, 3, 16)
 		cluster.submitJobs(50 * time.Second)
-		cluster.DelayWrites([]float64{0.15, 0.4, 0.7}[seed%3], 500*time.Millisecond, []time.Duration{3 * time.Second, 6 * time.Second}[seed%2])
+		cluster.DelayWrites(
+			[]float64{0.15, 0.4, 0.7}[seed%3],
+			500*time.Millisecond,
+			[]time.Duration{3 * time.Second, 6 * time.Second}[seed%2],
+		)
 		for k := range 12 {
 			cluster.After(time.Duration(2+3*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%3) })
 		}
@@ -398,8 +477,9 @@
 	}
 }
 
-// A controller's registration gets no answer, it is killed and back at once, and the registration lands after that of its new
-// life: it must not take the member key with it when the former hold ends.
+// TestDelayedRegistrationOfFormerIncarnation leaves a controller's registration unanswered, kills the controller
+// and starts it at once, and lets the registration land after that of the new incarnation: the member key must stay
+// when the former lease ends.
 func TestDelayedRegistrationOfFormerIncarnation(t *testing.T) {
 	for _, after := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 		cluster, _ := newBusyCluster(t, 214, 3, 6)
@@ -408,7 +488,8 @@
 		cluster.KillController(i)
 		cluster.Advance(3 * time.Second)
 		cluster.InterceptTxns(func(from int, tx store.Txn) TxnOutcome {
-			if from == i && caught == 0 && slices.ContainsFunc(tx.Then, func(o store.Op) bool { return o.Put == key }) {
+			if from == i && caught == 0 &&
+				slices.ContainsFunc(tx.Then, func(o store.Op) bool { return o.Put == key }) {
 				caught++
 				cluster.After(100*time.Millisecond, func() { cluster.KillController(i) })
 				cluster.After(150*time.Millisecond, func() { cluster.StartController(i) })
@@ -430,8 +511,9 @@
 	}
 }
 
-// A leader is cut off from state service and others while workers and users still reach it, and jobs are cancelled through
-// the new one: asked afterwards, the old one never says anything older, and what was cancelled is gone in time.
+// TestDisconnectedLeaderAndCancellations cuts a leader off from the state service and its peers while workers and
+// users still reach it, and cancels jobs through the new leader: the old one never gives an older answer
+// afterwards, and what was cancelled is gone in time.
 func TestDisconnectedLeaderAndCancellations(t *testing.T) {
 	for _, duration := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 25 * time.Second} {
 		for what, f := range gapFaults {
@@ -443,7 +525,10 @@
 				cluster.After(duration, func() { cluster.CutLinks(l, 0) })
 				cluster.After(700*time.Millisecond, func() { f(cluster, l) })
 				for k := range 14 {
-					cluster.After(time.Duration(100+450*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) })
+					cluster.After(
+						time.Duration(100+450*k)*time.Millisecond,
+						func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
+					)
 				}
 				cluster.Advance(duration + 12*time.Second)
 				from := cluster.Now()
@@ -456,8 +541,8 @@
 	}
 }
 
-// An old report arrives after newer ones, also of an earlier session or attempt: before and after a takeover, a move, a forget
-// and a restart of its machine.
+// TestOldHeartbeatsHaveNoEffect delivers an old heartbeat after newer ones, also of an earlier session or attempt:
+// before and after a failover, a move, a forget command and a restart of its machine.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
 	meets := map[string]func(cluster *testCluster, k int){
 		"takeover": func(cluster *testCluster, k int) {
@@ -493,8 +578,9 @@
 	}
 }
 
-// The state service answers slowly, refuses the leader alone and then everybody for longer than cancel_s, while users cancel
-// and ask: nobody is told anything older or that there is no such job, and soon afterwards all are answered.
+// TestAnswersAfterSlowStateServiceFails makes the state service answer slowly, refuse the leader alone and then
+// everybody for longer than cancel_s, while users cancel and query: no answer is older than one before it or denies
+// a job, and soon afterwards all queries are answered.
 func TestAnswersAfterSlowStateServiceFails(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 2200 * time.Millisecond} {
 		cluster, balancer := newBusyCluster(t, 217, 5, 24)
@@ -524,10 +610,11 @@
 	}
 }
 
-// Jobs of two or three tasks end far apart across changes of the leader, one of them without any leader: a job is done when all
-// of them are, soon, and nothing that is done begins once more.
+// TestTasksThatEndFarApartAreNotRerun ends the tasks of small jobs far apart, across changes of the leader, one of
+// them without any leader: a job is done soon after all its tasks are, and nothing that is done starts again.
 func TestTasksThatEndFarApartAreNotRerun(t *testing.T) {
-	// For longer than its hold, and not for so long that workers, who wait 4 s for an answer, outwait their lease of 6.
+	// For longer than its lease, and not for so long that workers, who wait 4 s for an answer, outwait their lease
+	// of 6.
 	frozen := func(cluster *testCluster, l int) { cluster.FreezeController(l, 2600*time.Millisecond) }
 	for what, f := range map[string]func(cluster *testCluster, l int){"killed": gapFaults["leader back at once"], "frozen": frozen, "drained": gapFaults["leader drained"], "late writes": gapFaults["leader killed"]} {
 		t.Run(what, func(t *testing.T) {
@@ -547,7 +634,8 @@
 						done[id] = cluster.Now()
 					}
 					var rec jobs.Record
-					if !stored[id] && json.Unmarshal(cluster.StoredItem(jobs.RecordKey(id)).Value, &rec) == nil && rec.State == jobs.Done.String() {
+					if !stored[id] && json.Unmarshal(cluster.StoredItem(jobs.RecordKey(id)).Value, &rec) == nil &&
+						rec.State == jobs.Done.String() {
 						stored[id] = true
 						worst = max(worst, cluster.Now()-done[id])
 					}
@@ -563,7 +651,12 @@
 			cluster.DelayWrites(0, 0, 0)
 			cluster.recoverAndCheck()
 			s := cluster.Stats()
-			t.Logf("done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again", worst, s.WorkerLeasesExpired, s.TasksRerun)
+			t.Logf(
+				"done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again",
+				worst,
+				s.WorkerLeasesExpired,
+				s.TasksRerun,
+			)
 			most := 8 * time.Second
 			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
 				most = 14 * time.Second
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -12,9 +12,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Those of the users' meetings that neither meetings_test.go nor seven_test.go brings about, in the same cluster.
+// Further tests of faults that coincide, with the cluster of coinciding_faults_test.go.
 
-// countLaunched counts the tasks that some machines were given by a direct command or an answer since a time, and got no further with.
+// countLaunched counts the tasks that some machines were given by a direct command or an answer since a time, and
+// got no further with.
 func (r *testCluster) countLaunched(names []string, since time.Duration) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -28,11 +29,13 @@
 	return n
 }
 
-// Workers can't open connections to any controller, while direct commands still reach them and are answered: they die with their
-// leases and get no new work from soon on, what was there runs elsewhere as soon as proof allows, and they are taken back when they
-// report again. One, several, a whole zone; with cancellations, and with a change of the lead.
+// TestWorkersThatReachNoController refuses workers' connections to all controllers, while direct commands still
+// reach them and are answered: they end with their leases and soon get no new work, their tasks run elsewhere as
+// soon as proof allows, and they are used again when their heartbeats arrive. One worker, several, a whole zone;
+// with cancellations, and with a change of the leader.
 func TestWorkersThatReachNoController(t *testing.T) {
-	// Reports as far apart as on large deployments: between two of them many commands can be sent, and each is answered.
+	// Reports as far apart as on large deployments: between two of them many commands can be sent, and each is
+	// answered.
 	rare := config.Workers{ReportS: 3, LeaseS: 15, GangWaitS: 10, GangPeerS: 2, CancelS: 35}
 	for _, c := range []struct {
 		n    int
@@ -82,8 +85,9 @@
 	}
 }
 
-// Jobs bound to one zone, arrays, gangs and services, lose machines there, once, again and again, or all of them: nothing of them is
-// anywhere else, and they go on there soon after all is well.
+// TestZoneBoundJobsWaitForTheirZone takes machines from arrays, gangs and services that are bound to one zone,
+// once, again and again, or all of them: none of their tasks is anywhere else, and they go on in their zone soon
+// after the faults.
 func TestZoneBoundJobsWaitForTheirZone(t *testing.T) {
 	losses := map[string]func(cluster *testCluster, zone string){
 		"some": func(cluster *testCluster, zone string) {
@@ -106,8 +110,18 @@
 				var bound []*testUser
 				for k := range 18 {
 					spec := &jobs.Spec{
-						ID: fmt.Sprintf("req-4%05d", k), Class: "bound", Team: []string{"red", "blue"}[k%2], Kind: []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3], Priority: "standard",
-						Tasks: 1 + k%4, CPUs: 3, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 8, Spot: true,
+						ID:        fmt.Sprintf("req-4%05d", k),
+						Class:     "bound",
+						Team:      []string{"red", "blue"}[k%2],
+						Kind:      []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3],
+						Priority:  "standard",
+						Tasks:     1 + k%4,
+						CPUs:      3,
+						MemoryGB:  1,
+						Image:     "i",
+						ImageGB:   1,
+						EstimateS: 8,
+						Spot:      true,
 					}
 					if k%2 == 0 {
 						spec.Zone = &zone
@@ -147,7 +161,7 @@
 	}
 }
 
-// runsIn holds that jobs stand where they may: all in their zone, or all in one.
+// runsIn checks that jobs run only where they may: all in their zone, or all in one.
 func (r *testCluster) runsIn(users []*testUser, zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,8 +180,9 @@
 	}
 }
 
-// There is more work than room, urgent and not, over slow links, and the lead passes: what is urgent goes first, everything begins
-// within four minutes of its submission, and nothing is forgotten.
+// TestOverloadStartsEveryJob submits more work than there is room for, urgent and not, over slow links and a change
+// of the leader: urgent work goes first, every job starts within four minutes of its submission, and nothing is
+// forgotten.
 func TestOverloadStartsEveryJob(t *testing.T) {
 	for _, mean := range []time.Duration{60 * time.Millisecond, 250 * time.Millisecond} {
 		t.Run(fmt.Sprint(mean), func(t *testing.T) {
@@ -194,7 +209,11 @@
 			cluster.SetLinkDelay(0)
 			from := cluster.Now()
 			cluster.recoverAndCheck()
-			urgent, rest := cluster.StartDelays("urgent"), append(cluster.StartDelays("standard"), cluster.StartDelays("best_effort")...)
+			urgent, rest := cluster.StartDelays(
+				"urgent",
+			), append(
+				cluster.StartDelays("standard"),
+				cluster.StartDelays("best_effort")...)
 			t.Logf("urgent ones waited %v at most, the others %v", slices.Max(urgent), slices.Max(rest))
 			if slices.Max(rest) > 4*time.Minute || slices.Max(urgent) > slices.Max(rest) {
 				t.Error("they began too late, or in the wrong order")
@@ -206,7 +225,8 @@
 	}
 }
 
-// Leaders change ten times in two minutes, and inside an outage that outlives a lease too, while jobs come, end and are cancelled.
+// TestTenLeaderChanges changes the leader ten times in two minutes, and inside an outage that is longer than a
+// lease too, while jobs are submitted, end and are cancelled.
 func TestTenLeaderChanges(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		for _, outage := range []time.Duration{0, 4 * time.Second, 14 * time.Second} {
@@ -222,7 +242,10 @@
 					}
 				}
 				for k := range 16 {
-					cluster.After(time.Duration(3+7*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%controllers) })
+					cluster.After(
+						time.Duration(3+7*k)*time.Second,
+						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
+					)
 				}
 				cluster.Advance(2 * time.Minute)
 				_, now := cluster.Leader()
@@ -235,8 +258,8 @@
 	}
 }
 
-// All controllers are away for longer than lease_s, with cancellations confirmed just before: every lease runs out, nothing of what
-// was cancelled begins again, and everything else goes on.
+// TestAllControllersDown stops all controllers for longer than lease_s, with cancellations confirmed just before:
+// every worker's lease expires, nothing that was cancelled starts again, and everything else goes on.
 func TestAllControllersDown(t *testing.T) {
 	for _, part := range []float64{0.3, 1.1, 2.2} { // the first: some leases outlive it
 		for _, controllers := range []int{3, 5} {
@@ -250,7 +273,10 @@
 				for k := range 4 { // these meet the end of the controllers
 					cluster.cancelAt(cluster.users[8+k], k%controllers)
 				}
-				cluster.After(5*time.Millisecond, func() { killAll(cluster.Simulation, seconds(part*shortTimers.LeaseS)) })
+				cluster.After(
+					5*time.Millisecond,
+					func() { killAll(cluster.Simulation, seconds(part*shortTimers.LeaseS)) },
+				)
 				cluster.Advance(seconds(part*shortTimers.LeaseS) + 6*time.Second)
 				if s := cluster.Stats(); part > 1 && s.WorkerLeasesExpired < 10 {
 					t.Errorf("%d leases ran out", s.WorkerLeasesExpired)
@@ -261,8 +287,8 @@
 	}
 }
 
-// A cancellation, a question or a repeated submission meets the end of a job's last task, with no other trouble: it is done or it is
-// cancelled, for everybody and for good.
+// TestCancellationAtCompletionHasOneOutcome sends a cancellation, a query or a repeated submission at the end of a
+// job's last task, without any other fault: the job is done or cancelled, in every answer and for good.
 func TestCancellationAtCompletionHasOneOutcome(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		cluster, _ := newBusyCluster(t, 326, controllers, 0)
@@ -284,8 +310,9 @@
 	}
 }
 
-// Jobs are cancelled at the very moment at which the state service refuses the leader alone, and a second later it is out for longer
-// than cancel_s; the workers report to the old leader throughout.
+// TestCancelledWhileLeaderIsRefused cancels jobs at the moment at which the state service refuses the leader alone,
+// and stops the service a second later for longer than cancel_s; the workers send heartbeats to the old leader
+// throughout.
 func TestCancelledWhileLeaderIsRefused(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		for _, at := range []time.Duration{-20 * time.Millisecond, -5 * time.Millisecond, 0, 2 * time.Millisecond, 10 * time.Millisecond, 50 * time.Millisecond} {
@@ -296,7 +323,10 @@
 				cluster.SetPollBursts(true)
 				cluster.After(time.Second, func() { cluster.RefuseController(l, true) })
 				for k := range 12 {
-					cluster.After(time.Second+at+time.Duration(k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) })
+					cluster.After(
+						time.Second+at+time.Duration(k)*time.Millisecond,
+						func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) },
+					)
 				}
 				cluster.Advance(2 * time.Second)
 				cluster.SetStateOutage(true)
@@ -316,8 +346,8 @@
 	}
 }
 
-// A zone with workers and a controller, the leader or another, is cut off for longer than lease_s, while jobs are cancelled outside and
-// asked about on both sides.
+// TestPartitionedZoneWithItsController partitions a zone with workers and a controller, the leader or another, for
+// longer than lease_s, while jobs are cancelled outside and queried on both sides.
 func TestPartitionedZoneWithItsController(t *testing.T) {
 	for _, leads := range []bool{true, false} {
 		for _, how := range []Partition{DropBoth, DelayBoth, RefuseBoth} {
@@ -334,7 +364,10 @@
 					cluster.SetPollBursts(true)
 					cluster.PartitionZone(zone, how)
 					for k := range 12 {
-						cluster.After(time.Duration(50+400*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], k%3) })
+						cluster.After(
+							time.Duration(50+400*k)*time.Millisecond,
+							func() { cluster.cancelAt(cluster.users[k], k%3) },
+						)
 					}
 					cluster.submitJobs(6 * time.Second)
 					cluster.Advance(seconds(part * shortTimers.LeaseS))
@@ -351,8 +384,9 @@
 	}
 }
 
-// A machine type is new, and one controller hasn't heard of it yet: a job that fits no other is accepted by those that have, and that
-// one, asked the same within milliseconds, refuses it neither for good nor as unknown.
+// TestValidationWhileMachineTypesDiffer adds a machine type that one controller hasn't read yet: a job that fits no
+// other type is accepted by the others, and that one, asked the same within milliseconds, refuses it neither for
+// good nor as unknown.
 func TestValidationWhileMachineTypesDiffer(t *testing.T) {
 	cluster, _ := newBusyCluster(t, 329, 3, 6)
 	l := cluster.waitForLeader()
@@ -369,7 +403,20 @@
 	cluster.Advance(300 * time.Millisecond)
 	refused := 0
 	for k := range 12 {
-		spec := &jobs.Spec{ID: fmt.Sprintf("req-3%05d", k), Class: "big", Team: "red", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 100, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true}
+		spec := &jobs.Spec{
+			ID:        fmt.Sprintf("req-3%05d", k),
+			Class:     "big",
+			Team:      "red",
+			Kind:      jobs.Array,
+			Priority:  "standard",
+			Tasks:     1,
+			CPUs:      100,
+			MemoryGB:  1,
+			Image:     "i",
+			ImageGB:   1,
+			EstimateS: 3,
+			Spot:      true,
+		}
 		cluster.AddJob(spec)
 		body, _ := json.Marshal(spec)
 		cluster.Request(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -13,8 +13,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// The users' further meetings, each with its ingredients crossed, in the cluster of meetings_test.go. Answers are held to be
-// monotonic over all controllers throughout, and no job may wait for long beside room once all is well.
+// Further tests of faults that coincide, with the cluster of coinciding_faults_test.go. Throughout, answers have to
+// be monotonic over all controllers, and no job may wait for long beside idle capacity once all faults have ended.
 
 // changes are the ways in which one controller's work passes on to another, by name; each is given the leader.
 var changes = map[string]func(cluster *testCluster, l int){
@@ -41,9 +41,10 @@
 	}
 }
 
-// Users ask at all controllers, again and again within milliseconds, and repeat the submission, right after a job was accepted,
-// ended or confirmed as cancelled, some cancelling at once: nobody answers anything older. With nothing else going on, while answers
-// of the state service are lost, late or slow, and while the lead passes.
+// TestAnswersAreMonotonicUnderPollBursts sends bursts of queries to all controllers within milliseconds, and
+// repeated submissions, right after a job was accepted, ended or confirmed as cancelled, some with a cancellation:
+// no answer is older than one before it. Without faults, while answers of the state service are lost, late or slow,
+// and while the leader changes.
 func TestAnswersAreMonotonicUnderPollBursts(t *testing.T) {
 	meets := map[string]func(cluster *testCluster){
 		"nothing":      func(*testCluster) {},
@@ -78,7 +79,10 @@
 				f(cluster)
 				cluster.submitJobs(24 * time.Second)
 				for k := range 8 {
-					cluster.After(time.Duration(2+2*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%controllers) })
+					cluster.After(
+						time.Duration(2+2*k)*time.Second,
+						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
+					)
 				}
 				cluster.Advance(32 * time.Second)
 				cluster.LoseTxnAnswers(0)
@@ -86,7 +90,8 @@
 				cluster.DelayStateAnswers(0, 0)
 				cluster.Advance(5 * time.Second)
 				cluster.recoverAndCheck()
-				if s := cluster.Stats(); s.PollBursts < 40 || s.OddRequests < 60 || s.OddRequestsRefused < 10 || s.JobsCancelled < 4 {
+				if s := cluster.Stats(); s.PollBursts < 40 || s.OddRequests < 60 || s.OddRequestsRefused < 10 ||
+					s.JobsCancelled < 4 {
 					t.Errorf("hardly anybody looked: %+v", s)
 				}
 			})
@@ -94,8 +99,9 @@
 	}
 }
 
-// Transactions are carried out at once and only their answers are lost, while the other controllers read what they wrote: of
-// submissions, cancellations, ends, plans, campaigns, registrations. Whoever wrote neither undoes nor doubles it.
+// TestTransactionsWithLostAnswersTakeEffectOnce carries transactions out and loses only their answers, while the
+// other controllers read what they wrote: submissions, cancellations, ends, plans, elections and registrations.
+// Their authors neither undo nor repeat them.
 func TestTransactionsWithLostAnswersTakeEffectOnce(t *testing.T) {
 	for _, share := range []float64{0.15, 0.4, 0.8} {
 		for _, controllers := range []int{3, 5} {
@@ -106,7 +112,10 @@
 				cluster.submitJobs(30 * time.Second)
 				cluster.LoseTxnAnswers(share)
 				for k := range 10 {
-					cluster.After(time.Duration(1+2*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%controllers) })
+					cluster.After(
+						time.Duration(1+2*k)*time.Second,
+						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
+					)
 				}
 				for i, how := range []string{"killed", "drained", "all killed", "at once"} {
 					cluster.After(time.Duration(3+7*i)*time.Second, func() {
@@ -141,8 +150,9 @@
 	return cpus
 }
 
-// Every team is at its limit while jobs are cancelled whose machines are cut off, deaf, shut or hang, for less than a lease and for
-// more, and the lead passes: what may still run counts, and no longer than that.
+// TestTeamLimitsHoldAcrossFailovers keeps every team at its limit and cancels jobs whose machines are partitioned,
+// receive nothing, reach nobody or hang, for less than a lease and for more, while the leader changes: what may
+// still run counts, and no longer than that.
 func TestTeamLimitsHoldAcrossFailovers(t *testing.T) {
 	outs := map[string]func(cluster *testCluster, zone string, duration time.Duration){
 		"cut": func(cluster *testCluster, zone string, duration time.Duration) {
@@ -168,7 +178,11 @@
 					for k := range 60 { // more than both teams may run
 						cluster.submitLongJob(100+k, 9)
 					}
-					cluster.waitFor("at the limits", 30*time.Second, func() bool { return cluster.teamUse("red") > 120 && cluster.teamUse("blue") > 120 })
+					cluster.waitFor(
+						"at the limits",
+						30*time.Second,
+						func() bool { return cluster.teamUse("red") > 120 && cluster.teamUse("blue") > 120 },
+					)
 					l, zone := cluster.waitForLeader(), cluster.zoneWithoutLeader()
 					out(cluster, zone, duration)
 					hang := time.Duration(0)
@@ -188,8 +202,8 @@
 	}
 }
 
-// Jobs are cancelled in the seconds in which one controller's work passes to another, at every tenth of a second of it, through all
-// controllers, the one that hands over among them.
+// TestCancelledJobsStopDuringHandovers cancels jobs in the seconds in which one controller's work passes to
+// another, at every tenth of a second of it, through all controllers, the one that hands over among them.
 func TestCancelledJobsStopDuringHandovers(t *testing.T) {
 	for how, change := range changes {
 		for _, controllers := range []int{3, 5} {
@@ -200,7 +214,10 @@
 				l := cluster.waitForLeader()
 				cluster.SetPollBursts(true)
 				for k := range 40 {
-					cluster.After(time.Duration(100*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) })
+					cluster.After(
+						time.Duration(100*k)*time.Millisecond,
+						func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) },
+					)
 				}
 				cluster.After(time.Second, func() { change(cluster, l) })
 				cluster.Advance(14 * time.Second)
@@ -210,8 +227,8 @@
 	}
 }
 
-// New machines are up within two seconds and get work at once while writes lag, and the leader ends: nothing starts on them that its
-// plan doesn't name, and nothing twice.
+// TestFastBootsStartOnlyPlannedTasks boots new machines within two seconds, which get work at once while writes are
+// slow, and ends the leader: nothing starts on them that their plan doesn't name, and nothing twice.
 func TestFastBootsStartOnlyPlannedTasks(t *testing.T) {
 	lag := map[string]func(cluster *testCluster){
 		"late":  func(cluster *testCluster) { cluster.DelayWrites(0.35, 500*time.Millisecond, 4*time.Second) },
@@ -255,7 +272,10 @@
 func (r *testCluster) ignorePlans() {
 	n := 0
 	r.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
-		if !slices.ContainsFunc(txn.Then, func(o store.Op) bool { return len(o.Put) > 1 && o.Put[:2] == jobs.PlanPrefix[:2] }) {
+		if !slices.ContainsFunc(
+			txn.Then,
+			func(o store.Op) bool { return len(o.Put) > 1 && o.Put[:2] == jobs.PlanPrefix[:2] },
+		) {
 			return TxnOutcome{}
 		}
 		switch n++; n % 6 {
@@ -268,8 +288,9 @@
 	})
 }
 
-// Old reports, of earlier sessions, lives and attempts too, reach every controller just as a new leader begins, and once it has
-// acted: nothing follows from them, and the machines they name go on.
+// TestReplayedHeartbeatsDuringElectionHaveNoEffect delivers old heartbeats, of earlier sessions, incarnations and
+// attempts too, to every controller just as a new leader begins, and once it has acted: they have no effect, and
+// the machines they name go on.
 func TestReplayedHeartbeatsDuringElectionHaveNoEffect(t *testing.T) {
 	meets := map[string]func(cluster *testCluster){
 		"nothing": func(*testCluster) {},
@@ -314,16 +335,42 @@
 	}
 }
 
-// One-task jobs come four a second for minutes, a quarter of them cancelled, at the rates of the users' smaller state service (30
-// changes a second): all are accepted at once and begin soon, also across two changes of the lead.
+// TestStreamOfOneTaskJobsStartsSoon submits four one-task jobs a second for minutes, and cancels a quarter of them,
+// at the rates of a small state service (30 mutations a second): all are accepted at once and start soon, also
+// across two changes of the leader.
 func TestStreamOfOneTaskJobsStartsSoon(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			t.Parallel()
-			types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
+			types := []capacity.MachineType{
+				{
+					Name:    "g4",
+					CPUs:    16,
+					GPUs:    4,
+					Mem:     128,
+					CacheGB: 100,
+					FetchGB: 10,
+					Price:   4,
+					Spot:    1.5,
+					BootS:   3,
+					Zones:   []string{"a", "b", "c"},
+				},
+			}
 			sim, err := NewVirtualTime(Config{
-				Seed: 307, MaxMachines: 12, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, TickInterval: 20 * time.Millisecond, Workers: shortTimers,
-				State: config.State{RPS: 120, WriteRPS: 30, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+				Seed:         307,
+				MaxMachines:  12,
+				Types:        types,
+				Controllers:  controllers,
+				Zones:        []string{"a", "b", "c"},
+				TickInterval: 20 * time.Millisecond,
+				Workers:      shortTimers,
+				State: config.State{
+					RPS:      120,
+					WriteRPS: 30,
+					ValueKB:  8,
+					TxnOps:   24,
+				},
+				Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 			}, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -337,8 +384,18 @@
 			for i := range n {
 				cluster.After(time.Duration(i)*250*time.Millisecond, func() {
 					spec := &jobs.Spec{
-						ID: fmt.Sprintf("req-5%05d", i), Class: "tiny", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, MemoryGB: 1,
-						Image: "i", ImageGB: 0.5, EstimateS: 5, Spot: true,
+						ID:        fmt.Sprintf("req-5%05d", i),
+						Class:     "tiny",
+						Team:      []string{"red", "blue"}[i%2],
+						Kind:      jobs.Array,
+						Priority:  "standard",
+						Tasks:     1,
+						CPUs:      1,
+						MemoryGB:  1,
+						Image:     "i",
+						ImageGB:   0.5,
+						EstimateS: 5,
+						Spot:      true,
 					}
 					user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 					cluster.users = append(cluster.users, user)
@@ -365,8 +422,16 @@
 			cluster.recoverAndCheck()
 			waits := cluster.StartDelays("tiny")
 			slices.Sort(waits)
-			t.Logf("%d began, half within %v, 98%% within %v, the last after %v; the latest was accepted after %v", len(waits), waits[len(waits)/2], waits[len(waits)*98/100], waits[len(waits)-1], latest)
-			if len(waits) < n*3/4 || waits[len(waits)/2] > 2*time.Second || waits[len(waits)-1] > 30*time.Second || latest > 10*time.Second {
+			t.Logf(
+				"%d began, half within %v, 98%% within %v, the last after %v; the latest was accepted after %v",
+				len(waits),
+				waits[len(waits)/2],
+				waits[len(waits)*98/100],
+				waits[len(waits)-1],
+				latest,
+			)
+			if len(waits) < n*3/4 || waits[len(waits)/2] > 2*time.Second || waits[len(waits)-1] > 30*time.Second ||
+				latest > 10*time.Second {
 				t.Errorf("%d began", len(waits))
 			}
 		})
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -271,8 +271,17 @@
 // submitService submits a service whose replicas stand in different zones.
 func submitService(cluster *testCluster) {
 	spec := &jobs.Spec{
-		ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent",
-		Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true,
+		ID:       "req-000777",
+		Class:    "svc",
+		Team:     "blue",
+		Kind:     jobs.Service,
+		Priority: "urgent",
+		Tasks:    6,
+		CPUs:     1,
+		MemoryGB: 1,
+		Image:    "i",
+		ImageGB:  1,
+		Spread:   true,
 	}
 	(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
 }
@@ -306,7 +315,12 @@
 		return
 	}
 	controller := r.virtual.controllers[l]
-	asked := httpRequest{sender: valueOr(q.Bearer, senderUser), method: q.Verb, path: q.Resource + "/" + q.Name, body: q.Body}
+	asked := httpRequest{
+		sender: valueOr(q.Bearer, senderUser),
+		method: q.Verb,
+		path:   q.Resource + "/" + q.Name,
+		body:   q.Body,
+	}
 	r.virtual.recordMessage(requestTo(controller.settings.Public, asked))
 	controller.whileRunning(func() {
 		controller.process.Call(q, func(status int, body []byte) {
@@ -316,7 +330,7 @@
 	})()
 }
 
-// changeLicences changes how many seats the cluster may use, and then how many of the others outsiders hold.
+// changeLicences changes how many units the cluster may use, and then how many are used outside the cluster.
 func changeLicences(cluster *testCluster) {
 	cluster.After(45*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 3) })
 	cluster.After(50*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 0) })
@@ -378,9 +392,13 @@
 	return func(t *testing.T) *testCluster {
 		all := storedBefore(t)
 		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
-			delete(all, key) // of holds that have run out, and of machines that this world doesn't have
+			delete(all, key) // of leases that have expired, and of machines that this simulation doesn't have
 		}
-		cluster := clusterWithSettings(t, Config{Seed: seed, MaxMachines: 14, InitialKeys: all}, "rollout { soak_s = 5 }\n")
+		cluster := clusterWithSettings(
+			t,
+			Config{Seed: seed, MaxMachines: 14, InitialKeys: all},
+			"rollout { soak_s = 5 }\n",
+		)
 		for key, raw := range all {
 			var rec jobs.Record
 			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &rec) == nil && rec.Spec != nil {
@@ -440,19 +458,40 @@
 func openSessions(cluster *testCluster) {
 	for i := range 5 {
 		spec := &jobs.Spec{
-			ID: fmt.Sprintf("req-%06d", 900+i), Class: "notebook", Team: "red", Kind: jobs.Service,
-			Priority: "standard", Tasks: 1, CPUs: 4, MemoryGB: 1, Image: "n", ImageGB: 1,
+			ID:       fmt.Sprintf("req-%06d", 900+i),
+			Class:    "notebook",
+			Team:     "red",
+			Kind:     jobs.Service,
+			Priority: "standard",
+			Tasks:    1,
+			CPUs:     4,
+			MemoryGB: 1,
+			Image:    "n",
+			ImageGB:  1,
 		}
 		cluster.AddJob(spec)
-		session := &testSession{r: cluster, InteractiveSession: &InteractiveSession{
-			Spec: spec, User: fmt.Sprint("u", i%2), simulation: cluster.Simulation,
-			userToken: "user-" + spec.ID, agentToken: "agent-" + spec.ID, savedSteps: map[string]int{},
-		}}
+		session := &testSession{
+			r: cluster,
+			InteractiveSession: &InteractiveSession{
+				Spec:       spec,
+				User:       fmt.Sprint("u", i%2),
+				simulation: cluster.Simulation,
+				userToken:  "user-" + spec.ID,
+				agentToken: "agent-" + spec.ID,
+				savedSteps: map[string]int{},
+			},
+		}
 		cluster.sessions = append(cluster.sessions, session)
 		cluster.After(time.Duration(5+2*i)*time.Second, session.open)
 		cluster.After(time.Duration(12+4*i)*time.Second, session.useSession)
-		cluster.After(time.Duration(36+3*i)*time.Second, func() { session.call("attach", session.userToken, []byte("{}"), func(int, []byte) {}) })
-		cluster.After(time.Duration(60+3*i)*time.Second, func() { session.call("close", session.userToken, []byte("{}"), func(int, []byte) {}) })
+		cluster.After(
+			time.Duration(36+3*i)*time.Second,
+			func() { session.call("attach", session.userToken, []byte("{}"), func(int, []byte) {}) },
+		)
+		cluster.After(
+			time.Duration(60+3*i)*time.Second,
+			func() { session.call("close", session.userToken, []byte("{}"), func(int, []byte) {}) },
+		)
 	}
 	cluster.After(30*time.Second, func() { cluster.sessions[0].call("show", "", nil, func(int, []byte) {}) })
 	cluster.After(31*time.Second, func() { cluster.sessions[0].call("explain", "", nil, func(int, []byte) {}) })
@@ -469,18 +508,24 @@
 }
 
 func (s *testSession) call(verb, token string, body []byte, then func(int, []byte)) {
-	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body}, then)
+	s.r.callLeader(
+		api.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body},
+		then,
+	)
 }
 
 // open asks for the session until it is opened, and starts its agent.
 func (s *testSession) open() {
-	s.r.callLeader(api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.openRequest()}, func(status int, _ []byte) {
-		if status != 200 && status != 201 {
-			s.r.After(time.Second, s.open)
-			return
-		}
-		s.runAgentInVirtualTime()
-	})
+	s.r.callLeader(
+		api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.openRequest()},
+		func(status int, _ []byte) {
+			if status != 200 && status != 201 {
+				s.r.After(time.Second, s.open)
+				return
+			}
+			s.runAgentInVirtualTime()
+		},
+	)
 }
 
 // useSession is ten inputs, a second apart, and a cell at the end.
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -27,7 +27,11 @@
 
 var (
 	updateDigests = flag.Bool("update-digests", false, "write the digests of behaviour anew")
-	digestTrace   = flag.String("digest-trace", "", "directory into which the message log of each scenario is written")
+	digestTrace   = flag.String(
+		"digest-trace",
+		"",
+		"directory into which the message log of each scenario is written",
+	)
 )
 
 const digestsFile = "testdata/digests.json"
@@ -75,8 +79,8 @@
 		r.simulation.Now(), t.kind, t.from, t.to, t.method, t.path, t.status, t.body))
 }
 
-// normalStatus is a status as quoted text with its counts sorted by job. A controller sends them in the order of a map,
-// which differs from run to run, and whoever hears them puts them into a map, so the order changes nothing.
+// normalStatus is a status as quoted text with its counts sorted by job. A controller sends them in the order of a
+// map, which differs from run to run, and whoever hears them puts them into a map, so the order changes nothing.
 func normalStatus(raw []byte) []byte {
 	s, err := peers.Decode(raw)
 	if err != nil {
@@ -86,8 +90,9 @@
 	return strconv.AppendQuote(nil, string(peers.Encode(s)))
 }
 
-// normalCommands sorts the halts next to each other in a message to a worker. They concern different tasks, so a worker
-// that takes them in another order ends with the same. Launches keep their places: there may be room for the first only.
+// normalCommands sorts the halts next to each other in a message to a worker. They concern different tasks, so a
+// worker that takes them in another order ends with the same. Launches keep their places: there may be room for the
+// first only.
 func normalCommands(raw []byte) []byte {
 	var message struct {
 		Commands json.RawMessage `json:"calls"`
@@ -202,8 +207,9 @@
 	}
 }
 
-// The same seeds lead to the same messages and the same stored bytes as when the digests were written. A difference is
-// a change of behaviour: -digest-trace DIR writes what happened, so that the logs of two revisions can be compared.
+// TestBehaviourDigests checks that the same seeds lead to the same messages and the same stored bytes as when the
+// digests were written. A difference is a change of behaviour: -digest-trace DIR writes what happened, so that the
+// logs of two revisions can be compared.
 func TestBehaviourDigests(t *testing.T) {
 	expected := readDigests(t)
 	played := map[string]behaviourDigest{}
@@ -228,7 +234,7 @@
 	}
 }
 
-// checkDigestNames holds that the file has a digest of each scenario and no others.
+// checkDigestNames checks that the file has a digest of each scenario and no others.
 func checkDigestNames(t *testing.T, expected map[string]behaviourDigest) {
 	t.Helper()
 	for name := range expected {
--- a/internal/simulator/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -39,8 +39,9 @@
 	return names
 }
 
-// The former release's document is all that is written until every controller reads the keys; then its requests move,
-// over the leader's end too, none is lost, and those of machines that are gone are swept.
+// TestDrainRequestsWaitForTheLevel checks that only the former release's document is written until every controller
+// reads the keys; then its requests are migrated, across the leader's end too, none is lost, and those of machines
+// that no longer exist are deleted.
 func TestDrainRequestsWaitForTheLevel(t *testing.T) {
 	for _, how := range []string{"calm", "leader killed", "answers lost", "late writes", "limits shrink"} {
 		t.Run(how, func(t *testing.T) {
@@ -63,7 +64,11 @@
 				t.Fatalf("status %d", s)
 			}
 			if cluster.CountKeys(drain.MachinePrefix) > 0 || len(cluster.drainDocument().Machines) != unknown+1 {
-				t.Fatalf("%d keys before the level, %d in the document", cluster.CountKeys(drain.MachinePrefix), len(cluster.drainDocument().Machines))
+				t.Fatalf(
+					"%d keys before the level, %d in the document",
+					cluster.CountKeys(drain.MachinePrefix),
+					len(cluster.drainDocument().Machines),
+				)
 			}
 			rolled := false
 			cluster.RollingRestart(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
@@ -75,7 +80,11 @@
 			}
 			switch how {
 			case "leader killed":
-				cluster.waitFor("begun", 20*time.Second, func() bool { return cluster.CountKeys(drain.MachinePrefix) > 0 })
+				cluster.waitFor(
+					"begun",
+					20*time.Second,
+					func() bool { return cluster.CountKeys(drain.MachinePrefix) > 0 },
+				)
 				l := cluster.waitForLeader()
 				cluster.KillController(l)
 				cluster.Advance(8 * time.Second)
@@ -104,7 +113,8 @@
 				}
 			}
 			cluster.Advance(25 * time.Second) // answers come in time again
-			if s := cluster.drainMachine("undrain", "i-old-07"); s != 200 || cluster.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
+			if s := cluster.drainMachine("undrain", "i-old-07"); s != 200 ||
+				cluster.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
 				t.Errorf("status %d, and the request still stands", s)
 			}
 			if s := cluster.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -16,11 +16,12 @@
 	"github.com/harewalk/harewalk/internal/config"
 )
 
-// shortTimers are workers under which cancel_s leaves little more than the rule's inequality needs: what outlives it is seen.
+// shortTimers are workers under which cancel_s leaves little more than the rule's inequality needs: what outlives
+// it is seen.
 var shortTimers = config.Workers{ReportS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 11.5}
 
-// faultRun is one run of the search: faults of a script that overlap, over jobs that are submitted, cancelled and asked
-// about throughout. The same meeting gives the same run.
+// faultRun is one run of the search: faults of a script that overlap, over jobs that are submitted, cancelled and
+// asked about throughout. The same values give the same run.
 type faultRun struct {
 	seed   uint64
 	jobs   int
@@ -35,7 +36,7 @@
 func parseFaultRun(s string) (m faultRun, err error) {
 	fs := strings.Split(s, "|")
 	if len(fs) < 2 {
-		return m, fmt.Errorf("%q is no meeting", s)
+		return m, fmt.Errorf("%q is no run of faults", s)
 	}
 	if m.seed, err = strconv.ParseUint(fs[0], 10, 64); err == nil {
 		m.jobs, err = strconv.Atoi(fs[1])
@@ -44,8 +45,9 @@
 	return m, err
 }
 
-// drawFaultRun lets two faults meet: the second begins before, at or after the first's beginning or end, by about a hold, a
-// lease, cancel_s or a step of a takeover, and lasts about as long as one of them.
+// drawFaultRun draws two faults that overlap: the second begins before, at or after the first's beginning or end,
+// by about a controller's or worker's lease, cancel_s or a step of a failover, and lasts about as long as one of
+// them.
 func drawFaultRun(a, b string, seed uint64) faultRun {
 	rng := rand.New(rand.NewPCG(seed, uint64(len(a))<<8|uint64(len(b))))
 	scale := []float64{0.1, 0.5, 2, 2.5, shortTimers.LeaseS, shortTimers.CancelS, shortTimers.CancelS * 1.25}
@@ -54,7 +56,7 @@
 	}
 	line := func(at time.Duration, word string, duration time.Duration) string {
 		if word == "flap-zone" {
-			duration /= 2 * flapCount // it lasts that many times as long as it is told
+			duration /= 2 * flapCount // it lasts that many times as long as its argument
 		}
 		s := at.String() + " " + word
 		for _, arg := range faultKinds[word].args {
@@ -76,12 +78,35 @@
 	return faultRun{seed, 40, []string{line(first, a, long), line(max(4*time.Second, second), b, draw())}}
 }
 
-// play plays a meeting and tells what went wrong, and how long the cancelled stayed at most.
+// play plays a run. It returns the rules that were broken, and how long a cancelled task stayed at most.
 func (m faultRun) play() (wrong []string, longest time.Duration) {
-	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: []string{"a", "b", "c"}}}
+	types := []capacity.MachineType{
+		{
+			Name:    "g4",
+			CPUs:    16,
+			GPUs:    4,
+			Mem:     128,
+			CacheGB: 100,
+			FetchGB: 10,
+			Price:   4,
+			Spot:    1.5,
+			BootS:   3,
+			Zones:   []string{"a", "b", "c"},
+		},
+	}
 	sim, err := NewVirtualTime(Config{
-		Seed: m.seed, MaxMachines: 10, Types: types, Controllers: 3, Zones: []string{"a", "b", "c"}, TickInterval: 50 * time.Millisecond, Workers: shortTimers, VariedRunTimes: true,
-		LicencePools: map[string]int{"transcribe": 12}, State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+		Seed:           m.seed,
+		MaxMachines:    10,
+		Types:          types,
+		Controllers:    3,
+		Zones:          []string{"a", "b", "c"},
+		TickInterval:   50 * time.Millisecond,
+		Workers:        shortTimers,
+		VariedRunTimes: true,
+		LicencePools: map[string]int{
+			"transcribe": 12,
+		},
+		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
 		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error {
@@ -120,9 +145,9 @@
 		sim.After(at, follow)
 	}
 	sim.watchActingLeaders()
-	// The last trouble has ended by then.
-	healed := 12*time.Second + 4*seconds(shortTimers.CancelS*1.5)
-	sim.Advance(healed)
+	// The last fault has ended by then.
+	faultsEnd := 12*time.Second + 4*seconds(shortTimers.CancelS*1.5)
+	sim.Advance(faultsEnd)
 	for i := range sim.Controllers() {
 		sim.StartController(i)
 	}
@@ -142,13 +167,13 @@
 			wrong = append(wrong, n+" is there and has no member key")
 		}
 	}
-	if gap, job := pollers.LongestUnanswered(healed, sim.Now()); gap >= 75*time.Second {
+	if gap, job := pollers.LongestUnanswered(faultsEnd, sim.Now()); gap >= 75*time.Second {
 		wrong = append(wrong, fmt.Sprintf("no question about %s was answered for %v", job, gap))
 	}
 	return wrong, sim.Stats().LongestRunAfterCancel
 }
 
-// shorten finds a smaller meeting that fails as well: with one fault, with fewer jobs.
+// shorten finds a smaller run that fails as well: with one fault, with fewer jobs.
 func (m faultRun) shorten() faultRun {
 	fails := func(n faultRun) bool { wrong, _ := n.play(); return len(wrong) > 0 }
 	for i := range m.script {
@@ -164,9 +189,9 @@
 	return m
 }
 
-// Every fault of the script meets every other: no rule breaks, every job comes to its end, and none's questions go
-// unanswered afterwards. At length all pairs with 20 seeds each; otherwise a fixed share of the pairs. A
-// failing meeting is shortened, and HAREWALK_MEETING plays it again.
+// TestPairsOfFaults runs every pair of the scripts' faults at overlapping times: no rule breaks, every job ends,
+// and no job's queries stay unanswered afterwards. HAREWALK_PAIRS=20 runs all pairs with 20 seeds each; otherwise a
+// fixed share of the pairs runs. A failing run is shortened, and HAREWALK_MEETING repeats it.
 func TestPairsOfFaults(t *testing.T) {
 	if s := os.Getenv("HAREWALK_MEETING"); s != "" {
 		m, err := parseFaultRun(s)
@@ -232,8 +257,15 @@
 	}
 	close(work)
 	wait.Wait()
-	t.Logf("%d meetings of %d words, %d failed; cancelled tasks stayed %v at most, of %v", len(ms), len(words), failed, longest, seconds(shortTimers.CancelS))
+	t.Logf(
+		"%d runs of %d faults, %d failed; cancelled tasks stayed %v at most, of %v",
+		len(ms),
+		len(words),
+		failed,
+		longest,
+		seconds(shortTimers.CancelS),
+	)
 	if len(ms) < 40 || longest == 0 {
-		t.Error("hardly anything met")
+		t.Error("hardly anything overlapped")
 	}
 }
--- a/internal/simulator/idle_capacity_test.go
+++ b/internal/simulator/idle_capacity_test.go
@@ -11,8 +11,9 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// What keeps room, each for itself and all together, keeps it for less than 90 s beside work that fits: gangs that can't begin yet,
-// or never, accelerators that others wait for, a zone that came back, machines on which tasks failed.
+// TestNoCapacityIdleBesideWork checks that whatever keeps capacity free, each alone and all together, does so for
+// less than 90 s beside work that fits: gangs that can't start yet, or never, accelerators reserved for others, a
+// zone that came back, machines on which tasks failed.
 func TestNoCapacityIdleBesideWork(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	type put func(n int, change func(spec *jobs.Spec))
@@ -44,7 +45,8 @@
 				})
 			}
 		}},
-		// Ordinary machines, which some jobs need and those that may use spot ones put off, with estimates that are far too low.
+		// Ordinary machines, which some jobs need and those that may use spot ones put off, with estimates that are
+		// far too low.
 		"ordinary ones": {12, func(cluster *testCluster, give put) {
 			for k := range 60 {
 				cluster.After(time.Duration(8*k)*time.Second, func() {
@@ -52,7 +54,8 @@
 				})
 			}
 		}},
-		// Images that not every machine has, large ones: a machine that is busy and has it is the better choice, for how long?
+		// Images that not every machine has, large ones: a machine that is busy and has it is the better choice,
+		// for how long?
 		"images": {12, func(cluster *testCluster, give put) {
 			for k := range 100 {
 				cluster.After(time.Duration(4*k)*time.Second, func() {
@@ -67,10 +70,36 @@
 		for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
 			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
 				t.Parallel()
-				types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 3, Zones: zones}}
+				types := []capacity.MachineType{
+					{
+						Name:    "g4",
+						CPUs:    16,
+						GPUs:    4,
+						Mem:     128,
+						CacheGB: 100,
+						FetchGB: 10,
+						Price:   4,
+						Spot:    1.5,
+						BootS:   3,
+						Zones:   zones,
+					},
+				}
 				sim, err := NewVirtualTime(Config{
-					Seed: 341, MaxMachines: c.machines, Types: types, Controllers: 3, Zones: zones, TickInterval: 50 * time.Millisecond, Workers: shortTimers, VariedRunTimes: true,
-					State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+					Seed:           341,
+					MaxMachines:    c.machines,
+					Types:          types,
+					Controllers:    3,
+					Zones:          zones,
+					TickInterval:   50 * time.Millisecond,
+					Workers:        shortTimers,
+					VariedRunTimes: true,
+					State: config.State{
+						RPS:      400,
+						WriteRPS: 60,
+						ValueKB:  8,
+						TxnOps:   24,
+					},
+					Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 				}, nil)
 				if err != nil {
 					t.Fatal(err)
@@ -79,8 +108,18 @@
 				cluster.watchInvariants()
 				give := func(n int, change func(spec *jobs.Spec)) {
 					spec := &jobs.Spec{
-						ID: fmt.Sprintf("req-2%05d", n), Class: "small", Team: []string{"red", "blue"}[n%2], Kind: kind, Priority: "standard", Tasks: 1, CPUs: 6, MemoryGB: 1,
-						Image: "i", ImageGB: 1, EstimateS: 50, Spot: true,
+						ID:        fmt.Sprintf("req-2%05d", n),
+						Class:     "small",
+						Team:      []string{"red", "blue"}[n%2],
+						Kind:      kind,
+						Priority:  "standard",
+						Tasks:     1,
+						CPUs:      6,
+						MemoryGB:  1,
+						Image:     "i",
+						ImageGB:   1,
+						EstimateS: 50,
+						Spot:      true,
 					}
 					change(spec)
 					(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
@@ -92,10 +131,10 @@
 				cluster.Advance(20 * time.Second)
 				c.begin(cluster, give)
 				cluster.Advance(90 * time.Second)
-				beside := cluster.WatchIdleCapacity()
+				idleWait := cluster.WatchIdleCapacity()
 				cluster.Advance(380 * time.Second)
-				longest, job := beside()
-				t.Logf("%s waited %v beside room", job, longest)
+				longest, job := idleWait()
+				t.Logf("%s waited %v beside idle capacity", job, longest)
 				for _, b := range cluster.Violations() {
 					t.Error(b)
 				}
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -13,7 +13,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// footprint is what controllers hold and read at a moment.
+// footprint is what controllers keep in memory and read at a start.
 type footprint struct {
 	jobs     int // accepted so far
 	records  int // that every controller follows
@@ -43,8 +43,18 @@
 // submit hands a job in until it is accepted.
 func (m *manyJobs) submit(n int) {
 	spec := &jobs.Spec{
-		ID: fmt.Sprintf("req-%07d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard", Tasks: 1 + n%2, CPUs: 1, MemoryGB: 1,
-		Image: "i", ImageGB: 0.1, EstimateS: 0.5 + m.rng.Float64(), Spot: true,
+		ID:        fmt.Sprintf("req-%07d", n),
+		Class:     "c",
+		Team:      []string{"red", "blue"}[n%2],
+		Kind:      jobs.Array,
+		Priority:  "standard",
+		Tasks:     1 + n%2,
+		CPUs:      1,
+		MemoryGB:  1,
+		Image:     "i",
+		ImageGB:   0.1,
+		EstimateS: 0.5 + m.rng.Float64(),
+		Spot:      true,
 	}
 	m.AddJob(spec)
 	body, _ := json.Marshal(spec)
@@ -96,7 +106,7 @@
 	m.Advance(10 * time.Second)
 }
 
-// measure looks at what controllers hold and at what a start takes: each is ended and started again in turn.
+// measure measures what controllers keep in memory and what a start takes: each is killed and started again in turn.
 func (m *manyJobs) measure() footprint {
 	h := footprint{jobs: len(m.accepted), records: m.CountKeys("h/")}
 	for i, controller := range m.virtual.controllers {
@@ -110,7 +120,7 @@
 		m.KillController(i)
 		m.Advance(eventsOfEnded)
 		h.heap[i] = before - heapMB()
-		m.Advance(8 * time.Second) // its hold runs out, another leads
+		m.Advance(8 * time.Second) // its lease expires, another leads
 		asked := m.Stats().StateRequests
 		m.StartController(i)
 		m.Advance(5 * time.Second)
@@ -119,21 +129,24 @@
 	return h
 }
 
-// eventsOfEnded is how long events that were planned for an ended controller are kept; they hold it in memory.
+// eventsOfEnded is how long events that were planned for an ended controller are kept; they keep it in memory.
 const eventsOfEnded = 2 * time.Minute
 
-// A great many jobs are accepted, run, end and are archived while controllers, the state service and positions fail
-// throughout: what controllers hold, follow and read at their start is the same after a tenth of them as after all, and
-// every job that was accepted has its answer at every controller in the end. HAREWALK_LONG plays 220,000, a day at the
-// planned size; there the heap of each controller counts too.
+// TestManyJobs lets a great many jobs be accepted, run, end and be archived while controllers, the state service
+// and watches fail throughout: what controllers keep, watch and read at their start is the same after a tenth of
+// the jobs as after all, and every accepted job has its answer at every controller in the end. HAREWALK_LONG runs
+// 220,000 jobs, a day at the planned size, and compares the heap of each controller too.
 func TestManyJobs(t *testing.T) {
 	n, checked := 3000, 1
 	if os.Getenv("HAREWALK_LONG") != "" {
 		n = 220_000
 	}
 	sim, err := NewVirtualTime(Config{
-		Seed: 411, MaxMachines: 16, TickInterval: 50 * time.Millisecond, State: config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
-		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+		Seed:         411,
+		MaxMachines:  16,
+		TickInterval: 50 * time.Millisecond,
+		State:        config.State{RPS: 6000, WriteRPS: 900, ValueKB: 8, TxnOps: 24},
+		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
@@ -154,18 +167,33 @@
 		if i == n/10 || i == n-1 {
 			m.endFaults()
 			h := m.measure()
-			t.Logf("after %d jobs: %d keys followed, %d jobs in memory, %d requests around a start, controllers hold %.2f MB", h.jobs, h.records, h.known, h.requests, h.heap)
+			t.Logf(
+				"after %d jobs: %d keys followed, %d jobs in memory, %d requests around a start, controllers use %.2f MB",
+				h.jobs,
+				h.records,
+				h.known,
+				h.requests,
+				h.heap,
+			)
 			seen = append(seen, h)
 		}
 	}
 	few, all := seen[0], seen[1]
-	if all.jobs != n || all.records > few.records+2 || all.known > few.known+2 || float64(all.requests) > 1.1*float64(few.requests)+20 {
+	if all.jobs != n || all.records > few.records+2 || all.known > few.known+2 ||
+		float64(all.requests) > 1.1*float64(few.requests)+20 {
 		t.Errorf("what is held grows with the number of jobs: %+v, %+v", few, all)
 	}
 	if n > 100_000 {
 		for i := range all.heap {
 			if all.heap[i] > 1.1*few.heap[i]+0.5 {
-				t.Errorf("controller %d holds %.2f MB after %d jobs, %.2f after %d", i, all.heap[i], all.jobs, few.heap[i], few.jobs)
+				t.Errorf(
+					"controller %d uses %.2f MB after %d jobs, %.2f after %d",
+					i,
+					all.heap[i],
+					all.jobs,
+					few.heap[i],
+					few.jobs,
+				)
 			}
 		}
 	}
@@ -174,7 +202,15 @@
 		t.Error(b)
 	}
 	s := m.Stats()
-	t.Logf("%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained", n, m.Now(), s.TaskStarts, s.ControllersKilled, s.ControllersFrozen, s.ControllersDrained)
+	t.Logf(
+		"%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained",
+		n,
+		m.Now(),
+		s.TaskStarts,
+		s.ControllersKilled,
+		s.ControllersFrozen,
+		s.ControllersDrained,
+	)
 }
 
 // checkAnswersEverywhere asks every controller about every step-th job: each has one answer, done.
@@ -198,7 +234,7 @@
 						fallthrough
 					default:
 						if wrong++; wrong < 10 {
-							m.t.Errorf("controller %d says %d %s of %s", i, status, raw, id)
+							m.t.Errorf("controller %d answers %d %s about %s", i, status, raw, id)
 						}
 					}
 				})
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -15,7 +15,8 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// newSteadyCluster is a cluster with machines in three zones that have long work, with users' questions through a balancer.
+// newSteadyCluster is a cluster with machines in three zones that have long work, with users' questions through a
+// balancer.
 func newSteadyCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
 	cluster := newWideCluster(t, seed, controllers)
 	balancer := cluster.Balance()
@@ -42,8 +43,9 @@
 	return !r.cloud.machineByName[name].dead
 }
 
-// Machines report but hear nothing: one, many, all of a zone; the lead changes meanwhile, and some hear again. Little is sent
-// to them in vain, they are given back and replaced, or taken back when they hear, and all jobs come to their end.
+// TestMachineWithLostInbound makes machines receive nothing while their heartbeats arrive: one, many, all of a
+// zone; the leader changes meanwhile, and some receive again. Few launches are lost, the machines are returned and
+// replaced, or used again when they receive, and all jobs end.
 func TestMachineWithLostInbound(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -94,7 +96,7 @@
 	}
 }
 
-// A machine hears but isn't heard: it is silent.
+// TestMachineWithLostOutbound checks that a machine whose heartbeats are lost counts as silent, though it receives.
 func TestMachineWithLostOutbound(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 82, 3)
 	mute := cluster.DropOutbound(3, "", 5*time.Minute)
@@ -107,8 +109,9 @@
 	cluster.waitUntilDone()
 }
 
-// Copies of reports and requests arrive from one second to several leases late, at whatever controller, over killed machines,
-// kills of leaders and a zone that is lost: none revives, frees or finishes anything.
+// TestDuplicatedMessagesHaveNoEffect delivers copies of heartbeats and requests from one second to several leases
+// late, at any controller, over killed machines, killed leaders and a lost zone: none revives, frees or finishes
+// anything.
 func TestDuplicatedMessagesHaveNoEffect(t *testing.T) {
 	for seed := range uint64(3) {
 		cluster, _ := newSteadyCluster(t, 90+seed, 3)
@@ -136,7 +139,8 @@
 				continue
 			}
 			for name, at := range dead {
-				if c := cluster.virtual.controllers[l].process; c != nil && cluster.Now()-at > 40*time.Second && c.Acts(name) {
+				if c := cluster.virtual.controllers[l].process; c != nil && cluster.Now()-at > 40*time.Second &&
+					c.Acts(name) {
 					revived++
 				}
 			}
@@ -148,8 +152,9 @@
 	}
 }
 
-// A controller loses the state service and the others but not its workers, the leader or another, alone, two at once, and
-// during a rollout: it answers no report after its hold, its workers and users are elsewhere soon, and its return disturbs nothing.
+// TestControllerPartitionedWithItsWorkers cuts a controller off from the state service and its peers but not from
+// its workers, the leader or another, alone, two at once, and during a rollout: it accepts no heartbeat after its
+// lease, its workers and users are served elsewhere soon, and its return has no effect.
 func TestControllerPartitionedWithItsWorkers(t *testing.T) {
 	for _, c := range []string{"leader", "other", "two", "rolling"} {
 		t.Run(c, func(t *testing.T) {
@@ -179,7 +184,11 @@
 				}
 			}
 			if c == "leader" || c == "two" {
-				cluster.waitFor("led from elsewhere", 10*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(gone, l) })
+				cluster.waitFor(
+					"led from elsewhere",
+					10*time.Second,
+					func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(gone, l) },
+				)
 			}
 			cluster.Advance(6 * time.Second)
 			// Everybody reports to whoever leads.
@@ -212,14 +221,18 @@
 	}
 }
 
-// The leader loses its workers alone: another leads as soon as they ask others, it stays away while the cut lasts, and the
-// lead doesn't wander.
+// TestLeaderLosesItsWorkers cuts only the leader's links to its workers: another leads as soon as the workers ask
+// others, the former leader doesn't lead while the cut lasts, and the leader doesn't change again.
 func TestLeaderLosesItsWorkers(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 89, 5)
 	old, was := cluster.Leader()
 	cluster.CutLinks(old, WorkerLinks)
 	from := cluster.Now()
-	cluster.waitFor("led from elsewhere", 9*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old })
+	cluster.waitFor(
+		"led from elsewhere",
+		9*time.Second,
+		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
+	)
 	t.Logf("led from elsewhere after %v", cluster.Now()-from)
 	cluster.Advance(40 * time.Second)
 	if l, term := cluster.Leader(); term != was+1 || l == old {
@@ -238,8 +251,8 @@
 	return names
 }
 
-// Controllers are killed and back within 50 to 900 ms, between all steps of an election, again and again: somebody leads
-// soon, one at most acts, and every job ends once.
+// TestControllersThatRestartAtOnce kills controllers and starts them within 50 to 900 ms, between all steps of an
+// election, again and again: there is a leader soon, one at most acts, and every job ends once.
 func TestControllersThatRestartAtOnce(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 84, 3)
 	steps := membershipStates()
@@ -254,7 +267,11 @@
 			}
 		}
 		cluster.Advance(time.Second)
-		cluster.RestartControllerAtStep(cluster.rng.IntN(3), steps[round%len(steps)], time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
+		cluster.RestartControllerAtStep(
+			cluster.rng.IntN(3),
+			steps[round%len(steps)],
+			time.Duration(50+cluster.rng.IntN(850))*time.Millisecond,
+		)
 		from := cluster.Now()
 		cluster.waitFor("led", 14*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
 		if duration := cluster.Now() - from; duration > 8*time.Second {
@@ -265,8 +282,9 @@
 	cluster.waitUntilDone()
 }
 
-// Machines restart within a fraction of a second under their names, session and sequence from the start, while copies of their
-// earlier reports are about: one, many, all of a zone, all. They are used again or given back, soon.
+// TestMachinesThatRestartAtOnce restarts machines within a fraction of a second under their names, session and
+// sequence from the start, while copies of their earlier heartbeats are on their way: one, many, all of a zone,
+// all. They are used again or returned, soon.
 func TestMachinesThatRestartAtOnce(t *testing.T) {
 	for _, n := range []int{1, 12, 99} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -302,7 +320,8 @@
 				for name := range left {
 					cluster.mu.Lock()
 					machine := cluster.cloud.machineByName[name]
-					known := !machine.dead && cluster.virtual.controllers[l].process != nil && cluster.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
+					known := !machine.dead && cluster.virtual.controllers[l].process != nil &&
+						cluster.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
 					dead := machine.dead
 					cluster.mu.Unlock()
 					if dead || known {
@@ -316,17 +335,29 @@
 					returned++
 				}
 			}
-			t.Logf("%d machines: all heard or given back after %v, %d given back", len(names), cluster.Now()-from, returned)
+			t.Logf(
+				"%d machines: all heard or given back after %v, %d given back",
+				len(names),
+				cluster.Now()-from,
+				returned,
+			)
 			if duration := cluster.Now() - from; duration > 10*time.Second || returned > len(names)/4 {
-				t.Errorf("%d of %d machines were neither heard nor given back within %v, %d given back", len(left), len(names), duration, returned)
+				t.Errorf(
+					"%d of %d machines were neither heard nor given back within %v, %d given back",
+					len(left),
+					len(names),
+					duration,
+					returned,
+				)
 			}
 			cluster.waitUntilDone()
 		})
 	}
 }
 
-// Machines come up late by a multiple of their time, never, or at once: what never comes is given back, replaced, and not
-// rented anew in a wave; what is late is used or given back.
+// TestMachinesThatBootLateOrNever makes machines boot late by a multiple of their time, never, or at once: those
+// that never come up are returned and replaced, and not rented again in a wave; those that are late are used or
+// returned.
 func TestMachinesThatBootLateOrNever(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -354,7 +385,11 @@
 			cluster.mu.Lock()
 			for _, machine := range cluster.cloud.machines {
 				if !machine.dead && machine.upAt > cluster.now()+time.Hour {
-					t.Errorf("%s never comes up and is paid for after %v", machine.Name, cluster.now()-machine.rentedAt)
+					t.Errorf(
+						"%s never comes up and is paid for after %v",
+						machine.Name,
+						cluster.now()-machine.rentedAt,
+					)
 				}
 			}
 			cluster.mu.Unlock()
@@ -364,15 +399,30 @@
 	}
 }
 
-// Jobs that fail on every machine until they are cancelled stand beside others: single, gang and array. No machine is given
-// back for them, the others don't wait for them, and a machine that is faulty is found out all the same.
+// TestFailingJobsAndFaultyMachines submits jobs that fail on every machine until they are cancelled beside others:
+// single tasks, gangs and arrays. No machine is returned for them, the others don't wait for them, and a faulty
+// machine is detected all the same.
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 87, 3)
 	for i := range 40 { // so much that no machine is idle
-		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
-			ID: fmt.Sprintf("req-81%04d", i), Class: "long", Team: "blue", Kind: jobs.Array, Priority: "standard", Tasks: 8, CPUs: 4,
-			MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 60, Spot: true,
-		}}
+		user := &testUser{
+			simulation: cluster.Simulation,
+			rng:        cluster.rng,
+			spec: &jobs.Spec{
+				ID:        fmt.Sprintf("req-81%04d", i),
+				Class:     "long",
+				Team:      "blue",
+				Kind:      jobs.Array,
+				Priority:  "standard",
+				Tasks:     8,
+				CPUs:      4,
+				MemoryGB:  1,
+				Image:     "i",
+				ImageGB:   1,
+				EstimateS: 60,
+				Spot:      true,
+			},
+		}
 		cluster.users = append(cluster.users, user)
 		user.submit()
 	}
@@ -380,7 +430,10 @@
 	var wrong []*testUser
 	for i, spec := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
 		spec.ID, spec.Class, spec.Team, spec.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
-		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf("w-%d", i), 2, 10, true
+		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf(
+			"w-%d",
+			i,
+		), 2, 10, true
 		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 		cluster.FailJob(spec.ID)
 		user.submit()
@@ -417,8 +470,8 @@
 	cluster.waitUntilDone()
 }
 
-// A leader stands still for more than a minute, and so does the next: each time another leads within its hold's life, and
-// whoever wakes does nothing on its old authority.
+// TestLeadersFrozenForAMinute freezes a leader for more than a minute, and then the next one: each time another
+// leads within a lease, and a controller that goes on does nothing on its former authority.
 func TestLeadersFrozenForAMinute(t *testing.T) {
 	cluster, balancer := newSteadyCluster(t, 88, 5)
 	pollers := cluster.startPolling(balancer)
@@ -427,7 +480,11 @@
 	for range 3 {
 		l, _ := cluster.Leader()
 		cluster.FreezeController(l, 70*time.Second)
-		cluster.waitFor("led from elsewhere", 12*time.Second, func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l })
+		cluster.waitFor(
+			"led from elsewhere",
+			12*time.Second,
+			func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l },
+		)
 		cluster.Advance(10 * time.Second)
 	}
 	cluster.Advance(90 * time.Second)
@@ -437,8 +494,9 @@
 	cluster.waitUntilDone()
 }
 
-// Users ask many times as often, for jobs that run, that are over and that nobody submitted, while the leader stands still:
-// everybody is answered at once or told to come back, no lease runs out for it, submissions are taken and no job's questions starve.
+// TestFloodOfQueriesIsShed multiplies users' queries, for jobs that run, that have ended and that nobody submitted,
+// while the leader is frozen: each is answered at once or with a retry, no lease expires because of it, submissions
+// are accepted and no job's queries starve.
 func TestFloodOfQueriesIsShed(t *testing.T) {
 	cluster, balancer := newSteadyCluster(t, 91, 3)
 	pollers := cluster.startPolling(balancer)
@@ -488,14 +546,40 @@
 
 // accepted tells whether a user's submission was taken.
 func (r *testCluster) accepted(id string) bool {
-	return slices.ContainsFunc(r.users, func(user *testUser) bool { return user.spec.ID == id && (user.status == 200 || user.status == 201) })
+	return slices.ContainsFunc(
+		r.users,
+		func(user *testUser) bool { return user.spec.ID == id && (user.status == 200 || user.status == 201) },
+	)
 }
 
-// Guests without a guarantee bring one array of thousands of short tasks, a flood of tiny jobs and idle-time work: those who have
-// a guarantee wait no longer for it, and the guests are served.
+// TestJobsWithoutGuaranteeDoNotDelayOthers lets teams without a guarantee submit one array of thousands of short
+// tasks, a flood of tiny jobs and idle-time work: teams with a guarantee wait no longer for it, and the others are
+// served.
 func TestJobsWithoutGuaranteeDoNotDelayOthers(t *testing.T) {
-	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b", "c"}}}
-	cluster := newTestClusterOn(t, 92, 3, rollout.Newest, "", 24, types, []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}, {Name: "guest"}})
+	types := []capacity.MachineType{
+		{
+			Name:    "g4",
+			CPUs:    16,
+			GPUs:    4,
+			Mem:     128,
+			CacheGB: 100,
+			FetchGB: 10,
+			Price:   4,
+			Spot:    1.5,
+			BootS:   12,
+			Zones:   []string{"a", "b", "c"},
+		},
+	}
+	cluster := newTestClusterOn(
+		t,
+		92,
+		3,
+		rollout.Newest,
+		"",
+		24,
+		types,
+		[]config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}, {Name: "guest"}},
+	)
 	cluster.submitSmallJobs(10, 15)
 	cluster.Advance(30 * time.Second)
 	give := func(user *testUser) *testUser {
@@ -504,18 +588,38 @@
 		return user
 	}
 	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *testUser {
-		return &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
-			ID: fmt.Sprintf("req-%06d", n), Class: class, Team: team, Kind: jobs.Array, Priority: priority, Tasks: tasks, CPUs: cpus, MemoryGB: 0.4,
-			Image: "i", ImageGB: 0.5, EstimateS: est, Spot: true,
-		}}
+		return &testUser{
+			simulation: cluster.Simulation,
+			rng:        cluster.rng,
+			spec: &jobs.Spec{
+				ID:        fmt.Sprintf("req-%06d", n),
+				Class:     class,
+				Team:      team,
+				Kind:      jobs.Array,
+				Priority:  priority,
+				Tasks:     tasks,
+				CPUs:      cpus,
+				MemoryGB:  0.4,
+				Image:     "i",
+				ImageGB:   0.5,
+				EstimateS: est,
+				Spot:      true,
+			},
+		}
 	}
 	give(job(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4))
 	give(job(500001, "guest", "idle", "best_effort", 60, 4, 30))
 	for i := range 200 {
-		cluster.After(time.Duration(i)*300*time.Millisecond, func() { give(job(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)) })
+		cluster.After(
+			time.Duration(i)*300*time.Millisecond,
+			func() { give(job(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)) },
+		)
 	}
 	for i := range 20 {
-		cluster.After(time.Duration(3*i)*time.Second, func() { give(job(520000+i, "red", "owed", "standard", 4, 4, 10)) })
+		cluster.After(
+			time.Duration(3*i)*time.Second,
+			func() { give(job(520000+i, "red", "owed", "standard", 4, 4, 10)) },
+		)
 	}
 	cluster.Advance(65 * time.Second)
 	cluster.waitUntilDone()
@@ -528,27 +632,66 @@
 	if w := slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)); w > 4*time.Minute {
 		t.Errorf("guests waited %v", w)
 	}
-	t.Logf("within the guarantee %v at most, guests %v, tiny ones %v", slices.Max(cluster.StartDelays("owed")), slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)), slices.Max(cluster.StartDelays("tiny")))
+	t.Logf(
+		"within the guarantee %v at most, guests %v, tiny ones %v",
+		slices.Max(cluster.StartDelays("owed")),
+		slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)),
+		slices.Max(cluster.StartDelays("tiny")),
+	)
 }
 
-// Gangs that need half of all machines at once, under a constant stream of small urgent ones that takes most of them, while the
-// leader is killed and the next one stands still: they begin within four minutes of their submission, whoever leads. Without the rule
-// they don't.
+// TestLargestJobsStartAcrossFailovers submits gangs that need half of all machines at once, under a constant stream
+// of small urgent jobs that takes most of them, while the leader is killed and the next one frozen: the gangs start
+// within four minutes of their submission under any leader. Without the rule they don't.
 func TestLargestJobsStartAcrossFailovers(t *testing.T) {
 	began := func(operator string) (longest time.Duration, left int) {
-		types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b"}}}
-		sim, err := NewVirtualTime(Config{Seed: 93, MaxMachines: 16, Types: types, TickInterval: 50 * time.Millisecond, Teams: []config.Team{{Name: "red"}, {Name: "blue"}}},
-			func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
+		types := []capacity.MachineType{
+			{
+				Name:    "g4",
+				CPUs:    16,
+				GPUs:    4,
+				Mem:     128,
+				CacheGB: 100,
+				FetchGB: 10,
+				Price:   4,
+				Spot:    1.5,
+				BootS:   12,
+				Zones:   []string{"a", "b"},
+			},
+		}
+		sim, err := NewVirtualTime(
+			Config{
+				Seed:         93,
+				MaxMachines:  16,
+				Types:        types,
+				TickInterval: 50 * time.Millisecond,
+				Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
+			},
+			func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) },
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
 		rng := rand.New(rand.NewPCG(93, 1))
 		var large []*testUser
 		submit := func(n, tasks int, priority string, est float64) *testUser {
-			user := &testUser{simulation: sim, rng: rng, spec: &jobs.Spec{
-				ID: fmt.Sprintf("req-%06d", n), Class: priority, Team: "red", Kind: jobs.Gang, Priority: priority, Tasks: tasks, CPUs: 12, MemoryGB: 1,
-				Image: "i", ImageGB: 1, EstimateS: est,
-			}}
+			user := &testUser{
+				simulation: sim,
+				rng:        rng,
+				spec: &jobs.Spec{
+					ID:        fmt.Sprintf("req-%06d", n),
+					Class:     priority,
+					Team:      "red",
+					Kind:      jobs.Gang,
+					Priority:  priority,
+					Tasks:     tasks,
+					CPUs:      12,
+					MemoryGB:  1,
+					Image:     "i",
+					ImageGB:   1,
+					EstimateS: est,
+				},
+			}
 			user.submit()
 			return user
 		}
@@ -556,10 +699,16 @@
 			sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
 		}
 		for i := range 3 {
-			sim.After(time.Duration(60+70*i)*time.Second, func() { large = append(large, submit(900+i, 8, "standard", 10)) })
+			sim.After(
+				time.Duration(60+70*i)*time.Second,
+				func() { large = append(large, submit(900+i, 8, "standard", 10)) },
+			)
 		}
 		sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
-		sim.After(170*time.Second, func() { sim.onLeader(0, func(i int) { sim.FreezeController(i, 70*time.Second) }) })
+		sim.After(
+			170*time.Second,
+			func() { sim.onLeader(0, func(i int) { sim.FreezeController(i, 70*time.Second) }) },
+		)
 		sim.Advance(450 * time.Second)
 		for _, user := range large {
 			if duration, ok := sim.FirstStart(user.spec.ID); ok {
@@ -584,12 +733,34 @@
 	t.Logf("without the rule %d don't begin, the last of the others after %v", left, longest)
 }
 
-// runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets everything heal, and tells
-// the longest time in which no question about one job was answered, from then on.
+// runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets
+// everything heal, and tells the longest time in which no question about one job was answered, from then on.
 func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
 	t.Helper()
-	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 5, Zones: []string{"a", "b", "c"}}}
-	cluster := newTestClusterOn(t, seed, 3+2*int(seed%2), rollout.Newest, "", 16, types, []config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}})
+	types := []capacity.MachineType{
+		{
+			Name:    "g4",
+			CPUs:    16,
+			GPUs:    4,
+			Mem:     128,
+			CacheGB: 100,
+			FetchGB: 10,
+			Price:   4,
+			Spot:    1.5,
+			BootS:   5,
+			Zones:   []string{"a", "b", "c"},
+		},
+	}
+	cluster := newTestClusterOn(
+		t,
+		seed,
+		3+2*int(seed%2),
+		rollout.Newest,
+		"",
+		16,
+		types,
+		[]config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}},
+	)
 	rng := rand.New(rand.NewPCG(seed, 77))
 	cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 	cluster.DuplicateMessages(0.1*rng.Float64(), time.Second, 30*time.Second)
@@ -722,17 +893,18 @@
 		cluster.CutLinks(i, 0)
 		cluster.StartController(i)
 	}
-	healed, beside := cluster.Now(), cluster.WatchIdleCapacity()
+	faultsEnd := cluster.Now()
+	idleWait := cluster.WatchIdleCapacity()
 	cluster.Advance(75 * time.Second)
-	gap, job := pollers.LongestUnanswered(healed, cluster.Now())
+	gap, job := pollers.LongestUnanswered(faultsEnd, cluster.Now())
 	cluster.users = append(cluster.users, mistakes...)
 	cluster.waitUntilDone()
-	cluster.idleWait, _ = beside()
+	cluster.idleWait, _ = idleWait()
 	return cluster, gap, job
 }
 
-// startedWork is the share of jobs that began within four minutes, by kind, by team, and of the largest quarter of a kind; those that
-// their users gave up don't count.
+// startedWork is the share of jobs that began within four minutes, by kind, by team, and of the largest quarter of
+// a kind; those that their users gave up don't count.
 func (r *testCluster) startedWork() map[string]float64 {
 	byKind := map[string][]*testUser{}
 	begun, all := map[string]int{}, map[string]int{}
@@ -766,18 +938,23 @@
 	return share
 }
 
-// All of the troubles of this file together, overlapping, in simulated time.
+// TestRandomPartialFaults injects all of the faults of this file together, overlapping, in virtual time.
 func TestRandomPartialFaults(t *testing.T) {
 	seeds := 12
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
-	ends, worst, least, beside := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
+	ends, worst, least, idle := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
 	var all Stats
 	for seed := range seeds {
 		cluster, gap, job := runRandomFaults(t, uint64(600+seed), 90*time.Second)
 		if worst = max(worst, gap); gap > 75*time.Second-time.Second {
-			t.Errorf("seed %d: no question about %s was answered for %v once everything had healed", 600+seed, job, gap)
+			t.Errorf(
+				"seed %d: no question about %s was answered for %v once all faults had ended",
+				600+seed,
+				job,
+				gap,
+			)
 		}
 		for _, user := range cluster.users {
 			if len(user.finalStates) > 0 {
@@ -793,10 +970,13 @@
 			}
 		}
 		s := cluster.Stats()
-		beside = max(beside, cluster.idleWait)
+		idle = max(idle, cluster.idleWait)
 		all.LostAnswers, all.LateWrites, all.HeartbeatsReplayed, all.PollBursts, all.JobsCancelled, all.OddRequests, all.OddRequestsRefused = all.LostAnswers+s.LostAnswers, all.LateWrites+s.LateWrites, all.HeartbeatsReplayed+s.HeartbeatsReplayed,
 			all.PollBursts+s.PollBursts, all.JobsCancelled+s.JobsCancelled, all.OddRequests+s.OddRequests, all.OddRequestsRefused+s.OddRequestsRefused
-		all.StartsAfterCancel, all.DirectStartsAfterCancel, all.LatestStartAfterCancel = all.StartsAfterCancel+s.StartsAfterCancel, all.DirectStartsAfterCancel+s.DirectStartsAfterCancel, max(all.LatestStartAfterCancel, s.LatestStartAfterCancel)
+		all.StartsAfterCancel, all.DirectStartsAfterCancel, all.LatestStartAfterCancel = all.StartsAfterCancel+s.StartsAfterCancel, all.DirectStartsAfterCancel+s.DirectStartsAfterCancel, max(
+			all.LatestStartAfterCancel,
+			s.LatestStartAfterCancel,
+		)
 		all.LongestRunAfterCancel = max(all.LongestRunAfterCancel, s.LongestRunAfterCancel)
 		all.TaskStarts, all.OneWayFaults, all.DuplicatesSent, all.MachinesRestarted, all.LinksCut, all.ControllersKilled, all.ControllersFrozen = all.TaskStarts+s.TaskStarts, all.OneWayFaults+s.OneWayFaults,
 			all.DuplicatesSent+s.DuplicatesSent, all.MachinesRestarted+s.MachinesRestarted, all.LinksCut+s.LinksCut, all.ControllersKilled+s.ControllersKilled, all.ControllersFrozen+s.ControllersFrozen
@@ -804,8 +984,23 @@
 			t.Fatalf("seed %d", 600+seed)
 		}
 	}
-	t.Logf("%d seeds: %v, %+v; the longest gap without an answer %v, the longest wait beside room %v; least shares that began within four minutes %v", seeds, ends, all, worst, beside, least)
-	if all.LostAnswers == 0 || all.LateWrites == 0 || all.HeartbeatsReplayed == 0 || all.PollBursts == 0 || all.JobsCancelled == 0 || all.OddRequestsRefused == 0 || all.OneWayFaults == 0 || all.DuplicatesSent == 0 || all.MachinesRestarted == 0 || all.LinksCut == 0 || all.ControllersFrozen == 0 {
-		t.Error("a kind of trouble never came")
+	t.Logf(
+		"%d seeds: %v, %+v; the longest gap without an answer %v, the longest wait beside idle capacity %v; least shares that began within four minutes %v",
+		seeds,
+		ends,
+		all,
+		worst,
+		idle,
+		least,
+	)
+	if all.LostAnswers == 0 || all.LateWrites == 0 || all.HeartbeatsReplayed == 0 || all.PollBursts == 0 ||
+		all.JobsCancelled == 0 ||
+		all.OddRequestsRefused == 0 ||
+		all.OneWayFaults == 0 ||
+		all.DuplicatesSent == 0 ||
+		all.MachinesRestarted == 0 ||
+		all.LinksCut == 0 ||
+		all.ControllersFrozen == 0 {
+		t.Error("a kind of fault never came")
 	}
 }
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -18,7 +18,7 @@
 
 // testCluster is a simulated cluster through a rollout, with a load that goes on.
 type testCluster struct {
-	idleWait time.Duration // the longest wait of a job beside room, once all was well
+	idleWait time.Duration // the longest wait of a job beside idle capacity, after the faults
 	*Simulation
 	t           *testing.T
 	rng         *rand.Rand
@@ -33,15 +33,40 @@
 // newTestCluster starts a cluster whose controllers all run the former release, or the newest one.
 func newTestCluster(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string) *testCluster {
 	t.Helper()
-	return newTestClusterOn(t, seed, controllers, knows, words, 14, nil, []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}})
+	return newTestClusterOn(
+		t,
+		seed,
+		controllers,
+		knows,
+		words,
+		14,
+		nil,
+		[]config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+	)
 }
 
 // newTestClusterOn does so with a number of machines, types and teams.
-func newTestClusterOn(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string, machines int, types []capacity.MachineType, teams []config.Team) *testCluster {
+func newTestClusterOn(
+	t *testing.T,
+	seed uint64,
+	controllers int,
+	knows rollout.Level,
+	words string,
+	machines int,
+	types []capacity.MachineType,
+	teams []config.Team,
+) *testCluster {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
-		Seed: seed, MaxMachines: machines, Types: types, Controllers: controllers, Zones: []string{"a", "b", "c"}, LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond,
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: teams,
+		Seed:         seed,
+		MaxMachines:  machines,
+		Types:        types,
+		Controllers:  controllers,
+		Zones:        []string{"a", "b", "c"},
+		LicencePools: map[string]int{"transcribe": 12},
+		TickInterval: 20 * time.Millisecond,
+		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+		Teams:        teams,
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
@@ -61,8 +86,18 @@
 func newTestClusterWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *testCluster {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
-		Seed: seed, MaxMachines: 30, Controllers: 3, Zones: []string{"a", "b", "c"}, TickInterval: 50 * time.Millisecond,
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+		Seed:         seed,
+		MaxMachines:  30,
+		Controllers:  3,
+		Zones:        []string{"a", "b", "c"},
+		TickInterval: 50 * time.Millisecond,
+		State: config.State{
+			RPS:      400,
+			WriteRPS: 60,
+			ValueKB:  8,
+			TxnOps:   24,
+		},
+		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
@@ -98,13 +133,13 @@
 	arrive()
 }
 
-// watchInvariants looks at what must hold at every moment: nobody acts at a level it doesn't know, at most one acts, the level
-// never falls, and no record falls back to a former format.
+// watchInvariants checks at every moment that no controller acts at a level it doesn't support, at most one acts,
+// the level never falls, and no record falls back to a former format.
 func (r *testCluster) watchInvariants() {
 	r.formats = map[string]int{}
 	level, last := rollout.Base, uint64(0)
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		now := r.ClusterLevel()
 		if now < level {
 			r.ReportViolation("the level falls from %d to %d", level, now)
@@ -112,11 +147,11 @@
 		level = now
 		ls := r.ActingLeaders()
 		if len(ls) > 1 {
-			r.ReportViolation("controllers %v believe that they may act", ls)
+			r.ReportViolation("controllers %v may act by their own state", ls)
 		}
 		for _, i := range ls {
 			if r.runningLevel(i) < level {
-				r.ReportViolation("controller %d knows level %d and acts at level %d", i, r.runningLevel(i), level)
+				r.ReportViolation("controller %d supports level %d and acts at level %d", i, r.runningLevel(i), level)
 			}
 		}
 		newest := last
@@ -132,9 +167,9 @@
 			}
 		}
 		last = newest
-		r.After(20*time.Millisecond, look)
+		r.After(20*time.Millisecond, check)
 	}
-	look()
+	check()
 }
 
 // rolloutView asks a controller where the rollout stands.
@@ -155,12 +190,18 @@
 	if l < 0 {
 		return 503, "nobody leads"
 	}
-	r.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"test"}`, op)), func(s int, raw []byte) { status, body = s, string(raw) })
+	r.Request(
+		l,
+		"POST",
+		"/v2/rollout",
+		[]byte(fmt.Sprintf(`{"op":%q,"by":"test"}`, op)),
+		func(s int, raw []byte) { status, body = s, string(raw) },
+	)
 	r.Advance(200 * time.Millisecond)
 	return status, body
 }
 
-// waitFor lets time pass until something holds.
+// waitFor advances time until a condition is met.
 func (r *testCluster) waitFor(what string, most time.Duration, f func() bool) {
 	r.t.Helper()
 	for end := r.Now() + most; r.Now() < end; r.Advance(100 * time.Millisecond) {
@@ -172,7 +213,7 @@
 	if l >= 0 {
 		r.t.Logf("%+v", r.rolloutView(l))
 	}
-	r.t.Fatalf("%v: not %s after %v; level %d, broken %v", r.Now(), what, most, r.ClusterLevel(), r.Violations())
+	r.t.Fatalf("%v: not %s after %v; level %d, violations %v", r.Now(), what, most, r.ClusterLevel(), r.Violations())
 }
 
 // restart ends a controller and starts it with a release a little later.
@@ -199,7 +240,7 @@
 	return n
 }
 
-// waitUntilDone waits for the end of all jobs and checks what users were told.
+// waitUntilDone waits for the end of all jobs and checks the answers that users received.
 func (r *testCluster) waitUntilDone() {
 	r.t.Helper()
 	for end := r.Now() + 10*time.Minute; r.Now() < end; r.Advance(2 * time.Second) {
@@ -223,14 +264,14 @@
 		}
 		for _, s := range user.finalStates {
 			if s != user.finalStates[0] {
-				r.t.Errorf("%s was told %v", user.spec.ID, user.finalStates)
+				r.t.Errorf("%s was answered %v", user.spec.ID, user.finalStates)
 			}
 		}
 	}
 }
 
-// A roll of five controllers in the order of the plan, under load: the lead moves once, the level rises by itself after
-// the soak time, everything migrates, and hardly a second passes without a start.
+// TestRollingUpgradeOfFive rolls five controllers in the order of the plan, under load: the leader changes once,
+// the level rises by itself after the soak time, everything migrates, and hardly a second passes without a start.
 func TestRollingUpgradeOfFive(t *testing.T) {
 	cluster := newTestCluster(t, 51, 5, rollout.Base, "soak_s = 5")
 	cluster.submitJobs(3 * time.Minute)
@@ -258,8 +299,8 @@
 	cluster.waitUntilDone()
 }
 
-// The leader dies between the transaction that lets the level rise and its answer; or the transaction lands only after
-// operators have aborted, or after a controller has come back with the former release.
+// TestRiseOfLevelWaits kills the leader between the transaction that raises the level and its answer, or lets the
+// transaction land only after operators have aborted, or after a controller has come back with the former release.
 func TestRiseOfLevelWaits(t *testing.T) {
 	for _, c := range []string{"the leader dies before the answer", "after an abort", "after an old one came back", "the answer is lost"} {
 		t.Run(c, func(t *testing.T) {
@@ -299,7 +340,11 @@
 			switch c {
 			case "after an abort":
 				// Whoever leads now may say so again; the word goes through before the rise does.
-				cluster.waitFor("aborted", 2*time.Second, func() bool { s, _ := cluster.rolloutCommand("abort"); return s == 200 })
+				cluster.waitFor(
+					"aborted",
+					2*time.Second,
+					func() bool { s, _ := cluster.rolloutCommand("abort"); return s == 200 },
+				)
 				want = rollout.Base
 			case "after an old one came back":
 				cluster.restart((leader+1)%3, rollout.Base)
@@ -321,9 +366,9 @@
 	}
 }
 
-// A controller is down while all others are rolled. Its last word was the former release's: nothing rises, and who asks
-// is told so. It comes back as it was: nothing rises. Once it is new the level does; an old one that comes then
-// stays out, does not end, and says what to do.
+// TestOldReleaseStaysOutAfterUpgrade keeps a controller down while all others are rolled. It announced the former
+// release last: the level doesn't rise, and the status names the reason. It comes back as it was: the level doesn't
+// rise. Once it is new the level does; an old one that comes then stays out, doesn't end, and logs what to do.
 func TestOldReleaseStaysOutAfterUpgrade(t *testing.T) {
 	cluster := newTestCluster(t, 53, 3, rollout.Base, "soak_s = 2")
 	cluster.submitJobs(2 * time.Minute)
@@ -340,13 +385,15 @@
 	if cluster.ClusterLevel() != rollout.Base {
 		t.Fatal("the level rose, and one was down that doesn't know it")
 	}
-	if status, body := cluster.rolloutCommand("finish"); status != 409 || !strings.Contains(body, fmt.Sprintf("node-%d", out)) {
+	if status, body := cluster.rolloutCommand("finish"); status != 409 ||
+		!strings.Contains(body, fmt.Sprintf("node-%d", out)) {
 		t.Errorf("%d %s", status, body)
 	}
 	cluster.StartController(out)
 	cluster.Advance(10 * time.Second)
 	l, _ := cluster.Leader()
-	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Missing) != 1 || v.Restart != fmt.Sprintf("node-%d", out) {
+	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Missing) != 1 ||
+		v.Restart != fmt.Sprintf("node-%d", out) {
 		t.Errorf("level %d, %+v", cluster.ClusterLevel(), v)
 	}
 	cluster.restart(out, rollout.Newest)
@@ -359,7 +406,7 @@
 	for range 3 {
 		cluster.Request(out, "GET", "/up", nil, func(status int, _ []byte) {
 			if ups++; status != 503 {
-				t.Errorf("it says that it is well: %d", status)
+				t.Errorf("its health check passes: %d", status)
 			}
 		})
 		cluster.Request(out, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
@@ -388,7 +435,8 @@
 	cluster.waitUntilDone()
 }
 
-// Forward, held, back, forward again, and back once more when it is too late, with work all the time.
+// TestRollForwardAndBack rolls forward, on hold, back, forward again, and back once more when it is too late, under
+// load all the time.
 func TestRollForwardAndBack(t *testing.T) {
 	cluster := newTestCluster(t, 54, 3, rollout.Base, "soak_s = 2")
 	cluster.submitJobs(3 * time.Minute)
@@ -427,8 +475,8 @@
 	cluster.waitUntilDone()
 }
 
-// A leader of the former release has plans on their way when it ends; they land after the level has risen and the
-// migration is over. None does anything.
+// TestDelayedWritesOfOldReleaseHaveNoEffect ends a leader of the former release with plans on their way, which land
+// after the level has risen and the migration is over.
 func TestDelayedWritesOfOldReleaseHaveNoEffect(t *testing.T) {
 	cluster := newTestCluster(t, 55, 3, rollout.Base, "finish = \"operator\"")
 	cluster.submitJobs(90 * time.Second)
@@ -442,7 +490,8 @@
 	cluster.Advance(5 * time.Second)
 	held := 0
 	cluster.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
-		if i == leader && cluster.runningLevel(i) == rollout.Base && len(tx.Then) > 0 && strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
+		if i == leader && cluster.runningLevel(i) == rollout.Base && len(tx.Then) > 0 &&
+			strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
 			held++
 			return TxnOutcome{Delay: 40 * time.Second}
 		}
@@ -460,16 +509,26 @@
 	cluster.waitUntilDone()
 }
 
-// The migration goes on where it was, through three takeovers, an outage of the state service, and a zone that is cut
-// off with two of five controllers, the leader's among them.
+// TestMigrationIsInterrupted checks that the migration resumes where it was, through three failovers, an outage of
+// the state service, and a partition of a zone with two of five controllers, the leader's among them.
 func TestMigrationIsInterrupted(t *testing.T) {
 	for _, c := range []string{"takeovers", "outage", "zone"} {
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
 				spec := &jobs.Spec{
-					ID: fmt.Sprintf("req-9%05d", i), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "best_effort", Tasks: 1, CPUs: 1, MemoryGB: 1,
-					Image: "i", ImageGB: 1, EstimateS: 150, Spot: true,
+					ID:        fmt.Sprintf("req-9%05d", i),
+					Class:     "c",
+					Team:      "blue",
+					Kind:      jobs.Array,
+					Priority:  "best_effort",
+					Tasks:     1,
+					CPUs:      1,
+					MemoryGB:  1,
+					Image:     "i",
+					ImageGB:   1,
+					EstimateS: 150,
+					Spot:      true,
 				}
 				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 				cluster.users = append(cluster.users, user)
@@ -515,20 +574,25 @@
 	}
 }
 
-// A roll in which every second controller is killed while it drains.
+// TestRollWithKills kills every second controller of a rolling restart while it drains.
 func TestRollWithKills(t *testing.T) {
 	cluster := newTestCluster(t, 57, 5, rollout.Base, "soak_s = 3")
 	cluster.submitJobs(2 * time.Minute)
 	cluster.Advance(5 * time.Second)
 	rolled, n := false, 0
-	cluster.RollingRestart(rollout.Newest, 2*time.Second, func(int) bool { n++; return n%2 == 0 }, func() { rolled = true })
+	cluster.RollingRestart(
+		rollout.Newest,
+		2*time.Second,
+		func(int) bool { n++; return n%2 == 0 },
+		func() { rolled = true },
+	)
 	cluster.waitFor("rolled", 3*time.Minute, func() bool { return rolled })
 	cluster.waitFor("migrated", time.Minute, cluster.migrated)
 	cluster.waitUntilDone()
 }
 
-// The leader stands still while another takes over and lets the level rise. When it goes on it still believes, for a
-// moment, that it leads at the former level: it acts for nobody.
+// TestRiseOfLevelWhileLeaderIsFrozen freezes the leader while another takes over and the level rises. When it goes
+// on its own state is, for a moment, that it leads at the former level: it acts on nothing.
 func TestRiseOfLevelWhileLeaderIsFrozen(t *testing.T) {
 	cluster := newTestCluster(t, 58, 3, rollout.Base, "finish = \"operator\"")
 	cluster.submitJobs(80 * time.Second)
@@ -537,14 +601,19 @@
 	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
 	old, _ := cluster.Leader()
 	cluster.FreezeController(old, 25*time.Second)
-	cluster.waitFor("led by another", 15*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old })
+	cluster.waitFor(
+		"led by another",
+		15*time.Second,
+		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
+	)
 	cluster.Advance(time.Second)
 	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
 	cluster.waitFor("risen", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitUntilDone()
 }
 
-// In the middle of a rollout the leader is lost: whoever follows has the new release, if one that has it is there.
+// TestSuccessorHasTheNewRelease loses the leader in the middle of a rollout: its successor has the new release, if
+// a controller that has it is running.
 func TestSuccessorHasTheNewRelease(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newTestCluster(t, 80+seed, 5, rollout.Base, "soak_s = 600")
@@ -565,8 +634,9 @@
 	}
 }
 
-// What can't be read is not skipped: a controller's announcement keeps the level down, a job's record and a plan keep
-// the job from starting anywhere else, and status, figures and `job why` say so.
+// TestUnreadableRecords checks that what can't be read isn't skipped: a controller's announcement keeps the level
+// down, a job's record and a plan keep the job from starting anywhere else, and the status, metrics and `job why`
+// show it.
 func TestUnreadableRecords(t *testing.T) {
 	cluster := newTestCluster(t, 59, 3, rollout.Base, "soak_s = 2")
 	cluster.Advance(3 * time.Second)
@@ -579,17 +649,33 @@
 	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
 	cluster.Advance(10 * time.Second)
 	l, _ := cluster.Leader()
-	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 || v.Unreadable[0].Key != key || len(v.Missing) != 1 {
+	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 ||
+		v.Unreadable[0].Key != key ||
+		len(v.Missing) != 1 {
 		t.Fatalf("level %d, %+v", cluster.ClusterLevel(), v)
 	}
-	cluster.restart(other, rollout.Newest) // it says it anew
+	cluster.restart(other, rollout.Newest) // it announces it again
 	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 
 	long := func(n int) *testUser {
-		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
-			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
-			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 25, Spot: true,
-		}}
+		user := &testUser{
+			simulation: cluster.Simulation,
+			rng:        cluster.rng,
+			spec: &jobs.Spec{
+				ID:        fmt.Sprintf("req-%06d", n),
+				Class:     "c",
+				Team:      "red",
+				Kind:      jobs.Array,
+				Priority:  "standard",
+				Tasks:     3,
+				CPUs:      1,
+				MemoryGB:  1,
+				Image:     "i",
+				ImageGB:   1,
+				EstimateS: 25,
+				Spot:      true,
+			},
+		}
 		user.submit()
 		return user
 	}
@@ -614,7 +700,7 @@
 	cluster.Request(l2, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
 	cluster.Request(l2, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
 		if status != 503 {
-			t.Errorf("a job whose record can't be read is told with status %d", status)
+			t.Errorf("a job whose record can't be read is answered with status %d", status)
 		}
 	})
 	cluster.Advance(40 * time.Second)
@@ -627,16 +713,31 @@
 	_, _ = a, b
 }
 
-// A job's record is damaged, and every controller begins anew: none has ever read it. Its plan stands in a page that is
-// written again and again meanwhile; it is kept there, and counts when the record can be read.
+// TestPlanOfAnUnreadableRecordStays damages a job's record and restarts every controller, so that none has ever
+// read it. Its plan is in a page that is written again and again meanwhile; it is kept there, and counts when the
+// record can be read.
 func TestPlanOfAnUnreadableRecordStays(t *testing.T) {
 	cluster := newTestCluster(t, 62, 3, rollout.Newest, "")
 	cluster.Advance(3 * time.Second)
 	submit := func(n int) {
-		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: &jobs.Spec{
-			ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "blue", Kind: jobs.Array, Priority: "standard",
-			Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 30, Spot: true,
-		}}
+		user := &testUser{
+			simulation: cluster.Simulation,
+			rng:        cluster.rng,
+			spec: &jobs.Spec{
+				ID:        fmt.Sprintf("req-%06d", n),
+				Class:     "c",
+				Team:      "blue",
+				Kind:      jobs.Array,
+				Priority:  "standard",
+				Tasks:     3,
+				CPUs:      1,
+				MemoryGB:  1,
+				Image:     "i",
+				ImageGB:   1,
+				EstimateS: 30,
+				Spot:      true,
+			},
+		}
 		cluster.users = append(cluster.users, user)
 		user.submit()
 	}
@@ -680,8 +781,8 @@
 	cluster.waitUntilDone()
 }
 
-// A record in a format that this release doesn't know, written by one to come: whoever leads gives up, all stay out,
-// and nobody ends.
+// TestNewerFormatIsNotActedOn stores a record in the format of a later release: every leader steps down, all stay
+// out, and no process ends.
 func TestNewerFormatIsNotActedOn(t *testing.T) {
 	cluster := newTestCluster(t, 60, 3, rollout.Newest, "")
 	cluster.submitJobs(5 * time.Second)
@@ -703,7 +804,8 @@
 	cluster.waitUntilDone()
 }
 
-// Random rolls forward and back that overlap with kills, drains, freezes, cuts, outages and operators' words, under load.
+// TestRandomRollsUnderFaults rolls forward and back at random times that overlap with kills, drains, freezes, cut
+// links, outages and operators' commands, under load.
 func TestRandomRollsUnderFaults(t *testing.T) {
 	seeds := 8
 	if os.Getenv("HAREWALK_LONG") != "" {
@@ -729,7 +831,10 @@
 					cluster.KillController(i)
 					cluster.After(duration/3, func() { cluster.SetRelease(i, level); cluster.StartController(i) })
 				case 3, 4:
-					cluster.DrainController(i, func() { cluster.After(duration/4, func() { cluster.SetRelease(i, level); cluster.StartController(i) }) })
+					cluster.DrainController(
+						i,
+						func() { cluster.After(duration/4, func() { cluster.SetRelease(i, level); cluster.StartController(i) }) },
+					)
 				case 5:
 					if l, _ := cluster.Leader(); l >= 0 && cluster.ControllerRuns(l) {
 						cluster.FreezeController(l, duration)
@@ -744,7 +849,13 @@
 				case 10:
 					if l, _ := cluster.Leader(); l >= 0 {
 						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
-						cluster.Request(l, "POST", "/v2/rollout", []byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)), func(int, []byte) {})
+						cluster.Request(
+							l,
+							"POST",
+							"/v2/rollout",
+							[]byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)),
+							func(int, []byte) {},
+						)
 					}
 				case 11:
 					cluster.KillMachine()
@@ -792,8 +903,9 @@
 	t.Logf("%d seeds, %d risen: %v; %d starts, %d controllers killed", seeds, risen, ends, starts, kills)
 }
 
-// Every machine is gone while no controller runs. Those who lead then hear nobody; they must not hand the lead to and
-// fro for ever, each counting the leases from its own beginning, but rent anew once they have run out.
+// TestEveryMachineGoneWhileNoControllerRuns ends every machine while no controller runs. Those that lead then
+// receive no heartbeat; they must not hand over to each other for ever, each counting the leases from its own
+// beginning, but rent again once the leases have expired.
 func TestEveryMachineGoneWhileNoControllerRuns(t *testing.T) {
 	cluster := newTestCluster(t, 61, 3, rollout.Newest, "")
 	cluster.submitJobs(20 * time.Second)
--- a/internal/simulator/script_test.go
+++ b/internal/simulator/script_test.go
@@ -6,9 +6,13 @@
 	"time"
 )
 
-// A script says what happens when; a mistake in it is named with its line.
+// TestParseScript checks that faults are returned in the order of their times, and that an error names its line.
 func TestParseScript(t *testing.T) {
-	s, err := ParseScript(strings.NewReader("# a bad minute\n30s outage 5s\n\n12s hang 5s # one machine\n1m refuse 2 3s\n12s crash-task\n"))
+	s, err := ParseScript(
+		strings.NewReader(
+			"# a bad minute\n30s outage 5s\n\n12s hang 5s # one machine\n1m refuse 2 3s\n12s crash-task\n",
+		),
+	)
 	if err != nil || len(s) != 4 || s[0].Text != "hang 5s" || s[1].Text != "crash-task" || s[3].After != time.Minute {
 		t.Fatalf("%+v, %v", s, err)
 	}
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -10,12 +10,18 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// The state service's limits shrink without notice, each alone and all together, announced by the settings or not, in calm,
-// with a takeover right after, in a takeover, before and after an outage, while writes get no answer: starts go on within
-// seconds, all jobs come to their end, and no rule is broken. Arrays of a hundred tasks spread over all machines make values
-// as large as they get.
+// TestLowerStateLimits lowers the state service's limits without notice, each alone and all together, announced by
+// the settings or not, without other faults, right before or in a failover, before and after an outage, while
+// writes get no answer: starts go on within seconds, all jobs end, and no rule is broken. Arrays of a hundred tasks
+// spread over all machines make values as large as they get.
 func TestLowerStateLimits(t *testing.T) {
-	shrinks := map[string][3]float64{"value": {2, 0, 0}, "changes": {0, 8, 0}, "rate": {0, 0, 24}, "all": {2, 8, 24}, "tiny": {1.5, 5, 20}}
+	shrinks := map[string][3]float64{
+		"value":   {2, 0, 0},
+		"changes": {0, 8, 0},
+		"rate":    {0, 0, 24},
+		"all":     {2, 8, 24},
+		"tiny":    {1.5, 5, 20},
+	}
 	around := map[string]func(cluster *testCluster){
 		"calm": func(*testCluster) {},
 		"leader ends": func(cluster *testCluster) {
@@ -42,14 +48,28 @@
 					t.Parallel()
 					cluster := newTestClusterWith(t, 421, rollout.Newest, func(set *config.Settings) {
 						if announced {
-							set.Params.State.Next = &config.NextState{ValueKB: s[0], TxnOps: int(s[1]), WriteRPS: s[2]}
+							set.Params.State.Next = &config.NextState{
+								ValueKB:  s[0],
+								TxnOps:   int(s[1]),
+								WriteRPS: s[2],
+							}
 						}
 					})
 					cluster.Advance(10 * time.Second)
 					give := func(n int) {
 						spec := &jobs.Spec{
-							ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[n%2], Kind: jobs.Array, Priority: "standard",
-							Tasks: 150, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 3, Spot: true,
+							ID:        fmt.Sprintf("req-%06d", n),
+							Class:     "c",
+							Team:      []string{"red", "blue"}[n%2],
+							Kind:      jobs.Array,
+							Priority:  "standard",
+							Tasks:     150,
+							CPUs:      1,
+							MemoryGB:  1,
+							Image:     "i",
+							ImageGB:   1,
+							EstimateS: 3,
+							Spot:      true,
 						}
 						user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 						cluster.users = append(cluster.users, user)
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Every record that an earlier release wrote is read, and at the level of that release written back to the byte: who
-// goes back to it finds what it knows.
+// TestStoredStateOfEarlierReleasesIsRead checks that every record that an earlier release wrote is read, and at the
+// level of that release written back to the byte, so that the release can be returned to.
 func TestStoredStateOfEarlierReleasesIsRead(t *testing.T) {
 	all := storedBefore(t)
 	kinds := map[string]int{}
@@ -64,7 +64,8 @@
 			continue
 		}
 		kinds[row.Kind]++
-		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(row.ReadFormats, f) || row.WrittenAt(rollout.Base) != 1 {
+		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(row.ReadFormats, f) ||
+			row.WrittenAt(rollout.Base) != 1 {
 			t.Errorf("%s: format %d, written at the first level: %d", key, f, row.WrittenAt(rollout.Base))
 		}
 		switch row.Kind {
@@ -103,7 +104,8 @@
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
 		case "term":
-			if term, err := rollout.DecodeTerm(raw); err != nil || string(rollout.EncodeTerm(rollout.Base, term)) != string(raw) {
+			if term, err := rollout.DecodeTerm(raw); err != nil ||
+				string(rollout.EncodeTerm(rollout.Base, term)) != string(raw) {
 				t.Errorf("%s: %v", key, err)
 			}
 		case "leader":
@@ -125,16 +127,21 @@
 	}
 }
 
-// A cluster of today's controllers starts on what an earlier release has left: it goes on at that release's level, rises,
-// migrates, and every job comes to its end.
+// TestStartOnStoredState starts a cluster of today's controllers on what an earlier release has stored: it goes on
+// at that release's level, rises, migrates, and every job ends.
 func TestStartOnStoredState(t *testing.T) {
 	all := storedBefore(t)
 	for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
-		delete(all, key) // of holds that have run out, and of machines that this world doesn't have
+		delete(all, key) // of leases that have expired, and of machines that this simulation doesn't have
 	}
 	sim, err := NewVirtualTime(Config{
-		Seed: 8, MaxMachines: 14, Zones: []string{"a", "b"}, LicencePools: map[string]int{"transcribe": 12}, TickInterval: 20 * time.Millisecond, InitialKeys: all,
-		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+		Seed:         8,
+		MaxMachines:  14,
+		Zones:        []string{"a", "b"},
+		LicencePools: map[string]int{"transcribe": 12},
+		TickInterval: 20 * time.Millisecond,
+		InitialKeys:  all,
+		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error {
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -18,8 +18,8 @@
 	others []string
 }
 
-// conditions are what a write of a key must depend on, by the key's prefix, longest first: its own version, and others. The table
-// in docs/design.md says why each is enough.
+// conditions are what a write of a key must depend on, by the key's prefix, longest first: its own version, and
+// others. The table in docs/design.md says why each is enough.
 var conditions = []condition{
 	{prefix: "p/images", others: []string{"h/c/leader"}},
 	{prefix: jobs.PlanPagePrefix, own: true, others: []string{"h/c/leader"}},
@@ -40,14 +40,18 @@
 	{prefix: "h/l/", own: true, others: []string{"h/c/leader"}},
 }
 
-// Every transaction that controllers send, through jobs that come, end and are cancelled, takeovers, a rollout, a zone that is lost
-// and operators' words, depends on what the table asks for; a write without a row in it is a write that nobody has thought about.
+// TestEveryWriteHasItsCondition checks that every transaction that controllers send, while jobs are submitted, end
+// and are cancelled, through failovers, a rollout, a lost zone and operators' commands, has the conditions that the
+// table requires; a write without a row in it fails.
 func TestEveryWriteHasItsCondition(t *testing.T) {
 	cluster := newTestCluster(t, 221, 3, rollout.Base, "soak_s = 3")
 	seen, wrong := map[string]int{}, map[string]bool{}
 	cluster.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 		has := func(prefix string) bool {
-			return slices.ContainsFunc(tx.If, func(c store.Condition) bool { return strings.HasPrefix(c.Key, prefix) })
+			return slices.ContainsFunc(
+				tx.If,
+				func(c store.Condition) bool { return strings.HasPrefix(c.Key, prefix) },
+			)
 		}
 		for _, o := range tx.Then {
 			key := o.Put + o.Delete
@@ -63,7 +67,8 @@
 			if c.own && !gone && !slices.ContainsFunc(tx.If, func(x store.Condition) bool { return x.Key == key }) {
 				wrong[c.prefix+" doesn't depend on its own version"] = true
 			}
-			// A job's record is made only where the job isn't archived: a first submission may land long after its end.
+			// A job's record is made only where the job isn't archived: a first submission may land long after its
+			// end.
 			if made := slices.Contains(tx.If, store.Condition{Key: o.Put}); made && c.prefix == jobs.Prefix &&
 				!slices.Contains(tx.If, archive.Absent(strings.TrimPrefix(o.Put, jobs.Prefix))) {
 				wrong[c.prefix+" is made without a look at the archive"] = true
@@ -81,7 +86,13 @@
 	cluster.After(2*time.Second, func() { cluster.onLeader(time.Second, cluster.KillController) })
 	cluster.Advance(10 * time.Second)
 	if l, _ := cluster.Leader(); l >= 0 {
-		cluster.Request(l, "POST", "/v2/admin", []byte(`{"op":"drain","kind":"machine","name":"`+cluster.BusiestMachine()+`","by":"test"}`), func(int, []byte) {})
+		cluster.Request(
+			l,
+			"POST",
+			"/v2/admin",
+			[]byte(`{"op":"drain","kind":"machine","name":"`+cluster.BusiestMachine()+`","by":"test"}`),
+			func(int, []byte) {},
+		)
 	}
 	rolled := false
 	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -37,16 +37,48 @@
 
 // newWideCluster is a cluster with many machines in each zone, which take a while to boot.
 func newWideCluster(t *testing.T, seed uint64, controllers int) *testCluster {
-	types := []capacity.MachineType{{Name: "g4", CPUs: 16, GPUs: 4, Mem: 128, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 12, Zones: []string{"a", "b", "c"}}}
-	return newTestClusterOn(t, seed, controllers, rollout.Newest, "", 36, types, []config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}})
+	types := []capacity.MachineType{
+		{
+			Name:    "g4",
+			CPUs:    16,
+			GPUs:    4,
+			Mem:     128,
+			CacheGB: 100,
+			FetchGB: 10,
+			Price:   4,
+			Spot:    1.5,
+			BootS:   12,
+			Zones:   []string{"a", "b", "c"},
+		},
+	}
+	return newTestClusterOn(
+		t,
+		seed,
+		controllers,
+		rollout.Newest,
+		"",
+		36,
+		types,
+		[]config.Team{{Name: "red", CPUs: 80}, {Name: "blue", CPUs: 80}},
+	)
 }
 
 // submitSmallJobs fills the cluster with work that goes on, so that machines stand in all zones.
 func (r *testCluster) submitSmallJobs(n int, seconds float64) {
 	for i := range n {
 		spec := &jobs.Spec{
-			ID: fmt.Sprintf("req-8%05d", i), Class: "long", Team: []string{"red", "blue"}[i%2], Kind: jobs.Array, Priority: "standard", Tasks: 4, CPUs: 4, MemoryGB: 1,
-			Image: "i", ImageGB: 1, EstimateS: seconds, Spot: true,
+			ID:        fmt.Sprintf("req-8%05d", i),
+			Class:     "long",
+			Team:      []string{"red", "blue"}[i%2],
+			Kind:      jobs.Array,
+			Priority:  "standard",
+			Tasks:     4,
+			CPUs:      4,
+			MemoryGB:  1,
+			Image:     "i",
+			ImageGB:   1,
+			EstimateS: seconds,
+			Spot:      true,
 		}
 		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
 		r.users = append(r.users, user)
@@ -65,8 +97,9 @@
 	return ""
 }
 
-// A zone is cut off and comes back: it is found lost before its leases are over, nothing is rented there meanwhile, what was
-// planned there goes elsewhere, its machines are kept when it returns, and it counts as well again in the end.
+// TestZoneLostAndRestored partitions a zone and restores it: it is found lost before its leases are over, nothing
+// is rented there meanwhile, what was planned there goes elsewhere, its machines are kept when it returns, and it
+// counts as well again in the end.
 func TestZoneLostAndRestored(t *testing.T) {
 	for _, how := range []Partition{DropBoth, DelayBoth, RefuseBoth, DropInto, DropOutOf} {
 		t.Run(fmt.Sprint(how), func(t *testing.T) {
@@ -81,13 +114,21 @@
 				t.Fatalf("only %d machines in the zone", there)
 			}
 			cluster.PartitionZone(zone, how)
-			cluster.waitFor("found lost", 4*time.Second, func() bool { return cluster.zoneViews()[zone].State == "lost" })
+			cluster.waitFor(
+				"found lost",
+				4*time.Second,
+				func() bool { return cluster.zoneViews()[zone].State == "lost" },
+			)
 			if v := cluster.zoneViews()[zone]; v.Rents || v.Takes != "arrays" {
 				t.Errorf("%+v", v)
 			}
 			cluster.Advance(5 * time.Second)
 			cluster.PartitionZone(zone, Connected)
-			cluster.waitFor("heard again", 5*time.Second, func() bool { s := cluster.zoneViews()[zone].State; return s == "returning" || s == "proving" })
+			cluster.waitFor(
+				"heard again",
+				5*time.Second,
+				func() bool { s := cluster.zoneViews()[zone].State; return s == "returning" || s == "proving" },
+			)
 			cluster.Advance(500 * time.Millisecond)
 			if v := cluster.zoneViews()[zone]; v.Machines < there*3/4 {
 				t.Errorf("%d of %d machines are kept: %+v", v.Machines, there, v)
@@ -98,8 +139,8 @@
 	}
 }
 
-// The leader's zone is the one that is lost, and its successor loses the state service; every controller restarts while a
-// zone is lost: the next leader knows since when, and how often.
+// TestLeaderLostWithItsZone loses the leader's zone and then refuses its successor at the state service, and
+// restarts every controller while a zone is lost: the next leader has since when the zone is lost, and how often.
 func TestLeaderLostWithItsZone(t *testing.T) {
 	cluster := newWideCluster(t, 72, 5)
 	cluster.submitSmallJobs(24, 20)
@@ -108,13 +149,21 @@
 	old, _ := cluster.Leader()
 	zone := cluster.settings[old].Zone
 	cluster.PartitionZone(zone, DelayBoth)
-	cluster.waitFor("led from elsewhere", 15*time.Second, func() bool { l, _ := cluster.Leader(); return l >= 0 && cluster.settings[l].Zone != zone })
+	cluster.waitFor(
+		"led from elsewhere",
+		15*time.Second,
+		func() bool { l, _ := cluster.Leader(); return l >= 0 && cluster.settings[l].Zone != zone },
+	)
 	next, _ := cluster.Leader()
 	cluster.RefuseController(next, true)
 	cluster.Advance(10 * time.Second)
 	cluster.RefuseController(next, false)
 	cluster.waitFor("found lost", 20*time.Second, func() bool { return cluster.zoneViews()[zone].State == "lost" })
-	cluster.waitFor("stored", 3*time.Second, func() bool { return strings.Contains(string(cluster.StoredItem(zones.Key).Value), `"lost"`) })
+	cluster.waitFor(
+		"stored",
+		3*time.Second,
+		func() bool { return strings.Contains(string(cluster.StoredItem(zones.Key).Value), `"lost"`) },
+	)
 	for i := range 5 {
 		if cluster.settings[i].Zone != zone {
 			cluster.KillController(i)
@@ -124,13 +173,17 @@
 	for i := range 5 {
 		cluster.StartController(i)
 	}
-	cluster.waitFor("known at once", 12*time.Second, func() bool { v := cluster.zoneViews()[zone]; return v.State == "lost" && v.ForS > 5 })
+	cluster.waitFor(
+		"known at once",
+		12*time.Second,
+		func() bool { v := cluster.zoneViews()[zone]; return v.State == "lost" && v.ForS > 5 },
+	)
 	cluster.PartitionZone(zone, Connected)
 	cluster.waitUntilDone()
 }
 
-// A zone that comes back for a moment and goes again, five times: each time it has to prove itself for longer, and
-// machines are not rented there in between.
+// TestFlappingZone restores a zone for a moment and partitions it again, five times: each time it has to be heard
+// for longer, and machines are not rented there in between.
 func TestFlappingZone(t *testing.T) {
 	cluster := newWideCluster(t, 73, 5)
 	cluster.submitSmallJobs(24, 30)
@@ -157,8 +210,9 @@
 	cluster.waitUntilDone()
 }
 
-// Two zones one after the other, so that less than half the fleet stands; power lost in one; half of what is in a zone
-// dead and the rest heard: in the end all jobs are over and no rule is broken.
+// TestZoneFaultsOverlap partitions two zones one after the other, so that less than half the machines are left;
+// powers one off; ends half of a zone's machines while the rest is heard: in the end all jobs have ended and no
+// rule is broken.
 func TestZoneFaultsOverlap(t *testing.T) {
 	cluster := newWideCluster(t, 74, 5)
 	cluster.submitSmallJobs(24, 15)
@@ -183,13 +237,25 @@
 	cluster.waitUntilDone()
 }
 
-// Replicas of a service are spread, so that no zone holds most of them where others have room; with two zones left a
-// service that must stay apart keeps its bound, and what can't be placed waits.
+// TestServicesAreSpread checks that replicas of a service are spread, so that no zone has most of them where others
+// have room; with two zones left a service that must stay apart keeps its bound, and what can't be placed waits.
 func TestServicesAreSpread(t *testing.T) {
 	cluster := newWideCluster(t, 75, 3)
 	cluster.submitSmallJobs(24, 60) // machines in all zones
 	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
-	spec := &jobs.Spec{ID: "req-000777", Class: "svc", Team: "blue", Kind: jobs.Service, Priority: "urgent", Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, Spread: true}
+	spec := &jobs.Spec{
+		ID:       "req-000777",
+		Class:    "svc",
+		Team:     "blue",
+		Kind:     jobs.Service,
+		Priority: "urgent",
+		Tasks:    6,
+		CPUs:     1,
+		MemoryGB: 1,
+		Image:    "i",
+		ImageGB:  1,
+		Spread:   true,
+	}
 	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 	user.submit()
 	on := func() map[string]int {
@@ -224,7 +290,11 @@
 	}
 	zone := cluster.zoneWithoutLeader()
 	cluster.PowerOffZone(zone)
-	cluster.waitFor("up again", 40*time.Second, func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 })
+	cluster.waitFor(
+		"up again",
+		40*time.Second,
+		func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 },
+	)
 	for i := range 3 {
 		cluster.StartController(i)
 	}
@@ -233,8 +303,8 @@
 	cluster.waitUntilDone()
 }
 
-// A zone is cut off and its machines die there, all of them, in every zone: when the network is back somebody has to
-// try to rent there again, though nobody is left to be heard.
+// TestAllZonesEmptied partitions a zone and ends all machines there, in every zone: when the network is back the
+// leader has to try to rent there again, though no machine is left to be heard.
 func TestAllZonesEmptied(t *testing.T) {
 	cluster := newWideCluster(t, 76, 3)
 	cluster.submitSmallJobs(24, 15)
@@ -256,7 +326,8 @@
 	cluster.waitUntilDone()
 }
 
-// Random zones lost, flapping, without power and returning, over kills, drains, outages and rolls, under load.
+// TestRandomZoneFaults loses zones at random, flapping, without power and returning, over kills, drains, outages
+// and rolls, under load.
 func TestRandomZoneFaults(t *testing.T) {
 	seeds := 5
 	if os.Getenv("HAREWALK_LONG") != "" {
@@ -270,7 +341,11 @@
 		cluster.submitJobs(90 * time.Second)
 		n := cluster.Controllers()
 		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
-			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5)), time.Duration(500+rng.IntN(20000))*time.Millisecond
+			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Partition(
+				1+rng.IntN(5),
+			), time.Duration(
+				500+rng.IntN(20000),
+			)*time.Millisecond
 			i, what := rng.IntN(n), rng.IntN(10)
 			cluster.After(at, func() {
 				switch what {
@@ -292,7 +367,10 @@
 					cluster.KillController(i)
 					cluster.After(duration/4, func() { cluster.StartController(i) })
 				case 7:
-					cluster.DrainController(i, func() { cluster.After(duration/8, func() { cluster.StartController(i) }) })
+					cluster.DrainController(
+						i,
+						func() { cluster.After(duration/8, func() { cluster.StartController(i) }) },
+					)
 				case 8:
 					cluster.during(duration/3, cluster.SetStateOutage)
 				case 9:
