--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -114,7 +114,11 @@
 				return TxnOutcome{}
 			})
 			spec := drawJob(cluster.rng, 1)
-			spec.ID, spec.EstimateS, spec.Tasks, spec.Kind, spec.Licences = id, 2, 2, jobs.Array, nil
+			spec.ID = id
+			spec.EstimateS = 2
+			spec.Tasks = 2
+			spec.Kind = jobs.Array
+			spec.Licences = nil
 			user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 			cluster.users = append(cluster.users, user)
 			user.submit()
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -101,9 +101,11 @@
 	}
 	switch rng.IntN(5) {
 	case 0:
-		spec.Kind, spec.Tasks = jobs.Gang, 2+rng.IntN(4)
+		spec.Kind = jobs.Gang
+		spec.Tasks = 2 + rng.IntN(4)
 	case 1:
-		spec.CheckpointS, spec.SaveS = 1, 0.5
+		spec.CheckpointS = 1
+		spec.SaveS = 0.5
 	case 2:
 		spec.Licences = map[string]int{"transcribe": 1}
 	}
@@ -249,8 +251,14 @@
 			}
 		}
 		s := sim.Stats()
-		all.TaskStarts, all.TasksCrashed, all.MachinesKilled, all.MachinesHung = all.TaskStarts+s.TaskStarts, all.TasksCrashed+s.TasksCrashed, all.MachinesKilled+s.MachinesKilled, all.MachinesHung+s.MachinesHung
-		all.ControllersKilled, all.ControllersFrozen, all.ControllersDrained, all.CommandsDelayed = all.ControllersKilled+s.ControllersKilled, all.ControllersFrozen+s.ControllersFrozen, all.ControllersDrained+s.ControllersDrained, all.CommandsDelayed+s.CommandsDelayed
+		all.TaskStarts += s.TaskStarts
+		all.TasksCrashed += s.TasksCrashed
+		all.MachinesKilled += s.MachinesKilled
+		all.MachinesHung += s.MachinesHung
+		all.ControllersKilled += s.ControllersKilled
+		all.ControllersFrozen += s.ControllersFrozen
+		all.ControllersDrained += s.ControllersDrained
+		all.CommandsDelayed += s.CommandsDelayed
 		if t.Failed() {
 			break
 		}
@@ -347,10 +355,14 @@
 	}
 	state, done, notes, kinds := map[string]string{}, map[string]int{}, map[string]int{}, map[string]int{}
 	after := map[string]string{
-		"task_sent": " task_ended task_vanished task_lost", "task_found": "task_sent", "task_running": "task_sent task_found",
-		"task_stopping": "task_sent task_found task_running", "task_ended": "task_sent task_found task_running task_stopping",
-		"task_vanished": "task_sent task_found task_running task_stopping", "task_lost": "task_sent task_found task_running task_stopping",
-		"task_done": "task_sent task_found task_running task_stopping",
+		"task_sent":     " task_ended task_vanished task_lost",
+		"task_found":    "task_sent",
+		"task_running":  "task_sent task_found",
+		"task_stopping": "task_sent task_found task_running",
+		"task_ended":    "task_sent task_found task_running task_stopping",
+		"task_vanished": "task_sent task_found task_running task_stopping",
+		"task_lost":     "task_sent task_found task_running task_stopping",
+		"task_done":     "task_sent task_found task_running task_stopping",
 	}
 	for _, e := range all {
 		kinds[e.Event]++
@@ -451,7 +463,13 @@
 		sim.Request(old, "POST", "/checkin", body, note("report"))
 	})
 	sim.Advance(13 * time.Second)
-	for what, ok := range map[string][]int{"list": {421, 503}, "why": {421, 503}, "report": {421, 503}, "get": {200, 503}, "abort": {200, 503}} {
+	for what, ok := range map[string][]int{
+		"list":   {421, 503},
+		"why":    {421, 503},
+		"report": {421, 503},
+		"get":    {200, 503},
+		"abort":  {200, 503},
+	} {
 		if len(said[what]) != 1 || !slices.Contains(ok, said[what][0]) {
 			t.Errorf("%s was answered %v", what, said[what])
 		}
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -103,7 +103,8 @@
 	case 1:
 		spec.Kind = jobs.Gang
 	case 2:
-		spec.CheckpointS, spec.SaveS = 1, 1.5
+		spec.CheckpointS = 1
+		spec.SaveS = 1.5
 	}
 	change(spec)
 	user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
@@ -315,7 +316,8 @@
 		for _, machine := range cluster.readyMachines() {
 			if machine.zone == zone && machine.token > old[machine.Name] && machine.inboundLostUntil == 0 &&
 				old[machine.Name] > 0 {
-				machine.inboundLostUntil, machine.outboundLostUntil = cluster.now()+40*time.Second, cluster.now()+40*time.Second
+				machine.inboundLostUntil = cluster.now() + 40*time.Second
+				machine.outboundLostUntil = cluster.now() + 40*time.Second
 				last++
 			}
 		}
@@ -515,7 +517,12 @@
 // users still reach it, and cancels jobs through the new leader: the old one never gives an older answer
 // afterwards, and what was cancelled is gone in time.
 func TestDisconnectedLeaderAndCancellations(t *testing.T) {
-	for _, duration := range []time.Duration{1500 * time.Millisecond, 4 * time.Second, 9 * time.Second, 25 * time.Second} {
+	for _, duration := range []time.Duration{
+		1500 * time.Millisecond,
+		4 * time.Second,
+		9 * time.Second,
+		25 * time.Second,
+	} {
 		for what, f := range gapFaults {
 			t.Run(fmt.Sprint(duration, " ", what), func(t *testing.T) {
 				cluster, balancer := newBusyCluster(t, 215, 3, 24)
@@ -616,7 +623,12 @@
 	// For longer than its lease, and not for so long that workers, who wait 4 s for an answer, outwait their lease
 	// of 6.
 	frozen := func(cluster *testCluster, l int) { cluster.FreezeController(l, 2600*time.Millisecond) }
-	for what, f := range map[string]func(cluster *testCluster, l int){"killed": gapFaults["leader back at once"], "frozen": frozen, "drained": gapFaults["leader drained"], "late writes": gapFaults["leader killed"]} {
+	for what, f := range map[string]func(cluster *testCluster, l int){
+		"killed":      gapFaults["leader back at once"],
+		"frozen":      frozen,
+		"drained":     gapFaults["leader drained"],
+		"late writes": gapFaults["leader killed"],
+	} {
 		t.Run(what, func(t *testing.T) {
 			cluster, _ := newBusyCluster(t, 218, 3, 0)
 			if what == "late writes" {
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -193,7 +193,8 @@
 			for k := range 150 {
 				cluster.After(time.Duration(300*k)*time.Millisecond, func() {
 					user := cluster.submitLongJobWith(k, 14, func(spec *jobs.Spec) {
-						spec.Priority, spec.CPUs = []string{"urgent", "standard", "best_effort"}[k%3], 4
+						spec.Priority = []string{"urgent", "standard", "best_effort"}[k%3]
+						spec.CPUs = 4
 						spec.Class = spec.Priority
 					})
 					cluster.After(8*time.Second, func() { pollers.Follow(user.spec.ID, nil) })
@@ -315,7 +316,14 @@
 // throughout.
 func TestCancelledWhileLeaderIsRefused(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
-		for _, at := range []time.Duration{-20 * time.Millisecond, -5 * time.Millisecond, 0, 2 * time.Millisecond, 10 * time.Millisecond, 50 * time.Millisecond} {
+		for _, at := range []time.Duration{
+			-20 * time.Millisecond,
+			-5 * time.Millisecond,
+			0,
+			2 * time.Millisecond,
+			10 * time.Millisecond,
+			50 * time.Millisecond,
+		} {
 			t.Run(fmt.Sprint(controllers, " ", at), func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 327, controllers, 24)
@@ -394,7 +402,8 @@
 	cluster.StallWatches(behind, true)
 	cluster.SetPollBursts(true)
 	big := cluster.cfg.Types[0]
-	big.Name, big.CPUs = "g40", 160
+	big.Name = "g40"
+	big.CPUs = 160
 	cluster.mu.Lock()
 	cluster.cfg.Types = append(slices.Clone(cluster.cfg.Types), big)
 	raw, _ := json.Marshal(map[string]any{"builds": cluster.cfg.Types})
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -412,7 +412,8 @@
 // clusterWithSettings is a cluster with operators' settings beside those of licences and the archive.
 func clusterWithSettings(t *testing.T, cfg Config, settings string) *testCluster {
 	t.Helper()
-	cfg.LicencePools, cfg.TickInterval = map[string]int{"transcribe": 12}, 20*time.Millisecond
+	cfg.LicencePools = map[string]int{"transcribe": 12}
+	cfg.TickInterval = 20 * time.Millisecond
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
 	sim, err := NewVirtualTime(cfg, func(s *config.Settings) error {
 		return s.ReadOperator("o.hcl", []byte(chaosPools+settings))
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -145,7 +145,8 @@
 
 // end is the digest of what was recorded.
 func (r *behaviourRecorder) end() (behaviourDigest, error) {
-	r.simulation.virtual.recorder, r.simulation.state.service.Changed = nil, nil
+	r.simulation.virtual.recorder = nil
+	r.simulation.state.service.Changed = nil
 	r.seen.Digest = fmt.Sprintf("%016x", r.hash.Sum64())
 	return r.seen, r.log.Flush()
 }
--- a/internal/simulator/idle_capacity_test.go
+++ b/internal/simulator/idle_capacity_test.go
@@ -24,7 +24,12 @@
 		// A gang that needs more machines of one zone than there will ever be.
 		"never in one zone": {15, func(cluster *testCluster, give put) {
 			give(1, func(spec *jobs.Spec) {
-				spec.Kind, spec.Tasks, spec.CPUs, spec.OneZone, spec.Priority, spec.Class = jobs.Gang, 12, 12, true, "urgent", "gang"
+				spec.Kind = jobs.Gang
+				spec.Tasks = 12
+				spec.CPUs = 12
+				spec.OneZone = true
+				spec.Priority = "urgent"
+				spec.Class = "gang"
 			})
 		}},
 		// Large gangs, one after the other, that begin whenever enough is free.
@@ -32,7 +37,12 @@
 			for k := range 8 {
 				cluster.After(time.Duration(40*k)*time.Second, func() {
 					give(10+k, func(spec *jobs.Spec) {
-						spec.Kind, spec.Tasks, spec.CPUs, spec.Priority, spec.Class, spec.EstimateS = jobs.Gang, 9, 12, "urgent", "gang", 30
+						spec.Kind = jobs.Gang
+						spec.Tasks = 9
+						spec.CPUs = 12
+						spec.Priority = "urgent"
+						spec.Class = "gang"
+						spec.EstimateS = 30
 					})
 				})
 			}
@@ -41,7 +51,12 @@
 		"accelerators": {12, func(cluster *testCluster, give put) {
 			for k := range 6 {
 				give(20+k, func(spec *jobs.Spec) {
-					spec.Kind, spec.Tasks, spec.CPUs, spec.GPUs, spec.OneZone, spec.Class = jobs.Gang, 9, 4, 4, true, "gang"
+					spec.Kind = jobs.Gang
+					spec.Tasks = 9
+					spec.CPUs = 4
+					spec.GPUs = 4
+					spec.OneZone = true
+					spec.Class = "gang"
 				})
 			}
 		}},
@@ -50,7 +65,12 @@
 		"ordinary ones": {12, func(cluster *testCluster, give put) {
 			for k := range 60 {
 				cluster.After(time.Duration(8*k)*time.Second, func() {
-					give(40+k, func(spec *jobs.Spec) { spec.Spot, spec.CPUs, spec.EstimateS, spec.Class = false, 9, 12, "ordinary" })
+					give(40+k, func(spec *jobs.Spec) {
+						spec.Spot = false
+						spec.CPUs = 9
+						spec.EstimateS = 12
+						spec.Class = "ordinary"
+					})
 				})
 			}
 		}},
@@ -60,7 +80,11 @@
 			for k := range 100 {
 				cluster.After(time.Duration(4*k)*time.Second, func() {
 					give(400+k, func(spec *jobs.Spec) {
-						spec.Image, spec.ImageGB, spec.CPUs, spec.EstimateS, spec.Class = fmt.Sprint("big", k%4), 60, 10, 15, "imaged"
+						spec.Image = fmt.Sprint("big", k%4)
+						spec.ImageGB = 60
+						spec.CPUs = 10
+						spec.EstimateS = 15
+						spec.Class = "imaged"
 					})
 				})
 			}
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -313,7 +313,8 @@
 				left[name] = true
 			}
 			from, l := cluster.Now(), 0
-			for end := cluster.Now() + time.Minute; cluster.Now() < end && len(left) > 0; cluster.Advance(250 * time.Millisecond) {
+			end := cluster.Now() + time.Minute
+			for ; cluster.Now() < end && len(left) > 0; cluster.Advance(250 * time.Millisecond) {
 				if l, _ = cluster.Leader(); l < 0 {
 					continue
 				}
@@ -428,8 +429,15 @@
 	}
 	cluster.Advance(20 * time.Second)
 	var wrong []*testUser
-	for i, spec := range []*jobs.Spec{{Kind: jobs.Array, Tasks: 1}, {Kind: jobs.Gang, Tasks: 4}, {Kind: jobs.Array, Tasks: 2000}} {
-		spec.ID, spec.Class, spec.Team, spec.Priority = fmt.Sprintf("req-90000%d", i), "wrong", "red", "standard"
+	for i, spec := range []*jobs.Spec{
+		{Kind: jobs.Array, Tasks: 1},
+		{Kind: jobs.Gang, Tasks: 4},
+		{Kind: jobs.Array, Tasks: 2000},
+	} {
+		spec.ID = fmt.Sprintf("req-90000%d", i)
+		spec.Class = "wrong"
+		spec.Team = "red"
+		spec.Priority = "standard"
 		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf(
 			"w-%d",
 			i,
@@ -971,15 +979,24 @@
 		}
 		s := cluster.Stats()
 		idle = max(idle, cluster.idleWait)
-		all.LostAnswers, all.LateWrites, all.HeartbeatsReplayed, all.PollBursts, all.JobsCancelled, all.OddRequests, all.OddRequestsRefused = all.LostAnswers+s.LostAnswers, all.LateWrites+s.LateWrites, all.HeartbeatsReplayed+s.HeartbeatsReplayed,
-			all.PollBursts+s.PollBursts, all.JobsCancelled+s.JobsCancelled, all.OddRequests+s.OddRequests, all.OddRequestsRefused+s.OddRequestsRefused
-		all.StartsAfterCancel, all.DirectStartsAfterCancel, all.LatestStartAfterCancel = all.StartsAfterCancel+s.StartsAfterCancel, all.DirectStartsAfterCancel+s.DirectStartsAfterCancel, max(
-			all.LatestStartAfterCancel,
-			s.LatestStartAfterCancel,
-		)
+		all.LostAnswers += s.LostAnswers
+		all.LateWrites += s.LateWrites
+		all.HeartbeatsReplayed += s.HeartbeatsReplayed
+		all.PollBursts += s.PollBursts
+		all.JobsCancelled += s.JobsCancelled
+		all.OddRequests += s.OddRequests
+		all.OddRequestsRefused += s.OddRequestsRefused
+		all.StartsAfterCancel += s.StartsAfterCancel
+		all.DirectStartsAfterCancel += s.DirectStartsAfterCancel
+		all.LatestStartAfterCancel = max(all.LatestStartAfterCancel, s.LatestStartAfterCancel)
 		all.LongestRunAfterCancel = max(all.LongestRunAfterCancel, s.LongestRunAfterCancel)
-		all.TaskStarts, all.OneWayFaults, all.DuplicatesSent, all.MachinesRestarted, all.LinksCut, all.ControllersKilled, all.ControllersFrozen = all.TaskStarts+s.TaskStarts, all.OneWayFaults+s.OneWayFaults,
-			all.DuplicatesSent+s.DuplicatesSent, all.MachinesRestarted+s.MachinesRestarted, all.LinksCut+s.LinksCut, all.ControllersKilled+s.ControllersKilled, all.ControllersFrozen+s.ControllersFrozen
+		all.TaskStarts += s.TaskStarts
+		all.OneWayFaults += s.OneWayFaults
+		all.DuplicatesSent += s.DuplicatesSent
+		all.MachinesRestarted += s.MachinesRestarted
+		all.LinksCut += s.LinksCut
+		all.ControllersKilled += s.ControllersKilled
+		all.ControllersFrozen += s.ControllersFrozen
 		if t.Failed() {
 			t.Fatalf("seed %d", 600+seed)
 		}
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -302,7 +302,12 @@
 // TestRiseOfLevelWaits kills the leader between the transaction that raises the level and its answer, or lets the
 // transaction land only after operators have aborted, or after a controller has come back with the former release.
 func TestRiseOfLevelWaits(t *testing.T) {
-	for _, c := range []string{"the leader dies before the answer", "after an abort", "after an old one came back", "the answer is lost"} {
+	for _, c := range []string{
+		"the leader dies before the answer",
+		"after an abort",
+		"after an old one came back",
+		"the answer is lost",
+	} {
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 52, 3, rollout.Base, "finish = \"operator\"")
 			cluster.submitJobs(70 * time.Second)
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -74,7 +74,11 @@
 			if err := json.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
-			st := map[string]jobs.State{"pending": jobs.Pending, "done": jobs.Done, "cancelled": jobs.Cancelled}[r.State]
+			st := map[string]jobs.State{
+				"pending":   jobs.Pending,
+				"done":      jobs.Done,
+				"cancelled": jobs.Cancelled,
+			}[r.State]
 			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, r.Spec); string(got) != string(raw) {
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
@@ -120,7 +124,18 @@
 			same[sessions.Record](t, key, raw)
 		}
 	}
-	for _, k := range []string{"job", "plan", "image-hints", "leader", "term", "part-map", "member", "licence-count", "operators-wishes", "session"} {
+	for _, k := range []string{
+		"job",
+		"plan",
+		"image-hints",
+		"leader",
+		"term",
+		"part-map",
+		"member",
+		"licence-count",
+		"operators-wishes",
+		"session",
+	} {
 		if kinds[k] == 0 {
 			t.Errorf("no record of kind %s is kept", k)
 		}
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -108,7 +108,20 @@
 	for w := range wrong {
 		t.Error(w)
 	}
-	for _, p := range []string{jobs.PlanPagePrefix, jobs.PlanPrefix, "h/j/", archive.Prefix, "h/c/leader", "h/c/types", "h/c/n/", "h/r/level", "h/r/migration", "h/r/words", "h/z/", "h/o/"} {
+	for _, p := range []string{
+		jobs.PlanPagePrefix,
+		jobs.PlanPrefix,
+		"h/j/",
+		archive.Prefix,
+		"h/c/leader",
+		"h/c/types",
+		"h/c/n/",
+		"h/r/level",
+		"h/r/migration",
+		"h/r/words",
+		"h/z/",
+		"h/o/",
+	} {
 		if seen[p] == 0 {
 			t.Errorf("no write of %s was seen: %v", p, seen)
 		}
