--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// settings are a controller's: the world's, with the operators' own on top.
+// settings are a controller's: the simulator's, with the operators' own on top.
 func (d *dev) settings(sim *simulator.Simulation, i int) (*config.Settings, error) {
 	settings, err := config.Parse(sim.SettingsJSON(i))
 	if err == nil && d.operator != "" {
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -19,7 +19,7 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// asProgram lets the test's own binary be the program: the controllers of a world are processes
+// asProgram lets the test's own binary be the program: the controllers of a simulation are processes
 // of it.
 const asProgram = "HAREWALK_TEST_AS_PROGRAM"
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// cluster starts the controllers of a world and waits until they are ready.
+// cluster starts the controllers of a simulation and waits until they are ready.
 func cluster(t *testing.T, sim *simulator.Simulation, operator string) *simulator.Cluster {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	for range samples {
-		r.pictures = append(r.pictures, simulator.Utilization{CPUs: 10, UsedCPUs: 5})
+		r.utilization = append(r.utilization, simulator.Utilization{CPUs: 10, UsedCPUs: 5})
 	}
 	c := s.sum([][]*run{{r}}).Configs[0]
 	if f := c.Faults[0]; f.NoStart != 7 || f.Unserved != 4 {
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -70,20 +70,20 @@
 	return s.sum(runs), nil
 }
 
-// samples is how many pictures are taken of a run's duration.
+// samples is how often the use of the machines is measured in a run.
 const samples = 240
 
 // run is what was seen of one run.
 type run struct {
-	seed     uint64
-	users    []*user
-	pictures []simulator.Utilization
-	starts   []time.Duration
-	leads    []time.Duration // when the lead passed
-	answers  []answered
-	stats    simulator.Stats
-	broken   []string
-	end      time.Duration
+	seed        uint64
+	users       []*user
+	utilization []simulator.Utilization
+	starts      []time.Duration
+	leads       []time.Duration // when the lead passed
+	answers     []answered
+	stats       simulator.Stats
+	broken      []string
+	end         time.Duration
 }
 
 // answered is one request of a user: when it was made, and whether it was served.
@@ -126,7 +126,7 @@
 	length := time.Duration(s.DurationS * float64(time.Second))
 	for i := range samples {
 		sim.Advance(length / samples)
-		r.pictures = append(r.pictures, sim.Utilization())
+		r.utilization = append(r.utilization, sim.Utilization())
 		progress(float64(i) / samples * 0.9)
 	}
 	for late := time.Duration(0); late < time.Duration(s.DrainS*float64(time.Second)) && load.open > 0; late += 10 * time.Second {
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -159,14 +159,14 @@
 			}
 		}
 		n := float64(len(rs))
-		for i, p := range r.pictures {
+		for i, p := range r.utilization {
 			if p.CPUs > 0 {
 				out.Used[i] += p.UsedCPUs / p.CPUs / n
 				out.UsedCPUs += p.UsedCPUs / p.CPUs / n / samples
 			}
 			out.Machines[i] += float64(p.Machines) / n
 		}
-		cost := r.pictures[len(r.pictures)-1].Cost
+		cost := r.utilization[len(r.utilization)-1].Cost
 		out.Jobs, out.Starts, out.Cost = out.Jobs+len(r.users), out.Starts+r.stats.TaskStarts, out.Cost+cost/n
 		out.Broken = append(out.Broken, r.broken...)
 		out.Runs = append(out.Runs, RunResult{Seed: r.seed, Jobs: len(r.users), WaitP90: quantiles(one).P90, Cost: cost, Broken: len(r.broken)})
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -68,12 +68,12 @@
 
 // cluster is everything that plays one step.
 type cluster struct {
-	world *simulator.Simulation
-	state *stateProcess
-	procs *simulator.Cluster
-	users *users
-	dir   string
-	stop  context.CancelFunc
+	simulation *simulator.Simulation
+	state      *stateProcess
+	procs      *simulator.Cluster
+	users      *users
+	dir        string
+	stop       context.CancelFunc
 }
 
 // start starts the processes of a step.
@@ -88,17 +88,17 @@
 	if c.state, err = startState(o.Program, o.Env, stateOrder{s.Controllers, limits}); err != nil {
 		return c, err
 	}
-	if c.world, err = simulator.NewRealTime(platform(p, s, limits, c.state.addrs)); err != nil {
+	if c.simulation, err = simulator.NewRealTime(platform(p, s, limits, c.state.addrs)); err != nil {
 		return c, err
 	}
-	if err = c.world.BootMachines(s.Machines); err != nil {
+	if err = c.simulation.BootMachines(s.Machines); err != nil {
 		return c, err
 	}
 	if c.dir, err = os.MkdirTemp("", "harewalk-scale-"); err != nil {
 		return c, err
 	}
 	program := append(append([]string{}, o.Program...), "serve")
-	if c.procs, err = c.world.NewCluster(c.dir, fmt.Sprintf(operatorSettings, s.Machines), append(o.Env, "LOG_LEVEL=error"), program...); err != nil {
+	if c.procs, err = c.simulation.NewCluster(c.dir, fmt.Sprintf(operatorSettings, s.Machines), append(o.Env, "LOG_LEVEL=error"), program...); err != nil {
 		return c, err
 	}
 	for i := range s.Controllers {
@@ -113,7 +113,7 @@
 	}
 	var users context.Context
 	users, c.stop = context.WithCancel(ctx)
-	c.users = newUsers(c.world, s, p.PollS)
+	c.users = newUsers(c.simulation, s, p.PollS)
 	c.users.start(users, time.Duration(p.SettleS/2*float64(time.Second)))
 	return c, nil
 }
@@ -124,7 +124,7 @@
 // stepOfTime is how often time passes for hollow machines.
 const stepOfTime = 100 * time.Millisecond
 
-// platform is the world of a step: machines with a core for each task, and nothing that limits them but these.
+// platform is the configuration of a step's simulation: machines with a core for each task, and nothing that limits them but these.
 func platform(p *Plan, s Step, limits config.State, addrs []string) simulator.Config {
 	zones := []string{"a", "b", "c"}
 	cores := float64(s.TasksPerMachine)
@@ -148,8 +148,8 @@
 	if c.procs != nil {
 		c.procs.Close()
 	}
-	if c.world != nil {
-		c.world.Close()
+	if c.simulation != nil {
+		c.simulation.Close()
 	}
 	if c.state != nil {
 		c.state.close()
@@ -170,17 +170,17 @@
 	}
 	defer c.close()
 	settled := c.settle(ctx, p, s)
-	before, err := c.picture()
+	before, err := c.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
 	c.users.measure()
-	o.say("  %d tasks run, settled %v: measuring for %g s", c.world.Utilization().Running, settled, p.MeasureS)
+	o.say("  %d tasks run, settled %v: measuring for %g s", c.simulation.Utilization().Running, settled, p.MeasureS)
 	sleep(ctx, time.Duration(p.MeasureS*float64(time.Second)))
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
-	after, err := c.picture()
+	after, err := c.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -195,11 +195,11 @@
 func (c *cluster) settle(ctx context.Context, p *Plan, s Step) bool {
 	goal := int(busyPart * float64(s.Machines*s.TasksPerMachine))
 	sleep(ctx, time.Duration(p.SettleS*float64(time.Second)))
-	return c.world.Utilization().Running >= goal
+	return c.simulation.Utilization().Running >= goal
 }
 
-// picture is what all processes have used, and what has happened, up to a moment.
-type picture struct {
+// snapshot is what all processes have used, and what has happened, up to a moment.
+type snapshot struct {
 	at       time.Time
 	nodes    []Usage
 	self     Usage
@@ -212,7 +212,7 @@
 	machines int
 }
 
-func (p *picture) totalMB() float64 {
+func (p *snapshot) totalMB() float64 {
 	sum := p.self.PeakBytes + p.state.PeakBytes
 	for _, u := range p.nodes {
 		sum += u.PeakBytes
@@ -222,10 +222,10 @@
 
 func megabytes(b uint64) float64 { return float64(b) / (1 << 20) }
 
-// picture takes one.
-func (c *cluster) picture() (*picture, error) {
-	p := &picture{at: time.Now()}
-	for i := range c.world.Controllers() {
+// takeSnapshot takes a snapshot of all processes.
+func (c *cluster) takeSnapshot() (*snapshot, error) {
+	p := &snapshot{at: time.Now()}
+	for i := range c.simulation.Controllers() {
 		u, err := usageOf(c.procs.PID(i))
 		if err != nil {
 			return nil, fmt.Errorf("controller %d: %w", i, err)
@@ -242,20 +242,20 @@
 	if p.figures, err = c.state.figures(); err != nil {
 		return nil, err
 	}
-	for i := range c.world.Controllers() {
+	for i := range c.simulation.Controllers() {
 		_, page, err := fasthttp.GetTimeout(nil, "http://"+c.procs.DebugAddrs[i]+"/metrics", askFor)
 		if err != nil {
 			return nil, fmt.Errorf("controller %d: %w", i, err)
 		}
 		p.metrics = append(p.metrics, parseMetrics(page))
 	}
-	look := c.world.Utilization()
-	p.stats, p.users, p.running, p.machines = c.world.Stats(), c.users.counts(), look.Running, look.Machines
+	use := c.simulation.Utilization()
+	p.stats, p.users, p.running, p.machines = c.simulation.Stats(), c.users.counts(), use.Running, use.Machines
 	return p, nil
 }
 
 // result sums a step up.
-func (c *cluster) result(s Step, from, to *picture) *StepResult {
+func (c *cluster) result(s Step, from, to *snapshot) *StepResult {
 	seconds := to.at.Sub(from.at).Seconds()
 	rate := func(a, b int) float64 { return float64(b-a) / seconds }
 	kilobytes := func(a, b uint64) float64 { return float64(b-a) / 1024 / seconds }
@@ -288,7 +288,7 @@
 	}
 	v["workers_bytes"] = kilobytes(from.stats.HeartbeatBytes+from.stats.HeartbeatAnswerBytes, to.stats.HeartbeatBytes+to.stats.HeartbeatAnswerBytes)
 	v["workers_cpu"], v["workers_rss"] = cores(from.self, to.self), megabytes(to.self.RSSBytes)
-	broken := c.world.Violations()
+	broken := c.simulation.Violations()
 	got := &StepResult{Step: s, Values: v, Refused: to.users.refused - from.users.refused, Broken: len(broken), Again: to.stats.TasksRerun}
 	if len(broken) > 0 {
 		got.First = broken[0]
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -1,4 +1,4 @@
-// Package lab plays scenarios on the project's own world in simulated time: loads drawn from
+// Package lab plays scenarios on the project's simulator in virtual time: loads drawn from
 // distributions, faults at their times, several configurations side by side with the same loads and
 // seeds. It reports what users and operators would have noticed. Figures are of a simulation, in
 // which processors take no time.
@@ -227,7 +227,7 @@
 	return script, nil
 }
 
-// platform is the world that a configuration is played in.
+// platform is the simulated surroundings in which a configuration is played.
 func (s *Scenario) platform(c Config, seed uint64) simulator.Config {
 	w := simulator.Config{
 		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, MaxMachines: s.Machines, LicencePools: map[string]int{},
