--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -204,7 +204,7 @@
 }
 
 // ask sends a request through the load balancer, and notes whether it was served.
-func (c *generator) ask(method, path string, body []byte, then func(status int, stance string)) {
+func (c *generator) ask(method, path string, body []byte, then func(status int, state string)) {
 	at := c.w.Now()
 	c.w.Request(c.some(), method, path, body, func(status int, raw []byte) {
 		c.run.answers = append(c.run.answers, answered{at, status > 0 && status < 429})
@@ -254,11 +254,11 @@
 		return
 	}
 	u.asked = true
-	u.generator.ask("POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, stance string) {
+	u.generator.ask("POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, state string) {
 		switch {
 		case status != 200:
 			u.generator.later(time.Second, u.abort)
-		case stance == "cancelled":
+		case state == "cancelled":
 			u.generator.w.ConfirmCancelled(u.spec.ID)
 		}
 	})
@@ -266,8 +266,8 @@
 
 // poll asks for the job until it is over, and twice more after that.
 func (u *user) poll() {
-	u.generator.ask("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, stance string) {
-		u.generator.w.CheckAnswer(&u.heard, status, stance, u.asked)
+	u.generator.ask("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, state string) {
+		u.generator.w.CheckAnswer(&u.heard, status, state, u.asked)
 		if status == 404 {
 			return
 		}
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -61,21 +61,21 @@
 
 func (u *testUser) cancel() {
 	u.cancelRequested = true
-	u.request("POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, stance string) {
+	u.request("POST", "/v2/runs/"+u.spec.ID+"/abort", []byte("{}"), func(status int, state string) {
 		switch {
 		case status != 200:
 			u.simulation.After(time.Second, u.cancel)
-		case stance == "cancelled":
+		case state == "cancelled":
 			u.simulation.ConfirmCancelled(u.spec.ID)
 		}
 	})
 }
 
 func (u *testUser) poll() {
-	u.request("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, stance string) {
-		u.simulation.CheckAnswer(&u.history, status, stance, u.cancelRequested)
+	u.request("GET", "/v2/runs/"+u.spec.ID, nil, func(status int, state string) {
+		u.simulation.CheckAnswer(&u.history, status, state, u.cancelRequested)
 		if u.history.FinalAnswers > len(u.finalStates) {
-			u.finalStates = append(u.finalStates, stance)
+			u.finalStates = append(u.finalStates, state)
 		}
 		if len(u.finalStates) < 4 {
 			u.simulation.After(time.Duration(500+u.rng.IntN(1500))*time.Millisecond, u.poll)
@@ -132,7 +132,7 @@
 `
 
 // runChaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
-// and the network fail at random, several at once, then lets everything heal, and returns the world and its users.
+// and the network fail at random, several at once, then ends all faults, and returns the simulation and its users.
 func runChaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*testUser) {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -251,7 +251,7 @@
 				cluster.Advance(2 * time.Minute)
 				_, now := cluster.Leader()
 				if most := uint64(8); now < term+most && outage < 14*time.Second {
-					t.Errorf("the lead passed %d times", now-term)
+					t.Errorf("the leader changed %d times", now-term)
 				}
 				cluster.recoverAndCheck()
 			})
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -73,7 +73,7 @@
 	again()
 }
 
-// injectFaults lets something fail, and heal.
+// injectFaults injects a fault, and ends it.
 func (m *manyJobs) injectFaults() {
 	i := m.rng.IntN(3)
 	switch m.rng.IntN(6) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// endFaults lets everything heal and all jobs that are done be archived.
+// endFaults ends all faults and waits until all jobs that are done are archived.
 func (m *manyJobs) endFaults() {
 	for i := range 3 {
 		m.StartController(i)
@@ -181,7 +181,7 @@
 	few, all := seen[0], seen[1]
 	if all.jobs != n || all.records > few.records+2 || all.known > few.known+2 ||
 		float64(all.requests) > 1.1*float64(few.requests)+20 {
-		t.Errorf("what is held grows with the number of jobs: %+v, %+v", few, all)
+		t.Errorf("what is kept grows with the number of jobs: %+v, %+v", few, all)
 	}
 	if n > 100_000 {
 		for i := range all.heap {
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -539,7 +539,7 @@
 	})
 	cluster.submitJobs(60 * time.Second)
 	cluster.Advance(62 * time.Second)
-	t.Logf("answers %v, the slowest of a controller that doesn't stand still %v, %d late", statuses, slowest, late)
+	t.Logf("answers %v, the slowest of a controller that isn't frozen %v, %d late", statuses, slowest, late)
 	if n := cluster.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
 		t.Errorf("%d leases ran out under a flood of questions", n)
 	}
@@ -742,7 +742,7 @@
 }
 
 // runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets
-// everything heal, and tells the longest time in which no question about one job was answered, from then on.
+// all faults end, and returns the longest time in which no question about one job was answered, from then on.
 func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
 	t.Helper()
 	types := []capacity.MachineType{
@@ -889,7 +889,7 @@
 	}
 	follow()
 	cluster.Advance(duration)
-	// Everything heals; the last freeze ends by itself.
+	// All faults end; the last freeze ends by itself.
 	cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
 	cluster.DuplicateMessages(0, 0, 0)
 	cluster.SetBootFault(0, 0)
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -285,7 +285,7 @@
 	cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
 	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if _, after := cluster.Leader(); after != before+1 {
-		t.Errorf("the lead moved %d times", after-before)
+		t.Errorf("the leader changed %d times", after-before)
 	}
 	gap := cluster.LongestStartGap(from, cluster.Now())
 	cluster.waitFor("migrated", time.Minute, cluster.migrated)
@@ -925,6 +925,6 @@
 	}
 	cluster.waitUntilDone()
 	if _, now := cluster.Leader(); now > term+3 {
-		t.Errorf("the lead passed %d times", now-term)
+		t.Errorf("the leader changed %d times", now-term)
 	}
 }
