--- /dev/null
+++ b/internal/api/accesscontrol.go
@@ -0,0 +1,90 @@
+package api
+
+import (
+	"crypto/subtle"
+	"errors"
+	"net"
+	"strings"
+
+	"github.com/gofiber/fiber/v3"
+
+	"github.com/harewalk/harewalk/internal/access"
+)
+
+// Reasons why an operator's command is refused where users have no tokens.
+var (
+	errLocalCommandsOnly = errors.New(
+		"commands are taken from the controller's own machine only, since no operator_token_file is set")
+	errOperatorToken = errors.New("the operators' token is missing or wrong")
+)
+
+// userKey is the key under which a request's context holds its authenticated user.
+type userKey struct{}
+
+// addAccessControl refuses requests that need a user's token or another server. It covers the routes added after
+// it.
+func (r Routes) addAccessControl(app *fiber.App) {
+	if r.WorkersOnly {
+		app.Use(func(c fiber.Ctx) error { return send(c, Refuse(Forbidden, "users are served over TLS only")) })
+	}
+	if r.Users != nil {
+		app.Use("/v2", r.authenticate)
+	}
+}
+
+// authenticate refuses requests without a user's token. Commands to an existing session carry that session's own
+// token instead, which the leader checks; opening a session and reading any takes a user's.
+func (r Routes) authenticate(c fiber.Ctx) error {
+	if c.Method() == fiber.MethodPost && strings.HasPrefix(c.Path(), "/v2/sessions/") {
+		return c.Next()
+	}
+	user := r.Users.Who(bearerToken(c))
+	if user == nil {
+		return send(c, Refuse(Unauthenticated, "the token is missing or unknown"))
+	}
+	c.Locals(userKey{}, user)
+	return c.Next()
+}
+
+// authenticatedUser returns the user who sent a request, nil where no user's token is required.
+func authenticatedUser(c fiber.Ctx) *access.Who {
+	user, _ := c.Locals(userKey{}).(*access.Who)
+	return user
+}
+
+// authorizeOperator returns why a request may not carry an operator's command, nil if it may.
+func (l *LeaderAPI) authorizeOperator(c fiber.Ctx) error {
+	user := authenticatedUser(c)
+	if user == nil {
+		return l.checkOperatorToken(bearerToken(c), c.IP())
+	}
+	if !user.Operator {
+		return errors.New(user.Name + " is no operator")
+	}
+	return nil
+}
+
+// checkOperatorToken checks a command's token or, if the operators have none, its origin. It returns
+// errLocalCommandsOnly or errOperatorToken if the command is refused. The comparison takes the same time for all
+// tokens.
+func (l *LeaderAPI) checkOperatorToken(token, remoteIP string) error {
+	if l.Token == "" {
+		if ip := net.ParseIP(remoteIP); ip != nil && ip.IsLoopback() {
+			return nil
+		}
+		return errLocalCommandsOnly
+	}
+	if subtle.ConstantTimeCompare([]byte(token), []byte(l.Token)) != 1 {
+		return errOperatorToken
+	}
+	return nil
+}
+
+// bearerToken returns a copy of the bearer token of a request, "" if it has none.
+func bearerToken(c fiber.Ctx) string {
+	token, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
+	if !ok {
+		return ""
+	}
+	return strings.Clone(token)
+}
--- /dev/null
+++ b/internal/api/accesscontrol_test.go
@@ -0,0 +1,27 @@
+package api
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestOperatorCommandsNeedTheirTokenOrTheControllersMachine(t *testing.T) {
+	for _, c := range []struct {
+		configured, token, remoteIP string
+		want                        error
+	}{
+		{"", "", "127.0.0.1", nil},
+		{"", "", "10.0.0.7", errLocalCommandsOnly},
+		{"", "x", "10.0.0.7", errLocalCommandsOnly},
+		{"", "", "", errLocalCommandsOnly},
+		{"secret-secret-secret", "secret-secret-secret", "10.0.0.7", nil},
+		{"secret-secret-secret", "", "127.0.0.1", errOperatorToken},
+		{"secret-secret-secret", "secret-secret-secreT", "127.0.0.1", errOperatorToken},
+	} {
+		leader := LeaderAPI{Token: c.configured}
+		err := leader.checkOperatorToken(c.token, c.remoteIP)
+		if !errors.Is(err, c.want) || (err != nil && err.Error() == "") {
+			t.Errorf("%+v: %v", c, err)
+		}
+	}
+}
--- a/internal/api/archive_test.go
+++ b/internal/api/archive_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"testing"
-	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -11,98 +10,100 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// moved lets a job stand in the archive and nowhere else, as after a move by another controller.
-func (d *desk) moved(id string, answer archive.Answer) {
-	d.svc.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(answer)}})
-}
-
-// An archived job's answer is told to whoever asks, whatever is asked: a question, a repeated submission, a cancellation;
-// and a job that nobody submitted is unknown still.
-func TestArchivedJobsAreAnswered(t *testing.T) {
-	for _, st := range []jobs.State{jobs.Done, jobs.Cancelled} {
-		for what, ask := range map[string]func(d *desk) Reply{
-			"question":     func(d *desk) Reply { return d.query(t, job(1).ID) },
-			"submission":   func(d *desk) Reply { return d.submit(t, job(1)) },
-			"cancellation": func(d *desk) Reply { return d.abort(t, job(1).ID) },
+// Every request about an archived job gets its final state, and an id that was never submitted is still unknown.
+func TestArchivedJobsAreFound(t *testing.T) {
+	for _, final := range []jobs.State{jobs.Done, jobs.Cancelled} {
+		for name, request := range map[string]func(*testService) Reply{
+			"status query": func(service *testService) Reply { return service.query(t, jobID(1)) },
+			"submission":   func(service *testService) Reply { return service.submit(t, job(1)) },
+			"cancellation": func(service *testService) Reply { return service.cancel(t, jobID(1)) },
 		} {
-			d := newDesk(state.New())
-			d.moved(job(1).ID, archive.Answer{State: st, Tasks: 3, Done: 2})
+			service := newTestService(state.New())
+			service.archiveElsewhere(jobID(1), archive.Answer{State: final, Tasks: 3, Done: 2})
 			for range 2 { // from a read, and from memory
-				if r := ask(d); r.Status != 200 || stance(r) != st.String() {
-					t.Errorf("%s about a job that was %s: %d %q", what, st, r.Status, stance(r))
+				if reply := request(service); reply.Status != 200 || jobState(reply) != final.String() {
+					t.Errorf("%s of a job that was %s: %d %q", name, final, reply.Status, jobState(reply))
 				}
 			}
-			if r := d.query(t, job(2).ID); r.Status != 404 {
-				t.Errorf("an unknown job: %d", r.Status)
+			if reply := service.query(t, jobID(2)); reply.Status != 404 {
+				t.Errorf("an unknown job: %d", reply.Status)
 			}
-			if d.svc.Keys[jobs.RecordKey(job(1).ID)].Version != 0 {
-				t.Errorf("%s made the job's record again", what)
+			if service.storedVersion(jobID(1)) != 0 {
+				t.Errorf("%s created the job's record again", name)
 			}
 		}
 	}
 }
 
-// A job that was accepted and archived is never refused, though one like it could not run here now.
-func TestNoRefusalOfAnArchivedJob(t *testing.T) {
-	d := newDesk(state.New())
+// A repeated submission of an archived job isn't rejected, though a new job like it would be.
+func TestArchivedJobIsNotRejected(t *testing.T) {
+	service := newTestService(state.New())
 	spec := job(1)
 	spec.Team = "a team that the settings no longer name"
-	d.moved(spec.ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
-	if r := d.submit(t, spec); r.Status != 200 || stance(r) != "done" {
-		t.Errorf("%d %q", r.Status, stance(r))
+	service.archiveElsewhere(spec.ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+	if reply := service.submit(t, spec); reply.Status != 200 || jobState(reply) != "done" {
+		t.Errorf("%d %q", reply.Status, jobState(reply))
 	}
-	spec.ID = job(2).ID
-	if r := d.submit(t, spec); r.Status != 422 {
-		t.Errorf("a new one: %d", r.Status)
+	spec.ID = jobID(2)
+	if reply := service.submit(t, spec); reply.Status != 422 {
+		t.Errorf("a new job: %d", reply.Status)
 	}
 }
 
-// What can't be read is not told: nobody is told that the job is unknown, and it isn't made again.
+// While an archived answer can't be decoded, the job is neither unknown nor created again.
 func TestUnreadableArchivedAnswer(t *testing.T) {
-	d := newDesk(state.New())
-	d.svc.Apply([]store.Op{{Put: archive.Key(job(1).ID), Value: json.RawMessage(`{"v":9,"stance":"done"}`)}})
-	for what, r := range map[string]Reply{"question": d.query(t, job(1).ID), "submission": d.submit(t, job(1)), "cancellation": d.abort(t, job(1).ID)} {
-		if r.Status != 503 || r.RetryAfter == 0 {
-			t.Errorf("%s: %d, retry after %d", what, r.Status, r.RetryAfter)
+	service := newTestService(state.New())
+	service.state.Apply([]store.Op{{Put: archive.Key(jobID(1)), Value: json.RawMessage(`{"v":9,"stance":"done"}`)}})
+	for name, reply := range map[string]Reply{
+		"status query": service.query(t, jobID(1)),
+		"submission":   service.submit(t, job(1)),
+		"cancellation": service.cancel(t, jobID(1)),
+	} {
+		if reply.Status != 503 || reply.RetryAfter == 0 {
+			t.Errorf("%s: %d, retry after %d", name, reply.Status, reply.RetryAfter)
 		}
 	}
-	if d.svc.Keys[jobs.RecordKey(job(1).ID)].Version != 0 {
-		t.Error("the job was made again")
+	if service.storedVersion(jobID(1)) != 0 {
+		t.Error("the job was created again")
 	}
 }
 
-// A job is moved between the check of a question and the reads that follow: it is found all the same. The job's record is
-// there at the check, and gone when it is read.
-func TestMovedWhileAsked(t *testing.T) {
-	d := newDesk(state.New())
-	d.svc.Apply([]store.Op{{Put: jobs.RecordKey(job(1).ID), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
-	d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
-	if r := d.query(t, job(1).ID); r.Status != 200 || stance(r) != "done" {
-		t.Errorf("%d %q", r.Status, stance(r))
+// A job that is archived between the check of a status query and the reads that follow is found: its record exists
+// at the check and is absent when it is read.
+func TestArchivedDuringStatusQuery(t *testing.T) {
+	service := newTestService(state.New())
+	service.state.Apply([]store.Op{{Put: jobs.RecordKey(jobID(1)), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
+	service.beforeResponse = func() {
+		service.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+	}
+	if reply := service.query(t, jobID(1)); reply.Status != 200 || jobState(reply) != "done" {
+		t.Errorf("%d %q", reply.Status, jobState(reply))
 	}
 }
 
-// A record is read, the job is moved, and the followed keys show that before the answer to the read comes: what was read is
-// void, and the answer is told from the archive.
-func TestMovedWhileItsRecordIsRead(t *testing.T) {
-	d := newDesk(state.New())
-	d.svc.Apply([]store.Op{{Put: jobs.RecordKey(job(1).ID), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
-	d.OnJobRecord = func(time.Duration, store.Item) {} // the followed keys have passed its version
-	d.late = func() {                                  // after the check
-		d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) } // after the read
-	}
-	if r := d.query(t, job(1).ID); r.Status != 200 || stance(r) != "done" {
-		t.Errorf("%d %q", r.Status, stance(r))
+// A record is read, the job is archived, and the watch delivers that before the response to the read: what was read
+// is obsolete, and the reply comes from the archive.
+func TestArchivedWhileItsRecordIsRead(t *testing.T) {
+	service := newTestService(state.New())
+	service.state.Apply([]store.Op{{Put: jobs.RecordKey(jobID(1)), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
+	service.ignoreRecords()
+	archiveJob := func() { service.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
+	afterCheck := func() { service.beforeResponse = archiveJob }
+	service.beforeResponse = afterCheck
+	if reply := service.query(t, jobID(1)); reply.Status != 200 || jobState(reply) != "done" {
+		t.Errorf("%d %q", reply.Status, jobState(reply))
 	}
 }
 
-// A job was accepted, has ended and was archived before the answer to its first write came here: its user is told how it
-// ended, as others were.
-func TestArchivedBeforeItsSubmissionIsAnswered(t *testing.T) {
-	d := newDesk(state.New())
-	d.OnJobRecord = func(time.Duration, store.Item) {} // the followed keys have passed its version
-	d.late = func() { d.moved(job(1).ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
-	if r := d.submit(t, job(1)); r.Status != 200 || stance(r) != "done" {
-		t.Errorf("%d %q", r.Status, stance(r))
+// A job was accepted, ended and was archived before the response to its first write arrived: the reply to its
+// submission is its final state.
+func TestArchivedBeforeReplyToSubmission(t *testing.T) {
+	service := newTestService(state.New())
+	service.ignoreRecords()
+	service.beforeResponse = func() {
+		service.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+	}
+	if reply := service.submit(t, job(1)); reply.Status != 200 || jobState(reply) != "done" {
+		t.Errorf("%d %q", reply.Status, jobState(reply))
 	}
 }
--- a/internal/api/counter.go
+++ b/internal/api/counter.go
@@ -1,39 +1,55 @@
 package api
 
-import "sync/atomic"
+import (
+	"net/http"
+	"sync/atomic"
+)
 
-// ResponseCounts counts what was answered since the start.
+// ResponseCounts are the numbers of responses since the start.
 type ResponseCounts struct {
-	Served, Busy, Unable uint64 // users: neither 429 nor 5xx, 429, 5xx
-	Reports, Void        uint64 // workers: 200, anything else
+	// Served, Busy and Unable count responses to users: neither 429 nor 5xx, 429, and 5xx.
+	Served, Busy, Unable uint64
+	// Reports and Void count responses to workers' heartbeats: 200, and anything else.
+	Reports, Void uint64
 }
 
-// ResponseCounter counts answers; connection goroutines use it at the same time. Its zero value is ready.
-type ResponseCounter struct{ served, busy, unable, reports, void atomic.Uint64 }
+// ResponseCounter counts responses; connection goroutines use it concurrently. Its zero value is ready, and a nil
+// counter counts nothing.
+type ResponseCounter struct {
+	served, busy, unable, reports, void atomic.Uint64
+}
 
-func (k *ResponseCounter) user(status int) {
+// countUser counts a response to a user.
+func (c *ResponseCounter) countUser(status int) {
 	switch {
-	case k == nil:
-	case status == 429:
-		k.busy.Add(1)
-	case status >= 500:
-		k.unable.Add(1)
+	case c == nil:
+	case status == http.StatusTooManyRequests:
+		c.busy.Add(1)
+	case status >= http.StatusInternalServerError:
+		c.unable.Add(1)
 	default:
-		k.served.Add(1)
+		c.served.Add(1)
 	}
 }
 
-func (k *ResponseCounter) worker(status int) {
+// countWorker counts a response to a heartbeat.
+func (c *ResponseCounter) countWorker(status int) {
 	switch {
-	case k == nil:
-	case status == 200:
-		k.reports.Add(1)
+	case c == nil:
+	case status == http.StatusOK:
+		c.reports.Add(1)
 	default:
-		k.void.Add(1)
+		c.void.Add(1)
 	}
 }
 
-// Read tells what was counted.
-func (k *ResponseCounter) Read() ResponseCounts {
-	return ResponseCounts{k.served.Load(), k.busy.Load(), k.unable.Load(), k.reports.Load(), k.void.Load()}
+// Read returns the counts so far.
+func (c *ResponseCounter) Read() ResponseCounts {
+	return ResponseCounts{
+		Served:  c.served.Load(),
+		Busy:    c.busy.Load(),
+		Unable:  c.unable.Load(),
+		Reports: c.reports.Load(),
+		Void:    c.void.Load(),
+	}
 }
--- /dev/null
+++ b/internal/api/fixture_test.go
@@ -0,0 +1,185 @@
+package api
+
+import (
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator/state"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	os.Exit(m.Run())
+}
+
+// Teams whose jobs testService decides on in a particular way; it rejects jobs of all others.
+const (
+	admittedTeam  = "t"
+	undecidedTeam = "unknown yet"
+	noLicenceTeam = "short of licences"
+)
+
+// testService is one controller's Service in front of a simulated state service. Requests wait until the test
+// delivers them.
+type testService struct {
+	*Service
+	state          *state.Service
+	loseResponses  bool                 // responses to transactions are lost after these were carried out
+	dropRequests   bool                 // requests are lost
+	beforeResponse func()               // called once, after the next request was carried out and before its response
+	onRequest      func(httpio.Request) // receives each request, unless it is nil
+	queue          []func()
+}
+
+// Send implements httpio.Sender.
+func (s *testService) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+	if s.onRequest != nil {
+		s.onRequest(request)
+	}
+	s.queue = append(s.queue, func() { s.deliver(request, done) })
+}
+
+func (s *testService) deliver(request httpio.Request, done func(httpio.Response)) {
+	if s.dropRequests {
+		done(httpio.Response{Err: httpio.ErrBusy})
+		return
+	}
+	response := s.state.Serve(request)
+	if s.loseResponses && request.Path == "/txn" {
+		response = httpio.Response{Err: httpio.ErrBusy}
+	}
+	if before := s.beforeResponse; before != nil {
+		s.beforeResponse = nil
+		before()
+	}
+	done(response)
+}
+
+// deliverNext delivers the request that has waited longest, and lets the pause between two transactions of status
+// queries pass.
+func (s *testService) deliverNext() {
+	next := s.queue[0]
+	s.queue = s.queue[1:]
+	next()
+	s.state.Now += 50 * time.Millisecond
+	s.Tick(s.state.Now)
+}
+
+// deliverAll delivers all requests, those made meanwhile included.
+func (s *testService) deliverAll() {
+	for len(s.queue) > 0 {
+		s.deliverNext()
+	}
+}
+
+func newTestService(svc *state.Service) *testService {
+	s := &testService{state: svc}
+	client := store.New(
+		"",
+		s,
+		func() time.Duration { return svc.Now },
+		store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8},
+		store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10},
+	)
+	table := jobs.NewTable(0)
+	s.Service = New(Env{
+		Store:    client,
+		Jobs:     table,
+		Archive:  archive.NewReader(client, 8),
+		Ready:    func() bool { return true },
+		TxnOps:   24,
+		MaxTasks: 3000,
+		MaxBytes: 1 << 20,
+		MaxValue: 8 << 10,
+		Admit: func(spec *jobs.Spec) AdmissionResult {
+			return AdmissionResult{
+				OK:    spec.Team == admittedTeam,
+				Known: spec.Team != undecidedTeam,
+				Open:  spec.Team == noLicenceTeam,
+				Why:   "team",
+			}
+		},
+		Counts: func(job *jobs.Job) (int, int) { return job.FinishedTasks, job.ReportedRunning },
+		OnJobRecord: func(_ time.Duration, item store.Item) {
+			_, _, _ = table.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
+		},
+	})
+	return s
+}
+
+// archiveElsewhere moves a job to the archive, as another controller does.
+func (s *testService) archiveElsewhere(id string, answer archive.Answer) {
+	s.state.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(answer)}})
+}
+
+// ignoreRecords makes the service ignore the records that it reads and writes, as if the watch had delivered newer
+// versions before.
+func (s *testService) ignoreRecords() {
+	s.OnJobRecord = func(time.Duration, store.Item) {}
+}
+
+// storedVersion is the version of a job's record at the state service, 0: there is none.
+func (s *testService) storedVersion(id string) uint64 {
+	return s.state.Keys[jobs.RecordKey(id)].Version
+}
+
+// oneReply makes a request, delivers all that it sends, and fails unless there is exactly one reply.
+func (s *testService) oneReply(t *testing.T, request func(reply func(Reply))) Reply {
+	t.Helper()
+	var replies []Reply
+	request(func(reply Reply) { replies = append(replies, reply) })
+	s.deliverAll()
+	if len(replies) != 1 {
+		t.Fatalf("%d replies", len(replies))
+	}
+	return replies[0]
+}
+
+func (s *testService) submit(t *testing.T, spec *jobs.Spec) Reply {
+	t.Helper()
+	return s.oneReply(t, func(reply func(Reply)) { s.Submit(s.state.Now, spec, reply) })
+}
+
+func (s *testService) query(t *testing.T, id string) Reply {
+	t.Helper()
+	return s.oneReply(t, func(reply func(Reply)) { s.Query(s.state.Now, id, reply) })
+}
+
+func (s *testService) cancel(t *testing.T, id string) Reply {
+	t.Helper()
+	return s.oneReply(t, func(reply func(Reply)) { s.Cancel(s.state.Now, nil, id, reply) })
+}
+
+func jobID(n int) string { return fmt.Sprintf("req-%06d", n) }
+
+func job(n int) *jobs.Spec {
+	return &jobs.Spec{
+		ID:       jobID(n),
+		Class:    "c",
+		Team:     admittedTeam,
+		Kind:     jobs.Array,
+		Priority: "standard",
+		Tasks:    3,
+		CPUs:     1,
+		Image:    "i",
+	}
+}
+
+// jobState is the job's state in the body of a reply.
+func jobState(reply Reply) string {
+	raw, _ := json.Marshal(reply.Body)
+	var body struct {
+		State string `json:"stance"`
+	}
+	_ = json.Unmarshal(raw, &body)
+	return body.State
+}
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -11,17 +11,17 @@
 	InvalidRequest RefusalKind = iota + 1
 	// Unauthenticated: the token is missing or unknown (401).
 	Unauthenticated
-	// Forbidden: who asks may not do this (403).
+	// Forbidden: the client isn't authorized (403).
 	Forbidden
-	// NotFound: what the request names is not known (404).
+	// NotFound: what the request names doesn't exist (404).
 	NotFound
-	// Conflict: the state has changed, or forbids what is asked (409).
+	// Conflict: the state has changed, or rules the request out (409).
 	Conflict
-	// Unprocessable: the job is well-formed, and can never run here (422).
+	// Unprocessable: the job is well-formed but can never run here (422).
 	Unprocessable
-	// TooManyRequests: the client is to try again later; this controller can serve it then (429).
+	// TooManyRequests: this controller can serve the request later (429).
 	TooManyRequests
-	// Unavailable: this controller can't tell or do it now; another one may (503).
+	// Unavailable: this controller can't serve the request now; another one may (503).
 	Unavailable
 )
 
@@ -37,13 +37,13 @@
 	Unavailable:     http.StatusServiceUnavailable,
 }
 
-// defaultRetryAfter is when a client may try again, in seconds, where nothing better is known.
+// defaultRetryAfter is the Retry-After of a refusal, in seconds, where no better estimate exists.
 const defaultRetryAfter = 1
 
-// RefusalKindOf is the kind that has an HTTP status, Unavailable for a status that no kind has.
+// RefusalKindOf returns the kind of an HTTP status, and Unavailable for a status that no kind has.
 func RefusalKindOf(status int) RefusalKind {
-	for kind, have := range statusByKind {
-		if have == status {
+	for kind, kindStatus := range statusByKind {
+		if kindStatus == status {
 			return RefusalKind(kind)
 		}
 	}
@@ -55,8 +55,8 @@
 	Error string `json:"error"`
 }
 
-// Refuse is the reply to a request that is refused, with what the client is told. Kinds that are worth a retry carry
-// the time after which to try again.
+// Refuse returns the reply to a refused request, with the message that the client gets. Kinds that are worth a
+// retry carry a Retry-After.
 func Refuse(kind RefusalKind, message string) Reply {
 	reply := Reply{Status: statusByKind[kind], Body: errorBody{message}}
 	if kind == TooManyRequests || kind == Unavailable {
--- /dev/null
+++ b/internal/api/reply.go
@@ -0,0 +1,66 @@
+package api
+
+import (
+	"net/http"
+
+	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+// Reply is the response to one request: an HTTP status and a body that is encoded as JSON.
+type Reply struct {
+	Status     int
+	Body       any
+	RetryAfter int // seconds, 0: none
+}
+
+// Refusals that several requests share.
+var (
+	noSuchJob = Refuse(NotFound, "no such job")
+	// notStored answers a submission whose record is absent: the write may still land later.
+	notStored               = Refuse(Unavailable, "the job was not stored")
+	unreadableRecord        = Refuse(Unavailable, "the job's record cannot be read")
+	stateServiceUnavailable = Refuse(Unavailable, "the state service does not answer")
+	stateServiceOverloaded  = Refuse(Unavailable, "the state service is at its limit")
+	releaseTooOld           = Refuse(Unavailable, "this controller's release is behind the cluster's: ask another")
+	jobsNotLoaded           = Refuse(Unavailable, "still reading the jobs")
+)
+
+// stateRunning is the state that users see of a pending job with running tasks; records don't store it.
+const stateRunning = "running"
+
+// jobBody is the response body that describes a job.
+type jobBody struct {
+	ID      string `json:"name_id"`
+	State   string `json:"stance"`
+	Done    *int   `json:"done,omitempty"`
+	Running *int   `json:"running,omitempty"`
+}
+
+// jobReply describes a job of the job table, with the counts of its tasks if a status query asks for them.
+func (s *Service) jobReply(job *jobs.Job, withCounts bool) Reply {
+	body := jobBody{ID: job.ID, State: job.State.String()}
+	done, running := job.FinishedTasks, 0
+	if job.State == jobs.Pending {
+		done, running = s.Counts(job)
+		if running > 0 {
+			body.State = stateRunning
+		}
+	}
+	if withCounts {
+		body.Done = &done
+		body.Running = &running
+	}
+	return Reply{Status: http.StatusOK, Body: body}
+}
+
+// archivedReply describes an archived job.
+func archivedReply(id string, answer archive.Answer, withCounts bool) Reply {
+	body := jobBody{ID: id, State: answer.State.String()}
+	if withCounts {
+		running := 0
+		body.Done = &answer.Done
+		body.Running = &running
+	}
+	return Reply{Status: http.StatusOK, Body: body}
+}
--- a/internal/api/retryafter.go
+++ b/internal/api/retryafter.go
@@ -5,22 +5,27 @@
 	"time"
 )
 
-// mostRetryAfter bounds what a refused submission is told, in seconds: users give up after a minute in all.
-const mostRetryAfter = 20
+const (
+	// maxRetryAfter bounds a refused submission's Retry-After: clients give up after a minute in all.
+	maxRetryAfter = 20 * time.Second
+	// usableWriteShare is the share of the budget for writes that submissions can count on.
+	usableWriteShare = 0.9
+)
 
-// usablePart is which part of the budget for writes submissions can count on.
-const usablePart = 0.9
+// refuseSubmission refuses a submission at once, with the time after which there will be room for it: each refused
+// one gets a time of its own in the coming budget for writes. With the same short Retry-After for all, every client
+// of a long backlog would return each second for as long as it lasts.
+func (s *Service) refuseSubmission(now time.Duration, message string) Reply {
+	perWrite := time.Duration(float64(time.Second) / (s.Store.WriteRate() * usableWriteShare))
+	s.lastRetryAt = max(s.lastRetryAt, now) + perWrite
+	refusal := Refuse(TooManyRequests, message)
+	refusal.RetryAfter = retryAfterSeconds(s.lastRetryAt - now)
+	s.lastRetryAt = min(s.lastRetryAt, now+maxRetryAfter) // no client was sent a later time
+	return refusal
+}
 
-// later refuses a submission at once, and says when there will be room for it: each refused one has a place of its own in
-// the budget for writes that is to come. Told to come back after a second, whatever the backlog, a thousand users once
-// asked again every second for as long as it lasted, four refusals for every job.
-func (n *Service) later(now time.Duration, why string) Reply {
-	perWrite := time.Duration(float64(time.Second) / (n.Store.WriteRate() * usablePart))
-	n.promised = max(n.promised, now) + perWrite
-	r := Refuse(TooManyRequests, why)
-	r.RetryAfter = min(mostRetryAfter, max(1, int(math.Ceil((n.promised-now).Seconds()))))
-	if n.promised > now+mostRetryAfter*time.Second {
-		n.promised = now + mostRetryAfter*time.Second // beyond that nobody was promised anything
-	}
-	return r
+// retryAfterSeconds rounds a delay up to whole seconds, from one to maxRetryAfter.
+func retryAfterSeconds(delay time.Duration) int {
+	seconds := int(math.Ceil(delay.Seconds()))
+	return min(int(maxRetryAfter/time.Second), max(1, seconds))
 }
--- a/internal/api/retryafter_test.go
+++ b/internal/api/retryafter_test.go
@@ -9,42 +9,44 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Three hundred jobs come in one moment where ten a second can be stored, and their users come back when they are told to:
+// Three hundred jobs are submitted at once where ten a second can be stored, and their clients obey Retry-After:
 // each is refused about once, not once a second, and all are accepted about as soon as the rate allows.
-func TestRefusedOnesComeBackInTurn(t *testing.T) {
+func TestRetryAfterSpreadsRefusedSubmissions(t *testing.T) {
 	const jobs, perSecond = 300, 10
 	svc := state.New()
-	d := newDesk(svc)
+	service := newTestService(svc)
 	now := func() time.Duration { return svc.Now }
-	d.Store = store.New("", d, now, store.Share{RPS: 1e6, WriteRPS: perSecond, BurstS: 1}, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
-	d.Archive = archive.NewReader(d.Store, 8)
-	refused, accepted, last := 0, 0, time.Duration(0)
+	share := store.Share{RPS: 1e6, WriteRPS: perSecond, BurstS: 1}
+	service.Store = store.New("", service, now, share, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
+	service.Archive = archive.NewReader(service.Store, 8)
+	refused, accepted := 0, 0
+	lastAccepted := time.Duration(0)
 	due := map[int]time.Duration{}
 	for i := range jobs {
 		due[i] = 0
 	}
 	for svc.Now < 2*time.Minute && accepted < jobs {
 		for i := range jobs {
-			at, waits := due[i]
-			if !waits || at > svc.Now {
+			submitAt, isWaiting := due[i]
+			if !isWaiting || submitAt > svc.Now {
 				continue
 			}
 			delete(due, i)
-			d.Submit(svc.Now, job(i), func(r Reply) {
+			service.Submit(svc.Now, job(i), func(r Reply) {
 				if r.Status == 429 {
 					refused++
 					due[i] = svc.Now + time.Duration(r.RetryAfter)*time.Second
 					return
 				}
 				accepted++
-				last = svc.Now
+				lastAccepted = svc.Now
 			})
 		}
-		d.run()
+		service.deliverAll()
 		svc.Now += 100 * time.Millisecond
 	}
-	t.Logf("%d refusals for %d jobs, the last accepted after %v", refused, jobs, last)
-	if accepted != jobs || refused > 2*jobs || last > 45*time.Second {
-		t.Errorf("%d accepted, %d refusals, the last accepted after %v", accepted, refused, last)
+	t.Logf("%d refusals for %d jobs, the last accepted after %v", refused, jobs, lastAccepted)
+	if accepted != jobs || refused > 2*jobs || lastAccepted > 45*time.Second {
+		t.Errorf("%d accepted, %d refusals, the last accepted after %v", accepted, refused, lastAccepted)
 	}
 }
--- /dev/null
+++ b/internal/api/routes.go
@@ -0,0 +1,69 @@
+package api
+
+import (
+	"strings"
+
+	"github.com/gofiber/fiber/v3"
+
+	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+// healthBody is the response body of a successful health check.
+type healthBody struct {
+	OK bool `json:"ok"`
+}
+
+// addHealthRoute adds the health check. It passes through the event loop, so it fails while that hangs.
+func (r Routes) addHealthRoute(app *fiber.App) {
+	app.Get("/up", func(c fiber.Ctx) error {
+		return r.serve(c, exchange{post: r.Post, timeout: userTimeout}, func(reply func(Reply)) {
+			if !r.Up() {
+				reply(Refuse(Unavailable, "not ready"))
+				return
+			}
+			reply(Reply{Status: fiber.StatusOK, Body: healthBody{OK: true}})
+		})
+	})
+}
+
+// addHeartbeatRoute adds the route for workers' heartbeats.
+func (r Routes) addHeartbeatRoute(app *fiber.App) {
+	app.Post("/checkin", func(c fiber.Ctx) error {
+		heartbeat, err := fleet.ParseHeartbeat(c.Body())
+		if err != nil {
+			return send(c, Refuse(InvalidRequest, "not a report"))
+		}
+		// A fleet that is larger than the number of sockets has to open a connection for each heartbeat.
+		if int(app.Server().GetOpenConnectionsCount()) > r.Crowded {
+			c.Response().SetConnectionClose()
+		}
+		e := exchange{post: r.PostReport, timeout: heartbeatTimeout, count: r.Counter.countWorker}
+		return r.serve(c, e, func(reply func(Reply)) { r.Report(r.Now(), heartbeat, reply) })
+	})
+}
+
+// addJobRoutes adds submission, status query and cancellation.
+func (r Routes) addJobRoutes(app *fiber.App) {
+	app.Post("/v2/runs", r.handleSubmission)
+	app.Get("/v2/runs/:id", func(c fiber.Ctx) error {
+		id := strings.Clone(c.Params("id"))
+		return r.serveUser(c, queryTimeout, func(reply func(Reply)) { r.Intake.Query(r.Now(), id, reply) })
+	})
+	app.Post("/v2/runs/:id/abort", func(c fiber.Ctx) error {
+		id := strings.Clone(c.Params("id"))
+		user := authenticatedUser(c)
+		return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Intake.Cancel(r.Now(), user, id, reply) })
+	})
+}
+
+func (r Routes) handleSubmission(c fiber.Ctx) error {
+	spec, err := jobs.ParseSpec(c.Body())
+	if err != nil {
+		return send(c, Refuse(InvalidRequest, err.Error()))
+	}
+	if user := authenticatedUser(c); user != nil && !user.May(spec.Team) {
+		return send(c, Refuse(Forbidden, user.Name+" may not submit jobs of team "+spec.Team))
+	}
+	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Intake.Submit(r.Now(), spec, reply) })
+}
--- a/internal/api/scale_test.go
+++ b/internal/api/scale_test.go
@@ -11,74 +11,78 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// fleetSize is a fleet below whose needs no fixed bound may stand.
+// fleetSize is the number of machines whose load no fixed bound may limit.
 const fleetSize = 4000
 
-// A burst of one job for each machine is taken whole, as long as the bytes that wait allow it.
-func TestBurstOfALargeFleetIsTaken(t *testing.T) {
+// A burst of one job for each machine is accepted, as far as the bytes of waiting records allow it.
+func TestBurstOfALargeFleetIsAccepted(t *testing.T) {
 	svc := state.New()
-	d := newDesk(svc)
-	d.MaxBytes = 16 << 20
-	answers := map[int]int{}
+	service := newTestService(svc)
+	service.MaxBytes = 16 << 20
+	replies := map[int]int{}
 	for i := range fleetSize {
-		d.Submit(svc.Now, job(i), func(r Reply) { answers[r.Status]++ })
+		service.Submit(svc.Now, job(i), func(r Reply) { replies[r.Status]++ })
 	}
-	d.run()
-	if answers[201] != fleetSize {
-		t.Fatalf("answers %v", answers)
+	service.deliverAll()
+	if replies[201] != fleetSize {
+		t.Fatalf("replies %v", replies)
 	}
 }
 
-// Whatever the count allows, the bytes that wait stay bounded, and what is beyond is told at once to come back.
+// Whatever the count allows, the bytes of waiting records stay bounded, and submissions beyond get a Retry-After at
+// once.
 func TestBurstIsBoundedByItsBytes(t *testing.T) {
 	svc := state.New()
-	d := newDesk(svc)
-	d.MaxBytes = 64 << 10
+	service := newTestService(svc)
+	service.MaxBytes = 64 << 10
 	refused := 0
 	for i := range fleetSize {
-		d.Submit(svc.Now, job(i), func(r Reply) {
+		service.Submit(svc.Now, job(i), func(r Reply) {
 			if r.Status == 429 && r.RetryAfter > 0 {
 				refused++
 			}
 		})
 	}
-	if d.bytes > d.MaxBytes || refused < fleetSize/2 {
-		t.Fatalf("%d bytes wait, %d refused at once", d.bytes, refused)
+	if service.submissionBytes > service.MaxBytes || refused < fleetSize/2 {
+		t.Fatalf("%d bytes waiting, %d refused at once", service.submissionBytes, refused)
 	}
-	d.run()
+	service.deliverAll()
 }
 
-// Questions about as many jobs as a large fleet runs are taken, and each transaction holds as many as fit its bytes and
-// the state service's conditions, whatever the length of the ids.
-func TestQuestionsFillATransaction(t *testing.T) {
+// Status queries about as many jobs as a large fleet runs are served, and each transaction holds as many as fit its
+// bytes and the state service's limit of conditions, whatever the length of the ids.
+func TestStatusQueriesFillATransaction(t *testing.T) {
 	for _, length := range []int{10, 22} {
 		svc := state.New()
-		d := newDesk(svc)
-		d.TxnOps, d.Limits = 1<<20, func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
-		most, asked := 0, 0
-		d.look = func(request httpio.Request) {
+		service := newTestService(svc)
+		service.TxnOps = 1 << 20
+		service.Limits = func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
+		maxConditions, replies := 0, 0
+		service.onRequest = func(request httpio.Request) {
 			var txn store.Txn
 			if err := json.Unmarshal(request.Body, &txn); err != nil || len(request.Body) > 64<<10 {
 				t.Fatalf("a transaction of %d bytes: %v", len(request.Body), err)
 			}
-			most = max(most, len(txn.If))
+			maxConditions = max(maxConditions, len(txn.If))
 		}
 		for i := range fleetSize {
 			id := fmt.Sprintf("req-%0*d", length-len("req-"), i)
-			d.Query(svc.Now, id, func(r Reply) {
+			service.Query(svc.Now, id, func(r Reply) {
 				if r.Status != 404 {
 					t.Errorf("%s: %+v", id, r)
 				}
-				asked++
+				replies++
 			})
 		}
-		for asked < fleetSize {
-			d.run()
+		for replies < fleetSize {
+			service.deliverAll()
 			svc.Now += 50 * time.Millisecond
-			d.Tick(svc.Now)
+			service.Tick(svc.Now)
 		}
-		if least := 50 << 10 / (2 * (length + 2 + condBytes)); most/condsPerCheck < least {
-			t.Errorf("ids of %d characters: %d jobs in a transaction, %d fit", length, most/condsPerCheck, least)
+		minQueries := 50 << 10 / (2 * (length + 2 + conditionOverhead))
+		maxQueries := maxConditions / conditionsPerQuery
+		if maxQueries < minQueries {
+			t.Errorf("ids of %d characters: %d jobs in a transaction, %d fit", length, maxQueries, minQueries)
 		}
 	}
 }
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -1,5 +1,11 @@
-// Package api answers users: submissions, queries, aborts and the health check. It
-// runs on the event loop; http.go brings the requests in.
+// Package api serves the HTTP API: submissions, status queries and cancellations of jobs, the health check,
+// workers' heartbeats, and requests that only the leader can answer.
+//
+// Service owns the submissions and status queries that wait for the state service. It runs on the controller's
+// event loop and is never called from another goroutine; Routes bring requests there from connection goroutines.
+// The package schedules nothing and owns no job: it writes and reads job records, and hands each to
+// Env.OnJobRecord, which updates the job table. Heartbeats and leader requests are passed on to the controller
+// unchanged. The controller makes one Service and one or two servers at its start.
 package api
 
 import (
@@ -10,34 +16,25 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Reply is an answer to a user.
-type Reply struct {
-	Status     int
-	Body       any
-	RetryAfter int // seconds, 0: none
-}
-
-// view is a job as told to users.
-type view struct {
-	ID      string `json:"name_id"`
-	Stance  string `json:"stance"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
-}
-
 // Bounds of the queues, for a fleet of some 4,000 machines: a burst of that size is shed by the bytes that wait
 // (Env.MaxBytes) and by the state service's rate, not by a count.
 const (
-	maxSubmits = 4096
-	maxChecks  = 4096
+	maxWaitingSubmissions = 4096
+	maxWaitingQueries     = 4096
 )
 
-// AdmissionResult says whether a job can ever run.
+const (
+	// maxTxnBytes bounds the records or conditions that one transaction carries. The state service takes 64 KiB.
+	maxTxnBytes = 60 << 10
+	// stateServiceTimeout is the silence after which the state service isn't asked on a user's behalf.
+	stateServiceTimeout = 3 * time.Second
+)
+
+// AdmissionResult is the decision whether a job can ever run.
 type AdmissionResult struct {
 	OK    bool
-	Known bool // false: it can't be told yet
-	// Open says that a no may become a yes, or was one: another controller, or this one a
-	// while ago, may have accepted the job.
+	Known bool // false: not decided yet, Why gives the reason
+	// Open marks a rejection that another controller, or this one at another time, may have decided otherwise.
 	Open bool
 	Why  string
 }
@@ -45,103 +42,113 @@
 // AdmitFunc decides whether a job can ever run.
 type AdmitFunc func(*jobs.Spec) AdmissionResult
 
-// Env is what intake needs of its surroundings.
+// Env holds what a Service uses of the controller. Fields are required unless their comment allows nil.
 type Env struct {
 	Store *store.Client
 	Jobs  *jobs.Table
-	// Archive finds the answers of jobs that ended long ago.
+	// Archive reads the answers of jobs that ended long ago.
 	Archive *archive.Reader
 	Admit   AdmitFunc
-	// Ready tells whether the job table was read in full.
+	// Ready reports whether the job table was read in full.
 	Ready func() bool
-	// Counts gives what is displayed of a pending job.
+	// Counts returns how many tasks of a pending job are shown as done and as running.
 	Counts func(*jobs.Job) (done, running int)
-	// OnJobRecord hands on a record that was written or read here.
+	// OnJobRecord receives each record that was written or read here.
 	OnJobRecord func(now time.Duration, item store.Item)
-	// LevelCondition is the condition that every write from here carries besides its own: the cluster's level is what this
-	// controller knows it to be. Fit tells whether this release may act at that level; nil: there are no levels.
+	// LevelCondition returns a condition that every write carries besides its own: the cluster's level hasn't
+	// changed. Nil if there are no levels.
 	LevelCondition func() store.Condition
-	Compatible     func() bool
-	// TxnOps bounds a transaction. Limits is what one may hold now, which may be less; nil: it is TxnOps and MaxValue.
+	// Compatible reports whether this release may act at the cluster's level. Nil if there are no levels.
+	Compatible func() bool
+	// TxnOps is the maximum number of operations of a transaction.
 	TxnOps int
+	// Limits returns the present limits of a transaction, which may be lower than TxnOps and MaxValue. Nil if they
+	// never are.
 	Limits func() store.Limits
-	// MaxTasks bounds the unfinished tasks of all jobs, which a leader keeps in memory;
-	// MaxBytes the submissions that wait to be stored; MaxValue what can be stored of one.
-	MaxTasks, MaxBytes, MaxValue int
+	// MaxTasks bounds the unfinished tasks of all jobs, which a leader keeps in memory.
+	MaxTasks int
+	// MaxBytes bounds the records of the submissions that wait to be stored, in bytes.
+	MaxBytes int
+	// MaxValue bounds the record of one job, in bytes.
+	MaxValue int
 }
 
-// Service is the event-loop side.
+// Service answers requests about jobs, on the event loop.
 type Service struct {
 	Env
-	submissions    []pendingSubmission
-	bytes          int // of the records in submits
-	submitInFlight bool
-	queries        []statusQuery
-	queryInFlight  bool
-	nextCheck      time.Duration
-	draining       bool
-	promised       time.Duration // when the last refused submission was told to come back
-}
+	draining bool
 
-// limits is what a transaction may hold now.
-func (n *Service) limits() store.Limits {
-	l := store.Limits{MaxOps: n.TxnOps, MaxValueBytes: n.MaxValue}
-	if n.Limits != nil {
-		now := n.Limits()
-		l = store.Limits{MaxOps: min(l.MaxOps, now.MaxOps), MaxValueBytes: min(l.MaxValueBytes, now.MaxValueBytes)}
-	}
-	return l
+	submissions     []pendingSubmission
+	submissionBytes int // of the records in submissions
+	submitInFlight  bool
+	lastRetryAt     time.Duration // when the submission that was refused last may be sent again
+
+	queries       []statusQuery
+	queryInFlight bool
+	nextQueryTxn  time.Duration // no status queries are checked before
 }
 
-// Drain refuses submissions from now on; what was taken is answered.
-func (n *Service) Drain() { n.draining = true }
+// New returns a Service without requests.
+func New(env Env) *Service { return &Service{Env: env} }
+
+// Drain refuses submissions from now on; those that were taken are still stored and answered.
+func (s *Service) Drain() { s.draining = true }
 
-// Resume takes submissions again.
-func (n *Service) Resume() { n.draining = false }
+// Resume ends a drain.
+func (s *Service) Resume() { s.draining = false }
 
-// Busy tells whether users wait for an answer.
-func (n *Service) Busy() bool {
-	return n.submitInFlight || n.queryInFlight || len(n.submissions)+len(n.queries) > 0
+// Busy reports whether any submission or status query waits for an answer.
+func (s *Service) Busy() bool {
+	return s.submitInFlight || s.queryInFlight || len(s.submissions)+len(s.queries) > 0
 }
 
-// New makes an intake.
-func New(env Env) *Service { return &Service{Env: env} }
+// Tick checks status queries whose transaction was deferred.
+func (s *Service) Tick(now time.Duration) { s.checkQueries(now) }
 
-// stateLost tells that the state service has not answered for so long that asking it
-// again would only hold the user back.
-func (n *Service) stateLost(now time.Duration) bool { return now-n.Store.LastSuccess() > 3*time.Second }
-
-func (n *Service) show(job *jobs.Job, full bool) Reply {
-	v := view{ID: job.ID, Stance: job.State.String()}
-	done, running := job.FinishedTasks, 0
-	if job.State == jobs.Pending {
-		done, running = n.Counts(job)
-		if running > 0 {
-			v.Stance = "running"
-		}
+// limits returns the present limits of a transaction.
+func (s *Service) limits() store.Limits {
+	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: s.MaxValue}
+	if s.Limits == nil {
+		return limits
 	}
-	if full {
-		v.Done, v.Running = &done, &running
+	present := s.Limits()
+	return store.Limits{
+		MaxOps:        min(limits.MaxOps, present.MaxOps),
+		MaxValueBytes: min(limits.MaxValueBytes, present.MaxValueBytes),
 	}
-	return Reply{Status: 200, Body: v}
 }
 
-// fit refuses everybody where this release is behind the cluster's: what it would say or write could be wrong.
-func (n *Service) fit(reply func(Reply)) bool {
-	if n.Compatible == nil || n.Compatible() {
-		return true
+// stateServiceSilent reports whether the state service has been silent for so long that a request to it would only
+// delay the user's answer.
+func (s *Service) stateServiceSilent(now time.Duration) bool {
+	return now-s.Store.LastSuccess() > stateServiceTimeout
+}
+
+// refuseUnlessReady returns the refusal of every request while this controller can't answer any: its release is
+// behind the cluster's, so that its reads and writes could be wrong, or its job table is incomplete.
+func (s *Service) refuseUnlessReady() (refusal Reply, refused bool) {
+	if s.Compatible != nil && !s.Compatible() {
+		return releaseTooOld, true
+	}
+	if !s.Ready() {
+		return jobsNotLoaded, true
 	}
-	reply(Refuse(Unavailable, "this controller's release is behind the cluster's: ask another"))
-	return false
+	return Reply{}, false
 }
 
-// guarded are a write's conditions with the level's.
-func (n *Service) guarded(cs ...store.Condition) []store.Condition {
-	if n.LevelCondition == nil {
-		return cs
+// withLevelCondition adds the condition on the cluster's level to those of a write.
+func (s *Service) withLevelCondition(conditions ...store.Condition) []store.Condition {
+	if s.LevelCondition == nil {
+		return conditions
 	}
-	return append(cs, n.LevelCondition())
+	return append(conditions, s.LevelCondition())
 }
 
-// Tick sends a check that was spaced out.
-func (n *Service) Tick(now time.Duration) { n.check(now) }
+// failedKeys returns the keys whose conditions didn't hold in a transaction.
+func failedKeys(result store.Result) map[string]bool {
+	failed := make(map[string]bool, len(result.FailedKeys))
+	for _, key := range result.FailedKeys {
+		failed[key] = true
+	}
+	return failed
+}
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -9,143 +9,158 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Bounds of one transaction that checks what is known of jobs: a job that isn't known here takes two conditions, one
+// Bounds of one transaction that checks status queries. A job that isn't in the job table takes two conditions, one
 // on its record and one on its archived answer.
 const (
-	condsPerCheck = 2
-	// checkBytes is what the conditions of one transaction may take, and condBytes what one takes beside its key. The
-	// state service takes 64 KiB altogether.
-	checkBytes = 60 << 10
-	condBytes  = 40
+	conditionsPerQuery = 2
+	// conditionOverhead is what one condition takes beside its key, in bytes.
+	conditionOverhead = 40
 )
 
-// checkSize is the most that a question about a job takes in a transaction.
-func checkSize(id string) int {
-	return len(jobs.RecordKey(id)) + len(archive.Key(id)) + condsPerCheck*condBytes
-}
+const (
+	// queryTxnInterval is the minimum time between two transactions, so that each checks many queries.
+	queryTxnInterval = 40 * time.Millisecond
+	// queryTxnBackoff is the delay after the budget for requests was used up.
+	queryTxnBackoff = 50 * time.Millisecond
+	// maxDeferredQueries is how many queries may wait while the budget is used up.
+	maxDeferredQueries = 200
+)
 
+// statusQuery is a lookup that waits to be checked against the state service.
 type statusQuery struct {
-	id      string
-	version uint64
-	reply   func(Reply)
-	submit  bool // a repeated submission asks: the answer carries no counts
+	lookup
+	version uint64 // of the job's record in the job table when it was checked, 0: none
+}
+
+// txnBytes is an upper bound of what the query takes in a transaction.
+func (q statusQuery) txnBytes() int {
+	return len(jobs.RecordKey(q.id)) + len(archive.Key(q.id)) + conditionsPerQuery*conditionOverhead
 }
 
-// Query answers what has become of a job. What can still change is checked against the
-// state service, many jobs in one transaction without changes.
-func (n *Service) Query(now time.Duration, id string, reply func(Reply)) {
-	if n.settled(id, true, reply) {
+// Query replies with a job's state and counts. A state that can still change is checked against the state service,
+// many jobs in one transaction without changes.
+func (s *Service) Query(now time.Duration, id string, reply func(Reply)) {
+	if settled, ok := s.replyWithoutRead(id, true); ok {
+		reply(settled)
 		return
 	}
-	n.queueCheck(now, statusQuery{id: id, reply: reply})
+	s.enqueueQuery(now, statusQuery{lookup: lookup{id: id, withCounts: true, absent: noSuchJob, reply: reply}})
 }
 
-func (n *Service) queueCheck(now time.Duration, c statusQuery) {
-	if n.stateLost(now) {
-		c.reply(noStateReply)
+// enqueueQuery queues a query to be checked, or refuses it if the queue is full.
+func (s *Service) enqueueQuery(now time.Duration, query statusQuery) {
+	if s.stateServiceSilent(now) {
+		query.reply(stateServiceUnavailable)
 		return
 	}
-	if len(n.queries) >= maxChecks {
-		c.reply(Refuse(TooManyRequests, "too many queries"))
+	if len(s.queries) >= maxWaitingQueries {
+		query.reply(Refuse(TooManyRequests, "too many queries"))
 		return
 	}
-	n.queries = append(n.queries, c)
-	n.check(now)
+	s.queries = append(s.queries, query)
+	s.checkQueries(now)
 }
 
-func (n *Service) check(now time.Duration) {
-	if n.queryInFlight || len(n.queries) == 0 || now < n.nextCheck {
+// checkQueries checks the waiting queries in one transaction, as far as they fit and one is due.
+func (s *Service) checkQueries(now time.Duration) {
+	if s.queryInFlight || len(s.queries) == 0 || now < s.nextQueryTxn {
 		return
 	}
-	// A flood of questions once took all that there was, and submissions and cancellations were refused beside it.
-	if !n.Store.CanWrite(0, store.QueryPriority) {
-		if len(n.queries) > 200 {
-			for _, c := range n.queries {
-				c.reply(Refuse(Unavailable, "the state service is at its limit"))
-			}
-			n.queries = nil
-		}
-		n.nextCheck = now + 50*time.Millisecond
+	// Queries have a share of their own: a flood of them must leave requests for submissions and cancellations.
+	if !s.Store.CanWrite(0, store.QueryPriority) {
+		s.deferQueries(now)
+		return
+	}
+	batch, txn := s.dequeueQueries()
+	s.queryInFlight = true
+	s.nextQueryTxn = now + queryTxnInterval
+	s.Store.Txn(txn, store.QueryPriority, func(result store.Result) {
+		s.queryInFlight = false
+		s.replyToQueries(batch, result)
+		s.checkQueries(s.Store.Now())
+	})
+}
+
+// deferQueries backs off while the budget for requests is used up, and refuses a long queue.
+func (s *Service) deferQueries(now time.Duration) {
+	s.nextQueryTxn = now + queryTxnBackoff
+	if len(s.queries) <= maxDeferredQueries {
 		return
 	}
+	for _, query := range s.queries {
+		query.reply(stateServiceOverloaded)
+	}
+	s.queries = nil
+}
+
+// dequeueQueries takes the queries that fit in one transaction off the queue, with that transaction: it holds if
+// the job table is up to date on each of them. Queries about the same job share their conditions.
+func (s *Service) dequeueQueries() ([]statusQuery, store.Txn) {
 	var batch []statusQuery
-	seen := map[string]bool{}
 	txn := store.Txn{}
-	k, size, most := 0, 0, store.ConditionsPerOp*n.limits().MaxOps
-	for ; k < len(n.queries) && len(txn.If)+condsPerCheck <= most; k++ {
-		c := n.queries[k]
-		if size += checkSize(c.id); size > checkBytes {
+	inTxn := map[string]bool{}
+	size := 0
+	maxConditions := store.ConditionsPerOp * s.limits().MaxOps
+	for _, query := range s.queries {
+		size += query.txnBytes()
+		if len(txn.If)+conditionsPerQuery > maxConditions || size > maxTxnBytes {
 			break
 		}
-		c.version = 0
-		if job := n.Jobs.Get(c.id); job != nil {
-			c.version = job.Version
+		if job := s.Jobs.Get(query.id); job != nil {
+			query.version = job.Version
 		}
-		if !seen[c.id] {
-			seen[c.id] = true
-			txn.If = append(txn.If, store.Condition{Key: jobs.RecordKey(c.id), Version: c.version})
-			if c.version == 0 {
-				txn.If = append(txn.If, archive.Absent(c.id))
-			}
+		if !inTxn[query.id] {
+			inTxn[query.id] = true
+			txn.If = query.appendConditions(txn.If)
 		}
-		batch = append(batch, c)
+		batch = append(batch, query)
 	}
-	n.queries = n.queries[k:]
-	n.queryInFlight = true
-	n.nextCheck = now + 40*time.Millisecond
-	n.Store.Txn(txn, store.QueryPriority, func(result store.Result) {
-		n.queryInFlight = false
-		n.checked(batch, result)
-		n.check(n.Store.Now())
-	})
+	s.queries = s.queries[len(batch):]
+	return batch, txn
 }
 
-func (n *Service) checked(batch []statusQuery, result store.Result) {
-	failed := map[string]bool{}
-	for _, k := range result.FailedKeys {
-		failed[k] = true
+// appendConditions adds the query's conditions: the record still has the version that was known, or neither record
+// nor archived answer exists.
+func (q statusQuery) appendConditions(conditions []store.Condition) []store.Condition {
+	conditions = append(conditions, store.Condition{Key: jobs.RecordKey(q.id), Version: q.version})
+	if q.version == 0 {
+		conditions = append(conditions, archive.Absent(q.id))
 	}
+	return conditions
+}
+
+// replyToQueries replies to the queries of a transaction.
+func (s *Service) replyToQueries(batch []statusQuery, result store.Result) {
 	if result.Outcome != store.Committed && result.Outcome != store.Conflict {
-		slog.Debug("queries not checked", "n", len(batch), "outcome", result.Outcome.String())
-		for _, c := range batch {
-			c.reply(noStateReply)
+		slog.Debug("status queries not checked", "queries", len(batch), "outcome", result.Outcome.String())
+		for _, query := range batch {
+			query.reply(stateServiceUnavailable)
 		}
 		return
 	}
-	for _, c := range batch {
-		job := n.Jobs.Get(c.id)
-		switch {
-		case !failed[jobs.RecordKey(c.id)] && !failed[archive.Key(c.id)]:
-			// Our version was the newest when the check ran. What has been learnt since
-			// is newer still.
-			switch {
-			case job != nil:
-				c.reply(n.show(job, !c.submit))
-			case c.version == 0:
-				c.reply(noSuchJob) // neither its record nor its answer was there, at one moment
-			default:
-				n.again(c) // it has ended and left the table meanwhile
-			}
-		case job != nil && job.State.Terminal():
-			c.reply(n.show(job, !c.submit))
-		case !failed[jobs.RecordKey(c.id)] && c.version == 0:
-			// Its answer was there, and its record wasn't: one read tells it.
-			n.archived(c.id, c.reply, !c.submit, n.absentFor(c), func(job *jobs.Job) { c.reply(n.show(job, !c.submit)) })
-		default:
-			n.again(c)
-		}
+	failed := failedKeys(result)
+	for _, query := range batch {
+		s.replyToQuery(query, failed)
 	}
 }
 
-// absentFor answers a question about a job that has neither record nor answer.
-func (n *Service) absentFor(c statusQuery) Reply {
-	if c.submit {
-		return notStored
+// replyToQuery replies to a query that was checked. Its job table entry was the newest version unless one of the
+// query's keys failed; what has been learnt since is newer still.
+func (s *Service) replyToQuery(query statusQuery, failed map[string]bool) {
+	recordFailed := failed[jobs.RecordKey(query.id)]
+	archiveFailed := failed[archive.Key(query.id)]
+	upToDate := !recordFailed && !archiveFailed
+	job := s.Jobs.Get(query.id)
+	switch {
+	case job != nil && (upToDate || job.State.Terminal()):
+		query.reply(s.jobReply(job, query.withCounts))
+	case upToDate && query.version == 0:
+		query.reply(noSuchJob) // neither its record nor its archived answer existed, at one moment
+	case !recordFailed && query.version == 0:
+		// Its archived answer existed and its record didn't: one read is enough.
+		s.replyFromArchive(query.lookup, func(job *jobs.Job) { query.reply(s.jobReply(job, query.withCounts)) })
+	default:
+		// The record has changed, or the job was archived and left the job table during the check.
+		s.readAndReply(query.lookup)
 	}
-	return noSuchJob
-}
-
-// again answers a question by reading, where a check has not settled it.
-func (n *Service) again(c statusQuery) {
-	n.reread(c.id, c.reply, !c.submit, n.absentFor(c))
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
@@ -8,164 +9,225 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// submitOverhead is more than what a submission takes in a transaction beside its record: its key and conditions.
-const submitOverhead = 180
+// Upper bounds of what a transaction takes beside the records of its submissions, in bytes.
+const (
+	submitTxnOverhead = 200
+	// submitOverhead is for each submission: its key and its conditions.
+	submitOverhead = 180
+)
 
+// pendingSubmission is a submission that waits to be stored.
 type pendingSubmission struct {
-	spec  *jobs.Spec
-	raw   []byte
-	reply func(Reply)
+	spec   *jobs.Spec
+	record []byte
+	reply  func(Reply)
 }
 
-// Submit takes a parsed submission.
-func (n *Service) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
-	if n.draining {
+// Submit stores a new job and replies once that is durable. A repeated submission gets the job's present state.
+func (s *Service) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
+	if s.draining {
 		reply(Refuse(Unavailable, "this controller is being drained: ask another"))
 		return
 	}
-	if !n.fit(reply) {
+	if refusal, refused := s.refuseUnlessReady(); refused {
+		reply(refusal)
 		return
 	}
-	if !n.Ready() {
-		reply(Refuse(Unavailable, "still reading the jobs"))
+	if final, ok := s.finalReply(spec.ID, false); ok {
+		reply(final)
 		return
 	}
-	if r, ok := n.final(spec.ID, false); ok {
-		reply(r)
+	if s.Jobs.Get(spec.ID) != nil {
+		s.enqueueQuery(now, statusQuery{lookup: lookup{id: spec.ID, absent: notStored, reply: reply}})
 		return
 	}
-	if n.Jobs.Get(spec.ID) != nil {
-		n.queueCheck(now, statusQuery{id: spec.ID, reply: reply, submit: true})
+	if !s.admit(now, spec, reply) {
 		return
 	}
-	switch v := n.Admit(spec); {
-	case !v.Known:
-		reply(Refuse(Unavailable, v.Why))
+	record := jobs.EncodeRecord(jobs.Pending, s.Jobs.WallMS(now), spec.Tasks, spec)
+	if refusal, refused := s.refuseOversized(spec, record); refused {
+		reply(refusal)
 		return
-	case !v.OK:
-		// A count of licences falls, or a machine type comes, while this job's record is on its way here
-		// from the controller that took it; or the job was accepted under other settings and is archived. Only a
-		// read tells a refusal from a repetition.
-		if n.stateLost(now) || !n.Store.CanWrite(0, store.NormalPriority) {
-			reply(noStateReply)
-			return
+	}
+	s.enqueueSubmission(now, pendingSubmission{spec: spec, record: record, reply: reply})
+}
+
+// admit reports whether a job can run and can be stored now, and replies if not.
+func (s *Service) admit(now time.Duration, spec *jobs.Spec, reply func(Reply)) bool {
+	result := s.Admit(spec)
+	if !result.Known {
+		reply(Refuse(Unavailable, result.Why))
+		return false
+	}
+	if result.OK {
+		if s.stateServiceSilent(now) {
+			reply(stateServiceUnavailable)
+			return false
 		}
-		n.reread(spec.ID, reply, false, Refuse(Unprocessable, v.Why))
-		return
+		return true
 	}
-	if n.stateLost(now) {
-		reply(noStateReply)
-		return
+	// The job may have been accepted all the same: by another controller, before the number of licences fell or
+	// while a machine type was added, with its record on its way here; or under other settings, and archived since.
+	// Only a read distinguishes a rejection from a repeated submission.
+	if s.stateServiceSilent(now) || !s.Store.CanWrite(0, store.NormalPriority) {
+		reply(stateServiceUnavailable)
+		return false
 	}
-	raw := jobs.EncodeRecord(jobs.Pending, n.Jobs.WallMS(now), spec.Tasks, spec)
-	if len(raw) > n.MaxValue {
-		reply(Refuse(Unprocessable, "the job's description is larger than what can be stored of a job"))
-		return
+	s.readAndReply(lookup{id: spec.ID, absent: Refuse(Unprocessable, result.Why), reply: reply})
+	return false
+}
+
+// refuseOversized returns the refusal of a job whose record can't be stored, or whose tasks exceed what a leader
+// keeps in memory together with those of all other jobs.
+func (s *Service) refuseOversized(spec *jobs.Spec, record []byte) (refusal Reply, refused bool) {
+	if len(record) > s.MaxValue {
+		return Refuse(Unprocessable, "the job's description is larger than what can be stored of a job"), true
 	}
-	if len(raw) > n.limits().MaxValueBytes {
-		reply(Refuse(Unavailable, "the state service takes no value as large as the job's description now"))
-		return
+	if len(record) > s.limits().MaxValueBytes {
+		return Refuse(Unavailable, "the state service takes no value as large as the job's description now"), true
 	}
-	// Every job is taken for itself; together they must fit the leader's memory.
-	if live := n.Jobs.LiveTasks(); live > 0 && live+spec.Tasks > n.MaxTasks {
-		reply(Refuse(TooManyRequests, "too many unfinished tasks"))
-		return
+	// A job is accepted whatever its size if it is the only one.
+	if live := s.Jobs.LiveTasks(); live > 0 && live+spec.Tasks > s.MaxTasks {
+		return Refuse(TooManyRequests, "too many unfinished tasks"), true
 	}
-	n.enqueue(now, pendingSubmission{spec, raw, reply})
+	return Reply{}, false
 }
 
-// enqueue lets a submission wait to be stored, if there is room.
-func (n *Service) enqueue(now time.Duration, s pendingSubmission) {
-	if len(n.submissions) >= maxSubmits || n.bytes+len(s.raw) > n.MaxBytes {
-		s.reply(n.later(now, "too many submissions"))
+// enqueueSubmission queues a submission to be stored, or refuses it if the queue is full.
+func (s *Service) enqueueSubmission(now time.Duration, submission pendingSubmission) {
+	if len(s.submissions) >= maxWaitingSubmissions || s.submissionBytes+len(submission.record) > s.MaxBytes {
+		submission.reply(s.refuseSubmission(now, "too many submissions"))
 		return
 	}
-	n.submissions, n.bytes = append(n.submissions, s), n.bytes+len(s.raw)
-	n.flush(now)
+	s.submissions = append(s.submissions, submission)
+	s.submissionBytes += len(submission.record)
+	s.storeSubmissions(now)
 }
 
-// flush writes all waiting submissions in one transaction; those that come meanwhile form
-// the next.
-func (n *Service) flush(now time.Duration) {
-	if n.submitInFlight || len(n.submissions) == 0 {
+// storeSubmissions writes the waiting submissions in one transaction, as far as they fit; those that arrive
+// meanwhile form the next one.
+func (s *Service) storeSubmissions(now time.Duration) {
+	if s.submitInFlight || len(s.submissions) == 0 {
 		return
 	}
-	size, k := 200, 0
-	seen := map[string]bool{}
-	for k < len(n.submissions) && k < n.limits().MaxOps {
-		s := n.submissions[k]
-		if size += len(s.raw) + submitOverhead; size > 60<<10 || seen[s.spec.ID] {
-			break
-		}
-		seen[s.spec.ID] = true
-		k++
-	}
-	if !n.Store.CanWrite(k, store.NormalPriority) {
-		if k = 1; !n.Store.CanWrite(k, store.NormalPriority) {
-			for _, s := range n.submissions {
-				s.reply(n.later(now, "the state service is at its limit"))
-			}
-			n.submissions, n.bytes = nil, 0
+	count := s.submissionsThatFit()
+	if !s.Store.CanWrite(count, store.NormalPriority) {
+		count = 1
+		if !s.Store.CanWrite(count, store.NormalPriority) {
+			s.refuseAllSubmissions(now)
 			return
 		}
 	}
-	batch := append([]pendingSubmission(nil), n.submissions[:k]...)
-	n.submissions = n.submissions[k:]
-	txn := store.Txn{}
-	for _, s := range batch {
-		n.bytes -= len(s.raw)
-		key := jobs.RecordKey(s.spec.ID)
-		// Should this land after the job was accepted elsewhere, has ended and was archived, it makes nothing.
-		txn.If = append(txn.If, store.Condition{Key: key}, archive.Absent(s.spec.ID))
-		txn.Then = append(txn.Then, store.Op{Put: key, Value: s.raw})
-	}
-	txn.If = n.guarded(txn.If...)
-	n.submitInFlight = true
-	n.Store.Txn(txn, store.NormalPriority, func(result store.Result) {
-		n.submitInFlight = false
-		n.submitted(n.Store.Now(), batch, result)
-		n.flush(n.Store.Now())
+	batch := s.dequeueSubmissions(count)
+	s.submitInFlight = true
+	s.Store.Txn(s.submissionTxn(batch), store.NormalPriority, func(result store.Result) {
+		s.submitInFlight = false
+		s.replyToSubmissions(s.Store.Now(), batch, result)
+		s.storeSubmissions(s.Store.Now())
 	})
 }
 
-func (n *Service) submitted(now time.Duration, batch []pendingSubmission, result store.Result) {
-	failed := map[string]bool{}
-	for _, k := range result.FailedKeys {
-		failed[k] = true
+// submissionsThatFit returns how many waiting submissions fit in one transaction. No job occurs in it twice.
+func (s *Service) submissionsThatFit() int {
+	count := 0
+	size := submitTxnOverhead
+	inTxn := map[string]bool{}
+	for count < len(s.submissions) && count < s.limits().MaxOps {
+		submission := s.submissions[count]
+		size += len(submission.record) + submitOverhead
+		if size > maxTxnBytes || inTxn[submission.spec.ID] {
+			break
+		}
+		inTxn[submission.spec.ID] = true
+		count++
 	}
-	for _, s := range batch {
-		key := jobs.RecordKey(s.spec.ID)
+	return count
+}
+
+// refuseAllSubmissions empties the queue while the budget for writes is used up.
+func (s *Service) refuseAllSubmissions(now time.Duration) {
+	for _, submission := range s.submissions {
+		submission.reply(s.refuseSubmission(now, "the state service is at its limit"))
+	}
+	s.submissions = nil
+	s.submissionBytes = 0
+}
+
+// dequeueSubmissions takes the first count submissions off the queue.
+func (s *Service) dequeueSubmissions(count int) []pendingSubmission {
+	batch := append([]pendingSubmission(nil), s.submissions[:count]...)
+	s.submissions = s.submissions[count:]
+	for _, submission := range batch {
+		s.submissionBytes -= len(submission.record)
+	}
+	return batch
+}
+
+// submissionTxn is the transaction that stores a batch of new jobs.
+func (s *Service) submissionTxn(batch []pendingSubmission) store.Txn {
+	txn := store.Txn{}
+	for _, submission := range batch {
+		id := submission.spec.ID
+		key := jobs.RecordKey(id)
+		// A write that lands late must not bring back a job that was accepted elsewhere, ended and was archived.
+		txn.If = append(txn.If, store.Condition{Key: key}, archive.Absent(id))
+		txn.Then = append(txn.Then, store.Op{Put: key, Value: submission.record})
+	}
+	txn.If = s.withLevelCondition(txn.If...)
+	return txn
+}
+
+// replyToSubmissions replies to a batch whose transaction has an outcome, or queues its submissions again.
+func (s *Service) replyToSubmissions(now time.Duration, batch []pendingSubmission, result store.Result) {
+	failed := failedKeys(result)
+	for _, submission := range batch {
 		switch result.Outcome {
 		case store.Committed:
-			n.OnJobRecord(now, store.Item{Key: key, Value: s.raw, Version: result.Revision})
-			n.accepted(s)
+			key := jobs.RecordKey(submission.spec.ID)
+			s.OnJobRecord(now, store.Item{Key: key, Value: submission.record, Version: result.Revision})
+			s.replyAccepted(submission)
 		case store.Conflict:
-			if failed[key] || failed[archive.Key(s.spec.ID)] {
-				n.reread(s.spec.ID, s.reply, false, notStored)
-			} else if n.LevelCondition != nil && failed[n.LevelCondition().Key] {
-				s.reply(Refuse(Unavailable, "the cluster's level has just changed"))
-			} else {
-				n.enqueue(now, s)
-			}
+			s.resolveConflict(now, submission, failed)
 		case store.Indeterminate:
-			// It may have been stored: only a read can tell. If it was not, it may yet
-			// be; then the user's retry finds it.
-			n.reread(s.spec.ID, s.reply, false, notStored)
+			// It may have been stored: only a read shows that. If not, it may be stored later; then the client's
+			// retry finds it.
+			s.readSubmission(submission)
 		default:
-			s.reply(Refuse(Unavailable, "the state service did not take the job"))
+			submission.reply(Refuse(Unavailable, "the state service did not take the job"))
 		}
 	}
 }
 
-// accepted answers a submission whose record is durable. Others may have read the record, users may have cancelled the
-// job, and it may even be over, before the answer of the state service came: the newest that is known goes out.
-func (n *Service) accepted(s pendingSubmission) {
-	switch job := n.Jobs.Get(s.spec.ID); {
+// resolveConflict settles a submission whose transaction changed nothing because conditions on the failed keys
+// didn't hold. If none of these concerns the submission, it is queued again.
+func (s *Service) resolveConflict(now time.Duration, submission pendingSubmission, failed map[string]bool) {
+	id := submission.spec.ID
+	switch {
+	case failed[jobs.RecordKey(id)] || failed[archive.Key(id)]:
+		s.readSubmission(submission)
+	case s.LevelCondition != nil && failed[s.LevelCondition().Key]:
+		submission.reply(Refuse(Unavailable, "the cluster's level has just changed"))
+	default:
+		s.enqueueSubmission(now, submission)
+	}
+}
+
+// replyAccepted replies to a submission whose record is durable. Before the state service's response arrived,
+// others may have read the record, and the job may have been cancelled or even ended: the newest known state is
+// sent.
+func (s *Service) replyAccepted(submission pendingSubmission) {
+	id := submission.spec.ID
+	switch job := s.Jobs.Get(id); {
 	case job == nil:
-		n.reread(s.spec.ID, s.reply, false, notStored)
+		s.readSubmission(submission)
 	case job.State.Terminal():
-		s.reply(n.show(job, false))
+		submission.reply(s.jobReply(job, false))
 	default:
-		s.reply(Reply{Status: 201, Body: view{ID: s.spec.ID, Stance: "pending"}})
+		submission.reply(Reply{Status: http.StatusCreated, Body: jobBody{ID: id, State: jobs.Pending.String()}})
 	}
 }
+
+// readSubmission replies to a submission from a fresh read.
+func (s *Service) readSubmission(submission pendingSubmission) {
+	s.readAndReply(lookup{id: submission.spec.ID, absent: notStored, reply: submission.reply})
+}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -146,7 +146,7 @@
 	case verb == "":
 		c.api.Query(now, id, say)
 	case verb == "abort":
-		c.api.Abort(now, id, say)
+		c.api.Cancel(now, nil, id, say)
 	default:
 		c.leaderCall(now, api.LeaderRequest{Resource: verb, Name: id, Verb: "show"}, say)
 	}
