--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -1,7 +1,5 @@
 package capacity
 
-// What boots take, by type and zone, and what follows from it for those on their way.
-
 import (
 	"math"
 	"slices"
@@ -9,72 +7,133 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+const (
+	// maxBootSamples is how many boots of a type in a zone are remembered.
+	maxBootSamples = 16
+	// minBootSamples is how many it takes to expect anything but the default.
+	minBootSamples = 4
 )
 
-// keptBoots is how many boots of a type in a zone are remembered.
-const keptBoots = 16
+// pendingBoot is a machine that was rented and has sent no heartbeat yet.
+type pendingBoot struct {
+	offer
+	startedAt time.Duration
+}
+
+// bootKind is what boot times depend on.
+type bootKind struct{ typeIndex, zone int32 }
 
-// place is a type of machine in a zone.
-type place struct{ typ, zone int32 }
+func (o offer) bootKind() bootKind { return bootKind{typeIndex: o.typeIndex, zone: o.zone} }
 
-// bootTimes are the times that boots took lately, in seconds, the newest last.
-type bootTimes map[place][]float64
+// bootTimes are the durations of recent boots, in seconds, the newest last.
+type bootTimes map[bootKind][]float64
 
-// took notes a boot that has come up.
-func (b bootTimes) took(o offer, duration time.Duration) {
-	p := place{o.typ, o.zone}
-	b[p] = append(b[p], duration.Seconds())
-	b[p] = b[p][max(0, len(b[p])-keptBoots):]
+// record adds a boot that has completed.
+func (b bootTimes) record(o offer, duration time.Duration) {
+	kind := o.bootKind()
+	samples := append(b[kind], duration.Seconds())
+	b[kind] = samples[max(0, len(samples)-maxBootSamples):]
 }
 
-// usual is by when a boot is up as a rule: a quarter more than nine of ten took lately in its zone, and before anything is
-// known the protocol's usual time and as much again (0.6 to 1.5 times it, some several times).
-func (b bootTimes) usual(o offer, bootS float64) time.Duration {
-	seen := b[place{o.typ, o.zone}]
-	plain := 2.2*bootS + 10
-	if len(seen) < 4 {
-		return config.Seconds(plain)
+// expected is the time within which a boot usually completes: a quarter more than nine of ten recent boots of its
+// kind took. With too few samples it follows from bootS, the cloud's usual time: boots take 0.6 to 1.5 times it,
+// and some several times.
+func (b bootTimes) expected(o offer, bootS float64) time.Duration {
+	defaultS := 2.2*bootS + 10
+	samples := b[o.bootKind()]
+	if len(samples) < minBootSamples {
+		return config.Seconds(defaultS)
 	}
-	s := slices.Clone(seen)
-	sort.Float64s(s)
-	return config.Seconds(min(max(1.25*s[len(s)*9/10], 1.5*bootS+5), 4*plain))
+	sorted := slices.Clone(samples)
+	sort.Float64s(sorted)
+	ninthDecile := sorted[len(sorted)*9/10]
+	return config.Seconds(min(max(1.25*ninthDecile, 1.5*bootS+5), 4*defaultS))
 }
 
-// givenUp is when a boot is given back: when it has waited as long beyond what is usual as getting another takes, so
-// that neither waiting for one that never comes nor giving one up that comes late costs more than twice the best choice.
-func (b bootTimes) givenUp(o offer, bootS float64) time.Duration { return 2 * b.usual(o, bootS) }
+// timeout is when a boot is abandoned and its machine returned: after waiting as long beyond the expected time as
+// another boot takes, so that neither waiting for one that never completes nor abandoning one that would complete
+// late costs more than twice the best choice.
+func (b bootTimes) timeout(o offer, bootS float64) time.Duration { return 2 * b.expected(o, bootS) }
+
+// evaluateBoots records the boots that have completed, and returns the machines of those that have timed out.
+func (m *Manager) evaluateBoots(now time.Duration) {
+	for name, boot := range m.boots {
+		elapsed := now - boot.startedAt
+		if machine := m.Fleet.FindMachine(name); machine != nil && machine.Session > 0 {
+			m.bootTimes.record(boot.offer, elapsed)
+			delete(m.boots, name)
+			continue
+		}
+		machineType := m.machineType(boot.typeIndex)
+		if machineType != nil && elapsed > m.bootTimes.timeout(boot.offer, machineType.BootS) {
+			m.toReturn[name] = causeBootTimeout
+		}
+	}
+}
 
-// group is the boots of one offer that are overdue.
-type group struct {
-	names []string
-	worst time.Duration // by how much the one that has waited longest is overdue
+// overdueGroup is the boots of one offer that are overdue.
+type overdueGroup struct {
+	names      []string
+	maxOverdue time.Duration
 }
 
-// overdue tells which boots don't count as capacity any more. Those of one offer are given up on one after the other, over
-// as long again as the usual time: where a whole batch is late together, all of it was rented anew at once, and both came.
-func (c *Manager) overdue(now time.Duration) map[string]bool {
-	groups := map[offer]*group{}
-	for name, b := range c.boots {
-		machineType := c.typ(b.typ)
+// overdueBoots returns the boots that don't count as capacity any more. Those of one offer are replaced one after
+// the other, over as long again as the expected time: where a whole batch is late together, replacing all at once
+// would pay for both.
+func (m *Manager) overdueBoots(now time.Duration) map[string]bool {
+	replaced := map[string]bool{}
+	for o, group := range m.groupOverdue(now) {
+		expected := m.bootTimes.expected(o, m.machineType(o.typeIndex).BootS)
+		share := float64(group.maxOverdue) / float64(expected)
+		count := int(math.Ceil(share * float64(len(group.names))))
+		sort.Strings(group.names)
+		for _, name := range group.names[:min(len(group.names), count)] {
+			replaced[name] = true
+		}
+	}
+	return replaced
+}
+
+func (m *Manager) groupOverdue(now time.Duration) map[offer]*overdueGroup {
+	groups := map[offer]*overdueGroup{}
+	for name, boot := range m.boots {
+		machineType := m.machineType(boot.typeIndex)
 		if machineType == nil {
 			continue
 		}
-		if over := now - b.since - c.bootTimes.usual(b.offer, machineType.BootS); over > 0 {
-			g := groups[b.offer]
-			if g == nil {
-				g = &group{}
-				groups[b.offer] = g
-			}
-			g.names, g.worst = append(g.names, name), max(g.worst, over)
+		overdue := now - boot.startedAt - m.bootTimes.expected(boot.offer, machineType.BootS)
+		if overdue <= 0 {
+			continue
+		}
+		group := groups[boot.offer]
+		if group == nil {
+			group = &overdueGroup{}
+			groups[boot.offer] = group
 		}
+		group.names = append(group.names, name)
+		group.maxOverdue = max(group.maxOverdue, overdue)
 	}
-	out := map[string]bool{}
-	for offer, g := range groups {
-		part := float64(g.worst) / float64(c.bootTimes.usual(offer, c.typ(offer.typ).BootS))
-		sort.Strings(g.names)
-		for _, name := range g.names[:min(len(g.names), int(math.Ceil(part*float64(len(g.names)))))] {
-			out[name] = true
+	return groups
+}
+
+// Booting returns how many machines that a job may use are booting, and in how many seconds the first is expected,
+// 0 if it is overdue.
+func (m *Manager) Booting(now time.Duration, job *jobs.Job) (count int, nextS float64) {
+	nextS = math.Inf(1)
+	for _, boot := range m.boots {
+		machineType := m.machineType(boot.typeIndex)
+		if machineType == nil || !boot.allowedFor(job) || !job.Spec.Size().Fits(machineType.Size()) {
+			continue
 		}
+		count++
+		remaining := machineType.BootS - (now - boot.startedAt).Seconds()
+		nextS = min(nextS, max(0, remaining))
+	}
+	if count == 0 {
+		return 0, 0
 	}
-	return out
+	return count, nextS
 }
--- /dev/null
+++ b/internal/capacity/health_test.go
@@ -0,0 +1,66 @@
+package capacity
+
+import (
+	"testing"
+	"time"
+)
+
+// A lost zone keeps its machines, however many there are, while a single silent machine is returned.
+func TestMachinesOfALostZoneAreKept(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		isZoneLost   bool
+		wantReturned int
+	}{
+		{name: "one machine is silent", isZoneLost: false, wantReturned: 1},
+		{name: "a zone is lost", isZoneLost: true, wantReturned: 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture()
+			f.Settings.Operator.IdleS = 1e6
+			seq := uint64(0)
+			for second := range 15 {
+				f.cloud.now += time.Second
+				for i := range 40 {
+					goesSilent := i == 1 || (c.isZoneLost && i%2 == 1)
+					// The heartbeats of those that go silent cease one after the other.
+					if !goesSilent || second < i%4 {
+						seq++
+						f.Fleet.HandleHeartbeat(f.cloud.now, heartbeat(i, seq))
+					}
+				}
+				f.evaluateMachines(f.cloud.now, true)
+			}
+			if len(f.toReturn) != c.wantReturned {
+				t.Fatalf("%d machines to be returned, want %d: %v", len(f.toReturn), c.wantReturned, f.toReturn)
+			}
+		})
+	}
+}
+
+// While a controller has no authority it hears no machine, and that isn't counted as the machines' silence.
+func TestSilenceCountsFromAuthority(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		hadAuthority bool
+		wantLost     int
+	}{
+		{name: "authority regained just now", hadAuthority: false, wantLost: 0},
+		{name: "authority all the time", hadAuthority: true, wantLost: 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture()
+			for i := range 40 {
+				f.Fleet.HandleHeartbeat(f.cloud.now, heartbeat(i, 1))
+			}
+			f.cloud.now += 9 * time.Second
+			if !c.hadAuthority {
+				f.authoritySince = f.cloud.now
+			}
+			f.runFor(time.Second)
+			if lost := len(f.Zones.Lost()); lost != c.wantLost {
+				t.Fatalf("%d zones count as lost, want %d", lost, c.wantLost)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/capacity/machinetype.go
@@ -0,0 +1,99 @@
+package capacity
+
+import (
+	"encoding/json"
+	"errors"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/planner"
+)
+
+// ErrNoMachineTypes is returned by ParseTypes for a response without any type.
+var ErrNoMachineTypes = errors.New("no machine types")
+
+// MachineType is a type of machine that the cloud offers.
+type MachineType struct {
+	Name    string
+	CPUs    float64
+	GPUs    float64
+	Mem     float64  // GB
+	CacheGB float64  // for images
+	FetchGB float64  // of images, per second
+	Price   float64  // per hour, on demand
+	Spot    float64  // per hour, as a spot instance
+	BootS   float64  // usual boot time, seconds
+	Zones   []string // that offer it
+}
+
+// machineTypeBody is a MachineType on the wire.
+type machineTypeBody struct {
+	Name    string   `json:"name"`
+	CPUs    float64  `json:"cpus"`
+	GPUs    float64  `json:"accelerators"`
+	Mem     float64  `json:"memory_gb"`
+	CacheGB float64  `json:"cache_gb"`
+	FetchGB float64  `json:"fetch_gb_per_s"`
+	Price   float64  `json:"price"`
+	Spot    float64  `json:"low_price"`
+	BootS   float64  `json:"ready_s"`
+	Zones   []string `json:"meadows"`
+}
+
+// machineTypesBody is the body of the cloud's response about its types.
+type machineTypesBody struct {
+	Types []machineTypeBody `json:"builds"`
+}
+
+// ParseTypes decodes the cloud's response about its types. It returns ErrNoMachineTypes if there are none.
+func ParseTypes(raw []byte) ([]MachineType, error) {
+	var body machineTypesBody
+	if err := json.Unmarshal(raw, &body); err != nil {
+		return nil, err
+	}
+	if len(body.Types) == 0 {
+		return nil, ErrNoMachineTypes
+	}
+	types := make([]MachineType, len(body.Types))
+	for i, wireType := range body.Types {
+		types[i] = MachineType(wireType)
+	}
+	return types, nil
+}
+
+// MarshalJSON encodes a type as the cloud sends it. Simulated clouds use it.
+func (t MachineType) MarshalJSON() ([]byte, error) { return json.Marshal(machineTypeBody(t)) }
+
+// Size returns the resources of a machine of the type.
+func (t MachineType) Size() planner.Size { return planner.Size{CPUs: t.CPUs, GPUs: t.GPUs, Mem: t.Mem} }
+
+// hourlyPrice is the price of a machine of the type, as a spot instance or on demand.
+func (t MachineType) hourlyPrice(isSpot bool) float64 {
+	if isSpot {
+		return t.Spot
+	}
+	return t.Price
+}
+
+// machineType returns the type with an index, nil if the cloud doesn't offer it or the index is jobs.None.
+func (m *Manager) machineType(index int32) *MachineType {
+	if index == jobs.None {
+		return nil
+	}
+	name := m.Names.Types.Name(index)
+	for i, machineType := range m.Types() {
+		if machineType.Name == name {
+			return &m.Types()[i]
+		}
+	}
+	return nil
+}
+
+// secondsUntilUseful is how long a new machine of a type takes until it runs a task: its boot and the fetch of an
+// image of mean size.
+func (m *Manager) secondsUntilUseful(machineType *MachineType) float64 {
+	seconds := machineType.BootS
+	if machineType.FetchGB > 0 {
+		seconds += m.Fleet.ImageGB() / machineType.FetchGB
+	}
+	return seconds
+}
--- /dev/null
+++ b/internal/capacity/offer.go
@@ -0,0 +1,93 @@
+package capacity
+
+import (
+	"math"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+// offer is a kind of machine that can be rented.
+type offer struct {
+	typeIndex, zone int32
+	isSpot          bool
+}
+
+// less orders offers, so that the choice between equal ones is deterministic.
+func (o offer) less(other offer) bool {
+	if o.typeIndex != other.typeIndex {
+		return o.typeIndex < other.typeIndex
+	}
+	if o.zone != other.zone {
+		return o.zone < other.zone
+	}
+	return o.isSpot && !other.isSpot
+}
+
+// allowedFor reports whether a job's spec allows machines of the offer.
+func (o offer) allowedFor(job *jobs.Job) bool { return job.Allows(o.typeIndex, o.zone, o.isSpot) }
+
+// zoneSpread holds how many more tasks of a job may run in each zone.
+type zoneSpread struct {
+	limit int           // of tasks in each zone, 0: none
+	tasks map[int32]int // by zone, nil without a limit
+}
+
+func (m *Manager) zoneSpread(job *jobs.Job) zoneSpread {
+	limit := job.Spec.ZoneLimit()
+	if limit <= 0 {
+		return zoneSpread{}
+	}
+	return zoneSpread{limit: limit, tasks: m.Fleet.TasksByZone(job)}
+}
+
+// isFull reports whether no more tasks may run in a zone.
+func (s zoneSpread) isFull(zone int32) bool { return s.limit > 0 && s.tasks[zone] >= s.limit }
+
+// place adds at most count tasks to a zone and returns how many.
+func (s zoneSpread) place(zone int32, count int) int {
+	if s.limit == 0 {
+		return count
+	}
+	placed := min(count, s.limit-s.tasks[zone])
+	s.tasks[zone] += placed
+	return placed
+}
+
+// zonePenalty raises the price of an offer for each machine in its zone. It only decides between offers of one
+// price: zones are filled evenly, so that no single cut takes all.
+const zonePenalty = 1e-6
+
+// chooseOffer returns the offer with the lowest price for one task of a job, among those that the job, its zone
+// limit and the zones' state allow and that the cloud hasn't refused lately. The price for a task is that of the
+// machine divided by the tasks that fit on it, so that a machine with GPUs isn't chosen for a task without.
+func (m *Manager) chooseOffer(now time.Duration, job *jobs.Job, spread zoneSpread) (best offer, found bool) {
+	bestPrice := math.Inf(1)
+	for _, machineType := range m.Types() {
+		tasks := job.Spec.Size().Copies(machineType.Size())
+		if tasks <= 0 {
+			continue
+		}
+		typeIndex := m.Names.Types.Index(machineType.Name)
+		for _, zoneName := range machineType.Zones {
+			zone := m.Names.Zones.Index(zoneName)
+			if spread.isFull(zone) || !m.Zones.AllowsRenting(zone) {
+				continue
+			}
+			for _, isSpot := range [...]bool{true, false} {
+				o := offer{typeIndex: typeIndex, zone: zone, isSpot: isSpot}
+				price := machineType.hourlyPrice(isSpot)
+				if price <= 0 || !o.allowedFor(job) || now < m.refusedUntil[o] {
+					continue
+				}
+				taskPrice := price/float64(tasks) + zonePenalty*float64(m.machinesByZone[zone])
+				if taskPrice < bestPrice {
+					best = o
+					bestPrice = taskPrice
+					found = true
+				}
+			}
+		}
+	}
+	return best, found
+}
