--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,9 @@
-// Package admission is the one door to a machine: whether a task may start is decided here and
-// nowhere else. Behind it stand the team limits and the licences, and whatever limits come
-// later: all of them agree or nothing is taken, and what one of them books and releases the
-// others book and release at the same moments. It belongs to the fleet of one term and holds
-// no clock.
+// Package admission decides whether a task may start: nothing is launched that the gate hasn't admitted. Behind the
+// gate are team limits and licences. Either all of them admit a task or none books it, and all of them book and
+// release at the same moments.
+//
+// The fleet makes one Gate for each term and calls it on the event loop. A gate reads no clock, and doesn't choose
+// which task is next or on which machine.
 package admission
 
 import (
@@ -17,96 +18,96 @@
 type Claim struct {
 	Team  int32
 	Size  planner.Size
-	Seats []licences.Unit // nil: none
+	Seats []licences.Unit // licence units, nil: none
 }
 
-// Denial says what keeps a task from starting; the zero value: nothing.
+// Denial is why a task may not start. The zero value means that it may.
 type Denial struct {
-	TeamLimit bool // the team's limit of cores or accelerators
-	Licence   licences.Denial
-	Pool      int32 // of Seat
+	TeamLimit bool            // the team's limit of cores or GPUs
+	Licence   licences.Denial // licences.Granted: no licence is in the way
+	Pool      int32           // of the missing licence
 }
 
-// OK tells whether nothing is in the way.
+// OK reports whether the task may start.
 func (d Denial) OK() bool { return !d.TeamLimit && d.Licence == licences.Granted }
 
-// Gate decides.
+// Gate admits tasks and keeps the bookings of the admitted ones.
 type Gate struct {
 	Quota    *quota.Ledger
 	Licences *licences.Ledger
-	// booked are tasks of gangs that have begun to start: everything of theirs is taken,
-	// but their own launch is put off.
-	booked map[licences.Ref]Claim
+	// reserved are tasks of gangs that have begun to start: their claims are booked, and they aren't launched yet.
+	reserved map[licences.Ref]Claim
 }
 
-// New makes a gate in front of two ledgers.
-func New(q *quota.Ledger, s *licences.Ledger) *Gate {
-	return &Gate{Quota: q, Licences: s, booked: map[licences.Ref]Claim{}}
+// New returns a gate that books on two ledgers.
+func New(quotaLedger *quota.Ledger, licenceLedger *licences.Ledger) *Gate {
+	return &Gate{Quota: quotaLedger, Licences: licenceLedger, reserved: map[licences.Ref]Claim{}}
 }
 
-// Ask tells whether n more tasks with a claim may start together now.
-func (g *Gate) Ask(c Claim, n int) Denial {
-	if !g.Quota.Fits(c.Team, c.Size, n) {
+// Ask returns why n more tasks with a claim may not start together now.
+func (g *Gate) Ask(claim Claim, n int) Denial {
+	if !g.Quota.Fits(claim.Team, claim.Size, n) {
 		return Denial{TeamLimit: true}
 	}
-	if len(c.Seats) == 0 {
+	if len(claim.Seats) == 0 {
 		return Denial{}
 	}
-	d, pool := g.Licences.Fits(c.Team, c.Seats, n)
-	return Denial{Licence: d, Pool: pool}
+	denial, pool := g.Licences.Fits(claim.Team, claim.Seats, n)
+	return Denial{Licence: denial, Pool: pool}
 }
 
-// Fits is Ask for callers that need no reason.
-func (g *Gate) Fits(c Claim, n int) bool { return g.Ask(c, n).OK() }
+// Fits reports whether n more tasks with a claim may start together now.
+func (g *Gate) Fits(claim Claim, n int) bool { return g.Ask(claim, n).OK() }
 
-// Reserved tells whether a task was let through with its gang.
-func (g *Gate) Reserved(ref licences.Ref) bool {
-	if len(g.booked) == 0 {
+// Reserved reports whether a task was admitted with its gang and isn't launched yet.
+func (g *Gate) Reserved(task licences.Ref) bool {
+	if len(g.reserved) == 0 {
 		return false
 	}
-	_, ok := g.booked[ref]
+	_, ok := g.reserved[task]
 	return ok
 }
 
-// Reserve lets a whole gang through at once, so that nobody takes its place between the launches
-// of its first and of its last task. The caller has asked for all of them.
-func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, c Claim) {
-	for _, r := range refs {
-		if !g.Reserved(r) {
-			g.booked[r] = c
-			g.Quota.Take(c.Team, c.Size)
-			g.Licences.Take(now, r, attempt, c.Team, c.Seats, licences.Booked)
+// Reserve books the claims of a whole gang, so that no other task takes their place between its first and its last
+// launch. The caller has asked for all of them. Tasks that are reserved already are skipped.
+func (g *Gate) Reserve(now time.Duration, tasks []licences.Ref, attempt uint64, claim Claim) {
+	for _, task := range tasks {
+		if g.Reserved(task) {
+			continue
 		}
+		g.reserved[task] = claim
+		g.Quota.Take(claim.Team, claim.Size)
+		g.Licences.Take(now, task, attempt, claim.Team, claim.Seats, licences.Booked)
 	}
 }
 
-// ReleaseReserved gives back what was booked for tasks that will not be launched now, as the caller says.
-func (g *Gate) ReleaseReserved(now time.Duration, given func(licences.Ref) bool) {
-	for r, c := range g.booked {
-		if given(r) {
-			g.Release(now, r, c, licences.Unstarted)
+// ReleaseReserved releases the reserved tasks for which isAbandoned returns true: they won't be launched now.
+func (g *Gate) ReleaseReserved(now time.Duration, isAbandoned func(licences.Ref) bool) {
+	for task, claim := range g.reserved {
+		if isAbandoned(task) {
+			g.Release(now, task, claim, licences.Unstarted)
 		}
 	}
 }
 
-// Acquire counts a task as being on a machine, from before its launch is sent. Attempt is 0 where
-// it is not known.
-func (g *Gate) Acquire(now time.Duration, r licences.Ref, attempt uint64, c Claim) {
-	if g.Reserved(r) {
-		delete(g.booked, r)
+// Acquire counts a task as being on a machine, from before its launch is sent. A reserved task's booking is kept.
+// attempt is 0 where it isn't known.
+func (g *Gate) Acquire(now time.Duration, task licences.Ref, attempt uint64, claim Claim) {
+	if g.Reserved(task) {
+		delete(g.reserved, task)
 	} else {
-		g.Quota.Take(c.Team, c.Size)
+		g.Quota.Take(claim.Team, claim.Size)
 	}
-	if len(c.Seats) > 0 {
-		g.Licences.Take(now, r, attempt, c.Team, c.Seats, licences.Held)
+	if len(claim.Seats) > 0 {
+		g.Licences.Take(now, task, attempt, claim.Team, claim.Seats, licences.Held)
 	}
 }
 
-// Release ends that, once the task is known to be gone.
-func (g *Gate) Release(now time.Duration, r licences.Ref, c Claim, how licences.End) {
-	delete(g.booked, r)
-	g.Quota.Give(c.Team, c.Size)
-	if len(c.Seats) > 0 {
-		g.Licences.Give(now, r, c.Seats, how)
+// Release releases a task's claim, once the task is proven gone or won't be launched. end is how it ended.
+func (g *Gate) Release(now time.Duration, task licences.Ref, claim Claim, end licences.End) {
+	delete(g.reserved, task)
+	g.Quota.Give(claim.Team, claim.Size)
+	if len(claim.Seats) > 0 {
+		g.Licences.Give(now, task, claim.Seats, end)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -9,57 +9,99 @@
 	"github.com/harewalk/harewalk/internal/quota"
 )
 
-// What one limit refuses no other books, and what is booked is taken and given back by all of them
-// at the same moments, once, however often a task is let through.
-func TestAllOrNothing(t *testing.T) {
-	team := func(string) int32 { return 0 }
-	cat := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
-	g := New(quota.New([]config.Team{{Name: "t", CPUsMax: 10}}, team), licences.New(cat, team, 0))
-	units, err := cat.Needs(map[string]int{"p": 1})
+const (
+	testTeam    int32 = 0
+	unknownTeam int32 = 5
+	testPool    int32 = 0
+)
+
+// newTestGate returns a gate with a limit of 10 CPUs and 3 licence units for a team, and a claim of 4 CPUs and 1
+// unit.
+func newTestGate(t *testing.T) (*Gate, Claim) {
+	t.Helper()
+	teamIndex := func(string) int32 { return testTeam }
+	catalog := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
+	units, err := catalog.Needs(map[string]int{"p": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := Claim{Team: 0, Size: planner.Size{CPUs: 4}, Seats: units}
-	state := func(cpus float64, free int) {
-		t.Helper()
-		used, v := g.Quota.Team(0).Used.CPUs, g.Licences.Show(0, 0, func(int32) string { return "" })
-		if used != cpus || v.Free != free {
-			t.Fatalf("%v CPUs used and %d seats free, want %v and %d", used, v.Free, cpus, free)
-		}
+	gate := New(
+		quota.New([]config.Team{{Name: "t", CPUsMax: 10}}, teamIndex),
+		licences.New(catalog, teamIndex, 0),
+	)
+	return gate, Claim{Team: testTeam, Size: planner.Size{CPUs: 4}, Seats: units}
+}
+
+func checkBooked(t *testing.T, gate *Gate, wantCPUs float64, wantFreeUnits int) {
+	t.Helper()
+	cpus := gate.Quota.Team(testTeam).Used.CPUs
+	pool := gate.Licences.Show(0, testPool, func(int32) string { return "" })
+	if cpus != wantCPUs || pool.Free != wantFreeUnits {
+		t.Fatalf("%v CPUs used and %d units free, want %v and %d", cpus, pool.Free, wantCPUs, wantFreeUnits)
 	}
-	if d := g.Ask(c, 3); !d.TeamLimit {
-		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", d)
+}
+
+// What one limit denies is booked on no other.
+func TestDeniedTasksBookNothing(t *testing.T) {
+	gate, claim := newTestGate(t)
+	if denial := gate.Ask(claim, 3); !denial.TeamLimit {
+		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", denial)
 	}
-	small := c
+	small := claim
 	small.Size.CPUs = 1
-	if d := g.Ask(small, 4); d.OK() || d.TeamLimit || d.Licence != licences.NoSeat || d.Pool != 0 {
-		t.Fatalf("four seats of three: %+v", d)
+	denial := gate.Ask(small, 4)
+	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoSeat || denial.Pool != testPool {
+		t.Fatalf("four units of three: %+v", denial)
+	}
+	checkBooked(t, gate, 0, 3)
+	withoutUnits := Claim{Team: testTeam, Size: planner.Size{CPUs: 10}}
+	if !gate.Fits(withoutUnits, 1) {
+		t.Fatal("a task without licences is denied")
 	}
-	state(0, 3)
-	a, b := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
-	g.Acquire(0, a, 7, c)
-	g.Reserve(0, []licences.Ref{a, b}[1:], 7, c)
-	g.Reserve(0, []licences.Ref{b}, 7, c)
-	state(8, 1)
-	if !g.Reserved(b) || g.Reserved(a) || g.Fits(c, 1) {
+	if gate.Fits(Claim{Team: unknownTeam}, 1) {
+		t.Fatal("a task of an unknown team is admitted")
+	}
+}
+
+// A claim is booked and released on all ledgers at the same moments, and once, however often its task is admitted.
+func TestClaimsAreBookedOnceOnAllLedgers(t *testing.T) {
+	gate, claim := newTestGate(t)
+	checkBooked(t, gate, 0, 3)
+	launched, reserved := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
+	gate.Acquire(0, launched, 7, claim)
+	gate.Reserve(0, []licences.Ref{reserved}, 7, claim)
+	gate.Reserve(0, []licences.Ref{reserved}, 7, claim)
+	checkBooked(t, gate, 8, 1)
+	if !gate.Reserved(reserved) || gate.Reserved(launched) || gate.Fits(claim, 1) {
 		t.Fatal("the limit of 10 has room for a third task of 4")
 	}
-	g.Acquire(0, b, 7, c) // its launch follows: it is counted already
-	state(8, 1)
-	if g.Reserved(b) {
-		t.Fatal("still booked after its launch")
+	gate.Acquire(0, reserved, 7, claim)
+	checkBooked(t, gate, 8, 1)
+	if gate.Reserved(reserved) {
+		t.Fatal("still reserved after its launch")
+	}
+	gate.Release(0, launched, claim, licences.Clean)
+	checkBooked(t, gate, 4, 2)
+	gate.Release(0, reserved, claim, licences.Unstarted)
+	checkBooked(t, gate, 0, 3)
+}
+
+func TestReservedTasksAreReleased(t *testing.T) {
+	gate, claim := newTestGate(t)
+	first, second := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
+	// As in a gang's next attempt: both were launched and released before.
+	for _, task := range []licences.Ref{first, second} {
+		gate.Acquire(0, task, 7, claim)
+		gate.Release(0, task, claim, licences.Clean)
 	}
-	g.Release(0, a, c, licences.Clean)
-	state(4, 2)
-	g.Release(0, b, c, licences.Unstarted)
-	state(0, 3)
-	g.Reserve(0, []licences.Ref{a, b}, 9, c)
-	g.ReleaseReserved(0, func(r licences.Ref) bool { return r == b })
-	state(4, 2)
-	g.ReleaseReserved(0, func(licences.Ref) bool { return true })
-	state(0, 3)
-	none := Claim{Team: 0, Size: planner.Size{CPUs: 10}}
-	if !g.Fits(none, 1) || g.Fits(Claim{Team: 5}, 1) {
-		t.Fatal("a task without seats is kept out, or one of an unknown team let in")
+	gate.Reserve(0, []licences.Ref{first, second}, 9, claim)
+	checkBooked(t, gate, 8, 1)
+	gate.ReleaseReserved(0, func(task licences.Ref) bool { return task == second })
+	checkBooked(t, gate, 4, 2)
+	gate.ReleaseReserved(0, func(licences.Ref) bool { return true })
+	checkBooked(t, gate, 0, 3)
+	withoutUnits := Claim{Team: testTeam, Size: planner.Size{CPUs: 10}}
+	if !gate.Fits(withoutUnits, 1) || gate.Fits(Claim{Team: unknownTeam}, 1) {
+		t.Fatal("a task without licences is denied, or one of an unknown team admitted")
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,9 @@
-// Package quota keeps what each team's tasks may be using, against its limit and its
-// guarantee. A limit or guarantee of 0 means that none is set.
+// Package quota keeps what each team's tasks may be using, against the team's limit and guarantee.
+//
+// A Ledger holds the limits of the settings. The leader's admission gate books tasks on one, from before their
+// launch until they are proven gone, and the scheduling cycle reads it to order jobs. Every controller has another
+// one, without bookings, to reject jobs that can never run. The package decides nothing about machines and stores
+// nothing. A ledger isn't safe for concurrent use: it belongs to the event loop.
 package quota
 
 import (
@@ -9,6 +13,9 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
+// guaranteeTolerance makes up for rounding in sums of demands.
+const guaranteeTolerance = 1e-6
+
 // Team is one team's account.
 type Team struct {
 	Limit     planner.Size // +Inf where none is set
@@ -16,77 +23,87 @@
 	Used      planner.Size // by tasks that may be on a machine
 }
 
-// Ledger holds all accounts by dense team index. It is one controller's allotment: with a
-// single part that is the whole limit.
+// Ledger holds the accounts by dense team index.
 type Ledger struct {
 	teams map[int32]*Team
 }
 
-func limit(v float64) float64 {
-	if v == 0 {
-		return math.Inf(1)
+// New returns a ledger with an empty account for every team of the settings; index gives a team's dense index.
+func New(teams []config.Team, index func(name string) int32) *Ledger {
+	ledger := &Ledger{teams: make(map[int32]*Team, len(teams))}
+	for _, team := range teams {
+		ledger.teams[index(team.Name)] = &Team{
+			Limit: planner.Size{
+				CPUs: limitOrInf(team.CPUsMax),
+				GPUs: limitOrInf(team.GPUsMax),
+				Mem:  math.Inf(1),
+			},
+			Guarantee: planner.Size{CPUs: team.CPUs, GPUs: team.GPUs},
+		}
 	}
-	return v
+	return ledger
 }
 
-// New opens an account for every team in the settings.
-func New(teams []config.Team, index func(string) int32) *Ledger {
-	l := &Ledger{teams: map[int32]*Team{}}
-	for _, t := range teams {
-		l.teams[index(t.Name)] = &Team{
-			Limit:     planner.Size{CPUs: limit(t.CPUsMax), GPUs: limit(t.GPUsMax), Mem: math.Inf(1)},
-			Guarantee: planner.Size{CPUs: t.CPUs, GPUs: t.GPUs},
-		}
+// limitOrInf turns a limit of the settings, where 0 means none, into one that sums can be compared with.
+func limitOrInf(setting float64) float64 {
+	if setting == 0 {
+		return math.Inf(1)
 	}
-	return l
+	return setting
 }
 
-// Team finds an account; nil for an unknown team.
-func (l *Ledger) Team(ix int32) *Team { return l.teams[ix] }
+// Team returns a team's account, nil for an unknown team. It is the ledger's own: callers only read it.
+func (l *Ledger) Team(index int32) *Team { return l.teams[index] }
 
-// Fits tells whether n more tasks of a size keep the team within its limit.
+// Fits reports whether n more tasks of a size keep the team within its limit. An unknown team has none.
 func (l *Ledger) Fits(team int32, size planner.Size, n int) bool {
-	t := l.teams[team]
-	if t == nil {
-		return false
-	}
-	k := float64(n)
-	return t.Used.Add(planner.Size{CPUs: size.CPUs * k, GPUs: size.GPUs * k}).Fits(t.Limit)
+	account := l.teams[team]
+	return account != nil && account.Used.Add(limitedResources(size, n)).Fits(account.Limit)
 }
 
-// Ever tells whether n tasks could run if the team ran nothing else.
+// Ever reports whether n tasks of a size could run if the team ran nothing else.
 func (l *Ledger) Ever(team int32, size planner.Size, n int) bool {
-	t := l.teams[team]
-	k := float64(n)
-	return t != nil && planner.Size{CPUs: size.CPUs * k, GPUs: size.GPUs * k}.Fits(t.Limit)
+	account := l.teams[team]
+	return account != nil && limitedResources(size, n).Fits(account.Limit)
+}
+
+// limitedResources is what n tasks take of the resources that have limits: cores and GPUs, but not memory.
+func limitedResources(size planner.Size, n int) planner.Size {
+	count := float64(n)
+	return planner.Size{CPUs: size.CPUs * count, GPUs: size.GPUs * count}
 }
 
-// Take books a task that may be on a machine from now on.
+// Take books a task that may be on a machine from now on. For an unknown team it does nothing.
 func (l *Ledger) Take(team int32, size planner.Size) {
-	if t := l.teams[team]; t != nil {
-		t.Used = t.Used.Add(size)
+	if account := l.teams[team]; account != nil {
+		account.Used = account.Used.Add(size)
 	}
 }
 
-// Give takes a booking back.
+// Give releases what Take has booked for a task, once that is proven gone.
 func (l *Ledger) Give(team int32, size planner.Size) {
-	if t := l.teams[team]; t != nil {
-		t.Used = t.Used.Sub(size)
+	if account := l.teams[team]; account != nil {
+		account.Used = account.Used.Sub(size)
 	}
 }
 
-// Within tells whether a team's demand, of which the last job's is one, fits into its
-// guarantee. A job that asks for nothing that is guaranteed has no guarantee to lie in; a
-// resource of which nothing is guaranteed does not count against one that does.
+// Within reports whether a team's demand, which includes a job of the given size, fits its guarantee. A job that
+// needs nothing that is guaranteed is never within. A resource without a guarantee doesn't count against one that
+// has it.
 func (l *Ledger) Within(team int32, job, demand planner.Size) bool {
-	t := l.teams[team]
-	if t == nil {
+	account := l.teams[team]
+	if account == nil {
 		return false
 	}
-	g := t.Guarantee
-	if !(g.CPUs > 0 && job.CPUs > 0) && !(g.GPUs > 0 && job.GPUs > 0) {
+	guarantee := account.Guarantee
+	needsGuaranteedCPUs := guarantee.CPUs > 0 && job.CPUs > 0
+	needsGuaranteedGPUs := guarantee.GPUs > 0 && job.GPUs > 0
+	if !needsGuaranteedCPUs && !needsGuaranteedGPUs {
 		return false
 	}
-	ok := func(need, have float64) bool { return have == 0 || need <= have+1e-6 }
-	return ok(demand.CPUs, g.CPUs) && ok(demand.GPUs, g.GPUs)
+	return fitsGuarantee(demand.CPUs, guarantee.CPUs) && fitsGuarantee(demand.GPUs, guarantee.GPUs)
+}
+
+func fitsGuarantee(demand, guarantee float64) bool {
+	return guarantee == 0 || demand <= guarantee+guaranteeTolerance
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,66 +8,84 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-func ledger() *Ledger {
-	ix := map[string]int32{"a": 0, "b": 1}
-	return New([]config.Team{{Name: "a", GPUs: 4, GPUsMax: 6}, {Name: "b", CPUs: 2, CPUsMax: 8}}, func(n string) int32 { return ix[n] })
+const (
+	gpuTeam      int32 = 0 // guarantee 4, limit 6 GPUs
+	cpuTeam      int32 = 1 // guarantee 2, limit 8 CPUs
+	gpuTeamLimit       = 6
+)
+
+func newTestLedger() *Ledger {
+	index := map[string]int32{"gpu": gpuTeam, "cpu": cpuTeam}
+	teams := []config.Team{
+		{Name: "gpu", GPUs: 4, GPUsMax: gpuTeamLimit},
+		{Name: "cpu", CPUs: 2, CPUsMax: 8},
+	}
+	return New(teams, func(name string) int32 { return index[name] })
 }
 
-// Whatever is taken and given back, what Fits allows never goes over a limit, compared
-// with a plain list of what runs.
-func TestLimitsAgainstAPlainList(t *testing.T) {
+// Whatever is booked and released, Fits agrees with a plain list of the running tasks.
+func TestLimitAgreesWithAPlainList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
-	l := ledger()
+	ledger := newTestLedger()
 	var running []planner.Size
-	refused := 0
+	denied := 0
 	for range 5000 {
 		if len(running) > 0 && rng.IntN(2) == 0 {
-			i := rng.IntN(len(running))
-			l.Give(0, running[i])
-			running = append(running[:i], running[i+1:]...)
+			ended := rng.IntN(len(running))
+			ledger.Give(gpuTeam, running[ended])
+			running = append(running[:ended], running[ended+1:]...)
 			continue
 		}
 		size := planner.Size{CPUs: float64(rng.IntN(20)), GPUs: 0.5 * float64(rng.IntN(5))}
-		sum := size.GPUs
-		for _, r := range running {
-			sum += r.GPUs
+		gpus := size.GPUs
+		for _, task := range running {
+			gpus += task.GPUs
 		}
-		if l.Fits(0, size, 1) != (sum <= 6) {
-			t.Fatalf("fits says %v with %v of 6 GPUs", l.Fits(0, size, 1), sum)
+		wantFits := gpus <= gpuTeamLimit
+		if ledger.Fits(gpuTeam, size, 1) != wantFits {
+			t.Fatalf("fits: %v with %v of %d GPUs", !wantFits, gpus, gpuTeamLimit)
 		}
-		if sum <= 6 {
-			l.Take(0, size)
-			running = append(running, size)
-		} else {
-			refused++
+		if !wantFits {
+			denied++
+			continue
 		}
+		ledger.Take(gpuTeam, size)
+		running = append(running, size)
 	}
-	if refused == 0 {
-		t.Fatal("the limit was never met")
+	if denied == 0 {
+		t.Fatal("the limit was never reached")
 	}
-	if l.Fits(7, planner.Size{}, 1) || l.Ever(7, planner.Size{}, 1) {
-		t.Fatal("an unknown team has no limit to stay within")
+}
+
+func TestUnknownTeamMayRunNothing(t *testing.T) {
+	const unknownTeam = 7
+	ledger := newTestLedger()
+	if ledger.Fits(unknownTeam, planner.Size{}, 1) || ledger.Ever(unknownTeam, planner.Size{}, 1) {
+		t.Fatal("an unknown team may run a task")
 	}
 }
 
-func TestGuarantee(t *testing.T) {
-	l := ledger()
-	gpu := planner.Size{CPUs: 10, GPUs: 2}
-	cpu := planner.Size{CPUs: 1}
+func TestWithinGuarantee(t *testing.T) {
+	ledger := newTestLedger()
+	gpuJob := planner.Size{CPUs: 10, GPUs: 2}
+	cpuJob := planner.Size{CPUs: 1}
 	for _, c := range []struct {
+		name        string
 		team        int32
 		job, demand planner.Size
 		want        bool
 	}{
-		{0, gpu, planner.Size{CPUs: 20, GPUs: 4}, true},
-		{0, gpu, planner.Size{CPUs: 20, GPUs: 5}, false},
-		{0, cpu, cpu, false}, // nothing that it asks for is guaranteed
-		{1, cpu, planner.Size{CPUs: 2}, true},
-		{1, cpu, planner.Size{CPUs: 3}, false},
-		{9, cpu, cpu, false},
+		{"all GPUs that are guaranteed", gpuTeam, gpuJob, planner.Size{CPUs: 20, GPUs: 4}, true},
+		{"one GPU more", gpuTeam, gpuJob, planner.Size{CPUs: 20, GPUs: 5}, false},
+		{"a job that needs nothing guaranteed", gpuTeam, cpuJob, cpuJob, false},
+		{"all CPUs that are guaranteed", cpuTeam, cpuJob, planner.Size{CPUs: 2}, true},
+		{"one CPU more", cpuTeam, cpuJob, planner.Size{CPUs: 3}, false},
+		{"an unknown team", 9, cpuJob, cpuJob, false},
 	} {
-		if got := l.Within(c.team, c.job, c.demand); got != c.want {
-			t.Errorf("team %d, job %v, demand %v: %v", c.team, c.job, c.demand, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := ledger.Within(c.team, c.job, c.demand); got != c.want {
+				t.Errorf("job %v, demand %v: %v", c.job, c.demand, got)
+			}
+		})
 	}
 }
