--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -69,7 +69,7 @@
 }
 
 // Reserve books the claims of a whole gang, so that no other task takes their place between its first and its last
-// launch. The caller has asked for all of them. Tasks that are reserved already are skipped.
+// launch. The caller has checked all of them with Ask. Tasks that are reserved already are skipped.
 func (g *Gate) Reserve(now time.Duration, tasks []licences.Ref, attempt uint64, claim Claim) {
 	for _, task := range tasks {
 		if g.Reserved(task) {
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -26,7 +26,7 @@
 const (
 	// maxTxnBytes bounds the records or conditions that one transaction carries. The state service takes 64 KiB.
 	maxTxnBytes = 60 << 10
-	// stateServiceTimeout is the silence after which the state service isn't asked on a user's behalf.
+	// stateServiceTimeout is the silence after which no request goes to the state service on a user's behalf.
 	stateServiceTimeout = 3 * time.Second
 )
 
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -4,7 +4,7 @@
 //
 // The leader makes one Manager for each of its terms, calls Tick on its event loop, and stops the Manager with the
 // term. The package never decides where a task runs, and a machine only counts as gone once the cloud has confirmed
-// its return or its list lacks an expired machine for long enough; the fleet is told then.
+// its return or its list lacks an expired machine for long enough. The fleet then drops the machine's tasks.
 package capacity
 
 import (
@@ -44,16 +44,19 @@
 	boots     map[string]*pendingBoot // by machine name
 	bootTimes bootTimes
 
-	renting         bool // a request is in flight
-	nextScaleOut    time.Duration
-	claims          uint64                  // sent in this term; each claim is used once
-	refusedUntil    map[offer]time.Duration // offers the cloud had too little of
-	atLimit         bool                    // there are max_machines, when a scale-out was last planned
-	machinesByZone  map[int32]int           // ready or booting, when a scale-out was last planned
-	returning       bool                    // a request is in flight
-	toReturn        map[string]returnCause  // by machine name
+	// Scale-out.
+	renting        bool // a request is in flight
+	nextScaleOut   time.Duration
+	claims         uint64                  // sent in this term; each claim is used once
+	refusedUntil   map[offer]time.Duration // offers of which the cloud had too few machines
+	atLimit        bool                    // max_machines was reached when the last scale-out was planned
+	machinesByZone map[int32]int           // ready or booting when the last scale-out was planned
+
+	// Scale-in.
+	returning       bool                   // a request is in flight
+	toReturn        map[string]returnCause // by machine name
 	returnedAt      map[string]time.Duration
-	idleLimitFactor float64 // see idleLimitFactor
+	idleLimitFactor float64 // set by the function of this name
 }
 
 // New returns the manager of a term. The fleet asks it from now on which zones accept work.
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -20,8 +20,8 @@
 	return config.Seconds(1.3*m.Settings.Params.Workers.ReportS + 1)
 }
 
-// evaluateZones updates the zones' state, and then quarantines machines that aren't heard: returning them would
-// cost a boot and all cached images, and new work would wait there for its lease to expire.
+// evaluateZones updates the zones' state, and then quarantines machines that send no heartbeats: returning them
+// would cost a boot and all cached images, and new work would wait there for its lease to expire.
 func (m *Manager) evaluateZones(now time.Duration) {
 	m.Zones.Evaluate(now, m.countByZone(now))
 	quietLimit := m.QuietFor()
