--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -12,37 +12,37 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// archiveEvery spaces the looks at what may be archived.
-const archiveEvery = 100 * time.Millisecond
+// archiveInterval spaces the looks at what may be archived.
+const archiveInterval = 100 * time.Millisecond
 
-// newReader makes what finds archived answers.
-func (c *Controller) newReader(entries int) *archive.Reader {
+// newArchiveReader makes what finds archived answers.
+func (c *Controller) newArchiveReader(entries int) *archive.Reader {
 	r := archive.NewReader(c.store, entries)
 	r.Unreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
 	r.Readable = func(key string) { c.rollout.MarkReadable(key) }
 	return r
 }
 
-// newMover makes what moves ended jobs into the archive, for a term.
-func (c *Controller) newMover() *archive.Mover {
+// newArchiveMover makes what moves ended jobs into the archive, for a term.
+func (c *Controller) newArchiveMover() *archive.Mover {
 	return archive.NewMover(archive.Env{
 		CanWrite:   func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
-		Commit:     func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.BulkPriority, done) },
+		Commit:     func(txn store.Txn, done func(store.Result)) { c.commitInTerm(txn, store.BulkPriority, done) },
 		Now:        c.loop.Now,
 		OnArchived: c.archive.reader.Remember,
 		TxnOps:     c.settings.Params.State.Limits().MaxOps, WritesPerS: c.settings.Params.State.WriteRPS,
 	})
 }
 
-// moveEnded archives ended jobs, where the cluster's level has every controller read them.
-func (c *Controller) moveEnded(now time.Duration) {
-	if c.term.mover == nil || now-c.archive.checkedAt < archiveEvery || c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
+// archiveEndedJobs archives ended jobs, where the cluster's level has every controller read them.
+func (c *Controller) archiveEndedJobs(now time.Duration) {
+	if c.term.mover == nil || now-c.archive.checkedAt < archiveInterval || c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
 	c.archive.checkedAt = now
-	c.term.mover.Tick(now, c.backlog(now), func(take func(archive.Candidate) bool) {
+	c.term.mover.Tick(now, c.archiveOverdue(now), func(take func(archive.Candidate) bool) {
 		c.jobs.ForEachEnded(now-c.archive.settings.Retain, func(job *jobs.Job) bool {
-			if !c.settled(job) {
+			if !c.archivable(job) {
 				return true
 			}
 			return take(archive.Candidate{ID: job.ID, Version: job.Version, Answer: archive.Answer{State: job.State, Tasks: job.TaskCount, Done: job.FinishedTasks}})
@@ -50,25 +50,25 @@
 	})
 }
 
-// backlog tells whether some ended job has waited for more than twice the time for which it is retained.
-func (c *Controller) backlog(now time.Duration) (late bool) {
+// archiveOverdue tells whether some ended job has waited for more than twice the time for which it is retained.
+func (c *Controller) archiveOverdue(now time.Duration) (late bool) {
 	c.jobs.ForEachEnded(now-2*c.archive.settings.Retain, func(job *jobs.Job) bool {
-		late = c.settled(job)
+		late = c.archivable(job)
 		return !late
 	})
 	return late
 }
 
-// settled tells whether an ended job can't have a task on any machine, and nothing else stands of it.
-func (c *Controller) settled(job *jobs.Job) bool {
+// archivable tells whether an ended job can't have a task on any machine, and nothing else stands of it.
+func (c *Controller) archivable(job *jobs.Job) bool {
 	if c.term.sessions != nil && c.term.sessions.Stands(job.ID) {
 		return false
 	}
 	return c.term.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
 }
 
-// recordGone takes over that a job's record has left the followed keys.
-func (c *Controller) recordGone(key string, version uint64) {
+// handleJobDeleted takes over that a job's record has left the followed keys.
+func (c *Controller) handleJobDeleted(key string, version uint64) {
 	id := strings.TrimPrefix(key, jobs.Prefix)
 	c.jobs.Archive(id, version)
 	if c.term.mover != nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// recordsRead takes over a new reading of all followed keys, as far as jobs are concerned.
-func (c *Controller) recordsRead(items []store.Item) {
+// retainJobs takes over a new reading of all followed keys, as far as jobs are concerned.
+func (c *Controller) retainJobs(items []store.Item) {
 	present := make(map[string]bool, len(items))
 	for _, item := range items {
 		if strings.HasPrefix(item.Key, jobs.Prefix) {
@@ -110,8 +110,8 @@
 	return s
 }
 
-// sayArchive logs at the start why nothing will be archived.
-func (c *Controller) sayArchive() {
+// logArchiveProblem logs at the start why nothing will be archived.
+func (c *Controller) logArchiveProblem() {
 	if c.archive.settings.Problem != nil {
 		slog.Error("ended jobs are not archived: memory grows with each job", "cause", c.archive.settings.Problem)
 	}
@@ -127,5 +127,5 @@
 	}
 	c.licencePools.Reset(func(key string) bool { return present[key] })
 	c.drains.machines.Reset(c.watchCache.Revision(), func(key string) bool { return present[key] })
-	c.recordsRead(items)
+	c.retainJobs(items)
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -13,15 +13,15 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// direct carries requests to a stand-in for the state service, which answers at once.
-type direct struct{ svc *state.Service }
+// directSender carries requests to a stand-in for the state service, which answers at once.
+type directSender struct{ svc *state.Service }
 
-func (d direct) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+func (d directSender) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	done(d.svc.Serve(request))
 }
 
-// following is a controller that follows a state service's keys, and a clock for both.
-func following(t *testing.T) (c *Controller, svc *state.Service, advance func(time.Duration)) {
+// newFollowingController is a controller that follows a state service's keys, and a clock for both.
+func newFollowingController(t *testing.T) (c *Controller, svc *state.Service, advance func(time.Duration)) {
 	t.Helper()
 	raw := []byte(`{"node":"n0","public_addr":"a:80","back":"a:81","services":{"cloud":"c:1","state":"s:1"},
 	 "params":{"workers":{"report_s":1,"lease_s":6,"gang_wait_s":10,"gang_peer_s":2,"cancel_s":20},
@@ -32,7 +32,7 @@
 	}
 	svc = state.New()
 	now := time.Duration(0)
-	c = build(settings, Environment{Now: func() time.Duration { return now }, Sender: func(int) httpio.Sender { return direct{svc} }})
+	c = build(settings, Environment{Now: func() time.Duration { return now }, Sender: func(int) httpio.Sender { return directSender{svc} }})
 	advance = func(duration time.Duration) {
 		now += duration
 		svc.Now = now
@@ -45,7 +45,7 @@
 // An answer to a read comes after the followed keys have shown that the job ended and was archived: it must not let the
 // job live again, with its tasks to be started.
 func TestLateReadOfAnArchivedJob(t *testing.T) {
-	c, svc, advance := following(t)
+	c, svc, advance := newFollowingController(t)
 	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	key := jobs.RecordKey(spec.ID)
 	svc.Apply([]store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Pending, 0, 1, spec)}})
@@ -60,19 +60,19 @@
 	if c.jobs.Get(spec.ID) != nil || c.jobs.Len() != 0 {
 		t.Fatal("an archived job is in the table")
 	}
-	if c.learned(c.loop.Now(), read); c.jobs.Get(spec.ID) != nil {
+	if c.handleJobRead(c.loop.Now(), read); c.jobs.Get(spec.ID) != nil {
 		t.Error("a late answer let an archived job live again")
 	}
 	// What is newer than the followed keys is news.
 	svc.Apply([]store.Op{{Put: jobs.RecordKey("req-000002"), Value: jobs.EncodeRecord(jobs.Pending, 0, 1, spec)}})
-	if c.learned(c.loop.Now(), svc.Keys[jobs.RecordKey("req-000002")]); c.jobs.Get("req-000002") == nil {
+	if c.handleJobRead(c.loop.Now(), svc.Keys[jobs.RecordKey("req-000002")]); c.jobs.Get("req-000002") == nil {
 		t.Error("a job that was read before the followed keys showed it is not known")
 	}
 }
 
 // A controller whose position was lost reads all keys again: jobs that were archived meanwhile leave its table, others stay.
 func TestArchivedWhilePositionLost(t *testing.T) {
-	c, svc, advance := following(t)
+	c, svc, advance := newFollowingController(t)
 	spec := &jobs.Spec{ID: "req-000001", Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	for _, id := range []string{"req-000001", "req-000002", "req-000003"} {
 		svc.Apply([]store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, 0, 1, spec)}})
@@ -127,10 +127,10 @@
 
 // A job whose session is still recorded isn't archived, whatever else is over: the session would be nobody's for ever.
 func TestSessionKeepsItsJob(t *testing.T) {
-	c, _, _ := following(t)
+	c, _, _ := newFollowingController(t)
 	c.term.sessions = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
 	c.term.sessions.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
-	if c.settled(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
+	if c.archivable(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
 		t.Error("the job of a session that is recorded may be archived")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,14 +29,14 @@
 
 // hot is the prefix of the keys that every controller follows.
 const (
-	followedPrefix = "h/"
-	typesKey       = membership.Prefix + "types"
+	followedPrefix  = "h/"
+	machineTypesKey = membership.Prefix + "types"
 )
 
-// leaderPart is the leader's part of the state service's rate: it writes the plans and
+// leaderShare is the leader's part of the state service's rate: it writes the plans and
 // reads more. The others share what is left evenly, however many they are, so that all
 // together stay within the limit.
-const leaderPart = 0.6
+const leaderShare = 0.6
 
 // How many seconds' worth of its part a controller may use at once: the service allows one
 // second's worth in all. The leader's requests are many and even, while submissions come
@@ -49,8 +49,8 @@
 // Most requests in flight: to the state service and the cloud, and to workers. The two don't
 // share slots, or workers that hang behind a cut would keep holds from being renewed.
 const (
-	serviceSlots = 48
-	workerSlots  = 64
+	maxStateRequests  = 48
+	maxWorkerRequests = 64
 )
 
 // Controller is one process of the service.
@@ -124,10 +124,10 @@
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
-	c.stateSender = o.Sender(settings.Params.Limits.Outgoing(serviceSlots))
-	c.workerSender = o.Sender(settings.Params.Limits.Outgoing(workerSlots))
-	c.store = store.New(settings.Services.State, c.stateSender, c.loop.Now, c.share(false), settings.Params.State.Limits())
-	c.licenceSender = o.Sender(settings.Params.Limits.Outgoing(licenceSlots))
+	c.stateSender = o.Sender(settings.Params.Limits.Outgoing(maxStateRequests))
+	c.workerSender = o.Sender(settings.Params.Limits.Outgoing(maxWorkerRequests))
+	c.store = store.New(settings.Services.State, c.stateSender, c.loop.Now, c.rateShare(false), settings.Params.State.Limits())
+	c.licenceSender = o.Sender(settings.Params.Limits.Outgoing(maxLicenceRequests))
 	c.jobs = jobs.NewTable(o.EpochMS)
 	c.licencePools = licences.NewCatalog(settings.Pools())
 	c.jobs.Names.Pools = c.licencePools
@@ -136,13 +136,13 @@
 	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.PictureFor())
 	c.rollout = c.newRollout()
 	c.membership = membership.New(membership.Config{
-		Rollout: member{c.rollout, c}, Node: settings.Node, Public: settings.Public, Secure: settings.Secure(), TTL: settings.HoldTTL(), StalenessBound: settings.PictureFor(), Rng: c.rng,
-		OnElected: c.lead, OnDeposed: c.lose,
+		Rollout: membershipRollout{c.rollout, c}, Node: settings.Node, Public: settings.Public, Secure: settings.Secure(), TTL: settings.HoldTTL(), StalenessBound: settings.PictureFor(), Rng: c.rng,
+		OnElected: c.startTerm, OnDeposed: c.endTerm,
 	}, c.store, c.watchCache.FreshAt)
-	c.watchCache.OnItem = func(item store.Item) { c.item(c.loop.Now(), item) }
+	c.watchCache.OnItem = func(item store.Item) { c.handleItem(c.loop.Now(), item) }
 	c.watchCache.OnDelete = func(k string, v uint64) {
 		if strings.HasPrefix(k, jobs.Prefix) {
-			c.recordGone(k, v)
+			c.handleJobDeleted(k, v)
 		}
 		c.rollout.HandleDelete(k, v)
 		c.membership.HandleDelete(c.loop.Now(), k, v)
@@ -155,20 +155,20 @@
 	c.watchCache.OnReset = c.resetKeys
 	c.watchCache.OnSynced = func() { c.rollout.HandleSynced(); c.membership.HandleSynced(c.loop.Now()) }
 	c.archive.settings = settings.Archive()
-	c.archive.reader = c.newReader(c.archive.settings.CacheEntries)
+	c.archive.reader = c.newArchiveReader(c.archive.settings.CacheEntries)
 	c.api = api.New(api.Env{
 		Store: c.store, Jobs: c.jobs, Archive: c.archive.reader, Admit: c.admit, Ready: c.watchCache.Synced,
-		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
+		Counts: c.taskCounts, OnJobRecord: c.handleJobRead, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
 		MaxBytes: settings.Params.Limits.QueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
 	})
 	return c
 }
 
-// share is this controller's part of the state service's rate.
-func (c *Controller) share(leading bool) store.Share {
-	part, burst := leaderPart, leaderBurst
+// rateShare is this controller's part of the state service's rate.
+func (c *Controller) rateShare(leading bool) store.Share {
+	part, burst := leaderShare, leaderBurst
 	if others := len(c.settings.Peers); !leading && others > 0 {
-		part, burst = (1-leaderPart)/float64(others), otherBurst
+		part, burst = (1-leaderShare)/float64(others), otherBurst
 	}
 	return store.Share{RPS: c.settings.Params.State.RPS * part, WriteRPS: c.settings.Params.State.WriteRPS * part, BurstS: burst}
 }
@@ -187,15 +187,15 @@
 		back = tls.NewListener(back, c.settings.Keys().Peers())
 	}
 	if addr := c.settings.Operator.DebugAddr; addr != "" {
-		if err := c.observe(addr); err != nil {
+		if err := c.serveDebug(addr); err != nil {
 			return err
 		}
 	}
-	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.hear(s) }) })
+	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.handlePeerStatus(s) }) })
 	fail := make(chan error, 2)
 	routes := api.Routes{
-		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.api, Up: c.up,
-		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
+		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.api, Up: c.healthy,
+		Report: c.handleHeartbeat, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
 	}
 	if t := c.settings.Operator.TLS; t != nil {
 		secure, err := net.Listen("tcp", t.Listen)
@@ -210,16 +210,16 @@
 		go func() { fail <- api.Serve(tls.NewListener(secure, c.settings.Keys().Users()), over) }()
 	}
 	go func() { fail <- api.Serve(public, routes) }()
-	go c.checkFiles(checkFilesEvery)
-	c.sayArchive()
+	go c.checkFiles(fileCheckInterval)
+	c.logArchiveProblem()
 	slog.Info("serving", "node", c.settings.Node, "public", c.settings.Public, "hold_ms", c.settings.Operator.HoldTTLMS,
 		"money_counts", c.settings.MoneyCounts(), "objectives", len(c.settings.Params.Objectives))
 	go c.loop.Run(TickEvery, c.tick)
 	return <-fail
 }
 
-// checkFilesEvery is how often keys and users are looked at.
-const checkFilesEvery = 5 * time.Second
+// fileCheckInterval is how often keys and users are looked at.
+const fileCheckInterval = 5 * time.Second
 
 // checkFiles takes changed keys and users over, until the process ends.
 func (c *Controller) checkFiles(every time.Duration) {
@@ -246,24 +246,24 @@
 	c.watchCache.Tick(now)
 	c.membership.Tick(now)
 	c.api.Tick(now)
-	c.learnTypes(now)
-	c.tell(now)
+	c.refreshMachineTypes(now)
+	c.sendStatus(now)
 	if c.lifecycle.state != Serving {
-		c.drain(now)
+		c.advanceDrain(now)
 	}
 	c.applyDrains(now)
-	c.rolled(now)
-	c.keepPace(now)
+	c.advanceRollout(now)
+	c.logFailoverTiming(now)
 	if c.term.fleet == nil {
 		return
 	}
 	auth := c.membership.HasAuthority(now)
-	if !auth && c.blind(now) {
+	if !auth && c.cacheTooStale(now) {
 		c.membership.Resign(now, "the followed keys are too old")
 		return
 	}
 	if !c.term.fleet.PlansLoaded() {
-		c.load(now)
+		c.loadStoredState(now)
 		return
 	}
 	if c.term.fleet.WritesStuck() {
@@ -283,10 +283,10 @@
 		c.term.sessions.Tick(now)
 	}
 	if auth {
-		c.askServers(now)
+		c.queryLicenceServers(now)
 		c.term.capacity.Tick(now, c.term.authoritySince)
-		c.keepZones(now)
-		c.cutOff(now)
-		c.moveEnded(now)
+		c.storeZones(now)
+		c.resignIfUnreachable(now)
+		c.archiveEndedJobs(now)
 	}
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -17,7 +17,7 @@
 		c := &Controller{settings: settings}
 		rps, writes, burst := 0.0, 0.0, 0.0
 		for i := range n {
-			h := c.share(i == 0)
+			h := c.rateShare(i == 0)
 			if h.RPS <= 0 || h.WriteRPS <= 0 {
 				t.Fatalf("controller %d of %d has no share", i, n)
 			}
--- a/internal/controller/drain.go
+++ b/internal/controller/drain.go
@@ -31,22 +31,22 @@
 
 // Bounds of a drain.
 const (
-	flushFor = time.Second     // for open writes of a leader
-	leaveFor = 5 * time.Second // for answers, and until another leads
-	// quiescentFor is how long nothing must have been under way: a load balancer takes two failed
+	maxFlush    = time.Second     // for open writes of a leader
+	maxHandover = 5 * time.Second // for answers, and until another leads
+	// minQuiescence is how long nothing must have been under way: a load balancer takes two failed
 	// health checks, a second apart, to stop sending users.
-	quiescentFor = 2 * time.Second
+	minQuiescence = 2 * time.Second
 )
 
 // Drain takes the controller out of service: it takes no new submissions, fails its health check,
 // hands the lead over instead of letting its hold run out, and answers what it was asked. The channel
 // is closed when it may end, which is within a few seconds.
 func (c *Controller) Drain() <-chan struct{} {
-	c.loop.Post(c.startLeaving)
+	c.loop.Post(c.handleTermination)
 	return c.lifecycle.ended
 }
 
-func (c *Controller) startLeaving() {
+func (c *Controller) handleTermination() {
 	c.lifecycle.staysWhenDrained = false
 	switch now := c.loop.Now(); c.lifecycle.state {
 	case Serving:
@@ -59,15 +59,15 @@
 func (c *Controller) startDrain(now time.Duration, cause string) {
 	c.api.Drain()
 	if c.term.fleet == nil {
-		c.leave(now, cause)
+		c.handOver(now, cause)
 		return
 	}
 	c.term.fleet.StopStarting()
 	c.turn(now, Flushing, cause)
 }
 
-// over ends a drain, or leaves the controller where operators want it.
-func (c *Controller) over(now time.Duration, cause string) {
+// finishDrain ends a drain, or leaves the controller where operators want it.
+func (c *Controller) finishDrain(now time.Duration, cause string) {
 	if c.lifecycle.staysWhenDrained {
 		c.turn(now, Drained, cause)
 		return
@@ -84,24 +84,24 @@
 	}
 }
 
-// leave gives up the lead, or the hold of one that doesn't lead, so that nobody waits for it.
-func (c *Controller) leave(now time.Duration, cause string) {
+// handOver gives up the lead, or the hold of one that doesn't lead, so that nobody waits for it.
+func (c *Controller) handOver(now time.Duration, cause string) {
 	c.turn(now, HandingOver, cause)
 	c.membership.Withdraw(now)
 	c.lifecycle.quiescentSince = now
 }
 
-// drain goes on with a drain.
-func (c *Controller) drain(now time.Duration) {
+// advanceDrain goes on with a drain.
+func (c *Controller) advanceDrain(now time.Duration) {
 	switch c.lifecycle.state {
 	case Flushing:
 		switch {
 		case c.term.fleet == nil:
-			c.leave(now, "the lead is lost")
+			c.handOver(now, "the lead is lost")
 		case !c.term.fleet.WriteInFlight():
-			c.leave(now, "all writes are settled")
-		case now-c.lifecycle.since > flushFor:
-			c.leave(now, "a write is open: the next leader reads what stands")
+			c.handOver(now, "all writes are settled")
+		case now-c.lifecycle.since > maxFlush:
+			c.handOver(now, "a write is open: the next leader reads what stands")
 		}
 	case HandingOver:
 		if c.api.Busy() {
@@ -109,10 +109,10 @@
 		}
 		led := c.membership.Leader().Node != "" && c.membership.Leader().Node != c.settings.Node
 		switch {
-		case now-c.lifecycle.quiescentSince > quiescentFor && (led || len(c.settings.Peers) == 0):
-			c.over(now, "all is answered and another leads")
-		case now-c.lifecycle.since > leaveFor:
-			c.over(now, "it takes too long")
+		case now-c.lifecycle.quiescentSince > minQuiescence && (led || len(c.settings.Peers) == 0):
+			c.finishDrain(now, "all is answered and another leads")
+		case now-c.lifecycle.since > maxHandover:
+			c.finishDrain(now, "it takes too long")
 		}
 	}
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -18,23 +18,23 @@
 // every controller reads them.
 
 const (
-	// sweepEvery spaces the looks for drain requests of machines that are gone, moveEvery the steps that take
+	// drainSweepInterval spaces the looks for drain requests of machines that are gone, drainMoveInterval the steps that take
 	// requests out of the document.
-	sweepEvery = 30 * time.Second
-	moveEvery  = 500 * time.Millisecond
-	// sweptAtOnce bounds the keys of one transaction that nobody waits for.
-	sweptAtOnce = 8
-	// forgetUnknown is for how long a leader must not have known a machine at all before its drain request is
+	drainSweepInterval = 30 * time.Second
+	drainMoveInterval  = 500 * time.Millisecond
+	// maxBackgroundDrainOps bounds the keys of one transaction that nobody waits for.
+	maxBackgroundDrainOps = 8
+	// unknownMachineTTL is for how long a leader must not have known a machine at all before its drain request is
 	// dropped: the machine went while nobody led, or before an earlier leader.
-	forgetUnknown = time.Hour
+	unknownMachineTTL = time.Hour
 )
 
 // drains.upkeep is what a term does about drain requests in the background.
 type drainUpkeep struct {
-	busy    bool // a transaction is under way
-	sweptAt time.Duration
-	movedAt time.Duration
-	unknown map[string]time.Duration // since when a machine that is to be drained isn't known, by name
+	writing      bool // a transaction is under way
+	sweptAt      time.Duration
+	movedAt      time.Duration
+	unknownSince map[string]time.Duration // since when a machine that is to be drained isn't known, by name
 }
 
 // desiredDrains is all that operators want, as far as it was followed.
@@ -61,38 +61,38 @@
 		m, ok := want.Machine(machine)
 		return ok, m.Stop, m.By
 	})
-	if c.drains.upkeep.busy || !c.membership.HasAuthority(now) {
+	if c.drains.upkeep.writing || !c.membership.HasAuthority(now) {
 		return
 	}
-	if c.moveDrains(now, want) {
+	if c.moveDrainRequests(now, want) {
 		return
 	}
-	if now-c.drains.upkeep.sweptAt >= sweepEvery {
+	if now-c.drains.upkeep.sweptAt >= drainSweepInterval {
 		c.drains.upkeep.sweptAt = now
-		c.sweepDrains(now, want)
+		c.deleteStaleDrainRequests(now, want)
 	}
 }
 
-// drainsLeft is how many drain requests stand in the document that belong under keys of their own.
-func (c *Controller) drainsLeft() int {
+// unmovedDrainRequests is how many drain requests stand in the document that belong under keys of their own.
+func (c *Controller) unmovedDrainRequests() int {
 	if c.rollout.Level() < rollout.DrainKeys {
 		return 0
 	}
 	return len(c.drains.document.Machines)
 }
 
-// moveDrains takes the next step that moves requests out of the document, if one is due, and tells whether it did.
-func (c *Controller) moveDrains(now time.Duration, want drain.DesiredState) bool {
-	if now-c.drains.upkeep.movedAt < moveEvery || c.drainsLeft() == 0 {
+// moveDrainRequests takes the next step that moves requests out of the document, if one is due, and tells whether it did.
+func (c *Controller) moveDrainRequests(now time.Duration, want drain.DesiredState) bool {
+	if now-c.drains.upkeep.movedAt < drainMoveInterval || c.unmovedDrainRequests() == 0 {
 		return false
 	}
 	c.drains.upkeep.movedAt = now
-	most := c.spareDrains()
+	most := c.backgroundDrainOps()
 	move, due := want.NextMove(most, c.store.Limits().MaxValueBytes, c.machineGone)
 	if !due || most == 0 {
 		return false
 	}
-	txn := store.Txn{If: c.documentConds()}
+	txn := store.Txn{If: c.documentConditions()}
 	for _, key := range slices.Sorted(maps.Keys(move.Keys)) {
 		txn.If = append(txn.If, store.Condition{Key: key})
 		txn.Then = append(txn.Then, store.Op{Put: key, Value: move.Keys[key]})
@@ -100,43 +100,43 @@
 	if len(txn.Then) == 0 {
 		txn.Then = []store.Op{documentOp(move.Document)}
 	}
-	c.writeDrains(txn)
+	c.writeDrainsInBackground(txn)
 	return true
 }
 
-// spareDrains is how many changes a transaction that nobody waits for may make now.
-func (c *Controller) spareDrains() int {
-	n := min(sweptAtOnce, c.store.Limits().MaxOps)
+// backgroundDrainOps is how many changes a transaction that nobody waits for may make now.
+func (c *Controller) backgroundDrainOps() int {
+	n := min(maxBackgroundDrainOps, c.store.Limits().MaxOps)
 	for n > 0 && !c.store.HasSpareWritesFor(n) {
 		n /= 2
 	}
 	return n
 }
 
-// sweepDrains deletes the requests of machines that are gone.
-func (c *Controller) sweepDrains(now time.Duration, want drain.DesiredState) {
+// deleteStaleDrainRequests deletes the requests of machines that are gone.
+func (c *Controller) deleteStaleDrainRequests(now time.Duration, want drain.DesiredState) {
 	c.trackUnknownMachines(now, want)
 	if !want.OwnKeys {
 		if w, any := c.drains.document.Without(c.machineGone); any {
-			c.writeDrains(store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(w)}})
+			c.writeDrainsInBackground(store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(w)}})
 		}
 		return
 	}
 	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
-	for _, name := range want.Gone(c.spareDrains(), c.machineGone) {
+	for _, name := range want.Gone(c.backgroundDrainOps(), c.machineGone) {
 		s, _ := c.drains.machines.Of(name)
 		txn.If = append(txn.If, store.Condition{Key: drain.MachineKey(name), Version: s.Version})
 		txn.Then = append(txn.Then, store.Op{Delete: drain.MachineKey(name)})
 	}
 	if len(txn.Then) > 0 {
-		c.writeDrains(txn)
+		c.writeDrainsInBackground(txn)
 	}
 }
 
 // trackUnknownMachines notes which machines that are to be drained the leader doesn't know, and since when.
 func (c *Controller) trackUnknownMachines(now time.Duration, want drain.DesiredState) {
-	was := c.drains.upkeep.unknown
-	c.drains.upkeep.unknown = map[string]time.Duration{}
+	was := c.drains.upkeep.unknownSince
+	c.drains.upkeep.unknownSince = map[string]time.Duration{}
 	for name := range want.Machines() {
 		if c.term.fleet.FindMachine(name) != nil {
 			continue
@@ -145,7 +145,7 @@
 		if !ok {
 			since = now
 		}
-		c.drains.upkeep.unknown[name] = since
+		c.drains.upkeep.unknownSince[name] = since
 	}
 }
 
@@ -154,15 +154,15 @@
 	if machine := c.term.fleet.FindMachine(name); machine != nil {
 		return machine.Condition == fleet.Terminated
 	}
-	since, ok := c.drains.upkeep.unknown[name]
-	return ok && c.loop.Now()-since >= forgetUnknown
+	since, ok := c.drains.upkeep.unknownSince[name]
+	return ok && c.loop.Now()-since >= unknownMachineTTL
 }
 
-// writeDrains sends a transaction that nobody waits for.
-func (c *Controller) writeDrains(txn store.Txn) {
-	c.drains.upkeep.busy = true
-	c.commit(txn, store.BulkPriority, func(result store.Result) {
-		c.drains.upkeep.busy = false
+// writeDrainsInBackground sends a transaction that nobody waits for.
+func (c *Controller) writeDrainsInBackground(txn store.Txn) {
+	c.drains.upkeep.writing = true
+	c.commitInTerm(txn, store.BulkPriority, func(result store.Result) {
+		c.drains.upkeep.writing = false
 		if result.Outcome == store.Committed {
 			c.confirmDrainWrite(txn, result.Revision)
 		} else {
@@ -171,9 +171,9 @@
 	})
 }
 
-// documentConds are what a write that was decided by the document depends on: its version, and the level, which says
+// documentConditions are what a write that was decided by the document depends on: its version, and the level, which says
 // where requests belong.
-func (c *Controller) documentConds() []store.Condition {
+func (c *Controller) documentConditions() []store.Condition {
 	return []store.Condition{c.rollout.LevelCondition(), {Key: drain.DocumentKey, Version: c.drains.documentVersion}}
 }
 
@@ -184,7 +184,7 @@
 
 // writeDrainChange writes what a command changes, in one transaction of at most two changes.
 func (c *Controller) writeDrainChange(ch drain.Change, done func(store.Result)) {
-	txn := store.Txn{If: c.documentConds(), Then: []store.Op{documentOp(ch.Document)}}
+	txn := store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(ch.Document)}}
 	if ch.Machine != "" {
 		key := drain.MachineKey(ch.Machine)
 		txn.If = append(txn.If, store.Condition{Key: key, Version: ch.Version})
@@ -195,7 +195,7 @@
 			txn.Then = append(txn.Then, store.Op{Delete: key})
 		}
 	}
-	c.commit(txn, store.NormalPriority, func(result store.Result) {
+	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
 		if result.Outcome == store.Committed {
 			c.confirmDrainWrite(txn, result.Revision)
 		}
@@ -220,8 +220,8 @@
 	}
 }
 
-// shownDrains bounds the machines of one answer: it stays within what a line to users may be.
-const shownDrains = 200
+// drainPageSize bounds the machines of one answer: it stays within what a line to users may be.
+const drainPageSize = 200
 
 // drainStatus is what operators are told of machines that are being drained: those after a name, and how many there
 // are in all.
@@ -229,7 +229,7 @@
 	all := c.desiredDrains().Machines()
 	shown = []MachineStatus{}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if strings.Compare(name, after) <= 0 || len(shown) == shownDrains {
+		if strings.Compare(name, after) <= 0 || len(shown) == drainPageSize {
 			continue
 		}
 		v := MachineStatus{Machine: name, State: "unknown", By: all[name].By}
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -13,14 +13,14 @@
 // A large fleet whose machines are all drained is followed whole, and every answer about it stays within a line.
 func TestDrainsOfALargeFleetAreFollowedAndShown(t *testing.T) {
 	const machines = 4000
-	c, svc, advance := following(t)
+	c, svc, advance := newFollowingController(t)
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name, Request: drain.Request{By: "kana", AtMS: 5}})
 		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
-	c.lead(time.Second, 1)
+	c.startTerm(time.Second, 1)
 	shown, after := 0, ""
 	for {
 		s := c.adminStatus(2*time.Second, after)
@@ -40,7 +40,7 @@
 
 // Requests that were deleted while a controller's position was lost are gone after it has read all keys again.
 func TestDrainsDeletedWhilePositionLost(t *testing.T) {
-	c, svc, advance := following(t)
+	c, svc, advance := newFollowingController(t)
 	for _, name := range []string{"i-1", "i-2"} {
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name})
 		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -53,7 +53,7 @@
 // Hear takes a status of another controller.
 func (s *Simulated) Hear(raw []byte) {
 	if st, err := peers.Decode(raw); err == nil {
-		s.c.hear(st)
+		s.c.handlePeerStatus(st)
 	}
 }
 
@@ -85,7 +85,7 @@
 
 // Drain is what SIGTERM does.
 func (s *Simulated) Drain() <-chan struct{} {
-	s.c.startLeaving()
+	s.c.handleTermination()
 	return s.c.lifecycle.ended
 }
 
@@ -104,7 +104,7 @@
 	id, verb, _ := strings.Cut(strings.TrimPrefix(u.Path, "/v2/runs/"), "/")
 	switch {
 	case path == "/up":
-		if c.up() {
+		if c.healthy() {
 			reply(200, []byte("{}"))
 		} else {
 			reply(503, []byte("{}"))
@@ -115,7 +115,7 @@
 			say(api.Refuse(api.InvalidRequest, "not a report"))
 			return
 		}
-		c.report(now, heartbeat, say)
+		c.handleHeartbeat(now, heartbeat, say)
 	case u.Path == "/v2/runs" && method == "POST":
 		spec, err := jobs.ParseSpec(body)
 		if err != nil {
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -12,8 +12,8 @@
 	"github.com/harewalk/harewalk/internal/query"
 )
 
-// keptEvents bounds the events a leader keeps: some 70 bytes each, by the memory it may use.
-func keptEvents(memoryMB float64) int { return max(256, min(16384, int(memoryMB*32))) }
+// eventCapacity bounds the events a leader keeps: some 70 bytes each, by the memory it may use.
+func eventCapacity(memoryMB float64) int { return max(256, min(16384, int(memoryMB*32))) }
 
 // EventView is one event as it is told.
 type EventView struct {
@@ -65,18 +65,18 @@
 	return float64(*h.Task)
 }
 
-// maxLooks bounds the events that one question looks at, on the event loop.
-const maxLooks = 4096
+// maxEventsScanned bounds the events that one question looks at, on the event loop.
+const maxEventsScanned = 4096
 
 // eventsCall tells what happened from a number on: TERM-SEQ, from an earlier answer. A number of
 // another term is void: everything this leader has kept is told.
 func (c *Controller) eventsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	f, ok := whereOf(request, EventFields, reply)
+	f, ok := parseFilter(request, EventFields, reply)
 	if !ok {
 		return
 	}
 	only := request.Name
-	if !c.mayList(now) {
+	if !c.allowList(now) {
 		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 	looks, about := 0, false
 	out.Next = c.term.fleet.Events.Since(from, func(e *events.Event) bool {
-		if looks++; looks > maxLooks || len(out.Events) == pageSize {
+		if looks++; looks > maxEventsScanned || len(out.Events) == pageSize {
 			out.More = true
 			return false
 		}
@@ -97,23 +97,23 @@
 			return true
 		}
 		about = about || e.Job == only
-		if h := c.happened(now, e); f.Match(&h, EventFields) {
+		if h := c.eventView(now, e); f.Match(&h, EventFields) {
 			out.Events = append(out.Events, h)
 		}
 		return true
 	})
 	if only != "" && !about && c.jobs.Get(only) == nil {
-		reply(api.Refuse(api.NotFound, notKept))
+		reply(api.Refuse(api.NotFound, jobNotInTable))
 		return
 	}
 	reply(api.Reply{Status: 200, Body: out})
 }
 
-// notKept is told of a job that the leader's table lacks: it can't tell a job that was never accepted from an archived
+// jobNotInTable is told of a job that the leader's table lacks: it can't tell a job that was never accepted from an archived
 // one, of which only the answer is kept.
-const notKept = "no such job here: it was never accepted, or has ended and was archived; `job get` tells which"
+const jobNotInTable = "no such job here: it was never accepted, or has ended and was archived; `job get` tells which"
 
-func (c *Controller) happened(now time.Duration, e *events.Event) EventView {
+func (c *Controller) eventView(now time.Duration, e *events.Event) EventView {
 	h := EventView{Seq: e.Seq, AgeS: math.Round((now-e.At).Seconds()*1000) / 1000, Kind: e.Kind.String(), Attempt: e.Attempt, Note: e.Note, Saved: e.Saved}
 	if e.Job != "" {
 		h.Job = e.Job
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -18,21 +18,21 @@
 	from  time.Duration // the turn
 	next  time.Duration
 	term  uint64
-	was   tally
+	was   processCounters
 }
 
 // failoverLogFor is how long after a turn each second is logged.
 const failoverLogFor = 20 * time.Second
 
-// tally is what was counted since the start.
-type tally struct {
+// processCounters is what was counted since the start.
+type processCounters struct {
 	api.ResponseCounts
 	requests, writes uint64 // to the state service
 	cpu              time.Duration
 }
 
-func (c *Controller) tally() tally {
-	t := tally{ResponseCounts: c.answers.Read()}
+func (c *Controller) readCounters() processCounters {
+	t := processCounters{ResponseCounts: c.answers.Read()}
 	t.requests, t.writes = c.store.Sent()
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
@@ -41,18 +41,18 @@
 	return t
 }
 
-// keepPace logs the second that is over.
-func (c *Controller) keepPace(now time.Duration) {
+// logFailoverTiming logs the second that is over.
+func (c *Controller) logFailoverTiming(now time.Duration) {
 	p := &c.failoverTiming
 	if term := c.membership.Leader().Term; term != p.term || p.from == 0 {
-		p.term, p.from, p.until, p.next, p.was = term, max(1, now), now+failoverLogFor, now+time.Second, c.tally()
+		p.term, p.from, p.until, p.next, p.was = term, max(1, now), now+failoverLogFor, now+time.Second, c.readCounters()
 		return
 	}
 	if now < p.next || now >= p.until {
 		return
 	}
 	p.next += time.Second
-	t := c.tally()
+	t := c.readCounters()
 	acting, known := 0, 0
 	leads := c.term.fleet != nil && c.membership.State() == membership.Leading
 	if leads {
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -8,17 +8,17 @@
 	"github.com/harewalk/harewalk/internal/config"
 )
 
-// cutOff hands the lead on when no worker gets through to us although there must be some: at once where others
+// resignIfUnreachable hands the lead on when no worker gets through to us although there must be some: at once where others
 // hear many of them (on both incidents of the ops deployments nothing started for 6 to 12 s, of which this takes 3 to 5), a
 // report later where another controller hears any, and otherwise only when their leases have run out. A leader that gave up before, with
 // every machine gone, left the next one to count the leases anew: they never ran out, and nothing was rented.
-func (c *Controller) cutOff(now time.Duration) {
+func (c *Controller) resignIfUnreachable(now time.Duration) {
 	limit := config.Seconds(2*c.settings.Params.Workers.ReportS + 4)
 	silent := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
-	if silent < soonest(c.settings.Params.Workers.ReportS) {
+	if silent < minSilence(c.settings.Params.Workers.ReportS) {
 		return
 	}
-	there, heard := 0, c.othersHear(now)
+	there, heard := 0, c.peerHeartbeats(now)
 	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
 			there++
@@ -33,18 +33,18 @@
 	}
 }
 
-// blind tells that the followed keys have been too old to act on for a while, though the service answers and the hold
+// cacheTooStale tells that the followed keys have been too old to act on for a while, though the service answers and the hold
 // is renewed: a leader whose watches are lost would keep everybody else from leading, and act for nobody.
-func (c *Controller) blind(now time.Duration) bool {
+func (c *Controller) cacheTooStale(now time.Duration) bool {
 	return now-c.watchCache.FreshAt() > c.settings.PictureFor()+c.settings.HoldTTL() && now-c.store.LastSuccess() < time.Second
 }
 
-// soonest is how long nobody must have been heard before a leader hands on because many workers ask others: for
+// minSilence is how long nobody must have been heard before a leader hands on because many workers ask others: for
 // each of them a report was due and the next one nearly.
-func soonest(reportS float64) time.Duration { return config.Seconds(1.25*reportS + 2) }
+func minSilence(reportS float64) time.Duration { return config.Seconds(1.25*reportS + 2) }
 
-// othersHear counts the reports that other controllers have heard lately.
-func (c *Controller) othersHear(now time.Duration) (n int) {
+// peerHeartbeats counts the reports that other controllers have heard lately.
+func (c *Controller) peerHeartbeats(now time.Duration) (n int) {
 	for _, h := range c.peers.status {
 		if now-h.at < peerStatusTTL {
 			n += int(h.Workers)
@@ -55,18 +55,18 @@
 
 // foreignHeartbeats counts the reports that reached this controller though another leads: workers that seek their owner.
 type foreignHeartbeats struct {
-	at        time.Duration // the present stretch began
-	now, last uint32        // in it, and in the one before
+	windowStart       time.Duration // the present stretch began
+	current, previous uint32        // in it, and in the one before
 }
 
-// count adds n reports and tells how many there were in this stretch and the one before.
-func (s *foreignHeartbeats) count(now, stretch time.Duration, n uint32) uint32 {
-	if now-s.at >= stretch {
-		if s.last = s.now; now-s.at >= 2*stretch {
-			s.last = 0
+// add adds n reports and tells how many there were in this stretch and the one before.
+func (s *foreignHeartbeats) add(now, stretch time.Duration, n uint32) uint32 {
+	if now-s.windowStart >= stretch {
+		if s.previous = s.current; now-s.windowStart >= 2*stretch {
+			s.previous = 0
 		}
-		s.at, s.now = now, 0
+		s.windowStart, s.current = now, 0
 	}
-	s.now += n
-	return s.now + s.last
+	s.current += n
+	return s.current + s.previous
 }
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -13,12 +13,12 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// licenceSlots bounds the questions to licence servers under way: a silent one must not keep
+// maxLicenceRequests bounds the questions to licence servers under way: a silent one must not keep
 // others, or the state service, from being asked.
-const licenceSlots = 8
+const maxLicenceRequests = 8
 
-// askServers asks the licence servers that are due.
-func (c *Controller) askServers(now time.Duration) {
+// queryLicenceServers asks the licence servers that are due.
+func (c *Controller) queryLicenceServers(now time.Duration) {
 	f := c.term.fleet
 	if f.Gate.Licences.None() {
 		return
@@ -46,8 +46,8 @@
 	}
 }
 
-// counted takes over a count that was set.
-func (c *Controller) counted(item store.Item) {
+// handleLicenceCount takes over a count that was set.
+func (c *Controller) handleLicenceCount(item store.Item) {
 	if err := c.licencePools.Item(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 	}
@@ -124,7 +124,7 @@
 			if s.Reset {
 				c.licencePools.Drop(key, result.Revision)
 			} else {
-				c.counted(store.Item{Key: key, Value: op.Value, Version: result.Revision})
+				c.handleLicenceCount(store.Item{Key: key, Value: op.Value, Version: result.Revision})
 			}
 			slog.Info("licences counted anew", "pool", c.licencePools.Pools()[ix].Name, "count", c.licencePools.Count(ix), "by", s.By, "on_lower", c.licencePools.Lowering(ix))
 			reply(api.Reply{Status: 200, Body: show()})
@@ -146,8 +146,8 @@
 	}{fmt.Sprintf("the count was changed by %s meanwhile: it is %d", by, v.Count), v}
 }
 
-// fitsPools tells whether a job's tasks can ever have their seats.
-func (c *Controller) fitsPools(of map[string]int, team string, n int) api.AdmissionResult {
+// admitLicences tells whether a job's tasks can ever have their seats.
+func (c *Controller) admitLicences(of map[string]int, team string, n int) api.AdmissionResult {
 	ok, why := c.licencePools.Ever(of, team, n)
 	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Why: why}
 }
--- a/internal/controller/list.go
+++ b/internal/controller/list.go
@@ -70,11 +70,11 @@
 	return l.AgeS
 }
 
-// listEvery spaces the lists that are made: each looks at every job there is, on the event loop.
-const listEvery = 100 * time.Millisecond
+// listInterval spaces the lists that are made: each looks at every job there is, on the event loop.
+const listInterval = 100 * time.Millisecond
 
-// whereOf reads a request's filter; ok is false if it is none, and that was answered.
-func whereOf(request api.LeaderRequest, fields query.Fields, reply func(api.Reply)) (f query.Filter, ok bool) {
+// parseFilter reads a request's filter; ok is false if it is none, and that was answered.
+func parseFilter(request api.LeaderRequest, fields query.Fields, reply func(api.Reply)) (f query.Filter, ok bool) {
 	f, err := query.Parse(request.Query["where"], fields)
 	if err != nil {
 		reply(api.Refuse(api.InvalidRequest, "where: "+err.Error()))
@@ -83,9 +83,9 @@
 	return f, true
 }
 
-// mayList tells whether a list may be made now, and counts it.
-func (c *Controller) mayList(now time.Duration) bool {
-	if c.jobsListedAt > 0 && now-c.jobsListedAt < listEvery {
+// allowList tells whether a list may be made now, and counts it.
+func (c *Controller) allowList(now time.Duration) bool {
+	if c.jobsListedAt > 0 && now-c.jobsListedAt < listInterval {
 		return false
 	}
 	c.jobsListedAt = now
@@ -97,11 +97,11 @@
 
 // listCall lists jobs that match a filter, by id after the one named, a page at a time.
 func (c *Controller) listCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	f, ok := whereOf(request, ListFields, reply)
+	f, ok := parseFilter(request, ListFields, reply)
 	if !ok {
 		return
 	}
-	if !c.mayList(now) {
+	if !c.allowList(now) {
 		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
@@ -113,7 +113,7 @@
 	after := request.Query["since"]
 	c.jobs.ForEach(func(job *jobs.Job) {
 		if job.ID > after {
-			if l := c.listed(now, job); f.Match(&l, ListFields) {
+			if l := c.jobSummary(now, job); f.Match(&l, ListFields) {
 				found = append(found, l)
 			}
 		}
@@ -123,14 +123,14 @@
 	reply(api.Reply{Status: 200, Body: JobPage{Jobs: out, More: len(found) > size}})
 }
 
-func (c *Controller) listed(now time.Duration, job *jobs.Job) JobSummary {
+func (c *Controller) jobSummary(now time.Duration, job *jobs.Job) JobSummary {
 	l := JobSummary{ID: job.ID, Stance: job.State.String(), Tasks: job.TaskCount, Done: job.FinishedTasks}
 	if spec := job.Spec; spec != nil {
 		l.Class, l.Team, l.Kind, l.Priority = spec.Class, spec.Team, string(spec.Kind), spec.Priority
 		l.AgeS = max(0, (now - job.SubmittedAt).Seconds())
 	}
 	if job.State == jobs.Pending {
-		l.Done, l.Running = c.counts(job)
+		l.Done, l.Running = c.taskCounts(job)
 		l.Waiting = job.TaskCount - l.Done - l.Running
 		if l.Running > 0 {
 			l.Stance = "running"
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// class orders the messages that wait for the event loop.
-type class uint8
+// messageClass orders the messages that wait for the event loop.
+type messageClass uint8
 
 // The classes, most urgent first: answers to our own requests, on which the authority to
 // act depends; reports of workers, whose leases run; and users.
 const (
-	urgent class = iota
-	worker
-	user
-	classes
+	classOwnAnswer messageClass = iota
+	classWorker
+	classUser
+	classCount
 )
 
 // Loop is the one goroutine that owns all state. I/O goroutines only post to it. A controller
 // that falls behind works through its own answers first, then reports, then users: once the
 // renewals of its hold stood in line with a thousand polls.
 type Loop struct {
-	msgs [classes]chan func()
+	msgs [classCount]chan func()
 	now  func() time.Duration
 }
 
@@ -40,15 +40,15 @@
 
 // Post hands over a message and waits for room: for answers to our own requests, whose
 // number is bounded where they are sent.
-func (l *Loop) Post(f func()) { l.msgs[urgent] <- f }
+func (l *Loop) Post(f func()) { l.msgs[classOwnAnswer] <- f }
 
 // OfferWorker hands over a worker's report unless too many wait.
-func (l *Loop) OfferWorker(f func()) bool { return l.offer(worker, f) }
+func (l *Loop) OfferWorker(f func()) bool { return l.offer(classWorker, f) }
 
 // Offer hands over any other message from outside unless too many wait.
-func (l *Loop) Offer(f func()) bool { return l.offer(user, f) }
+func (l *Loop) Offer(f func()) bool { return l.offer(classUser, f) }
 
-func (l *Loop) offer(c class, f func()) bool {
+func (l *Loop) offer(c messageClass, f func()) bool {
 	select {
 	case l.msgs[c] <- f:
 		return true
@@ -94,11 +94,11 @@
 		select {
 		case <-t.C:
 			beat()
-		case f := <-l.msgs[urgent]:
+		case f := <-l.msgs[classOwnAnswer]:
 			f()
-		case f := <-l.msgs[worker]:
+		case f := <-l.msgs[classWorker]:
 			f()
-		case f := <-l.msgs[user]:
+		case f := <-l.msgs[classUser]:
 			f()
 		}
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -66,7 +66,7 @@
 func (k collector) Collect(out chan<- prometheus.Metric) {
 	asked := k.c.loop.Now()
 	got := make(chan []metric, 1)
-	if !k.c.loop.Offer(func() { got <- k.c.figures(k.c.loop.Now(), asked) }) {
+	if !k.c.loop.Offer(func() { got <- k.c.metrics(k.c.loop.Now(), asked) }) {
 		return
 	}
 	t := time.NewTimer(scrapeWait)
@@ -86,18 +86,18 @@
 	return n
 }
 
-func one(b bool) float64 {
+func boolMetric(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// figures is what is told now.
-func (c *Controller) figures(now, asked time.Duration) (ms []metric) {
+// metrics is what is told now.
+func (c *Controller) metrics(now, asked time.Duration) (ms []metric) {
 	add := func(d *prometheus.Desc, v float64, labels ...string) { ms = append(ms, metric{d, v, labels}) }
-	add(upDesc, one(c.up()))
-	add(leadingDesc, one(c.membership.State() == membership.Leading && c.membership.HasAuthority(now)))
+	add(upDesc, boolMetric(c.healthy()))
+	add(leadingDesc, boolMetric(c.membership.State() == membership.Leading && c.membership.HasAuthority(now)))
 	add(termDesc, float64(c.membership.Leader().Term))
 	add(stateDesc, (now - c.store.LastSuccess()).Seconds())
 	add(lagDesc, (now - asked).Seconds())
@@ -113,7 +113,7 @@
 	add(levelDesc, float64(c.rollout.Level()), "cluster")
 	add(levelDesc, float64(c.rollout.MaxLevel()), "known")
 	for s := rollout.Loading; s <= rollout.Incompatible; s++ {
-		add(rolloutDesc, one(s == c.rollout.State()), s.String())
+		add(rolloutDesc, boolMetric(s == c.rollout.State()), s.String())
 	}
 	add(unreadDesc, float64(c.rollout.UnreadableCount()))
 	if c.term.fleet == nil || !c.term.fleet.PlansLoaded() {
@@ -162,8 +162,8 @@
 	return ms
 }
 
-// observe serves /metrics and /debug/pprof on an address of their own until the process ends.
-func (c *Controller) observe(addr string) error {
+// serveDebug serves /metrics and /debug/pprof on an address of their own until the process ends.
+func (c *Controller) serveDebug(addr string) error {
 	ln, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("setting \"debug_addr\": %w", err)
--- a/internal/controller/operator.go
+++ b/internal/controller/operator.go
@@ -86,7 +86,7 @@
 // peerStatusTTL is how long a controller's last status counts as its being alive.
 const peerStatusTTL = 3 * time.Second
 
-func (c *Controller) cluster(now time.Duration) drain.Cluster {
+func (c *Controller) drainCluster(now time.Duration) drain.Cluster {
 	k := drain.Cluster{
 		Nodes: []string{c.settings.Node}, Alive: []string{c.settings.Node},
 		Machine: func(name string) bool {
@@ -123,7 +123,7 @@
 		return
 	}
 	cmd.AtMS = c.jobs.WallMS(now)
-	next, err := c.desiredDrains().Apply(cmd, c.cluster(now))
+	next, err := c.desiredDrains().Apply(cmd, c.drainCluster(now))
 	switch {
 	case errors.Is(err, drain.ErrMalformed):
 		reply(api.Refuse(api.InvalidRequest, err.Error()))
@@ -156,7 +156,7 @@
 		Revision: c.drains.documentVersion, Last: c.drains.document.Last, Term: c.membership.Term(), Machines: map[string]int{},
 		MaxMachines: c.settings.Operator.MaxMachines, MachinesBound: string(c.settings.Operator.MachinesBound), Full: c.term.capacity.Full(),
 	}
-	k := c.cluster(now)
+	k := c.drainCluster(now)
 	for _, n := range k.Nodes {
 		m, drained := c.drains.document.Nodes[n]
 		s.Nodes = append(s.Nodes, NodeStatus{Node: n, Leads: n == c.settings.Node, Alive: slices.Contains(k.Alive, n), Drained: drained, By: m.By})
--- a/internal/controller/records.go
+++ b/internal/controller/records.go
@@ -11,28 +11,28 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// item takes over a followed key.
-func (c *Controller) item(now time.Duration, item store.Item) {
+// handleItem takes over a followed key.
+func (c *Controller) handleItem(now time.Duration, item store.Item) {
 	switch {
 	case strings.HasPrefix(item.Key, jobs.Prefix):
-		c.record(now, item)
+		c.applyJobRecord(now, item)
 	case strings.HasPrefix(item.Key, licences.Prefix):
-		c.counted(item)
+		c.handleLicenceCount(item)
 	case item.Key == drain.DocumentKey:
 		c.applyDrainDocument(item.Value, item.Version)
 	case strings.HasPrefix(item.Key, drain.MachinePrefix):
 		c.handleDrainRequest(item)
 	case isZoneKey(item.Key):
-		if item.Version > c.storedZones.item.Version {
-			c.storedZones.item = item
+		if item.Version > c.storedZones.latest.Version {
+			c.storedZones.latest = item
 		}
-	case item.Key == typesKey:
+	case item.Key == machineTypesKey:
 		types, err := capacity.ParseTypes(item.Value)
 		if err != nil {
 			c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		} else if item.Version > c.machineTypes.version {
 			c.machineTypes.version = item.Version
-			c.setTypes(string(item.Value), types)
+			c.setMachineTypes(string(item.Value), types)
 		}
 	default:
 		c.rollout.HandleItem(item)
@@ -42,17 +42,17 @@
 	}
 }
 
-// learned takes over a job's record that was read or written beside the followed keys. If they have passed its version
+// handleJobRead takes over a job's record that was read or written beside the followed keys. If they have passed its version
 // and the table lacks the job, it was archived since: an answer that came late must not let it live again.
-func (c *Controller) learned(now time.Duration, item store.Item) {
+func (c *Controller) handleJobRead(now time.Duration, item store.Item) {
 	if c.jobs.Get(strings.TrimPrefix(item.Key, jobs.Prefix)) == nil && item.Version <= c.watchCache.Revision() {
 		return
 	}
-	c.record(now, item)
+	c.applyJobRecord(now, item)
 }
 
-// record takes over a job's record.
-func (c *Controller) record(now time.Duration, item store.Item) {
+// applyJobRecord takes over a job's record.
+func (c *Controller) applyJobRecord(now time.Duration, item store.Item) {
 	job, changed, err := c.jobs.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
 	if err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -17,7 +17,7 @@
 	o := c.settings.Rollout()
 	cfg := rollout.Config{
 		Node: c.settings.Node, Nodes: []rollout.NodeConfig{{Node: c.settings.Node, Zone: c.settings.Zone}}, Release: rollout.Release, MaxLevel: rollout.Newest,
-		Auto: o.Auto, Soak: o.Soak, StartedAtMS: c.jobs.WallMS(c.loop.Now()), OnStateChange: c.rolloutTurned,
+		Auto: o.Auto, Soak: o.Soak, StartedAtMS: c.jobs.WallMS(c.loop.Now()), OnStateChange: c.recordRolloutState,
 	}
 	if o.Knows > 0 {
 		cfg.MaxLevel, cfg.Release = o.Knows, o.Release
@@ -28,20 +28,20 @@
 	return rollout.New(cfg)
 }
 
-func (c *Controller) rolloutTurned(now time.Duration, to rollout.State, why string) {
+func (c *Controller) recordRolloutState(now time.Duration, to rollout.State, why string) {
 	if c.term.fleet != nil {
 		c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Rollout, Task: events.None, Machine: events.None, Note: to.String() + ": " + why})
 	}
 }
 
-// member is what package membership asks of rollouts.
-type member struct {
+// membershipRollout is what package membership asks of rollouts.
+type membershipRollout struct {
 	*rollout.Rollout
 	c *Controller
 }
 
 // PreferredLeaders implements membership.Rollout.
-func (m member) PreferredLeaders() int {
+func (m membershipRollout) PreferredLeaders() int {
 	return m.Rollout.PreferredLeaders(m.c.jobs.WallMS(m.c.loop.Now()), func(node string) bool {
 		_, drained := m.c.drains.document.Nodes[node]
 		h, heard := m.c.peers.status[node]
@@ -49,13 +49,13 @@
 	})
 }
 
-// rolled goes on with a rollout: every controller judges, the leader acts.
-func (c *Controller) rolled(now time.Duration) {
+// advanceRollout goes on with a rollout: every controller judges, the leader acts.
+func (c *Controller) advanceRollout(now time.Duration) {
 	// One that is behind, or has met what it doesn't understand, gives up the lead at once.
 	if !c.rollout.Compatible() && c.term.fleet != nil {
 		c.membership.Resign(now, "this release is behind the cluster's stored state")
 	}
-	if now-c.rolloutCheckedAt < rollEvery {
+	if now-c.rolloutCheckedAt < rolloutInterval {
 		return
 	}
 	c.rolloutCheckedAt = now
@@ -64,26 +64,26 @@
 		term = c.membership.Term()
 		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle.state == Serving)
 		if c.rollout.State() == rollout.Migrating {
-			work = c.migrationWork()
+			work = c.migrationProgress()
 		}
 	}
 	txn, due := c.rollout.Tick(now, term, work)
 	if !due {
 		return
 	}
-	c.commit(txn, store.NormalPriority, func(result store.Result) { c.rollout.HandleOutcome(c.loop.Now(), txn, result) })
+	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) { c.rollout.HandleOutcome(c.loop.Now(), txn, result) })
 }
 
-// migrationWork is what is left in former formats. Nothing is done before the followed keys have come past the level's
+// migrationProgress is what is left in former formats. Nothing is done before the followed keys have come past the level's
 // rise: until then something that was written before it may not have been seen.
-func (c *Controller) migrationWork() rollout.MigrationProgress {
-	drains := c.drainsLeft()
+func (c *Controller) migrationProgress() rollout.MigrationProgress {
+	drains := c.unmovedDrainRequests()
 	passed := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
 	return rollout.MigrationProgress{Left: c.term.fleet.UnmigratedPlans() + drains, Done: c.term.fleet.Migrated() && drains == 0 && passed}
 }
 
-// rollEvery spaces the looks at a rollout.
-const rollEvery = 250 * time.Millisecond
+// rolloutInterval spaces the looks at a rollout.
+const rolloutInterval = 250 * time.Millisecond
 
 // rolloutView is where the rollout stands, as this controller knows it.
 func (c *Controller) rolloutView(now time.Duration) rollout.View {
@@ -92,7 +92,7 @@
 		k.Drained[n] = true
 	}
 	if c.term.fleet != nil && c.term.fleet.PlansLoaded() {
-		k.Left = c.migrationWork().Left
+		k.Left = c.migrationProgress().Left
 	}
 	return c.rollout.View(now, k)
 }
@@ -122,7 +122,7 @@
 		reply(api.Refuse(api.Conflict, err.Error()))
 		return
 	}
-	c.commit(txn, store.NormalPriority, func(result store.Result) {
+	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
 		switch result.Outcome {
 		case store.Committed:
 			slog.Info("operators' word on the rollout", "op", cmd.Op, "by", cmd.By)
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -16,9 +16,9 @@
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
+		Policies: p, Jobs: c.jobs, Learned: c.handleJobRead, Read: c.readInTerm, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
 		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
-		Commit: func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.NormalPriority, done) },
+		Commit: func(txn store.Txn, done func(store.Result)) { c.commitInTerm(txn, store.NormalPriority, done) },
 		Task:   c.term.fleet.SessionTask, Park: c.term.fleet.Suspend, Wanted: c.term.fleet.WaitingJobsFor,
 	}, term)
 }
--- a/internal/controller/state.go
+++ b/internal/controller/state.go
@@ -28,7 +28,7 @@
 	sessions       *sessions.Manager // nil where sessions are off
 	mover          *archive.Mover
 	loading        bool
-	loadAt         time.Duration
+	loadNotBefore  time.Duration
 	authoritySince time.Duration // since when authority has not been interrupted
 	hadAuthority   bool
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -14,22 +14,22 @@
 	at time.Duration
 }
 
-func (c *Controller) counts(job *jobs.Job) (done, running int) {
+func (c *Controller) taskCounts(job *jobs.Job) (done, running int) {
 	if c.term.fleet != nil && job.Tasks != nil {
 		return c.term.fleet.TaskCounts(job)
 	}
 	return job.FinishedTasks, job.ReportedRunning
 }
 
-// hear takes what another controller says of itself.
-func (c *Controller) hear(s peers.Status) {
+// handlePeerStatus takes what another controller says of itself.
+func (c *Controller) handlePeerStatus(s peers.Status) {
 	c.peers.status[s.Node] = peerStatus{s, c.loop.Now()}
 	c.rollout.HandleHealth(c.loop.Now(), s.Node, s.StateOK && !s.Leaving)
-	c.display(s)
+	c.applyLeaderCounts(s)
 }
 
-// display takes over the leader's counts.
-func (c *Controller) display(s peers.Status) {
+// applyLeaderCounts takes over the leader's counts.
+func (c *Controller) applyLeaderCounts(s peers.Status) {
 	if c.term.fleet != nil || !s.Leading || s.Term < c.membership.Leader().Term {
 		return
 	}
@@ -40,9 +40,9 @@
 	}
 }
 
-// up tells the load balancer whether users are well served here. When the state service
+// healthy tells the load balancer whether users are well served here. When the state service
 // answers nobody, this controller is as good as any other.
-func (c *Controller) up() bool {
+func (c *Controller) healthy() bool {
 	now := c.loop.Now()
 	if !c.watchCache.Synced() || len(c.machineTypes.list) == 0 || c.lifecycle.state != Serving || !c.rollout.Compatible() {
 		return false
@@ -64,15 +64,15 @@
 	return peers || len(c.settings.Peers) == 0 || now-c.store.LastHeard() < 3*time.Second
 }
 
-// tell sends the others a status.
-func (c *Controller) tell(now time.Duration) {
+// sendStatus sends the others a status.
+func (c *Controller) sendStatus(now time.Duration) {
 	if now-c.peers.statusSentAt < time.Second {
 		return
 	}
 	c.peers.statusSentAt = now
 	s := peers.Status{
 		Node: c.settings.Node, Leading: c.term.fleet != nil, StateOK: now-c.store.LastSuccess() < 2500*time.Millisecond,
-		Workers: c.foreignHeartbeats.count(now, config.Seconds(c.settings.Params.Workers.ReportS), 0), Leaving: c.lifecycle.state != Serving,
+		Workers: c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 0), Leaving: c.lifecycle.state != Serving,
 	}
 	if c.term.fleet != nil {
 		s.Term = c.membership.Term()
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -15,33 +15,33 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// lead starts a term.
-func (c *Controller) lead(now time.Duration, term uint64) {
-	c.store.SetShare(c.share(true))
+// startTerm starts a term.
+func (c *Controller) startTerm(now time.Duration, term uint64) {
+	c.store.SetShare(c.rateShare(true))
 	c.jobs.RecallArchived()
 	c.term.fleet = fleet.New(fleet.Env{
-		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.Outgoing(workerSlots), Now: c.loop.Now, OnJobRecord: c.learned,
+		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.Outgoing(maxWorkerRequests), Now: c.loop.Now, OnJobRecord: c.handleJobRead,
 		Types:          func(ix int32) *fleet.MachineType { return c.machineTypes.byIndex[ix] },
 		PlansInPages:   func() bool { return c.rollout.Level() >= rollout.Paged },
 		OnUnreadable:   c.rollout.MarkUnreadable,
 		CanWrite:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
 		HasSpareWrites: c.store.HasSpareWrites,
-		Commit:         func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.BulkPriority, done) },
-		Read:           c.read,
-		SendCommands:   c.order,
-		Events:         events.New(keptEvents(c.settings.Params.Limits.Memory())),
+		Commit:         func(txn store.Txn, done func(store.Result)) { c.commitInTerm(txn, store.BulkPriority, done) },
+		Read:           c.readInTerm,
+		SendCommands:   c.sendCommands,
+		Events:         events.New(eventCapacity(c.settings.Params.Limits.Memory())),
 	}, term, now)
 	c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.settings.Node})
-	c.term.mover = c.newMover()
+	c.term.mover = c.newArchiveMover()
 	c.drains.upkeep = drainUpkeep{sweptAt: now}
 	c.term.capacity = capacity.New(c.settings, c.cloud, c.term.fleet, c.jobs.Names, func() []capacity.MachineType { return c.machineTypes.list }, term)
 	c.storedZones.writing = false
-	c.recallZones()
-	c.term.loading, c.term.loadAt, c.term.hadAuthority = false, now, false
+	c.restoreZones()
+	c.term.loading, c.term.loadNotBefore, c.term.hadAuthority = false, now, false
 }
 
-// commit sends a transaction of the leader's term; its answer counts only within it.
-func (c *Controller) commit(txn store.Txn, class store.Priority, done func(store.Result)) {
+// commitInTerm sends a transaction of the leader's term; its answer counts only within it.
+func (c *Controller) commitInTerm(txn store.Txn, class store.Priority, done func(store.Result)) {
 	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
 	f := c.term.fleet
 	c.store.Txn(txn, class, func(result store.Result) {
@@ -51,8 +51,8 @@
 	})
 }
 
-// read re-reads a key for the leader's term.
-func (c *Controller) read(key string, done func(store.Item, error)) {
+// readInTerm re-reads a key for the leader's term.
+func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
 	f := c.term.fleet
 	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
 		if c.term.fleet == f {
@@ -61,9 +61,9 @@
 	})
 }
 
-// lose ends a term: nothing of its state may be used any more.
-func (c *Controller) lose(time.Duration) {
-	c.store.SetShare(c.share(false))
+// endTerm ends a term: nothing of its state may be used any more.
+func (c *Controller) endTerm(time.Duration) {
+	c.store.SetShare(c.rateShare(false))
 	if c.term.capacity != nil {
 		c.term.capacity.Stop()
 	}
@@ -72,8 +72,8 @@
 	c.jobs.RecallArchived()
 }
 
-// order sends commands straight to a machine.
-func (c *Controller) order(machine *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
+// sendCommands sends commands straight to a machine.
+func (c *Controller) sendCommands(machine *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
 	body, _ := json.Marshal(o)
 	f := c.term.fleet
 	// One connection each: a large fleet's idle ones would use up the sockets.
@@ -93,9 +93,9 @@
 	})
 }
 
-// load reads the durable plans at the start of a term.
-func (c *Controller) load(now time.Duration) {
-	if c.term.loading || now < c.term.loadAt {
+// loadStoredState reads the durable plans at the start of a term.
+func (c *Controller) loadStoredState(now time.Duration) {
+	if c.term.loading || now < c.term.loadNotBefore {
 		return
 	}
 	c.term.loading = true
@@ -108,7 +108,7 @@
 			}
 			at := c.loop.Now()
 			if err != nil {
-				c.term.loading, c.term.loadAt = false, at+200*time.Millisecond
+				c.term.loading, c.term.loadNotBefore = false, at+200*time.Millisecond
 				return
 			}
 			then(at, items)
--- a/internal/controller/types.go
+++ b/internal/controller/types.go
@@ -11,7 +11,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-func (c *Controller) setTypes(raw string, types []capacity.MachineType) {
+func (c *Controller) setMachineTypes(raw string, types []capacity.MachineType) {
 	c.machineTypes.raw, c.machineTypes.list = raw, types
 	for _, machineType := range types {
 		c.machineTypes.byIndex[c.jobs.Names.Types.Index(machineType.Name)] = &fleet.MachineType{
@@ -45,7 +45,7 @@
 		v.Open = true
 		return v
 	}
-	return c.fitsPools(spec.Licences, spec.Team, n)
+	return c.admitLicences(spec.Licences, spec.Team, n)
 }
 
 func fitsType(spec *jobs.Spec, machineType capacity.MachineType) bool {
@@ -60,9 +60,9 @@
 	return allowed && zone && spec.Size().Fits(machineType.Size())
 }
 
-// learnTypes keeps the machine types and prices up to date; the leader stores them, so
+// refreshMachineTypes keeps the machine types and prices up to date; the leader stores them, so
 // that controllers that start during trouble of the cloud know them too.
-func (c *Controller) learnTypes(now time.Duration) {
+func (c *Controller) refreshMachineTypes(now time.Duration) {
 	every := 5 * time.Second
 	if len(c.machineTypes.list) > 0 {
 		if c.term.fleet == nil {
@@ -81,10 +81,10 @@
 			return
 		}
 		same := string(raw) == c.machineTypes.raw
-		c.setTypes(string(raw), types)
+		c.setMachineTypes(string(raw), types)
 		if c.term.fleet != nil && (!same || c.machineTypes.version == 0) {
-			txn := store.Txn{If: []store.Condition{c.membership.LeaderCondition()}, Then: []store.Op{{Put: typesKey, Value: raw}}}
-			txn.If = append(txn.If, store.Condition{Key: typesKey, Version: c.machineTypes.version}) // older prices that land late change nothing
+			txn := store.Txn{If: []store.Condition{c.membership.LeaderCondition()}, Then: []store.Op{{Put: machineTypesKey, Value: raw}}}
+			txn.If = append(txn.If, store.Condition{Key: machineTypesKey, Version: c.machineTypes.version}) // older prices that land late change nothing
 			c.store.Txn(txn, store.NormalPriority, func(store.Result) {})
 		}
 	})
--- a/internal/controller/why.go
+++ b/internal/controller/why.go
@@ -26,18 +26,18 @@
 	BootingS float64 `json:"booting_next_s"`
 }
 
-// nearest bounds the names of jobs that are told.
-const nearest = 5
+// maxNearestJobs bounds the names of jobs that are told.
+const maxNearestJobs = 5
 
 // whyCall answers why a job waits, from what planning has noted.
 func (c *Controller) whyCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	job := c.jobs.Get(request.Name)
 	if job == nil {
-		reply(api.Refuse(api.NotFound, notKept))
+		reply(api.Refuse(api.NotFound, jobNotInTable))
 		return
 	}
 	w := JobPendingView{ID: job.ID, Stance: job.State.String(), Tasks: job.TaskCount, Waiting: []fleet.PendingReason{}, Nearest: []string{}}
-	w.Done, w.Running = c.counts(job)
+	w.Done, w.Running = c.taskCounts(job)
 	if job.State == jobs.Pending && job.Tasks != nil {
 		if w.Running > 0 {
 			w.Stance = "running"
@@ -45,7 +45,7 @@
 		if ps := c.term.fleet.PendingReasons(now, job); ps != nil {
 			w.Waiting = ps
 		}
-		if ids, n := c.term.fleet.JobsAhead(job, nearest); n > 0 {
+		if ids, n := c.term.fleet.JobsAhead(job, maxNearestJobs); n > 0 {
 			w.Nearest, w.Ahead = ids, n
 		}
 		w.Booting, w.BootingS = c.term.capacity.Booting(now, job)
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/membership"
 )
 
-// report answers a worker.
-func (c *Controller) report(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
+// handleHeartbeat answers a worker.
+func (c *Controller) handleHeartbeat(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
 	no := api.Reply{Status: 503, Body: struct{}{}}
 	if c.membership.State() == membership.Leading && c.term.fleet != nil {
 		if !c.membership.HasAuthority(now) || !c.term.fleet.PlansLoaded() {
@@ -30,17 +30,17 @@
 		}
 		return
 	}
-	c.foreignHeartbeats.count(now, config.Seconds(c.settings.Params.Workers.ReportS), 1)
+	c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 1)
 	type keeper struct {
 		Keeper string `json:"keeper,omitempty"`
 	}
-	reply(api.Reply{Status: 421, Body: keeper{c.keeper(now, heartbeat.Machine)}})
+	reply(api.Reply{Status: 421, Body: keeper{c.ownerOf(now, heartbeat.Machine)}})
 }
 
-// keeper is whom a worker is sent to, "" if that isn't known: the owner by the followed keys, unless they are older than a
+// ownerOf is whom a worker is sent to, "" if that isn't known: the owner by the followed keys, unless they are older than a
 // hold lives; then whoever says itself that it leads. Two controllers that were cut off with their workers would
 // otherwise send them to one that has long lost the lead.
-func (c *Controller) keeper(now time.Duration, machine string) string {
+func (c *Controller) ownerOf(now time.Duration, machine string) string {
 	if now-c.watchCache.FreshAt() <= c.settings.HoldTTL() {
 		return c.membership.Owner(machine)
 	}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -16,35 +16,35 @@
 
 // storedZones is what was read of zones, for the next term that is ours.
 type storedZones struct {
-	item    store.Item
-	writing bool
-	at      time.Duration // of the last try
+	latest      store.Item
+	writing     bool
+	attemptedAt time.Duration // of the last try
 }
 
-// recallZones lets a term begin with what an earlier leader has found.
-func (c *Controller) recallZones() {
-	if c.storedZones.item.Value == nil {
+// restoreZones lets a term begin with what an earlier leader has found.
+func (c *Controller) restoreZones() {
+	if c.storedZones.latest.Value == nil {
 		return
 	}
-	err := c.term.capacity.Zones.Restore(c.storedZones.item.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
+	err := c.term.capacity.Zones.Restore(c.storedZones.latest.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
 	if err != nil {
-		c.rollout.MarkUnreadable(zones.Key, c.storedZones.item.Value, err)
+		c.rollout.MarkUnreadable(zones.Key, c.storedZones.latest.Value, err)
 	}
 }
 
-// keepZones stores what has changed of zones, for whoever leads next: it may be about to be us that is cut off.
-func (c *Controller) keepZones(now time.Duration) {
+// storeZones stores what has changed of zones, for whoever leads next: it may be about to be us that is cut off.
+func (c *Controller) storeZones(now time.Duration) {
 	z := c.term.capacity.Zones
-	if !z.Dirty() || c.storedZones.writing || now-c.storedZones.at < time.Second {
+	if !z.Dirty() || c.storedZones.writing || now-c.storedZones.attemptedAt < time.Second {
 		return
 	}
-	c.storedZones.writing, c.storedZones.at = true, now
+	c.storedZones.writing, c.storedZones.attemptedAt = true, now
 	raw := z.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
 	z.MarkStored()
-	c.commit(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.storedZones.item.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(result store.Result) {
+	c.commitInTerm(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.storedZones.latest.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(result store.Result) {
 		c.storedZones.writing = false
 		if result.Outcome == store.Committed {
-			c.storedZones.item = store.Item{Key: zones.Key, Value: raw, Version: result.Revision}
+			c.storedZones.latest = store.Item{Key: zones.Key, Value: raw, Version: result.Revision}
 			return
 		}
 		slog.Debug("zones not stored", "outcome", result.Outcome.String())
