--- /dev/null
+++ b/internal/controller/admin.go
@@ -0,0 +1,174 @@
+package controller
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/api"
+	"github.com/harewalk/harewalk/internal/drain"
+	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// Status is what operators are shown of a cluster.
+type Status struct {
+	Revision uint64       `json:"revision"` // of the drain document
+	Last     string       `json:"last,omitempty"`
+	Term     uint64       `json:"term"`
+	Nodes    []NodeStatus `json:"nodes"`
+	// Draining are machines that are being drained, by name: a page of them, of DrainingTotal in all.
+	Draining      []MachineStatus `json:"draining"`
+	DrainingTotal int             `json:"draining_total"`
+	Machines      map[string]int  `json:"machines"` // by condition
+	// MaxMachines bounds how many machines are rented, MachinesBound names the setting it comes from, and Full is set
+	// while it is reached.
+	MaxMachines   int    `json:"max_machines"`
+	MachinesBound string `json:"machines_bound"`
+	Full          bool   `json:"full"`
+	Jobs          int    `json:"jobs"`
+	// Archive is the progress of archiving ended jobs.
+	Archive ArchiveStatus `json:"archive"`
+}
+
+// NodeStatus is one controller as the leader sees it.
+type NodeStatus struct {
+	Node    string `json:"node"`
+	Leads   bool   `json:"leads"`
+	Alive   bool   `json:"alive"` // its statuses arrive, and it reaches the state service
+	Drained bool   `json:"drained"`
+	By      string `json:"by,omitempty"`
+}
+
+// MachineStatus is one machine that is being drained.
+type MachineStatus struct {
+	Machine string `json:"machine"`
+	State   string `json:"stance"`
+	Tasks   int    `json:"tasks"` // that may still be on it
+	By      string `json:"by,omitempty"`
+}
+
+// drainCluster returns the cluster as far as a drain command depends on it.
+func (c *Controller) drainCluster(now time.Duration) drain.Cluster {
+	cluster := drain.Cluster{
+		Nodes: []string{c.settings.Node},
+		Alive: []string{c.settings.Node},
+		Machine: func(name string) bool {
+			machine := c.term.fleet.FindMachine(name)
+			return machine != nil && machine.Condition != fleet.Terminated
+		},
+	}
+	for _, peer := range c.settings.Peers {
+		cluster.Nodes = append(cluster.Nodes, peer.Node)
+		if status, ok := c.peers.status[peer.Node]; ok && status.isFresh(now) && status.StateOK {
+			cluster.Alive = append(cluster.Alive, peer.Node)
+		}
+	}
+	slices.Sort(cluster.Nodes)
+	return cluster
+}
+
+// adminCall answers an operator: the cluster's status, or a command.
+func (c *Controller) adminCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	if request.Verb == "show" {
+		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query["since"])})
+		return
+	}
+	var command drain.Command
+	if err := json.Unmarshal(request.Body, &command); err != nil {
+		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
+		return
+	}
+	if command.Revision != nil && *command.Revision != c.drains.documentVersion {
+		reply(refuseStaleCommand(c.drains.document.Last))
+		return
+	}
+	command.AtMS = c.jobs.WallMS(now)
+	change, err := c.desiredDrains().Apply(command, c.drainCluster(now))
+	if err != nil {
+		reply(refuseDrain(err))
+		return
+	}
+	c.writeDrainChange(change, func(result store.Result) { reply(c.drainCommandReply(command, result)) })
+}
+
+// drainCommandReply returns the answer to a command by its write's outcome.
+func (c *Controller) drainCommandReply(command drain.Command, result store.Result) api.Reply {
+	switch result.Outcome {
+	case store.Committed:
+		slog.Info("operator command committed",
+			"op", command.Op,
+			"kind", command.Kind,
+			"name", command.Name,
+			"by", command.By,
+		)
+		return api.Reply{Status: http.StatusOK, Body: c.adminStatus(c.loop.Now(), "")}
+	case store.Conflict:
+		return refuseStaleCommand("another command")
+	default:
+		return refuseIndeterminateCommand()
+	}
+}
+
+// refuseDrain returns the answer to a drain command that can't be carried out.
+func refuseDrain(err error) api.Reply {
+	kind := api.Conflict
+	switch {
+	case errors.Is(err, drain.ErrMalformed):
+		kind = api.InvalidRequest
+	case errors.Is(err, drain.ErrUnknown):
+		kind = api.NotFound
+	}
+	return api.Refuse(kind, err.Error())
+}
+
+// refuseStaleCommand returns the answer to a command that was based on an older state than the present.
+func refuseStaleCommand(changedBy string) api.Reply {
+	return api.Refuse(api.Conflict, fmt.Sprintf(
+		"something was changed meanwhile (%s): look at the status, and give the command again if it is still right",
+		changedBy,
+	))
+}
+
+// refuseIndeterminateCommand returns the answer to a command whose write has an indeterminate outcome.
+func refuseIndeterminateCommand() api.Reply {
+	return api.Refuse(
+		api.Unavailable,
+		"it is not known whether the command was taken: look at the status before giving it again",
+	)
+}
+
+// adminStatus returns the cluster's status with the page of drained machines after a name.
+func (c *Controller) adminStatus(now time.Duration, after string) Status {
+	status := Status{
+		Revision:      c.drains.documentVersion,
+		Last:          c.drains.document.Last,
+		Term:          c.membership.Term(),
+		Machines:      map[string]int{},
+		MaxMachines:   c.settings.Operator.MaxMachines,
+		MachinesBound: string(c.settings.Operator.MachinesBound),
+		Full:          c.term.capacity.Full(),
+		Jobs:          c.liveJobs(),
+		Archive:       c.archiveStatus(),
+	}
+	cluster := c.drainCluster(now)
+	for _, node := range cluster.Nodes {
+		request, isDrained := c.drains.document.Nodes[node]
+		status.Nodes = append(status.Nodes, NodeStatus{
+			Node:    node,
+			Leads:   node == c.settings.Node,
+			Alive:   slices.Contains(cluster.Alive, node),
+			Drained: isDrained,
+			By:      request.By,
+		})
+	}
+	for _, machine := range c.term.fleet.Machines() {
+		status.Machines[machine.Condition.String()]++
+	}
+	status.Draining, status.DrainingTotal = c.drainStatus(after)
+	return status
+}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -3,129 +3,124 @@
 import (
 	"encoding/json"
 	"log/slog"
-	"strings"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// archiveInterval spaces the looks at what may be archived.
+// archiveInterval spaces the searches for jobs that may be archived.
 const archiveInterval = 100 * time.Millisecond
 
-// newArchiveReader makes what finds archived answers.
-func (c *Controller) newArchiveReader(entries int) *archive.Reader {
-	r := archive.NewReader(c.store, entries)
-	r.Unreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
-	r.Readable = func(key string) { c.rollout.MarkReadable(key) }
-	return r
+// jobArchive is this controller's side of the archive of ended jobs.
+type jobArchive struct {
+	settings  config.Archive
+	reader    *archive.Reader
+	checkedAt time.Duration // when ended jobs were last searched for
 }
 
-// newArchiveMover makes what moves ended jobs into the archive, for a term.
+// newArchiveReader makes the reader of archived jobs' answers.
+func (c *Controller) newArchiveReader(cacheEntries int) *archive.Reader {
+	reader := archive.NewReader(c.store, cacheEntries)
+	reader.Unreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
+	reader.Readable = func(key string) { c.rollout.MarkReadable(key) }
+	return reader
+}
+
+// newArchiveMover makes a term's mover of ended jobs into the archive.
 func (c *Controller) newArchiveMover() *archive.Mover {
 	return archive.NewMover(archive.Env{
-		CanWrite:   func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
-		Commit:     func(txn store.Txn, done func(store.Result)) { c.commitInTerm(txn, store.BulkPriority, done) },
+		CanWrite: func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			c.commitInTerm(txn, store.BulkPriority, done)
+		},
 		Now:        c.loop.Now,
 		OnArchived: c.archive.reader.Remember,
-		TxnOps:     c.settings.Params.State.Limits().MaxOps, WritesPerS: c.settings.Params.State.WriteRPS,
+		TxnOps:     c.settings.Params.State.Limits().MaxOps,
+		WritesPerS: c.settings.Params.State.WriteRPS,
 	})
 }
 
-// archiveEndedJobs archives ended jobs, where the cluster's level has every controller read them.
+// archiveEndedJobs archives ended jobs, once the cluster's level has every controller read the archive.
 func (c *Controller) archiveEndedJobs(now time.Duration) {
-	if c.term.mover == nil || now-c.archive.checkedAt < archiveInterval || c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
+	if c.term.mover == nil || now-c.archive.checkedAt < archiveInterval {
+		return
+	}
+	if c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
 	c.archive.checkedAt = now
-	c.term.mover.Tick(now, c.archiveOverdue(now), func(take func(archive.Candidate) bool) {
+	c.term.mover.Tick(now, c.isArchiveOverdue(now), func(take func(archive.Candidate) bool) {
 		c.jobs.ForEachEnded(now-c.archive.settings.Retain, func(job *jobs.Job) bool {
-			if !c.archivable(job) {
+			if !c.isArchivable(job) {
 				return true
 			}
-			return take(archive.Candidate{ID: job.ID, Version: job.Version, Answer: archive.Answer{State: job.State, Tasks: job.TaskCount, Done: job.FinishedTasks}})
+			return take(archiveCandidate(job))
 		})
 	})
 }
 
-// archiveOverdue tells whether some ended job has waited for more than twice the time for which it is retained.
-func (c *Controller) archiveOverdue(now time.Duration) (late bool) {
+// archiveCandidate returns what the archive keeps of a job.
+func archiveCandidate(job *jobs.Job) archive.Candidate {
+	return archive.Candidate{
+		ID:      job.ID,
+		Version: job.Version,
+		Answer:  archive.Answer{State: job.State, Tasks: job.TaskCount, Done: job.FinishedTasks},
+	}
+}
+
+// isArchiveOverdue reports whether some ended job has waited for more than twice the time for which it is retained.
+func (c *Controller) isArchiveOverdue(now time.Duration) bool {
+	isOverdue := false
 	c.jobs.ForEachEnded(now-2*c.archive.settings.Retain, func(job *jobs.Job) bool {
-		late = c.archivable(job)
-		return !late
+		isOverdue = c.isArchivable(job)
+		return !isOverdue
 	})
-	return late
+	return isOverdue
 }
 
-// archivable tells whether an ended job can't have a task on any machine, and nothing else stands of it.
-func (c *Controller) archivable(job *jobs.Job) bool {
+// isArchivable reports whether an ended job can't have a task on any machine, and nothing else of it is stored.
+func (c *Controller) isArchivable(job *jobs.Job) bool {
 	if c.term.sessions != nil && c.term.sessions.Stands(job.ID) {
 		return false
 	}
 	return c.term.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
 }
 
-// handleJobDeleted takes over that a job's record has left the followed keys.
-func (c *Controller) handleJobDeleted(key string, version uint64) {
-	id := strings.TrimPrefix(key, jobs.Prefix)
-	c.jobs.Archive(id, version)
-	if c.term.mover != nil {
-		c.term.mover.ForgetConflict(id)
-	}
-}
-
-// retainJobs takes over a new reading of all followed keys, as far as jobs are concerned.
-func (c *Controller) retainJobs(items []store.Item) {
-	present := make(map[string]bool, len(items))
-	for _, item := range items {
-		if strings.HasPrefix(item.Key, jobs.Prefix) {
-			present[strings.TrimPrefix(item.Key, jobs.Prefix)] = true
-		}
-	}
-	c.jobs.Retain(c.watchCache.Revision(), func(id string) bool { return present[id] })
-}
-
-// ArchiveStatus is what operators are told of the archive.
+// ArchiveStatus is what operators are shown of the archive.
 type ArchiveStatus struct {
-	// Moved counts the jobs that this leader has archived in its term, Waiting the ended ones that it holds still.
+	// Moved counts the jobs that this leader has archived in its term, Waiting the ended ones still in memory.
 	Moved   uint64  `json:"moved"`
 	Waiting int     `json:"waiting"`
 	RetainS float64 `json:"retain_s"`
 	State   string  `json:"stance"`
-	// Problem says why nothing is archived, "": it is.
+	// Problem is why nothing is archived, "" while jobs are.
 	Problem string `json:"problem,omitempty"`
 }
 
-// archiveStatus is told by the leader.
+// archiveStatus returns the leader's view of the archive.
 func (c *Controller) archiveStatus() ArchiveStatus {
-	s := ArchiveStatus{Moved: c.term.mover.Stats.Moved, Waiting: c.jobs.Len() - c.liveJobs(), RetainS: c.archive.settings.Retain.Seconds(), State: c.term.mover.State().String()}
+	status := ArchiveStatus{
+		Moved:   c.term.mover.Stats.Moved,
+		Waiting: c.jobs.Len() - c.liveJobs(),
+		RetainS: c.archive.settings.Retain.Seconds(),
+		State:   c.term.mover.State().String(),
+	}
 	switch {
 	case c.archive.settings.Problem != nil:
-		s.Problem = c.archive.settings.Problem.Error()
+		status.Problem = c.archive.settings.Problem.Error()
 	case c.rollout.Level() < rollout.Archived:
-		s.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
+		status.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
 	}
-	return s
+	return status
 }
 
-// logArchiveProblem logs at the start why nothing will be archived.
+// logArchiveProblem logs why nothing will be archived, if that is so.
 func (c *Controller) logArchiveProblem() {
 	if c.archive.settings.Problem != nil {
-		slog.Error("ended jobs are not archived: memory grows with each job", "cause", c.archive.settings.Problem)
-	}
-}
-
-// resetKeys takes a new reading of all followed keys: what it lacks is gone.
-func (c *Controller) resetKeys(items []store.Item) {
-	c.rollout.HandleReset(items)
-	c.membership.HandleReset(c.loop.Now(), items)
-	present := make(map[string]bool, len(items))
-	for _, item := range items {
-		present[item.Key] = true
+		slog.Error("ended jobs are not archived, memory grows with each job", "error", c.archive.settings.Problem)
 	}
-	c.licencePools.Reset(func(key string) bool { return present[key] })
-	c.drains.machines.Reset(c.watchCache.Revision(), func(key string) bool { return present[key] })
-	c.retainJobs(items)
 }
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -130,7 +130,7 @@
 	c, _, _ := newFollowingController(t)
 	c.term.sessions = sessions.New(sessions.Env{Policies: &sessions.Policies{}, Jobs: c.jobs, Wall: func(time.Duration) time.Time { return time.Unix(0, 0) }}, 1)
 	c.term.sessions.Load(0, []store.Item{{Key: sessions.Key("req-000001"), Value: []byte(`{"user":"u","team":"t"}`), Version: 3}})
-	if c.archivable(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
+	if c.isArchivable(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
 		t.Error("the job of a session that is recorded may be archived")
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,15 +1,17 @@
-// Package controller puts the slices together around one event loop.
+// Package controller joins the other packages around one event loop and runs them as one process of the service.
+//
+// It owns the event loop and everything that only the loop may touch: the wiring between store, membership, rollout,
+// jobs, fleet, capacity, sessions and archive, the state of the present leader term, the controller's lifecycle, and
+// the answers to operators. It never plans tasks, never elects a leader and never interprets a stored record itself:
+// it passes events to the package that does. Commands in cmd/harewalk call New and Run; the simulator calls Simulate.
 package controller
 
 import (
 	"crypto/tls"
-	"fmt"
 	"hash/fnv"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"runtime/debug"
-	"strings"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
@@ -27,33 +29,42 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// hot is the prefix of the keys that every controller follows.
+// Keys of the state service that this package handles itself.
 const (
+	// followedPrefix is the prefix of the keys that every controller follows.
 	followedPrefix  = "h/"
 	machineTypesKey = membership.Prefix + "types"
 )
 
-// leaderShare is the leader's part of the state service's rate: it writes the plans and
-// reads more. The others share what is left evenly, however many they are, so that all
-// together stay within the limit.
+// leaderShare is the leader's share of the state service's rate: it writes the plans and reads more. The others divide
+// what is left evenly, however many they are, so that all together stay within the limit.
 const leaderShare = 0.6
 
-// How many seconds' worth of its part a controller may use at once: the service allows one
-// second's worth in all. The leader's requests are many and even, while submissions come
-// in bursts.
+// How many seconds' worth of its share a controller may use at once: the service allows one second's worth in all. The
+// leader's requests are many and even, while submissions come in bursts.
 const (
-	leaderBurst = 0.8
-	otherBurst  = 1.25
+	leaderBurstSeconds   = 0.8
+	followerBurstSeconds = 1.25
 )
 
-// Most requests in flight: to the state service and the cloud, and to workers. The two don't
-// share slots, or workers that hang behind a cut would keep holds from being renewed.
+// Most requests in flight: to the state service and the cloud, and to workers. The two have separate limits, or workers
+// that hang behind a network partition would keep leases from being renewed.
 const (
 	maxStateRequests  = 48
 	maxWorkerRequests = 64
 )
 
-// Controller is one process of the service.
+// cloudRateMargin is the part of the cloud's allowed request rate that is used.
+const cloudRateMargin = 0.9
+
+// memoryLimitMargin is the part of the process's memory limit above which the garbage collector works harder: the
+// process is ended at the limit itself.
+const memoryLimitMargin = 0.7
+
+const bytesPerMB = 1 << 20
+
+// Controller is one process of the service. All fields belong to the event loop, except where their type is made for
+// concurrent use.
 type Controller struct {
 	settings *config.Settings
 	loop     *Loop
@@ -82,7 +93,7 @@
 	peers        peerSet
 
 	foreignHeartbeats foreignHeartbeats
-	answers           api.ResponseCounter
+	responses         api.ResponseCounter // safe for concurrent use
 	failoverTiming    failoverTiming
 
 	rolloutCheckedAt time.Duration
@@ -93,200 +104,209 @@
 // New builds a controller that is not yet listening.
 func New(settings *config.Settings) *Controller {
 	if settings.Params.Limits.MemMB != nil {
-		// Stay clear of the limit at which the process would be ended.
-		debug.SetMemoryLimit(int64(settings.Params.Limits.Memory() * 0.7 * (1 << 20)))
+		debug.SetMemoryLimit(int64(settings.Params.Limits.Memory() * memoryLimitMargin * bytesPerMB))
 	}
 	start := time.Now()
-	c := build(settings, Environment{Now: func() time.Duration { return time.Since(start) }, EpochMS: start.UnixMilli(), Seed: uint64(start.UnixNano())})
-	for _, p := range settings.Peers {
-		dial := peers.Plain(p.Addr)
-		if t := settings.Operator.TLS; t != nil && t.Peers {
-			dial = peers.Secure(p.Addr, func() *tls.Config { return settings.Keys().Peer(p.Node) })
-		}
-		c.peers.links = append(c.peers.links, peers.NewLink(dial))
+	c := build(settings, Environment{
+		Now:     func() time.Duration { return time.Since(start) },
+		EpochMS: start.UnixMilli(),
+		Seed:    uint64(start.UnixNano()),
+	})
+	for _, peer := range settings.Peers {
+		c.peers.links = append(c.peers.links, peers.NewLink(peerDialer(settings, peer)))
 	}
 	return c
 }
 
-// build puts a controller together on what is outside.
-func build(settings *config.Settings, o Environment) *Controller {
-	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(settings.Node))
+// peerDialer returns how connections to another controller are opened.
+func peerDialer(settings *config.Settings, peer config.Peer) peers.Dial {
+	if tlsSettings := settings.Operator.TLS; tlsSettings != nil && tlsSettings.Peers {
+		return peers.Secure(peer.Addr, func() *tls.Config { return settings.Keys().Peer(peer.Node) })
+	}
+	return peers.Plain(peer.Addr)
+}
+
+// build makes a controller on its environment. The parts are made in the order in which they depend on each other.
+func build(settings *config.Settings, env Environment) *Controller {
 	c := &Controller{
 		settings:     settings,
-		loop:         NewLoop(o.Now),
-		rng:          rand.New(rand.NewPCG(seed.Sum64(), o.Seed)),
+		loop:         NewLoop(env.Now),
+		rng:          newRand(settings.Node, env.Seed),
 		machineTypes: machineTypes{byIndex: map[int32]*fleet.MachineType{}},
 		lifecycle:    lifecycle{ended: make(chan struct{})},
 		drains:       drainState{machines: drain.NewMachineRequests()},
 		peers:        peerSet{status: map[string]peerStatus{}},
 	}
-	if o.Sender == nil {
-		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
-	}
-	c.stateSender = o.Sender(settings.Params.Limits.Outgoing(maxStateRequests))
-	c.workerSender = o.Sender(settings.Params.Limits.Outgoing(maxWorkerRequests))
-	c.store = store.New(settings.Services.State, c.stateSender, c.loop.Now, c.rateShare(false), settings.Params.State.Limits())
-	c.licenceSender = o.Sender(settings.Params.Limits.Outgoing(maxLicenceRequests))
-	c.jobs = jobs.NewTable(o.EpochMS)
-	c.licencePools = licences.NewCatalog(settings.Pools())
-	c.jobs.Names.Pools = c.licencePools
-	c.quota = quota.New(settings.Params.Teams, c.jobs.Names.Teams.Index)
-	c.cloud = capacity.NewCloud(settings.Services.Cloud, c.stateSender, c.loop.Now, settings.Params.Cloud.RPS*0.9)
+	c.buildClients(env)
+	c.buildTables(env)
 	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.PictureFor())
 	c.rollout = c.newRollout()
-	c.membership = membership.New(membership.Config{
-		Rollout: membershipRollout{c.rollout, c}, Node: settings.Node, Public: settings.Public, Secure: settings.Secure(), TTL: settings.HoldTTL(), StalenessBound: settings.PictureFor(), Rng: c.rng,
-		OnElected: c.startTerm, OnDeposed: c.endTerm,
-	}, c.store, c.watchCache.FreshAt)
+	c.membership = c.newMembership()
 	c.watchCache.OnItem = func(item store.Item) { c.handleItem(c.loop.Now(), item) }
-	c.watchCache.OnDelete = func(k string, v uint64) {
-		if strings.HasPrefix(k, jobs.Prefix) {
-			c.handleJobDeleted(k, v)
-		}
-		c.rollout.HandleDelete(k, v)
-		c.membership.HandleDelete(c.loop.Now(), k, v)
-		c.licencePools.Drop(k, v)
-		if k == drain.DocumentKey {
-			c.applyDrainDocument(nil, v)
-		}
-		c.drains.machines.HandleDelete(k, v)
-	}
+	c.watchCache.OnDelete = c.handleDelete
 	c.watchCache.OnReset = c.resetKeys
-	c.watchCache.OnSynced = func() { c.rollout.HandleSynced(); c.membership.HandleSynced(c.loop.Now()) }
+	c.watchCache.OnSynced = c.handleSynced
 	c.archive.settings = settings.Archive()
 	c.archive.reader = c.newArchiveReader(c.archive.settings.CacheEntries)
-	c.api = api.New(api.Env{
-		Store: c.store, Jobs: c.jobs, Archive: c.archive.reader, Admit: c.admit, Ready: c.watchCache.Synced,
-		Counts: c.taskCounts, OnJobRecord: c.handleJobRead, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
-		MaxBytes: settings.Params.Limits.QueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
-	})
+	c.api = c.newSubmissionAPI()
 	return c
 }
 
-// rateShare is this controller's part of the state service's rate.
-func (c *Controller) rateShare(leading bool) store.Share {
-	part, burst := leaderShare, leaderBurst
-	if others := len(c.settings.Peers); !leading && others > 0 {
-		part, burst = (1-leaderShare)/float64(others), otherBurst
-	}
-	return store.Share{RPS: c.settings.Params.State.RPS * part, WriteRPS: c.settings.Params.State.WriteRPS * part, BurstS: burst}
+// newRand returns the controller's source of randomness: different for each node, and the same for the same seed.
+func newRand(node string, seed uint64) *rand.Rand {
+	nodeHash := fnv.New64a()
+	_, _ = nodeHash.Write([]byte(node))
+	return rand.New(rand.NewPCG(nodeHash.Sum64(), seed))
 }
 
-// Run listens and serves until the process is ended.
-func (c *Controller) Run() error {
-	public, err := net.Listen("tcp4", c.settings.Public)
-	if err != nil {
-		return fmt.Errorf("setting \"public_addr\": %w", err)
-	}
-	back, err := net.Listen("tcp4", c.settings.Back)
-	if err != nil {
-		return fmt.Errorf("setting \"back\": %w", err)
+// buildClients makes the clients of the other services.
+func (c *Controller) buildClients(env Environment) {
+	newSender := env.Sender
+	if newSender == nil {
+		newSender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
-	if t := c.settings.Operator.TLS; t != nil && t.Peers {
-		back = tls.NewListener(back, c.settings.Keys().Peers())
-	}
-	if addr := c.settings.Operator.DebugAddr; addr != "" {
-		if err := c.serveDebug(addr); err != nil {
-			return err
-		}
-	}
-	go peers.Serve(back, func(s peers.Status) { c.loop.Offer(func() { c.handlePeerStatus(s) }) })
-	fail := make(chan error, 2)
-	routes := api.Routes{
-		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.api, Up: c.healthy,
-		Report: c.handleHeartbeat, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
-	}
-	if t := c.settings.Operator.TLS; t != nil {
-		secure, err := net.Listen("tcp", t.Listen)
-		if err != nil {
-			return fmt.Errorf("setting \"tls.listen\": %w", err)
-		}
-		// The connections that are taken from outside are shared out.
-		over := routes
-		over.MaxConns, over.Crowded = max(1, routes.MaxConns/4), max(1, routes.Crowded/4)
-		routes.MaxConns, routes.Crowded = routes.MaxConns-over.MaxConns, max(1, routes.Crowded-over.Crowded)
-		routes.WorkersOnly = t.Plain == "workers"
-		go func() { fail <- api.Serve(tls.NewListener(secure, c.settings.Keys().Users()), over) }()
-	}
-	go func() { fail <- api.Serve(public, routes) }()
-	go c.checkFiles(fileCheckInterval)
-	c.logArchiveProblem()
-	slog.Info("serving", "node", c.settings.Node, "public", c.settings.Public, "hold_ms", c.settings.Operator.HoldTTLMS,
-		"money_counts", c.settings.MoneyCounts(), "objectives", len(c.settings.Params.Objectives))
-	go c.loop.Run(TickEvery, c.tick)
-	return <-fail
+	limits := &c.settings.Params.Limits
+	c.stateSender = newSender(limits.Outgoing(maxStateRequests))
+	c.workerSender = newSender(limits.Outgoing(maxWorkerRequests))
+	c.licenceSender = newSender(limits.Outgoing(maxLicenceRequests))
+	c.store = store.New(
+		c.settings.Services.State,
+		c.stateSender,
+		c.loop.Now,
+		c.rateShare(false),
+		c.settings.Params.State.Limits(),
+	)
+	c.cloud = capacity.NewCloud(
+		c.settings.Services.Cloud,
+		c.stateSender,
+		c.loop.Now,
+		c.settings.Params.Cloud.RPS*cloudRateMargin,
+	)
 }
 
-// fileCheckInterval is how often keys and users are looked at.
-const fileCheckInterval = 5 * time.Second
+// buildTables makes the tables of jobs, licence pools and quotas.
+func (c *Controller) buildTables(env Environment) {
+	c.jobs = jobs.NewTable(env.EpochMS)
+	c.licencePools = licences.NewCatalog(c.settings.Pools())
+	c.jobs.Names.Pools = c.licencePools
+	c.quota = quota.New(c.settings.Params.Teams, c.jobs.Names.Teams.Index)
+}
 
-// checkFiles takes changed keys and users over, until the process ends.
-func (c *Controller) checkFiles(every time.Duration) {
-	check := func(what string, f func() error) {
-		if err := f(); err != nil {
-			slog.Error("a file cannot be taken over: what was read before counts", "what", what, "cause", err)
-		}
-	}
-	if c.settings.Keys() == nil && c.settings.Users() == nil {
-		return
+// newMembership makes this controller's part in the leader election.
+func (c *Controller) newMembership() *membership.Membership {
+	return membership.New(membership.Config{
+		Node:           c.settings.Node,
+		Public:         c.settings.Public,
+		Secure:         c.settings.Secure(),
+		TTL:            c.settings.HoldTTL(),
+		StalenessBound: c.settings.PictureFor(),
+		Rng:            c.rng,
+		Rollout:        membershipRollout{c.rollout, c},
+		OnElected:      c.startTerm,
+		OnDeposed:      c.endTerm,
+	}, c.store, c.watchCache.FreshAt)
+}
+
+// newSubmissionAPI makes the service that answers users.
+func (c *Controller) newSubmissionAPI() *api.Service {
+	state := &c.settings.Params.State
+	return api.New(api.Env{
+		Store:          c.store,
+		Jobs:           c.jobs,
+		Archive:        c.archive.reader,
+		Admit:          c.admit,
+		Ready:          c.watchCache.Synced,
+		Counts:         c.taskCounts,
+		OnJobRecord:    c.handleJobRead,
+		LevelCondition: c.rollout.LevelCondition,
+		Compatible:     c.rollout.Compatible,
+		TxnOps:         state.TxnOps,
+		Limits:         c.store.Limits,
+		MaxTasks:       c.settings.Params.Limits.Tasks(),
+		MaxBytes:       c.settings.Params.Limits.QueueBytes(),
+		MaxValue:       state.Limits().MaxValueBytes,
+	})
+}
+
+// rateShare returns this controller's share of the state service's rate.
+func (c *Controller) rateShare(leading bool) store.Share {
+	share, burst := leaderShare, leaderBurstSeconds
+	if others := len(c.settings.Peers); !leading && others > 0 {
+		share, burst = (1-leaderShare)/float64(others), followerBurstSeconds
 	}
-	for range time.Tick(every) {
-		if k := c.settings.Keys(); k != nil {
-			check("keys", k.Check)
-		}
-		if u := c.settings.Users(); u != nil {
-			check("users", u.Check)
-		}
+	return store.Share{
+		RPS:      c.settings.Params.State.RPS * share,
+		WriteRPS: c.settings.Params.State.WriteRPS * share,
+		BurstS:   burst,
 	}
 }
 
-// tick does what is due at a time.
+// summaryInterval spaces the log lines in which a leader sums up its fleet.
+const summaryInterval = 30 * time.Second
+
+// tick does all that is due at a time. The event loop calls it every TickEvery.
 func (c *Controller) tick(now time.Duration) {
 	c.watchCache.Tick(now)
 	c.membership.Tick(now)
 	c.api.Tick(now)
 	c.refreshMachineTypes(now)
 	c.sendStatus(now)
-	if c.lifecycle.state != Serving {
+	if c.lifecycle.state != serving {
 		c.advanceDrain(now)
 	}
 	c.applyDrains(now)
 	c.advanceRollout(now)
 	c.logFailoverTiming(now)
-	if c.term.fleet == nil {
-		return
+	if c.term.active() {
+		c.tickTerm(now)
 	}
-	auth := c.membership.HasAuthority(now)
-	if !auth && c.cacheTooStale(now) {
+}
+
+// tickTerm does what is due in a leader's term, and resigns where the term can't go on.
+func (c *Controller) tickTerm(now time.Duration) {
+	hasAuthority := c.membership.HasAuthority(now)
+	if !hasAuthority && c.cacheTooStale(now) {
 		c.membership.Resign(now, "the followed keys are too old")
 		return
 	}
-	if !c.term.fleet.PlansLoaded() {
+	if !c.term.loaded() {
 		c.loadStoredState(now)
 		return
 	}
 	if c.term.fleet.WritesStuck() {
-		c.membership.Resign(now, "writes without an outcome don't fit the state service's limits any more")
+		c.membership.Resign(now, "indeterminate writes no longer fit the state service's limits")
 		return
 	}
 	if now >= c.summarizedAt {
-		c.summarizedAt = now + 30*time.Second
+		c.summarizedAt = now + summaryInterval
 		c.term.fleet.Summary(now)
 	}
-	if auth && !c.term.hadAuthority {
-		c.term.authoritySince = now
+	c.term.noteAuthority(now, hasAuthority)
+	c.term.fleet.Tick(now, hasAuthority)
+	if hasAuthority {
+		c.tickAuthority(now)
 	}
-	c.term.hadAuthority = auth
-	c.term.fleet.Tick(now, auth)
-	if auth && c.term.sessions != nil {
+}
+
+// tickAuthority does what only a leader with the authority to act may do, after the fleet's own tick.
+func (c *Controller) tickAuthority(now time.Duration) {
+	if c.term.sessions != nil {
 		c.term.sessions.Tick(now)
 	}
-	if auth {
-		c.queryLicenceServers(now)
-		c.term.capacity.Tick(now, c.term.authoritySince)
-		c.storeZones(now)
-		c.resignIfUnreachable(now)
-		c.archiveEndedJobs(now)
-	}
+	c.queryLicenceServers(now)
+	c.term.capacity.Tick(now, c.term.authoritySince)
+	c.storeZones(now)
+	c.resignIfUnreachable(now)
+	c.archiveEndedJobs(now)
+}
+
+// logStart logs what this controller serves.
+func (c *Controller) logStart() {
+	slog.Info("serving",
+		"node", c.settings.Node,
+		"public_addr", c.settings.Public,
+		"hold_ttl_ms", c.settings.Operator.HoldTTLMS,
+		"costs_count", c.settings.MoneyCounts(),
+		"objectives", len(c.settings.Params.Objectives),
+	)
 }
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -5,7 +5,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/drain"
@@ -14,35 +13,72 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file keeps the drain requests of machines: each under a key of its own, from the cluster's level on at which
-// every controller reads them.
+// This file follows and applies the operators' drain requests. Those of controllers stand in one document. Those of
+// machines stand there as well until the cluster's level is rollout.DrainKeys, from which on every controller reads them
+// under keys of their own; a leader then moves them.
 
 const (
-	// drainSweepInterval spaces the looks for drain requests of machines that are gone, drainMoveInterval the steps that take
-	// requests out of the document.
+	// drainSweepInterval spaces the searches for drain requests of machines that are gone, drainMoveInterval the steps
+	// that move requests out of the document.
 	drainSweepInterval = 30 * time.Second
 	drainMoveInterval  = 500 * time.Millisecond
-	// maxBackgroundDrainOps bounds the keys of one transaction that nobody waits for.
+	// maxBackgroundDrainOps bounds the keys of one transaction that no operator waits for.
 	maxBackgroundDrainOps = 8
-	// unknownMachineTTL is for how long a leader must not have known a machine at all before its drain request is
-	// dropped: the machine went while nobody led, or before an earlier leader.
+	// unknownMachineTTL is for how long a leader must have found no machine of a name before the machine's drain
+	// request is dropped: the machine left while no controller led, or before an earlier leader.
 	unknownMachineTTL = time.Hour
 )
 
-// drains.upkeep is what a term does about drain requests in the background.
+// drainState is the drain requests of operators, as far as they were followed, and a leader's upkeep of them.
+type drainState struct {
+	document        drain.Document
+	documentVersion uint64
+	machines        *drain.MachineRequests
+	upkeep          drainUpkeep
+}
+
+// drainUpkeep is what a term does about drain requests in the background.
 type drainUpkeep struct {
-	writing      bool // a transaction is under way
+	writing      bool // a transaction is in flight
 	sweptAt      time.Duration
 	movedAt      time.Duration
-	unknownSince map[string]time.Duration // since when a machine that is to be drained isn't known, by name
+	unknownSince map[string]time.Duration // by the names of machines that are to be drained and aren't in the fleet
 }
 
-// desiredDrains is all that operators want, as far as it was followed.
+// isDrained reports whether operators want a controller drained.
+func (d *drainState) isDrained(node string) bool {
+	_, ok := d.document.Nodes[node]
+	return ok
+}
+
+// desiredDrains returns all that operators want drained, as far as it was followed.
 func (c *Controller) desiredDrains() drain.DesiredState {
-	return drain.DesiredState{Document: c.drains.document, Drains: c.drains.machines, OwnKeys: c.rollout.Level() >= rollout.DrainKeys}
+	return drain.DesiredState{
+		Document: c.drains.document,
+		Drains:   c.drains.machines,
+		OwnKeys:  c.rollout.Level() >= rollout.DrainKeys,
+	}
+}
+
+// applyDrainDocument applies the operators' document, raw nil: it was deleted. An older version than the last is
+// ignored.
+func (c *Controller) applyDrainDocument(raw json.RawMessage, version uint64) {
+	if version <= c.drains.documentVersion {
+		return
+	}
+	document := drain.Document{}
+	if raw != nil {
+		var err error
+		if document, err = drain.ParseDocument(raw); err != nil {
+			c.rollout.MarkUnreadable(drain.DocumentKey, raw, err)
+			return
+		}
+	}
+	c.drains.document = document
+	c.drains.documentVersion = version
 }
 
-// handleDrainRequest takes over the drain request of a machine.
+// handleDrainRequest applies the drain request of a machine.
 func (c *Controller) handleDrainRequest(item store.Item) {
 	if err := c.drains.machines.HandleItem(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
@@ -51,15 +87,29 @@
 	c.rollout.MarkReadable(item.Key)
 }
 
-// drainMachines has the fleet drain what operators want drained, and keeps the requests.
+// applyDrains makes the state what operators want: this controller drains or serves again, and a leader drains
+// machines.
+func (c *Controller) applyDrains(now time.Duration) {
+	wantDrained := c.drains.isDrained(c.settings.Node)
+	switch {
+	case wantDrained && c.lifecycle.state == serving:
+		c.lifecycle.staysWhenDrained = true
+		c.startDrain(now, "drained by operators")
+	case !wantDrained && c.lifecycle.state == drained:
+		c.undoDrain(now, "undrained by operators")
+	}
+	c.drainMachines(now)
+}
+
+// drainMachines has the fleet drain the machines that operators want drained, and does the upkeep of their requests.
 func (c *Controller) drainMachines(now time.Duration) {
 	want := c.desiredDrains()
-	if c.term.fleet == nil || !c.term.fleet.PlansLoaded() || (!want.AnyMachine() && !c.term.fleet.HasDrains()) {
+	if !c.term.loaded() || (!want.AnyMachine() && !c.term.fleet.HasDrains()) {
 		return
 	}
 	c.term.fleet.ApplyDrains(now, func(machine string) (on, stop bool, by string) {
-		m, ok := want.Machine(machine)
-		return ok, m.Stop, m.By
+		request, ok := want.Machine(machine)
+		return ok, request.Stop, request.By
 	})
 	if c.drains.upkeep.writing || !c.membership.HasAuthority(now) {
 		return
@@ -73,7 +123,7 @@
 	}
 }
 
-// unmovedDrainRequests is how many drain requests stand in the document that belong under keys of their own.
+// unmovedDrainRequests returns how many drain requests stand in the document that belong under keys of their own.
 func (c *Controller) unmovedDrainRequests() int {
 	if c.rollout.Level() < rollout.DrainKeys {
 		return 0
@@ -81,15 +131,15 @@
 	return len(c.drains.document.Machines)
 }
 
-// moveDrainRequests takes the next step that moves requests out of the document, if one is due, and tells whether it did.
+// moveDrainRequests takes the next step that moves requests out of the document and reports whether one was due.
 func (c *Controller) moveDrainRequests(now time.Duration, want drain.DesiredState) bool {
 	if now-c.drains.upkeep.movedAt < drainMoveInterval || c.unmovedDrainRequests() == 0 {
 		return false
 	}
 	c.drains.upkeep.movedAt = now
-	most := c.backgroundDrainOps()
-	move, due := want.NextMove(most, c.store.Limits().MaxValueBytes, c.machineGone)
-	if !due || most == 0 {
+	maxOps := c.backgroundDrainOps()
+	move, isDue := want.NextMove(maxOps, c.store.Limits().MaxValueBytes, c.isMachineGone)
+	if !isDue || maxOps == 0 {
 		return false
 	}
 	txn := store.Txn{If: c.documentConditions()}
@@ -104,53 +154,58 @@
 	return true
 }
 
-// backgroundDrainOps is how many changes a transaction that nobody waits for may make now.
+// backgroundDrainOps returns how many changes a transaction that no operator waits for may make now.
 func (c *Controller) backgroundDrainOps() int {
-	n := min(maxBackgroundDrainOps, c.store.Limits().MaxOps)
-	for n > 0 && !c.store.HasSpareWritesFor(n) {
-		n /= 2
+	ops := min(maxBackgroundDrainOps, c.store.Limits().MaxOps)
+	for ops > 0 && !c.store.HasSpareWritesFor(ops) {
+		ops /= 2
 	}
-	return n
+	return ops
 }
 
 // deleteStaleDrainRequests deletes the requests of machines that are gone.
 func (c *Controller) deleteStaleDrainRequests(now time.Duration, want drain.DesiredState) {
 	c.trackUnknownMachines(now, want)
 	if !want.OwnKeys {
-		if w, any := c.drains.document.Without(c.machineGone); any {
-			c.writeDrainsInBackground(store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(w)}})
+		if document, isChanged := c.drains.document.Without(c.isMachineGone); isChanged {
+			c.writeDrainsInBackground(store.Txn{
+				If:   c.documentConditions(),
+				Then: []store.Op{documentOp(document)},
+			})
 		}
 		return
 	}
 	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
-	for _, name := range want.Gone(c.backgroundDrainOps(), c.machineGone) {
-		s, _ := c.drains.machines.Of(name)
-		txn.If = append(txn.If, store.Condition{Key: drain.MachineKey(name), Version: s.Version})
-		txn.Then = append(txn.Then, store.Op{Delete: drain.MachineKey(name)})
+	for _, machine := range want.Gone(c.backgroundDrainOps(), c.isMachineGone) {
+		request, _ := c.drains.machines.Of(machine)
+		key := drain.MachineKey(machine)
+		txn.If = append(txn.If, store.Condition{Key: key, Version: request.Version})
+		txn.Then = append(txn.Then, store.Op{Delete: key})
 	}
 	if len(txn.Then) > 0 {
 		c.writeDrainsInBackground(txn)
 	}
 }
 
-// trackUnknownMachines notes which machines that are to be drained the leader doesn't know, and since when.
+// trackUnknownMachines records which machines that are to be drained aren't in the fleet, and since when.
 func (c *Controller) trackUnknownMachines(now time.Duration, want drain.DesiredState) {
-	was := c.drains.upkeep.unknownSince
-	c.drains.upkeep.unknownSince = map[string]time.Duration{}
-	for name := range want.Machines() {
-		if c.term.fleet.FindMachine(name) != nil {
+	previous := c.drains.upkeep.unknownSince
+	unknownSince := map[string]time.Duration{}
+	for machine := range want.Machines() {
+		if c.term.fleet.FindMachine(machine) != nil {
 			continue
 		}
-		since, ok := was[name]
+		since, ok := previous[machine]
 		if !ok {
 			since = now
 		}
-		c.drains.upkeep.unknownSince[name] = since
+		unknownSince[machine] = since
 	}
+	c.drains.upkeep.unknownSince = unknownSince
 }
 
-// machineGone tells whether a machine's drain request means nothing any more.
-func (c *Controller) machineGone(name string) bool {
+// isMachineGone reports whether a machine's drain request has lost its meaning.
+func (c *Controller) isMachineGone(name string) bool {
 	if machine := c.term.fleet.FindMachine(name); machine != nil {
 		return machine.Condition == fleet.Terminated
 	}
@@ -158,40 +213,43 @@
 	return ok && c.loop.Now()-since >= unknownMachineTTL
 }
 
-// writeDrainsInBackground sends a transaction that nobody waits for.
+// writeDrainsInBackground sends a transaction that no operator waits for.
 func (c *Controller) writeDrainsInBackground(txn store.Txn) {
 	c.drains.upkeep.writing = true
 	c.commitInTerm(txn, store.BulkPriority, func(result store.Result) {
 		c.drains.upkeep.writing = false
-		if result.Outcome == store.Committed {
-			c.confirmDrainWrite(txn, result.Revision)
-		} else {
-			slog.Info("drain requests not kept", "outcome", result.Outcome.String(), "failed", result.FailedKeys)
+		if result.Outcome != store.Committed {
+			slog.Info("drain requests not written", "outcome", result.Outcome.String(), "failed_keys", result.FailedKeys)
+			return
 		}
+		c.confirmDrainWrite(txn, result.Revision)
 	})
 }
 
-// documentConditions are what a write that was decided by the document depends on: its version, and the level, which says
-// where requests belong.
+// documentConditions returns the conditions of a write that was decided by the document: its version, and the level,
+// which decides where requests belong.
 func (c *Controller) documentConditions() []store.Condition {
-	return []store.Condition{c.rollout.LevelCondition(), {Key: drain.DocumentKey, Version: c.drains.documentVersion}}
+	return []store.Condition{
+		c.rollout.LevelCondition(),
+		{Key: drain.DocumentKey, Version: c.drains.documentVersion},
+	}
 }
 
-func documentOp(w drain.Document) store.Op {
-	raw, _ := json.Marshal(w)
+func documentOp(document drain.Document) store.Op {
+	raw, _ := json.Marshal(document)
 	return store.Op{Put: drain.DocumentKey, Value: raw}
 }
 
 // writeDrainChange writes what a command changes, in one transaction of at most two changes.
-func (c *Controller) writeDrainChange(ch drain.Change, done func(store.Result)) {
-	txn := store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(ch.Document)}}
-	if ch.Machine != "" {
-		key := drain.MachineKey(ch.Machine)
-		txn.If = append(txn.If, store.Condition{Key: key, Version: ch.Version})
+func (c *Controller) writeDrainChange(change drain.Change, done func(store.Result)) {
+	txn := store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(change.Document)}}
+	if change.Machine != "" {
+		key := drain.MachineKey(change.Machine)
+		txn.If = append(txn.If, store.Condition{Key: key, Version: change.Version})
 		switch {
-		case ch.Put != nil:
-			txn.Then = append(txn.Then, store.Op{Put: key, Value: ch.Put})
-		case ch.Delete:
+		case change.Put != nil:
+			txn.Then = append(txn.Then, store.Op{Put: key, Value: change.Put})
+		case change.Delete:
 			txn.Then = append(txn.Then, store.Op{Delete: key})
 		}
 	}
@@ -203,40 +261,44 @@
 	})
 }
 
-// confirmDrainWrite takes over an own write, unless the followed keys have shown it already.
+// confirmDrainWrite applies a write of our own, unless the followed keys have shown it already.
 func (c *Controller) confirmDrainWrite(txn store.Txn, revision uint64) {
 	if revision <= c.watchCache.Revision() {
 		return
 	}
-	for _, o := range txn.Then {
+	for _, op := range txn.Then {
 		switch {
-		case o.Put == drain.DocumentKey:
-			c.applyDrainDocument(o.Value, revision)
-		case o.Put != "":
-			c.handleDrainRequest(store.Item{Key: o.Put, Value: o.Value, Version: revision})
+		case op.Put == drain.DocumentKey:
+			c.applyDrainDocument(op.Value, revision)
+		case op.Put != "":
+			c.handleDrainRequest(store.Item{Key: op.Put, Value: op.Value, Version: revision})
 		default:
-			c.drains.machines.ConfirmDelete(o.Delete, revision)
+			c.drains.machines.ConfirmDelete(op.Delete, revision)
 		}
 	}
 }
 
-// drainPageSize bounds the machines of one answer: it stays within what a line to users may be.
+// drainPageSize bounds the machines of one answer: it stays within the largest body that users get.
 const drainPageSize = 200
 
-// drainStatus is what operators are told of machines that are being drained: those after a name, and how many there
+// drainStatus returns a page of the machines that are being drained, by name after the one given, and how many there
 // are in all.
-func (c *Controller) drainStatus(after string) (shown []MachineStatus, total int) {
-	all := c.desiredDrains().Machines()
-	shown = []MachineStatus{}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if strings.Compare(name, after) <= 0 || len(shown) == drainPageSize {
+func (c *Controller) drainStatus(after string) (page []MachineStatus, total int) {
+	requests := c.desiredDrains().Machines()
+	page = []MachineStatus{}
+	for _, name := range slices.Sorted(maps.Keys(requests)) {
+		if name <= after {
 			continue
 		}
-		v := MachineStatus{Machine: name, State: "unknown", By: all[name].By}
+		if len(page) == drainPageSize {
+			break
+		}
+		status := MachineStatus{Machine: name, State: "unknown", By: requests[name].By}
 		if machine := c.term.fleet.FindMachine(name); machine != nil {
-			v.State, v.Tasks = machine.Condition.String(), len(machine.Tasks)
+			status.State = machine.Condition.String()
+			status.Tasks = len(machine.Tasks)
 		}
-		shown = append(shown, v)
+		page = append(page, status)
 	}
-	return shown, len(all)
+	return page, len(requests)
 }
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
-	"fmt"
 	"math"
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -12,10 +12,19 @@
 	"github.com/harewalk/harewalk/internal/query"
 )
 
-// eventCapacity bounds the events a leader keeps: some 70 bytes each, by the memory it may use.
-func eventCapacity(memoryMB float64) int { return max(256, min(16384, int(memoryMB*32))) }
+// Bounds of the events that a leader keeps, of some 70 bytes each.
+const (
+	minEvents   = 256
+	maxEvents   = 16384
+	eventsPerMB = 32 // of the memory that the process may use
+)
+
+// eventCapacity returns how many events a leader keeps.
+func eventCapacity(memoryMB float64) int {
+	return max(minEvents, min(maxEvents, int(memoryMB*eventsPerMB)))
+}
 
-// EventView is one event as it is told.
+// EventView is one event as users and operators are shown it.
 type EventView struct {
 	Seq     uint64  `json:"seq"`
 	AgeS    float64 `json:"age_s"`
@@ -28,8 +37,8 @@
 	Saved   bool    `json:"saved,omitempty"`
 }
 
-// EventPage is a page of events. First is the oldest that is kept, Next where to go on: both count
-// within the term.
+// EventPage is a page of events. First is the number of the oldest that is kept, Next where the next page begins: both
+// count within the term. More reports that there is a next page.
 type EventPage struct {
 	Term   uint64      `json:"term"`
 	First  uint64      `json:"first"`
@@ -39,90 +48,129 @@
 }
 
 // EventFields are the fields of a filter over events.
-var EventFields = query.Fields{"event": query.Text, "id": query.Text, "machine": query.Text, "note": query.Text, "task": query.Number, "age_s": query.Number}
+var EventFields = query.Fields{
+	"event":   query.Text,
+	"id":      query.Text,
+	"machine": query.Text,
+	"note":    query.Text,
+	"task":    query.Number,
+	"age_s":   query.Number,
+}
 
 // Text implements query.Row.
-func (h *EventView) Text(field string) string {
+func (e *EventView) Text(field string) string {
 	switch field {
 	case "event":
-		return h.Kind
+		return e.Kind
 	case "id":
-		return h.Job
+		return e.Job
 	case "machine":
-		return h.Machine
+		return e.Machine
 	}
-	return h.Note
+	return e.Note
 }
 
 // Number implements query.Row.
-func (h *EventView) Number(field string) float64 {
+func (e *EventView) Number(field string) float64 {
 	switch {
 	case field == "age_s":
-		return h.AgeS
-	case h.Task == nil:
+		return e.AgeS
+	case e.Task == nil:
 		return -1
 	}
-	return float64(*h.Task)
+	return float64(*e.Task)
 }
 
-// maxEventsScanned bounds the events that one question looks at, on the event loop.
+// maxEventsScanned bounds the events that one request goes through, on the event loop.
 const maxEventsScanned = 4096
 
-// eventsCall tells what happened from a number on: TERM-SEQ, from an earlier answer. A number of
-// another term is void: everything this leader has kept is told.
+// jobNotInTable is the answer about a job that the leader's table lacks: it can't tell a job that was never accepted
+// from an archived one, of which only the answer is kept.
+const jobNotInTable = "no such job here: it was never accepted, or has ended and was archived; `job get` tells which"
+
+// eventsCall answers with the events from a number on, of one job or of all.
 func (c *Controller) eventsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	f, ok := parseFilter(request, EventFields, reply)
+	filter, ok := parseFilter(request, EventFields, reply)
 	if !ok {
 		return
 	}
-	only := request.Name
 	if !c.allowList(now) {
 		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
-	out := EventPage{Term: c.membership.Term(), First: c.term.fleet.Events.First(), Events: []EventView{}}
-	from := out.First
-	if term, seq, ok := strings.Cut(request.Query["since"], "-"); ok && term == fmt.Sprint(out.Term) {
-		if n, err := strconv.ParseUint(seq, 10, 64); err == nil {
-			from = n
-		}
+	job := request.Name
+	page, isMentioned := c.eventPage(now, request.Query["since"], job, filter)
+	if job != "" && !isMentioned && c.jobs.Get(job) == nil {
+		reply(api.Refuse(api.NotFound, jobNotInTable))
+		return
+	}
+	reply(api.Reply{Status: http.StatusOK, Body: page})
+}
+
+// eventPage returns the events that match a filter, with those of one job only, if job isn't "". isMentioned reports
+// whether some event was about that job.
+func (c *Controller) eventPage(
+	now time.Duration,
+	since string,
+	job string,
+	filter query.Filter,
+) (page EventPage, isMentioned bool) {
+	page = EventPage{
+		Term:   c.membership.Term(),
+		First:  c.term.fleet.Events.First(),
+		Events: []EventView{},
+	}
+	from := page.First
+	if seq, ok := parseEventPosition(since, page.Term); ok {
+		from = seq
 	}
-	looks, about := 0, false
-	out.Next = c.term.fleet.Events.Since(from, func(e *events.Event) bool {
-		if looks++; looks > maxEventsScanned || len(out.Events) == pageSize {
-			out.More = true
+	scanned := 0
+	page.Next = c.term.fleet.Events.Since(from, func(event *events.Event) bool {
+		scanned++
+		if scanned > maxEventsScanned || len(page.Events) == pageSize {
+			page.More = true
 			return false
 		}
-		if only != "" && e.Job != only && e.Kind != events.Term {
+		if job != "" && event.Job != job && event.Kind != events.Term {
 			return true
 		}
-		about = about || e.Job == only
-		if h := c.eventView(now, e); f.Match(&h, EventFields) {
-			out.Events = append(out.Events, h)
+		isMentioned = isMentioned || event.Job == job
+		if view := c.eventView(now, event); filter.Match(&view, EventFields) {
+			page.Events = append(page.Events, view)
 		}
 		return true
 	})
-	if only != "" && !about && c.jobs.Get(only) == nil {
-		reply(api.Refuse(api.NotFound, jobNotInTable))
-		return
-	}
-	reply(api.Reply{Status: 200, Body: out})
+	return page, isMentioned
 }
 
-// jobNotInTable is told of a job that the leader's table lacks: it can't tell a job that was never accepted from an archived
-// one, of which only the answer is kept.
-const jobNotInTable = "no such job here: it was never accepted, or has ended and was archived; `job get` tells which"
+// parseEventPosition reads a position, TERM-SEQ, of an earlier answer. ok is false if it is malformed or of another
+// term: all events that this leader has kept are shown then.
+func parseEventPosition(position string, term uint64) (seq uint64, ok bool) {
+	termText, seqText, isSplit := strings.Cut(position, "-")
+	if !isSplit || termText != strconv.FormatUint(term, 10) {
+		return 0, false
+	}
+	seq, err := strconv.ParseUint(seqText, 10, 64)
+	return seq, err == nil
+}
 
-func (c *Controller) eventView(now time.Duration, e *events.Event) EventView {
-	h := EventView{Seq: e.Seq, AgeS: math.Round((now-e.At).Seconds()*1000) / 1000, Kind: e.Kind.String(), Attempt: e.Attempt, Note: e.Note, Saved: e.Saved}
-	if e.Job != "" {
-		h.Job = e.Job
-		if e.Task != events.None {
-			h.Task = &e.Task
+func (c *Controller) eventView(now time.Duration, event *events.Event) EventView {
+	view := EventView{
+		Seq:     event.Seq,
+		AgeS:    math.Round((now-event.At).Seconds()*1000) / 1000,
+		Kind:    event.Kind.String(),
+		Attempt: event.Attempt,
+		Note:    event.Note,
+		Saved:   event.Saved,
+	}
+	if event.Job != "" {
+		view.Job = event.Job
+		if event.Task != events.None {
+			view.Task = &event.Task
 		}
 	}
-	if e.Machine != events.None {
-		h.Machine = c.term.fleet.Machines()[e.Machine].Name
+	if event.Machine != events.None {
+		view.Machine = c.term.fleet.Machines()[event.Machine].Name
 	}
-	return h
+	return view
 }
--- /dev/null
+++ b/internal/controller/followed_keys.go
@@ -0,0 +1,108 @@
+package controller
+
+import (
+	"strings"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/drain"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/licences"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// This file passes each followed key of the state service to the part that owns it.
+
+// handleItem applies a followed key that was written.
+func (c *Controller) handleItem(now time.Duration, item store.Item) {
+	switch {
+	case strings.HasPrefix(item.Key, jobs.Prefix):
+		c.applyJobRecord(now, item)
+	case strings.HasPrefix(item.Key, licences.Prefix):
+		c.handleLicenceCount(item)
+	case item.Key == drain.DocumentKey:
+		c.applyDrainDocument(item.Value, item.Version)
+	case strings.HasPrefix(item.Key, drain.MachinePrefix):
+		c.handleDrainRequest(item)
+	case isZoneKey(item.Key):
+		c.storedZones.handleItem(item)
+	case item.Key == machineTypesKey:
+		c.handleStoredMachineTypes(item)
+	default:
+		c.rollout.HandleItem(item)
+		if err := c.membership.HandleItem(now, item); err != nil {
+			c.rollout.MarkUnreadable(item.Key, item.Value, err)
+		}
+	}
+}
+
+// handleDelete applies that a followed key was deleted.
+func (c *Controller) handleDelete(key string, version uint64) {
+	if strings.HasPrefix(key, jobs.Prefix) {
+		c.handleJobDeleted(key, version)
+	}
+	c.rollout.HandleDelete(key, version)
+	c.membership.HandleDelete(c.loop.Now(), key, version)
+	c.licencePools.Drop(key, version)
+	if key == drain.DocumentKey {
+		c.applyDrainDocument(nil, version)
+	}
+	c.drains.machines.HandleDelete(key, version)
+}
+
+// handleSynced applies that all followed keys have been read.
+func (c *Controller) handleSynced() {
+	c.rollout.HandleSynced()
+	c.membership.HandleSynced(c.loop.Now())
+}
+
+// resetKeys applies a new reading of all followed keys, in place of what was followed before: a key that it lacks was
+// deleted.
+func (c *Controller) resetKeys(items []store.Item) {
+	c.rollout.HandleReset(items)
+	c.membership.HandleReset(c.loop.Now(), items)
+	keys := make(map[string]bool, len(items))
+	for _, item := range items {
+		keys[item.Key] = true
+	}
+	isPresent := func(key string) bool { return keys[key] }
+	c.licencePools.Reset(isPresent)
+	c.drains.machines.Reset(c.watchCache.Revision(), isPresent)
+	c.jobs.Retain(c.watchCache.Revision(), func(id string) bool { return keys[jobs.RecordKey(id)] })
+}
+
+// handleJobRead applies a job's record that was read or written beside the followed keys. If they have passed its
+// version and the table lacks the job, it was archived since: a late answer must not bring it back.
+func (c *Controller) handleJobRead(now time.Duration, item store.Item) {
+	isKnown := c.jobs.Get(jobIDOf(item.Key)) != nil
+	if !isKnown && item.Version <= c.watchCache.Revision() {
+		return
+	}
+	c.applyJobRecord(now, item)
+}
+
+// applyJobRecord applies a job's record to the table of jobs and, in a term, to the fleet.
+func (c *Controller) applyJobRecord(now time.Duration, item store.Item) {
+	job, changed, err := c.jobs.Apply(jobIDOf(item.Key), item.Value, item.Version)
+	if err != nil {
+		c.rollout.MarkUnreadable(item.Key, item.Value, err)
+		return
+	}
+	if changed && job.State.Terminal() {
+		job.EndedAt = now
+	}
+	if changed && c.term.active() {
+		c.term.fleet.HandleJobChange(now, job)
+	}
+}
+
+// handleJobDeleted applies that a job's record has left the followed keys.
+func (c *Controller) handleJobDeleted(key string, version uint64) {
+	id := jobIDOf(key)
+	c.jobs.Archive(id, version)
+	if c.term.mover != nil {
+		c.term.mover.ForgetConflict(id)
+	}
+}
+
+// jobIDOf returns the id of the job whose record stands at a key.
+func jobIDOf(key string) string { return strings.TrimPrefix(key, jobs.Prefix) }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -1,72 +1,99 @@
 package controller
 
-// When a leader hands the lead on though nothing takes it: it hears no worker, or what it knows is too old to act on.
-
 import (
 	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
 )
 
-// resignIfUnreachable hands the lead on when no worker gets through to us although there must be some: at once where others
-// hear many of them (on both incidents of the ops deployments nothing started for 6 to 12 s, of which this takes 3 to 5), a
-// report later where another controller hears any, and otherwise only when their leases have run out. A leader that gave up before, with
-// every machine gone, left the next one to count the leases anew: they never ran out, and nothing was rented.
+// This file holds why a leader resigns though nothing took the leadership from it: its workers don't reach it, or what
+// it follows is too old to act on.
+
+// staleCacheAnswerAge is how recently the state service must have answered for a stale cache to mean lost watches
+// rather than an outage.
+const staleCacheAnswerAge = time.Second
+
+// workerSilence is what a leader goes by when no worker's heartbeat has reached it for a while.
+type workerSilence struct {
+	silentFor       time.Duration // since the last heartbeat, or since authority began
+	reportInterval  float64       // of workers, in seconds
+	lease           time.Duration // of workers
+	expected        int           // machines of which heartbeats are expected
+	reachedByOthers int           // heartbeats that other controllers received lately
+}
+
+// resignCause returns why the leader should resign, "" if it should not: at once where other controllers receive many
+// of the heartbeats, one heartbeat later where they receive any, and otherwise only when the workers' leases have
+// expired. A leader that resigned earlier, with every machine gone, would leave the next one to count the leases anew:
+// they would never expire, and no machine would be rented.
+func (s workerSilence) resignCause() string {
+	limit := config.Seconds(2*s.reportInterval + 4)
+	switch {
+	case s.expected == 0:
+		return ""
+	case 4*s.reachedByOthers > s.expected:
+		return "workers reach other controllers"
+	case s.silentFor < limit:
+		return ""
+	case s.reachedByOthers > 0 || s.silentFor >= s.lease+2*limit:
+		return "no worker reaches this leader"
+	}
+	return ""
+}
+
+// minSilence is how long no heartbeat must have arrived before a leader resigns because many workers reach others: for
+// each of them one heartbeat was due and the next one nearly.
+func minSilence(reportInterval float64) time.Duration { return config.Seconds(1.25*reportInterval + 2) }
+
+// resignIfUnreachable resigns when no worker reaches this leader although there must be some.
 func (c *Controller) resignIfUnreachable(now time.Duration) {
-	limit := config.Seconds(2*c.settings.Params.Workers.ReportS + 4)
-	silent := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
-	if silent < minSilence(c.settings.Params.Workers.ReportS) {
+	workers := &c.settings.Params.Workers
+	silentFor := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
+	if silentFor < minSilence(workers.ReportS) {
 		return
 	}
-	there, heard := 0, c.peerHeartbeats(now)
+	silence := workerSilence{
+		silentFor:       silentFor,
+		reportInterval:  workers.ReportS,
+		lease:           c.settings.Lease(),
+		reachedByOthers: c.peerHeartbeats(now),
+	}
 	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
-			there++
+			silence.expected++
 		}
 	}
-	switch {
-	case there == 0:
-	case 4*heard > there:
-		c.membership.Resign(now, "workers ask others")
-	case silent >= limit && (heard > 0 || silent >= c.settings.Lease()+2*limit):
-		c.membership.Resign(now, "no worker is heard")
+	if cause := silence.resignCause(); cause != "" {
+		c.membership.Resign(now, cause)
 	}
 }
 
-// cacheTooStale tells that the followed keys have been too old to act on for a while, though the service answers and the hold
-// is renewed: a leader whose watches are lost would keep everybody else from leading, and act for nobody.
+// cacheTooStale reports whether the followed keys have been too old to act on for a while, though the service answers
+// and the lease is renewed: a leader whose watches are lost would keep everybody else from leading, and not act itself.
 func (c *Controller) cacheTooStale(now time.Duration) bool {
-	return now-c.watchCache.FreshAt() > c.settings.PictureFor()+c.settings.HoldTTL() && now-c.store.LastSuccess() < time.Second
-}
-
-// minSilence is how long nobody must have been heard before a leader hands on because many workers ask others: for
-// each of them a report was due and the next one nearly.
-func minSilence(reportS float64) time.Duration { return config.Seconds(1.25*reportS + 2) }
-
-// peerHeartbeats counts the reports that other controllers have heard lately.
-func (c *Controller) peerHeartbeats(now time.Duration) (n int) {
-	for _, h := range c.peers.status {
-		if now-h.at < peerStatusTTL {
-			n += int(h.Workers)
-		}
-	}
-	return n
+	maxAge := c.settings.PictureFor() + c.settings.HoldTTL()
+	isStale := now-c.watchCache.FreshAt() > maxAge
+	return isStale && now-c.store.LastSuccess() < staleCacheAnswerAge
 }
 
-// foreignHeartbeats counts the reports that reached this controller though another leads: workers that seek their owner.
+// foreignHeartbeats counts the heartbeats that reached this controller though another leads: of workers that look for
+// their owner. It counts in windows of equal length.
 type foreignHeartbeats struct {
-	windowStart       time.Duration // the present stretch began
-	current, previous uint32        // in it, and in the one before
+	windowStart time.Duration
+	current     uint32 // in the present window
+	previous    uint32 // in the one before
 }
 
-// add adds n reports and tells how many there were in this stretch and the one before.
-func (s *foreignHeartbeats) add(now, stretch time.Duration, n uint32) uint32 {
-	if now-s.windowStart >= stretch {
-		if s.previous = s.current; now-s.windowStart >= 2*stretch {
-			s.previous = 0
+// add adds n heartbeats and returns how many there were in this window and the one before.
+func (h *foreignHeartbeats) add(now, window time.Duration, n uint32) uint32 {
+	if age := now - h.windowStart; age >= window {
+		h.previous = h.current
+		if age >= 2*window {
+			h.previous = 0
 		}
-		s.windowStart, s.current = now, 0
+		h.windowStart = now
+		h.current = 0
 	}
-	s.current += n
-	return s.current + s.previous
+	h.current += n
+	return h.current + h.previous
 }
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -1,48 +1,73 @@
 package controller
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
-	"github.com/harewalk/harewalk/internal/membership"
 )
 
-// leaderCalls are the requests that only the leader can answer.
+// notLeaderBody is the body of the answer to a request that only another controller, the leader, can answer.
+type notLeaderBody struct {
+	Error     string `json:"error"`
+	Leader    string `json:"leader"`
+	LeaderTLS string `json:"leader_tls,omitempty"`
+}
+
+// leaderCalls returns the requests that only the leader can answer.
 func (c *Controller) leaderCalls() *api.LeaderAPI {
-	return &api.LeaderAPI{Token: c.settings.Operator.Token, Answer: c.leaderCall, Licences: len(c.licencePools.Pools()) > 0, Sessions: c.settings.Sessions().On}
+	return &api.LeaderAPI{
+		Token:    c.settings.Operator.Token,
+		Answer:   c.leaderCall,
+		Licences: len(c.licencePools.Pools()) > 0,
+		Sessions: c.settings.Sessions().On,
+	}
 }
 
-// leaderCall answers such a request, or says who leads.
+// leaderCall answers such a request, or with 421 and the leader's address, or with 503 while there is no leader that
+// may act.
 func (c *Controller) leaderCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	isRolloutStuck := !c.rollout.Compatible() || c.membership.Leader().Node == ""
 	switch {
-	case request.Resource == "rollout" && request.Verb == "show" && (!c.rollout.Compatible() || c.membership.Leader().Node == ""):
-		c.rolloutShow(now, reply) // what it knows itself: it may be what is in the way
-	case c.membership.State() != membership.Leading || c.term.fleet == nil:
-		l := c.membership.Leader()
-		if l.Node == "" {
-			reply(api.Refuse(api.Unavailable, "no controller leads"))
-			return
-		}
-		reply(api.Reply{Status: 421, Body: struct {
-			Error  string `json:"error"`
-			Leader string `json:"leader"`
-			Secure string `json:"leader_tls,omitempty"`
-		}{"only the leader knows", l.Public, l.Secure}})
-	case !c.membership.HasAuthority(now) || !c.term.fleet.PlansLoaded():
+	case request.Resource == "rollout" && request.Verb == "show" && isRolloutStuck:
+		c.rolloutShow(now, reply) // this controller's own view: it may show what is in the way
+	case !c.isLeader():
+		reply(c.refuseNotLeader())
+	case !c.membership.HasAuthority(now) || !c.term.loaded():
 		reply(api.Refuse(api.Unavailable, "the leader may not act now"))
-	case request.Resource == "rollout":
+	default:
+		c.dispatchLeaderCall(now, request, reply)
+	}
+}
+
+// refuseNotLeader returns the answer of a controller that doesn't lead.
+func (c *Controller) refuseNotLeader() api.Reply {
+	leader := c.membership.Leader()
+	if leader.Node == "" {
+		return api.Refuse(api.Unavailable, "no controller leads")
+	}
+	return api.Reply{
+		Status: http.StatusMisdirectedRequest,
+		Body:   notLeaderBody{Error: "only the leader knows", Leader: leader.Public, LeaderTLS: leader.Secure},
+	}
+}
+
+// dispatchLeaderCall answers a request that this controller may answer, by its resource.
+func (c *Controller) dispatchLeaderCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	switch request.Resource {
+	case "rollout":
 		c.rolloutCall(now, request, reply)
-	case request.Resource == "zones":
+	case "zones":
 		c.zoneCall(now, request, reply)
-	case request.Resource == "why":
+	case "why":
 		c.whyCall(now, request, reply)
-	case request.Resource == "events":
+	case "events":
 		c.eventsCall(now, request, reply)
-	case request.Resource == "list":
+	case "list":
 		c.listCall(now, request, reply)
-	case request.Resource == "admin":
+	case "admin":
 		c.adminCall(now, request, reply)
-	case request.Resource == "licences":
+	case "licences":
 		c.licenceCall(now, request, reply)
 	default:
 		c.sessionCall(now, request, reply)
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"net/url"
 	"time"
 
@@ -13,48 +14,68 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// maxLicenceRequests bounds the questions to licence servers under way: a silent one must not keep
-// others, or the state service, from being asked.
-const maxLicenceRequests = 8
+const (
+	// maxLicenceRequests bounds the queries to licence servers in flight: a silent server must not keep others, or the
+	// state service, from being queried.
+	maxLicenceRequests = 8
+	// maxLicenceCount is the largest count that can be set.
+	maxLicenceCount = 1_000_000
+	// maxLicenceByLength bounds the name of whoever sets a count, in bytes.
+	maxLicenceByLength = 100
+)
 
-// queryLicenceServers asks the licence servers that are due.
+// queryLicenceServers queries the licence servers that are due.
 func (c *Controller) queryLicenceServers(now time.Duration) {
-	f := c.term.fleet
-	if f.Gate.Licences.None() {
+	termFleet := c.term.fleet
+	if termFleet.Gate.Licences.None() {
 		return
 	}
-	for _, pool := range f.Gate.Licences.Due(now) {
-		c.licenceSender.Send(pool.Server, httpio.Request{Method: "GET", Path: "/v1/pools/" + url.PathEscape(pool.Name), Timeout: licences.AskTimeout}, func(response httpio.Response) {
-			if c.term.fleet != f {
-				return
-			}
-			at := c.loop.Now()
-			ans, err := licences.Answer{}, response.Err
-			if err == nil && response.Status != 200 {
-				err = fmt.Errorf("licence server answered %d", response.Status)
-			}
-			if err == nil {
-				ans, err = licences.ParseAnswer(response.Body)
-			}
-			if err != nil {
-				slog.Debug("licence server asked in vain", "pool", pool.Name, "cause", err)
-				f.Gate.Licences.Failed(at, pool.Name)
-				return
+	for _, pool := range termFleet.Gate.Licences.Due(now) {
+		request := httpio.Request{
+			Method:  http.MethodGet,
+			Path:    "/v1/pools/" + url.PathEscape(pool.Name),
+			Timeout: licences.AskTimeout,
+		}
+		c.licenceSender.Send(pool.Server, request, func(response httpio.Response) {
+			if c.term.fleet == termFleet {
+				c.handleLicenceAnswer(now, pool.Name, response)
 			}
-			f.Gate.Licences.Answered(at, now, pool.Name, ans, f.LicenceHolder)
 		})
 	}
 }
 
-// handleLicenceCount takes over a count that was set.
+// handleLicenceAnswer applies a licence server's answer to a query that was sent at a time.
+func (c *Controller) handleLicenceAnswer(sentAt time.Duration, pool string, response httpio.Response) {
+	at := c.loop.Now()
+	answer, err := parseLicenceAnswer(response)
+	if err != nil {
+		slog.Debug("licence server query failed", "pool", pool, "error", err)
+		c.term.fleet.Gate.Licences.Failed(at, pool)
+		return
+	}
+	c.term.fleet.Gate.Licences.Answered(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
+}
+
+// parseLicenceAnswer reads a licence server's answer.
+func parseLicenceAnswer(response httpio.Response) (licences.Answer, error) {
+	if response.Err != nil {
+		return licences.Answer{}, response.Err
+	}
+	if response.Status != http.StatusOK {
+		return licences.Answer{}, fmt.Errorf("licence server answered %d", response.Status)
+	}
+	return licences.ParseAnswer(response.Body)
+}
+
+// handleLicenceCount applies a stored count of licences.
 func (c *Controller) handleLicenceCount(item store.Item) {
 	if err := c.licencePools.Item(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 	}
 }
 
-// setCount is an operator's command: the body of a POST to a pool.
-type setCount struct {
+// licenceCommand is an operator's command: the body of a POST to a pool.
+type licenceCommand struct {
 	Count   *int           `json:"count"`
 	Lower   licences.Lower `json:"on_lower"`
 	Version *uint64        `json:"version"` // the command was based on; nil: any
@@ -62,92 +83,127 @@
 	Reset   bool           `json:"reset"` // back to what is declared
 }
 
+// validate returns why a command is malformed, nil if it isn't.
+func (l *licenceCommand) validate() error {
+	switch {
+	case !l.Reset && (l.Count == nil || *l.Count < 0 || *l.Count > maxLicenceCount):
+		return fmt.Errorf("count must be 0 to %d", maxLicenceCount)
+	case l.Lower != "" && l.Lower != licences.Wait && l.Lower != licences.Stop:
+		return fmt.Errorf("on_lower must be %q or %q", licences.Wait, licences.Stop)
+	case len(l.By) > maxLicenceByLength:
+		return fmt.Errorf("by is longer than %d characters", maxLicenceByLength)
+	}
+	return nil
+}
+
+// licenceConflict is the body of the answer to a command that was based on an older count than the present.
+type licenceConflict struct {
+	Error string        `json:"error"`
+	Now   licences.View `json:"now"`
+}
+
+// refuseLicenceConflict returns the answer to such a command; changedBy "": unknown.
+func refuseLicenceConflict(changedBy string, view licences.View) api.Reply {
+	if changedBy == "" {
+		changedBy = "somebody"
+	}
+	message := fmt.Sprintf("the count was changed by %s meanwhile: it is %d", changedBy, view.Count)
+	return api.Reply{Status: http.StatusConflict, Body: licenceConflict{message, view}}
+}
+
 // licenceCall answers an operator's request about pools: all of them, one, or a new count.
 func (c *Controller) licenceCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	show := func(ix int32) licences.View { return c.term.fleet.Gate.Licences.Show(now, ix, c.jobs.Names.Teams.Name) }
 	if request.Name == "" {
-		all := []licences.View{}
-		for ix := range c.licencePools.Pools() {
-			all = append(all, show(int32(ix)))
+		views := []licences.View{}
+		for index := range c.licencePools.Pools() {
+			views = append(views, c.licenceView(now, int32(index)))
 		}
-		reply(api.Reply{Status: 200, Body: all})
+		reply(api.Reply{Status: http.StatusOK, Body: views})
 		return
 	}
-	ix, ok := c.licencePools.Index(request.Name)
+	index, ok := c.licencePools.Index(request.Name)
 	switch {
 	case !ok:
 		reply(api.Refuse(api.NotFound, fmt.Sprintf("no licence pool %q is declared", request.Name)))
 	case request.Verb == "show":
-		reply(api.Reply{Status: 200, Body: show(ix)})
+		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 	default:
-		c.setCount(now, ix, request.Body, func() licences.View { return show(ix) }, reply)
+		c.setLicenceCount(now, index, request.Body, reply)
 	}
 }
 
-// maxCount is the largest count that can be set.
-const maxCount = 1_000_000
+// licenceView returns a pool with the units that the fleet counts as in use.
+func (c *Controller) licenceView(now time.Duration, index int32) licences.View {
+	return c.term.fleet.Gate.Licences.Show(now, index, c.jobs.Names.Teams.Name)
+}
 
-func (c *Controller) setCount(now time.Duration, ix int32, body []byte, show func() licences.View, reply func(api.Reply)) {
-	var s setCount
-	switch err := json.Unmarshal(body, &s); {
-	case err != nil:
+// setLicenceCount answers a command that sets a pool's count or resets it to the declared one.
+func (c *Controller) setLicenceCount(now time.Duration, index int32, body []byte, reply func(api.Reply)) {
+	var command licenceCommand
+	if err := json.Unmarshal(body, &command); err != nil {
 		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
 		return
-	case !s.Reset && (s.Count == nil || *s.Count < 0 || *s.Count > maxCount):
-		reply(api.Refuse(api.InvalidRequest, fmt.Sprintf("count must be 0 to %d", maxCount)))
-		return
-	case s.Lower != "" && s.Lower != licences.Wait && s.Lower != licences.Stop:
-		reply(api.Refuse(api.InvalidRequest, `on_lower must be "wait" or "stop"`))
-		return
-	case len(s.By) > 100:
-		reply(api.Refuse(api.InvalidRequest, "by is longer than 100 characters"))
+	}
+	if err := command.validate(); err != nil {
+		reply(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	}
-	stamp, by := c.licencePools.Stamp(ix)
-	if s.Version != nil && *s.Version != stamp {
-		reply(api.Reply{Status: 409, Body: conflict(by, show())})
+	version, changedBy := c.licencePools.Stamp(index)
+	if command.Version != nil && *command.Version != version {
+		reply(refuseLicenceConflict(changedBy, c.licenceView(now, index)))
 		return
 	}
-	key := licences.Key(c.licencePools.Pools()[ix].Name)
-	op := store.Op{Delete: key}
-	if !s.Reset {
-		raw, _ := json.Marshal(licences.Set{Count: *s.Count, Lower: s.Lower, By: s.By, AtMS: c.jobs.WallMS(now)})
-		op = store.Op{Put: key, Value: raw}
-	} else if stamp == 0 {
-		reply(api.Reply{Status: 200, Body: show()})
+	if command.Reset && version == 0 {
+		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 		return
 	}
-	f := c.term.fleet
-	c.store.Txn(store.Txn{If: []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: stamp}}, Then: []store.Op{op}}, store.NormalPriority, func(result store.Result) {
+	op := c.licenceOp(now, index, &command)
+	key := licences.Key(c.licencePools.Pools()[index].Name)
+	txn := store.Txn{
+		If:   []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: version}},
+		Then: []store.Op{op},
+	}
+	termFleet := c.term.fleet
+	c.store.Txn(txn, store.NormalPriority, func(result store.Result) {
+		hasTerm := c.term.fleet == termFleet
 		switch {
-		case result.Outcome == store.Committed && c.term.fleet == f:
-			if s.Reset {
-				c.licencePools.Drop(key, result.Revision)
-			} else {
-				c.handleLicenceCount(store.Item{Key: key, Value: op.Value, Version: result.Revision})
-			}
-			slog.Info("licences counted anew", "pool", c.licencePools.Pools()[ix].Name, "count", c.licencePools.Count(ix), "by", s.By, "on_lower", c.licencePools.Lowering(ix))
-			reply(api.Reply{Status: 200, Body: show()})
-		case result.Outcome == store.Conflict && c.term.fleet == f:
-			reply(api.Reply{Status: 409, Body: conflict("another command", show())})
+		case hasTerm && result.Outcome == store.Committed:
+			c.confirmLicenceCount(index, op, &command, result.Revision)
+			reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
+		case hasTerm && result.Outcome == store.Conflict:
+			reply(refuseLicenceConflict("another command", c.licenceView(now, index)))
 		default:
 			reply(api.Refuse(api.Unavailable, "it is not known whether the count was set: look before setting it again"))
 		}
 	})
 }
 
-func conflict(by string, v licences.View) any {
-	if by == "" {
-		by = "somebody"
+// licenceOp returns the write that a command asks for.
+func (c *Controller) licenceOp(now time.Duration, index int32, command *licenceCommand) store.Op {
+	key := licences.Key(c.licencePools.Pools()[index].Name)
+	if command.Reset {
+		return store.Op{Delete: key}
 	}
-	return struct {
-		Error string        `json:"error"`
-		Now   licences.View `json:"now"`
-	}{fmt.Sprintf("the count was changed by %s meanwhile: it is %d", by, v.Count), v}
+	raw, _ := json.Marshal(licences.Set{
+		Count: *command.Count,
+		Lower: command.Lower,
+		By:    command.By,
+		AtMS:  c.jobs.WallMS(now),
+	})
+	return store.Op{Put: key, Value: raw}
 }
 
-// admitLicences tells whether a job's tasks can ever have their seats.
-func (c *Controller) admitLicences(of map[string]int, team string, n int) api.AdmissionResult {
-	ok, why := c.licencePools.Ever(of, team, n)
-	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Why: why}
+// confirmLicenceCount applies a command whose write was committed.
+func (c *Controller) confirmLicenceCount(index int32, op store.Op, command *licenceCommand, revision uint64) {
+	if command.Reset {
+		c.licencePools.Drop(op.Delete, revision)
+	} else {
+		c.handleLicenceCount(store.Item{Key: op.Put, Value: op.Value, Version: revision})
+	}
+	slog.Info("licence count changed",
+		"pool", c.licencePools.Pools()[index].Name,
+		"count", c.licencePools.Count(index),
+		"by", command.By,
+		"on_lower", c.licencePools.Lowering(index),
+	)
 }
--- a/internal/controller/loop.go
+++ b/internal/controller/loop.go
@@ -2,104 +2,103 @@
 
 import "time"
 
-// messageClass orders the messages that wait for the event loop.
+// messageClass is the urgency of a message that waits for the event loop.
 type messageClass uint8
 
-// The classes, most urgent first: answers to our own requests, on which the authority to
-// act depends; reports of workers, whose leases run; and users.
+// The classes, most urgent first.
 const (
-	classOwnAnswer messageClass = iota
-	classWorker
+	classOwnAnswer messageClass = iota // answers to our own requests, on which the authority to act depends
+	classWorker                        // heartbeats of workers, whose leases run
 	classUser
 	classCount
 )
 
-// Loop is the one goroutine that owns all state. I/O goroutines only post to it. A controller
-// that falls behind works through its own answers first, then reports, then users: once the
-// renewals of its hold stood in line with a thousand polls.
+// Loop is the event loop: one goroutine owns all state, I/O goroutines only post to it. A controller that falls behind
+// handles its own answers first, then heartbeats, then users. Without classes, lease renewals would wait behind
+// thousands of polls.
 type Loop struct {
-	msgs [classCount]chan func()
-	now  func() time.Duration
+	messages [classCount]chan func()
+	now      func() time.Duration
 }
 
-// maxQueue bounds the messages that wait in each class. After a takeover the heartbeats of a whole fleet arrive within
+// maxQueue bounds the messages that wait in each class. After a failover the heartbeats of a whole fleet arrive within
 // one interval: twice those of 4,000 machines fit.
 const maxQueue = 8192
 
 // NewLoop makes a loop on a steady clock.
 func NewLoop(now func() time.Duration) *Loop {
 	l := &Loop{now: now}
-	for i := range l.msgs {
-		l.msgs[i] = make(chan func(), maxQueue)
+	for class := range l.messages {
+		l.messages[class] = make(chan func(), maxQueue)
 	}
 	return l
 }
 
-// Now is the steady clock.
+// Now returns the time on the steady clock.
 func (l *Loop) Now() time.Duration { return l.now() }
 
-// Post hands over a message and waits for room: for answers to our own requests, whose
-// number is bounded where they are sent.
-func (l *Loop) Post(f func()) { l.msgs[classOwnAnswer] <- f }
+// Post queues an answer to one of our own requests. It blocks while the queue is full: the number of requests is
+// bounded where they are sent.
+func (l *Loop) Post(message func()) { l.messages[classOwnAnswer] <- message }
 
-// OfferWorker hands over a worker's report unless too many wait.
-func (l *Loop) OfferWorker(f func()) bool { return l.offer(classWorker, f) }
+// OfferWorker queues a worker's heartbeat. It returns false if the queue is full.
+func (l *Loop) OfferWorker(message func()) bool { return l.offer(classWorker, message) }
 
-// Offer hands over any other message from outside unless too many wait.
-func (l *Loop) Offer(f func()) bool { return l.offer(classUser, f) }
+// Offer queues any other message from outside. It returns false if the queue is full.
+func (l *Loop) Offer(message func()) bool { return l.offer(classUser, message) }
 
-func (l *Loop) offer(c messageClass, f func()) bool {
+func (l *Loop) offer(class messageClass, message func()) bool {
 	select {
-	case l.msgs[c] <- f:
+	case l.messages[class] <- message:
 		return true
 	default:
 		return false
 	}
 }
 
-// next takes the most urgent message that waits, or nil.
+// next removes and returns the most urgent message that waits, or nil.
 func (l *Loop) next() func() {
-	for _, ch := range l.msgs {
+	for _, queue := range l.messages {
 		select {
-		case f := <-ch:
-			return f
+		case message := <-queue:
+			return message
 		default:
 		}
 	}
 	return nil
 }
 
-// Run works through messages and calls tick at every step of the interval. Where a tick takes
-// longer than that the next interval begins when it ends: messages still get as much time.
-func (l *Loop) Run(every time.Duration, tick func(now time.Duration)) {
-	t := time.NewTicker(every)
-	defer t.Stop()
-	beat := func() {
-		began := l.Now()
-		tick(began)
-		if l.Now()-began >= every {
-			t.Reset(every)
+// Run handles messages and calls tick at each interval, for ever. Where a tick takes longer than the interval, the next
+// interval begins when the tick ends: messages still get as much time.
+func (l *Loop) Run(interval time.Duration, tick func(now time.Duration)) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	runTick := func() {
+		startedAt := l.Now()
+		tick(startedAt)
+		if l.Now()-startedAt >= interval {
+			ticker.Reset(interval)
 		}
 	}
 	for {
 		select {
-		case <-t.C:
-			beat()
+		case <-ticker.C:
+			runTick()
 		default:
 		}
-		if f := l.next(); f != nil {
-			f()
+		if message := l.next(); message != nil {
+			message()
 			continue
 		}
 		select {
-		case <-t.C:
-			beat()
-		case f := <-l.msgs[classOwnAnswer]:
-			f()
-		case f := <-l.msgs[classWorker]:
-			f()
-		case f := <-l.msgs[classUser]:
-			f()
+		case <-ticker.C:
+			runTick()
+		case message := <-l.messages[classOwnAnswer]:
+			message()
+		case message := <-l.messages[classWorker]:
+			message()
+		case message := <-l.messages[classUser]:
+			message()
 		}
 	}
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -17,165 +17,218 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// scrapeWait bounds how long a scrape waits for the event loop.
-const scrapeWait = 2 * time.Second
+// scrapeTimeout bounds how long a scrape waits for the event loop.
+const scrapeTimeout = 2 * time.Second
 
-// metric is one figure, described once.
-type metric struct {
+// maxScrapes bounds the scrapes in flight.
+const maxScrapes = 2
+
+// debugReadHeaderTimeout bounds how long a request's headers may take on the debug address.
+const debugReadHeaderTimeout = 5 * time.Second
+
+// sample is the value of one metric.
+type sample struct {
 	desc   *prometheus.Desc
 	value  float64
 	labels []string
 }
 
+// samples collects the values of one scrape.
+type samples []sample
+
+func (s *samples) add(desc *prometheus.Desc, value float64, labels ...string) {
+	*s = append(*s, sample{desc, value, labels})
+}
+
+// addBool adds 1 for true and 0 for false.
+func (s *samples) addBool(desc *prometheus.Desc, value bool, labels ...string) {
+	number := 0.0
+	if value {
+		number = 1
+	}
+	s.add(desc, number, labels...)
+}
+
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("harewalk_"+name, help, labels, nil)
 }
 
-// What is told. Names keep their meaning between versions.
+// The metrics. Names keep their meaning between versions.
 var (
-	upDesc       = desc("up", "1 if this controller passes its health check.")
-	leadingDesc  = desc("leading", "1 if this controller leads and has the authority to act.")
-	termDesc     = desc("term", "The term of the leader, as last seen.")
-	stateDesc    = desc("state_answer_age_seconds", "Since when the state service has not carried out a request of ours.")
-	lagDesc      = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
-	jobsDesc     = desc("jobs", "Jobs that are not over.")
-	knownDesc    = desc("jobs_known", "Jobs in this controller's memory: live ones, and ended ones that are not archived yet.")
-	cachedDesc   = desc("archive_cached", "Answers of archived jobs in this controller's memory.")
-	archivedDesc = desc("archive_moved", "Ended jobs that this leader has archived in its term; only the leader tells.")
-	limitDesc    = desc("state_limit", "What a transaction may hold now: changes, and bytes of a value. Less than in the settings: the service has refused more.", "what")
+	upDesc           = desc("up", "1 if this controller passes its health check.")
+	leadingDesc      = desc("leading", "1 if this controller leads and has the authority to act.")
+	termDesc         = desc("term", "The term of the leader, as last seen.")
+	storeAgeDesc     = desc("state_answer_age_seconds", "Since when the state service has not carried out a request of ours.")
+	loopWaitDesc     = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
+	jobsDesc         = desc("jobs", "Jobs that are not over.")
+	jobsInMemoryDesc = desc("jobs_known", "Jobs in this controller's memory: live ones, and ended ones that are not archived yet.")
+	cachedDesc       = desc("archive_cached", "Answers of archived jobs in this controller's memory.")
+	archivedDesc     = desc("archive_moved", "Ended jobs that this leader has archived in its term; only the leader tells.")
+	limitDesc        = desc("state_limit", "What a transaction may hold now: changes, and bytes of a value. "+
+		"Less than in the settings: the service has refused more.", "what")
 	refusedDesc  = desc("state_refused", "Transactions that the state service refused since the start, for their size or beyond its rate.", "why")
 	tasksDesc    = desc("tasks", "Tasks of those jobs by state; only the leader tells.", "state")
 	machinesDesc = desc("machines", "Machines by condition; only the leader tells.", "condition")
 	coresDesc    = desc("cores", "Cores of machines that act, and what is in use.", "what")
 	gpusDesc     = desc("gpus", "Accelerators of machines that act, and what is in use.", "what")
-	seatsDesc    = desc("licence_seats", "Seats of each licence pool.", "pool", "what")
-	levelDesc    = desc("level", "The level of the cluster's stored state, and the highest that this controller's release knows.", "of")
-	rolloutDesc  = desc("rollout_state", "1 for the state in which this controller sees the rollout.", "state")
-	movingDesc   = desc("migration_left", "Records that stand in a former format; only the leader tells.")
-	unreadDesc   = desc("unreadable_records", "Stored records that can't be read here.")
-	sessionsDesc = desc("sessions", "Sessions by state.", "state")
+	licencesDesc = desc("licence_seats", "Seats of each licence pool.", "pool", "what")
+	levelDesc    = desc("level", "The level of the cluster's stored state, "+
+		"and the highest that this controller's release knows.", "of")
+	rolloutDesc    = desc("rollout_state", "1 for the state in which this controller sees the rollout.", "state")
+	migrationDesc  = desc("migration_left", "Records that stand in a former format; only the leader tells.")
+	unreadableDesc = desc("unreadable_records", "Stored records that can't be read here.")
+	sessionsDesc   = desc("sessions", "Sessions by state.", "state")
 )
 
-// collector takes a picture of the controller on its event loop for each scrape.
+// collector reads the metrics on the controller's event loop at each scrape.
 type collector struct{ c *Controller }
 
-// Describe implements prometheus.Collector: the set of figures depends on who leads.
+// Describe implements prometheus.Collector. It describes nothing: the set of metrics depends on who leads.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
 func (k collector) Collect(out chan<- prometheus.Metric) {
-	asked := k.c.loop.Now()
-	got := make(chan []metric, 1)
-	if !k.c.loop.Offer(func() { got <- k.c.metrics(k.c.loop.Now(), asked) }) {
+	requestedAt := k.c.loop.Now()
+	result := make(chan samples, 1)
+	if !k.c.loop.Offer(func() { result <- k.c.metrics(k.c.loop.Now(), requestedAt) }) {
 		return
 	}
-	t := time.NewTimer(scrapeWait)
-	defer t.Stop()
+	timeout := time.NewTimer(scrapeTimeout)
+	defer timeout.Stop()
 	select {
-	case ms := <-got:
-		for _, m := range ms {
-			out <- prometheus.MustNewConstMetric(m.desc, prometheus.GaugeValue, m.value, m.labels...)
+	case all := <-result:
+		for _, s := range all {
+			out <- prometheus.MustNewConstMetric(s.desc, prometheus.GaugeValue, s.value, s.labels...)
 		}
-	case <-t.C:
+	case <-timeout.C:
 	}
 }
 
-// liveJobs is the number of jobs that are not over.
-func (c *Controller) liveJobs() (n int) {
-	c.jobs.ForEachLive(func(*jobs.Job) { n++ })
-	return n
+// liveJobs returns the number of jobs that have not ended.
+func (c *Controller) liveJobs() int {
+	live := 0
+	c.jobs.ForEachLive(func(*jobs.Job) { live++ })
+	return live
 }
 
-func boolMetric(b bool) float64 {
-	if b {
-		return 1
+// metrics returns the present values of all metrics.
+func (c *Controller) metrics(now, requestedAt time.Duration) samples {
+	var out samples
+	c.addControllerMetrics(&out, now, requestedAt)
+	c.addStoreMetrics(&out, now)
+	c.addRolloutMetrics(&out)
+	if !c.term.loaded() {
+		return out
 	}
-	return 0
+	if c.rollout.State() == rollout.Migrating {
+		out.add(migrationDesc, float64(c.term.fleet.UnmigratedPlans()))
+	}
+	out.add(archivedDesc, float64(c.term.mover.Stats.Moved))
+	c.addTaskMetrics(&out)
+	c.addMachineMetrics(&out)
+	c.addLicenceMetrics(&out, now)
+	if c.term.sessions != nil {
+		for state, count := range c.term.sessions.Count() {
+			out.add(sessionsDesc, float64(count), state)
+		}
+	}
+	return out
+}
+
+func (c *Controller) addControllerMetrics(out *samples, now, requestedAt time.Duration) {
+	out.addBool(upDesc, c.healthy())
+	out.addBool(leadingDesc, c.membership.State() == membership.Leading && c.membership.HasAuthority(now))
+	out.add(termDesc, float64(c.membership.Leader().Term))
+	out.add(loopWaitDesc, (now - requestedAt).Seconds())
+	out.add(jobsDesc, float64(c.liveJobs()))
+	out.add(jobsInMemoryDesc, float64(c.jobs.Len()))
+	out.add(cachedDesc, float64(c.archive.reader.CacheLen()))
 }
 
-// metrics is what is told now.
-func (c *Controller) metrics(now, asked time.Duration) (ms []metric) {
-	add := func(d *prometheus.Desc, v float64, labels ...string) { ms = append(ms, metric{d, v, labels}) }
-	add(upDesc, boolMetric(c.healthy()))
-	add(leadingDesc, boolMetric(c.membership.State() == membership.Leading && c.membership.HasAuthority(now)))
-	add(termDesc, float64(c.membership.Leader().Term))
-	add(stateDesc, (now - c.store.LastSuccess()).Seconds())
-	add(lagDesc, (now - asked).Seconds())
-	add(jobsDesc, float64(c.liveJobs()))
+func (c *Controller) addStoreMetrics(out *samples, now time.Duration) {
+	out.add(storeAgeDesc, (now - c.store.LastSuccess()).Seconds())
 	limits := c.store.Limits()
-	add(limitDesc, float64(limits.MaxOps), "changes")
-	add(limitDesc, float64(limits.MaxValueBytes), "value_bytes")
-	size, rate := c.store.Rejections()
-	add(refusedDesc, float64(size), "size")
-	add(refusedDesc, float64(rate), "rate")
-	add(knownDesc, float64(c.jobs.Len()))
-	add(cachedDesc, float64(c.archive.reader.CacheLen()))
-	add(levelDesc, float64(c.rollout.Level()), "cluster")
-	add(levelDesc, float64(c.rollout.MaxLevel()), "known")
-	for s := rollout.Loading; s <= rollout.Incompatible; s++ {
-		add(rolloutDesc, boolMetric(s == c.rollout.State()), s.String())
-	}
-	add(unreadDesc, float64(c.rollout.UnreadableCount()))
-	if c.term.fleet == nil || !c.term.fleet.PlansLoaded() {
-		return ms
-	}
-	if c.rollout.State() == rollout.Migrating {
-		add(movingDesc, float64(c.term.fleet.UnmigratedPlans()))
+	out.add(limitDesc, float64(limits.MaxOps), "changes")
+	out.add(limitDesc, float64(limits.MaxValueBytes), "value_bytes")
+	forSize, forRate := c.store.Rejections()
+	out.add(refusedDesc, float64(forSize), "size")
+	out.add(refusedDesc, float64(forRate), "rate")
+}
+
+func (c *Controller) addRolloutMetrics(out *samples) {
+	out.add(levelDesc, float64(c.rollout.Level()), "cluster")
+	out.add(levelDesc, float64(c.rollout.MaxLevel()), "known")
+	for state := rollout.Loading; state <= rollout.Incompatible; state++ {
+		out.addBool(rolloutDesc, state == c.rollout.State(), state.String())
 	}
-	add(archivedDesc, float64(c.term.mover.Stats.Moved))
-	tasks := map[jobs.TaskState]int{}
+	out.add(unreadableDesc, float64(c.rollout.UnreadableCount()))
+}
+
+func (c *Controller) addTaskMetrics(out *samples) {
+	countByState := map[jobs.TaskState]int{}
 	c.jobs.ForEachLive(func(job *jobs.Job) {
-		for s, n := range job.TasksByState {
-			tasks[jobs.TaskState(s)] += n
+		for state, count := range job.TasksByState {
+			countByState[jobs.TaskState(state)] += count
 		}
 	})
-	for s := jobs.Unplanned; s <= jobs.Finished; s++ {
-		add(tasksDesc, float64(tasks[s]), s.String())
+	for state := jobs.Unplanned; state <= jobs.Finished; state++ {
+		out.add(tasksDesc, float64(countByState[state]), state.String())
 	}
-	machines := map[fleet.Condition]int{}
+}
+
+func (c *Controller) addMachineMetrics(out *samples) {
+	countByCondition := map[fleet.Condition]int{}
 	var cores, coresUsed, gpus, gpusUsed float64
 	for _, machine := range c.term.fleet.Machines() {
-		machines[machine.Condition]++
+		countByCondition[machine.Condition]++
 		if machine.Condition == fleet.Ready {
-			cores, gpus = cores+machine.Capacity.CPUs, gpus+machine.Capacity.GPUs
-			coresUsed, gpusUsed = coresUsed+machine.Used.CPUs, gpusUsed+machine.Used.GPUs
+			cores += machine.Capacity.CPUs
+			coresUsed += machine.Used.CPUs
+			gpus += machine.Capacity.GPUs
+			gpusUsed += machine.Used.GPUs
 		}
 	}
-	for k := fleet.Registered; k <= fleet.Terminated; k++ {
-		add(machinesDesc, float64(machines[k]), k.String())
-	}
-	add(coresDesc, cores, "there")
-	add(coresDesc, coresUsed, "used")
-	add(gpusDesc, gpus, "there")
-	add(gpusDesc, gpusUsed, "used")
-	for ix, pool := range c.licencePools.Pools() {
-		v := c.term.fleet.Gate.Licences.Show(now, int32(ix), c.jobs.Names.Teams.Name)
-		for what, n := range map[string]int{"count": v.Count, "held": v.Held + v.Booked, "lingering": v.Lingering, "others": v.Others, "free": v.Free} {
-			add(seatsDesc, float64(n), pool.Name, what)
-		}
+	for condition := fleet.Registered; condition <= fleet.Terminated; condition++ {
+		out.add(machinesDesc, float64(countByCondition[condition]), condition.String())
 	}
-	if c.term.sessions != nil {
-		for state, n := range c.term.sessions.Count() {
-			add(sessionsDesc, float64(n), state)
-		}
+	out.add(coresDesc, cores, "there")
+	out.add(coresDesc, coresUsed, "used")
+	out.add(gpusDesc, gpus, "there")
+	out.add(gpusDesc, gpusUsed, "used")
+}
+
+func (c *Controller) addLicenceMetrics(out *samples, now time.Duration) {
+	for index, pool := range c.licencePools.Pools() {
+		view := c.licenceView(now, int32(index))
+		out.add(licencesDesc, float64(view.Count), pool.Name, "count")
+		out.add(licencesDesc, float64(view.Held+view.Booked), pool.Name, "held")
+		out.add(licencesDesc, float64(view.Lingering), pool.Name, "lingering")
+		out.add(licencesDesc, float64(view.Others), pool.Name, "others")
+		out.add(licencesDesc, float64(view.Free), pool.Name, "free")
 	}
-	return ms
 }
 
 // serveDebug serves /metrics and /debug/pprof on an address of their own until the process ends.
 func (c *Controller) serveDebug(addr string) error {
-	ln, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("setting \"debug_addr\": %w", err)
 	}
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(collector{c}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(
+		collector{c},
+		collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
+	)
 	mux := http.NewServeMux()
-	mux.Handle("/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: 2, Timeout: 2 * scrapeWait}))
+	mux.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{
+		MaxRequestsInFlight: maxScrapes,
+		Timeout:             2 * scrapeTimeout,
+	}))
 	mux.HandleFunc("/debug/pprof/", pprof.Index)
 	mux.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	mux.HandleFunc("/debug/pprof/trace", pprof.Trace)
-	s := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = s.Serve(ln) }()
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: debugReadHeaderTimeout}
+	go func() { _ = server.Serve(listener) }()
 	return nil
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"log/slog"
+	"net/http"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
@@ -12,29 +13,47 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
+// rolloutInterval spaces the steps of a rollout.
+const rolloutInterval = 250 * time.Millisecond
+
 // newRollout makes this controller's side of rollouts.
 func (c *Controller) newRollout() *rollout.Rollout {
-	o := c.settings.Rollout()
+	settings := c.settings.Rollout()
 	cfg := rollout.Config{
-		Node: c.settings.Node, Nodes: []rollout.NodeConfig{{Node: c.settings.Node, Zone: c.settings.Zone}}, Release: rollout.Release, MaxLevel: rollout.Newest,
-		Auto: o.Auto, Soak: o.Soak, StartedAtMS: c.jobs.WallMS(c.loop.Now()), OnStateChange: c.recordRolloutState,
+		Node:          c.settings.Node,
+		Nodes:         []rollout.NodeConfig{{Node: c.settings.Node, Zone: c.settings.Zone}},
+		Release:       rollout.Release,
+		MaxLevel:      rollout.Newest,
+		Auto:          settings.Auto,
+		Soak:          settings.Soak,
+		StartedAtMS:   c.jobs.WallMS(c.loop.Now()),
+		OnStateChange: c.recordRolloutState,
 	}
-	if o.Knows > 0 {
-		cfg.MaxLevel, cfg.Release = o.Knows, o.Release
+	if settings.Knows > 0 {
+		cfg.MaxLevel = settings.Knows
+		cfg.Release = settings.Release
 	}
-	for _, p := range c.settings.Peers {
-		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: p.Node, Zone: p.Zone})
+	for _, peer := range c.settings.Peers {
+		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: peer.Node, Zone: peer.Zone})
 	}
 	return rollout.New(cfg)
 }
 
-func (c *Controller) recordRolloutState(now time.Duration, to rollout.State, why string) {
-	if c.term.fleet != nil {
-		c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Rollout, Task: events.None, Machine: events.None, Note: to.String() + ": " + why})
+// recordRolloutState adds a change of the rollout's state to the leader's events.
+func (c *Controller) recordRolloutState(now time.Duration, to rollout.State, cause string) {
+	if !c.term.active() {
+		return
 	}
+	c.term.fleet.Events.Add(events.Event{
+		At:      now,
+		Kind:    events.Rollout,
+		Task:    events.None,
+		Machine: events.None,
+		Note:    to.String() + ": " + cause,
+	})
 }
 
-// membershipRollout is what package membership asks of rollouts.
+// membershipRollout is what package membership needs of rollouts.
 type membershipRollout struct {
 	*rollout.Rollout
 	c *Controller
@@ -42,78 +61,82 @@
 
 // PreferredLeaders implements membership.Rollout.
 func (m membershipRollout) PreferredLeaders() int {
-	return m.Rollout.PreferredLeaders(m.c.jobs.WallMS(m.c.loop.Now()), func(node string) bool {
-		_, drained := m.c.drains.document.Nodes[node]
-		h, heard := m.c.peers.status[node]
-		return drained || (heard && h.Leaving)
+	wallMS := m.c.jobs.WallMS(m.c.loop.Now())
+	return m.Rollout.PreferredLeaders(wallMS, func(node string) bool {
+		status, isKnown := m.c.peers.status[node]
+		return m.c.drains.isDrained(node) || (isKnown && status.Leaving)
 	})
 }
 
-// advanceRollout goes on with a rollout: every controller judges, the leader acts.
+// advanceRollout takes the next step of a rollout, if one is due: every controller judges, the leader acts.
 func (c *Controller) advanceRollout(now time.Duration) {
-	// One that is behind, or has met what it doesn't understand, gives up the lead at once.
-	if !c.rollout.Compatible() && c.term.fleet != nil {
+	// A controller that is behind, or has met a record that it can't read, gives up the leadership at once.
+	if !c.rollout.Compatible() && c.term.active() {
 		c.membership.Resign(now, "this release is behind the cluster's stored state")
 	}
 	if now-c.rolloutCheckedAt < rolloutInterval {
 		return
 	}
 	c.rolloutCheckedAt = now
-	term, work := uint64(0), rollout.MigrationProgress{}
-	if c.term.fleet != nil && c.term.fleet.PlansLoaded() && c.membership.HasAuthority(now) {
+	term := uint64(0)
+	progress := rollout.MigrationProgress{}
+	if c.term.loaded() && c.membership.HasAuthority(now) {
 		term = c.membership.Term()
-		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle.state == Serving)
+		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle.state == serving)
 		if c.rollout.State() == rollout.Migrating {
-			work = c.migrationProgress()
+			progress = c.migrationProgress()
 		}
 	}
-	txn, due := c.rollout.Tick(now, term, work)
-	if !due {
+	txn, isDue := c.rollout.Tick(now, term, progress)
+	if !isDue {
 		return
 	}
-	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) { c.rollout.HandleOutcome(c.loop.Now(), txn, result) })
+	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
+		c.rollout.HandleOutcome(c.loop.Now(), txn, result)
+	})
 }
 
-// migrationProgress is what is left in former formats. Nothing is done before the followed keys have come past the level's
-// rise: until then something that was written before it may not have been seen.
+// migrationProgress returns how much is stored in former formats. The migration isn't done before the followed keys
+// have passed the rise of the level: until then something that was written earlier may not have been seen.
 func (c *Controller) migrationProgress() rollout.MigrationProgress {
-	drains := c.unmovedDrainRequests()
-	passed := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
-	return rollout.MigrationProgress{Left: c.term.fleet.UnmigratedPlans() + drains, Done: c.term.fleet.Migrated() && drains == 0 && passed}
+	drainRequests := c.unmovedDrainRequests()
+	hasPassedRise := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
+	return rollout.MigrationProgress{
+		Left: c.term.fleet.UnmigratedPlans() + drainRequests,
+		Done: c.term.fleet.Migrated() && drainRequests == 0 && hasPassedRise,
+	}
 }
 
-// rolloutInterval spaces the looks at a rollout.
-const rolloutInterval = 250 * time.Millisecond
-
-// rolloutView is where the rollout stands, as this controller knows it.
+// rolloutView returns the rollout's progress, as far as this controller has followed it.
 func (c *Controller) rolloutView(now time.Duration) rollout.View {
-	k := rollout.Cluster{Leader: c.membership.Leader().Node, Drained: map[string]bool{}}
-	for n := range c.drains.document.Nodes {
-		k.Drained[n] = true
+	cluster := rollout.Cluster{Leader: c.membership.Leader().Node, Drained: map[string]bool{}}
+	for node := range c.drains.document.Nodes {
+		cluster.Drained[node] = true
 	}
-	if c.term.fleet != nil && c.term.fleet.PlansLoaded() {
-		k.Left = c.migrationProgress().Left
+	if c.term.loaded() {
+		cluster.Left = c.migrationProgress().Left
 	}
-	return c.rollout.View(now, k)
+	return c.rollout.View(now, cluster)
 }
 
-// rolloutShow answers where it stands; a controller that is behind, or knows no leader, tells what it knows itself.
+// rolloutShow answers with the rollout's progress. A controller that is behind, or follows no leader, answers with its
+// own view.
 func (c *Controller) rolloutShow(now time.Duration, reply func(api.Reply)) {
-	reply(api.Reply{Status: 200, Body: c.rolloutView(now)})
+	reply(api.Reply{Status: http.StatusOK, Body: c.rolloutView(now)})
 }
 
-// rolloutCall takes an operator's word.
+// rolloutCall answers an operator: the rollout's progress, or a command.
 func (c *Controller) rolloutCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	if request.Verb == "show" {
 		c.rolloutShow(now, reply)
 		return
 	}
-	var cmd rollout.Command
-	if err := json.Unmarshal(request.Body, &cmd); err != nil {
+	var command rollout.Command
+	if err := json.Unmarshal(request.Body, &command); err != nil {
 		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
 		return
 	}
-	txn, err := c.rollout.Execute(now, cmd, c.jobs.WallMS(now))
+	txn, err := c.rollout.Execute(now, command, c.jobs.WallMS(now))
 	switch {
 	case errors.Is(err, rollout.ErrMalformed):
 		reply(api.Refuse(api.InvalidRequest, err.Error()))
@@ -123,17 +146,25 @@
 		return
 	}
 	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
-		switch result.Outcome {
-		case store.Committed:
-			slog.Info("operators' word on the rollout", "op", cmd.Op, "by", cmd.By)
-			for _, o := range txn.Then {
-				c.rollout.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: result.Revision})
-			}
-			reply(api.Reply{Status: 200, Body: c.rolloutView(c.loop.Now())})
-		case store.Conflict:
-			reply(api.Refuse(api.Conflict, "something was changed meanwhile: look at the status, and give the command again if it is still right"))
-		default:
-			reply(api.Refuse(api.Unavailable, "it is not known whether the command was taken: look at the status before giving it again"))
-		}
+		reply(c.rolloutCommandReply(command, txn, result))
 	})
 }
+
+// rolloutCommandReply returns the answer to a command by its write's outcome, and applies the write if it was committed.
+func (c *Controller) rolloutCommandReply(command rollout.Command, txn store.Txn, result store.Result) api.Reply {
+	switch result.Outcome {
+	case store.Committed:
+		slog.Info("rollout command committed", "op", command.Op, "by", command.By)
+		for _, op := range txn.Then {
+			c.rollout.HandleItem(store.Item{Key: op.Put, Value: op.Value, Version: result.Revision})
+		}
+		return api.Reply{Status: http.StatusOK, Body: c.rolloutView(c.loop.Now())}
+	case store.Conflict:
+		return api.Refuse(
+			api.Conflict,
+			"something was changed meanwhile: look at the status, and give the command again if it is still right",
+		)
+	default:
+		return refuseIndeterminateCommand()
+	}
+}
--- /dev/null
+++ b/internal/controller/serve.go
@@ -0,0 +1,122 @@
+package controller
+
+import (
+	"crypto/tls"
+	"fmt"
+	"log/slog"
+	"net"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/api"
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/peers"
+)
+
+// fileCheckInterval is how often the files of TLS keys and users are looked at for changes.
+const fileCheckInterval = 5 * time.Second
+
+// tlsConnectionDivisor sets the part of all connections that the TLS listener may take, where there is one.
+const tlsConnectionDivisor = 4
+
+// Run listens and serves until a listener fails, and returns that error. The goroutines it starts live as long as the
+// process.
+func (c *Controller) Run() error {
+	publicListener, err := net.Listen("tcp4", c.settings.Public)
+	if err != nil {
+		return fmt.Errorf("setting \"public_addr\": %w", err)
+	}
+	peerListener, err := c.listenForPeers()
+	if err != nil {
+		return err
+	}
+	if addr := c.settings.Operator.DebugAddr; addr != "" {
+		if err := c.serveDebug(addr); err != nil {
+			return err
+		}
+	}
+	go peers.Serve(peerListener, func(status peers.Status) {
+		c.loop.Offer(func() { c.handlePeerStatus(status) })
+	})
+	failed := make(chan error, 2)
+	routes := c.routes()
+	if tlsSettings := c.settings.Operator.TLS; tlsSettings != nil {
+		if routes, err = c.serveTLS(tlsSettings, routes, failed); err != nil {
+			return err
+		}
+	}
+	go func() { failed <- api.Serve(publicListener, routes) }()
+	go c.checkFiles(fileCheckInterval)
+	c.logArchiveProblem()
+	c.logStart()
+	go c.loop.Run(TickEvery, c.tick)
+	return <-failed
+}
+
+// listenForPeers opens the address at which other controllers connect.
+func (c *Controller) listenForPeers() (net.Listener, error) {
+	listener, err := net.Listen("tcp4", c.settings.Back)
+	if err != nil {
+		return nil, fmt.Errorf("setting \"back\": %w", err)
+	}
+	if tlsSettings := c.settings.Operator.TLS; tlsSettings != nil && tlsSettings.Peers {
+		listener = tls.NewListener(listener, c.settings.Keys().Peers())
+	}
+	return listener, nil
+}
+
+// routes returns what the public address serves.
+func (c *Controller) routes() api.Routes {
+	return api.Routes{
+		Post:       c.loop.Offer,
+		PostReport: c.loop.OfferWorker,
+		Now:        c.loop.Now,
+		Intake:     c.api,
+		Up:         c.healthy,
+		Report:     c.handleHeartbeat,
+		Leader:     c.leaderCalls(),
+		MaxConns:   c.settings.Params.Limits.Conns(),
+		Crowded:    c.settings.Params.Limits.Crowded(),
+		Users:      c.settings.Users(),
+		Counter:    &c.responses,
+	}
+}
+
+// serveTLS starts the TLS listener of users and returns the routes that are left for the plain one: the two share the
+// connections that this process may take.
+func (c *Controller) serveTLS(settings *config.TLSSettings, plain api.Routes, failed chan<- error) (api.Routes, error) {
+	listener, err := net.Listen("tcp", settings.Listen)
+	if err != nil {
+		return plain, fmt.Errorf("setting \"tls.listen\": %w", err)
+	}
+	secure := plain
+	secure.MaxConns = max(1, plain.MaxConns/tlsConnectionDivisor)
+	secure.Crowded = max(1, plain.Crowded/tlsConnectionDivisor)
+	plain.MaxConns -= secure.MaxConns
+	plain.Crowded = max(1, plain.Crowded-secure.Crowded)
+	plain.WorkersOnly = settings.Plain == "workers"
+	go func() { failed <- api.Serve(tls.NewListener(listener, c.settings.Keys().Users()), secure) }()
+	return plain, nil
+}
+
+// checkFiles applies changed TLS keys and users at each interval, until the process ends.
+func (c *Controller) checkFiles(interval time.Duration) {
+	keys, users := c.settings.Keys(), c.settings.Users()
+	if keys == nil && users == nil {
+		return
+	}
+	for range time.Tick(interval) {
+		if keys != nil {
+			logFileCheck("keys", keys.Check())
+		}
+		if users != nil {
+			logFileCheck("users", users.Check())
+		}
+	}
+}
+
+// logFileCheck logs that a changed file was not applied; err nil means that there is nothing to log.
+func logFileCheck(file string, err error) {
+	if err != nil {
+		slog.Error("changed file not applied, the former content stays in force", "file", file, "error", err)
+	}
+}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
@@ -9,96 +10,133 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// newSessions starts the sessions of a term, nil where they are off.
+// sessionExplanation is the body of the answer to why a session is in its state.
+type sessionExplanation struct {
+	ID  string   `json:"name_id"`
+	Why []string `json:"why"`
+}
+
+// newSessions makes a term's sessions, nil where they are off.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
-	p := c.settings.Sessions()
-	if !p.On {
+	policies := c.settings.Sessions()
+	if !policies.On {
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies: p, Jobs: c.jobs, Learned: c.handleJobRead, Read: c.readInTerm, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
-		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
-		Commit: func(txn store.Txn, done func(store.Result)) { c.commitInTerm(txn, store.NormalPriority, done) },
-		Task:   c.term.fleet.SessionTask, Park: c.term.fleet.Suspend, Wanted: c.term.fleet.WaitingJobsFor,
+		Policies:   policies,
+		Jobs:       c.jobs,
+		Learned:    c.handleJobRead,
+		Read:       c.readInTerm,
+		Now:        c.loop.Now,
+		Unreadable: c.rollout.MarkUnreadable,
+		Wall:       func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			c.commitInTerm(txn, store.NormalPriority, done)
+		},
+		Task:   c.term.fleet.SessionTask,
+		Park:   c.term.fleet.Suspend,
+		Wanted: c.term.fleet.WaitingJobsFor,
 	}, term)
 }
 
 // sessionCall answers a user, an operator or an agent about sessions.
 func (c *Controller) sessionCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	answer := func(a sessions.Answer) {
-		switch {
-		case a.Status < 300:
-			reply(api.Reply{Status: a.Status, Body: a.View})
-		default:
-			reply(api.Refuse(api.RefusalKindOf(a.Status), a.Why))
-		}
-	}
-	m := c.term.sessions
+	answer := func(a sessions.Answer) { reply(sessionReply(a)) }
+	manager := c.term.sessions
 	switch request.Verb {
 	case "open":
-		r, err := sessions.ParseOpening(request.Body)
-		if err != nil {
-			reply(api.Refuse(api.InvalidRequest, err.Error()))
-			return
-		}
-		if request.Who != nil && !request.Who.May(r.Spec.Team) {
-			reply(api.Refuse(api.Forbidden, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
-			return
-		}
-		if v := c.admit(r.Spec); !v.OK {
-			kind := api.Unprocessable
-			if !v.Known {
-				kind = api.Unavailable
-			}
-			reply(api.Refuse(kind, v.Why))
-			return
-		}
-		m.Open(now, r, answer)
+		c.openSession(now, request, reply)
 	case "attach":
-		m.Attach(now, request.Name, request.Bearer, answer)
+		manager.Attach(now, request.Name, request.Bearer, answer)
 	case "keep":
-		var b struct {
-			Attachment uint64 `json:"attachment"`
-		}
-		if json.Unmarshal(request.Body, &b) != nil {
-			reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
-			return
-		}
-		answer(m.Keep(now, request.Name, request.Bearer, b.Attachment))
+		c.keepSession(now, request, reply)
 	case "close":
-		m.Close(now, request.Name, request.Bearer, answer)
+		manager.Close(now, request.Name, request.Bearer, answer)
 	case "report":
-		r, err := sessions.ParseReport(request.Body)
-		if err != nil {
-			reply(api.Refuse(api.InvalidRequest, err.Error()))
-			return
-		}
-		o, ok, why := m.Report(now, request.Name, request.Bearer, r)
-		if !ok {
-			reply(api.Refuse(api.Conflict, why))
-			return
-		}
-		reply(api.Reply{Status: 200, Body: o})
+		reply(c.sessionReport(now, request))
 	case "explain":
-		lines, ok := m.Explain(now, request.Name)
-		if !ok {
-			reply(api.Refuse(api.NotFound, "no such session"))
-			return
-		}
-		reply(api.Reply{Status: 200, Body: struct {
-			ID  string   `json:"name_id"`
-			Why []string `json:"why"`
-		}{request.Name, lines}})
+		reply(c.explainSession(now, request.Name))
 	default:
-		if request.Name == "" {
-			reply(api.Reply{Status: 200, Body: m.List(now, request.Query["user"], request.Query["team"])})
-			return
-		}
-		v, ok := m.Show(now, request.Name)
-		if !ok {
-			reply(api.Refuse(api.NotFound, "no such session"))
-			return
+		reply(c.showSessions(now, request))
+	}
+}
+
+// sessionReply returns the HTTP answer for an answer of the sessions' manager.
+func sessionReply(answer sessions.Answer) api.Reply {
+	if answer.Status < http.StatusMultipleChoices {
+		return api.Reply{Status: answer.Status, Body: answer.View}
+	}
+	return api.Refuse(api.RefusalKindOf(answer.Status), answer.Why)
+}
+
+// openSession opens a session, if the user may and the session's job can run.
+func (c *Controller) openSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	opening, err := sessions.ParseOpening(request.Body)
+	if err != nil {
+		reply(api.Refuse(api.InvalidRequest, err.Error()))
+		return
+	}
+	team := opening.Spec.Team
+	if request.Who != nil && !request.Who.May(team) {
+		reply(api.Refuse(api.Forbidden, request.Who.Name+" may not open sessions of team "+team))
+		return
+	}
+	if admission := c.admit(opening.Spec); !admission.OK {
+		kind := api.Unprocessable
+		if !admission.Known {
+			kind = api.Unavailable
 		}
-		reply(api.Reply{Status: 200, Body: v})
+		reply(api.Refuse(kind, admission.Why))
+		return
+	}
+	c.term.sessions.Open(now, opening, func(answer sessions.Answer) { reply(sessionReply(answer)) })
+}
+
+// keepSession extends an attachment to a session.
+func (c *Controller) keepSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	var body struct {
+		Attachment uint64 `json:"attachment"`
+	}
+	if json.Unmarshal(request.Body, &body) != nil {
+		reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
+		return
+	}
+	reply(sessionReply(c.term.sessions.Keep(now, request.Name, request.Bearer, body.Attachment)))
+}
+
+// sessionReport answers the report of a session's agent.
+func (c *Controller) sessionReport(now time.Duration, request api.LeaderRequest) api.Reply {
+	report, err := sessions.ParseReport(request.Body)
+	if err != nil {
+		return api.Refuse(api.InvalidRequest, err.Error())
 	}
+	order, ok, cause := c.term.sessions.Report(now, request.Name, request.Bearer, report)
+	if !ok {
+		return api.Refuse(api.Conflict, cause)
+	}
+	return api.Reply{Status: http.StatusOK, Body: order}
 }
+
+// explainSession answers why a session is in its state.
+func (c *Controller) explainSession(now time.Duration, id string) api.Reply {
+	lines, ok := c.term.sessions.Explain(now, id)
+	if !ok {
+		return refuseNoSession()
+	}
+	return api.Reply{Status: http.StatusOK, Body: sessionExplanation{ID: id, Why: lines}}
+}
+
+// showSessions answers with one session or, without a name, with those of a user or a team.
+func (c *Controller) showSessions(now time.Duration, request api.LeaderRequest) api.Reply {
+	if request.Name == "" {
+		list := c.term.sessions.List(now, request.Query["user"], request.Query["team"])
+		return api.Reply{Status: http.StatusOK, Body: list}
+	}
+	view, ok := c.term.sessions.Show(now, request.Name)
+	if !ok {
+		return refuseNoSession()
+	}
+	return api.Reply{Status: http.StatusOK, Body: view}
+}
+
+func refuseNoSession() api.Reply { return api.Refuse(api.NotFound, "no such session") }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -2,8 +2,10 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/events"
@@ -15,118 +17,196 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// startTerm starts a term.
+// leaderTerm is what exists only while this controller leads. startTerm makes it and endTerm drops it. Answers that
+// arrive after the term in which they were requested are dropped: each term has a fleet of its own, by which late
+// answers are told apart.
+type leaderTerm struct {
+	fleet          *fleet.Fleet
+	capacity       *capacity.Manager
+	sessions       *sessions.Manager // nil where sessions are off
+	mover          *archive.Mover
+	loading        bool
+	loadNotBefore  time.Duration
+	authoritySince time.Duration // since when authority has not been interrupted
+	hadAuthority   bool
+}
+
+// loadRetryBackoff is the pause after a failed read of the stored state.
+const loadRetryBackoff = 200 * time.Millisecond
+
+// active reports whether this controller is in a term of its own.
+func (t *leaderTerm) active() bool { return t.fleet != nil }
+
+// loaded reports whether this controller is in a term of its own and has read the stored plans.
+func (t *leaderTerm) loaded() bool { return t.fleet != nil && t.fleet.PlansLoaded() }
+
+// noteAuthority records whether the leader has the authority to act, and since when.
+func (t *leaderTerm) noteAuthority(now time.Duration, hasAuthority bool) {
+	if hasAuthority && !t.hadAuthority {
+		t.authoritySince = now
+	}
+	t.hadAuthority = hasAuthority
+}
+
+// startTerm starts a term of this controller.
 func (c *Controller) startTerm(now time.Duration, term uint64) {
 	c.store.SetShare(c.rateShare(true))
 	c.jobs.RecallArchived()
-	c.term.fleet = fleet.New(fleet.Env{
-		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.Outgoing(maxWorkerRequests), Now: c.loop.Now, OnJobRecord: c.handleJobRead,
-		Types:          func(ix int32) *fleet.MachineType { return c.machineTypes.byIndex[ix] },
-		PlansInPages:   func() bool { return c.rollout.Level() >= rollout.Paged },
-		OnUnreadable:   c.rollout.MarkUnreadable,
-		CanWrite:       func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
-		HasSpareWrites: c.store.HasSpareWrites,
-		Commit:         func(txn store.Txn, done func(store.Result)) { c.commitInTerm(txn, store.BulkPriority, done) },
-		Read:           c.readInTerm,
-		SendCommands:   c.sendCommands,
-		Events:         events.New(eventCapacity(c.settings.Params.Limits.Memory())),
-	}, term, now)
-	c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.settings.Node})
+	c.term.fleet = fleet.New(c.fleetEnv(), term, now)
+	c.term.fleet.Events.Add(events.Event{
+		At:      now,
+		Kind:    events.Term,
+		Task:    events.None,
+		Machine: events.None,
+		Note:    c.settings.Node,
+	})
 	c.term.mover = c.newArchiveMover()
 	c.drains.upkeep = drainUpkeep{sweptAt: now}
-	c.term.capacity = capacity.New(c.settings, c.cloud, c.term.fleet, c.jobs.Names, func() []capacity.MachineType { return c.machineTypes.list }, term)
+	machineTypes := func() []capacity.MachineType { return c.machineTypes.list }
+	c.term.capacity = capacity.New(c.settings, c.cloud, c.term.fleet, c.jobs.Names, machineTypes, term)
 	c.storedZones.writing = false
 	c.restoreZones()
-	c.term.loading, c.term.loadNotBefore, c.term.hadAuthority = false, now, false
+	c.term.loading = false
+	c.term.loadNotBefore = now
+	c.term.hadAuthority = false
+}
+
+// fleetEnv returns what a term's fleet needs of this controller.
+func (c *Controller) fleetEnv() fleet.Env {
+	return fleet.Env{
+		Settings:          c.settings,
+		Jobs:              c.jobs,
+		Rng:               c.rng,
+		TxnOps:            c.settings.Params.State.TxnOps - 1, // one is left for the leader's condition
+		Limits:            c.store.Limits,
+		MaxDirectRequests: c.settings.Params.Limits.Outgoing(maxWorkerRequests),
+		Now:               c.loop.Now,
+		OnJobRecord:       c.handleJobRead,
+		Types:             func(index int32) *fleet.MachineType { return c.machineTypes.byIndex[index] },
+		PlansInPages:      func() bool { return c.rollout.Level() >= rollout.Paged },
+		OnUnreadable:      c.rollout.MarkUnreadable,
+		CanWrite:          func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
+		HasSpareWrites:    c.store.HasSpareWrites,
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			c.commitInTerm(txn, store.BulkPriority, done)
+		},
+		Read:         c.readInTerm,
+		SendCommands: c.sendCommands,
+		Events:       events.New(eventCapacity(c.settings.Params.Limits.Memory())),
+	}
 }
 
-// commitInTerm sends a transaction of the leader's term; its answer counts only within it.
-func (c *Controller) commitInTerm(txn store.Txn, class store.Priority, done func(store.Result)) {
+// endTerm ends a term: nothing of its state may be used any more.
+func (c *Controller) endTerm(time.Duration) {
+	c.store.SetShare(c.rateShare(false))
+	if c.term.capacity != nil {
+		c.term.capacity.Stop()
+	}
+	c.term.fleet = nil
+	c.term.capacity = nil
+	c.term.sessions = nil
+	c.term.mover = nil
+	c.term.loading = false
+	c.rollout.HandleLeadLost()
+	c.jobs.RecallArchived()
+}
+
+// commitInTerm sends a transaction that succeeds only while this controller leads. done is called unless the term has
+// ended meanwhile.
+func (c *Controller) commitInTerm(txn store.Txn, priority store.Priority, done func(store.Result)) {
 	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
-	f := c.term.fleet
-	c.store.Txn(txn, class, func(result store.Result) {
-		if c.term.fleet == f {
+	termFleet := c.term.fleet
+	c.store.Txn(txn, priority, func(result store.Result) {
+		if c.term.fleet == termFleet {
 			done(result)
 		}
 	})
 }
 
-// readInTerm re-reads a key for the leader's term.
+// readInTerm reads a key again. done is called unless the term has ended meanwhile.
 func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
-	f := c.term.fleet
+	termFleet := c.term.fleet
 	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
-		if c.term.fleet == f {
+		if c.term.fleet == termFleet {
 			done(item, err)
 		}
 	})
 }
 
-// endTerm ends a term: nothing of its state may be used any more.
-func (c *Controller) endTerm(time.Duration) {
-	c.store.SetShare(c.rateShare(false))
-	if c.term.capacity != nil {
-		c.term.capacity.Stop()
+// sendCommands sends commands directly to a machine. done is called unless the term has ended meanwhile, with the
+// heartbeat in the answer, if there is one, and with false if the outcome is indeterminate.
+func (c *Controller) sendCommands(
+	machine *fleet.Machine,
+	commands fleet.DirectCommands,
+	done func(heartbeat *fleet.Heartbeat, ok bool),
+) {
+	body, _ := json.Marshal(commands)
+	request := httpio.Request{
+		Method:  http.MethodPost,
+		Path:    "/orders",
+		Body:    body,
+		Timeout: config.OrderWait,
+		Once:    true, // one connection each: a large fleet's idle ones would use up the sockets
 	}
-	c.term.fleet, c.term.capacity, c.term.sessions, c.term.mover, c.term.loading = nil, nil, nil, nil, false
-	c.rollout.HandleLeadLost()
-	c.jobs.RecallArchived()
-}
-
-// sendCommands sends commands straight to a machine.
-func (c *Controller) sendCommands(machine *fleet.Machine, o fleet.DirectCommands, done func(*fleet.Heartbeat, bool)) {
-	body, _ := json.Marshal(o)
-	f := c.term.fleet
-	// One connection each: a large fleet's idle ones would use up the sockets.
-	c.workerSender.Send(machine.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(response httpio.Response) {
-		if c.term.fleet != f {
+	termFleet := c.term.fleet
+	c.workerSender.Send(machine.Addr, request, func(response httpio.Response) {
+		if c.term.fleet != termFleet {
 			return
 		}
-		if response.Err != nil || (response.Status != 200 && response.Status != 409) {
-			done(nil, response.Refused || (response.Err == nil && response.Status == 400))
+		answered := response.Status == http.StatusOK || response.Status == http.StatusConflict
+		if response.Err != nil || !answered {
+			notExecuted := response.Refused || (response.Err == nil && response.Status == http.StatusBadRequest)
+			done(nil, notExecuted)
 			return
 		}
-		rep, err := fleet.ParseHeartbeat(response.Body)
+		heartbeat, err := fleet.ParseHeartbeat(response.Body)
 		if err != nil {
-			rep = nil
+			heartbeat = nil
 		}
-		done(rep, true)
+		done(heartbeat, true)
 	})
 }
 
-// loadStoredState reads the durable plans at the start of a term.
+// loadStoredState reads the sessions and then the plans that are stored, at the start of a term: which sessions are
+// reclaimed must be known before anything is planned.
 func (c *Controller) loadStoredState(now time.Duration) {
 	if c.term.loading || now < c.term.loadNotBefore {
 		return
 	}
 	c.term.loading = true
-	f := c.term.fleet
-	// list reads keys; what goes wrong begins anew a little later.
-	list := func(prefix string, then func(at time.Duration, items []store.Item)) {
-		c.store.List(prefix, func(items []store.Item, _ uint64, err error) {
-			if c.term.fleet != f {
-				return
-			}
-			at := c.loop.Now()
-			if err != nil {
-				c.term.loading, c.term.loadNotBefore = false, at+200*time.Millisecond
-				return
-			}
-			then(at, items)
-		})
-	}
-	plans := func() {
-		list(jobs.PlanPrefix, func(at time.Duration, items []store.Item) {
-			c.term.loading = false
-			f.LoadPlans(at, items)
-		})
-	}
-	if c.term.sessions = c.newSessions(f.Term); c.term.sessions == nil {
-		plans()
+	c.term.sessions = c.newSessions(c.term.fleet.Term)
+	if c.term.sessions == nil {
+		c.loadPlans()
 		return
 	}
-	// Which sessions are reclaimed must be known before anything is planned.
-	list(sessions.Prefix, func(at time.Duration, items []store.Item) {
+	c.listInTerm(sessions.Prefix, func(at time.Duration, items []store.Item) {
 		c.term.sessions.Load(at, items)
-		plans()
+		c.loadPlans()
+	})
+}
+
+// loadPlans reads the stored plans into the term's fleet.
+func (c *Controller) loadPlans() {
+	c.listInTerm(jobs.PlanPrefix, func(at time.Duration, items []store.Item) {
+		c.term.loading = false
+		c.term.fleet.LoadPlans(at, items)
+	})
+}
+
+// listInTerm lists the keys under a prefix for loadStoredState. After a failure all is read again, loadRetryBackoff
+// later. done is called unless the term has ended meanwhile.
+func (c *Controller) listInTerm(prefix string, done func(at time.Duration, items []store.Item)) {
+	termFleet := c.term.fleet
+	c.store.List(prefix, func(items []store.Item, _ uint64, err error) {
+		if c.term.fleet != termFleet {
+			return
+		}
+		at := c.loop.Now()
+		if err != nil {
+			c.term.loading = false
+			c.term.loadNotBefore = at + loadRetryBackoff
+			return
+		}
+		done(at, items)
 	})
 }
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -2,53 +2,54 @@
 
 import (
 	"log/slog"
+	"net/http"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
-	"github.com/harewalk/harewalk/internal/membership"
 )
 
-// handleHeartbeat answers a worker.
+// notOwnerBody is the body of the answer to a worker whose owner is another controller.
+type notOwnerBody struct {
+	Owner string `json:"keeper,omitempty"`
+}
+
+// handleHeartbeat answers a worker: with its commands where this controller leads, with 503 where it leads without
+// the authority to act, and with 421 and the worker's owner, if that is known, where another controller leads.
 func (c *Controller) handleHeartbeat(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
-	no := api.Reply{Status: 503, Body: struct{}{}}
-	if c.membership.State() == membership.Leading && c.term.fleet != nil {
-		if !c.membership.HasAuthority(now) || !c.term.fleet.PlansLoaded() {
-			reply(no)
-			return
-		}
-		a, v := c.term.fleet.HandleHeartbeat(now, heartbeat)
-		switch v {
-		case fleet.Accepted:
-			reply(api.Reply{Status: 200, Body: a})
-		case fleet.Deposed:
-			reply(no)
-			slog.Info("a worker has seen a higher token", "machine", heartbeat.Machine, "token", heartbeat.Token, "term", c.membership.Term())
-		default:
-			reply(no)
-		}
+	if !c.isLeader() {
+		c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 1)
+		owner := notOwnerBody{c.ownerOf(now, heartbeat.Machine)}
+		reply(api.Reply{Status: http.StatusMisdirectedRequest, Body: owner})
 		return
 	}
-	c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 1)
-	type keeper struct {
-		Keeper string `json:"keeper,omitempty"`
+	unavailable := api.Reply{Status: http.StatusServiceUnavailable, Body: struct{}{}}
+	if !c.membership.HasAuthority(now) || !c.term.loaded() {
+		reply(unavailable)
+		return
+	}
+	commands, outcome := c.term.fleet.HandleHeartbeat(now, heartbeat)
+	if outcome == fleet.Accepted {
+		reply(api.Reply{Status: http.StatusOK, Body: commands})
+		return
+	}
+	reply(unavailable)
+	if outcome == fleet.Deposed {
+		slog.Info("worker reports a higher fencing token",
+			"machine", heartbeat.Machine,
+			"token", heartbeat.Token,
+			"term", c.membership.Term(),
+		)
 	}
-	reply(api.Reply{Status: 421, Body: keeper{c.ownerOf(now, heartbeat.Machine)}})
 }
 
-// ownerOf is whom a worker is sent to, "" if that isn't known: the owner by the followed keys, unless they are older than a
-// hold lives; then whoever says itself that it leads. Two controllers that were cut off with their workers would
-// otherwise send them to one that has long lost the lead.
+// ownerOf returns the controller to which a worker is sent, "" if it isn't known: the owner by the followed keys,
+// unless they are older than a lease lasts; then the controller that reports the highest term of its own. Two
+// controllers that were cut off with their workers would otherwise send them to one that lost the leadership long ago.
 func (c *Controller) ownerOf(now time.Duration, machine string) string {
 	if now-c.watchCache.FreshAt() <= c.settings.HoldTTL() {
 		return c.membership.Owner(machine)
 	}
-	name, term := "", uint64(0)
-	for _, h := range c.peers.status {
-		if h.Leading && h.Term > term && now-h.at < peerStatusTTL {
-			name, term = h.Node, h.Term
-		}
-	}
-	return name
+	return c.peers.leader(now)
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -14,41 +15,59 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// storedZones is what was read of zones, for the next term that is ours.
+// zonesWriteInterval spaces the writes of the zones' state.
+const zonesWriteInterval = time.Second
+
+// storedZones is the zones' state as stored, from which this controller's next term begins.
 type storedZones struct {
 	latest      store.Item
 	writing     bool
-	attemptedAt time.Duration // of the last try
+	attemptedAt time.Duration // of the last write
+}
+
+// handleItem applies the zones' stored state. An older version than the last is ignored.
+func (z *storedZones) handleItem(item store.Item) {
+	if item.Version > z.latest.Version {
+		z.latest = item
+	}
 }
 
-// restoreZones lets a term begin with what an earlier leader has found.
+// isZoneKey reports whether a key belongs to zones.
+func isZoneKey(key string) bool { return strings.HasPrefix(key, zones.Prefix) }
+
+// restoreZones lets a term begin with the zones' state that an earlier leader has stored.
 func (c *Controller) restoreZones() {
-	if c.storedZones.latest.Value == nil {
+	stored := c.storedZones.latest.Value
+	if stored == nil {
 		return
 	}
-	err := c.term.capacity.Zones.Restore(c.storedZones.latest.Value, c.jobs.Names.Zones.Index, c.jobs.SteadyAt)
-	if err != nil {
-		c.rollout.MarkUnreadable(zones.Key, c.storedZones.latest.Value, err)
+	if err := c.term.capacity.Zones.Restore(stored, c.jobs.Names.Zones.Index, c.jobs.SteadyAt); err != nil {
+		c.rollout.MarkUnreadable(zones.Key, stored, err)
 	}
 }
 
-// storeZones stores what has changed of zones, for whoever leads next: it may be about to be us that is cut off.
+// storeZones stores the zones' state if it has changed, for the next leader: this one may be about to be cut off.
 func (c *Controller) storeZones(now time.Duration) {
-	z := c.term.capacity.Zones
-	if !z.Dirty() || c.storedZones.writing || now-c.storedZones.attemptedAt < time.Second {
+	table := c.term.capacity.Zones
+	if !table.Dirty() || c.storedZones.writing || now-c.storedZones.attemptedAt < zonesWriteInterval {
 		return
 	}
-	c.storedZones.writing, c.storedZones.attemptedAt = true, now
-	raw := z.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
-	z.MarkStored()
-	c.commitInTerm(store.Txn{If: []store.Condition{{Key: zones.Key, Version: c.storedZones.latest.Version}}, Then: []store.Op{{Put: zones.Key, Value: raw}}}, store.NormalPriority, func(result store.Result) {
+	c.storedZones.writing = true
+	c.storedZones.attemptedAt = now
+	raw := table.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
+	table.MarkStored()
+	txn := store.Txn{
+		If:   []store.Condition{{Key: zones.Key, Version: c.storedZones.latest.Version}},
+		Then: []store.Op{{Put: zones.Key, Value: raw}},
+	}
+	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
 		c.storedZones.writing = false
 		if result.Outcome == store.Committed {
 			c.storedZones.latest = store.Item{Key: zones.Key, Value: raw, Version: result.Revision}
 			return
 		}
 		slog.Debug("zones not stored", "outcome", result.Outcome.String())
-		z.MarkDirty()
+		table.MarkDirty()
 	})
 }
 
@@ -59,16 +78,17 @@
 	ForS     float64 `json:"for_s"` // in this state, as far as it is known
 	Flaps    int     `json:"flaps"`
 	Machines int     `json:"machines"`
-	Quiet    int     `json:"quiet"` // not heard for longer than a report and a bit
-	Aside    int     `json:"aside"` // where nothing is planned until they are heard
+	Quiet    int     `json:"quiet"` // whose heartbeat is overdue
+	Aside    int     `json:"aside"` // quarantined: nothing is planned there until a heartbeat arrives
 	Tasks    int     `json:"tasks"` // that count as being on its machines
-	Held     int     `json:"held"`  // of them, on machines that are set aside: until their leases end
+	Held     int     `json:"held"`  // of them, on machines that are quarantined: until their leases end
 	Rents    bool    `json:"rents"`
 	Takes    string  `json:"takes"` // the most that it gets of new work: arrays, gangs or all
-	// EstimateZoneLoss is what its loss would mean now; only where it was asked for.
+	// IfLost is what the zone's loss would mean now, BootS the boot time in seconds of machines rented instead, and
+	// LeaseS the seconds after which its tasks may start elsewhere. They are set only in the view of a single zone.
 	IfLost []LossView `json:"if_lost,omitempty"`
-	BootS  float64    `json:"boot_s,omitempty"`  // of the machines that would be rented instead
-	LeaseS float64    `json:"lease_s,omitempty"` // after which what was there may start elsewhere
+	BootS  float64    `json:"boot_s,omitempty"`
+	LeaseS float64    `json:"lease_s,omitempty"`
 }
 
 // LossView is what one class of one team would lose.
@@ -81,65 +101,95 @@
 	Wait  int    `json:"wait"` // that would wait for machines
 }
 
+// What a zone gets of new work at most, as ZoneView.Takes.
+const (
+	takesAll    = "all"
+	takesGangs  = "gangs"
+	takesArrays = "arrays"
+)
+
 // zoneCall answers about zones: all, or one with what its loss would mean.
 func (c *Controller) zoneCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	views := c.zoneViews(now)
 	if request.Name == "" {
-		reply(api.Reply{Status: 200, Body: views})
+		reply(api.Reply{Status: http.StatusOK, Body: views})
 		return
 	}
-	i := slices.IndexFunc(views, func(v ZoneView) bool { return v.Zone == request.Name })
-	if i < 0 {
+	position := slices.IndexFunc(views, func(view ZoneView) bool { return view.Zone == request.Name })
+	if position < 0 {
 		reply(api.Refuse(api.NotFound, fmt.Sprintf("no zone %q", request.Name)))
 		return
 	}
-	v := views[i]
-	v.LeaseS = c.settings.Params.Workers.LeaseS
+	view := views[position]
+	c.addZoneLoss(&view)
+	reply(api.Reply{Status: http.StatusOK, Body: view})
+}
+
+// addZoneLoss adds what a zone's loss would mean now.
+func (c *Controller) addZoneLoss(view *ZoneView) {
+	view.LeaseS = c.settings.Params.Workers.LeaseS
 	for _, machineType := range c.machineTypes.list {
-		v.BootS = max(v.BootS, machineType.BootS)
+		view.BootS = max(view.BootS, machineType.BootS)
 	}
-	d := c.jobs.Names
-	for _, l := range c.term.fleet.EstimateZoneLoss(d.Zones.Index(v.Zone)) {
-		v.IfLost = append(v.IfLost, LossView{d.Classes.Name(l.Class), d.Teams.Name(l.Team), l.Jobs, l.Tasks, l.Fit, l.Tasks - l.Fit})
+	names := c.jobs.Names
+	for _, loss := range c.term.fleet.EstimateZoneLoss(names.Zones.Index(view.Zone)) {
+		view.IfLost = append(view.IfLost, LossView{
+			Class: names.Classes.Name(loss.Class),
+			Team:  names.Teams.Name(loss.Team),
+			Jobs:  loss.Jobs,
+			Tasks: loss.Tasks,
+			Fit:   loss.Fit,
+			Wait:  loss.Tasks - loss.Fit,
+		})
 	}
-	reply(api.Reply{Status: 200, Body: v})
 }
 
+// zoneViews returns the zones of the settings, by name.
 func (c *Controller) zoneViews(now time.Duration) []ZoneView {
-	names := slices.Clone(c.settings.Params.Zones)
-	slices.Sort(names)
-	by := map[int32]*ZoneView{}
-	out := make([]ZoneView, len(names))
-	for i, n := range names {
-		ix := c.jobs.Names.Zones.Index(n)
-		z := c.term.capacity.Zones.Zone(ix)
-		out[i] = ZoneView{Zone: n, State: z.State.String(), ForS: max(0, (now - z.Since).Seconds()), Flaps: z.Flaps, Rents: c.term.capacity.Zones.AllowsRenting(ix), Takes: "all"}
-		switch {
-		case !c.term.capacity.Zones.AcceptsWork(now, ix, zones.Together):
-			out[i].Takes = "arrays"
-		case !c.term.capacity.Zones.AcceptsWork(now, ix, zones.Lasting):
-			out[i].Takes = "gangs"
-		}
-		by[ix] = &out[i]
+	names := slices.Sorted(slices.Values(c.settings.Params.Zones))
+	views := make([]ZoneView, len(names))
+	viewByIndex := map[int32]*ZoneView{}
+	for i, name := range names {
+		index := c.jobs.Names.Zones.Index(name)
+		views[i] = c.zoneView(now, name, index)
+		viewByIndex[index] = &views[i]
 	}
-	quiet := c.term.capacity.QuietFor()
+	overdueAfter := c.term.capacity.QuietFor()
 	for _, machine := range c.term.fleet.Machines() {
-		v := by[machine.Zone]
-		if v == nil || machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
+		view := viewByIndex[machine.Zone]
+		if view == nil || machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
 			continue
 		}
-		v.Machines++
-		v.Tasks += len(machine.Tasks)
-		if now-max(machine.LastHeardAt, c.term.authoritySince) > quiet {
-			v.Quiet++
+		view.Machines++
+		view.Tasks += len(machine.Tasks)
+		if now-max(machine.LastHeardAt, c.term.authoritySince) > overdueAfter {
+			view.Quiet++
 		}
 		if machine.Quarantined {
-			v.Aside++
-			v.Held += len(machine.Tasks)
+			view.Aside++
+			view.Held += len(machine.Tasks)
 		}
 	}
-	return out
+	return views
 }
 
-// isZoneKey tells whether a key belongs to zones.
-func isZoneKey(key string) bool { return strings.HasPrefix(key, zones.Prefix) }
+// zoneView returns a zone without its machines.
+func (c *Controller) zoneView(now time.Duration, name string, index int32) ZoneView {
+	table := c.term.capacity.Zones
+	zone := table.Zone(index)
+	view := ZoneView{
+		Zone:  name,
+		State: zone.State.String(),
+		ForS:  max(0, (now - zone.Since).Seconds()),
+		Flaps: zone.Flaps,
+		Rents: table.AllowsRenting(index),
+		Takes: takesAll,
+	}
+	switch {
+	case !table.AcceptsWork(now, index, zones.Together):
+		view.Takes = takesArrays
+	case !table.AcceptsWork(now, index, zones.Lasting):
+		view.Takes = takesGangs
+	}
+	return view
+}
