--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -14,8 +14,8 @@
 )
 
 // This file follows and applies the operators' drain requests. Those of controllers stand in one document. Those of
-// machines stand there as well until the cluster's level is rollout.DrainKeys, from which on every controller reads them
-// under keys of their own; a leader then moves them.
+// machines stand there as well until the cluster's level is rollout.DrainKeys: from then on every controller reads them
+// under keys of their own, and a leader moves them there.
 
 const (
 	// drainSweepInterval spaces the searches for drain requests of machines that are gone, drainMoveInterval the steps
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -13,11 +13,11 @@
 // A large fleet whose machines are all drained is followed whole, and every answer about it stays within a line.
 func TestDrainsOfALargeFleetAreFollowedAndShown(t *testing.T) {
 	const machines = 4000
-	c, svc, advance := newFollowingController(t)
+	c, service, advance := newFollowingController(t)
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name, Request: drain.Request{By: "kana", AtMS: 5}})
-		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
+		service.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
 	c.startTerm(time.Second, 1)
@@ -40,16 +40,16 @@
 
 // Requests that were deleted while a controller's position was lost are gone after it has read all keys again.
 func TestDrainsDeletedWhilePositionLost(t *testing.T) {
-	c, svc, advance := newFollowingController(t)
+	c, service, advance := newFollowingController(t)
 	for _, name := range []string{"i-1", "i-2"} {
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name})
-		svc.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
+		service.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
 	if n := len(c.drains.machines.All()); n != 2 {
 		t.Fatalf("%d requests are followed", n)
 	}
-	c.resetKeys([]store.Item{svc.Keys[drain.MachineKey("i-2")]})
+	c.resetKeys([]store.Item{service.Keys[drain.MachineKey("i-2")]})
 	if all := c.drains.machines.All(); len(all) != 1 || all[0] != "i-2" {
 		t.Fatalf("left are %v", all)
 	}
--- /dev/null
+++ b/internal/controller/helpers_test.go
@@ -0,0 +1,66 @@
+package controller
+
+import (
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator/state"
+)
+
+// directSender carries requests to a simulated state service, which answers at once.
+type directSender struct{ service *state.Service }
+
+// Send implements httpio.Sender.
+func (d directSender) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+	done(d.service.Serve(request))
+}
+
+const testSettings = `{
+	"node": "n0", "public_addr": "a:80", "back": "a:81",
+	"services": {"cloud": "c:1", "state": "s:1"},
+	"params": {
+		"workers": {"report_s": 1, "lease_s": 6, "gang_wait_s": 10, "gang_peer_s": 2, "cancel_s": 20},
+		"state": {"rps": 1000, "write_rps": 1000, "value_kb": 8, "txn_ops": 24},
+		"cloud": {"rps": 5, "list_lag_s": 1}
+	}
+}`
+
+// newFollowingController returns a controller that follows the keys of a state service, and a function that advances
+// the clock of both.
+func newFollowingController(t *testing.T) (c *Controller, service *state.Service, advance func(time.Duration)) {
+	t.Helper()
+	settings, err := config.Parse([]byte(testSettings))
+	if err != nil {
+		t.Fatal(err)
+	}
+	service = state.New()
+	now := time.Duration(0)
+	c = build(settings, Environment{
+		Now:    func() time.Duration { return now },
+		Sender: func(int) httpio.Sender { return directSender{service} },
+	})
+	advance = func(duration time.Duration) {
+		now += duration
+		service.Now = now
+		c.watchCache.Tick(now)
+	}
+	advance(time.Second)
+	return c, service, advance
+}
+
+// newSpec returns a job of one task.
+func newSpec(id string) *jobs.Spec {
+	return &jobs.Spec{
+		ID:       id,
+		Class:    "c",
+		Team:     "t",
+		Kind:     jobs.Array,
+		Priority: "standard",
+		Tasks:    1,
+		CPUs:     1,
+		Image:    "i",
+	}
+}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -55,18 +55,22 @@
 
 // The metrics. Names keep their meaning between versions.
 var (
-	upDesc           = desc("up", "1 if this controller passes its health check.")
-	leadingDesc      = desc("leading", "1 if this controller leads and has the authority to act.")
-	termDesc         = desc("term", "The term of the leader, as last seen.")
-	storeAgeDesc     = desc("state_answer_age_seconds", "Since when the state service has not carried out a request of ours.")
+	upDesc       = desc("up", "1 if this controller passes its health check.")
+	leadingDesc  = desc("leading", "1 if this controller leads and has the authority to act.")
+	termDesc     = desc("term", "The term of the leader, as last seen.")
+	storeAgeDesc = desc("state_answer_age_seconds",
+		"Since when the state service has not carried out a request of ours.")
 	loopWaitDesc     = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
 	jobsDesc         = desc("jobs", "Jobs that are not over.")
-	jobsInMemoryDesc = desc("jobs_known", "Jobs in this controller's memory: live ones, and ended ones that are not archived yet.")
-	cachedDesc       = desc("archive_cached", "Answers of archived jobs in this controller's memory.")
-	archivedDesc     = desc("archive_moved", "Ended jobs that this leader has archived in its term; only the leader tells.")
-	limitDesc        = desc("state_limit", "What a transaction may hold now: changes, and bytes of a value. "+
+	jobsInMemoryDesc = desc("jobs_known", "Jobs in this controller's memory: "+
+		"live ones, and ended ones that are not archived yet.")
+	cachedDesc   = desc("archive_cached", "Answers of archived jobs in this controller's memory.")
+	archivedDesc = desc("archive_moved",
+		"Ended jobs that this leader has archived in its term; only the leader tells.")
+	limitDesc = desc("state_limit", "What a transaction may hold now: changes, and bytes of a value. "+
 		"Less than in the settings: the service has refused more.", "what")
-	refusedDesc  = desc("state_refused", "Transactions that the state service refused since the start, for their size or beyond its rate.", "why")
+	refusedDesc = desc("state_refused", "Transactions that the state service refused since the start, "+
+		"for their size or beyond its rate.", "why")
 	tasksDesc    = desc("tasks", "Tasks of those jobs by state; only the leader tells.", "state")
 	machinesDesc = desc("machines", "Machines by condition; only the leader tells.", "condition")
 	coresDesc    = desc("cores", "Cores of machines that act, and what is in use.", "what")
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -150,7 +150,7 @@
 	})
 }
 
-// rolloutCommandReply returns the answer to a command by its write's outcome, and applies the write if it was committed.
+// rolloutCommandReply returns the answer to a command by its write's outcome. It applies a write that was committed.
 func (c *Controller) rolloutCommandReply(command rollout.Command, txn store.Txn, result store.Result) api.Reply {
 	switch result.Outcome {
 	case store.Committed:
