--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -74,7 +74,7 @@
 
 // adminCall answers an operator: the cluster's status, or a command.
 func (c *Controller) adminCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	if request.Verb == "show" {
+	if request.Verb == verbShow {
 		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query["since"])})
 		return
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,9 +96,9 @@
 	responses         api.ResponseCounter // safe for concurrent use
 	failoverTiming    failoverTiming
 
+	listLimiter      listLimiter
 	rolloutCheckedAt time.Duration
-	jobsListedAt     time.Duration
-	summarizedAt     time.Duration
+	nextSummaryAt    time.Duration
 }
 
 // New builds a controller that is not yet listening.
@@ -251,7 +251,7 @@
 	c.api.Tick(now)
 	c.refreshMachineTypes(now)
 	c.sendStatus(now)
-	if c.lifecycle.state != serving {
+	if !c.lifecycle.isServing() {
 		c.advanceDrain(now)
 	}
 	c.applyDrains(now)
@@ -277,8 +277,8 @@
 		c.membership.Resign(now, "indeterminate writes no longer fit the state service's limits")
 		return
 	}
-	if now >= c.summarizedAt {
-		c.summarizedAt = now + summaryInterval
+	if now >= c.nextSummaryAt {
+		c.nextSummaryAt = now + summaryInterval
 		c.term.fleet.Summary(now)
 	}
 	c.term.noteAuthority(now, hasAuthority)
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -92,7 +92,7 @@
 func (c *Controller) applyDrains(now time.Duration) {
 	wantDrained := c.drains.isDrained(c.settings.Node)
 	switch {
-	case wantDrained && c.lifecycle.state == serving:
+	case wantDrained && c.lifecycle.isServing():
 		c.lifecycle.staysWhenDrained = true
 		c.startDrain(now, "drained by operators")
 	case !wantDrained && c.lifecycle.state == drained:
@@ -219,7 +219,10 @@
 	c.commitInTerm(txn, store.BulkPriority, func(result store.Result) {
 		c.drains.upkeep.writing = false
 		if result.Outcome != store.Committed {
-			slog.Info("drain requests not written", "outcome", result.Outcome.String(), "failed_keys", result.FailedKeys)
+			slog.Info("drain requests not written",
+				"outcome", result.Outcome.String(),
+				"failed_keys", result.FailedKeys,
+			)
 			return
 		}
 		c.confirmDrainWrite(txn, result.Revision)
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -94,7 +94,7 @@
 	if !ok {
 		return
 	}
-	if !c.allowList(now) {
+	if !c.listLimiter.allow(now) {
 		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -56,7 +56,7 @@
 		silentFor:       silentFor,
 		reportInterval:  workers.ReportS,
 		lease:           c.settings.Lease(),
-		reachedByOthers: c.peerHeartbeats(now),
+		reachedByOthers: c.peers.heartbeats(now),
 	}
 	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
@@ -69,7 +69,7 @@
 }
 
 // cacheTooStale reports whether the followed keys have been too old to act on for a while, though the service answers
-// and the lease is renewed: a leader whose watches are lost would keep everybody else from leading, and not act itself.
+// and the lease is renewed: a leader whose watches are lost would keep all others from leading, and not act itself.
 func (c *Controller) cacheTooStale(now time.Duration) bool {
 	maxAge := c.settings.PictureFor() + c.settings.HoldTTL()
 	isStale := now-c.watchCache.FreshAt() > maxAge
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -10,21 +10,15 @@
 func (c *Controller) healthy() bool {
 	now := c.loop.Now()
 	isReady := c.watchCache.Synced() && len(c.machineTypes.list) > 0
-	if !isReady || c.lifecycle.state != serving || !c.rollout.Compatible() {
+	if !isReady || !c.lifecycle.isServing() || !c.rollout.Compatible() {
 		return false
 	}
 	if now-c.store.LastSuccess() < healthyStoreAge {
 		return true
 	}
-	anyPeerAlive := false
-	for _, status := range c.peers.status {
-		if !status.isFresh(now) {
-			continue
-		}
-		if status.StateOK {
-			return false
-		}
-		anyPeerAlive = true
+	anyPeerAlive, anyPeerReachesStore := c.peers.liveness(now)
+	if anyPeerReachesStore {
+		return false
 	}
 	// A controller that reaches neither the state service nor any other controller is cut off and must not keep its
 	// users. In an outage the service answers with 503, or other controllers report the same.
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -103,12 +103,15 @@
 	return filter, true
 }
 
-// allowList reports whether a list may be made now, and counts it.
-func (c *Controller) allowList(now time.Duration) bool {
-	if c.jobsListedAt > 0 && now-c.jobsListedAt < listInterval {
+// listLimiter bounds the rate of lists. Its zero value allows the first.
+type listLimiter struct{ lastAt time.Duration }
+
+// allow reports whether a list may be made now, and counts it if so.
+func (l *listLimiter) allow(now time.Duration) bool {
+	if l.lastAt > 0 && now-l.lastAt < listInterval {
 		return false
 	}
-	c.jobsListedAt = now
+	l.lastAt = now
 	return true
 }
 
@@ -118,7 +121,7 @@
 	if !ok {
 		return
 	}
-	if !c.allowList(now) {
+	if !c.listLimiter.allow(now) {
 		reply(api.Refuse(api.TooManyRequests, "too many lists"))
 		return
 	}
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -7,6 +7,9 @@
 	"github.com/harewalk/harewalk/internal/api"
 )
 
+// verbShow is the verb of a request that reads. Other verbs are commands.
+const verbShow = "show"
+
 // notLeaderBody is the body of the answer to a request that only another controller, the leader, can answer.
 type notLeaderBody struct {
 	Error     string `json:"error"`
@@ -29,7 +32,7 @@
 func (c *Controller) leaderCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	isRolloutStuck := !c.rollout.Compatible() || c.membership.Leader().Node == ""
 	switch {
-	case request.Resource == "rollout" && request.Verb == "show" && isRolloutStuck:
+	case request.Resource == "rollout" && request.Verb == verbShow && isRolloutStuck:
 		c.rolloutShow(now, reply) // this controller's own view: it may show what is in the way
 	case !c.isLeader():
 		reply(c.refuseNotLeader())
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -125,7 +125,7 @@
 	switch {
 	case !ok:
 		reply(api.Refuse(api.NotFound, fmt.Sprintf("no licence pool %q is declared", request.Name)))
-	case request.Verb == "show":
+	case request.Verb == verbShow:
 		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 	default:
 		c.setLicenceCount(now, index, request.Body, reply)
@@ -173,7 +173,10 @@
 		case hasTerm && result.Outcome == store.Conflict:
 			reply(refuseLicenceConflict("another command", c.licenceView(now, index)))
 		default:
-			reply(api.Refuse(api.Unavailable, "it is not known whether the count was set: look before setting it again"))
+			reply(api.Refuse(
+				api.Unavailable,
+				"it is not known whether the count was set: look before setting it again",
+			))
 		}
 	})
 }
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -48,6 +48,9 @@
 	ended            chan struct{} // closed on the transition to ended
 }
 
+// isServing reports whether the controller is in full service.
+func (l *lifecycle) isServing() bool { return l.state == serving }
+
 // transition changes the state.
 func (l *lifecycle) transition(now time.Duration, to lifecycleState, cause string) {
 	slog.Info("lifecycle state changed", "from", l.state.String(), "to", to.String(), "cause", cause)
@@ -106,7 +109,8 @@
 	c.lifecycle.transition(now, serving, cause)
 }
 
-// handOver gives up the leadership, or the lease of a controller that doesn't lead, so that nobody waits for it.
+// handOver gives up the leadership, or the lease of a controller that doesn't lead, so that no other controller waits
+// for it.
 func (c *Controller) handOver(now time.Duration, cause string) {
 	c.lifecycle.transition(now, handingOver, cause)
 	c.membership.Withdraw(now)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -49,6 +49,29 @@
 	return node
 }
 
+// heartbeats returns how many heartbeats of another leader's workers the controllers that are alive have received
+// lately.
+func (s *peerSet) heartbeats(now time.Duration) int {
+	heartbeats := 0
+	for _, status := range s.status {
+		if status.isFresh(now) {
+			heartbeats += int(status.Workers)
+		}
+	}
+	return heartbeats
+}
+
+// liveness reports whether any other controller is alive, and whether any of those reaches the state service.
+func (s *peerSet) liveness(now time.Duration) (anyAlive, anyReachesStore bool) {
+	for _, status := range s.status {
+		if status.isFresh(now) {
+			anyAlive = true
+			anyReachesStore = anyReachesStore || status.StateOK
+		}
+	}
+	return anyAlive, anyReachesStore
+}
+
 // handlePeerStatus applies a status of another controller.
 func (c *Controller) handlePeerStatus(status peers.Status) {
 	now := c.loop.Now()
@@ -78,17 +101,6 @@
 	return job.FinishedTasks, job.ReportedRunning
 }
 
-// peerHeartbeats returns how many heartbeats other controllers have received lately.
-func (c *Controller) peerHeartbeats(now time.Duration) int {
-	heartbeats := 0
-	for _, status := range c.peers.status {
-		if status.isFresh(now) {
-			heartbeats += int(status.Workers)
-		}
-	}
-	return heartbeats
-}
-
 // sendStatus sends this controller's status to the others, if it is due.
 func (c *Controller) sendStatus(now time.Duration) {
 	if now-c.peers.statusSentAt < statusInterval {
@@ -108,7 +120,7 @@
 		Leading: c.term.active(),
 		StateOK: now-c.store.LastSuccess() < statusStoreAge,
 		Workers: c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 0),
-		Leaving: c.lifecycle.state != serving,
+		Leaving: !c.lifecycle.isServing(),
 	}
 	if !c.term.active() {
 		return status
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -82,7 +82,7 @@
 	progress := rollout.MigrationProgress{}
 	if c.term.loaded() && c.membership.HasAuthority(now) {
 		term = c.membership.Term()
-		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle.state == serving)
+		c.rollout.HandleHealth(now, c.settings.Node, c.lifecycle.isServing())
 		if c.rollout.State() == rollout.Migrating {
 			progress = c.migrationProgress()
 		}
@@ -127,7 +127,7 @@
 
 // rolloutCall answers an operator: the rollout's progress, or a command.
 func (c *Controller) rolloutCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	if request.Verb == "show" {
+	if request.Verb == verbShow {
 		c.rolloutShow(now, reply)
 		return
 	}
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -107,7 +107,7 @@
 	case verb == "abort":
 		c.api.Abort(now, id, send)
 	default:
-		c.leaderCall(now, api.LeaderRequest{Resource: verb, Name: id, Verb: "show"}, send)
+		c.leaderCall(now, api.LeaderRequest{Resource: verb, Name: id, Verb: verbShow}, send)
 	}
 }
 
@@ -145,7 +145,7 @@
 	query := location.Query()
 	switch location.Path {
 	case "/v2/runs", "/v2/events":
-		request := api.LeaderRequest{Resource: "list", Verb: "show", Query: map[string]string{}}
+		request := api.LeaderRequest{Resource: "list", Verb: verbShow, Query: map[string]string{}}
 		if location.Path == "/v2/events" {
 			request.Resource = "events"
 		}
@@ -156,7 +156,7 @@
 	case "/v2/rollout", "/v2/admin":
 		request := api.LeaderRequest{
 			Resource: strings.TrimPrefix(location.Path, "/v2/"),
-			Verb:     "show",
+			Verb:     verbShow,
 			Body:     body,
 			Query:    map[string]string{"since": query.Get("since")},
 		}
@@ -166,7 +166,7 @@
 		return request
 	default:
 		zone := strings.TrimPrefix(strings.TrimPrefix(location.Path, zonesPath), "/")
-		return api.LeaderRequest{Resource: "zones", Verb: "show", Name: zone}
+		return api.LeaderRequest{Resource: "zones", Verb: verbShow, Name: zone}
 	}
 }
 
