--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -48,14 +48,14 @@
 	if rank < 0 || len(machine.queues) == 0 {
 		return ws
 	}
-	ixs := f.scratch.jobs[:0]
+	ixs := f.scratch.jobIndices[:0]
 	for _, queue := range machine.queues {
 		if f.rankOf(f.jobAt(queue.job)) <= rank {
 			ixs = append(ixs, queue.job)
 		}
 	}
-	f.scratch.jobs = ixs
-	f.sortRanked(ixs)
+	f.scratch.jobIndices = ixs
+	f.sortIndicesByRank(ixs)
 	f.PlanningSteps += uint64(len(ixs))
 	for _, jobIndex := range ixs {
 		job, n := f.jobAt(jobIndex), len(machine.queued(jobIndex))
@@ -80,7 +80,7 @@
 		return
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoop(job)
+		f.noteCrashLoopBackoff(job)
 		return
 	}
 	if f.PlanningSteps-f.cycle.began > arraySteps {
@@ -112,7 +112,7 @@
 		}
 	}
 	if len(tasks) == 0 {
-		f.noteRetry(job, retry)
+		f.noteRetryLater(job, retry)
 		return
 	}
 	p := &planner.Problem{Local: f.estimate(job)}
@@ -124,11 +124,11 @@
 	zone := f.oneZone(job)
 	rank := f.rankOf(job)
 	for _, machine := range f.packed() {
-		if machine.Condition != Ready || machine.Returning || !f.mayUse(machine, job) || (zone != jobs.None && machine.Zone != zone) {
+		if machine.Condition != Ready || machine.Returning || !f.mayPlace(machine, job) || (zone != jobs.None && machine.Zone != zone) {
 			continue
 		}
 		f.scratch.work = f.appendWork(f.scratch.work[:0], now, machine, rank, job)
-		p.Initial = planner.Lanes(p.Initial, machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs)), size, f.scratch.work)
+		p.Initial = planner.Lanes(p.Initial, machine.Capacity.Sub(f.reservedForGPUWork(machine, job, machine.Capacity.GPUs)), size, f.scratch.work)
 		if len(p.Initial) == len(lane) {
 			continue
 		}
@@ -241,7 +241,7 @@
 	best, zone := -1, jobs.None
 	sum := map[int32]int{}
 	for _, machine := range f.machines {
-		if machine.Condition == Ready && !machine.Quarantined && f.mayUse(machine, job) {
+		if machine.Condition == Ready && !machine.Quarantined && f.mayPlace(machine, job) {
 			sum[machine.Zone] += 1 + 4*job.Spec.Size().Copies(machine.Free())
 			if sum[machine.Zone] > best {
 				best, zone = sum[machine.Zone], machine.Zone
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -66,7 +66,7 @@
 	size, in := job.Spec.Size(), map[int32]int{}
 	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined || !size.Fits(machine.Free()) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined || !size.Fits(machine.Free()) || !f.mayPlace(machine, job) || !f.zoneAccepts(machine, job) {
 			continue
 		}
 		zone := jobs.None
@@ -108,7 +108,7 @@
 	if !f.hasWaitedLong(job) {
 		return machine.Free().Sub(machine.queuedNeed)
 	}
-	free := machine.Free().Sub(machine.queuedWhole)
+	free := machine.Free().Sub(machine.queuedWithoutArrays)
 	for _, queue := range machine.queues {
 		if o := f.jobAt(queue.job); o.Spec.Kind == jobs.Array && f.hasWaitedLong(o) {
 			size := o.Spec.Size() // what has no room there now takes none either
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -18,9 +18,9 @@
 	out := []Command{}
 	for i := range heartbeat.Tasks {
 		taskReport := &heartbeat.Tasks[i]
-		job, taskIndex := taskReport.job, taskReport.no
+		job, taskIndex := taskReport.job, taskReport.taskIndex
 		if taskReport.State == taskExited {
-			if f.forgettable(machine, job, taskIndex, taskReport) {
+			if f.mayForget(machine, job, taskIndex, taskReport) {
 				out = append(out, Command{Op: opForget, Task: taskReport.Task, Attempt: taskReport.Attempt})
 			}
 			continue
@@ -32,17 +32,17 @@
 	if machine.Condition != Ready {
 		return out
 	}
-	again := f.scratch.refs[:0]
+	again := f.scratch.taskRefs[:0]
 	for ref := range machine.Tasks {
 		job := f.jobAt(ref.Job)
 		if job.Tasks[ref.Task].State != jobs.Launched || job.State.Terminal() {
 			continue
 		}
-		if _, alive := f.scratch.listed[ref]; !alive {
+		if _, alive := f.scratch.listedTasks[ref]; !alive {
 			again = append(again, ref)
 		}
 	}
-	f.scratch.refs = again
+	f.scratch.taskRefs = again
 	sortRefs(again)
 	for _, ref := range again {
 		job := f.jobAt(ref.Job)
@@ -51,10 +51,10 @@
 	return append(out, f.startCommands(now, machine)...)
 }
 
-// forgettable tells whether an exited task may vanish from the reports: its outcome must
+// mayForget tells whether an exited task may vanish from the reports: its outcome must
 // be durable, and no direct launch of the same attempt may still be under way, since a
 // worker that has forgotten an attempt would start it anew.
-func (f *Fleet) forgettable(machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) bool {
+func (f *Fleet) mayForget(machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) bool {
 	if machine.directInFlight {
 		return false
 	}
@@ -83,15 +83,15 @@
 		return job.Spec.SaveS + 1, true
 	}
 	if machine.Condition == ReclaimNoticed && !machine.Returning && taskReport.State != taskSaving {
-		return f.drain(now, machine, job, taskIndex)
+		return f.stopBeforeReclaim(now, machine, job, taskIndex)
 	}
 	return 0, false
 }
 
-// drain decides whether a task on a machine that is being taken should stop now: one that
+// stopBeforeReclaim decides whether a task on a machine that is being taken should stop now: one that
 // will be done in time goes on, one that can save does so while there is time, and one
 // that cannot is started elsewhere at once.
-func (f *Fleet) drain(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) (float64, bool) {
+func (f *Fleet) stopBeforeReclaim(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) (float64, bool) {
 	rest := (machine.ReclaimAt - now).Seconds()
 	task := &job.Tasks[taskIndex]
 	if job.Spec.Kind == jobs.Gang && job.TaskCount > 1 {
--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -32,16 +32,16 @@
 	crashLoopMachines   = 2
 	minCrashLoopBackoff = 2 * time.Second
 	maxCrashLoopBackoff = 64 * time.Second
-	newMachineEvery     = 3
+	triesPerNewMachine  = 3
 )
 
 // crashLoop is the record of a job of which tasks have failed.
 type crashLoop struct {
-	state    CrashLoopState
-	failedOn []int32 // machines on which it failed, while it is untried; later, the last of them
-	machines int     // on how many it failed, as far as they were told apart
-	tries    int
-	retryAt  time.Duration // Mistaken: no try before
+	state            CrashLoopState
+	failedOn         []int32 // machines on which it failed, while it is untried; later, the last of them
+	distinctMachines int     // on how many it failed, as far as they were told apart
+	tries            int
+	retryAt          time.Duration // Mistaken: no try before
 }
 
 // setCrashLoopState is the only place where a job's standing changes.
@@ -72,16 +72,16 @@
 	return loop != nil && (now < loop.retryAt || job.Spec.Kind != jobs.Gang && job.TasksByState[jobs.Planned]+job.TasksOnMachines() > 0)
 }
 
-// noteCrashLoop says why nothing of such a job is started.
-func (f *Fleet) noteCrashLoop(job *jobs.Job) {
+// noteCrashLoopBackoff says why nothing of such a job is started.
+func (f *Fleet) noteCrashLoopBackoff(job *jobs.Job) {
 	loop := f.crashLooping(job)
-	f.setPendingNote(job, pendingNote{cause: CrashLoopBackoff, have: loop.machines, need: loop.tries, until: loop.retryAt})
+	f.setPendingNote(job, pendingNote{cause: CrashLoopBackoff, have: loop.distinctMachines, need: loop.tries, until: loop.retryAt})
 }
 
-// noteRetry says that a job's tasks failed and when they are tried again.
-func (f *Fleet) noteRetry(job *jobs.Job, until time.Duration) {
+// noteRetryLater says that a job's tasks failed and when they are tried again.
+func (f *Fleet) noteRetryLater(job *jobs.Job, until time.Duration) {
 	if f.crashLooping(job) != nil {
-		f.noteCrashLoop(job)
+		f.noteCrashLoopBackoff(job)
 		return
 	}
 	f.setPendingNote(job, pendingNote{cause: RetryLater, until: until})
@@ -110,7 +110,7 @@
 		return
 	}
 	if !slices.Contains(loop.failedOn, machine.Index) {
-		loop.machines++
+		loop.distinctMachines++
 		loop.failedOn = append(loop.failedOn, machine.Index)
 		loop.failedOn = loop.failedOn[max(0, len(loop.failedOn)-2*crashLoopMachines):]
 	}
@@ -124,9 +124,9 @@
 	loop.tries++
 	// Images aren't fetched all over for it: it stays where it has been, but for a try now and then.
 	clear(job.AvoidedMachines)
-	if loop.tries%newMachineEvery == 0 {
+	if loop.tries%triesPerNewMachine == 0 {
 		for _, ix := range loop.failedOn {
-			f.avoid(now, f.machines[ix], job)
+			f.avoidMachine(now, f.machines[ix], job)
 		}
 	}
 	f.dropPlans(job, job.TasksByState[jobs.Planned])
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -187,7 +187,7 @@
 		f.writer.retry = nil
 		again(now)
 	}
-	f.expire(now)
+	f.expireLeases(now)
 	if !f.Gate.Licences.None() {
 		f.Gate.Licences.Tick(now, time.UnixMilli(f.Jobs.WallMS(now)))
 	}
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -74,7 +74,7 @@
 		f.directRequests--
 		for _, a := range sent {
 			// The job may have ended and been swept while the request was under way.
-			if job := f.jobAt(a.Job); ok && job != nil && job.Tasks != nil && job.Tasks[a.Task].Attempt == a.n {
+			if job := f.jobAt(a.Job); ok && job != nil && job.Tasks != nil && job.Tasks[a.Task].Attempt == a.attempt {
 				job.Tasks[a.Task].LaunchIndeterminate = false
 			}
 			if !ok && machine.Session == session {
@@ -87,9 +87,9 @@
 			machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
 		}
 		if heartbeat != nil && heartbeat.Machine == machine.Name {
-			how := asResponse
+			how := fromResponse
 			if heartbeat.Session == session && heartbeat.Seq <= seq {
-				how = asRestarted // a worker that has gone on counts on from what it had reported before
+				how = fromRestartedWorker // a worker that has gone on counts on from what it had reported before
 			}
 			f.acceptHeartbeat(f.Now(), heartbeat, how)
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -126,7 +126,7 @@
 		byName:         map[string]*Machine{},
 		ranking:        newRanking(),
 		gpuReserve:     newGPUReserve(),
-		scratch:        scratch{listed: map[TaskRef]struct{}{}},
+		scratch:        scratch{listedTasks: map[TaskRef]struct{}{}},
 		hints:          hintCache{inherited: map[string][]cachedImage{}},
 		queuedOn:       map[jobs.Index]map[int32]int{},
 		classes:        map[int32]*classStats{},
@@ -164,7 +164,7 @@
 }
 
 // pageLimit is how much is put in one page now.
-func (f *Fleet) pageLimit() int { return min(pageBytes, f.valueLimit()) }
+func (f *Fleet) pageLimit() int { return min(maxPageBytes, f.valueLimit()) }
 
 // StopStarting starts nothing new from now on; what runs goes on, and what is due is written.
 func (f *Fleet) StopStarting() { f.startsStopped = true }
@@ -184,8 +184,8 @@
 	f.Events.Add(events.Event{At: now, Kind: kind, Job: job.ID, Task: taskIndex, Machine: task.Machine, Attempt: task.Attempt, Note: note})
 }
 
-// pageBytes is how much is put in one page at most, where a value may be larger: all of it is sent with each write.
-const pageBytes = 6 << 10
+// maxPageBytes is how much is put in one page at most, where a value may be larger: all of it is sent with each write.
+const maxPageBytes = 6 << 10
 
 // checkTransition reports a change of state that the rules do not know: a defect, never input.
 func (f *Fleet) checkTransition(err error) {
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -106,7 +106,7 @@
 	var candidates []candidate
 	size := job.Spec.Size()
 	for _, machine := range f.packed() {
-		if machine.Condition != Ready || machine.Returning || !size.Fits(machine.Capacity) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
+		if machine.Condition != Ready || machine.Returning || !size.Fits(machine.Capacity) || !f.mayPlace(machine, job) || !f.zoneAccepts(machine, job) {
 			continue
 		}
 		p := candidate{m: machine, fetch: f.fetchS(job, machine)}
@@ -153,7 +153,7 @@
 // room is what a job may take of a machine now: not what is claimed by those that rank
 // before it, nor what gangs planned there will take.
 func (f *Fleet) room(machine *Machine, job *jobs.Job) planner.Size {
-	free := machine.Free().Sub(machine.queuedWhole)
+	free := machine.Free().Sub(machine.queuedWithoutArrays)
 	if f.isReservedFrom(machine, job) {
 		free = free.Sub(machine.reserved)
 	}
@@ -168,12 +168,12 @@
 		return // still here, finished, or some of it not gone yet
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoop(job)
+		f.noteCrashLoopBackoff(job)
 		return
 	}
 	for t := range job.Tasks {
 		if task := &job.Tasks[t]; task.NotBefore > now {
-			f.noteRetry(job, task.NotBefore)
+			f.noteRetryLater(job, task.NotBefore)
 			return
 		}
 	}
@@ -291,7 +291,7 @@
 		return
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoop(job)
+		f.noteCrashLoopBackoff(job)
 		return
 	}
 	candidates, use := f.candidatesFor(now, job), f.TasksByZone(job)
@@ -312,7 +312,7 @@
 			if lim > 0 && use[candidate.m.Zone] >= lim {
 				continue
 			}
-			if candidate.at == 0 && (i == len(candidates.ps) || use[candidate.m.Zone] < use[candidates.ps[i].m.Zone]) && f.mayUse(candidate.m, job) && job.Spec.Size().Fits(f.room(candidate.m, job)) {
+			if candidate.at == 0 && (i == len(candidates.ps) || use[candidate.m.Zone] < use[candidates.ps[i].m.Zone]) && f.mayPlace(candidate.m, job) && job.Spec.Size().Fits(f.room(candidate.m, job)) {
 				i = n
 			}
 		}
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -286,14 +286,14 @@
 	g.hear("m", 1, fenced)
 	g.now = 18 * time.Second
 	g.seq++
-	g.acceptHeartbeat(g.now, &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 2, Seq: g.seq, Token: fenced}, asResponse)
+	g.acceptHeartbeat(g.now, &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 2, Seq: g.seq, Token: fenced}, fromResponse)
 	g.now = 30 * time.Second
-	g.expire(g.now)
+	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c == LeaseExpired {
 		t.Fatal("lost 12 s into a session whose lease is 20 s")
 	}
 	g.now = 40 * time.Second
-	g.expire(g.now)
+	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c != LeaseExpired {
 		t.Fatalf("condition %v, the lease has run out", c)
 	}
@@ -354,14 +354,14 @@
 	g.hear("m", 1, fenced)
 	g.now += 10 * time.Second
 	g.settle(store.Committed)
-	if kv[imagesKey+"/0"] == nil {
+	if kv[imageHintsPrefix+"/0"] == nil {
 		t.Fatal("no hints written")
 	}
 	n := newRig(t, 2, kv)
 	if machine := n.RegisterMachine(0, "m"); !machine.HasImage(n.Jobs.Names.Images.Index("i")) {
 		t.Fatal("the next owner does not know the image")
 	}
-	kv[imagesKey+"/0"] = json.RawMessage(`{"images":["i"],"gb":[1],"on":{"m":[0,7,-1]}}`)
+	kv[imageHintsPrefix+"/0"] = json.RawMessage(`{"images":["i"],"gb":[1],"on":{"m":[0,7,-1]}}`)
 	if machine := newRig(t, 3, kv).RegisterMachine(0, "m"); len(machine.cachedImages) != 1 {
 		t.Fatalf("images %v from a damaged hint", machine.cachedImages)
 	}
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -22,7 +22,7 @@
 // checked that this controller has authority.
 func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (a HeartbeatResponse, v HeartbeatResult) {
 	f.activity.heartbeats++
-	machine, v := f.acceptHeartbeat(now, heartbeat, asRequest)
+	machine, v := f.acceptHeartbeat(now, heartbeat, fromRequest)
 	if v == Stale && f.shouldChallenge(now, machine, heartbeat) {
 		return HeartbeatResponse{Token: machine.Token, Commands: f.stopCancelled(heartbeat)}, Accepted
 	}
@@ -36,7 +36,7 @@
 		a.Commands = f.stopCancelled(heartbeat) // for all else the token has to be seen first
 		return a, Accepted
 	}
-	machine.fence()
+	machine.raiseTokenIfIndeterminate()
 	a.Token = machine.Token
 	if machine.Condition == Ready || machine.Condition == ReclaimNoticed {
 		a.Commands = f.buildCommands(now, machine, heartbeat)
@@ -65,14 +65,14 @@
 type heartbeatOrigin uint8
 
 const (
-	asRequest   heartbeatOrigin = iota // as a request of the worker's; it may be a copy of an old one
-	asResponse                         // the body of a response to a command of ours; it may have been made while an answer of ours was under way
-	asRestarted                        // as that, and the worker has restarted since it was last heard
+	fromRequest         heartbeatOrigin = iota // as a request of the worker's; it may be a copy of an old one
+	fromResponse                               // the body of a response to a command of ours; it may have been made while an answer of ours was under way
+	fromRestartedWorker                        // as that, and the worker has restarted since it was last heard
 )
 
 // acceptHeartbeat brings the machine's state up to a report.
 func (f *Fleet) acceptHeartbeat(now time.Duration, heartbeat *Heartbeat, how heartbeatOrigin) (*Machine, HeartbeatResult) {
-	direct := how != asRequest
+	direct := how != fromRequest
 	if heartbeat.Token>>tokenBits > f.Term {
 		return nil, Deposed
 	}
@@ -81,9 +81,9 @@
 		// The cloud confirmed its return: this report was under way for long.
 		return machine, Stale
 	}
-	if how == asRestarted {
+	if how == fromRestartedWorker {
 		f.challenge(now, machine)
-		machine.reachability.restarted = true
+		machine.reachability.restartCertain = true
 		return machine, Accepted
 	}
 	past, dared := machine.mayBeStaleCopy(heartbeat), machine.answeredChallenge(heartbeat)
@@ -97,11 +97,11 @@
 		slog.Info("a machine has restarted", "machine", machine.Name, "session", heartbeat.Session, "term", f.Term)
 		machine.reachability, machine.cachedImages = reachability{}, nil
 	}
-	machine.reachability.challengeToken, machine.reachability.restarted = 0, false
+	machine.reachability.challengeToken, machine.reachability.restartCertain = 0, false
 	unheard := heartbeat.Session > machine.Session && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.Lease()
 	if heartbeat.Session != machine.Session {
 		// Direct commands name their session: those of the old one are refused now.
-		f.resolveLaunches(machine)
+		f.clearIndeterminateLaunches(machine)
 		f.handleWorkerRestart(now, machine)
 		// The lease of a session counts from its beginning, even if no report of it was
 		// ever answered: a direct launch may run that long.
@@ -126,7 +126,7 @@
 			return machine, Accepted
 		}
 		if machine.LastHeartbeatAt = now; machine.Condition != OneWayUnreachable && machine.Condition != LeaseExpired {
-			f.markHeard(now, machine)
+			f.recordContact(now, machine)
 		}
 		return machine, Accepted
 	}
@@ -138,11 +138,11 @@
 	// What it was asked it answers, and may reach nobody all the same: then it dies with its lease, and no new work belongs
 	// there. Only a report tells that it lives.
 	if !direct {
-		f.markHeard(now, machine)
+		f.recordContact(now, machine)
 	}
 	if machine.fencing {
 		machine.fencing = false
-		f.resolveLaunches(machine)
+		f.clearIndeterminateLaunches(machine)
 	}
 	switch {
 	case heartbeat.NoticeS != nil && !machine.Returning:
@@ -161,19 +161,19 @@
 	return machine, Accepted
 }
 
-// markHeard notes that a machine is there. One that doesn't hear is not: nothing can be done with it.
-func (f *Fleet) markHeard(now time.Duration, machine *Machine) {
+// recordContact notes that a machine is there. One that doesn't hear is not: nothing can be done with it.
+func (f *Fleet) recordContact(now time.Duration, machine *Machine) {
 	machine.LastHeardAt, machine.LastHeartbeatAt, machine.Quarantined = now, now, false
 	f.LastHeartbeat = now
 }
 
-// resolveLaunches notes that no direct launch sent so far can be executed any more.
-func (f *Fleet) resolveLaunches(machine *Machine) {
+// clearIndeterminateLaunches notes that no direct launch sent so far can be executed any more.
+func (f *Fleet) clearIndeterminateLaunches(machine *Machine) {
 	clear(machine.indeterminateLaunches)
 	for ref := range machine.Tasks {
 		f.jobAt(ref.Job).Tasks[ref.Task].LaunchIndeterminate = false
 	}
 }
 
-// avoidFor is how long a job stays away from a machine on which it failed.
-const avoidFor = 60 * time.Second
+// avoidDuration is how long a job stays away from a machine on which it failed.
+const avoidDuration = 60 * time.Second
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -9,13 +9,13 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// imagesKey begins the keys under which the inferred caches are kept for the next owner.
+// imageHintsPrefix begins the keys under which the inferred caches are kept for the next owner.
 // They are hints: a wrong or lost one costs a fetch, so the keys have no condition but the
 // leader's.
-const imagesKey = jobs.PlanPrefix + "images"
+const imageHintsPrefix = jobs.PlanPrefix + "images"
 
-// hintsInterval spaces the writes of the hints.
-const hintsInterval = 4 * time.Second
+// imageHintsInterval spaces the writes of the hints.
+const imageHintsInterval = 4 * time.Second
 
 // hintShardMachines is how many machines share one key: a large fleet's hints outgrow a value.
 const hintShardMachines = 128
@@ -29,7 +29,7 @@
 
 // nextHintShard is the shard of hints that is due to be written, or -1.
 func (f *Fleet) nextHintShard(now time.Duration) int {
-	if now-f.hints.writtenAt < hintsInterval {
+	if now-f.hints.writtenAt < imageHintsInterval {
 		return -1
 	}
 	for i := range f.hints.dirtyShards {
@@ -40,8 +40,8 @@
 	return -1
 }
 
-// addImage notes that a machine's inferred cache has changed.
-func (f *Fleet) addImage(machine *Machine) {
+// markHintsDirty notes that a machine's inferred cache has changed.
+func (f *Fleet) markHintsDirty(machine *Machine) {
 	k := int(machine.Index) / hintShardMachines
 	for len(f.hints.dirtyShards) <= k {
 		f.hints.dirtyShards = append(f.hints.dirtyShards, false)
@@ -49,8 +49,8 @@
 	f.hints.dirtyShards[k] = true
 }
 
-// encodeImages writes a shard of the hints, as far as they fit a value.
-func (f *Fleet) encodeImages(shard int) json.RawMessage {
+// encodeImageHints writes a shard of the hints, as far as they fit a value.
+func (f *Fleet) encodeImageHints(shard int) json.RawMessage {
 	limit := f.valueLimit()
 	h := imageHintRecord{Machines: map[string][]int32{}}
 	at := map[int32]int32{}
@@ -81,8 +81,8 @@
 	return raw
 }
 
-// loadImages takes over the hints of the owner before.
-func (f *Fleet) loadImages(now time.Duration, item store.Item) {
+// loadImageHints takes over the hints of the owner before.
+func (f *Fleet) loadImageHints(now time.Duration, item store.Item) {
 	var h imageHintRecord
 	if json.Unmarshal(item.Value, &h) != nil || len(h.GB) != len(h.Images) {
 		return
@@ -98,10 +98,10 @@
 	}
 }
 
-// unfetched takes back that a machine has an image: the last task there that waited for it has ended while it was being
+// dropUnfetchedImage takes back that a machine has an image: the last task there that waited for it has ended while it was being
 // fetched, and the worker has given the fetch up. A gang whose image takes longer than its others wait once started
 // all its tasks together, on and on, because one machine was believed to have what it had never finished to fetch.
-func (f *Fleet) unfetched(machine *Machine, image int32) {
+func (f *Fleet) dropUnfetchedImage(machine *Machine, image int32) {
 	for r := range machine.Tasks {
 		if f.jobAt(r.Job).Image == image {
 			return
@@ -109,6 +109,6 @@
 	}
 	if i := slices.IndexFunc(machine.cachedImages, func(c cachedImage) bool { return c.image == image }); i >= 0 {
 		machine.cachedImages = slices.Delete(machine.cachedImages, i, i+1)
-		f.addImage(machine)
+		f.markHintsDirty(machine)
 	}
 }
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -10,10 +10,10 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// expire releases the tasks of machines whose workers' leases have surely run out: the
+// expireLeases releases the tasks of machines whose workers' leases have surely run out: the
 // worker counts from when it sent its last answered report, which was before our answer,
 // on a clock that may be slow by the drift bound.
-func (f *Fleet) expire(now time.Duration) {
+func (f *Fleet) expireLeases(now time.Duration) {
 	lease := f.Settings.Lease()
 	limit := lease + lease/500 + time.Second
 	for _, machine := range f.machines {
@@ -22,7 +22,7 @@
 		}
 		f.setCondition(machine, LeaseExpired, "lease ran out")
 		machine.reachability.expiredSession = machine.Session
-		f.forgetTasks(now, machine)
+		f.releaseAllTasks(now, machine)
 	}
 }
 
@@ -36,8 +36,8 @@
 	f.clearQueues(machine)
 }
 
-// forgetTasks releases all of a machine's tasks, which are surely not on it any more.
-func (f *Fleet) forgetTasks(now time.Duration, machine *Machine) {
+// releaseAllTasks releases all of a machine's tasks, which are surely not on it any more.
+func (f *Fleet) releaseAllTasks(now time.Duration, machine *Machine) {
 	refs := make([]TaskRef, 0, len(machine.Tasks))
 	for r := range machine.Tasks {
 		refs = append(refs, r)
@@ -59,7 +59,7 @@
 // HandleReturned tells that the cloud confirmed that a machine is gone.
 func (f *Fleet) HandleReturned(now time.Duration, machine *Machine, cause string) {
 	f.setCondition(machine, Terminated, cause)
-	f.forgetTasks(now, machine)
+	f.releaseAllTasks(now, machine)
 }
 
 // ReturnMachine stops new starts on a machine that is to be given back.
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -48,7 +48,7 @@
 
 type taskAttempt struct {
 	TaskRef
-	n uint64
+	attempt uint64
 }
 
 type cachedImage struct {
@@ -88,9 +88,9 @@
 	// what they would take if all started, whole the part of it that gangs and services
 	// take, and least a lower bound on what any one of them takes: without so much room
 	// nothing can start here. Fleet.lane and Fleet.unqueue keep them in step.
-	queues                                  []taskQueue
-	QueuedTasks                             int
-	queuedNeed, queuedWhole, smallestQueued planner.Size
+	queues                                          []taskQueue
+	QueuedTasks                                     int
+	queuedNeed, queuedWithoutArrays, smallestQueued planner.Size
 
 	// expectedEnds says when what is on the machine is expected to end, earliest first. It is made
 	// when it is asked for and counts until the machine changes, or for endsFor.
@@ -162,10 +162,10 @@
 // tokenBits is the room for fences within a term.
 const tokenBits = 20
 
-// fence raises the machine's token if direct launches are open: once a report carries the
+// raiseTokenIfIndeterminate raises the machine's token if direct launches are open: once a report carries the
 // new token they can no longer be executed. Without it a launch lost for good would count
 // against its team until the worker's session ends.
-func (m *Machine) fence() {
+func (m *Machine) raiseTokenIfIndeterminate() {
 	if len(m.indeterminateLaunches) > 0 && !m.directInFlight && !m.fencing {
 		m.Token++
 		m.fencing = true
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -33,8 +33,8 @@
 	Saved   bool   `json:"kept"`
 
 	// The task as it is known here, once Fleet.take has looked it up; nil if it is not.
-	job *jobs.Job
-	no  int32
+	job       *jobs.Job
+	taskIndex int32
 }
 
 // The states of a task on a machine.
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -191,7 +191,7 @@
 			continue
 		}
 		w.checkRecord(o.Put, o.Value)
-		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imagesKey) {
+		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imageHintsPrefix) {
 			// Of a job that is over nobody reads it any more.
 			id, _, _ := splitPlanName(plan)
 			var r jobs.Record
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -31,7 +31,7 @@
 	job.TasksByZone[machine.Zone]++
 	if ty := f.machineType(machine); ty != nil {
 		if !machine.HasImage(job.Image) {
-			f.addImage(machine)
+			f.markHintsDirty(machine)
 		}
 		machine.touchImage(job.Image, job.Spec.ImageGB, ty.CacheGB)
 	}
@@ -54,7 +54,7 @@
 	size := job.Spec.Size()
 	delete(machine.Tasks, TaskRef{job.Index, taskIndex})
 	if task.Phase == jobs.Fetching {
-		f.unfetched(machine, job.Image)
+		f.dropUnfetchedImage(machine, job.Image)
 	}
 	machine.Used = machine.Used.Sub(size)
 	machine.endsValid = false
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -86,7 +86,7 @@
 	pool := planner.Size{}
 	for _, machine := range f.machines {
 		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined {
-			pool = pool.Add(machine.Capacity.Sub(f.keptFree(machine, nil, machine.Capacity.GPUs)))
+			pool = pool.Add(machine.Capacity.Sub(f.reservedForGPUWork(machine, nil, machine.Capacity.GPUs)))
 		}
 	}
 	var jobList []*jobs.Job
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -79,15 +79,15 @@
 			}
 		case NoMachine:
 			for _, machine := range f.machines {
-				if machine.Condition == Ready && !machine.Returning && w.now-machine.UpSince > time.Second && w.now-machine.LastHeardAt < time.Second && f.mayUse(machine, job) &&
-					size.Fits(machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs))) && w.now >= f.noMachineUntil[job.Index] {
+				if machine.Condition == Ready && !machine.Returning && w.now-machine.UpSince > time.Second && w.now-machine.LastHeardAt < time.Second && f.mayPlace(machine, job) &&
+					size.Fits(machine.Capacity.Sub(f.reservedForGPUWork(machine, job, machine.Capacity.GPUs))) && w.now >= f.noMachineUntil[job.Index] {
 					wrong(p, "machine "+machine.Name+" may take it")
 				}
 			}
 		case GangShort:
 			places := 0
 			for _, machine := range f.machines {
-				if machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) {
+				if machine.Condition == Ready && !machine.Returning && f.mayPlace(machine, job) {
 					places += size.Copies(f.room(machine, job))
 				}
 			}
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -40,9 +40,9 @@
 	}
 	txn := store.Txn{}
 	if shard >= 0 && batch.fits(1) {
-		if hints := f.encodeImages(shard); batch.size()+len(hints) < maxTxnBytes {
+		if hints := f.encodeImageHints(shard); batch.size()+len(hints) < maxTxnBytes {
 			f.hints.writtenAt, f.hints.lastShard, f.hints.dirtyShards[shard] = now, shard, false
-			txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imagesKey, shard), Value: hints})
+			txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imageHintsPrefix, shard), Value: hints})
 		}
 	}
 	for i := range batch.mutations {
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -89,7 +89,7 @@
 		return cs[a].Task < cs[b].Task
 	})
 	// What must be left for accelerators counts: room that the job would not be let into was made again and again.
-	fits := func() bool { return size.Fits(free.Sub(f.keptFree(machine, job, free.GPUs))) }
+	fits := func() bool { return size.Fits(free.Sub(f.reservedForGPUWork(machine, job, free.GPUs))) }
 	for _, c := range cs {
 		if fits() {
 			break
@@ -196,7 +196,7 @@
 	for _, ix := range f.queueMachines(job) {
 		machine := f.machines[ix]
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined || f.fits(machine, job) || f.freeIn(now, machine, job) < patient || !f.mayUse(machine, job) {
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined || f.fits(machine, job) || f.freeIn(now, machine, job) < patient || !f.mayPlace(machine, job) {
 			continue
 		}
 		if refs, _, ok := f.victims(now, machine, job); ok {
--- a/internal/fleet/queues.go
+++ b/internal/fleet/queues.go
@@ -24,7 +24,7 @@
 	machine.QueuedTasks++
 	machine.queuedNeed = machine.queuedNeed.Add(size)
 	if job.Spec.Kind != jobs.Array {
-		machine.queuedWhole = machine.queuedWhole.Add(size)
+		machine.queuedWithoutArrays = machine.queuedWithoutArrays.Add(size)
 	}
 }
 
@@ -40,13 +40,13 @@
 	}
 	machine.QueuedTasks -= n
 	if machine.QueuedTasks == 0 {
-		machine.queuedNeed, machine.queuedWhole = planner.Size{}, planner.Size{} // decimals leave dust
+		machine.queuedNeed, machine.queuedWithoutArrays = planner.Size{}, planner.Size{} // decimals leave dust
 		return
 	}
 	size := job.Spec.Size().Times(float64(n))
 	machine.queuedNeed = machine.queuedNeed.Sub(size)
 	if job.Spec.Kind != jobs.Array {
-		machine.queuedWhole = machine.queuedWhole.Sub(size)
+		machine.queuedWithoutArrays = machine.queuedWithoutArrays.Sub(size)
 	}
 }
 
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -32,7 +32,7 @@
 	// of the past can carry it. 0: none is out, or it was taken up.
 	challengeToken uint64
 	challengedAt   time.Duration
-	restarted      bool // that it has is certain, and nobody has been told the token that was raised for it yet
+	restartCertain bool // that it has is certain, and nobody has been told the token that was raised for it yet
 }
 
 // ReachabilityTimeout is by when the effect of an answer must have shown: a worker that lost one answer waits for it, tries
@@ -129,8 +129,8 @@
 	switch {
 	case !f.plansLoaded || machine.Condition == Terminated:
 		return false
-	case h.restarted:
-		h.restarted, machine.LastAnsweredAt = false, now
+	case h.restartCertain:
+		h.restartCertain, machine.LastAnsweredAt = false, now
 		return true
 	case now-machine.LastHeardAt <= again || h.challengeToken != 0 && now-h.challengedAt <= again || len(machine.Tasks) > 0 && (len(heartbeat.Tasks) > 0 || heartbeat.Token >= h.highestToken):
 		return false
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -14,12 +14,12 @@
 
 // reconcileTasks compares the list of a fenced report with what is known.
 func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, direct bool) {
-	clear(f.scratch.listed)
+	clear(f.scratch.listedTasks)
 	// Exits first: a refused attempt may stand beside the one that runs.
 	for i := range heartbeat.Tasks {
 		taskReport := &heartbeat.Tasks[i]
-		if taskReport.job, taskReport.no = f.findTask(taskReport.Task); taskReport.job != nil && taskReport.State != taskExited {
-			f.scratch.listed[TaskRef{taskReport.job.Index, taskReport.no}] = struct{}{}
+		if taskReport.job, taskReport.taskIndex = f.findTask(taskReport.Task); taskReport.job != nil && taskReport.State != taskExited {
+			f.scratch.listedTasks[TaskRef{taskReport.job.Index, taskReport.taskIndex}] = struct{}{}
 		}
 	}
 	for i := range heartbeat.Tasks {
@@ -28,22 +28,22 @@
 			continue
 		}
 		if taskReport.State == taskExited {
-			_, again := f.scratch.listed[TaskRef{taskReport.job.Index, taskReport.no}]
-			f.handleExit(now, machine, taskReport.job, taskReport.no, taskReport, again)
+			_, again := f.scratch.listedTasks[TaskRef{taskReport.job.Index, taskReport.taskIndex}]
+			f.reconcileExitedTask(now, machine, taskReport.job, taskReport.taskIndex, taskReport, again)
 		} else {
-			f.handleLive(now, machine, taskReport.job, taskReport.no, taskReport)
+			f.reconcileLiveTask(now, machine, taskReport.job, taskReport.taskIndex, taskReport)
 		}
 	}
-	missing := f.scratch.refs[:0]
+	missing := f.scratch.taskRefs[:0]
 	for ref := range machine.Tasks {
-		if _, ok := f.scratch.listed[ref]; !ok {
+		if _, ok := f.scratch.listedTasks[ref]; !ok {
 			missing = append(missing, ref)
 		}
 	}
-	f.scratch.refs = missing
+	f.scratch.taskRefs = missing
 	sortRefs(missing)
 	for _, ref := range missing {
-		f.handleMissing(now, machine, ref, direct)
+		f.reconcileMissingTask(now, machine, ref, direct)
 	}
 }
 
@@ -63,7 +63,7 @@
 	return job, taskIndex
 }
 
-func phaseOf(state string) jobs.Phase {
+func taskPhase(state string) jobs.Phase {
 	switch state {
 	case taskFetching:
 		return jobs.Fetching
@@ -77,8 +77,8 @@
 	return jobs.NoPhase
 }
 
-// handleLive takes over a task that is on the machine.
-func (f *Fleet) handleLive(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) {
+// reconcileLiveTask takes over a task that is on the machine.
+func (f *Fleet) reconcileLiveTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) {
 	task := &job.Tasks[taskIndex]
 	if task.State == jobs.Finished {
 		return // commands will stop it
@@ -116,7 +116,7 @@
 		f.Gate.Licences.Attempt(now, licenceRef(job, taskIndex), taskReport.Attempt, job.LicenceUnits)
 	}
 	task.LaunchIndeterminate = false
-	p := phaseOf(taskReport.State)
+	p := taskPhase(taskReport.State)
 	if p == jobs.Running && task.Phase != jobs.Running {
 		task.RunningSince = now
 		f.addTaskEvent(now, events.TaskRunning, job, taskIndex, "")
@@ -127,9 +127,9 @@
 	}
 }
 
-// handleExit takes over the end of a task. again tells that another attempt of it is listed as
+// reconcileExitedTask takes over the end of a task. again tells that another attempt of it is listed as
 // alive on the same machine.
-func (f *Fleet) handleExit(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport, again bool) {
+func (f *Fleet) reconcileExitedTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport, again bool) {
 	task := &job.Tasks[taskIndex]
 	if taskReport.Why == exitDone {
 		if job.State.Terminal() {
@@ -167,19 +167,19 @@
 	case exitError:
 		task.Failures = min(task.Failures+1, 6)
 		task.NotBefore = now + time.Second<<task.Failures
-		f.avoid(now, machine, job)
+		f.avoidMachine(now, machine, job)
 		f.recordFailure(now, machine, job, taskIndex)
 	case exitNoRoom, exitUnknown:
 		task.NotBefore = now + 2*time.Second
 	}
 }
 
-// avoid keeps a job off a machine on which one of its tasks failed.
-func (f *Fleet) avoid(now time.Duration, machine *Machine, job *jobs.Job) {
+// avoidMachine keeps a job off a machine on which one of its tasks failed.
+func (f *Fleet) avoidMachine(now time.Duration, machine *Machine, job *jobs.Job) {
 	if job.AvoidedMachines == nil {
 		job.AvoidedMachines = map[int32]time.Duration{}
 	}
-	job.AvoidedMachines[machine.Index] = now + avoidFor
+	job.AvoidedMachines[machine.Index] = now + avoidDuration
 	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
 		f.dequeue(job, taskIndex)
 		f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
@@ -234,9 +234,9 @@
 	s.n += w
 }
 
-// handleMissing handles a task that should be on the machine but is not listed by a fenced
+// reconcileMissingTask handles a task that should be on the machine but is not listed by a fenced
 // report.
-func (f *Fleet) handleMissing(now time.Duration, machine *Machine, ref TaskRef, direct bool) {
+func (f *Fleet) reconcileMissingTask(now time.Duration, machine *Machine, ref TaskRef, direct bool) {
 	job := f.jobAt(ref.Job)
 	task := &job.Tasks[ref.Task]
 	switch task.State {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -18,8 +18,8 @@
 // running its task until a fenced report or the end of its lease says otherwise.
 func (f *Fleet) LoadPlans(now time.Duration, items []store.Item) {
 	for _, item := range items {
-		if strings.HasPrefix(item.Key, imagesKey) {
-			f.loadImages(now, item)
+		if strings.HasPrefix(item.Key, imageHintsPrefix) {
+			f.loadImageHints(now, item)
 		}
 	}
 	found := map[*jobs.PlanSegment]uint64{}
@@ -66,7 +66,7 @@
 	var read []pages.StoredPage
 	for _, item := range items {
 		switch {
-		case strings.HasPrefix(item.Key, imagesKey):
+		case strings.HasPrefix(item.Key, imageHintsPrefix):
 		case strings.HasPrefix(item.Key, jobs.PlanPagePrefix):
 			s, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
 			if err != nil {
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -13,13 +13,13 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// keptFree is what tasks without an accelerator must leave of a machine, so that its idle
+// reservedForGPUWork is what tasks without an accelerator must leave of a machine, so that its idle
 // accelerators can be used by work that waits for them: small tasks that took every core
 // as it came free would never let a large one in.
 // A job that ranks before all such work, or is overdue to begin, nil for none, leaves nothing: it would stop that work for room which was then kept
 // for the same work, again and again.
-func (f *Fleet) keptFree(machine *Machine, job *jobs.Job, idle float64) planner.Size {
-	if machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.ranking.startDeadlineDue[job.Index] || f.isStartDeadlineDue(job) || f.hasWaitedLong(job)) {
+func (f *Fleet) reservedForGPUWork(machine *Machine, job *jobs.Job, idle float64) planner.Size {
+	if machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.ranking.startDeadlineDue[job.Index] || f.outranksGPUWork(job) || f.hasWaitedLong(job)) {
 		return planner.Size{}
 	}
 	// What such work may stop anyway need only be kept from as much as waits and may come.
@@ -29,8 +29,8 @@
 	return f.gpuReserve.perGPU.Times(idle)
 }
 
-// isStartDeadlineDue tells whether a job ranks before all work that waits for accelerators.
-func (f *Fleet) isStartDeadlineDue(job *jobs.Job) bool {
+// outranksGPUWork tells whether a job ranks before all work that waits for accelerators.
+func (f *Fleet) outranksGPUWork(job *jobs.Job) bool {
 	if w := f.ranking.withinGuarantee[job.Index]; w != f.gpuReserve.withinGuarantee {
 		return w
 	}
@@ -56,10 +56,10 @@
 	if f.isReservedFrom(machine, job) {
 		free = free.Sub(machine.reserved)
 	}
-	free = free.Sub(f.keptFree(machine, job, machine.Capacity.GPUs-machine.Used.GPUs))
+	free = free.Sub(f.reservedForGPUWork(machine, job, machine.Capacity.GPUs-machine.Used.GPUs))
 	if job.Spec.Kind == jobs.Array {
 		// Gangs already planned here wait only for their plan to be durable.
-		free = free.Sub(machine.queuedWhole)
+		free = free.Sub(machine.queuedWithoutArrays)
 	}
 	return size.Fits(free)
 }
@@ -71,15 +71,15 @@
 	return 1 << 30
 }
 
-// sortRanked orders jobs by rank.
-func (f *Fleet) sortRanked(ixs []jobs.Index) {
+// sortIndicesByRank orders jobs by rank.
+func (f *Fleet) sortIndicesByRank(ixs []jobs.Index) {
 	slices.SortFunc(ixs, func(a, b jobs.Index) int {
 		return cmp.Or(cmp.Compare(f.rankOf(f.jobAt(a)), f.rankOf(f.jobAt(b))), cmp.Compare(a, b))
 	})
 }
 
-// mayUse tells whether a job's task may be on a machine, given where its others are.
-func (f *Fleet) mayUse(machine *Machine, job *jobs.Job) bool {
+// mayPlace tells whether a job's task may be on a machine, given where its others are.
+func (f *Fleet) mayPlace(machine *Machine, job *jobs.Job) bool {
 	if !job.Allows(machine.Type, machine.Zone, machine.Spot) || (len(job.AvoidedMachines) > 0 && f.Now() < job.AvoidedMachines[machine.Index]) {
 		return false
 	}
@@ -96,11 +96,11 @@
 	return true
 }
 
-// startable tells whether a planned task may be launched now.
-func (f *Fleet) startable(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
+// mayLaunch tells whether a planned task may be launched now.
+func (f *Fleet) mayLaunch(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
 	task := &job.Tasks[taskIndex]
 	return job.State == jobs.Pending && !job.Quarantined && task.State == jobs.Planned && task.Machine == machine.Index && task.NotBefore <= now &&
-		job.IsDurable(taskIndex) && f.mayUse(machine, job) && f.fits(machine, job) && (f.Gate.Reserved(licenceRef(job, taskIndex)) || f.Gate.Fits(admissionClaim(job), 1))
+		job.IsDurable(taskIndex) && f.mayPlace(machine, job) && f.fits(machine, job) && (f.Gate.Reserved(licenceRef(job, taskIndex)) || f.Gate.Fits(admissionClaim(job), 1))
 }
 
 // nextAttempt makes an attempt that no term has used.
@@ -129,15 +129,15 @@
 	if f.startsStopped || machine.Condition != Ready || machine.Returning || machine.QueuedTasks == 0 || !machine.smallestQueued.Fits(machine.Free()) {
 		return nil
 	}
-	ixs := f.scratch.jobs[:0]
+	ixs := f.scratch.jobIndices[:0]
 	for _, queue := range machine.queues {
 		if job := f.jobAt(queue.job); job.Spec.Kind == jobs.Gang || f.fits(machine, job) {
 			ixs = append(ixs, queue.job)
 		}
 	}
-	f.scratch.jobs = ixs
+	f.scratch.jobIndices = ixs
 	f.PlanningSteps += uint64(len(machine.queues))
-	f.sortRanked(ixs)
+	f.sortIndicesByRank(ixs)
 	for _, jobIndex := range ixs {
 		job := f.jobAt(jobIndex)
 		if job.Spec.Kind == jobs.Gang {
@@ -151,7 +151,7 @@
 				keep = append(keep, ts[i:]...)
 				break
 			}
-			if !f.startable(now, machine, job, taskIndex) {
+			if !f.mayLaunch(now, machine, job, taskIndex) {
 				keep = append(keep, taskIndex)
 				continue
 			}
@@ -205,7 +205,7 @@
 	}
 	var out []Command
 	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
-		if job.Tasks[taskIndex].State == jobs.Planned && f.startable(now, machine, job, taskIndex) {
+		if job.Tasks[taskIndex].State == jobs.Planned && f.mayLaunch(now, machine, job, taskIndex) {
 			f.dequeue(job, taskIndex)
 			out = append(out, f.launch(now, machine, job, taskIndex, job.GangAttempt))
 		}
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -37,10 +37,10 @@
 
 // scratch holds buffers that one call at a time uses, so that hot paths don't allocate.
 type scratch struct {
-	jobs   []jobs.Index
-	work   []planner.Work
-	refs   []TaskRef
-	listed map[TaskRef]struct{} // the tasks that the heartbeat at hand lists as alive
+	jobIndices  []jobs.Index
+	work        []planner.Work
+	taskRefs    []TaskRef
+	listedTasks map[TaskRef]struct{} // the tasks that the heartbeat at hand lists as alive
 }
 
 // planWriter is the state of the one write that may be under way, and of what is still to be written or deleted.
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -54,7 +54,7 @@
 	}
 	var idle []*Machine
 	for _, machine := range f.packed() {
-		if least.Fits(machine.Free().Sub(machine.queuedNeed)) || anyAged && least.Fits(machine.Free().Sub(machine.queuedWhole)) {
+		if least.Fits(machine.Free().Sub(machine.queuedNeed)) || anyAged && least.Fits(machine.Free().Sub(machine.queuedWithoutArrays)) {
 			idle = append(idle, machine)
 		}
 	}
@@ -64,7 +64,7 @@
 		size := job.Spec.Size()
 		for _, machine := range idle {
 			f.PlanningSteps++
-			if !size.Fits(f.unneededRoom(machine, job)) || !f.fits(machine, job) || !f.mayUse(machine, job) {
+			if !size.Fits(f.unneededRoom(machine, job)) || !f.fits(machine, job) || !f.mayPlace(machine, job) {
 				continue
 			}
 			if ds == nil {
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -82,7 +82,7 @@
 	n := 0
 	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined && f.mayUse(machine, job) && f.fits(machine, job) {
+		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined && f.mayPlace(machine, job) && f.fits(machine, job) {
 			if n += job.Spec.Size().Copies(machine.Free()); n >= job.UnstartedTasks() {
 				return true
 			}
@@ -108,5 +108,5 @@
 		return s.Team == job.Team // the limit of the team
 	}
 	machine := f.machines[s.Tasks[0].Machine]
-	return machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) && job.Spec.Size().Fits(machine.Free().Add(s.Spec.Size()))
+	return machine.Condition == Ready && !machine.Returning && f.mayPlace(machine, job) && job.Spec.Size().Fits(machine.Free().Add(s.Spec.Size()))
 }
--- a/internal/fleet/zoneloss.go
+++ b/internal/fleet/zoneloss.go
@@ -41,7 +41,7 @@
 	for jobIndex := range on {
 		ixs = append(ixs, jobIndex)
 	}
-	f.sortRanked(ixs)
+	f.sortIndicesByRank(ixs)
 	for _, jobIndex := range ixs {
 		job := f.jobAt(jobIndex)
 		if job.Spec == nil || job.State.Terminal() {
