--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -9,106 +9,177 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// imageHintsPrefix begins the keys under which the inferred caches are kept for the next owner.
-// They are hints: a wrong or lost one costs a fetch, so the keys have no condition but the
-// leader's.
+// cachedImage is an image that is probably in a machine's cache.
+type cachedImage struct {
+	image int32
+	gb    float64
+}
+
+// HasImage reports whether an image is probably in the machine's cache. The cache is inferred from the tasks sent there.
+func (m *Machine) HasImage(image int32) bool {
+	for _, c := range m.cachedImages {
+		if c.image == image {
+			return true
+		}
+	}
+	return false
+}
+
+// touchImage records the use of an image, and drops the least recently used ones that no longer fit a cache of cacheGB; 0
+// means no bound.
+func (m *Machine) touchImage(image int32, gb, cacheGB float64) {
+	for i, c := range m.cachedImages {
+		if c.image == image {
+			m.cachedImages = append(m.cachedImages[:i], m.cachedImages[i+1:]...)
+			break
+		}
+	}
+	m.cachedImages = append(m.cachedImages, cachedImage{image, gb})
+	sum := 0.0
+	for i := len(m.cachedImages) - 1; i >= 0; i-- {
+		sum += m.cachedImages[i].gb
+		if cacheGB > 0 && sum > cacheGB && i < len(m.cachedImages)-1 {
+			m.cachedImages = append([]cachedImage(nil), m.cachedImages[i+1:]...)
+			break
+		}
+	}
+}
+
+// imageHintsPrefix is the prefix of the keys that keep the inferred caches for the next leader. They are hints: a wrong or
+// lost one costs a download, so their writes have no condition but the leader's.
 const imageHintsPrefix = jobs.PlanPrefix + "images"
 
-// imageHintsInterval spaces the writes of the hints.
+// imageHintsInterval is the least time between two writes of hints.
 const imageHintsInterval = 4 * time.Second
 
-// hintShardMachines is how many machines share one key: a large fleet's hints outgrow a value.
+// hintShardMachines is how many machines share one key: the hints of a large fleet exceed the size limit of one value.
 const hintShardMachines = 128
 
-// imageHintRecord is the stored form: machines point at images by place, least recent first.
+// imageHintRecord is the stored form. Machines refer to images by their position in Images, least recently used first.
 type imageHintRecord struct {
 	Images   []string           `json:"images"`
 	GB       []float64          `json:"gb"`
 	Machines map[string][]int32 `json:"on"`
 }
 
-// nextHintShard is the shard of hints that is due to be written, or -1.
+// nextHintShard returns the shard of hints that is due to be written, or -1.
 func (f *Fleet) nextHintShard(now time.Duration) int {
 	if now-f.hints.writtenAt < imageHintsInterval {
 		return -1
 	}
 	for i := range f.hints.dirtyShards {
-		if k := (f.hints.lastShard + 1 + i) % len(f.hints.dirtyShards); f.hints.dirtyShards[k] {
-			return k
+		shard := (f.hints.lastShard + 1 + i) % len(f.hints.dirtyShards)
+		if f.hints.dirtyShards[shard] {
+			return shard
 		}
 	}
 	return -1
 }
 
-// markHintsDirty notes that a machine's inferred cache has changed.
+// markHintsDirty records that a machine's inferred cache has changed since its shard was written.
 func (f *Fleet) markHintsDirty(machine *Machine) {
-	k := int(machine.Index) / hintShardMachines
-	for len(f.hints.dirtyShards) <= k {
+	shard := int(machine.Index) / hintShardMachines
+	for len(f.hints.dirtyShards) <= shard {
 		f.hints.dirtyShards = append(f.hints.dirtyShards, false)
 	}
-	f.hints.dirtyShards[k] = true
+	f.hints.dirtyShards[shard] = true
 }
 
-// encodeImageHints writes a shard of the hints, as far as they fit a value.
+// encodeImageHints returns the stored form of a shard of the hints, up to the size limit of a value.
 func (f *Fleet) encodeImageHints(shard int) json.RawMessage {
-	limit := f.valueLimit()
-	h := imageHintRecord{Machines: map[string][]int32{}}
-	at := map[int32]int32{}
-	size := 100
-	for _, machine := range f.machines[shard*hintShardMachines : min(len(f.machines), (shard+1)*hintShardMachines)] {
+	encoder := imageHintEncoder{
+		record:    imageHintRecord{Machines: map[string][]int32{}},
+		positions: map[int32]int32{},
+		size:      imageHintBaseBytes,
+		limit:     f.valueLimit(),
+	}
+	first := shard * hintShardMachines
+	for _, machine := range f.machines[first:min(len(f.machines), first+hintShardMachines)] {
 		if machine.Condition == Terminated || machine.Condition == LeaseExpired || len(machine.cachedImages) == 0 {
 			continue
 		}
-		if size += len(machine.Name) + 6 + 4*len(machine.cachedImages); size > limit {
+		if !encoder.reserve(len(machine.Name) + imageHintMachineBytes + imageHintEntryBytes*len(machine.cachedImages)) {
 			break
 		}
-		for _, c := range machine.cachedImages {
-			i, ok := at[c.image]
-			if !ok {
-				name := f.Jobs.Names.Images.Name(c.image)
-				if size += len(name) + 12; size > limit {
-					break
-				}
-				i = int32(len(h.Images))
-				at[c.image] = i
-				h.Images = append(h.Images, name)
-				h.GB = append(h.GB, c.gb)
+		encoder.addMachine(machine, &f.Jobs.Names.Images)
+	}
+	raw, _ := json.Marshal(encoder.record)
+	return raw
+}
+
+// Estimates of what the parts of an imageHintRecord take in JSON, besides names.
+const (
+	imageHintBaseBytes    = 100
+	imageHintMachineBytes = 6
+	imageHintEntryBytes   = 4 // a machine's reference to an image
+	imageHintImageBytes   = 12
+)
+
+// imageHintEncoder builds an imageHintRecord within a size limit.
+type imageHintEncoder struct {
+	record      imageHintRecord
+	positions   map[int32]int32 // of images in record.Images
+	size, limit int
+}
+
+// reserve adds to the size and reports whether it is still within the limit.
+func (e *imageHintEncoder) reserve(bytes int) bool {
+	e.size += bytes
+	return e.size <= e.limit
+}
+
+// addMachine adds a machine's images, up to the first whose name exceeds the limit.
+func (e *imageHintEncoder) addMachine(machine *Machine, names *jobs.Names) {
+	for _, cached := range machine.cachedImages {
+		position, ok := e.positions[cached.image]
+		if !ok {
+			name := names.Name(cached.image)
+			if !e.reserve(len(name) + imageHintImageBytes) {
+				return
 			}
-			h.Machines[machine.Name] = append(h.Machines[machine.Name], i)
+			position = int32(len(e.record.Images))
+			e.positions[cached.image] = position
+			e.record.Images = append(e.record.Images, name)
+			e.record.GB = append(e.record.GB, cached.gb)
 		}
+		e.record.Machines[machine.Name] = append(e.record.Machines[machine.Name], position)
 	}
-	raw, _ := json.Marshal(h)
-	return raw
 }
 
-// loadImageHints takes over the hints of the owner before.
-func (f *Fleet) loadImageHints(now time.Duration, item store.Item) {
-	var h imageHintRecord
-	if json.Unmarshal(item.Value, &h) != nil || len(h.GB) != len(h.Images) {
+// loadImageHints loads a shard of the hints that an earlier leader wrote. A record that cannot be decoded is ignored, like
+// references to images that it lacks.
+func (f *Fleet) loadImageHints(item store.Item) {
+	var record imageHintRecord
+	if json.Unmarshal(item.Value, &record) != nil || len(record.GB) != len(record.Images) {
 		return
 	}
-	for name, list := range h.Machines {
-		m := f.hints.inherited[name]
-		for _, i := range list {
-			if i >= 0 && int(i) < len(h.Images) {
-				m = append(m, cachedImage{f.Jobs.Names.Images.Index(h.Images[i]), h.GB[i]})
+	for name, positions := range record.Machines {
+		images := f.hints.inherited[name]
+		for _, position := range positions {
+			if position >= 0 && int(position) < len(record.Images) {
+				image := f.Jobs.Names.Images.Index(record.Images[position])
+				images = append(images, cachedImage{image: image, gb: record.GB[position]})
 			}
 		}
-		f.hints.inherited[name] = m
+		f.hints.inherited[name] = images
 	}
 }
 
-// dropUnfetchedImage takes back that a machine has an image: the last task there that waited for it has ended while it was being
-// fetched, and the worker has given the fetch up. A gang whose image takes longer than its others wait once started
-// all its tasks together, on and on, because one machine was believed to have what it had never finished to fetch.
+// dropUnfetchedImage removes an image from a machine's inferred cache after the last task there that waited for its
+// download has ended: the worker then gives the download up. Otherwise a gang would be started again and again, all tasks
+// at once, because of a machine that is believed to have an image whose download never completed, while the other
+// tasks wait for a shorter time than the download takes.
 func (f *Fleet) dropUnfetchedImage(machine *Machine, image int32) {
-	for r := range machine.Tasks {
-		if f.jobAt(r.Job).Image == image {
+	for ref := range machine.Tasks {
+		if f.jobAt(ref.Job).Image == image {
 			return
 		}
 	}
-	if i := slices.IndexFunc(machine.cachedImages, func(c cachedImage) bool { return c.image == image }); i >= 0 {
-		machine.cachedImages = slices.Delete(machine.cachedImages, i, i+1)
-		f.markHintsDirty(machine)
+	for i, cached := range machine.cachedImages {
+		if cached.image == image {
+			machine.cachedImages = slices.Delete(machine.cachedImages, i, i+1)
+			f.markHintsDirty(machine)
+			return
+		}
 	}
 }
--- /dev/null
+++ b/internal/fleet/jobchange.go
@@ -0,0 +1,99 @@
+package fleet
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/events"
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+// HandleJobChange applies a change in the job table: the tasks of a new job are opened for planning, those of a job that
+// has ended are stopped. Before the plans are loaded it does nothing, since LoadPlans reads the whole table.
+func (f *Fleet) HandleJobChange(now time.Duration, job *jobs.Job) {
+	switch {
+	case !f.plansLoaded:
+	case job.State == jobs.Pending:
+		f.openJob(now, job)
+	default:
+		f.closeJob(now, job)
+	}
+}
+
+// openJob makes an accepted job available to planning.
+func (f *Fleet) openJob(now time.Duration, job *jobs.Job) {
+	job.OpenTasks()
+	if f.unreadableJobs[job.ID] {
+		// Its plan was skipped when this term began, so which of its tasks run is unknown here. The next leader reads
+		// both the record and the plan.
+		job.Quarantined = true
+	}
+	f.ranking.at = 0
+	slog.Info("job accepted", "job", job.ID, "class", job.Spec.Class, "kind", string(job.Spec.Kind),
+		"tasks", job.TaskCount, "term", f.Term)
+	f.addJobEvent(now, events.JobAccepted, job)
+}
+
+// closeJob drops what planning keeps of a job that is done or cancelled, and stops its tasks.
+func (f *Fleet) closeJob(now time.Duration, job *jobs.Job) {
+	kind := events.JobDone
+	if job.State == jobs.Cancelled {
+		kind = events.JobCancelled
+	}
+	f.addJobEvent(now, kind, job)
+	f.ranking.at = 0
+	delete(f.noMachineUntil, job.Index)
+	delete(f.preemptedAt, job.Index)
+	delete(f.crashLoops, job.Index)
+	delete(f.licenceGrants, job.Index)
+	delete(f.pendingNotes, job.Index)
+	if job.Tasks == nil {
+		return
+	}
+	f.writer.endedJobs = append(f.writer.endedJobs, job)
+	slog.Info("job ended", "job", job.ID, "state", job.State.String(), "term", f.Term)
+	f.emptyQueuesOf(job)
+	f.stopAllTasks(job)
+}
+
+// emptyQueuesOf removes a job's tasks from the queues of all machines.
+func (f *Fleet) emptyQueuesOf(job *jobs.Job) {
+	for _, machineIndex := range f.queueMachines(job) {
+		machine := f.machines[machineIndex]
+		queued := len(machine.queued(job.Index))
+		machine.setQueue(job.Index, nil)
+		f.removeQueued(machine, job, queued)
+	}
+}
+
+// stopAllTasks withdraws a job's planned tasks and stops those that may be on machines.
+func (f *Fleet) stopAllTasks(job *jobs.Job) {
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
+		switch {
+		case task.State == jobs.Planned:
+			f.checkTransition(job.SetTaskState(int32(t), jobs.Unplanned))
+		case task.State.Occupies():
+			f.stopTask(job, int32(t))
+		}
+	}
+}
+
+// addJobEvent records an event of a job as a whole.
+func (f *Fleet) addJobEvent(now time.Duration, kind events.Kind, job *jobs.Job) {
+	f.Events.Add(events.Event{At: now, Kind: kind, Job: job.ID, Task: events.None, Machine: events.None})
+}
+
+// addTaskEvent records an event of one task; the note holds its details.
+func (f *Fleet) addTaskEvent(now time.Duration, kind events.Kind, job *jobs.Job, taskIndex int32, note string) {
+	task := &job.Tasks[taskIndex]
+	f.Events.Add(events.Event{
+		At:      now,
+		Kind:    kind,
+		Job:     job.ID,
+		Task:    taskIndex,
+		Machine: task.Machine,
+		Attempt: task.Attempt,
+		Note:    note,
+	})
+}
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -10,18 +10,19 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Condition is where a machine stands for its owner.
+// Condition is the state of a machine, as its leader determines it.
 type Condition uint8
 
-// The conditions of a machine.
+// The conditions of a machine and their transitions.
 //
-//	Known  -> Acting     a report at our token was seen
-//	Acting -> Noticed    the cloud takes it back soon, or we give it back: nothing new starts
-//	any    -> Lost       its worker's lease has surely run out
-//	any    -> Gone       the cloud confirmed that it is gone
-//	Lost   -> Acting     it reported again, in a new session
-//	Known, Acting -> Deaf  it reports, but nothing shows that it hears
-//	Deaf   -> Acting     a report carries the token that was raised
+//	Registered        -> Ready              a heartbeat at the leader's token was accepted
+//	Ready             -> ReclaimNoticed     the cloud announced a reclaim, or the machine is being returned: no new launches
+//	ReclaimNoticed    -> Registered         a drain was cancelled before the machine was returned
+//	Registered, Ready -> OneWayUnreachable  its heartbeats arrive, but nothing in them confirms that responses do
+//	OneWayUnreachable -> Ready              a heartbeat at the raised token was accepted
+//	any               -> LeaseExpired       its worker's lease has certainly run out
+//	LeaseExpired      -> Ready              a heartbeat of a new session at the leader's token was accepted
+//	any               -> Terminated         the cloud confirmed that the machine is gone; final
 const (
 	Registered Condition = iota
 	Ready
@@ -31,102 +32,103 @@
 	OneWayUnreachable
 )
 
+// String returns the condition's name in the operators' API and in events.
 func (c Condition) String() string {
 	return [...]string{"known", "acting", "noticed", "lost", "gone", "deaf"}[c]
 }
 
-// ExpectsHeartbeats tells whether a machine in this condition is expected to report, and to go on doing so.
+// ExpectsHeartbeats reports whether a machine in this condition is expected to send heartbeats and to continue to.
 func (c Condition) ExpectsHeartbeats() bool {
 	return c == Registered || c == Ready || c == OneWayUnreachable
 }
 
-// TaskRef names a task by dense indices.
+// TaskRef identifies a task by dense indices.
 type TaskRef struct {
 	Job  jobs.Index
 	Task int32
 }
 
+// taskAttempt identifies one attempt at a task.
 type taskAttempt struct {
 	TaskRef
 	attempt uint64
 }
 
-type cachedImage struct {
-	image int32
-	gb    float64
-}
+// tokenBits is the width of the part of a token that counts how often it was raised within a term.
+const tokenBits = 20
 
 // Machine is one rented machine.
 type Machine struct {
-	Index     int32
+	Index     int32 // dense, in the order of registration
 	Name      string
-	Addr      string
-	Type      int32 // None until a report or the list tells
-	Zone      int32
+	Addr      string // for direct commands; "" until a heartbeat or the cloud's list has it
+	Type      int32  // None until a heartbeat or the cloud's list has it
+	Zone      int32  // None until a heartbeat or the cloud's list has it
 	Spot      bool
 	Condition Condition
 
-	// Token is our term in the high bits and, below, how often we fenced the machine in
-	// this term against launches of our own that may arrive late.
-	Token           uint64
-	Session, Seq    uint64
-	FirstSeenAt     time.Duration // first heard of
-	LastHeardAt     time.Duration // last accepted report, unless nothing shows that it hears
-	LastHeartbeatAt time.Duration // last accepted report
-	LastAnsweredAt  time.Duration // last 200 that any owner may have sent
-	UpSince         time.Duration
-	ReclaimAt       time.Duration // when the cloud takes it, if Noticed
-	IdleSince       time.Duration
-	Returning       bool // we are giving it back
-	draining        bool // because operators want it
-	Quarantined     bool // its zone is lost and it isn't heard: nothing is planned here until it is
+	// Token is the fencing token: the leader's term in the high bits and, in the low tokenBits, how often the token was
+	// raised in this term against launches of this leader that may arrive late.
+	Token        uint64
+	Session, Seq uint64 // of the latest accepted heartbeat
+
+	FirstSeenAt     time.Duration // when it was registered
+	LastHeardAt     time.Duration // last accepted heartbeat that proves contact in both directions
+	LastHeartbeatAt time.Duration // last accepted heartbeat
+	LastAnsweredAt  time.Duration // last 200 that any leader may have sent: the worker's lease counts from there at the latest
+	UpSince         time.Duration // when it first became Ready; 0 before
+	ReclaimAt       time.Duration // when the cloud takes it, while ReclaimNoticed
+	IdleSince       time.Duration // when its last task went or came
+
+	Returning   bool // it is being returned to the cloud
+	Quarantined bool // its zone is lost and no heartbeat came since: nothing is planned here
+	draining    bool // operators asked for it to be drained
 
 	Capacity planner.Size
 	Used     planner.Size // by tasks that may be here
 	Tasks    map[TaskRef]struct{}
-	// queues holds the planned, not yet started tasks by job. Planned is their number, need
-	// what they would take if all started, whole the part of it that gangs and services
-	// take, and least a lower bound on what any one of them takes: without so much room
-	// nothing can start here. Fleet.lane and Fleet.unqueue keep them in step.
-	queues                                          []taskQueue
-	QueuedTasks                                     int
-	queuedNeed, queuedWithoutArrays, smallestQueued planner.Size
-
-	// expectedEnds says when what is on the machine is expected to end, earliest first. It is made
-	// when it is asked for and counts until the machine changes, or for endsFor.
+
+	// The planned tasks that wait here for their launch, by job, kept in step by Fleet.enqueue and Fleet.removeQueued.
+	queues              []taskQueue
+	QueuedTasks         int          // their number
+	queuedNeed          planner.Size // what they need together
+	queuedWithoutArrays planner.Size // the part of queuedNeed that gangs and services need
+	smallestQueued      planner.Size // a lower bound of what each needs: with less room nothing can start here
+
+	// expectedEnds caches when the tasks here are expected to end, earliest first. It is computed on demand and valid
+	// until the machine changes, or for endsFor.
 	expectedEnds   []expectedEnd
 	endsComputedAt time.Duration
 	endsValid      bool
 
-	hasStops bool // some task here may have to be stopped by a direct command
-
-	cachedImages []cachedImage // most recently used last
+	cachedImages []cachedImage // inferred; most recently used last
 
-	// directInFlight is set while a direct command has no answer; late holds the attempts whose
-	// direct launch was never answered and may still arrive in this session.
-	directInFlight        bool
+	// Direct commands.
+	directInFlight bool // a direct request has no response yet
+	dispatchedAt   time.Duration
+	hasStops       bool // some task here may need a stop by a direct command
+	fencing        bool // the token was raised and no heartbeat has carried it yet
+	// indeterminateLaunches holds the attempts whose direct launch was not confirmed and may still arrive in this session.
 	indeterminateLaunches map[taskAttempt]struct{}
-	fencing               bool // the token was raised and no report has carried it yet
 	reachability          reachability
-	dispatchedAt          time.Duration
 
-	// claim is what a waiting gang of rank reservedRank is to get here.
-	keepsCPUsForGPUWork bool // cores beside its accelerators are left for work that waits for those
-	reserved            planner.Size
-	reservedRank        int
-	reservedFirmly      bool // it holds against jobs that have waited for long too
+	// What is kept free here for others.
+	keepsCPUsForGPUWork bool         // processors beside its accelerators, for work that needs accelerators
+	reserved            planner.Size // for a waiting gang
+	reservedRank        int          // the gang's place in the priority order
+	reservedFirmly      bool         // also against jobs that have waited long
 
-	failedJobs []jobs.Index // different jobs that failed here since one was done
-	slowdown   float64      // run time against what was expected, smoothed; 1 is normal
+	failedJobs []jobs.Index // distinct jobs of which a task failed here since the last success
+	slowdown   float64      // smoothed ratio of run time to estimate; 1 is normal
 }
 
-// taskQueue is what of a job waits on a machine.
+// taskQueue holds the tasks of one job that are planned on a machine and not launched.
 type taskQueue struct {
 	job   jobs.Index
 	tasks []int32
 }
 
-// queued lists the tasks of a job that are planned here and not started.
+// queued returns the tasks of a job that are planned here and not launched.
 func (m *Machine) queued(jobIndex jobs.Index) []int32 {
 	for i := range m.queues {
 		if m.queues[i].job == jobIndex {
@@ -136,13 +138,14 @@
 	return nil
 }
 
-// setQueue replaces the tasks of a job that are planned here; none ends its lane.
+// setQueue replaces the queue of a job; an empty queue is removed. It does not update the sums, see Fleet.removeQueued.
 func (m *Machine) setQueue(jobIndex jobs.Index, tasks []int32) {
 	for i := range m.queues {
 		if m.queues[i].job != jobIndex {
 			continue
 		}
-		if m.queues[i].tasks = tasks; len(tasks) == 0 {
+		m.queues[i].tasks = tasks
+		if len(tasks) == 0 {
 			m.queues = slices.Delete(m.queues, i, i+1)
 		}
 		return
@@ -159,12 +162,9 @@
 	size planner.Size
 }
 
-// tokenBits is the room for fences within a term.
-const tokenBits = 20
-
-// raiseTokenIfIndeterminate raises the machine's token if direct launches are open: once a report carries the
-// new token they can no longer be executed. Without it a launch lost for good would count
-// against its team until the worker's session ends.
+// raiseTokenIfIndeterminate raises the machine's token if direct launches are indeterminate: once a heartbeat
+// carries the new token, they can no longer be executed. Otherwise a launch that never arrived would count against its
+// team until the worker's session ends.
 func (m *Machine) raiseTokenIfIndeterminate() {
 	if len(m.indeterminateLaunches) > 0 && !m.directInFlight && !m.fencing {
 		m.Token++
@@ -172,74 +172,57 @@
 	}
 }
 
-// Free is what is left of it.
+// Free returns the capacity that no task uses.
 func (m *Machine) Free() planner.Size { return m.Capacity.Sub(m.Used) }
 
-// HasImage tells whether an image is probably in its cache.
-func (m *Machine) HasImage(image int32) bool {
-	for _, c := range m.cachedImages {
-		if c.image == image {
-			return true
-		}
-	}
-	return false
-}
-
-// touchImage notes the use of an image and drops the least recently used ones that no
-// longer fit the cache.
-func (m *Machine) touchImage(image int32, gb, cacheGB float64) {
-	for i, c := range m.cachedImages {
-		if c.image == image {
-			m.cachedImages = append(m.cachedImages[:i], m.cachedImages[i+1:]...)
-			break
-		}
-	}
-	m.cachedImages = append(m.cachedImages, cachedImage{image, gb})
-	sum := 0.0
-	for i := len(m.cachedImages) - 1; i >= 0; i-- {
-		sum += m.cachedImages[i].gb
-		if cacheGB > 0 && sum > cacheGB && i < len(m.cachedImages)-1 {
-			m.cachedImages = append([]cachedImage(nil), m.cachedImages[i+1:]...)
-			break
-		}
-	}
-}
-
-// RegisterMachine finds or makes a machine by name.
+// RegisterMachine returns the machine of a name, registering it if it is new in this term.
 func (f *Fleet) RegisterMachine(now time.Duration, name string) *Machine {
 	if machine, ok := f.byName[name]; ok {
 		return machine
 	}
 	machine := &Machine{
-		Index: int32(len(f.machines)), Name: name, Type: jobs.None, Zone: jobs.None, FirstSeenAt: now,
-		LastAnsweredAt: now, LastHeardAt: now, IdleSince: now, Tasks: map[TaskRef]struct{}{},
-		indeterminateLaunches: map[taskAttempt]struct{}{}, slowdown: 1, Token: f.Term << tokenBits,
+		Index:                 int32(len(f.machines)),
+		Name:                  name,
+		Type:                  jobs.None,
+		Zone:                  jobs.None,
+		Token:                 f.Term << tokenBits,
+		FirstSeenAt:           now,
+		LastHeardAt:           now,
+		LastAnsweredAt:        now,
+		IdleSince:             now,
+		Tasks:                 map[TaskRef]struct{}{},
+		indeterminateLaunches: map[taskAttempt]struct{}{},
+		cachedImages:          f.hints.inherited[name],
+		slowdown:              1,
 	}
-	machine.cachedImages = f.hints.inherited[name]
 	f.machines = append(f.machines, machine)
 	f.byName[machine.Name] = machine
 	return machine
 }
 
-// FindMachine finds a machine by name, or nil.
+// FindMachine returns the machine of a name, or nil if none is registered.
 func (f *Fleet) FindMachine(name string) *Machine { return f.byName[name] }
 
-// SetMachineDetails notes what the list or a report tells of a machine.
+// SetMachineDetails sets what a heartbeat or the cloud's list contains about a machine.
 func (f *Fleet) SetMachineDetails(machine *Machine, addr, typ, zone string, spot bool) {
-	d := f.Jobs.Names
-	z := d.Zones.Index(zone)
+	names := f.Jobs.Names
+	zoneIndex := names.Zones.Index(zone)
 	if machine.Zone == jobs.None {
 		// Recovered tasks were counted before their machine's zone was known.
-		for r := range machine.Tasks {
-			job := f.jobAt(r.Job)
+		for ref := range machine.Tasks {
+			job := f.jobAt(ref.Job)
 			job.TasksByZone[jobs.None]--
-			job.TasksByZone[z]++
+			job.TasksByZone[zoneIndex]++
 		}
 	}
-	machine.Addr, machine.Type, machine.Zone, machine.Spot = addr, d.Types.Index(typ), z, spot
+	machine.Addr = addr
+	machine.Type = names.Types.Index(typ)
+	machine.Zone = zoneIndex
+	machine.Spot = spot
 	f.setCapacity(machine)
 }
 
+// setCapacity sets a machine's capacity, if its type's description is available.
 func (f *Fleet) setCapacity(machine *Machine) {
 	if machineType := f.machineType(machine); machineType != nil {
 		f.gpuReserve.seenTypes[machine.Type] = true
@@ -247,6 +230,7 @@
 	}
 }
 
+// machineType returns the description of a machine's type, or nil while it is unknown.
 func (f *Fleet) machineType(machine *Machine) *MachineType {
 	if machine.Type == jobs.None {
 		return nil
@@ -254,12 +238,13 @@
 	return f.Types(machine.Type)
 }
 
-// setCondition is the only place where a machine's condition changes.
-func (f *Fleet) setCondition(machine *Machine, c Condition, cause string) {
-	if machine.Condition == c {
+// setCondition changes a machine's condition, with a log line and an event. Nothing else writes Machine.Condition.
+func (f *Fleet) setCondition(machine *Machine, to Condition, cause string) {
+	if machine.Condition == to {
 		return
 	}
-	slog.Info("machine", "name", machine.Name, "from", machine.Condition.String(), "to", c.String(), "term", f.Term, "cause", cause)
-	machine.Condition = c
-	f.Events.Add(events.Event{At: f.Now(), Kind: events.Machine, Machine: machine.Index, Note: c.String()})
+	slog.Info("machine state changed", "machine", machine.Name, "from", machine.Condition.String(), "to", to.String(),
+		"cause", cause, "term", f.Term)
+	machine.Condition = to
+	f.Events.Add(events.Event{At: f.Now(), Kind: events.Machine, Machine: machine.Index, Note: to.String()})
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -19,7 +19,7 @@
 func (f *Fleet) LoadPlans(now time.Duration, items []store.Item) {
 	for _, item := range items {
 		if strings.HasPrefix(item.Key, imageHintsPrefix) {
-			f.loadImageHints(now, item)
+			f.loadImageHints(item)
 		}
 	}
 	found := map[*jobs.PlanSegment]uint64{}
