--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -1,112 +1,121 @@
 package fleet
 
+// The commands in the response to a heartbeat.
+
 import (
-	"strconv"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-func taskName(job *jobs.Job, taskIndex int32) string {
-	return job.ID + "/" + strconv.Itoa(int(taskIndex))
-}
-
-// buildCommands answers a fenced report: forget what is recorded, stop what must stop, repeat
-// launches that did not arrive, and start what the machine's lanes hold. The report has
-// just been taken over: f.listed holds what it says is alive.
+// buildCommands returns the commands in response to a fenced heartbeat that reconcileTasks has just applied: forget exits
+// whose outcome is durable, stop what must stop, send launches again that did not arrive, and start queued tasks.
 func (f *Fleet) buildCommands(now time.Duration, machine *Machine, heartbeat *Heartbeat) []Command {
-	out := []Command{}
+	commands := []Command{}
 	for i := range heartbeat.Tasks {
-		taskReport := &heartbeat.Tasks[i]
-		job, taskIndex := taskReport.job, taskReport.taskIndex
-		if taskReport.State == taskExited {
-			if f.mayForget(machine, job, taskIndex, taskReport) {
-				out = append(out, Command{Op: opForget, Task: taskReport.Task, Attempt: taskReport.Attempt})
+		report := &heartbeat.Tasks[i]
+		if report.State == taskExited {
+			if f.mayForget(machine, report) {
+				commands = append(commands, forgetCommand(report.Task, report.Attempt))
 			}
 			continue
 		}
-		if grace, stop := f.mustStop(now, machine, job, taskIndex, taskReport); stop {
-			out = append(out, Command{Op: opStop, Task: taskReport.Task, Attempt: taskReport.Attempt, GraceS: &grace})
+		if graceS, mustStop := f.mustStop(now, machine, report); mustStop {
+			commands = append(commands, stopCommand(report.Task, report.Attempt, graceS))
 		}
 	}
 	if machine.Condition != Ready {
-		return out
+		return commands
 	}
-	again := f.scratch.taskRefs[:0]
+	commands = f.appendRepeatedLaunches(commands, machine)
+	return append(commands, f.startCommands(now, machine)...)
+}
+
+// appendRepeatedLaunches appends the launches that were sent before and whose tasks the heartbeat does not list. A worker
+// ignores the launch of an attempt that it has.
+func (f *Fleet) appendRepeatedLaunches(commands []Command, machine *Machine) []Command {
+	refs := f.scratch.taskRefs[:0]
 	for ref := range machine.Tasks {
 		job := f.jobAt(ref.Job)
 		if job.Tasks[ref.Task].State != jobs.Launched || job.State.Terminal() {
 			continue
 		}
-		if _, alive := f.scratch.listedTasks[ref]; !alive {
-			again = append(again, ref)
+		if _, isListed := f.scratch.listedTasks[ref]; !isListed {
+			refs = append(refs, ref)
 		}
 	}
-	f.scratch.taskRefs = again
-	sortRefs(again)
-	for _, ref := range again {
+	f.scratch.taskRefs = refs
+	sortRefs(refs)
+	for _, ref := range refs {
 		job := f.jobAt(ref.Job)
-		out = append(out, Command{Op: opStart, Task: taskName(job, ref.Task), Attempt: job.Tasks[ref.Task].Attempt})
+		commands = append(commands, startCommand(taskName(job, ref.Task), job.Tasks[ref.Task].Attempt))
 	}
-	return append(out, f.startCommands(now, machine)...)
+	return commands
 }
 
-// mayForget tells whether an exited task may vanish from the reports: its outcome must
-// be durable, and no direct launch of the same attempt may still be under way, since a
-// worker that has forgotten an attempt would start it anew.
-func (f *Fleet) mayForget(machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) bool {
+// mayForget reports whether a worker may stop listing an exited attempt. Its outcome must be durable, and no direct launch
+// of the same attempt may still arrive, since a worker that has forgotten an attempt would start it again.
+func (f *Fleet) mayForget(machine *Machine, report *TaskReport) bool {
 	if machine.directInFlight {
 		return false
 	}
+	job := report.job
 	if job == nil {
 		return true
 	}
-	if _, late := machine.indeterminateLaunches[taskAttempt{TaskRef{job.Index, taskIndex}, taskReport.Attempt}]; late {
+	attempt := taskAttempt{report.ref(), report.Attempt}
+	if _, mayArrive := machine.indeterminateLaunches[attempt]; mayArrive {
 		return false
 	}
-	if taskReport.Why != exitDone || job.State.Terminal() {
+	if report.Why != exitDone || job.State.Terminal() {
 		return true
 	}
-	return job.Tasks != nil && job.IsDurablyDone(taskIndex)
+	return job.Tasks != nil && job.IsDurablyDone(report.taskIndex)
 }
 
-// mustStop tells whether a task that is alive on a machine has to go, and with what grace.
-func (f *Fleet) mustStop(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) (float64, bool) {
+// mustStop reports whether a live task has to leave its machine, and with how many seconds of grace.
+func (f *Fleet) mustStop(now time.Duration, machine *Machine, report *TaskReport) (graceS float64, mustStop bool) {
+	job := report.job
 	if job == nil || job.State.Terminal() || job.Tasks == nil {
 		return 0, true
 	}
-	task := &job.Tasks[taskIndex]
+	task := &job.Tasks[report.taskIndex]
 	if task.State == jobs.Finished || task.Machine != machine.Index {
 		return 0, true
 	}
-	if task.Stopping && taskReport.State != taskSaving {
-		return job.Spec.SaveS + 1, true
+	if report.State == taskSaving {
+		return 0, false
+	}
+	if task.Stopping {
+		return saveGraceS(job), true
 	}
-	if machine.Condition == ReclaimNoticed && !machine.Returning && taskReport.State != taskSaving {
-		return f.stopBeforeReclaim(now, machine, job, taskIndex)
+	isReclaimed := machine.Condition == ReclaimNoticed && !machine.Returning
+	if isReclaimed && f.shouldStopBeforeReclaim(now, machine, job, report.taskIndex) {
+		return saveGraceS(job), true
 	}
 	return 0, false
 }
 
-// stopBeforeReclaim decides whether a task on a machine that is being taken should stop now: one that
-// will be done in time goes on, one that can save does so while there is time, and one
-// that cannot is started elsewhere at once.
-func (f *Fleet) stopBeforeReclaim(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) (float64, bool) {
-	rest := (machine.ReclaimAt - now).Seconds()
-	task := &job.Tasks[taskIndex]
+// saveGraceS returns the grace period, in seconds, that lets a task save a checkpoint.
+func saveGraceS(job *jobs.Job) float64 { return job.Spec.SaveS + 1 }
+
+// reclaimFinishShare is the share of the time until a reclaim within which a task must be expected to end to go on.
+const reclaimFinishShare = 0.7
+
+// shouldStopBeforeReclaim decides whether a task should stop now on a machine that the cloud is about to reclaim. A task that
+// is expected to end in time goes on. All others stop while there is time to save a checkpoint, and start elsewhere.
+func (f *Fleet) shouldStopBeforeReclaim(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
+	leftS := (machine.ReclaimAt - now).Seconds()
 	if job.Spec.Kind == jobs.Gang && job.TaskCount > 1 {
-		if rest > job.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1 && f.remainingSeconds(now, job, taskIndex) < rest*0.7 {
-			return 0, false
-		}
-		for o := range job.Tasks {
-			if job.Tasks[o].State.Occupies() {
-				f.stopTask(job, int32(o))
-			}
+		// A gang goes on or stops as a whole. It goes on only if there also was time for its tasks to save a checkpoint and
+		// for the timeout of their peers.
+		hasTime := leftS > job.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1
+		if hasTime && f.remainingSeconds(now, job, taskIndex) < leftS*reclaimFinishShare {
+			return false
 		}
-		return job.Spec.SaveS + 1, true
-	}
-	if task.Phase == jobs.Running && f.remainingSeconds(now, job, taskIndex) < rest*0.7 {
-		return 0, false
+		f.stopTasksOnMachines(job)
+		return true
 	}
-	return job.Spec.SaveS + 1, true
+	isRunning := job.Tasks[taskIndex].Phase == jobs.Running
+	return !isRunning || f.remainingSeconds(now, job, taskIndex) >= leftS*reclaimFinishShare
 }
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -1,97 +1,149 @@
 package fleet
 
-// Direct commands: starts and stops that don't wait for the next report.
+// Direct commands: launches and stops that do not wait for the machine's next heartbeat.
 
 import (
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// dispatch sends launches and stops straight to machines instead of waiting for their next
-// reports. A machine has at most one such request under way.
+const (
+	// directInterval is the least time between two direct requests to a machine.
+	directInterval = 200 * time.Millisecond
+	// stopResendInterval is after how long a stop that had no effect is sent again.
+	stopResendInterval = time.Second
+)
+
+// dispatch sends launches and stops directly to machines, at most one request at a time to each.
 func (f *Fleet) dispatch(now time.Duration) {
 	for _, machine := range f.machines {
 		if f.MaxDirectRequests > 0 && f.directRequests >= f.MaxDirectRequests {
-			// The rest stays where it is planned: what can't be sent now must not count as
-			// launched.
+			// The other tasks stay in their queues, since a launch that can't be sent now must not count as sent. Dispatch
+			// goes on with the next tick.
 			f.writer.planBecameDurable = true
 			return
 		}
-		if machine.Condition != Ready || machine.directInFlight || machine.fencing || machine.Addr == "" || now-machine.LastHeardAt > config.Seconds(f.Settings.Params.Workers.ReportS*1.6) ||
-			now-machine.dispatchedAt < 200*time.Millisecond {
-			continue
-		}
-		if machine.QueuedTasks == 0 && !machine.hasStops {
+		if !f.takesDirectCommands(now, machine) {
 			continue
 		}
-		calls := f.startCommands(now, machine)
-		started := len(calls)
+		commands := f.startCommands(now, machine)
+		launches := len(commands)
 		if machine.hasStops {
-			calls = append(calls, f.stopCommands(now, machine)...)
+			commands = append(commands, f.stopCommands(now, machine)...)
 		}
-		if len(calls) == 0 {
-			continue
+		if len(commands) > 0 {
+			f.sendDirect(now, machine, commands, launches)
 		}
-		f.sendDirect(now, machine, calls, started)
 	}
 }
 
-// stopCommands tells a machine's tasks that must go to stop, again if they have not after a second.
-func (f *Fleet) stopCommands(now time.Duration, machine *Machine) (calls []Command) {
+// takesDirectCommands reports whether a machine has tasks to start or stop and a direct request can be sent to it now.
+func (f *Fleet) takesDirectCommands(now time.Duration, machine *Machine) bool {
+	switch {
+	case machine.Condition != Ready || machine.Addr == "":
+		return false
+	case machine.directInFlight || machine.fencing:
+		return false
+	case now-machine.LastHeardAt > f.overdueAfter() || now-machine.dispatchedAt < directInterval:
+		return false
+	}
+	return machine.QueuedTasks > 0 || machine.hasStops
+}
+
+// stopCommands returns the commands to stop those of a machine's tasks that must stop, unless one was sent lately.
+func (f *Fleet) stopCommands(now time.Duration, machine *Machine) (commands []Command) {
 	machine.hasStops = false
-	for r := range machine.Tasks {
-		job := f.jobAt(r.Job)
-		task := &job.Tasks[r.Task]
-		machine.hasStops = machine.hasStops || task.Stopping
-		if task.Stopping && task.State == jobs.OnMachine && task.Phase != jobs.Saving && now-task.StopSentAt > time.Second {
-			grace := job.Spec.SaveS + 1
-			if job.State.Terminal() {
-				grace = 0
-			}
-			task.StopSentAt = now
-			calls = append(calls, Command{Op: opStop, Task: taskName(job, r.Task), Attempt: task.Attempt, GraceS: &grace})
+	for ref := range machine.Tasks {
+		job := f.jobAt(ref.Job)
+		task := &job.Tasks[ref.Task]
+		if !task.Stopping {
+			continue
+		}
+		machine.hasStops = true
+		isStoppable := task.State == jobs.OnMachine && task.Phase != jobs.Saving
+		if !isStoppable || now-task.StopSentAt <= stopResendInterval {
+			continue
 		}
+		graceS := saveGraceS(job)
+		if job.State.Terminal() {
+			graceS = 0
+		}
+		task.StopSentAt = now
+		commands = append(commands, stopCommand(taskName(job, ref.Task), task.Attempt, graceS))
 	}
-	return calls
+	return commands
 }
 
-// sendDirect sends one direct request and keeps track of launches whose arrival stays open.
-func (f *Fleet) sendDirect(now time.Duration, machine *Machine, calls []Command, started int) {
-	machine.directInFlight, machine.dispatchedAt = true, now
+// sendDirect sends one direct request, of which the first commands are launches. While it has no response, the launches are
+// indeterminate.
+func (f *Fleet) sendDirect(now time.Duration, machine *Machine, commands []Command, launches int) {
+	machine.directInFlight = true
+	machine.dispatchedAt = now
 	f.directRequests++
 	f.activity.directRequests++
-	session, seq := machine.Session, machine.Seq
-	var sent []taskAttempt
-	for _, c := range calls[:started] {
-		job, taskIndex := f.findTask(c.Task)
-		sent = append(sent, taskAttempt{TaskRef{job.Index, taskIndex}, c.Attempt})
+	request := directRequest{machine: machine, session: machine.Session, seq: machine.Seq}
+	for _, command := range commands[:launches] {
+		job, taskIndex := f.findTask(command.Task)
+		request.launches = append(request.launches, taskAttempt{TaskRef{job.Index, taskIndex}, command.Attempt})
 		job.Tasks[taskIndex].LaunchIndeterminate = true
 	}
-	f.SendCommands(machine, DirectCommands{Token: machine.Token, Session: session, Commands: calls}, func(heartbeat *Heartbeat, ok bool) {
-		machine.directInFlight = false
-		f.directRequests--
-		for _, a := range sent {
-			// The job may have ended and been swept while the request was under way.
-			if job := f.jobAt(a.Job); ok && job != nil && job.Tasks != nil && job.Tasks[a.Task].Attempt == a.attempt {
-				job.Tasks[a.Task].LaunchIndeterminate = false
-			}
-			if !ok && machine.Session == session {
-				machine.indeterminateLaunches[a] = struct{}{}
-			}
+	message := DirectCommands{Token: machine.Token, Session: machine.Session, Commands: commands}
+	f.SendCommands(machine, message, func(heartbeat *Heartbeat, ok bool) {
+		f.handleDirectResponse(request, heartbeat, ok)
+	})
+}
+
+// directRequest is a direct request that has no response yet.
+type directRequest struct {
+	machine      *Machine
+	session, seq uint64 // the machine's when it was sent
+	launches     []taskAttempt
+}
+
+// handleDirectResponse handles the outcome of a direct request. The heartbeat is the response's body, nil if there is none.
+func (f *Fleet) handleDirectResponse(request directRequest, heartbeat *Heartbeat, ok bool) {
+	machine := request.machine
+	machine.directInFlight = false
+	f.directRequests--
+	if ok {
+		f.confirmLaunches(request.launches)
+	} else {
+		f.recordIndeterminate(request)
+	}
+	if heartbeat == nil || heartbeat.Machine != machine.Name {
+		return
+	}
+	origin := fromResponse
+	if heartbeat.Session == request.session && heartbeat.Seq <= request.seq {
+		// A worker that had not restarted would have continued its sequence.
+		origin = fromRestartedWorker
+	}
+	f.acceptHeartbeat(f.Now(), heartbeat, origin)
+}
+
+// confirmLaunches records that launches have arrived.
+func (f *Fleet) confirmLaunches(launches []taskAttempt) {
+	for _, launch := range launches {
+		job := f.jobAt(launch.Job)
+		if job == nil || job.Tasks == nil {
+			continue // it has ended and was swept while the request was in flight
 		}
-		if !ok {
-			// It may have restarted before the request got there, and the lease of its new life begins then: what it
-			// was just told to start counts that long.
-			machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
+		if task := &job.Tasks[launch.Task]; task.Attempt == launch.attempt {
+			task.LaunchIndeterminate = false
 		}
-		if heartbeat != nil && heartbeat.Machine == machine.Name {
-			how := fromResponse
-			if heartbeat.Session == session && heartbeat.Seq <= seq {
-				how = fromRestartedWorker // a worker that has gone on counts on from what it had reported before
-			}
-			f.acceptHeartbeat(f.Now(), heartbeat, how)
+	}
+}
+
+// recordIndeterminate records that a direct request may still arrive.
+func (f *Fleet) recordIndeterminate(request directRequest) {
+	machine := request.machine
+	if machine.Session == request.session {
+		for _, launch := range request.launches {
+			machine.indeterminateLaunches[launch] = struct{}{}
 		}
-	})
+	}
+	// The worker may have restarted before the request arrives. The lease of its new incarnation begins then, and what
+	// it starts counts that long.
+	machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
 }
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -8,172 +8,239 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// HeartbeatResult is what becomes of a report.
+// HeartbeatResult is whether a heartbeat was accepted.
 type HeartbeatResult uint8
 
-// The verdicts.
+// The results of a heartbeat.
 const (
 	Accepted HeartbeatResult = iota
-	Stale                    // older than one already seen: void
-	Deposed                  // the worker has seen a higher token than ours
+	Stale                    // older than one that was accepted, or possibly a copy of one: it has no effect
+	Deposed                  // its token is of a later term: this controller is no longer the leader
 )
 
-// HandleHeartbeat takes over one report that came as a request and answers it. The caller has
-// checked that this controller has authority.
-func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (a HeartbeatResponse, v HeartbeatResult) {
+// heartbeatOrigin is how a heartbeat arrived.
+type heartbeatOrigin uint8
+
+const (
+	// fromRequest is a worker's own request. It may be a delayed copy.
+	fromRequest heartbeatOrigin = iota
+	// fromResponse is the body of a response to a direct command. It may have been made while a response to an earlier
+	// request of the worker was in flight, and it proves nothing about whether the worker's own requests arrive.
+	fromResponse
+	// fromRestartedWorker is the same, of a worker that has certainly restarted since its last heartbeat.
+	fromRestartedWorker
+)
+
+// HandleHeartbeat applies a heartbeat that came as a worker's request and returns the response to it, which is only valid
+// with the result Accepted. The caller has checked that this controller has authority; each accepted heartbeat extends the
+// worker's lease.
+func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	f.activity.heartbeats++
-	machine, v := f.acceptHeartbeat(now, heartbeat, fromRequest)
-	if v == Stale && f.shouldChallenge(now, machine, heartbeat) {
+	machine, result := f.acceptHeartbeat(now, heartbeat, fromRequest)
+	if result == Stale && f.challengeStale(now, machine, heartbeat) {
 		return HeartbeatResponse{Token: machine.Token, Commands: f.stopCancelled(heartbeat)}, Accepted
 	}
-	if v != Accepted {
-		return HeartbeatResponse{}, v
+	if result != Accepted {
+		return HeartbeatResponse{}, result
 	}
 	machine.LastAnsweredAt = now
-	defer func() { machine.recordResponse(now, heartbeat, a) }()
-	a = HeartbeatResponse{Token: machine.Token, Commands: []Command{}}
-	if heartbeat.Token < machine.Token || !f.plansLoaded {
-		a.Commands = f.stopCancelled(heartbeat) // for all else the token has to be seen first
-		return a, Accepted
+	response := f.buildResponse(now, machine, heartbeat)
+	machine.recordResponse(now, heartbeat, response)
+	return response, Accepted
+}
+
+// buildResponse returns the response to a heartbeat that was just accepted.
+func (f *Fleet) buildResponse(now time.Duration, machine *Machine, heartbeat *Heartbeat) HeartbeatResponse {
+	if !f.isFenced(machine, heartbeat) {
+		// All other commands require a heartbeat at the machine's token first.
+		return HeartbeatResponse{Token: machine.Token, Commands: f.stopCancelled(heartbeat)}
 	}
 	machine.raiseTokenIfIndeterminate()
-	a.Token = machine.Token
+	response := HeartbeatResponse{Token: machine.Token}
 	if machine.Condition == Ready || machine.Condition == ReclaimNoticed {
-		a.Commands = f.buildCommands(now, machine, heartbeat)
+		response.Commands = f.buildCommands(now, machine, heartbeat)
 	} else {
-		a.Commands = f.stopCancelled(heartbeat)
+		response.Commands = f.stopCancelled(heartbeat)
 	}
-	return a, Accepted
+	return response
 }
 
-// stopCancelled stops what a report lists of cancelled jobs. Every answer extends what its machine lives on, whether it is
-// ever heard again or not: none may go out without these, not even the first one of a new owner, whose token the machine
-// hasn't seen. A machine that was last heard from at the very end of a cut, and then by nobody, ran cancelled work
-// for a lease longer than cancel_s allows. A cancellation is final, so the stop is never wrong.
+// stopCancelled returns stop commands for the listed tasks of cancelled jobs; it is never nil. Every response extends the
+// worker's lease, whether or not its machine is ever in contact again, so none may go out without these commands, not even
+// a new leader's first one, before the machine has seen its token. Otherwise a machine whose last contact falls at the very
+// end of a partition would run cancelled work for a lease longer than cancel_s allows. A cancellation is final, so the
+// command is never wrong.
 func (f *Fleet) stopCancelled(heartbeat *Heartbeat) []Command {
-	out := []Command{}
+	commands := []Command{}
 	for i := range heartbeat.Tasks {
-		taskReport := &heartbeat.Tasks[i]
-		if job, _ := f.findTask(taskReport.Task); job != nil && taskReport.State != taskExited && job.State == jobs.Cancelled {
-			out = append(out, Command{Op: opStop, Task: taskReport.Task, Attempt: taskReport.Attempt, GraceS: new(float64)})
+		report := &heartbeat.Tasks[i]
+		job, _ := f.findTask(report.Task)
+		if job != nil && job.State == jobs.Cancelled && report.State != taskExited {
+			commands = append(commands, stopCommand(report.Task, report.Attempt, 0))
 		}
 	}
-	return out
+	return commands
 }
 
-// heartbeatOrigin is how a report came.
-type heartbeatOrigin uint8
-
-const (
-	fromRequest         heartbeatOrigin = iota // as a request of the worker's; it may be a copy of an old one
-	fromResponse                               // the body of a response to a command of ours; it may have been made while an answer of ours was under way
-	fromRestartedWorker                        // as that, and the worker has restarted since it was last heard
-)
-
-// acceptHeartbeat brings the machine's state up to a report.
-func (f *Fleet) acceptHeartbeat(now time.Duration, heartbeat *Heartbeat, how heartbeatOrigin) (*Machine, HeartbeatResult) {
-	direct := how != fromRequest
+// acceptHeartbeat updates a machine's state from a heartbeat. The machine is nil if the result is Deposed.
+func (f *Fleet) acceptHeartbeat(
+	now time.Duration, heartbeat *Heartbeat, origin heartbeatOrigin,
+) (*Machine, HeartbeatResult) {
 	if heartbeat.Token>>tokenBits > f.Term {
 		return nil, Deposed
 	}
 	machine := f.RegisterMachine(now, heartbeat.Machine)
 	if machine.Condition == Terminated {
-		// The cloud confirmed its return: this report was under way for long.
-		return machine, Stale
+		return machine, Stale // the cloud confirmed the termination: the heartbeat was delayed for long
 	}
-	if how == fromRestartedWorker {
+	if origin == fromRestartedWorker {
 		f.challenge(now, machine)
-		machine.reachability.restartCertain = true
+		machine.reachability.challengeUnsent = true
 		return machine, Accepted
 	}
-	past, dared := machine.mayBeStaleCopy(heartbeat), machine.answeredChallenge(heartbeat)
-	if !dared && (past || machine.reachability.challengeToken != 0 && heartbeat.Session == machine.Session) {
-		if !past {
-			return machine, Accepted // of which life it is nobody knows: the raised token goes out, and nothing follows
-		}
-		return machine, Stale
-	}
-	if dared && past {
-		slog.Info("a machine has restarted", "machine", machine.Name, "session", heartbeat.Session, "term", f.Term)
-		machine.reachability, machine.cachedImages = reachability{}, nil
-	}
-	machine.reachability.challengeToken, machine.reachability.restartCertain = 0, false
-	unheard := heartbeat.Session > machine.Session && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.Lease()
-	if heartbeat.Session != machine.Session {
-		// Direct commands name their session: those of the old one are refused now.
-		f.clearIndeterminateLaunches(machine)
-		f.handleWorkerRestart(now, machine)
-		// The lease of a session counts from its beginning, even if no report of it was
-		// ever answered: a direct launch may run that long.
-		machine.LastAnsweredAt = now
-	}
-	f.SetMachineDetails(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
-	if heartbeat.Session > machine.Session {
-		machine.reachability.highestToken, machine.reachability.unconfirmedSince, machine.reachability.witness = 0, 0, Command{}
-	}
-	machine.Session, machine.Seq, machine.reachability.highestToken = heartbeat.Session, heartbeat.Seq, max(machine.reachability.highestToken, heartbeat.Token)
-	if unheard && !direct {
-		// Its lease ran out although its reports were answered.
-		f.markOneWayUnreachable(now, machine, "its lease ran out although it was answered")
+	if isCurrent, result := f.checkIncarnation(machine, heartbeat); !isCurrent {
+		return machine, result
 	}
-	f.checkTokenTimeout(now, machine, heartbeat)
-	if heartbeat.Token < machine.Token || !f.plansLoaded {
-		// Not fenced yet: a former owner's command may still arrive. Our token goes
-		// out with the answer, and the next report will carry it.
-		// One that was lost has to show that it hears first: a zone of machines that don't once counted as back with
-		// each of their new sessions, and more were rented there.
-		if direct {
-			return machine, Accepted
-		}
-		if machine.LastHeartbeatAt = now; machine.Condition != OneWayUnreachable && machine.Condition != LeaseExpired {
-			f.recordContact(now, machine)
-		}
+	f.updateSession(now, machine, heartbeat, origin)
+	if !f.isFenced(machine, heartbeat) {
+		f.acceptUnfenced(now, machine, origin)
 		return machine, Accepted
 	}
-	if direct {
-		machine.reachability.unconfirmedSince, machine.reachability.witness = 0, Command{}
-	} else if !f.confirmsLastResponse(now, machine, heartbeat) {
+	if !f.confirmsReachability(now, machine, heartbeat, origin) {
 		return machine, Accepted
 	}
-	// What it was asked it answers, and may reach nobody all the same: then it dies with its lease, and no new work belongs
-	// there. Only a report tells that it lives.
-	if !direct {
+	if origin == fromRequest {
+		// A machine that responds to direct commands while its own heartbeats do not arrive dies with its lease: only a
+		// heartbeat counts as contact.
 		f.recordContact(now, machine)
 	}
 	if machine.fencing {
 		machine.fencing = false
 		f.clearIndeterminateLaunches(machine)
 	}
+	f.updateCondition(now, machine, heartbeat, origin)
+	f.reconcileTasks(now, machine, heartbeat, origin)
+	return machine, Accepted
+}
+
+// isFenced reports whether a heartbeat carries the machine's present token, so that no command of a former leader or
+// session can arrive any more, and whether the plans that commands depend on are loaded.
+func (f *Fleet) isFenced(machine *Machine, heartbeat *Heartbeat) bool {
+	return heartbeat.Token >= machine.Token && f.plansLoaded
+}
+
+// checkIncarnation decides whether a heartbeat is certainly of the worker's present incarnation. If not, it has no effect on
+// the machine, and the result is what HandleHeartbeat returns or, if Accepted, responds to with nothing but the token.
+func (f *Fleet) checkIncarnation(machine *Machine, heartbeat *Heartbeat) (isCurrent bool, result HeartbeatResult) {
+	isStale := machine.mayBeStaleCopy(heartbeat)
+	isChallenged := machine.reachability.challengeToken != 0
 	switch {
-	case heartbeat.NoticeS != nil && !machine.Returning:
-		if machine.Condition != ReclaimNoticed {
-			machine.ReclaimAt = now + config.Seconds(*heartbeat.NoticeS)
-			f.setCondition(machine, ReclaimNoticed, "spot notice")
-			f.clearQueues(machine)
-		}
-	case machine.Condition != Ready && !machine.Returning && !direct:
-		if machine.UpSince == 0 {
-			machine.UpSince = now
+	case machine.answersChallenge(heartbeat):
+		if isStale {
+			slog.Info("machine restarted", "machine", machine.Name, "session", heartbeat.Session, "term", f.Term)
+			machine.reachability = reachability{}
+			machine.cachedImages = nil
 		}
-		f.setCondition(machine, Ready, "report at our token")
+	case isStale:
+		return false, Stale
+	case isChallenged && heartbeat.Session == machine.Session:
+		return false, Accepted // of which incarnation it is can't be determined until it carries the raised token
+	}
+	machine.reachability.challengeToken = 0
+	machine.reachability.challengeUnsent = false
+	return true, Accepted
+}
+
+// updateSession records the session, sequence and details of a current heartbeat. With a new session, everything that was
+// sent to the former one is void.
+func (f *Fleet) updateSession(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
+	isNewer := heartbeat.Session > machine.Session
+	// Its lease ran out although its heartbeats were answered.
+	missedResponses := isNewer && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.Lease()
+	if heartbeat.Session != machine.Session {
+		// Direct commands name their session: the worker refuses those of the former one.
+		f.clearIndeterminateLaunches(machine)
+		f.handleWorkerRestart(now, machine)
+		// The lease of a session counts from its beginning, even if none of its heartbeats was ever answered: a direct
+		// launch may run that long.
+		machine.LastAnsweredAt = now
 	}
-	f.reconcileTasks(now, machine, heartbeat, direct)
-	return machine, Accepted
+	f.SetMachineDetails(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	if isNewer {
+		machine.reachability.highestToken = 0
+		machine.reachability.confirmResponses()
+	}
+	machine.Session = heartbeat.Session
+	machine.Seq = heartbeat.Seq
+	machine.reachability.highestToken = max(machine.reachability.highestToken, heartbeat.Token)
+	if missedResponses && origin == fromRequest {
+		f.markOneWayUnreachable(now, machine, "its lease ran out although it was answered")
+	}
+	f.checkTokenTimeout(now, machine, heartbeat)
 }
 
-// recordContact notes that a machine is there. One that doesn't hear is not: nothing can be done with it.
+// acceptUnfenced records contact with a machine whose heartbeat is below its token. A command of a former leader may still
+// arrive there, so nothing else follows: the response carries the token, and the next heartbeat returns it.
+func (f *Fleet) acceptUnfenced(now time.Duration, machine *Machine, origin heartbeatOrigin) {
+	if origin != fromRequest {
+		return
+	}
+	machine.LastHeartbeatAt = now
+	if machine.Condition == OneWayUnreachable || machine.Condition == LeaseExpired {
+		// It must confirm first that responses reach it. Otherwise a zone of machines that are unreachable one way would
+		// count as recovered with each of their new sessions, and more machines would be rented there.
+		return
+	}
+	f.recordContact(now, machine)
+}
+
+// confirmsReachability reports whether a fenced heartbeat shows that responses reach its machine. One that came in
+// response to a direct command does.
+func (f *Fleet) confirmsReachability(
+	now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin,
+) bool {
+	if origin == fromRequest {
+		return f.confirmsLastResponse(now, machine, heartbeat)
+	}
+	machine.reachability.confirmResponses()
+	return true
+}
+
+// recordContact records that messages reach the machine and come back. It is not called for a machine that is
+// unreachable one way, since nothing can be done with it.
 func (f *Fleet) recordContact(now time.Duration, machine *Machine) {
-	machine.LastHeardAt, machine.LastHeartbeatAt, machine.Quarantined = now, now, false
+	machine.LastHeardAt = now
+	machine.LastHeartbeatAt = now
+	machine.Quarantined = false
 	f.LastHeartbeat = now
 }
 
-// clearIndeterminateLaunches notes that no direct launch sent so far can be executed any more.
+// updateCondition changes a machine's condition after a fenced heartbeat: a reclaim notice stops new launches, otherwise
+// the machine is ready.
+func (f *Fleet) updateCondition(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
+	if machine.Returning {
+		return
+	}
+	switch {
+	case heartbeat.NoticeS != nil:
+		if machine.Condition == ReclaimNoticed {
+			return
+		}
+		machine.ReclaimAt = now + config.Seconds(*heartbeat.NoticeS)
+		f.setCondition(machine, ReclaimNoticed, "spot notice")
+		f.clearQueues(machine)
+	case machine.Condition != Ready && origin == fromRequest:
+		if machine.UpSince == 0 {
+			machine.UpSince = now
+		}
+		f.setCondition(machine, Ready, "heartbeat at the leader's token")
+	}
+}
+
+// clearIndeterminateLaunches records that no direct launch sent so far can be executed any more.
 func (f *Fleet) clearIndeterminateLaunches(machine *Machine) {
 	clear(machine.indeterminateLaunches)
 	for ref := range machine.Tasks {
 		f.jobAt(ref.Job).Tasks[ref.Task].LaunchIndeterminate = false
 	}
 }
-
-// avoidDuration is how long a job stays away from a machine on which it failed.
-const avoidDuration = 60 * time.Second
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The end of machines: leases that ran out, returns, and drains.
+// The end of machines: leases that expired, machines that are returned or terminated.
 
 import (
 	"time"
@@ -10,24 +10,31 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// expireLeases releases the tasks of machines whose workers' leases have surely run out: the
-// worker counts from when it sent its last answered report, which was before our answer,
-// on a clock that may be slow by the drift bound.
+const (
+	// clockDriftBound is by how much a worker's clock may be slow: one part in this many.
+	clockDriftBound = 500
+	// leaseExpiryMargin is added to the lease besides the drift, so that an expiry is certain.
+	leaseExpiryMargin = time.Second
+)
+
+// expireLeases releases the tasks of machines whose workers' leases have certainly run out. A worker counts its lease from
+// when it sent its last answered heartbeat, which was before the response, on a clock that may be slow by the drift bound.
 func (f *Fleet) expireLeases(now time.Duration) {
 	lease := f.Settings.Lease()
-	limit := lease + lease/500 + time.Second
+	limit := lease + lease/clockDriftBound + leaseExpiryMargin
 	for _, machine := range f.machines {
-		if machine.Condition == LeaseExpired || machine.Condition == Terminated || now-machine.LastAnsweredAt <= limit {
+		isEnded := machine.Condition == LeaseExpired || machine.Condition == Terminated
+		if isEnded || now-machine.LastAnsweredAt <= limit {
 			continue
 		}
-		f.setCondition(machine, LeaseExpired, "lease ran out")
+		f.setCondition(machine, LeaseExpired, "lease expired")
 		machine.reachability.expiredSession = machine.Session
 		f.releaseAllTasks(now, machine)
 	}
 }
 
-// Quarantine plans nothing more on a machine that isn't heard and whose zone is lost; what was planned there and not sent
-// goes elsewhere. What may run there counts as before. Its next report ends it.
+// Quarantine stops planning on a ready machine whose zone is lost and that is not in contact. Tasks that are queued there
+// are planned elsewhere; what may run there counts as before. The machine's next heartbeat ends the quarantine.
 func (f *Fleet) Quarantine(machine *Machine) {
 	if machine.Quarantined || machine.Condition != Ready {
 		return
@@ -36,37 +43,37 @@
 	f.clearQueues(machine)
 }
 
-// releaseAllTasks releases all of a machine's tasks, which are surely not on it any more.
-func (f *Fleet) releaseAllTasks(now time.Duration, machine *Machine) {
-	refs := make([]TaskRef, 0, len(machine.Tasks))
-	for r := range machine.Tasks {
-		refs = append(refs, r)
-	}
-	sortRefs(refs)
-	for _, r := range refs {
-		job := f.jobAt(r.Job)
-		f.addTaskEvent(now, events.TaskLost, job, r.Task, "")
-		f.release(now, job, r.Task, jobs.Unplanned, licences.Crashed)
-		if !job.State.Terminal() {
-			job.MarkDirty(r.Task, false, now)
-		}
+// ReturnMachine stops new launches on a machine that is to be returned to the cloud.
+func (f *Fleet) ReturnMachine(machine *Machine, cause string) {
+	machine.Returning = true
+	if machine.Condition == Ready {
+		f.setCondition(machine, ReclaimNoticed, cause)
 	}
 	f.clearQueues(machine)
-	clear(machine.indeterminateLaunches)
-	machine.cachedImages = nil
 }
 
-// HandleReturned tells that the cloud confirmed that a machine is gone.
+// HandleReturned records that the cloud confirmed the termination of a machine.
 func (f *Fleet) HandleReturned(now time.Duration, machine *Machine, cause string) {
 	f.setCondition(machine, Terminated, cause)
 	f.releaseAllTasks(now, machine)
 }
 
-// ReturnMachine stops new starts on a machine that is to be given back.
-func (f *Fleet) ReturnMachine(machine *Machine, cause string) {
-	machine.Returning = true
-	if machine.Condition == Ready {
-		f.setCondition(machine, ReclaimNoticed, cause)
+// releaseAllTasks releases all tasks that count as on a machine, after proof that none is.
+func (f *Fleet) releaseAllTasks(now time.Duration, machine *Machine) {
+	refs := make([]TaskRef, 0, len(machine.Tasks))
+	for ref := range machine.Tasks {
+		refs = append(refs, ref)
+	}
+	sortRefs(refs)
+	for _, ref := range refs {
+		job := f.jobAt(ref.Job)
+		f.addTaskEvent(now, events.TaskLost, job, ref.Task, "")
+		f.release(now, job, ref.Task, jobs.Unplanned, licences.Crashed)
+		if !job.State.Terminal() {
+			job.MarkDirty(ref.Task, false, now)
+		}
 	}
 	f.clearQueues(machine)
+	clear(machine.indeterminateLaunches)
+	machine.cachedImages = nil
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -10,103 +10,156 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Heartbeat is what a worker tells of itself.
+// The types in this file are the protocol's messages. Their Go names are the field's terms; the tags hold the names on the
+// wire. Nothing else in the package depends on the latter.
+
+// Heartbeat is a worker's heartbeat with the status of its machine and tasks.
 type Heartbeat struct {
 	Machine string       `json:"den"`
-	Addr    string       `json:"address"`
+	Addr    string       `json:"address"` // for direct commands
 	Type    string       `json:"build"`
 	Zone    string       `json:"meadow"`
 	Spot    bool         `json:"stray"`
-	Session uint64       `json:"run"`
-	Seq     uint64       `json:"tally"`
-	Token   uint64       `json:"mark"`
-	NoticeS *float64     `json:"warning_s"`
+	Session uint64       `json:"run"`       // begins at 1 with the worker's incarnation, one more after each lease that ran out
+	Seq     uint64       `json:"tally"`     // counts heartbeats within an incarnation
+	Token   uint64       `json:"mark"`      // the highest fencing token that the worker has received
+	NoticeS *float64     `json:"warning_s"` // seconds until the cloud reclaims the machine; nil if that is not announced
 	Tasks   []TaskReport `json:"hops"`
 }
 
-// TaskReport is one task on a machine.
+// TaskReport is the status of one attempt at a task on a machine.
 type TaskReport struct {
-	Task    string `json:"hop"`
+	Task    string `json:"hop"` // as taskName returns it
 	Attempt uint64 `json:"try"`
-	State   string `json:"stance"`
-	Why     string `json:"cause"`
-	Saved   bool   `json:"kept"`
+	State   string `json:"stance"` // taskFetching to taskExited
+	Why     string `json:"cause"`  // exitDone to exitUnknown, once it has exited
+	Saved   bool   `json:"kept"`   // it left a checkpoint when it exited
 
-	// The task as it is known here, once Fleet.take has looked it up; nil if it is not.
+	// The task in the job table, set by Fleet.resolveTaskReports; job is nil if it is not there.
 	job       *jobs.Job
 	taskIndex int32
 }
 
+// ref returns the task of a report whose job was found.
+func (r *TaskReport) ref() TaskRef { return TaskRef{Job: r.job.Index, Task: r.taskIndex} }
+
 // The states of a task on a machine.
 const (
-	taskFetching = "pulling"
-	taskWaiting  = "gathering"
+	taskFetching = "pulling"   // downloads its image
+	taskWaiting  = "gathering" // waits for the other tasks of its gang
 	taskRunning  = "running"
-	taskSaving   = "flushing"
+	taskSaving   = "flushing" // writes a checkpoint before it stops
 	taskExited   = "exited"
 )
 
-// The reasons of an exit.
+// taskPhase returns the phase of a task that a worker lists in a state, NoPhase if the state is not one of a live task.
+func taskPhase(state string) jobs.Phase {
+	switch state {
+	case taskFetching:
+		return jobs.Fetching
+	case taskWaiting:
+		return jobs.Waiting
+	case taskRunning:
+		return jobs.Running
+	case taskSaving:
+		return jobs.Saving
+	}
+	return jobs.NoPhase
+}
+
+// The causes of an exit.
 const (
 	exitDone    = "done"
 	exitStopped = "halted"
 	exitError   = "error"
-	exitNoRoom  = "full"
-	exitBusy    = "in_use"
-	exitUnknown = "no_such"
+	exitNoRoom  = "full"    // refused: the machine lacks the capacity
+	exitBusy    = "in_use"  // refused: another attempt at the task is on the machine
+	exitUnknown = "no_such" // refused: the worker found no such job
 )
 
-// Command tells a worker to start, stop or forget a task.
+// Command is a leader's command to a worker about one attempt at a task.
 type Command struct {
-	Op      string   `json:"call"`
+	Op      string   `json:"call"` // opStart, opStop or opForget
 	Task    string   `json:"hop"`
 	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"mercy_s,omitempty"`
+	GraceS  *float64 `json:"mercy_s,omitempty"` // of a stop: seconds to save a checkpoint before the task is killed
 }
 
-// The operations.
+// The operations of a command.
 const (
 	opStart  = "launch"
 	opStop   = "halt"
-	opForget = "forget"
+	opForget = "forget" // stop listing an attempt that has exited
 )
 
-// HeartbeatResponse is the response to a report.
+// startCommand returns the command to start an attempt at a task.
+func startCommand(task string, attempt uint64) Command {
+	return Command{Op: opStart, Task: task, Attempt: attempt}
+}
+
+// stopCommand returns the command to stop an attempt at a task within a grace period in seconds.
+func stopCommand(task string, attempt uint64, graceS float64) Command {
+	return Command{Op: opStop, Task: task, Attempt: attempt, GraceS: &graceS}
+}
+
+// forgetCommand returns the command to stop listing an attempt at a task that has exited.
+func forgetCommand(task string, attempt uint64) Command {
+	return Command{Op: opForget, Task: task, Attempt: attempt}
+}
+
+// HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
 	Token    uint64    `json:"mark"`
 	Commands []Command `json:"calls"`
 }
 
-// DirectCommands is the body of a direct command.
+// DirectCommands is the request by which a leader sends commands without waiting for a heartbeat. The worker refuses one
+// for another session or below its highest token.
 type DirectCommands struct {
 	Token    uint64    `json:"mark"`
 	Session  uint64    `json:"run"`
 	Commands []Command `json:"calls"`
 }
 
-// ParseHeartbeat reads a report and refuses what no worker would send. Reading reports with
-// encoding/json took a quarter of the leader's processor time; this is its second version,
-// as a module of its own until the standard library has it.
+// maxMachineNameBytes bounds the name of a machine in a heartbeat.
+const maxMachineNameBytes = 200
+
+// errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or has an overlong name.
+var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field")
+
+// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not valid JSON for it or lacks a required field.
+//
+// It is the hottest decoder of a leader: with encoding/json it took a quarter of its processor time. This is the second
+// version of that package, as a module of its own until the standard library has it.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := json.Unmarshal(body, heartbeat); err != nil {
 		return nil, err
 	}
-	if heartbeat.Machine == "" || len(heartbeat.Machine) > 200 || heartbeat.Type == "" || heartbeat.Zone == "" || heartbeat.Session == 0 {
-		return nil, errors.New("report lacks a field")
+	nameLength := len(heartbeat.Machine)
+	if nameLength == 0 || nameLength > maxMachineNameBytes {
+		return nil, errIncompleteHeartbeat
+	}
+	if heartbeat.Type == "" || heartbeat.Zone == "" || heartbeat.Session == 0 {
+		return nil, errIncompleteHeartbeat
 	}
 	return heartbeat, nil
 }
 
-// parseTaskName takes "req-000412/3" apart.
-func parseTaskName(name string) (job string, task int32, ok bool) {
-	job, n, ok := strings.Cut(name, "/")
+// taskName returns the name of a task in messages, such as "req-000412/3".
+func taskName(job *jobs.Job, taskIndex int32) string {
+	return job.ID + "/" + strconv.Itoa(int(taskIndex))
+}
+
+// parseTaskName splits a task's name into its job's id and its index. It is not ok if the name is not of taskName's form.
+func parseTaskName(name string) (job string, taskIndex int32, ok bool) {
+	job, digits, ok := strings.Cut(name, "/")
 	if !ok {
 		return "", 0, false
 	}
-	v, err := strconv.ParseInt(n, 10, 32)
-	if err != nil || v < 0 {
+	index, err := strconv.ParseInt(digits, 10, 32)
+	if err != nil || index < 0 {
 		return "", 0, false
 	}
-	return job, int32(v), true
+	return job, int32(index), true
 }
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -9,38 +9,41 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// setOnMachine lets a task count as being on its machine.
-func (f *Fleet) setOnMachine(now time.Duration, job *jobs.Job, taskIndex int32, s jobs.TaskState) {
+// Which tasks count as on a machine. From its launch on a task counts there, in the room that it takes, its team's quota, its
+// licences and its zone, until release is called with proof that it is gone.
+
+// setOnMachine changes a task's state to one that counts as on its machine.
+func (f *Fleet) setOnMachine(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState) {
 	task := &job.Tasks[taskIndex]
 	if task.State.Occupies() {
-		f.checkTransition(job.SetTaskState(taskIndex, s))
+		f.checkTransition(job.SetTaskState(taskIndex, to))
 		return
 	}
 	machine := f.machines[task.Machine]
-	f.checkTransition(job.SetTaskState(taskIndex, s))
+	f.checkTransition(job.SetTaskState(taskIndex, to))
 	size := job.Spec.Size()
 	machine.Tasks[TaskRef{job.Index, taskIndex}] = struct{}{}
 	machine.Used = machine.Used.Add(size)
 	machine.endsValid = false
 	f.Gate.Acquire(now, licenceRef(job, taskIndex), task.Attempt, admissionClaim(job))
 	kind := events.TaskFound
-	if s == jobs.Launched {
+	if to == jobs.Launched {
 		kind = events.TaskSent
 	}
 	f.addTaskEvent(now, kind, job, taskIndex, "")
 	job.TasksByZone[machine.Zone]++
-	if ty := f.machineType(machine); ty != nil {
+	if machineType := f.machineType(machine); machineType != nil {
 		if !machine.HasImage(job.Image) {
 			f.markHintsDirty(machine)
 		}
-		machine.touchImage(job.Image, job.Spec.ImageGB, ty.CacheGB)
+		machine.touchImage(job.Image, job.Spec.ImageGB, machineType.CacheGB)
 	}
 	machine.IdleSince = now
 }
 
-// release ends a task's being on its machine; it then is to. how says what that means for its
-// licences.
-func (f *Fleet) release(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState, how licences.End) {
+// release changes a task's state to one that does not count as on its machine, and returns what it took there. A task
+// that is known to be done is Finished instead. The end tells when its licence units are free again.
+func (f *Fleet) release(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState, end licences.End) {
 	task := &job.Tasks[taskIndex]
 	if to != jobs.Finished && (job.GangDone || task.Done) {
 		to = jobs.Finished
@@ -59,21 +62,22 @@
 	machine.Used = machine.Used.Sub(size)
 	machine.endsValid = false
 	if len(machine.Tasks) == 0 {
-		machine.Used = planner.Size{} // decimals leave dust
+		machine.Used = planner.Size{} // clears rounding errors
 		machine.IdleSince = now
 	}
-	f.Gate.Release(now, licenceRef(job, taskIndex), admissionClaim(job), how)
+	f.Gate.Release(now, licenceRef(job, taskIndex), admissionClaim(job), end)
 	job.TasksByZone[machine.Zone]--
 	f.checkTransition(job.SetTaskState(taskIndex, to))
 	if to == jobs.Planned {
 		task.Machine = machine.Index
 		job.SetTaskPhase(taskIndex, jobs.NoPhase)
-		task.Attempt, task.Stopping = 0, false
+		task.Attempt = 0
+		task.Stopping = false
 		f.enqueue(machine, job, taskIndex)
 	}
 }
 
-// stopTask marks a task that is to be stopped.
+// stopTask marks a task to be stopped. The next response to a heartbeat or a direct command stops it.
 func (f *Fleet) stopTask(job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if !task.Stopping {
@@ -82,6 +86,16 @@
 	task.Stopping = true
 	if task.Machine != jobs.None {
 		machine := f.machines[task.Machine]
-		machine.hasStops, machine.endsValid = true, false
+		machine.hasStops = true
+		machine.endsValid = false
+	}
+}
+
+// stopTasksOnMachines marks all of a job's tasks that count as on machines to be stopped.
+func (f *Fleet) stopTasksOnMachines(job *jobs.Job) {
+	for t := range job.Tasks {
+		if job.Tasks[t].State.Occupies() {
+			f.stopTask(job, int32(t))
+		}
 	}
 }
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -1,7 +1,8 @@
 package fleet
 
-// Whether a machine hears. A report that arrives proves that it was sent; only what comes back in reports shows that an
-// answer or a command got there: the token that was raised, a task that was launched, one that was forgotten.
+// Reachability in both directions, stale copies of heartbeats, and restarted workers. A heartbeat that arrives proves that it
+// was sent. Only what later heartbeats contain proves that a response or command arrived: the raised token, a launched
+// task, or the lack of a forgotten one.
 
 import (
 	"log/slog"
@@ -11,74 +12,107 @@
 	"github.com/harewalk/harewalk/internal/config"
 )
 
-// responseGrace is how long a worker waits for the answer to a report, and workerRetryDelay how long it then takes to ask the next
-// controller (the protocol's).
+// The protocol's timeouts of a worker.
 const (
-	responseGrace    = 4 * time.Second
-	workerRetryDelay = time.Second
+	workerResponseTimeout = 4 * time.Second // for the response to a heartbeat
+	workerRetryDelay      = time.Second     // until it then tries the next controller
 )
 
-// reachability is what is known of a machine's hearing.
+const (
+	// reachabilityMargin is what ReachabilityTimeout allows for transmission and processing.
+	reachabilityMargin = 500 * time.Millisecond
+	// slowestHeartbeat is the longest interval between two heartbeats of a worker in contact, in terms of the nominal one.
+	slowestHeartbeat = 1.25
+	// overdueHeartbeat is the interval, in the same terms, after which a heartbeat counts as missed.
+	overdueHeartbeat = 1.6
+)
+
+// reachability is what the heartbeats of a machine have shown of what reaches it.
 type reachability struct {
-	// unconfirmedSince is when the first answer went out whose effect hasn't shown; 0: whatever was sent has.
+	// unconfirmedSince is when the first response was sent whose arrival is not confirmed; 0: all are.
 	unconfirmedSince time.Duration
-	// witness is a command of the last answer, whose effect the next report must show.
-	witness Command
-	// highestToken is the highest token in any report of the machine's present life. A worker never goes back behind it.
+	// unconfirmedCommand is a command of the last response, whose effect the next heartbeat must show; its Op is "" if none is.
+	unconfirmedCommand Command
+	// highestToken is the highest token in any heartbeat of the worker's present incarnation, which never returns to a
+	// lower one.
 	highestToken uint64
-	// expiredSession is the last session whose lease has surely run out.
+	// expiredSession is the last session whose lease has certainly run out.
 	expiredSession uint64
-	// challengeToken is a token that was raised to tell a machine that has restarted from copies of what it said before: no report
-	// of the past can carry it. 0: none is out, or it was taken up.
+	// challengeToken is the token that was raised to tell the heartbeats of a restarted worker from delayed copies of its
+	// former incarnation's, none of which can carry it. 0: there is no challenge, or it was answered.
 	challengeToken uint64
 	challengedAt   time.Duration
-	restartCertain bool // that it has is certain, and nobody has been told the token that was raised for it yet
+	// challengeUnsent is set while no response has carried the challenge of a worker that has certainly restarted.
+	challengeUnsent bool
 }
 
-// ReachabilityTimeout is by when the effect of an answer must have shown: a worker that lost one answer waits for it, tries
-// another controller, is sent back, and reports once more.
+// confirmResponses records that all responses so far have arrived or no longer matter.
+func (r *reachability) confirmResponses() {
+	r.unconfirmedSince = 0
+	r.unconfirmedCommand = Command{}
+}
+
+// ReachabilityTimeout returns by when a heartbeat must have confirmed a response. A worker that misses one response waits
+// for it, tries another controller, is redirected, and sends one more heartbeat.
 func (f *Fleet) ReachabilityTimeout() time.Duration {
-	return responseGrace + workerRetryDelay + config.Seconds(1.25*f.Settings.Params.Workers.ReportS) + 500*time.Millisecond
+	interval := config.Seconds(slowestHeartbeat * f.Settings.Params.Workers.ReportS)
+	return workerResponseTimeout + workerRetryDelay + interval + reachabilityMargin
+}
+
+// overdueAfter returns how long after a machine's last contact its next heartbeat counts as missed.
+func (f *Fleet) overdueAfter() time.Duration {
+	return config.Seconds(overdueHeartbeat * f.Settings.Params.Workers.ReportS)
 }
 
-// confirmsLastResponse looks what a report of the present session at our token shows of the answer before it; false: that its
-// machine doesn't hear.
+// confirmsLastResponse reports whether a fenced heartbeat of the present session is consistent with its machine having
+// received the response before. If it was not for too long, the machine becomes OneWayUnreachable.
 func (f *Fleet) confirmsLastResponse(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
-	h := &machine.reachability
-	if h.witness.Op == "" {
-		h.unconfirmedSince = 0
-		return true
-	}
-	listed := slices.ContainsFunc(heartbeat.Tasks, func(e TaskReport) bool { return e.Task == h.witness.Task && e.Attempt == h.witness.Attempt })
-	if listed == (h.witness.Op == opStart) {
-		h.unconfirmedSince, h.witness = 0, Command{}
+	state := &machine.reachability
+	if state.unconfirmedCommand.Op == "" || heartbeat.showsEffectOf(state.unconfirmedCommand) {
+		state.confirmResponses()
 		return true
 	}
-	if now-h.unconfirmedSince > f.ReachabilityTimeout() {
+	if now-state.unconfirmedSince > f.ReachabilityTimeout() {
 		f.markOneWayUnreachable(now, machine, "commands have no effect")
 	}
 	return machine.Condition != OneWayUnreachable
 }
 
-// recordResponse notes what goes out with an answer, as far as the next report must show it.
-func (m *Machine) recordResponse(now time.Duration, heartbeat *Heartbeat, a HeartbeatResponse) {
-	h := &m.reachability
-	i := slices.IndexFunc(a.Commands, func(c Command) bool { return c.Op == opStart || c.Op == opForget })
-	if i >= 0 {
-		h.witness = a.Commands[i]
+// showsEffectOf reports whether a heartbeat shows that a start or forget command was executed: it lists the started
+// attempt, or no longer lists the forgotten one.
+func (h *Heartbeat) showsEffectOf(command Command) bool {
+	for i := range h.Tasks {
+		if h.Tasks[i].Task == command.Task && h.Tasks[i].Attempt == command.Attempt {
+			return command.Op == opStart
+		}
+	}
+	return command.Op != opStart
+}
+
+// recordResponse records what a response contains that a later heartbeat must confirm.
+func (m *Machine) recordResponse(now time.Duration, heartbeat *Heartbeat, response HeartbeatResponse) {
+	state := &m.reachability
+	first := slices.IndexFunc(response.Commands, func(command Command) bool {
+		return command.Op == opStart || command.Op == opForget
+	})
+	hasCommand := first >= 0
+	if hasCommand {
+		state.unconfirmedCommand = response.Commands[first]
 	}
-	if h.unconfirmedSince == 0 && (i >= 0 || a.Token > heartbeat.Token) {
-		h.unconfirmedSince = now
+	raisesToken := response.Token > heartbeat.Token
+	if state.unconfirmedSince == 0 && (hasCommand || raisesToken) {
+		state.unconfirmedSince = now
 	}
 }
 
-// markOneWayUnreachable sets a machine aside that reports and doesn't hear. Its token is raised, so that the first report that carries it
-// proves that it hears again. What may be on it counts as before.
+// markOneWayUnreachable quarantines a machine whose heartbeats arrive while nothing confirms that responses do. Its token is
+// raised, so that the first heartbeat that carries it proves contact again. What may be on it counts as before.
 func (f *Fleet) markOneWayUnreachable(now time.Duration, machine *Machine, cause string) {
 	if machine.Condition != Ready && machine.Condition != Registered {
 		return
 	}
-	machine.reachability.unconfirmedSince, machine.reachability.witness = now, Command{}
+	machine.reachability.unconfirmedSince = now
+	machine.reachability.unconfirmedCommand = Command{}
 	if machine.reachability.highestToken >= machine.Token {
 		machine.Token++
 		machine.fencing = true
@@ -87,13 +121,23 @@
 	f.clearQueues(machine)
 }
 
-// mayBeStaleCopy tells whether a report may be a copy of what the machine said long ago: older than one seen already, of a session
-// whose lease has surely run out, or at a token behind which no worker goes back, in a later session neither. Nothing may
-// follow from it: a copy from a former life's higher session once gave up launches of the present one.
+// checkTokenTimeout marks a machine as unreachable one way if a token was sent to it for longer than a heartbeat takes to
+// return it.
+func (f *Fleet) checkTokenTimeout(now time.Duration, machine *Machine, heartbeat *Heartbeat) {
+	since := machine.reachability.unconfirmedSince
+	if heartbeat.Token < machine.Token && since > 0 && now-since > f.ReachabilityTimeout() {
+		f.markOneWayUnreachable(now, machine, "the leader's token was not returned")
+	}
+}
+
+// mayBeStaleCopy reports whether a heartbeat may be a delayed copy: not newer than an accepted one, of a session whose
+// lease has certainly run out, or at a token below one that its machine has returned, whatever its session. Such a
+// heartbeat must have no effect: a copy from a former incarnation's higher session would otherwise release launches of the
+// present one.
 func (m *Machine) mayBeStaleCopy(heartbeat *Heartbeat) bool {
 	switch {
 	case heartbeat.Token < m.reachability.highestToken:
-		return true // of a former life, whatever its session: that may have been a higher one
+		return true // of a former incarnation, whose sessions may have been higher
 	case heartbeat.Session != m.Session:
 		return heartbeat.Session < m.Session
 	case heartbeat.Seq <= m.Seq:
@@ -102,47 +146,49 @@
 	return heartbeat.Session <= m.reachability.expiredSession
 }
 
-// answeredChallenge tells whether a report carries the token that nobody had before the machine was dared: whatever its session and
-// sequence, it was said after that.
-func (m *Machine) answeredChallenge(heartbeat *Heartbeat) bool {
+// answersChallenge reports whether a heartbeat carries the token of the machine's challenge. Then it was made after the
+// challenge, whatever its session and sequence number.
+func (m *Machine) answersChallenge(heartbeat *Heartbeat) bool {
 	return m.reachability.challengeToken != 0 && heartbeat.Token >= m.reachability.challengeToken
 }
 
-// challenge raises a machine's token, so that what it says of its present life can be told from all that it ever said: whatever
-// life the report at hand is of, the ones before it are over and never see that token. One that went out before might have been
-// seen by a life that has ended since, whose last report is still on its way.
+// challenge raises a machine's token so that heartbeats of its worker's present incarnation can be told from those of all
+// former ones, which have ended and can never receive it. A token that was sent earlier would not do: an incarnation that
+// has ended since may have received it, and its last heartbeat may still arrive.
 func (f *Fleet) challenge(now time.Duration, machine *Machine) {
 	machine.Token++
 	machine.fencing = true
 	machine.reachability.challengeToken = machine.Token
-	// The lease of a new life began when it did, and an answer extends it.
-	machine.reachability.challengedAt, machine.LastAnsweredAt = now, now
+	machine.reachability.challengedAt = now
+	// The lease of a new incarnation counts from its beginning, and the response extends it.
+	machine.LastAnsweredAt = now
 }
 
-// shouldChallenge tells whether a report that seems to be of the past is answered with a raised token and nothing else, so that
-// a machine that has restarted can show itself. It extends how long what is on the machine counts, so where something is there
-// only a report that can't be a copy from amid its life asks for it: one with no tasks, at a token behind. A machine that is
-// heard needs none.
-func (f *Fleet) shouldChallenge(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
-	again := config.Seconds(1.6 * f.Settings.Params.Workers.ReportS)
-	h := &machine.reachability
-	switch {
-	case !f.plansLoaded || machine.Condition == Terminated:
+// challengeStale decides whether a heartbeat with the result Stale is answered with a raised token and nothing else, so that
+// a worker that has restarted can prove its incarnation. The challenge is made if it is not under way already.
+//
+// A challenge extends how long the tasks on the machine count. Where there are any, only a heartbeat that can't be a copy from
+// the midst of the present incarnation justifies it: one without tasks, below the highest token. A machine in contact needs
+// none.
+func (f *Fleet) challengeStale(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
+	state := &machine.reachability
+	if !f.plansLoaded || machine.Condition == Terminated {
 		return false
-	case h.restartCertain:
-		h.restartCertain, machine.LastAnsweredAt = false, now
+	}
+	if state.challengeUnsent {
+		state.challengeUnsent = false
+		machine.LastAnsweredAt = now
 		return true
-	case now-machine.LastHeardAt <= again || h.challengeToken != 0 && now-h.challengedAt <= again || len(machine.Tasks) > 0 && (len(heartbeat.Tasks) > 0 || heartbeat.Token >= h.highestToken):
+	}
+	interval := f.overdueAfter()
+	inContact := now-machine.LastHeardAt <= interval
+	challengedLately := state.challengeToken != 0 && now-state.challengedAt <= interval
+	mayBeCopy := len(heartbeat.Tasks) > 0 || heartbeat.Token >= state.highestToken
+	if inContact || challengedLately || len(machine.Tasks) > 0 && mayBeCopy {
 		return false
 	}
-	slog.Info("a machine may have restarted", "machine", machine.Name, "session", heartbeat.Session, "seq", heartbeat.Seq, "known_session", machine.Session, "known_seq", machine.Seq, "term", f.Term)
+	slog.Info("machine may have restarted", "machine", machine.Name, "session", heartbeat.Session, "seq", heartbeat.Seq,
+		"known_session", machine.Session, "known_seq", machine.Seq, "term", f.Term)
 	f.challenge(now, machine)
 	return true
 }
-
-// checkTokenTimeout sets a machine aside that was sent a token for longer than its showing can take.
-func (f *Fleet) checkTokenTimeout(now time.Duration, machine *Machine, heartbeat *Heartbeat) {
-	if heartbeat.Token < machine.Token && machine.reachability.unconfirmedSince > 0 && now-machine.reachability.unconfirmedSince > f.ReachabilityTimeout() {
-		f.markOneWayUnreachable(now, machine, "it has not seen our token")
-	}
-}
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -12,26 +12,28 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// reconcileTasks compares the list of a fenced report with what is known.
-func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, direct bool) {
-	clear(f.scratch.listedTasks)
-	// Exits first: a refused attempt may stand beside the one that runs.
-	for i := range heartbeat.Tasks {
-		taskReport := &heartbeat.Tasks[i]
-		if taskReport.job, taskReport.taskIndex = f.findTask(taskReport.Task); taskReport.job != nil && taskReport.State != taskExited {
-			f.scratch.listedTasks[TaskRef{taskReport.job.Index, taskReport.taskIndex}] = struct{}{}
-		}
-	}
+// Pauses after an attempt failed or was refused.
+const (
+	// avoidDuration is how long a job is kept off a machine on which it failed.
+	avoidDuration = 60 * time.Second
+	// maxFailureBackoffShift bounds the pause after failures, which doubles with each: 64 s.
+	maxFailureBackoffShift = 6
+	// refusedRetryDelay is the pause after a worker refused a launch.
+	refusedRetryDelay = 2 * time.Second
+)
+
+// reconcileTasks compares the tasks that a fenced heartbeat lists with those that count as on the machine, and updates the
+// latter. It leaves the listed live tasks in scratch.listedTasks for buildCommands.
+func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
+	f.resolveTaskReports(heartbeat)
 	for i := range heartbeat.Tasks {
-		taskReport := &heartbeat.Tasks[i]
-		if taskReport.job == nil || taskReport.job.Tasks == nil {
-			continue
-		}
-		if taskReport.State == taskExited {
-			_, again := f.scratch.listedTasks[TaskRef{taskReport.job.Index, taskReport.taskIndex}]
-			f.reconcileExitedTask(now, machine, taskReport.job, taskReport.taskIndex, taskReport, again)
-		} else {
-			f.reconcileLiveTask(now, machine, taskReport.job, taskReport.taskIndex, taskReport)
+		report := &heartbeat.Tasks[i]
+		switch {
+		case report.job == nil || report.job.Tasks == nil:
+		case report.State == taskExited:
+			f.reconcileExitedTask(now, machine, report)
+		default:
+			f.reconcileLiveTask(now, machine, report)
 		}
 	}
 	missing := f.scratch.taskRefs[:0]
@@ -43,14 +45,31 @@
 	f.scratch.taskRefs = missing
 	sortRefs(missing)
 	for _, ref := range missing {
-		f.reconcileMissingTask(now, machine, ref, direct)
+		f.reconcileMissingTask(now, machine, ref, origin)
+	}
+}
+
+// resolveTaskReports looks up the tasks that a heartbeat lists and collects the live ones in scratch.listedTasks. All are
+// collected before any is reconciled, since a refused attempt may be listed beside the one that runs.
+func (f *Fleet) resolveTaskReports(heartbeat *Heartbeat) {
+	clear(f.scratch.listedTasks)
+	for i := range heartbeat.Tasks {
+		report := &heartbeat.Tasks[i]
+		report.job, report.taskIndex = f.findTask(report.Task)
+		if report.job != nil && report.State != taskExited {
+			f.scratch.listedTasks[report.ref()] = struct{}{}
+		}
 	}
 }
 
+// sortRefs sorts tasks by job and task index, so that what is done in their order does not depend on that of a map.
 func sortRefs(refs []TaskRef) {
-	slices.SortFunc(refs, func(a, b TaskRef) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task)) })
+	slices.SortFunc(refs, func(a, b TaskRef) int {
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+	})
 }
 
+// findTask returns the job and index of a task by its name in messages; the job is nil if there is no such task.
 func (f *Fleet) findTask(name string) (*jobs.Job, int32) {
 	id, taskIndex, ok := parseTaskName(name)
 	if !ok {
@@ -63,118 +82,146 @@
 	return job, taskIndex
 }
 
-func taskPhase(state string) jobs.Phase {
-	switch state {
-	case taskFetching:
-		return jobs.Fetching
-	case taskWaiting:
-		return jobs.Waiting
-	case taskRunning:
-		return jobs.Running
-	case taskSaving:
-		return jobs.Saving
-	}
-	return jobs.NoPhase
-}
-
-// reconcileLiveTask takes over a task that is on the machine.
-func (f *Fleet) reconcileLiveTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport) {
+// reconcileLiveTask records that a task is on the machine.
+func (f *Fleet) reconcileLiveTask(now time.Duration, machine *Machine, report *TaskReport) {
+	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
 	if task.State == jobs.Finished {
-		return // commands will stop it
+		return // buildCommands stops it
 	}
-	if task.State != jobs.Unplanned && task.Machine != machine.Index {
-		if task.State.Occupies() {
-			slog.Error("task seen on a machine that it was not sent to", "task", taskReport.Task, "machine", machine.Name,
-				"expected", f.machines[task.Machine].Name, "term", f.Term)
-			return
-		}
-		f.dequeue(job, taskIndex) // planned elsewhere, but it is here
-		f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
+	if task.State.Occupies() && task.Machine != machine.Index {
+		slog.Error("task listed by a machine that it was not sent to", "task", report.Task, "machine", machine.Name,
+			"expected_machine", f.machines[task.Machine].Name, "term", f.Term)
+		return
 	}
 	if task.State == jobs.Planned {
 		f.dequeue(job, taskIndex)
-	}
-	if task.State != jobs.OnMachine {
 		if task.Machine != machine.Index {
-			task.Machine = machine.Index
-			job.MarkDirty(taskIndex, true, now)
-		}
-		if task.LaunchedAt == 0 || !task.State.Occupies() {
-			task.LaunchedAt = now
-		}
-		f.setOnMachine(now, job, taskIndex, jobs.OnMachine)
-		task.Attempt = taskReport.Attempt
-		job.GangAttempt = max(job.GangAttempt, taskReport.Attempt)
-		job.Started = true
-		if job.State.Terminal() || job.Suspended {
-			f.stopTask(job, taskIndex)
+			f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 		}
 	}
-	task.Attempt = taskReport.Attempt
+	if task.State != jobs.OnMachine {
+		f.adoptTask(now, machine, report)
+	}
+	task.Attempt = report.Attempt
 	if len(job.LicenceUnits) > 0 {
-		f.Gate.Licences.Attempt(now, licenceRef(job, taskIndex), taskReport.Attempt, job.LicenceUnits)
+		f.Gate.Licences.Attempt(now, licenceRef(job, taskIndex), report.Attempt, job.LicenceUnits)
 	}
 	task.LaunchIndeterminate = false
-	p := taskPhase(taskReport.State)
-	if p == jobs.Running && task.Phase != jobs.Running {
+	f.updatePhase(now, machine, report)
+}
+
+// adoptTask sets a task that is not known to be on any machine to be on this one.
+func (f *Fleet) adoptTask(now time.Duration, machine *Machine, report *TaskReport) {
+	job, taskIndex := report.job, report.taskIndex
+	task := &job.Tasks[taskIndex]
+	if task.Machine != machine.Index {
+		task.Machine = machine.Index
+		job.MarkDirty(taskIndex, true, now)
+	}
+	if task.LaunchedAt == 0 || !task.State.Occupies() {
+		task.LaunchedAt = now
+	}
+	f.setOnMachine(now, job, taskIndex, jobs.OnMachine)
+	task.Attempt = report.Attempt
+	job.GangAttempt = max(job.GangAttempt, report.Attempt)
+	job.Started = true
+	if job.State.Terminal() || job.Suspended {
+		f.stopTask(job, taskIndex)
+	}
+}
+
+// updatePhase records what a live task does.
+func (f *Fleet) updatePhase(now time.Duration, machine *Machine, report *TaskReport) {
+	job, taskIndex := report.job, report.taskIndex
+	task := &job.Tasks[taskIndex]
+	phase := taskPhase(report.State)
+	if phase == task.Phase {
+		return
+	}
+	if phase == jobs.Running {
 		task.RunningSince = now
 		f.addTaskEvent(now, events.TaskRunning, job, taskIndex, "")
 	}
-	if task.Phase != p {
-		job.SetTaskPhase(taskIndex, p)
-		machine.endsValid = false
+	job.SetTaskPhase(taskIndex, phase)
+	machine.endsValid = false
+}
+
+// reconcileExitedTask records the end of an attempt.
+func (f *Fleet) reconcileExitedTask(now time.Duration, machine *Machine, report *TaskReport) {
+	// Another attempt at the task may be listed as live on the same machine.
+	_, isAlsoLive := f.scratch.listedTasks[report.ref()]
+	if report.Why == exitDone {
+		f.reconcileDoneTask(now, machine, report, isAlsoLive)
+		return
 	}
+	task := &report.job.Tasks[report.taskIndex]
+	isHere := task.State.Occupies() && task.Machine == machine.Index
+	isCurrent := task.Attempt == report.Attempt || task.State == jobs.Recovered
+	if !isHere || !isCurrent || isAlsoLive {
+		return
+	}
+	if report.Why == exitBusy {
+		return // another attempt is here: the next heartbeat lists it, or lists none
+	}
+	f.reconcileFailedTask(now, machine, report)
 }
 
-// reconcileExitedTask takes over the end of a task. again tells that another attempt of it is listed as
-// alive on the same machine.
-func (f *Fleet) reconcileExitedTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, taskReport *TaskReport, again bool) {
+// reconcileDoneTask records that an attempt succeeded, and with it its task.
+func (f *Fleet) reconcileDoneTask(now time.Duration, machine *Machine, report *TaskReport, isAlsoLive bool) {
+	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
-	if taskReport.Why == exitDone {
-		if job.State.Terminal() {
-			if task.State.Occupies() && task.Machine == machine.Index {
-				f.release(now, job, taskIndex, jobs.Unplanned, licences.Clean)
-			}
-			return
-		}
-		if task.State.Occupies() && (task.Machine != machine.Index || again || (task.LaunchIndeterminate && task.Attempt != taskReport.Attempt)) {
-			// It is done, but another attempt may be on a machine: that counts until it
-			// is seen to be gone.
-			task.Done = true
-			f.stopTask(job, taskIndex)
-			return
-		}
-		f.finishTask(now, machine, job, taskIndex, true)
-		if job.Spec.Kind == jobs.Gang {
-			f.finishGang(now, job)
+	isElsewhere := task.Machine != machine.Index
+	if job.State.Terminal() {
+		if task.State.Occupies() && !isElsewhere {
+			f.release(now, job, taskIndex, jobs.Unplanned, licences.Clean)
 		}
 		return
 	}
-	mine := task.Machine == machine.Index && task.State.Occupies() && (task.Attempt == taskReport.Attempt || task.State == jobs.Recovered)
-	if !mine || again {
+	launchMayArrive := task.LaunchIndeterminate && task.Attempt != report.Attempt
+	if task.State.Occupies() && (isElsewhere || isAlsoLive || launchMayArrive) {
+		// The task is done, but another attempt at it may be on a machine, and counts until it is proven to be gone.
+		task.Done = true
+		f.stopTask(job, taskIndex)
 		return
 	}
-	if taskReport.Why == exitBusy {
-		// Another attempt of it is here: the next report lists it, or nothing of it.
-		return
+	f.finishTask(now, machine, job, taskIndex)
+	if job.Spec.Kind == jobs.Gang {
+		f.finishGang(now, job)
 	}
-	slog.Info("task ended", "task", taskReport.Task, "machine", machine.Name, "cause", taskReport.Why, "saved", taskReport.Saved, "term", f.Term)
-	f.Events.Add(events.Event{At: now, Kind: events.TaskEnded, Job: job.ID, Task: taskIndex, Machine: machine.Index, Attempt: task.Attempt, Note: taskReport.Why, Saved: taskReport.Saved})
-	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(taskReport.Why))
+}
+
+// reconcileFailedTask releases a task whose present attempt ended without success, and sets when and where it may be tried
+// again.
+func (f *Fleet) reconcileFailedTask(now time.Duration, machine *Machine, report *TaskReport) {
+	job, taskIndex := report.job, report.taskIndex
+	task := &job.Tasks[taskIndex]
+	slog.Info("task ended", "task", report.Task, "machine", machine.Name, "cause", report.Why, "saved", report.Saved,
+		"term", f.Term)
+	f.Events.Add(events.Event{
+		At:      now,
+		Kind:    events.TaskEnded,
+		Job:     job.ID,
+		Task:    taskIndex,
+		Machine: machine.Index,
+		Attempt: task.Attempt,
+		Note:    report.Why,
+		Saved:   report.Saved,
+	})
+	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(report.Why))
 	job.MarkDirty(taskIndex, false, now)
-	switch taskReport.Why {
+	switch report.Why {
 	case exitError:
-		task.Failures = min(task.Failures+1, 6)
+		task.Failures = min(task.Failures+1, maxFailureBackoffShift)
 		task.NotBefore = now + time.Second<<task.Failures
 		f.avoidMachine(now, machine, job)
 		f.recordFailure(now, machine, job, taskIndex)
 	case exitNoRoom, exitUnknown:
-		task.NotBefore = now + 2*time.Second
+		task.NotBefore = now + refusedRetryDelay
 	}
 }
 
-// avoidMachine keeps a job off a machine on which one of its tasks failed.
+// avoidMachine keeps a job off a machine on which one of its tasks failed, for avoidDuration.
 func (f *Fleet) avoidMachine(now time.Duration, machine *Machine, job *jobs.Job) {
 	if job.AvoidedMachines == nil {
 		job.AvoidedMachines = map[int32]time.Duration{}
@@ -186,25 +233,25 @@
 	}
 }
 
-// finishGang follows from one task of a gang being done: every one is. Those that may still
-// be on a machine count there until they are seen to be gone, since a task that is started
-// again after its gang was done is on its machine for a moment before it exits.
+// finishGang finishes all tasks of a gang of which one is done. Those that may still be on a machine count there until they
+// are proven to be gone: a task that is started again after its gang was done is on its machine for a moment before it
+// exits.
 func (f *Fleet) finishGang(now time.Duration, job *jobs.Job) {
 	job.GangDone = true
 	for t := range job.Tasks {
 		if !job.Tasks[t].State.Occupies() {
-			f.finishTask(now, nil, job, int32(t), false)
+			f.finishTask(now, nil, job, int32(t))
 		}
 	}
 }
 
-// finishTask records a task's completion.
-func (f *Fleet) finishTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, seen bool) {
+// finishTask records that a task is done. The machine is the one whose heartbeat listed its exit, nil if there was none.
+func (f *Fleet) finishTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if task.State == jobs.Finished {
 		return
 	}
-	if seen && task.Machine == machine.Index && task.Phase == jobs.Running {
+	if machine != nil && task.Machine == machine.Index && task.Phase == jobs.Running {
 		f.recordRunTime(job, machine, (now - task.RunningSince).Seconds(), task.Failures == 0)
 		f.recordSuccess(job, machine)
 	}
@@ -219,32 +266,47 @@
 	}
 }
 
-// recordRunTime compares a run time with its estimate.
-func (f *Fleet) recordRunTime(job *jobs.Job, machine *Machine, ran float64, clean bool) {
-	if job.Spec.EstimateS <= 0 || ran < 2 || !clean || job.Spec.CheckpointS > 0 && job.GangAttempt != 0 && ran < job.Spec.EstimateS/4 {
+// How recordRunTime weighs one measured run time.
+const (
+	minMeasuredRunS   = 2.0 // shorter runs are not measured
+	minRunTimeRatio   = 0.1 // bounds of one measured ratio of run time to estimate
+	maxRunTimeRatio   = 8.0
+	minRunTimeRate    = 0.1 // share of a new measurement in the average, for a job of one task
+	slowdownRate      = 0.2 // the same for a machine's slowdown
+	minSlowdownSample = 0.5 // bounds of one measured slowdown
+	maxSlowdownSample = 6.0
+)
+
+// recordRunTime updates the estimate of a job's class and the slowdown of a machine by the run time of a task in seconds.
+func (f *Fleet) recordRunTime(job *jobs.Job, machine *Machine, ranS float64, neverFailed bool) {
+	spec := job.Spec
+	if spec.EstimateS <= 0 || ranS < minMeasuredRunS || !neverFailed {
 		return
 	}
-	s := f.stats(job.Class)
-	r := math.Min(8, math.Max(0.1, ran/job.Spec.EstimateS))
-	// One job's tasks share its owner's error: a job counts once, not once a task.
-	w := 1 / math.Sqrt(float64(job.TaskCount))
-	rate := math.Max(w/(s.n+w), w*0.1)
-	machine.slowdown += 0.2 * (math.Min(6, math.Max(0.5, r/s.ratio)) - machine.slowdown)
-	s.ratio = math.Exp((1-rate)*math.Log(s.ratio) + rate*math.Log(r))
-	s.n += w
+	if spec.CheckpointS > 0 && job.GangAttempt != 0 && ranS < spec.EstimateS/4 {
+		return // it continued from a checkpoint
+	}
+	class := f.stats(job.Class)
+	ratio := math.Min(maxRunTimeRatio, math.Max(minRunTimeRatio, ranS/spec.EstimateS))
+	// The tasks of a job share the error of its estimate, so a job counts once, not once for each task.
+	weight := 1 / math.Sqrt(float64(job.TaskCount))
+	rate := math.Max(weight/(class.n+weight), weight*minRunTimeRate)
+	slowdown := math.Min(maxSlowdownSample, math.Max(minSlowdownSample, ratio/class.ratio))
+	machine.slowdown += slowdownRate * (slowdown - machine.slowdown)
+	class.ratio = math.Exp((1-rate)*math.Log(class.ratio) + rate*math.Log(ratio))
+	class.n += weight
 }
 
-// reconcileMissingTask handles a task that should be on the machine but is not listed by a fenced
-// report.
-func (f *Fleet) reconcileMissingTask(now time.Duration, machine *Machine, ref TaskRef, direct bool) {
+// reconcileMissingTask handles a task that counts as on the machine but is not listed by a fenced heartbeat.
+func (f *Fleet) reconcileMissingTask(now time.Duration, machine *Machine, ref TaskRef, origin heartbeatOrigin) {
 	job := f.jobAt(ref.Job)
-	task := &job.Tasks[ref.Task]
-	switch task.State {
+	switch task := &job.Tasks[ref.Task]; task.State {
 	case jobs.Launched:
-		// Its launch went out directly, in an answer that is still under way (a direct
-		// report says nothing of that), or in one that the worker dropped. Only in the
-		// last case it surely won't start any more: it is sent again or given up.
-		if (job.State.Terminal() || machine.Condition != Ready) && !task.LaunchIndeterminate && !direct {
+		// Its launch was sent directly, or in a response that is still in flight (the heartbeat in a direct response is no
+		// evidence of that), or in one that the worker dropped. Only in the last case is it certain that it will not start;
+		// then buildCommands sends it again, unless it is not wanted any more.
+		isUnwanted := job.State.Terminal() || machine.Condition != Ready
+		if isUnwanted && !task.LaunchIndeterminate && origin == fromRequest {
 			f.release(now, job, ref.Task, jobs.Unplanned, licences.Unstarted)
 		}
 	case jobs.Recovered:
@@ -252,7 +314,7 @@
 		if job.State.Terminal() || job.Spec.Kind != jobs.Array || machine.Condition != Ready {
 			to = jobs.Unplanned
 		}
-		// It may have run and crashed under the owner before.
+		// It may have run and crashed under the former leader.
 		f.release(now, job, ref.Task, to, licences.Crashed)
 	case jobs.OnMachine:
 		slog.Info("task vanished", "job", job.ID, "task", ref.Task, "machine", machine.Name, "term", f.Term)
