--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Who is at fault when a task fails: its machine, on which several jobs fail, or its job, which fails on several machines.
+// Crash loops and faulty machines. A job whose tasks fail on several machines is in a crash loop and is retried with a
+// growing back-off; a machine on which tasks of several jobs fail is faulty.
 
 import (
 	"log/slog"
@@ -10,54 +11,68 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// CrashLoopState is what a job's tasks have shown of it.
+// CrashLoopState is what the exits of a job's tasks have shown about the job.
 type CrashLoopState uint8
 
-// The standings of a job.
+// The crash loop states of a job and their transitions.
 //
-//	Untried  -> Proven    a task is done, or a replica ran for long
-//	Untried  -> Mistaken  tasks fail on several machines and none is done
-//	Mistaken -> Proven    one is done after all: the machines were at fault
+//	HealthUnknown -> Healthy       a task is done, or a replica ran for long
+//	HealthUnknown -> CrashLooping  tasks fail on several machines and none is done
+//	CrashLooping  -> Healthy       a task is done after all: the machines were at fault
 const (
 	HealthUnknown CrashLoopState = iota
 	Healthy
 	CrashLooping
 )
 
-func (s CrashLoopState) String() string { return [...]string{"untried", "proven", "mistaken"}[s] }
+// String returns the state's name in log lines.
+func (s CrashLoopState) String() string {
+	return [...]string{"health unknown", "healthy", "crash looping"}[s]
+}
 
-// What is asked of a mistaken job: how many machines it takes to tell it from a faulty one, the first and the longest
-// pause between two tries, and at which of them it goes to a machine that it hasn't tried.
 const (
-	crashLoopMachines   = 2
+	// crashLoopMachines is on how many machines a job must fail to be in a crash loop.
+	crashLoopMachines = 2
+	// minCrashLoopBackoff and maxCrashLoopBackoff bound the pause between two tries of a job in a crash loop, which
+	// doubles with each.
 	minCrashLoopBackoff = 2 * time.Second
 	maxCrashLoopBackoff = 64 * time.Second
-	triesPerNewMachine  = 3
+	// maxBackoffShift bounds how often the pause is doubled, before the bound above applies.
+	maxBackoffShift = 10
+	// triesPerNewMachine is how many tries such a job has before one may go to a machine on which it has not failed.
+	triesPerNewMachine = 3
+	// healthyAfter is how long a replica of a service must run to show that its job is healthy, since it is never done.
+	healthyAfter = 30 * time.Second
+	// faultyThreshold is on how many jobs in a row a machine must fail to be faulty.
+	faultyThreshold = 2
 )
 
 // crashLoop is the record of a job of which tasks have failed.
 type crashLoop struct {
 	state            CrashLoopState
-	failedOn         []int32 // machines on which it failed, while it is untried; later, the last of them
-	distinctMachines int     // on how many it failed, as far as they were told apart
-	tries            int
-	retryAt          time.Duration // Mistaken: no try before
+	failedOn         []int32       // the latest machines on which it failed, at most 2*crashLoopMachines
+	distinctMachines int           // on how many it failed, as far as failedOn tells them apart
+	tries            int           // since it is in a crash loop
+	retryAt          time.Duration // when the next try is due, while it is in a crash loop
 }
 
-// setCrashLoopState is the only place where a job's standing changes.
+// setCrashLoopState changes a job's state. Nothing else writes crashLoop.state. The failures of a job in a crash loop do not
+// count against machines.
 func (f *Fleet) setCrashLoopState(job *jobs.Job, loop *crashLoop, to CrashLoopState) {
-	slog.Info("job", "job", job.ID, "from", loop.state.String(), "to", to.String(), "machines", len(loop.failedOn), "term", f.Term)
+	slog.Info("crash loop state changed", "job", job.ID, "from", loop.state.String(), "to", to.String(),
+		"machines", len(loop.failedOn), "term", f.Term)
 	loop.state = to
-	if to == CrashLooping { // what it did on machines says nothing of them
-		for _, machine := range f.machines {
-			if i := slices.Index(machine.failedJobs, job.Index); i >= 0 {
-				machine.failedJobs = slices.Delete(machine.failedJobs, i, i+1)
-			}
+	if to != CrashLooping {
+		return
+	}
+	for _, machine := range f.machines {
+		if i := slices.Index(machine.failedJobs, job.Index); i >= 0 {
+			machine.failedJobs = slices.Delete(machine.failedJobs, i, i+1)
 		}
 	}
 }
 
-// crashLooping returns the record of a job that fails wherever it runs, nil for any other.
+// crashLooping returns the record of a job that is in a crash loop, nil for any other.
 func (f *Fleet) crashLooping(job *jobs.Job) *crashLoop {
 	if loop := f.crashLoops[job.Index]; loop != nil && loop.state == CrashLooping {
 		return loop
@@ -65,20 +80,32 @@
 	return nil
 }
 
-// inBackoff tells whether nothing of a mistaken job is to be started now: not before its pause is over, and of an array or
-// a service one task at a time. Thousands of tasks that fail at once, each with pauses of its own, took the starts of all others.
+// inBackoff reports whether a job in a crash loop must not be planned now: until its pause is over and, unless it is a gang,
+// while one of its tasks is planned or on a machine. Thousands of tasks that fail together, each with its own pause, would
+// take the launches of all other jobs.
 func (f *Fleet) inBackoff(now time.Duration, job *jobs.Job) bool {
 	loop := f.crashLooping(job)
-	return loop != nil && (now < loop.retryAt || job.Spec.Kind != jobs.Gang && job.TasksByState[jobs.Planned]+job.TasksOnMachines() > 0)
+	if loop == nil {
+		return false
+	}
+	if now < loop.retryAt {
+		return true
+	}
+	return job.Spec.Kind != jobs.Gang && job.TasksByState[jobs.Planned]+job.TasksOnMachines() > 0
 }
 
-// noteCrashLoopBackoff says why nothing of such a job is started.
+// noteCrashLoopBackoff records the back-off of a job in a crash loop as its pending reason.
 func (f *Fleet) noteCrashLoopBackoff(job *jobs.Job) {
 	loop := f.crashLooping(job)
-	f.setPendingNote(job, pendingNote{cause: CrashLoopBackoff, have: loop.distinctMachines, need: loop.tries, until: loop.retryAt})
+	f.setPendingNote(job, pendingNote{
+		cause: CrashLoopBackoff,
+		have:  loop.distinctMachines,
+		need:  loop.tries,
+		until: loop.retryAt,
+	})
 }
 
-// noteRetryLater says that a job's tasks failed and when they are tried again.
+// noteRetryLater records as a job's pending reason that its tasks failed and are not tried again before a time.
 func (f *Fleet) noteRetryLater(job *jobs.Job, until time.Duration) {
 	if f.crashLooping(job) != nil {
 		f.noteCrashLoopBackoff(job)
@@ -87,14 +114,31 @@
 	f.setPendingNote(job, pendingNote{cause: RetryLater, until: until})
 }
 
-// healthyAfterS is how long a replica of a service must have run to say that its job is in order: it is never done.
-const healthyAfterS = 30
-
-// recordFailure notes that a task of a job failed on a machine.
+// recordFailure records that a task failed on a machine.
 func (f *Fleet) recordFailure(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) {
-	if task := &job.Tasks[taskIndex]; job.Spec.Kind == jobs.Service && task.RunningSince > 0 && now-task.RunningSince >= healthyAfterS*time.Second {
+	task := &job.Tasks[taskIndex]
+	if job.Spec.Kind == jobs.Service && task.RunningSince > 0 && now-task.RunningSince >= healthyAfter {
 		f.recordSuccess(job, machine)
 	}
+	loop := f.crashLoopOf(job)
+	if loop.state != CrashLooping {
+		machine.recordFailedJob(job.Index)
+	}
+	if loop.state == Healthy {
+		return
+	}
+	loop.recordMachine(machine.Index)
+	if loop.state == HealthUnknown && len(loop.failedOn) >= crashLoopMachines {
+		f.setCrashLoopState(job, loop, CrashLooping)
+	}
+	if loop.state != CrashLooping || now < loop.retryAt {
+		return // tasks that were launched together and fail one after the other are one try
+	}
+	f.beginBackoff(now, job, loop)
+}
+
+// crashLoopOf returns the record of a job, adding it if there is none.
+func (f *Fleet) crashLoopOf(job *jobs.Job) *crashLoop {
 	loop := f.crashLoops[job.Index]
 	if loop == nil {
 		loop = &crashLoop{}
@@ -103,36 +147,43 @@
 		}
 		f.crashLoops[job.Index] = loop
 	}
-	if loop.state != CrashLooping && !slices.Contains(machine.failedJobs, job.Index) && len(machine.failedJobs) < faultyThreshold {
-		machine.failedJobs = append(machine.failedJobs, job.Index)
+	return loop
+}
+
+// recordFailedJob records that a job failed on the machine. More than faultyThreshold jobs are not kept.
+func (m *Machine) recordFailedJob(jobIndex jobs.Index) {
+	if len(m.failedJobs) < faultyThreshold && !slices.Contains(m.failedJobs, jobIndex) {
+		m.failedJobs = append(m.failedJobs, jobIndex)
 	}
-	if loop.state == Healthy {
+}
+
+// recordMachine records that the job failed on a machine.
+func (l *crashLoop) recordMachine(machineIndex int32) {
+	if slices.Contains(l.failedOn, machineIndex) {
 		return
 	}
-	if !slices.Contains(loop.failedOn, machine.Index) {
-		loop.distinctMachines++
-		loop.failedOn = append(loop.failedOn, machine.Index)
-		loop.failedOn = loop.failedOn[max(0, len(loop.failedOn)-2*crashLoopMachines):]
-	}
-	if loop.state == HealthUnknown && len(loop.failedOn) >= crashLoopMachines {
-		f.setCrashLoopState(job, loop, CrashLooping)
-	}
-	if loop.state != CrashLooping || now < loop.retryAt {
-		return // tasks that were sent before fail one after the other: that is one try
-	}
-	loop.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(loop.tries, 10))
+	l.distinctMachines++
+	l.failedOn = append(l.failedOn, machineIndex)
+	excess := len(l.failedOn) - 2*crashLoopMachines
+	l.failedOn = l.failedOn[max(0, excess):]
+}
+
+// beginBackoff ends a try of a job in a crash loop: nothing of it is planned until the pause is over.
+func (f *Fleet) beginBackoff(now time.Duration, job *jobs.Job, loop *crashLoop) {
+	loop.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(loop.tries, maxBackoffShift))
 	loop.tries++
-	// Images aren't fetched all over for it: it stays where it has been, but for a try now and then.
+	// The job stays on the machines that have its image, so that it is not downloaded everywhere, except for a try now and
+	// then.
 	clear(job.AvoidedMachines)
 	if loop.tries%triesPerNewMachine == 0 {
-		for _, ix := range loop.failedOn {
-			f.avoidMachine(now, f.machines[ix], job)
+		for _, machineIndex := range loop.failedOn {
+			f.avoidMachine(now, f.machines[machineIndex], job)
 		}
 	}
 	f.dropPlans(job, job.TasksByState[jobs.Planned])
 }
 
-// recordSuccess notes that a task of a job is done.
+// recordSuccess records that a task is done, or that a replica ran for healthyAfter, on a machine.
 func (f *Fleet) recordSuccess(job *jobs.Job, machine *Machine) {
 	machine.failedJobs = machine.failedJobs[:0]
 	loop := f.crashLoops[job.Index]
@@ -140,15 +191,15 @@
 		loop = &crashLoop{}
 		f.crashLoops[job.Index] = loop
 	}
-	if loop != nil && loop.state != Healthy {
-		f.setCrashLoopState(job, loop, Healthy)
-		loop.failedOn, loop.retryAt, loop.tries = nil, 0, 0
-		f.writer.planBecameDurable = true
+	if loop == nil || loop.state == Healthy {
+		return
 	}
+	f.setCrashLoopState(job, loop, Healthy)
+	loop.failedOn = nil
+	loop.retryAt = 0
+	loop.tries = 0
+	f.writer.planBecameDurable = true
 }
 
-// faultyThreshold is how many jobs fail on a machine in a row until it is at fault.
-const faultyThreshold = 2
-
-// Faulty tells whether a machine fails what runs on it: several jobs in a row that don't fail elsewhere as well.
+// Faulty reports whether tasks of several jobs in a row, none of them in a crash loop, failed on a machine.
 func (f *Fleet) Faulty(machine *Machine) bool { return len(machine.failedJobs) >= faultyThreshold }
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -1,6 +1,6 @@
 package fleet
 
-// What may start on a machine now, and how it is started.
+// Which tasks may start on a machine now, and how they are launched.
 
 import (
 	"cmp"
@@ -13,32 +13,47 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// reservedForGPUWork is what tasks without an accelerator must leave of a machine, so that its idle
-// accelerators can be used by work that waits for them: small tasks that took every core
-// as it came free would never let a large one in.
-// A job that ranks before all such work, or is overdue to begin, nil for none, leaves nothing: it would stop that work for room which was then kept
-// for the same work, again and again.
-func (f *Fleet) reservedForGPUWork(machine *Machine, job *jobs.Job, idle float64) planner.Size {
-	if machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.ranking.startDeadlineDue[job.Index] || f.outranksGPUWork(job) || f.hasWaitedLong(job)) {
+// reservedForGPUWork returns what tasks without an accelerator must leave free on a machine, so that work that waits for
+// accelerators can use the idle ones, idleGPUs in number. Otherwise small tasks that take each processor as it becomes free
+// would never let a large one start. A nil job stands for any.
+func (f *Fleet) reservedForGPUWork(machine *Machine, job *jobs.Job, idleGPUs float64) planner.Size {
+	switch {
+	case machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}):
 		return planner.Size{}
-	}
-	// What such work may stop anyway need only be kept from as much as waits and may come.
-	if !machine.keepsCPUsForGPUWork && job != nil && job.Priority < f.gpuReserve.priority && !f.ranking.withinGuarantee[job.Index] {
+	case job != nil && f.ignoresGPUReserve(job):
+		return planner.Size{}
+	case job != nil && !machine.keepsCPUsForGPUWork && f.isPreemptibleByGPUWork(job):
+		// What such work may preempt need only be kept off as much as waits and may come.
 		return planner.Size{}
 	}
-	return f.gpuReserve.perGPU.Times(idle)
+	return f.gpuReserve.perGPU.Times(idleGPUs)
+}
+
+// ignoresGPUReserve reports whether a job leaves nothing free for work that waits for accelerators. One that ranks before
+// all such work, or is overdue, would preempt that work for room which was then kept for the same work, again and again.
+func (f *Fleet) ignoresGPUReserve(job *jobs.Job) bool {
+	return job.Spec.GPUs > 0 ||
+		f.ranking.startDeadlineDue[job.Index] ||
+		f.outranksGPUWork(job) ||
+		f.hasWaitedLong(job)
 }
 
-// outranksGPUWork tells whether a job ranks before all work that waits for accelerators.
+// isPreemptibleByGPUWork reports whether some of the work that waits for accelerators may preempt a job.
+func (f *Fleet) isPreemptibleByGPUWork(job *jobs.Job) bool {
+	return job.Priority < f.gpuReserve.priority && !f.ranking.withinGuarantee[job.Index]
+}
+
+// outranksGPUWork reports whether a job ranks before all work that waits for accelerators.
 func (f *Fleet) outranksGPUWork(job *jobs.Job) bool {
-	if w := f.ranking.withinGuarantee[job.Index]; w != f.gpuReserve.withinGuarantee {
-		return w
+	withinGuarantee := f.ranking.withinGuarantee[job.Index]
+	if withinGuarantee != f.gpuReserve.withinGuarantee {
+		return withinGuarantee
 	}
 	return job.Priority > f.gpuReserve.priority
 }
 
-// spotWaitLimit is by how many seconds a job that may use spot machines puts off an ordinary one
-// which live jobs that may not use spot could need: they have no other.
+// spotWaitLimit returns for how many seconds a job that may use spot machines waits for one instead of using an on-demand
+// machine of a type that live jobs which must not use spot machines need.
 func (f *Fleet) spotWaitLimit(machine *Machine, job *jobs.Job) float64 {
 	if machine.Spot || !job.Spec.Spot || !f.gpuReserve.onDemandTypes[machine.Type] {
 		return 0
@@ -49,7 +64,7 @@
 	return yieldGang * f.estimate(job)
 }
 
-// fits tells whether one more task of a job has room on a machine now.
+// fits reports whether one more task of a job has room on a machine now.
 func (f *Fleet) fits(machine *Machine, job *jobs.Job) bool {
 	size := job.Spec.Size()
 	free := machine.Free()
@@ -58,162 +73,212 @@
 	}
 	free = free.Sub(f.reservedForGPUWork(machine, job, machine.Capacity.GPUs-machine.Used.GPUs))
 	if job.Spec.Kind == jobs.Array {
-		// Gangs already planned here wait only for their plan to be durable.
+		// Gangs and services that are planned here wait only until their plan is durable.
 		free = free.Sub(machine.queuedWithoutArrays)
 	}
 	return size.Fits(free)
 }
 
+// lowestRank is the rank of jobs that are not in the priority order yet.
+const lowestRank = 1 << 30
+
+// rankOf returns a job's place in the priority order; 0 is the highest.
 func (f *Fleet) rankOf(job *jobs.Job) int {
 	if job.QueuePosition > 0 {
 		return job.QueuePosition - 1
 	}
-	return 1 << 30
+	return lowestRank
 }
 
-// sortIndicesByRank orders jobs by rank.
-func (f *Fleet) sortIndicesByRank(ixs []jobs.Index) {
-	slices.SortFunc(ixs, func(a, b jobs.Index) int {
+// sortIndicesByRank sorts jobs by rank.
+func (f *Fleet) sortIndicesByRank(indices []jobs.Index) {
+	slices.SortFunc(indices, func(a, b jobs.Index) int {
 		return cmp.Or(cmp.Compare(f.rankOf(f.jobAt(a)), f.rankOf(f.jobAt(b))), cmp.Compare(a, b))
 	})
 }
 
-// mayPlace tells whether a job's task may be on a machine, given where its others are.
+// mayPlace reports whether the constraints of a job allow one more of its tasks on a machine, given where the others are.
 func (f *Fleet) mayPlace(machine *Machine, job *jobs.Job) bool {
-	if !job.Allows(machine.Type, machine.Zone, machine.Spot) || (len(job.AvoidedMachines) > 0 && f.Now() < job.AvoidedMachines[machine.Index]) {
+	if !job.Allows(machine.Type, machine.Zone, machine.Spot) {
 		return false
 	}
-	if job.Spec.OneZone {
-		for z, n := range job.TasksByZone {
-			if n > 0 && z != machine.Zone {
-				return false
-			}
-		}
+	if len(job.AvoidedMachines) > 0 && f.Now() < job.AvoidedMachines[machine.Index] {
+		return false
 	}
-	if lim := job.Spec.ZoneLimit(); lim > 0 && job.TasksByZone[machine.Zone]+job.TasksByZone[jobs.None] >= lim {
+	if job.Spec.OneZone && hasTasksOutside(job, machine.Zone) {
 		return false
 	}
-	return true
+	limit := job.Spec.ZoneLimit()
+	return limit <= 0 || job.TasksByZone[machine.Zone]+job.TasksByZone[jobs.None] < limit
+}
+
+// hasTasksOutside reports whether any of a job's tasks counts in a zone other than the given one.
+func hasTasksOutside(job *jobs.Job, zone int32) bool {
+	for taskZone, count := range job.TasksByZone {
+		if count > 0 && taskZone != zone {
+			return true
+		}
+	}
+	return false
 }
 
-// mayLaunch tells whether a planned task may be launched now.
+// mayLaunch reports whether a planned task may be launched on a machine now.
 func (f *Fleet) mayLaunch(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
 	task := &job.Tasks[taskIndex]
-	return job.State == jobs.Pending && !job.Quarantined && task.State == jobs.Planned && task.Machine == machine.Index && task.NotBefore <= now &&
-		job.IsDurable(taskIndex) && f.mayPlace(machine, job) && f.fits(machine, job) && (f.Gate.Reserved(licenceRef(job, taskIndex)) || f.Gate.Fits(admissionClaim(job), 1))
+	if job.State != jobs.Pending || job.Quarantined {
+		return false
+	}
+	if task.State != jobs.Planned || task.Machine != machine.Index || task.NotBefore > now {
+		return false
+	}
+	if !job.IsDurable(taskIndex) || !f.mayPlace(machine, job) || !f.fits(machine, job) {
+		return false
+	}
+	return f.Gate.Reserved(licenceRef(job, taskIndex)) || f.Gate.Fits(admissionClaim(job), 1)
 }
 
-// nextAttempt makes an attempt that no term has used.
+// attemptBits is the width of the part of an attempt that counts the launches of a term.
+const attemptBits = 24
+
+// nextAttempt returns an attempt that was not used before, in any term.
 func (f *Fleet) nextAttempt() uint64 {
 	f.attemptCounter++
-	return f.Term<<24 | f.attemptCounter
+	return f.Term<<attemptBits | f.attemptCounter
 }
 
-// launch turns a planned task into a command.
+// launch sets a planned task to launched and returns the command that starts it.
 func (f *Fleet) launch(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, attempt uint64) Command {
 	task := &job.Tasks[taskIndex]
-	task.LaunchedAt, task.RunningSince, task.Attempt = now, 0, attempt
+	task.LaunchedAt = now
+	task.RunningSince = 0
+	task.Attempt = attempt
 	if !job.Started {
-		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name, "waited_s", int((now - job.SubmittedAt).Seconds()),
-			"fetch_s", int(f.fetchS(job, machine)), "term", f.Term)
+		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name,
+			"waited_s", int((now - job.SubmittedAt).Seconds()), "fetch_s", int(f.fetchS(job, machine)), "term", f.Term)
 	}
 	job.Started = true
 	f.setOnMachine(now, job, taskIndex, jobs.Launched)
-	return Command{Op: opStart, Task: taskName(job, taskIndex), Attempt: attempt}
+	return startCommand(taskName(job, taskIndex), attempt)
 }
 
-// startCommands launches what a machine's lanes hold, best rank first: a lane that reports free
-// gets its next planned task.
+// startCommands launches the tasks that are queued on a machine and fit it now, in priority order.
 func (f *Fleet) startCommands(now time.Duration, machine *Machine) []Command {
-	var out []Command
-	if f.startsStopped || machine.Condition != Ready || machine.Returning || machine.QueuedTasks == 0 || !machine.smallestQueued.Fits(machine.Free()) {
+	if f.startsStopped || machine.Condition != Ready || machine.Returning {
+		return nil
+	}
+	if machine.QueuedTasks == 0 || !machine.smallestQueued.Fits(machine.Free()) {
 		return nil
 	}
-	ixs := f.scratch.jobIndices[:0]
+	indices := f.scratch.jobIndices[:0]
 	for _, queue := range machine.queues {
-		if job := f.jobAt(queue.job); job.Spec.Kind == jobs.Gang || f.fits(machine, job) {
-			ixs = append(ixs, queue.job)
+		job := f.jobAt(queue.job)
+		if job.Spec.Kind == jobs.Gang || f.fits(machine, job) {
+			indices = append(indices, queue.job)
 		}
 	}
-	f.scratch.jobIndices = ixs
+	f.scratch.jobIndices = indices
 	f.PlanningSteps += uint64(len(machine.queues))
-	f.sortIndicesByRank(ixs)
-	for _, jobIndex := range ixs {
+	f.sortIndicesByRank(indices)
+	var commands []Command
+	for _, jobIndex := range indices {
 		job := f.jobAt(jobIndex)
 		if job.Spec.Kind == jobs.Gang {
-			out = append(out, f.startGang(now, machine, job)...)
-			continue
+			commands = append(commands, f.startGang(now, machine, job)...)
+		} else {
+			commands = f.appendQueuedStarts(commands, now, machine, job)
 		}
-		ts := machine.queued(jobIndex)
-		keep := ts[:0]
-		for i, taskIndex := range ts {
-			if !f.fits(machine, job) {
-				keep = append(keep, ts[i:]...)
-				break
-			}
-			if !f.mayLaunch(now, machine, job, taskIndex) {
-				keep = append(keep, taskIndex)
-				continue
-			}
-			out = append(out, f.launch(now, machine, job, taskIndex, f.nextAttempt()))
+	}
+	return commands
+}
+
+// appendQueuedStarts launches as many of a job's tasks that are queued on a machine as fit, and appends their commands.
+func (f *Fleet) appendQueuedStarts(commands []Command, now time.Duration, machine *Machine, job *jobs.Job) []Command {
+	queued := machine.queued(job.Index)
+	left := queued[:0]
+	for i, taskIndex := range queued {
+		if !f.fits(machine, job) {
+			left = append(left, queued[i:]...)
+			break
 		}
-		if n := len(ts) - len(keep); n > 0 {
-			machine.setQueue(jobIndex, keep)
-			f.removeQueued(machine, job, n)
+		if !f.mayLaunch(now, machine, job, taskIndex) {
+			left = append(left, taskIndex)
+			continue
 		}
+		commands = append(commands, f.launch(now, machine, job, taskIndex, f.nextAttempt()))
 	}
-	return out
+	if launched := len(queued) - len(left); launched > 0 {
+		machine.setQueue(job.Index, left)
+		f.removeQueued(machine, job, launched)
+	}
+	return commands
 }
 
-// startGang launches a gang's tasks on one machine, once the whole gang is planned
-// durably and fits the team's limit. All tasks carry the attempt of the first.
+// startGang launches a gang's tasks on one machine, once the whole gang is planned durably and admitted by quota and
+// licences. All its tasks have the same attempt.
 func (f *Fleet) startGang(now time.Duration, machine *Machine, job *jobs.Job) []Command {
-	first := true
-	planned := 0
-	for t := range job.Tasks {
-		task := &job.Tasks[t]
-		switch {
-		case task.State == jobs.Unplanned || task.State == jobs.Recovered || task.Stopping || task.NotBefore > now:
-			return nil
-		case task.State == jobs.Planned:
-			if !job.IsDurable(int32(t)) || f.machines[task.Machine].Condition != Ready {
-				return nil
-			}
-			planned++
-		case task.State.Occupies():
-			first = false
-		}
+	planned, mayStart := f.plannedGangTasks(now, job)
+	if !mayStart {
+		return nil
 	}
-	if first {
+	isFirst := job.TasksOnMachines() == 0
+	if isFirst {
 		if !f.mayStart(job, planned) {
 			return nil
 		}
-		job.GangAttempt = f.nextAttempt()
-		job.GangStartedAt, job.FetchS = now, 0
-		for t := range job.Tasks {
-			if task := &job.Tasks[t]; task.State == jobs.Planned {
-				job.FetchS = max(job.FetchS, f.fetchS(job, f.machines[task.Machine]))
-			}
-		}
+		f.beginGangStart(now, job)
 	}
-	// A task that has its image waits gang_wait_s for the others and then gives up, which
-	// costs the whole gang its start: where the image is at hand the launch is put off for
-	// as long as the others fetch it, less a good part of what the task may wait.
-	lead := job.FetchS - f.fetchS(job, machine) - f.Settings.Params.Workers.GangWaitS/4
-	if now < job.GangStartedAt+config.Seconds(lead) {
+	if now < job.GangStartedAt+f.gangLaunchDelay(machine, job) {
 		return nil
 	}
-	var out []Command
+	var commands []Command
 	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
 		if job.Tasks[taskIndex].State == jobs.Planned && f.mayLaunch(now, machine, job, taskIndex) {
 			f.dequeue(job, taskIndex)
-			out = append(out, f.launch(now, machine, job, taskIndex, job.GangAttempt))
+			commands = append(commands, f.launch(now, machine, job, taskIndex, job.GangAttempt))
 		}
 	}
-	if first && len(out) > 0 {
-		// The rest follows from other machines, some of it seconds later: nobody may take
-		// its place meanwhile.
+	if isFirst && len(commands) > 0 {
+		// The other tasks start on other machines, some of them seconds later: the quota and licences of all are taken now.
 		f.admitGang(now, job)
 	}
-	return out
+	return commands
+}
+
+// plannedGangTasks returns how many of a gang's tasks are planned and not launched. It is not ok if the gang can't start
+// now: a task has no durable plan on a ready machine, is about to stop, or has to pause.
+func (f *Fleet) plannedGangTasks(now time.Duration, job *jobs.Job) (planned int, ok bool) {
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
+		switch {
+		case task.State == jobs.Unplanned || task.State == jobs.Recovered || task.Stopping || task.NotBefore > now:
+			return 0, false
+		case task.State == jobs.Planned:
+			if !job.IsDurable(int32(t)) || f.machines[task.Machine].Condition != Ready {
+				return 0, false
+			}
+			planned++
+		}
+	}
+	return planned, true
+}
+
+// beginGangStart sets the attempt of a gang that is about to start and the longest download that one of its tasks needs.
+func (f *Fleet) beginGangStart(now time.Duration, job *jobs.Job) {
+	job.GangAttempt = f.nextAttempt()
+	job.GangStartedAt = now
+	job.FetchS = 0
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
+		if task.State == jobs.Planned {
+			job.FetchS = max(job.FetchS, f.fetchS(job, f.machines[task.Machine]))
+		}
+	}
+}
+
+// gangLaunchDelay returns by how much the launch of a gang's tasks on a machine is delayed. A task that has its image waits
+// gang_wait_s for the others and then gives up, which costs the whole gang its start. Where the image is at hand, the
+// launch therefore waits for as long as the others download it, less a quarter of what the task may wait.
+func (f *Fleet) gangLaunchDelay(machine *Machine, job *jobs.Job) time.Duration {
+	delayS := job.FetchS - f.fetchS(job, machine) - f.Settings.Params.Workers.GangWaitS/4
+	return config.Seconds(delayS)
 }
--- a/internal/fleet/zoneloss.go
+++ b/internal/fleet/zoneloss.go
@@ -1,6 +1,6 @@
 package fleet
 
-// What the loss of a zone would mean.
+// An estimate of what the loss of a zone would mean.
 
 import (
 	"cmp"
@@ -10,76 +10,113 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// ZoneLoss is what one class of one team would lose with a zone.
+// ZoneLoss is what the jobs of one class and team would lose with a zone.
 type ZoneLoss struct {
 	Class, Team int32
-	Tasks       int // on machines there
-	Fit         int // of them, room for which is free elsewhere now
-	Jobs        int
+	Tasks       int // on machines in the zone
+	Fit         int // how many of them have room elsewhere now
+	Jobs        int // with tasks in the zone
 }
 
-// EstimateZoneLoss says what would happen if a zone were lost now: in rank order, with gangs whole, as much as the free room
-// elsewhere takes. Nothing is changed by asking.
+// EstimateZoneLoss returns what the loss of a zone would mean now, by class and team. The tasks there are placed into the
+// free room elsewhere in priority order, gangs as a whole or not at all. It changes nothing.
 func (f *Fleet) EstimateZoneLoss(zone int32) []ZoneLoss {
-	free := map[*Machine]planner.Size{}
-	var hosts []*Machine
-	on := map[jobs.Index]int{}
+	estimate := f.newZoneLossEstimate(zone)
+	indices := make([]jobs.Index, 0, len(estimate.tasksInZone))
+	for jobIndex := range estimate.tasksInZone {
+		indices = append(indices, jobIndex)
+	}
+	f.sortIndicesByRank(indices)
+	for _, jobIndex := range indices {
+		job := f.jobAt(jobIndex)
+		if job.Spec != nil && !job.State.Terminal() {
+			estimate.add(job)
+		}
+	}
+	return estimate.sorted()
+}
+
+// zoneLossKey identifies a ZoneLoss.
+type zoneLossKey struct{ class, team int32 }
+
+// zoneLossEstimate is an EstimateZoneLoss in progress.
+type zoneLossEstimate struct {
+	tasksInZone map[jobs.Index]int
+	hosts       []*Machine // that could take tasks of the zone
+	free        map[*Machine]planner.Size
+	losses      map[zoneLossKey]*ZoneLoss
+}
+
+// newZoneLossEstimate counts the tasks in a zone and the free room elsewhere.
+func (f *Fleet) newZoneLossEstimate(zone int32) *zoneLossEstimate {
+	estimate := &zoneLossEstimate{
+		tasksInZone: map[jobs.Index]int{},
+		free:        map[*Machine]planner.Size{},
+		losses:      map[zoneLossKey]*ZoneLoss{},
+	}
 	for _, machine := range f.machines {
 		switch {
 		case machine.Zone == zone && machine.Condition != Terminated && machine.Condition != LeaseExpired:
-			for r := range machine.Tasks {
-				on[r.Job]++
+			for ref := range machine.Tasks {
+				estimate.tasksInZone[ref.Job]++
 			}
 		case machine.Condition == Ready && !machine.Returning && !machine.Quarantined:
-			hosts = append(hosts, machine)
-			free[machine] = machine.Free().Sub(machine.queuedNeed)
+			estimate.hosts = append(estimate.hosts, machine)
+			estimate.free[machine] = machine.Free().Sub(machine.queuedNeed)
 		}
 	}
-	type kind struct{ class, team int32 }
-	by := map[kind]*ZoneLoss{}
-	ixs := make([]jobs.Index, 0, len(on))
-	for jobIndex := range on {
-		ixs = append(ixs, jobIndex)
+	return estimate
+}
+
+// add adds a job with tasks in the zone.
+func (e *zoneLossEstimate) add(job *jobs.Job) {
+	key := zoneLossKey{job.Class, job.Team}
+	loss := e.losses[key]
+	if loss == nil {
+		loss = &ZoneLoss{Class: job.Class, Team: job.Team}
+		e.losses[key] = loss
 	}
-	f.sortIndicesByRank(ixs)
-	for _, jobIndex := range ixs {
-		job := f.jobAt(jobIndex)
-		if job.Spec == nil || job.State.Terminal() {
-			continue
+	count := e.tasksInZone[job.Index]
+	loss.Jobs++
+	loss.Tasks += count
+	loss.Fit += e.place(job, count)
+}
+
+// place takes the room for a number of a job's tasks and returns how many of them fit. A gang that loses a task starts
+// again as a whole; its other tasks free the room where they are, so room is needed only for those in the zone, and for
+// all of these.
+func (e *zoneLossEstimate) place(job *jobs.Job, count int) int {
+	size := job.Spec.Size()
+	var taken []*Machine // one entry for each task
+	for _, machine := range e.hosts {
+		if len(taken) == count {
+			break
 		}
-		k := kind{job.Class, job.Team}
-		l := by[k]
-		if l == nil {
-			l = &ZoneLoss{Class: job.Class, Team: job.Team}
-			by[k] = l
+		if !job.Allows(machine.Type, machine.Zone, machine.Spot) {
+			continue
 		}
-		l.Tasks += on[jobIndex]
-		l.Jobs++
-		// A gang that loses a task starts anew, all of it; the rest of it makes room where it is.
-		need := on[jobIndex]
-		size := job.Spec.Size()
-		var took []*Machine
-		for _, machine := range hosts {
-			for len(took) < need && job.Allows(machine.Type, machine.Zone, machine.Spot) && size.Fits(free[machine]) {
-				free[machine] = free[machine].Sub(size)
-				took = append(took, machine)
-			}
-			if len(took) == need {
-				break
-			}
+		for len(taken) < count && size.Fits(e.free[machine]) {
+			e.free[machine] = e.free[machine].Sub(size)
+			taken = append(taken, machine)
 		}
-		if job.Spec.Kind == jobs.Gang && len(took) < need {
-			for _, machine := range took {
-				free[machine] = free[machine].Add(size)
-			}
-			continue
+	}
+	if job.Spec.Kind == jobs.Gang && len(taken) < count {
+		for _, machine := range taken {
+			e.free[machine] = e.free[machine].Add(size)
 		}
-		l.Fit += len(took)
+		return 0
 	}
-	out := make([]ZoneLoss, 0, len(by))
-	for _, l := range by {
-		out = append(out, *l)
+	return len(taken)
+}
+
+// sorted returns the losses by class and team.
+func (e *zoneLossEstimate) sorted() []ZoneLoss {
+	losses := make([]ZoneLoss, 0, len(e.losses))
+	for _, loss := range e.losses {
+		losses = append(losses, *loss)
 	}
-	slices.SortFunc(out, func(a, b ZoneLoss) int { return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team)) })
-	return out
+	slices.SortFunc(losses, func(a, b ZoneLoss) int {
+		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Team, b.Team))
+	})
+	return losses
 }
