--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Crash loops and faulty machines. A job whose tasks fail on several machines is in a crash loop and is retried with a
-// growing back-off; a machine on which tasks of several jobs fail is faulty.
+// Crash loops and faulty machines. A job whose tasks fail on several machines is in a crash loop and is retried
+// with a growing back-off; a machine on which tasks of several jobs fail is faulty.
 
 import (
 	"log/slog"
@@ -41,7 +41,8 @@
 	maxBackoffShift = 10
 	// triesPerNewMachine is how many tries such a job has before one may go to a machine on which it has not failed.
 	triesPerNewMachine = 3
-	// healthyAfter is how long a replica of a service must run to show that its job is healthy, since it is never done.
+	// healthyAfter is how long a replica of a service must run to show that its job is healthy, since it is never
+	// done.
 	healthyAfter = 30 * time.Second
 	// faultyThreshold is on how many jobs in a row a machine must fail to be faulty.
 	faultyThreshold = 2
@@ -56,8 +57,8 @@
 	retryAt          time.Duration // when the next try is due, while it is in a crash loop
 }
 
-// setCrashLoopState changes a job's state. Nothing else writes crashLoop.state. The failures of a job in a crash loop do not
-// count against machines.
+// setCrashLoopState changes a job's state. Nothing else writes crashLoop.state. The failures of a job in a crash
+// loop do not count against machines.
 func (f *Fleet) setCrashLoopState(job *jobs.Job, loop *crashLoop, to CrashLoopState) {
 	slog.Info("crash loop state changed", "job", job.ID, "from", loop.state.String(), "to", to.String(),
 		"machines", len(loop.failedOn), "term", f.Term)
@@ -80,9 +81,9 @@
 	return nil
 }
 
-// inBackoff reports whether a job in a crash loop must not be planned now: until its pause is over and, unless it is a gang,
-// while one of its tasks is planned or on a machine. Thousands of tasks that fail together, each with its own pause, would
-// take the launches of all other jobs.
+// inBackoff reports whether a job in a crash loop must not be planned now: until its pause is over and, unless it
+// is a gang, while one of its tasks is planned or on a machine. Thousands of tasks that fail together, each with
+// its own pause, would take the launches of all other jobs.
 func (f *Fleet) inBackoff(now time.Duration, job *jobs.Job) bool {
 	loop := f.crashLooping(job)
 	if loop == nil {
@@ -172,8 +173,8 @@
 func (f *Fleet) beginBackoff(now time.Duration, job *jobs.Job, loop *crashLoop) {
 	loop.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(loop.tries, maxBackoffShift))
 	loop.tries++
-	// The job stays on the machines that have its image, so that it is not downloaded everywhere, except for a try now and
-	// then.
+	// The job stays on the machines that have its image, so that it is not downloaded everywhere, except for a try
+	// now and then.
 	clear(job.AvoidedMachines)
 	if loop.tries%triesPerNewMachine == 0 {
 		for _, machineIndex := range loop.failedOn {
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -73,16 +73,16 @@
 
 // Summary logs how full the fleet is, for operators who follow an incident.
 func (f *Fleet) Summary(now time.Duration) {
-	var acting, idle, spot, other, waiting int
+	var ready, idle, spot, notReady, waiting int
 	var size, use planner.Size
 	for _, machine := range f.machines {
 		switch machine.Condition {
 		case Terminated, LeaseExpired:
 			continue
 		case Ready:
-			acting++
+			ready++
 		default:
-			other++
+			notReady++
 		}
 		if machine.Spot {
 			spot++
@@ -105,11 +105,14 @@
 	}
 	sort.Strings(classes)
 	took := max(1, (now - max(f.activity.summarizedAt, f.termStartedAt)).Seconds())
-	reports, orders := float64(f.activity.heartbeats)/took, float64(f.activity.directRequests)/took
-	f.activity.heartbeats, f.activity.directRequests, f.activity.summarizedAt = 0, 0, now
-	slog.Info("fleet", "term", f.Term, "reports_s", int(reports), "orders_s", int(orders), "acting", acting, "other", other, "spot", spot, "idle", idle, "cpus", int(size.CPUs),
-		"cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs), "jobs", len(f.ranking.jobs), "waiting", waiting,
-		"by_class", strings.Join(classes, " "))
+	heartbeatRate := float64(f.activity.heartbeats) / took
+	directRequestRate := float64(f.activity.directRequests) / took
+	f.activity = activity{summarizedAt: now}
+	slog.Info("fleet summary", "term", f.Term,
+		"heartbeats_per_s", int(heartbeatRate), "direct_requests_per_s", int(directRequestRate),
+		"machines_ready", ready, "machines_not_ready", notReady, "machines_spot", spot, "machines_idle", idle,
+		"cpus", int(size.CPUs), "cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs),
+		"jobs", len(f.ranking.jobs), "tasks_waiting", waiting, "tasks_waiting_by_class", strings.Join(classes, " "))
 }
 
 // ImageGB is the mean size of the images that live jobs need.
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -19,8 +19,8 @@
 func (f *Fleet) dispatch(now time.Duration) {
 	for _, machine := range f.machines {
 		if f.MaxDirectRequests > 0 && f.directRequests >= f.MaxDirectRequests {
-			// The other tasks stay in their queues, since a launch that can't be sent now must not count as sent. Dispatch
-			// goes on with the next tick.
+			// The other tasks stay in their queues, since a launch that can't be sent now must not count as sent.
+			// Dispatch goes on with the next tick.
 			f.writer.planBecameDurable = true
 			return
 		}
@@ -38,7 +38,8 @@
 	}
 }
 
-// takesDirectCommands reports whether a machine has tasks to start or stop and a direct request can be sent to it now.
+// takesDirectCommands reports whether a machine has tasks to start or stop and a direct request can be sent to it
+// now.
 func (f *Fleet) takesDirectCommands(now time.Duration, machine *Machine) bool {
 	switch {
 	case machine.Condition != Ready || machine.Addr == "":
@@ -75,8 +76,8 @@
 	return commands
 }
 
-// sendDirect sends one direct request, of which the first commands are launches. While it has no response, the launches are
-// indeterminate.
+// sendDirect sends one direct request, of which the first commands are launches. While it has no response, the
+// launches are indeterminate.
 func (f *Fleet) sendDirect(now time.Duration, machine *Machine, commands []Command, launches int) {
 	machine.directInFlight = true
 	machine.dispatchedAt = now
@@ -101,7 +102,8 @@
 	launches     []taskAttempt
 }
 
-// handleDirectResponse handles the outcome of a direct request. The heartbeat is the response's body, nil if there is none.
+// handleDirectResponse handles the outcome of a direct request. The heartbeat is the response's body, nil if there
+// is none.
 func (f *Fleet) handleDirectResponse(request directRequest, heartbeat *Heartbeat, ok bool) {
 	machine := request.machine
 	machine.directInFlight = false
@@ -143,7 +145,7 @@
 			machine.indeterminateLaunches[launch] = struct{}{}
 		}
 	}
-	// The worker may have restarted before the request arrives. The lease of its new incarnation begins then, and what
-	// it starts counts that long.
+	// The worker may have restarted before the request arrives. The lease of its new incarnation begins then, and
+	// what it starts counts that long.
 	machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
 }
--- a/internal/fleet/env.go
+++ b/internal/fleet/env.go
@@ -43,15 +43,15 @@
 	Read func(key string, done func(store.Item, error))
 	// TxnOps bounds the operations of one transaction.
 	TxnOps int
-	// Limits returns what one transaction may hold now. That may be less than TxnOps, since the state service's limits
-	// may shrink. If nil, TxnOps and the settings apply.
+	// Limits returns what one transaction may hold now. That may be less than TxnOps, since the state service's
+	// limits may shrink. If nil, TxnOps and the settings apply.
 	Limits func() store.Limits
 	// PlansInPages reports whether plans are written into pages that many jobs share, as from level 2 of the stored
 	// state on. If nil, they are.
 	PlansInPages func() bool
 
-	// SendCommands sends commands directly to a machine. If ok is false, the outcome is indeterminate; the heartbeat is
-	// the body of the response, nil if there is none.
+	// SendCommands sends commands directly to a machine. If ok is false, the outcome is indeterminate; the
+	// heartbeat is the body of the response, nil if there is none.
 	SendCommands func(machine *Machine, commands DirectCommands, done func(heartbeat *Heartbeat, ok bool))
 	// MaxDirectRequests bounds the direct requests without a response yet; 0 means no bound.
 	MaxDirectRequests int
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,11 +1,11 @@
-// Package fleet is the leader's side of the machines and of the work on them. It owns each machine's condition, fencing
-// token, lease and agent session, the placement of tasks, and the durable plan that records a task's machine before the
-// task is launched there.
+// Package fleet is the leader's side of the machines and of the work on them. It owns each machine's condition,
+// fencing token, lease and agent session, the placement of tasks, and the durable plan that records a task's
+// machine before the task is launched there.
 //
 // A Fleet lives for one term of one controller, or of one shard's leader. The controller's event loop is its only
-// caller: heartbeats, changes of the job table, ticks and the outcomes of writes arrive there one after the other. The
-// package has no goroutine, clock, lock or I/O of its own. Writes, reads and direct commands leave through the functions
-// of Env, and time is an argument. The simulator and the tests drive it the same way.
+// caller: heartbeats, changes of the job table, ticks and the outcomes of writes arrive there one after the other.
+// The package has no goroutine, clock, lock or I/O of its own. Writes, reads and direct commands leave through the
+// functions of Env, and time is an argument. The simulator and the tests drive it the same way.
 //
 // What it never does:
 //   - launch a task whose machine is not in the durable plan, see startCommands and jobs.Job.IsDurable;
@@ -23,7 +23,7 @@
 //	reachability.go                           one-way reachability, stale copies and restarted workers
 //	lease.go, drain.go, dispatch.go           lease expiry and return; operators' drains; direct commands
 //	start.go, occupancy.go, images.go         which queued tasks start; what counts as on a machine; image cache hints
-//	crashloop.go, zoneloss.go, jobchange.go   crash loops and faulty machines; what-if of a zone; jobs that come and end
+//	crashloop.go, zoneloss.go, jobchange.go   crash loops, faulty machines; estimates; jobs that come and end
 //	cycle.go, priority.go, demand.go          the scheduling cycle, the priority order, the demand for machines
 //	array.go, gang.go, queues.go, steal.go    placement of job arrays and gangs; task queues and their balancing
 //	preempt.go, suspend.go, overload.go       preemption, suspended sessions, yielding between priorities
@@ -91,8 +91,8 @@
 	noMachineUntil map[jobs.Index]time.Duration  // arrays for which no machine was found: when to plan them again
 }
 
-// New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans it launches nothing and
-// accepts heartbeats only to register machines and to hand out its token.
+// New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans it launches
+// nothing and accepts heartbeats only to register machines and to hand out its token.
 func New(env Env, term uint64, now time.Duration) *Fleet {
 	f := &Fleet{
 		Env:            env,
@@ -123,7 +123,8 @@
 	return f
 }
 
-// StopStarting prevents all further launches in this term. Running tasks go on, and writes that are due are still sent.
+// StopStarting prevents all further launches in this term. Running tasks go on, and writes that are due are still
+// sent.
 func (f *Fleet) StopStarting() { f.startsStopped = true }
 
 // WriteInFlight reports whether a write has no outcome yet.
@@ -135,8 +136,8 @@
 // Machines returns all machines registered in this term, by index. The fleet owns the slice and the machines.
 func (f *Fleet) Machines() []*Machine { return f.machines }
 
-// checkTransition logs a change of state that the job's state machine does not allow: always a defect, never the result
-// of input.
+// checkTransition logs a change of state that the job's state machine does not allow: always a defect, never the
+// result of input.
 func (f *Fleet) checkTransition(err error) {
 	if err != nil {
 		slog.Error("state transition not allowed", "term", f.Term, "error", err)
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -24,16 +24,17 @@
 const (
 	// fromRequest is a worker's own request. It may be a delayed copy.
 	fromRequest heartbeatOrigin = iota
-	// fromResponse is the body of a response to a direct command. It may have been made while a response to an earlier
-	// request of the worker was in flight, and it proves nothing about whether the worker's own requests arrive.
+	// fromResponse is the body of a response to a direct command. It may have been made while a response to an
+	// earlier request of the worker was in flight, and it proves nothing about whether the worker's own requests
+	// arrive.
 	fromResponse
 	// fromRestartedWorker is the same, of a worker that has certainly restarted since its last heartbeat.
 	fromRestartedWorker
 )
 
-// HandleHeartbeat applies a heartbeat that came as a worker's request and returns the response to it, which is only valid
-// with the result Accepted. The caller has checked that this controller has authority; each accepted heartbeat extends the
-// worker's lease.
+// HandleHeartbeat applies a heartbeat that came as a worker's request and returns the response to it, which is only
+// valid with the result Accepted. The caller has checked that this controller has authority; each accepted
+// heartbeat extends the worker's lease.
 func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	f.activity.heartbeats++
 	machine, result := f.acceptHeartbeat(now, heartbeat, fromRequest)
@@ -65,11 +66,11 @@
 	return response
 }
 
-// stopCancelled returns stop commands for the listed tasks of cancelled jobs; it is never nil. Every response extends the
-// worker's lease, whether or not its machine is ever in contact again, so none may go out without these commands, not even
-// a new leader's first one, before the machine has seen its token. Otherwise a machine whose last contact falls at the very
-// end of a partition would run cancelled work for a lease longer than cancel_s allows. A cancellation is final, so the
-// command is never wrong.
+// stopCancelled returns stop commands for the listed tasks of cancelled jobs; it is never nil. Every response
+// extends the worker's lease, whether or not its machine is ever in contact again, so none may go out without these
+// commands, not even a new leader's first one, before the machine has seen its token. Otherwise a machine whose
+// last contact falls at the very end of a partition would run cancelled work for a lease longer than cancel_s
+// allows. A cancellation is final, so the command is never wrong.
 func (f *Fleet) stopCancelled(heartbeat *Heartbeat) []Command {
 	commands := []Command{}
 	for i := range heartbeat.Tasks {
@@ -110,8 +111,8 @@
 		return machine, Accepted
 	}
 	if origin == fromRequest {
-		// A machine that responds to direct commands while its own heartbeats do not arrive dies with its lease: only a
-		// heartbeat counts as contact.
+		// A machine that responds to direct commands while its own heartbeats do not arrive dies with its lease:
+		// only a heartbeat counts as contact.
 		f.recordContact(now, machine)
 	}
 	if machine.fencing {
@@ -129,8 +130,9 @@
 	return heartbeat.Token >= machine.Token && f.plansLoaded
 }
 
-// checkIncarnation decides whether a heartbeat is certainly of the worker's present incarnation. If not, it has no effect on
-// the machine, and the result is what HandleHeartbeat returns or, if Accepted, responds to with nothing but the token.
+// checkIncarnation decides whether a heartbeat is certainly of the worker's present incarnation. If not, it has no
+// effect on the machine, and the result is what HandleHeartbeat returns or, if Accepted, responds to with nothing
+// but the token.
 func (f *Fleet) checkIncarnation(machine *Machine, heartbeat *Heartbeat) (isCurrent bool, result HeartbeatResult) {
 	isStale := machine.mayBeStaleCopy(heartbeat)
 	isChallenged := machine.reachability.challengeToken != 0
@@ -151,8 +153,8 @@
 	return true, Accepted
 }
 
-// updateSession records the session, sequence and details of a current heartbeat. With a new session, everything that was
-// sent to the former one is void.
+// updateSession records the session, sequence and details of a current heartbeat. With a new session, everything
+// that was sent to the former one is void.
 func (f *Fleet) updateSession(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	isNewer := heartbeat.Session > machine.Session
 	// Its lease ran out although its heartbeats were answered.
@@ -161,8 +163,8 @@
 		// Direct commands name their session: the worker refuses those of the former one.
 		f.clearIndeterminateLaunches(machine)
 		f.handleWorkerRestart(now, machine)
-		// The lease of a session counts from its beginning, even if none of its heartbeats was ever answered: a direct
-		// launch may run that long.
+		// The lease of a session counts from its beginning, even if none of its heartbeats was ever answered: a
+		// direct launch may run that long.
 		machine.LastAnsweredAt = now
 	}
 	f.SetMachineDetails(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
@@ -179,16 +181,17 @@
 	f.checkTokenTimeout(now, machine, heartbeat)
 }
 
-// acceptUnfenced records contact with a machine whose heartbeat is below its token. A command of a former leader may still
-// arrive there, so nothing else follows: the response carries the token, and the next heartbeat returns it.
+// acceptUnfenced records contact with a machine whose heartbeat is below its token. A command of a former leader
+// may still arrive there, so nothing else follows: the response carries the token, and the next heartbeat returns
+// it.
 func (f *Fleet) acceptUnfenced(now time.Duration, machine *Machine, origin heartbeatOrigin) {
 	if origin != fromRequest {
 		return
 	}
 	machine.LastHeartbeatAt = now
 	if machine.Condition == OneWayUnreachable || machine.Condition == LeaseExpired {
-		// It must confirm first that responses reach it. Otherwise a zone of machines that are unreachable one way would
-		// count as recovered with each of their new sessions, and more machines would be rented there.
+		// It must confirm first that responses reach it. Otherwise a zone of machines that are unreachable one way
+		// would count as recovered with each of their new sessions, and more machines would be rented there.
 		return
 	}
 	f.recordContact(now, machine)
@@ -206,7 +209,7 @@
 	return true
 }
 
-// recordContact records that messages reach the machine and come back. It is not called for a machine that is
+// recordContact records the heartbeat of a machine that counts as in contact. It is not called for one that is
 // unreachable one way, since nothing can be done with it.
 func (f *Fleet) recordContact(now time.Duration, machine *Machine) {
 	machine.LastHeardAt = now
@@ -215,8 +218,8 @@
 	f.LastHeartbeat = now
 }
 
-// updateCondition changes a machine's condition after a fenced heartbeat: a reclaim notice stops new launches, otherwise
-// the machine is ready.
+// updateCondition changes a machine's condition after a fenced heartbeat: a reclaim notice stops new launches,
+// otherwise the machine is ready.
 func (f *Fleet) updateCondition(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	if machine.Returning {
 		return
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -15,7 +15,8 @@
 	gb    float64
 }
 
-// HasImage reports whether an image is probably in the machine's cache. The cache is inferred from the tasks sent there.
+// HasImage reports whether an image is probably in the machine's cache. The cache is inferred from the tasks sent
+// there.
 func (m *Machine) HasImage(image int32) bool {
 	for _, c := range m.cachedImages {
 		if c.image == image {
@@ -25,8 +26,8 @@
 	return false
 }
 
-// touchImage records the use of an image, and drops the least recently used ones that no longer fit a cache of cacheGB; 0
-// means no bound.
+// touchImage records the use of an image, and drops the least recently used ones that no longer fit a cache of
+// cacheGB; 0 means no bound.
 func (m *Machine) touchImage(image int32, gb, cacheGB float64) {
 	for i, c := range m.cachedImages {
 		if c.image == image {
@@ -45,17 +46,19 @@
 	}
 }
 
-// imageHintsPrefix is the prefix of the keys that keep the inferred caches for the next leader. They are hints: a wrong or
-// lost one costs a download, so their writes have no condition but the leader's.
+// imageHintsPrefix is the prefix of the keys that keep the inferred caches for the next leader. They are hints: a
+// wrong or lost one costs a download, so their writes have no condition but the leader's.
 const imageHintsPrefix = jobs.PlanPrefix + "images"
 
 // imageHintsInterval is the least time between two writes of hints.
 const imageHintsInterval = 4 * time.Second
 
-// hintShardMachines is how many machines share one key: the hints of a large fleet exceed the size limit of one value.
+// hintShardMachines is how many machines share one key: the hints of a large fleet exceed the size limit of one
+// value.
 const hintShardMachines = 128
 
-// imageHintRecord is the stored form. Machines refer to images by their position in Images, least recently used first.
+// imageHintRecord is the stored form. Machines refer to images by their position in Images, least recently used
+// first.
 type imageHintRecord struct {
 	Images   []string           `json:"images"`
 	GB       []float64          `json:"gb"`
@@ -146,8 +149,8 @@
 	}
 }
 
-// loadImageHints loads a shard of the hints that an earlier leader wrote. A record that cannot be decoded is ignored, like
-// references to images that it lacks.
+// loadImageHints loads a shard of the hints that an earlier leader wrote. A record that cannot be decoded is
+// ignored, like references to images that it lacks.
 func (f *Fleet) loadImageHints(item store.Item) {
 	var record imageHintRecord
 	if json.Unmarshal(item.Value, &record) != nil || len(record.GB) != len(record.Images) {
@@ -166,9 +169,9 @@
 }
 
 // dropUnfetchedImage removes an image from a machine's inferred cache after the last task there that waited for its
-// download has ended: the worker then gives the download up. Otherwise a gang would be started again and again, all tasks
-// at once, because of a machine that is believed to have an image whose download never completed, while the other
-// tasks wait for a shorter time than the download takes.
+// download has ended: the worker then gives the download up. Otherwise a gang would be started again and again, all
+// tasks at once, because of a machine that is believed to have an image whose download never completed, while the
+// other tasks wait for a shorter time than the download takes.
 func (f *Fleet) dropUnfetchedImage(machine *Machine, image int32) {
 	for ref := range machine.Tasks {
 		if f.jobAt(ref.Job).Image == image {
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// HandleJobChange applies a change in the job table: the tasks of a new job are opened for planning, those of a job that
-// has ended are stopped. Before the plans are loaded it does nothing, since LoadPlans reads the whole table.
+// HandleJobChange applies a change in the job table: the tasks of a new job are opened for planning, those of a job
+// that has ended are stopped. Before the plans are loaded it does nothing, since LoadPlans reads the whole table.
 func (f *Fleet) HandleJobChange(now time.Duration, job *jobs.Job) {
 	switch {
 	case !f.plansLoaded:
@@ -84,8 +84,8 @@
 	f.Events.Add(events.Event{At: now, Kind: kind, Job: job.ID, Task: events.None, Machine: events.None})
 }
 
-// addTaskEvent records an event of one task; the note holds its details.
-func (f *Fleet) addTaskEvent(now time.Duration, kind events.Kind, job *jobs.Job, taskIndex int32, note string) {
+// addTaskEvent records an event of one task.
+func (f *Fleet) addTaskEvent(now time.Duration, kind events.Kind, job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	f.Events.Add(events.Event{
 		At:      now,
@@ -94,6 +94,5 @@
 		Task:    taskIndex,
 		Machine: task.Machine,
 		Attempt: task.Attempt,
-		Note:    note,
 	})
 }
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -17,8 +17,9 @@
 	leaseExpiryMargin = time.Second
 )
 
-// expireLeases releases the tasks of machines whose workers' leases have certainly run out. A worker counts its lease from
-// when it sent its last answered heartbeat, which was before the response, on a clock that may be slow by the drift bound.
+// expireLeases releases the tasks of machines whose workers' leases have certainly run out. A worker counts its
+// lease from when it sent its last answered heartbeat, which was before the response, on a clock that may be slow
+// by the drift bound.
 func (f *Fleet) expireLeases(now time.Duration) {
 	lease := f.Settings.Lease()
 	limit := lease + lease/clockDriftBound + leaseExpiryMargin
@@ -33,8 +34,9 @@
 	}
 }
 
-// Quarantine stops planning on a ready machine whose zone is lost and that is not in contact. Tasks that are queued there
-// are planned elsewhere; what may run there counts as before. The machine's next heartbeat ends the quarantine.
+// Quarantine stops planning on a ready machine whose zone is lost and that is not in contact. Tasks that are queued
+// there are planned elsewhere; what may run there counts as before. The machine's next heartbeat ends the
+// quarantine.
 func (f *Fleet) Quarantine(machine *Machine) {
 	if machine.Quarantined || machine.Condition != Ready {
 		return
@@ -67,7 +69,7 @@
 	sortRefs(refs)
 	for _, ref := range refs {
 		job := f.jobAt(ref.Job)
-		f.addTaskEvent(now, events.TaskLost, job, ref.Task, "")
+		f.addTaskEvent(now, events.TaskLost, job, ref.Task)
 		f.release(now, job, ref.Task, jobs.Unplanned, licences.Crashed)
 		if !job.State.Terminal() {
 			job.MarkDirty(ref.Task, false, now)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -16,8 +16,10 @@
 // The conditions of a machine and their transitions.
 //
 //	Registered        -> Ready              a heartbeat at the leader's token was accepted
-//	Ready             -> ReclaimNoticed     the cloud announced a reclaim, or the machine is being returned: no new launches
-//	ReclaimNoticed    -> Registered         a drain was cancelled before the machine was returned
+//	any               -> ReclaimNoticed     a fenced heartbeat has a reclaim notice: no launches
+//	Ready             -> ReclaimNoticed     the machine is being returned: no launches
+//	ReclaimNoticed    -> Ready              a fenced heartbeat has no reclaim notice any more
+//	ReclaimNoticed    -> Registered         a drain request was withdrawn before the machine was returned
 //	Registered, Ready -> OneWayUnreachable  its heartbeats arrive, but nothing in them confirms that responses do
 //	OneWayUnreachable -> Ready              a heartbeat at the raised token was accepted
 //	any               -> LeaseExpired       its worker's lease has certainly run out
@@ -67,15 +69,15 @@
 	Spot      bool
 	Condition Condition
 
-	// Token is the fencing token: the leader's term in the high bits and, in the low tokenBits, how often the token was
-	// raised in this term against launches of this leader that may arrive late.
+	// Token is the fencing token: the leader's term in the high bits and, in the low tokenBits, how often the token
+	// was raised in this term against launches of this leader that may arrive late.
 	Token        uint64
 	Session, Seq uint64 // of the latest accepted heartbeat
 
 	FirstSeenAt     time.Duration // when it was registered
-	LastHeardAt     time.Duration // last accepted heartbeat that proves contact in both directions
+	LastHeardAt     time.Duration // last accepted heartbeat that counts as contact, see recordContact
 	LastHeartbeatAt time.Duration // last accepted heartbeat
-	LastAnsweredAt  time.Duration // last 200 that any leader may have sent: the worker's lease counts from there at the latest
+	LastAnsweredAt  time.Duration // last 200 that any leader may have sent; the worker's lease began no later
 	UpSince         time.Duration // when it first became Ready; 0 before
 	ReclaimAt       time.Duration // when the cloud takes it, while ReclaimNoticed
 	IdleSince       time.Duration // when its last task went or came
@@ -88,7 +90,8 @@
 	Used     planner.Size // by tasks that may be here
 	Tasks    map[TaskRef]struct{}
 
-	// The planned tasks that wait here for their launch, by job, kept in step by Fleet.enqueue and Fleet.removeQueued.
+	// The planned tasks that wait here for their launch, by job, kept in step by Fleet.enqueue and
+	// Fleet.removeQueued.
 	queues              []taskQueue
 	QueuedTasks         int          // their number
 	queuedNeed          planner.Size // what they need together
@@ -108,7 +111,8 @@
 	dispatchedAt   time.Duration
 	hasStops       bool // some task here may need a stop by a direct command
 	fencing        bool // the token was raised and no heartbeat has carried it yet
-	// indeterminateLaunches holds the attempts whose direct launch was not confirmed and may still arrive in this session.
+	// indeterminateLaunches holds the attempts whose direct launch was not confirmed and may still arrive in this
+	// session.
 	indeterminateLaunches map[taskAttempt]struct{}
 	reachability          reachability
 
@@ -138,7 +142,8 @@
 	return nil
 }
 
-// setQueue replaces the queue of a job; an empty queue is removed. It does not update the sums, see Fleet.removeQueued.
+// setQueue replaces the queue of a job; an empty queue is removed. It does not update the sums, see
+// Fleet.removeQueued.
 func (m *Machine) setQueue(jobIndex jobs.Index, tasks []int32) {
 	for i := range m.queues {
 		if m.queues[i].job != jobIndex {
@@ -163,8 +168,8 @@
 }
 
 // raiseTokenIfIndeterminate raises the machine's token if direct launches are indeterminate: once a heartbeat
-// carries the new token, they can no longer be executed. Otherwise a launch that never arrived would count against its
-// team until the worker's session ends.
+// carries the new token, they can no longer be executed. Otherwise a launch that never arrived would count against
+// its team until the worker's session ends.
 func (m *Machine) raiseTokenIfIndeterminate() {
 	if len(m.indeterminateLaunches) > 0 && !m.directInFlight && !m.fencing {
 		m.Token++
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// The types in this file are the protocol's messages. Their Go names are the field's terms; the tags hold the names on the
-// wire. Nothing else in the package depends on the latter.
+// The types in this file are the protocol's messages. Their Go names are the field's terms; the tags hold the names
+// on the wire. Nothing else in the package depends on the latter.
 
 // Heartbeat is a worker's heartbeat with the status of its machine and tasks.
 type Heartbeat struct {
@@ -20,10 +20,10 @@
 	Type    string       `json:"build"`
 	Zone    string       `json:"meadow"`
 	Spot    bool         `json:"stray"`
-	Session uint64       `json:"run"`       // begins at 1 with the worker's incarnation, one more after each lease that ran out
+	Session uint64       `json:"run"`       // 1 in a new incarnation of the worker, one more after each expired lease
 	Seq     uint64       `json:"tally"`     // counts heartbeats within an incarnation
 	Token   uint64       `json:"mark"`      // the highest fencing token that the worker has received
-	NoticeS *float64     `json:"warning_s"` // seconds until the cloud reclaims the machine; nil if that is not announced
+	NoticeS *float64     `json:"warning_s"` // seconds until the cloud reclaims the machine; nil if unannounced
 	Tasks   []TaskReport `json:"hops"`
 }
 
@@ -52,7 +52,8 @@
 	taskExited   = "exited"
 )
 
-// taskPhase returns the phase of a task that a worker lists in a state, NoPhase if the state is not one of a live task.
+// taskPhase returns the phase of a task that a worker lists in a state, NoPhase if the state is not one of a live
+// task.
 func taskPhase(state string) jobs.Phase {
 	switch state {
 	case taskFetching:
@@ -113,8 +114,8 @@
 	Commands []Command `json:"calls"`
 }
 
-// DirectCommands is the request by which a leader sends commands without waiting for a heartbeat. The worker refuses one
-// for another session or below its highest token.
+// DirectCommands is the request by which a leader sends commands without waiting for a heartbeat. The worker
+// refuses one for another session or below its highest token.
 type DirectCommands struct {
 	Token    uint64    `json:"mark"`
 	Session  uint64    `json:"run"`
@@ -124,13 +125,15 @@
 // maxMachineNameBytes bounds the name of a machine in a heartbeat.
 const maxMachineNameBytes = 200
 
-// errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or has an overlong name.
+// errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or has an overlong
+// name.
 var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field")
 
-// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not valid JSON for it or lacks a required field.
+// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not valid JSON for it or lacks a required
+// field.
 //
-// It is the hottest decoder of a leader: with encoding/json it took a quarter of its processor time. This is the second
-// version of that package, as a module of its own until the standard library has it.
+// It is the hottest decoder of a leader: with encoding/json it took a quarter of its processor time. This is the
+// second version of that package, as a module of its own until the standard library has it.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	heartbeat := &Heartbeat{}
 	if err := json.Unmarshal(body, heartbeat); err != nil {
@@ -151,7 +154,8 @@
 	return job.ID + "/" + strconv.Itoa(int(taskIndex))
 }
 
-// parseTaskName splits a task's name into its job's id and its index. It is not ok if the name is not of taskName's form.
+// parseTaskName splits a task's name into its job's id and its index. It is not ok if the name is not of taskName's
+// form.
 func parseTaskName(name string) (job string, taskIndex int32, ok bool) {
 	job, digits, ok := strings.Cut(name, "/")
 	if !ok {
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -9,8 +9,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Which tasks count as on a machine. From its launch on a task counts there, in the room that it takes, its team's quota, its
-// licences and its zone, until release is called with proof that it is gone.
+// Which tasks count as on a machine. From its launch on a task counts there, in the room that it takes, its team's
+// quota, its licences and its zone, until release is called with proof that it is gone.
 
 // setOnMachine changes a task's state to one that counts as on its machine.
 func (f *Fleet) setOnMachine(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState) {
@@ -30,7 +30,7 @@
 	if to == jobs.Launched {
 		kind = events.TaskSent
 	}
-	f.addTaskEvent(now, kind, job, taskIndex, "")
+	f.addTaskEvent(now, kind, job, taskIndex)
 	job.TasksByZone[machine.Zone]++
 	if machineType := f.machineType(machine); machineType != nil {
 		if !machine.HasImage(job.Image) {
@@ -47,7 +47,7 @@
 	task := &job.Tasks[taskIndex]
 	if to != jobs.Finished && (job.GangDone || task.Done) {
 		to = jobs.Finished
-		f.addTaskEvent(now, events.TaskDone, job, taskIndex, "")
+		f.addTaskEvent(now, events.TaskDone, job, taskIndex)
 	}
 	if !task.State.Occupies() {
 		f.checkTransition(job.SetTaskState(taskIndex, to))
@@ -81,7 +81,7 @@
 func (f *Fleet) stopTask(job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if !task.Stopping {
-		f.addTaskEvent(f.Now(), events.TaskStopping, job, taskIndex, "")
+		f.addTaskEvent(f.Now(), events.TaskStopping, job, taskIndex)
 	}
 	task.Stopping = true
 	if task.Machine != jobs.None {
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -1,8 +1,8 @@
 package fleet
 
-// Reachability in both directions, stale copies of heartbeats, and restarted workers. A heartbeat that arrives proves that it
-// was sent. Only what later heartbeats contain proves that a response or command arrived: the raised token, a launched
-// task, or the lack of a forgotten one.
+// Reachability in both directions, stale copies of heartbeats, and restarted workers. A heartbeat that arrives
+// proves that it was sent. Only what later heartbeats contain proves that a response or command arrived: the raised
+// token, a launched task, or the lack of a forgotten one.
 
 import (
 	"log/slog"
@@ -21,7 +21,8 @@
 const (
 	// reachabilityMargin is what ReachabilityTimeout allows for transmission and processing.
 	reachabilityMargin = 500 * time.Millisecond
-	// slowestHeartbeat is the longest interval between two heartbeats of a worker in contact, in terms of the nominal one.
+	// slowestHeartbeat is the longest interval between two heartbeats of a worker in contact, in terms of the nominal
+	// one.
 	slowestHeartbeat = 1.25
 	// overdueHeartbeat is the interval, in the same terms, after which a heartbeat counts as missed.
 	overdueHeartbeat = 1.6
@@ -31,15 +32,16 @@
 type reachability struct {
 	// unconfirmedSince is when the first response was sent whose arrival is not confirmed; 0: all are.
 	unconfirmedSince time.Duration
-	// unconfirmedCommand is a command of the last response, whose effect the next heartbeat must show; its Op is "" if none is.
+	// unconfirmedCommand is a command of the last response, whose effect the next heartbeat must show; its Op is ""
+	// if none is.
 	unconfirmedCommand Command
-	// highestToken is the highest token in any heartbeat of the worker's present incarnation, which never returns to a
-	// lower one.
+	// highestToken is the highest token in any heartbeat of the worker's present incarnation, which never returns
+	// to a lower one.
 	highestToken uint64
 	// expiredSession is the last session whose lease has certainly run out.
 	expiredSession uint64
-	// challengeToken is the token that was raised to tell the heartbeats of a restarted worker from delayed copies of its
-	// former incarnation's, none of which can carry it. 0: there is no challenge, or it was answered.
+	// challengeToken is the token that was raised to tell the heartbeats of a restarted worker from delayed copies of
+	// its former incarnation's, none of which can carry it. 0: there is no challenge, or it was answered.
 	challengeToken uint64
 	challengedAt   time.Duration
 	// challengeUnsent is set while no response has carried the challenge of a worker that has certainly restarted.
@@ -52,8 +54,8 @@
 	r.unconfirmedCommand = Command{}
 }
 
-// ReachabilityTimeout returns by when a heartbeat must have confirmed a response. A worker that misses one response waits
-// for it, tries another controller, is redirected, and sends one more heartbeat.
+// ReachabilityTimeout returns by when a heartbeat must have confirmed a response. A worker that misses one response
+// waits for it, tries another controller, is redirected, and sends one more heartbeat.
 func (f *Fleet) ReachabilityTimeout() time.Duration {
 	interval := config.Seconds(slowestHeartbeat * f.Settings.Params.Workers.ReportS)
 	return workerResponseTimeout + workerRetryDelay + interval + reachabilityMargin
@@ -64,8 +66,8 @@
 	return config.Seconds(overdueHeartbeat * f.Settings.Params.Workers.ReportS)
 }
 
-// confirmsLastResponse reports whether a fenced heartbeat of the present session is consistent with its machine having
-// received the response before. If it was not for too long, the machine becomes OneWayUnreachable.
+// confirmsLastResponse reports whether a fenced heartbeat of the present session is consistent with its machine
+// having received the response before. If it was not for too long, the machine becomes OneWayUnreachable.
 func (f *Fleet) confirmsLastResponse(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
 	state := &machine.reachability
 	if state.unconfirmedCommand.Op == "" || heartbeat.showsEffectOf(state.unconfirmedCommand) {
@@ -105,8 +107,9 @@
 	}
 }
 
-// markOneWayUnreachable quarantines a machine whose heartbeats arrive while nothing confirms that responses do. Its token is
-// raised, so that the first heartbeat that carries it proves contact again. What may be on it counts as before.
+// markOneWayUnreachable quarantines a machine whose heartbeats arrive while nothing confirms that responses do. Its
+// token is raised, so that the first heartbeat that carries it proves contact again. What may be on it counts as
+// before.
 func (f *Fleet) markOneWayUnreachable(now time.Duration, machine *Machine, cause string) {
 	if machine.Condition != Ready && machine.Condition != Registered {
 		return
@@ -121,8 +124,8 @@
 	f.clearQueues(machine)
 }
 
-// checkTokenTimeout marks a machine as unreachable one way if a token was sent to it for longer than a heartbeat takes to
-// return it.
+// checkTokenTimeout marks a machine as unreachable one way if a token was sent to it for longer than a heartbeat
+// takes to return it.
 func (f *Fleet) checkTokenTimeout(now time.Duration, machine *Machine, heartbeat *Heartbeat) {
 	since := machine.reachability.unconfirmedSince
 	if heartbeat.Token < machine.Token && since > 0 && now-since > f.ReachabilityTimeout() {
@@ -130,10 +133,10 @@
 	}
 }
 
-// mayBeStaleCopy reports whether a heartbeat may be a delayed copy: not newer than an accepted one, of a session whose
-// lease has certainly run out, or at a token below one that its machine has returned, whatever its session. Such a
-// heartbeat must have no effect: a copy from a former incarnation's higher session would otherwise release launches of the
-// present one.
+// mayBeStaleCopy reports whether a heartbeat may be a delayed copy: not newer than an accepted one, of a session
+// whose lease has certainly run out, or at a token below one that its machine has returned, whatever its session.
+// Such a heartbeat must have no effect: a copy from a former incarnation's higher session would otherwise release
+// launches of the present one.
 func (m *Machine) mayBeStaleCopy(heartbeat *Heartbeat) bool {
 	switch {
 	case heartbeat.Token < m.reachability.highestToken:
@@ -146,15 +149,15 @@
 	return heartbeat.Session <= m.reachability.expiredSession
 }
 
-// answersChallenge reports whether a heartbeat carries the token of the machine's challenge. Then it was made after the
-// challenge, whatever its session and sequence number.
+// answersChallenge reports whether a heartbeat carries the token of the machine's challenge. Then it was made after
+// the challenge, whatever its session and sequence number.
 func (m *Machine) answersChallenge(heartbeat *Heartbeat) bool {
 	return m.reachability.challengeToken != 0 && heartbeat.Token >= m.reachability.challengeToken
 }
 
-// challenge raises a machine's token so that heartbeats of its worker's present incarnation can be told from those of all
-// former ones, which have ended and can never receive it. A token that was sent earlier would not do: an incarnation that
-// has ended since may have received it, and its last heartbeat may still arrive.
+// challenge raises a machine's token so that heartbeats of its worker's present incarnation can be told from those
+// of all former ones, which have ended and can never receive it. A token that was sent earlier would not do: an
+// incarnation that has ended since may have received it, and its last heartbeat may still arrive.
 func (f *Fleet) challenge(now time.Duration, machine *Machine) {
 	machine.Token++
 	machine.fencing = true
@@ -164,12 +167,13 @@
 	machine.LastAnsweredAt = now
 }
 
-// challengeStale decides whether a heartbeat with the result Stale is answered with a raised token and nothing else, so that
-// a worker that has restarted can prove its incarnation. The challenge is made if it is not under way already.
+// challengeStale decides whether a heartbeat with the result Stale is answered with a raised token and nothing
+// else, so that a worker that has restarted can prove its incarnation. The challenge is made if it is not under way
+// already.
 //
-// A challenge extends how long the tasks on the machine count. Where there are any, only a heartbeat that can't be a copy from
-// the midst of the present incarnation justifies it: one without tasks, below the highest token. A machine in contact needs
-// none.
+// A challenge extends how long the tasks on the machine count. Where there are any, only a heartbeat that can't be
+// a copy from the midst of the present incarnation justifies it: one without tasks, below the highest token. A
+// machine in contact needs none.
 func (f *Fleet) challengeStale(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
 	state := &machine.reachability
 	if !f.plansLoaded || machine.Condition == Terminated {
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -22,8 +22,8 @@
 	refusedRetryDelay = 2 * time.Second
 )
 
-// reconcileTasks compares the tasks that a fenced heartbeat lists with those that count as on the machine, and updates the
-// latter. It leaves the listed live tasks in scratch.listedTasks for buildCommands.
+// reconcileTasks compares the tasks that a fenced heartbeat lists with those that count as on the machine, and
+// updates the latter. It leaves the listed live tasks in scratch.listedTasks for buildCommands.
 func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	f.resolveTaskReports(heartbeat)
 	for i := range heartbeat.Tasks {
@@ -49,8 +49,8 @@
 	}
 }
 
-// resolveTaskReports looks up the tasks that a heartbeat lists and collects the live ones in scratch.listedTasks. All are
-// collected before any is reconciled, since a refused attempt may be listed beside the one that runs.
+// resolveTaskReports looks up the tasks that a heartbeat lists and collects the live ones in scratch.listedTasks.
+// All are collected before any is reconciled, since a refused attempt may be listed beside the one that runs.
 func (f *Fleet) resolveTaskReports(heartbeat *Heartbeat) {
 	clear(f.scratch.listedTasks)
 	for i := range heartbeat.Tasks {
@@ -141,7 +141,7 @@
 	}
 	if phase == jobs.Running {
 		task.RunningSince = now
-		f.addTaskEvent(now, events.TaskRunning, job, taskIndex, "")
+		f.addTaskEvent(now, events.TaskRunning, job, taskIndex)
 	}
 	job.SetTaskPhase(taskIndex, phase)
 	machine.endsValid = false
@@ -191,8 +191,8 @@
 	}
 }
 
-// reconcileFailedTask releases a task whose present attempt ended without success, and sets when and where it may be tried
-// again.
+// reconcileFailedTask releases a task whose present attempt ended without success, and sets when and where it may
+// be tried again.
 func (f *Fleet) reconcileFailedTask(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
@@ -233,9 +233,9 @@
 	}
 }
 
-// finishGang finishes all tasks of a gang of which one is done. Those that may still be on a machine count there until they
-// are proven to be gone: a task that is started again after its gang was done is on its machine for a moment before it
-// exits.
+// finishGang finishes all tasks of a gang of which one is done. Those that may still be on a machine count there
+// until they are proven to be gone: a task that is started again after its gang was done is on its machine for a
+// moment before it exits.
 func (f *Fleet) finishGang(now time.Duration, job *jobs.Job) {
 	job.GangDone = true
 	for t := range job.Tasks {
@@ -245,7 +245,8 @@
 	}
 }
 
-// finishTask records that a task is done. The machine is the one whose heartbeat listed its exit, nil if there was none.
+// finishTask records that a task is done. The machine is the one whose heartbeat listed its exit, nil if there was
+// none.
 func (f *Fleet) finishTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if task.State == jobs.Finished {
@@ -258,7 +259,7 @@
 	if task.State == jobs.Planned {
 		f.dequeue(job, taskIndex)
 	}
-	f.addTaskEvent(now, events.TaskDone, job, taskIndex, "")
+	f.addTaskEvent(now, events.TaskDone, job, taskIndex)
 	f.release(now, job, taskIndex, jobs.Finished, licences.Clean)
 	job.MarkDirty(taskIndex, false, now)
 	if job.FinishedTasks == job.TaskCount {
@@ -277,7 +278,8 @@
 	maxSlowdownSample = 6.0
 )
 
-// recordRunTime updates the estimate of a job's class and the slowdown of a machine by the run time of a task in seconds.
+// recordRunTime updates the estimate of a job's class and the slowdown of a machine by the run time of a task in
+// seconds.
 func (f *Fleet) recordRunTime(job *jobs.Job, machine *Machine, ranS float64, neverFailed bool) {
 	spec := job.Spec
 	if spec.EstimateS <= 0 || ranS < minMeasuredRunS || !neverFailed {
@@ -302,9 +304,9 @@
 	job := f.jobAt(ref.Job)
 	switch task := &job.Tasks[ref.Task]; task.State {
 	case jobs.Launched:
-		// Its launch was sent directly, or in a response that is still in flight (the heartbeat in a direct response is no
-		// evidence of that), or in one that the worker dropped. Only in the last case is it certain that it will not start;
-		// then buildCommands sends it again, unless it is not wanted any more.
+		// Its launch was sent directly, or in a response that is still in flight (the heartbeat in a direct
+		// response is no evidence of that), or in one that the worker dropped. Only in the last case is it certain
+		// that it will not start; then buildCommands sends it again, unless it is not wanted any more.
 		isUnwanted := job.State.Terminal() || machine.Condition != Ready
 		if isUnwanted && !task.LaunchIndeterminate && origin == fromRequest {
 			f.release(now, job, ref.Task, jobs.Unplanned, licences.Unstarted)
@@ -318,7 +320,7 @@
 		f.release(now, job, ref.Task, to, licences.Crashed)
 	case jobs.OnMachine:
 		slog.Info("task vanished", "job", job.ID, "task", ref.Task, "machine", machine.Name, "term", f.Term)
-		f.addTaskEvent(now, events.TaskVanished, job, ref.Task, "")
+		f.addTaskEvent(now, events.TaskVanished, job, ref.Task)
 		f.release(now, job, ref.Task, jobs.Unplanned, licences.Crashed)
 		if !job.State.Terminal() {
 			job.MarkDirty(ref.Task, false, now)
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -13,9 +13,9 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// reservedForGPUWork returns what tasks without an accelerator must leave free on a machine, so that work that waits for
-// accelerators can use the idle ones, idleGPUs in number. Otherwise small tasks that take each processor as it becomes free
-// would never let a large one start. A nil job stands for any.
+// reservedForGPUWork returns what tasks without an accelerator must leave free on a machine, so that work that
+// waits for accelerators can use the idle ones, idleGPUs in number. Otherwise small tasks that take each processor
+// as it becomes free would never let a large one start. A nil job stands for any.
 func (f *Fleet) reservedForGPUWork(machine *Machine, job *jobs.Job, idleGPUs float64) planner.Size {
 	switch {
 	case machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}):
@@ -29,8 +29,9 @@
 	return f.gpuReserve.perGPU.Times(idleGPUs)
 }
 
-// ignoresGPUReserve reports whether a job leaves nothing free for work that waits for accelerators. One that ranks before
-// all such work, or is overdue, would preempt that work for room which was then kept for the same work, again and again.
+// ignoresGPUReserve reports whether a job leaves nothing free for work that waits for accelerators. One that ranks
+// before all such work, or is overdue, would preempt that work for room which was then kept for the same work,
+// again and again.
 func (f *Fleet) ignoresGPUReserve(job *jobs.Job) bool {
 	return job.Spec.GPUs > 0 ||
 		f.ranking.startDeadlineDue[job.Index] ||
@@ -52,8 +53,8 @@
 	return job.Priority > f.gpuReserve.priority
 }
 
-// spotWaitLimit returns for how many seconds a job that may use spot machines waits for one instead of using an on-demand
-// machine of a type that live jobs which must not use spot machines need.
+// spotWaitLimit returns for how many seconds a job that may use spot machines waits for one instead of using an
+// on-demand machine of a type that live jobs which must not use spot machines need.
 func (f *Fleet) spotWaitLimit(machine *Machine, job *jobs.Job) float64 {
 	if machine.Spot || !job.Spec.Spot || !f.gpuReserve.onDemandTypes[machine.Type] {
 		return 0
@@ -97,7 +98,8 @@
 	})
 }
 
-// mayPlace reports whether the constraints of a job allow one more of its tasks on a machine, given where the others are.
+// mayPlace reports whether the constraints of a job allow one more of its tasks on a machine, given where the
+// others are.
 func (f *Fleet) mayPlace(machine *Machine, job *jobs.Job) bool {
 	if !job.Allows(machine.Type, machine.Zone, machine.Spot) {
 		return false
@@ -191,7 +193,8 @@
 	return commands
 }
 
-// appendQueuedStarts launches as many of a job's tasks that are queued on a machine as fit, and appends their commands.
+// appendQueuedStarts launches as many of a job's tasks that are queued on a machine as fit, and appends their
+// commands.
 func (f *Fleet) appendQueuedStarts(commands []Command, now time.Duration, machine *Machine, job *jobs.Job) []Command {
 	queued := machine.queued(job.Index)
 	left := queued[:0]
@@ -238,14 +241,15 @@
 		}
 	}
 	if isFirst && len(commands) > 0 {
-		// The other tasks start on other machines, some of them seconds later: the quota and licences of all are taken now.
+		// The other tasks start on other machines, some of them seconds later: the quota and licences of all are
+		// taken now.
 		f.admitGang(now, job)
 	}
 	return commands
 }
 
-// plannedGangTasks returns how many of a gang's tasks are planned and not launched. It is not ok if the gang can't start
-// now: a task has no durable plan on a ready machine, is about to stop, or has to pause.
+// plannedGangTasks returns how many of a gang's tasks are planned and not launched. It is not ok if the gang can't
+// start now: a task has no durable plan on a ready machine, is about to stop, or has to pause.
 func (f *Fleet) plannedGangTasks(now time.Duration, job *jobs.Job) (planned int, ok bool) {
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
@@ -262,7 +266,8 @@
 	return planned, true
 }
 
-// beginGangStart sets the attempt of a gang that is about to start and the longest download that one of its tasks needs.
+// beginGangStart sets the attempt of a gang that is about to start and the longest download that one of its tasks
+// needs.
 func (f *Fleet) beginGangStart(now time.Duration, job *jobs.Job) {
 	job.GangAttempt = f.nextAttempt()
 	job.GangStartedAt = now
@@ -275,9 +280,10 @@
 	}
 }
 
-// gangLaunchDelay returns by how much the launch of a gang's tasks on a machine is delayed. A task that has its image waits
-// gang_wait_s for the others and then gives up, which costs the whole gang its start. Where the image is at hand, the
-// launch therefore waits for as long as the others download it, less a quarter of what the task may wait.
+// gangLaunchDelay returns by how much the launch of a gang's tasks on a machine is delayed. A task that has its
+// image waits gang_wait_s for the others and then gives up, which costs the whole gang its start. Where the image
+// is at hand, the launch therefore waits for as long as the others download it, less a quarter of what the task may
+// wait.
 func (f *Fleet) gangLaunchDelay(machine *Machine, job *jobs.Job) time.Duration {
 	delayS := job.FetchS - f.fetchS(job, machine) - f.Settings.Params.Workers.GangWaitS/4
 	return config.Seconds(delayS)
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -20,8 +20,8 @@
 	return ranking{withinGuarantee: map[jobs.Index]bool{}, startDeadlineDue: map[jobs.Index]bool{}}
 }
 
-// gpuReserve is how much of a machine's processors and memory is reserved beside its idle accelerators, for the waiting
-// tasks that need accelerators. Each scheduling cycle computes it once, in findGPUReserve.
+// gpuReserve is how much of a machine's processors and memory is reserved beside its idle accelerators, for the
+// waiting tasks that need accelerators. Each scheduling cycle computes it once, in findGPUReserve.
 type gpuReserve struct {
 	perGPU          planner.Size   // processors and memory for each accelerator
 	withinGuarantee bool           // some of that work is within its team's guarantee
@@ -42,8 +42,8 @@
 	listedTasks map[TaskRef]struct{} // live tasks in the heartbeat that is being processed
 }
 
-// planWriter is the state of the one write that may be in flight, and of what is still to be written or deleted. FlushWrites
-// describes the protocol; its states are:
+// planWriter is the state of the one write that may be in flight, and of what is still to be written or deleted.
+// FlushWrites describes the protocol; its states are:
 //
 //	idle      -> in flight   FlushWrites or deleteObsoletePlans sends a transaction
 //	in flight -> idle        the outcome is determinate
@@ -61,8 +61,8 @@
 	migrated          bool        // no plan is stored under a key of its own any more
 }
 
-// hintCache is the state of the stored image hints: those loaded from earlier terms, which apply once their machine is
-// registered, and the shards that changed since they were last written.
+// hintCache is the state of the stored image hints: those loaded from earlier terms, which apply once their machine
+// is registered, and the shards that changed since they were last written.
 type hintCache struct {
 	inherited   map[string][]cachedImage // by machine name
 	dirtyShards []bool
--- a/internal/fleet/writelimits.go
+++ b/internal/fleet/writelimits.go
@@ -1,6 +1,7 @@
 package fleet
 
-// maxPageBytes bounds the size of one plan page. Values may be larger, but all of a page is sent with each write to it.
+// maxPageBytes bounds the size of one plan page. Values may be larger, but all of a page is sent with each write to
+// it.
 const maxPageBytes = 6 << 10
 
 // maxOps returns how many operations a transaction may hold now.
@@ -11,8 +12,8 @@
 	return min(f.TxnOps, f.Limits().MaxOps)
 }
 
-// valueLimit returns how many bytes a value that is composed of many entries may have now. It leaves an eighth of what
-// the state service accepts unused.
+// valueLimit returns how many bytes a value that is composed of many entries may have now. It leaves an eighth of
+// what the state service accepts unused.
 func (f *Fleet) valueLimit() int {
 	limit := f.Settings.Params.State.Limits().MaxValueBytes
 	if f.Limits != nil {
--- a/internal/fleet/zoneloss.go
+++ b/internal/fleet/zoneloss.go
@@ -18,8 +18,8 @@
 	Jobs        int // with tasks in the zone
 }
 
-// EstimateZoneLoss returns what the loss of a zone would mean now, by class and team. The tasks there are placed into the
-// free room elsewhere in priority order, gangs as a whole or not at all. It changes nothing.
+// EstimateZoneLoss returns what the loss of a zone would mean now, by class and team. The tasks there are placed
+// into the free room elsewhere in priority order, gangs as a whole or not at all. It changes nothing.
 func (f *Fleet) EstimateZoneLoss(zone int32) []ZoneLoss {
 	estimate := f.newZoneLossEstimate(zone)
 	indices := make([]jobs.Index, 0, len(estimate.tasksInZone))
@@ -82,9 +82,9 @@
 	loss.Fit += e.place(job, count)
 }
 
-// place takes the room for a number of a job's tasks and returns how many of them fit. A gang that loses a task starts
-// again as a whole; its other tasks free the room where they are, so room is needed only for those in the zone, and for
-// all of these.
+// place takes the room for a number of a job's tasks and returns how many of them fit. A gang that loses a task
+// starts again as a whole; its other tasks free the room where they are, so room is needed only for those in the
+// zone, and for all of these.
 func (e *zoneLossEstimate) place(job *jobs.Job, count int) int {
 	size := job.Spec.Size()
 	var taken []*Machine // one entry for each task
