--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -142,11 +142,11 @@
 	for range 10 {
 		g.now += 100 * time.Millisecond
 		g.Tick(g.now, true)
-		if open := len(g.orders) - answered; open > 3 || job.TasksByState[jobs.Launched] != 4*len(g.sent) {
-			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sent), job.TasksByState[jobs.Launched])
+		if open := len(g.directCallbacks) - answered; open > 3 || job.TasksByState[jobs.Launched] != 4*len(g.sentDirect) {
+			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sentDirect), job.TasksByState[jobs.Launched])
 		}
-		for ; answered < len(g.orders); answered++ {
-			g.orders[answered](nil, true)
+		for ; answered < len(g.directCallbacks); answered++ {
+			g.directCallbacks[answered](nil, true)
 		}
 	}
 	if job.TasksByState[jobs.Launched] != 40 {
--- a/internal/fleet/crashloop_test.go
+++ b/internal/fleet/crashloop_test.go
@@ -11,16 +11,16 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// What fails on several machines is its job's fault, what fails in several jobs its machine's; a job of which something was
-// done, and a service that ran for long, are in order.
-func TestWhoseFaultItIs(t *testing.T) {
+// Failures on several machines are attributed to the job, failures of several jobs to the machine. A job with a task that is
+// done and a service that ran for long are healthy.
+func TestFailuresAreAttributedToJobOrMachine(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		kind     jobs.Kind
 		done     bool          // a task of it was done before
 		ran      time.Duration // before it fails
 		machines int           // on which it fails
-		standing CrashLoopState
+		want     CrashLoopState
 	}{
 		{"once", jobs.Array, false, time.Second, 1, HealthUnknown},
 		{"on two machines", jobs.Array, false, time.Second, 2, CrashLooping},
@@ -43,25 +43,25 @@
 			g.recordFailure(g.now, machine, job, 1)
 			g.now += time.Second
 		}
-		if loop := g.crashLoops[job.Index]; loop == nil || loop.state != c.standing {
-			t.Errorf("%s: %+v, want %s", c.name, loop, c.standing)
+		if loop := g.crashLoops[job.Index]; loop == nil || loop.state != c.want {
+			t.Errorf("%s: %+v, want %s", c.name, loop, c.want)
 		}
-		if machine := g.FindMachine("m0"); (len(machine.failedJobs) > 0) == (c.standing == CrashLooping) {
-			t.Errorf("%s: a machine is blamed by %v", c.name, machine.failedJobs)
+		if machine := g.FindMachine("m0"); (len(machine.failedJobs) > 0) == (c.want == CrashLooping) {
+			t.Errorf("%s: the machine counts failures of %v", c.name, machine.failedJobs)
 		}
 	}
 }
 
-// The pauses of a mistaken job double up to a bound, and between two tries nothing of it is planned.
-func TestPausesGrow(t *testing.T) {
+// The pauses of a job in a crash loop double up to a bound, and nothing of it is planned between two tries.
+func TestCrashLoopBackoffGrows(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	job := g.submit(spec(1, 100))
-	ms := []string{"m0", "m1", "m2"}
+	machineNames := []string{"m0", "m1", "m2"}
 	last, tries := time.Duration(0), 0
 	var gaps []time.Duration
 	for range 400 {
 		g.now += 700 * time.Millisecond
-		for _, name := range ms {
+		for _, name := range machineNames {
 			for _, c := range starts(g.hear(name, 1, fenced)) {
 				if tries++; tries > 12 {
 					gaps = append(gaps, g.now-last)
@@ -85,6 +85,6 @@
 		}
 	}
 	if why := g.PendingReasons(g.now, job); len(why) == 0 || why[0].Cause != CrashLoopBackoff {
-		t.Errorf("it is told %+v", why)
+		t.Errorf("pending reasons %+v", why)
 	}
 }
--- a/internal/fleet/alive_test.go
+++ b/internal/fleet/dispatch_test.go
@@ -8,10 +8,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A machine whose reports reach nobody answers direct commands, one after the other: that proves nothing of its life. It gets no
-// new work from the time on by which a report was due, its lease runs out for us when it does for it, and its answers don't bring
-// it back: only a report does. Its answers once kept it alive for its owner, which went on sending it work that died with each lease.
-func TestAskedIsNotAlive(t *testing.T) {
+// A machine whose heartbeats reach no controller responds to direct commands, one after the other. The responses are no
+// contact: it gets no new work once a heartbeat is overdue, its lease expires for the leader when it does for the worker, and
+// only a heartbeat brings it back. Otherwise the leader goes on sending it work that dies with each lease.
+func TestDirectResponsesAreNotContact(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, 0)
 	g.hear("m", 1, fenced)
@@ -24,11 +24,11 @@
 		}
 		g.settleFor(2, store.Committed)
 		g.Tick(g.now, true)
-		if len(g.orders) == 0 {
+		if len(g.directCallbacks) == 0 {
 			continue
 		}
-		o, done := g.sent[len(g.sent)-1], g.orders[len(g.orders)-1]
-		g.orders = nil
+		o, done := g.sentDirect[len(g.sentDirect)-1], g.directCallbacks[len(g.directCallbacks)-1]
+		g.directCallbacks = nil
 		if g.now-last > time.Duration(session)*g.Settings.Lease() {
 			session, on = session+1, nil
 		}
@@ -47,13 +47,13 @@
 		done(&Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: o.Token, Tasks: on}, true)
 	}
 	if sent == 0 || late > 0 {
-		t.Errorf("of %d tasks sent, %d went to a machine that had missed its report", sent, late)
+		t.Errorf("of %d tasks sent, %d went to a machine whose heartbeat was overdue", sent, late)
 	}
 	if machine.Condition != LeaseExpired || len(machine.Tasks) > 0 {
-		t.Errorf("70 s after its last report it is %v, with %d tasks", machine.Condition, len(machine.Tasks))
+		t.Errorf("70 s after its last heartbeat it is %v, with %d tasks", machine.Condition, len(machine.Tasks))
 	}
 	g.hear("m", session+1, machine.Token)
 	if machine.Condition != Ready {
-		t.Errorf("it reports again and is %v", machine.Condition)
+		t.Errorf("it sends heartbeats again and is %v", machine.Condition)
 	}
 }
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -2,168 +2,30 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
-	"github.com/harewalk/harewalk/internal/licences"
-	"github.com/harewalk/harewalk/internal/planner"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// rig is one fleet whose writes and direct commands the test answers by hand.
-type rig struct {
-	*Fleet
-	t      testing.TB
-	now    time.Duration
-	kv     map[string]json.RawMessage
-	rev    uint64
-	commit []func(store.Outcome)
-	orders []func(heartbeat *Heartbeat, ok bool)
-	sent   []DirectCommands
-	seq    uint64
-}
-
-func newRig(t testing.TB, term uint64, kv map[string]json.RawMessage) *rig {
-	return newRigOf(t, term, kv, []config.Team{{Name: "t", CPUsMax: 4}})
-}
-
-func newRigOf(t testing.TB, term uint64, kv map[string]json.RawMessage, teams []config.Team, pools ...*licences.Pool) *rig {
-	g := &rig{t: t, kv: kv, rev: 100 * term}
-	settings := &config.Settings{}
-	settings.Params.Teams = teams
-	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
-	settings.Params.State.ValueKB = 8
-	settings.Operator.NetworkFactor = 1
-	book := jobs.NewTable(0)
-	book.Names.Pools = licences.NewCatalog(pools)
-	var plans []store.Item
-	for k, v := range kv {
-		g.rev++
-		if k[:2] == jobs.PlanPrefix {
-			plans = append(plans, store.Item{Key: k, Value: v, Version: g.rev})
-		} else if _, _, err := book.Apply(k[len(jobs.Prefix):], v, g.rev); err != nil {
-			t.Fatal(err)
-		}
-	}
-	g.Fleet = New(Env{
-		Settings: settings, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: func() time.Duration { return g.now },
-		Types: func(int32) *MachineType {
-			return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1}
-		},
-		CanWrite:       func(int) bool { return true },
-		HasSpareWrites: func() bool { return true },
-		Commit: func(txn store.Txn, done func(store.Result)) {
-			g.commit = append(g.commit, func(o store.Outcome) {
-				g.rev++
-				if o == store.Committed {
-					for _, op := range txn.Then {
-						if op.Delete != "" {
-							delete(kv, op.Delete)
-						} else {
-							kv[op.Put] = op.Value
-						}
-					}
-				}
-				done(store.Result{Outcome: o, Revision: g.rev})
-			})
-		},
-		Read: func(key string, done func(store.Item, error)) {
-			item := store.Item{Key: key, Value: kv[key]}
-			if item.Value != nil {
-				item.Version = g.rev
-			}
-			done(item, nil)
-		},
-		SendCommands: func(_ *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
-			g.sent, g.orders = append(g.sent, o), append(g.orders, done)
-		},
-		OnJobRecord: func(now time.Duration, item store.Item) { g.learn(item.Key, item.Value) },
-	}, term, 0)
-	g.LoadPlans(0, plans)
-	return g
-}
-
-func (g *rig) learn(key string, raw json.RawMessage) {
-	g.rev++
-	g.kv[key] = raw
-	if job, changed, err := g.Jobs.Apply(key[len(jobs.Prefix):], raw, g.rev); err != nil {
-		g.t.Fatal(err)
-	} else if changed {
-		g.HandleJobChange(g.now, job)
-	}
-}
-
-func spec(n int, tasks int) *jobs.Spec {
-	return &jobs.Spec{
-		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
-		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 10,
-	}
-}
-
-func (g *rig) submit(spec *jobs.Spec) *jobs.Job {
-	g.learn(jobs.RecordKey(spec.ID), jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec))
-	return g.Jobs.Get(spec.ID)
-}
-
-func (g *rig) cancel(job *jobs.Job) {
-	g.learn(jobs.RecordKey(job.ID), jobs.EncodeRecord(jobs.Cancelled, 0, job.TaskCount, job.Spec))
-}
-
-// hear delivers a report of machine m at a token, and returns the commands.
-func (g *rig) hear(m string, session, token uint64, tasks ...TaskReport) []Command {
-	g.seq++
-	a, v := g.HandleHeartbeat(g.now, &Heartbeat{Machine: m, Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: token, Tasks: tasks})
-	if v != Accepted {
-		g.t.Fatalf("report refused: %d", v)
-	}
-	return a.Commands
-}
-
-// settle answers all open writes and ticks until nothing is written any more.
-func (g *rig) settle(o store.Outcome) { g.settleFor(20, o) }
-
-// settleFor does so for a number of ticks, a tenth of a second each.
-func (g *rig) settleFor(ticks int, o store.Outcome) {
-	for range ticks {
-		g.now += 100 * time.Millisecond
-		g.Tick(g.now, false)
-		for len(g.commit) > 0 {
-			c := g.commit[0]
-			g.commit = g.commit[1:]
-			c(o)
-		}
-	}
-}
-
-func starts(cs []Command) (out []Command) {
-	for _, c := range cs {
-		if c.Op == opStart {
-			out = append(out, c)
-		}
-	}
-	return out
-}
-
 const fenced = uint64(1) << tokenBits
 
-// Write before act: a crash after a start that is not in the plan would start it twice.
+// Write before act: otherwise a crash after a start that is not in the plan would start the task twice.
 func TestNothingStartsBeforeItsPlanIsDurable(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	job := g.submit(spec(1, 2))
 	g.Tick(g.now, true)
-	if job.Tasks[0].State != jobs.Planned || len(g.commit) != 1 {
-		t.Fatalf("state %v with %d writes, want a plan being written", job.Tasks[0].State, len(g.commit))
+	if job.Tasks[0].State != jobs.Planned || len(g.pendingCommits) != 1 {
+		t.Fatalf("state %v with %d writes, want a plan being written", job.Tasks[0].State, len(g.pendingCommits))
 	}
-	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 || len(g.sent) != 0 {
+	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 || len(g.sentDirect) != 0 {
 		t.Fatalf("started %v before the plan was durable", cs)
 	}
-	g.commit[0](store.NotApplied)
-	g.commit = nil
+	g.pendingCommits[0](store.NotApplied)
+	g.pendingCommits = nil
 	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 {
 		t.Fatalf("started %v although the write was refused", cs)
 	}
@@ -173,8 +35,8 @@
 	}
 }
 
-// While a write that moves a task is open, either machine may be what a successor reads.
-func TestOpenMoveBlocksStartsOnBothMachines(t *testing.T) {
+// While the outcome of a write that moves a task is indeterminate, a successor may read either machine.
+func TestIndeterminateMoveBlocksStartsOnBothMachines(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	job := g.submit(spec(1, 1))
@@ -191,9 +53,8 @@
 	}
 }
 
-// A new owner acts only on a report at its own token: until then commands of the former
-// owner may still arrive.
-func TestNewOwnerWaitsForAFencedReport(t *testing.T) {
+// A new leader acts only on a heartbeat at its own token: commands of the former leader may arrive until then.
+func TestNewLeaderWaitsForAFencedHeartbeat(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newRig(t, 1, kv)
 	g.hear("m", 1, fenced)
@@ -206,47 +67,47 @@
 		t.Fatalf("state %v using %v, want recovered and counted", job.Tasks[0].State, n.Gate.Quota.Team(job.Team).Used)
 	}
 	if cs := n.hear("m", 1, fenced); len(cs) != 0 || job.Tasks[0].State != jobs.Recovered {
-		t.Fatalf("acted on a report at the former token: %v, %v", cs, job.Tasks[0].State)
+		t.Fatalf("acted on a heartbeat at the former token: %v, %v", cs, job.Tasks[0].State)
 	}
 	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 {
 		t.Fatalf("started %v, want the task that is surely not there", cs)
 	}
 }
 
-// launched brings a task to the point where its direct launch was sent and not answered.
+// launched returns a rig with a task whose direct launch was sent and has no response.
 func launched(t *testing.T) (*rig, *jobs.Job) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	job := g.submit(spec(1, 1))
 	g.settle(store.Committed)
-	g.hearNothing()
+	g.keepInContact()
 	g.Tick(g.now, true)
-	if len(g.sent) != 1 || job.Tasks[0].State != jobs.Launched {
-		t.Fatalf("%d direct commands, state %v", len(g.sent), job.Tasks[0].State)
+	if len(g.sentDirect) != 1 || job.Tasks[0].State != jobs.Launched {
+		t.Fatalf("%d direct commands, state %v", len(g.sentDirect), job.Tasks[0].State)
 	}
 	return g, job
 }
 
-// hearNothing keeps a machine from looking silent without touching its lanes.
-func (g *rig) hearNothing() {
+// keepInContact makes all machines count as in contact now, without starting what is queued on them.
+func (g *rig) keepInContact() {
 	for _, machine := range g.machines {
 		machine.LastHeardAt = g.now
 	}
 }
 
-// A direct launch whose outcome is open counts until a report carries a raised token, and
-// is not lost for the team afterwards.
-func TestOpenDirectLaunchCountsUntilFenced(t *testing.T) {
+// A direct launch whose outcome is indeterminate counts until a heartbeat carries a raised token, and its quota is free
+// afterwards.
+func TestIndeterminateLaunchCountsUntilFenced(t *testing.T) {
 	g, job := launched(t)
-	g.orders[0](nil, false)
+	g.directCallbacks[0](nil, false)
 	g.cancel(job)
-	g.hear("m", 1, fenced) // this answer raises the token
+	g.hear("m", 1, fenced) // this response raises the token
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, but the launch may still arrive", used)
 	}
 	g.hear("m", 1, fenced)
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
-		t.Fatalf("uses %v, but no report carries the raised token yet", used)
+		t.Fatalf("uses %v, but no heartbeat carries the raised token yet", used)
 	}
 	g.hear("m", 1, fenced+1)
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 0 {
@@ -254,8 +115,8 @@
 	}
 }
 
-// A worker that forgot an attempt would start it anew if its launch arrived again.
-func TestForgetWaitsForAnOpenLaunch(t *testing.T) {
+// A worker that has forgotten an attempt would start it again if its launch arrived once more.
+func TestForgetWaitsForAnIndeterminateLaunch(t *testing.T) {
 	g, job := launched(t)
 	at := job.Tasks[0].Attempt
 	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: taskExited, Why: exitError}
@@ -268,9 +129,9 @@
 		return false
 	}
 	if has(g.hear("m", 1, fenced, stopped)) {
-		t.Fatal("forgotten while its direct launch is under way")
+		t.Fatal("forgotten while its direct launch has no response")
 	}
-	g.orders[0](nil, false)
+	g.directCallbacks[0](nil, false)
 	if has(g.hear("m", 1, fenced, stopped)) {
 		t.Fatal("forgotten while its direct launch may arrive")
 	}
@@ -279,9 +140,8 @@
 	}
 }
 
-// The lease of a session counts from its beginning, not from the last answer to the
-// session before.
-func TestLeaseOfANewSession(t *testing.T) {
+// The lease of a session counts from its beginning, not from the last response in the session before.
+func TestLeaseOfANewSessionCountsFromItsBeginning(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	g.now = 18 * time.Second
@@ -290,17 +150,17 @@
 	g.now = 30 * time.Second
 	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c == LeaseExpired {
-		t.Fatal("lost 12 s into a session whose lease is 20 s")
+		t.Fatal("the lease expired 12 s into a session, it is 20 s")
 	}
 	g.now = 40 * time.Second
 	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c != LeaseExpired {
-		t.Fatalf("condition %v, the lease has run out", c)
+		t.Fatalf("condition %v, want an expired lease", c)
 	}
 }
 
-// A cancelled job's tasks still run after a takeover and count against the team.
-func TestCancelledTasksCountAfterTakeover(t *testing.T) {
+// A cancelled job's tasks still run after a failover, and count against their team's quota.
+func TestCancelledTasksCountAfterFailover(t *testing.T) {
 	g, job := launched(t)
 	g.cancel(job)
 	n := newRig(t, 2, g.kv)
@@ -314,20 +174,18 @@
 	}
 }
 
-// The answer to a direct command may come after its job has ended and been swept. This
-// once ended the controller.
-func TestAnswerAfterTheJobWasSwept(t *testing.T) {
+// The response to a direct request may come after its job has ended and was swept.
+func TestDirectResponseAfterItsJobWasSwept(t *testing.T) {
 	g, job := launched(t)
 	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone})
 	g.settle(store.Committed)
 	if job.Tasks != nil || job.State != jobs.Done {
 		t.Fatalf("job not swept: %v", job.State)
 	}
-	g.orders[0](nil, true)
+	g.directCallbacks[0](nil, true)
 }
 
-// A job's terminal record carries the version it was read at, so that it can never go over
-// a cancellation that came first.
+// A job's terminal record is conditional on the version that was read, so it can never overwrite an earlier cancellation.
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
 	g, job := launched(t)
 	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone})
@@ -343,8 +201,8 @@
 	t.Fatalf("conditions %v lack %v", seen, want)
 }
 
-// What machines have in their caches survives a takeover as a hint.
-func TestImagesSurviveATakeover(t *testing.T) {
+// What machines have in their image caches is a hint for the next leader.
+func TestImageHintsSurviveAFailover(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newRig(t, 1, kv)
 	g.hear("m", 1, fenced)
@@ -359,7 +217,7 @@
 	}
 	n := newRig(t, 2, kv)
 	if machine := n.RegisterMachine(0, "m"); !machine.HasImage(n.Jobs.Names.Images.Index("i")) {
-		t.Fatal("the next owner does not know the image")
+		t.Fatal("the next leader has no hint of the image")
 	}
 	kv[imageHintsPrefix+"/0"] = json.RawMessage(`{"images":["i"],"gb":[1],"on":{"m":[0,7,-1]}}`)
 	if machine := newRig(t, 3, kv).RegisterMachine(0, "m"); len(machine.cachedImages) != 1 {
@@ -367,12 +225,11 @@
 	}
 }
 
-// A task that failed is retried elsewhere, after a pause, and what its job had planned on
-// the machine moves away with it.
+// A task that failed is retried on another machine after a pause, and what its job had queued on the machine moves away too.
 func TestFailedTasksRunElsewhere(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
-	job := g.submit(spec(1, 6)) // four run, two wait in the lanes
+	job := g.submit(spec(1, 6)) // four run, two are queued
 	g.settle(store.Committed)
 	cs := starts(g.hear("m", 1, fenced))
 	if len(cs) != 4 {
@@ -392,7 +249,7 @@
 		t.Fatalf("started %v on the machine that failed the job", again)
 	}
 	g.now += 5 * time.Second
-	g.hearNothing()
+	g.keepInContact()
 	g.settle(store.Committed)
 	if other := starts(g.hear("n", 1, fenced)); len(other) != 1 || job.Spec.Tasks != 6 {
 		// The team's limit of 4 CPUs leaves room for one.
@@ -400,7 +257,7 @@
 	}
 }
 
-// What may preempt a job ranks before it, whatever their priorities and guarantees.
+// A job that may preempt another ranks before it, whatever their priorities and guarantees.
 func TestPreemptionFollowsRank(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	rng := rand.New(rand.NewPCG(6, 6))
@@ -433,8 +290,8 @@
 	}
 }
 
-// No attempt of one term is ever one of another's, however many either makes: a task that is launched anew must not be taken for
-// an earlier start, and tasks of a gang find each other by the number.
+// No two attempts are equal, in any term: a task that is launched again must not be taken for an earlier start, and the
+// tasks of a gang find each other by the number.
 func TestAttemptsNeverRepeatAcrossTerms(t *testing.T) {
 	seen := map[uint64]uint64{}
 	for term := uint64(1); term < 5; term++ {
@@ -449,9 +306,9 @@
 	}
 }
 
-// A task that is stopped while its image is being fetched leaves no image behind, unless another task there still waits for the
-// same one; one that came to run does.
-func TestFetchThatWasGivenUp(t *testing.T) {
+// A task that is stopped during the download of its image leaves no image behind, unless another task there still waits for
+// the same one. A task that ran does.
+func TestAbandonedDownloadLeavesNoImage(t *testing.T) {
 	for _, c := range []struct {
 		states []string
 		other  bool
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -148,9 +148,9 @@
 	g.hear("m", 1, fenced)
 	job := g.submit(needing(1, 1, map[string]int{"p": 1}))
 	g.settle(store.Committed)
-	g.hearNothing()
+	g.keepInContact()
 	g.Tick(g.now, true)
-	g.orders[0](nil, false)
+	g.directCallbacks[0](nil, false)
 	g.cancel(job)
 	for _, token := range []uint64{fenced, fenced} {
 		if g.hear("m", 1, token); g.free(0) != 0 {
@@ -317,7 +317,7 @@
 		deadline := 10.0
 		spec.DeadlineS, spec.EstimateS = &deadline, 2
 		raw := jobs.EncodeRecord(jobs.Pending, g.now.Milliseconds(), spec.Tasks, spec)
-		g.learn(jobs.RecordKey(spec.ID), raw)
+		g.applyRecord(jobs.RecordKey(spec.ID), raw)
 		g.settle(store.Committed)
 		if hs := halting(job); hs != nil && g.now < 4*time.Second+preemptionPatience {
 			t.Fatalf("tasks %v are stopped at once", hs)
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// Whatever a worker, or whoever claims to be one, sends: it is refused, or it is taken
-// without harm to the fleet that hears it.
-func TestHostileReports(t *testing.T) {
+// Whatever a worker, or a sender that claims to be one, sends is either refused or applied without a panic.
+func TestMalformedHeartbeatsAreHarmless(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	g.submit(spec(1, 3))
 	good := []byte(`{"den":"m","address":"10.1.0.2:9000","build":"ty","meadow":"z","stray":true,"run":1,"tally":88,"mark":1048576,
  "warning_s":null,"hops":[{"hop":"req-000001/1","try":2,"stance":"running"},{"hop":"req-000001/0","try":1,"stance":"exited","cause":"done"}]}`)
-	if heartbeat, err := ParseHeartbeat(good); err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.NoticeS != nil {
+	heartbeat, err := ParseHeartbeat(good)
+	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.NoticeS != nil {
 		t.Fatalf("%+v, %v", heartbeat, err)
 	}
 	rng := rand.New(rand.NewPCG(9, 9))
-	taken, refused := 0, 0
+	accepted, refused := 0, 0
 	for i := range 20_000 {
 		raw := append([]byte(nil), good...)
 		for range 1 + rng.IntN(4) {
@@ -29,12 +29,12 @@
 			refused++
 			continue
 		}
-		taken++
+		accepted++
 		heartbeat.Seq = uint64(100 + i)
 		g.HandleHeartbeat(g.now, heartbeat)
 	}
-	if taken == 0 || refused == 0 {
-		t.Fatalf("%d taken, %d refused: the test decides nothing", taken, refused)
+	if accepted == 0 || refused == 0 {
+		t.Fatalf("%d accepted, %d refused: the test decides nothing", accepted, refused)
 	}
 	for _, name := range []string{"", "/", "req-1", "req-1/", "req-1/-1", "req-1/x", "req-1/99999999999"} {
 		if _, _, ok := parseTaskName(name); ok {
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -13,236 +13,245 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// lone is one machine by the protocol, which the real fleet gives a task: every run of a few events is played. It knows
-// what is on the machine, and so whether the fleet counts it.
-type lone struct {
+// singleMachine models one machine by the protocol, to which the real fleet gives one task. It holds what is really on the
+// machine, so it can check that the fleet counts it there.
+type singleMachine struct {
 	*rig
-	j              *jobs.Job
-	session, tally uint64
-	token          uint64
-	base           time.Duration // its lease counts from here
-	on             uint64        // attempt of the task that is there, 0: none
-	dead           bool
-	life, known    int    // how often it has restarted, and as far as a report that was taken over tells
-	said           []told // all reports so far
-	without        string // the guard that is taken out
-	changed        string // what a copy has done
+	job                           *jobs.Job
+	session, seq                  uint64
+	token                         uint64
+	leaseStart                    time.Duration // from when its lease counts
+	runningAttempt                uint64        // of the task that is on it; 0: none
+	isDead                        bool
+	incarnation, knownIncarnation int             // how often it restarted, and how often as the fleet can tell from accepted heartbeats
+	history                       []sentHeartbeat // all heartbeats so far
+	removedGuard                  string          // the guard that the test removes, "" for none
+	copyEffect                    string          // what a copy changed, "" if nothing
 }
 
-// told is a report that was sent.
-type told struct {
+// The guards of the fleet that a test may remove, to show that it needs them.
+const (
+	guardStaleHeartbeats     = "heartbeats that are not newer are stale"
+	guardExpiredSession      = "an expired session is over"
+	guardHighestToken        = "tokens of an incarnation never fall"
+	guardNewIncarnationLease = "the lease of a new incarnation counts from its beginning"
+)
+
+// sentHeartbeat is a heartbeat that was sent, and may come again as a copy.
+type sentHeartbeat struct {
 	Heartbeat
-	life    int
-	arrived bool
+	incarnation int
+	arrived     bool
 }
 
-func newLone(t testing.TB, without string) *lone {
-	l := &lone{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, tally: 100, without: without}
+func newSingleMachine(t testing.TB, without string) *singleMachine {
+	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: without}
 	s := spec(1, 1)
 	s.EstimateS = 1e5
-	l.report(true)
-	l.report(true)
-	l.j = l.submit(s)
-	l.quick()
+	l.sendHeartbeat(true)
+	l.sendHeartbeat(true)
+	l.job = l.submit(s)
+	l.settleBriefly()
 	return l
 }
 
-// quick lets a moment pass, with all writes stored.
-func (l *lone) quick() { l.settleFor(3, store.Committed) }
+// settleBriefly lets three ticks pass, with all writes committed.
+func (l *singleMachine) settleBriefly() { l.settleFor(3, store.Committed) }
 
-func (l *lone) expireLease() {
-	if l.now-l.base > l.Settings.Lease() {
-		l.on, l.session, l.base = 0, l.session+1, l.now
+func (l *singleMachine) expireLease() {
+	if l.now-l.leaseStart > l.Settings.Lease() {
+		l.runningAttempt, l.session, l.leaseStart = 0, l.session+1, l.now
 	}
 }
 
-func (l *lone) says() *Heartbeat {
-	l.tally++
-	r := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: l.session, Seq: l.tally, Token: l.token}
-	if l.on > 0 {
-		r.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.on, State: taskRunning}}
+func (l *singleMachine) makeHeartbeat() *Heartbeat {
+	l.seq++
+	r := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: l.session, Seq: l.seq, Token: l.token}
+	if l.runningAttempt > 0 {
+		r.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.runningAttempt, State: taskRunning}}
 	}
-	l.said = append(l.said, told{r, l.life, false})
+	l.history = append(l.history, sentHeartbeat{r, l.incarnation, false})
 	return &r
 }
 
-// guards does what taking one of them out comes to.
-func (l *lone) guards() {
+// removeGuard undoes, in the machine's state, what the guard that is removed protects.
+func (l *singleMachine) removeGuard() {
 	machine := l.machines[0]
-	switch l.without {
-	case "tokens never fall":
+	switch l.removedGuard {
+	case guardHighestToken:
 		machine.reachability.highestToken = 0
 	}
 }
 
-func (l *lone) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
+func (l *singleMachine) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	if len(l.machines) > 0 {
-		l.guards()
+		l.removeGuard()
 	}
 	c := *heartbeat
 	c.Tasks = append([]TaskReport(nil), heartbeat.Tasks...)
-	if l.without == "old reports are void" && len(l.machines) > 0 && c.Session == l.machines[0].Session {
+	if l.removedGuard == guardStaleHeartbeats && len(l.machines) > 0 && c.Session == l.machines[0].Session {
 		c.Seq = l.machines[0].Seq + 1
 	}
-	if machine := l.FindMachine("m"); l.without == "a lost session is over" && machine != nil {
+	if machine := l.FindMachine("m"); l.removedGuard == guardExpiredSession && machine != nil {
 		machine.reachability.expiredSession = 0
 	}
 	return l.HandleHeartbeat(l.now, &c)
 }
 
-// copied lets a copy of an earlier report arrive. Nothing may follow from it, unless the report itself never arrived and is of the
-// present life, as far as that is known, in a session that hasn't surely ended.
-func (l *lone) copied(i int) {
-	machine, r := l.machines[0], &l.said[i]
-	news := !r.arrived && r.life >= l.known && (machine.Condition != LeaseExpired || r.Session > machine.Session)
+// deliverCopy delivers a copy of an earlier heartbeat. It must have no effect, unless the heartbeat itself never arrived and
+// is of the present incarnation, as far as the fleet can tell, in a session that has not certainly ended.
+func (l *singleMachine) deliverCopy(i int) {
+	machine, r := l.machines[0], &l.history[i]
+	news := !r.arrived && r.incarnation >= l.knownIncarnation && (machine.Condition != LeaseExpired || r.Session > machine.Session)
 	r.arrived = true
-	was := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.j.Tasks[0].State)
+	was := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.job.Tasks[0].State)
 	l.deliver(&r.Heartbeat)
-	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.j.Tasks[0].State); is != was && !news && l.changed == "" {
-		l.changed = fmt.Sprintf("a copy changes %s to %s", was, is)
+	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.job.Tasks[0].State); is != was && !news && l.copyEffect == "" {
+		l.copyEffect = fmt.Sprintf("a copy changes %s to %s", was, is)
 	}
 }
 
-// report sends a report that arrives; heard: so does its answer.
-func (l *lone) report(heard bool) {
+// sendHeartbeat sends a heartbeat that arrives; received is whether its response does.
+func (l *singleMachine) sendHeartbeat(received bool) {
 	l.expireLease()
-	heartbeat, sent := l.says(), l.now
-	l.said[len(l.said)-1].arrived = true
+	heartbeat, sent := l.makeHeartbeat(), l.now
+	l.history[len(l.history)-1].arrived = true
 	a, v := l.deliver(heartbeat)
 	if machine := l.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
-		l.known = l.life
+		l.knownIncarnation = l.incarnation
 	}
-	if v != Accepted || !heard || a.Token < l.token {
+	if v != Accepted || !received || a.Token < l.token {
 		return
 	}
-	l.token, l.base = a.Token, sent
+	l.token, l.leaseStart = a.Token, sent
 	l.execute(a.Commands)
 }
 
-func (l *lone) execute(cs []Command) {
+func (l *singleMachine) execute(cs []Command) {
 	for _, c := range cs {
 		switch {
-		case c.Op == opStart && l.on == 0:
-			l.on = c.Attempt
-		case c.Op == opStop && l.on == c.Attempt:
-			l.on = 0
+		case c.Op == opStart && l.runningAttempt == 0:
+			l.runningAttempt = c.Attempt
+		case c.Op == opStop && l.runningAttempt == c.Attempt:
+			l.runningAttempt = 0
 		}
 	}
 }
 
-// order lets what is due go out directly: it arrives or not, and its answer is heard or not.
-func (l *lone) order(arrives, heard bool) {
+// deliverDirect sends the direct request that is due, if any; arrives is whether it reaches the machine, received whether
+// the response reaches the fleet.
+func (l *singleMachine) deliverDirect(arrives, received bool) {
 	machine := l.machines[0]
 	answered := machine.LastAnsweredAt
 	l.Tick(l.now, true)
-	if len(l.orders) == 0 {
+	if len(l.directCallbacks) == 0 {
 		return
 	}
-	o, done := l.sent[len(l.sent)-1], l.orders[len(l.orders)-1]
-	l.orders = nil
+	o, done := l.sentDirect[len(l.sentDirect)-1], l.directCallbacks[len(l.directCallbacks)-1]
+	l.directCallbacks = nil
 	var heartbeat *Heartbeat
-	if arrives && !l.dead {
+	if arrives && !l.isDead {
 		l.expireLease()
 		if o.Token >= l.token && o.Session == l.session {
 			l.token = o.Token
 			l.execute(o.Commands)
 		}
-		heartbeat = l.says()
-		l.said = l.said[:len(l.said)-1] // only reports come as copies
+		heartbeat = l.makeHeartbeat()
+		l.history = l.history[:len(l.history)-1] // only requests come as copies
 	}
-	if heartbeat == nil || !heard {
+	if heartbeat == nil || !received {
 		l.now += 2 * time.Second
 		done(nil, false)
-		if l.without == "the lease of a new life" {
+		if l.removedGuard == guardNewIncarnationLease {
 			machine.LastAnsweredAt = answered
 		}
 		return
 	}
 	c := *heartbeat
-	if done(&c, true); l.without == "the lease of a new life" && machine.LastAnsweredAt == l.now {
+	if done(&c, true); l.removedGuard == guardNewIncarnationLease && machine.LastAnsweredAt == l.now {
 		machine.LastAnsweredAt = answered
 	}
 }
 
-type happening struct {
+type modelEvent struct {
 	name string
-	do   func(l *lone)
+	do   func(l *singleMachine)
 }
 
-// happenings are what may happen next.
-var happenings = []happening{
-	{"report", func(l *lone) {
-		if !l.dead {
-			l.report(true)
+// modelEvents are the events that may happen next.
+var modelEvents = []modelEvent{
+	{"heartbeat", func(l *singleMachine) {
+		if !l.isDead {
+			l.sendHeartbeat(true)
 		}
 	}},
-	{"unheard answer", func(l *lone) {
-		if !l.dead {
-			l.report(false)
+	{"lost response", func(l *singleMachine) {
+		if !l.isDead {
+			l.sendHeartbeat(false)
 		}
 	}},
-	{"lost report", func(l *lone) {
-		if !l.dead {
-			l.says()
+	{"lost heartbeat", func(l *singleMachine) {
+		if !l.isDead {
+			l.makeHeartbeat()
 		}
 	}},
-	{"first copy", func(l *lone) { l.copied(0) }},
-	{"copy from amid", func(l *lone) { l.copied(len(l.said) / 2) }},
-	{"last copy", func(l *lone) { l.copied(len(l.said) - 1) }},
-	{"restart", func(l *lone) {
-		if !l.dead {
-			l.session, l.tally, l.token, l.on, l.base = 1, 0, 0, 0, l.now
-			l.life++
+	{"first copy", func(l *singleMachine) { l.deliverCopy(0) }},
+	{"middle copy", func(l *singleMachine) { l.deliverCopy(len(l.history) / 2) }},
+	{"last copy", func(l *singleMachine) { l.deliverCopy(len(l.history) - 1) }},
+	{"restart", func(l *singleMachine) {
+		if !l.isDead {
+			l.session, l.seq, l.token, l.runningAttempt, l.leaseStart = 1, 0, 0, 0, l.now
+			l.incarnation++
 		}
 	}},
-	{"order", func(l *lone) { l.order(true, true) }},
-	{"order, no answer", func(l *lone) { l.order(true, false) }},
-	{"order lost", func(l *lone) { l.order(false, false) }},
-	{"death", func(l *lone) { l.dead, l.on = true, 0 }},
-	{"3 s", func(l *lone) { l.now += 3 * time.Second }},
-	{"17 s", func(l *lone) { l.now += 17 * time.Second }},
+	{"direct request", func(l *singleMachine) { l.deliverDirect(true, true) }},
+	{"direct request, lost response", func(l *singleMachine) { l.deliverDirect(true, false) }},
+	{"lost direct request", func(l *singleMachine) { l.deliverDirect(false, false) }},
+	{"death", func(l *singleMachine) { l.isDead, l.runningAttempt = true, 0 }},
+	{"3 s", func(l *singleMachine) { l.now += 3 * time.Second }},
+	{"17 s", func(l *singleMachine) { l.now += 17 * time.Second }},
 }
 
-// fault says what is wrong now: what is on the machine must count there.
-func (l *lone) fault() string {
-	if l.now-l.base > l.Settings.Lease() {
+// violation returns what is wrong now, "" if nothing is: a task on the machine must count there.
+func (l *singleMachine) violation() string {
+	if l.now-l.leaseStart > l.Settings.Lease() {
 		l.expireLease()
 	}
-	if l.changed != "" {
-		return l.changed
+	if l.copyEffect != "" {
+		return l.copyEffect
 	}
-	if task := &l.j.Tasks[0]; l.on > 0 && !task.State.Occupies() {
-		return fmt.Sprintf("the task is on the machine and counts as %s", task.State)
+	if task := &l.job.Tasks[0]; l.runningAttempt > 0 && !task.State.Occupies() {
+		return fmt.Sprintf("the task is on the machine but its state is %s", task.State)
 	}
 	return ""
 }
 
-// play plays one run, then lets everything heal, and says what went wrong.
-func (l *lone) play(run []int) string {
+// playSequence plays a sequence of events, lets everything recover, and returns what went wrong, "" if nothing did.
+func (l *singleMachine) playSequence(run []int) string {
 	for _, e := range run {
-		happenings[e].do(l)
-		if why := l.fault(); why != "" {
+		modelEvents[e].do(l)
+		if why := l.violation(); why != "" {
 			return why
 		}
-		l.quick()
-		if why := l.fault(); why != "" {
+		l.settleBriefly()
+		if why := l.violation(); why != "" {
 			return why
 		}
 	}
 	machine := l.machines[0]
-	if l.dead {
-		// Copies of all that was ever said, several leases late.
+	if l.isDead {
+		// Copies of all heartbeats, several leases late.
 		l.now += 3 * l.Settings.Lease()
-		l.quick()
-		heard := machine.LastHeardAt
-		for i := range l.said {
-			// One that never arrived is the newest that is known of it.
-			if r := &l.said[len(l.said)-1-i]; r.arrived {
+		l.settleBriefly()
+		lastContact := machine.LastHeardAt
+		for i := range l.history {
+			// One that never arrived is the newest of its machine.
+			if r := &l.history[len(l.history)-1-i]; r.arrived {
 				l.deliver(&r.Heartbeat)
-				l.quick()
+				l.settleBriefly()
 			}
 		}
-		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastHeardAt > heard {
+		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastHeardAt > lastContact {
 			return "copies bring a dead machine back"
 		}
 		return ""
@@ -250,34 +259,35 @@
 	from := l.now
 	for l.now-from < 60*time.Second {
 		l.now += time.Second
-		l.report(true)
-		if why := l.fault(); why != "" {
+		l.sendHeartbeat(true)
+		if why := l.violation(); why != "" {
 			return why
 		}
-		if l.quick(); l.on > 0 && machine.Condition == Ready && l.j.Tasks[0].State == jobs.OnMachine {
+		if l.settleBriefly(); l.runningAttempt > 0 && machine.Condition == Ready && l.job.Tasks[0].State == jobs.OnMachine {
 			return ""
 		}
 	}
-	return fmt.Sprintf("it is there again and gets nothing: %s, task %s, %+v", machine.Condition, l.j.Tasks[0].State, machine.reachability)
+	return fmt.Sprintf("it has recovered and gets nothing: %s, task %s, %+v", machine.Condition, l.job.Tasks[0].State, machine.reachability)
 }
 
-// explore plays every run that begins with some events and goes on with a number of others.
-func explore(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
+// exploreSequences plays every sequence that begins with some events and goes on with a number of others, until one goes
+// wrong.
+func exploreSequences(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
 	run := make([]int, len(begins)+length)
 	for i, name := range begins {
-		run[i] = slices.IndexFunc(happenings, func(e happening) bool { return e.name == name })
+		run[i] = slices.IndexFunc(modelEvents, func(e modelEvent) bool { return e.name == name })
 	}
 	for {
 		runs++
-		if w := newLone(t, without).play(run); w != "" {
+		if w := newSingleMachine(t, without).playSequence(run); w != "" {
 			var names []string
 			for _, e := range run {
-				names = append(names, happenings[e].name)
+				names = append(names, modelEvents[e].name)
 			}
 			return runs, strings.Join(names, ", ") + ": " + w
 		}
 		i := len(run) - 1
-		for ; i >= len(begins) && run[i] == len(happenings)-1; i-- {
+		for ; i >= len(begins) && run[i] == len(modelEvents)-1; i-- {
 			run[i] = 0
 		}
 		if i < len(begins) {
@@ -287,15 +297,16 @@
 	}
 }
 
-// Every run of a few events of one machine and the fleet: it reports and doesn't hear, copies of what it said come at any
-// time, it restarts with session and sequence from the start, direct commands arrive or not, it dies. What is on it counts, it
-// gets work again once it is there, and no copy brings it back. Without any of the guards some run breaks that.
-func TestEveryRunOfAMachine(t *testing.T) {
+// All short sequences of events of one machine and the fleet: responses are lost, copies of heartbeats arrive at any time, the
+// worker restarts with session and sequence from the start, direct commands arrive or not, the machine dies. What is on it
+// counts, it gets work again once it recovered, and no copy brings it back. Without any of the guards some sequence breaks
+// that.
+func TestAllEventSequencesOfOneMachine(t *testing.T) {
 	length := 4
 	if os.Getenv("HAREWALK_LONG") != "" {
 		length = 5
 	}
-	n, why := explore(t, "", length)
+	n, why := exploreSequences(t, "", length)
 	if t.Logf("%d runs", n); why != "" {
 		t.Fatal(why)
 	}
@@ -303,24 +314,24 @@
 		without string
 		begins  []string
 	}{
-		{"old reports are void", nil},
-		{"a lost session is over", []string{"lost report", "17 s"}},
-		{"tokens never fall", []string{"restart", "order", "report"}},
-		{"the lease of a new life", []string{"3 s", "restart"}},
+		{guardStaleHeartbeats, nil},
+		{guardExpiredSession, []string{"lost heartbeat", "17 s"}},
+		{guardHighestToken, []string{"restart", "direct request", "heartbeat"}},
+		{guardNewIncarnationLease, []string{"3 s", "restart"}},
 	} {
-		if n, why := explore(t, "", 2, g.begins...); why != "" {
+		if n, why := exploreSequences(t, "", 2, g.begins...); why != "" {
 			t.Fatalf("after %d runs: %s", n, why)
 		}
-		n, why := explore(t, g.without, 2, g.begins...)
+		n, why := exploreSequences(t, g.without, 2, g.begins...)
 		if t.Logf("without %q: after %d runs, %s", g.without, n, why); why == "" {
 			t.Errorf("without %q nothing breaks", g.without)
 		}
 	}
 }
 
-// A machine whose lease ran out acts again with the second report of its new session: the first, at a former token, brings it
-// ours. Once only the first was taken, and a whole zone that came back waited for 5 s and counted as lost again.
-func TestLostAndBack(t *testing.T) {
+// A machine whose lease expired is ready again with the second heartbeat of its new session: the response to the first, at a
+// former token, carries the leader's. Otherwise a whole zone that recovers waits for 5 s and counts as lost again.
+func TestMachineIsReadyAgainAfterItsLeaseExpired(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
@@ -332,9 +343,9 @@
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
 			t.Fatal(machine.Condition)
 		}
-		tokens := []uint64{fenced, fenced, 2 * fenced} // the answer to the first is lost
+		tokens := []uint64{fenced, fenced, 2 * fenced} // the response to the first is lost
 		if known {
-			tokens = []uint64{2 * fenced, 2 * fenced, 2 * fenced} // a worker keeps the highest token that it has seen, in a new session too
+			tokens = []uint64{2 * fenced, 2 * fenced, 2 * fenced} // a worker keeps its highest token in a new session
 		}
 		for _, token := range tokens {
 			g.now += time.Second
@@ -346,10 +357,10 @@
 	}
 }
 
-// A machine has restarted, and its new life has been given a task with a seat, whose launch went out directly and has no answer
-// yet. A copy of a report from its former life arrives, whose session was higher: nothing is given up, renewed or heard by it, and the
-// new life's reports go on counting.
-func TestCopyOfAHigherSessionOfAFormerLife(t *testing.T) {
+// A worker has restarted, and its new incarnation was given a task with a licence by a direct launch that has no response
+// yet. A copy of a heartbeat of its former incarnation arrives, whose session was higher: it releases and renews nothing and
+// is no contact, and the heartbeats of the new incarnation go on counting.
+func TestStaleCopyFromAFormerIncarnationHasNoEffect(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	old := &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 5, Seq: 900, Token: 2 * fenced}
 	for range 3 {
@@ -358,7 +369,7 @@
 	}
 	g.now += 10 * time.Second
 	life := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 1, Seq: 1}
-	for life.Seq < 4 { // dared, it shows itself
+	for life.Seq < 4 { // it is challenged and answers
 		life.Seq++
 		g.now += time.Second
 		a, v := g.HandleHeartbeat(g.now, &life)
@@ -375,20 +386,20 @@
 	g.now += time.Second
 	old.Seq++
 	if _, v := g.HandleHeartbeat(g.now, old); v != Stale {
-		t.Errorf("the copy's verdict is %d", v)
+		t.Errorf("the result of the copy is %d", v)
 	}
 	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition, machine.Token, len(machine.indeterminateLaunches)); is != was {
 		t.Errorf("a copy changes %s to %s", was, is)
 	}
 	life.Seq++
 	if _, v := g.HandleHeartbeat(g.now, &life); v != Accepted {
-		t.Errorf("the new life's verdict is %d", v)
+		t.Errorf("the result for the new incarnation is %d", v)
 	}
 }
 
-// A machine restarts, and its lease runs out before anybody has answered it: its session is higher than the one that was known, its
-// token none. It can't be told from copies until it carries a token that nobody had, and is used soon all the same.
-func TestRestartedWithAHigherSession(t *testing.T) {
+// A worker restarts, and its lease expires before any response: its session is higher than the last accepted one, and it has
+// no token. It can't be told from copies until it carries a token that none of them can, and is ready soon all the same.
+func TestRestartedWorkerWithAHigherSessionIsReadySoon(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, 2*fenced)
 	g.hear("m", 1, 2*fenced)
@@ -405,9 +416,9 @@
 	}
 }
 
-// A machine reports on and on without the task that each answer tells it to start: for as long as its lease may still go on by those
-// answers nothing else is given to it, and it isn't heard. It is again with the first report at the token that was raised.
-func TestNoEffectIsDeaf(t *testing.T) {
+// A machine's heartbeats never list the task that each response starts. While its lease may still be extended by the
+// responses, it gets nothing else and is not in contact. The first heartbeat at the raised token ends that.
+func TestCommandsWithoutEffectMakeAMachineUnreachable(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	machine := g.RegisterMachine(0, "m")
 	g.hear("m", 1, 2*fenced)
@@ -421,16 +432,16 @@
 		}
 	}
 	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 || g.now-machine.LastHeardAt < g.ReachabilityTimeout() {
-		t.Errorf("%v, %d commands given to it lately, %d tasks planned on it, heard %v ago", machine.Condition, given, machine.QueuedTasks, g.now-machine.LastHeardAt)
+		t.Errorf("%v, %d commands sent to it lately, %d tasks queued on it, last contact %v ago", machine.Condition, given, machine.QueuedTasks, g.now-machine.LastHeardAt)
 	}
 	if g.hear("m", 1, machine.Token); machine.Condition != Ready {
 		t.Errorf("%v though it carries the token that was raised", machine.Condition)
 	}
 }
 
-// A machine that was lost and hears nothing reports in one session after the other, at a token of long ago: it doesn't count as
-// heard for that.
-func TestLostAndDeaf(t *testing.T) {
+// A machine whose lease expired and that receives nothing sends heartbeats in one session after the other, at an old token:
+// that is no contact.
+func TestUnreachableMachineWithExpiredLeaseIsNotInContact(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	machine := g.FindMachine("m")
@@ -443,6 +454,6 @@
 		g.hear("m", session+1, fenced)
 	}
 	if machine.LastHeardAt != last || machine.LastHeartbeatAt != g.now {
-		t.Errorf("it counts as heard at %v", machine.LastHeardAt)
+		t.Errorf("its last contact is at %v", machine.LastHeardAt)
 	}
 }
--- /dev/null
+++ b/internal/fleet/rig_test.go
@@ -0,0 +1,149 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/licences"
+	"github.com/harewalk/harewalk/internal/planner"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// rig is a fleet whose writes and direct requests the test completes.
+type rig struct {
+	*Fleet
+	t               testing.TB
+	now             time.Duration
+	kv              map[string]json.RawMessage
+	revision        uint64
+	pendingCommits  []func(store.Outcome)
+	directCallbacks []func(heartbeat *Heartbeat, ok bool)
+	sentDirect      []DirectCommands
+	seq             uint64
+}
+
+func newRig(t testing.TB, term uint64, kv map[string]json.RawMessage) *rig {
+	return newRigOf(t, term, kv, []config.Team{{Name: "t", CPUsMax: 4}})
+}
+
+func newRigOf(t testing.TB, term uint64, kv map[string]json.RawMessage, teams []config.Team, pools ...*licences.Pool) *rig {
+	g := &rig{t: t, kv: kv, revision: 100 * term}
+	settings := &config.Settings{}
+	settings.Params.Teams = teams
+	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
+	settings.Params.State.ValueKB = 8
+	settings.Operator.NetworkFactor = 1
+	book := jobs.NewTable(0)
+	book.Names.Pools = licences.NewCatalog(pools)
+	var plans []store.Item
+	for k, v := range kv {
+		g.revision++
+		if k[:2] == jobs.PlanPrefix {
+			plans = append(plans, store.Item{Key: k, Value: v, Version: g.revision})
+		} else if _, _, err := book.Apply(k[len(jobs.Prefix):], v, g.revision); err != nil {
+			t.Fatal(err)
+		}
+	}
+	g.Fleet = New(Env{
+		Settings: settings, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: func() time.Duration { return g.now },
+		Types: func(int32) *MachineType {
+			return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1}
+		},
+		CanWrite:       func(int) bool { return true },
+		HasSpareWrites: func() bool { return true },
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			g.pendingCommits = append(g.pendingCommits, func(o store.Outcome) {
+				g.revision++
+				if o == store.Committed {
+					for _, op := range txn.Then {
+						if op.Delete != "" {
+							delete(kv, op.Delete)
+						} else {
+							kv[op.Put] = op.Value
+						}
+					}
+				}
+				done(store.Result{Outcome: o, Revision: g.revision})
+			})
+		},
+		Read: func(key string, done func(store.Item, error)) {
+			item := store.Item{Key: key, Value: kv[key]}
+			if item.Value != nil {
+				item.Version = g.revision
+			}
+			done(item, nil)
+		},
+		SendCommands: func(_ *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
+			g.sentDirect, g.directCallbacks = append(g.sentDirect, o), append(g.directCallbacks, done)
+		},
+		OnJobRecord: func(now time.Duration, item store.Item) { g.applyRecord(item.Key, item.Value) },
+	}, term, 0)
+	g.LoadPlans(0, plans)
+	return g
+}
+
+func (g *rig) applyRecord(key string, raw json.RawMessage) {
+	g.revision++
+	g.kv[key] = raw
+	if job, changed, err := g.Jobs.Apply(key[len(jobs.Prefix):], raw, g.revision); err != nil {
+		g.t.Fatal(err)
+	} else if changed {
+		g.HandleJobChange(g.now, job)
+	}
+}
+
+func spec(n int, tasks int) *jobs.Spec {
+	return &jobs.Spec{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
+		CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: 1, EstimateS: 10,
+	}
+}
+
+func (g *rig) submit(spec *jobs.Spec) *jobs.Job {
+	g.applyRecord(jobs.RecordKey(spec.ID), jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec))
+	return g.Jobs.Get(spec.ID)
+}
+
+func (g *rig) cancel(job *jobs.Job) {
+	g.applyRecord(jobs.RecordKey(job.ID), jobs.EncodeRecord(jobs.Cancelled, 0, job.TaskCount, job.Spec))
+}
+
+// hear delivers a heartbeat of a machine at a token and returns the commands of the response.
+func (g *rig) hear(m string, session, token uint64, tasks ...TaskReport) []Command {
+	g.seq++
+	a, v := g.HandleHeartbeat(g.now, &Heartbeat{Machine: m, Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: token, Tasks: tasks})
+	if v != Accepted {
+		g.t.Fatalf("heartbeat refused: %d", v)
+	}
+	return a.Commands
+}
+
+// settle completes all writes with an outcome, for enough ticks until nothing is written any more.
+func (g *rig) settle(o store.Outcome) { g.settleFor(20, o) }
+
+// settleFor does so for a number of ticks, a tenth of a second each.
+func (g *rig) settleFor(ticks int, o store.Outcome) {
+	for range ticks {
+		g.now += 100 * time.Millisecond
+		g.Tick(g.now, false)
+		for len(g.pendingCommits) > 0 {
+			c := g.pendingCommits[0]
+			g.pendingCommits = g.pendingCommits[1:]
+			c(o)
+		}
+	}
+}
+
+func starts(cs []Command) (out []Command) {
+	for _, c := range cs {
+		if c.Op == opStart {
+			out = append(out, c)
+		}
+	}
+	return out
+}
