--- a/internal/fleet/crashloop_test.go
+++ b/internal/fleet/crashloop_test.go
@@ -11,8 +11,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Failures on several machines are attributed to the job, failures of several jobs to the machine. A job with a task that is
-// done and a service that ran for long are healthy.
+// Failures on several machines are attributed to the job, failures of several jobs to the machine. A job with a
+// task that is done and a service that ran for long are healthy.
 func TestFailuresAreAttributedToJobOrMachine(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/fleet/dispatch_test.go
+++ b/internal/fleet/dispatch_test.go
@@ -8,17 +8,20 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A machine whose heartbeats reach no controller responds to direct commands, one after the other. The responses are no
-// contact: it gets no new work once a heartbeat is overdue, its lease expires for the leader when it does for the worker, and
-// only a heartbeat brings it back. Otherwise the leader goes on sending it work that dies with each lease.
+// A machine whose heartbeats reach no controller responds to direct commands, one after the other. The responses
+// are no contact: it gets no new work once a heartbeat is overdue, its lease expires for the leader when it does
+// for the worker, and only a heartbeat brings it back. Otherwise the leader goes on sending it work that dies with
+// each lease.
 func TestDirectResponsesAreNotContact(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, 0)
 	g.hear("m", 1, fenced)
-	machine, last, session := g.machines[0], g.now, uint64(1)
-	var on []TaskReport
+	machine := g.machines[0]
+	lastContact := g.now
+	session := uint64(1)
+	var running []TaskReport
 	sent, late := 0, 0
-	for n := 1; g.now-last < 70*time.Second; n++ {
+	for n := 1; g.now-lastContact < 70*time.Second; n++ {
 		if n%4 == 0 {
 			g.submit(spec(n, 1))
 		}
@@ -27,24 +30,27 @@
 		if len(g.directCallbacks) == 0 {
 			continue
 		}
-		o, done := g.sentDirect[len(g.sentDirect)-1], g.directCallbacks[len(g.directCallbacks)-1]
+		request := g.sentDirect[len(g.sentDirect)-1]
+		done := g.directCallbacks[len(g.directCallbacks)-1]
 		g.directCallbacks = nil
-		if g.now-last > time.Duration(session)*g.Settings.Lease() {
-			session, on = session+1, nil
+		if g.now-lastContact > time.Duration(session)*g.Settings.Lease() {
+			session++
+			running = nil
 		}
-		for i := range on { // what ran is done by now
-			on[i].State, on[i].Why = taskExited, exitDone
+		for i := range running { // what ran is done by now
+			running[i].State = taskExited
+			running[i].Why = exitDone
 		}
-		if o.Session == session {
-			for _, c := range starts(o.Commands) {
-				on = append(on, TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
-				if sent++; g.now-last > 5*time.Second {
+		if request.Session == session {
+			for _, c := range starts(request.Commands) {
+				running = append(running, TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
+				if sent++; g.now-lastContact > 5*time.Second {
 					late++
 				}
 			}
 		}
 		g.seq++
-		done(&Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: o.Token, Tasks: on}, true)
+		done(newHeartbeat("m", session, g.seq, request.Token, running...), true)
 	}
 	if sent == 0 || late > 0 {
 		t.Errorf("of %d tasks sent, %d went to a machine whose heartbeat was overdue", sent, late)
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -74,8 +74,14 @@
 	}
 }
 
+// doneReport returns the status of a job's first task that is done.
+func doneReport(job *jobs.Job) TaskReport {
+	return TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone}
+}
+
 // launched returns a rig with a task whose direct launch was sent and has no response.
 func launched(t *testing.T) (*rig, *jobs.Job) {
+	t.Helper()
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
 	job := g.submit(spec(1, 1))
@@ -95,8 +101,8 @@
 	}
 }
 
-// A direct launch whose outcome is indeterminate counts until a heartbeat carries a raised token, and its quota is free
-// afterwards.
+// A direct launch whose outcome is indeterminate counts until a heartbeat carries a raised token, and its quota is
+// free afterwards.
 func TestIndeterminateLaunchCountsUntilFenced(t *testing.T) {
 	g, job := launched(t)
 	g.directCallbacks[0](nil, false)
@@ -146,7 +152,7 @@
 	g.hear("m", 1, fenced)
 	g.now = 18 * time.Second
 	g.seq++
-	g.acceptHeartbeat(g.now, &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 2, Seq: g.seq, Token: fenced}, fromResponse)
+	g.acceptHeartbeat(g.now, newHeartbeat("m", 2, g.seq, fenced), fromResponse)
 	g.now = 30 * time.Second
 	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c == LeaseExpired {
@@ -177,7 +183,7 @@
 // The response to a direct request may come after its job has ended and was swept.
 func TestDirectResponseAfterItsJobWasSwept(t *testing.T) {
 	g, job := launched(t)
-	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone})
+	g.hear("m", 1, fenced, doneReport(job))
 	g.settle(store.Committed)
 	if job.Tasks != nil || job.State != jobs.Done {
 		t.Fatalf("job not swept: %v", job.State)
@@ -185,10 +191,11 @@
 	g.directCallbacks[0](nil, true)
 }
 
-// A job's terminal record is conditional on the version that was read, so it can never overwrite an earlier cancellation.
+// A job's terminal record is conditional on the version that was read, so it can never overwrite an earlier
+// cancellation.
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
 	g, job := launched(t)
-	g.hear("m", 1, fenced, TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone})
+	g.hear("m", 1, fenced, doneReport(job))
 	var seen []store.Condition
 	g.Commit = func(tx store.Txn, done func(store.Result)) { seen = append(seen, tx.If...) }
 	g.FlushWrites(g.now)
@@ -225,7 +232,8 @@
 	}
 }
 
-// A task that failed is retried on another machine after a pause, and what its job had queued on the machine moves away too.
+// A task that failed is retried on another machine after a pause, and what its job had queued on the machine moves
+// away too.
 func TestFailedTasksRunElsewhere(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
@@ -290,8 +298,8 @@
 	}
 }
 
-// No two attempts are equal, in any term: a task that is launched again must not be taken for an earlier start, and the
-// tasks of a gang find each other by the number.
+// No two attempts are equal, in any term: a task that is launched again must not be taken for an earlier start, and
+// the tasks of a gang find each other by the number.
 func TestAttemptsNeverRepeatAcrossTerms(t *testing.T) {
 	seen := map[uint64]uint64{}
 	for term := uint64(1); term < 5; term++ {
@@ -306,14 +314,18 @@
 	}
 }
 
-// A task that is stopped during the download of its image leaves no image behind, unless another task there still waits for
-// the same one. A task that ran does.
+// A task that is stopped during the download of its image leaves no image behind, unless another task there still
+// waits for the same one. A task that ran does.
 func TestAbandonedDownloadLeavesNoImage(t *testing.T) {
 	for _, c := range []struct {
 		states []string
 		other  bool
 		has    bool
-	}{{[]string{taskFetching}, false, false}, {[]string{taskFetching, taskRunning}, false, true}, {[]string{taskFetching}, true, true}} {
+	}{
+		{states: []string{taskFetching}, other: false, has: false},
+		{states: []string{taskFetching, taskRunning}, other: false, has: true},
+		{states: []string{taskFetching}, other: true, has: true},
+	} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
 		g.hear("m", 1, 2*fenced)
@@ -329,7 +341,8 @@
 			g.now += time.Second
 			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, Why: why}}
 			if c.other {
-				tasks = append(tasks, TaskReport{Task: "req-000001/1", Attempt: job.Tasks[1].Attempt, State: taskFetching})
+				second := TaskReport{Task: "req-000001/1", Attempt: job.Tasks[1].Attempt, State: taskFetching}
+				tasks = append(tasks, second)
 			}
 			g.hear("m", 1, 2*fenced, tasks...)
 		}
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -13,8 +13,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// singleMachine models one machine by the protocol, to which the real fleet gives one task. It holds what is really on the
-// machine, so it can check that the fleet counts it there.
+// singleMachine models one machine by the protocol, to which the real fleet gives one task. It holds what is really
+// on the machine, so it can check that the fleet counts it there.
 type singleMachine struct {
 	*rig
 	job                           *jobs.Job
@@ -23,7 +23,7 @@
 	leaseStart                    time.Duration // from when its lease counts
 	runningAttempt                uint64        // of the task that is on it; 0: none
 	isDead                        bool
-	incarnation, knownIncarnation int             // how often it restarted, and how often as the fleet can tell from accepted heartbeats
+	incarnation, knownIncarnation int             // how often it restarted, in fact and by accepted heartbeats
 	history                       []sentHeartbeat // all heartbeats so far
 	removedGuard                  string          // the guard that the test removes, "" for none
 	copyEffect                    string          // what a copy changed, "" if nothing
@@ -66,12 +66,12 @@
 
 func (l *singleMachine) makeHeartbeat() *Heartbeat {
 	l.seq++
-	r := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: l.session, Seq: l.seq, Token: l.token}
+	heartbeat := newHeartbeat("m", l.session, l.seq, l.token)
 	if l.runningAttempt > 0 {
-		r.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.runningAttempt, State: taskRunning}}
+		heartbeat.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.runningAttempt, State: taskRunning}}
 	}
-	l.history = append(l.history, sentHeartbeat{r, l.incarnation, false})
-	return &r
+	l.history = append(l.history, sentHeartbeat{*heartbeat, l.incarnation, false})
+	return heartbeat
 }
 
 // removeGuard undoes, in the machine's state, what the guard that is removed protects.
@@ -98,33 +98,44 @@
 	return l.HandleHeartbeat(l.now, &c)
 }
 
-// deliverCopy delivers a copy of an earlier heartbeat. It must have no effect, unless the heartbeat itself never arrived and
-// is of the present incarnation, as far as the fleet can tell, in a session that has not certainly ended.
+// deliverCopy delivers a copy of an earlier heartbeat. It must have no effect, unless the heartbeat itself never
+// arrived and is of the present incarnation, as far as the fleet can tell, in a session that has not certainly
+// ended.
 func (l *singleMachine) deliverCopy(i int) {
-	machine, r := l.machines[0], &l.history[i]
-	news := !r.arrived && r.incarnation >= l.knownIncarnation && (machine.Condition != LeaseExpired || r.Session > machine.Session)
-	r.arrived = true
-	was := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.job.Tasks[0].State)
-	l.deliver(&r.Heartbeat)
-	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.job.Tasks[0].State); is != was && !news && l.copyEffect == "" {
-		l.copyEffect = fmt.Sprintf("a copy changes %s to %s", was, is)
+	machine := l.machines[0]
+	copied := &l.history[i]
+	isLive := machine.Condition != LeaseExpired || copied.Session > machine.Session
+	mayHaveEffect := !copied.arrived && copied.incarnation >= l.knownIncarnation && isLive
+	copied.arrived = true
+	before := l.describe()
+	l.deliver(&copied.Heartbeat)
+	after := l.describe()
+	if after != before && !mayHaveEffect && l.copyEffect == "" {
+		l.copyEffect = fmt.Sprintf("a copy changes %s to %s", before, after)
 	}
 }
 
+// describe returns the state of the machine and its task that a stale copy must not change.
+func (l *singleMachine) describe() string {
+	machine := l.machines[0]
+	return fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.job.Tasks[0].State)
+}
+
 // sendHeartbeat sends a heartbeat that arrives; received is whether its response does.
 func (l *singleMachine) sendHeartbeat(received bool) {
 	l.expireLease()
 	heartbeat, sent := l.makeHeartbeat(), l.now
 	l.history[len(l.history)-1].arrived = true
-	a, v := l.deliver(heartbeat)
+	response, result := l.deliver(heartbeat)
 	if machine := l.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
 		l.knownIncarnation = l.incarnation
 	}
-	if v != Accepted || !received || a.Token < l.token {
+	if result != Accepted || !received || response.Token < l.token {
 		return
 	}
-	l.token, l.leaseStart = a.Token, sent
-	l.execute(a.Commands)
+	l.token = response.Token
+	l.leaseStart = sent
+	l.execute(response.Commands)
 }
 
 func (l *singleMachine) execute(cs []Command) {
@@ -138,8 +149,8 @@
 	}
 }
 
-// deliverDirect sends the direct request that is due, if any; arrives is whether it reaches the machine, received whether
-// the response reaches the fleet.
+// deliverDirect sends the direct request that is due, if any; arrives is whether it reaches the machine, received
+// whether the response reaches the fleet.
 func (l *singleMachine) deliverDirect(arrives, received bool) {
 	machine := l.machines[0]
 	answered := machine.LastAnsweredAt
@@ -147,14 +158,15 @@
 	if len(l.directCallbacks) == 0 {
 		return
 	}
-	o, done := l.sentDirect[len(l.sentDirect)-1], l.directCallbacks[len(l.directCallbacks)-1]
+	request := l.sentDirect[len(l.sentDirect)-1]
+	done := l.directCallbacks[len(l.directCallbacks)-1]
 	l.directCallbacks = nil
 	var heartbeat *Heartbeat
 	if arrives && !l.isDead {
 		l.expireLease()
-		if o.Token >= l.token && o.Session == l.session {
-			l.token = o.Token
-			l.execute(o.Commands)
+		if request.Token >= l.token && request.Session == l.session {
+			l.token = request.Token
+			l.execute(request.Commands)
 		}
 		heartbeat = l.makeHeartbeat()
 		l.history = l.history[:len(l.history)-1] // only requests come as copies
@@ -263,15 +275,18 @@
 		if why := l.violation(); why != "" {
 			return why
 		}
-		if l.settleBriefly(); l.runningAttempt > 0 && machine.Condition == Ready && l.job.Tasks[0].State == jobs.OnMachine {
+		l.settleBriefly()
+		isRunning := l.runningAttempt > 0 && l.job.Tasks[0].State == jobs.OnMachine
+		if isRunning && machine.Condition == Ready {
 			return ""
 		}
 	}
-	return fmt.Sprintf("it has recovered and gets nothing: %s, task %s, %+v", machine.Condition, l.job.Tasks[0].State, machine.reachability)
+	return fmt.Sprintf("it has recovered and gets nothing: %s, task %s, %+v",
+		machine.Condition, l.job.Tasks[0].State, machine.reachability)
 }
 
-// exploreSequences plays every sequence that begins with some events and goes on with a number of others, until one goes
-// wrong.
+// exploreSequences plays every sequence that begins with some events and goes on with a number of others, until one
+// goes wrong.
 func exploreSequences(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
 	run := make([]int, len(begins)+length)
 	for i, name := range begins {
@@ -297,10 +312,10 @@
 	}
 }
 
-// All short sequences of events of one machine and the fleet: responses are lost, copies of heartbeats arrive at any time, the
-// worker restarts with session and sequence from the start, direct commands arrive or not, the machine dies. What is on it
-// counts, it gets work again once it recovered, and no copy brings it back. Without any of the guards some sequence breaks
-// that.
+// All short sequences of events of one machine and the fleet: responses are lost, copies of heartbeats arrive at
+// any time, the worker restarts with session and sequence from the start, direct commands arrive or not, the
+// machine dies. What is on it counts, it gets work again once it recovered, and no copy brings it back. Without any
+// of the guards some sequence breaks that.
 func TestAllEventSequencesOfOneMachine(t *testing.T) {
 	length := 4
 	if os.Getenv("HAREWALK_LONG") != "" {
@@ -329,8 +344,9 @@
 	}
 }
 
-// A machine whose lease expired is ready again with the second heartbeat of its new session: the response to the first, at a
-// former token, carries the leader's. Otherwise a whole zone that recovers waits for 5 s and counts as lost again.
+// A machine whose lease expired is ready again with the second heartbeat of its new session: the response to the
+// first, at a former token, carries the leader's. Otherwise a whole zone that recovers waits for 5 s and counts as
+// lost again.
 func TestMachineIsReadyAgainAfterItsLeaseExpired(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
@@ -357,9 +373,9 @@
 	}
 }
 
-// A worker has restarted, and its new incarnation was given a task with a licence by a direct launch that has no response
-// yet. A copy of a heartbeat of its former incarnation arrives, whose session was higher: it releases and renews nothing and
-// is no contact, and the heartbeats of the new incarnation go on counting.
+// A worker has restarted, and its new incarnation was given a task with a licence by a direct launch that has no
+// response yet. A copy of a heartbeat of its former incarnation arrives, whose session was higher: it releases and
+// renews nothing and is no contact, and the heartbeats of the new incarnation go on counting.
 func TestStaleCopyFromAFormerIncarnationHasNoEffect(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	old := &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 5, Seq: 900, Token: 2 * fenced}
@@ -382,14 +398,18 @@
 		t.Fatalf("session %d, %v", machine.Session, machine.Condition)
 	}
 	machine.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
-	was := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition, machine.Token, len(machine.indeterminateLaunches))
+	describe := func() string {
+		return fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition,
+			machine.Token, len(machine.indeterminateLaunches))
+	}
+	before := describe()
 	g.now += time.Second
 	old.Seq++
 	if _, v := g.HandleHeartbeat(g.now, old); v != Stale {
 		t.Errorf("the result of the copy is %d", v)
 	}
-	if is := fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition, machine.Token, len(machine.indeterminateLaunches)); is != was {
-		t.Errorf("a copy changes %s to %s", was, is)
+	if after := describe(); after != before {
+		t.Errorf("a copy changes %s to %s", before, after)
 	}
 	life.Seq++
 	if _, v := g.HandleHeartbeat(g.now, &life); v != Accepted {
@@ -397,18 +417,21 @@
 	}
 }
 
-// A worker restarts, and its lease expires before any response: its session is higher than the last accepted one, and it has
-// no token. It can't be told from copies until it carries a token that none of them can, and is ready soon all the same.
+// A worker restarts, and its lease expires before any response: its session is higher than the last accepted one,
+// and it has no token. It can't be told from copies until it carries a token that none of them can, and is ready
+// soon all the same.
 func TestRestartedWorkerWithAHigherSessionIsReadySoon(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, 2*fenced)
 	g.hear("m", 1, 2*fenced)
-	machine, r, from := g.FindMachine("m"), Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 3, Seq: 2}, g.now
+	machine := g.FindMachine("m")
+	heartbeat := newHeartbeat("m", 3, 2, 0)
+	from := g.now
 	for g.now-from < 20*time.Second && (machine.Session != 3 || machine.Condition != Ready) {
 		g.now += time.Second
-		r.Seq++
-		if a, v := g.HandleHeartbeat(g.now, &r); v == Accepted {
-			r.Token = max(r.Token, a.Token)
+		heartbeat.Seq++
+		if response, result := g.HandleHeartbeat(g.now, heartbeat); result == Accepted {
+			heartbeat.Token = max(heartbeat.Token, response.Token)
 		}
 	}
 	if duration := g.now - from; duration > 10*time.Second {
@@ -431,16 +454,19 @@
 			given += len(cs)
 		}
 	}
-	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 || g.now-machine.LastHeardAt < g.ReachabilityTimeout() {
-		t.Errorf("%v, %d commands sent to it lately, %d tasks queued on it, last contact %v ago", machine.Condition, given, machine.QueuedTasks, g.now-machine.LastHeardAt)
+	sinceContact := g.now - machine.LastHeardAt
+	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 ||
+		sinceContact < g.ReachabilityTimeout() {
+		t.Errorf("%v, %d commands sent to it lately, %d tasks queued on it, last contact %v ago",
+			machine.Condition, given, machine.QueuedTasks, sinceContact)
 	}
 	if g.hear("m", 1, machine.Token); machine.Condition != Ready {
 		t.Errorf("%v though it carries the token that was raised", machine.Condition)
 	}
 }
 
-// A machine whose lease expired and that receives nothing sends heartbeats in one session after the other, at an old token:
-// that is no contact.
+// A machine whose lease expired and that receives nothing sends heartbeats in one session after the other, at an
+// old token: that is no contact.
 func TestUnreachableMachineWithExpiredLeaseIsNotInContact(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.hear("m", 1, fenced)
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -27,11 +27,16 @@
 	seq             uint64
 }
 
+// newRig returns a rig with one team that may use 4 CPUs.
 func newRig(t testing.TB, term uint64, kv map[string]json.RawMessage) *rig {
 	return newRigOf(t, term, kv, []config.Team{{Name: "t", CPUsMax: 4}})
 }
 
-func newRigOf(t testing.TB, term uint64, kv map[string]json.RawMessage, teams []config.Team, pools ...*licences.Pool) *rig {
+// newRigOf returns a rig whose fleet has loaded the plans stored in kv, with teams and licence pools.
+func newRigOf(
+	t testing.TB, term uint64, kv map[string]json.RawMessage, teams []config.Team, pools ...*licences.Pool,
+) *rig {
+	t.Helper()
 	g := &rig{t: t, kv: kv, revision: 100 * term}
 	settings := &config.Settings{}
 	settings.Params.Teams = teams
@@ -50,7 +55,11 @@
 		}
 	}
 	g.Fleet = New(Env{
-		Settings: settings, Jobs: book, Rng: rand.New(rand.NewPCG(1, 1)), TxnOps: 20, Now: func() time.Duration { return g.now },
+		Settings: settings,
+		Jobs:     book,
+		Rng:      rand.New(rand.NewPCG(1, 1)),
+		TxnOps:   20,
+		Now:      func() time.Duration { return g.now },
 		Types: func(int32) *MachineType {
 			return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1}
 		},
@@ -87,6 +96,7 @@
 	return g
 }
 
+// applyRecord stores a job record and lets the job table and the fleet apply it.
 func (g *rig) applyRecord(key string, raw json.RawMessage) {
 	g.revision++
 	g.kv[key] = raw
@@ -97,6 +107,7 @@
 	}
 }
 
+// spec returns a job array of tasks of one CPU each.
 func spec(n int, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
@@ -104,23 +115,40 @@
 	}
 }
 
+// submit accepts a job.
 func (g *rig) submit(spec *jobs.Spec) *jobs.Job {
 	g.applyRecord(jobs.RecordKey(spec.ID), jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec))
 	return g.Jobs.Get(spec.ID)
 }
 
+// cancel cancels a job.
 func (g *rig) cancel(job *jobs.Job) {
 	g.applyRecord(jobs.RecordKey(job.ID), jobs.EncodeRecord(jobs.Cancelled, 0, job.TaskCount, job.Spec))
 }
 
 // hear delivers a heartbeat of a machine at a token and returns the commands of the response.
 func (g *rig) hear(m string, session, token uint64, tasks ...TaskReport) []Command {
+	g.t.Helper()
 	g.seq++
-	a, v := g.HandleHeartbeat(g.now, &Heartbeat{Machine: m, Addr: "x", Type: "ty", Zone: "z", Session: session, Seq: g.seq, Token: token, Tasks: tasks})
-	if v != Accepted {
-		g.t.Fatalf("heartbeat refused: %d", v)
+	response, result := g.HandleHeartbeat(g.now, newHeartbeat(m, session, g.seq, token, tasks...))
+	if result != Accepted {
+		g.t.Fatalf("heartbeat refused: %d", result)
+	}
+	return response.Commands
+}
+
+// newHeartbeat returns a heartbeat of a machine.
+func newHeartbeat(machine string, session, seq, token uint64, tasks ...TaskReport) *Heartbeat {
+	return &Heartbeat{
+		Machine: machine,
+		Addr:    "x",
+		Type:    "ty",
+		Zone:    "z",
+		Session: session,
+		Seq:     seq,
+		Token:   token,
+		Tasks:   tasks,
 	}
-	return a.Commands
 }
 
 // settle completes all writes with an outcome, for enough ticks until nothing is written any more.
@@ -139,6 +167,7 @@
 	}
 }
 
+// starts returns the start commands among commands.
 func starts(cs []Command) (out []Command) {
 	for _, c := range cs {
 		if c.Op == opStart {
