--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -318,13 +318,13 @@
 // waits for the same one. A task that ran does.
 func TestAbandonedDownloadLeavesNoImage(t *testing.T) {
 	for _, c := range []struct {
-		states []string
+		states []AttemptState
 		other  bool
 		has    bool
 	}{
-		{states: []string{taskFetching}, other: false, has: false},
-		{states: []string{taskFetching, taskRunning}, other: false, has: true},
-		{states: []string{taskFetching}, other: true, has: true},
+		{states: []AttemptState{taskFetching}, other: false, has: false},
+		{states: []AttemptState{taskFetching, taskRunning}, other: false, has: true},
+		{states: []AttemptState{taskFetching}, other: true, has: true},
 	} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
@@ -337,7 +337,7 @@
 		g.settle(store.Committed)
 		g.now += time.Second
 		g.hear("m", 1, 2*fenced)
-		report := func(state, why string) {
+		report := func(state AttemptState, why ExitCause) {
 			g.now += time.Second
 			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, Why: why}}
 			if c.other {
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -69,7 +69,7 @@
 
 // licenceEnd says what an exit means for a task's licences: a process that was stopped or gave up
 // had the time to give its seats back, one that failed perhaps not.
-func licenceEnd(why string) licences.End {
+func licenceEnd(why ExitCause) licences.End {
 	switch why {
 	case exitNoRoom, exitUnknown:
 		return licences.Unstarted
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -26,7 +26,7 @@
 	return g.Gate.Licences.Show(g.now, pool, func(int32) string { return "" }).Free
 }
 
-func task(job *jobs.Job, t int, attempt uint64, state, why string) TaskReport {
+func task(job *jobs.Job, t int, attempt uint64, state AttemptState, why ExitCause) TaskReport {
 	return TaskReport{Task: taskName(job, int32(t)), Attempt: attempt, State: state, Why: why}
 }
 
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -29,11 +29,11 @@
 
 // TaskReport is the status of one attempt at a task on a machine.
 type TaskReport struct {
-	Task    string `json:"hop"` // as taskName returns it
-	Attempt uint64 `json:"try"`
-	State   string `json:"stance"` // taskFetching to taskExited
-	Why     string `json:"cause"`  // exitDone to exitUnknown, once it has exited
-	Saved   bool   `json:"kept"`   // it left a checkpoint when it exited
+	Task    string       `json:"hop"` // as taskName returns it
+	Attempt uint64       `json:"try"`
+	State   AttemptState `json:"stance"`
+	Why     ExitCause    `json:"cause"` // "" until it has exited
+	Saved   bool         `json:"kept"`  // it left a checkpoint when it exited
 
 	// The task in the job table, set by Fleet.resolveTaskReports; job is nil if it is not there.
 	job       *jobs.Job
@@ -43,18 +43,21 @@
 // ref returns the task of a report whose job was found.
 func (r *TaskReport) ref() TaskRef { return TaskRef{Job: r.job.Index, Task: r.taskIndex} }
 
-// The states of a task on a machine.
+// AttemptState is the state of an attempt at a task on its machine, as on the wire.
+type AttemptState string
+
+// The states of an attempt.
 const (
-	taskFetching = "pulling"   // downloads its image
-	taskWaiting  = "gathering" // waits for the other tasks of its gang
-	taskRunning  = "running"
-	taskSaving   = "flushing" // writes a checkpoint before it stops
-	taskExited   = "exited"
+	taskFetching AttemptState = "pulling"   // downloads its image
+	taskWaiting  AttemptState = "gathering" // waits for the other tasks of its gang
+	taskRunning  AttemptState = "running"
+	taskSaving   AttemptState = "flushing" // writes a checkpoint before it stops
+	taskExited   AttemptState = "exited"
 )
 
-// taskPhase returns the phase of a task that a worker lists in a state, NoPhase if the state is not one of a live
+// taskPhase returns the phase of a task whose attempt is in a state, NoPhase if the state is not one of a live
 // task.
-func taskPhase(state string) jobs.Phase {
+func taskPhase(state AttemptState) jobs.Phase {
 	switch state {
 	case taskFetching:
 		return jobs.Fetching
@@ -68,29 +71,36 @@
 	return jobs.NoPhase
 }
 
-// The causes of an exit.
+// ExitCause is why an attempt at a task has exited, as on the wire. Workers also send causes that are not listed here, such
+// as that the other tasks of a gang did not start; these have no effect of their own.
+type ExitCause string
+
+// The causes of an exit that the fleet distinguishes.
 const (
-	exitDone    = "done"
-	exitStopped = "halted"
-	exitError   = "error"
-	exitNoRoom  = "full"    // refused: the machine lacks the capacity
-	exitBusy    = "in_use"  // refused: another attempt at the task is on the machine
-	exitUnknown = "no_such" // refused: the worker found no such job
+	exitDone    ExitCause = "done"
+	exitStopped ExitCause = "halted"
+	exitError   ExitCause = "error"
+	exitNoRoom  ExitCause = "full"    // refused: the machine lacks the capacity
+	exitBusy    ExitCause = "in_use"  // refused: another attempt at the task is on the machine
+	exitUnknown ExitCause = "no_such" // refused: the worker found no such job
 )
 
 // Command is a leader's command to a worker about one attempt at a task.
 type Command struct {
-	Op      string   `json:"call"` // opStart, opStop or opForget
-	Task    string   `json:"hop"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"mercy_s,omitempty"` // of a stop: seconds to save a checkpoint before the task is killed
+	Op      Operation `json:"call"`
+	Task    string    `json:"hop"`
+	Attempt uint64    `json:"try"`
+	GraceS  *float64  `json:"mercy_s,omitempty"` // of a stop: seconds to save a checkpoint before the task is killed
 }
 
+// Operation is what a command asks for, as on the wire.
+type Operation string
+
 // The operations of a command.
 const (
-	opStart  = "launch"
-	opStop   = "halt"
-	opForget = "forget" // stop listing an attempt that has exited
+	opStart  Operation = "launch"
+	opStop   Operation = "halt"
+	opForget Operation = "forget" // stop listing an attempt that has exited
 )
 
 // startCommand returns the command to start an attempt at a task.
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -31,8 +31,8 @@
 	job      string
 	task     int32
 	attempt  uint64
-	state    string
-	why      string
+	state    AttemptState
+	why      ExitCause
 	ready    time.Duration // has its image
 	started  time.Duration
 	run      time.Duration
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -205,7 +205,7 @@
 		Task:    taskIndex,
 		Machine: machine.Index,
 		Attempt: task.Attempt,
-		Note:    report.Why,
+		Note:    string(report.Why),
 		Saved:   report.Saved,
 	})
 	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(report.Why))
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -23,7 +23,13 @@
 		r.NoticeS = &s
 	}
 	for _, k := range m.tasks {
-		r.Tasks = append(r.Tasks, fleet.TaskReport{Task: k.name, Attempt: k.attempt, State: k.state, Why: k.why, Saved: k.saved})
+		r.Tasks = append(r.Tasks, fleet.TaskReport{
+			Task:    k.name,
+			Attempt: k.attempt,
+			State:   fleet.AttemptState(k.state),
+			Why:     fleet.ExitCause(k.why),
+			Saved:   k.saved,
+		})
 	}
 	return r
 }
