--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -70,7 +70,7 @@
 		t.Fatalf("acted on a heartbeat at the former token: %v, %v", cs, job.Tasks[0].State)
 	}
 	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 {
-		t.Fatalf("started %v, want the task that is surely not there", cs)
+		t.Fatalf("started %v, want the task that is certainly not there", cs)
 	}
 }
 
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -378,19 +378,19 @@
 // renews nothing and is no contact, and the heartbeats of the new incarnation go on counting.
 func TestStaleCopyFromAFormerIncarnationHasNoEffect(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	old := &Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 5, Seq: 900, Token: 2 * fenced}
+	old := newHeartbeat("m", 5, 900, 2*fenced)
 	for range 3 {
 		old.Seq++
 		g.HandleHeartbeat(g.now, old)
 	}
 	g.now += 10 * time.Second
-	life := Heartbeat{Machine: "m", Addr: "x", Type: "ty", Zone: "z", Session: 1, Seq: 1}
-	for life.Seq < 4 { // it is challenged and answers
-		life.Seq++
+	restarted := newHeartbeat("m", 1, 1, 0)
+	for restarted.Seq < 4 { // it is challenged and answers
+		restarted.Seq++
 		g.now += time.Second
-		a, v := g.HandleHeartbeat(g.now, &life)
-		if v == Accepted {
-			life.Token = max(life.Token, a.Token)
+		response, result := g.HandleHeartbeat(g.now, restarted)
+		if result == Accepted {
+			restarted.Token = max(restarted.Token, response.Token)
 		}
 	}
 	machine := g.FindMachine("m")
@@ -405,15 +405,15 @@
 	before := describe()
 	g.now += time.Second
 	old.Seq++
-	if _, v := g.HandleHeartbeat(g.now, old); v != Stale {
-		t.Errorf("the result of the copy is %d", v)
+	if _, result := g.HandleHeartbeat(g.now, old); result != Stale {
+		t.Errorf("the result of the copy is %d", result)
 	}
 	if after := describe(); after != before {
 		t.Errorf("a copy changes %s to %s", before, after)
 	}
-	life.Seq++
-	if _, v := g.HandleHeartbeat(g.now, &life); v != Accepted {
-		t.Errorf("the result for the new incarnation is %d", v)
+	restarted.Seq++
+	if _, result := g.HandleHeartbeat(g.now, restarted); result != Accepted {
+		t.Errorf("the result for the new incarnation is %d", result)
 	}
 }
 
