--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -31,8 +31,8 @@
 	job      string
 	task     int32
 	attempt  uint64
-	state    string
-	why      string
+	state    AttemptState
+	why      ExitCause
 	ready    time.Duration // has its image
 	started  time.Duration
 	run      time.Duration
@@ -191,7 +191,7 @@
 			continue
 		}
 		w.checkRecord(o.Put, o.Value)
-		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imagesKey) {
+		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imageHintsPrefix) {
 			// Of a job that is over nobody reads it any more.
 			id, _, _ := splitPlanName(plan)
 			var r jobs.Record
