--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -716,7 +716,7 @@
 	}
 	w.apply(store.Txn{
 		If:   []store.Condition{{Key: key, Version: it.version}},
-		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.Tasks, r.Spec)}},
+		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.Tasks, (*jobs.Spec)(r.Spec))}},
 	})
 	w.told[id] = w.now
 }
--- /dev/null
+++ b/internal/jobs/record.go
@@ -0,0 +1,96 @@
+package jobs
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+)
+
+// State is a job's state as it is stored and as users see it. A job that users see as running is Pending here: running
+// is derived from its tasks and isn't stored.
+type State uint8
+
+// The states of a job.
+//
+//	Pending -> Done       all tasks have finished
+//	Pending -> Cancelled  a user cancelled the job
+//
+// Done and Cancelled are terminal.
+const (
+	Pending State = iota
+	Done
+	Cancelled
+)
+
+// String returns the state's name in records and answers.
+func (s State) String() string { return [...]string{"pending", "done", "cancelled"}[s] }
+
+// Terminal reports whether the state can't change any more.
+func (s State) Terminal() bool { return s != Pending }
+
+func parseState(name string) (State, error) {
+	for _, state := range []State{Pending, Done, Cancelled} {
+		if name == state.String() {
+			return state, nil
+		}
+	}
+	return 0, fmt.Errorf("stance %q", name)
+}
+
+// newestRecordFormat is the newest format of job records that this release reads.
+const newestRecordFormat = 1
+
+// Record is a job as the state service stores it. That of a done job has no specification. That of a cancelled one
+// keeps it: its tasks may still be on machines when another controller takes over, and count against the team's limit
+// until they are gone.
+type Record struct {
+	Format int       `json:"v,omitempty"` // 0 means 1
+	State  string    `json:"stance"`
+	AtMS   int64     `json:"at_ms,omitempty"` // submission, in wall-clock milliseconds
+	Tasks  int       `json:"n"`
+	Spec   *WireSpec `json:"spec,omitempty"`
+}
+
+// Prefix is the prefix of the keys of job records.
+const Prefix = "h/j/"
+
+// RecordKey returns the key of a job's record.
+func RecordKey(id string) string { return Prefix + id }
+
+// EncodeRecord returns the stored form of a job's record. submittedAtMS is in wall-clock milliseconds.
+func EncodeRecord(state State, submittedAtMS int64, tasks int, spec *Spec) json.RawMessage {
+	record := Record{State: state.String(), Tasks: tasks}
+	if state != Done {
+		record.AtMS = submittedAtMS
+		record.Spec = (*WireSpec)(spec)
+	}
+	if state == Cancelled && spec != nil {
+		// The resources of its tasks count until they are gone; where they might run doesn't matter any more. Without
+		// the list of machine types, the only part without a limit, the record fits into any value that the state
+		// service accepts.
+		withoutTypes := *record.Spec
+		withoutTypes.Types = nil
+		record.Spec = &withoutTypes
+	}
+	raw, _ := json.Marshal(record) // it can't fail: a specification has no NaN and no infinity
+	return raw
+}
+
+// decodeRecord reads a stored record. It refuses formats that this release doesn't read.
+func decodeRecord(raw json.RawMessage) (Record, State, error) {
+	var record Record
+	if err := json.Unmarshal(raw, &record); err != nil {
+		return record, 0, err
+	}
+	if record.Format > newestRecordFormat {
+		return record, 0, fmt.Errorf("record in format %d", record.Format)
+	}
+	state, err := parseState(record.State)
+	if err != nil {
+		return record, 0, err
+	}
+	if state == Pending && record.Spec == nil {
+		return record, 0, errors.New("pending record without a spec")
+	}
+	return record, state, nil
+}
--- /dev/null
+++ b/internal/jobs/segmentcodec.go
@@ -0,0 +1,202 @@
+package jobs
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"sort"
+)
+
+// newestSegmentFormat is the newest format of plan segments that this release reads.
+const newestSegmentFormat = 1
+
+// segmentRecord is a plan segment as it is stored.
+type segmentRecord struct {
+	Format   int      `json:"v,omitempty"` // 0 means 1
+	Term     uint64   `json:"term"`        // in which it was written
+	Done     string   `json:"done"`        // bitmap of the finished tasks, in base64
+	Machines []string `json:"on"`          // each machine once, by name
+	// Runs is the machine of each task, run-length encoded as pairs of a number of tasks and an index in Machines, -1
+	// for none.
+	Runs []int32 `json:"runs"`
+}
+
+// noMachine is the index in segmentRecord.Runs of tasks without a machine.
+const noMachine int32 = -1
+
+// appendTask adds the next task's machine, as an index in Machines, to the runs.
+func (r *segmentRecord) appendTask(machine int32) {
+	last := len(r.Runs)
+	if last > 0 && r.Runs[last-1] == machine {
+		r.Runs[last-2]++
+		return
+	}
+	r.Runs = append(r.Runs, 1, machine)
+}
+
+// EncodeSegment returns the stored form of a plan segment and the machines that it names, as DurableMachines will have
+// them once it is stored. name maps a machine's index to its name. Finished tasks have no machine in the stored form.
+func (j *Job) EncodeSegment(
+	segment *PlanSegment,
+	term uint64,
+	name func(machine int32) string,
+) (json.RawMessage, []int32) {
+	first := segment.Number * SegmentTasks
+	count := len(segment.DurableMachines)
+	finished := make([]byte, bitmapBytes(count))
+	snapshot := make([]int32, count)
+	record := segmentRecord{Term: term}
+	recordIndices := map[int32]int32{} // machine to its index in record.Machines
+	for i := range count {
+		task := &j.Tasks[first+i]
+		if task.State == Finished {
+			setBit(finished, i)
+			snapshot[i] = DurablyDone
+			record.appendTask(noMachine)
+			continue
+		}
+		snapshot[i] = task.Machine
+		if task.Machine == None {
+			record.appendTask(noMachine)
+			continue
+		}
+		index, listed := recordIndices[task.Machine]
+		if !listed {
+			index = int32(len(record.Machines))
+			recordIndices[task.Machine] = index
+			record.Machines = append(record.Machines, name(task.Machine))
+		}
+		record.appendTask(index)
+	}
+	record.Done = base64.StdEncoding.EncodeToString(finished)
+	raw, _ := json.Marshal(record) // it has nothing that can't be encoded
+	return raw, snapshot
+}
+
+// EncodeSegmentWithin is EncodeSegment with a limit in bytes. If not all fits, planned tasks are left out, the last ones
+// first: the value names no machine for them, so they don't start until a later write, after others have ended, names
+// one. It returns false if the tasks that were launched exceed the limit by themselves.
+func (j *Job) EncodeSegmentWithin(
+	segment *PlanSegment,
+	term uint64,
+	name func(machine int32) string,
+	limit int,
+) (json.RawMessage, []int32, bool) {
+	raw, snapshot := j.EncodeSegment(segment, term, name)
+	if len(raw) <= limit {
+		return raw, snapshot, true
+	}
+	planned := j.plannedTasks(segment)
+	// Leaving a task out saves its machine and at most adds one run, so the size falls as more are left out.
+	omitted := sort.Search(len(planned)+1, func(n int) bool {
+		raw, _ := j.encodeWithout(segment, term, name, planned[len(planned)-n:])
+		return len(raw) <= limit
+	})
+	if omitted > len(planned) {
+		return nil, nil, false
+	}
+	raw, snapshot = j.encodeWithout(segment, term, name, planned[len(planned)-omitted:])
+	return raw, snapshot, true
+}
+
+// plannedTasks returns the indices of a segment's tasks in state Planned.
+func (j *Job) plannedTasks(segment *PlanSegment) []int32 {
+	var planned []int32
+	first := int32(segment.Number * SegmentTasks)
+	for i := range segment.DurableMachines {
+		taskIndex := first + int32(i)
+		if j.Tasks[taskIndex].State == Planned {
+			planned = append(planned, taskIndex)
+		}
+	}
+	return planned
+}
+
+// encodeWithout encodes a segment as if some of its tasks had no machine.
+func (j *Job) encodeWithout(
+	segment *PlanSegment,
+	term uint64,
+	name func(machine int32) string,
+	omitted []int32,
+) (json.RawMessage, []int32) {
+	machines := make([]int32, len(omitted))
+	for i, taskIndex := range omitted {
+		machines[i] = j.Tasks[taskIndex].Machine
+		j.Tasks[taskIndex].Machine = None
+	}
+	raw, snapshot := j.EncodeSegment(segment, term, name)
+	for i, taskIndex := range omitted {
+		j.Tasks[taskIndex].Machine = machines[i]
+	}
+	return raw, snapshot
+}
+
+// DecodeSegment reads the stored form of a segment of n tasks and returns the machine of each task and whether it is
+// finished. index maps a machine's name to its index.
+func DecodeSegment(
+	raw json.RawMessage,
+	n int,
+	index func(name string) int32,
+) (machines []int32, finished []bool, err error) {
+	var record segmentRecord
+	if err := json.Unmarshal(raw, &record); err != nil {
+		return nil, nil, err
+	}
+	if record.Format > newestSegmentFormat {
+		return nil, nil, fmt.Errorf("plan in format %d", record.Format)
+	}
+	finished, err = record.decodeFinished(n)
+	if err != nil {
+		return nil, nil, err
+	}
+	machines, err = record.decodeMachines(n, index)
+	if err != nil {
+		return nil, nil, err
+	}
+	return machines, finished, nil
+}
+
+// decodeFinished returns the first n bits of the bitmap.
+func (r *segmentRecord) decodeFinished(n int) ([]bool, error) {
+	bitmap, err := base64.StdEncoding.DecodeString(r.Done)
+	if err != nil || len(bitmap) < bitmapBytes(n) {
+		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks: %v", len(bitmap), n, err)
+	}
+	finished := make([]bool, n)
+	for i := range finished {
+		finished[i] = bit(bitmap, i)
+	}
+	return finished, nil
+}
+
+// decodeMachines expands the runs, which must cover n tasks.
+func (r *segmentRecord) decodeMachines(n int, index func(name string) int32) ([]int32, error) {
+	machines := make([]int32, 0, n)
+	for i := 0; i+1 < len(r.Runs); i += 2 {
+		length, recordIndex := r.Runs[i], r.Runs[i+1]
+		machine := None
+		if recordIndex >= 0 {
+			if int(recordIndex) >= len(r.Machines) {
+				return nil, fmt.Errorf("run names machine %d of %d", recordIndex, len(r.Machines))
+			}
+			machine = index(r.Machines[recordIndex])
+		}
+		for range length {
+			if len(machines) >= n {
+				return nil, fmt.Errorf("runs cover more than %d tasks", n)
+			}
+			machines = append(machines, machine)
+		}
+	}
+	if len(machines) != n {
+		return nil, fmt.Errorf("runs cover %d of %d tasks", len(machines), n)
+	}
+	return machines, nil
+}
+
+// bitmapBytes returns the size of a bitmap of n bits.
+func bitmapBytes(n int) int { return (n + 7) / 8 }
+
+func setBit(bitmap []byte, i int) { bitmap[i/8] |= 1 << (i % 8) }
+
+func bit(bitmap []byte, i int) bool { return bitmap[i/8]&(1<<(i%8)) != 0 }
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -384,7 +384,7 @@
 		for key, raw := range all {
 			var rec jobs.Record
 			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &rec) == nil && rec.Spec != nil {
-				r.Know(rec.Spec)
+				r.Know((*jobs.Spec)(rec.Spec))
 			}
 		}
 		return r
--- a/internal/simulator/interactive.go
+++ b/internal/simulator/interactive.go
@@ -276,11 +276,11 @@
 // opening is the body of the request that opens the session.
 func (n *InteractiveSession) opening() []byte {
 	body := struct {
-		*jobs.Spec
+		*jobs.WireSpec
 		User  string `json:"user"`
 		Token string `json:"token_sha256"`
 		Agent string `json:"agent_sha256"`
-	}{n.Spec, n.User, sessions.Digest(n.token), sessions.Digest(n.agent)}
+	}{(*jobs.WireSpec)(n.Spec), n.User, sessions.Digest(n.token), sessions.Digest(n.agent)}
 	raw, _ := json.Marshal(body)
 	return raw
 }
--- a/internal/simulator/stored_test.go
+++ b/internal/simulator/stored_test.go
@@ -74,7 +74,7 @@
 				t.Fatal(err)
 			}
 			st := map[string]jobs.State{"pending": jobs.Pending, "done": jobs.Done, "cancelled": jobs.Cancelled}[r.State]
-			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, r.Spec); string(got) != string(raw) {
+			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, (*jobs.Spec)(r.Spec)); string(got) != string(raw) {
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
 		case "plan":
@@ -149,7 +149,7 @@
 		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
 			var rec jobs.Record
 			if json.Unmarshal(raw, &rec) == nil && rec.State == "pending" {
-				w.Know(rec.Spec)
+				w.Know((*jobs.Spec)(rec.Spec))
 				if rec.Spec.Kind != jobs.Service {
 					open++
 				}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -152,7 +152,7 @@
 	if w.specs[id] == nil {
 		var r jobs.Record
 		if json.Unmarshal(w.svc.Keys[jobs.RecordKey(id)].Value, &r) == nil && r.Spec != nil {
-			w.specs[id] = r.Spec
+			w.specs[id] = (*jobs.Spec)(r.Spec)
 		}
 	}
 	return w.specs[id]
