--- /dev/null
+++ b/internal/jobs/segmentcodec_test.go
@@ -0,0 +1,138 @@
+package jobs
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+func machineName(machine int32) string { return fmt.Sprintf("i-%06d", machine) }
+
+// machineIndex is the inverse of machineName.
+func machineIndex(name string) int32 {
+	var machine int32
+	_, _ = fmt.Sscanf(name, "i-%d", &machine)
+	return machine
+}
+
+// TestSegmentsSurviveTheStore: a segment is read back as it was written, for random plans, and its value is small.
+func TestSegmentsSurviveTheStore(t *testing.T) {
+	const maxValueBytes = 8 << 10
+	rng := rand.New(rand.NewPCG(8, 8))
+	for range 300 {
+		tasks := 1 + rng.IntN(3*SegmentTasks)
+		job := &Job{ID: "req-000001", TaskCount: tasks, Spec: gangSpec(t, tasks), TasksByZone: map[int32]int{}}
+		job.OpenTasks()
+		machines := 1 + rng.IntN(400)
+		for i := range job.Tasks {
+			switch rng.IntN(3) {
+			case 0:
+				job.Tasks[i].Machine = int32(rng.IntN(machines))
+				job.Tasks[i].State = Planned
+			case 1:
+				job.Tasks[i].State = Finished
+			}
+		}
+		for _, segment := range job.Segments {
+			raw, snapshot := job.EncodeSegment(segment, 7, machineName)
+			if len(raw) > maxValueBytes {
+				t.Fatalf("value of %d bytes", len(raw))
+			}
+			checkDecoded(t, job, segment, raw, snapshot)
+			decodeDamaged(rng, raw, len(segment.DurableMachines))
+		}
+	}
+}
+
+// checkDecoded decodes a segment's value and compares it with the job's tasks.
+func checkDecoded(t *testing.T, job *Job, segment *PlanSegment, raw []byte, snapshot []int32) {
+	t.Helper()
+	machines, finished, err := DecodeSegment(raw, len(segment.DurableMachines), machineIndex)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range machines {
+		task := job.Tasks[segment.Number*SegmentTasks+i]
+		if finished[i] != (task.State == Finished) || (!finished[i] && machines[i] != task.Machine) {
+			t.Fatalf("task %d: machine %d, finished %v, want %+v", i, machines[i], finished[i], task)
+		}
+		if finished[i] != (snapshot[i] == DurablyDone) {
+			t.Fatalf("snapshot %d of task %d", snapshot[i], i)
+		}
+	}
+}
+
+// decodeDamaged decodes a value with random bytes changed: it is refused or read, and never panics.
+func decodeDamaged(rng *rand.Rand, raw []byte, tasks int) {
+	for range 30 {
+		damaged := append([]byte(nil), raw...)
+		damaged[rng.IntN(len(damaged))] = byte(32 + rng.IntN(95))
+		_, _, _ = DecodeSegment(damaged, tasks, func(string) int32 { return 0 })
+	}
+}
+
+// TestEncodeSegmentWithinKeepsLaunchedTasks: a value that is too small leaves planned tasks out, never one that was launched;
+// it names no machine for those left out, and keeps as many as fit.
+func TestEncodeSegmentWithinKeepsLaunchedTasks(t *testing.T) {
+	for seed := range uint64(60) {
+		rng := rand.New(rand.NewPCG(seed, 3))
+		job, launched := randomSegmentJob(rng)
+		segment := job.Segments[0]
+		whole, _ := job.EncodeSegment(segment, 7, machineName)
+		limit := 200 + rng.IntN(4000)
+		raw, snapshot, ok := job.EncodeSegmentWithin(segment, 7, machineName, limit)
+		if !ok {
+			if len(whole) <= limit || launched == 0 {
+				t.Fatalf("seed %d: nothing is written within %d bytes, %d tasks were launched", seed, limit, launched)
+			}
+			continue
+		}
+		if len(raw) > limit {
+			t.Fatalf("seed %d: %d bytes, and the limit is %d", seed, len(raw), limit)
+		}
+		machines, finished, err := DecodeSegment(raw, job.TaskCount, machineIndex)
+		if err != nil {
+			t.Fatal(err)
+		}
+		omitted := 0
+		for i := range job.Tasks {
+			task := &job.Tasks[i]
+			if finished[i] != (task.State == Finished) || !finished[i] && snapshot[i] != machines[i] {
+				t.Fatalf("seed %d, task %d: machine %d, finished %v, snapshot %d",
+					seed, i, machines[i], finished[i], snapshot[i])
+			}
+			if task.State == OnMachine && machines[i] != task.Machine {
+				t.Fatalf("seed %d: task %d is on machine %d, and the value names %d", seed, i, task.Machine, machines[i])
+			}
+			if task.State == Planned && machines[i] == None {
+				omitted++
+			}
+			if task.State == Planned && task.Machine == None {
+				t.Fatalf("seed %d: task %d has lost its machine", seed, i)
+			}
+		}
+		if len(whole) <= limit && omitted > 0 {
+			t.Fatalf("seed %d: %d tasks are left out of what fits", seed, omitted)
+		}
+	}
+}
+
+// randomSegmentJob returns a job of one segment with tasks in random states, and how many of them are on machines.
+func randomSegmentJob(rng *rand.Rand) (job *Job, launched int) {
+	job = &Job{ID: "req-000001", TaskCount: 1 + rng.IntN(SegmentTasks)}
+	job.OpenTasks()
+	for i := range job.Tasks {
+		task := &job.Tasks[i]
+		task.Machine = int32(rng.IntN(400))
+		task.State = Planned
+		switch rng.IntN(4) {
+		case 0:
+			task.State = OnMachine
+			launched++
+		case 1:
+			task.State = Finished
+			task.Machine = None
+		}
+	}
+	return job, launched
+}
