--- a/internal/jobs/segmentcodec.go
+++ b/internal/jobs/segmentcodec.go
@@ -159,8 +159,11 @@
 // decodeFinished returns the first n bits of the bitmap.
 func (r *segmentRecord) decodeFinished(n int) ([]bool, error) {
 	bitmap, err := base64.StdEncoding.DecodeString(r.Done)
-	if err != nil || len(bitmap) < bitmapBytes(n) {
-		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks: %v", len(bitmap), n, err)
+	if err != nil {
+		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks: %w", len(bitmap), n, err)
+	}
+	if len(bitmap) < bitmapBytes(n) {
+		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks", len(bitmap), n)
 	}
 	finished := make([]bool, n)
 	for i := range finished {
