--- a/internal/jobs/blocks.go
+++ b/internal/jobs/blocks.go
@@ -3,8 +3,8 @@
 // blockJobs is the number of consecutive indices that share one allocation.
 const blockJobs = 256
 
-// jobBlocks finds jobs by dense index. An index is never used twice, so whoever still holds the index of a job that was
-// removed never gets another job for it. A block is freed when its last job was removed; one nil pointer stays.
+// jobBlocks finds jobs by dense index. An index is never used twice, so whoever still holds the index of a job that
+// was removed never gets another job for it. A block is freed when its last job was removed; one nil pointer stays.
 type jobBlocks struct {
 	blocks []*jobBlock
 	next   Index
--- a/internal/jobs/ended.go
+++ b/internal/jobs/ended.go
@@ -3,8 +3,9 @@
 // minRemoved is the number of removed jobs that the queue may list however short it is.
 const minRemoved = 64
 
-// endedQueue lists terminal jobs in the order in which this controller learned of their ends. Jobs that were removed
-// from the table stay listed until they are at least half of the queue; so removing one costs constant time on average.
+// endedQueue lists terminal jobs in the order in which this controller learned of their ends. Jobs that were
+// removed from the table stay listed until they are at least half of the queue; so removing one costs constant time
+// on average.
 type endedQueue struct {
 	jobs    []*Job
 	removed int // of the listed jobs, how many were removed from the table
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -48,8 +48,8 @@
 	// TasksByZone counts, by dense zone, the tasks that may be on a machine there.
 	TasksByZone map[int32]int
 
-	// AvoidedMachines holds the machines on which a task of the job failed, and until when they are avoided. Mostly the
-	// machine is at fault, but a job that crash-loops fails on all of them.
+	// AvoidedMachines holds the machines on which a task of the job failed, and until when they are avoided. Mostly
+	// the machine is at fault, but a job that crash-loops fails on all of them.
 	AvoidedMachines map[int32]time.Duration
 
 	// GangDone is set when a task of the gang is done, which means that all are.
@@ -57,8 +57,8 @@
 
 	// Suspended keeps its tasks off machines: it is a session that was reclaimed.
 	Suspended bool
-	// Quarantined is set when something stored of the job can't be read. Nothing of it is planned or started, and users
-	// get no answer about it.
+	// Quarantined is set when something stored of the job can't be read. Nothing of it is planned or started, and
+	// users get no answer about it.
 	Quarantined bool
 
 	FinalWriteInFlight bool // the terminal record is being written
--- a/internal/jobs/names.go
+++ b/internal/jobs/names.go
@@ -6,7 +6,8 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Names maps the names of one kind to dense indices, which are never reused. Its zero value is empty and ready to use.
+// Names maps the names of one kind to dense indices, which are never reused. Its zero value is empty and ready to
+// use.
 type Names struct {
 	indices map[string]int32
 	names   []string
@@ -57,8 +58,9 @@
 	job.LicenceUnits = x.licenceUnits(spec)
 }
 
-// licenceUnits returns what each task of a job holds of the licence pools. A job that names a pool which isn't declared
-// here was accepted by a controller that declares it: it must not start here, so it needs a unit of no pool.
+// licenceUnits returns what each task of a job holds of the licence pools. A job that names a pool which isn't
+// declared here was accepted by a controller that declares it: it must not start here, so it needs a unit of no
+// pool.
 func (x *NameIndex) licenceUnits(spec *Spec) []licences.Unit {
 	if len(spec.Licences) == 0 {
 		return nil
--- a/internal/jobs/plan.go
+++ b/internal/jobs/plan.go
@@ -18,8 +18,8 @@
 	Conflicting int32 = -3
 )
 
-// PlanSegment is a part of a job's durable plan that is stored as one value: the machine of each task and the bitmap of
-// the finished tasks.
+// PlanSegment is a part of a job's durable plan that is stored as one value: the machine of each task and the
+// bitmap of the finished tasks.
 type PlanSegment struct {
 	Number  int
 	Version uint64
@@ -29,15 +29,16 @@
 	// Urgent asks for a write as soon as the write budget allows; other changes are gathered.
 	Urgent     bool
 	DirtySince time.Duration
-	// InFlight is what a write whose outcome is still awaited would make durable, or nil. Nothing may start on a machine
-	// that isn't named both here and in DurableMachines: after a crash the next owner reads whichever of them is stored.
+	// InFlight is what a write whose outcome is still awaited would make durable, or nil. Nothing may start on a
+	// machine that isn't named both here and in DurableMachines: after a crash the next owner reads whichever of
+	// them is stored.
 	InFlight []int32
 	// Indeterminate is what writes that were given up without an outcome may still make durable, until the next
 	// write of the same key has an outcome: nil, or a machine for each task, Conflicting where the writes differ.
 	Indeterminate []int32
-	// CreateIndeterminate is set when a write that creates the segment's own key was given up without an outcome. It may
-	// be carried out whenever the key is absent, so the segment stays in its own key for the rest of the term: moving
-	// it into a page would delete the key.
+	// CreateIndeterminate is set when a write that creates the segment's own key was given up without an outcome.
+	// It may be carried out whenever the key is absent, so the segment stays in its own key for the rest of the
+	// term: moving it into a page would delete the key.
 	CreateIndeterminate bool
 	// Quarantined is set when the stored value can't be read. Nothing of it is planned, started or overwritten.
 	Quarantined bool
@@ -64,7 +65,8 @@
 	}
 }
 
-// names reports whether every value of the segment that is or may become durable has the task at an offset on a machine.
+// names reports whether every value of the segment that is or may become durable has the task at an offset on a
+// machine.
 func (s *PlanSegment) names(offset int, machine int32) bool {
 	if s.DurableMachines[offset] != machine {
 		return false
@@ -79,8 +81,8 @@
 const (
 	// PlanPrefix is the prefix of all of them.
 	PlanPrefix = "p/"
-	// PlanPagePrefix is the prefix of the pages that hold many jobs' plans, used from level 2 of the stored state on. No
-	// job id begins like it.
+	// PlanPagePrefix is the prefix of the pages that hold many jobs' plans, used from level 2 of the stored state
+	// on. No job id begins like it.
 	PlanPagePrefix = PlanPrefix + "@/"
 )
 
@@ -93,7 +95,8 @@
 // SegmentOf returns the plan segment of a task.
 func (j *Job) SegmentOf(taskIndex int32) *PlanSegment { return j.Segments[int(taskIndex)/SegmentTasks] }
 
-// IsDurable reports whether the durable plan names the task's present machine, whichever of its writes is carried out.
+// IsDurable reports whether the durable plan names the task's present machine, whichever of its writes is carried
+// out.
 func (j *Job) IsDurable(taskIndex int32) bool {
 	machine := j.Tasks[taskIndex].Machine
 	return machine != None && j.SegmentOf(taskIndex).names(int(taskIndex)%SegmentTasks, machine)
--- a/internal/jobs/plan_test.go
+++ b/internal/jobs/plan_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestIndeterminateWritesPreventStarts: a write that moves a task and was given up may still become durable. The task must
-// not start where the older plan has it, or the next owner would take the plan that became durable for the truth. Once
-// a later write of the key has an outcome, the earlier ones don't count any more.
+// TestIndeterminateWritesPreventStarts: a write that moves a task and was given up may still become durable. The
+// task must not start where the older plan has it, or the next owner would take the plan that became durable for
+// the truth. Once a later write of the key has an outcome, the earlier ones don't count any more.
 func TestIndeterminateWritesPreventStarts(t *testing.T) {
 	job := &Job{ID: "req-000001", TaskCount: 2}
 	job.OpenTasks()
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// State is a job's state as it is stored and as users see it. A job that users see as running is Pending here: running
-// is derived from its tasks and isn't stored.
+// State is a job's state as it is stored and as users see it. A job that users see as running is Pending here:
+// running is derived from its tasks and isn't stored.
 type State uint8
 
 // The states of a job.
--- a/internal/jobs/segmentcodec.go
+++ b/internal/jobs/segmentcodec.go
@@ -34,8 +34,9 @@
 	r.Runs = append(r.Runs, 1, machine)
 }
 
-// EncodeSegment returns the stored form of a plan segment and the machines that it names, as DurableMachines will have
-// them once it is stored. name maps a machine's index to its name. Finished tasks have no machine in the stored form.
+// EncodeSegment returns the stored form of a plan segment and the machines that it names, as DurableMachines will
+// have them once it is stored. name maps a machine's index to its name. Finished tasks have no machine in the
+// stored form.
 func (j *Job) EncodeSegment(
 	segment *PlanSegment,
 	term uint64,
@@ -73,9 +74,9 @@
 	return raw, snapshot
 }
 
-// EncodeSegmentWithin is EncodeSegment with a limit in bytes. If not all fits, planned tasks are left out, the last ones
-// first: the value names no machine for them, so they don't start until a later write, after others have ended, names
-// one. It returns false if the tasks that were launched exceed the limit by themselves.
+// EncodeSegmentWithin is EncodeSegment with a limit in bytes. If not all fits, planned tasks are left out, the last
+// ones first: the value names no machine for them, so they don't start until a later write, after others have
+// ended, names one. It returns false if the tasks that were launched exceed the limit by themselves.
 func (j *Job) EncodeSegmentWithin(
 	segment *PlanSegment,
 	term uint64,
--- a/internal/jobs/segmentcodec_test.go
+++ b/internal/jobs/segmentcodec_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestEncodeSegmentWithinKeepsLaunchedTasks: a value that is too small leaves planned tasks out, never one that was launched;
-// it names no machine for those left out, and keeps as many as fit.
+// TestEncodeSegmentWithinKeepsLaunchedTasks: a value that is too small leaves planned tasks out, never one that was
+// launched; it names no machine for those left out, and keeps as many as fit.
 func TestEncodeSegmentWithinKeepsLaunchedTasks(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -91,9 +91,9 @@
 	return time.Duration(wallMS-t.epochWallMS) * time.Millisecond
 }
 
-// Apply takes a record that was read or committed. It returns the job, nil if there is none yet, and whether its state
-// is new here. An older version, which a read concurrent with the watch may bring, is ignored, and a terminal state
-// stays. The error is about a record that can't be read: its job is quarantined.
+// Apply takes a record that was read or committed. It returns the job, nil if there is none yet, and whether its
+// state is new here. An older version, which a read concurrent with the watch may bring, is ignored, and a terminal
+// state stays. The error is about a record that can't be read: its job is quarantined.
 func (t *Table) Apply(id string, raw json.RawMessage, version uint64) (*Job, bool, error) {
 	job := t.Get(id)
 	if job != nil && (version <= job.Version || job.State.Terminal()) {
@@ -170,8 +170,8 @@
 	job.ReportedRunning = 0
 }
 
-// Archive takes note that a job's record has left the followed keys, at a version of its key. The job leaves the table
-// at once, or at the end of the term if its planner still holds something of it.
+// Archive takes note that a job's record has left the followed keys, at a version of its key. The job leaves the
+// table at once, or at the end of the term if its planner still holds something of it.
 func (t *Table) Archive(id string, version uint64) {
 	delete(t.unreadable, id)
 	job := t.Get(id)
@@ -196,14 +196,14 @@
 		t.remove(job)
 		return
 	}
-	// Only the leader archives, and only jobs of which it holds nothing. So another controller leads by now, and this one
-	// is behind: it must not plan or start anything more of the job.
+	// Only the leader archives, and only jobs of which it holds nothing. So another controller leads by now, and
+	// this one is behind: it must not plan or start anything more of the job.
 	job.Archived = true
 	job.Quarantined = true
 }
 
-// RecallArchived drops what only the planner of the jobs holds, after this controller has lost the lead, and removes the
-// archived jobs that were kept for it.
+// RecallArchived drops what only the planner of the jobs holds, after this controller has lost the lead, and
+// removes the archived jobs that were kept for it.
 func (t *Table) RecallArchived() {
 	t.ForEach(func(job *Job) {
 		job.resetPlanning()
