--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -1,179 +1,156 @@
-// Package rollout is how controllers of different releases share one cluster: which formats of stored records there
-// are and who writes which, what each controller has announced, the cluster's level, which rises once when all
-// have announced it, the migration that follows, and the order in which controllers are restarted.
-//
-// It owns the keys under h/r/. It has no I/O and no clock: changed keys and times come in, transactions go out, and
-// its caller, the event loop, sends them under the leader's guard. It never decides who leads.
 package rollout
 
 import (
 	"encoding/json"
-	"fmt"
 	"slices"
 	"strings"
 )
 
-// Level is how far the stored state and the controllers' behaviour have come, together. A behaviour or format of a
-// level is used only when the cluster's level is at least that.
-type Level int
-
-// The levels.
-const (
-	Base     Level = 1 // what releases wrote before there were levels
-	Paged    Level = 2 // plans stand in pages that many jobs share; the term is written so that those releases can't lead
-	Archived Level = 3 // ended jobs leave the followed keys for the archive
-	// DrainKeys has the drain request of each machine under a key of its own, in place of one document for all.
-	DrainKeys Level = 4
-	Newest          = DrainKeys
-)
-
-// Release is this program's, in the order of semantic versions.
-const Release = "v0.23.0"
-
-// behaviours names what each level switches on, for people.
-var behaviours = map[Level]string{Base: "base", Paged: "plan-pages", Archived: "archive", DrainKeys: "drain-keys"}
-
-// Guard is what keeps a controller from harm by a record whose format it doesn't know, or that is damaged.
+// Guard is what a controller does about a record that it can't read: a newer release wrote it, or it is damaged.
 type Guard string
 
-// The guards.
+// The guards, by their names in answers to operators.
 const (
-	// GuardStandDown: a controller that meets a newer format gives up the lead and stays out, for others can read it.
-	// A damaged record is kept as it is; what depends on it waits.
+	// GuardStandDown has a controller that reads a newer format give up the lead and stay out, as others can read
+	// it. A damaged record is kept as it is, and what depends on it waits.
 	GuardStandDown Guard = "stand-down"
-	// GuardQuarantine: nothing of the one job it belongs to is planned, started, told or written.
+	// GuardQuarantine excludes the one job of the record: nothing of it is planned, started, answered or written.
 	GuardQuarantine Guard = "seal"
-	// GuardIgnore: it counts as if it had not been written, where that is the safe side.
+	// GuardIgnore treats the record as absent, where that is safe.
 	GuardIgnore Guard = "unsaid"
-	// GuardAdvisory: nothing depends on it.
+	// GuardAdvisory needs no action, since nothing depends on the record.
 	GuardAdvisory Guard = "hint"
 )
 
-// WriteFormat says that a format is written from a level on.
+// notWritten is the format of a kind of record that isn't written at a level.
+const notWritten = 0
+
+// WriteFormat is the format in which a kind of record is written from a level on.
 type WriteFormat struct {
 	From   Level
-	Format int
-	Since  string // the release that began to
+	Format int    // or notWritten
+	Since  string // the release that introduced it
 }
 
-// RecordFormat is one kind of record: where it stands, which formats this release reads, and which it writes.
+// RecordFormat is a kind of record: where it is stored, which formats this release reads, and which it writes.
 type RecordFormat struct {
 	Kind         string
-	Prefix       string
+	Prefix       string // of its keys
 	ReadFormats  []int
 	WriteFormats []WriteFormat // by rising level
 	Guard        Guard
 }
 
-// first is the release that named formats; before it there was only format 1 of each.
-const first = "v0.21.0"
-
-// archiving is the release that began to archive ended jobs.
-const archiving = "v0.22.0"
-
-// draining is the release that began to give machines' drain requests keys of their own.
-const draining = "v0.23.0"
+// singleFormat returns a kind of record that has had one format at all levels.
+func singleFormat(kind, prefix string, guard Guard) RecordFormat {
+	return replacedFormats(kind, prefix, guard, WriteFormat{Base, 1, firstAnnouncingRelease})
+}
 
-func one(kind, prefix string, g Guard) RecordFormat {
-	return RecordFormat{kind, prefix, []int{1}, []WriteFormat{{Base, 1, first}}, g}
+// replacedFormats returns a kind of record that reads each format that it writes at some level.
+func replacedFormats(kind, prefix string, guard Guard, writes ...WriteFormat) RecordFormat {
+	var reads []int
+	for _, write := range writes {
+		if write.Format != notWritten {
+			reads = append(reads, write.Format)
+		}
+	}
+	return RecordFormat{Kind: kind, Prefix: prefix, ReadFormats: reads, WriteFormats: writes, Guard: guard}
 }
 
-// RecordFormats lists every kind of record in the state service. A test holds each slice's code against it.
+// RecordFormats lists every kind of record in the state service. A test compares it with the code of each package.
 var RecordFormats = []RecordFormat{
-	one("job", "h/j/", GuardQuarantine),
-	{"archived-job", "a/", []int{1}, []WriteFormat{{Base, 0, first}, {Archived, 1, archiving}}, GuardQuarantine},
-	{"plan", "p/", []int{1}, []WriteFormat{{Base, 1, first}, {Paged, 0, first}}, GuardQuarantine}, // 0: no longer written by itself
-	{"plan-page", "p/@/", []int{1}, []WriteFormat{{Base, 0, first}, {Paged, 1, first}}, GuardQuarantine},
-	one("image-hints", "p/images", GuardAdvisory),
-	one("leader", "h/c/leader", GuardStandDown),
-	{"term", "h/c/term", []int{1, 2}, []WriteFormat{{Base, 1, first}, {Paged, 2, first}}, GuardStandDown},
-	one("part-map", "h/c/map", GuardStandDown),
-	one("member", "h/c/n/", GuardIgnore),
-	one("machine-types", "h/c/types", GuardAdvisory),
-	one("licence-count", "h/l/", GuardStandDown),
-	one("session", "s/", GuardStandDown),
-	one("operators-wishes", "h/o/wishes", GuardStandDown),
-	{"drain-request", "h/o/machines/", []int{1}, []WriteFormat{{Base, 0, first}, {DrainKeys, 1, draining}}, GuardStandDown},
-	one("zones", "h/z/", GuardAdvisory),
-	one("announcement", announcePrefix, GuardIgnore),
-	one("level", levelKey, GuardStandDown),
-	one("migration", migrationKey, GuardStandDown),
-	one("rollout-words", wordsKey, GuardStandDown),
+	singleFormat("job", "h/j/", GuardQuarantine),
+	replacedFormats("archived-job", "a/", GuardQuarantine,
+		WriteFormat{Base, notWritten, firstAnnouncingRelease},
+		WriteFormat{Archived, 1, firstArchivingRelease}),
+	replacedFormats("plan", "p/", GuardQuarantine,
+		WriteFormat{Base, 1, firstAnnouncingRelease},
+		WriteFormat{Paged, notWritten, firstAnnouncingRelease}), // it is a part of a plan page
+	replacedFormats("plan-page", "p/@/", GuardQuarantine,
+		WriteFormat{Base, notWritten, firstAnnouncingRelease},
+		WriteFormat{Paged, 1, firstAnnouncingRelease}),
+	singleFormat("image-hints", "p/images", GuardAdvisory),
+	singleFormat("leader", "h/c/leader", GuardStandDown),
+	replacedFormats("term", termKey, GuardStandDown,
+		WriteFormat{Base, 1, firstAnnouncingRelease},
+		WriteFormat{Paged, 2, firstAnnouncingRelease}),
+	singleFormat("part-map", "h/c/map", GuardStandDown),
+	singleFormat("member", memberPrefix, GuardIgnore),
+	singleFormat("machine-types", "h/c/types", GuardAdvisory),
+	singleFormat("licence-count", "h/l/", GuardStandDown),
+	singleFormat("session", "s/", GuardStandDown),
+	singleFormat("operators-wishes", "h/o/wishes", GuardStandDown),
+	replacedFormats("drain-request", "h/o/machines/", GuardStandDown,
+		WriteFormat{Base, notWritten, firstAnnouncingRelease},
+		WriteFormat{DrainKeys, 1, firstDrainKeysRelease}),
+	singleFormat("zones", "h/z/", GuardAdvisory),
+	singleFormat("announcement", announcePrefix, GuardIgnore),
+	singleFormat("level", levelKey, GuardStandDown),
+	singleFormat("migration", migrationKey, GuardStandDown),
+	singleFormat("rollout-words", directiveKey, GuardStandDown),
 }
 
-// RecordFormatOf finds the kind of a key; false: none is known.
+// RecordFormatOf returns the kind of record of a key, the one with the longest prefix; false if there is none.
 func RecordFormatOf(key string) (RecordFormat, bool) {
-	best := -1
-	for i, r := range RecordFormats {
-		if strings.HasPrefix(key, r.Prefix) && (best < 0 || len(r.Prefix) > len(RecordFormats[best].Prefix)) {
-			best = i
+	longest := -1
+	for i, format := range RecordFormats {
+		if !strings.HasPrefix(key, format.Prefix) {
+			continue
+		}
+		if longest < 0 || len(format.Prefix) > len(RecordFormats[longest].Prefix) {
+			longest = i
 		}
 	}
-	if best < 0 {
+	if longest < 0 {
 		return RecordFormat{}, false
 	}
-	return RecordFormats[best], true
+	return RecordFormats[longest], true
 }
 
-// WrittenAt is the format that is written at a level, 0: none.
-func (r RecordFormat) WrittenAt(l Level) int {
-	f := 0
-	for _, w := range r.WriteFormats {
-		if w.From <= l {
-			f = w.Format
+// WrittenAt returns the format that is written at a level, 0 if none is.
+func (f RecordFormat) WrittenAt(level Level) int {
+	format := notWritten
+	for _, write := range f.WriteFormats {
+		if write.From <= level {
+			format = write.Format
 		}
 	}
-	return f
+	return format
 }
 
-// FormatOf reads which format a record names. One that names none, or is no JSON object, is format 1.
+// newestRead returns the newest format that this release reads.
+func (f RecordFormat) newestRead() int { return slices.Max(f.ReadFormats) }
+
+// Newer reports whether a record names a newer format than this release reads.
+func (f RecordFormat) Newer(raw json.RawMessage) bool { return FormatOf(raw) > f.newestRead() }
+
+// FormatOf returns the format that a record names. One that names none, or isn't a JSON object, has format 1.
 func FormatOf(raw json.RawMessage) int {
-	var v struct {
+	var record struct {
 		Format int `json:"v"`
 	}
-	if json.Unmarshal(raw, &v) != nil || v.Format == 0 {
+	if json.Unmarshal(raw, &record) != nil || record.Format == 0 {
 		return 1
 	}
-	return v.Format
-}
-
-// Newer tells whether a record names a format that this release doesn't read.
-func (r RecordFormat) Newer(raw json.RawMessage) bool {
-	return !slices.Contains(r.ReadFormats, FormatOf(raw)) && FormatOf(raw) > slices.Max(r.ReadFormats)
+	return record.Format
 }
 
-// reads and writes are what a controller announces: by kind, what it reads, and what it writes at a level.
-func reads() map[string][]int {
-	m := map[string][]int{}
-	for _, r := range RecordFormats {
-		m[r.Kind] = r.ReadFormats
+// readFormats returns the formats that this release reads, by kind of record.
+func readFormats() map[string][]int {
+	formats := map[string][]int{}
+	for _, format := range RecordFormats {
+		formats[format.Kind] = format.ReadFormats
 	}
-	return m
+	return formats
 }
 
-func writes(l Level) map[string]int {
-	m := map[string]int{}
-	for _, r := range RecordFormats {
-		if f := r.WrittenAt(l); f > 0 {
-			m[r.Kind] = f
+// writtenFormats returns the formats that this release writes at a level, by kind of record.
+func writtenFormats(level Level) map[string]int {
+	formats := map[string]int{}
+	for _, format := range RecordFormats {
+		if written := format.WrittenAt(level); written != notWritten {
+			formats[format.Kind] = written
 		}
 	}
-	return m
-}
-
-// UnreadableRecord is a stored record that can't be read here.
-type UnreadableRecord struct {
-	Key   string `json:"key"`
-	Kind  string `json:"kind"`
-	Cause string `json:"cause"`
-	Newer bool   `json:"newer"` // another release wrote it; otherwise it is damaged
-	Guard Guard  `json:"guard"`
-}
-
-func recordOf(key string, raw json.RawMessage, cause error) UnreadableRecord {
-	row, ok := RecordFormatOf(key)
-	if !ok {
-		row = RecordFormat{Kind: "unknown", Guard: GuardAdvisory}
-	}
-	return UnreadableRecord{Key: key, Kind: row.Kind, Cause: fmt.Sprint(cause), Newer: ok && row.Newer(raw), Guard: row.Guard}
+	return formats
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,9 +13,9 @@
 }
 
 // A model of all that is around a rise of the level: three controllers of two releases, the keys a rise depends on,
-// a record that the leader rewrites in a new format and one that any controller writes, and transactions that land at
-// once, late, or never, with or without an answer. What the controllers decide is the real code (rise.go); all runs are
-// looked at, within bounds on how many of each kind of step there are.
+// a record that the leader rewrites in a new format and one that any controller writes, and transactions that land
+// at once, late, or never, with or without an answer. What the controllers decide is the real code (rise.go); all
+// runs are looked at, within bounds on how many of each kind of step there are.
 
 var names = []string{"a", "b", "c"}
 
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -1,7 +1,6 @@
 package rollout
 
 import (
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"strings"
@@ -10,121 +9,124 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// soaked tells whether all have been well for long enough.
-func (r *Rollout) soaked(now time.Duration) bool {
+// retryDelay is the time between a transaction that wasn't committed and the next.
+const retryDelay = time.Second
+
+// soakTimer measures for how long all controllers have been healthy without a break.
+type soakTimer struct {
+	running bool
+	since   time.Duration
+}
+
+// elapsed returns the measured time, 0 while not all are healthy.
+func (s soakTimer) elapsed(now time.Duration) time.Duration {
+	if !s.running {
+		return 0
+	}
+	return now - s.since
+}
+
+// updateSoak starts or stops the soak timer and reports whether all controllers have been healthy for long enough.
+func (r *Rollout) updateSoak(now time.Duration) bool {
 	for _, peer := range r.peers {
-		if !peer.isWell(now) {
-			r.soaking = false
+		if !peer.isHealthy(now) {
+			r.soak.running = false
 			return false
 		}
 	}
-	if !r.soaking {
-		r.soaking, r.soakFrom = true, now
+	if !r.soak.running {
+		r.soak = soakTimer{running: true, since: now}
 	}
-	return now-r.soakFrom >= r.cfg.Soak
+	return r.soak.elapsed(now) >= r.cfg.Soak
 }
 
-// MigrationProgress is what a leader does about migration: how many records are left in a former format, and whether none is.
-type MigrationProgress struct {
-	Left int
-	Done bool
-}
-
-// Tick judges where the rollout stands and gives the leader a transaction to send, if one is due; its outcome goes
-// to Done. term is 0 for a controller that doesn't lead or may not act.
-func (r *Rollout) Tick(now time.Duration, term uint64, w MigrationProgress) (store.Txn, bool) {
+// Tick evaluates the state and returns a transaction for the leader to send, if one is due; its outcome goes to
+// HandleOutcome. term is 0 on a controller that doesn't lead or may not act. migration is what the leader has
+// counted.
+func (r *Rollout) Tick(now time.Duration, term uint64, migration MigrationProgress) (store.Txn, bool) {
 	if !r.synced {
 		return store.Txn{}, false
 	}
-	if why := r.incompatibility(); why != "" {
-		r.to(now, Incompatible, why)
+	if cause := r.incompatibility(); cause != "" {
+		r.setState(now, Incompatible, cause)
 		return store.Txn{}, false
 	}
-	seen, soaked := r.seenNow(), r.soaked(now)
-	if !r.busy {
-		r.judge(now, seen, soaked)
+	observed := r.observe()
+	soaked := r.updateSoak(now)
+	if r.txnInFlight {
+		return store.Txn{}, false
 	}
-	if term == 0 || r.busy || now < r.retryAt || !r.founded {
+	r.evaluate(now, observed, soaked)
+	if term == 0 || now < r.retryAt || !r.stored.bootstrapped {
 		return store.Txn{}, false
 	}
 	if r.migrating() {
-		return r.migrate(now, term, w)
+		return r.recordMigration(term, migration)
 	}
-	if !seen.MayRaise(r.cfg.MaxLevel, soaked, r.cfg.Auto) {
+	if !observed.MayRaise(r.cfg.MaxLevel, soaked, r.cfg.Auto) {
 		return store.Txn{}, false
 	}
-	next := seen.NextLevel(r.cfg.MaxLevel)
-	r.to(now, Upgrading, fmt.Sprintf("all have announced level %d", next))
-	r.busy = true
-	doc, _ := json.Marshal(levelDoc{Level: next, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS + now.Milliseconds()})
-	mig, _ := json.Marshal(Migration{Level: next, Term: term, Leaders: 1})
-	return store.Txn{If: seen.Conditions(r.names()), Then: []store.Op{
-		{Put: levelKey, Value: doc},
-		{Put: migrationKey, Value: mig},
-		{Put: termKey, Value: EncodeTerm(next, term)},
-	}}, true
+	return r.raise(now, observed, term), true
 }
 
-// migrating tells whether something may stand in a former format.
-func (r *Rollout) migrating() bool {
-	return r.levelVersion != 0 && r.level > Base && (r.migration.Level != r.level || !r.migration.Done)
+// evaluate sets the state by what has been read.
+func (r *Rollout) evaluate(now time.Duration, observed Observation, soaked bool) {
+	directive := r.stored.directive
+	switch {
+	case r.migrating():
+		r.setState(now, Migrating, fmt.Sprintf("the level is %d", r.stored.level))
+	case r.stored.level >= r.cfg.MaxLevel || r.needsBootstrap():
+		r.setState(now, Settled, fmt.Sprintf("the level is %d", r.Level()))
+	case observed.NextLevel(r.cfg.MaxLevel) <= observed.Level:
+		r.setState(now, Mixed, strings.Join(r.missing(now), "; "))
+	case observed.Mode.preventsRise():
+		r.setState(now, Paused, fmt.Sprintf("%s by %s", observed.Mode, directive.By))
+	case observed.Mode == FinishRequested:
+		r.setState(now, Ready, "the leader lets the level rise")
+	case !r.cfg.Auto:
+		r.setState(now, Ready, "operators are to say `rollout finish`")
+	case !soaked:
+		r.setState(now, Soaking, fmt.Sprintf("all have to be well for %v", r.cfg.Soak))
+	default:
+		r.setState(now, Ready, "the leader lets the level rise")
+	}
 }
 
-// Migrated tells whether it is durable that nothing stands in a former format any more.
-func (r *Rollout) Migrated() bool { return !r.migrating() && r.levelVersion != 0 && r.level > Base }
-
-// migrate tells how far it has come: at its end, and when a leader takes it up.
-func (r *Rollout) migrate(now time.Duration, term uint64, w MigrationProgress) (store.Txn, bool) {
-	m := r.migration
-	if m.Level != r.level {
-		m = Migration{Level: r.level}
-	}
-	if m.Term == term && !w.Done {
-		return store.Txn{}, false
-	}
-	if m.Term != term {
-		m.Leaders++
+// raise returns the transaction that raises the level.
+func (r *Rollout) raise(now time.Duration, observed Observation, term uint64) store.Txn {
+	next := observed.NextLevel(r.cfg.MaxLevel)
+	r.setState(now, Upgrading, fmt.Sprintf("all have announced level %d", next))
+	r.txnInFlight = true
+	level := levelRecord{Level: next, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS + now.Milliseconds()}
+	migration := Migration{Level: next, Term: term, Leaders: 1}
+	return store.Txn{
+		If: observed.Conditions(r.nodeNames()),
+		Then: []store.Op{
+			{Put: levelKey, Value: encode(level)},
+			{Put: migrationKey, Value: encode(migration)},
+			{Put: termKey, Value: EncodeTerm(next, term)},
+		},
 	}
-	m.Term, m.Left, m.Done = term, w.Left, w.Done
-	raw, _ := json.Marshal(m)
-	r.busy = true
-	return store.Txn{If: []store.Condition{r.LevelCondition(), {Key: migrationKey, Version: r.migVersion}}, Then: []store.Op{{Put: migrationKey, Value: raw}}}, true
 }
 
-// HandleOutcome takes the outcome of the transaction that Tick gave.
+// HandleOutcome takes the outcome of the transaction that Tick returned.
 func (r *Rollout) HandleOutcome(now time.Duration, txn store.Txn, result store.Result) {
-	r.busy = false
+	r.txnInFlight = false
 	if result.Outcome == store.Committed {
-		for _, o := range txn.Then {
-			r.HandleItem(store.Item{Key: o.Put, Value: o.Value, Version: result.Revision})
+		for _, op := range txn.Then {
+			r.HandleItem(store.Item{Key: op.Put, Value: op.Value, Version: result.Revision})
 		}
 		return
 	}
-	// What is not known may land yet; sent again with the same conditions it lands once.
-	slog.Info("rollout: not written", "outcome", result.Outcome.String(), "failed", result.FailedKeys)
-	r.retryAt = now + time.Second
+	// An indeterminate transaction may still be carried out. Sent again with the same conditions, only one of them
+	// is.
+	slog.Info("rollout write not committed", "outcome", result.Outcome.String(), "failed_keys", result.FailedKeys)
+	r.retryAt = now + retryDelay
 }
 
-// HandleLeadLost tells that the lead is lost: an outcome that was awaited is nobody's any more.
-func (r *Rollout) HandleLeadLost() { r.busy, r.soaking = false, false }
-
-// judge finds the state by what is known.
-func (r *Rollout) judge(now time.Duration, observed Observation, soaked bool) {
-	next := observed.NextLevel(r.cfg.MaxLevel)
-	switch {
-	case r.migrating():
-		r.to(now, Migrating, fmt.Sprintf("the level is %d", r.level))
-	case r.level >= r.cfg.MaxLevel || r.levelVersion == 0 && !r.founded:
-		r.to(now, Settled, fmt.Sprintf("the level is %d", r.Level()))
-	case next <= observed.Level:
-		r.to(now, Mixed, strings.Join(r.missing(now), "; "))
-	case observed.Mode == PausedByOperator || observed.Mode == AbortedByOperator:
-		r.to(now, Paused, fmt.Sprintf("%s by %s", observed.Mode, r.words.By))
-	case !r.cfg.Auto && observed.Mode != FinishRequested:
-		r.to(now, Ready, "operators are to say `rollout finish`")
-	case !soaked && observed.Mode != FinishRequested:
-		r.to(now, Soaking, fmt.Sprintf("all have to be well for %v", r.cfg.Soak))
-	default:
-		r.to(now, Ready, "the leader lets the level rise")
-	}
+// HandleLeadLost takes note that this controller doesn't lead any more. The outcome of a transaction in flight isn't
+// awaited any longer.
+func (r *Rollout) HandleLeadLost() {
+	r.txnInFlight = false
+	r.soak.running = false
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -34,8 +34,8 @@
 	r.HandleHealth(0, node, true)
 }
 
-// Who may be restarted next: one at a time, followers first, the leader last, towards the former release after an abort;
-// nobody while another is out, the rollout is held or nobody leads.
+// Who may be restarted next: one at a time, followers first, the leader last, towards the former release after an
+// abort; nobody while another is out, the rollout is held or nobody leads.
 func TestPlan(t *testing.T) {
 	old, now := "v0.20.9", "v0.21.0"
 	for _, c := range []struct {
@@ -62,7 +62,7 @@
 			}
 		}
 		raw, _ := json.Marshal(Directive{Mode: c.mode})
-		r.HandleItem(store.Item{Key: wordsKey, Value: raw, Version: 9})
+		r.HandleItem(store.Item{Key: directiveKey, Value: raw, Version: 9})
 		r.Tick(0, 0, MigrationProgress{})
 		v := r.View(0, Cluster{Leader: c.leader})
 		if v.Restart != c.next || v.Why == "" {
@@ -76,8 +76,8 @@
 	}
 }
 
-// Of the controllers that are there the one with the newest release is to lead; in the middle of restarts, one that was
-// restarted already.
+// Of the controllers that are there the one with the newest release is to lead; in the middle of restarts, one that
+// was restarted already.
 func TestBefore(t *testing.T) {
 	none := func(string) bool { return false }
 	r := trio(true)
@@ -99,13 +99,13 @@
 	if n := r.PreferredLeaders(1_000_000, none); n != 1 {
 		t.Errorf("one that has just been restarted: %d come first", n)
 	}
-	if n := r.PreferredLeaders(990_000+rollingFor.Milliseconds(), none); n != 0 {
+	if n := r.PreferredLeaders(990_000+restartWindow.Milliseconds(), none); n != 0 {
 		t.Errorf("long ago: %d come first", n)
 	}
 }
 
-// Operators' words: refused where they come too late or too early, on an old revision or by nobody's rules; and a finish
-// counts for the rise that it was said of, not for the next.
+// Operators' words: refused where they come too late or too early, on an old revision or by nobody's rules; and a
+// finish counts for the rise that it was said of, not for the next.
 func TestWords(t *testing.T) {
 	r := trio(false)
 	is(r, "a", "v0.21.0", Paged, 1, 2)
@@ -137,7 +137,7 @@
 		}
 	}
 	raw, _ := json.Marshal(Directive{Mode: FinishRequested, Level: Base})
-	r.HandleItem(store.Item{Key: wordsKey, Value: raw, Version: 10})
+	r.HandleItem(store.Item{Key: directiveKey, Value: raw, Version: 10})
 	if _, due := r.Tick(time.Minute, 1, MigrationProgress{}); due {
 		t.Fatal("it rose by a word that was said of an earlier rise")
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.HandleItem(store.Item{Key: wordsKey, Value: x.Then[0].Value, Version: 11})
+	r.HandleItem(store.Item{Key: directiveKey, Value: x.Then[0].Value, Version: 11})
 	x, due := r.Tick(time.Minute, 1, MigrationProgress{})
 	if !due || x.Then[0].Put != levelKey || len(x.If) != 8 {
 		t.Fatalf("%v %+v", due, x)
@@ -219,7 +219,7 @@
 			t.Errorf("%s is taken for %q", key, row.Kind)
 		}
 	}
-	if len(reads()) != len(RecordFormats) || writes(Base)["plan"] != 1 || writes(Paged)["plan"] != 0 || writes(Paged)["term"] != 2 {
+	if len(readFormats()) != len(RecordFormats) || writtenFormats(Base)["plan"] != 1 || writtenFormats(Paged)["plan"] != 0 || writtenFormats(Paged)["term"] != 2 {
 		t.Error("what is announced is not what the table says")
 	}
 }
--- /dev/null
+++ b/internal/rollout/watch.go
@@ -0,0 +1,154 @@
+package rollout
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// HandleItem takes a changed key of any kind. Keys that the rollout doesn't depend on, and older versions, are
+// ignored.
+func (r *Rollout) HandleItem(item store.Item) {
+	if item.Version <= r.keyVersions[item.Key] {
+		return
+	}
+	if r.apply(item) {
+		r.keyVersions[item.Key] = item.Version
+	}
+}
+
+// apply takes over a newer version of a key and reports whether the version is to be remembered.
+func (r *Rollout) apply(item store.Item) bool {
+	switch item.Key {
+	case levelKey:
+		r.applyLevel(item)
+		return true
+	case directiveKey:
+		r.applyDirective(item)
+		return true
+	case migrationKey:
+		r.applyMigration(item)
+		return true
+	case termKey:
+		r.stored.bootstrapped = true
+		return false
+	}
+	if node, ok := strings.CutPrefix(item.Key, announcePrefix); ok {
+		return r.applyAnnouncement(r.peer(node), item)
+	}
+	if node, ok := strings.CutPrefix(item.Key, memberPrefix); ok {
+		return r.applyMember(r.peer(node), item)
+	}
+	return false
+}
+
+// decode reads a record and keeps account of those that can't be read. On false the record may be read in part.
+func (r *Rollout) decode(item store.Item, record versionedRecord) bool {
+	format, _ := RecordFormatOf(item.Key)
+	err := json.Unmarshal(item.Value, record)
+	if err == nil && record.recordFormat() > format.newestRead() {
+		err = fmt.Errorf("format %d", record.recordFormat())
+	}
+	if err != nil {
+		r.MarkUnreadable(item.Key, item.Value, err)
+		return false
+	}
+	r.MarkReadable(item.Key)
+	return true
+}
+
+func (r *Rollout) applyLevel(item store.Item) {
+	var record levelRecord
+	// A newer release may write it in another format, but always with its level.
+	if r.decode(item, &record) || record.Level > 0 {
+		r.stored.level = record.Level
+	}
+	r.stored.levelVersion = item.Version
+}
+
+func (r *Rollout) applyDirective(item store.Item) {
+	var directive Directive
+	if !r.decode(item, &directive) {
+		directive = Directive{Mode: PausedByOperator, By: "a record that can't be read"}
+	}
+	r.stored.directive = directive
+	r.stored.directiveVersion = item.Version
+}
+
+func (r *Rollout) applyMigration(item store.Item) {
+	var migration Migration
+	if r.decode(item, &migration) {
+		r.stored.migration = migration
+	}
+	r.stored.migrationVersion = item.Version
+}
+
+func (r *Rollout) applyAnnouncement(peer *peer, item store.Item) bool {
+	if peer == nil {
+		return false
+	}
+	var announcement Announcement
+	peer.unreadableCause = ""
+	if !r.decode(item, &announcement) {
+		announcement = Announcement{}
+		peer.unreadableCause = "its announcement can't be read"
+	}
+	peer.announcement = announcement
+	peer.AnnouncedLevel = announcement.Level
+	peer.AnnouncedLease = announcement.Lease
+	peer.AnnouncementVersion = item.Version
+	return true
+}
+
+func (r *Rollout) applyMember(peer *peer, item store.Item) bool {
+	if peer == nil {
+		return false
+	}
+	var member memberRecord
+	if !r.decode(item, &member) {
+		member.Lease = 0 // the controller is up, but no announcement counts for its process
+	}
+	peer.Lease = member.Lease
+	peer.MemberVersion = item.Version
+	return true
+}
+
+// HandleDelete takes the deletion of a key, at a version.
+func (r *Rollout) HandleDelete(key string, version uint64) {
+	if version <= r.keyVersions[key] {
+		return
+	}
+	node, isMember := strings.CutPrefix(key, memberPrefix)
+	if isMember {
+		if peer := r.peer(node); peer != nil {
+			peer.markDown()
+		}
+	}
+	if isMember || strings.HasPrefix(key, prefix) {
+		r.keyVersions[key] = version
+	}
+	r.MarkReadable(key)
+}
+
+// HandleReset takes a new listing of all followed keys: members that it lacks are gone. HandleItem takes the items.
+func (r *Rollout) HandleReset(items []store.Item) {
+	present := map[string]bool{}
+	for _, item := range items {
+		present[item.Key] = true
+	}
+	for _, peer := range r.peers {
+		if !present[memberKey(peer.Node)] {
+			peer.markDown()
+		}
+	}
+	for key := range r.unreadable {
+		if strings.HasPrefix(key, followedPrefix) && !present[key] {
+			r.MarkReadable(key)
+		}
+	}
+}
+
+// HandleSynced takes note that all keys have been read.
+func (r *Rollout) HandleSynced() { r.synced = true }
