--- /dev/null
+++ b/internal/rollout/command_test.go
@@ -0,0 +1,80 @@
+package rollout
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// TestCommandsAreRefused: commands that come too early, at an old revision, or that there are not.
+func TestCommandsAreRefused(t *testing.T) {
+	r := newTestRollout(false)
+	join(r, "a", presentRelease, Paged, 1, 2)
+	join(r, "b", presentRelease, Paged, 2, 3)
+	join(r, "c", formerRelease, Base, 3, 4)
+	otherRevision := uint64(3)
+	for _, c := range []struct {
+		command Command
+		want    error
+	}{
+		{Command{Op: "finish"}, ErrEarly},
+		{Command{Op: "stop"}, ErrMalformed},
+		{Command{Op: "hold", By: strings.Repeat("x", 101)}, ErrMalformed},
+		{Command{Op: "hold", Revision: &otherRevision}, ErrChanged},
+		{Command{Op: "abort"}, nil},
+		{Command{Op: "hold"}, nil},
+	} {
+		if _, err := r.Execute(0, c.command, 0); !errors.Is(err, c.want) {
+			t.Errorf("%+v: error %v, want %v", c.command, err, c.want)
+		}
+	}
+}
+
+// TestLevelRisesByDirectiveAndMigrates follows a rollout that operators have to finish: the level doesn't rise
+// without their directive, nor by one about an earlier rise; it rises once; and each leader records the migration
+// once.
+func TestLevelRisesByDirectiveAndMigrates(t *testing.T) {
+	r := newTestRollout(false)
+	join(r, "a", presentRelease, Paged, 1, 2)
+	join(r, "b", presentRelease, Paged, 2, 3)
+	join(r, "c", formerRelease, Base, 3, 4)
+	join(r, "c", presentRelease, Paged, 4, 5)
+	for now := time.Duration(0); now < time.Minute; now += time.Second {
+		for _, node := range []string{"a", "b", "c"} {
+			r.HandleHealth(now, node, true)
+		}
+		mustNotTick(t, r, now, 1, MigrationProgress{}) // there is no directive
+	}
+	direct(r, Directive{Mode: FinishRequested, Level: Base}, 10)
+	mustNotTick(t, r, time.Minute, 1, MigrationProgress{}) // the directive is about an earlier rise
+
+	finish, err := r.Execute(time.Minute, Command{Op: "finish", By: "ana"}, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.HandleItem(store.Item{Key: directiveKey, Value: finish.Then[0].Value, Version: 11})
+	rise := mustTick(t, r, time.Minute, 1, MigrationProgress{})
+	if rise.Then[0].Put != levelKey || len(rise.If) != 8 {
+		t.Fatalf("the level rises by %+v", rise)
+	}
+	commit(r, time.Minute, rise, 12)
+	if r.Level() != Paged || r.State() != Upgrading {
+		t.Fatalf("level %d, state %s", r.Level(), r.State())
+	}
+	if _, err := r.Execute(time.Minute, Command{Op: "abort"}, 0); !errors.Is(err, ErrTooLate) {
+		t.Errorf("an abort after the rise: %v", err)
+	}
+
+	left := MigrationProgress{Left: 3}
+	mustNotTick(t, r, 2*time.Minute, 1, left) // the leader that raised the level is recorded already
+	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, left), 13)
+	done := MigrationProgress{Done: true}
+	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, done), 14)
+	mustNotTick(t, r, 3*time.Minute, 2, done)
+	if !r.Migrated() || r.State() != Settled {
+		t.Errorf("migrated %v, state %s", r.Migrated(), r.State())
+	}
+}
