--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -12,482 +12,378 @@
 	os.Exit(m.Run())
 }
 
-// A model of all that is around a rise of the level: three controllers of two releases, the keys a rise depends on,
-// a record that the leader rewrites in a new format and one that any controller writes, and transactions that land
-// at once, late, or never, with or without an answer. What the controllers decide is the real code (rise.go); all
-// runs are looked at, within bounds on how many of each kind of step there are.
-
-var names = []string{"a", "b", "c"}
-
-// keys is the state service: versions count changes, 0 means that a key isn't there.
-type keys struct {
-	rev                     uint8
-	level, levelVer         uint8
-	abort                   bool
-	wordsVer                uint8
-	says, saysHold, saysVer [3]uint8
-	hold, holdVer           [3]uint8
-	leader, leaderVer       uint8 // who, counted from 1
-	plan, planVer           uint8 // the leader's record: its format
-	job, jobVer             uint8 // anybody's record, 0: it isn't there yet
-	migrated                bool
-	migratedVer             uint8
+// A model of the environment of a rise of the level: three controllers of two releases, the keys that a rise
+// depends on, a record that the leader rewrites in a new format and one that any controller writes, and
+// transactions that are carried out at once, late or never, with or without an answer. The controllers decide by
+// the real code in observation.go. All runs are explored, within bounds on the number of each kind of step.
+
+// modelNodes names the controllers of the model.
+var modelNodes = []string{"a", "b", "c"}
+
+// modelKeys is the state service. Versions count changes; 0 means that a key is absent.
+type modelKeys struct {
+	revision                                       uint8
+	level, levelVersion                            uint8
+	aborted                                        bool
+	directiveVersion                               uint8
+	announced, announcedLease, announcementVersion [3]uint8
+	lease, memberVersion                           [3]uint8
+	leader, leaderVersion                          uint8 // the leader's number, counted from 1
+	plan, planVersion                              uint8 // the format of the record that the leader writes
+	job, jobVersion                                uint8 // the format of the record that anybody writes; 0: absent
+	migrated                                       bool
+	migratedVersion                                uint8
 }
 
-// proc is one controller's process.
-type proc struct {
-	knows  uint8 // 0: it is down
-	hold   uint8
-	view   keys  // what it has followed so far
-	term   uint8 // version of the leader key that it holds to be its own, 0: none
-	silent bool  // its release says nothing of itself and heeds no level
-	stuck  bool  // it stood still for so long that its hold ran out
+// endLease deletes a controller's member key, and the leader key if it is the leader.
+func (k *modelKeys) endLease(node int) {
+	k.revision++
+	k.lease[node] = 0
+	k.memberVersion[node] = 0
+	if k.leader == uint8(node)+1 {
+		k.leader = 0
+		k.leaderVersion = 0
+	}
 }
 
-// txn is one on its way: what it depends on and does.
-type txn struct {
-	kind  byte // 'c' campaign, 'r' rise, 'w' words, 'p' the leader's record, 'm' migration's end, 'j' anybody's record
-	by    uint8
-	knows uint8
-	lead  uint8    // the leader's version it depends on
-	conds [8]uint8 // versions, by kind
-	value uint8
-	hold  uint8 // 'c': under which it was sent
+// bump gives a key a new version.
+func (k *modelKeys) bump(version *uint8) {
+	k.revision++
+	*version = k.revision
 }
 
-type state struct {
-	k                    keys
-	p                    [3]proc
-	way                  [2]txn
-	ways                 uint8
-	holds                uint8
-	starts, sends, words uint8
-	crashes, freezes     uint8
-	broken               string
+// modelProcess is one controller's process.
+type modelProcess struct {
+	supported uint8 // the highest level that it supports; 0: it is down
+	lease     uint8
+	view      modelKeys // what it has read so far
+	term      uint8     // the version of the leader key that it takes to be its own; 0: none
+	levelless bool      // its release announces nothing and ignores the level
+	frozen    bool      // it paused for so long that its lease expired
 }
 
-// taken names the guard that is taken out.
-type taken string
+// modelTxnKind is what a transaction is for.
+type modelTxnKind byte
+
+const (
+	txnCampaign  modelTxnKind = 'c'
+	txnRise      modelTxnKind = 'r'
+	txnDirective modelTxnKind = 'w'
+	txnPlan      modelTxnKind = 'p' // writes the leader's record
+	txnMigrated  modelTxnKind = 'm' // records the end of the migration
+	txnJob       modelTxnKind = 'j' // writes the record that anybody writes
+)
+
+// modelTxn is a transaction in flight: its conditions and its effect.
+type modelTxn struct {
+	kind          modelTxnKind
+	sender        uint8
+	supported     uint8    // by its sender
+	leaderVersion uint8    // on which it depends
+	conditions    [8]uint8 // versions on which it depends, by kind
+	value         uint8
+	lease         uint8 // of a campaign: its sender's
+}
 
-func (m *state) seen(i int, w taken) Observation {
-	v := m.p[i].view
-	observed := Observation{Level: Level(v.level), LevelVersion: uint64(v.levelVer), DirectiveVersion: uint64(v.wordsVer), Mode: FinishRequested}
-	if v.abort {
+// modelState is one state of the model. It is comparable, and equal states have equal futures.
+type modelState struct {
+	keys             modelKeys
+	processes        [3]modelProcess
+	inFlight         [2]modelTxn
+	inFlightCount    uint8
+	leases           uint8
+	starts           uint8
+	sends            uint8
+	directives       uint8
+	crashes, freezes uint8
+	violation        string
+}
+
+// removedGuard names a guard that an exploration leaves out, to show that the guard is needed; "" for none.
+type removedGuard string
+
+const (
+	guardLeader           removedGuard = "the leader's guard"
+	guardMemberVersions   removedGuard = "the member versions"
+	guardDirectiveVersion removedGuard = "the directive version"
+	guardPresentProcess   removedGuard = "the check of the present process"
+	guardAllAnnounced     removedGuard = "the check of all announcements"
+	guardCampaignLevel    removedGuard = "the level in campaigns"
+	guardWriteLevel       removedGuard = "the level in other writes"
+	guardRecordVersion    removedGuard = "the record version"
+	guardNothingLeft      removedGuard = "the check that nothing is left"
+	guardStandDown        removedGuard = "standing down"
+	guardTermFormat       removedGuard = "the term format"
+)
+
+// observe returns what a controller has read, as the real code takes it.
+func (m *modelState) observe(node int, removed removedGuard) Observation {
+	view := &m.processes[node].view
+	observed := Observation{
+		Level:            Level(view.level),
+		LevelVersion:     uint64(view.levelVersion),
+		DirectiveVersion: uint64(view.directiveVersion),
+		Mode:             FinishRequested,
+	}
+	if view.aborted {
 		observed.Mode = AbortedByOperator
 	}
 	for n := range 3 {
-		p := PeerRecord{AnnouncedLevel: Level(v.says[n]), AnnouncedLease: uint64(v.saysHold[n]), AnnouncementVersion: uint64(v.saysVer[n]), Lease: uint64(v.hold[n]), MemberVersion: uint64(v.holdVer[n])}
-		if w == "the present process" {
-			p.AnnouncedLease = p.Lease
+		peer := PeerRecord{
+			AnnouncedLevel:      Level(view.announced[n]),
+			AnnouncedLease:      uint64(view.announcedLease[n]),
+			AnnouncementVersion: uint64(view.announcementVersion[n]),
+			Lease:               uint64(view.lease[n]),
+			MemberVersion:       uint64(view.memberVersion[n]),
 		}
-		observed.Peers = append(observed.Peers, p)
+		if removed == guardPresentProcess {
+			peer.AnnouncedLease = peer.Lease
+		}
+		observed.Peers = append(observed.Peers, peer)
 	}
 	return observed
 }
 
-func (m *state) send(x txn) bool {
-	if int(m.ways) == len(m.way) {
+// send puts a transaction in flight, in a canonical order; false if too many are.
+func (m *modelState) send(txn modelTxn) bool {
+	if int(m.inFlightCount) == len(m.inFlight) {
 		return false
 	}
 	m.sends++
-	m.way[m.ways] = x
-	m.ways++
-	if m.ways == 2 && fmt.Sprint(m.way[1]) < fmt.Sprint(m.way[0]) {
-		m.way[0], m.way[1] = m.way[1], m.way[0]
+	m.inFlight[m.inFlightCount] = txn
+	m.inFlightCount++
+	if m.inFlightCount == 2 && fmt.Sprint(m.inFlight[1]) < fmt.Sprint(m.inFlight[0]) {
+		m.inFlight[0], m.inFlight[1] = m.inFlight[1], m.inFlight[0]
 	}
 	return true
 }
 
-// land carries a transaction out, if its conditions hold.
-func (m *state) land(x txn, w taken) {
-	k := &m.k
-	if x.lead != k.leaderVer && w != "the lead" {
+// drop removes a transaction in flight.
+func (m *modelState) drop(i int) {
+	m.inFlightCount--
+	m.inFlight[i] = m.inFlight[m.inFlightCount]
+	m.inFlight[m.inFlightCount] = modelTxn{}
+}
+
+// commit carries a transaction out, if its conditions hold.
+func (m *modelState) commit(txn modelTxn, removed removedGuard) {
+	if txn.leaderVersion != m.keys.leaderVersion && removed != guardLeader {
 		return
 	}
-	bump := func(v *uint8) { k.rev++; *v = k.rev }
-	switch x.kind {
-	case 'c':
-		if k.holdVer[x.by] == 0 || k.hold[x.by] != x.hold || k.leaderVer != 0 || (x.conds[0] != k.levelVer && w != "the level in campaigns") {
-			return
-		}
-		k.leader = x.by + 1
-		bump(&k.leaderVer)
-	case 'r':
-		ok := x.conds[0] == k.levelVer && (x.conds[1] == k.wordsVer || w == "the words' version")
-		for n := range 3 {
-			ok = ok && ((x.conds[2+2*n] == k.saysVer[n] && x.conds[3+2*n] == k.holdVer[n]) || w == "the members' versions")
-		}
-		if !ok {
-			return
-		}
-		if k.leader != x.by+1 {
-			m.broken = names[x.by] + " lets the level rise and doesn't lead"
-		}
-		k.level = x.value
-		bump(&k.levelVer)
-		if k.abort {
-			m.broken = "the level rises after operators have aborted the rollout"
-		}
-		for n, p := range m.p {
-			if p.hold > 0 && p.knows < k.level {
-				m.broken = fmt.Sprintf("the level rises while %s takes part with a release that doesn't know it", names[n])
-			}
-		}
-	case 'w':
-		if x.conds[0] != k.wordsVer || x.conds[1] != k.levelVer {
-			return
-		}
-		k.abort = x.value == 1
-		bump(&k.wordsVer)
-	case 'p':
-		if x.conds[0] != k.planVer && w != "the record's version" {
-			return
-		}
-		if k.leader != x.by+1 {
-			m.broken = names[x.by] + " writes plans and doesn't lead"
-		}
-		if x.knows < k.plan {
-			m.broken = fmt.Sprintf("%s writes over a record that it can't read", names[x.by])
-		}
-		k.plan = x.value
-		bump(&k.planVer)
-	case 'm':
-		if x.conds[0] != k.migratedVer {
-			return
-		}
-		k.migrated = true
-		bump(&k.migratedVer)
-	case 'j':
-		if x.conds[0] != k.jobVer || (x.conds[1] != k.levelVer && w != "the level in everybody's writes") {
-			return
-		}
-		if x.knows < k.job {
-			m.broken = fmt.Sprintf("%s writes over a record that it can't read", names[x.by])
-		}
-		k.job = x.value
-		bump(&k.jobVer)
+	switch txn.kind {
+	case txnCampaign:
+		m.commitCampaign(txn, removed)
+	case txnRise:
+		m.commitRise(txn, removed)
+	case txnDirective:
+		m.commitDirective(txn)
+	case txnPlan:
+		m.commitPlan(txn, removed)
+	case txnMigrated:
+		m.commitMigrated(txn)
+	case txnJob:
+		m.commitJob(txn, removed)
 	}
 }
 
-// check looks at what must hold at every moment.
-func (m *state) check() string {
-	k := m.k
-	if m.broken != "" {
-		return m.broken
-	}
-	if k.leader > 0 {
-		if p := m.p[k.leader-1]; p.knows > 0 && p.knows < k.level && p.term == k.leaderVer {
-			return fmt.Sprintf("%s leads at a level that it doesn't know", names[k.leader-1])
-		}
+func (m *modelState) commitCampaign(txn modelTxn, removed removedGuard) {
+	keys := &m.keys
+	isMember := keys.memberVersion[txn.sender] != 0 && keys.lease[txn.sender] == txn.lease
+	if !isMember || keys.leaderVersion != 0 {
+		return
 	}
-	if k.migrated && (k.plan < k.level || k.job > 0 && k.job < k.level) {
-		return "the migration is over, and a record stands in the former format"
+	if txn.conditions[0] != keys.levelVersion && removed != guardCampaignLevel {
+		return
 	}
-	return ""
+	keys.leader = txn.sender + 1
+	keys.bump(&keys.leaderVersion)
 }
 
-// bounds are how many steps of each kind are looked at.
-type bounds struct{ starts, sends, words, crashes, freezes uint8 }
-
-// rename gives versions and holds new numbers by their first appearance: only whether two are the same matters, so
-// states that differ by nothing else are one.
-func (m *state) rename() {
-	var vs, hs [128]uint8
-	v := func(p *uint8) {
-		if *p != 0 {
-			if vs[*p] == 0 {
-				vs[0]++
-				vs[*p] = vs[0]
-			}
-			*p = vs[*p]
-		}
+func (m *modelState) commitRise(txn modelTxn, removed removedGuard) {
+	keys := &m.keys
+	if txn.conditions[0] != keys.levelVersion {
+		return
 	}
-	h := func(p *uint8) {
-		if *p != 0 {
-			if hs[*p] == 0 {
-				hs[0]++
-				hs[*p] = hs[0]
-			}
-			*p = hs[*p]
-		}
+	if txn.conditions[1] != keys.directiveVersion && removed != guardDirectiveVersion {
+		return
 	}
-	all := func(k *keys) {
-		k.rev = 0
-		for _, p := range [...]*uint8{&k.levelVer, &k.wordsVer, &k.leaderVer, &k.planVer, &k.jobVer, &k.migratedVer} {
-			v(p)
-		}
-		for n := range 3 {
-			v(&k.saysVer[n])
-			v(&k.holdVer[n])
-			h(&k.saysHold[n])
-			h(&k.hold[n])
+	for n := range 3 {
+		announcementChanged := txn.conditions[2+2*n] != keys.announcementVersion[n]
+		memberChanged := txn.conditions[3+2*n] != keys.memberVersion[n]
+		if (announcementChanged || memberChanged) && removed != guardMemberVersions {
+			return
 		}
 	}
-	all(&m.k)
-	for n := range m.p {
-		p := &m.p[n]
-		if p.knows == 0 {
-			continue
-		}
-		all(&p.view)
-		v(&p.term)
-		h(&p.hold)
-	}
-	for i := range m.way[:m.ways] {
-		x := &m.way[i]
-		v(&x.lead)
-		h(&x.hold)
-		for c := range x.conds {
-			v(&x.conds[c])
+	if keys.leader != txn.sender+1 {
+		m.violation = modelNodes[txn.sender] + " raises the level and doesn't lead"
+	}
+	keys.level = txn.value
+	keys.bump(&keys.levelVersion)
+	if keys.aborted {
+		m.violation = "the level rises after operators have aborted the rollout"
+	}
+	for n, process := range m.processes {
+		if process.lease > 0 && process.supported < keys.level {
+			m.violation = fmt.Sprintf("the level rises while %s takes part with a release that doesn't support it",
+				modelNodes[n])
 		}
 	}
-	m.k.rev, m.holds = vs[0], hs[0]
 }
 
-// next lists all states that can follow. silent: the former release says nothing and heeds no level.
-func (m *state) next(w taken, b bounds, silent bool) (out []state) {
-	step := func(f func(c *state) bool) {
-		c := *m
-		if f(&c) {
-			c.rename()
-			out = append(out, c)
-		}
+func (m *modelState) commitDirective(txn modelTxn) {
+	keys := &m.keys
+	if txn.conditions[0] != keys.directiveVersion || txn.conditions[1] != keys.levelVersion {
+		return
 	}
-	for i := range uint8(m.ways) { // one on its way lands, late or not, or never does
-		step(func(c *state) bool {
-			x := c.way[i]
-			c.drop(int(i))
-			c.land(x, w)
-			return true
-		})
-		step(func(c *state) bool { c.drop(int(i)); return true })
+	keys.aborted = txn.value == 1
+	keys.bump(&keys.directiveVersion)
+}
+
+func (m *modelState) commitPlan(txn modelTxn, removed removedGuard) {
+	keys := &m.keys
+	if txn.conditions[0] != keys.planVersion && removed != guardRecordVersion {
+		return
 	}
-	for n := range 3 {
-		p := m.p[n]
-		if p.knows == 0 {
-			if m.starts < b.starts {
-				for _, knows := range []uint8{1, 2} { // it comes back with either release
-					step(func(c *state) bool { c.starts++; c.start(n, knows, silent && knows == 1); return true })
-				}
-			}
-		} else if m.crashes < b.crashes {
-			step(func(c *state) bool { c.p[n] = proc{}; c.crashes++; return true }) // its hold lives on
-		}
-		stands := p.knows > 0 && p.hold == m.k.hold[n] && m.k.leader == uint8(n)+1 && m.freezes < b.freezes
-		if m.k.holdVer[n] != 0 && (p.knows == 0 || p.hold != m.k.hold[n] || stands) {
-			// The hold of one that is gone, or of one that stands still, runs out. By then it may act no more.
-			step(func(c *state) bool {
-				k := &c.k
-				k.rev++
-				k.hold[n], k.holdVer[n] = 0, 0
-				if k.leader == uint8(n)+1 {
-					k.leader, k.leaderVer = 0, 0
-				}
-				if stands {
-					c.freezes++
-					c.p[n].hold, c.p[n].stuck = 0, true
-				}
-				return true
-			})
-		}
-		if p.knows == 0 {
-			continue
-		}
-		if p.hold == 0 && !p.stuck {
-			step(func(c *state) bool { c.register(n); return true })
-		}
-		if p.view != m.k {
-			step(func(c *state) bool { c.sync(n); return true })
-		}
-		if m.sends >= b.sends {
-			continue
-		}
-		v := p.view
-		by := uint8(n)
-		fit := IsCompatible(Level(p.knows), Level(v.level)) || w == "staying out"
-		if !fit && !p.silent {
-			continue
-		}
-		if v.leaderVer == 0 && p.hold != 0 {
-			// A silent release reads the term as long as that is in its format.
-			if !p.silent || m.k.level == 1 || w == "the term's format" {
-				x := txn{kind: 'c', by: by, knows: p.knows, hold: p.hold}
-				x.conds[0] = v.levelVer
-				if p.silent {
-					x.conds[0] = m.k.levelVer
-				}
-				step(func(c *state) bool { return c.send(x) })
-			}
-		}
-		writes := min(p.knows, v.level)
-		// Anybody makes a record, and brings one to the present format.
-		if x := (txn{kind: 'j', by: by, knows: p.knows, lead: m.k.leaderVer, value: writes, conds: [8]uint8{v.jobVer, v.levelVer}}); v.job < writes && !p.silent {
-			step(func(c *state) bool { return c.send(x) })
-		}
-		if p.term == 0 || v.leaderVer != p.term {
-			continue
-		}
-		lead := p.term
-		if observed := m.seen(n, w); observed.MayRaise(Level(p.knows), true, true) || (w == "all have announced" && p.knows > uint8(observed.Level) && observed.Mode != AbortedByOperator) {
-			x := txn{kind: 'r', by: by, knows: p.knows, lead: lead, value: p.knows}
-			for i, c := range observed.Conditions(names) {
-				x.conds[i] = uint8(c.Version)
-			}
-			step(func(c *state) bool { return c.send(x) })
-		}
-		if m.words < b.words && v.level == 1 {
-			x := txn{kind: 'w', by: by, knows: p.knows, lead: lead, conds: [8]uint8{v.wordsVer, v.levelVer}}
-			if !v.abort {
-				x.value = 1
-			}
-			step(func(c *state) bool { c.words++; return c.send(x) })
-		}
-		if v.plan < writes || (v.plan == 1 && writes == 1) || v.plan == 2 && p.knows > 1 && v.level == 1 {
-			step(func(c *state) bool {
-				return c.send(txn{kind: 'p', by: by, knows: p.knows, lead: lead, value: max(writes, 1), conds: [8]uint8{v.planVer}})
-			})
-		}
-		if v.level == 2 && p.knows == 2 && !v.migrated && (v.plan == 2 && v.job != 1 || w == "nothing left") {
-			step(func(c *state) bool {
-				return c.send(txn{kind: 'm', by: by, knows: 2, lead: lead, conds: [8]uint8{v.migratedVer}})
-			})
-		}
+	if keys.leader != txn.sender+1 {
+		m.violation = modelNodes[txn.sender] + " writes plans and doesn't lead"
 	}
-	return out
+	m.checkOverwrite(txn, keys.plan)
+	keys.plan = txn.value
+	keys.bump(&keys.planVersion)
 }
 
-func (m *state) drop(i int) {
-	m.ways--
-	m.way[i], m.way[m.ways] = m.way[m.ways], txn{}
+func (m *modelState) commitMigrated(txn modelTxn) {
+	keys := &m.keys
+	if txn.conditions[0] != keys.migratedVersion {
+		return
+	}
+	keys.migrated = true
+	keys.bump(&keys.migratedVersion)
+}
+
+func (m *modelState) commitJob(txn modelTxn, removed removedGuard) {
+	keys := &m.keys
+	if txn.conditions[0] != keys.jobVersion {
+		return
+	}
+	if txn.conditions[1] != keys.levelVersion && removed != guardWriteLevel {
+		return
+	}
+	m.checkOverwrite(txn, keys.job)
+	keys.job = txn.value
+	keys.bump(&keys.jobVersion)
 }
 
-// start is a process that begins and follows all keys; it ends the hold of its former one.
-func (m *state) start(n int, knows uint8, silent bool) {
-	k := &m.k
-	k.rev++
-	k.hold[n], k.holdVer[n] = 0, 0
-	if k.leader == uint8(n)+1 {
-		k.leader, k.leaderVer = 0, 0
+// checkOverwrite notes a violation if a transaction overwrites a record in a format that its sender can't read.
+func (m *modelState) checkOverwrite(txn modelTxn, format uint8) {
+	if txn.supported < format {
+		m.violation = modelNodes[txn.sender] + " overwrites a record that it can't read"
 	}
-	m.p[n] = proc{knows: knows, silent: silent, view: *k}
 }
 
-// register writes its member key and what it says of itself; much may have changed since it read the keys.
-func (m *state) register(n int) {
-	k, p := &m.k, &m.p[n]
-	m.holds++
-	k.rev++
-	p.hold = m.holds
-	k.hold[n], k.holdVer[n] = m.holds, k.rev
-	if !p.silent {
-		k.says[n], k.saysHold[n], k.saysVer[n] = p.knows, m.holds, k.rev
+// check returns which property is violated, "" for none.
+func (m *modelState) check() string {
+	if m.violation != "" {
+		return m.violation
+	}
+	keys := &m.keys
+	if keys.leader > 0 {
+		leader := &m.processes[keys.leader-1]
+		if leader.supported > 0 && leader.supported < keys.level && leader.term == keys.leaderVersion {
+			return modelNodes[keys.leader-1] + " leads at a level that it doesn't support"
+		}
+	}
+	formerLeft := keys.plan < keys.level || keys.job > 0 && keys.job < keys.level
+	if keys.migrated && formerLeft {
+		return "the migration is done, and a record is in the former format"
 	}
+	return ""
 }
 
-func (m *state) sync(n int) {
-	p := &m.p[n]
-	p.view = m.k
-	if p.view.leader == uint8(n)+1 && p.hold == m.k.hold[n] && p.hold != 0 {
-		p.term = m.k.leaderVer
-	} else {
-		p.term = 0
+// start begins a process that has read all keys; it ends the lease of its controller's former one.
+func (m *modelState) start(node int, supported uint8, levelless bool) {
+	m.keys.endLease(node)
+	m.processes[node] = modelProcess{supported: supported, levelless: levelless, view: m.keys}
+}
+
+// register writes a process's member key and announcement; much may have changed since it read the keys.
+func (m *modelState) register(node int) {
+	keys := &m.keys
+	process := &m.processes[node]
+	m.leases++
+	keys.revision++
+	process.lease = m.leases
+	keys.lease[node] = m.leases
+	keys.memberVersion[node] = keys.revision
+	if !process.levelless {
+		keys.announced[node] = process.supported
+		keys.announcedLease[node] = m.leases
+		keys.announcementVersion[node] = keys.revision
 	}
 }
 
-// returning in place of a release: all have announced the new one, and one has just come back with the former; it
-// has read the keys while nobody led.
-const returning = 3
+// sync has a process read all keys.
+func (m *modelState) sync(node int) {
+	process := &m.processes[node]
+	process.view = m.keys
+	process.term = 0
+	if process.view.leader == uint8(node)+1 && process.lease == m.keys.lease[node] && process.lease != 0 {
+		process.term = m.keys.leaderVersion
+	}
+}
 
-// most bounds the states of one exploration; none that is to hold comes near it.
-const most = 12_000_000
+// renumbering assigns new numbers by first appearance.
+type renumbering [128]uint8 // element 0 is the last number assigned
 
-func explore(w taken, b bounds, former uint8, silent bool) (states int, why string) {
-	var s state
-	s.k = keys{level: 1, plan: 1}
-	for n, knows := range []uint8{2, 2, min(former, 2)} {
-		s.start(n, knows, silent && knows == 1)
-		s.register(n)
+func (r *renumbering) apply(number *uint8) {
+	if *number == 0 {
+		return
 	}
-	s.k.leader = 1
-	if former == returning {
-		s.start(0, 1, silent)
-		s.k.leader = 2
+	if r[*number] == 0 {
+		r[0]++
+		r[*number] = r[0]
 	}
-	s.k.rev++
-	s.k.leaderVer = s.k.rev
-	for n := range 3 {
-		if s.p[n].hold > 0 {
-			s.sync(n)
+	*number = r[*number]
+}
+
+// canonicalize renumbers versions and leases: only whether two are equal matters, so states that differ by nothing
+// else become one.
+func (m *modelState) canonicalize() {
+	var versions, leases renumbering
+	canonicalizeKeys(&m.keys, &versions, &leases)
+	for n := range m.processes {
+		process := &m.processes[n]
+		if process.supported == 0 {
+			continue
 		}
+		canonicalizeKeys(&process.view, &versions, &leases)
+		versions.apply(&process.term)
+		leases.apply(&process.lease)
 	}
-	s.rename()
-	seen := map[state]struct{}{s: {}}
-	for queue := []state{s}; len(queue) > 0; {
-		m := queue[0]
-		queue = queue[1:]
-		if why := m.check(); why != "" {
-			return len(seen), why
-		}
-		if len(seen) > most {
-			return len(seen), ""
-		}
-		for _, n := range m.next(w, b, silent) {
-			if _, ok := seen[n]; !ok {
-				seen[n] = struct{}{}
-				queue = append(queue, n)
-			}
+	for i := range m.inFlight[:m.inFlightCount] {
+		txn := &m.inFlight[i]
+		versions.apply(&txn.leaderVersion)
+		leases.apply(&txn.lease)
+		for c := range txn.conditions {
+			versions.apply(&txn.conditions[c])
 		}
 	}
-	return len(seen), ""
+	m.keys.revision = versions[0]
+	m.leases = leases[0]
 }
 
-// Every run within the bounds, from a cluster in which one controller has the former release and from one in which
-// none has: nothing breaks, and without any of the guards some run does.
-func TestEveryRise(t *testing.T) {
-	b := bounds{starts: 1, sends: 2, words: 1, crashes: 1, freezes: 1}
-	if os.Getenv("HAREWALK_LONG") != "" {
-		b.sends = 3
-	}
-	for _, c := range []struct {
-		former uint8
-		silent bool
-	}{{1, false}, {1, true}, {2, false}, {2, true}, {returning, false}, {returning, true}} {
-		t.Run(fmt.Sprintf("former %d silent %v", c.former, c.silent), func(t *testing.T) {
-			t.Parallel()
-			n, why := explore("", b, c.former, c.silent)
-			t.Logf("%d states: %q", n, why)
-			if why != "" || n < 20_000 || n >= most {
-				t.Fatalf("%d states: %s", n, why)
-			}
-		})
-	}
-	for _, g := range []struct {
-		guard  taken
-		former uint8
-		silent bool
-		b      bounds
-	}{
-		{"the lead", 2, false, bounds{1, 2, 0, 1, 1}},
-		{"the members' versions", 2, false, bounds{1, 1, 0, 1, 0}},
-		{"the words' version", 2, false, bounds{0, 2, 1, 0, 0}},
-		{"the present process", 2, true, bounds{1, 1, 0, 1, 0}},
-		{"all have announced", 1, false, bounds{0, 1, 0, 0, 0}},
-		{"the level in campaigns", returning, false, bounds{0, 2, 0, 0, 1}},
-		{"the level in everybody's writes", 2, false, bounds{0, 4, 0, 0, 0}},
-		{"the record's version", 2, false, bounds{0, 4, 0, 0, 0}},
-		{"nothing left", 2, false, bounds{0, 2, 0, 0, 0}},
-		{"staying out", 2, false, bounds{1, 2, 0, 1, 1}},
-		{"the term's format", 2, true, bounds{1, 2, 0, 1, 1}},
-	} {
-		t.Run("without "+string(g.guard), func(t *testing.T) {
-			t.Parallel()
-			n, why := explore(g.guard, g.b, g.former, g.silent)
-			if t.Logf("after %d states, %s", n, why); why == "" {
-				t.Error("nothing breaks: the guard, or the model, is idle")
-			}
-			if n, why := explore("", g.b, g.former, g.silent); why != "" {
-				t.Errorf("with it, after %d states: %s", n, why)
-			}
-		})
+func canonicalizeKeys(keys *modelKeys, versions, leases *renumbering) {
+	keys.revision = 0
+	versions.apply(&keys.levelVersion)
+	versions.apply(&keys.directiveVersion)
+	versions.apply(&keys.leaderVersion)
+	versions.apply(&keys.planVersion)
+	versions.apply(&keys.jobVersion)
+	versions.apply(&keys.migratedVersion)
+	for n := range 3 {
+		versions.apply(&keys.announcementVersion[n])
+		versions.apply(&keys.memberVersion[n])
+		leases.apply(&keys.announcedLease[n])
+		leases.apply(&keys.lease[n])
 	}
 }
