--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -15,7 +15,7 @@
 
 // expectedEnds says when what is on a machine is expected to end, earliest first.
 func (f *Fleet) expectedEnds(now time.Duration, machine *Machine) []expectedEnd {
-	if machine.endsValid && now-machine.endsComputedAt < endsFor {
+	if machine.endsValid && now-machine.endsComputedAt < expectedEndsValidFor {
 		return machine.expectedEnds
 	}
 	machine.expectedEnds, machine.endsComputedAt, machine.endsValid = machine.expectedEnds[:0], now, true
@@ -34,9 +34,9 @@
 	return machine.expectedEnds
 }
 
-// appendWork lists what loads a machine: what is on it, then what is planned there and ranks
+// appendMachineWork lists what loads a machine: what is on it, then what is planned there and ranks
 // before the job. Work that the job may preempt hardly counts.
-func (f *Fleet) appendWork(ws []planner.Work, now time.Duration, machine *Machine, rank int, over *jobs.Job) []planner.Work {
+func (f *Fleet) appendMachineWork(ws []planner.Work, now time.Duration, machine *Machine, rank int, over *jobs.Job) []planner.Work {
 	for _, e := range f.expectedEnds(now, machine) {
 		left := max(1, (e.at - now).Seconds())
 		if over != nil && f.mayPreempt(over, f.jobAt(e.Job)) {
@@ -60,7 +60,7 @@
 	for _, jobIndex := range ixs {
 		job, n := f.jobAt(jobIndex), len(machine.queued(jobIndex))
 		est := f.estimate(job) * machine.slowdown
-		if n > manyWork {
+		if n > maxTasksListedSingly {
 			if c := job.Spec.Size().Copies(machine.Capacity); c > 0 {
 				ws = append(ws, planner.Work{Size: machine.Capacity, Left: est * float64(n) / float64(c)})
 			}
@@ -83,12 +83,12 @@
 		f.noteCrashLoop(job)
 		return
 	}
-	if f.PlanningSteps-f.cycle.began > arraySteps {
+	if f.PlanningSteps-f.cycle.stepsAtStart > maxArraySteps {
 		f.setPendingNote(job, pendingNote{cause: PlanningBehind})
 		return
 	}
 	var tasks []int32
-	slice := min(planSlice, f.grantedTasks(job, job.UnstartedTasks())-job.TasksByState[jobs.Planned])
+	slice := min(maxTasksPerPlan, f.grantedTasks(job, job.UnstartedTasks())-job.TasksByState[jobs.Planned])
 	if f.crashLooping(job) != nil {
 		slice = min(slice, 1)
 	}
@@ -121,13 +121,13 @@
 	size := job.Spec.Size()
 	hosts := 0
 	fetch := 0.0
-	zone := f.oneZone(job)
+	zone := f.chooseZone(job)
 	rank := f.rankOf(job)
-	for _, machine := range f.packed() {
+	for _, machine := range f.packingOrder() {
 		if machine.Condition != Ready || machine.Returning || !f.mayUse(machine, job) || (zone != jobs.None && machine.Zone != zone) {
 			continue
 		}
-		f.scratch.work = f.appendWork(f.scratch.work[:0], now, machine, rank, job)
+		f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, rank, job)
 		p.Initial = planner.Lanes(p.Initial, machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs)), size, f.scratch.work)
 		if len(p.Initial) == len(lane) {
 			continue
@@ -160,7 +160,7 @@
 	f.setPendingNote(job, pendingNote{cause: PlanningBehind}) // the rest, if a pass takes only a part
 	f.PlanningSteps += uint64(4 * len(lane))
 	// A loop looks at every lane, so many lanes allow fewer loops.
-	p.MaxLoop = min(reduceLoop, max(16, reduceWork/len(lane)))
+	p.MaxLoop = min(maxReduceLoops, max(16, maxSlotVisits/len(lane)))
 	if len(prefer) == 0 {
 		prefer = all
 	}
@@ -184,13 +184,13 @@
 		"makespan_s", int(a.Makespan), "term", f.Term)
 }
 
-// packed orders the machines for planning: between equally loaded lanes the planner takes
+// packingOrder orders the machines for planning: between equally loaded lanes the planner takes
 // the first, so spot machines, which fewer jobs can use, and machines in use come first and
 // others stay free to be returned. The order is kept for the pass. It is made by counting: sorting
 // the fleet in each pass was a twentieth of a leader's processor time.
-func (f *Fleet) packed() []*Machine {
-	if f.cycle.packed != nil {
-		return f.cycle.packed
+func (f *Fleet) packingOrder() []*Machine {
+	if f.cycle.packedMachines != nil {
+		return f.cycle.packedMachines
 	}
 	most, n := 0, 0
 	for _, machine := range f.machines {
@@ -223,13 +223,13 @@
 		}
 	}
 	f.PlanningSteps += uint64(2 * len(ms))
-	f.cycle.packed = ms
+	f.cycle.packedMachines = ms
 	return ms
 }
 
-// oneZone chooses the zone of a job that must stay in one: where its tasks are, else
+// chooseZone chooses the zone of a job that must stay in one: where its tasks are, else
 // where most lanes are free.
-func (f *Fleet) oneZone(job *jobs.Job) int32 {
+func (f *Fleet) chooseZone(job *jobs.Job) int32 {
 	if !job.Spec.OneZone {
 		return jobs.None
 	}
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -12,18 +12,18 @@
 // What keeps room idle: the claim of a gang that waits for more of it, cores beside accelerators that such work is to come
 // for, ordinary machines that others need, and the better choice of a busy machine that is free soon. All may wait for what never comes: a gang
 // larger than its zone, accelerators that nobody gives back, an estimate that doesn't come true. A job that has stood beside room
-// that fits for longWaitAfter lets none of them hold it up: it is backfilled. Only the claims of gangs that are overdue to
-// begin themselves hold against it, until firmReservationAfter, which stays under the 90 s for which a job may wait so. What counts is the time
+// that fits for starvingAfter lets none of them hold it up: it is backfilled. Only the claims of gangs that are overdue to
+// begin themselves hold against it, until firmReservationLimit, which stays under the 90 s for which a job may wait so. What counts is the time
 // beside room, not the time waited: in an overload everybody waits, and what had waited for long once took all that came free from
 // large gangs (they began after 873 s instead of 235).
 const (
-	longWaitAfter        = 40 * time.Second
-	firmReservationAfter = 75 * time.Second
+	starvingAfter        = 40 * time.Second
+	firmReservationLimit = 75 * time.Second
 )
 
-// trackRoom notes, for each waiting job, since when there has been room for it: machines that it may use with as much
+// updateRoomSince notes, for each waiting job, since when there has been room for it: machines that it may use with as much
 // free as it needs to begin, whatever that is held for, and its team under its limit.
-func (f *Fleet) trackRoom(now time.Duration) {
+func (f *Fleet) updateRoomSince(now time.Duration) {
 	if now < f.nextRoomCheck {
 		return
 	}
@@ -80,16 +80,16 @@
 	return false
 }
 
-// waitedBesideRoom is for how long a job has stood beside room.
-func (f *Fleet) waitedBesideRoom(job *jobs.Job) time.Duration {
+// starvedFor is for how long a job has stood beside room.
+func (f *Fleet) starvedFor(job *jobs.Job) time.Duration {
 	if job == nil || job.RoomSince == 0 || job.TasksOnMachines() > 0 {
 		return 0
 	}
 	return f.Now() - job.RoomSince
 }
 
-// hasWaitedLong tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
-func (f *Fleet) hasWaitedLong(job *jobs.Job) bool { return f.waitedBesideRoom(job) > longWaitAfter }
+// isStarving tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
+func (f *Fleet) isStarving(job *jobs.Job) bool { return f.starvedFor(job) > starvingAfter }
 
 // isReservedFrom tells whether the claim on a machine holds against a job.
 func (f *Fleet) isReservedFrom(machine *Machine, job *jobs.Job) bool {
@@ -97,20 +97,20 @@
 		return false
 	}
 	if machine.reservedFirmly {
-		return f.waitedBesideRoom(job) <= firmReservationAfter
+		return f.starvedFor(job) <= firmReservationLimit
 	}
-	return !f.hasWaitedLong(job)
+	return !f.isStarving(job)
 }
 
-// unneededRoom is what of a machine's room what is planned there leaves for a job that would be moved there. What is planned may be
+// spareRoom is what of a machine's room what is planned there leaves for a job that would be moved there. What is planned may be
 // held up itself by what holds a job that has waited for long no more: for such a job only gangs count, and others like it.
-func (f *Fleet) unneededRoom(machine *Machine, job *jobs.Job) planner.Size {
-	if !f.hasWaitedLong(job) {
+func (f *Fleet) spareRoom(machine *Machine, job *jobs.Job) planner.Size {
+	if !f.isStarving(job) {
 		return machine.Free().Sub(machine.queuedNeed)
 	}
 	free := machine.Free().Sub(machine.queuedWhole)
 	for _, queue := range machine.queues {
-		if o := f.jobAt(queue.job); o.Spec.Kind == jobs.Array && f.hasWaitedLong(o) {
+		if o := f.jobAt(queue.job); o.Spec.Kind == jobs.Array && f.isStarving(o) {
 			size := o.Spec.Size() // what has no room there now takes none either
 			free = free.Sub(size.Times(float64(min(len(queue.tasks), max(0, size.Copies(free))))))
 		}
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -12,38 +12,38 @@
 
 // Bounds on the work of one pass, so that no job however large stalls the loop.
 const (
-	planSlice  = 1024    // tasks planned at once
-	reduceWork = 400_000 // lanes looked at by the loops of reduce, together
-	reduceLoop = 256     // loops of reduce at once
-	manyWork   = 64      // planned tasks read one by one into lane loads
-	arraySteps = 40_000  // steps for planning arrays before the rest waits for the next pass
-	searches   = 8       // preemptions for gangs
+	maxTasksPerPlan       = 1024    // tasks planned at once
+	maxSlotVisits         = 400_000 // lanes looked at by the loops of reduce, together
+	maxReduceLoops        = 256     // loops of reduce at once
+	maxTasksListedSingly  = 64      // planned tasks read one by one into lane loads
+	maxArraySteps         = 40_000  // steps for planning arrays before the rest waits for the next pass
+	maxPreemptionSearches = 8       // preemptions for gangs
 )
 
-// endsFor is how long expected ends are used before they are estimated anew.
-const endsFor = time.Second
+// expectedEndsValidFor is how long expected ends are used before they are estimated anew.
+const expectedEndsValidFor = time.Second
 
 // schedulingCycle is what one pass of planning remembers.
 type schedulingCycle struct {
-	fields map[jobShape]*candidateList
-	vain   map[preemptionShape]bool // preemption was tried for the like and nothing was found
-	tries  int                      // preemptions that were tried
-	lowest int                      // the lowest priority of any live job
-	packed []*Machine               // see Fleet.packed
-	began  uint64                   // Steps at the start
+	candidatesByShape  map[jobShape]*candidateList
+	futilePreemptions  map[preemptionShape]bool // preemption was tried for the like and nothing was found
+	preemptionSearches int                      // preemptions that were tried
+	lowestPriority     int                      // the lowest priority of any live job
+	packedMachines     []*Machine               // see Fleet.packed
+	stepsAtStart       uint64                   // Steps at the start
 }
 
 // What part of its run time a task may wait for a spot machine: one of an array is moved
 // again if an ordinary machine stays free, a gang is not.
 const (
-	yieldArray = 0.5
-	yieldGang  = 0.1
+	spotWaitFractionArray = 0.5
+	spotWaitFractionGang  = 0.1
 )
 
-// findGPUReserve finds what waiting work takes of a machine for each accelerator.
-func (f *Fleet) findGPUReserve() {
+// computeGPUReserve finds what waiting work takes of a machine for each accelerator.
+func (f *Fleet) computeGPUReserve() {
 	f.gpuReserve.perGPU, f.gpuReserve.withinGuarantee, f.gpuReserve.priority = planner.Size{}, false, math.MinInt
-	var wait waitingAccelerators
+	var wait waitingGPUs
 	clear(f.gpuReserve.onDemandTypes)
 	for _, job := range f.ranking.jobs {
 		if job.Idle() {
@@ -61,7 +61,7 @@
 			if n := size.GPUs * float64(job.UnstartedTasks()); job.Spec.Spot {
 				wait.any += n
 			} else {
-				wait.ordinary += n
+				wait.onDemand += n
 			}
 			f.gpuReserve.perGPU.CPUs = max(f.gpuReserve.perGPU.CPUs, size.CPUs/size.GPUs)
 			f.gpuReserve.perGPU.Mem = max(f.gpuReserve.perGPU.Mem, size.Mem/size.GPUs)
@@ -81,13 +81,13 @@
 // reservedGPUFraction is the part of all accelerators beside which cores are left for work that is still to come.
 const reservedGPUFraction = 0.25
 
-// waitingAccelerators are the accelerators that waiting work needs, by where it may run.
-type waitingAccelerators struct{ any, ordinary float64 }
+// waitingGPUs are the accelerators that waiting work needs, by where it may run.
+type waitingGPUs struct{ any, onDemand float64 }
 
 // reserveCPUsForGPUWork marks the machines on which cores are left beside accelerators: as many idle accelerators as twice what waits for
 // them, and a quarter of all for what comes next, on the machines that such work may use. They were once left on every
 // machine as long as a single task waited: three thousand tasks without accelerators stood beside three hundred idle machines.
-func (f *Fleet) reserveCPUsForGPUWork(w waitingAccelerators) {
+func (f *Fleet) reserveCPUsForGPUWork(w waitingGPUs) {
 	all, left := map[bool]float64{}, map[bool]float64{}
 	for _, machine := range f.machines {
 		if machine.Condition == Ready && !machine.Returning {
@@ -95,7 +95,7 @@
 		}
 	}
 	left[true] = 2*w.any + reservedGPUFraction*all[true]
-	left[false] = 2*(w.any+w.ordinary) + reservedGPUFraction*all[false]
+	left[false] = 2*(w.any+w.onDemand) + reservedGPUFraction*all[false]
 	for _, machine := range f.machines {
 		machine.keepsCPUsForGPUWork = left[machine.Spot] > 0
 		if machine.Condition == Ready && !machine.Returning {
@@ -107,7 +107,7 @@
 
 // schedule plans what is unplanned, in rank order, and lets free lanes steal.
 func (f *Fleet) schedule(now time.Duration) {
-	f.cycle = schedulingCycle{fields: map[jobShape]*candidateList{}, vain: map[preemptionShape]bool{}, began: f.PlanningSteps, lowest: math.MaxInt}
+	f.cycle = schedulingCycle{candidatesByShape: map[jobShape]*candidateList{}, futilePreemptions: map[preemptionShape]bool{}, stepsAtStart: f.PlanningSteps, lowestPriority: math.MaxInt}
 	if now-f.ranking.at > 500*time.Millisecond || f.ranking.at == 0 {
 		f.RankJobs(now)
 	}
@@ -115,11 +115,11 @@
 		machine.reserved, machine.reservedRank, machine.reservedFirmly = planner.Size{}, 1<<30, false
 	}
 	for _, job := range f.ranking.jobs {
-		f.cycle.lowest = min(f.cycle.lowest, job.Priority)
+		f.cycle.lowestPriority = min(f.cycle.lowestPriority, job.Priority)
 	}
 	f.grantLicences(now)
-	f.findGPUReserve()
-	f.trackRoom(now)
+	f.computeGPUReserve()
+	f.updateRoomSince(now)
 	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranking.jobs))
 	for _, job := range f.ranking.jobs {
 		if job.FinishedTasks == job.TaskCount || job.Idle() {
@@ -198,7 +198,7 @@
 		// Planning leaves most of the processor to reports and renewals: the next pass
 		// comes the later the more this one had to look at.
 		cores := f.Settings.Params.Limits.Processor()
-		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-before)*float64(stepPause)/cores)
+		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-before)*float64(pausePerStep)/cores)
 	}
 	f.FlushWrites(now)
 	if authority && (planned || f.writer.planBecameDurable) {
@@ -207,6 +207,6 @@
 	}
 }
 
-// stepPause is the pause for each step of planning on a full core: about three times what
+// pausePerStep is the pause for each step of planning on a full core: about three times what
 // a step costs.
-const stepPause = 300 * time.Nanosecond
+const pausePerStep = 300 * time.Nanosecond
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -62,7 +62,7 @@
 
 // ExpectedWork lists what is on a machine with its remaining time, until the next call.
 func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
-	f.scratch.work = f.appendWork(f.scratch.work[:0], now, machine, -1, nil)
+	f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, -1, nil)
 	return f.scratch.work
 }
 
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -8,12 +8,12 @@
 
 // classStats corrects a class's estimates by what was seen.
 type classStats struct {
-	ratio float64 // run time against estimate
-	n     float64
+	ratio   float64 // run time against estimate
+	samples float64
 }
 
-// stats finds a class's record.
-func (f *Fleet) stats(class int32) *classStats {
+// classStatsOf finds a class's record.
+func (f *Fleet) classStatsOf(class int32) *classStats {
 	s := f.classes[class]
 	if s == nil {
 		s = &classStats{ratio: 1}
@@ -27,11 +27,11 @@
 	if job.Spec.EstimateS <= 0 {
 		return 1
 	}
-	return job.Spec.EstimateS * f.stats(job.Class).ratio
+	return job.Spec.EstimateS * f.classStatsOf(job.Class).ratio
 }
 
-// fetchS is how long a machine needs to fetch a job's image, 0 if it has it.
-func (f *Fleet) fetchS(job *jobs.Job, machine *Machine) float64 {
+// fetchSeconds is how long a machine needs to fetch a job's image, 0 if it has it.
+func (f *Fleet) fetchSeconds(job *jobs.Job, machine *Machine) float64 {
 	ty := f.machineType(machine)
 	if ty == nil || ty.FetchGB <= 0 || machine.HasImage(job.Image) {
 		return 0
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -21,40 +21,40 @@
 
 // candidate is when and how a machine could take a gang's task.
 type candidate struct {
-	m     *Machine
-	at    float64 // seconds until room
-	fetch float64
-	score float64
+	machine          *Machine
+	secondsUntilRoom float64 // seconds until room
+	fetchSeconds     float64
+	score            float64
 }
 
 // jobShape is what jobs have in common that may use the same machines equally well.
 type jobShape struct {
-	size  planner.Size
-	image int32
-	zone  int32
-	spot  bool
-	types string
-	aged  bool // no room is kept from them any more
+	size     planner.Size
+	image    int32
+	zone     int32
+	spot     bool
+	types    string
+	starving bool // no room is kept from them any more
 }
 
 // candidateList lists the machines that may take tasks of a shape, best first, as they were when
 // the pass first looked. Placing only takes room away during a pass, so what did not fit
 // once is passed over for good.
 type candidateList struct {
-	ps      []candidate
-	next    int           // before it no prospect has room any more
-	open    []int         // those that had room
-	claimed map[int32]int // by zone, None for any: how far claims have got
+	candidates   []candidate
+	firstOpen    int           // before it no prospect has room any more
+	withRoom     []int         // those that had room
+	reservedUpTo map[int32]int // by zone, None for any: how far claims have got
 }
 
 // preemptionShape is what jobs have in common for which the same tasks may be preempted.
 type preemptionShape struct {
 	jobShape
-	team    int32
-	level   int
-	within  bool
-	n       int
-	oneZone bool
+	team            int32
+	priority        int
+	withinGuarantee bool
+	tasks           int
+	oneZone         bool
 }
 
 func shapeOf(job *jobs.Job) jobShape {
@@ -70,18 +70,18 @@
 func (f *Fleet) candidatesFor(now time.Duration, job *jobs.Job) *candidateList {
 	common := len(job.AvoidedMachines) == 0 && job.TasksOnMachines() == 0
 	key := shapeOf(job)
-	key.aged = f.hasWaitedLong(job)
-	if candidates := f.cycle.fields[key]; common && candidates != nil {
+	key.starving = f.isStarving(job)
+	if candidates := f.cycle.candidatesByShape[key]; common && candidates != nil {
 		return candidates
 	}
-	candidates := &candidateList{ps: f.candidates(now, job), claimed: map[int32]int{}}
-	for i, candidate := range candidates.ps {
-		if candidate.at == 0 {
-			candidates.open = append(candidates.open, i)
+	candidates := &candidateList{candidates: f.candidates(now, job), reservedUpTo: map[int32]int{}}
+	for i, candidate := range candidates.candidates {
+		if candidate.secondsUntilRoom == 0 {
+			candidates.withRoom = append(candidates.withRoom, i)
 		}
 	}
 	if common {
-		f.cycle.fields[key] = candidates
+		f.cycle.candidatesByShape[key] = candidates
 	}
 	return candidates
 }
@@ -105,16 +105,16 @@
 func (f *Fleet) candidates(now time.Duration, job *jobs.Job) []candidate {
 	var candidates []candidate
 	size := job.Spec.Size()
-	for _, machine := range f.packed() {
+	for _, machine := range f.packingOrder() {
 		if machine.Condition != Ready || machine.Returning || !size.Fits(machine.Capacity) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
 			continue
 		}
-		p := candidate{m: machine, fetch: f.fetchS(job, machine)}
+		p := candidate{machine: machine, fetchSeconds: f.fetchSeconds(job, machine)}
 		if !f.fits(machine, job) {
-			p.at = f.freeIn(now, machine, job)
+			p.secondsUntilRoom = f.secondsUntilRoom(now, machine, job)
 		}
 		// Differences below a second are none.
-		p.score = math.Floor(estimateSafetyFactor*p.at + p.fetch + f.spotWaitLimit(machine, job))
+		p.score = math.Floor(estimateSafetyFactor*p.secondsUntilRoom + p.fetchSeconds + f.spotWaitLimit(machine, job))
 		candidates = append(candidates, p)
 	}
 	f.PlanningSteps += uint64(len(f.machines) + 4*len(candidates))
@@ -122,20 +122,20 @@
 		if x.score != y.score {
 			return cmp.Compare(x.score, y.score)
 		}
-		if x.m.Spot != y.m.Spot {
-			if x.m.Spot {
+		if x.machine.Spot != y.machine.Spot {
+			if x.machine.Spot {
 				return -1
 			}
 			return 1
 		}
-		a, b := x.m.Free(), y.m.Free()
-		return cmp.Or(cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(x.m.Index, y.m.Index))
+		a, b := x.machine.Free(), y.machine.Free()
+		return cmp.Or(cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(x.machine.Index, y.machine.Index))
 	})
 	return candidates
 }
 
-// freeIn estimates when a machine will have room for a task of a job.
-func (f *Fleet) freeIn(now time.Duration, machine *Machine, job *jobs.Job) float64 {
+// secondsUntilRoom estimates when a machine will have room for a task of a job.
+func (f *Fleet) secondsUntilRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
 	free := machine.Free()
 	if f.isReservedFrom(machine, job) {
 		free = free.Sub(machine.reserved)
@@ -150,9 +150,9 @@
 	return 1e6
 }
 
-// room is what a job may take of a machine now: not what is claimed by those that rank
+// availableRoom is what a job may take of a machine now: not what is claimed by those that rank
 // before it, nor what gangs planned there will take.
-func (f *Fleet) room(machine *Machine, job *jobs.Job) planner.Size {
+func (f *Fleet) availableRoom(machine *Machine, job *jobs.Job) planner.Size {
 	free := machine.Free().Sub(machine.queuedWhole)
 	if f.isReservedFrom(machine, job) {
 		free = free.Sub(machine.reserved)
@@ -182,40 +182,40 @@
 		return
 	}
 	candidates := f.candidatesFor(now, job)
-	if len(candidates.ps) == 0 {
+	if len(candidates.candidates) == 0 {
 		f.setPendingNote(job, pendingNote{cause: NoMachine})
 		return
 	}
-	if f.placeOn(now, job, candidates) {
+	if f.placeGangNow(now, job, candidates) {
 		return
 	}
 	zone, start := f.earliestGangStart(job, candidates)
-	f.setPendingNote(job, pendingNote{cause: GangShort, need: job.TaskCount, have: len(candidates.open), start: start})
+	f.setPendingNote(job, pendingNote{cause: GangShort, need: job.TaskCount, have: len(candidates.withRoom), start: start})
 	if f.crashLooping(job) != nil {
 		return // nobody waits or is stopped for what will fail
 	}
-	if start > f.secondsToWait(now, job) && f.preemptFor(now, job, candidates.ps, start) {
+	if start > f.secondsToWait(now, job) && f.preemptFor(now, job, candidates.candidates, start) {
 		return
 	}
 	v := f.pendingNotes[job.Index]
-	v.overdue = f.overdue(now, job)
-	v.held = f.reserve(job, candidates, zone, v.overdue)
+	v.overdue = f.startOverdue(now, job)
+	v.held = f.reserveMachines(job, candidates, zone, v.overdue)
 	f.setPendingNote(job, v)
 }
 
-// placeOn plans a gang on machines that have room now.
-func (f *Fleet) placeOn(now time.Duration, job *jobs.Job, candidates *candidateList) bool {
+// placeGangNow plans a gang on machines that have room now.
+func (f *Fleet) placeGangNow(now time.Duration, job *jobs.Job, candidates *candidateList) bool {
 	size := job.Spec.Size()
 	if job.TaskCount == 1 {
-		for ; candidates.next < len(candidates.ps) && candidates.ps[candidates.next].at == 0; candidates.next++ {
-			if machine := candidates.ps[candidates.next].m; size.Fits(f.room(machine, job)) {
+		for ; candidates.firstOpen < len(candidates.candidates) && candidates.candidates[candidates.firstOpen].secondsUntilRoom == 0; candidates.firstOpen++ {
+			if machine := candidates.candidates[candidates.firstOpen].machine; size.Fits(f.availableRoom(machine, job)) {
 				f.planTask(now, job, 0, machine)
 				return true
 			}
 		}
-		if f.hasWaitedLong(job) { // that a busy machine is free soon hasn't come true for long
-			for _, i := range candidates.open {
-				if machine := candidates.ps[i].m; size.Fits(f.room(machine, job)) {
+		if f.isStarving(job) { // that a busy machine is free soon hasn't come true for long
+			for _, i := range candidates.withRoom {
+				if machine := candidates.candidates[i].machine; size.Fits(f.availableRoom(machine, job)) {
 					f.planTask(now, job, 0, machine)
 					return true
 				}
@@ -223,16 +223,16 @@
 		}
 		return false // a busy machine that has the image is the better choice
 	}
-	hosts := make([]planner.Host, 0, len(candidates.open))
-	keep := candidates.open[:0]
-	for _, i := range candidates.open {
-		machine := candidates.ps[i].m
-		if room := f.room(machine, job); size.Fits(room) {
+	hosts := make([]planner.Host, 0, len(candidates.withRoom))
+	keep := candidates.withRoom[:0]
+	for _, i := range candidates.withRoom {
+		machine := candidates.candidates[i].machine
+		if room := f.availableRoom(machine, job); size.Fits(room) {
 			keep = append(keep, i)
 			hosts = append(hosts, planner.Host{ID: machine.Index, Zone: machine.Zone, Free: room})
 		}
 	}
-	candidates.open = keep
+	candidates.withRoom = keep
 	f.PlanningSteps += uint64(len(hosts))
 	got := planner.FirstFit(hosts, size, job.TaskCount, job.Spec.OneZone, job.Spec.ZoneLimit())
 	for t, ix := range got {
@@ -245,31 +245,31 @@
 // in which zone if it must stay in one.
 func (f *Fleet) earliestGangStart(job *jobs.Job, candidates *candidateList) (zone int32, start float64) {
 	n := map[int32]int{}
-	for _, candidate := range candidates.ps {
+	for _, candidate := range candidates.candidates {
 		zone = jobs.None
 		if job.Spec.OneZone {
-			zone = candidate.m.Zone
+			zone = candidate.machine.Zone
 		}
 		f.PlanningSteps++
 		if n[zone]++; n[zone] >= job.TaskCount {
-			return zone, candidate.at + candidate.fetch
+			return zone, candidate.secondsUntilRoom + candidate.fetchSeconds
 		}
 	}
 	return zone, 1e6
 }
 
-// reserve keeps what frees up first for a gang, and tells on how many machines.
-func (f *Fleet) reserve(job *jobs.Job, candidates *candidateList, zone int32, firm bool) (n int) {
-	i := candidates.claimed[zone]
-	for ; i < len(candidates.ps) && n < job.TaskCount; i++ {
-		machine := candidates.ps[i].m
+// reserveMachines keeps what frees up first for a gang, and tells on how many machines.
+func (f *Fleet) reserveMachines(job *jobs.Job, candidates *candidateList, zone int32, firm bool) (n int) {
+	i := candidates.reservedUpTo[zone]
+	for ; i < len(candidates.candidates) && n < job.TaskCount; i++ {
+		machine := candidates.candidates[i].machine
 		if (zone == jobs.None || machine.Zone == zone) && (machine.reservedRank > f.rankOf(job) || machine.reserved == (planner.Size{})) {
 			machine.reserved, machine.reservedRank, machine.reservedFirmly = job.Spec.Size(), f.rankOf(job), firm
 			n++
 		}
 		f.PlanningSteps++
 	}
-	candidates.claimed[zone] = i
+	candidates.reservedUpTo[zone] = i
 	return n
 }
 
@@ -307,12 +307,12 @@
 		// Of the machines with room the first in the zone with fewest replicas: a loss takes as little of the service
 		// as can be, and among equal zones first fit decides.
 		// What is planned counts against a zone's bound too: replicas beyond it once waited in one zone's lanes for ever.
-		i, lim := len(candidates.ps), job.Spec.ZoneLimit()
-		for n, candidate := range candidates.ps {
-			if lim > 0 && use[candidate.m.Zone] >= lim {
+		i, lim := len(candidates.candidates), job.Spec.ZoneLimit()
+		for n, candidate := range candidates.candidates {
+			if lim > 0 && use[candidate.machine.Zone] >= lim {
 				continue
 			}
-			if candidate.at == 0 && (i == len(candidates.ps) || use[candidate.m.Zone] < use[candidates.ps[i].m.Zone]) && f.mayUse(candidate.m, job) && job.Spec.Size().Fits(f.room(candidate.m, job)) {
+			if candidate.secondsUntilRoom == 0 && (i == len(candidates.candidates) || use[candidate.machine.Zone] < use[candidates.candidates[i].machine.Zone]) && f.mayUse(candidate.machine, job) && job.Spec.Size().Fits(f.availableRoom(candidate.machine, job)) {
 				i = n
 			}
 		}
@@ -320,12 +320,12 @@
 			f.noteDenied(job, 1)
 			return
 		}
-		if i == len(candidates.ps) {
+		if i == len(candidates.candidates) {
 			f.setPendingNote(job, pendingNote{cause: NoRoom})
 			return
 		}
-		f.planTask(now, job, int32(t), candidates.ps[i].m)
-		use[candidates.ps[i].m.Zone]++
+		f.planTask(now, job, int32(t), candidates.candidates[i].machine)
+		use[candidates.candidates[i].machine.Zone]++
 		if f.crashLooping(job) != nil || f.ranking.startDeadlineDue[job.Index] && job.TasksByState[jobs.Planned] >= startDeadlineTasks {
 			return
 		}
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -416,7 +416,7 @@
 			g.ranking.withinGuarantee[jobIndex] = rng.IntN(2) == 0
 		}
 		sorted := append([]*jobs.Job(nil), g.ranking.jobs...)
-		g.sortByRank(sorted, map[jobs.Index]rankKey{})
+		g.sortByRank(sorted, map[jobs.Index]urgency{})
 		for a, x := range sorted {
 			for b, y := range sorted {
 				if g.mayPreempt(x, y) {
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -254,7 +254,7 @@
 		n = ask.Tasks
 	}
 	promised := f.Gate.Licences.Promised(job.Team, job.LicenceUnits, n)
-	if job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index] && !promised {
+	if job.Priority <= f.cycle.lowestPriority && !f.ranking.withinGuarantee[job.Index] && !promised {
 		return
 	}
 	if t, ok := f.preemptedAt[job.Index]; (ok && now-t < preemptionCooldown) || now-job.SubmittedAt < preemptionPatience {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -93,7 +93,7 @@
 	queuedNeed, queuedWhole, smallestQueued planner.Size
 
 	// expectedEnds says when what is on the machine is expected to end, earliest first. It is made
-	// when it is asked for and counts until the machine changes, or for endsFor.
+	// when it is asked for and counts until the machine changes, or for expectedEndsValidFor.
 	expectedEnds   []expectedEnd
 	endsComputedAt time.Duration
 	endsValid      bool
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -13,36 +13,36 @@
 // deadlineJob is a job with a deadline in an overload: its last task must start by due, and
 // before that the work, in resource-seconds, has to be fitted in.
 type deadlineJob struct {
-	due  time.Duration
-	work planner.Size
+	latestStart time.Duration
+	work        planner.Size
 }
 
 // heaviestFirst orders claimants by what they take of the scarcest resource, largest first.
 type heaviestFirst struct {
-	cs    []deadlineJob
-	share func(planner.Size) float64
-	ids   []int
+	deadlineJobs []deadlineJob
+	poolSeconds  func(planner.Size) float64
+	indices      []int
 }
 
-func (h *heaviestFirst) Len() int { return len(h.ids) }
+func (h *heaviestFirst) Len() int { return len(h.indices) }
 func (h *heaviestFirst) Less(a, b int) bool {
-	x, y := h.share(h.cs[h.ids[a]].work), h.share(h.cs[h.ids[b]].work)
+	x, y := h.poolSeconds(h.deadlineJobs[h.indices[a]].work), h.poolSeconds(h.deadlineJobs[h.indices[b]].work)
 	if x != y {
 		return x > y
 	}
-	return h.ids[a] < h.ids[b]
+	return h.indices[a] < h.indices[b]
 }
-func (h *heaviestFirst) Swap(a, b int) { h.ids[a], h.ids[b] = h.ids[b], h.ids[a] }
-func (h *heaviestFirst) Push(x any)    { h.ids = append(h.ids, x.(int)) }
+func (h *heaviestFirst) Swap(a, b int) { h.indices[a], h.indices[b] = h.indices[b], h.indices[a] }
+func (h *heaviestFirst) Push(x any)    { h.indices = append(h.indices, x.(int)) }
 func (h *heaviestFirst) Pop() any {
-	x := h.ids[len(h.ids)-1]
-	h.ids = h.ids[:len(h.ids)-1]
+	x := h.indices[len(h.indices)-1]
+	h.indices = h.indices[:len(h.indices)-1]
 	return x
 }
 
-// longest is how many seconds a pool takes for an amount of work: that of the resource
+// secondsOfWork is how many seconds a pool takes for an amount of work: that of the resource
 // which takes longest.
-func longest(work, pool planner.Size) float64 {
+func secondsOfWork(work, pool planner.Size) float64 {
 	s := 0.0
 	for _, d := range [...][2]float64{{work.CPUs, pool.CPUs}, {work.GPUs, pool.GPUs}, {work.Mem, pool.Mem}} {
 		if d[0] > 1e-9 {
@@ -52,22 +52,22 @@
 	return s
 }
 
-// giveUp chooses which of several jobs can't all be done in time by a pool of machines, so
+// unattainableDeadlines chooses which of several jobs can't all be done in time by a pool of machines, so
 // that as many as possible are: by due time, and whenever too much has to be done before one
 // the largest so far is given up (Moore and Hodgson). It returns who is given up.
-func giveUp(now time.Duration, cs []deadlineJob, pool planner.Size) []bool {
+func unattainableDeadlines(now time.Duration, cs []deadlineJob, pool planner.Size) []bool {
 	late := make([]bool, len(cs))
 	order := make([]int, len(cs))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cs[a].due, cs[b].due) })
-	h := &heaviestFirst{cs: cs, share: func(size planner.Size) float64 { return longest(size, pool) }}
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cs[a].latestStart, cs[b].latestStart) })
+	h := &heaviestFirst{deadlineJobs: cs, poolSeconds: func(size planner.Size) float64 { return secondsOfWork(size, pool) }}
 	sum := planner.Size{}
 	for _, i := range order {
 		heap.Push(h, i)
 		sum = sum.Add(cs[i].work)
-		for h.Len() > 0 && longest(sum, pool) > (cs[i].due-now).Seconds() {
+		for h.Len() > 0 && secondsOfWork(sum, pool) > (cs[i].latestStart-now).Seconds() {
 			out := heap.Pop(h).(int)
 			late[out] = true
 			sum = sum.Sub(cs[out].work)
@@ -76,13 +76,13 @@
 	return late
 }
 
-// overloadUtilization is the part of the machines that deadlines may count on.
-const overloadUtilization = 0.75
+// plannableFraction is the part of the machines that deadlines may count on.
+const plannableFraction = 0.75
 
-// yieldRanks lets the arrays whose next deadline is given up in an overload change places
+// demoteUnattainableDeadlines lets the arrays whose next deadline is given up in an overload change places
 // with those that can still meet theirs. All other jobs keep their ranks: an array that was
 // moved behind every job without a deadline lost more than the overload took (harmonia).
-func (f *Fleet) yieldRanks(now time.Duration, keys map[jobs.Index]rankKey) {
+func (f *Fleet) demoteUnattainableDeadlines(now time.Duration, keys map[jobs.Index]urgency) {
 	pool := planner.Size{}
 	for _, machine := range f.machines {
 		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined {
@@ -98,18 +98,18 @@
 		if f.crashLooping(job) != nil {
 			continue // it holds up nothing, and no deadline gives way to it
 		}
-		if job.Spec.Kind != jobs.Array || job.Spec.DeadlineS == nil || !k.ok || n == 0 {
+		if job.Spec.Kind != jobs.Array || job.Spec.DeadlineS == nil || !k.attainable || n == 0 {
 			pool = pool.Sub(job.Spec.Size().Times(float64(job.TasksOnMachines())))
 			continue
 		}
 		jobList, places = append(jobList, job), append(places, at)
-		cs = append(cs, deadlineJob{k.due, job.Spec.Size().Times(float64(n) * f.estimate(job))})
+		cs = append(cs, deadlineJob{k.latestStart, job.Spec.Size().Times(float64(n) * f.estimate(job))})
 	}
 	f.PlanningSteps += uint64(len(f.machines) + 2*len(jobList))
 	// Estimates are wrong, machines are lost and lanes never fill up quite: a set that only
 	// just fits would miss its deadlines one after the other.
-	pool = pool.Times(overloadUtilization)
-	late := giveUp(now, cs, pool)
+	pool = pool.Times(plannableFraction)
+	late := unattainableDeadlines(now, cs, pool)
 	for lo := 0; lo < len(jobList); {
 		// Only within a rank that may not preempt the other.
 		hi := lo + 1
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -22,11 +22,11 @@
 			order = append(order, i)
 		}
 	}
-	slices.SortFunc(order, func(a, b int) int { return int(cs[a].due - cs[b].due) })
+	slices.SortFunc(order, func(a, b int) int { return int(cs[a].latestStart - cs[b].latestStart) })
 	sum := planner.Size{}
 	for _, i := range order {
 		sum = sum.Add(cs[i].work)
-		if longest(sum, pool) > cs[i].due.Seconds()+1e-9 {
+		if secondsOfWork(sum, pool) > cs[i].latestStart.Seconds()+1e-9 {
 			return false
 		}
 	}
@@ -52,7 +52,7 @@
 			}
 		}
 		kept := uint(0)
-		for i, late := range giveUp(0, cs, pool) {
+		for i, late := range unattainableDeadlines(0, cs, pool) {
 			if !late {
 				kept |= 1 << i
 			}
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -177,7 +177,7 @@
 				if f.fits(machine, job) {
 					soonest = 0
 				} else {
-					soonest = min(soonest, f.freeIn(now, machine, job))
+					soonest = min(soonest, f.secondsUntilRoom(now, machine, job))
 				}
 			}
 		}
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -88,7 +88,7 @@
 			places := 0
 			for _, machine := range f.machines {
 				if machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) {
-					places += size.Copies(f.room(machine, job))
+					places += size.Copies(f.availableRoom(machine, job))
 				}
 			}
 			if places >= job.TaskCount && !job.Spec.OneZone && job.Spec.ZoneLimit() == 0 && !claimed(f) {
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -22,7 +22,7 @@
 // secondsToWait is how many seconds a job may wait for a natural end before one of its aims is
 // missed; stopping others any earlier wastes their work for nothing.
 func (f *Fleet) secondsToWait(now time.Duration, job *jobs.Job) float64 {
-	duration, ok := f.nextDue(now, job)
+	duration, ok := f.latestUsefulStart(now, job)
 	if !ok || f.ranking.withinGuarantee[job.Index] {
 		return preemptionPatienceS // a guarantee is owed now
 	}
@@ -66,7 +66,7 @@
 		TaskRef
 		lost float64
 	}
-	free := f.room(machine, job)
+	free := f.availableRoom(machine, job)
 	size := job.Spec.Size()
 	var cs []candidate
 	for r := range machine.Tasks {
@@ -136,24 +136,24 @@
 	if t, ok := f.preemptedAt[job.Index]; ok && now-t < preemptionCooldown {
 		return false
 	}
-	if f.cycle.vain[key] || f.cycle.tries >= searches || (job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]) {
+	if f.cycle.futilePreemptions[key] || f.cycle.preemptionSearches >= maxPreemptionSearches || (job.Priority <= f.cycle.lowestPriority && !f.ranking.withinGuarantee[job.Index]) {
 		return false
 	}
-	f.cycle.tries++
+	f.cycle.preemptionSearches++
 	weight := 1.0
 	if f.ranking.withinGuarantee[job.Index] {
 		weight = 0.05 // the guarantee goes before the loss
 	}
 	byZone := map[int32][]preemptionOption{}
 	for _, candidate := range candidates {
-		refs, lost, ok := f.victims(now, candidate.m, job)
-		f.PlanningSteps += uint64(len(candidate.m.Tasks))
-		if c := 1 + candidate.fetch + weight*lost; ok && c < start-preemptionPatienceS {
+		refs, lost, ok := f.victims(now, candidate.machine, job)
+		f.PlanningSteps += uint64(len(candidate.machine.Tasks))
+		if c := 1 + candidate.fetchSeconds + weight*lost; ok && c < start-preemptionPatienceS {
 			zone := jobs.None
 			if job.Spec.OneZone {
-				zone = candidate.m.Zone
+				zone = candidate.machine.Zone
 			}
-			byZone[zone] = append(byZone[zone], preemptionOption{candidate.m, refs, c})
+			byZone[zone] = append(byZone[zone], preemptionOption{candidate.machine, refs, c})
 		}
 	}
 	var best []preemptionOption
@@ -176,7 +176,7 @@
 		}
 	}
 	if best == nil {
-		f.cycle.vain[key] = true
+		f.cycle.futilePreemptions[key] = true
 		return false
 	}
 	f.preemptedAt[job.Index] = now
@@ -189,14 +189,14 @@
 
 // preemptArray makes room for an array's planned tasks where they are planned.
 func (f *Fleet) preemptArray(now time.Duration, job *jobs.Job) {
-	if job.TasksByState[jobs.Planned] == 0 || f.crashLooping(job) != nil || (job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]) || !f.mayStart(job, 1) {
+	if job.TasksByState[jobs.Planned] == 0 || f.crashLooping(job) != nil || (job.Priority <= f.cycle.lowestPriority && !f.ranking.withinGuarantee[job.Index]) || !f.mayStart(job, 1) {
 		return
 	}
 	patient := f.secondsToWait(now, job)
 	for _, ix := range f.queueMachines(job) {
 		machine := f.machines[ix]
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined || f.fits(machine, job) || f.freeIn(now, machine, job) < patient || !f.mayUse(machine, job) {
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined || f.fits(machine, job) || f.secondsUntilRoom(now, machine, job) < patient || !f.mayUse(machine, job) {
 			continue
 		}
 		if refs, _, ok := f.victims(now, machine, job); ok {
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -9,9 +9,9 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// nextDue is when a job's next start should have happened at the latest, and whether any of
+// latestUsefulStart is when a job's next start should have happened at the latest, and whether any of
 // its aims can still be met.
-func (f *Fleet) nextDue(now time.Duration, job *jobs.Job) (time.Duration, bool) {
+func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
 	best, ok := time.Duration(1<<62), false
 	est := config.Seconds(f.estimate(job))
 	consider := func(duration time.Duration) {
@@ -48,11 +48,11 @@
 	return best, true
 }
 
-// rankKey is a job's place among its equals: its latest useful start, and whether an aim
+// urgency is a job's place among its equals: its latest useful start, and whether an aim
 // can still be met.
-type rankKey struct {
-	due time.Duration
-	ok  bool
+type urgency struct {
+	latestStart time.Duration
+	attainable  bool
 }
 
 // RankJobs orders the live jobs: what lies within its team's guarantee first, then by
@@ -77,26 +77,26 @@
 	})
 	demand := map[int32]planner.Size{}
 	clear(f.ranking.withinGuarantee)
-	keys := make(map[jobs.Index]rankKey, len(f.ranking.jobs))
+	keys := make(map[jobs.Index]urgency, len(f.ranking.jobs))
 	for _, job := range f.ranking.jobs {
 		size := job.Spec.Size()
 		n := float64(job.TaskCount - job.FinishedTasks)
 		sum := demand[job.Team].Add(planner.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n})
 		demand[job.Team] = sum
 		f.ranking.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, sum)
-		duration, ok := f.nextDue(now, job)
-		keys[job.Index] = rankKey{duration, ok}
+		duration, ok := f.latestUsefulStart(now, job)
+		keys[job.Index] = urgency{duration, ok}
 	}
 	f.sortByRank(f.ranking.jobs, keys)
-	f.yieldRanks(now, keys)
-	f.markStartDeadlines(now)
+	f.demoteUnattainableDeadlines(now, keys)
+	f.promoteOverdueJobs(now)
 	for i, job := range f.ranking.jobs {
 		job.QueuePosition = i + 1
 	}
 }
 
 // sortByRank orders jobs among which equal ones keep their places.
-func (f *Fleet) sortByRank(jobList []*jobs.Job, keys map[jobs.Index]rankKey) {
+func (f *Fleet) sortByRank(jobList []*jobs.Job, keys map[jobs.Index]urgency) {
 	sort.SliceStable(jobList, func(a, b int) bool {
 		x, y := jobList[a], jobList[b]
 		// What may preempt the other must also rank before it, or the room it made
@@ -108,9 +108,9 @@
 			return x.Priority > y.Priority
 		}
 		kx, ky := keys[x.Index], keys[y.Index]
-		if kx.ok != ky.ok {
-			return kx.ok
+		if kx.attainable != ky.attainable {
+			return kx.attainable
 		}
-		return kx.due < ky.due
+		return kx.latestStart < ky.latestStart
 	})
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -224,14 +224,14 @@
 	if job.Spec.EstimateS <= 0 || ran < 2 || !clean || job.Spec.CheckpointS > 0 && job.GangAttempt != 0 && ran < job.Spec.EstimateS/4 {
 		return
 	}
-	s := f.stats(job.Class)
+	s := f.classStatsOf(job.Class)
 	r := math.Min(8, math.Max(0.1, ran/job.Spec.EstimateS))
 	// One job's tasks share its owner's error: a job counts once, not once a task.
 	w := 1 / math.Sqrt(float64(job.TaskCount))
-	rate := math.Max(w/(s.n+w), w*0.1)
+	rate := math.Max(w/(s.samples+w), w*0.1)
 	machine.slowdown += 0.2 * (math.Min(6, math.Max(0.5, r/s.ratio)) - machine.slowdown)
 	s.ratio = math.Exp((1-rate)*math.Log(s.ratio) + rate*math.Log(r))
-	s.n += w
+	s.samples += w
 }
 
 // handleMissing handles a task that should be on the machine but is not listed by a fenced
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -242,7 +242,7 @@
 			}
 			return len(b.Tasks) - len(a.Tasks)
 		})
-		if got := f.packed(); !slices.Equal(got, want) {
+		if got := f.packingOrder(); !slices.Equal(got, want) {
 			t.Fatalf("%d machines in another order than sorted", len(got))
 		}
 	}
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -19,7 +19,7 @@
 // A job that ranks before all such work, or is overdue to begin, nil for none, leaves nothing: it would stop that work for room which was then kept
 // for the same work, again and again.
 func (f *Fleet) keptFree(machine *Machine, job *jobs.Job, idle float64) planner.Size {
-	if machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.ranking.startDeadlineDue[job.Index] || f.isStartDeadlineDue(job) || f.hasWaitedLong(job)) {
+	if machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}) || job != nil && (job.Spec.GPUs > 0 || f.ranking.startDeadlineDue[job.Index] || f.isStartDeadlineDue(job) || f.isStarving(job)) {
 		return planner.Size{}
 	}
 	// What such work may stop anyway need only be kept from as much as waits and may come.
@@ -44,9 +44,9 @@
 		return 0
 	}
 	if job.Spec.Kind == jobs.Array {
-		return yieldArray * f.estimate(job)
+		return spotWaitFractionArray * f.estimate(job)
 	}
-	return yieldGang * f.estimate(job)
+	return spotWaitFractionGang * f.estimate(job)
 }
 
 // fits tells whether one more task of a job has room on a machine now.
@@ -115,7 +115,7 @@
 	task.LaunchedAt, task.RunningSince, task.Attempt = now, 0, attempt
 	if !job.Started {
 		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name, "waited_s", int((now - job.SubmittedAt).Seconds()),
-			"fetch_s", int(f.fetchS(job, machine)), "term", f.Term)
+			"fetch_s", int(f.fetchSeconds(job, machine)), "term", f.Term)
 	}
 	job.Started = true
 	f.setOnMachine(now, job, taskIndex, jobs.Launched)
@@ -192,14 +192,14 @@
 		job.GangStartedAt, job.FetchS = now, 0
 		for t := range job.Tasks {
 			if task := &job.Tasks[t]; task.State == jobs.Planned {
-				job.FetchS = max(job.FetchS, f.fetchS(job, f.machines[task.Machine]))
+				job.FetchS = max(job.FetchS, f.fetchSeconds(job, f.machines[task.Machine]))
 			}
 		}
 	}
 	// A task that has its image waits gang_wait_s for the others and then gives up, which
 	// costs the whole gang its start: where the image is at hand the launch is put off for
 	// as long as the others fetch it, less a good part of what the task may wait.
-	lead := job.FetchS - f.fetchS(job, machine) - f.Settings.Params.Workers.GangWaitS/4
+	lead := job.FetchS - f.fetchSeconds(job, machine) - f.Settings.Params.Workers.GangWaitS/4
 	if now < job.GangStartedAt+config.Seconds(lead) {
 		return nil
 	}
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -18,22 +18,22 @@
 // gathered as tasks end, and that takes the rest.
 const startDeadlineFraction = 0.5
 
-// overdue tells whether nothing of a job has ever started though it has waited for long. Its age counts from its
+// startOverdue tells whether nothing of a job has ever started though it has waited for long. Its age counts from its
 // submission, which is durable, so that it survives a change of the lead.
-func (f *Fleet) overdue(now time.Duration, job *jobs.Job) bool {
+func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
 	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.BeginS)
 	return limit > 0 && !job.Started && job.FinishedTasks == 0 && job.TasksOnMachines() == 0 && now-job.SubmittedAt > limit && f.crashLooping(job) == nil && !job.Idle()
 }
 
-// markStartDeadlines moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
+// promoteOverdueJobs moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
 // everybody; gangs, which take more, before all others that lie within their team's guarantee like them, or don't. Without it
 // a large gang that has missed its aims ranks behind every younger one that still can meet them, for ever under a
 // constant stream, and guests behind everybody as long as anybody waits. It ends with a job's first start, so that
 // it and a job that may preempt it can't take turns.
-func (f *Fleet) markStartDeadlines(now time.Duration) {
+func (f *Fleet) promoteOverdueJobs(now time.Duration) {
 	clear(f.ranking.startDeadlineDue)
 	place := func(job *jobs.Job) int {
-		late := f.overdue(now, job)
+		late := f.startOverdue(now, job)
 		switch {
 		case late && job.Spec.Kind != jobs.Gang:
 			f.ranking.startDeadlineDue[job.Index] = true
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -14,15 +14,15 @@
 // delayedMachine is a machine on which a job's planned tasks wait, and for how long the last one
 // is expected to wait there.
 type delayedMachine struct {
-	m    *Machine
-	wait float64
+	machine     *Machine
+	waitSeconds float64
 }
 
 type delayHeap []delayedMachine
 
 func (d delayHeap) Len() int { return len(d) }
 
-func (d delayHeap) Less(a, b int) bool { return d[a].wait > d[b].wait }
+func (d delayHeap) Less(a, b int) bool { return d[a].waitSeconds > d[b].waitSeconds }
 
 func (d delayHeap) Swap(a, b int) { d[a], d[b] = d[b], d[a] }
 
@@ -46,31 +46,31 @@
 		if job.Spec.Kind == jobs.Array && job.TasksByState[jobs.Planned] > 0 && f.mayStart(job, 1) {
 			waiting = append(waiting, job)
 			least = least.Min(job.Spec.Size())
-			anyAged = anyAged || f.hasWaitedLong(job)
+			anyAged = anyAged || f.isStarving(job)
 		}
 	}
 	if len(waiting) == 0 {
 		return
 	}
 	var idle []*Machine
-	for _, machine := range f.packed() {
+	for _, machine := range f.packingOrder() {
 		if least.Fits(machine.Free().Sub(machine.queuedNeed)) || anyAged && least.Fits(machine.Free().Sub(machine.queuedWhole)) {
 			idle = append(idle, machine)
 		}
 	}
-	f.PlanningSteps += uint64(len(f.cycle.packed))
+	f.PlanningSteps += uint64(len(f.cycle.packedMachines))
 	for _, job := range waiting {
 		var ds delayHeap
 		size := job.Spec.Size()
 		for _, machine := range idle {
 			f.PlanningSteps++
-			if !size.Fits(f.unneededRoom(machine, job)) || !f.fits(machine, job) || !f.mayUse(machine, job) {
+			if !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) || !f.mayUse(machine, job) {
 				continue
 			}
 			if ds == nil {
-				ds = f.delays(now, job)
+				ds = f.delayedMachines(now, job)
 			}
-			f.stealFor(now, machine, job, &ds)
+			f.stealTasks(now, machine, job, &ds)
 			if len(ds) == 0 {
 				break
 			}
@@ -78,11 +78,11 @@
 	}
 }
 
-// delays lists where a job's planned tasks wait, furthest behind first.
-func (f *Fleet) delays(now time.Duration, job *jobs.Job) delayHeap {
+// delayedMachines lists where a job's planned tasks wait, furthest behind first.
+func (f *Fleet) delayedMachines(now time.Duration, job *jobs.Job) delayHeap {
 	ds := delayHeap{}
 	for _, ix := range f.queueMachines(job) {
-		if w, ok := f.waitSeconds(now, job, f.machines[ix]); ok {
+		if w, ok := f.queueWaitSeconds(now, job, f.machines[ix]); ok {
 			ds = append(ds, delayedMachine{f.machines[ix], w})
 		}
 	}
@@ -91,9 +91,9 @@
 	return ds
 }
 
-// waitSeconds estimates how long the last of a job's planned tasks waits on a machine; ok is
+// queueWaitSeconds estimates how long the last of a job's planned tasks waits on a machine; ok is
 // false if it can't be moved.
-func (f *Fleet) waitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (float64, bool) {
+func (f *Fleet) queueWaitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (float64, bool) {
 	ts := machine.queued(job.Index)
 	if len(ts) == 0 || !job.IsDurable(ts[len(ts)-1]) {
 		return 0, false
@@ -101,34 +101,34 @@
 	est := f.estimate(job)
 	wait := 0.0
 	if !f.fits(machine, job) {
-		if wait = f.freeIn(now, machine, job); wait > 1e5 {
+		if wait = f.secondsUntilRoom(now, machine, job); wait > 1e5 {
 			wait = est
 		}
 	}
 	n := max(1, job.Spec.Size().Copies(machine.Capacity))
-	return wait + est*machine.slowdown*float64((len(ts)-1)/n) + f.fetchS(job, machine), true
+	return wait + est*machine.slowdown*float64((len(ts)-1)/n) + f.fetchSeconds(job, machine), true
 }
 
-// stealFor moves a job's tasks to a machine for as long as it has room and they would start
+// stealTasks moves a job's tasks to a machine for as long as it has room and they would start
 // sooner there, fetch included.
-func (f *Fleet) stealFor(now time.Duration, machine *Machine, job *jobs.Job, ds *delayHeap) {
+func (f *Fleet) stealTasks(now time.Duration, machine *Machine, job *jobs.Job, ds *delayHeap) {
 	size := job.Spec.Size()
-	sooner := f.fetchS(job, machine) + 0.5 + f.spotWaitLimit(machine, job)
-	if f.hasWaitedLong(job) {
+	sooner := f.fetchSeconds(job, machine) + 0.5 + f.spotWaitLimit(machine, job)
+	if f.isStarving(job) {
 		sooner = 0 // what was expected of its lane hasn't come true for long
 	}
 	for range 64 {
-		if len(*ds) == 0 || (*ds)[0].wait <= sooner || !size.Fits(f.unneededRoom(machine, job)) || !f.fits(machine, job) {
+		if len(*ds) == 0 || (*ds)[0].waitSeconds <= sooner || !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) {
 			return
 		}
-		v := (*ds)[0].m
+		v := (*ds)[0].machine
 		ts := v.queued(job.Index)
 		taskIndex := ts[len(ts)-1]
 		f.dequeue(job, taskIndex)
 		f.planTask(now, job, taskIndex, machine)
 		f.PlanningSteps += 4
-		if w, ok := f.waitSeconds(now, job, v); ok {
-			(*ds)[0].wait = w
+		if w, ok := f.queueWaitSeconds(now, job, v); ok {
+			(*ds)[0].waitSeconds = w
 			heap.Fix(ds, 0)
 		} else {
 			heap.Pop(ds)
