--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -1,80 +1,28 @@
 package fleet
 
-// Arrays: the planner's work, and the lanes that follow from it.
+// Arrays: their tasks are planned by Balance-Reduce over the slots of all machines that may take them.
 
 import (
-	"cmp"
 	"log/slog"
-	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// expectedEnds says when what is on a machine is expected to end, earliest first.
-func (f *Fleet) expectedEnds(now time.Duration, machine *Machine) []expectedEnd {
-	if machine.endsValid && now-machine.endsComputedAt < expectedEndsValidFor {
-		return machine.expectedEnds
-	}
-	machine.expectedEnds, machine.endsComputedAt, machine.endsValid = machine.expectedEnds[:0], now, true
-	for r := range machine.Tasks {
-		job := f.jobAt(r.Job)
-		left := 1.0
-		if !job.State.Terminal() {
-			left = f.remainingSeconds(now, job, r.Task)
-		}
-		machine.expectedEnds = append(machine.expectedEnds, expectedEnd{r, now + config.Seconds(left), job.Spec.Size()})
-	}
-	f.PlanningSteps += uint64(len(machine.expectedEnds))
-	slices.SortFunc(machine.expectedEnds, func(a, b expectedEnd) int {
-		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
-	})
-	return machine.expectedEnds
-}
+// noMachineRetryDelay is how long an array is not planned again after no machine was found that may take it.
+const noMachineRetryDelay = 500 * time.Millisecond
 
-// appendMachineWork lists what loads a machine: what is on it, then what is planned there and ranks
-// before the job. Work that the job may preempt hardly counts.
-func (f *Fleet) appendMachineWork(ws []planner.Work, now time.Duration, machine *Machine, rank int, over *jobs.Job) []planner.Work {
-	for _, e := range f.expectedEnds(now, machine) {
-		left := max(1, (e.at - now).Seconds())
-		if over != nil && f.mayPreempt(over, f.jobAt(e.Job)) {
-			left = 1
-		}
-		ws = append(ws, planner.Work{Size: e.size, Left: left})
-	}
-	f.PlanningSteps += uint64(len(machine.expectedEnds))
-	if rank < 0 || len(machine.queues) == 0 {
-		return ws
-	}
-	ixs := f.scratch.jobs[:0]
-	for _, queue := range machine.queues {
-		if f.rankOf(f.jobAt(queue.job)) <= rank {
-			ixs = append(ixs, queue.job)
-		}
-	}
-	f.scratch.jobs = ixs
-	f.sortRanked(ixs)
-	f.PlanningSteps += uint64(len(ixs))
-	for _, jobIndex := range ixs {
-		job, n := f.jobAt(jobIndex), len(machine.queued(jobIndex))
-		est := f.estimate(job) * machine.slowdown
-		if n > maxTasksListedSingly {
-			if c := job.Spec.Size().Copies(machine.Capacity); c > 0 {
-				ws = append(ws, planner.Work{Size: machine.Capacity, Left: est * float64(n) / float64(c)})
-			}
-			continue
-		}
-		for range n {
-			ws = append(ws, planner.Work{Size: job.Spec.Size(), Left: est})
-		}
-	}
-	return ws
+// arraySlots are the servers of Balance-Reduce for one array. A slot is room for one of the array's tasks on a machine.
+type arraySlots struct {
+	machines        []int32   // machine index by slot
+	load            []float64 // initial load by slot, in seconds
+	withImage       []int32   // slots on machines that have the array's image
+	machineCount    int
+	maxFetchSeconds float64 // of the image, on the slowest of the machines
 }
 
-// planArray plans an array's unplanned tasks by Balance-Reduce over the lanes of all
-// machines that may take them.
+// planArray plans an array's unplanned tasks.
 func (f *Fleet) planArray(now time.Duration, job *jobs.Job) {
 	if job.TasksByState[jobs.Unplanned] == 0 || now < f.noMachineUntil[job.Index] {
 		return
@@ -87,148 +35,139 @@
 		f.setPendingNote(job, pendingNote{cause: PlanningBehind})
 		return
 	}
-	var tasks []int32
-	slice := min(maxTasksPerPlan, f.grantedTasks(job, job.UnstartedTasks())-job.TasksByState[jobs.Planned])
-	if f.crashLooping(job) != nil {
-		slice = min(slice, 1)
+	tasks := f.arrayTasksToPlan(now, job)
+	if len(tasks) == 0 {
+		return
 	}
-	if f.ranking.startDeadlineDue[job.Index] {
-		slice = min(slice, startDeadlineTasks-job.TasksByState[jobs.Planned])
+	slots := f.findArraySlots(now, job)
+	if len(slots.machines) == 0 {
+		f.noMachineUntil[job.Index] = now + noMachineRetryDelay
+		f.setPendingNote(job, pendingNote{cause: NoMachine})
+		return
+	}
+	delete(f.noMachineUntil, job.Index)
+	f.setPendingNote(job, pendingNote{cause: PlanningBehind}) // for the rest, if this cycle plans only some tasks
+	f.PlanningSteps += uint64(4 * len(slots.machines))
+	allocation := planner.Plan(f.arrayProblem(job, tasks, &slots), f.Rng)
+	planned := 0
+	for i, taskIndex := range tasks {
+		slot := allocation.Server[0][i]
+		if slot < 0 {
+			continue
+		}
+		f.planTask(now, job, taskIndex, f.machines[slots.machines[slot]])
+		planned++
 	}
-	if slice <= 0 {
+	slog.Debug("array planned",
+		"job", job.ID, "tasks", planned, "remote", allocation.NRemote,
+		"slots", len(slots.machines), "machines", slots.machineCount,
+		"makespan_s", int(allocation.Makespan), "term", f.Term)
+}
+
+// arrayTasksToPlan returns the tasks of an array that this cycle plans. If there are none it notes why.
+func (f *Fleet) arrayTasksToPlan(now time.Duration, job *jobs.Job) []int32 {
+	limit := f.arrayPlanLimit(job)
+	if limit <= 0 {
 		f.noteDenied(job, 1)
-		return
+		return nil
 	}
-	retry := time.Duration(1 << 62)
+	var tasks []int32
+	retryAt := time.Duration(1 << 62)
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		if task.State != jobs.Unplanned {
 			continue
 		}
 		if task.NotBefore > now {
-			retry = min(retry, task.NotBefore)
-		} else if tasks = append(tasks, int32(t)); len(tasks) == slice {
+			retryAt = min(retryAt, task.NotBefore)
+			continue
+		}
+		tasks = append(tasks, int32(t))
+		if len(tasks) == limit {
 			break
 		}
 	}
 	if len(tasks) == 0 {
-		f.noteRetry(job, retry)
-		return
+		f.noteRetry(job, retryAt)
 	}
-	p := &planner.Problem{Local: f.estimate(job)}
-	var lane []int32 // machine of each server
-	var prefer, all []int32
+	return tasks
+}
+
+// arrayPlanLimit returns how many more tasks of an array may be planned in this cycle.
+func (f *Fleet) arrayPlanLimit(job *jobs.Job) int {
+	planned := job.TasksByState[jobs.Planned]
+	limit := min(maxTasksPerPlan, f.grantedTasks(job, job.UnstartedTasks())-planned)
+	if f.crashLooping(job) != nil {
+		limit = min(limit, 1)
+	}
+	if f.ranking.startDeadlineDue[job.Index] {
+		limit = min(limit, startDeadlineTasks-planned)
+	}
+	return limit
+}
+
+// findArraySlots finds the slots of all machines that may take an array's tasks, with the load that tasks of the same
+// or an earlier rank put on them.
+func (f *Fleet) findArraySlots(now time.Duration, job *jobs.Job) arraySlots {
+	var slots arraySlots
 	size := job.Spec.Size()
-	hosts := 0
-	fetch := 0.0
 	zone := f.chooseZone(job)
 	rank := f.rankOf(job)
 	for _, machine := range f.packingOrder() {
-		if machine.Condition != Ready || machine.Returning || !f.mayUse(machine, job) || (zone != jobs.None && machine.Zone != zone) {
+		if !f.mayUse(machine, job) || (zone != jobs.None && machine.Zone != zone) {
 			continue
 		}
 		f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, rank, job)
-		p.Initial = planner.Lanes(p.Initial, machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs)), size, f.scratch.work)
-		if len(p.Initial) == len(lane) {
+		usable := machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs))
+		slots.load = planner.Lanes(slots.load, usable, size, f.scratch.work)
+		first := len(slots.machines)
+		if len(slots.load) == first {
 			continue
 		}
-		if later := f.spotWaitLimit(machine, job); later > 0 {
-			for i := len(lane); i < len(p.Initial); i++ {
-				p.Initial[i] += later
+		slots.machineCount++
+		spotWait := f.spotWaitLimit(machine, job)
+		hasImage := machine.HasImage(job.Image)
+		for slot := first; slot < len(slots.load); slot++ {
+			slots.load[slot] += spotWait
+			slots.machines = append(slots.machines, machine.Index)
+			if hasImage {
+				slots.withImage = append(slots.withImage, int32(slot))
 			}
 		}
-		hosts++
-		has := machine.HasImage(job.Image)
-		if ty := f.machineType(machine); ty != nil && ty.FetchGB > 0 {
-			fetch = max(fetch, job.Spec.ImageGB/ty.FetchGB)
+		if machineType := f.machineType(machine); machineType != nil && machineType.FetchGB > 0 {
+			slots.maxFetchSeconds = max(slots.maxFetchSeconds, job.Spec.ImageGB/machineType.FetchGB)
 		}
-		for len(lane) < len(p.Initial) {
-			s := int32(len(lane))
-			lane = append(lane, machine.Index)
-			all = append(all, s)
-			if has {
-				prefer = append(prefer, s)
-			}
-		}
-	}
-	if len(lane) == 0 {
-		f.noMachineUntil[job.Index] = now + 500*time.Millisecond
-		f.setPendingNote(job, pendingNote{cause: NoMachine})
-		return
 	}
-	delete(f.noMachineUntil, job.Index)
-	f.setPendingNote(job, pendingNote{cause: PlanningBehind}) // the rest, if a pass takes only a part
-	f.PlanningSteps += uint64(4 * len(lane))
-	// A loop looks at every lane, so many lanes allow fewer loops.
-	p.MaxLoop = min(maxReduceLoops, max(16, maxSlotVisits/len(lane)))
-	if len(prefer) == 0 {
-		prefer = all
-	}
-	p.Groups = []planner.Group{{Tasks: tasks, Prefer: prefer}}
-	// A machine fetches an image once for all its tasks, so the pool's tasks share the
-	// fetches: with one lane's worth of remote tasks the cost is one whole fetch.
-	q := f.Settings.Operator.NetworkFactor * fetch / float64(len(lane))
-	p.Remote = func(r int) float64 { return p.Local + q*float64(r) }
-	a := planner.Plan(p, f.Rng)
-	n := 0
-	for i, taskIndex := range tasks {
-		s := a.Server[0][i]
-		if s < 0 {
-			continue
-		}
-		machine := f.machines[lane[s]]
-		f.planTask(now, job, taskIndex, machine)
-		n++
-	}
-	slog.Debug("array planned", "job", job.ID, "tasks", n, "remote", a.NRemote, "lanes", len(lane), "machines", hosts,
-		"makespan_s", int(a.Makespan), "term", f.Term)
+	return slots
 }
 
-// packingOrder orders the machines for planning: between equally loaded lanes the planner takes
-// the first, so spot machines, which fewer jobs can use, and machines in use come first and
-// others stay free to be returned. The order is kept for the pass. It is made by counting: sorting
-// the fleet in each pass was a twentieth of a leader's processor time.
-func (f *Fleet) packingOrder() []*Machine {
-	if f.cycle.packedMachines != nil {
-		return f.cycle.packedMachines
-	}
-	most, n := 0, 0
-	for _, machine := range f.machines {
-		most = max(most, len(machine.Tasks))
-	}
-	// A machine's class is its place among the kinds of machine, first to last.
-	class := func(machine *Machine) int {
-		c := most - len(machine.Tasks)
-		if !machine.Spot {
-			c += most + 1
-		}
-		return c
-	}
-	at := make([]int, 2*(most+1)+1)
-	for _, machine := range f.machines {
-		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined {
-			at[class(machine)+1]++
-			n++
-		}
-	}
-	for c := 1; c < len(at); c++ {
-		at[c] += at[c-1]
-	}
-	ms := make([]*Machine, n)
-	for _, machine := range f.machines {
-		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined {
-			c := class(machine)
-			ms[at[c]] = machine
-			at[c]++
-		}
+// arrayProblem states the planning of an array's tasks over its slots as a problem of Balance-Reduce.
+func (f *Fleet) arrayProblem(job *jobs.Job, tasks []int32, slots *arraySlots) *planner.Problem {
+	slotCount := len(slots.machines)
+	preferred := slots.withImage
+	if len(preferred) == 0 {
+		preferred = make([]int32, slotCount)
+		for slot := range preferred {
+			preferred[slot] = int32(slot)
+		}
+	}
+	local := f.estimate(job)
+	// A machine fetches an image once for all its tasks, so the remote tasks share the fetches: if there are as many as
+	// slots, the cost of each is one whole fetch.
+	costPerRemoteTask := f.Settings.Operator.NetworkFactor * slots.maxFetchSeconds / float64(slotCount)
+	return &planner.Problem{
+		Initial: slots.load,
+		Groups:  []planner.Group{{Tasks: tasks, Prefer: preferred}},
+		Local:   local,
+		Remote:  func(remoteTasks int) float64 { return local + costPerRemoteTask*float64(remoteTasks) },
+		// A loop visits every slot, so many slots allow fewer loops.
+		MaxLoop: min(maxReduceLoops, max(minReduceLoops, maxSlotVisits/slotCount)),
 	}
-	f.PlanningSteps += uint64(2 * len(ms))
-	f.cycle.packedMachines = ms
-	return ms
 }
 
-// chooseZone chooses the zone of a job that must stay in one: where its tasks are, else
-// where most lanes are free.
+// chooseZone returns the zone for a job that must stay in one: that of its tasks that are planned or on machines, or
+// else the one with the most room, where free room weighs more than room in use. It returns jobs.None for other jobs,
+// and if no machine may take the job.
 func (f *Fleet) chooseZone(job *jobs.Job) int32 {
 	if !job.Spec.OneZone {
 		return jobs.None
@@ -238,20 +177,24 @@
 			return f.machines[task.Machine].Zone
 		}
 	}
-	best, zone := -1, jobs.None
-	sum := map[int32]int{}
+	bestScore := -1
+	bestZone := jobs.None
+	scores := map[int32]int{}
 	for _, machine := range f.machines {
-		if machine.Condition == Ready && !machine.Quarantined && f.mayUse(machine, job) {
-			sum[machine.Zone] += 1 + 4*job.Spec.Size().Copies(machine.Free())
-			if sum[machine.Zone] > best {
-				best, zone = sum[machine.Zone], machine.Zone
-			}
+		if machine.Condition != Ready || machine.Quarantined || !f.mayUse(machine, job) {
+			continue
+		}
+		zone := machine.Zone
+		scores[zone] += 1 + 4*job.Spec.Size().Copies(machine.Free())
+		if scores[zone] > bestScore {
+			bestScore = scores[zone]
+			bestZone = zone
 		}
 	}
-	return zone
+	return bestZone
 }
 
-// planTask names a task's machine; the start waits until that is durable.
+// planTask assigns a task to a machine and queues it there. It starts once that plan is durable.
 func (f *Fleet) planTask(now time.Duration, job *jobs.Job, taskIndex int32, machine *Machine) {
 	f.checkTransition(job.SetTaskState(taskIndex, jobs.Planned))
 	job.Tasks[taskIndex].Machine = machine.Index
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Passes of planning, and what is due at a time.
+// The scheduling cycle, and what is due at a time.
 
 import (
 	"math"
@@ -10,124 +10,57 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Bounds on the work of one pass, so that no job however large stalls the loop.
+// Bounds on the work of one scheduling cycle, so that no job however large stalls the event loop.
 const (
-	maxTasksPerPlan       = 1024    // tasks planned at once
-	maxSlotVisits         = 400_000 // lanes looked at by the loops of reduce, together
-	maxReduceLoops        = 256     // loops of reduce at once
-	maxTasksListedSingly  = 64      // planned tasks read one by one into lane loads
-	maxArraySteps         = 40_000  // steps for planning arrays before the rest waits for the next pass
-	maxPreemptionSearches = 8       // preemptions for gangs
+	maxTasksPerPlan       = 1024    // tasks of a job planned at once
+	maxSlotVisits         = 400_000 // slots visited by all loops of Reduce together
+	maxReduceLoops        = 256     // loops of Reduce for one plan
+	minReduceLoops        = 16      // loops of Reduce for one plan, however many slots there are
+	maxTasksListedSingly  = 64      // queued tasks of a job that load a machine one by one, not as a whole
+	maxArraySteps         = 40_000  // planning steps after which further arrays wait for the next cycle
+	maxPreemptionSearches = 8       // preemption searches for gangs
 )
 
-// expectedEndsValidFor is how long expected ends are used before they are estimated anew.
-const expectedEndsValidFor = time.Second
-
-// schedulingCycle is what one pass of planning remembers.
-type schedulingCycle struct {
-	candidatesByShape  map[jobShape]*candidateList
-	futilePreemptions  map[preemptionShape]bool // preemption was tried for the like and nothing was found
-	preemptionSearches int                      // preemptions that were tried
-	lowestPriority     int                      // the lowest priority of any live job
-	packedMachines     []*Machine               // see Fleet.packed
-	stepsAtStart       uint64                   // Steps at the start
-}
+const (
+	// expectedEndsValidFor is how long the expected ends on a machine are used before they are estimated anew.
+	expectedEndsValidFor = time.Second
+	// rankingValidFor is how long a priority order is used before jobs are ranked anew.
+	rankingValidFor = 500 * time.Millisecond
+	// pausePerStep is the pause after a cycle for each of its planning steps, on a full core: about three times the
+	// cost of a step.
+	pausePerStep = 300 * time.Nanosecond
+	// lowestReservationRank is the rank of no reservation: every job ranks before it.
+	lowestReservationRank = 1 << 30
+)
 
-// What part of its run time a task may wait for a spot machine: one of an array is moved
-// again if an ordinary machine stays free, a gang is not.
+// The fraction of its run time for which a task may wait for a spot machine: a task of an array is moved again if an
+// on-demand machine stays free, a gang is not.
 const (
 	spotWaitFractionArray = 0.5
 	spotWaitFractionGang  = 0.1
 )
 
-// computeGPUReserve finds what waiting work takes of a machine for each accelerator.
-func (f *Fleet) computeGPUReserve() {
-	f.gpuReserve.perGPU, f.gpuReserve.withinGuarantee, f.gpuReserve.priority = planner.Size{}, false, math.MinInt
-	var wait waitingGPUs
-	clear(f.gpuReserve.onDemandTypes)
-	for _, job := range f.ranking.jobs {
-		if job.Idle() {
-			continue
-		}
-		if !job.Spec.Spot {
-			for ix := range f.gpuReserve.seenTypes {
-				if machineType := f.Types(ix); machineType != nil && job.Allows(ix, job.Zone, false) && job.Spec.Size().Fits(machineType.Size) {
-					f.gpuReserve.onDemandTypes[ix] = true
-				}
-			}
-		}
-		// What its team's limit keeps waiting needs no room, nor what fails wherever it runs.
-		if size := job.Spec.Size(); size.GPUs > 0 && job.UnstartedTasks() > 0 && f.crashLooping(job) == nil && f.mayStart(job, 1) {
-			if n := size.GPUs * float64(job.UnstartedTasks()); job.Spec.Spot {
-				wait.any += n
-			} else {
-				wait.onDemand += n
-			}
-			f.gpuReserve.perGPU.CPUs = max(f.gpuReserve.perGPU.CPUs, size.CPUs/size.GPUs)
-			f.gpuReserve.perGPU.Mem = max(f.gpuReserve.perGPU.Mem, size.Mem/size.GPUs)
-			switch w := f.ranking.withinGuarantee[job.Index]; {
-			case w && !f.gpuReserve.withinGuarantee:
-				f.gpuReserve.withinGuarantee, f.gpuReserve.priority = true, job.Priority
-			case w == f.gpuReserve.withinGuarantee:
-				f.gpuReserve.priority = max(f.gpuReserve.priority, job.Priority)
-			}
-		}
-	}
-	if f.gpuReserve.perGPU != (planner.Size{}) {
-		f.reserveCPUsForGPUWork(wait)
-	}
-}
-
-// reservedGPUFraction is the part of all accelerators beside which cores are left for work that is still to come.
-const reservedGPUFraction = 0.25
-
-// waitingGPUs are the accelerators that waiting work needs, by where it may run.
-type waitingGPUs struct{ any, onDemand float64 }
-
-// reserveCPUsForGPUWork marks the machines on which cores are left beside accelerators: as many idle accelerators as twice what waits for
-// them, and a quarter of all for what comes next, on the machines that such work may use. They were once left on every
-// machine as long as a single task waited: three thousand tasks without accelerators stood beside three hundred idle machines.
-func (f *Fleet) reserveCPUsForGPUWork(w waitingGPUs) {
-	all, left := map[bool]float64{}, map[bool]float64{}
-	for _, machine := range f.machines {
-		if machine.Condition == Ready && !machine.Returning {
-			all[machine.Spot] += machine.Capacity.GPUs
-		}
-	}
-	left[true] = 2*w.any + reservedGPUFraction*all[true]
-	left[false] = 2*(w.any+w.onDemand) + reservedGPUFraction*all[false]
-	for _, machine := range f.machines {
-		machine.keepsCPUsForGPUWork = left[machine.Spot] > 0
-		if machine.Condition == Ready && !machine.Returning {
-			left[machine.Spot] -= machine.Capacity.GPUs - machine.Used.GPUs
-		}
-	}
-	f.PlanningSteps += uint64(2 * len(f.machines))
+// schedulingCycle is the state of one scheduling cycle.
+type schedulingCycle struct {
+	candidatesByShape  map[jobShape]*candidateList
+	futilePreemptions  map[preemptionShape]bool // shapes for which a search found no set of victims
+	preemptionSearches int
+	lowestPriority     int        // of all live jobs
+	packedMachines     []*Machine // see Fleet.packingOrder
+	stepsAtStart       uint64     // Fleet.PlanningSteps when the cycle began
 }
 
-// schedule plans what is unplanned, in rank order, and lets free lanes steal.
+// schedule runs one scheduling cycle: it plans unplanned tasks in priority order, then lets machines with free slots
+// steal queued tasks.
 func (f *Fleet) schedule(now time.Duration) {
-	f.cycle = schedulingCycle{candidatesByShape: map[jobShape]*candidateList{}, futilePreemptions: map[preemptionShape]bool{}, stepsAtStart: f.PlanningSteps, lowestPriority: math.MaxInt}
-	if now-f.ranking.at > 500*time.Millisecond || f.ranking.at == 0 {
-		f.RankJobs(now)
-	}
-	for _, machine := range f.machines {
-		machine.reserved, machine.reservedRank, machine.reservedFirmly = planner.Size{}, 1<<30, false
-	}
-	for _, job := range f.ranking.jobs {
-		f.cycle.lowestPriority = min(f.cycle.lowestPriority, job.Priority)
-	}
-	f.grantLicences(now)
-	f.computeGPUReserve()
-	f.updateRoomSince(now)
-	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranking.jobs))
+	f.beginCycle(now)
 	for _, job := range f.ranking.jobs {
 		if job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
 		switch job.Spec.Kind {
 		case jobs.Gang:
-			f.replanGang(now, job)
+			f.replanGang(job)
 			f.placeGang(now, job)
 		case jobs.Service:
 			f.placeService(now, job)
@@ -139,74 +72,59 @@
 	f.steal(now)
 }
 
-// replanGang replans gangs that cannot start as planned: a planned gang whose machine was
-// lost or filled up, and a running gang that lost a task.
-func (f *Fleet) replanGang(now time.Duration, job *jobs.Job) {
-	unplanned, planned, on := job.TasksByState[jobs.Unplanned], job.TasksByState[jobs.Planned], job.TasksOnMachines()
-	if planned > 0 && on == 0 {
-		for t := range job.Tasks {
-			task := &job.Tasks[t]
-			if task.State != jobs.Planned {
-				continue
-			}
-			machine := f.machines[task.Machine]
-			// Placed gangs are started at the next chance; one that no longer fits
-			// (its room went to a task that a report brought up) is placed anew.
-			if machine.Condition != Ready || machine.Returning || (job.IsDurable(int32(t)) && !f.fits(machine, job)) || unplanned > 0 {
-				for o := range job.Tasks {
-					if job.Tasks[o].State == jobs.Planned {
-						f.dequeue(job, int32(o))
-						f.checkTransition(job.SetTaskState(int32(o), jobs.Unplanned))
-					}
-				}
-				return
-			}
-		}
+// beginCycle resets the state of the cycle, and brings the priority order, the reservations and the licence grants up
+// to date.
+func (f *Fleet) beginCycle(now time.Duration) {
+	f.cycle = schedulingCycle{
+		candidatesByShape: map[jobShape]*candidateList{},
+		futilePreemptions: map[preemptionShape]bool{},
+		stepsAtStart:      f.PlanningSteps,
+		lowestPriority:    math.MaxInt,
 	}
-	if on > 0 && unplanned > 0 && job.TaskCount > 1 {
-		// The rest must go before the gang can start anew.
-		for t := range job.Tasks {
-			task := &job.Tasks[t]
-			if task.State.Occupies() {
-				f.stopTask(job, int32(t))
-			} else if task.State == jobs.Planned {
-				f.dequeue(job, int32(t))
-				f.checkTransition(job.SetTaskState(int32(t), jobs.Unplanned))
-			}
-		}
+	if now-f.ranking.at > rankingValidFor || f.ranking.at == 0 {
+		f.RankJobs(now)
+	}
+	for _, machine := range f.machines {
+		machine.reserved = planner.Size{}
+		machine.reservedRank = lowestReservationRank
+		machine.reservedFirmly = false
+	}
+	for _, job := range f.ranking.jobs {
+		f.cycle.lowestPriority = min(f.cycle.lowestPriority, job.Priority)
 	}
+	f.grantLicences(now)
+	f.computeGPUReserve()
+	f.updateRoomSince(now)
+	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranking.jobs))
 }
 
-// Tick does what is due at a time: ends leases, plans, writes and sends launches.
+// Tick does what is due at time now: it expires leases, runs a scheduling cycle, writes plans and, if this process has
+// the authority to act, dispatches commands.
 func (f *Fleet) Tick(now time.Duration, authority bool) {
 	if !f.plansLoaded {
 		return
 	}
 	if f.writer.retry != nil && now >= f.writer.retryAt {
-		again := f.writer.retry
+		retry := f.writer.retry
 		f.writer.retry = nil
-		again(now)
+		retry(now)
 	}
 	f.expire(now)
 	if !f.Gate.Licences.None() {
 		f.Gate.Licences.Tick(now, time.UnixMilli(f.Jobs.WallMS(now)))
 	}
-	planned := now >= f.nextCycle
-	if planned {
-		before := f.PlanningSteps
+	scheduled := now >= f.nextCycle
+	if scheduled {
+		stepsBefore := f.PlanningSteps
 		f.schedule(now)
-		// Planning leaves most of the processor to reports and renewals: the next pass
-		// comes the later the more this one had to look at.
+		// Planning leaves most of the processor to heartbeats and lease renewals: the pause before the next cycle
+		// grows with the work of this one.
 		cores := f.Settings.Params.Limits.Processor()
-		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-before)*float64(pausePerStep)/cores)
+		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-stepsBefore)*float64(pausePerStep)/cores)
 	}
 	f.FlushWrites(now)
-	if authority && (planned || f.writer.planBecameDurable) {
+	if authority && (scheduled || f.writer.planBecameDurable) {
 		f.writer.planBecameDurable = false
 		f.dispatch(now)
 	}
 }
-
-// pausePerStep is the pause for each step of planning on a full core: about three times what
-// a step costs.
-const pausePerStep = 300 * time.Nanosecond
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -1,5 +1,7 @@
 package fleet
 
+// Waiting work and the use of the fleet, as others need them: for scaling and for displays.
+
 import (
 	"fmt"
 	"log/slog"
@@ -11,134 +13,172 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Need is work that waits.
+// Need is work that waits for machines.
 type Need struct {
 	Job     *jobs.Job
 	Tasks   int
-	Seconds float64 // expected for each
-	Whole   bool    // should start now rather than after something else
+	Seconds float64 // expected run time of each task
+	Whole   bool    // all tasks should start now rather than one after the other
 }
 
-// Demand lists the waiting work in rank order, as far as team limits let it run.
+// Demand lists the waiting work in priority order, as far as team limits and licences let it run.
 func (f *Fleet) Demand(now time.Duration) []Need {
-	var out []Need
-	room := map[int32]planner.Size{}
+	var needs []Need
+	teamRoom := map[int32]planner.Size{}
 	for _, job := range f.ranking.jobs {
 		if job.Tasks == nil || job.Spec == nil || job.State.Terminal() || job.Idle() {
 			continue
 		}
-		n := job.UnstartedTasks()
-		if n == 0 {
+		tasks := f.admissibleTasks(now, job)
+		if tasks == 0 {
 			continue
 		}
-		if f.inBackoff(now, job) {
+		team := f.Gate.Quota.Team(job.Team)
+		if team == nil {
 			continue
 		}
-		if f.crashLooping(job) != nil && job.Spec.Kind != jobs.Gang {
-			n = 1
-		}
-		// What waits for a licence needs no machine yet.
-		if n = f.grantedTasks(job, n); n == 0 {
-			continue
+		left, known := teamRoom[job.Team]
+		if !known {
+			left = team.Limit.Sub(team.Used)
 		}
-		t := f.Gate.Quota.Team(job.Team)
-		if t == nil {
+		size := job.Spec.Size()
+		tasks = min(tasks, max(0, size.Copies(left)))
+		if tasks == 0 {
 			continue
 		}
-		left, ok := room[job.Team]
-		if !ok {
-			left = t.Limit.Sub(t.Used)
-		}
-		n = min(n, max(0, job.Spec.Size().Copies(left)))
-		if n == 0 {
-			continue
+		teamRoom[job.Team] = left.Sub(planner.Size{CPUs: size.CPUs * float64(tasks), GPUs: size.GPUs * float64(tasks)})
+		needs = append(needs, Need{
+			Job:     job,
+			Tasks:   tasks,
+			Seconds: f.estimate(job),
+			Whole:   job.Spec.Kind != jobs.Array,
+		})
+	}
+	return needs
+}
+
+// admissibleTasks returns how many of a job's unstarted tasks could use a machine now, whatever its team's limit: none in
+// a crash loop's back-off, and none that wait for a licence.
+func (f *Fleet) admissibleTasks(now time.Duration, job *jobs.Job) int {
+	unstarted := job.UnstartedTasks()
+	if unstarted == 0 || f.inBackoff(now, job) {
+		return 0
+	}
+	if f.crashLooping(job) != nil && job.Spec.Kind != jobs.Gang {
+		unstarted = 1
+	}
+	return f.grantedTasks(job, unstarted)
+}
+
+// WaitingShapes returns one live job of each class, in priority order.
+func (f *Fleet) WaitingShapes() []*jobs.Job {
+	var representatives []*jobs.Job
+	seen := map[int32]bool{}
+	for _, job := range f.ranking.jobs {
+		if job.Spec != nil && !seen[job.Class] {
+			seen[job.Class] = true
+			representatives = append(representatives, job)
 		}
-		size := job.Spec.Size()
-		room[job.Team] = left.Sub(planner.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
-		out = append(out, Need{job, n, f.estimate(job), job.Spec.Kind != jobs.Array})
 	}
-	return out
+	return representatives
 }
 
-// ExpectedWork lists what is on a machine with its remaining time, until the next call.
-func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
-	f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, -1, nil)
-	return f.scratch.work
+// ImageGB returns the mean size in GB of the images that live jobs need, 0 if there are none.
+func (f *Fleet) ImageGB() float64 {
+	sum := 0.0
+	count := 0
+	for _, job := range f.ranking.jobs {
+		if job.Spec != nil {
+			sum += job.Spec.ImageGB
+			count++
+		}
+	}
+	if count == 0 {
+		return 0
+	}
+	return sum / float64(count)
 }
 
-// TaskCounts is what is displayed of a job.
+// Quiescent reports whether there is no live job. It is false until the durable plans are loaded.
+func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranking.jobs) == 0 }
+
+// TaskCounts returns how many of a job's tasks are done and how many are running.
 func (f *Fleet) TaskCounts(job *jobs.Job) (done, running int) {
 	return job.FinishedTasks, job.RunningTasks
 }
 
-// Summary logs how full the fleet is, for operators who follow an incident.
+// machineUse sums up the machines of the fleet that exist.
+type machineUse struct {
+	ready    int
+	notReady int
+	spot     int // of both
+	idle     int // of both
+	capacity planner.Size
+	used     planner.Size
+}
+
+// Summary logs how full the fleet is, and the rates of heartbeats and direct requests since the last summary.
 func (f *Fleet) Summary(now time.Duration) {
-	var acting, idle, spot, other, waiting int
-	var size, use planner.Size
+	machines := f.sumMachineUse()
+	waiting, waitingByClass := f.countWaitingTasks()
+	seconds := max(1, (now - max(f.activity.summarizedAt, f.termStartedAt)).Seconds())
+	heartbeatRate := float64(f.activity.heartbeats) / seconds
+	directRequestRate := float64(f.activity.directRequests) / seconds
+	f.activity = activity{summarizedAt: now}
+	slog.Info("fleet",
+		"term", f.Term,
+		"heartbeats_per_s", int(heartbeatRate),
+		"direct_requests_per_s", int(directRequestRate),
+		"ready", machines.ready,
+		"not_ready", machines.notReady,
+		"spot", machines.spot,
+		"idle", machines.idle,
+		"cpus", int(machines.capacity.CPUs),
+		"cpus_used", int(machines.used.CPUs),
+		"gpus", int(machines.capacity.GPUs),
+		"gpus_used", int(machines.used.GPUs),
+		"jobs", len(f.ranking.jobs),
+		"waiting", waiting,
+		"by_class", waitingByClass)
+}
+
+func (f *Fleet) sumMachineUse() machineUse {
+	var use machineUse
 	for _, machine := range f.machines {
 		switch machine.Condition {
 		case Terminated, LeaseExpired:
 			continue
 		case Ready:
-			acting++
+			use.ready++
 		default:
-			other++
+			use.notReady++
 		}
 		if machine.Spot {
-			spot++
+			use.spot++
 		}
 		if len(machine.Tasks) == 0 {
-			idle++
-		}
-		size, use = size.Add(machine.Capacity), use.Add(machine.Used)
-	}
-	byClass := map[int32]int{}
-	for _, job := range f.ranking.jobs {
-		waiting += job.UnstartedTasks()
-		byClass[job.Class] += job.UnstartedTasks()
-	}
-	var classes []string
-	for c, n := range byClass {
-		if n > 0 {
-			classes = append(classes, fmt.Sprintf("%s:%d", f.Jobs.Names.Classes.Name(c), n))
+			use.idle++
 		}
+		use.capacity = use.capacity.Add(machine.Capacity)
+		use.used = use.used.Add(machine.Used)
 	}
-	sort.Strings(classes)
-	took := max(1, (now - max(f.activity.summarizedAt, f.termStartedAt)).Seconds())
-	reports, orders := float64(f.activity.heartbeats)/took, float64(f.activity.directRequests)/took
-	f.activity.heartbeats, f.activity.directRequests, f.activity.summarizedAt = 0, 0, now
-	slog.Info("fleet", "term", f.Term, "reports_s", int(reports), "orders_s", int(orders), "acting", acting, "other", other, "spot", spot, "idle", idle, "cpus", int(size.CPUs),
-		"cpus_used", int(use.CPUs), "gpus", int(size.GPUs), "gpus_used", int(use.GPUs), "jobs", len(f.ranking.jobs), "waiting", waiting,
-		"by_class", strings.Join(classes, " "))
+	return use
 }
 
-// ImageGB is the mean size of the images that live jobs need.
-func (f *Fleet) ImageGB() float64 {
-	sum, n := 0.0, 0
+// countWaitingTasks returns how many tasks wait, in total and written out by class.
+func (f *Fleet) countWaitingTasks() (total int, byClass string) {
+	counts := map[int32]int{}
 	for _, job := range f.ranking.jobs {
-		if job.Spec != nil {
-			sum += job.Spec.ImageGB
-			n++
-		}
-	}
-	if n == 0 {
-		return 0
+		unstarted := job.UnstartedTasks()
+		total += unstarted
+		counts[job.Class] += unstarted
 	}
-	return sum / float64(n)
-}
-
-// Quiescent tells that there is no job at all.
-func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranking.jobs) == 0 }
-
-// WaitingShapes gives one live job of each class, in rank order.
-func (f *Fleet) WaitingShapes() []*jobs.Job {
-	var out []*jobs.Job
-	seen := map[int32]bool{}
-	for _, job := range f.ranking.jobs {
-		if job.Spec != nil && !seen[job.Class] {
-			seen[job.Class] = true
-			out = append(out, job)
+	var classes []string
+	for class, count := range counts {
+		if count > 0 {
+			classes = append(classes, fmt.Sprintf("%s:%d", f.Jobs.Names.Classes.Name(class), count))
 		}
 	}
-	return out
+	sort.Strings(classes)
+	return total, strings.Join(classes, " ")
 }
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -1,28 +1,33 @@
 package fleet
 
+// Estimates of run and fetch times.
+
 import (
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// classStats corrects a class's estimates by what was seen.
+// overrunFraction is the part of its run time so far for which a task that exceeded its estimate is expected to go on.
+const overrunFraction = 0.25
+
+// classStats corrects the estimates of a class of jobs by the run times seen.
 type classStats struct {
-	ratio   float64 // run time against estimate
-	samples float64
+	ratio   float64 // of run time to estimate, smoothed
+	samples float64 // weight of the run times that ratio rests on
 }
 
-// classStatsOf finds a class's record.
+// classStatsOf returns the record of a class, which it makes if there is none.
 func (f *Fleet) classStatsOf(class int32) *classStats {
-	s := f.classes[class]
-	if s == nil {
-		s = &classStats{ratio: 1}
-		f.classes[class] = s
+	stats := f.classes[class]
+	if stats == nil {
+		stats = &classStats{ratio: 1}
+		f.classes[class] = stats
 	}
-	return s
+	return stats
 }
 
-// estimate is a task's expected run time in seconds, corrected by its class.
+// estimate returns the expected run time of a job's task in seconds, corrected by its class.
 func (f *Fleet) estimate(job *jobs.Job) float64 {
 	if job.Spec.EstimateS <= 0 {
 		return 1
@@ -30,31 +35,31 @@
 	return job.Spec.EstimateS * f.classStatsOf(job.Class).ratio
 }
 
-// fetchSeconds is how long a machine needs to fetch a job's image, 0 if it has it.
+// fetchSeconds returns how long a machine takes to fetch a job's image: 0 if it has the image, or if its rate is unknown.
 func (f *Fleet) fetchSeconds(job *jobs.Job, machine *Machine) float64 {
-	ty := f.machineType(machine)
-	if ty == nil || ty.FetchGB <= 0 || machine.HasImage(job.Image) {
+	machineType := f.machineType(machine)
+	if machineType == nil || machineType.FetchGB <= 0 || machine.HasImage(job.Image) {
 		return 0
 	}
-	return job.Spec.ImageGB / ty.FetchGB
+	return job.Spec.ImageGB / machineType.FetchGB
 }
 
-// remainingSeconds is the estimated remaining time of a task on its machine, in seconds.
+// remainingSeconds returns the estimated remaining time of a task on its machine, in seconds.
 func (f *Fleet) remainingSeconds(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
 	task := &job.Tasks[taskIndex]
-	machine := f.machines[task.Machine]
 	if task.Stopping {
 		return job.Spec.SaveS + 1
 	}
-	est := f.estimate(job) * machine.slowdown
+	machine := f.machines[task.Machine]
+	expected := f.estimate(job) * machine.slowdown
 	if task.Phase == jobs.Running || task.Phase == jobs.Saving {
-		ran := (now - task.RunningSince).Seconds()
-		// An overdue task is most likely to run on for a part of what it has run.
-		return max(est-ran, 0.25*ran, 1)
+		elapsed := (now - task.RunningSince).Seconds()
+		return max(expected-elapsed, overrunFraction*elapsed, 1)
 	}
-	ty := f.machineType(machine)
-	if ty == nil || ty.FetchGB <= 0 {
-		return est
+	machineType := f.machineType(machine)
+	if machineType == nil || machineType.FetchGB <= 0 {
+		return expected
 	}
-	return est + max(0, job.Spec.ImageGB/ty.FetchGB-(now-task.LaunchedAt).Seconds())
+	sinceLaunch := (now - task.LaunchedAt).Seconds()
+	return expected + max(0, job.Spec.ImageGB/machineType.FetchGB-sinceLaunch)
 }
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -1,333 +1,217 @@
 package fleet
 
-// Gangs and services: placed whole, on machines that have or will have room together.
+// Gangs: placed whole, on machines that have or will have room together.
 
 import (
-	"cmp"
-	"encoding/binary"
-	"math"
-	"slices"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
-	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// estimateSafetyFactor weighs the wait for room against a fetch: when a task ends is an estimate that is
-// often wrong by half, while a fetch takes what it takes, and a gang that waits in vain has
-// lost the time for the fetch as well.
-const estimateSafetyFactor = 2.0
-
-// candidate is when and how a machine could take a gang's task.
-type candidate struct {
-	machine          *Machine
-	secondsUntilRoom float64 // seconds until room
-	fetchSeconds     float64
-	score            float64
-}
-
-// jobShape is what jobs have in common that may use the same machines equally well.
-type jobShape struct {
-	size     planner.Size
-	image    int32
-	zone     int32
-	spot     bool
-	types    string
-	starving bool // no room is kept from them any more
-}
-
-// candidateList lists the machines that may take tasks of a shape, best first, as they were when
-// the pass first looked. Placing only takes room away during a pass, so what did not fit
-// once is passed over for good.
-type candidateList struct {
-	candidates   []candidate
-	firstOpen    int           // before it no prospect has room any more
-	withRoom     []int         // those that had room
-	reservedUpTo map[int32]int // by zone, None for any: how far claims have got
-}
-
-// preemptionShape is what jobs have in common for which the same tasks may be preempted.
-type preemptionShape struct {
-	jobShape
-	team            int32
-	priority        int
-	withinGuarantee bool
-	tasks           int
-	oneZone         bool
-}
-
-func shapeOf(job *jobs.Job) jobShape {
-	types := make([]byte, 0, 4*len(job.Types))
-	for _, taskIndex := range job.Types {
-		types = binary.LittleEndian.AppendUint32(types, uint32(taskIndex))
-	}
-	return jobShape{size: job.Spec.Size(), image: job.Image, zone: job.Zone, spot: job.Spec.Spot, types: string(types)}
-}
-
-// candidatesFor finds or makes the list of machines for a job. Jobs that must keep off some
-// machine, or away from their own tasks, have a list of their own.
-func (f *Fleet) candidatesFor(now time.Duration, job *jobs.Job) *candidateList {
-	common := len(job.AvoidedMachines) == 0 && job.TasksOnMachines() == 0
-	key := shapeOf(job)
-	key.starving = f.isStarving(job)
-	if candidates := f.cycle.candidatesByShape[key]; common && candidates != nil {
-		return candidates
-	}
-	candidates := &candidateList{candidates: f.candidates(now, job), reservedUpTo: map[int32]int{}}
-	for i, candidate := range candidates.candidates {
-		if candidate.secondsUntilRoom == 0 {
-			candidates.withRoom = append(candidates.withRoom, i)
-		}
+// replanGang resets a gang that can't start as planned: one whose machine was lost or filled up before it started, or one
+// that lost a task while it was running.
+func (f *Fleet) replanGang(job *jobs.Job) {
+	onMachines := job.TasksOnMachines()
+	if onMachines == 0 && f.gangPlanIsStale(job) {
+		f.unplanTasks(job)
+		return
 	}
-	if common {
-		f.cycle.candidatesByShape[key] = candidates
+	if onMachines > 0 && job.TasksByState[jobs.Unplanned] > 0 && job.TaskCount > 1 {
+		f.stopRestOfGang(job)
 	}
-	return candidates
 }
 
-// zoneAccepts tells whether a machine's zone gets new work of a job's kind now.
-func (f *Fleet) zoneAccepts(machine *Machine, job *jobs.Job) bool {
-	if f.ZoneAcceptsWork == nil || machine.Zone == jobs.None {
-		return true
+// gangPlanIsStale reports whether a planned gang, none of whose tasks is on a machine, has to be placed anew: some of it is
+// unplanned, or a machine takes no work any more or has no room left because a heartbeat reported a task there.
+func (f *Fleet) gangPlanIsStale(job *jobs.Job) bool {
+	if job.TasksByState[jobs.Planned] == 0 {
+		return false
 	}
-	switch {
-	case job.Spec.Kind == jobs.Service:
-		return f.ZoneAcceptsWork(machine.Zone, zones.Lasting)
-	case job.Spec.Kind == jobs.Gang && job.TaskCount > 1:
-		return f.ZoneAcceptsWork(machine.Zone, zones.Together)
+	if job.TasksByState[jobs.Unplanned] > 0 {
+		return true
 	}
-	return f.ZoneAcceptsWork(machine.Zone, zones.Restartable)
-}
-
-// candidates lists the machines that may take a job, best first: earliest start, then the
-// kind of machine that fewer jobs can use, then the tightest fit.
-func (f *Fleet) candidates(now time.Duration, job *jobs.Job) []candidate {
-	var candidates []candidate
-	size := job.Spec.Size()
-	for _, machine := range f.packingOrder() {
-		if machine.Condition != Ready || machine.Returning || !size.Fits(machine.Capacity) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
+		if task.State != jobs.Planned {
 			continue
 		}
-		p := candidate{machine: machine, fetchSeconds: f.fetchSeconds(job, machine)}
-		if !f.fits(machine, job) {
-			p.secondsUntilRoom = f.secondsUntilRoom(now, machine, job)
+		machine := f.machines[task.Machine]
+		if machine.Condition != Ready || machine.Returning {
+			return true
 		}
-		// Differences below a second are none.
-		p.score = math.Floor(estimateSafetyFactor*p.secondsUntilRoom + p.fetchSeconds + f.spotWaitLimit(machine, job))
-		candidates = append(candidates, p)
-	}
-	f.PlanningSteps += uint64(len(f.machines) + 4*len(candidates))
-	slices.SortFunc(candidates, func(x, y candidate) int {
-		if x.score != y.score {
-			return cmp.Compare(x.score, y.score)
+		// A plan that isn't durable yet is not judged: its write is under way.
+		if job.IsDurable(int32(t)) && !f.fits(machine, job) {
+			return true
 		}
-		if x.machine.Spot != y.machine.Spot {
-			if x.machine.Spot {
-				return -1
-			}
-			return 1
-		}
-		a, b := x.machine.Free(), y.machine.Free()
-		return cmp.Or(cmp.Compare(a.GPUs, b.GPUs), cmp.Compare(a.CPUs, b.CPUs), cmp.Compare(x.machine.Index, y.machine.Index))
-	})
-	return candidates
+	}
+	return false
 }
 
-// secondsUntilRoom estimates when a machine will have room for a task of a job.
-func (f *Fleet) secondsUntilRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
-	free := machine.Free()
-	if f.isReservedFrom(machine, job) {
-		free = free.Sub(machine.reserved)
-	}
-	size := job.Spec.Size()
-	for _, e := range f.expectedEnds(now, machine) {
-		free = free.Add(e.size)
-		if size.Fits(free) {
-			return max(1, (e.at - now).Seconds())
+// unplanTasks takes all planned tasks of a job off their machines' queues.
+func (f *Fleet) unplanTasks(job *jobs.Job) {
+	for t := range job.Tasks {
+		if job.Tasks[t].State == jobs.Planned {
+			f.unplanTask(job, int32(t))
 		}
 	}
-	return 1e6
 }
 
-// availableRoom is what a job may take of a machine now: not what is claimed by those that rank
-// before it, nor what gangs planned there will take.
-func (f *Fleet) availableRoom(machine *Machine, job *jobs.Job) planner.Size {
-	free := machine.Free().Sub(machine.queuedWhole)
-	if f.isReservedFrom(machine, job) {
-		free = free.Sub(machine.reserved)
+func (f *Fleet) unplanTask(job *jobs.Job, taskIndex int32) {
+	f.dequeue(job, taskIndex)
+	f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
+}
+
+// stopRestOfGang stops the tasks of a gang that lost one: all must be gone before the gang can start again.
+func (f *Fleet) stopRestOfGang(job *jobs.Job) {
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
+		if task.State.Occupies() {
+			f.stopTask(job, int32(t))
+		} else if task.State == jobs.Planned {
+			f.unplanTask(job, int32(t))
+		}
 	}
-	return free
 }
 
-// placeGang places an unplanned gang whole, or claims the machines that will have room
-// first so that lower ranks don't keep taking what frees up.
+// placeGang plans an unplanned gang whole. If there is no room for it now, it preempts other work or reserves the machines
+// that will have room first, so that jobs after it in priority order don't take what comes free.
 func (f *Fleet) placeGang(now time.Duration, job *jobs.Job) {
+	if !f.mayPlaceGang(now, job) {
+		return
+	}
+	list := f.candidatesFor(now, job)
+	if len(list.candidates) == 0 {
+		f.setPendingNote(job, pendingNote{cause: NoMachine})
+		return
+	}
+	if f.placeGangNow(now, job, list) {
+		return
+	}
+	zone, start := f.earliestGangStart(job, list)
+	note := pendingNote{cause: GangShort, need: job.TaskCount, have: len(list.withRoom), start: start}
+	f.setPendingNote(job, note)
+	if f.crashLooping(job) != nil {
+		return // no room is made or reserved for a job that fails wherever it runs
+	}
+	if start > f.secondsToWait(now, job) && f.preemptFor(now, job, list.candidates, start) {
+		return
+	}
+	note.overdue = f.startOverdue(now, job)
+	note.held = f.reserveMachines(job, list, zone, note.overdue)
+	f.setPendingNote(job, note)
+}
+
+// mayPlaceGang reports whether a gang is to be placed now. If not, it notes why.
+func (f *Fleet) mayPlaceGang(now time.Duration, job *jobs.Job) bool {
 	if job.TasksByState[jobs.Unplanned] < job.TaskCount {
+		// It is planned, running or finished, or some of its tasks have yet to stop.
 		f.setPendingNote(job, pendingNote{cause: GangStopping})
-		return // still here, finished, or some of it not gone yet
+		return false
 	}
 	if f.inBackoff(now, job) {
 		f.noteCrashLoop(job)
-		return
+		return false
 	}
 	for t := range job.Tasks {
 		if task := &job.Tasks[t]; task.NotBefore > now {
 			f.noteRetry(job, task.NotBefore)
-			return
+			return false
 		}
 	}
 	if !f.mayStart(job, job.TaskCount) {
 		f.noteDenied(job, job.TaskCount)
-		return
-	}
-	candidates := f.candidatesFor(now, job)
-	if len(candidates.candidates) == 0 {
-		f.setPendingNote(job, pendingNote{cause: NoMachine})
-		return
-	}
-	if f.placeGangNow(now, job, candidates) {
-		return
-	}
-	zone, start := f.earliestGangStart(job, candidates)
-	f.setPendingNote(job, pendingNote{cause: GangShort, need: job.TaskCount, have: len(candidates.withRoom), start: start})
-	if f.crashLooping(job) != nil {
-		return // nobody waits or is stopped for what will fail
-	}
-	if start > f.secondsToWait(now, job) && f.preemptFor(now, job, candidates.candidates, start) {
-		return
+		return false
 	}
-	v := f.pendingNotes[job.Index]
-	v.overdue = f.startOverdue(now, job)
-	v.held = f.reserveMachines(job, candidates, zone, v.overdue)
-	f.setPendingNote(job, v)
+	return true
 }
 
-// placeGangNow plans a gang on machines that have room now.
-func (f *Fleet) placeGangNow(now time.Duration, job *jobs.Job, candidates *candidateList) bool {
-	size := job.Spec.Size()
+// placeGangNow plans a gang on machines that have room now, and reports whether there were enough.
+func (f *Fleet) placeGangNow(now time.Duration, job *jobs.Job, list *candidateList) bool {
 	if job.TaskCount == 1 {
-		for ; candidates.firstOpen < len(candidates.candidates) && candidates.candidates[candidates.firstOpen].secondsUntilRoom == 0; candidates.firstOpen++ {
-			if machine := candidates.candidates[candidates.firstOpen].machine; size.Fits(f.availableRoom(machine, job)) {
-				f.planTask(now, job, 0, machine)
-				return true
-			}
-		}
-		if f.isStarving(job) { // that a busy machine is free soon hasn't come true for long
-			for _, i := range candidates.withRoom {
-				if machine := candidates.candidates[i].machine; size.Fits(f.availableRoom(machine, job)) {
-					f.planTask(now, job, 0, machine)
-					return true
-				}
-			}
-		}
-		return false // a busy machine that has the image is the better choice
+		return f.placeSingleTask(now, job, list)
 	}
-	hosts := make([]planner.Host, 0, len(candidates.withRoom))
-	keep := candidates.withRoom[:0]
-	for _, i := range candidates.withRoom {
-		machine := candidates.candidates[i].machine
+	size := job.Spec.Size()
+	hosts := make([]planner.Host, 0, len(list.withRoom))
+	stillWithRoom := list.withRoom[:0]
+	for _, i := range list.withRoom {
+		machine := list.candidates[i].machine
 		if room := f.availableRoom(machine, job); size.Fits(room) {
-			keep = append(keep, i)
+			stillWithRoom = append(stillWithRoom, i)
 			hosts = append(hosts, planner.Host{ID: machine.Index, Zone: machine.Zone, Free: room})
 		}
 	}
-	candidates.withRoom = keep
+	list.withRoom = stillWithRoom
 	f.PlanningSteps += uint64(len(hosts))
-	got := planner.FirstFit(hosts, size, job.TaskCount, job.Spec.OneZone, job.Spec.ZoneLimit())
-	for t, ix := range got {
-		f.planTask(now, job, int32(t), f.machines[ix])
+	placement := planner.FirstFit(hosts, size, job.TaskCount, job.Spec.OneZone, job.Spec.ZoneLimit())
+	for t, machineIndex := range placement {
+		f.planTask(now, job, int32(t), f.machines[machineIndex])
 	}
-	return got != nil
+	return placement != nil
 }
 
-// earliestGangStart estimates when enough machines will have room for a gang, one for each task, and
-// in which zone if it must stay in one.
-func (f *Fleet) earliestGangStart(job *jobs.Job, candidates *candidateList) (zone int32, start float64) {
-	n := map[int32]int{}
-	for _, candidate := range candidates.candidates {
-		zone = jobs.None
-		if job.Spec.OneZone {
-			zone = candidate.machine.Zone
+// placeSingleTask plans a gang of one task on the best candidate if that has room now: a busy machine that is preferred to
+// those with room is worth the wait, unless the job is starving.
+func (f *Fleet) placeSingleTask(now time.Duration, job *jobs.Job, list *candidateList) bool {
+	size := job.Spec.Size()
+	for ; list.firstOpen < len(list.candidates); list.firstOpen++ {
+		best := &list.candidates[list.firstOpen]
+		if best.secondsUntilRoom != 0 {
+			break
 		}
-		f.PlanningSteps++
-		if n[zone]++; n[zone] >= job.TaskCount {
-			return zone, candidate.secondsUntilRoom + candidate.fetchSeconds
+		if size.Fits(f.availableRoom(best.machine, job)) {
+			f.planTask(now, job, 0, best.machine)
+			return true
 		}
 	}
-	return zone, 1e6
-}
-
-// reserveMachines keeps what frees up first for a gang, and tells on how many machines.
-func (f *Fleet) reserveMachines(job *jobs.Job, candidates *candidateList, zone int32, firm bool) (n int) {
-	i := candidates.reservedUpTo[zone]
-	for ; i < len(candidates.candidates) && n < job.TaskCount; i++ {
-		machine := candidates.candidates[i].machine
-		if (zone == jobs.None || machine.Zone == zone) && (machine.reservedRank > f.rankOf(job) || machine.reserved == (planner.Size{})) {
-			machine.reserved, machine.reservedRank, machine.reservedFirmly = job.Spec.Size(), f.rankOf(job), firm
-			n++
+	if !f.isStarving(job) {
+		return false
+	}
+	for _, i := range list.withRoom {
+		if machine := list.candidates[i].machine; size.Fits(f.availableRoom(machine, job)) {
+			f.planTask(now, job, 0, machine)
+			return true
 		}
-		f.PlanningSteps++
 	}
-	candidates.reservedUpTo[zone] = i
-	return n
+	return false
 }
 
-// TasksByZone counts a job's tasks by zone, those that are planned with those on machines, but not on machines that
-// are set aside.
-func (f *Fleet) TasksByZone(job *jobs.Job) map[int32]int {
-	use := map[int32]int{}
-	for t := range job.Tasks {
-		if task := &job.Tasks[t]; task.Machine != jobs.None && (task.State == jobs.Planned || task.State.Occupies()) && !f.machines[task.Machine].Quarantined {
-			use[f.machines[task.Machine].Zone]++
+// earliestGangStart estimates in how many seconds enough machines will have room for a gang, one for each task, and in
+// which zone if it must stay in one.
+func (f *Fleet) earliestGangStart(job *jobs.Job, list *candidateList) (zone int32, start float64) {
+	machinesByZone := map[int32]int{}
+	for i := range list.candidates {
+		option := &list.candidates[i]
+		zone = jobs.None
+		if job.Spec.OneZone {
+			zone = option.machine.Zone
+		}
+		f.PlanningSteps++
+		machinesByZone[zone]++
+		if machinesByZone[zone] >= job.TaskCount {
+			return zone, option.secondsUntilRoom + option.fetchSeconds
 		}
 	}
-	return use
+	return zone, unknownWaitSeconds
 }
 
-// placeService plans the replicas that have no machine, one by one, first fit.
-func (f *Fleet) placeService(now time.Duration, job *jobs.Job) {
-	if job.TasksByState[jobs.Unplanned] == 0 {
-		return
-	}
-	if f.inBackoff(now, job) {
-		f.noteCrashLoop(job)
-		return
-	}
-	candidates, use := f.candidatesFor(now, job), f.TasksByZone(job)
-	for t := range job.Tasks {
-		task := &job.Tasks[t]
-		if task.State != jobs.Unplanned {
-			continue
-		}
-		if task.NotBefore > now {
-			f.setPendingNote(job, pendingNote{cause: RetryLater, until: task.NotBefore})
-			continue
-		}
-		// Of the machines with room the first in the zone with fewest replicas: a loss takes as little of the service
-		// as can be, and among equal zones first fit decides.
-		// What is planned counts against a zone's bound too: replicas beyond it once waited in one zone's lanes for ever.
-		i, lim := len(candidates.candidates), job.Spec.ZoneLimit()
-		for n, candidate := range candidates.candidates {
-			if lim > 0 && use[candidate.machine.Zone] >= lim {
-				continue
-			}
-			if candidate.secondsUntilRoom == 0 && (i == len(candidates.candidates) || use[candidate.machine.Zone] < use[candidates.candidates[i].machine.Zone]) && f.mayUse(candidate.machine, job) && job.Spec.Size().Fits(f.availableRoom(candidate.machine, job)) {
-				i = n
-			}
-		}
-		if !f.mayStart(job, 1) || job.TasksByState[jobs.Planned] >= f.grantedTasks(job, job.TaskCount) {
-			f.noteDenied(job, 1)
-			return
-		}
-		if i == len(candidates.candidates) {
-			f.setPendingNote(job, pendingNote{cause: NoRoom})
-			return
-		}
-		f.planTask(now, job, int32(t), candidates.candidates[i].machine)
-		use[candidates.candidates[i].machine.Zone]++
-		if f.crashLooping(job) != nil || f.ranking.startDeadlineDue[job.Index] && job.TasksByState[jobs.Planned] >= startDeadlineTasks {
-			return
+// reserveMachines reserves the machines that will have room first for a gang, and returns how many it reserved. Firm
+// reservations hold against starving jobs too.
+func (f *Fleet) reserveMachines(job *jobs.Job, list *candidateList, zone int32, firm bool) int {
+	rank := f.rankOf(job)
+	reserved := 0
+	i := list.reservedUpTo[zone]
+	for ; i < len(list.candidates) && reserved < job.TaskCount; i++ {
+		machine := list.candidates[i].machine
+		inZone := zone == jobs.None || machine.Zone == zone
+		if inZone && (machine.reservedRank > rank || machine.reserved == (planner.Size{})) {
+			machine.reserved = job.Spec.Size()
+			machine.reservedRank = rank
+			machine.reservedFirmly = firm
+			reserved++
 		}
+		f.PlanningSteps++
 	}
+	list.reservedUpTo[zone] = i
+	return reserved
 }
--- a/internal/fleet/queues.go
+++ b/internal/fleet/queues.go
@@ -1,5 +1,7 @@
 package fleet
 
+// The work queues of machines: tasks that are planned there and not started.
+
 import (
 	"slices"
 
@@ -10,12 +12,12 @@
 // enqueue queues a planned task at its machine.
 func (f *Fleet) enqueue(machine *Machine, job *jobs.Job, taskIndex int32) {
 	machine.setQueue(job.Index, append(machine.queued(job.Index), taskIndex))
-	at := f.queuedOn[job.Index]
-	if at == nil {
-		at = map[int32]int{}
-		f.queuedOn[job.Index] = at
+	counts := f.queuedOn[job.Index]
+	if counts == nil {
+		counts = map[int32]int{}
+		f.queuedOn[job.Index] = counts
 	}
-	at[machine.Index]++
+	counts[machine.Index]++
 	size := job.Spec.Size()
 	if machine.QueuedTasks == 0 {
 		machine.smallestQueued = size
@@ -28,35 +30,55 @@
 	}
 }
 
-// removeQueued keeps the books when n of a job's tasks have left a machine's lanes.
-func (f *Fleet) removeQueued(machine *Machine, job *jobs.Job, n int) {
-	if at := f.queuedOn[job.Index]; at != nil {
-		if at[machine.Index] -= n; at[machine.Index] <= 0 {
-			delete(at, machine.Index)
+// dequeue takes a task out of its machine's queue.
+func (f *Fleet) dequeue(job *jobs.Job, taskIndex int32) {
+	task := &job.Tasks[taskIndex]
+	if task.Machine == jobs.None {
+		return
+	}
+	machine := f.machines[task.Machine]
+	queued := machine.queued(job.Index)
+	if i := slices.Index(queued, taskIndex); i >= 0 {
+		machine.setQueue(job.Index, slices.Delete(queued, i, i+1))
+		f.removeQueued(machine, job, 1)
+	}
+}
+
+// removeQueued updates the counts and sums of a machine's queues after count tasks of a job have left them.
+func (f *Fleet) removeQueued(machine *Machine, job *jobs.Job, count int) {
+	if counts := f.queuedOn[job.Index]; counts != nil {
+		counts[machine.Index] -= count
+		if counts[machine.Index] <= 0 {
+			delete(counts, machine.Index)
 		}
-		if len(at) == 0 {
+		if len(counts) == 0 {
 			delete(f.queuedOn, job.Index)
 		}
 	}
-	machine.QueuedTasks -= n
+	machine.QueuedTasks -= count
 	if machine.QueuedTasks == 0 {
-		machine.queuedNeed, machine.queuedWhole = planner.Size{}, planner.Size{} // decimals leave dust
+		// Exactly zero: sums and differences of decimal amounts leave a rounding error.
+		machine.queuedNeed = planner.Size{}
+		machine.queuedWhole = planner.Size{}
 		return
 	}
-	size := job.Spec.Size().Times(float64(n))
+	size := job.Spec.Size().Times(float64(count))
 	machine.queuedNeed = machine.queuedNeed.Sub(size)
 	if job.Spec.Kind != jobs.Array {
 		machine.queuedWhole = machine.queuedWhole.Sub(size)
 	}
 }
 
-// clearQueues empties a machine's lanes: its planned tasks are to be planned anew.
+// clearQueues empties a machine's queues. The planned tasks in them become unplanned.
 func (f *Fleet) clearQueues(machine *Machine) {
 	for len(machine.queues) > 0 {
 		queue := machine.queues[len(machine.queues)-1]
 		job := f.jobAt(queue.job)
 		for _, taskIndex := range queue.tasks {
-			if job.Tasks != nil && job.Tasks[taskIndex].State == jobs.Planned && job.Tasks[taskIndex].Machine == machine.Index {
+			if job.Tasks == nil {
+				break
+			}
+			if task := &job.Tasks[taskIndex]; task.State == jobs.Planned && task.Machine == machine.Index {
 				f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 			}
 		}
@@ -65,27 +87,13 @@
 	}
 }
 
-// queueMachines lists the machines on which a job's planned tasks wait, in a fixed order.
+// queueMachines returns the indices of the machines on which a job's tasks are queued, in ascending order.
 func (f *Fleet) queueMachines(job *jobs.Job) []int32 {
-	at := f.queuedOn[job.Index]
-	out := make([]int32, 0, len(at))
-	for m := range at {
-		out = append(out, m)
-	}
-	slices.Sort(out)
-	return out
-}
-
-// dequeue takes a task out of its machine's lanes.
-func (f *Fleet) dequeue(job *jobs.Job, taskIndex int32) {
-	task := &job.Tasks[taskIndex]
-	if task.Machine == jobs.None {
-		return
-	}
-	machine := f.machines[task.Machine]
-	ts := machine.queued(job.Index)
-	if i := slices.Index(ts, taskIndex); i >= 0 {
-		machine.setQueue(job.Index, slices.Delete(ts, i, i+1))
-		f.removeQueued(machine, job, 1)
+	counts := f.queuedOn[job.Index]
+	machines := make([]int32, 0, len(counts))
+	for machineIndex := range counts {
+		machines = append(machines, machineIndex)
 	}
+	slices.Sort(machines)
+	return machines
 }
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Stealing: an idle machine takes what would wait longest elsewhere.
+// Work stealing: a machine with free slots takes queued tasks that would wait longest elsewhere.
 
 import (
 	"container/heap"
@@ -11,127 +11,157 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// delayedMachine is a machine on which a job's planned tasks wait, and for how long the last one
-// is expected to wait there.
+const (
+	// maxStolenTasks bounds the tasks of one job that a machine steals in one cycle.
+	maxStolenTasks = 64
+	// minStealGainSeconds is how much sooner a task must start, fetch included, to be moved.
+	minStealGainSeconds = 0.5
+)
+
+// delayedMachine is a machine on which tasks of a job are queued.
 type delayedMachine struct {
 	machine     *Machine
-	waitSeconds float64
+	waitSeconds float64 // expected for the last of the tasks
 }
 
+// delayHeap is a heap of machines, the one with the longest wait first.
 type delayHeap []delayedMachine
 
-func (d delayHeap) Len() int { return len(d) }
+// Len implements heap.Interface.
+func (h delayHeap) Len() int { return len(h) }
 
-func (d delayHeap) Less(a, b int) bool { return d[a].waitSeconds > d[b].waitSeconds }
+// Less implements heap.Interface.
+func (h delayHeap) Less(a, b int) bool { return h[a].waitSeconds > h[b].waitSeconds }
 
-func (d delayHeap) Swap(a, b int) { d[a], d[b] = d[b], d[a] }
+// Swap implements heap.Interface.
+func (h delayHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-func (d *delayHeap) Push(x any) { *d = append(*d, x.(delayedMachine)) }
+// Push implements heap.Interface.
+func (h *delayHeap) Push(x any) { *h = append(*h, x.(delayedMachine)) }
 
-func (d *delayHeap) Pop() any {
-	old := *d
-	x := old[len(old)-1]
-	*d = old[:len(old)-1]
-	return x
+// Pop implements heap.Interface.
+func (h *delayHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
 
-// steal gives machines with free lanes unstarted tasks of the lanes furthest behind, job by
-// job in rank order. Only machines with room are looked at, and of a job only those on
-// which it waits.
+// steal moves queued tasks of arrays from the machines furthest behind to machines with free slots, job by job in priority
+// order. It looks only at machines with room and, for each job, at the machines where it is queued.
 func (f *Fleet) steal(now time.Duration) {
-	least := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
-	var waiting []*jobs.Job
-	anyAged := false
-	for _, job := range f.ranking.jobs {
-		if job.Spec.Kind == jobs.Array && job.TasksByState[jobs.Planned] > 0 && f.mayStart(job, 1) {
-			waiting = append(waiting, job)
-			least = least.Min(job.Spec.Size())
-			anyAged = anyAged || f.isStarving(job)
-		}
-	}
-	if len(waiting) == 0 {
+	queuedJobs := f.queuedArrays()
+	if len(queuedJobs) == 0 {
 		return
 	}
-	var idle []*Machine
-	for _, machine := range f.packingOrder() {
-		if least.Fits(machine.Free().Sub(machine.queuedNeed)) || anyAged && least.Fits(machine.Free().Sub(machine.queuedWhole)) {
-			idle = append(idle, machine)
-		}
-	}
-	f.PlanningSteps += uint64(len(f.cycle.packedMachines))
-	for _, job := range waiting {
-		var ds delayHeap
+	withRoom := f.machinesWithRoom(queuedJobs)
+	for _, job := range queuedJobs {
+		var delayed delayHeap
 		size := job.Spec.Size()
-		for _, machine := range idle {
+		for _, machine := range withRoom {
 			f.PlanningSteps++
 			if !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) || !f.mayUse(machine, job) {
 				continue
 			}
-			if ds == nil {
-				ds = f.delayedMachines(now, job)
+			if delayed == nil {
+				delayed = f.delayedMachines(now, job)
 			}
-			f.stealTasks(now, machine, job, &ds)
-			if len(ds) == 0 {
+			f.stealTasks(now, machine, job, &delayed)
+			if len(delayed) == 0 {
 				break
 			}
 		}
 	}
 }
 
-// delayedMachines lists where a job's planned tasks wait, furthest behind first.
+// queuedArrays returns the arrays with queued tasks that may start, in priority order.
+func (f *Fleet) queuedArrays() []*jobs.Job {
+	var queuedJobs []*jobs.Job
+	for _, job := range f.ranking.jobs {
+		if job.Spec.Kind == jobs.Array && job.TasksByState[jobs.Planned] > 0 && f.mayStart(job, 1) {
+			queuedJobs = append(queuedJobs, job)
+		}
+	}
+	return queuedJobs
+}
+
+// machinesWithRoom returns the machines that may have room for a task of any of some jobs besides what is queued there.
+func (f *Fleet) machinesWithRoom(queuedJobs []*jobs.Job) []*Machine {
+	smallest := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
+	anyStarving := false
+	for _, job := range queuedJobs {
+		smallest = smallest.Min(job.Spec.Size())
+		anyStarving = anyStarving || f.isStarving(job)
+	}
+	var withRoom []*Machine
+	for _, machine := range f.packingOrder() {
+		free := machine.Free()
+		if smallest.Fits(free.Sub(machine.queuedNeed)) || anyStarving && smallest.Fits(free.Sub(machine.queuedWhole)) {
+			withRoom = append(withRoom, machine)
+		}
+	}
+	f.PlanningSteps += uint64(len(f.cycle.packedMachines))
+	return withRoom
+}
+
+// delayedMachines returns the machines where a job's tasks are queued and can be moved from.
 func (f *Fleet) delayedMachines(now time.Duration, job *jobs.Job) delayHeap {
-	ds := delayHeap{}
-	for _, ix := range f.queueMachines(job) {
-		if w, ok := f.queueWaitSeconds(now, job, f.machines[ix]); ok {
-			ds = append(ds, delayedMachine{f.machines[ix], w})
+	delayed := delayHeap{}
+	for _, machineIndex := range f.queueMachines(job) {
+		machine := f.machines[machineIndex]
+		if wait, ok := f.queueWaitSeconds(now, job, machine); ok {
+			delayed = append(delayed, delayedMachine{machine, wait})
 		}
 	}
-	f.PlanningSteps += uint64(2 * len(ds))
-	heap.Init(&ds)
-	return ds
+	f.PlanningSteps += uint64(2 * len(delayed))
+	heap.Init(&delayed)
+	return delayed
 }
 
-// queueWaitSeconds estimates how long the last of a job's planned tasks waits on a machine; ok is
-// false if it can't be moved.
-func (f *Fleet) queueWaitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (float64, bool) {
-	ts := machine.queued(job.Index)
-	if len(ts) == 0 || !job.IsDurable(ts[len(ts)-1]) {
+// queueWaitSeconds estimates how long the last of a job's tasks in a machine's queue waits; ok is false if there is none or
+// its plan isn't durable, so that it can't be moved.
+func (f *Fleet) queueWaitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (wait float64, ok bool) {
+	queued := machine.queued(job.Index)
+	if len(queued) == 0 || !job.IsDurable(queued[len(queued)-1]) {
 		return 0, false
 	}
-	est := f.estimate(job)
-	wait := 0.0
+	taskSeconds := f.estimate(job)
 	if !f.fits(machine, job) {
-		if wait = f.secondsUntilRoom(now, machine, job); wait > 1e5 {
-			wait = est
+		wait = f.secondsUntilRoom(now, machine, job)
+		if wait > maxCredibleWaitSeconds {
+			wait = taskSeconds
 		}
 	}
-	n := max(1, job.Spec.Size().Copies(machine.Capacity))
-	return wait + est*machine.slowdown*float64((len(ts)-1)/n) + f.fetchSeconds(job, machine), true
+	slots := max(1, job.Spec.Size().Copies(machine.Capacity))
+	rounds := float64((len(queued) - 1) / slots) // of tasks that run side by side before the last
+	return wait + taskSeconds*machine.slowdown*rounds + f.fetchSeconds(job, machine), true
 }
 
-// stealTasks moves a job's tasks to a machine for as long as it has room and they would start
-// sooner there, fetch included.
-func (f *Fleet) stealTasks(now time.Duration, machine *Machine, job *jobs.Job, ds *delayHeap) {
+// stealTasks moves queued tasks of a job to a machine for as long as it has room and they would start sooner there.
+func (f *Fleet) stealTasks(now time.Duration, machine *Machine, job *jobs.Job, delayed *delayHeap) {
 	size := job.Spec.Size()
-	sooner := f.fetchSeconds(job, machine) + 0.5 + f.spotWaitLimit(machine, job)
+	minWait := f.fetchSeconds(job, machine) + minStealGainSeconds + f.spotWaitLimit(machine, job)
 	if f.isStarving(job) {
-		sooner = 0 // what was expected of its lane hasn't come true for long
+		minWait = 0 // the expected wait has been exceeded for long: any queued task may move
 	}
-	for range 64 {
-		if len(*ds) == 0 || (*ds)[0].waitSeconds <= sooner || !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) {
+	for range maxStolenTasks {
+		if len(*delayed) == 0 || (*delayed)[0].waitSeconds <= minWait {
+			return
+		}
+		if !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) {
 			return
 		}
-		v := (*ds)[0].machine
-		ts := v.queued(job.Index)
-		taskIndex := ts[len(ts)-1]
+		source := (*delayed)[0].machine
+		queued := source.queued(job.Index)
+		taskIndex := queued[len(queued)-1]
 		f.dequeue(job, taskIndex)
 		f.planTask(now, job, taskIndex, machine)
 		f.PlanningSteps += 4
-		if w, ok := f.queueWaitSeconds(now, job, v); ok {
-			(*ds)[0].waitSeconds = w
-			heap.Fix(ds, 0)
+		if wait, ok := f.queueWaitSeconds(now, job, source); ok {
+			(*delayed)[0].waitSeconds = wait
+			heap.Fix(delayed, 0)
 		} else {
-			heap.Pop(ds)
+			heap.Pop(delayed)
 		}
 	}
 }
