--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -72,7 +72,7 @@
 		return nil
 	}
 	var tasks []int32
-	retryAt := time.Duration(1 << 62)
+	retryAt := never
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		if task.State != jobs.Unplanned {
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Room that is held for some work stands idle beside other work for a bounded time only.
+// Backfilling: a job that starves beside free room may use what is kept free for other work.
 
 import (
 	"time"
@@ -9,51 +9,41 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// What keeps room idle: the claim of a gang that waits for more of it, cores beside accelerators that such work is to come
-// for, ordinary machines that others need, and the better choice of a busy machine that is free soon. All may wait for what never comes: a gang
-// larger than its zone, accelerators that nobody gives back, an estimate that doesn't come true. A job that has stood beside room
-// that fits for starvingAfter lets none of them hold it up: it is backfilled. Only the claims of gangs that are overdue to
-// begin themselves hold against it, until firmReservationLimit, which stays under the 90 s for which a job may wait so. What counts is the time
-// beside room, not the time waited: in an overload everybody waits, and what had waited for long once took all that came free from
-// large gangs (they began after 873 s instead of 235).
+// Free room may be kept from a job: by the reservation of a gang that waits for more of it, as processors beside
+// accelerators, as on-demand machines that others need, or because a busy machine would be the better choice. Each of these
+// may wait for what never comes, such as a gang larger than its zone or an estimate that is far too low. A job that has
+// waited for starvingAfter although there was room for it is starving: nothing is kept from it any more, but for the firm
+// reservations of gangs that are overdue to start themselves. Those hold until firmReservationLimit, which is below the 90 s
+// for which a job may wait so.
+//
+// Only the time with room counts, not the time waited: in an overload every job waits for long, and jobs would then take all
+// that comes free from large gangs, which once started after 873 s instead of 235 s.
 const (
 	starvingAfter        = 40 * time.Second
 	firmReservationLimit = 75 * time.Second
 )
 
-// updateRoomSince notes, for each waiting job, since when there has been room for it: machines that it may use with as much
-// free as it needs to begin, whatever that is held for, and its team under its limit.
+// roomCheckInterval is the time between two checks for room.
+const roomCheckInterval = time.Second
+
+// roomRequest is what jobs have in common for which there is room at the same time.
+type roomRequest struct {
+	jobShape
+	tasks   int // that must start together
+	oneZone bool
+}
+
+// updateRoomSince records, for each waiting job, since when there has been room for it, whatever that is kept for. There is
+// none for a job that its team's limit or its licences hold back.
 func (f *Fleet) updateRoomSince(now time.Duration) {
 	if now < f.nextRoomCheck {
 		return
 	}
-	f.nextRoomCheck = now + time.Second
-	type ask struct {
-		jobShape
-		n       int
-		oneZone bool
-	}
-	known := map[ask]bool{}
+	f.nextRoomCheck = now + roomCheckInterval
+	known := map[roomRequest]bool{}
 	for _, job := range f.ranking.jobs {
-		n := 1
-		if job.Spec.Kind == jobs.Gang {
-			n = job.TaskCount
-		}
-		if job.TasksOnMachines() > 0 || job.UnstartedTasks() == 0 || job.Idle() || f.crashLooping(job) != nil || !f.mayStart(job, n) {
-			job.RoomSince = 0
-			continue
-		}
-		k := ask{shapeOf(job), n, job.Spec.OneZone}
-		k.image = 0 // any machine may fetch it
-		room, ok := known[k]
-		if !ok || len(job.AvoidedMachines) > 0 {
-			room = f.hasRoomFor(job, n)
-		}
-		if len(job.AvoidedMachines) == 0 {
-			known[k] = room
-		}
 		switch {
-		case !room:
+		case !f.waitsForRoom(job) || !f.hasRoom(job, known):
 			job.RoomSince = 0
 		case job.RoomSince == 0:
 			job.RoomSince = now
@@ -61,26 +51,63 @@
 	}
 }
 
-// hasRoomFor tells whether there is room for n tasks of a job.
-func (f *Fleet) hasRoomFor(job *jobs.Job, n int) bool {
-	size, in := job.Spec.Size(), map[int32]int{}
+// waitsForRoom reports whether a job has nothing on machines, but tasks that may start if there is room.
+func (f *Fleet) waitsForRoom(job *jobs.Job) bool {
+	return job.TasksOnMachines() == 0 &&
+		job.UnstartedTasks() > 0 &&
+		!job.Idle() &&
+		f.crashLooping(job) == nil &&
+		f.mayStart(job, tasksToBegin(job))
+}
+
+// tasksToBegin returns how many tasks of a job must start together for it to begin.
+func tasksToBegin(job *jobs.Job) int {
+	if job.Spec.Kind == jobs.Gang {
+		return job.TaskCount
+	}
+	return 1
+}
+
+// hasRoom reports whether there is room for a job to begin. Results are shared, in known, between jobs that may use the same
+// machines.
+func (f *Fleet) hasRoom(job *jobs.Job, known map[roomRequest]bool) bool {
+	tasks := tasksToBegin(job)
+	if len(job.AvoidedMachines) > 0 {
+		return f.findRoom(job, tasks)
+	}
+	request := roomRequest{shapeOf(job), tasks, job.Spec.OneZone}
+	request.image = 0 // any machine may fetch it
+	room, ok := known[request]
+	if !ok {
+		room = f.findRoom(job, tasks)
+		known[request] = room
+	}
+	return room
+}
+
+// findRoom reports whether the free room of machines that may take a job is enough for a number of its tasks.
+func (f *Fleet) findRoom(job *jobs.Job, tasks int) bool {
+	size := job.Spec.Size()
+	placesByZone := map[int32]int{}
 	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined || !size.Fits(machine.Free()) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
+		free := machine.Free()
+		if !takesWork(machine) || !size.Fits(free) || !f.mayUse(machine, job) || !f.zoneAccepts(machine, job) {
 			continue
 		}
 		zone := jobs.None
 		if job.Spec.OneZone {
 			zone = machine.Zone
 		}
-		if in[zone] += size.Copies(machine.Free()); in[zone] >= n {
+		placesByZone[zone] += size.Copies(free)
+		if placesByZone[zone] >= tasks {
 			return true
 		}
 	}
 	return false
 }
 
-// starvedFor is for how long a job has stood beside room.
+// starvedFor returns how long a job has waited although there was room for it. A nil job has not.
 func (f *Fleet) starvedFor(job *jobs.Job) time.Duration {
 	if job == nil || job.RoomSince == 0 || job.TasksOnMachines() > 0 {
 		return 0
@@ -88,10 +115,10 @@
 	return f.Now() - job.RoomSince
 }
 
-// isStarving tells whether a job has stood beside room for so long that none is kept from it any more, but by firm claims.
+// isStarving reports whether a job has waited beside free room for so long that only firm reservations are kept from it.
 func (f *Fleet) isStarving(job *jobs.Job) bool { return f.starvedFor(job) > starvingAfter }
 
-// isReservedFrom tells whether the claim on a machine holds against a job.
+// isReservedFrom reports whether the reservation on a machine holds against a job.
 func (f *Fleet) isReservedFrom(machine *Machine, job *jobs.Job) bool {
 	if machine.reservedRank >= f.rankOf(job) {
 		return false
@@ -102,18 +129,23 @@
 	return !f.isStarving(job)
 }
 
-// spareRoom is what of a machine's room what is planned there leaves for a job that would be moved there. What is planned may be
-// held up itself by what holds a job that has waited for long no more: for such a job only gangs count, and others like it.
+// spareRoom returns what a machine's queue leaves of its free room for a task that would be moved there. Queued tasks may be
+// held back by what does not hold back a starving job: against such a job only gangs, services and other starving arrays
+// count.
 func (f *Fleet) spareRoom(machine *Machine, job *jobs.Job) planner.Size {
 	if !f.isStarving(job) {
 		return machine.Free().Sub(machine.queuedNeed)
 	}
 	free := machine.Free().Sub(machine.queuedWhole)
 	for _, queue := range machine.queues {
-		if o := f.jobAt(queue.job); o.Spec.Kind == jobs.Array && f.isStarving(o) {
-			size := o.Spec.Size() // what has no room there now takes none either
-			free = free.Sub(size.Times(float64(min(len(queue.tasks), max(0, size.Copies(free))))))
+		queuedJob := f.jobAt(queue.job)
+		if queuedJob.Spec.Kind != jobs.Array || !f.isStarving(queuedJob) {
+			continue
 		}
+		size := queuedJob.Spec.Size()
+		// Tasks for which there is no room now take none either.
+		startable := min(len(queue.tasks), max(0, size.Copies(free)))
+		free = free.Sub(size.Times(float64(startable)))
 	}
 	f.PlanningSteps += uint64(len(machine.queues))
 	return free
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,5 +1,7 @@
 package fleet
 
+// Overload: which deadlines are given up when not all can be met.
+
 import (
 	"cmp"
 	"container/heap"
@@ -10,121 +12,163 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// deadlineJob is a job with a deadline in an overload: its last task must start by due, and
-// before that the work, in resource-seconds, has to be fitted in.
+// plannableFraction is the part of the machines that deadlines may count on. Estimates are wrong, machines are lost and
+// slots never fill up quite: a set of jobs that only just fits would miss its deadlines one after the other.
+const plannableFraction = 0.75
+
+// negligibleAmount is the amount of a resource below which it counts as none.
+const negligibleAmount = 1e-9
+
+// deadlineJob is an array with a deadline that can still be met.
 type deadlineJob struct {
-	latestStart time.Duration
-	work        planner.Size
+	job         *jobs.Job
+	position    int           // in the priority order
+	latestStart time.Duration // of its last task
+	work        planner.Size  // to be done before that, in resource-seconds
 }
 
-// heaviestFirst orders claimants by what they take of the scarcest resource, largest first.
+// heaviestFirst is a heap of deadline jobs, the one with the most work in the scarcest resource first.
 type heaviestFirst struct {
-	deadlineJobs []deadlineJob
-	poolSeconds  func(planner.Size) float64
-	indices      []int
+	jobs    []deadlineJob
+	pool    planner.Size
+	indices []int // into jobs
 }
 
+// Len implements heap.Interface.
 func (h *heaviestFirst) Len() int { return len(h.indices) }
+
+// Less implements heap.Interface.
 func (h *heaviestFirst) Less(a, b int) bool {
-	x, y := h.poolSeconds(h.deadlineJobs[h.indices[a]].work), h.poolSeconds(h.deadlineJobs[h.indices[b]].work)
-	if x != y {
-		return x > y
+	x := h.indices[a]
+	y := h.indices[b]
+	xSeconds := secondsOfWork(h.jobs[x].work, h.pool)
+	ySeconds := secondsOfWork(h.jobs[y].work, h.pool)
+	if xSeconds != ySeconds {
+		return xSeconds > ySeconds
 	}
-	return h.indices[a] < h.indices[b]
+	return x < y
 }
+
+// Swap implements heap.Interface.
 func (h *heaviestFirst) Swap(a, b int) { h.indices[a], h.indices[b] = h.indices[b], h.indices[a] }
-func (h *heaviestFirst) Push(x any)    { h.indices = append(h.indices, x.(int)) }
+
+// Push implements heap.Interface.
+func (h *heaviestFirst) Push(x any) { h.indices = append(h.indices, x.(int)) }
+
+// Pop implements heap.Interface.
 func (h *heaviestFirst) Pop() any {
-	x := h.indices[len(h.indices)-1]
+	last := h.indices[len(h.indices)-1]
 	h.indices = h.indices[:len(h.indices)-1]
-	return x
+	return last
 }
 
-// secondsOfWork is how many seconds a pool takes for an amount of work: that of the resource
-// which takes longest.
+// secondsOfWork returns how many seconds a pool of machines takes for an amount of work: those of the resource that takes
+// longest.
 func secondsOfWork(work, pool planner.Size) float64 {
-	s := 0.0
-	for _, d := range [...][2]float64{{work.CPUs, pool.CPUs}, {work.GPUs, pool.GPUs}, {work.Mem, pool.Mem}} {
-		if d[0] > 1e-9 {
-			s = max(s, d[0]/max(d[1], 1e-9))
+	resources := [...]struct{ work, pool float64 }{
+		{work.CPUs, pool.CPUs},
+		{work.GPUs, pool.GPUs},
+		{work.Mem, pool.Mem},
+	}
+	seconds := 0.0
+	for _, resource := range resources {
+		if resource.work > negligibleAmount {
+			seconds = max(seconds, resource.work/max(resource.pool, negligibleAmount))
 		}
 	}
-	return s
+	return seconds
 }
 
-// unattainableDeadlines chooses which of several jobs can't all be done in time by a pool of machines, so
-// that as many as possible are: by due time, and whenever too much has to be done before one
-// the largest so far is given up (Moore and Hodgson). It returns who is given up.
-func unattainableDeadlines(now time.Duration, cs []deadlineJob, pool planner.Size) []bool {
-	late := make([]bool, len(cs))
-	order := make([]int, len(cs))
+// unattainableDeadlines chooses the jobs whose deadlines are given up, so that a pool of machines meets as many of the
+// others as possible. It uses the algorithm of Moore and Hodgson: jobs are taken by latest start, and whenever the work up
+// to one takes too long, the heaviest job so far is given up. The result is true for each job that is given up.
+func unattainableDeadlines(now time.Duration, deadlineJobs []deadlineJob, pool planner.Size) []bool {
+	givenUp := make([]bool, len(deadlineJobs))
+	order := make([]int, len(deadlineJobs))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cs[a].latestStart, cs[b].latestStart) })
-	h := &heaviestFirst{deadlineJobs: cs, poolSeconds: func(size planner.Size) float64 { return secondsOfWork(size, pool) }}
-	sum := planner.Size{}
+	slices.SortStableFunc(order, func(a, b int) int {
+		return cmp.Compare(deadlineJobs[a].latestStart, deadlineJobs[b].latestStart)
+	})
+	accepted := &heaviestFirst{jobs: deadlineJobs, pool: pool}
+	total := planner.Size{}
 	for _, i := range order {
-		heap.Push(h, i)
-		sum = sum.Add(cs[i].work)
-		for h.Len() > 0 && secondsOfWork(sum, pool) > (cs[i].latestStart-now).Seconds() {
-			out := heap.Pop(h).(int)
-			late[out] = true
-			sum = sum.Sub(cs[out].work)
+		heap.Push(accepted, i)
+		total = total.Add(deadlineJobs[i].work)
+		available := (deadlineJobs[i].latestStart - now).Seconds()
+		for accepted.Len() > 0 && secondsOfWork(total, pool) > available {
+			heaviest := heap.Pop(accepted).(int)
+			givenUp[heaviest] = true
+			total = total.Sub(deadlineJobs[heaviest].work)
 		}
 	}
-	return late
+	return givenUp
 }
 
-// plannableFraction is the part of the machines that deadlines may count on.
-const plannableFraction = 0.75
+// demoteUnattainableDeadlines lets the arrays whose deadlines are given up in an overload change places, in the priority
+// order, with arrays whose deadlines can still be met. All other jobs keep their ranks: to rank a given-up array behind
+// every job without a deadline would lose more than the overload does.
+func (f *Fleet) demoteUnattainableDeadlines(now time.Duration, urgencies map[jobs.Index]urgency) {
+	deadlineJobs, pool := f.collectDeadlineJobs(urgencies)
+	givenUp := unattainableDeadlines(now, deadlineJobs, pool.Times(plannableFraction))
+	for start := 0; start < len(deadlineJobs); {
+		end := start + 1
+		for end < len(deadlineJobs) && f.mayChangePlaces(deadlineJobs[start].job, deadlineJobs[end].job) {
+			end++
+		}
+		f.moveGivenUpLast(deadlineJobs[start:end], givenUp[start:end])
+		start = end
+	}
+}
 
-// demoteUnattainableDeadlines lets the arrays whose next deadline is given up in an overload change places
-// with those that can still meet theirs. All other jobs keep their ranks: an array that was
-// moved behind every job without a deadline lost more than the overload took (harmonia).
-func (f *Fleet) demoteUnattainableDeadlines(now time.Duration, keys map[jobs.Index]urgency) {
+// collectDeadlineJobs returns the arrays with deadlines that can still be met, in priority order, and the capacity that
+// running tasks of other jobs leave for them. Jobs in a crash loop count on neither side.
+func (f *Fleet) collectDeadlineJobs(urgencies map[jobs.Index]urgency) ([]deadlineJob, planner.Size) {
 	pool := planner.Size{}
 	for _, machine := range f.machines {
-		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined {
+		if takesWork(machine) {
 			pool = pool.Add(machine.Capacity.Sub(f.keptFree(machine, nil, machine.Capacity.GPUs)))
 		}
 	}
-	var jobList []*jobs.Job
-	var cs []deadlineJob
-	var places []int // in f.order
-	for at, job := range f.ranking.jobs {
-		n := job.UnstartedTasks()
-		k := keys[job.Index]
+	var deadlineJobs []deadlineJob
+	for position, job := range f.ranking.jobs {
 		if f.crashLooping(job) != nil {
-			continue // it holds up nothing, and no deadline gives way to it
+			continue
 		}
-		if job.Spec.Kind != jobs.Array || job.Spec.DeadlineS == nil || !k.attainable || n == 0 {
+		unstarted := job.UnstartedTasks()
+		jobUrgency := urgencies[job.Index]
+		hasDeadline := job.Spec.Kind == jobs.Array && job.Spec.DeadlineS != nil
+		if !hasDeadline || !jobUrgency.attainable || unstarted == 0 {
 			pool = pool.Sub(job.Spec.Size().Times(float64(job.TasksOnMachines())))
 			continue
 		}
-		jobList, places = append(jobList, job), append(places, at)
-		cs = append(cs, deadlineJob{k.latestStart, job.Spec.Size().Times(float64(n) * f.estimate(job))})
+		deadlineJobs = append(deadlineJobs, deadlineJob{
+			job:         job,
+			position:    position,
+			latestStart: jobUrgency.latestStart,
+			work:        job.Spec.Size().Times(float64(unstarted) * f.estimate(job)),
+		})
 	}
-	f.PlanningSteps += uint64(len(f.machines) + 2*len(jobList))
-	// Estimates are wrong, machines are lost and lanes never fill up quite: a set that only
-	// just fits would miss its deadlines one after the other.
-	pool = pool.Times(plannableFraction)
-	late := unattainableDeadlines(now, cs, pool)
-	for lo := 0; lo < len(jobList); {
-		// Only within a rank that may not preempt the other.
-		hi := lo + 1
-		for hi < len(jobList) && jobList[hi].Priority == jobList[lo].Priority && f.ranking.withinGuarantee[jobList[hi].Index] == f.ranking.withinGuarantee[jobList[lo].Index] {
-			hi++
-		}
-		at := lo
-		for _, given := range []bool{false, true} {
-			for i := lo; i < hi; i++ {
-				if late[i] == given {
-					f.ranking.jobs[places[at]] = jobList[i]
-					at++
-				}
+	f.PlanningSteps += uint64(len(f.machines) + 2*len(deadlineJobs))
+	return deadlineJobs, pool
+}
+
+// mayChangePlaces reports whether two jobs may change places in the priority order: neither may preempt the other.
+func (f *Fleet) mayChangePlaces(a, b *jobs.Job) bool {
+	return a.Priority == b.Priority && f.ranking.withinGuarantee[a.Index] == f.ranking.withinGuarantee[b.Index]
+}
+
+// moveGivenUpLast puts jobs whose deadlines are given up on the last of the positions that a group of jobs has in the
+// priority order, and the others on the first. Both keep their order among themselves.
+func (f *Fleet) moveGivenUpLast(group []deadlineJob, givenUp []bool) {
+	next := 0
+	for _, last := range []bool{false, true} {
+		for i := range group {
+			if givenUp[i] == last {
+				f.ranking.jobs[group[next].position] = group[i].job
+				next++
 			}
 		}
-		lo = hi
 	}
 }
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -1,6 +1,10 @@
 package fleet
 
+// The priority order of jobs.
+
 import (
+	"cmp"
+	"slices"
 	"sort"
 	"time"
 
@@ -9,108 +13,137 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// latestUsefulStart is when a job's next start should have happened at the latest, and whether any of
-// its aims can still be met.
-func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
-	best, ok := time.Duration(1<<62), false
-	est := config.Seconds(f.estimate(job))
-	consider := func(duration time.Duration) {
-		if duration >= now && duration < best {
-			best, ok = duration, true
-		}
+// The kinds of objectives in the settings.
+const (
+	objectiveGuarantee = "guarantee" // a job within its team's guarantee starts within a time
+	objectiveWait      = "wait"      // a job of a class starts within a time
+	objectiveFinished  = "finished"  // a job of a class is done within a time
+	objectiveDeadline  = "deadline"  // a job of a class is done within a multiple of its deadline
+)
+
+// never is later than any time.
+const never = time.Duration(1 << 62)
+
+// startLimit finds the earliest of some latest starts that has not passed.
+type startLimit struct {
+	now      time.Duration
+	earliest time.Duration // never if there is none
+}
+
+// add considers one more latest start.
+func (l *startLimit) add(latestStart time.Duration) {
+	if latestStart >= l.now {
+		l.earliest = min(l.earliest, latestStart)
 	}
+}
+
+// latestUsefulStart returns the latest time at which a job can start without missing another objective. If all have been
+// missed, or there are none, it returns the time of submission and false.
+func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
+	limit := startLimit{now: now, earliest: never}
+	runTime := config.Seconds(f.estimate(job))
 	if job.Spec.DeadlineS != nil {
-		consider(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS) - est)
+		limit.add(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS) - runTime)
 	}
-	for _, o := range f.Settings.Params.Objectives {
-		if o.Kind == "guarantee" && f.ranking.withinGuarantee[job.Index] && !job.Started {
-			consider(job.SubmittedAt + config.Seconds(o.WithinS))
+	for i := range f.Settings.Params.Objectives {
+		objective := &f.Settings.Params.Objectives[i]
+		if objective.Kind == objectiveGuarantee && f.ranking.withinGuarantee[job.Index] && !job.Started {
+			limit.add(job.SubmittedAt + config.Seconds(objective.WithinS))
 		}
-		if o.Class != job.Spec.Class {
+		if objective.Class != job.Spec.Class {
 			continue
 		}
-		switch o.Kind {
-		case "wait":
+		switch objective.Kind {
+		case objectiveWait:
 			if !job.Started {
-				consider(job.SubmittedAt + config.Seconds(o.WithinS))
+				limit.add(job.SubmittedAt + config.Seconds(objective.WithinS))
 			}
-		case "finished":
-			consider(job.SubmittedAt + config.Seconds(o.WithinS) - est)
-		case "deadline":
-			if job.Spec.DeadlineS != nil && o.Times > 1 {
-				consider(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS*o.Times) - est)
+		case objectiveFinished:
+			limit.add(job.SubmittedAt + config.Seconds(objective.WithinS) - runTime)
+		case objectiveDeadline:
+			if job.Spec.DeadlineS != nil && objective.Times > 1 {
+				limit.add(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS*objective.Times) - runTime)
 			}
 		}
 	}
-	if !ok {
+	if limit.earliest == never {
 		return job.SubmittedAt, false
 	}
-	return best, true
+	return limit.earliest, true
 }
 
-// urgency is a job's place among its equals: its latest useful start, and whether an aim
-// can still be met.
+// urgency orders jobs of the same priority.
 type urgency struct {
 	latestStart time.Duration
-	attainable  bool
+	attainable  bool // an objective can still be met
 }
 
-// RankJobs orders the live jobs: what lies within its team's guarantee first, then by
-// priority, then the latest start that still meets an aim; jobs past all aims come last, oldest
-// first.
+// RankJobs makes the priority order of live jobs anew: first jobs within their team's guarantee, then by priority, then by
+// the latest start that still meets an objective. Jobs that can meet none any more come last, oldest first.
 func (f *Fleet) RankJobs(now time.Duration) {
 	f.ranking.at = now
 	for _, job := range f.ranking.jobs {
 		job.QueuePosition = 0
 	}
+	f.collectLiveJobs()
+	f.findJobsWithinGuarantee()
+	urgencies := make(map[jobs.Index]urgency, len(f.ranking.jobs))
+	for _, job := range f.ranking.jobs {
+		latestStart, attainable := f.latestUsefulStart(now, job)
+		urgencies[job.Index] = urgency{latestStart, attainable}
+	}
+	f.sortByRank(f.ranking.jobs, urgencies)
+	f.demoteUnattainableDeadlines(now, urgencies)
+	f.promoteOverdueJobs(now)
+	for i, job := range f.ranking.jobs {
+		job.QueuePosition = i + 1
+	}
+}
+
+// collectLiveJobs fills the ranking with the live jobs, oldest first.
+func (f *Fleet) collectLiveJobs() {
 	f.ranking.jobs = f.ranking.jobs[:0]
 	f.Jobs.ForEachLive(func(job *jobs.Job) {
 		if job.Tasks != nil && job.Spec != nil {
 			f.ranking.jobs = append(f.ranking.jobs, job)
 		}
 	})
-	sort.Slice(f.ranking.jobs, func(a, b int) bool {
-		if f.ranking.jobs[a].SubmittedAt != f.ranking.jobs[b].SubmittedAt {
-			return f.ranking.jobs[a].SubmittedAt < f.ranking.jobs[b].SubmittedAt
-		}
-		return f.ranking.jobs[a].ID < f.ranking.jobs[b].ID
+	slices.SortFunc(f.ranking.jobs, func(a, b *jobs.Job) int {
+		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.ID, b.ID))
 	})
-	demand := map[int32]planner.Size{}
+}
+
+// findJobsWithinGuarantee finds the jobs that their team's guarantee covers, together with the team's older jobs.
+func (f *Fleet) findJobsWithinGuarantee() {
 	clear(f.ranking.withinGuarantee)
-	keys := make(map[jobs.Index]urgency, len(f.ranking.jobs))
+	demandByTeam := map[int32]planner.Size{}
 	for _, job := range f.ranking.jobs {
 		size := job.Spec.Size()
-		n := float64(job.TaskCount - job.FinishedTasks)
-		sum := demand[job.Team].Add(planner.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n})
-		demand[job.Team] = sum
-		f.ranking.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, sum)
-		duration, ok := f.latestUsefulStart(now, job)
-		keys[job.Index] = urgency{duration, ok}
-	}
-	f.sortByRank(f.ranking.jobs, keys)
-	f.demoteUnattainableDeadlines(now, keys)
-	f.promoteOverdueJobs(now)
-	for i, job := range f.ranking.jobs {
-		job.QueuePosition = i + 1
+		unfinished := float64(job.TaskCount - job.FinishedTasks)
+		demand := demandByTeam[job.Team].Add(planner.Size{CPUs: size.CPUs * unfinished, GPUs: size.GPUs * unfinished})
+		demandByTeam[job.Team] = demand
+		f.ranking.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, demand)
 	}
 }
 
-// sortByRank orders jobs among which equal ones keep their places.
-func (f *Fleet) sortByRank(jobList []*jobs.Job, keys map[jobs.Index]urgency) {
+// sortByRank sorts jobs into priority order. Equal ones keep their order.
+func (f *Fleet) sortByRank(jobList []*jobs.Job, urgencies map[jobs.Index]urgency) {
 	sort.SliceStable(jobList, func(a, b int) bool {
-		x, y := jobList[a], jobList[b]
-		// What may preempt the other must also rank before it, or the room it made
-		// would be taken by its victims again.
-		if wx, wy := f.ranking.withinGuarantee[x.Index], f.ranking.withinGuarantee[y.Index]; wx != wy {
-			return wx
+		x := jobList[a]
+		y := jobList[b]
+		// A job that may preempt another must also rank before it, or its victims would take the room it made again.
+		xWithin := f.ranking.withinGuarantee[x.Index]
+		if xWithin != f.ranking.withinGuarantee[y.Index] {
+			return xWithin
 		}
 		if x.Priority != y.Priority {
 			return x.Priority > y.Priority
 		}
-		kx, ky := keys[x.Index], keys[y.Index]
-		if kx.attainable != ky.attainable {
-			return kx.attainable
+		xUrgency := urgencies[x.Index]
+		yUrgency := urgencies[y.Index]
+		if xUrgency.attainable != yUrgency.attainable {
+			return xUrgency.attainable
 		}
-		return kx.latestStart < ky.latestStart
+		return xUrgency.latestStart < yUrgency.latestStart
 	})
 }
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -1,8 +1,9 @@
 package fleet
 
-// That every job begins: whatever its size and rank, within a time from its submission.
+// Start deadlines: every job, whatever its size and rank, starts within a time from its submission.
 
 import (
+	"cmp"
 	"slices"
 	"time"
 
@@ -10,57 +11,85 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// startDeadlineTasks is how many tasks of an array or a service go before everybody else once it is overdue to begin. That is
-// so little that nobody's guarantee feels it, and stops with its first start.
+// startDeadlineTasks is how many tasks of an array or a service go before all other jobs once its start is overdue. So few
+// hardly take from any team's guarantee, and the rule ends with the first start.
 const startDeadlineTasks = 2
 
-// startDeadlineFraction is the part of the time in which every job is to begin after which one goes first: what a large gang needs is
-// gathered as tasks end, and that takes the rest.
+// startDeadlineFraction is the part of the time in which every job is to start after which its start is overdue. The rest is
+// left for a large gang's machines to come free.
 const startDeadlineFraction = 0.5
 
-// startOverdue tells whether nothing of a job has ever started though it has waited for long. Its age counts from its
-// submission, which is durable, so that it survives a change of the lead.
+// startClass is a class of jobs in the priority order, by overdue starts. Lower classes rank first.
+type startClass int
+
+const (
+	overdueTasks           startClass = iota // arrays and services with an overdue start
+	overdueWithinGuarantee                   // overdue gangs within their team's guarantee
+	withinGuarantee                          // other jobs within their team's guarantee
+	overdueBeyondGuarantee                   // overdue gangs beyond it
+	beyondGuarantee                          // other jobs beyond it
+)
+
+// isOverdue reports whether the jobs of a class have overdue starts.
+func (c startClass) isOverdue() bool { return c != withinGuarantee && c != beyondGuarantee }
+
+// startOverdue reports whether no task of a job has ever started although it was submitted long ago. Its age counts from its
+// submission, which is durable, so that it survives a failover.
 func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
 	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.BeginS)
-	return limit > 0 && !job.Started && job.FinishedTasks == 0 && job.TasksOnMachines() == 0 && now-job.SubmittedAt > limit && f.crashLooping(job) == nil && !job.Idle()
+	if limit <= 0 || now-job.SubmittedAt <= limit {
+		return false
+	}
+	hasStarted := job.Started || job.FinishedTasks > 0 || job.TasksOnMachines() > 0
+	return !hasStarted && f.crashLooping(job) == nil && !job.Idle()
 }
 
-// promoteOverdueJobs moves what is overdue to begin forward in the order of ranks: a few tasks of arrays and services before
-// everybody; gangs, which take more, before all others that lie within their team's guarantee like them, or don't. Without it
-// a large gang that has missed its aims ranks behind every younger one that still can meet them, for ever under a
-// constant stream, and guests behind everybody as long as anybody waits. It ends with a job's first start, so that
-// it and a job that may preempt it can't take turns.
+// promoteOverdueJobs moves jobs with overdue starts forward in the priority order: a few tasks of arrays and services before
+// all jobs; gangs, which take more, before all others that are within their team's guarantee like them, or beyond it.
+//
+// Without it a large gang that has missed its objectives would rank behind every younger one that can still meet them, for
+// ever under a constant stream of those, and low priorities behind all others as long as any job waits. The promotion ends
+// with a job's first start, so that the job and another that may preempt it can't stop each other in turn.
 func (f *Fleet) promoteOverdueJobs(now time.Duration) {
 	clear(f.ranking.startDeadlineDue)
-	place := func(job *jobs.Job) int {
-		late := f.startOverdue(now, job)
-		switch {
-		case late && job.Spec.Kind != jobs.Gang:
+	classes := make(map[jobs.Index]startClass, len(f.ranking.jobs))
+	anyOverdue := false
+	for _, job := range f.ranking.jobs {
+		class := f.startClassOf(now, job)
+		classes[job.Index] = class
+		if class == overdueTasks {
 			f.ranking.startDeadlineDue[job.Index] = true
-			return 0
-		case f.ranking.withinGuarantee[job.Index] && late:
-			return 1
-		case f.ranking.withinGuarantee[job.Index]:
-			return 2
-		case late:
-			return 3
 		}
-		return 4
+		anyOverdue = anyOverdue || class.isOverdue()
 	}
-	places := make(map[jobs.Index]int, len(f.ranking.jobs))
-	moved := false
-	for _, job := range f.ranking.jobs {
-		p := place(job)
-		places[job.Index] = p
-		moved = moved || p%2 == 1 || p == 0
-	}
-	if !moved {
+	if !anyOverdue {
 		return
 	}
 	slices.SortStableFunc(f.ranking.jobs, func(a, b *jobs.Job) int {
-		if d := places[a.Index] - places[b.Index]; d != 0 || places[a.Index]%2 == 0 && places[a.Index] > 0 {
-			return d
+		class := classes[a.Index]
+		if class != classes[b.Index] {
+			return cmp.Compare(class, classes[b.Index])
+		}
+		if class.isOverdue() {
+			return cmp.Compare(a.SubmittedAt, b.SubmittedAt)
 		}
-		return int(min(1, max(-1, a.SubmittedAt-b.SubmittedAt))) // the oldest first among those that are overdue
+		return 0
 	})
 }
+
+// startClassOf returns a job's class in the priority order.
+func (f *Fleet) startClassOf(now time.Duration, job *jobs.Job) startClass {
+	overdue := f.startOverdue(now, job)
+	within := f.ranking.withinGuarantee[job.Index]
+	switch {
+	case overdue && job.Spec.Kind != jobs.Gang:
+		return overdueTasks
+	case within && overdue:
+		return overdueWithinGuarantee
+	case within:
+		return withinGuarantee
+	case overdue:
+		return overdueBeyondGuarantee
+	}
+	return beyondGuarantee
+}
