--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -8,68 +8,108 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A machine is free and has room, and a better choice is busy, whose task goes on and on: it has the job's image, or the free one is
-// an ordinary machine that others need. A job lets that put it off for a while, not for ever; without the bound it does.
-func TestBetterChoicesEnd(t *testing.T) {
-	for name, c := range map[string]struct {
-		kind  jobs.Kind
-		image float64 // GB, at 1 GB a second
-		spot  bool    // the busy machine is a spot one, and ordinary ones are needed by others
-	}{"array, image": {jobs.Array, 90, false}, "gang, image": {jobs.Gang, 90, false}, "array, ordinary": {jobs.Array, 1, true}} {
-		waits := func(ages bool) time.Duration {
-			g := mixed(t)
-			on, spot := map[string][]TaskReport{}, map[string]bool{"busy": c.spot}
-			run := func(m string) {
-				for _, cmd := range starts(g.see(m, "cpu", spot[m], on[m]...)) {
-					on[m] = append(on[m], TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: taskRunning})
-				}
-				g.see(m, "cpu", spot[m], on[m]...)
-			}
-			give := func(n int, change func(*jobs.Spec)) *jobs.Job {
-				s := spec(n, 1)
-				s.CPUs, s.ImageGB, s.EstimateS, s.Spot = 8, c.image, 300, true
-				change(s)
-				job := g.submit(s)
-				job.SubmittedAt = g.now
-				return job
-			}
-			run("busy")
-			give(1, func(spec *jobs.Spec) { spec.EstimateS = 1 }) // it runs for far longer than that
-			for range 3 {
-				g.settleFor(3, store.Committed)
-				run("busy")
-			}
-			run("free")
-			if c.spot { // what ordinary machines are needed for
-				give(2, func(spec *jobs.Spec) { spec.Spot, spec.CPUs = false, 1 })
-			}
-			for range 3 {
-				g.settleFor(3, store.Committed)
-				run("free")
-			}
-			job := give(3, func(spec *jobs.Spec) { spec.Kind, spec.CPUs = c.kind, 7 })
-			at := g.now
-			for g.now-at < 80*time.Second && job.TasksOnMachines() == 0 {
-				g.now += 700 * time.Millisecond
-				if !ages {
-					job.RoomSince = 0
-				}
-				g.settleFor(3, store.Committed)
-				run("busy")
-				run("free")
+// betterChoice is a scenario with a busy machine that a job prefers and that is never free, and a free one that has room.
+type betterChoice struct {
+	name       string
+	kind       jobs.Kind
+	imageGB    float64 // fetched at 1 GB a second
+	busyIsSpot bool    // and the free machine is an on-demand one, which other jobs need
+}
+
+// betterChoiceRun is one run of a scenario.
+type betterChoiceRun struct {
+	*rig
+	betterChoice
+	running map[string][]TaskReport // by machine
+}
+
+func newBetterChoiceRun(t *testing.T, scenario betterChoice) *betterChoiceRun {
+	t.Helper()
+	return &betterChoiceRun{rig: mixed(t), betterChoice: scenario, running: map[string][]TaskReport{}}
+}
+
+// heartbeat lets a machine start what its commands ask for, and report it.
+func (r *betterChoiceRun) heartbeat(machine string) {
+	r.t.Helper()
+	spot := machine == "busy" && r.busyIsSpot
+	for _, command := range starts(r.see(machine, "cpu", spot, r.running[machine]...)) {
+		report := TaskReport{Task: command.Task, Attempt: command.Attempt, State: taskRunning}
+		r.running[machine] = append(r.running[machine], report)
+	}
+	r.see(machine, "cpu", spot, r.running[machine]...)
+}
+
+// settleMachine lets a machine and the store settle.
+func (r *betterChoiceRun) settleMachine(machine string) {
+	r.t.Helper()
+	for range 3 {
+		r.settleFor(3, store.Committed)
+		r.heartbeat(machine)
+	}
+}
+
+// submitNow submits a job that takes a whole machine and may use spot machines, but for what change says.
+func (r *betterChoiceRun) submitNow(n int, change func(*jobs.Spec)) *jobs.Job {
+	s := spec(n, 1)
+	s.CPUs = 8
+	s.ImageGB = r.imageGB
+	s.EstimateS = 300
+	s.Spot = true
+	change(s)
+	job := r.submit(s)
+	job.SubmittedAt = r.now
+	return job
+}
+
+// wait returns how long a job waits until it begins, at most 80 s and a little. If not starves, the time for which it has
+// waited beside room is reset again and again.
+func (r *betterChoiceRun) wait(starves bool) time.Duration {
+	r.t.Helper()
+	const limit = 80 * time.Second
+	r.heartbeat("busy")
+	r.submitNow(1, func(s *jobs.Spec) { s.EstimateS = 1 }) // it runs for far longer than that
+	r.settleMachine("busy")
+	r.heartbeat("free")
+	if r.busyIsSpot { // what on-demand machines are needed for
+		r.submitNow(2, func(s *jobs.Spec) { s.Spot, s.CPUs = false, 1 })
+	}
+	r.settleMachine("free")
+	job := r.submitNow(3, func(s *jobs.Spec) { s.Kind, s.CPUs = r.kind, 7 })
+	submittedAt := r.now
+	for r.now-submittedAt < limit && job.TasksOnMachines() == 0 {
+		r.now += 700 * time.Millisecond
+		if !starves {
+			job.RoomSince = 0
+		}
+		r.settleFor(3, store.Committed)
+		r.heartbeat("busy")
+		r.heartbeat("free")
+	}
+	if len(r.running["busy"]) != 1 {
+		r.t.Fatalf("on the busy machine is %v", r.running["busy"])
+	}
+	return r.now - submittedAt
+}
+
+// A machine is free and has room, and a better choice is busy with a task that goes on and on: it has the job's image, or the
+// free one is an on-demand machine that others need. A job waits for the better choice for a bounded time. Without the bound
+// it waits for ever.
+func TestWaitForBetterChoiceIsBounded(t *testing.T) {
+	for _, scenario := range []betterChoice{
+		{name: "array, image", kind: jobs.Array, imageGB: 90},
+		{name: "gang, image", kind: jobs.Gang, imageGB: 90},
+		{name: "array, on-demand machine", kind: jobs.Array, imageGB: 1, busyIsSpot: true},
+	} {
+		t.Run(scenario.name, func(t *testing.T) {
+			bounded := newBetterChoiceRun(t, scenario).wait(true)
+			unbounded := newBetterChoiceRun(t, scenario).wait(false)
+			t.Logf("it begins after %v, without the bound after %v", bounded, unbounded)
+			if bounded > 60*time.Second {
+				t.Errorf("it waits %v beside room", bounded)
 			}
-			if len(on["busy"]) != 1 {
-				t.Fatalf("%s: on the busy machine is %v", name, on["busy"])
+			if unbounded < 80*time.Second {
+				t.Errorf("without the bound it waits %v only: the test shows nothing", unbounded)
 			}
-			return g.now - at
-		}
-		with, without := waits(true), waits(false)
-		t.Logf("%s: it begins after %v, without the bound after %v", name, with, without)
-		if with > 60*time.Second {
-			t.Errorf("%s: it waits %v beside room", name, with)
-		}
-		if without < 80*time.Second {
-			t.Errorf("%s: without the bound it waits %v only: the test shows nothing", name, without)
-		}
+		})
 	}
 }
