--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -11,11 +11,12 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// loaded is a fleet as a leader has it in a burst: every lane of the machines is full, and
-// arrays times perArray tasks are planned besides. It returns a report of each machine.
+// loaded returns a fleet as a leader has it in a burst: every slot of the machines is taken, and arrays times perArray tasks are
+// submitted in all. With it comes an encoded heartbeat of each machine.
 func loaded(t testing.TB, machines, arrays, perArray int) (*rig, [][]byte) {
+	t.Helper()
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
-	on := map[string][]TaskReport{}
+	running := map[string][]TaskReport{}
 	for i := range machines {
 		g.see(fmt.Sprintf("i-%06d", i), "ty", false)
 	}
@@ -27,44 +28,53 @@
 	for range 4 {
 		g.settle(store.Committed)
 		for i := range machines {
-			g.runAll(fmt.Sprintf("i-%06d", i), "ty", on)
+			g.runAll(fmt.Sprintf("i-%06d", i), "ty", running)
 		}
 	}
-	var reports [][]byte
+	var heartbeats [][]byte
 	for _, machine := range g.machines {
-		raw, err := json.Marshal(Heartbeat{Machine: machine.Name, Addr: machine.Addr, Type: "ty", Zone: "z", Session: 1, Token: fenced, Tasks: on[machine.Name]})
+		encoded, err := json.Marshal(Heartbeat{
+			Machine: machine.Name,
+			Addr:    machine.Addr,
+			Type:    "ty",
+			Zone:    "z",
+			Session: 1,
+			Token:   fenced,
+			Tasks:   running[machine.Name],
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		reports = append(reports, raw)
+		heartbeats = append(heartbeats, encoded)
 	}
-	return g, reports
+	return g, heartbeats
 }
 
-// answer reads and answers one report, as a connection and the event loop do.
-func (g *rig) answer(raw []byte) HeartbeatResponse {
-	heartbeat, err := ParseHeartbeat(raw)
+// respond parses a heartbeat and responds to it, as a connection and the event loop do.
+func (g *rig) respond(encoded []byte) HeartbeatResponse {
+	g.t.Helper()
+	heartbeat, err := ParseHeartbeat(encoded)
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.seq++
 	heartbeat.Seq = g.seq
-	a, v := g.HandleHeartbeat(g.now, heartbeat)
-	if v != Accepted {
-		g.t.Fatalf("report refused: %d", v)
+	response, outcome := g.HandleHeartbeat(g.now, heartbeat)
+	if outcome != Accepted {
+		g.t.Fatalf("heartbeat refused: %d", outcome)
 	}
-	return a
+	return response
 }
 
-func BenchmarkReport(b *testing.B) {
-	g, reports := loaded(b, 700, 60, 120)
+func BenchmarkHeartbeat(b *testing.B) {
+	g, heartbeats := loaded(b, 700, 60, 120)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		g.answer(reports[i%len(reports)])
+		g.respond(heartbeats[i%len(heartbeats)])
 	}
 }
 
-func BenchmarkPass(b *testing.B) {
+func BenchmarkSchedulingCycle(b *testing.B) {
 	g, _ := loaded(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -73,7 +83,7 @@
 	}
 }
 
-func BenchmarkPush(b *testing.B) {
+func BenchmarkDispatch(b *testing.B) {
 	g, _ := loaded(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -86,7 +96,7 @@
 	job := g.Jobs.Get("req-000001")
 	b.ReportAllocs()
 	for b.Loop() {
-		job.EncodeSegment(job.Segments[0], 1, func(m int32) string { return g.machines[m].Name })
+		job.EncodeSegment(job.Segments[0], 1, func(machineIndex int32) string { return g.machines[machineIndex].Name })
 	}
 }
 
@@ -94,42 +104,42 @@
 	g, _ := loaded(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
-		n := newRig(b, 2, g.kv)
-		if len(n.machines) == 0 {
+		next := newRig(b, 2, g.kv)
+		if len(next.machines) == 0 {
 			b.Fatal("nothing was loaded")
 		}
 	}
 }
 
-// What a report costs in memory bounds how many a second the leader can take: the names in it
-// and its list of tasks, little else. Maps made for each report once doubled it.
-func TestAllocationsOfAReport(t *testing.T) {
-	g, reports := loaded(t, 20, 4, 100)
+// The allocations for a heartbeat bound how many a second a leader can take: those for the names in it and for its list of
+// tasks, and little else.
+func TestAllocationsOfAHeartbeat(t *testing.T) {
+	g, heartbeats := loaded(t, 20, 4, 100)
 	tasks := len(g.machines[0].Tasks)
 	if tasks < 4 {
 		t.Fatalf("%d tasks on a machine", tasks)
 	}
-	n := testing.AllocsPerRun(200, func() { g.answer(reports[0]) })
-	if limit := float64(12 + 2*tasks); n > limit {
-		t.Fatalf("%v allocations for a report of %d tasks, want at most %v", n, tasks, limit)
+	allocations := testing.AllocsPerRun(200, func() { g.respond(heartbeats[0]) })
+	if limit := float64(12 + 2*tasks); allocations > limit {
+		t.Fatalf("%v allocations for a heartbeat with %d tasks, want at most %v", allocations, tasks, limit)
 	}
 }
 
-// Machines without room cost a push no look at their lanes, however much waits there.
-func TestPushPassesFullMachinesOver(t *testing.T) {
+// A direct dispatch doesn't look at the queues of machines without room, however many tasks wait there.
+func TestDispatchSkipsFullMachines(t *testing.T) {
 	g, _ := loaded(t, 40, 30, 100)
-	waiting := 0
+	queued := 0
 	for _, job := range g.ranking.jobs {
-		waiting += job.TasksByState[jobs.Planned]
+		queued += job.TasksByState[jobs.Planned]
 	}
 	before := g.PlanningSteps
-	if g.dispatch(g.now); g.PlanningSteps != before || waiting < 1000 {
-		t.Fatalf("%d steps for machines without room, with %d tasks waiting", g.PlanningSteps-before, waiting)
+	g.dispatch(g.now)
+	if steps := g.PlanningSteps - before; steps != 0 || queued < 1000 {
+		t.Fatalf("%d steps for machines without room, with %d queued tasks", steps, queued)
 	}
 }
 
-// What can't be sent now stays planned, and goes out when there is room: launches beyond the
-// bound once counted as sent and came to nothing.
+// Direct requests under way are bounded. Launches that can't be sent now stay planned, and are sent when the bound allows.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	g.MaxDirectRequests = 3
@@ -142,14 +152,15 @@
 	for range 10 {
 		g.now += 100 * time.Millisecond
 		g.Tick(g.now, true)
-		if open := len(g.orders) - answered; open > 3 || job.TasksByState[jobs.Launched] != 4*len(g.sent) {
-			t.Fatalf("%d commands under way, %d sent, %d tasks launched", open, len(g.sent), job.TasksByState[jobs.Launched])
+		launched := job.TasksByState[jobs.Launched]
+		if open := len(g.orders) - answered; open > 3 || launched != 4*len(g.sent) {
+			t.Fatalf("%d requests under way, %d sent, %d tasks launched", open, len(g.sent), launched)
 		}
 		for ; answered < len(g.orders); answered++ {
 			g.orders[answered](nil, true)
 		}
 	}
-	if job.TasksByState[jobs.Launched] != 40 {
-		t.Fatalf("%d of 40 tasks launched", job.TasksByState[jobs.Launched])
+	if launched := job.TasksByState[jobs.Launched]; launched != 40 {
+		t.Fatalf("%d of 40 tasks launched", launched)
 	}
 }
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -14,53 +14,70 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// The order of ranks against a plain one: what is overdue to begin goes forward by the rule, everybody else keeps the order
-// they have without it, and nothing that has begun moves.
-func TestWhatIsOverdueGoesFirst(t *testing.T) {
+// submitRandomJobs submits up to a dozen jobs of all kinds, priorities and ages, of which a third have started.
+func submitRandomJobs(g *rig, rng *rand.Rand) {
+	g.t.Helper()
+	for i := range 1 + rng.IntN(12) {
+		s := spec(i+1, 1+rng.IntN(6))
+		s.Kind = []jobs.Kind{jobs.Array, jobs.Gang, jobs.Service}[rng.IntN(3)]
+		s.Priority = []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)]
+		s.Team = []string{"t", "u"}[rng.IntN(2)]
+		job := g.submit(s)
+		job.SubmittedAt = time.Duration(rng.IntN(300)) * time.Second
+		job.Started = rng.IntN(3) == 0
+	}
+}
+
+// promoteOverdueModel is a slow, plain model of the promotion of jobs that have not started and are older than an age.
+func promoteOverdueModel(g *rig, ranked []*jobs.Job, now, age time.Duration) []*jobs.Job {
+	var promoted []*jobs.Job
+	overdue := func(job *jobs.Job) bool { return !job.Started && now-job.SubmittedAt > age }
+	isGang := func(job *jobs.Job) bool { return job.Spec.Kind == jobs.Gang }
+	take := func(oldestFirst bool, accept func(*jobs.Job) bool) {
+		var accepted []*jobs.Job
+		for _, job := range ranked {
+			if accept(job) {
+				accepted = append(accepted, job)
+			}
+		}
+		if oldestFirst {
+			slices.SortStableFunc(accepted, func(a, b *jobs.Job) int {
+				return int((a.SubmittedAt - b.SubmittedAt) / time.Second)
+			})
+		}
+		promoted = append(promoted, accepted...)
+	}
+	take(true, func(job *jobs.Job) bool { return overdue(job) && !isGang(job) })
+	for _, within := range []bool{true, false} {
+		take(true, func(job *jobs.Job) bool {
+			return overdue(job) && isGang(job) && g.ranking.withinGuarantee[job.Index] == within
+		})
+		take(false, func(job *jobs.Job) bool {
+			return !overdue(job) && g.ranking.withinGuarantee[job.Index] == within
+		})
+	}
+	return promoted
+}
+
+// The priority order is that of a plain model: jobs with overdue starts are moved forward, all others keep the order that they
+// have without the rule, and no job that has started is moved.
+func TestOverdueStartsGoFirst(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	moved := 0
 	for range 300 {
 		g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t", CPUs: 8}, {Name: "u"}})
-		for i := range 1 + rng.IntN(12) {
-			s := spec(i+1, 1+rng.IntN(6))
-			s.Kind = []jobs.Kind{jobs.Array, jobs.Gang, jobs.Service}[rng.IntN(3)]
-			s.Priority = []string{"prod", "urgent", "standard", "best_effort"}[rng.IntN(4)]
-			s.Team = []string{"t", "u"}[rng.IntN(2)]
-			job := g.submit(s)
-			job.SubmittedAt, job.Started = time.Duration(rng.IntN(300))*time.Second, rng.IntN(3) == 0
-		}
+		submitRandomJobs(g, rng)
 		now := 300 * time.Second
 		g.Settings.Operator.BeginS = 0
 		g.RankJobs(now)
-		was := slices.Clone(g.ranking.jobs)
+		unpromoted := slices.Clone(g.ranking.jobs)
 		g.Settings.Operator.BeginS = 240
 		g.RankJobs(now)
-		var want []*jobs.Job
-		late := func(job *jobs.Job) bool { return !job.Started && now-job.SubmittedAt > 120*time.Second }
-		take := func(oldest bool, f func(*jobs.Job) bool) {
-			var jobList []*jobs.Job
-			for _, job := range was {
-				if f(job) {
-					jobList = append(jobList, job)
-				}
-			}
-			if oldest {
-				slices.SortStableFunc(jobList, func(a, b *jobs.Job) int { return int((a.SubmittedAt - b.SubmittedAt) / time.Second) })
-			}
-			want = append(want, jobList...)
-		}
-		gang := func(job *jobs.Job) bool { return job.Spec.Kind == jobs.Gang }
-		take(true, func(job *jobs.Job) bool { return late(job) && !gang(job) })
-		for _, within := range []bool{true, false} {
-			take(true, func(job *jobs.Job) bool {
-				return late(job) && gang(job) && g.ranking.withinGuarantee[job.Index] == within
-			})
-			take(false, func(job *jobs.Job) bool { return !late(job) && g.ranking.withinGuarantee[job.Index] == within })
-		}
+		want := promoteOverdueModel(g, unpromoted, now, 120*time.Second)
 		if !slices.Equal(g.ranking.jobs, want) {
-			t.Fatalf("ranked otherwise")
+			t.Fatal("the priority order differs from the model's")
 		}
-		if !slices.Equal(was, want) {
+		if !slices.Equal(unpromoted, want) {
 			moved++
 		}
 	}
@@ -69,123 +86,195 @@
 	}
 }
 
-// Under a constant stream of small gangs that are urgent still, a gang that needs all machines at once, and has missed what it
-// could aim for, begins within the time; without the rule it never does. Guests' idle-time array begins too.
-func TestTheLargestBegin(t *testing.T) {
-	told := false
-	began := func(beginS float64) (gang, guest time.Duration) {
-		g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}, {Name: "guest"}})
-		g.Settings.Operator.BeginS = beginS
-		g.Settings.Params.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 30}}
-		on := map[string][]TaskReport{}
-		ends := map[string]time.Duration{}
-		names := []string{"m1", "m2", "m3", "m4"}
-		big := gang4()
-		var bigJob, guestJob *jobs.Job
-		rng := rand.New(rand.NewPCG(1, 2))
-		for n := 0; g.now < 400*time.Second; n++ {
-			g.now += 700 * time.Millisecond // and 300 more while writes settle
-			if n%3 == 0 {                   // more small ones than the machines can do
-				s := spec(100+n, 1)
-				s.Kind, s.CPUs, s.EstimateS = jobs.Gang, 3, 14
-				g.submit(s).SubmittedAt = g.now
-			}
-			if n == 40 {
-				bigJob = g.submit(big)
-				bigJob.SubmittedAt = g.now
-				s := spec(2, 50)
-				s.Team, s.Priority, s.EstimateS, s.Class, s.CPUs = "guest", "best_effort", 5, "idle", 2
-				guestJob = g.submit(s)
-				guestJob.SubmittedAt = g.now
-			}
-			for _, m := range names {
-				list := on[m][:0]
-				for _, k := range on[m] {
-					if g.now >= ends[k.Task] && k.State == taskRunning {
-						k.State, k.Why = taskExited, exitDone
-					}
-					list = append(list, k)
-				}
-				on[m] = list
-				for _, c := range g.see(m, "ty", false, on[m]...) {
-					switch c.Op {
-					case opStart:
-						on[m] = append(on[m], TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
-						ends[c.Task] = g.now + time.Duration(10+rng.IntN(8))*time.Second
-					case opForget:
-						on[m] = slices.DeleteFunc(on[m], func(k TaskReport) bool { return k.Task == c.Task })
-					}
-				}
-			}
-			g.settleFor(3, store.Committed)
-			if bigJob != nil && !bigJob.Started && beginS < 1000 && beginS > 0 && g.now-bigJob.SubmittedAt > 125*time.Second {
-				why := g.PendingReasons(g.now, bigJob)
-				told = told || len(why) == 1 && why[0].Cause == GangShort && strings.Contains(why[0].Text, "kept for it") && strings.Contains(why[0].Text, "goes first")
-			}
-			if bigJob != nil && bigJob.Started && gang == 0 {
-				gang = g.now - bigJob.SubmittedAt
-			}
-			if guestJob != nil && guestJob.Started && guest == 0 {
-				guest = g.now - guestJob.SubmittedAt
-			}
+// contention is a constant stream of small gangs, more than the machines can run, that can all still meet an objective. Beside
+// them a gang that needs all machines at once and an array of the lowest priority wait.
+type contention struct {
+	*rig
+	rng      *rand.Rand
+	machines []string
+	reports  map[string][]TaskReport  // by machine
+	endsAt   map[string]time.Duration // by task
+	gang     *jobs.Job
+	array    *jobs.Job
+	// gangAfter and arrayAfter are how long the two waited for their first start, 0 until then.
+	gangAfter  time.Duration
+	arrayAfter time.Duration
+	explained  bool // the gang's pending reason names the reservations and the promotion
+}
+
+func newContention(t *testing.T, beginS float64) *contention {
+	t.Helper()
+	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}, {Name: "guest"}})
+	g.Settings.Operator.BeginS = beginS
+	g.Settings.Params.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 30}}
+	return &contention{
+		rig:      g,
+		rng:      rand.New(rand.NewPCG(1, 2)),
+		machines: []string{"m1", "m2", "m3", "m4"},
+		reports:  map[string][]TaskReport{},
+		endsAt:   map[string]time.Duration{},
+	}
+}
+
+// run runs 400 s of it.
+func (c *contention) run() {
+	c.t.Helper()
+	for step := 0; c.now < 400*time.Second; step++ {
+		c.now += 700 * time.Millisecond // and 300 more while writes settle
+		if step%3 == 0 {
+			c.submitSmallGang(step)
+		}
+		if step == 40 {
+			c.submitWaitingJobs()
+		}
+		for _, machine := range c.machines {
+			c.heartbeat(machine)
+		}
+		c.settleFor(3, store.Committed)
+		if c.gang != nil {
+			c.observe()
+		}
+	}
+}
+
+func (c *contention) submitNow(s *jobs.Spec) *jobs.Job {
+	job := c.submit(s)
+	job.SubmittedAt = c.now
+	return job
+}
+
+func (c *contention) submitSmallGang(step int) {
+	s := spec(100+step, 1)
+	s.Kind = jobs.Gang
+	s.CPUs = 3
+	s.EstimateS = 14
+	c.submitNow(s)
+}
+
+func (c *contention) submitWaitingJobs() {
+	c.gang = c.submitNow(gang4())
+	s := spec(2, 50)
+	s.Team = "guest"
+	s.Priority = "best_effort"
+	s.EstimateS = 5
+	s.Class = "idle"
+	s.CPUs = 2
+	c.array = c.submitNow(s)
+}
+
+// heartbeat reports a machine's tasks, which end when their time has come, and starts and forgets tasks as commanded.
+func (c *contention) heartbeat(machine string) {
+	c.t.Helper()
+	reports := c.reports[machine]
+	for i := range reports {
+		if report := &reports[i]; c.now >= c.endsAt[report.Task] && report.State == taskRunning {
+			report.State = taskExited
+			report.Why = exitDone
+		}
+	}
+	for _, command := range c.see(machine, "ty", false, reports...) {
+		switch command.Op {
+		case opStart:
+			reports = append(reports, TaskReport{Task: command.Task, Attempt: command.Attempt, State: taskRunning})
+			c.endsAt[command.Task] = c.now + time.Duration(10+c.rng.IntN(8))*time.Second
+		case opForget:
+			reports = slices.DeleteFunc(reports, func(report TaskReport) bool { return report.Task == command.Task })
 		}
-		return gang, guest
 	}
-	gang, guest := began(240)
-	if !told {
-		t.Error("nobody who asks why it waits is told what is kept for it")
+	c.reports[machine] = reports
+}
+
+// observe records first starts, and whether the gang's pending reason explains its promotion once its start is overdue.
+func (c *contention) observe() {
+	age := c.now - c.gang.SubmittedAt
+	if !c.gang.Started && c.Settings.Operator.BeginS > 0 && age > 125*time.Second {
+		reasons := c.PendingReasons(c.now, c.gang)
+		c.explained = c.explained || len(reasons) == 1 &&
+			reasons[0].Cause == GangShort &&
+			strings.Contains(reasons[0].Text, "kept for it") &&
+			strings.Contains(reasons[0].Text, "goes first")
+	}
+	if c.gang.Started && c.gangAfter == 0 {
+		c.gangAfter = age
+	}
+	if c.array.Started && c.arrayAfter == 0 {
+		c.arrayAfter = c.now - c.array.SubmittedAt
+	}
+}
+
+// Under a constant stream of small gangs that can still meet an objective, a gang that needs all machines at once, and has
+// missed its own, starts within the time. So does an array of the lowest priority. Without the rule not both do.
+func TestLargestGangStartsInTime(t *testing.T) {
+	const limit = 240 * time.Second
+	promoted := newContention(t, limit.Seconds())
+	promoted.run()
+	t.Logf("with the rule the gang starts after %v, the array after %v", promoted.gangAfter, promoted.arrayAfter)
+	if !promoted.explained {
+		t.Error("the gang's pending reason doesn't name the machines that are kept for it")
 	}
-	t.Logf("with the rule the gang begins after %v, the guests after %v", gang, guest)
-	if gang == 0 || gang > 240*time.Second || guest == 0 || guest > 240*time.Second {
-		t.Errorf("the gang begins after %v, the guests after %v", gang, guest)
+	if promoted.gangAfter == 0 || promoted.gangAfter > limit || promoted.arrayAfter == 0 || promoted.arrayAfter > limit {
+		t.Errorf("the gang starts after %v, the array after %v", promoted.gangAfter, promoted.arrayAfter)
 	}
-	if gang, guest = began(0); gang > 0 && gang < 240*time.Second && guest > 0 && guest < 240*time.Second {
-		t.Errorf("without the rule they begin too, after %v and %v: the test shows nothing", gang, guest)
+	plain := newContention(t, 0)
+	plain.run()
+	t.Logf("without the rule after %v and %v (0: never)", plain.gangAfter, plain.arrayAfter)
+	if plain.gangAfter > 0 && plain.gangAfter < limit && plain.arrayAfter > 0 && plain.arrayAfter < limit {
+		t.Errorf("without the rule they start too, after %v and %v: the test shows nothing", plain.gangAfter, plain.arrayAfter)
 	}
-	t.Logf("without the rule after %v and %v (0: never)", gang, guest)
 }
 
-// Guests without accelerators on machines that all have them, for which other work always waits: no lane was left for them.
+// Jobs without accelerators start on machines that all have them, although other work always waits for those: either because
+// their start is overdue, or because nothing is kept from starving jobs. Without both rules they never start.
 func TestGuestsBeginBesideAccelerators(t *testing.T) {
-	// Either what is overdue to begin goes first, or nothing is held from what has waited for long; without both they never begin.
 	for _, c := range []struct {
-		beginS float64
-		ages   bool
-	}{{240, false}, {0, true}, {0, false}} {
-		g := mixed(t)
-		g.Settings.Operator.BeginS = c.beginS
-		on := map[string][]TaskReport{}
-		g.see("g1", "gpu", false)
-		for n, cpus := range []float64{5, 6} { // the larger ones wait for ever, and leave nothing beside them
-			s := spec(10+n, 2)
-			s.GPUs, s.CPUs, s.EstimateS = 1, cpus, 1000
-			g.submit(s)
-			g.settleFor(3, store.Committed)
-			g.runAll("g1", "gpu", on)
-		}
-		guest := spec(2, 5)
-		guest.Priority, guest.Class = "best_effort", "idle"
-		job := g.submit(guest)
-		for range 160 {
-			g.now += time.Second
-			if !c.ages {
-				job.RoomSince = 0
+		name    string
+		beginS  float64
+		starves bool
+		want    bool // to have started
+	}{
+		{name: "overdue", beginS: 240, want: true},
+		{name: "starving", starves: true, want: true},
+		{name: "neither"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			g := mixed(t)
+			g.Settings.Operator.BeginS = c.beginS
+			running := map[string][]TaskReport{}
+			g.see("g1", "gpu", false)
+			for n, cpus := range []float64{5, 6} { // the larger ones wait for ever, and leave nothing beside them
+				s := spec(10+n, 2)
+				s.GPUs = 1
+				s.CPUs = cpus
+				s.EstimateS = 1000
+				g.submit(s)
+				g.settleFor(3, store.Committed)
+				g.runAll("g1", "gpu", running)
 			}
-			g.runAll("g1", "gpu", on)
-			g.settleFor(3, store.Committed)
-			if c.ages && !job.Started && g.now-job.SubmittedAt > 90*time.Second {
-				t.Errorf("%+v: the guests haven't begun after 90 s", c)
-				break
+			s := spec(2, 5)
+			s.Priority = "best_effort"
+			s.Class = "idle"
+			job := g.submit(s)
+			for range 160 {
+				g.now += time.Second
+				if !c.starves {
+					job.RoomSince = 0
+				}
+				g.runAll("g1", "gpu", running)
+				g.settleFor(3, store.Committed)
+				if c.starves && !job.Started && g.now-job.SubmittedAt > 90*time.Second {
+					t.Error("the job hasn't started after 90 s")
+					break
+				}
 			}
-		}
-		if began := job.Started; began != (c.beginS > 0 || c.ages) {
-			t.Errorf("%+v: the guests began: %v", c, began)
-		}
+			if job.Started != c.want {
+				t.Errorf("the job started: %v, want %v", job.Started, c.want)
+			}
+		})
 	}
 }
 
-// One task that waits for an accelerator, of which most are idle, doesn't keep the cores of all machines from work without: of twenty
-// idle machines some are left for it and what comes next, the others are used.
+// One task that waits for an accelerator, of which most are idle, doesn't keep the cores of all machines from work without: of
+// twenty idle machines some are left for it and for work still to come, the others are used.
 func TestFewWaitForAccelerators(t *testing.T) {
 	g := mixed(t)
 	names := make([]string, 20)
@@ -193,22 +282,27 @@
 		names[i] = fmt.Sprintf("g%02d", i)
 		g.see(names[i], "gpu", false)
 	}
-	s, elsewhere := spec(1, 1), "y"
-	s.GPUs, s.CPUs, s.Zone = 2, 12, &elsewhere // where no machine is
-	g.submit(s)
-	guest := spec(2, 200)
-	guest.Priority, guest.Class, guest.CPUs = "best_effort", "idle", 4
-	job := g.submit(guest)
-	on := map[string][]TaskReport{}
+	elsewhere := "y" // a zone without machines
+	waiting := spec(1, 1)
+	waiting.GPUs = 2
+	waiting.CPUs = 12
+	waiting.Zone = &elsewhere
+	g.submit(waiting)
+	small := spec(2, 200)
+	small.Priority = "best_effort"
+	small.Class = "idle"
+	small.CPUs = 4
+	job := g.submit(small)
+	running := map[string][]TaskReport{}
 	for range 6 {
 		g.settleFor(3, store.Committed)
-		for _, n := range names {
-			g.runAll(n, "gpu", on)
+		for _, name := range names {
+			g.runAll(name, "gpu", running)
 		}
 	}
 	used := 0
-	for _, n := range names {
-		if len(on[n]) > 0 {
+	for _, name := range names {
+		if len(running[name]) > 0 {
 			used++
 		}
 	}
@@ -217,8 +311,12 @@
 	}
 }
 
+// gang4 is a gang that takes four whole machines.
 func gang4() *jobs.Spec {
 	s := spec(1, 4)
-	s.Kind, s.CPUs, s.EstimateS, s.Class = jobs.Gang, 4, 20, "big"
+	s.Kind = jobs.Gang
+	s.CPUs = 4
+	s.EstimateS = 20
+	s.Class = "big"
 	return s
 }
