--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -13,7 +13,8 @@
 // noMachineRetryDelay is how long an array is not planned again after no machine was found that may take it.
 const noMachineRetryDelay = 500 * time.Millisecond
 
-// arraySlots are the servers of Balance-Reduce for one array. A slot is room for one of the array's tasks on a machine.
+// arraySlots are the servers of Balance-Reduce for one array. A slot is room for one of the array's tasks on a
+// machine.
 type arraySlots struct {
 	machines        []int32   // machine index by slot
 	load            []float64 // initial load by slot, in seconds
@@ -152,8 +153,8 @@
 		}
 	}
 	local := f.estimate(job)
-	// A machine fetches an image once for all its tasks, so the remote tasks share the fetches: if there are as many as
-	// slots, the cost of each is one whole fetch.
+	// A machine fetches an image once for all its tasks, so the remote tasks share the fetches: if there are as
+	// many as slots, the cost of each is one whole fetch.
 	costPerRemoteTask := f.Settings.Operator.NetworkFactor * slots.maxFetchSeconds / float64(slotCount)
 	return &planner.Problem{
 		Initial: slots.load,
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -10,14 +10,14 @@
 )
 
 // Free room may be kept from a job: by the reservation of a gang that waits for more of it, as processors beside
-// accelerators, as on-demand machines that others need, or because a busy machine would be the better choice. Each of these
-// may wait for what never comes, such as a gang larger than its zone or an estimate that is far too low. A job that has
-// waited for starvingAfter although there was room for it is starving: nothing is kept from it any more, but for the firm
-// reservations of gangs that are overdue to start themselves. Those hold until firmReservationLimit, which is below the 90 s
-// for which a job may wait so.
+// accelerators, as on-demand machines that others need, or because a busy machine would be the better choice. Each
+// of these may wait for what never comes, such as a gang larger than its zone or an estimate that is far too low. A
+// job that has waited for starvingAfter although there was room for it is starving: nothing is kept from it any
+// more, but for the firm reservations of gangs that are overdue to start themselves. Those hold until
+// firmReservationLimit, which is below the 90 s for which a job may wait so.
 //
-// Only the time with room counts, not the time waited: in an overload every job waits for long, and jobs would then take all
-// that comes free from large gangs, which once started after 873 s instead of 235 s.
+// Only the time with room counts, not the time waited: in an overload every job waits for long, and jobs would then
+// take all that comes free from large gangs, which once started after 873 s instead of 235 s.
 const (
 	starvingAfter        = 40 * time.Second
 	firmReservationLimit = 75 * time.Second
@@ -33,8 +33,8 @@
 	oneZone bool
 }
 
-// updateRoomSince records, for each waiting job, since when there has been room for it, whatever that is kept for. There is
-// none for a job that its team's limit or its licences hold back.
+// updateRoomSince records, for each waiting job, since when there has been room for it, whatever that is kept for.
+// There is none for a job that its team's limit or its licences hold back.
 func (f *Fleet) updateRoomSince(now time.Duration) {
 	if now < f.nextRoomCheck {
 		return
@@ -57,21 +57,21 @@
 		job.UnstartedTasks() > 0 &&
 		!job.Idle() &&
 		f.crashLooping(job) == nil &&
-		f.mayStart(job, tasksToBegin(job))
+		f.mayStart(job, tasksToStart(job))
 }
 
-// tasksToBegin returns how many tasks of a job must start together for it to begin.
-func tasksToBegin(job *jobs.Job) int {
+// tasksToStart returns how many tasks of a job must start together for it to start at all.
+func tasksToStart(job *jobs.Job) int {
 	if job.Spec.Kind == jobs.Gang {
 		return job.TaskCount
 	}
 	return 1
 }
 
-// hasRoom reports whether there is room for a job to begin. Results are shared, in known, between jobs that may use the same
-// machines.
+// hasRoom reports whether there is room for a job to start. Results are shared, in known, between jobs that may use
+// the same machines.
 func (f *Fleet) hasRoom(job *jobs.Job, known map[roomRequest]bool) bool {
-	tasks := tasksToBegin(job)
+	tasks := tasksToStart(job)
 	if len(job.AvoidedMachines) > 0 {
 		return f.findRoom(job, tasks)
 	}
@@ -115,7 +115,8 @@
 	return f.Now() - job.RoomSince
 }
 
-// isStarving reports whether a job has waited beside free room for so long that only firm reservations are kept from it.
+// isStarving reports whether a job has waited beside free room for so long that only firm reservations are kept
+// from it.
 func (f *Fleet) isStarving(job *jobs.Job) bool { return f.starvedFor(job) > starvingAfter }
 
 // isReservedFrom reports whether the reservation on a machine holds against a job.
@@ -129,9 +130,9 @@
 	return !f.isStarving(job)
 }
 
-// spareRoom returns what a machine's queue leaves of its free room for a task that would be moved there. Queued tasks may be
-// held back by what does not hold back a starving job: against such a job only gangs, services and other starving arrays
-// count.
+// spareRoom returns what a machine's queue leaves of its free room for a task that would be moved there. Queued
+// tasks may be held back by what does not hold back a starving job: against such a job only gangs, services and
+// other starving arrays count.
 func (f *Fleet) spareRoom(machine *Machine, job *jobs.Job) planner.Size {
 	if !f.isStarving(job) {
 		return machine.Free().Sub(machine.queuedNeed)
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -8,7 +8,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// betterChoice is a scenario with a busy machine that a job prefers and that is never free, and a free one that has room.
+// betterChoice is a scenario with a busy machine that a job prefers and that is never free, and a free one that has
+// room.
 type betterChoice struct {
 	name       string
 	kind       jobs.Kind
@@ -61,8 +62,8 @@
 	return job
 }
 
-// wait returns how long a job waits until it begins, at most 80 s and a little. If not starves, the time for which it has
-// waited beside room is reset again and again.
+// wait returns how long a job waits until it begins, at most 80 s and a little. If not starves, the time for which
+// it has waited beside room is reset again and again.
 func (r *betterChoiceRun) wait(starves bool) time.Duration {
 	r.t.Helper()
 	const limit = 80 * time.Second
@@ -91,9 +92,9 @@
 	return r.now - submittedAt
 }
 
-// A machine is free and has room, and a better choice is busy with a task that goes on and on: it has the job's image, or the
-// free one is an on-demand machine that others need. A job waits for the better choice for a bounded time. Without the bound
-// it waits for ever.
+// A machine is free and has room, and a better choice is busy with a task that goes on and on: it has the job's
+// image, or the free one is an on-demand machine that others need. A job waits for the better choice for a bounded
+// time. Without the bound it waits for ever.
 func TestWaitForBetterChoiceIsBounded(t *testing.T) {
 	for _, scenario := range []betterChoice{
 		{name: "array, image", kind: jobs.Array, imageGB: 90},
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// loaded returns a fleet as a leader has it in a burst: every slot of the machines is taken, and arrays times perArray tasks are
-// submitted in all. With it comes an encoded heartbeat of each machine.
+// loaded returns a fleet as a leader has it in a burst: every slot of the machines is taken, and arrays times
+// perArray tasks are submitted in all. With it comes an encoded heartbeat of each machine.
 func loaded(t testing.TB, machines, arrays, perArray int) (*rig, [][]byte) {
 	t.Helper()
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
@@ -111,8 +111,8 @@
 	}
 }
 
-// The allocations for a heartbeat bound how many a second a leader can take: those for the names in it and for its list of
-// tasks, and little else.
+// The allocations for a heartbeat bound how many a second a leader can take: those for the names in it and for its
+// list of tasks, and little else.
 func TestAllocationsOfAHeartbeat(t *testing.T) {
 	g, heartbeats := loaded(t, 20, 4, 100)
 	tasks := len(g.machines[0].Tasks)
@@ -139,7 +139,8 @@
 	}
 }
 
-// Direct requests under way are bounded. Launches that can't be sent now stay planned, and are sent when the bound allows.
+// Direct requests under way are bounded. Launches that can't be sent now stay planned, and are sent when the bound
+// allows.
 func TestDirectCommandsAreBounded(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	g.MaxDirectRequests = 3
--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -14,8 +14,8 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// waitWeight weighs the wait for room against a fetch. The time until a task ends is an estimate that is often wrong by
-// half, while the time of a fetch is certain, and a gang that waited in vain has to fetch all the same.
+// waitWeight weighs the wait for room against a fetch. The time until a task ends is an estimate that is often
+// wrong by half, while the time of a fetch is certain, and a gang that waited in vain has to fetch all the same.
 const waitWeight = 2.0
 
 // candidate is a machine that may take a job's task, and how soon.
@@ -46,8 +46,9 @@
 	oneZone         bool
 }
 
-// candidateList lists the machines that may take tasks of a shape, best first, as they were when the cycle first needed
-// the list. Within a cycle placing only takes room away, so a machine that once had too little is not looked at again.
+// candidateList lists the machines that may take tasks of a shape, best first, as they were when the cycle first
+// needed the list. Within a cycle placing only takes room away, so a machine that once had too little is not looked
+// at again.
 type candidateList struct {
 	candidates   []candidate
 	firstOpen    int           // candidates before it have no room any more
@@ -55,6 +56,7 @@
 	reservedUpTo map[int32]int // by zone, None for any: the index up to which machines were considered for reservations
 }
 
+// shapeOf returns the shape of a job that is not starving.
 func shapeOf(job *jobs.Job) jobShape {
 	types := make([]byte, 0, 4*len(job.Types))
 	for _, typeIndex := range job.Types {
@@ -104,7 +106,8 @@
 			option.secondsUntilRoom = f.secondsUntilRoom(now, machine, job)
 		}
 		// Differences below a second count for nothing.
-		option.score = math.Floor(waitWeight*option.secondsUntilRoom + option.fetchSeconds + f.spotWaitLimit(machine, job))
+		wait := waitWeight * option.secondsUntilRoom
+		option.score = math.Floor(wait + option.fetchSeconds + f.spotWaitLimit(machine, job))
 		candidates = append(candidates, option)
 	}
 	f.PlanningSteps += uint64(len(f.machines) + 4*len(candidates))
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -98,8 +98,8 @@
 	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranking.jobs))
 }
 
-// Tick does what is due at time now: it expires leases, runs a scheduling cycle, writes plans and, if this process has
-// the authority to act, dispatches commands.
+// Tick does what is due at time now: it expires leases, runs a scheduling cycle, writes plans and, if this process
+// has the authority to act, dispatches commands.
 func (f *Fleet) Tick(now time.Duration, authority bool) {
 	if !f.plansLoaded {
 		return
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -57,8 +57,8 @@
 	return needs
 }
 
-// admissibleTasks returns how many of a job's unstarted tasks could use a machine now, whatever its team's limit: none in
-// a crash loop's back-off, and none that wait for a licence.
+// admissibleTasks returns how many of a job's unstarted tasks could use a machine now, whatever its team's limit:
+// none in a crash loop's back-off, and none that wait for a licence.
 func (f *Fleet) admissibleTasks(now time.Duration, job *jobs.Job) int {
 	unstarted := job.UnstartedTasks()
 	if unstarted == 0 || f.inBackoff(now, job) {
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -8,7 +8,8 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// overrunFraction is the part of its run time so far for which a task that exceeded its estimate is expected to go on.
+// overrunFraction is the part of its run time so far for which a task that exceeded its estimate is expected to go
+// on.
 const overrunFraction = 0.25
 
 // classStats corrects the estimates of a class of jobs by the run times seen.
@@ -35,7 +36,8 @@
 	return job.Spec.EstimateS * f.classStatsOf(job.Class).ratio
 }
 
-// fetchSeconds returns how long a machine takes to fetch a job's image: 0 if it has the image, or if its rate is unknown.
+// fetchSeconds returns how long a machine takes to fetch a job's image: 0 if it has the image, or if its rate is
+// unknown.
 func (f *Fleet) fetchSeconds(job *jobs.Job, machine *Machine) float64 {
 	machineType := f.machineType(machine)
 	if machineType == nil || machineType.FetchGB <= 0 || machine.HasImage(job.Image) {
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -9,8 +9,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// replanGang resets a gang that can't start as planned: one whose machine was lost or filled up before it started, or one
-// that lost a task while it was running.
+// replanGang resets a gang that can't start as planned: one whose machine was lost or filled up before it started,
+// or one that lost a task while it was running.
 func (f *Fleet) replanGang(job *jobs.Job) {
 	onMachines := job.TasksOnMachines()
 	if onMachines == 0 && f.gangPlanIsStale(job) {
@@ -22,8 +22,9 @@
 	}
 }
 
-// gangPlanIsStale reports whether a planned gang, none of whose tasks is on a machine, has to be placed anew: some of it is
-// unplanned, or a machine takes no work any more or has no room left because a heartbeat reported a task there.
+// gangPlanIsStale reports whether a planned gang, none of whose tasks is on a machine, has to be placed anew: some
+// of it is unplanned, or a machine takes no work any more or has no room left because a heartbeat reported a task
+// there.
 func (f *Fleet) gangPlanIsStale(job *jobs.Job) bool {
 	if job.TasksByState[jobs.Planned] == 0 {
 		return false
@@ -62,7 +63,7 @@
 	f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
 }
 
-// stopRestOfGang stops the tasks of a gang that lost one: all must be gone before the gang can start again.
+// stopRestOfGang stops the tasks of a gang that lost one: all must have stopped before the gang can start again.
 func (f *Fleet) stopRestOfGang(job *jobs.Job) {
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
@@ -74,8 +75,8 @@
 	}
 }
 
-// placeGang plans an unplanned gang whole. If there is no room for it now, it preempts other work or reserves the machines
-// that will have room first, so that jobs after it in priority order don't take what comes free.
+// placeGang plans an unplanned gang whole. If there is no room for it now, it preempts other work or reserves the
+// machines that will have room first, so that jobs after it in priority order don't take what comes free.
 func (f *Fleet) placeGang(now time.Duration, job *jobs.Job) {
 	if !f.mayPlaceGang(now, job) {
 		return
@@ -150,8 +151,8 @@
 	return placement != nil
 }
 
-// placeSingleTask plans a gang of one task on the best candidate if that has room now: a busy machine that is preferred to
-// those with room is worth the wait, unless the job is starving.
+// placeSingleTask plans a gang of one task on the best candidate if that has room now: a busy machine that is
+// preferred to those with room is worth the wait, unless the job is starving.
 func (f *Fleet) placeSingleTask(now time.Duration, job *jobs.Job, list *candidateList) bool {
 	size := job.Spec.Size()
 	for ; list.firstOpen < len(list.candidates); list.firstOpen++ {
@@ -176,8 +177,8 @@
 	return false
 }
 
-// earliestGangStart estimates in how many seconds enough machines will have room for a gang, one for each task, and in
-// which zone if it must stay in one.
+// earliestGangStart estimates in how many seconds enough machines will have room for a gang, one for each task, and
+// in which zone if it must stay in one.
 func (f *Fleet) earliestGangStart(job *jobs.Job, list *candidateList) (zone int32, start float64) {
 	machinesByZone := map[int32]int{}
 	for i := range list.candidates {
--- a/internal/fleet/gpureserve.go
+++ b/internal/fleet/gpureserve.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Processors and memory that tasks without accelerators leave beside idle accelerators, for waiting work that needs both.
+// Processors and memory that tasks without accelerators leave beside idle accelerators, for waiting work that needs
+// both.
 
 import (
 	"math"
@@ -18,8 +19,8 @@
 	onDemand float64 // on on-demand machines only
 }
 
-// computeGPUReserve finds what waiting work takes of a machine besides each accelerator, and on which machines that is
-// kept free.
+// computeGPUReserve finds what waiting work takes of a machine besides each accelerator, and on which machines that
+// is kept free.
 func (f *Fleet) computeGPUReserve() {
 	reserve := &f.gpuReserve
 	reserve.perGPU = planner.Size{}
@@ -78,8 +79,9 @@
 }
 
 // reserveCPUsForGPUWork marks the machines on which processors stay free beside idle accelerators: for twice the
-// accelerators that waiting work needs, and for a fraction of all accelerators for work still to come, on machines that
-// such work may use. To keep them on every machine as long as a single task waits would leave most of the fleet idle.
+// accelerators that waiting work needs, and for a fraction of all accelerators for work still to come, on machines
+// that such work may use. To keep them on every machine as long as a single task waits would leave most of the
+// fleet idle.
 func (f *Fleet) reserveCPUsForGPUWork(waiting waitingGPUs) {
 	total := map[bool]float64{} // accelerators, by whether on spot machines
 	for _, machine := range f.machines {
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -47,8 +47,8 @@
 	return machine.expectedEnds
 }
 
-// secondsUntilRoom estimates when a machine will have room for a task of a job: unknownWaitSeconds if the end of all its
-// tasks does not make room.
+// secondsUntilRoom estimates when a machine will have room for a task of a job: unknownWaitSeconds if the end of
+// all its tasks does not make room.
 func (f *Fleet) secondsUntilRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
 	free := machine.Free()
 	if f.isReservedFrom(machine, job) {
@@ -64,8 +64,8 @@
 	return unknownWaitSeconds
 }
 
-// appendMachineWork appends to work what loads a machine: the tasks on it, then the tasks queued there for jobs up to a
-// rank. Tasks that preemptor, which may be nil, may preempt hardly count.
+// appendMachineWork appends to work what loads a machine: the tasks on it, then the tasks queued there for jobs up
+// to a rank. Tasks that preemptor, which may be nil, may preempt hardly count.
 func (f *Fleet) appendMachineWork(
 	work []planner.Work,
 	now time.Duration,
@@ -117,7 +117,8 @@
 	return work
 }
 
-// ExpectedWork returns the tasks on a machine with their remaining times, in a buffer that is valid until the next call.
+// ExpectedWork returns the tasks on a machine with their remaining times, in a buffer that is valid until the next
+// call.
 func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
 	f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, noRank, nil)
 	return f.scratch.work
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -12,8 +12,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// plannableFraction is the part of the machines that deadlines may count on. Estimates are wrong, machines are lost and
-// slots never fill up quite: a set of jobs that only just fits would miss its deadlines one after the other.
+// plannableFraction is the part of the machines that deadlines may count on. Estimates are wrong, machines are lost
+// and slots never fill up quite: a set of jobs that only just fits would miss its deadlines one after the other.
 const plannableFraction = 0.75
 
 // negligibleAmount is the amount of a resource below which it counts as none.
@@ -62,8 +62,8 @@
 	return last
 }
 
-// secondsOfWork returns how many seconds a pool of machines takes for an amount of work: those of the resource that takes
-// longest.
+// secondsOfWork returns how many seconds a pool of machines takes for an amount of work: those of the resource that
+// takes longest.
 func secondsOfWork(work, pool planner.Size) float64 {
 	resources := [...]struct{ work, pool float64 }{
 		{work.CPUs, pool.CPUs},
@@ -79,9 +79,10 @@
 	return seconds
 }
 
-// unattainableDeadlines chooses the jobs whose deadlines are given up, so that a pool of machines meets as many of the
-// others as possible. It uses the algorithm of Moore and Hodgson: jobs are taken by latest start, and whenever the work up
-// to one takes too long, the heaviest job so far is given up. The result is true for each job that is given up.
+// unattainableDeadlines chooses the jobs whose deadlines are given up, so that a pool of machines meets as many of
+// the others as possible. It uses the algorithm of Moore and Hodgson: jobs are taken by latest start, and whenever
+// the work up to one takes too long, the heaviest job so far is given up. The result is true for each job that is
+// given up.
 func unattainableDeadlines(now time.Duration, deadlineJobs []deadlineJob, pool planner.Size) []bool {
 	givenUp := make([]bool, len(deadlineJobs))
 	order := make([]int, len(deadlineJobs))
@@ -106,9 +107,9 @@
 	return givenUp
 }
 
-// demoteUnattainableDeadlines lets the arrays whose deadlines are given up in an overload change places, in the priority
-// order, with arrays whose deadlines can still be met. All other jobs keep their ranks: to rank a given-up array behind
-// every job without a deadline would lose more than the overload does.
+// demoteUnattainableDeadlines lets the arrays whose deadlines are given up in an overload change places, in the
+// priority order, with arrays whose deadlines can still be met. All other jobs keep their ranks: to rank a given-up
+// array behind every job without a deadline would lose more than the overload does.
 func (f *Fleet) demoteUnattainableDeadlines(now time.Duration, urgencies map[jobs.Index]urgency) {
 	deadlineJobs, pool := f.collectDeadlineJobs(urgencies)
 	givenUp := unattainableDeadlines(now, deadlineJobs, pool.Times(plannableFraction))
@@ -122,8 +123,8 @@
 	}
 }
 
-// collectDeadlineJobs returns the arrays with deadlines that can still be met, in priority order, and the capacity that
-// running tasks of other jobs leave for them. Jobs in a crash loop count on neither side.
+// collectDeadlineJobs returns the arrays with deadlines that can still be met, in priority order, and the capacity
+// that running tasks of other jobs leave for them. Jobs in a crash loop count on neither side.
 func (f *Fleet) collectDeadlineJobs(urgencies map[jobs.Index]urgency) ([]deadlineJob, planner.Size) {
 	pool := planner.Size{}
 	for _, machine := range f.machines {
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -13,8 +13,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// allAttainable is a slow, plain model: it reports whether all jobs of a set, given as a bit mask, can be done in time if
-// they are worked off by latest start.
+// allAttainable is a slow, plain model: it reports whether all jobs of a set, given as a bit mask, can be done in
+// time if they are worked off by latest start.
 func allAttainable(deadlineJobs []deadlineJob, set uint, pool planner.Size) bool {
 	var order []int
 	for i := range deadlineJobs {
@@ -33,8 +33,8 @@
 	return true
 }
 
-// As few deadlines as possible are given up, and the others can be met: compared with every possible choice, on a pool with
-// one scarce resource.
+// As few deadlines as possible are given up, and the others can be met: compared with every possible choice, on a
+// pool with one scarce resource.
 func TestFewestDeadlinesAreGivenUp(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	pool := planner.Size{CPUs: 10, Mem: 1000}
@@ -72,8 +72,8 @@
 	}
 }
 
-// In an overload a large array changes places with a small one whose deadline can still be met, and a job without a deadline
-// between them keeps its rank.
+// In an overload a large array changes places with a small one whose deadline can still be met, and a job without a
+// deadline between them keeps its rank.
 func TestGivenUpArraysChangePlaces(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	g.hear("m", 1, fenced)
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -2,10 +2,10 @@
 
 // The order in which planning takes machines.
 
-// packingOrder returns the machines that take work, in the order for planning: spot machines, which fewer jobs can use,
-// and machines in use come first, so that others stay free to be returned. Between equally loaded slots the planner
-// takes the first. The order is made once a cycle, by counting: to sort the fleet in each cycle cost a twentieth of a
-// leader's processor time.
+// packingOrder returns the machines that take work, in the order for planning: spot machines, which fewer jobs can
+// use, and machines in use come first, so that others stay free to be returned. Between equally loaded slots the
+// planner takes the first. The order is made once a cycle, by counting: to sort the fleet in each cycle cost a
+// twentieth of a leader's processor time.
 func (f *Fleet) packingOrder() []*Machine {
 	if f.cycle.packedMachines != nil {
 		return f.cycle.packedMachines
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// latestUsefulStart returns the latest time at which a job can start without missing another objective. If all have been
-// missed, or there are none, it returns the time of submission and false.
+// latestUsefulStart returns the latest time at which a job can start without missing another objective. If all have
+// been missed, or there are none, it returns the time of submission and false.
 func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
 	limit := startLimit{now: now, earliest: never}
 	runTime := config.Seconds(f.estimate(job))
@@ -78,8 +78,8 @@
 	attainable  bool // an objective can still be met
 }
 
-// RankJobs makes the priority order of live jobs anew: first jobs within their team's guarantee, then by priority, then by
-// the latest start that still meets an objective. Jobs that can meet none any more come last, oldest first.
+// RankJobs makes the priority order of live jobs anew: first jobs within their team's guarantee, then by priority,
+// then by the latest start that still meets an objective. Jobs that can meet none any more come last, oldest first.
 func (f *Fleet) RankJobs(now time.Duration) {
 	f.ranking.at = now
 	for _, job := range f.ranking.jobs {
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -14,8 +14,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// mixed is a rig whose machines are "cpu" with 8 cores or "gpu" with 12 cores and 2 accelerators, and whose teams "t" and "u"
-// are guaranteed 8 accelerators each.
+// mixed is a rig whose machines are "cpu" with 8 cores or "gpu" with 12 cores and 2 accelerators, and whose teams
+// "t" and "u" are guaranteed 8 accelerators each.
 func mixed(t *testing.T) *rig {
 	t.Helper()
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t", GPUs: 8}, {Name: "u", GPUs: 8}})
@@ -94,8 +94,8 @@
 	return g.PlanningSteps - before
 }
 
-// A scheduling cycle looks at machines and jobs, not at every pair of them: four times the machines and jobs cost about four
-// times the steps.
+// A scheduling cycle looks at machines and jobs, not at every pair of them: four times the machines and jobs cost
+// about four times the steps.
 func TestStepsOfACycleGrowWithTheFleet(t *testing.T) {
 	few := cycleSteps(t, 40, 20)
 	many := cycleSteps(t, 160, 80)
@@ -117,8 +117,8 @@
 	return s
 }
 
-// Tasks without accelerators leave the cores beside idle accelerators to work that waits for those. Otherwise a gang that
-// needs most of a machine would never get one.
+// Tasks without accelerators leave the cores beside idle accelerators to work that waits for those. Otherwise a
+// gang that needs most of a machine would never get one.
 func TestCoresBesideIdleAcceleratorsAreKept(t *testing.T) {
 	for _, waits := range []bool{false, true} {
 		g := mixed(t)
@@ -132,13 +132,14 @@
 		besideGPUs := len(starts(g.see("g1", "gpu", false)))
 		elsewhere := len(starts(g.see("c1", "cpu", false)))
 		if waits != (besideGPUs == 0) || elsewhere == 0 {
-			t.Fatalf("gang waits: %v, %d small tasks of %d started beside the accelerators", waits, besideGPUs, job.TaskCount)
+			t.Fatalf("gang waits: %v, %d small tasks of %d started beside the accelerators",
+				waits, besideGPUs, job.TaskCount)
 		}
 	}
 }
 
-// A gang of several tasks within its team's guarantee preempts on as many machines as it has tasks, and waits for that room
-// instead of stopping more.
+// A gang of several tasks within its team's guarantee preempts on as many machines as it has tasks, and waits for
+// that room instead of stopping more.
 func TestGangOfSeveralPreempts(t *testing.T) {
 	g := mixed(t)
 	running := map[string][]TaskReport{}
@@ -187,8 +188,8 @@
 	}
 }
 
-// A gang's task whose machine has the image is launched later than those that fetch it. Otherwise it would give up waiting
-// for them, and the gang's start would be lost.
+// A gang's task whose machine has the image is launched later than those that fetch it. Otherwise it would give up
+// waiting for them, and the gang's start would be lost.
 func TestGangLaunchesWaitForFetches(t *testing.T) {
 	g := mixed(t)
 	g.see("g1", "gpu", false)
@@ -218,7 +219,8 @@
 	}
 }
 
-// A job that may use spot machines leaves the on-demand ones to a job that may not, even if it has to wait a little for that.
+// A job that may use spot machines leaves the on-demand ones to a job that may not, even if it has to wait a little
+// for that.
 func TestSpotJobsLeaveOnDemandMachines(t *testing.T) {
 	g := mixed(t)
 	submitHalves := func(n int, estimate float64) *jobs.Job { // two tasks that take half a machine each
@@ -248,8 +250,8 @@
 	}
 }
 
-// The packing order is made by counting. It is that of a plain sort: spot machines first, then those with the most tasks, then
-// by index, and only those that take work.
+// The packing order is made by counting. It is that of a plain sort: spot machines first, then those with the most
+// tasks, then by index, and only those that take work.
 func TestPackingOrderIsSorted(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -39,16 +39,16 @@
 		}
 		f.planTask(now, job, int32(t), machine)
 		replicas[machine.Zone]++
-		startedEnough := f.ranking.startDeadlineDue[job.Index] && job.TasksByState[jobs.Planned] >= startDeadlineTasks
-		if f.crashLooping(job) != nil || startedEnough {
+		promotionUsed := f.ranking.startDeadlineDue[job.Index] && job.TasksByState[jobs.Planned] >= startDeadlineTasks
+		if f.crashLooping(job) != nil || promotionUsed {
 			return
 		}
 	}
 }
 
-// chooseReplicaMachine returns the best candidate with room in the zone with the fewest replicas, so that the loss of a
-// zone takes as little of the service as possible, or nil if there is none. Planned replicas count against a zone's limit
-// too: otherwise those beyond it would wait in the queues of one zone for ever.
+// chooseReplicaMachine returns the best candidate with room in the zone with the fewest replicas, so that the loss
+// of a zone takes as little of the service as possible, or nil if there is none. Planned replicas count against a
+// zone's limit too: otherwise those beyond it would wait in the queues of one zone for ever.
 func (f *Fleet) chooseReplicaMachine(job *jobs.Job, list *candidateList, replicas map[int32]int) *Machine {
 	size := job.Spec.Size()
 	limit := job.Spec.ZoneLimit()
@@ -69,15 +69,17 @@
 	return best
 }
 
-// TasksByZone counts a job's tasks by zone, planned ones and those on machines, without those on quarantined machines.
+// TasksByZone counts a job's tasks by zone, planned ones and those on machines, without those on quarantined
+// machines.
 func (f *Fleet) TasksByZone(job *jobs.Job) map[int32]int {
 	byZone := map[int32]int{}
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
-		if task.Machine == jobs.None || !(task.State == jobs.Planned || task.State.Occupies()) {
+		if task.Machine == jobs.None {
 			continue
 		}
-		if machine := f.machines[task.Machine]; !machine.Quarantined {
+		machine := f.machines[task.Machine]
+		if (task.State == jobs.Planned || task.State.Occupies()) && !machine.Quarantined {
 			byZone[machine.Zone]++
 		}
 	}
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -11,12 +11,12 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// startDeadlineTasks is how many tasks of an array or a service go before all other jobs once its start is overdue. So few
-// hardly take from any team's guarantee, and the rule ends with the first start.
+// startDeadlineTasks is how many tasks of an array or a service go before all other jobs once its start is overdue.
+// So few hardly take from any team's guarantee, and the rule ends with the first start.
 const startDeadlineTasks = 2
 
-// startDeadlineFraction is the part of the time in which every job is to start after which its start is overdue. The rest is
-// left for a large gang's machines to come free.
+// startDeadlineFraction is the part of the time in which every job is to start after which its start is overdue.
+// The rest is left for a large gang's machines to come free.
 const startDeadlineFraction = 0.5
 
 // startClass is a class of jobs in the priority order, by overdue starts. Lower classes rank first.
@@ -33,8 +33,8 @@
 // isOverdue reports whether the jobs of a class have overdue starts.
 func (c startClass) isOverdue() bool { return c != withinGuarantee && c != beyondGuarantee }
 
-// startOverdue reports whether no task of a job has ever started although it was submitted long ago. Its age counts from its
-// submission, which is durable, so that it survives a failover.
+// startOverdue reports whether no task of a job has ever started although it was submitted long ago. Its age counts
+// from its submission, which is durable, so that it survives a failover.
 func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
 	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.BeginS)
 	if limit <= 0 || now-job.SubmittedAt <= limit {
@@ -44,12 +44,14 @@
 	return !hasStarted && f.crashLooping(job) == nil && !job.Idle()
 }
 
-// promoteOverdueJobs moves jobs with overdue starts forward in the priority order: a few tasks of arrays and services before
-// all jobs; gangs, which take more, before all others that are within their team's guarantee like them, or beyond it.
+// promoteOverdueJobs moves jobs with overdue starts forward in the priority order: a few tasks of arrays and
+// services before all jobs; gangs, which take more, before all others that are within their team's guarantee like
+// them, or beyond it.
 //
-// Without it a large gang that has missed its objectives would rank behind every younger one that can still meet them, for
-// ever under a constant stream of those, and low priorities behind all others as long as any job waits. The promotion ends
-// with a job's first start, so that the job and another that may preempt it can't stop each other in turn.
+// Without it a large gang that has missed its objectives would rank behind every younger one that can still meet
+// them, for ever under a constant stream of those, and low priorities behind all others as long as any job waits.
+// The promotion ends with a job's first start, so that the job and another that may preempt it can't stop each
+// other in turn.
 func (f *Fleet) promoteOverdueJobs(now time.Duration) {
 	clear(f.ranking.startDeadlineDue)
 	classes := make(map[jobs.Index]startClass, len(f.ranking.jobs))
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// promoteOverdueModel is a slow, plain model of the promotion of jobs that have not started and are older than an age.
+// promoteOverdueModel is a slow, plain model of the promotion of jobs that have not started and are older than an
+// age.
 func promoteOverdueModel(g *rig, ranked []*jobs.Job, now, age time.Duration) []*jobs.Job {
 	var promoted []*jobs.Job
 	overdue := func(job *jobs.Job) bool { return !job.Started && now-job.SubmittedAt > age }
@@ -59,8 +60,8 @@
 	return promoted
 }
 
-// The priority order is that of a plain model: jobs with overdue starts are moved forward, all others keep the order that they
-// have without the rule, and no job that has started is moved.
+// The priority order is that of a plain model: jobs with overdue starts are moved forward, all others keep the
+// order that they have without the rule, and no job that has started is moved.
 func TestOverdueStartsGoFirst(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	moved := 0
@@ -86,8 +87,8 @@
 	}
 }
 
-// contention is a constant stream of small gangs, more than the machines can run, that can all still meet an objective. Beside
-// them a gang that needs all machines at once and an array of the lowest priority wait.
+// contention is a constant stream of small gangs, more than the machines can run, that can all still meet an
+// objective. Beside them a gang that needs all machines at once and an array of the lowest priority wait.
 type contention struct {
 	*rig
 	rng      *rand.Rand
@@ -184,7 +185,8 @@
 	c.reports[machine] = reports
 }
 
-// observe records first starts, and whether the gang's pending reason explains its promotion once its start is overdue.
+// observe records first starts, and whether the gang's pending reason explains its promotion once its start is
+// overdue.
 func (c *contention) observe() {
 	age := c.now - c.gang.SubmittedAt
 	if !c.gang.Started && c.Settings.Operator.BeginS > 0 && age > 125*time.Second {
@@ -202,8 +204,9 @@
 	}
 }
 
-// Under a constant stream of small gangs that can still meet an objective, a gang that needs all machines at once, and has
-// missed its own, starts within the time. So does an array of the lowest priority. Without the rule not both do.
+// Under a constant stream of small gangs that can still meet an objective, a gang that needs all machines at once,
+// and has missed its own, starts within the time. So does an array of the lowest priority. Without the rule not
+// both do.
 func TestLargestGangStartsInTime(t *testing.T) {
 	const limit = 240 * time.Second
 	promoted := newContention(t, limit.Seconds())
@@ -212,19 +215,25 @@
 	if !promoted.explained {
 		t.Error("the gang's pending reason doesn't name the machines that are kept for it")
 	}
-	if promoted.gangAfter == 0 || promoted.gangAfter > limit || promoted.arrayAfter == 0 || promoted.arrayAfter > limit {
+	gangInTime := promoted.gangAfter > 0 && promoted.gangAfter <= limit
+	arrayInTime := promoted.arrayAfter > 0 && promoted.arrayAfter <= limit
+	if !gangInTime || !arrayInTime {
 		t.Errorf("the gang starts after %v, the array after %v", promoted.gangAfter, promoted.arrayAfter)
 	}
 	plain := newContention(t, 0)
 	plain.run()
 	t.Logf("without the rule after %v and %v (0: never)", plain.gangAfter, plain.arrayAfter)
-	if plain.gangAfter > 0 && plain.gangAfter < limit && plain.arrayAfter > 0 && plain.arrayAfter < limit {
-		t.Errorf("without the rule they start too, after %v and %v: the test shows nothing", plain.gangAfter, plain.arrayAfter)
+	gangInTime = plain.gangAfter > 0 && plain.gangAfter < limit
+	arrayInTime = plain.arrayAfter > 0 && plain.arrayAfter < limit
+	if gangInTime && arrayInTime {
+		t.Errorf("without the rule they start too, after %v and %v: the test shows nothing",
+			plain.gangAfter, plain.arrayAfter)
 	}
 }
 
-// Jobs without accelerators start on machines that all have them, although other work always waits for those: either because
-// their start is overdue, or because nothing is kept from starving jobs. Without both rules they never start.
+// Jobs without accelerators start on machines that all have them, although other work always waits for those:
+// either because their start is overdue, or because nothing is kept from starving jobs. Without both rules they
+// never start.
 func TestGuestsBeginBesideAccelerators(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -273,8 +282,8 @@
 	}
 }
 
-// One task that waits for an accelerator, of which most are idle, doesn't keep the cores of all machines from work without: of
-// twenty idle machines some are left for it and for work still to come, the others are used.
+// One task that waits for an accelerator, of which most are idle, doesn't keep the cores of all machines from work
+// without: of twenty idle machines some are left for it and for work still to come, the others are used.
 func TestFewWaitForAccelerators(t *testing.T) {
 	g := mixed(t)
 	names := make([]string, 20)
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -47,8 +47,8 @@
 	return last
 }
 
-// steal moves queued tasks of arrays from the machines furthest behind to machines with free slots, job by job in priority
-// order. It looks only at machines with room and, for each job, at the machines where it is queued.
+// steal moves queued tasks of arrays from the machines furthest behind to machines with free slots, job by job in
+// priority order. It looks only at machines with room and, for each job, at the machines where it is queued.
 func (f *Fleet) steal(now time.Duration) {
 	queuedJobs := f.queuedArrays()
 	if len(queuedJobs) == 0 {
@@ -85,7 +85,8 @@
 	return queuedJobs
 }
 
-// machinesWithRoom returns the machines that may have room for a task of any of some jobs besides what is queued there.
+// machinesWithRoom returns the machines that may have room for a task of any of some jobs besides what is queued
+// there.
 func (f *Fleet) machinesWithRoom(queuedJobs []*jobs.Job) []*Machine {
 	smallest := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
 	anyStarving := false
@@ -118,8 +119,8 @@
 	return delayed
 }
 
-// queueWaitSeconds estimates how long the last of a job's tasks in a machine's queue waits; ok is false if there is none or
-// its plan isn't durable, so that it can't be moved.
+// queueWaitSeconds estimates how long the last of a job's tasks in a machine's queue waits; ok is false if there is
+// none or its plan isn't durable, so that it can't be moved.
 func (f *Fleet) queueWaitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (wait float64, ok bool) {
 	queued := machine.queued(job.Index)
 	if len(queued) == 0 || !job.IsDurable(queued[len(queued)-1]) {
