--- a/internal/fleet/gpureserve.go
+++ b/internal/fleet/gpureserve.go
@@ -57,8 +57,11 @@
 // holds back needs no room, nor does one in a crash loop.
 func (f *Fleet) addWaitingGPUs(job *jobs.Job, waiting *waitingGPUs) {
 	size := job.Spec.Size()
+	if size.GPUs <= 0 {
+		return
+	}
 	unstarted := job.UnstartedTasks()
-	if size.GPUs <= 0 || unstarted <= 0 || f.crashLooping(job) != nil || !f.mayStart(job, 1) {
+	if unstarted <= 0 || f.crashLooping(job) != nil || !f.mayStart(job, 1) {
 		return
 	}
 	if gpus := size.GPUs * float64(unstarted); job.Spec.Spot {
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -109,7 +109,10 @@
 		}
 	})
 	slices.SortFunc(f.ranking.jobs, func(a, b *jobs.Job) int {
-		return cmp.Or(cmp.Compare(a.SubmittedAt, b.SubmittedAt), cmp.Compare(a.ID, b.ID))
+		if a.SubmittedAt != b.SubmittedAt {
+			return cmp.Compare(a.SubmittedAt, b.SubmittedAt)
+		}
+		return cmp.Compare(a.ID, b.ID)
 	})
 }
 
