--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -99,7 +99,7 @@
 	smallestQueued      planner.Size // a lower bound of what each needs: with less room nothing can start here
 
 	// expectedEnds caches when the tasks here are expected to end, earliest first. It is computed on demand and valid
-	// until the machine changes, or for endsFor.
+	// until the machine changes, or for expectedEndsValidFor.
 	expectedEnds   []expectedEnd
 	endsComputedAt time.Duration
 	endsValid      bool
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -288,15 +288,15 @@
 	if spec.CheckpointS > 0 && job.GangAttempt != 0 && ranS < spec.EstimateS/4 {
 		return // it continued from a checkpoint
 	}
-	class := f.stats(job.Class)
+	class := f.classStatsOf(job.Class)
 	ratio := math.Min(maxRunTimeRatio, math.Max(minRunTimeRatio, ranS/spec.EstimateS))
 	// The tasks of a job share the error of its estimate, so a job counts once, not once for each task.
 	weight := 1 / math.Sqrt(float64(job.TaskCount))
-	rate := math.Max(weight/(class.n+weight), weight*minRunTimeRate)
+	rate := math.Max(weight/(class.samples+weight), weight*minRunTimeRate)
 	slowdown := math.Min(maxSlowdownSample, math.Max(minSlowdownSample, ratio/class.ratio))
 	machine.slowdown += slowdownRate * (slowdown - machine.slowdown)
 	class.ratio = math.Exp((1-rate)*math.Log(class.ratio) + rate*math.Log(ratio))
-	class.n += weight
+	class.samples += weight
 }
 
 // reconcileMissingTask handles a task that counts as on the machine but is not listed by a fenced heartbeat.
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -36,7 +36,7 @@
 	return job.Spec.GPUs > 0 ||
 		f.ranking.startDeadlineDue[job.Index] ||
 		f.outranksGPUWork(job) ||
-		f.hasWaitedLong(job)
+		f.isStarving(job)
 }
 
 // isPreemptibleByGPUWork reports whether some of the work that waits for accelerators may preempt a job.
@@ -60,9 +60,9 @@
 		return 0
 	}
 	if job.Spec.Kind == jobs.Array {
-		return yieldArray * f.estimate(job)
+		return spotWaitFractionArray * f.estimate(job)
 	}
-	return yieldGang * f.estimate(job)
+	return spotWaitFractionGang * f.estimate(job)
 }
 
 // fits reports whether one more task of a job has room on a machine now.
@@ -156,7 +156,7 @@
 	task.Attempt = attempt
 	if !job.Started {
 		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name,
-			"waited_s", int((now - job.SubmittedAt).Seconds()), "fetch_s", int(f.fetchS(job, machine)), "term", f.Term)
+			"waited_s", int((now - job.SubmittedAt).Seconds()), "fetch_s", int(f.fetchSeconds(job, machine)), "term", f.Term)
 	}
 	job.Started = true
 	f.setOnMachine(now, job, taskIndex, jobs.Launched)
@@ -275,7 +275,7 @@
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		if task.State == jobs.Planned {
-			job.FetchS = max(job.FetchS, f.fetchS(job, f.machines[task.Machine]))
+			job.FetchS = max(job.FetchS, f.fetchSeconds(job, f.machines[task.Machine]))
 		}
 	}
 }
@@ -285,6 +285,6 @@
 // is at hand, the launch therefore waits for as long as the others download it, less a quarter of what the task may
 // wait.
 func (f *Fleet) gangLaunchDelay(machine *Machine, job *jobs.Job) time.Duration {
-	delayS := job.FetchS - f.fetchS(job, machine) - f.Settings.Params.Workers.GangWaitS/4
+	delayS := job.FetchS - f.fetchSeconds(job, machine) - f.Settings.Params.Workers.GangWaitS/4
 	return config.Seconds(delayS)
 }
