--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -169,9 +169,6 @@
 // StopStarting starts nothing new from now on; what runs goes on, and what is due is written.
 func (f *Fleet) StopStarting() { f.startsStopped = true }
 
-// WriteInFlight tells whether a write is under way.
-func (f *Fleet) WriteInFlight() bool { return f.writer.inFlight }
-
 // PlansLoaded tells whether the durable plans were read.
 func (f *Fleet) PlansLoaded() bool { return f.plansLoaded }
 
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -193,7 +193,7 @@
 		w.checkRecord(o.Put, o.Value)
 		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imagesKey) {
 			// Of a job that is over nobody reads it any more.
-			id, _, _ := splitPlanName(plan)
+			id, _, _ := splitSegmentName(plan)
 			var r jobs.Record
 			if _ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r); r.State == "pending" {
 				w.fail("%s is written with a key of its own, and the migration is over", plan)
--- /dev/null
+++ b/internal/fleet/planmigration.go
@@ -0,0 +1,55 @@
+package fleet
+
+import "github.com/harewalk/harewalk/internal/jobs"
+
+// This file moves plan segments from keys of their own, the stored form of cluster version 1, into pages.
+
+// migrationBatch is how many plan segments one write moves into pages in the background.
+const migrationBatch = 8
+
+// collectUnmigrated adds plan segments that still have a key of their own to a batch, if plans are stored in pages and
+// nothing more urgent needs the write budget. It returns whether it added any.
+func (f *Fleet) collectUnmigrated(batch *writeBatch) bool {
+	if batch.pages == nil || f.writer.migrated || !f.HasSpareWrites() {
+		return false
+	}
+	added := 0
+	for _, job := range f.ranking.jobs {
+		for _, segment := range job.Segments {
+			movable := segment.Version != 0 && !segment.CreateIndeterminate
+			if !movable || segment.Quarantined || segment.InFlight != nil {
+				continue
+			}
+			if added == migrationBatch || !batch.addSegment(job, segment) {
+				return added > 0
+			}
+			added++
+		}
+	}
+	f.writer.migrated = added == 0 && f.UnmigratedPlans() == 0
+	return added > 0
+}
+
+// UnmigratedPlans returns how many plan segments have or may have a key of their own, those of ended jobs included.
+func (f *Fleet) UnmigratedPlans() int {
+	count := len(f.writer.obsoleteKeys)
+	for _, jobList := range [][]*jobs.Job{f.ranking.jobs, f.writer.endedJobs} {
+		for _, job := range jobList {
+			for _, segment := range job.Segments {
+				if hasOwnKey(segment) {
+					count++
+				}
+			}
+		}
+	}
+	return count
+}
+
+// hasOwnKey returns whether a plan segment has, or may have after an indeterminate write, a key of its own.
+func hasOwnKey(segment *jobs.PlanSegment) bool {
+	return segment.Version != 0 || segment.CreateIndeterminate
+}
+
+// Migrated returns whether this term has found that no plan segment has a key of its own any more. None is written
+// again once plans are stored in pages.
+func (f *Fleet) Migrated() bool { return f.writer.migrated }
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"log/slog"
-	"slices"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -11,263 +9,167 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// deleteBatch bounds the keys that one write drops.
-const deleteBatch = 8
+// This file decides what the next transaction contains and sends it. Its outcome is handled in writeoutcome.go.
 
-// gatherDelay is how long changes that nobody waits for are collected before a write.
-const gatherDelay = time.Second
+// segmentWriteDelay is how long changes of a plan segment that no start waits for are collected before they are
+// written.
+const segmentWriteDelay = time.Second
 
-// FlushWrites writes what is due in one transaction: plans that starts wait for, terminal
-// records, gathered bitmaps, and the removal of plans that are no longer needed. Only one
-// write is under way at a time, so an open outcome is settled before the next.
+// WriteInFlight returns whether a write is in flight, its outcome not known or not resolved yet.
+func (f *Fleet) WriteInFlight() bool {
+	return f.writer.state == writerInFlight || f.writer.state == writerResolving
+}
+
+// WritesStuck returns whether writes with an indeterminate outcome can't be resolved in this term: the pages that they
+// contain need more operations than one transaction may hold since the limits of the state service shrank. The writes
+// of the next leader don't have to wait for them.
+func (f *Fleet) WritesStuck() bool { return f.writer.state == writerStuck }
+
+// FlushWrites sends what is due in one transaction: job records that become done, plan segments and image hints. When
+// none of these is due it moves plans into pages or deletes obsolete ones. It does nothing while a write is in flight,
+// so an indeterminate outcome is resolved before the next write.
 func (f *Fleet) FlushWrites(now time.Duration) {
-	if f.writer.inFlight || !f.plansLoaded {
+	if f.WriteInFlight() || !f.plansLoaded {
 		return
 	}
-	batch := &writeBatch{f: f, bytes: txnOverheadBytes}
-	if f.PlansInPages() {
-		f.writer.pages.SetLimit(f.pageLimit())
-		batch.pages = f.writer.pages.Begin(f.maxOps())
-		if f.writer.stuck = !batch.pages.Fits(f.maxOps()); f.writer.stuck {
-			return
-		}
+	batch := f.newWriteBatch()
+	if !batch.holdsIndeterminatePages() {
+		f.writer.state = writerStuck
+		return
 	}
+	f.writer.state = writerIdle
 	f.collectWrites(now, batch)
-	shard := f.nextHintShard(now)
-	if len(batch.mutations) == 0 && shard < 0 && !f.writer.pages.HasIndeterminate() && !f.migrate(batch) {
+	hintShard := f.nextHintShard(now)
+	nothingDue := len(batch.mutations) == 0 && hintShard < 0 && !f.writer.pages.HasIndeterminate()
+	if nothingDue && !f.collectUnmigrated(batch) {
 		f.deleteObsoletePlans()
 		return
 	}
 	txn := store.Txn{}
-	if shard >= 0 && batch.fits(1) {
-		if hints := f.encodeImages(shard); batch.size()+len(hints) < maxTxnBytes {
-			f.hints.writtenAt, f.hints.lastShard, f.hints.dirtyShards[shard] = now, shard, false
-			txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imagesKey, shard), Value: hints})
-		}
+	if hintShard >= 0 {
+		f.appendImageHints(now, &txn, batch, hintShard)
 	}
-	for i := range batch.mutations {
-		change := &batch.mutations[i]
-		switch {
-		case change.segment == nil:
-			change.job.FinalWriteInFlight = true
-			txn.If = append(txn.If, store.Condition{Key: change.key, Version: change.job.Version})
-			txn.Then = append(txn.Then, store.Op{Put: change.key, Value: change.value})
-			continue
-		case !change.inPage:
-			txn.If = append(txn.If, store.Condition{Key: change.key, Version: change.segment.Version})
-			txn.Then = append(txn.Then, store.Op{Put: change.key, Value: change.value})
-		case change.moved:
-			txn.If = append(txn.If, store.Condition{Key: change.key, Version: change.segment.Version})
-			txn.Then = append(txn.Then, store.Op{Delete: change.key})
-		}
-		change.segment.Dirty, change.segment.Urgent, change.segment.InFlight = false, false, change.snapshot
+	for _, change := range batch.mutations {
+		change.markInFlight()
+		change.appendTo(&txn)
 	}
-	ops := batch.mutations
-	if batch.pages != nil {
-		// Pages come first: they say what became of the chunks in them.
-		var puts []mutation
-		for _, write := range batch.pages.Writes() {
-			key := pages.Key(jobs.PlanPagePrefix, write.Number)
-			txn.If = append(txn.If, store.Condition{Key: key, Version: write.Version})
-			txn.Then = append(txn.Then, store.Op{Put: key, Value: write.Value})
-			puts = append(puts, mutation{key: key, value: write.Value, page: &write})
-		}
-		ops = append(puts, ops...)
+	pageWrites := batch.pageMutations()
+	for _, write := range pageWrites {
+		write.appendTo(&txn)
 	}
 	if len(txn.Then) == 0 {
 		return
 	}
-	f.writer.inFlight = true
-	f.Commit(txn, func(result store.Result) { f.handleOutcome(ops, result) })
+	// The outcome of a page decides that of the segments in it, so pages come first.
+	mutations := append(pageWrites, batch.mutations...)
+	f.writer.state = writerInFlight
+	f.Commit(txn, func(result store.Result) { f.handleOutcome(mutations, result) })
 }
 
-// WritesStuck tells that writes without an outcome can't be settled in this term: the pages that they name take more than the
-// state service, whose limits have shrunk, lets one transaction hold. The next leader's writes don't have to wait for them.
-func (f *Fleet) WritesStuck() bool { return f.writer.stuck }
-
-// collectWrites offers what is due, most urgent first.
+// collectWrites adds what is due to a batch, the most urgent first, until the batch is full.
 func (f *Fleet) collectWrites(now time.Duration, batch *writeBatch) {
-	for _, job := range f.ranking.jobs {
-		if job.State == jobs.Pending && job.FinishedTasks == job.TaskCount && !job.FinalWriteInFlight && job.Spec.Kind != jobs.Service {
-			raw := jobs.EncodeRecord(jobs.Done, 0, job.TaskCount, nil)
-			if !batch.addKey(mutation{job: job, key: jobs.RecordKey(job.ID), value: raw}) {
-				return
-			}
-		}
+	if !f.collectDoneRecords(batch) || !f.collectSegments(now, batch, true) {
+		return
 	}
-	for _, urgent := range []bool{true, false} {
-		if !urgent && !f.HasSpareWrites() {
-			// Nobody waits for these: what is left of the budget is for submissions, and
-			// for the plans of the next second.
-			return
-		}
-		for _, job := range f.ranking.jobs {
-			if job.State != jobs.Pending || job.FinishedTasks == job.TaskCount {
-				continue
-			}
-			for _, segment := range job.Segments {
-				if !segment.Dirty || segment.Quarantined || segment.InFlight != nil || segment.Urgent != urgent || (!urgent && now-segment.DirtySince < gatherDelay) {
-					continue
-				}
-				if !batch.addSegment(job, segment) {
-					return
-				}
-			}
-		}
+	// No start waits for the other segments: what is left of the write budget is for submissions, and for the
+	// urgent segments of the next second.
+	if f.HasSpareWrites() {
+		f.collectSegments(now, batch, false)
 	}
 }
 
-// handleOutcome takes over a write's outcome.
-func (f *Fleet) handleOutcome(ops []mutation, result store.Result) {
-	now := f.Now()
-	if result.Outcome == store.Committed {
-		f.writer.inFlight = false
-		for _, change := range ops {
-			f.confirmWrite(now, change, result.Revision)
+// collectDoneRecords adds the records of jobs of which all tasks are finished. It returns false when the batch is full.
+func (f *Fleet) collectDoneRecords(batch *writeBatch) bool {
+	for _, job := range f.ranking.jobs {
+		allFinished := job.State == jobs.Pending && job.FinishedTasks == job.TaskCount
+		if !allFinished || job.FinalWriteInFlight || job.Spec.Kind == jobs.Service {
+			continue
 		}
-		f.FlushWrites(now)
-		return
-	}
-	if f.hints.lastShard < len(f.hints.dirtyShards) {
-		f.hints.dirtyShards[f.hints.lastShard] = true
-	}
-	slog.Debug("write failed", "outcome", result.Outcome.String(), "failed", result.FailedKeys, "ops", len(ops), "term", f.Term)
-	if result.Outcome == store.NotApplied || result.Outcome == store.LeaseExpired {
-		f.writer.inFlight = false
-		for _, change := range ops {
-			f.revertWrite(now, change)
+		raw := jobs.EncodeRecord(jobs.Done, 0, job.TaskCount, nil)
+		if !batch.addKey(mutation{kind: writeJobRecord, job: job, key: jobs.RecordKey(job.ID), value: raw}) {
+			return false
 		}
-		return
 	}
-	// A conflict, or an open outcome: every key is read again before anything else is
-	// written. A transaction that lands after the read fails on its conditions, since
-	// the next write to the same keys moves their versions.
-	f.resolveOutcome(ops, 0, nil)
+	return true
 }
 
-// resolveOutcome re-reads the keys of a write, one after the other: its pages first, for they are written all or none.
-func (f *Fleet) resolveOutcome(ops []mutation, i int, read []store.Item) {
-	if i == len(ops) {
-		f.writer.inFlight = false
-		return
-	}
-	change := ops[i]
-	if change.page == nil && i == len(read) && i > 0 && !f.resolvePages(ops, read) {
-		f.resolveOutcome(ops, 0, nil) // it landed between two reads
-		return
-	}
-	if change.inPage && (!change.moved || change.segment.Version == 0) { // settled with its page
-		f.resolveOutcome(ops, i+1, read)
-		return
-	}
-	f.Read(change.key, func(item store.Item, err error) {
-		now := f.Now()
-		if err != nil {
-			f.writer.retry = func(time.Duration) { f.resolveOutcome(ops, i, read) }
-			f.writer.retryAt = now + 300*time.Millisecond
-			return
+// collectSegments adds the plan segments that are due and urgent, or due and not urgent. It returns false when the
+// batch is full.
+func (f *Fleet) collectSegments(now time.Duration, batch *writeBatch, urgent bool) bool {
+	for _, job := range f.ranking.jobs {
+		if job.State != jobs.Pending || job.FinishedTasks == job.TaskCount {
+			continue
 		}
-		switch {
-		case change.page != nil:
-			read = append(read, item)
-			if i == len(ops)-1 && !f.resolvePages(ops, read) {
-				f.resolveOutcome(ops, 0, nil)
-				return
+		for _, segment := range job.Segments {
+			if !segmentDue(now, segment, urgent) {
+				continue
 			}
-		case change.inPage: // not moved: what was its key may be gone by an earlier try
-			change.segment.Version = item.Version
-		case change.segment == nil:
-			change.job.FinalWriteInFlight = false
-			if item.Version != 0 {
-				f.OnJobRecord(now, item)
+			if !batch.addSegment(job, segment) {
+				return false
 			}
-		case item.Version != change.segment.Version && string(item.Value) == string(change.value):
-			f.confirmWrite(now, change, item.Version)
-		default:
-			change.segment.CreateIndeterminate = change.segment.CreateIndeterminate || change.segment.Version == 0
-			change.segment.Version = item.Version
-			change.segment.AddIndeterminate(change.snapshot)
-			f.revertWrite(now, change)
 		}
-		f.resolveOutcome(ops, i+1, read)
-	})
+	}
+	return true
 }
 
-func (f *Fleet) confirmWrite(now time.Duration, change mutation, version uint64) {
-	f.writer.planBecameDurable = true
-	switch {
-	case change.page != nil:
-		f.writer.pages.Commit(*change.page, version)
-	case change.segment != nil:
-		change.segment.DurableMachines, change.segment.InFlight, change.segment.Indeterminate = change.snapshot, nil, nil
-		if change.segment.Version = version; change.inPage {
-			change.segment.Version = 0 // it has no key of its own any more
-		}
-	default:
-		f.OnJobRecord(now, store.Item{Key: change.key, Value: change.value, Version: version})
+// segmentDue returns whether a plan segment is to be written now as an urgent one, or as one that is not.
+func segmentDue(now time.Duration, segment *jobs.PlanSegment, urgent bool) bool {
+	if !segment.Dirty || segment.Quarantined || segment.InFlight != nil || segment.Urgent != urgent {
+		return false
 	}
+	return urgent || now-segment.DirtySince >= segmentWriteDelay
 }
 
-func (f *Fleet) revertWrite(now time.Duration, change mutation) {
-	switch {
-	case change.page != nil:
-		return
-	case change.segment == nil:
-		change.job.FinalWriteInFlight = false
+// appendImageHints adds a shard of the image hints to a transaction if there is room for it. Hints have no condition:
+// a wrong or lost one costs a fetch.
+func (f *Fleet) appendImageHints(now time.Duration, txn *store.Txn, batch *writeBatch, shard int) {
+	if !batch.hasRoomFor(1) {
 		return
 	}
-	change.segment.InFlight = nil
-	if !change.segment.Dirty {
-		change.segment.Dirty, change.segment.DirtySince = true, now
+	hints := f.encodeImages(shard)
+	if batch.size()+len(hints) >= maxTxnBytes {
+		return
 	}
-	change.segment.Urgent = true
+	f.hints.writtenAt = now
+	f.hints.lastShard = shard
+	f.hints.dirtyShards[shard] = false
+	txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imagesKey, shard), Value: hints})
 }
 
-// deleteObsoletePlans removes plans of jobs that are over and have nothing on any machine any more.
-func (f *Fleet) deleteObsoletePlans() {
-	f.writer.endedJobs = slices.DeleteFunc(f.writer.endedJobs, func(job *jobs.Job) bool {
-		if job.TasksOnMachines() > 0 {
-			return false
-		}
-		for _, segment := range job.Segments {
-			f.writer.pages.Drop(planRef(job, segment))
-			if segment.Version != 0 || segment.CreateIndeterminate {
-				f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, job.PlanKey(segment.Number))
-			}
-		}
-		job.Tasks, job.Segments = nil, nil
-		return true
-	})
-	n := min(len(f.writer.obsoleteKeys), f.maxOps(), deleteBatch)
-	nos, versions := f.writer.pages.Retire(min(f.maxOps(), deleteBatch) - n)
-	if n+len(nos) == 0 || !f.CanWrite((n+len(nos))*2) {
+// markInFlight notes at the job or segment that a write of it is in flight.
+func (m *mutation) markInFlight() {
+	if m.kind == writeJobRecord {
+		m.job.FinalWriteInFlight = true
 		return
 	}
-	txn := store.Txn{}
-	for _, k := range f.writer.obsoleteKeys[:n] {
-		txn.Then = append(txn.Then, store.Op{Delete: k})
-	}
-	for i, no := range nos {
-		key := pages.Key(jobs.PlanPagePrefix, no)
-		txn.If = append(txn.If, store.Condition{Key: key, Version: versions[i]})
-		txn.Then = append(txn.Then, store.Op{Delete: key})
-	}
-	f.writer.inFlight = true
-	f.Commit(txn, func(result store.Result) {
-		f.writer.inFlight = false
-		// A page's number is not used again in this term, and a key that is gone may be dropped once more.
-		switch result.Outcome {
-		case store.Committed:
-			f.writer.obsoleteKeys = f.writer.obsoleteKeys[n:]
-			f.writer.pages.ConfirmRetired()
-		case store.Conflict: // an earlier try has landed
-			f.writer.pages.ConfirmRetired()
-		}
-	})
+	m.segment.Dirty = false
+	m.segment.Urgent = false
+	m.segment.InFlight = m.snapshot
+}
+
+// appendTo adds a mutation's operation to a transaction, with the condition that its key is unchanged. A segment in a
+// page has neither: they are those of its page.
+func (m *mutation) appendTo(txn *store.Txn) {
+	condition := store.Condition{Key: m.key}
+	operation := store.Op{Put: m.key, Value: m.value}
+	switch m.kind {
+	case writeSegmentInPage:
+		return
+	case writeJobRecord:
+		condition.Version = m.job.Version
+	case writeSegmentKey:
+		condition.Version = m.segment.Version
+	case moveSegmentToPage:
+		condition.Version = m.segment.Version
+		operation = store.Op{Delete: m.key}
+	case writePage:
+		condition.Version = m.page.Version
+	}
+	txn.If = append(txn.If, condition)
+	txn.Then = append(txn.Then, operation)
 }
 
-// Finalized tells whether an ended job has nothing left here: no task that may be on a machine, no plan that stands or
-// couldn't be read.
-func (f *Fleet) Finalized(job *jobs.Job) bool {
-	return f.plansLoaded && job.State.Terminal() && job.Tasks == nil && !job.Quarantined && !f.unreadableJobs[job.ID]
+// planRef identifies a plan segment in the pages.
+func planRef(job *jobs.Job, segment *jobs.PlanSegment) pages.Ref {
+	return pages.Ref{A: int32(job.Index), B: int32(segment.Number)}
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -14,27 +14,21 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// LoadPlans takes over the durable plans of earlier terms: every machine named there counts as
-// running its task until a fenced report or the end of its lease says otherwise.
+// This file reads the durable plans at the start of a term.
+
+// LoadPlans takes over the durable plans of earlier terms, and their image hints. A task counts as running on the
+// machine that its plan names until a heartbeat at this term's fencing token, or the expiry of the machine's lease,
+// shows otherwise. Nothing is planned or started before.
 func (f *Fleet) LoadPlans(now time.Duration, items []store.Item) {
 	for _, item := range items {
 		if strings.HasPrefix(item.Key, imagesKey) {
 			f.loadImages(now, item)
 		}
 	}
-	found := map[*jobs.PlanSegment]uint64{}
 	for _, id := range f.Jobs.UnreadableIDs() {
 		f.unreadableJobs[id] = true
 	}
-	values, lost := f.storedValues(items)
-	for _, v := range values {
-		if segment := f.loadSegment(now, v); segment != nil {
-			found[segment] = v.version
-		}
-	}
-	if lost > 0 {
-		f.quarantineOlder(now, found, lost)
-	}
+	f.loadSegments(now, items)
 	f.Jobs.ForEachLive(func(job *jobs.Job) {
 		job.OpenTasks()
 		if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
@@ -48,115 +42,154 @@
 	})
 	f.plansLoaded = true
 	f.RankJobs(now)
-	slog.Info("plans loaded", "term", f.Term, "keys", len(items), "jobs", len(f.ranking.jobs), "machines", len(f.machines))
+	slog.Info("plans loaded",
+		"term", f.Term, "keys", len(items), "jobs", len(f.ranking.jobs), "machines", len(f.machines))
 }
 
-// storedValue is one chunk's value as it was read, from a page or from a key of its own.
-type storedValue struct {
+// loadSegments applies the newest stored value of every plan segment, and quarantines the segments that an unreadable
+// page may contain.
+func (f *Fleet) loadSegments(now time.Duration, items []store.Item) {
+	stored := f.decodePlans(items)
+	newest := f.newestSegments(stored.segments)
+	f.loadPages(stored.pages, newest)
+	loadedVersions := map[*jobs.PlanSegment]uint64{}
+	for _, value := range newest {
+		if segment := f.loadSegment(now, value); segment != nil {
+			loadedVersions[segment] = value.version
+		}
+	}
+	if stored.newestUnreadable > 0 {
+		f.quarantineOlder(now, loadedVersions, stored.newestUnreadable)
+	}
+}
+
+// storedSegment is the value of a plan segment as it was read, from a page or from a key of its own.
+type storedSegment struct {
 	name    string
 	raw     json.RawMessage
-	version uint64
-	page    int // -1: a key of its own
+	version uint64 // of the page or key
+	page    int    // the page's number, or ownKey
+}
+
+// ownKey is the page of a storedSegment that is not in a page.
+const ownKey = -1
+
+// storedPlans is what the state service holds of all plans.
+type storedPlans struct {
+	segments         []storedSegment // a segment may occur in several places
+	pages            []pages.StoredPage
+	newestUnreadable uint64 // version of the newest page that can't be read; 0: all can
 }
 
-// storedValues lists what counts of the stored plans, each chunk once: of two places the one written last. The pages are
-// taken over; lost is the version of the newest one that can't be read, 0: all can.
-func (f *Fleet) storedValues(items []store.Item) (kept []storedValue, lost uint64) {
-	var all []storedValue
-	var read []pages.StoredPage
+// decodePlans decodes the pages among some stored items and lists the plan segments in them and in keys of their own.
+func (f *Fleet) decodePlans(items []store.Item) storedPlans {
+	var stored storedPlans
 	for _, item := range items {
-		switch {
-		case strings.HasPrefix(item.Key, imagesKey):
-		case strings.HasPrefix(item.Key, jobs.PlanPagePrefix):
-			s, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
-			if err != nil {
-				f.reportUnreadable(item.Key, item.Value, err)
-				f.writer.pages.Reserve(s.Number)
-				lost = max(lost, item.Version)
-				continue
-			}
-			read = append(read, s)
-			for name, raw := range s.Values {
-				all = append(all, storedValue{name, raw, item.Version, s.Number})
-			}
-		default:
-			all = append(all, storedValue{strings.TrimPrefix(item.Key, jobs.PlanPrefix), item.Value, item.Version, -1})
+		if strings.HasPrefix(item.Key, imagesKey) {
+			continue
+		}
+		if !strings.HasPrefix(item.Key, jobs.PlanPagePrefix) {
+			name := strings.TrimPrefix(item.Key, jobs.PlanPrefix)
+			stored.segments = append(stored.segments, storedSegment{name, item.Value, item.Version, ownKey})
+			continue
+		}
+		page, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
+		if err != nil {
+			f.reportUnreadable(item.Key, item.Value, err)
+			f.writer.pages.Reserve(page.Number)
+			stored.newestUnreadable = max(stored.newestUnreadable, item.Version)
+			continue
+		}
+		stored.pages = append(stored.pages, page)
+		for name, raw := range page.Values {
+			stored.segments = append(stored.segments, storedSegment{name, raw, item.Version, page.Number})
 		}
 	}
-	slices.SortFunc(all, func(a, b storedValue) int {
+	return stored
+}
+
+// newestSegments returns the values written last, one for each plan segment, ordered by name. Older values in keys of
+// their own become obsolete.
+func (f *Fleet) newestSegments(all []storedSegment) []storedSegment {
+	slices.SortFunc(all, func(a, b storedSegment) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(b.version, a.version))
 	})
-	live := map[int][]pages.Entry{}
-	kept = all[:0]
-	for i, v := range all {
-		if i > 0 && all[i-1].name == v.name {
-			if v.page < 0 {
-				f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, jobs.PlanPrefix+v.name)
-			}
+	newest := all[:0]
+	for _, value := range all {
+		if len(newest) == 0 || newest[len(newest)-1].name != value.name {
+			newest = append(newest, value)
 			continue
 		}
-		kept = append(kept, v)
-		if id, no, ok := splitPlanName(v.name); ok && v.page >= 0 {
-			ref := pages.Ref{A: -1 - int32(i), B: int32(no)}
-			if job := f.Jobs.Get(id); job != nil {
-				ref.A = int32(job.Index)
-			} else if !f.Jobs.IsUnreadable(id) {
-				continue
-			} // else its record can't be read: the plan stays, wherever its page is written, under a number that no job has
-			live[v.page] = append(live[v.page], pages.Entry{Ref: ref, Name: v.name, Value: v.raw})
+		if value.page == ownKey {
+			f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, jobs.PlanPrefix+value.name)
 		}
 	}
-	for _, s := range read {
-		f.writer.pages.Load(s.Number, s.Version, live[s.Number])
+	return newest
+}
+
+// loadPages passes the stored pages on, each with the values that are the newest of their segments.
+func (f *Fleet) loadPages(storedPages []pages.StoredPage, newest []storedSegment) {
+	entries := map[int][]pages.Entry{}
+	for i, value := range newest {
+		id, number, ok := splitSegmentName(value.name)
+		if !ok || value.page == ownKey {
+			continue
+		}
+		ref := pages.Ref{B: int32(number)}
+		switch job := f.Jobs.Get(id); {
+		case job != nil:
+			ref.A = int32(job.Index)
+		case f.Jobs.IsUnreadable(id):
+			// The plan of a job with an unreadable record stays, wherever its page is written, under a number that
+			// no job has.
+			ref.A = -1 - int32(i)
+		default:
+			continue
+		}
+		entries[value.page] = append(entries[value.page], pages.Entry{Ref: ref, Name: value.name, Value: value.raw})
+	}
+	for _, page := range storedPages {
+		f.writer.pages.Load(page.Number, page.Version, entries[page.Number])
 	}
-	return kept, lost
 }
 
-// loadSegment takes over one chunk and returns it, nil if it is nobody's any more.
-func (f *Fleet) loadSegment(now time.Duration, v storedValue) *jobs.PlanSegment {
-	key := jobs.PlanPrefix + v.name
-	id, no, ok := splitPlanName(v.name)
+// loadSegment applies the stored value of a plan segment and returns the segment. It returns nil if the value belongs
+// to no live or cancelled job: then it is obsolete, unless the record of its job is unreadable.
+func (f *Fleet) loadSegment(now time.Duration, value storedSegment) *jobs.PlanSegment {
+	id, number, ok := splitSegmentName(value.name)
 	job := f.Jobs.Get(id)
-	drop := func() {
-		if v.page >= 0 {
-			if job != nil {
-				f.writer.pages.Drop(pages.Ref{A: int32(job.Index), B: int32(no)})
-			}
-			return
-		}
-		f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, key)
+	if job == nil && f.Jobs.IsUnreadable(id) {
+		return nil
 	}
 	if !ok || job == nil || job.State == jobs.Done || job.Spec == nil {
-		if job == nil && f.Jobs.IsUnreadable(id) {
-			return nil // its record can't be read: its plan is nobody's to drop
-		}
-		drop()
+		f.discardStoredSegment(value, job, number)
 		return nil
 	}
 	job.OpenTasks()
-	if no >= len(job.Segments) {
-		drop()
+	if number >= len(job.Segments) {
+		f.discardStoredSegment(value, job, number)
 		return nil
 	}
-	segment := job.Segments[no]
-	on, done, err := jobs.DecodeSegment(v.raw, len(segment.DurableMachines), func(name string) int32 { return f.RegisterMachine(now, name).Index })
-	if v.page < 0 {
-		segment.Version = v.version
+	segment := job.Segments[number]
+	machineIndex := func(name string) int32 { return f.RegisterMachine(now, name).Index }
+	machines, finished, err := jobs.DecodeSegment(value.raw, len(segment.DurableMachines), machineIndex)
+	if value.page == ownKey {
+		segment.Version = value.version
 	}
 	if err != nil {
-		f.reportUnreadable(key, v.raw, err)
+		f.reportUnreadable(jobs.PlanPrefix+value.name, value.raw, err)
 		f.quarantineSegment(now, job, segment)
 		return segment
 	}
-	for i := range on {
-		taskIndex := int32(no*jobs.SegmentTasks + i)
+	for i := range machines {
+		taskIndex := segmentTask(segment, i)
 		switch {
-		case done[i]:
+		case finished[i]:
 			segment.DurableMachines[i] = jobs.DurablyDone
 			f.checkTransition(job.SetTaskState(taskIndex, jobs.Finished))
-		case on[i] != jobs.None:
-			segment.DurableMachines[i] = on[i]
-			job.Tasks[taskIndex].Machine = on[i]
+		case machines[i] != jobs.None:
+			segment.DurableMachines[i] = machines[i]
+			job.Tasks[taskIndex].Machine = machines[i]
 			job.Started = true
 			f.setOnMachine(now, job, taskIndex, jobs.Recovered)
 		}
@@ -164,43 +197,27 @@
 	return segment
 }
 
-// splitPlanName reads a chunk's name: its job and number.
-func splitPlanName(name string) (id string, no int, ok bool) {
-	i := strings.LastIndexByte(name, '/')
-	if i <= 0 {
-		return "", 0, false
+// discardStoredSegment makes a stored plan segment obsolete. job is nil if there is none.
+func (f *Fleet) discardStoredSegment(value storedSegment, job *jobs.Job, number int) {
+	switch {
+	case value.page == ownKey:
+		f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, jobs.PlanPrefix+value.name)
+	case job != nil:
+		f.writer.pages.Drop(pages.Ref{A: int32(job.Index), B: int32(number)})
 	}
-	n, err := strconv.Atoi(name[i+1:])
-	return name[:i], n, err == nil && n >= 0
 }
 
-// quarantineSegment shuts a chunk whose stored value can't be read: any of its tasks may be on any machine. It is neither planned
-// nor written over, and counts in full against the limits for as long as this term lasts.
-func (f *Fleet) quarantineSegment(now time.Duration, job *jobs.Job, segment *jobs.PlanSegment) {
-	if segment.Quarantined {
-		return
-	}
-	segment.Quarantined, job.Quarantined = true, true
-	for i := range segment.DurableMachines {
-		taskIndex := int32(segment.Number*jobs.SegmentTasks + i)
-		if task := &job.Tasks[taskIndex]; !task.State.Occupies() && task.State != jobs.Finished {
-			f.Gate.Acquire(now, licenceRef(job, taskIndex), 0, admissionClaim(job))
-		}
-	}
+// segmentTask returns the index in its job of a plan segment's task at an offset.
+func segmentTask(segment *jobs.PlanSegment, offset int) int32 {
+	return int32(segment.Number*jobs.SegmentTasks + offset)
 }
 
-// quarantineOlder shuts every chunk of a job that is not over whose value is older than a page that can't be read: it
-// may stand there anew.
-func (f *Fleet) quarantineOlder(now time.Duration, found map[*jobs.PlanSegment]uint64, page uint64) {
-	f.Jobs.ForEach(func(job *jobs.Job) {
-		if job.State == jobs.Done || job.Spec == nil {
-			return
-		}
-		job.OpenTasks()
-		for _, segment := range job.Segments {
-			if found[segment] < page {
-				f.quarantineSegment(now, job, segment)
-			}
-		}
-	})
+// splitSegmentName parses the name of a plan segment into its job's id and its number.
+func splitSegmentName(name string) (id string, number int, ok bool) {
+	slash := strings.LastIndexByte(name, '/')
+	if slash <= 0 {
+		return "", 0, false
+	}
+	number, err := strconv.Atoi(name[slash+1:])
+	return name[:slash], number, err == nil && number >= 0
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -43,22 +43,33 @@
 	listed map[TaskRef]struct{} // the tasks that the heartbeat at hand lists as alive
 }
 
-// planWriter is the state of the one write that may be under way, and of what is still to be written or deleted.
+// writerState is the state of a planWriter.
 //
-//	idle      -> in flight   FlushWrites or deleteObsoletePlans sends a transaction
-//	in flight -> idle        its outcome is known
-//	in flight -> in flight   the outcome is indeterminate: every key is read again before anything else is written
+//	idle      -> in flight  FlushWrites sends a transaction, with changes or with deletions
+//	in flight -> idle       it was committed, or certainly not applied
+//	in flight -> resolving  its outcome is a conflict or indeterminate: every key of it is read again
+//	resolving -> idle       every key was read, and shows whether the transaction was applied
+//	idle     <-> stuck      a transaction may, at present, not hold all pages whose last write is indeterminate
+type writerState uint8
+
+const (
+	writerIdle writerState = iota
+	writerInFlight
+	writerResolving
+	writerStuck
+)
+
+// planWriter is the state of the only write that may be in flight, and of what is still to be written or deleted.
 type planWriter struct {
-	inFlight bool
-	stuck    bool // indeterminate writes can't be resolved in this term, see WritesStuck
-	retry    func(time.Duration)
-	retryAt  time.Duration
+	state   writerState
+	retry   func(time.Duration) // repeats a read that failed while resolving; nil: none
+	retryAt time.Duration
 
 	pages             *pages.Pages
 	planBecameDurable bool        // since the last direct dispatch
-	endedJobs         []*jobs.Job // with tasks that may still be on machines, or plans that stand
-	obsoleteKeys      []string    // plans to be deleted
-	migrated          bool        // no plan has a key of its own any more
+	endedJobs         []*jobs.Job // that may have tasks on machines, or have plans that are not obsolete yet
+	obsoleteKeys      []string    // of plan segments, to be deleted
+	migrated          bool        // no plan segment has a key of its own any more
 }
 
 // hintCache is which images machines are believed to hold: as inherited from earlier leaders, until each machine is
