--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -15,9 +15,9 @@
 
 // Claim is what one task takes while it may be on a machine.
 type Claim struct {
-	Team  int32
-	Size  planner.Size
-	Seats []licences.Unit // nil: none
+	Team         int32
+	Size         planner.Size
+	LicenceUnits []licences.Unit // nil: none
 }
 
 // Denial says what keeps a task from starting; the zero value: nothing.
@@ -49,10 +49,10 @@
 	if !g.Quota.Fits(c.Team, c.Size, n) {
 		return Denial{TeamLimit: true}
 	}
-	if len(c.Seats) == 0 {
+	if len(c.LicenceUnits) == 0 {
 		return Denial{}
 	}
-	d, pool := g.Licences.Fits(c.Team, c.Seats, n)
+	d, pool := g.Licences.Fits(c.Team, c.LicenceUnits, n)
 	return Denial{Licence: d, Pool: pool}
 }
 
@@ -75,7 +75,7 @@
 		if !g.Reserved(r) {
 			g.booked[r] = c
 			g.Quota.Take(c.Team, c.Size)
-			g.Licences.Take(now, r, attempt, c.Team, c.Seats, licences.Booked)
+			g.Licences.Take(now, r, attempt, c.Team, c.LicenceUnits, licences.Booked)
 		}
 	}
 }
@@ -97,8 +97,8 @@
 	} else {
 		g.Quota.Take(c.Team, c.Size)
 	}
-	if len(c.Seats) > 0 {
-		g.Licences.Take(now, r, attempt, c.Team, c.Seats, licences.Held)
+	if len(c.LicenceUnits) > 0 {
+		g.Licences.Take(now, r, attempt, c.Team, c.LicenceUnits, licences.Held)
 	}
 }
 
@@ -106,7 +106,7 @@
 func (g *Gate) Release(now time.Duration, r licences.Ref, c Claim, how licences.End) {
 	delete(g.booked, r)
 	g.Quota.Give(c.Team, c.Size)
-	if len(c.Seats) > 0 {
-		g.Licences.Give(now, r, c.Seats, how)
+	if len(c.LicenceUnits) > 0 {
+		g.Licences.Give(now, r, c.LicenceUnits, how)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := Claim{Team: 0, Size: planner.Size{CPUs: 4}, Seats: units}
+	c := Claim{Team: 0, Size: planner.Size{CPUs: 4}, LicenceUnits: units}
 	state := func(cpus float64, free int) {
 		t.Helper()
 		used, v := g.Quota.Team(0).Used.CPUs, g.Licences.Show(0, 0, func(int32) string { return "" })
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -133,7 +133,7 @@
 			f.placeService(now, job)
 		default:
 			f.planArray(now, job)
-			f.preemptArray(now, job)
+			f.preemptForArray(now, job)
 		}
 	}
 	f.steal(now)
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -194,7 +194,7 @@
 	if f.crashLooping(job) != nil {
 		return // nobody waits or is stopped for what will fail
 	}
-	if start > f.secondsToWait(now, job) && f.preemptFor(now, job, candidates.ps, start) {
+	if start > f.secondsToWait(now, job) && f.preemptForGang(now, job, candidates.ps, start) {
 		return
 	}
 	v := f.pendingNotes[job.Index]
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -319,10 +319,10 @@
 		raw := jobs.EncodeRecord(jobs.Pending, g.now.Milliseconds(), spec.Tasks, spec)
 		g.learn(jobs.RecordKey(spec.ID), raw)
 		g.settle(store.Committed)
-		if hs := halting(job); hs != nil && g.now < 4*time.Second+preemptionPatience {
+		if hs := halting(job); hs != nil && g.now < 4*time.Second+preemptionDelay {
 			t.Fatalf("tasks %v are stopped at once", hs)
 		}
-		g.now += preemptionPatience
+		g.now += preemptionDelay
 		g.settle(store.Committed)
 		hs := halting(job)
 		if len(hs) != 2 {
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -3,51 +3,78 @@
 import (
 	"cmp"
 	"log/slog"
-	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// preemptionPatienceS is how many seconds a job always waits for a natural end before it preempts.
-const preemptionPatienceS = 3.0
+// This file stops tasks to make room on machines for jobs of higher priority, and for jobs within their team's
+// guarantee.
 
-// preemptionCooldown is how long a gang that had others stopped waits for them to be gone before it
-// may stop more.
+// preemptionDelayS is how many seconds a job always waits for tasks to end by themselves before it preempts.
+const preemptionDelayS = 3.0
+
+const preemptionDelay = time.Duration(preemptionDelayS * float64(time.Second))
+
+// preemptionCooldown is how long a job for which tasks were stopped waits for them to be gone before it may stop more.
 const preemptionCooldown = 5 * time.Second
 
-// secondsToWait is how many seconds a job may wait for a natural end before one of its aims is
-// missed; stopping others any earlier wastes their work for nothing.
+// guaranteedLossWeight is how much a second of lost work counts, against a second of delay, for a job within its team's
+// guarantee; for others they count the same.
+const guaranteedLossWeight = 0.05
+
+// taskStartS is the estimated time, in seconds, from a machine having room to a task starting there, without the fetch
+// of its image.
+const taskStartS = 1
+
+// secondsToWait returns how many seconds a job may wait for tasks to end by themselves before it misses one of its
+// objectives. Preempting earlier would waste work without need.
 func (f *Fleet) secondsToWait(now time.Duration, job *jobs.Job) float64 {
-	duration, ok := f.nextDue(now, job)
+	due, ok := f.nextDue(now, job)
 	if !ok || f.ranking.withinGuarantee[job.Index] {
-		return preemptionPatienceS // a guarantee is owed now
+		return preemptionDelayS
 	}
-	return max(preemptionPatienceS, (duration-now).Seconds()-preemptionPatienceS)
+	return max(preemptionDelayS, (due-now).Seconds()-preemptionDelayS)
 }
 
-// mayPreempt tells whether a job may have another's tasks stopped: those of a lower
-// priority, and what another team runs in excess of its guarantee if the job lies within
-// its own.
+// preemptedRecently returns whether tasks stopped for a job may still be on their way out.
+func (f *Fleet) preemptedRecently(now time.Duration, job *jobs.Job) bool {
+	at, ok := f.preemptedAt[job.Index]
+	return ok && now-at < preemptionCooldown
+}
+
+// hasLowestPriority returns whether there is no job that one may preempt: its priority is the lowest of all live jobs,
+// and no guarantee covers it.
+func (f *Fleet) hasLowestPriority(job *jobs.Job) bool {
+	return job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]
+}
+
+// mayPreempt returns whether a job may have another's tasks stopped: those of a lower priority and, if the job lies
+// within its team's guarantee, those that another team runs in excess of its own. Gangs and services of several tasks
+// are never preempted.
 func (f *Fleet) mayPreempt(job, victim *jobs.Job) bool {
-	if job == victim || victim.Spec == nil || job.Spec == nil || (victim.Spec.Kind != jobs.Array && victim.TaskCount > 1) {
+	if job == victim || victim.Spec == nil || job.Spec == nil {
+		return false
+	}
+	if victim.Spec.Kind != jobs.Array && victim.TaskCount > 1 {
 		return false
 	}
-	// This order must be that of Rank: otherwise two jobs can stop each other for ever,
-	// each taking the room that the other made.
-	switch wj, wv := f.ranking.withinGuarantee[job.Index], f.ranking.withinGuarantee[victim.Index]; {
-	case wj == wv:
+	// This order must be that of RankJobs: otherwise two jobs can stop each other for ever, each taking the room that
+	// the other made.
+	jobGuaranteed := f.ranking.withinGuarantee[job.Index]
+	victimGuaranteed := f.ranking.withinGuarantee[victim.Index]
+	switch {
+	case jobGuaranteed == victimGuaranteed:
 		return victim.Priority < job.Priority
-	case wj:
+	case jobGuaranteed:
 		return victim.Team != job.Team || victim.Priority < job.Priority
 	}
 	return false
 }
 
-// lostWork is the work that stopping a task would waste, in seconds.
+// lostWork returns the work that stopping a task would waste, in seconds.
 func (f *Fleet) lostWork(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
 	task := &job.Tasks[taskIndex]
 	if task.Phase != jobs.Running {
@@ -59,160 +86,202 @@
 	return (now - task.RunningSince).Seconds()
 }
 
-// victims finds the tasks whose end would make room for one task of a job on a machine,
-// at the least loss; ok is false if there is no such set.
-func (f *Fleet) victims(now time.Duration, machine *Machine, job *jobs.Job) (out []TaskRef, lost float64, ok bool) {
-	type candidate struct {
-		TaskRef
-		lost float64
-	}
+// victim is a task that may be stopped, and the seconds of work that this would waste.
+type victim struct {
+	TaskRef
+	lost float64
+}
+
+// compareVictims orders victims by the work lost, then by job and task.
+func compareVictims(a, b victim) int {
+	return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+}
+
+// victims returns the tasks whose end would make room for one task of a job on a machine, at the least loss, and the
+// seconds of work that are lost; ok is false if there are no such tasks.
+func (f *Fleet) victims(now time.Duration, machine *Machine, job *jobs.Job) (refs []TaskRef, lost float64, ok bool) {
 	free := f.room(machine, job)
-	size := job.Spec.Size()
-	var cs []candidate
-	for r := range machine.Tasks {
-		v := f.jobAt(r.Job)
-		task := &v.Tasks[r.Task]
+	var candidates []victim
+	for ref := range machine.Tasks {
+		holder := f.jobAt(ref.Job)
+		task := &holder.Tasks[ref.Task]
 		switch {
 		case task.Stopping:
-			free = free.Add(v.Spec.Size()) // it is on its way out already
-		case task.State == jobs.OnMachine && f.mayPreempt(job, v):
-			cs = append(cs, candidate{r, f.lostWork(now, v, r.Task)})
+			free = free.Add(holder.Spec.Size()) // it is on its way out already
+		case task.State == jobs.OnMachine && f.mayPreempt(job, holder):
+			candidates = append(candidates, victim{ref, f.lostWork(now, holder, ref.Task)})
 		}
 	}
-	sort.Slice(cs, func(a, b int) bool {
-		if cs[a].lost != cs[b].lost {
-			return cs[a].lost < cs[b].lost
-		}
-		if cs[a].Job != cs[b].Job {
-			return cs[a].Job < cs[b].Job
-		}
-		return cs[a].Task < cs[b].Task
-	})
-	// What must be left for accelerators counts: room that the job would not be let into was made again and again.
-	fits := func() bool { return size.Fits(free.Sub(f.keptFree(machine, job, free.GPUs))) }
-	for _, c := range cs {
-		if fits() {
+	slices.SortFunc(candidates, compareVictims)
+	for _, candidate := range candidates {
+		if f.fitsBesideReserve(machine, job, free) {
 			break
 		}
-		free = free.Add(f.jobAt(c.Job).Spec.Size())
-		out = append(out, c.TaskRef)
-		lost += c.lost
+		free = free.Add(f.jobAt(candidate.Job).Spec.Size())
+		refs = append(refs, candidate.TaskRef)
+		lost += candidate.lost
 	}
-	return out, lost, fits()
+	return refs, lost, f.fitsBesideReserve(machine, job, free)
+}
+
+// fitsBesideReserve returns whether a task of a job fits into what is free of a machine, without what is reserved there
+// for work that needs accelerators. If the reserve didn't count, room that the job may not use would be made again and
+// again.
+func (f *Fleet) fitsBesideReserve(machine *Machine, job *jobs.Job, free planner.Size) bool {
+	return job.Spec.Size().Fits(free.Sub(f.keptFree(machine, job, free.GPUs)))
 }
 
-// preemptionOption is what room for one task on a machine costs.
+// preemptionOption is what it takes to make room for one task on a machine.
 type preemptionOption struct {
-	m       *Machine
+	machine *Machine
 	victims []TaskRef
-	cost    float64 // seconds until the task could start, wasted work counted as delay
+	cost    float64 // seconds until the task could start, with the lost work counted as delay
+}
+
+// comparePreemptionOptions orders options by cost, then by machine.
+func comparePreemptionOptions(a, b preemptionOption) int {
+	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.machine.Index, b.machine.Index))
 }
 
-// spread takes the first n, at most perZone of a zone (0: no bound), or none at all: room that
-// a gang may not use would be made again and again.
-func spread(ss []preemptionOption, n, perZone int) []preemptionOption {
-	used := map[int32]int{}
-	out := make([]preemptionOption, 0, n)
-	for _, s := range ss {
-		if len(out) == n {
+// selectOptions returns the first n options, at most maxPerZone of a zone (0: no bound). It returns nil if there are
+// fewer: room that a gang can't use whole would be made again and again.
+func selectOptions(options []preemptionOption, n, maxPerZone int) []preemptionOption {
+	perZone := map[int32]int{}
+	selected := make([]preemptionOption, 0, n)
+	for _, option := range options {
+		if len(selected) == n {
 			break
 		}
-		if perZone == 0 || used[s.m.Zone] < perZone {
-			used[s.m.Zone]++
-			out = append(out, s)
+		if maxPerZone == 0 || perZone[option.machine.Zone] < maxPerZone {
+			perZone[option.machine.Zone]++
+			selected = append(selected, option)
 		}
 	}
-	if len(out) < n {
+	if len(selected) < n {
 		return nil
 	}
-	return out
+	return selected
 }
 
-// preemptFor makes room for a gang on the machines where it can start soonest, one for each
-// task and in one zone if need be, counting wasted work as delay. start is when it would
-// start without.
-func (f *Fleet) preemptFor(now time.Duration, job *jobs.Job, candidates []candidate, start float64) bool {
-	key := preemptionShape{shapeOf(job), job.Team, job.Priority, f.ranking.withinGuarantee[job.Index], job.TaskCount, job.Spec.OneZone}
-	if t, ok := f.preemptedAt[job.Index]; ok && now-t < preemptionCooldown {
+// preemptForGang makes room for a gang on the machines where it can start soonest, one machine for each task and all in
+// one zone if it needs that. startS is in how many seconds it would start without preemption. It returns whether any
+// room was made.
+func (f *Fleet) preemptForGang(now time.Duration, job *jobs.Job, candidates []candidate, startS float64) bool {
+	withinGuarantee := f.ranking.withinGuarantee[job.Index]
+	shape := preemptionShape{shapeOf(job), job.Team, job.Priority, withinGuarantee, job.TaskCount, job.Spec.OneZone}
+	if f.preemptedRecently(now, job) || f.hasLowestPriority(job) {
 		return false
 	}
-	if f.cycle.vain[key] || f.cycle.tries >= searches || (job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]) {
+	if f.cycle.vain[shape] || f.cycle.tries >= searches {
 		return false
 	}
 	f.cycle.tries++
-	weight := 1.0
+	best := cheapestOptions(job, f.preemptionOptions(now, job, candidates, startS))
+	if best == nil {
+		f.cycle.vain[shape] = true
+		return false
+	}
+	f.preemptedAt[job.Index] = now
+	for _, option := range best {
+		f.stopVictims(option.machine, job, option.victims)
+		f.reserveMachine(option.machine, job)
+	}
+	return true
+}
+
+// preemptionOptions returns, by zone (jobs.None for all where the job may span zones), the machines on which preemption
+// lets a task of a gang start earlier than in startS seconds.
+func (f *Fleet) preemptionOptions(
+	now time.Duration,
+	job *jobs.Job,
+	candidates []candidate,
+	startS float64,
+) map[int32][]preemptionOption {
+	lossWeight := 1.0
 	if f.ranking.withinGuarantee[job.Index] {
-		weight = 0.05 // the guarantee goes before the loss
+		lossWeight = guaranteedLossWeight
 	}
 	byZone := map[int32][]preemptionOption{}
 	for _, candidate := range candidates {
-		refs, lost, ok := f.victims(now, candidate.m, job)
-		f.PlanningSteps += uint64(len(candidate.m.Tasks))
-		if c := 1 + candidate.fetch + weight*lost; ok && c < start-preemptionPatienceS {
-			zone := jobs.None
-			if job.Spec.OneZone {
-				zone = candidate.m.Zone
-			}
-			byZone[zone] = append(byZone[zone], preemptionOption{candidate.m, refs, c})
+		machine := candidate.m
+		refs, lost, ok := f.victims(now, machine, job)
+		f.PlanningSteps += uint64(len(machine.Tasks))
+		cost := taskStartS + candidate.fetch + lossWeight*lost
+		if !ok || cost >= startS-preemptionDelayS {
+			continue
 		}
+		zone := jobs.None
+		if job.Spec.OneZone {
+			zone = machine.Zone
+		}
+		byZone[zone] = append(byZone[zone], preemptionOption{machine, refs, cost})
 	}
+	return byZone
+}
+
+// cheapestOptions returns one option for each task of a gang, of the zone where the costliest of them costs least; nil
+// if no zone has enough.
+func cheapestOptions(job *jobs.Job, byZone map[int32][]preemptionOption) []preemptionOption {
 	var best []preemptionOption
-	for _, ss := range byZone {
-		if len(ss) < job.TaskCount {
+	for _, options := range byZone {
+		if len(options) < job.TaskCount {
 			continue
 		}
-		slices.SortFunc(ss, func(a, b preemptionOption) int {
-			return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.m.Index, b.m.Index))
-		})
-		if ss = spread(ss, job.TaskCount, job.Spec.ZoneLimit()); ss == nil {
+		slices.SortFunc(options, comparePreemptionOptions)
+		selected := selectOptions(options, job.TaskCount, job.Spec.ZoneLimit())
+		if selected == nil {
 			continue
 		}
-		a, b := ss[job.TaskCount-1], preemptionOption{cost: math.Inf(1)}
-		if best != nil {
-			b = best[job.TaskCount-1]
+		last := job.TaskCount - 1
+		if best == nil || comparePreemptionOptions(selected[last], best[last]) < 0 {
+			best = selected
 		}
-		if a.cost < b.cost || (a.cost == b.cost && a.m.Index < b.m.Index) {
-			best = ss
-		}
-	}
-	if best == nil {
-		f.cycle.vain[key] = true
-		return false
-	}
-	f.preemptedAt[job.Index] = now
-	for _, s := range best {
-		f.stopForPreemption(now, s.m, job, s.victims)
-		s.m.reserved, s.m.reservedRank, s.m.reservedFirmly = job.Spec.Size(), f.rankOf(job), false
 	}
-	return true
+	return best
 }
 
-// preemptArray makes room for an array's planned tasks where they are planned.
-func (f *Fleet) preemptArray(now time.Duration, job *jobs.Job) {
-	if job.TasksByState[jobs.Planned] == 0 || f.crashLooping(job) != nil || (job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]) || !f.mayStart(job, 1) {
+// preemptForArray makes room for an array's planned tasks on the machines in whose queues they are.
+func (f *Fleet) preemptForArray(now time.Duration, job *jobs.Job) {
+	if job.TasksByState[jobs.Planned] == 0 || f.hasLowestPriority(job) {
+		return
+	}
+	if f.crashLooping(job) != nil || !f.mayStart(job, 1) {
 		return
 	}
-	patient := f.secondsToWait(now, job)
-	for _, ix := range f.queueMachines(job) {
-		machine := f.machines[ix]
+	maxWaitS := f.secondsToWait(now, job)
+	for _, machineIndex := range f.queueMachines(job) {
+		machine := f.machines[machineIndex]
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined || f.fits(machine, job) || f.freeIn(now, machine, job) < patient || !f.mayUse(machine, job) {
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined {
 			continue
 		}
-		if refs, _, ok := f.victims(now, machine, job); ok {
-			f.stopForPreemption(now, machine, job, refs)
-			if machine.reserved == (planner.Size{}) {
-				machine.reserved, machine.reservedRank, machine.reservedFirmly = job.Spec.Size(), f.rankOf(job), false
-			}
+		if f.fits(machine, job) || f.freeIn(now, machine, job) < maxWaitS || !f.mayUse(machine, job) {
+			continue
+		}
+		refs, _, ok := f.victims(now, machine, job)
+		if !ok {
+			continue
+		}
+		f.stopVictims(machine, job, refs)
+		if machine.reserved == (planner.Size{}) {
+			f.reserveMachine(machine, job)
 		}
 	}
 }
 
-func (f *Fleet) stopForPreemption(now time.Duration, machine *Machine, job *jobs.Job, refs []TaskRef) {
-	for _, r := range refs {
-		f.stopTask(f.jobAt(r.Job), r.Task)
+// reserveMachine reserves room for one task of a job on a machine, against jobs that rank after it.
+func (f *Fleet) reserveMachine(machine *Machine, job *jobs.Job) {
+	machine.reserved = job.Spec.Size()
+	machine.reservedRank = f.rankOf(job)
+	machine.reservedFirmly = false
+}
+
+// stopVictims stops tasks on a machine for a job.
+func (f *Fleet) stopVictims(machine *Machine, job *jobs.Job, refs []TaskRef) {
+	for _, ref := range refs {
+		f.stopTask(f.jobAt(ref.Job), ref.Task)
 	}
 	if len(refs) > 0 {
-		slog.Info("preempting", "job", job.ID, "machine", machine.Name, "tasks", len(refs), "term", f.Term)
+		slog.Info("tasks preempted", "job", job.ID, "machine", machine.Name, "tasks", len(refs), "term", f.Term)
 	}
 }
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -149,15 +149,15 @@
 
 // Room is only made where a gang may use it: at most half of one that must be spread in a zone.
 func TestPreemptionKeepsToZones(t *testing.T) {
-	var ss []preemptionOption
+	var options []preemptionOption
 	for i, zone := range []int32{0, 0, 0, 1, 1} {
-		ss = append(ss, preemptionOption{m: &Machine{Index: int32(i), Zone: zone}, cost: float64(i)})
+		options = append(options, preemptionOption{machine: &Machine{Index: int32(i), Zone: zone}, cost: float64(i)})
 	}
-	got := spread(ss, 4, 2)
-	if len(got) != 4 || got[2].m.Index != 3 {
+	got := selectOptions(options, 4, 2)
+	if len(got) != 4 || got[2].machine.Index != 3 {
 		t.Fatalf("%d machines chosen", len(got))
 	}
-	if spread(ss[:3], 3, 2) != nil || len(spread(ss, 4, 0)) != 4 {
+	if selectOptions(options[:3], 3, 2) != nil || len(selectOptions(options, 4, 0)) != 4 {
 		t.Fatal("a zone's bound was not kept, or kept where there is none")
 	}
 }
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -4,20 +4,23 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/licences"
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// This file is what sessions ask of the fleet: to keep a job's task off machines and to let it run
-// again, where it is, and who waits for what it holds.
+// This file is the fleet's side of interactive sessions: it suspends their jobs, and finds the jobs that wait for what a
+// session holds.
 
-// Suspend stops a job's tasks, with time to save, and keeps them off machines; or lets the job be
-// planned again.
-func (f *Fleet) Suspend(_ time.Duration, job *jobs.Job, on bool) {
-	if job.Suspended = on; job.Tasks == nil {
+// Suspend stops a job's tasks, with time to save a checkpoint, and keeps them off machines if suspended is true;
+// otherwise it lets the job be planned again.
+func (f *Fleet) Suspend(_ time.Duration, job *jobs.Job, suspended bool) {
+	job.Suspended = suspended
+	if job.Tasks == nil {
 		return
 	}
-	f.ranking.at, f.writer.planBecameDurable = 0, true
-	if !on {
+	f.ranking.at = 0
+	f.writer.planBecameDurable = true
+	if !suspended {
 		return
 	}
 	for t := range job.Tasks {
@@ -31,82 +34,90 @@
 	}
 }
 
-// SessionTask is where the only task of a session's job stands.
+// SessionTask returns the state of the only task of a session's job. Until the plans are loaded it counts as being on a
+// machine.
 func (f *Fleet) SessionTask(job *jobs.Job) sessions.Task {
 	if !f.plansLoaded || job.Tasks == nil {
-		// What is not known yet is not gone.
 		return sessions.Task{On: !f.plansLoaded}
 	}
 	task := &job.Tasks[0]
 	return sessions.Task{On: task.State.Occupies(), Ending: task.Stopping, Attempt: task.Attempt}
 }
 
-// maxWaitingJobs bounds the waiting jobs that are looked at for sessions to reclaim.
+// maxWaitingJobs is for how many waiting jobs sessions to be reclaimed are looked for.
 const maxWaitingJobs = 32
 
-// WaitingJobsFor names, for each of some sessions' jobs, a job that waits for what it holds: room on its
-// machine, its licences, or its part of the team's limit. Each waiting job names no more sessions than
-// it has tasks that wait.
-func (f *Fleet) WaitingJobsFor(now time.Duration, of []*jobs.Job) []string {
-	out := make([]string, len(of))
-	asked := 0
+// WaitingJobsFor returns, for each of the given sessions' jobs, the id of a job that waits for what it holds: room on
+// its machine, its licence units, or its part of the team's limit; "" if there is none. No waiting job is returned for
+// more sessions than it has waiting tasks.
+func (f *Fleet) WaitingJobsFor(_ time.Duration, sessionJobs []*jobs.Job) []string {
+	waitingFor := make([]string, len(sessionJobs))
+	examined := 0
 	for _, job := range f.ranking.jobs {
-		n := job.UnstartedTasks()
-		if n == 0 || job.Idle() || job.Spec == nil {
+		waitingTasks := job.UnstartedTasks()
+		if waitingTasks == 0 || job.Idle() || job.Spec == nil {
 			continue
 		}
-		if asked++; asked > maxWaitingJobs {
+		examined++
+		if examined > maxWaitingJobs {
 			break
 		}
 		if f.startsSoon(job) {
 			continue
 		}
-		for i, s := range of {
-			if n == 0 {
+		for i, sessionJob := range sessionJobs {
+			if waitingTasks == 0 {
 				break
 			}
-			if out[i] == "" && s != job && f.wouldLetStart(job, s) {
-				out[i] = job.ID
-				n--
+			if waitingFor[i] == "" && sessionJob != job && f.wouldLetStart(job, sessionJob) {
+				waitingFor[i] = job.ID
+				waitingTasks--
 			}
 		}
 	}
-	return out
+	return waitingFor
 }
 
-// startsSoon tells whether a job can have all it needs without anybody's leaving.
+// startsSoon returns whether all waiting tasks of a job can start without any other task ending.
 func (f *Fleet) startsSoon(job *jobs.Job) bool {
 	if !f.mayStart(job, 1) {
 		return false
 	}
-	n := 0
+	room := 0 // tasks of the job that fit on the machines looked at
 	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if machine.Condition == Ready && !machine.Returning && !machine.Quarantined && f.mayUse(machine, job) && f.fits(machine, job) {
-			if n += job.Spec.Size().Copies(machine.Free()); n >= job.UnstartedTasks() {
-				return true
-			}
+		if machine.Condition != Ready || machine.Returning || machine.Quarantined {
+			continue
+		}
+		if !f.mayUse(machine, job) || !f.fits(machine, job) {
+			continue
+		}
+		room += job.Spec.Size().Copies(machine.Free())
+		if room >= job.UnstartedTasks() {
+			return true
 		}
 	}
 	return false
 }
 
-// wouldLetStart tells whether the end of a session's task would let a waiting job start one of its own.
-func (f *Fleet) wouldLetStart(job, s *jobs.Job) bool {
-	if s.Tasks == nil || !s.Tasks[0].State.Occupies() || s.Tasks[0].Stopping {
+// wouldLetStart returns whether the end of a session's task would let a waiting job start one of its own.
+func (f *Fleet) wouldLetStart(job, sessionJob *jobs.Job) bool {
+	if sessionJob.Tasks == nil {
+		return false
+	}
+	task := &sessionJob.Tasks[0]
+	if !task.State.Occupies() || task.Stopping {
 		return false
 	}
 	if !f.mayStart(job, 1) {
-		if d, pool := f.LicenceDenial(job); d != 0 {
-			for _, unit := range s.LicenceUnits {
-				if unit.Pool == pool {
-					return true
-				}
-			}
-			return false
+		if denial, pool := f.LicenceDenial(job); denial != licences.Granted {
+			return unitsOfPool(sessionJob, pool) > 0
 		}
-		return s.Team == job.Team // the limit of the team
+		return sessionJob.Team == job.Team // the team's limit keeps it waiting
+	}
+	machine := f.machines[task.Machine]
+	if machine.Condition != Ready || machine.Returning || !f.mayUse(machine, job) {
+		return false
 	}
-	machine := f.machines[s.Tasks[0].Machine]
-	return machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) && job.Spec.Size().Fits(machine.Free().Add(s.Spec.Size()))
+	return job.Spec.Size().Fits(machine.Free().Add(sessionJob.Spec.Size()))
 }
