--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -11,160 +11,165 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// PendingCause is why some of a job's tasks wait. It is noted where planning decides; who asks is told
-// what was decided and nothing guessed anew.
+// This file reports why tasks of a job wait. For tasks without a plan, the cause is recorded where planning decides, so
+// that a report shows what was decided.
+
+// PendingCause is why some of a job's tasks wait. Its values are part of the HTTP API.
 type PendingCause string
 
 // The causes.
 const (
 	TeamLimit          PendingCause = "team_limit"       // its team may use no more
-	LicenceUnavailable PendingCause = "licence"          // a seat of a licence is missing
+	LicenceUnavailable PendingCause = "licence"          // units of a licence pool are missing
 	NoMachine          PendingCause = "no_machine"       // no machine that is up may take it
 	GangShort          PendingCause = "gang_short"       // too few machines have room for a gang at once
 	NoRoom             PendingCause = "no_room"          // no machine that may take a replica has room
-	RetryLater         PendingCause = "retry"            // it failed, and is tried again later
-	CrashLoopBackoff   PendingCause = "failing"          // it fails wherever it runs
-	SessionSuspended   PendingCause = "parked"           // a session that was reclaimed
+	RetryLater         PendingCause = "retry"            // it failed and is retried later
+	CrashLoopBackoff   PendingCause = "failing"          // it fails wherever it runs and is retried with back-off
+	SessionSuspended   PendingCause = "parked"           // its session was reclaimed
 	RecordUnreadable   PendingCause = "unreadable"       // something stored of it can't be read
-	ZoneLost           PendingCause = "zone_lost"        // on a machine of a lost zone that isn't heard
-	PlanningBehind     PendingCause = "planning_behind"  // planning has not come to it yet
-	QueuedOnMachine    PendingCause = "lane"             // planned on machines that are busy now
+	ZoneLost           PendingCause = "zone_lost"        // on a machine of a lost zone that sends no heartbeats
+	PlanningBehind     PendingCause = "planning_behind"  // no scheduling cycle has reached it yet
+	QueuedOnMachine    PendingCause = "lane"             // in the queue of a machine that has no room now
 	PlanNotDurable     PendingCause = "plan_not_durable" // its plan is being written
 	GangStopping       PendingCause = "gang_leaving"     // the rest of its gang must be gone first
 	Arriving           PendingCause = "starting"         // sent to its machine, not running yet
 )
 
-// pendingNote is what planning last decided about a job's unplanned tasks.
+// pendingNote is what the last scheduling cycle decided about a job's unplanned tasks.
 type pendingNote struct {
 	cause      PendingCause
-	denial     admission.Denial
-	have, need int           // machines with room, and tasks, of a gang
-	held       int           // machines that are kept for a gang as they come free
-	overdue    bool          // it goes first, since it has waited for long
-	until      time.Duration // Retry: not before
-	start      float64       // seconds until it could start, as estimated; 0: unknown
+	denial     admission.Denial // LicenceUnavailable, TeamLimit
+	have, need int              // GangShort: machines with room, and tasks; CrashLoopBackoff: machines, and tries
+	held       int              // GangShort: machines that are reserved for it as they get room
+	overdue    bool             // GangShort: it goes first, since it has waited for long
+	until      time.Duration    // RetryLater, CrashLoopBackoff: not before
+	start      float64          // GangShort: estimated seconds until it could start; 0: unknown
 }
 
-// setPendingNote keeps what planning decided about a job.
-func (f *Fleet) setPendingNote(job *jobs.Job, v pendingNote) { f.pendingNotes[job.Index] = v }
+// setPendingNote records what planning decided about a job's unplanned tasks.
+func (f *Fleet) setPendingNote(job *jobs.Job, note pendingNote) { f.pendingNotes[job.Index] = note }
 
-// noteDenied notes that the gate, or the seats handed out in this pass, keep a job from starting n
-// tasks together.
+// noteDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from starting
+// n tasks together.
 func (f *Fleet) noteDenied(job *jobs.Job, n int) {
-	if d := f.Gate.Ask(admissionClaim(job), n); d.TeamLimit {
-		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: d})
+	if denial := f.Gate.Ask(admissionClaim(job), n); denial.TeamLimit {
+		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: denial})
 		return
 	}
 	grant := f.licenceGrants[job.Index]
-	f.setPendingNote(job, pendingNote{cause: LicenceUnavailable, denial: admission.Denial{Licence: grant.Why, Pool: grant.Pool}})
+	denial := admission.Denial{Licence: grant.Why, Pool: grant.Pool}
+	f.setPendingNote(job, pendingNote{cause: LicenceUnavailable, denial: denial})
 }
 
-// PendingReason is some of a job's tasks and why they wait.
+// PendingReason is how many of a job's tasks wait for one cause.
 type PendingReason struct {
 	Tasks int          `json:"tasks"`
 	Cause PendingCause `json:"why"`
-	Text  string       `json:"text"`
+	Text  string       `json:"text"` // the cause with its figures, for users
 }
 
-// PendingReasons says why each part of a job waits.
-func (f *Fleet) PendingReasons(now time.Duration, job *jobs.Job) []PendingReason {
-	var parts []PendingReason
-	add := func(n int, c PendingCause, format string, a ...any) {
-		if n > 0 {
-			parts = append(parts, PendingReason{n, c, fmt.Sprintf(format, a...)})
-		}
+// pendingReasons collects the reasons of one job.
+type pendingReasons []PendingReason
+
+// add adds a reason unless it is that of no task.
+func (r *pendingReasons) add(tasks int, cause PendingCause, format string, args ...any) {
+	if tasks > 0 {
+		*r = append(*r, PendingReason{tasks, cause, fmt.Sprintf(format, args...)})
 	}
+}
+
+// PendingReasons returns why the tasks of a job wait that neither run nor are finished: each of them counts in exactly
+// one reason. It returns nil for a job that has ended.
+func (f *Fleet) PendingReasons(now time.Duration, job *jobs.Job) []PendingReason {
 	if job.Tasks == nil || job.State.Terminal() {
-		return parts
-	}
-	if job.Quarantined {
-		add(job.TaskCount-job.TasksByState[jobs.Finished], RecordUnreadable, "what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which record; nothing of it is started until it can be read, or the job is cancelled")
-		return parts
-	}
-	if job.Suspended {
-		add(job.UnstartedTasks(), SessionSuspended, "its session was reclaimed; it resumes when its user attaches")
-		return parts
-	}
-	f.unplannedWhy(now, job, add)
-	f.plannedWhy(now, job, add)
-	arriving := 0
-	held := map[int32]int{} // by zone
-	for t := range job.Tasks {
-		if task := &job.Tasks[t]; task.State.Occupies() && f.machines[task.Machine].Quarantined {
-			held[f.machines[task.Machine].Zone]++
-			continue
-		}
-		if task := &job.Tasks[t]; task.State == jobs.Launched || task.State == jobs.Recovered || (task.State == jobs.OnMachine && task.Phase < jobs.Running) {
-			arriving++
-		}
+		return nil
 	}
-	for _, z := range slices.Sorted(maps.Keys(held)) {
-		last, since := time.Duration(0), now
-		for _, machine := range f.machines {
-			if machine.Quarantined && machine.Zone == z {
-				last, since = max(last, machine.LastAnsweredAt+f.Settings.Lease()-now), min(since, machine.LastHeardAt)
-			}
-		}
-		add(held[z], ZoneLost, "on machines of zone %s, which have not been heard for up to %.0f s: they may still run there, and start elsewhere when the leases are over, in at most %.0f s",
-			f.Jobs.Names.Zones.Name(z), (now - since).Seconds(), max(0, last.Seconds()))
+	var reasons pendingReasons
+	switch {
+	case job.Quarantined:
+		reasons.add(job.TaskCount-job.TasksByState[jobs.Finished], RecordUnreadable,
+			"what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which "+
+				"record; nothing of it is started until it can be read, or the job is cancelled")
+	case job.Suspended:
+		reasons.add(job.UnstartedTasks(), SessionSuspended,
+			"its session was reclaimed; it resumes when its user attaches")
+	default:
+		f.addUnplannedReasons(&reasons, now, job)
+		f.addPlannedReasons(&reasons, now, job)
+		f.addLaunchedReasons(&reasons, now, job)
 	}
-	add(arriving, Arriving, "sent to their machines: they start, fetch their image, or wait for the rest of their gang")
-	return parts
+	return reasons
 }
 
-func (f *Fleet) unplannedWhy(now time.Duration, job *jobs.Job, add func(int, PendingCause, string, ...any)) {
-	n := job.TasksByState[jobs.Unplanned]
-	v, known := f.pendingNotes[job.Index]
-	if n == 0 {
+// addUnplannedReasons adds the reason of the tasks without a plan.
+func (f *Fleet) addUnplannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
+	tasks := job.TasksByState[jobs.Unplanned]
+	note, ok := f.pendingNotes[job.Index]
+	if tasks == 0 {
 		return
 	}
-	if !known {
-		v.cause = PlanningBehind
+	if !ok {
+		note.cause = PlanningBehind
 	}
 	size := job.Spec.Size()
-	switch v.cause {
+	switch note.cause {
 	case TeamLimit:
-		t := f.Gate.Quota.Team(job.Team)
-		add(n, v.cause, "team %s uses %s, and each task needs %s: that is beyond the team's limit of %s", job.Spec.Team, amount(t.Used.CPUs, t.Used.GPUs),
-			amount(size.CPUs, size.GPUs), amount(t.Limit.CPUs, t.Limit.GPUs))
+		team := f.Gate.Quota.Team(job.Team)
+		reasons.add(tasks, TeamLimit,
+			"team %s uses %s, and each task needs %s: that is beyond the team's limit of %s",
+			job.Spec.Team,
+			formatAmount(team.Used.CPUs, team.Used.GPUs),
+			formatAmount(size.CPUs, size.GPUs),
+			formatAmount(team.Limit.CPUs, team.Limit.GPUs))
 	case LicenceUnavailable:
-		pool := "a pool that is not declared here"
-		if ps := f.Jobs.Names.Pools.Pools(); v.denial.Pool >= 0 && int(v.denial.Pool) < len(ps) {
-			pool = ps[v.denial.Pool].Name
-		}
-		add(n, v.cause, "licence %s: %s", pool, v.denial.Licence)
+		reasons.add(tasks, LicenceUnavailable, "licence %s: %s", f.poolName(note.denial.Pool), note.denial.Licence)
 	case NoMachine:
-		add(n, v.cause, "no machine that is up may take it (%s, %g GB for each task)", amount(size.CPUs, size.GPUs), size.Mem)
+		reasons.add(tasks, NoMachine,
+			"no machine that is up may take it (%s, %g GB for each task)",
+			formatAmount(size.CPUs, size.GPUs), size.Mem)
 	case GangStopping:
-		add(n, v.cause, "the rest of its gang is still on machines, and has to be gone before it starts anew")
+		reasons.add(tasks, GangStopping,
+			"the rest of its gang is still on machines, and has to be gone before it starts anew")
 	case GangShort:
-		if v.need == 1 {
-			add(n, v.cause, "no machine that may take it has room now%s", soon(v.start))
-			break
-		}
-		keeping := ""
-		if v.held > 0 {
-			keeping = fmt.Sprintf("; %d machines are kept for it as they come free", v.held)
-		}
-		if v.overdue {
-			keeping += "; it goes first, having waited for half of begin_s"
-		}
-		add(n, v.cause, "a gang of %d tasks needs as many places at once; %d machines have room now%s%s", v.need, v.have, soon(v.start), keeping)
+		addGangReason(reasons, tasks, note)
 	case NoRoom:
-		add(n, v.cause, "no machine that may take a replica has room")
+		reasons.add(tasks, NoRoom, "no machine that may take a replica has room")
 	case CrashLoopBackoff:
-		add(n, v.cause, "its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s", v.have, v.need,
-			max(0, v.until-now).Round(time.Second))
+		reasons.add(tasks, CrashLoopBackoff,
+			"its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: "+
+				"it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s",
+			note.have, note.need, formatWait(note.until-now))
 	case RetryLater:
-		add(n, v.cause, "a task failed; the next try comes in %s", max(0, v.until-now).Round(time.Second))
+		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(note.until-now))
 	default:
-		add(n, PlanningBehind, "planning has not come to it yet")
+		reasons.add(tasks, PlanningBehind, "planning has not come to it yet")
+	}
+}
+
+// addGangReason adds the reason of a gang for which too few machines have room.
+func addGangReason(reasons *pendingReasons, tasks int, note pendingNote) {
+	if note.need == 1 {
+		reasons.add(tasks, GangShort, "no machine that may take it has room now%s", formatExpectedRoom(note.start))
+		return
+	}
+	details := ""
+	if note.held > 0 {
+		details = fmt.Sprintf("; %d machines are kept for it as they come free", note.held)
 	}
+	if note.overdue {
+		details += "; it goes first, having waited for half of begin_s"
+	}
+	reasons.add(tasks, GangShort,
+		"a gang of %d tasks needs as many places at once; %d machines have room now%s%s",
+		note.need, note.have, formatExpectedRoom(note.start), details)
 }
 
-func (f *Fleet) plannedWhy(now time.Duration, job *jobs.Job, add func(int, PendingCause, string, ...any)) {
-	writing, lanes := 0, 0
-	soonest := 1e9
+// addPlannedReasons adds the reasons of the tasks that are planned and not launched.
+func (f *Fleet) addPlannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
+	writing := 0
+	queued := 0
+	roomInS := 1e9 // until the first machine has room, of those in whose queues the tasks are
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		switch {
@@ -172,51 +177,120 @@
 		case !job.IsDurable(int32(t)):
 			writing++
 		default:
-			lanes++
-			if machine := f.machines[task.Machine]; soonest > 0 {
-				if f.fits(machine, job) {
-					soonest = 0
-				} else {
-					soonest = min(soonest, f.freeIn(now, machine, job))
-				}
+			queued++
+			if roomInS > 0 {
+				roomInS = min(roomInS, f.secondsToRoom(now, f.machines[task.Machine], job))
 			}
 		}
 	}
-	add(writing, PlanNotDurable, "planned; the plan is being written, and nothing starts before it is")
-	switch d := f.Gate.Ask(admissionClaim(job), 1); {
-	case d.TeamLimit:
-		add(lanes, TeamLimit, "planned, but team %s is at its limit", job.Spec.Team)
-	case d.Licence != licences.Granted:
-		add(lanes, LicenceUnavailable, "planned, but %s", d.Licence)
+	reasons.add(writing, PlanNotDurable, "planned; the plan is being written, and nothing starts before it is")
+	switch denial := f.Gate.Ask(admissionClaim(job), 1); {
+	case denial.TeamLimit:
+		reasons.add(queued, TeamLimit, "planned, but team %s is at its limit", job.Spec.Team)
+	case denial.Licence != licences.Granted:
+		reasons.add(queued, LicenceUnavailable, "planned, but %s", denial.Licence)
 	default:
-		add(lanes, QueuedOnMachine, "planned on %d machines, in the lanes of what is there now%s", len(f.queuedOn[job.Index]), soon(soonest))
+		reasons.add(queued, QueuedOnMachine,
+			"planned on %d machines, in the lanes of what is there now%s",
+			len(f.queuedOn[job.Index]), formatExpectedRoom(roomInS))
+	}
+}
+
+// secondsToRoom estimates in how many seconds a machine has room for a task of a job: 0 if it has room now.
+func (f *Fleet) secondsToRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
+	if f.fits(machine, job) {
+		return 0
+	}
+	return f.freeIn(now, machine, job)
+}
+
+// addLaunchedReasons adds the reasons of the tasks that may be on machines and don't run: their machine is quarantined
+// with its lost zone, or they are starting.
+func (f *Fleet) addLaunchedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
+	starting := 0
+	lostByZone := map[int32]int{}
+	for t := range job.Tasks {
+		task := &job.Tasks[t]
+		if task.State.Occupies() && f.machines[task.Machine].Quarantined {
+			lostByZone[f.machines[task.Machine].Zone]++
+			continue
+		}
+		if isStarting(task) {
+			starting++
+		}
+	}
+	for _, zone := range slices.Sorted(maps.Keys(lostByZone)) {
+		silentFor, leaseLeft := f.zoneSilence(now, zone)
+		reasons.add(lostByZone[zone], ZoneLost,
+			"on machines of zone %s, which have not been heard for up to %.0f s: they may still run there, "+
+				"and start elsewhere when the leases are over, in at most %.0f s",
+			f.Jobs.Names.Zones.Name(zone), silentFor.Seconds(), leaseLeft.Seconds())
 	}
+	reasons.add(starting, Arriving,
+		"sent to their machines: they start, fetch their image, or wait for the rest of their gang")
 }
 
-func soon(s float64) string {
-	if s <= 0 || s >= 1e5 {
+// isStarting returns whether a task may be on its machine, and does not run yet.
+func isStarting(task *jobs.Task) bool {
+	switch task.State {
+	case jobs.Launched, jobs.Recovered:
+		return true
+	case jobs.OnMachine:
+		return task.Phase < jobs.Running
+	}
+	return false
+}
+
+// zoneSilence returns how long the quarantined machine of a zone that was heard least recently has been silent, and how
+// long the last of their leases may still last.
+func (f *Fleet) zoneSilence(now time.Duration, zone int32) (silentFor, leaseLeft time.Duration) {
+	for _, machine := range f.machines {
+		if machine.Quarantined && machine.Zone == zone {
+			silentFor = max(silentFor, now-machine.LastHeardAt)
+			leaseLeft = max(leaseLeft, machine.LastAnsweredAt+f.Settings.Lease()-now)
+		}
+	}
+	return silentFor, leaseLeft
+}
+
+// unknownRoomS is from how many seconds on an estimate of when a machine has room is not reported.
+const unknownRoomS = 1e5
+
+// formatExpectedRoom formats in how many seconds room is expected, "" if that is now or not known.
+func formatExpectedRoom(seconds float64) string {
+	if seconds <= 0 || seconds >= unknownRoomS {
 		return ""
 	}
-	return fmt.Sprintf("; room is expected in %s", (time.Duration(s) * time.Second).String())
+	return fmt.Sprintf("; room is expected in %s", time.Duration(seconds)*time.Second)
 }
 
-func amount(cpus, gpus float64) string {
-	if gpus > 0 && gpus < 1e9 {
+// formatWait formats a time left to wait, in whole seconds.
+func formatWait(left time.Duration) string { return max(0, left).Round(time.Second).String() }
+
+// noGPULimit is a number of GPUs that stands for no limit.
+const noGPULimit = 1e9
+
+// formatAmount formats an amount of processor cores and, if there are any, of GPUs.
+func formatAmount(cpus, gpus float64) string {
+	if gpus > 0 && gpus < noGPULimit {
 		return fmt.Sprintf("%g cores and %g GPUs", cpus, gpus)
 	}
 	return fmt.Sprintf("%g cores", cpus)
 }
 
-// JobsAhead names the jobs that rank before one and have tasks that wait, the nearest first, at most
-// most; and how many there are.
-func (f *Fleet) JobsAhead(job *jobs.Job, most int) (ids []string, n int) {
-	at := f.rankOf(job)
-	for i := min(at, len(f.ranking.jobs)) - 1; i >= 0; i-- {
-		if o := f.ranking.jobs[i]; o.UnstartedTasks() > 0 && !o.Idle() {
-			if n++; len(ids) < most {
-				ids = append(ids, o.ID)
-			}
+// JobsAhead returns how many jobs with waiting tasks rank before a job, and the ids of the nearest of them, at most
+// maxIDs.
+func (f *Fleet) JobsAhead(job *jobs.Job, maxIDs int) (ids []string, count int) {
+	rank := min(f.rankOf(job), len(f.ranking.jobs))
+	for i := rank - 1; i >= 0; i-- {
+		ahead := f.ranking.jobs[i]
+		if ahead.UnstartedTasks() == 0 || ahead.Idle() {
+			continue
+		}
+		count++
+		if len(ids) < maxIDs {
+			ids = append(ids, ahead.ID)
 		}
 	}
-	return ids, n
+	return ids, count
 }
