--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,9 @@
-// Package admission is the one door to a machine: whether a task may start is decided here and
-// nowhere else. Behind it stand the team limits and the licences, and whatever limits come
-// later: all of them agree or nothing is taken, and what one of them books and releases the
-// others book and release at the same moments. It belongs to the fleet of one term and holds
-// no clock.
+// Package admission decides whether a task may start on a machine; nothing else does. It combines the team limits and
+// the licences: either all of them let a task start or nothing is taken, and what is taken and released of one is taken
+// and released of the other at the same moment.
+//
+// A Gate belongs to the fleet of one term and is used by its event loop only. It has no clock, and neither sends
+// launches nor decides where tasks run.
 package admission
 
 import (
@@ -15,98 +16,109 @@
 
 // Claim is what one task takes while it may be on a machine.
 type Claim struct {
-	Team         int32
+	Team         int32 // dense index
 	Size         planner.Size
 	LicenceUnits []licences.Unit // nil: none
 }
 
-// Denial says what keeps a task from starting; the zero value: nothing.
+// Denial is what keeps a task from starting. The zero value denies nothing.
 type Denial struct {
-	TeamLimit bool // the team's limit of cores or accelerators
-	Licence   licences.Denial
-	Pool      int32 // of Seat
+	TeamLimit bool            // the team's limit of processor cores or GPUs
+	Licence   licences.Denial // licences.Granted unless licence units are missing
+	Pool      int32           // of the missing units, by dense index
 }
 
-// OK tells whether nothing is in the way.
+// OK returns whether nothing is denied.
 func (d Denial) OK() bool { return !d.TeamLimit && d.Licence == licences.Granted }
 
-// Gate decides.
+// Gate decides whether tasks may start and counts what those take that may be on machines.
+//
+// A task's claim goes through these states:
+//
+//	none     -> acquired  Acquire: its launch is about to be sent, or it was found on a machine
+//	none     -> reserved  Reserve: its gang begins to start, its own launch follows
+//	reserved -> acquired  Acquire: its launch is about to be sent
+//	reserved -> none      ReleaseReserved: it will not be launched
+//	acquired -> none      Release: the task is certainly gone
+//
+// A reserved claim counts against all limits as an acquired one does.
 type Gate struct {
 	Quota    *quota.Ledger
 	Licences *licences.Ledger
-	// booked are tasks of gangs that have begun to start: everything of theirs is taken,
-	// but their own launch is put off.
-	booked map[licences.Ref]Claim
+	reserved map[licences.Ref]Claim
 }
 
-// New makes a gate in front of two ledgers.
-func New(q *quota.Ledger, s *licences.Ledger) *Gate {
-	return &Gate{Quota: q, Licences: s, booked: map[licences.Ref]Claim{}}
+// New returns a gate that takes from two ledgers.
+func New(teams *quota.Ledger, pools *licences.Ledger) *Gate {
+	return &Gate{Quota: teams, Licences: pools, reserved: map[licences.Ref]Claim{}}
 }
 
-// Ask tells whether n more tasks with a claim may start together now.
-func (g *Gate) Ask(c Claim, n int) Denial {
-	if !g.Quota.Fits(c.Team, c.Size, n) {
+// Ask returns what keeps n more tasks with a claim from starting together now.
+func (g *Gate) Ask(claim Claim, n int) Denial {
+	if !g.Quota.Fits(claim.Team, claim.Size, n) {
 		return Denial{TeamLimit: true}
 	}
-	if len(c.LicenceUnits) == 0 {
+	if len(claim.LicenceUnits) == 0 {
 		return Denial{}
 	}
-	d, pool := g.Licences.Fits(c.Team, c.LicenceUnits, n)
-	return Denial{Licence: d, Pool: pool}
+	denial, pool := g.Licences.Fits(claim.Team, claim.LicenceUnits, n)
+	return Denial{Licence: denial, Pool: pool}
 }
 
-// Fits is Ask for callers that need no reason.
-func (g *Gate) Fits(c Claim, n int) bool { return g.Ask(c, n).OK() }
+// Fits returns whether n more tasks with a claim may start together now.
+func (g *Gate) Fits(claim Claim, n int) bool { return g.Ask(claim, n).OK() }
 
-// Reserved tells whether a task was let through with its gang.
+// Reserved returns whether a task's claim is reserved and its launch has not been sent yet.
 func (g *Gate) Reserved(ref licences.Ref) bool {
-	if len(g.booked) == 0 {
+	if len(g.reserved) == 0 {
 		return false
 	}
-	_, ok := g.booked[ref]
+	_, ok := g.reserved[ref]
 	return ok
 }
 
-// Reserve lets a whole gang through at once, so that nobody takes its place between the launches
-// of its first and of its last task. The caller has asked for all of them.
-func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, c Claim) {
-	for _, r := range refs {
-		if !g.Reserved(r) {
-			g.booked[r] = c
-			g.Quota.Take(c.Team, c.Size)
-			g.Licences.Take(now, r, attempt, c.Team, c.LicenceUnits, licences.Booked)
+// Reserve takes the claims of all tasks of a gang at once, so that no other job takes them between the launches of its
+// first and of its last task. The caller has asked for all of them together. Tasks that are reserved already are left
+// as they are.
+func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, claim Claim) {
+	for _, ref := range refs {
+		if g.Reserved(ref) {
+			continue
 		}
+		g.reserved[ref] = claim
+		g.Quota.Acquire(claim.Team, claim.Size)
+		g.Licences.Take(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Booked)
 	}
 }
 
-// ReleaseReserved gives back what was booked for tasks that will not be launched now, as the caller says.
-func (g *Gate) ReleaseReserved(now time.Duration, given func(licences.Ref) bool) {
-	for r, c := range g.booked {
-		if given(r) {
-			g.Release(now, r, c, licences.Unstarted)
+// ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true: they will not be launched.
+func (g *Gate) ReleaseReserved(now time.Duration, abandoned func(licences.Ref) bool) {
+	for ref, claim := range g.reserved {
+		if abandoned(ref) {
+			g.Release(now, ref, claim, licences.Unstarted)
 		}
 	}
 }
 
-// Acquire counts a task as being on a machine, from before its launch is sent. Attempt is 0 where
-// it is not known.
-func (g *Gate) Acquire(now time.Duration, r licences.Ref, attempt uint64, c Claim) {
-	if g.Reserved(r) {
-		delete(g.booked, r)
+// Acquire takes a task's claim before its launch is sent, or makes a reserved one acquired. attempt is 0 where it is not
+// known.
+func (g *Gate) Acquire(now time.Duration, ref licences.Ref, attempt uint64, claim Claim) {
+	if g.Reserved(ref) {
+		delete(g.reserved, ref)
 	} else {
-		g.Quota.Take(c.Team, c.Size)
+		g.Quota.Acquire(claim.Team, claim.Size)
 	}
-	if len(c.LicenceUnits) > 0 {
-		g.Licences.Take(now, r, attempt, c.Team, c.LicenceUnits, licences.Held)
+	if len(claim.LicenceUnits) > 0 {
+		g.Licences.Take(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Held)
 	}
 }
 
-// Release ends that, once the task is known to be gone.
-func (g *Gate) Release(now time.Duration, r licences.Ref, c Claim, how licences.End) {
-	delete(g.booked, r)
-	g.Quota.Give(c.Team, c.Size)
-	if len(c.LicenceUnits) > 0 {
-		g.Licences.Give(now, r, c.LicenceUnits, how)
+// Release releases a task's claim once the task is certainly gone. end is how it ended, as far as its licence units are
+// concerned.
+func (g *Gate) Release(now time.Duration, ref licences.Ref, claim Claim, end licences.End) {
+	delete(g.reserved, ref)
+	g.Quota.Release(claim.Team, claim.Size)
+	if len(claim.LicenceUnits) > 0 {
+		g.Licences.Give(now, ref, claim.LicenceUnits, end)
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,5 +1,8 @@
-// Package quota keeps what each team's tasks may be using, against its limit and its
-// guarantee. A limit or guarantee of 0 means that none is set.
+// Package quota counts what each team's tasks may be using, against the team's limit and its guarantee. A limit or
+// guarantee of 0 in the settings means that none is set.
+//
+// The admission gate of a fleet acquires and releases; the controller asks whether a submitted job can ever run. The
+// package doesn't decide whether a task has started or ended, and has no clock. A Ledger is used by one goroutine.
 package quota
 
 import (
@@ -9,84 +12,92 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Team is one team's account.
+// Team is the account of one team.
 type Team struct {
 	Limit     planner.Size // +Inf where none is set
 	Guarantee planner.Size // 0 where none is set
 	Used      planner.Size // by tasks that may be on a machine
 }
 
-// Ledger holds all accounts by dense team index. It is one controller's allotment: with a
-// single part that is the whole limit.
+// Ledger holds the accounts of all teams, by dense index. Its limits are the quota allocation of one controller: the
+// whole limit where the fleet is not sharded.
 type Ledger struct {
 	teams map[int32]*Team
 }
 
-func limit(v float64) float64 {
-	if v == 0 {
-		return math.Inf(1)
+// New opens an account for every team in the settings. index returns the dense index of a team's name.
+func New(teams []config.Team, index func(name string) int32) *Ledger {
+	ledger := &Ledger{teams: map[int32]*Team{}}
+	for _, team := range teams {
+		ledger.teams[index(team.Name)] = &Team{
+			Limit: planner.Size{
+				CPUs: limitOrInf(team.CPUsMax),
+				GPUs: limitOrInf(team.GPUsMax),
+				Mem:  math.Inf(1),
+			},
+			Guarantee: planner.Size{CPUs: team.CPUs, GPUs: team.GPUs},
+		}
 	}
-	return v
+	return ledger
 }
 
-// New opens an account for every team in the settings.
-func New(teams []config.Team, index func(string) int32) *Ledger {
-	l := &Ledger{teams: map[int32]*Team{}}
-	for _, t := range teams {
-		l.teams[index(t.Name)] = &Team{
-			Limit:     planner.Size{CPUs: limit(t.CPUsMax), GPUs: limit(t.GPUsMax), Mem: math.Inf(1)},
-			Guarantee: planner.Size{CPUs: t.CPUs, GPUs: t.GPUs},
-		}
+// limitOrInf returns a limit of the settings, +Inf if none is set.
+func limitOrInf(limit float64) float64 {
+	if limit == 0 {
+		return math.Inf(1)
 	}
-	return l
+	return limit
 }
 
-// Team finds an account; nil for an unknown team.
-func (l *Ledger) Team(ix int32) *Team { return l.teams[ix] }
+// Team returns the account of a team, nil for an unknown team.
+func (l *Ledger) Team(index int32) *Team { return l.teams[index] }
 
-// Fits tells whether n more tasks of a size keep the team within its limit.
+// Fits returns whether n more tasks of a size keep a team within its limit; false for an unknown team.
 func (l *Ledger) Fits(team int32, size planner.Size, n int) bool {
-	t := l.teams[team]
-	if t == nil {
-		return false
-	}
-	k := float64(n)
-	return t.Used.Add(planner.Size{CPUs: size.CPUs * k, GPUs: size.GPUs * k}).Fits(t.Limit)
+	account := l.teams[team]
+	return account != nil && account.Used.Add(size.Times(float64(n))).Fits(account.Limit)
 }
 
-// Ever tells whether n tasks could run if the team ran nothing else.
+// Ever returns whether n tasks of a size could run together if the team ran nothing else; false for an unknown team.
 func (l *Ledger) Ever(team int32, size planner.Size, n int) bool {
-	t := l.teams[team]
-	k := float64(n)
-	return t != nil && planner.Size{CPUs: size.CPUs * k, GPUs: size.GPUs * k}.Fits(t.Limit)
+	account := l.teams[team]
+	return account != nil && size.Times(float64(n)).Fits(account.Limit)
 }
 
-// Take books a task that may be on a machine from now on.
-func (l *Ledger) Take(team int32, size planner.Size) {
-	if t := l.teams[team]; t != nil {
-		t.Used = t.Used.Add(size)
+// Acquire counts a task of a size that may be on a machine from now on.
+func (l *Ledger) Acquire(team int32, size planner.Size) {
+	if account := l.teams[team]; account != nil {
+		account.Used = account.Used.Add(size)
 	}
 }
 
-// Give takes a booking back.
-func (l *Ledger) Give(team int32, size planner.Size) {
-	if t := l.teams[team]; t != nil {
-		t.Used = t.Used.Sub(size)
+// Release undoes one Acquire, once the task is certainly gone.
+func (l *Ledger) Release(team int32, size planner.Size) {
+	if account := l.teams[team]; account != nil {
+		account.Used = account.Used.Sub(size)
 	}
 }
 
-// Within tells whether a team's demand, of which the last job's is one, fits into its
-// guarantee. A job that asks for nothing that is guaranteed has no guarantee to lie in; a
-// resource of which nothing is guaranteed does not count against one that does.
+// Within returns whether a job lies within its team's guarantee: the job uses a resource of which something is
+// guaranteed, and demand, that of the job and of those before it, exceeds the guarantee of no resource. A resource of
+// which nothing is guaranteed is left out.
 func (l *Ledger) Within(team int32, job, demand planner.Size) bool {
-	t := l.teams[team]
-	if t == nil {
+	account := l.teams[team]
+	if account == nil {
 		return false
 	}
-	g := t.Guarantee
-	if !(g.CPUs > 0 && job.CPUs > 0) && !(g.GPUs > 0 && job.GPUs > 0) {
+	guarantee := account.Guarantee
+	usesCPUs := guarantee.CPUs > 0 && job.CPUs > 0
+	usesGPUs := guarantee.GPUs > 0 && job.GPUs > 0
+	if !usesCPUs && !usesGPUs {
 		return false
 	}
-	ok := func(need, have float64) bool { return have == 0 || need <= have+1e-6 }
-	return ok(demand.CPUs, g.CPUs) && ok(demand.GPUs, g.GPUs)
+	return withinGuarantee(demand.CPUs, guarantee.CPUs) && withinGuarantee(demand.GPUs, guarantee.GPUs)
+}
+
+// roundingTolerance is by how much a sum of demands may exceed a guarantee through rounding.
+const roundingTolerance = 1e-6
+
+func withinGuarantee(demand, guarantee float64) bool {
+	return guarantee == 0 || demand <= guarantee+roundingTolerance
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -23,7 +23,7 @@
 	for range 5000 {
 		if len(running) > 0 && rng.IntN(2) == 0 {
 			i := rng.IntN(len(running))
-			l.Give(0, running[i])
+			l.Release(0, running[i])
 			running = append(running[:i], running[i+1:]...)
 			continue
 		}
@@ -36,7 +36,7 @@
 			t.Fatalf("fits says %v with %v of 6 GPUs", l.Fits(0, size, 1), sum)
 		}
 		if sum <= 6 {
-			l.Take(0, size)
+			l.Acquire(0, size)
 			running = append(running, size)
 		} else {
 			refused++
