--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -22,262 +22,262 @@
 // delays and repeats, in which one Fleet after another leads. The world knows the truth
 // and checks the protocol's rules on every start, and the Fleet is the real code.
 
-type kvItem struct {
-	raw     json.RawMessage
+type modelItem struct {
+	value     json.RawMessage
 	version uint64
 }
 
-type onWorker struct {
+type modelTask struct {
 	job      string
 	task     int32
 	attempt  uint64
 	state    string
-	why      string
-	ready    time.Duration // has its image
-	started  time.Duration
-	run      time.Duration
-	counted  bool // on the machine in the rules' sense
-	waitFrom time.Duration
-}
-
-type worker struct {
-	life            int // times it was started
-	deafTill        time.Duration
-	name, typ, zone string
+	exitReason      string
+	imageReadyAt    time.Duration // has its image
+	startedAt  time.Duration
+	runTime      time.Duration
+	onMachine  bool // on the machine in the rules' sense
+	waitingSince time.Duration
+}
+
+type modelWorker struct {
+	incarnation            int // times it was started
+	unreachableUntil        time.Duration
+	name, machineType, zone string
 	spot            bool
-	size            planner.Size
+	capacity            planner.Size
 	alive, hung     bool
 	session, seq    uint64
 	token           uint64
-	base            time.Duration // lease counts from here
-	tasks           []*onWorker
-	inFlight        bool
-	sent            time.Duration
-	next            time.Duration
-	notice          time.Duration
+	leaseFrom            time.Duration // lease counts from here
+	tasks           []*modelTask
+	heartbeatInFlight        bool
+	heartbeatSentAt            time.Duration
+	nextHeartbeat            time.Duration
+	reclaimAt          time.Duration
 }
 
-type delayed struct {
+type delayedEvent struct {
 	at time.Duration
-	f  func()
+	run  func()
 }
 
-type world struct {
+type model struct {
 	t        *testing.T
 	seed     uint64
 	rng      *rand.Rand
 	now      time.Duration
 	settings *config.Settings
-	kv       map[string]kvItem
-	rev      uint64
-	workers  []*worker
-	net      []delayed
+	items       map[string]modelItem
+	revision      uint64
+	workers  []*modelWorker
+	events      []delayedEvent
 	specs    map[string]*jobs.Spec
-	done     map[string]map[int32]bool
-	told     map[string]time.Duration // cancelled
+	finished     map[string]map[int32]bool
+	cancelledAt     map[string]time.Duration // cancelled
 	fleet    *Fleet
-	book     *jobs.Table
-	leader   uint64 // version of the leader key
+	jobs     *jobs.Table
+	leaderVersion   uint64 // version of the leader key
 	term     uint64
-	crashed  time.Duration
+	nextTermAt  time.Duration
 	nextJob  int
-	starts   int
-	broken   []string
-	trouble  float64
+	startCount   int
+	violations   []string
+	faultRate  float64
 
 	pools   []*licences.Pool // nil: no job needs a licence
-	lingers []lingering      // seats of those that crashed
-	changed time.Duration    // when the counts were last changed
-	most    map[string]int   // the highest count of the last minute
-	peak    map[string]int
+	lingering []lingeringUnits      // seats of those that crashed
+	nextCountChange time.Duration    // when the counts were last changed
+	maxUnits    map[string]int   // the highest count of the last minute
+	peakUnits    map[string]int
 
-	each func() // after every tick of the fleet
+	afterTick func() // after every tick of the fleet
 
-	odd                    bool // machines are deaf, copies come late, machines restart under their names
-	deafs, copies, rebirth int
+	unreliableMachines                    bool // machines are deaf, copies come late, machines restart under their names
+	unreachablePeriods, lateCopies, restarts int
 
-	rises           time.Duration // 0: never
-	paged, allPaged bool          // level 2 is in force; and no plan of the former form is left
+	migrateAt           time.Duration // 0: never
+	plansInPages, migrated bool          // level 2 is in force; and no plan of the former form is left
 }
 
-// lingering is a seat that its server still counts.
-type lingering struct {
+// lingeringUnits is a seat that its server still counts.
+type lingeringUnits struct {
 	pool  string
 	units int
 	until time.Duration
 }
 
-// crash ends tasks without notice: their seats stay taken for a while.
-func (w *world) crash(ks []*onWorker) {
-	for _, k := range ks {
-		for pool, n := range w.specs[k.job].Licences {
+// crashTasks ends tasks without notice: their seats stay taken for a while.
+func (w *model) crashTasks(ks []*modelTask) {
+	for _, task := range ks {
+		for pool, n := range w.specs[task.job].Licences {
 			for _, p := range w.pools {
-				if p.Name == pool && k.counted {
-					w.lingers = append(w.lingers, lingering{pool, n, w.now + p.Linger})
+				if p.Name == pool && task.onMachine {
+					w.lingering = append(w.lingering, lingeringUnits{pool, n, w.now + p.Linger})
 				}
 			}
 		}
 	}
 }
 
-// seats checks, at a start, that no pool has more seats taken than there were lately.
-func (w *world) seats(spec *jobs.Spec) {
+// checkLicences checks, at a start, that no pool has more seats taken than there were lately.
+func (w *model) checkLicences(spec *jobs.Spec) {
 	for pool := range spec.Licences {
 		n := 0
-		for _, l := range w.lingers {
+		for _, l := range w.lingering {
 			if l.pool == pool && l.until > w.now {
 				n += l.units
 			}
 		}
 		for _, o := range w.workers {
 			for _, x := range o.tasks {
-				if x.counted {
+				if x.onMachine {
 					n += w.specs[x.job].Licences[pool]
 				}
 			}
 		}
-		if w.peak[pool] = max(w.peak[pool], n); n > w.most[pool] {
-			w.fail("seats: %d of %d of %s taken by a start of %s", n, w.most[pool], pool, spec.ID)
+		if w.peakUnits[pool] = max(w.peakUnits[pool], n); n > w.maxUnits[pool] {
+			w.violation("seats: %d of %d of %s taken by a start of %s", n, w.maxUnits[pool], pool, spec.ID)
 		}
 	}
 }
 
-// recount sets the counts anew, now and then, and lets the highest one count for a minute: what
+// changeLicenceCounts sets the counts anew, now and then, and lets the highest one count for a minute: what
 // was let through before may still be on its way.
-func (w *world) recount() {
-	if w.pools == nil || w.now < w.changed {
+func (w *model) changeLicenceCounts() {
+	if w.pools == nil || w.now < w.nextCountChange {
 		return
 	}
-	w.changed = w.now + time.Minute
+	w.nextCountChange = w.now + time.Minute
 	for _, pool := range w.pools {
 		was := pool.Count
 		pool.Count = 3 + w.rng.IntN(5)
 		pool.Lowering = []licences.Lower{licences.Wait, licences.Stop}[w.rng.IntN(2)]
-		w.most[pool.Name] = max(was, pool.Count)
+		w.maxUnits[pool.Name] = max(was, pool.Count)
 	}
 }
 
-func (w *world) fail(format string, a ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, a...))
+func (w *model) violation(format string, a ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, a...))
 }
 
-func (w *world) later(duration time.Duration, f func()) {
-	w.net = append(w.net, delayed{w.now + duration, f})
+func (w *model) after(duration time.Duration, f func()) {
+	w.events = append(w.events, delayedEvent{w.now + duration, f})
 }
 
-// delay is how long a message takes; late ones outlive whatever waits for them.
-func (w *world) delay() time.Duration {
-	if w.rng.Float64() < w.trouble {
+// networkDelay is how long a message takes; late ones outlive whatever waits for them.
+func (w *model) networkDelay() time.Duration {
+	if w.rng.Float64() < w.faultRate {
 		return time.Duration(w.rng.Int64N(int64(25 * time.Second)))
 	}
 	return time.Duration(w.rng.Int64N(int64(60 * time.Millisecond)))
 }
 
-// apply is the state service.
-func (w *world) apply(txn store.Txn) store.Result {
+// commit is the state service.
+func (w *model) commit(txn store.Txn) store.Result {
 	var failed []string
 	for _, c := range txn.If {
-		if w.kv[c.Key].version != c.Version {
+		if w.items[c.Key].version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
 		return store.Result{Outcome: store.Conflict, FailedKeys: failed}
 	}
-	w.rev++
+	w.revision++
 	for _, o := range txn.Then {
 		if o.Delete != "" {
-			delete(w.kv, o.Delete)
+			delete(w.items, o.Delete)
 			continue
 		}
 		w.checkRecord(o.Put, o.Value)
-		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.allPaged && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imagesKey) {
+		if plan, ok := strings.CutPrefix(o.Put, jobs.PlanPrefix); ok && w.migrated && !strings.HasPrefix(o.Put, jobs.PlanPagePrefix) && !strings.HasPrefix(o.Put, imagesKey) {
 			// Of a job that is over nobody reads it any more.
 			id, _, _ := splitSegmentName(plan)
 			var r jobs.Record
-			if _ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r); r.State == "pending" {
-				w.fail("%s is written with a key of its own, and the migration is over", plan)
+			if _ = json.Unmarshal(w.items[jobs.RecordKey(id)].value, &r); r.State == "pending" {
+				w.violation("%s is written with a key of its own, and the migration is over", plan)
 			}
 		}
-		w.kv[o.Put] = kvItem{o.Value, w.rev}
+		w.items[o.Put] = modelItem{o.Value, w.revision}
 	}
-	rev := w.rev
+	rev := w.revision
 	for _, o := range txn.Then {
 		if len(o.Put) > 4 && o.Put[:4] == jobs.Prefix {
 			key, raw := o.Put, o.Value
-			w.later(w.followDelay(), func() { w.learned(key, raw, rev) })
+			w.after(w.watchDelay(), func() { w.applyRecord(key, raw, rev) })
 		}
 	}
 	return store.Result{Outcome: store.Committed, Revision: rev}
 }
 
-func (w *world) followDelay() time.Duration {
+func (w *model) watchDelay() time.Duration {
 	return time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))
 }
 
 // checkRecord watches what users may be told: not_done and went_back.
-func (w *world) checkRecord(key string, raw json.RawMessage) {
+func (w *model) checkRecord(key string, raw json.RawMessage) {
 	if len(key) < 4 || key[:4] != jobs.Prefix {
 		return
 	}
 	id := key[4:]
 	var was, is jobs.Record
 	_ = json.Unmarshal(raw, &is)
-	if old, ok := w.kv[key]; ok {
-		_ = json.Unmarshal(old.raw, &was)
+	if old, ok := w.items[key]; ok {
+		_ = json.Unmarshal(old.value, &was)
 		if was.State != "pending" {
-			w.fail("went_back: %s was %s and becomes %s", id, was.State, is.State)
+			w.violation("went_back: %s was %s and becomes %s", id, was.State, is.State)
 		}
 	}
 	if is.State == "done" {
-		if n := len(w.done[id]); n != w.specs[id].Tasks {
-			w.fail("not_done: %s is called done with %d of %d tasks", id, n, w.specs[id].Tasks)
+		if n := len(w.finished[id]); n != w.specs[id].Tasks {
+			w.violation("not_done: %s is called done with %d of %d tasks", id, n, w.specs[id].Tasks)
 		}
 	}
 }
 
-func (w *world) learned(key string, raw json.RawMessage, version uint64) {
-	if w.book == nil {
+func (w *model) applyRecord(key string, raw json.RawMessage, version uint64) {
+	if w.jobs == nil {
 		return
 	}
-	job, changed, err := w.book.Apply(key[4:], raw, version)
+	job, changed, err := w.jobs.Apply(key[4:], raw, version)
 	if err != nil {
-		w.fail("record: %v", err)
+		w.violation("record: %v", err)
 	}
 	if changed && w.fleet != nil {
 		w.fleet.HandleJobChange(w.now, job)
 	}
 }
 
-// lead starts a new term with nothing but what the state service holds.
-func (w *world) lead() {
+// startTerm starts a new term with nothing but what the state service holds.
+func (w *model) startTerm() {
 	w.term++
-	w.rev++
-	w.kv["leader"] = kvItem{json.RawMessage(`{}`), w.rev}
-	w.leader = w.rev
-	w.book = jobs.NewTable(0)
-	w.book.Names.Pools = licences.NewCatalog(w.pools)
-	keys := make([]string, 0, len(w.kv))
-	for k := range w.kv {
+	w.revision++
+	w.items["leader"] = modelItem{json.RawMessage(`{}`), w.revision}
+	w.leaderVersion = w.revision
+	w.jobs = jobs.NewTable(0)
+	w.jobs.Names.Pools = licences.NewCatalog(w.pools)
+	keys := make([]string, 0, len(w.items))
+	for k := range w.items {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	var plans []store.Item
 	for _, k := range keys {
-		it := w.kv[k]
+		it := w.items[k]
 		switch {
 		case len(k) > 4 && k[:4] == jobs.Prefix:
-			w.learned(k, it.raw, it.version)
+			w.applyRecord(k, it.value, it.version)
 		case len(k) > 2 && k[:2] == jobs.PlanPrefix:
-			plans = append(plans, store.Item{Key: k, Value: it.raw, Version: it.version})
+			plans = append(plans, store.Item{Key: k, Value: it.value, Version: it.version})
 		}
 	}
-	term, guard := w.term, store.Condition{Key: "leader", Version: w.leader}
+	term, guard := w.term, store.Condition{Key: "leader", Version: w.leaderVersion}
 	var f *Fleet
 	f = New(Env{
-		Settings: w.settings, Jobs: w.book, Rng: w.rng, TxnOps: 5, Now: func() time.Duration { return w.now },
+		Settings: w.settings, Jobs: w.jobs, Rng: w.rng, TxnOps: 5, Now: func() time.Duration { return w.now },
 		Types: func(ix int32) *MachineType {
-			switch w.book.Names.Types.Name(ix) {
+			switch w.jobs.Names.Types.Name(ix) {
 			case "gpu":
 				return &MachineType{Size: planner.Size{CPUs: 8, GPUs: 2, Mem: 32}, CacheGB: 8, FetchGB: 1}
 			case "cpu":
@@ -285,7 +285,7 @@
 			}
 			return nil
 		},
-		PlansInPages:   func() bool { return w.paged },
+		PlansInPages:   func() bool { return w.plansInPages },
 		CanWrite:       func(int) bool { return true },
 		HasSpareWrites: func() bool { return true },
 		Commit: func(txn store.Txn, done func(store.Result)) {
@@ -296,30 +296,30 @@
 				}
 			}
 			switch x := w.rng.Float64(); {
-			case x < w.trouble/2: // applied late or not at all, the answer is lost
+			case x < w.faultRate/2: // applied late or not at all, the answer is lost
 				if w.rng.IntN(2) == 0 {
-					w.later(w.delay(), func() { w.apply(txn) })
+					w.after(w.networkDelay(), func() { w.commit(txn) })
 				}
-				w.later(time.Second, func() { answer(store.Result{Outcome: store.Indeterminate}) })
-			case x < w.trouble:
-				w.later(20*time.Millisecond, func() { answer(store.Result{Outcome: store.NotApplied}) })
+				w.after(time.Second, func() { answer(store.Result{Outcome: store.Indeterminate}) })
+			case x < w.faultRate:
+				w.after(20*time.Millisecond, func() { answer(store.Result{Outcome: store.NotApplied}) })
 			default:
-				w.later(time.Duration(w.rng.Int64N(int64(80*time.Millisecond))), func() { answer(w.apply(txn)) })
+				w.after(time.Duration(w.rng.Int64N(int64(80*time.Millisecond))), func() { answer(w.commit(txn)) })
 			}
 		},
 		Read: func(key string, done func(store.Item, error)) {
-			w.later(10*time.Millisecond, func() {
+			w.after(10*time.Millisecond, func() {
 				if w.fleet == f {
-					it := w.kv[key]
-					done(store.Item{Key: key, Value: it.raw, Version: it.version}, nil)
+					it := w.items[key]
+					done(store.Item{Key: key, Value: it.value, Version: it.version}, nil)
 				}
 			})
 		},
 		SendCommands: func(machine *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
-			var wk *worker
+			var worker *modelWorker
 			for _, c := range w.workers {
 				if c.name == machine.Name {
-					wk = c
+					worker = c
 				}
 			}
 			answered := false
@@ -329,75 +329,75 @@
 					done(heartbeat, ok)
 				}
 			}
-			w.later(2*time.Second, func() { finish(nil, false) })
-			if w.rng.Float64() < w.trouble/4 {
+			w.after(2*time.Second, func() { finish(nil, false) })
+			if w.rng.Float64() < w.faultRate/4 {
 				return
 			}
 			life := 0
-			if wk != nil {
-				life = wk.life
+			if worker != nil {
+				life = worker.incarnation
 			}
-			w.later(w.delay(), func() {
-				if wk == nil || !wk.alive || wk.life != life || w.now < wk.deafTill {
+			w.after(w.networkDelay(), func() {
+				if worker == nil || !worker.alive || worker.incarnation != life || w.now < worker.unreachableUntil {
 					return
 				}
-				if wk.hung {
+				if worker.hung {
 					// A machine that hangs takes what waits once it resumes.
-					w.later(3*time.Second, func() {
-						if wk.life == life {
-							w.orders(wk, o)
+					w.after(3*time.Second, func() {
+						if worker.incarnation == life {
+							w.handleCommands(worker, o)
 						}
 					})
 					return
 				}
-				heartbeat, ok := w.orders(wk, o)
+				heartbeat, ok := w.handleCommands(worker, o)
 				if ok {
-					w.later(w.delay(), func() { finish(heartbeat, true) })
+					w.after(w.networkDelay(), func() { finish(heartbeat, true) })
 				}
 			})
 		},
-		OnJobRecord: func(_ time.Duration, item store.Item) { w.learned(item.Key, item.Value, item.Version) },
+		OnJobRecord: func(_ time.Duration, item store.Item) { w.applyRecord(item.Key, item.Value, item.Version) },
 	}, term, w.now)
 	w.fleet = f
 	f.LoadPlans(w.now, plans)
 }
 
-// orders is a worker's direct entry.
-func (w *world) orders(wk *worker, o DirectCommands) (*Heartbeat, bool) {
-	if !wk.alive {
+// handleCommands is a worker's direct entry.
+func (w *model) handleCommands(worker *modelWorker, o DirectCommands) (*Heartbeat, bool) {
+	if !worker.alive {
 		return nil, false
 	}
-	w.expire(wk)
-	if o.Token >= wk.token && o.Session == wk.session {
-		wk.token = o.Token
-		w.execute(wk, o.Commands)
+	w.expireLease(worker)
+	if o.Token >= worker.token && o.Session == worker.session {
+		worker.token = o.Token
+		w.execute(worker, o.Commands)
 	}
-	return w.report(wk), true
+	return w.heartbeat(worker), true
 }
 
-func (w *world) report(wk *worker) *Heartbeat {
-	wk.seq++
-	heartbeat := &Heartbeat{Machine: wk.name, Addr: "x", Type: wk.typ, Zone: wk.zone, Spot: wk.spot, Session: wk.session, Seq: wk.seq, Token: wk.token}
-	if wk.notice > 0 {
-		s := (wk.notice - w.now).Seconds()
+func (w *model) heartbeat(worker *modelWorker) *Heartbeat {
+	worker.seq++
+	heartbeat := &Heartbeat{Machine: worker.name, Addr: "x", Type: worker.machineType, Zone: worker.zone, Spot: worker.spot, Session: worker.session, Seq: worker.seq, Token: worker.token}
+	if worker.reclaimAt > 0 {
+		s := (worker.reclaimAt - w.now).Seconds()
 		heartbeat.NoticeS = &s
 	}
-	for _, k := range wk.tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{Task: fmt.Sprintf("%s/%d", k.job, k.task), Attempt: k.attempt, State: k.state, Why: k.why})
+	for _, task := range worker.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{Task: fmt.Sprintf("%s/%d", task.job, task.task), Attempt: task.attempt, State: task.state, Why: task.exitReason})
 	}
 	return heartbeat
 }
 
-func (w *world) execute(wk *worker, cs []Command) {
+func (w *model) execute(worker *modelWorker, cs []Command) {
 	for _, c := range cs {
 		id, taskIndex, _ := parseTaskName(c.Task)
 		at := -1
 		other := false
-		for i, k := range wk.tasks {
-			if k.job == id && k.task == taskIndex {
-				if k.attempt == c.Attempt {
+		for i, task := range worker.tasks {
+			if task.job == id && task.task == taskIndex {
+				if task.attempt == c.Attempt {
 					at = i
-				} else if k.state != taskExited {
+				} else if task.state != taskExited {
 					other = true
 				}
 			}
@@ -407,52 +407,52 @@
 			if at >= 0 {
 				continue
 			}
-			k := &onWorker{
-				job: id, task: taskIndex, attempt: c.Attempt, state: taskFetching, ready: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
-				run: time.Second + time.Duration(w.rng.Int64N(int64(12*time.Second))),
+			task := &modelTask{
+				job: id, task: taskIndex, attempt: c.Attempt, state: taskFetching, imageReadyAt: w.now + time.Duration(w.rng.Int64N(int64(4*time.Second))),
+				runTime: time.Second + time.Duration(w.rng.Int64N(int64(12*time.Second))),
 			}
-			free := wk.size
-			for _, o := range wk.tasks {
+			free := worker.capacity
+			for _, o := range worker.tasks {
 				if o.state != taskExited {
 					free = free.Sub(w.specs[o.job].Size())
 				}
 			}
 			switch {
 			case w.specs[id] == nil:
-				k.state, k.why = taskExited, exitUnknown
+				task.state, task.exitReason = taskExited, exitUnknown
 			case other:
-				k.state, k.why = taskExited, exitBusy
+				task.state, task.exitReason = taskExited, exitBusy
 			case !w.specs[id].Size().Fits(free):
-				k.state, k.why = taskExited, exitNoRoom
+				task.state, task.exitReason = taskExited, exitNoRoom
 			}
-			wk.tasks = append(wk.tasks, k)
+			worker.tasks = append(worker.tasks, task)
 		case opStop:
-			if at >= 0 && wk.tasks[at].state != taskExited {
-				wk.tasks[at].state, wk.tasks[at].why, wk.tasks[at].counted = taskExited, exitStopped, false
+			if at >= 0 && worker.tasks[at].state != taskExited {
+				worker.tasks[at].state, worker.tasks[at].exitReason, worker.tasks[at].onMachine = taskExited, exitStopped, false
 			}
 		case opForget:
-			if at >= 0 && wk.tasks[at].state == taskExited {
-				if wk.tasks[at].why == exitDone && !w.durable(id, taskIndex) {
-					w.fail("forgot %s before its end was durable", c.Task)
+			if at >= 0 && worker.tasks[at].state == taskExited {
+				if worker.tasks[at].exitReason == exitDone && !w.durablyFinished(id, taskIndex) {
+					w.violation("forgot %s before its end was durable", c.Task)
 				}
-				wk.tasks = append(wk.tasks[:at], wk.tasks[at+1:]...)
+				worker.tasks = append(worker.tasks[:at], worker.tasks[at+1:]...)
 			}
 		}
 	}
 }
 
-// planned is a chunk's value as it stands, read plainly: of all places the one written last. A chunk stands in a
+// segmentValue is a chunk's value as it stands, read plainly: of all places the one written last. A chunk stands in a
 // page, or in a key of its own.
-func (w *world) planned(name string) (raw json.RawMessage) {
-	it, ok := w.kv[jobs.PlanPrefix+name]
-	if raw = it.raw; ok && w.allPaged {
-		w.fail("%s has a key of its own, and the migration is over", name)
+func (w *model) segmentValue(name string) (raw json.RawMessage) {
+	it, ok := w.items[jobs.PlanPrefix+name]
+	if raw = it.value; ok && w.migrated {
+		w.violation("%s has a key of its own, and the migration is over", name)
 	}
-	for key, p := range w.kv {
+	for key, p := range w.items {
 		if strings.HasPrefix(key, jobs.PlanPagePrefix) && p.version > it.version {
 			var page struct{ Plans map[string]json.RawMessage }
-			if err := json.Unmarshal(p.raw, &page); err != nil {
-				w.fail("%s: %v", key, err)
+			if err := json.Unmarshal(p.value, &page); err != nil {
+				w.violation("%s: %v", key, err)
 			}
 			if v, ok := page.Plans[name]; ok {
 				raw, it.version = v, p.version
@@ -462,15 +462,15 @@
 	return raw
 }
 
-// durable tells whether the state service knows that a task is done.
-func (w *world) durable(id string, taskIndex int32) bool {
+// durablyFinished tells whether the state service knows that a task is done.
+func (w *model) durablyFinished(id string, taskIndex int32) bool {
 	var r jobs.Record
-	_ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r)
+	_ = json.Unmarshal(w.items[jobs.RecordKey(id)].value, &r)
 	if r.State != "pending" {
 		return true
 	}
 	no := int(taskIndex) / jobs.SegmentTasks
-	raw := w.planned(fmt.Sprintf("%s/%03d", id, no))
+	raw := w.segmentValue(fmt.Sprintf("%s/%03d", id, no))
 	if raw == nil {
 		return false
 	}
@@ -478,121 +478,121 @@
 	return err == nil && done[int(taskIndex)%jobs.SegmentTasks]
 }
 
-func (w *world) expire(wk *worker) {
-	if w.now-wk.base > w.settings.Lease() {
-		w.crash(wk.tasks)
-		wk.tasks = nil
-		wk.session++
-		wk.base = w.now
-		wk.inFlight = false
+func (w *model) expireLease(worker *modelWorker) {
+	if w.now-worker.leaseFrom > w.settings.Lease() {
+		w.crashTasks(worker.tasks)
+		worker.tasks = nil
+		worker.session++
+		worker.leaseFrom = w.now
+		worker.heartbeatInFlight = false
 	}
 }
 
-// begin is the moment a task has its image: the rules look here.
-func (w *world) begin(wk *worker, k *onWorker) {
-	k.counted = true
-	w.starts++
-	spec := w.specs[k.job]
-	w.seats(spec)
+// startTask is the moment a task has its image: the rules look here.
+func (w *model) startTask(worker *modelWorker, task *modelTask) {
+	task.onMachine = true
+	w.startCount++
+	spec := w.specs[task.job]
+	w.checkLicences(spec)
 	use, zones := planner.Size{}, map[string]int{}
 	for _, o := range w.workers {
 		for _, x := range o.tasks {
-			if !x.counted {
+			if !x.onMachine {
 				continue
 			}
-			if x.job == k.job && x.task == k.task && o != wk {
-				w.fail("ran_twice: %s/%d on %s and %s", k.job, k.task, o.name, wk.name)
+			if x.job == task.job && x.task == task.task && o != worker {
+				w.violation("ran_twice: %s/%d on %s and %s", task.job, task.task, o.name, worker.name)
 			}
 			if w.specs[x.job].Team == spec.Team {
 				use = use.Add(w.specs[x.job].Size())
 			}
-			if x.job == k.job && x != k {
+			if x.job == task.job && x != task {
 				zones[o.zone]++
 			}
 		}
 	}
 	if lim := w.settings.Params.Teams[0].CPUsMax; use.CPUs > lim+1e-9 {
-		w.fail("quota: team %s uses %v of %v CPUs with %s/%d on %s", spec.Team, use.CPUs, lim, k.job, k.task, wk.name)
+		w.violation("quota: team %s uses %v of %v CPUs with %s/%d on %s", spec.Team, use.CPUs, lim, task.job, task.task, worker.name)
 	}
-	ok := !wk.spot || spec.Spot
-	if spec.Zone != nil && *spec.Zone != wk.zone {
+	ok := !worker.spot || spec.Spot
+	if spec.Zone != nil && *spec.Zone != worker.zone {
 		ok = false
 	}
-	if spec.Types != nil && spec.Types[0] != wk.typ {
+	if spec.Types != nil && spec.Types[0] != worker.machineType {
 		ok = false
 	}
-	if spec.OneZone && len(zones) > 0 && (len(zones) > 1 || zones[wk.zone] == 0) {
+	if spec.OneZone && len(zones) > 0 && (len(zones) > 1 || zones[worker.zone] == 0) {
 		ok = false
 	}
-	if spec.Spread && zones[wk.zone]+1 > (spec.Tasks+1)/2 {
+	if spec.Spread && zones[worker.zone]+1 > (spec.Tasks+1)/2 {
 		ok = false
 	}
 	if !ok {
-		w.fail("wrong_place: %s/%d on %s (%s, zone %s, spot %v), others in %v", k.job, k.task, wk.name, wk.typ, wk.zone, wk.spot, zones)
+		w.violation("wrong_place: %s/%d on %s (%s, zone %s, spot %v), others in %v", task.job, task.task, worker.name, worker.machineType, worker.zone, worker.spot, zones)
 	}
 }
 
-// step lets a worker's tasks go on.
-func (w *world) step(wk *worker) {
-	w.expire(wk)
-	for _, k := range wk.tasks {
-		if k.state == taskExited {
+// advanceTasks lets a worker's tasks go on.
+func (w *model) advanceTasks(worker *modelWorker) {
+	w.expireLease(worker)
+	for _, task := range worker.tasks {
+		if task.state == taskExited {
 			continue
 		}
-		if at, ok := w.told[k.job]; ok && w.now > at+config.Seconds(w.settings.Params.Workers.CancelS) && k.counted {
-			w.fail("ran_cancelled: %s/%d on %s", k.job, k.task, wk.name)
-			k.state, k.why, k.counted = taskExited, exitStopped, false
+		if at, ok := w.cancelledAt[task.job]; ok && w.now > at+config.Seconds(w.settings.Params.Workers.CancelS) && task.onMachine {
+			w.violation("ran_cancelled: %s/%d on %s", task.job, task.task, worker.name)
+			task.state, task.exitReason, task.onMachine = taskExited, exitStopped, false
 			continue
 		}
-		switch k.state {
+		switch task.state {
 		case taskFetching:
-			if w.now < k.ready {
+			if w.now < task.imageReadyAt {
 				continue
 			}
-			w.begin(wk, k)
+			w.startTask(worker, task)
 			switch {
-			case w.done[k.job][k.task]:
-				k.state, k.why, k.counted = taskExited, exitDone, false
-			case w.specs[k.job].Kind == jobs.Gang:
-				k.state, k.waitFrom = taskWaiting, w.now
+			case w.finished[task.job][task.task]:
+				task.state, task.exitReason, task.onMachine = taskExited, exitDone, false
+			case w.specs[task.job].Kind == jobs.Gang:
+				task.state, task.waitingSince = taskWaiting, w.now
 			default:
-				k.state, k.started = taskRunning, w.now
+				task.state, task.startedAt = taskRunning, w.now
 			}
 		case taskWaiting:
-			if w.now-k.waitFrom > config.Seconds(w.settings.Params.Workers.GangWaitS) {
-				k.state, k.why, k.counted = taskExited, "alone", false
-			} else if w.together(k) == w.specs[k.job].Tasks {
-				k.state, k.started = taskRunning, w.now
+			if w.now-task.waitingSince > config.Seconds(w.settings.Params.Workers.GangWaitS) {
+				task.state, task.exitReason, task.onMachine = taskExited, "alone", false
+			} else if w.gangTasksOnMachines(task) == w.specs[task.job].Tasks {
+				task.state, task.startedAt = taskRunning, w.now
 			}
 		case taskRunning:
-			gang := w.specs[k.job].Kind == jobs.Gang
+			gang := w.specs[task.job].Kind == jobs.Gang
 			switch {
-			case gang && w.together(k) < w.specs[k.job].Tasks:
-				k.state, k.why, k.counted = taskExited, "peers", false
-			case w.specs[k.job].Kind == jobs.Service:
-			case w.now-k.started > k.run:
+			case gang && w.gangTasksOnMachines(task) < w.specs[task.job].Tasks:
+				task.state, task.exitReason, task.onMachine = taskExited, "peers", false
+			case w.specs[task.job].Kind == jobs.Service:
+			case w.now-task.startedAt > task.runTime:
 				if w.rng.Float64() < 0.03 && !gang {
-					w.crash([]*onWorker{k})
-					k.state, k.why, k.counted = taskExited, exitError, false
+					w.crashTasks([]*modelTask{task})
+					task.state, task.exitReason, task.onMachine = taskExited, exitError, false
 					continue
 				}
 				if gang {
-					w.finishGang(k)
+					w.finishGang(task)
 					continue
 				}
-				k.state, k.why, k.counted = taskExited, exitDone, false
-				w.done[k.job][k.task] = true
+				task.state, task.exitReason, task.onMachine = taskExited, exitDone, false
+				w.finished[task.job][task.task] = true
 			}
 		}
 	}
 }
 
-// together counts the tasks of an attempt that have their image.
-func (w *world) together(k *onWorker) int {
+// gangTasksOnMachines counts the tasks of an attempt that have their image.
+func (w *model) gangTasksOnMachines(task *modelTask) int {
 	n := 0
 	for _, o := range w.workers {
 		for _, x := range o.tasks {
-			if o.alive && x.job == k.job && x.attempt == k.attempt && x.counted {
+			if o.alive && x.job == task.job && x.attempt == task.attempt && x.onMachine {
 				n++
 			}
 		}
@@ -600,32 +600,32 @@
 	return n
 }
 
-func (w *world) finishGang(k *onWorker) {
+func (w *model) finishGang(task *modelTask) {
 	for _, o := range w.workers {
 		for _, x := range o.tasks {
-			if x.job == k.job && x.attempt == k.attempt && x.state == taskRunning {
-				x.state, x.why, x.counted = taskExited, exitDone, false
+			if x.job == task.job && x.attempt == task.attempt && x.state == taskRunning {
+				x.state, x.exitReason, x.onMachine = taskExited, exitDone, false
 			}
 		}
 	}
-	for t := range w.specs[k.job].Tasks {
-		w.done[k.job][int32(t)] = true
+	for t := range w.specs[task.job].Tasks {
+		w.finished[task.job][int32(t)] = true
 	}
 }
 
-// talk sends a worker's report when it is due and takes the answer.
-func (w *world) talk(wk *worker) {
-	if wk.inFlight && w.now-wk.sent > 4*time.Second {
-		wk.inFlight, wk.next = false, w.now+time.Second
+// sendHeartbeat sends a worker's report when it is due and takes the answer.
+func (w *model) sendHeartbeat(worker *modelWorker) {
+	if worker.heartbeatInFlight && w.now-worker.heartbeatSentAt > 4*time.Second {
+		worker.heartbeatInFlight, worker.nextHeartbeat = false, w.now+time.Second
 	}
-	if wk.inFlight || w.now < wk.next {
+	if worker.heartbeatInFlight || w.now < worker.nextHeartbeat {
 		return
 	}
-	heartbeat := w.report(wk)
-	sent, session, life := w.now, wk.session, wk.life
-	if w.odd && w.rng.IntN(8) == 0 {
-		w.copies++
-		w.later(time.Second+time.Duration(w.rng.Int64N(int64(40*time.Second))), func() {
+	heartbeat := w.heartbeat(worker)
+	sent, session, life := w.now, worker.session, worker.incarnation
+	if w.unreliableMachines && w.rng.IntN(8) == 0 {
+		w.lateCopies++
+		w.after(time.Second+time.Duration(w.rng.Int64N(int64(40*time.Second))), func() {
 			if w.fleet != nil {
 				c := *heartbeat
 				c.Tasks = append([]TaskReport(nil), heartbeat.Tasks...)
@@ -633,37 +633,37 @@
 			}
 		})
 	}
-	wk.inFlight, wk.sent, wk.next = true, w.now, w.now+time.Second+time.Duration(w.rng.Int64N(int64(time.Second)))
-	if w.rng.Float64() < w.trouble/4 {
+	worker.heartbeatInFlight, worker.heartbeatSentAt, worker.nextHeartbeat = true, w.now, w.now+time.Second+time.Duration(w.rng.Int64N(int64(time.Second)))
+	if w.rng.Float64() < w.faultRate/4 {
 		return
 	}
-	w.later(w.delay(), func() {
+	w.after(w.networkDelay(), func() {
 		if w.fleet == nil {
 			return
 		}
 		a, v := w.fleet.HandleHeartbeat(w.now, heartbeat)
-		if v != Accepted || w.rng.Float64() < w.trouble/4 {
+		if v != Accepted || w.rng.Float64() < w.faultRate/4 {
 			return
 		}
-		w.later(w.delay(), func() {
-			w.expire(wk)
-			if !wk.alive || wk.hung || wk.life != life || w.now < wk.deafTill || wk.session != session || wk.sent != sent || w.now-sent > 4*time.Second {
+		w.after(w.networkDelay(), func() {
+			w.expireLease(worker)
+			if !worker.alive || worker.hung || worker.incarnation != life || w.now < worker.unreachableUntil || worker.session != session || worker.heartbeatSentAt != sent || w.now-sent > 4*time.Second {
 				return // dropped: too late, or of an earlier session
 			}
-			wk.inFlight = false
-			if a.Token < wk.token {
+			worker.heartbeatInFlight = false
+			if a.Token < worker.token {
 				return
 			}
-			if a.Token > wk.token {
-				wk.next = w.now + 500*time.Millisecond
+			if a.Token > worker.token {
+				worker.nextHeartbeat = w.now + 500*time.Millisecond
 			}
-			wk.token, wk.base = a.Token, sent
-			w.execute(wk, a.Commands)
+			worker.token, worker.leaseFrom = a.Token, sent
+			w.execute(worker, a.Commands)
 		})
 	})
 }
 
-func (w *world) submit() {
+func (w *model) submitJob() {
 	w.nextJob++
 	id := fmt.Sprintf("req-%06d", w.nextJob)
 	kinds := []jobs.Kind{jobs.Array, jobs.Array, jobs.Gang, jobs.Service}
@@ -699,169 +699,169 @@
 		}
 	}
 	w.specs[id] = spec
-	w.done[id] = map[int32]bool{}
-	w.apply(store.Txn{
+	w.finished[id] = map[int32]bool{}
+	w.commit(store.Txn{
 		If:   []store.Condition{{Key: jobs.RecordKey(id)}},
 		Then: []store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, w.now.Milliseconds(), spec.Tasks, spec)}},
 	})
 }
 
 // cancel is a user's abort, as any controller carries it out.
-func (w *world) cancel(id string) {
+func (w *model) cancel(id string) {
 	key := jobs.RecordKey(id)
-	it, ok := w.kv[key]
+	it, ok := w.items[key]
 	var r jobs.Record
-	if !ok || json.Unmarshal(it.raw, &r) != nil || r.State != "pending" {
+	if !ok || json.Unmarshal(it.value, &r) != nil || r.State != "pending" {
 		return
 	}
-	w.apply(store.Txn{
+	w.commit(store.Txn{
 		If:   []store.Condition{{Key: key, Version: it.version}},
 		Then: []store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, r.AtMS, r.Tasks, r.Spec)}},
 	})
-	w.told[id] = w.now
+	w.cancelledAt[id] = w.now
 }
 
-func newWorld(t *testing.T, seed uint64, trouble float64, pools ...*licences.Pool) *world {
-	w := &world{
-		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), kv: map[string]kvItem{}, specs: map[string]*jobs.Spec{},
-		done: map[string]map[int32]bool{}, told: map[string]time.Duration{}, trouble: trouble,
-		pools: pools, most: map[string]int{}, peak: map[string]int{},
+func newModel(t *testing.T, seed uint64, trouble float64, pools ...*licences.Pool) *model {
+	m := &model{
+		t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 99)), items: map[string]modelItem{}, specs: map[string]*jobs.Spec{},
+		finished: map[string]map[int32]bool{}, cancelledAt: map[string]time.Duration{}, faultRate: trouble,
+		pools: pools, maxUnits: map[string]int{}, peakUnits: map[string]int{},
 	}
-	w.settings = &config.Settings{}
-	w.settings.Params.Teams = []config.Team{{Name: "t0", CPUs: 4, CPUsMax: 14}, {Name: "t1", CPUs: 4, CPUsMax: 14}}
-	w.settings.Params.Workers = config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 8, GangPeerS: 2, CancelS: 30}
-	w.settings.Params.State.ValueKB = 8
-	w.settings.Operator.NetworkFactor = 1
+	m.settings = &config.Settings{}
+	m.settings.Params.Teams = []config.Team{{Name: "t0", CPUs: 4, CPUsMax: 14}, {Name: "t1", CPUs: 4, CPUsMax: 14}}
+	m.settings.Params.Workers = config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 8, GangPeerS: 2, CancelS: 30}
+	m.settings.Params.State.ValueKB = 8
+	m.settings.Operator.NetworkFactor = 1
 	for i := range 7 {
-		wk := &worker{
-			name: fmt.Sprintf("i-%03d", i), typ: "cpu", zone: []string{"a", "b"}[i%2], spot: i%3 == 2,
-			size: planner.Size{CPUs: 4, Mem: 16}, alive: true, session: 1,
+		worker := &modelWorker{
+			name: fmt.Sprintf("i-%03d", i), machineType: "cpu", zone: []string{"a", "b"}[i%2], spot: i%3 == 2,
+			capacity: planner.Size{CPUs: 4, Mem: 16}, alive: true, session: 1,
 		}
 		if i < 3 {
-			wk.typ, wk.size = "gpu", planner.Size{CPUs: 8, GPUs: 2, Mem: 32}
+			worker.machineType, worker.capacity = "gpu", planner.Size{CPUs: 8, GPUs: 2, Mem: 32}
 		}
-		w.workers = append(w.workers, wk)
+		m.workers = append(m.workers, worker)
 	}
 	// A third of all days begin and end with a key for each plan, a third with pages, and in a third of them
 	// the level rises while jobs run.
-	if w.paged = seed%3 == 0; seed%3 == 1 {
-		w.rises = 20*time.Second + time.Duration(seed%7)*15*time.Second
+	if m.plansInPages = seed%3 == 0; seed%3 == 1 {
+		m.migrateAt = 20*time.Second + time.Duration(seed%7)*15*time.Second
 	}
-	w.lead()
-	return w
+	m.startTerm()
+	return m
 }
 
 // run plays a day: until quiet, troubles happen; after it the world heals, services are
 // cancelled and everything has to come to an end.
-func (w *world) run(quiet, end time.Duration) {
+func (w *model) run(quiet, end time.Duration) {
 	const tick = 50 * time.Millisecond
 	healed := false
-	for ; w.now < end && len(w.broken) == 0; w.now += tick {
+	for ; w.now < end && len(w.violations) == 0; w.now += tick {
 		rough := w.now < quiet
 		if !rough && !healed {
 			healed = true
-			w.trouble = 0
+			w.faultRate = 0
 			for _, pool := range w.pools {
-				pool.Count, w.most[pool.Name] = 8, 8
+				pool.Count, w.maxUnits[pool.Name] = 8, 8
 			}
 			for id, spec := range w.specs {
 				if spec.Kind == jobs.Service {
 					w.cancel(id)
 				}
 			}
-			for _, wk := range w.workers {
-				wk.hung, wk.notice, wk.deafTill = false, 0, 0
+			for _, worker := range w.workers {
+				worker.hung, worker.reclaimAt, worker.unreachableUntil = false, 0, 0
 			}
 		}
 		if rough {
-			w.mischief()
-			w.recount()
+			w.injectFaults()
+			w.changeLicenceCounts()
 		}
-		sort.SliceStable(w.net, func(a, b int) bool { return w.net[a].at < w.net[b].at })
-		for len(w.net) > 0 && w.net[0].at <= w.now {
-			d := w.net[0]
-			w.net = w.net[1:]
-			d.f()
-			sort.SliceStable(w.net, func(a, b int) bool { return w.net[a].at < w.net[b].at })
+		sort.SliceStable(w.events, func(a, b int) bool { return w.events[a].at < w.events[b].at })
+		for len(w.events) > 0 && w.events[0].at <= w.now {
+			d := w.events[0]
+			w.events = w.events[1:]
+			d.run()
+			sort.SliceStable(w.events, func(a, b int) bool { return w.events[a].at < w.events[b].at })
 		}
-		if w.fleet == nil && w.now >= w.crashed {
-			w.lead()
+		if w.fleet == nil && w.now >= w.nextTermAt {
+			w.startTerm()
 		}
-		for _, wk := range w.workers {
-			if wk.alive && wk.hung {
-				w.expire(wk) // a lease ends while its machine hangs, too
-			} else if wk.alive {
-				w.step(wk)
-				w.talk(wk)
+		for _, worker := range w.workers {
+			if worker.alive && worker.hung {
+				w.expireLease(worker) // a lease ends while its machine hangs, too
+			} else if worker.alive {
+				w.advanceTasks(worker)
+				w.sendHeartbeat(worker)
 			}
 		}
 		if w.fleet != nil && w.now%(100*time.Millisecond) == 0 {
-			if w.rises > 0 && w.now > w.rises {
-				w.paged = true
+			if w.migrateAt > 0 && w.now > w.migrateAt {
+				w.plansInPages = true
 			}
 			w.fleet.Tick(w.now, true)
-			w.allPaged = w.allPaged || (w.paged && w.fleet.Migrated())
-			if w.each != nil {
-				w.each()
+			w.migrated = w.migrated || (w.plansInPages && w.fleet.Migrated())
+			if w.afterTick != nil {
+				w.afterTick()
 			}
 		}
 	}
 }
 
-func (w *world) chance(perSecond float64) bool { return w.rng.Float64() < perSecond/20 }
+func (w *model) chance(perSecond float64) bool { return w.rng.Float64() < perSecond/20 }
 
-func (w *world) mischief() {
+func (w *model) injectFaults() {
 	if w.chance(0.25) {
-		w.submit()
+		w.submitJob()
 	}
 	if w.chance(0.06) && w.nextJob > 0 {
 		w.cancel(fmt.Sprintf("req-%06d", 1+w.rng.IntN(w.nextJob)))
 	}
 	if w.chance(0.04) && w.fleet != nil {
-		w.fleet, w.book = nil, nil
-		w.crashed = w.now + time.Duration(w.rng.Int64N(int64(6*time.Second)))
+		w.fleet, w.jobs = nil, nil
+		w.nextTermAt = w.now + time.Duration(w.rng.Int64N(int64(6*time.Second)))
 	}
-	for _, wk := range w.workers {
+	for _, worker := range w.workers {
 		switch {
-		case w.odd && w.chance(0.006) && wk.alive && !wk.hung: // it hears nothing for a while
-			w.deafs++
-			wk.deafTill = w.now + time.Duration(w.rng.Int64N(int64(40*time.Second)))
-		case w.odd && w.chance(0.008) && wk.alive && !wk.hung: // it restarts, and is there again at once
-			w.rebirth++
-			w.crash(wk.tasks)
-			wk.tasks, wk.life, wk.inFlight = nil, wk.life+1, false
-			wk.session, wk.seq, wk.token, wk.base, wk.notice = 1, 0, 0, w.now, 0
-			wk.next = w.now + time.Duration(w.rng.Int64N(int64(900*time.Millisecond)))
-		case w.chance(0.006) && wk.alive && !wk.hung: // hangs, and resumes before or after its lease
-			wk.hung = true
-			o := wk
-			w.later(time.Duration(w.rng.Int64N(int64(15*time.Second))), func() { o.hung = false })
-		case w.chance(0.003) && wk.alive: // dies; a machine of a new name takes its place
-			wk.alive = false
-			w.crash(wk.tasks)
-			wk.tasks = nil
-			n := *wk
-			n.name, n.alive, n.hung, n.session, n.seq, n.token, n.base = fmt.Sprintf("i-%d", len(w.workers)+100), true, false, 1, 0, 0, w.now
-			n.inFlight, n.notice = false, 0
+		case w.unreliableMachines && w.chance(0.006) && worker.alive && !worker.hung: // it hears nothing for a while
+			w.unreachablePeriods++
+			worker.unreachableUntil = w.now + time.Duration(w.rng.Int64N(int64(40*time.Second)))
+		case w.unreliableMachines && w.chance(0.008) && worker.alive && !worker.hung: // it restarts, and is there again at once
+			w.restarts++
+			w.crashTasks(worker.tasks)
+			worker.tasks, worker.incarnation, worker.heartbeatInFlight = nil, worker.incarnation+1, false
+			worker.session, worker.seq, worker.token, worker.leaseFrom, worker.reclaimAt = 1, 0, 0, w.now, 0
+			worker.nextHeartbeat = w.now + time.Duration(w.rng.Int64N(int64(900*time.Millisecond)))
+		case w.chance(0.006) && worker.alive && !worker.hung: // hangs, and resumes before or after its lease
+			worker.hung = true
+			o := worker
+			w.after(time.Duration(w.rng.Int64N(int64(15*time.Second))), func() { o.hung = false })
+		case w.chance(0.003) && worker.alive: // dies; a machine of a new name takes its place
+			worker.alive = false
+			w.crashTasks(worker.tasks)
+			worker.tasks = nil
+			n := *worker
+			n.name, n.alive, n.hung, n.session, n.seq, n.token, n.leaseFrom = fmt.Sprintf("i-%d", len(w.workers)+100), true, false, 1, 0, 0, w.now
+			n.heartbeatInFlight, n.reclaimAt = false, 0
 			w.workers = append(w.workers, &n)
-		case w.chance(0.004) && wk.alive && w.fleet != nil: // the cloud confirms a return
-			if machine := w.fleet.FindMachine(wk.name); machine != nil {
-				wk.alive = false
-				w.crash(wk.tasks)
-				wk.tasks = nil
+		case w.chance(0.004) && worker.alive && w.fleet != nil: // the cloud confirms a return
+			if machine := w.fleet.FindMachine(worker.name); machine != nil {
+				worker.alive = false
+				w.crashTasks(worker.tasks)
+				worker.tasks = nil
 				w.fleet.HandleReturned(w.now, machine, "returned")
-				n := *wk
-				n.name, n.alive, n.hung, n.session, n.seq, n.token, n.base = fmt.Sprintf("i-%d", len(w.workers)+100), true, false, 1, 0, 0, w.now
-				n.inFlight, n.notice = false, 0
+				n := *worker
+				n.name, n.alive, n.hung, n.session, n.seq, n.token, n.leaseFrom = fmt.Sprintf("i-%d", len(w.workers)+100), true, false, 1, 0, 0, w.now
+				n.heartbeatInFlight, n.reclaimAt = false, 0
 				w.workers = append(w.workers, &n)
 			}
-		case w.chance(0.004) && wk.alive && wk.spot && wk.notice == 0:
-			wk.notice = w.now + 5*time.Second
-			o := wk
-			w.later(5*time.Second, func() { o.alive = false; w.crash(o.tasks); o.tasks = nil })
-			n := *wk
-			n.name, n.session, n.seq, n.token, n.base = fmt.Sprintf("i-%d", len(w.workers)+100), 1, 0, 0, w.now
-			n.hung, n.inFlight, n.notice, n.tasks = false, false, 0, nil
+		case w.chance(0.004) && worker.alive && worker.spot && worker.reclaimAt == 0:
+			worker.reclaimAt = w.now + 5*time.Second
+			o := worker
+			w.after(5*time.Second, func() { o.alive = false; w.crashTasks(o.tasks); o.tasks = nil })
+			n := *worker
+			n.name, n.session, n.seq, n.token, n.leaseFrom = fmt.Sprintf("i-%d", len(w.workers)+100), 1, 0, 0, w.now
+			n.hung, n.heartbeatInFlight, n.reclaimAt, n.tasks = false, false, 0, nil
 			w.workers = append(w.workers, &n)
 		}
 	}
@@ -872,8 +872,8 @@
 	os.Exit(m.Run())
 }
 
-// seeds is how many days are played.
-func seeds() uint64 {
+// seedCount is how many days are played.
+func seedCount() uint64 {
 	if os.Getenv("HAREWALK_LONG") != "" {
 		return 1500
 	}
@@ -884,10 +884,10 @@
 // world has healed every job comes to its end.
 func TestRulesAgainstThePlainModel(t *testing.T) {
 	starts, ended := 0, 0
-	for seed := uint64(1); seed <= seeds(); seed++ {
-		w := newWorld(t, seed, 0.12)
-		ended += w.play(t)
-		starts += w.starts
+	for seed := uint64(1); seed <= seedCount(); seed++ {
+		m := newModel(t, seed, 0.12)
+		ended += m.runAndCheck(t)
+		starts += m.startCount
 	}
 	if starts < 2000 || ended < 1000 {
 		t.Fatalf("only %d starts and %d jobs: the model does not exercise the code", starts, ended)
@@ -898,11 +898,11 @@
 // start, and with copies of reports that come up to four leases late.
 func TestRulesWithOddMachines(t *testing.T) {
 	starts, ended, deafs, copies, rebirths := 0, 0, 0, 0, 0
-	for seed := uint64(1); seed <= seeds(); seed++ {
-		w := newWorld(t, seed, 0.12)
-		w.odd = true
-		ended += w.play(t)
-		starts, deafs, copies, rebirths = starts+w.starts, deafs+w.deafs, copies+w.copies, rebirths+w.rebirth
+	for seed := uint64(1); seed <= seedCount(); seed++ {
+		m := newModel(t, seed, 0.12)
+		m.unreliableMachines = true
+		ended += m.runAndCheck(t)
+		starts, deafs, copies, rebirths = starts+m.startCount, deafs+m.unreachablePeriods, copies+m.lateCopies, rebirths+m.restarts
 	}
 	t.Logf("%d starts, %d jobs, %d deaf, %d copies, %d restarts", starts, ended, deafs, copies, rebirths)
 	if starts < 2000 || ended < 1000 || deafs < 100 || copies < 5000 || rebirths < 100 {
@@ -914,16 +914,16 @@
 // included, while counts fall and rise and leaders change, and no seat is lost for good.
 func TestSeatsAgainstThePlainModel(t *testing.T) {
 	starts, ended, full := 0, 0, 0
-	for seed := uint64(1); seed <= seeds(); seed++ {
-		w := newWorld(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
-		ended += w.play(t)
-		starts += w.starts
-		for _, pool := range w.pools {
-			if w.peak[pool.Name] >= 5 {
+	for seed := uint64(1); seed <= seedCount(); seed++ {
+		m := newModel(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
+		ended += m.runAndCheck(t)
+		starts += m.startCount
+		for _, pool := range m.pools {
+			if m.peakUnits[pool.Name] >= 5 {
 				full++
 			}
-			ix, _ := w.book.Names.Pools.Index(pool.Name)
-			if v := w.fleet.Gate.Licences.Show(w.now, ix, func(int32) string { return "" }); v.Free != pool.Count {
+			ix, _ := m.jobs.Names.Pools.Index(pool.Name)
+			if v := m.fleet.Gate.Licences.Show(m.now, ix, func(int32) string { return "" }); v.Free != pool.Count {
 				t.Fatalf("seed %d: pool %s is empty but %+v", seed, pool.Name, v)
 			}
 		}
@@ -933,25 +933,25 @@
 	}
 }
 
-// play runs a day and checks that every rule held and every job ended; it returns their number.
-func (w *world) play(t *testing.T) (ended int) {
+// runAndCheck runs a day and checks that every rule held and every job ended; it returns their number.
+func (w *model) runAndCheck(t *testing.T) (ended int) {
 	w.run(150*time.Second, 420*time.Second)
-	if len(w.broken) > 0 {
-		t.Fatalf("seed %d: %s", w.seed, w.broken[0])
+	if len(w.violations) > 0 {
+		t.Fatalf("seed %d: %s", w.seed, w.violations[0])
 	}
 	for id := range w.specs {
 		var r jobs.Record
-		_ = json.Unmarshal(w.kv[jobs.RecordKey(id)].raw, &r)
+		_ = json.Unmarshal(w.items[jobs.RecordKey(id)].value, &r)
 		if r.State == "pending" {
-			job := w.book.Get(id)
+			job := w.jobs.Get(id)
 			for i := range job.Tasks {
 				t.Logf("task %d %s on %d fails %d late %v", i, job.Tasks[i].State, job.Tasks[i].Machine, job.Tasks[i].Failures, job.Tasks[i].LaunchIndeterminate)
 			}
-			for _, wk := range w.workers {
-				if len(wk.tasks) > 0 {
-					t.Logf("%s (%+v) has", wk.name, wk.size)
-					for _, k := range wk.tasks {
-						t.Logf("  %+v", *k)
+			for _, worker := range w.workers {
+				if len(worker.tasks) > 0 {
+					t.Logf("%s (%+v) has", worker.name, worker.capacity)
+					for _, task := range worker.tasks {
+						t.Logf("  %+v", *task)
 					}
 				}
 			}
@@ -959,7 +959,7 @@
 		}
 		ended++
 	}
-	if w.paged != w.allPaged {
+	if w.plansInPages != w.migrated {
 		t.Fatalf("seed %d: %d plans have keys of their own at the end", w.seed, w.fleet.UnmigratedPlans())
 	}
 	return ended
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -10,16 +10,16 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// checkWhy holds what a job is told against a plain look at everything.
-func checkWhy(t *testing.T, w *world, job *jobs.Job, seen map[PendingCause]int) {
-	f := w.fleet
-	parts := f.PendingReasons(w.now, job)
+// checkPendingReasons holds what a job is told against a plain look at everything.
+func checkPendingReasons(t *testing.T, m *model, job *jobs.Job, seen map[PendingCause]int) {
+	f := m.fleet
+	parts := f.PendingReasons(m.now, job)
 	n := 0
 	for _, p := range parts {
 		n += p.Tasks
 		seen[p.Cause]++
 		if p.Text == "" {
-			t.Fatalf("seed %d, %v: %s is told nothing but %s", w.seed, w.now, job.ID, p.Cause)
+			t.Fatalf("seed %d, %v: %s is told nothing but %s", m.seed, m.now, job.ID, p.Cause)
 		}
 	}
 	runs, writing := 0, 0
@@ -33,11 +33,11 @@
 		}
 	}
 	if n+runs != job.TaskCount {
-		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", w.seed, w.now, job.ID, job.TaskCount, runs, parts)
+		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", m.seed, m.now, job.ID, job.TaskCount, runs, parts)
 	}
 	use := planner.Size{}
 	free := map[string]int{}
-	for _, pool := range w.pools {
+	for _, pool := range m.pools {
 		free[pool.Name] = pool.Count
 	}
 	for _, machine := range f.machines {
@@ -53,7 +53,7 @@
 	}
 	size := job.Spec.Size()
 	wrong := func(p PendingReason, what string) {
-		t.Fatalf("seed %d, %v: %s (%+v) is told %+v, and %s", w.seed, w.now, job.ID, *job.Spec, p, what)
+		t.Fatalf("seed %d, %v: %s (%+v) is told %+v, and %s", m.seed, m.now, job.ID, *job.Spec, p, what)
 	}
 	for _, p := range parts {
 		switch p.Cause {
@@ -63,7 +63,7 @@
 				n = job.TaskCount
 			}
 			// What gangs have booked beside counts for the limit, too.
-			if lim := w.settings.Params.Teams[0].CPUsMax; max(use.CPUs, f.Gate.Quota.Team(job.Team).Used.CPUs)+float64(n)*size.CPUs <= lim+1e-9 {
+			if lim := m.settings.Params.Teams[0].CPUsMax; max(use.CPUs, f.Gate.Quota.Team(job.Team).Used.CPUs)+float64(n)*size.CPUs <= lim+1e-9 {
 				wrong(p, "its team has room")
 			}
 		case LicenceUnavailable:
@@ -74,13 +74,13 @@
 				}
 				short = short || free[name] < k
 			}
-			if grant := f.licenceGrants[job.Index]; !short && grant.Why != licences.OtherFirst && grant.Why != licences.NoAnswer && !lingers(f) {
+			if grant := f.licenceGrants[job.Index]; !short && grant.Why != licences.OtherFirst && grant.Why != licences.NoAnswer && !hasUncountedUnits(f) {
 				wrong(p, "seats are free")
 			}
 		case NoMachine:
 			for _, machine := range f.machines {
-				if machine.Condition == Ready && !machine.Returning && w.now-machine.UpSince > time.Second && w.now-machine.LastHeardAt < time.Second && f.mayUse(machine, job) &&
-					size.Fits(machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs))) && w.now >= f.noMachineUntil[job.Index] {
+				if machine.Condition == Ready && !machine.Returning && m.now-machine.UpSince > time.Second && m.now-machine.LastHeardAt < time.Second && f.mayUse(machine, job) &&
+					size.Fits(machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs))) && m.now >= f.noMachineUntil[job.Index] {
 					wrong(p, "machine "+machine.Name+" may take it")
 				}
 			}
@@ -91,7 +91,7 @@
 					places += size.Copies(f.room(machine, job))
 				}
 			}
-			if places >= job.TaskCount && !job.Spec.OneZone && job.Spec.ZoneLimit() == 0 && !claimed(f) {
+			if places >= job.TaskCount && !job.Spec.OneZone && job.Spec.ZoneLimit() == 0 && !hasReservedMachine(f) {
 				wrong(p, "there are enough places")
 			}
 		case PlanNotDurable:
@@ -102,9 +102,9 @@
 	}
 }
 
-// lingers tells whether seats are counted that no task of ours holds, and claimed whether a claim
+// hasUncountedUnits tells whether seats are counted that no task of ours holds, and claimed whether a claim
 // stands that a plain look at machines doesn't see.
-func lingers(f *Fleet) bool {
+func hasUncountedUnits(f *Fleet) bool {
 	for i := range f.Jobs.Names.Pools.Pools() {
 		if v := f.Gate.Licences.Show(0, int32(i), func(int32) string { return "" }); v.Lingering > 0 || v.Line != "open" || v.Booked > 0 {
 			return true
@@ -113,7 +113,7 @@
 	return false
 }
 
-func claimed(f *Fleet) bool {
+func hasReservedMachine(f *Fleet) bool {
 	for _, machine := range f.machines {
 		if machine.reserved != (planner.Size{}) {
 			return true
@@ -127,15 +127,15 @@
 func TestWhyAgainstThePlainModel(t *testing.T) {
 	seen := map[PendingCause]int{}
 	for seed := uint64(1); seed <= 25; seed++ {
-		w := newWorld(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
-		w.each = func() {
-			for _, job := range w.fleet.ranking.jobs {
+		m := newModel(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
+		m.afterTick = func() {
+			for _, job := range m.fleet.ranking.jobs {
 				if !job.State.Terminal() {
-					checkWhy(t, w, job, seen)
+					checkPendingReasons(t, m, job, seen)
 				}
 			}
 		}
-		w.run(100*time.Second, 160*time.Second)
+		m.run(100*time.Second, 160*time.Second)
 	}
 	for _, c := range []PendingCause{TeamLimit, LicenceUnavailable, NoMachine, GangShort, RetryLater, QueuedOnMachine, PlanNotDurable, GangStopping, Arriving} {
 		if seen[c] < 20 {
@@ -147,9 +147,9 @@
 
 // Who is asked for names those that rank before, nearest first.
 func TestAhead(t *testing.T) {
-	g := seatRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 0})
+	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 0})
 	for i := range 5 {
-		spec := needing(i+1, 1, map[string]int{"p": 1})
+		spec := specWithLicences(i+1, 1, map[string]int{"p": 1})
 		spec.Priority = []string{"prod", "urgent", "standard", "standard", "best_effort"}[i]
 		g.submit(spec)
 	}
