--- /dev/null
+++ b/internal/fleet/modelstore_test.go
@@ -0,0 +1,258 @@
+package fleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/licences"
+	"github.com/harewalk/harewalk/internal/planner"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// This file is the model's state service, and the leaders that use it.
+
+// leaderKey is the key that guards every transaction of a leader.
+const leaderKey = "leader"
+
+// modelItem is a key's value in the model's state service.
+type modelItem struct {
+	value   json.RawMessage
+	version uint64
+}
+
+// commit applies a transaction and checks what it writes.
+func (m *model) commit(txn store.Txn) store.Result {
+	var failed []string
+	for _, condition := range txn.If {
+		if m.items[condition.Key].version != condition.Version {
+			failed = append(failed, condition.Key)
+		}
+	}
+	if failed != nil {
+		return store.Result{Outcome: store.Conflict, FailedKeys: failed}
+	}
+	m.revision++
+	for _, op := range txn.Then {
+		if op.Delete != "" {
+			delete(m.items, op.Delete)
+			continue
+		}
+		m.checkRecord(op.Put, op.Value)
+		m.checkPlanKey(op.Put)
+		m.items[op.Put] = modelItem{op.Value, m.revision}
+	}
+	revision := m.revision
+	for _, op := range txn.Then {
+		if isRecordKey(op.Put) {
+			m.after(m.watchDelay(), func() { m.applyRecord(op.Put, op.Value, revision) })
+		}
+	}
+	return store.Result{Outcome: store.Committed, Revision: revision}
+}
+
+// isRecordKey returns whether a key is that of a job's record.
+func isRecordKey(key string) bool {
+	return len(key) > len(jobs.Prefix) && strings.HasPrefix(key, jobs.Prefix)
+}
+
+// watchDelay is how long after a commit the leader learns of it.
+func (m *model) watchDelay() time.Duration {
+	return time.Duration(m.rng.Int64N(int64(400 * time.Millisecond)))
+}
+
+// checkRecord checks what users may be told of a job: the rules not_done and went_back.
+func (m *model) checkRecord(key string, value json.RawMessage) {
+	if !strings.HasPrefix(key, jobs.Prefix) {
+		return
+	}
+	id := key[len(jobs.Prefix):]
+	var before, after jobs.Record
+	_ = json.Unmarshal(value, &after)
+	if old, ok := m.items[key]; ok {
+		_ = json.Unmarshal(old.value, &before)
+		if before.State != "pending" {
+			m.violation("went_back: %s was %s and becomes %s", id, before.State, after.State)
+		}
+	}
+	if after.State == "done" {
+		if n := len(m.finished[id]); n != m.specs[id].Tasks {
+			m.violation("not_done: %s is called done with %d of %d tasks", id, n, m.specs[id].Tasks)
+		}
+	}
+}
+
+// checkPlanKey checks that no plan segment of a pending job is written to a key of its own after the migration. Those
+// of ended jobs are never read.
+func (m *model) checkPlanKey(key string) {
+	name, ok := strings.CutPrefix(key, jobs.PlanPrefix)
+	if !ok || !m.migrated || strings.HasPrefix(key, jobs.PlanPagePrefix) || strings.HasPrefix(key, imagesKey) {
+		return
+	}
+	id, _, _ := splitSegmentName(name)
+	if m.recordState(id) == "pending" {
+		m.violation("%s is written with a key of its own, and the migration is over", name)
+	}
+}
+
+// recordState returns the state of a job as it is stored, "" if there is no record.
+func (m *model) recordState(id string) string {
+	var record jobs.Record
+	_ = json.Unmarshal(m.items[jobs.RecordKey(id)].value, &record)
+	return record.State
+}
+
+// applyRecord passes a job's record to the leader.
+func (m *model) applyRecord(key string, value json.RawMessage, version uint64) {
+	if m.jobs == nil {
+		return
+	}
+	job, changed, err := m.jobs.Apply(key[len(jobs.Prefix):], value, version)
+	if err != nil {
+		m.violation("record: %v", err)
+	}
+	if changed && m.fleet != nil {
+		m.fleet.HandleJobChange(m.now, job)
+	}
+}
+
+// segmentValue returns the stored value of a plan segment: the one written last, of those in pages and in a key of its
+// own.
+func (m *model) segmentValue(name string) json.RawMessage {
+	newest, ok := m.items[jobs.PlanPrefix+name]
+	if ok && m.migrated {
+		m.violation("%s has a key of its own, and the migration is over", name)
+	}
+	for key, item := range m.items {
+		if !strings.HasPrefix(key, jobs.PlanPagePrefix) || item.version <= newest.version {
+			continue
+		}
+		var page struct{ Plans map[string]json.RawMessage }
+		if err := json.Unmarshal(item.value, &page); err != nil {
+			m.violation("%s: %v", key, err)
+		}
+		if value, ok := page.Plans[name]; ok {
+			newest = modelItem{value, item.version}
+		}
+	}
+	return newest.value
+}
+
+// durablyFinished returns whether it is stored that a task has finished, or that its job has ended.
+func (m *model) durablyFinished(id string, taskIndex int32) bool {
+	if m.recordState(id) != "pending" {
+		return true
+	}
+	number := int(taskIndex) / jobs.SegmentTasks
+	value := m.segmentValue(fmt.Sprintf("%s/%03d", id, number))
+	if value == nil {
+		return false
+	}
+	taskCount := min(jobs.SegmentTasks, m.specs[id].Tasks-number*jobs.SegmentTasks)
+	_, finished, err := jobs.DecodeSegment(value, taskCount, func(string) int32 { return 0 })
+	return err == nil && finished[int(taskIndex)%jobs.SegmentTasks]
+}
+
+// startTerm starts a new term of a leader that has nothing but what the state service holds.
+func (m *model) startTerm() {
+	m.term++
+	m.revision++
+	m.items[leaderKey] = modelItem{json.RawMessage(`{}`), m.revision}
+	guard := store.Condition{Key: leaderKey, Version: m.revision}
+	m.jobs = jobs.NewTable(0)
+	m.jobs.Names.Pools = licences.NewCatalog(m.pools)
+	var keys []string
+	for key := range m.items {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	var plans []store.Item
+	for _, key := range keys {
+		item := m.items[key]
+		switch {
+		case isRecordKey(key):
+			m.applyRecord(key, item.value, item.version)
+		case strings.HasPrefix(key, jobs.PlanPrefix):
+			plans = append(plans, store.Item{Key: key, Value: item.value, Version: item.version})
+		}
+	}
+	m.fleet = New(m.env(m.term, guard), m.term, m.now)
+	m.fleet.LoadPlans(m.now, plans)
+}
+
+// env returns the surroundings of the fleet of a term. What is answered after the term's end is dropped.
+func (m *model) env(term uint64, guard store.Condition) Env {
+	return Env{
+		Settings:       m.settings,
+		Jobs:           m.jobs,
+		Rng:            m.rng,
+		TxnOps:         5,
+		Now:            func() time.Duration { return m.now },
+		Types:          m.machineType,
+		PlansInPages:   func() bool { return m.plansInPages },
+		CanWrite:       func(int) bool { return true },
+		HasSpareWrites: func() bool { return true },
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			txn.If = append([]store.Condition{guard}, txn.If...)
+			m.commitWithFaults(txn, func(result store.Result) {
+				if m.leads(term) {
+					done(result)
+				}
+			})
+		},
+		Read: func(key string, done func(store.Item, error)) {
+			m.after(10*time.Millisecond, func() {
+				if m.leads(term) {
+					m.read(key, done)
+				}
+			})
+		},
+		SendCommands: func(machine *Machine, commands DirectCommands, done func(*Heartbeat, bool)) {
+			m.sendCommands(machine, commands, func(heartbeat *Heartbeat, ok bool) {
+				if m.leads(term) {
+					done(heartbeat, ok)
+				}
+			})
+		},
+		OnJobRecord: func(_ time.Duration, item store.Item) { m.applyRecord(item.Key, item.Value, item.Version) },
+	}
+}
+
+// leads returns whether a term still lasts.
+func (m *model) leads(term uint64) bool { return m.fleet != nil && m.fleet.Term == term }
+
+// machineType describes the machine types, by dense index.
+func (m *model) machineType(index int32) *MachineType {
+	switch m.jobs.Names.Types.Name(index) {
+	case "gpu":
+		return &MachineType{Size: planner.Size{CPUs: 8, GPUs: 2, Mem: 32}, CacheGB: 8, FetchGB: 1}
+	case "cpu":
+		return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 8, FetchGB: 1}
+	}
+	return nil
+}
+
+// commitWithFaults applies a transaction after a delay. It may be lost, or applied late without a response.
+func (m *model) commitWithFaults(txn store.Txn, done func(store.Result)) {
+	switch x := m.rng.Float64(); {
+	case x < m.faultRate/2:
+		if m.rng.IntN(2) == 0 {
+			m.after(m.networkDelay(), func() { m.commit(txn) })
+		}
+		m.after(time.Second, func() { done(store.Result{Outcome: store.Indeterminate}) })
+	case x < m.faultRate:
+		m.after(20*time.Millisecond, func() { done(store.Result{Outcome: store.NotApplied}) })
+	default:
+		delay := time.Duration(m.rng.Int64N(int64(80 * time.Millisecond)))
+		m.after(delay, func() { done(m.commit(txn)) })
+	}
+}
+
+// read passes a key's item on.
+func (m *model) read(key string, done func(store.Item, error)) {
+	item := m.items[key]
+	done(store.Item{Key: key, Value: item.value, Version: item.version}, nil)
+}
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -127,7 +127,7 @@
 func TestWhyAgainstThePlainModel(t *testing.T) {
 	seen := map[PendingCause]int{}
 	for seed := uint64(1); seed <= 25; seed++ {
-		m := newModel(t, seed, 0.12, &licences.Pool{Name: "p", Count: 6}, &licences.Pool{Name: "q", Count: 5, Linger: 6 * time.Second})
+		m := newModel(seed, modelPools()...)
 		m.afterTick = func() {
 			for _, job := range m.fleet.ranking.jobs {
 				if !job.State.Terminal() {
