--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -47,7 +47,8 @@
 				gang.units += units
 				gang.lost += f.lostWork(now, job, taskIndex)
 			case stoppable:
-				holders = append(holders, licenceHolder{job, []int32{taskIndex}, units, f.lostWork(now, job, taskIndex)})
+				lost := f.lostWork(now, job, taskIndex)
+				holders = append(holders, licenceHolder{job, []int32{taskIndex}, units, lost})
 			}
 		}
 		if gang.tasks != nil {
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// grantLicences grants the free licence units for this scheduling cycle. A job that is granted fewer than it has planned
-// loses the rest of its plan, so no more is planned than is granted. Where units are missing, tasks of others may be
-// stopped.
+// grantLicences grants the free licence units for this scheduling cycle. A job that is granted fewer than it has
+// planned loses the rest of its plan, so no more is planned than is granted. Where units are missing, tasks of others
+// may be stopped.
 func (f *Fleet) grantLicences(now time.Duration) {
 	f.releaseUnusedAdmissions(now)
 	clear(f.licenceGrants)
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -65,7 +65,8 @@
 	other := g.submit(spec(2, 4))
 	g.settle(store.Committed)
 	if job.TasksByState[jobs.Planned] != 2 || other.TasksByState[jobs.Planned] != 4 {
-		t.Fatalf("%d planned with two units, %d without", job.TasksByState[jobs.Planned], other.TasksByState[jobs.Planned])
+		t.Fatalf("%d planned with two units, %d without",
+			job.TasksByState[jobs.Planned], other.TasksByState[jobs.Planned])
 	}
 	if d := g.Demand(g.now); len(d) != 2 || d[0].Tasks != 2 || d[1].Tasks != 4 {
 		t.Fatalf("demand %+v", d)
@@ -216,7 +217,8 @@
 // A gang is launched machine by machine, seconds apart where images differ: no other job takes the units and the room
 // under its team's limit that the later launches need.
 func TestGangReservesAllUnitsAtOnce(t *testing.T) {
-	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t", CPUsMax: 6}}, &licences.Pool{Name: "p", Count: 3})
+	teams := []config.Team{{Name: "t", CPUsMax: 6}}
+	g := newRigOf(t, 1, map[string]json.RawMessage{}, teams, &licences.Pool{Name: "p", Count: 3})
 	g.hear("a", 1, fenced)
 	g.hear("b", 1, fenced)
 	job := g.submitGangOfTwo()
@@ -327,8 +329,8 @@
 	}
 }
 
-// When all units are taken, holders are stopped for a job that may preempt others: after a delay, once, and no more than
-// it needs. The same goes for a job within its team's guaranteed units.
+// When all units are taken, holders are stopped for a job that may preempt others: after a delay, once, and no more
+// than it needs. The same goes for a job within its team's guaranteed units.
 func TestUnitsArePreempted(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
 		pool := &licences.Pool{Name: "p", Count: 4, Teams: map[string]licences.Share{"u": {Guarantee: 2}}}
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -10,109 +10,179 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// checkPendingReasons holds what a job is told against a plain look at everything.
-func checkPendingReasons(t *testing.T, m *model, job *jobs.Job, seen map[PendingCause]int) {
-	f := m.fleet
-	parts := f.PendingReasons(m.now, job)
-	n := 0
-	for _, p := range parts {
-		n += p.Tasks
-		seen[p.Cause]++
-		if p.Text == "" {
-			t.Fatalf("seed %d, %v: %s is told nothing but %s", m.seed, m.now, job.ID, p.Cause)
-		}
-	}
-	runs, writing := 0, 0
-	for i := range job.Tasks {
-		task := &job.Tasks[i]
+// reasonCheck compares the pending reasons of one job with a plain look at the whole model.
+type reasonCheck struct {
+	t     *testing.T
+	model *model
+	fleet *Fleet
+	job   *jobs.Job
+}
+
+// run checks every reason of the job, and that each of its tasks runs, is finished, or has one reason. It counts the
+// causes in seen.
+func (c *reasonCheck) run(seen map[PendingCause]int) {
+	c.t.Helper()
+	reasons := c.fleet.PendingReasons(c.model.now, c.job)
+	waiting := 0
+	for _, reason := range reasons {
+		waiting += reason.Tasks
+		seen[reason.Cause]++
+		if reason.Text == "" {
+			c.fail(reason, "there is no text")
+		}
+		c.check(reason)
+	}
+	if running := c.runningOrFinished(); waiting+running != c.job.TaskCount {
+		c.t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are finished, %+v",
+			c.model.seed, c.model.now, c.job.ID, c.job.TaskCount, running, reasons)
+	}
+}
+
+// fail fails the test for a reason that is wrong.
+func (c *reasonCheck) fail(reason PendingReason, what string) {
+	c.t.Helper()
+	c.t.Fatalf("seed %d, %v: the reason of %s (%+v) is %+v, and %s",
+		c.model.seed, c.model.now, c.job.ID, *c.job.Spec, reason, what)
+}
+
+// check checks the causes that can be seen by a plain look.
+func (c *reasonCheck) check(reason PendingReason) {
+	c.t.Helper()
+	switch reason.Cause {
+	case TeamLimit:
+		if c.teamHasRoom() {
+			c.fail(reason, "its team has room")
+		}
+	case LicenceUnavailable:
+		if c.unitsAreFree() {
+			c.fail(reason, "licence units are free")
+		}
+	case NoMachine:
+		for _, machine := range c.fleet.machines {
+			if c.couldTake(machine) {
+				c.fail(reason, "machine "+machine.Name+" may take it")
+			}
+		}
+	case GangShort:
+		if c.gangHasRoom() {
+			c.fail(reason, "there is room for the whole gang")
+		}
+	case PlanNotDurable:
+		if reason.Tasks != c.tasksBeingWritten() {
+			c.fail(reason, "another number is being written")
+		}
+	}
+}
+
+func (c *reasonCheck) runningOrFinished() int {
+	count := 0
+	for i := range c.job.Tasks {
+		task := &c.job.Tasks[i]
 		if task.State == jobs.Finished || (task.State == jobs.OnMachine && task.Phase >= jobs.Running) {
-			runs++
+			count++
 		}
-		if task.State == jobs.Planned && !job.IsDurable(int32(i)) {
-			writing++
+	}
+	return count
+}
+
+func (c *reasonCheck) tasksBeingWritten() int {
+	count := 0
+	for i := range c.job.Tasks {
+		if c.job.Tasks[i].State == jobs.Planned && !c.job.IsDurable(int32(i)) {
+			count++
 		}
 	}
-	if n+runs != job.TaskCount {
-		t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are done, %+v", m.seed, m.now, job.ID, job.TaskCount, runs, parts)
+	return count
+}
+
+// tasksStartedTogether returns how many tasks of the job must start at once.
+func (c *reasonCheck) tasksStartedTogether() int {
+	if c.job.Spec.Kind == jobs.Gang {
+		return c.job.TaskCount
+	}
+	return 1
+}
+
+// teamHasRoom returns whether the team's limit lets the job start. What is reserved for gangs counts against it, beside
+// what is on machines.
+func (c *reasonCheck) teamHasRoom() bool {
+	used := planner.Size{}
+	for _, machine := range c.fleet.machines {
+		for ref := range machine.Tasks {
+			if other := c.fleet.jobAt(ref.Job); other.Team == c.job.Team {
+				used = used.Add(other.Spec.Size())
+			}
+		}
 	}
-	use := planner.Size{}
+	usedCPUs := max(used.CPUs, c.fleet.Gate.Quota.Team(c.job.Team).Used.CPUs)
+	needed := float64(c.tasksStartedTogether()) * c.job.Spec.Size().CPUs
+	return usedCPUs+needed <= c.model.settings.Params.Teams[0].CPUsMax+1e-9
+}
+
+// unitsAreFree returns whether no task on a machine, no job of higher priority, no missing answer of a server and no
+// unit of a crashed task keeps the job from having its licence units.
+func (c *reasonCheck) unitsAreFree() bool {
 	free := map[string]int{}
-	for _, pool := range m.pools {
+	for _, pool := range c.model.pools {
 		free[pool.Name] = pool.Count
 	}
-	for _, machine := range f.machines {
-		for r := range machine.Tasks {
-			o := f.jobAt(r.Job)
-			if o.Team == job.Team {
-				use = use.Add(o.Spec.Size())
-			}
-			for name, k := range o.Spec.Licences {
-				free[name] -= k
+	for _, machine := range c.fleet.machines {
+		for ref := range machine.Tasks {
+			for name, units := range c.fleet.jobAt(ref.Job).Spec.Licences {
+				free[name] -= units
 			}
 		}
 	}
-	size := job.Spec.Size()
-	wrong := func(p PendingReason, what string) {
-		t.Fatalf("seed %d, %v: %s (%+v) is told %+v, and %s", m.seed, m.now, job.ID, *job.Spec, p, what)
+	for name, units := range c.job.Spec.Licences {
+		if free[name] < units*c.tasksStartedTogether() {
+			return false
+		}
 	}
-	for _, p := range parts {
-		switch p.Cause {
-		case TeamLimit:
-			n := 1
-			if job.Spec.Kind == jobs.Gang {
-				n = job.TaskCount
-			}
-			// What gangs have booked beside counts for the limit, too.
-			if lim := m.settings.Params.Teams[0].CPUsMax; max(use.CPUs, f.Gate.Quota.Team(job.Team).Used.CPUs)+float64(n)*size.CPUs <= lim+1e-9 {
-				wrong(p, "its team has room")
-			}
-		case LicenceUnavailable:
-			short := false
-			for name, k := range job.Spec.Licences {
-				if job.Spec.Kind == jobs.Gang {
-					k *= job.TaskCount
-				}
-				short = short || free[name] < k
-			}
-			if grant := f.licenceGrants[job.Index]; !short && grant.Why != licences.OtherFirst && grant.Why != licences.NoAnswer && !hasUncountedUnits(f) {
-				wrong(p, "seats are free")
-			}
-		case NoMachine:
-			for _, machine := range f.machines {
-				if machine.Condition == Ready && !machine.Returning && m.now-machine.UpSince > time.Second && m.now-machine.LastHeardAt < time.Second && f.mayUse(machine, job) &&
-					size.Fits(machine.Capacity.Sub(f.keptFree(machine, job, machine.Capacity.GPUs))) && m.now >= f.noMachineUntil[job.Index] {
-					wrong(p, "machine "+machine.Name+" may take it")
-				}
-			}
-		case GangShort:
-			places := 0
-			for _, machine := range f.machines {
-				if machine.Condition == Ready && !machine.Returning && f.mayUse(machine, job) {
-					places += size.Copies(f.room(machine, job))
-				}
-			}
-			if places >= job.TaskCount && !job.Spec.OneZone && job.Spec.ZoneLimit() == 0 && !hasReservedMachine(f) {
-				wrong(p, "there are enough places")
-			}
-		case PlanNotDurable:
-			if p.Tasks != writing {
-				wrong(p, "another number is being written")
-			}
+	denial := c.fleet.licenceGrants[c.job.Index].Why
+	return denial != licences.OtherFirst && denial != licences.NoAnswer && !hasUncountedUnits(c.fleet)
+}
+
+// couldTake returns whether a machine that has been up for a while could take a task of the job if it were empty.
+func (c *reasonCheck) couldTake(machine *Machine) bool {
+	now := c.model.now
+	if machine.Condition != Ready || machine.Returning {
+		return false
+	}
+	if now-machine.UpSince <= time.Second || now-machine.LastHeardAt >= time.Second {
+		return false
+	}
+	if !c.fleet.mayUse(machine, c.job) || now < c.fleet.noMachineUntil[c.job.Index] {
+		return false
+	}
+	keptFree := c.fleet.keptFree(machine, c.job, machine.Capacity.GPUs)
+	return c.job.Spec.Size().Fits(machine.Capacity.Sub(keptFree))
+}
+
+// gangHasRoom returns whether the machines have room for all tasks of a gang that may be anywhere.
+func (c *reasonCheck) gangHasRoom() bool {
+	spec := c.job.Spec
+	room := 0
+	for _, machine := range c.fleet.machines {
+		if machine.Condition == Ready && !machine.Returning && c.fleet.mayUse(machine, c.job) {
+			room += spec.Size().Copies(c.fleet.room(machine, c.job))
 		}
 	}
+	mayBeAnywhere := !spec.OneZone && spec.ZoneLimit() == 0
+	return room >= c.job.TaskCount && mayBeAnywhere && !hasReservedMachine(c.fleet)
 }
 
-// hasUncountedUnits tells whether seats are counted that no task of ours holds, and claimed whether a claim
-// stands that a plain look at machines doesn't see.
+// hasUncountedUnits returns whether licence units are taken that no task on a machine holds, or may be.
 func hasUncountedUnits(f *Fleet) bool {
 	for i := range f.Jobs.Names.Pools.Pools() {
-		if v := f.Gate.Licences.Show(0, int32(i), func(int32) string { return "" }); v.Lingering > 0 || v.Line != "open" || v.Booked > 0 {
+		view := f.Gate.Licences.Show(0, int32(i), func(int32) string { return "" })
+		if view.Lingering > 0 || view.Line != "open" || view.Booked > 0 {
 			return true
 		}
 	}
 	return false
 }
 
+// hasReservedMachine returns whether room on a machine is reserved, which a plain look at its tasks doesn't show.
 func hasReservedMachine(f *Fleet) bool {
 	for _, machine := range f.machines {
 		if machine.reserved != (planner.Size{}) {
@@ -122,35 +192,38 @@
 	return false
 }
 
-// Whatever the model of workers and network does, each task of each job that waits has exactly one
-// reason, and the reason is so.
-func TestWhyAgainstThePlainModel(t *testing.T) {
+// Whatever the model does, each waiting task of each job has exactly one reason, and the reason is true.
+func TestModelGivesTruePendingReasons(t *testing.T) {
 	seen := map[PendingCause]int{}
 	for seed := uint64(1); seed <= 25; seed++ {
 		m := newModel(seed, modelPools()...)
 		m.afterTick = func() {
 			for _, job := range m.fleet.ranking.jobs {
 				if !job.State.Terminal() {
-					checkPendingReasons(t, m, job, seen)
+					check := reasonCheck{t: t, model: m, fleet: m.fleet, job: job}
+					check.run(seen)
 				}
 			}
 		}
 		m.run(100*time.Second, 160*time.Second)
 	}
-	for _, c := range []PendingCause{TeamLimit, LicenceUnavailable, NoMachine, GangShort, RetryLater, QueuedOnMachine, PlanNotDurable, GangStopping, Arriving} {
-		if seen[c] < 20 {
-			t.Errorf("%s was told %d times: the model does not exercise the code", c, seen[c])
+	expected := []PendingCause{
+		TeamLimit, LicenceUnavailable, NoMachine, GangShort, RetryLater,
+		QueuedOnMachine, PlanNotDurable, GangStopping, Arriving,
+	}
+	for _, cause := range expected {
+		if seen[cause] < 20 {
+			t.Errorf("%s was reported %d times: the model does not exercise the code", cause, seen[cause])
 		}
 	}
 	t.Logf("%v", seen)
 }
 
-// Who is asked for names those that rank before, nearest first.
-func TestAhead(t *testing.T) {
+func TestJobsAheadNearestFirst(t *testing.T) {
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 0})
-	for i := range 5 {
-		spec := specWithLicences(i+1, 1, map[string]int{"p": 1})
-		spec.Priority = []string{"prod", "urgent", "standard", "standard", "best_effort"}[i]
+	for i, priority := range []string{"prod", "urgent", "standard", "standard", "best_effort"} {
+		spec := specWithLicences(i+1, 1, oneUnit())
+		spec.Priority = priority
 		g.submit(spec)
 	}
 	g.settle(0)
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// This file is the fleet's side of interactive sessions: it suspends their jobs, and finds the jobs that wait for what a
-// session holds.
+// This file is the fleet's side of interactive sessions: it suspends their jobs, and finds the jobs that wait for what
+// a session holds.
 
 // Suspend stops a job's tasks, with time to save a checkpoint, and keeps them off machines if suspended is true;
 // otherwise it lets the job be planned again.
