--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true: they will not be launched.
+// ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true: they will not be
+// launched.
 func (g *Gate) ReleaseReserved(now time.Duration, abandoned func(licences.Ref) bool) {
 	for ref, claim := range g.reserved {
 		if abandoned(ref) {
@@ -100,8 +101,8 @@
 	}
 }
 
-// Acquire takes a task's claim before its launch is sent, or makes a reserved one acquired. attempt is 0 where it is not
-// known.
+// Acquire takes a task's claim before its launch is sent, or makes a reserved one acquired. attempt is 0 where it is
+// not known.
 func (g *Gate) Acquire(now time.Duration, ref licences.Ref, attempt uint64, claim Claim) {
 	if g.Reserved(ref) {
 		delete(g.reserved, ref)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/licences"
@@ -9,57 +10,78 @@
 	"github.com/harewalk/harewalk/internal/quota"
 )
 
-// What one limit refuses no other books, and what is booked is taken and given back by all of them
-// at the same moments, once, however often a task is let through.
-func TestAllOrNothing(t *testing.T) {
-	team := func(string) int32 { return 0 }
-	cat := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
-	g := New(quota.New([]config.Team{{Name: "t", CPUsMax: 10}}, team), licences.New(cat, team, 0))
-	units, err := cat.Needs(map[string]int{"p": 1})
+// now is the time of all calls: the gate's answers don't depend on it.
+const now time.Duration = 0
+
+// newGate returns a gate for one team with a limit of 10 processor cores and one pool of three licence units, and the
+// units that a task with one licence unit needs.
+func newGate(t *testing.T) (*Gate, []licences.Unit) {
+	t.Helper()
+	teamIndex := func(string) int32 { return 0 }
+	catalog := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
+	units, err := catalog.Needs(map[string]int{"p": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := Claim{Team: 0, Size: planner.Size{CPUs: 4}, LicenceUnits: units}
-	state := func(cpus float64, free int) {
+	teams := quota.New([]config.Team{{Name: "t", CPUsMax: 10}}, teamIndex)
+	return New(teams, licences.New(catalog, teamIndex, now)), units
+}
+
+// What one limit denies is taken from no other, and claims are taken from and released to all limits at the same
+// moments, once, however often a task is acquired or reserved.
+func TestClaimsAreTakenFromAllLimitsOrNone(t *testing.T) {
+	gate, units := newGate(t)
+	claim := Claim{Team: 0, Size: planner.Size{CPUs: 4}, LicenceUnits: units}
+	expect := func(usedCPUs float64, freeUnits int) {
 		t.Helper()
-		used, v := g.Quota.Team(0).Used.CPUs, g.Licences.Show(0, 0, func(int32) string { return "" })
-		if used != cpus || v.Free != free {
-			t.Fatalf("%v CPUs used and %d seats free, want %v and %d", used, v.Free, cpus, free)
+		used := gate.Quota.Team(0).Used.CPUs
+		view := gate.Licences.Show(now, 0, func(int32) string { return "" })
+		if used != usedCPUs || view.Free != freeUnits {
+			t.Fatalf("%v CPUs used and %d units free, want %v and %d", used, view.Free, usedCPUs, freeUnits)
 		}
 	}
-	if d := g.Ask(c, 3); !d.TeamLimit {
-		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", d)
+	if denial := gate.Ask(claim, 3); !denial.TeamLimit {
+		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", denial)
 	}
-	small := c
+	small := claim
 	small.Size.CPUs = 1
-	if d := g.Ask(small, 4); d.OK() || d.TeamLimit || d.Licence != licences.NoSeat || d.Pool != 0 {
-		t.Fatalf("four seats of three: %+v", d)
+	denial := gate.Ask(small, 4)
+	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoSeat || denial.Pool != 0 {
+		t.Fatalf("four units of three: %+v", denial)
 	}
-	state(0, 3)
-	a, b := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
-	g.Acquire(0, a, 7, c)
-	g.Reserve(0, []licences.Ref{a, b}[1:], 7, c)
-	g.Reserve(0, []licences.Ref{b}, 7, c)
-	state(8, 1)
-	if !g.Reserved(b) || g.Reserved(a) || g.Fits(c, 1) {
+	expect(0, 3)
+
+	first, second := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
+	gate.Acquire(now, first, 7, claim)
+	gate.Reserve(now, []licences.Ref{second}, 7, claim)
+	gate.Reserve(now, []licences.Ref{second}, 7, claim)
+	expect(8, 1)
+	if !gate.Reserved(second) || gate.Reserved(first) || gate.Fits(claim, 1) {
 		t.Fatal("the limit of 10 has room for a third task of 4")
 	}
-	g.Acquire(0, b, 7, c) // its launch follows: it is counted already
-	state(8, 1)
-	if g.Reserved(b) {
-		t.Fatal("still booked after its launch")
+	gate.Acquire(now, second, 7, claim) // its launch follows: it is counted already
+	expect(8, 1)
+	if gate.Reserved(second) {
+		t.Fatal("still reserved after its launch")
+	}
+	gate.Release(now, first, claim, licences.Clean)
+	expect(4, 2)
+	gate.Release(now, second, claim, licences.Unstarted)
+	expect(0, 3)
+
+	gate.Reserve(now, []licences.Ref{first, second}, 9, claim)
+	gate.ReleaseReserved(now, func(ref licences.Ref) bool { return ref == second })
+	expect(4, 2)
+	gate.ReleaseReserved(now, func(licences.Ref) bool { return true })
+	expect(0, 3)
+}
+
+func TestFitsWithoutLicenceUnits(t *testing.T) {
+	gate, _ := newGate(t)
+	if !gate.Fits(Claim{Team: 0, Size: planner.Size{CPUs: 10}}, 1) {
+		t.Fatal("a task without licence units is denied")
 	}
-	g.Release(0, a, c, licences.Clean)
-	state(4, 2)
-	g.Release(0, b, c, licences.Unstarted)
-	state(0, 3)
-	g.Reserve(0, []licences.Ref{a, b}, 9, c)
-	g.ReleaseReserved(0, func(r licences.Ref) bool { return r == b })
-	state(4, 2)
-	g.ReleaseReserved(0, func(licences.Ref) bool { return true })
-	state(0, 3)
-	none := Claim{Team: 0, Size: planner.Size{CPUs: 10}}
-	if !g.Fits(none, 1) || g.Fits(Claim{Team: 5}, 1) {
-		t.Fatal("a task without seats is kept out, or one of an unknown team let in")
+	if gate.Fits(Claim{Team: 5}, 1) {
+		t.Fatal("a task of an unknown team is let in")
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,35 +8,45 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-func ledger() *Ledger {
-	ix := map[string]int32{"a": 0, "b": 1}
-	return New([]config.Team{{Name: "a", GPUs: 4, GPUsMax: 6}, {Name: "b", CPUs: 2, CPUsMax: 8}}, func(n string) int32 { return ix[n] })
+const (
+	teamA       = 0 // 4 GPUs guaranteed, limit 6
+	teamB       = 1 // 2 CPUs guaranteed, limit 8
+	unknownTeam = 7
+)
+
+func newLedger() *Ledger {
+	teams := []config.Team{
+		{Name: "a", GPUs: 4, GPUsMax: 6},
+		{Name: "b", CPUs: 2, CPUsMax: 8},
+	}
+	indices := map[string]int32{"a": teamA, "b": teamB}
+	return New(teams, func(name string) int32 { return indices[name] })
 }
 
-// Whatever is taken and given back, what Fits allows never goes over a limit, compared
-// with a plain list of what runs.
-func TestLimitsAgainstAPlainList(t *testing.T) {
+// Whatever is acquired and released, Fits allows just what stays within the limit, compared with a plain list of what
+// runs.
+func TestFitsAgainstPlainList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
-	l := ledger()
+	ledger := newLedger()
 	var running []planner.Size
 	refused := 0
 	for range 5000 {
 		if len(running) > 0 && rng.IntN(2) == 0 {
 			i := rng.IntN(len(running))
-			l.Release(0, running[i])
+			ledger.Release(teamA, running[i])
 			running = append(running[:i], running[i+1:]...)
 			continue
 		}
 		size := planner.Size{CPUs: float64(rng.IntN(20)), GPUs: 0.5 * float64(rng.IntN(5))}
-		sum := size.GPUs
-		for _, r := range running {
-			sum += r.GPUs
+		gpus := size.GPUs
+		for _, other := range running {
+			gpus += other.GPUs
 		}
-		if l.Fits(0, size, 1) != (sum <= 6) {
-			t.Fatalf("fits says %v with %v of 6 GPUs", l.Fits(0, size, 1), sum)
+		if fits := ledger.Fits(teamA, size, 1); fits != (gpus <= 6) {
+			t.Fatalf("Fits is %v with %v of 6 GPUs", fits, gpus)
 		}
-		if sum <= 6 {
-			l.Acquire(0, size)
+		if gpus <= 6 {
+			ledger.Acquire(teamA, size)
 			running = append(running, size)
 		} else {
 			refused++
@@ -45,29 +55,36 @@
 	if refused == 0 {
 		t.Fatal("the limit was never met")
 	}
-	if l.Fits(7, planner.Size{}, 1) || l.Ever(7, planner.Size{}, 1) {
+}
+
+func TestUnknownTeamFitsNothing(t *testing.T) {
+	ledger := newLedger()
+	if ledger.Fits(unknownTeam, planner.Size{}, 1) || ledger.Ever(unknownTeam, planner.Size{}, 1) {
 		t.Fatal("an unknown team has no limit to stay within")
 	}
 }
 
-func TestGuarantee(t *testing.T) {
-	l := ledger()
-	gpu := planner.Size{CPUs: 10, GPUs: 2}
-	cpu := planner.Size{CPUs: 1}
-	for _, c := range []struct {
+func TestWithinGuarantee(t *testing.T) {
+	ledger := newLedger()
+	gpuJob := planner.Size{CPUs: 10, GPUs: 2}
+	cpuJob := planner.Size{CPUs: 1}
+	for _, test := range []struct {
+		name        string
 		team        int32
 		job, demand planner.Size
 		want        bool
 	}{
-		{0, gpu, planner.Size{CPUs: 20, GPUs: 4}, true},
-		{0, gpu, planner.Size{CPUs: 20, GPUs: 5}, false},
-		{0, cpu, cpu, false}, // nothing that it asks for is guaranteed
-		{1, cpu, planner.Size{CPUs: 2}, true},
-		{1, cpu, planner.Size{CPUs: 3}, false},
-		{9, cpu, cpu, false},
+		{"GPUs within the guarantee", teamA, gpuJob, planner.Size{CPUs: 20, GPUs: 4}, true},
+		{"GPUs beyond the guarantee", teamA, gpuJob, planner.Size{CPUs: 20, GPUs: 5}, false},
+		{"nothing that the job uses is guaranteed", teamA, cpuJob, cpuJob, false},
+		{"CPUs within the guarantee", teamB, cpuJob, planner.Size{CPUs: 2}, true},
+		{"CPUs beyond the guarantee", teamB, cpuJob, planner.Size{CPUs: 3}, false},
+		{"unknown team", unknownTeam, cpuJob, cpuJob, false},
 	} {
-		if got := l.Within(c.team, c.job, c.demand); got != c.want {
-			t.Errorf("team %d, job %v, demand %v: %v", c.team, c.job, c.demand, got)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if got := ledger.Within(test.team, test.job, test.demand); got != test.want {
+				t.Errorf("Within of demand %v is %v, want %v", test.demand, got, test.want)
+			}
+		})
 	}
 }
