--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides whether a task may start on a machine; nothing else does. It combines the team limits and
-// the licences: either all of them let a task start or nothing is taken, and what is taken and released of one is taken
-// and released of the other at the same moment.
+// Package admission decides whether a task may start on a machine; nothing else does. It combines the team limits
+// and the licences: either all of them let a task start or nothing is taken, and what is taken and released of one
+// is taken and released of the other at the same moment.
 //
 // A Gate belongs to the fleet of one term and is used by its event loop only. It has no clock, and neither sends
 // launches nor decides where tasks run.
@@ -77,9 +77,9 @@
 	return ok
 }
 
-// Reserve takes the claims of all tasks of a gang at once, so that no other job takes them between the launches of its
-// first and of its last task. The caller has asked for all of them together. Tasks that are reserved already are left
-// as they are.
+// Reserve takes the claims of all tasks of a gang at once, so that no other job takes them between the launches of
+// its first and of its last task. The caller has asked for all of them together. Tasks that are reserved already are
+// left as they are.
 func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, claim Claim) {
 	for _, ref := range refs {
 		if g.Reserved(ref) {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Release releases a task's claim once the task is certainly gone. end is how it ended, as far as its licence units are
-// concerned.
+// Release releases a task's claim once the task is certainly gone. end is how it ended, as far as its licence units
+// are concerned.
 func (g *Gate) Release(now time.Duration, ref licences.Ref, claim Claim, end licences.End) {
 	delete(g.reserved, ref)
 	g.Quota.Release(claim.Team, claim.Size)
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -128,9 +128,9 @@
 	holders []licenceHolder
 }
 
-// preemptForLicences stops tasks of others for a job that waits for licence units, by the same rules as for machines:
-// only after a delay, and only where waiting for tasks to end by themselves would miss an objective or a guarantee. It
-// stops holders in all pools that lack units, or in none.
+// preemptForLicences stops tasks of others for a job that waits for licence units, by the same rules as for
+// machines: only after a delay, and only where waiting for tasks to end by themselves would miss an objective or a
+// guarantee. It stops holders in all pools that lack units, or in none.
 func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, ask licences.Ask, grant licences.Grant) {
 	if grant.Why != licences.NoSeat && grant.Why != licences.OtherFirst {
 		return
@@ -178,8 +178,8 @@
 	}
 }
 
-// exceedsLicenceGuarantee returns whether a job whose tasks can be stopped one by one belongs to a team, other than the
-// given one, that holds more of a pool than it is guaranteed.
+// exceedsLicenceGuarantee returns whether a job whose tasks can be stopped one by one belongs to a team, other than
+// the given one, that holds more of a pool than it is guaranteed.
 func (f *Fleet) exceedsLicenceGuarantee(victim *jobs.Job, team, pool int32) bool {
 	if victim.Team == team || !f.Gate.Licences.Over(pool, victim.Team) {
 		return false
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -9,9 +9,9 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// This file connects the licences with planning: each scheduling cycle grants the free licence units in priority order,
-// and a job plans, and asks for machines, only for tasks that are granted theirs. Whether a task may start is decided
-// by the admission gate when its launch is about to be sent.
+// This file connects the licences with planning: each scheduling cycle grants the free licence units in priority
+// order, and a job plans, and asks for machines, only for tasks that are granted theirs. Whether a task may start is
+// decided by the admission gate when its launch is about to be sent.
 
 func licenceRef(job *jobs.Job, taskIndex int32) licences.Ref {
 	return licences.Ref{Job: int32(job.Index), Task: taskIndex}
@@ -27,8 +27,8 @@
 	return f.grantedTasks(job, n) >= n && f.Gate.Fits(admissionClaim(job), n)
 }
 
-// grantedTasks returns how many of n waiting tasks the last scheduling cycle granted their licence units: all, if they
-// need none.
+// grantedTasks returns how many of n waiting tasks the last scheduling cycle granted their licence units: all, if
+// they need none.
 func (f *Fleet) grantedTasks(job *jobs.Job, n int) int {
 	if len(job.LicenceUnits) == 0 {
 		return n
@@ -75,8 +75,8 @@
 	f.Gate.Reserve(now, refs, job.GangAttempt, admissionClaim(job))
 }
 
-// releaseUnusedAdmissions releases what is reserved for tasks that will not be launched: their job ended, or their gang
-// lost its plan or one of its tasks.
+// releaseUnusedAdmissions releases what is reserved for tasks that will not be launched: their job ended, or their
+// gang lost its plan or one of its tasks.
 func (f *Fleet) releaseUnusedAdmissions(now time.Duration) {
 	f.Gate.ReleaseReserved(now, func(ref licences.Ref) bool {
 		job := f.jobAt(jobs.Index(ref.Job))
@@ -87,8 +87,8 @@
 	})
 }
 
-// licenceEnd returns what the reason of a task's exit means for its licence units. A process that was stopped, or that
-// ended by itself, has returned them; one that failed may not have.
+// licenceEnd returns what the reason of a task's exit means for its licence units. A process that was stopped, or
+// that ended by itself, has returned them; one that failed may not have.
 func licenceEnd(exitReason string) licences.End {
 	switch exitReason {
 	case exitNoRoom, exitUnknown:
@@ -99,10 +99,10 @@
 	return licences.Clean
 }
 
-// handleWorkerRestart releases the launched tasks that need licences when their worker's session has ended: the worker
-// has killed what it had started of them, and commands still on their way name the old session. The same attempts are
-// not sent again, as those of other tasks are, since two processes could then hold licence units in the name of one
-// attempt.
+// handleWorkerRestart releases the launched tasks that need licences when their worker's session has ended: the
+// worker has killed what it had started of them, and commands still on their way name the old session. The same
+// attempts are not sent again, as those of other tasks are, since two processes could then hold licence units in the
+// name of one attempt.
 func (f *Fleet) handleWorkerRestart(now time.Duration, machine *Machine) {
 	if f.Gate.Licences.None() || !f.plansLoaded {
 		return
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -53,8 +53,8 @@
 	return TaskReport{Task: taskName(job, int32(taskIndex)), Attempt: attempt, State: state, Why: exitReason}
 }
 
-// Tasks without a licence unit are neither planned nor part of the demand for machines, and don't keep work that needs
-// none from starting. A raised count is used in the next scheduling cycle.
+// Tasks without a licence unit are neither planned nor part of the demand for machines, and don't keep work that
+// needs none from starting. A raised count is used in the next scheduling cycle.
 func TestOnlyTasksWithLicenceUnitsArePlanned(t *testing.T) {
 	pool := &licences.Pool{Name: "p", Count: 2}
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, pool)
@@ -89,8 +89,8 @@
 	}
 }
 
-// A leader fails between the durable plan and the launch. The next one counts the task's licence unit until a heartbeat
-// at its fencing token shows that the task is not there.
+// A leader fails between the durable plan and the launch. The next one counts the task's licence unit until a
+// heartbeat at its fencing token shows that the task is not there.
 func TestFailoverBetweenPlanAndLaunchKeepsUnit(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newLicenceRig(t, 1, kv, &licences.Pool{Name: "p", Count: 1})
@@ -110,8 +110,8 @@
 	}
 }
 
-// Units of crashed tasks of an earlier term, unknown to a new leader, may linger where no server can be asked: for that
-// long it grants none.
+// Units of crashed tasks of an earlier term, unknown to a new leader, may linger where no server can be asked: for
+// that long it grants none.
 func TestFailoverWaitsForUnknownLingeringUnits(t *testing.T) {
 	n := newLicenceRig(t, 2, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 8 * time.Second})
 	n.hear("m", 1, 2*fenced)
@@ -190,8 +190,8 @@
 	}
 }
 
-// A machine hangs with a task that it was just sent, its lease expires, and it comes back in a new session: the process
-// of the old one crashed with its unit, so the same attempt is not sent again.
+// A machine hangs with a task that it was just sent, its lease expires, and it comes back in a new session: the
+// process of the old one crashed with its unit, so the same attempt is not sent again.
 func TestLaunchOfLostSessionIsNotRepeated(t *testing.T) {
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 5 * time.Second})
 	g.now = 6 * time.Second // past the lingering units of an earlier term
@@ -266,8 +266,8 @@
 	}
 }
 
-// startHolders starts a job of n tasks, each of which holds a unit of pool p. It returns the job and what each machine
-// reports.
+// startHolders starts a job of n tasks, each of which holds a unit of pool p. It returns the job and what each
+// machine reports.
 func startHolders(t *testing.T, g *rig, n int) (*jobs.Job, map[string][]TaskReport) {
 	t.Helper()
 	reports := map[string][]TaskReport{}
@@ -303,8 +303,8 @@
 	return stopping
 }
 
-// The count falls below what is in use. As its operators chose, nothing is stopped, or the tasks with the least work to
-// lose are, as many as it takes and no more.
+// The count falls below what is in use. As its operators chose, nothing is stopped, or the tasks with the least work
+// to lose are, as many as it takes and no more.
 func TestLoweredCountStopsTasksIfChosen(t *testing.T) {
 	pool := &licences.Pool{Name: "p", Count: 5, Lowering: licences.Wait}
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, pool)
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -16,9 +16,9 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// This file runs a Fleet, the real code, within a slow and plain model of all around it: workers, a state service, and
-// a network that loses, delays and repeats messages. One leader after another has a Fleet of its own. The model holds
-// the true state of every task and checks the protocol's rules whenever a task starts.
+// This file runs a Fleet, the real code, within a slow and plain model of all around it: workers, a state service,
+// and a network that loses, delays and repeats messages. One leader after another has a Fleet of its own. The model
+// holds the true state of every task and checks the protocol's rules whenever a task starts.
 
 const (
 	modelTick      = 50 * time.Millisecond  // workers and network
@@ -112,8 +112,8 @@
 		}
 		m.workers = append(m.workers, worker)
 	}
-	// A third of all runs has plans in pages from the start, a third migrates to them while jobs run, and a third has a
-	// key for each plan segment throughout.
+	// A third of all runs has plans in pages from the start, a third migrates to them while jobs run, and a third
+	// has a key for each plan segment throughout.
 	switch seed % 3 {
 	case 0:
 		m.plansInPages = true
--- a/internal/fleet/modelfaults_test.go
+++ b/internal/fleet/modelfaults_test.go
@@ -101,8 +101,8 @@
 	m.workers = append(m.workers, &replacement)
 }
 
-// changeLicenceCounts changes the counts of the pools once a minute. For that minute the higher of the old and the new
-// count is allowed: what was admitted before may still be on its way.
+// changeLicenceCounts changes the counts of the pools once a minute. For that minute the higher of the old and the
+// new count is allowed: what was admitted before may still be on its way.
 func (m *model) changeLicenceCounts() {
 	if m.pools == nil || m.now < m.nextCountChange {
 		return
--- a/internal/fleet/modelstore_test.go
+++ b/internal/fleet/modelstore_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// segmentValue returns the stored value of a plan segment: the one written last, of those in pages and in a key of its
-// own.
+// segmentValue returns the stored value of a plan segment: the one written last, of those in pages and in a key of
+// its own.
 func (m *model) segmentValue(name string) json.RawMessage {
 	newest, ok := m.items[jobs.PlanPrefix+name]
 	if ok && m.migrated {
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -11,8 +11,8 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// This file reports why tasks of a job wait. For tasks without a plan, the cause is recorded where planning decides, so
-// that a report shows what was decided.
+// This file reports why tasks of a job wait. For tasks without a plan, the cause is recorded where planning decides,
+// so that a report shows what was decided.
 
 // PendingCause is why some of a job's tasks wait. Its values are part of the HTTP API.
 type PendingCause string
@@ -50,8 +50,8 @@
 // setPendingNote records what planning decided about a job's unplanned tasks.
 func (f *Fleet) setPendingNote(job *jobs.Job, note pendingNote) { f.pendingNotes[job.Index] = note }
 
-// noteDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from starting
-// n tasks together.
+// noteDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
+// starting n tasks together.
 func (f *Fleet) noteDenied(job *jobs.Job, n int) {
 	if denial := f.Gate.Ask(admissionClaim(job), n); denial.TeamLimit {
 		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: denial})
@@ -79,8 +79,8 @@
 	}
 }
 
-// PendingReasons returns why the tasks of a job wait that neither run nor are finished: each of them counts in exactly
-// one reason. It returns nil for a job that has ended.
+// PendingReasons returns why the tasks of a job wait that neither run nor are finished: each of them counts in
+// exactly one reason. It returns nil for a job that has ended.
 func (f *Fleet) PendingReasons(now time.Duration, job *jobs.Job) []PendingReason {
 	if job.Tasks == nil || job.State.Terminal() {
 		return nil
@@ -204,8 +204,8 @@
 	return f.freeIn(now, machine, job)
 }
 
-// addLaunchedReasons adds the reasons of the tasks that may be on machines and don't run: their machine is quarantined
-// with its lost zone, or they are starting.
+// addLaunchedReasons adds the reasons of the tasks that may be on machines and don't run: their machine is
+// quarantined with its lost zone, or they are starting.
 func (f *Fleet) addLaunchedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	starting := 0
 	lostByZone := map[int32]int{}
@@ -241,8 +241,8 @@
 	return false
 }
 
-// zoneSilence returns how long the quarantined machine of a zone that was heard least recently has been silent, and how
-// long the last of their leases may still last.
+// zoneSilence returns how long the quarantined machine of a zone that was heard least recently has been silent, and
+// how long the last of their leases may still last.
 func (f *Fleet) zoneSilence(now time.Duration, zone int32) (silentFor, leaseLeft time.Duration) {
 	for _, machine := range f.machines {
 		if machine.Quarantined && machine.Zone == zone {
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -103,8 +103,8 @@
 	return 1
 }
 
-// teamHasRoom returns whether the team's limit lets the job start. What is reserved for gangs counts against it, beside
-// what is on machines.
+// teamHasRoom returns whether the team's limit lets the job start. What is reserved for gangs counts against it,
+// beside what is on machines.
 func (c *reasonCheck) teamHasRoom() bool {
 	used := planner.Size{}
 	for _, machine := range c.fleet.machines {
--- a/internal/fleet/planmigration.go
+++ b/internal/fleet/planmigration.go
@@ -7,8 +7,8 @@
 // migrationBatch is how many plan segments one write moves into pages in the background.
 const migrationBatch = 8
 
-// collectUnmigrated adds plan segments that still have a key of their own to a batch, if plans are stored in pages and
-// nothing more urgent needs the write budget. It returns whether it added any.
+// collectUnmigrated adds plan segments that still have a key of their own to a batch, if plans are stored in pages
+// and nothing more urgent needs the write budget. It returns whether it added any.
 func (f *Fleet) collectUnmigrated(batch *writeBatch) bool {
 	if batch.pages == nil || f.writer.migrated || !f.HasSpareWrites() {
 		return false
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -20,14 +20,14 @@
 	return f.writer.state == writerInFlight || f.writer.state == writerResolving
 }
 
-// WritesStuck returns whether writes with an indeterminate outcome can't be resolved in this term: the pages that they
-// contain need more operations than one transaction may hold since the limits of the state service shrank. The writes
-// of the next leader don't have to wait for them.
+// WritesStuck returns whether writes with an indeterminate outcome can't be resolved in this term: the pages that
+// they contain need more operations than one transaction may hold since the limits of the state service shrank. The
+// writes of the next leader don't have to wait for them.
 func (f *Fleet) WritesStuck() bool { return f.writer.state == writerStuck }
 
-// FlushWrites sends what is due in one transaction: job records that become done, plan segments and image hints. When
-// none of these is due it moves plans into pages or deletes obsolete ones. It does nothing while a write is in flight,
-// so an indeterminate outcome is resolved before the next write.
+// FlushWrites sends what is due in one transaction: job records that become done, plan segments and image hints.
+// When none of these is due it moves plans into pages or deletes obsolete ones. It does nothing while a write is in
+// flight, so an indeterminate outcome is resolved before the next write.
 func (f *Fleet) FlushWrites(now time.Duration) {
 	if f.WriteInFlight() || !f.plansLoaded {
 		return
@@ -78,7 +78,8 @@
 	}
 }
 
-// collectDoneRecords adds the records of jobs of which all tasks are finished. It returns false when the batch is full.
+// collectDoneRecords adds the records of jobs of which all tasks are finished. It returns false when the batch is
+// full.
 func (f *Fleet) collectDoneRecords(batch *writeBatch) bool {
 	for _, job := range f.ranking.jobs {
 		allFinished := job.State == jobs.Pending && job.FinishedTasks == job.TaskCount
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -18,15 +18,16 @@
 
 const preemptionDelay = time.Duration(preemptionDelayS * float64(time.Second))
 
-// preemptionCooldown is how long a job for which tasks were stopped waits for them to be gone before it may stop more.
+// preemptionCooldown is how long a job for which tasks were stopped waits for them to be gone before it may stop
+// more.
 const preemptionCooldown = 5 * time.Second
 
-// guaranteedLossWeight is how much a second of lost work counts, against a second of delay, for a job within its team's
-// guarantee; for others they count the same.
+// guaranteedLossWeight is how much a second of lost work counts, against a second of delay, for a job within its
+// team's guarantee; for others they count the same.
 const guaranteedLossWeight = 0.05
 
-// taskStartS is the estimated time, in seconds, from a machine having room to a task starting there, without the fetch
-// of its image.
+// taskStartS is the estimated time, in seconds, from a machine having room to a task starting there, without the
+// fetch of its image.
 const taskStartS = 1
 
 // secondsToWait returns how many seconds a job may wait for tasks to end by themselves before it misses one of its
@@ -45,8 +46,8 @@
 	return ok && now-at < preemptionCooldown
 }
 
-// hasLowestPriority returns whether there is no job that one may preempt: its priority is the lowest of all live jobs,
-// and no guarantee covers it.
+// hasLowestPriority returns whether there is no job that one may preempt: its priority is the lowest of all live
+// jobs, and no guarantee covers it.
 func (f *Fleet) hasLowestPriority(job *jobs.Job) bool {
 	return job.Priority <= f.cycle.lowest && !f.ranking.withinGuarantee[job.Index]
 }
@@ -124,9 +125,9 @@
 	return refs, lost, f.fitsBesideReserve(machine, job, free)
 }
 
-// fitsBesideReserve returns whether a task of a job fits into what is free of a machine, without what is reserved there
-// for work that needs accelerators. If the reserve didn't count, room that the job may not use would be made again and
-// again.
+// fitsBesideReserve returns whether a task of a job fits into what is free of a machine, without what is reserved
+// there for work that needs accelerators. If the reserve didn't count, room that the job may not use would be made
+// again and again.
 func (f *Fleet) fitsBesideReserve(machine *Machine, job *jobs.Job, free planner.Size) bool {
 	return job.Spec.Size().Fits(free.Sub(f.keptFree(machine, job, free.GPUs)))
 }
@@ -163,9 +164,9 @@
 	return selected
 }
 
-// preemptForGang makes room for a gang on the machines where it can start soonest, one machine for each task and all in
-// one zone if it needs that. startS is in how many seconds it would start without preemption. It returns whether any
-// room was made.
+// preemptForGang makes room for a gang on the machines where it can start soonest, one machine for each task and all
+// in one zone if it needs that. startS is in how many seconds it would start without preemption. It returns whether
+// any room was made.
 func (f *Fleet) preemptForGang(now time.Duration, job *jobs.Job, candidates []candidate, startS float64) bool {
 	withinGuarantee := f.ranking.withinGuarantee[job.Index]
 	shape := preemptionShape{shapeOf(job), job.Team, job.Priority, withinGuarantee, job.TaskCount, job.Spec.OneZone}
@@ -189,8 +190,8 @@
 	return true
 }
 
-// preemptionOptions returns, by zone (jobs.None for all where the job may span zones), the machines on which preemption
-// lets a task of a gang start earlier than in startS seconds.
+// preemptionOptions returns, by zone (jobs.None for all where the job may span zones), the machines on which
+// preemption lets a task of a gang start earlier than in startS seconds.
 func (f *Fleet) preemptionOptions(
 	now time.Duration,
 	job *jobs.Job,
@@ -219,8 +220,8 @@
 	return byZone
 }
 
-// cheapestOptions returns one option for each task of a gang, of the zone where the costliest of them costs least; nil
-// if no zone has enough.
+// cheapestOptions returns one option for each task of a gang, of the zone where the costliest of them costs least;
+// nil if no zone has enough.
 func cheapestOptions(job *jobs.Job, byZone map[int32][]preemptionOption) []preemptionOption {
 	var best []preemptionOption
 	for _, options := range byZone {
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// This file is the fleet's side of interactive sessions: it suspends their jobs, and finds the jobs that wait for what
-// a session holds.
+// This file is the fleet's side of interactive sessions: it suspends their jobs, and finds the jobs that wait for
+// what a session holds.
 
 // Suspend stops a job's tasks, with time to save a checkpoint, and keeps them off machines if suspended is true;
 // otherwise it lets the job be planned again.
@@ -34,8 +34,8 @@
 	}
 }
 
-// SessionTask returns the state of the only task of a session's job. Until the plans are loaded it counts as being on a
-// machine.
+// SessionTask returns the state of the only task of a session's job. Until the plans are loaded it counts as being
+// on a machine.
 func (f *Fleet) SessionTask(job *jobs.Job) sessions.Task {
 	if !f.plansLoaded || job.Tasks == nil {
 		return sessions.Task{On: !f.plansLoaded}
@@ -47,9 +47,9 @@
 // maxWaitingJobs is for how many waiting jobs sessions to be reclaimed are looked for.
 const maxWaitingJobs = 32
 
-// WaitingJobsFor returns, for each of the given sessions' jobs, the id of a job that waits for what it holds: room on
-// its machine, its licence units, or its part of the team's limit; "" if there is none. No waiting job is returned for
-// more sessions than it has waiting tasks.
+// WaitingJobsFor returns, for each of the given sessions' jobs, the id of a job that waits for what it holds: room
+// on its machine, its licence units, or its part of the team's limit; "" if there is none. No waiting job is
+// returned for more sessions than it has waiting tasks.
 func (f *Fleet) WaitingJobsFor(_ time.Duration, sessionJobs []*jobs.Job) []string {
 	waitingFor := make([]string, len(sessionJobs))
 	examined := 0
--- a/internal/fleet/writebatch.go
+++ b/internal/fleet/writebatch.go
@@ -57,7 +57,8 @@
 	return batch
 }
 
-// holdsIndeterminatePages returns whether one transaction may hold all pages of writes whose outcome is indeterminate.
+// holdsIndeterminatePages returns whether one transaction may hold all pages of writes whose outcome is
+// indeterminate.
 func (b *writeBatch) holdsIndeterminatePages() bool {
 	return b.pages == nil || b.pages.Fits(b.fleet.maxOps())
 }
--- a/internal/fleet/writeoutcome.go
+++ b/internal/fleet/writeoutcome.go
@@ -9,9 +9,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file handles the outcome of the write in flight. After a conflict or an indeterminate outcome every key of the
-// write is read again, the pages first, before anything else is written. A transaction that is applied after that read
-// fails on its conditions, since the next write of the same keys changes their versions.
+// This file handles the outcome of the write in flight. After a conflict or an indeterminate outcome every key of
+// the write is read again, the pages first, before anything else is written. A transaction that is applied after
+// that read fails on its conditions, since the next write of the same keys changes their versions.
 
 // rereadRetryInterval is how long the writer waits before it repeats a read that failed.
 const rereadRetryInterval = 300 * time.Millisecond
