--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides whether a task may start: nothing is launched that the gate hasn't admitted. Behind the
-// gate are team limits and licences. Either all of them admit a task or none books it, and all of them book and
-// release at the same moments.
+// Package admission decides whether a task may start on a machine; nothing else does. It combines the team limits
+// and the licences: either all of them let a task start or nothing is taken, and what is taken and released of one
+// is taken and released of the other at the same moment.
 //
-// The fleet makes one Gate for each term and calls it on the event loop. A gate reads no clock, and doesn't choose
-// which task is next or on which machine.
+// A Gate belongs to the fleet of one term and is used by its event loop only. It has no clock, and neither sends
+// launches nor decides where tasks run.
 package admission
 
 import (
@@ -16,98 +16,110 @@
 
 // Claim is what one task takes while it may be on a machine.
 type Claim struct {
-	Team  int32
-	Size  planner.Size
-	Seats []licences.Unit // licence units, nil: none
+	Team         int32 // dense index
+	Size         planner.Size
+	LicenceUnits []licences.Unit // nil: none
 }
 
-// Denial is why a task may not start. The zero value means that it may.
+// Denial is what keeps a task from starting. The zero value denies nothing.
 type Denial struct {
-	TeamLimit bool            // the team's limit of cores or GPUs
-	Licence   licences.Denial // licences.Granted: no licence is in the way
-	Pool      int32           // of the missing licence
+	TeamLimit bool            // the team's limit of processor cores or GPUs
+	Licence   licences.Denial // licences.Granted unless licence units are missing
+	Pool      int32           // of the missing units, by dense index
 }
 
-// OK reports whether the task may start.
+// OK returns whether nothing is denied.
 func (d Denial) OK() bool { return !d.TeamLimit && d.Licence == licences.Granted }
 
-// Gate admits tasks and keeps the bookings of the admitted ones.
+// Gate decides whether tasks may start and counts what those take that may be on machines.
+//
+// A task's claim goes through these states:
+//
+//	none     -> acquired  Acquire: its launch is about to be sent, or it was found on a machine
+//	none     -> reserved  Reserve: its gang begins to start, its own launch follows
+//	reserved -> acquired  Acquire: its launch is about to be sent
+//	reserved -> none      ReleaseReserved: it will not be launched
+//	acquired -> none      Release: the task is certainly gone
+//
+// A reserved claim counts against all limits as an acquired one does.
 type Gate struct {
 	Quota    *quota.Ledger
 	Licences *licences.Ledger
-	// reserved are tasks of gangs that have begun to start: their claims are booked, and they aren't launched yet.
 	reserved map[licences.Ref]Claim
 }
 
-// New returns a gate that books on two ledgers.
-func New(quotaLedger *quota.Ledger, licenceLedger *licences.Ledger) *Gate {
-	return &Gate{Quota: quotaLedger, Licences: licenceLedger, reserved: map[licences.Ref]Claim{}}
+// New returns a gate that takes from two ledgers.
+func New(teams *quota.Ledger, pools *licences.Ledger) *Gate {
+	return &Gate{Quota: teams, Licences: pools, reserved: map[licences.Ref]Claim{}}
 }
 
-// Ask returns why n more tasks with a claim may not start together now.
+// Ask returns what keeps n more tasks with a claim from starting together now.
 func (g *Gate) Ask(claim Claim, n int) Denial {
 	if !g.Quota.Fits(claim.Team, claim.Size, n) {
 		return Denial{TeamLimit: true}
 	}
-	if len(claim.Seats) == 0 {
+	if len(claim.LicenceUnits) == 0 {
 		return Denial{}
 	}
-	denial, pool := g.Licences.Fits(claim.Team, claim.Seats, n)
+	denial, pool := g.Licences.Fits(claim.Team, claim.LicenceUnits, n)
 	return Denial{Licence: denial, Pool: pool}
 }
 
-// Fits reports whether n more tasks with a claim may start together now.
+// Fits returns whether n more tasks with a claim may start together now.
 func (g *Gate) Fits(claim Claim, n int) bool { return g.Ask(claim, n).OK() }
 
-// Reserved reports whether a task was admitted with its gang and isn't launched yet.
-func (g *Gate) Reserved(task licences.Ref) bool {
+// Reserved returns whether a task's claim is reserved and its launch has not been sent yet.
+func (g *Gate) Reserved(ref licences.Ref) bool {
 	if len(g.reserved) == 0 {
 		return false
 	}
-	_, ok := g.reserved[task]
+	_, ok := g.reserved[ref]
 	return ok
 }
 
-// Reserve books the claims of a whole gang, so that no other task takes their place between its first and its last
-// launch. The caller has checked all of them with Ask. Tasks that are reserved already are skipped.
-func (g *Gate) Reserve(now time.Duration, tasks []licences.Ref, attempt uint64, claim Claim) {
-	for _, task := range tasks {
-		if g.Reserved(task) {
+// Reserve takes the claims of all tasks of a gang at once, so that no other job takes them between the launches of
+// its first and of its last task. The caller has asked for all of them together. Tasks that are reserved already are
+// left as they are.
+func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, claim Claim) {
+	for _, ref := range refs {
+		if g.Reserved(ref) {
 			continue
 		}
-		g.reserved[task] = claim
-		g.Quota.Take(claim.Team, claim.Size)
-		g.Licences.Take(now, task, attempt, claim.Team, claim.Seats, licences.Booked)
+		g.reserved[ref] = claim
+		g.Quota.Acquire(claim.Team, claim.Size)
+		g.Licences.Take(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Booked)
 	}
 }
 
-// ReleaseReserved releases the reserved tasks for which isAbandoned returns true: they won't be launched now.
-func (g *Gate) ReleaseReserved(now time.Duration, isAbandoned func(licences.Ref) bool) {
-	for task, claim := range g.reserved {
-		if isAbandoned(task) {
-			g.Release(now, task, claim, licences.Unstarted)
+// ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true: they will not be
+// launched.
+func (g *Gate) ReleaseReserved(now time.Duration, abandoned func(licences.Ref) bool) {
+	for ref, claim := range g.reserved {
+		if abandoned(ref) {
+			g.Release(now, ref, claim, licences.Unstarted)
 		}
 	}
 }
 
-// Acquire counts a task as being on a machine, from before its launch is sent. A reserved task's booking is kept.
-// attempt is 0 where it isn't known.
-func (g *Gate) Acquire(now time.Duration, task licences.Ref, attempt uint64, claim Claim) {
-	if g.Reserved(task) {
-		delete(g.reserved, task)
+// Acquire takes a task's claim before its launch is sent, or makes a reserved one acquired. attempt is 0 where it is
+// not known.
+func (g *Gate) Acquire(now time.Duration, ref licences.Ref, attempt uint64, claim Claim) {
+	if g.Reserved(ref) {
+		delete(g.reserved, ref)
 	} else {
-		g.Quota.Take(claim.Team, claim.Size)
+		g.Quota.Acquire(claim.Team, claim.Size)
 	}
-	if len(claim.Seats) > 0 {
-		g.Licences.Take(now, task, attempt, claim.Team, claim.Seats, licences.Held)
+	if len(claim.LicenceUnits) > 0 {
+		g.Licences.Take(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Held)
 	}
 }
 
-// Release releases a task's claim, once the task is proven gone or won't be launched. end is how it ended.
-func (g *Gate) Release(now time.Duration, task licences.Ref, claim Claim, end licences.End) {
-	delete(g.reserved, task)
-	g.Quota.Give(claim.Team, claim.Size)
-	if len(claim.Seats) > 0 {
-		g.Licences.Give(now, task, claim.Seats, end)
+// Release releases a task's claim once the task is certainly gone. end is how it ended, as far as its licence units
+// are concerned.
+func (g *Gate) Release(now time.Duration, ref licences.Ref, claim Claim, end licences.End) {
+	delete(g.reserved, ref)
+	g.Quota.Release(claim.Team, claim.Size)
+	if len(claim.LicenceUnits) > 0 {
+		g.Licences.Give(now, ref, claim.LicenceUnits, end)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/licences"
@@ -9,99 +10,78 @@
 	"github.com/harewalk/harewalk/internal/quota"
 )
 
-const (
-	testTeam    int32 = 0
-	unknownTeam int32 = 5
-	testPool    int32 = 0
-)
+// now is the time of all calls: the gate's answers don't depend on it.
+const now time.Duration = 0
 
-// newTestGate returns a gate with a limit of 10 CPUs and 3 licence units for a team, and a claim of 4 CPUs and 1
-// unit.
-func newTestGate(t *testing.T) (*Gate, Claim) {
+// newGate returns a gate for one team with a limit of 10 processor cores and one pool of three licence units, and the
+// units that a task with one licence unit needs.
+func newGate(t *testing.T) (*Gate, []licences.Unit) {
 	t.Helper()
-	teamIndex := func(string) int32 { return testTeam }
+	teamIndex := func(string) int32 { return 0 }
 	catalog := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
 	units, err := catalog.Needs(map[string]int{"p": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	gate := New(
-		quota.New([]config.Team{{Name: "t", CPUsMax: 10}}, teamIndex),
-		licences.New(catalog, teamIndex, 0),
-	)
-	return gate, Claim{Team: testTeam, Size: planner.Size{CPUs: 4}, Seats: units}
+	teams := quota.New([]config.Team{{Name: "t", CPUsMax: 10}}, teamIndex)
+	return New(teams, licences.New(catalog, teamIndex, now)), units
 }
 
-func checkBooked(t *testing.T, gate *Gate, wantCPUs float64, wantFreeUnits int) {
-	t.Helper()
-	cpus := gate.Quota.Team(testTeam).Used.CPUs
-	pool := gate.Licences.Show(0, testPool, func(int32) string { return "" })
-	if cpus != wantCPUs || pool.Free != wantFreeUnits {
-		t.Fatalf("%v CPUs used and %d units free, want %v and %d", cpus, pool.Free, wantCPUs, wantFreeUnits)
+// What one limit denies is taken from no other, and claims are taken from and released to all limits at the same
+// moments, once, however often a task is acquired or reserved.
+func TestClaimsAreTakenFromAllLimitsOrNone(t *testing.T) {
+	gate, units := newGate(t)
+	claim := Claim{Team: 0, Size: planner.Size{CPUs: 4}, LicenceUnits: units}
+	expect := func(usedCPUs float64, freeUnits int) {
+		t.Helper()
+		used := gate.Quota.Team(0).Used.CPUs
+		view := gate.Licences.Show(now, 0, func(int32) string { return "" })
+		if used != usedCPUs || view.Free != freeUnits {
+			t.Fatalf("%v CPUs used and %d units free, want %v and %d", used, view.Free, usedCPUs, freeUnits)
+		}
 	}
-}
-
-// What one limit denies is booked on no other.
-func TestDeniedTasksBookNothing(t *testing.T) {
-	gate, claim := newTestGate(t)
 	if denial := gate.Ask(claim, 3); !denial.TeamLimit {
 		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", denial)
 	}
 	small := claim
 	small.Size.CPUs = 1
 	denial := gate.Ask(small, 4)
-	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoSeat || denial.Pool != testPool {
+	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoSeat || denial.Pool != 0 {
 		t.Fatalf("four units of three: %+v", denial)
 	}
-	checkBooked(t, gate, 0, 3)
-	withoutUnits := Claim{Team: testTeam, Size: planner.Size{CPUs: 10}}
-	if !gate.Fits(withoutUnits, 1) {
-		t.Fatal("a task without licences is denied")
-	}
-	if gate.Fits(Claim{Team: unknownTeam}, 1) {
-		t.Fatal("a task of an unknown team is admitted")
-	}
-}
+	expect(0, 3)
 
-// A claim is booked and released on all ledgers at the same moments, and once, however often its task is admitted.
-func TestClaimsAreBookedOnceOnAllLedgers(t *testing.T) {
-	gate, claim := newTestGate(t)
-	checkBooked(t, gate, 0, 3)
-	launched, reserved := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
-	gate.Acquire(0, launched, 7, claim)
-	gate.Reserve(0, []licences.Ref{reserved}, 7, claim)
-	gate.Reserve(0, []licences.Ref{reserved}, 7, claim)
-	checkBooked(t, gate, 8, 1)
-	if !gate.Reserved(reserved) || gate.Reserved(launched) || gate.Fits(claim, 1) {
+	first, second := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
+	gate.Acquire(now, first, 7, claim)
+	gate.Reserve(now, []licences.Ref{second}, 7, claim)
+	gate.Reserve(now, []licences.Ref{second}, 7, claim)
+	expect(8, 1)
+	if !gate.Reserved(second) || gate.Reserved(first) || gate.Fits(claim, 1) {
 		t.Fatal("the limit of 10 has room for a third task of 4")
 	}
-	gate.Acquire(0, reserved, 7, claim)
-	checkBooked(t, gate, 8, 1)
-	if gate.Reserved(reserved) {
+	gate.Acquire(now, second, 7, claim) // its launch follows: it is counted already
+	expect(8, 1)
+	if gate.Reserved(second) {
 		t.Fatal("still reserved after its launch")
 	}
-	gate.Release(0, launched, claim, licences.Clean)
-	checkBooked(t, gate, 4, 2)
-	gate.Release(0, reserved, claim, licences.Unstarted)
-	checkBooked(t, gate, 0, 3)
+	gate.Release(now, first, claim, licences.Clean)
+	expect(4, 2)
+	gate.Release(now, second, claim, licences.Unstarted)
+	expect(0, 3)
+
+	gate.Reserve(now, []licences.Ref{first, second}, 9, claim)
+	gate.ReleaseReserved(now, func(ref licences.Ref) bool { return ref == second })
+	expect(4, 2)
+	gate.ReleaseReserved(now, func(licences.Ref) bool { return true })
+	expect(0, 3)
 }
 
-func TestReservedTasksAreReleased(t *testing.T) {
-	gate, claim := newTestGate(t)
-	first, second := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
-	// As in a gang's next attempt: both were launched and released before.
-	for _, task := range []licences.Ref{first, second} {
-		gate.Acquire(0, task, 7, claim)
-		gate.Release(0, task, claim, licences.Clean)
+func TestFitsWithoutLicenceUnits(t *testing.T) {
+	gate, _ := newGate(t)
+	if !gate.Fits(Claim{Team: 0, Size: planner.Size{CPUs: 10}}, 1) {
+		t.Fatal("a task without licence units is denied")
 	}
-	gate.Reserve(0, []licences.Ref{first, second}, 9, claim)
-	checkBooked(t, gate, 8, 1)
-	gate.ReleaseReserved(0, func(task licences.Ref) bool { return task == second })
-	checkBooked(t, gate, 4, 2)
-	gate.ReleaseReserved(0, func(licences.Ref) bool { return true })
-	checkBooked(t, gate, 0, 3)
-	withoutUnits := Claim{Team: testTeam, Size: planner.Size{CPUs: 10}}
-	if !gate.Fits(withoutUnits, 1) || gate.Fits(Claim{Team: unknownTeam}, 1) {
-		t.Fatal("a task without licences is denied, or one of an unknown team admitted")
+	if gate.Fits(Claim{Team: 5}, 1) {
+		t.Fatal("a task of an unknown team is let in")
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -127,9 +127,6 @@
 // sent.
 func (f *Fleet) StopStarting() { f.startsStopped = true }
 
-// WriteInFlight reports whether a write has no outcome yet.
-func (f *Fleet) WriteInFlight() bool { return f.writer.inFlight }
-
 // PlansLoaded reports whether LoadPlans has read the durable plans.
 func (f *Fleet) PlansLoaded() bool { return f.plansLoaded }
 
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -95,7 +95,7 @@
 	if f.crashLooping(job) != nil {
 		return // no room is made or reserved for a job that fails wherever it runs
 	}
-	if start > f.secondsToWait(now, job) && f.preemptFor(now, job, list.candidates, start) {
+	if start > f.secondsToWait(now, job) && f.preemptForGang(now, job, list.candidates, start) {
 		return
 	}
 	note.overdue = f.startOverdue(now, job)
--- a/internal/fleet/scale_test.go
+++ b/internal/fleet/scale_test.go
@@ -177,14 +177,14 @@
 func TestPreemptionKeepsToZones(t *testing.T) {
 	var options []preemptionOption
 	for i, zone := range []int32{0, 0, 0, 1, 1} {
-		options = append(options, preemptionOption{m: &Machine{Index: int32(i), Zone: zone}, cost: float64(i)})
+		options = append(options, preemptionOption{machine: &Machine{Index: int32(i), Zone: zone}, cost: float64(i)})
 	}
-	chosen := spread(options, 4, 2)
-	if len(chosen) != 4 || chosen[2].m.Index != 3 {
-		t.Fatalf("%d machines chosen", len(chosen))
+	got := selectOptions(options, 4, 2)
+	if len(got) != 4 || got[2].machine.Index != 3 {
+		t.Fatalf("%d machines chosen", len(got))
 	}
-	if spread(options[:3], 3, 2) != nil || len(spread(options, 4, 0)) != 4 {
-		t.Fatal("a zone's limit was not kept, or kept where there is none")
+	if selectOptions(options[:3], 3, 2) != nil || len(selectOptions(options, 4, 0)) != 4 {
+		t.Fatal("a zone's bound was not kept, or kept where there is none")
 	}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,82 +9,81 @@
 )
 
 const (
-	gpuTeam      int32 = 0 // guarantee 4, limit 6 GPUs
-	cpuTeam      int32 = 1 // guarantee 2, limit 8 CPUs
-	gpuTeamLimit       = 6
+	teamA       = 0 // 4 GPUs guaranteed, limit 6
+	teamB       = 1 // 2 CPUs guaranteed, limit 8
+	unknownTeam = 7
 )
 
-func newTestLedger() *Ledger {
-	index := map[string]int32{"gpu": gpuTeam, "cpu": cpuTeam}
+func newLedger() *Ledger {
 	teams := []config.Team{
-		{Name: "gpu", GPUs: 4, GPUsMax: gpuTeamLimit},
-		{Name: "cpu", CPUs: 2, CPUsMax: 8},
+		{Name: "a", GPUs: 4, GPUsMax: 6},
+		{Name: "b", CPUs: 2, CPUsMax: 8},
 	}
-	return New(teams, func(name string) int32 { return index[name] })
+	indices := map[string]int32{"a": teamA, "b": teamB}
+	return New(teams, func(name string) int32 { return indices[name] })
 }
 
-// Whatever is booked and released, Fits agrees with a plain list of the running tasks.
-func TestLimitAgreesWithAPlainList(t *testing.T) {
+// Whatever is acquired and released, Fits allows just what stays within the limit, compared with a plain list of what
+// runs.
+func TestFitsAgainstPlainList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
-	ledger := newTestLedger()
+	ledger := newLedger()
 	var running []planner.Size
-	denied := 0
+	refused := 0
 	for range 5000 {
 		if len(running) > 0 && rng.IntN(2) == 0 {
-			ended := rng.IntN(len(running))
-			ledger.Give(gpuTeam, running[ended])
-			running = append(running[:ended], running[ended+1:]...)
+			i := rng.IntN(len(running))
+			ledger.Release(teamA, running[i])
+			running = append(running[:i], running[i+1:]...)
 			continue
 		}
 		size := planner.Size{CPUs: float64(rng.IntN(20)), GPUs: 0.5 * float64(rng.IntN(5))}
 		gpus := size.GPUs
-		for _, task := range running {
-			gpus += task.GPUs
+		for _, other := range running {
+			gpus += other.GPUs
 		}
-		wantFits := gpus <= gpuTeamLimit
-		if ledger.Fits(gpuTeam, size, 1) != wantFits {
-			t.Fatalf("fits: %v with %v of %d GPUs", !wantFits, gpus, gpuTeamLimit)
+		if fits := ledger.Fits(teamA, size, 1); fits != (gpus <= 6) {
+			t.Fatalf("Fits is %v with %v of 6 GPUs", fits, gpus)
 		}
-		if !wantFits {
-			denied++
-			continue
+		if gpus <= 6 {
+			ledger.Acquire(teamA, size)
+			running = append(running, size)
+		} else {
+			refused++
 		}
-		ledger.Take(gpuTeam, size)
-		running = append(running, size)
 	}
-	if denied == 0 {
-		t.Fatal("the limit was never reached")
+	if refused == 0 {
+		t.Fatal("the limit was never met")
 	}
 }
 
-func TestUnknownTeamMayRunNothing(t *testing.T) {
-	const unknownTeam = 7
-	ledger := newTestLedger()
+func TestUnknownTeamFitsNothing(t *testing.T) {
+	ledger := newLedger()
 	if ledger.Fits(unknownTeam, planner.Size{}, 1) || ledger.Ever(unknownTeam, planner.Size{}, 1) {
-		t.Fatal("an unknown team may run a task")
+		t.Fatal("an unknown team has no limit to stay within")
 	}
 }
 
 func TestWithinGuarantee(t *testing.T) {
-	ledger := newTestLedger()
+	ledger := newLedger()
 	gpuJob := planner.Size{CPUs: 10, GPUs: 2}
 	cpuJob := planner.Size{CPUs: 1}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		team        int32
 		job, demand planner.Size
 		want        bool
 	}{
-		{"all GPUs that are guaranteed", gpuTeam, gpuJob, planner.Size{CPUs: 20, GPUs: 4}, true},
-		{"one GPU more", gpuTeam, gpuJob, planner.Size{CPUs: 20, GPUs: 5}, false},
-		{"a job that needs nothing guaranteed", gpuTeam, cpuJob, cpuJob, false},
-		{"all CPUs that are guaranteed", cpuTeam, cpuJob, planner.Size{CPUs: 2}, true},
-		{"one CPU more", cpuTeam, cpuJob, planner.Size{CPUs: 3}, false},
-		{"an unknown team", 9, cpuJob, cpuJob, false},
+		{"GPUs within the guarantee", teamA, gpuJob, planner.Size{CPUs: 20, GPUs: 4}, true},
+		{"GPUs beyond the guarantee", teamA, gpuJob, planner.Size{CPUs: 20, GPUs: 5}, false},
+		{"nothing that the job uses is guaranteed", teamA, cpuJob, cpuJob, false},
+		{"CPUs within the guarantee", teamB, cpuJob, planner.Size{CPUs: 2}, true},
+		{"CPUs beyond the guarantee", teamB, cpuJob, planner.Size{CPUs: 3}, false},
+		{"unknown team", unknownTeam, cpuJob, cpuJob, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := ledger.Within(c.team, c.job, c.demand); got != c.want {
-				t.Errorf("job %v, demand %v: %v", c.job, c.demand, got)
+		t.Run(test.name, func(t *testing.T) {
+			if got := ledger.Within(test.team, test.job, test.demand); got != test.want {
+				t.Errorf("Within of demand %v is %v, want %v", test.demand, got, test.want)
 			}
 		})
 	}
