--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -5,6 +5,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"log/slog"
@@ -466,15 +467,15 @@
 	}
 	m.renewing = true
 	id := m.hold
-	m.store.RenewLease(id, func(ok, gone bool) {
+	m.store.RenewLease(id, func(err error) {
 		if m.hold != id {
 			return
 		}
 		m.renewing = false
 		switch at := m.store.Now(); {
-		case ok:
+		case err == nil:
 			m.renewed(now)
-		case gone:
+		case errors.Is(err, store.ErrLeaseExpired):
 			m.lose(at)
 		default:
 			m.renewAt = at + 250*time.Millisecond
--- /dev/null
+++ b/internal/store/client_test.go
@@ -0,0 +1,104 @@
+package store_test
+
+import (
+	"errors"
+	"log/slog"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/simulator/state"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+func TestMain(m *testing.M) {
+	slog.SetDefault(slog.New(slog.DiscardHandler))
+	os.Exit(m.Run())
+}
+
+// simulatedService answers each request at once, from the simulated state service or as the test says.
+type simulatedService struct {
+	service *state.Service
+	answer  func(httpio.Request) (httpio.Response, bool)
+}
+
+func (s *simulatedService) Send(_ string, request httpio.Request, done func(httpio.Response)) {
+	if s.answer != nil {
+		if response, ok := s.answer(request); ok {
+			done(response)
+			return
+		}
+	}
+	done(s.service.Serve(request))
+}
+
+// respond makes every request be answered by a response.
+func (s *simulatedService) respond(response httpio.Response) {
+	s.answer = func(httpio.Request) (httpio.Response, bool) { return response, true }
+}
+
+// newClient returns a client whose budget allows rps requests and as many writes per second.
+func newClient(sender httpio.Sender, now *time.Duration, rps float64) *store.Client {
+	return store.New(
+		"",
+		sender,
+		func() time.Duration { return *now },
+		store.Share{RPS: rps, WriteRPS: rps, BurstS: 0.8},
+		store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10},
+	)
+}
+
+// A caller can tell an expired lease, a compacted revision, a spent budget and any other status apart.
+func TestErrorsThatCallersDecideOn(t *testing.T) {
+	service := &simulatedService{service: state.New()}
+	now := time.Duration(0)
+	cases := []struct {
+		name     string
+		rps      float64
+		response httpio.Response
+		call     func(*store.Client, func(error))
+		want     error
+	}{
+		{"renewal of an expired lease", 1000, httpio.Response{Status: 404}, renew, store.ErrLeaseExpired},
+		{"renewal", 1000, httpio.Response{Status: 200}, renew, nil},
+		{"renewal without an answer", 1000, httpio.Response{Err: httpio.ErrLost}, renew, httpio.ErrLost},
+		{"watch from a compacted revision", 1000, httpio.Response{Status: 410}, watch, store.ErrCompacted},
+		{"watch", 1000, httpio.Response{Status: 200, Body: []byte(`{"epoch":1}`)}, watch, nil},
+		{"budget spent", 0, httpio.Response{Status: 200}, renew, store.ErrOverBudget},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			service.respond(tc.response)
+			client := newClient(service, &now, tc.rps)
+			if tc.rps == 0 {
+				renew(client, func(error) {}) // the one token that every bucket holds
+			}
+			called := 0
+			tc.call(client, func(err error) {
+				called++
+				if !errors.Is(err, tc.want) {
+					t.Errorf("error %v, want %v", err, tc.want)
+				}
+			})
+			if called != 1 {
+				t.Errorf("%d answers, want 1", called)
+			}
+		})
+	}
+	t.Run("outage", func(t *testing.T) {
+		service.respond(httpio.Response{Status: 503})
+		renew(newClient(service, &now, 1000), func(err error) {
+			var status *store.StatusError
+			if !errors.As(err, &status) || status.Status != 503 {
+				t.Errorf("error %v, want one with status 503", err)
+			}
+		})
+	})
+}
+
+func renew(client *store.Client, done func(error)) { client.RenewLease(1, done) }
+
+func watch(client *store.Client, done func(error)) {
+	client.Watch("h/", 1, time.Second, func(_ uint64, _ []store.Event, err error) { done(err) })
+}
--- /dev/null
+++ b/internal/store/leases.go
@@ -0,0 +1,78 @@
+package store
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/httpio"
+)
+
+const leaseTimeout = 1500 * time.Millisecond
+
+// errNoLeaseID is returned when a lease was granted without a usable id.
+var errNoLeaseID = errors.New("state service: lease granted without an id")
+
+// grantRequest is the body of a request for a lease.
+type grantRequest struct {
+	TTLMillis int64 `json:"ttl_ms"`
+}
+
+// grantResponse is the body of the service's answer to it.
+type grantResponse struct {
+	ID uint64 `json:"tether"`
+}
+
+// GrantLease requests a lease that expires ttl after its last renewal, and returns its id.
+func (c *Client) GrantLease(ttl time.Duration, done func(id uint64, err error)) {
+	body, err := json.Marshal(grantRequest{TTLMillis: ttl.Milliseconds()})
+	if err != nil {
+		done(0, err)
+		return
+	}
+	request := httpio.Request{Method: http.MethodPost, Path: "/holds", Body: body, Timeout: leaseTimeout}
+	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+		var granted grantResponse
+		if err := decode(response, &granted); err != nil {
+			done(0, err)
+			return
+		}
+		if granted.ID == 0 {
+			done(0, errNoLeaseID)
+			return
+		}
+		done(granted.ID, nil)
+	})
+}
+
+// RenewLease renews a lease. The error is ErrLeaseExpired if it has expired; after any other error it may have been
+// renewed or not.
+func (c *Client) RenewLease(id uint64, done func(error)) {
+	request := httpio.Request{
+		Method:  http.MethodPost,
+		Path:    leasePath(id) + "/touch",
+		Body:    []byte("{}"),
+		Timeout: leaseTimeout,
+	}
+	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+		if hasStatus(response, http.StatusNotFound) {
+			done(ErrLeaseExpired)
+			return
+		}
+		done(checkStatus(response))
+	})
+}
+
+// RevokeLease ends a lease at once and calls done with whether it is certain that it has ended, by this request or
+// before.
+func (c *Client) RevokeLease(id uint64, done func(ok bool)) {
+	request := httpio.Request{Method: http.MethodDelete, Path: leasePath(id), Timeout: leaseTimeout}
+	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+		succeeded := response.Status/100 == 2 || response.Status == http.StatusNotFound
+		done(response.Err == nil && succeeded)
+	})
+}
+
+func leasePath(id uint64) string { return "/holds/" + strconv.FormatUint(id, 10) }
--- /dev/null
+++ b/internal/store/reads.go
@@ -0,0 +1,122 @@
+package store
+
+import (
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/httpio"
+)
+
+const (
+	getTimeout  = 1500 * time.Millisecond
+	listTimeout = 4 * time.Second
+	// listPageItems is how many keys one page of a listing holds at most.
+	listPageItems = 1000
+	// watchTimeoutMargin is by how much the time limit of a watch exceeds its wait: an open watch may outlast an
+	// outage of the service.
+	watchTimeoutMargin = 20 * time.Second
+)
+
+// Get reads one key. A key that does not exist is returned with version 0 and no error.
+func (c *Client) Get(key string, priority Priority, done func(Item, error)) {
+	request := httpio.Request{Method: http.MethodGet, Path: "/keys/" + key, Timeout: getTimeout}
+	c.call(request, 0, priority, func(response httpio.Response) {
+		if hasStatus(response, http.StatusNotFound) {
+			done(Item{Key: key}, nil)
+			return
+		}
+		var item Item
+		if err := decode(response, &item); err != nil {
+			done(Item{}, err)
+			return
+		}
+		done(item, nil)
+	})
+}
+
+// List reads all keys with a prefix, page by page, and returns them with the revision of the first page: a watch
+// from there delivers every change that later pages may have missed.
+func (c *Client) List(prefix string, done func(items []Item, revision uint64, err error)) {
+	request := &listRequest{client: c, prefix: prefix, done: done}
+	request.fetchPage("")
+}
+
+// listRequest is a List under way.
+type listRequest struct {
+	client   *Client
+	prefix   string
+	items    []Item
+	revision uint64
+	done     func(items []Item, revision uint64, err error)
+}
+
+// listPage is the body of the service's answer to a listing.
+type listPage struct {
+	Items    []Item `json:"pairs"`
+	More     bool   `json:"has_next"`
+	Revision uint64 `json:"epoch"`
+}
+
+// fetchPage requests the page of the keys after a key, "" for the first page.
+func (l *listRequest) fetchPage(after string) {
+	path := "/keys?starts=" + url.QueryEscape(l.prefix) + "&limit=" + strconv.Itoa(listPageItems)
+	if after != "" {
+		path += "&since=" + url.QueryEscape(after)
+	}
+	request := httpio.Request{Method: http.MethodGet, Path: path, Timeout: listTimeout}
+	l.client.call(request, 0, SafetyPriority, func(response httpio.Response) {
+		var page listPage
+		if err := decode(response, &page); err != nil {
+			l.done(nil, 0, err)
+			return
+		}
+		l.addPage(page, after == "")
+	})
+}
+
+func (l *listRequest) addPage(page listPage, first bool) {
+	if first {
+		l.revision = page.Revision
+	}
+	l.items = append(l.items, page.Items...)
+	if page.More && len(page.Items) > 0 {
+		l.fetchPage(page.Items[len(page.Items)-1].Key)
+		return
+	}
+	l.done(l.items, l.revision, nil)
+}
+
+// watchResponse is the body of the service's answer to a watch.
+type watchResponse struct {
+	Revision uint64  `json:"epoch"`
+	Events   []Event `json:"events"`
+}
+
+// Watch waits until keys with a prefix have changed after a revision, for at most the time given, and returns the
+// changes and the revision up to which they are complete. The error is ErrCompacted if the service no longer keeps
+// the changes after that revision.
+func (c *Client) Watch(
+	prefix string,
+	after uint64,
+	wait time.Duration,
+	done func(revision uint64, events []Event, err error),
+) {
+	path := "/follow?starts=" + url.QueryEscape(prefix) +
+		"&since=" + strconv.FormatUint(after, 10) +
+		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
+	request := httpio.Request{Method: http.MethodGet, Path: path, Timeout: wait + watchTimeoutMargin}
+	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+		if hasStatus(response, http.StatusGone) {
+			done(0, nil, ErrCompacted)
+			return
+		}
+		var body watchResponse
+		if err := decode(response, &body); err != nil {
+			done(0, nil, err)
+			return
+		}
+		done(body.Revision, body.Events, nil)
+	})
+}
--- a/internal/store/watchcache.go
+++ b/internal/store/watchcache.go
@@ -1,155 +1,216 @@
 package store
 
 import (
+	"context"
+	"errors"
 	"log/slog"
 	"time"
 )
 
-// WatchState names what a mirror is doing.
-type WatchState uint8
+// watchState is the state of a watch cache:
+//
+//	unsynced  --list sent-->           listing
+//	listing   --all keys read-->       watching
+//	listing   --list failed-->         unsynced
+//	watching  --revision compacted-->  unsynced
+type watchState uint8
 
-// The states of a mirror.
 const (
-	Empty     WatchState = iota // nothing read yet, or the position was lost
-	Listing                     // reading all keys
-	Following                   // up to date, waiting for changes
+	unsynced watchState = iota // the keys have to be listed, for the first time or because changes were missed
+	listing                    // a list of all keys is under way
+	watching                   // every change up to the revision was delivered, and a watch waits for more
 )
 
-// WatchCache keeps a copy of all keys with a prefix by reading and then following them.
+// String returns the state as log lines show it.
+func (s watchState) String() string {
+	return [...]string{"unsynced", "listing", "watching"}[s]
+}
+
+const (
+	// maxWatchWait is how long a watch stays open at most.
+	maxWatchWait = 1500 * time.Millisecond
+	// overdueMargin is by how much the answer to a watch may exceed its wait while the service answers other
+	// requests. Then the watch is lost, and to wait for its time limit would let the cache grow stale.
+	overdueMargin = time.Second
+	// listRetryDelay is the time between a list that failed and the next one.
+	listRetryDelay = 300 * time.Millisecond
+	// relistDelay is the time between a compacted revision and the list that follows. It bounds the load where
+	// the service reports compaction repeatedly.
+	relistDelay = 100 * time.Millisecond
+	// watchRetryDelay is the time between a watch that failed and the next one.
+	watchRetryDelay = 250 * time.Millisecond
+	// watchDelay is the time between a watch that was answered and the next one. It gathers bursts of changes into
+	// one answer.
+	watchDelay = 15 * time.Millisecond
+)
+
+// WatchCache follows all keys with a prefix: it lists them once, then watches for changes, and lists them again if
+// the state service has compacted the changes since its revision. It delivers items and deletions to its callbacks
+// and keeps no values itself. Like the client it belongs to the event loop.
 type WatchCache struct {
-	client *Client
-	prefix string
-	state  WatchState
-	busy   bool
-	rev    uint64
-	next   time.Duration // no request before
-	fresh  time.Duration
-	synced bool
-	wait   time.Duration // for which a watch stays open
-	asked  time.Duration // the watch that is open was sent
-	hasty  bool          // the one before was lost: the next is answered at once
-	turn   uint64        // of watches: the answer to an earlier one is nobody's any more
-
-	// OnItem, OnDelete and OnReset carry changes; OnReset comes before the items of a new
-	// reading, and OnSynced after them.
+	client   *Client
+	prefix   string
+	state    watchState
+	inFlight bool // a list or the watch last sent is under way
+	synced   bool
+	revision uint64        // every change up to it was delivered
+	freshAt  time.Duration // see FreshAt
+
+	nextRequestAt time.Duration
+	watchWait     time.Duration // how long a watch stays open
+	watchSentAt   time.Duration
+	watchID       uint64 // number of the watch last sent: an earlier one was given up
+	skipWait      bool   // the watch before was lost: the next one is to be answered at once
+
+	// OnItem, OnDelete, OnReset and OnSynced deliver what was read. OnReset comes before the items of a new list,
+	// OnSynced after them. OnItem and OnDelete are required.
 	OnItem   func(Item)
 	OnDelete func(key string, version uint64)
 	OnReset  func(items []Item)
 	OnSynced func()
 }
 
-// mostWait is how long a watch stays open at most.
-const mostWait = 1500 * time.Millisecond
-
-// overdue is how much later than it should have come the answer to a watch may be while the service answers other
-// requests: then the watch is lost, and waiting for its end would leave the copy old for long.
-const overdue = time.Second
-
-// NewWatchCache makes a mirror; it starts with the first Tick. Its copy may get as old as picture before anybody minds: where
-// nothing changes it is two waits old when the next answer is due, and that answer may take as long again.
-func NewWatchCache(c *Client, prefix string, picture time.Duration) *WatchCache {
-	return &WatchCache{client: c, prefix: prefix, wait: min(mostWait, picture/4)}
+// NewWatchCache returns a watch cache that sends its first request at the first Tick. stalenessBound is the age that
+// its content may reach before callers stop acting on it. Watches stay open for at most a quarter of it: where
+// nothing changes, the content is two waits old when the next answer is due, and that answer may take as long again.
+func NewWatchCache(client *Client, prefix string, stalenessBound time.Duration) *WatchCache {
+	return &WatchCache{client: client, prefix: prefix, watchWait: min(maxWatchWait, stalenessBound/4)}
 }
 
-// Synced tells whether the keys were ever read in full.
-func (m *WatchCache) Synced() bool { return m.synced }
+// Synced reports whether the keys were ever read in full.
+func (w *WatchCache) Synced() bool { return w.synced }
 
-// Revision is up to where the copy is complete: every change by then has been handed on.
-func (m *WatchCache) Revision() uint64 { return m.rev }
+// Revision returns the revision up to which every change was delivered.
+func (w *WatchCache) Revision() uint64 { return w.revision }
 
-// FreshAt is a time at which the copy was surely complete.
-func (m *WatchCache) FreshAt() time.Duration { return m.fresh }
+// FreshAt returns a time at which the delivered content was certainly complete: when the request was sent whose
+// answer came last.
+func (w *WatchCache) FreshAt() time.Duration { return w.freshAt }
 
-// to is the only place where the state changes.
-func (m *WatchCache) to(s WatchState) { m.state = s }
+// setState is the only place where the state changes.
+func (w *WatchCache) setState(next watchState, level slog.Level, cause string) {
+	slog.Log(context.Background(), level, "watch cache state changed",
+		"prefix", w.prefix, "from", w.state.String(), "to", next.String(), "cause", cause)
+	w.state = next
+}
 
-// Tick sends what is due.
-func (m *WatchCache) Tick(now time.Duration) {
-	if late := m.asked + m.wait + overdue; m.busy && m.state == Following && now > late && m.client.LastSuccess() > late-overdue/2 {
-		slog.Info("a watch is lost, asking anew", "prefix", m.prefix)
-		m.busy, m.hasty = false, true
+// Tick sends the request that is due, if any.
+func (w *WatchCache) Tick(now time.Duration) {
+	if w.isWatchLost(now) {
+		slog.Info("watch lost, sending another", "prefix", w.prefix)
+		w.inFlight = false
+		w.skipWait = true
 	}
-	if m.busy || now < m.next {
+	if w.inFlight || now < w.nextRequestAt {
 		return
 	}
-	switch m.state {
-	case Empty:
-		m.to(Listing)
-		m.busy = true
-		m.client.List(m.prefix, func(items []Item, rev uint64, err error) { m.listed(now, items, rev, err) })
-	case Following:
-		m.busy, m.asked = true, now
-		m.turn++
-		turn, wait := m.turn, m.wait
-		if m.hasty {
-			wait, m.hasty = 0, false
-		}
-		m.client.Watch(m.prefix, m.rev, wait, func(rev uint64, ev []Event, gone bool, err error) {
-			if m.turn == turn {
-				m.followed(now, rev, ev, gone, err)
-			} else if m.state == Following && err == nil && !gone {
-				m.take(now, rev, ev) // what it brings is as true as ever
-			}
-		})
+	switch w.state {
+	case unsynced:
+		w.sendList(now)
+	case watching:
+		w.sendWatch(now)
+	case listing: // its answer sets the next state
+	}
+}
+
+// isWatchLost reports whether the answer to a watch is overdue although the service has answered other requests
+// since it was due.
+func (w *WatchCache) isWatchLost(now time.Duration) bool {
+	overdueAt := w.watchSentAt + w.watchWait + overdueMargin
+	return w.inFlight && w.state == watching &&
+		now > overdueAt && w.client.LastSuccess() > overdueAt-overdueMargin/2
+}
+
+func (w *WatchCache) sendList(now time.Duration) {
+	w.setState(listing, slog.LevelDebug, "list sent")
+	w.inFlight = true
+	w.client.List(w.prefix, func(items []Item, revision uint64, err error) {
+		w.handleList(now, items, revision, err)
+	})
+}
+
+func (w *WatchCache) sendWatch(now time.Duration) {
+	w.inFlight = true
+	w.watchSentAt = now
+	w.watchID++
+	id := w.watchID
+	wait := w.watchWait
+	if w.skipWait {
+		wait = 0
+		w.skipWait = false
 	}
+	w.client.Watch(w.prefix, w.revision, wait, func(revision uint64, events []Event, err error) {
+		if id != w.watchID {
+			w.handleLateWatch(now, revision, events, err)
+			return
+		}
+		w.handleWatch(now, revision, events, err)
+	})
 }
 
-func (m *WatchCache) listed(sent time.Duration, items []Item, rev uint64, err error) {
-	m.busy = false
+// handleList handles the answer to the list that was sent at a time.
+func (w *WatchCache) handleList(sentAt time.Duration, items []Item, revision uint64, err error) {
+	w.inFlight = false
 	if err != nil {
-		slog.Debug("reading all keys failed", "prefix", m.prefix, "cause", err)
-		m.to(Empty)
-		m.next = m.client.now() + 300*time.Millisecond
+		w.setState(unsynced, slog.LevelDebug, err.Error())
+		w.nextRequestAt = w.client.now() + listRetryDelay
 		return
 	}
-	m.to(Following)
-	m.rev, m.fresh, m.synced = rev, sent, true
-	if m.OnReset != nil {
-		m.OnReset(items)
+	w.setState(watching, slog.LevelDebug, "all keys read")
+	w.revision = revision
+	w.freshAt = sentAt
+	w.synced = true
+	if w.OnReset != nil {
+		w.OnReset(items)
 	}
 	for _, item := range items {
-		m.OnItem(item)
+		w.OnItem(item)
 	}
-	if m.OnSynced != nil {
-		m.OnSynced()
+	if w.OnSynced != nil {
+		w.OnSynced()
 	}
-	m.Tick(m.client.now())
+	w.Tick(w.client.now())
 }
 
-func (m *WatchCache) followed(sent time.Duration, rev uint64, ev []Event, gone bool, err error) {
-	m.busy = false
-	now := m.client.now()
+// handleWatch handles the answer to the watch that was sent last, at a time.
+func (w *WatchCache) handleWatch(sentAt time.Duration, revision uint64, events []Event, err error) {
+	w.inFlight = false
+	now := w.client.now()
 	switch {
-	case gone:
-		// The service keeps a bounded number of changes: ours is no longer among them.
-		slog.Info("position lost, reading all keys again", "prefix", m.prefix)
-		// A service that says so time and again must not be asked without a pause.
-		m.to(Empty)
-		m.next = now + 100*time.Millisecond
+	case errors.Is(err, ErrCompacted):
+		w.setState(unsynced, slog.LevelInfo, "revision compacted")
+		w.nextRequestAt = now + relistDelay
 	case err != nil:
-		m.next = now + 250*time.Millisecond
+		w.nextRequestAt = now + watchRetryDelay
 		return
 	default:
-		m.take(sent, rev, ev)
-		// A short pause gathers bursts of changes into one answer.
-		m.next = now + 15*time.Millisecond
+		w.apply(sentAt, revision, events)
+		w.nextRequestAt = now + watchDelay
+	}
+	w.Tick(now)
+}
+
+// handleLateWatch handles the answer to a watch that was given up: its changes are as valid as those of any other.
+func (w *WatchCache) handleLateWatch(sentAt time.Duration, revision uint64, events []Event, err error) {
+	if err == nil && w.state == watching {
+		w.apply(sentAt, revision, events)
 	}
-	m.Tick(now)
 }
 
-// take hands changes on, each once and in their order, whichever watch brings them: a watch that was given up may still be
-// answered, long after newer ones, and what it says of keys that have gone since would stand for ever.
-func (m *WatchCache) take(sent time.Duration, rev uint64, ev []Event) {
-	m.fresh = max(m.fresh, sent)
-	for _, e := range ev {
-		if e.Version <= m.rev {
+// apply delivers changes, each once and in their order, whichever watch brings them. A watch that was given up may
+// be answered long after newer ones: without the check of versions, an item in it would bring back a key that was
+// deleted since.
+func (w *WatchCache) apply(sentAt time.Duration, revision uint64, events []Event) {
+	w.freshAt = max(w.freshAt, sentAt)
+	for _, event := range events {
+		if event.Version <= w.revision {
 			continue
 		}
-		if e.Put != "" {
-			m.OnItem(Item{Key: e.Put, Value: e.Value, Version: e.Version})
-		} else if e.Delete != "" {
-			m.OnDelete(e.Delete, e.Version)
+		if event.Put != "" {
+			w.OnItem(Item{Key: event.Put, Value: event.Value, Version: event.Version})
+		} else if event.Delete != "" {
+			w.OnDelete(event.Delete, event.Version)
 		}
 	}
-	m.rev = max(m.rev, rev)
+	w.revision = max(w.revision, revision)
 }
