--- a/internal/pages/format.go
+++ b/internal/pages/format.go
@@ -28,8 +28,8 @@
 func Key(prefix string, number int) string { return fmt.Sprintf("%s%05d", prefix, number) }
 
 // Decode reads the page that is stored under a key. If its value can't be read, being of a newer format for example,
-// the error comes with a StoredPage that has only its number, for Reserve; if the key has no number, with an empty one. Operators read the error's text as the cause in the list of
-// unreadable records, next to the key.
+// the error comes with a StoredPage that has only its number, for Reserve; if the key has no number, with an empty
+// one. Operators read the error's text, as the cause in the list of unreadable records, next to the key.
 func Decode(prefix, key string, raw json.RawMessage, version uint64) (StoredPage, error) {
 	number, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
 	if err != nil || number < 0 {
