--- /dev/null
+++ b/internal/peers/link.go
@@ -0,0 +1,112 @@
+package peers
+
+import (
+	"crypto/tls"
+	"log/slog"
+	"net"
+	"time"
+)
+
+const (
+	dialTimeout  = 1500 * time.Millisecond
+	writeTimeout = 2 * time.Second
+)
+
+// Dial connects to another controller, within 1.5 s.
+type Dial func() (net.Conn, error)
+
+// Plain returns a Dial without TLS.
+func Plain(addr string) Dial {
+	return func() (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
+}
+
+// Secure returns a Dial over TLS. config is called for each connection.
+func Secure(addr string, config func() *tls.Config) Dial {
+	return func() (net.Conn, error) {
+		return tls.DialWithDialer(&net.Dialer{Timeout: dialTimeout}, "tcp4", addr, config())
+	}
+}
+
+// Link sends frames to one other controller. Its queue holds one frame: a newer status replaces one that was not sent
+// yet. Its goroutine, which owns the connection, runs as long as the process.
+type Link struct {
+	dial  Dial
+	queue chan []byte
+
+	conn       net.Conn      // nil: none is open
+	connClosed chan struct{} // closed when the peer has closed conn
+}
+
+// NewLink returns a link, and starts its goroutine. It dials whenever a frame is to be sent and no connection is open.
+func NewLink(dial Dial) *Link {
+	l := &Link{dial: dial, queue: make(chan []byte, 1)}
+	go l.run()
+	return l
+}
+
+// Send queues the content of a frame, without waiting. It may be called from one goroutine only.
+func (l *Link) Send(content []byte) {
+	select {
+	case <-l.queue:
+	default:
+	}
+	select {
+	case l.queue <- content:
+	default:
+	}
+}
+
+func (l *Link) run() {
+	for content := range l.queue {
+		l.closeIfPeerClosed()
+		if l.conn == nil && !l.connect() {
+			continue
+		}
+		_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if err := WriteFrame(l.conn, content); err != nil {
+			l.close()
+		}
+	}
+}
+
+// connect opens a connection and reports whether there is one.
+func (l *Link) connect() bool {
+	conn, err := l.dial()
+	if err != nil {
+		slog.Debug("peer not reached", "error", err)
+		return false
+	}
+	l.conn = conn
+	l.connClosed = make(chan struct{})
+	go waitForClose(conn, l.connClosed)
+	return true
+}
+
+func (l *Link) close() {
+	_ = l.conn.Close()
+	l.conn = nil
+}
+
+func (l *Link) closeIfPeerClosed() {
+	if l.conn == nil {
+		return
+	}
+	select {
+	case <-l.connClosed:
+		l.close()
+	default:
+	}
+}
+
+// waitForClose closes a channel when a connection, on which the peer sends nothing, was closed by either side. Writing
+// alone does not show that the peer has closed it: after a pause longer than the peer's read timeout, writes succeed
+// as long as the socket buffers them, and a leader would not learn that its workers report to that controller.
+func waitForClose(conn net.Conn, closed chan<- struct{}) {
+	defer close(closed)
+	buffer := make([]byte, 16)
+	for {
+		if _, err := conn.Read(buffer); err != nil {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/peers/status.go
@@ -0,0 +1,107 @@
+package peers
+
+import (
+	"errors"
+	"fmt"
+
+	flatbuffers "github.com/google/flatbuffers/go"
+
+	"github.com/harewalk/harewalk/internal/peers/wire"
+)
+
+// MostCounts is the largest number of jobs in a status: with ids of the greatest length they fit a frame.
+const MostCounts = 4096
+
+// Count is the number of tasks of one job that are done and running, as users see them.
+type Count struct {
+	Job           string
+	Done, Running uint32
+}
+
+// Status is one controller's state as it reports it.
+type Status struct {
+	Node    string
+	Term    uint64
+	Leading bool
+	StateOK bool   // the state service answers it
+	Workers uint32 // workers with a recent heartbeat
+	Leaving bool   // it drains
+	Counts  []Count
+}
+
+// Sizes of the buffer that a status is first encoded into.
+const (
+	statusBufferBytes = 256
+	countBufferBytes  = 48 // for each count
+)
+
+// Encode returns the content of a frame with a status.
+func Encode(status Status) []byte {
+	builder := flatbuffers.NewBuilder(statusBufferBytes + countBufferBytes*len(status.Counts))
+	counts := encodeCounts(builder, status.Counts)
+	node := builder.CreateString(status.Node)
+	wire.StatusStart(builder)
+	wire.StatusAddNode(builder, node)
+	wire.StatusAddTerm(builder, status.Term)
+	wire.StatusAddLeading(builder, status.Leading)
+	wire.StatusAddStateOk(builder, status.StateOK)
+	wire.StatusAddWorkers(builder, status.Workers)
+	wire.StatusAddCounts(builder, counts)
+	wire.StatusAddLeaving(builder, status.Leaving)
+	builder.Finish(wire.StatusEnd(builder))
+	return builder.FinishedBytes()
+}
+
+// encodeCounts writes the vector of counts and returns its offset.
+func encodeCounts(builder *flatbuffers.Builder, counts []Count) flatbuffers.UOffsetT {
+	offsets := make([]flatbuffers.UOffsetT, len(counts))
+	for i, count := range counts {
+		job := builder.CreateString(count.Job)
+		wire.JobCountStart(builder)
+		wire.JobCountAddJob(builder, job)
+		wire.JobCountAddDone(builder, count.Done)
+		wire.JobCountAddRunning(builder, count.Running)
+		offsets[i] = wire.JobCountEnd(builder)
+	}
+	wire.StatusStartCountsVector(builder, len(offsets))
+	for i := len(offsets) - 1; i >= 0; i-- {
+		builder.PrependUOffsetT(offsets[i])
+	}
+	return builder.EndVector(len(offsets))
+}
+
+// minStatusBytes is the least that the accessors of a status read.
+const minStatusBytes = 8
+
+// Decode reads the content of a frame. FlatBuffers checks no offsets, so a frame that makes its accessors run out of
+// bounds panics there and is returned as an error here.
+func Decode(raw []byte) (status Status, err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			err = fmt.Errorf("broken frame: %v", cause)
+		}
+	}()
+	if len(raw) < minStatusBytes {
+		return Status{}, errors.New("short frame")
+	}
+	encoded := wire.GetRootAsStatus(raw, 0)
+	status = Status{
+		Node:    string(encoded.Node()),
+		Term:    encoded.Term(),
+		Leading: encoded.Leading(),
+		StateOK: encoded.StateOk(),
+		Workers: encoded.Workers(),
+		Leaving: encoded.Leaving(),
+	}
+	length := encoded.CountsLength()
+	if length < 0 || length > len(raw)/4 { // each count has an offset of four bytes
+		return Status{}, fmt.Errorf("broken frame: %d counts", length)
+	}
+	for i := range length {
+		var count wire.JobCount
+		if encoded.Counts(&count, i) {
+			status.Counts = append(status.Counts, Count{string(count.Job()), count.Done(), count.Running()})
+		}
+	}
+	return status, nil
+}
--- a/internal/peers/status_test.go
+++ b/internal/peers/status_test.go
@@ -11,7 +11,7 @@
 	for i := range MostCounts {
 		s.Counts = append(s.Counts, Count{Job: fmt.Sprintf("req-%018d", i), Done: 100_000, Running: 100_000})
 	}
-	if n := len(Encode(s)); n > maxFrame || MostCounts < 4000 {
+	if n := len(Encode(s)); n > maxFrameBytes || MostCounts < 4000 {
 		t.Fatalf("%d counts take %d bytes", MostCounts, n)
 	}
 }
