--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -147,6 +147,61 @@
 	}
 }
 
+// An empty page whose last write has no known outcome is not retired: the write could be applied after the deletion
+// was decided on.
+func TestIndeterminatePageIsNotRetired(t *testing.T) {
+	const values = 8
+	p := New(60)
+	var last PageWrite
+	for i := range int32(values) {
+		batch := p.Begin(100)
+		batch.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
+		last = batch.Writes()[0]
+		p.Commit(last, uint64(i)+1)
+	}
+	for i := range int32(values) {
+		p.Drop(Ref{A: i})
+	}
+	last.Version = values // of a second write of the page
+	p.MarkIndeterminate(last)
+	numbers, _ := p.Retire(values)
+	if len(numbers) != values-spareEmptyPages-1 || slices.Contains(numbers, last.Number) {
+		t.Fatalf("pages %v are retired, the outcome of page %d is unknown", numbers, last.Number)
+	}
+}
+
+// A page whose key is being deleted is not written any more.
+func TestRetiredPageIsNotWritten(t *testing.T) {
+	const values = 8
+	p := New(60)
+	add := func(batch *Batch, i int32) {
+		batch.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 100, 10_000)
+	}
+	batch := p.Begin(100)
+	for i := range int32(values) {
+		add(batch, i)
+	}
+	for _, write := range batch.Writes() {
+		p.Commit(write, 1)
+	}
+	for i := range int32(values) {
+		p.Drop(Ref{A: i})
+	}
+	retired, _ := p.Retire(values)
+	batch = p.Begin(100)
+	for i := range int32(values) {
+		add(batch, values+i)
+	}
+	for _, write := range batch.Writes() {
+		if slices.Contains(retired, write.Number) {
+			t.Errorf("page %d is written while its key is being deleted", write.Number)
+		}
+	}
+	if len(retired) == 0 || len(batch.Writes()) != values {
+		t.Errorf("%d pages retired, %d written", len(retired), len(batch.Writes()))
+	}
+}
+
 // A page that can't be decoded still yields its number, and the cause in the words that operators read.
 func TestDecode(t *testing.T) {
 	cases := []struct {
