--- a/internal/httpio/httpio.go
+++ b/internal/httpio/httpio.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// neverRetry keeps fasthttp from sending a request twice: a caller resolves an indeterminate outcome on the assumption
-// that its request was sent once at most.
+// neverRetry keeps fasthttp from sending a request twice: a caller resolves an indeterminate outcome on the
+// assumption that its request was sent once at most.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Link sends frames to one other controller. Its queue holds one frame: a newer status replaces one that was not sent
-// yet. Its goroutine, which owns the connection, runs as long as the process.
+// Link sends frames to one other controller. Its queue has room for one frame: a newer one replaces one that
+// was not sent yet. Its goroutine, which owns the connection, runs as long as the process.
 type Link struct {
 	dial  Dial
 	queue chan []byte
@@ -37,7 +37,8 @@
 	connClosed chan struct{} // closed when the peer has closed conn
 }
 
-// NewLink returns a link, and starts its goroutine. It dials whenever a frame is to be sent and no connection is open.
+// NewLink returns a link, and starts its goroutine. It dials whenever a frame is to be sent and no connection is
+// open.
 func NewLink(dial Dial) *Link {
 	l := &Link{dial: dial, queue: make(chan []byte, 1)}
 	go l.run()
@@ -98,9 +99,9 @@
 	}
 }
 
-// waitForClose closes a channel when a connection, on which the peer sends nothing, was closed by either side. Writing
-// alone does not show that the peer has closed it: after a pause longer than the peer's read timeout, writes succeed
-// as long as the socket buffers them, and a leader would not learn that its workers report to that controller.
+// waitForClose closes a channel when a connection, on which the peer sends nothing, was closed by either side.
+// Writing alone does not show that the peer has closed it: after a pause longer than the peer's read timeout, writes
+// succeed as long as the socket buffers them, and the peer gets none of the statuses.
 func waitForClose(conn net.Conn, closed chan<- struct{}) {
 	defer close(closed)
 	buffer := make([]byte, 16)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -57,37 +57,37 @@
 		t.Fatal("no broken frame was refused")
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); err == nil {
-		t.Fatal("a frame of 4 GiB was taken")
+		t.Fatal("a frame of 4 GiB was accepted")
 	}
 }
 
-// deadEnd is a connection that takes whatever is written, though the other side has ended it.
-type deadEnd struct {
+// closableConn is a connection that takes whatever is written, also after the peer has closed it.
+type closableConn struct {
 	net.Conn
-	end   chan struct{}
-	wrote chan []byte
+	closed chan struct{}
+	wrote  chan []byte
 }
 
-func (d *deadEnd) Read([]byte) (int, error)         { <-d.end; return 0, io.EOF }
-func (d *deadEnd) Write(b []byte) (int, error)      { d.wrote <- b; return len(b), nil }
-func (d *deadEnd) SetWriteDeadline(time.Time) error { return nil }
-func (d *deadEnd) Close() error                     { return nil }
+func (c *closableConn) Read([]byte) (int, error)         { <-c.closed; return 0, io.EOF }
+func (c *closableConn) Write(b []byte) (int, error)      { c.wrote <- b; return len(b), nil }
+func (c *closableConn) SetWriteDeadline(time.Time) error { return nil }
+func (c *closableConn) Close() error                     { return nil }
 
-// The other side ends a connection because nothing came for long: whatever is said next goes over a new one, even where the
-// socket would take it.
-func TestLinkNoticesTheOtherEnd(t *testing.T) {
+// The peer closes a connection because nothing came for long: the next frame goes over a new connection, even where
+// the socket would still take it.
+func TestLinkReconnectsWhenThePeerCloses(t *testing.T) {
 	wrote := make(chan []byte, 10)
-	dialled := make(chan *deadEnd, 10)
+	dialled := make(chan *closableConn, 10)
 	l := NewLink(func() (net.Conn, error) {
-		c := &deadEnd{end: make(chan struct{}), wrote: wrote}
+		c := &closableConn{closed: make(chan struct{}), wrote: wrote}
 		dialled <- c
 		return c, nil
 	})
 	l.Send([]byte("one"))
 	first := <-dialled
 	<-wrote
-	close(first.end)
-	for n := 0; ; n++ { // the end may be noticed a moment later
+	close(first.closed)
+	for n := 0; ; n++ { // the close may be noticed a moment later
 		l.Send([]byte("two"))
 		<-wrote
 		select {
@@ -95,7 +95,7 @@
 			return
 		default:
 			if n > 1000 {
-				t.Fatal("still written to a connection that has ended")
+				t.Fatal("frames are still written to a closed connection")
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -9,7 +9,7 @@
 	"github.com/harewalk/harewalk/internal/peers/wire"
 )
 
-// MostCounts is the largest number of jobs in a status: with ids of the greatest length they fit a frame.
+// MostCounts is the maximum number of jobs in a status. With ids of the greatest length they fit a frame.
 const MostCounts = 4096
 
 // Count is the number of tasks of one job that are done and running, as users see them.
--- a/internal/peers/status_test.go
+++ b/internal/peers/status_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A status that tells of as many jobs as a large fleet runs, with ids of the greatest length, fits a frame.
+// A status with as many jobs as a large fleet runs, with ids of the greatest length, fits a frame.
 func TestStatusOfALargeFleetFitsAFrame(t *testing.T) {
 	s := Status{Node: "node-0"}
 	for i := range MostCounts {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,7 +1,7 @@
 // Package store is the client of the state service, a consensus-backed key-value store: compare-and-swap
 // transactions, reads, leases, watches, and a cache that follows all keys with a prefix.
 //
-// The package owns how much is asked of the service. Requests stay within a rate budget in which leases have the
+// The package owns the load on the service. Requests stay within a rate budget in which leases have the
 // highest priority, and transactions within size limits that are lowered when the service takes less than the
 // settings say. It never retries a request and never decides what an indeterminate outcome means: both are up to
 // its callers. It starts no goroutine and reads no clock of its own: requests go out through an httpio.Sender,
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// simulatedService answers each request at once, from the simulated state service or as the test says.
+// simulatedService answers each request at once, from the simulated state service or as the test sets it.
 type simulatedService struct {
 	service *state.Service
 	answer  func(httpio.Request) (httpio.Response, bool)
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -12,7 +12,7 @@
 const (
 	getTimeout  = 1500 * time.Millisecond
 	listTimeout = 4 * time.Second
-	// listPageItems is how many keys one page of a listing holds at most.
+	// listPageItems is the maximum number of keys in one page of a list.
 	listPageItems = 1000
 	// watchTimeoutMargin is by how much the time limit of a watch exceeds its wait: an open watch may outlast an
 	// outage of the service.
--- a/internal/store/sizelimits.go
+++ b/internal/store/sizelimits.go
@@ -114,7 +114,7 @@
 	e.raise()
 }
 
-// raise raises the two limits in turn.
+// raise raises one limit, alternately.
 func (e *limitEstimator) raise() {
 	e.raisedOpsLast = !e.raisedOpsLast
 	if e.raisedOpsLast {
