--- a/cmd/harewalk/list.go
+++ b/cmd/harewalk/list.go
@@ -44,7 +44,7 @@
 			return o.show(c.OutOrStdout(), all, func(t *tabwriter.Writer) {
 				fmt.Fprintln(t, "JOB\tSTANCE\tTEAM\tCLASS\tPRIORITY\tTASKS\tDONE\tRUNNING\tWAITING\tAGE")
 				for _, l := range all {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", l.ID, l.Stance, l.Team, l.Class, l.Priority, l.Tasks, l.Done, l.Running, l.Waiting, brief(l.AgeS))
+					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\n", l.ID, l.State, l.Team, l.Class, l.Priority, l.Tasks, l.Done, l.Running, l.Waiting, brief(l.AgeS))
 				}
 			})
 		},
--- a/cmd/harewalk/why.go
+++ b/cmd/harewalk/why.go
@@ -26,7 +26,7 @@
 }
 
 func explainJob(t *tabwriter.Writer, w controller.JobPendingView) {
-	fmt.Fprintf(t, "%s is %s: %d of %d tasks done, %d running\n", w.ID, w.Stance, w.Done, w.Tasks, w.Running)
+	fmt.Fprintf(t, "%s is %s: %d of %d tasks done, %d running\n", w.ID, w.State, w.Done, w.Tasks, w.Running)
 	for _, p := range w.Waiting {
 		fmt.Fprintf(t, "%d wait:\t%s\n", p.Tasks, p.Text)
 	}
--- a/cmd/harewalk/zone.go
+++ b/cmd/harewalk/zone.go
@@ -24,7 +24,7 @@
 				return tell(&o, c, "GET", "/v2/zones", nil, func(t *tabwriter.Writer, vs []controller.ZoneView) {
 					fmt.Fprintln(t, "ZONE\tSTATE\tFOR\tFLAPS\tMACHINES\tQUIET\tASIDE\tTASKS\tHELD\tRENTS\tTAKES")
 					for _, v := range vs {
-						fmt.Fprintf(t, "%s\t%s\t%.0f s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%s\n", v.Zone, v.State, v.ForS, v.Flaps, v.Machines, v.Quiet, v.Aside, v.Tasks, v.Held, v.Rents, v.Takes)
+						fmt.Fprintf(t, "%s\t%s\t%.0f s\t%d\t%d\t%d\t%d\t%d\t%d\t%v\t%s\n", v.Zone, v.State, v.ForS, v.Flaps, v.Machines, v.Overdue, v.Quarantined, v.Tasks, v.Held, v.Rents, v.AcceptsWork)
 					}
 				})
 			},
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -53,8 +53,8 @@
 	return &Gate{Quota: teams, Licences: pools, reserved: map[licences.Ref]Claim{}}
 }
 
-// Ask returns what keeps n more tasks with a claim from starting together now.
-func (g *Gate) Ask(claim Claim, n int) Denial {
+// Check returns what keeps n more tasks with a claim from starting together now.
+func (g *Gate) Check(claim Claim, n int) Denial {
 	if !g.Quota.Fits(claim.Team, claim.Size, n) {
 		return Denial{TeamLimit: true}
 	}
@@ -66,7 +66,7 @@
 }
 
 // Fits returns whether n more tasks with a claim may start together now.
-func (g *Gate) Fits(claim Claim, n int) bool { return g.Ask(claim, n).OK() }
+func (g *Gate) Fits(claim Claim, n int) bool { return g.Check(claim, n).OK() }
 
 // Reserved returns whether a task's claim is reserved and its launch has not been sent yet.
 func (g *Gate) Reserved(ref licences.Ref) bool {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -40,12 +40,12 @@
 			t.Fatalf("%v CPUs used and %d units free, want %v and %d", used, view.Free, usedCPUs, freeUnits)
 		}
 	}
-	if denial := gate.Ask(claim, 3); !denial.TeamLimit {
+	if denial := gate.Check(claim, 3); !denial.TeamLimit {
 		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", denial)
 	}
 	small := claim
 	small.Size.CPUs = 1
-	denial := gate.Ask(small, 4)
+	denial := gate.Check(small, 4)
 	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoSeat || denial.Pool != 0 {
 		t.Fatalf("four units of three: %+v", denial)
 	}
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -87,7 +87,7 @@
 		"",
 		s,
 		func() time.Duration { return svc.Now },
-		store.Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 0.8},
+		store.Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8},
 		store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10},
 	)
 	table := jobs.NewTable(0)
@@ -102,10 +102,10 @@
 		MaxValue: 8 << 10,
 		Admit: func(spec *jobs.Spec) AdmissionResult {
 			return AdmissionResult{
-				OK:    spec.Team == admittedTeam,
-				Known: spec.Team != undecidedTeam,
-				Open:  spec.Team == noLicenceTeam,
-				Why:   "team",
+				OK:     spec.Team == admittedTeam,
+				Known:  spec.Team != undecidedTeam,
+				Open:   spec.Team == noLicenceTeam,
+				Reason: "team",
 			}
 		},
 		Counts: func(job *jobs.Job) (int, int) { return job.FinishedTasks, job.ReportedRunning },
--- a/internal/api/leaderroutes.go
+++ b/internal/api/leaderroutes.go
@@ -17,7 +17,7 @@
 	Verb     string      // "show", "set", "open", or the last part of a session's path
 	Body     []byte      // of a command
 	Bearer   string      // the bearer token, "": none
-	Who      *access.Who // the authenticated user, nil where no user's token is required
+	User     *access.Who // the authenticated user, nil where no user's token is required
 	Query    map[string]string
 }
 
@@ -25,8 +25,8 @@
 // or, if that is empty, come from the controller's own machine; each session has tokens of its own.
 type LeaderAPI struct {
 	Token string // the operators', "": none set
-	// Answer handles a request on the event loop, also on a controller that doesn't lead.
-	Answer func(now time.Duration, request LeaderRequest, reply func(Reply))
+	// Handle handles a request on the event loop, also on a controller that doesn't lead.
+	Handle func(now time.Duration, request LeaderRequest, reply func(Reply))
 	// Licences and Sessions add the routes of these resources.
 	Licences, Sessions bool
 }
@@ -97,7 +97,7 @@
 		}
 	}
 	request := newLeaderRequest(c, route)
-	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Leader.Answer(r.Now(), request, reply) })
+	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Leader.Handle(r.Now(), request, reply) })
 }
 
 // newLeaderRequest copies what the leader needs of an HTTP request, which is invalid once its handler returns.
@@ -107,7 +107,7 @@
 		Name:     strings.Clone(c.Params("name")),
 		Verb:     route.verb,
 		Bearer:   bearerToken(c),
-		Who:      authenticatedUser(c),
+		User:     authenticatedUser(c),
 		Query:    map[string]string{},
 	}
 	for _, key := range leaderQueryParameters {
--- a/internal/api/retryafter_test.go
+++ b/internal/api/retryafter_test.go
@@ -16,7 +16,7 @@
 	svc := state.New()
 	service := newTestService(svc)
 	now := func() time.Duration { return svc.Now }
-	share := store.Share{RPS: 1e6, WriteRPS: perSecond, BurstS: 1}
+	share := store.Share{RPS: 1e6, WriteRPS: perSecond, BurstSeconds: 1}
 	service.Store = store.New("", service, now, share, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	service.Archive = archive.NewReader(service.Store, 8)
 	refused, accepted := 0, 0
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -18,7 +18,7 @@
 func (r Routes) addHealthRoute(app *fiber.App) {
 	app.Get("/up", func(c fiber.Ctx) error {
 		return r.serve(c, exchange{post: r.Post, timeout: userTimeout}, func(reply func(Reply)) {
-			if !r.Up() {
+			if !r.Healthy() {
 				reply(Refuse(Unavailable, "not ready"))
 				return
 			}
@@ -35,11 +35,11 @@
 			return send(c, Refuse(InvalidRequest, "not a report"))
 		}
 		// A fleet that is larger than the number of sockets has to open a connection for each heartbeat.
-		if int(app.Server().GetOpenConnectionsCount()) > r.Crowded {
+		if int(app.Server().GetOpenConnectionsCount()) > r.MaxKeptConns {
 			c.Response().SetConnectionClose()
 		}
-		e := exchange{post: r.PostReport, timeout: heartbeatTimeout, count: r.Counter.countWorker}
-		return r.serve(c, e, func(reply func(Reply)) { r.Report(r.Now(), heartbeat, reply) })
+		e := exchange{post: r.PostHeartbeat, timeout: heartbeatTimeout, count: r.Counter.countWorker}
+		return r.serve(c, e, func(reply func(Reply)) { r.HandleHeartbeat(r.Now(), heartbeat, reply) })
 	})
 }
 
@@ -48,12 +48,12 @@
 	app.Post("/v2/runs", r.handleSubmission)
 	app.Get("/v2/runs/:id", func(c fiber.Ctx) error {
 		id := strings.Clone(c.Params("id"))
-		return r.serveUser(c, queryTimeout, func(reply func(Reply)) { r.Intake.Query(r.Now(), id, reply) })
+		return r.serveUser(c, queryTimeout, func(reply func(Reply)) { r.Service.Query(r.Now(), id, reply) })
 	})
 	app.Post("/v2/runs/:id/abort", func(c fiber.Ctx) error {
 		id := strings.Clone(c.Params("id"))
 		user := authenticatedUser(c)
-		return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Intake.Cancel(r.Now(), user, id, reply) })
+		return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Service.Cancel(r.Now(), user, id, reply) })
 	})
 }
 
@@ -65,5 +65,5 @@
 	if user := authenticatedUser(c); user != nil && !user.May(spec.Team) {
 		return send(c, Refuse(Forbidden, user.Name+" may not submit jobs of team "+spec.Team))
 	}
-	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Intake.Submit(r.Now(), spec, reply) })
+	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Service.Submit(r.Now(), spec, reply) })
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -19,20 +19,20 @@
 // Routes hold what a server needs to pass requests on to the event loop. All functions are called from connection
 // goroutines, but for Up and Report, which are called on the event loop.
 type Routes struct {
-	// Post and, for heartbeats, PostReport queue a function for the event loop. They return false if the queue is
+	// Post and, for heartbeats, PostHeartbeat queue a function for the event loop. They return false if the queue is
 	// full.
-	Post, PostReport func(func()) bool
-	Now              func() time.Duration
-	Intake           *Service
-	// Up reports whether the health check succeeds.
-	Up func() bool
-	// Report handles a heartbeat.
-	Report func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
+	Post, PostHeartbeat func(func()) bool
+	Now                 func() time.Duration
+	Service             *Service
+	// Healthy reports whether the health check succeeds.
+	Healthy func() bool
+	// HandleHeartbeat handles a heartbeat.
+	HandleHeartbeat func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
 	// Leader handles requests that only the leader can answer.
 	Leader *LeaderAPI
 	// MaxConns bounds open connections. While more than Crowded are open, those of workers are closed with each
 	// reply.
-	MaxConns, Crowded int
+	MaxConns, MaxKeptConns int
 	// Counter counts replies to users and workers; nil for none.
 	Counter *ResponseCounter
 	// Users authenticate by their tokens; nil if no tokens are required.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -28,11 +28,11 @@
 		return true
 	}
 	routes.Post = post
-	routes.PostReport = post
+	routes.PostHeartbeat = post
 	routes.Now = func() time.Duration { return 0 }
-	routes.Intake = newTestService(state.New()).Service
-	routes.Up = func() bool { return true }
-	routes.Report = func(_ time.Duration, _ *fleet.Heartbeat, reply func(Reply)) { reply(Reply{Status: 200}) }
+	routes.Service = newTestService(state.New()).Service
+	routes.Healthy = func() bool { return true }
+	routes.HandleHeartbeat = func(_ time.Duration, _ *fleet.Heartbeat, reply func(Reply)) { reply(Reply{Status: 200}) }
 	if routes.Leader == nil {
 		routes.Leader = &LeaderAPI{}
 	}
@@ -84,13 +84,13 @@
 func TestUserRoutesNeedAToken(t *testing.T) {
 	users, token := newUsers(t)
 	address := startServer(t, Routes{
-		MaxConns: 10,
-		Crowded:  10,
-		Users:    users,
+		MaxConns:     10,
+		MaxKeptConns: 10,
+		Users:        users,
 		Leader: &LeaderAPI{
 			Licences: true,
 			Sessions: true,
-			Answer:   func(_ time.Duration, _ LeaderRequest, reply func(Reply)) { reply(Reply{Status: 200}) },
+			Handle:   func(_ time.Duration, _ LeaderRequest, reply func(Reply)) { reply(Reply{Status: 200}) },
 		},
 	})
 	for _, route := range []string{
@@ -147,7 +147,7 @@
 // heartbeats than there are sockets; users' connections stay. A hundred heartbeats are served with twenty sockets,
 // ten of which may be open.
 func TestMoreWorkersThanSockets(t *testing.T) {
-	address := startServer(t, Routes{MaxConns: 20, Crowded: 10})
+	address := startServer(t, Routes{MaxConns: 20, MaxKeptConns: 10})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	send := func(method, path, body string) (status int, closes bool) {
 		t.Helper()
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -35,8 +35,8 @@
 	OK    bool
 	Known bool // false: not decided yet, Why gives the reason
 	// Open marks a rejection that another controller, or this one at another time, may have decided otherwise.
-	Open bool
-	Why  string
+	Open   bool
+	Reason string
 }
 
 // AdmitFunc decides whether a job can ever run.
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -56,7 +56,7 @@
 func (s *Service) admit(now time.Duration, spec *jobs.Spec, reply func(Reply)) bool {
 	result := s.Admit(spec)
 	if !result.Known {
-		reply(Refuse(Unavailable, result.Why))
+		reply(Refuse(Unavailable, result.Reason))
 		return false
 	}
 	if result.OK {
@@ -73,7 +73,7 @@
 		reply(stateServiceUnavailable)
 		return false
 	}
-	s.readAndReply(lookup{id: spec.ID, absent: Refuse(Unprocessable, result.Why), reply: reply})
+	s.readAndReply(lookup{id: spec.ID, absent: Refuse(Unprocessable, result.Reason), reply: reply})
 	return false
 }
 
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -224,5 +224,5 @@
 	}
 }
 
-// ForgetConflict ends the back-off of a job whose record is seen to be deleted.
-func (m *Mover) ForgetConflict(id string) { delete(m.retryAt, id) }
+// ForgetBackoff ends the back-off of a job whose record is seen to be deleted.
+func (m *Mover) ForgetBackoff(id string) { delete(m.retryAt, id) }
--- a/internal/archive/mover_test.go
+++ b/internal/archive/mover_test.go
@@ -132,7 +132,7 @@
 			t.Error("the job whose answer is stored is tried again at once")
 		}
 	}
-	m.ForgetConflict("req-b")
+	m.ForgetBackoff("req-b")
 	if len(m.retryAt) != 0 {
 		t.Errorf("still backed off: %v", m.retryAt)
 	}
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -174,7 +174,7 @@
 	f := fleet.New(fleet.Env{
 		Settings: settings,
 		Jobs:     table,
-		Rng:      rand.New(rand.NewPCG(1, 1)),
+		Random:   rand.New(rand.NewPCG(1, 1)),
 		TxnOps:   20,
 		Now:      now,
 		Types:    func(int32) *fleet.MachineType { return fleetType },
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -47,7 +47,7 @@
 	health := m.fleetHealth(now, isSteady)
 	m.idleLimitFactor = idleLimitFactor(health.up, health.idle, m.Settings.Operator.Headroom)
 	for _, machine := range m.Fleet.Machines() {
-		silence := now - machine.LastHeardAt
+		silence := now - machine.LastContactAt
 		isRetained := silence > health.silenceLimit &&
 			m.Zones.RetainsMachines(now, machine.Zone, m.retentionTime(machine))
 		if !isRetained {
@@ -66,7 +66,7 @@
 		if isIdle(machine) {
 			health.idle++
 		}
-		if now-machine.LastHeardAt > health.silenceLimit {
+		if now-machine.LastContactAt > health.silenceLimit {
 			health.silent++
 		}
 	}
@@ -116,20 +116,20 @@
 	switch {
 	case m.isSilent(now, machine, health):
 		m.toReturn[machine.Name] = causeSilent
-	case health.isSteady && health.someHeard() && now-machine.LastHeardAt > limit:
+	case health.isSteady && health.someHeard() && now-machine.LastContactAt > limit:
 		m.toReturn[machine.Name] = causeOneWay
 	}
 }
 
 // isSilent reports whether a machine has been silent for too long, and that isn't due to a cut.
 func (m *Manager) isSilent(now time.Duration, machine *fleet.Machine, health fleetHealth) bool {
-	return now-machine.LastHeardAt > health.silenceLimit && health.isSteady && health.silent > 0 && health.fewSilent()
+	return now-machine.LastContactAt > health.silenceLimit && health.isSteady && health.silent > 0 && health.fewSilent()
 }
 
 // isLost reports whether a machine whose lease has expired is to be returned. Even if many are silent, keeping one
 // for longer than its retention time costs more than it can save.
 func (m *Manager) isLost(now time.Duration, machine *fleet.Machine, health fleetHealth) bool {
-	silence := now - machine.LastHeardAt
+	silence := now - machine.LastContactAt
 	limit := 2 * health.silenceLimit
 	if !health.isSteady || silence <= limit || now-machine.LastHeartbeatAt <= health.silenceLimit {
 		return false
@@ -142,7 +142,7 @@
 	return isIdle(machine) &&
 		now-machine.IdleSince > m.idleLimit(machine) &&
 		m.idleExceedsHeadroom() &&
-		!m.Zones.Unsettled()
+		!m.Zones.HasRecoveringZones()
 }
 
 // defaultUsefulS stands for the time until a machine of an unknown type is useful, in seconds.
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, machine := range m.Fleet.Machines() {
-		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastHeardAt > lag+maxUnlistedExpired
+		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastContactAt > lag+maxUnlistedExpired
 		if isExpired && !isListed[machine.Name] {
 			m.Fleet.HandleReturned(now, machine, string(causeUnlisted))
 		}
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -130,7 +130,7 @@
 // pack places the tasks of a need on the planned machines, and adds machines for those that are left over.
 func (p *scaleOutPlan) pack(need fleet.Need) {
 	secondsPerTask := min(max(need.Seconds, 1), p.horizonS)
-	if need.Whole {
+	if need.StartTogether {
 		secondsPerTask = p.horizonS
 	}
 	work := need.Job.Spec.Size().Times(secondsPerTask)
@@ -190,8 +190,8 @@
 	return best, count
 }
 
-// Full reports whether there are as many machines as max_machines allows, so that none are rented.
-func (m *Manager) Full() bool { return m.atLimit }
+// AtMaxMachines reports whether there are as many machines as max_machines allows, so that none are rented.
+func (m *Manager) AtMaxMachines() bool { return m.atLimit }
 
 // updateAtLimit logs when max_machines begins or ceases to bind, and which resource it follows from.
 func (m *Manager) updateAtLimit(machines int) {
@@ -222,7 +222,7 @@
 	cost := m.fleetCost()
 	budget := m.Settings.Operator.Headroom * cost.total
 	unused := budget - cost.idle
-	for _, job := range m.Fleet.WaitingShapes() {
+	for _, job := range m.Fleet.JobPerClass() {
 		o, found := m.chooseOffer(now, job, zoneSpread{})
 		if !found {
 			continue
--- a/internal/capacity/scaleout_test.go
+++ b/internal/capacity/scaleout_test.go
@@ -66,7 +66,7 @@
 	if len(f.cloud.machines) != maxMachines {
 		t.Errorf("%d machines, at most %d are allowed", len(f.cloud.machines), maxMachines)
 	}
-	if !f.Full() {
+	if !f.AtMaxMachines() {
 		t.Error("the limit isn't reported as reached")
 	}
 }
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -41,7 +41,7 @@
 
 // observedSilence is how long a machine hasn't been heard while this controller could hear it.
 func (m *Manager) observedSilence(now time.Duration, machine *fleet.Machine) time.Duration {
-	return now - max(machine.LastHeardAt, m.authoritySince)
+	return now - max(machine.LastContactAt, m.authoritySince)
 }
 
 // countByZone counts the machines of each zone by how long they haven't been heard.
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -64,7 +64,7 @@
 	}
 	for _, peer := range c.settings.Peers {
 		cluster.Nodes = append(cluster.Nodes, peer.Node)
-		if status, ok := c.peers.status[peer.Node]; ok && status.isFresh(now) && status.StateOK {
+		if status, ok := c.peers.status[peer.Node]; ok && status.isFresh(now) && status.StateServiceReachable {
 			cluster.Alive = append(cluster.Alive, peer.Node)
 		}
 	}
@@ -151,7 +151,7 @@
 		Machines:      map[string]int{},
 		MaxMachines:   c.settings.Operator.MaxMachines,
 		MachinesBound: string(c.settings.Operator.MachinesBound),
-		Full:          c.term.capacity.Full(),
+		Full:          c.term.capacity.AtMaxMachines(),
 		Jobs:          c.liveJobs(),
 		Archive:       c.archiveStatus(),
 	}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -12,23 +12,23 @@
 func (c *Controller) admit(spec *jobs.Spec) api.AdmissionResult {
 	team := c.jobs.Names.Teams.Index(spec.Team)
 	if c.quota.Team(team) == nil {
-		return api.AdmissionResult{Known: true, Why: "unknown team"}
+		return api.AdmissionResult{Known: true, Reason: "unknown team"}
 	}
 	if len(c.machineTypes.list) == 0 {
-		return api.AdmissionResult{Why: "the machine types are not known yet"}
+		return api.AdmissionResult{Reason: "the machine types are not known yet"}
 	}
 	tasksAtOnce := 1
 	if spec.Kind != jobs.Array {
 		tasksAtOnce = spec.Tasks
 	}
-	if !c.quota.Ever(team, spec.Size(), tasksAtOnce) {
-		return api.AdmissionResult{Known: true, Why: "the job needs more than the team's limit"}
+	if !c.quota.CouldEverFit(team, spec.Size(), tasksAtOnce) {
+		return api.AdmissionResult{Known: true, Reason: "the job needs more than the team's limit"}
 	}
 	fits := func(machineType capacity.MachineType) bool { return fitsType(spec, machineType) }
 	if !slices.ContainsFunc(c.machineTypes.list, fits) {
 		// Open, since each controller fetches types in its own time: one that has a new type could accept a job that
 		// another, which lacks it, refused for good.
-		return api.AdmissionResult{Known: true, Open: true, Why: "a task fits no allowed machine type"}
+		return api.AdmissionResult{Known: true, Open: true, Reason: "a task fits no allowed machine type"}
 	}
 	return c.admitLicences(spec.Licences, spec.Team, tasksAtOnce)
 }
@@ -36,7 +36,7 @@
 // admitLicences checks whether a job's tasks can ever have their licences.
 func (c *Controller) admitLicences(perTask map[string]int, team string, tasksAtOnce int) api.AdmissionResult {
 	ok, why := c.licencePools.Ever(perTask, team, tasksAtOnce)
-	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Why: why}
+	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Reason: why}
 }
 
 // fitsType reports whether a job's tasks may run on a machine type and have room there.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -235,9 +235,9 @@
 		share, burst = (1-leaderShare)/float64(others), followerBurstSeconds
 	}
 	return store.Share{
-		RPS:      c.settings.Params.State.RPS * share,
-		WriteRPS: c.settings.Params.State.WriteRPS * share,
-		BurstS:   burst,
+		RPS:          c.settings.Params.State.RPS * share,
+		WriteRPS:     c.settings.Params.State.WriteRPS * share,
+		BurstSeconds: burst,
 	}
 }
 
@@ -279,7 +279,7 @@
 	}
 	if now >= c.nextSummaryAt {
 		c.nextSummaryAt = now + summaryInterval
-		c.term.fleet.Summary(now)
+		c.term.fleet.LogSummary(now)
 	}
 	c.term.noteAuthority(now, hasAuthority)
 	c.term.fleet.Tick(now, hasAuthority)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,7 +22,7 @@
 			}
 			rps += share.RPS
 			writes += share.WriteRPS
-			burst += share.WriteRPS * share.BurstS
+			burst += share.WriteRPS * share.BurstSeconds
 		}
 		if rps > rpsLimit+tolerance || writes > writeLimit+tolerance || burst > writeLimit+tolerance {
 			t.Fatalf("%d controllers: %v requests, %v writes a second, %v at once", controllers, rps, writes, burst)
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -54,9 +54,9 @@
 // desiredDrains returns all that operators want drained, as far as it was followed.
 func (c *Controller) desiredDrains() drain.DesiredState {
 	return drain.DesiredState{
-		Document: c.drains.document,
-		Drains:   c.drains.machines,
-		OwnKeys:  c.rollout.Level() >= rollout.DrainKeys,
+		Document:        c.drains.document,
+		MachineRequests: c.drains.machines,
+		UsesMachineKeys: c.rollout.Level() >= rollout.DrainKeys,
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	c.drains.upkeep.movedAt = now
 	maxOps := c.backgroundDrainOps()
-	move, isDue := want.NextMove(maxOps, c.store.Limits().MaxValueBytes, c.isMachineGone)
+	move, isDue := want.NextMigrationStep(maxOps, c.store.Limits().MaxValueBytes, c.isMachineGone)
 	if !isDue || maxOps == 0 {
 		return false
 	}
@@ -166,8 +166,8 @@
 // deleteStaleDrainRequests deletes the requests of machines that are gone.
 func (c *Controller) deleteStaleDrainRequests(now time.Duration, want drain.DesiredState) {
 	c.trackUnknownMachines(now, want)
-	if !want.OwnKeys {
-		if document, isChanged := c.drains.document.Without(c.isMachineGone); isChanged {
+	if !want.UsesMachineKeys {
+		if document, isChanged := c.drains.document.WithoutMachines(c.isMachineGone); isChanged {
 			c.writeDrainsInBackground(store.Txn{
 				If:   c.documentConditions(),
 				Then: []store.Op{documentOp(document)},
@@ -176,8 +176,8 @@
 		return
 	}
 	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
-	for _, machine := range want.Gone(c.backgroundDrainOps(), c.isMachineGone) {
-		request, _ := c.drains.machines.Of(machine)
+	for _, machine := range want.StaleRequests(c.backgroundDrainOps(), c.isMachineGone) {
+		request, _ := c.drains.machines.Get(machine)
 		key := drain.MachineKey(machine)
 		txn.If = append(txn.If, store.Condition{Key: key, Version: request.Version})
 		txn.Then = append(txn.Then, store.Op{Delete: key})
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -46,11 +46,11 @@
 		service.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
 	}
 	advance(time.Second)
-	if n := len(c.drains.machines.All()); n != 2 {
+	if n := len(c.drains.machines.Names()); n != 2 {
 		t.Fatalf("%d requests are followed", n)
 	}
 	c.resetKeys([]store.Item{service.Keys[drain.MachineKey("i-2")]})
-	if all := c.drains.machines.All(); len(all) != 1 || all[0] != "i-2" {
+	if all := c.drains.machines.Names(); len(all) != 1 || all[0] != "i-2" {
 		t.Fatalf("left are %v", all)
 	}
 }
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -100,7 +100,7 @@
 	id := jobIDOf(key)
 	c.jobs.Archive(id, version)
 	if c.term.mover != nil {
-		c.term.mover.ForgetConflict(id)
+		c.term.mover.ForgetBackoff(id)
 	}
 }
 
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -15,7 +15,7 @@
 // JobSummary is one job in a list.
 type JobSummary struct {
 	ID       string  `json:"name_id"`
-	Stance   string  `json:"stance"`
+	State    string  `json:"stance"`
 	Class    string  `json:"breed,omitempty"`
 	Team     string  `json:"warren,omitempty"`
 	Kind     string  `json:"gait,omitempty"`
@@ -54,7 +54,7 @@
 	case "id":
 		return s.ID
 	case "stance":
-		return s.Stance
+		return s.State
 	case "class":
 		return s.Class
 	case "team":
@@ -151,10 +151,10 @@
 
 func (c *Controller) jobSummary(now time.Duration, job *jobs.Job) JobSummary {
 	summary := JobSummary{
-		ID:     job.ID,
-		Stance: job.State.String(),
-		Tasks:  job.TaskCount,
-		Done:   job.FinishedTasks,
+		ID:    job.ID,
+		State: job.State.String(),
+		Tasks: job.TaskCount,
+		Done:  job.FinishedTasks,
 	}
 	if spec := job.Spec; spec != nil {
 		summary.Class = spec.Class
@@ -167,7 +167,7 @@
 		summary.Done, summary.Running = c.taskCounts(job)
 		summary.Waiting = job.TaskCount - summary.Done - summary.Running
 		if summary.Running > 0 {
-			summary.Stance = stanceRunning
+			summary.State = stanceRunning
 		}
 	}
 	return summary
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -21,7 +21,7 @@
 func (c *Controller) leaderCalls() *api.LeaderAPI {
 	return &api.LeaderAPI{
 		Token:    c.settings.Operator.Token,
-		Answer:   c.leaderCall,
+		Handle:   c.leaderCall,
 		Licences: len(c.licencePools.Pools()) > 0,
 		Sessions: c.settings.Sessions().On,
 	}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -66,7 +66,7 @@
 	for _, status := range s.status {
 		if status.isFresh(now) {
 			anyAlive = true
-			anyReachesStore = anyReachesStore || status.StateOK
+			anyReachesStore = anyReachesStore || status.StateServiceReachable
 		}
 	}
 	return anyAlive, anyReachesStore
@@ -76,7 +76,7 @@
 func (c *Controller) handlePeerStatus(status peers.Status) {
 	now := c.loop.Now()
 	c.peers.status[status.Node] = peerStatus{status, now}
-	c.rollout.HandleHealth(now, status.Node, status.StateOK && !status.Leaving)
+	c.rollout.HandleHealth(now, status.Node, status.StateServiceReachable && !status.Leaving)
 	c.applyLeaderCounts(status)
 }
 
@@ -116,22 +116,22 @@
 // status returns this controller's status: for a leader with the counts of as many jobs as a status may hold.
 func (c *Controller) status(now time.Duration) peers.Status {
 	status := peers.Status{
-		Node:    c.settings.Node,
-		Leading: c.term.active(),
-		StateOK: now-c.store.LastSuccess() < statusStoreAge,
-		Workers: c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 0),
-		Leaving: !c.lifecycle.isServing(),
+		Node:                  c.settings.Node,
+		Leading:               c.term.active(),
+		StateServiceReachable: now-c.store.LastSuccess() < statusStoreAge,
+		Workers:               c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 0),
+		Leaving:               !c.lifecycle.isServing(),
 	}
 	if !c.term.active() {
 		return status
 	}
 	status.Term = c.membership.Term()
 	c.jobs.ForEachLive(func(job *jobs.Job) {
-		if job.Tasks == nil || len(status.Counts) >= peers.MostCounts {
+		if job.Tasks == nil || len(status.Counts) >= peers.MaxJobCounts {
 			return
 		}
 		done, running := c.term.fleet.TaskCounts(job)
-		count := peers.Count{Job: job.ID, Done: uint32(done), Running: uint32(running)}
+		count := peers.JobCount{Job: job.ID, Done: uint32(done), Running: uint32(running)}
 		status.Counts = append(status.Counts, count)
 	})
 	return status
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -13,7 +13,7 @@
 // JobPendingView is why a job waits.
 type JobPendingView struct {
 	ID      string                `json:"name_id"`
-	Stance  string                `json:"stance"`
+	State   string                `json:"stance"`
 	Tasks   int                   `json:"tasks"`
 	Done    int                   `json:"done"`
 	Running int                   `json:"running"`
@@ -42,7 +42,7 @@
 func (c *Controller) pendingView(now time.Duration, job *jobs.Job) JobPendingView {
 	view := JobPendingView{
 		ID:      job.ID,
-		Stance:  job.State.String(),
+		State:   job.State.String(),
 		Tasks:   job.TaskCount,
 		Waiting: []fleet.PendingReason{},
 		Nearest: []string{},
@@ -52,7 +52,7 @@
 		return view
 	}
 	if view.Running > 0 {
-		view.Stance = stanceRunning
+		view.State = stanceRunning
 	}
 	if reasons := c.term.fleet.PendingReasons(now, job); reasons != nil {
 		view.Waiting = reasons
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -67,17 +67,17 @@
 // routes returns what the public address serves.
 func (c *Controller) routes() api.Routes {
 	return api.Routes{
-		Post:       c.loop.Offer,
-		PostReport: c.loop.OfferWorker,
-		Now:        c.loop.Now,
-		Intake:     c.api,
-		Up:         c.healthy,
-		Report:     c.handleHeartbeat,
-		Leader:     c.leaderCalls(),
-		MaxConns:   c.settings.Params.Limits.Conns(),
-		Crowded:    c.settings.Params.Limits.Crowded(),
-		Users:      c.settings.Users(),
-		Counter:    &c.responses,
+		Post:            c.loop.Offer,
+		PostHeartbeat:   c.loop.OfferWorker,
+		Now:             c.loop.Now,
+		Service:         c.api,
+		Healthy:         c.healthy,
+		HandleHeartbeat: c.handleHeartbeat,
+		Leader:          c.leaderCalls(),
+		MaxConns:        c.settings.Params.Limits.Conns(),
+		MaxKeptConns:    c.settings.Params.Limits.Crowded(),
+		Users:           c.settings.Users(),
+		Counter:         &c.responses,
 	}
 }
 
@@ -90,9 +90,9 @@
 	}
 	secure := plain
 	secure.MaxConns = max(1, plain.MaxConns/tlsConnectionDivisor)
-	secure.Crowded = max(1, plain.Crowded/tlsConnectionDivisor)
+	secure.MaxKeptConns = max(1, plain.MaxKeptConns/tlsConnectionDivisor)
 	plain.MaxConns -= secure.MaxConns
-	plain.Crowded = max(1, plain.Crowded-secure.Crowded)
+	plain.MaxKeptConns = max(1, plain.MaxKeptConns-secure.MaxKeptConns)
 	plain.WorkersOnly = settings.Plain == "workers"
 	go func() { failed <- api.Serve(tls.NewListener(listener, c.settings.Keys().Users()), secure) }()
 	return plain, nil
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -77,8 +77,8 @@
 		return
 	}
 	team := opening.Spec.Team
-	if request.Who != nil && !request.Who.May(team) {
-		reply(api.Refuse(api.Forbidden, request.Who.Name+" may not open sessions of team "+team))
+	if request.User != nil && !request.User.May(team) {
+		reply(api.Refuse(api.Forbidden, request.User.Name+" may not open sessions of team "+team))
 		return
 	}
 	if admission := c.admit(opening.Spec); !admission.OK {
@@ -86,7 +86,7 @@
 		if !admission.Known {
 			kind = api.Unavailable
 		}
-		reply(api.Refuse(kind, admission.Why))
+		reply(api.Refuse(kind, admission.Reason))
 		return
 	}
 	c.term.sessions.Open(now, opening, func(answer sessions.Answer) { reply(sessionReply(answer)) })
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -51,7 +51,7 @@
 // startTerm starts a term of this controller.
 func (c *Controller) startTerm(now time.Duration, term uint64) {
 	c.store.SetShare(c.rateShare(true))
-	c.jobs.RecallArchived()
+	c.jobs.ResetPlanning()
 	c.term.fleet = fleet.New(c.fleetEnv(), term, now)
 	c.term.fleet.Events.Add(events.Event{
 		At:      now,
@@ -76,7 +76,7 @@
 	return fleet.Env{
 		Settings:          c.settings,
 		Jobs:              c.jobs,
-		Rng:               c.rng,
+		Random:            c.rng,
 		TxnOps:            c.settings.Params.State.TxnOps - 1, // one is left for the leader's condition
 		Limits:            c.store.Limits,
 		MaxDirectRequests: c.settings.Params.Limits.Outgoing(maxWorkerRequests),
@@ -107,8 +107,8 @@
 	c.term.sessions = nil
 	c.term.mover = nil
 	c.term.loading = false
-	c.rollout.HandleLeadLost()
-	c.jobs.RecallArchived()
+	c.rollout.HandleLeadershipLost()
+	c.jobs.ResetPlanning()
 }
 
 // commitInTerm sends a transaction that succeeds only while this controller leads. done is called unless the term has
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -41,7 +41,7 @@
 	if stored == nil {
 		return
 	}
-	if err := c.term.capacity.Zones.Restore(stored, c.jobs.Names.Zones.Index, c.jobs.SteadyAt); err != nil {
+	if err := c.term.capacity.Zones.Restore(stored, c.jobs.Names.Zones.Index, c.jobs.MonotonicAt); err != nil {
 		c.rollout.MarkUnreadable(zones.Key, stored, err)
 	}
 }
@@ -73,17 +73,17 @@
 
 // ZoneView is a zone as operators are shown it.
 type ZoneView struct {
-	Zone     string  `json:"zone"`
-	State    string  `json:"stance"`
-	ForS     float64 `json:"for_s"` // in this state, as far as it is known
-	Flaps    int     `json:"flaps"`
-	Machines int     `json:"machines"`
-	Quiet    int     `json:"quiet"` // whose heartbeat is overdue
-	Aside    int     `json:"aside"` // quarantined: nothing is planned there until a heartbeat arrives
-	Tasks    int     `json:"tasks"` // that count as being on its machines
-	Held     int     `json:"held"`  // of them, on machines that are quarantined: until their leases end
-	Rents    bool    `json:"rents"`
-	Takes    string  `json:"takes"` // the most that it gets of new work: arrays, gangs or all
+	Zone        string  `json:"zone"`
+	State       string  `json:"stance"`
+	ForS        float64 `json:"for_s"` // in this state, as far as it is known
+	Flaps       int     `json:"flaps"`
+	Machines    int     `json:"machines"`
+	Overdue     int     `json:"quiet"` // whose heartbeat is overdue
+	Quarantined int     `json:"aside"` // quarantined: nothing is planned there until a heartbeat arrives
+	Tasks       int     `json:"tasks"` // that count as being on its machines
+	Held        int     `json:"held"`  // of them, on machines that are quarantined: until their leases end
+	Rents       bool    `json:"rents"`
+	AcceptsWork string  `json:"takes"` // the most that it gets of new work: arrays, gangs or all
 	// IfLost is what the zone's loss would mean now, BootS the boot time in seconds of machines rented instead, and
 	// LeaseS the seconds after which its tasks may start elsewhere. They are set only in the view of a single zone.
 	IfLost []LossView `json:"if_lost,omitempty"`
@@ -138,8 +138,8 @@
 			Team:  names.Teams.Name(loss.Team),
 			Jobs:  loss.Jobs,
 			Tasks: loss.Tasks,
-			Fit:   loss.Fit,
-			Wait:  loss.Tasks - loss.Fit,
+			Fit:   loss.PlaceableTasks,
+			Wait:  loss.Tasks - loss.PlaceableTasks,
 		})
 	}
 }
@@ -162,11 +162,11 @@
 		}
 		view.Machines++
 		view.Tasks += len(machine.Tasks)
-		if now-max(machine.LastHeardAt, c.term.authoritySince) > overdueAfter {
-			view.Quiet++
+		if now-max(machine.LastContactAt, c.term.authoritySince) > overdueAfter {
+			view.Overdue++
 		}
 		if machine.Quarantined {
-			view.Aside++
+			view.Quarantined++
 			view.Held += len(machine.Tasks)
 		}
 	}
@@ -178,18 +178,18 @@
 	table := c.term.capacity.Zones
 	zone := table.Zone(index)
 	view := ZoneView{
-		Zone:  name,
-		State: zone.State.String(),
-		ForS:  max(0, (now - zone.Since).Seconds()),
-		Flaps: zone.Flaps,
-		Rents: table.AllowsRenting(index),
-		Takes: takesAll,
+		Zone:        name,
+		State:       zone.State.String(),
+		ForS:        max(0, (now - zone.Since).Seconds()),
+		Flaps:       zone.Flaps,
+		Rents:       table.AllowsRenting(index),
+		AcceptsWork: takesAll,
 	}
 	switch {
-	case !table.AcceptsWork(now, index, zones.Together):
-		view.Takes = takesArrays
-	case !table.AcceptsWork(now, index, zones.Lasting):
-		view.Takes = takesGangs
+	case !table.AcceptsWork(now, index, zones.Gang):
+		view.AcceptsWork = takesArrays
+	case !table.AcceptsWork(now, index, zones.Service):
+		view.AcceptsWork = takesGangs
 	}
 	return view
 }
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -28,8 +28,8 @@
 	ErrMalformed = errors.New("not a command")
 	// ErrUnknown is the refusal of a command about a controller or machine that doesn't exist.
 	ErrUnknown = errors.New("no such thing")
-	// ErrLast is the refusal to drain the last controller that could serve.
-	ErrLast = errors.New("nobody would be left")
+	// ErrLastController is the refusal to drain the last controller that could serve.
+	ErrLastController = errors.New("nobody would be left")
 )
 
 // Command is what an operator requests, as it is sent over HTTP.
@@ -65,7 +65,7 @@
 }
 
 // Apply returns the document after a command, where it holds machines' requests too. A command that changes nothing
-// returns the document as it was. The error wraps ErrMalformed, ErrUnknown or ErrLast.
+// returns the document as it was. The error wraps ErrMalformed, ErrUnknown or ErrLastController.
 func (d Document) Apply(command Command, cluster Cluster) (Document, error) {
 	return d.apply(command, cluster, maxMachines)
 }
@@ -111,7 +111,7 @@
 		return fmt.Errorf("%w: controller %q is none of %s", ErrUnknown, command.Name, nodes)
 	}
 	if !d.othersServe(command.Name, cluster) {
-		return fmt.Errorf("%w: no other controller is alive and not drained", ErrLast)
+		return fmt.Errorf("%w: no other controller is alive and not drained", ErrLastController)
 	}
 	return nil
 }
--- a/internal/drain/command_test.go
+++ b/internal/drain/command_test.go
@@ -61,7 +61,7 @@
 			}
 			if err != nil {
 				refused++
-				if !errors.Is(err, ErrLast) && !errors.Is(err, ErrUnknown) {
+				if !errors.Is(err, ErrLastController) && !errors.Is(err, ErrUnknown) {
 					t.Fatal(err)
 				}
 				continue
@@ -108,7 +108,7 @@
 func TestRequestsOfGoneMachinesAreRemoved(t *testing.T) {
 	document := fullDocument(t)
 	gone := fmt.Sprintf("i-%096d", 7)
-	next, found := document.Without(func(machine string) bool { return machine == gone })
+	next, found := document.WithoutMachines(func(machine string) bool { return machine == gone })
 	if !found || len(next.Machines) != maxMachines-1 || len(document.Machines) != maxMachines {
 		t.Fatalf("%d left of %d", len(next.Machines), len(document.Machines))
 	}
--- a/internal/drain/desired_state.go
+++ b/internal/drain/desired_state.go
@@ -7,15 +7,15 @@
 
 // DesiredState is all that operators want to be drained: the document, and the requests that have keys of their own.
 type DesiredState struct {
-	Document Document
-	Drains   *MachineRequests
-	// OwnKeys is whether machines' requests are written to keys of their own: the cluster's level allows it.
-	OwnKeys bool
+	Document        Document
+	MachineRequests *MachineRequests
+	// UsesMachineKeys is whether machines' requests are written to keys of their own: the cluster's level allows it.
+	UsesMachineKeys bool
 }
 
 // Machine returns the drain request of a machine, wherever it is stored, and whether there is one.
 func (s DesiredState) Machine(name string) (Request, bool) {
-	if request, ok := s.Drains.Of(name); ok {
+	if request, ok := s.MachineRequests.Get(name); ok {
 		return request.Request, true
 	}
 	request, ok := s.Document.Machines[name]
@@ -24,14 +24,14 @@
 
 // AnyMachine reports whether any machine is to be drained.
 func (s DesiredState) AnyMachine() bool {
-	return len(s.Document.Machines) > 0 || len(s.Drains.byMachine) > 0
+	return len(s.Document.Machines) > 0 || len(s.MachineRequests.byMachine) > 0
 }
 
 // Machines returns the requests of all machines that are to be drained, by name.
 func (s DesiredState) Machines() map[string]Request {
-	all := make(map[string]Request, len(s.Drains.byMachine)+len(s.Document.Machines))
+	all := make(map[string]Request, len(s.MachineRequests.byMachine)+len(s.Document.Machines))
 	maps.Copy(all, s.Document.Machines)
-	for name, request := range s.Drains.byMachine {
+	for name, request := range s.MachineRequests.byMachine {
 		all[name] = request.Request
 	}
 	return all
@@ -54,7 +54,7 @@
 // takes its request out of the document, and the document loses all requests that have keys already. The errors are
 // those of Document.Apply.
 func (s DesiredState) Apply(command Command, cluster Cluster) (Change, error) {
-	if !s.OwnKeys {
+	if !s.UsesMachineKeys {
 		return s.applyToDocument(command, cluster)
 	}
 	next, err := s.documentFor(command.Name).apply(command, cluster, unlimited)
@@ -68,7 +68,7 @@
 	}
 	delete(change.Document.Machines, command.Name)
 	request, isDrained := next.Machines[command.Name]
-	stored, isStored := s.Drains.Of(command.Name)
+	stored, isStored := s.MachineRequests.Get(command.Name)
 	change.Machine = command.Name
 	change.Version = stored.Version
 	change.Delete = isStored && !isDrained
@@ -100,17 +100,17 @@
 func (s DesiredState) requestsWithoutKey() map[string]Request {
 	out := map[string]Request{}
 	for name, request := range s.Document.Machines {
-		if _, ok := s.Drains.Of(name); !ok {
+		if _, ok := s.MachineRequests.Get(name); !ok {
 			out[name] = request
 		}
 	}
 	return out
 }
 
-// Gone returns the machines that are gone and whose requests' keys are to be deleted, limit at most.
-func (s DesiredState) Gone(limit int, isGone func(machine string) bool) []string {
+// StaleRequests returns the machines that are gone and whose requests' keys are to be deleted, limit at most.
+func (s DesiredState) StaleRequests(limit int, isGone func(machine string) bool) []string {
 	var names []string
-	for _, name := range s.Drains.All() {
+	for _, name := range s.MachineRequests.Names() {
 		if len(names) < limit && isGone(name) {
 			names = append(names, name)
 		}
--- a/internal/drain/desired_state_test.go
+++ b/internal/drain/desired_state_test.go
@@ -23,7 +23,7 @@
 func newFakeStore() *fakeStore {
 	return &fakeStore{
 		keys:    map[string]uint64{},
-		desired: DesiredState{Drains: NewMachineRequests()},
+		desired: DesiredState{MachineRequests: NewMachineRequests()},
 	}
 }
 
@@ -53,13 +53,13 @@
 	}
 	for key, raw := range txn.puts {
 		s.keys[key] = s.revision
-		if err := s.desired.Drains.HandleItem(key, raw, s.revision); err != nil {
+		if err := s.desired.MachineRequests.HandleItem(key, raw, s.revision); err != nil {
 			panic(err)
 		}
 	}
 	for _, key := range txn.deletes {
 		delete(s.keys, key)
-		s.desired.Drains.HandleDelete(key, s.revision)
+		s.desired.MachineRequests.HandleDelete(key, s.revision)
 	}
 	return true
 }
@@ -85,7 +85,7 @@
 // small.
 func TestLargeFleetIsDrained(t *testing.T) {
 	s := newFakeStore()
-	s.desired.OwnKeys = true
+	s.desired.UsesMachineKeys = true
 	for i := range fleetSize {
 		change, err := s.desired.Apply(drainMachine(fmt.Sprintf("i-%06d", i)), anyMachine())
 		if err != nil {
--- a/internal/drain/document.go
+++ b/internal/drain/document.go
@@ -51,8 +51,8 @@
 	return &d.Machines
 }
 
-// Without returns the document without the requests of machines that are gone, and whether there were any.
-func (d Document) Without(isGone func(machine string) bool) (Document, bool) {
+// WithoutMachines returns the document without the requests of machines that are gone, and whether there were any.
+func (d Document) WithoutMachines(isGone func(machine string) bool) (Document, bool) {
 	next := d.clone()
 	maps.DeleteFunc(next.Machines, func(name string, _ Request) bool { return isGone(name) })
 	return next, len(next.Machines) != len(d.Machines)
--- a/internal/drain/machine_requests.go
+++ b/internal/drain/machine_requests.go
@@ -114,11 +114,11 @@
 	delete(r.byMachine, machine)
 }
 
-// Of returns the request of a machine, and whether there is one.
-func (r *MachineRequests) Of(machine string) (VersionedRequest, bool) {
+// Get returns the request of a machine, and whether there is one.
+func (r *MachineRequests) Get(machine string) (VersionedRequest, bool) {
 	request, ok := r.byMachine[machine]
 	return request, ok
 }
 
-// All returns the machines that have a request, in the order of their names.
-func (r *MachineRequests) All() []string { return slices.Sorted(maps.Keys(r.byMachine)) }
+// Names returns the machines that have a request, in the order of their names.
+func (r *MachineRequests) Names() []string { return slices.Sorted(maps.Keys(r.byMachine)) }
--- a/internal/drain/machine_requests_test.go
+++ b/internal/drain/machine_requests_test.go
@@ -23,8 +23,8 @@
 		}
 	}
 	requests.ConfirmDelete(key, 30) // by an own write; the followed keys are behind
-	if err := handle(`{"machine":"i-1"}`, 20); err != nil || len(requests.All()) > 0 {
-		t.Fatalf("an older version came back: %v, %v", requests.All(), err)
+	if err := handle(`{"machine":"i-1"}`, 20); err != nil || len(requests.Names()) > 0 {
+		t.Fatalf("an older version came back: %v, %v", requests.Names(), err)
 	}
 	requests.HandleDelete(key, 30)
 	if len(requests.deletedAt) > 0 {
@@ -35,11 +35,11 @@
 	}
 	nonePresent := func(string) bool { return false }
 	requests.Reset(35, nonePresent) // a reading that began before
-	if !slices.Equal(requests.All(), []string{"i-1"}) {
+	if !slices.Equal(requests.Names(), []string{"i-1"}) {
 		t.Fatal("a newer request was deleted")
 	}
 	requests.Reset(45, nonePresent)
-	if len(requests.All()) > 0 {
+	if len(requests.Names()) > 0 {
 		t.Fatal("what a new reading lacks is kept")
 	}
 }
--- a/internal/drain/migration.go
+++ b/internal/drain/migration.go
@@ -14,13 +14,13 @@
 	Document Document
 }
 
-// NextMove returns the next step, with at most maxKeys keys, each of at most maxBytes; false if nothing is to be
+// NextMigrationStep returns the next step, with at most maxKeys keys, each of at most maxBytes; false if nothing is to be
 // done, or nothing can be done within these limits. Machines that are gone lose their requests.
-func (s DesiredState) NextMove(
+func (s DesiredState) NextMigrationStep(
 	maxKeys, maxBytes int,
 	isGone func(machine string) bool,
 ) (MigrationStep, bool) {
-	if !s.OwnKeys || len(s.Document.Machines) == 0 {
+	if !s.UsesMachineKeys || len(s.Document.Machines) == 0 {
 		return MigrationStep{}, false
 	}
 	step := MigrationStep{
--- a/internal/drain/migration_test.go
+++ b/internal/drain/migration_test.go
@@ -26,7 +26,7 @@
 	model    map[string]bool // by machine: its tasks are to be stopped
 	// late are the transactions without an answer, which may be carried out at any time; each depends on the level
 	// too.
-	late map[bool][]func() bool // by DesiredState.OwnKeys
+	late map[bool][]func() bool // by DesiredState.UsesMachineKeys
 }
 
 // migrationCounts is how much was exercised in all runs.
@@ -83,7 +83,7 @@
 		}
 		return true
 	}
-	r.late[r.desired.OwnKeys] = append(r.late[r.desired.OwnKeys], apply)
+	r.late[r.desired.UsesMachineKeys] = append(r.late[r.desired.UsesMachineKeys], apply)
 	if rapid.Bool().Draw(r.t, "carried out") && !apply() {
 		r.t.Fatal("a command was refused, and nothing was changed meanwhile")
 	}
@@ -103,7 +103,7 @@
 
 // migrate decides a migration step; it may be carried out now, and is so later at any time.
 func (r *migrationRun) migrate() {
-	step, ok := r.desired.NextMove(rapid.IntRange(1, 4).Draw(r.t, "keys"), maxRequestBytes, isGone)
+	step, ok := r.desired.NextMigrationStep(rapid.IntRange(1, 4).Draw(r.t, "keys"), maxRequestBytes, isGone)
 	if !ok {
 		return
 	}
@@ -116,8 +116,8 @@
 
 // sweep deletes the keys of machines that are gone.
 func (r *migrationRun) sweep() {
-	for _, name := range r.desired.Gone(2, isGone) {
-		request, _ := r.desired.Drains.Of(name)
+	for _, name := range r.desired.StaleRequests(2, isGone) {
+		request, _ := r.desired.MachineRequests.Get(name)
 		key := MachineKey(name)
 		r.commit(fakeTxn{
 			documentVersion: r.documentVersion,
@@ -129,16 +129,16 @@
 
 // carryOutLate carries out any transaction that was sent before, on the condition of the level.
 func (r *migrationRun) carryOutLate() {
-	if late := r.late[r.desired.OwnKeys]; len(late) > 0 {
+	if late := r.late[r.desired.UsesMachineKeys]; len(late) > 0 {
 		rapid.SampledFrom(late).Draw(r.t, "late")()
 	}
 }
 
 // finish migrates until nothing is left to be done.
 func (r *migrationRun) finish() {
-	r.desired.OwnKeys = true
+	r.desired.UsesMachineKeys = true
 	for range 20 {
-		step, ok := r.desired.NextMove(4, maxRequestBytes, isGone)
+		step, ok := r.desired.NextMigrationStep(4, maxRequestBytes, isGone)
 		if ok && !r.commit(migrationTxn(r.documentVersion, step)) {
 			r.t.Fatal("a step was refused")
 		}
@@ -165,7 +165,7 @@
 		r.addInitialRequests()
 		levelRise := rapid.IntRange(0, 30).Draw(t, "rise")
 		for i := range rapid.IntRange(20, 80).Draw(t, "steps") {
-			r.desired.OwnKeys = i >= levelRise
+			r.desired.UsesMachineKeys = i >= levelRise
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1, 5:
 				r.command()
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -49,7 +49,7 @@
 	delete(f.noMachineUntil, job.Index)
 	f.setPendingNote(job, pendingNote{cause: PlanningBehind}) // for the rest, if this cycle plans only some tasks
 	f.PlanningSteps += uint64(4 * len(slots.machines))
-	allocation := planner.Plan(f.arrayProblem(job, tasks, &slots), f.Rng)
+	allocation := planner.Plan(f.arrayProblem(job, tasks, &slots), f.Random)
 	planned := 0
 	for i, taskIndex := range tasks {
 		slot := allocation.Server[0][i]
--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -141,11 +141,11 @@
 	}
 	switch {
 	case job.Spec.Kind == jobs.Service:
-		return f.ZoneAcceptsWork(machine.Zone, zones.Lasting)
+		return f.ZoneAcceptsWork(machine.Zone, zones.Service)
 	case job.Spec.Kind == jobs.Gang && job.TaskCount > 1:
-		return f.ZoneAcceptsWork(machine.Zone, zones.Together)
+		return f.ZoneAcceptsWork(machine.Zone, zones.Gang)
 	}
-	return f.ZoneAcceptsWork(machine.Zone, zones.Restartable)
+	return f.ZoneAcceptsWork(machine.Zone, zones.Array)
 }
 
 // availableRoom is what a job may take of a machine now: what is neither reserved for a job that ranks before it nor
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -68,7 +68,7 @@
 	if _, mayArrive := machine.indeterminateLaunches[attempt]; mayArrive {
 		return false
 	}
-	if report.Why != exitDone || job.State.Terminal() {
+	if report.ExitCause != exitDone || job.State.Terminal() {
 		return true
 	}
 	return job.Tasks != nil && job.IsDurablyDone(report.taskIndex)
--- a/internal/fleet/crashloop_test.go
+++ b/internal/fleet/crashloop_test.go
@@ -62,15 +62,15 @@
 	for range 400 {
 		g.now += 700 * time.Millisecond
 		for _, name := range machineNames {
-			for _, c := range starts(g.hear(name, 1, fenced)) {
+			for _, c := range starts(g.heartbeat(name, 1, fenced)) {
 				if tries++; tries > 12 {
 					gaps = append(gaps, g.now-last)
 				}
 				last = g.now
 				g.now += 100 * time.Millisecond
-				gone := TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskExited, Why: exitError}
-				g.hear(name, 1, fenced, gone)
-				g.hear(name, 1, fenced)
+				gone := TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskExited, ExitCause: exitError}
+				g.heartbeat(name, 1, fenced, gone)
+				g.heartbeat(name, 1, fenced)
 			}
 		}
 		g.settleFor(3, store.Committed)
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -15,10 +15,10 @@
 
 // Need is work that waits for machines.
 type Need struct {
-	Job     *jobs.Job
-	Tasks   int
-	Seconds float64 // expected run time of each task
-	Whole   bool    // all tasks should start now rather than one after the other
+	Job           *jobs.Job
+	Tasks         int
+	Seconds       float64 // expected run time of each task
+	StartTogether bool    // all tasks should start now rather than one after the other
 }
 
 // Demand lists the waiting work in priority order, as far as team limits and licences let it run.
@@ -48,10 +48,10 @@
 		}
 		teamRoom[job.Team] = left.Sub(planner.Size{CPUs: size.CPUs * float64(tasks), GPUs: size.GPUs * float64(tasks)})
 		needs = append(needs, Need{
-			Job:     job,
-			Tasks:   tasks,
-			Seconds: f.estimate(job),
-			Whole:   job.Spec.Kind != jobs.Array,
+			Job:           job,
+			Tasks:         tasks,
+			Seconds:       f.estimate(job),
+			StartTogether: job.Spec.Kind != jobs.Array,
 		})
 	}
 	return needs
@@ -70,8 +70,8 @@
 	return f.grantedTasks(job, unstarted)
 }
 
-// WaitingShapes returns one live job of each class, in priority order.
-func (f *Fleet) WaitingShapes() []*jobs.Job {
+// JobPerClass returns one live job of each class, in priority order.
+func (f *Fleet) JobPerClass() []*jobs.Job {
 	var representatives []*jobs.Job
 	seen := map[int32]bool{}
 	for _, job := range f.ranking.jobs {
@@ -117,8 +117,8 @@
 	used     planner.Size
 }
 
-// Summary logs how full the fleet is, and the rates of heartbeats and direct requests since the last summary.
-func (f *Fleet) Summary(now time.Duration) {
+// LogSummary logs how full the fleet is, and the rates of heartbeats and direct requests since the last summary.
+func (f *Fleet) LogSummary(now time.Duration) {
 	machines := f.sumMachineUse()
 	waiting, waitingByClass := f.countWaitingTasks()
 	seconds := max(1, (now - max(f.activity.summarizedAt, f.termStartedAt)).Seconds())
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -46,7 +46,7 @@
 		return false
 	case machine.directInFlight || machine.fencing:
 		return false
-	case now-machine.LastHeardAt > f.overdueAfter() || now-machine.dispatchedAt < directInterval:
+	case now-machine.LastContactAt > f.overdueAfter() || now-machine.dispatchedAt < directInterval:
 		return false
 	}
 	return machine.QueuedTasks > 0 || machine.hasStops
--- a/internal/fleet/dispatch_test.go
+++ b/internal/fleet/dispatch_test.go
@@ -14,8 +14,8 @@
 // each lease.
 func TestDirectResponsesAreNotContact(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, 0)
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, 0)
+	g.heartbeat("m", 1, fenced)
 	machine := g.machines[0]
 	lastContact := g.now
 	session := uint64(1)
@@ -39,7 +39,7 @@
 		}
 		for i := range running { // what ran is done by now
 			running[i].State = taskExited
-			running[i].Why = exitDone
+			running[i].ExitCause = exitDone
 		}
 		if request.Session == session {
 			for _, c := range starts(request.Commands) {
@@ -58,7 +58,7 @@
 	if machine.Condition != LeaseExpired || len(machine.Tasks) > 0 {
 		t.Errorf("70 s after its last heartbeat it is %v, with %d tasks", machine.Condition, len(machine.Tasks))
 	}
-	g.hear("m", session+1, machine.Token)
+	g.heartbeat("m", session+1, machine.Token)
 	if machine.Condition != Ready {
 		t.Errorf("it sends heartbeats again and is %v", machine.Condition)
 	}
--- a/internal/fleet/env.go
+++ b/internal/fleet/env.go
@@ -28,8 +28,8 @@
 	Settings *config.Settings
 	Jobs     *jobs.Table
 	// Types returns a machine type by its index, or nil while the type's description is not available.
-	Types func(typeIndex int32) *MachineType
-	Rng   *rand.Rand
+	Types  func(typeIndex int32) *MachineType
+	Random *rand.Rand
 	// Now returns the monotonic clock, for responses that arrive after the call that requested them.
 	Now func() time.Duration
 
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -15,22 +15,22 @@
 // Write before act: otherwise a crash after a start that is not in the plan would start the task twice.
 func TestNothingStartsBeforeItsPlanIsDurable(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 2))
 	g.Tick(g.now, true)
 	if job.Tasks[0].State != jobs.Planned || len(g.pendingCommits) != 1 {
 		t.Fatalf("state %v with %d writes, want a plan being written", job.Tasks[0].State, len(g.pendingCommits))
 	}
-	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 || len(g.sentDirect) != 0 {
+	if cs := starts(g.heartbeat("m", 1, fenced)); len(cs) != 0 || len(g.sentDirect) != 0 {
 		t.Fatalf("started %v before the plan was durable", cs)
 	}
 	g.pendingCommits[0](store.NotApplied)
 	g.pendingCommits = nil
-	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 0 {
+	if cs := starts(g.heartbeat("m", 1, fenced)); len(cs) != 0 {
 		t.Fatalf("started %v although the write was refused", cs)
 	}
 	g.settle(store.Committed)
-	if cs := starts(g.hear("m", 1, fenced)); len(cs) != 2 {
+	if cs := starts(g.heartbeat("m", 1, fenced)); len(cs) != 2 {
 		t.Fatalf("started %v, want both tasks", cs)
 	}
 }
@@ -38,7 +38,7 @@
 // While the outcome of a write that moves a task is indeterminate, a successor may read either machine.
 func TestIndeterminateMoveBlocksStartsOnBothMachines(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 1))
 	g.settle(store.Committed)
 	segment := job.Segments[0]
@@ -57,7 +57,7 @@
 func TestNewLeaderWaitsForAFencedHeartbeat(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newRig(t, 1, kv)
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.submit(spec(1, 1))
 	g.settle(store.Committed)
 
@@ -66,24 +66,24 @@
 	if job.Tasks[0].State != jobs.Recovered || n.Gate.Quota.Team(job.Team).Used.CPUs != 1 {
 		t.Fatalf("state %v using %v, want recovered and counted", job.Tasks[0].State, n.Gate.Quota.Team(job.Team).Used)
 	}
-	if cs := n.hear("m", 1, fenced); len(cs) != 0 || job.Tasks[0].State != jobs.Recovered {
+	if cs := n.heartbeat("m", 1, fenced); len(cs) != 0 || job.Tasks[0].State != jobs.Recovered {
 		t.Fatalf("acted on a heartbeat at the former token: %v, %v", cs, job.Tasks[0].State)
 	}
-	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 {
+	if cs := starts(n.heartbeat("m", 1, 2*fenced)); len(cs) != 1 {
 		t.Fatalf("started %v, want the task that is certainly not there", cs)
 	}
 }
 
 // doneReport returns the status of a job's first task that is done.
 func doneReport(job *jobs.Job) TaskReport {
-	return TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskExited, Why: exitDone}
+	return TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskExited, ExitCause: exitDone}
 }
 
 // launched returns a rig with a task whose direct launch was sent and has no response.
 func launched(t *testing.T) (*rig, *jobs.Job) {
 	t.Helper()
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 1))
 	g.settle(store.Committed)
 	g.keepInContact()
@@ -97,7 +97,7 @@
 // keepInContact makes all machines count as in contact now, without starting what is queued on them.
 func (g *rig) keepInContact() {
 	for _, machine := range g.machines {
-		machine.LastHeardAt = g.now
+		machine.LastContactAt = g.now
 	}
 }
 
@@ -107,15 +107,15 @@
 	g, job := launched(t)
 	g.directCallbacks[0](nil, false)
 	g.cancel(job)
-	g.hear("m", 1, fenced) // this response raises the token
+	g.heartbeat("m", 1, fenced) // this response raises the token
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, but the launch may still arrive", used)
 	}
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
 		t.Fatalf("uses %v, but no heartbeat carries the raised token yet", used)
 	}
-	g.hear("m", 1, fenced+1)
+	g.heartbeat("m", 1, fenced+1)
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 0 {
 		t.Fatalf("uses %v, but nothing can arrive any more", used)
 	}
@@ -125,7 +125,7 @@
 func TestForgetWaitsForAnIndeterminateLaunch(t *testing.T) {
 	g, job := launched(t)
 	at := job.Tasks[0].Attempt
-	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: taskExited, Why: exitError}
+	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: taskExited, ExitCause: exitError}
 	has := func(cs []Command) bool {
 		for _, c := range cs {
 			if c.Op == opForget {
@@ -134,14 +134,14 @@
 		}
 		return false
 	}
-	if has(g.hear("m", 1, fenced, stopped)) {
+	if has(g.heartbeat("m", 1, fenced, stopped)) {
 		t.Fatal("forgotten while its direct launch has no response")
 	}
 	g.directCallbacks[0](nil, false)
-	if has(g.hear("m", 1, fenced, stopped)) {
+	if has(g.heartbeat("m", 1, fenced, stopped)) {
 		t.Fatal("forgotten while its direct launch may arrive")
 	}
-	if !has(g.hear("m", 1, fenced+1, stopped)) {
+	if !has(g.heartbeat("m", 1, fenced+1, stopped)) {
 		t.Fatal("never forgotten")
 	}
 }
@@ -149,7 +149,7 @@
 // The lease of a session counts from its beginning, not from the last response in the session before.
 func TestLeaseOfANewSessionCountsFromItsBeginning(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.now = 18 * time.Second
 	g.seq++
 	g.acceptHeartbeat(g.now, newHeartbeat("m", 2, g.seq, fenced), fromResponse)
@@ -174,7 +174,7 @@
 		t.Fatalf("uses %v, want the cancelled task counted", used)
 	}
 	task := TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskRunning}
-	cs := n.hear("m", 1, 2*fenced, task)
+	cs := n.heartbeat("m", 1, 2*fenced, task)
 	if len(cs) != 1 || cs[0].Op != opStop {
 		t.Fatalf("commands %v, want a stop", cs)
 	}
@@ -183,7 +183,7 @@
 // The response to a direct request may come after its job has ended and was swept.
 func TestDirectResponseAfterItsJobWasSwept(t *testing.T) {
 	g, job := launched(t)
-	g.hear("m", 1, fenced, doneReport(job))
+	g.heartbeat("m", 1, fenced, doneReport(job))
 	g.settle(store.Committed)
 	if job.Tasks != nil || job.State != jobs.Done {
 		t.Fatalf("job not swept: %v", job.State)
@@ -195,7 +195,7 @@
 // cancellation.
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
 	g, job := launched(t)
-	g.hear("m", 1, fenced, doneReport(job))
+	g.heartbeat("m", 1, fenced, doneReport(job))
 	var seen []store.Condition
 	g.Commit = func(tx store.Txn, done func(store.Result)) { seen = append(seen, tx.If...) }
 	g.FlushWrites(g.now)
@@ -212,11 +212,11 @@
 func TestImageHintsSurviveAFailover(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newRig(t, 1, kv)
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.now = 10 * time.Second
 	g.submit(spec(1, 1))
 	g.settle(store.Committed)
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.now += 10 * time.Second
 	g.settle(store.Committed)
 	if kv[imageHintsPrefix+"/0"] == nil {
@@ -236,30 +236,30 @@
 // away too.
 func TestFailedTasksRunElsewhere(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 6)) // four run, two are queued
 	g.settle(store.Committed)
-	cs := starts(g.hear("m", 1, fenced))
+	cs := starts(g.heartbeat("m", 1, fenced))
 	if len(cs) != 4 {
 		t.Fatalf("%d starts", len(cs))
 	}
-	failed := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: taskExited, Why: exitError}
+	failed := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: taskExited, ExitCause: exitError}
 	alive := func() (out []TaskReport) {
 		for _, c := range cs[1:] {
 			out = append(out, TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 		}
 		return out
 	}
-	g.hear("m", 1, fenced, append(alive(), failed)...)
-	g.hear("n", 1, fenced)
+	g.heartbeat("m", 1, fenced, append(alive(), failed)...)
+	g.heartbeat("n", 1, fenced)
 	g.settle(store.Committed)
-	if again := starts(g.hear("m", 1, fenced, alive()...)); len(again) != 0 {
+	if again := starts(g.heartbeat("m", 1, fenced, alive()...)); len(again) != 0 {
 		t.Fatalf("started %v on the machine that failed the job", again)
 	}
 	g.now += 5 * time.Second
 	g.keepInContact()
 	g.settle(store.Committed)
-	if other := starts(g.hear("n", 1, fenced)); len(other) != 1 || job.Spec.Tasks != 6 {
+	if other := starts(g.heartbeat("n", 1, fenced)); len(other) != 1 || job.Spec.Tasks != 6 {
 		// The team's limit of 4 CPUs leaves room for one.
 		t.Fatalf("started %v on the other machine, want one", other)
 	}
@@ -328,7 +328,7 @@
 	} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
-		g.hear("m", 1, 2*fenced)
+		g.heartbeat("m", 1, 2*fenced)
 		n := 1
 		if c.other {
 			n = 2
@@ -336,15 +336,15 @@
 		job := g.submit(spec(1, n))
 		g.settle(store.Committed)
 		g.now += time.Second
-		g.hear("m", 1, 2*fenced)
+		g.heartbeat("m", 1, 2*fenced)
 		report := func(state AttemptState, why ExitCause) {
 			g.now += time.Second
-			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, Why: why}}
+			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, ExitCause: why}}
 			if c.other {
 				second := TaskReport{Task: "req-000001/1", Attempt: job.Tasks[1].Attempt, State: taskFetching}
 				tasks = append(tasks, second)
 			}
-			g.hear("m", 1, 2*fenced, tasks...)
+			g.heartbeat("m", 1, 2*fenced, tasks...)
 		}
 		for _, s := range c.states {
 			report(s, "")
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -212,7 +212,7 @@
 // recordContact records the heartbeat of a machine that counts as in contact. It is not called for one that is
 // unreachable one way, since nothing can be done with it.
 func (f *Fleet) recordContact(now time.Duration, machine *Machine) {
-	machine.LastHeardAt = now
+	machine.LastContactAt = now
 	machine.LastHeartbeatAt = now
 	machine.Quarantined = false
 	f.LastHeartbeat = now
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -22,7 +22,7 @@
 
 // openJob makes an accepted job available to planning.
 func (f *Fleet) openJob(now time.Duration, job *jobs.Job) {
-	job.OpenTasks()
+	job.CreateTasks()
 	if f.unreadableJobs[job.ID] {
 		// Its plan was skipped when this term began, so which of its tasks run is unknown here. The next leader reads
 		// both the record and the plan.
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -33,7 +33,7 @@
 
 // hearMachineOf sends a heartbeat without tasks from the machine of a task.
 func (g *rig) hearMachineOf(job *jobs.Job, taskIndex int) []Command {
-	return g.hear(g.machines[job.Tasks[taskIndex].Machine].Name, 1, fenced)
+	return g.heartbeat(g.machines[job.Tasks[taskIndex].Machine].Name, 1, fenced)
 }
 
 // submitGangOfTwo submits a gang of two tasks, each of which needs one unit and most of a machine.
@@ -50,7 +50,7 @@
 }
 
 func taskReport(job *jobs.Job, taskIndex int, attempt uint64, state AttemptState, exitReason ExitCause) TaskReport {
-	return TaskReport{Task: taskName(job, int32(taskIndex)), Attempt: attempt, State: state, Why: exitReason}
+	return TaskReport{Task: taskName(job, int32(taskIndex)), Attempt: attempt, State: state, ExitCause: exitReason}
 }
 
 // Tasks without a licence unit are neither planned nor part of the demand for machines, and don't keep work that
@@ -59,7 +59,7 @@
 	pool := &licences.Pool{Name: "p", Count: 2}
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, pool)
 	for i := range 3 {
-		g.hear(fmt.Sprintf("m%d", i), 1, fenced)
+		g.heartbeat(fmt.Sprintf("m%d", i), 1, fenced)
 	}
 	job := g.submit(specWithLicences(1, 6, oneUnit()))
 	other := g.submit(spec(2, 4))
@@ -73,7 +73,7 @@
 	}
 	n := 0
 	for i := range 3 {
-		n += len(starts(g.hear(fmt.Sprintf("m%d", i), 1, fenced)))
+		n += len(starts(g.heartbeat(fmt.Sprintf("m%d", i), 1, fenced)))
 	}
 	g.settle(store.Committed)
 	if n != 6 || g.freeUnits(0) != 0 || len(g.Demand(g.now)) != 0 {
@@ -94,18 +94,18 @@
 func TestFailoverBetweenPlanAndLaunchKeepsUnit(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newLicenceRig(t, 1, kv, &licences.Pool{Name: "p", Count: 1})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.submit(specWithLicences(1, 1, oneUnit()))
 	g.settle(store.Committed)
 
 	n := newLicenceRig(t, 2, kv, &licences.Pool{Name: "p", Count: 1})
-	n.hear("spare", 1, 2*fenced)
+	n.heartbeat("spare", 1, 2*fenced)
 	second := n.submit(specWithLicences(2, 1, oneUnit()))
 	n.settle(store.Committed)
 	if n.freeUnits(0) != 0 || second.TasksByState[jobs.Planned] != 0 {
 		t.Fatalf("%d free, %d planned, while the first may run", n.freeUnits(0), second.TasksByState[jobs.Planned])
 	}
-	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 || n.freeUnits(0) != 0 {
+	if cs := starts(n.heartbeat("m", 1, 2*fenced)); len(cs) != 1 || n.freeUnits(0) != 0 {
 		t.Fatalf("started %v, want the planned task, with the only unit", cs)
 	}
 }
@@ -114,14 +114,14 @@
 // that long it grants none.
 func TestFailoverWaitsForUnknownLingeringUnits(t *testing.T) {
 	n := newLicenceRig(t, 2, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 8 * time.Second})
-	n.hear("m", 1, 2*fenced)
+	n.heartbeat("m", 1, 2*fenced)
 	job := n.submit(specWithLicences(1, 1, oneUnit()))
 	n.settle(store.Committed)
 	if job.TasksByState[jobs.Planned] != 0 {
 		t.Fatal("a unit was granted that a crashed task of the term before may hold")
 	}
 	n.now = 8 * time.Second
-	n.hear("m", 1, 2*fenced)
+	n.heartbeat("m", 1, 2*fenced)
 	n.settle(store.Committed)
 	if job.TasksByState[jobs.Planned] != 1 {
 		t.Fatal("no unit after the linger")
@@ -135,19 +135,19 @@
 	pool := func() *licences.Pool { return &licences.Pool{Name: "p", Count: 1, Linger: 8 * time.Second} }
 	g := newLicenceRig(t, 1, kv, pool())
 	g.now = 8 * time.Second
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.submit(specWithLicences(1, 1, oneUnit()))
 	g.settle(store.Committed)
 
 	n := newLicenceRig(t, 2, kv, pool())
 	n.now = 9 * time.Second
 	n.Tick(n.now, false)
-	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 0 || n.freeUnits(0) != 0 {
+	if cs := starts(n.heartbeat("m", 1, 2*fenced)); len(cs) != 0 || n.freeUnits(0) != 0 {
 		t.Fatalf("started %v, %d free", cs, n.freeUnits(0))
 	}
 	n.now = 18 * time.Second
 	n.settle(store.Committed)
-	if cs := starts(n.hear("m", 1, 2*fenced)); len(cs) != 1 {
+	if cs := starts(n.heartbeat("m", 1, 2*fenced)); len(cs) != 1 {
 		t.Fatalf("started %v after the linger", cs)
 	}
 }
@@ -155,7 +155,7 @@
 // The next unit goes to the job of highest priority: tasks that are planned and not started lose their plan.
 func TestPlansYieldUnitsToHigherPriority(t *testing.T) {
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 2})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	low, high := specWithLicences(1, 2, oneUnit()), specWithLicences(2, 2, oneUnit())
 	low.Priority, high.Priority = "best_effort", "prod"
 	lowJob := g.submit(low)
@@ -173,7 +173,7 @@
 // token.
 func TestIndeterminateLaunchKeepsUnit(t *testing.T) {
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(specWithLicences(1, 1, oneUnit()))
 	g.settle(store.Committed)
 	g.keepInContact()
@@ -181,11 +181,11 @@
 	g.directCallbacks[0](nil, false)
 	g.cancel(job)
 	for _, token := range []uint64{fenced, fenced} {
-		if g.hear("m", 1, token); g.freeUnits(0) != 0 {
+		if g.heartbeat("m", 1, token); g.freeUnits(0) != 0 {
 			t.Fatal("the unit is free while the launch may arrive")
 		}
 	}
-	if g.hear("m", 1, fenced+1); g.freeUnits(0) != 1 {
+	if g.heartbeat("m", 1, fenced+1); g.freeUnits(0) != 1 {
 		t.Fatal("the unit is lost for good")
 	}
 }
@@ -195,20 +195,20 @@
 func TestLaunchOfLostSessionIsNotRepeated(t *testing.T) {
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 5 * time.Second})
 	g.now = 6 * time.Second // past the lingering units of an earlier term
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(specWithLicences(1, 1, oneUnit()))
 	g.settle(store.Committed)
-	cs := starts(g.hear("m", 1, fenced))
+	cs := starts(g.heartbeat("m", 1, fenced))
 	if len(cs) != 1 || job.Tasks[0].State != jobs.Launched {
 		t.Fatalf("commands %v", cs)
 	}
 	g.now += 21 * time.Second // its lease
-	if again := starts(g.hear("m", 2, fenced)); len(again) != 0 || g.freeUnits(0) != 0 {
+	if again := starts(g.heartbeat("m", 2, fenced)); len(again) != 0 || g.freeUnits(0) != 0 {
 		t.Fatalf("sent %v again, %d units free while the old process may hold one", again, g.freeUnits(0))
 	}
 	g.now += 6 * time.Second
 	g.settle(store.Committed)
-	again := starts(g.hear("m", 2, fenced))
+	again := starts(g.heartbeat("m", 2, fenced))
 	if len(again) != 1 || again[0].Attempt == cs[0].Attempt {
 		t.Fatalf("commands %v after the linger, the first attempt was %d", again, cs[0].Attempt)
 	}
@@ -219,8 +219,8 @@
 func TestGangReservesAllUnitsAtOnce(t *testing.T) {
 	teams := []config.Team{{Name: "t", CPUsMax: 6}}
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, teams, &licences.Pool{Name: "p", Count: 3})
-	g.hear("a", 1, fenced)
-	g.hear("b", 1, fenced)
+	g.heartbeat("a", 1, fenced)
+	g.heartbeat("b", 1, fenced)
 	job := g.submitGangOfTwo()
 	g.settle(store.Committed)
 	if cs := starts(g.hearMachineOf(job, 0)); len(cs) != 1 {
@@ -249,18 +249,18 @@
 // What is reserved for a gang's task is released when the gang loses its plan before the launch.
 func TestReservedUnitsOfLostPlanAreReleased(t *testing.T) {
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 2})
-	g.hear("a", 1, fenced)
-	g.hear("b", 1, fenced)
+	g.heartbeat("a", 1, fenced)
+	g.heartbeat("b", 1, fenced)
 	job := g.submitGangOfTwo()
 	g.settle(store.Committed)
 	first, second := g.machines[job.Tasks[0].Machine], g.machines[job.Tasks[1].Machine]
-	attempt := starts(g.hear(first.Name, 1, fenced))[0].Attempt
+	attempt := starts(g.heartbeat(first.Name, 1, fenced))[0].Attempt
 	g.HandleReturned(g.now, second, "gone")
 	g.settle(store.Committed)
 	if used := g.usedCPUs(job); g.freeUnits(0) != 1 || used != 3 {
 		t.Fatalf("%d free, the team uses %v", g.freeUnits(0), used)
 	}
-	g.hear(first.Name, 1, fenced, taskReport(job, 0, attempt, taskExited, exitAlone))
+	g.heartbeat(first.Name, 1, fenced, taskReport(job, 0, attempt, taskExited, exitAlone))
 	if g.freeUnits(0) != 2 {
 		t.Fatalf("%d free", g.freeUnits(0))
 	}
@@ -272,7 +272,7 @@
 	t.Helper()
 	reports := map[string][]TaskReport{}
 	for i := range n {
-		g.hear(fmt.Sprintf("m%d", i), 1, fenced)
+		g.heartbeat(fmt.Sprintf("m%d", i), 1, fenced)
 	}
 	spec := specWithLicences(1, n, oneUnit())
 	spec.CPUs, spec.EstimateS, spec.Priority = 4, 1000, "best_effort"
@@ -280,12 +280,12 @@
 	g.settle(store.Committed)
 	for i := range n {
 		machine := fmt.Sprintf("m%d", i)
-		for _, start := range starts(g.hear(machine, 1, fenced)) {
+		for _, start := range starts(g.heartbeat(machine, 1, fenced)) {
 			report := TaskReport{Task: start.Task, Attempt: start.Attempt, State: taskRunning}
 			reports[machine] = append(reports[machine], report)
 		}
 		g.now += time.Second // later tasks have less work to lose
-		g.hear(machine, 1, fenced, reports[machine]...)
+		g.heartbeat(machine, 1, fenced, reports[machine]...)
 	}
 	if job.RunningTasks != n {
 		t.Fatalf("%d of %d run", job.RunningTasks, n)
@@ -336,7 +336,7 @@
 		pool := &licences.Pool{Name: "p", Count: 4, Teams: map[string]licences.Share{"u": {Guarantee: 2}}}
 		g := newLicenceRig(t, 1, map[string]json.RawMessage{}, pool)
 		job, reports := startHolders(t, g, 4)
-		g.hear("spare", 1, fenced)
+		g.heartbeat("spare", 1, fenced)
 		spec := specWithLicences(2, 2, oneUnit())
 		spec.Kind, spec.Priority = jobs.Gang, "prod"
 		if guaranteed {
@@ -360,10 +360,10 @@
 			for i := range tasks {
 				if _, taskIndex := g.findTask(tasks[i].Task); job.Tasks[taskIndex].Stopping {
 					tasks[i].State = taskExited
-					tasks[i].Why = exitStopped
+					tasks[i].ExitCause = exitStopped
 				}
 			}
-			g.hear(machine, 1, fenced, tasks...)
+			g.heartbeat(machine, 1, fenced, tasks...)
 		}
 		g.settle(store.Committed)
 		gang := g.Jobs.Get("req-000002")
@@ -379,7 +379,7 @@
 	pools := []*licences.Pool{{Name: "p", Count: 400}, {Name: "q", Count: 100}}
 	g := newLicenceRig(b, 1, map[string]json.RawMessage{}, pools...)
 	for i := range 200 {
-		g.hear(fmt.Sprintf("m%03d", i), 1, fenced)
+		g.heartbeat(fmt.Sprintf("m%03d", i), 1, fenced)
 	}
 	for i := range 200 {
 		g.submit(specWithLicences(i+1, 50, map[string]int{"p": 1, "q": 1}))
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -75,7 +75,7 @@
 	Session, Seq uint64 // of the latest accepted heartbeat
 
 	FirstSeenAt     time.Duration // when it was registered
-	LastHeardAt     time.Duration // last accepted heartbeat that counts as contact, see recordContact
+	LastContactAt   time.Duration // last accepted heartbeat that counts as contact, see recordContact
 	LastHeartbeatAt time.Duration // last accepted heartbeat
 	LastAnsweredAt  time.Duration // last 200 that any leader may have sent; the worker's lease began no later
 	UpSince         time.Duration // when it first became Ready; 0 before
@@ -192,7 +192,7 @@
 		Zone:                  jobs.None,
 		Token:                 f.Term << tokenBits,
 		FirstSeenAt:           now,
-		LastHeardAt:           now,
+		LastContactAt:         now,
 		LastAnsweredAt:        now,
 		IdleSince:             now,
 		Tasks:                 map[TaskRef]struct{}{},
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -29,11 +29,11 @@
 
 // TaskReport is the status of one attempt at a task on a machine.
 type TaskReport struct {
-	Task    string       `json:"hop"` // as taskName returns it
-	Attempt uint64       `json:"try"`
-	State   AttemptState `json:"stance"`
-	Why     ExitCause    `json:"cause"` // "" until it has exited
-	Saved   bool         `json:"kept"`  // it left a checkpoint when it exited
+	Task      string       `json:"hop"` // as taskName returns it
+	Attempt   uint64       `json:"try"`
+	State     AttemptState `json:"stance"`
+	ExitCause ExitCause    `json:"cause"` // "" until it has exited
+	Saved     bool         `json:"kept"`  // it left a checkpoint when it exited
 
 	// The task in the job table, set by Fleet.resolveTaskReports; job is nil if it is not there.
 	job       *jobs.Job
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -9,7 +9,7 @@
 // Whatever a worker, or a sender that claims to be one, sends is either refused or applied without a panic.
 func TestMalformedHeartbeatsAreHarmless(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	g.submit(spec(1, 3))
 	good := []byte(`{"den":"m","address":"10.1.0.2:9000","build":"ty","meadow":"z","stray":true,"run":1,"tally":88,"mark":1048576,
  "warning_s":null,"hops":[{"hop":"req-000001/1","try":2,"stance":"running"},{"hop":"req-000001/0","try":1,"stance":"exited","cause":"done"}]}`)
--- a/internal/fleet/modelstore_test.go
+++ b/internal/fleet/modelstore_test.go
@@ -188,7 +188,7 @@
 	return Env{
 		Settings:       m.settings,
 		Jobs:           m.jobs,
-		Rng:            m.rng,
+		Random:         m.rng,
 		TxnOps:         5,
 		Now:            func() time.Duration { return m.now },
 		Types:          m.machineType,
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -146,10 +146,10 @@
 	}
 	for _, task := range worker.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{
-			Task:    fmt.Sprintf("%s/%d", task.job, task.task),
-			Attempt: task.attempt,
-			State:   task.state,
-			Why:     task.exitReason,
+			Task:      fmt.Sprintf("%s/%d", task.job, task.task),
+			Attempt:   task.attempt,
+			State:     task.state,
+			ExitCause: task.exitReason,
 		})
 	}
 	return heartbeat
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -76,7 +76,7 @@
 // deadline between them keeps its rank.
 func TestGivenUpArraysChangePlaces(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	submit := func(n, tasks int, deadline *float64) *jobs.Job {
 		s := spec(n, tasks)
 		s.EstimateS, s.DeadlineS = 10, deadline
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -53,7 +53,7 @@
 // noteDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
 // starting n tasks together.
 func (f *Fleet) noteDenied(job *jobs.Job, n int) {
-	if denial := f.Gate.Ask(admissionClaim(job), n); denial.TeamLimit {
+	if denial := f.Gate.Check(admissionClaim(job), n); denial.TeamLimit {
 		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: denial})
 		return
 	}
@@ -184,7 +184,7 @@
 		}
 	}
 	reasons.add(writing, PlanNotDurable, "planned; the plan is being written, and nothing starts before it is")
-	switch denial := f.Gate.Ask(admissionClaim(job), 1); {
+	switch denial := f.Gate.Check(admissionClaim(job), 1); {
 	case denial.TeamLimit:
 		reasons.add(queued, TeamLimit, "planned, but team %s is at its limit", job.Spec.Team)
 	case denial.Licence != licences.Granted:
@@ -246,7 +246,7 @@
 func (f *Fleet) zoneSilence(now time.Duration, zone int32) (silentFor, leaseLeft time.Duration) {
 	for _, machine := range f.machines {
 		if machine.Quarantined && machine.Zone == zone {
-			silentFor = max(silentFor, now-machine.LastHeardAt)
+			silentFor = max(silentFor, now-machine.LastContactAt)
 			leaseLeft = max(leaseLeft, machine.LastAnsweredAt+f.Settings.Lease()-now)
 		}
 	}
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -148,7 +148,7 @@
 	if machine.Condition != Ready || machine.Returning {
 		return false
 	}
-	if now-machine.UpSince <= time.Second || now-machine.LastHeardAt >= time.Second {
+	if now-machine.UpSince <= time.Second || now-machine.LastContactAt >= time.Second {
 		return false
 	}
 	if !c.fleet.mayPlace(machine, c.job) || now < c.fleet.noMachineUntil[c.job.Index] {
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -172,5 +172,5 @@
 
 // planRef identifies a plan segment in the pages.
 func planRef(job *jobs.Job, segment *jobs.PlanSegment) pages.Ref {
-	return pages.Ref{A: int32(job.Index), B: int32(segment.Number)}
+	return pages.Ref{Owner: int32(job.Index), Number: int32(segment.Number)}
 }
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -125,7 +125,7 @@
 		unfinished := float64(job.TaskCount - job.FinishedTasks)
 		demand := demandByTeam[job.Team].Add(planner.Size{CPUs: size.CPUs * unfinished, GPUs: size.GPUs * unfinished})
 		demandByTeam[job.Team] = demand
-		f.ranking.withinGuarantee[job.Index] = f.Gate.Quota.Within(job.Team, size, demand)
+		f.ranking.withinGuarantee[job.Index] = f.Gate.Quota.WithinGuarantee(job.Team, size, demand)
 	}
 }
 
--- a/internal/fleet/quarantine.go
+++ b/internal/fleet/quarantine.go
@@ -39,7 +39,7 @@
 		if job.State == jobs.Done || job.Spec == nil {
 			return
 		}
-		job.OpenTasks()
+		job.CreateTasks()
 		for _, segment := range job.Segments {
 			if loadedVersions[segment] < pageVersion {
 				f.quarantineSegment(now, job, segment)
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -185,7 +185,7 @@
 		return true
 	}
 	interval := f.overdueAfter()
-	inContact := now-machine.LastHeardAt <= interval
+	inContact := now-machine.LastContactAt <= interval
 	challengedLately := state.challengeToken != 0 && now-state.challengedAt <= interval
 	mayBeCopy := len(heartbeat.Tasks) > 0 || heartbeat.Token >= state.highestToken
 	if inContact || challengedLately || len(machine.Tasks) > 0 && mayBeCopy {
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -118,7 +118,7 @@
 // describe returns the state of the machine and its task that a stale copy must not change.
 func (l *singleMachine) describe() string {
 	machine := l.machines[0]
-	return fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.Condition, l.job.Tasks[0].State)
+	return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.Condition, l.job.Tasks[0].State)
 }
 
 // sendHeartbeat sends a heartbeat that arrives; received is whether its response does.
@@ -255,7 +255,7 @@
 		// Copies of all heartbeats, several leases late.
 		l.now += 3 * l.Settings.Lease()
 		l.settleBriefly()
-		lastContact := machine.LastHeardAt
+		lastContact := machine.LastContactAt
 		for i := range l.history {
 			// One that never arrived is the newest of its machine.
 			if r := &l.history[len(l.history)-1-i]; r.arrived {
@@ -263,7 +263,7 @@
 				l.settleBriefly()
 			}
 		}
-		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastHeardAt > lastContact {
+		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastContactAt > lastContact {
 			return "copies bring a dead machine back"
 		}
 		return ""
@@ -352,8 +352,8 @@
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
 		if known {
-			g.hear("m", 1, 2*fenced)
-			g.hear("m", 1, 2*fenced)
+			g.heartbeat("m", 1, 2*fenced)
+			g.heartbeat("m", 1, 2*fenced)
 		}
 		g.now += 30 * time.Second
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
@@ -365,7 +365,7 @@
 		}
 		for _, token := range tokens {
 			g.now += time.Second
-			g.hear("m", 2, token)
+			g.heartbeat("m", 2, token)
 		}
 		if machine.Condition != Ready {
 			t.Errorf("known before: %v: it is %s", known, machine.Condition)
@@ -399,7 +399,7 @@
 	}
 	machine.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
 	describe := func() string {
-		return fmt.Sprint(machine.Session, machine.Seq, machine.LastHeardAt, machine.LastAnsweredAt, machine.Condition,
+		return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.LastAnsweredAt, machine.Condition,
 			machine.Token, len(machine.indeterminateLaunches))
 	}
 	before := describe()
@@ -422,8 +422,8 @@
 // soon all the same.
 func TestRestartedWorkerWithAHigherSessionIsReadySoon(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	g.hear("m", 1, 2*fenced)
-	g.hear("m", 1, 2*fenced)
+	g.heartbeat("m", 1, 2*fenced)
+	g.heartbeat("m", 1, 2*fenced)
 	machine := g.FindMachine("m")
 	heartbeat := newHeartbeat("m", 3, 2, 0)
 	from := g.now
@@ -444,23 +444,23 @@
 func TestCommandsWithoutEffectMakeAMachineUnreachable(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	machine := g.RegisterMachine(0, "m")
-	g.hear("m", 1, 2*fenced)
+	g.heartbeat("m", 1, 2*fenced)
 	g.submit(spec(1, 8))
 	g.settle(store.Committed)
 	given, from := 0, g.now
 	for g.now-from < 3*g.ReachabilityTimeout() {
 		g.now += 500 * time.Millisecond
-		if cs := g.hear("m", 1, 2*fenced); g.now-from > 2*g.ReachabilityTimeout() {
+		if cs := g.heartbeat("m", 1, 2*fenced); g.now-from > 2*g.ReachabilityTimeout() {
 			given += len(cs)
 		}
 	}
-	sinceContact := g.now - machine.LastHeardAt
+	sinceContact := g.now - machine.LastContactAt
 	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 ||
 		sinceContact < g.ReachabilityTimeout() {
 		t.Errorf("%v, %d commands sent to it lately, %d tasks queued on it, last contact %v ago",
 			machine.Condition, given, machine.QueuedTasks, sinceContact)
 	}
-	if g.hear("m", 1, machine.Token); machine.Condition != Ready {
+	if g.heartbeat("m", 1, machine.Token); machine.Condition != Ready {
 		t.Errorf("%v though it carries the token that was raised", machine.Condition)
 	}
 }
@@ -469,17 +469,17 @@
 // old token: that is no contact.
 func TestUnreachableMachineWithExpiredLeaseIsNotInContact(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	machine := g.FindMachine("m")
-	last := machine.LastHeardAt
+	last := machine.LastContactAt
 	for session := uint64(1); session < 6; session++ {
 		g.now += 30 * time.Second
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
 			t.Fatal(machine.Condition)
 		}
-		g.hear("m", session+1, fenced)
+		g.heartbeat("m", session+1, fenced)
 	}
-	if machine.LastHeardAt != last || machine.LastHeartbeatAt != g.now {
-		t.Errorf("its last contact is at %v", machine.LastHeardAt)
+	if machine.LastContactAt != last || machine.LastHeartbeatAt != g.now {
+		t.Errorf("its last contact is at %v", machine.LastContactAt)
 	}
 }
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -151,7 +151,7 @@
 func (f *Fleet) reconcileExitedTask(now time.Duration, machine *Machine, report *TaskReport) {
 	// Another attempt at the task may be listed as live on the same machine.
 	_, isAlsoLive := f.scratch.listedTasks[report.ref()]
-	if report.Why == exitDone {
+	if report.ExitCause == exitDone {
 		f.reconcileDoneTask(now, machine, report, isAlsoLive)
 		return
 	}
@@ -161,7 +161,7 @@
 	if !isHere || !isCurrent || isAlsoLive {
 		return
 	}
-	if report.Why == exitBusy {
+	if report.ExitCause == exitBusy {
 		return // another attempt is here: the next heartbeat lists it, or lists none
 	}
 	f.reconcileFailedTask(now, machine, report)
@@ -196,7 +196,7 @@
 func (f *Fleet) reconcileFailedTask(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
-	slog.Info("task ended", "task", report.Task, "machine", machine.Name, "cause", report.Why, "saved", report.Saved,
+	slog.Info("task ended", "task", report.Task, "machine", machine.Name, "cause", report.ExitCause, "saved", report.Saved,
 		"term", f.Term)
 	f.Events.Add(events.Event{
 		At:      now,
@@ -205,12 +205,12 @@
 		Task:    taskIndex,
 		Machine: machine.Index,
 		Attempt: task.Attempt,
-		Note:    string(report.Why),
+		Note:    string(report.ExitCause),
 		Saved:   report.Saved,
 	})
-	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(report.Why))
+	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(report.ExitCause))
 	job.MarkDirty(taskIndex, false, now)
-	switch report.Why {
+	switch report.ExitCause {
 	case exitError:
 		task.Failures = min(task.Failures+1, maxFailureBackoffShift)
 		task.NotBefore = now + time.Second<<task.Failures
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -30,7 +30,7 @@
 	}
 	f.loadSegments(now, items)
 	f.Jobs.ForEachLive(func(job *jobs.Job) {
-		job.OpenTasks()
+		job.CreateTasks()
 		if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
 			f.finishGang(now, job)
 		}
@@ -135,14 +135,14 @@
 		if !ok || value.page == ownKey {
 			continue
 		}
-		ref := pages.Ref{B: int32(number)}
+		ref := pages.Ref{Number: int32(number)}
 		switch job := f.Jobs.Get(id); {
 		case job != nil:
-			ref.A = int32(job.Index)
+			ref.Owner = int32(job.Index)
 		case f.Jobs.IsUnreadable(id):
 			// The plan of a job with an unreadable record stays, wherever its page is written, under a number that
 			// no job has.
-			ref.A = -1 - int32(i)
+			ref.Owner = -1 - int32(i)
 		default:
 			continue
 		}
@@ -165,7 +165,7 @@
 		f.discardStoredSegment(value, job, number)
 		return nil
 	}
-	job.OpenTasks()
+	job.CreateTasks()
 	if number >= len(job.Segments) {
 		f.discardStoredSegment(value, job, number)
 		return nil
@@ -203,7 +203,7 @@
 	case value.page == ownKey:
 		f.writer.obsoleteKeys = append(f.writer.obsoleteKeys, jobs.PlanPrefix+value.name)
 	case job != nil:
-		f.writer.pages.Drop(pages.Ref{A: int32(job.Index), B: int32(number)})
+		f.writer.pages.Drop(pages.Ref{Owner: int32(job.Index), Number: int32(number)})
 	}
 }
 
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -57,7 +57,7 @@
 	g.Fleet = New(Env{
 		Settings: settings,
 		Jobs:     book,
-		Rng:      rand.New(rand.NewPCG(1, 1)),
+		Random:   rand.New(rand.NewPCG(1, 1)),
 		TxnOps:   20,
 		Now:      func() time.Duration { return g.now },
 		Types: func(int32) *MachineType {
@@ -126,8 +126,8 @@
 	g.applyRecord(jobs.RecordKey(job.ID), jobs.EncodeRecord(jobs.Cancelled, 0, job.TaskCount, job.Spec))
 }
 
-// hear delivers a heartbeat of a machine at a token and returns the commands of the response.
-func (g *rig) hear(m string, session, token uint64, tasks ...TaskReport) []Command {
+// heartbeat delivers a heartbeat of a machine at a token and returns the commands of the response.
+func (g *rig) heartbeat(m string, session, token uint64, tasks ...TaskReport) []Command {
 	g.t.Helper()
 	g.seq++
 	response, result := g.HandleHeartbeat(g.now, newHeartbeat(m, session, g.seq, token, tasks...))
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -170,7 +170,7 @@
 	for i := range reports {
 		if report := &reports[i]; c.now >= c.endsAt[report.Task] && report.State == taskRunning {
 			report.State = taskExited
-			report.Why = exitDone
+			report.ExitCause = exitDone
 		}
 	}
 	for _, command := range c.see(machine, "ty", false, reports...) {
--- a/internal/fleet/writeoutcome_test.go
+++ b/internal/fleet/writeoutcome_test.go
@@ -21,7 +21,7 @@
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	writes := &[]sentWrite{}
 	g.Commit = func(txn store.Txn, done func(store.Result)) { *writes = append(*writes, sentWrite{txn, done}) }
-	g.hear("m", 1, fenced)
+	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 1))
 	g.Tick(g.now, true)
 	if len(*writes) != 1 || len((*writes)[0].txn.Then) != 1 || g.writer.state != writerInFlight {
--- a/internal/fleet/zoneloss.go
+++ b/internal/fleet/zoneloss.go
@@ -12,10 +12,10 @@
 
 // ZoneLoss is what the jobs of one class and team would lose with a zone.
 type ZoneLoss struct {
-	Class, Team int32
-	Tasks       int // on machines in the zone
-	Fit         int // how many of them have room elsewhere now
-	Jobs        int // with tasks in the zone
+	Class, Team    int32
+	Tasks          int // on machines in the zone
+	PlaceableTasks int // how many of them have room elsewhere now
+	Jobs           int // with tasks in the zone
 }
 
 // EstimateZoneLoss returns what the loss of a zone would mean now, by class and team. The tasks there are placed
@@ -79,7 +79,7 @@
 	count := e.tasksInZone[job.Index]
 	loss.Jobs++
 	loss.Tasks += count
-	loss.Fit += e.place(job, count)
+	loss.PlaceableTasks += e.place(job, count)
 }
 
 // place takes the room for a number of a job's tasks and returns how many of them fit. A gang that loses a task
--- a/internal/jobs/plan_test.go
+++ b/internal/jobs/plan_test.go
@@ -7,7 +7,7 @@
 // the truth. Once a later write of the key has an outcome, the earlier ones don't count any more.
 func TestIndeterminateWritesPreventStarts(t *testing.T) {
 	job := &Job{ID: "req-000001", TaskCount: 2}
-	job.OpenTasks()
+	job.CreateTasks()
 	segment := job.Segments[0]
 	for i := range job.Tasks {
 		job.Tasks[i].Machine = 4
--- a/internal/jobs/segmentcodec_test.go
+++ b/internal/jobs/segmentcodec_test.go
@@ -22,7 +22,7 @@
 	for range 300 {
 		tasks := 1 + rng.IntN(3*SegmentTasks)
 		job := &Job{ID: "req-000001", TaskCount: tasks, Spec: gangSpec(t, tasks), TasksByZone: map[int32]int{}}
-		job.OpenTasks()
+		job.CreateTasks()
 		machines := 1 + rng.IntN(400)
 		for i := range job.Tasks {
 			switch rng.IntN(3) {
@@ -120,7 +120,7 @@
 // randomSegmentJob returns a job of one segment with tasks in random states, and how many of them are on machines.
 func randomSegmentJob(rng *rand.Rand) (job *Job, launched int) {
 	job = &Job{ID: "req-000001", TaskCount: 1 + rng.IntN(SegmentTasks)}
-	job.OpenTasks()
+	job.CreateTasks()
 	for i := range job.Tasks {
 		task := &job.Tasks[i]
 		task.Machine = int32(rng.IntN(400))
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -86,8 +86,8 @@
 // WallMS converts a monotonic time to the wall clock, in milliseconds.
 func (t *Table) WallMS(now time.Duration) int64 { return t.epochWallMS + now.Milliseconds() }
 
-// SteadyAt converts wall-clock milliseconds to a monotonic time.
-func (t *Table) SteadyAt(wallMS int64) time.Duration {
+// MonotonicAt converts wall-clock milliseconds to a monotonic time.
+func (t *Table) MonotonicAt(wallMS int64) time.Duration {
 	return time.Duration(wallMS-t.epochWallMS) * time.Millisecond
 }
 
@@ -122,7 +122,7 @@
 		job.Spec = (*Spec)(record.Spec)
 		job.Priority = job.Spec.PriorityLevel()
 		t.Names.assign(job)
-		job.SubmittedAt = t.SteadyAt(record.AtMS)
+		job.SubmittedAt = t.MonotonicAt(record.AtMS)
 	}
 	return job, true, nil
 }
@@ -202,9 +202,9 @@
 	job.Quarantined = true
 }
 
-// RecallArchived drops what only the planner of the jobs holds, after this controller has lost the lead, and
+// ResetPlanning drops what only the planner of the jobs holds, after this controller has lost the lead, and
 // removes the archived jobs that were kept for it.
-func (t *Table) RecallArchived() {
+func (t *Table) ResetPlanning() {
 	t.ForEach(func(job *Job) {
 		job.resetPlanning()
 		job.Quarantined = t.IsUnreadable(job.ID)
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -121,8 +121,8 @@
 	task.Phase = to
 }
 
-// OpenTasks creates a job's tasks and plan segments, all tasks unplanned. It does nothing if there are tasks already.
-func (j *Job) OpenTasks() {
+// CreateTasks creates a job's tasks and plan segments, all tasks unplanned. It does nothing if there are tasks already.
+func (j *Job) CreateTasks() {
 	if j.Tasks != nil {
 		return
 	}
--- a/internal/jobs/task_test.go
+++ b/internal/jobs/task_test.go
@@ -5,7 +5,7 @@
 // TestTaskTransitionsAreGuarded: only the listed transitions of a task's state are possible.
 func TestTaskTransitionsAreGuarded(t *testing.T) {
 	job := &Job{ID: "req-000001", TaskCount: 1, Spec: gangSpec(t, 1), TasksByZone: map[int32]int{}}
-	job.OpenTasks()
+	job.CreateTasks()
 	if job.SetTaskState(0, Launched) == nil {
 		t.Fatal("an unplanned task was launched")
 	}
--- a/internal/pages/model_test.go
+++ b/internal/pages/model_test.go
@@ -73,7 +73,7 @@
 
 // refOf returns the ref of a value that is named v and a number.
 func refOf(name string) (ref Ref) {
-	_, _ = fmt.Sscanf(name, "v%d", &ref.A)
+	_, _ = fmt.Sscanf(name, "v%d", &ref.Owner)
 	return ref
 }
 
@@ -152,7 +152,7 @@
 			continue
 		}
 		m.writes++
-		raw := fmt.Sprintf(`{"n":%d,"pad":"%0*d"}`, m.writes, int(refOf(name).A)%40+1, 7)
+		raw := fmt.Sprintf(`{"n":%d,"pad":"%0*d"}`, m.writes, int(refOf(name).Owner)%40+1, 7)
 		if !batch.Add(Entry{refOf(name), name, []byte(raw)}, modelMaxPages, modelMaxBytes) {
 			break
 		}
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -11,7 +11,7 @@
 package pages
 
 // Ref identifies a value. Its two numbers are chosen by the caller.
-type Ref struct{ A, B int32 }
+type Ref struct{ Owner, Number int32 }
 
 // Entry is a value as it is to be stored.
 type Entry struct {
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -14,9 +14,9 @@
 	for round := range 200 {
 		batch := p.Begin(100)
 		for i := range 20 {
-			ref := Ref{A: int32((round*37 + i*11) % 1000)}
+			ref := Ref{Owner: int32((round*37 + i*11) % 1000)}
 			value := []byte(`{"term":3,"done":"AA==","on":["i-000123"],"runs":[1,0]}`)
-			if !batch.Add(Entry{ref, fmt.Sprintf("req-%06d/000", ref.A), value}, 20, 60<<10) {
+			if !batch.Add(Entry{ref, fmt.Sprintf("req-%06d/000", ref.Owner), value}, 20, 60<<10) {
 				t.Fatal("no room")
 			}
 		}
@@ -41,7 +41,7 @@
 	p := New(60)
 	writeValue := func(i int32) PageWrite {
 		batch := p.Begin(100)
-		batch.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
+		batch.Add(Entry{Ref{Owner: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
 		return batch.Writes()[0]
 	}
 	first := writeValue(0)
@@ -50,7 +50,7 @@
 		p.Commit(writeValue(i), uint64(i)+1)
 	}
 	for i := range int32(values) {
-		p.Drop(Ref{A: i})
+		p.Drop(Ref{Owner: i})
 	}
 	numbers, _ := p.Retire(values)
 	if len(numbers) != values-spareEmptyPages-1 || slices.Contains(numbers, first.Number) {
@@ -68,7 +68,7 @@
 func addMany(batch *Batch, letter string) (added int) {
 	for i := range int32(manyValues) {
 		value := []byte(`"` + strings.Repeat(letter, 90) + `"`)
-		if batch.Add(Entry{Ref{A: i}, fmt.Sprintf("job-%02d", i), value}, manyMaxPages, manyMaxBytes) {
+		if batch.Add(Entry{Ref{Owner: i}, fmt.Sprintf("job-%02d", i), value}, manyMaxPages, manyMaxBytes) {
 			added++
 		}
 	}
@@ -101,7 +101,7 @@
 func TestIndeterminatePagesAreSplitWhenTheLimitShrinks(t *testing.T) {
 	p := manyStored(t)
 	batch := p.Begin(manyMaxPages)
-	batch.Add(Entry{Ref{A: 0}, "job-00", []byte(`"y"`)}, manyMaxPages, manyMaxBytes)
+	batch.Add(Entry{Ref{Owner: 0}, "job-00", []byte(`"y"`)}, manyMaxPages, manyMaxBytes)
 	markIndeterminate(p, batch)
 	p.SetLimit(700)
 	batch = p.Begin(manyMaxPages)
@@ -129,7 +129,7 @@
 		t.Errorf("%d pages of the batch were indeterminate; still some: %v", indeterminate, p.HasIndeterminate())
 	}
 	for i := range int32(manyValues) {
-		if p.pageOf[Ref{A: i}] == nil {
+		if p.pageOf[Ref{Owner: i}] == nil {
 			t.Errorf("value %d is lost", i)
 		}
 	}
@@ -155,12 +155,12 @@
 	var last PageWrite
 	for i := range int32(values) {
 		batch := p.Begin(100)
-		batch.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
+		batch.Add(Entry{Ref{Owner: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 1, 1000)
 		last = batch.Writes()[0]
 		p.Commit(last, uint64(i)+1)
 	}
 	for i := range int32(values) {
-		p.Drop(Ref{A: i})
+		p.Drop(Ref{Owner: i})
 	}
 	last.Version = values // of a second write of the page
 	p.MarkIndeterminate(last)
@@ -175,7 +175,7 @@
 	const values = 8
 	p := New(60)
 	add := func(batch *Batch, i int32) {
-		batch.Add(Entry{Ref{A: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 100, 10_000)
+		batch.Add(Entry{Ref{Owner: i}, fmt.Sprintf("v%d", i), []byte(`"a long value that fills a page"`)}, 100, 10_000)
 	}
 	batch := p.Begin(100)
 	for i := range int32(values) {
@@ -185,7 +185,7 @@
 		p.Commit(write, 1)
 	}
 	for i := range int32(values) {
-		p.Drop(Ref{A: i})
+		p.Drop(Ref{Owner: i})
 	}
 	retired, _ := p.Retire(values)
 	batch = p.Begin(100)
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -9,24 +9,24 @@
 	"github.com/harewalk/harewalk/internal/peers/wire"
 )
 
-// MostCounts is the maximum number of jobs in a status. With ids of the greatest length they fit a frame.
-const MostCounts = 4096
+// MaxJobCounts is the maximum number of jobs in a status. With ids of the greatest length they fit a frame.
+const MaxJobCounts = 4096
 
-// Count is the number of tasks of one job that are done and running, as users see them.
-type Count struct {
+// JobCount is the number of tasks of one job that are done and running, as users see them.
+type JobCount struct {
 	Job           string
 	Done, Running uint32
 }
 
 // Status is one controller's state as it reports it.
 type Status struct {
-	Node    string
-	Term    uint64
-	Leading bool
-	StateOK bool   // the state service answers it
-	Workers uint32 // workers with a recent heartbeat
-	Leaving bool   // it drains
-	Counts  []Count
+	Node                  string
+	Term                  uint64
+	Leading               bool
+	StateServiceReachable bool   // the state service answers it
+	Workers               uint32 // workers with a recent heartbeat
+	Leaving               bool   // it drains
+	Counts                []JobCount
 }
 
 // Sizes of the buffer that a status is first encoded into.
@@ -44,7 +44,7 @@
 	wire.StatusAddNode(builder, node)
 	wire.StatusAddTerm(builder, status.Term)
 	wire.StatusAddLeading(builder, status.Leading)
-	wire.StatusAddStateOk(builder, status.StateOK)
+	wire.StatusAddStateOk(builder, status.StateServiceReachable)
 	wire.StatusAddWorkers(builder, status.Workers)
 	wire.StatusAddCounts(builder, counts)
 	wire.StatusAddLeaving(builder, status.Leaving)
@@ -53,7 +53,7 @@
 }
 
 // encodeCounts writes the vector of counts and returns its offset.
-func encodeCounts(builder *flatbuffers.Builder, counts []Count) flatbuffers.UOffsetT {
+func encodeCounts(builder *flatbuffers.Builder, counts []JobCount) flatbuffers.UOffsetT {
 	offsets := make([]flatbuffers.UOffsetT, len(counts))
 	for i, count := range counts {
 		job := builder.CreateString(count.Job)
@@ -86,12 +86,12 @@
 	}
 	encoded := wire.GetRootAsStatus(raw, 0)
 	status = Status{
-		Node:    string(encoded.Node()),
-		Term:    encoded.Term(),
-		Leading: encoded.Leading(),
-		StateOK: encoded.StateOk(),
-		Workers: encoded.Workers(),
-		Leaving: encoded.Leaving(),
+		Node:                  string(encoded.Node()),
+		Term:                  encoded.Term(),
+		Leading:               encoded.Leading(),
+		StateServiceReachable: encoded.StateOk(),
+		Workers:               encoded.Workers(),
+		Leaving:               encoded.Leaving(),
 	}
 	length := encoded.CountsLength()
 	if length < 0 || length > len(raw)/4 { // each count has an offset of four bytes
@@ -100,7 +100,7 @@
 	for i := range length {
 		var count wire.JobCount
 		if encoded.Counts(&count, i) {
-			status.Counts = append(status.Counts, Count{string(count.Job()), count.Done(), count.Running()})
+			status.Counts = append(status.Counts, JobCount{string(count.Job()), count.Done(), count.Running()})
 		}
 	}
 	return status, nil
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -58,8 +58,8 @@
 	return account != nil && account.Used.Add(size.Times(float64(n))).Fits(account.Limit)
 }
 
-// Ever returns whether n tasks of a size could run together if the team ran nothing else; false for an unknown team.
-func (l *Ledger) Ever(team int32, size planner.Size, n int) bool {
+// CouldEverFit returns whether n tasks of a size could run together if the team ran nothing else; false for an unknown team.
+func (l *Ledger) CouldEverFit(team int32, size planner.Size, n int) bool {
 	account := l.teams[team]
 	return account != nil && size.Times(float64(n)).Fits(account.Limit)
 }
@@ -78,10 +78,10 @@
 	}
 }
 
-// Within returns whether a job lies within its team's guarantee: the job uses a resource of which something is
+// WithinGuarantee returns whether a job lies within its team's guarantee: the job uses a resource of which something is
 // guaranteed, and demand, that of the job and of those before it, exceeds the guarantee of no resource. A resource of
 // which nothing is guaranteed is left out.
-func (l *Ledger) Within(team int32, job, demand planner.Size) bool {
+func (l *Ledger) WithinGuarantee(team int32, job, demand planner.Size) bool {
 	account := l.teams[team]
 	if account == nil {
 		return false
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -59,7 +59,7 @@
 
 func TestUnknownTeamFitsNothing(t *testing.T) {
 	ledger := newLedger()
-	if ledger.Fits(unknownTeam, planner.Size{}, 1) || ledger.Ever(unknownTeam, planner.Size{}, 1) {
+	if ledger.Fits(unknownTeam, planner.Size{}, 1) || ledger.CouldEverFit(unknownTeam, planner.Size{}, 1) {
 		t.Fatal("an unknown team has no limit to stay within")
 	}
 }
@@ -82,7 +82,7 @@
 		{"unknown team", unknownTeam, cpuJob, cpuJob, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := ledger.Within(test.team, test.job, test.demand); got != test.want {
+			if got := ledger.WithinGuarantee(test.team, test.job, test.demand); got != test.want {
 				t.Errorf("Within of demand %v is %v, want %v", test.demand, got, test.want)
 			}
 		})
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -37,8 +37,8 @@
 	ErrChanged = errors.New("somebody said something meanwhile")
 	// ErrTooLate: the level has risen already.
 	ErrTooLate = errors.New("too late")
-	// ErrEarly: not all controllers have announced the next level.
-	ErrEarly = errors.New("not yet")
+	// ErrTooEarly: not all controllers have announced the next level.
+	ErrTooEarly = errors.New("not yet")
 )
 
 // Execute returns the transaction that stores an operator's directive, to be sent under the leader's guard. It
@@ -101,7 +101,7 @@
 			ErrTooLate, r.stored.level, r.cfg.Release)
 	}
 	if next <= r.stored.level {
-		return fmt.Errorf("%w: %s", ErrEarly, strings.Join(r.missing(now), "; "))
+		return fmt.Errorf("%w: %s", ErrTooEarly, strings.Join(r.missing(now), "; "))
 	}
 	return nil
 }
--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -20,7 +20,7 @@
 		command Command
 		want    error
 	}{
-		{Command{Op: "finish"}, ErrEarly},
+		{Command{Op: "finish"}, ErrTooEarly},
 		{Command{Op: "stop"}, ErrMalformed},
 		{Command{Op: "hold", By: strings.Repeat("x", 101)}, ErrMalformed},
 		{Command{Op: "hold", Revision: &otherRevision}, ErrChanged},
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -124,9 +124,9 @@
 	r.retryAt = now + retryDelay
 }
 
-// HandleLeadLost takes note that this controller doesn't lead any more. The outcome of a transaction in flight isn't
+// HandleLeadershipLost takes note that this controller doesn't lead any more. The outcome of a transaction in flight isn't
 // awaited any longer.
-func (r *Rollout) HandleLeadLost() {
+func (r *Rollout) HandleLeadershipLost() {
 	r.txnInFlight = false
 	r.soak.running = false
 }
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return strconv.AppendQuote(nil, string(raw))
 	}
-	slices.SortFunc(s.Counts, func(a, b peers.Count) int { return strings.Compare(a.Job, b.Job) })
+	slices.SortFunc(s.Counts, func(a, b peers.JobCount) int { return strings.Compare(a.Job, b.Job) })
 	return strconv.AppendQuote(nil, string(peers.Encode(s)))
 }
 
--- a/internal/simulator/stored_test.go
+++ b/internal/simulator/stored_test.go
@@ -83,7 +83,7 @@
 			if job.State == jobs.Done {
 				continue
 			}
-			job.OpenTasks()
+			job.CreateTasks()
 			no := int(name[len(name)-1] - '0')
 			segment := job.Segments[no]
 			var names jobs.Names
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -24,11 +24,11 @@
 	}
 	for _, k := range m.tasks {
 		r.Tasks = append(r.Tasks, fleet.TaskReport{
-			Task:    k.name,
-			Attempt: k.attempt,
-			State:   fleet.AttemptState(k.state),
-			Why:     fleet.ExitCause(k.why),
-			Saved:   k.saved,
+			Task:      k.name,
+			Attempt:   k.attempt,
+			State:     fleet.AttemptState(k.state),
+			ExitCause: fleet.ExitCause(k.why),
+			Saved:     k.saved,
 		})
 	}
 	return r
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -82,7 +82,7 @@
 			}
 			r.CutZone(zone, how)
 			r.reach("found lost", 4*time.Second, func() bool { return r.zoneViews()[zone].State == "lost" })
-			if v := r.zoneViews()[zone]; v.Rents || v.Takes != "arrays" {
+			if v := r.zoneViews()[zone]; v.Rents || v.AcceptsWork != "arrays" {
 				t.Errorf("%+v", v)
 			}
 			r.Advance(5 * time.Second)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -35,7 +35,7 @@
 
 // Share is the part of the service's rate limits that a controller may use: requests and writes per second, and how
 // many seconds' worth of them may be used at once.
-type Share struct{ RPS, WriteRPS, BurstS float64 }
+type Share struct{ RPS, WriteRPS, BurstSeconds float64 }
 
 // New returns a client for the state service at addr that uses share of its rates and keeps transactions within
 // limits. now is the steady clock.
@@ -45,8 +45,8 @@
 		sender:        sender,
 		now:           now,
 		share:         share,
-		requestBudget: NewBudget(share.RPS, share.BurstS),
-		writeBudget:   NewBudget(share.WriteRPS, share.BurstS),
+		requestBudget: NewBudget(share.RPS, share.BurstSeconds),
+		writeBudget:   NewBudget(share.WriteRPS, share.BurstSeconds),
 		limits:        newLimitEstimator(limits),
 		throttle:      newWriteThrottle(),
 	}
@@ -56,14 +56,14 @@
 func (c *Client) SetShare(share Share) {
 	now := c.now()
 	c.share = share
-	c.requestBudget.SetRate(now, share.RPS, share.BurstS)
+	c.requestBudget.SetRate(now, share.RPS, share.BurstSeconds)
 	c.adjustWriteRate(now)
 }
 
 // adjustWriteRate sets the rate of writes to what the service lets through.
 func (c *Client) adjustWriteRate(now time.Duration) {
 	if rate := c.share.WriteRPS * c.throttle.recoveredFactor(now); rate != c.writeBudget.rate {
-		c.writeBudget.SetRate(now, rate, c.share.BurstS)
+		c.writeBudget.SetRate(now, rate, c.share.BurstSeconds)
 	}
 }
 
--- a/internal/store/sizelimits_test.go
+++ b/internal/store/sizelimits_test.go
@@ -80,7 +80,7 @@
 		"",
 		service,
 		func() time.Duration { return 0 },
-		Share{RPS: 1e6, WriteRPS: 1e6, BurstS: 1},
+		Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 1},
 		Limits{MaxOps: 24, MaxValueBytes: 8 << 10},
 	)
 	manyConditions := Txn{}
--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -135,8 +135,8 @@
 
 // checkPolicy compares a zone's state, and what may be done in the zone, with its history.
 func (h *history) checkPolicy(z *Zones, seen observation, before, after State) error {
-	acceptsGangs := z.AcceptsWork(testNow, 0, Together)
-	acceptsAll := acceptsGangs && z.AcceptsWork(testNow, 0, Lasting)
+	acceptsGangs := z.AcceptsWork(testNow, 0, Gang)
+	acceptsAll := acceptsGangs && z.AcceptsWork(testNow, 0, Service)
 	isInGrace := !h.isOut && h.sinceReturn >= 0 && h.sinceReturn < testReturnGrace && !h.isSettled
 	switch {
 	case h.isOut != (after == Lost):
--- a/internal/zones/policy.go
+++ b/internal/zones/policy.go
@@ -7,9 +7,9 @@
 
 // The kinds of work.
 const (
-	Restartable WorkKind = iota // each task is restarted by itself
-	Together                    // gangs: all tasks are lost with one
-	Lasting                     // services: their tasks stay where they are
+	Array   WorkKind = iota // each task is restarted by itself
+	Gang                    // gangs: all tasks are lost with one
+	Service                 // services: their tasks stay where they are
 )
 
 // AcceptsWork reports whether new work of a kind may go to machines of a zone that are heard: restartable work
@@ -23,9 +23,9 @@
 		return true
 	}
 	switch kind {
-	case Restartable:
+	case Array:
 		return true
-	case Together:
+	case Gang:
 		if health.State == Healthy || health.State == Suspect {
 			return true
 		}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -71,9 +71,9 @@
 	return health
 }
 
-// Unsettled reports whether any zone is returning or on probation: machines elsewhere are not returned to the cloud
+// HasRecoveringZones reports whether any zone is returning or on probation: machines elsewhere are not returned to the cloud
 // meanwhile.
-func (z *Zones) Unsettled() bool {
+func (z *Zones) HasRecoveringZones() bool {
 	for _, zone := range z.zones {
 		if zone.State == Returning || zone.State == OnProbation {
 			return true
