--- /dev/null
+++ b/internal/licences/allocation.go
@@ -0,0 +1,227 @@
+package licences
+
+// Denial is why a task may not have its units. The zero value means that it may.
+type Denial uint8
+
+// The denials.
+const (
+	Granted          Denial = iota
+	UnknownPool             // the pool is not declared here
+	NoSeat                  // all units are in use
+	TeamLimitReached        // the team uses as many units as it may
+	NoAnswer                // the licence server's state is unknown
+	OtherFirst              // units are free, but go to jobs of higher priority
+)
+
+// String returns the reason for users, as the API has it.
+func (d Denial) String() string {
+	return [...]string{
+		"granted", "no such licence pool", "no seat is free", "the team holds as many seats as it may",
+		"the licence server does not answer", "free seats go to others first",
+	}[d]
+}
+
+// noPool stands for no pool in a result.
+const noPool int32 = -1
+
+// Fits reports whether a number of further tasks may all have their units now. If not, it returns the denial and
+// the index of the pool that causes it; otherwise Granted and -1.
+func (l *Ledger) Fits(team int32, needs []Unit, tasks int) (Denial, int32) {
+	for _, unit := range needs {
+		pool := l.pool(unit.Pool)
+		if pool == nil {
+			return UnknownPool, unit.Pool
+		}
+		if denial := pool.fits(team, unit.N*tasks); denial != Granted {
+			return denial, unit.Pool
+		}
+	}
+	return Granted, noPool
+}
+
+// fits returns Granted if a team may have further units now, and the denial if not.
+func (p *poolState) fits(team int32, units int) Denial {
+	if !p.server.isUsable() {
+		return NoAnswer
+	}
+	if p.freeUnits() < units {
+		return NoSeat
+	}
+	usage := p.teams[team]
+	if usage != nil && usage.Most > 0 && usage.units+units > usage.Most {
+		return TeamLimitReached
+	}
+	return Granted
+}
+
+// Ask is a live job that waits for licence units.
+type Ask struct {
+	Job   int32  // dense index
+	Team  int32  // dense index
+	Needs []Unit // of each task
+	Tasks int    // that wait
+	Whole bool   // all tasks must get their units at once: gang scheduling
+}
+
+// Grant is the result of an Ask: how many of its tasks may be planned and started and, if not all of them, why.
+type Grant struct {
+	Tasks int
+	Why   Denial
+	Pool  int32 // that causes the denial; -1: none
+}
+
+// limit returns how many of a number of tasks can have their units of a pool if only so many units are available.
+// If they are fewer, it records the reason.
+func (g *Grant) limit(tasks int, unit Unit, available int, why Denial) int {
+	fitting := max(0, available) / unit.N
+	if fitting >= tasks {
+		return tasks
+	}
+	g.Why = why
+	g.Pool = unit.Pool
+	return fitting
+}
+
+// allocation is what remains of all pools during one call of Allot.
+type allocation struct {
+	ledger    *Ledger
+	freeUnits []int           // by pool
+	teamUnits []map[int32]int // by pool and team: in use or granted
+}
+
+// Allot distributes the free units over jobs, which it takes in priority order, the highest first. It does two
+// rounds: first for jobs within their team's guarantee, then for all. A gang that can't have all its units yet
+// withholds the free ones of all its pools from the jobs behind it. A gang never gets a part of its units, so two
+// gangs that need the same two pools can't deadlock.
+func (l *Ledger) Allot(asks []Ask) []Grant {
+	remaining := l.newAllocation()
+	grants := make([]Grant, len(asks))
+	for i := range grants {
+		grants[i].Pool = noPool
+	}
+	for _, guaranteed := range []bool{true, false} {
+		for i := range asks {
+			remaining.grant(&asks[i], &grants[i], guaranteed)
+		}
+	}
+	for i := range grants {
+		if grants[i].Tasks >= asks[i].Tasks {
+			grants[i].Why = Granted
+			grants[i].Pool = noPool
+		} else if pool := l.pool(grants[i].Pool); pool != nil {
+			pool.server.isAnswerAwaited = true
+		}
+	}
+	return grants
+}
+
+func (l *Ledger) newAllocation() *allocation {
+	a := &allocation{ledger: l}
+	for _, pool := range l.pools {
+		teamUnits := make(map[int32]int, len(pool.teams))
+		for team, usage := range pool.teams {
+			teamUnits[team] = usage.units
+		}
+		a.freeUnits = append(a.freeUnits, pool.freeUnits())
+		a.teamUnits = append(a.teamUnits, teamUnits)
+	}
+	return a
+}
+
+// grant grants a job what it can have in one round, in addition to what an earlier round has granted.
+func (a *allocation) grant(ask *Ask, grant *Grant, guaranteed bool) {
+	waiting := ask.Tasks - grant.Tasks
+	if waiting <= 0 || !a.areDeclared(ask, grant) {
+		return
+	}
+	tasks := a.grantable(ask, waiting, guaranteed, grant)
+	if ask.Whole && tasks < waiting {
+		if !guaranteed {
+			a.withhold(ask)
+		}
+		return
+	}
+	a.allocate(ask, tasks)
+	grant.Tasks += tasks
+}
+
+// areDeclared reports whether all pools of a job are declared here. If not, it records the denial.
+func (a *allocation) areDeclared(ask *Ask, grant *Grant) bool {
+	for _, unit := range ask.Needs {
+		if a.ledger.pool(unit.Pool) == nil {
+			grant.Why = UnknownPool
+			grant.Pool = unit.Pool
+			return false
+		}
+	}
+	return true
+}
+
+// grantable returns how many of a number of tasks can have their units now. If they are fewer, it records the
+// denial.
+func (a *allocation) grantable(ask *Ask, tasks int, guaranteed bool, grant *Grant) int {
+	hasGuarantee := false
+	for _, unit := range ask.Needs {
+		pool := a.ledger.pools[unit.Pool]
+		quota := pool.quota(ask.Team)
+		used := a.teamUnits[unit.Pool][ask.Team]
+		if guaranteed && quota.Guarantee > 0 {
+			hasGuarantee = true
+			tasks = grant.limit(tasks, unit, quota.Guarantee-used, OtherFirst)
+		}
+		if quota.Most > 0 {
+			tasks = grant.limit(tasks, unit, quota.Most-used, TeamLimitReached)
+		}
+		tasks = grant.limit(tasks, unit, a.freeUnits[unit.Pool], pool.shortageReason(unit.N))
+	}
+	if guaranteed && !hasGuarantee {
+		return 0
+	}
+	return tasks
+}
+
+// shortageReason returns why a task doesn't get its units where too few of them remain.
+func (p *poolState) shortageReason(units int) Denial {
+	switch {
+	case !p.server.isUsable():
+		return NoAnswer
+	case p.freeUnits() >= units:
+		return OtherFirst
+	}
+	return NoSeat
+}
+
+func (a *allocation) allocate(ask *Ask, tasks int) {
+	if tasks == 0 {
+		return
+	}
+	for _, unit := range ask.Needs {
+		a.freeUnits[unit.Pool] -= tasks * unit.N
+		a.teamUnits[unit.Pool][ask.Team] += tasks * unit.N
+	}
+}
+
+// withhold sets the units aside for which a gang waits. A gang that couldn't have them even without other holders
+// withholds nothing.
+func (a *allocation) withhold(ask *Ask) {
+	for _, unit := range ask.Needs {
+		if !a.canEverFit(ask, unit) {
+			return
+		}
+	}
+	for _, unit := range ask.Needs {
+		a.freeUnits[unit.Pool] = max(0, a.freeUnits[unit.Pool]-unit.N*ask.Tasks)
+	}
+}
+
+// canEverFit reports whether all tasks of a gang could have their units of one pool within the pool's count and,
+// beside what the team has already, within the team's limit.
+func (a *allocation) canEverFit(ask *Ask, unit Unit) bool {
+	pool := a.ledger.pools[unit.Pool]
+	needed := unit.N * ask.Tasks
+	if needed > pool.totalUnits()-pool.reserved {
+		return false
+	}
+	limit := pool.quota(ask.Team).Most
+	return limit <= 0 || a.teamUnits[unit.Pool][ask.Team]+needed <= limit
+}
--- /dev/null
+++ b/internal/licences/allocation_test.go
@@ -0,0 +1,214 @@
+package licences
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// unitwiseAllocation is the slow model of Allot: it grants units one task at a time.
+type unitwiseAllocation struct {
+	ledger    *Ledger
+	freeUnits []int
+	teamUnits map[poolTeam]int
+}
+
+type poolTeam struct{ pool, team int32 }
+
+func newUnitwiseAllocation(l *Ledger) *unitwiseAllocation {
+	m := &unitwiseAllocation{ledger: l, teamUnits: map[poolTeam]int{}}
+	for i, pool := range l.pools {
+		m.freeUnits = append(m.freeUnits, pool.freeUnits())
+		for team, usage := range pool.teams {
+			m.teamUnits[poolTeam{int32(i), team}] = usage.units
+		}
+	}
+	return m
+}
+
+// allot returns how many tasks of each job get their units, jobs within their guarantee first.
+func (m *unitwiseAllocation) allot(asks []Ask) []int {
+	granted := make([]int, len(asks))
+	for _, guaranteed := range []bool{true, false} {
+		for i, ask := range asks {
+			switch {
+			case !ask.Whole:
+				for granted[i] < ask.Tasks && m.fits(ask, 1, guaranteed) {
+					m.take(ask, 1)
+					granted[i]++
+				}
+			case granted[i] > 0 || ask.Tasks == 0:
+			case m.fits(ask, ask.Tasks, guaranteed):
+				m.take(ask, ask.Tasks)
+				granted[i] = ask.Tasks
+			case !guaranteed && m.canEverFit(ask):
+				m.withhold(ask)
+			}
+		}
+	}
+	return granted
+}
+
+func (m *unitwiseAllocation) fits(ask Ask, tasks int, guaranteed bool) bool {
+	hasGuarantee := false
+	for _, unit := range ask.Needs {
+		share := Share{}
+		if usage := m.ledger.pools[unit.Pool].teams[ask.Team]; usage != nil {
+			share = usage.Share
+		}
+		units := tasks * unit.N
+		teamUnits := m.teamUnits[poolTeam{unit.Pool, ask.Team}] + units
+		if units > m.freeUnits[unit.Pool] ||
+			(share.Most > 0 && teamUnits > share.Most) ||
+			(guaranteed && share.Guarantee > 0 && teamUnits > share.Guarantee) {
+			return false
+		}
+		hasGuarantee = hasGuarantee || share.Guarantee > 0
+	}
+	return hasGuarantee || !guaranteed
+}
+
+func (m *unitwiseAllocation) take(ask Ask, tasks int) {
+	for _, unit := range ask.Needs {
+		m.freeUnits[unit.Pool] -= tasks * unit.N
+		m.teamUnits[poolTeam{unit.Pool, ask.Team}] += tasks * unit.N
+	}
+}
+
+func (m *unitwiseAllocation) canEverFit(ask Ask) bool {
+	for _, unit := range ask.Needs {
+		pool := m.ledger.pools[unit.Pool]
+		units := unit.N * ask.Tasks
+		if units > pool.totalUnits()-pool.reserved {
+			return false
+		}
+		usage := pool.teams[ask.Team]
+		if usage != nil && usage.Most > 0 && m.teamUnits[poolTeam{unit.Pool, ask.Team}]+units > usage.Most {
+			return false
+		}
+	}
+	return true
+}
+
+func (m *unitwiseAllocation) withhold(ask Ask) {
+	for _, unit := range ask.Needs {
+		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.N*ask.Tasks)
+	}
+}
+
+// drawPools draws one to three pools with a quota for each of the teams.
+func drawPools(t *rapid.T, teams []string) []*Pool {
+	var pools []*Pool
+	for i := range rapid.IntRange(1, 3).Draw(t, "pools") {
+		pool := &Pool{
+			Name:  fmt.Sprint(i),
+			Count: rapid.IntRange(0, 20).Draw(t, "count"),
+			Teams: map[string]Share{},
+		}
+		for _, team := range teams {
+			limit := rapid.IntRange(0, 12).Draw(t, "limit")
+			pool.Teams[team] = Share{Guarantee: rapid.IntRange(0, 6).Draw(t, "guarantee"), Most: limit}
+		}
+		pools = append(pools, pool)
+	}
+	return pools
+}
+
+// drawNeeds draws the units that a task needs of each pool; nil: none.
+func drawNeeds(t *rapid.T, pools []*Pool, label string) []Unit {
+	var needs []Unit
+	for i := range pools {
+		if units := rapid.IntRange(0, 3).Draw(t, label); units > 0 {
+			needs = append(needs, Unit{int32(i), units})
+		}
+	}
+	return needs
+}
+
+func drawTeam(t *rapid.T) int32 { return int32(rapid.IntRange(0, 2).Draw(t, "team")) }
+
+func drawAsks(t *rapid.T, pools []*Pool) []Ask {
+	var asks []Ask
+	for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
+		needs := drawNeeds(t, pools, "needs")
+		if needs == nil {
+			continue
+		}
+		asks = append(asks, Ask{
+			Job:   int32(100 + i),
+			Team:  drawTeam(t),
+			Needs: needs,
+			Tasks: rapid.IntRange(0, 9).Draw(t, "tasks"),
+			Whole: rapid.Bool().Draw(t, "whole"),
+		})
+	}
+	return asks
+}
+
+// Allot grants as many tasks as a model that grants them one at a time; no pool gives out more than is free, and a
+// gang gets all its units or none, of every pool it needs.
+func TestAllotMatchesUnitwiseModel(t *testing.T) {
+	teams := []string{"a", "b", "c"}
+	teamIndex := func(name string) int32 { return int32(slices.Index(teams, name)) }
+	rapid.Check(t, func(t *rapid.T) {
+		pools := drawPools(t, teams)
+		l := New(NewCatalog(pools), teamIndex, 0)
+		for i := range rapid.IntRange(0, 5).Draw(t, "held") {
+			team := drawTeam(t)
+			needs := drawNeeds(t, pools, "has")
+			if denial, _ := l.Fits(team, needs, 1); denial == Granted {
+				l.Take(0, Ref{int32(i), 0}, 1, team, needs, Held)
+			}
+		}
+		asks := drawAsks(t, pools)
+		want := newUnitwiseAllocation(l).allot(asks)
+		freeUnits := newUnitwiseAllocation(l).freeUnits
+		for i, grant := range l.Allot(asks) {
+			if grant.Tasks != want[i] {
+				t.Fatalf("%+v was granted %d, one at a time %d", asks[i], grant.Tasks, want[i])
+			}
+			if (grant.Tasks < asks[i].Tasks) != (grant.Why != Granted) {
+				t.Fatalf("%+v was granted %d with the reason %q", asks[i], grant.Tasks, grant.Why)
+			}
+			for _, unit := range asks[i].Needs {
+				if freeUnits[unit.Pool] -= unit.N * grant.Tasks; freeUnits[unit.Pool] < 0 {
+					t.Fatalf("more units of pool %d were granted than are free", unit.Pool)
+				}
+			}
+		}
+	})
+}
+
+// Of two gangs that need two pools, in opposite order, with room for one gang in each, one gets all it needs and
+// the other nothing. The second follows when the first is done.
+func TestGangsWithPoolsInOppositeOrderDoNotDeadlock(t *testing.T) {
+	catalog := NewCatalog([]*Pool{{Name: "x", Count: 4}, {Name: "y", Count: 4}})
+	l := New(catalog, singleTeam, 0)
+	inOrder, err := catalog.Needs(map[string]int{"x": 1, "y": 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	reversed := []Unit{inOrder[1], inOrder[0]}
+	asks := []Ask{
+		{Job: 1, Needs: inOrder, Tasks: 3, Whole: true},
+		{Job: 2, Needs: reversed, Tasks: 3, Whole: true},
+	}
+	grants := l.Allot(asks)
+	if grants[0].Tasks != 3 || grants[1].Tasks != 0 || grants[1].Why != OtherFirst {
+		t.Fatalf("granted %+v", grants)
+	}
+	for task := range int32(3) {
+		l.Take(0, Ref{1, task}, 1, 0, inOrder, Held)
+	}
+	if grants = l.Allot(asks[1:]); grants[0].Tasks != 0 {
+		t.Fatalf("granted %+v beside the first", grants)
+	}
+	for task := range int32(3) {
+		l.Give(0, Ref{1, task}, inOrder, Clean)
+	}
+	if grants = l.Allot(asks[1:]); grants[0].Tasks != 3 {
+		t.Fatalf("granted %+v after the first", grants)
+	}
+}
--- /dev/null
+++ b/internal/licences/answer.go
@@ -0,0 +1,54 @@
+package licences
+
+import (
+	"errors"
+	"fmt"
+
+	"github.com/go-json-experiment/json"
+)
+
+// Answer is a licence server's answer about a pool, in the format that docs/licences.md publishes.
+type Answer struct {
+	// Count is how many units the server has in total, 0 if it doesn't report that.
+	Count   int     `json:"count"`
+	Holders []Entry `json:"holders"`
+}
+
+// Entry is one holder in a server's answer. Task is the task's name for the cluster's own holders and any other
+// text for outside holders. Attempt is 0 if the server doesn't report attempts.
+type Entry struct {
+	Task    string `json:"holder"`
+	Attempt uint64 `json:"attempt"`
+	Units   int    `json:"units"`
+}
+
+// Bounds of an answer.
+const (
+	maxHolders     = 100_000
+	maxHolderUnits = 1_000_000
+)
+
+var (
+	errNoHolders   = errors.New(`licence server: the answer has no list "holders"`)
+	errOutOfBounds = errors.New("licence server: the answer is out of bounds")
+)
+
+// ParseAnswer decodes and checks a server's answer. An answer without the list of holders is an error.
+func ParseAnswer(raw []byte) (Answer, error) {
+	var answer Answer
+	if err := json.Unmarshal(raw, &answer); err != nil {
+		return Answer{}, fmt.Errorf("licence server: %w", err)
+	}
+	if answer.Holders == nil {
+		return Answer{}, errNoHolders
+	}
+	if len(answer.Holders) > maxHolders || answer.Count < 0 {
+		return Answer{}, errOutOfBounds
+	}
+	for _, holder := range answer.Holders {
+		if holder.Units < 0 || holder.Units > maxHolderUnits {
+			return Answer{}, fmt.Errorf("licence server: holder %q has %d units", holder.Task, holder.Units)
+		}
+	}
+	return answer, nil
+}
--- /dev/null
+++ b/internal/licences/main_test.go
@@ -0,0 +1,35 @@
+package licences
+
+import (
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"testing"
+)
+
+// TestMain sets a fixed seed, so that a run gives the same result every time, and enough steps to fill a pool.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	_ = flag.Set("rapid.seed", "1")
+	_ = flag.Set("rapid.steps", "120")
+	_ = flag.Set("rapid.checks", "4000")
+	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
+	os.Exit(m.Run())
+}
+
+// oneUnit is what a task needs that holds one unit of the first pool.
+var oneUnit = []Unit{{0, 1}}
+
+// singleTeam maps all names to one team.
+func singleTeam(string) int32 { return 0 }
+
+// taskName returns a holder's task name as a server reports it; taskByName is the inverse.
+func taskName(h Holder) string { return fmt.Sprintf("%d/%d", h.Job, h.Task) }
+
+func taskByName(name string) (Ref, bool) {
+	var ref Ref
+	n, err := fmt.Sscanf(name, "%d/%d", &ref.Job, &ref.Task)
+	return ref, err == nil && n == 2
+}
--- /dev/null
+++ b/internal/licences/model_test.go
@@ -0,0 +1,329 @@
+package licences
+
+import (
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// environment is the model of what surrounds a ledger: tasks on machines, a licence server that counts by itself,
+// outside holders within the units kept for them, and answers that are outdated when they arrive.
+type environment struct {
+	now          time.Duration
+	pool         *Pool
+	catalog      *Catalog
+	ledger       *Ledger
+	running      map[Holder]int // units that a task's process needs
+	nextJob      int32
+	checkedOut   map[Holder]*serverCheckout
+	outsideUnits int
+	queries      []serverQuery // in flight, the oldest first
+	maxCount     int           // the highest count so far: tasks may have started by it
+	maxInUse     int
+	ended        []endedTask // tasks that ended, of which the ledger has no proof yet
+}
+
+// serverCheckout is a checkout as the server has it.
+type serverCheckout struct {
+	units     int
+	expiresAt time.Duration // of a crashed holder; 0: the holder runs
+}
+
+type endedTask struct {
+	Holder
+	end End
+}
+
+// serverQuery is a query with the answer that the server gave when it was sent.
+type serverQuery struct {
+	sentAt time.Duration
+	answer Answer
+}
+
+func newEnvironment(pool *Pool) *environment {
+	e := &environment{
+		now:        time.Second,
+		pool:       pool,
+		catalog:    NewCatalog([]*Pool{pool}),
+		running:    map[Holder]int{},
+		checkedOut: map[Holder]*serverCheckout{},
+		maxCount:   pool.Count,
+	}
+	e.ledger = New(e.catalog, singleTeam, e.now)
+	return e
+}
+
+// actions returns the steps of the model. An action with several names is drawn more often.
+func (e *environment) actions() map[string]func(*rapid.T) {
+	actions := map[string]func(*rapid.T){
+		"": func(t *rapid.T) { requireConsistentTotals(t, e.ledger) },
+	}
+	for _, action := range []struct {
+		step  func(*rapid.T)
+		names []string
+	}{
+		{e.start, []string{"start", "start more", "start still more"}},
+		{e.checkOut, []string{"check out", "check out more", "check out still more", "check out again"}},
+		{e.finish, []string{"finish"}},
+		{e.crash, []string{"crash", "crash more"}},
+		{e.proveEnd, []string{"prove end", "prove end more"}},
+		{e.query, []string{"query", "query more"}},
+		{e.answer, []string{"answer", "answer more"}},
+		{e.changeOutsideUnits, []string{"change outside units"}},
+		{e.restartServer, []string{"restart server"}},
+		{e.advanceTime, []string{"advance time"}},
+		{e.failOver, []string{"fail over"}},
+		{e.reportAttempt, []string{"report attempt"}},
+		{e.changeCount, []string{"change count"}},
+	} {
+		for _, name := range action.names {
+			actions[name] = action.step
+		}
+	}
+	return actions
+}
+
+func (e *environment) unitsInUse() int {
+	units := e.outsideUnits
+	for _, c := range e.checkedOut {
+		units += c.units
+	}
+	return units
+}
+
+func needs(units int) []Unit { return []Unit{{0, units}} }
+
+func (e *environment) start(t *rapid.T) {
+	units := rapid.IntRange(1, 2).Draw(t, "units")
+	if denial, _ := e.ledger.Fits(0, needs(units), 1); denial != Granted {
+		t.Skip(denial.String())
+	}
+	e.nextJob++
+	holder := Holder{Ref{e.nextJob, 0}, uint64(e.nextJob)}
+	e.ledger.Take(e.now, holder.Ref, holder.Attempt, 0, needs(units), Held)
+	e.running[holder] = units
+}
+
+func (e *environment) drawRunning(t *rapid.T) Holder {
+	if len(e.running) == 0 {
+		t.Skip("no task")
+	}
+	holders := slices.SortedFunc(maps.Keys(e.running), func(a, b Holder) int { return int(a.Job - b.Job) })
+	return rapid.SampledFrom(holders).Draw(t, "task")
+}
+
+// checkOut makes a task check out its units, as it does some time after its launch.
+func (e *environment) checkOut(t *rapid.T) {
+	holder := e.drawRunning(t)
+	if _, ok := e.checkedOut[holder]; ok {
+		t.Skip("already checked out")
+	}
+	e.checkedOut[holder] = &serverCheckout{units: e.running[holder]}
+	inUse := e.unitsInUse()
+	if inUse > e.maxCount {
+		t.Fatalf("%d units in use of %d", inUse, e.maxCount)
+	}
+	e.maxInUse = max(e.maxInUse, inUse)
+}
+
+func (e *environment) finish(t *rapid.T) {
+	holder := e.drawRunning(t)
+	delete(e.running, holder)
+	delete(e.checkedOut, holder)
+	e.ended = append(e.ended, endedTask{holder, Clean})
+}
+
+func (e *environment) crash(t *rapid.T) {
+	holder := e.drawRunning(t)
+	delete(e.running, holder)
+	if c := e.checkedOut[holder]; c != nil {
+		c.expiresAt = e.now + e.pool.Linger
+	}
+	e.ended = append(e.ended, endedTask{holder, Crashed})
+}
+
+// proveEnd gives the ledger the proof of an end: a fenced report, the cloud's confirmation or a lease expiry.
+func (e *environment) proveEnd(t *rapid.T) {
+	if len(e.ended) == 0 {
+		t.Skip("nothing ended")
+	}
+	task := e.ended[0]
+	e.ended = e.ended[1:]
+	e.ledger.Give(e.now, task.Ref, needs(1), task.end)
+}
+
+func (e *environment) query(*rapid.T) {
+	if len(e.ledger.Due(e.now)) == 0 {
+		return
+	}
+	answer := Answer{Holders: []Entry{}}
+	for holder, c := range e.checkedOut {
+		entry := Entry{Task: taskName(holder), Attempt: holder.Attempt, Units: c.units}
+		answer.Holders = append(answer.Holders, entry)
+	}
+	if e.outsideUnits > 0 {
+		answer.Holders = append(answer.Holders, Entry{Task: "somebody", Units: e.outsideUnits})
+	}
+	e.queries = append(e.queries, serverQuery{e.now, answer})
+}
+
+func (e *environment) answer(t *rapid.T) {
+	if len(e.queries) == 0 {
+		t.Skip("no query in flight")
+	}
+	query := e.queries[0]
+	e.queries = e.queries[1:]
+	if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
+		e.ledger.Failed(e.now, e.pool.Name)
+		return
+	}
+	e.ledger.Answered(e.now, query.sentAt, e.pool.Name, query.answer, taskByName)
+}
+
+// changeOutsideUnits makes an outside holder check out or return one unit, within the units kept for them.
+func (e *environment) changeOutsideUnits(t *rapid.T) {
+	if rapid.Bool().Draw(t, "takes") && e.outsideUnits < e.pool.Reserve {
+		e.outsideUnits++
+	} else {
+		e.outsideUnits = max(0, e.outsideUnits-1)
+	}
+}
+
+// restartServer makes the server lose all its checkouts until the holders check out again.
+func (e *environment) restartServer(t *rapid.T) {
+	if rapid.IntRange(0, 3).Draw(t, "rarely") > 0 {
+		t.Skip("not now")
+	}
+	clear(e.checkedOut)
+}
+
+func (e *environment) advanceTime(t *rapid.T) {
+	ms := rapid.SampledFrom([]int{1, 50, 150, 300, 900, 2500}).Draw(t, "ms")
+	e.now += time.Duration(ms) * time.Millisecond
+	for holder, c := range e.checkedOut {
+		if c.expiresAt > 0 && e.now >= c.expiresAt {
+			delete(e.checkedOut, holder)
+		}
+	}
+	e.ledger.Tick(e.now, time.Unix(0, 0))
+}
+
+// failOver begins another leader's term: its ledger has the tasks that may run, but not their attempts.
+func (e *environment) failOver(t *rapid.T) {
+	if rapid.IntRange(0, 4).Draw(t, "rarely") > 0 {
+		t.Skip("not now")
+	}
+	e.ledger = New(e.catalog, singleTeam, e.now)
+	e.queries = nil
+	for holder, units := range e.running {
+		e.ledger.Take(e.now, holder.Ref, 0, 0, needs(units), Held)
+	}
+	for _, task := range e.ended {
+		e.ledger.Take(e.now, task.Ref, 0, 0, needs(3), Held)
+	}
+}
+
+func (e *environment) reportAttempt(t *rapid.T) {
+	holder := e.drawRunning(t)
+	e.ledger.Attempt(e.now, holder.Ref, holder.Attempt, needs(1))
+}
+
+// changeCount sets another count. Tasks that started by a higher one go on.
+func (e *environment) changeCount(t *rapid.T) {
+	e.pool.Count = rapid.IntRange(3, 6).Draw(t, "count")
+	e.maxCount = max(e.maxCount, e.pool.Count)
+}
+
+// endAll ends all tasks with proof, returns the outside holders' units, and queries the server for 40 s.
+func (e *environment) endAll(t *rapid.T) {
+	for holder := range e.running {
+		e.ended = append(e.ended, endedTask{holder, Clean})
+	}
+	clear(e.running)
+	clear(e.checkedOut)
+	e.outsideUnits = 0
+	for _, task := range e.ended {
+		e.ledger.Give(e.now, task.Ref, needs(1), task.end)
+	}
+	e.queries = nil
+	e.ledger.Failed(e.now, e.pool.Name)
+	for range 20 {
+		e.now += 2 * time.Second
+		e.ledger.Tick(e.now, time.Unix(0, 0))
+		e.query(t)
+		for _, query := range e.queries {
+			e.ledger.Answered(e.now+time.Millisecond, query.sentAt, e.pool.Name, query.answer, taskByName)
+		}
+		e.queries = nil
+	}
+}
+
+// In any order of starts, ends, crashes, answers and failovers, the server never has more units checked out than
+// there are; and when all tasks have ended, every unit is free again.
+func TestUnitsInUseNeverExceedCount(t *testing.T) {
+	maxInUse := 0
+	rapid.Check(t, func(t *rapid.T) {
+		pool := &Pool{
+			Name:     "p",
+			Count:    4,
+			Server:   "s",
+			Poll:     100 * time.Millisecond,
+			Linger:   5 * time.Second,
+			Reserve:  rapid.IntRange(0, 2).Draw(t, "reserve"),
+			Lowering: Wait,
+		}
+		e := newEnvironment(pool)
+		e.query(t)
+		e.answer(t)
+		t.Repeat(e.actions())
+		maxInUse = max(maxInUse, e.maxInUse)
+		e.endAll(t)
+		if free := e.ledger.pools[0].freeUnits(); free != pool.Count-pool.Reserve {
+			view := e.ledger.Show(e.now, 0, func(int32) string { return "" })
+			t.Fatalf("all tasks have ended and %d of %d units are free: %+v", free, pool.Count-pool.Reserve, view)
+		}
+	})
+	if maxInUse < 6 {
+		t.Fatalf("at most %d units were in use: the pool was never full", maxInUse)
+	}
+}
+
+// requireConsistentTotals recounts every pool's totals from its checkouts.
+func requireConsistentTotals(t *rapid.T, l *Ledger) {
+	t.Helper()
+	for _, pool := range l.pools {
+		var unitsByState [stateCount]int
+		counted, unconfirmed, missing := 0, 0, 0
+		teams := map[int32]int{}
+		for holder, c := range pool.checkouts {
+			unitsByState[c.state] += c.units
+			counted += max(c.units, c.reportedUnits)
+			if c.state != Free {
+				teams[c.team] += c.units
+			}
+			if c.state == Held && holder.Attempt == 0 {
+				unconfirmed += c.units
+			}
+			if c.isMissing {
+				missing++
+			}
+			if (c.state == Held || c.state == Booked) != (pool.active[holder.Ref] == holder) {
+				t.Fatalf("checkout %v is %s, the active one is %v", holder, c.state, pool.active[holder.Ref])
+			}
+		}
+		if unitsByState != pool.unitsByState || counted != pool.countedUnits ||
+			unconfirmed != pool.unconfirmedUnits || missing != pool.server.missingCheckouts {
+			t.Fatalf("kept %v, %d, %d, %d; recounted %v, %d, %d, %d",
+				pool.unitsByState, pool.countedUnits, pool.unconfirmedUnits, pool.server.missingCheckouts,
+				unitsByState, counted, unconfirmed, missing)
+		}
+		for team, usage := range pool.teams {
+			if usage.units != teams[team] {
+				t.Fatalf("team %d has %d units, recounted %d", team, usage.units, teams[team])
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/licences/poolstate.go
@@ -0,0 +1,223 @@
+package licences
+
+import (
+	"log/slog"
+	"slices"
+	"time"
+)
+
+// poolState is the state of one pool in one term: its checkouts, their totals, and what its server last answered.
+type poolState struct {
+	*Pool
+	catalog   *Catalog
+	index     int32
+	checkouts map[Holder]*checkout
+	active    map[Ref]Holder // the attempt of a task whose checkout is Booked or Held
+	teams     map[int32]*teamUsage
+	reserved  int // units kept for outside holders at present
+
+	countedUnits     int // of all checkouts
+	unitsByState     [stateCount]int
+	unconfirmedUnits int // Held by attempts that are still unknown
+
+	server serverStatus
+}
+
+// teamUsage is a team's quota of a pool and what it uses.
+type teamUsage struct {
+	Share
+	units int // Booked, Held or AwaitingRelease
+}
+
+func newPoolState(catalog *Catalog, index int32, teamIndex func(string) int32, now time.Duration) *poolState {
+	pool := catalog.pools[index]
+	p := &poolState{
+		Pool:      pool,
+		catalog:   catalog,
+		index:     index,
+		checkouts: map[Holder]*checkout{},
+		active:    map[Ref]Holder{},
+		teams:     map[int32]*teamUsage{},
+		reserved:  pool.Reserve,
+		server:    serverStatus{changedAt: now, answeredAt: now},
+	}
+	for name, share := range pool.Teams {
+		p.teams[teamIndex(name)] = &teamUsage{Share: share}
+	}
+	if pool.Server == "" && pool.Linger == 0 {
+		p.server.state = serverReachable // no unit can still be checked out from an earlier term
+	}
+	return p
+}
+
+// take counts a holder's units from now on. If another attempt of its task is active, it takes that one's place.
+func (p *poolState) take(now time.Duration, holder Holder, team int32, units int, to State) {
+	if active, ok := p.active[holder.Ref]; ok {
+		p.takeAgain(now, active, holder, to)
+		return
+	}
+	c := p.checkout(holder)
+	if c.state == AwaitingRelease {
+		// It was taken for gone and isn't.
+		p.setState(now, holder, c, Held)
+		return
+	}
+	before := c.countedUnits()
+	c.team = team
+	c.units = units
+	p.countedUnits += c.countedUnits() - before
+	p.setState(now, holder, c, to)
+}
+
+// takeAgain applies a further take of a task of which an attempt is active. A task that is Held is never Booked
+// again.
+func (p *poolState) takeAgain(now time.Duration, active, holder Holder, to State) {
+	if active != holder {
+		p.changeAttempt(now, active, holder.Attempt)
+	}
+	c := p.checkouts[holder]
+	isLaunched := c.state == Held && to == Booked
+	if c.state != to && !isLaunched {
+		p.setState(now, holder, c, to)
+	}
+}
+
+// changeAttempt moves an active checkout to another attempt of the same task: a report has named the attempt of a
+// task that was read from the durable plan. What the server reports for the old attempt remains counted.
+func (p *poolState) changeAttempt(now time.Duration, from Holder, attempt uint64) {
+	c := p.checkouts[from]
+	state, team, units := c.state, c.team, c.units
+	p.setState(now, from, c, Free)
+	p.take(now, Holder{from.Ref, attempt}, team, units, state)
+}
+
+// give ends the active checkout of a task that is proven to be gone.
+func (p *poolState) give(now time.Duration, ref Ref, end End) {
+	holder, ok := p.active[ref]
+	if !ok {
+		return
+	}
+	c := p.checkouts[holder]
+	if p.isReturned(c, end) {
+		p.setState(now, holder, c, Free)
+		return
+	}
+	c.releaseDeadline = now + p.Linger
+	p.setState(now, holder, c, AwaitingRelease)
+}
+
+// isReturned reports whether the units of a task that ended are surely not checked out any more.
+func (p *poolState) isReturned(c *checkout, end End) bool {
+	if c.state == Booked {
+		return true
+	}
+	if end == Unstarted && c.reportedUnits == 0 {
+		return true
+	}
+	return p.Server == "" && (end == Clean || p.Linger == 0)
+}
+
+// setState is the only place where a checkout's state changes. It keeps the totals, and removes a checkout that is
+// Free and that the server doesn't report.
+func (p *poolState) setState(now time.Duration, holder Holder, c *checkout, to State) {
+	if c.state != to && !slices.Contains(transitions[c.state], to) {
+		slog.Error("invalid licence checkout transition", "pool", p.Name, "from", c.state.String(), "to", to.String())
+	}
+	before := c.countedUnits()
+	p.addToTotals(holder, c, -c.units)
+	if !to.isActive() && p.active[holder.Ref] == holder {
+		delete(p.active, holder.Ref)
+	}
+	p.setMissing(c, false)
+	c.state = to
+	c.changedAt = now
+	if to == Free {
+		c.units = 0
+	}
+	if to.isActive() {
+		p.active[holder.Ref] = holder
+	}
+	p.addToTotals(holder, c, c.units)
+	p.countedUnits += c.countedUnits() - before
+	p.store(holder, c)
+}
+
+// addToTotals adds units, which may be negative, to the totals of a checkout's state and team.
+func (p *poolState) addToTotals(holder Holder, c *checkout, units int) {
+	if c.state == Free {
+		return
+	}
+	p.unitsByState[c.state] += units
+	p.team(c.team).units += units
+	if c.state == Held && holder.Attempt == 0 {
+		p.unconfirmedUnits += units
+	}
+}
+
+// store keeps a checkout, or removes it if neither the ledger nor the server counts any units for it.
+func (p *poolState) store(holder Holder, c *checkout) {
+	if c.state == Free && c.reportedUnits == 0 {
+		delete(p.checkouts, holder)
+	} else {
+		p.checkouts[holder] = c
+	}
+}
+
+// checkout returns a holder's checkout, or a new one that is Free and not stored yet.
+func (p *poolState) checkout(holder Holder) *checkout {
+	if c := p.checkouts[holder]; c != nil {
+		return c
+	}
+	return &checkout{}
+}
+
+// team returns a team's usage, which it creates if need be.
+func (p *poolState) team(index int32) *teamUsage {
+	usage := p.teams[index]
+	if usage == nil {
+		usage = &teamUsage{}
+		p.teams[index] = usage
+	}
+	return usage
+}
+
+// quota returns a team's quota; the zero value means that it has none.
+func (p *poolState) quota(team int32) Share {
+	if usage := p.teams[team]; usage != nil {
+		return usage.Share
+	}
+	return Share{}
+}
+
+// totalUnits returns how many units there are: the count, or the server's own count if that is less.
+func (p *poolState) totalUnits() int {
+	units := p.catalog.Count(p.index)
+	if p.server.count > 0 {
+		units = min(units, p.server.count)
+	}
+	return units
+}
+
+// freeUnits returns how many units are known to be free, never less than 0. It is 0 while the server's state is
+// unknown.
+func (p *poolState) freeUnits() int {
+	if !p.server.isUsable() {
+		return 0
+	}
+	// Outside holders use up the units that are kept for them first.
+	outside := max(p.outsideUnits(), p.reserved)
+	return max(0, p.totalUnits()-p.countedUnits-outside)
+}
+
+// outsideUnits returns how many units outside holders have. While the server lacks checkouts that still exist, its
+// last figure may be too low too, and the highest recent one applies.
+func (p *poolState) outsideUnits() int {
+	units := p.server.outsideUnits
+	if p.server.state != serverInconsistent && p.server.missingCheckouts == 0 {
+		return units
+	}
+	for _, sample := range p.server.outsideSamples {
+		units = max(units, sample.units)
+	}
+	return units
+}
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -1,205 +1,287 @@
 package licences
 
 import (
-	"errors"
-	"fmt"
+	"log/slog"
 	"time"
+)
+
+// Timing of the queries to a server.
+const (
+	// AskTimeout is the timeout of one query.
+	AskTimeout = 2 * time.Second
+
+	defaultPollInterval = 2 * time.Second
+	urgentPollDivisor   = 16 // of the poll interval while an answer is urgent
+	minPollInterval     = 100 * time.Millisecond
+
+	unreachableAfterPolls = 3 // poll intervals without an answer
+	minUnreachableAfter   = 3 * time.Second
+	minSampleWindow       = 5 * time.Second // for which figures of earlier answers are kept
+)
 
-	"github.com/go-json-experiment/json"
+// An answer is inconsistent if it lacks more than maxMissingTolerated running holders, which may just be ending,
+// and more than one in missingShareDivisor of all.
+const (
+	maxMissingTolerated = 2
+	missingShareDivisor = 4
 )
 
-// Answer is what a licence server says of a pool, as docs/licences.md publishes it.
-type Answer struct {
-	// Count is how many units the server gives out in all; 0 if it doesn't say.
-	Count   int     `json:"count"`
-	Holders []Entry `json:"holders"`
+// serverState is how far a pool's licence server is reachable and its answers are consistent.
+type serverState uint8
+
+// The states of a server and its transitions:
+//
+//	Unknown      -> Reachable     the first answer of the term
+//	Reachable    -> Unreachable   no valid answer for unreachableAfter: no task starts
+//	Unreachable  -> Reachable     an answer
+//	Reachable    -> Inconsistent  an answer lacks holders that surely still run: its figures of outside holders
+//	                              aren't taken as lower than recent ones
+//	Inconsistent -> Reachable     answers have listed them again, or they have ended, for a sample window
+//	Inconsistent -> Unreachable   no valid answer for unreachableAfter
+//
+// A pool without a server is Reachable from the start, or Unknown for as long as units of an earlier term may still
+// be checked out.
+const (
+	serverUnknown serverState = iota
+	serverReachable
+	serverUnreachable
+	serverInconsistent
+)
+
+// String returns the state's name in View.Line, where operators read it.
+func (s serverState) String() string { return [...]string{"unasked", "open", "silent", "doubted"}[s] }
+
+// serverStatus is what is known about a pool's licence server.
+type serverStatus struct {
+	state            serverState
+	changedAt        time.Duration // of state
+	answeredAt       time.Duration // when the query was sent that the newest valid answer is for
+	isQueryInFlight  bool
+	queriedAt        time.Duration
+	isAnswerAwaited  bool // a job waits for units: the next query is urgent
+	count            int  // total units by the last answer, 0 if it doesn't report them
+	outsideUnits     int  // of outside holders by the last answer
+	outsideSamples   []outsideSample
+	missingCheckouts int // Held checkouts that the last answer lacks although an earlier one had them
 }
 
-// Entry is one holder as the server knows it. Task is the task's name for our own holders and
-// anything else for others.
-type Entry struct {
-	Task    string `json:"holder"`
-	Attempt uint64 `json:"attempt"`
-	Units   int    `json:"units"`
+// outsideSample is the number of units that outside holders had by one answer.
+type outsideSample struct {
+	at    time.Duration
+	units int
 }
 
-// maxHolders bounds an answer.
-const maxHolders = 100_000
+// isUsable reports whether units may be given out by what the server has answered.
+func (s *serverStatus) isUsable() bool {
+	return s.state == serverReachable || s.state == serverInconsistent
+}
 
-// ParseAnswer reads a server's answer. An answer without the list of holders is none.
-func ParseAnswer(raw []byte) (Answer, error) {
-	var a Answer
-	if err := json.Unmarshal(raw, &a); err != nil {
-		return Answer{}, fmt.Errorf("licence server: %w", err)
+// addOutsideSample records the units of outside holders by an answer, and drops samples older than window.
+func (s *serverStatus) addOutsideSample(now time.Duration, units int, window time.Duration) {
+	s.outsideUnits = units
+	s.outsideSamples = append(s.outsideSamples, outsideSample{now, units})
+	for len(s.outsideSamples) > 1 && now-s.outsideSamples[0].at > window {
+		s.outsideSamples = s.outsideSamples[1:]
 	}
-	if a.Holders == nil {
-		return Answer{}, errors.New("licence server: the answer has no list \"holders\"")
+}
+
+// Due returns the pools whose servers are to be queried now, and marks their queries as in flight until Answered or
+// Failed is called. A server gets one query at a time: one in every poll interval, and more often while units await
+// release or a job waits for units.
+func (l *Ledger) Due(now time.Duration) []*Pool {
+	var due []*Pool
+	for _, pool := range l.pools {
+		if pool.isQueryDue(now) {
+			pool.server.isQueryInFlight = true
+			pool.server.queriedAt = now
+			pool.server.isAnswerAwaited = false
+			due = append(due, pool.Pool)
+		}
 	}
-	if len(a.Holders) > maxHolders || a.Count < 0 {
-		return Answer{}, errors.New("licence server: the answer is out of bounds")
+	return due
+}
+
+func (p *poolState) isQueryDue(now time.Duration) bool {
+	if p.Server == "" || p.server.isQueryInFlight {
+		return false
 	}
-	for _, e := range a.Holders {
-		if e.Units < 0 || e.Units > 1e6 {
-			return Answer{}, fmt.Errorf("licence server: holder %q has %d units", e.Task, e.Units)
-		}
+	interval := p.pollInterval()
+	isUrgent := p.server.state == serverUnknown || p.unitsByState[AwaitingRelease] > 0 || p.server.isAnswerAwaited
+	if isUrgent {
+		interval = max(minPollInterval, interval/urgentPollDivisor)
 	}
-	return a, nil
+	return p.server.queriedAt == 0 || now-p.server.queriedAt >= interval
 }
 
-// Due lists the pools whose servers are to be asked now and notes that they are being asked.
-// Each is asked one question at a time: every poll interval, and sooner while seats linger or
-// somebody waits for one.
-func (l *Ledger) Due(now time.Duration) (due []*Pool) {
-	for _, a := range l.pools {
-		if a.Server == "" || a.asking {
-			continue
-		}
-		every := a.poll()
-		if a.line == Unasked || a.byState[Lingering] > 0 || a.wanted {
-			every = max(leastPoll, every/16)
-		}
-		if a.askedAt == 0 || now-a.askedAt >= every {
-			a.asking, a.askedAt, a.wanted = true, now, false
-			due = append(due, a.Pool)
-		}
+func (p *poolState) pollInterval() time.Duration {
+	if p.Poll > 0 {
+		return p.Poll
 	}
-	return due
+	return defaultPollInterval
 }
 
-func (a *account) poll() time.Duration {
-	if a.Poll > 0 {
-		return a.Poll
+// unreachableAfter returns how long a server may go without a valid answer.
+func (p *poolState) unreachableAfter() time.Duration {
+	return max(unreachableAfterPolls*p.pollInterval(), minUnreachableAfter)
+}
+
+// sampleWindow returns for how long figures of earlier answers are kept.
+func (p *poolState) sampleWindow() time.Duration { return max(p.Linger, minSampleWindow) }
+
+// setServerState is the only place where a server's state changes.
+func (p *poolState) setServerState(now time.Duration, to serverState, cause string) {
+	if p.server.state == to {
+		return
 	}
-	return defaultPoll
+	slog.Warn("licence server state changed",
+		"pool", p.Name, "from", p.server.state.String(), "to", to.String(), "cause", cause)
+	p.server.state = to
+	p.server.changedAt = now
 }
 
-// window is for how long figures of the server are kept that it takes back.
-func (a *account) window() time.Duration { return max(a.Linger, leastWindow) }
+// Failed ends a query that got no valid answer.
+func (l *Ledger) Failed(_ time.Duration, pool string) {
+	if index, ok := l.catalog.Index(pool); ok {
+		l.pools[index].server.isQueryInFlight = false
+	}
+}
 
-// Failed takes over that a server was asked in vain.
-func (l *Ledger) Failed(now time.Duration, pool string) {
-	if ix, ok := l.cat.Index(pool); ok {
-		l.pools[ix].asking = false
+// Answered applies a server's answer to a query that was sent at sentAt. known returns the task of one of the
+// cluster's own holders by its name; all other holders are outside ones.
+func (l *Ledger) Answered(now, sentAt time.Duration, pool string, answer Answer, known func(task string) (Ref, bool)) {
+	if index, ok := l.catalog.Index(pool); ok {
+		l.pools[index].applyAnswer(now, sentAt, answer, known)
 	}
 }
 
-// Answered takes over a server's answer to a question that was sent at sent. known finds our
-// own task by its name; any other holder is somebody else.
-func (l *Ledger) Answered(now, sent time.Duration, pool string, ans Answer, known func(task string) (Ref, bool)) {
-	ix, ok := l.cat.Index(pool)
-	if !ok {
-		return
+func (p *poolState) applyAnswer(now, sentAt time.Duration, answer Answer, known func(task string) (Ref, bool)) {
+	p.server.isQueryInFlight = false
+	p.server.answeredAt = max(p.server.answeredAt, sentAt)
+	if !p.server.isUsable() {
+		p.setServerState(now, serverReachable, "answered")
 	}
-	a := l.pools[ix]
-	a.asking = false
-	a.answered = max(a.answered, sent)
-	if a.line == Unasked || a.line == Silent {
-		a.to(now, Open, "it answers")
-	}
-	a.serverN = ans.Count
-	shown := make(map[Holder]int, len(ans.Holders))
-	foreign := 0
-	for _, e := range ans.Holders {
-		ref, ours := known(e.Task)
-		if !ours {
-			foreign += e.Units
+	p.server.count = answer.Count
+	reported := make(map[Holder]int, len(answer.Holders))
+	outsideUnits := 0
+	for _, entry := range answer.Holders {
+		ref, isOwn := known(entry.Task)
+		if !isOwn {
+			outsideUnits += entry.Units
 			continue
 		}
-		shown[a.holder(ref, e.Attempt)] += e.Units
-	}
-	l.show(now, sent, a, shown)
-	a.foreign = foreign
-	a.recent = append(a.recent, past{now, foreign})
-	for len(a.recent) > 1 && now-a.recent[0].at > a.window() {
-		a.recent = a.recent[1:]
+		reported[p.reportedHolder(ref, entry.Attempt)] += entry.Units
 	}
-	l.doubt(now, a)
+	p.setReportedUnits(reported)
+	p.releaseReturned(now, sentAt)
+	p.server.addOutsideSample(now, outsideUnits, p.sampleWindow())
+	p.checkConsistency(now)
 }
 
-// holder finds whom an entry means. A server that can't tell attempts means the one that
-// holds the seat now.
-func (a *account) holder(ref Ref, attempt uint64) Holder {
+// reportedHolder returns the holder of an entry. Where a server doesn't report attempts, it is the active one.
+func (p *poolState) reportedHolder(ref Ref, attempt uint64) Holder {
 	if attempt == 0 {
-		if h, ok := a.current[ref]; ok && h.Attempt != 0 {
-			return h
+		if active, ok := p.active[ref]; ok && active.Attempt != 0 {
+			return active
 		}
 	}
 	return Holder{ref, attempt}
 }
 
-// show takes over what the server has for each of our holders. What lingers is free once an
-// answer lacks it that was asked for after the task was gone; but one that forgets those who
-// surely run proves nothing, and then the linger has to run out.
-func (l *Ledger) show(now, sent time.Duration, a *account, shown map[Holder]int) {
-	for h, s := range a.seats {
-		n := shown[h]
-		before := s.weight()
-		had := s.shown
-		s.shown = n
-		a.weight += s.weight() - before
+// setReportedUnits sets the units that the server reports for each of the cluster's own holders.
+func (p *poolState) setReportedUnits(reported map[Holder]int) {
+	for holder, c := range p.checkouts {
+		units := reported[holder]
+		before := c.countedUnits()
+		wasReported := c.reportedUnits > 0
+		c.reportedUnits = units
+		p.countedUnits += c.countedUnits() - before
 		switch {
-		case s.state == Held && n > 0 && s.late:
-			s.late = false
-			a.missing--
-		case s.state == Held && n == 0 && had > 0 && !s.late:
-			s.late = true
-			a.missing++
+		case c.state != Held:
+		case units > 0:
+			p.setMissing(c, false)
+		case wasReported:
+			p.setMissing(c, true)
 		}
-		a.keep(h, s)
+		p.store(holder, c)
 	}
-	for h, n := range shown {
-		if _, ok := a.seats[h]; !ok {
-			a.seats[h] = &seat{shown: n}
-			a.weight += n
+	for holder, units := range reported {
+		if _, ok := p.checkouts[holder]; !ok {
+			p.checkouts[holder] = &checkout{reportedUnits: units}
+			p.countedUnits += units
 		}
 	}
-	for h, s := range a.seats {
-		if s.state == Lingering && s.shown == 0 && sent > s.since && (!a.forgetful() || now >= s.until) {
-			l.set(now, a, h, s, Free)
+}
+
+// setMissing sets whether the server lacks a checkout that it has reported earlier.
+func (p *poolState) setMissing(c *checkout, isMissing bool) {
+	if c.isMissing == isMissing {
+		return
+	}
+	c.isMissing = isMissing
+	if isMissing {
+		p.server.missingCheckouts++
+	} else {
+		p.server.missingCheckouts--
+	}
+}
+
+// releaseReturned frees the checkouts that awaited release and that an answer lacks whose query was sent after
+// their task had ended. An answer that lacks running holders too proves nothing: then the deadline has to pass.
+func (p *poolState) releaseReturned(now, sentAt time.Duration) {
+	for holder, c := range p.checkouts {
+		if c.state != AwaitingRelease || c.reportedUnits > 0 || sentAt <= c.changedAt {
+			continue
+		}
+		if !p.lacksRunningHolders() || now >= c.releaseDeadline {
+			p.setState(now, holder, c, Free)
 		}
 	}
 }
 
-// forgetful tells whether the server lacks many of those who surely hold seats: more than a
-// task or two that are just ending.
-func (a *account) forgetful() bool { return a.missing > 2 && a.missing*4 > len(a.current) }
+// lacksRunningHolders reports whether the server lacks more of the running holders than those that may be ending.
+func (p *poolState) lacksRunningHolders() bool {
+	missing := p.server.missingCheckouts
+	return missing > maxMissingTolerated && missing*missingShareDivisor > len(p.active)
+}
 
-// doubt judges whether a server can be believed, from what it has forgotten.
-func (l *Ledger) doubt(now time.Duration, a *account) {
+// checkConsistency sets the server's state by whether its answers list the running holders.
+func (p *poolState) checkConsistency(now time.Duration) {
+	isConsistent := !p.lacksRunningHolders()
 	switch {
-	case a.line == Open && a.forgetful():
-		a.to(now, Doubted, "it lacks holders that still run")
-	case a.line == Doubted && !a.forgetful() && now-a.lineAt > a.window():
-		a.to(now, Open, "it has the holders that run")
+	case p.server.state == serverReachable && !isConsistent:
+		p.setServerState(now, serverInconsistent, "the answer lacks running holders")
+	case p.server.state == serverInconsistent && isConsistent && now-p.server.changedAt > p.sampleWindow():
+		p.setServerState(now, serverReachable, "the answers list the running holders again")
 	}
 }
 
-// Tick lets time pass: servers fall silent, lingers end, reserves change with the time of day.
+// Tick applies the time: servers become unreachable, units that await release become free, and the units kept for
+// outside holders follow the wall clock.
 func (l *Ledger) Tick(now time.Duration, wall time.Time) {
-	for _, a := range l.pools {
-		a.reserve = a.ReserveAt(wall)
-		if a.Server == "" {
-			l.unserved(now, a)
+	for _, pool := range l.pools {
+		pool.reserved = pool.ReserveAt(wall)
+		if pool.Server == "" {
+			pool.releaseExpired(now, l.startedAt)
 			continue
 		}
-		if limit := max(silentPolls*a.poll(), leastSilent); a.line != Unasked && now-a.answered > limit {
-			a.to(now, Silent, "no answer")
+		if pool.server.state != serverUnknown && now-pool.server.answeredAt > pool.unreachableAfter() {
+			pool.setServerState(now, serverUnreachable, "no answer")
 		}
 	}
 }
 
-// unserved lets time pass for a pool that nobody can be asked about: only the linger says when
-// a crashed holder's seat is free, also for seats of an earlier term that nobody remembers.
-func (l *Ledger) unserved(now time.Duration, a *account) {
-	if a.line == Unasked && now-l.since >= a.Linger {
-		a.to(now, Open, "nothing of an earlier term can linger any more")
+// releaseExpired frees the units of crashed holders of a pool without a server. Only Pool.Linger tells when they
+// are returned, also for those of an earlier term, of which this ledger has no record.
+func (p *poolState) releaseExpired(now, termStartedAt time.Duration) {
+	if p.server.state == serverUnknown && now-termStartedAt >= p.Linger {
+		p.setServerState(now, serverReachable, "checkouts of earlier terms have expired")
 	}
-	if a.byState[Lingering] == 0 {
+	if p.unitsByState[AwaitingRelease] == 0 {
 		return
 	}
-	for h, s := range a.seats {
-		if s.state == Lingering && now >= s.until {
-			l.set(now, a, h, s, Free)
+	for holder, c := range p.checkouts {
+		if c.state == AwaitingRelease && now >= c.releaseDeadline {
+			p.setState(now, holder, c, Free)
 		}
 	}
 }
