--- /dev/null
+++ b/internal/licences/answer_test.go
@@ -0,0 +1,35 @@
+package licences
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+func TestParseAnswerChecksBounds(t *testing.T) {
+	holders := func(n int) string {
+		return fmt.Sprintf(`{"holders":[%s]}`, strings.TrimSuffix(strings.Repeat("{},", n), ","))
+	}
+	for _, c := range []struct {
+		name, raw string
+		err       string // "": none
+	}{
+		{"no holders", `{"count":3,"holders":[]}`, ""},
+		{"largest holder", `{"holders":[{"holder":"a","attempt":1,"units":1000000}]}`, ""},
+		{"most holders", holders(maxHolders), ""},
+		{"not JSON", `{`, "licence server: "},
+		{"list missing", `{"count":3}`, `no list "holders"`},
+		{"count negative", `{"count":-1,"holders":[]}`, "out of bounds"},
+		{"too many holders", holders(maxHolders + 1), "out of bounds"},
+		{"units negative", `{"holders":[{"holder":"a","units":-1}]}`, `holder "a" has -1 units`},
+		{"too many units", `{"holders":[{"holder":"a","units":1000001}]}`, `holder "a" has 1000001 units`},
+	} {
+		_, err := ParseAnswer([]byte(c.raw))
+		switch {
+		case c.err == "" && err != nil:
+			t.Errorf("%s: %v", c.name, err)
+		case c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)):
+			t.Errorf("%s: error %v, want %q", c.name, err, c.err)
+		}
+	}
+}
--- a/internal/licences/ledger_test.go
+++ b/internal/licences/ledger_test.go
@@ -121,3 +121,17 @@
 		t.Fatalf("server state %s, want %s", state, want)
 	}
 }
+
+// The server's own count bounds the units where it is lower than the pool's count, and only there.
+func TestServerCountBoundsUnits(t *testing.T) {
+	for _, c := range []struct{ serverCount, want int }{
+		{0, 5}, // not reported
+		{3, 3},
+		{5, 5},
+		{8, 5},
+	} {
+		r := newServerRig(5)
+		r.Answered(0, 0, "p", Answer{Count: c.serverCount, Holders: []Entry{}}, taskByName)
+		r.requireFree(t, c.want, fmt.Sprintf("server count %d", c.serverCount))
+	}
+}
