--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,89 +1,110 @@
-// Package events keeps what happened lately to jobs, tasks and machines, for whoever asks. It is the
-// leader's: a bounded ring in memory that begins with its term and takes no write of the state service.
-// Machines are dense indices; whoever shows an event maps them back.
+// Package events keeps the recent events of jobs, tasks, machines, zones and rollouts. Its log belongs to the leader:
+// a bounded ring buffer in memory that starts empty with the leader's term. It is never written to the state service,
+// reads no clock and isn't safe for concurrent use: the controller's event loop is the only caller. The fleet and the
+// controller add events; the controller's API reads them.
 package events
 
 import "time"
 
-// Kind is what happened.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds. Their words are stable: programs may depend on them.
+// The kinds of events. Their names as of Kind.String are part of the API.
 const (
-	Term         Kind = iota // the leader's term began; what was before isn't kept here
-	JobAccepted              // the leader has learnt of a job
-	JobDone                  // its end is durable
-	JobCancelled             // the same
-	TaskSent                 // its launch goes to a machine
-	TaskFound                // seen or counted on a machine that another leader sent it to
-	TaskRunning              // it runs
-	TaskStopping             // it is to be stopped
-	TaskEnded                // it exited, and the note says why
-	TaskVanished             // its machine knows it no more
-	TaskLost                 // its machine is gone
-	TaskDone                 // it is done
-	Machine                  // a machine's condition changed; the note says to what
-	Zone                     // a zone's state changed; the note says which, and to what
-	Rollout                  // a rollout's state changed; the note says to which, and why
+	Term         Kind = iota // the leader's term began; earlier events aren't in the log
+	JobAccepted              // the leader read or accepted a job
+	JobDone                  // the job's end is durable
+	JobCancelled             // the job's cancellation is durable
+	TaskSent                 // the task's launch is sent to a machine
+	TaskFound                // the task was found on a machine, or is counted there: an earlier leader launched it
+	TaskRunning              // the task runs
+	TaskStopping             // the task is to be stopped
+	TaskEnded                // the task exited; the note has the reason
+	TaskVanished             // the task's machine reports it no longer
+	TaskLost                 // the task's machine is gone
+	TaskDone                 // the task is done
+	Machine                  // a machine's condition changed; the note has the new one
+	Zone                     // a zone's state changed; the note has the zone and its new state
+	Rollout                  // a rollout's state changed; the note has the new state and the reason
 )
 
-var kinds = [...]string{
-	"term", "job_accepted", "job_done", "job_cancelled", "task_sent", "task_found", "task_running", "task_stopping",
-	"task_ended", "task_vanished", "task_lost", "task_done", "machine", "zone", "rollout",
+var kindNames = [...]string{
+	Term:         "term",
+	JobAccepted:  "job_accepted",
+	JobDone:      "job_done",
+	JobCancelled: "job_cancelled",
+	TaskSent:     "task_sent",
+	TaskFound:    "task_found",
+	TaskRunning:  "task_running",
+	TaskStopping: "task_stopping",
+	TaskEnded:    "task_ended",
+	TaskVanished: "task_vanished",
+	TaskLost:     "task_lost",
+	TaskDone:     "task_done",
+	Machine:      "machine",
+	Zone:         "zone",
+	Rollout:      "rollout",
 }
 
-func (k Kind) String() string { return kinds[k] }
+// String returns the kind's name in the API.
+func (k Kind) String() string { return kindNames[k] }
 
-// None stands for no task or machine.
+// None stands for no task or machine in an Event.
 const None = -1
 
-// Event is one thing that happened.
+// Event is one event of the log.
 type Event struct {
-	Seq     uint64        // 1 is the first of the term
-	At      time.Duration // on the leader's steady clock
+	Seq     uint64        // the event's number within the term, from 1; Log.Add sets it
+	At      time.Duration // on the leader's monotonic clock
 	Kind    Kind
-	Saved   bool   // TaskEnded: with its work saved
-	Job     string // its id, or ""; an ended job's index would mean nothing once it is archived
-	Task    int32
-	Machine int32 // by the leader's fleet, or None
+	Saved   bool   // TaskEnded: the task wrote a checkpoint
+	Job     string // the job's id, "" if none; an index would be void once the job is archived
+	Task    int32  // the task's index in the job, or None
+	Machine int32  // the machine's dense index in the leader's fleet, or None
 	Attempt uint64
 	Note    string
 }
 
-// Log is the ring. A nil Log takes nothing.
+// Log is a ring buffer of events. Adding to a nil Log does nothing.
 type Log struct {
 	ring []Event
 	next uint64 // sequence number of the next event
 }
 
-// New makes a log that keeps the last size events.
-func New(size int) *Log { return &Log{ring: make([]Event, 0, max(1, size)), next: 1} }
+// New returns a log that keeps the last size events, at least one.
+func New(size int) *Log {
+	return &Log{ring: make([]Event, 0, max(1, size)), next: 1}
+}
 
-// Add keeps an event and gives it its number.
-func (l *Log) Add(e Event) {
+// Add sets an event's sequence number and adds it to the log. A full log drops its oldest event.
+func (l *Log) Add(event Event) {
 	if l == nil {
 		return
 	}
-	e.Seq = l.next
+	event.Seq = l.next
 	l.next++
 	if len(l.ring) < cap(l.ring) {
-		l.ring = append(l.ring, e)
+		l.ring = append(l.ring, event)
 		return
 	}
-	l.ring[(e.Seq-1)%uint64(len(l.ring))] = e
+	*l.at(event.Seq) = event
 }
 
-// First is the number of the oldest event that is kept, Next that of the one to come.
+// at returns the ring's element for a sequence number.
+func (l *Log) at(seq uint64) *Event { return &l.ring[(seq-1)%uint64(len(l.ring))] }
+
+// First returns the sequence number of the oldest event in the log; it equals Next while the log is empty.
 func (l *Log) First() uint64 { return l.next - uint64(len(l.ring)) }
 
-// Next is the number of the event to come.
+// Next returns the sequence number of the next event to be added.
 func (l *Log) Next() uint64 { return l.next }
 
-// Since calls f for each event that is kept, from a number on, until it says no; it returns the
-// number of the first event that f has not taken.
-func (l *Log) Since(from uint64, f func(*Event) bool) uint64 {
+// Since calls visit for each event in the log with a sequence number of at least from, in order, until visit returns
+// false. It returns the sequence number to continue at: that of the event for which visit returned false, or Next.
+// The event must not be kept or changed.
+func (l *Log) Since(from uint64, visit func(*Event) bool) uint64 {
 	for seq := max(from, l.First()); seq < l.next; seq++ {
-		if !f(&l.ring[(seq-1)%uint64(len(l.ring))]) {
+		if !visit(l.at(seq)) {
 			return seq
 		}
 	}
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -2,17 +2,50 @@
 
 import (
 	"flag"
+	"os"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// The same verdict every time.
-func init() { _ = flag.Set("rapid.seed", "1") }
+// TestMain sets a fixed seed, so that a run gives the same result every time.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	_ = flag.Set("rapid.seed", "1")
+	os.Exit(m.Run())
+}
+
+// listSince is the model of Log.Since on the list of all events ever added: it returns at most limit of the last size
+// ones, from a sequence number on, and the sequence number to continue at.
+func listSince(all []Event, size int, from uint64, limit int) (read []Event, next uint64) {
+	for _, event := range all[max(0, len(all)-size):] {
+		if event.Seq < from {
+			continue
+		}
+		if len(read) == limit {
+			return read, event.Seq
+		}
+		read = append(read, event)
+	}
+	return read, uint64(len(all) + 1)
+}
+
+// logSince reads at most limit events from a log.
+func logSince(l *Log, from uint64, limit int) (read []Event, next uint64) {
+	next = l.Since(from, func(event *Event) bool {
+		if len(read) == limit {
+			return false
+		}
+		read = append(read, *event)
+		return true
+	})
+	return read, next
+}
 
-// The ring against a plain list: whatever is added, a reader from any number on gets what is left of it,
-// in order, and where to go on.
-func TestRing(t *testing.T) {
+// After each addition, a reader from any sequence number gets the events that are left, in order, and where to
+// continue.
+func TestSinceMatchesPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
 		l := New(size)
@@ -20,36 +53,31 @@
 		for i := range rapid.IntRange(0, 30).Draw(t, "n") {
 			l.Add(Event{Task: int32(i)})
 			all = append(all, Event{Seq: uint64(i + 1), Task: int32(i)})
-			from, most := uint64(rapid.IntRange(0, i+3).Draw(t, "from")), rapid.IntRange(0, 10).Draw(t, "most")
-			var want, got []Event
-			next := uint64(len(all) + 1)
-			for k, e := range all {
-				if k < len(all)-size || e.Seq < from {
-					continue
-				}
-				if len(want) == most {
-					next = e.Seq
-					break
-				}
-				want = append(want, e)
-			}
-			end := l.Since(from, func(e *Event) bool {
-				if len(got) == most {
-					return false
-				}
-				got = append(got, *e)
-				return true
-			})
-			if len(got) != len(want) || end != next {
-				t.Fatalf("from %d at most %d: %v up to %d, want %v up to %d", from, most, got, end, want, next)
-			}
-			for k := range got {
-				if got[k] != want[k] {
-					t.Fatalf("got %v, want %v", got, want)
-				}
+			from := uint64(rapid.IntRange(0, i+3).Draw(t, "from"))
+			limit := rapid.IntRange(0, 10).Draw(t, "limit")
+			want, wantNext := listSince(all, size, from, limit)
+			got, gotNext := logSince(l, from, limit)
+			if !slices.Equal(got, want) || gotNext != wantNext {
+				t.Fatalf("from %d at most %d: %v up to %d, want %v up to %d", from, limit, got, gotNext, want, wantNext)
 			}
 		}
 	})
-	var none *Log
-	none.Add(Event{}) // must not panic: tests of other slices have no log
+}
+
+// Tests of other packages have no log.
+func TestAddToNilLogDoesNothing(*testing.T) {
+	var l *Log
+	l.Add(Event{})
+}
+
+// Kind names are part of the API: every kind has one of its own.
+func TestEveryKindHasItsOwnName(t *testing.T) {
+	seen := map[string]Kind{}
+	for kind := Term; kind <= Rollout; kind++ {
+		name := kind.String()
+		if other, ok := seen[name]; ok || name == "" {
+			t.Errorf("kind %d has the name %q, kind %d too", kind, name, other)
+		}
+		seen[name] = kind
+	}
 }
