--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -4,129 +4,213 @@
 	"errors"
 	"flag"
 	"fmt"
+	"os"
 	"strings"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-func init() { _ = flag.Set("rapid.seed", "1") }
+// TestMain sets a fixed seed, so that a run gives the same result every time.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	_ = flag.Set("rapid.seed", "1")
+	os.Exit(m.Run())
+}
+
+var testFields = Fields{"team": Text, "class": Text, "waiting": Number, "done": Number}
+
+// testRow is a row of testFields.
+type testRow struct {
+	texts   map[string]string
+	numbers map[string]float64
+}
+
+// Text panics for a field that isn't a text: a filter must not ask for one.
+func (r testRow) Text(field string) string {
+	text, ok := r.texts[field]
+	if !ok {
+		panic("no text field " + field)
+	}
+	return text
+}
 
-var fields = Fields{"team": Text, "class": Text, "waiting": Number, "done": Number}
+// Number panics for a field that isn't a number.
+func (r testRow) Number(field string) float64 {
+	number, ok := r.numbers[field]
+	if !ok {
+		panic("no number field " + field)
+	}
+	return number
+}
 
-type row map[string]any
+func newTestRow(team, class string, waiting, done float64) testRow {
+	return testRow{
+		texts:   map[string]string{"team": team, "class": class},
+		numbers: map[string]float64{"waiting": waiting, "done": done},
+	}
+}
 
-func (r row) Text(f string) string    { return r[f].(string) }
-func (r row) Number(f string) float64 { return r[f].(float64) }
+// predicate is the model of a filter.
+type predicate func(testRow) bool
 
-// draw makes a filter and, beside its text, what it means: the plain model.
-func draw(t *rapid.T, deep int) (string, func(row) bool) {
-	switch n := rapid.IntRange(0, 5).Draw(t, "kind"); {
-	case n < 3 || deep == 0:
+// drawFilter draws a filter's text and the predicate that it stands for.
+func drawFilter(t *rapid.T, depth int) (string, predicate) {
+	kind := rapid.IntRange(0, 5).Draw(t, "kind")
+	if kind < 3 || depth == 0 {
 		if rapid.Bool().Draw(t, "text") {
-			f, want := rapid.SampledFrom([]string{"team", "class"}).Draw(t, "field"), rapid.SampledFrom([]string{"red", "blue", "e"}).Draw(t, "value")
-			shown := want
-			if rapid.Bool().Draw(t, "quoted") {
-				shown = `"` + want + `"`
-			}
-			switch op := rapid.SampledFrom([]string{"=", "!=", "~"}).Draw(t, "op"); op {
-			case "=":
-				return f + " = " + shown, func(r row) bool { return r[f] == want }
-			case "!=":
-				return f + "!=" + shown, func(r row) bool { return r[f] != want }
-			}
-			return f + " ~ " + shown, func(r row) bool { return strings.Contains(r[f].(string), want) }
-		}
-		f, want := rapid.SampledFrom([]string{"waiting", "done"}).Draw(t, "field"), float64(rapid.IntRange(-1, 4).Draw(t, "number"))
-		op := rapid.SampledFrom([]string{"=", "!=", "<", "<=", ">", ">="}).Draw(t, "op")
-		return fmt.Sprintf("%s%s %g", f, op, want), func(r row) bool {
-			has := r[f].(float64)
-			return map[string]bool{"=": has == want, "!=": has != want, "<": has < want, "<=": has <= want, ">": has > want, ">=": has >= want}[op]
+			return drawTextComparison(t)
 		}
-	case n == 3:
-		a, fa := draw(t, deep-1)
-		return "not (" + a + ")", func(r row) bool { return !fa(r) }
+		return drawNumberComparison(t)
 	}
-	a, fa := draw(t, deep-1)
-	b, fb := draw(t, deep-1)
+	left, matchLeft := drawFilter(t, depth-1)
+	if kind == 3 {
+		return "not (" + left + ")", func(r testRow) bool { return !matchLeft(r) }
+	}
+	right, matchRight := drawFilter(t, depth-1)
 	if rapid.Bool().Draw(t, "and") {
-		return "(" + a + ") and (" + b + ")", func(r row) bool { return fa(r) && fb(r) }
+		return "(" + left + ") and (" + right + ")", func(r testRow) bool { return matchLeft(r) && matchRight(r) }
+	}
+	return "(" + left + ") or (" + right + ")", func(r testRow) bool { return matchLeft(r) || matchRight(r) }
+}
+
+func drawTextComparison(t *rapid.T) (string, predicate) {
+	field := rapid.SampledFrom([]string{"team", "class"}).Draw(t, "field")
+	want := rapid.SampledFrom([]string{"red", "blue", "e"}).Draw(t, "value")
+	value := want
+	if rapid.Bool().Draw(t, "quoted") {
+		value = `"` + want + `"`
+	}
+	switch rapid.SampledFrom([]string{"=", "!=", "~"}).Draw(t, "op") {
+	case "=":
+		return field + " = " + value, func(r testRow) bool { return r.texts[field] == want }
+	case "!=":
+		return field + "!=" + value, func(r testRow) bool { return r.texts[field] != want }
+	}
+	return field + " ~ " + value, func(r testRow) bool { return strings.Contains(r.texts[field], want) }
+}
+
+func drawNumberComparison(t *rapid.T) (string, predicate) {
+	field := rapid.SampledFrom([]string{"waiting", "done"}).Draw(t, "field")
+	want := float64(rapid.IntRange(-1, 4).Draw(t, "number"))
+	op := rapid.SampledFrom([]string{"=", "!=", "<", "<=", ">", ">="}).Draw(t, "op")
+	return fmt.Sprintf("%s%s %g", field, op, want), func(r testRow) bool {
+		actual := r.numbers[field]
+		return map[string]bool{
+			"=":  actual == want,
+			"!=": actual != want,
+			"<":  actual < want,
+			"<=": actual <= want,
+			">":  actual > want,
+			">=": actual >= want,
+		}[op]
 	}
-	return "(" + a + ") or (" + b + ")", func(r row) bool { return fa(r) || fb(r) }
 }
 
-// A filter matches just what it means.
-func TestFiltersMeanWhatTheySay(t *testing.T) {
-	yes, no := 0, 0
+func drawRow(t *rapid.T) testRow {
+	return newTestRow(
+		rapid.SampledFrom([]string{"red", "blue", ""}).Draw(t, "team"),
+		rapid.SampledFrom([]string{"red", "audit"}).Draw(t, "class"),
+		float64(rapid.IntRange(-1, 4).Draw(t, "waiting")),
+		float64(rapid.IntRange(-1, 4).Draw(t, "done")),
+	)
+}
+
+func TestFilterMatchesLikeItsPredicate(t *testing.T) {
+	matched, unmatched := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		text, means := draw(t, 3)
-		f, err := Parse(text, fields)
+		text, matches := drawFilter(t, 3)
+		filter, err := Parse(text, testFields)
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
 		for range 10 {
-			r := row{
-				"team": rapid.SampledFrom([]string{"red", "blue", ""}).Draw(t, "team"), "class": rapid.SampledFrom([]string{"red", "audit"}).Draw(t, "class"),
-				"waiting": float64(rapid.IntRange(-1, 4).Draw(t, "waiting")), "done": float64(rapid.IntRange(-1, 4).Draw(t, "done")),
-			}
-			if f.Match(r, fields) != means(r) {
-				t.Fatalf("%s matches %v: %v", text, r, !means(r))
+			row := drawRow(t)
+			want := matches(row)
+			if filter.Match(row, testFields) != want {
+				t.Fatalf("%s matches %v: %v, want %v", text, row, !want, want)
 			}
-			if means(r) {
-				yes++
+			if want {
+				matched++
 			} else {
-				no++
+				unmatched++
 			}
 		}
 	})
-	if yes < 100 || no < 100 {
-		t.Fatalf("%d matched, %d not: the model does not exercise the code", yes, no)
+	if matched < 100 || unmatched < 100 {
+		t.Fatalf("%d matched, %d not: the model does not exercise the code", matched, unmatched)
 	}
 }
 
-// and binds more tightly than or, not more tightly than both; an empty filter matches everything.
+// "not" binds more tightly than "and", which binds more tightly than "or"; an empty filter matches everything.
 func TestPrecedence(t *testing.T) {
-	r := row{"team": "red", "class": "audit", "waiting": 1.0, "done": 0.0}
+	row := newTestRow("red", "audit", 1, 0)
 	for text, want := range map[string]bool{
-		"": true, "team = blue and waiting = 1 or done = 0": true, "done = 0 or waiting = 1 and team = blue": true, "(done = 0 or waiting = 1) and team = blue": false,
-		"not team = blue and done = 0": true, "not not team = red": true,
+		"": true,
+		"team = blue and waiting = 1 or done = 0":   true,
+		"done = 0 or waiting = 1 and team = blue":   true,
+		"(done = 0 or waiting = 1) and team = blue": false,
+		"not team = blue and done = 0":              true,
+		"not not team = red":                        true,
 	} {
-		f, err := Parse(text, fields)
-		if err != nil || f.Match(r, fields) != want {
-			t.Errorf("%q: %v, %v", text, f.Match(r, fields), err)
+		filter, err := Parse(text, testFields)
+		if err != nil || filter.Match(row, testFields) != want {
+			t.Errorf("%q: %v, %v", text, filter.Match(row, testFields), err)
 		}
 	}
 }
 
-// What is wrong is said with its column, and nothing is read for long.
-func TestErrorsPointAtTheColumn(t *testing.T) {
+// An error has the column where the filter is wrong; filters that are too long or too deep are refused.
+func TestErrorsHaveTheColumn(t *testing.T) {
 	for text, want := range map[string]int{
-		"team = ": 8, "teem = red": 1, "team = red and waitin > 3": 16, "waiting > many": 11, "waiting ~ 3": 1, "team < red": 1, "(team = red": 12, "team = red)": 11, "team = red & done = 1": 12,
-		strings.Repeat("(", 100) + "done = 1" + strings.Repeat(")", 100): 1, strings.Repeat("not ", 400) + "done = 1": 1, strings.Repeat("x", 3000): maxLength,
+		"team = ":                   8,
+		"teem = red":                1,
+		"team = red and waitin > 3": 16,
+		"waiting > many":            11,
+		"waiting ~ 3":               1,
+		"team < red":                1,
+		"(team = red":               12,
+		"team = red)":               11,
+		"team = red & done = 1":     12,
+		strings.Repeat("(", 100) + "done = 1" + strings.Repeat(")", 100): 1,
+		strings.Repeat("not ", 400) + "done = 1":                         1,
+		strings.Repeat("x", 3000):                                        maxLength,
 	} {
-		_, err := Parse(text, fields)
-		var e *Error
-		if !errors.As(err, &e) || e.Column != want {
+		_, err := Parse(text, testFields)
+		var filterError *Error
+		if !errors.As(err, &filterError) || filterError.Column != want {
 			t.Errorf("%.60q: %v, want column %d", text, err, want)
 		}
 	}
-	if _, err := Parse(strings.Repeat("done = 1 or ", 70)+"done = 1", fields); err == nil || !strings.Contains(err.Error(), "at most 64") {
+}
+
+func TestNumberOfComparisonsIsBounded(t *testing.T) {
+	_, err := Parse(strings.Repeat("done = 1 or ", 70)+"done = 1", testFields)
+	if err == nil || !strings.Contains(err.Error(), "at most 64") {
 		t.Errorf("70 comparisons: %v", err)
 	}
 }
 
+// Any text either parses to a filter that can match rows or gives an error with a column.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{"team = red", `class ~ "a b" and not (done >= 3 or waiting < -1.5)`, "((", "not not", "\x00", "team = \"red"} {
-		f.Add(s)
+	for _, text := range []string{
+		"team = red",
+		`class ~ "a b" and not (done >= 3 or waiting < -1.5)`,
+		"((",
+		"not not",
+		"\x00",
+		"team = \"red",
+	} {
+		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		q, err := Parse(text, fields)
-		var e *Error
-		if err != nil && (!errors.As(err, &e) || e.Column < 1) {
+		filter, err := Parse(text, testFields)
+		var filterError *Error
+		if err != nil && (!errors.As(err, &filterError) || filterError.Column < 1) {
 			t.Fatalf("%q: error %v without a column", text, err)
 		}
 		if err == nil {
-			q.Match(row{"team": "", "class": "", "waiting": 0.0, "done": 0.0}, fields)
+			filter.Match(newTestRow("", "", 0, 0), testFields)
 		}
 	})
 }
