--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -1,157 +1,195 @@
-// Package calendar knows named hours of a named time zone: "Mon-Fri 09:00 to 18:00 in
-// Asia/Tokyo". A window follows what a clock on the wall of that zone shows, so it is right
-// over daylight-saving changes, midnight and month ends. The package holds no clock: the
-// time is an argument.
+// Package calendar implements weekly windows of wall-clock time in a named time zone, such as Monday to Friday from
+// 09:00 to 18:00 in Asia/Tokyo. A window follows the zone's local time across changes of daylight-saving time,
+// midnight and month ends. The package reads no clock: the time is an argument. The settings parse windows; licence
+// pools and the policies of sessions evaluate them.
 package calendar
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
 	"time"
 
-	// Controllers have no disk: the zones come with the program.
+	// Controllers have no disk: the time zones are part of the program.
 	_ "time/tzdata"
 )
 
 const (
-	dayMinutes = 24 * 60
-	// horizon bounds the search for a change, in days: no window is silent for longer, since
-	// each has at least one day of the week, and a clock change can swallow it for one week.
-	horizon = 22
+	daysPerWeek   = 7
+	hoursPerDay   = 24
+	minutesPerDay = hoursPerDay * 60
+
+	// searchHorizon bounds the search for a window's next change. A window has at least one day of the week, and a
+	// change of the clock can leave it out in one week.
+	searchHorizon = 22 * hoursPerDay * time.Hour
 )
 
-// Window is a weekly stretch of wall-clock time. The zero value contains nothing.
+// Window is a weekly window of wall-clock time. The zero value contains nothing.
 //
-// A window whose end is not after its start runs over midnight and belongs to the day on which
-// it begins. What the clock skips in spring is not in the window, and what it shows twice in
-// autumn is in it twice.
+// A window whose end isn't after its start runs over midnight and belongs to the day on which it starts. A local time
+// that a change of the clock skips isn't in the window; one that occurs twice is in it twice.
 type Window struct {
-	days     [7]bool // by time.Weekday, of the start
-	from, to int     // minutes of the day; from is below dayMinutes, to at most dayMinutes
-	loc      *time.Location
+	days     [daysPerWeek]bool // by time.Weekday, on which the window starts
+	start    int               // minute of the day, below minutesPerDay
+	end      int               // minute of the day, at most minutesPerDay
+	location *time.Location    // nil in the zero value
 }
 
-var dayNames = [...]string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
-
-func weekday(s string) (int, error) {
-	for i, n := range dayNames {
-		if strings.EqualFold(strings.TrimSpace(s), n) {
-			return i, nil
-		}
+// Contains reports whether a moment lies in the window.
+func (w Window) Contains(moment time.Time) bool {
+	if w.location == nil {
+		return false
 	}
-	return 0, fmt.Errorf("%q is no day of the week (use Mon, Tue, Wed, Thu, Fri, Sat, Sun)", strings.TrimSpace(s))
-}
-
-func minutes(s string) (int, error) {
-	h, m, ok := strings.Cut(strings.TrimSpace(s), ":")
-	hh, e1 := strconv.Atoi(h)
-	mm, e2 := strconv.Atoi(m)
-	if !ok || len(m) != 2 || e1 != nil || e2 != nil || hh < 0 || mm < 0 || mm > 59 || hh*60+mm > dayMinutes {
-		return 0, fmt.Errorf("%q is no time of day (use HH:MM, 00:00 to 24:00)", strings.TrimSpace(s))
+	local := moment.In(w.location)
+	minute := local.Hour()*60 + local.Minute()
+	today := int(local.Weekday())
+	if w.start < w.end {
+		return w.days[today] && minute >= w.start && minute < w.end
 	}
-	return hh*60 + mm, nil
+	yesterday := (today + daysPerWeek - 1) % daysPerWeek
+	return (w.days[today] && minute >= w.start) || (w.days[yesterday] && minute < w.end)
 }
 
-// Parse makes a window from days ("Mon-Fri", "Fri,Sun", "daily"), two times of day ("18:00")
-// and the name of a time zone ("Asia/Tokyo"). Its error says which of them is wrong.
-func Parse(days, from, to, zone string) (Window, error) {
-	w := Window{}
-	if strings.EqualFold(strings.TrimSpace(days), "daily") {
-		days = "Mon-Sun"
+// Next returns the first moment after a given one at which Contains changes. ok is false for a window that never
+// changes, such as one of every day from 00:00 to 00:00.
+func (w Window) Next(after time.Time) (next time.Time, ok bool) {
+	if w.location == nil {
+		return time.Time{}, false
 	}
-	for _, part := range strings.Split(days, ",") {
-		a, b, ranged := strings.Cut(part, "-")
-		lo, err := weekday(a)
-		if err != nil {
-			return Window{}, err
+	isInside := w.Contains(after)
+	horizon := after.Add(searchHorizon)
+	for from := after; from.Before(horizon); {
+		// Between two changes of the zone's offset, local time runs as evenly as absolute time.
+		to := horizon
+		if _, offsetChange := from.In(w.location).ZoneBounds(); !offsetChange.IsZero() && offsetChange.Before(to) {
+			to = offsetChange
 		}
-		hi := lo
-		if ranged {
-			if hi, err = weekday(b); err != nil {
-				return Window{}, err
-			}
+		if change, found := w.nextAtFixedOffset(from, to, isInside); found {
+			return change, true
+		}
+		if w.Contains(to) != isInside {
+			return to, true
 		}
-		for d := lo; ; d = (d + 1) % 7 {
-			w.days[d] = true
-			if d == hi {
-				break
+		from = to
+	}
+	return time.Time{}, false
+}
+
+// nextAtFixedOffset returns the first moment between from and to, exclusive, at which Contains isn't isInside. The
+// zone's offset must not change in between.
+func (w Window) nextAtFixedOffset(from, to time.Time, isInside bool) (time.Time, bool) {
+	midnight := w.midnightBefore(from)
+	boundaries := [...]int{min(w.start, w.end), max(w.start, w.end)}
+	for day := 0; ; day++ {
+		for _, minute := range boundaries {
+			boundary := midnight.Add(time.Duration(day*minutesPerDay+minute) * time.Minute)
+			if !boundary.Before(to) {
+				return time.Time{}, false
+			}
+			if boundary.After(from) && w.Contains(boundary) != isInside {
+				return boundary, true
 			}
 		}
 	}
-	var err error
-	if w.from, err = minutes(from); err != nil {
+}
+
+// midnightBefore returns the moment's last midnight, if the zone's offset were the same since.
+func (w Window) midnightBefore(moment time.Time) time.Time {
+	local := moment.In(w.location)
+	sinceMidnight := time.Duration(local.Hour())*time.Hour +
+		time.Duration(local.Minute())*time.Minute +
+		time.Duration(local.Second())*time.Second +
+		time.Duration(local.Nanosecond())
+	return moment.Add(-sinceMidnight)
+}
+
+var errStartAtEndOfDay = errors.New("a window can't begin at 24:00; use 00:00 of the next day")
+
+// Parse returns the window of some days ("Mon-Fri", "Fri,Sun", "daily"), two times of day ("18:00") and the name of a
+// time zone ("Asia/Tokyo"). The error names the argument that is wrong.
+func Parse(days, from, to, zone string) (Window, error) {
+	startDays, err := parseDays(days)
+	if err != nil {
 		return Window{}, err
 	}
-	if w.to, err = minutes(to); err != nil {
+	start, err := parseTimeOfDay(from)
+	if err != nil {
 		return Window{}, err
 	}
-	if w.from == dayMinutes {
-		return Window{}, fmt.Errorf("a window can't begin at 24:00; use 00:00 of the next day")
-	}
-	if zone == "" || zone == "Local" {
-		return Window{}, fmt.Errorf("time zone %q: name one, as in \"Asia/Tokyo\" or \"UTC\"", zone)
-	}
-	if w.loc, err = time.LoadLocation(zone); err != nil {
-		return Window{}, fmt.Errorf("time zone %q: %w", zone, err)
+	end, err := parseTimeOfDay(to)
+	if err != nil {
+		return Window{}, err
 	}
-	return w, nil
-}
-
-// Contains tells whether a moment lies in the window.
-func (w Window) Contains(t time.Time) bool {
-	if w.loc == nil {
-		return false
+	if start == minutesPerDay {
+		return Window{}, errStartAtEndOfDay
 	}
-	l := t.In(w.loc)
-	m, d := l.Hour()*60+l.Minute(), int(l.Weekday())
-	if w.from < w.to {
-		return w.days[d] && m >= w.from && m < w.to
+	location, err := parseZone(zone)
+	if err != nil {
+		return Window{}, err
 	}
-	return (w.days[d] && m >= w.from) || (w.days[(d+6)%7] && m < w.to)
+	return Window{days: startDays, start: start, end: end, location: location}, nil
 }
 
-// Next is the first moment after t at which Contains changes. ok is false for a window that
-// never changes, such as one of every day from 00:00 to 00:00.
-func (w Window) Next(t time.Time) (next time.Time, ok bool) {
-	if w.loc == nil {
-		return time.Time{}, false
+// parseDays parses a list of weekdays and ranges of them. A range may run over the end of the week.
+func parseDays(text string) (days [daysPerWeek]bool, err error) {
+	if strings.EqualFold(strings.TrimSpace(text), "daily") {
+		text = "Mon-Sun"
 	}
-	now := w.Contains(t)
-	end := t.Add(horizon * 24 * time.Hour)
-	for at := t; at.Before(end); {
-		// Between two clock changes of the zone, wall time runs as evenly as real time.
-		_, change := at.In(w.loc).ZoneBounds()
-		stop := end
-		if !change.IsZero() && change.Before(stop) {
-			stop = change
+	for part := range strings.SplitSeq(text, ",") {
+		firstName, lastName, isRange := strings.Cut(part, "-")
+		first, err := parseWeekday(firstName)
+		if err != nil {
+			return days, err
 		}
-		if c, found := w.evenly(at, stop, now); found {
-			return c, true
+		last := first
+		if isRange {
+			if last, err = parseWeekday(lastName); err != nil {
+				return days, err
+			}
 		}
-		if w.Contains(stop) != now {
-			return stop, true
+		for day := first; day != last; day = (day + 1) % daysPerWeek {
+			days[day] = true
 		}
-		at = stop
+		days[last] = true
 	}
-	return time.Time{}, false
+	return days, nil
 }
 
-// evenly finds the first change in (t, stop), in which the zone's offset stays the same.
-func (w Window) evenly(t, stop time.Time, now bool) (time.Time, bool) {
-	l := t.In(w.loc)
-	midnight := t.Add(-time.Duration(l.Hour())*time.Hour - time.Duration(l.Minute())*time.Minute -
-		time.Duration(l.Second())*time.Second - time.Duration(l.Nanosecond()))
-	lo, hi := min(w.from, w.to), max(w.from, w.to)
-	for day := 0; ; day++ {
-		for _, m := range [...]int{lo, hi} {
-			c := midnight.Add(time.Duration(day*dayMinutes+m) * time.Minute)
-			if !c.Before(stop) {
-				return time.Time{}, false
-			}
-			if c.After(t) && w.Contains(c) != now {
-				return c, true
-			}
+// weekdayNames are the names of the days by time.Weekday.
+var weekdayNames = [daysPerWeek]string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
+
+func parseWeekday(text string) (time.Weekday, error) {
+	text = strings.TrimSpace(text)
+	for day, name := range weekdayNames {
+		if strings.EqualFold(text, name) {
+			return time.Weekday(day), nil
 		}
 	}
+	return 0, fmt.Errorf("%q is no day of the week (use Mon, Tue, Wed, Thu, Fri, Sat, Sun)", text)
+}
+
+// parseTimeOfDay returns the minute of the day of a text such as "18:00".
+func parseTimeOfDay(text string) (int, error) {
+	text = strings.TrimSpace(text)
+	hourText, minuteText, hasColon := strings.Cut(text, ":")
+	hour, hourErr := strconv.Atoi(hourText)
+	minute, minuteErr := strconv.Atoi(minuteText)
+	isNumeric := hasColon && len(minuteText) == 2 && hourErr == nil && minuteErr == nil
+	if !isNumeric || hour < 0 || minute < 0 || minute > 59 || hour*60+minute > minutesPerDay {
+		return 0, fmt.Errorf("%q is no time of day (use HH:MM, 00:00 to 24:00)", text)
+	}
+	return hour*60 + minute, nil
+}
+
+// parseZone loads a time zone. It refuses the machine's own zone, which differs from controller to controller.
+func parseZone(name string) (*time.Location, error) {
+	if name == "" || name == "Local" {
+		return nil, fmt.Errorf("time zone %q: name one, as in \"Asia/Tokyo\" or \"UTC\"", name)
+	}
+	location, err := time.LoadLocation(name)
+	if err != nil {
+		return nil, fmt.Errorf("time zone %q: %w", name, err)
+	}
+	return location, nil
 }
