--- a/internal/licences/allocation.go
+++ b/internal/licences/allocation.go
@@ -219,7 +219,7 @@
 func (a *allocation) canEverFit(ask *Ask, unit Unit) bool {
 	pool := a.ledger.pools[unit.Pool]
 	needed := unit.N * ask.Tasks
-	if needed > pool.totalUnits()-pool.reserved {
+	if needed > pool.totalUnits()-pool.outsideReserve {
 		return false
 	}
 	limit := pool.quota(ask.Team).Most
--- a/internal/licences/allocation_test.go
+++ b/internal/licences/allocation_test.go
@@ -81,7 +81,7 @@
 	for _, unit := range ask.Needs {
 		pool := m.ledger.pools[unit.Pool]
 		units := unit.N * ask.Tasks
-		if units > pool.totalUnits()-pool.reserved {
+		if units > pool.totalUnits()-pool.outsideReserve {
 			return false
 		}
 		usage := pool.teams[ask.Team]
--- a/internal/licences/ledger_test.go
+++ b/internal/licences/ledger_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// An unreachable server keeps tasks from starting, not from running. One that lacks running holders isn't believed
-// when it reports fewer outside units, and frees nothing by not listing a holder.
+// An unreachable server keeps tasks from starting, not from running. Answers that lack running
+// holders neither lower the number of outside units nor free the units of a holder that they don't list.
 func TestServerUnreachableOrInconsistent(t *testing.T) {
 	r := newServerRig(20)
 	if denial, _ := r.Fits(0, oneUnit, 1); denial != NoAnswer {
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -1,11 +1,11 @@
-// Package licences counts licences: units of a pool of which only so many may be in use at a time, whoever else
-// uses the pool. It owns the pools' declarations and run-time counts (Catalog) and, for one term of one leader,
-// the units that each task holds, the last answers of the licence servers, and which waiting job gets free units
-// next (Ledger).
+// Package licences counts licences: units of a pool of which only a limited number may be in use at a time, by the
+// cluster's tasks and by outside holders together. It owns the pools' declarations and run-time counts (Catalog) and,
+// for one term of one leader, the units that each task holds, the last answers of the licence servers, and the
+// allocation of free units to waiting jobs (Ledger).
 //
-// The package does no I/O and reads no clock: the controller sends the queries that Ledger.Due returns, passes the
-// answers in, and gives the time as an argument. The caller serialises all calls: the controller's event loop is
-// the only one. Ledger.Take and Ledger.Give are called by package admission, all else by controller and fleet.
+// The package does no I/O and reads no clock: the controller sends the queries that are due, passes the answers in,
+// and gives the time as an argument. The caller serialises all calls: the controller's event loop is the only one.
+// Package admission records which tasks hold units; the fleet and the controller call all else.
 //
 // A pool is what is licensed, a unit is one licence of it, a holder is one attempt of a task, and a checkout is
 // what one holder has of one pool.
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -9,12 +9,12 @@
 // poolState is the state of one pool in one term: its checkouts, their totals, and what its server last answered.
 type poolState struct {
 	*Pool
-	catalog   *Catalog
-	index     int32
-	checkouts map[Holder]*checkout
-	active    map[Ref]Holder // the attempt of a task whose checkout is Booked or Held
-	teams     map[int32]*teamUsage
-	reserved  int // units kept for outside holders at present
+	catalog        *Catalog
+	index          int32
+	checkouts      map[Holder]*checkout
+	active         map[Ref]Holder // the attempt of a task whose checkout is Booked or Held
+	teams          map[int32]*teamUsage
+	outsideReserve int // units kept for outside holders at present
 
 	countedUnits     int // of all checkouts
 	unitsByState     [stateCount]int
@@ -32,14 +32,14 @@
 func newPoolState(catalog *Catalog, index int32, teamIndex func(string) int32, now time.Duration) *poolState {
 	pool := catalog.pools[index]
 	p := &poolState{
-		Pool:      pool,
-		catalog:   catalog,
-		index:     index,
-		checkouts: map[Holder]*checkout{},
-		active:    map[Ref]Holder{},
-		teams:     map[int32]*teamUsage{},
-		reserved:  pool.Reserve,
-		server:    serverStatus{changedAt: now, answeredAt: now},
+		Pool:           pool,
+		catalog:        catalog,
+		index:          index,
+		checkouts:      map[Holder]*checkout{},
+		active:         map[Ref]Holder{},
+		teams:          map[int32]*teamUsage{},
+		outsideReserve: pool.Reserve,
+		server:         serverStatus{changedAt: now, answeredAt: now},
 	}
 	for name, share := range pool.Teams {
 		p.teams[teamIndex(name)] = &teamUsage{Share: share}
@@ -205,7 +205,7 @@
 		return 0
 	}
 	// Outside holders use up the units that are kept for them first.
-	outside := max(p.outsideUnits(), p.reserved)
+	outside := max(p.outsideUnits(), p.outsideReserve)
 	return max(0, p.totalUnits()-p.countedUnits-outside)
 }
 
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// Due returns the pools whose servers are to be queried now, and marks their queries as in flight until Answered or
-// Failed is called. A server gets one query at a time: one in every poll interval, and more often while units await
-// release or a job waits for units.
+// Due returns the pools whose servers are to be queried now. It marks their queries as in flight until the answer or
+// the failure of the query is applied. A server gets one query at a time: one in every poll interval, and more often
+// while units await release or a job waits for units.
 func (l *Ledger) Due(now time.Duration) []*Pool {
 	var due []*Pool
 	for _, pool := range l.pools {
@@ -259,7 +259,7 @@
 // outside holders follow the wall clock.
 func (l *Ledger) Tick(now time.Duration, wall time.Time) {
 	for _, pool := range l.pools {
-		pool.reserved = pool.ReserveAt(wall)
+		pool.outsideReserve = pool.ReserveAt(wall)
 		if pool.Server == "" {
 			pool.releaseExpired(now, l.startedAt)
 			continue
--- a/internal/licences/view.go
+++ b/internal/licences/view.go
@@ -54,7 +54,7 @@
 func (l *Ledger) Show(now time.Duration, index int32, teamName func(int32) string) View {
 	pool := l.pools[index]
 	view := l.catalog.declaredView(index)
-	view.Reserve = pool.reserved
+	view.Reserve = pool.outsideReserve
 	view.Held = pool.unitsByState[Held]
 	view.Booked = pool.unitsByState[Booked]
 	view.Lingering = pool.unitsByState[AwaitingRelease]
