--- a/internal/licences/answer.go
+++ b/internal/licences/answer.go
@@ -14,8 +14,8 @@
 	Holders []Entry `json:"holders"`
 }
 
-// Entry is one holder in a server's answer. Task is the task's name for the cluster's own holders and any other
-// text for outside holders. Attempt is 0 if the server doesn't report attempts.
+// Entry is one holder in a server's answer. Task is the task's name for the cluster's own holders and any
+// other text for outside holders. Attempt is 0 if the server doesn't report attempts.
 type Entry struct {
 	Task    string `json:"holder"`
 	Attempt uint64 `json:"attempt"`
--- a/internal/licences/catalog.go
+++ b/internal/licences/catalog.go
@@ -93,7 +93,8 @@
 	return c.pools[index].Lowering
 }
 
-// Stamp returns the version of the key that holds a pool's count and who set it; version 0 means that none is set.
+// Stamp returns the version of the key that holds a pool's count and who set it; version 0 means that
+// none is set.
 func (c *Catalog) Stamp(index int32) (version uint64, by string) {
 	return c.versions[index], c.overrides[index].By
 }
@@ -141,8 +142,8 @@
 	delete(c.versions, index)
 }
 
-// Needs returns the units of a job's tasks, given by pool name, in the order of the dense indices. It fails for a
-// pool that isn't declared here.
+// Needs returns the units of a job's tasks, given by pool name, in the order of the dense indices. It fails
+// for a pool that isn't declared here.
 func (c *Catalog) Needs(unitsByPool map[string]int) ([]Unit, error) {
 	if len(unitsByPool) == 0 {
 		return nil, nil
@@ -159,8 +160,8 @@
 	return needs, nil
 }
 
-// Ever reports whether a number of a team's tasks could hold their units at once if there were no other holders.
-// If not, why is the reason for the user.
+// Ever reports whether a number of a team's tasks could hold their units at once if there were no other
+// holders. If not, why is the reason for the user.
 func (c *Catalog) Ever(unitsByPool map[string]int, team string, tasks int) (ok bool, why string) {
 	needs, err := c.Needs(unitsByPool)
 	if err != nil {
--- a/internal/licences/checkout.go
+++ b/internal/licences/checkout.go
@@ -26,7 +26,7 @@
 //	Booked          -> Free             the gang was given up before this launch was sent
 //	Held            -> Free             the task never started, or it is gone and the units are surely returned
 //	Held            -> AwaitingRelease  the task is gone, but its units may still be checked out
-//	AwaitingRelease -> Free             an answer queried after the end lacks the holder, or Pool.Linger has passed
+//	AwaitingRelease -> Free             an answer queried after the end lacks the holder, or the deadline has passed
 //	AwaitingRelease -> Held             an attempt that was taken for gone was found on a machine
 const (
 	Free State = iota
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -29,9 +29,9 @@
 	return l.pools[index]
 }
 
-// Take counts what a task holds from now on: before its launch is sent (to is Held), before its gang starts (to is
-// Booked), or since it was found on a machine (Held). A further call for the same task changes only the attempt
-// and the state.
+// Take counts what a task holds from now on: before its launch is sent (to is Held), before its gang
+// starts (to is Booked), or since it was found on a machine (Held). A further call for the same task
+// changes only the attempt and the state.
 func (l *Ledger) Take(now time.Duration, ref Ref, attempt uint64, team int32, needs []Unit, to State) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// Promised reports whether a team stays within its guarantee with a number of further tasks, in every pool that
-// they need and for which the team has a guarantee. Without any guarantee it is false.
+// Promised reports whether a team stays within its guarantee with a number of further tasks, in every
+// pool that they need and for which the team has a guarantee. Without any guarantee it is false.
 func (l *Ledger) Promised(team int32, needs []Unit, tasks int) bool {
 	hasGuarantee := false
 	for _, unit := range needs {
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -69,8 +69,8 @@
 	p.setState(now, holder, c, to)
 }
 
-// takeAgain applies a further take of a task of which an attempt is active. A task that is Held is never Booked
-// again.
+// takeAgain applies a further take of a task of which an attempt is active. A task that is Held is never
+// Booked again.
 func (p *poolState) takeAgain(now time.Duration, active, holder Holder, to State) {
 	if active != holder {
 		p.changeAttempt(now, active, holder.Attempt)
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// Due returns the pools whose servers are to be queried now. It marks their queries as in flight until the answer or
-// the failure of the query is applied. A server gets one query at a time: one in every poll interval, and more often
-// while units await release or a job waits for units.
+// Due returns the pools whose servers are to be queried now. It marks their queries as in flight
+// until the answer or the failure of the query is applied. A server gets one query at a time: one in
+// every poll interval, and more often while units await release or a job waits for units.
 func (l *Ledger) Due(now time.Duration) []*Pool {
 	var due []*Pool
 	for _, pool := range l.pools {
@@ -148,7 +148,12 @@
 
 // Answered applies a server's answer to a query that was sent at sentAt. known returns the task of one of the
 // cluster's own holders by its name; all other holders are outside ones.
-func (l *Ledger) Answered(now, sentAt time.Duration, pool string, answer Answer, known func(task string) (Ref, bool)) {
+func (l *Ledger) Answered(
+	now, sentAt time.Duration,
+	pool string,
+	answer Answer,
+	known func(task string) (Ref, bool),
+) {
 	if index, ok := l.catalog.Index(pool); ok {
 		l.pools[index].applyAnswer(now, sentAt, answer, known)
 	}
@@ -270,8 +275,8 @@
 	}
 }
 
-// releaseExpired frees the units of crashed holders of a pool without a server. Only Pool.Linger tells when they
-// are returned, also for those of an earlier term, of which this ledger has no record.
+// releaseExpired frees the units of crashed holders of a pool without a server. Only Pool.Linger tells
+// when they are returned, also for those of an earlier term, of which this ledger has no record.
 func (p *poolState) releaseExpired(now, termStartedAt time.Duration) {
 	if p.server.state == serverUnknown && now-termStartedAt >= p.Linger {
 		p.setServerState(now, serverReachable, "checkouts of earlier terms have expired")
