--- /dev/null
+++ b/internal/planner/balance_test.go
@@ -0,0 +1,114 @@
+package planner
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+// Example 3: the third task is placed by an augmenting path that moves two others.
+func TestPaperExample3AugmentingPath(t *testing.T) {
+	p := &Problem{
+		Initial: []float64{3.1, 2.2, 1.9},
+		Groups: []Group{
+			{Tasks: []int32{1}, Prefer: []int32{0, 1}},
+			{Tasks: []int32{2}, Prefer: []int32{1, 2}},
+			{Tasks: []int32{3}, Prefer: []int32{2}},
+		},
+		Local:  1,
+		Remote: func(int) float64 { return 2 },
+	}
+	a := Balance(p)
+	want := []int32{1, 2, 2}
+	for group, server := range want {
+		if a.Server[group][0] != server {
+			t.Fatalf("task %d on server %d, want %d", group+1, a.Server[group][0], server)
+		}
+	}
+}
+
+// Theorem 1: no local allocation has a smaller makespan than a balanced one. The balance policy (9) holds for every
+// task, and Reduce never makes a plan worse.
+func TestBalanceAgainstExhaustiveSearch(t *testing.T) {
+	rng := rand.New(rand.NewPCG(7, 7))
+	for range 400 {
+		p := randomProblem(rng, 2+rng.IntN(3), 1+rng.IntN(7))
+		balanced := Balance(p)
+		if want := bestLocalMakespan(p); math.Abs(balanced.Makespan-want) > tolerance {
+			t.Fatalf("makespan %v, best local %v: %+v", balanced.Makespan, want, p)
+		}
+		checkBalancePolicy(t, p, balanced)
+		plan := Plan(p, rng)
+		recomputed := recomputeMakespan(p, plan)
+		if plan.Makespan > balanced.Makespan+tolerance || math.Abs(plan.Makespan-recomputed) > tolerance {
+			t.Fatalf("reduce: %v, balance %v, recomputed %v", plan.Makespan, balanced.Makespan, recomputed)
+		}
+	}
+}
+
+// bestLocalMakespan tries every local allocation.
+func bestLocalMakespan(p *Problem) float64 {
+	var preferences [][]int32 // by task
+	for _, group := range p.Groups {
+		for range group.Tasks {
+			preferences = append(preferences, group.Prefer)
+		}
+	}
+	loads := append([]float64(nil), p.Initial...)
+	taskCounts := make([]int, len(loads))
+	best := math.Inf(1)
+	var placeFrom func(task int)
+	placeFrom = func(task int) {
+		if task == len(preferences) {
+			best = math.Min(best, activeMakespan(loads, taskCounts))
+			return
+		}
+		for _, server := range preferences[task] {
+			loads[server] += p.Local
+			taskCounts[server]++
+			placeFrom(task + 1)
+			loads[server] -= p.Local
+			taskCounts[server]--
+		}
+	}
+	placeFrom(0)
+	return best
+}
+
+// activeMakespan returns the highest load among the servers that have tasks.
+func activeMakespan(loads []float64, taskCounts []int) float64 {
+	makespan := 0.0
+	for server, count := range taskCounts {
+		if count > 0 {
+			makespan = math.Max(makespan, loads[server])
+		}
+	}
+	return makespan
+}
+
+// checkBalancePolicy fails the test unless each task is on a server that it prefers, and that server's load without
+// the task is at most the load of any other server that the task prefers.
+func checkBalancePolicy(t *testing.T, p *Problem, a *Allocation) {
+	t.Helper()
+	loads := append([]float64(nil), p.Initial...)
+	for group := range a.Server {
+		for _, server := range a.Server[group] {
+			loads[server] += p.Local
+		}
+	}
+	for g, group := range p.Groups {
+		for _, server := range a.Server[g] {
+			isPreferred := false
+			for _, other := range group.Prefer {
+				isPreferred = isPreferred || other == server
+				if loads[server]-p.Local > loads[other]+tolerance {
+					t.Fatalf("policy (9) broken: server %d at %v, preferred %d at %v",
+						server, loads[server], other, loads[other])
+				}
+			}
+			if !isPreferred {
+				t.Fatalf("task placed on server %d that it does not prefer", server)
+			}
+		}
+	}
+}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -35,7 +35,7 @@
 }
 
 func BenchmarkPlanManyGroups(b *testing.B) {
-	p := random(rand.New(rand.NewPCG(5, 5)), 60, 400)
+	p := randomProblem(rand.New(rand.NewPCG(5, 5)), 60, 400)
 	for b.Loop() {
 		Plan(p, rand.New(rand.NewPCG(1, 1)))
 	}
--- /dev/null
+++ b/internal/planner/problem_test.go
@@ -0,0 +1,85 @@
+package planner
+
+import (
+	"math"
+	"math/rand/v2"
+)
+
+// This file has the problems that several tests plan, and what they measure plans with.
+
+const tolerance = 1e-9 // seconds
+
+func near(a, b float64) bool { return math.Abs(a-b) < tolerance }
+
+// paperProblem is the paper's running example: seven tasks and three servers, each task's input on two of them.
+func paperProblem() *Problem {
+	group := func(task int32, servers ...int32) Group {
+		return Group{Tasks: []int32{task}, Prefer: servers}
+	}
+	return &Problem{
+		Initial: []float64{7.1, 4.2, 0.3},
+		Groups: []Group{
+			group(1, 0, 1),
+			group(2, 1, 2),
+			group(3, 1, 2),
+			group(4, 0, 2),
+			group(5, 0, 1),
+			group(6, 0, 1),
+			group(7, 0, 1),
+		},
+		Local:  1,
+		Remote: func(remoteTasks int) float64 { return 1 + 0.1*float64(remoteTasks) },
+	}
+}
+
+// randomProblem has the given numbers of servers and tasks; every group prefers at least one server.
+func randomProblem(rng *rand.Rand, servers, tasks int) *Problem {
+	fetch := rng.Float64()
+	p := &Problem{Local: 1 + rng.Float64()*3}
+	p.Remote = func(remoteTasks int) float64 { return p.Local + fetch*float64(remoteTasks) }
+	for range servers {
+		p.Initial = append(p.Initial, rng.Float64()*6)
+	}
+	for left := tasks; left > 0; {
+		size := 1 + rng.IntN(left)
+		left -= size
+		group := Group{Tasks: make([]int32, size)}
+		for server := range servers {
+			if rng.IntN(2) == 0 {
+				group.Prefer = append(group.Prefer, int32(server))
+			}
+		}
+		if len(group.Prefer) == 0 {
+			group.Prefer = []int32{int32(rng.IntN(servers))}
+		}
+		p.Groups = append(p.Groups, group)
+	}
+	return p
+}
+
+// recomputeMakespan computes an allocation's makespan from the servers of its tasks alone.
+func recomputeMakespan(p *Problem, a *Allocation) float64 {
+	loads := append([]float64(nil), p.Initial...)
+	active := make([]bool, len(loads))
+	remoteCost := p.Remote(a.NRemote)
+	for group := range a.Server {
+		for position, server := range a.Server[group] {
+			if server == unplaced {
+				continue
+			}
+			active[server] = true
+			if a.Remote[group][position] {
+				loads[server] += remoteCost
+			} else {
+				loads[server] += p.Local
+			}
+		}
+	}
+	makespan := 0.0
+	for server, isActive := range active {
+		if isActive {
+			makespan = math.Max(makespan, loads[server])
+		}
+	}
+	return makespan
+}
--- /dev/null
+++ b/internal/planner/reduce_test.go
@@ -0,0 +1,219 @@
+package planner
+
+import (
+	"container/heap"
+	"math"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+)
+
+// Example 1: the load of an allocation with two remote tasks. Idle servers with a high initial load don't count.
+func TestPaperExample1Makespan(t *testing.T) {
+	p := paperProblem()
+	a := &Allocation{
+		Server:  [][]int32{{1}, {1}, {2}, {2}, {2}, {1}, {2}},
+		Remote:  [][]bool{{false}, {false}, {false}, {false}, {true}, {false}, {true}},
+		NRemote: 2,
+	}
+	if got := recomputeMakespan(p, a); !near(got, 7.2) {
+		t.Fatalf("makespan %v, want 7.2", got)
+	}
+	a.Remote[0][0] = true
+	a.NRemote = 3
+	if near(recomputeMakespan(p, a), 7.2) {
+		t.Fatal("a third remote task must cost something")
+	}
+}
+
+// Examples 2 and 4: Reduce lowers the makespan of a balanced plan step by step, and stops when the expected makespan
+// is missed.
+func TestPaperExample4Reduce(t *testing.T) {
+	p := paperProblem()
+	balanced := Balance(p)
+	if !near(balanced.Makespan, 8.1) {
+		t.Fatalf("balanced makespan %v", balanced.Makespan)
+	}
+	plan := Plan(p, rand.New(rand.NewPCG(1, 2)))
+	if !near(plan.Makespan, recomputeMakespan(p, plan)) {
+		t.Fatalf("claimed makespan %v, recomputed %v", plan.Makespan, recomputeMakespan(p, plan))
+	}
+	if !near(plan.Makespan, 6.2) || plan.NRemote != 2 {
+		t.Fatalf("makespan %v with %d remote tasks, want 6.2 with 2", plan.Makespan, plan.NRemote)
+	}
+}
+
+// The largest job that the protocol allows must not stall the event loop. The test counts loops and measures no time.
+func TestPlanLargestJobIsBounded(t *testing.T) {
+	p := &Problem{Local: 10, MaxLoop: 200}
+	loops := 0
+	p.Remote = func(remoteTasks int) float64 {
+		loops++
+		return 10 + float64(remoteTasks)
+	}
+	group := Group{Tasks: make([]int32, 100_000)}
+	for server := range 800 {
+		p.Initial = append(p.Initial, float64(server%7))
+		if server%4 == 0 {
+			group.Prefer = append(group.Prefer, int32(server))
+		}
+	}
+	p.Groups = []Group{group}
+	plan := Plan(p, rand.New(rand.NewPCG(1, 1)))
+	if loops > 200 {
+		t.Fatalf("reduce ran %d loops, bound 200", loops)
+	}
+	for _, server := range plan.Server[0] {
+		if server < 0 {
+			t.Fatal("a task was left out")
+		}
+	}
+}
+
+// Reduce keeps its servers in order from loop to loop. With the same random numbers it must return the very plan of
+// the plain model, which looks at every server in every loop, equal loads included.
+func TestReduceAgainstPlainModel(t *testing.T) {
+	moved := 0
+	for seed := range uint64(600) {
+		p := reduceProblem(seed)
+		balanced := Balance(p)
+		want := plainReduce(p, balanced, rand.New(rand.NewPCG(seed, 4)))
+		got := reduce(p, balanced, rand.New(rand.NewPCG(seed, 4)))
+		if !reflect.DeepEqual(got, want) {
+			t.Fatalf("seed %d: makespan %v with %d remote tasks, want %v with %d",
+				seed, got.Makespan, got.NRemote, want.Makespan, want.NRemote)
+		}
+		moved += got.NRemote
+	}
+	if moved < 600 {
+		t.Fatalf("only %d tasks were moved: the test decides nothing", moved)
+	}
+}
+
+// reduceProblem varies equal loads, the bound on loops and the servers that accept remote tasks with the seed.
+func reduceProblem(seed uint64) *Problem {
+	rng := rand.New(rand.NewPCG(seed, 21))
+	p := randomProblem(rng, 1+rng.IntN(40), 1+rng.IntN(120))
+	if seed%2 == 0 { // many equal loads
+		for server := range p.Initial {
+			p.Initial[server] = math.Floor(p.Initial[server] / 2)
+		}
+		p.Local = 1
+	}
+	if seed%3 == 0 {
+		p.MaxLoop = 1 + rng.IntN(20)
+	}
+	if seed%5 == 0 {
+		parity := rng.IntN(2)
+		p.AcceptsRemote = func(server int) bool { return server%2 == parity }
+	}
+	return p
+}
+
+// plainReduce is the slow plain model of reduce: it looks at every server in every loop.
+func plainReduce(p *Problem, balanced *Allocation, rng *rand.Rand) *Allocation {
+	loads := append([]float64(nil), p.Initial...)
+	tasks := make([][]taskRef, len(loads))
+	taskCount := 0
+	for group := range balanced.Server {
+		for position, server := range balanced.Server[group] {
+			if server == unplaced {
+				continue
+			}
+			loads[server] += p.Local
+			tasks[server] = append(tasks[server], taskRef{int32(group), int32(position)})
+			taskCount++
+		}
+	}
+	if taskCount == 0 {
+		return balanced
+	}
+	loops := p.MaxLoop
+	if loops <= 0 {
+		loops = taskCount
+	}
+	var pool []taskRef
+	best := remotePlacement{makespan: balanced.Makespan}
+	for range loops {
+		mostLoaded := plainMostLoaded(loads, tasks)
+		if mostLoaded < 0 {
+			break
+		}
+		chosen := rng.IntN(len(tasks[mostLoaded]))
+		last := len(tasks[mostLoaded]) - 1
+		pool = append(pool, tasks[mostLoaded][chosen])
+		tasks[mostLoaded][chosen] = tasks[mostLoaded][last]
+		tasks[mostLoaded] = tasks[mostLoaded][:last]
+		loads[mostLoaded] -= p.Local
+
+		expected := 0.0
+		for server := range loads {
+			if len(tasks[server]) > 0 {
+				expected = max(expected, loads[server])
+			}
+		}
+		servers, makespan := plainPlace(p, loads, len(pool), p.Remote(len(pool)))
+		if servers == nil {
+			break
+		}
+		makespan = max(makespan, expected)
+		if makespan > expected {
+			if makespan < best.makespan {
+				best = remotePlacement{servers, makespan}
+			}
+			break
+		}
+		best = remotePlacement{servers, makespan}
+	}
+	return plainApply(balanced, pool, best)
+}
+
+// plainMostLoaded returns the first of the most-loaded servers that have tasks, or -1.
+func plainMostLoaded(loads []float64, tasks [][]taskRef) int {
+	mostLoaded := -1
+	for server := range loads {
+		if len(tasks[server]) > 0 && (mostLoaded < 0 || loads[server] > loads[mostLoaded]) {
+			mostLoaded = server
+		}
+	}
+	return mostLoaded
+}
+
+// plainPlace places a number of remote tasks, one by one, each on the least-loaded server, in a copy of the loads.
+func plainPlace(p *Problem, loads []float64, tasks int, cost float64) (servers []int32, makespan float64) {
+	loads = append([]float64(nil), loads...)
+	hosts := newLoadHeap(loads, leastLoadedFirst, func(server int32) bool {
+		return p.AcceptsRemote == nil || p.AcceptsRemote(int(server))
+	})
+	if hosts.Len() == 0 {
+		return nil, 0
+	}
+	servers = make([]int32, 0, tasks)
+	for range tasks {
+		server := hosts.first()
+		loads[server] += cost
+		makespan = max(makespan, loads[server])
+		heap.Fix(hosts, 0)
+		servers = append(servers, server)
+	}
+	return servers, makespan
+}
+
+func plainApply(balanced *Allocation, pool []taskRef, placement remotePlacement) *Allocation {
+	a := &Allocation{
+		Server:   make([][]int32, len(balanced.Server)),
+		Remote:   make([][]bool, len(balanced.Server)),
+		Makespan: placement.makespan,
+		NRemote:  len(placement.servers),
+	}
+	for group := range balanced.Server {
+		a.Server[group] = append([]int32(nil), balanced.Server[group]...)
+		a.Remote[group] = make([]bool, len(balanced.Server[group]))
+	}
+	for i, server := range placement.servers {
+		task := pool[i]
+		a.Server[task.group][task.position] = server
+		a.Remote[task.group][task.position] = true
+	}
+	return a
+}
