--- a/internal/shards/lease.go
+++ b/internal/shards/lease.go
@@ -1,153 +1,175 @@
 package shards
 
-// State is where an owner stands with one machine.
-type State uint8
+// LeaseState is the state of a Lease.
+type LeaseState uint8
 
-// The states of a tenure.
+// The states of a lease and the transitions between them:
 //
-//	Foreign  -> Awaited   the hand-over to this part was read
-//	Awaited  -> Acting    the machine has reported at the tenure's token
-//	Acting   -> Yielding  another part wants it: nothing new starts
-//	Yielding -> Acting    it is wanted no more
-//	Yielding -> Writing   nothing of ours can be on it: the hand-over is sent
-//	Writing  -> Foreign   the hand-over is durable
-//	Writing  -> Doubtful  refused, or no answer: neither side acts
-//	Doubtful -> Writing   the same is sent again
-//	any      -> Foreign, Awaited   the machine's record is seen at a newer version
+//	NotOwned          -> AwaitingHeartbeat  the machine's record assigns it to this shard
+//	AwaitingHeartbeat -> Active             the machine sent a heartbeat at the lease's fencing token
+//	Active            -> Draining           another shard needs the machine: nothing new starts on it
+//	Draining          -> Active             the transfer was cancelled before it was sent
+//	Draining          -> Transferring       nothing of this shard can be on the machine: the transfer is sent
+//	Transferring      -> NotOwned           the transfer is durable
+//	Transferring      -> Indeterminate      the transfer was refused or not answered: neither shard uses the machine
+//	Indeterminate     -> Transferring       the same transfer is sent again
+//	any               -> NotOwned or AwaitingHeartbeat  a newer version of the machine's record was read
 const (
-	Foreign State = iota
-	Awaited
-	Acting
-	Yielding
-	Writing
-	Doubtful
+	NotOwned LeaseState = iota
+	AwaitingHeartbeat
+	Active
+	Draining
+	Transferring
+	Indeterminate
 )
 
-func (s State) String() string {
-	return [...]string{"foreign", "awaited", "acting", "yielding", "writing", "doubtful"}[s]
+func (s LeaseState) String() string {
+	return [...]string{
+		NotOwned:          "not owned",
+		AwaitingHeartbeat: "awaiting heartbeat",
+		Active:            "active",
+		Draining:          "draining",
+		Transferring:      "transferring",
+		Indeterminate:     "indeterminate",
+	}[s]
 }
 
-// Loan is a machine's durable record: whom it was handed to last, and the token it must have seen
-// before that part acts. Without a record it is at home.
-type Loan struct {
-	Part  int    `json:"part"`
+// Assignment is a machine's durable record: the shard that it was last transferred to, and the fencing token at which
+// it must send a heartbeat before that shard uses it. A machine without a record belongs to its home shard.
+type Assignment struct {
+	Shard int    `json:"part"`
 	Token uint64 `json:"token"`
 }
 
-// Handover is a new record, guarded by the version of the one it replaces and by the lead of the part
-// that gives. Its token is drawn from the counter of terms in the same transaction, so it is
-// higher than any that the machine has seen.
-type Handover struct {
-	Version uint64
-	To      int
+// Transfer asks the state service to assign a machine to another shard. Its write is conditional on the version of
+// the record that it replaces and on the sender's leadership of the shard that gives the machine away. The token of
+// the new record is drawn from the counter of terms in the same transaction, so it is higher than any that the
+// machine has accepted.
+type Transfer struct {
+	RecordVersion uint64
+	ToShard       int
 }
 
-// Tenure is one owner's side of one machine: a state machine without clock and I/O. It belongs to one
-// term of one part; a new term begins with new ones.
-type Tenure struct {
-	part    int
-	term    uint64
-	state   State
-	version uint64 // of the record; 0: there is none
-	loan    Loan
-	to      int // whom a hand-over under way goes to
+// Lease is what a shard's leader may do with one machine. It is a state machine without clock and I/O: its caller
+// sends the transfers that it returns, and passes in what was read and which heartbeats came. It belongs to one term
+// of the shard; a new term begins with new leases.
+type Lease struct {
+	shard         int
+	term          uint64
+	state         LeaseState
+	assignment    Assignment
+	recordVersion uint64 // of assignment; 0: there is no record
+	transferTo    int    // receiving shard of the transfer in Transferring and Indeterminate
 }
 
-// NewTenure makes the tenure of a machine in a term of a part; loan and version are the machine's record as
-// it was read when the term began, or its home with version 0.
-func NewTenure(part int, term uint64, loan Loan, version uint64) *Tenure {
-	t := &Tenure{part: part, term: term, loan: loan, version: version}
-	t.settle()
-	return t
+// NewLease returns the lease of a machine in a term of a shard. The assignment and its version are the machine's
+// record as it was read when the term began, or the machine's home shard and version 0 if there is none.
+func NewLease(shard int, term uint64, assignment Assignment, version uint64) *Lease {
+	l := &Lease{shard: shard, term: term, assignment: assignment, recordVersion: version}
+	l.followAssignment()
+	return l
 }
 
-// enter is the only place where the state changes.
-func (t *Tenure) enter(s State) { t.state = s }
+// setState is the only place where the state changes.
+func (l *Lease) setState(s LeaseState) { l.state = s }
 
-// settle takes the state that follows from the record.
-func (t *Tenure) settle() {
-	if t.loan.Part == t.part {
-		t.enter(Awaited)
-		return
+// followAssignment enters the state that follows from the record.
+func (l *Lease) followAssignment() {
+	if l.assignment.Shard == l.shard {
+		l.setState(AwaitingHeartbeat)
+	} else {
+		l.setState(NotOwned)
 	}
-	t.enter(Foreign)
 }
 
-// State tells where it stands.
-func (t *Tenure) State() State { return t.state }
+// State returns the state.
+func (l *Lease) State() LeaseState { return l.state }
 
-// Token is what reports of the machine must carry, and what answers and commands do: the higher of
-// the term's and the hand-over's.
-func (t *Tenure) Token() uint64 { return max(t.term, t.loan.Token) }
+// Token returns the fencing token that heartbeats of the machine must carry, and that commands and answers to it do:
+// the higher of the term's and the record's.
+func (l *Lease) Token() uint64 { return max(l.term, l.assignment.Token) }
 
-// Ours tells whether the machine's reports are answered with 200, so that its lease goes on. While a
-// hand-over is under way or open they are not: the other side might answer at a higher token.
-func (t *Tenure) Ours() bool {
-	return t.state == Awaited || t.state == Acting || t.state == Yielding
+// AcceptsHeartbeats tells whether the machine's heartbeats are answered with 200, which renews its worker's lease.
+// From the sending of a transfer until its outcome is known they aren't: the other shard may answer at a higher token.
+func (l *Lease) AcceptsHeartbeats() bool {
+	return l.state == AwaitingHeartbeat || l.state == Active || l.state == Draining
 }
 
-// May tells whether something may start on the machine.
-func (t *Tenure) May() bool { return t.state == Acting }
+// MayStartTasks tells whether tasks may start on the machine.
+func (l *Lease) MayStartTasks() bool { return l.state == Active }
 
-// Report takes that the machine has reported at a token.
-func (t *Tenure) Report(token uint64) {
-	if t.state == Awaited && token == t.Token() {
-		t.enter(Acting)
+// HeartbeatReceived records a heartbeat that the machine sent at a token.
+func (l *Lease) HeartbeatReceived(token uint64) {
+	if l.state == AwaitingHeartbeat && token == l.Token() {
+		l.setState(Active)
 	}
 }
 
-// Learn takes the machine's record as it was read or followed; an older one tells nothing.
-func (t *Tenure) Learn(loan Loan, version uint64) {
-	if version <= t.version {
+// RecordRead records the machine's record as it was read or followed. A version that isn't newer changes nothing.
+func (l *Lease) RecordRead(assignment Assignment, version uint64) {
+	if version <= l.recordVersion {
 		return
 	}
-	t.loan, t.version = loan, version
-	t.settle()
+	l.assignment = assignment
+	l.recordVersion = version
+	l.followAssignment()
 }
 
-// Yield stops new starts, for the machine to be handed over once it is empty; Keep takes it back.
-func (t *Tenure) Yield() {
-	if t.state == Acting {
-		t.enter(Yielding)
+// Drain stops new starts on the machine, so that it can be transferred once it is empty.
+func (l *Lease) Drain() {
+	if l.state == Active {
+		l.setState(Draining)
 	}
 }
 
-// Keep ends a yield that is wanted no more.
-func (t *Tenure) Keep() {
-	if t.state == Yielding {
-		t.enter(Acting)
+// CancelDrain allows new starts again.
+func (l *Lease) CancelDrain() {
+	if l.state == Draining {
+		l.setState(Active)
 	}
 }
 
-// Handover makes the hand-over to another part. clear tells that nothing of this part can be on the
-// machine: the durable plan has nothing there, a report at our token says so, and no command is on
-// its way that might land yet.
-func (t *Tenure) Handover(to int, clear bool) (Handover, bool) {
-	if t.state != Yielding || !clear || to == t.part {
-		return Handover{}, false
+// BeginTransfer returns the transfer of the machine to another shard; ok is false if it may not be sent now. empty
+// means that nothing of this shard can be on the machine: the durable plan has nothing there, a heartbeat at the
+// lease's token confirms it, and no command is on its way that might still arrive.
+func (l *Lease) BeginTransfer(toShard int, empty bool) (transfer Transfer, ok bool) {
+	if l.state != Draining || !empty || toShard == l.shard {
+		return Transfer{}, false
 	}
-	t.to = to
-	t.enter(Writing)
-	return Handover{t.version, to}, true
+	l.transferTo = toShard
+	return l.sendTransfer(), true
+}
+
+// RetryTransfer returns a transfer with an indeterminate outcome once more; ok is false if there is none. Whichever
+// copy is written first makes the other void.
+func (l *Lease) RetryTransfer() (transfer Transfer, ok bool) {
+	if l.state != Indeterminate {
+		return Transfer{}, false
+	}
+	return l.sendTransfer(), true
+}
+
+func (l *Lease) sendTransfer() Transfer {
+	l.setState(Transferring)
+	return Transfer{RecordVersion: l.recordVersion, ToShard: l.transferTo}
 }
 
-// Again sends a hand-over in doubt once more: whichever lands first makes the other void.
-func (t *Tenure) Again() (Handover, bool) {
-	if t.state != Doubtful {
-		return Handover{}, false
+// TransferCommitted records that a transfer is durable: the machine's new record and its version.
+func (l *Lease) TransferCommitted(transfer Transfer, assignment Assignment, version uint64) {
+	if l.isInFlight(transfer) {
+		l.RecordRead(assignment, version)
 	}
-	t.enter(Writing)
-	return Handover{t.version, t.to}, true
-}
-
-// Ended takes what came back of a hand-over: its record and version if it was surely carried out,
-// version 0 if not. Then it may be yet, as long as the record's version stands.
-func (t *Tenure) Ended(h Handover, loan Loan, version uint64) {
-	switch {
-	case t.state != Writing || h.Version != t.version: // decided meanwhile
-	case version > 0:
-		t.Learn(loan, version)
-	default:
-		t.enter(Doubtful)
+}
+
+// TransferUnconfirmed records that a transfer was refused or not answered. A copy of it may still be written as long
+// as the version of the machine's record stands.
+func (l *Lease) TransferUnconfirmed(transfer Transfer) {
+	if l.isInFlight(transfer) {
+		l.setState(Indeterminate)
 	}
 }
+
+// isInFlight tells whether a transfer's outcome is awaited. It isn't after a newer record was read.
+func (l *Lease) isInFlight(transfer Transfer) bool {
+	return l.state == Transferring && transfer.RecordVersion == l.recordVersion
+}
