--- a/internal/allocation/policy.go
+++ b/internal/allocation/policy.go
@@ -1,79 +1,91 @@
 package allocation
 
-import "slices"
+import (
+	"cmp"
+	"slices"
+)
 
-// Fair divides a limit by what the parts could use: whoever wants least is served in full first, and
-// those who want more than is left share it evenly (max-min fairness); single units go to the parts
-// in their order. What nobody wants is spread evenly, so that new work finds some where it comes. Everyone who
-// knows the same demand comes to the same division.
-func Fair(limit int32, demand []int32) Doc {
-	d := make(Doc, len(demand))
-	if len(d) == 0 {
-		return d
+// FairShares divides a limit by what each shard could use (max-min fairness): the smallest demands are met in full,
+// and the shards that demand more than is left share it evenly, with odd units to the first of them. What nobody
+// demands is spread evenly over all shards, so that new work finds some wherever it comes. Equal arguments give equal
+// shares on every controller.
+func FairShares(limit int32, demand []int32) Shares {
+	shares := make(Shares, len(demand))
+	shards := make([]int, len(demand)) // by demand, the smallest first
+	for shard := range shards {
+		shards[shard] = shard
 	}
-	order := make([]int, len(demand))
-	for i := range order {
-		order[i] = i
-	}
-	slices.SortStableFunc(order, func(a, b int) int { return int(max(0, demand[a]) - max(0, demand[b])) })
-	left := max(0, limit)
-	for i, p := range order {
-		share := left / int32(len(order)-i)
-		if want := max(0, demand[p]); want <= share {
-			d[p] = want
-			left -= want
-			continue
-		}
-		// All that follow want more than an even share.
-		rest := slices.Clone(order[i:])
-		slices.Sort(rest)
-		for k, p := range rest {
-			d[p] = left / int32(len(rest))
-			if int32(k) < left%int32(len(rest)) {
-				d[p]++
-			}
+	slices.SortStableFunc(shards, func(a, b int) int { return cmp.Compare(max(0, demand[a]), max(0, demand[b])) })
+	remaining := max(0, limit)
+	for i, shard := range shards {
+		wanted := max(0, demand[shard])
+		evenShare := remaining / int32(len(shards)-i)
+		if wanted > evenShare {
+			// So do all that follow.
+			shares.addEvenly(remaining, shards[i:])
+			return shares
 		}
-		return d
+		shares[shard] = wanted
+		remaining -= wanted
+	}
+	shares.addEvenly(remaining, shards)
+	return shares
+}
+
+// addEvenly adds units to the given shards, odd ones to the first of them by number. It sorts the shards.
+func (s Shares) addEvenly(units int32, shards []int) {
+	if len(shards) == 0 {
+		return
 	}
-	n := int32(len(d))
-	for p := range d {
-		d[p] += left / n
-		if int32(p) < left%n {
-			d[p]++
+	slices.Sort(shards)
+	count := int32(len(shards))
+	for i, shard := range shards {
+		s[shard] += units / count
+		if int32(i) < units%count {
+			s[shard]++
 		}
 	}
-	return d
 }
 
-// Policy says how large changes of an allotment are: each is a write of the state service.
+// Policy decides how much a shard requests.
 type Policy struct {
-	// Batch is the least change that is worth a write, unless work waits for less.
+	// Batch is the smallest change, in units, that is worth a write to the state service unless work waits for less.
 	Batch int32
 }
 
-// Want is what a part should ask for. demand is what each part could use, running work included: its own
-// as it knows it, the others' as they last told, late or wrong by a little. A part gives what is beyond its fair
-// division only where another lacks, and takes as far as it lacks itself or as a batch is to be had.
-func (y Policy) Want(part int, limit int32, doc Doc, use int32, demand []int32) int32 {
-	fair := Fair(limit, demand)
-	have := doc[part]
-	lacking, free := int32(0), max(0, limit-doc.Sum())
-	for p := range doc {
-		if p != part {
-			lacking += max(0, min(fair[p], demand[p])-doc[p])
+// Target returns the share that a shard should request. shares is the document, reserved what the shard may have in
+// use, and demand what each shard could use, running work included: its own is current, that of the others may be out
+// of date.
+//
+// A shard gives units beyond its fair share only where another shard lacks them, and takes free units up to its fair
+// share, in batches unless its own work waits for fewer.
+func (p Policy) Target(shard int, limit int32, shares Shares, reserved int32, demand []int32) int32 {
+	fair := FairShares(limit, demand)
+	current := shares[shard]
+	free := max(0, limit-shares.Sum())
+	lacking := lackingElsewhere(shard, shares, fair, demand)
+	switch {
+	case current > fair[shard] && lacking > free:
+		given := min(current-fair[shard], max(lacking-free, p.Batch))
+		return max(reserved, current-given)
+	case current < fair[shard] && free > 0:
+		taken := min(fair[shard]-current, free)
+		hasWaitingWork := demand[shard] > current
+		if taken < p.Batch && !hasWaitingWork {
+			return current
 		}
+		return current + taken
 	}
-	switch {
-	case have > fair[part] && lacking > free:
-		// No more is given than is lacked, or in whole batches, or what is in use.
-		give := min(have-fair[part], max(lacking-free, y.Batch))
-		return max(use, have-give)
-	case have < fair[part] && free > 0:
-		more := min(fair[part]-have, free)
-		if more < y.Batch && demand[part] <= have {
-			return have // nothing waits for it
+	return current
+}
+
+// lackingElsewhere returns the units that the other shards lack of their fair shares and have a demand for.
+func lackingElsewhere(shard int, shares, fair Shares, demand []int32) int32 {
+	lacking := int32(0)
+	for other := range shares {
+		if other != shard {
+			lacking += max(0, min(fair[other], demand[other])-shares[other])
 		}
-		return have + more
 	}
-	return have
+	return lacking
 }
--- a/internal/allocation/policy_test.go
+++ b/internal/allocation/policy_test.go
@@ -8,110 +8,164 @@
 	"pgregory.net/rapid"
 )
 
-// The same verdict every time.
+// A fixed seed makes the outcome of the property tests repeatable.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// slowFair hands units out one by one: each to the part that has least of those that want more, then,
-// when nobody does, to the one that was given least beyond its demand.
-func slowFair(limit int32, demand []int32) Doc {
-	d, extra := make(Doc, len(demand)), make(Doc, len(demand))
-	for range limit {
-		best := -1
-		for p := range d {
-			if d[p] < demand[p] && (best < 0 || d[p] < d[best]) {
-				best = p
-			}
+func TestFairSharesAgainstSingleUnits(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		limit := rapid.Int32Range(0, 60).Draw(t, "limit")
+		demand := rapid.SliceOfN(rapid.Int32Range(0, 40), 1, 6).Draw(t, "demand")
+		if got, want := FairShares(limit, demand), fairSharesByUnit(limit, demand); !slices.Equal(got, want) {
+			t.Fatalf("%d by %v: %v, want %v", limit, demand, got, want)
 		}
-		if best < 0 {
-			for p := range extra {
-				if best < 0 || extra[p] < extra[best] {
-					best = p
-				}
-			}
-			extra[best]++
-			continue
+	})
+}
+
+// fairSharesByUnit hands units out one by one: each to the shard with the fewest among those that demand more, then,
+// when none does, to the one that was given the fewest beyond its demand.
+func fairSharesByUnit(limit int32, demand []int32) Shares {
+	shares := make(Shares, len(demand))
+	extra := make(Shares, len(demand))
+	for range limit {
+		if shard := fewestUnits(shares, demand); shard >= 0 {
+			shares[shard]++
+		} else {
+			extra[fewestUnits(extra, nil)]++
 		}
-		d[best]++
 	}
-	for p := range d {
-		d[p] += extra[p]
+	for shard := range shares {
+		shares[shard] += extra[shard]
 	}
-	return d
+	return shares
 }
 
-func TestFairAgainstUnits(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		limit := rapid.Int32Range(0, 60).Draw(t, "limit")
-		demand := rapid.SliceOfN(rapid.Int32Range(0, 40), 1, 6).Draw(t, "demand")
-		if got, want := Fair(limit, demand), slowFair(limit, demand); !slices.Equal(got, want) {
-			t.Fatalf("%d by %v: %v, want %v", limit, demand, got, want)
+// fewestUnits returns the first shard with the fewest units among those below their demand, or -1. Without a demand
+// it compares all shards.
+func fewestUnits(shares Shares, demand []int32) int {
+	fewest := -1
+	for shard, units := range shares {
+		isEligible := demand == nil || units < demand[shard]
+		if isEligible && (fewest < 0 || units < shares[fewest]) {
+			fewest = shard
 		}
-	})
+	}
+	return fewest
 }
 
-// Parts that act in any order, each on what it knows, come to the division they should without ever giving
-// more than there is or less than is in use, and then write no more.
-func TestPartsComeToTheirShares(t *testing.T) {
+// Shards that act in any order, each on what it has read, come to their fair shares without ever sharing out more
+// than the limit or less than is in use, and then write no more.
+func TestShardsConvergeToFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(2, 5).Draw(t, "parts")
-		limit := rapid.Int32Range(0, 80).Draw(t, "limit")
-		y := Policy{Batch: rapid.Int32Range(1, 8).Draw(t, "batch")}
-		doc, version := make(Doc, n), uint64(1)
-		for p := range doc {
-			doc[p] = limit / int32(n)
+		s := newSharing(t)
+		s.runUntilQuiet(t)
+		s.checkUse(t)
+	})
+}
+
+const (
+	// The demand changes in rounds 0 and demandInterval, and the shards settle after lastDemandRound.
+	demandInterval  = 12
+	lastDemandRound = 24
+	maxRounds       = 40
+	// quietRounds without a write end a run.
+	quietRounds = 3
+)
+
+// sharing is a run of several shards that share one limit.
+type sharing struct {
+	limit   int32
+	policy  Policy
+	shares  Shares // the document
+	version uint64
+	quotas  []*ShardQuota
+	demand  []int32
+	writes  int
+}
+
+// newSharing draws a limit, shared evenly at first, and its shards.
+func newSharing(t *rapid.T) *sharing {
+	count := rapid.IntRange(2, 5).Draw(t, "shards")
+	s := &sharing{
+		limit:   rapid.Int32Range(0, 80).Draw(t, "limit"),
+		policy:  Policy{Batch: rapid.Int32Range(1, 8).Draw(t, "batch")},
+		shares:  make(Shares, count),
+		version: 1,
+		demand:  make([]int32, count),
+	}
+	for shard := range count {
+		s.shares[shard] = s.limit / int32(count)
+		s.quotas = append(s.quotas, NewShardQuota(shard, 0))
+	}
+	return s
+}
+
+func (s *sharing) runUntilQuiet(t *rapid.T) {
+	t.Helper()
+	quiet := 0
+	for round := 0; quiet < quietRounds; round++ {
+		if round > maxRounds {
+			t.Fatalf("no end of writes: %v of %d, demand %v", s.shares, s.limit, s.demand)
 		}
-		owners, demand := make([]*Holder, n), make([]int32, n)
-		for p := range owners {
-			owners[p] = New(p, 0)
+		if round%demandInterval == 0 && round < lastDemandRound {
+			s.drawDemand(t)
 		}
-		quiet, writes := 0, 0
-		for round := 0; quiet < 3; round++ {
-			if round > 40 {
-				t.Fatalf("no end of writes: %v of %d, demand %v", doc, limit, demand)
-			}
-			if round%12 == 0 && round < 24 { // the demand changes
-				for p := range demand {
-					demand[p] = max(owners[p].Use(), rapid.Int32Range(0, 60).Draw(t, "demand"))
-				}
-			}
-			before := writes
-			for _, p := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:n]).Draw(t, "order") {
-				h := owners[p]
-				h.Learn(doc, version)
-				for h.Use() < demand[p] && h.Fits(1) {
-					h.Take(1)
-				}
-				c, ok := h.Ask(y.Want(p, limit, doc, h.Use(), demand), limit)
-				if !ok {
-					continue
-				}
-				doc, version = c.Doc, version+1
-				writes++
-				h.Ended(c, version)
-				if doc.Sum() > limit || doc[p] < h.Use() {
-					t.Fatalf("%v of %d, part %d uses %d", doc, limit, p, h.Use())
-				}
-			}
-			if quiet++; writes != before || round < 24 {
-				quiet = 0
-			}
+		writesBefore := s.writes
+		for _, shard := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(s.quotas)]).Draw(t, "order") {
+			s.act(t, shard)
 		}
-		total := int32(0)
-		for p, h := range owners {
-			total += h.Use()
-			// Who still wants more has its fair share, or the others' running work holds what is beyond theirs.
-			if fair := Fair(limit, demand); h.Use() < min(demand[p], fair[p]) {
-				over := int32(0)
-				for q, o := range owners {
-					over += max(0, o.Use()-fair[q])
-				}
-				if over == 0 {
-					t.Fatalf("part %d uses %d, wants %d, its share is %d: %v of %d, demand %v", p, h.Use(), demand[p], fair[p], doc, limit, demand)
-				}
-			}
+		quiet++
+		if s.writes != writesBefore || round < lastDemandRound {
+			quiet = 0
 		}
-		if total > limit {
-			t.Fatalf("%d in use of %d", total, limit)
+	}
+}
+
+func (s *sharing) drawDemand(t *rapid.T) {
+	for shard := range s.demand {
+		s.demand[shard] = max(s.quotas[shard].Reserved(), rapid.Int32Range(0, 60).Draw(t, "demand"))
+	}
+}
+
+// act lets a shard read the document, reserve what it can use, and write the change that the policy asks for.
+func (s *sharing) act(t *rapid.T, shard int) {
+	t.Helper()
+	quota := s.quotas[shard]
+	quota.SharesRead(s.shares, s.version)
+	for quota.Reserved() < s.demand[shard] && quota.CanReserve(1) {
+		quota.Reserve(1)
+	}
+	target := s.policy.Target(shard, s.limit, s.shares, quota.Reserved(), s.demand)
+	change, ok := quota.Request(target, s.limit)
+	if !ok {
+		return
+	}
+	s.shares = change.Shares
+	s.version++
+	s.writes++
+	quota.ChangeCommitted(change, s.version)
+	if s.shares.Sum() > s.limit || s.shares[shard] < quota.Reserved() {
+		t.Fatalf("%v of %d, shard %d uses %d", s.shares, s.limit, shard, quota.Reserved())
+	}
+}
+
+// checkUse fails the test unless every shard uses its fair share, as far as it demands it. A shard may use less while
+// running work of others is beyond their fair shares.
+func (s *sharing) checkUse(t *rapid.T) {
+	t.Helper()
+	fair := FairShares(s.limit, s.demand)
+	total := int32(0)
+	usedBeyondFair := int32(0)
+	for shard, quota := range s.quotas {
+		total += quota.Reserved()
+		usedBeyondFair += max(0, quota.Reserved()-fair[shard])
+	}
+	for shard, quota := range s.quotas {
+		if quota.Reserved() < min(s.demand[shard], fair[shard]) && usedBeyondFair == 0 {
+			t.Fatalf("shard %d uses %d, wants %d, its share is %d: %v of %d, demand %v",
+				shard, quota.Reserved(), s.demand[shard], fair[shard], s.shares, s.limit, s.demand)
 		}
-	})
+	}
+	if total > s.limit {
+		t.Fatalf("%d in use of %d", total, s.limit)
+	}
 }
--- /dev/null
+++ b/internal/allocation/shard_quota.go
@@ -0,0 +1,192 @@
+// Package allocation divides a limit (a team's cores, a licence pool's units) among the shards of the fleet, each with
+// a leader that plans alone. The division is one durable document, Shares. Together the shards never use more than
+// the limit, whatever is written late and whoever leads them.
+//
+// A ShardQuota is the part of a shard's leader in the protocol, and a Policy decides how much a shard requests. Both
+// are pure: they have no clock, I/O or goroutines. The package never writes the document; its caller does, with
+// each change conditional on the document's version and on its own leadership of the shard. Three rules make it safe:
+//
+//   - a larger share counts only once it is known to be durable, a smaller one at once, before it is sent;
+//   - while the outcome of a change is indeterminate, the smaller of both shares counts, until a newer version of the
+//     document is read: a change that was lost may still be written as long as its version stands;
+//   - a change is void once its sender doesn't lead the shard any more.
+//
+// The controllers don't call the package yet; docs/owners-design.md describes what is missing.
+package allocation
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// ErrNotReserved means that more units were to be released than are reserved.
+var ErrNotReserved = errors.New("more units released than reserved")
+
+// Shares is the durable division of a limit: the units that each shard may use.
+type Shares []int32
+
+// Sum returns the units that all shards may use together.
+func (s Shares) Sum() int32 {
+	sum := int32(0)
+	for _, units := range s {
+		sum += units
+	}
+	return sum
+}
+
+// State is the state of a ShardQuota.
+type State uint8
+
+// The states of a shard quota and the transitions between them:
+//
+//	Unread        -> Settled        the document was read
+//	Settled       -> Requesting     a change is sent
+//	Requesting    -> Settled        the change is durable
+//	Requesting    -> Indeterminate  the change was refused or not answered: it may be durable, or become so
+//	Indeterminate -> Requesting     the same change is sent again
+//	any           -> Settled        a newer version of the document was read, which decides what was open
+const (
+	Unread State = iota
+	Settled
+	Requesting
+	Indeterminate
+)
+
+// String returns the name of the state.
+func (s State) String() string {
+	return [...]string{
+		Unread:        "unread",
+		Settled:       "settled",
+		Requesting:    "requesting",
+		Indeterminate: "indeterminate",
+	}[s]
+}
+
+// Change replaces the document at a version, if that version still stands and the sender still leads its shard.
+type Change struct {
+	Version uint64
+	Shares  Shares
+}
+
+// ShardQuota is what one shard may use of a limit, and what may be in use, as the shard's leader keeps it in one
+// term. It isn't safe for concurrent use.
+type ShardQuota struct {
+	shard   int
+	state   State
+	version uint64 // of shares
+	shares  Shares // as last read
+	// requested is the share of this shard in the change that is sent or indeterminate.
+	requested int32
+	// reserved is what may be in use: units are reserved before anything that uses them starts.
+	reserved int32
+}
+
+// NewShardQuota returns the quota of a shard. inUse are the units that may be in use already by the durable plan. No
+// more can be reserved before the document was read.
+func NewShardQuota(shard int, inUse int32) *ShardQuota {
+	return &ShardQuota{shard: shard, reserved: inUse}
+}
+
+// setState is the only place where the state changes.
+func (q *ShardQuota) setState(s State) { q.state = s }
+
+// State returns the state.
+func (q *ShardQuota) State() State { return q.state }
+
+// Usable returns the units that the shard may use now: while a change is open, the smaller of its share and the share
+// that it requested.
+func (q *ShardQuota) Usable() int32 {
+	switch q.state {
+	case Unread:
+		return 0
+	case Settled:
+		return q.shares[q.shard]
+	}
+	return min(q.shares[q.shard], q.requested)
+}
+
+// Reserved returns the units that may be in use.
+func (q *ShardQuota) Reserved() int32 { return q.reserved }
+
+// CanReserve tells whether that many more units may be reserved.
+func (q *ShardQuota) CanReserve(units int32) bool { return q.reserved+units <= q.Usable() }
+
+// Reserve reserves units, before anything that uses them may start. The caller asks CanReserve first.
+func (q *ShardQuota) Reserve(units int32) { q.reserved += units }
+
+// Release ends the reservation of units, once it is proven that they aren't in use any more. It returns an error that
+// wraps ErrNotReserved if fewer are reserved.
+func (q *ShardQuota) Release(units int32) error {
+	if units > q.reserved {
+		return fmt.Errorf("shard %d: release %d of %d units: %w", q.shard, units, q.reserved, ErrNotReserved)
+	}
+	q.reserved -= units
+	return nil
+}
+
+// SharesRead records the document as it was read or followed. A version that isn't newer changes nothing.
+func (q *ShardQuota) SharesRead(shares Shares, version uint64) {
+	if q.state != Unread && version <= q.version {
+		return
+	}
+	q.shares = slices.Clone(shares)
+	q.version = version
+	q.setState(Settled)
+}
+
+// Request returns the change that gives this shard the wanted units, as far as that is possible: never less than are
+// reserved, and no more than the limit leaves free. A smaller share counts from now on. ok is false if there is
+// nothing to change, or if the outcome of an earlier change is still open.
+func (q *ShardQuota) Request(wanted, limit int32) (change Change, ok bool) {
+	if q.state != Settled {
+		return Change{}, false
+	}
+	current := q.shares[q.shard]
+	requested := max(wanted, q.reserved, 0)
+	if requested > current {
+		free := max(0, limit-q.shares.Sum())
+		requested = min(requested, current+free)
+	}
+	if requested == current {
+		return Change{}, false
+	}
+	q.requested = requested
+	return q.sendChange(), true
+}
+
+// RetryRequest returns a change with an indeterminate outcome once more; ok is false if there is none. Whichever copy
+// is written first makes the other void.
+func (q *ShardQuota) RetryRequest() (change Change, ok bool) {
+	if q.state != Indeterminate {
+		return Change{}, false
+	}
+	return q.sendChange(), true
+}
+
+func (q *ShardQuota) sendChange() Change {
+	q.setState(Requesting)
+	shares := slices.Clone(q.shares)
+	shares[q.shard] = q.requested
+	return Change{Version: q.version, Shares: shares}
+}
+
+// ChangeCommitted records that a change is durable, at the document's new version.
+func (q *ShardQuota) ChangeCommitted(change Change, version uint64) {
+	if q.isInFlight(change) {
+		q.SharesRead(change.Shares, version)
+	}
+}
+
+// ChangeUnconfirmed records that a change was refused, not answered or not even sent. All are the same: an earlier
+// copy may still be written, so only a newer version of the document decides the outcome.
+func (q *ShardQuota) ChangeUnconfirmed(change Change) {
+	if q.isInFlight(change) {
+		q.setState(Indeterminate)
+	}
+}
+
+// isInFlight tells whether a change's outcome is awaited. It isn't after a newer version of the document was read.
+func (q *ShardQuota) isInFlight(change Change) bool {
+	return q.state == Requesting && change.Version == q.version
+}
--- a/internal/shards/lease.go
+++ b/internal/shards/lease.go
@@ -23,6 +23,7 @@
 	Indeterminate
 )
 
+// String returns the name of the state.
 func (s LeaseState) String() string {
 	return [...]string{
 		NotOwned:          "not owned",
