--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -94,9 +94,9 @@
 			continue
 		}
 		o := offer{typeIndex: machine.Type, zone: machine.Zone, isSpot: machine.Spot}
-		bin := &capacityBin{offer: o, free: machine.Capacity.Times(p.horizonS)}
+		bin := &capacityBin{offer: o, free: machine.Capacity.Scale(p.horizonS)}
 		for _, work := range m.Fleet.ExpectedWork(p.now, machine) {
-			bin.free = bin.free.Sub(work.Size.Times(min(work.Left, p.horizonS)))
+			bin.free = bin.free.Sub(work.Size.Scale(min(work.Remaining, p.horizonS)))
 		}
 		p.bins = append(p.bins, bin)
 	}
@@ -121,7 +121,7 @@
 		// Without this, one request after the other would go to the same zone.
 		m.machinesByZone[boot.zone]++
 		if machineType := m.machineType(boot.typeIndex); machineType != nil && !overdue[name] {
-			bin := &capacityBin{offer: boot.offer, free: machineType.Size().Times(p.horizonS)}
+			bin := &capacityBin{offer: boot.offer, free: machineType.Size().Scale(p.horizonS)}
 			p.bins = append(p.bins, bin)
 		}
 	}
@@ -133,7 +133,7 @@
 	if need.StartTogether {
 		secondsPerTask = p.horizonS
 	}
-	work := need.Job.Spec.Size().Times(secondsPerTask)
+	work := need.Job.Spec.Size().Scale(secondsPerTask)
 	spread := p.manager.zoneSpread(need.Job)
 	left := p.packBins(need.Job, need.Tasks, work, spread)
 	p.packNewMachines(need.Job, left, work, spread)
@@ -161,7 +161,7 @@
 		if !found {
 			return
 		}
-		bin := &capacityBin{offer: o, free: m.machineType(o.typeIndex).Size().Times(p.horizonS)}
+		bin := &capacityBin{offer: o, free: m.machineType(o.typeIndex).Size().Scale(p.horizonS)}
 		if work.Copies(bin.free) <= 0 {
 			return
 		}
@@ -175,7 +175,7 @@
 // place takes the work of at most count tasks and returns how many it took.
 func (b *capacityBin) place(count int, work planner.Size, spread zoneSpread) int {
 	placed := spread.place(b.zone, min(count, work.Copies(b.free)))
-	b.free = b.free.Sub(work.Times(float64(placed)))
+	b.free = b.free.Sub(work.Scale(float64(placed)))
 	return placed
 }
 
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -60,7 +60,7 @@
 		planned++
 	}
 	slog.Debug("array planned",
-		"job", job.ID, "tasks", planned, "remote", allocation.NRemote,
+		"job", job.ID, "tasks", planned, "remote", allocation.RemoteTasks,
 		"slots", len(slots.machines), "machines", slots.machineCount,
 		"makespan_s", int(allocation.Makespan), "term", f.Term)
 }
@@ -157,12 +157,12 @@
 	// many as slots, the cost of each is one whole fetch.
 	costPerRemoteTask := f.Settings.Operator.NetworkFactor * slots.maxFetchSeconds / float64(slotCount)
 	return &planner.Problem{
-		Initial: slots.load,
-		Groups:  []planner.Group{{Tasks: tasks, Prefer: preferred}},
-		Local:   local,
-		Remote:  func(remoteTasks int) float64 { return local + costPerRemoteTask*float64(remoteTasks) },
+		InitialLoads: slots.load,
+		Groups:       []planner.Group{{Tasks: tasks, PreferredServers: preferred}},
+		LocalCost:    local,
+		RemoteCost:   func(remoteTasks int) float64 { return local + costPerRemoteTask*float64(remoteTasks) },
 		// A loop visits every slot, so many slots allow fewer loops.
-		MaxLoop: min(maxReduceLoops, max(minReduceLoops, maxSlotVisits/slotCount)),
+		MaxLoops: min(maxReduceLoops, max(minReduceLoops, maxSlotVisits/slotCount)),
 	}
 }
 
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -146,7 +146,7 @@
 		size := queuedJob.Spec.Size()
 		// Tasks for which there is no room now take none either.
 		startable := min(len(queue.tasks), max(0, size.Copies(free)))
-		free = free.Sub(size.Times(float64(startable)))
+		free = free.Sub(size.Scale(float64(startable)))
 	}
 	f.PlanningSteps += uint64(len(machine.queues))
 	return free
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -78,7 +78,7 @@
 		if preemptor != nil && f.mayPreempt(preemptor, f.jobAt(end.Job)) {
 			remaining = preemptibleSeconds
 		}
-		work = append(work, planner.Work{Size: end.size, Left: remaining})
+		work = append(work, planner.Work{Size: end.size, Remaining: remaining})
 	}
 	f.PlanningSteps += uint64(len(machine.expectedEnds))
 	if rank <= noRank || len(machine.queues) == 0 {
@@ -106,12 +106,12 @@
 		if taskCount > maxTasksListedSingly {
 			if copies := size.Copies(machine.Capacity); copies > 0 {
 				total := taskSeconds * float64(taskCount) / float64(copies)
-				work = append(work, planner.Work{Size: machine.Capacity, Left: total})
+				work = append(work, planner.Work{Size: machine.Capacity, Remaining: total})
 			}
 			continue
 		}
 		for range taskCount {
-			work = append(work, planner.Work{Size: size, Left: taskSeconds})
+			work = append(work, planner.Work{Size: size, Remaining: taskSeconds})
 		}
 	}
 	return work
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -112,7 +112,7 @@
 // array behind every job without a deadline would lose more than the overload does.
 func (f *Fleet) demoteUnattainableDeadlines(now time.Duration, urgencies map[jobs.Index]urgency) {
 	deadlineJobs, pool := f.collectDeadlineJobs(urgencies)
-	givenUp := unattainableDeadlines(now, deadlineJobs, pool.Times(plannableFraction))
+	givenUp := unattainableDeadlines(now, deadlineJobs, pool.Scale(plannableFraction))
 	for start := 0; start < len(deadlineJobs); {
 		end := start + 1
 		for end < len(deadlineJobs) && f.mayChangePlaces(deadlineJobs[start].job, deadlineJobs[end].job) {
@@ -141,14 +141,14 @@
 		jobUrgency := urgencies[job.Index]
 		hasDeadline := job.Spec.Kind == jobs.Array && job.Spec.DeadlineS != nil
 		if !hasDeadline || !jobUrgency.attainable || unstarted == 0 {
-			pool = pool.Sub(job.Spec.Size().Times(float64(job.TasksOnMachines())))
+			pool = pool.Sub(job.Spec.Size().Scale(float64(job.TasksOnMachines())))
 			continue
 		}
 		deadlineJobs = append(deadlineJobs, deadlineJob{
 			job:         job,
 			position:    position,
 			latestStart: jobUrgency.latestStart,
-			work:        job.Spec.Size().Times(float64(unstarted) * f.estimate(job)),
+			work:        job.Spec.Size().Scale(float64(unstarted) * f.estimate(job)),
 		})
 	}
 	f.PlanningSteps += uint64(len(f.machines) + 2*len(deadlineJobs))
--- a/internal/fleet/queues.go
+++ b/internal/fleet/queues.go
@@ -62,7 +62,7 @@
 		machine.queuedWithoutArrays = planner.Size{}
 		return
 	}
-	size := job.Spec.Size().Times(float64(count))
+	size := job.Spec.Size().Scale(float64(count))
 	machine.queuedNeed = machine.queuedNeed.Sub(size)
 	if job.Spec.Kind != jobs.Array {
 		machine.queuedWithoutArrays = machine.queuedWithoutArrays.Sub(size)
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -26,7 +26,7 @@
 		// What such work may preempt need only be kept off as much as waits and may come.
 		return planner.Size{}
 	}
-	return f.gpuReserve.perGPU.Times(idleGPUs)
+	return f.gpuReserve.perGPU.Scale(idleGPUs)
 }
 
 // ignoresGPUReserve reports whether a job leaves nothing free for work that waits for accelerators. One that ranks
--- a/internal/planner/balance.go
+++ b/internal/planner/balance.go
@@ -56,10 +56,10 @@
 }
 
 func newBalancer(p *Problem) *balancer {
-	servers, groups := len(p.Initial), len(p.Groups)
+	servers, groups := len(p.InitialLoads), len(p.Groups)
 	b := &balancer{
 		problem:     p,
-		loads:       append([]float64(nil), p.Initial...),
+		loads:       append([]float64(nil), p.InitialLoads...),
 		taskCounts:  make([]int32, servers),
 		placed:      make([][]int32, groups),
 		waiting:     make([]int32, groups),
@@ -73,9 +73,9 @@
 	}
 	for g := range p.Groups {
 		group := &p.Groups[g]
-		b.placed[g] = make([]int32, len(group.Prefer))
+		b.placed[g] = make([]int32, len(group.PreferredServers))
 		b.waiting[g] = int32(len(group.Tasks))
-		for position, server := range group.Prefer {
+		for position, server := range group.PreferredServers {
 			b.preferences[server] = append(b.preferences[server], preference{int32(g), int32(position)})
 		}
 	}
@@ -90,7 +90,7 @@
 func (b *balancer) tasksToPlace() int {
 	total := 0
 	for g := range b.problem.Groups {
-		if group := &b.problem.Groups[g]; len(group.Prefer) > 0 {
+		if group := &b.problem.Groups[g]; len(group.PreferredServers) > 0 {
 			total += len(group.Tasks)
 		}
 	}
@@ -141,7 +141,7 @@
 // enqueueServersOf adds the servers that have a task of the group and could give it away.
 func (b *balancer) enqueueServersOf(group int32) {
 	s := &b.search
-	prefer := b.problem.Groups[group].Prefer
+	prefer := b.problem.Groups[group].PreferredServers
 	for position, count := range b.placed[group] {
 		server := prefer[position]
 		if count > 0 && s.serverRound[server] != s.round {
@@ -166,7 +166,7 @@
 		b.placed[given.group][given.position]--
 		group = given.group
 	}
-	b.loads[root] += b.problem.Local
+	b.loads[root] += b.problem.LocalCost
 	b.taskCounts[root]++
 	for _, server := range b.search.roots {
 		heap.Push(b.candidates, server)
@@ -195,7 +195,7 @@
 	servers := make([]int32, 0, len(group.Tasks))
 	for position, count := range b.placed[g] {
 		for range count {
-			servers = append(servers, group.Prefer[position])
+			servers = append(servers, group.PreferredServers[position])
 		}
 	}
 	for len(servers) < len(group.Tasks) {
--- a/internal/planner/balance_test.go
+++ b/internal/planner/balance_test.go
@@ -9,14 +9,14 @@
 // Example 3: the third task is placed by an augmenting path that moves two others.
 func TestPaperExample3AugmentingPath(t *testing.T) {
 	p := &Problem{
-		Initial: []float64{3.1, 2.2, 1.9},
+		InitialLoads: []float64{3.1, 2.2, 1.9},
 		Groups: []Group{
-			{Tasks: []int32{1}, Prefer: []int32{0, 1}},
-			{Tasks: []int32{2}, Prefer: []int32{1, 2}},
-			{Tasks: []int32{3}, Prefer: []int32{2}},
+			{Tasks: []int32{1}, PreferredServers: []int32{0, 1}},
+			{Tasks: []int32{2}, PreferredServers: []int32{1, 2}},
+			{Tasks: []int32{3}, PreferredServers: []int32{2}},
 		},
-		Local:  1,
-		Remote: func(int) float64 { return 2 },
+		LocalCost:  1,
+		RemoteCost: func(int) float64 { return 2 },
 	}
 	a := Balance(p)
 	want := []int32{1, 2, 2}
@@ -51,10 +51,10 @@
 	var preferences [][]int32 // by task
 	for _, group := range p.Groups {
 		for range group.Tasks {
-			preferences = append(preferences, group.Prefer)
+			preferences = append(preferences, group.PreferredServers)
 		}
 	}
-	loads := append([]float64(nil), p.Initial...)
+	loads := append([]float64(nil), p.InitialLoads...)
 	taskCounts := make([]int, len(loads))
 	best := math.Inf(1)
 	var placeFrom func(task int)
@@ -64,10 +64,10 @@
 			return
 		}
 		for _, server := range preferences[task] {
-			loads[server] += p.Local
+			loads[server] += p.LocalCost
 			taskCounts[server]++
 			placeFrom(task + 1)
-			loads[server] -= p.Local
+			loads[server] -= p.LocalCost
 			taskCounts[server]--
 		}
 	}
@@ -90,18 +90,18 @@
 // the task is at most the load of any other server that the task prefers.
 func checkBalancePolicy(t *testing.T, p *Problem, a *Allocation) {
 	t.Helper()
-	loads := append([]float64(nil), p.Initial...)
+	loads := append([]float64(nil), p.InitialLoads...)
 	for group := range a.Server {
 		for _, server := range a.Server[group] {
-			loads[server] += p.Local
+			loads[server] += p.LocalCost
 		}
 	}
 	for g, group := range p.Groups {
 		for _, server := range a.Server[g] {
 			isPreferred := false
-			for _, other := range group.Prefer {
+			for _, other := range group.PreferredServers {
 				isPreferred = isPreferred || other == server
-				if loads[server]-p.Local > loads[other]+tolerance {
+				if loads[server]-p.LocalCost > loads[other]+tolerance {
 					t.Fatalf("policy (9) broken: server %d at %v, preferred %d at %v",
 						server, loads[server], other, loads[other])
 				}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -14,13 +14,13 @@
 
 // benchmarkProblem has one group of tasks, whose input is on every fourth server.
 func benchmarkProblem() *Problem {
-	p := &Problem{Local: 10, MaxLoop: 256}
-	p.Remote = func(remoteTasks int) float64 { return 10 + 0.01*float64(remoteTasks) }
+	p := &Problem{LocalCost: 10, MaxLoops: 256}
+	p.RemoteCost = func(remoteTasks int) float64 { return 10 + 0.01*float64(remoteTasks) }
 	group := Group{Tasks: make([]int32, benchmarkTasks)}
 	for server := range benchmarkServers {
-		p.Initial = append(p.Initial, float64(server%7))
+		p.InitialLoads = append(p.InitialLoads, float64(server%7))
 		if server%4 == 0 {
-			group.Prefer = append(group.Prefer, int32(server))
+			group.PreferredServers = append(group.PreferredServers, int32(server))
 		}
 	}
 	p.Groups = []Group{group}
--- a/internal/planner/lanes.go
+++ b/internal/planner/lanes.go
@@ -10,8 +10,8 @@
 
 // Work is something that already loads a machine.
 type Work struct {
-	Size Size
-	Left float64 // remaining time in seconds
+	Size      Size
+	Remaining float64 // remaining time in seconds
 }
 
 // Lanes divides a machine of the given size into lanes for tasks of one size, one for each copy that fits, and
@@ -30,11 +30,11 @@
 		width := laneWidth(work[i].Size, machine, count)
 		switch width {
 		case count:
-			occupyAll(loads, work[i].Left)
+			occupyAll(loads, work[i].Remaining)
 		case 1:
-			loads[leastLoaded(loads)] += work[i].Left
+			loads[leastLoaded(loads)] += work[i].Remaining
 		default:
-			occupyLeastLoaded(loads, width, work[i].Left)
+			occupyLeastLoaded(loads, width, work[i].Remaining)
 		}
 	}
 	return dst
--- a/internal/planner/lanes_test.go
+++ b/internal/planner/lanes_test.go
@@ -69,7 +69,7 @@
 		width := min(lanes, max(1, int(math.Round(w.Size.CPUs/machine.CPUs*float64(lanes)))))
 		start := loads[byLoad[width-1]]
 		for _, lane := range byLoad[:width] {
-			loads[lane] = start + w.Left
+			loads[lane] = start + w.Remaining
 		}
 	}
 	return loads
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -16,22 +16,22 @@
 type Group struct {
 	// Tasks are the task numbers.
 	Tasks []int32
-	// Prefer are the servers that hold the tasks' input, each once.
-	Prefer []int32
+	// PreferredServers are the servers that hold the tasks' input, each once.
+	PreferredServers []int32
 }
 
 // Problem is one scheduling problem in the paper's terms. Loads and costs are in seconds.
 type Problem struct {
-	// Initial is the load of each server before any task is placed.
-	Initial []float64
+	// InitialLoads is the load of each server before any task is placed.
+	InitialLoads []float64
 	// Groups are the tasks to place.
 	Groups []Group
-	// Local is the cost of a task on a server that it prefers.
-	Local float64
-	// Remote returns the cost of a task on any other server, by the number of remote tasks in the plan.
-	Remote func(remoteTasks int) float64
-	// MaxLoop bounds the loops of Reduce; 0 means one for each task.
-	MaxLoop int
+	// LocalCost is the cost of a task on a server that it prefers.
+	LocalCost float64
+	// RemoteCost returns the cost of a task on any other server, by the number of remote tasks in the plan.
+	RemoteCost func(remoteTasks int) float64
+	// MaxLoops bounds the loops of Reduce; 0 means one for each task.
+	MaxLoops int
 	// AcceptsRemote tells which servers may run remote tasks; nil means all.
 	AcceptsRemote func(server int) bool
 }
@@ -47,8 +47,8 @@
 	Remote [][]bool
 	// Makespan is the highest load, in seconds, among the servers that have a task.
 	Makespan float64
-	// NRemote is the number of remote tasks.
-	NRemote int
+	// RemoteTasks is the number of remote tasks.
+	RemoteTasks int
 }
 
 // Plan runs Balance and then Reduce, and returns the better of the two plans. Reduce draws its tasks from rng.
--- a/internal/planner/problem_test.go
+++ b/internal/planner/problem_test.go
@@ -14,10 +14,10 @@
 // paperProblem is the paper's running example: seven tasks and three servers, each task's input on two of them.
 func paperProblem() *Problem {
 	group := func(task int32, servers ...int32) Group {
-		return Group{Tasks: []int32{task}, Prefer: servers}
+		return Group{Tasks: []int32{task}, PreferredServers: servers}
 	}
 	return &Problem{
-		Initial: []float64{7.1, 4.2, 0.3},
+		InitialLoads: []float64{7.1, 4.2, 0.3},
 		Groups: []Group{
 			group(1, 0, 1),
 			group(2, 1, 2),
@@ -27,18 +27,18 @@
 			group(6, 0, 1),
 			group(7, 0, 1),
 		},
-		Local:  1,
-		Remote: func(remoteTasks int) float64 { return 1 + 0.1*float64(remoteTasks) },
+		LocalCost:  1,
+		RemoteCost: func(remoteTasks int) float64 { return 1 + 0.1*float64(remoteTasks) },
 	}
 }
 
 // randomProblem has the given numbers of servers and tasks; every group prefers at least one server.
 func randomProblem(rng *rand.Rand, servers, tasks int) *Problem {
 	fetch := rng.Float64()
-	p := &Problem{Local: 1 + rng.Float64()*3}
-	p.Remote = func(remoteTasks int) float64 { return p.Local + fetch*float64(remoteTasks) }
+	p := &Problem{LocalCost: 1 + rng.Float64()*3}
+	p.RemoteCost = func(remoteTasks int) float64 { return p.LocalCost + fetch*float64(remoteTasks) }
 	for range servers {
-		p.Initial = append(p.Initial, rng.Float64()*6)
+		p.InitialLoads = append(p.InitialLoads, rng.Float64()*6)
 	}
 	for left := tasks; left > 0; {
 		size := 1 + rng.IntN(left)
@@ -46,11 +46,11 @@
 		group := Group{Tasks: make([]int32, size)}
 		for server := range servers {
 			if rng.IntN(2) == 0 {
-				group.Prefer = append(group.Prefer, int32(server))
+				group.PreferredServers = append(group.PreferredServers, int32(server))
 			}
 		}
-		if len(group.Prefer) == 0 {
-			group.Prefer = []int32{int32(rng.IntN(servers))}
+		if len(group.PreferredServers) == 0 {
+			group.PreferredServers = []int32{int32(rng.IntN(servers))}
 		}
 		p.Groups = append(p.Groups, group)
 	}
@@ -59,9 +59,9 @@
 
 // recomputeMakespan computes an allocation's makespan from the servers of its tasks alone.
 func recomputeMakespan(p *Problem, a *Allocation) float64 {
-	loads := append([]float64(nil), p.Initial...)
+	loads := append([]float64(nil), p.InitialLoads...)
 	active := make([]bool, len(loads))
-	remoteCost := p.Remote(a.NRemote)
+	remoteCost := p.RemoteCost(a.RemoteTasks)
 	for group := range a.Server {
 		for position, server := range a.Server[group] {
 			if server == unplaced {
@@ -71,7 +71,7 @@
 			if a.Remote[group][position] {
 				loads[server] += remoteCost
 			} else {
-				loads[server] += p.Local
+				loads[server] += p.LocalCost
 			}
 		}
 	}
--- a/internal/planner/reduce.go
+++ b/internal/planner/reduce.go
@@ -63,15 +63,15 @@
 func newReducer(p *Problem, balanced *Allocation) *reducer {
 	r := &reducer{
 		problem: p,
-		loads:   append([]float64(nil), p.Initial...),
-		tasks:   make([][]taskRef, len(p.Initial)),
+		loads:   append([]float64(nil), p.InitialLoads...),
+		tasks:   make([][]taskRef, len(p.InitialLoads)),
 	}
 	for group, servers := range balanced.Server {
 		for position, server := range servers {
 			if server == unplaced {
 				continue
 			}
-			r.loads[server] += p.Local
+			r.loads[server] += p.LocalCost
 			r.tasks[server] = append(r.tasks[server], taskRef{int32(group), int32(position)})
 			r.taskCount++
 		}
@@ -83,8 +83,8 @@
 
 // maxLoops returns the problem's bound on loops.
 func (r *reducer) maxLoops() int {
-	if r.problem.MaxLoop > 0 {
-		return r.problem.MaxLoop
+	if r.problem.MaxLoops > 0 {
+		return r.problem.MaxLoops
 	}
 	return r.taskCount
 }
@@ -97,7 +97,7 @@
 	r.pool = append(r.pool, tasks[chosen])
 	tasks[chosen] = tasks[last]
 	r.tasks[server] = tasks[:last]
-	r.loads[server] -= r.problem.Local
+	r.loads[server] -= r.problem.LocalCost
 	if last == 0 {
 		heap.Pop(r.active)
 	} else {
@@ -118,7 +118,7 @@
 // placePool returns the placement of the pool and the makespan of the whole plan with it. ok is false if no server
 // accepts remote tasks.
 func (r *reducer) placePool() (placement remotePlacement, ok bool) {
-	placement, ok = r.hosts.place(len(r.pool), r.problem.Remote(len(r.pool)))
+	placement, ok = r.hosts.place(len(r.pool), r.problem.RemoteCost(len(r.pool)))
 	placement.makespan = max(placement.makespan, r.expectedMakespan())
 	return placement, ok
 }
@@ -127,10 +127,10 @@
 // them.
 func (r *reducer) apply(balanced *Allocation, placement remotePlacement) *Allocation {
 	a := &Allocation{
-		Server:   make([][]int32, len(balanced.Server)),
-		Remote:   make([][]bool, len(balanced.Server)),
-		Makespan: placement.makespan,
-		NRemote:  len(placement.servers),
+		Server:      make([][]int32, len(balanced.Server)),
+		Remote:      make([][]bool, len(balanced.Server)),
+		Makespan:    placement.makespan,
+		RemoteTasks: len(placement.servers),
 	}
 	for group, servers := range balanced.Server {
 		a.Server[group] = append([]int32(nil), servers...)
--- a/internal/planner/reduce_test.go
+++ b/internal/planner/reduce_test.go
@@ -12,15 +12,15 @@
 func TestPaperExample1Makespan(t *testing.T) {
 	p := paperProblem()
 	a := &Allocation{
-		Server:  [][]int32{{1}, {1}, {2}, {2}, {2}, {1}, {2}},
-		Remote:  [][]bool{{false}, {false}, {false}, {false}, {true}, {false}, {true}},
-		NRemote: 2,
+		Server:      [][]int32{{1}, {1}, {2}, {2}, {2}, {1}, {2}},
+		Remote:      [][]bool{{false}, {false}, {false}, {false}, {true}, {false}, {true}},
+		RemoteTasks: 2,
 	}
 	if got := recomputeMakespan(p, a); !near(got, 7.2) {
 		t.Fatalf("makespan %v, want 7.2", got)
 	}
 	a.Remote[0][0] = true
-	a.NRemote = 3
+	a.RemoteTasks = 3
 	if near(recomputeMakespan(p, a), 7.2) {
 		t.Fatal("a third remote task must cost something")
 	}
@@ -38,24 +38,24 @@
 	if !near(plan.Makespan, recomputeMakespan(p, plan)) {
 		t.Fatalf("claimed makespan %v, recomputed %v", plan.Makespan, recomputeMakespan(p, plan))
 	}
-	if !near(plan.Makespan, 6.2) || plan.NRemote != 2 {
-		t.Fatalf("makespan %v with %d remote tasks, want 6.2 with 2", plan.Makespan, plan.NRemote)
+	if !near(plan.Makespan, 6.2) || plan.RemoteTasks != 2 {
+		t.Fatalf("makespan %v with %d remote tasks, want 6.2 with 2", plan.Makespan, plan.RemoteTasks)
 	}
 }
 
 // The largest job that the protocol allows must not stall the event loop. The test counts loops and measures no time.
 func TestPlanLargestJobIsBounded(t *testing.T) {
-	p := &Problem{Local: 10, MaxLoop: 200}
+	p := &Problem{LocalCost: 10, MaxLoops: 200}
 	loops := 0
-	p.Remote = func(remoteTasks int) float64 {
+	p.RemoteCost = func(remoteTasks int) float64 {
 		loops++
 		return 10 + float64(remoteTasks)
 	}
 	group := Group{Tasks: make([]int32, 100_000)}
 	for server := range 800 {
-		p.Initial = append(p.Initial, float64(server%7))
+		p.InitialLoads = append(p.InitialLoads, float64(server%7))
 		if server%4 == 0 {
-			group.Prefer = append(group.Prefer, int32(server))
+			group.PreferredServers = append(group.PreferredServers, int32(server))
 		}
 	}
 	p.Groups = []Group{group}
@@ -81,9 +81,9 @@
 		got := reduce(p, balanced, rand.New(rand.NewPCG(seed, 4)))
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d: makespan %v with %d remote tasks, want %v with %d",
-				seed, got.Makespan, got.NRemote, want.Makespan, want.NRemote)
+				seed, got.Makespan, got.RemoteTasks, want.Makespan, want.RemoteTasks)
 		}
-		moved += got.NRemote
+		moved += got.RemoteTasks
 	}
 	if moved < 600 {
 		t.Fatalf("only %d tasks were moved: the test decides nothing", moved)
@@ -95,13 +95,13 @@
 	rng := rand.New(rand.NewPCG(seed, 21))
 	p := randomProblem(rng, 1+rng.IntN(40), 1+rng.IntN(120))
 	if seed%2 == 0 { // many equal loads
-		for server := range p.Initial {
-			p.Initial[server] = math.Floor(p.Initial[server] / 2)
+		for server := range p.InitialLoads {
+			p.InitialLoads[server] = math.Floor(p.InitialLoads[server] / 2)
 		}
-		p.Local = 1
+		p.LocalCost = 1
 	}
 	if seed%3 == 0 {
-		p.MaxLoop = 1 + rng.IntN(20)
+		p.MaxLoops = 1 + rng.IntN(20)
 	}
 	if seed%5 == 0 {
 		parity := rng.IntN(2)
@@ -112,7 +112,7 @@
 
 // plainReduce is the slow plain model of reduce: it looks at every server in every loop.
 func plainReduce(p *Problem, balanced *Allocation, rng *rand.Rand) *Allocation {
-	loads := append([]float64(nil), p.Initial...)
+	loads := append([]float64(nil), p.InitialLoads...)
 	tasks := make([][]taskRef, len(loads))
 	taskCount := 0
 	for group := range balanced.Server {
@@ -120,7 +120,7 @@
 			if server == unplaced {
 				continue
 			}
-			loads[server] += p.Local
+			loads[server] += p.LocalCost
 			tasks[server] = append(tasks[server], taskRef{int32(group), int32(position)})
 			taskCount++
 		}
@@ -128,7 +128,7 @@
 	if taskCount == 0 {
 		return balanced
 	}
-	loops := p.MaxLoop
+	loops := p.MaxLoops
 	if loops <= 0 {
 		loops = taskCount
 	}
@@ -144,7 +144,7 @@
 		pool = append(pool, tasks[mostLoaded][chosen])
 		tasks[mostLoaded][chosen] = tasks[mostLoaded][last]
 		tasks[mostLoaded] = tasks[mostLoaded][:last]
-		loads[mostLoaded] -= p.Local
+		loads[mostLoaded] -= p.LocalCost
 
 		expected := 0.0
 		for server := range loads {
@@ -152,7 +152,7 @@
 				expected = max(expected, loads[server])
 			}
 		}
-		servers, makespan := plainPlace(p, loads, len(pool), p.Remote(len(pool)))
+		servers, makespan := plainPlace(p, loads, len(pool), p.RemoteCost(len(pool)))
 		if servers == nil {
 			break
 		}
@@ -201,10 +201,10 @@
 
 func plainApply(balanced *Allocation, pool []taskRef, placement remotePlacement) *Allocation {
 	a := &Allocation{
-		Server:   make([][]int32, len(balanced.Server)),
-		Remote:   make([][]bool, len(balanced.Server)),
-		Makespan: placement.makespan,
-		NRemote:  len(placement.servers),
+		Server:      make([][]int32, len(balanced.Server)),
+		Remote:      make([][]bool, len(balanced.Server)),
+		Makespan:    placement.makespan,
+		RemoteTasks: len(placement.servers),
 	}
 	for group := range balanced.Server {
 		a.Server[group] = append([]int32(nil), balanced.Server[group]...)
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -38,8 +38,8 @@
 	return Size{min(s.CPUs, other.CPUs), min(s.GPUs, other.GPUs), min(s.Mem, other.Mem)}
 }
 
-// Times returns s multiplied by factor.
-func (s Size) Times(factor float64) Size {
+// Scale returns s multiplied by factor.
+func (s Size) Scale(factor float64) Size {
 	return Size{s.CPUs * factor, s.GPUs * factor, s.Mem * factor}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -55,13 +55,13 @@
 // Fits returns whether n more tasks of a size keep a team within its limit; false for an unknown team.
 func (l *Ledger) Fits(team int32, size planner.Size, n int) bool {
 	account := l.teams[team]
-	return account != nil && account.Used.Add(size.Times(float64(n))).Fits(account.Limit)
+	return account != nil && account.Used.Add(size.Scale(float64(n))).Fits(account.Limit)
 }
 
 // CouldEverFit returns whether n tasks of a size could run together if the team ran nothing else; false for an unknown team.
 func (l *Ledger) CouldEverFit(team int32, size planner.Size, n int) bool {
 	account := l.teams[team]
-	return account != nil && size.Times(float64(n)).Fits(account.Limit)
+	return account != nil && size.Scale(float64(n)).Fits(account.Limit)
 }
 
 // Acquire counts a task of a size that may be on a machine from now on.
