--- a/cmd/harewalk/client.go
+++ b/cmd/harewalk/client.go
@@ -78,7 +78,7 @@
 			ca = raw
 		}
 		var err error
-		if conf, err = access.Client(ca); err != nil {
+		if conf, err = access.ClientConfig(ca); err != nil {
 			return coded{exitUsage, fmt.Errorf("--ca %s: %w", o.ca, err)}
 		}
 	} else if o.ca != "" && os.Getenv("HAREWALK_CA") != o.ca {
--- a/cmd/harewalk/main.go
+++ b/cmd/harewalk/main.go
@@ -162,10 +162,10 @@
 				settings.Node, len(settings.Peers), len(settings.Params.Teams), len(settings.Params.Objectives))
 			o := settings.Operator
 			fmt.Fprintf(c.OutOrStdout(), "hold_ttl_ms = %d\nsilent_s = %g\nidle_s = %g\nheadroom = %g\nmax_machines = %d\nnetwork_factor = %g\n",
-				o.HoldTTLMS, o.SilentS, o.IdleS, o.Headroom, o.MaxMachines, o.NetworkFactor)
+				o.ControllerLeaseTTLMS, o.MachineUnheardTimeoutS, o.MachineIdleTimeoutS, o.Headroom, o.MaxMachines, o.NetworkFactor)
 			l := settings.Params.Limits
 			fmt.Fprintf(c.OutOrStdout(), "connections taken = %d\nunfinished tasks = %d\nbytes of waiting submissions = %d\n",
-				l.Conns(), l.Tasks(), l.QueueBytes())
+				l.MaxConns(), l.MaxTasks(), l.MaxQueueBytes())
 			return nil
 		},
 	}
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -88,7 +88,7 @@
 				return coded{exitUsage, fmt.Errorf("%s is not a JSON object: %w", args[0], err)}
 			}
 			token, agent := rand.Text(), rand.Text()
-			body["user"], body["token_sha256"], body["agent_sha256"] = who, sessions.Digest(token), sessions.Digest(agent)
+			body["user"], body["token_sha256"], body["agent_sha256"] = who, sessions.TokenDigest(token), sessions.TokenDigest(agent)
 			var v sessions.View
 			if err := o.ask("POST", "/v2/sessions", body, &v); err != nil {
 				return err
@@ -117,7 +117,7 @@
 			return tell(o, c, "GET", "/v2/sessions?"+q.Encode(), nil, func(t *tabwriter.Writer, vs []sessions.View) {
 				fmt.Fprintln(t, "SESSION\tUSER\tTEAM\tSTATE\tFOR\tIDLE\tUNSAVED MB\tWHY")
 				for _, v := range vs {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", v.ID, v.User, v.Team, v.State, brief(v.ForS), brief(v.IdleS), v.UnsavedMB, v.Why)
+					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", v.ID, v.User, v.Team, v.State, brief(v.InStateS), brief(v.IdleS), v.UnsavedMB, v.Cause)
 				}
 			})
 		},
@@ -166,9 +166,9 @@
 			}
 			over, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 			defer stop()
-			for at := v.Attachment; ; {
-				if v.Why != "" {
-					fmt.Fprintf(c.ErrOrStderr(), "%s: %s; reclaimed in %s\n", v.State, v.Why, brief(v.ReclaimS))
+			for at := v.AttachmentID; ; {
+				if v.Cause != "" {
+					fmt.Fprintf(c.ErrOrStderr(), "%s: %s; reclaimed in %s\n", v.State, v.Cause, brief(v.ReclaimInS))
 				}
 				select {
 				case <-over.Done():
@@ -192,14 +192,14 @@
 }
 
 func showSession(t *tabwriter.Writer, v sessions.View) {
-	fmt.Fprintf(t, "session\t%s\nuser\t%s\nteam\t%s\nstate\t%s for %s\n", v.ID, v.User, v.Team, v.State, brief(v.ForS))
-	if v.Why != "" {
-		fmt.Fprintf(t, "why\t%s\n", v.Why)
+	fmt.Fprintf(t, "session\t%s\nuser\t%s\nteam\t%s\nstate\t%s for %s\n", v.ID, v.User, v.Team, v.State, brief(v.InStateS))
+	if v.Cause != "" {
+		fmt.Fprintf(t, "why\t%s\n", v.Cause)
 	}
-	if v.ReclaimS > 0 {
-		fmt.Fprintf(t, "reclaimed in\t%s\n", brief(v.ReclaimS))
+	if v.ReclaimInS > 0 {
+		fmt.Fprintf(t, "reclaimed in\t%s\n", brief(v.ReclaimInS))
 	}
-	if v.Saved != nil {
-		fmt.Fprintf(t, "saved\t%s\n", v.Saved.Ref)
+	if v.Checkpoint != nil {
+		fmt.Fprintf(t, "saved\t%s\n", v.Checkpoint.Ref)
 	}
 }
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_world_test.go
@@ -214,7 +214,7 @@
 			go func() {
 				defer both.Done()
 				_, v := n.Attach()
-				ids[i] = v.Attachment
+				ids[i] = v.AttachmentID
 			}()
 		}
 		both.Wait()
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		if os.Getenv(asFormer) != "" {
-			settle = func(settings *config.Settings) { settings.Earlier(rollout.Newest-1, simulator.Former) }
+			settle = func(settings *config.Settings) { settings.SimulateRelease(rollout.Newest-1, simulator.Former) }
 		}
 		main()
 		return
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -59,25 +59,25 @@
 func TestPeersKnowEachOther(t *testing.T) {
 	one, other := accesstest.Write(t, t.TempDir(), "node-0", "node-1"), accesstest.Write(t, t.TempDir(), "node-0", "node-1")
 	k, stranger := open(t, one), open(t, other)
-	if s, c := shake(k.Peers(), k.Peer("node-1")); s != nil || c != nil {
+	if s, c := shake(k.PeerListenerConfig(), k.PeerClientConfig("node-1")); s != nil || c != nil {
 		t.Fatalf("of one authority: %v, %v", s, c)
 	}
-	if _, c := shake(k.Peers(), k.Peer("node-2")); c == nil {
+	if _, c := shake(k.PeerListenerConfig(), k.PeerClientConfig("node-2")); c == nil {
 		t.Error("a certificate that doesn't name the node was taken")
 	}
-	if _, c := shake(stranger.Peers(), k.Peer("node-1")); c == nil {
+	if _, c := shake(stranger.PeerListenerConfig(), k.PeerClientConfig("node-1")); c == nil {
 		t.Error("a server of another authority was taken")
 	}
-	lax := stranger.Peer("node-1")
-	lax.RootCAs = k.Peer("node-1").RootCAs
-	if s, c := shake(k.Peers(), lax); s == nil || c == nil {
+	lax := stranger.PeerClientConfig("node-1")
+	lax.RootCAs = k.PeerClientConfig("node-1").RootCAs
+	if s, c := shake(k.PeerListenerConfig(), lax); s == nil || c == nil {
 		t.Error("a client of another authority was let in")
 	}
 	lax.Certificates = nil
-	if s, _ := shake(k.Peers(), lax); s == nil {
+	if s, _ := shake(k.PeerListenerConfig(), lax); s == nil {
 		t.Error("a client without a certificate was let in")
 	}
-	if s, c := shake(k.Users(), lax); s != nil || c != nil {
+	if s, c := shake(k.UserListenerConfig(), lax); s != nil || c != nil {
 		t.Errorf("a user needs none: %v, %v", s, c)
 	}
 }
@@ -88,8 +88,8 @@
 	dir := t.TempDir()
 	f := accesstest.Write(t, dir, "node-0")
 	k := open(t, f)
-	old := k.Peer("node-0")
-	server := k.Users() // the listener's, made once
+	old := k.PeerClientConfig("node-0")
+	server := k.UserListenerConfig() // the listener's, made once
 	cert, err := os.ReadFile(f.Cert)
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 	if _, c := shake(server, old); c == nil {
 		t.Fatal("the old key still answers")
 	}
-	if s, c := shake(server, k.Peer("node-0")); s != nil || c != nil {
+	if s, c := shake(server, k.PeerClientConfig("node-0")); s != nil || c != nil {
 		t.Fatalf("the new ones: %v, %v", s, c)
 	}
 	if err := os.Remove(f.Key); err != nil {
@@ -130,7 +130,7 @@
 	if err := k.Check(); err == nil {
 		t.Fatal("a missing file is no error")
 	}
-	if s, c := shake(server, k.Peer("node-0")); s != nil || c != nil {
+	if s, c := shake(server, k.PeerClientConfig("node-0")); s != nil || c != nil {
 		t.Fatalf("with a file missing: %v, %v", s, c)
 	}
 }
@@ -161,17 +161,17 @@
 	}
 	for tok, want := range map[string]string{a: "ada", b: "ada", c: "ops", a + "x": "", "": "", sa: ""} {
 		got := ""
-		if w := u.Who(tok); w != nil {
+		if w := u.Authenticate(tok); w != nil {
 			got = w.Name
 		}
 		if got != want {
 			t.Errorf("%q is %q, want %q", tok, got, want)
 		}
 	}
-	if w := u.Who(a); !w.May("red") || w.May("blue") || w.Operator {
+	if w := u.Authenticate(a); !w.MayActFor("red") || w.MayActFor("blue") || w.Operator {
 		t.Errorf("%+v", w)
 	}
-	if w := u.Who(c); !w.May("blue") || !w.Operator {
+	if w := u.Authenticate(c); !w.MayActFor("blue") || !w.Operator {
 		t.Errorf("%+v", w)
 	}
 	for bad, want := range map[string]string{
@@ -182,12 +182,12 @@
 		if err := u.Check(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v does not say %q", bad, err, want)
 		}
-		if u.Who(a) == nil || u.Who(c) == nil {
+		if u.Authenticate(a) == nil || u.Authenticate(c) == nil {
 			t.Fatal("a mistake shut users out")
 		}
 	}
 	write(ops)
-	if err := u.Check(); err != nil || u.Who(a) != nil || u.Who(c) == nil {
-		t.Fatalf("ada is gone: %v, %v", err, u.Who(a))
+	if err := u.Check(); err != nil || u.Authenticate(a) != nil || u.Authenticate(c) == nil {
+		t.Fatalf("ada is gone: %v, %v", err, u.Authenticate(a))
 	}
 }
--- a/internal/access/files.go
+++ b/internal/access/files.go
@@ -11,14 +11,14 @@
 	"os"
 )
 
-// watched is a set of files that are read together.
-type watched struct {
-	names []string
-	seen  [sha256.Size]byte // of what was read last, taken over or not
+// watchedFiles is a set of files that are read together.
+type watchedFiles struct {
+	names   []string
+	lastSum [sha256.Size]byte // of what was read last, taken over or not
 }
 
 // read reads the files; changed tells whether anything differs from the last time.
-func (w *watched) read() (raws [][]byte, changed bool, err error) {
+func (w *watchedFiles) read() (raws [][]byte, changed bool, err error) {
 	h := sha256.New()
 	for _, n := range w.names {
 		raw, err := os.ReadFile(n)
@@ -30,7 +30,7 @@
 		h.Write(sum[:])
 	}
 	sum := [sha256.Size]byte(h.Sum(nil))
-	changed = sum != w.seen
-	w.seen = sum
+	changed = sum != w.lastSum
+	w.lastSum = sum
 	return raws, changed, nil
 }
--- a/internal/access/keys.go
+++ b/internal/access/keys.go
@@ -13,19 +13,19 @@
 // Keys are a controller's certificate with its key, and the authority whose certificates the other
 // controllers must have.
 type Keys struct {
-	files watched
-	now   atomic.Pointer[keys]
+	files   watchedFiles
+	current atomic.Pointer[keyMaterial]
 }
 
-// keys are what one reading of the files gave.
-type keys struct {
+// keyMaterial are what one reading of the files gave.
+type keyMaterial struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
 }
 
 // OpenKeys reads certificate, key and authority from PEM files.
 func OpenKeys(cert, key, ca string) (*Keys, error) {
-	k := &Keys{files: watched{names: []string{cert, key, ca}}}
+	k := &Keys{files: watchedFiles{names: []string{cert, key, ca}}}
 	return k, k.load()
 }
 
@@ -42,39 +42,39 @@
 	if !roots.AppendCertsFromPEM(raws[2]) {
 		return fmt.Errorf("authority %s: no certificate in it", k.files.names[2])
 	}
-	k.now.Store(&keys{cert, roots})
+	k.current.Store(&keyMaterial{cert, roots})
 	return nil
 }
 
 // Check takes changed files over. Connections that stand keep what they began with.
 func (k *Keys) Check() error {
-	was := k.now.Load()
+	was := k.current.Load()
 	err := k.load()
-	if err == nil && k.now.Load() != was {
-		slog.Info("keys", "change", "read anew", "until", k.Until())
+	if err == nil && k.current.Load() != was {
+		slog.Info("keys", "change", "read anew", "until", k.NotAfter())
 	}
 	return err
 }
 
-// Until is when the certificate ends.
-func (k *Keys) Until() time.Time {
-	leaf := k.now.Load().cert.Leaf
+// NotAfter is when the certificate ends.
+func (k *Keys) NotAfter() time.Time {
+	leaf := k.current.Load().cert.Leaf
 	if leaf == nil {
 		return time.Time{}
 	}
 	return leaf.NotAfter
 }
 
-// Users is the configuration of the listener for users: they need no certificate.
-func (k *Keys) Users() *tls.Config { return k.server(tls.NoClientCert) }
+// UserListenerConfig is the configuration of the listener for users: they need no certificate.
+func (k *Keys) UserListenerConfig() *tls.Config { return k.server(tls.NoClientCert) }
 
-// Peers is the configuration of the listener for the other controllers, which must have a
+// PeerListenerConfig is the configuration of the listener for the other controllers, which must have a
 // certificate of the authority.
-func (k *Keys) Peers() *tls.Config { return k.server(tls.RequireAndVerifyClientCert) }
+func (k *Keys) PeerListenerConfig() *tls.Config { return k.server(tls.RequireAndVerifyClientCert) }
 
 func (k *Keys) server(auth tls.ClientAuthType) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		now := k.now.Load()
+		now := k.current.Load()
 		// A ticket would let a peer in with the authority of yesterday.
 		return &tls.Config{
 			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert}, ClientAuth: auth, ClientCAs: now.roots,
@@ -83,16 +83,16 @@
 	}}
 }
 
-// Peer is the configuration with which another controller is called: its certificate must be of the
+// PeerClientConfig is the configuration with which another controller is called: its certificate must be of the
 // authority and name the node.
-func (k *Keys) Peer(node string) *tls.Config {
-	now := k.now.Load()
+func (k *Keys) PeerClientConfig(node string) *tls.Config {
+	now := k.current.Load()
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert}, RootCAs: now.roots, ServerName: node}
 }
 
-// Client is the configuration with which the command-line client calls; ca "" stands for the system's
+// ClientConfig is the configuration with which the command-line client calls; ca "" stands for the system's
 // authorities.
-func Client(ca []byte) (*tls.Config, error) {
+func ClientConfig(ca []byte) (*tls.Config, error) {
 	c := &tls.Config{MinVersion: tls.VersionTLS13}
 	if ca != nil {
 		c.RootCAs = x509.NewCertPool()
--- a/internal/access/users.go
+++ b/internal/access/users.go
@@ -14,42 +14,42 @@
 	"github.com/hashicorp/hcl/v2/hclsimple"
 )
 
-// Who is somebody whose token is known.
-type Who struct {
+// Identity is somebody whose token is known.
+type Identity struct {
 	Name     string
 	Operator bool // may give operators' commands, and act for every team
 	teams    []string
 }
 
-// May tells whether jobs of a team may be submitted and cancelled.
-func (w *Who) May(team string) bool { return w.Operator || slices.Contains(w.teams, team) }
+// MayActFor tells whether jobs of a team may be submitted and cancelled.
+func (w *Identity) MayActFor(team string) bool { return w.Operator || slices.Contains(w.teams, team) }
 
-// User is one block of the users' file.
-type User struct {
+// userBlock is one block of the users' file.
+type userBlock struct {
 	Name string `hcl:"name,label"`
-	// Tokens are SHA-256 sums, in hexadecimal: two while a token is being replaced. The file does
+	// TokenSums are SHA-256 sums, in hexadecimal: two while a token is being replaced. The file does
 	// not give a token away, and a token has so much chance in it that a slow hash adds nothing.
-	Tokens   []string `hcl:"tokens_sha256"`
-	Teams    []string `hcl:"teams,optional"`
-	Operator bool     `hcl:"operator,optional"`
+	TokenSums []string `hcl:"tokens_sha256"`
+	Teams     []string `hcl:"teams,optional"`
+	Operator  bool     `hcl:"operator,optional"`
 }
 
 type usersFile struct {
-	Users []User `hcl:"user,block"`
+	Users []userBlock `hcl:"user,block"`
 }
 
-type sum = [sha256.Size]byte
+type tokenSum = [sha256.Size]byte
 
 // Users are all whose tokens are known.
 type Users struct {
-	files watched
-	teams map[string]bool
-	now   atomic.Pointer[map[sum]*Who]
+	files   watchedFiles
+	teams   map[string]bool
+	current atomic.Pointer[map[tokenSum]*Identity]
 }
 
 // OpenUsers reads the users' file; teams are those there are.
 func OpenUsers(file string, teams map[string]bool) (*Users, error) {
-	u := &Users{files: watched{names: []string{file}}, teams: teams}
+	u := &Users{files: watchedFiles{names: []string{file}}, teams: teams}
 	return u, u.load()
 }
 
@@ -66,18 +66,18 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", u.files.names[0], err)
 	}
-	u.now.Store(&by)
+	u.current.Store(&by)
 	return nil
 }
 
-func (u *Users) index(users []User) (map[sum]*Who, error) {
-	by, names := map[sum]*Who{}, map[string]bool{}
+func (u *Users) index(users []userBlock) (map[tokenSum]*Identity, error) {
+	by, names := map[tokenSum]*Identity{}, map[string]bool{}
 	for _, d := range users {
 		wrong := func(why string) error { return fmt.Errorf("user %q: %s", d.Name, why) }
 		switch {
 		case names[d.Name] || d.Name == "":
 			return nil, wrong("a user has one block and a name")
-		case len(d.Tokens) == 0:
+		case len(d.TokenSums) == 0:
 			return nil, wrong("tokens_sha256 is empty")
 		}
 		names[d.Name] = true
@@ -86,16 +86,16 @@
 				return nil, wrong(fmt.Sprintf("there is no team %q", t))
 			}
 		}
-		w := &Who{Name: d.Name, Operator: d.Operator, teams: d.Teams}
-		for _, text := range d.Tokens {
+		w := &Identity{Name: d.Name, Operator: d.Operator, teams: d.Teams}
+		for _, text := range d.TokenSums {
 			raw, err := hex.DecodeString(text)
 			if err != nil || len(raw) != sha256.Size {
 				return nil, wrong("tokens_sha256 takes sums of 64 hexadecimal digits, as `harewalk token new` prints them")
 			}
-			if by[sum(raw)] != nil {
+			if by[tokenSum(raw)] != nil {
 				return nil, wrong("its token is somebody's already")
 			}
-			by[sum(raw)] = w
+			by[tokenSum(raw)] = w
 		}
 	}
 	return by, nil
@@ -103,21 +103,21 @@
 
 // Check takes a changed file over.
 func (u *Users) Check() error {
-	was := u.now.Load()
+	was := u.current.Load()
 	err := u.load()
-	if err == nil && u.now.Load() != was {
-		slog.Info("users", "change", "read anew", "tokens", len(*u.now.Load()))
+	if err == nil && u.current.Load() != was {
+		slog.Info("users", "change", "read anew", "tokens", len(*u.current.Load()))
 	}
 	return err
 }
 
-// Who finds whose token this is; nil: nobody's. What is compared is a sum that nobody can choose,
+// Authenticate finds whose token this is; nil: nobody's. What is compared is a sum that nobody can choose,
 // so the time it takes tells nothing of the tokens.
-func (u *Users) Who(token string) *Who {
+func (u *Users) Authenticate(token string) *Identity {
 	if token == "" {
 		return nil
 	}
-	return (*u.now.Load())[sha256.Sum256([]byte(token))]
+	return (*u.current.Load())[sha256.Sum256([]byte(token))]
 }
 
 // NewToken draws a token and tells its sum.
--- a/internal/api/accesscontrol.go
+++ b/internal/api/accesscontrol.go
@@ -38,7 +38,7 @@
 	if c.Method() == fiber.MethodPost && strings.HasPrefix(c.Path(), "/v2/sessions/") {
 		return c.Next()
 	}
-	user := r.Users.Who(bearerToken(c))
+	user := r.Users.Authenticate(bearerToken(c))
 	if user == nil {
 		return send(c, Refuse(Unauthenticated, "the token is missing or unknown"))
 	}
@@ -47,8 +47,8 @@
 }
 
 // authenticatedUser returns the user who sent a request, nil where no user's token is required.
-func authenticatedUser(c fiber.Ctx) *access.Who {
-	user, _ := c.Locals(userKey{}).(*access.Who)
+func authenticatedUser(c fiber.Ctx) *access.Identity {
+	user, _ := c.Locals(userKey{}).(*access.Identity)
 	return user
 }
 
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -14,14 +14,14 @@
 // cancellation is a cancellation in progress.
 type cancellation struct {
 	id          string
-	user        *access.Who // nil: no user is authenticated, so every team's jobs may be cancelled
+	user        *access.Identity // nil: no user is authenticated, so every team's jobs may be cancelled
 	retriesLeft int
 	reply       func(Reply)
 }
 
 // Cancel cancels a job and replies once that is durable. A user who isn't of the job's team is refused; nil stands
 // for a controller without users' tokens, where everybody may cancel.
-func (s *Service) Cancel(now time.Duration, user *access.Who, id string, reply func(Reply)) {
+func (s *Service) Cancel(now time.Duration, user *access.Identity, id string, reply func(Reply)) {
 	if settled, ok := s.replyWithoutRead(id, false); ok {
 		reply(settled)
 		return
@@ -41,7 +41,7 @@
 		s.readAndCancel(c)
 	case job.State.Terminal():
 		c.reply(s.jobReply(job, false))
-	case c.user != nil && !c.user.May(job.Spec.Team):
+	case c.user != nil && !c.user.MayActFor(job.Spec.Team):
 		c.reply(Refuse(Forbidden, c.user.Name+" may not cancel jobs of team "+job.Spec.Team))
 	default:
 		s.writeCancelled(c, job)
--- a/internal/api/leaderroutes.go
+++ b/internal/api/leaderroutes.go
@@ -12,12 +12,12 @@
 // LeaderRequest is a request that only the leader can answer: why a job is pending, which jobs there are, or about
 // drain requests, licences or sessions.
 type LeaderRequest struct {
-	Resource string      // "why", "list", "events", "admin", "rollout", "zones", "licences" or "sessions"
-	Name     string      // of the job, zone, licence pool or session; "": all
-	Verb     string      // "show", "set", "open", or the last part of a session's path
-	Body     []byte      // of a command
-	Bearer   string      // the bearer token, "": none
-	Who      *access.Who // the authenticated user, nil where no user's token is required
+	Resource string           // "why", "list", "events", "admin", "rollout", "zones", "licences" or "sessions"
+	Name     string           // of the job, zone, licence pool or session; "": all
+	Verb     string           // "show", "set", "open", or the last part of a session's path
+	Body     []byte           // of a command
+	Bearer   string           // the bearer token, "": none
+	Who      *access.Identity // the authenticated user, nil where no user's token is required
 	Query    map[string]string
 }
 
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		return send(c, Refuse(InvalidRequest, err.Error()))
 	}
-	if user := authenticatedUser(c); user != nil && !user.May(spec.Team) {
+	if user := authenticatedUser(c); user != nil && !user.MayActFor(spec.Team) {
 		return send(c, Refuse(Forbidden, user.Name+" may not submit jobs of team "+spec.Team))
 	}
 	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Intake.Submit(r.Now(), spec, reply) })
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -150,7 +150,7 @@
 	settings.Params.Teams = []config.Team{{Name: "t"}}
 	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20}
 	settings.Params.Cloud = config.Cloud{RPS: 100, ListLagS: 4}
-	settings.Operator = config.Operator{SilentS: 13, MaxMachines: 50, NetworkFactor: 1}
+	settings.Operator = config.Operator{MachineUnheardTimeoutS: 13, MaxMachines: 50, NetworkFactor: 1}
 	types := []MachineType{{
 		Name:    "m",
 		CPUs:    4,
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -57,7 +57,7 @@
 }
 
 func (m *Manager) fleetHealth(now time.Duration, isSteady bool) fleetHealth {
-	health := fleetHealth{silenceLimit: config.Seconds(m.Settings.Operator.SilentS), isSteady: isSteady}
+	health := fleetHealth{silenceLimit: config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS), isSteady: isSteady}
 	for _, machine := range m.Fleet.Machines() {
 		if !machine.Condition.ExpectsHeartbeats() {
 			continue
--- a/internal/capacity/health_test.go
+++ b/internal/capacity/health_test.go
@@ -17,7 +17,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
-			f.Settings.Operator.IdleS = 1e6
+			f.Settings.Operator.MachineIdleTimeoutS = 1e6
 			seq := uint64(0)
 			for second := range 15 {
 				f.cloud.now += time.Second
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -84,10 +84,10 @@
 	}
 	zoneSettings := settings.Zones()
 	m.Zones = zones.New(zones.Config{
-		ReturnGrace:     zoneSettings.Patience,
-		ProbationTime:   zoneSettings.Prove,
-		FlapForgiveness: zoneSettings.Calm,
-		MaxProbation:    zoneSettings.Most,
+		ReturnGrace:     zoneSettings.ReturnGrace,
+		ProbationTime:   zoneSettings.ProbationTime,
+		FlapForgiveness: zoneSettings.FlapForgiveness,
+		MaxProbation:    zoneSettings.MaxProbation,
 		OnStateChange:   m.onZoneStateChange,
 	})
 	f.ZoneAcceptsWork = func(zone int32, kind zones.WorkKind) bool {
@@ -119,7 +119,7 @@
 	}
 	if now >= m.nextEvaluation {
 		m.nextEvaluation = now + evaluationInterval
-		isSteady := now-authoritySince > config.Seconds(m.Settings.Operator.SilentS)
+		isSteady := now-authoritySince > config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS)
 		m.evaluateMachines(now, isSteady)
 	}
 	m.returnMachines()
--- a/internal/capacity/scalein.go
+++ b/internal/capacity/scalein.go
@@ -27,12 +27,12 @@
 // the same money would be spent on replacing it. It isn't known whether work arrives before, and this bounds the
 // cost to twice that of the best choice.
 func (m *Manager) idleLimit(machine *fleet.Machine) time.Duration {
-	seconds := m.Settings.Operator.IdleS
+	seconds := m.Settings.Operator.MachineIdleTimeoutS
 	machineType := m.machineType(machine.Type)
 	if seconds == 0 && machineType != nil {
 		seconds = m.secondsUntilUseful(machineType)
 	}
-	if m.Settings.MoneyCounts() {
+	if m.Settings.HasCostObjective() {
 		seconds /= 2
 	}
 	seconds *= m.idleLimitFactor
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -46,7 +46,7 @@
 
 // countByZone counts the machines of each zone by how long they haven't been heard.
 func (m *Manager) countByZone(now time.Duration) map[int32]zones.Count {
-	silentLimit := config.Seconds(m.Settings.Operator.SilentS * zoneSilenceFactor)
+	silentLimit := config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS * zoneSilenceFactor)
 	quietLimit := m.QuietFor()
 	counts := map[int32]zones.Count{}
 	for _, machine := range m.Fleet.Machines() {
--- a/internal/capacity/zones_test.go
+++ b/internal/capacity/zones_test.go
@@ -13,7 +13,7 @@
 func TestSilentMachineIsQuarantined(t *testing.T) {
 	const silentMachine = 3
 	f := newFixture()
-	f.Settings.Operator.IdleS = 1e6
+	f.Settings.Operator.MachineIdleTimeoutS = 1e6
 	seq := uint64(0)
 	for second := range 11 {
 		for i := range 20 {
--- a/internal/config/access.go
+++ b/internal/config/access.go
@@ -21,8 +21,8 @@
 	CA   string `hcl:"ca" validate:"required"`
 	// Peers lets controllers talk to each other over TLS only, each with its certificate.
 	Peers bool `hcl:"peers,optional"`
-	// Plain is what the platform's listener answers: "all", or "workers" and health checks only.
-	Plain string `hcl:"plain,optional" validate:"omitempty,oneof=all workers"`
+	// PlainListener is what the platform's listener answers: "all", or "workers" and health checks only.
+	PlainListener string `hcl:"plain,optional" validate:"omitempty,oneof=all workers"`
 }
 
 // Keys are the controller's keys, nil without TLS.
@@ -31,8 +31,8 @@
 // Users are those whose tokens are known, nil where nobody is asked for one.
 func (s *Settings) Users() *access.Users { return s.users }
 
-// Secure is the address at which users are told to call over TLS, "" without.
-func (s *Settings) Secure() string {
+// TLSAddr is the address at which users are told to call over TLS, "" without.
+func (s *Settings) TLSAddr() string {
 	t := s.Operator.TLS
 	if t == nil {
 		return ""
@@ -40,7 +40,7 @@
 	if t.Advertise != "" {
 		return t.Advertise
 	}
-	host, _, _ := net.SplitHostPort(s.Public)
+	host, _, _ := net.SplitHostPort(s.PublicAddr)
 	_, port, _ := net.SplitHostPort(t.Listen)
 	return net.JoinHostPort(host, port)
 }
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -17,18 +17,18 @@
 }
 
 const (
-	retainCancels   = 4 // times cancel_s
-	cacheEntriesMB  = 8 // for each MB; an answer takes some 150 bytes in the cache
-	bytesPerKilo    = 1024
-	leastCacheItems = 64
+	retainCancelTimeouts = 4 // times cancel_s
+	cacheEntriesPerMB    = 8 // for each MB; an answer takes some 150 bytes in the cache
+	bytesPerKB           = 1024
+	minCacheEntries      = 64
 )
 
 // Archive is how ended jobs are archived here.
 type Archive struct {
 	Retain       time.Duration
 	CacheEntries int
-	// Problem says why nothing can be archived, nil: it can.
-	Problem error
+	// Unsupported says why nothing can be archived, nil: it can.
+	Unsupported error
 }
 
 // Archive derives it from the operators' settings and the platform's.
@@ -39,13 +39,13 @@
 	}
 	a := Archive{Retain: Seconds(o.RetainS), CacheEntries: o.CacheEntries}
 	if a.Retain == 0 {
-		a.Retain = Seconds(s.Params.Workers.CancelS * retainCancels)
+		a.Retain = Seconds(s.Params.Workers.CancelS * retainCancelTimeouts)
 	}
 	if a.CacheEntries == 0 {
-		a.CacheEntries = max(leastCacheItems, int(s.Params.Limits.Memory()*cacheEntriesMB))
+		a.CacheEntries = max(minCacheEntries, int(s.Params.Limits.MemoryLimitMB()*cacheEntriesPerMB))
 	}
 	limits := s.Params.State.Limits()
-	a.Problem = archive.Fits(limits.MaxOps, limits.MaxValueBytes)
+	a.Unsupported = archive.Fits(limits.MaxOps, limits.MaxValueBytes)
 	return a
 }
 
@@ -54,7 +54,7 @@
 	if s.Operator.Archive == nil {
 		return nil
 	}
-	if err := s.Archive().Problem; err != nil {
+	if err := s.Archive().Unsupported; err != nil {
 		return fmt.Errorf("archive is set, but nothing can be archived: %w", err)
 	}
 	return nil
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,7 +44,7 @@
 	WithinS float64 `json:"within_s"`
 	Share   float64 `json:"share"`
 	Times   float64 `json:"times"`
-	Most    float64 `json:"most"`
+	Max     float64 `json:"most"`
 }
 
 // Workers holds the timing rules of the workers.
@@ -76,13 +76,13 @@
 // Limits are those that every transaction keeps to: the smaller of the present and of the announced ones, from the start,
 // so that nothing that is stored has to shrink when the moment comes.
 func (s State) Limits() store.Limits {
-	l := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKilo)}
+	l := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
 	if n := s.Next; n != nil {
 		if n.TxnOps > 0 {
 			l.MaxOps = min(l.MaxOps, n.TxnOps)
 		}
 		if n.ValueKB > 0 {
-			l.MaxValueBytes = min(l.MaxValueBytes, int(n.ValueKB*bytesPerKilo))
+			l.MaxValueBytes = min(l.MaxValueBytes, int(n.ValueKB*bytesPerKB))
 		}
 	}
 	return l
@@ -94,10 +94,10 @@
 	ListLagS float64 `json:"list_lag_s" validate:"gte=0"`
 }
 
-// Limits says how large a machine the controller itself runs on; nil where that is not given.
+// ControllerLimits says how large a machine the controller itself runs on; nil where that is not given.
 // With less than what the rules ask for it can't serve at all: it needs 12 MB before it has
 // heard of anything, and a connection for each outside system and controller.
-type Limits struct {
+type ControllerLimits struct {
 	Cores   *float64 `json:"cores" validate:"omitnil,gt=0"`
 	MemMB   *float64 `json:"mem_mb" validate:"omitnil,gte=24"`
 	Sockets *int     `json:"sockets" validate:"omitnil,gte=32"`
@@ -105,12 +105,12 @@
 
 // What is assumed of a machine of which the settings say nothing.
 const (
-	anyCores   = 1.0
-	anyMemMB   = 512.0
-	anySockets = 1024
+	defaultCores    = 1.0
+	defaultMemoryMB = 512.0
+	defaultSockets  = 1024
 )
 
-func or[T any](given *T, otherwise T) T {
+func valueOr[T any](given *T, otherwise T) T {
 	if given != nil {
 		return *given
 	}
@@ -118,33 +118,35 @@
 }
 
 // Processor is the share of cores to be used.
-func (l Limits) Processor() float64 { return or(l.Cores, anyCores) }
+func (l ControllerLimits) Processor() float64 { return valueOr(l.Cores, defaultCores) }
 
-// Memory is the most memory to be used, in MB.
-func (l Limits) Memory() float64 { return or(l.MemMB, anyMemMB) }
+// MemoryLimitMB is the most memory to be used, in MB.
+func (l ControllerLimits) MemoryLimitMB() float64 { return valueOr(l.MemMB, defaultMemoryMB) }
 
-// Conns is how many connections are taken from outside. Each may hold a request body of
+// MaxConns is how many connections are taken from outside. Each may hold a request body of
 // the largest size at the same time, and those together leave room for the rest.
-func (l Limits) Conns() int {
-	return max(1, min(or(l.Sockets, anySockets)*7/10, int(l.Memory()*0.6*(1<<20)/MaxBody)))
+func (l ControllerLimits) MaxConns() int {
+	return max(1, min(valueOr(l.Sockets, defaultSockets)*7/10, int(l.MemoryLimitMB()*0.6*(1<<20)/MaxBody)))
 }
 
-// Crowded is how many connections are open when those of workers no longer stay open after an answer: the rest is left
+// KeepAliveConns is how many connections are open when those of workers no longer stay open after an answer: the rest is left
 // for those that come in, for users, whom the load balancer spreads over all controllers, and for health checks.
-func (l Limits) Crowded() int { return max(1, l.Conns()*3/4) }
+func (l ControllerLimits) KeepAliveConns() int { return max(1, l.MaxConns()*3/4) }
 
-// Outgoing is how many requests of a kind may be under way, at most most.
-func (l Limits) Outgoing(most int) int { return max(4, min(most, or(l.Sockets, anySockets)/10)) }
+// MaxOutgoing is how many requests of a kind may be under way, at most most.
+func (l ControllerLimits) MaxOutgoing(most int) int {
+	return max(4, min(most, valueOr(l.Sockets, defaultSockets)/10))
+}
 
 // MaxBody is the protocol's bound on a request's body.
 const MaxBody = 64 << 10
 
-// Tasks is how many unfinished tasks are kept: a task takes about 80 bytes, and twice that
+// MaxTasks is how many unfinished tasks are kept: a task takes about 80 bytes, and twice that
 // while plans are read after a takeover.
-func (l Limits) Tasks() int { return int(l.Memory() * 2000) }
+func (l ControllerLimits) MaxTasks() int { return int(l.MemoryLimitMB() * 2000) }
 
-// QueueBytes bounds the submissions that wait to be stored.
-func (l Limits) QueueBytes() int { return int(l.Memory() * 0.03 * (1 << 20)) }
+// MaxQueueBytes bounds the submissions that wait to be stored.
+func (l ControllerLimits) MaxQueueBytes() int { return int(l.MemoryLimitMB() * 0.03 * (1 << 20)) }
 
 // Services are the addresses of the outside systems.
 type Services struct {
@@ -154,54 +156,54 @@
 
 // Params is the part of the settings that is equal on all controllers.
 type Params struct {
-	Zones      []string    `json:"zones"`
-	Teams      []Team      `json:"teams" validate:"dive"`
-	Objectives []Objective `json:"objectives"`
-	Workers    Workers     `json:"workers"`
-	State      State       `json:"state"`
-	Cloud      Cloud       `json:"cloud"`
-	Limits     Limits      `json:"machine_limits"`
-	SkewMS     float64     `json:"skew_ms" validate:"gte=0"`
+	Zones      []string         `json:"zones"`
+	Teams      []Team           `json:"teams" validate:"dive"`
+	Objectives []Objective      `json:"objectives"`
+	Workers    Workers          `json:"workers"`
+	State      State            `json:"state"`
+	Cloud      Cloud            `json:"cloud"`
+	Limits     ControllerLimits `json:"machine_limits"`
+	SkewMS     float64          `json:"skew_ms" validate:"gte=0"`
 }
 
 // Settings is the whole platform file, with the operators' settings added.
 type Settings struct {
-	Node     string   `json:"node" validate:"required"`
-	Zone     string   `json:"site"`
-	Public   string   `json:"public_addr" validate:"required,hostport"`
-	Back     string   `json:"back" validate:"required,hostport"`
-	Peers    []Peer   `json:"others" validate:"dive"`
-	Services Services `json:"services"`
-	Params   Params   `json:"params"`
+	Node       string   `json:"node" validate:"required"`
+	Zone       string   `json:"site"`
+	PublicAddr string   `json:"public_addr" validate:"required,hostport"`
+	PeerAddr   string   `json:"back" validate:"required,hostport"`
+	Peers      []Peer   `json:"others" validate:"dive"`
+	Services   Services `json:"services"`
+	Params     Params   `json:"params"`
 
 	// Operator is never read from the platform's file.
-	Operator Operator      `json:"-"`
-	knows    rollout.Level // of a simulated earlier release, 0: this one
-	release  string
-	pools    []*licences.Pool
-	sessions *sessions.Policies
-	keys     *access.Keys
-	users    *access.Users
+	Operator         Operator      `json:"-"`
+	simulatedLevel   rollout.Level // of a simulated earlier release, 0: this one
+	simulatedRelease string
+	pools            []*licences.Pool
+	sessions         *sessions.Policies
+	keys             *access.Keys
+	users            *access.Users
 }
 
 // Operator holds the operators' own settings, all optional, written in HCL.
 type Operator struct {
-	// HoldTTLMS is the life of a controller's hold without renewal.
-	HoldTTLMS int `hcl:"hold_ttl_ms,optional" validate:"gte=1000,lte=600000"`
+	// ControllerLeaseTTLMS is the life of a controller's hold without renewal.
+	ControllerLeaseTTLMS int `hcl:"hold_ttl_ms,optional" validate:"gte=1000,lte=600000"`
 	// BeginS is within how long every job is to begin, seconds from its submission, whatever its size and rank, as far
 	// as there is room for it at all.
 	BeginS float64 `hcl:"begin_s,optional" validate:"gte=0"`
-	// SilentS is how long a machine may be silent before it is given back.
-	SilentS float64 `hcl:"silent_s,optional" validate:"gte=0"`
-	// IdleS is how long a machine may be idle before it is returned; 0 means as long as
+	// UnheardTimeoutS is how long a machine may be silent before it is given back.
+	MachineUnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
+	// MachineIdleTimeoutS is how long a machine may be idle before it is returned; 0 means as long as
 	// it would take to get it back.
-	IdleS float64 `hcl:"idle_s,optional" validate:"gte=0"`
+	MachineIdleTimeoutS float64 `hcl:"idle_s,optional" validate:"gte=0"`
 	// Headroom is the part of the fleet's price that may stand idle for bursts.
 	Headroom float64 `hcl:"headroom,optional" validate:"gte=0,lte=1"`
 	// MaxMachines bounds how many machines are rented in all.
 	MaxMachines int `hcl:"max_machines,optional" validate:"gte=1"`
 	// MachinesBound is where that bound comes from.
-	MachinesBound Bound
+	MachinesBound MachineBound
 	// NetworkFactor scales the planner's q.
 	NetworkFactor float64 `hcl:"network_factor,optional" validate:"gte=0"`
 	// OperatorTokenFile holds the token that operators' commands must carry, one line. Without
@@ -248,8 +250,8 @@
 	return v
 }
 
-// explain turns a validator's error into one line that names the setting.
-func explain(err error) error {
+// describeValidationError turns a validator's error into one line that names the setting.
+func describeValidationError(err error) error {
 	var fields validator.ValidationErrors
 	if errors.As(err, &fields) && len(fields) > 0 {
 		f := fields[0]
@@ -297,7 +299,7 @@
 	}
 	s.derive()
 	if err := newValidator().Struct(&s.Operator); err != nil {
-		return fmt.Errorf("%s: %w", path, explain(err))
+		return fmt.Errorf("%s: %w", path, describeValidationError(err))
 	}
 	for _, f := range []func() error{s.checkTiming, s.checkArchive, s.derivePools, s.deriveSessions, s.Operator.readToken, s.openAccess} {
 		if err := f(); err != nil {
@@ -335,7 +337,7 @@
 	settings.derive()
 	settings.sessions = &sessions.Policies{}
 	if err := newValidator().Struct(settings); err != nil {
-		return nil, explain(err)
+		return nil, describeValidationError(err)
 	}
 	if err := settings.checkTiming(); err != nil {
 		return nil, err
@@ -354,28 +356,28 @@
 func (s *Settings) derive() {
 	o := &s.Operator
 	w := s.Params.Workers
-	if o.HoldTTLMS == 0 {
-		o.HoldTTLMS = int(s.deriveHold().Milliseconds())
+	if o.ControllerLeaseTTLMS == 0 {
+		o.ControllerLeaseTTLMS = int(s.defaultControllerLeaseTTL().Milliseconds())
 	}
 	if o.BeginS == 0 {
 		o.BeginS = 240
 	}
-	if o.SilentS == 0 {
-		o.SilentS = min(w.LeaseS, 3*w.ReportS+4)
+	if o.MachineUnheardTimeoutS == 0 {
+		o.MachineUnheardTimeoutS = min(w.LeaseS, 3*w.ReportS+4)
 	}
 	if o.Headroom == 0 {
 		o.Headroom = 0.1
 	}
-	most, by := s.Params.Limits.mostMachines(w.ReportS)
+	most, by := s.Params.Limits.maxMachines(w.ReportS)
 	if o.MaxMachines == 0 {
 		o.MaxMachines = most
 	}
 	if o.MachinesBound = by; o.MaxMachines != most {
-		o.MachinesBound = BySettings
+		o.MachinesBound = BoundBySettings
 	}
 	for i := range o.Licences {
-		if o.Licences[i].OnLower == "" {
-			o.Licences[i].OnLower = string(licences.Wait)
+		if o.Licences[i].OnCountLowered == "" {
+			o.Licences[i].OnCountLowered = string(licences.Wait)
 		}
 	}
 	if o.NetworkFactor == 0 {
@@ -383,9 +385,9 @@
 	}
 }
 
-// HoldTTL is the life of a hold.
-func (s *Settings) HoldTTL() time.Duration {
-	return time.Duration(s.Operator.HoldTTLMS) * time.Millisecond
+// ControllerLeaseTTL is the life of a hold.
+func (s *Settings) ControllerLeaseTTL() time.Duration {
+	return time.Duration(s.Operator.ControllerLeaseTTLMS) * time.Millisecond
 }
 
 // Lease is the workers' lease.
@@ -400,8 +402,8 @@
 	return names
 }
 
-// MoneyCounts tells whether an objective measures money.
-func (s *Settings) MoneyCounts() bool {
+// HasCostObjective tells whether an objective measures money.
+func (s *Settings) HasCostObjective() bool {
 	for _, o := range s.Params.Objectives {
 		if o.Kind == "price" || o.Kind == "useful" {
 			return true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.HoldTTL() != 6*time.Second || s.Lease() != 19*time.Second || s.Operator.Headroom != 0.1 || s.MoneyCounts() {
+	if s.ControllerLeaseTTL() != 6*time.Second || s.Lease() != 19*time.Second || s.Operator.Headroom != 0.1 || s.HasCostObjective() {
 		t.Fatalf("derived: %+v", s.Operator)
 	}
 	for old, bad := range map[string][2]string{
@@ -47,7 +47,7 @@
 // Sizes come from the limits that are given; what is merely small works, and what is not given
 // is not 0.
 func TestLimits(t *testing.T) {
-	sizes := func(limits string) (l Limits, machines int) {
+	sizes := func(limits string) (l ControllerLimits, machines int) {
 		s, err := Parse([]byte(strings.Replace(settings, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
 		if err != nil {
 			t.Fatalf("%s: %v", limits, err)
@@ -66,21 +66,21 @@
 		{`{}`, 716, 3222},
 	} {
 		l, machines := sizes(c.limits)
-		if l.Conns() != c.conns || machines != c.machines || l.Tasks() < MaxBody/2 || l.Processor() <= 0 {
-			t.Errorf("%s: %d connections, %d machines, %d tasks", c.limits, l.Conns(), machines, l.Tasks())
+		if l.MaxConns() != c.conns || machines != c.machines || l.MaxTasks() < MaxBody/2 || l.Processor() <= 0 {
+			t.Errorf("%s: %d connections, %d machines, %d tasks", c.limits, l.MaxConns(), machines, l.MaxTasks())
 		}
-		if worst := float64(l.Conns()*MaxBody) / (1 << 20); worst > 0.61*l.Memory() {
-			t.Errorf("%s: bodies may take %.0f of %.0f MB", c.limits, worst, l.Memory())
+		if worst := float64(l.MaxConns()*MaxBody) / (1 << 20); worst > 0.61*l.MemoryLimitMB() {
+			t.Errorf("%s: bodies may take %.0f of %.0f MB", c.limits, worst, l.MemoryLimitMB())
 		}
 	}
 }
 
 // Operators are told what bounds the number of machines, so that they know what would raise it.
 func TestWhatBoundsTheMachinesIsNamed(t *testing.T) {
-	for limits, want := range map[string]Bound{
-		`{"cores":0.18,"mem_mb":168.0,"sockets":2500}`: ByProcessor,
-		`{"cores":1.0,"mem_mb":130.0,"sockets":4000}`:  ByMemory,
-		`{"cores":1.0,"mem_mb":512.0,"sockets":300}`:   ByConnections,
+	for limits, want := range map[string]MachineBound{
+		`{"cores":0.18,"mem_mb":168.0,"sockets":2500}`: BoundByProcessor,
+		`{"cores":1.0,"mem_mb":130.0,"sockets":4000}`:  BoundByMemory,
+		`{"cores":1.0,"mem_mb":512.0,"sockets":300}`:   BoundByConnections,
 	} {
 		s, err := Parse([]byte(strings.Replace(settings, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
 		if err != nil {
@@ -92,7 +92,7 @@
 		if err := s.ReadOperator("o.hcl", []byte("max_machines = 7")); err != nil {
 			t.Fatal(err)
 		}
-		if s.Operator.MaxMachines != 7 || s.Operator.MachinesBound != BySettings {
+		if s.Operator.MaxMachines != 7 || s.Operator.MachinesBound != BoundBySettings {
 			t.Errorf("%d machines, bound by %q", s.Operator.MaxMachines, s.Operator.MachinesBound)
 		}
 	}
@@ -109,7 +109,7 @@
 	}
 	js := file("s.json", settings)
 	s, err := Load(js, file("good.hcl", "hold_ttl_ms = 4000\nidle_s = 20\n"))
-	if err != nil || s.HoldTTL() != 4*time.Second || s.Operator.IdleS != 20 || s.Operator.MaxMachines == 0 {
+	if err != nil || s.ControllerLeaseTTL() != 4*time.Second || s.Operator.MachineIdleTimeoutS != 20 || s.Operator.MaxMachines == 0 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for body, want := range map[string]string{
@@ -157,9 +157,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool := s.Pools()[0]
+	pool := s.LicencePools()[0]
 	friday := time.Date(2026, 12, 4, 10, 0, 0, 0, time.UTC)
-	if len(s.Pools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.Lowering != "wait" || pool.Teams["t"].Most != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
+	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.Lowering != "wait" || pool.Teams["t"].Most != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
 		t.Fatalf("%+v", pool)
 	}
 	for body, want := range map[string]string{
@@ -219,7 +219,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(settings.Pools()) == 0 && !settings.Sessions().On {
+		if len(settings.LicencePools()) == 0 && !settings.Sessions().Enabled {
 			t.Fatalf("%s switches nothing on", name)
 		}
 	}
@@ -228,7 +228,7 @@
 		t.Fatal(err)
 	}
 	// Rollouts and zones have defaults that follow from the platform's settings, and files that change them.
-	if r, z := s.Rollout(), s.Zones(); !r.Auto || r.Soak != time.Minute || z.Prove <= 0 || z.Patience <= 0 || z.Calm <= 0 {
+	if r, z := s.Rollout(), s.Zones(); !r.Auto || r.Soak != time.Minute || z.ProbationTime <= 0 || z.ReturnGrace <= 0 || z.FlapForgiveness <= 0 {
 		t.Fatalf("%+v %+v", r, z)
 	}
 	for name, ok := range map[string]func(*Settings) bool{
@@ -236,7 +236,7 @@
 			return !settings.Rollout().Auto && settings.Rollout().Soak == 10*time.Minute
 		},
 		"zones.hcl": func(settings *Settings) bool {
-			return settings.Zones() == Zones{time.Minute, 20 * time.Second, 10 * time.Minute, mostHeld}
+			return settings.Zones() == Zones{time.Minute, 20 * time.Second, 10 * time.Minute, maxProbation}
 		},
 	} {
 		settings, err := Load(js, filepath.Join("..", "..", "deploy", name))
@@ -245,8 +245,8 @@
 		}
 	}
 	tokyo := time.FixedZone("", 9*3600)
-	p := s.Sessions().Of("t")
-	if p.At(time.Date(2026, 12, 4, 19, 0, 0, 0, tokyo)).Limit != 30*time.Minute || p.At(time.Date(2026, 12, 4, 23, 0, 0, 0, tokyo)).Limit != 2*time.Hour {
+	p := s.Sessions().ForTeam("t")
+	if p.At(time.Date(2026, 12, 4, 19, 0, 0, 0, tokyo)).IdleLimit != 30*time.Minute || p.At(time.Date(2026, 12, 4, 23, 0, 0, 0, tokyo)).IdleLimit != 2*time.Hour {
 		t.Fatalf("%+v", p)
 	}
 	for body, want := range map[string]string{
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -20,21 +20,21 @@
 	LingerS float64 `hcl:"linger_s,optional" validate:"gte=0,lte=3600"`
 	// Reserve is kept for others.
 	Reserve int `hcl:"reserve,optional" validate:"gte=0"`
-	// OnLower says what happens when the count falls below what is in use: "wait" or "stop".
-	OnLower string           `hcl:"on_lower,optional" validate:"oneof=wait stop"`
-	Teams   []LicenceTeam    `hcl:"team,block" validate:"dive"`
-	Windows []LicenceReserve `hcl:"reserve_during,block" validate:"dive"`
+	// OnCountLowered says what happens when the count falls below what is in use: "wait" or "stop".
+	OnCountLowered string          `hcl:"on_lower,optional" validate:"oneof=wait stop"`
+	Teams          []LicenceTeam   `hcl:"team,block" validate:"dive"`
+	ReserveWindows []ReserveWindow `hcl:"reserve_during,block" validate:"dive"`
 }
 
 // LicenceTeam is a team's part of a pool.
 type LicenceTeam struct {
 	Name      string `hcl:"name,label" validate:"required"`
 	Guarantee int    `hcl:"guarantee,optional" validate:"gte=0"`
-	Most      int    `hcl:"most,optional" validate:"gte=0"`
+	Max       int    `hcl:"most,optional" validate:"gte=0"`
 }
 
-// LicenceReserve keeps more for others in named hours of a named time zone.
-type LicenceReserve struct {
+// ReserveWindow keeps more for others in named hours of a named time zone.
+type ReserveWindow struct {
 	Name  string `hcl:"name,label" validate:"required"`
 	Seats int    `hcl:"seats" validate:"gte=0"`
 	Days  string `hcl:"days" validate:"required"`
@@ -43,8 +43,8 @@
 	Zone  string `hcl:"zone" validate:"required"`
 }
 
-// Pools are the declared licence pools.
-func (s *Settings) Pools() []*licences.Pool { return s.pools }
+// LicencePools are the declared licence pools.
+func (s *Settings) LicencePools() []*licences.Pool { return s.pools }
 
 // derivePools turns the declarations into pools; its error names the bad one.
 func (s *Settings) derivePools() error {
@@ -59,7 +59,7 @@
 		seen[d.Name] = true
 		pool := &licences.Pool{
 			Name: d.Name, Count: d.Count, Server: d.Server, Poll: Seconds(d.PollS), Linger: Seconds(d.LingerS),
-			Reserve: d.Reserve, Lowering: licences.Lower(d.OnLower), Teams: map[string]licences.Share{},
+			Reserve: d.Reserve, Lowering: licences.Lower(d.OnCountLowered), Teams: map[string]licences.Share{},
 		}
 		if d.Reserve > d.Count {
 			return fmt.Errorf("licence %q: reserve %d is more than its count %d", d.Name, d.Reserve, d.Count)
@@ -71,16 +71,16 @@
 				return fmt.Errorf("licence %q: team %q is not one of the platform's", d.Name, t.Name)
 			case twice:
 				return fmt.Errorf("licence %q: team %q is named twice", d.Name, t.Name)
-			case t.Most > 0 && t.Guarantee > t.Most:
-				return fmt.Errorf("licence %q: team %q is guaranteed %d but may hold %d at most", d.Name, t.Name, t.Guarantee, t.Most)
+			case t.Max > 0 && t.Guarantee > t.Max:
+				return fmt.Errorf("licence %q: team %q is guaranteed %d but may hold %d at most", d.Name, t.Name, t.Guarantee, t.Max)
 			}
-			pool.Teams[t.Name] = licences.Share{Guarantee: t.Guarantee, Most: t.Most}
+			pool.Teams[t.Name] = licences.Share{Guarantee: t.Guarantee, Most: t.Max}
 			promised += t.Guarantee
 		}
 		if promised > d.Count-d.Reserve {
 			return fmt.Errorf("licence %q: teams are guaranteed %d seats, and %d of %d can be given", d.Name, promised, d.Count-d.Reserve, d.Count)
 		}
-		for _, w := range d.Windows {
+		for _, w := range d.ReserveWindows {
 			win, err := calendar.Parse(w.Days, w.From, w.To, w.Zone)
 			if err != nil {
 				return fmt.Errorf("licence %q, reserve_during %q: %w", d.Name, w.Name, err)
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -19,9 +19,9 @@
 type Rollout struct {
 	Auto bool
 	Soak time.Duration
-	// Knows and Release make a simulated controller one of an earlier release; 0: it is what it is.
-	Knows   rollout.Level
-	Release string
+	// SimulatedLevel and Release make a simulated controller one of an earlier release; 0: it is what it is.
+	SimulatedLevel   rollout.Level
+	SimulatedRelease string
 }
 
 // defaultSoak is how long all controllers have to be well before the level rises by itself.
@@ -29,7 +29,7 @@
 
 // Rollout derives it from the operators' settings: by itself, unless they want to say so.
 func (s *Settings) Rollout() Rollout {
-	r := Rollout{Auto: true, Soak: defaultSoak, Knows: s.knows, Release: s.release}
+	r := Rollout{Auto: true, Soak: defaultSoak, SimulatedLevel: s.simulatedLevel, SimulatedRelease: s.simulatedRelease}
 	if o := s.Operator.Rollout; o != nil {
 		r.Auto = o.Finish != "operator"
 		if o.SoakS > 0 {
@@ -39,5 +39,7 @@
 	return r
 }
 
-// Earlier makes the controller of these settings one of an earlier release, in a simulation.
-func (s *Settings) Earlier(knows rollout.Level, release string) { s.knows, s.release = knows, release }
+// SimulateRelease makes the controller of these settings one of an earlier release, in a simulation.
+func (s *Settings) SimulateRelease(knows rollout.Level, release string) {
+	s.simulatedLevel, s.simulatedRelease = knows, release
+}
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -13,52 +13,52 @@
 
 // SessionSettings switch interactive sessions on, in HCL: sessions { ... }.
 type SessionSettings struct {
-	// WarnS is the time between the warning and the save; SaveS what a save may take; SilentS
+	// WarningS is the time between the warning and the save; CheckpointTimeoutS what a save may take; UnheardTimeoutS
 	// after which an agent that isn't heard is in doubt.
-	WarnS   float64 `hcl:"warn_s,optional" validate:"gte=0"`
-	SaveS   float64 `hcl:"save_s,optional" validate:"gte=0"`
-	SilentS float64 `hcl:"silent_s,optional" validate:"gte=0"`
-	// KeepDays is how long a reclaimed session is kept, 0: for ever.
-	KeepDays float64 `hcl:"keep_days,optional" validate:"gte=0"`
-	PerUser  int     `hcl:"per_user,optional" validate:"gte=0"`
-	PerTeam  int     `hcl:"per_team,optional" validate:"gte=0"`
+	WarningS           float64 `hcl:"warn_s,optional" validate:"gte=0"`
+	CheckpointTimeoutS float64 `hcl:"save_s,optional" validate:"gte=0"`
+	UnheardTimeoutS    float64 `hcl:"silent_s,optional" validate:"gte=0"`
+	// RetentionDays is how long a reclaimed session is kept, 0: for ever.
+	RetentionDays float64 `hcl:"keep_days,optional" validate:"gte=0"`
+	MaxPerUser    int     `hcl:"per_user,optional" validate:"gte=0"`
+	MaxPerTeam    int     `hcl:"per_team,optional" validate:"gte=0"`
 	// Policies are by team; the one called "default" is for all others.
 	Policies []SessionPolicy `hcl:"policy,block" validate:"dive"`
 }
 
 // SessionPolicy says when a team's sessions are idle and how long they may be.
 type SessionPolicy struct {
-	Team    string         `hcl:"team,label" validate:"required"`
-	Idle    *hcl.Attribute `hcl:"idle,optional"` // nil: the default
-	LimitS  float64        `hcl:"limit_s,optional" validate:"gte=0"`
-	WantedS *float64       `hcl:"wanted_s,optional"`
-	During  []SessionHours `hcl:"during,block" validate:"dive"`
+	Team            string          `hcl:"team,label" validate:"required"`
+	IdleRule        *hcl.Attribute  `hcl:"idle,optional"` // nil: the default
+	IdleLimitS      float64         `hcl:"limit_s,optional" validate:"gte=0"`
+	ContendedLimitS *float64        `hcl:"wanted_s,optional"`
+	Windows         []SessionWindow `hcl:"during,block" validate:"dive"`
 }
 
-// SessionHours are other limits in named hours of a named time zone.
-type SessionHours struct {
-	Name    string         `hcl:"name,label" validate:"required"`
-	Days    string         `hcl:"days" validate:"required"`
-	From    string         `hcl:"from" validate:"required"`
-	To      string         `hcl:"to" validate:"required"`
-	Zone    string         `hcl:"zone" validate:"required"`
-	Idle    *hcl.Attribute `hcl:"idle,optional"`
-	LimitS  *float64       `hcl:"limit_s,optional"`
-	WantedS *float64       `hcl:"wanted_s,optional"`
+// SessionWindow are other limits in named hours of a named time zone.
+type SessionWindow struct {
+	Name            string         `hcl:"name,label" validate:"required"`
+	Days            string         `hcl:"days" validate:"required"`
+	From            string         `hcl:"from" validate:"required"`
+	To              string         `hcl:"to" validate:"required"`
+	Zone            string         `hcl:"zone" validate:"required"`
+	IdleRule        *hcl.Attribute `hcl:"idle,optional"`
+	IdleLimitS      *float64       `hcl:"limit_s,optional"`
+	ContendedLimitS *float64       `hcl:"wanted_s,optional"`
 }
 
 // Defaults for sessions.
 const (
-	defaultWarn   = 2 * time.Minute
-	defaultSave   = time.Minute
-	defaultSilent = 30 * time.Second
-	defaultIdle   = "input_s > 900 && cpu < 0.1 && gpu < 0.1"
+	defaultWarningTime       = 2 * time.Minute
+	defaultCheckpointTimeout = time.Minute
+	defaultUnheardTimeout    = 30 * time.Second
+	defaultIdleRule          = "input_s > 900 && cpu < 0.1 && gpu < 0.1"
 )
 
 // Sessions is what operators set for sessions; off unless they did.
 func (s *Settings) Sessions() *sessions.Policies { return s.sessions }
 
-func duration(s float64, otherwise time.Duration) time.Duration {
+func durationOr(s float64, otherwise time.Duration) time.Duration {
 	if s == 0 {
 		return otherwise
 	}
@@ -78,10 +78,10 @@
 		return err
 	}
 	p := &sessions.Policies{
-		On: true, Warn: duration(d.WarnS, defaultWarn), Save: duration(d.SaveS, defaultSave),
-		Silent: duration(d.SilentS, defaultSilent), Keep: time.Duration(d.KeepDays * 24 * float64(time.Hour)),
-		PerUser: d.PerUser, PerTeam: d.PerTeam, ByTeam: map[string]*sessions.Policy{},
-		Default: &sessions.Policy{Limits: sessions.Limits{Rule: rule, Wanted: 0, Name: "default"}},
+		Enabled: true, WarningTime: durationOr(d.WarningS, defaultWarningTime), CheckpointTimeout: durationOr(d.CheckpointTimeoutS, defaultCheckpointTimeout),
+		UnheardTimeout: durationOr(d.UnheardTimeoutS, defaultUnheardTimeout), Retention: time.Duration(d.RetentionDays * 24 * float64(time.Hour)),
+		MaxPerUser: d.MaxPerUser, MaxPerTeam: d.MaxPerTeam, ByTeam: map[string]*sessions.Policy{},
+		Default: &sessions.Policy{Limits: sessions.Limits{Rule: rule, ContendedLimit: 0, Source: "default"}},
 	}
 	teams := s.teamNames()
 	for i := range d.Policies {
@@ -105,34 +105,34 @@
 }
 
 func (q *SessionPolicy) compile() (*sessions.Policy, error) {
-	rule, err := compileRule(q.Idle)
+	rule, err := compileRule(q.IdleRule)
 	if err != nil {
 		return nil, err
 	}
-	p := &sessions.Policy{Limits: sessions.Limits{Rule: rule, Limit: Seconds(q.LimitS), Name: q.Team}}
-	if q.WantedS != nil {
-		p.Wanted = Seconds(*q.WantedS)
+	p := &sessions.Policy{Limits: sessions.Limits{Rule: rule, IdleLimit: Seconds(q.IdleLimitS), Source: q.Team}}
+	if q.ContendedLimitS != nil {
+		p.ContendedLimit = Seconds(*q.ContendedLimitS)
 	}
-	for i := range q.During {
-		h := &q.During[i]
+	for i := range q.Windows {
+		h := &q.Windows[i]
 		l := p.Limits
-		l.Name = q.Team + ", " + h.Name
-		if h.Idle != nil {
-			if l.Rule, err = compileRule(h.Idle); err != nil {
+		l.Source = q.Team + ", " + h.Name
+		if h.IdleRule != nil {
+			if l.Rule, err = compileRule(h.IdleRule); err != nil {
 				return nil, err
 			}
 		}
-		if h.LimitS != nil {
-			l.Limit = Seconds(*h.LimitS)
+		if h.IdleLimitS != nil {
+			l.IdleLimit = Seconds(*h.IdleLimitS)
 		}
-		if h.WantedS != nil {
-			l.Wanted = Seconds(*h.WantedS)
+		if h.ContendedLimitS != nil {
+			l.ContendedLimit = Seconds(*h.ContendedLimitS)
 		}
 		w, err := calendar.Parse(h.Days, h.From, h.To, h.Zone)
 		if err != nil {
 			return nil, fmt.Errorf("during %q: %w", h.Name, err)
 		}
-		p.During = append(p.During, sessions.During{Limits: l, Window: w})
+		p.Windows = append(p.Windows, sessions.WindowLimits{Limits: l, Window: w})
 	}
 	return p, nil
 }
@@ -140,12 +140,12 @@
 // compileRule compiles what stands in an attribute, or the default.
 func compileRule(a *hcl.Attribute) (*sessions.Rule, error) {
 	if a == nil {
-		return sessions.Compile(defaultIdle, "the default")
+		return sessions.CompileRule(defaultIdleRule, "the default")
 	}
 	at := fmt.Sprintf("%s:%d,%d", a.Range.Filename, a.Expr.Range().Start.Line, a.Expr.Range().Start.Column)
 	v, diags := a.Expr.Value(nil)
 	if diags.HasErrors() || v.IsNull() || !v.IsKnown() || v.Type() != cty.String {
 		return nil, fmt.Errorf("%s: idle must be an expression in quotes", at)
 	}
-	return sessions.Compile(v.AsString(), at)
+	return sessions.CompileRule(v.AsString(), at)
 }
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -15,46 +15,46 @@
 // it. What hangs, is deaf or cut off dies with its lease; every 200 of a controller that knows of the cancellation
 // carries the stop (package fleet). docs/design.md has the argument for each way.
 const (
-	// drift is by how much two steady clocks may differ (PROTOCOL: 0.05%), twice: ours and the worker's.
-	drift = 0.001
-	// OrderWait is how long an answer to a direct command is waited for.
-	OrderWait = 2 * time.Second
-	// slack is for steps of timers, for holds that end late (100 ms) and for what is under way on a busy machine.
-	slack = 500 * time.Millisecond
-	// picturesPerHold is how many lives of a hold a picture may be old at most, where cancel_s allows it: a lead that
+	// clockDriftBound is by how much two steady clocks may differ (PROTOCOL: 0.05%), twice: ours and the worker's.
+	clockDriftBound = 0.001
+	// DirectCommandTimeout is how long an answer to a direct command is waited for.
+	DirectCommandTimeout = 2 * time.Second
+	// timingSlack is for steps of timers, for holds that end late (100 ms) and for what is under way on a busy machine.
+	timingSlack = 500 * time.Millisecond
+	// leaseTTLsPerStaleness is how many lives of a hold a picture may be old at most, where cancel_s allows it: a lead that
 	// follows slower than that is better handed on.
-	picturesPerHold = 3
-	leastHold       = 2 * time.Second
-	mostHold        = 6 * time.Second
+	leaseTTLsPerStaleness = 3
+	minControllerLeaseTTL = 2 * time.Second
+	maxControllerLeaseTTL = 6 * time.Second
 )
 
-// cancelRoom is how old a picture may be for cancel_s; it is negative where there is no room at all.
-func (s *Settings) cancelRoom() time.Duration {
+// maxStaleness is how old a picture may be for cancel_s; it is negative where there is no room at all.
+func (s *Settings) maxStaleness() time.Duration {
 	w := s.Params.Workers
-	return Seconds((w.CancelS-w.LeaseS*(1+drift))*(1-drift)) - OrderWait - slack
+	return Seconds((w.CancelS-w.LeaseS*(1+clockDriftBound))*(1-clockDriftBound)) - DirectCommandTimeout - timingSlack
 }
 
-// PictureFor is how old the copy of the jobs may be on which this controller answers reports.
-func (s *Settings) PictureFor() time.Duration {
-	return min(picturesPerHold*s.HoldTTL(), s.cancelRoom())
+// StalenessBound is how old the copy of the jobs may be on which this controller answers reports.
+func (s *Settings) StalenessBound() time.Duration {
+	return min(leaseTTLsPerStaleness*s.ControllerLeaseTTL(), s.maxStaleness())
 }
 
-// deriveHold is the life of a hold where operators don't set it: a third of a worker's lease leaves room for a takeover
+// defaultControllerLeaseTTL is the life of a hold where operators don't set it: a third of a worker's lease leaves room for a takeover
 // and a fenced report before any lease ends, and the picture on which a hold is used must be able to be as old as that.
-func (s *Settings) deriveHold() time.Duration {
-	return max(leastHold, min(mostHold, Seconds(s.Params.Workers.LeaseS/3), s.cancelRoom().Truncate(time.Millisecond)))
+func (s *Settings) defaultControllerLeaseTTL() time.Duration {
+	return max(minControllerLeaseTTL, min(maxControllerLeaseTTL, Seconds(s.Params.Workers.LeaseS/3), s.maxStaleness().Truncate(time.Millisecond)))
 }
 
 // checkTiming refuses settings under which a cancelled job's tasks could outlive cancel_s.
 func (s *Settings) checkTiming() error {
-	w, room := s.Params.Workers, s.cancelRoom()
-	if room < leastHold {
+	w, room := s.Params.Workers, s.maxStaleness()
+	if room < minControllerLeaseTTL {
 		return fmt.Errorf("setting \"params.workers.cancel_s\": %g s leave no room for a lease of %g s (\"lease_s\"): a hold of at least %v and %v for commands under way come on top, so at least %.1f s are needed",
-			w.CancelS, w.LeaseS, leastHold, OrderWait+slack, w.LeaseS*(1+drift)+(leastHold+OrderWait+slack).Seconds()/(1-drift))
+			w.CancelS, w.LeaseS, minControllerLeaseTTL, DirectCommandTimeout+timingSlack, w.LeaseS*(1+clockDriftBound)+(minControllerLeaseTTL+DirectCommandTimeout+timingSlack).Seconds()/(1-clockDriftBound))
 	}
-	if s.HoldTTL() > room {
+	if s.ControllerLeaseTTL() > room {
 		return fmt.Errorf("setting \"hold_ttl_ms\": a hold of %v is too long for \"cancel_s\" %g and \"lease_s\" %g: at most %d",
-			s.HoldTTL(), w.CancelS, w.LeaseS, room.Milliseconds())
+			s.ControllerLeaseTTL(), w.CancelS, w.LeaseS, room.Milliseconds())
 	}
 	return nil
 }
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -33,9 +33,9 @@
 				}
 				continue
 			}
-			worst := settings.PictureFor() + Seconds(lease*1.0005) + 2*time.Second
-			if worst > Seconds(cancel*0.9995) || settings.PictureFor() < settings.HoldTTL() || settings.HoldTTL() < 2*time.Second || settings.HoldTTL() > 6*time.Second {
-				t.Errorf("lease %g, cancel %g: picture %v, hold %v, gone after %v", lease, cancel, settings.PictureFor(), settings.HoldTTL(), worst)
+			worst := settings.StalenessBound() + Seconds(lease*1.0005) + 2*time.Second
+			if worst > Seconds(cancel*0.9995) || settings.StalenessBound() < settings.ControllerLeaseTTL() || settings.ControllerLeaseTTL() < 2*time.Second || settings.ControllerLeaseTTL() > 6*time.Second {
+				t.Errorf("lease %g, cancel %g: picture %v, hold %v, gone after %v", lease, cancel, settings.StalenessBound(), settings.ControllerLeaseTTL(), worst)
 			}
 		}
 	}
@@ -56,8 +56,8 @@
 		{20, 26, 3474 * time.Millisecond, 3474 * time.Millisecond},
 	} {
 		settings, err := timed(t, c.lease, c.cancel, "")
-		if err != nil || settings.HoldTTL() != c.hold || settings.PictureFor().Round(10*time.Millisecond) != c.picture.Round(10*time.Millisecond) {
-			t.Errorf("%+v: %v, hold %v, picture %v", c, err, settings.HoldTTL(), settings.PictureFor())
+		if err != nil || settings.ControllerLeaseTTL() != c.hold || settings.StalenessBound().Round(10*time.Millisecond) != c.picture.Round(10*time.Millisecond) {
+			t.Errorf("%+v: %v, hold %v, picture %v", c, err, settings.ControllerLeaseTTL(), settings.StalenessBound())
 		}
 	}
 	if _, err := timed(t, 19, 39, "hold_ttl_ms = 17000\n"); err != nil {
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -13,11 +13,11 @@
 }
 
 // Zones is how zones are judged here.
-type Zones struct{ Patience, Prove, Calm, Most time.Duration }
+type Zones struct{ ReturnGrace, ProbationTime, FlapForgiveness, MaxProbation time.Duration }
 
-// mostHeld is how long room may be kept from work that fits, by any one cause that can be bounded at will: with what a start
+// maxProbation is how long room may be kept from work that fits, by any one cause that can be bounded at will: with what a start
 // takes besides, no job waits 90 s beside room.
-const mostHeld = 45 * time.Second
+const maxProbation = 45 * time.Second
 
 // Zones derives it from the operators' settings and the workers' times.
 func (s *Settings) Zones() Zones {
@@ -32,5 +32,5 @@
 		return Seconds(otherwise)
 	}
 	w := s.Params.Workers
-	return Zones{Patience: pick(o.PatienceS, 2*s.Operator.SilentS), Prove: pick(o.ProveS, 2*w.ReportS), Calm: pick(o.CalmS, 10*w.LeaseS), Most: mostHeld}
+	return Zones{ReturnGrace: pick(o.PatienceS, 2*s.Operator.MachineUnheardTimeoutS), ProbationTime: pick(o.ProveS, 2*w.ReportS), FlapForgiveness: pick(o.CalmS, 10*w.LeaseS), MaxProbation: maxProbation}
 }
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -36,7 +36,7 @@
 
 // moveEnded archives ended jobs, where the cluster's level has every controller read them.
 func (c *Controller) moveEnded(now time.Duration) {
-	if c.term.mover == nil || now-c.archive.checkedAt < archiveEvery || c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
+	if c.term.mover == nil || now-c.archive.checkedAt < archiveEvery || c.archive.settings.Unsupported != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
 	c.archive.checkedAt = now
@@ -61,7 +61,7 @@
 
 // settled tells whether an ended job can't have a task on any machine, and nothing else stands of it.
 func (c *Controller) settled(job *jobs.Job) bool {
-	if c.term.sessions != nil && c.term.sessions.Stands(job.ID) {
+	if c.term.sessions != nil && c.term.sessions.Exists(job.ID) {
 		return false
 	}
 	return c.term.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
@@ -102,8 +102,8 @@
 func (c *Controller) archiveStatus() ArchiveStatus {
 	s := ArchiveStatus{Moved: c.term.mover.Stats.Moved, Waiting: c.jobs.Len() - c.liveJobs(), RetainS: c.archive.settings.Retain.Seconds(), State: c.term.mover.State().String()}
 	switch {
-	case c.archive.settings.Problem != nil:
-		s.Problem = c.archive.settings.Problem.Error()
+	case c.archive.settings.Unsupported != nil:
+		s.Problem = c.archive.settings.Unsupported.Error()
 	case c.rollout.Level() < rollout.Archived:
 		s.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
 	}
@@ -112,8 +112,8 @@
 
 // sayArchive logs at the start why nothing will be archived.
 func (c *Controller) sayArchive() {
-	if c.archive.settings.Problem != nil {
-		slog.Error("ended jobs are not archived: memory grows with each job", "cause", c.archive.settings.Problem)
+	if c.archive.settings.Unsupported != nil {
+		slog.Error("ended jobs are not archived: memory grows with each job", "cause", c.archive.settings.Unsupported)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -94,14 +94,14 @@
 func New(settings *config.Settings) *Controller {
 	if settings.Params.Limits.MemMB != nil {
 		// Stay clear of the limit at which the process would be ended.
-		debug.SetMemoryLimit(int64(settings.Params.Limits.Memory() * 0.7 * (1 << 20)))
+		debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryLimitMB() * 0.7 * (1 << 20)))
 	}
 	start := time.Now()
 	c := build(settings, Environment{Now: func() time.Duration { return time.Since(start) }, EpochMS: start.UnixMilli(), Seed: uint64(start.UnixNano())})
 	for _, p := range settings.Peers {
 		dial := peers.Plain(p.Addr)
 		if t := settings.Operator.TLS; t != nil && t.Peers {
-			dial = peers.Secure(p.Addr, func() *tls.Config { return settings.Keys().Peer(p.Node) })
+			dial = peers.Secure(p.Addr, func() *tls.Config { return settings.Keys().PeerClientConfig(p.Node) })
 		}
 		c.peers.links = append(c.peers.links, peers.NewLink(dial))
 	}
@@ -124,19 +124,19 @@
 	if o.Sender == nil {
 		o.Sender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
-	c.stateSender = o.Sender(settings.Params.Limits.Outgoing(serviceSlots))
-	c.workerSender = o.Sender(settings.Params.Limits.Outgoing(workerSlots))
+	c.stateSender = o.Sender(settings.Params.Limits.MaxOutgoing(serviceSlots))
+	c.workerSender = o.Sender(settings.Params.Limits.MaxOutgoing(workerSlots))
 	c.store = store.New(settings.Services.State, c.stateSender, c.loop.Now, c.share(false), settings.Params.State.Limits())
-	c.licenceSender = o.Sender(settings.Params.Limits.Outgoing(licenceSlots))
+	c.licenceSender = o.Sender(settings.Params.Limits.MaxOutgoing(licenceSlots))
 	c.jobs = jobs.NewTable(o.EpochMS)
-	c.licencePools = licences.NewCatalog(settings.Pools())
+	c.licencePools = licences.NewCatalog(settings.LicencePools())
 	c.jobs.Names.Pools = c.licencePools
 	c.quota = quota.New(settings.Params.Teams, c.jobs.Names.Teams.Index)
 	c.cloud = capacity.NewCloud(settings.Services.Cloud, c.stateSender, c.loop.Now, settings.Params.Cloud.RPS*0.9)
-	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.PictureFor())
+	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.StalenessBound())
 	c.rollout = c.newRollout()
 	c.membership = membership.New(membership.Config{
-		Rollout: member{c.rollout, c}, Node: settings.Node, Public: settings.Public, Secure: settings.Secure(), TTL: settings.HoldTTL(), StalenessBound: settings.PictureFor(), Rng: c.rng,
+		Rollout: member{c.rollout, c}, Node: settings.Node, Public: settings.PublicAddr, Secure: settings.TLSAddr(), TTL: settings.ControllerLeaseTTL(), StalenessBound: settings.StalenessBound(), Rng: c.rng,
 		OnElected: c.lead, OnDeposed: c.lose,
 	}, c.store, c.watchCache.FreshAt)
 	c.watchCache.OnItem = func(item store.Item) { c.item(c.loop.Now(), item) }
@@ -158,8 +158,8 @@
 	c.archive.reader = c.newReader(c.archive.settings.CacheEntries)
 	c.api = api.New(api.Env{
 		Store: c.store, Jobs: c.jobs, Archive: c.archive.reader, Admit: c.admit, Ready: c.watchCache.Synced,
-		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.Tasks(),
-		MaxBytes: settings.Params.Limits.QueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
+		Counts: c.counts, OnJobRecord: c.learned, LevelCondition: c.rollout.LevelCondition, Compatible: c.rollout.Compatible, TxnOps: settings.Params.State.TxnOps, Limits: c.store.Limits, MaxTasks: settings.Params.Limits.MaxTasks(),
+		MaxBytes: settings.Params.Limits.MaxQueueBytes(), MaxValue: settings.Params.State.Limits().MaxValueBytes,
 	})
 	return c
 }
@@ -175,16 +175,16 @@
 
 // Run listens and serves until the process is ended.
 func (c *Controller) Run() error {
-	public, err := net.Listen("tcp4", c.settings.Public)
+	public, err := net.Listen("tcp4", c.settings.PublicAddr)
 	if err != nil {
 		return fmt.Errorf("setting \"public_addr\": %w", err)
 	}
-	back, err := net.Listen("tcp4", c.settings.Back)
+	back, err := net.Listen("tcp4", c.settings.PeerAddr)
 	if err != nil {
 		return fmt.Errorf("setting \"back\": %w", err)
 	}
 	if t := c.settings.Operator.TLS; t != nil && t.Peers {
-		back = tls.NewListener(back, c.settings.Keys().Peers())
+		back = tls.NewListener(back, c.settings.Keys().PeerListenerConfig())
 	}
 	if addr := c.settings.Operator.DebugAddr; addr != "" {
 		if err := c.observe(addr); err != nil {
@@ -195,7 +195,7 @@
 	fail := make(chan error, 2)
 	routes := api.Routes{
 		Post: c.loop.Offer, PostReport: c.loop.OfferWorker, Now: c.loop.Now, Intake: c.api, Up: c.up,
-		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.Conns(), Crowded: c.settings.Params.Limits.Crowded(), Users: c.settings.Users(), Counter: &c.answers,
+		Report: c.report, Leader: c.leaderCalls(), MaxConns: c.settings.Params.Limits.MaxConns(), Crowded: c.settings.Params.Limits.KeepAliveConns(), Users: c.settings.Users(), Counter: &c.answers,
 	}
 	if t := c.settings.Operator.TLS; t != nil {
 		secure, err := net.Listen("tcp", t.Listen)
@@ -206,14 +206,14 @@
 		over := routes
 		over.MaxConns, over.Crowded = max(1, routes.MaxConns/4), max(1, routes.Crowded/4)
 		routes.MaxConns, routes.Crowded = routes.MaxConns-over.MaxConns, max(1, routes.Crowded-over.Crowded)
-		routes.WorkersOnly = t.Plain == "workers"
-		go func() { fail <- api.Serve(tls.NewListener(secure, c.settings.Keys().Users()), over) }()
+		routes.WorkersOnly = t.PlainListener == "workers"
+		go func() { fail <- api.Serve(tls.NewListener(secure, c.settings.Keys().UserListenerConfig()), over) }()
 	}
 	go func() { fail <- api.Serve(public, routes) }()
 	go c.checkFiles(checkFilesEvery)
 	c.sayArchive()
-	slog.Info("serving", "node", c.settings.Node, "public", c.settings.Public, "hold_ms", c.settings.Operator.HoldTTLMS,
-		"money_counts", c.settings.MoneyCounts(), "objectives", len(c.settings.Params.Objectives))
+	slog.Info("serving", "node", c.settings.Node, "public", c.settings.PublicAddr, "hold_ms", c.settings.Operator.ControllerLeaseTTLMS,
+		"money_counts", c.settings.HasCostObjective(), "objectives", len(c.settings.Params.Objectives))
 	go c.loop.Run(TickEvery, c.tick)
 	return <-fail
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -36,7 +36,7 @@
 // blind tells that the followed keys have been too old to act on for a while, though the service answers and the hold
 // is renewed: a leader whose watches are lost would keep everybody else from leading, and act for nobody.
 func (c *Controller) blind(now time.Duration) bool {
-	return now-c.watchCache.FreshAt() > c.settings.PictureFor()+c.settings.HoldTTL() && now-c.store.LastSuccess() < time.Second
+	return now-c.watchCache.FreshAt() > c.settings.StalenessBound()+c.settings.ControllerLeaseTTL() && now-c.store.LastSuccess() < time.Second
 }
 
 // soonest is how long nobody must have been heard before a leader hands on because many workers ask others: for
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -9,7 +9,7 @@
 
 // leaderCalls are the requests that only the leader can answer.
 func (c *Controller) leaderCalls() *api.LeaderAPI {
-	return &api.LeaderAPI{Token: c.settings.Operator.Token, Answer: c.leaderCall, Licences: len(c.licencePools.Pools()) > 0, Sessions: c.settings.Sessions().On}
+	return &api.LeaderAPI{Token: c.settings.Operator.Token, Answer: c.leaderCall, Licences: len(c.licencePools.Pools()) > 0, Sessions: c.settings.Sessions().Enabled}
 }
 
 // leaderCall answers such a request, or says who leads.
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -155,7 +155,7 @@
 		}
 	}
 	if c.term.sessions != nil {
-		for state, n := range c.term.sessions.Count() {
+		for state, n := range c.term.sessions.CountByState() {
 			add(sessionsDesc, float64(n), state)
 		}
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -19,8 +19,8 @@
 		Node: c.settings.Node, Nodes: []rollout.NodeConfig{{Node: c.settings.Node, Zone: c.settings.Zone}}, Release: rollout.Release, MaxLevel: rollout.Newest,
 		Auto: o.Auto, Soak: o.Soak, StartedAtMS: c.jobs.WallMS(c.loop.Now()), OnStateChange: c.rolloutTurned,
 	}
-	if o.Knows > 0 {
-		cfg.MaxLevel, cfg.Release = o.Knows, o.Release
+	if o.SimulatedLevel > 0 {
+		cfg.MaxLevel, cfg.Release = o.SimulatedLevel, o.SimulatedRelease
 	}
 	for _, p := range c.settings.Peers {
 		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: p.Node, Zone: p.Zone})
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -12,14 +12,14 @@
 // newSessions starts the sessions of a term, nil where they are off.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
 	p := c.settings.Sessions()
-	if !p.On {
+	if !p.Enabled {
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies: p, Jobs: c.jobs, Learned: c.learned, Read: c.read, Now: c.loop.Now, Unreadable: c.rollout.MarkUnreadable,
+		Policies: p, Jobs: c.jobs, OnJobRecord: c.learned, Read: c.read, Now: c.loop.Now, OnUnreadable: c.rollout.MarkUnreadable,
 		Wall:   func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
 		Commit: func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.NormalPriority, done) },
-		Task:   c.term.fleet.SessionTask, Park: c.term.fleet.Suspend, Wanted: c.term.fleet.WaitingJobsFor,
+		Task:   c.term.fleet.SessionTask, Suspend: c.term.fleet.Suspend, WaitingFor: c.term.fleet.WaitingJobsFor,
 	}, term)
 }
 
@@ -36,12 +36,12 @@
 	m := c.term.sessions
 	switch request.Verb {
 	case "open":
-		r, err := sessions.ParseOpening(request.Body)
+		r, err := sessions.ParseRequest(request.Body)
 		if err != nil {
 			reply(api.Refuse(api.InvalidRequest, err.Error()))
 			return
 		}
-		if request.Who != nil && !request.Who.May(r.Spec.Team) {
+		if request.Who != nil && !request.Who.MayActFor(r.Spec.Team) {
 			reply(api.Refuse(api.Forbidden, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
 			return
 		}
@@ -64,16 +64,16 @@
 			reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
 			return
 		}
-		answer(m.Keep(now, request.Name, request.Bearer, b.Attachment))
+		answer(m.KeepAlive(now, request.Name, request.Bearer, b.Attachment))
 	case "close":
 		m.Close(now, request.Name, request.Bearer, answer)
 	case "report":
-		r, err := sessions.ParseReport(request.Body)
+		r, err := sessions.ParseHeartbeat(request.Body)
 		if err != nil {
 			reply(api.Refuse(api.InvalidRequest, err.Error()))
 			return
 		}
-		o, ok, why := m.Report(now, request.Name, request.Bearer, r)
+		o, ok, why := m.Heartbeat(now, request.Name, request.Bearer, r)
 		if !ok {
 			reply(api.Refuse(api.Conflict, why))
 			return
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -20,7 +20,7 @@
 	c.store.SetShare(c.share(true))
 	c.jobs.RecallArchived()
 	c.term.fleet = fleet.New(fleet.Env{
-		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.Outgoing(workerSlots), Now: c.loop.Now, OnJobRecord: c.learned,
+		Settings: c.settings, Jobs: c.jobs, Rng: c.rng, TxnOps: c.settings.Params.State.TxnOps - 1, Limits: c.store.Limits, MaxDirectRequests: c.settings.Params.Limits.MaxOutgoing(workerSlots), Now: c.loop.Now, OnJobRecord: c.learned,
 		Types:          func(ix int32) *fleet.MachineType { return c.machineTypes.byIndex[ix] },
 		PlansInPages:   func() bool { return c.rollout.Level() >= rollout.Paged },
 		OnUnreadable:   c.rollout.MarkUnreadable,
@@ -29,7 +29,7 @@
 		Commit:         func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.BulkPriority, done) },
 		Read:           c.read,
 		SendCommands:   c.order,
-		Events:         events.New(keptEvents(c.settings.Params.Limits.Memory())),
+		Events:         events.New(keptEvents(c.settings.Params.Limits.MemoryLimitMB())),
 	}, term, now)
 	c.term.fleet.Events.Add(events.Event{At: now, Kind: events.Term, Task: events.None, Machine: events.None, Note: c.settings.Node})
 	c.term.mover = c.newMover()
@@ -77,7 +77,7 @@
 	body, _ := json.Marshal(o)
 	f := c.term.fleet
 	// One connection each: a large fleet's idle ones would use up the sockets.
-	c.workerSender.Send(machine.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.OrderWait, Once: true}, func(response httpio.Response) {
+	c.workerSender.Send(machine.Addr, httpio.Request{Method: "POST", Path: "/orders", Body: body, Timeout: config.DirectCommandTimeout, Once: true}, func(response httpio.Response) {
 		if c.term.fleet != f {
 			return
 		}
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -41,7 +41,7 @@
 // hold lives; then whoever says itself that it leads. Two controllers that were cut off with their workers would
 // otherwise send them to one that has long lost the lead.
 func (c *Controller) keeper(now time.Duration, machine string) string {
-	if now-c.watchCache.FreshAt() <= c.settings.HoldTTL() {
+	if now-c.watchCache.FreshAt() <= c.settings.ControllerLeaseTTL() {
 		return c.membership.Owner(machine)
 	}
 	name, term := "", uint64(0)
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -111,7 +111,7 @@
 type Fault struct {
 	AtS float64 `hcl:"at_s" validate:"gte=0"`
 	Do  string  `hcl:"do" validate:"required"`
-	// ForS is how long after it its effect is looked for, in seconds; 0: a minute.
+	// InStateS is how long after it its effect is looked for, in seconds; 0: a minute.
 	ForS float64 `hcl:"for_s,optional" validate:"gte=0"`
 }
 
@@ -268,7 +268,7 @@
 
 func (c Config) settings(settings *config.Settings) error {
 	if c.Former {
-		settings.Earlier(rollout.Newest-1, simulator.Former)
+		settings.SimulateRelease(rollout.Newest-1, simulator.Former)
 	}
 	if c.Operator == "" {
 		return nil
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -29,17 +29,17 @@
 	Commit func(store.Txn, func(store.Result))
 	// Read re-reads one key after an open write.
 	Read func(key string, done func(store.Item, error))
-	// Learned hands on a job's record that was written here.
-	Learned func(now time.Duration, item store.Item)
+	// OnJobRecord hands on a job's record that was written here.
+	OnJobRecord func(now time.Duration, item store.Item)
 	// Task finds a session's task.
 	Task func(*jobs.Job) Task
-	// Park has a job's task stopped and kept off machines, or lets it run again.
-	Park func(now time.Duration, job *jobs.Job, on bool)
-	// Wanted tells who waits for what each of some sessions holds, "" for nobody; no more are
+	// Suspend has a job's task stopped and kept off machines, or lets it run again.
+	Suspend func(now time.Duration, job *jobs.Job, on bool)
+	// WaitingFor tells who waits for what each of some sessions holds, "" for nobody; no more are
 	// named than it takes to serve those who wait.
-	Wanted func(now time.Duration, of []*jobs.Job) []string
-	// Unreadable is told of a record that can't be read; nil for nobody.
-	Unreadable func(key string, raw json.RawMessage, cause error)
+	WaitingFor func(now time.Duration, of []*jobs.Job) []string
+	// OnUnreadable is told of a record that can't be read; nil for nobody.
+	OnUnreadable func(key string, raw json.RawMessage, cause error)
 	// Now is the steady clock, for answers that come later than the call that asked.
 	Now func() time.Duration
 }
@@ -47,40 +47,40 @@
 // Manager keeps all sessions for one term.
 type Manager struct {
 	Env
-	term   uint64
-	byID   map[string]*session
-	queue  queue
-	users  map[string]int // sessions by user, reclaimed ones included
-	teams  map[string]int // sessions by team that are not reclaimed
-	opens  map[string]int // users' and teams' submissions under way, by "u/" or "t/" and name
-	orders uint64
-	wanted time.Duration // when Wanted was asked last
-	asking []*session    // scratch
-	later  []reread
+	term                 uint64
+	byID                 map[string]*session
+	queue                queue
+	sessionsByUser       map[string]int // sessions by user, reclaimed ones included
+	sessionsByTeam       map[string]int // sessions by team that are not reclaimed
+	pendingOpens         map[string]int // users' and teams' submissions under way, by "u/" or "t/" and name
+	lastOrder            uint64
+	contentionCheckedAt  time.Duration // when Wanted was asked last
+	contentionCandidates []*session    // scratch
+	rereads              []reread
 }
 
 // reread is a record that is to be read again.
 type reread struct {
-	at time.Duration
-	f  func()
+	at  time.Duration
+	run func()
 }
 
 // Timing.
 const (
-	reportEvery = 5 * time.Second // agents report, as long as nothing presses
-	pressing    = time.Second     // and while they are warned or save
-	lookEvery   = 30 * time.Second
-	wantEvery   = time.Second
-	keepEvery   = time.Second      // a session's keep-alives are taken
-	ownEvery    = 10 * time.Second // a session's own saves are written, but for its last
-	mostBackoff = time.Hour
-	rereadAfter = 300 * time.Millisecond
-	numberBits  = 20 // for orders and attachments within a term
+	heartbeatInterval       = 5 * time.Second // agents report, as long as nothing presses
+	urgentHeartbeatInterval = time.Second     // and while they are warned or save
+	checkInterval           = 30 * time.Second
+	contentionCheckInterval = time.Second
+	minKeepAliveInterval    = time.Second      // a session's keep-alives are taken
+	agentCheckpointInterval = 10 * time.Second // a session's own saves are written, but for its last
+	maxCheckpointBackoff    = time.Hour
+	rereadDelay             = 300 * time.Millisecond
+	orderBits               = 20 // for orders and attachments within a term
 )
 
 // New starts a manager for a term.
 func New(env Env, term uint64) *Manager {
-	return &Manager{Env: env, term: term, byID: map[string]*session{}, users: map[string]int{}, teams: map[string]int{}, opens: map[string]int{}}
+	return &Manager{Env: env, term: term, byID: map[string]*session{}, sessionsByUser: map[string]int{}, sessionsByTeam: map[string]int{}, pendingOpens: map[string]int{}}
 }
 
 // Load takes over the records of earlier terms. Jobs of reclaimed sessions are parked before
@@ -98,174 +98,174 @@
 			if job := m.Jobs.Get(strings.TrimPrefix(item.Key, Prefix)); job != nil {
 				job.Quarantined = true
 			}
-			if m.Unreadable != nil {
-				m.Unreadable(item.Key, item.Value, err)
+			if m.OnUnreadable != nil {
+				m.OnUnreadable(item.Key, item.Value, err)
 			}
 			continue
 		}
 		s := m.add(now, strings.TrimPrefix(item.Key, Prefix), r, item.Version)
 		if r.Reclaimed {
 			s.state = Reclaimed
-			m.teams[r.Team]--
+			m.sessionsByTeam[r.Team]--
 			if job := m.Jobs.Get(s.id); job != nil {
-				m.Park(now, job, true)
+				m.Suspend(now, job, true)
 			}
 		}
 	}
 	slog.Info("sessions loaded", "term", m.term, "sessions", len(m.byID))
 }
 
-// Stands tells whether a session of that id is recorded.
-func (m *Manager) Stands(id string) bool { return m.byID[id] != nil }
+// Exists tells whether a session of that id is recorded.
+func (m *Manager) Exists(id string) bool { return m.byID[id] != nil }
 
 // add makes a session that opens.
 func (m *Manager) add(now time.Duration, id string, r Record, version uint64) *session {
-	s := &session{id: id, rec: r, version: version, state: Opening, since: now, input: now, heard: now, place: -1}
+	s := &session{id: id, record: r, version: version, state: Opening, stateSince: now, lastInputAt: now, lastHeardAt: now, queueIndex: -1}
 	m.byID[id] = s
-	m.users[r.User]++
-	m.teams[r.Team]++
-	m.queue.at(s, now+lookEvery)
+	m.sessionsByUser[r.User]++
+	m.sessionsByTeam[r.Team]++
+	m.queue.schedule(s, now+checkInterval)
 	return s
 }
 
 // Tick looks at the sessions that are due.
 func (m *Manager) Tick(now time.Duration) {
-	for len(m.later) > 0 && m.later[0].at <= now {
-		f := m.later[0].f
-		m.later = m.later[1:]
+	for len(m.rereads) > 0 && m.rereads[0].at <= now {
+		f := m.rereads[0].run
+		m.rereads = m.rereads[1:]
 		f()
 	}
-	for len(m.queue) > 0 && m.queue[0].due <= now {
+	for len(m.queue) > 0 && m.queue[0].dueAt <= now {
 		s := m.queue[0]
-		m.queue.at(s, now+lookEvery)
-		m.look(now, s)
+		m.queue.schedule(s, now+checkInterval)
+		m.advance(now, s)
 	}
-	m.press(now)
+	m.warnContended(now)
 }
 
-// look moves a session on, as far as time alone does.
-func (m *Manager) look(now time.Duration, s *session) {
+// advance moves a session on, as far as time alone does.
+func (m *Manager) advance(now time.Duration, s *session) {
 	job := m.Jobs.Get(s.id)
-	if job == nil || s.writing {
+	if job == nil || s.writePending {
 		return
 	}
 	if job.State.Terminal() {
-		m.forget(now, s)
+		m.deleteRecord(now, s)
 		return
 	}
-	silent := now-s.heard > m.Policies.Silent
+	silent := now-s.lastHeardAt > m.Policies.UnheardTimeout
 	switch s.state {
-	case Active, Quiet, Warned, Saving:
+	case Active, Idle, Warned, Checkpointing:
 		if t := m.Task(job); s.attempt != 0 && (!t.On || (t.Attempt != 0 && t.Attempt != s.attempt)) {
 			// Proof of the fleet's kind, not silence, says that it is gone.
 			s.attempt = 0
-			s.to(now, Lost, "its task is gone")
+			s.setState(now, Lost, "its task is gone")
 			return
 		}
 	case Reclaimed:
-		if m.Policies.Keep > 0 && m.Wall(now).UnixMilli()-s.rec.AtMS > m.Policies.Keep.Milliseconds() {
-			m.end(now, s, nil)
+		if m.Policies.Retention > 0 && m.Wall(now).UnixMilli()-s.record.ReclaimedAtMS > m.Policies.Retention.Milliseconds() {
+			m.cancelJob(now, s, nil)
 		}
 		return
 	}
 	switch s.state {
 	case Active:
-		if !silent && m.idle(now, s) {
-			s.to(now, Quiet, "idle by the policy")
-			m.look(now, s)
+		if !silent && m.isIdle(now, s) {
+			s.setState(now, Idle, "idle by the policy")
+			m.advance(now, s)
 		}
-	case Quiet:
-		m.quiet(now, s, silent)
+	case Idle:
+		m.advanceIdle(now, s, silent)
 	case Warned:
-		switch at := s.since + m.Policies.Warn; {
+		switch at := s.stateSince + m.Policies.WarningTime; {
 		case silent:
-			s.to(now, Quiet, "its agent is silent")
-		case !m.idle(now, s):
-			s.to(now, Active, "not idle any more")
-		case now >= at && s.wanted && m.Wanted(now, []*jobs.Job{job})[0] == "":
-			s.to(now, Quiet, "nobody waits any more")
+			s.setState(now, Idle, "its agent is silent")
+		case !m.isIdle(now, s):
+			s.setState(now, Active, "not idle any more")
+		case now >= at && s.contended && m.WaitingFor(now, []*jobs.Job{job})[0] == "":
+			s.setState(now, Idle, "nobody waits any more")
 		case now >= at:
-			m.orders++
-			s.to(now, Saving, s.reason)
-			s.order = m.term<<numberBits | m.orders
-			m.queue.at(s, now+m.Policies.Save)
+			m.lastOrder++
+			s.setState(now, Checkpointing, s.reclaimCause)
+			s.checkpointOrder = m.term<<orderBits | m.lastOrder
+			m.queue.schedule(s, now+m.Policies.CheckpointTimeout)
 		default:
-			m.queue.at(s, at)
+			m.queue.schedule(s, at)
 		}
-	case Saving:
-		if at := s.since + m.Policies.Save; now >= at {
-			m.failed(now, s, "the save took too long")
+	case Checkpointing:
+		if at := s.stateSince + m.Policies.CheckpointTimeout; now >= at {
+			m.checkpointFailed(now, s, "the save took too long")
 		} else {
-			m.queue.at(s, at)
+			m.queue.schedule(s, at)
 		}
 	}
 }
 
-// idle asks the policy, as of now.
-func (m *Manager) idle(now time.Duration, s *session) bool {
+// isIdle asks the policy, as of now.
+func (m *Manager) isIdle(now time.Duration, s *session) bool {
 	wall := m.Wall(now)
-	return m.Policies.Of(s.rec.Team).At(wall).Rule.Idle(s.activity(now, wall))
+	return m.Policies.ForTeam(s.record.Team).At(wall).Rule.Idle(s.activity(now, wall))
 }
 
-// quiet warns a session whose idle limit is over. Those that somebody may wait for are gathered
+// advanceIdle warns a session whose idle limit is over. Those that somebody may wait for are gathered
 // for press.
-func (m *Manager) quiet(now time.Duration, s *session, silent bool) {
+func (m *Manager) advanceIdle(now time.Duration, s *session, silent bool) {
 	wall := m.Wall(now)
-	p := m.Policies.Of(s.rec.Team)
+	p := m.Policies.ForTeam(s.record.Team)
 	limits := p.At(wall)
 	if !limits.Rule.Idle(s.activity(now, wall)) {
-		s.to(now, Active, "not idle any more")
+		s.setState(now, Active, "not idle any more")
 		return
 	}
 	if silent {
 		return
 	}
-	next := now + lookEvery
-	if change, ok := p.Changes(wall); ok {
+	next := now + checkInterval
+	if change, ok := p.NextChange(wall); ok {
 		next = min(next, now+max(time.Second, change.Sub(wall)))
 	}
-	if now < s.notNow {
-		m.queue.at(s, min(next, s.notNow))
+	if now < s.noWarningBefore {
+		m.queue.schedule(s, min(next, s.noWarningBefore))
 		return
 	}
-	if limits.Limit > 0 {
-		if now-s.since >= limits.Limit {
+	if limits.IdleLimit > 0 {
+		if now-s.stateSince >= limits.IdleLimit {
 			m.warn(now, s, "idle for longer than its limit", false)
 			return
 		}
-		next = min(next, s.since+limits.Limit)
+		next = min(next, s.stateSince+limits.IdleLimit)
 	}
-	if limits.Wanted >= 0 {
-		if now-s.since >= limits.Wanted {
-			m.asking = append(m.asking, s)
-			next = min(next, now+wantEvery)
+	if limits.ContendedLimit >= 0 {
+		if now-s.stateSince >= limits.ContendedLimit {
+			m.contentionCandidates = append(m.contentionCandidates, s)
+			next = min(next, now+contentionCheckInterval)
 		} else {
-			next = min(next, s.since+limits.Wanted)
+			next = min(next, s.stateSince+limits.ContendedLimit)
 		}
 	}
-	m.queue.at(s, next)
+	m.queue.schedule(s, next)
 }
 
-// press warns the quiet sessions for whose holdings somebody waits, longest idle first.
-func (m *Manager) press(now time.Duration) {
-	if len(m.asking) == 0 || now-m.wanted < wantEvery {
-		m.asking = m.asking[:0]
+// warnContended warns the quiet sessions for whose holdings somebody waits, longest idle first.
+func (m *Manager) warnContended(now time.Duration) {
+	if len(m.contentionCandidates) == 0 || now-m.contentionCheckedAt < contentionCheckInterval {
+		m.contentionCandidates = m.contentionCandidates[:0]
 		return
 	}
-	m.wanted = now
-	slices.SortStableFunc(m.asking, func(a, b *session) int { return int(a.since - b.since) })
+	m.contentionCheckedAt = now
+	slices.SortStableFunc(m.contentionCandidates, func(a, b *session) int { return int(a.stateSince - b.stateSince) })
 	var of []*jobs.Job
 	var ss []*session
-	for _, s := range m.asking {
-		if job := m.Jobs.Get(s.id); job != nil && s.state == Quiet {
+	for _, s := range m.contentionCandidates {
+		if job := m.Jobs.Get(s.id); job != nil && s.state == Idle {
 			of, ss = append(of, job), append(ss, s)
 		}
 	}
-	m.asking = m.asking[:0]
+	m.contentionCandidates = m.contentionCandidates[:0]
 	if len(of) == 0 {
 		return
 	}
-	for i, who := range m.Wanted(now, of) {
+	for i, who := range m.WaitingFor(now, of) {
 		if who != "" {
 			m.warn(now, ss[i], who+" waits for what it holds", true)
 		}
@@ -273,32 +273,32 @@
 }
 
 func (m *Manager) warn(now time.Duration, s *session, why string, wanted bool) {
-	s.to(now, Warned, why)
-	s.reason, s.wanted = why, wanted
-	m.queue.at(s, now+m.Policies.Warn)
+	s.setState(now, Warned, why)
+	s.reclaimCause, s.contended = why, wanted
+	m.queue.schedule(s, now+m.Policies.WarningTime)
 }
 
-// failed gives a reclaim up after its save failed, and waits longer each time before another.
-func (m *Manager) failed(now time.Duration, s *session, why string) {
-	s.failures++
-	back := min(mostBackoff, max(m.Policies.Warn, time.Second)<<min(s.failures, 10))
-	s.notNow = now + back
-	slog.Warn("save failed", "session", s.id, "cause", why, "failures", s.failures, "again_in_s", int(back.Seconds()))
-	s.to(now, Quiet, "save failed: "+why)
+// checkpointFailed gives a reclaim up after its save failed, and waits longer each time before another.
+func (m *Manager) checkpointFailed(now time.Duration, s *session, why string) {
+	s.failedCheckpoints++
+	back := min(maxCheckpointBackoff, max(m.Policies.WarningTime, time.Second)<<min(s.failedCheckpoints, 10))
+	s.noWarningBefore = now + back
+	slog.Warn("save failed", "session", s.id, "cause", why, "failures", s.failedCheckpoints, "again_in_s", int(back.Seconds()))
+	s.setState(now, Idle, "save failed: "+why)
 }
 
-// Report takes over what a session's agent says and answers it. ok is false where there is no
+// Heartbeat takes over what a session's agent says and answers it. ok is false where there is no
 // such session, the token is not its agent's, or the report is old.
-func (m *Manager) Report(now time.Duration, id, token string, r Report) (o Order, ok bool, why string) {
+func (m *Manager) Heartbeat(now time.Duration, id, token string, r Heartbeat) (o HeartbeatResponse, ok bool, why string) {
 	s := m.byID[id]
-	if s == nil || !opens(token, s.rec.Agent) {
-		return o, false, notYours
+	if s == nil || !tokenMatches(token, s.record.AgentTokenDigest) {
+		return o, false, unauthorizedMessage
 	}
 	job := m.Jobs.Get(id)
 	if job == nil || job.State.Terminal() {
-		return Order{State: Closed.String()}, true, ""
+		return HeartbeatResponse{State: Closed.String()}, true, ""
 	}
-	if r.Attempt < s.attempt || (r.Attempt == s.attempt && r.Seq <= s.seq) {
+	if r.Attempt < s.attempt || (r.Attempt == s.attempt && r.Seq <= s.heartbeatSeq) {
 		return o, false, "a newer report was heard"
 	}
 	switch t := m.Task(job); {
@@ -307,109 +307,109 @@
 	case t.Ending:
 		// It must not be thawed for a user who comes back meanwhile, but what it saves at its end
 		// counts.
-		s.attempt, s.seq = r.Attempt, r.Seq
-		m.own(now, s, r, true)
-		return Order{State: "ending", Kept: s.kept(), ReportS: 0.2}, true, ""
+		s.attempt, s.heartbeatSeq = r.Attempt, r.Seq
+		m.storeAgentCheckpoint(now, s, r, true)
+		return HeartbeatResponse{State: "ending", CheckpointRef: s.checkpointRef(), NextHeartbeatS: 0.2}, true, ""
 	}
-	if s.writing && r.Attempt != s.attempt {
+	if s.writePending && r.Attempt != s.attempt {
 		// Its machine died while a write is open, perhaps the one that reclaims it: until that is
 		// known the new process stays as it began, frozen.
-		return Order{State: s.state.String(), ReportS: pressing.Seconds()}, true, ""
+		return HeartbeatResponse{State: s.state.String(), NextHeartbeatS: urgentHeartbeatInterval.Seconds()}, true, ""
 	}
-	if r.Attempt != s.attempt && (s.state == Active || s.state == Quiet || s.state == Warned || s.state == Saving) {
+	if r.Attempt != s.attempt && (s.state == Active || s.state == Idle || s.state == Warned || s.state == Checkpointing) {
 		if s.attempt != 0 {
-			s.to(now, Lost, "another attempt of it runs")
+			s.setState(now, Lost, "another attempt of it runs")
 		}
 	}
-	s.attempt, s.seq, s.heard = r.Attempt, r.Seq, now
-	s.input = max(now-seconds(r.InputS), s.returned) // a return counts as input
-	s.cpu, s.gpu, s.unsaved = r.CPU, r.GPU, r.Unsaved
-	if s.cellFrom = 0; r.Cell {
-		s.cellFrom = max(1, now-seconds(r.CellS))
+	s.attempt, s.heartbeatSeq, s.lastHeardAt = r.Attempt, r.Seq, now
+	s.lastInputAt = max(now-seconds(r.SinceInputS), s.userReturnedAt) // a return counts as input
+	s.cpu, s.gpu, s.unsavedMB = r.CPU, r.GPU, r.UnsavedMB
+	if s.cellRunningSince = 0; r.CellRunning {
+		s.cellRunningSince = max(1, now-seconds(r.CellRunningS))
 	}
 	if s.state == Opening || s.state == Lost {
-		s.to(now, Active, "its agent was heard")
+		s.setState(now, Active, "its agent was heard")
 	}
-	return m.answer(now, s, job, r), true, ""
+	return m.respond(now, s, job, r), true, ""
 }
 
-// answer moves a session on by its agent's report.
-func (m *Manager) answer(now time.Duration, s *session, job *jobs.Job, r Report) Order {
-	o := Order{ReportS: reportEvery.Seconds()}
-	if r.Fresh && r.Resumed != s.kept() {
-		o.Resume = s.kept()
-	}
-	m.own(now, s, r, false)
-	o.Kept = s.kept()
-	if !s.writing {
+// respond moves a session on by its agent's report.
+func (m *Manager) respond(now time.Duration, s *session, job *jobs.Job, r Heartbeat) HeartbeatResponse {
+	o := HeartbeatResponse{NextHeartbeatS: heartbeatInterval.Seconds()}
+	if r.Fresh && r.ResumedFrom != s.checkpointRef() {
+		o.ResumeFrom = s.checkpointRef()
+	}
+	m.storeAgentCheckpoint(now, s, r, false)
+	o.CheckpointRef = s.checkpointRef()
+	if !s.writePending {
 		switch {
-		case s.state == Saving && r.Save != nil && r.Save.Order == s.order:
-			m.saved(now, s, job, r)
-		case s.state == Saving && r.Cell:
-			s.to(now, Active, "a cell runs")
+		case s.state == Checkpointing && r.Checkpoint != nil && r.Checkpoint.Order == s.checkpointOrder:
+			m.finishCheckpoint(now, s, job, r)
+		case s.state == Checkpointing && r.CellRunning:
+			s.setState(now, Active, "a cell runs")
 		default:
-			m.look(now, s)
+			m.advance(now, s)
 		}
 	}
 	o.State = s.state.String()
 	switch s.state {
 	case Warned:
-		left := max(0, (s.since + m.Policies.Warn - now).Seconds())
-		o.ReclaimS, o.Why, o.ReportS = &left, s.reason, min(pressing.Seconds(), max(0.2, left))
-	case Saving:
-		o.Why, o.ReportS = s.reason, pressing.Seconds()
-		if !s.writing {
-			o.Save = s.order
+		left := max(0, (s.stateSince + m.Policies.WarningTime - now).Seconds())
+		o.ReclaimInS, o.Cause, o.NextHeartbeatS = &left, s.reclaimCause, min(urgentHeartbeatInterval.Seconds(), max(0.2, left))
+	case Checkpointing:
+		o.Cause, o.NextHeartbeatS = s.reclaimCause, urgentHeartbeatInterval.Seconds()
+		if !s.writePending {
+			o.CheckpointOrder = s.checkpointOrder
 		}
 	}
 	// While the outcome of a reclaim is open it stays frozen: it is either parked, or thawed by
 	// the next answer.
-	o.Thaw = r.Frozen && o.Resume == "" && !s.writing && s.state != Saving && s.state != Reclaimed
+	o.Thaw = r.Frozen && o.ResumeFrom == "" && !s.writePending && s.state != Checkpointing && s.state != Reclaimed
 	return o
 }
 
-// own takes over a save of the agent's own: what is kept of it when its machine dies. They are
+// storeAgentCheckpoint takes over a save of the agent's own: what is kept of it when its machine dies. They are
 // written at most every ten seconds, the last one at once.
-func (m *Manager) own(now time.Duration, s *session, r Report, last bool) {
-	if r.Save == nil || r.Save.Order != 0 || !r.Save.OK || r.Save.Ref == "" || r.Save.Ref == s.kept() || s.writing || r.Fresh ||
-		s.state == Reclaimed || (!last && s.ownAt > 0 && now-s.ownAt < ownEvery) {
+func (m *Manager) storeAgentCheckpoint(now time.Duration, s *session, r Heartbeat, last bool) {
+	if r.Checkpoint == nil || r.Checkpoint.Order != 0 || !r.Checkpoint.OK || r.Checkpoint.Ref == "" || r.Checkpoint.Ref == s.checkpointRef() || s.writePending || r.Fresh ||
+		s.state == Reclaimed || (!last && s.agentCheckpointAt > 0 && now-s.agentCheckpointAt < agentCheckpointInterval) {
 		return
 	}
-	s.ownAt = now
-	rec := s.rec
-	rec.Saved = &Saved{Ref: r.Save.Ref, MB: r.Save.MB, AtMS: m.Wall(now).UnixMilli()}
+	s.agentCheckpointAt = now
+	rec := s.record
+	rec.Checkpoint = &Checkpoint{Ref: r.Checkpoint.Ref, MB: r.Checkpoint.MB, AtMS: m.Wall(now).UnixMilli()}
 	m.write(s, rec, func(time.Duration, bool) {})
 }
 
-// saved takes over the outcome of an ordered save. The session is reclaimed only if all its work
+// finishCheckpoint takes over the outcome of an ordered save. The session is reclaimed only if all its work
 // is saved and it is frozen, and once that is durable.
-func (m *Manager) saved(now time.Duration, s *session, job *jobs.Job, r Report) {
+func (m *Manager) finishCheckpoint(now time.Duration, s *session, job *jobs.Job, r Heartbeat) {
 	switch {
-	case !r.Save.OK:
-		m.failed(now, s, r.Save.Why)
+	case !r.Checkpoint.OK:
+		m.checkpointFailed(now, s, r.Checkpoint.Cause)
 		return
-	case r.Cell || !r.Frozen || r.Unsaved > 0 || s.input > s.since:
-		s.to(now, Active, "it was used while it saved")
+	case r.CellRunning || !r.Frozen || r.UnsavedMB > 0 || s.lastInputAt > s.stateSince:
+		s.setState(now, Active, "it was used while it saved")
 		return
 	}
-	rec := s.rec
-	rec.Reclaimed, rec.AtMS = true, m.Wall(now).UnixMilli()
-	rec.Saved = &Saved{Ref: r.Save.Ref, MB: r.Save.MB, AtMS: rec.AtMS}
-	why := s.reason
+	rec := s.record
+	rec.Reclaimed, rec.ReclaimedAtMS = true, m.Wall(now).UnixMilli()
+	rec.Checkpoint = &Checkpoint{Ref: r.Checkpoint.Ref, MB: r.Checkpoint.MB, AtMS: rec.ReclaimedAtMS}
+	why := s.reclaimCause
 	m.write(s, rec, func(at time.Duration, ok bool) {
 		switch {
 		case !ok:
-			if s.state == Saving {
-				m.failed(at, s, "its record was not written")
+			if s.state == Checkpointing {
+				m.checkpointFailed(at, s, "its record was not written")
 			}
 		default:
 			// Whatever came meanwhile: what is durable counts, and a returning user resumes.
-			s.failures = 0
-			if s.state == Saving {
-				s.to(at, Reclaimed, why)
-				m.teams[s.rec.Team]--
-				s.attempt, s.seq, s.cellFrom = 0, 0, 0
-				m.Park(at, job, true)
+			s.failedCheckpoints = 0
+			if s.state == Checkpointing {
+				s.setState(at, Reclaimed, why)
+				m.sessionsByTeam[s.record.Team]--
+				s.attempt, s.heartbeatSeq, s.cellRunningSince = 0, 0, 0
+				m.Suspend(at, job, true)
 			}
 		}
 	})
@@ -419,16 +419,16 @@
 // is decided; an open outcome is settled by reading the record again.
 func (m *Manager) write(s *session, rec Record, done func(now time.Duration, ok bool)) {
 	raw, _ := json.Marshal(rec)
-	s.writing = true
+	s.writePending = true
 	finish := func(ok bool, version uint64) {
-		s.writing = false
+		s.writePending = false
 		if ok {
-			s.rec, s.version = rec, version
+			s.record, s.version = rec, version
 		}
 		done(m.Now(), ok)
-		s.goOn()
+		s.runDeferred()
 		if m.byID[s.id] == s {
-			m.queue.at(s, m.Now())
+			m.queue.schedule(s, m.Now())
 		}
 	}
 	was := s.version
@@ -439,17 +439,17 @@
 		case store.NotApplied, store.LeaseExpired:
 			finish(false, 0)
 		default:
-			m.settle(s, raw, was, finish)
+			m.resolveWrite(s, raw, was, finish)
 		}
 	})
 }
 
-// settle finds out what became of an open write. A read that shows it was not carried out proves
+// resolveWrite finds out what became of an open write. A read that shows it was not carried out proves
 // nothing yet: it may land afterwards, and the next leader would stop a session that is in use. So
 // the record is written again as it was, which moves its version; then the open write can't land.
-func (m *Manager) settle(s *session, raw json.RawMessage, was uint64, finish func(ok bool, version uint64)) {
+func (m *Manager) resolveWrite(s *session, raw json.RawMessage, was uint64, finish func(ok bool, version uint64)) {
 	again := func() {
-		m.later = append(m.later, reread{m.Now() + rereadAfter, func() { m.settle(s, raw, was, finish) }})
+		m.rereads = append(m.rereads, reread{m.Now() + rereadDelay, func() { m.resolveWrite(s, raw, was, finish) }})
 	}
 	m.Read(Key(s.id), func(item store.Item, err error) {
 		switch {
@@ -461,7 +461,7 @@
 			s.version = item.Version
 			finish(false, 0)
 		default:
-			old, _ := json.Marshal(s.rec)
+			old, _ := json.Marshal(s.record)
 			m.Commit(store.Txn{If: []store.Condition{{Key: Key(s.id), Version: was}}, Then: []store.Op{{Put: Key(s.id), Value: old}}}, func(result store.Result) {
 				if result.Outcome != store.Committed {
 					again()
@@ -474,33 +474,33 @@
 	})
 }
 
-// after runs f now, or once the write under way is settled.
-func (s *session) after(f func()) {
-	if s.writing {
-		s.waiting = append(s.waiting, f)
+// runAfterWrite runs f now, or once the write under way is settled.
+func (s *session) runAfterWrite(f func()) {
+	if s.writePending {
+		s.afterWrite = append(s.afterWrite, f)
 		return
 	}
 	f()
 }
 
-// goOn does what has waited for a write.
-func (s *session) goOn() {
-	waiting := s.waiting
-	s.waiting = nil
+// runDeferred does what has waited for a write.
+func (s *session) runDeferred() {
+	waiting := s.afterWrite
+	s.afterWrite = nil
 	for _, f := range waiting {
 		f()
 	}
 }
 
-// forget drops a session whose job has ended; its record goes with it.
-func (m *Manager) forget(now time.Duration, s *session) {
-	s.writing = true
+// deleteRecord drops a session whose job has ended; its record goes with it.
+func (m *Manager) deleteRecord(now time.Duration, s *session) {
+	s.writePending = true
 	m.Commit(store.Txn{Then: []store.Op{{Delete: Key(s.id)}}}, func(result store.Result) {
-		s.writing = false
+		s.writePending = false
 		if result.Outcome == store.Committed {
 			m.remove(m.Now(), s)
 		} else {
-			m.queue.at(s, m.Now()+time.Second)
+			m.queue.schedule(s, m.Now()+time.Second)
 		}
 	})
 }
@@ -509,11 +509,11 @@
 	if m.byID[s.id] != s {
 		return
 	}
-	m.users[s.rec.User]--
+	m.sessionsByUser[s.record.User]--
 	if s.state != Reclaimed {
-		m.teams[s.rec.Team]--
+		m.sessionsByTeam[s.record.Team]--
 	}
-	s.to(now, Closed, "over")
+	s.setState(now, Closed, "over")
 	m.queue.remove(s)
 	delete(m.byID, s.id)
 }
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -39,7 +39,7 @@
 	cell         time.Duration
 	input        time.Duration
 	frozen       bool
-	save         *Save
+	save         *CheckpointResult
 	resumed      string
 	fresh        bool
 	own, kept    string // its own saves: the newest, and what the controller keeps
@@ -61,7 +61,7 @@
 	parked  bool
 	wanted  bool
 	saves   map[string]int
-	held    []Report // under way to the controller
+	held    []Heartbeat // under way to the controller
 	parks   int
 	late    []func() // writes whose answer is lost and that have not landed yet
 }
@@ -78,7 +78,7 @@
 }
 
 func rule(t fataler, text string) *Rule {
-	r, err := Compile(text, "test")
+	r, err := CompileRule(text, "test")
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -87,8 +87,8 @@
 
 func policies(t fataler) *Policies {
 	return &Policies{
-		On: true, Warn: 10 * time.Second, Save: 8 * time.Second, Silent: 20 * time.Second, PerUser: 2, PerTeam: 3, ByTeam: map[string]*Policy{},
-		Default: &Policy{Limits: Limits{Rule: rule(t, "input_s > 30 && cpu < 0.5"), Limit: 60 * time.Second, Wanted: 5 * time.Second, Name: "default"}},
+		Enabled: true, WarningTime: 10 * time.Second, CheckpointTimeout: 8 * time.Second, UnheardTimeout: 20 * time.Second, MaxPerUser: 2, MaxPerTeam: 3, ByTeam: map[string]*Policy{},
+		Default: &Policy{Limits: Limits{Rule: rule(t, "input_s > 30 && cpu < 0.5"), IdleLimit: 60 * time.Second, ContendedLimit: 5 * time.Second, Source: "default"}},
 	}
 }
 
@@ -116,7 +116,7 @@
 			item.Key = key
 			done(item, nil)
 		},
-		Learned: func(_ time.Duration, item store.Item) {
+		OnJobRecord: func(_ time.Duration, item store.Item) {
 			_, _, _ = d.book.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
 		},
 		Task: func(*jobs.Job) Task {
@@ -125,8 +125,8 @@
 			}
 			return Task{On: true, Ending: d.ending, Attempt: d.nb.attempt}
 		},
-		Park: func(_ time.Duration, _ *jobs.Job, on bool) { d.park(on) },
-		Wanted: func(_ time.Duration, of []*jobs.Job) []string {
+		Suspend: func(_ time.Duration, _ *jobs.Job, on bool) { d.park(on) },
+		WaitingFor: func(_ time.Duration, of []*jobs.Job) []string {
 			out := make([]string, len(of))
 			if d.wanted {
 				out[0] = "req-000009"
@@ -205,14 +205,14 @@
 	}
 	d.parks++
 	var r Record
-	if err := json.Unmarshal(d.kv[Key(id)].Value, &r); err != nil || !r.Reclaimed || r.Saved == nil {
+	if err := json.Unmarshal(d.kv[Key(id)].Value, &r); err != nil || !r.Reclaimed || r.Checkpoint == nil {
 		d.t.Fatalf("parked with the record %+v", r)
 	}
 	if d.nb == nil {
 		return
 	}
-	if n := d.nb; !n.frozen || n.cell > 0 || n.work != n.saved || n.work > d.saves[r.Saved.Ref] {
-		d.t.Fatalf("parked with %+v, saved %d", *d.nb, d.saves[r.Saved.Ref])
+	if n := d.nb; !n.frozen || n.cell > 0 || n.work != n.saved || n.work > d.saves[r.Checkpoint.Ref] {
+		d.t.Fatalf("parked with %+v, saved %d", *d.nb, d.saves[r.Checkpoint.Ref])
 	}
 	d.ending = true
 }
@@ -229,7 +229,7 @@
 	d.t.Helper()
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	status := 0
-	d.m.Open(d.now, &Request{Spec: spec, User: "kana", Token: Digest("user"), Agent: Digest("agent")}, func(a Answer) { status = a.Status })
+	d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, func(a Answer) { status = a.Status })
 	if d.settle(0); status != 201 {
 		d.t.Fatalf("status %d", status)
 	}
@@ -241,41 +241,41 @@
 	d.nb, d.ending = &notebook{attempt: d.next, input: d.now, frozen: true, fresh: true}, false // until its first answer
 }
 
-func (d *desk) report() Report {
+func (d *desk) report() Heartbeat {
 	n := d.nb
 	n.seq++
-	r := Report{Attempt: n.attempt, Seq: n.seq, InputS: (d.now - n.input).Seconds(), Unsaved: float64(n.work - n.saved), Frozen: n.frozen, Save: n.save, Resumed: n.resumed, Fresh: n.fresh}
+	r := Heartbeat{Attempt: n.attempt, Seq: n.seq, SinceInputS: (d.now - n.input).Seconds(), UnsavedMB: float64(n.work - n.saved), Frozen: n.frozen, Checkpoint: n.save, ResumedFrom: n.resumed, Fresh: n.fresh}
 	if n.save == nil && n.own != n.kept {
-		r.Save = &Save{OK: true, Ref: n.own}
+		r.Checkpoint = &CheckpointResult{OK: true, Ref: n.own}
 	}
 	if n.cell > 0 {
-		r.Cell, r.CellS, r.CPU = true, (d.now - n.cell).Seconds(), 1
+		r.CellRunning, r.CellRunningS, r.CPU = true, (d.now - n.cell).Seconds(), 1
 	}
 	return r
 }
 
 // deliver hands a report to the controller; its answer reaches the agent unless it is lost or
 // the agent has gone on.
-func (d *desk) deliver(r Report, lost bool) {
-	o, ok, _ := d.m.Report(d.now, id, "agent", r)
+func (d *desk) deliver(r Heartbeat, lost bool) {
+	o, ok, _ := d.m.Heartbeat(d.now, id, "agent", r)
 	n := d.nb
 	if !ok || lost || n == nil || n.attempt != r.Attempt || n.seq != r.Seq {
 		return
 	}
-	n.kept = o.Kept
-	if o.Resume != "" {
-		n.work, n.saved, n.resumed = d.saves[o.Resume], d.saves[o.Resume], o.Resume
+	n.kept = o.CheckpointRef
+	if o.ResumeFrom != "" {
+		n.work, n.saved, n.resumed = d.saves[o.ResumeFrom], d.saves[o.ResumeFrom], o.ResumeFrom
 	}
 	if o.Thaw {
 		n.frozen, n.fresh, n.save = false, false, nil
 	}
-	if o.Save != 0 && (n.save == nil || n.save.Order != o.Save) {
-		n.save = &Save{Order: o.Save}
+	if o.CheckpointOrder != 0 && (n.save == nil || n.save.Order != o.CheckpointOrder) {
+		n.save = &CheckpointResult{Order: o.CheckpointOrder}
 		if n.cell > 0 {
-			n.save.Why = "a cell runs"
+			n.save.Cause = "a cell runs"
 			return
 		}
-		ref := fmt.Sprintf("%d-%d-%d", n.attempt, o.Save, n.work)
+		ref := fmt.Sprintf("%d-%d-%d", n.attempt, o.CheckpointOrder, n.work)
 		d.saves[ref], n.saved, n.frozen = n.work, n.work, true
 		n.save.OK, n.save.Ref = true, ref
 	}
@@ -320,7 +320,7 @@
 	quick := rule(t, "input_s > 3")
 	rapid.Check(t, func(t *rapid.T) {
 		p := policies(t)
-		p.Warn, p.Default.Limit, p.Default.Rule = 2*time.Second, 3*time.Second, quick
+		p.WarningTime, p.Default.IdleLimit, p.Default.Rule = 2*time.Second, 3*time.Second, quick
 		d := newDesk(t, p)
 		d.open()
 		d.start()
@@ -438,8 +438,8 @@
 		_ = json.Unmarshal(d.kv[Key(id)].Value, &r)
 		d.talk(5 * time.Second)
 		had := -1
-		if r.Saved != nil && r.Reclaimed {
-			had = d.saves[r.Saved.Ref]
+		if r.Checkpoint != nil && r.Reclaimed {
+			had = d.saves[r.Checkpoint.Ref]
 		}
 		status := 0
 		for range 5 {
@@ -475,12 +475,12 @@
 	d.talk(25 * time.Second)
 	want(Active)
 	d.talk(10 * time.Second)
-	want(Quiet)
+	want(Idle)
 	d.talk(45 * time.Second)
-	want(Quiet)
+	want(Idle)
 	d.talk(16 * time.Second)
 	want(Warned)
-	if v, _ := d.m.Show(d.now, id); v.ReclaimS <= 0 || v.ReclaimS > 10 || v.Why == "" {
+	if v, _ := d.m.Show(d.now, id); v.ReclaimInS <= 0 || v.ReclaimInS > 10 || v.Cause == "" {
 		t.Fatalf("a warning without when and why: %+v", v)
 	}
 	d.talk(15 * time.Second)
@@ -519,7 +519,7 @@
 		t.Fatalf("%s: %v", d.state(), explain(d))
 	}
 	d.wanted = false
-	if d.talk(12 * time.Second); d.state() != Quiet {
+	if d.talk(12 * time.Second); d.state() != Idle {
 		t.Fatalf("%s though nobody waits any more", d.state())
 	}
 }
@@ -583,14 +583,14 @@
 	d.start()
 	d.talk(40 * time.Second)
 	d.pass(30 * time.Minute)
-	if d.state() != Quiet || d.parks > 0 || !strings.Contains(strings.Join(explain(d), " "), "not reclaimed on doubt") {
+	if d.state() != Idle || d.parks > 0 || !strings.Contains(strings.Join(explain(d), " "), "not reclaimed on doubt") {
 		t.Fatalf("%s: %v", d.state(), explain(d))
 	}
 	d.talk(time.Second)
 	if d.state() != Warned {
 		t.Fatalf("%s, heard again and idle beyond its limit", d.state())
 	}
-	if d.pass(25 * time.Second); d.state() != Quiet {
+	if d.pass(25 * time.Second); d.state() != Idle {
 		t.Fatalf("%s with a silent agent", d.state())
 	}
 	d.nb = nil
@@ -605,28 +605,28 @@
 	d.open()
 	d.start()
 	d.talk(96 * time.Second)
-	for d.state() != Saving {
+	for d.state() != Checkpointing {
 		d.pass(time.Second)
-		_, _, _ = d.m.Report(d.now, id, "agent", d.report())
+		_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
 	}
-	if d.pass(9 * time.Second); d.state() != Quiet || d.parks > 0 {
+	if d.pass(9 * time.Second); d.state() != Idle || d.parks > 0 {
 		t.Fatalf("%s after a save that takes too long", d.state())
 	}
 	for try := 1; try <= 3; try++ {
 		from := d.now
-		for d.state() != Saving {
+		for d.state() != Checkpointing {
 			if d.now-from > time.Hour {
 				t.Fatal("never tried again")
 			}
 			d.pass(time.Second)
-			_, _, _ = d.m.Report(d.now, id, "agent", d.report())
+			_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
 		}
 		if wait := d.now - from; wait < time.Duration(10<<try)*time.Second {
 			t.Fatalf("tried again after %v", wait)
 		}
 		r := d.report()
-		r.Save = &Save{Order: d.m.byID[id].order, Why: "disk full"}
-		if _, _, _ = d.m.Report(d.now, id, "agent", r); d.state() != Quiet {
+		r.Checkpoint = &CheckpointResult{Order: d.m.byID[id].checkpointOrder, Cause: "disk full"}
+		if _, _, _ = d.m.Heartbeat(d.now, id, "agent", r); d.state() != Idle {
 			t.Fatalf("%s after a save that failed", d.state())
 		}
 	}
@@ -639,12 +639,12 @@
 	d.start()
 	d.talk(2 * time.Second)
 	d.nb.work = 5
-	for d.state() != Saving {
+	for d.state() != Checkpointing {
 		if d.now > 2*time.Hour {
 			t.Fatal("never saved")
 		}
 		d.pass(time.Second)
-		_, _, _ = d.m.Report(d.now, id, "agent", d.report())
+		_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
 	}
 	return d
 }
@@ -668,7 +668,7 @@
 	d = saving(t)
 	d.deliver(d.report(), false) // it saves and freezes
 	d.deliver(d.report(), false) // and says so
-	if d.state() != Saving || len(d.commits) != 1 {
+	if d.state() != Checkpointing || len(d.commits) != 1 {
 		t.Fatalf("%s with %d writes", d.state(), len(d.commits))
 	}
 	if d.deliver(d.report(), false); !d.nb.frozen {
@@ -703,7 +703,7 @@
 	}
 	d.pass(time.Second)
 	d.settle(0)
-	if d.state() != Quiet {
+	if d.state() != Idle {
 		t.Fatalf("%s after a write that was lost", d.state())
 	}
 	d.deliver(d.report(), false)
@@ -743,8 +743,8 @@
 	d.kv[archive.Key(id)] = store.Item{Key: archive.Key(id), Value: archive.Encode(archive.Answer{State: jobs.Done, Tasks: 1, Done: 1}), Version: d.rev}
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	status := 0
-	d.m.Open(d.now, &Request{Spec: spec, User: "kana", Token: Digest("user"), Agent: Digest("agent")}, func(a Answer) { status = a.Status })
-	if d.settle(0); status != 409 || d.kv[jobs.RecordKey(id)].Version != 0 || d.m.Stands(id) {
+	d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, func(a Answer) { status = a.Status })
+	if d.settle(0); status != 409 || d.kv[jobs.RecordKey(id)].Version != 0 || d.m.Exists(id) {
 		t.Errorf("status %d, the job's record at version %d", status, d.kv[jobs.RecordKey(id)].Version)
 	}
 }
@@ -754,7 +754,7 @@
 	d := newDesk(t, policies(t))
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
 	open := func(token string) (status int) {
-		d.m.Open(d.now, &Request{Spec: spec, User: "kana", Token: Digest(token), Agent: Digest("agent")}, func(a Answer) { status = a.Status })
+		d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest(token), AgentTokenDigest: TokenDigest("agent")}, func(a Answer) { status = a.Status })
 		d.settle(3)
 		return status
 	}
@@ -775,31 +775,31 @@
 // What an agent says counts only if it is new, about the save that was ordered, and leaves nothing
 // unsaved.
 func TestWhatDoesNotReclaim(t *testing.T) {
-	for name, change := range map[string]func(d *desk, r *Report){
-		"another order": func(d *desk, r *Report) { r.Save.Order-- },
-		"not frozen":    func(d *desk, r *Report) { r.Frozen = false },
-		"unsaved work":  func(d *desk, r *Report) { r.Unsaved = 0.1 },
-		"input":         func(d *desk, r *Report) { r.InputS = 0 },
-		"a cell":        func(d *desk, r *Report) { r.Cell = true },
-		"a failed save": func(d *desk, r *Report) { r.Save.OK = false },
-		"an old report": func(d *desk, r *Report) { r.Seq-- },
-		"another task":  func(d *desk, r *Report) { r.Attempt++ },
+	for name, change := range map[string]func(d *desk, r *Heartbeat){
+		"another order": func(d *desk, r *Heartbeat) { r.Checkpoint.Order-- },
+		"not frozen":    func(d *desk, r *Heartbeat) { r.Frozen = false },
+		"unsaved work":  func(d *desk, r *Heartbeat) { r.UnsavedMB = 0.1 },
+		"input":         func(d *desk, r *Heartbeat) { r.SinceInputS = 0 },
+		"a cell":        func(d *desk, r *Heartbeat) { r.CellRunning = true },
+		"a failed save": func(d *desk, r *Heartbeat) { r.Checkpoint.OK = false },
+		"an old report": func(d *desk, r *Heartbeat) { r.Seq-- },
+		"another task":  func(d *desk, r *Heartbeat) { r.Attempt++ },
 	} {
 		d := saving(t)
 		d.pass(time.Second)
 		d.deliver(d.report(), false)
 		r := d.report()
-		sv := *r.Save
-		r.Save = &sv
+		sv := *r.Checkpoint
+		r.Checkpoint = &sv
 		change(d, &r)
-		_, _, _ = d.m.Report(d.now, id, "agent", r)
+		_, _, _ = d.m.Heartbeat(d.now, id, "agent", r)
 		if d.settle(0); d.parks > 0 || d.state() == Reclaimed {
 			t.Errorf("reclaimed in spite of %s", name)
 		}
 	}
 	d := saving(t)
 	d.deliver(d.report(), false)
-	_, _, _ = d.m.Report(d.now, id, "agent", d.report())
+	_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
 	if d.settle(0); d.parks != 1 {
 		t.Fatalf("%s without any of these", d.state())
 	}
@@ -818,27 +818,27 @@
 	if first.Status != 200 || second.Status != 200 || wrong.Status != 403 {
 		t.Fatalf("attached with %d, %d, and another's token %d", first.Status, second.Status, wrong.Status)
 	}
-	if a := d.m.Keep(d.now, id, "user", first.View.Attachment); a.Status != 409 {
+	if a := d.m.KeepAlive(d.now, id, "user", first.View.AttachmentID); a.Status != 409 {
 		t.Fatalf("the earlier of two attaches keeps it alive: %+v", a)
 	}
 	taken := 0
 	for range 1000 {
-		if d.m.Keep(d.now, id, "user", second.View.Attachment).Status == 200 {
+		if d.m.KeepAlive(d.now, id, "user", second.View.AttachmentID).Status == 200 {
 			taken++
 		}
 	}
 	if taken != 1 {
 		t.Fatalf("%d of 1000 keep-alives of an instant were taken", taken)
 	}
-	if a, b := d.m.Keep(d.now, "req-000002", "user", 0), d.m.Keep(d.now, id, "guess", 0); a.Status != 403 || a.Why != b.Why {
+	if a, b := d.m.KeepAlive(d.now, "req-000002", "user", 0), d.m.KeepAlive(d.now, id, "guess", 0); a.Status != 403 || a.Why != b.Why {
 		t.Fatalf("an unknown session is told from another's: %q, %q", a.Why, b.Why)
 	}
-	if _, ok, _ := d.m.Report(d.now, id, "user", d.report()); ok {
+	if _, ok, _ := d.m.Heartbeat(d.now, id, "user", d.report()); ok {
 		t.Fatal("the user's token speaks for the agent")
 	}
 	open := func(n int, user, team string) (status int) {
 		spec := &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: team, Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
-		d.m.Open(d.now, &Request{Spec: spec, User: user, Token: Digest("a"), Agent: Digest("b")}, func(a Answer) { status = a.Status })
+		d.m.Open(d.now, &Request{Spec: spec, User: user, UserTokenDigest: TokenDigest("a"), AgentTokenDigest: TokenDigest("b")}, func(a Answer) { status = a.Status })
 		return status
 	}
 	open(2, "kana", "t")
@@ -862,20 +862,20 @@
 		"1..1000000 == nil": "not allowed", `user matches "(a+)+$"`: "not allowed", `len(user) > 2`: "not allowed", "let a = 1; a > 2": "not allowed",
 		strings.Repeat("input_s > 1 && ", 40) + "cell": "node",
 	} {
-		if _, err := Compile(text, "file.hcl:3,5"); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "file.hcl:3,5") {
+		if _, err := CompileRule(text, "file.hcl:3,5"); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "file.hcl:3,5") {
 			t.Errorf("%.40s: error %v does not say %q", text, err, want)
 		}
 	}
 	r := rule(t, `input_s > 900 && (cpu < 0.1 || team == "red") and gpu == 0`)
-	a := Activity{InputS: 901, CPU: 3, Team: "red"}
-	if !r.Idle(a) || r.Against(a) != nil {
-		t.Fatalf("not idle: %v", r.Against(a))
+	a := Activity{SinceInputS: 901, CPU: 3, Team: "red"}
+	if !r.Idle(a) || r.UnmetConditions(a) != nil {
+		t.Fatalf("not idle: %v", r.UnmetConditions(a))
 	}
-	a.InputS, a.GPU = 12, 1
-	if why := r.Against(a); r.Idle(a) || len(why) != 2 || !strings.Contains(why[0], "input_s > 900") || !strings.Contains(why[1], "gpu == 0") {
+	a.SinceInputS, a.GPU = 12, 1
+	if why := r.UnmetConditions(a); r.Idle(a) || len(why) != 2 || !strings.Contains(why[0], "input_s > 900") || !strings.Contains(why[1], "gpu == 0") {
 		t.Fatalf("against it: %q", why)
 	}
-	a = Activity{InputS: 1e6, Cell: true, CellS: 60}
+	a = Activity{SinceInputS: 1e6, CellRunning: true, CellRunningS: 60}
 	if r.Idle(a) {
 		t.Fatal("idle with a cell running")
 	}
@@ -890,16 +890,16 @@
 		t.Fatal(err)
 	}
 	friday := p.Default.Limits
-	friday.Limit, friday.Name = 35*time.Second, "Friday"
-	p.Default.Limit = 0
-	p.Default.During = []During{{friday, w}}
+	friday.IdleLimit, friday.Source = 35*time.Second, "Friday"
+	p.Default.IdleLimit = 0
+	p.Default.Windows = []WindowLimits{{friday, w}}
 	d := newDesk(t, p)
 	start := time.Date(2026, 12, 4, 17, 58, 0, 0, time.FixedZone("", 9*3600))
 	base := d.now
 	d.m.Wall = func(now time.Duration) time.Time { return start.Add(now - base) }
 	d.open()
 	d.start()
-	if d.talk(118 * time.Second); d.state() != Quiet {
+	if d.talk(118 * time.Second); d.state() != Idle {
 		t.Fatalf("%s before the hour", d.state())
 	}
 	if d.talk(4 * time.Second); d.state() != Warned {
@@ -961,8 +961,8 @@
 				t.Fatalf("status %d, job %s", status, d.book.Get(id).State)
 			}
 		}
-		if d.state() != Closed || d.kv[Key(id)].Version != 0 || d.m.users["kana"] != 0 || d.m.teams["t"] != 0 {
-			t.Fatalf("left behind: %s, %+v, %v, %v", d.state(), d.kv[Key(id)], d.m.users, d.m.teams)
+		if d.state() != Closed || d.kv[Key(id)].Version != 0 || d.m.sessionsByUser["kana"] != 0 || d.m.sessionsByTeam["t"] != 0 {
+			t.Fatalf("left behind: %s, %+v, %v, %v", d.state(), d.kv[Key(id)], d.m.sessionsByUser, d.m.sessionsByTeam)
 		}
 	}
 }
@@ -970,11 +970,11 @@
 // BenchmarkTick is a second of ten thousand open sessions whose agents report every five.
 func BenchmarkTick(b *testing.B) {
 	p := policies(b)
-	p.PerUser, p.PerTeam, p.Default.Limit = 0, 0, time.Hour
+	p.MaxPerUser, p.MaxPerTeam, p.Default.IdleLimit = 0, 0, time.Hour
 	m := New(Env{
 		Policies: p, Jobs: jobs.NewTable(0), Wall: func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
 		Task: func(*jobs.Job) Task { return Task{On: true} }, Now: func() time.Duration { return 0 },
-		Wanted: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) },
+		WaitingFor: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) },
 	}, 1)
 	const n = 10_000
 	ids := make([]string, n)
@@ -989,7 +989,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range ids {
-		m.add(0, ids[i], Record{User: "u", Team: "t", Token: Digest("user"), Agent: Digest("agent")}, 1)
+		m.add(0, ids[i], Record{User: "u", Team: "t", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, 1)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -1002,7 +1002,7 @@
 		}
 		for range n / 5 {
 			k++
-			if _, ok, why := m.Report(now, ids[k%n], "agent", Report{Attempt: 1, Seq: uint64(k/n + 1), InputS: float64(k % 3600)}); !ok {
+			if _, ok, why := m.Heartbeat(now, ids[k%n], "agent", Heartbeat{Attempt: 1, Seq: uint64(k/n + 1), SinceInputS: float64(k % 3600)}); !ok {
 				b.Fatal(why)
 			}
 		}
--- a/internal/sessions/policy.go
+++ b/internal/sessions/policy.go
@@ -15,37 +15,37 @@
 
 // Activity is what a policy's expression sees of a session. Times are in seconds.
 type Activity struct {
-	InputS    float64 `expr:"input_s"`    // since the user's last input
-	AttachedS float64 `expr:"attached_s"` // since the user last attached or kept it alive
-	Cell      bool    `expr:"cell"`       // a cell runs
-	CellS     float64 `expr:"cell_s"`     // for how long
-	CPU       float64 `expr:"cpu"`        // cores in use
-	GPU       float64 `expr:"gpu"`        // accelerators in use
-	UnsavedMB float64 `expr:"unsaved_mb"` // work that is not saved
-	OpenS     float64 `expr:"open_s"`     // since it was opened
-	Team      string  `expr:"team"`
-	User      string  `expr:"user"`
+	SinceInputS  float64 `expr:"input_s"`    // since the user's last input
+	SinceAttachS float64 `expr:"attached_s"` // since the user last attached or kept it alive
+	CellRunning  bool    `expr:"cell"`       // a cell runs
+	CellRunningS float64 `expr:"cell_s"`     // for how long
+	CPU          float64 `expr:"cpu"`        // cores in use
+	GPU          float64 `expr:"gpu"`        // accelerators in use
+	UnsavedMB    float64 `expr:"unsaved_mb"` // work that is not saved
+	SinceOpenS   float64 `expr:"open_s"`     // since it was opened
+	Team         string  `expr:"team"`
+	User         string  `expr:"user"`
 }
 
-// maxNodes bounds an expression: it has no loops, so its cost follows its size.
-const maxNodes = 64
+// maxRuleNodes bounds an expression: it has no loops, so its cost follows its size.
+const maxRuleNodes = 64
 
 // Rule is a compiled expression that says whether a session is idle.
 type Rule struct {
-	text  string
-	whole *vm.Program
-	parts []part // joined by &&, to explain which of them is not met
+	text      string
+	program   *vm.Program
+	conjuncts []conjunct // joined by &&, to explain which of them is not met
 }
 
-type part struct {
+type conjunct struct {
 	text    string
 	program *vm.Program
 }
 
-// bounded refuses what could run for long or hides a cost.
-type bounded struct{ err error }
+// restrictionVisitor refuses what could run for long or hides a cost.
+type restrictionVisitor struct{ err error }
 
-func (b *bounded) Visit(n *ast.Node) {
+func (b *restrictionVisitor) Visit(n *ast.Node) {
 	switch x := (*n).(type) {
 	case *ast.BinaryNode:
 		if x.Operator == ".." || x.Operator == "**" || x.Operator == "^" || x.Operator == "matches" {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Compile checks and compiles an expression. at says where it stands, for errors.
-func Compile(text, at string) (*Rule, error) {
+// CompileRule checks and compiles an expression. at says where it stands, for errors.
+func CompileRule(text, at string) (*Rule, error) {
 	wrong := func(err error) (*Rule, error) {
 		// The library draws the place over several lines; its first says what is wrong.
 		first, _, _ := strings.Cut(err.Error(), "\n")
@@ -67,31 +67,31 @@
 	if err != nil {
 		return wrong(err)
 	}
-	b := &bounded{}
+	b := &restrictionVisitor{}
 	ast.Walk(&tree.Node, b)
 	if b.err != nil {
 		return wrong(b.err)
 	}
 	compile := func(s string) (*vm.Program, error) {
-		return expr.Compile(s, expr.Env(Activity{}), expr.AsBool(), expr.DisableAllBuiltins(), expr.MaxNodes(maxNodes))
+		return expr.Compile(s, expr.Env(Activity{}), expr.AsBool(), expr.DisableAllBuiltins(), expr.MaxNodes(maxRuleNodes))
 	}
 	r := &Rule{text: text}
-	if r.whole, err = compile(text); err != nil {
+	if r.program, err = compile(text); err != nil {
 		return wrong(err)
 	}
-	for _, s := range conjuncts(tree.Node, nil) {
+	for _, s := range splitConjuncts(tree.Node, nil) {
 		p, err := compile(s)
 		if err != nil {
 			return wrong(err)
 		}
-		r.parts = append(r.parts, part{s, p})
+		r.conjuncts = append(r.conjuncts, conjunct{s, p})
 	}
 	return r, nil
 }
 
-func conjuncts(n ast.Node, out []string) []string {
+func splitConjuncts(n ast.Node, out []string) []string {
 	if b, ok := n.(*ast.BinaryNode); ok && (b.Operator == "&&" || b.Operator == "and") {
-		return conjuncts(b.Right, conjuncts(b.Left, out))
+		return splitConjuncts(b.Right, splitConjuncts(b.Left, out))
 	}
 	return append(out, n.String())
 }
@@ -99,20 +99,20 @@
 // Idle tells whether a session is idle. A running cell never is, whatever the rule says, and a
 // rule that can't be evaluated says no.
 func (r *Rule) Idle(a Activity) bool {
-	if a.Cell {
+	if a.CellRunning {
 		return false
 	}
-	v, err := vm.Run(r.whole, a)
+	v, err := vm.Run(r.program, a)
 	idle, ok := v.(bool)
 	return err == nil && ok && idle
 }
 
-// Against lists the parts of the rule that are not met.
-func (r *Rule) Against(a Activity) (out []string) {
-	if a.Cell {
-		out = append(out, fmt.Sprintf("a cell has been running for %s", seconds(a.CellS).Round(time.Second)))
+// UnmetConditions lists the parts of the rule that are not met.
+func (r *Rule) UnmetConditions(a Activity) (out []string) {
+	if a.CellRunning {
+		out = append(out, fmt.Sprintf("a cell has been running for %s", seconds(a.CellRunningS).Round(time.Second)))
 	}
-	for _, p := range r.parts {
+	for _, p := range r.conjuncts {
 		if v, err := vm.Run(p.program, a); err != nil || v != true {
 			out = append(out, fmt.Sprintf("%s is not met", p.text))
 		}
@@ -123,15 +123,15 @@
 // Limits say when an idle session may be reclaimed.
 type Limits struct {
 	Rule *Rule
-	// Limit is how long it may be idle at all, 0 for ever; Wanted how long if somebody waits for
+	// IdleLimit is how long it may be idle at all, 0 for ever; Wanted how long if somebody waits for
 	// what it holds, negative for ever.
-	Limit, Wanted time.Duration
-	// Name says where they come from.
-	Name string
+	IdleLimit, ContendedLimit time.Duration
+	// Source says where they come from.
+	Source string
 }
 
-// During are other limits in hours of the week.
-type During struct {
+// WindowLimits are other limits in hours of the week.
+type WindowLimits struct {
 	Limits
 	Window calendar.Window
 }
@@ -139,12 +139,12 @@
 // Policy is a team's.
 type Policy struct {
 	Limits
-	During []During // the first that contains the moment counts
+	Windows []WindowLimits // the first that contains the moment counts
 }
 
 // At gives the limits that count at a moment.
 func (p *Policy) At(wall time.Time) Limits {
-	for _, d := range p.During {
+	for _, d := range p.Windows {
 		if d.Window.Contains(wall) {
 			return d.Limits
 		}
@@ -152,9 +152,9 @@
 	return p.Limits
 }
 
-// Changes is when other limits count next; ok is false if never.
-func (p *Policy) Changes(wall time.Time) (next time.Time, ok bool) {
-	for _, d := range p.During {
+// NextChange is when other limits count next; ok is false if never.
+func (p *Policy) NextChange(wall time.Time) (next time.Time, ok bool) {
+	for _, d := range p.Windows {
 		if n, changes := d.Window.Next(wall); changes && (!ok || n.Before(next)) {
 			next, ok = n, true
 		}
@@ -164,19 +164,19 @@
 
 // Policies hold what operators set for sessions. The zero value switches sessions off.
 type Policies struct {
-	On      bool
-	Warn    time.Duration // from the warning to the save
-	Save    time.Duration // that a save may take
-	Silent  time.Duration // after which an agent is in doubt
-	Keep    time.Duration // that a reclaimed session is kept
-	PerUser int           // sessions of a user, reclaimed ones included
-	PerTeam int           // sessions of a team that are not reclaimed
-	ByTeam  map[string]*Policy
-	Default *Policy
+	Enabled           bool
+	WarningTime       time.Duration // from the warning to the save
+	CheckpointTimeout time.Duration // that a save may take
+	UnheardTimeout    time.Duration // after which an agent is in doubt
+	Retention         time.Duration // that a reclaimed session is kept
+	MaxPerUser        int           // sessions of a user, reclaimed ones included
+	MaxPerTeam        int           // sessions of a team that are not reclaimed
+	ByTeam            map[string]*Policy
+	Default           *Policy
 }
 
-// Of finds a team's policy.
-func (p *Policies) Of(team string) *Policy {
+// ForTeam finds a team's policy.
+func (p *Policies) ForTeam(team string) *Policy {
 	if q := p.ByTeam[team]; q != nil {
 		return q
 	}
--- a/internal/sessions/queue.go
+++ b/internal/sessions/queue.go
@@ -10,16 +10,16 @@
 type queue []*session
 
 func (q queue) Len() int           { return len(q) }
-func (q queue) Less(a, b int) bool { return q[a].due < q[b].due }
+func (q queue) Less(a, b int) bool { return q[a].dueAt < q[b].dueAt }
 func (q queue) Swap(a, b int) {
 	q[a], q[b] = q[b], q[a]
-	q[a].place, q[b].place = a, b
+	q[a].queueIndex, q[b].queueIndex = a, b
 }
 
 // Push implements heap.Interface.
 func (q *queue) Push(x any) {
 	s := x.(*session)
-	s.place = len(*q)
+	s.queueIndex = len(*q)
 	*q = append(*q, s)
 }
 
@@ -29,22 +29,22 @@
 	s := old[len(old)-1]
 	old[len(old)-1] = nil
 	*q = old[:len(old)-1]
-	s.place = -1
+	s.queueIndex = -1
 	return s
 }
 
-// at has a session looked at, at the latest, at a time.
-func (q *queue) at(s *session, due time.Duration) {
-	s.due = due
-	if s.place < 0 {
+// schedule has a session looked at, at the latest, at a time.
+func (q *queue) schedule(s *session, due time.Duration) {
+	s.dueAt = due
+	if s.queueIndex < 0 {
 		heap.Push(q, s)
 	} else {
-		heap.Fix(q, s.place)
+		heap.Fix(q, s.queueIndex)
 	}
 }
 
 func (q *queue) remove(s *session) {
-	if s.place >= 0 {
-		heap.Remove(q, s.place)
+	if s.queueIndex >= 0 {
+		heap.Remove(q, s.queueIndex)
 	}
 }
--- a/internal/simulator/balancer.go
+++ b/internal/simulator/balancer.go
@@ -110,7 +110,7 @@
 			return false
 		}
 		n, c := b.nodes[best], b.w.sim.nodes[best]
-		if c.c != nil && c.frozen <= now && !b.w.sim.severed(c.s.Public, FromUsers)() {
+		if c.c != nil && c.frozen <= now && !b.w.sim.severed(c.s.PublicAddr, FromUsers)() {
 			n.refused = 0
 			n.open++
 			l.to, l.open = best, true
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -307,10 +307,10 @@
 	}
 	n := r.sim.nodes[l]
 	asked := request{from: or(q.Bearer, senderUser), method: q.Verb, path: q.Resource + "/" + q.Name, body: q.Body}
-	r.sim.sent(requestTo(n.s.Public, asked))
+	r.sim.sent(requestTo(n.s.PublicAddr, asked))
 	n.live(func() {
 		n.c.Call(q, func(status int, body []byte) {
-			r.sim.sent(answerFrom(n.s.Public, asked, status, body))
+			r.sim.sent(answerFrom(n.s.PublicAddr, asked, status, body))
 			then(status, body)
 		})
 	})()
@@ -503,7 +503,7 @@
 	report := s.report(s.r.Now(), s.seq)
 	raw, _ := json.Marshal(report)
 	s.call("report", s.agent, raw, func(status int, body []byte) {
-		var o sessions.Order
+		var o sessions.HeartbeatResponse
 		if status == 200 && json.Unmarshal(body, &o) == nil {
 			s.told(s.r.Now(), k, report, o)
 		}
--- a/internal/simulator/interactive.go
+++ b/internal/simulator/interactive.go
@@ -33,7 +33,7 @@
 	resumed   string
 	fresh     bool
 	own, kept string // saves of its own: the newest, and what the controllers keep
-	save      *sessions.Save
+	save      *sessions.CheckpointResult
 	saveTill  time.Duration // a save under way is done then
 	failing   bool          // saves fail
 	slow      time.Duration // saves take so long
@@ -110,7 +110,7 @@
 		status, body := send(client, to, "/v2/sessions/"+n.Spec.ID+"/report", n.agent, raw)
 		switch status {
 		case 200:
-			var o sessions.Order
+			var o sessions.HeartbeatResponse
 			if json.Unmarshal(body, &o) == nil {
 				w.mu.Lock()
 				n.told(w.now(), k, r, o)
@@ -149,48 +149,48 @@
 	return false
 }
 
-func (n *InteractiveSession) report(now time.Duration, seq uint64) sessions.Report {
+func (n *InteractiveSession) report(now time.Duration, seq uint64) sessions.Heartbeat {
 	if n.save != nil && n.saveTill > 0 && now >= n.saveTill {
 		n.saveTill = 0
 		ref := fmt.Sprintf("%s-%d-%d", n.Spec.ID, n.attempt, n.save.Order)
 		if n.failing {
-			n.save.Why = "disk full"
+			n.save.Cause = "disk full"
 		} else {
 			n.saves[ref], n.saved = n.work, n.work
 			n.save.OK, n.save.Ref = true, ref
 		}
 	}
-	r := sessions.Report{Attempt: n.attempt, Seq: seq, InputS: (now - n.input).Seconds(), Unsaved: float64(n.work - n.saved), Frozen: n.frozen, Resumed: n.resumed, Fresh: n.fresh}
+	r := sessions.Heartbeat{Attempt: n.attempt, Seq: seq, SinceInputS: (now - n.input).Seconds(), UnsavedMB: float64(n.work - n.saved), Frozen: n.frozen, ResumedFrom: n.resumed, Fresh: n.fresh}
 	if n.saveTill == 0 && n.save != nil {
 		s := *n.save
-		r.Save = &s
+		r.Checkpoint = &s
 	}
-	if r.Save == nil && n.own != n.kept && n.own != "" {
-		r.Save = &sessions.Save{OK: true, Ref: n.own}
+	if r.Checkpoint == nil && n.own != n.kept && n.own != "" {
+		r.Checkpoint = &sessions.CheckpointResult{OK: true, Ref: n.own}
 	}
 	if now < n.cellTill {
-		r.Cell, r.CellS, r.CPU = true, (now - n.cellFrom).Seconds(), 1
+		r.CellRunning, r.CellRunningS, r.CPU = true, (now - n.cellFrom).Seconds(), 1
 	}
 	return r
 }
 
 // told takes the answer to a report.
-func (n *InteractiveSession) told(now time.Duration, k *task, r sessions.Report, o sessions.Order) {
+func (n *InteractiveSession) told(now time.Duration, k *task, r sessions.Heartbeat, o sessions.HeartbeatResponse) {
 	if k.attempt != n.attempt {
 		return
 	}
-	n.kept = o.Kept
-	if o.Resume != "" && o.Resume != n.resumed {
-		n.work, n.saved, n.resumed = n.saves[o.Resume], n.saves[o.Resume], o.Resume
+	n.kept = o.CheckpointRef
+	if o.ResumeFrom != "" && o.ResumeFrom != n.resumed {
+		n.work, n.saved, n.resumed = n.saves[o.ResumeFrom], n.saves[o.ResumeFrom], o.ResumeFrom
 		n.Resumes++
 	}
 	if o.Thaw {
 		n.frozen, n.fresh, n.save, n.saveTill = false, false, nil, 0
 	}
-	if o.Save != 0 && (n.save == nil || n.save.Order != o.Save) {
-		n.save = &sessions.Save{Order: o.Save}
+	if o.CheckpointOrder != 0 && (n.save == nil || n.save.Order != o.CheckpointOrder) {
+		n.save = &sessions.CheckpointResult{Order: o.CheckpointOrder}
 		if now < n.cellTill {
-			n.save.Why = "a cell runs"
+			n.save.Cause = "a cell runs"
 			return
 		}
 		n.frozen, n.saveTill = true, now+max(n.slow, 1)
@@ -280,7 +280,7 @@
 		User  string `json:"user"`
 		Token string `json:"token_sha256"`
 		Agent string `json:"agent_sha256"`
-	}{n.Spec, n.User, sessions.Digest(n.token), sessions.Digest(n.agent)}
+	}{n.Spec, n.User, sessions.TokenDigest(n.token), sessions.TokenDigest(n.agent)}
 	raw, _ := json.Marshal(body)
 	return raw
 }
--- a/internal/simulator/meetings.go
+++ b/internal/simulator/meetings.go
@@ -86,7 +86,7 @@
 			duration += 1500*time.Millisecond + time.Duration(w.delays.rng.Int64N(int64(w.lateness(1))))
 		}
 		for _, s := range w.settings {
-			w.ground.after(duration, func() { w.ground.ask("", c.zone, s.Public, "/checkin", c.body, func(int, []byte) {}) })
+			w.ground.after(duration, func() { w.ground.ask("", c.zone, s.PublicAddr, "/checkin", c.body, func(int, []byte) {}) })
 		}
 	}
 }
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -21,12 +21,12 @@
 	if knows < rollout.Newest {
 		name = Former
 	}
-	w.sim.nodes[i].s.Earlier(knows, name)
+	w.sim.nodes[i].s.SimulateRelease(knows, name)
 }
 
 // Knows is the highest level that a controller would know after its next start.
 func (w *World) Knows(i int) rollout.Level {
-	if k := w.sim.nodes[i].s.Rollout().Knows; k > 0 {
+	if k := w.sim.nodes[i].s.Rollout().SimulatedLevel; k > 0 {
 		return k
 	}
 	return rollout.Newest
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -45,7 +45,7 @@
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				settings.Earlier(knows, Former)
+				settings.SimulateRelease(knows, Former)
 			}
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
@@ -66,7 +66,7 @@
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				settings.Earlier(knows, Former)
+				settings.SimulateRelease(knows, Former)
 			}
 			change(settings)
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
--- a/internal/simulator/sim.go
+++ b/internal/simulator/sim.go
@@ -103,7 +103,7 @@
 		}
 		n := &node{sim: s, i: i, s: set, epochMS: 1_800_000_000_000}
 		s.nodes = append(s.nodes, n)
-		s.at[set.Public], s.zone[set.Public] = n.ask, set.Zone
+		s.at[set.PublicAddr], s.zone[set.PublicAddr] = n.ask, set.Zone
 	}
 	for i := range s.nodes {
 		w.StartController(i)
@@ -154,7 +154,7 @@
 	sent := w.now()
 	a, ok := about(method, path, body)
 	w.wanted(a)
-	public := w.sim.nodes[i].s.Public
+	public := w.sim.nodes[i].s.PublicAddr
 	q := request{from: senderUser, method: method, path: path, body: body}
 	w.sim.exchange("", public, q, limit, w.sim.severed(public, FromUsers), func(status int, raw []byte) {
 		if ok {
@@ -265,7 +265,7 @@
 	}
 	life := n.lives
 	q := request{from: n.s.Node, method: r.Method, path: u.Path, query: u.Query(), body: r.Body}
-	cut := n.sim.severed(n.s.Public, counterpart(addr))
+	cut := n.sim.severed(n.s.PublicAddr, counterpart(addr))
 	n.sim.exchange(n.s.Zone, addr, q, r.Timeout, cut, func(status int, body []byte) {
 		if n.lives != life {
 			return
@@ -296,7 +296,7 @@
 				s.sent(statusTo(p.s.Node, n.s.Node, raw))
 				s.after(jitter(s.rng, s.mean), func() {
 					s.carry(n.s.Zone, p.s.Zone, func() {
-						if p.c != nil && !s.severed(n.s.Public, FromPeers)() && !s.severed(p.s.Public, FromPeers)() {
+						if p.c != nil && !s.severed(n.s.PublicAddr, FromPeers)() && !s.severed(p.s.PublicAddr, FromPeers)() {
 							p.live(func() { p.c.Hear(raw) })()
 						}
 					}, func() {})
--- a/internal/simulator/troubles.go
+++ b/internal/simulator/troubles.go
@@ -142,7 +142,7 @@
 	}
 	w.stats.Copies++
 	duration := c.least + time.Duration(w.rng.Float64()*float64(c.to-c.least))
-	to := w.settings[w.rng.IntN(w.cfg.Controllers)].Public
+	to := w.settings[w.rng.IntN(w.cfg.Controllers)].PublicAddr
 	w.ground.after(duration, func() { w.ground.ask("", zone, to, path, body, func(int, []byte) {}) })
 }
 
@@ -165,7 +165,7 @@
 	if s.cutOff == nil {
 		s.cutOff = map[string]Counterpart{}
 	}
-	s.cutOff[s.nodes[controller].s.Public] = from
+	s.cutOff[s.nodes[controller].s.PublicAddr] = from
 	if from != 0 {
 		w.stats.Severed++
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -194,7 +194,7 @@
 	w.stats.ReportBytes += uint64(len(body))
 	m.reported, m.lastSent = m.said(), now
 	m.next = now + seconds(w.cfg.Workers.ReportS*(0.75+0.5*w.rng.Float64()))
-	to, life, mute, shut := w.settings[m.keeper].Public, m.life, now < m.muteTill, now < m.shutTill
+	to, life, mute, shut := w.settings[m.keeper].PublicAddr, m.life, now < m.muteTill, now < m.shutTill
 	if !shut {
 		w.copyLater(m.zone, "/checkin", body)
 		w.keepCopy(m.zone, body)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -53,7 +53,7 @@
 	// world plays it.
 	StateAddrs []string
 	// Limits is what each controller may use of its machine.
-	Limits config.Limits
+	Limits config.ControllerLimits
 }
 
 func or[T comparable](given, otherwise T) T {
@@ -83,7 +83,7 @@
 	c.State = or(c.State, config.State{RPS: 2000, WriteRPS: 600, ValueKB: 32, TxnOps: 40})
 	c.Cloud = or(c.Cloud, config.Cloud{RPS: 20, ListLagS: 0.5})
 	cores, mem, sockets := 1.0, 512.0, 4096
-	c.Limits = or(c.Limits, config.Limits{Cores: &cores, MemMB: &mem, Sockets: &sockets})
+	c.Limits = or(c.Limits, config.ControllerLimits{Cores: &cores, MemMB: &mem, Sockets: &sockets})
 }
 
 // World is what is played.
@@ -217,7 +217,7 @@
 			return nil, fmt.Errorf("no free port: %w", err)
 		}
 		s := config.Settings{
-			Node: fmt.Sprintf("node-%d", i), Zone: cfg.Zones[i%len(cfg.Zones)], Public: public, Back: back,
+			Node: fmt.Sprintf("node-%d", i), Zone: cfg.Zones[i%len(cfg.Zones)], PublicAddr: public, PeerAddr: back,
 			Services: config.Services{Cloud: cloud, State: svc},
 		}
 		s.Params = config.Params{
@@ -229,7 +229,7 @@
 	for i := range w.settings {
 		for k, o := range w.settings {
 			if k != i {
-				w.settings[i].Peers = append(w.settings[i].Peers, config.Peer{Node: o.Node, Zone: o.Zone, Addr: o.Back})
+				w.settings[i].Peers = append(w.settings[i].Peers, config.Peer{Node: o.Node, Zone: o.Zone, Addr: o.PeerAddr})
 			}
 		}
 	}
@@ -298,7 +298,7 @@
 func (w *World) Controllers() int { return w.cfg.Controllers }
 
 // Public is a controller's address for users.
-func (w *World) Public(i int) string { return w.settings[i].Public }
+func (w *World) Public(i int) string { return w.settings[i].PublicAddr }
 
 // Close ends the world and everything in it.
 func (w *World) Close() {
