--- a/internal/config/access.go
+++ b/internal/config/access.go
@@ -7,55 +7,61 @@
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// TLSSettings switch TLS on, in HCL: tls { ... }. Workers and the platform's load balancer don't
-// speak it, so the platform's listener stays beside.
+// TLSSettings enables TLS, in HCL: tls { ... }. Workers and the platform's load balancer don't use it, so the
+// platform's plain listener stays open too.
 type TLSSettings struct {
-	// Listen is where users are served over TLS; Advertise what they are told of it, by default
-	// the host of the platform's address with the same port.
-	Listen    string `hcl:"listen" validate:"required,hostport"`
+	// Listen is the address on which users are served over TLS.
+	Listen string `hcl:"listen" validate:"required,hostport"`
+	// Advertise is the address for users that is given to them; by default the host of the platform's public address
+	// with the port of Listen.
 	Advertise string `hcl:"advertise,optional" validate:"omitempty,hostport"`
-	// PEM files: the certificate, which names the node and whatever users call it by, its key, and
-	// the authority of all controllers' certificates.
+	// Cert, Key and CA are PEM files: the certificate, which names the node and every host name that users call, its
+	// key, and the authority of all controllers' certificates.
 	Cert string `hcl:"cert" validate:"required"`
 	Key  string `hcl:"key" validate:"required"`
 	CA   string `hcl:"ca" validate:"required"`
-	// Peers lets controllers talk to each other over TLS only, each with its certificate.
+	// Peers makes controllers call each other over TLS only, each with its certificate.
 	Peers bool `hcl:"peers,optional"`
-	// PlainListener is what the platform's listener answers: "all", or "workers" and health checks only.
+	// PlainListener is what the platform's plain listener serves: "all", or "workers" and health checks only.
 	PlainListener string `hcl:"plain,optional" validate:"omitempty,oneof=all workers"`
 }
 
-// Keys are the controller's keys, nil without TLS.
+// Keys returns the controller's TLS keys, nil without TLS.
 func (s *Settings) Keys() *access.Keys { return s.keys }
 
-// Users are those whose tokens are known, nil where nobody is asked for one.
+// Users returns the users and their tokens, nil where no user's token is required.
 func (s *Settings) Users() *access.Users { return s.users }
 
-// TLSAddr is the address at which users are told to call over TLS, "" without.
+// TLSAddr returns the address that is given to users for calls over TLS, "" without TLS.
 func (s *Settings) TLSAddr() string {
-	t := s.Operator.TLS
-	if t == nil {
+	settings := s.Operator.TLS
+	if settings == nil {
 		return ""
 	}
-	if t.Advertise != "" {
-		return t.Advertise
+	if settings.Advertise != "" {
+		return settings.Advertise
 	}
+	// Both addresses have been validated.
 	host, _, _ := net.SplitHostPort(s.PublicAddr)
-	_, port, _ := net.SplitHostPort(t.Listen)
+	_, port, _ := net.SplitHostPort(settings.Listen)
 	return net.JoinHostPort(host, port)
 }
 
-// openAccess reads keys and users.
-func (s *Settings) openAccess() (err error) {
-	if t := s.Operator.TLS; t != nil {
-		if s.keys, err = access.OpenKeys(t.Cert, t.Key, t.CA); err != nil {
+// openAccess reads the files of TLS keys and users that the operators' settings name.
+func (s *Settings) openAccess() error {
+	if files := s.Operator.TLS; files != nil {
+		keys, err := access.OpenKeys(files.Cert, files.Key, files.CA)
+		if err != nil {
 			return fmt.Errorf("tls: %w", err)
 		}
+		s.keys = keys
 	}
-	if f := s.Operator.UsersFile; f != "" {
-		if s.users, err = access.OpenUsers(f, s.teamNames()); err != nil {
+	if file := s.Operator.UsersFile; file != "" {
+		users, err := access.OpenUsers(file, s.teamNames())
+		if err != nil {
 			return fmt.Errorf("users_file: %w", err)
 		}
+		s.users = users
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-const settings = `{"node":"n-0","site":"a","public_addr":"10.0.0.1:8080","back":"10.0.0.1:8081","new_field":{"x":1},
+// platformJSON is a valid file of the platform, with an unknown field.
+const platformJSON = `{"node":"n-0","site":"a","public_addr":"10.0.0.1:8080","back":"10.0.0.1:8081","new_field":{"x":1},
  "others":[{"node":"n-1","site":"b","endpoint":"10.0.0.2:8081"}],"services":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
  "params":{"nodes":3,"zones":["a"],"teams":[{"name":"t","cpus":0.0,"cpus_max":0.0,"gpus":4.0,"gpus_max":12.0}],
  "objectives":[{"kind":"wait","class":"c","within_s":12.0,"share":0.8}],
@@ -16,14 +17,18 @@
  "state":{"rps":120.0,"write_rps":30.0,"value_kb":8.0,"txn_ops":24},"cloud":{"rps":8.0,"list_lag_s":6.0},
  "machine_limits":{"cores":0.3,"mem_mb":179.0,"sockets":1200},"skew_ms":1000.0}}`
 
-func TestSettings(t *testing.T) {
-	s, err := Parse([]byte(settings))
+func TestParseDerivesDefaults(t *testing.T) {
+	s, err := Parse([]byte(platformJSON))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ControllerLeaseTTL() != 6*time.Second || s.Lease() != 19*time.Second || s.Operator.Headroom != 0.1 || s.HasCostObjective() {
+	if s.ControllerLeaseTTL() != 6*time.Second || s.Lease() != 19*time.Second ||
+		s.Operator.Headroom != 0.1 || s.HasCostObjective() {
 		t.Fatalf("derived: %+v", s.Operator)
 	}
+}
+
+func TestParseNamesTheBadSetting(t *testing.T) {
 	for old, bad := range map[string][2]string{
 		`"node":"n-0"`:                  {`"node":""`, `"node"`},
 		`"lease_s":19.0`:                {`"lease_s":0`, `params.workers.lease_s`},
@@ -37,23 +42,25 @@
 		`"mem_mb":179.0`:                {`"mem_mb":8.0`, `params.machine_limits.mem_mb`},
 		`"sockets":1200`:                {`"sockets":0`, `params.machine_limits.sockets`},
 	} {
-		_, err := Parse([]byte(strings.Replace(settings, old, bad[0], 1)))
+		_, err := Parse([]byte(strings.Replace(platformJSON, old, bad[0], 1)))
 		if err == nil || !strings.Contains(err.Error(), bad[1]) {
 			t.Errorf("%s: error %v does not name %s", bad[0], err, bad[1])
 		}
 	}
 }
 
-// Sizes come from the limits that are given; what is merely small works, and what is not given
-// is not 0.
-func TestLimits(t *testing.T) {
-	sizes := func(limits string) (l ControllerLimits, machines int) {
-		s, err := Parse([]byte(strings.Replace(settings, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
-		if err != nil {
-			t.Fatalf("%s: %v", limits, err)
-		}
-		return s.Params.Limits, s.Operator.MaxMachines
+// parseWithLimits returns the settings of a controller on a machine with these limits, in JSON.
+func parseWithLimits(t *testing.T, limits string) *Settings {
+	t.Helper()
+	s, err := Parse([]byte(strings.Replace(platformJSON, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
+	if err != nil {
+		t.Fatalf("%s: %v", limits, err)
 	}
+	return s
+}
+
+// Sizes follow from the limits that are given: a small machine works, and a limit that isn't given isn't 0.
+func TestSizesFollowFromTheControllersMachine(t *testing.T) {
 	for _, c := range []struct {
 		limits          string
 		conns, machines int
@@ -65,7 +72,8 @@
 		{`{"cores":1.0,"mem_mb":512.0,"sockets":300}`, 210, 942},    // connections
 		{`{}`, 716, 3222},
 	} {
-		l, machines := sizes(c.limits)
+		s := parseWithLimits(t, c.limits)
+		l, machines := s.Params.Limits, s.Operator.MaxMachines
 		if l.MaxConns() != c.conns || machines != c.machines || l.MaxTasks() < MaxBody/2 || l.Processor() <= 0 {
 			t.Errorf("%s: %d connections, %d machines, %d tasks", c.limits, l.MaxConns(), machines, l.MaxTasks())
 		}
@@ -75,17 +83,14 @@
 	}
 }
 
-// Operators are told what bounds the number of machines, so that they know what would raise it.
-func TestWhatBoundsTheMachinesIsNamed(t *testing.T) {
+// The bound on the number of machines is named for operators, so that they can raise it.
+func TestMachineBoundIsNamed(t *testing.T) {
 	for limits, want := range map[string]MachineBound{
 		`{"cores":0.18,"mem_mb":168.0,"sockets":2500}`: BoundByProcessor,
 		`{"cores":1.0,"mem_mb":130.0,"sockets":4000}`:  BoundByMemory,
 		`{"cores":1.0,"mem_mb":512.0,"sockets":300}`:   BoundByConnections,
 	} {
-		s, err := Parse([]byte(strings.Replace(settings, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
+		s := parseWithLimits(t, limits)
 		if got := s.Operator.MachinesBound; got != want {
 			t.Errorf("%s: bound by %q, not %q", limits, got, want)
 		}
@@ -98,7 +103,7 @@
 	}
 }
 
-func TestOperatorsFile(t *testing.T) {
+func TestOperatorFileOverridesDefaultsAndErrorsNameTheLine(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, body string) string {
 		p := filepath.Join(dir, name)
@@ -107,10 +112,13 @@
 		}
 		return p
 	}
-	js := file("s.json", settings)
+	js := file("s.json", platformJSON)
 	s, err := Load(js, file("good.hcl", "hold_ttl_ms = 4000\nidle_s = 20\n"))
-	if err != nil || s.ControllerLeaseTTL() != 4*time.Second || s.Operator.MachineIdleTimeoutS != 20 || s.Operator.MaxMachines == 0 {
-		t.Fatalf("%+v, %v", s, err)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s.ControllerLeaseTTL() != 4*time.Second || s.Operator.MachineIdleTimeoutS != 20 || s.Operator.MaxMachines == 0 {
+		t.Fatalf("%+v", s)
 	}
 	for body, want := range map[string]string{
 		"hold_ttl_ms = 4000\nhold = 3\n": "bad.hcl:2",
@@ -123,12 +131,12 @@
 	}
 }
 
-// Pools of licences are checked when they are read, and an error names the bad one.
-func TestLicencePools(t *testing.T) {
+// Licence pools are checked when they are read, and an error names the bad one.
+func TestLicencePoolsAreCheckedAtLoad(t *testing.T) {
 	dir := t.TempDir()
 	load := func(body string) (*Settings, error) {
 		js, hcl := filepath.Join(dir, "s.json"), filepath.Join(dir, "o.hcl")
-		for name, raw := range map[string]string{js: settings, hcl: body} {
+		for name, raw := range map[string]string{js: platformJSON, hcl: body} {
 			if err := os.WriteFile(name, []byte(raw), 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -159,11 +167,14 @@
 	}
 	pool := s.LicencePools()[0]
 	friday := time.Date(2026, 12, 4, 10, 0, 0, 0, time.UTC)
-	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.Lowering != "wait" || pool.Teams["t"].Most != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
+	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.Lowering != "wait" ||
+		pool.Teams["t"].Most != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
 		t.Fatalf("%+v", pool)
 	}
 	for body, want := range map[string]string{
-		`licence "p" { count = -1 }`: "count", `licence "p" {}`: "o.hcl:1", `licence "a/b" { count = 1 }`: "licence[0].name",
+		`licence "p" { count = -1 }`:                                 "count",
+		`licence "p" {}`:                                             "o.hcl:1",
+		`licence "a/b" { count = 1 }`:                                "licence[0].name",
 		"licence \"p\" { count = 1 }\nlicence \"p\" { count = 1 }\n": "declared twice",
 		`licence "p" {
   count = 1
@@ -206,63 +217,89 @@
 	}
 }
 
-// The example files under deploy/ are good, and a session policy is checked when it is read: its
-// error names file, line and column.
-func TestDeployFilesAndSessionPolicies(t *testing.T) {
-	dir := t.TempDir()
-	js := filepath.Join(dir, "s.json")
-	if err := os.WriteFile(js, []byte(settings), 0o600); err != nil {
+// writePlatformFile writes a valid file of the platform and returns its path.
+func writePlatformFile(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "s.json")
+	if err := os.WriteFile(path, []byte(platformJSON), 0o600); err != nil {
 		t.Fatal(err)
 	}
+	return path
+}
+
+func loadDeployFile(t *testing.T, name string) *Settings {
+	t.Helper()
+	s, err := Load(writePlatformFile(t), filepath.Join("..", "..", "deploy", name))
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	return s
+}
+
+func TestDeployFilesEnableLicencesAndSessions(t *testing.T) {
 	for _, name := range []string{"licences.hcl", "sessions.hcl"} {
-		settings, err := Load(js, filepath.Join("..", "..", "deploy", name))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if len(settings.LicencePools()) == 0 && !settings.Sessions().Enabled {
-			t.Fatalf("%s switches nothing on", name)
+		s := loadDeployFile(t, name)
+		if len(s.LicencePools()) == 0 && !s.Sessions().Enabled {
+			t.Fatalf("%s enables nothing", name)
 		}
 	}
-	s, err := Load(js, filepath.Join("..", "..", "deploy", "sessions.hcl"))
-	if err != nil {
-		t.Fatal(err)
+}
+
+// Rollouts and zones have defaults that follow from the platform's settings.
+func TestRolloutAndZonesHaveDefaults(t *testing.T) {
+	s := loadDeployFile(t, "sessions.hcl")
+	rollout, zones := s.Rollout(), s.Zones()
+	if !rollout.Auto || rollout.Soak != time.Minute ||
+		zones.ProbationTime <= 0 || zones.ReturnGrace <= 0 || zones.FlapForgiveness <= 0 {
+		t.Fatalf("%+v %+v", rollout, zones)
+	}
+}
+
+func TestDeployFilesChangeRolloutAndZones(t *testing.T) {
+	s := loadDeployFile(t, "rollout.hcl")
+	if rollout := s.Rollout(); rollout.Auto || rollout.Soak != 10*time.Minute {
+		t.Errorf("%+v", rollout)
 	}
-	// Rollouts and zones have defaults that follow from the platform's settings, and files that change them.
-	if r, z := s.Rollout(), s.Zones(); !r.Auto || r.Soak != time.Minute || z.ProbationTime <= 0 || z.ReturnGrace <= 0 || z.FlapForgiveness <= 0 {
-		t.Fatalf("%+v %+v", r, z)
+	want := Zones{
+		ReturnGrace:     time.Minute,
+		ProbationTime:   20 * time.Second,
+		FlapForgiveness: 10 * time.Minute,
+		MaxProbation:    maxProbation,
 	}
-	for name, ok := range map[string]func(*Settings) bool{
-		"rollout.hcl": func(settings *Settings) bool {
-			return !settings.Rollout().Auto && settings.Rollout().Soak == 10*time.Minute
-		},
-		"zones.hcl": func(settings *Settings) bool {
-			return settings.Zones() == Zones{time.Minute, 20 * time.Second, 10 * time.Minute, maxProbation}
-		},
-	} {
-		settings, err := Load(js, filepath.Join("..", "..", "deploy", name))
-		if err != nil || !ok(settings) {
-			t.Fatalf("%s: %v", name, err)
-		}
+	if got := loadDeployFile(t, "zones.hcl").Zones(); got != want {
+		t.Errorf("%+v, want %+v", got, want)
 	}
+}
+
+func TestDeployedSessionPolicyHasItsWindow(t *testing.T) {
+	policy := loadDeployFile(t, "sessions.hcl").Sessions().ForTeam("t")
 	tokyo := time.FixedZone("", 9*3600)
-	p := s.Sessions().ForTeam("t")
-	if p.At(time.Date(2026, 12, 4, 19, 0, 0, 0, tokyo)).IdleLimit != 30*time.Minute || p.At(time.Date(2026, 12, 4, 23, 0, 0, 0, tokyo)).IdleLimit != 2*time.Hour {
-		t.Fatalf("%+v", p)
+	inWindow := time.Date(2026, 12, 4, 19, 0, 0, 0, tokyo)
+	after := time.Date(2026, 12, 4, 23, 0, 0, 0, tokyo)
+	if policy.At(inWindow).IdleLimit != 30*time.Minute || policy.At(after).IdleLimit != 2*time.Hour {
+		t.Fatalf("%+v", policy)
 	}
+}
+
+// A session policy is checked when it is read: the error names the policy, or file, line and column.
+func TestBadSessionPolicyIsNamed(t *testing.T) {
+	platformFile := writePlatformFile(t)
+	operatorFile := filepath.Join(t.TempDir(), "bad.hcl")
 	for body, want := range map[string]string{
-		"sessions {\n policy \"t\" {\n  idle = \"inputs > 3\"\n }\n}\n":                               "bad.hcl:3,10",
-		"sessions {\n policy \"t\" {\n  idle = true\n }\n}\n":                                         "must be an expression in quotes",
-		"sessions {\n policy \"x\" {\n  idle = \"cell\"\n }\n}\n":                                     `policy "x"`,
-		"rollout {\n finish = \"never\"\n}\n":                                                         "rollout.finish",
-		"sessions {\n warn_s = -1\n}\n":                                                               "warn_s",
-		"sessions {\n policy \"t\" {\n idle = \"cell\"\n}\n policy \"t\" {\n idle = \"cell\"\n}\n}\n": "there are two",
-		"sessions {\n policy \"t\" {\n idle = \"cell\"\n during \"x\" {\n days = \"Fri\"\n from = \"1\"\n to = \"2:00\"\n zone = \"UTC\"\n}\n}\n}\n": `during "x"`,
+		"sessions {\n policy \"t\" {\n  idle = \"inputs > 3\"\n }\n}\n": "bad.hcl:3,10",
+		"sessions {\n policy \"t\" {\n  idle = true\n }\n}\n":           "must be an expression in quotes",
+		"sessions {\n policy \"x\" {\n  idle = \"cell\"\n }\n}\n":       `policy "x"`,
+		"rollout {\n finish = \"never\"\n}\n":                           "rollout.finish",
+		"sessions {\n warn_s = -1\n}\n":                                 "warn_s",
+		"sessions {\n policy \"t\" {\n idle = \"cell\"\n}\n" +
+			" policy \"t\" {\n idle = \"cell\"\n}\n}\n": "there are two",
+		"sessions {\n policy \"t\" {\n idle = \"cell\"\n during \"x\" {\n days = \"Fri\"\n" +
+			" from = \"1\"\n to = \"2:00\"\n zone = \"UTC\"\n}\n}\n}\n": `during "x"`,
 	} {
-		bad := filepath.Join(dir, "bad.hcl")
-		if err := os.WriteFile(bad, []byte(body), 0o600); err != nil {
+		if err := os.WriteFile(operatorFile, []byte(body), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(js, bad); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Load(platformFile, operatorFile); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v does not name %s", body, err, want)
 		}
 	}
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -10,84 +10,114 @@
 // LicencePool declares one pool of licences, in HCL: licence "name" { ... }.
 type LicencePool struct {
 	Name string `hcl:"name,label" validate:"required,max=64,excludesall=/ "`
-	// Count is how many seats there are, unless one was set at run time.
+	// Count is the number of licence units, unless one was set at run time.
 	Count int `hcl:"count" validate:"gte=0,lte=1000000"`
-	// Server is asked who holds seats; without one only our own tasks are counted.
+	// Server is the licence server that is polled for the units in use; without one only tasks of this cluster are
+	// counted.
 	Server string `hcl:"server,optional" validate:"omitempty,hostport"`
-	// PollS is the time between two questions to it.
+	// PollS is the interval between two polls of the server, in seconds.
 	PollS float64 `hcl:"poll_s,optional" validate:"gte=0,lte=60"`
-	// LingerS is how long a crashed holder's seat may stay taken.
+	// LingerS is how long the unit of a crashed task may stay checked out at the server, in seconds.
 	LingerS float64 `hcl:"linger_s,optional" validate:"gte=0,lte=3600"`
-	// Reserve is kept for others.
+	// Reserve is the number of units kept for use outside this cluster.
 	Reserve int `hcl:"reserve,optional" validate:"gte=0"`
-	// OnCountLowered says what happens when the count falls below what is in use: "wait" or "stop".
+	// OnCountLowered is what happens to running tasks when the count falls below the units in use: "wait" or "stop".
 	OnCountLowered string          `hcl:"on_lower,optional" validate:"oneof=wait stop"`
 	Teams          []LicenceTeam   `hcl:"team,block" validate:"dive"`
 	ReserveWindows []ReserveWindow `hcl:"reserve_during,block" validate:"dive"`
 }
 
-// LicenceTeam is a team's part of a pool.
+// LicenceTeam is a team's quota of a pool, in units; Max 0 means no limit.
 type LicenceTeam struct {
 	Name      string `hcl:"name,label" validate:"required"`
 	Guarantee int    `hcl:"guarantee,optional" validate:"gte=0"`
 	Max       int    `hcl:"most,optional" validate:"gte=0"`
 }
 
-// ReserveWindow keeps more for others in named hours of a named time zone.
+// ReserveWindow reserves more units in hours of the week in a time zone.
 type ReserveWindow struct {
 	Name  string `hcl:"name,label" validate:"required"`
-	Seats int    `hcl:"seats" validate:"gte=0"`
+	Units int    `hcl:"seats" validate:"gte=0"`
 	Days  string `hcl:"days" validate:"required"`
 	From  string `hcl:"from" validate:"required"`
 	To    string `hcl:"to" validate:"required"`
 	Zone  string `hcl:"zone" validate:"required"`
 }
 
-// LicencePools are the declared licence pools.
-func (s *Settings) LicencePools() []*licences.Pool { return s.pools }
+// LicencePools returns the declared licence pools.
+func (s *Settings) LicencePools() []*licences.Pool { return s.licencePools }
 
-// derivePools turns the declarations into pools; its error names the bad one.
-func (s *Settings) derivePools() error {
-	s.pools = nil
+// deriveLicencePools turns the declarations into pools. Its error names the bad one.
+func (s *Settings) deriveLicencePools() error {
+	s.licencePools = nil
 	teams := s.teamNames()
 	seen := map[string]bool{}
 	for i := range s.Operator.Licences {
-		d := &s.Operator.Licences[i]
-		if seen[d.Name] {
-			return fmt.Errorf("licence %q is declared twice", d.Name)
+		declared := &s.Operator.Licences[i]
+		if seen[declared.Name] {
+			return fmt.Errorf("licence %q is declared twice", declared.Name)
 		}
-		seen[d.Name] = true
-		pool := &licences.Pool{
-			Name: d.Name, Count: d.Count, Server: d.Server, Poll: Seconds(d.PollS), Linger: Seconds(d.LingerS),
-			Reserve: d.Reserve, Lowering: licences.Lower(d.OnCountLowered), Teams: map[string]licences.Share{},
+		seen[declared.Name] = true
+		pool, err := declared.pool(teams)
+		if err != nil {
+			return err
 		}
-		if d.Reserve > d.Count {
-			return fmt.Errorf("licence %q: reserve %d is more than its count %d", d.Name, d.Reserve, d.Count)
-		}
-		promised := 0
-		for _, t := range d.Teams {
-			switch _, twice := pool.Teams[t.Name]; {
-			case !teams[t.Name]:
-				return fmt.Errorf("licence %q: team %q is not one of the platform's", d.Name, t.Name)
-			case twice:
-				return fmt.Errorf("licence %q: team %q is named twice", d.Name, t.Name)
-			case t.Max > 0 && t.Guarantee > t.Max:
-				return fmt.Errorf("licence %q: team %q is guaranteed %d but may hold %d at most", d.Name, t.Name, t.Guarantee, t.Max)
-			}
-			pool.Teams[t.Name] = licences.Share{Guarantee: t.Guarantee, Most: t.Max}
-			promised += t.Guarantee
-		}
-		if promised > d.Count-d.Reserve {
-			return fmt.Errorf("licence %q: teams are guaranteed %d seats, and %d of %d can be given", d.Name, promised, d.Count-d.Reserve, d.Count)
+		s.licencePools = append(s.licencePools, pool)
+	}
+	return nil
+}
+
+// pool returns the declared pool, checked.
+func (d *LicencePool) pool(teams map[string]bool) (*licences.Pool, error) {
+	if d.Reserve > d.Count {
+		return nil, fmt.Errorf("licence %q: reserve %d is more than its count %d", d.Name, d.Reserve, d.Count)
+	}
+	pool := &licences.Pool{
+		Name:     d.Name,
+		Count:    d.Count,
+		Server:   d.Server,
+		Poll:     Seconds(d.PollS),
+		Linger:   Seconds(d.LingerS),
+		Reserve:  d.Reserve,
+		Lowering: licences.Lower(d.OnCountLowered),
+	}
+	var err error
+	if pool.Teams, err = d.teamShares(teams); err != nil {
+		return nil, err
+	}
+	for _, window := range d.ReserveWindows {
+		hours, err := calendar.Parse(window.Days, window.From, window.To, window.Zone)
+		if err != nil {
+			return nil, fmt.Errorf("licence %q, reserve_during %q: %w", d.Name, window.Name, err)
 		}
-		for _, w := range d.ReserveWindows {
-			win, err := calendar.Parse(w.Days, w.From, w.To, w.Zone)
-			if err != nil {
-				return fmt.Errorf("licence %q, reserve_during %q: %w", d.Name, w.Name, err)
-			}
-			pool.Windows = append(pool.Windows, licences.Reserve{Units: w.Seats, During: win})
+		pool.Windows = append(pool.Windows, licences.Reserve{Units: window.Units, During: hours})
+	}
+	return pool, nil
+}
+
+// teamShares returns the teams' quotas of the pool. Together the guarantees fit in what isn't reserved.
+func (d *LicencePool) teamShares(teams map[string]bool) (map[string]licences.Share, error) {
+	shares := map[string]licences.Share{}
+	guaranteed := 0
+	for _, team := range d.Teams {
+		_, isRepeated := shares[team.Name]
+		switch {
+		case !teams[team.Name]:
+			return nil, fmt.Errorf("licence %q: team %q is not one of the platform's", d.Name, team.Name)
+		case isRepeated:
+			return nil, fmt.Errorf("licence %q: team %q is named twice", d.Name, team.Name)
+		case team.Max > 0 && team.Guarantee > team.Max:
+			return nil, fmt.Errorf(
+				"licence %q: team %q is guaranteed %d but may hold %d at most",
+				d.Name, team.Name, team.Guarantee, team.Max)
 		}
-		s.pools = append(s.pools, pool)
+		shares[team.Name] = licences.Share{Guarantee: team.Guarantee, Most: team.Max}
+		guaranteed += team.Guarantee
 	}
-	return nil
+	if available := d.Count - d.Reserve; guaranteed > available {
+		return nil, fmt.Errorf(
+			"licence %q: teams are guaranteed %d seats, and %d of %d can be given",
+			d.Name, guaranteed, available, d.Count)
+	}
+	return shares, nil
 }
--- /dev/null
+++ b/internal/config/limits.go
@@ -0,0 +1,72 @@
+package config
+
+// ControllerLimits describes the machine that the controller itself runs on; nil where that isn't given. Below the
+// validated bounds a controller can't serve at all: it needs baseMemoryMB before any machine or job exists, and a
+// connection for each outside system and controller.
+type ControllerLimits struct {
+	Cores   *float64 `json:"cores" validate:"omitnil,gt=0"`
+	MemMB   *float64 `json:"mem_mb" validate:"omitnil,gte=24"`
+	Sockets *int     `json:"sockets" validate:"omitnil,gte=32"`
+}
+
+// Assumed of a machine for which the settings give no limit.
+const (
+	defaultCores    = 1.0
+	defaultMemoryMB = 512.0
+	defaultSockets  = 1024
+)
+
+// MaxBody is the protocol's bound on a request's body, in bytes.
+const MaxBody = 64 << 10
+
+const (
+	bytesPerMB = 1 << 20
+	// bodiesMemoryShare is the share of memory that the request bodies of all connections may take together.
+	bodiesMemoryShare = 0.6
+	// queueMemoryShare is the share of memory that submissions waiting to be stored may take.
+	queueMemoryShare = 0.03
+	// tasksPerMB is how many unfinished tasks are admitted for each MB: a task takes about 80 bytes, and twice that
+	// while plans are read after a failover.
+	tasksPerMB = 2000
+	// minOutgoing is how many requests to outside systems may be in flight on the smallest machine.
+	minOutgoing = 4
+)
+
+// Processor returns the number of cores that may be used.
+func (l ControllerLimits) Processor() float64 { return valueOr(l.Cores, defaultCores) }
+
+// MemoryLimitMB returns the memory that may be used, in MB.
+func (l ControllerLimits) MemoryLimitMB() float64 { return valueOr(l.MemMB, defaultMemoryMB) }
+
+// MaxConns returns how many incoming connections are accepted. Each may hold a request body of the largest size at
+// the same time, and those together leave memory for the rest.
+func (l ControllerLimits) MaxConns() int {
+	bySockets := valueOr(l.Sockets, defaultSockets) * 7 / 10
+	byMemory := int(l.MemoryLimitMB() * bodiesMemoryShare * bytesPerMB / MaxBody)
+	return max(1, min(bySockets, byMemory))
+}
+
+// KeepAliveConns returns how many connections may be open while those of workers are kept open after a response.
+// The rest is left for new ones: of users, whom the load balancer spreads over all controllers, and of health checks.
+func (l ControllerLimits) KeepAliveConns() int { return max(1, l.MaxConns()*3/4) }
+
+// MaxOutgoing returns how many requests to one kind of outside system may be in flight: at most limit, fewer where
+// sockets are scarce.
+func (l ControllerLimits) MaxOutgoing(limit int) int {
+	return max(minOutgoing, min(limit, valueOr(l.Sockets, defaultSockets)/10))
+}
+
+// MaxTasks returns how many unfinished tasks are admitted.
+func (l ControllerLimits) MaxTasks() int { return int(l.MemoryLimitMB() * tasksPerMB) }
+
+// MaxQueueBytes bounds the submissions that wait to be stored, in bytes.
+func (l ControllerLimits) MaxQueueBytes() int {
+	return int(l.MemoryLimitMB() * queueMemoryShare * bytesPerMB)
+}
+
+func valueOr[T any](value *T, fallback T) T {
+	if value != nil {
+		return *value
+	}
+	return fallback
+}
--- a/internal/config/machines.go
+++ b/internal/config/machines.go
@@ -1,28 +1,29 @@
 package config
 
-// What a machine costs a leader, as `harewalk lab scale` measured it (docs/CAPACITY.md has the runs and their errors).
+// Measured cost of one machine to a leader, by `harewalk lab scale` (docs/CAPACITY.md has the runs and their errors).
 const (
-	// baseMemoryMB is what a controller takes before it has heard of anything, memoryPerMachineMB what it takes more for each machine,
-	// with its tasks, plans and connection, in MB.
-	baseMemoryMB       = 12.0
+	// baseMemoryMB is what a controller takes without machines and jobs, in MB.
+	baseMemoryMB = 12.0
+	// memoryPerMachineMB is what each machine adds, with its tasks, plans and connection, in MB.
 	memoryPerMachineMB = 0.042
-	// cpuSecondsPerHeartbeat is the processor time of a report, with the starts and plans that come with it, in seconds.
+	// cpuSecondsPerHeartbeat is the processor time of a heartbeat, with the starts and plans that come with it.
 	cpuSecondsPerHeartbeat = 0.0002
-	// connSecondsPerHeartbeat is for how long a report may keep a connection where they don't stay open after an answer, in seconds.
+	// connSecondsPerHeartbeat is for how long a heartbeat may occupy a connection where connections are closed after
+	// each response.
 	connSecondsPerHeartbeat = 0.5
 )
 
-// Parts of what the controller's machine has that machines may take: the rest is for bursts, for what comes after a
-// takeover, and for users.
+// Shares of the controller's own machine that machines may take. The rest is for bursts, for the work after a
+// failover, and for users.
 const (
 	machinesMemoryShare = 0.7
 	machinesCPUShare    = 0.5
 )
 
-// MachineBound names what bounds the number of machines, for operators.
+// MachineBound names what bounds the number of machines; it is shown to operators.
 type MachineBound string
 
-// What may bind.
+// The possible bounds.
 const (
 	BoundBySettings    MachineBound = "max_machines in the operators' settings"
 	BoundByMemory      MachineBound = "mem_mb: the controller's memory"
@@ -30,16 +31,21 @@
 	BoundByConnections MachineBound = "sockets: the controller's connections"
 )
 
-// maxMachines is how many machines a leader can hold on its own machine, and which of memory, processor and
-// connections allows the least. Connections count only while a report is answered, for where many are open they are
-// closed after it.
-func (l ControllerLimits) maxMachines(reportS float64) (int, MachineBound) {
-	most, by := (l.MemoryLimitMB()*machinesMemoryShare-baseMemoryMB)/memoryPerMachineMB, BoundByMemory
-	if n := l.Processor() * machinesCPUShare / cpuSecondsPerHeartbeat * reportS; n < most {
-		most, by = n, BoundByProcessor
+// maxMachines returns how many machines a leader can serve on its own machine, and which of memory, processor and
+// connections allows the fewest. Connections count only while a heartbeat is answered: beyond KeepAliveConns they are
+// closed after each response.
+func (l ControllerLimits) maxMachines(heartbeatIntervalS float64) (int, MachineBound) {
+	machines := (l.MemoryLimitMB()*machinesMemoryShare - baseMemoryMB) / memoryPerMachineMB
+	bound := BoundByMemory
+	byProcessor := l.Processor() * machinesCPUShare / cpuSecondsPerHeartbeat * heartbeatIntervalS
+	if byProcessor < machines {
+		machines = byProcessor
+		bound = BoundByProcessor
 	}
-	if n := float64(l.KeepAliveConns()) / connSecondsPerHeartbeat * reportS; n < most {
-		most, by = n, BoundByConnections
+	byConnections := float64(l.KeepAliveConns()) / connSecondsPerHeartbeat * heartbeatIntervalS
+	if byConnections < machines {
+		machines = byConnections
+		bound = BoundByConnections
 	}
-	return max(1, int(most)), by
+	return max(1, int(machines)), bound
 }
--- /dev/null
+++ b/internal/config/platform.go
@@ -0,0 +1,169 @@
+package config
+
+import (
+	"time"
+
+	"github.com/harewalk/harewalk/internal/access"
+	"github.com/harewalk/harewalk/internal/licences"
+	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/sessions"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// Settings holds the platform's file of one controller, the operators' settings, and what is derived from both. It
+// isn't changed once it has been loaded.
+type Settings struct {
+	Node       string   `json:"node" validate:"required"`
+	Zone       string   `json:"site"`
+	PublicAddr string   `json:"public_addr" validate:"required,hostport"`
+	PeerAddr   string   `json:"back" validate:"required,hostport"`
+	Peers      []Peer   `json:"others" validate:"dive"`
+	Services   Services `json:"services"`
+	Params     Params   `json:"params"`
+
+	// Operator is never read from the platform's file.
+	Operator Operator `json:"-"`
+
+	// Set by SimulateRelease only.
+	simulatedLevel   rollout.Level
+	simulatedRelease string
+
+	// Derived from the operators' settings and the files that they name.
+	licencePools []*licences.Pool
+	sessions     *sessions.Policies
+	keys         *access.Keys
+	users        *access.Users
+}
+
+// Peer is another controller.
+type Peer struct {
+	Node string `json:"node" validate:"required"`
+	Zone string `json:"site"`
+	Addr string `json:"endpoint" validate:"required,hostport"`
+}
+
+// Services holds the addresses of the outside systems.
+type Services struct {
+	Cloud string `json:"cloud" validate:"required,hostport"`
+	State string `json:"state" validate:"required,hostport"`
+}
+
+// Params is the part of the settings that is equal on all controllers.
+type Params struct {
+	Zones      []string         `json:"zones"`
+	Teams      []Team           `json:"teams" validate:"dive"`
+	Objectives []Objective      `json:"objectives"`
+	Workers    Workers          `json:"workers"`
+	State      State            `json:"state"`
+	Cloud      Cloud            `json:"cloud"`
+	Limits     ControllerLimits `json:"machine_limits"`
+	SkewMS     float64          `json:"skew_ms" validate:"gte=0"`
+}
+
+// Team holds a team's quota: what it is guaranteed and its limit, for CPU cores and GPUs; 0 means that none is set.
+type Team struct {
+	Name    string  `json:"name" validate:"required"`
+	CPUs    float64 `json:"cpus" validate:"gte=0"`
+	CPUsMax float64 `json:"cpus_max" validate:"gte=0"`
+	GPUs    float64 `json:"gpus" validate:"gte=0"`
+	GPUsMax float64 `json:"gpus_max" validate:"gte=0"`
+}
+
+// Objective is one service-level objective. Which of its fields count depends on its kind.
+type Objective struct {
+	Kind    string  `json:"kind"`
+	Class   string  `json:"class"`
+	WithinS float64 `json:"within_s"`
+	Share   float64 `json:"share"`
+	Times   float64 `json:"times"`
+	Max     float64 `json:"most"`
+}
+
+// Kinds of objectives that measure cost.
+const (
+	objectiveKindPrice  = "price"
+	objectiveKindUseful = "useful"
+)
+
+// Workers holds the timing of the workers, in seconds.
+type Workers struct {
+	// ReportS is the interval between two heartbeats of a worker.
+	ReportS float64 `json:"report_s" validate:"gt=0"`
+	// LeaseS is how long a worker keeps its tasks running after the last response 200 to a heartbeat.
+	LeaseS float64 `json:"lease_s" validate:"gt=0"`
+	// GangWaitS is how long a gang's task waits for the other tasks to start before it gives up.
+	GangWaitS float64 `json:"gang_wait_s" validate:"gt=0"`
+	// GangPeerS is how long a gang's other tasks may run on after one of them has ended.
+	GangPeerS float64 `json:"gang_peer_s" validate:"gt=0"`
+	// CancelS is the time within which a cancelled job's tasks have to be gone.
+	CancelS float64 `json:"cancel_s" validate:"gt=0"`
+}
+
+// State holds the limits of the state service.
+type State struct {
+	RPS      float64 `json:"rps" validate:"gt=0"`
+	WriteRPS float64 `json:"write_rps" validate:"gt=0"`
+	ValueKB  float64 `json:"value_kb" validate:"gt=0"`
+	TxnOps   int     `json:"txn_ops" validate:"gt=0"`
+	// Next holds limits that the service will have from some later moment on, without notice; nil if none are
+	// announced.
+	Next *NextState `json:"next" validate:"omitnil"`
+}
+
+// NextState holds announced limits of the state service; 0 where a limit isn't announced.
+type NextState struct {
+	WriteRPS float64 `json:"write_rps" validate:"gte=0"`
+	ValueKB  float64 `json:"value_kb" validate:"gte=0"`
+	TxnOps   int     `json:"txn_ops" validate:"gte=0"`
+}
+
+// bytesPerKB converts the state service's value limit to bytes.
+const bytesPerKB = 1024
+
+// Limits returns the limits that every transaction keeps to: the smaller of the present and of the announced ones,
+// from the start, so that no stored value has to shrink when the announced ones take effect.
+func (s State) Limits() store.Limits {
+	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
+	if s.Next == nil {
+		return limits
+	}
+	if s.Next.TxnOps > 0 {
+		limits.MaxOps = min(limits.MaxOps, s.Next.TxnOps)
+	}
+	if s.Next.ValueKB > 0 {
+		limits.MaxValueBytes = min(limits.MaxValueBytes, int(s.Next.ValueKB*bytesPerKB))
+	}
+	return limits
+}
+
+// Cloud holds the limits of the cloud's API.
+type Cloud struct {
+	RPS float64 `json:"rps" validate:"gt=0"`
+	// ListLagS is how far the cloud's list of machines may lag behind, in seconds.
+	ListLagS float64 `json:"list_lag_s" validate:"gte=0"`
+}
+
+// Lease returns the workers' lease.
+func (s *Settings) Lease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
+
+// HasCostObjective reports whether an objective measures cost.
+func (s *Settings) HasCostObjective() bool {
+	for _, objective := range s.Params.Objectives {
+		if objective.Kind == objectiveKindPrice || objective.Kind == objectiveKindUseful {
+			return true
+		}
+	}
+	return false
+}
+
+// teamNames returns the set of the platform's teams.
+func (s *Settings) teamNames() map[string]bool {
+	names := map[string]bool{}
+	for _, team := range s.Params.Teams {
+		names[team.Name] = true
+	}
+	return names
+}
+
+// Seconds converts a number of seconds, as on the wire and in the settings, to a duration.
+func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -11,31 +11,37 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// SessionSettings switch interactive sessions on, in HCL: sessions { ... }.
+// SessionSettings enables interactive sessions, in HCL: sessions { ... }.
 type SessionSettings struct {
-	// WarningS is the time between the warning and the save; CheckpointTimeoutS what a save may take; UnheardTimeoutS
-	// after which an agent that isn't heard is in doubt.
-	WarningS           float64 `hcl:"warn_s,optional" validate:"gte=0"`
+	// WarningS is the time between the warning and the checkpoint, in seconds; 0: two minutes.
+	WarningS float64 `hcl:"warn_s,optional" validate:"gte=0"`
+	// CheckpointTimeoutS is how long a checkpoint may take, in seconds; 0: a minute.
 	CheckpointTimeoutS float64 `hcl:"save_s,optional" validate:"gte=0"`
-	UnheardTimeoutS    float64 `hcl:"silent_s,optional" validate:"gte=0"`
+	// UnheardTimeoutS is the time without a heartbeat after which the state of an agent is in doubt, in seconds; 0: 30.
+	UnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
 	// RetentionDays is how long a reclaimed session is kept, 0: for ever.
 	RetentionDays float64 `hcl:"keep_days,optional" validate:"gte=0"`
-	MaxPerUser    int     `hcl:"per_user,optional" validate:"gte=0"`
-	MaxPerTeam    int     `hcl:"per_team,optional" validate:"gte=0"`
-	// Policies are by team; the one called "default" is for all others.
+	// MaxPerUser bounds a user's sessions, MaxPerTeam a team's sessions that aren't reclaimed; 0: unbounded.
+	MaxPerUser int `hcl:"per_user,optional" validate:"gte=0"`
+	MaxPerTeam int `hcl:"per_team,optional" validate:"gte=0"`
+	// Policies are by team; the one called "default" is for all other teams.
 	Policies []SessionPolicy `hcl:"policy,block" validate:"dive"`
 }
 
-// SessionPolicy says when a team's sessions are idle and how long they may be.
+// SessionPolicy sets when a team's sessions are idle and how long they may be.
 type SessionPolicy struct {
-	Team            string          `hcl:"team,label" validate:"required"`
-	IdleRule        *hcl.Attribute  `hcl:"idle,optional"` // nil: the default
-	IdleLimitS      float64         `hcl:"limit_s,optional" validate:"gte=0"`
+	Team string `hcl:"team,label" validate:"required"`
+	// IdleRule is an expression in quotes; nil: the default rule.
+	IdleRule *hcl.Attribute `hcl:"idle,optional"`
+	// IdleLimitS is how long a session may be idle, in seconds; 0: for ever.
+	IdleLimitS float64 `hcl:"limit_s,optional" validate:"gte=0"`
+	// ContendedLimitS is how long a session may be idle while other work waits for what it holds, in seconds;
+	// negative: for ever.
 	ContendedLimitS *float64        `hcl:"wanted_s,optional"`
 	Windows         []SessionWindow `hcl:"during,block" validate:"dive"`
 }
 
-// SessionWindow are other limits in named hours of a named time zone.
+// SessionWindow sets other limits for hours of the week in a time zone. What is nil is as in the policy.
 type SessionWindow struct {
 	Name            string         `hcl:"name,label" validate:"required"`
 	Days            string         `hcl:"days" validate:"required"`
@@ -47,7 +53,7 @@
 	ContendedLimitS *float64       `hcl:"wanted_s,optional"`
 }
 
-// Defaults for sessions.
+// Defaults of SessionSettings.
 const (
 	defaultWarningTime       = 2 * time.Minute
 	defaultCheckpointTimeout = time.Minute
@@ -55,97 +61,120 @@
 	defaultIdleRule          = "input_s > 900 && cpu < 0.1 && gpu < 0.1"
 )
 
-// Sessions is what operators set for sessions; off unless they did.
-func (s *Settings) Sessions() *sessions.Policies { return s.sessions }
+// defaultPolicyName is the policy of all teams that have none of their own.
+const defaultPolicyName = "default"
 
-func durationOr(s float64, otherwise time.Duration) time.Duration {
-	if s == 0 {
-		return otherwise
-	}
-	return Seconds(s)
-}
+const hoursPerDay = 24
 
-// deriveSessions compiles and checks the policies; its error names file, line and column of a
-// bad one.
+// Sessions returns the policies of interactive sessions. They are disabled unless operators set them.
+func (s *Settings) Sessions() *sessions.Policies { return s.sessions }
+
+// deriveSessions compiles and checks the policies. Its error names file, line and column of a bad rule.
 func (s *Settings) deriveSessions() error {
 	s.sessions = &sessions.Policies{}
-	d := s.Operator.Sessions
-	if d == nil {
+	settings := s.Operator.Sessions
+	if settings == nil {
 		return nil
 	}
-	rule, err := compileRule(nil)
+	rule, err := compileIdleRule(nil)
 	if err != nil {
 		return err
 	}
-	p := &sessions.Policies{
-		Enabled: true, WarningTime: durationOr(d.WarningS, defaultWarningTime), CheckpointTimeout: durationOr(d.CheckpointTimeoutS, defaultCheckpointTimeout),
-		UnheardTimeout: durationOr(d.UnheardTimeoutS, defaultUnheardTimeout), Retention: time.Duration(d.RetentionDays * 24 * float64(time.Hour)),
-		MaxPerUser: d.MaxPerUser, MaxPerTeam: d.MaxPerTeam, ByTeam: map[string]*sessions.Policy{},
-		Default: &sessions.Policy{Limits: sessions.Limits{Rule: rule, ContendedLimit: 0, Source: "default"}},
+	policies := &sessions.Policies{
+		Enabled:           true,
+		WarningTime:       durationOr(settings.WarningS, defaultWarningTime),
+		CheckpointTimeout: durationOr(settings.CheckpointTimeoutS, defaultCheckpointTimeout),
+		UnheardTimeout:    durationOr(settings.UnheardTimeoutS, defaultUnheardTimeout),
+		Retention:         time.Duration(settings.RetentionDays * hoursPerDay * float64(time.Hour)),
+		MaxPerUser:        settings.MaxPerUser,
+		MaxPerTeam:        settings.MaxPerTeam,
+		Default:           &sessions.Policy{Limits: sessions.Limits{Rule: rule, Source: defaultPolicyName}},
+	}
+	if policies.ByTeam, err = settings.compilePolicies(s.teamNames()); err != nil {
+		return err
+	}
+	if policy := policies.ByTeam[defaultPolicyName]; policy != nil {
+		policies.Default = policy
+		delete(policies.ByTeam, defaultPolicyName)
 	}
-	teams := s.teamNames()
-	for i := range d.Policies {
-		q := &d.Policies[i]
+	s.sessions = policies
+	return nil
+}
+
+// compilePolicies returns the policies by name, and refuses unknown teams and two policies for one team.
+func (settings *SessionSettings) compilePolicies(teams map[string]bool) (map[string]*sessions.Policy, error) {
+	compiled := map[string]*sessions.Policy{}
+	for i := range settings.Policies {
+		policy := &settings.Policies[i]
+		name := policy.Team
 		switch {
-		case q.Team != "default" && !teams[q.Team]:
-			return fmt.Errorf("sessions, policy %q: that is not one of the platform's teams, nor \"default\"", q.Team)
-		case p.ByTeam[q.Team] != nil:
-			return fmt.Errorf("sessions, policy %q: there are two", q.Team)
+		case name != defaultPolicyName && !teams[name]:
+			return nil, fmt.Errorf(
+				"sessions, policy %q: that is not one of the platform's teams, nor \"default\"", name)
+		case compiled[name] != nil:
+			return nil, fmt.Errorf("sessions, policy %q: there are two", name)
 		}
-		if p.ByTeam[q.Team], err = q.compile(); err != nil {
-			return fmt.Errorf("sessions, policy %q: %w", q.Team, err)
+		var err error
+		if compiled[name], err = policy.compile(); err != nil {
+			return nil, fmt.Errorf("sessions, policy %q: %w", name, err)
 		}
 	}
-	if q := p.ByTeam["default"]; q != nil {
-		p.Default = q
-		delete(p.ByTeam, "default")
-	}
-	s.sessions = p
-	return nil
+	return compiled, nil
 }
 
-func (q *SessionPolicy) compile() (*sessions.Policy, error) {
-	rule, err := compileRule(q.IdleRule)
+func (p *SessionPolicy) compile() (*sessions.Policy, error) {
+	rule, err := compileIdleRule(p.IdleRule)
 	if err != nil {
 		return nil, err
 	}
-	p := &sessions.Policy{Limits: sessions.Limits{Rule: rule, IdleLimit: Seconds(q.IdleLimitS), Source: q.Team}}
-	if q.ContendedLimitS != nil {
-		p.ContendedLimit = Seconds(*q.ContendedLimitS)
+	limits := sessions.Limits{Rule: rule, IdleLimit: Seconds(p.IdleLimitS), Source: p.Team}
+	if p.ContendedLimitS != nil {
+		limits.ContendedLimit = Seconds(*p.ContendedLimitS)
 	}
-	for i := range q.Windows {
-		h := &q.Windows[i]
-		l := p.Limits
-		l.Source = q.Team + ", " + h.Name
-		if h.IdleRule != nil {
-			if l.Rule, err = compileRule(h.IdleRule); err != nil {
-				return nil, err
-			}
-		}
-		if h.IdleLimitS != nil {
-			l.IdleLimit = Seconds(*h.IdleLimitS)
-		}
-		if h.ContendedLimitS != nil {
-			l.ContendedLimit = Seconds(*h.ContendedLimitS)
+	policy := &sessions.Policy{Limits: limits}
+	for i := range p.Windows {
+		window, err := p.Windows[i].compile(limits)
+		if err != nil {
+			return nil, err
 		}
-		w, err := calendar.Parse(h.Days, h.From, h.To, h.Zone)
+		policy.Windows = append(policy.Windows, window)
+	}
+	return policy, nil
+}
+
+// compile returns the window's limits: those of its policy, with what the window sets itself.
+func (w *SessionWindow) compile(limits sessions.Limits) (sessions.WindowLimits, error) {
+	limits.Source += ", " + w.Name
+	if w.IdleRule != nil {
+		rule, err := compileIdleRule(w.IdleRule)
 		if err != nil {
-			return nil, fmt.Errorf("during %q: %w", h.Name, err)
+			return sessions.WindowLimits{}, err
 		}
-		p.Windows = append(p.Windows, sessions.WindowLimits{Limits: l, Window: w})
+		limits.Rule = rule
+	}
+	if w.IdleLimitS != nil {
+		limits.IdleLimit = Seconds(*w.IdleLimitS)
+	}
+	if w.ContendedLimitS != nil {
+		limits.ContendedLimit = Seconds(*w.ContendedLimitS)
+	}
+	window, err := calendar.Parse(w.Days, w.From, w.To, w.Zone)
+	if err != nil {
+		return sessions.WindowLimits{}, fmt.Errorf("during %q: %w", w.Name, err)
 	}
-	return p, nil
+	return sessions.WindowLimits{Limits: limits, Window: window}, nil
 }
 
-// compileRule compiles what stands in an attribute, or the default.
-func compileRule(a *hcl.Attribute) (*sessions.Rule, error) {
-	if a == nil {
+// compileIdleRule compiles the expression of an attribute, or the default rule if it is nil.
+func compileIdleRule(attribute *hcl.Attribute) (*sessions.Rule, error) {
+	if attribute == nil {
 		return sessions.CompileRule(defaultIdleRule, "the default")
 	}
-	at := fmt.Sprintf("%s:%d,%d", a.Range.Filename, a.Expr.Range().Start.Line, a.Expr.Range().Start.Column)
-	v, diags := a.Expr.Value(nil)
-	if diags.HasErrors() || v.IsNull() || !v.IsKnown() || v.Type() != cty.String {
-		return nil, fmt.Errorf("%s: idle must be an expression in quotes", at)
+	start := attribute.Expr.Range().Start
+	position := fmt.Sprintf("%s:%d,%d", attribute.Range.Filename, start.Line, start.Column)
+	value, diags := attribute.Expr.Value(nil)
+	if diags.HasErrors() || value.IsNull() || !value.IsKnown() || value.Type() != cty.String {
+		return nil, fmt.Errorf("%s: idle must be an expression in quotes", position)
 	}
-	return sessions.CompileRule(v.AsString(), at)
+	return sessions.CompileRule(value.AsString(), position)
 }
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -5,56 +5,81 @@
 	"time"
 )
 
-// A cancelled job's tasks are gone in time only if everything fits that can keep one running after its user was told:
+// A cancelled job's tasks are gone in time only if everything that can keep one running after the cancellation was
+// confirmed fits in cancel_s:
 //
-//	picture + lease + orders <= cancel_s
+//	staleness + lease + commands <= cancel_s
 //
-// picture is how old a controller's copy of the jobs may be while it still answers reports with 200: it doesn't know of
-// any cancellation since. lease is what a worker lives on after the last of those, its clock's drift included. orders is
-// how long a direct launch that was sent on the old picture may be under way before the machine's token is raised against
-// it. What hangs, is deaf or cut off dies with its lease; every 200 of a controller that knows of the cancellation
-// carries the stop (package fleet). docs/design.md has the argument for each way.
+// staleness is how old a controller's copy of the jobs may be while it still answers heartbeats with 200: later
+// cancellations are missing in it. lease is how long a worker's tasks run on after the last of those responses, the
+// drift of its clock included. commands is how long a direct launch that was sent on the stale copy may be in flight
+// before the machine's fencing token is raised against it. A worker that hangs, receives nothing or is cut off ends
+// its tasks with its lease; every 200 of a controller that has the cancellation carries the stop (package fleet).
+// docs/design.md has the argument for each case.
 const (
-	// clockDriftBound is by how much two steady clocks may differ (PROTOCOL: 0.05%), twice: ours and the worker's.
+	// clockDriftBound bounds the relative drift between two steady clocks, a controller's and a worker's: twice the
+	// 0.05% that PROTOCOL allows for one.
 	clockDriftBound = 0.001
-	// DirectCommandTimeout is how long an answer to a direct command is waited for.
+	// DirectCommandTimeout is how long a controller waits for the response to a direct command.
 	DirectCommandTimeout = 2 * time.Second
-	// timingSlack is for steps of timers, for holds that end late (100 ms) and for what is under way on a busy machine.
+	// timingSlack covers the granularity of timers, leases that are seen to expire late (100 ms), and messages in
+	// flight on a busy machine.
 	timingSlack = 500 * time.Millisecond
-	// leaseTTLsPerStaleness is how many lives of a hold a picture may be old at most, where cancel_s allows it: a lead that
-	// follows slower than that is better handed on.
+	// leaseTTLsPerStaleness is the staleness bound in controller lease TTLs, where cancel_s allows it: a leader that
+	// follows the store more slowly should hand over.
 	leaseTTLsPerStaleness = 3
-	minControllerLeaseTTL = 2 * time.Second
-	maxControllerLeaseTTL = 6 * time.Second
+	// controllerTTLsPerWorkerLease is how many default controller lease TTLs fit in a worker's lease.
+	controllerTTLsPerWorkerLease = 3
+	minControllerLeaseTTL        = 2 * time.Second
+	maxControllerLeaseTTL        = 6 * time.Second
 )
 
-// maxStaleness is how old a picture may be for cancel_s; it is negative where there is no room at all.
-func (s *Settings) maxStaleness() time.Duration {
-	w := s.Params.Workers
-	return Seconds((w.CancelS-w.LeaseS*(1+clockDriftBound))*(1-clockDriftBound)) - DirectCommandTimeout - timingSlack
+// ControllerLeaseTTL returns how long a controller's lease at the state service lives without renewal.
+func (s *Settings) ControllerLeaseTTL() time.Duration {
+	return time.Duration(s.Operator.ControllerLeaseTTLMS) * time.Millisecond
 }
 
-// StalenessBound is how old the copy of the jobs may be on which this controller answers reports.
+// StalenessBound returns how old the copy of the jobs may be on which this controller answers heartbeats with 200.
 func (s *Settings) StalenessBound() time.Duration {
 	return min(leaseTTLsPerStaleness*s.ControllerLeaseTTL(), s.maxStaleness())
 }
 
-// defaultControllerLeaseTTL is the life of a hold where operators don't set it: a third of a worker's lease leaves room for a takeover
-// and a fenced report before any lease ends, and the picture on which a hold is used must be able to be as old as that.
+// maxStaleness returns how old a copy of the jobs may be for cancel_s; it is negative where nothing is left for it.
+func (s *Settings) maxStaleness() time.Duration {
+	workers := s.Params.Workers
+	leaseWithDriftS := workers.LeaseS * (1 + clockDriftBound)
+	remainingS := (workers.CancelS - leaseWithDriftS) * (1 - clockDriftBound)
+	return Seconds(remainingS) - DirectCommandTimeout - timingSlack
+}
+
+// defaultControllerLeaseTTL returns the TTL of a controller's lease where operators don't set it: a third of a
+// worker's lease leaves time for a failover and a fenced heartbeat before any worker's lease expires, and the copy of
+// the jobs must be allowed to be as old as a controller's lease.
 func (s *Settings) defaultControllerLeaseTTL() time.Duration {
-	return max(minControllerLeaseTTL, min(maxControllerLeaseTTL, Seconds(s.Params.Workers.LeaseS/3), s.maxStaleness().Truncate(time.Millisecond)))
+	ttl := min(
+		maxControllerLeaseTTL,
+		Seconds(s.Params.Workers.LeaseS/controllerTTLsPerWorkerLease),
+		s.maxStaleness().Truncate(time.Millisecond))
+	return max(minControllerLeaseTTL, ttl)
 }
 
 // checkTiming refuses settings under which a cancelled job's tasks could outlive cancel_s.
 func (s *Settings) checkTiming() error {
-	w, room := s.Params.Workers, s.maxStaleness()
-	if room < minControllerLeaseTTL {
-		return fmt.Errorf("setting \"params.workers.cancel_s\": %g s leave no room for a lease of %g s (\"lease_s\"): a hold of at least %v and %v for commands under way come on top, so at least %.1f s are needed",
-			w.CancelS, w.LeaseS, minControllerLeaseTTL, DirectCommandTimeout+timingSlack, w.LeaseS*(1+clockDriftBound)+(minControllerLeaseTTL+DirectCommandTimeout+timingSlack).Seconds()/(1-clockDriftBound))
+	workers := s.Params.Workers
+	maxStaleness := s.maxStaleness()
+	if maxStaleness < minControllerLeaseTTL {
+		forCommands := DirectCommandTimeout + timingSlack
+		neededS := workers.LeaseS*(1+clockDriftBound) +
+			(minControllerLeaseTTL+forCommands).Seconds()/(1-clockDriftBound)
+		return fmt.Errorf(
+			"setting \"params.workers.cancel_s\": %g s leave no room for a lease of %g s (\"lease_s\"): "+
+				"a hold of at least %v and %v for commands under way come on top, so at least %.1f s are needed",
+			workers.CancelS, workers.LeaseS, minControllerLeaseTTL, forCommands, neededS)
 	}
-	if s.ControllerLeaseTTL() > room {
-		return fmt.Errorf("setting \"hold_ttl_ms\": a hold of %v is too long for \"cancel_s\" %g and \"lease_s\" %g: at most %d",
-			s.ControllerLeaseTTL(), w.CancelS, w.LeaseS, room.Milliseconds())
+	if s.ControllerLeaseTTL() > maxStaleness {
+		return fmt.Errorf(
+			"setting \"hold_ttl_ms\": a hold of %v is too long for \"cancel_s\" %g and \"lease_s\" %g: at most %d",
+			s.ControllerLeaseTTL(), workers.CancelS, workers.LeaseS, maxStaleness.Milliseconds())
 	}
 	return nil
 }
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -7,23 +7,28 @@
 	"time"
 )
 
-func timed(t *testing.T, leaseS, cancelS float64, hcl string) (*Settings, error) {
+// parseWithTiming returns the settings for these times of the workers and these operators' settings.
+func parseWithTiming(t *testing.T, leaseS, cancelS float64, hcl string) (*Settings, error) {
 	t.Helper()
-	s, err := Parse([]byte(strings.Replace(settings, `"lease_s":19.0,"gang_wait_s":30.0,"gang_peer_s":5.0,"cancel_s":39.0`,
-		fmt.Sprintf(`"lease_s":%g,"gang_wait_s":30.0,"gang_peer_s":5.0,"cancel_s":%g`, leaseS, cancelS), 1)))
+	const timing = `"lease_s":%.1f,"gang_wait_s":30.0,"gang_peer_s":5.0,"cancel_s":%.1f`
+	changed := strings.Replace(platformJSON,
+		fmt.Sprintf(timing, 19.0, 39.0),
+		fmt.Sprintf(strings.ReplaceAll(timing, "%.1f", "%g"), leaseS, cancelS), 1)
+	s, err := Parse([]byte(changed))
 	if err == nil && hcl != "" {
 		err = s.ReadOperator("o.hcl", []byte(hcl))
 	}
 	return s, err
 }
 
-// For every lease and cancel_s the settings are refused by name, or the inequality holds for what is derived: an old picture, a
-// lease with its drift and the commands under way fit in cancel_s, and a hold fits in the picture.
-func TestCancelledIsGoneInTime(t *testing.T) {
+// For every lease and cancel_s the settings are refused by name, or the inequality holds for what is derived: the
+// staleness bound, a worker's lease with its drift and the commands in flight fit in cancel_s, and a controller's lease
+// fits in the staleness bound.
+func TestCancelledTasksAreGoneWithinCancelS(t *testing.T) {
 	refused := 0
 	for lease := 2.0; lease <= 90; lease += 4.25 {
 		for cancel := 1.0; cancel <= 150; cancel += 1.5 {
-			settings, err := timed(t, lease, cancel, "")
+			settings, err := parseWithTiming(t, lease, cancel, "")
 			if err != nil {
 				if refused++; !strings.Contains(err.Error(), `"params.workers.cancel_s"`) {
 					t.Fatal(err)
@@ -34,8 +39,10 @@
 				continue
 			}
 			worst := settings.StalenessBound() + Seconds(lease*1.0005) + 2*time.Second
-			if worst > Seconds(cancel*0.9995) || settings.StalenessBound() < settings.ControllerLeaseTTL() || settings.ControllerLeaseTTL() < 2*time.Second || settings.ControllerLeaseTTL() > 6*time.Second {
-				t.Errorf("lease %g, cancel %g: picture %v, hold %v, gone after %v", lease, cancel, settings.StalenessBound(), settings.ControllerLeaseTTL(), worst)
+			staleness, ttl := settings.StalenessBound(), settings.ControllerLeaseTTL()
+			if worst > Seconds(cancel*0.9995) || staleness < ttl || ttl < 2*time.Second || ttl > 6*time.Second {
+				t.Errorf("lease %g, cancel %g: staleness %v, controller lease %v, gone after %v",
+					lease, cancel, staleness, ttl, worst)
 			}
 		}
 	}
@@ -44,26 +51,37 @@
 	}
 }
 
-// What the users run starts, with the hold it had; a hold that operators set too long for cancel_s is refused by name.
-func TestHoldsAndCancel(t *testing.T) {
+// The deployed settings are accepted with the expected controller lease and staleness bound.
+func TestControllerLeaseOfDeployedSettings(t *testing.T) {
 	for _, c := range []struct {
-		lease, cancel float64
-		hold, picture time.Duration
+		lease, cancel  float64
+		ttl, staleness time.Duration
 	}{
 		{19, 39, 6 * time.Second, 17462 * time.Millisecond},
 		{26.5, 46.5, 6 * time.Second, 17454 * time.Millisecond},
 		{30, 60, 6 * time.Second, 18 * time.Second},
 		{20, 26, 3474 * time.Millisecond, 3474 * time.Millisecond},
 	} {
-		settings, err := timed(t, c.lease, c.cancel, "")
-		if err != nil || settings.ControllerLeaseTTL() != c.hold || settings.StalenessBound().Round(10*time.Millisecond) != c.picture.Round(10*time.Millisecond) {
-			t.Errorf("%+v: %v, hold %v, picture %v", c, err, settings.ControllerLeaseTTL(), settings.StalenessBound())
+		settings, err := parseWithTiming(t, c.lease, c.cancel, "")
+		if err != nil {
+			t.Errorf("%+v: %v", c, err)
+			continue
+		}
+		staleness := settings.StalenessBound()
+		const tolerance = 10 * time.Millisecond
+		if settings.ControllerLeaseTTL() != c.ttl || staleness.Round(tolerance) != c.staleness.Round(tolerance) {
+			t.Errorf("%+v: controller lease %v, staleness bound %v", c, settings.ControllerLeaseTTL(), staleness)
 		}
 	}
-	if _, err := timed(t, 19, 39, "hold_ttl_ms = 17000\n"); err != nil {
+}
+
+// A controller lease that operators set too long for cancel_s is refused by name, with the longest that is accepted.
+func TestTooLongControllerLeaseIsRefused(t *testing.T) {
+	if _, err := parseWithTiming(t, 19, 39, "hold_ttl_ms = 17000\n"); err != nil {
 		t.Error(err)
 	}
-	if _, err := timed(t, 19, 39, "hold_ttl_ms = 18000\n"); err == nil || !strings.Contains(err.Error(), `"hold_ttl_ms"`) || !strings.Contains(err.Error(), "at most 174") {
+	_, err := parseWithTiming(t, 19, 39, "hold_ttl_ms = 18000\n")
+	if err == nil || !strings.Contains(err.Error(), `"hold_ttl_ms"`) || !strings.Contains(err.Error(), "at most 174") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -2,35 +2,56 @@
 
 import "time"
 
-// ZoneSettings say how a zone that was lost comes back, in HCL: zones { ... }.
+// ZoneSettings sets how a lost zone's return is handled, in HCL: zones { ... }.
 type ZoneSettings struct {
-	// PatienceS is how long machines that are not heard are kept once their zone returns; 0: twice silent_s.
-	PatienceS float64 `hcl:"patience_s,optional" validate:"gte=0"`
-	// ProveS is how long a zone has to stay before it counts as well, doubled with each flap; 0: two reports.
-	ProveS float64 `hcl:"prove_s,optional" validate:"gte=0"`
-	// CalmS is how long makes up for one flap; 0: ten leases.
-	CalmS float64 `hcl:"calm_s,optional" validate:"gte=0"`
+	// ReturnGraceS is how long machines without heartbeats are kept once their zone returns, in seconds; 0: twice
+	// silent_s.
+	ReturnGraceS float64 `hcl:"patience_s,optional" validate:"gte=0"`
+	// ProbationS is how long a returned zone has to stay reachable before it is healthy, in seconds, doubled with
+	// each flap; 0: two heartbeats.
+	ProbationS float64 `hcl:"prove_s,optional" validate:"gte=0"`
+	// FlapForgivenessS is the healthy time that makes up for one flap, in seconds; 0: ten leases.
+	FlapForgivenessS float64 `hcl:"calm_s,optional" validate:"gte=0"`
 }
 
-// Zones is how zones are judged here.
-type Zones struct{ ReturnGrace, ProbationTime, FlapForgiveness, MaxProbation time.Duration }
+// Zones holds the times of zone health. The fields are those of zones.Config.
+type Zones struct {
+	ReturnGrace     time.Duration
+	ProbationTime   time.Duration
+	FlapForgiveness time.Duration
+	MaxProbation    time.Duration
+}
 
-// maxProbation is how long room may be kept from work that fits, by any one cause that can be bounded at will: with what a start
-// takes besides, no job waits 90 s beside room.
+// maxProbation bounds how long a zone on probation may keep capacity from work that fits. Together with the time that
+// a start takes, no job waits 90 s while fitting capacity is free.
 const maxProbation = 45 * time.Second
 
-// Zones derives it from the operators' settings and the workers' times.
+// Defaults of ZoneSettings.
+const (
+	returnGraceTimeouts  = 2  // times silent_s
+	probationHeartbeats  = 2  // times report_s
+	flapForgivenessLease = 10 // times lease_s
+)
+
+// Zones returns the times of zone health, from the operators' settings and the workers' timing.
 func (s *Settings) Zones() Zones {
-	var o ZoneSettings
+	var operator ZoneSettings
 	if s.Operator.Zones != nil {
-		o = *s.Operator.Zones
+		operator = *s.Operator.Zones
+	}
+	workers := s.Params.Workers
+	return Zones{
+		ReturnGrace:     durationOr(operator.ReturnGraceS, Seconds(returnGraceTimeouts*s.Operator.MachineUnheardTimeoutS)),
+		ProbationTime:   durationOr(operator.ProbationS, Seconds(probationHeartbeats*workers.ReportS)),
+		FlapForgiveness: durationOr(operator.FlapForgivenessS, Seconds(flapForgivenessLease*workers.LeaseS)),
+		MaxProbation:    maxProbation,
 	}
-	pick := func(given, otherwise float64) time.Duration {
-		if given > 0 {
-			return Seconds(given)
-		}
-		return Seconds(otherwise)
+}
+
+// durationOr returns a setting in seconds as a duration, or the fallback if it is 0, which means that it isn't set.
+func durationOr(seconds float64, fallback time.Duration) time.Duration {
+	if seconds == 0 {
+		return fallback
 	}
-	w := s.Params.Workers
-	return Zones{ReturnGrace: pick(o.PatienceS, 2*s.Operator.MachineUnheardTimeoutS), ProbationTime: pick(o.ProveS, 2*w.ReportS), FlapForgiveness: pick(o.CalmS, 10*w.LeaseS), MaxProbation: maxProbation}
+	return Seconds(seconds)
 }
