--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -17,6 +17,8 @@
 	NotFound
 	// Conflict: the state has changed, or rules the request out (409).
 	Conflict
+	// Gone: what the request names has ended for good (410).
+	Gone
 	// Unprocessable: the job is well-formed but can never run here (422).
 	Unprocessable
 	// TooManyRequests: this controller can serve the request later (429).
@@ -32,6 +34,7 @@
 	Forbidden:       http.StatusForbidden,
 	NotFound:        http.StatusNotFound,
 	Conflict:        http.StatusConflict,
+	Gone:            http.StatusGone,
 	Unprocessable:   http.StatusUnprocessableEntity,
 	TooManyRequests: http.StatusTooManyRequests,
 	Unavailable:     http.StatusServiceUnavailable,
@@ -40,16 +43,6 @@
 // defaultRetryAfter is the Retry-After of a refusal, in seconds, where no better estimate exists.
 const defaultRetryAfter = 1
 
-// RefusalKindOf returns the kind of an HTTP status, and Unavailable for a status that no kind has.
-func RefusalKindOf(status int) RefusalKind {
-	for kind, kindStatus := range statusByKind {
-		if kindStatus == status {
-			return RefusalKind(kind)
-		}
-	}
-	return Unavailable
-}
-
 // errorBody is the body of every refusal.
 type errorBody struct {
 	Error string `json:"error"`
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -66,6 +67,37 @@
 	late    []func() // writes whose answer is lost and that have not landed yet
 }
 
+// outcome is the outcome of a user's request: accepted, or the reason of its refusal.
+type outcome string
+
+const (
+	noReply  outcome = "no reply"
+	created  outcome = "created"
+	accepted outcome = "accepted"
+)
+
+var (
+	forbidden   = outcome(NotAuthorized.String())
+	conflict    = outcome(Conflict.String())
+	ended       = outcome(Ended.String())
+	tooFrequent = outcome(TooFrequent.String())
+	unavailable = outcome(Unavailable.String())
+)
+
+func outcomeOf(result Result, err error) outcome {
+	var refusal *Error
+	switch {
+	case errors.As(err, &refusal):
+		return outcome(refusal.Reason.String())
+	case err != nil:
+		return outcome("untyped error: " + err.Error())
+	case result.Created:
+		return created
+	default:
+		return accepted
+	}
+}
+
 type fataler interface {
 	Fatalf(string, ...any)
 	Helper()
@@ -119,7 +151,7 @@
 		OnJobRecord: func(_ time.Duration, item store.Item) {
 			_, _, _ = d.book.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
 		},
-		Task: func(*jobs.Job) Task {
+		TaskOf: func(*jobs.Job) Task {
 			if d.nb == nil {
 				return Task{}
 			}
@@ -228,10 +260,10 @@
 func (d *desk) open() {
 	d.t.Helper()
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
-	status := 0
-	d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, func(a Answer) { status = a.Status })
-	if d.settle(0); status != 201 {
-		d.t.Fatalf("status %d", status)
+	status := noReply
+	d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, func(r Result, err error) { status = outcomeOf(r, err) })
+	if d.settle(0); status != created {
+		d.t.Fatalf("%s", status)
 	}
 }
 
@@ -257,9 +289,9 @@
 // deliver hands a report to the controller; its answer reaches the agent unless it is lost or
 // the agent has gone on.
 func (d *desk) deliver(r Heartbeat, lost bool) {
-	o, ok, _ := d.m.Heartbeat(d.now, id, "agent", r)
+	o, err := d.m.HandleHeartbeat(d.now, id, "agent", r)
 	n := d.nb
-	if !ok || lost || n == nil || n.attempt != r.Attempt || n.seq != r.Seq {
+	if err != nil || lost || n == nil || n.attempt != r.Attempt || n.seq != r.Seq {
 		return
 	}
 	n.kept = o.CheckpointRef
@@ -331,7 +363,7 @@
 			d.nb.input = d.now
 			d.nb.work++
 		}
-		attach := func(*rapid.T) { d.m.Attach(d.now, id, "user", func(Answer) {}) }
+		attach := func(*rapid.T) { d.m.Attach(d.now, id, "user", func(Result, error) {}) }
 		report := func(t *rapid.T) {
 			if d.nb == nil {
 				t.Skip("no agent")
@@ -441,13 +473,13 @@
 		if r.Checkpoint != nil && r.Reclaimed {
 			had = d.saves[r.Checkpoint.Ref]
 		}
-		status := 0
+		status := noReply
 		for range 5 {
-			d.m.Attach(d.now, id, "user", func(a Answer) { status = a.Status })
+			d.m.Attach(d.now, id, "user", func(r Result, err error) { status = outcomeOf(r, err) })
 			d.talk(3 * time.Second)
 		}
-		if status != 200 || d.state() != Active || d.nb == nil || d.nb.frozen {
-			t.Fatalf("status %d, %s, notebook %+v", status, d.state(), d.nb)
+		if status != accepted || d.state() != Active || d.nb == nil || d.nb.frozen {
+			t.Fatalf("%s, %s, notebook %+v", status, d.state(), d.nb)
 		}
 		if had >= 0 {
 			if resumed++; d.nb.work != had {
@@ -489,7 +521,7 @@
 		t.Fatalf("the task is still there: %+v", d.nb)
 	}
 	d.talk(time.Hour)
-	d.m.Attach(d.now, id, "user", func(a Answer) {})
+	d.m.Attach(d.now, id, "user", func(Result, error) {})
 	d.settle(0)
 	want(Opening)
 	d.talk(3 * time.Second)
@@ -607,7 +639,7 @@
 	d.talk(96 * time.Second)
 	for d.state() != Checkpointing {
 		d.pass(time.Second)
-		_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
+		_, _ = d.m.HandleHeartbeat(d.now, id, "agent", d.report())
 	}
 	if d.pass(9 * time.Second); d.state() != Idle || d.parks > 0 {
 		t.Fatalf("%s after a save that takes too long", d.state())
@@ -619,14 +651,14 @@
 				t.Fatal("never tried again")
 			}
 			d.pass(time.Second)
-			_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
+			_, _ = d.m.HandleHeartbeat(d.now, id, "agent", d.report())
 		}
 		if wait := d.now - from; wait < time.Duration(10<<try)*time.Second {
 			t.Fatalf("tried again after %v", wait)
 		}
 		r := d.report()
-		r.Checkpoint = &CheckpointResult{Order: d.m.byID[id].checkpointOrder, Cause: "disk full"}
-		if _, _, _ = d.m.Heartbeat(d.now, id, "agent", r); d.state() != Idle {
+		r.Checkpoint = &CheckpointResult{Order: d.m.byID[id].reclaim.checkpointOrder, Cause: "disk full"}
+		if _, _ = d.m.HandleHeartbeat(d.now, id, "agent", r); d.state() != Idle {
 			t.Fatalf("%s after a save that failed", d.state())
 		}
 	}
@@ -644,7 +676,7 @@
 			t.Fatal("never saved")
 		}
 		d.pass(time.Second)
-		_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
+		_, _ = d.m.HandleHeartbeat(d.now, id, "agent", d.report())
 	}
 	return d
 }
@@ -655,10 +687,10 @@
 func TestReturnWhileSaving(t *testing.T) {
 	d := saving(t)
 	d.pass(time.Second)
-	back := 0
-	d.m.Attach(d.now, id, "user", func(a Answer) { back = a.Status })
-	if back != 200 || d.state() != Active {
-		t.Fatalf("status %d, %s", back, d.state())
+	back := noReply
+	d.m.Attach(d.now, id, "user", func(r Result, err error) { back = outcomeOf(r, err) })
+	if back != accepted || d.state() != Active {
+		t.Fatalf("%s, %s", back, d.state())
 	}
 	d.nb.frozen, d.nb.fresh = true, false // the order reached it before
 	if d.deliver(d.report(), false); d.nb.frozen || d.parks > 0 {
@@ -674,14 +706,14 @@
 	if d.deliver(d.report(), false); !d.nb.frozen {
 		t.Fatal("thawed while its reclaim is being written")
 	}
-	back = 0
-	d.m.Attach(d.now, id, "user", func(a Answer) { back = a.Status })
-	if back != 0 {
-		t.Fatalf("status %d while the reclaim is open", back)
+	back = noReply
+	d.m.Attach(d.now, id, "user", func(r Result, err error) { back = outcomeOf(r, err) })
+	if back != noReply {
+		t.Fatalf("%s while the reclaim is open", back)
 	}
 	d.settle(0)
-	if back != 200 || d.state() != Opening || d.parked {
-		t.Fatalf("status %d, %s, parked %v", back, d.state(), d.parked)
+	if back != accepted || d.state() != Opening || d.parked {
+		t.Fatalf("%s, %s, parked %v", back, d.state(), d.parked)
 	}
 	if d.deliver(d.report(), false); !d.nb.frozen {
 		t.Fatal("the process that is being stopped was thawed")
@@ -742,10 +774,10 @@
 	d.rev++
 	d.kv[archive.Key(id)] = store.Item{Key: archive.Key(id), Value: archive.Encode(archive.Answer{State: jobs.Done, Tasks: 1, Done: 1}), Version: d.rev}
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
-	status := 0
-	d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, func(a Answer) { status = a.Status })
-	if d.settle(0); status != 409 || d.kv[jobs.RecordKey(id)].Version != 0 || d.m.Exists(id) {
-		t.Errorf("status %d, the job's record at version %d", status, d.kv[jobs.RecordKey(id)].Version)
+	status := noReply
+	d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest("user"), AgentTokenDigest: TokenDigest("agent")}, func(r Result, err error) { status = outcomeOf(r, err) })
+	if d.settle(0); status != conflict || d.kv[jobs.RecordKey(id)].Version != 0 || d.m.Exists(id) {
+		t.Errorf("%s, the job's record at version %d", status, d.kv[jobs.RecordKey(id)].Version)
 	}
 }
 
@@ -753,22 +785,22 @@
 func TestOpeningLandsLate(t *testing.T) {
 	d := newDesk(t, policies(t))
 	spec := &jobs.Spec{ID: id, Class: "c", Team: "t", Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
-	open := func(token string) (status int) {
-		d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest(token), AgentTokenDigest: TokenDigest("agent")}, func(a Answer) { status = a.Status })
+	open := func(token string) (status outcome) {
+		d.m.Open(d.now, &Request{Spec: spec, User: "kana", UserTokenDigest: TokenDigest(token), AgentTokenDigest: TokenDigest("agent")}, func(r Result, err error) { status = outcomeOf(r, err) })
 		d.settle(3)
 		return status
 	}
-	if s := open("user"); s != 503 {
-		t.Fatalf("status %d for a write that was lost", s)
+	if s := open("user"); s != unavailable {
+		t.Fatalf("%s for a write that was lost", s)
 	}
 	d.land()
 	item := d.kv[jobs.RecordKey(id)]
 	_, _, _ = d.book.Apply(id, item.Value, item.Version) // as its follow brings it
-	if s := open("another"); s != 409 {
-		t.Fatalf("status %d for another's id", s)
+	if s := open("another"); s != conflict {
+		t.Fatalf("%s for another's id", s)
 	}
-	if s := open("user"); s != 200 || d.state() != Opening {
-		t.Fatalf("status %d, %s for the user's retry", s, d.state())
+	if s := open("user"); s != accepted || d.state() != Opening {
+		t.Fatalf("%s, %s for the user's retry", s, d.state())
 	}
 }
 
@@ -792,14 +824,14 @@
 		sv := *r.Checkpoint
 		r.Checkpoint = &sv
 		change(d, &r)
-		_, _, _ = d.m.Heartbeat(d.now, id, "agent", r)
+		_, _ = d.m.HandleHeartbeat(d.now, id, "agent", r)
 		if d.settle(0); d.parks > 0 || d.state() == Reclaimed {
 			t.Errorf("reclaimed in spite of %s", name)
 		}
 	}
 	d := saving(t)
 	d.deliver(d.report(), false)
-	_, _, _ = d.m.Heartbeat(d.now, id, "agent", d.report())
+	_, _ = d.m.HandleHeartbeat(d.now, id, "agent", d.report())
 	if d.settle(0); d.parks != 1 {
 		t.Fatalf("%s without any of these", d.state())
 	}
@@ -811,47 +843,57 @@
 	d.open()
 	d.start()
 	d.talk(2 * time.Second)
-	var first, second, wrong Answer
-	d.m.Attach(d.now, id, "user", func(a Answer) { first = a })
-	d.m.Attach(d.now, id, "user", func(a Answer) { second = a })
-	d.m.Attach(d.now, id, "agent", func(a Answer) { wrong = a })
-	if first.Status != 200 || second.Status != 200 || wrong.Status != 403 {
-		t.Fatalf("attached with %d, %d, and another's token %d", first.Status, second.Status, wrong.Status)
-	}
-	if a := d.m.KeepAlive(d.now, id, "user", first.View.AttachmentID); a.Status != 409 {
-		t.Fatalf("the earlier of two attaches keeps it alive: %+v", a)
+	var first, second Result
+	errNoReply := errors.New("no reply")
+	firstErr, secondErr, wrongErr := errNoReply, errNoReply, errNoReply
+	d.m.Attach(d.now, id, "user", func(r Result, err error) { first, firstErr = r, err })
+	d.m.Attach(d.now, id, "user", func(r Result, err error) { second, secondErr = r, err })
+	d.m.Attach(d.now, id, "agent", func(_ Result, err error) { wrongErr = err })
+	if outcomeOf(first, firstErr) != accepted ||
+		outcomeOf(second, secondErr) != accepted ||
+		outcomeOf(Result{}, wrongErr) != forbidden {
+		t.Fatalf("attached with %v, %v, and another's token %v", firstErr, secondErr, wrongErr)
+	}
+	if got := outcomeOf(d.m.KeepAlive(d.now, id, "user", first.View.AttachmentID)); got != conflict {
+		t.Fatalf("the earlier of two attaches keeps it alive: %s", got)
 	}
 	taken := 0
 	for range 1000 {
-		if d.m.KeepAlive(d.now, id, "user", second.View.AttachmentID).Status == 200 {
+		switch got := outcomeOf(d.m.KeepAlive(d.now, id, "user", second.View.AttachmentID)); got {
+		case accepted:
 			taken++
+		case tooFrequent:
+		default:
+			t.Fatalf("a keep-alive ends with %s", got)
 		}
 	}
 	if taken != 1 {
 		t.Fatalf("%d of 1000 keep-alives of an instant were taken", taken)
 	}
-	if a, b := d.m.KeepAlive(d.now, "req-000002", "user", 0), d.m.KeepAlive(d.now, id, "guess", 0); a.Status != 403 || a.Why != b.Why {
-		t.Fatalf("an unknown session is told from another's: %q, %q", a.Why, b.Why)
+	_, unknownErr := d.m.KeepAlive(d.now, "req-000002", "user", 0)
+	_, guessErr := d.m.KeepAlive(d.now, id, "guess", 0)
+	if outcomeOf(Result{}, unknownErr) != forbidden || guessErr == nil || unknownErr.Error() != guessErr.Error() {
+		t.Fatalf("an unknown session is told from another's: %v, %v", unknownErr, guessErr)
 	}
-	if _, ok, _ := d.m.Heartbeat(d.now, id, "user", d.report()); ok {
-		t.Fatal("the user's token speaks for the agent")
+	if _, err := d.m.HandleHeartbeat(d.now, id, "user", d.report()); outcomeOf(Result{}, err) != forbidden {
+		t.Fatalf("the user's token speaks for the agent: %v", err)
 	}
-	open := func(n int, user, team string) (status int) {
+	open := func(n int, user, team string) (status outcome) {
 		spec := &jobs.Spec{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: team, Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i"}
-		d.m.Open(d.now, &Request{Spec: spec, User: user, UserTokenDigest: TokenDigest("a"), AgentTokenDigest: TokenDigest("b")}, func(a Answer) { status = a.Status })
+		d.m.Open(d.now, &Request{Spec: spec, User: user, UserTokenDigest: TokenDigest("a"), AgentTokenDigest: TokenDigest("b")}, func(r Result, err error) { status = outcomeOf(r, err) })
 		return status
 	}
 	open(2, "kana", "t")
-	if s := open(3, "kana", "u"); s != 409 {
-		t.Fatalf("status %d for a user's third, with one still being written", s)
+	if s := open(3, "kana", "u"); s != conflict {
+		t.Fatalf("%s for a user's third, with one still being written", s)
 	}
 	open(4, "ren", "t")
 	d.settle(0)
-	if s := open(5, "mio", "t"); s != 409 {
-		t.Fatalf("status %d for a team's fourth", s)
+	if s := open(5, "mio", "t"); s != conflict {
+		t.Fatalf("%s for a team's fourth", s)
 	}
-	if s := open(1, "kana", "t"); s != 409 {
-		t.Fatalf("status %d for another's id", s)
+	if s := open(1, "kana", "t"); s != conflict {
+		t.Fatalf("%s for another's id", s)
 	}
 }
 
@@ -937,6 +979,22 @@
 	}
 }
 
+// A session whose job has ended otherwise can't be attached to, now or later.
+func TestAttachAfterTheJobEnded(t *testing.T) {
+	d := newDesk(t, policies(t))
+	d.open()
+	job := d.book.Get(id)
+	d.rev++
+	if _, _, err := d.book.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, job.Spec), d.rev); err != nil {
+		t.Fatal(err)
+	}
+	status := noReply
+	d.m.Attach(d.now, id, "user", func(r Result, err error) { status = outcomeOf(r, err) })
+	if status != ended {
+		t.Fatalf("%s for a session whose job has ended", status)
+	}
+}
+
 // Closing is final and leaves no record; a session whose job was cancelled otherwise goes too.
 func TestClose(t *testing.T) {
 	for _, otherwise := range []bool{false, true} {
@@ -951,14 +1009,14 @@
 			d.pass(time.Minute)
 			d.settle(0)
 		} else {
-			status := 0
-			d.m.Close(d.now, id, "guess", func(a Answer) { status = a.Status })
-			if status != 403 {
-				t.Fatalf("status %d for another's token", status)
+			status := noReply
+			d.m.Close(id, "guess", func(r Result, err error) { status = outcomeOf(r, err) })
+			if status != forbidden {
+				t.Fatalf("%s for another's token", status)
 			}
-			d.m.Close(d.now, id, "user", func(a Answer) { status = a.Status })
-			if d.settle(0); status != 200 || d.book.Get(id).State != jobs.Cancelled {
-				t.Fatalf("status %d, job %s", status, d.book.Get(id).State)
+			d.m.Close(id, "user", func(r Result, err error) { status = outcomeOf(r, err) })
+			if d.settle(0); status != accepted || d.book.Get(id).State != jobs.Cancelled {
+				t.Fatalf("%s, job %s", status, d.book.Get(id).State)
 			}
 		}
 		if d.state() != Closed || d.kv[Key(id)].Version != 0 || d.m.sessionsByUser["kana"] != 0 || d.m.sessionsByTeam["t"] != 0 {
@@ -973,7 +1031,7 @@
 	p.MaxPerUser, p.MaxPerTeam, p.Default.IdleLimit = 0, 0, time.Hour
 	m := New(Env{
 		Policies: p, Jobs: jobs.NewTable(0), Wall: func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
-		Task: func(*jobs.Job) Task { return Task{On: true} }, Now: func() time.Duration { return 0 },
+		TaskOf: func(*jobs.Job) Task { return Task{On: true} }, Now: func() time.Duration { return 0 },
 		WaitingFor: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) },
 	}, 1)
 	const n = 10_000
@@ -1002,8 +1060,9 @@
 		}
 		for range n / 5 {
 			k++
-			if _, ok, why := m.Heartbeat(now, ids[k%n], "agent", Heartbeat{Attempt: 1, Seq: uint64(k/n + 1), SinceInputS: float64(k % 3600)}); !ok {
-				b.Fatal(why)
+			heartbeat := Heartbeat{Attempt: 1, Seq: uint64(k/n + 1), SinceInputS: float64(k % 3600)}
+			if _, err := m.HandleHeartbeat(now, ids[k%n], "agent", heartbeat); err != nil {
+				b.Fatal(err)
 			}
 		}
 	}
--- a/internal/sessions/queue.go
+++ b/internal/sessions/queue.go
@@ -5,15 +5,20 @@
 	"time"
 )
 
-// queue holds sessions by when they are to be looked at next, so that a tick costs nothing for
-// those that are not due.
+// queue is a heap of sessions by when they are next due, so that a tick costs nothing for those that aren't due.
 type queue []*session
 
-func (q queue) Len() int           { return len(q) }
+// Len implements heap.Interface.
+func (q queue) Len() int { return len(q) }
+
+// Less implements heap.Interface.
 func (q queue) Less(a, b int) bool { return q[a].dueAt < q[b].dueAt }
+
+// Swap implements heap.Interface.
 func (q queue) Swap(a, b int) {
 	q[a], q[b] = q[b], q[a]
-	q[a].queueIndex, q[b].queueIndex = a, b
+	q[a].queueIndex = a
+	q[b].queueIndex = b
 }
 
 // Push implements heap.Interface.
@@ -26,16 +31,17 @@
 // Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
-	s := old[len(old)-1]
-	old[len(old)-1] = nil
-	*q = old[:len(old)-1]
+	last := len(old) - 1
+	s := old[last]
+	old[last] = nil
+	*q = old[:last]
 	s.queueIndex = -1
 	return s
 }
 
-// schedule has a session looked at, at the latest, at a time.
-func (q *queue) schedule(s *session, due time.Duration) {
-	s.dueAt = due
+// schedule makes a session due at a time, instead of at its earlier one.
+func (q *queue) schedule(s *session, dueAt time.Duration) {
+	s.dueAt = dueAt
 	if s.queueIndex < 0 {
 		heap.Push(q, s)
 	} else {
@@ -43,6 +49,7 @@
 	}
 }
 
+// remove removes a session if it is queued.
 func (q *queue) remove(s *session) {
 	if s.queueIndex >= 0 {
 		heap.Remove(q, s.queueIndex)
--- /dev/null
+++ b/internal/sessions/rule.go
@@ -0,0 +1,137 @@
+package sessions
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/expr-lang/expr"
+	"github.com/expr-lang/expr/ast"
+	"github.com/expr-lang/expr/parser"
+	"github.com/expr-lang/expr/vm"
+)
+
+// Activity is the input of an idle rule. Times are in seconds.
+type Activity struct {
+	SinceInputS  float64 `expr:"input_s"`    // since the user's last input
+	SinceAttachS float64 `expr:"attached_s"` // since the user's last attach, keep-alive or input
+	CellRunning  bool    `expr:"cell"`
+	CellRunningS float64 `expr:"cell_s"`
+	CPU          float64 `expr:"cpu"` // cores in use
+	GPU          float64 `expr:"gpu"` // accelerators in use
+	UnsavedMB    float64 `expr:"unsaved_mb"`
+	SinceOpenS   float64 `expr:"open_s"`
+	Team         string  `expr:"team"`
+	User         string  `expr:"user"`
+}
+
+// maxRuleNodes bounds an expression's size. It has no loops, so its cost follows its size.
+const maxRuleNodes = 64
+
+// Rule is a compiled expression that is true for an idle session.
+type Rule struct {
+	text      string
+	program   *vm.Program
+	conjuncts []conjunct // joined by &&, to explain which of them isn't met
+}
+
+type conjunct struct {
+	text    string
+	program *vm.Program
+}
+
+// restrictionVisitor finds operators and nodes that could run for long or hide their cost.
+type restrictionVisitor struct{ err error }
+
+// Visit implements ast.Visitor.
+func (v *restrictionVisitor) Visit(node *ast.Node) {
+	switch n := (*node).(type) {
+	case *ast.BinaryNode:
+		switch n.Operator {
+		case "..", "**", "^", "matches":
+			v.err = fmt.Errorf("operator %q is not allowed here", n.Operator)
+		}
+	case *ast.BuiltinNode, *ast.CallNode, *ast.PredicateNode, *ast.VariableDeclaratorNode, *ast.SequenceNode:
+		v.err = fmt.Errorf("functions, loops and variables are not allowed here: %s", (*node).String())
+	}
+}
+
+// CompileRule checks and compiles an expression. Its errors begin with the position of the expression in the settings.
+func CompileRule(text, position string) (*Rule, error) {
+	rule, err := compileRule(text)
+	if err != nil {
+		// The library's errors draw the position over several lines; the first line has the cause.
+		cause, _, _ := strings.Cut(err.Error(), "\n")
+		return nil, fmt.Errorf("%s: idle = %q: %s", position, text, cause)
+	}
+	return rule, nil
+}
+
+func compileRule(text string) (*Rule, error) {
+	tree, err := parser.Parse(text)
+	if err != nil {
+		return nil, err
+	}
+	restrictions := &restrictionVisitor{}
+	ast.Walk(&tree.Node, restrictions)
+	if restrictions.err != nil {
+		return nil, restrictions.err
+	}
+	rule := &Rule{text: text}
+	if rule.program, err = compileExpression(text); err != nil {
+		return nil, err
+	}
+	for _, part := range splitConjuncts(tree.Node, nil) {
+		program, err := compileExpression(part)
+		if err != nil {
+			return nil, err
+		}
+		rule.conjuncts = append(rule.conjuncts, conjunct{text: part, program: program})
+	}
+	return rule, nil
+}
+
+func compileExpression(text string) (*vm.Program, error) {
+	return expr.Compile(
+		text,
+		expr.Env(Activity{}),
+		expr.AsBool(),
+		expr.DisableAllBuiltins(),
+		expr.MaxNodes(maxRuleNodes),
+	)
+}
+
+// splitConjuncts appends the expressions that a node joins by && to a list.
+func splitConjuncts(node ast.Node, conjuncts []string) []string {
+	binary, ok := node.(*ast.BinaryNode)
+	if ok && (binary.Operator == "&&" || binary.Operator == "and") {
+		return splitConjuncts(binary.Right, splitConjuncts(binary.Left, conjuncts))
+	}
+	return append(conjuncts, node.String())
+}
+
+// Idle reports whether a session is idle. A session with a running cell never is, whatever the rule, nor is one for
+// which the rule can't be evaluated.
+func (r *Rule) Idle(activity Activity) bool {
+	if activity.CellRunning {
+		return false
+	}
+	value, err := vm.Run(r.program, activity)
+	idle, ok := value.(bool)
+	return err == nil && ok && idle
+}
+
+// UnmetConditions returns the parts of the rule that aren't met, as text for users.
+func (r *Rule) UnmetConditions(activity Activity) []string {
+	var unmet []string
+	if activity.CellRunning {
+		runningFor := seconds(activity.CellRunningS).Round(time.Second)
+		unmet = append(unmet, fmt.Sprintf("a cell has been running for %s", runningFor))
+	}
+	for _, part := range r.conjuncts {
+		if value, err := vm.Run(part.program, activity); err != nil || value != true {
+			unmet = append(unmet, fmt.Sprintf("%s is not met", part.text))
+		}
+	}
+	return unmet
+}
