--- a/internal/sessions/explain.go
+++ b/internal/sessions/explain.go
@@ -19,7 +19,8 @@
 
 // in describes a later time, from now and by the time of day.
 func (e *explanation) in(at time.Duration) string {
-	return fmt.Sprintf("in %s, at %s", wholeSeconds(max(0, at-e.now)), e.wall.Add(at-e.now).UTC().Format("15:04:05 MST"))
+	timeOfDay := e.wall.Add(at - e.now).UTC().Format("15:04:05 MST")
+	return fmt.Sprintf("in %s, at %s", wholeSeconds(max(0, at-e.now)), timeOfDay)
 }
 
 // withoutIn is in without its first word.
