--- a/cmd/harewalk/token.go
+++ b/cmd/harewalk/token.go
@@ -20,10 +20,7 @@
 			"settings), which holds the token's SHA-256 sum only. Controllers take a changed file over within seconds.",
 		Example: "  harewalk token new ada --team vision\n  harewalk token new night-shift --operator",
 		RunE: func(c *cobra.Command, args []string) error {
-			token, sum, err := access.NewToken()
-			if err != nil {
-				return coded{exitFailed, err}
-			}
+			token, sum := access.NewToken()
 			var b strings.Builder
 			fmt.Fprintf(&b, "%s\n\nuser %q {\n  tokens_sha256 = [%q]\n", token, args[0], sum)
 			if len(teams) > 0 {
--- a/internal/access/accesstest/accesstest.go
+++ b/internal/access/accesstest/accesstest.go
@@ -16,45 +16,82 @@
 	"time"
 )
 
-// Files are a certificate, its key and its authority.
+// validity is how long the certificates are valid.
+const validity = 24 * time.Hour
+
+// Files holds the paths of a certificate, its key and its authority, in PEM.
 type Files struct{ Cert, Key, CA string }
 
-// Write writes files of a new authority with a certificate for names and this machine, over those
-// that may be there.
+// Write creates an authority and a certificate of it for the names and for the loopback address, and writes them to a
+// directory. Existing files are replaced, each at once.
 func Write(t *testing.T, dir string, names ...string) Files {
 	t.Helper()
-	f := Files{filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"), filepath.Join(dir, "ca.pem")}
-	must := func(err error) {
-		t.Helper()
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
-	put := func(name, kind string, der []byte) {
-		must(os.WriteFile(name+".new", pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
-		must(os.Rename(name+".new", name))
-	}
-	caKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	must(err)
-	ca := &x509.Certificate{
-		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test authority"}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
-	}
-	caDER, err := x509.CreateCertificate(rand.Reader, ca, ca, &caKey.PublicKey, caKey)
-	must(err)
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	must(err)
-	leaf := &x509.Certificate{
-		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "test"}, NotBefore: ca.NotBefore, NotAfter: ca.NotAfter, DNSNames: names,
-		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
-	}
-	der, err := x509.CreateCertificate(rand.Reader, leaf, ca, &key.PublicKey, caKey)
-	must(err)
+	files := Files{
+		Cert: filepath.Join(dir, "cert.pem"),
+		Key:  filepath.Join(dir, "key.pem"),
+		CA:   filepath.Join(dir, "ca.pem"),
+	}
+	notBefore := time.Now().Add(-time.Hour)
+	notAfter := time.Now().Add(validity)
+	authority := &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: "test authority"},
+		NotBefore:             notBefore,
+		NotAfter:              notAfter,
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
+	}
+	certificate := &x509.Certificate{
+		SerialNumber: big.NewInt(2),
+		Subject:      pkix.Name{CommonName: "test"},
+		NotBefore:    notBefore,
+		NotAfter:     notAfter,
+		DNSNames:     names,
+		IPAddresses:  []net.IP{net.IPv4(127, 0, 0, 1)},
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
+	authorityKey := newKey(t)
+	key := newKey(t)
 	keyDER, err := x509.MarshalECPrivateKey(key)
-	must(err)
-	put(f.Cert, "CERTIFICATE", der)
-	put(f.Key, "EC PRIVATE KEY", keyDER)
-	put(f.CA, "CERTIFICATE", caDER)
-	return f
+	if err != nil {
+		t.Fatal(err)
+	}
+	writePEM(t, files.Cert, "CERTIFICATE", sign(t, certificate, authority, key, authorityKey))
+	writePEM(t, files.Key, "EC PRIVATE KEY", keyDER)
+	writePEM(t, files.CA, "CERTIFICATE", sign(t, authority, authority, authorityKey, authorityKey))
+	return files
+}
+
+func newKey(t *testing.T) *ecdsa.PrivateKey {
+	t.Helper()
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return key
+}
+
+// sign returns a certificate for a key, signed by an authority, in DER.
+func sign(t *testing.T, template, authority *x509.Certificate, key, authorityKey *ecdsa.PrivateKey) []byte {
+	t.Helper()
+	der, err := x509.CreateCertificate(rand.Reader, template, authority, &key.PublicKey, authorityKey)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return der
+}
+
+// writePEM replaces a file at once, so that a reader never sees a part of it.
+func writePEM(t *testing.T, path, blockType string, der []byte) {
+	t.Helper()
+	temporary := path + ".new"
+	content := pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: der})
+	if err := os.WriteFile(temporary, content, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(temporary, path); err != nil {
+		t.Fatal(err)
+	}
 }
--- a/internal/access/keys.go
+++ b/internal/access/keys.go
@@ -10,95 +10,119 @@
 	"time"
 )
 
-// Keys are a controller's certificate with its key, and the authority whose certificates the other
-// controllers must have.
+// minTLSVersion is the oldest version of TLS that is accepted and offered.
+const minTLSVersion = tls.VersionTLS13
+
+// Keys holds a controller's certificate with its key, and the authority that must have signed the other controllers'
+// certificates. It is safe for concurrent use, except for Reload.
 type Keys struct {
 	files   watchedFiles
 	current atomic.Pointer[keyMaterial]
 }
 
-// keyMaterial are what one reading of the files gave.
+// keyMaterial is the result of one reading of the files. It isn't changed.
 type keyMaterial struct {
-	cert  tls.Certificate
-	roots *x509.CertPool
+	certificate tls.Certificate
+	authority   *x509.CertPool
 }
 
-// OpenKeys reads certificate, key and authority from PEM files.
-func OpenKeys(cert, key, ca string) (*Keys, error) {
-	k := &Keys{files: watchedFiles{names: []string{cert, key, ca}}}
-	return k, k.load()
+// LoadKeys reads certificate, key and authority from PEM files.
+func LoadKeys(certPath, keyPath, authorityPath string) (*Keys, error) {
+	keys := &Keys{files: watchedFiles{paths: []string{certPath, keyPath, authorityPath}}}
+	return keys, keys.load()
 }
 
 func (k *Keys) load() error {
-	raws, changed, err := k.files.read()
+	contents, changed, err := k.files.read()
 	if err != nil || !changed {
 		return err
 	}
-	cert, err := tls.X509KeyPair(raws[0], raws[1])
+	certPath, keyPath, authorityPath := k.files.paths[0], k.files.paths[1], k.files.paths[2]
+	certificate, err := tls.X509KeyPair(contents[0], contents[1])
 	if err != nil {
-		return fmt.Errorf("certificate %s with key %s: %w", k.files.names[0], k.files.names[1], err)
+		return fmt.Errorf("certificate %s with key %s: %w", certPath, keyPath, err)
 	}
-	roots := x509.NewCertPool()
-	if !roots.AppendCertsFromPEM(raws[2]) {
-		return fmt.Errorf("authority %s: no certificate in it", k.files.names[2])
+	authority := x509.NewCertPool()
+	if !authority.AppendCertsFromPEM(contents[2]) {
+		return fmt.Errorf("authority %s: %w", authorityPath, errNoCertificate)
 	}
-	k.current.Store(&keyMaterial{cert, roots})
+	k.current.Store(&keyMaterial{certificate: certificate, authority: authority})
 	return nil
 }
 
-// Check takes changed files over. Connections that stand keep what they began with.
-func (k *Keys) Check() error {
-	was := k.current.Load()
-	err := k.load()
-	if err == nil && k.current.Load() != was {
-		slog.Info("keys", "change", "read anew", "until", k.NotAfter())
+// errNoCertificate: a PEM file of an authority holds no certificate.
+var errNoCertificate = errors.New("no certificate in it")
+
+// Reload takes over files that have changed. On an error the former keys stay. Open connections aren't affected.
+func (k *Keys) Reload() error {
+	former := k.current.Load()
+	if err := k.load(); err != nil {
+		return err
 	}
-	return err
+	if k.current.Load() != former {
+		slog.Info("tls keys reloaded", "not_after", k.NotAfter())
+	}
+	return nil
 }
 
-// NotAfter is when the certificate ends.
+// NotAfter returns when the certificate expires.
 func (k *Keys) NotAfter() time.Time {
-	leaf := k.current.Load().cert.Leaf
+	leaf := k.current.Load().certificate.Leaf
 	if leaf == nil {
 		return time.Time{}
 	}
 	return leaf.NotAfter
 }
 
-// UserListenerConfig is the configuration of the listener for users: they need no certificate.
-func (k *Keys) UserListenerConfig() *tls.Config { return k.server(tls.NoClientCert) }
+// UserListenerConfig returns the configuration of the listener for users, who need no certificate. It uses the current
+// keys for each connection.
+func (k *Keys) UserListenerConfig() *tls.Config { return k.serverConfig(tls.NoClientCert) }
 
-// PeerListenerConfig is the configuration of the listener for the other controllers, which must have a
-// certificate of the authority.
-func (k *Keys) PeerListenerConfig() *tls.Config { return k.server(tls.RequireAndVerifyClientCert) }
+// PeerListenerConfig returns the configuration of the listener for the other controllers, which must have a certificate
+// of the authority. It uses the current keys for each connection.
+func (k *Keys) PeerListenerConfig() *tls.Config {
+	return k.serverConfig(tls.RequireAndVerifyClientCert)
+}
 
-func (k *Keys) server(auth tls.ClientAuthType) *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		now := k.current.Load()
-		// A ticket would let a peer in with the authority of yesterday.
-		return &tls.Config{
-			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert}, ClientAuth: auth, ClientCAs: now.roots,
-			SessionTicketsDisabled: true,
-		}, nil
-	}}
+func (k *Keys) serverConfig(clientAuth tls.ClientAuthType) *tls.Config {
+	return &tls.Config{
+		MinVersion: minTLSVersion,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+			current := k.current.Load()
+			return &tls.Config{
+				MinVersion:   minTLSVersion,
+				Certificates: []tls.Certificate{current.certificate},
+				ClientAuth:   clientAuth,
+				ClientCAs:    current.authority,
+				// A session ticket would admit a peer by a former authority.
+				SessionTicketsDisabled: true,
+			}, nil
+		},
+	}
 }
 
-// PeerClientConfig is the configuration with which another controller is called: its certificate must be of the
-// authority and name the node.
+// PeerClientConfig returns the configuration for calls to another controller, with the current keys. Its certificate
+// must be of the authority and name the node.
 func (k *Keys) PeerClientConfig(node string) *tls.Config {
-	now := k.current.Load()
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{now.cert}, RootCAs: now.roots, ServerName: node}
+	current := k.current.Load()
+	return &tls.Config{
+		MinVersion:   minTLSVersion,
+		Certificates: []tls.Certificate{current.certificate},
+		RootCAs:      current.authority,
+		ServerName:   node,
+	}
 }
 
-// ClientConfig is the configuration with which the command-line client calls; ca "" stands for the system's
-// authorities.
-func ClientConfig(ca []byte) (*tls.Config, error) {
-	c := &tls.Config{MinVersion: tls.VersionTLS13}
-	if ca != nil {
-		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(ca) {
-			return nil, errors.New("no certificate in it")
-		}
+// ClientConfig returns the configuration for the command-line client's calls. The authority's certificates are in PEM;
+// nil stands for the system's authorities.
+func ClientConfig(authorityPEM []byte) (*tls.Config, error) {
+	config := &tls.Config{MinVersion: minTLSVersion}
+	if authorityPEM == nil {
+		return config, nil
+	}
+	config.RootCAs = x509.NewCertPool()
+	if !config.RootCAs.AppendCertsFromPEM(authorityPEM) {
+		return nil, errNoCertificate
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/access/users.go
+++ b/internal/access/users.go
@@ -1,11 +1,8 @@
 package access
 
 import (
-	"crypto/rand"
 	"crypto/sha256"
-	"encoding/base64"
 	"encoding/hex"
-	"errors"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -14,119 +11,130 @@
 	"github.com/hashicorp/hcl/v2/hclsimple"
 )
 
-// Identity is somebody whose token is known.
+// Identity is an authenticated user.
 type Identity struct {
 	Name     string
 	Operator bool // may give operators' commands, and act for every team
 	teams    []string
 }
 
-// MayActFor tells whether jobs of a team may be submitted and cancelled.
-func (w *Identity) MayActFor(team string) bool { return w.Operator || slices.Contains(w.teams, team) }
+// MayActFor reports whether the user may submit and cancel jobs of a team.
+func (i *Identity) MayActFor(team string) bool { return i.Operator || slices.Contains(i.teams, team) }
 
-// userBlock is one block of the users' file.
+// usersFile is the users' file, in HCL.
+type usersFile struct {
+	Users []userBlock `hcl:"user,block"`
+}
+
+// userBlock is one user in the users' file.
 type userBlock struct {
 	Name string `hcl:"name,label"`
-	// TokenSums are SHA-256 sums, in hexadecimal: two while a token is being replaced. The file does
-	// not give a token away, and a token has so much chance in it that a slow hash adds nothing.
+	// TokenSums are SHA-256 sums, in hexadecimal: two while a token is being replaced. The file doesn't reveal the
+	// tokens, and a token has enough entropy that a slow hash would add nothing.
 	TokenSums []string `hcl:"tokens_sha256"`
 	Teams     []string `hcl:"teams,optional"`
 	Operator  bool     `hcl:"operator,optional"`
 }
 
-type usersFile struct {
-	Users []userBlock `hcl:"user,block"`
-}
-
+// tokenSum is the SHA-256 sum of a token.
 type tokenSum = [sha256.Size]byte
 
-// Users are all whose tokens are known.
+// Users holds the users by their tokens. It is safe for concurrent use, except for Reload.
 type Users struct {
 	files   watchedFiles
 	teams   map[string]bool
 	current atomic.Pointer[map[tokenSum]*Identity]
 }
 
-// OpenUsers reads the users' file; teams are those there are.
-func OpenUsers(file string, teams map[string]bool) (*Users, error) {
-	u := &Users{files: watchedFiles{names: []string{file}}, teams: teams}
-	return u, u.load()
+// LoadUsers reads the users' file. A user's teams must be among the given ones.
+func LoadUsers(path string, teams map[string]bool) (*Users, error) {
+	users := &Users{files: watchedFiles{paths: []string{path}}, teams: teams}
+	return users, users.load()
 }
 
 func (u *Users) load() error {
-	raws, changed, err := u.files.read()
+	contents, changed, err := u.files.read()
 	if err != nil || !changed {
 		return err
 	}
-	var f usersFile
-	if err := hclsimple.Decode(u.files.names[0], raws[0], nil, &f); err != nil {
+	path := u.files.paths[0]
+	var file usersFile
+	if err := hclsimple.Decode(path, contents[0], nil, &file); err != nil {
 		return err
 	}
-	by, err := u.index(f.Users)
+	byToken, err := u.index(file.Users)
 	if err != nil {
-		return fmt.Errorf("%s: %w", u.files.names[0], err)
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	u.current.Store(&by)
+	u.current.Store(&byToken)
 	return nil
 }
 
-func (u *Users) index(users []userBlock) (map[tokenSum]*Identity, error) {
-	by, names := map[tokenSum]*Identity{}, map[string]bool{}
-	for _, d := range users {
-		wrong := func(why string) error { return fmt.Errorf("user %q: %s", d.Name, why) }
-		switch {
-		case names[d.Name] || d.Name == "":
-			return nil, wrong("a user has one block and a name")
-		case len(d.TokenSums) == 0:
-			return nil, wrong("tokens_sha256 is empty")
+// index returns the users by the sums of their tokens.
+func (u *Users) index(blocks []userBlock) (map[tokenSum]*Identity, error) {
+	byToken := map[tokenSum]*Identity{}
+	names := map[string]bool{}
+	for i := range blocks {
+		block := &blocks[i]
+		if block.Name == "" || names[block.Name] {
+			return nil, block.errorf("a user has one block and a name")
+		}
+		names[block.Name] = true
+		if err := u.addTokens(byToken, block); err != nil {
+			return nil, err
+		}
+	}
+	return byToken, nil
+}
+
+// addTokens adds a user's tokens to the index.
+func (u *Users) addTokens(byToken map[tokenSum]*Identity, block *userBlock) error {
+	if len(block.TokenSums) == 0 {
+		return block.errorf("tokens_sha256 is empty")
+	}
+	for _, team := range block.Teams {
+		if !u.teams[team] {
+			return block.errorf("there is no team %q", team)
 		}
-		names[d.Name] = true
-		for _, t := range d.Teams {
-			if !u.teams[t] {
-				return nil, wrong(fmt.Sprintf("there is no team %q", t))
-			}
+	}
+	identity := &Identity{Name: block.Name, Operator: block.Operator, teams: block.Teams}
+	for _, text := range block.TokenSums {
+		raw, err := hex.DecodeString(text)
+		if err != nil || len(raw) != sha256.Size {
+			return block.errorf(
+				"tokens_sha256 takes sums of 64 hexadecimal digits, as `harewalk token new` prints them")
 		}
-		w := &Identity{Name: d.Name, Operator: d.Operator, teams: d.Teams}
-		for _, text := range d.TokenSums {
-			raw, err := hex.DecodeString(text)
-			if err != nil || len(raw) != sha256.Size {
-				return nil, wrong("tokens_sha256 takes sums of 64 hexadecimal digits, as `harewalk token new` prints them")
-			}
-			if by[tokenSum(raw)] != nil {
-				return nil, wrong("its token is somebody's already")
-			}
-			by[tokenSum(raw)] = w
+		sum := tokenSum(raw)
+		if byToken[sum] != nil {
+			return block.errorf("its token is somebody's already")
 		}
+		byToken[sum] = identity
 	}
-	return by, nil
+	return nil
+}
+
+// errorf returns an error that names the user.
+func (b *userBlock) errorf(format string, args ...any) error {
+	return fmt.Errorf("user %q: %s", b.Name, fmt.Sprintf(format, args...))
 }
 
-// Check takes a changed file over.
-func (u *Users) Check() error {
-	was := u.current.Load()
-	err := u.load()
-	if err == nil && u.current.Load() != was {
-		slog.Info("users", "change", "read anew", "tokens", len(*u.current.Load()))
+// Reload takes over a file that has changed. On an error the former users stay.
+func (u *Users) Reload() error {
+	former := u.current.Load()
+	if err := u.load(); err != nil {
+		return err
+	}
+	if current := u.current.Load(); current != former {
+		slog.Info("users reloaded", "tokens", len(*current))
 	}
-	return err
+	return nil
 }
 
-// Authenticate finds whose token this is; nil: nobody's. What is compared is a sum that nobody can choose,
-// so the time it takes tells nothing of the tokens.
+// Authenticate returns the user of a token, nil if there is none. Only sums are compared, which a client can't choose,
+// so the time that it takes reveals nothing about the tokens.
 func (u *Users) Authenticate(token string) *Identity {
 	if token == "" {
 		return nil
 	}
 	return (*u.current.Load())[sha256.Sum256([]byte(token))]
 }
-
-// NewToken draws a token and tells its sum.
-func NewToken() (token, sumHex string, err error) {
-	raw := make([]byte, 32)
-	if _, err := rand.Read(raw); err != nil {
-		return "", "", errors.New("the system gives no randomness")
-	}
-	token = "hw_" + base64.RawURLEncoding.EncodeToString(raw)
-	s := sha256.Sum256([]byte(token))
-	return token, hex.EncodeToString(s[:]), nil
-}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -44,16 +44,13 @@
 // newUsers returns users of whom one, no operator, has the token.
 func newUsers(t *testing.T) (users *access.Users, token string) {
 	t.Helper()
-	token, sum, err := access.NewToken()
-	if err != nil {
-		t.Fatal(err)
-	}
+	token, sum := access.NewToken()
 	file := filepath.Join(t.TempDir(), "users.hcl")
 	block := fmt.Sprintf("user \"ada\" {\n tokens_sha256 = [%q]\n}\n", sum)
 	if err := os.WriteFile(file, []byte(block), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	users, err = access.OpenUsers(file, nil)
+	users, err := access.LoadUsers(file, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/access.go
+++ b/internal/config/access.go
@@ -50,14 +50,14 @@
 // openAccess reads the files of TLS keys and users that the operators' settings name.
 func (s *Settings) openAccess() error {
 	if files := s.Operator.TLS; files != nil {
-		keys, err := access.OpenKeys(files.Cert, files.Key, files.CA)
+		keys, err := access.LoadKeys(files.Cert, files.Key, files.CA)
 		if err != nil {
 			return fmt.Errorf("tls: %w", err)
 		}
 		s.keys = keys
 	}
 	if file := s.Operator.UsersFile; file != "" {
-		users, err := access.OpenUsers(file, s.teamNames())
+		users, err := access.LoadUsers(file, s.teamNames())
 		if err != nil {
 			return fmt.Errorf("users_file: %w", err)
 		}
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -40,8 +40,9 @@
 		operator = *s.Operator.Zones
 	}
 	workers := s.Params.Workers
+	unheardTimeoutS := s.Operator.MachineUnheardTimeoutS
 	return Zones{
-		ReturnGrace:     durationOr(operator.ReturnGraceS, Seconds(returnGraceTimeouts*s.Operator.MachineUnheardTimeoutS)),
+		ReturnGrace:     durationOr(operator.ReturnGraceS, Seconds(returnGraceTimeouts*unheardTimeoutS)),
 		ProbationTime:   durationOr(operator.ProbationS, Seconds(probationHeartbeats*workers.ReportS)),
 		FlapForgiveness: durationOr(operator.FlapForgivenessS, Seconds(flapForgivenessLease*workers.LeaseS)),
 		MaxProbation:    maxProbation,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -233,10 +233,10 @@
 	}
 	for range time.Tick(every) {
 		if k := c.settings.Keys(); k != nil {
-			check("keys", k.Check)
+			check("keys", k.Reload)
 		}
 		if u := c.settings.Users(); u != nil {
-			check("users", u.Check)
+			check("users", u.Reload)
 		}
 	}
 }
