--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -11,20 +11,28 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// newSessions starts the sessions of a term, nil where they are off.
+// sessionExplanation is the body of the answer to why a session is in its state.
+type sessionExplanation struct {
+	ID  string   `json:"name_id"`
+	Why []string `json:"why"`
+}
+
+// newSessions makes a term's sessions, nil where they are off.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
-	p := c.settings.Sessions()
-	if !p.Enabled {
+	policies := c.settings.Sessions()
+	if !policies.Enabled {
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies:     p,
-		Jobs:         c.jobs,
-		Now:          c.loop.Now,
-		Wall:         func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
-		Commit:       func(txn store.Txn, done func(store.Result)) { c.commit(txn, store.NormalPriority, done) },
-		Read:         c.read,
-		OnJobRecord:  c.learned,
+		Policies: policies,
+		Jobs:     c.jobs,
+		Now:      c.loop.Now,
+		Wall:     func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			c.commitInTerm(txn, store.NormalPriority, done)
+		},
+		Read:         c.readInTerm,
+		OnJobRecord:  c.handleJobRead,
 		OnUnreadable: c.rollout.MarkUnreadable,
 		TaskOf:       c.term.fleet.SessionTask,
 		Suspend:      c.term.fleet.Suspend,
@@ -32,6 +40,28 @@
 	}, term)
 }
 
+// sessionCall answers a user, an operator or an agent about sessions.
+func (c *Controller) sessionCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	answer := func(result sessions.Result, err error) { reply(sessionReply(result, err)) }
+	manager := c.term.sessions
+	switch request.Verb {
+	case "open":
+		c.openSession(now, request, reply)
+	case "attach":
+		manager.Attach(now, request.Name, request.Bearer, answer)
+	case "keep":
+		c.keepSession(now, request, reply)
+	case "close":
+		manager.Close(request.Name, request.Bearer, answer)
+	case "report":
+		reply(c.sessionReport(now, request))
+	case "explain":
+		reply(c.explainSession(now, request.Name))
+	default:
+		reply(c.showSessions(now, request))
+	}
+}
+
 // refusalKinds maps the reasons for which package sessions refuses requests; it alone decides their HTTP statuses.
 var refusalKinds = [...]api.RefusalKind{
 	sessions.NotAuthorized: api.Forbidden,
@@ -56,76 +86,75 @@
 	}
 }
 
-// sessionCall answers a user, an operator or an agent about sessions.
-func (c *Controller) sessionCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	answer := func(result sessions.Result, err error) { reply(sessionReply(result, err)) }
-	m := c.term.sessions
-	switch request.Verb {
-	case "open":
-		r, err := sessions.ParseRequest(request.Body)
-		if err != nil {
-			reply(api.Refuse(api.InvalidRequest, err.Error()))
-			return
-		}
-		if request.Who != nil && !request.Who.MayActFor(r.Spec.Team) {
-			reply(api.Refuse(api.Forbidden, request.Who.Name+" may not open sessions of team "+r.Spec.Team))
-			return
-		}
-		if v := c.admit(r.Spec); !v.OK {
-			kind := api.Unprocessable
-			if !v.Known {
-				kind = api.Unavailable
-			}
-			reply(api.Refuse(kind, v.Why))
-			return
-		}
-		m.Open(now, r, answer)
-	case "attach":
-		m.Attach(now, request.Name, request.Bearer, answer)
-	case "keep":
-		var b struct {
-			Attachment uint64 `json:"attachment"`
-		}
-		if json.Unmarshal(request.Body, &b) != nil {
-			reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
-			return
-		}
-		answer(m.KeepAlive(now, request.Name, request.Bearer, b.Attachment))
-	case "close":
-		m.Close(request.Name, request.Bearer, answer)
-	case "report":
-		r, err := sessions.ParseHeartbeat(request.Body)
-		if err != nil {
-			reply(api.Refuse(api.InvalidRequest, err.Error()))
-			return
-		}
-		response, err := m.HandleHeartbeat(now, request.Name, request.Bearer, r)
-		if err != nil {
-			// Agents of unknown sessions and with other tokens get the same status as late heartbeats.
-			reply(api.Refuse(api.Conflict, err.Error()))
-			return
-		}
-		reply(api.Reply{Status: http.StatusOK, Body: response})
-	case "explain":
-		lines, ok := m.Explain(now, request.Name)
-		if !ok {
-			reply(api.Refuse(api.NotFound, "no such session"))
-			return
-		}
-		reply(api.Reply{Status: http.StatusOK, Body: struct {
-			ID  string   `json:"name_id"`
-			Why []string `json:"why"`
-		}{request.Name, lines}})
-	default:
-		if request.Name == "" {
-			reply(api.Reply{Status: http.StatusOK, Body: m.List(now, request.Query["user"], request.Query["team"])})
-			return
-		}
-		v, ok := m.Show(now, request.Name)
-		if !ok {
-			reply(api.Refuse(api.NotFound, "no such session"))
-			return
+// openSession opens a session, if the user may and the session's job can run.
+func (c *Controller) openSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	opening, err := sessions.ParseRequest(request.Body)
+	if err != nil {
+		reply(api.Refuse(api.InvalidRequest, err.Error()))
+		return
+	}
+	team := opening.Spec.Team
+	if request.User != nil && !request.User.MayActFor(team) {
+		reply(api.Refuse(api.Forbidden, request.User.Name+" may not open sessions of team "+team))
+		return
+	}
+	if admission := c.admit(opening.Spec); !admission.OK {
+		kind := api.Unprocessable
+		if !admission.Known {
+			kind = api.Unavailable
 		}
-		reply(api.Reply{Status: http.StatusOK, Body: v})
+		reply(api.Refuse(kind, admission.Reason))
+		return
 	}
+	c.term.sessions.Open(now, opening, func(result sessions.Result, err error) { reply(sessionReply(result, err)) })
 }
+
+// keepSession extends an attachment to a session.
+func (c *Controller) keepSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	var body struct {
+		Attachment uint64 `json:"attachment"`
+	}
+	if json.Unmarshal(request.Body, &body) != nil {
+		reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
+		return
+	}
+	reply(sessionReply(c.term.sessions.KeepAlive(now, request.Name, request.Bearer, body.Attachment)))
+}
+
+// sessionReport answers the heartbeat of a session's agent.
+func (c *Controller) sessionReport(now time.Duration, request api.LeaderRequest) api.Reply {
+	heartbeat, err := sessions.ParseHeartbeat(request.Body)
+	if err != nil {
+		return api.Refuse(api.InvalidRequest, err.Error())
+	}
+	response, err := c.term.sessions.HandleHeartbeat(now, request.Name, request.Bearer, heartbeat)
+	if err != nil {
+		// Agents of unknown sessions and with other tokens get the same status as late heartbeats.
+		return api.Refuse(api.Conflict, err.Error())
+	}
+	return api.Reply{Status: http.StatusOK, Body: response}
+}
+
+// explainSession answers why a session is in its state.
+func (c *Controller) explainSession(now time.Duration, id string) api.Reply {
+	lines, ok := c.term.sessions.Explain(now, id)
+	if !ok {
+		return refuseNoSession()
+	}
+	return api.Reply{Status: http.StatusOK, Body: sessionExplanation{ID: id, Why: lines}}
+}
+
+// showSessions answers with one session or, without a name, with those of a user or a team.
+func (c *Controller) showSessions(now time.Duration, request api.LeaderRequest) api.Reply {
+	if request.Name == "" {
+		list := c.term.sessions.List(now, request.Query["user"], request.Query["team"])
+		return api.Reply{Status: http.StatusOK, Body: list}
+	}
+	view, ok := c.term.sessions.Show(now, request.Name)
+	if !ok {
+		return refuseNoSession()
+	}
+	return api.Reply{Status: http.StatusOK, Body: view}
+}
+
+func refuseNoSession() api.Reply { return api.Refuse(api.NotFound, "no such session") }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -23,7 +23,13 @@
 		r.NoticeS = &s
 	}
 	for _, k := range m.tasks {
-		r.Tasks = append(r.Tasks, fleet.TaskReport{Task: k.name, Attempt: k.attempt, State: k.state, Why: k.why, Saved: k.saved})
+		r.Tasks = append(r.Tasks, fleet.TaskReport{
+			Task:      k.name,
+			Attempt:   k.attempt,
+			State:     fleet.AttemptState(k.state),
+			ExitCause: fleet.ExitCause(k.why),
+			Saved:     k.saved,
+		})
 	}
 	return r
 }
@@ -152,7 +158,7 @@
 	if w.specs[id] == nil {
 		var r jobs.Record
 		if json.Unmarshal(w.svc.Keys[jobs.RecordKey(id)].Value, &r) == nil && r.Spec != nil {
-			w.specs[id] = r.Spec
+			w.specs[id] = (*jobs.Spec)(r.Spec)
 		}
 	}
 	return w.specs[id]
