--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -49,7 +49,7 @@
 	if c.term.mover == nil || now-c.archive.checkedAt < archiveInterval {
 		return
 	}
-	if c.archive.settings.Problem != nil || c.rollout.Level() < rollout.Archived {
+	if c.archive.settings.Unsupported != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
 	c.archive.checkedAt = now
@@ -84,7 +84,7 @@
 
 // isArchivable reports whether an ended job can't have a task on any machine, and nothing else of it is stored.
 func (c *Controller) isArchivable(job *jobs.Job) bool {
-	if c.term.sessions != nil && c.term.sessions.Stands(job.ID) {
+	if c.term.sessions != nil && c.term.sessions.Exists(job.ID) {
 		return false
 	}
 	return c.term.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
@@ -110,8 +110,8 @@
 		State:   c.term.mover.State().String(),
 	}
 	switch {
-	case c.archive.settings.Problem != nil:
-		status.Problem = c.archive.settings.Problem.Error()
+	case c.archive.settings.Unsupported != nil:
+		status.Problem = c.archive.settings.Unsupported.Error()
 	case c.rollout.Level() < rollout.Archived:
 		status.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
 	}
@@ -120,7 +120,7 @@
 
 // logArchiveProblem logs why nothing will be archived, if that is so.
 func (c *Controller) logArchiveProblem() {
-	if c.archive.settings.Problem != nil {
-		slog.Error("ended jobs are not archived, memory grows with each job", "error", c.archive.settings.Problem)
+	if c.archive.settings.Unsupported != nil {
+		slog.Error("ended jobs are not archived, memory grows with each job", "error", c.archive.settings.Unsupported)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,7 +104,7 @@
 // New builds a controller that is not yet listening.
 func New(settings *config.Settings) *Controller {
 	if settings.Params.Limits.MemMB != nil {
-		debug.SetMemoryLimit(int64(settings.Params.Limits.Memory() * memoryLimitMargin * bytesPerMB))
+		debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryLimitMB() * memoryLimitMargin * bytesPerMB))
 	}
 	start := time.Now()
 	c := build(settings, Environment{
@@ -121,7 +121,7 @@
 // peerDialer returns how connections to another controller are opened.
 func peerDialer(settings *config.Settings, peer config.Peer) peers.Dial {
 	if tlsSettings := settings.Operator.TLS; tlsSettings != nil && tlsSettings.Peers {
-		return peers.Secure(peer.Addr, func() *tls.Config { return settings.Keys().Peer(peer.Node) })
+		return peers.Secure(peer.Addr, func() *tls.Config { return settings.Keys().PeerClientConfig(peer.Node) })
 	}
 	return peers.Plain(peer.Addr)
 }
@@ -139,7 +139,7 @@
 	}
 	c.buildClients(env)
 	c.buildTables(env)
-	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.PictureFor())
+	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.StalenessBound())
 	c.rollout = c.newRollout()
 	c.membership = c.newMembership()
 	c.watchCache.OnItem = func(item store.Item) { c.handleItem(c.loop.Now(), item) }
@@ -166,9 +166,9 @@
 		newSender = func(limit int) httpio.Sender { return httpio.New(limit, c.loop.Post) }
 	}
 	limits := &c.settings.Params.Limits
-	c.stateSender = newSender(limits.Outgoing(maxStateRequests))
-	c.workerSender = newSender(limits.Outgoing(maxWorkerRequests))
-	c.licenceSender = newSender(limits.Outgoing(maxLicenceRequests))
+	c.stateSender = newSender(limits.MaxOutgoing(maxStateRequests))
+	c.workerSender = newSender(limits.MaxOutgoing(maxWorkerRequests))
+	c.licenceSender = newSender(limits.MaxOutgoing(maxLicenceRequests))
 	c.store = store.New(
 		c.settings.Services.State,
 		c.stateSender,
@@ -187,7 +187,7 @@
 // buildTables makes the tables of jobs, licence pools and quotas.
 func (c *Controller) buildTables(env Environment) {
 	c.jobs = jobs.NewTable(env.EpochMS)
-	c.licencePools = licences.NewCatalog(c.settings.Pools())
+	c.licencePools = licences.NewCatalog(c.settings.LicencePools())
 	c.jobs.Names.Pools = c.licencePools
 	c.quota = quota.New(c.settings.Params.Teams, c.jobs.Names.Teams.Index)
 }
@@ -196,10 +196,10 @@
 func (c *Controller) newMembership() *membership.Membership {
 	return membership.New(membership.Config{
 		Node:           c.settings.Node,
-		Public:         c.settings.Public,
-		Secure:         c.settings.Secure(),
-		TTL:            c.settings.HoldTTL(),
-		StalenessBound: c.settings.PictureFor(),
+		Public:         c.settings.PublicAddr,
+		Secure:         c.settings.TLSAddr(),
+		TTL:            c.settings.ControllerLeaseTTL(),
+		StalenessBound: c.settings.StalenessBound(),
 		Rng:            c.rng,
 		Rollout:        membershipRollout{c.rollout, c},
 		OnElected:      c.startTerm,
@@ -222,8 +222,8 @@
 		Compatible:     c.rollout.Compatible,
 		TxnOps:         state.TxnOps,
 		Limits:         c.store.Limits,
-		MaxTasks:       c.settings.Params.Limits.Tasks(),
-		MaxBytes:       c.settings.Params.Limits.QueueBytes(),
+		MaxTasks:       c.settings.Params.Limits.MaxTasks(),
+		MaxBytes:       c.settings.Params.Limits.MaxQueueBytes(),
 		MaxValue:       state.Limits().MaxValueBytes,
 	})
 }
@@ -304,9 +304,9 @@
 func (c *Controller) logStart() {
 	slog.Info("serving",
 		"node", c.settings.Node,
-		"public_addr", c.settings.Public,
-		"hold_ttl_ms", c.settings.Operator.HoldTTLMS,
-		"costs_count", c.settings.MoneyCounts(),
+		"public_addr", c.settings.PublicAddr,
+		"hold_ttl_ms", c.settings.Operator.ControllerLeaseTTLMS,
+		"costs_count", c.settings.HasCostObjective(),
 		"objectives", len(c.settings.Params.Objectives),
 	)
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -71,7 +71,7 @@
 // cacheTooStale reports whether the followed keys have been too old to act on for a while, though the service answers
 // and the lease is renewed: a leader whose watches are lost would keep all others from leading, and not act itself.
 func (c *Controller) cacheTooStale(now time.Duration) bool {
-	maxAge := c.settings.PictureFor() + c.settings.HoldTTL()
+	maxAge := c.settings.StalenessBound() + c.settings.ControllerLeaseTTL()
 	isStale := now-c.watchCache.FreshAt() > maxAge
 	return isStale && now-c.store.LastSuccess() < staleCacheAnswerAge
 }
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -23,7 +23,7 @@
 		Token:    c.settings.Operator.Token,
 		Handle:   c.leaderCall,
 		Licences: len(c.licencePools.Pools()) > 0,
-		Sessions: c.settings.Sessions().On,
+		Sessions: c.settings.Sessions().Enabled,
 	}
 }
 
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -132,7 +132,7 @@
 	c.addMachineMetrics(&out)
 	c.addLicenceMetrics(&out, now)
 	if c.term.sessions != nil {
-		for state, count := range c.term.sessions.Count() {
+		for state, count := range c.term.sessions.CountByState() {
 			out.add(sessionsDesc, float64(count), state)
 		}
 	}
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -29,9 +29,9 @@
 		StartedAtMS:   c.jobs.WallMS(c.loop.Now()),
 		OnStateChange: c.recordRolloutState,
 	}
-	if settings.Knows > 0 {
-		cfg.MaxLevel = settings.Knows
-		cfg.Release = settings.Release
+	if settings.SimulatedLevel > 0 {
+		cfg.MaxLevel = settings.SimulatedLevel
+		cfg.Release = settings.SimulatedRelease
 	}
 	for _, peer := range c.settings.Peers {
 		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: peer.Node, Zone: peer.Zone})
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -21,7 +21,7 @@
 // Run listens and serves until a listener fails, and returns that error. The goroutines it starts live as long as the
 // process.
 func (c *Controller) Run() error {
-	publicListener, err := net.Listen("tcp4", c.settings.Public)
+	publicListener, err := net.Listen("tcp4", c.settings.PublicAddr)
 	if err != nil {
 		return fmt.Errorf("setting \"public_addr\": %w", err)
 	}
@@ -54,12 +54,12 @@
 
 // listenForPeers opens the address at which other controllers connect.
 func (c *Controller) listenForPeers() (net.Listener, error) {
-	listener, err := net.Listen("tcp4", c.settings.Back)
+	listener, err := net.Listen("tcp4", c.settings.PeerAddr)
 	if err != nil {
 		return nil, fmt.Errorf("setting \"back\": %w", err)
 	}
 	if tlsSettings := c.settings.Operator.TLS; tlsSettings != nil && tlsSettings.Peers {
-		listener = tls.NewListener(listener, c.settings.Keys().Peers())
+		listener = tls.NewListener(listener, c.settings.Keys().PeerListenerConfig())
 	}
 	return listener, nil
 }
@@ -74,8 +74,8 @@
 		Healthy:         c.healthy,
 		HandleHeartbeat: c.handleHeartbeat,
 		Leader:          c.leaderCalls(),
-		MaxConns:        c.settings.Params.Limits.Conns(),
-		MaxKeptConns:    c.settings.Params.Limits.Crowded(),
+		MaxConns:        c.settings.Params.Limits.MaxConns(),
+		MaxKeptConns:    c.settings.Params.Limits.KeepAliveConns(),
 		Users:           c.settings.Users(),
 		Counter:         &c.responses,
 	}
@@ -93,8 +93,8 @@
 	secure.MaxKeptConns = max(1, plain.MaxKeptConns/tlsConnectionDivisor)
 	plain.MaxConns -= secure.MaxConns
 	plain.MaxKeptConns = max(1, plain.MaxKeptConns-secure.MaxKeptConns)
-	plain.WorkersOnly = settings.Plain == "workers"
-	go func() { failed <- api.Serve(tls.NewListener(listener, c.settings.Keys().Users()), secure) }()
+	plain.WorkersOnly = settings.PlainListener == "workers"
+	go func() { failed <- api.Serve(tls.NewListener(listener, c.settings.Keys().UserListenerConfig()), secure) }()
 	return plain, nil
 }
 
@@ -106,10 +106,10 @@
 	}
 	for range time.Tick(interval) {
 		if keys != nil {
-			logFileCheck("keys", keys.Check())
+			logFileCheck("keys", keys.Reload())
 		}
 		if users != nil {
-			logFileCheck("users", users.Check())
+			logFileCheck("users", users.Reload())
 		}
 	}
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"net/http"
 	"time"
 
@@ -19,29 +20,29 @@
 // newSessions makes a term's sessions, nil where they are off.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
 	policies := c.settings.Sessions()
-	if !policies.On {
+	if !policies.Enabled {
 		return nil
 	}
 	return sessions.New(sessions.Env{
-		Policies:   policies,
-		Jobs:       c.jobs,
-		Learned:    c.handleJobRead,
-		Read:       c.readInTerm,
-		Now:        c.loop.Now,
-		Unreadable: c.rollout.MarkUnreadable,
-		Wall:       func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
+		Policies: policies,
+		Jobs:     c.jobs,
+		Now:      c.loop.Now,
+		Wall:     func(now time.Duration) time.Time { return time.UnixMilli(c.jobs.WallMS(now)) },
 		Commit: func(txn store.Txn, done func(store.Result)) {
 			c.commitInTerm(txn, store.NormalPriority, done)
 		},
-		Task:   c.term.fleet.SessionTask,
-		Park:   c.term.fleet.Suspend,
-		Wanted: c.term.fleet.WaitingJobsFor,
+		Read:         c.readInTerm,
+		OnJobRecord:  c.handleJobRead,
+		OnUnreadable: c.rollout.MarkUnreadable,
+		TaskOf:       c.term.fleet.SessionTask,
+		Suspend:      c.term.fleet.Suspend,
+		WaitingFor:   c.term.fleet.WaitingJobsFor,
 	}, term)
 }
 
 // sessionCall answers a user, an operator or an agent about sessions.
 func (c *Controller) sessionCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	answer := func(a sessions.Answer) { reply(sessionReply(a)) }
+	answer := func(result sessions.Result, err error) { reply(sessionReply(result, err)) }
 	manager := c.term.sessions
 	switch request.Verb {
 	case "open":
@@ -51,7 +52,7 @@
 	case "keep":
 		c.keepSession(now, request, reply)
 	case "close":
-		manager.Close(now, request.Name, request.Bearer, answer)
+		manager.Close(request.Name, request.Bearer, answer)
 	case "report":
 		reply(c.sessionReport(now, request))
 	case "explain":
@@ -61,23 +62,39 @@
 	}
 }
 
-// sessionReply returns the HTTP answer for an answer of the sessions' manager.
-func sessionReply(answer sessions.Answer) api.Reply {
-	if answer.Status < http.StatusMultipleChoices {
-		return api.Reply{Status: answer.Status, Body: answer.View}
+// refusalKinds maps the reasons for which package sessions refuses requests; it alone decides their HTTP statuses.
+var refusalKinds = [...]api.RefusalKind{
+	sessions.NotAuthorized: api.Forbidden,
+	sessions.Conflict:      api.Conflict,
+	sessions.Ended:         api.Gone,
+	sessions.TooFrequent:   api.TooManyRequests,
+	sessions.Unavailable:   api.Unavailable,
+}
+
+// sessionReply returns the HTTP reply to a user's request about a session.
+func sessionReply(result sessions.Result, err error) api.Reply {
+	var refusal *sessions.Error
+	switch {
+	case errors.As(err, &refusal):
+		return api.Refuse(refusalKinds[refusal.Reason], refusal.Message)
+	case err != nil:
+		return api.Refuse(api.Unavailable, err.Error())
+	case result.Created:
+		return api.Reply{Status: http.StatusCreated, Body: result.View}
+	default:
+		return api.Reply{Status: http.StatusOK, Body: result.View}
 	}
-	return api.Refuse(api.RefusalKindOf(answer.Status), answer.Why)
 }
 
 // openSession opens a session, if the user may and the session's job can run.
 func (c *Controller) openSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	opening, err := sessions.ParseOpening(request.Body)
+	opening, err := sessions.ParseRequest(request.Body)
 	if err != nil {
 		reply(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	}
 	team := opening.Spec.Team
-	if request.User != nil && !request.User.May(team) {
+	if request.User != nil && !request.User.MayActFor(team) {
 		reply(api.Refuse(api.Forbidden, request.User.Name+" may not open sessions of team "+team))
 		return
 	}
@@ -89,7 +106,7 @@
 		reply(api.Refuse(kind, admission.Reason))
 		return
 	}
-	c.term.sessions.Open(now, opening, func(answer sessions.Answer) { reply(sessionReply(answer)) })
+	c.term.sessions.Open(now, opening, func(result sessions.Result, err error) { reply(sessionReply(result, err)) })
 }
 
 // keepSession extends an attachment to a session.
@@ -101,20 +118,21 @@
 		reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
 		return
 	}
-	reply(sessionReply(c.term.sessions.Keep(now, request.Name, request.Bearer, body.Attachment)))
+	reply(sessionReply(c.term.sessions.KeepAlive(now, request.Name, request.Bearer, body.Attachment)))
 }
 
-// sessionReport answers the report of a session's agent.
+// sessionReport answers the heartbeat of a session's agent.
 func (c *Controller) sessionReport(now time.Duration, request api.LeaderRequest) api.Reply {
-	report, err := sessions.ParseReport(request.Body)
+	heartbeat, err := sessions.ParseHeartbeat(request.Body)
 	if err != nil {
 		return api.Refuse(api.InvalidRequest, err.Error())
 	}
-	order, ok, cause := c.term.sessions.Report(now, request.Name, request.Bearer, report)
-	if !ok {
-		return api.Refuse(api.Conflict, cause)
+	response, err := c.term.sessions.HandleHeartbeat(now, request.Name, request.Bearer, heartbeat)
+	if err != nil {
+		// Agents of unknown sessions and with other tokens get the same status as late heartbeats.
+		return api.Refuse(api.Conflict, err.Error())
 	}
-	return api.Reply{Status: http.StatusOK, Body: order}
+	return api.Reply{Status: http.StatusOK, Body: response}
 }
 
 // explainSession answers why a session is in its state.
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -79,7 +79,7 @@
 		Random:            c.rng,
 		TxnOps:            c.settings.Params.State.TxnOps - 1, // one is left for the leader's condition
 		Limits:            c.store.Limits,
-		MaxDirectRequests: c.settings.Params.Limits.Outgoing(maxWorkerRequests),
+		MaxDirectRequests: c.settings.Params.Limits.MaxOutgoing(maxWorkerRequests),
 		Now:               c.loop.Now,
 		OnJobRecord:       c.handleJobRead,
 		Types:             func(index int32) *fleet.MachineType { return c.machineTypes.byIndex[index] },
@@ -92,7 +92,7 @@
 		},
 		Read:         c.readInTerm,
 		SendCommands: c.sendCommands,
-		Events:       events.New(eventCapacity(c.settings.Params.Limits.Memory())),
+		Events:       events.New(eventCapacity(c.settings.Params.Limits.MemoryLimitMB())),
 	}
 }
 
@@ -145,7 +145,7 @@
 		Method:  http.MethodPost,
 		Path:    "/orders",
 		Body:    body,
-		Timeout: config.OrderWait,
+		Timeout: config.DirectCommandTimeout,
 		Once:    true, // one connection each: a large fleet's idle ones would use up the sockets
 	}
 	termFleet := c.term.fleet
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -48,7 +48,7 @@
 // unless they are older than a lease lasts; then the controller that reports the highest term of its own. Two
 // controllers that were cut off with their workers would otherwise send them to one that lost the leadership long ago.
 func (c *Controller) ownerOf(now time.Duration, machine string) string {
-	if now-c.watchCache.FreshAt() <= c.settings.HoldTTL() {
+	if now-c.watchCache.FreshAt() <= c.settings.ControllerLeaseTTL() {
 		return c.membership.Owner(machine)
 	}
 	return c.peers.leader(now)
