--- a/cmd/harewalk/operator.go
+++ b/cmd/harewalk/operator.go
@@ -64,7 +64,7 @@
 				return tell(&o, c, "GET", "/v2/licences", nil, func(t *tabwriter.Writer, vs []licences.View) {
 					fmt.Fprintln(t, "POOL\tCOUNT\tHELD\tLINGERING\tOTHERS\tRESERVE\tFREE\tSERVER")
 					for _, v := range vs {
-						fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", v.Pool, v.Count, v.Held+v.Booked, v.Lingering, v.Others, v.Reserve, v.Free, line(v))
+						fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", v.Pool, v.Count, v.Held+v.Booked, v.AwaitingRelease, v.OutsideUnits, v.Reserve, v.Free, line(v))
 					}
 				})
 			},
@@ -85,9 +85,9 @@
 		return "none"
 	}
 	if v.AgeS > 0 {
-		return fmt.Sprintf("%s, heard %.1f s ago", v.Line, v.AgeS)
+		return fmt.Sprintf("%s, heard %.1f s ago", v.ServerState, v.AgeS)
 	}
-	return v.Line
+	return v.ServerState
 }
 
 func showPool(t *tabwriter.Writer, v licences.View) {
@@ -98,13 +98,13 @@
 	}
 	fmt.Fprintf(t, "count\t%d%s\n", v.Count, set)
 	fmt.Fprintf(t, "held\t%d, and %d booked for gangs that are starting\n", v.Held, v.Booked)
-	fmt.Fprintf(t, "lingering\t%d of tasks that are gone\n", v.Lingering)
-	fmt.Fprintf(t, "others\t%d, %d kept for them\n", v.Others, v.Reserve)
+	fmt.Fprintf(t, "lingering\t%d of tasks that are gone\n", v.AwaitingRelease)
+	fmt.Fprintf(t, "others\t%d, %d kept for them\n", v.OutsideUnits, v.Reserve)
 	fmt.Fprintf(t, "free\t%d\n", v.Free)
 	fmt.Fprintf(t, "server\t%s %s\n", v.Server, line(v))
 	fmt.Fprintf(t, "when lowered\t%s\n", v.Lowering)
 	for _, m := range v.Teams {
-		fmt.Fprintf(t, "team %s\t%d, guaranteed %d, at most %s\n", m.Team, m.Units, m.Guarantee, orAny(m.Most))
+		fmt.Fprintf(t, "team %s\t%d, guaranteed %d, at most %s\n", m.Team, m.Units, m.Guarantee, orAny(m.Limit))
 	}
 }
 
--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -330,7 +330,10 @@
 			t.Fatal(err)
 		}
 	}
-	until("the count survives all controllers", func() bool { v := pool(0); return v.Count == 10 && v.Held == 10 && v.Lowering == licences.Stop })
+	until("the count survives all controllers", func() bool {
+		v := pool(0)
+		return v.Count == 10 && v.Held == 10 && v.Lowering == licences.PreemptHolders
+	})
 	w.Licences.SetCount("transcribe", 14)
 	set(0, "14")
 	until("raised", using(12))
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -45,12 +45,12 @@
 type Gate struct {
 	Quota    *quota.Ledger
 	Licences *licences.Ledger
-	reserved map[licences.Ref]Claim
+	reserved map[licences.TaskRef]Claim
 }
 
 // New returns a gate that takes from two ledgers.
 func New(teams *quota.Ledger, pools *licences.Ledger) *Gate {
-	return &Gate{Quota: teams, Licences: pools, reserved: map[licences.Ref]Claim{}}
+	return &Gate{Quota: teams, Licences: pools, reserved: map[licences.TaskRef]Claim{}}
 }
 
 // Check returns what keeps n more tasks with a claim from starting together now.
@@ -69,7 +69,7 @@
 func (g *Gate) Fits(claim Claim, n int) bool { return g.Check(claim, n).OK() }
 
 // Reserved returns whether a task's claim is reserved and its launch has not been sent yet.
-func (g *Gate) Reserved(ref licences.Ref) bool {
+func (g *Gate) Reserved(ref licences.TaskRef) bool {
 	if len(g.reserved) == 0 {
 		return false
 	}
@@ -80,46 +80,46 @@
 // Reserve takes the claims of all tasks of a gang at once, so that no other job takes them between the launches of
 // its first and of its last task. The caller has asked for all of them together. Tasks that are reserved already are
 // left as they are.
-func (g *Gate) Reserve(now time.Duration, refs []licences.Ref, attempt uint64, claim Claim) {
+func (g *Gate) Reserve(now time.Duration, refs []licences.TaskRef, attempt uint64, claim Claim) {
 	for _, ref := range refs {
 		if g.Reserved(ref) {
 			continue
 		}
 		g.reserved[ref] = claim
 		g.Quota.Acquire(claim.Team, claim.Size)
-		g.Licences.Take(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Booked)
+		g.Licences.Acquire(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Reserved)
 	}
 }
 
 // ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true: they will not be
 // launched.
-func (g *Gate) ReleaseReserved(now time.Duration, abandoned func(licences.Ref) bool) {
+func (g *Gate) ReleaseReserved(now time.Duration, abandoned func(licences.TaskRef) bool) {
 	for ref, claim := range g.reserved {
 		if abandoned(ref) {
-			g.Release(now, ref, claim, licences.Unstarted)
+			g.Release(now, ref, claim, licences.NeverStarted)
 		}
 	}
 }
 
 // Acquire takes a task's claim before its launch is sent, or makes a reserved one acquired. attempt is 0 where it is
 // not known.
-func (g *Gate) Acquire(now time.Duration, ref licences.Ref, attempt uint64, claim Claim) {
+func (g *Gate) Acquire(now time.Duration, ref licences.TaskRef, attempt uint64, claim Claim) {
 	if g.Reserved(ref) {
 		delete(g.reserved, ref)
 	} else {
 		g.Quota.Acquire(claim.Team, claim.Size)
 	}
 	if len(claim.LicenceUnits) > 0 {
-		g.Licences.Take(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.Held)
+		g.Licences.Acquire(now, ref, attempt, claim.Team, claim.LicenceUnits, licences.CheckedOut)
 	}
 }
 
 // Release releases a task's claim once the task is certainly gone. end is how it ended, as far as its licence units
 // are concerned.
-func (g *Gate) Release(now time.Duration, ref licences.Ref, claim Claim, end licences.End) {
+func (g *Gate) Release(now time.Duration, ref licences.TaskRef, claim Claim, end licences.End) {
 	delete(g.reserved, ref)
 	g.Quota.Release(claim.Team, claim.Size)
 	if len(claim.LicenceUnits) > 0 {
-		g.Licences.Give(now, ref, claim.LicenceUnits, end)
+		g.Licences.Release(now, ref, claim.LicenceUnits, end)
 	}
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	teamIndex := func(string) int32 { return 0 }
 	catalog := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
-	units, err := catalog.Needs(map[string]int{"p": 1})
+	units, err := catalog.UnitsByIndex(map[string]int{"p": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	expect := func(usedCPUs float64, freeUnits int) {
 		t.Helper()
 		used := gate.Quota.Team(0).Used.CPUs
-		view := gate.Licences.Show(now, 0, func(int32) string { return "" })
+		view := gate.Licences.View(now, 0, func(int32) string { return "" })
 		if used != usedCPUs || view.Free != freeUnits {
 			t.Fatalf("%v CPUs used and %d units free, want %v and %d", used, view.Free, usedCPUs, freeUnits)
 		}
@@ -46,15 +46,15 @@
 	small := claim
 	small.Size.CPUs = 1
 	denial := gate.Check(small, 4)
-	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoSeat || denial.Pool != 0 {
+	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoFreeUnits || denial.Pool != 0 {
 		t.Fatalf("four units of three: %+v", denial)
 	}
 	expect(0, 3)
 
-	first, second := licences.Ref{Job: 1, Task: 0}, licences.Ref{Job: 1, Task: 1}
+	first, second := licences.TaskRef{Job: 1, Task: 0}, licences.TaskRef{Job: 1, Task: 1}
 	gate.Acquire(now, first, 7, claim)
-	gate.Reserve(now, []licences.Ref{second}, 7, claim)
-	gate.Reserve(now, []licences.Ref{second}, 7, claim)
+	gate.Reserve(now, []licences.TaskRef{second}, 7, claim)
+	gate.Reserve(now, []licences.TaskRef{second}, 7, claim)
 	expect(8, 1)
 	if !gate.Reserved(second) || gate.Reserved(first) || gate.Fits(claim, 1) {
 		t.Fatal("the limit of 10 has room for a third task of 4")
@@ -64,15 +64,15 @@
 	if gate.Reserved(second) {
 		t.Fatal("still reserved after its launch")
 	}
-	gate.Release(now, first, claim, licences.Clean)
+	gate.Release(now, first, claim, licences.CleanExit)
 	expect(4, 2)
-	gate.Release(now, second, claim, licences.Unstarted)
+	gate.Release(now, second, claim, licences.NeverStarted)
 	expect(0, 3)
 
-	gate.Reserve(now, []licences.Ref{first, second}, 9, claim)
-	gate.ReleaseReserved(now, func(ref licences.Ref) bool { return ref == second })
+	gate.Reserve(now, []licences.TaskRef{first, second}, 9, claim)
+	gate.ReleaseReserved(now, func(ref licences.TaskRef) bool { return ref == second })
 	expect(4, 2)
-	gate.ReleaseReserved(now, func(licences.Ref) bool { return true })
+	gate.ReleaseReserved(now, func(licences.TaskRef) bool { return true })
 	expect(0, 3)
 }
 
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -148,7 +148,7 @@
 func newFixture() *fixture {
 	settings := &config.Settings{}
 	settings.Params.Teams = []config.Team{{Name: "t"}}
-	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20}
+	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 3, LeaseS: 20}
 	settings.Params.Cloud = config.Cloud{RPS: 100, ListLagS: 4}
 	settings.Operator = config.Operator{MachineUnheardTimeoutS: 13, MaxMachines: 50, NetworkFactor: 1}
 	types := []MachineType{{
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -17,7 +17,7 @@
 
 // QuietFor returns after how long without a heartbeat a machine counts as quiet: one is late, and another one due.
 func (m *Manager) QuietFor() time.Duration {
-	return config.Seconds(1.3*m.Settings.Params.Workers.ReportS + 1)
+	return config.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
 }
 
 // evaluateZones updates the zones' state, and then quarantines machines that send no heartbeats: returning them
@@ -82,7 +82,7 @@
 	)
 	m.Fleet.Events.Add(events.Event{
 		At:      now,
-		Kind:    events.Zone,
+		Kind:    events.ZoneStateChanged,
 		Task:    events.None,
 		Machine: events.None,
 		Note:    name + " " + to.String(),
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ControllerLeaseTTL() != 6*time.Second || s.Lease() != 19*time.Second ||
+	if s.ControllerLeaseTTL() != 6*time.Second || s.WorkerLease() != 19*time.Second ||
 		s.Operator.Headroom != 0.1 || s.HasCostObjective() {
 		t.Fatalf("derived: %+v", s.Operator)
 	}
@@ -74,7 +74,7 @@
 	} {
 		s := parseWithLimits(t, c.limits)
 		l, machines := s.Params.Limits, s.Operator.MaxMachines
-		if l.MaxConns() != c.conns || machines != c.machines || l.MaxTasks() < MaxBody/2 || l.Processor() <= 0 {
+		if l.MaxConns() != c.conns || machines != c.machines || l.MaxTasks() < MaxBody/2 || l.UsableCores() <= 0 {
 			t.Errorf("%s: %d connections, %d machines, %d tasks", c.limits, l.MaxConns(), machines, l.MaxTasks())
 		}
 		if worst := float64(l.MaxConns()*MaxBody) / (1 << 20); worst > 0.61*l.MemoryLimitMB() {
@@ -167,8 +167,8 @@
 	}
 	pool := s.LicencePools()[0]
 	friday := time.Date(2026, 12, 4, 10, 0, 0, 0, time.UTC)
-	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.Lowering != "wait" ||
-		pool.Teams["t"].Most != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
+	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.OnCountLowered != "wait" ||
+		pool.Teams["t"].Limit != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
 		t.Fatalf("%+v", pool)
 	}
 	for body, want := range map[string]string{
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -73,13 +73,13 @@
 		return nil, fmt.Errorf("licence %q: reserve %d is more than its count %d", d.Name, d.Reserve, d.Count)
 	}
 	pool := &licences.Pool{
-		Name:     d.Name,
-		Count:    d.Count,
-		Server:   d.Server,
-		Poll:     Seconds(d.PollS),
-		Linger:   Seconds(d.LingerS),
-		Reserve:  d.Reserve,
-		Lowering: licences.Lower(d.OnCountLowered),
+		Name:           d.Name,
+		Count:          d.Count,
+		Server:         d.Server,
+		Poll:           Seconds(d.PollS),
+		ReleaseTimeout: Seconds(d.LingerS),
+		OutsideReserve: d.Reserve,
+		OnCountLowered: licences.LoweringPolicy(d.OnCountLowered),
 	}
 	var err error
 	if pool.Teams, err = d.teamShares(teams); err != nil {
@@ -90,14 +90,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("licence %q, reserve_during %q: %w", d.Name, window.Name, err)
 		}
-		pool.Windows = append(pool.Windows, licences.Reserve{Units: window.Units, During: hours})
+		pool.ReserveWindows = append(pool.ReserveWindows, licences.ReserveWindow{Units: window.Units, During: hours})
 	}
 	return pool, nil
 }
 
 // teamShares returns the teams' quotas of the pool. Together the guarantees fit in what isn't reserved.
-func (d *LicencePool) teamShares(teams map[string]bool) (map[string]licences.Share, error) {
-	shares := map[string]licences.Share{}
+func (d *LicencePool) teamShares(teams map[string]bool) (map[string]licences.TeamQuota, error) {
+	shares := map[string]licences.TeamQuota{}
 	guaranteed := 0
 	for _, team := range d.Teams {
 		_, isRepeated := shares[team.Name]
@@ -111,7 +111,7 @@
 				"licence %q: team %q is guaranteed %d but may hold %d at most",
 				d.Name, team.Name, team.Guarantee, team.Max)
 		}
-		shares[team.Name] = licences.Share{Guarantee: team.Guarantee, Most: team.Max}
+		shares[team.Name] = licences.TeamQuota{Guarantee: team.Guarantee, Limit: team.Max}
 		guaranteed += team.Guarantee
 	}
 	if available := d.Count - d.Reserve; guaranteed > available {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -32,8 +32,8 @@
 	minOutgoing = 4
 )
 
-// Processor returns the number of cores that may be used.
-func (l ControllerLimits) Processor() float64 { return valueOr(l.Cores, defaultCores) }
+// UsableCores returns the number of cores that may be used.
+func (l ControllerLimits) UsableCores() float64 { return valueOr(l.Cores, defaultCores) }
 
 // MemoryLimitMB returns the memory that may be used, in MB.
 func (l ControllerLimits) MemoryLimitMB() float64 { return valueOr(l.MemMB, defaultMemoryMB) }
--- a/internal/config/machines.go
+++ b/internal/config/machines.go
@@ -37,7 +37,7 @@
 func (l ControllerLimits) maxMachines(heartbeatIntervalS float64) (int, MachineBound) {
 	machines := (l.MemoryLimitMB()*machinesMemoryShare - baseMemoryMB) / memoryPerMachineMB
 	bound := BoundByMemory
-	byProcessor := l.Processor() * machinesCPUShare / cpuSecondsPerHeartbeat * heartbeatIntervalS
+	byProcessor := l.UsableCores() * machinesCPUShare / cpuSecondsPerHeartbeat * heartbeatIntervalS
 	if byProcessor < machines {
 		machines = byProcessor
 		bound = BoundByProcessor
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,9 +13,9 @@
 	// ControllerLeaseTTLMS is how long a controller's lease at the state service lives without renewal, in
 	// milliseconds.
 	ControllerLeaseTTLMS int `hcl:"hold_ttl_ms,optional" validate:"gte=1000,lte=600000"`
-	// BeginS is the start deadline of every job, in seconds from its submission, whatever its size and priority, as
+	// StartDeadlineS is the start deadline of every job, in seconds from its submission, whatever its size and priority, as
 	// far as there is capacity for it at all.
-	BeginS float64 `hcl:"begin_s,optional" validate:"gte=0"`
+	StartDeadlineS float64 `hcl:"begin_s,optional" validate:"gte=0"`
 	// MachineUnheardTimeoutS is how long a machine may send no heartbeat before it is returned, in seconds.
 	MachineUnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
 	// MachineIdleTimeoutS is how long a machine may be idle before it is returned, in seconds; 0 means as long as
@@ -71,12 +71,12 @@
 	if operator.ControllerLeaseTTLMS == 0 {
 		operator.ControllerLeaseTTLMS = int(s.defaultControllerLeaseTTL().Milliseconds())
 	}
-	if operator.BeginS == 0 {
-		operator.BeginS = defaultStartDeadlineS
+	if operator.StartDeadlineS == 0 {
+		operator.StartDeadlineS = defaultStartDeadlineS
 	}
 	if operator.MachineUnheardTimeoutS == 0 {
 		workers := s.Params.Workers
-		operator.MachineUnheardTimeoutS = min(workers.LeaseS, 3*workers.ReportS+4)
+		operator.MachineUnheardTimeoutS = min(workers.LeaseS, 3*workers.HeartbeatIntervalS+4)
 	}
 	if operator.Headroom == 0 {
 		operator.Headroom = defaultHeadroom
@@ -87,7 +87,7 @@
 	s.applyMachineBound()
 	for i := range operator.Licences {
 		if operator.Licences[i].OnCountLowered == "" {
-			operator.Licences[i].OnCountLowered = string(licences.Wait)
+			operator.Licences[i].OnCountLowered = string(licences.WaitForRelease)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 // applyMachineBound sets the largest number of machines, unless the operators did, and what it follows from.
 func (s *Settings) applyMachineBound() {
 	operator := &s.Operator
-	machines, bound := s.Params.Limits.maxMachines(s.Params.Workers.ReportS)
+	machines, bound := s.Params.Limits.maxMachines(s.Params.Workers.HeartbeatIntervalS)
 	if operator.MaxMachines == 0 {
 		operator.MaxMachines = machines
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -87,8 +87,8 @@
 
 // Workers holds the timing of the workers, in seconds.
 type Workers struct {
-	// ReportS is the interval between two heartbeats of a worker.
-	ReportS float64 `json:"report_s" validate:"gt=0"`
+	// HeartbeatIntervalS is the interval between two heartbeats of a worker.
+	HeartbeatIntervalS float64 `json:"report_s" validate:"gt=0"`
 	// LeaseS is how long a worker keeps its tasks running after the last response 200 to a heartbeat.
 	LeaseS float64 `json:"lease_s" validate:"gt=0"`
 	// GangWaitS is how long a gang's task waits for the other tasks to start before it gives up.
@@ -143,8 +143,8 @@
 	ListLagS float64 `json:"list_lag_s" validate:"gte=0"`
 }
 
-// Lease returns the workers' lease.
-func (s *Settings) Lease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
+// WorkerLease returns the workers' lease.
+func (s *Settings) WorkerLease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
 
 // HasCostObjective reports whether an objective measures cost.
 func (s *Settings) HasCostObjective() bool {
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -43,7 +43,7 @@
 	unheardTimeoutS := s.Operator.MachineUnheardTimeoutS
 	return Zones{
 		ReturnGrace:     durationOr(operator.ReturnGraceS, Seconds(returnGraceTimeouts*unheardTimeoutS)),
-		ProbationTime:   durationOr(operator.ProbationS, Seconds(probationHeartbeats*workers.ReportS)),
+		ProbationTime:   durationOr(operator.ProbationS, Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
 		FlapForgiveness: durationOr(operator.FlapForgivenessS, Seconds(flapForgivenessLease*workers.LeaseS)),
 		MaxProbation:    maxProbation,
 	}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -35,7 +35,7 @@
 
 // admitLicences checks whether a job's tasks can ever have their licences.
 func (c *Controller) admitLicences(perTask map[string]int, team string, tasksAtOnce int) api.AdmissionResult {
-	ok, why := c.licencePools.Ever(perTask, team, tasksAtOnce)
+	ok, why := c.licencePools.CanEverFit(perTask, team, tasksAtOnce)
 	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Reason: why}
 }
 
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -131,7 +131,7 @@
 			page.More = true
 			return false
 		}
-		if job != "" && event.Job != job && event.Kind != events.Term {
+		if job != "" && event.Job != job && event.Kind != events.TermStarted {
 			return true
 		}
 		isMentioned = isMentioned || event.Job == job
@@ -161,7 +161,7 @@
 		Kind:    event.Kind.String(),
 		Attempt: event.Attempt,
 		Note:    event.Note,
-		Saved:   event.Saved,
+		Saved:   event.HasCheckpoint,
 	}
 	if event.Job != "" {
 		view.Job = event.Job
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -42,7 +42,7 @@
 	}
 	c.rollout.HandleDelete(key, version)
 	c.membership.HandleDelete(c.loop.Now(), key, version)
-	c.licencePools.Drop(key, version)
+	c.licencePools.ApplyDeletion(key, version)
 	if key == drain.DocumentKey {
 		c.applyDrainDocument(nil, version)
 	}
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -49,13 +49,13 @@
 func (c *Controller) resignIfUnreachable(now time.Duration) {
 	workers := &c.settings.Params.Workers
 	silentFor := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
-	if silentFor < minSilence(workers.ReportS) {
+	if silentFor < minSilence(workers.HeartbeatIntervalS) {
 		return
 	}
 	silence := workerSilence{
 		silentFor:       silentFor,
-		reportInterval:  workers.ReportS,
-		lease:           c.settings.Lease(),
+		reportInterval:  workers.HeartbeatIntervalS,
+		lease:           c.settings.WorkerLease(),
 		reachedByOthers: c.peers.heartbeats(now),
 	}
 	for _, machine := range c.term.fleet.Machines() {
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -27,14 +27,14 @@
 // queryLicenceServers queries the licence servers that are due.
 func (c *Controller) queryLicenceServers(now time.Duration) {
 	termFleet := c.term.fleet
-	if termFleet.Gate.Licences.None() {
+	if termFleet.Gate.Licences.IsEmpty() {
 		return
 	}
-	for _, pool := range termFleet.Gate.Licences.Due(now) {
+	for _, pool := range termFleet.Gate.Licences.StartDueQueries(now) {
 		request := httpio.Request{
 			Method:  http.MethodGet,
 			Path:    "/v1/pools/" + url.PathEscape(pool.Name),
-			Timeout: licences.AskTimeout,
+			Timeout: licences.QueryTimeout,
 		}
 		c.licenceSender.Send(pool.Server, request, func(response httpio.Response) {
 			if c.term.fleet == termFleet {
@@ -50,10 +50,10 @@
 	answer, err := parseLicenceAnswer(response)
 	if err != nil {
 		slog.Debug("licence server query failed", "pool", pool, "error", err)
-		c.term.fleet.Gate.Licences.Failed(at, pool)
+		c.term.fleet.Gate.Licences.QueryFailed(at, pool)
 		return
 	}
-	c.term.fleet.Gate.Licences.Answered(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
+	c.term.fleet.Gate.Licences.ApplyAnswer(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
 }
 
 // parseLicenceAnswer reads a licence server's answer.
@@ -69,18 +69,18 @@
 
 // handleLicenceCount applies a stored count of licences.
 func (c *Controller) handleLicenceCount(item store.Item) {
-	if err := c.licencePools.Item(item.Key, item.Value, item.Version); err != nil {
+	if err := c.licencePools.ApplyRecord(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 	}
 }
 
 // licenceCommand is an operator's command: the body of a POST to a pool.
 type licenceCommand struct {
-	Count   *int           `json:"count"`
-	Lower   licences.Lower `json:"on_lower"`
-	Version *uint64        `json:"version"` // the command was based on; nil: any
-	By      string         `json:"by"`
-	Reset   bool           `json:"reset"` // back to what is declared
+	Count   *int                    `json:"count"`
+	Lower   licences.LoweringPolicy `json:"on_lower"`
+	Version *uint64                 `json:"version"` // the command was based on; nil: any
+	By      string                  `json:"by"`
+	Reset   bool                    `json:"reset"` // back to what is declared
 }
 
 // validate returns why a command is malformed, nil if it isn't.
@@ -88,8 +88,8 @@
 	switch {
 	case !l.Reset && (l.Count == nil || *l.Count < 0 || *l.Count > maxLicenceCount):
 		return fmt.Errorf("count must be 0 to %d", maxLicenceCount)
-	case l.Lower != "" && l.Lower != licences.Wait && l.Lower != licences.Stop:
-		return fmt.Errorf("on_lower must be %q or %q", licences.Wait, licences.Stop)
+	case l.Lower != "" && l.Lower != licences.WaitForRelease && l.Lower != licences.PreemptHolders:
+		return fmt.Errorf("on_lower must be %q or %q", licences.WaitForRelease, licences.PreemptHolders)
 	case len(l.By) > maxLicenceByLength:
 		return fmt.Errorf("by is longer than %d characters", maxLicenceByLength)
 	}
@@ -134,7 +134,7 @@
 
 // licenceView returns a pool with the units that the fleet counts as in use.
 func (c *Controller) licenceView(now time.Duration, index int32) licences.View {
-	return c.term.fleet.Gate.Licences.Show(now, index, c.jobs.Names.Teams.Name)
+	return c.term.fleet.Gate.Licences.View(now, index, c.jobs.Names.Teams.Name)
 }
 
 // setLicenceCount answers a command that sets a pool's count or resets it to the declared one.
@@ -148,7 +148,7 @@
 		reply(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	}
-	version, changedBy := c.licencePools.Stamp(index)
+	version, changedBy := c.licencePools.OverrideVersion(index)
 	if command.Version != nil && *command.Version != version {
 		reply(refuseLicenceConflict(changedBy, c.licenceView(now, index)))
 		return
@@ -187,7 +187,7 @@
 	if command.Reset {
 		return store.Op{Delete: key}
 	}
-	raw, _ := json.Marshal(licences.Set{
+	raw, _ := json.Marshal(licences.CountOverride{
 		Count: *command.Count,
 		Lower: command.Lower,
 		By:    command.By,
@@ -199,7 +199,7 @@
 // confirmLicenceCount applies a command whose write was committed.
 func (c *Controller) confirmLicenceCount(index int32, op store.Op, command *licenceCommand, revision uint64) {
 	if command.Reset {
-		c.licencePools.Drop(op.Delete, revision)
+		c.licencePools.ApplyDeletion(op.Delete, revision)
 	} else {
 		c.handleLicenceCount(store.Item{Key: op.Put, Value: op.Value, Version: revision})
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -206,8 +206,8 @@
 		view := c.licenceView(now, int32(index))
 		out.add(licencesDesc, float64(view.Count), pool.Name, "count")
 		out.add(licencesDesc, float64(view.Held+view.Booked), pool.Name, "held")
-		out.add(licencesDesc, float64(view.Lingering), pool.Name, "lingering")
-		out.add(licencesDesc, float64(view.Others), pool.Name, "others")
+		out.add(licencesDesc, float64(view.AwaitingRelease), pool.Name, "lingering")
+		out.add(licencesDesc, float64(view.OutsideUnits), pool.Name, "others")
 		out.add(licencesDesc, float64(view.Free), pool.Name, "free")
 	}
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -119,7 +119,7 @@
 		Node:                  c.settings.Node,
 		Leading:               c.term.active(),
 		StateServiceReachable: now-c.store.LastSuccess() < statusStoreAge,
-		Workers:               c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 0),
+		Workers:               c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.HeartbeatIntervalS), 0),
 		Leaving:               !c.lifecycle.isServing(),
 	}
 	if !c.term.active() {
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -46,7 +46,7 @@
 	}
 	c.term.fleet.Events.Add(events.Event{
 		At:      now,
-		Kind:    events.Rollout,
+		Kind:    events.RolloutStateChanged,
 		Task:    events.None,
 		Machine: events.None,
 		Note:    to.String() + ": " + cause,
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -55,7 +55,7 @@
 	c.term.fleet = fleet.New(c.fleetEnv(), term, now)
 	c.term.fleet.Events.Add(events.Event{
 		At:      now,
-		Kind:    events.Term,
+		Kind:    events.TermStarted,
 		Task:    events.None,
 		Machine: events.None,
 		Note:    c.settings.Node,
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -19,7 +19,7 @@
 // the authority to act, and with 421 and the worker's owner, if that is known, where another controller leads.
 func (c *Controller) handleHeartbeat(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
 	if !c.isLeader() {
-		c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.ReportS), 1)
+		c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.HeartbeatIntervalS), 1)
 		owner := notOwnerBody{c.ownerOf(now, heartbeat.Machine)}
 		reply(api.Reply{Status: http.StatusMisdirectedRequest, Body: owner})
 		return
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -11,39 +11,39 @@
 
 // The kinds of events. Their names as of Kind.String are part of the API.
 const (
-	Term         Kind = iota // the leader's term began; earlier events aren't in the log
-	JobAccepted              // the leader read or accepted a job
-	JobDone                  // the job's end is durable
-	JobCancelled             // the job's cancellation is durable
-	TaskSent                 // the task's launch is sent to a machine
-	TaskFound                // the task was found on a machine, or is counted there: an earlier leader launched it
-	TaskRunning              // the task runs
-	TaskStopping             // the task is to be stopped
-	TaskEnded                // the task exited; the note has the reason
-	TaskVanished             // the task's machine reports it no longer
-	TaskLost                 // the task's machine is gone
-	TaskDone                 // the task is done
-	Machine                  // a machine's condition changed; the note has the new one
-	Zone                     // a zone's state changed; the note has the zone and its new state
-	Rollout                  // a rollout's state changed; the note has the new state and the reason
+	TermStarted         Kind = iota // the leader's term began; earlier events aren't in the log
+	JobAccepted                     // the leader read or accepted a job
+	JobDone                         // the job's end is durable
+	JobCancelled                    // the job's cancellation is durable
+	TaskLaunched                    // the task's launch is sent to a machine
+	TaskFound                       // the task was found on a machine, or is counted there: an earlier leader launched it
+	TaskRunning                     // the task runs
+	TaskStopping                    // the task is to be stopped
+	TaskEnded                       // the task exited; the note has the reason
+	TaskMissing                     // the task's machine reports it no longer
+	TaskLost                        // the task's machine is gone
+	TaskDone                        // the task is done
+	MachineStateChanged             // a machine's condition changed; the note has the new one
+	ZoneStateChanged                // a zone's state changed; the note has the zone and its new state
+	RolloutStateChanged             // a rollout's state changed; the note has the new state and the reason
 )
 
 var kindNames = [...]string{
-	Term:         "term",
-	JobAccepted:  "job_accepted",
-	JobDone:      "job_done",
-	JobCancelled: "job_cancelled",
-	TaskSent:     "task_sent",
-	TaskFound:    "task_found",
-	TaskRunning:  "task_running",
-	TaskStopping: "task_stopping",
-	TaskEnded:    "task_ended",
-	TaskVanished: "task_vanished",
-	TaskLost:     "task_lost",
-	TaskDone:     "task_done",
-	Machine:      "machine",
-	Zone:         "zone",
-	Rollout:      "rollout",
+	TermStarted:         "term",
+	JobAccepted:         "job_accepted",
+	JobDone:             "job_done",
+	JobCancelled:        "job_cancelled",
+	TaskLaunched:        "task_sent",
+	TaskFound:           "task_found",
+	TaskRunning:         "task_running",
+	TaskStopping:        "task_stopping",
+	TaskEnded:           "task_ended",
+	TaskMissing:         "task_vanished",
+	TaskLost:            "task_lost",
+	TaskDone:            "task_done",
+	MachineStateChanged: "machine",
+	ZoneStateChanged:    "zone",
+	RolloutStateChanged: "rollout",
 }
 
 // String returns the kind's name in the API.
@@ -54,15 +54,15 @@
 
 // Event is one event of the log.
 type Event struct {
-	Seq     uint64        // the event's number within the term, from 1; Log.Add sets it
-	At      time.Duration // on the leader's monotonic clock
-	Kind    Kind
-	Saved   bool   // TaskEnded: the task wrote a checkpoint
-	Job     string // the job's id, "" if none; an index would be void once the job is archived
-	Task    int32  // the task's index in the job, or None
-	Machine int32  // the machine's dense index in the leader's fleet, or None
-	Attempt uint64
-	Note    string
+	Seq           uint64        // the event's number within the term, from 1; Log.Add sets it
+	At            time.Duration // on the leader's monotonic clock
+	Kind          Kind
+	HasCheckpoint bool   // TaskEnded: the task wrote a checkpoint
+	Job           string // the job's id, "" if none; an index would be void once the job is archived
+	Task          int32  // the task's index in the job, or None
+	Machine       int32  // the machine's dense index in the leader's fleet, or None
+	Attempt       uint64
+	Note          string
 }
 
 // Log is a ring buffer of events. Adding to a nil Log does nothing.
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -73,7 +73,7 @@
 // Kind names are part of the API: every kind has one of its own.
 func TestEveryKindHasItsOwnName(t *testing.T) {
 	seen := map[string]Kind{}
-	for kind := Term; kind <= Rollout; kind++ {
+	for kind := TermStarted; kind <= RolloutStateChanged; kind++ {
 		name := kind.String()
 		if other, ok := seen[name]; ok || name == "" {
 			t.Errorf("kind %d has the name %q, kind %d too", kind, name, other)
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -110,7 +110,7 @@
 		retry(now)
 	}
 	f.expireLeases(now)
-	if !f.Gate.Licences.None() {
+	if !f.Gate.Licences.IsEmpty() {
 		f.Gate.Licences.Tick(now, time.UnixMilli(f.Jobs.WallMS(now)))
 	}
 	scheduled := now >= f.nextCycle
@@ -119,7 +119,7 @@
 		f.schedule(now)
 		// Planning leaves most of the processor to heartbeats and lease renewals: the pause before the next cycle
 		// grows with the work of this one.
-		cores := f.Settings.Params.Limits.Processor()
+		cores := f.Settings.Params.Limits.UsableCores()
 		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-stepsBefore)*float64(pausePerStep)/cores)
 	}
 	f.FlushWrites(now)
--- a/internal/fleet/dispatch_test.go
+++ b/internal/fleet/dispatch_test.go
@@ -33,7 +33,7 @@
 		request := g.sentDirect[len(g.sentDirect)-1]
 		done := g.directCallbacks[len(g.directCallbacks)-1]
 		g.directCallbacks = nil
-		if g.now-lastContact > time.Duration(session)*g.Settings.Lease() {
+		if g.now-lastContact > time.Duration(session)*g.Settings.WorkerLease() {
 			session++
 			running = nil
 		}
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -158,7 +158,7 @@
 func (f *Fleet) updateSession(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	isNewer := heartbeat.Session > machine.Session
 	// Its lease ran out although its heartbeats were answered.
-	missedResponses := isNewer && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.Lease()
+	missedResponses := isNewer && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.WorkerLease()
 	if heartbeat.Session != machine.Session {
 		// Direct commands name their session: the worker refuses those of the former one.
 		f.clearIndeterminateLaunches(machine)
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -21,7 +21,7 @@
 // lease from when it sent its last answered heartbeat, which was before the response, on a clock that may be slow
 // by the drift bound.
 func (f *Fleet) expireLeases(now time.Duration) {
-	lease := f.Settings.Lease()
+	lease := f.Settings.WorkerLease()
 	limit := lease + lease/clockDriftBound + leaseExpiryMargin
 	for _, machine := range f.machines {
 		isEnded := machine.Condition == LeaseExpired || machine.Condition == Terminated
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -131,15 +131,15 @@
 // preemptForLicences stops tasks of others for a job that waits for licence units, by the same rules as for
 // machines: only after a delay, and only where waiting for tasks to end by themselves would miss an objective or a
 // guarantee. It stops holders in all pools that lack units, or in none.
-func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, ask licences.Ask, grant licences.Grant) {
-	if grant.Why != licences.NoSeat && grant.Why != licences.OtherFirst {
+func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, ask licences.Request, grant licences.Grant) {
+	if grant.Denial != licences.NoFreeUnits && grant.Denial != licences.LowerPriority {
 		return
 	}
 	needed := 1 // tasks that must start together
-	if ask.Whole {
+	if ask.IsGang {
 		needed = ask.Tasks
 	}
-	guaranteed := f.Gate.Licences.Promised(job.Team, job.LicenceUnits, needed)
+	guaranteed := f.Gate.Licences.IsWithinGuarantee(job.Team, job.LicenceUnits, needed)
 	if f.hasLowestPriority(job) && !guaranteed {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 	var victims []poolHolders
 	for _, unit := range job.LicenceUnits {
-		missing := f.Gate.Licences.Short(unit, needed)
+		missing := f.Gate.Licences.Shortage(unit, needed)
 		if missing == 0 {
 			continue
 		}
@@ -181,11 +181,11 @@
 // exceedsLicenceGuarantee returns whether a job whose tasks can be stopped one by one belongs to a team, other than
 // the given one, that holds more of a pool than it is guaranteed.
 func (f *Fleet) exceedsLicenceGuarantee(victim *jobs.Job, team, pool int32) bool {
-	if victim.Team == team || !f.Gate.Licences.Over(pool, victim.Team) {
+	if victim.Team == team || !f.Gate.Licences.IsAboveGuarantee(pool, victim.Team) {
 		return false
 	}
 	separateTasks := victim.Spec.Kind == jobs.Array || victim.TaskCount == 1
-	return separateTasks && !f.Gate.Licences.Promised(victim.Team, victim.LicenceUnits, 0)
+	return separateTasks && !f.Gate.Licences.IsWithinGuarantee(victim.Team, victim.LicenceUnits, 0)
 }
 
 // earliestLicenceS estimates in how many seconds the next holder of a pool ends by itself.
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -13,8 +13,8 @@
 // order, and a job plans, and asks for machines, only for tasks that are granted theirs. Whether a task may start is
 // decided by the admission gate when its launch is about to be sent.
 
-func licenceRef(job *jobs.Job, taskIndex int32) licences.Ref {
-	return licences.Ref{Job: int32(job.Index), Task: taskIndex}
+func licenceRef(job *jobs.Job, taskIndex int32) licences.TaskRef {
+	return licences.TaskRef{Job: int32(job.Index), Task: taskIndex}
 }
 
 // admissionClaim returns what one task of a job takes of all limits.
@@ -37,10 +37,10 @@
 }
 
 // LicenceHolder finds the task with a name, by which a licence server lists it as a holder.
-func (f *Fleet) LicenceHolder(task string) (licences.Ref, bool) {
+func (f *Fleet) LicenceHolder(task string) (licences.TaskRef, bool) {
 	job, taskIndex := f.findTask(task)
 	if job == nil {
-		return licences.Ref{}, false
+		return licences.TaskRef{}, false
 	}
 	return licenceRef(job, taskIndex), true
 }
@@ -52,7 +52,7 @@
 	if !ok {
 		return licences.Granted, -1
 	}
-	return grant.Why, grant.Pool
+	return grant.Denial, grant.Pool
 }
 
 // poolName returns the name of a licence pool.
@@ -66,7 +66,7 @@
 
 // admitGang reserves what a whole gang takes when its first task is about to be launched.
 func (f *Fleet) admitGang(now time.Duration, job *jobs.Job) {
-	var refs []licences.Ref
+	var refs []licences.TaskRef
 	for t := range job.Tasks {
 		if job.Tasks[t].State == jobs.Planned {
 			refs = append(refs, licenceRef(job, int32(t)))
@@ -78,7 +78,7 @@
 // releaseUnusedAdmissions releases what is reserved for tasks that will not be launched: their job ended, or their
 // gang lost its plan or one of its tasks.
 func (f *Fleet) releaseUnusedAdmissions(now time.Duration) {
-	f.Gate.ReleaseReserved(now, func(ref licences.Ref) bool {
+	f.Gate.ReleaseReserved(now, func(ref licences.TaskRef) bool {
 		job := f.jobAt(jobs.Index(ref.Job))
 		if job == nil || job.State.Terminal() || job.Tasks == nil {
 			return true
@@ -92,11 +92,11 @@
 func licenceEnd(exitReason ExitCause) licences.End {
 	switch exitReason {
 	case exitNoRoom, exitUnknown:
-		return licences.Unstarted
+		return licences.NeverStarted
 	case exitError:
 		return licences.Crashed
 	}
-	return licences.Clean
+	return licences.CleanExit
 }
 
 // handleWorkerRestart releases the launched tasks that need licences when their worker's session has ended: the
@@ -104,7 +104,7 @@
 // attempts are not sent again, as those of other tasks are, since two processes could then hold licence units in the
 // name of one attempt.
 func (f *Fleet) handleWorkerRestart(now time.Duration, machine *Machine) {
-	if f.Gate.Licences.None() || !f.plansLoaded {
+	if f.Gate.Licences.IsEmpty() || !f.plansLoaded {
 		return
 	}
 	var refs []TaskRef
@@ -130,7 +130,7 @@
 	if len(jobList) == 0 {
 		return
 	}
-	for i, grant := range f.Gate.Licences.Allot(asks) {
+	for i, grant := range f.Gate.Licences.Allocate(asks) {
 		f.applyLicenceGrant(jobList[i], asks[i], grant)
 	}
 	f.PlanningSteps += uint64(4 * len(jobList))
@@ -147,21 +147,21 @@
 }
 
 // licenceRequests returns the live jobs that need licences, in priority order, and what each asks for.
-func (f *Fleet) licenceRequests() ([]*jobs.Job, []licences.Ask) {
+func (f *Fleet) licenceRequests() ([]*jobs.Job, []licences.Request) {
 	var jobList []*jobs.Job
-	var asks []licences.Ask
+	var asks []licences.Request
 	for _, job := range f.ranking.jobs {
 		if len(job.LicenceUnits) == 0 || job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
-		ask := licences.Ask{
-			Job:   int32(job.Index),
-			Team:  job.Team,
-			Needs: job.LicenceUnits,
-			Whole: job.Spec.Kind == jobs.Gang,
-			Tasks: job.UnstartedTasks(),
+		ask := licences.Request{
+			Job:    int32(job.Index),
+			Team:   job.Team,
+			Needs:  job.LicenceUnits,
+			IsGang: job.Spec.Kind == jobs.Gang,
+			Tasks:  job.UnstartedTasks(),
 		}
-		if ask.Whole && ask.Tasks < job.TaskCount {
+		if ask.IsGang && ask.Tasks < job.TaskCount {
 			ask.Tasks = 0 // some of the gang is still on machines, or about to start with its units reserved
 		}
 		jobList = append(jobList, job)
@@ -171,11 +171,11 @@
 }
 
 // applyLicenceGrant keeps a job's grant for this scheduling cycle and takes back plans beyond it.
-func (f *Fleet) applyLicenceGrant(job *jobs.Job, ask licences.Ask, grant licences.Grant) {
-	if job.LicenceDenial != grant.Why {
-		job.LicenceDenial = grant.Why
+func (f *Fleet) applyLicenceGrant(job *jobs.Job, ask licences.Request, grant licences.Grant) {
+	if job.LicenceDenial != grant.Denial {
+		job.LicenceDenial = grant.Denial
 		slog.Debug("licence grant changed",
-			"job", job.ID, "granted", grant.Tasks, "requested", ask.Tasks, "cause", grant.Why.String(), "term", f.Term)
+			"job", job.ID, "granted", grant.Tasks, "requested", ask.Tasks, "cause", grant.Denial.String(), "term", f.Term)
 	}
 	f.licenceGrants[job.Index] = grant
 	f.dropPlans(job, job.TasksByState[jobs.Planned]-grant.Tasks)
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -46,7 +46,7 @@
 
 // freeUnits returns how many units of a pool are free.
 func (g *rig) freeUnits(pool int32) int {
-	return g.Gate.Licences.Show(g.now, pool, func(int32) string { return "" }).Free
+	return g.Gate.Licences.View(g.now, pool, func(int32) string { return "" }).Free
 }
 
 func taskReport(job *jobs.Job, taskIndex int, attempt uint64, state AttemptState, exitReason ExitCause) TaskReport {
@@ -79,7 +79,7 @@
 	if n != 6 || g.freeUnits(0) != 0 || len(g.Demand(g.now)) != 0 {
 		t.Fatalf("%d starts, %d units free, demand %+v", n, g.freeUnits(0), g.Demand(g.now))
 	}
-	if denial, pool := g.LicenceDenial(job); denial != licences.NoSeat || pool != 0 {
+	if denial, pool := g.LicenceDenial(job); denial != licences.NoFreeUnits || pool != 0 {
 		t.Fatalf("denied %q in %d", denial, pool)
 	}
 	pool.Count = 5
@@ -113,7 +113,7 @@
 // Units of crashed tasks of an earlier term, unknown to a new leader, may linger where no server can be asked: for
 // that long it grants none.
 func TestFailoverWaitsForUnknownLingeringUnits(t *testing.T) {
-	n := newLicenceRig(t, 2, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 8 * time.Second})
+	n := newLicenceRig(t, 2, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, ReleaseTimeout: 8 * time.Second})
 	n.heartbeat("m", 1, 2*fenced)
 	job := n.submit(specWithLicences(1, 1, oneUnit()))
 	n.settle(store.Committed)
@@ -132,7 +132,7 @@
 // may linger.
 func TestUnitOfMissingRecoveredTaskLingers(t *testing.T) {
 	kv := map[string]json.RawMessage{}
-	pool := func() *licences.Pool { return &licences.Pool{Name: "p", Count: 1, Linger: 8 * time.Second} }
+	pool := func() *licences.Pool { return &licences.Pool{Name: "p", Count: 1, ReleaseTimeout: 8 * time.Second} }
 	g := newLicenceRig(t, 1, kv, pool())
 	g.now = 8 * time.Second
 	g.heartbeat("m", 1, fenced)
@@ -193,7 +193,7 @@
 // A machine hangs with a task that it was just sent, its lease expires, and it comes back in a new session: the
 // process of the old one crashed with its unit, so the same attempt is not sent again.
 func TestLaunchOfLostSessionIsNotRepeated(t *testing.T) {
-	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, Linger: 5 * time.Second})
+	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, &licences.Pool{Name: "p", Count: 1, ReleaseTimeout: 5 * time.Second})
 	g.now = 6 * time.Second // past the lingering units of an earlier term
 	g.heartbeat("m", 1, fenced)
 	job := g.submit(specWithLicences(1, 1, oneUnit()))
@@ -306,7 +306,7 @@
 // The count falls below what is in use. As its operators chose, nothing is stopped, or the tasks with the least work
 // to lose are, as many as it takes and no more.
 func TestLoweredCountStopsTasksIfChosen(t *testing.T) {
-	pool := &licences.Pool{Name: "p", Count: 5, Lowering: licences.Wait}
+	pool := &licences.Pool{Name: "p", Count: 5, OnCountLowered: licences.WaitForRelease}
 	g := newLicenceRig(t, 1, map[string]json.RawMessage{}, pool)
 	job, _ := startHolders(t, g, 5)
 	pool.Count = 3
@@ -314,7 +314,7 @@
 	if stopping := stoppingTasks(job); stopping != nil {
 		t.Fatalf("tasks %v are stopped, and the operators want to wait", stopping)
 	}
-	pool.Lowering = licences.Stop
+	pool.OnCountLowered = licences.PreemptHolders
 	g.settle(store.Committed)
 	stopping := stoppingTasks(job)
 	if len(stopping) != 2 {
@@ -333,7 +333,7 @@
 // than it needs. The same goes for a job within its team's guaranteed units.
 func TestUnitsArePreempted(t *testing.T) {
 	for _, guaranteed := range []bool{false, true} {
-		pool := &licences.Pool{Name: "p", Count: 4, Teams: map[string]licences.Share{"u": {Guarantee: 2}}}
+		pool := &licences.Pool{Name: "p", Count: 4, Teams: map[string]licences.TeamQuota{"u": {Guarantee: 2}}}
 		g := newLicenceRig(t, 1, map[string]json.RawMessage{}, pool)
 		job, reports := startHolders(t, g, 4)
 		g.heartbeat("spare", 1, fenced)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -251,5 +251,5 @@
 	slog.Info("machine state changed", "machine", machine.Name, "from", machine.Condition.String(), "to", to.String(),
 		"cause", cause, "term", f.Term)
 	machine.Condition = to
-	f.Events.Add(events.Event{At: f.Now(), Kind: events.Machine, Machine: machine.Index, Note: to.String()})
+	f.Events.Add(events.Event{At: f.Now(), Kind: events.MachineStateChanged, Machine: machine.Index, Note: to.String()})
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -130,7 +130,7 @@
 		{Name: "t0", CPUs: 4, CPUsMax: 14},
 		{Name: "t1", CPUs: 4, CPUsMax: 14},
 	}
-	settings.Params.Workers = config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 8, GangPeerS: 2, CancelS: 30}
+	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 1.5, LeaseS: 10, GangWaitS: 8, GangPeerS: 2, CancelS: 30}
 	settings.Params.State.ValueKB = 8
 	settings.Operator.NetworkFactor = 1
 	return settings
@@ -280,7 +280,7 @@
 
 // modelPools returns the licence pools of the model, one of which counts units of crashed tasks for a while.
 func modelPools() []*licences.Pool {
-	return []*licences.Pool{{Name: "p", Count: 6}, {Name: "q", Count: 5, Linger: 6 * time.Second}}
+	return []*licences.Pool{{Name: "p", Count: 6}, {Name: "q", Count: 5, ReleaseTimeout: 6 * time.Second}}
 }
 
 // The rules are kept whatever is lost, late, repeated, crashed or taken away, and every job ends once everything is
@@ -330,7 +330,7 @@
 				full++
 			}
 			index, _ := m.jobs.Names.Pools.Index(pool.Name)
-			view := m.fleet.Gate.Licences.Show(m.now, index, func(int32) string { return "" })
+			view := m.fleet.Gate.Licences.View(m.now, index, func(int32) string { return "" })
 			if view.Free != pool.Count {
 				t.Fatalf("seed %d: pool %s is empty but %+v", m.seed, pool.Name, view)
 			}
--- a/internal/fleet/modelfaults_test.go
+++ b/internal/fleet/modelfaults_test.go
@@ -111,7 +111,7 @@
 	for _, pool := range m.pools {
 		before := pool.Count
 		pool.Count = 3 + m.rng.IntN(5)
-		pool.Lowering = []licences.Lower{licences.Wait, licences.Stop}[m.rng.IntN(2)]
+		pool.OnCountLowered = []licences.LoweringPolicy{licences.WaitForRelease, licences.PreemptHolders}[m.rng.IntN(2)]
 		m.maxUnits[pool.Name] = max(before, pool.Count)
 	}
 }
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -235,7 +235,7 @@
 
 // expireLease kills a worker's tasks and begins a new session when its lease is over.
 func (m *model) expireLease(worker *modelWorker) {
-	if m.now-worker.leaseFrom <= m.settings.Lease() {
+	if m.now-worker.leaseFrom <= m.settings.WorkerLease() {
 		return
 	}
 	m.crashTasks(worker.tasks)
@@ -254,7 +254,7 @@
 		for name, units := range m.specs[task.job].Licences {
 			for _, pool := range m.pools {
 				if pool.Name == name {
-					m.lingering = append(m.lingering, lingeringUnits{name, units, m.now + pool.Linger})
+					m.lingering = append(m.lingering, lingeringUnits{name, units, m.now + pool.ReleaseTimeout})
 				}
 			}
 		}
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -28,7 +28,7 @@
 	f.Gate.Acquire(now, licenceRef(job, taskIndex), task.Attempt, admissionClaim(job))
 	kind := events.TaskFound
 	if to == jobs.Launched {
-		kind = events.TaskSent
+		kind = events.TaskLaunched
 	}
 	f.addTaskEvent(now, kind, job, taskIndex)
 	job.TasksByZone[machine.Zone]++
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -58,7 +58,7 @@
 		return
 	}
 	grant := f.licenceGrants[job.Index]
-	denial := admission.Denial{Licence: grant.Why, Pool: grant.Pool}
+	denial := admission.Denial{Licence: grant.Denial, Pool: grant.Pool}
 	f.setPendingNote(job, pendingNote{cause: LicenceUnavailable, denial: denial})
 }
 
@@ -247,7 +247,7 @@
 	for _, machine := range f.machines {
 		if machine.Quarantined && machine.Zone == zone {
 			silentFor = max(silentFor, now-machine.LastContactAt)
-			leaseLeft = max(leaseLeft, machine.LastAnsweredAt+f.Settings.Lease()-now)
+			leaseLeft = max(leaseLeft, machine.LastAnsweredAt+f.Settings.WorkerLease()-now)
 		}
 	}
 	return silentFor, leaseLeft
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -138,8 +138,8 @@
 			return false
 		}
 	}
-	denial := c.fleet.licenceGrants[c.job.Index].Why
-	return denial != licences.OtherFirst && denial != licences.NoAnswer && !hasUncountedUnits(c.fleet)
+	denial := c.fleet.licenceGrants[c.job.Index].Denial
+	return denial != licences.LowerPriority && denial != licences.ServerUnavailable && !hasUncountedUnits(c.fleet)
 }
 
 // couldTake returns whether a machine that has been up for a while could take a task of the job if it were empty.
@@ -174,8 +174,8 @@
 // hasUncountedUnits returns whether licence units are taken that no task on a machine holds, or may be.
 func hasUncountedUnits(f *Fleet) bool {
 	for i := range f.Jobs.Names.Pools.Pools() {
-		view := f.Gate.Licences.Show(0, int32(i), func(int32) string { return "" })
-		if view.Lingering > 0 || view.Line != "open" || view.Booked > 0 {
+		view := f.Gate.Licences.View(0, int32(i), func(int32) string { return "" })
+		if view.AwaitingRelease > 0 || view.ServerState != "open" || view.Booked > 0 {
 			return true
 		}
 	}
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -59,7 +59,7 @@
 func (l *singleMachine) settleBriefly() { l.settleFor(3, store.Committed) }
 
 func (l *singleMachine) expireLease() {
-	if l.now-l.leaseStart > l.Settings.Lease() {
+	if l.now-l.leaseStart > l.Settings.WorkerLease() {
 		l.runningAttempt, l.session, l.leaseStart = 0, l.session+1, l.now
 	}
 }
@@ -226,7 +226,7 @@
 
 // violation returns what is wrong now, "" if nothing is: a task on the machine must count there.
 func (l *singleMachine) violation() string {
-	if l.now-l.leaseStart > l.Settings.Lease() {
+	if l.now-l.leaseStart > l.Settings.WorkerLease() {
 		l.expireLease()
 	}
 	if l.copyEffect != "" {
@@ -253,7 +253,7 @@
 	machine := l.machines[0]
 	if l.isDead {
 		// Copies of all heartbeats, several leases late.
-		l.now += 3 * l.Settings.Lease()
+		l.now += 3 * l.Settings.WorkerLease()
 		l.settleBriefly()
 		lastContact := machine.LastContactAt
 		for i := range l.history {
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -105,7 +105,7 @@
 	}
 	task.Attempt = report.Attempt
 	if len(job.LicenceUnits) > 0 {
-		f.Gate.Licences.Attempt(now, licenceRef(job, taskIndex), report.Attempt, job.LicenceUnits)
+		f.Gate.Licences.SetAttempt(now, licenceRef(job, taskIndex), report.Attempt, job.LicenceUnits)
 	}
 	task.LaunchIndeterminate = false
 	f.updatePhase(now, machine, report)
@@ -174,7 +174,7 @@
 	isElsewhere := task.Machine != machine.Index
 	if job.State.Terminal() {
 		if task.State.Occupies() && !isElsewhere {
-			f.release(now, job, taskIndex, jobs.Unplanned, licences.Clean)
+			f.release(now, job, taskIndex, jobs.Unplanned, licences.CleanExit)
 		}
 		return
 	}
@@ -199,14 +199,14 @@
 	slog.Info("task ended", "task", report.Task, "machine", machine.Name, "cause", report.ExitCause, "saved", report.Saved,
 		"term", f.Term)
 	f.Events.Add(events.Event{
-		At:      now,
-		Kind:    events.TaskEnded,
-		Job:     job.ID,
-		Task:    taskIndex,
-		Machine: machine.Index,
-		Attempt: task.Attempt,
-		Note:    string(report.ExitCause),
-		Saved:   report.Saved,
+		At:            now,
+		Kind:          events.TaskEnded,
+		Job:           job.ID,
+		Task:          taskIndex,
+		Machine:       machine.Index,
+		Attempt:       task.Attempt,
+		Note:          string(report.ExitCause),
+		HasCheckpoint: report.Saved,
 	})
 	f.release(now, job, taskIndex, jobs.Unplanned, licenceEnd(report.ExitCause))
 	job.MarkDirty(taskIndex, false, now)
@@ -260,7 +260,7 @@
 		f.dequeue(job, taskIndex)
 	}
 	f.addTaskEvent(now, events.TaskDone, job, taskIndex)
-	f.release(now, job, taskIndex, jobs.Finished, licences.Clean)
+	f.release(now, job, taskIndex, jobs.Finished, licences.CleanExit)
 	job.MarkDirty(taskIndex, false, now)
 	if job.FinishedTasks == job.TaskCount {
 		slog.Info("all tasks done", "job", job.ID, "term", f.Term)
@@ -309,7 +309,7 @@
 		// that it will not start; then buildCommands sends it again, unless it is not wanted any more.
 		isUnwanted := job.State.Terminal() || machine.Condition != Ready
 		if isUnwanted && !task.LaunchIndeterminate && origin == fromRequest {
-			f.release(now, job, ref.Task, jobs.Unplanned, licences.Unstarted)
+			f.release(now, job, ref.Task, jobs.Unplanned, licences.NeverStarted)
 		}
 	case jobs.Recovered:
 		to := jobs.Planned
@@ -320,7 +320,7 @@
 		f.release(now, job, ref.Task, to, licences.Crashed)
 	case jobs.OnMachine:
 		slog.Info("task vanished", "job", job.ID, "task", ref.Task, "machine", machine.Name, "term", f.Term)
-		f.addTaskEvent(now, events.TaskVanished, job, ref.Task)
+		f.addTaskEvent(now, events.TaskMissing, job, ref.Task)
 		f.release(now, job, ref.Task, jobs.Unplanned, licences.Crashed)
 		if !job.State.Terminal() {
 			job.MarkDirty(ref.Task, false, now)
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -40,7 +40,7 @@
 	g := &rig{t: t, kv: kv, revision: 100 * term}
 	settings := &config.Settings{}
 	settings.Params.Teams = teams
-	settings.Params.Workers = config.Workers{ReportS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
+	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
 	settings.Params.State.ValueKB = 8
 	settings.Operator.NetworkFactor = 1
 	book := jobs.NewTable(0)
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -36,7 +36,7 @@
 // startOverdue reports whether no task of a job has ever started although it was submitted long ago. Its age counts
 // from its submission, which is durable, so that it survives a failover.
 func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
-	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.BeginS)
+	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.StartDeadlineS)
 	if limit <= 0 || now-job.SubmittedAt <= limit {
 		return false
 	}
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -69,10 +69,10 @@
 		g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t", CPUs: 8}, {Name: "u"}})
 		submitRandomJobs(g, rng)
 		now := 300 * time.Second
-		g.Settings.Operator.BeginS = 0
+		g.Settings.Operator.StartDeadlineS = 0
 		g.RankJobs(now)
 		unpromoted := slices.Clone(g.ranking.jobs)
-		g.Settings.Operator.BeginS = 240
+		g.Settings.Operator.StartDeadlineS = 240
 		g.RankJobs(now)
 		want := promoteOverdueModel(g, unpromoted, now, 120*time.Second)
 		if !slices.Equal(g.ranking.jobs, want) {
@@ -106,7 +106,7 @@
 func newContention(t *testing.T, beginS float64) *contention {
 	t.Helper()
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}, {Name: "guest"}})
-	g.Settings.Operator.BeginS = beginS
+	g.Settings.Operator.StartDeadlineS = beginS
 	g.Settings.Params.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 30}}
 	return &contention{
 		rig:      g,
@@ -189,7 +189,7 @@
 // overdue.
 func (c *contention) observe() {
 	age := c.now - c.gang.SubmittedAt
-	if !c.gang.Started && c.Settings.Operator.BeginS > 0 && age > 125*time.Second {
+	if !c.gang.Started && c.Settings.Operator.StartDeadlineS > 0 && age > 125*time.Second {
 		reasons := c.PendingReasons(c.now, c.gang)
 		c.explained = c.explained || len(reasons) == 1 &&
 			reasons[0].Cause == GangShort &&
@@ -247,7 +247,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := mixed(t)
-			g.Settings.Operator.BeginS = c.beginS
+			g.Settings.Operator.StartDeadlineS = c.beginS
 			running := map[string][]TaskReport{}
 			g.see("g1", "gpu", false)
 			for n, cpus := range []float64{5, 6} { // the larger ones wait for ever, and leave nothing beside them
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -38,10 +38,10 @@
 // on a machine.
 func (f *Fleet) SessionTask(job *jobs.Job) sessions.Task {
 	if !f.plansLoaded || job.Tasks == nil {
-		return sessions.Task{On: !f.plansLoaded}
+		return sessions.Task{OnMachine: !f.plansLoaded}
 	}
 	task := &job.Tasks[0]
-	return sessions.Task{On: task.State.Occupies(), Ending: task.Stopping, Attempt: task.Attempt}
+	return sessions.Task{OnMachine: task.State.Occupies(), Stopping: task.Stopping, Attempt: task.Attempt}
 }
 
 // maxWaitingJobs is for how many waiting jobs sessions to be reclaimed are looked for.
--- a/internal/jobs/names.go
+++ b/internal/jobs/names.go
@@ -65,7 +65,7 @@
 	if len(spec.Licences) == 0 {
 		return nil
 	}
-	units, err := x.Pools.Needs(spec.Licences)
+	units, err := x.Pools.UnitsByIndex(spec.Licences)
 	if err != nil {
 		return []licences.Unit{{Pool: None, N: 1}}
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -131,7 +131,7 @@
 	w := simulator.Config{
 		Seed: 1, Controllers: s.Controllers, Zones: zones, Machines: s.Machines, State: limits, StateAddrs: addrs, Step: stepOfTime,
 		Types:   []capacity.MachineType{{Name: "hollow", CPUs: cores, Mem: 4 * cores, CacheGB: 100, FetchGB: 2, Price: 1, BootS: 1, Zones: zones}},
-		Workers: config.Workers{ReportS: p.ReportS, LeaseS: p.LeaseS, GangWaitS: 30, GangPeerS: 5, CancelS: p.CancelS}, Cloud: config.Cloud{RPS: 20, ListLagS: 1},
+		Workers: config.Workers{HeartbeatIntervalS: p.ReportS, LeaseS: p.LeaseS, GangWaitS: 30, GangPeerS: 5, CancelS: p.CancelS}, Cloud: config.Cloud{RPS: 20, ListLagS: 1},
 		Limits: config.ControllerLimits{Cores: &limitCores, MemMB: &limitMemMB, Sockets: &limitSockets},
 	}
 	for i := range s.Teams {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -232,7 +232,7 @@
 	w := simulator.Config{
 		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, Machines: s.Machines, Pools: map[string]int{},
 		// Times and limits of a service at work, not those of short tests.
-		Workers: config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
+		Workers: config.Workers{HeartbeatIntervalS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
 		State:   config.State{RPS: 400, WriteRPS: 150, ValueKB: 32, TxnOps: 24},
 		Cloud:   config.Cloud{RPS: 5, ListLagS: 3}, Step: 100 * time.Millisecond,
 	}
--- a/internal/licences/allocation.go
+++ b/internal/licences/allocation.go
@@ -5,12 +5,12 @@
 
 // The denials.
 const (
-	Granted          Denial = iota
-	UnknownPool             // the pool is not declared here
-	NoSeat                  // all units are in use
-	TeamLimitReached        // the team uses as many units as it may
-	NoAnswer                // the licence server's state is unknown
-	OtherFirst              // units are free, but go to jobs of higher priority
+	Granted           Denial = iota
+	UnknownPool              // the pool is not declared here
+	NoFreeUnits              // all units are in use
+	TeamLimitReached         // the team uses as many units as it may
+	ServerUnavailable        // the licence server's state is unknown
+	LowerPriority            // units are free, but go to jobs of higher priority
 )
 
 // String returns the reason for users, as the API has it.
@@ -42,32 +42,32 @@
 // fits returns Granted if a team may have further units now, and the denial if not.
 func (p *poolState) fits(team int32, units int) Denial {
 	if !p.server.isUsable() {
-		return NoAnswer
+		return ServerUnavailable
 	}
 	if p.freeUnits() < units {
-		return NoSeat
+		return NoFreeUnits
 	}
 	usage := p.teams[team]
-	if usage != nil && usage.Most > 0 && usage.units+units > usage.Most {
+	if usage != nil && usage.Limit > 0 && usage.units+units > usage.Limit {
 		return TeamLimitReached
 	}
 	return Granted
 }
 
-// Ask is a live job that waits for licence units.
-type Ask struct {
-	Job   int32  // dense index
-	Team  int32  // dense index
-	Needs []Unit // of each task
-	Tasks int    // that wait
-	Whole bool   // all tasks must get their units at once: gang scheduling
+// Request is a live job that waits for licence units.
+type Request struct {
+	Job    int32  // dense index
+	Team   int32  // dense index
+	Needs  []Unit // of each task
+	Tasks  int    // that wait
+	IsGang bool   // all tasks must get their units at once: gang scheduling
 }
 
-// Grant is the result of an Ask: how many of its tasks may be planned and started and, if not all of them, why.
+// Grant is the result of a Request: how many of its tasks may be planned and started and, if not all of them, why.
 type Grant struct {
-	Tasks int
-	Why   Denial
-	Pool  int32 // that causes the denial; -1: none
+	Tasks  int
+	Denial Denial
+	Pool   int32 // that causes the denial; -1: none
 }
 
 // limit returns how many of a number of tasks can have their units of a pool if only so many units are available.
@@ -77,23 +77,23 @@
 	if fitting >= tasks {
 		return tasks
 	}
-	g.Why = why
+	g.Denial = why
 	g.Pool = unit.Pool
 	return fitting
 }
 
-// allocation is what remains of all pools during one call of Allot.
+// allocation is what remains of all pools during one call of Allocate.
 type allocation struct {
 	ledger    *Ledger
 	freeUnits []int           // by pool
 	teamUnits []map[int32]int // by pool and team: in use or granted
 }
 
-// Allot distributes the free units over jobs, which it takes in priority order, the highest first. It does two
+// Allocate distributes the free units over jobs, which it takes in priority order, the highest first. It does two
 // rounds: first for jobs within their team's guarantee, then for all. A gang that can't have all its units yet
 // withholds the free ones of all its pools from the jobs behind it. A gang never gets a part of its units, so two
 // gangs that need the same two pools can't deadlock.
-func (l *Ledger) Allot(asks []Ask) []Grant {
+func (l *Ledger) Allocate(asks []Request) []Grant {
 	remaining := l.newAllocation()
 	grants := make([]Grant, len(asks))
 	for i := range grants {
@@ -106,7 +106,7 @@
 	}
 	for i := range grants {
 		if grants[i].Tasks >= asks[i].Tasks {
-			grants[i].Why = Granted
+			grants[i].Denial = Granted
 			grants[i].Pool = noPool
 		} else if pool := l.pool(grants[i].Pool); pool != nil {
 			pool.server.isAnswerAwaited = true
@@ -129,13 +129,13 @@
 }
 
 // grant grants a job what it can have in one round, in addition to what an earlier round has granted.
-func (a *allocation) grant(ask *Ask, grant *Grant, guaranteed bool) {
+func (a *allocation) grant(ask *Request, grant *Grant, guaranteed bool) {
 	waiting := ask.Tasks - grant.Tasks
 	if waiting <= 0 || !a.areDeclared(ask, grant) {
 		return
 	}
 	tasks := a.grantable(ask, waiting, guaranteed, grant)
-	if ask.Whole && tasks < waiting {
+	if ask.IsGang && tasks < waiting {
 		if !guaranteed {
 			a.withhold(ask)
 		}
@@ -146,10 +146,10 @@
 }
 
 // areDeclared reports whether all pools of a job are declared here. If not, it records the denial.
-func (a *allocation) areDeclared(ask *Ask, grant *Grant) bool {
+func (a *allocation) areDeclared(ask *Request, grant *Grant) bool {
 	for _, unit := range ask.Needs {
 		if a.ledger.pool(unit.Pool) == nil {
-			grant.Why = UnknownPool
+			grant.Denial = UnknownPool
 			grant.Pool = unit.Pool
 			return false
 		}
@@ -159,7 +159,7 @@
 
 // grantable returns how many of a number of tasks can have their units now. If they are fewer, it records the
 // denial.
-func (a *allocation) grantable(ask *Ask, tasks int, guaranteed bool, grant *Grant) int {
+func (a *allocation) grantable(ask *Request, tasks int, guaranteed bool, grant *Grant) int {
 	hasGuarantee := false
 	for _, unit := range ask.Needs {
 		pool := a.ledger.pools[unit.Pool]
@@ -167,10 +167,10 @@
 		used := a.teamUnits[unit.Pool][ask.Team]
 		if guaranteed && quota.Guarantee > 0 {
 			hasGuarantee = true
-			tasks = grant.limit(tasks, unit, quota.Guarantee-used, OtherFirst)
+			tasks = grant.limit(tasks, unit, quota.Guarantee-used, LowerPriority)
 		}
-		if quota.Most > 0 {
-			tasks = grant.limit(tasks, unit, quota.Most-used, TeamLimitReached)
+		if quota.Limit > 0 {
+			tasks = grant.limit(tasks, unit, quota.Limit-used, TeamLimitReached)
 		}
 		tasks = grant.limit(tasks, unit, a.freeUnits[unit.Pool], pool.shortageReason(unit.N))
 	}
@@ -184,14 +184,14 @@
 func (p *poolState) shortageReason(units int) Denial {
 	switch {
 	case !p.server.isUsable():
-		return NoAnswer
+		return ServerUnavailable
 	case p.freeUnits() >= units:
-		return OtherFirst
+		return LowerPriority
 	}
-	return NoSeat
+	return NoFreeUnits
 }
 
-func (a *allocation) allocate(ask *Ask, tasks int) {
+func (a *allocation) allocate(ask *Request, tasks int) {
 	if tasks == 0 {
 		return
 	}
@@ -203,7 +203,7 @@
 
 // withhold sets the units aside for which a gang waits. A gang that couldn't have them even without other holders
 // withholds nothing.
-func (a *allocation) withhold(ask *Ask) {
+func (a *allocation) withhold(ask *Request) {
 	for _, unit := range ask.Needs {
 		if !a.canEverFit(ask, unit) {
 			return
@@ -216,12 +216,12 @@
 
 // canEverFit reports whether all tasks of a gang could have their units of one pool within the pool's count and,
 // beside what the team has already, within the team's limit.
-func (a *allocation) canEverFit(ask *Ask, unit Unit) bool {
+func (a *allocation) canEverFit(ask *Request, unit Unit) bool {
 	pool := a.ledger.pools[unit.Pool]
 	needed := unit.N * ask.Tasks
 	if needed > pool.totalUnits()-pool.outsideReserve {
 		return false
 	}
-	limit := pool.quota(ask.Team).Most
+	limit := pool.quota(ask.Team).Limit
 	return limit <= 0 || a.teamUnits[unit.Pool][ask.Team]+needed <= limit
 }
--- a/internal/licences/allocation_test.go
+++ b/internal/licences/allocation_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// unitwiseAllocation is the slow model of Allot: it grants units one task at a time.
+// unitwiseAllocation is the slow model of Allocate: it grants units one task at a time.
 type unitwiseAllocation struct {
 	ledger    *Ledger
 	freeUnits []int
@@ -29,12 +29,12 @@
 }
 
 // allot returns how many tasks of each job get their units, jobs within their guarantee first.
-func (m *unitwiseAllocation) allot(asks []Ask) []int {
+func (m *unitwiseAllocation) allot(asks []Request) []int {
 	granted := make([]int, len(asks))
 	for _, guaranteed := range []bool{true, false} {
 		for i, ask := range asks {
 			switch {
-			case !ask.Whole:
+			case !ask.IsGang:
 				for granted[i] < ask.Tasks && m.fits(ask, 1, guaranteed) {
 					m.take(ask, 1)
 					granted[i]++
@@ -51,17 +51,17 @@
 	return granted
 }
 
-func (m *unitwiseAllocation) fits(ask Ask, tasks int, guaranteed bool) bool {
+func (m *unitwiseAllocation) fits(ask Request, tasks int, guaranteed bool) bool {
 	hasGuarantee := false
 	for _, unit := range ask.Needs {
-		share := Share{}
+		share := TeamQuota{}
 		if usage := m.ledger.pools[unit.Pool].teams[ask.Team]; usage != nil {
-			share = usage.Share
+			share = usage.TeamQuota
 		}
 		units := tasks * unit.N
 		teamUnits := m.teamUnits[poolTeam{unit.Pool, ask.Team}] + units
 		if units > m.freeUnits[unit.Pool] ||
-			(share.Most > 0 && teamUnits > share.Most) ||
+			(share.Limit > 0 && teamUnits > share.Limit) ||
 			(guaranteed && share.Guarantee > 0 && teamUnits > share.Guarantee) {
 			return false
 		}
@@ -70,14 +70,14 @@
 	return hasGuarantee || !guaranteed
 }
 
-func (m *unitwiseAllocation) take(ask Ask, tasks int) {
+func (m *unitwiseAllocation) take(ask Request, tasks int) {
 	for _, unit := range ask.Needs {
 		m.freeUnits[unit.Pool] -= tasks * unit.N
 		m.teamUnits[poolTeam{unit.Pool, ask.Team}] += tasks * unit.N
 	}
 }
 
-func (m *unitwiseAllocation) canEverFit(ask Ask) bool {
+func (m *unitwiseAllocation) canEverFit(ask Request) bool {
 	for _, unit := range ask.Needs {
 		pool := m.ledger.pools[unit.Pool]
 		units := unit.N * ask.Tasks
@@ -85,14 +85,14 @@
 			return false
 		}
 		usage := pool.teams[ask.Team]
-		if usage != nil && usage.Most > 0 && m.teamUnits[poolTeam{unit.Pool, ask.Team}]+units > usage.Most {
+		if usage != nil && usage.Limit > 0 && m.teamUnits[poolTeam{unit.Pool, ask.Team}]+units > usage.Limit {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *unitwiseAllocation) withhold(ask Ask) {
+func (m *unitwiseAllocation) withhold(ask Request) {
 	for _, unit := range ask.Needs {
 		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.N*ask.Tasks)
 	}
@@ -105,11 +105,11 @@
 		pool := &Pool{
 			Name:  fmt.Sprint(i),
 			Count: rapid.IntRange(0, 20).Draw(t, "count"),
-			Teams: map[string]Share{},
+			Teams: map[string]TeamQuota{},
 		}
 		for _, team := range teams {
 			limit := rapid.IntRange(0, 12).Draw(t, "limit")
-			pool.Teams[team] = Share{Guarantee: rapid.IntRange(0, 6).Draw(t, "guarantee"), Most: limit}
+			pool.Teams[team] = TeamQuota{Guarantee: rapid.IntRange(0, 6).Draw(t, "guarantee"), Limit: limit}
 		}
 		pools = append(pools, pool)
 	}
@@ -129,25 +129,25 @@
 
 func drawTeam(t *rapid.T) int32 { return int32(rapid.IntRange(0, 2).Draw(t, "team")) }
 
-func drawAsks(t *rapid.T, pools []*Pool) []Ask {
-	var asks []Ask
+func drawAsks(t *rapid.T, pools []*Pool) []Request {
+	var asks []Request
 	for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 		needs := drawNeeds(t, pools, "needs")
 		if needs == nil {
 			continue
 		}
-		asks = append(asks, Ask{
-			Job:   int32(100 + i),
-			Team:  drawTeam(t),
-			Needs: needs,
-			Tasks: rapid.IntRange(0, 9).Draw(t, "tasks"),
-			Whole: rapid.Bool().Draw(t, "whole"),
+		asks = append(asks, Request{
+			Job:    int32(100 + i),
+			Team:   drawTeam(t),
+			Needs:  needs,
+			Tasks:  rapid.IntRange(0, 9).Draw(t, "tasks"),
+			IsGang: rapid.Bool().Draw(t, "whole"),
 		})
 	}
 	return asks
 }
 
-// Allot grants as many tasks as a model that grants them one at a time; no pool gives out more than is free, and a
+// Allocate grants as many tasks as a model that grants them one at a time; no pool gives out more than is free, and a
 // gang gets all its units or none, of every pool it needs.
 func TestAllotMatchesUnitwiseModel(t *testing.T) {
 	teams := []string{"a", "b", "c"}
@@ -159,18 +159,18 @@
 			team := drawTeam(t)
 			needs := drawNeeds(t, pools, "has")
 			if denial, _ := l.Fits(team, needs, 1); denial == Granted {
-				l.Take(0, Ref{int32(i), 0}, 1, team, needs, Held)
+				l.Acquire(0, TaskRef{int32(i), 0}, 1, team, needs, CheckedOut)
 			}
 		}
 		asks := drawAsks(t, pools)
 		want := newUnitwiseAllocation(l).allot(asks)
 		freeUnits := newUnitwiseAllocation(l).freeUnits
-		for i, grant := range l.Allot(asks) {
+		for i, grant := range l.Allocate(asks) {
 			if grant.Tasks != want[i] {
 				t.Fatalf("%+v was granted %d, one at a time %d", asks[i], grant.Tasks, want[i])
 			}
-			if (grant.Tasks < asks[i].Tasks) != (grant.Why != Granted) {
-				t.Fatalf("%+v was granted %d with the reason %q", asks[i], grant.Tasks, grant.Why)
+			if (grant.Tasks < asks[i].Tasks) != (grant.Denial != Granted) {
+				t.Fatalf("%+v was granted %d with the reason %q", asks[i], grant.Tasks, grant.Denial)
 			}
 			for _, unit := range asks[i].Needs {
 				if freeUnits[unit.Pool] -= unit.N * grant.Tasks; freeUnits[unit.Pool] < 0 {
@@ -186,29 +186,29 @@
 func TestGangsWithPoolsInOppositeOrderDoNotDeadlock(t *testing.T) {
 	catalog := NewCatalog([]*Pool{{Name: "x", Count: 4}, {Name: "y", Count: 4}})
 	l := New(catalog, singleTeam, 0)
-	inOrder, err := catalog.Needs(map[string]int{"x": 1, "y": 1})
+	inOrder, err := catalog.UnitsByIndex(map[string]int{"x": 1, "y": 1})
 	if err != nil {
 		t.Fatal(err)
 	}
 	reversed := []Unit{inOrder[1], inOrder[0]}
-	asks := []Ask{
-		{Job: 1, Needs: inOrder, Tasks: 3, Whole: true},
-		{Job: 2, Needs: reversed, Tasks: 3, Whole: true},
+	asks := []Request{
+		{Job: 1, Needs: inOrder, Tasks: 3, IsGang: true},
+		{Job: 2, Needs: reversed, Tasks: 3, IsGang: true},
 	}
-	grants := l.Allot(asks)
-	if grants[0].Tasks != 3 || grants[1].Tasks != 0 || grants[1].Why != OtherFirst {
+	grants := l.Allocate(asks)
+	if grants[0].Tasks != 3 || grants[1].Tasks != 0 || grants[1].Denial != LowerPriority {
 		t.Fatalf("granted %+v", grants)
 	}
 	for task := range int32(3) {
-		l.Take(0, Ref{1, task}, 1, 0, inOrder, Held)
+		l.Acquire(0, TaskRef{1, task}, 1, 0, inOrder, CheckedOut)
 	}
-	if grants = l.Allot(asks[1:]); grants[0].Tasks != 0 {
+	if grants = l.Allocate(asks[1:]); grants[0].Tasks != 0 {
 		t.Fatalf("granted %+v beside the first", grants)
 	}
 	for task := range int32(3) {
-		l.Give(0, Ref{1, task}, inOrder, Clean)
+		l.Release(0, TaskRef{1, task}, inOrder, CleanExit)
 	}
-	if grants = l.Allot(asks[1:]); grants[0].Tasks != 3 {
+	if grants = l.Allocate(asks[1:]); grants[0].Tasks != 3 {
 		t.Fatalf("granted %+v after the first", grants)
 	}
 }
--- a/internal/licences/answer.go
+++ b/internal/licences/answer.go
@@ -10,13 +10,13 @@
 // Answer is a licence server's answer about a pool, in the format that docs/licences.md publishes.
 type Answer struct {
 	// Count is how many units the server has in total, 0 if it doesn't report that.
-	Count   int     `json:"count"`
-	Holders []Entry `json:"holders"`
+	Count   int            `json:"count"`
+	Holders []AnswerHolder `json:"holders"`
 }
 
-// Entry is one holder in a server's answer. Task is the task's name for the cluster's own holders and any
+// AnswerHolder is one holder in a server's answer. Task is the task's name for the cluster's own holders and any
 // other text for outside holders. Attempt is 0 if the server doesn't report attempts.
-type Entry struct {
+type AnswerHolder struct {
 	Task    string `json:"holder"`
 	Attempt uint64 `json:"attempt"`
 	Units   int    `json:"units"`
--- a/internal/licences/catalog.go
+++ b/internal/licences/catalog.go
@@ -14,32 +14,32 @@
 // Key returns the key of a pool's count that was set at run time.
 func Key(pool string) string { return Prefix + pool }
 
-// setFormat is the newest format of Set that this release reads.
+// setFormat is the newest format of CountOverride that this release reads.
 const setFormat = 1
 
-// Set is the stored record of a count that an operator set at run time.
-type Set struct {
-	Format int    `json:"v,omitempty"`
-	Count  int    `json:"count"`
-	Lower  Lower  `json:"lower,omitempty"` // "": as the pool declares
-	By     string `json:"by,omitempty"`
-	AtMS   int64  `json:"at_ms,omitempty"` // wall-clock time, in ms since 1970
+// CountOverride is the stored record of a count that an operator set at run time.
+type CountOverride struct {
+	Format int            `json:"v,omitempty"`
+	Count  int            `json:"count"`
+	Lower  LoweringPolicy `json:"lower,omitempty"` // "": as the pool declares
+	By     string         `json:"by,omitempty"`
+	AtMS   int64          `json:"at_ms,omitempty"` // wall-clock time, in ms since 1970
 }
 
 // errNegativeCount is the error of a stored count below 0.
 var errNegativeCount = errors.New("negative count")
 
 // decodeSet reads a stored count. It fails for a record of a newer format.
-func decodeSet(raw json.RawMessage) (Set, error) {
-	var set Set
+func decodeSet(raw json.RawMessage) (CountOverride, error) {
+	var set CountOverride
 	if err := json.Unmarshal(raw, &set); err != nil {
-		return Set{}, err
+		return CountOverride{}, err
 	}
 	if set.Format > setFormat {
-		return Set{}, fmt.Errorf("format %d", set.Format)
+		return CountOverride{}, fmt.Errorf("format %d", set.Format)
 	}
 	if set.Count < 0 {
-		return Set{}, errNegativeCount
+		return CountOverride{}, errNegativeCount
 	}
 	return set, nil
 }
@@ -48,9 +48,9 @@
 type Catalog struct {
 	pools     []*Pool
 	byName    map[string]int32
-	overrides map[int32]Set    // counts set at run time
-	versions  map[int32]uint64 // versions of the keys that exist
-	newest    map[int32]uint64 // newest version applied, deletions included
+	overrides map[int32]CountOverride // counts set at run time
+	versions  map[int32]uint64        // versions of the keys that exist
+	newest    map[int32]uint64        // newest version applied, deletions included
 }
 
 // NewCatalog returns a catalog of the declared pools. A pool's position in pools is its dense index.
@@ -58,7 +58,7 @@
 	c := &Catalog{
 		pools:     pools,
 		byName:    map[string]int32{},
-		overrides: map[int32]Set{},
+		overrides: map[int32]CountOverride{},
 		versions:  map[int32]uint64{},
 		newest:    map[int32]uint64{},
 	}
@@ -86,30 +86,30 @@
 }
 
 // Lowering returns the policy for holders when the present count is below the units in use.
-func (c *Catalog) Lowering(index int32) Lower {
+func (c *Catalog) Lowering(index int32) LoweringPolicy {
 	if set, ok := c.overrides[index]; ok && set.Lower != "" {
 		return set.Lower
 	}
-	return c.pools[index].Lowering
+	return c.pools[index].OnCountLowered
 }
 
-// Stamp returns the version of the key that holds a pool's count and who set it; version 0 means that
+// OverrideVersion returns the version of the key that holds a pool's count and who set it; version 0 means that
 // none is set.
-func (c *Catalog) Stamp(index int32) (version uint64, by string) {
+func (c *Catalog) OverrideVersion(index int32) (version uint64, by string) {
 	return c.versions[index], c.overrides[index].By
 }
 
-// Item applies a stored count at a version of its key. A version that isn't newer than the last one applied is
+// ApplyRecord applies a stored count at a version of its key. A version that isn't newer than the last one applied is
 // ignored, and so is a pool that isn't declared here. After an error the pool's count is 0 until it is set again,
 // since the number of units is unknown.
-func (c *Catalog) Item(key string, raw json.RawMessage, version uint64) error {
+func (c *Catalog) ApplyRecord(key string, raw json.RawMessage, version uint64) error {
 	index, ok := c.byName[strings.TrimPrefix(key, Prefix)]
 	if !ok || version <= c.newest[index] {
 		return nil
 	}
 	set, err := decodeSet(raw)
 	if err != nil {
-		set = Set{Lower: Wait, By: "a record that can't be read"}
+		set = CountOverride{Lower: WaitForRelease, By: "a record that can't be read"}
 		err = fmt.Errorf("stored count of licence pool %q: %w", c.pools[index].Name, err)
 	}
 	c.overrides[index] = set
@@ -118,8 +118,8 @@
 	return err
 }
 
-// Drop applies the deletion of a stored count: the declared count applies again.
-func (c *Catalog) Drop(key string, version uint64) {
+// ApplyDeletion applies the deletion of a stored count: the declared count applies again.
+func (c *Catalog) ApplyDeletion(key string, version uint64) {
 	index, ok := c.byName[strings.TrimPrefix(key, Prefix)]
 	if !ok || !strings.HasPrefix(key, Prefix) || version <= c.newest[index] {
 		return
@@ -142,9 +142,9 @@
 	delete(c.versions, index)
 }
 
-// Needs returns the units of a job's tasks, given by pool name, in the order of the dense indices. It fails
+// UnitsByIndex returns the units of a job's tasks, given by pool name, in the order of the dense indices. It fails
 // for a pool that isn't declared here.
-func (c *Catalog) Needs(unitsByPool map[string]int) ([]Unit, error) {
+func (c *Catalog) UnitsByIndex(unitsByPool map[string]int) ([]Unit, error) {
 	if len(unitsByPool) == 0 {
 		return nil, nil
 	}
@@ -160,17 +160,17 @@
 	return needs, nil
 }
 
-// Ever reports whether a number of a team's tasks could hold their units at once if there were no other
+// CanEverFit reports whether a number of a team's tasks could hold their units at once if there were no other
 // holders. If not, why is the reason for the user.
-func (c *Catalog) Ever(unitsByPool map[string]int, team string, tasks int) (ok bool, why string) {
-	needs, err := c.Needs(unitsByPool)
+func (c *Catalog) CanEverFit(unitsByPool map[string]int, team string, tasks int) (ok bool, why string) {
+	needs, err := c.UnitsByIndex(unitsByPool)
 	if err != nil {
 		return false, err.Error()
 	}
 	for _, unit := range needs {
 		pool := c.pools[unit.Pool]
-		limit := c.Count(unit.Pool) - pool.Reserve
-		if teamLimit := pool.Teams[team].Most; teamLimit > 0 {
+		limit := c.Count(unit.Pool) - pool.OutsideReserve
+		if teamLimit := pool.Teams[team].Limit; teamLimit > 0 {
 			limit = min(limit, teamLimit)
 		}
 		if needed := unit.N * tasks; needed > limit {
--- a/internal/licences/catalog_test.go
+++ b/internal/licences/catalog_test.go
@@ -17,11 +17,11 @@
 		t.Fatal(err)
 	}
 	return NewCatalog([]*Pool{{
-		Name:    "p",
-		Count:   10,
-		Reserve: 1,
-		Windows: []Reserve{{4, window}},
-		Teams:   map[string]Share{"t": {Most: 6}},
+		Name:           "p",
+		Count:          10,
+		OutsideReserve: 1,
+		ReserveWindows: []ReserveWindow{{4, window}},
+		Teams:          map[string]TeamQuota{"t": {Limit: 6}},
 	}})
 }
 
@@ -54,7 +54,7 @@
 		{"p", 7, "never gives it more than 6"},
 		{"q", 1, `unknown licence pool "q"`},
 	} {
-		ok, why := catalog.Ever(map[string]int{c.pool: 1}, "t", c.tasks)
+		ok, why := catalog.CanEverFit(map[string]int{c.pool: 1}, "t", c.tasks)
 		if ok != (c.why == "") || !strings.Contains(why, c.why) {
 			t.Errorf("%d tasks of pool %s: %v, %q, want %q", c.tasks, c.pool, ok, why, c.why)
 		}
@@ -80,9 +80,9 @@
 	} {
 		var err error
 		if step.record == "" {
-			catalog.Drop(Key("p"), step.version)
+			catalog.ApplyDeletion(Key("p"), step.version)
 		} else {
-			err = catalog.Item(Key("p"), []byte(step.record), step.version)
+			err = catalog.ApplyRecord(Key("p"), []byte(step.record), step.version)
 		}
 		if (err != nil) != step.fails || catalog.Count(0) != step.count {
 			t.Fatalf("after %q at version %d: count %d, error %v, want count %d",
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -18,8 +18,8 @@
 	return l
 }
 
-// None reports whether there are no pools at all.
-func (l *Ledger) None() bool { return len(l.pools) == 0 }
+// IsEmpty reports whether there are no pools at all.
+func (l *Ledger) IsEmpty() bool { return len(l.pools) == 0 }
 
 // pool returns the state of a pool, or nil if the pool isn't declared here.
 func (l *Ledger) pool(index int32) *poolState {
@@ -29,10 +29,10 @@
 	return l.pools[index]
 }
 
-// Take counts what a task holds from now on: before its launch is sent (to is Held), before its gang
-// starts (to is Booked), or since it was found on a machine (Held). A further call for the same task
+// Acquire counts what a task holds from now on: before its launch is sent (to is CheckedOut), before its gang
+// starts (to is Reserved), or since it was found on a machine (CheckedOut). A further call for the same task
 // changes only the attempt and the state.
-func (l *Ledger) Take(now time.Duration, ref Ref, attempt uint64, team int32, needs []Unit, to State) {
+func (l *Ledger) Acquire(now time.Duration, ref TaskRef, attempt uint64, team int32, needs []Unit, to State) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
 			pool.take(now, Holder{ref, attempt}, team, unit.N, to)
@@ -40,8 +40,8 @@
 	}
 }
 
-// Attempt sets which attempt of a task is on its machine, after a report has named it.
-func (l *Ledger) Attempt(now time.Duration, ref Ref, attempt uint64, needs []Unit) {
+// SetAttempt sets which attempt of a task is on its machine, after a report has named it.
+func (l *Ledger) SetAttempt(now time.Duration, ref TaskRef, attempt uint64, needs []Unit) {
 	for _, unit := range needs {
 		pool := l.pool(unit.Pool)
 		if pool == nil {
@@ -53,9 +53,9 @@
 	}
 }
 
-// Give ends what a task holds once the task is proven to be gone: by a fenced report, the cloud's confirmation, or
+// Release ends what a task holds once the task is proven to be gone: by a fenced report, the cloud's confirmation, or
 // the expiry of its worker's lease. Units that a server may still count are AwaitingRelease.
-func (l *Ledger) Give(now time.Duration, ref Ref, needs []Unit, how End) {
+func (l *Ledger) Release(now time.Duration, ref TaskRef, needs []Unit, how End) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
 			pool.give(now, ref, how)
@@ -63,9 +63,9 @@
 	}
 }
 
-// Promised reports whether a team stays within its guarantee with a number of further tasks, in every
+// IsWithinGuarantee reports whether a team stays within its guarantee with a number of further tasks, in every
 // pool that they need and for which the team has a guarantee. Without any guarantee it is false.
-func (l *Ledger) Promised(team int32, needs []Unit, tasks int) bool {
+func (l *Ledger) IsWithinGuarantee(team int32, needs []Unit, tasks int) bool {
 	hasGuarantee := false
 	for _, unit := range needs {
 		pool := l.pool(unit.Pool)
@@ -84,8 +84,8 @@
 	return hasGuarantee
 }
 
-// Over reports whether a team holds more units of a pool than its guarantee.
-func (l *Ledger) Over(pool, team int32) bool {
+// IsAboveGuarantee reports whether a team holds more units of a pool than its guarantee.
+func (l *Ledger) IsAboveGuarantee(pool, team int32) bool {
 	state := l.pool(pool)
 	if state == nil {
 		return false
@@ -94,9 +94,9 @@
 	return usage == nil || usage.units > usage.Guarantee
 }
 
-// Short returns how many units a number of further tasks lack of a pool, 0 if none or while the server's state is
+// Shortage returns how many units a number of further tasks lack of a pool, 0 if none or while the server's state is
 // unknown.
-func (l *Ledger) Short(unit Unit, tasks int) int {
+func (l *Ledger) Shortage(unit Unit, tasks int) int {
 	pool := l.pool(unit.Pool)
 	if pool == nil || !pool.server.isUsable() {
 		return 0
@@ -105,12 +105,12 @@
 }
 
 // Excess returns how many units have to be preempted since a pool's count was lowered. It is 0 unless the pool's
-// policy is Stop, and while units of an earlier term's tasks are counted that may not run at all.
+// policy is PreemptHolders, and while units of an earlier term's tasks are counted that may not run at all.
 func (l *Ledger) Excess(pool int32) int {
 	state := l.pool(pool)
-	if state == nil || state.unconfirmedUnits > 0 || l.catalog.Lowering(pool) != Stop {
+	if state == nil || state.unconfirmedUnits > 0 || l.catalog.Lowering(pool) != PreemptHolders {
 		return 0
 	}
-	held := state.unitsByState[Held] + state.unitsByState[Booked]
+	held := state.unitsByState[CheckedOut] + state.unitsByState[Reserved]
 	return min(held, max(0, held+state.server.outsideUnits-state.totalUnits()))
 }
--- a/internal/licences/ledger_test.go
+++ b/internal/licences/ledger_test.go
@@ -14,20 +14,20 @@
 
 func newServerRig(count int) *serverRig {
 	pool := &Pool{
-		Name:     "p",
-		Count:    count,
-		Server:   "s",
-		Poll:     2 * time.Second,
-		Linger:   20 * time.Second,
-		Lowering: Stop,
+		Name:           "p",
+		Count:          count,
+		Server:         "s",
+		Poll:           2 * time.Second,
+		ReleaseTimeout: 20 * time.Second,
+		OnCountLowered: PreemptHolders,
 	}
 	l := New(NewCatalog([]*Pool{pool}), singleTeam, 0)
 	return &serverRig{l, l.pools[0]}
 }
 
 // answer applies an answer to a query that was sent at the same moment.
-func (r *serverRig) answer(at time.Duration, holders ...Entry) {
-	r.Answered(at, at, "p", Answer{Holders: append([]Entry{}, holders...)}, taskByName)
+func (r *serverRig) answer(at time.Duration, holders ...AnswerHolder) {
+	r.ApplyAnswer(at, at, "p", Answer{Holders: append([]AnswerHolder{}, holders...)}, taskByName)
 }
 
 // requireFree fails the test unless a number of units is free.
@@ -43,12 +43,12 @@
 func TestCrashedHolderKeepsUnitUntilServerReturnsIt(t *testing.T) {
 	r := newServerRig(1)
 	r.answer(0)
-	r.Take(0, Ref{1, 0}, 7, 0, oneUnit, Held)
-	r.answer(time.Second, Entry{"1/0", 7, 1})
-	r.Give(5*time.Second, Ref{1, 0}, oneUnit, Crashed)
-	r.Answered(6*time.Second, 4*time.Second, "p", Answer{Holders: []Entry{}}, taskByName)
+	r.Acquire(0, TaskRef{1, 0}, 7, 0, oneUnit, CheckedOut)
+	r.answer(time.Second, AnswerHolder{"1/0", 7, 1})
+	r.Release(5*time.Second, TaskRef{1, 0}, oneUnit, Crashed)
+	r.ApplyAnswer(6*time.Second, 4*time.Second, "p", Answer{Holders: []AnswerHolder{}}, taskByName)
 	r.requireFree(t, 0, "after an answer from before its end")
-	r.answer(7*time.Second, Entry{"1/0", 7, 1})
+	r.answer(7*time.Second, AnswerHolder{"1/0", 7, 1})
 	r.requireFree(t, 0, "while the server reports it")
 	r.answer(25 * time.Second)
 	r.requireFree(t, 1, "after the server returned it")
@@ -63,27 +63,27 @@
 	r := newServerRig(5)
 	r.answer(0)
 	for job := range int32(5) {
-		r.Take(0, Ref{job, 0}, 1, 0, oneUnit, Held)
+		r.Acquire(0, TaskRef{job, 0}, 1, 0, oneUnit, CheckedOut)
 	}
-	if err := r.catalog.Item(Key("p"), []byte(`{"count":2}`), 9); err != nil {
+	if err := r.catalog.ApplyRecord(Key("p"), []byte(`{"count":2}`), 9); err != nil {
 		t.Fatal(err)
 	}
-	if denial, _ := r.Fits(0, oneUnit, 1); denial != NoSeat || r.Excess(0) != 3 {
+	if denial, _ := r.Fits(0, oneUnit, 1); denial != NoFreeUnits || r.Excess(0) != 3 {
 		t.Fatalf("%v, excess %d", denial, r.Excess(0))
 	}
-	r.Take(0, Ref{9, 0}, 0, 0, oneUnit, Held)
+	r.Acquire(0, TaskRef{9, 0}, 0, 0, oneUnit, CheckedOut)
 	if r.Excess(0) != 0 {
 		t.Fatal("tasks that may not run at all count as excess")
 	}
-	r.Give(0, Ref{9, 0}, oneUnit, Unstarted)
+	r.Release(0, TaskRef{9, 0}, oneUnit, NeverStarted)
 	for job := range int32(3) {
-		r.Give(time.Second, Ref{job, 0}, oneUnit, Clean)
+		r.Release(time.Second, TaskRef{job, 0}, oneUnit, CleanExit)
 	}
 	r.requireFree(t, 0, "after three tasks ended")
 	if r.Excess(0) != 0 {
 		t.Fatalf("excess %d", r.Excess(0))
 	}
-	if err := r.catalog.Item(Key("p"), []byte(`{"count":1}`), 8); err != nil || r.catalog.Count(0) != 2 {
+	if err := r.catalog.ApplyRecord(Key("p"), []byte(`{"count":1}`), 8); err != nil || r.catalog.Count(0) != 2 {
 		t.Fatalf("an older count was applied: %d, %v", r.catalog.Count(0), err)
 	}
 }
@@ -92,18 +92,18 @@
 // holders neither lower the number of outside units nor free the units of a holder that they don't list.
 func TestServerUnreachableOrInconsistent(t *testing.T) {
 	r := newServerRig(20)
-	if denial, _ := r.Fits(0, oneUnit, 1); denial != NoAnswer {
+	if denial, _ := r.Fits(0, oneUnit, 1); denial != ServerUnavailable {
 		t.Fatalf("%v before the first answer", denial)
 	}
 	r.answer(0)
-	var all []Entry
+	var all []AnswerHolder
 	for job := range int32(6) {
-		r.Take(0, Ref{job, 0}, 1, 0, oneUnit, Held)
-		all = append(all, Entry{fmt.Sprintf("%d/0", job), 1, 1})
+		r.Acquire(0, TaskRef{job, 0}, 1, 0, oneUnit, CheckedOut)
+		all = append(all, AnswerHolder{fmt.Sprintf("%d/0", job), 1, 1})
 	}
-	r.answer(time.Second, append(all, Entry{"somebody", 0, 8})...)
+	r.answer(time.Second, append(all, AnswerHolder{"somebody", 0, 8})...)
 	r.requireFree(t, 6, "with eight outside units")
-	r.Give(2*time.Second, Ref{0, 0}, oneUnit, Crashed)
+	r.Release(2*time.Second, TaskRef{0, 0}, oneUnit, Crashed)
 	r.answer(3 * time.Second) // the server was restarted
 	r.requireServer(t, serverInconsistent)
 	r.requireFree(t, 6, "after an answer that lacks all holders")
@@ -131,7 +131,7 @@
 		{8, 5},
 	} {
 		r := newServerRig(5)
-		r.Answered(0, 0, "p", Answer{Count: c.serverCount, Holders: []Entry{}}, taskByName)
+		r.ApplyAnswer(0, 0, "p", Answer{Count: c.serverCount, Holders: []AnswerHolder{}}, taskByName)
 		r.requireFree(t, c.want, fmt.Sprintf("server count %d", c.serverCount))
 	}
 }
--- a/internal/licences/main_test.go
+++ b/internal/licences/main_test.go
@@ -28,8 +28,8 @@
 // taskName returns a holder's task name as a server reports it; taskByName is the inverse.
 func taskName(h Holder) string { return fmt.Sprintf("%d/%d", h.Job, h.Task) }
 
-func taskByName(name string) (Ref, bool) {
-	var ref Ref
+func taskByName(name string) (TaskRef, bool) {
+	var ref TaskRef
 	n, err := fmt.Sscanf(name, "%d/%d", &ref.Job, &ref.Task)
 	return ref, err == nil && n == 2
 }
--- a/internal/licences/model_test.go
+++ b/internal/licences/model_test.go
@@ -102,8 +102,8 @@
 		t.Skip(denial.String())
 	}
 	e.nextJob++
-	holder := Holder{Ref{e.nextJob, 0}, uint64(e.nextJob)}
-	e.ledger.Take(e.now, holder.Ref, holder.Attempt, 0, needs(units), Held)
+	holder := Holder{TaskRef{e.nextJob, 0}, uint64(e.nextJob)}
+	e.ledger.Acquire(e.now, holder.TaskRef, holder.Attempt, 0, needs(units), CheckedOut)
 	e.running[holder] = units
 }
 
@@ -133,14 +133,14 @@
 	holder := e.drawRunning(t)
 	delete(e.running, holder)
 	delete(e.checkedOut, holder)
-	e.ended = append(e.ended, endedTask{holder, Clean})
+	e.ended = append(e.ended, endedTask{holder, CleanExit})
 }
 
 func (e *environment) crash(t *rapid.T) {
 	holder := e.drawRunning(t)
 	delete(e.running, holder)
 	if c := e.checkedOut[holder]; c != nil {
-		c.expiresAt = e.now + e.pool.Linger
+		c.expiresAt = e.now + e.pool.ReleaseTimeout
 	}
 	e.ended = append(e.ended, endedTask{holder, Crashed})
 }
@@ -152,20 +152,20 @@
 	}
 	task := e.ended[0]
 	e.ended = e.ended[1:]
-	e.ledger.Give(e.now, task.Ref, needs(1), task.end)
+	e.ledger.Release(e.now, task.TaskRef, needs(1), task.end)
 }
 
 func (e *environment) query(*rapid.T) {
-	if len(e.ledger.Due(e.now)) == 0 {
+	if len(e.ledger.StartDueQueries(e.now)) == 0 {
 		return
 	}
-	answer := Answer{Holders: []Entry{}}
+	answer := Answer{Holders: []AnswerHolder{}}
 	for holder, c := range e.checkedOut {
-		entry := Entry{Task: taskName(holder), Attempt: holder.Attempt, Units: c.units}
+		entry := AnswerHolder{Task: taskName(holder), Attempt: holder.Attempt, Units: c.units}
 		answer.Holders = append(answer.Holders, entry)
 	}
 	if e.outsideUnits > 0 {
-		answer.Holders = append(answer.Holders, Entry{Task: "somebody", Units: e.outsideUnits})
+		answer.Holders = append(answer.Holders, AnswerHolder{Task: "somebody", Units: e.outsideUnits})
 	}
 	e.queries = append(e.queries, serverQuery{e.now, answer})
 }
@@ -177,15 +177,15 @@
 	query := e.queries[0]
 	e.queries = e.queries[1:]
 	if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
-		e.ledger.Failed(e.now, e.pool.Name)
+		e.ledger.QueryFailed(e.now, e.pool.Name)
 		return
 	}
-	e.ledger.Answered(e.now, query.sentAt, e.pool.Name, query.answer, taskByName)
+	e.ledger.ApplyAnswer(e.now, query.sentAt, e.pool.Name, query.answer, taskByName)
 }
 
 // changeOutsideUnits makes an outside holder check out or return one unit, within the units kept for them.
 func (e *environment) changeOutsideUnits(t *rapid.T) {
-	if rapid.Bool().Draw(t, "takes") && e.outsideUnits < e.pool.Reserve {
+	if rapid.Bool().Draw(t, "takes") && e.outsideUnits < e.pool.OutsideReserve {
 		e.outsideUnits++
 	} else {
 		e.outsideUnits = max(0, e.outsideUnits-1)
@@ -219,16 +219,16 @@
 	e.ledger = New(e.catalog, singleTeam, e.now)
 	e.queries = nil
 	for holder, units := range e.running {
-		e.ledger.Take(e.now, holder.Ref, 0, 0, needs(units), Held)
+		e.ledger.Acquire(e.now, holder.TaskRef, 0, 0, needs(units), CheckedOut)
 	}
 	for _, task := range e.ended {
-		e.ledger.Take(e.now, task.Ref, 0, 0, needs(3), Held)
+		e.ledger.Acquire(e.now, task.TaskRef, 0, 0, needs(3), CheckedOut)
 	}
 }
 
 func (e *environment) reportAttempt(t *rapid.T) {
 	holder := e.drawRunning(t)
-	e.ledger.Attempt(e.now, holder.Ref, holder.Attempt, needs(1))
+	e.ledger.SetAttempt(e.now, holder.TaskRef, holder.Attempt, needs(1))
 }
 
 // changeCount sets another count. Tasks that started by a higher one go on.
@@ -240,22 +240,22 @@
 // endAll ends all tasks with proof, returns the outside holders' units, and queries the server for 40 s.
 func (e *environment) endAll(t *rapid.T) {
 	for holder := range e.running {
-		e.ended = append(e.ended, endedTask{holder, Clean})
+		e.ended = append(e.ended, endedTask{holder, CleanExit})
 	}
 	clear(e.running)
 	clear(e.checkedOut)
 	e.outsideUnits = 0
 	for _, task := range e.ended {
-		e.ledger.Give(e.now, task.Ref, needs(1), task.end)
+		e.ledger.Release(e.now, task.TaskRef, needs(1), task.end)
 	}
 	e.queries = nil
-	e.ledger.Failed(e.now, e.pool.Name)
+	e.ledger.QueryFailed(e.now, e.pool.Name)
 	for range 20 {
 		e.now += 2 * time.Second
 		e.ledger.Tick(e.now, time.Unix(0, 0))
 		e.query(t)
 		for _, query := range e.queries {
-			e.ledger.Answered(e.now+time.Millisecond, query.sentAt, e.pool.Name, query.answer, taskByName)
+			e.ledger.ApplyAnswer(e.now+time.Millisecond, query.sentAt, e.pool.Name, query.answer, taskByName)
 		}
 		e.queries = nil
 	}
@@ -267,13 +267,13 @@
 	maxInUse := 0
 	rapid.Check(t, func(t *rapid.T) {
 		pool := &Pool{
-			Name:     "p",
-			Count:    4,
-			Server:   "s",
-			Poll:     100 * time.Millisecond,
-			Linger:   5 * time.Second,
-			Reserve:  rapid.IntRange(0, 2).Draw(t, "reserve"),
-			Lowering: Wait,
+			Name:           "p",
+			Count:          4,
+			Server:         "s",
+			Poll:           100 * time.Millisecond,
+			ReleaseTimeout: 5 * time.Second,
+			OutsideReserve: rapid.IntRange(0, 2).Draw(t, "reserve"),
+			OnCountLowered: WaitForRelease,
 		}
 		e := newEnvironment(pool)
 		e.query(t)
@@ -281,9 +281,9 @@
 		t.Repeat(e.actions())
 		maxInUse = max(maxInUse, e.maxInUse)
 		e.endAll(t)
-		if free := e.ledger.pools[0].freeUnits(); free != pool.Count-pool.Reserve {
-			view := e.ledger.Show(e.now, 0, func(int32) string { return "" })
-			t.Fatalf("all tasks have ended and %d of %d units are free: %+v", free, pool.Count-pool.Reserve, view)
+		if free := e.ledger.pools[0].freeUnits(); free != pool.Count-pool.OutsideReserve {
+			view := e.ledger.View(e.now, 0, func(int32) string { return "" })
+			t.Fatalf("all tasks have ended and %d of %d units are free: %+v", free, pool.Count-pool.OutsideReserve, view)
 		}
 	})
 	if maxInUse < 6 {
@@ -304,14 +304,14 @@
 			if c.state != Free {
 				teams[c.team] += c.units
 			}
-			if c.state == Held && holder.Attempt == 0 {
+			if c.state == CheckedOut && holder.Attempt == 0 {
 				unconfirmed += c.units
 			}
 			if c.isMissing {
 				missing++
 			}
-			if (c.state == Held || c.state == Booked) != (pool.active[holder.Ref] == holder) {
-				t.Fatalf("checkout %v is %s, the active one is %v", holder, c.state, pool.active[holder.Ref])
+			if (c.state == CheckedOut || c.state == Reserved) != (pool.active[holder.TaskRef] == holder) {
+				t.Fatalf("checkout %v is %s, the active one is %v", holder, c.state, pool.active[holder.TaskRef])
 			}
 		}
 		if unitsByState != pool.unitsByState || counted != pool.countedUnits ||
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -23,21 +23,21 @@
 	N    int   // units, at least 1
 }
 
-// Lower is the policy for holders when a pool's count falls below the units in use.
-type Lower string
+// LoweringPolicy is the policy for holders when a pool's count falls below the units in use.
+type LoweringPolicy string
 
 // The policies for a lowered count.
 const (
-	Wait Lower = "wait" // no task starts until the units in use fit the count again
-	Stop Lower = "stop" // the least costly holders are preempted, with time to write a checkpoint
+	WaitForRelease LoweringPolicy = "wait" // no task starts until the units in use fit the count again
+	PreemptHolders LoweringPolicy = "stop" // the least costly holders are preempted, with time to write a checkpoint
 )
 
-// Share is a team's quota of a pool, in units. A Guarantee of 0 means none, a Most of 0 means no limit.
-type Share struct{ Guarantee, Most int }
+// TeamQuota is a team's quota of a pool, in units. A Guarantee of 0 means none, a Most of 0 means no limit.
+type TeamQuota struct{ Guarantee, Limit int }
 
-// Reserve is a number of units kept for outside holders during a window of the week. It replaces the pool's
+// ReserveWindow is a number of units kept for outside holders during a window of the week. It replaces the pool's
 // standing reserve where it is larger.
-type Reserve struct {
+type ReserveWindow struct {
 	Units  int
 	During calendar.Window
 }
@@ -49,19 +49,19 @@
 	// Server is the licence server's address ("host:port"), "" if the pool has none.
 	Server string
 	Poll   time.Duration // between two queries to the server
-	// Linger is how long a crashed holder's units may stay checked out after its task is proven to be gone.
-	Linger   time.Duration
-	Reserve  int // units kept for outside holders at all times
-	Windows  []Reserve
-	Lowering Lower
-	Teams    map[string]Share // by team name
+	// ReleaseTimeout is how long a crashed holder's units may stay checked out after its task is proven to be gone.
+	ReleaseTimeout time.Duration
+	OutsideReserve int // units kept for outside holders at all times
+	ReserveWindows []ReserveWindow
+	OnCountLowered LoweringPolicy
+	Teams          map[string]TeamQuota // by team name
 }
 
 // ReserveAt returns the number of units kept for outside holders at a moment: the standing reserve, or that of the
 // largest window that contains the moment if it is larger.
 func (p *Pool) ReserveAt(wall time.Time) int {
-	units := p.Reserve
-	for _, window := range p.Windows {
+	units := p.OutsideReserve
+	for _, window := range p.ReserveWindows {
 		if window.Units > units && window.During.Contains(wall) {
 			units = window.Units
 		}
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -12,21 +12,21 @@
 	catalog        *Catalog
 	index          int32
 	checkouts      map[Holder]*checkout
-	active         map[Ref]Holder // the attempt of a task whose checkout is Booked or Held
+	active         map[TaskRef]Holder // the attempt of a task whose checkout is Reserved or CheckedOut
 	teams          map[int32]*teamUsage
 	outsideReserve int // units kept for outside holders at present
 
 	countedUnits     int // of all checkouts
 	unitsByState     [stateCount]int
-	unconfirmedUnits int // Held by attempts that are still unknown
+	unconfirmedUnits int // CheckedOut by attempts that are still unknown
 
 	server serverStatus
 }
 
 // teamUsage is a team's quota of a pool and what it uses.
 type teamUsage struct {
-	Share
-	units int // Booked, Held or AwaitingRelease
+	TeamQuota
+	units int // Reserved, CheckedOut or AwaitingRelease
 }
 
 func newPoolState(catalog *Catalog, index int32, teamIndex func(string) int32, now time.Duration) *poolState {
@@ -36,15 +36,15 @@
 		catalog:        catalog,
 		index:          index,
 		checkouts:      map[Holder]*checkout{},
-		active:         map[Ref]Holder{},
+		active:         map[TaskRef]Holder{},
 		teams:          map[int32]*teamUsage{},
-		outsideReserve: pool.Reserve,
+		outsideReserve: pool.OutsideReserve,
 		server:         serverStatus{changedAt: now, answeredAt: now},
 	}
 	for name, share := range pool.Teams {
-		p.teams[teamIndex(name)] = &teamUsage{Share: share}
+		p.teams[teamIndex(name)] = &teamUsage{TeamQuota: share}
 	}
-	if pool.Server == "" && pool.Linger == 0 {
+	if pool.Server == "" && pool.ReleaseTimeout == 0 {
 		p.server.state = serverReachable // no unit can still be checked out from an earlier term
 	}
 	return p
@@ -52,14 +52,14 @@
 
 // take counts a holder's units from now on. If another attempt of its task is active, it takes that one's place.
 func (p *poolState) take(now time.Duration, holder Holder, team int32, units int, to State) {
-	if active, ok := p.active[holder.Ref]; ok {
+	if active, ok := p.active[holder.TaskRef]; ok {
 		p.takeAgain(now, active, holder, to)
 		return
 	}
 	c := p.checkout(holder)
 	if c.state == AwaitingRelease {
 		// It was taken for gone and isn't.
-		p.setState(now, holder, c, Held)
+		p.setState(now, holder, c, CheckedOut)
 		return
 	}
 	before := c.countedUnits()
@@ -69,14 +69,14 @@
 	p.setState(now, holder, c, to)
 }
 
-// takeAgain applies a further take of a task of which an attempt is active. A task that is Held is never
-// Booked again.
+// takeAgain applies a further take of a task of which an attempt is active. A task that is CheckedOut is never
+// Reserved again.
 func (p *poolState) takeAgain(now time.Duration, active, holder Holder, to State) {
 	if active != holder {
 		p.changeAttempt(now, active, holder.Attempt)
 	}
 	c := p.checkouts[holder]
-	isLaunched := c.state == Held && to == Booked
+	isLaunched := c.state == CheckedOut && to == Reserved
 	if c.state != to && !isLaunched {
 		p.setState(now, holder, c, to)
 	}
@@ -88,11 +88,11 @@
 	c := p.checkouts[from]
 	state, team, units := c.state, c.team, c.units
 	p.setState(now, from, c, Free)
-	p.take(now, Holder{from.Ref, attempt}, team, units, state)
+	p.take(now, Holder{from.TaskRef, attempt}, team, units, state)
 }
 
 // give ends the active checkout of a task that is proven to be gone.
-func (p *poolState) give(now time.Duration, ref Ref, end End) {
+func (p *poolState) give(now time.Duration, ref TaskRef, end End) {
 	holder, ok := p.active[ref]
 	if !ok {
 		return
@@ -102,19 +102,19 @@
 		p.setState(now, holder, c, Free)
 		return
 	}
-	c.releaseDeadline = now + p.Linger
+	c.releaseDeadline = now + p.ReleaseTimeout
 	p.setState(now, holder, c, AwaitingRelease)
 }
 
 // isReturned reports whether the units of a task that ended are surely not checked out any more.
 func (p *poolState) isReturned(c *checkout, end End) bool {
-	if c.state == Booked {
+	if c.state == Reserved {
 		return true
 	}
-	if end == Unstarted && c.reportedUnits == 0 {
+	if end == NeverStarted && c.reportedUnits == 0 {
 		return true
 	}
-	return p.Server == "" && (end == Clean || p.Linger == 0)
+	return p.Server == "" && (end == CleanExit || p.ReleaseTimeout == 0)
 }
 
 // setState is the only place where a checkout's state changes. It keeps the totals, and removes a checkout that is
@@ -125,8 +125,8 @@
 	}
 	before := c.countedUnits()
 	p.addToTotals(holder, c, -c.units)
-	if !to.isActive() && p.active[holder.Ref] == holder {
-		delete(p.active, holder.Ref)
+	if !to.isActive() && p.active[holder.TaskRef] == holder {
+		delete(p.active, holder.TaskRef)
 	}
 	p.setMissing(c, false)
 	c.state = to
@@ -135,7 +135,7 @@
 		c.units = 0
 	}
 	if to.isActive() {
-		p.active[holder.Ref] = holder
+		p.active[holder.TaskRef] = holder
 	}
 	p.addToTotals(holder, c, c.units)
 	p.countedUnits += c.countedUnits() - before
@@ -149,7 +149,7 @@
 	}
 	p.unitsByState[c.state] += units
 	p.team(c.team).units += units
-	if c.state == Held && holder.Attempt == 0 {
+	if c.state == CheckedOut && holder.Attempt == 0 {
 		p.unconfirmedUnits += units
 	}
 }
@@ -182,11 +182,11 @@
 }
 
 // quota returns a team's quota; the zero value means that it has none.
-func (p *poolState) quota(team int32) Share {
+func (p *poolState) quota(team int32) TeamQuota {
 	if usage := p.teams[team]; usage != nil {
-		return usage.Share
+		return usage.TeamQuota
 	}
-	return Share{}
+	return TeamQuota{}
 }
 
 // totalUnits returns how many units there are: the count, or the server's own count if that is less.
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -7,8 +7,8 @@
 
 // Timing of the queries to a server.
 const (
-	// AskTimeout is the timeout of one query.
-	AskTimeout = 2 * time.Second
+	// QueryTimeout is the timeout of one query.
+	QueryTimeout = 2 * time.Second
 
 	defaultPollInterval = 2 * time.Second
 	urgentPollDivisor   = 16 // of the poll interval while an answer is urgent
@@ -62,7 +62,7 @@
 	count            int  // total units by the last answer, 0 if it doesn't report them
 	outsideUnits     int  // of outside holders by the last answer
 	outsideSamples   []outsideSample
-	missingCheckouts int // Held checkouts that the last answer lacks although an earlier one had them
+	missingCheckouts int // CheckedOut checkouts that the last answer lacks although an earlier one had them
 }
 
 // outsideSample is the number of units that outside holders had by one answer.
@@ -85,10 +85,10 @@
 	}
 }
 
-// Due returns the pools whose servers are to be queried now. It marks their queries as in flight
+// StartDueQueries returns the pools whose servers are to be queried now. It marks their queries as in flight
 // until the answer or the failure of the query is applied. A server gets one query at a time: one in
 // every poll interval, and more often while units await release or a job waits for units.
-func (l *Ledger) Due(now time.Duration) []*Pool {
+func (l *Ledger) StartDueQueries(now time.Duration) []*Pool {
 	var due []*Pool
 	for _, pool := range l.pools {
 		if pool.isQueryDue(now) {
@@ -126,7 +126,7 @@
 }
 
 // sampleWindow returns for how long figures of earlier answers are kept.
-func (p *poolState) sampleWindow() time.Duration { return max(p.Linger, minSampleWindow) }
+func (p *poolState) sampleWindow() time.Duration { return max(p.ReleaseTimeout, minSampleWindow) }
 
 // setServerState is the only place where a server's state changes.
 func (p *poolState) setServerState(now time.Duration, to serverState, cause string) {
@@ -139,27 +139,27 @@
 	p.server.changedAt = now
 }
 
-// Failed ends a query that got no valid answer.
-func (l *Ledger) Failed(_ time.Duration, pool string) {
+// QueryFailed ends a query that got no valid answer.
+func (l *Ledger) QueryFailed(_ time.Duration, pool string) {
 	if index, ok := l.catalog.Index(pool); ok {
 		l.pools[index].server.isQueryInFlight = false
 	}
 }
 
-// Answered applies a server's answer to a query that was sent at sentAt. known returns the task of one of the
+// ApplyAnswer applies a server's answer to a query that was sent at sentAt. known returns the task of one of the
 // cluster's own holders by its name; all other holders are outside ones.
-func (l *Ledger) Answered(
+func (l *Ledger) ApplyAnswer(
 	now, sentAt time.Duration,
 	pool string,
 	answer Answer,
-	known func(task string) (Ref, bool),
+	known func(task string) (TaskRef, bool),
 ) {
 	if index, ok := l.catalog.Index(pool); ok {
 		l.pools[index].applyAnswer(now, sentAt, answer, known)
 	}
 }
 
-func (p *poolState) applyAnswer(now, sentAt time.Duration, answer Answer, known func(task string) (Ref, bool)) {
+func (p *poolState) applyAnswer(now, sentAt time.Duration, answer Answer, known func(task string) (TaskRef, bool)) {
 	p.server.isQueryInFlight = false
 	p.server.answeredAt = max(p.server.answeredAt, sentAt)
 	if !p.server.isUsable() {
@@ -183,7 +183,7 @@
 }
 
 // reportedHolder returns the holder of an entry. Where a server doesn't report attempts, it is the active one.
-func (p *poolState) reportedHolder(ref Ref, attempt uint64) Holder {
+func (p *poolState) reportedHolder(ref TaskRef, attempt uint64) Holder {
 	if attempt == 0 {
 		if active, ok := p.active[ref]; ok && active.Attempt != 0 {
 			return active
@@ -201,7 +201,7 @@
 		c.reportedUnits = units
 		p.countedUnits += c.countedUnits() - before
 		switch {
-		case c.state != Held:
+		case c.state != CheckedOut:
 		case units > 0:
 			p.setMissing(c, false)
 		case wasReported:
@@ -275,10 +275,10 @@
 	}
 }
 
-// releaseExpired frees the units of crashed holders of a pool without a server. Only Pool.Linger tells
+// releaseExpired frees the units of crashed holders of a pool without a server. Only Pool.ReleaseTimeout tells
 // when they are returned, also for those of an earlier term, of which this ledger has no record.
 func (p *poolState) releaseExpired(now, termStartedAt time.Duration) {
-	if p.server.state == serverUnknown && now-termStartedAt >= p.Linger {
+	if p.server.state == serverUnknown && now-termStartedAt >= p.ReleaseTimeout {
 		p.setServerState(now, serverReachable, "checkouts of earlier terms have expired")
 	}
 	if p.unitsByState[AwaitingRelease] == 0 {
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -46,12 +46,12 @@
 
 // Error is the error of a filter that can't be parsed. Column is where it is wrong, from 1.
 type Error struct {
-	Column int
-	What   string
+	Column  int
+	Message string
 }
 
 // Error returns the text for the user.
-func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.What) }
+func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.Message) }
 
 // errorAt returns an *Error with a formatted text.
 func errorAt(column int, format string, args ...any) *Error {
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -228,7 +228,7 @@
 	if h.agent == nil {
 		return Task{}
 	}
-	return Task{On: true, Ending: h.taskIsStopping, Attempt: h.agent.attempt}
+	return Task{OnMachine: true, Stopping: h.taskIsStopping, Attempt: h.agent.attempt}
 }
 
 // finishCommit carries a transaction out. One of an earlier term fails at its guard.
--- a/internal/sessions/heartbeat.go
+++ b/internal/sessions/heartbeat.go
@@ -30,10 +30,10 @@
 		return HeartbeatResponse{}, refuse(Conflict, "a newer report was heard")
 	}
 	task := m.TaskOf(job)
-	if !task.On || (task.Attempt != 0 && task.Attempt != heartbeat.Attempt) {
+	if !task.OnMachine || (task.Attempt != 0 && task.Attempt != heartbeat.Attempt) {
 		return HeartbeatResponse{}, refuse(Conflict, "this attempt is not the one that runs")
 	}
-	if task.Ending {
+	if task.Stopping {
 		return m.respondToEnding(now, s, heartbeat), nil
 	}
 	if s.writePending && isNewAttempt {
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -20,9 +20,9 @@
 
 // Task is the fleet's state of a session's task.
 type Task struct {
-	On      bool   // it counts as being on a machine
-	Ending  bool   // it was ordered to stop
-	Attempt uint64 // 0: unknown
+	OnMachine bool   // it counts as being on a machine
+	Stopping  bool   // it was ordered to stop
+	Attempt   uint64 // 0: unknown
 }
 
 // Env is what a Manager needs of its surroundings. All functions are called on the event loop.
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -20,7 +20,7 @@
 		Jobs:       jobs.NewTable(0),
 		Now:        func() time.Duration { return 0 },
 		Wall:       func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
-		TaskOf:     func(*jobs.Job) Task { return Task{On: true} },
+		TaskOf:     func(*jobs.Job) Task { return Task{OnMachine: true} },
 		WaitingFor: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) },
 	}, 1)
 	const n = 10_000
--- a/internal/sessions/reclaim.go
+++ b/internal/sessions/reclaim.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	task := m.TaskOf(job)
-	return !task.On || (task.Attempt != 0 && task.Attempt != s.agent.attempt)
+	return !task.OnMachine || (task.Attempt != 0 && task.Attempt != s.agent.attempt)
 }
 
 // isExpired reports whether a reclaimed session was retained for long enough.
--- a/internal/simulator/fault_matrix_test.go
+++ b/internal/simulator/fault_matrix_test.go
@@ -17,7 +17,7 @@
 )
 
 // tight are workers under which cancel_s leaves little more than the rule's inequality needs: what outlives it is seen.
-var tight = config.Workers{ReportS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 11.5}
+var tight = config.Workers{HeartbeatIntervalS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 11.5}
 
 // meeting is one run of the search: faults of a script that overlap, over jobs that are submitted, cancelled and asked
 // about throughout. The same meeting gives the same run.
--- a/internal/simulator/further_meetings_test.go
+++ b/internal/simulator/further_meetings_test.go
@@ -33,7 +33,7 @@
 // report again. One, several, a whole zone; with cancellations, and with a change of the lead.
 func TestWorkersReachNobody(t *testing.T) {
 	// Reports as far apart as on large deployments: between two of them many commands can be sent, and each is answered.
-	rare := config.Workers{ReportS: 3, LeaseS: 15, GangWaitS: 10, GangPeerS: 2, CancelS: 35}
+	rare := config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, GangWaitS: 10, GangPeerS: 2, CancelS: 35}
 	for _, c := range []struct {
 		n    int
 		zone bool
--- a/internal/simulator/licence.go
+++ b/internal/simulator/licence.go
@@ -63,15 +63,15 @@
 	case p == nil:
 		return 404, nil
 	}
-	a := licences.Answer{Count: p.count, Holders: []licences.Entry{}}
+	a := licences.Answer{Count: p.count, Holders: []licences.AnswerHolder{}}
 	for k, h := range p.holders {
-		a.Holders = append(a.Holders, licences.Entry{Task: k.task, Attempt: k.attempt, Units: h.units})
+		a.Holders = append(a.Holders, licences.AnswerHolder{Task: k.task, Attempt: k.attempt, Units: h.units})
 	}
-	slices.SortFunc(a.Holders, func(x, y licences.Entry) int { // the same run, the same answer
+	slices.SortFunc(a.Holders, func(x, y licences.AnswerHolder) int { // the same run, the same answer
 		return cmp.Or(cmp.Compare(x.Task, y.Task), cmp.Compare(x.Attempt, y.Attempt))
 	})
 	if p.others > 0 {
-		a.Holders = append(a.Holders, licences.Entry{Task: "somebody else", Units: p.others})
+		a.Holders = append(a.Holders, licences.AnswerHolder{Task: "somebody else", Units: p.others})
 	}
 	return 200, a
 }
--- a/internal/simulator/stored_test.go
+++ b/internal/simulator/stored_test.go
@@ -111,7 +111,7 @@
 		case "part-map":
 			same[membership.ShardMap](t, key, raw)
 		case "licence-count":
-			same[licences.Set](t, key, raw)
+			same[licences.CountOverride](t, key, raw)
 		case "operators-wishes":
 			same[drain.Document](t, key, raw)
 		case "session":
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -180,7 +180,7 @@
 
 // reports sends a worker's next report when it is due, until the machine is gone.
 func (w *World) reports(m *Machine) {
-	gap := min(500*time.Millisecond, seconds(w.cfg.Workers.ReportS/4))
+	gap := min(500*time.Millisecond, seconds(w.cfg.Workers.HeartbeatIntervalS/4))
 	w.mu.Lock()
 	now := w.now()
 	if m.dead {
@@ -199,7 +199,7 @@
 	w.stats.Reports++
 	w.stats.ReportBytes += uint64(len(body))
 	m.reported, m.lastSent = m.said(), now
-	m.next = now + seconds(w.cfg.Workers.ReportS*(0.75+0.5*w.rng.Float64()))
+	m.next = now + seconds(w.cfg.Workers.HeartbeatIntervalS*(0.75+0.5*w.rng.Float64()))
 	to, life, mute, shut := w.settings[m.keeper].PublicAddr, m.life, now < m.muteTill, now < m.shutTill
 	if !shut {
 		w.copyLater(m.zone, "/checkin", body)
@@ -291,7 +291,7 @@
 		}
 	}
 	m.keeper = (m.keeper + 1) % w.cfg.Controllers
-	m.next = now + seconds(min(1, w.cfg.Workers.ReportS))
+	m.next = now + seconds(min(1, w.cfg.Workers.HeartbeatIntervalS))
 }
 
 // nodes are the controllers' names.
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -79,7 +79,7 @@
 	if c.Teams == nil {
 		c.Teams = []config.Team{{Name: "red", CPUs: 40}, {Name: "blue", CPUs: 40, CPUsMax: 120}}
 	}
-	c.Workers = or(c.Workers, config.Workers{ReportS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 20})
+	c.Workers = or(c.Workers, config.Workers{HeartbeatIntervalS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 20})
 	c.State = or(c.State, config.State{RPS: 2000, WriteRPS: 600, ValueKB: 32, TxnOps: 40})
 	c.Cloud = or(c.Cloud, config.Cloud{RPS: 20, ListLagS: 0.5})
 	cores, mem, sockets := 1.0, 512.0, 4096
