--- a/cmd/harewalk/architecture_test.go
+++ b/cmd/harewalk/architecture_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -69,3 +70,87 @@
 		}
 	}
 }
+
+// repositoryRoot is the repository's root, seen from this package's tests.
+var repositoryRoot = filepath.Join("..", "..")
+
+// docPages returns the pages that describe the present code, by path. The journal and the incidents are records of
+// what was, and are left out. Each pattern is relative to the repository's root.
+func docPages(t *testing.T, patterns ...string) map[string]string {
+	t.Helper()
+	pages := map[string]string{}
+	for _, pattern := range patterns {
+		paths, err := filepath.Glob(filepath.Join(repositoryRoot, filepath.FromSlash(pattern)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, path := range paths {
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			pages[path] = string(text)
+		}
+	}
+	if len(pages) == 0 {
+		t.Fatalf("no page matches %q", patterns)
+	}
+	return pages
+}
+
+// testFunctions returns the names of all test functions of the repository.
+func testFunctions(t *testing.T) map[string]bool {
+	t.Helper()
+	declaration := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+	names := map[string]bool{}
+	err := filepath.WalkDir(repositoryRoot, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		source, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		for _, found := range declaration.FindAllStringSubmatch(string(source), -1) {
+			names[found[1]] = true
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+func TestDocsNameTestsThatExist(t *testing.T) {
+	testName := regexp.MustCompile(`\bTest[A-Z]\w*`)
+	exists := testFunctions(t)
+	named := 0
+	for path, text := range docPages(t, "docs/*.md", "docs/days/*", "README.md") {
+		for _, name := range testName.FindAllString(text, -1) {
+			named++
+			if !exists[name] {
+				t.Errorf("%s names %s, which no test file declares", path, name)
+			}
+		}
+	}
+	if named == 0 {
+		t.Error("no page names a test: the expression finds none any more")
+	}
+}
+
+func TestDocsNamePathsThatExist(t *testing.T) {
+	sourcePath := regexp.MustCompile(`\b(?:internal|cmd)/[\w./-]*\w`)
+	named := 0
+	for path, text := range docPages(t, "docs/*.md", "README.md") {
+		for _, source := range sourcePath.FindAllString(text, -1) {
+			named++
+			if _, err := os.Stat(filepath.Join(repositoryRoot, filepath.FromSlash(source))); err != nil {
+				t.Errorf("%s names %s: %v", path, source, err)
+			}
+		}
+	}
+	if named == 0 {
+		t.Error("no page names a path: the expression finds none any more")
+	}
+}
