--- /dev/null
+++ b/cmd/harewalk/oncall_test.go
@@ -0,0 +1,291 @@
+package main
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// onCallPage is the page for engineers on call.
+var onCallPage = filepath.Join(repositoryRoot, "docs", "oncall.md")
+
+// logHeading is the heading of the page's table of log messages.
+const logHeading = "## Log messages"
+
+// slogLevels are the levels by the name of slog's function.
+var slogLevels = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}
+
+// logCall collects what all calls that log one message have in common.
+type logCall struct {
+	levels     map[string]bool // at which it is logged; empty if the level is computed
+	attributes map[string]bool // string literals among the arguments after the message
+}
+
+// logCalls are the calls by their message.
+type logCalls map[string]*logCall
+
+// call returns the entry of a message, which it makes at the first use.
+func (c logCalls) call(message string) *logCall {
+	if c[message] == nil {
+		c[message] = &logCall{levels: map[string]bool{}, attributes: map[string]bool{}}
+	}
+	return c[message]
+}
+
+// add records a call whose message is the argument at messageIndex. A message that isn't a literal fails the test:
+// messages are constant, so that they can be looked up.
+func (c logCalls) add(t *testing.T, files *token.FileSet, call *ast.CallExpr, messageIndex int, levels []string) {
+	t.Helper()
+	message, isLiteral := stringLiteral(call.Args[messageIndex])
+	if !isLiteral {
+		t.Errorf("%s: the message is no literal", files.Position(call.Pos()))
+		return
+	}
+	entry := c.call(message)
+	for _, level := range levels {
+		entry.levels[level] = true
+	}
+	for _, argument := range call.Args[messageIndex+1:] {
+		if attribute, isLiteral := stringLiteral(argument); isLiteral {
+			entry.attributes[attribute] = true
+		}
+	}
+}
+
+// stringLiteral returns the value of an expression that is a string literal.
+func stringLiteral(expression ast.Expr) (value string, isLiteral bool) {
+	literal, isLiteral := expression.(*ast.BasicLit)
+	if !isLiteral || literal.Kind != token.STRING {
+		return "", false
+	}
+	value, err := strconv.Unquote(literal.Value)
+	return value, err == nil
+}
+
+// slogFunction returns the name of the function of package slog that an expression denotes, "" if it denotes none.
+func slogFunction(expression ast.Expr) string {
+	selector, isSelector := expression.(*ast.SelectorExpr)
+	if !isSelector {
+		return ""
+	}
+	if identifier, isIdentifier := selector.X.(*ast.Ident); !isIdentifier || identifier.Name != "slog" {
+		return ""
+	}
+	return selector.Sel.Name
+}
+
+// slogVariables returns the levels of slog's functions that are assigned to each variable of a function.
+func slogVariables(function *ast.FuncDecl) map[string][]string {
+	levels := map[string][]string{}
+	ast.Inspect(function, func(node ast.Node) bool {
+		assignment, isAssignment := node.(*ast.AssignStmt)
+		if !isAssignment || len(assignment.Lhs) != len(assignment.Rhs) {
+			return true
+		}
+		for i, right := range assignment.Rhs {
+			variable, isIdentifier := assignment.Lhs[i].(*ast.Ident)
+			if level := slogLevels[slogFunction(right)]; isIdentifier && level != "" {
+				levels[variable.Name] = append(levels[variable.Name], level)
+			}
+		}
+		return true
+	})
+	return levels
+}
+
+// addFunction adds the logging calls of a function: of slog's functions, and of variables that hold one of them.
+func (c logCalls) addFunction(t *testing.T, files *token.FileSet, function *ast.FuncDecl) {
+	t.Helper()
+	variables := slogVariables(function)
+	ast.Inspect(function, func(node ast.Node) bool {
+		call, isCall := node.(*ast.CallExpr)
+		if !isCall {
+			return true
+		}
+		name := slogFunction(call.Fun)
+		variable, isIdentifier := call.Fun.(*ast.Ident)
+		switch {
+		case slogLevels[name] != "":
+			c.add(t, files, call, 0, []string{slogLevels[name]})
+		case name == "Log":
+			c.add(t, files, call, 2, nil)
+		case isIdentifier && variables[variable.Name] != nil:
+			c.add(t, files, call, 0, variables[variable.Name])
+		}
+		return true
+	})
+}
+
+// readLogCalls returns the logging calls of all sources that aren't tests.
+func readLogCalls(t *testing.T) logCalls {
+	t.Helper()
+	calls := logCalls{}
+	files := token.NewFileSet()
+	for _, folder := range []string{"internal", "cmd"} {
+		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(files, path, nil, 0)
+			if err != nil {
+				return err
+			}
+			for _, declaration := range file.Decls {
+				if function, isFunction := declaration.(*ast.FuncDecl); isFunction {
+					calls.addFunction(t, files, function)
+				}
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return calls
+}
+
+func readOnCall(t *testing.T) string {
+	t.Helper()
+	page, err := os.ReadFile(onCallPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(page)
+}
+
+// quoted matches what stands between backticks.
+var quoted = regexp.MustCompile("`([^`]+)`")
+
+// logRow is a row of the page's table of log messages.
+type logRow struct {
+	levels     []string
+	messages   []string
+	attributes []string
+}
+
+// logRows returns the rows of the page's table of log messages: levels, messages, attributes, and prose.
+func logRows(t *testing.T, page string) []logRow {
+	t.Helper()
+	_, section, isThere := strings.Cut(page, logHeading+"\n")
+	if !isThere {
+		t.Fatalf("the page lacks the heading %q", logHeading)
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	var rows []logRow
+	for line := range strings.Lines(section) {
+		cells := strings.Split(line, "|")
+		if len(cells) < 4 || !strings.Contains(cells[2], "`") {
+			continue // prose, or the table's head
+		}
+		row := logRow{levels: strings.Split(strings.TrimSpace(cells[1]), ", ")}
+		for _, found := range quoted.FindAllStringSubmatch(cells[2], -1) {
+			row.messages = append(row.messages, found[1])
+		}
+		for _, found := range quoted.FindAllStringSubmatch(cells[3], -1) {
+			row.attributes = append(row.attributes, found[1])
+		}
+		rows = append(rows, row)
+	}
+	if len(rows) == 0 {
+		t.Fatal("the table of log messages has no row")
+	}
+	return rows
+}
+
+func TestOncallLogMessagesExist(t *testing.T) {
+	calls := readLogCalls(t)
+	for _, row := range logRows(t, readOnCall(t)) {
+		for _, message := range row.messages {
+			call := calls[message]
+			if call == nil {
+				t.Errorf("no code logs %q", message)
+				continue
+			}
+			for _, level := range row.levels {
+				if len(call.levels) > 0 && !call.levels[level] {
+					t.Errorf("%q is logged at %v, not at %s", message, slices.Sorted(maps.Keys(call.levels)), level)
+				}
+			}
+			for _, attribute := range row.attributes {
+				if !call.attributes[attribute] {
+					t.Errorf("%q has no attribute %q", message, attribute)
+				}
+			}
+		}
+	}
+}
+
+func TestOncallNamesEveryWarningAndError(t *testing.T) {
+	levelsOnPage := map[string][]string{}
+	for _, row := range logRows(t, readOnCall(t)) {
+		for _, message := range row.messages {
+			levelsOnPage[message] = append(levelsOnPage[message], row.levels...)
+		}
+	}
+	found := 0
+	for message, call := range readLogCalls(t) {
+		for _, level := range []string{"warn", "error"} {
+			if !call.levels[level] {
+				continue
+			}
+			found++
+			if !slices.Contains(levelsOnPage[message], level) {
+				t.Errorf("the page's table lacks %q at level %s", message, level)
+			}
+		}
+	}
+	if found == 0 {
+		t.Error("the code logs no warning and no error: the search finds none any more")
+	}
+}
+
+func TestOncallMetricsExist(t *testing.T) {
+	source, err := os.ReadFile(filepath.Join(repositoryRoot, "internal", "controller", "metrics.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	declared := map[string]bool{}
+	for _, found := range regexp.MustCompile(`\bdesc\("(\w+)"`).FindAllStringSubmatch(string(source), -1) {
+		declared["harewalk_"+found[1]] = true
+	}
+	named := regexp.MustCompile(`\bharewalk_\w+`).FindAllString(readOnCall(t), -1)
+	if len(named) == 0 {
+		t.Fatal("the page names no metric")
+	}
+	for _, name := range named {
+		if !declared[name] {
+			t.Errorf("the page names %s, which internal/controller/metrics.go doesn't declare", name)
+		}
+	}
+}
+
+// namesCommand reports whether words begin with a command of this program that does something by itself.
+func namesCommand(words string) bool {
+	command, _, err := root().Find(strings.Fields(strings.TrimPrefix(words, "harewalk ")))
+	return err == nil && command.Runnable() && !command.HasSubCommands()
+}
+
+// Whatever has several words between backticks is a log message, a command with its arguments, or a flag, or an
+// attribute with its value.
+func TestOncallNamesCommandsAndMessagesThatExist(t *testing.T) {
+	valued := regexp.MustCompile(`^\w+=`)
+	calls := readLogCalls(t)
+	for _, found := range quoted.FindAllStringSubmatch(readOnCall(t), -1) {
+		name := found[1]
+		if !strings.Contains(name, " ") || valued.MatchString(name) || strings.HasPrefix(name, "-") {
+			continue
+		}
+		if calls[name] == nil && !namesCommand(name) {
+			t.Errorf("%q is neither a log message nor a command", name)
+		}
+	}
+}
