--- a/cmd/harewalk/oncall_test.go
+++ b/cmd/harewalk/oncall_test.go
@@ -41,14 +41,14 @@
 	return c[message]
 }
 
-// add records a call whose message is the argument at messageIndex. A message that isn't a literal fails the test:
-// messages are constant, so that they can be looked up.
-func (c logCalls) add(t *testing.T, files *token.FileSet, call *ast.CallExpr, messageIndex int, levels []string) {
+// add records a call whose message is the argument at messageIndex, and returns the message's entry. A message that
+// isn't a literal fails the test: messages are constant, so that they can be looked up.
+func (c logCalls) add(t *testing.T, files *token.FileSet, call *ast.CallExpr, messageIndex int, levels []string) *logCall {
 	t.Helper()
 	message, isLiteral := stringLiteral(call.Args[messageIndex])
 	if !isLiteral {
 		t.Errorf("%s: the message is no literal", files.Position(call.Pos()))
-		return
+		return &logCall{attributes: map[string]bool{}}
 	}
 	entry := c.call(message)
 	for _, level := range levels {
@@ -59,6 +59,7 @@
 			entry.attributes[attribute] = true
 		}
 	}
+	return entry
 }
 
 // stringLiteral returns the value of an expression that is a string literal.
@@ -102,10 +103,34 @@
 	return levels
 }
 
+// attributeVariables returns the string literals of the slices that are assigned to each variable of a function.
+func attributeVariables(function *ast.FuncDecl) map[string][]string {
+	literals := map[string][]string{}
+	ast.Inspect(function, func(node ast.Node) bool {
+		assignment, isAssignment := node.(*ast.AssignStmt)
+		if !isAssignment || len(assignment.Lhs) != 1 || len(assignment.Rhs) != 1 {
+			return true
+		}
+		variable, isIdentifier := assignment.Lhs[0].(*ast.Ident)
+		slice, isSlice := assignment.Rhs[0].(*ast.CompositeLit)
+		if !isIdentifier || !isSlice {
+			return true
+		}
+		for _, element := range slice.Elts {
+			if literal, isLiteral := stringLiteral(element); isLiteral {
+				literals[variable.Name] = append(literals[variable.Name], literal)
+			}
+		}
+		return true
+	})
+	return literals
+}
+
 // addFunction adds the logging calls of a function: of slog's functions, and of variables that hold one of them.
 func (c logCalls) addFunction(t *testing.T, files *token.FileSet, function *ast.FuncDecl) {
 	t.Helper()
 	variables := slogVariables(function)
+	attributes := attributeVariables(function)
 	ast.Inspect(function, func(node ast.Node) bool {
 		call, isCall := node.(*ast.CallExpr)
 		if !isCall {
@@ -113,13 +138,21 @@
 		}
 		name := slogFunction(call.Fun)
 		variable, isIdentifier := call.Fun.(*ast.Ident)
+		var entry *logCall
 		switch {
 		case slogLevels[name] != "":
-			c.add(t, files, call, 0, []string{slogLevels[name]})
+			entry = c.add(t, files, call, 0, []string{slogLevels[name]})
 		case name == "Log":
-			c.add(t, files, call, 2, nil)
+			entry = c.add(t, files, call, 2, nil)
 		case isIdentifier && variables[variable.Name] != nil:
-			c.add(t, files, call, 0, variables[variable.Name])
+			entry = c.add(t, files, call, 0, variables[variable.Name])
+		default:
+			return true
+		}
+		if last, isIdentifier := call.Args[len(call.Args)-1].(*ast.Ident); isIdentifier && call.Ellipsis.IsValid() {
+			for _, attribute := range attributes[last.Name] {
+				entry.attributes[attribute] = true
+			}
 		}
 		return true
 	})
