--- a/internal/controller/failover_timing.go
+++ b/internal/controller/failover_timing.go
@@ -70,8 +70,7 @@
 	if isLeader {
 		ready, registered = c.countReadyMachines()
 	}
-	// docs/operations.md describes this line by its message, "pace".
-	slog.Info("pace",
+	slog.Info("failover timing",
 		"after_s", (now - timing.startedAt).Round(100*time.Millisecond).Seconds(),
 		"term", timing.term,
 		"is_leader", isLeader,
