--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -13,8 +13,8 @@
 	// ControllerLeaseTTLMS is how long a controller's lease at the state service lives without renewal, in
 	// milliseconds.
 	ControllerLeaseTTLMS int `hcl:"hold_ttl_ms,optional" validate:"gte=1000,lte=600000"`
-	// StartDeadlineS is the start deadline of every job, in seconds from its submission, whatever its size and priority, as
-	// far as there is capacity for it at all.
+	// StartDeadlineS is the start deadline of every job, in seconds from its submission, whatever its size and
+	// priority, as far as there is capacity for it at all.
 	StartDeadlineS float64 `hcl:"begin_s,optional" validate:"gte=0"`
 	// MachineUnheardTimeoutS is how long a machine may send no heartbeat before it is returned, in seconds.
 	MachineUnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -115,11 +115,12 @@
 
 // status returns this controller's status: for a leader with the counts of as many jobs as a status may hold.
 func (c *Controller) status(now time.Duration) peers.Status {
+	heartbeatInterval := config.Seconds(c.settings.Params.Workers.HeartbeatIntervalS)
 	status := peers.Status{
 		Node:                  c.settings.Node,
 		Leading:               c.term.active(),
 		StateServiceReachable: now-c.store.LastSuccess() < statusStoreAge,
-		Workers:               c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.HeartbeatIntervalS), 0),
+		Workers:               c.foreignHeartbeats.add(now, heartbeatInterval, 0),
 		Leaving:               !c.lifecycle.isServing(),
 	}
 	if !c.term.active() {
--- a/internal/drain/migration.go
+++ b/internal/drain/migration.go
@@ -14,8 +14,8 @@
 	Document Document
 }
 
-// NextMigrationStep returns the next step, with at most maxKeys keys, each of at most maxBytes; false if nothing is to be
-// done, or nothing can be done within these limits. Machines that are gone lose their requests.
+// NextMigrationStep returns the next step, with at most maxKeys keys, each of at most maxBytes; false if nothing is
+// to be done, or nothing can be done within these limits. Machines that are gone lose their requests.
 func (s DesiredState) NextMigrationStep(
 	maxKeys, maxBytes int,
 	isGone func(machine string) bool,
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -16,7 +16,7 @@
 	JobDone                         // the job's end is durable
 	JobCancelled                    // the job's cancellation is durable
 	TaskLaunched                    // the task's launch is sent to a machine
-	TaskFound                       // the task was found on a machine, or is counted there: an earlier leader launched it
+	TaskFound                       // found on a machine, or counted there: an earlier leader launched it
 	TaskRunning                     // the task runs
 	TaskStopping                    // the task is to be stopped
 	TaskEnded                       // the task exited; the note has the reason
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -175,7 +175,8 @@
 	if job.LicenceDenial != grant.Denial {
 		job.LicenceDenial = grant.Denial
 		slog.Debug("licence grant changed",
-			"job", job.ID, "granted", grant.Tasks, "requested", ask.Tasks, "cause", grant.Denial.String(), "term", f.Term)
+			"job", job.ID, "granted", grant.Tasks, "requested", ask.Tasks,
+			"cause", grant.Denial.String(), "term", f.Term)
 	}
 	f.licenceGrants[job.Index] = grant
 	f.dropPlans(job, job.TasksByState[jobs.Planned]-grant.Tasks)
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -71,8 +71,8 @@
 	return jobs.NoPhase
 }
 
-// ExitCause is why an attempt at a task has exited, as on the wire. Workers also send causes that are not listed here, such
-// as that the other tasks of a gang did not start; these have no effect of their own.
+// ExitCause is why an attempt at a task has exited, as on the wire. Workers also send causes that are not listed
+// here, such as that the other tasks of a gang did not start; these have no effect of their own.
 type ExitCause string
 
 // The causes of an exit that the fleet distinguishes.
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -196,8 +196,8 @@
 func (f *Fleet) reconcileFailedTask(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
-	slog.Info("task ended", "task", report.Task, "machine", machine.Name, "cause", report.ExitCause, "saved", report.Saved,
-		"term", f.Term)
+	slog.Info("task ended", "task", report.Task, "machine", machine.Name,
+		"cause", report.ExitCause, "saved", report.Saved, "term", f.Term)
 	f.Events.Add(events.Event{
 		At:            now,
 		Kind:          events.TaskEnded,
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -156,7 +156,8 @@
 	task.Attempt = attempt
 	if !job.Started {
 		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name,
-			"waited_s", int((now - job.SubmittedAt).Seconds()), "fetch_s", int(f.fetchSeconds(job, machine)), "term", f.Term)
+			"waited_s", int((now - job.SubmittedAt).Seconds()),
+			"fetch_s", int(f.fetchSeconds(job, machine)), "term", f.Term)
 	}
 	job.Started = true
 	f.setOnMachine(now, job, taskIndex, jobs.Launched)
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -97,7 +97,8 @@
 	var withRoom []*Machine
 	for _, machine := range f.packingOrder() {
 		free := machine.Free()
-		if smallest.Fits(free.Sub(machine.queuedNeed)) || anyStarving && smallest.Fits(free.Sub(machine.queuedWithoutArrays)) {
+		fitsBesideQueue := smallest.Fits(free.Sub(machine.queuedNeed))
+		if fitsBesideQueue || anyStarving && smallest.Fits(free.Sub(machine.queuedWithoutArrays)) {
 			withRoom = append(withRoom, machine)
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -58,7 +58,8 @@
 	return account != nil && account.Used.Add(size.Scale(float64(n))).Fits(account.Limit)
 }
 
-// CouldEverFit returns whether n tasks of a size could run together if the team ran nothing else; false for an unknown team.
+// CouldEverFit returns whether n tasks of a size could run together if the team ran nothing else; false for an
+// unknown team.
 func (l *Ledger) CouldEverFit(team int32, size planner.Size, n int) bool {
 	account := l.teams[team]
 	return account != nil && size.Scale(float64(n)).Fits(account.Limit)
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -124,8 +124,8 @@
 	r.retryAt = now + retryDelay
 }
 
-// HandleLeadershipLost takes note that this controller doesn't lead any more. The outcome of a transaction in flight isn't
-// awaited any longer.
+// HandleLeadershipLost takes note that this controller doesn't lead any more. The outcome of a transaction in flight
+// isn't awaited any longer.
 func (r *Rollout) HandleLeadershipLost() {
 	r.txnInFlight = false
 	r.soak.running = false
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -71,8 +71,8 @@
 	return health
 }
 
-// HasRecoveringZones reports whether any zone is returning or on probation: machines elsewhere are not returned to the cloud
-// meanwhile.
+// HasRecoveringZones reports whether any zone is returning or on probation: machines elsewhere are not returned to
+// the cloud meanwhile.
 func (z *Zones) HasRecoveringZones() bool {
 	for _, zone := range z.zones {
 		if zone.State == Returning || zone.State == OnProbation {
