--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -16,20 +16,28 @@
 //
 // Where things are:
 //
-//	fleet.go, state.go, env.go                the Fleet, its state by concern, what it needs of the controller
-//	machine.go                                one machine, its conditions and image cache
-//	messages.go                               the protocol's messages; the task states and operations on the wire
-//	heartbeat.go, reconcile.go, commands.go   a heartbeat: is it current, what does it prove, what is the response
-//	reachability.go                           one-way reachability, stale copies and restarted workers
-//	lease.go, drain.go, dispatch.go           lease expiry and return; operators' drains; direct commands
-//	start.go, occupancy.go, images.go         which queued tasks start; what counts as on a machine; image cache hints
-//	crashloop.go, zoneloss.go, jobchange.go   crash loops, faulty machines; estimates; jobs that come and end
-//	cycle.go, priority.go, demand.go          the scheduling cycle, the priority order, the demand for machines
-//	array.go, gang.go, queues.go, steal.go    placement of job arrays and gangs; task queues and their balancing
-//	preempt.go, suspend.go, overload.go       preemption, suspended sessions, yielding between priorities
-//	backfill.go, startdeadline.go             room beside waiting work, start deadlines
-//	licences.go, estimate.go, pendingreason.go  licences, run-time estimates, why a task waits
-//	recovery.go, planwrites.go, writebatch.go, writelimits.go  loading and writing the durable plan
+//	fleet.go, state.go, env.go          the Fleet, its state by concern, what it needs of the controller
+//	machine.go, lease.go, drain.go      a machine and its conditions; lease expiry and return; operators' drains
+//	messages.go                         the protocol's messages; the task states and operations on the wire
+//	heartbeat.go, reconcile.go          a heartbeat: is it current, what does it prove
+//	reachability.go                     one-way reachability, stale copies and restarted workers
+//	commands.go, dispatch.go, start.go  the response's commands, direct requests, which queued tasks start
+//	occupancy.go, images.go             what counts as on a machine; image cache hints
+//	crashloop.go, zoneloss.go           crash loops and faulty machines; what the loss of a zone would mean
+//	jobchange.go                        jobs that are accepted and that end
+//	cycle.go, priority.go, demand.go    the scheduling cycle, the priority order, the demand for machines
+//	array.go, gang.go, service.go       placement of job arrays, gangs and services
+//	candidates.go, packing.go           machines that may take a job, and the order in which they are filled
+//	machineload.go, queues.go, steal.go a machine's expected load, its queue of tasks, work stealing between queues
+//	backfill.go, gpureserve.go          room beside waiting work; processors kept beside idle accelerators
+//	startdeadline.go, overload.go       overdue starts; deadlines that can't be met
+//	preempt.go, suspend.go              preemption; sessions that are taken off their machines
+//	licences.go, licencepreempt.go      licence units granted to jobs, and taken back
+//	estimate.go, pendingreason.go       run-time estimates; why a task waits
+//	planwrites.go, writebatch.go        what is written in one transaction, within which limits (writelimits.go)
+//	writeoutcome.go                     what follows from a write's outcome, indeterminate ones included
+//	planmigration.go, plandeletion.go   plans into pages; obsolete plans
+//	recovery.go, quarantine.go          plans read at the start of a term; those that can't be read
 package fleet
 
 import (
