--- a/cmd/harewalk/world_test.go
+++ b/cmd/harewalk/world_test.go
@@ -29,7 +29,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
 		if os.Getenv(asFormer) != "" {
-			settle = func(settings *config.Settings) { settings.Earlier(rollout.Newest-1, simulator.FormerRelease) }
+			settle = func(settings *config.Settings) { settings.SimulateRelease(rollout.Newest-1, simulator.FormerRelease) }
 		}
 		main()
 		return
@@ -330,7 +330,10 @@
 			t.Fatal(err)
 		}
 	}
-	until("the count survives all controllers", func() bool { v := pool(0); return v.Count == 10 && v.Held == 10 && v.Lowering == licences.Stop })
+	until("the count survives all controllers", func() bool {
+		v := pool(0)
+		return v.Count == 10 && v.Held == 10 && v.Lowering == licences.PreemptHolders
+	})
 	sim.Licences.SetCount("transcribe", 14)
 	set(0, "14")
 	until("raised", using(12))
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -111,7 +111,7 @@
 type Fault struct {
 	AtS float64 `hcl:"at_s" validate:"gte=0"`
 	Do  string  `hcl:"do" validate:"required"`
-	// ForS is how long after it its effect is looked for, in seconds; 0: a minute.
+	// InStateS is how long after it its effect is looked for, in seconds; 0: a minute.
 	ForS float64 `hcl:"for_s,optional" validate:"gte=0"`
 }
 
@@ -232,7 +232,7 @@
 	w := simulator.Config{
 		Seed: seed, Controllers: s.Controllers, Zones: s.Zones, MaxMachines: s.Machines, LicencePools: map[string]int{},
 		// Times and limits of a service at work, not those of short tests.
-		Workers: config.Workers{ReportS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
+		Workers: config.Workers{HeartbeatIntervalS: 2, LeaseS: 20, GangWaitS: 60, GangPeerS: 5, CancelS: 30},
 		State:   config.State{RPS: 400, WriteRPS: 150, ValueKB: 32, TxnOps: 24},
 		Cloud:   config.Cloud{RPS: 5, ListLagS: 3}, TickInterval: 100 * time.Millisecond,
 	}
@@ -268,7 +268,7 @@
 
 func (c Config) settings(settings *config.Settings) error {
 	if c.Former {
-		settings.Earlier(rollout.Newest-1, simulator.FormerRelease)
+		settings.SimulateRelease(rollout.Newest-1, simulator.FormerRelease)
 	}
 	if c.Operator == "" {
 		return nil
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"time"
 
@@ -93,15 +94,15 @@
 	}
 	m.lease.renewing = true
 	id := m.lease.id
-	m.store.RenewLease(id, func(ok, expired bool) {
+	m.store.RenewLease(id, func(err error) {
 		if m.lease.id != id {
 			return
 		}
 		m.lease.renewing = false
 		switch {
-		case ok:
+		case err == nil:
 			m.lease.extend(now, m.cfg.TTL)
-		case expired:
+		case errors.Is(err, store.ErrLeaseExpired):
 			m.dropLease(m.store.Now(), "lease expired")
 		default:
 			m.lease.renewAt = m.store.Now() + renewRetryDelay
--- a/internal/simulator/balancer.go
+++ b/internal/simulator/balancer.go
@@ -186,7 +186,7 @@
 func (b *Balancer) accepts(now time.Duration, i int) bool {
 	env := b.simulation.virtual
 	c := env.controllers[i]
-	return c.process != nil && c.frozenUntil <= now && !env.linkCheck(c.settings.Public, UserLinks)()
+	return c.process != nil && c.frozenUntil <= now && !env.linkCheck(c.settings.PublicAddr, UserLinks)()
 }
 
 func (b *Balancer) closeConnection(connection *Connection) {
--- a/internal/simulator/config.go
+++ b/internal/simulator/config.go
@@ -37,7 +37,7 @@
 	// simulation has its own.
 	StateAddrs []string
 	// Limits is what each controller may use of its machine.
-	Limits config.Limits
+	Limits config.ControllerLimits
 }
 
 // valueOr returns the first value, or the second if the first is zero.
@@ -68,16 +68,16 @@
 		}
 	}
 	c.Workers = valueOr(c.Workers, config.Workers{
-		ReportS:   0.5,
-		LeaseS:    6,
-		GangWaitS: 10,
-		GangPeerS: 2,
-		CancelS:   20,
+		HeartbeatIntervalS: 0.5,
+		LeaseS:             6,
+		GangWaitS:          10,
+		GangPeerS:          2,
+		CancelS:            20,
 	})
 	c.State = valueOr(c.State, config.State{RPS: 2000, WriteRPS: 600, ValueKB: 32, TxnOps: 40})
 	c.Cloud = valueOr(c.Cloud, config.Cloud{RPS: 20, ListLagS: 0.5})
 	cores, memoryMB, sockets := 1.0, 512.0, 4096
-	c.Limits = valueOr(c.Limits, config.Limits{Cores: &cores, MemMB: &memoryMB, Sockets: &sockets})
+	c.Limits = valueOr(c.Limits, config.ControllerLimits{Cores: &cores, MemMB: &memoryMB, Sockets: &sockets})
 }
 
 func defaultMachineType(zones []string) capacity.MachineType {
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -82,7 +82,7 @@
 		query:  target.Query(),
 		body:   outgoing.Body,
 	}
-	isCut := c.env.linkCheck(c.settings.Public, linkTo(addr))
+	isCut := c.env.linkCheck(c.settings.PublicAddr, linkTo(addr))
 	c.env.roundTrip(c.settings.Zone, addr, request, outgoing.Timeout, isCut, func(status int, body []byte) {
 		if c.incarnation != incarnation {
 			return
@@ -132,7 +132,7 @@
 	env := c.env
 	env.recordMessage(statusTo(peer.settings.Node, c.settings.Node, status))
 	hear := func() {
-		cut := env.linkCheck(c.settings.Public, PeerLinks)() || env.linkCheck(peer.settings.Public, PeerLinks)()
+		cut := env.linkCheck(c.settings.PublicAddr, PeerLinks)() || env.linkCheck(peer.settings.PublicAddr, PeerLinks)()
 		if peer.process != nil && !cut {
 			peer.whileRunning(func() { peer.process.Hear(status) })()
 		}
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -321,10 +321,10 @@
 		path:   q.Resource + "/" + q.Name,
 		body:   q.Body,
 	}
-	r.virtual.recordMessage(requestTo(controller.settings.Public, asked))
+	r.virtual.recordMessage(requestTo(controller.settings.PublicAddr, asked))
 	controller.whileRunning(func() {
 		controller.process.Call(q, func(status int, body []byte) {
-			r.virtual.recordMessage(answerFrom(controller.settings.Public, asked, status, body))
+			r.virtual.recordMessage(answerFrom(controller.settings.PublicAddr, asked, status, body))
 			then(status, body)
 		})
 	})()
@@ -402,7 +402,7 @@
 		for key, raw := range all {
 			var rec jobs.Record
 			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &rec) == nil && rec.Spec != nil {
-				cluster.AddJob(rec.Spec)
+				cluster.AddJob((*jobs.Spec)(rec.Spec))
 			}
 		}
 		return cluster
@@ -551,7 +551,7 @@
 	report := s.report(s.r.Now(), s.seq)
 	raw, _ := json.Marshal(report)
 	s.call("report", s.agentToken, raw, func(status int, body []byte) {
-		var o sessions.Order
+		var o sessions.HeartbeatResponse
 		if status == 200 && json.Unmarshal(body, &o) == nil {
 			s.applyOrder(s.r.Now(), task, o)
 		}
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -18,7 +18,7 @@
 
 // shortTimers are workers under which cancel_s leaves little more than the rule's inequality needs: what outlives
 // it is seen.
-var shortTimers = config.Workers{ReportS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 11.5}
+var shortTimers = config.Workers{HeartbeatIntervalS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 11.5}
 
 // faultRun is one run of the search: faults of a script that overlap, over jobs that are submitted, cancelled and
 // asked about throughout. The same values give the same run.
--- a/internal/simulator/interactive_session.go
+++ b/internal/simulator/interactive_session.go
@@ -59,10 +59,10 @@
 	fresh       bool   // it hasn't been thawed since its start
 	resumedFrom string // a checkpoint
 
-	save           *sessions.Save // the newest that was ordered
-	saveDoneAt     time.Duration  // of a save under way; 0: there is none
-	ownCheckpoint  string         // the newest without an order
-	keptCheckpoint string         // the one that the controllers keep
+	save           *sessions.CheckpointResult // the newest that was ordered
+	saveDoneAt     time.Duration              // of a save under way; 0: there is none
+	ownCheckpoint  string                     // the newest without an order
+	keptCheckpoint string                     // the one that the controllers keep
 }
 
 // InteractiveSession returns a session of a user that isn't open yet.
@@ -184,7 +184,7 @@
 }
 
 func (s *InteractiveSession) reportAnswered(task *workerTask, body []byte) {
-	var order sessions.Order
+	var order sessions.HeartbeatResponse
 	if json.Unmarshal(body, &order) != nil {
 		return
 	}
@@ -209,29 +209,29 @@
 }
 
 // report makes the agent's next report.
-func (s *InteractiveSession) report(now time.Duration, seq uint64) sessions.Report {
+func (s *InteractiveSession) report(now time.Duration, seq uint64) sessions.Heartbeat {
 	if s.save != nil && s.saveDoneAt > 0 && now >= s.saveDoneAt {
 		s.finishSave()
 	}
-	report := sessions.Report{
-		Attempt: s.attempt,
-		Seq:     seq,
-		InputS:  (now - s.lastInput).Seconds(),
-		Unsaved: float64(s.steps - s.stepsSaved),
-		Frozen:  s.frozen,
-		Resumed: s.resumedFrom,
-		Fresh:   s.fresh,
+	report := sessions.Heartbeat{
+		Attempt:     s.attempt,
+		Seq:         seq,
+		SinceInputS: (now - s.lastInput).Seconds(),
+		UnsavedMB:   float64(s.steps - s.stepsSaved),
+		Frozen:      s.frozen,
+		ResumedFrom: s.resumedFrom,
+		Fresh:       s.fresh,
 	}
 	if s.saveDoneAt == 0 && s.save != nil {
 		save := *s.save
-		report.Save = &save
+		report.Checkpoint = &save
 	}
-	if report.Save == nil && s.ownCheckpoint != s.keptCheckpoint && s.ownCheckpoint != "" {
-		report.Save = &sessions.Save{OK: true, Ref: s.ownCheckpoint}
+	if report.Checkpoint == nil && s.ownCheckpoint != s.keptCheckpoint && s.ownCheckpoint != "" {
+		report.Checkpoint = &sessions.CheckpointResult{OK: true, Ref: s.ownCheckpoint}
 	}
 	if now < s.cellEnd {
-		report.Cell = true
-		report.CellS = (now - s.cellStart).Seconds()
+		report.CellRunning = true
+		report.CellRunningS = (now - s.cellStart).Seconds()
 		report.CPU = 1
 	}
 	return report
@@ -241,7 +241,7 @@
 func (s *InteractiveSession) finishSave() {
 	s.saveDoneAt = 0
 	if s.savesFail {
-		s.save.Why = saveFailedDisk
+		s.save.Cause = saveFailedDisk
 		return
 	}
 	checkpoint := fmt.Sprintf("%s-%d-%d", s.Spec.ID, s.attempt, s.save.Order)
@@ -252,15 +252,15 @@
 }
 
 // applyOrder carries out the answer to a report.
-func (s *InteractiveSession) applyOrder(now time.Duration, task *workerTask, order sessions.Order) {
+func (s *InteractiveSession) applyOrder(now time.Duration, task *workerTask, order sessions.HeartbeatResponse) {
 	if task.attempt != s.attempt {
 		return
 	}
-	s.keptCheckpoint = order.Kept
-	if order.Resume != "" && order.Resume != s.resumedFrom {
-		s.steps = s.savedSteps[order.Resume]
+	s.keptCheckpoint = order.CheckpointRef
+	if order.ResumeFrom != "" && order.ResumeFrom != s.resumedFrom {
+		s.steps = s.savedSteps[order.ResumeFrom]
 		s.stepsSaved = s.steps
-		s.resumedFrom = order.Resume
+		s.resumedFrom = order.ResumeFrom
 		s.resumes++
 	}
 	if order.Thaw {
@@ -269,16 +269,16 @@
 		s.save = nil
 		s.saveDoneAt = 0
 	}
-	if order.Save != 0 && (s.save == nil || s.save.Order != order.Save) {
-		s.beginSave(now, order.Save)
+	if order.CheckpointOrder != 0 && (s.save == nil || s.save.Order != order.CheckpointOrder) {
+		s.beginSave(now, order.CheckpointOrder)
 	}
 }
 
 // beginSave begins an ordered save, which fails at once while a cell runs.
 func (s *InteractiveSession) beginSave(now time.Duration, number uint64) {
-	s.save = &sessions.Save{Order: number}
+	s.save = &sessions.CheckpointResult{Order: number}
 	if now < s.cellEnd {
-		s.save.Why = saveFailedCell
+		s.save.Cause = saveFailedCell
 		return
 	}
 	s.frozen = true
@@ -368,11 +368,11 @@
 // openRequest returns the body of the request that opens the session.
 func (s *InteractiveSession) openRequest() []byte {
 	body := struct {
-		*jobs.Spec
+		*jobs.WireSpec
 		User        string `json:"user"`
 		TokenDigest string `json:"token_sha256"`
 		AgentDigest string `json:"agent_sha256"`
-	}{s.Spec, s.User, sessions.Digest(s.userToken), sessions.Digest(s.agentToken)}
+	}{(*jobs.WireSpec)(s.Spec), s.User, sessions.TokenDigest(s.userToken), sessions.TokenDigest(s.agentToken)}
 	raw, _ := json.Marshal(body)
 	return raw
 }
--- a/internal/simulator/licence_server.go
+++ b/internal/simulator/licence_server.go
@@ -59,16 +59,16 @@
 }
 
 // entries lists who holds units, in a fixed order.
-func (p *licencePool) entries() []licences.Entry {
-	entries := []licences.Entry{}
+func (p *licencePool) entries() []licences.AnswerHolder {
+	entries := []licences.AnswerHolder{}
 	for key, checkout := range p.checkouts {
-		entries = append(entries, licences.Entry{Task: key.task, Attempt: key.attempt, Units: checkout.units})
+		entries = append(entries, licences.AnswerHolder{Task: key.task, Attempt: key.attempt, Units: checkout.units})
 	}
-	slices.SortFunc(entries, func(a, b licences.Entry) int {
+	slices.SortFunc(entries, func(a, b licences.AnswerHolder) int {
 		return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	if p.foreignUnits > 0 {
-		entries = append(entries, licences.Entry{Task: foreignHolder, Units: p.foreignUnits})
+		entries = append(entries, licences.AnswerHolder{Task: foreignHolder, Units: p.foreignUnits})
 	}
 	return entries
 }
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -51,7 +51,7 @@
 	sim.stats.DuplicatesSent++
 	spread := float64(copies.delay.max - copies.delay.min)
 	delay := copies.delay.min + time.Duration(sim.rng.Float64()*spread)
-	to := sim.settings[sim.rng.IntN(sim.cfg.Controllers)].Public
+	to := sim.settings[sim.rng.IntN(sim.cfg.Controllers)].PublicAddr
 	sim.env.schedule(delay, func() { sim.postCopy(zone, to, path, body) })
 }
 
@@ -109,7 +109,7 @@
 		}
 		for _, settings := range sim.settings {
 			sim.env.schedule(delay, func() {
-				sim.postCopy(heartbeat.zone, settings.Public, heartbeatPath, heartbeat.body)
+				sim.postCopy(heartbeat.zone, settings.PublicAddr, heartbeatPath, heartbeat.body)
 			})
 		}
 	}
--- a/internal/simulator/partitions.go
+++ b/internal/simulator/partitions.go
@@ -111,7 +111,7 @@
 // CutLinks cuts some of a controller's links, and restores all others; 0 restores all. What is sent meanwhile is
 // lost. It needs virtual time.
 func (sim *Simulation) CutLinks(controller int, links Links) {
-	public := sim.virtual.controllers[controller].settings.Public
+	public := sim.virtual.controllers[controller].settings.PublicAddr
 	sim.virtual.network.cutLinks[public] = links
 	if links != 0 {
 		sim.stats.LinksCut++
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -25,12 +25,12 @@
 	if maxLevel < rollout.Newest {
 		release = FormerRelease
 	}
-	sim.virtual.controllers[controller].settings.Earlier(maxLevel, release)
+	sim.virtual.controllers[controller].settings.SimulateRelease(maxLevel, release)
 }
 
 // MaxLevel returns the highest level that a controller would support after its next start.
 func (sim *Simulation) MaxLevel(controller int) rollout.Level {
-	if level := sim.virtual.controllers[controller].settings.Rollout().Knows; level > 0 {
+	if level := sim.virtual.controllers[controller].settings.Rollout().SimulatedLevel; level > 0 {
 		return level
 	}
 	return rollout.Newest
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -70,7 +70,7 @@
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				settings.Earlier(knows, FormerRelease)
+				settings.SimulateRelease(knows, FormerRelease)
 			}
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
@@ -101,7 +101,7 @@
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
-				settings.Earlier(knows, FormerRelease)
+				settings.SimulateRelease(knows, FormerRelease)
 			}
 			change(settings)
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -173,11 +173,11 @@
 	}
 	cfg := &sim.cfg
 	settings := config.Settings{
-		Node:     fmt.Sprintf("node-%d", controller),
-		Zone:     cfg.Zones[controller%len(cfg.Zones)],
-		Public:   public,
-		Back:     back,
-		Services: config.Services{Cloud: cloudAddr, State: stateAddr},
+		Node:       fmt.Sprintf("node-%d", controller),
+		Zone:       cfg.Zones[controller%len(cfg.Zones)],
+		PublicAddr: public,
+		PeerAddr:   back,
+		Services:   config.Services{Cloud: cloudAddr, State: stateAddr},
 	}
 	settings.Params = config.Params{
 		Zones:   cfg.Zones,
@@ -194,7 +194,7 @@
 func (sim *Simulation) peersOf(controller int) (peers []config.Peer) {
 	for i, other := range sim.settings {
 		if i != controller {
-			peers = append(peers, config.Peer{Node: other.Node, Zone: other.Zone, Addr: other.Back})
+			peers = append(peers, config.Peer{Node: other.Node, Zone: other.Zone, Addr: other.PeerAddr})
 		}
 	}
 	return peers
@@ -266,7 +266,7 @@
 func (sim *Simulation) Controllers() int { return sim.cfg.Controllers }
 
 // UserAddr returns a controller's address for users and workers.
-func (sim *Simulation) UserAddr(controller int) string { return sim.settings[controller].Public }
+func (sim *Simulation) UserAddr(controller int) string { return sim.settings[controller].PublicAddr }
 
 // nodeNames returns the controllers' names.
 func (sim *Simulation) nodeNames() (names []string) {
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -79,7 +79,7 @@
 				"done":      jobs.Done,
 				"cancelled": jobs.Cancelled,
 			}[r.State]
-			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, r.Spec); string(got) != string(raw) {
+			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, (*jobs.Spec)(r.Spec)); string(got) != string(raw) {
 				t.Errorf("%s was %s and is written as %s", key, raw, got)
 			}
 		case "plan":
@@ -88,7 +88,7 @@
 			if job.State == jobs.Done {
 				continue
 			}
-			job.OpenTasks()
+			job.CreateTasks()
 			no := int(name[len(name)-1] - '0')
 			segment := job.Segments[no]
 			var names jobs.Names
@@ -117,7 +117,7 @@
 		case "part-map":
 			same[membership.ShardMap](t, key, raw)
 		case "licence-count":
-			same[licences.Set](t, key, raw)
+			same[licences.CountOverride](t, key, raw)
 		case "operators-wishes":
 			same[drain.Document](t, key, raw)
 		case "session":
@@ -171,7 +171,7 @@
 		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
 			var rec jobs.Record
 			if json.Unmarshal(raw, &rec) == nil && rec.State == "pending" {
-				sim.AddJob(rec.Spec)
+				sim.AddJob((*jobs.Spec)(rec.Spec))
 				if rec.Spec.Kind != jobs.Service {
 					open++
 				}
--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -135,8 +135,8 @@
 func (env *virtualTime) addController(index int, settings *config.Settings) {
 	controller := &simulatedController{env: env, index: index, settings: settings, epochMS: initialEpochMS}
 	env.controllers = append(env.controllers, controller)
-	env.handlers[settings.Public] = controller.serve
-	env.zoneOf[settings.Public] = settings.Zone
+	env.handlers[settings.PublicAddr] = controller.serve
+	env.zoneOf[settings.PublicAddr] = settings.Zone
 }
 
 func (env *virtualTime) now() time.Duration { return env.clock }
@@ -192,7 +192,7 @@
 	sentAt := sim.now()
 	about, ofJob := parseUserRequest(method, path, body)
 	sim.noteCancelRequest(about)
-	public := sim.virtual.controllers[controller].settings.Public
+	public := sim.virtual.controllers[controller].settings.PublicAddr
 	request := httpRequest{sender: senderUser, method: method, path: path, body: body}
 	answered := func(status int, raw []byte) {
 		if ofJob {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -63,11 +63,11 @@
 	}
 	for _, task := range machine.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskReport{
-			Task:    task.name,
-			Attempt: task.attempt,
-			State:   task.state,
-			Why:     task.reason,
-			Saved:   task.saved,
+			Task:      task.name,
+			Attempt:   task.attempt,
+			State:     fleet.AttemptState(task.state),
+			ExitCause: fleet.ExitCause(task.reason),
+			Saved:     task.saved,
 		})
 	}
 	return heartbeat
@@ -208,7 +208,7 @@
 		var record jobs.Record
 		stored := sim.state.service.Keys[jobs.RecordKey(job)].Value
 		if json.Unmarshal(stored, &record) == nil && record.Spec != nil {
-			sim.work.specs[job] = record.Spec
+			sim.work.specs[job] = (*jobs.Spec)(record.Spec)
 		}
 	}
 	return sim.work.specs[job]
@@ -266,7 +266,7 @@
 		session:     machine.session,
 		sentAt:      now,
 	}
-	to := sim.settings[machine.controller].Public
+	to := sim.settings[machine.controller].PublicAddr
 	lost := now < machine.outboundLostUntil
 	refused := now < machine.outboundRefusedUntil
 	if !refused {
@@ -286,7 +286,7 @@
 
 // heartbeatDue reports whether it is time for the next heartbeat, which a change makes early.
 func (sim *Simulation) heartbeatDue(now time.Duration, machine *Machine) bool {
-	earlyGap := min(maxEarlyGap, seconds(sim.cfg.Workers.ReportS/4))
+	earlyGap := min(maxEarlyGap, seconds(sim.cfg.Workers.HeartbeatIntervalS/4))
 	changed := func() bool { return machine.summary() != machine.lastSummary }
 	return now >= machine.nextHeartbeat || (now-machine.lastHeartbeat >= earlyGap && changed())
 }
@@ -298,7 +298,7 @@
 	sim.stats.HeartbeatBytes += uint64(len(body))
 	machine.lastSummary = machine.summary()
 	machine.lastHeartbeat = now
-	machine.nextHeartbeat = now + seconds(sim.cfg.Workers.ReportS*(0.75+0.5*sim.rng.Float64()))
+	machine.nextHeartbeat = now + seconds(sim.cfg.Workers.HeartbeatIntervalS*(0.75+0.5*sim.rng.Float64()))
 	return body
 }
 
@@ -365,7 +365,7 @@
 		}
 	}
 	machine.controller = (machine.controller + 1) % sim.cfg.Controllers
-	machine.nextHeartbeat = now + seconds(min(maxRetryS, sim.cfg.Workers.ReportS))
+	machine.nextHeartbeat = now + seconds(min(maxRetryS, sim.cfg.Workers.HeartbeatIntervalS))
 }
 
 // heartbeatAccepted renews the worker's lease from when the heartbeat was sent, and carries out the answer's
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -119,7 +119,7 @@
 				4*time.Second,
 				func() bool { return cluster.zoneViews()[zone].State == "lost" },
 			)
-			if v := cluster.zoneViews()[zone]; v.Rents || v.Takes != "arrays" {
+			if v := cluster.zoneViews()[zone]; v.Rents || v.AcceptsWork != "arrays" {
 				t.Errorf("%+v", v)
 			}
 			cluster.Advance(5 * time.Second)
