--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"net/url"
 	"text/tabwriter"
 
@@ -10,102 +11,152 @@
 	"github.com/harewalk/harewalk/internal/controller"
 )
 
+const adminPath = "/v2/admin"
+
+// What can be drained.
+const (
+	drainNode    = "node"
+	drainMachine = "machine"
+)
+
+// drainCommand is the body of a request that drains or undrains a controller or a machine.
+type drainCommand struct {
+	By       string `json:"by"`
+	Kind     string `json:"kind"`
+	Name     string `json:"name"`
+	Op       string `json:"op"`
+	Revision *int64 `json:"revision,omitempty"` // the one that the command depends on; nil: any
+	Stop     bool   `json:"stop"`
+}
+
+// optionalNumber returns a flag's value, or nil for the negative one that stands for an absent flag.
+func optionalNumber(flag int64) *int64 {
+	if flag < 0 {
+		return nil
+	}
+	return &flag
+}
+
 func adminCmd() *cobra.Command {
-	var o operator
-	c := &cobra.Command{
-		Use: "admin", Short: "Look at a cluster and drain its controllers and machines",
-		Long: "Commands change one durable document, which every controller follows. With --revision (from `admin status`) a\n" +
+	var client apiClient
+	cmd := &cobra.Command{
+		Use:   "admin",
+		Short: "Look at a cluster and drain its controllers and machines",
+		Long: "Commands change one durable document, which every controller follows. With --revision (from " +
+			"`admin status`) a\n" +
 			"command is refused (exit 3) if somebody changed it since; the answer says who, and what.",
 	}
-	o.flags(c)
-	c.AddCommand(
-		adminStatus(&o),
-		adminAct(&o, "drain", "Drain a controller, or a machine, which is then given back",
-			"A drained controller hands its lead over, takes no users and stays until it is undrained; the last one that could\n"+
-				"serve can't be drained. On a drained machine nothing new starts; when it is empty it is given back to the cloud.",
-			"  harewalk admin drain node burrow-2\n  harewalk admin drain machine i-000231 --stop"),
-		adminAct(&o, "undrain", "Let a controller or a machine take part again", "", "  harewalk admin undrain node burrow-2"))
-	return c
+	client.addFlags(cmd)
+	drain := drainCmd(&client, "drain", "Drain a controller, or a machine, which is then given back")
+	drain.Long = "A drained controller hands its lead over, takes no users and stays until it is undrained; the " +
+		"last one that could\n" +
+		"serve can't be drained. On a drained machine nothing new starts; when it is empty it is given back " +
+		"to the cloud."
+	drain.Example = "  harewalk admin drain node burrow-2\n" +
+		"  harewalk admin drain machine i-000231 --stop"
+	undrain := drainCmd(&client, "undrain", "Let a controller or a machine take part again")
+	undrain.Example = "  harewalk admin undrain node burrow-2"
+	cmd.AddCommand(adminStatusCmd(&client), drain, undrain)
+	return cmd
 }
 
-func adminStatus(o *operator) *cobra.Command {
+func adminStatusCmd(client *apiClient) *cobra.Command {
 	var since string
-	c := &cobra.Command{
-		Use: "status", Short: "Show controllers, machines that are being drained, and the revision", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			return tell(o, c, "GET", "/v2/admin?since="+url.QueryEscape(since), nil, showStatus)
+	cmd := &cobra.Command{
+		Use:   "status",
+		Short: "Show controllers, machines that are being drained, and the revision",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			req := request{method: http.MethodGet, path: adminPath + "?since=" + url.QueryEscape(since)}
+			return callAndShow(client, cmd, req, writeStatus)
 		},
 	}
-	c.Flags().StringVar(&since, "since", "", "show machines that are being drained after this one, by name")
-	return c
+	cmd.Flags().StringVar(&since, "since", "", "show machines that are being drained after this one, by name")
+	return cmd
 }
 
-func adminAct(o *operator, op, short, long, example string) *cobra.Command {
+// drainCmd returns the command of one operation, "drain" or "undrain".
+func drainCmd(client *apiClient, op, short string) *cobra.Command {
 	var stop bool
 	var revision int64
-	c := &cobra.Command{
-		Use: op + " node|machine NAME", Short: short, Long: long, Example: example, Args: cobra.ExactArgs(2),
-		ValidArgs: []string{"node", "machine"},
-		RunE: func(c *cobra.Command, args []string) error {
-			if args[0] != "node" && args[0] != "machine" {
-				return coded{exitUsage, fmt.Errorf("%q is neither node nor machine", args[0])}
+	cmd := &cobra.Command{
+		Use:       op + " node|machine NAME",
+		Short:     short,
+		Args:      cobra.ExactArgs(2),
+		ValidArgs: []string{drainNode, drainMachine},
+		RunE: func(cmd *cobra.Command, args []string) error {
+			kind, name := args[0], args[1]
+			if kind != drainNode && kind != drainMachine {
+				return usageError(fmt.Errorf("%q is neither node nor machine", kind))
 			}
-			body := map[string]any{"op": op, "kind": args[0], "name": args[1], "by": whoami(), "stop": stop}
-			if revision >= 0 {
-				body["revision"] = revision
+			body := drainCommand{
+				By:       currentUser(),
+				Kind:     kind,
+				Name:     name,
+				Op:       op,
+				Revision: optionalNumber(revision),
+				Stop:     stop,
 			}
-			return tell(o, c, "POST", "/v2/admin", body, showStatus)
+			return callAndShow(client, cmd, request{method: http.MethodPost, path: adminPath, body: body}, writeStatus)
 		},
 	}
-	c.Flags().Int64Var(&revision, "revision", -1, "refuse the command unless this is still the revision")
+	cmd.Flags().Int64Var(&revision, "revision", -1, "refuse the command unless this is still the revision")
 	if op == "drain" {
-		c.Flags().BoolVar(&stop, "stop", false, "stop a machine's tasks, with time to save, instead of waiting for their end")
+		cmd.Flags().BoolVar(&stop, "stop", false,
+			"stop a machine's tasks, with time to save, instead of waiting for their end")
 	}
-	return c
+	return cmd
 }
 
-func showStatus(t *tabwriter.Writer, s controller.Status) {
+func writeStatus(table *tabwriter.Writer, status controller.Status) {
 	last := ""
-	if s.Last != "" {
-		last = " (" + s.Last + ")"
+	if status.Last != "" {
+		last = " (" + status.Last + ")"
 	}
-	fmt.Fprintf(t, "revision\t%d%s\nterm\t%d\njobs\t%d\n", s.Revision, last, s.Term, s.Jobs)
-	showArchive(t, s.Archive)
-	for _, n := range s.Nodes {
-		what := "alive"
+	fmt.Fprintf(table, "revision\t%d%s\nterm\t%d\njobs\t%d\n", status.Revision, last, status.Term, status.Jobs)
+	writeArchive(table, status.Archive)
+	for _, node := range status.Nodes {
+		condition := "alive"
 		switch {
-		case n.Drained && n.By != "":
-			what = "drained by " + n.By
-		case n.Drained:
-			what = "drained"
-		case n.Leads:
-			what = "leads"
-		case !n.Alive:
-			what = "not heard, or without the state service"
+		case node.Drained && node.By != "":
+			condition = "drained by " + node.By
+		case node.Drained:
+			condition = "drained"
+		case node.Leads:
+			condition = "leads"
+		case !node.Alive:
+			condition = "not heard, or without the state service"
 		}
-		fmt.Fprintf(t, "controller %s\t%s\n", n.Node, what)
+		fmt.Fprintf(table, "controller %s\t%s\n", node.Node, condition)
 	}
-	for _, k := range []string{"known", "acting", "noticed", "lost"} {
-		if s.Machines[k] > 0 {
-			fmt.Fprintf(t, "machines %s\t%d\n", k, s.Machines[k])
+	writeMachines(table, status)
+}
+
+func writeMachines(table *tabwriter.Writer, status controller.Status) {
+	for _, condition := range []string{"known", "acting", "noticed", "lost"} {
+		if count := status.Machines[condition]; count > 0 {
+			fmt.Fprintf(table, "machines %s\t%d\n", condition, count)
 		}
 	}
-	if s.Full {
-		fmt.Fprintf(t, "machines at most\t%d, nothing more is rented; bound by %s\n", s.MaxMachines, s.MachinesBound)
+	if status.Full {
+		fmt.Fprintf(table, "machines at most\t%d, nothing more is rented; bound by %s\n",
+			status.MaxMachines, status.MachinesBound)
 	}
-	if s.DrainingTotal > len(s.Draining) {
-		fmt.Fprintf(t, "draining\t%d machines, %d of them shown: --since NAME shows those after one\n",
-			s.DrainingTotal, len(s.Draining))
+	if status.DrainingTotal > len(status.Draining) {
+		fmt.Fprintf(table, "draining\t%d machines, %d of them shown: --since NAME shows those after one\n",
+			status.DrainingTotal, len(status.Draining))
 	}
-	for _, m := range s.Draining {
-		fmt.Fprintf(t, "draining %s\t%s, %d tasks left, for %s\n", m.Machine, m.State, m.Tasks, orSomebody(m.By))
+	for _, draining := range status.Draining {
+		fmt.Fprintf(table, "draining %s\t%s, %d tasks left, for %s\n",
+			draining.Machine, draining.State, draining.Tasks, orSomebody(draining.By))
 	}
 }
 
-func showArchive(t *tabwriter.Writer, a controller.ArchiveStatus) {
-	if a.Problem != "" {
-		fmt.Fprintf(t, "archive\tnothing is moved: %s\n", a.Problem)
+func writeArchive(table *tabwriter.Writer, archive controller.ArchiveStatus) {
+	if archive.Problem != "" {
+		fmt.Fprintf(table, "archive\tnothing is moved: %s\n", archive.Problem)
 		return
 	}
-	fmt.Fprintf(t, "archive\t%s, %d moved in this term, %d ended jobs in memory, each for %g s at least\n", a.State, a.Moved, a.Waiting, a.RetainS)
+	fmt.Fprintf(table, "archive\t%s, %d moved in this term, %d ended jobs in memory, each for %g s at least\n",
+		archive.State, archive.Moved, archive.Waiting, archive.RetainS)
 }
--- a/cmd/harewalk/architecture_test.go
+++ b/cmd/harewalk/architecture_test.go
@@ -51,7 +51,8 @@
 		t.Fatal(err)
 	}
 	for _, entry := range entries {
-		if entry.IsDir() && !strings.Contains(page, "`"+entry.Name()) && !strings.Contains(page, "internal/"+entry.Name()) {
+		isNamed := strings.Contains(page, "`"+entry.Name()) || strings.Contains(page, "internal/"+entry.Name())
+		if entry.IsDir() && !isNamed {
 			t.Errorf("the page doesn't name package %s", entry.Name())
 		}
 	}
--- a/cmd/harewalk/client.go
+++ b/cmd/harewalk/client.go
@@ -5,243 +5,348 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"os"
-	"slices"
+	"os/user"
 	"strings"
 	"time"
 
 	"github.com/spf13/cobra"
-	"github.com/spf13/pflag"
 	"github.com/valyala/fasthttp"
 
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// operator is how commands reach a cluster.
-type operator struct {
-	server, tokenFile, ca, output string
-	bearer                        string // in place of the token in the file
-	client                        *fasthttp.Client
-	scheme                        string
-	addr                          string // of the server, without the scheme
+const (
+	// retryLimit is how long a request is repeated; error texts name it as "a minute".
+	retryLimit = time.Minute
+	// requestTimeout bounds one request and its response.
+	requestTimeout = 5 * time.Second
+	// minRetryDelay and maxRetryDelay bound what a response's Retry-After asks for.
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
+	// leaderRetryDelay is the time between two attempts to reach the leader.
+	leaderRetryDelay = 500 * time.Millisecond
+)
+
+// apiClient sends the commands' requests to a cluster. The flags of a command set the first group of fields; connect
+// sets the second from them before the first request.
+type apiClient struct {
+	server    string
+	tokenFile string
+	caFile    string
+	output    string
+	bearer    string // used in place of the token in tokenFile; empty: none
+
+	http    *fasthttp.Client // nil until the first request
+	scheme  string
+	address string // of the server, without the scheme
+}
+
+// apiResponse is one response of a controller.
+type apiResponse struct {
+	status     int
+	body       []byte
+	retryAfter time.Duration // between minRetryDelay and maxRetryDelay
+}
+
+// message returns the service's own text about what is wrong, or the whole body if there is none.
+func (r apiResponse) message() string {
+	var failed struct {
+		Error string `json:"error"`
+	}
+	if json.Unmarshal(r.body, &failed) == nil && failed.Error != "" {
+		return failed.Error
+	}
+	return strings.TrimSpace(string(r.body))
+}
+
+// statusError is a response with a status that is no success.
+type statusError struct {
+	status  int
+	message string
+}
+
+// Error returns the status and the service's message.
+func (e statusError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.message) }
+
+func (r apiResponse) statusError() statusError {
+	return statusError{status: r.status, message: r.message()}
 }
 
-func envOr(name, otherwise string) string {
-	if v := os.Getenv(name); v != "" {
-		return v
+func envOr(name, fallback string) string {
+	if value := os.Getenv(name); value != "" {
+		return value
 	}
-	return otherwise
+	return fallback
 }
 
-func (o *operator) flags(c *cobra.Command) {
-	c.PersistentFlags().StringVar(&o.server, "server", envOr("HAREWALK_SERVER", "127.0.0.1:8080"),
+func (c *apiClient) addFlags(cmd *cobra.Command) {
+	flags := cmd.PersistentFlags()
+	flags.StringVar(&c.server, "server", envOr("HAREWALK_SERVER", "127.0.0.1:8080"),
 		"address of a controller or of the load balancer, https://HOST:PORT for TLS (or $HAREWALK_SERVER)")
-	c.PersistentFlags().StringVar(&o.tokenFile, "token-file", os.Getenv("HAREWALK_TOKEN_FILE"), "file with your token (or $HAREWALK_TOKEN_FILE)")
-	c.PersistentFlags().StringVar(&o.ca, "ca", os.Getenv("HAREWALK_CA"), "file with the authority of the controllers' certificates, PEM (or $HAREWALK_CA; default: the system's)")
-	outputFlag(c.PersistentFlags(), &o.output)
+	flags.StringVar(&c.tokenFile, "token-file", os.Getenv("HAREWALK_TOKEN_FILE"),
+		"file with your token (or $HAREWALK_TOKEN_FILE)")
+	flags.StringVar(&c.caFile, "ca", os.Getenv("HAREWALK_CA"),
+		"file with the authority of the controllers' certificates, PEM (or $HAREWALK_CA; default: the system's)")
+	addOutputFlag(flags, &c.output)
 }
 
-func (o *operator) token() (string, error) {
-	if o.bearer != "" {
-		return o.bearer, nil
+// token returns the token to send; empty: none.
+func (c *apiClient) token() (string, error) {
+	if c.bearer != "" {
+		return c.bearer, nil
 	}
-	if o.tokenFile == "" {
+	if c.tokenFile == "" {
 		return "", nil
 	}
-	raw, err := os.ReadFile(o.tokenFile)
+	raw, err := os.ReadFile(c.tokenFile)
 	if err != nil {
-		return "", coded{exitUsage, fmt.Errorf("--token-file: %w", err)}
+		return "", usageError(fmt.Errorf("--token-file: %w", err))
 	}
 	return strings.TrimSpace(string(raw)), nil
 }
 
-// dial makes the client, once.
-func (o *operator) dial() error {
-	if o.client != nil {
+// connect checks the flags and makes the HTTP client, once.
+func (c *apiClient) connect() error {
+	if c.http != nil {
 		return nil
 	}
-	if !slices.Contains(outputs, o.output) {
-		return coded{exitUsage, fmt.Errorf("--output %q is none of %s", o.output, strings.Join(outputs, ", "))}
-	}
-	o.scheme, o.addr = "http", strings.TrimPrefix(o.server, "http://")
-	if rest, ok := strings.CutPrefix(o.server, "https://"); ok {
-		o.scheme, o.addr = "https", rest
-	}
-	var conf *tls.Config
-	if o.scheme == "https" {
-		var ca []byte
-		if o.ca != "" {
-			raw, err := os.ReadFile(o.ca)
-			if err != nil {
-				return coded{exitUsage, fmt.Errorf("--ca: %w", err)}
-			}
-			ca = raw
-		}
-		var err error
-		if conf, err = access.Client(ca); err != nil {
-			return coded{exitUsage, fmt.Errorf("--ca %s: %w", o.ca, err)}
-		}
-	} else if o.ca != "" && os.Getenv("HAREWALK_CA") != o.ca {
-		return coded{exitUsage, errors.New("--ca is for a --server that begins with https://")}
+	if err := checkOutputFormat(c.output); err != nil {
+		return err
+	}
+	c.scheme = "http"
+	c.address = strings.TrimPrefix(c.server, "http://")
+	if address, ok := strings.CutPrefix(c.server, "https://"); ok {
+		c.scheme = "https"
+		c.address = address
+	}
+	tlsConfig, err := c.tlsConfig()
+	if err != nil {
+		return err
 	}
-	o.client = &fasthttp.Client{TLSConfig: conf, MaxIdemponentCallAttempts: 1}
+	c.http = &fasthttp.Client{TLSConfig: tlsConfig, MaxIdemponentCallAttempts: 1}
 	return nil
 }
 
-// answer is what came back.
-type answer struct {
-	status int
-	body   []byte
-	wait   time.Duration // when to come back, as the answer asks
+// tlsConfig returns nil where the server is reached without TLS.
+func (c *apiClient) tlsConfig() (*tls.Config, error) {
+	if c.scheme != "https" {
+		if c.caFile != "" && os.Getenv("HAREWALK_CA") != c.caFile {
+			return nil, usageError(errors.New("--ca is for a --server that begins with https://"))
+		}
+		return nil, nil
+	}
+	var authority []byte
+	if c.caFile != "" {
+		raw, err := os.ReadFile(c.caFile)
+		if err != nil {
+			return nil, usageError(fmt.Errorf("--ca: %w", err))
+		}
+		authority = raw
+	}
+	tlsConfig, err := access.Client(authority)
+	if err != nil {
+		return nil, usageError(fmt.Errorf("--ca %s: %w", c.caFile, err))
+	}
+	return tlsConfig, nil
 }
 
-// once asks one controller, "" for the one that was named, once.
-func (o *operator) once(method, addr, path string, body []byte) (answer, error) {
-	if err := o.dial(); err != nil {
-		return answer{}, err
+// send sends a request once, to the controller at an address or, where that is empty, to the server that the flags
+// name.
+func (c *apiClient) send(method, address, path string, body []byte) (apiResponse, error) {
+	if err := c.connect(); err != nil {
+		return apiResponse{}, err
 	}
-	token, err := o.token()
+	token, err := c.token()
 	if err != nil {
-		return answer{}, err
+		return apiResponse{}, err
 	}
-	if addr == "" {
-		addr = o.addr
+	if address == "" {
+		address = c.address
 	}
-	return exchange(o.client, method, o.scheme+"://"+addr+path, token, body)
+	return exchange(c.http, method, c.scheme+"://"+address+path, token, body)
 }
 
-// once asks without TLS and token.
-func once(method, url string, body []byte) (status int, raw []byte, wait time.Duration, err error) {
-	a, err := exchange(&fasthttp.Client{MaxIdemponentCallAttempts: 1}, method, url, "", body)
-	return a.status, a.body, a.wait, err
+// sendPlain sends a request once, without TLS and token.
+func sendPlain(method, url string, body []byte) (apiResponse, error) {
+	return exchange(&fasthttp.Client{MaxIdemponentCallAttempts: 1}, method, url, "", body)
 }
 
-// exchange sends one request, with a token if there is one.
-func exchange(client *fasthttp.Client, method, url, token string, body []byte) (answer, error) {
-	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer func() { fasthttp.ReleaseRequest(q); fasthttp.ReleaseResponse(p) }()
-	q.SetRequestURI(url)
-	q.Header.SetMethod(method)
-	q.SetConnectionClose()
+// exchange sends one request, with a token if there is one, and returns a response that owns its body.
+func exchange(client *fasthttp.Client, method, url, token string, body []byte) (apiResponse, error) {
+	req := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(req)
+	resp := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI(url)
+	req.Header.SetMethod(method)
+	req.SetConnectionClose()
 	if token != "" {
-		q.Header.Set("Authorization", "Bearer "+token)
+		req.Header.Set("Authorization", "Bearer "+token)
 	}
 	if body != nil {
-		q.Header.SetContentType("application/json")
-		q.SetBody(body)
+		req.Header.SetContentType("application/json")
+		req.SetBody(body)
 	}
-	wait := time.Second
-	if err := client.DoDeadline(q, p, time.Now().Add(5*time.Second)); err != nil {
-		return answer{wait: wait}, err
+	if err := client.DoDeadline(req, resp, time.Now().Add(requestTimeout)); err != nil {
+		return apiResponse{retryAfter: minRetryDelay}, err
 	}
-	if s, e := time.ParseDuration(string(p.Header.Peek("Retry-After")) + "s"); e == nil && s > wait {
-		wait = min(s, 30*time.Second)
+	return apiResponse{
+		status:     resp.StatusCode(),
+		body:       append([]byte(nil), resp.Body()...),
+		retryAfter: retryDelay(string(resp.Header.Peek("Retry-After"))),
+	}, nil
+}
+
+// retryDelay returns the delay that a Retry-After header asks for, in seconds, within its bounds.
+func retryDelay(header string) time.Duration {
+	delay, err := time.ParseDuration(header + "s")
+	if err != nil {
+		return minRetryDelay
 	}
-	return answer{p.StatusCode(), append([]byte(nil), p.Body()...), wait}, nil
+	return min(max(delay, minRetryDelay), maxRetryDelay)
 }
 
-// untrusted tells whether asking again can't help: the server's certificate is none we trust.
-func untrusted(err error) bool {
-	var cert *tls.CertificateVerificationError
-	return errors.As(err, &cert)
+// isUntrusted reports whether the server's certificate was not accepted: repeating the request can't help.
+func isUntrusted(err error) bool {
+	var certificate *tls.CertificateVerificationError
+	return errors.As(err, &certificate)
 }
 
-// call sends a request, again while the service asks to come back, for up to a minute.
-func (o *operator) call(method, path string, body []byte) ([]byte, error) {
-	end := time.Now().Add(time.Minute)
+// isFinal reports whether an error has an exit code already, so that the request isn't repeated.
+func isFinal(err error) bool {
+	var exit exitError
+	return errors.As(err, &exit)
+}
+
+// callAny sends a request that any controller can serve. It is repeated while the service asks for it, until
+// retryLimit. The errors it returns have exit codes.
+func (c *apiClient) callAny(method, path string, body []byte) ([]byte, error) {
+	deadline := time.Now().Add(retryLimit)
 	for {
-		a, err := o.once(method, "", path, body)
-		var c coded
-		switch {
-		case errors.As(err, &c):
+		resp, err := c.send(method, "", path, body)
+		if isUntrusted(err) {
+			return nil, failure(err)
+		}
+		if err == nil {
+			err = resp.callError()
+		}
+		if err == nil {
+			return resp.body, nil
+		}
+		if isFinal(err) {
 			return nil, err
-		case untrusted(err):
-			return nil, coded{exitFailed, err}
-		case err != nil:
-		case a.status < 300:
-			return a.body, nil
-		case a.status == 400 || a.status == 422:
-			return nil, coded{exitRefused, fmt.Errorf("refused with status %d: %s", a.status, said(a.body))}
-		case a.status == 401 || a.status == 403:
-			return nil, coded{exitUsage, fmt.Errorf("%s", said(a.body))}
-		case a.status != 429 && a.status < 500:
-			return nil, coded{exitFailed, fmt.Errorf("status %d: %s", a.status, said(a.body))}
-		default:
-			err = fmt.Errorf("status %d: %s", a.status, said(a.body))
 		}
-		if time.Now().Add(a.wait).After(end) {
-			return nil, coded{exitFailed, fmt.Errorf("given up after a minute: %w", err)}
+		if time.Now().Add(resp.retryAfter).After(deadline) {
+			return nil, failure(fmt.Errorf("given up after a minute: %w", err))
 		}
-		time.Sleep(a.wait)
+		time.Sleep(resp.retryAfter)
 	}
 }
 
-// said is the service's own word for what is wrong.
-func said(body []byte) string {
-	var e struct {
-		Error string `json:"error"`
-	}
-	if json.Unmarshal(body, &e) == nil && e.Error != "" {
-		return e.Error
+// callError returns nil for a success, an error with an exit code where repeating the request can't help, and an error
+// without one otherwise.
+func (r apiResponse) callError() error {
+	switch {
+	case r.status < http.StatusMultipleChoices:
+		return nil
+	case r.status == http.StatusBadRequest || r.status == http.StatusUnprocessableEntity:
+		return refusal(fmt.Errorf("refused with %w", r.statusError()))
+	case r.status == http.StatusUnauthorized || r.status == http.StatusForbidden:
+		return usageError(errors.New(r.message()))
+	case r.status != http.StatusTooManyRequests && r.status < http.StatusInternalServerError:
+		return failure(r.statusError())
 	}
-	return strings.TrimSpace(string(body))
+	return r.statusError()
 }
 
-// ask sends a request to the controller that leads: whoever is asked names it. A request that
-// can't be taken now is sent again for up to a minute; a command is not, once its outcome is
-// open.
-func (o *operator) ask(method, path string, body, into any) error {
+// callLeader sends a request to the leader, which any controller names, and decodes the response. A request that can't
+// be served now is repeated until retryLimit. A command, which has a body, isn't repeated once its outcome is
+// indeterminate.
+func (c *apiClient) callLeader(req request, into any) error {
 	var raw []byte
-	if body != nil {
-		raw, _ = json.Marshal(body)
-	}
-	server, last := "", error(nil)
-	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
-		a, err := o.once(method, server, path, raw)
-		var c coded
-		switch {
-		case errors.As(err, &c):
-			return err
-		case untrusted(err):
-			return coded{exitFailed, err}
-		case err != nil && body != nil:
-			return coded{exitFailed, fmt.Errorf("no answer: look whether the command was carried out before giving it again: %w", err)}
-		case err != nil:
-			server, last = "", err
-			continue
+	if req.body != nil {
+		raw, _ = json.Marshal(req.body)
+	}
+	leader := "" // its address; empty: not known
+	var lastErr error
+	for deadline := time.Now().Add(retryLimit); time.Now().Before(deadline); time.Sleep(leaderRetryDelay) {
+		resp, err := c.send(req.method, leader, req.path, raw)
+		if err == nil && isLeadersSuccess(resp.status) {
+			return json.Unmarshal(resp.body, into)
 		}
-		var l struct {
-			Leader string `json:"leader"`
-			Secure string `json:"leader_tls"`
+		if err != nil {
+			leader = ""
+			lastErr = sendError(err, req.body != nil)
+		} else {
+			leader, lastErr = c.redirect(resp)
 		}
-		_ = json.Unmarshal(a.body, &l)
-		if o.scheme == "https" {
-			l.Leader = l.Secure
+		if isFinal(lastErr) {
+			return lastErr
 		}
-		switch {
-		case a.status == 200 || a.status == 201:
-			return json.Unmarshal(a.body, into)
-		case a.status == 421 && l.Leader != "":
-			server, last = l.Leader, fmt.Errorf("%s leads and does not answer", l.Leader)
-		case a.status == 503 || a.status == 429 || a.status == 421:
-			server, last = "", fmt.Errorf("%s", said(a.body))
-		case a.status == 400 || a.status == 404 || a.status == 401:
-			why := said(a.body)
-			if a.status == 404 && !strings.HasPrefix(string(a.body), "{") {
-				why = "the cluster has no such thing; is it switched on in its operators' settings?"
-			}
-			return coded{exitUsage, fmt.Errorf("%s", why)}
-		default:
-			return coded{exitRefused, fmt.Errorf("%s (status %d)", said(a.body), a.status)}
+	}
+	return failure(fmt.Errorf("given up after a minute: %w", lastErr))
+}
+
+func isLeadersSuccess(status int) bool {
+	return status == http.StatusOK || status == http.StatusCreated
+}
+
+// sendError gives an exit code to the error of a request without a response, if the request must not be repeated.
+func sendError(err error, isCommand bool) error {
+	switch {
+	case isFinal(err):
+		return err
+	case isUntrusted(err):
+		return failure(err)
+	case isCommand:
+		const text = "no answer: look whether the command was carried out before giving it again: %w"
+		return failure(fmt.Errorf(text, err))
+	}
+	return err
+}
+
+// redirect returns the address to send a request to next, empty for the server of the flags, and what was wrong with
+// the response; the error has an exit code where the request must not be repeated.
+func (c *apiClient) redirect(resp apiResponse) (leader string, err error) {
+	switch resp.status {
+	case http.StatusMisdirectedRequest:
+		if leader := c.leaderNamedBy(resp.body); leader != "" {
+			return leader, fmt.Errorf("%s leads and does not answer", leader)
+		}
+		return "", errors.New(resp.message())
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
+		return "", errors.New(resp.message())
+	case http.StatusNotFound:
+		if !strings.HasPrefix(string(resp.body), "{") {
+			const text = "the cluster has no such thing; is it switched on in its operators' settings?"
+			return "", usageError(errors.New(text))
 		}
+		return "", usageError(errors.New(resp.message()))
+	case http.StatusBadRequest, http.StatusUnauthorized:
+		return "", usageError(errors.New(resp.message()))
 	}
-	return coded{exitFailed, fmt.Errorf("given up after a minute: %w", last)}
+	return "", refusal(fmt.Errorf("%s (status %d)", resp.message(), resp.status))
 }
 
-// outputs are what a command can print.
-var outputs = []string{"table", "json", "yaml"}
+// leaderNamedBy returns the leader's address for the client's scheme; empty: the response names none.
+func (c *apiClient) leaderNamedBy(body []byte) string {
+	var named struct {
+		Plain string `json:"leader"`
+		TLS   string `json:"leader_tls"`
+	}
+	_ = json.Unmarshal(body, &named)
+	if c.scheme == "https" {
+		return named.TLS
+	}
+	return named.Plain
+}
 
-// outputFlag adds the flag that chooses among them.
-func outputFlag(f *pflag.FlagSet, into *string) {
-	f.StringVarP(into, "output", "o", "table", "table, json or yaml")
+// currentUser returns the name of the user who runs the command; empty: not known.
+func currentUser() string {
+	if current, err := user.Current(); err == nil {
+		return current.Username
+	}
+	return ""
 }
--- a/cmd/harewalk/dev_test.go
+++ b/cmd/harewalk/dev_test.go
@@ -1,15 +1,87 @@
 package main
 
-import "testing"
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// One command runs a whole cluster: the sample it prints is done, faults of a script are played, and
+// it ends cleanly.
+func TestDevCluster(t *testing.T) {
+	script := filepath.Join(t.TempDir(), "faults")
+	if err := os.WriteFile(script, []byte("100ms crash-task\n200ms outage 300ms\n"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cluster := devCluster{
+		machines: 6, controllers: 3, zones: []string{"a", "b"}, seed: 1, speed: 40,
+		scriptFile: script, logLevel: "error",
+		operatorFile: filepath.Join("..", "..", "deploy", "licences.hcl"),
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	var out, errs lockedBuffer
+	ended := make(chan error, 1)
+	go func() { ended <- cluster.run(ctx, &out, &errs) }()
+	waitUntil(t, "welcome", func() bool { return strings.Contains(out.String(), "Ctrl-C ends it.") })
+	server := strings.Fields(out.String()[strings.Index(out.String(), "controller 0"):])[2]
+	if !strings.HasPrefix(server, "127.0.0.1:") {
+		t.Fatalf("controller at %s", server)
+	}
+	resp, err := sendPlain("POST", "http://"+server+"/v2/runs", []byte(sampleJob))
+	if err != nil || resp.status != 201 {
+		t.Fatalf("status %d, %v: %s", resp.status, err, resp.body)
+	}
+	waitUntil(t, "the sample is done", func() bool {
+		resp, _ := sendPlain("GET", "http://"+server+"/v2/runs/req-000001", nil)
+		return bytes.Contains(resp.body, []byte(`"done","done":16`))
+	})
+	waitUntil(t, "faults are played", func() bool { return strings.Contains(errs.String(), "outage 300ms") })
+	stop()
+	if err := <-ended; err != nil {
+		t.Fatal(err)
+	}
+	for _, bad := range []devCluster{
+		{machines: 0, controllers: 3, zones: []string{"a"}, speed: 1},
+		{machines: 1, controllers: 3, zones: []string{"a"}, speed: 0},
+		{machines: 1, zones: []string{"a"}, speed: 1},
+	} {
+		if err := bad.run(ctx, &out, &errs); err == nil || !strings.HasPrefix(err.Error(), "--") {
+			t.Errorf("%+v: error %v names no flag", bad, err)
+		}
+	}
+}
+
+// lockedBuffer is a buffer that is written and read by several goroutines.
+type lockedBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
+}
+
+func (l *lockedBuffer) Write(p []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.Write(p)
+}
+
+func (l *lockedBuffer) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buffer.String()
+}
 
 // A fleet of the largest size that operators run can be tried out; nonsense is refused.
 func TestDevTakesALargeFleet(t *testing.T) {
-	d := dev{machines: 4000, controllers: 3, speed: 1, zones: []string{"a"}}
-	if err := d.check(); err != nil {
+	cluster := devCluster{machines: 4000, controllers: 3, speed: 1, zones: []string{"a"}}
+	if err := cluster.check(); err != nil {
 		t.Error(err)
 	}
 	for _, machines := range []int{-1, 0, maxDevMachines + 1} {
-		if d.machines = machines; d.check() == nil {
+		if cluster.machines = machines; cluster.check() == nil {
 			t.Errorf("%d machines were taken", machines)
 		}
 	}
--- /dev/null
+++ b/cmd/harewalk/drain_test.go
@@ -0,0 +1,292 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/controller"
+	"github.com/harewalk/harewalk/internal/simulator"
+)
+
+// Controllers are killed, drained and restarted at random moments while users submit, cancel and
+// poll. Every accepted job gets exactly one final answer, which every controller gives, none goes back or
+// is forgotten, and a drain always ends well.
+func TestHistoryThroughKillsAndDrains(t *testing.T) {
+	n, seed := 60, uint64(21)
+	if isLongRun() {
+		n = 600
+	}
+	sim := newSimulation(t, simulator.Config{Seed: seed, MaxMachines: 10, Teams: redAndBlue()})
+	cluster := startCluster(t, sim, "")
+	users := sim.Users(seed)
+	stop := make(chan struct{})
+	var faults, cancels sync.WaitGroup
+	var drained atomic.Int32
+	faults.Add(1)
+	go func() {
+		defer faults.Done()
+		rng := rand.New(rand.NewPCG(seed, 9))
+		for kind := 0; ; kind++ {
+			select {
+			case <-stop:
+				return
+			case <-time.After(time.Duration(500+rng.IntN(2500)) * time.Millisecond):
+			}
+			i := rng.IntN(3)
+			switch kind % 3 {
+			case 0:
+				cluster.Kill(i)
+			case 1: // killed while it drains
+				cluster.Signal(i, syscall.SIGTERM, 0)
+				time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
+				cluster.Kill(i)
+			default:
+				if code := cluster.Signal(i, syscall.SIGTERM, drainTimeout); code != 0 {
+					t.Errorf("a drain ended with exit code %d", code)
+				}
+				drained.Add(1)
+			}
+			time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
+			if err := cluster.Start(i); err != nil {
+				t.Error(err)
+			}
+		}
+	}()
+	rng := rand.New(rand.NewPCG(seed, 10))
+	for i := range n {
+		spec := plainJob(i+1, 1+rng.IntN(8), 0.3+rng.Float64())
+		if status := users.Submit(spec); status != 200 && status != 201 {
+			t.Fatalf("%s: status %d", spec.ID, status)
+		}
+		if rng.IntN(4) == 0 {
+			cancels.Add(1)
+			go func() {
+				defer cancels.Done()
+				time.Sleep(time.Duration(rng.IntN(1000)) * time.Millisecond)
+				users.Cancel(spec.ID)
+			}()
+		}
+		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
+	}
+	cancels.Wait()
+	waitUntil(t, "each kind of end", func() bool { return drained.Load() > 0 })
+	close(stop)
+	faults.Wait()
+	for i := range 3 {
+		if err := cluster.Start(i); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := users.Wait(3 * time.Minute); err != nil {
+		t.Error(err)
+	}
+	users.Check()
+	reportViolations(t, sim)
+	final, repeated := users.Results()
+	if got := final["done"] + final["cancelled"]; got != n || final["done"] == 0 || final["cancelled"] == 0 {
+		t.Errorf("%d jobs, final answers %v", n, final)
+	}
+	t.Logf("%d jobs: %v; %d requests repeated; %d killed, %d drained",
+		n, final, repeated, cluster.Killed, drained.Load())
+}
+
+// The leader is drained while work flows: another leads without waiting for its hold to run out. How
+// long nothing starts is logged beside the same for a leader that is killed.
+func TestPlannedHandOver(t *testing.T) {
+	sim := newSimulation(t, simulator.Config{Seed: 22, MaxMachines: 8, Teams: redAndBlue()})
+	cluster := startCluster(t, sim, "")
+	users := sim.Users(22)
+	for i := range 6 {
+		// More than can be done meanwhile: where work runs out, nothing starts for want of it.
+		if status := users.Submit(plainJob(i+1, 20_000, 0.5)); status != 201 {
+			t.Fatalf("status %d", status)
+		}
+	}
+	rounds := 1
+	if isLongRun() {
+		rounds = 5
+	}
+	waitUntil(t, "work flows", func() bool { return sim.Stats().TaskStarts > 100 })
+	var drained, killed []time.Duration
+	for range rounds {
+		for _, kill := range []bool{false, true} {
+			leader, term := -1, uint64(0)
+			waitUntil(t, "a leader", func() bool {
+				leader, term = sim.Leader()
+				return leader >= 0 && cluster.Running(leader)
+			})
+			time.Sleep(3 * time.Second)
+			from := sim.Now()
+			if kill {
+				cluster.Kill(leader)
+			} else if code := cluster.Signal(leader, syscall.SIGTERM, drainTimeout); code != 0 {
+				t.Fatalf("the leader's drain ended with exit code %d", code)
+			}
+			waitUntil(t, "another leads", func() bool {
+				current, currentTerm := sim.Leader()
+				return current >= 0 && currentTerm > term
+			})
+			time.Sleep(4 * time.Second)
+			if gap := sim.LongestStartGap(from, sim.Now()-time.Second); kill {
+				killed = append(killed, gap)
+			} else {
+				drained = append(drained, gap)
+			}
+			if err := cluster.Start(leader); err != nil {
+				t.Fatal(err)
+			}
+			if err := cluster.WaitReady(leader, 20*time.Second); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	before := sim.Stats().TaskStarts
+	waitUntil(t, "work still flows at the end", func() bool { return sim.Stats().TaskStarts > before })
+	for i := range 6 {
+		users.Cancel(fmt.Sprintf("req-%06d", i+1))
+	}
+	reportViolations(t, sim)
+	t.Logf("longest time without a start: leader drained %v, leader killed %v (hold's life 2 s)", drained, killed)
+}
+
+// The leader is drained while the state service answers nobody: its end comes within bounds all the
+// same, and what was accepted goes on afterwards. A second signal ends a drain at once.
+func TestDrainInAnOutage(t *testing.T) {
+	sim := newSimulation(t, simulator.Config{Seed: 23, MaxMachines: 4, Teams: redAndBlue()})
+	cluster := startCluster(t, sim, "")
+	users := sim.Users(23)
+	if status := users.Submit(plainJob(1, 40, 0.5)); status != 201 {
+		t.Fatalf("status %d", status)
+	}
+	waitUntil(t, "work flows", func() bool { return sim.Stats().TaskStarts > 5 })
+	leader, _ := sim.Leader()
+	sim.SetStateOutage(true)
+	if code := cluster.Signal(leader, syscall.SIGTERM, drainTimeout); code != 0 {
+		t.Fatalf("exit code %d", code)
+	}
+	other := (leader + 1) % 3
+	cluster.Signal(other, syscall.SIGTERM, 0)
+	time.Sleep(200 * time.Millisecond)
+	if code := cluster.Signal(other, syscall.SIGTERM, drainTimeout); code != 1 {
+		t.Fatalf("exit code %d after a second signal", code)
+	}
+	sim.SetStateOutage(false)
+	for _, i := range []int{leader, other} {
+		if err := cluster.Start(i); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := users.Wait(time.Minute); err != nil {
+		t.Error(err)
+	}
+	users.Check()
+	reportViolations(t, sim)
+}
+
+// Operators drain a controller and a machine, through any controller. Of two who drain the same last two
+// controllers one is told that nobody would be left, or of the other's command; and what is undrained serves
+// again.
+func TestOperatorsDrain(t *testing.T) {
+	sim := newSimulation(t, simulator.Config{Seed: 26, MaxMachines: 4, Teams: redAndBlue()})
+	cluster := startCluster(t, sim, "")
+	users := sim.Users(26)
+	spec := plainJob(1, 20, 600)
+	spec.CheckpointS = 1
+	spec.SaveS = 0.2
+	if status := users.Submit(spec); status != 201 {
+		t.Fatalf("status %d", status)
+	}
+	waitUntil(t, "all run", func() bool { return sim.Stats().TaskStarts >= 20 })
+	admin := func(want int, args ...string) string {
+		t.Helper()
+		out, code := runCommand(t, append(append([]string{"admin"}, args...), "--server", sim.UserAddr(0))...)
+		if code != want {
+			t.Fatalf("admin %v: exit %d, want %d: %s", args, code, want, out)
+		}
+		return out
+	}
+	status := func() (s controller.Status) {
+		t.Helper()
+		if err := json.Unmarshal([]byte(admin(0, "status", "-o", "json")), &s); err != nil {
+			t.Fatal(err)
+		}
+		return s
+	}
+	waitUntil(t, "all controllers are heard", func() bool {
+		for _, n := range status().Nodes {
+			if !n.Alive {
+				return false
+			}
+		}
+		return true
+	})
+	before := status()
+	machine := sim.BusiestMachine()
+	admin(0, "drain", "machine", machine, "--stop", "--revision", fmt.Sprint(before.Revision))
+	out := admin(3, "drain", "machine", machine, "--revision", fmt.Sprint(before.Revision))
+	if !strings.Contains(out, "drain machine "+machine) {
+		t.Fatalf("of two conflicting commands the second is told: %s", out)
+	}
+	waitUntil(t, "given back", func() bool { return sim.MachineReturned(machine) })
+	waitUntil(t, "its tasks run elsewhere", func() bool {
+		out, _ := runCommand(t, "job", "why", spec.ID, "-o", "json", "--server", sim.UserAddr(2))
+		return strings.Contains(out, `"running": 20`)
+	})
+	leader, term := sim.Leader()
+	admin(0, "drain", "node", fmt.Sprintf("node-%d", leader))
+	waitUntil(t, "another leads", func() bool {
+		current, currentTerm := sim.Leader()
+		return current >= 0 && current != leader && currentTerm > term
+	})
+	waitUntil(t, "out of service", func() bool {
+		resp, err := sendPlain("GET", "http://"+sim.UserAddr(leader)+"/up", nil)
+		return err == nil && resp.status == 503
+	})
+	second, _ := sim.Leader()
+	third := 3 - leader - second
+	var wait sync.WaitGroup
+	var codes [2]int
+	var outputs [2]string
+	for index, controller := range []int{second, third} {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			node := fmt.Sprintf("node-%d", controller)
+			outputs[index], codes[index] = runCommand(t,
+				"admin", "drain", "node", node, "--server", sim.UserAddr(third))
+		}()
+	}
+	wait.Wait()
+	isOneRefused := codes == [2]int{0, exitRefused} || codes == [2]int{exitRefused, 0}
+	printed := outputs[0] + outputs[1]
+	isReasonNamed := strings.Contains(printed, "nobody would be left") || strings.Contains(printed, "changed meanwhile")
+	if !isOneRefused || !isReasonNamed {
+		t.Fatalf("exit codes %v: %v", codes, outputs)
+	}
+	waitUntil(t, "somebody leads", func() bool {
+		current, _ := sim.Leader()
+		return current >= 0 && current != leader
+	})
+	for i := range 3 {
+		admin(0, "undrain", "node", fmt.Sprintf("node-%d", i))
+	}
+	for i := range 3 {
+		if err := cluster.WaitReady(i, 20*time.Second); err != nil {
+			t.Fatal(err)
+		}
+	}
+	admin(2, "drain", "node", "node-9")
+	admin(2, "drain", "zone", "a")
+	if code := cluster.Signal(leader, syscall.SIGTERM, drainTimeout); code != 0 {
+		t.Fatalf("exit code %d of one that was drained before", code)
+	}
+	users.Cancel(spec.ID)
+	reportViolations(t, sim)
+}
--- /dev/null
+++ b/cmd/harewalk/exit.go
@@ -0,0 +1,26 @@
+package main
+
+// Exit codes. An error without a code of its own ends the process with exitUsage.
+const (
+	exitFailed  = 1 // the request or the service failed
+	exitUsage   = 2 // wrong arguments or settings
+	exitRefused = 3 // the service refused the request for good
+)
+
+// exitError is an error with the exit code that it ends the process with.
+type exitError struct {
+	code int
+	err  error
+}
+
+// Error returns the text of the error without its exit code.
+func (e exitError) Error() string { return e.err.Error() }
+
+// Unwrap returns the error without its exit code.
+func (e exitError) Unwrap() error { return e.err }
+
+func failure(err error) error { return exitError{code: exitFailed, err: err} }
+
+func usageError(err error) error { return exitError{code: exitUsage, err: err} }
+
+func refusal(err error) error { return exitError{code: exitRefused, err: err} }
--- /dev/null
+++ b/cmd/harewalk/job.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+)
+
+// maxStdinBytes bounds the job that is read from standard input.
+const maxStdinBytes = 1 << 20
+
+// jobView is a job as the service answers a user's request about it.
+type jobView struct {
+	ID      string `json:"name_id"`
+	State   string `json:"stance"`
+	Done    *int   `json:"done,omitempty"`
+	Running *int   `json:"running,omitempty"`
+}
+
+// jobPath is the path of a job in the service's API.
+func jobPath(id string) string { return "/v2/runs/" + url.PathEscape(id) }
+
+func jobCmd() *cobra.Command {
+	var client apiClient
+	cmd := &cobra.Command{Use: "job", Short: "Submit, query, follow and cancel jobs"}
+	client.addFlags(cmd)
+	cmd.AddCommand(
+		submitCmd(&client),
+		getCmd(&client),
+		listCmd(&client),
+		watchCmd(&client),
+		whyCmd(&client),
+		eventsCmd(&client),
+		cancelCmd(&client),
+	)
+	return cmd
+}
+
+func submitCmd(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "submit FILE",
+		Short: "Submit the job in a JSON file (- for standard input)",
+		Args:  cobra.ExactArgs(1),
+		Long: "Submit a job. A job that can't be taken now is offered again for up to a minute,\n" +
+			"as the answer's Retry-After asks.",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			body, err := readFile(args[0], cmd.InOrStdin())
+			if err != nil {
+				return usageError(err)
+			}
+			return client.showJob(cmd.OutOrStdout(), http.MethodPost, "/v2/runs", body)
+		},
+	}
+}
+
+func getCmd(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "get ID",
+		Short: "Show what has become of a job",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return client.showJob(cmd.OutOrStdout(), http.MethodGet, jobPath(args[0]), nil)
+		},
+	}
+}
+
+func cancelCmd(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "cancel ID",
+		Short: "Cancel a job",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return client.showJob(cmd.OutOrStdout(), http.MethodPost, jobPath(args[0])+"/abort", []byte("{}"))
+		},
+	}
+}
+
+// showJob sends a request whose response is one job, and prints the job.
+func (c *apiClient) showJob(out io.Writer, method, path string, body []byte) error {
+	raw, err := c.callAny(method, path, body)
+	if err != nil {
+		return err
+	}
+	var job jobView
+	if err := json.Unmarshal(raw, &job); err != nil {
+		return failure(fmt.Errorf("an answer that is none: %w", err))
+	}
+	return c.show(out, job, func(table *tabwriter.Writer) {
+		counts := ""
+		if job.Done != nil && job.Running != nil {
+			counts = fmt.Sprintf("\t%d done, %d running", *job.Done, *job.Running)
+		}
+		fmt.Fprintf(table, "%s\t%s%s\n", job.ID, job.State, counts)
+	})
+}
+
+// readFile reads a file, or standard input where the name is "-".
+func readFile(name string, stdin io.Reader) ([]byte, error) {
+	if name == "-" {
+		return io.ReadAll(io.LimitReader(stdin, maxStdinBytes))
+	}
+	return os.ReadFile(name)
+}
--- /dev/null
+++ b/cmd/harewalk/job_list.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"github.com/harewalk/harewalk/internal/controller"
+	"github.com/harewalk/harewalk/internal/query"
+)
+
+func listCmd(client *apiClient) *cobra.Command {
+	var where string
+	cmd := &cobra.Command{
+		Use:   "list",
+		Short: "List jobs, those that match a filter",
+		Args:  cobra.NoArgs,
+		Long: "List jobs by id. --where takes comparisons joined by and, or, not and parentheses. Texts (id, " +
+			"stance, class, team,\n" +
+			"kind, priority) are compared with =, != and ~ (contains), numbers (tasks, done, running, " +
+			"waiting, age_s) with =, !=,\n" +
+			"<, <=, > and >=. An error points at the column.",
+		Example: "  harewalk job list --where 'waiting > 0 and team = \"red\"'\n" +
+			"  harewalk job list --where 'stance = running and (class ~ audit or age_s > 3600)' -o json",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			if err := checkWhere(where, controller.ListFields); err != nil {
+				return err
+			}
+			jobs, err := client.listJobs(where)
+			if err != nil {
+				return err
+			}
+			return client.show(cmd.OutOrStdout(), jobs, func(table *tabwriter.Writer) { writeJobs(table, jobs) })
+		},
+	}
+	cmd.Flags().StringVar(&where, "where", "", "only jobs that match")
+	return cmd
+}
+
+// listJobs requests all pages of the jobs that match a filter. The list it returns is never nil.
+func (c *apiClient) listJobs(where string) ([]controller.JobSummary, error) {
+	jobs := []controller.JobSummary{}
+	lastID := ""
+	for {
+		filter := url.Values{"where": {where}, "since": {lastID}}
+		var page controller.JobPage
+		err := c.callLeader(request{method: http.MethodGet, path: "/v2/runs?" + filter.Encode()}, &page)
+		if err != nil {
+			return nil, err
+		}
+		jobs = append(jobs, page.Jobs...)
+		if !page.More || len(page.Jobs) == 0 {
+			return jobs, nil
+		}
+		lastID = page.Jobs[len(page.Jobs)-1].ID
+	}
+}
+
+func writeJobs(table *tabwriter.Writer, jobs []controller.JobSummary) {
+	fmt.Fprintln(table, "JOB\tSTANCE\tTEAM\tCLASS\tPRIORITY\tTASKS\tDONE\tRUNNING\tWAITING\tAGE")
+	for _, job := range jobs {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t", job.ID, job.Stance, job.Team, job.Class, job.Priority)
+		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t", job.Tasks, job.Done, job.Running, job.Waiting)
+		fmt.Fprintf(table, "%s\n", formatSeconds(job.AgeS))
+	}
+}
+
+// checkWhere checks a filter before any request is sent; its error names the column.
+func checkWhere(where string, fields query.Fields) error {
+	if _, err := query.Parse(where, fields); err != nil {
+		return usageError(fmt.Errorf("--where, %w\n  %s", err, where))
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/harewalk/job_test.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator"
+)
+
+// A user asks any controller why a job waits, and is told in plain words.
+func TestWhyCommand(t *testing.T) {
+	sim := newSimulation(t, simulator.Config{
+		Seed:         24,
+		MaxMachines:  2,
+		Teams:        []config.Team{{Name: "red", CPUsMax: 4}, {Name: "blue"}},
+		LicencePools: licenceCounts(),
+	})
+	startCluster(t, sim, fmt.Sprintf(licencePools, sim.Licences.Addr))
+	users := sim.Users(24)
+	limited, large := plainJob(1, 10, 600), plainJob(2, 60, 600)
+	large.Team = "blue"
+	gang := plainJob(3, 4, 600)
+	gang.Kind, gang.Team, gang.CPUs = jobs.Gang, "blue", 10
+	seats := plainJob(4, 9, 600)
+	seats.Licences, seats.Team, seats.Priority = map[string]int{"optimise": 2}, "blue", "prod"
+	for _, spec := range []*jobs.Spec{seats, limited, large, gang} {
+		if status := users.Submit(spec); status != 201 {
+			t.Fatalf("status %d", status)
+		}
+	}
+	for id, want := range map[string]string{
+		"req-000001": "team red is at its limit",
+		"req-000002": "in the lanes of what is there now",
+		"req-000003": "a gang of 4 tasks needs as many places",
+		"req-000004": "licence optimise: no seat is free",
+	} {
+		out, code := "", 0
+		waitUntil(t, id+" is explained: "+want, func() bool {
+			out, code = runCommand(t, "job", "why", id, "--server", sim.UserAddr(1))
+			return code == 0 && strings.Contains(out, want)
+		})
+	}
+	expectCommand(t, 2, "no such job", "job", "why", "req-000099", "--server", sim.UserAddr(2))
+	expectCommand(t, 0, `"why": "gang_short"`, "job", "why", "req-000003", "-o", "json", "--server", sim.UserAddr(2))
+	expectCommand(t, 0, "why: gang_short", "job", "why", "req-000003", "-o", "yaml", "--server", sim.UserAddr(2))
+	expectCommand(t, 2, `"xml"`, "job", "list", "-o", "xml", "--server", sim.UserAddr(2))
+	out, code := runCommand(t, "job", "events", "req-000004",
+		"--where", "event = task_running and task < 4", "--server", sim.UserAddr(1))
+	if code != 0 || strings.Count(out, "task_running") != 4 || !strings.Contains(out, "i-0000") {
+		t.Fatalf("exit %d: %s", code, out)
+	}
+	list := func(want int, where string) string {
+		t.Helper()
+		out, code := runCommand(t, "job", "list", "--where", where, "--server", sim.UserAddr(2))
+		if code != want {
+			t.Fatalf("%s: exit %d: %s", where, code, out)
+		}
+		return out
+	}
+	out = list(0, `team = blue and (waiting >= 4 or class ~ nothing) and not tasks = 60`)
+	isOtherListed := strings.Contains(out, "req-000001") || strings.Contains(out, "req-000002")
+	if isOtherListed || !strings.Contains(out, "req-000003") {
+		t.Fatal(out)
+	}
+	out = list(2, "team = blue and waitin > 3")
+	if !strings.Contains(out, "column 17") || !strings.Contains(out, `no field "waitin"`) {
+		t.Fatal(out)
+	}
+	for i := 1; i <= 4; i++ {
+		users.Cancel(fmt.Sprintf("req-%06d", i))
+	}
+	expectCommand(t, 3, "req-000001 cancelled", "job", "watch", "req-000001", "--server", sim.UserAddr(0))
+	reportViolations(t, sim)
+}
--- /dev/null
+++ b/cmd/harewalk/job_watch.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+)
+
+// minPollInterval bounds --every from below.
+const minPollInterval = 200 * time.Millisecond
+
+// Job states of the service's responses that end a watch.
+const (
+	jobDone      = "done"
+	jobCancelled = "cancelled"
+)
+
+// jobProgress is what a line of `job watch` shows.
+type jobProgress struct {
+	ID      string `json:"name_id"`
+	State   string `json:"stance"`
+	Done    int    `json:"done"`
+	Running int    `json:"running"`
+}
+
+func watchCmd(client *apiClient) *cobra.Command {
+	var interval time.Duration
+	cmd := &cobra.Command{
+		Use:   "watch ID",
+		Short: "Follow a job to its end, a line for each change",
+		Args:  cobra.ExactArgs(1),
+		Long: "Follow a job until it is done (exit 0) or cancelled (exit 3). An answer that doesn't come is " +
+			"asked for again.",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return client.watch(cmd.OutOrStdout(), jobPath(args[0]), max(interval, minPollInterval))
+		},
+	}
+	cmd.Flags().DurationVar(&interval, "every", 2*time.Second, "time between two questions, at least 200ms")
+	return cmd
+}
+
+// watch polls a job and prints each change, until the job is done or cancelled.
+func (c *apiClient) watch(out io.Writer, path string, interval time.Duration) error {
+	var previous jobProgress
+	for ; ; time.Sleep(interval) {
+		progress, ok, err := c.pollJob(path)
+		if err != nil {
+			return err
+		}
+		if !ok {
+			continue
+		}
+		if progress != previous {
+			fmt.Fprintf(out, "%s %s: %d done, %d running\n",
+				progress.ID, progress.State, progress.Done, progress.Running)
+			previous = progress
+		}
+		switch progress.State {
+		case jobDone:
+			return nil
+		case jobCancelled:
+			return refusal(fmt.Errorf("%s is cancelled", progress.ID))
+		}
+	}
+}
+
+// pollJob requests a job's progress once. It returns false where the request failed for now and is to be repeated, and
+// an error where repeating it can't help.
+func (c *apiClient) pollJob(path string) (progress jobProgress, ok bool, err error) {
+	resp, err := c.send(http.MethodGet, "", path, nil)
+	if isFinal(err) || isUntrusted(err) {
+		return jobProgress{}, false, err
+	}
+	if err != nil || resp.status == http.StatusTooManyRequests || resp.status >= http.StatusInternalServerError {
+		return jobProgress{}, false, nil
+	}
+	if resp.status != http.StatusOK {
+		return jobProgress{}, false, failure(statusError{
+			status:  resp.status,
+			message: strings.TrimSpace(string(resp.body)),
+		})
+	}
+	if json.Unmarshal(resp.body, &progress) != nil {
+		return jobProgress{}, false, nil
+	}
+	return progress, true, nil
+}
--- a/cmd/harewalk/lab.go
+++ b/cmd/harewalk/lab.go
@@ -14,131 +14,175 @@
 	"github.com/harewalk/harewalk/internal/lab"
 )
 
+// labRun is a run of a scenario: the flags of `harewalk lab`.
+type labRun struct {
+	output      string
+	repetitions int
+	parallel    int
+	htmlFile    string
+	logLevel    string
+}
+
 func labCmd() *cobra.Command {
-	var o operator
-	var repetitions, parallel int
-	var html, logs string
-	c := &cobra.Command{
-		Use: "lab SCENARIO.hcl", Short: "Play loads and faults in simulated time, and compare configurations", Args: cobra.ExactArgs(1),
-		Long: "Play a scenario: loads drawn from distributions, faults at their times, several configurations side by side with the\n" +
-			"same loads and seeds (docs/lab.md). The controllers are the real code; everything around them is simulated, processors\n" +
+	var run labRun
+	cmd := &cobra.Command{
+		Use:   "lab SCENARIO.hcl",
+		Short: "Play loads and faults in simulated time, and compare configurations",
+		Args:  cobra.ExactArgs(1),
+		Long: "Play a scenario: loads drawn from distributions, faults at their times, several configurations " +
+			"side by side with the\n" +
+			"same loads and seeds (docs/lab.md). The controllers are the real code; everything around them " +
+			"is simulated, processors\n" +
 			"take no time, and an hour of a small cluster takes seconds. The same seed gives the same figures.\n\n" +
-			"Exit codes: 0 played, 1 a rule was broken or the report could not be written, 2 wrong scenario or arguments.",
-		Example: "  harewalk lab deploy/lab/takeover.hcl\n  harewalk lab deploy/lab/takeover.hcl --repetitions 20 --html report.html -o json > report.json",
-		RunE: func(c *cobra.Command, args []string) error {
-			if err := logTo(c.ErrOrStderr(), logs); err != nil {
-				return coded{exitUsage, err}
-			}
-			s, err := lab.Read(args[0])
-			if err != nil {
-				return coded{exitUsage, err}
-			}
-			if repetitions > 0 {
-				s.Repetitions = repetitions
-			}
-			var clock func(func() time.Duration)
-			if logs != "error" {
-				// What is logged carries the simulated time, of one run after the other.
-				parallel, clock = 1, logAt(c.ErrOrStderr(), logs)
-			}
-			r, err := s.Run(parallel, progress(c.ErrOrStderr()), clock)
-			if err != nil {
-				return coded{exitFailed, err}
-			}
-			if html != "" {
-				if err := writeReport(html, r); err != nil {
-					return coded{exitFailed, err}
-				}
-			}
-			if err := o.show(c.OutOrStdout(), r, func(t *tabwriter.Writer) { showLab(t, r) }); err != nil {
-				return err
-			}
-			for _, k := range r.Configs {
-				if len(k.Broken) > 0 {
-					return coded{exitFailed, fmt.Errorf("config %q: %d rules were broken; the first: %s", k.Name, len(k.Broken), k.Broken[0])}
-				}
-			}
-			return nil
+			"Exit codes: 0 played, 1 a rule was broken or the report could not be written, 2 wrong scenario or " +
+			"arguments.",
+		Example: "  harewalk lab deploy/lab/takeover.hcl\n" +
+			"  harewalk lab deploy/lab/takeover.hcl --repetitions 20 --html report.html -o json > report.json",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return run.play(args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
-	f := c.Flags()
-	f.IntVar(&repetitions, "repetitions", 0, "how many seeds, in place of the scenario's")
-	f.IntVar(&parallel, "parallel", 0, "how many runs at a time, 0 for one a core")
-	f.StringVar(&html, "html", "", "write a report with plots to this file")
-	f.StringVar(&logs, "log-level", "error", "what the controllers log: error, info or debug")
-	outputFlag(f, &o.output)
-	c.AddCommand(labScaleCmd(), labStateCmd())
-	return c
+	flags := cmd.Flags()
+	flags.IntVar(&run.repetitions, "repetitions", 0, "how many seeds, in place of the scenario's")
+	flags.IntVar(&run.parallel, "parallel", 0, "how many runs at a time, 0 for one a core")
+	flags.StringVar(&run.htmlFile, "html", "", "write a report with plots to this file")
+	flags.StringVar(&run.logLevel, "log-level", "error", "what the controllers log: error, info or debug")
+	addOutputFlag(flags, &run.output)
+	cmd.AddCommand(labScaleCmd(), labStateCmd())
+	return cmd
+}
+
+// play plays the scenario of a file and prints its result. A broken rule is an error, after the result is printed.
+func (r *labRun) play(file string, out, errOut io.Writer) error {
+	if err := configureLogging(errOut, r.logLevel); err != nil {
+		return usageError(err)
+	}
+	scenario, err := lab.Read(file)
+	if err != nil {
+		return usageError(err)
+	}
+	if r.repetitions > 0 {
+		scenario.Repetitions = r.repetitions
+	}
+	parallel := r.parallel
+	var useClock func(now func() time.Duration)
+	if r.logLevel != "error" {
+		// Log lines carry the simulated time of their run, so one run is played after the other.
+		parallel = 1
+		useClock = logClock(errOut, r.logLevel)
+	}
+	result, err := scenario.Run(parallel, progressOn(errOut), useClock)
+	if err != nil {
+		return failure(err)
+	}
+	if r.htmlFile != "" {
+		if err := writeReport(r.htmlFile, result); err != nil {
+			return failure(err)
+		}
+	}
+	writeTable := func(table *tabwriter.Writer) { writeLabResult(table, result) }
+	if err := printAs(r.output, out, result, writeTable); err != nil {
+		return err
+	}
+	for _, config := range result.Configs {
+		if broken := config.Broken; len(broken) > 0 {
+			const text = "config %q: %d rules were broken; the first: %s"
+			return failure(fmt.Errorf(text, config.Name, len(broken), broken[0]))
+		}
+	}
+	return nil
 }
 
-// logAt lets log lines carry a run's time.
-func logAt(w io.Writer, level string) func(func() time.Duration) {
-	var l slog.Level
-	_ = l.UnmarshalText([]byte(level)) // logTo has checked it
+// logClock returns a function that lets the default logger's lines carry the time of a clock in place of today's.
+func logClock(out io.Writer, levelName string) func(now func() time.Duration) {
+	var level slog.Level
+	_ = level.UnmarshalText([]byte(levelName)) // configureLogging has checked it
 	return func(now func() time.Duration) {
-		slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: l, ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
-			if a.Key == slog.TimeKey {
-				return slog.Float64("at_s", now().Seconds())
-			}
-			return a
-		}})))
+		options := &slog.HandlerOptions{
+			Level: level,
+			ReplaceAttr: func(_ []string, attr slog.Attr) slog.Attr {
+				if attr.Key == slog.TimeKey {
+					return slog.Float64("at_s", now().Seconds())
+				}
+				return attr
+			},
+		}
+		slog.SetDefault(slog.New(slog.NewTextHandler(out, options)))
 	}
 }
 
-// progress shows on a terminal how far the runs are; in a pipe it says nothing.
-func progress(errs io.Writer) lab.Progress {
-	f, ok := errs.(*os.File)
-	if !ok || !isatty.IsTerminal(f.Fd()) {
+// progressOn returns what shows the progress of the runs on a terminal; nil where the writer is none.
+func progressOn(out io.Writer) lab.Progress {
+	terminal, ok := out.(*os.File)
+	if !ok || !isatty.IsTerminal(terminal.Fd()) {
 		return nil
 	}
-	last := -1
+	lastPercent := -1
 	return func(done float64) {
-		if now := int(done * 100); now != last {
-			last = now
-			fmt.Fprintf(f, "\r%3d %%", now)
-			if now == 100 {
-				fmt.Fprint(f, "\r     \r")
-			}
+		percent := int(done * 100)
+		if percent == lastPercent {
+			return
+		}
+		lastPercent = percent
+		fmt.Fprintf(terminal, "\r%3d %%", percent)
+		if percent == 100 {
+			fmt.Fprint(terminal, "\r     \r")
 		}
 	}
 }
 
-func writeReport(name string, r *lab.Result) error {
-	f, err := os.Create(name)
+func writeReport(name string, result *lab.Result) error {
+	file, err := os.Create(name)
 	if err != nil {
 		return fmt.Errorf("--html: %w", err)
 	}
-	if err := r.WriteHTML(f); err != nil {
-		_ = f.Close()
+	if err := result.WriteHTML(file); err != nil {
+		_ = file.Close()
 		return fmt.Errorf("--html %s: %w", name, err)
 	}
-	return f.Close()
+	return file.Close()
 }
 
-func showLab(t *tabwriter.Writer, r *lab.Result) {
-	fmt.Fprintf(t, "%s: %d runs of %s for each configuration, simulated\n\n", r.Scenario, r.Repetitions, brief(r.DurationS))
-	fmt.Fprintln(t, "CONFIGURATION\tJOBS\tDONE\tCANCELLED\tREFUSED\tOPEN\tSERVED\tCORES USED\tCOST\tBROKEN")
-	for _, c := range r.Configs {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f %%\t%.1f %%\t%.2f\t%d\n", c.Name, c.Jobs, c.Ends.Done, c.Ends.Cancelled, c.Ends.Refused, c.Ends.Open,
-			100*c.Served, 100*c.UsedCPUs, c.Cost, len(c.Broken))
-	}
-	fmt.Fprintln(t, "\nLOAD\tCONFIGURATION\tJOBS\tWAIT P50\tP90\tP99\tMOST\tACCEPTED P99\tOVER P50\tP99")
-	for i := range r.Configs[0].Loads {
-		for _, c := range r.Configs {
-			l := c.Loads[i]
-			fmt.Fprintf(t, "%s\t%s\t%d\t%.2f s\t%.2f s\t%.2f s\t%.2f s\t%.3f s\t%.1f s\t%.1f s\n", l.Name, c.Name, l.Jobs, l.Wait.P50, l.Wait.P90, l.Wait.P99, l.Wait.Max,
-				l.Accept.P99, l.Over.P50, l.Over.P99)
-		}
+func writeLabResult(table *tabwriter.Writer, result *lab.Result) {
+	fmt.Fprintf(table, "%s: %d runs of %s for each configuration, simulated\n\n",
+		result.Scenario, result.Repetitions, formatSeconds(result.DurationS))
+	fmt.Fprintln(table, "CONFIGURATION\tJOBS\tDONE\tCANCELLED\tREFUSED\tOPEN\tSERVED\tCORES USED\tCOST\tBROKEN")
+	for _, config := range result.Configs {
+		ends := config.Ends
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t", config.Name, config.Jobs, ends.Done, ends.Cancelled)
+		fmt.Fprintf(table, "%d\t%d\t", ends.Refused, ends.Open)
+		fmt.Fprintf(table, "%.2f %%\t%.1f %%\t", 100*config.Served, 100*config.UsedCPUs)
+		fmt.Fprintf(table, "%.2f\t%d\n", config.Cost, len(config.Broken))
 	}
-	if len(r.Configs[0].Faults) == 0 {
-		return
+	writeLabLoads(table, result.Configs)
+	if len(result.Configs[0].Faults) > 0 {
+		writeLabFaults(table, result.Configs)
 	}
-	fmt.Fprintln(t, "\nFAULT\tAT\tCONFIGURATION\tNO START\tWORST\tUNSERVED\tWORST\tSTARTS/S BEFORE\tDURING\tAFTER\tLEAD PASSED")
-	for i, f := range r.Configs[0].Faults {
-		for _, c := range r.Configs {
-			g := c.Faults[i]
-			fmt.Fprintf(t, "%s\t%.0f s\t%s\t%.2f s\t%.2f s\t%.1f s\t%.0f s\t%.1f\t%.1f\t%.1f\t%.2g\n", f.Do, f.AtS, c.Name, g.NoStart, g.NoStartMost, g.Unserved, g.UnservedMost,
-				g.Before, g.During, g.After, g.Leads)
+}
+
+func writeLabLoads(table *tabwriter.Writer, configs []lab.ConfigResult) {
+	fmt.Fprintln(table, "\nLOAD\tCONFIGURATION\tJOBS\tWAIT P50\tP90\tP99\tMOST\tACCEPTED P99\tOVER P50\tP99")
+	for index := range configs[0].Loads {
+		for _, config := range configs {
+			load := config.Loads[index]
+			wait := load.Wait
+			fmt.Fprintf(table, "%s\t%s\t%d\t", load.Name, config.Name, load.Jobs)
+			fmt.Fprintf(table, "%.2f s\t%.2f s\t%.2f s\t%.2f s\t", wait.P50, wait.P90, wait.P99, wait.Max)
+			fmt.Fprintf(table, "%.3f s\t%.1f s\t%.1f s\n", load.Accept.P99, load.Over.P50, load.Over.P99)
+		}
+	}
+}
+
+func writeLabFaults(table *tabwriter.Writer, configs []lab.ConfigResult) {
+	fmt.Fprintln(table, "\nFAULT\tAT\tCONFIGURATION\tNO START\tWORST\tUNSERVED\tWORST\t"+
+		"STARTS/S BEFORE\tDURING\tAFTER\tLEAD PASSED")
+	for index, first := range configs[0].Faults {
+		for _, config := range configs {
+			fault := config.Faults[index]
+			fmt.Fprintf(table, "%s\t%.0f s\t%s\t", first.Do, first.AtS, config.Name)
+			fmt.Fprintf(table, "%.2f s\t%.2f s\t", fault.NoStart, fault.NoStartMost)
+			fmt.Fprintf(table, "%.1f s\t%.0f s\t", fault.Unserved, fault.UnservedMost)
+			fmt.Fprintf(table, "%.1f\t%.1f\t%.1f\t%.2g\n", fault.Before, fault.During, fault.After, fault.Leads)
 		}
 	}
 }
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -15,144 +15,197 @@
 	"github.com/harewalk/harewalk/internal/lab/scale"
 )
 
-// What is written into the folder that --out names.
+// Files that are written into the folder of --out.
 const (
 	scaleJSON     = "scale.json"
 	scaleMarkdown = "scale.md"
 	scaleHTML     = "scale.html"
 )
 
-// plannedSizes are those of docs/CAPACITY.md for which the lines are read: the users' large deployment as it is, three
-// times that, and the size that they plan for.
-var plannedSizes = []scale.Size{
-	sizeOf("today", 1217, 0, 75, 0.3),
-	sizeOf("x3", 3651, 0, 227, 0.9),
-	sizeOf("planned", 17_000, 380_000, 6900, 2.55),
+// Assumptions about a worker where a planned size doesn't give a figure.
+const (
+	reportIntervalS   = 5.0
+	tasksOfAMachine   = 8.0
+	fromTasksAMachine = 0.0 // in place of a number of running tasks: tasksOfAMachine for each machine
+)
+
+// plannedSizes returns the sizes of docs/CAPACITY.md for which the fitted lines are evaluated: the users' large
+// deployment as it is, three times that, and the size that they plan for.
+func plannedSizes() []scale.Size {
+	return []scale.Size{
+		plannedSize("today", 1217, fromTasksAMachine, 75, 0.3),
+		plannedSize("x3", 3651, fromTasksAMachine, 227, 0.9),
+		plannedSize("planned", 17_000, 380_000, 6900, 2.55),
+	}
 }
 
-// sizeOf is a size by its machines, running tasks (0: eight a machine), starts and jobs a second; a worker reports every
-// five seconds.
-func sizeOf(name string, machines, running, starts, jobs float64) scale.Size {
-	const reportS, tasks = 5.0, 8.0
-	if running == 0 {
-		running = tasks * machines
+func plannedSize(name string, machines, running, startsPerS, jobsPerS float64) scale.Size {
+	if running == fromTasksAMachine {
+		running = tasksOfAMachine * machines
 	}
 	return scale.Size{Name: name, Values: scale.Values{
-		"machines": machines, "tasks_running": running, "tasks_reported_per_s": running / reportS,
-		"reports_per_s": machines / reportS, "starts_per_s": starts, "jobs_per_s": jobs,
+		"machines":             machines,
+		"tasks_running":        running,
+		"tasks_reported_per_s": running / reportIntervalS,
+		"reports_per_s":        machines / reportIntervalS,
+		"starts_per_s":         startsPerS,
+		"jobs_per_s":           jobsPerS,
 	}}
 }
 
+// scaleRun is a measurement of a plan's sizes: the flags of `harewalk lab scale`.
+type scaleRun struct {
+	output    string
+	quick     bool
+	outFolder string
+	fromFile  string
+}
+
 func labScaleCmd() *cobra.Command {
-	var o operator
-	var quick bool
-	var out, from string
-	c := &cobra.Command{
-		Use: "scale PLAN.hcl", Short: "Measure what a cluster costs as it grows, with real controllers and hollow workers", Args: cobra.MaximumNArgs(1),
-		Long: "Play sizes one after the other: controllers as processes of their own, measured from outside, beside hollow workers and\n" +
-			"users in this process and the stand-in state service in another. Straight lines are fitted through the sizes; one that is\n" +
+	var run scaleRun
+	cmd := &cobra.Command{
+		Use:   "scale PLAN.hcl",
+		Short: "Measure what a cluster costs as it grows, with real controllers and hollow workers",
+		Args:  cobra.MaximumNArgs(1),
+		Long: "Play sizes one after the other: controllers as processes of their own, measured from outside, " +
+			"beside hollow workers and\n" +
+			"users in this process and the stand-in state service in another. Straight lines are fitted " +
+			"through the sizes; one that is\n" +
 			"held out is predicted first and measured then (docs/CAPACITY.md). Ctrl-C ends all processes.\n\n" +
-			"Exit codes: 0 measured, 1 a rule was broken or a process failed, 2 wrong plan, or one too large for this machine.",
-		Example: "  harewalk lab scale deploy/lab/scale.hcl --out docs/capacity\n  harewalk lab scale deploy/lab/scale.hcl --quick",
-		RunE: func(c *cobra.Command, args []string) error {
-			if from != "" {
-				return rewriteScale(c, &o, from, out)
+			"Exit codes: 0 measured, 1 a rule was broken or a process failed, 2 wrong plan, or one too " +
+			"large for this machine.",
+		Example: "  harewalk lab scale deploy/lab/scale.hcl --out docs/capacity\n" +
+			"  harewalk lab scale deploy/lab/scale.hcl --quick",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if run.fromFile != "" {
+				return run.rewrite(cmd.OutOrStdout())
 			}
 			if len(args) == 0 {
-				return coded{exitUsage, errors.New("name a plan, or a run's file with --from")}
-			}
-			p, err := scale.Read(args[0])
-			if err != nil {
-				return coded{exitUsage, err}
-			}
-			if quick {
-				p.Quick()
-			}
-			ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			r, err := runScale(ctx, p, c.ErrOrStderr())
-			if errors.Is(err, scale.ErrTooLarge) {
-				return coded{exitUsage, err}
-			}
-			if err != nil {
-				return coded{exitFailed, err}
+				return usageError(errors.New("name a plan, or a run's file with --from"))
 			}
-			r.Quick = quick
-			if out != "" {
-				if err := writeScale(out, r); err != nil {
-					return coded{exitFailed, err}
-				}
-			}
-			if err := o.show(c.OutOrStdout(), r, r.WriteText); err != nil {
-				return err
-			}
-			for _, s := range r.Steps {
-				if s.Broken > 0 {
-					return coded{exitFailed, fmt.Errorf("size %q: %d rules were broken; the first: %s", s.Name, s.Broken, s.First)}
-				}
-			}
-			return nil
+			return run.measure(cmd.Context(), args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
-	c.Flags().BoolVar(&quick, "quick", false, "a tenth of each size and short times: ends within two minutes")
-	c.Flags().StringVar(&from, "from", "", "play nothing: write tables and page anew from the stored figures of this file")
-	c.Flags().StringVar(&out, "out", "", "write "+scaleJSON+", "+scaleMarkdown+" and "+scaleHTML+" into this folder")
-	outputFlag(c.Flags(), &o.output)
-	return c
+	flags := cmd.Flags()
+	flags.BoolVar(&run.quick, "quick", false, "a tenth of each size and short times: ends within two minutes")
+	flags.StringVar(&run.fromFile, "from", "",
+		"play nothing: write tables and page anew from the stored figures of this file")
+	flags.StringVar(&run.outFolder, "out", "",
+		"write "+scaleJSON+", "+scaleMarkdown+" and "+scaleHTML+" into this folder")
+	addOutputFlag(flags, &run.output)
+	return cmd
+}
+
+// measure plays the sizes of a plan. A broken rule is an error, after the result is printed.
+func (r *scaleRun) measure(parent context.Context, planFile string, out, errOut io.Writer) error {
+	plan, err := scale.Read(planFile)
+	if err != nil {
+		return usageError(err)
+	}
+	if r.quick {
+		plan.Quick()
+	}
+	ctx, stop := signal.NotifyContext(parent, os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	result, err := runScalePlan(ctx, plan, errOut)
+	if errors.Is(err, scale.ErrTooLarge) {
+		return usageError(err)
+	}
+	if err != nil {
+		return failure(err)
+	}
+	result.Quick = r.quick
+	if err := r.write(out, result); err != nil {
+		return err
+	}
+	for _, step := range result.Steps {
+		if step.Broken > 0 {
+			const text = "size %q: %d rules were broken; the first: %s"
+			return failure(fmt.Errorf(text, step.Name, step.Broken, step.First))
+		}
+	}
+	return nil
 }
 
-// rewriteScale writes a run's tables anew from its stored figures.
-func rewriteScale(c *cobra.Command, o *operator, from, out string) error {
-	r, err := scale.ReadResult(from)
+// rewrite writes a run's tables anew from its stored figures.
+func (r *scaleRun) rewrite(out io.Writer) error {
+	result, err := scale.ReadResult(r.fromFile)
 	if err != nil {
-		return coded{exitUsage, fmt.Errorf("--from: %w", err)}
+		return usageError(fmt.Errorf("--from: %w", err))
 	}
-	if out != "" {
-		if err := writeScale(out, r); err != nil {
-			return coded{exitFailed, err}
+	return r.write(out, result)
+}
+
+// write writes the files of --out, if it is given, and prints the result.
+func (r *scaleRun) write(out io.Writer, result *scale.Result) error {
+	if r.outFolder != "" {
+		if err := writeScaleFiles(r.outFolder, result); err != nil {
+			return failure(err)
 		}
 	}
-	return o.show(c.OutOrStdout(), r, r.WriteText)
+	return printAs(r.output, out, result, result.WriteText)
 }
 
-// runScale plays a plan with this program's own processes.
-func runScale(ctx context.Context, p *scale.Plan, errs io.Writer) (*scale.Result, error) {
-	self, err := os.Executable()
+// runScalePlan plays a plan with this program's own processes.
+func runScalePlan(ctx context.Context, plan *scale.Plan, errOut io.Writer) (*scale.Result, error) {
+	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	return scale.Run(ctx, p, scale.Options{Program: []string{self}, Progress: func(line string) { fmt.Fprintln(errs, line) }})
+	return scale.Run(ctx, plan, scale.Options{
+		Program:  []string{program},
+		Progress: func(line string) { fmt.Fprintln(errOut, line) },
+	})
 }
 
-// writeScale writes a run's files.
-func writeScale(dir string, r *scale.Result) error {
-	if err := os.MkdirAll(dir, 0o755); err != nil {
+func writeScaleFiles(folder string, result *scale.Result) error {
+	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("--out: %w", err)
 	}
-	for file, write := range map[string]func(io.Writer) error{
-		scaleJSON:     r.WriteJSON,
-		scaleHTML:     r.WriteHTML,
-		scaleMarkdown: func(w io.Writer) error { r.WriteMarkdown(w, plannedSizes); return nil },
-	} {
-		f, err := os.Create(filepath.Join(dir, file))
-		if err != nil {
-			return fmt.Errorf("--out: %w", err)
-		}
-		if err := write(f); err != nil {
-			_ = f.Close()
-			return fmt.Errorf("--out %s: %w", file, err)
-		}
-		if err := f.Close(); err != nil {
-			return fmt.Errorf("--out %s: %w", file, err)
+	writeMarkdown := func(out io.Writer) error {
+		result.WriteMarkdown(out, plannedSizes())
+		return nil
+	}
+	files := []struct {
+		name  string
+		write func(io.Writer) error
+	}{
+		{scaleJSON, result.WriteJSON},
+		{scaleMarkdown, writeMarkdown},
+		{scaleHTML, result.WriteHTML},
+	}
+	for _, file := range files {
+		if err := writeScaleFile(folder, file.name, file.write); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
-// labStateCmd is the process of a scale run's state service.
+func writeScaleFile(folder, name string, write func(io.Writer) error) error {
+	file, err := os.Create(filepath.Join(folder, name))
+	if err != nil {
+		return fmt.Errorf("--out: %w", err)
+	}
+	if err := write(file); err != nil {
+		_ = file.Close()
+		return fmt.Errorf("--out %s: %w", name, err)
+	}
+	if err := file.Close(); err != nil {
+		return fmt.Errorf("--out %s: %w", name, err)
+	}
+	return nil
+}
+
+// labStateCmd returns the hidden command that is the state service's process of a scale run.
 func labStateCmd() *cobra.Command {
 	return &cobra.Command{
-		Use: scale.StateCommand, Hidden: true, Args: cobra.NoArgs, Short: "Play a state service for a scale run",
-		RunE: func(c *cobra.Command, _ []string) error { return scale.PlayState(c.InOrStdin(), c.OutOrStdout()) },
+		Use:    scale.StateCommand,
+		Hidden: true,
+		Args:   cobra.NoArgs,
+		Short:  "Play a state service for a scale run",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return scale.PlayState(cmd.InOrStdin(), cmd.OutOrStdout())
+		},
 	}
 }
--- a/cmd/harewalk/lab_scale_test.go
+++ b/cmd/harewalk/lab_scale_test.go
@@ -43,43 +43,50 @@
 	if err != nil || len(stats) == 0 {
 		t.Fatalf("no processes are listed: %v", err)
 	}
-	for _, f := range stats {
-		raw, err := os.ReadFile(f)
+	for _, stat := range stats {
+		raw, err := os.ReadFile(stat)
 		if err != nil {
 			continue // it has ended
 		}
 		// The name stands in brackets and may hold anything; state and parent follow.
 		fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 		if len(fields) > 1 && fields[0] != "Z" && fields[1] == strconv.Itoa(pid) {
-			pids = append(pids, filepath.Base(filepath.Dir(f)))
+			pids = append(pids, filepath.Base(filepath.Dir(stat)))
 		}
 	}
 	return pids
 }
 
-// One small size of a scale run: the rules hold, every task began once, jobs were done, every process is measured, and none
-// is left. The verdict doesn't depend on how fast this machine is.
+// One small size of a scale run: the rules hold, every task began once, jobs were done, every process is measured,
+// and none is left. The result doesn't depend on how fast this machine is.
 func TestScaleRun(t *testing.T) {
-	p, err := scale.Parse("small.hcl", []byte(smallScale))
+	plan, err := scale.Parse("small.hcl", []byte(smallScale))
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := len(childrenOf(t, os.Getpid()))
-	r, err := scale.Run(context.Background(), p, scale.Options{Program: []string{os.Args[0]}, Env: []string{asProgram + "=1"}, Progress: func(line string) { t.Log(line) }})
+	result, err := scale.Run(context.Background(), plan, scale.Options{
+		Program:  []string{os.Args[0]},
+		Env:      []string{runProgramEnv + "=1"},
+		Progress: func(line string) { t.Log(line) },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := r.Steps[0]
-	if s.Broken != 0 || s.Again != 0 {
-		t.Errorf("%d rules were broken, the first: %s; %d tasks began again after they were done", s.Broken, s.First, s.Again)
+	step := result.Steps[0]
+	if step.Broken != 0 || step.Again != 0 {
+		t.Errorf("%d rules were broken, the first: %s; %d tasks began again after they were done",
+			step.Broken, step.First, step.Again)
 	}
-	for _, what := range []string{"machines", "leader_rss", "follower_rss", "state_requests", "leader_read", "state_followed"} {
-		if s.Values[what] <= 0 {
-			t.Errorf("%s is %v", what, s.Values[what])
+	for _, name := range []string{
+		"machines", "leader_rss", "follower_rss", "state_requests", "leader_read", "state_followed",
+	} {
+		if step.Values[name] <= 0 {
+			t.Errorf("%s is %v", name, step.Values[name])
 		}
 	}
-	if s.Values["machines"] != 20 || r.PeakProcesses != 5 {
-		t.Errorf("%v machines, %d processes", s.Values["machines"], r.PeakProcesses)
+	if step.Values["machines"] != 20 || result.PeakProcesses != 5 {
+		t.Errorf("%v machines, %d processes", step.Values["machines"], result.PeakProcesses)
 	}
 	if after := len(childrenOf(t, os.Getpid())); after != before {
 		t.Errorf("%d processes are left of the run", after-before)
@@ -89,24 +96,25 @@
 // Ctrl-C ends a run and all its processes.
 func TestScaleRunIsInterrupted(t *testing.T) {
 	plan := filepath.Join(t.TempDir(), "long.hcl")
-	if err := os.WriteFile(plan, []byte(strings.Replace(smallScale, "settle_s  = 6", "settle_s  = 300", 1)), 0o600); err != nil {
+	longPlan := strings.Replace(smallScale, "settle_s  = 6", "settle_s  = 300", 1)
+	if err := os.WriteFile(plan, []byte(longPlan), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "lab", "scale", plan)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runProgramEnv+"=1")
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "its processes run", func() bool { return len(childrenOf(t, cmd.Process.Pid)) >= 4 })
+	waitUntil(t, "its processes run", func() bool { return len(childrenOf(t, cmd.Process.Pid)) >= 4 })
 	started := childrenOf(t, cmd.Process.Pid)
 	_ = cmd.Process.Signal(os.Interrupt)
 	if err := cmd.Wait(); err == nil {
 		t.Error("an interrupted run ended well")
 	}
 	for _, pid := range started {
-		until(t, "process "+pid+" has ended", func() bool {
+		waitUntil(t, "process "+pid+" has ended", func() bool {
 			_, err := os.Stat("/proc/" + pid)
 			if err != nil {
 				return true
@@ -120,15 +128,17 @@
 // Wrong plans, and those that are too large, end with the exit code for wrong arguments and a message that says why.
 func TestScaleRefuses(t *testing.T) {
 	dir := t.TempDir()
-	for name, c := range map[string][2]string{
+	for name, test := range map[string]struct{ plan, wantText string }{
 		"unknown.hcl": {strings.Replace(smallScale, "poll_s", "pole_s", 1), "pole_s"},
 		"large.hcl":   {strings.Replace(smallScale, "= 20\n", "= 99999\n", 1), "half of the memory"},
 	} {
 		path := filepath.Join(dir, name)
-		if err := os.WriteFile(path, []byte(strings.Replace(c[0], "tasks_per_machine = 2", "tasks_per_machine = 64", 1)), 0o600); err != nil {
+		plan := strings.Replace(test.plan, "tasks_per_machine = 2", "tasks_per_machine = 64", 1)
+		if err := os.WriteFile(path, []byte(plan), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, code := command(t, "lab", "scale", path); code != exitUsage || !strings.Contains(out, c[1]) {
+		out, code := runCommand(t, "lab", "scale", path)
+		if code != exitUsage || !strings.Contains(out, test.wantText) {
 			t.Errorf("%s: exit code %d: %s", name, code, out)
 		}
 	}
--- a/cmd/harewalk/lab_test.go
+++ b/cmd/harewalk/lab_test.go
@@ -41,24 +41,21 @@
 		}
 	}
 	write(scenario)
-	out, code := command(t, "lab", file, "--html", page)
-	if code != 0 || !strings.Contains(out, "drain-leader 5s") || strings.Contains(out, "%\r") || strings.Contains(out, "\r") {
+	out, code := runCommand(t, "lab", file, "--html", page)
+	if code != 0 || !strings.Contains(out, "drain-leader 5s") || strings.Contains(out, "\r") {
 		t.Fatalf("exit %d: %q", code, out)
 	}
 	if raw, err := os.ReadFile(page); err != nil || !strings.Contains(string(raw), "<svg") {
 		t.Fatalf("report: %v", err)
 	}
-	if out, code := command(t, "lab", file, "-o", "json", "--repetitions", "2"); code != 0 || !strings.Contains(out, `"seeds": [`) || !strings.HasPrefix(out, "{") {
+	out, code = runCommand(t, "lab", file, "-o", "json", "--repetitions", "2")
+	if code != 0 || !strings.Contains(out, `"seeds": [`) || !strings.HasPrefix(out, "{") {
 		t.Fatalf("exit %d: %s", code, out)
 	}
-	if out, code := command(t, "lab", file, "--repetitions", "1", "--log-level", "info"); code != 0 || !strings.Contains(out, "at_s=60") {
-		t.Fatalf("exit %d: no simulated times in the log", code)
-	}
+	expectCommand(t, 0, "at_s=60", "lab", file, "--repetitions", "1", "--log-level", "info")
 	write(strings.Replace(scenario, "per_minute = 10", "per_minute = 0", 1))
-	if out, code := command(t, "lab", file); code != 2 || !strings.Contains(out, "PerMinute") {
-		t.Fatalf("exit %d: %s", code, out)
-	}
-	if _, code := command(t, "lab", filepath.Join(dir, "none.hcl")); code != 2 {
+	expectCommand(t, 2, "PerMinute", "lab", file)
+	if _, code := runCommand(t, "lab", filepath.Join(dir, "none.hcl")); code != 2 {
 		t.Fatalf("exit %d for a scenario that isn't there", code)
 	}
 }
--- /dev/null
+++ b/cmd/harewalk/licence.go
@@ -0,0 +1,160 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"github.com/harewalk/harewalk/internal/licences"
+)
+
+const licencesPath = "/v2/licences"
+
+// setCountCommand is the body of a request that changes a pool's count.
+type setCountCommand struct {
+	By      string `json:"by"`
+	Count   *int   `json:"count,omitempty"`
+	OnLower string `json:"on_lower,omitempty"`
+	Reset   bool   `json:"reset,omitempty"`
+	Version *int64 `json:"version,omitempty"` // the one that the command depends on; nil: any
+}
+
+func licenceCmd() *cobra.Command {
+	var client apiClient
+	cmd := &cobra.Command{
+		Use:   "licence",
+		Short: "Look at the pools of counted licences and change their counts",
+		Long: "Licences are declared in the operators' settings (docs/licences.md). Counts that are set here " +
+			"are kept by\n" +
+			"the state service: they survive every controller, and go before what is declared until they are reset.",
+	}
+	client.addFlags(cmd)
+	cmd.AddCommand(
+		&cobra.Command{
+			Use:   "list",
+			Short: "List the pools: how many seats each has, who holds them, how many are free",
+			Args:  cobra.NoArgs,
+			RunE: func(cmd *cobra.Command, _ []string) error {
+				return callAndShow(&client, cmd, request{method: http.MethodGet, path: licencesPath}, writePools)
+			},
+		},
+		&cobra.Command{
+			Use:   "show POOL",
+			Short: "Show one pool, with its teams",
+			Args:  cobra.ExactArgs(1),
+			RunE: func(cmd *cobra.Command, args []string) error {
+				req := request{method: http.MethodGet, path: licencesPath + "/" + args[0]}
+				return callAndShow(&client, cmd, req, writePool)
+			},
+		},
+		setCountCmd(&client),
+	)
+	return cmd
+}
+
+func writePools(table *tabwriter.Writer, pools []licences.View) {
+	fmt.Fprintln(table, "POOL\tCOUNT\tHELD\tLINGERING\tOTHERS\tRESERVE\tFREE\tSERVER")
+	for _, pool := range pools {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t", pool.Pool, pool.Count, pool.Held+pool.Booked, pool.Lingering)
+		fmt.Fprintf(table, "%d\t%d\t%d\t%s\n", pool.Others, pool.Reserve, pool.Free, serverState(pool))
+	}
+}
+
+// serverState describes how a pool's licence server is reached, and how old its last response is.
+func serverState(pool licences.View) string {
+	if pool.Server == "" {
+		return "none"
+	}
+	if pool.AgeS > 0 {
+		return fmt.Sprintf("%s, heard %.1f s ago", pool.Line, pool.AgeS)
+	}
+	return pool.Line
+}
+
+func writePool(table *tabwriter.Writer, pool licences.View) {
+	fmt.Fprintf(table, "pool\t%s\n", pool.Pool)
+	origin := ""
+	if pool.Version > 0 {
+		origin = fmt.Sprintf(" (set by %s, version %d; declared: %d)",
+			orSomebody(pool.SetBy), pool.Version, pool.Declared)
+	}
+	fmt.Fprintf(table, "count\t%d%s\n", pool.Count, origin)
+	fmt.Fprintf(table, "held\t%d, and %d booked for gangs that are starting\n", pool.Held, pool.Booked)
+	fmt.Fprintf(table, "lingering\t%d of tasks that are gone\n", pool.Lingering)
+	fmt.Fprintf(table, "others\t%d, %d kept for them\n", pool.Others, pool.Reserve)
+	fmt.Fprintf(table, "free\t%d\n", pool.Free)
+	fmt.Fprintf(table, "server\t%s %s\n", pool.Server, serverState(pool))
+	fmt.Fprintf(table, "when lowered\t%s\n", pool.Lowering)
+	for _, team := range pool.Teams {
+		fmt.Fprintf(table, "team %s\t%d, guaranteed %d, at most %s\n",
+			team.Team, team.Units, team.Guarantee, orAnyNumber(team.Most))
+	}
+}
+
+// orAnyNumber returns a limit; 0 stands for none.
+func orAnyNumber(limit int) string {
+	if limit == 0 {
+		return "any number"
+	}
+	return strconv.Itoa(limit)
+}
+
+func setCountCmd(client *apiClient) *cobra.Command {
+	var onLower string
+	var reset bool
+	var version int64
+	cmd := &cobra.Command{
+		Use:   "set-count POOL [N]",
+		Short: "Set how many seats a pool has, while the service runs",
+		Args:  cobra.RangeArgs(1, 2),
+		Long: "Set how many seats a pool has. If that is below what is in use, nothing new starts until it fits " +
+			"again;\n" +
+			"with --on-lower stop the least costly holders are stopped, with time to save. --version makes the " +
+			"command\n" +
+			"depend on the version that `licence show` gave: if somebody changed the count since, it is refused " +
+			"(exit 3).",
+		Example: "  harewalk licence set-count transcribe 30\n" +
+			"  harewalk licence set-count transcribe 12 --on-lower stop --version 812\n" +
+			"  harewalk licence set-count transcribe --reset",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			count, err := countArgument(args[1:], reset)
+			if err != nil {
+				return err
+			}
+			body := setCountCommand{
+				By:      currentUser(),
+				Count:   count,
+				OnLower: onLower,
+				Reset:   reset,
+				Version: optionalNumber(version),
+			}
+			req := request{method: http.MethodPost, path: licencesPath + "/" + args[0], body: body}
+			return callAndShow(client, cmd, req, writePool)
+		},
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&onLower, "on-lower", "",
+		"wait or stop, what happens to holders beyond the new count (default: as declared)")
+	flags.BoolVar(&reset, "reset", false, "go back to the count that is declared in the operators' settings")
+	flags.Int64Var(&version, "version", -1, "refuse the command unless the count's version is still this one")
+	return cmd
+}
+
+// countArgument returns the count that the arguments give, or nil where the count is to be reset.
+func countArgument(args []string, reset bool) (*int, error) {
+	if reset != (len(args) == 0) {
+		return nil, usageError(errors.New("give either a count or --reset"))
+	}
+	if reset {
+		return nil, nil
+	}
+	count, err := strconv.Atoi(args[0])
+	if err != nil || count < 0 || strconv.Itoa(count) != args[0] {
+		return nil, usageError(fmt.Errorf("count %q is not a whole number", args[0]))
+	}
+	return &count, nil
+}
--- /dev/null
+++ b/cmd/harewalk/output.go
@@ -0,0 +1,110 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+	"go.yaml.in/yaml/v3"
+)
+
+// Values of the --output flag.
+const (
+	outputTable = "table"
+	outputJSON  = "json"
+	outputYAML  = "yaml"
+)
+
+var outputFormats = []string{outputTable, outputJSON, outputYAML}
+
+func addOutputFlag(flags *pflag.FlagSet, format *string) {
+	flags.StringVarP(format, "output", "o", outputTable, "table, json or yaml")
+}
+
+func checkOutputFormat(format string) error {
+	if slices.Contains(outputFormats, format) {
+		return nil
+	}
+	return usageError(fmt.Errorf("--output %q is none of %s", format, strings.Join(outputFormats, ", ")))
+}
+
+// printAs prints a value as JSON, as YAML with the names of the JSON, or as a table.
+func printAs(format string, out io.Writer, value any, writeTable func(*tabwriter.Writer)) error {
+	switch format {
+	case outputJSON:
+		encoder := json.NewEncoder(out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(value)
+	case outputYAML:
+		return printYAML(out, value)
+	}
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	writeTable(table)
+	return table.Flush()
+}
+
+// printYAML goes through JSON, so that both formats have the same names.
+func printYAML(out io.Writer, value any) error {
+	raw, err := json.Marshal(value)
+	if err != nil {
+		return err
+	}
+	var document any
+	if err := yaml.Unmarshal(raw, &document); err != nil {
+		return err
+	}
+	raw, err = yaml.Marshal(document)
+	if err != nil {
+		return err
+	}
+	_, err = out.Write(raw)
+	return err
+}
+
+// show prints a value in the format that the client's --output flag chose.
+func (c *apiClient) show(out io.Writer, value any, writeTable func(*tabwriter.Writer)) error {
+	return printAs(c.output, out, value, writeTable)
+}
+
+// request is what a command sends to the leader.
+type request struct {
+	method string
+	path   string
+	body   any // marshalled as JSON; nil: none
+}
+
+// callAndShow sends a request to the leader and prints the response.
+func callAndShow[T any](c *apiClient, cmd *cobra.Command, req request, writeTable func(*tabwriter.Writer, T)) error {
+	var value T
+	if err := c.callLeader(req, &value); err != nil {
+		return err
+	}
+	return c.show(cmd.OutOrStdout(), value, func(table *tabwriter.Writer) { writeTable(table, value) })
+}
+
+// formatSeconds prints seconds as a duration, rounded to whole seconds.
+func formatSeconds(seconds float64) string {
+	return time.Duration(seconds * float64(time.Second)).Round(time.Second).String()
+}
+
+// orDash returns a text, or "-" in place of an empty one.
+func orDash(text string) string {
+	if text == "" {
+		return "-"
+	}
+	return text
+}
+
+// orSomebody returns an operator's name, or "somebody" where it isn't known.
+func orSomebody(name string) string {
+	if name == "" {
+		return "somebody"
+	}
+	return name
+}
--- /dev/null
+++ b/cmd/harewalk/serve.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/spf13/cobra"
+
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/controller"
+)
+
+// settingsFiles names the two files that a controller's settings are read from.
+type settingsFiles struct {
+	platform string // JSON
+	operator string // HCL; empty: none
+}
+
+func (f *settingsFiles) addFlags(cmd *cobra.Command) {
+	cmd.Flags().StringVar(&f.platform, "config", "", "the platform's settings, a JSON file (required)")
+	cmd.Flags().StringVar(&f.operator, "operator", os.Getenv("HAREWALK_OPERATOR"),
+		"the operators' settings, an HCL file (or $HAREWALK_OPERATOR)")
+	_ = cmd.MarkFlagRequired("config")
+}
+
+func (f *settingsFiles) load() (*config.Settings, error) {
+	settings, err := config.Load(f.platform, f.operator)
+	if err != nil {
+		return nil, usageError(err)
+	}
+	return settings, nil
+}
+
+func serveCmd(adjust settingsHook) *cobra.Command {
+	var files settingsFiles
+	cmd := &cobra.Command{
+		Use:   "serve --config FILE",
+		Short: "Run one controller until it is ended",
+		Args:  cobra.NoArgs,
+		Long: "Run one controller. It keeps nothing on disk and may be ended at any time.\n" +
+			"SIGTERM drains it: it takes no new submissions, hands the lead over at once, answers what it was " +
+			"asked and\n" +
+			"ends with exit code 0 within ten seconds. A second signal ends it at once, with exit code 1.\n" +
+			"LOG_LEVEL sets what goes to standard error: error, info (default) or debug; LOG_FORMAT how: text or " +
+			"json.",
+		Example: "  harewalk serve --config /etc/harewalk/settings.json --operator /etc/harewalk/operator.hcl",
+		RunE: func(*cobra.Command, []string) error {
+			if err := configureLogging(os.Stderr, os.Getenv("LOG_LEVEL")); err != nil {
+				return usageError(err)
+			}
+			settings, err := files.load()
+			if err != nil {
+				return err
+			}
+			adjust(settings)
+			return serve(controller.New(settings))
+		},
+	}
+	files.addFlags(cmd)
+	return cmd
+}
+
+// serve runs a controller until it fails, or until a signal has drained it. The controller's goroutine ends with the
+// process.
+func serve(node *controller.Controller) error {
+	signals := make(chan os.Signal, 2)
+	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
+	failed := make(chan error, 1)
+	go func() { failed <- node.Run() }()
+	var drained <-chan struct{} // nil until the first signal
+	for {
+		select {
+		case err := <-failed:
+			return failure(err)
+		case <-drained:
+			return nil
+		case received := <-signals:
+			if drained != nil {
+				return failure(fmt.Errorf("ended by a second signal (%s) while it drained", received))
+			}
+			slog.Info("signal", "name", received.String())
+			drained = node.Drain()
+		}
+	}
+}
+
+func checkConfigCmd() *cobra.Command {
+	var files settingsFiles
+	cmd := &cobra.Command{
+		Use:   "check-config --config FILE",
+		Short: "Check the settings and print what is derived from them",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			settings, err := files.load()
+			if err != nil {
+				return err
+			}
+			out := cmd.OutOrStdout()
+			fmt.Fprintf(out, "settings of %s are good: %d others, %d teams, %d objectives\n",
+				settings.Node, len(settings.Peers), len(settings.Params.Teams), len(settings.Params.Objectives))
+			operator := settings.Operator
+			fmt.Fprintf(out, "hold_ttl_ms = %d\nsilent_s = %g\nidle_s = %g\n",
+				operator.HoldTTLMS, operator.SilentS, operator.IdleS)
+			fmt.Fprintf(out, "headroom = %g\nmax_machines = %d\nnetwork_factor = %g\n",
+				operator.Headroom, operator.MaxMachines, operator.NetworkFactor)
+			limits := settings.Params.Limits
+			fmt.Fprintf(out, "connections taken = %d\nunfinished tasks = %d\nbytes of waiting submissions = %d\n",
+				limits.Conns(), limits.Tasks(), limits.QueueBytes())
+			return nil
+		},
+	}
+	files.addFlags(cmd)
+	return cmd
+}
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -6,6 +6,8 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
+	"net/http"
 	"net/url"
 	"os"
 	"os/signal"
@@ -18,188 +20,255 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// sessionToken is where a session's user token comes from.
+const sessionsPath = "/v2/sessions"
+
+// minKeepAliveInterval bounds --every of `session keep` from below.
+const minKeepAliveInterval = time.Second
+
+// sessionToken is where the token of a session's user comes from.
 type sessionToken struct{ file string }
 
-func (k *sessionToken) flag(c *cobra.Command) {
-	c.Flags().StringVar(&k.file, "session-token-file", os.Getenv("HAREWALK_SESSION_TOKEN_FILE"),
-		"file with the session's token, as `session open` printed it (or $HAREWALK_SESSION_TOKEN_FILE, or the token in $HAREWALK_SESSION_TOKEN)")
+func (s *sessionToken) addFlag(cmd *cobra.Command) {
+	const usage = "file with the session's token, as `session open` printed it " +
+		"(or $HAREWALK_SESSION_TOKEN_FILE, or the token in $HAREWALK_SESSION_TOKEN)"
+	cmd.Flags().StringVar(&s.file, "session-token-file", os.Getenv("HAREWALK_SESSION_TOKEN_FILE"), usage)
 }
 
-func (k *sessionToken) read() (string, error) {
-	if k.file == "" {
-		if t := os.Getenv("HAREWALK_SESSION_TOKEN"); t != "" {
-			return t, nil
+func (s *sessionToken) read() (string, error) {
+	if s.file != "" {
+		raw, err := os.ReadFile(s.file)
+		if err != nil {
+			return "", usageError(fmt.Errorf("--session-token-file: %w", err))
 		}
-		return "", coded{exitUsage, errors.New("the session's token is missing: give --session-token-file or $HAREWALK_SESSION_TOKEN")}
+		return strings.TrimSpace(string(raw)), nil
 	}
-	raw, err := os.ReadFile(k.file)
-	if err != nil {
-		return "", coded{exitUsage, fmt.Errorf("--session-token-file: %w", err)}
+	if token := os.Getenv("HAREWALK_SESSION_TOKEN"); token != "" {
+		return token, nil
 	}
-	return strings.TrimSpace(string(raw)), nil
+	const text = "the session's token is missing: give --session-token-file or $HAREWALK_SESSION_TOKEN"
+	return "", usageError(errors.New(text))
 }
 
 func sessionCmd() *cobra.Command {
-	var o operator
-	c := &cobra.Command{
-		Use: "session", Short: "Open, attach to and close interactive sessions",
-		Long: "A session is a job of one task that its user attaches to and leaves. After real idleness it is warned, its\n" +
-			"work is saved and its machine goes to others; attaching resumes it, with the same id (docs/sessions.md).",
-	}
-	o.flags(c)
-	c.AddCommand(sessionOpen(&o), sessionList(&o),
-		sessionAct(&o, "attach ID", "Return to a session: takes a warning back, resumes a reclaimed one", "attach"),
-		sessionAct(&o, "close ID", "End a session for good", "close"), sessionKeep(&o),
-		&cobra.Command{
-			Use: "explain ID", Short: "Say in plain words why a session is or isn't to be reclaimed, and when", Args: cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error {
-				var v struct {
-					ID  string   `json:"name_id"`
-					Why []string `json:"why"`
-				}
-				if err := o.ask("GET", "/v2/sessions/"+url.PathEscape(args[0])+"/explain", nil, &v); err != nil {
-					return err
-				}
-				return o.show(c.OutOrStdout(), v, func(t *tabwriter.Writer) {
-					for _, w := range v.Why {
-						fmt.Fprintln(t, w)
-					}
-				})
-			},
-		})
-	return c
-}
-
-func sessionOpen(o *operator) *cobra.Command {
-	var who string
-	c := &cobra.Command{
-		Use: "open FILE", Short: "Open a session from a job in a JSON file (- for standard input)", Args: cobra.ExactArgs(1),
-		Long: "Open a session. The job is a `daemon` with one task. Two tokens are made here and printed once; the cluster\n" +
+	var client apiClient
+	cmd := &cobra.Command{
+		Use:   "session",
+		Short: "Open, attach to and close interactive sessions",
+		Long: "A session is a job of one task that its user attaches to and leaves. After real idleness it is " +
+			"warned, its\n" +
+			"work is saved and its machine goes to others; attaching resumes it, with the same id " +
+			"(docs/sessions.md).",
+	}
+	client.addFlags(cmd)
+	cmd.AddCommand(
+		sessionOpenCmd(&client),
+		sessionListCmd(&client),
+		sessionOperationCmd(&client, "attach", "Return to a session: takes a warning back, resumes a reclaimed one"),
+		sessionOperationCmd(&client, "close", "End a session for good"),
+		sessionKeepCmd(&client),
+		sessionExplainCmd(&client),
+	)
+	return cmd
+}
+
+// openedSession is what `session open` prints: the session, and the tokens that are stored nowhere else.
+type openedSession struct {
+	sessions.View
+	Token      string `json:"token"`
+	AgentToken string `json:"agent_token"`
+}
+
+func sessionOpenCmd(client *apiClient) *cobra.Command {
+	var userName string
+	cmd := &cobra.Command{
+		Use:   "open FILE",
+		Short: "Open a session from a job in a JSON file (- for standard input)",
+		Args:  cobra.ExactArgs(1),
+		Long: "Open a session. The job is a `daemon` with one task. Two tokens are made here and printed " +
+			"once; the cluster\n" +
 			"keeps only their digests: the user's token attaches to the session, its agent reports with the other.",
 		Example: "  harewalk session open notebook.json -o json > session.json",
-		RunE: func(c *cobra.Command, args []string) error {
-			raw, err := readFile(args[0], c.InOrStdin())
+		RunE: func(cmd *cobra.Command, args []string) error {
+			job, err := readFile(args[0], cmd.InOrStdin())
 			if err != nil {
-				return coded{exitUsage, err}
+				return usageError(err)
 			}
-			body := map[string]any{}
-			if err := json.Unmarshal(raw, &body); err != nil {
-				return coded{exitUsage, fmt.Errorf("%s is not a JSON object: %w", args[0], err)}
+			opened := openedSession{Token: rand.Text(), AgentToken: rand.Text()}
+			body, err := openBody(job, userName, opened)
+			if err != nil {
+				return usageError(fmt.Errorf("%s is not a JSON object: %w", args[0], err))
 			}
-			token, agent := rand.Text(), rand.Text()
-			body["user"], body["token_sha256"], body["agent_sha256"] = who, sessions.Digest(token), sessions.Digest(agent)
-			var v sessions.View
-			if err := o.ask("POST", "/v2/sessions", body, &v); err != nil {
+			req := request{method: http.MethodPost, path: sessionsPath, body: body}
+			if err := client.callLeader(req, &opened.View); err != nil {
 				return err
 			}
-			opened := struct {
-				sessions.View
-				Token string `json:"token"`
-				Agent string `json:"agent_token"`
-			}{v, token, agent}
-			return o.show(c.OutOrStdout(), opened, func(t *tabwriter.Writer) {
-				showSession(t, v)
-				fmt.Fprintf(t, "token\t%s\nagent token\t%s\n", token, agent)
+			return client.show(cmd.OutOrStdout(), opened, func(table *tabwriter.Writer) {
+				writeSession(table, opened.View)
+				fmt.Fprintf(table, "token\t%s\nagent token\t%s\n", opened.Token, opened.AgentToken)
 			})
 		},
 	}
-	c.Flags().StringVar(&who, "user", whoami(), "whose session it is")
-	return c
-}
-
-func sessionList(o *operator) *cobra.Command {
-	var who, team string
-	c := &cobra.Command{
-		Use: "list", Short: "List sessions", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			q := url.Values{"user": {who}, "team": {team}}
-			return tell(o, c, "GET", "/v2/sessions?"+q.Encode(), nil, func(t *tabwriter.Writer, vs []sessions.View) {
-				fmt.Fprintln(t, "SESSION\tUSER\tTEAM\tSTATE\tFOR\tIDLE\tUNSAVED MB\tWHY")
-				for _, v := range vs {
-					fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%s\n", v.ID, v.User, v.Team, v.State, brief(v.ForS), brief(v.IdleS), v.UnsavedMB, v.Why)
-				}
-			})
+	cmd.Flags().StringVar(&userName, "user", currentUser(), "whose session it is")
+	return cmd
+}
+
+// openBody adds a session's user and the digests of its tokens to the JSON object of its job. The object stays untyped,
+// so that settings which only the controllers understand are passed on.
+func openBody(job []byte, userName string, opened openedSession) (map[string]any, error) {
+	body := map[string]any{}
+	if err := json.Unmarshal(job, &body); err != nil {
+		return nil, err
+	}
+	body["user"] = userName
+	body["token_sha256"] = sessions.Digest(opened.Token)
+	body["agent_sha256"] = sessions.Digest(opened.AgentToken)
+	return body, nil
+}
+
+func sessionListCmd(client *apiClient) *cobra.Command {
+	var userName, team string
+	cmd := &cobra.Command{
+		Use:   "list",
+		Short: "List sessions",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			filter := url.Values{"user": {userName}, "team": {team}}
+			req := request{method: http.MethodGet, path: sessionsPath + "?" + filter.Encode()}
+			return callAndShow(client, cmd, req, writeSessions)
 		},
 	}
-	c.Flags().StringVar(&who, "user", "", "only this user's")
-	c.Flags().StringVar(&team, "team", "", "only this team's")
-	return c
+	cmd.Flags().StringVar(&userName, "user", "", "only this user's")
+	cmd.Flags().StringVar(&team, "team", "", "only this team's")
+	return cmd
 }
 
-// sessionAct is a command of a session's user.
-func sessionAct(o *operator, use, short, verb string) *cobra.Command {
-	var k sessionToken
-	c := &cobra.Command{
-		Use: use, Short: short, Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			v, err := act(o, &k, args[0], verb, map[string]any{})
+func writeSessions(table *tabwriter.Writer, views []sessions.View) {
+	fmt.Fprintln(table, "SESSION\tUSER\tTEAM\tSTATE\tFOR\tIDLE\tUNSAVED MB\tWHY")
+	for _, view := range views {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t", view.ID, view.User, view.Team, view.State)
+		fmt.Fprintf(table, "%s\t%s\t", formatSeconds(view.ForS), formatSeconds(view.IdleS))
+		fmt.Fprintf(table, "%.1f\t%s\n", view.UnsavedMB, view.Why)
+	}
+}
+
+// sessionOperationCmd returns the command of one operation of a session's user.
+func sessionOperationCmd(client *apiClient, operation, short string) *cobra.Command {
+	var token sessionToken
+	cmd := &cobra.Command{
+		Use:   operation + " ID",
+		Short: short,
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			view, err := callSession(client, &token, args[0], operation, struct{}{})
 			if err != nil {
 				return err
 			}
-			return o.show(c.OutOrStdout(), v, func(t *tabwriter.Writer) { showSession(t, v) })
+			return client.show(cmd.OutOrStdout(), view, func(table *tabwriter.Writer) { writeSession(table, view) })
 		},
 	}
-	k.flag(c)
-	return c
+	token.addFlag(cmd)
+	return cmd
 }
 
-func act(o *operator, k *sessionToken, id, verb string, body map[string]any) (v sessions.View, err error) {
-	with := *o
-	if with.bearer, err = k.read(); err != nil {
-		return v, err
+// callSession sends an operation of a session's user, with the session's token in place of the user's own.
+func callSession(
+	client *apiClient, token *sessionToken, id, operation string, body any,
+) (view sessions.View, err error) {
+	bearer, err := token.read()
+	if err != nil {
+		return view, err
 	}
-	return v, with.ask("POST", "/v2/sessions/"+url.PathEscape(id)+"/"+verb, body, &v)
+	withToken := *client
+	withToken.bearer = bearer
+	path := sessionsPath + "/" + url.PathEscape(id) + "/" + operation
+	err = withToken.callLeader(request{method: http.MethodPost, path: path, body: body}, &view)
+	return view, err
 }
 
-func sessionKeep(o *operator) *cobra.Command {
-	var k sessionToken
-	var every time.Duration
-	c := &cobra.Command{
-		Use: "keep ID", Short: "Attach to a session and keep it alive until interrupted", Args: cobra.ExactArgs(1),
-		Long: "Attach to a session and tell the cluster again and again that somebody is there. How much that counts is up to\n" +
-			"the operators' policy (attached_s). It ends when the session is attached to from elsewhere or closed (exit 3).",
-		RunE: func(c *cobra.Command, args []string) error {
-			v, err := act(o, &k, args[0], "attach", map[string]any{})
-			if err != nil {
-				return err
-			}
-			over, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-			defer stop()
-			for at := v.Attachment; ; {
-				if v.Why != "" {
-					fmt.Fprintf(c.ErrOrStderr(), "%s: %s; reclaimed in %s\n", v.State, v.Why, brief(v.ReclaimS))
-				}
-				select {
-				case <-over.Done():
-					return nil
-				case <-time.After(max(every, time.Second)):
-				}
-				if v, err = act(o, &k, args[0], "keep", map[string]any{"attachment": at}); err != nil {
-					return err
-				}
-			}
+// keepAlive is the body of a request that keeps a session attached.
+type keepAlive struct {
+	Attachment uint64 `json:"attachment"`
+}
+
+func sessionKeepCmd(client *apiClient) *cobra.Command {
+	var token sessionToken
+	var interval time.Duration
+	cmd := &cobra.Command{
+		Use:   "keep ID",
+		Short: "Attach to a session and keep it alive until interrupted",
+		Args:  cobra.ExactArgs(1),
+		Long: "Attach to a session and tell the cluster again and again that somebody is there. How much that " +
+			"counts is up to\n" +
+			"the operators' policy (attached_s). It ends when the session is attached to from elsewhere or " +
+			"closed (exit 3).",
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return keepSession(client, &token, args[0], max(interval, minKeepAliveInterval), cmd.ErrOrStderr())
+		},
+	}
+	token.addFlag(cmd)
+	cmd.Flags().DurationVar(&interval, "every", 10*time.Second, "time between two signs of life, at least 1s")
+	return cmd
+}
+
+// keepSession attaches to a session and sends keep-alives until it is interrupted or one is refused.
+func keepSession(client *apiClient, token *sessionToken, id string, interval time.Duration, warnings io.Writer) error {
+	view, err := callSession(client, token, id, "attach", struct{}{})
+	if err != nil {
+		return err
+	}
+	interrupted, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer stop()
+	body := keepAlive{Attachment: view.Attachment}
+	for {
+		if view.Why != "" {
+			fmt.Fprintf(warnings, "%s: %s; reclaimed in %s\n", view.State, view.Why, formatSeconds(view.ReclaimS))
+		}
+		select {
+		case <-interrupted.Done():
+			return nil
+		case <-time.After(interval):
+		}
+		view, err = callSession(client, token, id, "keep", body)
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// sessionExplanation is why a session is or isn't to be reclaimed.
+type sessionExplanation struct {
+	ID  string   `json:"name_id"`
+	Why []string `json:"why"`
+}
+
+func sessionExplainCmd(client *apiClient) *cobra.Command {
+	return &cobra.Command{
+		Use:   "explain ID",
+		Short: "Say in plain words why a session is or isn't to be reclaimed, and when",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			path := sessionsPath + "/" + url.PathEscape(args[0]) + "/explain"
+			return callAndShow(client, cmd, request{method: http.MethodGet, path: path}, writeExplanation)
 		},
 	}
-	k.flag(c)
-	c.Flags().DurationVar(&every, "every", 10*time.Second, "time between two signs of life, at least 1s")
-	return c
 }
 
-// brief prints seconds as a duration.
-func brief(s float64) string {
-	return time.Duration(s * float64(time.Second)).Round(time.Second).String()
+func writeExplanation(table *tabwriter.Writer, explanation sessionExplanation) {
+	for _, reason := range explanation.Why {
+		fmt.Fprintln(table, reason)
+	}
 }
 
-func showSession(t *tabwriter.Writer, v sessions.View) {
-	fmt.Fprintf(t, "session\t%s\nuser\t%s\nteam\t%s\nstate\t%s for %s\n", v.ID, v.User, v.Team, v.State, brief(v.ForS))
-	if v.Why != "" {
-		fmt.Fprintf(t, "why\t%s\n", v.Why)
+func writeSession(table *tabwriter.Writer, view sessions.View) {
+	fmt.Fprintf(table, "session\t%s\nuser\t%s\nteam\t%s\n", view.ID, view.User, view.Team)
+	fmt.Fprintf(table, "state\t%s for %s\n", view.State, formatSeconds(view.ForS))
+	if view.Why != "" {
+		fmt.Fprintf(table, "why\t%s\n", view.Why)
 	}
-	if v.ReclaimS > 0 {
-		fmt.Fprintf(t, "reclaimed in\t%s\n", brief(v.ReclaimS))
+	if view.ReclaimS > 0 {
+		fmt.Fprintf(table, "reclaimed in\t%s\n", formatSeconds(view.ReclaimS))
 	}
-	if v.Saved != nil {
-		fmt.Fprintf(t, "saved\t%s\n", v.Saved.Ref)
+	if view.Saved != nil {
+		fmt.Fprintf(table, "saved\t%s\n", view.Saved.Ref)
 	}
 }
--- a/cmd/harewalk/session_world_test.go
+++ b/cmd/harewalk/session_test.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/capacity"
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/simulator"
 )
@@ -38,39 +37,30 @@
 	}, "kana")
 }
 
-func sessionWorld(t *testing.T, seed uint64, machines int) *simulator.Simulation {
+func newSessionSimulation(t *testing.T, seed uint64, machines int) *simulator.Simulation {
 	t.Helper()
 	sim, err := simulator.NewRealTime(simulator.Config{
-		Seed: seed, MaxMachines: machines, Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
-		Types: []capacity.MachineType{{Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10, Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"}}},
+		Seed: seed, MaxMachines: machines, Teams: redAndBlue(),
+		Types: []capacity.MachineType{{
+			Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10,
+			Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"},
+		}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		sim.Close()
-		for _, b := range sim.Violations() {
-			t.Error(b)
-		}
+		reportViolations(t, sim)
 	})
 	return sim
 }
 
-// until waits until something is so; the time is a bound for what hangs, no measurement.
-func until(t *testing.T, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: never", what)
-		}
-	}
-}
-
-func in(session *simulator.InteractiveSession, states ...string) func() bool {
+func inState(session *simulator.InteractiveSession, states ...string) func() bool {
 	return func() bool { return slices.Contains(states, session.View().State) }
 }
 
-func usable(session *simulator.InteractiveSession) func() bool {
+func isUsable(session *simulator.InteractiveSession) func() bool {
 	return func() bool { _, ok := session.Progress(); return ok }
 }
 
@@ -78,11 +68,11 @@
 // cell is ended, no step is lost, and the user who returns has the session back with all of them.
 func TestSessionsThroughKills(t *testing.T) {
 	states := []string{"warned", "saving"}
-	if long() {
+	if isLongRun() {
 		states = []string{"opening", "active", "quiet", "warned", "saving", "reclaimed"}
 	}
-	sim := sessionWorld(t, 11, 6)
-	c := cluster(t, sim, sessionPolicy)
+	sim := newSessionSimulation(t, 11, 6)
+	cluster := startCluster(t, sim, sessionPolicy)
 	for i, kill := range states {
 		session := notebook(sim, i+1, 1)
 		if status := session.Open(); status != 201 && status != 200 {
@@ -93,17 +83,17 @@
 			if state == kill && !killed {
 				killed = true
 				for k := range 3 {
-					c.Kill(k)
+					cluster.Kill(k)
 				}
 				for k := range 3 {
-					if err := c.Start(k); err != nil {
+					if err := cluster.Start(k); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
 		}
 		at("opening")
-		until(t, kill+": usable", usable(session))
+		waitUntil(t, kill+": usable", isUsable(session))
 		steps := 0
 		for range 5 {
 			if session.Input() {
@@ -113,18 +103,18 @@
 		if kill == "saving" {
 			session.SetSaveBehavior(false, time.Second) // so that there is time to be killed in
 		}
-		until(t, kill+": reclaimed", func() bool {
+		waitUntil(t, kill+": reclaimed", func() bool {
 			state := session.View().State
 			at(state)
 			return state == "reclaimed"
 		})
 		at("reclaimed")
-		until(t, kill+": stopped", func() bool { r, _ := session.Counts(); return r > 0 })
+		waitUntil(t, kill+": stopped", func() bool { r, _ := session.Counts(); return r > 0 })
 		status, v := session.Attach()
 		if status != 200 {
 			t.Fatalf("%s: attached with status %d", kill, status)
 		}
-		until(t, kill+": resumed", usable(session))
+		waitUntil(t, kill+": resumed", isUsable(session))
 		work, _ := session.Progress()
 		if work != steps || !killed {
 			t.Fatalf("%s: %d of %d steps are back, killed %v, attached to %+v", kill, work, steps, killed, v)
@@ -133,13 +123,13 @@
 			t.Fatalf("%s: closed with status %d", kill, status)
 		}
 	}
-	t.Logf("%d sessions, %d controllers killed", len(states), c.Killed)
+	t.Logf("%d sessions, %d controllers killed", len(states), cluster.Killed)
 }
 
 // The hard cases, each scripted, in one cluster at the same time.
 func TestSessionsHardCases(t *testing.T) {
-	sim := sessionWorld(t, 12, 8)
-	cluster(t, sim, sessionPolicy)
+	sim := newSessionSimulation(t, 12, 8)
+	startCluster(t, sim, sessionPolicy)
 	var wait sync.WaitGroup
 	script := func(n int, name string, f func(t *testing.T, session *simulator.InteractiveSession)) {
 		nb := notebook(sim, n, 1)
@@ -150,7 +140,7 @@
 		go func() {
 			defer wait.Done()
 			t.Run(name, func(t *testing.T) {
-				until(t, "used", nb.Input)
+				waitUntil(t, "used", nb.Input)
 				f(t, nb)
 			})
 		}()
@@ -164,49 +154,50 @@
 				t.Fatal("reclaimed while a cell runs")
 			}
 		}
-		until(t, "reclaimed after the cell", in(session, "reclaimed"))
+		waitUntil(t, "reclaimed after the cell", inState(session, "reclaimed"))
 	})
 	script(2, "the user returns before the save", func(t *testing.T, session *simulator.InteractiveSession) {
-		until(t, "warned", in(session, "warned"))
+		waitUntil(t, "warned", inState(session, "warned"))
 		if status, v := session.Attach(); status != 200 || v.State != "active" {
 			t.Fatalf("status %d, %+v", status, v)
 		}
-		until(t, "usable", usable(session))
+		waitUntil(t, "usable", isUsable(session))
 		if work, _ := session.Progress(); work != 1 {
 			t.Fatalf("%d steps", work)
 		}
 	})
 	script(3, "the user returns after the save was ordered", func(t *testing.T, session *simulator.InteractiveSession) {
 		session.SetSaveBehavior(false, 1500*time.Millisecond)
-		until(t, "saving", in(session, "saving"))
+		waitUntil(t, "saving", inState(session, "saving"))
 		if status, _ := session.Attach(); status != 200 {
 			t.Fatalf("status %d", status)
 		}
-		until(t, "usable", usable(session))
+		waitUntil(t, "usable", isUsable(session))
 		if work, _ := session.Progress(); work != 1 {
 			t.Fatalf("%d steps", work)
 		}
 	})
 	script(4, "the save fails", func(t *testing.T, session *simulator.InteractiveSession) {
 		session.SetSaveBehavior(true, 0)
-		until(t, "saving", in(session, "saving"))
-		until(t, "quiet again", in(session, "quiet", "active"))
+		waitUntil(t, "saving", inState(session, "saving"))
+		waitUntil(t, "quiet again", inState(session, "quiet", "active"))
 		if r, _ := session.Counts(); r > 0 {
 			t.Fatal("reclaimed although its save failed")
 		}
 		session.SetSaveBehavior(false, 0)
-		until(t, "reclaimed once saves work", in(session, "reclaimed"))
+		waitUntil(t, "reclaimed once saves work", inState(session, "reclaimed"))
 	})
 	script(5, "the save takes too long", func(t *testing.T, session *simulator.InteractiveSession) {
 		session.SetSaveBehavior(false, 30*time.Second)
-		until(t, "saving", in(session, "saving"))
-		until(t, "given up", in(session, "quiet", "active"))
-		until(t, "usable", usable(session))
+		waitUntil(t, "saving", inState(session, "saving"))
+		waitUntil(t, "given up", inState(session, "quiet", "active"))
+		waitUntil(t, "usable", isUsable(session))
 		if r, _ := session.Counts(); r > 0 {
 			t.Fatal("reclaimed without its save")
 		}
 	})
-	script(6, "two attaches at once, and a flood of keep-alives", func(t *testing.T, session *simulator.InteractiveSession) {
+	const attachesAndKeepAlives = "two attaches at once, and a flood of keep-alives"
+	script(6, attachesAndKeepAlives, func(t *testing.T, session *simulator.InteractiveSession) {
 		var ids [2]uint64
 		var both sync.WaitGroup
 		for i := range ids {
@@ -236,9 +227,9 @@
 		}
 	})
 	script(8, "spot notice while warned", func(t *testing.T, session *simulator.InteractiveSession) {
-		until(t, "warned", in(session, "warned"))
+		waitUntil(t, "warned", inState(session, "warned"))
 		session.ReclaimMachine(4 * time.Second) // or it was stopped already
-		until(t, "elsewhere", func() bool {
+		waitUntil(t, "elsewhere", func() bool {
 			if session.View().State == "reclaimed" {
 				session.Attach()
 			}
@@ -249,10 +240,10 @@
 	wait.Wait()
 }
 
-// A Friday evening: notebooks left open hold most of the machines when rehearsal models come. How
-// long those wait, with and without reclaim: a measurement.
-func TestFridayEvening(t *testing.T) {
-	if !long() {
+// Sessions left open hold most of the machines when a burst of jobs arrives. How long these wait, with and without
+// reclaim: a measurement.
+func TestStartDelaysBesideIdleSessions(t *testing.T) {
+	if !isLongRun() {
 		t.Skip("a measurement: set HAREWALK_LONG")
 	}
 	for _, reclaim := range []bool{false, true} {
@@ -260,8 +251,8 @@
 		if !reclaim {
 			policy = "sessions {\n policy \"default\" {\n idle = \"false\"\n wanted_s = -1\n }\n}\n"
 		}
-		sim := sessionWorld(t, 13, 4) // 32 cores
-		c := cluster(t, sim, policy)
+		sim := newSessionSimulation(t, 13, 4) // 32 cores
+		cluster := startCluster(t, sim, policy)
 		for i := range 24 {
 			session := notebook(sim, 1000+i, 1)
 			if status := session.Open(); status != 201 {
@@ -273,8 +264,9 @@
 		var waits []float64
 		for i := range 30 {
 			spec := &jobs.Spec{
-				ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard", Tasks: 1,
-				CPUs: 4, MemoryGB: 4, Image: "m", ImageGB: 1, EstimateS: 4,
+				ID: fmt.Sprintf("req-%06d", i+1), Class: "roster", Team: "blue", Kind: jobs.Gang, Priority: "standard",
+				Tasks: 1,
+				CPUs:  4, MemoryGB: 4, Image: "m", ImageGB: 1, EstimateS: 4,
 			}
 			if status := users.Submit(spec); status != 201 {
 				t.Fatalf("status %d", status)
@@ -288,17 +280,18 @@
 			waits = append(waits, duration.Seconds())
 		}
 		slices.Sort(waits)
-		t.Logf("reclaim %v: %d jobs of 4 cores on 32, 24 of them held by notebooks: time to start p50 %.1f s, p95 %.1f s", reclaim, len(waits),
-			waits[len(waits)/2], waits[len(waits)*95/100])
-		c.Close()
+		t.Logf("reclaim %v: %d jobs of 4 cores on 32, 24 of them held by notebooks: "+
+			"time to start p50 %.1f s, p95 %.1f s",
+			reclaim, len(waits), waits[len(waits)/2], waits[len(waits)*95/100])
+		cluster.Close()
 	}
 }
 
 // A user opens, finds, attaches to and closes a session with the command-line client, and learns
 // why it is or isn't reclaimed.
 func TestSessionCommands(t *testing.T) {
-	sim := sessionWorld(t, 14, 2)
-	cluster(t, sim, sessionPolicy)
+	sim := newSessionSimulation(t, 14, 2)
+	startCluster(t, sim, sessionPolicy)
 	session := notebook(sim, 1, 1) // its spec is known to the workers
 	raw, err := json.Marshal(session.Spec)
 	if err != nil {
@@ -311,7 +304,7 @@
 	}
 	run := func(want int, args ...string) string {
 		t.Helper()
-		out, code := command(t, append(append([]string{"session"}, args...), "--server", sim.UserAddr(2))...)
+		out, code := runCommand(t, append(append([]string{"session"}, args...), "--server", sim.UserAddr(2))...)
 		if code != want {
 			t.Fatalf("session %v: exit %d, want %d: %s", args, code, want, out)
 		}
@@ -322,7 +315,8 @@
 		Token string `json:"token"`
 		Agent string `json:"agent_token"`
 	}
-	if err := json.Unmarshal([]byte(run(0, "open", file, "--user", "mio", "-o", "json")), &opened); err != nil || opened.Token == "" || opened.Token == opened.Agent {
+	err = json.Unmarshal([]byte(run(0, "open", file, "--user", "mio", "-o", "json")), &opened)
+	if err != nil || opened.Token == "" || opened.Token == opened.Agent {
 		t.Fatalf("%+v, %v", opened, err)
 	}
 	token := filepath.Join(dir, "token")
--- a/cmd/harewalk/token.go
+++ b/cmd/harewalk/token.go
@@ -10,34 +10,50 @@
 )
 
 func tokenCmd() *cobra.Command {
+	cmd := &cobra.Command{Use: "token", Short: "Make tokens for users and operators"}
+	cmd.AddCommand(newTokenCmd())
+	return cmd
+}
+
+func newTokenCmd() *cobra.Command {
 	var teams []string
 	var operator bool
-	c := &cobra.Command{Use: "token", Short: "Make tokens for users and operators"}
-	n := &cobra.Command{
-		Use: "new NAME", Short: "Draw a token, and print it with its block for the users' file", Args: cobra.ExactArgs(1),
-		Long: "Draw a token. It is printed on the first line of standard output and nowhere else: give it to its user, who keeps it\n" +
-			"in a file for --token-file. The block that follows belongs into the users' file (users_file in the operators'\n" +
-			"settings), which holds the token's SHA-256 sum only. Controllers take a changed file over within seconds.",
-		Example: "  harewalk token new ada --team vision\n  harewalk token new night-shift --operator",
-		RunE: func(c *cobra.Command, args []string) error {
+	cmd := &cobra.Command{
+		Use:   "new NAME",
+		Short: "Draw a token, and print it with its block for the users' file",
+		Args:  cobra.ExactArgs(1),
+		Long: "Draw a token. It is printed on the first line of standard output and nowhere else: give it to " +
+			"its user, who keeps it\n" +
+			"in a file for --token-file. The block that follows belongs into the users' file (users_file in the " +
+			"operators'\n" +
+			"settings), which holds the token's SHA-256 sum only. Controllers take a changed file over within " +
+			"seconds.",
+		Example: "  harewalk token new ada --team vision\n" +
+			"  harewalk token new night-shift --operator",
+		RunE: func(cmd *cobra.Command, args []string) error {
 			token, sum, err := access.NewToken()
 			if err != nil {
-				return coded{exitFailed, err}
-			}
-			var b strings.Builder
-			fmt.Fprintf(&b, "%s\n\nuser %q {\n  tokens_sha256 = [%q]\n", token, args[0], sum)
-			if len(teams) > 0 {
-				fmt.Fprintf(&b, "  teams         = [\"%s\"]\n", strings.Join(teams, `", "`))
-			}
-			if operator {
-				fmt.Fprintf(&b, "  operator      = true\n")
+				return failure(err)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s}\n", b.String())
+			fmt.Fprintf(cmd.OutOrStdout(), "%s\n\n%s", token, userBlock(args[0], sum, teams, operator))
 			return nil
 		},
 	}
-	n.Flags().StringSliceVar(&teams, "team", nil, "teams for which the user may submit and cancel jobs")
-	n.Flags().BoolVar(&operator, "operator", false, "may give operators' commands, and act for every team")
-	c.AddCommand(n)
-	return c
+	cmd.Flags().StringSliceVar(&teams, "team", nil, "teams for which the user may submit and cancel jobs")
+	cmd.Flags().BoolVar(&operator, "operator", false, "may give operators' commands, and act for every team")
+	return cmd
+}
+
+// userBlock returns a user's block for the users' file.
+func userBlock(name, tokenSum string, teams []string, operator bool) string {
+	var block strings.Builder
+	fmt.Fprintf(&block, "user %q {\n  tokens_sha256 = [%q]\n", name, tokenSum)
+	if len(teams) > 0 {
+		fmt.Fprintf(&block, "  teams         = [\"%s\"]\n", strings.Join(teams, `", "`))
+	}
+	if operator {
+		block.WriteString("  operator      = true\n")
+	}
+	block.WriteString("}\n")
+	return block.String()
 }
