--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"math"
 	"math/rand/v2"
@@ -21,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-const small = `
+const smallScenario = `
 name       = "small"
 duration_s = 240
 machines   = 6
@@ -66,108 +67,172 @@
 }
 `
 
-// A scenario is played with the same loads in every configuration; all jobs come to an end, the same seed gives
-// the same figures, and fewer machines make the waits longer.
-func TestPlay(t *testing.T) {
-	s, err := Parse("small.hcl", []byte(small))
+// play plays the small scenario with two seeds.
+func play(t *testing.T) (*Scenario, *Result) {
+	t.Helper()
+	scenario, err := Parse("small.hcl", []byte(smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Repetitions = 2
-	var last float64
-	r, err := s.Run(0, func(done float64) { last = done }, nil)
+	scenario.Repetitions = 2
+	lastProgress := 0.0
+	result, err := scenario.Run(0, func(done float64) { lastProgress = done }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if last != 1 || len(r.Configs) != 2 || !r.Simulated {
-		t.Fatalf("progress ended at %v; %+v", last, r)
+	if lastProgress != 1 || len(result.Configs) != 2 || !result.Simulated {
+		t.Fatalf("progress ended at %v; %+v", lastProgress, result)
 	}
-	for _, c := range r.Configs {
-		if len(c.Broken) > 0 || c.Ends.Open+c.Ends.Refused > 0 || c.Ends.Cancelled == 0 || c.Ends.Done+c.Ends.Cancelled != c.Jobs || c.Jobs != r.Configs[0].Jobs {
-			t.Errorf("%s: %d jobs, %+v, broken %v", c.Name, c.Jobs, c.Ends, c.Broken)
+	return scenario, result
+}
+
+// A scenario is played with the same loads in every configuration, all jobs come to an end, and fewer machines make
+// the waits longer.
+func TestRunPlaysSameLoadsInEveryConfig(t *testing.T) {
+	_, result := play(t)
+	for _, config := range result.Configs {
+		ends := config.Ends
+		if len(config.Broken) > 0 || config.Jobs != result.Configs[0].Jobs {
+			t.Errorf("%s: %d jobs, broken %v", config.Name, config.Jobs, config.Broken)
+		}
+		if ends.Open+ends.Refused > 0 || ends.Cancelled == 0 || ends.Done+ends.Cancelled != config.Jobs {
+			t.Errorf("%s: %d jobs, %+v", config.Name, config.Jobs, ends)
 		}
-		if f := c.Faults[0]; f.NoStart < 1 || f.NoStart > 40 || c.UsedCPUs <= 0 || slices.Max(c.Used) > 1 || c.Cost <= 0 {
-			t.Errorf("%s: %+v, used %v, cost %v", c.Name, f, c.UsedCPUs, c.Cost)
+		if fault := config.Faults[0]; fault.NoStart < 1 || fault.NoStart > 40 {
+			t.Errorf("%s: %+v", config.Name, fault)
+		}
+		if config.UsedCPUs <= 0 || slices.Max(config.Used) > 1 || config.Cost <= 0 {
+			t.Errorf("%s: used %v, cost %v", config.Name, config.UsedCPUs, config.Cost)
 		}
 	}
-	if a, b := r.Configs[0], r.Configs[1]; a.Loads[0].Wait.P90 >= b.Loads[0].Wait.P90 || slices.Max(b.Machines) > 3 {
-		t.Errorf("half the machines wait %v, all %v; up to %v machines", b.Loads[0].Wait, a.Loads[0].Wait, slices.Max(b.Machines))
+	all, half := result.Configs[0], result.Configs[1]
+	if all.Loads[0].Wait.P90 >= half.Loads[0].Wait.P90 || slices.Max(half.Machines) > 3 {
+		t.Errorf("half the machines wait %v, all %v; up to %v machines",
+			half.Loads[0].Wait, all.Loads[0].Wait, slices.Max(half.Machines))
 	}
-	again, err := s.Run(1, nil, nil)
+}
+
+// The same seeds give the same figures, one run at a time or several.
+func TestRunIsReproducible(t *testing.T) {
+	scenario, result := play(t)
+	again, err := scenario.Run(1, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, _ := json.Marshal(r)
-	y, _ := json.Marshal(again)
-	if !bytes.Equal(x, y) {
-		t.Errorf("the same seeds gave\n%s\n%s", x, y)
+	first, _ := json.Marshal(result)
+	second, _ := json.Marshal(again)
+	if !bytes.Equal(first, second) {
+		t.Errorf("the same seeds gave\n%s\n%s", first, second)
 	}
+}
+
+// The report has a plot of machines, of cores and of each load's waits, with a line for each configuration, and needs
+// no other files.
+func TestReportHasPlots(t *testing.T) {
+	_, result := play(t)
 	var page bytes.Buffer
-	if err := r.WriteHTML(&page); err != nil {
+	if err := result.WriteHTML(&page); err != nil {
 		t.Fatal(err)
 	}
-	if h := page.String(); strings.Count(h, "<svg") != 4 || strings.Count(h, "<polyline") != 8 || strings.Contains(h, "src=") || !strings.Contains(h, "half the machines") {
-		t.Errorf("the report has %d plots, %d lines", strings.Count(h, "<svg"), strings.Count(h, "<polyline"))
+	html := page.String()
+	plots, lines := strings.Count(html, "<svg"), strings.Count(html, "<polyline")
+	if plots != 4 || lines != 8 {
+		t.Errorf("the report has %d plots, %d lines", plots, lines)
+	}
+	if strings.Contains(html, "src=") || !strings.Contains(html, "half the machines") {
+		t.Error("the report needs other files, or lacks a configuration")
 	}
 }
 
-// What is drawn has the quantiles that were asked for.
-func TestDistributions(t *testing.T) {
-	for _, c := range []struct {
-		d        Dist
-		p50, p95 float64
+// Drawn values have the quantiles of their distribution.
+func TestDistributionQuantiles(t *testing.T) {
+	for _, test := range []struct {
+		distribution Distribution
+		p50, p95     float64
 	}{
-		{Dist{Kind: "fixed", Value: 7}, 7, 7},
-		{Dist{Kind: "uniform", Low: 10, High: 30}, 20, 29},
-		{Dist{Kind: "exponential", Median: 10}, 10, 43.2},
-		{Dist{Kind: "lognormal", Median: 20, P95: 90}, 20, 90},
-		{Dist{Kind: "pareto", Low: 1, Shape: 2}, 1.414, 4.47},
+		{Distribution{Kind: "fixed", Value: 7}, 7, 7},
+		{Distribution{Kind: "uniform", Low: 10, High: 30}, 20, 29},
+		{Distribution{Kind: "exponential", Median: 10}, 10, 43.2},
+		{Distribution{Kind: "lognormal", Median: 20, P95: 90}, 20, 90},
+		{Distribution{Kind: "pareto", Low: 1, Shape: 2}, 1.414, 4.47},
 	} {
-		f, err := c.d.draw(rand.NewPCG(1, 2))
+		draw, err := test.distribution.sampler(rand.NewPCG(1, 2))
 		if err != nil {
 			t.Fatal(err)
 		}
-		var vs []float64
+		var values []float64
 		for range 20_000 {
-			vs = append(vs, f())
+			values = append(values, draw())
 		}
-		slices.Sort(vs)
-		if p50, p95 := vs[10_000], vs[19_000]; math.Abs(p50/c.p50-1) > 0.05 || math.Abs(p95/c.p95-1) > 0.05 {
-			t.Errorf("%+v: median %.2f, 95%% quantile %.2f", c.d, p50, p95)
+		slices.Sort(values)
+		p50, p95 := values[10_000], values[19_000]
+		if math.Abs(p50/test.p50-1) > 0.05 || math.Abs(p95/test.p95-1) > 0.05 {
+			t.Errorf("%+v: median %.2f, 95%% quantile %.2f", test.distribution, p50, p95)
 		}
 	}
 }
 
-// The sum over runs: quantiles, and how a fault was recovered from, counted by hand.
-func TestSums(t *testing.T) {
-	s := &Scenario{Name: "x", DurationS: 300, Repetitions: 1, Loads: []Load{{Name: "l"}}, Faults: []Fault{{AtS: 100, Do: "f"}}, Configs: []Config{{Name: "c"}}}
-	sec := func(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
-	r := &run{end: sec(300), starts: []time.Duration{sec(50), sec(99), sec(103), sec(110), sec(112), sec(170)}}
+// seconds is a time as the summary's cases write it.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// summaryCase is a run of 300 s with a fault at 100 s: ten jobs that started after 1 to 10 s, and requests from 100 s
+// to 129 s of which the first four seconds' are served in part only.
+func summaryCase() (*Scenario, *run) {
+	scenario := &Scenario{
+		Name:        "x",
+		DurationS:   300,
+		Repetitions: 1,
+		Loads:       []Load{{Name: "l"}},
+		Faults:      []Fault{{AtS: 100, Do: "f"}},
+		Configs:     []Config{{Name: "c"}},
+	}
+	observed := &run{end: seconds(300)}
+	for _, atS := range []float64{50, 99, 103, 110, 112, 170} {
+		observed.starts = append(observed.starts, seconds(atS))
+	}
 	for i := range 61 {
-		r.starts = append(r.starts, sec(112+float64(i)*0.8))
+		observed.starts = append(observed.starts, seconds(112+float64(i)*0.8))
 	}
-	slices.Sort(r.starts)
+	slices.Sort(observed.starts)
 	for i := range 10 {
-		r.users = append(r.users, &user{started: sec(float64(i + 1)), hasStarted: true, accepted: sec(0.01), over: sec(20), heard: simulator.History{Final: "done"}})
-		for at := 100; at < 130; at++ {
-			r.answers = append(r.answers, answered{sec(float64(at)), at >= 104 || i < 5 || at == 101})
+		observed.users = append(observed.users, &user{
+			startDelay:  seconds(float64(i + 1)),
+			hasStarted:  true,
+			acceptDelay: seconds(0.01),
+			endDelay:    seconds(20),
+			history:     simulator.History{Final: "done"},
+		})
+		for atS := 100; atS < 130; atS++ {
+			isServed := atS >= 104 || i < 5 || atS == 101
+			observed.requests = append(observed.requests, request{seconds(float64(atS)), isServed})
 		}
 	}
 	for range samples {
-		r.pictures = append(r.pictures, simulator.Utilization{CPUs: 10, UsedCPUs: 5})
+		observed.utilization = append(observed.utilization, simulator.Utilization{CPUs: 10, UsedCPUs: 5})
 	}
-	c := s.sum([][]*run{{r}}).Configs[0]
-	if f := c.Faults[0]; f.NoStart != 7 || f.Unserved != 4 {
-		t.Errorf("%+v", f)
+	return scenario, observed
+}
+
+// Quantiles, and how a fault was recovered from, are as counted by hand.
+func TestSummaryOfOneRun(t *testing.T) {
+	scenario, observed := summaryCase()
+	config := scenario.summarize([][]*run{{observed}}).Configs[0]
+	if fault := config.Faults[0]; fault.NoStart != 7 || fault.Unserved != 4 {
+		t.Errorf("%+v", fault)
 	}
-	if w := c.Loads[0].Wait; w.N != 10 || math.Abs(w.P50-5) > 0.02 || math.Abs(w.P90-9) > 0.02 || math.Abs(w.Max-10) > 0.02 || c.Ends.Done != 10 {
-		t.Errorf("%+v, %+v", w, c.Ends)
+	wait := config.Loads[0].Wait
+	isNear := func(value, want float64) bool { return math.Abs(value-want) <= 0.02 }
+	if wait.N != 10 || !isNear(wait.P50, 5) || !isNear(wait.P90, 9) || !isNear(wait.Max, 10) {
+		t.Errorf("%+v", wait)
+	}
+	if config.Ends.Done != 10 {
+		t.Errorf("%+v", config.Ends)
 	}
 }
 
-// A mistake is named with its place.
-func TestMistakes(t *testing.T) {
-	for was, want := range map[string][2]string{
+// An error in a scenario names its place.
+func TestParseErrorNamesItsPlace(t *testing.T) {
+	for valid, test := range map[string]struct{ invalid, wantText string }{
 		`machines   = 6`:            {`machines = 0`, "Machines"},
 		`per_minute = 10`:           {`per_minute = "many"`, "small.hcl:17"},
 		`tasks "fixed" { value = 2`: {`tasks "fixed" { value = 0`, `load "licensed", tasks`},
@@ -176,23 +241,34 @@
 		`machines = 3`:              {`operators = 3`, "Unsupported argument"},
 		"count = 3":                 {"count = -1", "one"},
 	} {
-		if _, err := Parse("small.hcl", []byte(strings.Replace(small, was, want[0], 1))); err == nil || !strings.Contains(err.Error(), want[1]) {
-			t.Errorf("%s: error %v does not name %q", want[0], err, want[1])
+		text := strings.Replace(smallScenario, valid, test.invalid, 1)
+		if _, err := Parse("small.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), test.wantText) {
+			t.Errorf("%s: error %v does not name %q", test.invalid, err, test.wantText)
 		}
 	}
 }
 
+// A setting that breaks its rule is a SettingError.
+func TestParseReturnsSettingError(t *testing.T) {
+	text := strings.Replace(smallScenario, "machines   = 6", "machines = 0", 1)
+	_, err := Parse("small.hcl", []byte(text))
+	var setting *SettingError
+	if !errors.As(err, &setting) || setting.Setting != "Machines" || setting.File != "small.hcl" {
+		t.Errorf("%v", err)
+	}
+}
+
 // The scenarios that come with the project can be read.
-func TestScenariosHere(t *testing.T) {
+func TestPublishedScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "lab", "*.hcl"))
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	for _, f := range files {
-		if filepath.Base(f) == "scale.hcl" {
+	for _, file := range files {
+		if filepath.Base(file) == "scale.hcl" {
 			continue // a plan of sizes, which package scale reads in a test of its own
 		}
-		if _, err := Read(f); err != nil {
+		if _, err := Read(file); err != nil {
 			t.Error(err)
 		}
 	}
--- /dev/null
+++ b/internal/lab/parse.go
@@ -0,0 +1,136 @@
+package lab
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsimple"
+	"github.com/zclconf/go-cty/cty"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/simulator"
+)
+
+// LicenceServer is the address of the simulated licence server: ${licence_server} in a scenario.
+const LicenceServer = "licences:80"
+
+// Read reads a scenario from a file. Its errors are those of Parse and of reading the file.
+func Read(path string) (*Scenario, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	return Parse(path, raw)
+}
+
+// Parse reads a scenario. Its errors name the file with the setting, or with line and column.
+func Parse(file string, raw []byte) (*Scenario, error) {
+	scenario := &Scenario{DrainS: 600, Repetitions: 1, Seed: 1, Controllers: 3}
+	variables := map[string]cty.Value{"licence_server": cty.StringVal(LicenceServer)}
+	if err := hclsimple.Decode(file, raw, &hcl.EvalContext{Variables: variables}, scenario); err != nil {
+		return nil, err
+	}
+	if err := Validate(file, scenario); err != nil {
+		return nil, err
+	}
+	if len(scenario.Configs) == 0 {
+		scenario.Configs = []Config{{Name: "as it is"}}
+	}
+	if len(scenario.Zones) == 0 {
+		scenario.Zones = []string{"a", "b"}
+	}
+	if err := scenario.check(); err != nil {
+		return nil, fmt.Errorf("%s: %w", file, err)
+	}
+	return scenario, nil
+}
+
+// check checks what depends on more than one setting.
+func (s *Scenario) check() error {
+	if err := s.checkLoads(); err != nil {
+		return err
+	}
+	if _, err := s.script(); err != nil {
+		return err
+	}
+	return s.checkConfigs()
+}
+
+func (s *Scenario) checkLoads() error {
+	teams := map[string]bool{}
+	for _, team := range s.Teams {
+		teams[team.Name] = true
+	}
+	seen := map[string]bool{}
+	for i := range s.Loads {
+		load := &s.Loads[i]
+		if !teams[load.Team] {
+			return fmt.Errorf("load %q: there is no team %q", load.Name, load.Team)
+		}
+		if seen[load.Name] {
+			return fmt.Errorf("load %q: there are two", load.Name)
+		}
+		seen[load.Name] = true
+		if err := load.check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// check checks a load's distributions, and that the service would accept its jobs.
+func (l *Load) check() error {
+	if _, err := l.Tasks.sampler(nil); err != nil {
+		return fmt.Errorf("load %q, tasks: %w", l.Name, err)
+	}
+	if _, err := l.Seconds.sampler(nil); err != nil {
+		return fmt.Errorf("load %q, seconds: %w", l.Name, err)
+	}
+	raw, err := json.Marshal(l.spec("req-000001", 1, 1))
+	if err != nil {
+		return fmt.Errorf("load %q: %w", l.Name, err)
+	}
+	if _, err := jobs.ParseSpec(raw); err != nil {
+		return fmt.Errorf("load %q: %w", l.Name, err)
+	}
+	return nil
+}
+
+func (s *Scenario) checkConfigs() error {
+	seen := map[string]bool{}
+	for _, config := range s.Configs {
+		if seen[config.Name] {
+			return fmt.Errorf("config %q: there are two", config.Name)
+		}
+		seen[config.Name] = true
+		if err := s.checkOperatorSettings(config); err != nil {
+			return fmt.Errorf("config %q: %w", config.Name, err)
+		}
+	}
+	return nil
+}
+
+// checkOperatorSettings loads a configuration's operators' settings into controllers that are never run.
+func (s *Scenario) checkOperatorSettings(config Config) error {
+	if config.Operator == "" {
+		return nil
+	}
+	_, err := simulator.NewVirtualTime(s.simulation(config, 1), config.adjust)
+	return err
+}
+
+// script returns the faults by their times.
+func (s *Scenario) script() ([]simulator.Fault, error) {
+	var lines strings.Builder
+	for _, fault := range s.Faults {
+		fmt.Fprintf(&lines, "%s %s\n", jobs.Seconds(fault.AtS), fault.Do)
+	}
+	script, err := simulator.ParseScript(strings.NewReader(lines.String()))
+	if err != nil {
+		return nil, fmt.Errorf("faults, %w", err)
+	}
+	return script, nil
+}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,177 +1,109 @@
 package lab
 
 import (
-	"bytes"
 	_ "embed"
 	"fmt"
 	"html/template"
 	"io"
 	"math"
-	"time"
 
-	svg "github.com/ajstarks/svgo"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 //go:embed report.html
-var page string
+var reportTemplate string
 
-// colours tell configurations apart.
-var colours = []string{"#2563a8", "#c4571b", "#2f8a4c", "#8a3fa0", "#a08a1b", "#4c5a6b"}
-
-func colour(i int) string { return colours[i%len(colours)] }
+// Waits are plotted over the logarithm of time, from minPlottedS on.
+const (
+	minPlottedS      = 0.01
+	minPlottedLog    = -2 // log10 of minPlottedS
+	plottedQuantiles = 0.5
+)
 
-// brief says a time in seconds as people do.
-func brief(s float64) string {
-	duration := time.Duration(s * float64(time.Second))
-	switch {
-	case s < 10:
-		return fmt.Sprintf("%.2f s", s)
-	case s < 120:
-		return fmt.Sprintf("%.0f s", s)
-	case s < 7200:
-		return fmt.Sprintf("%.0f min", duration.Minutes())
-	}
-	return fmt.Sprintf("%.1f h", duration.Hours())
+// reportPage is what the template shows.
+type reportPage struct {
+	Result   *Result
+	Used     template.HTML
+	Machines template.HTML
+	Loads    []reportLoad
 }
 
-// loadPage is what the page shows of one load.
-type loadPage struct {
+// reportLoad is what the page shows of one load.
+type reportLoad struct {
 	Name  string
 	Waits template.HTML
-	Rows  []loadRow
+	Rows  []reportRow
 }
 
-type loadRow struct {
+type reportRow struct {
 	Config string
 	LoadResult
 }
 
-// WriteHTML writes a page that needs nothing else to be seen.
+// WriteHTML writes a page with plots that needs no other files.
 func (r *Result) WriteHTML(out io.Writer) error {
-	t, err := template.New("page").Funcs(template.FuncMap{
-		"colour": colour, "seconds": brief,
-		"percent": func(f float64) string { return fmt.Sprintf("%.1f %%", 100*f) },
-	}).Parse(page)
+	functions := template.FuncMap{"colour": lineColour, "seconds": formatSeconds, "percent": formatTenthsOfPercent}
+	parsed, err := template.New("page").Funcs(functions).Parse(reportTemplate)
 	if err != nil {
 		return err
 	}
-	p := plot{xs: r.DurationS, x: brief, y: func(v float64) string { return fmt.Sprintf("%.0f %%", 100*v) }, ys: 1}
-	m := plot{xs: r.DurationS, x: brief, y: func(v float64) string { return fmt.Sprintf("%.0f", v) }}
-	for _, c := range r.Configs {
-		p.lines = append(p.lines, evenly(c.Used, r.DurationS))
-		m.lines = append(m.lines, evenly(c.Machines, r.DurationS))
+	used := plot{endX: r.DurationS, formatX: formatSeconds, formatY: formatPercent, endY: 1}
+	machines := plot{endX: r.DurationS, formatX: formatSeconds, formatY: formatWhole}
+	for _, config := range r.Configs {
+		used.lines = append(used.lines, evenly(config.Used, r.DurationS))
+		machines.lines = append(machines.lines, evenly(config.Machines, r.DurationS))
 	}
-	var loads []loadPage
+	var loads []reportLoad
 	if len(r.Configs) > 0 {
-		for i, l := range r.Configs[0].Loads {
-			loads = append(loads, r.loadPage(i, l.Name))
+		for i, load := range r.Configs[0].Loads {
+			loads = append(loads, r.reportLoad(i, load.Name))
 		}
 	}
-	return t.Execute(out, map[string]any{"R": r, "Used": p.draw(), "Machines": m.draw(), "Loads": loads})
+	return parsed.Execute(out, reportPage{Result: r, Used: used.svg(), Machines: machines.svg(), Loads: loads})
 }
 
-// loadPage shows the waits of one load in all configurations: by the logarithm of time.
-func (r *Result) loadPage(i int, name string) loadPage {
-	l := loadPage{Name: name}
-	w := plot{x: func(v float64) string { return brief(math.Pow(10, v)) }, y: func(v float64) string { return fmt.Sprintf("%.0f %%", 100*v) }, ys: 1, x0: -2}
-	for _, c := range r.Configs {
-		l.Rows = append(l.Rows, loadRow{c.Name, c.Loads[i]})
-		var line []point
-		for q := 0.5; q <= 100; q += 0.5 {
-			if c.waits[i].TotalCount() > 0 {
-				x := math.Log10(max(0.01, float64(c.waits[i].ValueAtQuantile(q))/1000))
-				w.xs = max(w.xs, x)
-				line = append(line, point{x, q / 100})
+// reportLoad returns one load's rows and the plot of its waits in all configurations.
+func (r *Result) reportLoad(index int, name string) reportLoad {
+	load := reportLoad{Name: name}
+	waits := plot{formatX: formatLogSeconds, formatY: formatPercent, endY: 1, startX: minPlottedLog}
+	for _, config := range r.Configs {
+		load.Rows = append(load.Rows, reportRow{config.Name, config.Loads[index]})
+		var line []Point
+		histogram := config.waits[index]
+		for percent := plottedQuantiles; percent <= 100; percent += plottedQuantiles {
+			if histogram.TotalCount() == 0 {
+				break
 			}
+			waitS := float64(histogram.ValueAtQuantile(percent)) / millisOfASecond
+			x := math.Log10(max(minPlottedS, waitS))
+			waits.endX = max(waits.endX, x)
+			line = append(line, Point{x, percent / 100})
 		}
-		w.lines = append(w.lines, line)
+		waits.lines = append(waits.lines, line)
 	}
-	l.Waits = w.draw()
-	return l
+	load.Waits = waits.svg()
+	return load
 }
 
-type point struct{ x, y float64 }
-
-// evenly spreads values over a time.
-func evenly(vs []float64, over float64) (line []point) {
-	for i, v := range vs {
-		line = append(line, point{over * float64(i+1) / float64(len(vs)), v})
+// formatSeconds formats a time in seconds, with a unit by its length.
+func formatSeconds(seconds float64) string {
+	duration := jobs.Seconds(seconds)
+	switch {
+	case seconds < 10:
+		return fmt.Sprintf("%.2f s", seconds)
+	case seconds < 120:
+		return fmt.Sprintf("%.0f s", seconds)
+	case seconds < 7200:
+		return fmt.Sprintf("%.0f min", duration.Minutes())
 	}
-	return line
+	return fmt.Sprintf("%.1f h", duration.Hours())
 }
 
-// plot is a diagram with one line for each configuration; xs and ys are where its axes end, 0 for ys:
-// at the highest value.
-type plot struct {
-	lines      [][]point
-	x0, xs, ys float64
-	x, y       func(float64) string
-}
+// formatLogSeconds formats a time by the logarithm of its seconds.
+func formatLogSeconds(exponent float64) string { return formatSeconds(math.Pow(10, exponent)) }
 
-// Size of a plot, and of its margin.
-const (
-	plotW, plotH = 900, 260
-	edge         = 56
-)
+func formatPercent(share float64) string { return fmt.Sprintf("%.0f %%", 100*share) }
 
-// draw makes the plot as SVG.
-func (p plot) draw() template.HTML {
-	if p.ys == 0 {
-		for _, l := range p.lines {
-			for _, q := range l {
-				p.ys = max(p.ys, q.y)
-			}
-		}
-		p.ys = max(1, math.Ceil(p.ys*1.05))
-	}
-	if p.xs <= p.x0 {
-		p.xs = p.x0 + 1
-	}
-	at := func(q point) (int, int) {
-		return edge + int((q.x-p.x0)/(p.xs-p.x0)*(plotW-2*edge)), plotH - edge/2 - int(q.y/p.ys*(plotH-edge))
-	}
-	var b bytes.Buffer
-	c := svg.New(&b)
-	c.Startview(plotW, plotH, 0, 0, plotW, plotH)
-	for i := range 5 {
-		part := float64(i) / 4
-		x, y := at(point{p.x0 + part*(p.xs-p.x0), part * p.ys})
-		c.Line(edge, y, plotW-edge, y, "stroke:#d8dee6")
-		c.Text(edge-6, y+4, p.y(part*p.ys), "font:11px sans-serif;text-anchor:end;fill:#5a6675")
-		c.Text(x, plotH-6, p.x(p.x0+part*(p.xs-p.x0)), "font:11px sans-serif;text-anchor:middle;fill:#5a6675")
-	}
-	for i, l := range p.lines {
-		var xs, ys []int
-		for _, q := range l {
-			x, y := at(q)
-			xs, ys = append(xs, x), append(ys, y)
-		}
-		if len(xs) > 0 {
-			c.Polyline(xs, ys, "fill:none;stroke-width:1.6;stroke:"+colour(i))
-		}
-	}
-	c.End()
-	// What it wrote first is for files of their own.
-	_, body, _ := bytes.Cut(b.Bytes(), []byte("<svg"))
-	return template.HTML("<svg" + string(body))
-}
-
-// Point is a point of a curve.
-type Point struct{ X, Y float64 }
-
-// Curves draws lines in one plot as SVG, with labels for the values on both axes; both begin at 0.
-func Curves(lines [][]Point, x, y func(float64) string) template.HTML {
-	p := plot{x: x, y: y}
-	for _, l := range lines {
-		var line []point
-		for _, q := range l {
-			p.xs, p.ys = max(p.xs, q.X), max(p.ys, q.Y*plotRoom)
-			line = append(line, point{q.X, q.Y})
-		}
-		p.lines = append(p.lines, line)
-	}
-	return p.draw()
-}
+func formatTenthsOfPercent(share float64) string { return fmt.Sprintf("%.1f %%", 100*share) }
 
-// plotRoom is by how much a plot is higher than its highest value.
-const plotRoom = 1.05
+func formatWhole(value float64) string { return fmt.Sprintf("%.0f", value) }
--- /dev/null
+++ b/internal/lab/summary.go
@@ -0,0 +1,247 @@
+package lab
+
+import (
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+const (
+	// maxRecordedTime bounds the times of a histogram, which holds them in milliseconds.
+	maxRecordedTime    = 14 * 24 * time.Hour
+	histogramDigits    = 3
+	millisOfASecond    = 1000
+	jobDone            = "done"
+	defaultRecovery    = time.Minute // how long after a fault its effect is measured
+	maxUnservedPercent = 10          // of the requests of a second in which the service counts as recovered
+)
+
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecordedTime.Milliseconds(), histogramDigits)
+}
+
+// record adds a time, within the bounds of the histogram.
+func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
+	_ = histogram.RecordValue(min(max(1, duration.Milliseconds()), histogram.HighestTrackableValue()))
+}
+
+func quantiles(histogram *hdrhistogram.Histogram) Quantiles {
+	if histogram.TotalCount() == 0 {
+		return Quantiles{}
+	}
+	seconds := func(millis int64) float64 { return float64(millis) / millisOfASecond }
+	return Quantiles{
+		N:   histogram.TotalCount(),
+		P50: seconds(histogram.ValueAtQuantile(50)),
+		P90: seconds(histogram.ValueAtQuantile(90)),
+		P99: seconds(histogram.ValueAtQuantile(99)),
+		Max: seconds(histogram.Max()),
+	}
+}
+
+// summarize summarizes runs, which are ordered by configuration and repetition.
+func (s *Scenario) summarize(runs [][]*run) *Result {
+	result := &Result{Scenario: s.Name, Simulated: true, DurationS: s.DurationS, Repetitions: s.Repetitions}
+	for repetition := range s.Repetitions {
+		result.Seeds = append(result.Seeds, s.Seed+uint64(repetition))
+	}
+	for config, repetitions := range runs {
+		result.Configs = append(result.Configs, s.summarizeConfig(s.Configs[config].Name, repetitions))
+	}
+	return result
+}
+
+// loadTimes are the times of the jobs of one load.
+type loadTimes struct {
+	accept *hdrhistogram.Histogram
+	wait   *hdrhistogram.Histogram
+	over   *hdrhistogram.Histogram
+}
+
+// configSummary builds the result of a configuration from its runs.
+type configSummary struct {
+	ConfigResult
+	runCount float64
+	times    []loadTimes // by load
+	requests int
+	served   int
+}
+
+func (s *Scenario) summarizeConfig(name string, runs []*run) ConfigResult {
+	summary := configSummary{
+		ConfigResult: ConfigResult{
+			Name:     name,
+			Broken:   []string{},
+			Used:     make([]float64, samples),
+			Machines: make([]float64, samples),
+		},
+		runCount: float64(len(runs)),
+	}
+	for _, load := range s.Loads {
+		summary.times = append(summary.times, loadTimes{newHistogram(), newHistogram(), newHistogram()})
+		summary.Loads = append(summary.Loads, LoadResult{Name: load.Name})
+	}
+	for _, run := range runs {
+		summary.addRun(run)
+	}
+	summary.finish()
+	for _, fault := range s.Faults {
+		summary.Faults = append(summary.Faults, summarizeFault(fault, runs))
+	}
+	return summary.ConfigResult
+}
+
+func (c *configSummary) addRun(run *run) {
+	waits := newHistogram()
+	for _, user := range run.users {
+		c.addUser(user)
+		if user.hasStarted {
+			record(waits, user.startDelay)
+		}
+	}
+	for _, request := range run.requests {
+		c.requests++
+		if request.served {
+			c.served++
+		}
+	}
+	for i, sample := range run.utilization {
+		if sample.CPUs > 0 {
+			used := sample.UsedCPUs / sample.CPUs / c.runCount
+			c.Used[i] += used
+			c.UsedCPUs += used / samples
+		}
+		c.Machines[i] += float64(sample.Machines) / c.runCount
+	}
+	cost := run.utilization[len(run.utilization)-1].Cost
+	c.Jobs += len(run.users)
+	c.Starts += run.stats.TaskStarts
+	c.Cost += cost / c.runCount
+	c.Broken = append(c.Broken, run.broken...)
+	c.Runs = append(c.Runs, RunResult{
+		Seed:    run.seed,
+		Jobs:    len(run.users),
+		WaitP90: quantiles(waits).P90,
+		Cost:    cost,
+		Broken:  len(run.broken),
+	})
+}
+
+func (c *configSummary) addUser(user *user) {
+	c.Loads[user.load].Jobs++
+	times := c.times[user.load]
+	if user.acceptDelay > 0 {
+		record(times.accept, user.acceptDelay)
+	}
+	if user.hasStarted {
+		record(times.wait, user.startDelay)
+	}
+	switch {
+	case user.isRefused:
+		c.Ends.Refused++
+	case user.history.Final == jobDone:
+		c.Ends.Done++
+		record(times.over, user.endDelay)
+	case user.history.Final == jobCancelled:
+		c.Ends.Cancelled++
+	default:
+		c.Ends.Open++
+	}
+}
+
+// finish computes what depends on all runs.
+func (c *configSummary) finish() {
+	if c.requests > 0 {
+		c.Served = float64(c.served) / float64(c.requests)
+	}
+	for i, times := range c.times {
+		load := &c.Loads[i]
+		load.Accept = quantiles(times.accept)
+		load.Wait = quantiles(times.wait)
+		load.Over = quantiles(times.over)
+		c.waits = append(c.waits, times.wait)
+	}
+}
+
+// period is a time of a run, from its beginning up to its end, which is not in it.
+type period struct{ from, to time.Duration }
+
+func (p period) contains(at time.Duration) bool { return at >= p.from && at < p.to }
+
+// count returns how many of the times are in the period.
+func (p period) count(times []time.Duration) float64 {
+	count := 0.0
+	for _, at := range times {
+		if p.contains(at) {
+			count++
+		}
+	}
+	return count
+}
+
+func summarizeFault(fault Fault, runs []*run) FaultResult {
+	result := FaultResult{AtS: fault.AtS, Do: fault.Do}
+	length := defaultRecovery
+	if fault.ForS > 0 {
+		length = jobs.Seconds(fault.ForS)
+	}
+	at := jobs.Seconds(fault.AtS)
+	before := period{at - length, at}
+	during := period{at, at + length}
+	after := period{at + length, at + 2*length}
+	runCount := float64(len(runs))
+	allSeconds := length.Seconds() * runCount
+	for _, run := range runs {
+		result.Before += before.count(run.starts) / allSeconds
+		result.During += during.count(run.starts) / allSeconds
+		result.After += after.count(run.starts) / allSeconds
+		result.Leads += during.count(run.leaderChanges) / runCount
+		noStart := run.longestStartGap(during).Seconds()
+		result.NoStart += noStart / runCount
+		result.NoStartMost = max(result.NoStartMost, noStart)
+		unserved := float64(run.unservedSeconds(during))
+		result.Unserved += unserved / runCount
+		result.UnservedMost = max(result.UnservedMost, unserved)
+	}
+	return result
+}
+
+// longestStartGap returns the longest time without a task start in a period, or in what the run has of it.
+func (r *run) longestStartGap(within period) time.Duration {
+	longest := time.Duration(0)
+	last := within.from
+	for _, start := range r.starts {
+		if start >= within.from && start <= within.to {
+			longest = max(longest, start-last)
+			last = start
+		}
+	}
+	return max(longest, min(r.end, within.to)-last)
+}
+
+// unservedSeconds returns how many seconds after the beginning of a period more than a tenth of the requests of a
+// second were not served for the last time.
+func (r *run) unservedSeconds(within period) int {
+	seconds := int((within.to-within.from)/time.Second) + 1
+	all := make([]int, seconds)
+	unserved := make([]int, seconds)
+	for _, request := range r.requests {
+		if !within.contains(request.at) {
+			continue
+		}
+		second := int((request.at - within.from) / time.Second)
+		all[second]++
+		if !request.served {
+			unserved[second]++
+		}
+	}
+	last := 0
+	for second := range all {
+		if 100*unserved[second] > maxUnservedPercent*all[second] {
+			last = second + 1
+		}
+	}
+	return last
+}
