--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -163,8 +163,7 @@
 		return fmt.Errorf("--out: %w", err)
 	}
 	writeMarkdown := func(out io.Writer) error {
-		result.WriteMarkdown(out, plannedSizes())
-		return nil
+		return result.WriteMarkdown(out, plannedSizes())
 	}
 	files := []struct {
 		name  string
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -8,125 +8,84 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// Metric is something that was measured, and what it is said to depend on: a straight line in each of those.
-type Metric struct {
-	Name       string   `json:"name"`
-	Role       string   `json:"role"`
-	Unit       string   `json:"unit"`
-	Predictors []string `json:"predictors"`
-}
-
-// Names of what metrics depend on. A task is reported with each report of its machine.
-const (
-	byMachines = "machines"
-	byReports  = "reports_per_s"
-	byReported = "tasks_reported_per_s"
-	byStarts   = "starts_per_s"
-	byJobs     = "jobs_per_s"
-	byRunning  = "tasks_running"
-)
+// minFittedSizes is how many sizes a line is fitted to at least.
+const minFittedSizes = 4
 
-// Roles.
-const (
-	roleLeader   = "leader"
-	roleFollower = "other controllers"
-	roleState    = "state service"
-	roleWorkers  = "all workers and users"
-)
-
-// Metrics lists what is fitted.
-var Metrics = []Metric{
-	{"leader_cpu", roleLeader, "cores", []string{byReports, byStarts}},
-	{"leader_rss", roleLeader, "MB", []string{byMachines, byRunning}},
-	{"leader_read", roleLeader, "KB/s", []string{byReports, byReported}},
-	{"leader_written", roleLeader, "KB/s", []string{byReports, byStarts}},
-	{"leader_sockets", roleLeader, "sockets", []string{byMachines}},
-	{"follower_cpu", roleFollower, "cores", []string{byStarts, byJobs}},
-	{"follower_rss", roleFollower, "MB", []string{byMachines}},
-	{"follower_read", roleFollower, "KB/s", []string{byStarts, byJobs}},
-	{"state_requests", roleState, "1/s", []string{byStarts, byJobs}},
-	{"state_writes", roleState, "1/s", []string{byStarts, byJobs}},
-	{"state_cpu", roleState, "cores", []string{byStarts, byJobs}},
-	{"state_followed", roleState, "keys", []string{byMachines, byJobs}},
-	{"workers_bytes", roleWorkers, "KB/s", []string{byReports, byReported}},
-	{"workers_cpu", roleWorkers, "cores", []string{byReports, byStarts}},
-	{"workers_rss", roleWorkers, "MB", []string{byMachines, byRunning}},
-}
+// ErrTooFew is wrapped by the errors for metrics that were measured at too few sizes for a line.
+var ErrTooFew = errors.New("too few sizes for a fit")
 
 // Fit is a metric's line: an intercept and a slope for each predictor, by least squares.
 type Fit struct {
 	Metric
 	Intercept float64   `json:"intercept"`
 	Slopes    []float64 `json:"slopes"`
-	// Residuals are measured less fitted, for each size that was fitted; RMS is their root mean square.
+	// Residuals are measured less fitted values, by size; RMS is their root mean square.
 	Residuals []float64 `json:"residuals"`
 	RMS       float64   `json:"rms"`
 	HeldOut   *HeldOut  `json:"held_out,omitempty"`
 }
 
-// HeldOut is the size that was predicted first and measured then.
+// HeldOut compares a line with a size that it wasn't fitted to.
 type HeldOut struct {
 	Step      string  `json:"step"`
 	Predicted float64 `json:"predicted"`
 	Measured  float64 `json:"measured"`
-	Error     float64 `json:"error"` // relative to what was measured
+	Error     float64 `json:"error"` // relative to the measured value
 }
 
-// ErrTooFew says that there are too few sizes for a line.
-var ErrTooFew = errors.New("too few sizes for a fit")
-
-// leastPoints is how many sizes a line is fitted to at least.
-const leastPoints = 4
-
-// Values are figures by name: of metrics, and of what they depend on.
-type Values map[string]float64
-
-// fit finds a metric's line through what was measured.
-func fit(m Metric, points []Values) (Fit, error) {
-	cols := len(m.Predictors) + 1
-	if len(points) < max(leastPoints, cols) {
-		return Fit{}, fmt.Errorf("%w: %d, and %s needs %d", ErrTooFew, len(points), m.Name, max(leastPoints, cols))
+// fit fits a metric's line to what was measured at several sizes. Its errors wrap ErrTooFew, or name the metric whose
+// predictors differ in too few ways.
+func fit(metric Metric, sizes []Values) (Fit, error) {
+	columns := len(metric.Predictors) + 1
+	needed := max(minFittedSizes, columns)
+	if len(sizes) < needed {
+		return Fit{}, fmt.Errorf("%w: %d, and %s needs %d", ErrTooFew, len(sizes), metric.Name, needed)
 	}
-	x, y := mat.NewDense(len(points), cols, nil), mat.NewVecDense(len(points), nil)
-	for i, p := range points {
-		x.Set(i, 0, 1)
-		for k, name := range m.Predictors {
-			x.Set(i, k+1, p[name])
+	predictors := mat.NewDense(len(sizes), columns, nil)
+	measured := mat.NewVecDense(len(sizes), nil)
+	for row, values := range sizes {
+		predictors.Set(row, 0, 1)
+		for i, name := range metric.Predictors {
+			predictors.Set(row, i+1, values[name])
 		}
-		y.SetVec(i, p[m.Name])
+		measured.SetVec(row, values[metric.Name])
 	}
-	var b mat.VecDense
-	if err := b.SolveVec(x, y); err != nil {
-		return Fit{}, fmt.Errorf("%s: the sizes differ in too few ways: %w", m.Name, err)
+	var coefficients mat.VecDense
+	if err := coefficients.SolveVec(predictors, measured); err != nil {
+		return Fit{}, fmt.Errorf("%s: the sizes differ in too few ways: %w", metric.Name, err)
 	}
-	f := Fit{Metric: m, Intercept: b.AtVec(0)}
-	for k := range m.Predictors {
-		f.Slopes = append(f.Slopes, b.AtVec(k+1))
+	line := Fit{Metric: metric, Intercept: coefficients.AtVec(0)}
+	for i := range metric.Predictors {
+		line.Slopes = append(line.Slopes, coefficients.AtVec(i+1))
 	}
-	sum := 0.0
-	for _, p := range points {
-		r := p[m.Name] - f.At(p)
-		f.Residuals = append(f.Residuals, r)
-		sum += r * r
+	line.addResiduals(sizes)
+	return line, nil
+}
+
+func (f *Fit) addResiduals(sizes []Values) {
+	squares := 0.0
+	for _, values := range sizes {
+		residual := values[f.Name] - f.At(values)
+		f.Residuals = append(f.Residuals, residual)
+		squares += residual * residual
 	}
-	f.RMS = math.Sqrt(sum / float64(len(points)))
-	return f, nil
+	f.RMS = math.Sqrt(squares / float64(len(sizes)))
 }
 
-// At is the line's value.
-func (f Fit) At(p Values) float64 {
-	v := f.Intercept
-	for k, name := range f.Predictors {
-		v += f.Slopes[k] * p[name]
+// At returns the line's value for the predictors' values.
+func (f Fit) At(values Values) float64 {
+	sum := f.Intercept
+	for i, name := range f.Predictors {
+		sum += f.Slopes[i] * values[name]
 	}
-	return v
+	return sum
 }
 
-// holdOut compares the line with a size that it wasn't fitted to.
-func (f *Fit) holdOut(step string, p Values) {
-	h := HeldOut{Step: step, Predicted: f.At(p), Measured: p[f.Name]}
-	if h.Measured != 0 {
-		h.Error = math.Abs(h.Predicted-h.Measured) / math.Abs(h.Measured)
+// holdOut compares the line with what was measured at a size that it wasn't fitted to.
+func (f *Fit) holdOut(step string, values Values) {
+	heldOut := &HeldOut{Step: step, Predicted: f.At(values), Measured: values[f.Name]}
+	if heldOut.Measured != 0 {
+		heldOut.Error = math.Abs(heldOut.Predicted-heldOut.Measured) / math.Abs(heldOut.Measured)
 	}
-	f.HeldOut = &h
+	f.HeldOut = heldOut
 }
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -1,34 +1,36 @@
-// Package scale measures what a cluster costs as it grows: real controllers as processes of their own, which are measured
-// from outside, beside hollow workers by the thousand, hollow users, and the stand-in state service in a process of its
-// own so that its cost is nobody's. It fits straight lines through what it measured, predicts the largest size from the
-// smaller ones before it is played, and says by how much the prediction was off.
+// Package scale measures what a cluster costs as it grows: real controllers as processes of their own, which are
+// measured from outside, beside thousands of simulated workers and users, and a simulated state service in a process of
+// its own, so that its cost isn't added to another's. It fits straight lines through the measurements, predicts the
+// largest size from the smaller ones before it is played, and reports the error of the prediction.
 //
-// Figures are of processes on one machine: processors and sockets are real, the network is loopback, tasks only wait.
+// It owns the format of plans and of their results, and ends all processes that it starts. Figures are of processes on
+// one machine: processors and sockets are real, the network is loopback, tasks only wait. The command `harewalk lab
+// scale` calls it.
 package scale
 
 import (
 	"errors"
 	"fmt"
 	"os"
-	"strings"
 
-	"github.com/go-playground/validator/v10"
 	"github.com/hashicorp/hcl/v2/hclsimple"
+
+	"github.com/harewalk/harewalk/internal/lab"
 )
 
-// Plan is what is played, written in HCL. Times are in seconds.
+// Plan is what is played. It is written in HCL; times are in seconds.
 type Plan struct {
 	Name string `hcl:"name" validate:"required"`
 	// SettleS is how long a step may take until its machines are busy; MeasureS is how long it is then measured.
 	SettleS  float64 `hcl:"settle_s" validate:"gt=0,lte=3600"`
 	MeasureS float64 `hcl:"measure_s" validate:"gt=0,lte=3600"`
-	// Controllers and Teams are used where a step says nothing.
+	// Controllers and Teams are the defaults of the steps.
 	Controllers int     `hcl:"controllers,optional" validate:"gte=1,lte=9"`
 	Teams       int     `hcl:"teams,optional" validate:"gte=1,lte=5000"`
 	ReportS     float64 `hcl:"report_s,optional" validate:"gt=0,lte=60"`
 	LeaseS      float64 `hcl:"lease_s,optional" validate:"gt=0,lte=600"`
 	CancelS     float64 `hcl:"cancel_s,optional" validate:"gt=0,lte=600"`
-	// PollS is how often a user asks about a job.
+	// PollS is the interval at which a user polls a job.
 	PollS float64 `hcl:"poll_s,optional" validate:"gt=0,lte=600"`
 	State State   `hcl:"state,block"`
 	Steps []Step  `hcl:"step,block" validate:"min=1,dive"`
@@ -42,7 +44,7 @@
 	TxnOps   int     `hcl:"txn_ops" validate:"gt=0"`
 }
 
-// Step is one size.
+// Step is one size of a cluster.
 type Step struct {
 	Name            string  `hcl:"name,label" validate:"required" json:"name"`
 	Machines        int     `hcl:"machines" validate:"gte=1,lte=100000" json:"machines"`
@@ -57,19 +59,31 @@
 
 // Bounds of what is played on one machine.
 const (
-	mostProcesses = 300
-	memoryPart    = 0.5 // of the machine's
-	// What is reckoned before a run: bytes for a hollow worker and its connections on both sides, for a task, for a process.
+	maxProcesses   = 300
+	maxMemoryShare = 0.5 // of the machine's memory
+
+	// Estimates before a run, in bytes: for a simulated worker with both ends of its connections, a task, a process.
 	workerBytes  = 160 << 10
 	taskBytes    = 8 << 10
 	processBytes = 80 << 20
-	extraProcs   = 2 // the state service, and this one with workers and users
+
+	// otherProcesses are the state service, and this process with workers and users.
+	otherProcesses = 2
 )
 
-// ErrTooLarge wraps the reasons why a plan isn't played on this machine.
+// Bounds of a quick run.
+const (
+	quickSettleS     = 9
+	quickMeasureS    = 5
+	quickTaskS       = 4
+	quickSizeDivisor = 10
+	quickMinMachines = 4
+)
+
+// ErrTooLarge is wrapped by the errors for plans that need more than this machine has.
 var ErrTooLarge = errors.New("too large for this machine")
 
-// Read reads a plan from a file.
+// Read reads a plan from a file. Its errors are those of Parse and of reading the file.
 func Read(path string) (*Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -78,57 +92,66 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a plan; its errors name the setting, or line and column.
-func Parse(name string, raw []byte) (*Plan, error) {
-	p := &Plan{Controllers: 3, Teams: 4, ReportS: 5, LeaseS: 30, CancelS: 60, PollS: 5}
-	if err := hclsimple.Decode(name, raw, nil, p); err != nil {
+// Parse reads a plan. Its errors name the file with the setting, or with line and column.
+func Parse(file string, raw []byte) (*Plan, error) {
+	plan := &Plan{Controllers: 3, Teams: 4, ReportS: 5, LeaseS: 30, CancelS: 60, PollS: 5}
+	if err := hclsimple.Decode(file, raw, nil, plan); err != nil {
 		return nil, err
 	}
-	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(p); err != nil {
-		var f validator.ValidationErrors
-		if errors.As(err, &f) && len(f) > 0 {
-			return nil, fmt.Errorf("%s: setting %s: value %v breaks the rule %q", name, strings.TrimPrefix(f[0].Namespace(), "Plan."), f[0].Value(), strings.TrimSpace(f[0].Tag()+" "+f[0].Param()))
-		}
+	if err := lab.Validate(file, plan); err != nil {
 		return nil, err
 	}
 	seen := map[string]bool{}
-	for i := range p.Steps {
-		s := &p.Steps[i]
-		if seen[s.Name] {
-			return nil, fmt.Errorf("%s: step %q: there are two", name, s.Name)
+	for i := range plan.Steps {
+		step := &plan.Steps[i]
+		if seen[step.Name] {
+			return nil, fmt.Errorf("%s: step %q: there are two", file, step.Name)
 		}
-		seen[s.Name] = true
-		if s.Controllers == 0 {
-			s.Controllers = p.Controllers
+		seen[step.Name] = true
+		if step.Controllers == 0 {
+			step.Controllers = plan.Controllers
 		}
-		if s.Teams == 0 {
-			s.Teams = p.Teams
+		if step.Teams == 0 {
+			step.Teams = plan.Teams
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
-// Quick makes a plan that ends within two minutes: a tenth of each size, short times.
+// Quick reduces a plan to a tenth of each size and to short times, so that it ends within two minutes.
 func (p *Plan) Quick() {
-	p.SettleS, p.MeasureS = min(p.SettleS, 9), min(p.MeasureS, 5)
+	p.SettleS = min(p.SettleS, quickSettleS)
+	p.MeasureS = min(p.MeasureS, quickMeasureS)
 	for i := range p.Steps {
-		s := &p.Steps[i]
-		s.Machines = max(4, s.Machines/10)
-		s.TaskS = min(s.TaskS, 4)
+		step := &p.Steps[i]
+		step.Machines = max(quickMinMachines, step.Machines/quickSizeDivisor)
+		step.TaskS = min(step.TaskS, quickTaskS)
 	}
 }
 
-// Fits tells whether a plan may be played on a machine with so much memory, in bytes.
+// Fits returns an error that wraps ErrTooLarge if the plan needs too much for a machine with so many bytes of memory.
 func (p *Plan) Fits(memory uint64) error {
-	for _, s := range p.Steps {
-		procs := s.Controllers + extraProcs
-		need := uint64(s.Machines)*(workerBytes+uint64(s.TasksPerMachine)*taskBytes) + uint64(procs)*processBytes
-		switch {
-		case procs > mostProcesses:
-			return fmt.Errorf("%w: step %q takes %d processes, and at most %d are allowed", ErrTooLarge, s.Name, procs, mostProcesses)
-		case float64(need) > float64(memory)*memoryPart:
-			return fmt.Errorf("%w: step %q takes about %d MB, and half of the memory is %d MB", ErrTooLarge, s.Name, need>>20, uint64(float64(memory)*memoryPart)>>20)
+	available := float64(memory) * maxMemoryShare
+	for _, step := range p.Steps {
+		processes := step.processes()
+		if processes > maxProcesses {
+			return fmt.Errorf("%w: step %q takes %d processes, and at most %d are allowed",
+				ErrTooLarge, step.Name, processes, maxProcesses)
+		}
+		if needed := step.estimatedBytes(); float64(needed) > available {
+			return fmt.Errorf("%w: step %q takes about %d MB, and half of the memory is %d MB",
+				ErrTooLarge, step.Name, needed>>20, uint64(available)>>20)
 		}
 	}
 	return nil
 }
+
+func (s Step) processes() int { return s.Controllers + otherProcesses }
+
+func (s Step) estimatedBytes() uint64 {
+	machineBytes := workerBytes + uint64(s.TasksPerMachine)*taskBytes
+	return uint64(s.Machines)*machineBytes + uint64(s.processes())*processBytes
+}
+
+// taskSlots returns how many tasks run at once on all machines.
+func (s Step) taskSlots() int { return s.Machines * s.TasksPerMachine }
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"math"
 	"math/rand/v2"
 	"os"
@@ -12,7 +13,7 @@
 	"text/tabwriter"
 )
 
-const small = `
+const smallPlan = `
 name = "small"
 settle_s = 1
 measure_s = 1
@@ -30,21 +31,23 @@
 }
 `
 
-// Wrong plans are refused by a message that names the setting or the line.
-func TestWrongPlans(t *testing.T) {
-	if _, err := Parse("small.hcl", []byte(small)); err != nil {
+// The error for a wrong plan names the setting or the line.
+func TestParseErrorNamesItsPlace(t *testing.T) {
+	if _, err := Parse("small.hcl", []byte(smallPlan)); err != nil {
 		t.Fatal(err)
 	}
-	for was, want := range map[string][2]string{
+	const secondStep = "step \"a\" {\n  machines = 1\n  tasks_per_machine = 1\n  task_s = 1\n  tasks_per_job = 1\n}\n"
+	for valid, test := range map[string]struct{ invalid, wantText string }{
 		`settle_s = 1`:      {`settle_s = 0`, "SettleS"},
 		`machines = 10`:     {`machines = 0`, "Machines"},
 		`txn_ops = 8`:       {"txn_ops = 8\n  txn_opps = 8", "txn_opps"},
 		`task_s = 1`:        {`task_s = -1`, "TaskS"},
 		`tasks_per_job = 4`: {"tasks_per_job = 4\n  colour = 2", "colour"},
-		`step "a" {`:        {"step \"a\" {\n  machines = 1\n  tasks_per_machine = 1\n  task_s = 1\n  tasks_per_job = 1\n}\nstep \"a\" {", "there are two"},
+		`step "a" {`:        {secondStep + `step "a" {`, "there are two"},
 	} {
-		if _, err := Parse("small.hcl", []byte(strings.Replace(small, was, want[0], 1))); err == nil || !strings.Contains(err.Error(), want[1]) {
-			t.Errorf("%q in place of %q: %v", want[0], was, err)
+		text := strings.Replace(smallPlan, valid, test.invalid, 1)
+		if _, err := Parse("small.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), test.wantText) {
+			t.Errorf("%q in place of %q: %v", test.invalid, valid, err)
 		}
 	}
 	if _, err := Read("no-such.hcl"); err == nil {
@@ -53,135 +56,177 @@
 }
 
 // The plan that the docs name is read, and fits a machine of the size on which it was measured.
-func TestPublishedPlan(t *testing.T) {
-	p, err := Read(filepath.Join("..", "..", "..", "deploy", "lab", "scale.hcl"))
+func TestPublishedPlanFits(t *testing.T) {
+	plan, err := Read(filepath.Join("..", "..", "..", "deploy", "lab", "scale.hcl"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, fitted := 0, 0
-	for _, s := range p.Steps {
-		if s.HeldOut {
-			held++
+	heldOut, fitted := 0, 0
+	for _, step := range plan.Steps {
+		if step.HeldOut {
+			heldOut++
 		} else {
 			fitted++
 		}
 	}
-	if held != 1 || fitted < leastPoints {
-		t.Errorf("%d sizes are held out and %d are fitted", held, fitted)
+	if heldOut != 1 || fitted < minFittedSizes {
+		t.Errorf("%d sizes are held out and %d are fitted", heldOut, fitted)
 	}
-	if err := p.Fits(23 << 30); err != nil {
+	if err := plan.Fits(23 << 30); err != nil {
 		t.Error(err)
 	}
-	p.Quick()
-	if total := (p.SettleS + p.MeasureS) * float64(len(p.Steps)); total > 110 {
+	plan.Quick()
+	if total := (plan.SettleS + plan.MeasureS) * float64(len(plan.Steps)); total > 110 {
 		t.Errorf("a quick run takes %v s", total)
 	}
 }
 
-// What is larger than half of the memory, or takes too many processes, is refused by name.
-func TestTooLarge(t *testing.T) {
-	p, _ := Parse("small.hcl", []byte(small))
-	if err := p.Fits(4 << 30); err != nil {
+// A plan that takes more than half of the memory, or too many processes, is refused; the error names the step.
+func TestFitsRefusesTooLargePlans(t *testing.T) {
+	plan, err := Parse("small.hcl", []byte(smallPlan))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := plan.Fits(4 << 30); err != nil {
 		t.Error(err)
 	}
-	p.Steps[0].Machines = 100_000
-	if err := p.Fits(4 << 30); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), `"a"`) {
+	step := &plan.Steps[0]
+	step.Machines = 100_000
+	if err := plan.Fits(4 << 30); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), `"a"`) {
 		t.Errorf("100,000 machines in 4 GB: %v", err)
 	}
-	p.Steps[0].Machines, p.Steps[0].Controllers = 1, 400
-	if err := p.Fits(1 << 40); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), "processes") {
+	step.Machines = 1
+	step.Controllers = 400
+	if err := plan.Fits(1 << 40); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), "processes") {
 		t.Errorf("400 controllers: %v", err)
 	}
 }
 
-// A line is found through points on it, and what isn't on it shows in the residuals and at the size held out.
-func TestFit(t *testing.T) {
-	m := Metric{Name: "y", Predictors: []string{"a", "b"}}
+// fitCase is a metric of two predictors, with six points on the plane y = 3 + 0.5a - 2b.
+func fitCase() (Metric, []Values) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var points []Values
 	for range 6 {
 		a, b := rng.Float64()*100, rng.Float64()*10
 		points = append(points, Values{"a": a, "b": b, "y": 3 + 0.5*a - 2*b})
 	}
-	f, err := fit(m, points)
+	return Metric{Name: "y", Predictors: []string{"a", "b"}}, points
+}
+
+// The coefficients of points on a plane are found, and a size that was held out is compared with it.
+func TestFitFindsCoefficients(t *testing.T) {
+	metric, points := fitCase()
+	line, err := fit(metric, points)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what, d := range map[string]float64{"intercept": f.Intercept - 3, "a": f.Slopes[0] - 0.5, "b": f.Slopes[1] + 2, "rms": f.RMS} {
-		if math.Abs(d) > 1e-9 {
-			t.Errorf("%s is off by %g", what, d)
+	for name, deviation := range map[string]float64{
+		"intercept": line.Intercept - 3,
+		"a":         line.Slopes[0] - 0.5,
+		"b":         line.Slopes[1] + 2,
+		"rms":       line.RMS,
+	} {
+		if math.Abs(deviation) > 1e-9 {
+			t.Errorf("%s is off by %g", name, deviation)
 		}
 	}
-	f.holdOut("z", Values{"a": 10, "b": 1, "y": 12})
-	if f.HeldOut.Predicted != f.At(Values{"a": 10, "b": 1}) || math.Abs(f.HeldOut.Error-0.5) > 1e-9 {
-		t.Errorf("held out: %+v", f.HeldOut)
-	}
-	points[0]["y"] += 1
-	if g, err := fit(m, points); err != nil || g.RMS < 0.01 {
-		t.Errorf("a point beside the line leaves no residual: %v, %v", g.RMS, err)
+	line.holdOut("z", Values{"a": 10, "b": 1, "y": 12})
+	predicted := line.At(Values{"a": 10, "b": 1})
+	if line.HeldOut.Predicted != predicted || math.Abs(line.HeldOut.Error-0.5) > 1e-9 {
+		t.Errorf("held out: %+v", line.HeldOut)
 	}
-	if _, err := fit(m, points[:3]); !errors.Is(err, ErrTooFew) {
+}
+
+// A point beside the plane leaves a residual; too few points, and predictors that don't differ, are refused.
+func TestFitReportsWhatDoesNotFit(t *testing.T) {
+	metric, points := fitCase()
+	points[0]["y"]++
+	if line, err := fit(metric, points); err != nil || line.RMS < 0.01 {
+		t.Errorf("a point beside the line leaves no residual: %v, %v", line.RMS, err)
+	}
+	if _, err := fit(metric, points[:3]); !errors.Is(err, ErrTooFew) {
 		t.Errorf("three sizes: %v", err)
 	}
-	for _, p := range points {
-		p["b"] = 1
+	for _, values := range points {
+		values["b"] = 1
 	}
-	if _, err := fit(m, points); err == nil {
+	if _, err := fit(metric, points); err == nil {
 		t.Error("a slope was found for what doesn't differ")
 	}
 }
 
-// A result is written in every form, with the size that was held out.
-func TestWritten(t *testing.T) {
-	r := &Result{Plan: "p", Machine: "m"}
-	for i, n := range []float64{1, 2, 3, 4, 9} {
-		v := Values{}
-		for k, name := range []string{byMachines, byReports, byStarts, byJobs, byRunning, byReported} {
-			v[name] = n * float64(k+1+i*k%3)
+// fittedResult is a result of five sizes, the last of which is held out.
+func fittedResult() *Result {
+	result := &Result{Plan: "p", Machine: "m"}
+	predictors := []string{
+		valueMachines, valueHeartbeats, valueStarts, valueJobs, valueRunning, valueReportedTasks,
+	}
+	for i, size := range []float64{1, 2, 3, 4, 9} {
+		values := Values{}
+		for k, name := range predictors {
+			values[name] = size * float64(k+1+i*k%3)
 		}
-		for _, m := range Metrics {
-			v[m.Name] = 1 + n
+		for _, metric := range Metrics {
+			values[metric.Name] = 1 + size
 		}
-		r.Steps = append(r.Steps, StepResult{Step: Step{Name: "s" + string(rune('0'+i)), HeldOut: i == 4}, Values: v})
+		step := Step{Name: fmt.Sprintf("s%d", i), HeldOut: i == 4}
+		result.Steps = append(result.Steps, StepResult{Step: step, Values: values})
 	}
-	r.fitAll()
-	if len(r.Fits) == 0 || len(r.Fits)+len(r.Unfitted) != len(Metrics) {
-		t.Fatalf("%d lines, %v", len(r.Fits), r.Unfitted)
+	result.fitAll()
+	return result
+}
+
+// A result is written in every format, with the size that was held out.
+func TestResultIsWrittenInEveryFormat(t *testing.T) {
+	result := fittedResult()
+	if len(result.Fits) == 0 || len(result.Fits)+len(result.Unfitted) != len(Metrics) {
+		t.Fatalf("%d lines, %v", len(result.Fits), result.Unfitted)
+	}
+	var text, json, markdown, html bytes.Buffer
+	table := tabwriter.NewWriter(&text, 0, 4, 2, ' ', 0)
+	result.WriteText(table)
+	if err := table.Flush(); err != nil {
+		t.Error(err)
+	}
+	if err := result.WriteJSON(&json); err != nil {
+		t.Error(err)
 	}
-	var text, json, md, html bytes.Buffer
-	w := tabwriter.NewWriter(&text, 0, 4, 2, ' ', 0)
-	r.WriteText(w)
-	_ = w.Flush()
-	if err := r.WriteJSON(&json); err != nil {
+	if err := result.WriteMarkdown(&markdown, []Size{{"planned", result.Steps[0].Values}}); err != nil {
 		t.Error(err)
 	}
-	r.WriteMarkdown(&md, []Size{{"planned", r.Steps[0].Values}})
-	if err := r.WriteHTML(&html); err != nil {
+	if err := result.WriteHTML(&html); err != nil {
 		t.Error(err)
 	}
-	for form, b := range map[string]*bytes.Buffer{"text": &text, "json": &json, "markdown": &md, "html": &html} {
-		if !strings.Contains(b.String(), "leader_cpu") || !strings.Contains(b.String(), "s4") {
-			t.Errorf("%s lacks a metric or a size", form)
+	for format, written := range map[string]*bytes.Buffer{
+		"text": &text, "json": &json, "markdown": &markdown, "html": &html,
+	} {
+		if !strings.Contains(written.String(), metricLeaderCPU) || !strings.Contains(written.String(), "s4") {
+			t.Errorf("%s lacks a metric or a size", format)
 		}
 	}
-	if !strings.Contains(md.String(), "planned") {
+	if !strings.Contains(markdown.String(), "planned") {
 		t.Error("the tables lack a size that is only predicted")
 	}
 }
 
-// A process's usage is read as the system tells it.
-func TestUsage(t *testing.T) {
-	u, err := usageOf(os.Getpid())
+// The usage of a running process is read; one that doesn't run is an error.
+func TestUsageOfProcess(t *testing.T) {
+	usage, err := usageOf(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if u.RSSBytes == 0 || u.PeakBytes < u.RSSBytes || u.ReadCalls == 0 {
-		t.Errorf("%+v", u)
+	if usage.RSSBytes == 0 || usage.PeakBytes < usage.RSSBytes || usage.ReadCalls == 0 {
+		t.Errorf("%+v", usage)
 	}
 	if _, err := usageOf(1 << 30); err == nil {
 		t.Error("a process that isn't there has a usage")
 	}
-	if m := parseMetrics([]byte("# HELP a\na 2\nb{x=\"y\"} 3\nc 1e3\n")); m["a"] != 2 || m["c"] != 1000 || len(m) != 2 {
-		t.Errorf("%v", m)
+}
+
+// Metrics without labels are read from a page, comments and others are left out.
+func TestParseMetricsWithoutLabels(t *testing.T) {
+	metrics := parseMetrics([]byte("# HELP a\na 2\nb{x=\"y\"} 3\nc 1e3\n"))
+	if metrics["a"] != 2 || metrics["c"] != 1000 || len(metrics) != 2 {
+		t.Errorf("%v", metrics)
 	}
 }
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -13,22 +13,22 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// StateCommand is the hidden argument of `harewalk lab` that plays a state service.
+// StateCommand is the hidden command of `harewalk lab` that runs the state service of a scale run.
 const StateCommand = "state-service"
 
-// stateOrder is the first line that a state service's process is given.
-type stateOrder struct {
+// stateSettings are the first line that the state service's process reads.
+type stateSettings struct {
 	Controllers int          `json:"controllers"`
 	Limits      config.State `json:"limits"`
 }
 
-// stateReady is the first line that it says.
+// stateReady is the first line that it writes.
 type stateReady struct {
-	Addrs []string `json:"addrs"`
+	Addresses []string `json:"addrs"`
 }
 
-// StateFigures is what it says to each further line.
-type StateFigures struct {
+// StateStats is what it writes for each further line that it reads.
+type StateStats struct {
 	Requests int `json:"requests"`
 	Writes   int `json:"writes"`
 	Refused  int `json:"refused"`
@@ -39,93 +39,108 @@
 // followedPrefix is the prefix of the keys that every controller follows.
 const followedPrefix = "h/"
 
-// PlayState is the process of a state service: an order comes in, addresses go out, then figures for every line that
-// comes in. It ends when its input does.
+// statsRequest is the line that asks for statistics; any line would.
+const statsRequest = "figures"
+
+// PlayState runs a state service: it reads its settings, writes its addresses, and then writes statistics for every
+// line that it reads. It returns when its input ends.
 func PlayState(in io.Reader, out io.Writer) error {
-	lines, say := bufio.NewScanner(in), json.NewEncoder(out)
+	lines := bufio.NewScanner(in)
+	encoder := json.NewEncoder(out)
 	if !lines.Scan() {
 		return fmt.Errorf("no order came: %w", lines.Err())
 	}
-	var o stateOrder
-	if err := json.Unmarshal(lines.Bytes(), &o); err != nil {
+	var settings stateSettings
+	if err := json.Unmarshal(lines.Bytes(), &settings); err != nil {
 		return fmt.Errorf("not an order: %w", err)
 	}
-	sim, err := simulator.NewRealTime(simulator.Config{Controllers: o.Controllers, State: o.Limits})
+	sim, err := simulator.NewRealTime(simulator.Config{Controllers: settings.Controllers, State: settings.Limits})
 	if err != nil {
 		return err
 	}
 	defer sim.Close()
 	var ready stateReady
-	for i := range o.Controllers {
-		ready.Addrs = append(ready.Addrs, sim.StateAddr(i))
+	for i := range settings.Controllers {
+		ready.Addresses = append(ready.Addresses, sim.StateAddr(i))
 	}
-	if err := say.Encode(ready); err != nil {
+	if err := encoder.Encode(ready); err != nil {
 		return err
 	}
 	for lines.Scan() {
-		s := sim.Stats()
-		f := StateFigures{Requests: s.StateRequests, Writes: s.StateWrites, Refused: s.StateRefused, Keys: sim.CountKeys(""), Followed: sim.CountKeys(followedPrefix)}
-		if err := say.Encode(f); err != nil {
+		if err := encoder.Encode(stateStatsOf(sim)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
+func stateStatsOf(sim *simulator.Simulation) StateStats {
+	stats := sim.Stats()
+	return StateStats{
+		Requests: stats.StateRequests,
+		Writes:   stats.StateWrites,
+		Refused:  stats.StateRefused,
+		Keys:     sim.CountKeys(""),
+		Followed: sim.CountKeys(followedPrefix),
+	}
+}
+
 // stateProcess is a state service in a process of its own.
 type stateProcess struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	lines *bufio.Scanner
-	addrs []string
+	cmd       *exec.Cmd
+	stdin     io.WriteCloser
+	stdout    *bufio.Scanner
+	addresses []string
 }
 
-// startState starts one.
-func startState(program []string, env []string, o stateOrder) (*stateProcess, error) {
-	p := &stateProcess{cmd: exec.Command(program[0], append(append([]string{}, program[1:]...), "lab", StateCommand)...)}
-	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), env...), os.Stderr
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive whoever measures
-	in, err := p.cmd.StdinPipe()
+// startState starts a state service's process, which close ends, and waits for its addresses.
+func startState(options Options, settings stateSettings) (*stateProcess, error) {
+	args := append(append([]string{}, options.Program[1:]...), "lab", StateCommand)
+	cmd := exec.Command(options.Program[0], args...)
+	cmd.Env = append(os.Environ(), options.Env...)
+	cmd.Stderr = os.Stderr
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := p.cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	p.in, p.lines = in, bufio.NewScanner(out)
+	process := &stateProcess{cmd: cmd, stdin: stdin, stdout: bufio.NewScanner(stdout)}
 	var ready stateReady
-	if err := p.ask(o, &ready); err != nil {
-		p.close()
+	if err := process.request(settings, &ready); err != nil {
+		process.close()
 		return nil, fmt.Errorf("the state service's process: %w", err)
 	}
-	p.addrs = ready.Addrs
-	return p, nil
+	process.addresses = ready.Addresses
+	return process, nil
 }
 
-// ask sends a line and reads the one that answers it.
-func (p *stateProcess) ask(line, answer any) error {
-	if err := json.NewEncoder(p.in).Encode(line); err != nil {
+// request writes a line and reads the one that responds to it.
+func (p *stateProcess) request(line, response any) error {
+	if err := json.NewEncoder(p.stdin).Encode(line); err != nil {
 		return err
 	}
-	if !p.lines.Scan() {
+	if !p.stdout.Scan() {
 		return fmt.Errorf("no answer: %w", io.ErrUnexpectedEOF)
 	}
-	return json.Unmarshal(p.lines.Bytes(), answer)
+	return json.Unmarshal(p.stdout.Bytes(), response)
 }
 
-// figures asks for its figures.
-func (p *stateProcess) figures() (f StateFigures, err error) {
-	err = p.ask("figures", &f)
-	return f, err
+func (p *stateProcess) stats() (StateStats, error) {
+	var stats StateStats
+	err := p.request(statsRequest, &stats)
+	return stats, err
 }
 
-// close ends the process.
+// close ends the process and waits for its end.
 func (p *stateProcess) close() {
-	_ = p.in.Close()
+	_ = p.stdin.Close()
 	_ = p.cmd.Process.Kill()
 	_ = p.cmd.Wait()
 }
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -4,7 +4,9 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"math/rand/v2"
+	"net/http"
 	"sync"
 	"time"
 
@@ -15,177 +17,228 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// users keep a number of jobs under way: whoever sees a job done hands in the next. They count what they were answered.
-type users struct {
-	w      *simulator.Simulation
-	client *fasthttp.Client
-	step   Step
-	pollS  float64
-	wait   sync.WaitGroup
-
-	mu       sync.Mutex
-	rng      *rand.Rand
-	next     int
-	accepted int
-	ended    int
-	refused  int
-	from     time.Time                // waits and acceptances count from then on
-	took     map[string]time.Duration // from submission to acceptance, of jobs that count
-	waits    *hdrhistogram.Histogram
-	accepts  *hdrhistogram.Histogram
-}
-
-// Histograms hold milliseconds.
 const (
-	mostMS   = 10 * 60 * 1000
-	digits   = 3
-	retryFor = 500 * time.Millisecond
-	askFor   = 5 * time.Second
+	// maxRecordedMS bounds the times of a histogram, which holds them in milliseconds.
+	maxRecordedMS   = 10 * 60 * 1000
+	histogramDigits = 3
+	millisOfASecond = 1000
+
+	requestTimeout   = 5 * time.Second
+	submitRetryDelay = 500 * time.Millisecond
+	maxConnections   = 4096 // of the users to a controller
+
+	// backlogFactor is by how much the tasks of open jobs exceed the task slots, so that work always waits.
+	backlogFactor = 1.3
+	minOpenJobs   = 2
+	// imageCount is how many images the jobs use.
+	imageCount = 20
 )
 
-func newUsers(sim *simulator.Simulation, step Step, pollS float64) *users {
+// jobDone is the state of a job that is done in the service's responses.
+const jobDone = "done"
+
+// users keep a number of jobs open: each user submits a job, polls it until it is done, and submits the next one.
+type users struct {
+	sim          *simulator.Simulation
+	client       *fasthttp.Client
+	step         Step
+	pollInterval time.Duration
+
+	mu           sync.Mutex
+	rng          *rand.Rand
+	lastJob      int // number of the last job
+	ended        int // jobs
+	refused      int // submissions
+	measuredFrom time.Time
+	acceptDelays map[string]time.Duration // of measured jobs, from submission to acceptance
+	accepts      histogram
+}
+
+// histogram holds times in milliseconds.
+type histogram struct{ *hdrhistogram.Histogram }
+
+func newHistogram() histogram {
+	return histogram{hdrhistogram.New(1, maxRecordedMS, histogramDigits)}
+}
+
+func (h histogram) record(duration time.Duration) {
+	_ = h.RecordValue(max(1, duration.Milliseconds()))
+}
+
+// seconds returns a quantile in seconds.
+func (h histogram) seconds(percent float64) float64 {
+	return float64(h.ValueAtQuantile(percent)) / millisOfASecond
+}
+
+func newUsers(sim *simulator.Simulation, step Step, pollInterval time.Duration) *users {
 	return &users{
-		w: sim, step: step, pollS: pollS, took: map[string]time.Duration{}, rng: rand.New(rand.NewPCG(1, 2)),
-		client:  &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true, MaxConnsPerHost: 4096},
-		waits:   hdrhistogram.New(1, mostMS, digits),
-		accepts: hdrhistogram.New(1, mostMS, digits),
+		sim:          sim,
+		step:         step,
+		pollInterval: pollInterval,
+		rng:          rand.New(rand.NewPCG(1, 2)),
+		acceptDelays: map[string]time.Duration{},
+		accepts:      newHistogram(),
+		client: &fasthttp.Client{
+			MaxIdemponentCallAttempts: 1,
+			NoDefaultUserAgentHeader:  true,
+			MaxConnsPerHost:           maxConnections,
+		},
 	}
 }
 
-// jobsUnderWay is how many jobs keep all machines of a step busy, and some more, so that work always waits.
-func (s Step) jobsUnderWay() int {
-	const more = 1.3
-	return max(2, int(more*float64(s.Machines*s.TasksPerMachine)/float64(s.TasksPerJob))+1)
+// openJobs returns how many jobs keep all machines of a step busy, with work that waits.
+func (s Step) openJobs() int {
+	tasks := backlogFactor * float64(s.taskSlots())
+	return max(minOpenJobs, int(tasks/float64(s.TasksPerJob))+1)
 }
 
-// start lets the users begin, spread over a time so that their jobs don't end together.
+// start starts the users, spread over a time so that their jobs don't end together. They end with the context.
 func (u *users) start(ctx context.Context, spread time.Duration) {
-	n := u.step.jobsUnderWay()
-	for i := range n {
-		u.wait.Add(1)
+	count := u.step.openJobs()
+	for i := range count {
 		go func() {
-			defer u.wait.Done()
-			sleep(ctx, spread*time.Duration(i)/time.Duration(n))
+			sleep(ctx, spread*time.Duration(i)/time.Duration(count))
 			for ctx.Err() == nil {
-				u.one(ctx)
+				u.runJob(ctx)
 			}
 		}()
 	}
 }
 
-// sleep waits, or less if the context ends.
-func sleep(ctx context.Context, duration time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(duration):
-	}
-}
-
-// teamName names a team by its number.
-func teamName(i int) string { return fmt.Sprintf("team-%04d", i) }
-
-// spec makes the next job.
-func (u *users) spec() *jobs.Spec {
+// nextSpec returns the next job to submit.
+func (u *users) nextSpec() *jobs.Spec {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.next++
-	seconds := u.step.TaskS * (0.5 + u.rng.Float64())
+	u.lastJob++
 	return &jobs.Spec{
-		ID: fmt.Sprintf("req-%08d", u.next), Class: "hollow", Team: teamName(u.next % u.step.Teams), Kind: jobs.Array, Priority: "standard",
-		Tasks: u.step.TasksPerJob, CPUs: 1, MemoryGB: 1, Image: fmt.Sprintf("image-%d", u.next%images), ImageGB: 1, EstimateS: seconds, Spot: false,
+		ID:        fmt.Sprintf("req-%08d", u.lastJob),
+		Class:     "hollow",
+		Team:      teamName(u.lastJob % u.step.Teams),
+		Kind:      jobs.Array,
+		Priority:  "standard",
+		Tasks:     u.step.TasksPerJob,
+		CPUs:      1,
+		MemoryGB:  1,
+		Image:     fmt.Sprintf("image-%d", u.lastJob%imageCount),
+		ImageGB:   1,
+		EstimateS: u.step.TaskS * (0.5 + u.rng.Float64()),
 	}
 }
 
-// images is how many images the jobs need.
-const images = 20
-
-// one hands in a job and follows it to its end.
-func (u *users) one(ctx context.Context) {
-	spec := u.spec()
-	u.w.AddJob(spec)
+// runJob submits a job and polls it until it is done, or until the context ends.
+func (u *users) runJob(ctx context.Context) {
+	spec := u.nextSpec()
+	u.sim.AddJob(spec)
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // a job of this package's own making
 	}
-	sent := time.Now()
-	for {
-		if ctx.Err() != nil {
+	submitted := time.Now()
+	if !u.submit(ctx, body) {
+		return
+	}
+	u.noteAccepted(spec.ID, submitted)
+	for ctx.Err() == nil {
+		sleep(ctx, u.pollInterval)
+		status, state := u.send(http.MethodGet, "/v2/runs/"+spec.ID, nil)
+		if status == http.StatusOK && state == jobDone {
+			u.noteEnded()
 			return
 		}
-		status, _ := u.ask("POST", "/v2/runs", body)
-		if status == 200 || status == 201 {
-			break
-		}
-		u.mu.Lock()
-		u.refused++
-		u.mu.Unlock()
-		sleep(ctx, retryFor)
-	}
-	took := time.Since(sent)
-	u.mu.Lock()
-	u.accepted++
-	if !u.from.IsZero() && sent.After(u.from) {
-		_ = u.accepts.RecordValue(max(1, took.Milliseconds()))
-		u.took[spec.ID] = took
 	}
-	u.mu.Unlock()
+}
+
+// submit submits a job until it is accepted. It returns false if the context ended before.
+func (u *users) submit(ctx context.Context, body []byte) bool {
 	for ctx.Err() == nil {
-		sleep(ctx, time.Duration(u.pollS*float64(time.Second)))
-		if status, stance := u.ask("GET", "/v2/runs/"+spec.ID, nil); status == 200 && stance == "done" {
-			u.mu.Lock()
-			u.ended++
-			u.mu.Unlock()
-			return
+		status, _ := u.send(http.MethodPost, "/v2/runs", body)
+		if status == http.StatusOK || status == http.StatusCreated {
+			return true
 		}
+		u.noteRefused()
+		sleep(ctx, submitRetryDelay)
 	}
+	return false
 }
 
-// sumUp takes the waits from acceptance to the first start of all jobs that count and have begun.
-func (u *users) sumUp() {
+func (u *users) noteAccepted(id string, submitted time.Time) {
+	delay := time.Since(submitted)
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for id, took := range u.took {
-		if started, ok := u.w.FirstStart(id); ok {
-			_ = u.waits.RecordValue(max(1, (started - took).Milliseconds()))
-		}
+	if u.measuredFrom.IsZero() || !submitted.After(u.measuredFrom) {
+		return
 	}
+	u.accepts.record(delay)
+	u.acceptDelays[id] = delay
 }
 
-// ask asks some controller; status 0: no answer.
-func (u *users) ask(method, path string, body []byte) (status int, stance string) {
+func (u *users) noteEnded() {
 	u.mu.Lock()
-	to := u.w.UserAddr(u.rng.IntN(u.step.Controllers))
+	defer u.mu.Unlock()
+	u.ended++
+}
+
+func (u *users) noteRefused() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.refused++
+}
+
+// send sends a request to a random controller; status 0: there was no response.
+func (u *users) send(method, path string, body []byte) (status int, jobState string) {
+	u.mu.Lock()
+	address := u.sim.UserAddr(u.rng.IntN(u.step.Controllers))
 	u.mu.Unlock()
-	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer func() { fasthttp.ReleaseRequest(q); fasthttp.ReleaseResponse(p) }()
-	q.SetRequestURI("http://" + to + path)
-	q.Header.SetMethod(method)
+	req := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(req)
+	resp := fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseResponse(resp)
+	req.SetRequestURI("http://" + address + path)
+	req.Header.SetMethod(method)
 	if body != nil {
-		q.Header.SetContentType("application/json")
-		q.SetBody(body)
+		req.Header.SetContentType("application/json")
+		req.SetBody(body)
 	}
-	if u.client.DoTimeout(q, p, askFor) != nil {
+	if u.client.DoTimeout(req, resp, requestTimeout) != nil {
 		return 0, ""
 	}
-	var v struct {
-		Stance string `json:"stance"`
+	var job struct {
+		State string `json:"stance"`
 	}
-	_ = json.Unmarshal(p.Body(), &v)
-	return p.StatusCode(), v.Stance
+	_ = json.Unmarshal(resp.Body(), &job)
+	return resp.StatusCode(), job.State
 }
 
-// counted is what users have counted so far.
-type counted struct{ accepted, ended, refused int }
+// userCounts is what users have counted so far.
+type userCounts struct{ ended, refused int }
 
-func (u *users) counts() counted {
+func (u *users) counts() userCounts {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return counted{u.accepted, u.ended, u.refused}
+	return userCounts{ended: u.ended, refused: u.refused}
 }
 
-// measure lets waits and acceptances of jobs handed in from now on count.
-func (u *users) measure() {
+// startMeasuring measures the times of jobs that are submitted from now on.
+func (u *users) startMeasuring() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.from = time.Now()
+	u.measuredFrom = time.Now()
+}
+
+// userTimes are the times of measured jobs: from submission to acceptance, and from there to the first start.
+type userTimes struct{ accepts, waits histogram }
+
+// times returns the times of the jobs that were measured so far.
+func (u *users) times() userTimes {
+	u.mu.Lock()
+	acceptDelays := maps.Clone(u.acceptDelays)
+	accepts := histogram{hdrhistogram.Import(u.accepts.Export())}
+	u.mu.Unlock()
+	waits := newHistogram()
+	for id, acceptDelay := range acceptDelays {
+		if startDelay, ok := u.sim.FirstStart(id); ok {
+			waits.record(startDelay - acceptDelay)
+		}
+	}
+	return userTimes{accepts: accepts, waits: waits}
 }
