--- a/cmd/harewalk/cluster_test.go
+++ b/cmd/harewalk/cluster_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// isLongRun reports whether the environment asks for the runs that take minutes.
+// isLongRun reports whether HAREWALK_LONG is set: tests that take minutes run then.
 func isLongRun() bool { return os.Getenv("HAREWALK_LONG") != "" }
 
 // startControllers starts the three controllers of a cluster and waits until they are ready.
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -64,8 +64,8 @@
 	return func() bool { _, ok := session.Progress(); return ok }
 }
 
-// Every controller is killed whenever a session comes to a state, for each state on the way: no
-// cell is ended, no step is lost, and the user who returns has the session back with all of them.
+// Every controller is killed when a session enters a state, for each state on the way: no cell is ended, no step is
+// lost, and the user who attaches again has the session with all steps.
 func TestSessionsThroughKills(t *testing.T) {
 	states := []string{"warned", "saving"}
 	if isLongRun() {
@@ -126,7 +126,7 @@
 	t.Logf("%d sessions, %d controllers killed", len(states), cluster.Killed)
 }
 
-// The hard cases, each scripted, in one cluster at the same time.
+// Scripted cases of reclaim, save and attach that overlap, in one cluster at the same time.
 func TestSessionsHardCases(t *testing.T) {
 	sim := newSessionSimulation(t, 12, 8)
 	startCluster(t, sim, sessionPolicy)
@@ -287,8 +287,7 @@
 	}
 }
 
-// A user opens, finds, attaches to and closes a session with the command-line client, and learns
-// why it is or isn't reclaimed.
+// The command-line client opens, lists, attaches to, explains and closes a session, with the session's own token.
 func TestSessionCommands(t *testing.T) {
 	sim := newSessionSimulation(t, 14, 2)
 	startCluster(t, sim, sessionPolicy)
--- a/cmd/harewalk/tls_test.go
+++ b/cmd/harewalk/tls_test.go
@@ -24,8 +24,8 @@
 }
 `
 
-// Users are served over TLS only, with tokens, while workers go on without; keys and users change
-// without a restart, and what a token may is checked by every controller.
+// Users are served over TLS only, with tokens, while workers need neither. Keys and users change without a restart, and
+// every controller checks what a token permits.
 func TestTLSAndTokens(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 27, MaxMachines: 3})
 	dir := t.TempDir()
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -28,7 +28,7 @@
 type UseClock func(now func() time.Duration)
 
 // Run plays every configuration with every seed, so many runs at a time (less than 1: one a core), and summarizes them.
-// Progress and useClock may be nil. Where useClock isn't, parallel must be 1.
+// Progress and useClock may be nil; with a useClock, parallel must be 1.
 func (s *Scenario) Run(parallel int, progress Progress, useClock UseClock) (*Result, error) {
 	if parallel < 1 {
 		parallel = runtime.GOMAXPROCS(0)
