--- a/cmd/harewalk/oncall_test.go
+++ b/cmd/harewalk/oncall_test.go
@@ -303,7 +303,7 @@
 
 // namesCommand reports whether words begin with a command of this program that does something by itself.
 func namesCommand(words string) bool {
-	command, _, err := root().Find(strings.Fields(strings.TrimPrefix(words, "harewalk ")))
+	command, _, err := rootCmd(nil).Find(strings.Fields(strings.TrimPrefix(words, "harewalk ")))
 	return err == nil && command.Runnable() && !command.HasSubCommands()
 }
 
