--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -50,7 +50,7 @@
 	}
 	advance(time.Second)
 	service.Apply([]store.Op{{Delete: jobs.RecordKey("req-000002")}})
-	service.Gone = service.Rev + 1
+	service.CompactedRevision = service.Revision + 1
 	advance(time.Second)
 	advance(time.Second)
 	if c.jobs.Get("req-000002") != nil {
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -208,7 +208,7 @@
 	for key, version := range n.versions {
 		if service.Keys[key].Version == 0 {
 			delete(n.versions, key)
-			n.membership.HandleDelete(service.Now, key, service.Rev+version)
+			n.membership.HandleDelete(service.Now, key, service.Revision+version)
 		}
 	}
 	for key, item := range service.Keys {
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -60,7 +60,7 @@
 func (sim *Simulation) WriteKeys(ops ...store.Op) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	before := sim.state.service.Rev
+	before := sim.state.service.Revision
 	sim.state.service.Now = sim.now()
 	sim.state.service.Apply(ops)
 	sim.wakeWatchers(before)
@@ -126,7 +126,7 @@
 func (sim *Simulation) CompactHistory() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.state.service.Gone = sim.state.service.Rev + 1
+	sim.state.service.CompactedRevision = sim.state.service.Revision + 1
 }
 
 const (
--- a/internal/simulator/state/http.go
+++ b/internal/simulator/state/http.go
@@ -111,10 +111,10 @@
 		}
 	}
 	if failed != nil {
-		return respond(http.StatusConflict, txnConflict{Revision: s.Rev, Failed: failed})
+		return respond(http.StatusConflict, txnConflict{Revision: s.Revision, Failed: failed})
 	}
 	s.Apply(txn.Then)
-	return respond(http.StatusOK, txnResponse{Revision: s.Rev})
+	return respond(http.StatusOK, txnResponse{Revision: s.Revision})
 }
 
 func (s *Service) serveKey(key string) httpio.Response {
@@ -141,7 +141,7 @@
 	for _, key := range names[:min(len(names), limit)] {
 		items = append(items, s.Keys[key])
 	}
-	return respond(http.StatusOK, listResponse{Revision: s.Rev, More: len(names) > limit, Items: items})
+	return respond(http.StatusOK, listResponse{Revision: s.Revision, More: len(names) > limit, Items: items})
 }
 
 func (s *Service) serveWatch(query url.Values) httpio.Response {
@@ -150,5 +150,5 @@
 	if !ok {
 		return respond(http.StatusGone, nil)
 	}
-	return respond(http.StatusOK, WatchResponse{Revision: s.Rev, Events: events})
+	return respond(http.StatusOK, WatchResponse{Revision: s.Revision, Events: events})
 }
--- a/internal/simulator/state/state.go
+++ b/internal/simulator/state/state.go
@@ -18,11 +18,11 @@
 
 // Service is the stand-in. Its caller sets Now before each call.
 type Service struct {
-	Now  time.Duration
-	Rev  uint64                // the revision of the newest change
-	Keys map[string]store.Item // what is stored
-	Down bool                  // an outage: every request is refused with 503
-	Gone uint64                // watches that start before this revision are refused with 410
+	Now               time.Duration
+	Revision          uint64                // the revision of the newest change
+	Keys              map[string]store.Item // what is stored
+	Down              bool                  // an outage: every request is refused with 503
+	CompactedRevision uint64                // watches that start before this revision are refused with 410
 	// Changed is called for each change of a key, in their order, unless it is nil.
 	Changed func(store.Event)
 
@@ -77,23 +77,23 @@
 // Apply carries out mutations, all at one revision.
 func (s *Service) Apply(ops []store.Op) {
 	if len(ops) > 0 {
-		s.Rev++
+		s.Revision++
 	}
 	for _, op := range ops {
 		if op.Delete != "" {
 			delete(s.Keys, op.Delete)
-			s.recordChange(op.Delete, store.Event{Delete: op.Delete, Version: s.Rev})
+			s.recordChange(op.Delete, store.Event{Delete: op.Delete, Version: s.Revision})
 			continue
 		}
-		s.Keys[op.Put] = store.Item{Key: op.Put, Value: op.Value, Version: s.Rev, Lease: op.Lease}
-		s.recordChange(op.Put, store.Event{Put: op.Put, Value: op.Value, Version: s.Rev})
+		s.Keys[op.Put] = store.Item{Key: op.Put, Value: op.Value, Version: s.Revision, Lease: op.Lease}
+		s.recordChange(op.Put, store.Event{Put: op.Put, Value: op.Value, Version: s.Revision})
 	}
 }
 
 // Since lists the changes of keys with a prefix after a revision. It returns false if the history no longer reaches
 // back that far.
 func (s *Service) Since(prefix string, after uint64) (events []store.Event, ok bool) {
-	if after < s.Gone {
+	if after < s.CompactedRevision {
 		return nil, false
 	}
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > after })
@@ -130,8 +130,8 @@
 	slices.Sort(bound)
 	for _, key := range bound {
 		delete(s.Keys, key)
-		s.Rev++
-		s.recordChange(key, store.Event{Delete: key, Version: s.Rev})
+		s.Revision++
+		s.recordChange(key, store.Event{Delete: key, Version: s.Revision})
 	}
 }
 
@@ -143,6 +143,6 @@
 	s.history = append(s.history, change{key, event.Version, event})
 	if len(s.history) > 2*minHistory {
 		s.history = append([]change(nil), s.history[minHistory:]...)
-		s.Gone = max(s.Gone, s.history[0].revision)
+		s.CompactedRevision = max(s.CompactedRevision, s.history[0].revision)
 	}
 }
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -109,7 +109,7 @@
 	if sim.state.down {
 		return
 	}
-	before := sim.state.service.Rev
+	before := sim.state.service.Revision
 	sim.state.service.Now = now
 	sim.state.service.Expire()
 	sim.wakeWatchers(before)
@@ -117,7 +117,7 @@
 
 // wakeWatchers schedules all waiting watches if a key has changed since a revision.
 func (sim *Simulation) wakeWatchers(before uint64) {
-	if sim.state.service.Rev == before {
+	if sim.state.service.Revision == before {
 		return
 	}
 	for _, wake := range sim.state.waiters {
@@ -165,7 +165,7 @@
 		return http.StatusTooManyRequests, nil
 	}
 	sim.stats.StateWrites += writes
-	before := sim.state.service.Rev
+	before := sim.state.service.Revision
 	sim.state.service.Now = now
 	response := sim.state.service.Serve(httpio.Request{
 		Method: request.method,
@@ -248,7 +248,7 @@
 		return
 	}
 	events, ok := sim.state.service.Since(w.prefix, w.since)
-	revision := sim.state.service.Rev
+	revision := sim.state.service.Revision
 	switch {
 	case !ok:
 		sim.mu.Unlock()
--- a/internal/store/watchcache_test.go
+++ b/internal/store/watchcache_test.go
@@ -51,10 +51,10 @@
 		t.Fatalf("a change was missed: %s", seen["h/00007"])
 	}
 	put("h/lost", "z")
-	service.service.Gone = service.service.Rev + 1
+	service.service.CompactedRevision = service.service.Revision + 1
 	now += time.Second
 	cache.Tick(now)
-	service.service.Gone = 0
+	service.service.CompactedRevision = 0
 	now += time.Second
 	cache.Tick(now)
 	if seen["h/lost"] != `"z"` || watches < 3 {
