--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -172,10 +172,12 @@
 		t.Fatalf("%+v", pool)
 	}
 	for body, want := range map[string]string{
-		`licence "p" { count = -1 }`:                                 "count",
-		`licence "p" {}`:                                             "o.hcl:1",
-		`licence "a/b" { count = 1 }`:                                "licence[0].name",
+		`licence "p" { count = -1 }`:  "count",
+		`licence "p" {}`:              "o.hcl:1",
+		`licence "a/b" { count = 1 }`: "licence[0].name",
+
 		"licence \"p\" { count = 1 }\nlicence \"p\" { count = 1 }\n": "declared twice",
+
 		`licence "p" {
   count = 1
   reserve = 2
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
@@ -32,20 +31,7 @@
 	workers config.Workers,
 ) (*testCluster, *Balancer) {
 	t.Helper()
-	types := []capacity.MachineType{
-		{
-			Name:    "g4",
-			CPUs:    16,
-			GPUs:    4,
-			Mem:     128,
-			CacheGB: 100,
-			FetchGB: 10,
-			Price:   4,
-			Spot:    1.5,
-			BootS:   3,
-			Zones:   []string{"a", "b", "c"},
-		},
-	}
+	types := gpuMachineTypes(3)
 	sim, err := NewVirtualTime(Config{
 		Seed:           seed,
 		MaxMachines:    20,
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -7,7 +7,6 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
@@ -342,20 +341,7 @@
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			t.Parallel()
-			types := []capacity.MachineType{
-				{
-					Name:    "g4",
-					CPUs:    16,
-					GPUs:    4,
-					Mem:     128,
-					CacheGB: 100,
-					FetchGB: 10,
-					Price:   4,
-					Spot:    1.5,
-					BootS:   3,
-					Zones:   []string{"a", "b", "c"},
-				},
-			}
+			types := gpuMachineTypes(3)
 			sim, err := NewVirtualTime(Config{
 				Seed:         307,
 				MaxMachines:  12,
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -12,7 +12,6 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 )
 
@@ -80,20 +79,7 @@
 
 // play plays a run. It returns the rules that were broken, and how long a cancelled task stayed at most.
 func (m faultRun) play() (wrong []string, longest time.Duration) {
-	types := []capacity.MachineType{
-		{
-			Name:    "g4",
-			CPUs:    16,
-			GPUs:    4,
-			Mem:     128,
-			CacheGB: 100,
-			FetchGB: 10,
-			Price:   4,
-			Spot:    1.5,
-			BootS:   3,
-			Zones:   []string{"a", "b", "c"},
-		},
-	}
+	types := gpuMachineTypes(3)
 	sim, err := NewVirtualTime(Config{
 		Seed:           m.seed,
 		MaxMachines:    10,
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -564,20 +564,7 @@
 // tasks, a flood of tiny jobs and idle-time work: teams with a guarantee wait no longer for it, and the others are
 // served.
 func TestJobsWithoutGuaranteeDoNotDelayOthers(t *testing.T) {
-	types := []capacity.MachineType{
-		{
-			Name:    "g4",
-			CPUs:    16,
-			GPUs:    4,
-			Mem:     128,
-			CacheGB: 100,
-			FetchGB: 10,
-			Price:   4,
-			Spot:    1.5,
-			BootS:   12,
-			Zones:   []string{"a", "b", "c"},
-		},
-	}
+	types := gpuMachineTypes(12)
 	cluster := newTestClusterOn(
 		t,
 		92,
@@ -745,20 +732,7 @@
 // all faults end, and returns the longest time in which no question about one job was answered, from then on.
 func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
 	t.Helper()
-	types := []capacity.MachineType{
-		{
-			Name:    "g4",
-			CPUs:    16,
-			GPUs:    4,
-			Mem:     128,
-			CacheGB: 100,
-			FetchGB: 10,
-			Price:   4,
-			Spot:    1.5,
-			BootS:   5,
-			Zones:   []string{"a", "b", "c"},
-		},
-	}
+	types := gpuMachineTypes(5)
 	cluster := newTestClusterOn(
 		t,
 		seed,
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/controller"
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -37,20 +36,7 @@
 
 // newWideCluster is a cluster with many machines in each zone, which take a while to boot.
 func newWideCluster(t *testing.T, seed uint64, controllers int) *testCluster {
-	types := []capacity.MachineType{
-		{
-			Name:    "g4",
-			CPUs:    16,
-			GPUs:    4,
-			Mem:     128,
-			CacheGB: 100,
-			FetchGB: 10,
-			Price:   4,
-			Spot:    1.5,
-			BootS:   12,
-			Zones:   []string{"a", "b", "c"},
-		},
-	}
+	types := gpuMachineTypes(12)
 	return newTestClusterOn(
 		t,
 		seed,
