--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -270,19 +270,7 @@
 
 // submitService submits a service whose replicas stand in different zones.
 func submitService(cluster *testCluster) {
-	spec := &jobs.Spec{
-		ID:       "req-000777",
-		Class:    "svc",
-		Team:     "blue",
-		Kind:     jobs.Service,
-		Priority: "urgent",
-		Tasks:    6,
-		CPUs:     1,
-		MemoryGB: 1,
-		Image:    "i",
-		ImageGB:  1,
-		Spread:   true,
-	}
+	spec := spreadServiceSpec()
 	(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
 }
 
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -229,19 +229,7 @@
 	cluster := newWideCluster(t, 75, 3)
 	cluster.submitSmallJobs(24, 60) // machines in all zones
 	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
-	spec := &jobs.Spec{
-		ID:       "req-000777",
-		Class:    "svc",
-		Team:     "blue",
-		Kind:     jobs.Service,
-		Priority: "urgent",
-		Tasks:    6,
-		CPUs:     1,
-		MemoryGB: 1,
-		Image:    "i",
-		ImageGB:  1,
-		Spread:   true,
-	}
+	spec := spreadServiceSpec()
 	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
 	user.submit()
 	on := func() map[string]int {
