--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -30,6 +30,7 @@
 	// TLSAddrs are free addresses, one for each controller, for {tls} in the operators' settings; DebugAddrs
 	// likewise for {debug}.
 	TLSAddrs, DebugAddrs []string
+	ports                portAllocator // of TLSAddrs and DebugAddrs
 	// Killed counts the controllers that were killed.
 	Killed int
 
@@ -67,7 +68,7 @@
 // addAddrs finds the next controller's free addresses.
 func (c *Cluster) addAddrs() error {
 	for _, addrs := range []*[]string{&c.TLSAddrs, &c.DebugAddrs} {
-		addr, err := freePort()
+		addr, err := c.ports.allocate()
 		if err != nil {
 			return err
 		}
@@ -193,6 +194,7 @@
 	for i := range c.processes {
 		c.Kill(i)
 	}
+	_ = c.ports.close() // the ports are free whatever a listener's close reports
 }
 
 // WaitReady waits until a controller's health check passes. After a time limit it returns an error with the log's
--- a/internal/simulator/real_time.go
+++ b/internal/simulator/real_time.go
@@ -28,6 +28,7 @@
 	start  time.Time
 	closed chan struct{}
 	server *fasthttp.Server
+	ports  portAllocator
 
 	mu       sync.Mutex
 	handlers map[string]handlerFunc // by address
@@ -114,10 +115,10 @@
 }
 
 func (env *realTime) controllerAddrs(int) (public, back string, err error) {
-	if public, err = freePort(); err != nil {
+	if public, err = env.ports.allocate(); err != nil {
 		return "", "", err
 	}
-	back, err = freePort()
+	back, err = env.ports.allocate()
 	return public, back, err
 }
 
@@ -167,6 +168,7 @@
 	for _, client := range env.clients {
 		client.CloseIdleConnections()
 	}
+	_ = env.ports.close() // the ports are free whatever a listener's close reports
 }
 
 // sendTimeout is how long send waits for an answer.
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -17,7 +17,6 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
-	"net"
 	"slices"
 	"sync"
 	"time"
@@ -235,27 +234,6 @@
 	return func(request httpRequest, reply replyFunc) { reply(serve(request)) }
 }
 
-// Ports for controllers are taken from below the range that the system assigns to sockets without a port. A port that
-// was free when it was tried was once, for one machine in a thousand, assigned before its controller listened there.
-const (
-	minPort         = 12_000
-	portRange       = 20_000
-	maxPortAttempts = 200
-)
-
-// freePort finds a loopback address on which nothing listens at this moment.
-func freePort() (string, error) {
-	for range maxPortAttempts {
-		addr := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(portRange))
-		listener, err := net.Listen("tcp4", addr)
-		if err != nil {
-			continue
-		}
-		return addr, listener.Close()
-	}
-	return "", fmt.Errorf("no free port among %d from %d on", portRange, minPort)
-}
-
 // SettingsJSON returns the platform's settings file of a controller.
 func (sim *Simulation) SettingsJSON(controller int) []byte {
 	raw, _ := json.Marshal(sim.settings[controller])
