--- /dev/null
+++ b/internal/jobs/idpacking_test.go
@@ -0,0 +1,59 @@
+package jobs
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// Packed ids are the same ids again, leading zeros included, whatever their number of digits.
+func TestPackedIDsAreRead(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	for range 200 {
+		var ids []string
+		for range 1 + rng.IntN(40) {
+			digits := 1 + rng.IntN(maxIDDigits)
+			ids = append(ids, fmt.Sprintf("req-%0*d", digits, rng.Uint64N(pow10(digits))))
+		}
+		unpacked, err := unpackIDs(packIDs(ids))
+		if err != nil {
+			t.Fatal(err)
+		}
+		slices.Sort(ids)
+		slices.Sort(unpacked)
+		if !slices.Equal(ids, unpacked) {
+			t.Fatalf("%v became %v", ids, unpacked)
+		}
+	}
+}
+
+func pow10(digits int) uint64 {
+	product := uint64(1)
+	for range digits {
+		product *= 10
+	}
+	return product
+}
+
+// 500 predecessors fit in a record of 2 KiB.
+func TestPackedIDsAreSmall(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	spec := &Spec{ID: "req-999999", Class: "class", Team: "team", Kind: Gang, Priority: "prod", Tasks: 4, CPUs: 1}
+	for len(spec.Follows) < 500 {
+		spec.Follows = append(spec.Follows, fmt.Sprintf("req-%06d", rng.IntN(200_000)))
+	}
+	if size := len(EncodeRecord(Pending, 1_700_000_000_000, 4, spec)); size > 2<<10 {
+		t.Errorf("a record with 500 predecessors takes %d bytes, want at most 2 KiB", size)
+	}
+}
+
+// Damaged ids are an error, never other ids without notice of a cut.
+func TestDamagedPackedIDs(t *testing.T) {
+	for _, text := range []string{"?", "AQ", "gA", packIDs([]string{"req-1", "req-2"})[:3], "EwEB"} {
+		if ids, err := unpackIDs(text); !errors.Is(err, errPackedIDs) {
+			t.Errorf("%q was read as %v with error %v", text, ids, err)
+		}
+	}
+}
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -37,8 +37,15 @@
 	return 0, fmt.Errorf("stance %q", name)
 }
 
-// newestRecordFormat is the newest format of job records that this release reads.
-const newestRecordFormat = 1
+// The formats of job records.
+const (
+	plainRecordFormat = 1
+	// dependentRecordFormat is that of a pending job with predecessors. A release that doesn't know it must not start
+	// the job, so it has a number of its own.
+	dependentRecordFormat = 2
+	// newestRecordFormat is the newest format that this release reads.
+	newestRecordFormat = dependentRecordFormat
+)
 
 // Record is a job as the state service stores it. That of a done job has no specification. That of a cancelled one
 // keeps it: its tasks may still be on machines when another controller takes over, and count against the team's limit
@@ -49,6 +56,8 @@
 	AtMS   int64     `json:"at_ms,omitempty"` // submission, in wall-clock milliseconds
 	Tasks  int       `json:"n"`
 	Spec   *WireSpec `json:"spec,omitempty"`
+	// Follows holds Spec.Follows, which is left out there, in packed form.
+	Follows string `json:"follows,omitempty"`
 }
 
 // Prefix is the prefix of the keys of job records.
@@ -64,6 +73,9 @@
 		record.AtMS = submittedAtMS
 		record.Spec = (*WireSpec)(spec)
 	}
+	if spec != nil && len(spec.Follows) > 0 {
+		record.setPredecessors(state, spec)
+	}
 	if state == Cancelled && spec != nil {
 		// The resources of its tasks count until they are gone; where they might run doesn't matter any more. Without
 		// the list of machine types, the only part without a limit, the record fits into any value that the state
@@ -76,6 +88,20 @@
 	return raw
 }
 
+// setPredecessors moves the ids of a pending job's predecessors from the specification into their packed form. A
+// terminal job needs them no more.
+func (r *Record) setPredecessors(state State, spec *Spec) {
+	if r.Spec != nil {
+		withoutFollows := *r.Spec
+		withoutFollows.Follows = nil
+		r.Spec = &withoutFollows
+	}
+	if state == Pending {
+		r.Format = dependentRecordFormat
+		r.Follows = packIDs(spec.Follows)
+	}
+}
+
 // decodeRecord reads a stored record. It refuses formats that this release doesn't read.
 func decodeRecord(raw json.RawMessage) (Record, State, error) {
 	var record Record
@@ -92,5 +118,15 @@
 	if state == Pending && record.Spec == nil {
 		return record, 0, errors.New("pending record without a spec")
 	}
+	if record.Follows == "" {
+		return record, state, nil
+	}
+	predecessors, err := unpackIDs(record.Follows)
+	if err != nil {
+		return record, 0, err
+	}
+	if record.Spec != nil {
+		record.Spec.Follows = predecessors
+	}
 	return record, state, nil
 }
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -55,6 +55,9 @@
 	// Licences is the number of units of each licence pool that a task holds while it is on a machine. It is
 	// an addition to the users' protocol: a submission without it needs none.
 	Licences map[string]int
+	// Follows holds the ids of the jobs that must be done before any task of this one starts. Of a stored job, those
+	// that were known to be done when it was accepted are left out.
+	Follows []string
 }
 
 // MarshalJSON writes the specification as a submission has it.
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -32,6 +32,7 @@
 	SaveS       float64        `json:"stash_s"`
 	DeadlineS   *float64       `json:"dusk_s"`
 	Licences    map[string]int `json:"licences,omitempty"`
+	Follows     []string       `json:"follows,omitempty"`
 }
 
 // requiredFields lists the wire names of the fields that a submission must have, other than null.
@@ -66,13 +67,14 @@
 	}
 	spec := (*Spec)(wire)
 	checks := []func(*Spec) error{
-		checkIdentity, checkNames, checkMachineTypes, checkAmounts, checkLicences, checkResources,
+		checkIdentity, checkNames, checkMachineTypes, checkAmounts, checkLicences, checkResources, checkPredecessors,
 	}
 	for _, check := range checks {
 		if err := check(spec); err != nil {
 			return nil, err
 		}
 	}
+	spec.Follows = withoutRepeats(spec.Follows)
 	return spec, nil
 }
 
@@ -199,3 +201,34 @@
 	}
 	return nil
 }
+
+// checkPredecessors checks the ids of the jobs that must be done before this one. Their number is bounded by the size
+// of a submission only.
+func checkPredecessors(spec *Spec) error {
+	for _, id := range spec.Follows {
+		if !ValidID(id) {
+			return malformed("follows: %q is not an id", id)
+		}
+		if id == spec.ID {
+			return malformed("follows names the job itself")
+		}
+	}
+	return nil
+}
+
+// withoutRepeats returns the ids in their order, each once; nil if there are none.
+func withoutRepeats(ids []string) []string {
+	if len(ids) == 0 {
+		return nil
+	}
+	seen := make(map[string]bool, len(ids))
+	distinct := ids[:0]
+	for _, id := range ids {
+		if seen[id] {
+			continue
+		}
+		seen[id] = true
+		distinct = append(distinct, id)
+	}
+	return distinct
+}
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"testing"
 
@@ -179,3 +180,54 @@
 		t.Fatalf("units %v, %v", job.LicenceUnits, err)
 	}
 }
+
+// A submission names its predecessors, each once; none may be omitted or null.
+func TestParseSpecReadsPredecessors(t *testing.T) {
+	for follows, want := range map[string][]string{
+		`"new":[1]`:                             nil,
+		`"follows":null`:                        nil,
+		`"follows":[]`:                          nil,
+		`"follows":["req-000398","req-000405"]`: {"req-000398", "req-000405"},
+		`"follows":["req-2","req-1","req-2","req-000001"]`: {"req-2", "req-1", "req-000001"},
+	} {
+		spec, err := ParseSpec([]byte(withReplaced(t, `"new":[1]`, follows)))
+		if err != nil || !slices.Equal(spec.Follows, want) {
+			t.Errorf("%s read as %v with error %v, want %v", follows, spec.Follows, err, want)
+		}
+	}
+}
+
+func TestParseSpecRefusesMalformedPredecessors(t *testing.T) {
+	for _, follows := range []string{`"req-000398"`, `{}`, `1`, `[398]`, `[null]`, `["job-1"]`, `["req-000412"]`} {
+		_, err := ParseSpec([]byte(withReplaced(t, `"new":[1]`, `"follows":`+follows)))
+		if !errors.Is(err, ErrMalformed) {
+			t.Errorf("follows %s: error %v", follows, err)
+		}
+	}
+}
+
+// The record of a pending job with predecessors keeps them, under a format that former releases refuse; that of a
+// terminal one needs none.
+func TestRecordKeepsPredecessors(t *testing.T) {
+	spec := gangSpec(t, 2)
+	plain := EncodeRecord(Pending, 5, 2, spec)
+	spec.Follows = []string{"req-000398", "req-000405"}
+	record, state, err := decodeRecord(EncodeRecord(Pending, 5, 2, spec))
+	if err != nil || state != Pending || record.Format != dependentRecordFormat {
+		t.Fatalf("format %d, state %v, error %v", record.Format, state, err)
+	}
+	if !slices.Equal(record.Spec.Follows, spec.Follows) {
+		t.Errorf("predecessors read as %v", record.Spec.Follows)
+	}
+	if len(spec.Follows) != 2 {
+		t.Error("encoding changed the specification")
+	}
+	record, _, err = decodeRecord(EncodeRecord(Cancelled, 5, 2, spec))
+	if err != nil || record.Format != 0 || record.Spec.Follows != nil {
+		t.Errorf("cancelled: format %d, predecessors %v, error %v", record.Format, record.Spec.Follows, err)
+	}
+	spec.Follows = nil
+	if string(EncodeRecord(Pending, 5, 2, spec)) != string(plain) {
+		t.Error("a job without predecessors is stored in another form than before")
+	}
+}
