--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -60,6 +60,7 @@
 	startDelays map[string]time.Duration // by job: from its submission to its first task's start
 	startTimes  []time.Duration          // of all tasks
 	cancelledAt map[string]time.Duration // by job: when a user received the confirmation
+	pipelines   pipelineRecords
 }
 
 // progress is what outlives a task's machine.
@@ -103,6 +104,7 @@
 			submittedAt: map[string]time.Duration{},
 			startDelays: map[string]time.Duration{},
 			cancelledAt: map[string]time.Duration{},
+			pipelines:   newPipelineRecords(),
 		},
 		users: userAnswers{
 			jobs:            map[string]*jobAnswers{},
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -86,6 +86,9 @@
 func (sim *Simulation) AddJob(spec *jobs.Spec) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
+	if sim.work.specs[spec.ID] == nil {
+		sim.addToPipelines(spec)
+	}
 	sim.work.specs[spec.ID] = spec
 	sim.work.submittedAt[spec.ID] = sim.now()
 }
@@ -144,6 +147,7 @@
 		return nil
 	}
 	sim.work.cancelledAt[job] = sim.now()
+	sim.cancelSuccessors(job, sim.now())
 	waiting = sim.users.onCancelled
 	sim.users.onCancelled = nil
 	return waiting
@@ -158,18 +162,23 @@
 		sim.users.jobs[about.job] = answers
 	}
 	sim.checkNotForgotten(about, answers, sentAt, status)
+	sim.checkPredecessorsKnown(about, sentAt, status)
 	if status != http.StatusOK && status != http.StatusCreated {
 		sim.mu.Unlock()
 		return
 	}
 	state := jobStateIn(body)
 	sim.checkNotReverted(about.job, answers, sentAt, state)
+	sim.checkNotOrphaned(about.job, state)
 	if about.submits && !answers.accepted {
 		if spec := sim.work.specs[about.job]; spec != nil && !sim.canRun(spec) {
 			sim.violate("accepted: %s can't run", about.job)
 		}
 	}
 	isNew := answers.record(sim.now(), state)
+	if isNew && state == stateDone {
+		sim.checkSuccessorsGoOn(about.job)
+	}
 	sim.mu.Unlock()
 	if state == stateCancelled {
 		sim.ConfirmCancelled(about.job)
