--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -32,6 +32,8 @@
 	history         History
 	cancelRequested bool
 	status          int
+	predecessors    []*testUser // the job is submitted once theirs are accepted
+	onAccepted      []func()    // called once its job is accepted
 }
 
 func (u *testUser) request(method, path string, body []byte, then func(int, string)) {
@@ -43,6 +45,9 @@
 }
 
 func (u *testUser) submit() {
+	if u.awaitsPredecessor() {
+		return
+	}
 	u.simulation.AddJob(u.spec)
 	body, _ := json.Marshal(u.spec)
 	var again func()
@@ -50,6 +55,7 @@
 		u.request("POST", "/v2/runs", body, func(status int, _ string) {
 			if u.status = status; status == 200 || status == 201 {
 				u.history = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+				u.callAccepted()
 				u.poll()
 				return
 			}
@@ -134,6 +140,18 @@
 // runChaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
 // and the network fail at random, several at once, then ends all faults, and returns the simulation and its users.
 func runChaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*testUser) {
+	t.Helper()
+	return runChaosWith(t, seed, njobs, faulty, func([]*testUser) {})
+}
+
+// runChaosWith does so with the users changed before they submit anything.
+func runChaosWith(
+	t *testing.T,
+	seed uint64,
+	njobs int,
+	faulty time.Duration,
+	change func([]*testUser),
+) (*Simulation, []*testUser) {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
 		Seed:         seed,
@@ -159,6 +177,7 @@
 			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
 		}
 	}
+	change(users)
 	secs := func(most int) time.Duration { return time.Duration(rng.IntN(most*1000)) * time.Millisecond }
 	n := sim.Controllers()
 	for at := secs(4); at < faulty; at += secs(6) {
--- /dev/null
+++ b/internal/simulator/pipelines_test.go
@@ -0,0 +1,684 @@
+package simulator
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/rollout"
+)
+
+// Tests of pipelines on several controllers that fail. Users submit each job as soon as those that it follows are
+// accepted.
+
+// awaitsPredecessor reports whether a job that the user's job follows is not accepted yet. The user then submits when
+// it is.
+func (u *testUser) awaitsPredecessor() bool {
+	for _, predecessor := range u.predecessors {
+		if predecessor.history.ID == "" {
+			predecessor.onAccepted = append(predecessor.onAccepted, u.submit)
+			return true
+		}
+	}
+	return false
+}
+
+// callAccepted calls those that wait for the job's acceptance.
+func (u *testUser) callAccepted() {
+	waiting := u.onAccepted
+	u.onAccepted = nil
+	for _, f := range waiting {
+		f()
+	}
+}
+
+// follow makes the user's job follow the jobs of others.
+func (u *testUser) follow(predecessors ...*testUser) {
+	for _, predecessor := range predecessors {
+		u.predecessors = append(u.predecessors, predecessor)
+		u.spec.Follows = append(u.spec.Follows, predecessor.spec.ID)
+	}
+}
+
+// pipelineOperator is the operators' settings of the tests of pipelines: jobs are archived soon after their end, and
+// the level rises soon after the start.
+const pipelineOperator = `archive {
+  retain_s = 2
+}
+rollout {
+  soak_s = 1
+}
+`
+
+// newPipelineCluster starts a cluster of three controllers at the newest level, in which cancel_s is short.
+func newPipelineCluster(t *testing.T, seed uint64) *testCluster {
+	t.Helper()
+	sim, err := NewVirtualTime(Config{
+		Seed:         seed,
+		MaxMachines:  14,
+		Types:        gpuMachineTypes(1),
+		Zones:        []string{"a", "b", "c"},
+		TickInterval: 20 * time.Millisecond,
+		Workers:      shortTimers,
+		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(pipelineOperator)) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 47))}
+	cluster.watchInvariants()
+	cluster.waitFor("at the newest level", 30*time.Second, func() bool {
+		return cluster.ClusterLevel() == rollout.Newest && len(cluster.ActingLeaders()) == 1
+	})
+	return cluster
+}
+
+// addUser adds the user of a job that follows others; the user submits nothing yet.
+func (r *testCluster) addUser(predecessors ...*testUser) *testUser {
+	user := &testUser{simulation: r.Simulation, rng: r.rng, spec: pipelineSpec(len(r.users) + 1)}
+	user.follow(predecessors...)
+	r.users = append(r.users, user)
+	return user
+}
+
+// addChain adds the users of a chain of jobs, each of which follows the one before it.
+func (r *testCluster) addChain(n int) []*testUser {
+	chain := []*testUser{r.addUser()}
+	for len(chain) < n {
+		chain = append(chain, r.addUser(chain[len(chain)-1]))
+	}
+	return chain
+}
+
+// submitAll lets all users submit, each as soon as the jobs that its job follows are accepted.
+func (r *testCluster) submitAll() {
+	for _, user := range r.users {
+		user.submit()
+	}
+}
+
+// waitUntilAccepted waits until jobs are accepted.
+func (r *testCluster) waitUntilAccepted(users ...*testUser) {
+	r.t.Helper()
+	r.waitFor("accepted", time.Minute, func() bool {
+		for _, user := range users {
+			if user.history.ID == "" {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// isDone reports whether all tasks of a user's job have completed on machines.
+func (r *testCluster) isDone(user *testUser) bool { return r.AllDone(user.spec.ID, user.spec.Tasks) }
+
+// waitUntilCompleted waits until all tasks of a job have completed on machines.
+func (r *testCluster) waitUntilCompleted(user *testUser) {
+	r.t.Helper()
+	for end := r.Now() + time.Minute; !r.isDone(user); r.Advance(10 * time.Millisecond) {
+		if r.Now() >= end {
+			r.t.Fatalf("%v: %s has not completed (status %d)", r.Now(), user.spec.ID, user.status)
+		}
+	}
+}
+
+// waitUntilArchived waits until jobs are in the archive.
+func (r *testCluster) waitUntilArchived(users ...*testUser) {
+	r.t.Helper()
+	r.waitFor("archived", 2*time.Minute, func() bool {
+		for _, user := range users {
+			if r.StoredItem(archive.Key(user.spec.ID)).Version == 0 {
+				return false
+			}
+		}
+		return true
+	})
+}
+
+// wantFinalStates checks that the users of jobs received a final state.
+func (r *testCluster) wantFinalStates(want string, users ...*testUser) {
+	r.t.Helper()
+	for _, user := range users {
+		if len(user.finalStates) == 0 || user.finalStates[0] != want {
+			r.t.Errorf("%s: its user received %v, want %s", user.spec.ID, user.finalStates, want)
+		}
+	}
+}
+
+// startAllControllers starts the controllers that don't run.
+func (r *testCluster) startAllControllers() {
+	for i := range r.Controllers() {
+		r.StartController(i)
+	}
+}
+
+// submission returns the body of a job's submission.
+func submission(t *testing.T, spec *jobs.Spec) []byte {
+	t.Helper()
+	body, err := spec.MarshalJSON()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+// submitAt submits a job through one controller until that answers for good, and returns the answer.
+func (r *testCluster) submitAt(controller int, spec *jobs.Spec) (status int, state string) {
+	r.t.Helper()
+	body := submission(r.t, spec)
+	for range 60 {
+		status = 0
+		r.Request(controller, http.MethodPost, runsPath, body, func(got int, raw []byte) {
+			status = got
+			state = jobStateIn(raw)
+		})
+		r.Advance(500 * time.Millisecond)
+		if status != 0 && status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
+			return status, state
+		}
+	}
+	return status, state
+}
+
+// isAcceptance reports whether a status accepts a submission.
+func isAcceptance(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
+
+// TestDiamondStartsInOrder runs four diamonds while the leader is killed again and again.
+func TestDiamondStartsInOrder(t *testing.T) {
+	cluster := newPipelineCluster(t, 601)
+	for range 4 {
+		top := cluster.addUser()
+		left, right := cluster.addUser(top), cluster.addUser(top)
+		left.spec.Tasks = 3
+		right.spec.Kind = jobs.Gang
+		right.spec.Tasks = 2
+		cluster.addUser(left, right)
+	}
+	cluster.submitAll()
+	cluster.KillLeaders(3, 12*time.Second)
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestChainOfFiftyRunsInOrder runs a chain of 50 short jobs while leaders are killed and machines end.
+func TestChainOfFiftyRunsInOrder(t *testing.T) {
+	cluster := newPipelineCluster(t, 602)
+	for _, user := range cluster.addChain(50) {
+		user.spec.EstimateS = 0.2
+	}
+	cluster.submitAll()
+	cluster.KillLeaders(4, 40*time.Second)
+	for i := range 6 {
+		cluster.After(time.Duration(3+6*i)*time.Second, func() { cluster.KillMachine() })
+	}
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestJobWithFiveHundredPredecessorsStartsLast submits 500 short jobs and one that follows them all, and kills the
+// leader while they run.
+func TestJobWithFiveHundredPredecessorsStartsLast(t *testing.T) {
+	cluster := newPipelineCluster(t, 603)
+	for range 500 {
+		cluster.addUser().spec.EstimateS = 0.2
+	}
+	cluster.addUser(cluster.users...)
+	cluster.submitAll()
+	cluster.KillLeaders(3, 24*time.Second)
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// controllerFaults are what happens to controllers at a moment, by name.
+var controllerFaults = map[string]func(cluster *testCluster){
+	"leader killed": func(cluster *testCluster) {
+		cluster.onLeader(4*time.Second, cluster.KillController)
+	},
+	"all killed": func(cluster *testCluster) { killAll(cluster.Simulation, 500*time.Millisecond) },
+}
+
+// checkCancelledEverywhere checks that every controller calls jobs cancelled, now that cancel_s has passed.
+func (r *testCluster) checkCancelledEverywhere(users ...*testUser) {
+	r.t.Helper()
+	for _, user := range users {
+		r.checkAnswerEverywhere(user.spec.ID, http.StatusOK, stateCancelled)
+	}
+}
+
+// TestCancellationReachesAllSuccessors cancels the first, a middle and the last job of a chain, with the leader, or
+// all controllers, killed right after the answer. The jobs before the cancelled one are done, the others cancelled.
+func TestCancellationReachesAllSuccessors(t *testing.T) {
+	for fault, strike := range controllerFaults {
+		for cancelled, position := range map[string]int{"head": 0, "middle": 3, "last": 6} {
+			t.Run(fault+" "+cancelled, func(t *testing.T) {
+				t.Parallel()
+				cluster := newPipelineCluster(t, 604)
+				chain := cluster.addChain(7)
+				chain[0].spec.EstimateS = 6
+				cluster.submitAll()
+				cluster.waitUntilAccepted(chain...)
+				cluster.Advance(2 * time.Second)
+				cluster.OnCancelled(func() { strike(cluster) })
+				chain[position].cancel()
+				cluster.Advance(seconds(shortTimers.CancelS) + 2*time.Second)
+				cluster.checkCancelledEverywhere(chain[position:]...)
+				cluster.waitUntilDone()
+				cluster.wantFinalStates(stateDone, chain[:position]...)
+				cluster.wantFinalStates(stateCancelled, chain[position:]...)
+			})
+		}
+	}
+}
+
+// TestCancellationReachesWideGraph cancels a job that 150 others follow, each of which has a successor of its own, and
+// kills the leader three times right after the answer: no transaction holds that many changes.
+func TestCancellationReachesWideGraph(t *testing.T) {
+	cluster := newPipelineCluster(t, 605)
+	head := cluster.addUser()
+	head.spec.EstimateS = 300
+	for range 150 {
+		cluster.addUser(cluster.addUser(head))
+	}
+	cluster.submitAll()
+	cluster.waitUntilAccepted(cluster.users...)
+	cluster.OnCancelled(func() { cluster.KillLeaders(3, 9*time.Second) })
+	head.cancel()
+	cluster.Advance(seconds(shortTimers.CancelS) + time.Second)
+	cluster.startAllControllers()
+	for _, user := range cluster.users {
+		cluster.Request(0, http.MethodGet, runsPath+"/"+user.spec.ID, nil, ignoreAnswer)
+		cluster.Advance(10 * time.Millisecond)
+	}
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateCancelled, cluster.users...)
+}
+
+// TestCancellationMeetsAcceptanceOfSuccessor cancels jobs through one controller while another accepts a job that
+// follows each, within milliseconds before and after. The leader is killed on the way.
+func TestCancellationMeetsAcceptanceOfSuccessor(t *testing.T) {
+	for _, leaderKilled := range []bool{false, true} {
+		t.Run(fmt.Sprint("leader killed ", leaderKilled), func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 606)
+			var heads, followers []*testUser
+			for i := range 24 {
+				head := cluster.addUser()
+				head.spec.EstimateS = 60
+				follower := cluster.addUser(head)
+				heads = append(heads, head)
+				followers = append(followers, follower)
+				head.submit()
+				cluster.waitUntilAccepted(head)
+				offset := time.Duration(i-12) * 2 * time.Millisecond
+				cluster.After(50*time.Millisecond, func() { cluster.cancelAt(head, i%3) })
+				cluster.After(50*time.Millisecond+offset, follower.submit)
+				cluster.Advance(200 * time.Millisecond)
+				if leaderKilled && i%8 == 7 {
+					cluster.KillLeaders(1, time.Second)
+				}
+			}
+			cluster.waitUntilAccepted(followers...)
+			cluster.Advance(seconds(shortTimers.CancelS) + time.Second)
+			cluster.checkCancelledEverywhere(followers...)
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateCancelled, heads...)
+			cluster.wantFinalStates(stateCancelled, followers...)
+		})
+	}
+}
+
+// TestFollowerOfCancelledJobIsAcceptedAndCancelled submits jobs that follow a cancelled one, through every controller:
+// when cancel_s has passed and once the cancelled job is in the archive.
+func TestFollowerOfCancelledJobIsAcceptedAndCancelled(t *testing.T) {
+	cluster := newPipelineCluster(t, 607)
+	head := cluster.addUser()
+	head.spec.EstimateS = 60
+	head.submit()
+	cluster.waitUntilAccepted(head)
+	head.cancel()
+	cluster.Advance(seconds(shortTimers.CancelS) + time.Second)
+	for round := range 2 {
+		for i := range cluster.Controllers() {
+			user := cluster.addUser(head)
+			cluster.AddJob(user.spec)
+			if status, _ := cluster.submitAt(i, user.spec); !isAcceptance(status) {
+				t.Errorf("round %d, controller %d: status %d", round, i, status)
+			}
+			cluster.checkCancelledEverywhere(user)
+			user.submit() // again, and followed
+		}
+		cluster.waitUntilArchived(head)
+		cluster.onLeader(time.Second, cluster.KillController)
+		cluster.Advance(5 * time.Second)
+	}
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateCancelled, cluster.users...)
+}
+
+// TestFollowerOfUnknownJobIsRefused submits a job that follows one that was never accepted to every controller, before
+// and after the leader is killed; once that job is accepted, its follower is.
+func TestFollowerOfUnknownJobIsRefused(t *testing.T) {
+	cluster := newPipelineCluster(t, 608)
+	known := cluster.addUser()
+	known.submit()
+	cluster.waitUntilAccepted(known)
+	unknown := cluster.addUser()
+	follower := cluster.addUser(known, unknown)
+	cluster.AddJob(follower.spec)
+	for range 2 {
+		for i := range cluster.Controllers() {
+			if status, _ := cluster.submitAt(i, follower.spec); status != http.StatusUnprocessableEntity {
+				t.Errorf("controller %d: status %d, want 422", i, status)
+			}
+		}
+		cluster.onLeader(time.Second, cluster.KillController)
+		cluster.Advance(5 * time.Second)
+	}
+	cluster.submitAll()
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestFollowerOfArchivedJobRuns submits through every controller jobs that follow one that ended long ago, after all
+// controllers were killed.
+func TestFollowerOfArchivedJobRuns(t *testing.T) {
+	cluster := newPipelineCluster(t, 609)
+	head := cluster.addUser()
+	head.submit()
+	cluster.waitUntilArchived(head)
+	cluster.Advance(time.Minute)
+	killAll(cluster.Simulation, time.Second)
+	cluster.Advance(8 * time.Second)
+	for i := range cluster.Controllers() {
+		user := cluster.addUser(head)
+		cluster.AddJob(user.spec)
+		if status, _ := cluster.submitAt(i, user.spec); !isAcceptance(status) {
+			t.Errorf("controller %d: status %d", i, status)
+		}
+		user.submit() // again, and followed
+	}
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestRepeatedSubmissionAfterPredecessorsEnded repeats the submissions of a diamond through every controller, when it
+// is done and once it is in the archive: each is answered 200 with the state.
+func TestRepeatedSubmissionAfterPredecessorsEnded(t *testing.T) {
+	cluster := newPipelineCluster(t, 610)
+	top := cluster.addUser()
+	cluster.addUser(cluster.addUser(top), cluster.addUser(top))
+	cluster.submitAll()
+	cluster.waitUntilDone()
+	for range 2 {
+		for i := range cluster.Controllers() {
+			for _, user := range cluster.users {
+				if status, state := cluster.submitAt(i, user.spec); status != http.StatusOK || state != stateDone {
+					t.Errorf("%s at controller %d: %d %q, want 200 done", user.spec.ID, i, status, state)
+				}
+			}
+		}
+		cluster.waitUntilArchived(cluster.users...)
+		cluster.onLeader(time.Second, cluster.KillController)
+		cluster.Advance(5 * time.Second)
+	}
+	cluster.waitUntilDone()
+}
+
+// TestRepeatedSubmissionWhilePredecessorRuns repeats the submission of a job while the job before it runs, after that
+// is done, and after it is in the archive: it is accepted each time.
+func TestRepeatedSubmissionWhilePredecessorRuns(t *testing.T) {
+	cluster := newPipelineCluster(t, 611)
+	head := cluster.addUser()
+	follower := cluster.addUser(head)
+	follower.spec.EstimateS = 40
+	cluster.submitAll()
+	cluster.waitUntilAccepted(follower)
+	submitEverywhere := func() {
+		t.Helper()
+		for i := range cluster.Controllers() {
+			if status, state := cluster.submitAt(i, follower.spec); status != http.StatusOK || isFinal(state) {
+				t.Errorf("%v, controller %d: %d %q", cluster.Now(), i, status, state)
+			}
+		}
+	}
+	submitEverywhere()
+	cluster.waitUntilCompleted(head)
+	submitEverywhere()
+	cluster.waitUntilArchived(head)
+	submitEverywhere()
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestControllersEndBetweenPredecessorsEndAndRelease kills the leader, or all controllers, at several moments after
+// the last task of a job's predecessors has completed.
+func TestControllersEndBetweenPredecessorsEndAndRelease(t *testing.T) {
+	for fault, strike := range controllerFaults {
+		t.Run(fault, func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 612)
+			for _, offset := range []int{0, 5, 20, 100, 300, 600, 1000} {
+				first, last := cluster.addUser(), cluster.addUser()
+				last.spec.EstimateS = 3
+				follower := cluster.addUser(first, last)
+				first.submit()
+				last.submit()
+				follower.submit()
+				cluster.waitUntilCompleted(first)
+				cluster.waitUntilCompleted(last)
+				cluster.Advance(time.Duration(offset) * time.Millisecond)
+				strike(cluster)
+				cluster.Advance(8 * time.Second)
+			}
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateDone, cluster.users...)
+		})
+	}
+}
+
+// TestStateOutageAfterCancellation stops the state service for longer than cancel_s right after a cancellation's
+// answer, with and without the controllers killed in it; the controllers are asked about all jobs throughout.
+func TestStateOutageAfterCancellation(t *testing.T) {
+	for _, fault := range []string{"", "leader killed", "all killed"} {
+		t.Run("outage "+fault, func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 613)
+			chain := cluster.addChain(8)
+			chain[0].spec.EstimateS = 60
+			cluster.submitAll()
+			cluster.waitUntilAccepted(chain...)
+			outage := seconds(1.5 * shortTimers.CancelS)
+			cluster.OnCancelled(func() {
+				cluster.during(outage, cluster.SetStateOutage)
+				if strike := controllerFaults[fault]; strike != nil {
+					cluster.After(time.Second, func() { strike(cluster) })
+				}
+			})
+			chain[0].cancel()
+			for end := cluster.Now() + outage + 5*time.Second; cluster.Now() < end; cluster.Advance(time.Second) {
+				cluster.askEverywhere(chain)
+			}
+			cluster.checkCancelledEverywhere(chain...)
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateCancelled, chain...)
+		})
+	}
+}
+
+// askEverywhere queries every controller about jobs; the simulation checks the answers.
+func (r *testCluster) askEverywhere(users []*testUser) {
+	for i := range r.Controllers() {
+		for _, user := range users {
+			r.Request(i, http.MethodGet, runsPath+"/"+user.spec.ID, nil, ignoreAnswer)
+		}
+	}
+}
+
+// TestBlockedJobsTakeNoPartOfTeamLimit submits a hundred jobs that wait for a long one, as much work as their team's
+// limit several times over, and then other jobs of the team: those run at once.
+func TestBlockedJobsTakeNoPartOfTeamLimit(t *testing.T) {
+	cluster := newPipelineCluster(t, 614)
+	head := cluster.addUser()
+	head.spec.EstimateS = 50
+	for range 100 {
+		blocked := cluster.addUser(head)
+		blocked.spec.CPUs = 4
+		blocked.spec.Priority = "urgent"
+	}
+	blocked := cluster.users[1:]
+	cluster.submitAll()
+	cluster.waitUntilAccepted(blocked...)
+	var others []*testUser
+	for range 14 { // with the first job, 57 of the team's 60 processors
+		other := cluster.addUser()
+		other.spec.CPUs = 4
+		other.spec.EstimateS = 20
+		others = append(others, other)
+		other.submit()
+	}
+	cluster.waitUntilAccepted(others...)
+	cluster.onLeader(time.Second, cluster.KillController)
+	cluster.Advance(15 * time.Second)
+	if cluster.isDone(head) {
+		t.Fatal("the first job has ended too soon to show anything")
+	}
+	for _, other := range others {
+		if _, started := cluster.FirstStart(other.spec.ID); !started {
+			t.Errorf("%s has not started beside blocked jobs", other.spec.ID)
+		}
+	}
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestCancellationAtPredecessorsEndHasOneOutcome cancels most jobs at the moment of their end, while others wait for
+// them: the jobs after one that is done go on, those after a cancelled one are cancelled.
+func TestCancellationAtPredecessorsEndHasOneOutcome(t *testing.T) {
+	cluster := newPipelineCluster(t, 615)
+	cluster.CancelAtCompletion(0.7)
+	cluster.SetPollBursts(true)
+	for range 40 {
+		head := cluster.addUser()
+		follower := cluster.addUser(head)
+		head.submit()
+		follower.submit()
+		cluster.Advance(150 * time.Millisecond)
+	}
+	cluster.KillLeaders(2, 4*time.Second)
+	cluster.Advance(8 * time.Second)
+	cluster.waitUntilDone()
+	ends := map[string]int{}
+	for i := 0; i < len(cluster.users); i += 2 {
+		head, follower := cluster.users[i], cluster.users[i+1]
+		if len(head.finalStates) == 0 {
+			continue // reported
+		}
+		ends[head.finalStates[0]]++
+		if head.finalStates[0] == stateCancelled {
+			cluster.wantFinalStates(stateCancelled, follower)
+		}
+	}
+	if ends[stateDone] < 5 || ends[stateCancelled] < 5 {
+		t.Errorf("%v: ends and cancellations did not meet", ends)
+	}
+}
+
+// TestLateReportOfPredecessorsEnd cuts off what machines send while the first jobs of chains end on them, for less
+// than a worker's lease and for more, and kills the leader meanwhile.
+func TestLateReportOfPredecessorsEnd(t *testing.T) {
+	for _, cut := range []time.Duration{4 * time.Second, 9 * time.Second} {
+		t.Run(cut.String(), func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 616)
+			for range 10 {
+				head := cluster.addUser()
+				head.spec.EstimateS = 3
+				cluster.addUser(head)
+			}
+			cluster.submitAll()
+			cluster.waitFor("running", 30*time.Second, func() bool { return cluster.Utilization().Running >= 10 })
+			cluster.DropOutbound(4, "", cut)
+			cluster.Advance(2 * time.Second)
+			cluster.onLeader(time.Second, cluster.KillController)
+			cluster.Advance(cut)
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateDone, cluster.users...)
+		})
+	}
+}
+
+// What of the jobs of a chaotic run follows others.
+const (
+	chaosFollowerPercent = 60
+	chaosMaxPredecessors = 3
+	chaosFirstFollower   = 2 // the index of the first user whose job may follow others
+)
+
+// linkPipelines makes most users' jobs follow some that were drawn before them.
+func linkPipelines(rng *rand.Rand, users []*testUser) {
+	for i, user := range users {
+		if i < chaosFirstFollower || rng.IntN(100) >= chaosFollowerPercent {
+			continue
+		}
+		chosen := rng.Perm(i)[:min(i, 1+rng.IntN(chaosMaxPredecessors))]
+		for _, predecessor := range chosen {
+			user.follow(users[predecessor])
+		}
+	}
+}
+
+// checkPipelineAnswers checks that every user of a chaotic run received one final state, and counts them.
+func checkPipelineAnswers(t *testing.T, sim *Simulation, users []*testUser, ends map[string]int) {
+	t.Helper()
+	for _, user := range users {
+		if len(user.finalStates) == 0 {
+			t.Errorf("%s is not over (status %d, follows %v)", user.spec.ID, user.status, user.spec.Follows)
+			continue
+		}
+		ends[user.finalStates[0]]++
+		if user.finalStates[0] == stateCancelled && !user.cancelRequested {
+			ends["cancelled with another"]++
+			if !sim.MayBeCancelled(user.spec.ID) {
+				t.Errorf("%s is cancelled, and nobody asked for it", user.spec.ID)
+			}
+		}
+		for _, state := range user.finalStates {
+			if state != user.finalStates[0] {
+				t.Errorf("%s was answered %v", user.spec.ID, user.finalStates)
+			}
+		}
+	}
+}
+
+// TestPipelineChaos is TestChaos with jobs that follow others: no rule breaks, and every accepted job ends.
+func TestPipelineChaos(t *testing.T) {
+	seeds := 5
+	if os.Getenv("HAREWALK_LONG") != "" {
+		seeds = 200
+	}
+	ends := map[string]int{}
+	for seed := range seeds {
+		rng := rand.New(rand.NewPCG(uint64(seed+1), 53))
+		link := func(users []*testUser) { linkPipelines(rng, users) }
+		sim, users := runChaosWith(t, uint64(1000+seed), 60, 90*time.Second, link)
+		for _, violation := range sim.Violations() {
+			t.Errorf("seed %d: %s", 1000+seed, violation)
+		}
+		checkPipelineAnswers(t, sim, users, ends)
+		if t.Failed() {
+			t.Fatalf("seed %d failed", 1000+seed)
+		}
+	}
+	t.Logf("%d seeds: %v", seeds, ends)
+	if ends[stateDone] == 0 || ends["cancelled with another"] == 0 {
+		t.Error("no job was done, or none was cancelled with one that it follows")
+	}
+}
