--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -15,6 +15,7 @@
 type cancellation struct {
 	id          string
 	user        *access.Identity // nil: no user is authenticated, so every team's jobs may be cancelled
+	withCounts  bool             // the reply carries the counts of tasks: a status query met a doomed job
 	retriesLeft int
 	reply       func(Reply)
 }
@@ -40,7 +41,7 @@
 	case job == nil:
 		s.readAndCancel(c)
 	case job.State.Terminal():
-		c.reply(s.jobReply(job, false))
+		c.reply(s.jobReply(job, c.withCounts))
 	case c.user != nil && !c.user.MayActFor(job.Spec.Team):
 		c.reply(Refuse(Forbidden, c.user.Name+" may not cancel jobs of team "+job.Spec.Team))
 	default:
@@ -57,7 +58,7 @@
 		}
 		c.retriesLeft--
 		if item.Version == 0 {
-			archived := lookup{id: c.id, absent: noSuchJob, reply: c.reply}
+			archived := lookup{id: c.id, withCounts: c.withCounts, absent: noSuchJob, reply: c.reply}
 			s.replyFromArchive(archived, func(*jobs.Job) { s.tryCancel(c) })
 			return
 		}
@@ -98,9 +99,9 @@
 // replyCancelled replies to a cancellation that is durable. The job may have been archived before the write's
 // response arrived; then its answer is read.
 func (s *Service) replyCancelled(c cancellation) {
-	if final, ok := s.finalReply(c.id, false); ok {
+	if final, ok := s.finalReply(c.id, c.withCounts); ok {
 		c.reply(final)
 		return
 	}
-	s.readAndReply(lookup{id: c.id, absent: notStored, reply: c.reply})
+	s.readAndReply(lookup{id: c.id, withCounts: c.withCounts, absent: notStored, reply: c.reply})
 }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -56,7 +56,7 @@
 
 // readAndReply replies from a fresh read of the job's record, or of its archived answer.
 func (s *Service) readAndReply(l lookup) {
-	replyAccepted := func(job *jobs.Job) { l.reply(s.jobReply(job, l.withCounts)) }
+	replyAccepted := func(job *jobs.Job) { s.replyWithJob(job, l.withCounts, l.reply) }
 	s.Store.Get(jobs.RecordKey(l.id), l.priority(), func(item store.Item, err error) {
 		if err != nil {
 			l.reply(stateServiceUnavailable)
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -71,6 +71,12 @@
 	MaxBytes int
 	// MaxValue bounds the record of one job, in bytes.
 	MaxValue int
+
+	// AcceptsDependencies reports whether jobs with predecessors may be stored. Nil if they never may.
+	AcceptsDependencies func() bool
+	// IsBlockedCertain reports whether this controller may answer that a blocked job waits: no cancellation of a job
+	// before it can have been told to a user for long without being known here. Nil if it always may.
+	IsBlockedCertain func(now time.Duration, id string) bool
 }
 
 // Service answers requests about jobs, on the event loop.
@@ -81,7 +87,8 @@
 	submissions     []pendingSubmission
 	submissionBytes int // of the records in submissions
 	submitInFlight  bool
-	lastRetryAt     time.Duration // when the submission that was refused last may be sent again
+	batchInFlight   []pendingSubmission // whose transaction is in flight
+	lastRetryAt     time.Duration       // when the submission that was refused last may be sent again
 
 	queries       []statusQuery
 	queryInFlight bool
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -153,12 +153,12 @@
 	job := s.Jobs.Get(query.id)
 	switch {
 	case job != nil && (upToDate || job.State.Terminal()):
-		query.reply(s.jobReply(job, query.withCounts))
+		s.replyWithJob(job, query.withCounts, query.reply)
 	case upToDate && query.version == 0:
 		query.reply(noSuchJob) // neither its record nor its archived answer existed, at one moment
 	case !recordFailed && query.version == 0:
 		// Its archived answer existed and its record didn't: one read is enough.
-		s.replyFromArchive(query.lookup, func(job *jobs.Job) { query.reply(s.jobReply(job, query.withCounts)) })
+		s.replyFromArchive(query.lookup, func(job *jobs.Job) { s.replyWithJob(job, query.withCounts, query.reply) })
 	default:
 		// The record has changed, or the job was archived and left the job table during the check.
 		s.readAndReply(query.lookup)
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -23,7 +23,8 @@
 	reply  func(Reply)
 }
 
-// Submit stores a new job and replies once that is durable. A repeated submission gets the job's present state.
+// Submit stores a new job and replies once that is durable. A repeated submission gets the job's present state. The
+// service owns the specification from then on.
 func (s *Service) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
 	if s.draining {
 		reply(Refuse(Unavailable, "this controller is being drained: ask another"))
@@ -44,7 +45,16 @@
 	if !s.admit(now, spec, reply) {
 		return
 	}
-	record := jobs.EncodeRecord(jobs.Pending, s.Jobs.WallMS(now), spec.Tasks, spec)
+	if len(spec.Follows) > 0 {
+		s.checkPredecessors(now, spec, reply)
+		return
+	}
+	s.submitInState(now, jobs.Pending, spec, reply)
+}
+
+// submitInState queues a job that can run and whose predecessors are settled to be stored in a state.
+func (s *Service) submitInState(now time.Duration, state jobs.State, spec *jobs.Spec, reply func(Reply)) {
+	record := jobs.EncodeRecord(state, s.Jobs.WallMS(now), spec.Tasks, spec)
 	if refusal, refused := s.refuseOversized(spec, record); refused {
 		reply(refusal)
 		return
@@ -120,8 +130,10 @@
 	}
 	batch := s.dequeueSubmissions(count)
 	s.submitInFlight = true
+	s.batchInFlight = batch
 	s.Store.Txn(s.submissionTxn(batch), store.NormalPriority, func(result store.Result) {
 		s.submitInFlight = false
+		s.batchInFlight = nil
 		s.replyToSubmissions(s.Store.Now(), batch, result)
 		s.storeSubmissions(s.Store.Now())
 	})
@@ -220,8 +232,8 @@
 	switch job := s.Jobs.Get(id); {
 	case job == nil:
 		s.readSubmission(submission)
-	case job.State.Terminal():
-		submission.reply(s.jobReply(job, false))
+	case job.State.Terminal() || job.Doomed:
+		s.replyWithJob(job, false, submission.reply)
 	default:
 		submission.reply(Reply{Status: http.StatusCreated, Body: jobBody{ID: id, State: jobs.Pending.String()}})
 	}
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -82,8 +82,12 @@
 	return isOverdue
 }
 
-// isArchivable reports whether an ended job can't have a task on any machine, and nothing else of it is stored.
+// isArchivable reports whether an ended job can't have a task on any machine, nothing else of it is stored, and no live
+// job names it as a predecessor: every later leader would have to read its answer.
 func (c *Controller) isArchivable(job *jobs.Job) bool {
+	if c.dependencies.graph.HasSuccessors(job.ID) {
+		return false
+	}
 	if c.term.sessions != nil && c.term.sessions.Exists(job.ID) {
 		return false
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,6 +88,7 @@
 	term         leaderTerm
 	lifecycle    lifecycle
 	archive      jobArchive
+	dependencies jobDependencies
 	storedZones  storedZones
 	drains       drainState
 	peers        peerSet
@@ -148,6 +149,7 @@
 	c.watchCache.OnSynced = c.handleSynced
 	c.archive.settings = settings.Archive()
 	c.archive.reader = c.newArchiveReader(c.archive.settings.CacheEntries)
+	c.dependencies = c.newDependencies()
 	c.api = c.newSubmissionAPI()
 	return c
 }
@@ -225,6 +227,9 @@
 		MaxTasks:       c.settings.Params.Limits.MaxTasks(),
 		MaxBytes:       c.settings.Params.Limits.MaxQueueBytes(),
 		MaxValue:       state.Limits().MaxValueBytes,
+
+		AcceptsDependencies: c.acceptsDependencies,
+		IsBlockedCertain:    c.isBlockedCertain,
 	})
 }
 
@@ -255,6 +260,7 @@
 		c.advanceDrain(now)
 	}
 	c.applyDrains(now)
+	c.tickDependencies(now)
 	c.advanceRollout(now)
 	c.logFailoverTiming(now)
 	if c.term.active() {
@@ -297,6 +303,7 @@
 	c.term.capacity.Tick(now, c.term.authoritySince)
 	c.storeZones(now)
 	c.resignIfUnreachable(now)
+	c.term.canceller.Tick(now)
 	c.archiveEndedJobs(now)
 }
 
--- /dev/null
+++ b/internal/controller/dependencies.go
@@ -0,0 +1,74 @@
+package controller
+
+import (
+	"time"
+
+	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/dependencies"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// jobDependencies is this controller's side of the jobs that wait for others.
+type jobDependencies struct {
+	graph    *dependencies.Graph
+	resolver *dependencies.Resolver
+}
+
+// newDependencies makes the dependency graph of all jobs, and what completes it.
+func (c *Controller) newDependencies() jobDependencies {
+	graph := dependencies.New(c.jobs, c.handleJobReleased)
+	resolver := dependencies.NewResolver(graph, dependencies.ResolverEnv{
+		CanRead: func() bool { return c.store.CanWrite(0, store.NormalPriority) },
+		Read: func(key string, done func(store.Item, error)) {
+			c.store.Get(key, store.NormalPriority, done)
+		},
+		FindArchived: func(id string, done func(archive.Answer, bool, error)) {
+			c.archive.reader.Find(id, store.NormalPriority, done)
+		},
+		OnJobRecord: c.handleJobRead,
+		Now:         c.loop.Now,
+	})
+	return jobDependencies{graph: graph, resolver: resolver}
+}
+
+// newCanceller makes a term's canceller of jobs with a cancelled predecessor.
+func (c *Controller) newCanceller() *dependencies.Canceller {
+	return dependencies.NewCanceller(c.dependencies.graph, dependencies.CancellerEnv{
+		CanWrite: func(ops int) bool { return c.store.CanWrite(ops, store.NormalPriority) },
+		Commit: func(txn store.Txn, done func(store.Result)) {
+			c.commitInTerm(txn, store.NormalPriority, done)
+		},
+		Read:        c.readInTerm,
+		OnJobRecord: c.handleJobRead,
+		Now:         c.loop.Now,
+		WallMS:      c.jobs.WallMS,
+		MaxOps:      func() int { return c.store.Limits().MaxOps },
+	})
+}
+
+// handleJobReleased hands a job whose last predecessor is done to the leader's planning.
+func (c *Controller) handleJobReleased(now time.Duration, job *jobs.Job) {
+	if c.term.active() {
+		c.term.fleet.HandleJobReleased(now, job)
+	}
+}
+
+// tickDependencies does what is due for the dependency graph on every controller.
+func (c *Controller) tickDependencies(now time.Duration) {
+	if c.watchCache.Synced() && c.rollout.Compatible() {
+		c.dependencies.resolver.Tick(now)
+	}
+}
+
+// acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
+func (c *Controller) acceptsDependencies() bool { return c.rollout.Level() >= rollout.Dependencies }
+
+// isBlockedCertain reports whether this controller may say of a blocked job that it waits. A cancellation of a job
+// before it must be known here within cancel_s after a user was told of it: the followed keys must be fresh enough, and
+// nothing before the job unknown.
+func (c *Controller) isBlockedCertain(now time.Duration, id string) bool {
+	isFresh := now-c.watchCache.FreshAt() <= c.settings.StalenessBound()
+	return isFresh && !c.dependencies.graph.HasUnknownAncestor(id)
+}
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -68,12 +68,13 @@
 	c.licencePools.Reset(isPresent)
 	c.drains.machines.Reset(c.watchCache.Revision(), isPresent)
 	c.jobs.Retain(c.watchCache.Revision(), func(id string) bool { return keys[jobs.RecordKey(id)] })
+	c.dependencies.graph.Retain()
 }
 
 // handleJobRead applies a job's record that was read or written beside the followed keys. If they have passed its
 // version and the table lacks the job, it was archived since: a late answer must not bring it back.
 func (c *Controller) handleJobRead(now time.Duration, item store.Item) {
-	isKnown := c.jobs.Get(jobIDOf(item.Key)) != nil
+	isKnown := c.jobs.Get(jobs.IDOfKey(item.Key)) != nil
 	if !isKnown && item.Version <= c.watchCache.Revision() {
 		return
 	}
@@ -82,7 +83,7 @@
 
 // applyJobRecord applies a job's record to the table of jobs and, in a term, to the fleet.
 func (c *Controller) applyJobRecord(now time.Duration, item store.Item) {
-	job, changed, err := c.jobs.Apply(jobIDOf(item.Key), item.Value, item.Version)
+	job, changed, err := c.jobs.Apply(jobs.IDOfKey(item.Key), item.Value, item.Version)
 	if err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
 		return
@@ -90,6 +91,9 @@
 	if changed && job.State.Terminal() {
 		job.EndedAt = now
 	}
+	if changed {
+		c.dependencies.graph.HandleJobChange(now, job)
+	}
 	if changed && c.term.active() {
 		c.term.fleet.HandleJobChange(now, job)
 	}
@@ -97,12 +101,12 @@
 
 // handleJobDeleted applies that a job's record has left the followed keys.
 func (c *Controller) handleJobDeleted(key string, version uint64) {
-	id := jobIDOf(key)
+	id := jobs.IDOfKey(key)
 	c.jobs.Archive(id, version)
+	if job := c.jobs.Get(id); job == nil || job.Archived {
+		c.dependencies.graph.HandleRemoved(id)
+	}
 	if c.term.mover != nil {
 		c.term.mover.ForgetBackoff(id)
 	}
 }
-
-// jobIDOf returns the id of the job whose record stands at a key.
-func jobIDOf(key string) string { return strings.TrimPrefix(key, jobs.Prefix) }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -8,6 +8,7 @@
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/dependencies"
 	"github.com/harewalk/harewalk/internal/events"
 	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/httpio"
@@ -25,6 +26,7 @@
 	capacity       *capacity.Manager
 	sessions       *sessions.Manager // nil where sessions are off
 	mover          *archive.Mover
+	canceller      *dependencies.Canceller
 	loading        bool
 	loadNotBefore  time.Duration
 	authoritySince time.Duration // since when authority has not been interrupted
@@ -61,6 +63,7 @@
 		Note:    c.settings.Node,
 	})
 	c.term.mover = c.newArchiveMover()
+	c.term.canceller = c.newCanceller()
 	c.drains.upkeep = drainUpkeep{sweptAt: now}
 	machineTypes := func() []capacity.MachineType { return c.machineTypes.list }
 	c.term.capacity = capacity.New(c.settings, c.cloud, c.term.fleet, c.jobs.Names, machineTypes, term)
@@ -87,6 +90,7 @@
 		OnUnreadable:      c.rollout.MarkUnreadable,
 		CanWrite:          func(n int) bool { return c.store.CanWrite(n, store.BulkPriority) },
 		HasSpareWrites:    c.store.HasSpareWrites,
+		LatestEnds:        c.dependencies.graph.LatestEnds,
 		Commit: func(txn store.Txn, done func(store.Result)) {
 			c.commitInTerm(txn, store.BulkPriority, done)
 		},
@@ -106,6 +110,7 @@
 	c.term.capacity = nil
 	c.term.sessions = nil
 	c.term.mover = nil
+	c.term.canceller = nil
 	c.term.loading = false
 	c.rollout.HandleLeadershipLost()
 	c.jobs.ResetPlanning()
--- /dev/null
+++ b/internal/dependencies/resolver.go
@@ -0,0 +1,89 @@
+package dependencies
+
+import (
+	"time"
+
+	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+const (
+	// resolveInterval spaces the searches for jobs in state Unknown. The watch brings most of their records first.
+	resolveInterval = 500 * time.Millisecond
+	// maxResolveReads bounds the reads in flight.
+	maxResolveReads = 8
+)
+
+// ResolverEnv is what a Resolver needs of the controller.
+type ResolverEnv struct {
+	// CanRead reports whether one more read may be sent now.
+	CanRead func() bool
+	// Read reads one key; a missing key has version 0.
+	Read func(key string, done func(store.Item, error))
+	// FindArchived reads a job's archived answer.
+	FindArchived func(id string, done func(answer archive.Answer, found bool, err error))
+	// OnJobRecord receives each record that was read.
+	OnJobRecord func(now time.Duration, item store.Item)
+	// Now returns the monotonic time, for results.
+	Now func() time.Duration
+}
+
+// Resolver reads what became of jobs that are named as predecessors and whose records aren't among the followed keys:
+// they were archived before this controller read the successor's record.
+type Resolver struct {
+	env       ResolverEnv
+	graph     *Graph
+	searchAt  time.Duration   // when unknown jobs are next searched for
+	inFlight  map[string]bool // by job
+	lastFound map[string]bool // jobs that were unknown at the last search
+}
+
+// NewResolver returns a Resolver for a graph.
+func NewResolver(graph *Graph, env ResolverEnv) *Resolver {
+	return &Resolver{env: env, graph: graph, inFlight: map[string]bool{}}
+}
+
+// Tick reads jobs that have been unknown for at least one search.
+func (r *Resolver) Tick(now time.Duration) {
+	if now < r.searchAt {
+		return
+	}
+	r.searchAt = now + resolveInterval
+	found := map[string]bool{}
+	var due []string
+	r.graph.ForEachUnknown(func(id string) bool {
+		found[id] = true
+		if r.lastFound[id] && !r.inFlight[id] {
+			due = append(due, id)
+		}
+		return len(due) < maxResolveReads
+	})
+	r.lastFound = found
+	for _, id := range due {
+		if len(r.inFlight) >= maxResolveReads || !r.env.CanRead() {
+			return
+		}
+		r.read(id)
+	}
+}
+
+// read reads a job's record first and its archived answer second: a job only ever moves from the one to the other.
+func (r *Resolver) read(id string) {
+	r.inFlight[id] = true
+	r.env.Read(jobs.RecordKey(id), func(item store.Item, err error) {
+		if err != nil || item.Version != 0 {
+			delete(r.inFlight, id)
+			if err == nil {
+				r.env.OnJobRecord(r.env.Now(), item)
+			}
+			return
+		}
+		r.env.FindArchived(id, func(answer archive.Answer, found bool, err error) {
+			delete(r.inFlight, id)
+			if err == nil && found {
+				r.graph.HandleArchived(r.env.Now(), id, answer.State)
+			}
+		})
+	})
+}
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -13,6 +13,7 @@
 const (
 	TermStarted         Kind = iota // the leader's term began; earlier events aren't in the log
 	JobAccepted                     // the leader read or accepted a job
+	JobReleased                     // the job's last predecessor is done: its tasks may start
 	JobDone                         // the job's end is durable
 	JobCancelled                    // the job's cancellation is durable
 	TaskLaunched                    // the task's launch is sent to a machine
@@ -31,6 +32,7 @@
 var kindNames = [...]string{
 	TermStarted:         "term",
 	JobAccepted:         "job_accepted",
+	JobReleased:         "job_released",
 	JobDone:             "job_done",
 	JobCancelled:        "job_cancelled",
 	TaskLaunched:        "task_sent",
--- a/internal/fleet/env.go
+++ b/internal/fleet/env.go
@@ -50,6 +50,11 @@
 	// state on. If nil, they are.
 	PlansInPages func() bool
 
+	// LatestEnds returns a function that gives the latest time at which a job may end for the deadlines of the jobs
+	// that need it; false if they have none. runTime is the time from a job's release to its end. If nil, no job needs
+	// another.
+	LatestEnds func(runTime func(*jobs.Job) time.Duration) func(*jobs.Job) (time.Duration, bool)
+
 	// SendCommands sends commands directly to a machine. If ok is false, the outcome is indeterminate; the
 	// heartbeat is the body of the response, nil if there is none.
 	SendCommands func(machine *Machine, commands DirectCommands, done func(heartbeat *Heartbeat, ok bool))
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -36,6 +36,17 @@
 	return job.Spec.EstimateS * f.classStatsOf(job.Class).ratio
 }
 
+// stageHeartbeats is how many heartbeat intervals a stage of a pipeline takes beside its run time: its start and its end
+// are each learned by a heartbeat.
+const stageHeartbeats = 2
+
+// stageTime returns the expected time from a job's release to its end, where there is room at once: the fetch of its
+// image at the usual rate, its run time, and the heartbeats in between.
+func (f *Fleet) stageTime(job *jobs.Job) time.Duration {
+	heartbeats := stageHeartbeats * f.Settings.Params.Workers.HeartbeatIntervalS
+	return jobs.Seconds(f.estimate(job) + job.Spec.ImageGB + heartbeats)
+}
+
 // fetchSeconds returns how long a machine takes to fetch a job's image: 0 if it has the image, or if its rate is
 // unknown.
 func (f *Fleet) fetchSeconds(job *jobs.Job, machine *Machine) float64 {
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -14,14 +14,35 @@
 	switch {
 	case !f.plansLoaded:
 	case job.State == jobs.Pending:
-		f.openJob(now, job)
+		f.acceptJob(now, job)
 	default:
 		f.closeJob(now, job)
 	}
 }
 
-// openJob makes an accepted job available to planning.
-func (f *Fleet) openJob(now time.Duration, job *jobs.Job) {
+// acceptJob records a new job and makes it available to planning, unless it waits for its predecessors.
+func (f *Fleet) acceptJob(now time.Duration, job *jobs.Job) {
+	slog.Info("job accepted", "job", job.ID, "class", job.Spec.Class, "kind", string(job.Spec.Kind),
+		"tasks", job.TaskCount, "predecessors", len(job.Spec.Follows), "term", f.Term)
+	f.addJobEvent(now, events.JobAccepted, job)
+	if !job.Blocked {
+		f.openJob(job)
+	}
+}
+
+// HandleJobReleased makes a job available to planning whose last predecessor is done. Before the plans are loaded it
+// does nothing, since LoadPlans reads the whole table.
+func (f *Fleet) HandleJobReleased(now time.Duration, job *jobs.Job) {
+	if !f.plansLoaded {
+		return
+	}
+	slog.Info("job released", "job", job.ID, "waited_s", int((now - job.SubmittedAt).Seconds()), "term", f.Term)
+	f.addJobEvent(now, events.JobReleased, job)
+	f.openJob(job)
+}
+
+// openJob makes a job available to planning.
+func (f *Fleet) openJob(job *jobs.Job) {
 	job.CreateTasks()
 	if f.unreadableJobs[job.ID] {
 		// Its plan was skipped when this term began, so which of its tasks run is unknown here. The next leader reads
@@ -29,9 +50,6 @@
 		job.Quarantined = true
 	}
 	f.ranking.at = 0
-	slog.Info("job accepted", "job", job.ID, "class", job.Spec.Class, "kind", string(job.Spec.Kind),
-		"tasks", job.TaskCount, "term", f.Term)
-	f.addJobEvent(now, events.JobAccepted, job)
 }
 
 // closeJob drops what planning keeps of a job that is done or cancelled, and stops its tasks.
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -143,7 +143,7 @@
 	if f.hasLowestPriority(job) && !guaranteed {
 		return
 	}
-	if f.preemptedRecently(now, job) || now-job.SubmittedAt < preemptionDelay {
+	if f.preemptedRecently(now, job) || now-job.ReadyAt() < preemptionDelay {
 		return
 	}
 	if grant.Tasks >= needed {
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -45,6 +45,9 @@
 	if job.Spec.DeadlineS != nil {
 		limit.add(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS) - runTime)
 	}
+	if latestEnd, needed := f.ranking.latestEnds[job.Index]; needed {
+		limit.add(latestEnd - runTime)
+	}
 	for i := range f.Settings.Params.Objectives {
 		objective := &f.Settings.Params.Objectives[i]
 		if objective.Kind == objectiveGuarantee && f.ranking.withinGuarantee[job.Index] && !job.Started {
@@ -59,7 +62,7 @@
 				limit.add(job.SubmittedAt + config.Seconds(objective.WithinS))
 			}
 		case objectiveFinished:
-			limit.add(job.SubmittedAt + config.Seconds(objective.WithinS) - runTime)
+			limit.add(job.ReadyAt() + config.Seconds(objective.WithinS) - runTime)
 		case objectiveDeadline:
 			if job.Spec.DeadlineS != nil && objective.Times > 1 {
 				limit.add(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS*objective.Times) - runTime)
@@ -87,6 +90,7 @@
 	}
 	f.collectLiveJobs()
 	f.findJobsWithinGuarantee()
+	f.findLatestEnds()
 	urgencies := make(map[jobs.Index]urgency, len(f.ranking.jobs))
 	for _, job := range f.ranking.jobs {
 		latestStart, attainable := f.latestUsefulStart(now, job)
@@ -116,6 +120,20 @@
 	})
 }
 
+// findLatestEnds finds the jobs on which others with deadlines wait, and when they must have ended for those.
+func (f *Fleet) findLatestEnds() {
+	clear(f.ranking.latestEnds)
+	if f.LatestEnds == nil {
+		return
+	}
+	latestEndOf := f.LatestEnds(f.stageTime)
+	for _, job := range f.ranking.jobs {
+		if latestEnd, needed := latestEndOf(job); needed {
+			f.ranking.latestEnds[job.Index] = latestEnd
+		}
+	}
+}
+
 // findJobsWithinGuarantee finds the jobs that their team's guarantee covers, together with the team's older jobs.
 func (f *Fleet) findJobsWithinGuarantee() {
 	clear(f.ranking.withinGuarantee)
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -30,6 +30,9 @@
 	}
 	f.loadSegments(now, items)
 	f.Jobs.ForEachLive(func(job *jobs.Job) {
+		if job.Blocked {
+			return // HandleJobReleased creates its tasks
+		}
 		job.CreateTasks()
 		if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
 			f.finishGang(now, job)
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -127,7 +127,7 @@
 // mayLaunch reports whether a planned task may be launched on a machine now.
 func (f *Fleet) mayLaunch(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
 	task := &job.Tasks[taskIndex]
-	if job.State != jobs.Pending || job.Quarantined {
+	if job.State != jobs.Pending || job.Quarantined || job.Blocked {
 		return false
 	}
 	if task.State != jobs.Planned || task.Machine != machine.Index || task.NotBefore > now {
@@ -156,7 +156,7 @@
 	task.Attempt = attempt
 	if !job.Started {
 		slog.Info("job starts", "job", job.ID, "class", job.Spec.Class, "tasks", job.TaskCount, "machine", machine.Name,
-			"waited_s", int((now - job.SubmittedAt).Seconds()),
+			"waited_s", int((now - job.ReadyAt()).Seconds()),
 			"fetch_s", int(f.fetchSeconds(job, machine)), "term", f.Term)
 	}
 	job.Started = true
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Start deadlines: every job, whatever its size and rank, starts within a time from its submission.
+// Start deadlines: every job, whatever its size and rank, starts within a time from its submission, or from the end of
+// its last predecessor.
 
 import (
 	"cmp"
@@ -33,11 +34,12 @@
 // isOverdue reports whether the jobs of a class have overdue starts.
 func (c startClass) isOverdue() bool { return c != withinGuarantee && c != beyondGuarantee }
 
-// startOverdue reports whether no task of a job has ever started although it was submitted long ago. Its age counts
-// from its submission, which is durable, so that it survives a failover.
+// startOverdue reports whether no task of a job has ever started although it has been ready for long. Its age
+// counts from its submission, which is durable, so that it survives a failover; that of a job with predecessors counts
+// from the end of the last one, which every controller learns.
 func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
 	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.StartDeadlineS)
-	if limit <= 0 || now-job.SubmittedAt <= limit {
+	if limit <= 0 || now-job.ReadyAt() <= limit {
 		return false
 	}
 	hasStarted := job.Started || job.FinishedTasks > 0 || job.TasksOnMachines() > 0
@@ -73,7 +75,7 @@
 			return cmp.Compare(class, classes[b.Index])
 		}
 		if class.isOverdue() {
-			return cmp.Compare(a.SubmittedAt, b.SubmittedAt)
+			return cmp.Compare(a.ReadyAt(), b.ReadyAt())
 		}
 		return 0
 	})
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -14,10 +14,16 @@
 	at               time.Duration       // when it was built; 0: it is out of date
 	withinGuarantee  map[jobs.Index]bool // jobs within their team's guarantee
 	startDeadlineDue map[jobs.Index]bool // arrays and services whose first tasks rank before all other jobs
+	// latestEnds holds when jobs must have ended for the deadlines of the jobs that need them.
+	latestEnds map[jobs.Index]time.Duration
 }
 
 func newRanking() ranking {
-	return ranking{withinGuarantee: map[jobs.Index]bool{}, startDeadlineDue: map[jobs.Index]bool{}}
+	return ranking{
+		withinGuarantee:  map[jobs.Index]bool{},
+		startDeadlineDue: map[jobs.Index]bool{},
+		latestEnds:       map[jobs.Index]time.Duration{},
+	}
 }
 
 // gpuReserve is how much of a machine's processors and memory is reserved beside its idle accelerators, for the
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -19,6 +19,9 @@
 	Version     uint64 // of its record
 	TaskCount   int
 	SubmittedAt time.Duration
+	// ReleasedAt is when this controller learned that the last of its predecessors is done; 0: it has none, or not all
+	// are done.
+	ReleasedAt time.Duration
 	// RoomSince is when its planner first found room for it while none of its tasks was on a machine; 0: that
 	// isn't the case.
 	RoomSince time.Duration
@@ -34,7 +37,8 @@
 	GangAttempt   uint64        // of a gang's current start
 	GangStartedAt time.Duration // when that start was made
 	FetchS        float64       // the longest image fetch that the gang waits for, in seconds
-	Priority      int
+	// Priority is the highest of its own and of those of the live jobs that need it. A higher one is scheduled first.
+	Priority int
 
 	// Dense indices of the names in the specification.
 	Class, Team, Image int32
@@ -61,6 +65,11 @@
 	// users get no answer about it.
 	Quarantined bool
 
+	// Blocked is set while a predecessor isn't known to be done. Nothing of the job is planned or started then.
+	Blocked bool
+	// Doomed is set when a predecessor, direct or not, is cancelled: the job is to be cancelled too.
+	Doomed bool
+
 	FinalWriteInFlight bool // the terminal record is being written
 	Started            bool // a task was launched at least once
 
@@ -88,8 +97,12 @@
 	return j.Types == nil || slices.Contains(j.Types, machineType)
 }
 
+// ReadyAt returns since when nothing but room and its team's limit keeps its tasks from starting: its submission, or the
+// end of the last of its predecessors.
+func (j *Job) ReadyAt() time.Duration { return max(j.SubmittedAt, j.ReleasedAt) }
+
 // Idle reports whether nothing of the job may be planned.
-func (j *Job) Idle() bool { return j.Suspended || j.Quarantined }
+func (j *Job) Idle() bool { return j.Suspended || j.Quarantined || j.Blocked }
 
 // resetPlanning drops all that only the job's planner holds.
 func (j *Job) resetPlanning() {
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"strings"
 )
 
 // State is a job's state as it is stored and as users see it. A job that users see as running is Pending here:
@@ -66,6 +67,15 @@
 // RecordKey returns the key of a job's record.
 func RecordKey(id string) string { return Prefix + id }
 
+// IDOfKey returns the id of the job whose record stands at a key, "" if the key isn't that of a job's record.
+func IDOfKey(key string) string {
+	id, ok := strings.CutPrefix(key, Prefix)
+	if !ok {
+		return ""
+	}
+	return id
+}
+
 // EncodeRecord returns the stored form of a job's record. submittedAtMS is in wall-clock milliseconds.
 func EncodeRecord(state State, submittedAtMS int64, tasks int, spec *Spec) json.RawMessage {
 	record := Record{State: state.String(), Tasks: tasks}
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -123,6 +123,8 @@
 		job.Priority = job.Spec.PriorityLevel()
 		t.Names.assign(job)
 		job.SubmittedAt = t.MonotonicAt(record.AtMS)
+		// Until the dependency graph has found all predecessors done.
+		job.Blocked = state == Pending && len(job.Spec.Follows) > 0
 	}
 	return job, true, nil
 }
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -59,7 +59,10 @@
 
 // RecordFormats lists every kind of record in the state service. A test compares it with the code of each package.
 var RecordFormats = []RecordFormat{
-	singleFormat("job", "h/j/", GuardQuarantine),
+	// From level Dependencies on a pending job with predecessors has format 2, all other jobs have format 1.
+	replacedFormats("job", "h/j/", GuardQuarantine,
+		WriteFormat{Base, 1, firstAnnouncingRelease},
+		WriteFormat{Dependencies, 2, firstDependencyRelease}),
 	replacedFormats("archived-job", "a/", GuardQuarantine,
 		WriteFormat{Base, notWritten, firstAnnouncingRelease},
 		WriteFormat{Archived, 1, firstArchivingRelease}),
--- a/internal/rollout/levels.go
+++ b/internal/rollout/levels.go
@@ -15,12 +15,14 @@
 	Archived Level = 3
 	// DrainKeys stores the drain request of each machine under a key of its own, in place of one document for all.
 	DrainKeys Level = 4
+	// Dependencies accepts jobs that wait for predecessors, whose records have a format of their own.
+	Dependencies Level = 5
 	// Newest is the highest level of this release.
-	Newest = DrainKeys
+	Newest = Dependencies
 )
 
 // Release is the version of this program, a semantic version.
-const Release = "v0.23.0"
+const Release = "v0.24.0"
 
 // The releases that began to write new formats.
 const (
@@ -28,10 +30,17 @@
 	firstAnnouncingRelease = "v0.21.0"
 	firstArchivingRelease  = "v0.22.0"
 	firstDrainKeysRelease  = "v0.23.0"
+	firstDependencyRelease = "v0.24.0"
 )
 
 // levelBehaviours names what each level introduced, for the announcements.
-var levelBehaviours = map[Level]string{Base: "base", Paged: "plan-pages", Archived: "archive", DrainKeys: "drain-keys"}
+var levelBehaviours = map[Level]string{
+	Base:         "base",
+	Paged:        "plan-pages",
+	Archived:     "archive",
+	DrainKeys:    "drain-keys",
+	Dependencies: "dependencies",
+}
 
 // IsCompatible reports whether a controller may act in a cluster, by the highest level that it supports and the
 // cluster's level.
