--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -32,8 +32,9 @@
 	history         History
 	cancelRequested bool
 	status          int
-	predecessors    []*testUser // the job is submitted once theirs are accepted
-	onAccepted      []func()    // called once its job is accepted
+	submitAt        time.Duration // of a chaotic run
+	predecessors    []*testUser   // the job is submitted once theirs are accepted
+	onAccepted      []func()      // called once its job is accepted
 }
 
 func (u *testUser) request(method, path string, body []byte, then func(int, string)) {
@@ -172,6 +173,7 @@
 		user := &testUser{simulation: sim, rng: rng, spec: drawJob(rng, i+1)}
 		users = append(users, user)
 		at := time.Duration(rng.Int64N(int64(faulty)))
+		user.submitAt = at
 		sim.After(at, user.submit)
 		if rng.IntN(6) == 0 {
 			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
