--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -303,7 +303,7 @@
 	c.term.capacity.Tick(now, c.term.authoritySince)
 	c.storeZones(now)
 	c.resignIfUnreachable(now)
-	c.term.canceller.Tick(now)
+	c.cancelDoomedJobs(now)
 	c.archiveEndedJobs(now)
 }
 
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -62,6 +62,13 @@
 	}
 }
 
+// cancelDoomedJobs cancels jobs with a cancelled predecessor, unless the term has ended within this tick.
+func (c *Controller) cancelDoomedJobs(now time.Duration) {
+	if c.term.canceller != nil {
+		c.term.canceller.Tick(now)
+	}
+}
+
 // acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
 func (c *Controller) acceptsDependencies() bool { return c.rollout.Level() >= rollout.Dependencies }
 
