--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -16,6 +16,7 @@
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/store"
 )
 
 // Tests of pipelines on several controllers that fail. Users submit each job as soon as those that it follows are
@@ -62,6 +63,12 @@
 
 // newPipelineCluster starts a cluster of three controllers at the newest level, in which cancel_s is short.
 func newPipelineCluster(t *testing.T, seed uint64) *testCluster {
+	t.Helper()
+	return newPipelineClusterWith(t, seed, pipelineOperator)
+}
+
+// newPipelineClusterWith does so with other operators' settings.
+func newPipelineClusterWith(t *testing.T, seed uint64, operator string) *testCluster {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
 		Seed:         seed,
@@ -72,7 +79,7 @@
 		Workers:      shortTimers,
 		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
 		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
-	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(pipelineOperator)) })
+	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -346,6 +353,64 @@
 	cluster.wantFinalStates(stateCancelled, cluster.users...)
 }
 
+// pendingJobs lists the jobs whose stored records are pending.
+func (r *testCluster) pendingJobs() (pending []string) {
+	for key, item := range r.StoredItems(jobs.Prefix) {
+		var record jobs.Record
+		if json.Unmarshal(item.Value, &record) != nil || record.State == jobs.Pending.String() {
+			pending = append(pending, jobs.IDOfKey(key))
+		}
+	}
+	slices.Sort(pending)
+	return pending
+}
+
+// submitWithoutUser submits a job of which no user asks for the state.
+func (r *testCluster) submitWithoutUser(spec *jobs.Spec) {
+	r.t.Helper()
+	r.AddJob(spec)
+	status := 0
+	body := submission(r.t, spec)
+	for range 30 {
+		r.Request(1, http.MethodPost, runsPath, body, func(got int, _ []byte) { status = got })
+		r.Advance(100 * time.Millisecond)
+		if isAcceptance(status) {
+			return
+		}
+	}
+	r.t.Fatalf("%s: status %d", spec.ID, status)
+}
+
+// TestCancellationReachesJobsNobodyAsksAbout cancels a job that 120 others wait for, each of which has a successor, and
+// kills the leader at the answer: within cancel_s all records are cancelled, though no user asks about a job.
+func TestCancellationReachesJobsNobodyAsksAbout(t *testing.T) {
+	for _, leaderKilled := range []bool{false, true} {
+		t.Run(fmt.Sprint("leader killed ", leaderKilled), func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 621)
+			head := pipelineSpec(1)
+			head.EstimateS = 600
+			cluster.submitWithoutUser(head)
+			for i := range 120 {
+				middle := pipelineSpec(2*i+2, head.ID)
+				cluster.submitWithoutUser(middle)
+				cluster.submitWithoutUser(pipelineSpec(2*i+3, middle.ID))
+			}
+			if leaderKilled {
+				cluster.OnCancelled(func() { controllerFaults["leader killed"](cluster) })
+			}
+			cluster.CancelJob(head.ID, 0)
+			cluster.Advance(seconds(shortTimers.CancelS))
+			if pending := cluster.pendingJobs(); len(pending) > 0 {
+				t.Errorf("%d jobs are pending after cancel_s: %v", len(pending), pending)
+			}
+			for _, violation := range cluster.Violations() {
+				t.Error(violation)
+			}
+		})
+	}
+}
+
 // TestCancellationMeetsAcceptanceOfSuccessor cancels jobs through one controller while another accepts a job that
 // follows each, within milliseconds before and after. The leader is killed on the way.
 func TestCancellationMeetsAcceptanceOfSuccessor(t *testing.T) {
@@ -454,6 +519,195 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
+// TestFollowerAcceptedWhilePredecessorIsArchived stalls one controller's watches, lets a job end and be archived, and
+// submits one that follows it through that controller, which still takes it for pending. The others learn from the
+// archive what it waits for.
+func TestFollowerAcceptedWhilePredecessorIsArchived(t *testing.T) {
+	for _, want := range []string{stateDone, stateCancelled} {
+		t.Run(want, func(t *testing.T) {
+			t.Parallel()
+			operator := strings.Replace(pipelineOperator, "retain_s = 2", "retain_s = 0.1", 1)
+			cluster := newPipelineClusterWith(t, 622, operator)
+			head := cluster.addUser()
+			head.spec.EstimateS = 4
+			head.submit()
+			cluster.waitUntilAccepted(head)
+			cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 1 })
+			leader := cluster.waitForLeader()
+			stale := (leader + 1) % cluster.Controllers()
+			if want == stateDone {
+				cluster.waitUntilCompleted(head)
+			} else {
+				cluster.cancelAt(head, leader)
+			}
+			cluster.StallWatches(stale, true)
+			cluster.waitUntilArchived(head)
+			follower := cluster.addUser(head)
+			cluster.AddJob(follower.spec)
+			status := 0
+			body := submission(t, follower.spec)
+			cluster.Request(stale, http.MethodPost, runsPath, body, func(got int, _ []byte) { status = got })
+			cluster.Advance(time.Second)
+			if !isAcceptance(status) {
+				t.Errorf("%v: status %d: the stale controller did not accept the job", cluster.Now(), status)
+			}
+			cluster.StallWatches(stale, false)
+			follower.submit() // again, and followed
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(want, head, follower)
+		})
+	}
+}
+
+// TestFollowerOfJobWithOpenWriteIsNotRefused submits a job that follows one whose accepting transaction is carried out
+// late, to the controller that has sent that: the answer is not 422, and the job is accepted in the end.
+func TestFollowerOfJobWithOpenWriteIsNotRefused(t *testing.T) {
+	cluster := newPipelineCluster(t, 623)
+	head := cluster.addUser()
+	follower := cluster.addUser(head)
+	for _, user := range cluster.users {
+		cluster.AddJob(user.spec)
+	}
+	held := 0
+	cluster.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
+		if createsJob(txn, head.spec.ID) && held == 0 {
+			held++
+			return TxnOutcome{Delay: 1500 * time.Millisecond}
+		}
+		return TxnOutcome{}
+	})
+	cluster.Request(0, http.MethodPost, runsPath, submission(t, head.spec), ignoreAnswer)
+	cluster.Advance(100 * time.Millisecond)
+	body := submission(t, follower.spec)
+	for range 30 {
+		cluster.Request(0, http.MethodPost, runsPath, body, func(status int, raw []byte) {
+			if status == http.StatusUnprocessableEntity {
+				t.Errorf("%v: %d %s", cluster.Now(), status, raw)
+			}
+		})
+		cluster.Advance(100 * time.Millisecond)
+	}
+	if held != 1 {
+		t.Errorf("%d transactions were late", held)
+	}
+	cluster.submitAll()
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestFollowerOfManyArchivedJobsRuns submits a job that follows 250 archived ones, through controllers that have just
+// started and remember nothing of them.
+func TestFollowerOfManyArchivedJobsRuns(t *testing.T) {
+	cluster := newPipelineCluster(t, 617)
+	for range 250 {
+		cluster.addUser().spec.EstimateS = 0.2
+	}
+	cluster.submitAll()
+	cluster.waitUntilArchived(cluster.users...)
+	killAll(cluster.Simulation, time.Second)
+	cluster.Advance(8 * time.Second)
+	follower := cluster.addUser(cluster.users...)
+	follower.submit()
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// TestStaleControllersDoNotCallOrphansPending stalls the watches of the controllers that don't lead, or cuts them off
+// from the state service, and cancels the first job of a chain through the leader. All controllers are asked for longer
+// than cancel_s.
+func TestStaleControllersDoNotCallOrphansPending(t *testing.T) {
+	faults := map[string]func(cluster *testCluster, controller int, on bool){
+		"watches stalled": func(cluster *testCluster, i int, on bool) { cluster.StallWatches(i, on) },
+		"refused":         func(cluster *testCluster, i int, on bool) { cluster.RefuseController(i, on) },
+	}
+	for name, set := range faults {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 618)
+			chain := cluster.addChain(6)
+			chain[0].spec.EstimateS = 60
+			cluster.submitAll()
+			cluster.waitUntilAccepted(chain...)
+			leader := cluster.waitForLeader()
+			forOthers := func(on bool) {
+				for i := range cluster.Controllers() {
+					if i != leader {
+						set(cluster, i, on)
+					}
+				}
+			}
+			forOthers(true)
+			cluster.cancelAt(chain[0], leader)
+			limit := seconds(shortTimers.CancelS)
+			for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(500 * time.Millisecond) {
+				cluster.askEverywhere(chain)
+			}
+			forOthers(false)
+			cluster.Advance(5 * time.Second)
+			cluster.checkCancelledEverywhere(chain...)
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateCancelled, chain...)
+		})
+	}
+}
+
+// TestNoControllerWithStaleStateCallsOrphansPending stalls the watches of all controllers but one that doesn't lead,
+// cancels the first job of a chain through that one, and kills it at its answer. The others are asked for longer than
+// cancel_s: their reads succeed, and no record but the first one has changed.
+func TestNoControllerWithStaleStateCallsOrphansPending(t *testing.T) {
+	cluster := newPipelineCluster(t, 620)
+	chain := cluster.addChain(4)
+	chain[0].spec.EstimateS = 60
+	cluster.submitAll()
+	cluster.waitUntilAccepted(chain...)
+	fresh := (cluster.waitForLeader() + 1) % cluster.Controllers()
+	forOthers := func(on bool) {
+		for i := range cluster.Controllers() {
+			if i != fresh {
+				cluster.StallWatches(i, on)
+			}
+		}
+	}
+	forOthers(true)
+	cluster.OnCancelled(func() { cluster.KillController(fresh) })
+	cluster.cancelAt(chain[0], fresh)
+	limit := seconds(shortTimers.CancelS)
+	for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(250 * time.Millisecond) {
+		cluster.askEverywhere(chain[1:])
+	}
+	forOthers(false)
+	cluster.startAllControllers()
+	cluster.Advance(8 * time.Second)
+	cluster.checkCancelledEverywhere(chain...)
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateCancelled, chain...)
+}
+
+// TestPipelinesWithLateWrites runs chains, some of which are cancelled, while transactions are carried out late or lose
+// their answers, messages are duplicated and leaders are killed.
+func TestPipelinesWithLateWrites(t *testing.T) {
+	cluster := newPipelineCluster(t, 619)
+	cluster.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
+	cluster.LoseTxnAnswers(0.1)
+	cluster.DuplicateMessages(0.3, 100*time.Millisecond, 10*time.Second)
+	cluster.KillLeaders(5, 40*time.Second)
+	for i := range 30 {
+		chain := cluster.addChain(3)
+		for _, user := range chain {
+			user.submit()
+		}
+		if i%3 == 0 {
+			cluster.After(time.Duration(i)*100*time.Millisecond, chain[i/3%3].cancel)
+		}
+		cluster.Advance(time.Second)
+	}
+	cluster.Advance(15 * time.Second)
+	cluster.DelayWrites(0, 0, 0)
+	cluster.LoseTxnAnswers(0)
+	cluster.startAllControllers()
+	cluster.waitUntilDone()
+}
+
 // TestRepeatedSubmissionAfterPredecessorsEnded repeats the submissions of a diamond through every controller, when it
 // is done and once it is in the archive: each is answered 200 with the state.
 func TestRepeatedSubmissionAfterPredecessorsEnded(t *testing.T) {
