--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -70,7 +70,7 @@
 }
 
 // acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
-func (c *Controller) acceptsDependencies() bool { return c.rollout.Level() >= rollout.Dependencies }
+func (c *Controller) acceptsDependencies() bool { return c.rollout.AllSupport(rollout.Dependencies) }
 
 // isBlockedCertain reports whether this controller may say of a blocked job that it waits. A cancellation of a job
 // before it must be known here within cancel_s after a user was told of it: the followed keys must be fresh enough, and
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -59,7 +59,8 @@
 
 // RecordFormats lists every kind of record in the state service. A test compares it with the code of each package.
 var RecordFormats = []RecordFormat{
-	// From level Dependencies on a pending job with predecessors has format 2, all other jobs have format 1.
+	// A pending job with predecessors has format 2, all other jobs have format 1. Format 2 is written as soon as all
+	// controllers support its level (Rollout.AllSupport): one of a former release would quarantine the job.
 	replacedFormats("job", "h/j/", GuardQuarantine,
 		WriteFormat{Base, 1, firstAnnouncingRelease},
 		WriteFormat{Dependencies, 2, firstDependencyRelease}),
