--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -78,3 +78,35 @@
 		t.Errorf("migrated %v, state %s", r.Migrated(), r.State())
 	}
 }
+
+// TestAllSupport: a level is supported by all once each controller has announced it, before it rises and whether or not
+// all are healthy; not while operators abort the rollout, nor once a controller is back with its former release.
+func TestAllSupport(t *testing.T) {
+	r := newTestRollout(true)
+	expect := func(when string, want bool) {
+		t.Helper()
+		if r.AllSupport(Paged) != want {
+			t.Errorf("%s: all support the level: %v, want %v", when, !want, want)
+		}
+	}
+	join(r, "a", presentRelease, Paged, 1, 2)
+	join(r, "b", presentRelease, Paged, 2, 3)
+	expect("one controller has never been seen", false)
+	join(r, "c", formerRelease, Base, 3, 4)
+	expect("one runs the former release", false)
+	join(r, "c", presentRelease, Paged, 4, 5)
+	r.HandleHealth(time.Second, "c", false)
+	expect("all have announced it, one isn't healthy", true)
+	if r.Level() != Base {
+		t.Errorf("the level is %d, want %d", r.Level(), Base)
+	}
+	r.HandleDelete(memberKey("b"), 6)
+	expect("one is down", true)
+	direct(r, Directive{Mode: AbortedByOperator, Level: Base}, 7)
+	expect("the rollout is aborted", false)
+	direct(r, Directive{Mode: NoDirective, Level: Base}, 8)
+	expect("the abort is undone", true)
+	member := encode(map[string]any{"node": "b", "hold": 9})
+	r.HandleItem(store.Item{Key: memberKey("b"), Value: member, Version: 10})
+	expect("one is back with a release that announces nothing", false)
+}
