--- a/internal/api/scale_test.go
+++ b/internal/api/scale_test.go
@@ -1,7 +1,6 @@
 package api
 
 import (
-	"encoding/json"
 	"fmt"
 	"testing"
 	"time"
@@ -59,8 +58,8 @@
 		service.Limits = func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
 		maxConditions, replies := 0, 0
 		service.onRequest = func(request httpio.Request) {
-			var txn store.Txn
-			if err := json.Unmarshal(request.Body, &txn); err != nil || len(request.Body) > 64<<10 {
+			txn, err := state.DecodeTxn(request.Body)
+			if err != nil || len(request.Body) > 64<<10 {
 				t.Fatalf("a transaction of %d bytes: %v", len(request.Body), err)
 			}
 			maxConditions = max(maxConditions, len(txn.If))
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -6,8 +6,6 @@
 	"slices"
 	"testing"
 	"time"
-
-	"github.com/harewalk/harewalk/internal/store"
 )
 
 // At no time do two controllers have authority, no term is led twice, and once all faults have ended there is a
@@ -186,10 +184,7 @@
 		t.Fatal(err)
 	}
 	value, _ := json.Marshal(Leader{Node: restarted.name, Term: restarted.membership.Term() + 1, Lease: granted.ID})
-	txn, _ := json.Marshal(store.Txn{
-		If:   []store.Condition{},
-		Then: []store.Op{{Put: leaderKey, Value: value, Lease: granted.ID}},
-	})
+	txn := fmt.Appendf(nil, `{"if":[],"apply":[{"set":%q,"data":%s,"tether":%d}]}`, leaderKey, value, granted.ID)
 	if response := c.call("POST", "/txn", txn); response.Status != 200 {
 		t.Fatal(response.Status)
 	}
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/rollout"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -96,8 +97,11 @@
 
 // intercepted does to a transaction what is injected. It returns false if the request goes its ordinary way.
 func (sim *Simulation) intercepted(controller int, request httpRequest) bool {
-	var txn store.Txn
-	if request.path != "/txn" || json.Unmarshal(request.body, &txn) != nil {
+	if request.path != state.TxnPath {
+		return false
+	}
+	txn, err := state.DecodeTxn(request.body)
+	if err != nil {
 		return false
 	}
 	outcome := sim.drawTxnOutcome(txn)
--- a/internal/simulator/state/http.go
+++ b/internal/simulator/state/http.go
@@ -10,37 +10,6 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/httpio"
-	"github.com/harewalk/harewalk/internal/store"
-)
-
-// The bodies on the wire. Their fields are in alphabetical order of their tags.
-type (
-	grantRequest struct {
-		TTLMS int64 `json:"ttl_ms"`
-	}
-	grantResponse struct {
-		ID uint64 `json:"tether"`
-	}
-	txnResponse struct {
-		Revision uint64 `json:"epoch"`
-	}
-	txnConflict struct {
-		Revision uint64   `json:"epoch"`
-		Failed   []string `json:"failed"`
-	}
-	listResponse struct {
-		Revision uint64       `json:"epoch"`
-		More     bool         `json:"has_next"`
-		Items    []store.Item `json:"pairs"`
-	}
-	// WatchResponse is the answer to a watch.
-	WatchResponse struct {
-		Revision uint64        `json:"epoch"`
-		Events   []store.Event `json:"events"`
-	}
-	errorResponse struct {
-		Error string `json:"error"`
-	}
 )
 
 // Serve carries out one request. A watch is answered at once, with what has changed so far.
@@ -54,7 +23,7 @@
 		return s.serveGrant(request.Body)
 	case strings.HasPrefix(request.Path, "/holds/"):
 		return s.serveLease(request)
-	case request.Path == "/txn":
+	case request.Path == TxnPath:
 		return s.serveTxn(request.Body)
 	case strings.HasPrefix(request.Path, "/keys/"):
 		return s.serveKey(strings.TrimPrefix(request.Path, "/keys/"))
@@ -97,8 +66,7 @@
 
 // serveTxn applies a transaction if all its conditions are met; 409 names the keys whose conditions aren't.
 func (s *Service) serveTxn(body []byte) httpio.Response {
-	var txn store.Txn
-	_ = json.Unmarshal(body, &txn)
+	txn, _ := DecodeTxn(body)
 	for _, op := range txn.Then {
 		if _, ok := s.leases[op.Lease]; op.Lease != 0 && !ok {
 			return respond(http.StatusBadRequest, errorResponse{Error: "no such lease"})
@@ -122,7 +90,7 @@
 	if !ok {
 		return respond(http.StatusNotFound, nil)
 	}
-	return respond(http.StatusOK, item)
+	return respond(http.StatusOK, itemMessage(item))
 }
 
 // serveList answers with a page of the keys with a prefix, by name, behind the one named by "since".
@@ -137,9 +105,9 @@
 		}
 	}
 	sort.Strings(names)
-	var items []store.Item
+	var items []itemMessage
 	for _, key := range names[:min(len(names), limit)] {
-		items = append(items, s.Keys[key])
+		items = append(items, itemMessage(s.Keys[key]))
 	}
 	return respond(http.StatusOK, listResponse{Revision: s.Revision, More: len(names) > limit, Items: items})
 }
@@ -150,5 +118,5 @@
 	if !ok {
 		return respond(http.StatusGone, nil)
 	}
-	return respond(http.StatusOK, WatchResponse{Revision: s.Revision, Events: events})
+	return respond(http.StatusOK, NewWatchResponse(s.Revision, events))
 }
--- /dev/null
+++ b/internal/simulator/state/wire.go
@@ -0,0 +1,103 @@
+package state
+
+import (
+	"encoding/json"
+
+	"github.com/harewalk/harewalk/internal/store"
+)
+
+// TxnPath is the path of requests that carry a transaction.
+const TxnPath = "/txn"
+
+// The bodies of the protocol, written apart from those of the client: a test of the client against this package shows
+// that both follow the protocol. The fields of an answer are in alphabetical order of their tags; those of an element
+// are in the order of its type in package store.
+type (
+	grantRequest struct {
+		TTLMS int64 `json:"ttl_ms"`
+	}
+
+	grantResponse struct {
+		ID uint64 `json:"tether"`
+	}
+
+	conditionMessage struct {
+		Key     string `json:"k"`
+		Version uint64 `json:"stamp"`
+	}
+
+	opMessage struct {
+		Put    string          `json:"set"`
+		Value  json.RawMessage `json:"data"`
+		Lease  uint64          `json:"tether"`
+		Delete string          `json:"drop"`
+	}
+
+	txnRequest struct {
+		If   []conditionMessage `json:"if"`
+		Then []opMessage        `json:"apply"`
+	}
+
+	txnResponse struct {
+		Revision uint64 `json:"epoch"`
+	}
+
+	txnConflict struct {
+		Revision uint64   `json:"epoch"`
+		Failed   []string `json:"failed"`
+	}
+
+	itemMessage struct {
+		Key     string          `json:"k"`
+		Value   json.RawMessage `json:"data"`
+		Version uint64          `json:"stamp"`
+		Lease   uint64          `json:"tether"`
+	}
+
+	listResponse struct {
+		Revision uint64        `json:"epoch"`
+		More     bool          `json:"has_next"`
+		Items    []itemMessage `json:"pairs"`
+	}
+
+	eventMessage struct {
+		Put     string          `json:"set"`
+		Value   json.RawMessage `json:"data"`
+		Version uint64          `json:"stamp"`
+		Delete  string          `json:"drop"`
+	}
+
+	// WatchResponse is the body of the answer to a watch.
+	WatchResponse struct {
+		Revision uint64         `json:"epoch"`
+		Events   []eventMessage `json:"events"`
+	}
+
+	errorResponse struct {
+		Error string `json:"error"`
+	}
+)
+
+// DecodeTxn reads the body of a transaction's request. The error is that of package json; what was read before it is
+// returned with it.
+func DecodeTxn(body []byte) (store.Txn, error) {
+	var request txnRequest
+	err := json.Unmarshal(body, &request)
+	var txn store.Txn
+	for _, condition := range request.If {
+		txn.If = append(txn.If, store.Condition(condition))
+	}
+	for _, op := range request.Then {
+		txn.Then = append(txn.Then, store.Op(op))
+	}
+	return txn, err
+}
+
+// NewWatchResponse returns the answer to a watch: the changes and the revision up to which they are complete.
+func NewWatchResponse(revision uint64, events []store.Event) WatchResponse {
+	messages := make([]eventMessage, 0, len(events))
+	for _, event := range events {
+		messages = append(messages, eventMessage(event))
+	}
+	return WatchResponse{Revision: revision, Events: messages}
+}
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -153,8 +153,9 @@
 	}
 	now := sim.now()
 	var txn store.Txn
-	if request.path == "/txn" {
-		if json.Unmarshal(request.body, &txn) != nil || !sim.withinTxnLimits(txn) {
+	if request.path == state.TxnPath {
+		var err error
+		if txn, err = state.DecodeTxn(request.body); err != nil || !sim.withinTxnLimits(txn) {
 			return http.StatusBadRequest, nil
 		}
 	}
@@ -255,10 +256,7 @@
 		w.reply(http.StatusGone, nil)
 	case len(events) > 0 || now >= w.ends:
 		sim.mu.Unlock()
-		if events == nil {
-			events = []store.Event{}
-		}
-		w.reply(http.StatusOK, state.WatchResponse{Revision: revision, Events: events})
+		w.reply(http.StatusOK, state.NewWatchResponse(revision, events))
 	default:
 		wake := w.newWait()
 		sim.state.waiters = append(sim.state.waiters, wake)
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -27,6 +27,7 @@
 	writeBudget   *Budget
 	limits        limitEstimator
 	throttle      writeThrottle
+	txnEncoder    txnEncoder
 	lastSuccess   time.Duration
 	lastHeard     time.Duration
 
@@ -49,6 +50,7 @@
 		writeBudget:   NewBudget(share.WriteRPS, share.BurstSeconds),
 		limits:        newLimitEstimator(limits),
 		throttle:      newWriteThrottle(),
+		txnEncoder:    newTxnEncoder(),
 	}
 }
 
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -15,16 +15,6 @@
 // errNoLeaseID is returned when a lease was granted without a usable id.
 var errNoLeaseID = errors.New("state service: lease granted without an id")
 
-// grantRequest is the body of a request for a lease.
-type grantRequest struct {
-	TTLMillis int64 `json:"ttl_ms"`
-}
-
-// grantResponse is the body of the service's answer to it.
-type grantResponse struct {
-	ID uint64 `json:"tether"`
-}
-
 // GrantLease requests a lease that expires ttl after its last renewal, and returns its id.
 func (c *Client) GrantLease(ttl time.Duration, done func(id uint64, err error)) {
 	body, err := json.Marshal(grantRequest{TTLMillis: ttl.Milliseconds()})
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -27,12 +27,7 @@
 			done(Item{Key: key}, nil)
 			return
 		}
-		var item Item
-		if err := decode(response, &item); err != nil {
-			done(Item{}, err)
-			return
-		}
-		done(item, nil)
+		done(decodeItem(response))
 	})
 }
 
@@ -52,13 +47,6 @@
 	done     func(items []Item, revision uint64, err error)
 }
 
-// listPage is the body of the service's answer to a listing.
-type listPage struct {
-	Items    []Item `json:"pairs"`
-	More     bool   `json:"has_next"`
-	Revision uint64 `json:"epoch"`
-}
-
 // fetchPage requests the page of the keys after a key, "" for the first page.
 func (l *listRequest) fetchPage(after string) {
 	path := "/keys?starts=" + url.QueryEscape(l.prefix) + "&limit=" + strconv.Itoa(listPageItems)
@@ -67,7 +55,7 @@
 	}
 	request := httpio.Request{Method: http.MethodGet, Path: path, Timeout: listTimeout}
 	l.client.call(request, 0, SafetyPriority, func(response httpio.Response) {
-		var page listPage
+		var page listResponse
 		if err := decode(response, &page); err != nil {
 			l.done(nil, 0, err)
 			return
@@ -76,11 +64,11 @@
 	})
 }
 
-func (l *listRequest) addPage(page listPage, first bool) {
+func (l *listRequest) addPage(page listResponse, first bool) {
 	if first {
 		l.revision = page.Revision
 	}
-	l.items = append(l.items, page.Items...)
+	l.items = appendItems(l.items, page.Items)
 	if page.More && len(page.Items) > 0 {
 		l.fetchPage(page.Items[len(page.Items)-1].Key)
 		return
@@ -88,12 +76,6 @@
 	l.done(l.items, l.revision, nil)
 }
 
-// watchResponse is the body of the service's answer to a watch.
-type watchResponse struct {
-	Revision uint64  `json:"epoch"`
-	Events   []Event `json:"events"`
-}
-
 // Watch waits until keys with a prefix have changed after a revision, for at most the time given, and returns the
 // changes and the revision up to which they are complete. The error is ErrCompacted if the service no longer keeps
 // the changes after that revision.
@@ -112,11 +94,6 @@
 			done(0, nil, ErrCompacted)
 			return
 		}
-		var body watchResponse
-		if err := decode(response, &body); err != nil {
-			done(0, nil, err)
-			return
-		}
-		done(body.Revision, body.Events, nil)
+		done(decodeWatch(response))
 	})
 }
--- a/internal/store/sizelimits_test.go
+++ b/internal/store/sizelimits_test.go
@@ -60,13 +60,25 @@
 	}
 }
 
+// decodeTxn reads the body of a transaction's request.
+func decodeTxn(body []byte) Txn {
+	var request txnRequest
+	_ = json.Unmarshal(body, &request)
+	var txn Txn
+	for _, condition := range request.If {
+		txn.If = append(txn.If, Condition(condition))
+	}
+	for _, op := range request.Then {
+		txn.Then = append(txn.Then, Op(op))
+	}
+	return txn
+}
+
 // limitedService is a state service that takes no transaction beyond its limits.
 type limitedService struct{ limits Limits }
 
 func (s *limitedService) Send(_ string, request httpio.Request, done func(httpio.Response)) {
-	var txn Txn
-	_ = json.Unmarshal(request.Body, &txn)
-	if !s.limits.allow(requiredLimits(txn)) {
+	if !s.limits.allow(requiredLimits(decodeTxn(request.Body))) {
 		done(httpio.Response{Status: 400, Body: []byte(`{"error":"too large"}`)})
 		return
 	}
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -19,10 +19,7 @@
 // Txn sends one transaction and calls done with its result, exactly once. It is not retried. One that can't be
 // encoded, is larger than the service reads or exceeds the budget is NotApplied.
 func (c *Client) Txn(txn Txn, priority Priority, done func(Result)) {
-	if txn.If == nil {
-		txn.If = []Condition{}
-	}
-	body, err := json.Marshal(txn)
+	body, err := c.txnEncoder.encode(txn)
 	if err != nil || len(body) > maxTxnBytes {
 		done(Result{Outcome: NotApplied})
 		return
@@ -45,13 +42,6 @@
 	}
 }
 
-// txnResponse is the body of the service's answer to a transaction.
-type txnResponse struct {
-	Revision uint64   `json:"epoch"`
-	Failed   []string `json:"failed"`
-	Error    string   `json:"error"`
-}
-
 // parseTxnResponse returns the result that a response stands for. Everything that doesn't rule out that the
 // transaction was or will be applied is Indeterminate.
 func parseTxnResponse(response httpio.Response) Result {
--- a/internal/store/types.go
+++ b/internal/store/types.go
@@ -5,40 +5,40 @@
 // Condition requires that a key has a version when the transaction is applied. Version 0 requires that the key
 // does not exist.
 type Condition struct {
-	Key     string `json:"k"`
-	Version uint64 `json:"stamp"`
+	Key     string
+	Version uint64
 }
 
 // Op writes or deletes one key: exactly one of Put and Delete names it. A key written with a Lease is deleted by
 // the state service when that lease expires.
 type Op struct {
-	Put    string          `json:"set,omitempty"`
-	Value  json.RawMessage `json:"data,omitempty"`
-	Lease  uint64          `json:"tether,omitempty"`
-	Delete string          `json:"drop,omitempty"`
+	Put    string
+	Value  json.RawMessage
+	Lease  uint64
+	Delete string
 }
 
 // Txn is a compare-and-swap transaction: all of Then is applied if every condition holds, otherwise nothing.
 type Txn struct {
-	If   []Condition `json:"if"`
-	Then []Op        `json:"apply,omitempty"`
+	If   []Condition
+	Then []Op
 }
 
 // Item is one stored key with its value. Version is 0 if the key does not exist; Lease is 0 if the key is not
 // bound to one.
 type Item struct {
-	Key     string          `json:"k"`
-	Value   json.RawMessage `json:"data"`
-	Version uint64          `json:"stamp"`
-	Lease   uint64          `json:"tether"`
+	Key     string
+	Value   json.RawMessage
+	Version uint64
+	Lease   uint64
 }
 
 // Event is one change that a watch delivers: exactly one of Put and Delete names the key.
 type Event struct {
-	Put     string          `json:"set"`
-	Value   json.RawMessage `json:"data"`
-	Version uint64          `json:"stamp"`
-	Delete  string          `json:"drop"`
+	Put     string
+	Value   json.RawMessage
+	Version uint64
+	Delete  string
 }
 
 // Outcome classifies how a transaction ended.
--- /dev/null
+++ b/internal/store/wire_test.go
@@ -0,0 +1,34 @@
+package store
+
+import (
+	"encoding/json"
+	"testing"
+)
+
+// A transaction has the names of the protocol on the wire, its conditions are a list even if there is none, and
+// nothing of the transaction encoded before is left in it.
+func TestEncodedTransactions(t *testing.T) {
+	encoder := newTxnEncoder()
+	for _, tc := range []struct {
+		txn  Txn
+		want string
+	}{
+		{
+			Txn{
+				If:   []Condition{{Key: "h/a"}, {Key: "h/b", Version: 7}},
+				Then: []Op{{Put: "h/a", Value: json.RawMessage(`{"x":1}`), Lease: 9}, {Delete: "h/b"}},
+			},
+			`{"if":[{"k":"h/a","stamp":0},{"k":"h/b","stamp":7}],` +
+				`"apply":[{"set":"h/a","data":{"x":1},"tether":9},{"drop":"h/b"}]}`,
+		},
+		{
+			Txn{Then: []Op{{Put: "h/c", Value: json.RawMessage("1")}}},
+			`{"if":[],"apply":[{"set":"h/c","data":1}]}`,
+		},
+		{Txn{}, `{"if":[]}`},
+	} {
+		if body, err := encoder.encode(tc.txn); err != nil || string(body) != tc.want {
+			t.Errorf("%s, error %v; want %s", body, err, tc.want)
+		}
+	}
+}
