--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -51,7 +51,7 @@
 			"%w: op must be hold, finish, abort or free, by at most %d characters", ErrMalformed, maxOperatorBytes)
 	}
 	if command.Revision != nil && *command.Revision != r.stored.directiveVersion {
-		return store.Txn{}, fmt.Errorf("%w: %s, %s", ErrChanged, r.stored.directive.By, r.stored.directive.Mode)
+		return store.Txn{}, fmt.Errorf("%w: %s, %s", ErrChanged, r.stored.directive.operator, r.stored.directive.mode)
 	}
 	next := r.observe().NextLevel(r.cfg.MaxLevel)
 	if err := r.checkMode(now, mode, next); err != nil {
@@ -61,11 +61,11 @@
 	if operator == "" {
 		operator = "somebody"
 	}
-	directive := Directive{Mode: mode, Level: next, By: operator, AtMS: wallMS}
+	record := directiveRecord{Mode: mode, Level: next, By: operator, AtMS: wallMS}
 	// A rise in flight and an abort both depend on both versions: whichever is committed first makes the other fail.
 	return store.Txn{
 		If:   []store.Condition{{Key: directiveKey, Version: r.stored.directiveVersion}, r.LevelCondition()},
-		Then: []store.Op{{Put: directiveKey, Value: encode(directive)}},
+		Then: []store.Op{{Put: directiveKey, Value: encode(record)}},
 	}, nil
 }
 
--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -48,7 +48,7 @@
 		}
 		mustNotTick(t, r, now, 1, MigrationProgress{}) // there is no directive
 	}
-	direct(r, Directive{Mode: FinishRequested, Level: Base}, 10)
+	direct(r, directiveRecord{Mode: FinishRequested, Level: Base}, 10)
 	mustNotTick(t, r, time.Minute, 1, MigrationProgress{}) // the directive is about an earlier rise
 
 	finish, err := r.Execute(time.Minute, Command{Op: "finish", By: "ana"}, 0)
--- a/internal/rollout/migration.go
+++ b/internal/rollout/migration.go
@@ -8,13 +8,24 @@
 	Done bool // none is left
 }
 
+// migration is the progress of rewriting the records of a former format. The records themselves show which of them
+// are left, since a migrated one has left its old place. So a leader that takes over goes on with those, and none
+// is migrated twice.
+type migration struct {
+	level   Level
+	done    bool
+	left    int    // records left, as the last leader counted them
+	term    uint64 // of that leader
+	leaders int    // the number of leaders that have worked on it
+}
+
 // hasRisen reports whether the cluster's level is stored and above Base.
 func (r *Rollout) hasRisen() bool { return r.stored.levelVersion != 0 && r.stored.level > Base }
 
 // migrating reports whether records of a former format may be left.
 func (r *Rollout) migrating() bool {
-	migration := r.stored.migration
-	return r.hasRisen() && (migration.Level != r.stored.level || !migration.Done)
+	stored := r.stored.migration
+	return r.hasRisen() && (stored.level != r.stored.level || !stored.done)
 }
 
 // Migrated reports whether it is durable that no record of a former format is left.
@@ -23,22 +34,22 @@
 // recordMigration returns the write of the migration's progress. It is due when a leader takes the migration up, and
 // when nothing is left.
 func (r *Rollout) recordMigration(term uint64, progress MigrationProgress) (store.Txn, bool) {
-	migration := r.stored.migration
-	if migration.Level != r.stored.level {
-		migration = Migration{Level: r.stored.level}
+	next := r.stored.migration
+	if next.level != r.stored.level {
+		next = migration{level: r.stored.level}
 	}
-	if migration.Term == term && !progress.Done {
+	if next.term == term && !progress.Done {
 		return store.Txn{}, false
 	}
-	if migration.Term != term {
-		migration.Leaders++
+	if next.term != term {
+		next.leaders++
 	}
-	migration.Term = term
-	migration.Left = progress.Left
-	migration.Done = progress.Done
+	next.term = term
+	next.left = progress.Left
+	next.done = progress.Done
 	r.txnInFlight = true
 	return store.Txn{
 		If:   []store.Condition{r.LevelCondition(), {Key: migrationKey, Version: r.stored.migrationVersion}},
-		Then: []store.Op{{Put: migrationKey, Value: encode(migration)}},
+		Then: []store.Op{{Put: migrationKey, Value: encode(newMigrationRecord(next))}},
 	}, true
 }
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -19,6 +19,13 @@
 // preventsRise reports whether the level must not rise in a mode.
 func (m Mode) preventsRise() bool { return m == PausedByOperator || m == AbortedByOperator }
 
+// directive is the operators' latest directive about the rollout.
+type directive struct {
+	mode     Mode
+	level    Level // to which FinishRequested lets the cluster be upgraded
+	operator string
+}
+
 // PeerRecord is what a controller has read of one that the settings name.
 type PeerRecord struct {
 	AnnouncedLevel      Level  // the highest level that it supports; 0: no readable announcement
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -18,7 +18,8 @@
 type peer struct {
 	NodeConfig
 	PeerRecord
-	announcement    Announcement
+	release         string // by its announcement
+	startedAtMS     int64  // start of its process by its announcement, in wall-clock milliseconds
 	unreadableCause string // why its announcement can't be read, or ""
 	healthy         bool   // by its last health report
 	healthAt        time.Duration
@@ -74,7 +75,7 @@
 // a newer release; or, while controllers are being restarted, of the same release but restarted already, as this
 // one may be next. wallMS is the wall clock, in milliseconds.
 func (r *Rollout) PreferredLeaders(wallMS int64, drained func(node string) bool) int {
-	self := Announcement{Level: r.cfg.MaxLevel, Release: r.cfg.Release, AtMS: r.cfg.StartedAtMS}
+	self := leaderCandidate{level: r.cfg.MaxLevel, release: r.cfg.Release, startedAtMS: r.cfg.StartedAtMS}
 	count := 0
 	for _, peer := range r.peers {
 		if peer.Node == r.cfg.Node || !peer.isUp() || peer.Announced() == 0 {
@@ -83,29 +84,37 @@
 		if drained(peer.Node) || !IsCompatible(peer.AnnouncedLevel, r.stored.level) {
 			continue
 		}
-		if leadsRather(peer.announcement, self, wallMS) {
+		other := leaderCandidate{level: peer.AnnouncedLevel, release: peer.release, startedAtMS: peer.startedAtMS}
+		if other.isPreferredTo(self, wallMS) {
 			count++
 		}
 	}
 	return count
 }
 
-// leadsRather reports whether the controller of one announcement should lead rather than that of the other.
-func leadsRather(candidate, other Announcement, wallMS int64) bool {
+// leaderCandidate is what the choice of a leader depends on.
+type leaderCandidate struct {
+	level       Level // the highest that it supports
+	release     string
+	startedAtMS int64 // start of its process, in wall-clock milliseconds
+}
+
+// isPreferredTo reports whether a controller should lead rather than another.
+func (c leaderCandidate) isPreferredTo(other leaderCandidate, wallMS int64) bool {
 	switch {
-	case candidate.Level != other.Level:
-		return candidate.Level > other.Level
-	case olderRelease(other.Release, candidate.Release):
+	case c.level != other.level:
+		return c.level > other.level
+	case olderRelease(other.release, c.release):
 		return true
-	case olderRelease(candidate.Release, other.Release):
+	case olderRelease(c.release, other.release):
 		return false
 	}
-	return candidate.startedRecently(wallMS) && !other.startedRecently(wallMS)
+	return c.startedRecently(wallMS) && !other.startedRecently(wallMS)
 }
 
-// startedRecently reports whether the announcement's process started within the restart window.
-func (a Announcement) startedRecently(wallMS int64) bool {
-	return wallMS-a.AtMS < restartWindow.Milliseconds()
+// startedRecently reports whether the process started within the restart window.
+func (c leaderCandidate) startedRecently(wallMS int64) bool {
+	return wallMS-c.startedAtMS < restartWindow.Milliseconds()
 }
 
 // olderRelease reports whether release a comes before b. An empty release comes before all others.
--- a/internal/rollout/peers_test.go
+++ b/internal/rollout/peers_test.go
@@ -21,7 +21,10 @@
 	join(r, "b", nextRelease, Paged, 5, 6)
 	check("b is newer", nowMS, "", 1)
 	check("b is newer and drained", nowMS, "b", 0)
-	announce(r, Announcement{Node: "b", Release: presentRelease, Level: Paged, Lease: 5, AtMS: restartedMS}, 7)
+	restarted := announcementRecord{
+		Node: "b", Release: presentRelease, Level: Paged, Lease: 5, StartedAtMS: restartedMS,
+	}
+	announce(r, restarted, 7)
 	check("b has just been restarted", nowMS, "", 1)
 	check("b was restarted long ago", restartedMS+restartWindow.Milliseconds(), "", 0)
 }
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -71,7 +71,6 @@
 
 // evaluate sets the state by what has been read.
 func (r *Rollout) evaluate(now time.Duration, observed Observation, soaked bool) {
-	directive := r.stored.directive
 	switch {
 	case r.migrating():
 		r.setState(now, Migrating, fmt.Sprintf("the level is %d", r.stored.level))
@@ -80,7 +79,7 @@
 	case observed.NextLevel(r.cfg.MaxLevel) <= observed.Level:
 		r.setState(now, Mixed, strings.Join(r.missing(now), "; "))
 	case observed.Mode.preventsRise():
-		r.setState(now, Paused, fmt.Sprintf("%s by %s", observed.Mode, directive.By))
+		r.setState(now, Paused, fmt.Sprintf("%s by %s", observed.Mode, r.stored.directive.operator))
 	case observed.Mode == FinishRequested:
 		r.setState(now, Ready, "the leader lets the level rise")
 	case !r.cfg.Auto:
@@ -98,12 +97,12 @@
 	r.setState(now, Upgrading, fmt.Sprintf("all have announced level %d", next))
 	r.txnInFlight = true
 	level := levelRecord{Level: next, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS + now.Milliseconds()}
-	migration := Migration{Level: next, Term: term, Leaders: 1}
+	migration := migration{level: next, term: term, leaders: 1}
 	return store.Txn{
 		If: observed.Conditions(r.nodeNames()),
 		Then: []store.Op{
 			{Put: levelKey, Value: encode(level)},
-			{Put: migrationKey, Value: encode(migration)},
+			{Put: migrationKey, Value: encode(newMigrationRecord(migration))},
 			{Put: termKey, Value: EncodeTerm(next, term)},
 		},
 	}
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -25,25 +25,25 @@
 
 func memberKey(node string) string { return memberPrefix + node }
 
-// versionedRecord is a record that names the format in which it is written.
+// versionedRecord is a record that names the format in which it is written; 0 means 1.
 type versionedRecord interface{ recordFormat() int }
 
-// Announcement is what a controller publishes of itself each time that it joins the cluster. It is stored without a
-// lease, so that it outlives its process.
-type Announcement struct {
-	Format     int              `json:"v,omitempty"` // 0 means 1, here and below
-	Node       string           `json:"node"`
-	Zone       string           `json:"zone,omitempty"`
-	Release    string           `json:"release"`
-	Level      Level            `json:"level"` // the highest that it supports
-	Lease      uint64           `json:"hold"`  // of its process
-	AtMS       int64            `json:"at_ms"` // start of its process, in wall-clock milliseconds
-	Reads      map[string][]int `json:"reads,omitempty"`
-	Writes     map[string]int   `json:"writes,omitempty"`
-	Behaviours []string         `json:"behaviours,omitempty"`
+// announcementRecord is what a controller publishes of itself each time that it joins the cluster. It is stored without
+// a lease, so that it outlives its process.
+type announcementRecord struct {
+	Format      int              `json:"v,omitempty"`
+	Node        string           `json:"node"`
+	Zone        string           `json:"zone,omitempty"`
+	Release     string           `json:"release"`
+	Level       Level            `json:"level"` // the highest that it supports
+	Lease       uint64           `json:"hold"`  // of its process
+	StartedAtMS int64            `json:"at_ms"` // start of its process, in wall-clock milliseconds
+	Reads       map[string][]int `json:"reads,omitempty"`
+	Writes      map[string]int   `json:"writes,omitempty"`
+	Behaviours  []string         `json:"behaviours,omitempty"`
 }
 
-func (a *Announcement) recordFormat() int { return a.Format }
+func (a *announcementRecord) recordFormat() int { return a.Format }
 
 // memberRecord is the part of a member key that the rollout needs.
 type memberRecord struct {
@@ -63,30 +63,40 @@
 
 func (l *levelRecord) recordFormat() int { return l.Format }
 
-// Directive is the operators' latest directive about the rollout.
-type Directive struct {
+// directiveRecord is the operators' latest directive about the rollout.
+type directiveRecord struct {
 	Format int    `json:"v,omitempty"`
 	Mode   Mode   `json:"mode"`
-	Level  Level  `json:"level,omitempty"` // to which FinishRequested lets the cluster rise
+	Level  Level  `json:"level,omitempty"`
 	By     string `json:"by"`
 	AtMS   int64  `json:"at_ms"`
 }
 
-func (d *Directive) recordFormat() int { return d.Format }
+func (d *directiveRecord) recordFormat() int { return d.Format }
 
-// Migration is the progress of rewriting the records of a former format. The records themselves tell which of them
-// are left, since a migrated one has left its old place. So a leader that takes over goes on with those, and none
-// is migrated twice.
-type Migration struct {
+func (d *directiveRecord) directive() directive {
+	return directive{mode: d.Mode, level: d.Level, operator: d.By}
+}
+
+// migrationRecord is the progress of a migration.
+type migrationRecord struct {
 	Format  int    `json:"v,omitempty"`
 	Level   Level  `json:"level"`
 	Done    bool   `json:"done"`
-	Left    int    `json:"left"`  // records left, as the last leader counted them
-	Term    uint64 `json:"term"`  // of that leader
-	Leaders int    `json:"turns"` // the number of leaders that have worked on it
+	Left    int    `json:"left"`
+	Term    uint64 `json:"term"`
+	Leaders int    `json:"turns"`
 }
 
-func (m *Migration) recordFormat() int { return m.Format }
+func (m *migrationRecord) recordFormat() int { return m.Format }
+
+func newMigrationRecord(m migration) migrationRecord {
+	return migrationRecord{Level: m.level, Done: m.done, Left: m.left, Term: m.term, Leaders: m.leaders}
+}
+
+func (m *migrationRecord) migration() migration {
+	return migration{level: m.Level, done: m.Done, left: m.Left, term: m.Term, leaders: m.Leaders}
+}
 
 // encode returns a record's stored form. The records of this package contain nothing that can't be encoded.
 func encode(record any) json.RawMessage {
@@ -97,28 +107,38 @@
 // stringTermFormat is the format of the term key with the number as a string, the newest that this release reads.
 const stringTermFormat = 2
 
+// numberTermRecord is the term key in its first format.
+type numberTermRecord struct {
+	Term uint64 `json:"term"`
+}
+
+// stringTermRecord is the term key in stringTermFormat.
+type stringTermRecord struct {
+	Format int    `json:"v"`
+	Term   uint64 `json:"term,string"`
+}
+
+// anyTermRecord is the term key in either format.
+type anyTermRecord struct {
+	Term json.Number `json:"term"`
+}
+
 // EncodeTerm returns the value of the term key as it is written at a level. From Paged on the number is a string:
 // releases without levels refuse to read it, and a controller that can't read the term can't campaign.
 func EncodeTerm(level Level, term uint64) json.RawMessage {
 	if level < Paged {
-		return encode(struct {
-			Term uint64 `json:"term"`
-		}{term})
+		return encode(numberTermRecord{Term: term})
 	}
-	return encode(struct {
-		Format int    `json:"v"`
-		Term   uint64 `json:"term,string"`
-	}{stringTermFormat, term})
+	return encode(stringTermRecord{Format: stringTermFormat, Term: term})
 }
 
-// DecodeTerm reads the value of the term key in either format.
+// DecodeTerm reads the value of the term key in either format. The error is an UnknownFormatError if its format is
+// newer.
 func DecodeTerm(raw json.RawMessage) (uint64, error) {
 	if format := FormatOf(raw); format > stringTermFormat {
-		return 0, fmt.Errorf("term in format %d", format)
-	}
-	var record struct {
-		Term json.Number `json:"term"`
+		return 0, fmt.Errorf("term in %w", &UnknownFormatError{Format: format})
 	}
+	var record anyTermRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
 		return 0, err
 	}
--- a/internal/rollout/records_test.go
+++ b/internal/rollout/records_test.go
@@ -2,9 +2,12 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"github.com/harewalk/harewalk/internal/store"
 )
 
 // TestTermFormats: the term is read in both formats, and a release that reads only the first refuses the second.
@@ -32,3 +35,35 @@
 		}
 	}
 }
+
+// TestNewerFormatIsRefusedWithItsNumber: callers can tell a newer record from a damaged one.
+func TestNewerFormatIsRefusedWithItsNumber(t *testing.T) {
+	var newer *UnknownFormatError
+	if _, err := DecodeTerm([]byte(`{"v":3,"term":"1"}`)); !errors.As(err, &newer) || newer.Format != 3 {
+		t.Errorf("error %v, want one about format 3", err)
+	}
+	if _, err := DecodeTerm([]byte(`[]`)); err == nil || errors.As(err, &newer) {
+		t.Errorf("error %v, want one that isn't about a format", err)
+	}
+}
+
+// TestStoredRecordsAreReadAsWritten: no field is lost between a record and what the rollout keeps of it, and the
+// stored bytes are those that former releases read.
+func TestStoredRecordsAreReadAsWritten(t *testing.T) {
+	written := migration{level: Paged, done: true, left: 3, term: 7, leaders: 2}
+	raw := encode(newMigrationRecord(written))
+	if want := `{"level":2,"done":true,"left":3,"term":7,"turns":2}`; string(raw) != want {
+		t.Errorf("stored as %s, want %s", raw, want)
+	}
+	r := newTestRollout(true)
+	r.HandleItem(store.Item{Key: migrationKey, Value: raw, Version: 2})
+	if r.stored.migration != written {
+		t.Errorf("read as %+v, want %+v", r.stored.migration, written)
+	}
+
+	stored := `{"mode":"finish","level":2,"by":"ana","at_ms":5}`
+	r.HandleItem(store.Item{Key: directiveKey, Value: json.RawMessage(stored), Version: 3})
+	if want := (directive{mode: FinishRequested, level: Paged, operator: "ana"}); r.stored.directive != want {
+		t.Errorf("read as %+v, want %+v", r.stored.directive, want)
+	}
+}
--- a/internal/rollout/restart.go
+++ b/internal/rollout/restart.go
@@ -40,7 +40,7 @@
 	case r.state == Upgrading:
 		return "the level is rising at this moment"
 	case view.Mode == PausedByOperator:
-		return fmt.Sprintf("%s holds the rollout", r.stored.directive.By)
+		return fmt.Sprintf("%s holds the rollout", r.stored.directive.operator)
 	case down != "" && zone != "":
 		return fmt.Sprintf("no controller of zone %s is there: it may be lost", zone)
 	case down != "":
--- a/internal/rollout/restart_test.go
+++ b/internal/rollout/restart_test.go
@@ -31,7 +31,7 @@
 					join(r, node, release, supported[release], uint64(i+1), uint64(i+2))
 				}
 			}
-			direct(r, Directive{Mode: c.mode}, 9)
+			direct(r, directiveRecord{Mode: c.mode}, 9)
 			r.Tick(0, 0, MigrationProgress{})
 			view := r.View(0, Cluster{Leader: c.leader})
 			if view.Restart != c.next || view.Why == "" {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -66,9 +66,9 @@
 type storedState struct {
 	level            Level // Base if there is no key
 	levelVersion     uint64
-	directive        Directive
+	directive        directive
 	directiveVersion uint64
-	migration        Migration
+	migration        migration
 	migrationVersion uint64
 	// bootstrapped is set if there has ever been a leader. A cluster without one starts at the newest level.
 	bootstrapped bool
@@ -179,32 +179,32 @@
 		return conditions, nil
 	}
 	level := levelRecord{Level: r.cfg.MaxLevel, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS}
-	migration := Migration{Level: r.cfg.MaxLevel, Done: true}
+	migration := migration{level: r.cfg.MaxLevel, done: true}
 	return conditions, []store.Op{
 		{Put: levelKey, Value: encode(level)},
-		{Put: migrationKey, Value: encode(migration)},
+		{Put: migrationKey, Value: encode(newMigrationRecord(migration))},
 	}
 }
 
 // Announcement returns the write of this controller's announcement, which goes with that of its member key. lease
 // is that of its process.
 func (r *Rollout) Announcement(lease uint64) store.Op {
-	announcement := Announcement{
-		Node:    r.cfg.Node,
-		Release: r.cfg.Release,
-		Level:   r.cfg.MaxLevel,
-		Lease:   lease,
-		AtMS:    r.cfg.StartedAtMS,
-		Reads:   readFormats(),
-		Writes:  writtenFormats(r.cfg.MaxLevel),
+	record := announcementRecord{
+		Node:        r.cfg.Node,
+		Release:     r.cfg.Release,
+		Level:       r.cfg.MaxLevel,
+		Lease:       lease,
+		StartedAtMS: r.cfg.StartedAtMS,
+		Reads:       readFormats(),
+		Writes:      writtenFormats(r.cfg.MaxLevel),
 	}
 	if self := r.peer(r.cfg.Node); self != nil {
-		announcement.Zone = self.Zone
+		record.Zone = self.Zone
 	}
 	for level := Base; level <= r.cfg.MaxLevel; level++ {
-		announcement.Behaviours = append(announcement.Behaviours, levelBehaviours[level])
+		record.Behaviours = append(record.Behaviours, levelBehaviours[level])
 	}
-	return store.Op{Put: AnnounceKey(r.cfg.Node), Value: encode(announcement)}
+	return store.Op{Put: AnnounceKey(r.cfg.Node), Value: encode(record)}
 }
 
 // observe returns what has been read of all that a rise of the level depends on.
@@ -212,13 +212,13 @@
 	observed := Observation{
 		Level:            r.stored.level,
 		LevelVersion:     r.stored.levelVersion,
-		Mode:             r.stored.directive.Mode,
+		Mode:             r.stored.directive.mode,
 		DirectiveVersion: r.stored.directiveVersion,
 	}
 	for _, peer := range r.peers {
 		observed.Peers = append(observed.Peers, peer.PeerRecord)
 	}
-	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.stored.directive.Level {
+	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.stored.directive.level {
 		observed.Mode = NoDirective // the directive was about an earlier rise
 	}
 	return observed
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -34,17 +34,17 @@
 // join has a controller announce a release and the highest level that it supports, write its member key and be
 // healthy.
 func join(r *Rollout, node, release string, supported Level, lease, version uint64) {
-	announce(r, Announcement{Node: node, Release: release, Level: supported, Lease: lease}, version)
+	announce(r, announcementRecord{Node: node, Release: release, Level: supported, Lease: lease}, version)
 	member := encode(map[string]any{"node": node, "hold": lease})
 	r.HandleItem(store.Item{Key: memberKey(node), Value: member, Version: version})
 	r.HandleHealth(0, node, true)
 }
 
-func announce(r *Rollout, announcement Announcement, version uint64) {
+func announce(r *Rollout, announcement announcementRecord, version uint64) {
 	r.HandleItem(store.Item{Key: AnnounceKey(announcement.Node), Value: encode(announcement), Version: version})
 }
 
-func direct(r *Rollout, directive Directive, version uint64) {
+func direct(r *Rollout, directive directiveRecord, version uint64) {
 	r.HandleItem(store.Item{Key: directiveKey, Value: encode(directive), Version: version})
 }
 
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -59,8 +59,8 @@
 func (r *Rollout) View(now time.Duration, cluster Cluster) View {
 	view := View{
 		Revision:   r.stored.directiveVersion,
-		Mode:       r.stored.directive.Mode,
-		By:         r.stored.directive.By,
+		Mode:       r.stored.directive.mode,
+		By:         r.stored.directive.operator,
 		State:      r.state.String(),
 		ReportedBy: r.cfg.Node,
 		Level:      r.Level(),
@@ -91,8 +91,8 @@
 	}
 	view := &MigrationView{
 		Done:    r.Migrated(),
-		Left:    r.stored.migration.Left,
-		Leaders: r.stored.migration.Leaders,
+		Left:    r.stored.migration.left,
+		Leaders: r.stored.migration.leaders,
 	}
 	if !view.Done && cluster.Leader == r.cfg.Node {
 		view.Left = cluster.Left
@@ -109,7 +109,7 @@
 		Leads:   peer.Node == cluster.Leader,
 	}
 	if peer.Announced() > 0 {
-		view.Release = peer.announcement.Release
+		view.Release = peer.release
 		view.Level = peer.AnnouncedLevel
 		view.Incompatible = !IsCompatible(peer.AnnouncedLevel, r.stored.level)
 	}
@@ -141,11 +141,11 @@
 		return peer.Node + " runs a release that doesn't say what it knows: it is older than " + firstAnnouncingRelease
 	case peer.Announced() <= r.stored.level:
 		return fmt.Sprintf("%s runs %s, which knows no level above %d",
-			peer.Node, peer.announcement.Release, peer.AnnouncedLevel)
+			peer.Node, peer.release, peer.AnnouncedLevel)
 	case peer.isHealthy(now):
 		return ""
 	case !peer.isUp():
-		return peer.Node + " is down; it announced " + peer.announcement.Release
+		return peer.Node + " is down; it announced " + peer.release
 	}
 	return peer.Node + " is not well: it isn't heard, drains, or doesn't reach the state service"
 }
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"strings"
 
 	"github.com/harewalk/harewalk/internal/store"
@@ -49,7 +48,7 @@
 	format, _ := RecordFormatOf(item.Key)
 	err := json.Unmarshal(item.Value, record)
 	if err == nil && record.recordFormat() > format.newestRead() {
-		err = fmt.Errorf("format %d", record.recordFormat())
+		err = &UnknownFormatError{Format: record.recordFormat()}
 	}
 	if err != nil {
 		r.MarkUnreadable(item.Key, item.Value, err)
@@ -69,18 +68,19 @@
 }
 
 func (r *Rollout) applyDirective(item store.Item) {
-	var directive Directive
-	if !r.decode(item, &directive) {
-		directive = Directive{Mode: PausedByOperator, By: "a record that can't be read"}
+	var record directiveRecord
+	if r.decode(item, &record) {
+		r.stored.directive = record.directive()
+	} else {
+		r.stored.directive = directive{mode: PausedByOperator, operator: "a record that can't be read"}
 	}
-	r.stored.directive = directive
 	r.stored.directiveVersion = item.Version
 }
 
 func (r *Rollout) applyMigration(item store.Item) {
-	var migration Migration
-	if r.decode(item, &migration) {
-		r.stored.migration = migration
+	var record migrationRecord
+	if r.decode(item, &record) {
+		r.stored.migration = record.migration()
 	}
 	r.stored.migrationVersion = item.Version
 }
@@ -89,15 +89,16 @@
 	if peer == nil {
 		return false
 	}
-	var announcement Announcement
+	var record announcementRecord
 	peer.unreadableCause = ""
-	if !r.decode(item, &announcement) {
-		announcement = Announcement{}
+	if !r.decode(item, &record) {
+		record = announcementRecord{}
 		peer.unreadableCause = "its announcement can't be read"
 	}
-	peer.announcement = announcement
-	peer.AnnouncedLevel = announcement.Level
-	peer.AnnouncedLease = announcement.Lease
+	peer.release = record.Release
+	peer.startedAtMS = record.StartedAtMS
+	peer.AnnouncedLevel = record.Level
+	peer.AnnouncedLease = record.Lease
 	peer.AnnouncementVersion = item.Version
 	return true
 }
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -226,7 +226,10 @@
 
 // migrated tells whether the migration's end is durable.
 func (r *testCluster) migrated() bool {
-	var m rollout.Migration
+	var m struct {
+		Level rollout.Level `json:"level"`
+		Done  bool          `json:"done"`
+	}
 	return json.Unmarshal(r.StoredItem("h/r/migration").Value, &m) == nil && m.Done && m.Level == rollout.Newest
 }
 
