--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -22,5 +22,5 @@
 	}
 	// A controller that reaches neither the state service nor any other controller is cut off and must not keep its
 	// users. In an outage the service answers with 503, or other controllers report the same.
-	return anyPeerAlive || len(c.settings.Peers) == 0 || now-c.store.LastHeard() < healthyStoreAge
+	return anyPeerAlive || len(c.settings.Peers) == 0 || now-c.store.LastResponse() < healthyStoreAge
 }
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -13,6 +13,9 @@
 // maxOperatorBytes is the maximum length of an operator's name.
 const maxOperatorBytes = 100
 
+// unnamedOperator stands for an operator who gave no name.
+const unnamedOperator = "somebody"
+
 // Command is an operator's request to change the directive.
 type Command struct {
 	Op string `json:"op"` // "hold", "finish", "abort" or "free"
@@ -31,11 +34,11 @@
 
 // The errors of Execute; each is wrapped with its details.
 var (
-	// ErrMalformed: the command is not one that there is.
+	// ErrMalformed: the operation is unknown, or the operator's name is too long.
 	ErrMalformed = errors.New("not a command")
 	// ErrChanged: the directive has changed since the operator has read it.
 	ErrChanged = errors.New("somebody said something meanwhile")
-	// ErrTooLate: the level has risen already.
+	// ErrTooLate: the level has been upgraded already.
 	ErrTooLate = errors.New("too late")
 	// ErrTooEarly: not all controllers have announced the next level.
 	ErrTooEarly = errors.New("not yet")
@@ -59,10 +62,10 @@
 	}
 	operator := command.By
 	if operator == "" {
-		operator = "somebody"
+		operator = unnamedOperator
 	}
 	record := directiveRecord{Mode: mode, Level: next, By: operator, AtMS: wallMS}
-	// A rise in flight and an abort both depend on both versions: whichever is committed first makes the other fail.
+	// An upgrade in flight and an abort both depend on both versions: whichever is committed first makes the other fail.
 	return store.Txn{
 		If:   []store.Condition{{Key: directiveKey, Version: r.stored.directiveVersion}, r.LevelCondition()},
 		Then: []store.Op{{Put: directiveKey, Value: encode(record)}},
@@ -80,8 +83,8 @@
 	return nil
 }
 
-// checkAbort returns an error if the level has risen and no controller has announced a higher one: then there is no
-// rise to abort.
+// checkAbort returns an error if the level has been upgraded and no controller has announced a higher one: then there
+// is no upgrade to abort.
 func (r *Rollout) checkAbort() error {
 	level := r.stored.level
 	higherAnnounced := slices.ContainsFunc(r.peers, func(p *peer) bool { return p.AnnouncedLevel > level })
@@ -94,7 +97,7 @@
 		ErrTooLate, level, level-1)
 }
 
-// checkFinish returns an error if the level can't rise, or can't rise yet.
+// checkFinish returns an error if the level can't be upgraded, or can't be yet.
 func (r *Rollout) checkFinish(now time.Duration, next Level) error {
 	if r.stored.levelVersion != 0 && r.stored.level >= r.cfg.MaxLevel {
 		return fmt.Errorf("%w: the level is %d already, the highest that %s knows",
--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -9,8 +9,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// TestCommandsAreRefused: commands that come too early, at an old revision, or that there are not.
-func TestCommandsAreRefused(t *testing.T) {
+// TestInvalidCommandsAreRefused: commands that come too early, at an old revision, or that are malformed.
+func TestInvalidCommandsAreRefused(t *testing.T) {
 	r := newTestRollout(false)
 	join(r, "a", presentRelease, Paged, 1, 2)
 	join(r, "b", presentRelease, Paged, 2, 3)
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestLevelRisesByDirectiveAndMigrates follows a rollout that operators have to finish: the level doesn't rise
-// without their directive, nor by one about an earlier rise; it rises once; and each leader records the migration
+// TestLevelIsUpgradedByDirective follows a rollout that operators have to finish: the level isn't upgraded without
+// their directive, nor by one about an earlier upgrade; it is upgraded once; and each leader records the migration
 // once.
-func TestLevelRisesByDirectiveAndMigrates(t *testing.T) {
+func TestLevelIsUpgradedByDirective(t *testing.T) {
 	r := newTestRollout(false)
 	join(r, "a", presentRelease, Paged, 1, 2)
 	join(r, "b", presentRelease, Paged, 2, 3)
@@ -49,27 +49,27 @@
 		mustNotTick(t, r, now, 1, MigrationProgress{}) // there is no directive
 	}
 	direct(r, directiveRecord{Mode: FinishRequested, Level: Base}, 10)
-	mustNotTick(t, r, time.Minute, 1, MigrationProgress{}) // the directive is about an earlier rise
+	mustNotTick(t, r, time.Minute, 1, MigrationProgress{}) // the directive is about an earlier upgrade
 
 	finish, err := r.Execute(time.Minute, Command{Op: "finish", By: "ana"}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.HandleItem(store.Item{Key: directiveKey, Value: finish.Then[0].Value, Version: 11})
-	rise := mustTick(t, r, time.Minute, 1, MigrationProgress{})
-	if rise.Then[0].Put != levelKey || len(rise.If) != 8 {
-		t.Fatalf("the level rises by %+v", rise)
+	upgrade := mustTick(t, r, time.Minute, 1, MigrationProgress{})
+	if upgrade.Then[0].Put != levelKey || len(upgrade.If) != 8 {
+		t.Fatalf("the level is upgraded by %+v", upgrade)
 	}
-	commit(r, time.Minute, rise, 12)
+	commit(r, time.Minute, upgrade, 12)
 	if r.Level() != Paged || r.State() != Upgrading {
 		t.Fatalf("level %d, state %s", r.Level(), r.State())
 	}
 	if _, err := r.Execute(time.Minute, Command{Op: "abort"}, 0); !errors.Is(err, ErrTooLate) {
-		t.Errorf("an abort after the rise: %v", err)
+		t.Errorf("an abort after the upgrade: %v", err)
 	}
 
 	left := MigrationProgress{Left: 3}
-	mustNotTick(t, r, 2*time.Minute, 1, left) // the leader that raised the level is recorded already
+	mustNotTick(t, r, 2*time.Minute, 1, left) // the leader that upgraded the level is recorded already
 	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, left), 13)
 	done := MigrationProgress{Done: true}
 	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, done), 14)
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -38,7 +38,7 @@
 	Kind         string
 	Prefix       string // of its keys
 	ReadFormats  []int
-	WriteFormats []WriteFormat // by rising level
+	WriteFormats []WriteFormat // by ascending level
 	Guard        Guard
 }
 
--- a/internal/rollout/formats_test.go
+++ b/internal/rollout/formats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestWrittenFormatsAreRead: the formats of each kind are among those that are read, and levels only rise.
+// TestWrittenFormatsAreRead: the formats of each kind are among those that are read, and levels ascend.
 func TestWrittenFormatsAreRead(t *testing.T) {
 	for _, format := range RecordFormats {
 		last := Level(0)
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestRecordKindsByKey: the longest prefix decides.
-func TestRecordKindsByKey(t *testing.T) {
+// TestLongestPrefixDecidesTheRecordKind: a key belongs to the most specific kind.
+func TestLongestPrefixDecidesTheRecordKind(t *testing.T) {
 	for key, kind := range map[string]string{
 		"p/@/00003":        "plan-page",
 		"p/req-000001/000": "plan",
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestAnnouncedFormats: what a controller announces is what the table lists.
-func TestAnnouncedFormats(t *testing.T) {
+// TestAnnouncementListsTheFormats: what a controller announces is what the table lists.
+func TestAnnouncementListsTheFormats(t *testing.T) {
 	if kinds := len(readFormats()); kinds != len(RecordFormats) {
 		t.Errorf("%d kinds are announced, want %d", kinds, len(RecordFormats))
 	}
--- a/internal/rollout/migration.go
+++ b/internal/rollout/migration.go
@@ -19,17 +19,17 @@
 	leaders int    // the number of leaders that have worked on it
 }
 
-// hasRisen reports whether the cluster's level is stored and above Base.
-func (r *Rollout) hasRisen() bool { return r.stored.levelVersion != 0 && r.stored.level > Base }
+// hasUpgraded reports whether the cluster's level is stored and above Base.
+func (r *Rollout) hasUpgraded() bool { return r.stored.levelVersion != 0 && r.stored.level > Base }
 
 // migrating reports whether records of a former format may be left.
 func (r *Rollout) migrating() bool {
 	stored := r.stored.migration
-	return r.hasRisen() && (stored.level != r.stored.level || !stored.done)
+	return r.hasUpgraded() && (stored.level != r.stored.level || !stored.done)
 }
 
 // Migrated reports whether it is durable that no record of a former format is left.
-func (r *Rollout) Migrated() bool { return r.hasRisen() && !r.migrating() }
+func (r *Rollout) Migrated() bool { return r.hasUpgraded() && !r.migrating() }
 
 // recordMigration returns the write of the migration's progress. It is due when a leader takes the migration up, and
 // when nothing is left.
--- a/internal/rollout/model_explore_test.go
+++ b/internal/rollout/model_explore_test.go
@@ -136,7 +136,7 @@
 	if process.term == 0 || process.view.leaderVersion != process.term {
 		return
 	}
-	s.addRise(node)
+	s.addUpgrade(node)
 	s.addDirective(node)
 	s.addPlanWrite(node)
 	s.addMigrationEnd(node)
@@ -186,15 +186,15 @@
 	s.addSend(txn)
 }
 
-func (s *successors) addRise(node int) {
+func (s *successors) addUpgrade(node int) {
 	process := &s.of.processes[node]
 	observed := s.of.observe(node, s.removed)
 	unannounced := s.removed == guardAllAnnounced &&
 		process.supported > uint8(observed.Level) && observed.Mode != AbortedByOperator
-	if !observed.MayRaise(Level(process.supported), true, true) && !unannounced {
+	if !observed.MayUpgrade(Level(process.supported), true, true) && !unannounced {
 		return
 	}
-	txn := s.newTxn(txnRise, node)
+	txn := s.newTxn(txnUpgrade, node)
 	txn.value = process.supported
 	for i, condition := range observed.Conditions(modelNodes) {
 		txn.conditions[i] = uint8(condition.Version)
@@ -304,9 +304,9 @@
 	return len(visited), ""
 }
 
-// TestEveryRise explores every run within the bounds, from a cluster in which one controller has the former release
+// TestEveryUpgradeKeepsTheProperties explores every run within the bounds, from a cluster in which one controller has the former release
 // and from one in which none has: no property is violated. HAREWALK_LONG asks for longer runs.
-func TestEveryRise(t *testing.T) {
+func TestEveryUpgradeKeepsTheProperties(t *testing.T) {
 	bounds := modelBounds{starts: 1, sends: 2, directives: 1, crashes: 1, freezes: 1}
 	if os.Getenv("HAREWALK_LONG") != "" {
 		bounds.sends = 3
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -12,8 +12,8 @@
 	os.Exit(m.Run())
 }
 
-// A model of the environment of a rise of the level: three controllers of two releases, the keys that a rise
-// depends on, a record that the leader rewrites in a new format and one that any controller writes, and
+// A model of the environment of an upgrade of the level: three controllers of two releases, the keys that an
+// upgrade depends on, a record that the leader rewrites in a new format and one that any controller writes, and
 // transactions that are carried out at once, late or never, with or without an answer. The controllers decide by
 // the real code in observation.go. All runs are explored, within bounds on the number of each kind of step.
 
@@ -67,7 +67,7 @@
 
 const (
 	txnCampaign  modelTxnKind = 'c'
-	txnRise      modelTxnKind = 'r'
+	txnUpgrade   modelTxnKind = 'u'
 	txnDirective modelTxnKind = 'w'
 	txnPlan      modelTxnKind = 'p' // writes the leader's record
 	txnMigrated  modelTxnKind = 'm' // records the end of the migration
@@ -173,8 +173,8 @@
 	switch txn.kind {
 	case txnCampaign:
 		m.commitCampaign(txn, removed)
-	case txnRise:
-		m.commitRise(txn, removed)
+	case txnUpgrade:
+		m.commitUpgrade(txn, removed)
 	case txnDirective:
 		m.commitDirective(txn)
 	case txnPlan:
@@ -199,7 +199,7 @@
 	keys.bump(&keys.leaderVersion)
 }
 
-func (m *modelState) commitRise(txn modelTxn, removed removedGuard) {
+func (m *modelState) commitUpgrade(txn modelTxn, removed removedGuard) {
 	keys := &m.keys
 	if txn.conditions[0] != keys.levelVersion {
 		return
@@ -215,16 +215,16 @@
 		}
 	}
 	if keys.leader != txn.sender+1 {
-		m.violation = modelNodes[txn.sender] + " raises the level and doesn't lead"
+		m.violation = modelNodes[txn.sender] + " upgrades the level and doesn't lead"
 	}
 	keys.level = txn.value
 	keys.bump(&keys.levelVersion)
 	if keys.aborted {
-		m.violation = "the level rises after operators have aborted the rollout"
+		m.violation = "the level is upgraded after operators have aborted the rollout"
 	}
 	for n, process := range m.processes {
 		if process.lease > 0 && process.supported < keys.level {
-			m.violation = fmt.Sprintf("the level rises while %s takes part with a release that doesn't support it",
+			m.violation = fmt.Sprintf("the level is upgraded while %s takes part with a release that doesn't support it",
 				modelNodes[n])
 		}
 	}
@@ -274,7 +274,7 @@
 	keys.bump(&keys.jobVersion)
 }
 
-// checkOverwrite notes a violation if a transaction overwrites a record in a format that its sender can't read.
+// checkOverwrite records a violation if a transaction overwrites a record in a format that its sender can't read.
 func (m *modelState) checkOverwrite(txn modelTxn, format uint8) {
 	if txn.supported < format {
 		m.violation = modelNodes[txn.sender] + " overwrites a record that it can't read"
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -2,7 +2,7 @@
 
 import "github.com/harewalk/harewalk/internal/store"
 
-// This file decides whether the level may rise, by pure functions of what a controller has read. model_test.go
+// This file decides whether the level may be upgraded, by pure functions of what a controller has read. model_test.go
 // explores all runs of them within bounds, with crashes, restarts and late transactions.
 
 // Mode is what the operators' latest directive asks for.
@@ -11,13 +11,13 @@
 // The modes.
 const (
 	NoDirective       Mode = ""        // the settings decide
-	PausedByOperator  Mode = "held"    // the level doesn't rise, and no controller should be restarted
-	AbortedByOperator Mode = "aborted" // the level doesn't rise, and controllers return to the former release
-	FinishRequested   Mode = "finish"  // the level rises as soon as all have announced the next one
+	PausedByOperator  Mode = "held"    // the level isn't upgraded, and no controller should be restarted
+	AbortedByOperator Mode = "aborted" // the level isn't upgraded, and controllers return to the former release
+	FinishRequested   Mode = "finish"  // the level is upgraded as soon as all have announced the next one
 )
 
-// preventsRise reports whether the level must not rise in a mode.
-func (m Mode) preventsRise() bool { return m == PausedByOperator || m == AbortedByOperator }
+// preventsUpgrade reports whether the level must not be upgraded in a mode.
+func (m Mode) preventsUpgrade() bool { return m == PausedByOperator || m == AbortedByOperator }
 
 // directive is the operators' latest directive about the rollout.
 type directive struct {
@@ -44,7 +44,7 @@
 	return p.AnnouncedLevel
 }
 
-// Observation is what a controller has read of all keys that a rise of the level depends on.
+// Observation is what a controller has read of all keys that an upgrade of the level depends on.
 type Observation struct {
 	Level            Level
 	LevelVersion     uint64 // 0: there is no key, which means Base
@@ -53,7 +53,7 @@
 	Peers            []PeerRecord // in the order of the controllers' names
 }
 
-// NextLevel returns the level to which the cluster can rise: the highest that all have announced and that this
+// NextLevel returns the level to which the cluster can be upgraded: the highest that all have announced and that this
 // controller supports. It returns the present level if that is none.
 func (o Observation) NextLevel(supported Level) Level {
 	next := supported
@@ -63,16 +63,16 @@
 	return max(next, o.Level)
 }
 
-// MayRaise reports whether the level may rise now. soaked: all controllers have been healthy for long enough; auto:
-// the settings let the level rise without a directive.
-func (o Observation) MayRaise(supported Level, soaked, auto bool) bool {
-	if o.NextLevel(supported) <= o.Level || o.Mode.preventsRise() {
+// MayUpgrade reports whether the level may be upgraded now. soaked: all controllers have been healthy for long enough; auto:
+// the settings allow it without a directive.
+func (o Observation) MayUpgrade(supported Level, soaked, auto bool) bool {
+	if o.NextLevel(supported) <= o.Level || o.Mode.preventsUpgrade() {
 		return false
 	}
 	return o.Mode == FinishRequested || (auto && soaked)
 }
 
-// Conditions returns the conditions of the transaction that raises the level: nothing that the decision depends on
+// Conditions returns the conditions of the transaction that upgrades the level: nothing that the decision depends on
 // has changed since. nodes names the peers. The leader's guard is added by the sender.
 func (o Observation) Conditions(nodes []string) []store.Condition {
 	conditions := []store.Condition{
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -14,7 +14,7 @@
 	restartWindow = 2 * time.Minute
 )
 
-// peer is a controller that the settings name, as this one has read and heard of it.
+// peer is a controller that the settings name, by the keys that this one has read and the health reports that it got.
 type peer struct {
 	NodeConfig
 	PeerRecord
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -12,6 +12,9 @@
 // retryDelay is the time between a transaction that wasn't committed and the next.
 const retryDelay = time.Second
 
+// upgradeIsDue is the cause of state Ready where nothing but the leader's transaction is left to do.
+const upgradeIsDue = "the leader lets the level rise"
+
 // soakTimer measures for how long all controllers have been healthy without a break.
 type soakTimer struct {
 	running bool
@@ -63,10 +66,10 @@
 	if r.migrating() {
 		return r.recordMigration(term, migration)
 	}
-	if !observed.MayRaise(r.cfg.MaxLevel, soaked, r.cfg.Auto) {
+	if !observed.MayUpgrade(r.cfg.MaxLevel, soaked, r.cfg.Auto) {
 		return store.Txn{}, false
 	}
-	return r.raise(now, observed, term), true
+	return r.upgradeTxn(now, observed, term), true
 }
 
 // evaluate sets the state by what has been read.
@@ -78,21 +81,21 @@
 		r.setState(now, Settled, fmt.Sprintf("the level is %d", r.Level()))
 	case observed.NextLevel(r.cfg.MaxLevel) <= observed.Level:
 		r.setState(now, Mixed, strings.Join(r.missing(now), "; "))
-	case observed.Mode.preventsRise():
+	case observed.Mode.preventsUpgrade():
 		r.setState(now, Paused, fmt.Sprintf("%s by %s", observed.Mode, r.stored.directive.operator))
 	case observed.Mode == FinishRequested:
-		r.setState(now, Ready, "the leader lets the level rise")
+		r.setState(now, Ready, upgradeIsDue)
 	case !r.cfg.Auto:
 		r.setState(now, Ready, "operators are to say `rollout finish`")
 	case !soaked:
 		r.setState(now, Soaking, fmt.Sprintf("all have to be well for %v", r.cfg.Soak))
 	default:
-		r.setState(now, Ready, "the leader lets the level rise")
+		r.setState(now, Ready, upgradeIsDue)
 	}
 }
 
-// raise returns the transaction that raises the level.
-func (r *Rollout) raise(now time.Duration, observed Observation, term uint64) store.Txn {
+// upgradeTxn returns the transaction that upgrades the level.
+func (r *Rollout) upgradeTxn(now time.Duration, observed Observation, term uint64) store.Txn {
 	next := observed.NextLevel(r.cfg.MaxLevel)
 	r.setState(now, Upgrading, fmt.Sprintf("all have announced level %d", next))
 	r.txnInFlight = true
@@ -123,8 +126,8 @@
 	r.retryAt = now + retryDelay
 }
 
-// HandleLeadershipLost takes note that this controller doesn't lead any more. The outcome of a transaction in flight
-// isn't awaited any longer.
+// HandleLeadershipLost ends what only a leader does: the outcome of a transaction in flight isn't awaited any
+// longer, and the soak starts anew.
 func (r *Rollout) HandleLeadershipLost() {
 	r.txnInFlight = false
 	r.soak.running = false
--- a/internal/rollout/progress_test.go
+++ b/internal/rollout/progress_test.go
@@ -11,9 +11,9 @@
 	}
 }
 
-// TestLevelRisesAfterAnUnbrokenSoak: without a directive the level rises once all controllers have been healthy for
+// TestLevelIsUpgradedAfterAnUnbrokenSoak: without a directive the level is upgraded once all controllers have been healthy for
 // the soak time, which starts again after a break.
-func TestLevelRisesAfterAnUnbrokenSoak(t *testing.T) {
+func TestLevelIsUpgradedAfterAnUnbrokenSoak(t *testing.T) {
 	r := newTestRollout(true)
 	for i, node := range []string{"a", "b", "c"} {
 		join(r, node, presentRelease, Paged, uint64(i+1), uint64(i+2))
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The keys under h/r/ belong to this package. Those of the members and the term belong to package membership: a
-// rise of the level depends on the members and rewrites the term.
+// The keys under h/r/ belong to this package. Those of the members and the term belong to package membership: an
+// upgrade of the level depends on the members and rewrites the term.
 const (
 	prefix         = "h/r/"
 	levelKey       = prefix + "level"
@@ -57,7 +57,7 @@
 type levelRecord struct {
 	Format int    `json:"v,omitempty"`
 	Level  Level  `json:"level"`
-	By     string `json:"by"` // the controller that raised it
+	By     string `json:"by"` // the controller that upgraded it
 	AtMS   int64  `json:"at_ms"`
 }
 
--- a/internal/rollout/records_test.go
+++ b/internal/rollout/records_test.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// TestTermFormats: the term is read in both formats, and a release that reads only the first refuses the second.
-func TestTermFormats(t *testing.T) {
+// TestTermIsReadInBothFormats: the term is read in both formats, and a release that reads only the first refuses the second.
+func TestTermIsReadInBothFormats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		term := rapid.Uint64().Draw(t, "term")
 		for _, level := range []Level{Base, Paged} {
--- a/internal/rollout/restart_test.go
+++ b/internal/rollout/restart_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRestartOrder: one controller at a time is restarted, followers first and the leader last, towards the former
+// TestFollowersAreRestartedBeforeTheLeader: one controller at a time is restarted, followers first and the leader last, towards the former
 // release after an abort; none while another is down, the rollout is paused or there is no leader.
-func TestRestartOrder(t *testing.T) {
+func TestFollowersAreRestartedBeforeTheLeader(t *testing.T) {
 	const former, present, down = formerRelease, presentRelease, ""
 	supported := map[string]Level{former: Base, present: Paged}
 	for _, c := range []struct {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -25,13 +25,13 @@
 	Mixed
 	// Soaking: all have announced it, but have not all been healthy for long enough.
 	Soaking
-	// Ready: the level may rise, by the leader's transaction or by a directive that the operators have yet to give.
+	// Ready: the level may be upgraded, by the leader's transaction or by a directive that the operators have yet to give.
 	Ready
 	// Paused: the operators have paused or aborted the rollout.
 	Paused
-	// Upgrading: the transaction that raises the level has been sent. Only the leader is ever in this state.
+	// Upgrading: the transaction that upgrades the level has been sent. Only the leader is ever in this state.
 	Upgrading
-	// Migrating: the level has risen, and records of a former format are being rewritten.
+	// Migrating: the level has been upgraded, and records of a former format are being rewritten.
 	Migrating
 	// Incompatible: the cluster's level, or a record, is newer than this release, which must not act.
 	Incompatible
@@ -50,7 +50,7 @@
 	Nodes    []NodeConfig // all controllers that the settings name, this one included
 	Release  string       // of this controller
 	MaxLevel Level        // the highest that it supports
-	// Auto lets the level rise without a directive once all controllers have been healthy for Soak.
+	// Auto lets the level be upgraded without a directive once all controllers have been healthy for Soak.
 	Auto bool
 	Soak time.Duration
 	// StartedAtMS is when this process started, in wall-clock milliseconds.
@@ -207,7 +207,7 @@
 	return store.Op{Put: AnnounceKey(r.cfg.Node), Value: encode(record)}
 }
 
-// observe returns what has been read of all that a rise of the level depends on.
+// observe returns what has been read of all that an upgrade of the level depends on.
 func (r *Rollout) observe() Observation {
 	observed := Observation{
 		Level:            r.stored.level,
@@ -219,7 +219,7 @@
 		observed.Peers = append(observed.Peers, peer.PeerRecord)
 	}
 	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.stored.directive.level {
-		observed.Mode = NoDirective // the directive was about an earlier rise
+		observed.Mode = NoDirective // the directive was about an earlier upgrade
 	}
 	return observed
 }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -18,7 +18,7 @@
 	Level      Level          `json:"level"`
 	Next       Level          `json:"next_level"`
 	SoakLeftS  float64        `json:"soak_left_s,omitempty"` // seconds
-	Missing    []string       `json:"missing"`               // what keeps the level from rising
+	Missing    []string       `json:"missing"`               // what prevents an upgrade of the level
 	Migration  *MigrationView `json:"migration,omitempty"`
 	Nodes      []NodeView     `json:"nodes"`
 	// Restart is the controller that may be restarted next, "" if none may. Why is the reason.
@@ -86,7 +86,7 @@
 
 // migrationView returns the progress of the migration, nil if there has been none.
 func (r *Rollout) migrationView(cluster Cluster) *MigrationView {
-	if !r.hasRisen() {
+	if !r.hasUpgraded() {
 		return nil
 	}
 	view := &MigrationView{
@@ -116,7 +116,7 @@
 	return view
 }
 
-// missing returns what keeps the level from rising, a sentence for each controller concerned.
+// missing returns what prevents an upgrade of the level, a sentence for each controller concerned.
 func (r *Rollout) missing(now time.Duration) []string {
 	reasons := []string{}
 	if r.stored.level >= r.cfg.MaxLevel {
@@ -130,7 +130,7 @@
 	return reasons
 }
 
-// missingOf returns why one controller keeps the level from rising, "" if it doesn't.
+// missingOf returns why one controller prevents an upgrade of the level, "" if it doesn't.
 func (r *Rollout) missingOf(now time.Duration, peer *peer) string {
 	switch {
 	case peer.unreadableCause != "":
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -43,7 +43,7 @@
 	return false
 }
 
-// decode reads a record and keeps account of those that can't be read. On false the record may be read in part.
+// decode reads a record, and marks it as readable or unreadable. On false the record may be read in part.
 func (r *Rollout) decode(item store.Item, record versionedRecord) bool {
 	format, _ := RecordFormatOf(item.Key)
 	err := json.Unmarshal(item.Value, record)
@@ -151,5 +151,5 @@
 	}
 }
 
-// HandleSynced takes note that all keys have been read.
+// HandleSynced records that all keys have been read.
 func (r *Rollout) HandleSynced() { r.synced = true }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -2,8 +2,8 @@
 // transactions, reads, leases, watches, and a cache that follows all keys with a prefix.
 //
 // The package owns the load on the service. Requests stay within a rate budget in which leases have the
-// highest priority, and transactions within size limits that are lowered when the service takes less than the
-// settings say. It never retries a request and never decides what an indeterminate outcome means: both are up to
+// highest priority, and transactions within size limits that are lowered when the service accepts less than the
+// settings allow. It never retries a request and never decides what an indeterminate outcome means: both are up to
 // its callers. It starts no goroutine and reads no clock of its own: requests go out through an httpio.Sender,
 // and every callback runs on the event loop, which also makes every call.
 //
@@ -29,7 +29,7 @@
 	throttle      writeThrottle
 	txnEncoder    txnEncoder
 	lastSuccess   time.Duration
-	lastHeard     time.Duration
+	lastResponse  time.Duration
 
 	requestsSent, writesSent uint64
 }
@@ -82,8 +82,8 @@
 // beyond its rate.
 func (c *Client) Rejections() (size, rate int) { return c.limits.rejections, c.throttle.rejections }
 
-// LastHeard returns when the service last answered anything, rejections included.
-func (c *Client) LastHeard() time.Duration { return c.lastHeard }
+// LastResponse returns when the service last answered anything, rejections included.
+func (c *Client) LastResponse() time.Duration { return c.lastResponse }
 
 // LastSuccess returns when the service last carried out a request of this client.
 func (c *Client) LastSuccess() time.Duration { return c.lastSuccess }
@@ -123,13 +123,13 @@
 	})
 }
 
-// recordResponse updates when the service was last heard and the rate at which it takes writes.
+// recordResponse updates when the service last answered and the rate at which it takes writes.
 func (c *Client) recordResponse(response httpio.Response, writes int) {
 	if response.Err != nil {
 		return
 	}
 	now := c.now()
-	c.lastHeard = now
+	c.lastResponse = now
 	switch response.Status {
 	case http.StatusServiceUnavailable:
 	case http.StatusTooManyRequests:
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -50,7 +50,7 @@
 }
 
 // A caller can tell an expired lease, a compacted revision, a spent budget and any other status apart.
-func TestErrorsThatCallersDecideOn(t *testing.T) {
+func TestCallersCanTellErrorsApart(t *testing.T) {
 	service := &simulatedService{service: state.New()}
 	now := time.Duration(0)
 	cases := []struct {
--- a/internal/store/sizelimits.go
+++ b/internal/store/sizelimits.go
@@ -47,7 +47,7 @@
 }
 
 // limitEstimator estimates the limits of the state service. They are those of the settings until the service
-// rejects a transaction as too large: its limits may shrink without notice, and the answer does not tell which of
+// rejects a transaction as too large: its limits may shrink without notice, and the answer does not state which of
 // them was exceeded.
 //
 //	configured  as in the settings; a rejection lowers each limit that the rejected transaction needed and that
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -14,7 +14,7 @@
 	throttleRecoveryPerSecond = 0.02
 	// throttleRecoveryDelay is for how long after a rejection nothing is regained.
 	throttleRecoveryDelay = time.Second
-	// minDecreaseInterval is the least time between two decreases: the rejections of one burst count once.
+	// minDecreaseInterval is the minimum time between two decreases: the rejections of one burst count once.
 	minDecreaseInterval = 500 * time.Millisecond
 )
 
--- a/internal/store/transactions_test.go
+++ b/internal/store/transactions_test.go
@@ -10,7 +10,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-func TestTransactionOutcomes(t *testing.T) {
+// The outcome of a transaction follows from its answer alone.
+func TestOutcomeFollowsFromTheAnswer(t *testing.T) {
 	now := time.Duration(0)
 	service := &simulatedService{service: state.New()}
 	client := newClient(service, &now, 1000)
--- a/internal/store/types.go
+++ b/internal/store/types.go
@@ -18,7 +18,7 @@
 	Delete string
 }
 
-// Txn is a compare-and-swap transaction: all of Then is applied if every condition holds, otherwise nothing.
+// Txn is a compare-and-swap transaction: all of Then is applied if every condition is met, otherwise nothing.
 type Txn struct {
 	If   []Condition
 	Then []Op
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -9,7 +9,7 @@
 
 // The bodies of the state service's protocol, with the names that its fields have there. Each is converted here, once,
 // from or to the type that the rest of the program uses. The fields of an element are those of its type in types.go,
-// in the same order, so that one is converted to the other without a copy of each field.
+// in the same order, which makes one convertible to the other.
 type (
 	grantRequest struct {
 		TTLMillis int64 `json:"ttl_ms"`
--- a/internal/store/wire_test.go
+++ b/internal/store/wire_test.go
@@ -7,7 +7,7 @@
 
 // A transaction has the names of the protocol on the wire, its conditions are a list even if there is none, and
 // nothing of the transaction encoded before is left in it.
-func TestEncodedTransactions(t *testing.T) {
+func TestTransactionsFollowTheProtocol(t *testing.T) {
 	encoder := newTxnEncoder()
 	for _, tc := range []struct {
 		txn  Txn
