--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -65,7 +65,7 @@
 		operator = unnamedOperator
 	}
 	record := directiveRecord{Mode: mode, Level: next, By: operator, AtMS: wallMS}
-	// An upgrade in flight and an abort both depend on both versions: whichever is committed first makes the other fail.
+	// An upgrade in flight and an abort both depend on both versions: the one committed first makes the other fail.
 	return store.Txn{
 		If:   []store.Condition{{Key: directiveKey, Version: r.stored.directiveVersion}, r.LevelCondition()},
 		Then: []store.Op{{Put: directiveKey, Value: encode(record)}},
--- a/internal/rollout/migration.go
+++ b/internal/rollout/migration.go
@@ -31,8 +31,8 @@
 // Migrated reports whether it is durable that no record of a former format is left.
 func (r *Rollout) Migrated() bool { return r.hasUpgraded() && !r.migrating() }
 
-// recordMigration returns the write of the migration's progress. It is due when a leader takes the migration up, and
-// when nothing is left.
+// recordMigration returns the write of the migration's progress, false if none is due. One is due when a leader takes
+// the migration up, and when nothing is left.
 func (r *Rollout) recordMigration(term uint64, progress MigrationProgress) (store.Txn, bool) {
 	next := r.stored.migration
 	if next.level != r.stored.level {
--- a/internal/rollout/model_explore_test.go
+++ b/internal/rollout/model_explore_test.go
@@ -304,8 +304,8 @@
 	return len(visited), ""
 }
 
-// TestEveryUpgradeKeepsTheProperties explores every run within the bounds, from a cluster in which one controller has the former release
-// and from one in which none has: no property is violated. HAREWALK_LONG asks for longer runs.
+// TestEveryUpgradeKeepsTheProperties explores every run within the bounds, from a cluster in which one controller has
+// the former release and from one in which none has: no property is violated. HAREWALK_LONG asks for longer runs.
 func TestEveryUpgradeKeepsTheProperties(t *testing.T) {
 	bounds := modelBounds{starts: 1, sends: 2, directives: 1, crashes: 1, freezes: 1}
 	if os.Getenv("HAREWALK_LONG") != "" {
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -224,8 +224,7 @@
 	}
 	for n, process := range m.processes {
 		if process.lease > 0 && process.supported < keys.level {
-			m.violation = fmt.Sprintf("the level is upgraded while %s takes part with a release that doesn't support it",
-				modelNodes[n])
+			m.violation = "the level is upgraded while a release that doesn't support it runs on " + modelNodes[n]
 		}
 	}
 }
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -63,8 +63,8 @@
 	return max(next, o.Level)
 }
 
-// MayUpgrade reports whether the level may be upgraded now. soaked: all controllers have been healthy for long enough; auto:
-// the settings allow it without a directive.
+// MayUpgrade reports whether the level may be upgraded now. soaked: all controllers have been healthy for long enough;
+// auto: the settings allow it without a directive.
 func (o Observation) MayUpgrade(supported Level, soaked, auto bool) bool {
 	if o.NextLevel(supported) <= o.Level || o.Mode.preventsUpgrade() {
 		return false
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -61,7 +61,7 @@
 	return names
 }
 
-// HandleHealth takes a controller's report that it is healthy, or isn't. No safety property depends on it.
+// HandleHealth records a controller's report that it is healthy, or isn't. No safety property depends on it.
 func (r *Rollout) HandleHealth(now time.Duration, node string, healthy bool) {
 	peer := r.peer(node)
 	if peer == nil {
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -69,7 +69,7 @@
 	if !observed.MayUpgrade(r.cfg.MaxLevel, soaked, r.cfg.Auto) {
 		return store.Txn{}, false
 	}
-	return r.upgradeTxn(now, observed, term), true
+	return r.beginUpgrade(now, observed, term), true
 }
 
 // evaluate sets the state by what has been read.
@@ -94,24 +94,25 @@
 	}
 }
 
-// upgradeTxn returns the transaction that upgrades the level.
-func (r *Rollout) upgradeTxn(now time.Duration, observed Observation, term uint64) store.Txn {
+// beginUpgrade enters state Upgrading and returns the transaction that upgrades the level.
+func (r *Rollout) beginUpgrade(now time.Duration, observed Observation, term uint64) store.Txn {
 	next := observed.NextLevel(r.cfg.MaxLevel)
 	r.setState(now, Upgrading, fmt.Sprintf("all have announced level %d", next))
 	r.txnInFlight = true
 	level := levelRecord{Level: next, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS + now.Milliseconds()}
-	migration := migration{level: next, term: term, leaders: 1}
+	started := migration{level: next, term: term, leaders: 1}
 	return store.Txn{
 		If: observed.Conditions(r.nodeNames()),
 		Then: []store.Op{
 			{Put: levelKey, Value: encode(level)},
-			{Put: migrationKey, Value: encode(newMigrationRecord(migration))},
+			{Put: migrationKey, Value: encode(newMigrationRecord(started))},
 			{Put: termKey, Value: EncodeTerm(next, term)},
 		},
 	}
 }
 
-// HandleOutcome takes the outcome of the transaction that Tick returned.
+// HandleOutcome handles the outcome of the transaction that Tick returned: it applies one that was committed, and
+// delays the next try otherwise.
 func (r *Rollout) HandleOutcome(now time.Duration, txn store.Txn, result store.Result) {
 	r.txnInFlight = false
 	if result.Outcome == store.Committed {
@@ -120,8 +121,8 @@
 		}
 		return
 	}
-	// An indeterminate transaction may still be carried out. Sent again with the same conditions, only one of them
-	// is.
+	// An indeterminate transaction may still be carried out. Because the next one has the same conditions, only one of
+	// them can be.
 	slog.Info("rollout write not committed", "outcome", result.Outcome.String(), "failed_keys", result.FailedKeys)
 	r.retryAt = now + retryDelay
 }
--- a/internal/rollout/progress_test.go
+++ b/internal/rollout/progress_test.go
@@ -11,8 +11,8 @@
 	}
 }
 
-// TestLevelIsUpgradedAfterAnUnbrokenSoak: without a directive the level is upgraded once all controllers have been healthy for
-// the soak time, which starts again after a break.
+// TestLevelIsUpgradedAfterAnUnbrokenSoak: without a directive the level is upgraded once all controllers have been
+// healthy for the soak time, which starts again after a break.
 func TestLevelIsUpgradedAfterAnUnbrokenSoak(t *testing.T) {
 	r := newTestRollout(true)
 	for i, node := range []string{"a", "b", "c"} {
--- a/internal/rollout/records_test.go
+++ b/internal/rollout/records_test.go
@@ -10,7 +10,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// TestTermIsReadInBothFormats: the term is read in both formats, and a release that reads only the first refuses the second.
+// TestTermIsReadInBothFormats: this release reads both formats, and one that reads only the first refuses the second.
 func TestTermIsReadInBothFormats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		term := rapid.Uint64().Draw(t, "term")
--- a/internal/rollout/restart_test.go
+++ b/internal/rollout/restart_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestFollowersAreRestartedBeforeTheLeader: one controller at a time is restarted, followers first and the leader last, towards the former
-// release after an abort; none while another is down, the rollout is paused or there is no leader.
+// TestFollowersAreRestartedBeforeTheLeader: one controller at a time is restarted, followers first and the leader last,
+// towards the former release after an abort; none while another is down, the rollout is paused or there is no leader.
 func TestFollowersAreRestartedBeforeTheLeader(t *testing.T) {
 	const former, present, down = formerRelease, presentRelease, ""
 	supported := map[string]Level{former: Base, present: Paged}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -25,7 +25,7 @@
 	Mixed
 	// Soaking: all have announced it, but have not all been healthy for long enough.
 	Soaking
-	// Ready: the level may be upgraded, by the leader's transaction or by a directive that the operators have yet to give.
+	// Ready: the level may be upgraded, once the leader's transaction or a directive of the operators follows.
 	Ready
 	// Paused: the operators have paused or aborted the rollout.
 	Paused
@@ -44,7 +44,7 @@
 	}[s]
 }
 
-// Config is what a rollout is created with.
+// Config configures a Rollout.
 type Config struct {
 	Node     string       // this controller
 	Nodes    []NodeConfig // all controllers that the settings name, this one included
@@ -179,10 +179,10 @@
 		return conditions, nil
 	}
 	level := levelRecord{Level: r.cfg.MaxLevel, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS}
-	migration := migration{level: r.cfg.MaxLevel, done: true}
+	nothingToMigrate := migration{level: r.cfg.MaxLevel, done: true}
 	return conditions, []store.Op{
 		{Put: levelKey, Value: encode(level)},
-		{Put: migrationKey, Value: encode(newMigrationRecord(migration))},
+		{Put: migrationKey, Value: encode(newMigrationRecord(nothingToMigrate))},
 	}
 }
 
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -7,7 +7,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// HandleItem takes a changed key of any kind. Keys that the rollout doesn't depend on, and older versions, are
+// HandleItem applies a changed key of any kind. Keys that the rollout doesn't depend on, and older versions, are
 // ignored.
 func (r *Rollout) HandleItem(item store.Item) {
 	if item.Version <= r.keyVersions[item.Key] {
@@ -18,7 +18,7 @@
 	}
 }
 
-// apply takes over a newer version of a key and reports whether the version is to be remembered.
+// apply applies a newer version of a key and reports whether the version is to be remembered.
 func (r *Rollout) apply(item store.Item) bool {
 	switch item.Key {
 	case levelKey:
@@ -116,7 +116,7 @@
 	return true
 }
 
-// HandleDelete takes the deletion of a key, at a version.
+// HandleDelete applies the deletion of a key, at a version.
 func (r *Rollout) HandleDelete(key string, version uint64) {
 	if version <= r.keyVersions[key] {
 		return
@@ -133,7 +133,8 @@
 	r.MarkReadable(key)
 }
 
-// HandleReset takes a new listing of all followed keys: members that it lacks are gone. HandleItem takes the items.
+// HandleReset applies a new listing of all followed keys: members that it lacks are down, and records that it lacks are
+// no longer unreadable. The items themselves come through HandleItem.
 func (r *Rollout) HandleReset(items []store.Item) {
 	present := map[string]bool{}
 	for _, item := range items {
