--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -39,22 +39,39 @@
 	Done  int // tasks that were done when the job ended; for display
 }
 
+// TxnLimitError is the error for a state service whose transactions are too small to move a job.
+type TxnLimitError struct {
+	Ops int // changes in one transaction, at most
+}
+
+// Error returns the message, which names the platform's setting.
+func (e *TxnLimitError) Error() string {
+	return fmt.Sprintf(
+		`archive: "params.state.txn_ops" is %d, and moving a job takes %d changes in one transaction`, e.Ops, opsPerMove)
+}
+
+// ValueLimitError is the error for a state service whose values are too small for an answer.
+type ValueLimitError struct {
+	Bytes int // of one value, at most
+}
+
+// Error returns the message, which names the platform's setting.
+func (e *ValueLimitError) Error() string {
+	return fmt.Sprintf(
+		`archive: "params.state.value_kb" allows values of %d bytes, and an answer takes up to %d`,
+		e.Bytes,
+		maxRecordBytes,
+	)
+}
+
 // Fits returns an error if jobs can't be archived within the state service's limits: changes in a transaction, and
-// bytes of a value. The error names the limit that is too small.
+// bytes of a value. The error is a *TxnLimitError or a *ValueLimitError.
 func Fits(txnOps, valueBytes int) error {
 	if txnOps < opsPerMove {
-		return fmt.Errorf(
-			`archive: "params.state.txn_ops" is %d, and moving a job takes %d changes in one transaction`,
-			txnOps,
-			opsPerMove,
-		)
+		return &TxnLimitError{Ops: txnOps}
 	}
 	if valueBytes < maxRecordBytes {
-		return fmt.Errorf(
-			`archive: "params.state.value_kb" allows values of %d bytes, and an answer takes up to %d`,
-			valueBytes,
-			maxRecordBytes,
-		)
+		return &ValueLimitError{Bytes: valueBytes}
 	}
 	return nil
 }
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -1,11 +1,12 @@
 package archive
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-// Limits of the state service without room for a move are refused by name.
+// Limits of the state service without room for a move are refused by name, each with its own type of error.
 func TestFitsNamesTheLimitThatIsTooSmall(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -24,6 +25,12 @@
 			case c.refused != "" && (err == nil || !strings.Contains(err.Error(), c.refused)):
 				t.Errorf("%v, and not an error that names %s", err, c.refused)
 			}
+			var txnLimit *TxnLimitError
+			var valueLimit *ValueLimitError
+			if errors.As(err, &txnLimit) != (c.refused == "txn_ops") ||
+				errors.As(err, &valueLimit) != (c.refused == "value_kb") {
+				t.Errorf("refused for %q with a %T", c.refused, err)
+			}
 		})
 	}
 }
--- a/internal/licences/answer.go
+++ b/internal/licences/answer.go
@@ -33,6 +33,17 @@
 	errOutOfBounds = errors.New("licence server: the answer is out of bounds")
 )
 
+// holderUnitsError is the error for a holder whose units are out of bounds.
+type holderUnitsError struct{ holder AnswerHolder }
+
+// Error returns the message.
+func (e *holderUnitsError) Error() string {
+	return fmt.Sprintf("licence server: holder %q has %d units", e.holder.Task, e.holder.Units)
+}
+
+// Unwrap returns errOutOfBounds.
+func (e *holderUnitsError) Unwrap() error { return errOutOfBounds }
+
 // ParseAnswer decodes and checks a server's answer. An answer without the list of holders is an error.
 func ParseAnswer(raw []byte) (Answer, error) {
 	var answer Answer
@@ -47,7 +58,7 @@
 	}
 	for _, holder := range answer.Holders {
 		if holder.Units < 0 || holder.Units > maxHolderUnits {
-			return Answer{}, fmt.Errorf("licence server: holder %q has %d units", holder.Task, holder.Units)
+			return Answer{}, &holderUnitsError{holder: holder}
 		}
 	}
 	return answer, nil
--- a/internal/licences/answer_test.go
+++ b/internal/licences/answer_test.go
@@ -1,6 +1,7 @@
 package licences
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -11,18 +12,19 @@
 		return fmt.Sprintf(`{"holders":[%s]}`, strings.TrimSuffix(strings.Repeat("{},", n), ","))
 	}
 	for _, c := range []struct {
-		name, raw string
-		err       string // "": none
+		name, raw     string
+		err           string // "": none
+		isOutOfBounds bool
 	}{
-		{"no holders", `{"count":3,"holders":[]}`, ""},
-		{"largest holder", `{"holders":[{"holder":"a","attempt":1,"units":1000000}]}`, ""},
-		{"most holders", holders(maxHolders), ""},
-		{"not JSON", `{`, "licence server: "},
-		{"list missing", `{"count":3}`, `no list "holders"`},
-		{"count negative", `{"count":-1,"holders":[]}`, "out of bounds"},
-		{"too many holders", holders(maxHolders + 1), "out of bounds"},
-		{"units negative", `{"holders":[{"holder":"a","units":-1}]}`, `holder "a" has -1 units`},
-		{"too many units", `{"holders":[{"holder":"a","units":1000001}]}`, `holder "a" has 1000001 units`},
+		{"no holders", `{"count":3,"holders":[]}`, "", false},
+		{"largest holder", `{"holders":[{"holder":"a","attempt":1,"units":1000000}]}`, "", false},
+		{"most holders", holders(maxHolders), "", false},
+		{"not JSON", `{`, "licence server: ", false},
+		{"list missing", `{"count":3}`, `no list "holders"`, false},
+		{"count negative", `{"count":-1,"holders":[]}`, "out of bounds", true},
+		{"too many holders", holders(maxHolders + 1), "out of bounds", true},
+		{"units negative", `{"holders":[{"holder":"a","units":-1}]}`, `holder "a" has -1 units`, true},
+		{"too many units", `{"holders":[{"holder":"a","units":1000001}]}`, `holder "a" has 1000001 units`, true},
 	} {
 		_, err := ParseAnswer([]byte(c.raw))
 		switch {
@@ -31,5 +33,8 @@
 		case c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)):
 			t.Errorf("%s: error %v, want %q", c.name, err, c.err)
 		}
+		if errors.Is(err, errOutOfBounds) != c.isOutOfBounds {
+			t.Errorf("%s: error %v, out of bounds: %v", c.name, err, c.isOutOfBounds)
+		}
 	}
 }
--- a/internal/licences/catalog.go
+++ b/internal/licences/catalog.go
@@ -6,6 +6,8 @@
 	"fmt"
 	"sort"
 	"strings"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // Prefix is the key prefix in the state service of counts set at run time. All controllers follow it.
@@ -14,8 +16,8 @@
 // Key returns the key of a pool's count that was set at run time.
 func Key(pool string) string { return Prefix + pool }
 
-// setFormat is the newest format of CountOverride that this release reads.
-const setFormat = 1
+// newestOverrideFormat is the newest format of CountOverride that this release reads.
+const newestOverrideFormat = 1
 
 // CountOverride is the stored record of a count that an operator set at run time.
 type CountOverride struct {
@@ -29,19 +31,19 @@
 // errNegativeCount is the error of a stored count below 0.
 var errNegativeCount = errors.New("negative count")
 
-// decodeSet reads a stored count. It fails for a record of a newer format.
-func decodeSet(raw json.RawMessage) (CountOverride, error) {
-	var set CountOverride
-	if err := json.Unmarshal(raw, &set); err != nil {
+// decodeOverride reads a stored count. It returns a *rollout.NewerFormatError for one in a newer format.
+func decodeOverride(raw json.RawMessage) (CountOverride, error) {
+	var override CountOverride
+	if err := json.Unmarshal(raw, &override); err != nil {
 		return CountOverride{}, err
 	}
-	if set.Format > setFormat {
-		return CountOverride{}, fmt.Errorf("format %d", set.Format)
+	if override.Format > newestOverrideFormat {
+		return CountOverride{}, &rollout.NewerFormatError{Format: override.Format}
 	}
-	if set.Count < 0 {
+	if override.Count < 0 {
 		return CountOverride{}, errNegativeCount
 	}
-	return set, nil
+	return override, nil
 }
 
 // Catalog holds the declared pools and the counts that operators have set at run time. Every controller has one.
@@ -79,16 +81,16 @@
 
 // Count returns a pool's present count, in units.
 func (c *Catalog) Count(index int32) int {
-	if set, ok := c.overrides[index]; ok {
-		return set.Count
+	if override, ok := c.overrides[index]; ok {
+		return override.Count
 	}
 	return c.pools[index].Count
 }
 
 // Lowering returns the policy for holders when the present count is below the units in use.
 func (c *Catalog) Lowering(index int32) LoweringPolicy {
-	if set, ok := c.overrides[index]; ok && set.Lower != "" {
-		return set.Lower
+	if override, ok := c.overrides[index]; ok && override.Lower != "" {
+		return override.Lower
 	}
 	return c.pools[index].OnCountLowered
 }
@@ -107,12 +109,12 @@
 	if !ok || version <= c.newest[index] {
 		return nil
 	}
-	set, err := decodeSet(raw)
+	override, err := decodeOverride(raw)
 	if err != nil {
-		set = CountOverride{Lower: WaitForRelease, By: "a record that can't be read"}
+		override = CountOverride{Lower: WaitForRelease, By: "a record that can't be read"}
 		err = fmt.Errorf("stored count of licence pool %q: %w", c.pools[index].Name, err)
 	}
-	c.overrides[index] = set
+	c.overrides[index] = override
 	c.versions[index] = version
 	c.newest[index] = version
 	return err
@@ -142,8 +144,14 @@
 	delete(c.versions, index)
 }
 
-// UnitsByIndex returns the units of a job's tasks, given by pool name, in the order of the dense indices. It fails
-// for a pool that isn't declared here.
+// UnknownPoolError is the error for a pool that isn't declared here.
+type UnknownPoolError struct{ Pool string }
+
+// Error returns the message, which users get.
+func (e *UnknownPoolError) Error() string { return fmt.Sprintf("unknown licence pool %q", e.Pool) }
+
+// UnitsByIndex returns the units of a job's tasks, given by pool name, in the order of the dense indices. It
+// returns an *UnknownPoolError for a pool that isn't declared here.
 func (c *Catalog) UnitsByIndex(unitsByPool map[string]int) ([]Unit, error) {
 	if len(unitsByPool) == 0 {
 		return nil, nil
@@ -152,7 +160,7 @@
 	for name, units := range unitsByPool {
 		index, ok := c.byName[name]
 		if !ok {
-			return nil, fmt.Errorf("unknown licence pool %q", name)
+			return nil, &UnknownPoolError{Pool: name}
 		}
 		needs = append(needs, Unit{index, units})
 	}
--- a/internal/licences/catalog_test.go
+++ b/internal/licences/catalog_test.go
@@ -1,11 +1,13 @@
 package licences
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/calendar"
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // newReserveCatalog returns the catalog of one pool of ten units that keeps one for outside holders, four on Friday
@@ -70,12 +72,13 @@
 		version uint64
 		count   int
 		fails   bool
+		isNewer bool
 	}{
 		{record: `{"count":30}`, version: 5, count: 30},
 		{record: "", version: 4, count: 30},
 		{record: "", version: 6, count: 10},
 		{record: `{"count":-1}`, version: 7, count: 0, fails: true},
-		{record: `{"v":2,"count":20}`, version: 8, count: 0, fails: true},
+		{record: `{"v":2,"count":20}`, version: 8, count: 0, fails: true, isNewer: true},
 		{record: `{"count":12}`, version: 9, count: 12},
 	} {
 		var err error
@@ -88,5 +91,9 @@
 			t.Fatalf("after %q at version %d: count %d, error %v, want count %d",
 				step.record, step.version, catalog.Count(0), err, step.count)
 		}
+		var newer *rollout.NewerFormatError
+		if errors.As(err, &newer) != step.isNewer {
+			t.Errorf("after %q: error %v, in a newer format: %v", step.record, err, step.isNewer)
+		}
 	}
 }
--- a/internal/membership/followed.go
+++ b/internal/membership/followed.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math"
 	"time"
 
@@ -92,11 +91,10 @@
 	return nil
 }
 
-// decode reads a stored value unless its format is newer than this release. The error, which operators read among the
-// records that can't be read, has the name.
+// decode reads a stored value. Its error for a newer format is a *rollout.NewerFormatError with the name.
 func decode(name string, raw json.RawMessage, value any) error {
 	if format := rollout.FormatOf(raw); format > newestFormat {
-		return fmt.Errorf("%s in format %d", name, format)
+		return &rollout.NewerFormatError{Record: name, Format: format}
 	}
 	return json.Unmarshal(raw, value)
 }
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -1,10 +1,13 @@
 package pages
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
 	"testing"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // Many small values that change one at a time share few pages, and each batch is one or two writes.
@@ -202,8 +205,9 @@
 	}
 }
 
-// A page that can't be decoded still yields its number, and the cause in the words that operators read.
-func TestDecode(t *testing.T) {
+// A page that can't be decoded still yields its number, and the cause as operators read it, with a type of its own
+// where the caller can tell it.
+func TestUnreadablePagesYieldNumberAndCause(t *testing.T) {
 	cases := []struct {
 		name, key, value string
 		number, values   int
@@ -226,6 +230,12 @@
 			if page.Number != tc.number || len(page.Values) != tc.values || cause != tc.cause {
 				t.Errorf("page %d with %d values, error %q", page.Number, len(page.Values), cause)
 			}
+			var newer *rollout.NewerFormatError
+			var badKey *KeyError
+			isNewer, isBadKey := errors.As(err, &newer), errors.As(err, &badKey)
+			if isNewer != strings.Contains(tc.cause, "in format") || isBadKey != strings.Contains(tc.cause, "no number") {
+				t.Errorf("error of type %T for %q", err, tc.cause)
+			}
 		})
 	}
 }
--- a/internal/sessions/agentapi.go
+++ b/internal/sessions/agentapi.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 )
 
@@ -58,7 +57,16 @@
 	maxHeartbeatString = 1000 // of references and causes, in bytes
 )
 
-// ParseHeartbeat reads an agent's heartbeat. It returns an error for values that no agent would send.
+// InvalidFieldError is the error for a heartbeat with a value that no agent would send.
+type InvalidFieldError struct {
+	Field   string // as it is named on the wire; several are joined by a word
+	Problem string
+}
+
+// Error returns the message, which the agent gets.
+func (e *InvalidFieldError) Error() string { return e.Field + " " + e.Problem }
+
+// ParseHeartbeat reads an agent's heartbeat. It returns an *InvalidFieldError for values that no agent would send.
 func ParseHeartbeat(raw []byte) (Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil {
@@ -79,18 +87,18 @@
 		{"unsaved_mb", h.UnsavedMB},
 	} {
 		if field.value < 0 || field.value > maxHeartbeatValue {
-			return fmt.Errorf("%s is out of range", field.name)
+			return &InvalidFieldError{Field: field.name, Problem: "is out of range"}
 		}
 	}
 	if h.Attempt == 0 || h.Seq == 0 {
-		return errors.New("attempt and seq must be there")
+		return &InvalidFieldError{Field: "attempt and seq", Problem: "must be there"}
 	}
 	isTooLong := len(h.ResumedFrom) > maxHeartbeatString
 	if h.Checkpoint != nil && len(h.Checkpoint.Ref)+len(h.Checkpoint.Cause) > maxHeartbeatString {
 		isTooLong = true
 	}
 	if isTooLong {
-		return errors.New("save or resumed is too long")
+		return &InvalidFieldError{Field: "save or resumed", Problem: "is too long"}
 	}
 	return nil
 }
--- a/internal/sessions/policy_test.go
+++ b/internal/sessions/policy_test.go
@@ -1,6 +1,7 @@
 package sessions
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -26,6 +27,9 @@
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), position) {
 			t.Errorf("%.40s: error %v does not contain %q", text, err, want)
 		}
+		if errors.Is(err, ErrNotAllowed) != (want == "not allowed") {
+			t.Errorf("%.40s: error %v, wanted for %q", text, err, want)
+		}
 	}
 }
 
--- a/internal/sessions/record.go
+++ b/internal/sessions/record.go
@@ -5,8 +5,8 @@
 	"crypto/subtle"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
 
+	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -40,14 +40,14 @@
 	AtMS int64   `json:"at_ms"`
 }
 
-// decodeRecord reads a stored record, and fails for one in a newer format.
+// decodeRecord reads a stored record. It returns a *rollout.NewerFormatError for one in a newer format.
 func decodeRecord(item store.Item) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return record, err
 	}
 	if record.Format > maxRecordFormat {
-		return record, fmt.Errorf("session in format %d", record.Format)
+		return record, &rollout.NewerFormatError{Record: "session", Format: record.Format}
 	}
 	return record, nil
 }
--- a/internal/sessions/rule.go
+++ b/internal/sessions/rule.go
@@ -1,6 +1,7 @@
 package sessions
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -40,6 +41,26 @@
 	program *vm.Program
 }
 
+// RuleError is the error for an expression that is not a rule.
+type RuleError struct {
+	Position string // of the expression in the settings
+	Text     string // of the expression
+	Err      error
+}
+
+// Error returns the message, which begins with the position. The library's errors draw the position over several
+// lines: the message has only the first, which is the cause.
+func (e *RuleError) Error() string {
+	cause, _, _ := strings.Cut(e.Err.Error(), "\n")
+	return fmt.Sprintf("%s: idle = %q: %s", e.Position, e.Text, cause)
+}
+
+// Unwrap returns the cause.
+func (e *RuleError) Unwrap() error { return e.Err }
+
+// ErrNotAllowed is wrapped by the errors for constructs of the expression language that rules may not use.
+var ErrNotAllowed = errors.New("not allowed here")
+
 // restrictionVisitor finds operators and nodes that could run for long or hide their cost.
 type restrictionVisitor struct{ err error }
 
@@ -49,20 +70,18 @@
 	case *ast.BinaryNode:
 		switch n.Operator {
 		case "..", "**", "^", "matches":
-			v.err = fmt.Errorf("operator %q is not allowed here", n.Operator)
+			v.err = fmt.Errorf("operator %q is %w", n.Operator, ErrNotAllowed)
 		}
 	case *ast.BuiltinNode, *ast.CallNode, *ast.PredicateNode, *ast.VariableDeclaratorNode, *ast.SequenceNode:
-		v.err = fmt.Errorf("functions, loops and variables are not allowed here: %s", (*node).String())
+		v.err = fmt.Errorf("functions, loops and variables are %w: %s", ErrNotAllowed, (*node).String())
 	}
 }
 
-// CompileRule checks and compiles an expression. Its errors begin with the position of the expression in the settings.
+// CompileRule checks and compiles an expression at a position of the settings. Its error is a *RuleError.
 func CompileRule(text, position string) (*Rule, error) {
 	rule, err := compileRule(text)
 	if err != nil {
-		// The library's errors draw the position over several lines; the first line has the cause.
-		cause, _, _ := strings.Cut(err.Error(), "\n")
-		return nil, fmt.Errorf("%s: idle = %q: %s", position, text, cause)
+		return nil, &RuleError{Position: position, Text: text, Err: err}
 	}
 	return rule, nil
 }
