--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -120,7 +120,7 @@
 		}
 		f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, rank, job)
 		usable := machine.Capacity.Sub(f.reservedForGPUWork(machine, job, machine.Capacity.GPUs))
-		slots.load = planner.Lanes(slots.load, usable, size, f.scratch.work)
+		slots.load = planner.SlotLoads(slots.load, usable, size, f.scratch.work)
 		first := len(slots.machines)
 		if len(slots.load) == first {
 			continue
--- a/internal/planner/balance.go
+++ b/internal/planner/balance.go
@@ -17,10 +17,10 @@
 }
 
 // preference is an edge of the flow network as a server sees it: a group that prefers the server, and the server's
-// position in the group's Prefer.
+// position in the group's PreferredServers.
 type preference struct{ group, position int32 }
 
-// arrival is how a search reached a group: from a server, whose position in the group's Prefer goes with it.
+// arrival is how a search reached a group: from a server, whose position in the group's PreferredServers goes with it.
 type arrival struct{ server, position int32 }
 
 // balancer is the state of one run of Balance. The tasks of a group are interchangeable, so it counts them by
@@ -30,7 +30,7 @@
 	// loads and taskCounts are each server's load and number of tasks so far.
 	loads      []float64
 	taskCounts []int32
-	// placed counts the tasks of a group by the server's position in its Prefer; waiting counts those without a server.
+	// placed counts the tasks of a group by the server's position in its PreferredServers; waiting counts those without a server.
 	placed  [][]int32
 	waiting []int32
 	// preferences are the edges of each server.
@@ -189,7 +189,7 @@
 	return a
 }
 
-// serversOfGroup lists the servers of a group's tasks in the order of its Prefer, then the tasks without one.
+// serversOfGroup lists the servers of a group's tasks in the order of its PreferredServers, then the tasks without one.
 func (b *balancer) serversOfGroup(g int) []int32 {
 	group := &b.problem.Groups[g]
 	servers := make([]int32, 0, len(group.Tasks))
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func BenchmarkLanes(b *testing.B) {
+func BenchmarkSlotLoads(b *testing.B) {
 	machine := Size{CPUs: 64, GPUs: 8, Mem: 256}
 	task := Size{CPUs: 1, Mem: 2}
 	var work []Work
@@ -57,7 +57,7 @@
 	}
 	var loads []float64
 	for b.Loop() {
-		loads = Lanes(loads[:0], machine, task, work)
+		loads = SlotLoads(loads[:0], machine, task, work)
 	}
 }
 
--- a/internal/planner/load_heap.go
+++ b/internal/planner/load_heap.go
@@ -52,7 +52,7 @@
 // Len returns the number of servers in the heap.
 func (h *loadHeap) Len() int { return len(h.servers) }
 
-// Less tells whether the server at position i comes before the one at position j.
+// Less reports whether the server at position i comes before the one at position j.
 func (h *loadHeap) Less(i, j int) bool {
 	a, b := h.servers[i], h.servers[j]
 	if h.loads[a] != h.loads[b] {
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -5,7 +5,7 @@
 // give equal plans. The package never starts a task and never changes a job or a machine; internal/fleet turns its
 // cluster state into a Problem or a list of hosts and records the plan that comes back.
 //
-// A server of the paper is a lane here: the place for one task on a machine (see Lanes). Tasks that prefer the same
+// A server of the paper is a slot here: the place for one task on a machine (see SlotLoads). Tasks that prefer the same
 // servers form a group. Grouping doesn't change the result, since the tasks of a group are interchangeable, but it
 // keeps the flow network small when a job has many tasks.
 package planner
@@ -32,7 +32,7 @@
 	RemoteCost func(remoteTasks int) float64
 	// MaxLoops bounds the loops of Reduce; 0 means one for each task.
 	MaxLoops int
-	// AcceptsRemote tells which servers may run remote tasks; nil means all.
+	// AcceptsRemote reports which servers may run remote tasks; nil means all.
 	AcceptsRemote func(server int) bool
 }
 
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -18,7 +18,7 @@
 	Mem  float64 // gigabytes
 }
 
-// Fits tells whether s fits into free.
+// Fits reports whether s fits into free.
 func (s Size) Fits(free Size) bool {
 	return s.CPUs <= free.CPUs+fitSlack && s.GPUs <= free.GPUs+fitSlack && s.Mem <= free.Mem+fitSlack
 }
