--- a/internal/licences/allocation.go
+++ b/internal/licences/allocation.go
@@ -93,19 +93,19 @@
 // rounds: first for jobs within their team's guarantee, then for all. A gang that can't have all its units yet
 // withholds the free ones of all its pools from the jobs behind it. A gang never gets a part of its units, so two
 // gangs that need the same two pools can't deadlock.
-func (l *Ledger) Allocate(asks []Request) []Grant {
+func (l *Ledger) Allocate(requests []Request) []Grant {
 	remaining := l.newAllocation()
-	grants := make([]Grant, len(asks))
+	grants := make([]Grant, len(requests))
 	for i := range grants {
 		grants[i].Pool = noPool
 	}
 	for _, guaranteed := range []bool{true, false} {
-		for i := range asks {
-			remaining.grant(&asks[i], &grants[i], guaranteed)
+		for i := range requests {
+			remaining.grant(&requests[i], &grants[i], guaranteed)
 		}
 	}
 	for i := range grants {
-		if grants[i].Tasks >= asks[i].Tasks {
+		if grants[i].Tasks >= requests[i].Tasks {
 			grants[i].Denial = Granted
 			grants[i].Pool = noPool
 		} else if pool := l.pool(grants[i].Pool); pool != nil {
@@ -129,25 +129,25 @@
 }
 
 // grant grants a job what it can have in one round, in addition to what an earlier round has granted.
-func (a *allocation) grant(ask *Request, grant *Grant, guaranteed bool) {
-	waiting := ask.Tasks - grant.Tasks
-	if waiting <= 0 || !a.areDeclared(ask, grant) {
+func (a *allocation) grant(request *Request, grant *Grant, guaranteed bool) {
+	waiting := request.Tasks - grant.Tasks
+	if waiting <= 0 || !a.areDeclared(request, grant) {
 		return
 	}
-	tasks := a.grantable(ask, waiting, guaranteed, grant)
-	if ask.IsGang && tasks < waiting {
+	tasks := a.grantable(request, waiting, guaranteed, grant)
+	if request.IsGang && tasks < waiting {
 		if !guaranteed {
-			a.withhold(ask)
+			a.withhold(request)
 		}
 		return
 	}
-	a.allocate(ask, tasks)
+	a.allocate(request, tasks)
 	grant.Tasks += tasks
 }
 
 // areDeclared reports whether all pools of a job are declared here. If not, it records the denial.
-func (a *allocation) areDeclared(ask *Request, grant *Grant) bool {
-	for _, unit := range ask.Needs {
+func (a *allocation) areDeclared(request *Request, grant *Grant) bool {
+	for _, unit := range request.Needs {
 		if a.ledger.pool(unit.Pool) == nil {
 			grant.Denial = UnknownPool
 			grant.Pool = unit.Pool
@@ -159,12 +159,12 @@
 
 // grantable returns how many of a number of tasks can have their units now. If they are fewer, it records the
 // denial.
-func (a *allocation) grantable(ask *Request, tasks int, guaranteed bool, grant *Grant) int {
+func (a *allocation) grantable(request *Request, tasks int, guaranteed bool, grant *Grant) int {
 	hasGuarantee := false
-	for _, unit := range ask.Needs {
+	for _, unit := range request.Needs {
 		pool := a.ledger.pools[unit.Pool]
-		quota := pool.quota(ask.Team)
-		used := a.teamUnits[unit.Pool][ask.Team]
+		quota := pool.quota(request.Team)
+		used := a.teamUnits[unit.Pool][request.Team]
 		if guaranteed && quota.Guarantee > 0 {
 			hasGuarantee = true
 			tasks = grant.limit(tasks, unit, quota.Guarantee-used, LowerPriority)
@@ -191,37 +191,37 @@
 	return NoFreeUnits
 }
 
-func (a *allocation) allocate(ask *Request, tasks int) {
+func (a *allocation) allocate(request *Request, tasks int) {
 	if tasks == 0 {
 		return
 	}
-	for _, unit := range ask.Needs {
+	for _, unit := range request.Needs {
 		a.freeUnits[unit.Pool] -= tasks * unit.N
-		a.teamUnits[unit.Pool][ask.Team] += tasks * unit.N
+		a.teamUnits[unit.Pool][request.Team] += tasks * unit.N
 	}
 }
 
 // withhold sets the units aside for which a gang waits. A gang that couldn't have them even without other holders
 // withholds nothing.
-func (a *allocation) withhold(ask *Request) {
-	for _, unit := range ask.Needs {
-		if !a.canEverFit(ask, unit) {
+func (a *allocation) withhold(request *Request) {
+	for _, unit := range request.Needs {
+		if !a.canEverFit(request, unit) {
 			return
 		}
 	}
-	for _, unit := range ask.Needs {
-		a.freeUnits[unit.Pool] = max(0, a.freeUnits[unit.Pool]-unit.N*ask.Tasks)
+	for _, unit := range request.Needs {
+		a.freeUnits[unit.Pool] = max(0, a.freeUnits[unit.Pool]-unit.N*request.Tasks)
 	}
 }
 
 // canEverFit reports whether all tasks of a gang could have their units of one pool within the pool's count and,
 // beside what the team has already, within the team's limit.
-func (a *allocation) canEverFit(ask *Request, unit Unit) bool {
+func (a *allocation) canEverFit(request *Request, unit Unit) bool {
 	pool := a.ledger.pools[unit.Pool]
-	needed := unit.N * ask.Tasks
+	needed := unit.N * request.Tasks
 	if needed > pool.totalUnits()-pool.outsideReserve {
 		return false
 	}
-	limit := pool.quota(ask.Team).Limit
-	return limit <= 0 || a.teamUnits[unit.Pool][ask.Team]+needed <= limit
+	limit := pool.quota(request.Team).Limit
+	return limit <= 0 || a.teamUnits[unit.Pool][request.Team]+needed <= limit
 }
--- a/internal/licences/allocation_test.go
+++ b/internal/licences/allocation_test.go
@@ -28,38 +28,38 @@
 	return m
 }
 
-// allot returns how many tasks of each job get their units, jobs within their guarantee first.
-func (m *unitwiseAllocation) allot(asks []Request) []int {
-	granted := make([]int, len(asks))
+// allocate returns how many tasks of each job get their units, jobs within their guarantee first.
+func (m *unitwiseAllocation) allocate(requests []Request) []int {
+	granted := make([]int, len(requests))
 	for _, guaranteed := range []bool{true, false} {
-		for i, ask := range asks {
+		for i, request := range requests {
 			switch {
-			case !ask.IsGang:
-				for granted[i] < ask.Tasks && m.fits(ask, 1, guaranteed) {
-					m.take(ask, 1)
+			case !request.IsGang:
+				for granted[i] < request.Tasks && m.fits(request, 1, guaranteed) {
+					m.take(request, 1)
 					granted[i]++
 				}
-			case granted[i] > 0 || ask.Tasks == 0:
-			case m.fits(ask, ask.Tasks, guaranteed):
-				m.take(ask, ask.Tasks)
-				granted[i] = ask.Tasks
-			case !guaranteed && m.canEverFit(ask):
-				m.withhold(ask)
+			case granted[i] > 0 || request.Tasks == 0:
+			case m.fits(request, request.Tasks, guaranteed):
+				m.take(request, request.Tasks)
+				granted[i] = request.Tasks
+			case !guaranteed && m.canEverFit(request):
+				m.withhold(request)
 			}
 		}
 	}
 	return granted
 }
 
-func (m *unitwiseAllocation) fits(ask Request, tasks int, guaranteed bool) bool {
+func (m *unitwiseAllocation) fits(request Request, tasks int, guaranteed bool) bool {
 	hasGuarantee := false
-	for _, unit := range ask.Needs {
+	for _, unit := range request.Needs {
 		share := TeamQuota{}
-		if usage := m.ledger.pools[unit.Pool].teams[ask.Team]; usage != nil {
+		if usage := m.ledger.pools[unit.Pool].teams[request.Team]; usage != nil {
 			share = usage.TeamQuota
 		}
 		units := tasks * unit.N
-		teamUnits := m.teamUnits[poolTeam{unit.Pool, ask.Team}] + units
+		teamUnits := m.teamUnits[poolTeam{unit.Pool, request.Team}] + units
 		if units > m.freeUnits[unit.Pool] ||
 			(share.Limit > 0 && teamUnits > share.Limit) ||
 			(guaranteed && share.Guarantee > 0 && teamUnits > share.Guarantee) {
@@ -70,31 +70,31 @@
 	return hasGuarantee || !guaranteed
 }
 
-func (m *unitwiseAllocation) take(ask Request, tasks int) {
-	for _, unit := range ask.Needs {
+func (m *unitwiseAllocation) take(request Request, tasks int) {
+	for _, unit := range request.Needs {
 		m.freeUnits[unit.Pool] -= tasks * unit.N
-		m.teamUnits[poolTeam{unit.Pool, ask.Team}] += tasks * unit.N
+		m.teamUnits[poolTeam{unit.Pool, request.Team}] += tasks * unit.N
 	}
 }
 
-func (m *unitwiseAllocation) canEverFit(ask Request) bool {
-	for _, unit := range ask.Needs {
+func (m *unitwiseAllocation) canEverFit(request Request) bool {
+	for _, unit := range request.Needs {
 		pool := m.ledger.pools[unit.Pool]
-		units := unit.N * ask.Tasks
+		units := unit.N * request.Tasks
 		if units > pool.totalUnits()-pool.outsideReserve {
 			return false
 		}
-		usage := pool.teams[ask.Team]
-		if usage != nil && usage.Limit > 0 && m.teamUnits[poolTeam{unit.Pool, ask.Team}]+units > usage.Limit {
+		usage := pool.teams[request.Team]
+		if usage != nil && usage.Limit > 0 && m.teamUnits[poolTeam{unit.Pool, request.Team}]+units > usage.Limit {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *unitwiseAllocation) withhold(ask Request) {
-	for _, unit := range ask.Needs {
-		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.N*ask.Tasks)
+func (m *unitwiseAllocation) withhold(request Request) {
+	for _, unit := range request.Needs {
+		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.N*request.Tasks)
 	}
 }
 
@@ -129,14 +129,14 @@
 
 func drawTeam(t *rapid.T) int32 { return int32(rapid.IntRange(0, 2).Draw(t, "team")) }
 
-func drawAsks(t *rapid.T, pools []*Pool) []Request {
-	var asks []Request
+func drawRequests(t *rapid.T, pools []*Pool) []Request {
+	var requests []Request
 	for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 		needs := drawNeeds(t, pools, "needs")
 		if needs == nil {
 			continue
 		}
-		asks = append(asks, Request{
+		requests = append(requests, Request{
 			Job:    int32(100 + i),
 			Team:   drawTeam(t),
 			Needs:  needs,
@@ -144,12 +144,12 @@
 			IsGang: rapid.Bool().Draw(t, "whole"),
 		})
 	}
-	return asks
+	return requests
 }
 
 // Allocate grants as many tasks as a model that grants them one at a time; no pool gives out more than is free, and a
 // gang gets all its units or none, of every pool it needs.
-func TestAllotMatchesUnitwiseModel(t *testing.T) {
+func TestAllocateMatchesUnitwiseModel(t *testing.T) {
 	teams := []string{"a", "b", "c"}
 	teamIndex := func(name string) int32 { return int32(slices.Index(teams, name)) }
 	rapid.Check(t, func(t *rapid.T) {
@@ -162,17 +162,17 @@
 				l.Acquire(0, TaskRef{int32(i), 0}, 1, team, needs, CheckedOut)
 			}
 		}
-		asks := drawAsks(t, pools)
-		want := newUnitwiseAllocation(l).allot(asks)
+		requests := drawRequests(t, pools)
+		want := newUnitwiseAllocation(l).allocate(requests)
 		freeUnits := newUnitwiseAllocation(l).freeUnits
-		for i, grant := range l.Allocate(asks) {
+		for i, grant := range l.Allocate(requests) {
 			if grant.Tasks != want[i] {
-				t.Fatalf("%+v was granted %d, one at a time %d", asks[i], grant.Tasks, want[i])
+				t.Fatalf("%+v was granted %d, one at a time %d", requests[i], grant.Tasks, want[i])
 			}
-			if (grant.Tasks < asks[i].Tasks) != (grant.Denial != Granted) {
-				t.Fatalf("%+v was granted %d with the reason %q", asks[i], grant.Tasks, grant.Denial)
+			if (grant.Tasks < requests[i].Tasks) != (grant.Denial != Granted) {
+				t.Fatalf("%+v was granted %d with the reason %q", requests[i], grant.Tasks, grant.Denial)
 			}
-			for _, unit := range asks[i].Needs {
+			for _, unit := range requests[i].Needs {
 				if freeUnits[unit.Pool] -= unit.N * grant.Tasks; freeUnits[unit.Pool] < 0 {
 					t.Fatalf("more units of pool %d were granted than are free", unit.Pool)
 				}
@@ -191,24 +191,24 @@
 		t.Fatal(err)
 	}
 	reversed := []Unit{inOrder[1], inOrder[0]}
-	asks := []Request{
+	requests := []Request{
 		{Job: 1, Needs: inOrder, Tasks: 3, IsGang: true},
 		{Job: 2, Needs: reversed, Tasks: 3, IsGang: true},
 	}
-	grants := l.Allocate(asks)
+	grants := l.Allocate(requests)
 	if grants[0].Tasks != 3 || grants[1].Tasks != 0 || grants[1].Denial != LowerPriority {
 		t.Fatalf("granted %+v", grants)
 	}
 	for task := range int32(3) {
 		l.Acquire(0, TaskRef{1, task}, 1, 0, inOrder, CheckedOut)
 	}
-	if grants = l.Allocate(asks[1:]); grants[0].Tasks != 0 {
+	if grants = l.Allocate(requests[1:]); grants[0].Tasks != 0 {
 		t.Fatalf("granted %+v beside the first", grants)
 	}
 	for task := range int32(3) {
 		l.Release(0, TaskRef{1, task}, inOrder, CleanExit)
 	}
-	if grants = l.Allocate(asks[1:]); grants[0].Tasks != 3 {
+	if grants = l.Allocate(requests[1:]); grants[0].Tasks != 3 {
 		t.Fatalf("granted %+v after the first", grants)
 	}
 }
--- a/internal/licences/catalog_test.go
+++ b/internal/licences/catalog_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestEverReportsWhatCanNeverFit(t *testing.T) {
+func TestCanEverFitNamesTheReason(t *testing.T) {
 	catalog := newReserveCatalog(t)
 	for _, c := range []struct {
 		pool  string
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -35,12 +35,12 @@
 func (l *Ledger) Acquire(now time.Duration, ref TaskRef, attempt uint64, team int32, needs []Unit, to State) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
-			pool.take(now, Holder{ref, attempt}, team, unit.N, to)
+			pool.acquire(now, Holder{ref, attempt}, team, unit.N, to)
 		}
 	}
 }
 
-// SetAttempt sets which attempt of a task is on its machine, after a report has named it.
+// SetAttempt sets which attempt of a task is on its machine, after a heartbeat has named it.
 func (l *Ledger) SetAttempt(now time.Duration, ref TaskRef, attempt uint64, needs []Unit) {
 	for _, unit := range needs {
 		pool := l.pool(unit.Pool)
@@ -53,12 +53,12 @@
 	}
 }
 
-// Release ends what a task holds once the task is proven to be gone: by a fenced report, the cloud's confirmation, or
+// Release ends what a task holds once the task is proven to be gone: by a fenced heartbeat, the cloud's confirmation, or
 // the expiry of its worker's lease. Units that a server may still count are AwaitingRelease.
 func (l *Ledger) Release(now time.Duration, ref TaskRef, needs []Unit, how End) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
-			pool.give(now, ref, how)
+			pool.release(now, ref, how)
 		}
 	}
 }
--- a/internal/licences/model_test.go
+++ b/internal/licences/model_test.go
@@ -145,7 +145,7 @@
 	e.ended = append(e.ended, endedTask{holder, Crashed})
 }
 
-// proveEnd gives the ledger the proof of an end: a fenced report, the cloud's confirmation or a lease expiry.
+// proveEnd gives the ledger the proof of an end: a fenced heartbeat, the cloud's confirmation or a lease expiry.
 func (e *environment) proveEnd(t *rapid.T) {
 	if len(e.ended) == 0 {
 		t.Skip("nothing ended")
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -32,7 +32,7 @@
 	PreemptHolders LoweringPolicy = "stop" // the least costly holders are preempted, with time to write a checkpoint
 )
 
-// TeamQuota is a team's quota of a pool, in units. A Guarantee of 0 means none, a Most of 0 means no limit.
+// TeamQuota is a team's quota of a pool, in units. A Guarantee of 0 means none, a Limit of 0 no limit.
 type TeamQuota struct{ Guarantee, Limit int }
 
 // ReserveWindow is a number of units kept for outside holders during a window of the week. It replaces the pool's
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -50,10 +50,10 @@
 	return p
 }
 
-// take counts a holder's units from now on. If another attempt of its task is active, it takes that one's place.
-func (p *poolState) take(now time.Duration, holder Holder, team int32, units int, to State) {
+// acquire counts a holder's units from now on. If another attempt of its task is active, it takes that one's place.
+func (p *poolState) acquire(now time.Duration, holder Holder, team int32, units int, to State) {
 	if active, ok := p.active[holder.TaskRef]; ok {
-		p.takeAgain(now, active, holder, to)
+		p.acquireAgain(now, active, holder, to)
 		return
 	}
 	c := p.checkout(holder)
@@ -69,9 +69,9 @@
 	p.setState(now, holder, c, to)
 }
 
-// takeAgain applies a further take of a task of which an attempt is active. A task that is CheckedOut is never
+// acquireAgain applies a further acquire of a task of which an attempt is active. A task that is CheckedOut is never
 // Reserved again.
-func (p *poolState) takeAgain(now time.Duration, active, holder Holder, to State) {
+func (p *poolState) acquireAgain(now time.Duration, active, holder Holder, to State) {
 	if active != holder {
 		p.changeAttempt(now, active, holder.Attempt)
 	}
@@ -82,17 +82,17 @@
 	}
 }
 
-// changeAttempt moves an active checkout to another attempt of the same task: a report has named the attempt of a
-// task that was read from the durable plan. What the server reports for the old attempt remains counted.
+// changeAttempt moves an active checkout to another attempt of the same task: a heartbeat has named the attempt of
+// a task that was read from the durable plan. What the server reports for the old attempt remains counted.
 func (p *poolState) changeAttempt(now time.Duration, from Holder, attempt uint64) {
 	c := p.checkouts[from]
 	state, team, units := c.state, c.team, c.units
 	p.setState(now, from, c, Free)
-	p.take(now, Holder{from.TaskRef, attempt}, team, units, state)
+	p.acquire(now, Holder{from.TaskRef, attempt}, team, units, state)
 }
 
-// give ends the active checkout of a task that is proven to be gone.
-func (p *poolState) give(now time.Duration, ref TaskRef, end End) {
+// release ends the active checkout of a task that is proven to be gone.
+func (p *poolState) release(now time.Duration, ref TaskRef, end End) {
 	holder, ok := p.active[ref]
 	if !ok {
 		return
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -48,7 +48,7 @@
 	serverInconsistent
 )
 
-// String returns the state's name in View.Line, where operators read it.
+// String returns the state's name in View.ServerState, where operators read it.
 func (s serverState) String() string { return [...]string{"unasked", "open", "silent", "doubted"}[s] }
 
 // serverStatus is what is known about a pool's licence server.
