--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -109,7 +109,7 @@
 		Then: append([]store.Op{
 			{Put: leaderKey, Value: won.leader, Lease: m.lease.id},
 			{Put: termKey, Value: won.term},
-			{Put: mapKey, Value: won.shardMap},
+			{Put: shardMapKey, Value: won.shardMap},
 		}, ops...),
 	}
 }
@@ -122,7 +122,7 @@
 		// The leader key comes last: it makes this controller the leader, of the new term and the new shard map.
 		for _, item := range []store.Item{
 			{Key: termKey, Value: won.term, Version: result.Revision},
-			{Key: mapKey, Value: won.shardMap, Version: result.Revision},
+			{Key: shardMapKey, Value: won.shardMap, Version: result.Revision},
 			{Key: leaderKey, Value: won.leader, Version: result.Revision},
 		} {
 			_ = m.HandleItem(now, item) // values that were encoded here can be decoded
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -37,14 +37,6 @@
 func (c *cluster) injectFault() {
 	n := c.nodes[c.rng.IntN(3)]
 	switch c.rng.IntN(8) {
-	case 6:
-		if n.membership != nil {
-			n.membership.Withdraw(c.service.Now)
-		}
-	case 7:
-		if n.membership != nil {
-			n.membership.Rejoin(c.service.Now)
-		}
 	case 0:
 		n.kill()
 	case 1:
@@ -54,6 +46,14 @@
 		if !c.service.Down {
 			c.service.Recover()
 		}
+	case 6:
+		if n.membership != nil {
+			n.membership.Withdraw(c.service.Now)
+		}
+	case 7:
+		if n.membership != nil {
+			n.membership.Rejoin(c.service.Now)
+		}
 	default:
 		if n.membership == nil {
 			n.start()
@@ -76,7 +76,7 @@
 
 // A leader that is cut from the state service alone has no authority before its lease can expire, and another one
 // takes over.
-func TestLeaderCutFromTheStateServiceAlone(t *testing.T) {
+func TestLeaderCutFromTheStateServiceLosesAuthority(t *testing.T) {
 	c := newCluster(t, 1)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
@@ -176,7 +176,7 @@
 // A campaign of a former process is carried out after the new process has revoked the old lease: the leader key
 // names a lease that the new process doesn't have. Without a revocation nobody would lead for as long as that lease
 // lives.
-func TestFormerCampaignLandsLate(t *testing.T) {
+func TestLateCampaignOfFormerProcessIsRevoked(t *testing.T) {
 	c, restarted := restartOnlyTheLeader(t, 3)
 	var granted struct {
 		ID uint64 `json:"tether"`
--- a/internal/membership/followed.go
+++ b/internal/membership/followed.go
@@ -42,7 +42,7 @@
 		return m.handleLeaderItem(now, item)
 	case termKey:
 		return m.handleTermItem(item)
-	case mapKey:
+	case shardMapKey:
 		return m.handleShardMapItem(item)
 	case memberKeyPrefix + m.cfg.Node:
 		m.handleMemberItem(item)
--- a/internal/membership/followed_test.go
+++ b/internal/membership/followed_test.go
@@ -17,8 +17,8 @@
 	}{
 		{"leader in a newer format", leaderKey, `{"v":2,"node":"n-0","term":7}`, true},
 		{"leader that isn't JSON", leaderKey, `{`, false},
-		{"shard map in a newer format", mapKey, `{"v":2,"term":7,"owners":["n-0"]}`, true},
-		{"shard map that isn't JSON", mapKey, `{`, false},
+		{"shard map in a newer format", shardMapKey, `{"v":2,"term":7,"owners":["n-0"]}`, true},
+		{"shard map that isn't JSON", shardMapKey, `{`, false},
 		{"term that isn't JSON", termKey, `{`, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -24,7 +24,7 @@
 const (
 	leaderKey       = Prefix + "leader"
 	termKey         = Prefix + "term"
-	mapKey          = Prefix + "map"
+	shardMapKey     = Prefix + "map"
 	memberKeyPrefix = Prefix + "n/" // followed by the controller's name
 )
 
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -48,25 +48,31 @@
 		if m.lease.id != leaseID {
 			return // the lease was lost meanwhile, another attempt is under way
 		}
-		switch result.Outcome {
-		case store.Committed:
-			m.requestPending = false
-			m.handleMemberItem(store.Item{Value: value, Version: result.Revision})
-			m.finishRegistration(m.store.Now())
-		case store.LeaseExpired:
-			m.dropLease(m.store.Now(), "lease expired")
-		case store.Conflict, store.Indeterminate:
-			m.readRegistration(key, leaseID)
-		default:
-			m.retryLater()
-		}
+		m.handleRegistrationResult(value, result)
 	})
 }
 
+// handleRegistrationResult takes over the outcome of the registration under way, which writes value as the member key.
+func (m *Membership) handleRegistrationResult(value json.RawMessage, result store.Result) {
+	switch result.Outcome {
+	case store.Committed:
+		m.requestPending = false
+		m.handleMemberItem(store.Item{Value: value, Version: result.Revision})
+		m.finishRegistration(m.store.Now())
+	case store.LeaseExpired:
+		m.dropLease(m.store.Now(), "lease expired")
+	case store.Conflict, store.Indeterminate:
+		m.readRegistration()
+	default:
+		m.retryLater()
+	}
+}
+
 // readRegistration reads the member key after a registration that may or may not have been carried out: the key may
 // have been written by the former process, or by this one with a request that was given up.
-func (m *Membership) readRegistration(key string, leaseID uint64) {
-	m.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
+func (m *Membership) readRegistration() {
+	leaseID := m.lease.id
+	m.store.Get(memberKeyPrefix+m.cfg.Node, store.SafetyPriority, func(item store.Item, err error) {
 		if m.lease.id != leaseID {
 			return
 		}
