--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -28,7 +28,7 @@
 	Pool      int32           // of the missing units, by dense index
 }
 
-// OK returns whether nothing is denied.
+// OK reports whether nothing is denied.
 func (d Denial) OK() bool { return !d.TeamLimit && d.Licence == licences.Granted }
 
 // Gate decides whether tasks may start and counts what those take that may be on machines.
@@ -65,10 +65,10 @@
 	return Denial{Licence: denial, Pool: pool}
 }
 
-// Fits returns whether n more tasks with a claim may start together now.
+// Fits reports whether n more tasks with a claim may start together now.
 func (g *Gate) Fits(claim Claim, n int) bool { return g.Check(claim, n).OK() }
 
-// Reserved returns whether a task's claim is reserved and its launch has not been sent yet.
+// Reserved reports whether a task's claim is reserved and its launch has not been sent yet.
 func (g *Gate) Reserved(ref licences.TaskRef) bool {
 	if len(g.reserved) == 0 {
 		return false
--- a/internal/allocation/shard_quota.go
+++ b/internal/allocation/shard_quota.go
@@ -109,7 +109,7 @@
 // Reserved returns the units that may be in use.
 func (q *ShardQuota) Reserved() int32 { return q.reserved }
 
-// CanReserve tells whether that many more units may be reserved.
+// CanReserve reports whether that many more units may be reserved.
 func (q *ShardQuota) CanReserve(units int32) bool { return q.reserved+units <= q.Usable() }
 
 // Reserve reserves units, before anything that uses them may start. The caller asks CanReserve first.
@@ -186,7 +186,7 @@
 	}
 }
 
-// isInFlight tells whether a change's outcome is awaited. It isn't after a newer version of the document was read.
+// isInFlight reports whether a change's outcome is awaited. It isn't after a newer version of the document was read.
 func (q *ShardQuota) isInFlight(change Change) bool {
 	return q.state == Requesting && change.Version == q.version
 }
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -14,7 +14,7 @@
 // record's key deleted together.
 const opsPerMove = 2
 
-// Parts of the state service's write rate that moves may use, of all controllers' together: the usual one, and the
+// Shares of the state service's write rate that moves may use, of all controllers' together: the usual one, and the
 // one while ended jobs wait for more than twice the time for which they are retained. Without such a bound the
 // leader's moves take the writes that the other controllers' submissions need.
 const (
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -52,13 +52,13 @@
 // Team returns the account of a team, nil for an unknown team.
 func (l *Ledger) Team(index int32) *Team { return l.teams[index] }
 
-// Fits returns whether n more tasks of a size keep a team within its limit; false for an unknown team.
+// Fits reports whether n more tasks of a size keep a team within its limit; false for an unknown team.
 func (l *Ledger) Fits(team int32, size planner.Size, n int) bool {
 	account := l.teams[team]
 	return account != nil && account.Used.Add(size.Scale(float64(n))).Fits(account.Limit)
 }
 
-// CouldEverFit returns whether n tasks of a size could run together if the team ran nothing else; false for an
+// CouldEverFit reports whether n tasks of a size could run together if the team ran nothing else; false for an
 // unknown team.
 func (l *Ledger) CouldEverFit(team int32, size planner.Size, n int) bool {
 	account := l.teams[team]
@@ -79,7 +79,7 @@
 	}
 }
 
-// WithinGuarantee returns whether a job lies within its team's guarantee: the job uses a resource of which something is
+// WithinGuarantee reports whether a job lies within its team's guarantee: the job uses a resource of which something is
 // guaranteed, and demand, that of the job and of those before it, exceeds the guarantee of no resource. A resource of
 // which nothing is guaranteed is left out.
 func (l *Ledger) WithinGuarantee(team int32, job, demand planner.Size) bool {
--- a/internal/sessions/agentapi.go
+++ b/internal/sessions/agentapi.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Heartbeat is the status that a session's agent reports, as docs/sessions.md publishes it. Times are ages in seconds:
+// Heartbeat is the status that a session's agent sends, as docs/sessions.md publishes it. Times are ages in seconds:
 // the agent's clock doesn't count.
 type Heartbeat struct {
 	Attempt      uint64            `json:"attempt"` // of the task, as its worker was given it
--- a/internal/sessions/explain.go
+++ b/internal/sessions/explain.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"time"
 )
 
@@ -17,15 +16,12 @@
 	e.lines = append(e.lines, fmt.Sprintf(format, args...))
 }
 
-// in describes a later time, from now and by the time of day.
-func (e *explanation) in(at time.Duration) string {
+// later describes a later time, from now and by the time of day.
+func (e *explanation) later(at time.Duration) string {
 	timeOfDay := e.wall.Add(at - e.now).UTC().Format("15:04:05 MST")
-	return fmt.Sprintf("in %s, at %s", wholeSeconds(max(0, at-e.now)), timeOfDay)
+	return fmt.Sprintf("%s, at %s", wholeSeconds(max(0, at-e.now)), timeOfDay)
 }
 
-// withoutIn is in without its first word.
-func (e *explanation) withoutIn(at time.Duration) string { return strings.TrimPrefix(e.in(at), "in ") }
-
 func wholeSeconds(d time.Duration) string { return d.Round(time.Second).String() }
 
 // Explain returns sentences on why a session is or isn't going to be reclaimed, and when; ok is false if there is no
@@ -51,11 +47,11 @@
 	case Idle:
 		e.explainIdle(s, limits)
 	case Warned:
-		e.add("It was warned, since %s; its work is saved and it is reclaimed %s, unless it is used before.",
-			s.reclaim.cause, e.in(s.stateSince+m.Policies.WarningTime))
+		e.add("It was warned, since %s; its work is saved and it is reclaimed in %s, unless it is used before.",
+			s.reclaim.cause, e.later(s.stateSince+m.Policies.WarningTime))
 	case Checkpointing:
 		e.add("Its work is being saved, since %s; if that takes until %s, it is not reclaimed.",
-			s.reclaim.cause, e.withoutIn(s.stateSince+m.Policies.CheckpointTimeout))
+			s.reclaim.cause, e.later(s.stateSince+m.Policies.CheckpointTimeout))
 	}
 	unheardFor := now - s.agent.lastHeardAt
 	if unheardFor > m.Policies.UnheardTimeout && s.state != Reclaimed && s.state != Opening && s.state != Lost {
@@ -68,21 +64,21 @@
 func (e *explanation) explainIdle(s *session, limits Limits) {
 	noWarningBefore := s.reclaim.noWarningBefore
 	if e.now < noWarningBefore {
-		e.add("Its last save failed (%d in a row): no warning before another try %s.",
-			s.reclaim.failedCheckpoints, e.in(noWarningBefore))
+		e.add("Its last save failed (%d in a row): no warning before another try in %s.",
+			s.reclaim.failedCheckpoints, e.later(noWarningBefore))
 	}
 	if limits.IdleLimit == 0 {
 		e.add("Its policy sets no limit to idleness.")
 	} else {
-		e.add("It will be warned at the latest %s, when it has been idle for %s.",
-			e.in(max(s.stateSince+limits.IdleLimit, noWarningBefore)), wholeSeconds(limits.IdleLimit))
+		e.add("It will be warned at the latest in %s, when it has been idle for %s.",
+			e.later(max(s.stateSince+limits.IdleLimit, noWarningBefore)), wholeSeconds(limits.IdleLimit))
 	}
 	switch {
 	case limits.ContendedLimit < 0:
 		e.add("It is not reclaimed for others who wait.")
 	case e.now-s.stateSince < limits.ContendedLimit:
 		e.add("From %s on it is warned as soon as somebody waits for what it holds.",
-			e.withoutIn(s.stateSince+limits.ContendedLimit))
+			e.later(s.stateSince+limits.ContendedLimit))
 	default:
 		e.add("It is warned as soon as somebody waits for what it holds; nobody does.")
 	}
--- a/internal/shards/lease.go
+++ b/internal/shards/lease.go
@@ -90,13 +90,13 @@
 // the higher of the term's and the record's.
 func (l *Lease) Token() uint64 { return max(l.term, l.assignment.Token) }
 
-// AcceptsHeartbeats tells whether the machine's heartbeats are answered with 200, which renews its worker's lease.
+// AcceptsHeartbeats reports whether the machine's heartbeats are answered with 200, which renews its worker's lease.
 // From the sending of a transfer until its outcome is known they aren't: the other shard may answer at a higher token.
 func (l *Lease) AcceptsHeartbeats() bool {
 	return l.state == AwaitingHeartbeat || l.state == Active || l.state == Draining
 }
 
-// MayStartTasks tells whether tasks may start on the machine.
+// MayStartTasks reports whether tasks may start on the machine.
 func (l *Lease) MayStartTasks() bool { return l.state == Active }
 
 // HeartbeatReceived records a heartbeat that the machine sent at a token.
@@ -170,7 +170,7 @@
 	}
 }
 
-// isInFlight tells whether a transfer's outcome is awaited. It isn't after a newer record was read.
+// isInFlight reports whether a transfer's outcome is awaited. It isn't after a newer record was read.
 func (l *Lease) isInFlight(transfer Transfer) bool {
 	return l.state == Transferring && transfer.RecordVersion == l.recordVersion
 }
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -29,7 +29,7 @@
 	OneZone bool
 	// MaxPerZone bounds the tasks in one zone; 0 means no bound.
 	MaxPerZone int
-	// AllowsMachine tells which machines the job may use.
+	// AllowsMachine reports which machines the job may use.
 	AllowsMachine func(machineType, zone int32, spot bool) bool
 }
 
