--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -338,6 +338,12 @@
 	h.taskIsStopping = false
 }
 
+// endTask ends the task and its agent.
+func (h *harness) endTask() {
+	h.agent = nil
+	h.taskIsStopping = false
+}
+
 func (h *harness) nextHeartbeat() Heartbeat {
 	agent := h.agent
 	agent.seq++
@@ -427,9 +433,8 @@
 			h.deliver(h.nextHeartbeat(), false)
 		}
 		h.finishCommits(commitApplied)
-		if h.taskIsStopping { // the worker has stopped it
-			h.agent = nil
-			h.taskIsStopping = false
+		if h.taskIsStopping {
+			h.endTask() // the worker has stopped it
 		}
 		if h.agent == nil && !h.isSuspended && h.store[Key(id)].Version != 0 {
 			h.startTask()
--- a/internal/sessions/model_test.go
+++ b/internal/sessions/model_test.go
@@ -15,149 +15,200 @@
 	suspensions, resumed := 0, 0
 	quick := mustCompile(t, "input_s > 3")
 	rapid.Check(t, func(t *rapid.T) {
-		p := testPolicies(t)
-		p.WarningTime = 2 * time.Second
-		p.Default.IdleLimit = 3 * time.Second
-		p.Default.Rule = quick
-		h := newHarness(t, p)
-		h.openSession()
-		h.startTask()
-		use := func(t *rapid.T) {
-			if n := h.agent; n == nil || n.frozen || h.taskIsStopping {
-				t.Skip("nobody can")
-			}
-			h.agent.lastInputAt = h.now
-			h.agent.work++
-		}
-		attach := func(*rapid.T) { h.manager.Attach(h.now, id, userToken, func(Result, error) {}) }
-		report := func(t *rapid.T) {
-			if h.agent == nil {
-				t.Skip("no agent")
-			}
-			h.deliver(h.nextHeartbeat(), rapid.IntRange(0, 4).Draw(t, "lost") == 0)
-		}
-		commit := func(t *rapid.T) {
-			if len(h.commits) == 0 {
-				t.Skip("no write")
-			}
-			h.finishCommits(rapid.SampledFrom([]commitOutcome{
-				commitApplied, commitApplied, commitApplied, commitNotApplied, commitUnanswered, commitLost,
-			}).Draw(t, "outcome"))
-		}
-		advance := func(t *rapid.T) {
-			h.advance(rapid.SampledFrom([]time.Duration{time.Second, time.Second, 3 * time.Second}).Draw(t, "by"))
-		}
-		t.Repeat(map[string]func(*rapid.T){
-			"use": func(t *rapid.T) {
-				if rapid.IntRange(0, 7).Draw(t, "rarely") > 0 {
-					t.Skip("away")
-				}
-				use(t)
-			},
-			"save of its own": func(t *rapid.T) {
-				n := h.agent
-				if n == nil || n.fresh || n.frozen {
-					t.Skip("nobody can")
-				}
-				n.agentCheckpoint = fmt.Sprintf("own-%d-%d", n.attempt, n.work)
-				h.workByCheckpoint[n.agentCheckpoint], n.saved = n.work, n.work
-			},
-			"begin a cell": func(t *rapid.T) {
-				if rapid.IntRange(0, 15).Draw(t, "rarely") > 0 {
-					t.Skip("away")
-				}
-				use(t)
-				h.agent.cellSince = h.now
-			},
-			"end a cell": func(t *rapid.T) {
-				if h.agent == nil || h.agent.cellSince == 0 {
-					t.Skip("none runs")
-				}
-				h.agent.work++
-				h.agent.cellSince = 0
-			},
-			"attach": func(t *rapid.T) {
-				if rapid.IntRange(0, 7).Draw(t, "rarely") > 0 {
-					t.Skip("away")
-				}
-				attach(t)
-			},
-			"report": report, "report again": report, "report more": report,
-			"hold a report back": func(t *rapid.T) {
-				if h.agent == nil {
-					t.Skip("no agent")
-				}
-				h.delayedHeartbeats = append(h.delayedHeartbeats, h.nextHeartbeat())
-			},
-			"deliver an old one": func(t *rapid.T) {
-				if len(h.delayedHeartbeats) == 0 {
-					t.Skip("none")
-				}
-				i := rapid.IntRange(0, len(h.delayedHeartbeats)-1).Draw(t, "which")
-				h.deliver(h.delayedHeartbeats[i], true)
-			},
-			"a lost write lands": func(t *rapid.T) {
-				if len(h.lateWrites) == 0 {
-					t.Skip("none")
-				}
-				h.applyLateWrites()
-			},
-			"commit": commit, "commit more": commit,
-			"want": func(t *rapid.T) { h.isContended = rapid.Bool().Draw(t, "wanted") },
-			"pass": advance, "pass more": advance, "pass still more": advance,
-			"stop": func(t *rapid.T) {
-				if !h.taskIsStopping {
-					t.Skip("no order to stop")
-				}
-				h.agent = nil
-				h.taskIsStopping = false
-			},
-			"start": func(t *rapid.T) {
-				if h.agent != nil || h.isSuspended {
-					t.Skip("not to be started")
-				}
-				h.startTask()
-			},
-			"machine lost": func(t *rapid.T) {
-				if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
-					t.Skip("not now")
-				}
-				h.agent = nil
-				h.taskIsStopping = false
-			},
-			"new leader": func(t *rapid.T) {
-				if rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
-					t.Skip("not now")
-				}
-				h.startTerm(h.manager.Policies)
-			},
-		})
-		suspensions += h.suspensions
-		h.applyLateWrites()
-		// Everything works again, and the user returns.
-		var r Record
-		h.finishCommits(commitApplied)
-		_ = json.Unmarshal(h.store[Key(id)].Value, &r)
-		h.advanceWithHeartbeats(5 * time.Second)
-		had := -1
-		if r.Checkpoint != nil && r.Reclaimed {
-			had = h.workByCheckpoint[r.Checkpoint.Ref]
-		}
-		status := noReply
-		for range 5 {
-			h.manager.Attach(h.now, id, userToken, func(r Result, err error) { status = outcomeOf(r, err) })
-			h.advanceWithHeartbeats(3 * time.Second)
-		}
-		if status != accepted || h.state() != Active || h.agent == nil || h.agent.frozen {
-			t.Fatalf("%s, %s, agent %+v", status, h.state(), h.agent)
-		}
-		if had >= 0 {
-			if resumed++; h.agent.work != had {
-				t.Fatalf("resumed with %d steps, %d were saved", h.agent.work, had)
-			}
+		policies := testPolicies(t)
+		policies.WarningTime = 2 * time.Second
+		policies.Default.IdleLimit = 3 * time.Second
+		policies.Default.Rule = quick
+		model := reclaimModel{newHarness(t, policies)}
+		model.openSession()
+		model.startTask()
+		t.Repeat(model.actions())
+		suspensions += model.suspensions
+		if model.recover(t) {
+			resumed++
 		}
 	})
 	if suspensions < 200 || resumed < 15 {
 		t.Fatalf("%d suspended, %d resumed: the model does not exercise the code", suspensions, resumed)
 	}
 }
+
+// reclaimModel draws what happens to a session: to its user, its agent, its machine, the network, the state service
+// and the leader. The harness checks each suspension.
+type reclaimModel struct{ *harness }
+
+// actions returns the steps of the model. An action with several names is drawn more often.
+func (m reclaimModel) actions() map[string]func(*rapid.T) {
+	actions := map[string]func(*rapid.T){}
+	for _, action := range []struct {
+		step  func(*rapid.T)
+		names []string
+	}{
+		{m.use, []string{"use"}},
+		{m.saveByItself, []string{"save by itself"}},
+		{m.beginCell, []string{"begin a cell"}},
+		{m.endCell, []string{"end a cell"}},
+		{m.attach, []string{"attach"}},
+		{m.sendHeartbeat, []string{"heartbeat", "heartbeat again", "heartbeat once more"}},
+		{m.delayHeartbeat, []string{"delay a heartbeat"}},
+		{m.deliverOldHeartbeat, []string{"deliver an old heartbeat"}},
+		{m.applyLateWrite, []string{"apply a late write"}},
+		{m.finishWrite, []string{"finish a write", "finish another write"}},
+		{m.changeContention, []string{"change contention"}},
+		{m.advanceTime, []string{"advance", "advance again", "advance once more"}},
+		{m.stopTask, []string{"stop the task"}},
+		{m.restartTask, []string{"start the task"}},
+		{m.loseMachine, []string{"lose the machine"}},
+		{m.failOver, []string{"fail over"}},
+	} {
+		for _, name := range action.names {
+			actions[name] = action.step
+		}
+	}
+	return actions
+}
+
+// skipUnlessOneIn skips an action that is to happen in one of a number of draws.
+func skipUnlessOneIn(t *rapid.T, draws int) {
+	if rapid.IntRange(0, draws-1).Draw(t, "rarely") > 0 {
+		t.Skip("not now")
+	}
+}
+
+func (m reclaimModel) use(t *rapid.T) {
+	skipUnlessOneIn(t, 8)
+	m.doOneStep(t)
+}
+
+// doOneStep has the user do a step of work.
+func (m reclaimModel) doOneStep(t *rapid.T) {
+	if m.agent == nil || m.agent.frozen || m.taskIsStopping {
+		t.Skip("the session takes no input")
+	}
+	m.agent.lastInputAt = m.now
+	m.agent.work++
+}
+
+func (m reclaimModel) saveByItself(t *rapid.T) {
+	agent := m.agent
+	if agent == nil || agent.fresh || agent.frozen {
+		t.Skip("no agent that may save")
+	}
+	agent.agentCheckpoint = fmt.Sprintf("own-%d-%d", agent.attempt, agent.work)
+	m.workByCheckpoint[agent.agentCheckpoint] = agent.work
+	agent.saved = agent.work
+}
+
+func (m reclaimModel) beginCell(t *rapid.T) {
+	skipUnlessOneIn(t, 16)
+	m.doOneStep(t)
+	m.agent.cellSince = m.now
+}
+
+func (m reclaimModel) endCell(t *rapid.T) {
+	if m.agent == nil || m.agent.cellSince == 0 {
+		t.Skip("no cell runs")
+	}
+	m.agent.work++
+	m.agent.cellSince = 0
+}
+
+func (m reclaimModel) attach(t *rapid.T) {
+	skipUnlessOneIn(t, 8)
+	m.manager.Attach(m.now, id, userToken, func(Result, error) {})
+}
+
+func (m reclaimModel) sendHeartbeat(t *rapid.T) {
+	if m.agent == nil {
+		t.Skip("no agent")
+	}
+	m.deliver(m.nextHeartbeat(), rapid.IntRange(0, 4).Draw(t, "lost") == 0)
+}
+
+func (m reclaimModel) delayHeartbeat(t *rapid.T) {
+	if m.agent == nil {
+		t.Skip("no agent")
+	}
+	m.delayedHeartbeats = append(m.delayedHeartbeats, m.nextHeartbeat())
+}
+
+func (m reclaimModel) deliverOldHeartbeat(t *rapid.T) {
+	if len(m.delayedHeartbeats) == 0 {
+		t.Skip("none is delayed")
+	}
+	m.deliver(rapid.SampledFrom(m.delayedHeartbeats).Draw(t, "which"), true)
+}
+
+func (m reclaimModel) applyLateWrite(t *rapid.T) {
+	if len(m.lateWrites) == 0 {
+		t.Skip("none is late")
+	}
+	m.applyLateWrites()
+}
+
+func (m reclaimModel) finishWrite(t *rapid.T) {
+	if len(m.commits) == 0 {
+		t.Skip("no write in flight")
+	}
+	m.finishCommits(rapid.SampledFrom([]commitOutcome{
+		commitApplied, commitApplied, commitApplied, commitNotApplied, commitUnanswered, commitLost,
+	}).Draw(t, "outcome"))
+}
+
+func (m reclaimModel) changeContention(t *rapid.T) {
+	m.isContended = rapid.Bool().Draw(t, "contended")
+}
+
+func (m reclaimModel) advanceTime(t *rapid.T) {
+	m.advance(rapid.SampledFrom([]time.Duration{time.Second, time.Second, 3 * time.Second}).Draw(t, "by"))
+}
+
+// stopTask has the worker stop the task, as the fleet has ordered it to.
+func (m reclaimModel) stopTask(t *rapid.T) {
+	if !m.taskIsStopping {
+		t.Skip("no order to stop")
+	}
+	m.endTask()
+}
+
+func (m reclaimModel) restartTask(t *rapid.T) {
+	if m.agent != nil || m.isSuspended {
+		t.Skip("not to be started")
+	}
+	m.startTask()
+}
+
+func (m reclaimModel) loseMachine(t *rapid.T) {
+	skipUnlessOneIn(t, 10)
+	m.endTask()
+}
+
+func (m reclaimModel) failOver(t *rapid.T) {
+	skipUnlessOneIn(t, 10)
+	m.startTerm(m.manager.Policies)
+}
+
+// recover ends all faults and has the user return. It fails the test unless the user gets the session, with the work
+// of its last checkpoint if it was reclaimed, and reports whether it was.
+func (m reclaimModel) recover(t *rapid.T) (wasReclaimed bool) {
+	m.applyLateWrites()
+	m.finishCommits(commitApplied)
+	var record Record
+	_ = json.Unmarshal(m.store[Key(id)].Value, &record) // without a record nothing was reclaimed
+	m.advanceWithHeartbeats(5 * time.Second)
+	status := noReply
+	for range 5 {
+		m.manager.Attach(m.now, id, userToken, func(r Result, err error) { status = outcomeOf(r, err) })
+		m.advanceWithHeartbeats(3 * time.Second)
+	}
+	if status != accepted || m.state() != Active || m.agent == nil || m.agent.frozen {
+		t.Fatalf("%s, %s, agent %+v", status, m.state(), m.agent)
+	}
+	if record.Checkpoint == nil || !record.Reclaimed {
+		return false
+	}
+	if saved := m.workByCheckpoint[record.Checkpoint.Ref]; m.agent.work != saved {
+		t.Fatalf("resumed with %d steps, %d were saved", m.agent.work, saved)
+	}
+	return true
+}
