--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -412,6 +412,16 @@
 	agent.checkpoint.Ref = ref
 }
 
+// respondTo sends a heartbeat and returns the response, on which the agent doesn't act.
+func (h *harness) respondTo(heartbeat Heartbeat) HeartbeatResponse {
+	h.t.Helper()
+	response, err := h.manager.HandleHeartbeat(h.now, id, agentToken, heartbeat)
+	if err != nil {
+		h.t.Fatalf("%v", err)
+	}
+	return response
+}
+
 // heartbeatWithoutResponse sends a heartbeat whose response the agent doesn't act on.
 func (h *harness) heartbeatWithoutResponse(heartbeat Heartbeat) {
 	_, _ = h.manager.HandleHeartbeat(h.now, id, agentToken, heartbeat)
--- a/internal/sessions/reclaim_test.go
+++ b/internal/sessions/reclaim_test.go
@@ -119,7 +119,7 @@
 	if h.deliver(h.nextHeartbeat(), false); h.agent.storedCheckpoint != "own-5" {
 		t.Fatalf("stored %q of the checkpoint at its end", h.agent.storedCheckpoint)
 	}
-	h.agent, h.taskIsStopping = nil, false
+	h.endTask()
 	if h.advanceWithHeartbeats(4 * time.Second); h.agent.work != 5 || h.state() != Active || h.agent.frozen {
 		t.Fatalf("%s with %+v", h.state(), h.agent)
 	}
@@ -357,3 +357,34 @@
 		}
 	}
 }
+
+// The response that orders an agent to resume a checkpoint doesn't thaw it: its user would work on in a session
+// without the work that was saved. It is thawed once it has reported that it has resumed.
+func TestAgentIsNotThawedBeforeItHasResumed(t *testing.T) {
+	h := startCheckpoint(t)
+	h.deliver(h.nextHeartbeat(), false)
+	h.deliver(h.nextHeartbeat(), false)
+	h.finishCommits(commitApplied)
+	h.endTask()
+	h.manager.Attach(h.now, id, userToken, func(Result, error) {})
+	h.finishCommits(commitApplied)
+	h.startTask()
+	response := h.respondTo(h.nextHeartbeat())
+	if response.ResumeFrom == "" || response.Thaw {
+		t.Fatalf("before it has resumed: %+v", response)
+	}
+	h.agent.resumedFrom = response.ResumeFrom
+	if response = h.respondTo(h.nextHeartbeat()); response.ResumeFrom != "" || !response.Thaw {
+		t.Fatalf("after it has resumed: %+v", response)
+	}
+}
+
+// An agent that is frozen already, since an earlier order, isn't thawed by the response that orders a checkpoint.
+func TestFrozenAgentIsNotThawedByACheckpointOrder(t *testing.T) {
+	h := startCheckpoint(t)
+	heartbeat := h.nextHeartbeat()
+	heartbeat.Frozen = true
+	if response := h.respondTo(heartbeat); response.CheckpointOrder == 0 || response.Thaw {
+		t.Fatalf("%+v", response)
+	}
+}
