--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -47,7 +47,10 @@
 // Error returns the message, which names the platform's setting.
 func (e *TxnLimitError) Error() string {
 	return fmt.Sprintf(
-		`archive: "params.state.txn_ops" is %d, and moving a job takes %d changes in one transaction`, e.Ops, opsPerMove)
+		`archive: "params.state.txn_ops" is %d, and moving a job takes %d changes in one transaction`,
+		e.Ops,
+		opsPerMove,
+	)
 }
 
 // ValueLimitError is the error for a state service whose values are too small for an answer.
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Release ends what a task holds once the task is proven to be gone: by a fenced heartbeat, the cloud's confirmation, or
-// the expiry of its worker's lease. Units that a server may still count are AwaitingRelease.
+// Release ends what a task holds once the task is proven to be gone: by a fenced heartbeat, the cloud's confirmation,
+// or the expiry of its worker's lease. Units that a server may still count are AwaitingRelease.
 func (l *Ledger) Release(now time.Duration, ref TaskRef, needs []Unit, how End) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
