--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"slices"
 	"strings"
 )
@@ -119,12 +118,6 @@
 	return format
 }
 
-// UnknownFormatError is returned for a record in a newer format than this release reads.
-type UnknownFormatError struct{ Format int }
-
-// Error implements error.
-func (e *UnknownFormatError) Error() string { return fmt.Sprintf("format %d", e.Format) }
-
 // newestRead returns the newest format that this release reads.
 func (f RecordFormat) newestRead() int { return slices.Max(f.ReadFormats) }
 
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -132,11 +132,11 @@
 	return encode(stringTermRecord{Format: stringTermFormat, Term: term})
 }
 
-// DecodeTerm reads the value of the term key in either format. The error is an UnknownFormatError if its format is
+// DecodeTerm reads the value of the term key in either format. The error is a NewerFormatError if its format is
 // newer.
 func DecodeTerm(raw json.RawMessage) (uint64, error) {
 	if format := FormatOf(raw); format > stringTermFormat {
-		return 0, fmt.Errorf("term in %w", &UnknownFormatError{Format: format})
+		return 0, &NewerFormatError{Record: "term", Format: format}
 	}
 	var record anyTermRecord
 	if err := json.Unmarshal(raw, &record); err != nil {
--- a/internal/rollout/records_test.go
+++ b/internal/rollout/records_test.go
@@ -38,7 +38,7 @@
 
 // TestNewerFormatIsRefusedWithItsNumber: callers can tell a newer record from a damaged one.
 func TestNewerFormatIsRefusedWithItsNumber(t *testing.T) {
-	var newer *UnknownFormatError
+	var newer *NewerFormatError
 	if _, err := DecodeTerm([]byte(`{"v":3,"term":"1"}`)); !errors.As(err, &newer) || newer.Format != 3 {
 		t.Errorf("error %v, want one about format 3", err)
 	}
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -48,7 +48,7 @@
 	format, _ := RecordFormatOf(item.Key)
 	err := json.Unmarshal(item.Value, record)
 	if err == nil && record.recordFormat() > format.newestRead() {
-		err = &UnknownFormatError{Format: record.recordFormat()}
+		err = &NewerFormatError{Format: record.recordFormat()}
 	}
 	if err != nil {
 		r.MarkUnreadable(item.Key, item.Value, err)
