--- a/internal/api/leaderroutes.go
+++ b/internal/api/leaderroutes.go
@@ -9,16 +9,64 @@
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// LeaderRequest is a request that only the leader can answer: why a job is pending, which jobs there are, or about
-// drain requests, licences or sessions.
+// LeaderResource is what a request to the leader is about. Its value is the name that the resource has in routes.
+type LeaderResource string
+
+// The resources of requests to the leader.
+const (
+	ResourcePendingReasons LeaderResource = "why"  // why a job is pending
+	ResourceJobs           LeaderResource = "list" // which jobs there are
+	ResourceEvents         LeaderResource = "events"
+	ResourceAdmin          LeaderResource = "admin" // the cluster's status and drain requests
+	ResourceRollout        LeaderResource = "rollout"
+	ResourceZones          LeaderResource = "zones"
+	ResourceLicences       LeaderResource = "licences"
+	ResourceSessions       LeaderResource = "sessions"
+)
+
+// LeaderVerb is what a request to the leader does with its resource. VerbShow reads, all others are commands.
+type LeaderVerb string
+
+// The verbs of requests to the leader. Those after VerbSet are for sessions only, and named as in their routes.
+const (
+	VerbShow      LeaderVerb = "show"
+	VerbSet       LeaderVerb = "set"
+	VerbOpen      LeaderVerb = "open"
+	VerbExplain   LeaderVerb = "explain"
+	VerbAttach    LeaderVerb = "attach"
+	VerbKeepAlive LeaderVerb = "keep"
+	VerbClose     LeaderVerb = "close"
+	VerbHeartbeat LeaderVerb = "report" // of the session's agent
+)
+
+// LeaderQuery is the query parameters of a request to the leader, "" where there is none.
+type LeaderQuery struct {
+	User, Team string // whose sessions
+	Where      string // a filter of package query
+	Since      string // where in a list the page begins
+	Limit      string // the most entries of a page
+}
+
+// NewLeaderQuery returns the query parameters by a function that returns the value of one.
+func NewLeaderQuery(parameter func(name string) string) LeaderQuery {
+	return LeaderQuery{
+		User:  parameter("user"),
+		Team:  parameter("team"),
+		Where: parameter("where"),
+		Since: parameter("since"),
+		Limit: parameter("limit"),
+	}
+}
+
+// LeaderRequest is a request that only the leader can answer.
 type LeaderRequest struct {
-	Resource string           // "why", "list", "events", "admin", "rollout", "zones", "licences" or "sessions"
-	Name     string           // of the job, zone, licence pool or session; "": all
-	Verb     string           // "show", "set", "open", or the last part of a session's path
+	Resource LeaderResource
+	Name     string // of the job, zone, licence pool or session; "": all
+	Verb     LeaderVerb
 	Body     []byte           // of a command
 	Bearer   string           // the bearer token, "": none
 	User     *access.Identity // the authenticated user, nil where no user's token is required
-	Query    map[string]string
+	Query    LeaderQuery
 }
 
 // LeaderAPI holds the settings and the handler of leader requests. Operators' commands carry the operators' token
@@ -33,45 +81,43 @@
 
 // leaderRoute is a route to the leader.
 type leaderRoute struct {
-	method, path   string
-	resource, verb string
-	operatorsOnly  bool
+	method, path  string
+	resource      LeaderResource
+	verb          LeaderVerb
+	operatorsOnly bool
 }
 
 // Routes to the leader.
 var (
 	commonLeaderRoutes = []leaderRoute{
-		{method: fiber.MethodGet, path: "/v2/runs", resource: "list", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/runs/:name/why", resource: "why", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/runs/:name/events", resource: "events", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/events", resource: "events", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/admin", resource: "admin", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/zones", resource: "zones", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/zones/:name", resource: "zones", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/rollout", resource: "rollout", verb: "show"},
-		{method: fiber.MethodPost, path: "/v2/rollout", resource: "rollout", verb: "set", operatorsOnly: true},
-		{method: fiber.MethodPost, path: "/v2/admin", resource: "admin", verb: "set", operatorsOnly: true},
+		{method: fiber.MethodGet, path: "/v2/runs", resource: ResourceJobs, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/runs/:name/why", resource: ResourcePendingReasons, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/runs/:name/events", resource: ResourceEvents, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/events", resource: ResourceEvents, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/admin", resource: ResourceAdmin, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/zones", resource: ResourceZones, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/zones/:name", resource: ResourceZones, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/rollout", resource: ResourceRollout, verb: VerbShow},
+		{method: fiber.MethodPost, path: "/v2/rollout", resource: ResourceRollout, verb: VerbSet, operatorsOnly: true},
+		{method: fiber.MethodPost, path: "/v2/admin", resource: ResourceAdmin, verb: VerbSet, operatorsOnly: true},
 	}
 	licenceRoutes = []leaderRoute{
-		{method: fiber.MethodGet, path: "/v2/licences", resource: "licences", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/licences/:name", resource: "licences", verb: "show"},
-		{method: fiber.MethodPost, path: "/v2/licences/:name", resource: "licences", verb: "set", operatorsOnly: true},
+		{method: fiber.MethodGet, path: "/v2/licences", resource: ResourceLicences, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/licences/:name", resource: ResourceLicences, verb: VerbShow},
+		{method: fiber.MethodPost, path: "/v2/licences/:name", resource: ResourceLicences, verb: VerbSet, operatorsOnly: true},
 	}
 	sessionRoutes = []leaderRoute{
-		{method: fiber.MethodGet, path: "/v2/sessions", resource: "sessions", verb: "show"},
-		{method: fiber.MethodPost, path: "/v2/sessions", resource: "sessions", verb: "open"},
-		{method: fiber.MethodGet, path: "/v2/sessions/:name", resource: "sessions", verb: "show"},
-		{method: fiber.MethodGet, path: "/v2/sessions/:name/explain", resource: "sessions", verb: "explain"},
-		{method: fiber.MethodPost, path: "/v2/sessions/:name/attach", resource: "sessions", verb: "attach"},
-		{method: fiber.MethodPost, path: "/v2/sessions/:name/keep", resource: "sessions", verb: "keep"},
-		{method: fiber.MethodPost, path: "/v2/sessions/:name/close", resource: "sessions", verb: "close"},
-		{method: fiber.MethodPost, path: "/v2/sessions/:name/report", resource: "sessions", verb: "report"},
+		{method: fiber.MethodGet, path: "/v2/sessions", resource: ResourceSessions, verb: VerbShow},
+		{method: fiber.MethodPost, path: "/v2/sessions", resource: ResourceSessions, verb: VerbOpen},
+		{method: fiber.MethodGet, path: "/v2/sessions/:name", resource: ResourceSessions, verb: VerbShow},
+		{method: fiber.MethodGet, path: "/v2/sessions/:name/explain", resource: ResourceSessions, verb: VerbExplain},
+		{method: fiber.MethodPost, path: "/v2/sessions/:name/attach", resource: ResourceSessions, verb: VerbAttach},
+		{method: fiber.MethodPost, path: "/v2/sessions/:name/keep", resource: ResourceSessions, verb: VerbKeepAlive},
+		{method: fiber.MethodPost, path: "/v2/sessions/:name/close", resource: ResourceSessions, verb: VerbClose},
+		{method: fiber.MethodPost, path: "/v2/sessions/:name/report", resource: ResourceSessions, verb: VerbHeartbeat},
 	}
 )
 
-// leaderQueryParameters are the query parameters that are passed on to the leader.
-var leaderQueryParameters = [...]string{"user", "team", "where", "since", "limit"}
-
 // addLeaderRoutes adds the routes of the resources that are enabled.
 func (r Routes) addLeaderRoutes(app *fiber.App) {
 	r.addRoutes(app, commonLeaderRoutes)
@@ -108,12 +154,7 @@
 		Verb:     route.verb,
 		Bearer:   bearerToken(c),
 		User:     authenticatedUser(c),
-		Query:    map[string]string{},
-	}
-	for _, key := range leaderQueryParameters {
-		if value := c.Query(key); value != "" {
-			request.Query[key] = strings.Clone(value)
-		}
+		Query:    NewLeaderQuery(func(name string) string { return strings.Clone(c.Query(name)) }),
 	}
 	if c.Method() == fiber.MethodPost {
 		request.Body = append([]byte{}, c.Body()...)
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -74,8 +74,8 @@
 
 // adminCall answers an operator: the cluster's status, or a command.
 func (c *Controller) adminCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	if request.Verb == verbShow {
-		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query["since"])})
+	if request.Verb == api.VerbShow {
+		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query.Since)})
 		return
 	}
 	var command drain.Command
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -99,7 +99,7 @@
 		return
 	}
 	job := request.Name
-	page, isMentioned := c.eventPage(now, request.Query["since"], job, filter)
+	page, isMentioned := c.eventPage(now, request.Query.Since, job, filter)
 	if job != "" && !isMentioned && c.jobs.Get(job) == nil {
 		reply(api.Refuse(api.NotFound, jobNotInTable))
 		return
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -95,7 +95,7 @@
 	fields query.Fields,
 	reply func(api.Reply),
 ) (filter query.Filter, ok bool) {
-	filter, err := query.Parse(request.Query["where"], fields)
+	filter, err := query.Parse(request.Query.Where, fields)
 	if err != nil {
 		reply(api.Refuse(api.InvalidRequest, "where: "+err.Error()))
 		return filter, false
@@ -126,10 +126,10 @@
 		return
 	}
 	size := pageSize
-	if limit, err := strconv.Atoi(request.Query["limit"]); err == nil && limit > 0 {
+	if limit, err := strconv.Atoi(request.Query.Limit); err == nil && limit > 0 {
 		size = min(limit, pageSize)
 	}
-	found := c.matchingJobs(now, request.Query["since"], filter)
+	found := c.matchingJobs(now, request.Query.Since, filter)
 	page := append([]JobSummary{}, found[:min(size, len(found))]...)
 	reply(api.Reply{Status: http.StatusOK, Body: JobPage{Jobs: page, More: len(found) > size}})
 }
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -7,9 +7,6 @@
 	"github.com/harewalk/harewalk/internal/api"
 )
 
-// verbShow is the verb of a request that reads. Other verbs are commands.
-const verbShow = "show"
-
 // notLeaderBody is the body of the answer to a request that only another controller, the leader, can answer.
 type notLeaderBody struct {
 	Error     string `json:"error"`
@@ -32,7 +29,7 @@
 func (c *Controller) leaderCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	isRolloutStuck := !c.rollout.Compatible() || c.membership.Leader().Node == ""
 	switch {
-	case request.Resource == "rollout" && request.Verb == verbShow && isRolloutStuck:
+	case request.Resource == api.ResourceRollout && request.Verb == api.VerbShow && isRolloutStuck:
 		c.rolloutShow(now, reply) // this controller's own view: it may show what is in the way
 	case !c.isLeader():
 		reply(c.refuseNotLeader())
@@ -58,21 +55,21 @@
 // dispatchLeaderCall answers a request that this controller may answer, by its resource.
 func (c *Controller) dispatchLeaderCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	switch request.Resource {
-	case "rollout":
+	case api.ResourceRollout:
 		c.rolloutCall(now, request, reply)
-	case "zones":
+	case api.ResourceZones:
 		c.zoneCall(now, request, reply)
-	case "why":
+	case api.ResourcePendingReasons:
 		c.whyCall(now, request, reply)
-	case "events":
+	case api.ResourceEvents:
 		c.eventsCall(now, request, reply)
-	case "list":
+	case api.ResourceJobs:
 		c.listCall(now, request, reply)
-	case "admin":
+	case api.ResourceAdmin:
 		c.adminCall(now, request, reply)
-	case "licences":
+	case api.ResourceLicences:
 		c.licenceCall(now, request, reply)
-	default:
+	default: // api.ResourceSessions
 		c.sessionCall(now, request, reply)
 	}
 }
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -125,7 +125,7 @@
 	switch {
 	case !ok:
 		reply(api.Refuse(api.NotFound, fmt.Sprintf("no licence pool %q is declared", request.Name)))
-	case request.Verb == verbShow:
+	case request.Verb == api.VerbShow:
 		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 	default:
 		c.setLicenceCount(now, index, request.Body, reply)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -127,7 +127,7 @@
 
 // rolloutCall answers an operator: the rollout's progress, or a command.
 func (c *Controller) rolloutCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	if request.Verb == verbShow {
+	if request.Verb == api.VerbShow {
 		c.rolloutShow(now, reply)
 		return
 	}
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -45,19 +45,19 @@
 	answer := func(result sessions.Result, err error) { reply(sessionReply(result, err)) }
 	manager := c.term.sessions
 	switch request.Verb {
-	case "open":
+	case api.VerbOpen:
 		c.openSession(now, request, reply)
-	case "attach":
+	case api.VerbAttach:
 		manager.Attach(now, request.Name, request.Bearer, answer)
-	case "keep":
+	case api.VerbKeepAlive:
 		c.keepSession(now, request, reply)
-	case "close":
+	case api.VerbClose:
 		manager.Close(request.Name, request.Bearer, answer)
-	case "report":
+	case api.VerbHeartbeat:
 		reply(c.sessionReport(now, request))
-	case "explain":
+	case api.VerbExplain:
 		reply(c.explainSession(now, request.Name))
-	default:
+	default: // api.VerbShow
 		reply(c.showSessions(now, request))
 	}
 }
@@ -147,7 +147,7 @@
 // showSessions answers with one session or, without a name, with those of a user or a team.
 func (c *Controller) showSessions(now time.Duration, request api.LeaderRequest) api.Reply {
 	if request.Name == "" {
-		list := c.term.sessions.List(now, request.Query["user"], request.Query["team"])
+		list := c.term.sessions.List(now, request.Query.User, request.Query.Team)
 		return api.Reply{Status: http.StatusOK, Body: list}
 	}
 	view, ok := c.term.sessions.Show(now, request.Name)
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -88,29 +88,49 @@
 		send(api.Refuse(api.InvalidRequest, err.Error()))
 		return
 	}
-	id, verb, _ := strings.Cut(strings.TrimPrefix(location.Path, "/v2/runs/"), "/")
 	switch {
 	case path == "/up":
-		status := http.StatusServiceUnavailable
-		if c.healthy() {
-			status = http.StatusOK
-		}
-		reply(status, []byte("{}"))
+		s.health(reply)
 	case path == "/checkin":
 		s.heartbeat(now, body, send)
-	case location.Path == "/v2/runs" && method == http.MethodPost:
+	case location.Path == jobsPath && method == http.MethodPost:
 		s.submit(now, body, send)
-	case isLeaderPath(location.Path):
-		c.leaderCall(now, leaderRequestOf(method, location, body), send)
-	case verb == "":
-		c.api.Query(now, id, send)
-	case verb == "abort":
-		c.api.Cancel(now, nil, id, send)
 	default:
-		c.leaderCall(now, api.LeaderRequest{Resource: verb, Name: id, Verb: verbShow}, send)
+		if request, ok := parseLeaderRequest(method, location, body); ok {
+			c.leaderCall(now, request, send)
+			return
+		}
+		s.jobRequest(now, strings.TrimPrefix(location.Path, jobsPath+"/"), send)
 	}
 }
 
+// jobRequest takes a request about one job, by its path below that of all jobs.
+func (s *Simulated) jobRequest(now time.Duration, path string, send func(api.Reply)) {
+	id, subresource, _ := strings.Cut(path, "/")
+	switch subresource {
+	case "":
+		s.c.api.Query(now, id, send)
+	case "abort":
+		s.c.api.Cancel(now, nil, id, send)
+	default:
+		resource, ok := leaderJobResources[subresource]
+		if !ok {
+			send(api.Refuse(api.NotFound, "no such path"))
+			return
+		}
+		s.c.leaderCall(now, api.LeaderRequest{Resource: resource, Name: id, Verb: api.VerbShow}, send)
+	}
+}
+
+// health answers a health check.
+func (s *Simulated) health(reply func(status int, body []byte)) {
+	status := http.StatusServiceUnavailable
+	if s.c.healthy() {
+		status = http.StatusOK
+	}
+	reply(status, []byte("{}"))
+}
+
 func (s *Simulated) heartbeat(now time.Duration, body []byte, send func(api.Reply)) {
 	heartbeat, err := fleet.ParseHeartbeat(body)
 	if err != nil {
@@ -129,45 +149,49 @@
 	s.c.api.Submit(now, spec, send)
 }
 
-// isLeaderPath reports whether only the leader answers requests for a path that is about no single job.
-func isLeaderPath(path string) bool {
-	switch path {
-	case "/v2/runs", "/v2/events", "/v2/rollout", "/v2/admin":
-		return true
-	}
-	return strings.HasPrefix(path, zonesPath)
+const (
+	jobsPath  = "/v2/runs"
+	zonesPath = "/v2/zones"
+)
+
+// leaderResources are the paths that the leader answers and that are about no single job or zone.
+var leaderResources = map[string]api.LeaderResource{
+	jobsPath:      api.ResourceJobs,
+	"/v2/events":  api.ResourceEvents,
+	"/v2/rollout": api.ResourceRollout,
+	"/v2/admin":   api.ResourceAdmin,
 }
 
-const zonesPath = "/v2/zones"
+// leaderJobResources are the last parts of a job's paths that the leader answers.
+var leaderJobResources = map[string]api.LeaderResource{
+	"why":    api.ResourcePendingReasons,
+	"events": api.ResourceEvents,
+}
 
-// leaderRequestOf returns the request for a path of isLeaderPath.
-func leaderRequestOf(method string, location *url.URL, body []byte) api.LeaderRequest {
-	query := location.Query()
-	switch location.Path {
-	case "/v2/runs", "/v2/events":
-		request := api.LeaderRequest{Resource: "list", Verb: verbShow, Query: map[string]string{}}
-		if location.Path == "/v2/events" {
-			request.Resource = "events"
-		}
-		for name, values := range query {
-			request.Query[name] = values[0]
-		}
-		return request
-	case "/v2/rollout", "/v2/admin":
-		request := api.LeaderRequest{
-			Resource: strings.TrimPrefix(location.Path, "/v2/"),
-			Verb:     verbShow,
-			Body:     body,
-			Query:    map[string]string{"since": query.Get("since")},
-		}
-		if method == http.MethodPost {
-			request.Verb = "set"
-		}
-		return request
-	default:
-		zone := strings.TrimPrefix(strings.TrimPrefix(location.Path, zonesPath), "/")
-		return api.LeaderRequest{Resource: "zones", Verb: verbShow, Name: zone}
+// parseLeaderRequest returns the request to the leader for a path that is about no single job. ok is false if it is
+// none.
+func parseLeaderRequest(method string, location *url.URL, body []byte) (request api.LeaderRequest, ok bool) {
+	if zone, isZone := strings.CutPrefix(location.Path, zonesPath); isZone {
+		return api.LeaderRequest{
+			Resource: api.ResourceZones,
+			Verb:     api.VerbShow,
+			Name:     strings.TrimPrefix(zone, "/"),
+		}, true
+	}
+	resource, ok := leaderResources[location.Path]
+	if !ok {
+		return api.LeaderRequest{}, false
+	}
+	request = api.LeaderRequest{
+		Resource: resource,
+		Verb:     api.VerbShow,
+		Body:     body,
+		Query:    api.NewLeaderQuery(location.Query().Get),
+	}
+	if method == http.MethodPost {
+		request.Verb = api.VerbSet
 	}
+	return request, true
 }
 
 // Call takes a request of operators, users of sessions or their agents to the leader.
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -305,8 +305,8 @@
 	controller := r.virtual.controllers[l]
 	asked := httpRequest{
 		sender: valueOr(q.Bearer, senderUser),
-		method: q.Verb,
-		path:   q.Resource + "/" + q.Name,
+		method: string(q.Verb),
+		path:   string(q.Resource) + "/" + q.Name,
 		body:   q.Body,
 	}
 	r.virtual.recordMessage(requestTo(controller.settings.PublicAddr, asked))
@@ -322,14 +322,19 @@
 func changeLicences(cluster *testCluster) {
 	cluster.After(45*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 3) })
 	cluster.After(50*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 0) })
-	cluster.licenceCallAt(20*time.Second, "set", `{"count":4,"lower":"stop","by":"test"}`)
-	cluster.licenceCallAt(55*time.Second, "set", `{"count":9,"by":"test"}`)
-	cluster.licenceCallAt(60*time.Second, "show", "")
+	cluster.licenceCallAt(20*time.Second, api.VerbSet, `{"count":4,"lower":"stop","by":"test"}`)
+	cluster.licenceCallAt(55*time.Second, api.VerbSet, `{"count":9,"by":"test"}`)
+	cluster.licenceCallAt(60*time.Second, api.VerbShow, "")
 }
 
-func (r *testCluster) licenceCallAt(at time.Duration, verb, body string) {
+func (r *testCluster) licenceCallAt(at time.Duration, verb api.LeaderVerb, body string) {
 	r.After(at, func() {
-		request := api.LeaderRequest{Resource: "licences", Name: "transcribe", Verb: verb, Body: []byte(body)}
+		request := api.LeaderRequest{
+			Resource: api.ResourceLicences,
+			Name:     "transcribe",
+			Verb:     verb,
+			Body:     []byte(body),
+		}
 		r.callLeader(request, func(int, []byte) {})
 	})
 }
@@ -475,15 +480,15 @@
 		cluster.After(time.Duration(12+4*i)*time.Second, session.useSession)
 		cluster.After(
 			time.Duration(36+3*i)*time.Second,
-			func() { session.call("attach", session.userToken, []byte("{}"), func(int, []byte) {}) },
+			func() { session.call(api.VerbAttach, session.userToken, []byte("{}"), func(int, []byte) {}) },
 		)
 		cluster.After(
 			time.Duration(60+3*i)*time.Second,
-			func() { session.call("close", session.userToken, []byte("{}"), func(int, []byte) {}) },
+			func() { session.call(api.VerbClose, session.userToken, []byte("{}"), func(int, []byte) {}) },
 		)
 	}
-	cluster.After(30*time.Second, func() { cluster.sessions[0].call("show", "", nil, func(int, []byte) {}) })
-	cluster.After(31*time.Second, func() { cluster.sessions[0].call("explain", "", nil, func(int, []byte) {}) })
+	cluster.After(30*time.Second, func() { cluster.sessions[0].call(api.VerbShow, "", nil, func(int, []byte) {}) })
+	cluster.After(31*time.Second, func() { cluster.sessions[0].call(api.VerbExplain, "", nil, func(int, []byte) {}) })
 }
 
 func checkSessionsResumed(cluster *testCluster) {
@@ -496,9 +501,15 @@
 	}
 }
 
-func (s *testSession) call(verb, token string, body []byte, then func(int, []byte)) {
+func (s *testSession) call(verb api.LeaderVerb, token string, body []byte, then func(int, []byte)) {
 	s.r.callLeader(
-		api.LeaderRequest{Resource: "sessions", Name: s.Spec.ID, Verb: verb, Bearer: token, Body: body},
+		api.LeaderRequest{
+			Resource: api.ResourceSessions,
+			Name:     s.Spec.ID,
+			Verb:     verb,
+			Bearer:   token,
+			Body:     body,
+		},
 		then,
 	)
 }
@@ -506,7 +517,7 @@
 // open asks for the session until it is opened, and starts its agent.
 func (s *testSession) open() {
 	s.r.callLeader(
-		api.LeaderRequest{Resource: "sessions", Verb: "open", Body: s.openRequest()},
+		api.LeaderRequest{Resource: api.ResourceSessions, Verb: api.VerbOpen, Body: s.openRequest()},
 		func(status int, _ []byte) {
 			if status != 200 && status != 201 {
 				s.r.After(time.Second, s.open)
@@ -538,7 +549,7 @@
 	s.seq++
 	report := s.report(s.r.Now(), s.seq)
 	raw, _ := json.Marshal(report)
-	s.call("report", s.agentToken, raw, func(status int, body []byte) {
+	s.call(api.VerbHeartbeat, s.agentToken, raw, func(status int, body []byte) {
 		var o sessions.HeartbeatResponse
 		if status == 200 && json.Unmarshal(body, &o) == nil {
 			s.applyOrder(s.r.Now(), task, o)
