--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -21,11 +21,11 @@
 	os.Exit(m.Run())
 }
 
-// Teams whose jobs testService decides on in a particular way; it rejects jobs of all others.
+// Teams whose jobs testService decides on in a particular way. It rejects jobs of rejectedTeam and all others.
 const (
 	admittedTeam  = "t"
 	undecidedTeam = "unknown yet"
-	noLicenceTeam = "short of licences"
+	rejectedTeam  = "short of licences"
 )
 
 // testService is one controller's Service in front of a simulated state service. Requests wait until the test
@@ -104,7 +104,6 @@
 			return AdmissionResult{
 				OK:     spec.Team == admittedTeam,
 				Known:  spec.Team != undecidedTeam,
-				Open:   spec.Team == noLicenceTeam,
 				Reason: "team",
 			}
 		},
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -33,9 +33,8 @@
 // AdmissionResult is the decision whether a job can ever run.
 type AdmissionResult struct {
 	OK    bool
-	Known bool // false: not decided yet, Why gives the reason
-	// Open marks a rejection that another controller, or this one at another time, may have decided otherwise.
-	Open   bool
+	Known bool // false: not decided yet
+	// Reason is why the job is rejected or not decided on, for its user.
 	Reason string
 }
 
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -114,13 +114,13 @@
 	}
 }
 
-// A job that is rejected for lack of licences may have been accepted before, or by another controller: only a fresh
-// read allows the rejection.
-func TestRejectedForLicencesOnlyAfterARead(t *testing.T) {
+// A job that is rejected, for lack of licences say, may have been accepted before, or by another controller: only a
+// fresh read allows the rejection.
+func TestRejectedOnlyAfterARead(t *testing.T) {
 	svc := state.New()
 	service := newTestService(svc)
 	spec := job(1)
-	spec.Team = noLicenceTeam
+	spec.Team = rejectedTeam
 	if reply := service.submit(t, spec); reply.Status != 422 {
 		t.Fatalf("never accepted: %+v", reply)
 	}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -26,9 +26,7 @@
 	}
 	fits := func(machineType capacity.MachineType) bool { return fitsType(spec, machineType) }
 	if !slices.ContainsFunc(c.machineTypes.list, fits) {
-		// Open, since each controller fetches types in its own time: one that has a new type could accept a job that
-		// another, which lacks it, refused for good.
-		return api.AdmissionResult{Known: true, Open: true, Reason: "a task fits no allowed machine type"}
+		return api.AdmissionResult{Known: true, Reason: "a task fits no allowed machine type"}
 	}
 	return c.admitLicences(spec.Licences, spec.Team, tasksAtOnce)
 }
@@ -36,7 +34,7 @@
 // admitLicences checks whether a job's tasks can ever have their licences.
 func (c *Controller) admitLicences(perTask map[string]int, team string, tasksAtOnce int) api.AdmissionResult {
 	ok, why := c.licencePools.CanEverFit(perTask, team, tasksAtOnce)
-	return api.AdmissionResult{OK: ok, Known: true, Open: !ok, Reason: why}
+	return api.AdmissionResult{OK: ok, Known: true, Reason: why}
 }
 
 // fitsType reports whether a job's tasks may run on a machine type and have room there.
