--- a/internal/api/reply.go
+++ b/internal/api/reply.go
@@ -26,8 +26,8 @@
 	jobsNotLoaded           = Refuse(Unavailable, "still reading the jobs")
 )
 
-// stateRunning is the state that users see of a pending job with running tasks; records don't store it.
-const stateRunning = "running"
+// StateRunning is the state that users see of a pending job with running tasks; records don't store it.
+const StateRunning = "running"
 
 // jobBody is the response body that describes a job.
 type jobBody struct {
@@ -44,7 +44,7 @@
 	if job.State == jobs.Pending {
 		done, running = s.Counts(job)
 		if running > 0 {
-			body.State = stateRunning
+			body.State = StateRunning
 		}
 	}
 	if withCounts {
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -24,36 +24,27 @@
 	return max(minEvents, min(maxEvents, int(memoryMB*eventsPerMB)))
 }
 
-// EventFields are the fields of a filter over events.
-var EventFields = query.Fields{
-	"event":   query.Text,
-	"id":      query.Text,
-	"machine": query.Text,
-	"note":    query.Text,
-	"task":    query.Number,
-	"age_s":   query.Number,
-}
+// eventFields are the fields of a filter over events.
+var eventFields = newListFields(
+	map[string]func(*EventView) string{
+		"event":   func(event *EventView) string { return event.Kind },
+		"id":      func(event *EventView) string { return event.Job },
+		"machine": func(event *EventView) string { return event.Machine },
+		"note":    func(event *EventView) string { return event.Note },
+	},
+	map[string]func(*EventView) float64{
+		"task":  (*EventView).taskNumber,
+		"age_s": func(event *EventView) float64 { return event.AgeS },
+	},
+)
 
-// Text implements query.Row.
-func (e *EventView) Text(field string) string {
-	switch field {
-	case "event":
-		return e.Kind
-	case "id":
-		return e.Job
-	case "machine":
-		return e.Machine
-	}
-	return e.Note
-}
+// EventFields are the names and kinds of the fields of a filter over events.
+var EventFields = eventFields.kinds
 
-// Number implements query.Row.
-func (e *EventView) Number(field string) float64 {
-	switch {
-	case field == "age_s":
-		return e.AgeS
-	case e.Task == nil:
-		return -1
+// taskNumber returns the event's task for a filter, -1 if it is about none.
+func (e *EventView) taskNumber() float64 {
+	if e.Task == nil {
+		return events.None
 	}
 	return float64(*e.Task)
 }
@@ -67,12 +58,9 @@
 
 // eventsCall answers with the events from a number on, of one job or of all.
 func (c *Controller) eventsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	filter, ok := parseFilter(request, EventFields, reply)
-	if !ok {
-		return
-	}
-	if !c.listLimiter.allow(now) {
-		reply(api.Refuse(api.TooManyRequests, "too many lists"))
+	filter, refusal, refused := c.startList(now, request, EventFields)
+	if refused {
+		reply(refusal)
 		return
 	}
 	job := request.Name
@@ -112,7 +100,7 @@
 			return true
 		}
 		isMentioned = isMentioned || event.Job == job
-		if view := c.eventView(now, event); filter.Match(&view, EventFields) {
+		if view := c.eventView(now, event); eventFields.match(filter, &view) {
 			page.Events = append(page.Events, view)
 		}
 		return true
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -36,7 +36,7 @@
 		return view
 	}
 	if view.Running > 0 {
-		view.State = stanceRunning
+		view.State = api.StateRunning
 	}
 	if reasons := c.term.fleet.PendingReasons(now, job); reasons != nil {
 		view.Waiting = reasons
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// What a zone gets of new work at most, as ZoneView.Takes.
+// What a zone gets of new work at most, as ZoneView.AcceptsWork.
 const (
 	takesAll    = "all"
 	takesGangs  = "gangs"
