--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -56,13 +56,22 @@
 	c.term.fleet.Gate.Licences.ApplyAnswer(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
 }
 
-// parseLicenceAnswer reads a licence server's answer.
+// licenceServerError is the error of a licence server's answer with another status than 200.
+type licenceServerError struct{ status int }
+
+// Error returns the text for logs.
+func (e *licenceServerError) Error() string {
+	return fmt.Sprintf("licence server answered %d", e.status)
+}
+
+// parseLicenceAnswer reads a licence server's answer. The error is a *licenceServerError, or that of the request or
+// of the answer's content.
 func parseLicenceAnswer(response httpio.Response) (licences.Answer, error) {
 	if response.Err != nil {
 		return licences.Answer{}, response.Err
 	}
 	if response.Status != http.StatusOK {
-		return licences.Answer{}, fmt.Errorf("licence server answered %d", response.Status)
+		return licences.Answer{}, &licenceServerError{response.Status}
 	}
 	return licences.ParseAnswer(response.Body)
 }
@@ -74,15 +83,22 @@
 	}
 }
 
-// validate returns why a command is malformed, nil if it isn't.
+// licenceCommandError is the error of a command whose field breaks a rule.
+type licenceCommandError struct{ field, rule string }
+
+// Error returns the text for the operator.
+func (e *licenceCommandError) Error() string { return e.field + " " + e.rule }
+
+// validate returns a *licenceCommandError if the command is malformed.
 func (l *licenceCommand) validate() error {
 	switch {
 	case !l.Reset && (l.Count == nil || *l.Count < 0 || *l.Count > maxLicenceCount):
-		return fmt.Errorf("count must be 0 to %d", maxLicenceCount)
+		return &licenceCommandError{"count", fmt.Sprintf("must be 0 to %d", maxLicenceCount)}
 	case l.Lower != "" && l.Lower != licences.WaitForRelease && l.Lower != licences.PreemptHolders:
-		return fmt.Errorf("on_lower must be %q or %q", licences.WaitForRelease, licences.PreemptHolders)
+		rule := fmt.Sprintf("must be %q or %q", licences.WaitForRelease, licences.PreemptHolders)
+		return &licenceCommandError{"on_lower", rule}
 	case len(l.By) > maxLicenceByLength:
-		return fmt.Errorf("by is longer than %d characters", maxLicenceByLength)
+		return &licenceCommandError{"by", fmt.Sprintf("is longer than %d characters", maxLicenceByLength)}
 	}
 	return nil
 }
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -1,7 +1,6 @@
 package drain
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -21,17 +20,6 @@
 // unlimited is the limit of machines' requests where these have keys of their own.
 const unlimited = 0
 
-// Reasons for refusing a command. Each is wrapped with what it is about.
-var (
-	// ErrMalformed is the refusal of a command that can't be carried out on any cluster, or for which there is no
-	// room.
-	ErrMalformed = errors.New("not a command")
-	// ErrUnknown is the refusal of a command about a controller or machine that doesn't exist.
-	ErrUnknown = errors.New("no such thing")
-	// ErrLastController is the refusal to drain the last controller that could serve.
-	ErrLastController = errors.New("nobody would be left")
-)
-
 // Command is what an operator requests, as it is sent over HTTP.
 type Command struct {
 	Op   string `json:"op"`   // "drain" or "undrain"
--- a/internal/drain/document.go
+++ b/internal/drain/document.go
@@ -2,13 +2,15 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"maps"
 )
 
 // DocumentKey is where the document is stored.
 const DocumentKey = "h/o/wishes"
 
+// documentName is the document in errors, which operators read.
+const documentName = "wishes"
+
 // maxMachines bounds how many machines may be drained at once while their requests are part of the document, which
 // has to fit a value: until every controller reads those with keys of their own.
 const maxMachines = 60
@@ -24,12 +26,12 @@
 	Last string `json:"last,omitempty"`
 }
 
-// ParseDocument decodes the stored document. It returns an error if the document isn't JSON or is in a newer format.
+// ParseDocument decodes the stored document. The error is a *FormatError, or that of the JSON.
 func ParseDocument(raw json.RawMessage) (Document, error) {
 	var document Document
 	err := json.Unmarshal(raw, &document)
 	if err == nil && document.Format > newestFormat {
-		err = fmt.Errorf("wishes in format %d", document.Format)
+		err = &FormatError{Record: documentName, Format: document.Format}
 	}
 	return document, err
 }
--- /dev/null
+++ b/internal/drain/errors_test.go
@@ -0,0 +1,31 @@
+package drain
+
+import (
+	"errors"
+	"testing"
+)
+
+// What is stored in a newer format, or under the key of another machine, is refused with a typed error, whose text
+// operators read, and changes nothing.
+func TestUnreadableRecordsAreTypedErrors(t *testing.T) {
+	_, documentErr := ParseDocument([]byte(`{"v":2}`))
+	requests := NewMachineRequests()
+	recordErr := requests.HandleItem(MachineKey("i-1"), []byte(`{"v":2,"machine":"i-1"}`), 1)
+	for err, text := range map[error]string{
+		documentErr: "wishes in format 2",
+		recordErr:   "drain request in format 2",
+	} {
+		var format *FormatError
+		if !errors.As(err, &format) || format.Format != 2 || err.Error() != text {
+			t.Errorf("error %v, want %q", err, text)
+		}
+	}
+	err := requests.HandleItem(MachineKey("i-1"), []byte(`{"machine":"i-2"}`), 1)
+	var mismatch *MachineMismatchError
+	if !errors.As(err, &mismatch) || mismatch.Machine != "i-2" {
+		t.Errorf("error %v for the request of another machine", err)
+	}
+	if names := requests.Names(); len(names) > 0 {
+		t.Errorf("requests of %v were taken", names)
+	}
+}
--- a/internal/drain/machine_requests.go
+++ b/internal/drain/machine_requests.go
@@ -4,7 +4,6 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"encoding/json"
-	"fmt"
 	"maps"
 	"regexp"
 	"slices"
@@ -14,6 +13,9 @@
 // level on at which every controller reads them. Before, they are part of the document.
 const MachinePrefix = "h/o/machines/"
 
+// machineRecordName is a machine's record in errors, which operators read.
+const machineRecordName = "drain request"
+
 // plainName matches the names of machines that can be part of a key as they are.
 var plainName = regexp.MustCompile(`^[A-Za-z0-9._:/-]{1,100}$`)
 
@@ -60,7 +62,7 @@
 }
 
 // HandleItem takes over a stored request. Versions that are not newer than one seen already are ignored. The error
-// tells why the value can't be read; it changes nothing then.
+// of a value that can't be read, which changes nothing, is a *FormatError, a *MachineMismatchError or that of the JSON.
 func (r *MachineRequests) HandleItem(key string, raw json.RawMessage, version uint64) error {
 	if version <= r.deletedAt[key] || version <= r.byMachine[r.machineByKey[key]].Version {
 		return nil
@@ -70,10 +72,10 @@
 		return err
 	}
 	if record.Format > newestFormat {
-		return fmt.Errorf("drain request in format %d", record.Format)
+		return &FormatError{Record: machineRecordName, Format: record.Format}
 	}
 	if MachineKey(record.Machine) != key {
-		return fmt.Errorf("the drain request names machine %q", record.Machine)
+		return &MachineMismatchError{record.Machine}
 	}
 	r.machineByKey[key] = record.Machine
 	r.byMachine[record.Machine] = VersionedRequest{Request: record.Request, Version: version}
--- a/internal/peers/frame.go
+++ b/internal/peers/frame.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 )
@@ -13,6 +14,13 @@
 	frameHeaderBytes = 4
 )
 
+// Reasons for not reading a frame or its content.
+var (
+	errFrameTooLarge = errors.New("frame above the limit")
+	errShortFrame    = errors.New("short frame")
+	errBrokenFrame   = errors.New("broken frame")
+)
+
 // WriteFrame writes one frame with the given content.
 func WriteFrame(w io.Writer, content []byte) error {
 	frame := make([]byte, frameHeaderBytes+len(content))
@@ -22,7 +30,8 @@
 	return err
 }
 
-// ReadFrame reads one frame and returns its content. A frame above the limit is an error, before any of it is read.
+// ReadFrame reads one frame and returns its content. The error of a frame above the limit, of which
+// nothing more is read, wraps errFrameTooLarge; any other is that of the reader.
 func ReadFrame(r io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -30,7 +39,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if length > maxFrameBytes {
-		return nil, fmt.Errorf("frame of %d bytes", length)
+		return nil, fmt.Errorf("%w: %d bytes", errFrameTooLarge, length)
 	}
 	content := make([]byte, length)
 	_, err := io.ReadFull(r, content)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"math/rand/v2"
 	"net"
@@ -48,6 +49,9 @@
 			raw[rng.IntN(len(raw))] = byte(rng.Uint32())
 		}
 		if s, err := Decode(raw[:rng.IntN(len(raw)+1)]); err != nil {
+			if !errors.Is(err, errShortFrame) && !errors.Is(err, errBrokenFrame) {
+				t.Fatalf("an error without its reason: %v", err)
+			}
 			refused++
 		} else if len(s.Counts) > len(raw) {
 			t.Fatalf("%d counts from %d bytes", len(s.Counts), len(raw))
@@ -56,8 +60,8 @@
 	if refused == 0 {
 		t.Fatal("no broken frame was refused")
 	}
-	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); err == nil {
-		t.Fatal("a frame of 4 GiB was accepted")
+	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); !errors.Is(err, errFrameTooLarge) {
+		t.Fatalf("a frame of 4 GiB: %v", err)
 	}
 }
 
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,7 +1,6 @@
 package peers
 
 import (
-	"errors"
 	"fmt"
 
 	flatbuffers "github.com/google/flatbuffers/go"
@@ -74,15 +73,15 @@
 const minStatusBytes = 8
 
 // Decode reads the content of a frame. FlatBuffers checks no offsets, so a frame that makes its accessors run out of
-// bounds panics there and is returned as an error here.
+// bounds panics there. The error is errShortFrame or wraps errBrokenFrame.
 func Decode(raw []byte) (status Status, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("broken frame: %v", cause)
+			err = fmt.Errorf("%w: %v", errBrokenFrame, cause)
 		}
 	}()
 	if len(raw) < minStatusBytes {
-		return Status{}, errors.New("short frame")
+		return Status{}, errShortFrame
 	}
 	encoded := wire.GetRootAsStatus(raw, 0)
 	status = Status{
@@ -95,7 +94,7 @@
 	}
 	length := encoded.CountsLength()
 	if length < 0 || length > len(raw)/4 { // each count has an offset of four bytes
-		return Status{}, fmt.Errorf("broken frame: %d counts", length)
+		return Status{}, fmt.Errorf("%w: %d counts", errBrokenFrame, length)
 	}
 	for i := range length {
 		var count wire.JobCount
--- a/internal/zones/record.go
+++ b/internal/zones/record.go
@@ -17,6 +17,12 @@
 // newestFormat is the newest stored format that this release reads.
 const newestFormat = 1
 
+// FormatError is the error of a record in a format that this release can't read.
+type FormatError struct{ Format int }
+
+// Error returns the text for logs and for operators.
+func (e *FormatError) Error() string { return fmt.Sprintf("zones in format %d", e.Format) }
+
 // record is the stored form of Zones. Times are Unix times in milliseconds.
 type record struct {
 	Format int          `json:"v,omitempty"` // 0 means 1
@@ -67,7 +73,8 @@
 
 // Restore takes over what an earlier leader has stored. It is a hint: where machines are heard, the zone returns
 // all the same. index returns the index of a zone by its name, monotonic the monotonic time of a Unix time in
-// milliseconds. The error tells why the value can't be read; nothing is taken over then.
+// milliseconds. If the value can't be read, nothing is taken over and the error is a
+// *FormatError or that of the JSON.
 func (z *Zones) Restore(
 	raw json.RawMessage,
 	index func(string) int32,
@@ -78,7 +85,7 @@
 		return err
 	}
 	if stored.Format > newestFormat {
-		return fmt.Errorf("zones in format %d", stored.Format)
+		return &FormatError{stored.Format}
 	}
 	for _, zone := range stored.Zones {
 		state, ok := parseState(zone.State)
--- a/internal/zones/record_test.go
+++ b/internal/zones/record_test.go
@@ -1,6 +1,7 @@
 package zones
 
 import (
+	"errors"
 	"slices"
 	"testing"
 	"time"
@@ -42,9 +43,14 @@
 
 // What can't be read, or is in a newer format, is an error.
 func TestUnreadableZonesAreRefused(t *testing.T) {
-	for _, raw := range []string{`[]`, `{"v":2}`, `{"zones":7}`} {
-		if New(Config{}).Restore([]byte(raw), zoneIndex, func(int64) time.Duration { return 0 }) == nil {
+	for raw, isNewer := range map[string]bool{`[]`: false, `{"v":2}`: true, `{"zones":7}`: false} {
+		err := New(Config{}).Restore([]byte(raw), zoneIndex, func(int64) time.Duration { return 0 })
+		if err == nil {
 			t.Errorf("%s is taken", raw)
 		}
+		var format *FormatError
+		if errors.As(err, &format) != isNewer {
+			t.Errorf("%s: %v", raw, err)
+		}
 	}
 }
