--- a/internal/api/accesscontrol.go
+++ b/internal/api/accesscontrol.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/subtle"
 	"errors"
+	"fmt"
 	"net"
 	"strings"
 
@@ -11,11 +12,12 @@
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// Reasons why an operator's command is refused where users have no tokens.
+// Reasons why an operator's command is refused: by the last where users have tokens, else by one of the others.
 var (
 	errLocalCommandsOnly = errors.New(
 		"commands are taken from the controller's own machine only, since no operator_token_file is set")
 	errOperatorToken = errors.New("the operators' token is missing or wrong")
+	errNotOperator   = errors.New("is no operator")
 )
 
 // userKey is the key under which a request's context holds its authenticated user.
@@ -59,7 +61,7 @@
 		return l.checkOperatorToken(bearerToken(c), c.IP())
 	}
 	if !user.Operator {
-		return errors.New(user.Name + " is no operator")
+		return fmt.Errorf("%s %w", user.Name, errNotOperator)
 	}
 	return nil
 }
--- a/internal/api/counter_test.go
+++ b/internal/api/counter_test.go
@@ -10,9 +10,15 @@
 	for _, status := range []int{200, 421, 503} {
 		counter.countWorker(status)
 	}
-	want := ResponseCounts{Served: 4, Busy: 1, Unable: 2, Reports: 1, Void: 2}
+	want := ResponseCounts{
+		Served:            4,
+		TooManyRequests:   1,
+		ServerErrors:      2,
+		Heartbeats:        1,
+		HeartbeatsRefused: 2,
+	}
 	if got := counter.Read(); got != want {
-		t.Fatalf("%+v", got)
+		t.Fatalf("%+v, want %+v", got, want)
 	}
 }
 
--- a/internal/api/leaderroutes.go
+++ b/internal/api/leaderroutes.go
@@ -44,7 +44,7 @@
 	User, Team string // whose sessions
 	Where      string // a filter of package query
 	Since      string // where in a list the page begins
-	Limit      string // the most entries of a page
+	Limit      string // the maximum number of entries of a page
 }
 
 // NewLeaderQuery returns the query parameters by a function that returns the value of one.
@@ -104,7 +104,13 @@
 	licenceRoutes = []leaderRoute{
 		{method: fiber.MethodGet, path: "/v2/licences", resource: ResourceLicences, verb: VerbShow},
 		{method: fiber.MethodGet, path: "/v2/licences/:name", resource: ResourceLicences, verb: VerbShow},
-		{method: fiber.MethodPost, path: "/v2/licences/:name", resource: ResourceLicences, verb: VerbSet, operatorsOnly: true},
+		{
+			method:        fiber.MethodPost,
+			path:          "/v2/licences/:name",
+			resource:      ResourceLicences,
+			verb:          VerbSet,
+			operatorsOnly: true,
+		},
 	}
 	sessionRoutes = []leaderRoute{
 		{method: fiber.MethodGet, path: "/v2/sessions", resource: ResourceSessions, verb: VerbShow},
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -17,7 +17,7 @@
 const connectionTimeout = 90 * time.Second
 
 // Routes hold what a server needs to pass requests on to the event loop. All functions are called from connection
-// goroutines, but for Up and Report, which are called on the event loop.
+// goroutines, except for Healthy and HandleHeartbeat, which are called on the event loop.
 type Routes struct {
 	// Post and, for heartbeats, PostHeartbeat queue a function for the event loop. They return false if the queue is
 	// full.
@@ -30,7 +30,7 @@
 	HandleHeartbeat func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
 	// Leader handles requests that only the leader can answer.
 	Leader *LeaderAPI
-	// MaxConns bounds open connections. While more than Crowded are open, those of workers are closed with each
+	// MaxConns bounds open connections. While more than MaxKeptConns are open, those of workers are closed with each
 	// reply.
 	MaxConns, MaxKeptConns int
 	// Counter counts replies to users and workers; nil for none.
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -79,10 +79,7 @@
 // Ask takes a request as the HTTP side does. reply is called once, unless the controller ends before.
 func (s *Simulated) Ask(method, path string, body []byte, reply func(status int, body []byte)) {
 	c, now := s.c, s.c.loop.Now()
-	send := func(r api.Reply) {
-		raw, _ := json.Marshal(r.Body)
-		reply(r.Status, raw)
-	}
+	send := encodeReply(reply)
 	location, err := url.Parse(path)
 	if err != nil {
 		send(api.Refuse(api.InvalidRequest, err.Error()))
@@ -196,10 +193,15 @@
 
 // Call takes a request of operators, users of sessions or their agents to the leader.
 func (s *Simulated) Call(request api.LeaderRequest, reply func(status int, body []byte)) {
-	s.c.leaderCall(s.c.loop.Now(), request, func(r api.Reply) {
+	s.c.leaderCall(s.c.loop.Now(), request, encodeReply(reply))
+}
+
+// encodeReply returns a function that passes replies on with their bodies as JSON.
+func encodeReply(reply func(status int, body []byte)) func(api.Reply) {
+	return func(r api.Reply) {
 		raw, _ := json.Marshal(r.Body)
 		reply(r.Status, raw)
-	})
+	}
 }
 
 // JobsKnown returns how many jobs the controller has in memory, with ended ones that are not archived yet.
