--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -1,9 +1,7 @@
 package controller
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
 	"log/slog"
 	"net/http"
 	"slices"
@@ -42,8 +40,8 @@
 		return
 	}
 	var command drain.Command
-	if err := json.Unmarshal(request.Body, &command); err != nil {
-		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
+	if refusal, refused := decodeCommand(request.Body, &command); refused {
+		reply(refusal)
 		return
 	}
 	if command.Revision != nil && *command.Revision != c.drains.documentVersion {
@@ -89,22 +87,6 @@
 	return api.Refuse(kind, err.Error())
 }
 
-// refuseStaleCommand returns the answer to a command that was based on an older state than the present.
-func refuseStaleCommand(changedBy string) api.Reply {
-	return api.Refuse(api.Conflict, fmt.Sprintf(
-		"something was changed meanwhile (%s): look at the status, and give the command again if it is still right",
-		changedBy,
-	))
-}
-
-// refuseIndeterminateCommand returns the answer to a command whose write has an indeterminate outcome.
-func refuseIndeterminateCommand() api.Reply {
-	return api.Refuse(
-		api.Unavailable,
-		"it is not known whether the command was taken: look at the status before giving it again",
-	)
-}
-
 // adminStatus returns the cluster's status with the page of drained machines after a name.
 func (c *Controller) adminStatus(now time.Duration, after string) Status {
 	status := Status{
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -26,18 +26,19 @@
 
 // queryLicenceServers queries the licence servers that are due.
 func (c *Controller) queryLicenceServers(now time.Duration) {
-	termFleet := c.term.fleet
-	if termFleet.Gate.Licences.IsEmpty() {
+	ledger := c.term.fleet.Gate.Licences
+	if ledger.IsEmpty() {
 		return
 	}
-	for _, pool := range termFleet.Gate.Licences.StartDueQueries(now) {
+	isSameTerm := c.termCheck()
+	for _, pool := range ledger.StartDueQueries(now) {
 		request := httpio.Request{
 			Method:  http.MethodGet,
 			Path:    "/v1/pools/" + url.PathEscape(pool.Name),
 			Timeout: licences.QueryTimeout,
 		}
 		c.licenceSender.Send(pool.Server, request, func(response httpio.Response) {
-			if c.term.fleet == termFleet {
+			if isSameTerm() {
 				c.handleLicenceAnswer(now, pool.Name, response)
 			}
 		})
@@ -141,8 +142,8 @@
 // setLicenceCount answers a command that sets a pool's count or resets it to the declared one.
 func (c *Controller) setLicenceCount(now time.Duration, index int32, body []byte, reply func(api.Reply)) {
 	var command licenceCommand
-	if err := json.Unmarshal(body, &command); err != nil {
-		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
+	if refusal, refused := decodeCommand(body, &command); refused {
+		reply(refusal)
 		return
 	}
 	if err := command.validate(); err != nil {
@@ -158,20 +159,30 @@
 		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 		return
 	}
-	op := c.licenceOp(now, index, &command)
+	c.writeLicenceCount(now, index, version, &command, reply)
+}
+
+// writeLicenceCount writes a pool's count on the condition of its version, and answers by the write's outcome.
+func (c *Controller) writeLicenceCount(
+	now time.Duration,
+	index int32,
+	version uint64,
+	command *licenceCommand,
+	reply func(api.Reply),
+) {
+	op := c.licenceOp(now, index, command)
 	key := licences.Key(c.licencePools.Pools()[index].Name)
 	txn := store.Txn{
 		If:   []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: version}},
 		Then: []store.Op{op},
 	}
-	termFleet := c.term.fleet
+	isSameTerm := c.termCheck()
 	c.store.Txn(txn, store.NormalPriority, func(result store.Result) {
-		hasTerm := c.term.fleet == termFleet
 		switch {
-		case hasTerm && result.Outcome == store.Committed:
-			c.confirmLicenceCount(index, op, &command, result.Revision)
+		case isSameTerm() && result.Outcome == store.Committed:
+			c.confirmLicenceCount(index, op, command, result.Revision)
 			reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
-		case hasTerm && result.Outcome == store.Conflict:
+		case isSameTerm() && result.Outcome == store.Conflict:
 			reply(refuseLicenceConflict("another command", c.licenceView(now, index)))
 		default:
 			reply(api.Refuse(
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"encoding/json"
 	"errors"
 	"log/slog"
 	"net/http"
@@ -68,7 +67,8 @@
 	})
 }
 
-// advanceRollout takes the next step of a rollout, if one is due: every controller judges, the leader acts.
+// advanceRollout takes the next step of a rollout, if one is due: every controller evaluates its state, the leader
+// writes.
 func (c *Controller) advanceRollout(now time.Duration) {
 	// A controller that is behind, or has met a record that it can't read, gives up the leadership at once.
 	if !c.rollout.Compatible() && c.term.active() {
@@ -97,13 +97,13 @@
 }
 
 // migrationProgress returns how much is stored in former formats. The migration isn't done before the followed keys
-// have passed the rise of the level: until then something that was written earlier may not have been seen.
+// have passed the version upgrade: until then a write that precedes it may not have been received.
 func (c *Controller) migrationProgress() rollout.MigrationProgress {
 	drainRequests := c.unmovedDrainRequests()
-	hasPassedRise := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
+	hasPassedUpgrade := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
 	return rollout.MigrationProgress{
 		Left: c.term.fleet.UnmigratedPlans() + drainRequests,
-		Done: c.term.fleet.Migrated() && drainRequests == 0 && hasPassedRise,
+		Done: c.term.fleet.Migrated() && drainRequests == 0 && hasPassedUpgrade,
 	}
 }
 
@@ -132,8 +132,8 @@
 		return
 	}
 	var command rollout.Command
-	if err := json.Unmarshal(request.Body, &command); err != nil {
-		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
+	if refusal, refused := decodeCommand(request.Body, &command); refused {
+		reply(refusal)
 		return
 	}
 	txn, err := c.rollout.Execute(now, command, c.jobs.WallMS(now))
@@ -160,10 +160,7 @@
 		}
 		return api.Reply{Status: http.StatusOK, Body: c.rolloutView(c.loop.Now())}
 	case store.Conflict:
-		return api.Refuse(
-			api.Conflict,
-			"something was changed meanwhile: look at the status, and give the command again if it is still right",
-		)
+		return api.Refuse(api.Conflict, changedMeanwhile+repeatAdvice)
 	default:
 		return refuseIndeterminateCommand()
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -111,13 +111,19 @@
 	c.jobs.ResetPlanning()
 }
 
+// termCheck returns a function that reports whether the present term still lasts.
+func (c *Controller) termCheck() func() bool {
+	termFleet := c.term.fleet
+	return func() bool { return c.term.fleet == termFleet }
+}
+
 // commitInTerm sends a transaction that succeeds only while this controller leads. done is called unless the term has
 // ended meanwhile.
 func (c *Controller) commitInTerm(txn store.Txn, priority store.Priority, done func(store.Result)) {
 	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
-	termFleet := c.term.fleet
+	isSameTerm := c.termCheck()
 	c.store.Txn(txn, priority, func(result store.Result) {
-		if c.term.fleet == termFleet {
+		if isSameTerm() {
 			done(result)
 		}
 	})
@@ -125,9 +131,9 @@
 
 // readInTerm reads a key again. done is called unless the term has ended meanwhile.
 func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
-	termFleet := c.term.fleet
+	isSameTerm := c.termCheck()
 	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
-		if c.term.fleet == termFleet {
+		if isSameTerm() {
 			done(item, err)
 		}
 	})
@@ -148,25 +154,30 @@
 		Timeout: config.DirectCommandTimeout,
 		Once:    true, // one connection each: a large fleet's idle ones would use up the sockets
 	}
-	termFleet := c.term.fleet
+	isSameTerm := c.termCheck()
 	c.workerSender.Send(machine.Addr, request, func(response httpio.Response) {
-		if c.term.fleet != termFleet {
-			return
-		}
-		answered := response.Status == http.StatusOK || response.Status == http.StatusConflict
-		if response.Err != nil || !answered {
-			notExecuted := response.Refused || (response.Err == nil && response.Status == http.StatusBadRequest)
-			done(nil, notExecuted)
+		if !isSameTerm() {
 			return
 		}
-		heartbeat, err := fleet.ParseHeartbeat(response.Body)
-		if err != nil {
-			heartbeat = nil
-		}
-		done(heartbeat, true)
+		done(parseCommandAnswer(response))
 	})
 }
 
+// parseCommandAnswer reads a worker's answer to commands: the heartbeat in it, if there is one, and whether it is
+// certain what became of the commands.
+func parseCommandAnswer(response httpio.Response) (heartbeat *fleet.Heartbeat, ok bool) {
+	answered := response.Status == http.StatusOK || response.Status == http.StatusConflict
+	if response.Err != nil || !answered {
+		notExecuted := response.Refused || (response.Err == nil && response.Status == http.StatusBadRequest)
+		return nil, notExecuted
+	}
+	heartbeat, err := fleet.ParseHeartbeat(response.Body)
+	if err != nil {
+		return nil, true
+	}
+	return heartbeat, true
+}
+
 // loadStoredState reads the sessions and then the plans that are stored, at the start of a term: which sessions are
 // reclaimed must be known before anything is planned.
 func (c *Controller) loadStoredState(now time.Duration) {
@@ -196,9 +207,9 @@
 // listInTerm lists the keys under a prefix for loadStoredState. After a failure all is read again, loadRetryBackoff
 // later. done is called unless the term has ended meanwhile.
 func (c *Controller) listInTerm(prefix string, done func(at time.Duration, items []store.Item)) {
-	termFleet := c.term.fleet
+	isSameTerm := c.termCheck()
 	c.store.List(prefix, func(items []store.Item, _ uint64, err error) {
-		if c.term.fleet != termFleet {
+		if !isSameTerm() {
 			return
 		}
 		at := c.loop.Now()
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -86,7 +86,7 @@
 	Done    int                   `json:"done"`
 	Running int                   `json:"running"`
 	Waiting []fleet.PendingReason `json:"waiting"`
-	// Ahead is how many waiting jobs rank before it, Nearest the ids of the nearest of them.
+	// Ahead is how many waiting jobs come before it in priority order, Nearest the ids of the nearest of them.
 	Ahead   int      `json:"ahead"`
 	Nearest []string `json:"nearest"`
 	// Booting is how many machines that it may use are starting up, BootingS in how many seconds the first is expected.
