--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -20,7 +20,8 @@
 // unlimited is the limit of machines' requests where these have keys of their own.
 const unlimited = 0
 
-// Command is what an operator requests, as it is sent over HTTP.
+// Command is what an operator requests: the wire type of a command over HTTP. AtMS isn't sent, the controller that
+// takes the command sets it.
 type Command struct {
 	Op   string `json:"op"`   // "drain" or "undrain"
 	Kind string `json:"kind"` // "node" or "machine"
@@ -34,7 +35,7 @@
 
 // Cluster is what a command is checked against.
 type Cluster struct {
-	// Alive are the controllers that are heard and reach the state service; Nodes are all.
+	// Alive are the controllers whose statuses arrive and that reach the state service; Nodes are all.
 	Alive, Nodes []string
 	// Machine reports whether there is a machine with a name.
 	Machine func(name string) bool
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -11,7 +11,7 @@
 // newestFormat is the newest stored format of the document and of a machine's request that this release reads.
 const newestFormat = 1
 
-// Request is an operator's request to drain a controller or a machine, as it is stored.
+// Request is an operator's request to drain a controller or a machine: the wire type of what is stored.
 type Request struct {
 	By   string `json:"by,omitempty"`
 	AtMS int64  `json:"at_ms"` // Unix time in milliseconds
--- a/internal/drain/errors.go
+++ b/internal/drain/errors.go
@@ -18,7 +18,7 @@
 
 // FormatError is the error of a record in a format that this release can't read.
 type FormatError struct {
-	Record string // what is stored there, as operators are told
+	Record string // what is stored there, as operators read it
 	Format int
 }
 
--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -25,9 +25,9 @@
 
 // observation is what a zone may look like at one moment.
 type observation struct {
-	name        string
-	count       Count
-	othersHeard bool
+	name            string
+	count           Count
+	othersReachable bool
 }
 
 var observations = []observation{
@@ -46,21 +46,21 @@
 	if o.count.Machines < minMachines {
 		return false
 	}
-	return 2*o.count.Silent > o.count.Machines || (o.othersHeard && 4*o.count.Quiet > 3*o.count.Machines)
+	return 2*o.count.Silent > o.count.Machines || (o.othersReachable && 4*o.count.Quiet > 3*o.count.Machines)
 }
 
 // guard is a condition of the real code that a run is explored without.
 type guard string
 
 const (
-	noGuard            guard = ""
-	guardOthersHeard   guard = "others are heard"
-	guardReturnGrace   guard = "return grace"
-	guardProbation     guard = "probation"
-	guardFlaps         guard = "flaps"
-	guardForgiveness   guard = "flap forgiveness"
-	guardMaxProbation  guard = "longest probation"
-	guardMinimumCounts guard = "enough machines"
+	noGuard              guard = ""
+	guardOthersReachable guard = "others are reachable"
+	guardReturnGrace     guard = "return grace"
+	guardProbation       guard = "probation"
+	guardFlaps           guard = "flaps"
+	guardForgiveness     guard = "flap forgiveness"
+	guardMaxProbation    guard = "longest probation"
+	guardMinimumCounts   guard = "enough machines"
 )
 
 // config returns the configuration of the real code without a guard.
@@ -85,15 +85,15 @@
 }
 
 // observed returns what the real code is given of an observation without a guard.
-func (g guard) observed(seen observation) (count Count, othersHeard bool) {
-	count, othersHeard = seen.count, seen.othersHeard
+func (g guard) observed(seen observation) (count Count, othersReachable bool) {
+	count, othersReachable = seen.count, seen.othersReachable
 	switch g {
-	case guardOthersHeard:
-		othersHeard = true
+	case guardOthersReachable:
+		othersReachable = true
 	case guardMinimumCounts:
 		count = Count{Machines: 4 * count.Machines, Quiet: 4 * count.Quiet, Silent: 4 * count.Silent}
 	}
-	return count, othersHeard
+	return count, othersReachable
 }
 
 // history is the plain model of a zone; its ages count steps.
@@ -113,7 +113,7 @@
 		returnGrace = 0
 	}
 	isEmptyForLong := seen.count.Machines == 0 && inState >= returnGrace
-	isHeardAgain := seen.count.Machines > 0 && 2*seen.count.Quiet <= seen.count.Machines
+	isReachableAgain := seen.count.Machines > 0 && 2*seen.count.Quiet <= seen.count.Machines
 	switch {
 	case seen.isLoss() && !h.isOut:
 		isReturning := h.sinceReturn >= 0 && !h.isSettled
@@ -125,7 +125,7 @@
 		h.onProbation = 0
 		h.isSettled = false
 		h.sinceLoss = 0
-	case h.isOut && (isHeardAgain || isEmptyForLong):
+	case h.isOut && (isReachableAgain || isEmptyForLong):
 		h.isOut = false
 		h.sinceReturn = 0
 	case h.sinceReturn >= 0 && !h.isOut && !h.isSettled:
@@ -212,8 +212,8 @@
 func (s exploredState) step(seen observation, missing guard) (exploredState, error) {
 	z := s.realZones(missing)
 	before := s.zone.State
-	count, othersHeard := missing.observed(seen)
-	z.evaluate(testNow, 0, count, othersHeard)
+	count, othersReachable := missing.observed(seen)
+	z.evaluate(testNow, 0, count, othersReachable)
 	after := z.Zone(0)
 
 	past := s.history
@@ -279,7 +279,7 @@
 // Without any one of the guards some run breaks.
 func TestEveryGuardOfAZoneIsNeeded(t *testing.T) {
 	for _, missing := range []guard{
-		guardOthersHeard,
+		guardOthersReachable,
 		guardReturnGrace,
 		guardProbation,
 		guardFlaps,
--- a/internal/zones/policy.go
+++ b/internal/zones/policy.go
@@ -12,7 +12,7 @@
 	Service                 // services: their tasks stay where they are
 )
 
-// AcceptsWork reports whether new work of a kind may go to machines of a zone that are heard: restartable work
+// AcceptsWork reports whether new work of a kind may go to reachable machines of a zone: restartable work
 // always, gangs and then services as the zone recovers. A zone that flaps gets no gangs before it is healthy, but
 // not for longer than Config.MaxProbation: after four flaps its machines would be idle for three minutes beside
 // gangs that can run nowhere else.
@@ -34,7 +34,7 @@
 	return health.State == Healthy
 }
 
-// AllowsRenting reports whether machines may be rented in a zone: not where they would not be heard, nor where it has
+// AllowsRenting reports whether machines may be rented in a zone: not where they would be unreachable, nor where it has
 // flapped and is still on probation.
 func (z *Zones) AllowsRenting(zone int32) bool {
 	health := z.Zone(zone)
@@ -47,9 +47,9 @@
 	return false
 }
 
-// RetainsMachines reports whether a machine of a zone that is not heard is to be retained. While the zone is lost
+// RetainsMachines reports whether an unreachable machine of a zone is to be retained. While the zone is lost
 // that is so for maxRetention, after which a replacement is cheaper than the wait; once the zone returns the
-// machine has Config.ReturnGrace to be heard.
+// machine has Config.ReturnGrace to send a heartbeat.
 func (z *Zones) RetainsMachines(now time.Duration, zone int32, maxRetention time.Duration) bool {
 	health := z.Zone(zone)
 	inState := now - health.Since
--- a/internal/zones/record.go
+++ b/internal/zones/record.go
@@ -40,10 +40,10 @@
 // Dirty reports whether there are changes that aren't stored.
 func (z *Zones) Dirty() bool { return z.isDirty }
 
-// MarkStored notes that what was encoded last is being stored.
+// MarkStored records that what was encoded last is being stored.
 func (z *Zones) MarkStored() { z.isDirty = false }
 
-// MarkDirty notes that it was not stored after all.
+// MarkDirty records that it was not stored after all.
 func (z *Zones) MarkDirty() { z.isDirty = true }
 
 // Encode returns what is stored for the next leader: zones that are not healthy, or have flapped. name returns the
@@ -71,7 +71,7 @@
 	return raw
 }
 
-// Restore takes over what an earlier leader has stored. It is a hint: where machines are heard, the zone returns
+// Restore takes over what an earlier leader has stored. It is a hint: where heartbeats arrive, the zone returns
 // all the same. index returns the index of a zone by its name, monotonic the monotonic time of a Unix time in
 // milliseconds. If the value can't be read, nothing is taken over and the error is a
 // *FormatError or that of the JSON.
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -18,11 +18,11 @@
 // The states of a zone.
 //
 //	Healthy     -> Suspect      more than a quarter of its machines are quiet
-//	Suspect     -> Healthy      they are heard again
+//	Suspect     -> Healthy      they are reachable again
 //	Healthy, Suspect -> Lost    more than half of its machines have been silent for long; or more than three quarters
-//	                            are quiet while those of other zones are heard
-//	Lost        -> Returning    half of them are heard again; or none is left, for ReturnGrace
-//	Returning   -> OnProbation  nine tenths are heard, or ReturnGrace has passed
+//	                            are quiet while those of other zones are reachable
+//	Lost        -> Returning    half of them are reachable again; or none is left, for ReturnGrace
+//	Returning   -> OnProbation  nine tenths are reachable, or ReturnGrace has passed
 //	OnProbation -> Healthy      it has stayed so for ProbationTime, doubled with each flap
 //	Returning, OnProbation -> Lost  it falls silent again: a flap, as is any loss soon after the one before
 const (
@@ -99,72 +99,73 @@
 	slices.Sort(indices)
 	for _, index := range indices {
 		count := counts[index]
-		// Silence here while others are heard is this zone's; silence everywhere may be the controller's.
+		// Silence here while others are reachable is this zone's; silence everywhere may be the controller's.
 		others := Count{Machines: all.Machines - count.Machines, Quiet: all.Quiet - count.Quiet}
-		z.evaluate(now, index, count, others.areHeard())
+		z.evaluate(now, index, count, others.areReachable())
 	}
 }
 
-// evaluate changes the state of one zone. othersHeard is whether the machines of other zones are heard.
-func (z *Zones) evaluate(now time.Duration, index int32, count Count, othersHeard bool) {
+// evaluate changes the state of one zone. othersReachable is whether the machines of other zones are reachable.
+func (z *Zones) evaluate(now time.Duration, index int32, count Count, othersReachable bool) {
 	zone := z.at(index)
-	isSilent := count.isSilent(othersHeard)
+	if zone.State != Lost && count.isSilent(othersReachable) {
+		z.transition(now, index, Lost, count)
+		return
+	}
 	inState := now - zone.Since
 	switch zone.State {
 	case Healthy, Suspect:
-		isSuspect := count.isSuspect()
-		switch {
-		case isSilent:
-			z.transition(now, index, Lost, count)
-		case zone.State == Healthy && isSuspect:
-			z.transition(now, index, Suspect, count)
-		case zone.State == Suspect && !isSuspect:
-			z.transition(now, index, Healthy, count)
-		case zone.State == Healthy && zone.Flaps > 0 && now-zone.forgivenAt >= z.cfg.FlapForgiveness:
-			zone.Flaps--
-			zone.forgivenAt = now
-			z.isDirty = true
-		}
+		z.evaluateInService(now, index, zone, count)
 	case Lost:
-		// Where no machine is left none will be heard: after a while new ones are tried, or the zone would stay lost.
+		// An empty zone has no machine that could become reachable: after a while new ones are tried, or it would stay
+		// lost.
 		isEmptyForLong := count.Machines == 0 && inState >= z.cfg.ReturnGrace
-		if isEmptyForLong || count.isHeardAgain() {
+		if isEmptyForLong || count.isReachableAgain() {
 			z.transition(now, index, Returning, count)
 		}
 	case Returning:
-		switch {
-		case isSilent:
-			z.transition(now, index, Lost, count)
-		case count.isNearlyAllHeard() || inState >= z.cfg.ReturnGrace:
+		if count.isNearlyAllReachable() || inState >= z.cfg.ReturnGrace {
 			z.transition(now, index, OnProbation, count)
 		}
 	case OnProbation:
-		switch {
-		case isSilent:
-			z.transition(now, index, Lost, count)
-		case inState >= z.cfg.ProbationTime<<zone.Flaps:
+		if inState >= z.cfg.ProbationTime<<zone.Flaps {
 			z.transition(now, index, Healthy, count)
 		}
 	}
 }
 
+// evaluateInService changes the state of a zone that is healthy or suspect, and forgives its flaps.
+func (z *Zones) evaluateInService(now time.Duration, index int32, zone *Zone, count Count) {
+	isSuspect := count.isSuspect()
+	switch {
+	case zone.State == Healthy && isSuspect:
+		z.transition(now, index, Suspect, count)
+	case zone.State == Suspect && !isSuspect:
+		z.transition(now, index, Healthy, count)
+	case zone.State == Healthy && zone.Flaps > 0 && now-zone.forgivenAt >= z.cfg.FlapForgiveness:
+		zone.Flaps--
+		zone.forgivenAt = now
+		z.isDirty = true
+	}
+}
+
 // isSilent reports whether a zone with this count is lost: more than half of its machines have been silent for
-// long, or more than three quarters are quiet while those of other zones are heard.
-func (c Count) isSilent(othersHeard bool) bool {
+// long, or more than three quarters are quiet while those of other zones are reachable.
+func (c Count) isSilent(othersReachable bool) bool {
 	if c.Machines < minMachines {
 		return false
 	}
-	return 2*c.Silent > c.Machines || (othersHeard && 4*c.Quiet > 3*c.Machines)
+	return 2*c.Silent > c.Machines || (othersReachable && 4*c.Quiet > 3*c.Machines)
 }
 
 // isSuspect reports whether more than a quarter of the machines are quiet.
 func (c Count) isSuspect() bool { return c.Machines >= minMachines && 4*c.Quiet > c.Machines }
 
-// isHeardAgain reports whether at least half of the machines, and one, are heard.
-func (c Count) isHeardAgain() bool { return c.Machines > 0 && 2*c.Quiet <= c.Machines }
+// isReachableAgain reports whether at least half of the machines, and one, are reachable.
+func (c Count) isReachableAgain() bool { return c.Machines > 0 && 2*c.Quiet <= c.Machines }
 
-// isNearlyAllHeard reports whether at most a tenth of the machines is quiet.
-func (c Count) isNearlyAllHeard() bool { return 10*c.Quiet <= c.Machines }
+// isNearlyAllReachable reports whether at most a tenth of the machines is quiet.
+func (c Count) isNearlyAllReachable() bool { return 10*c.Quiet <= c.Machines }
 
-// areHeard reports whether there are enough machines, and less than three tenths of them are quiet.
-func (c Count) areHeard() bool { return c.Machines >= minMachines && 10*c.Quiet < 3*c.Machines }
+// areReachable reports whether there are enough machines, and less than three tenths of them are quiet.
+func (c Count) areReachable() bool { return c.Machines >= minMachines && 10*c.Quiet < 3*c.Machines }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,6 +1,7 @@
-// Package zones keeps the health of each zone as a failure domain: whether its machines are heard, since when they
-// are not, how often the zone has been lost lately, and when it has been healthy for long enough again. A zone's
-// state decides where work goes and in which order; it never decides what counts as running.
+// Package zones keeps the health of each zone as a failure domain: whether its machines are reachable, that is,
+// whether their heartbeats arrive, since when they are not, how often the zone has been lost lately, and when it has
+// been healthy for long enough again. A zone's state decides where work goes and in which order; it never decides what
+// counts as running.
 //
 // The package owns no machines, rents none and has no clock and no goroutine. The leader's fleet counts the
 // machines of each zone, calls Evaluate with the counts, and asks before it places work, rents a machine or gives
@@ -18,9 +19,9 @@
 
 // Config is the durations by which zones are evaluated.
 type Config struct {
-	// ReturnGrace is how long machines that are not heard are retained once their zone returns.
+	// ReturnGrace is how long unreachable machines are retained once their zone returns.
 	ReturnGrace time.Duration
-	// ProbationTime is how long a zone must stay heard before it counts as healthy. It doubles with each flap.
+	// ProbationTime is how long a zone must stay reachable before it counts as healthy. It doubles with each flap.
 	ProbationTime time.Duration
 	// FlapForgiveness is how long a zone must be healthy for one flap to be forgiven. A loss sooner than that after
 	// the one before is a flap.
@@ -37,7 +38,7 @@
 	State      State
 	Since      time.Duration // of the state
 	LostAt     time.Duration // when it was lost last
-	ReturnedAt time.Duration // when it was heard again last
+	ReturnedAt time.Duration // when it was reachable again last
 	Flaps      int           // recent losses, beyond the first
 	forgivenAt time.Duration // when a flap was forgiven last
 	wasLost    bool          // LostAt is set
