--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"log/slog"
+	"maps"
 	"net/http"
 	"slices"
 	"time"
@@ -117,3 +118,28 @@
 	status.Draining, status.DrainingTotal = c.drainStatus(after)
 	return status
 }
+
+// drainPageSize bounds the machines of one answer: it stays within the largest body that users get.
+const drainPageSize = 200
+
+// drainStatus returns a page of the machines that are being drained, by name after the one given, and how many there
+// are in all.
+func (c *Controller) drainStatus(after string) (page []MachineStatus, total int) {
+	requests := c.desiredDrains().Machines()
+	page = []MachineStatus{}
+	for _, name := range slices.Sorted(maps.Keys(requests)) {
+		if name <= after {
+			continue
+		}
+		if len(page) == drainPageSize {
+			break
+		}
+		status := MachineStatus{Machine: name, State: "unknown", By: requests[name].By}
+		if machine := c.term.fleet.FindMachine(name); machine != nil {
+			status.State = machine.Condition.String()
+			status.Tasks = len(machine.Tasks)
+		}
+		page = append(page, status)
+	}
+	return page, len(requests)
+}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -15,6 +15,3 @@
 	// Sender makes a sender with at most limit requests in flight; nil: over sockets.
 	Sender func(limit int) httpio.Sender
 }
-
-// TickEvery is the interval of a controller's event loop.
-const TickEvery = 50 * time.Millisecond
