--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -13,13 +13,25 @@
 // rather than an outage.
 const staleCacheAnswerAge = time.Second
 
+// Limits of how long no heartbeat reaches a leader: so many intervals between a worker's heartbeats, and so many
+// seconds more. Beyond the shorter limit other controllers' heartbeats decide, beyond the longer one the leader's own.
+const (
+	minSilentIntervals = 1.25
+	minSilenceMarginS  = 2
+	maxSilentIntervals = 2
+	maxSilenceMarginS  = 4
+)
+
+// manyReachedDivisor sets the part of the expected heartbeats, a quarter, above which other controllers receive many.
+const manyReachedDivisor = 4
+
 // workerSilence is what a leader goes by when no worker's heartbeat has reached it for a while.
 type workerSilence struct {
-	silentFor       time.Duration // since the last heartbeat, or since authority began
-	reportInterval  float64       // of workers, in seconds
-	lease           time.Duration // of workers
-	expected        int           // machines of which heartbeats are expected
-	reachedByOthers int           // heartbeats that other controllers received lately
+	silentFor         time.Duration // since the last heartbeat, or since authority began
+	heartbeatInterval float64       // of workers, in seconds
+	lease             time.Duration // of workers
+	expected          int           // machines of which heartbeats are expected
+	reachedByOthers   int           // heartbeats that other controllers received lately
 }
 
 // resignCause returns why the leader should resign, "" if it should not: at once where other controllers receive many
@@ -27,11 +39,11 @@
 // expired. A leader that resigned earlier, with every machine gone, would leave the next one to count the leases anew:
 // they would never expire, and no machine would be rented.
 func (s workerSilence) resignCause() string {
-	limit := config.Seconds(2*s.reportInterval + 4)
+	limit := config.Seconds(maxSilentIntervals*s.heartbeatInterval + maxSilenceMarginS)
 	switch {
 	case s.expected == 0:
 		return ""
-	case 4*s.reachedByOthers > s.expected:
+	case manyReachedDivisor*s.reachedByOthers > s.expected:
 		return "workers reach other controllers"
 	case s.silentFor < limit:
 		return ""
@@ -43,7 +55,9 @@
 
 // minSilence is how long no heartbeat must have arrived before a leader resigns because many workers reach others: for
 // each of them one heartbeat was due and the next one nearly.
-func minSilence(reportInterval float64) time.Duration { return config.Seconds(1.25*reportInterval + 2) }
+func minSilence(heartbeatInterval float64) time.Duration {
+	return config.Seconds(minSilentIntervals*heartbeatInterval + minSilenceMarginS)
+}
 
 // resignIfUnreachable resigns when no worker reaches this leader although there must be some.
 func (c *Controller) resignIfUnreachable(now time.Duration) {
@@ -53,10 +67,10 @@
 		return
 	}
 	silence := workerSilence{
-		silentFor:       silentFor,
-		reportInterval:  workers.HeartbeatIntervalS,
-		lease:           c.settings.WorkerLease(),
-		reachedByOthers: c.peers.heartbeats(now),
+		silentFor:         silentFor,
+		heartbeatInterval: workers.HeartbeatIntervalS,
+		lease:             c.settings.WorkerLease(),
+		reachedByOthers:   c.peers.heartbeats(now),
 	}
 	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -9,9 +9,9 @@
 // and without them only once the workers' leases have expired.
 func TestSilentLeaderResignsByWhatOthersReceive(t *testing.T) {
 	const (
-		reportInterval = 3.0
-		lease          = 20 * time.Second
-		limit          = 10 * time.Second // 2 * reportInterval + 4 s
+		heartbeatInterval = 3.0
+		lease             = 20 * time.Second
+		limit             = 10 * time.Second // 2 * heartbeatInterval + 4 s
 	)
 	cases := []struct {
 		name            string
@@ -21,7 +21,7 @@
 		want            string
 	}{
 		{"no machines", time.Hour, 0, 100, ""},
-		{"more than a quarter reach others", minSilence(reportInterval), 100, 26, "workers reach other controllers"},
+		{"more than a quarter reach others", minSilence(heartbeatInterval), 100, 26, "workers reach other controllers"},
 		{"a quarter reaches others, early", limit - 1, 100, 25, ""},
 		{"few reach others, after the limit", limit, 100, 1, "no worker reaches this leader"},
 		{"none reaches others, after the limit", limit, 100, 0, ""},
@@ -31,11 +31,11 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			silence := workerSilence{
-				silentFor:       test.silentFor,
-				reportInterval:  reportInterval,
-				lease:           lease,
-				expected:        test.expected,
-				reachedByOthers: test.reachedByOthers,
+				silentFor:         test.silentFor,
+				heartbeatInterval: heartbeatInterval,
+				lease:             lease,
+				expected:          test.expected,
+				reachedByOthers:   test.reachedByOthers,
 			}
 			if got := silence.resignCause(); got != test.want {
 				t.Errorf("cause %q, want %q", got, test.want)
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -53,7 +53,7 @@
 	case api.ResourceZones:
 		c.zoneCall(now, request, reply)
 	case api.ResourcePendingReasons:
-		c.whyCall(now, request, reply)
+		c.pendingReasonsCall(now, request, reply)
 	case api.ResourceEvents:
 		c.eventsCall(now, request, reply)
 	case api.ResourceJobs:
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -13,8 +13,8 @@
 // maxNearestJobs bounds JobPendingView.Nearest.
 const maxNearestJobs = 5
 
-// whyCall answers why a job waits, by the reasons that planning has recorded.
-func (c *Controller) whyCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// pendingReasonsCall answers why a job waits, by the reasons that planning has recorded.
+func (c *Controller) pendingReasonsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	job := c.jobs.Get(request.Name)
 	if job == nil {
 		reply(api.Refuse(api.NotFound, jobNotInTable))
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -36,8 +36,8 @@
 // Tick does all that is due.
 func (s *Simulated) Tick() { s.c.tick(s.c.loop.Now()) }
 
-// Hear applies a status of another controller. A malformed one is ignored.
-func (s *Simulated) Hear(raw []byte) {
+// HandleStatus applies a status of another controller. A malformed one is ignored.
+func (s *Simulated) HandleStatus(raw []byte) {
 	if status, err := peers.Decode(raw); err == nil {
 		s.c.handlePeerStatus(status)
 	}
@@ -48,11 +48,11 @@
 	return s.c.term.active() && s.c.membership.HasAuthority(s.c.loop.Now())
 }
 
-// Step returns the state of the controller's membership, between joining and leading.
-func (s *Simulated) Step() string { return s.c.membership.State().String() }
+// MembershipState returns the state of the controller's membership, between joining and leading.
+func (s *Simulated) MembershipState() string { return s.c.membership.State().String() }
 
-// Acts reports whether the controller counts a machine as ready.
-func (s *Simulated) Acts(machine string) bool {
+// IsReady reports whether the controller leads and counts a machine as ready.
+func (s *Simulated) IsReady(machine string) bool {
 	if !s.c.term.active() {
 		return false
 	}
@@ -60,10 +60,10 @@
 	return found != nil && found.Condition == fleet.Ready
 }
 
-// Hears reports whether the controller counts a machine as ready by a session's heartbeat at a sequence number, or by
-// one of the two before.
-func (s *Simulated) Hears(machine string, session, seq uint64) bool {
-	if !s.Acts(machine) {
+// HasHeartbeat reports whether the controller counts a machine as ready by a session's heartbeat at a sequence number,
+// or by one of the two before.
+func (s *Simulated) HasHeartbeat(machine string, session, seq uint64) bool {
+	if !s.IsReady(machine) {
 		return false
 	}
 	found := s.c.term.fleet.FindMachine(machine)
@@ -204,5 +204,5 @@
 	}
 }
 
-// JobsKnown returns how many jobs the controller has in memory, with ended ones that are not archived yet.
-func (s *Simulated) JobsKnown() int { return s.c.jobs.Len() }
+// JobsInMemory returns how many jobs the controller has in memory, with ended ones that are not archived yet.
+func (s *Simulated) JobsInMemory() int { return s.c.jobs.Len() }
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -6,12 +6,22 @@
 	"strings"
 )
 
+// Op is what a command does. Its value is the name on the wire.
+type Op string
+
+// The operations.
 const (
-	opDrain   = "drain"
-	opUndrain = "undrain"
+	OpDrain   Op = "drain"
+	OpUndrain Op = "undrain"
+)
 
-	kindNode    = "node" // a controller
-	kindMachine = "machine"
+// Kind is the kind of what a command is about. Its value is the name on the wire.
+type Kind string
+
+// The kinds.
+const (
+	KindNode    Kind = "node" // a controller
+	KindMachine Kind = "machine"
 )
 
 // maxNameLength bounds the names in a command, in bytes.
@@ -23,8 +33,8 @@
 // Command is what an operator requests: the wire type of a command over HTTP. AtMS isn't sent, the controller that
 // takes the command sets it.
 type Command struct {
-	Op   string `json:"op"`   // "drain" or "undrain"
-	Kind string `json:"kind"` // "node" or "machine"
+	Op   Op     `json:"op"`
+	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 	By   string `json:"by"`
 	Stop bool   `json:"stop"`
@@ -43,8 +53,8 @@
 
 // validate checks what can be checked without the cluster.
 func (c Command) validate() error {
-	isOp := c.Op == opDrain || c.Op == opUndrain
-	isKind := c.Kind == kindNode || c.Kind == kindMachine
+	isOp := c.Op == OpDrain || c.Op == OpUndrain
+	isKind := c.Kind == KindNode || c.Kind == KindMachine
 	isNamed := c.Name != "" && len(c.Name) <= maxNameLength
 	if !isOp || !isKind || !isNamed || len(c.By) > maxNameLength {
 		return fmt.Errorf("%w: op must be drain or undrain, kind node or machine, "+
@@ -64,13 +74,13 @@
 	if err := command.validate(); err != nil {
 		return d, err
 	}
-	if command.Kind != kindMachine {
+	if command.Kind != KindMachine {
 		command.Stop = false
 	}
 	next := d.clone()
 	requests := next.requestsOf(command.Kind)
 	current, isRequested := (*requests)[command.Name]
-	if command.Op == opUndrain {
+	if command.Op == OpUndrain {
 		if !isRequested {
 			return d, nil
 		}
@@ -92,7 +102,7 @@
 
 // checkDrain returns why a controller or machine must not be drained.
 func (d Document) checkDrain(command Command, cluster Cluster, limit int) error {
-	if command.Kind == kindMachine {
+	if command.Kind == KindMachine {
 		return d.checkDrainMachine(command.Name, cluster, limit)
 	}
 	if !slices.Contains(cluster.Nodes, command.Name) {
--- a/internal/drain/command_test.go
+++ b/internal/drain/command_test.go
@@ -20,19 +20,19 @@
 
 // drainMachine is the command to drain a machine.
 func drainMachine(name string) Command {
-	return Command{Op: opDrain, Kind: kindMachine, Name: name, By: "kana"}
+	return Command{Op: OpDrain, Kind: KindMachine, Name: name, By: "kana"}
 }
 
 // drawCommand draws a command about one of three controllers or machines, one of which doesn't exist.
 func drawCommand(t *rapid.T, nodes []string) Command {
 	command := Command{
-		Op:   rapid.SampledFrom([]string{opDrain, opUndrain}).Draw(t, "op"),
-		Kind: rapid.SampledFrom([]string{kindNode, kindMachine}).Draw(t, "kind"),
+		Op:   rapid.SampledFrom([]Op{OpDrain, OpUndrain}).Draw(t, "op"),
+		Kind: rapid.SampledFrom([]Kind{KindNode, KindMachine}).Draw(t, "kind"),
 		By:   "kana",
 		Stop: rapid.Bool().Draw(t, "stop"),
 	}
 	command.Name = rapid.SampledFrom([]string{"m-1", "m-2", "m-none"}).Draw(t, "machine")
-	if command.Kind == kindNode {
+	if command.Kind == KindNode {
 		command.Name = rapid.SampledFrom(nodes).Draw(t, "node")
 	}
 	return command
@@ -54,8 +54,8 @@
 			othersServe := slices.ContainsFunc(cluster.Alive, func(node string) bool {
 				return node != command.Name && !drained[node]
 			})
-			isNewDrain := command.Op == opDrain && !drained[command.Name]
-			isImpossible := command.Name == "m-none" || (command.Kind == kindNode && !othersServe)
+			isNewDrain := command.Op == OpDrain && !drained[command.Name]
+			isImpossible := command.Name == "m-none" || (command.Kind == KindNode && !othersServe)
 			if (err != nil) != (isNewDrain && isImpossible) {
 				t.Fatalf("%+v with %v alive and %v drained: %v", command, cluster.Alive, drained, err)
 			}
@@ -67,7 +67,7 @@
 				continue
 			}
 			document = next
-			if command.Op == opDrain {
+			if command.Op == OpDrain {
 				drained[command.Name] = true
 			} else {
 				delete(drained, command.Name)
@@ -118,9 +118,9 @@
 	document := fullDocument(t)
 	for _, command := range []Command{
 		{},
-		{Op: opDrain, Kind: "zone", Name: "a"},
-		{Op: "stop", Kind: kindNode, Name: "a"},
-		{Op: opDrain, Kind: kindNode},
+		{Op: OpDrain, Kind: "zone", Name: "a"},
+		{Op: "stop", Kind: KindNode, Name: "a"},
+		{Op: OpDrain, Kind: KindNode},
 	} {
 		if _, err := document.Apply(command, anyMachine()); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%+v: %v", command, err)
--- a/internal/drain/desired_state.go
+++ b/internal/drain/desired_state.go
@@ -63,7 +63,7 @@
 	}
 	change := Change{Document: next}
 	change.Document.Machines = s.requestsWithoutKey()
-	if command.Kind != kindMachine {
+	if command.Kind != KindMachine {
 		return change, nil
 	}
 	delete(change.Document.Machines, command.Name)
--- a/internal/drain/document.go
+++ b/internal/drain/document.go
@@ -46,8 +46,8 @@
 }
 
 // requestsOf returns the requests of a kind.
-func (d *Document) requestsOf(kind string) *map[string]Request {
-	if kind == kindNode {
+func (d *Document) requestsOf(kind Kind) *map[string]Request {
+	if kind == KindNode {
 		return &d.Nodes
 	}
 	return &d.Machines
--- a/internal/drain/migration_test.go
+++ b/internal/drain/migration_test.go
@@ -60,8 +60,8 @@
 // command draws a command and decides it; it may be carried out now, and is so later at any time.
 func (r *migrationRun) command() {
 	command := Command{
-		Op:   rapid.SampledFrom([]string{opDrain, opUndrain}).Draw(r.t, "op"),
-		Kind: kindMachine,
+		Op:   rapid.SampledFrom([]Op{OpDrain, OpUndrain}).Draw(r.t, "op"),
+		Kind: KindMachine,
 		By:   "kana",
 		Name: rapid.SampledFrom(r.machines).Draw(r.t, "name"),
 		Stop: rapid.Bool().Draw(r.t, "stop"),
@@ -76,7 +76,7 @@
 			r.counts.refused++
 			return false
 		}
-		if command.Op == opDrain {
+		if command.Op == OpDrain {
 			r.model[command.Name] = command.Stop
 		} else {
 			delete(r.model, command.Name)
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -134,7 +134,7 @@
 	hear := func() {
 		cut := env.linkCheck(c.settings.PublicAddr, PeerLinks)() || env.linkCheck(peer.settings.PublicAddr, PeerLinks)()
 		if peer.process != nil && !cut {
-			peer.whileRunning(func() { peer.process.Hear(status) })()
+			peer.whileRunning(func() { peer.process.HandleStatus(status) })()
 		}
 	}
 	env.schedule(jitter(env.rng, env.network.meanDelay), func() {
@@ -209,7 +209,7 @@
 // run.
 func (sim *Simulation) ControllerStep(i int) string {
 	if c := sim.virtual.controllers[i]; c.process != nil {
-		return c.process.Step()
+		return c.process.MembershipState()
 	}
 	return ""
 }
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -113,7 +113,7 @@
 		if controller.process == nil {
 			m.t.Fatalf("controller %d doesn't run", i)
 		}
-		h.known = max(h.known, controller.process.JobsKnown())
+		h.known = max(h.known, controller.process.JobsInMemory())
 	}
 	for i := range m.virtual.controllers {
 		before := heapMB()
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -140,7 +140,7 @@
 			}
 			for name, at := range dead {
 				if c := cluster.virtual.controllers[l].process; c != nil && cluster.Now()-at > 40*time.Second &&
-					c.Acts(name) {
+					c.IsReady(name) {
 					revived++
 				}
 			}
@@ -322,7 +322,7 @@
 					cluster.mu.Lock()
 					machine := cluster.cloud.machineByName[name]
 					known := !machine.dead && cluster.virtual.controllers[l].process != nil &&
-						cluster.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
+						cluster.virtual.controllers[l].process.HasHeartbeat(name, machine.session, machine.seq)
 					dead := machine.dead
 					cluster.mu.Unlock()
 					if dead || known {
