--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -70,7 +70,7 @@
 		silentFor:         silentFor,
 		heartbeatInterval: workers.HeartbeatIntervalS,
 		lease:             c.settings.WorkerLease(),
-		reachedByOthers:   c.peers.heartbeats(now),
+		reachedByOthers:   c.peers.foreignHeartbeats(now),
 	}
 	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -49,13 +49,13 @@
 	return node
 }
 
-// heartbeats returns how many heartbeats of another leader's workers the controllers that are alive have received
-// lately.
-func (s *peerSet) heartbeats(now time.Duration) int {
+// foreignHeartbeats returns how many heartbeats of another leader's workers the controllers that are alive have
+// received lately.
+func (s *peerSet) foreignHeartbeats(now time.Duration) int {
 	heartbeats := 0
 	for _, status := range s.status {
 		if status.isFresh(now) {
-			heartbeats += int(status.Workers)
+			heartbeats += int(status.ForeignHeartbeats)
 		}
 	}
 	return heartbeats
@@ -120,7 +120,7 @@
 		Node:                  c.settings.Node,
 		Leading:               c.term.active(),
 		StateServiceReachable: now-c.store.LastSuccess() < statusStoreAge,
-		Workers:               c.foreignHeartbeats.add(now, heartbeatInterval, 0),
+		ForeignHeartbeats:     c.foreignHeartbeats.add(now, heartbeatInterval, 0),
 		Leaving:               !c.lifecycle.isServing(),
 	}
 	if !c.term.active() {
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -48,7 +48,7 @@
 	case api.VerbClose:
 		manager.Close(request.Name, request.Bearer, answer)
 	case api.VerbHeartbeat:
-		reply(c.sessionReport(now, request))
+		reply(c.sessionHeartbeat(now, request))
 	case api.VerbExplain:
 		reply(c.explainSession(now, request.Name))
 	default: // api.VerbShow
@@ -113,8 +113,8 @@
 	reply(sessionReply(c.term.sessions.KeepAlive(now, request.Name, request.Bearer, body.Attachment)))
 }
 
-// sessionReport answers the heartbeat of a session's agent.
-func (c *Controller) sessionReport(now time.Duration, request api.LeaderRequest) api.Reply {
+// sessionHeartbeat answers the heartbeat of a session's agent.
+func (c *Controller) sessionHeartbeat(now time.Duration, request api.LeaderRequest) api.Reply {
 	heartbeat, err := sessions.ParseHeartbeat(request.Body)
 	if err != nil {
 		return api.Refuse(api.InvalidRequest, err.Error())
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,7 +13,7 @@
 
 func sample() Status {
 	return Status{
-		Node: "n-1", Term: 7, Leading: true, StateServiceReachable: true, Workers: 21,
+		Node: "n-1", Term: 7, Leading: true, StateServiceReachable: true, ForeignHeartbeats: 21,
 		Counts: []JobCount{{"req-000001", 3, 4}, {"req-000002", 0, 9}},
 	}
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -23,7 +23,7 @@
 	Term                  uint64
 	Leading               bool
 	StateServiceReachable bool   // the state service answers it
-	Workers               uint32 // workers with a recent heartbeat
+	ForeignHeartbeats     uint32 // lately received of workers whose owner is another controller
 	Leaving               bool   // it drains
 	Counts                []JobCount
 }
@@ -44,7 +44,7 @@
 	wire.StatusAddTerm(builder, status.Term)
 	wire.StatusAddLeading(builder, status.Leading)
 	wire.StatusAddStateOk(builder, status.StateServiceReachable)
-	wire.StatusAddWorkers(builder, status.Workers)
+	wire.StatusAddWorkers(builder, status.ForeignHeartbeats)
 	wire.StatusAddCounts(builder, counts)
 	wire.StatusAddLeaving(builder, status.Leaving)
 	builder.Finish(wire.StatusEnd(builder))
@@ -89,7 +89,7 @@
 		Term:                  encoded.Term(),
 		Leading:               encoded.Leading(),
 		StateServiceReachable: encoded.StateOk(),
-		Workers:               encoded.Workers(),
+		ForeignHeartbeats:     encoded.Workers(),
 		Leaving:               encoded.Leaving(),
 	}
 	length := encoded.CountsLength()
