--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -1,10 +1,9 @@
 package controller
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
 	"log/slog"
+	"maps"
 	"net/http"
 	"slices"
 	"time"
@@ -15,43 +14,6 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Status is what operators are shown of a cluster.
-type Status struct {
-	Revision uint64       `json:"revision"` // of the drain document
-	Last     string       `json:"last,omitempty"`
-	Term     uint64       `json:"term"`
-	Nodes    []NodeStatus `json:"nodes"`
-	// Draining are machines that are being drained, by name: a page of them, of DrainingTotal in all.
-	Draining      []MachineStatus `json:"draining"`
-	DrainingTotal int             `json:"draining_total"`
-	Machines      map[string]int  `json:"machines"` // by condition
-	// MaxMachines bounds how many machines are rented, MachinesBound names the setting it comes from, and Full is set
-	// while it is reached.
-	MaxMachines   int    `json:"max_machines"`
-	MachinesBound string `json:"machines_bound"`
-	Full          bool   `json:"full"`
-	Jobs          int    `json:"jobs"`
-	// Archive is the progress of archiving ended jobs.
-	Archive ArchiveStatus `json:"archive"`
-}
-
-// NodeStatus is one controller as the leader sees it.
-type NodeStatus struct {
-	Node    string `json:"node"`
-	Leads   bool   `json:"leads"`
-	Alive   bool   `json:"alive"` // its statuses arrive, and it reaches the state service
-	Drained bool   `json:"drained"`
-	By      string `json:"by,omitempty"`
-}
-
-// MachineStatus is one machine that is being drained.
-type MachineStatus struct {
-	Machine string `json:"machine"`
-	State   string `json:"stance"`
-	Tasks   int    `json:"tasks"` // that may still be on it
-	By      string `json:"by,omitempty"`
-}
-
 // drainCluster returns the cluster as far as a drain command depends on it.
 func (c *Controller) drainCluster(now time.Duration) drain.Cluster {
 	cluster := drain.Cluster{
@@ -74,13 +36,13 @@
 
 // adminCall answers an operator: the cluster's status, or a command.
 func (c *Controller) adminCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	if request.Verb == verbShow {
-		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query["since"])})
+	if request.Verb == api.VerbShow {
+		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query.Since)})
 		return
 	}
 	var command drain.Command
-	if err := json.Unmarshal(request.Body, &command); err != nil {
-		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
+	if refusal, refused := decodeCommand(request.Body, &command); refused {
+		reply(refusal)
 		return
 	}
 	if command.Revision != nil && *command.Revision != c.drains.documentVersion {
@@ -126,22 +88,6 @@
 	return api.Refuse(kind, err.Error())
 }
 
-// refuseStaleCommand returns the answer to a command that was based on an older state than the present.
-func refuseStaleCommand(changedBy string) api.Reply {
-	return api.Refuse(api.Conflict, fmt.Sprintf(
-		"something was changed meanwhile (%s): look at the status, and give the command again if it is still right",
-		changedBy,
-	))
-}
-
-// refuseIndeterminateCommand returns the answer to a command whose write has an indeterminate outcome.
-func refuseIndeterminateCommand() api.Reply {
-	return api.Refuse(
-		api.Unavailable,
-		"it is not known whether the command was taken: look at the status before giving it again",
-	)
-}
-
 // adminStatus returns the cluster's status with the page of drained machines after a name.
 func (c *Controller) adminStatus(now time.Duration, after string) Status {
 	status := Status{
@@ -172,3 +118,28 @@
 	status.Draining, status.DrainingTotal = c.drainStatus(after)
 	return status
 }
+
+// drainPageSize bounds the machines of one answer: it stays within the largest body that users get.
+const drainPageSize = 200
+
+// drainStatus returns a page of the machines that are being drained, by name after the one given, and how many there
+// are in all.
+func (c *Controller) drainStatus(after string) (page []MachineStatus, total int) {
+	requests := c.desiredDrains().Machines()
+	page = []MachineStatus{}
+	for _, name := range slices.Sorted(maps.Keys(requests)) {
+		if name <= after {
+			continue
+		}
+		if len(page) == drainPageSize {
+			break
+		}
+		status := MachineStatus{Machine: name, State: "unknown", By: requests[name].By}
+		if machine := c.term.fleet.FindMachine(name); machine != nil {
+			status.State = machine.Condition.String()
+			status.Tasks = len(machine.Tasks)
+		}
+		page = append(page, status)
+	}
+	return page, len(requests)
+}
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -26,18 +26,19 @@
 
 // queryLicenceServers queries the licence servers that are due.
 func (c *Controller) queryLicenceServers(now time.Duration) {
-	termFleet := c.term.fleet
-	if termFleet.Gate.Licences.IsEmpty() {
+	ledger := c.term.fleet.Gate.Licences
+	if ledger.IsEmpty() {
 		return
 	}
-	for _, pool := range termFleet.Gate.Licences.StartDueQueries(now) {
+	isSameTerm := c.termCheck()
+	for _, pool := range ledger.StartDueQueries(now) {
 		request := httpio.Request{
 			Method:  http.MethodGet,
 			Path:    "/v1/pools/" + url.PathEscape(pool.Name),
 			Timeout: licences.QueryTimeout,
 		}
 		c.licenceSender.Send(pool.Server, request, func(response httpio.Response) {
-			if c.term.fleet == termFleet {
+			if isSameTerm() {
 				c.handleLicenceAnswer(now, pool.Name, response)
 			}
 		})
@@ -56,13 +57,22 @@
 	c.term.fleet.Gate.Licences.ApplyAnswer(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
 }
 
-// parseLicenceAnswer reads a licence server's answer.
+// licenceServerError is the error of a licence server's answer with another status than 200.
+type licenceServerError struct{ status int }
+
+// Error returns the text for logs.
+func (e *licenceServerError) Error() string {
+	return fmt.Sprintf("licence server answered %d", e.status)
+}
+
+// parseLicenceAnswer reads a licence server's answer. The error is a *licenceServerError, or that of the request or
+// of the answer's content.
 func parseLicenceAnswer(response httpio.Response) (licences.Answer, error) {
 	if response.Err != nil {
 		return licences.Answer{}, response.Err
 	}
 	if response.Status != http.StatusOK {
-		return licences.Answer{}, fmt.Errorf("licence server answered %d", response.Status)
+		return licences.Answer{}, &licenceServerError{response.Status}
 	}
 	return licences.ParseAnswer(response.Body)
 }
@@ -74,34 +84,26 @@
 	}
 }
 
-// licenceCommand is an operator's command: the body of a POST to a pool.
-type licenceCommand struct {
-	Count   *int                    `json:"count"`
-	Lower   licences.LoweringPolicy `json:"on_lower"`
-	Version *uint64                 `json:"version"` // the command was based on; nil: any
-	By      string                  `json:"by"`
-	Reset   bool                    `json:"reset"` // back to what is declared
-}
+// licenceCommandError is the error of a command whose field breaks a rule.
+type licenceCommandError struct{ field, rule string }
+
+// Error returns the text for the operator.
+func (e *licenceCommandError) Error() string { return e.field + " " + e.rule }
 
-// validate returns why a command is malformed, nil if it isn't.
+// validate returns a *licenceCommandError if the command is malformed.
 func (l *licenceCommand) validate() error {
 	switch {
 	case !l.Reset && (l.Count == nil || *l.Count < 0 || *l.Count > maxLicenceCount):
-		return fmt.Errorf("count must be 0 to %d", maxLicenceCount)
+		return &licenceCommandError{"count", fmt.Sprintf("must be 0 to %d", maxLicenceCount)}
 	case l.Lower != "" && l.Lower != licences.WaitForRelease && l.Lower != licences.PreemptHolders:
-		return fmt.Errorf("on_lower must be %q or %q", licences.WaitForRelease, licences.PreemptHolders)
+		rule := fmt.Sprintf("must be %q or %q", licences.WaitForRelease, licences.PreemptHolders)
+		return &licenceCommandError{"on_lower", rule}
 	case len(l.By) > maxLicenceByLength:
-		return fmt.Errorf("by is longer than %d characters", maxLicenceByLength)
+		return &licenceCommandError{"by", fmt.Sprintf("is longer than %d characters", maxLicenceByLength)}
 	}
 	return nil
 }
 
-// licenceConflict is the body of the answer to a command that was based on an older count than the present.
-type licenceConflict struct {
-	Error string        `json:"error"`
-	Now   licences.View `json:"now"`
-}
-
 // refuseLicenceConflict returns the answer to such a command; changedBy "": unknown.
 func refuseLicenceConflict(changedBy string, view licences.View) api.Reply {
 	if changedBy == "" {
@@ -125,7 +127,7 @@
 	switch {
 	case !ok:
 		reply(api.Refuse(api.NotFound, fmt.Sprintf("no licence pool %q is declared", request.Name)))
-	case request.Verb == verbShow:
+	case request.Verb == api.VerbShow:
 		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 	default:
 		c.setLicenceCount(now, index, request.Body, reply)
@@ -140,8 +142,8 @@
 // setLicenceCount answers a command that sets a pool's count or resets it to the declared one.
 func (c *Controller) setLicenceCount(now time.Duration, index int32, body []byte, reply func(api.Reply)) {
 	var command licenceCommand
-	if err := json.Unmarshal(body, &command); err != nil {
-		reply(api.Refuse(api.InvalidRequest, "not a command: "+err.Error()))
+	if refusal, refused := decodeCommand(body, &command); refused {
+		reply(refusal)
 		return
 	}
 	if err := command.validate(); err != nil {
@@ -157,20 +159,30 @@
 		reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
 		return
 	}
-	op := c.licenceOp(now, index, &command)
+	c.writeLicenceCount(now, index, version, &command, reply)
+}
+
+// writeLicenceCount writes a pool's count on the condition of its version, and answers by the write's outcome.
+func (c *Controller) writeLicenceCount(
+	now time.Duration,
+	index int32,
+	version uint64,
+	command *licenceCommand,
+	reply func(api.Reply),
+) {
+	op := c.licenceOp(now, index, command)
 	key := licences.Key(c.licencePools.Pools()[index].Name)
 	txn := store.Txn{
 		If:   []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: version}},
 		Then: []store.Op{op},
 	}
-	termFleet := c.term.fleet
+	isSameTerm := c.termCheck()
 	c.store.Txn(txn, store.NormalPriority, func(result store.Result) {
-		hasTerm := c.term.fleet == termFleet
 		switch {
-		case hasTerm && result.Outcome == store.Committed:
-			c.confirmLicenceCount(index, op, &command, result.Revision)
+		case isSameTerm() && result.Outcome == store.Committed:
+			c.confirmLicenceCount(index, op, command, result.Revision)
 			reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
-		case hasTerm && result.Outcome == store.Conflict:
+		case isSameTerm() && result.Outcome == store.Conflict:
 			reply(refuseLicenceConflict("another command", c.licenceView(now, index)))
 		default:
 			reply(api.Refuse(
