--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -10,27 +10,11 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// JobPendingView is why a job waits.
-type JobPendingView struct {
-	ID      string                `json:"name_id"`
-	State   string                `json:"stance"`
-	Tasks   int                   `json:"tasks"`
-	Done    int                   `json:"done"`
-	Running int                   `json:"running"`
-	Waiting []fleet.PendingReason `json:"waiting"`
-	// Ahead is how many waiting jobs rank before it, Nearest the ids of the nearest of them.
-	Ahead   int      `json:"ahead"`
-	Nearest []string `json:"nearest"`
-	// Booting is how many machines that it may use are starting up, BootingS in how many seconds the first is expected.
-	Booting  int     `json:"booting"`
-	BootingS float64 `json:"booting_next_s"`
-}
-
 // maxNearestJobs bounds JobPendingView.Nearest.
 const maxNearestJobs = 5
 
-// whyCall answers why a job waits, by the reasons that planning has recorded.
-func (c *Controller) whyCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// pendingReasonsCall answers why a job waits, by the reasons that planning has recorded.
+func (c *Controller) pendingReasonsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	job := c.jobs.Get(request.Name)
 	if job == nil {
 		reply(api.Refuse(api.NotFound, jobNotInTable))
@@ -52,7 +36,7 @@
 		return view
 	}
 	if view.Running > 0 {
-		view.State = stanceRunning
+		view.State = api.StateRunning
 	}
 	if reasons := c.term.fleet.PendingReasons(now, job); reasons != nil {
 		view.Waiting = reasons
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -11,12 +11,6 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// sessionExplanation is the body of the answer to why a session is in its state.
-type sessionExplanation struct {
-	ID  string   `json:"name_id"`
-	Why []string `json:"why"`
-}
-
 // newSessions makes a term's sessions, nil where they are off.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
 	policies := c.settings.Sessions()
@@ -45,19 +39,19 @@
 	answer := func(result sessions.Result, err error) { reply(sessionReply(result, err)) }
 	manager := c.term.sessions
 	switch request.Verb {
-	case "open":
+	case api.VerbOpen:
 		c.openSession(now, request, reply)
-	case "attach":
+	case api.VerbAttach:
 		manager.Attach(now, request.Name, request.Bearer, answer)
-	case "keep":
+	case api.VerbKeepAlive:
 		c.keepSession(now, request, reply)
-	case "close":
+	case api.VerbClose:
 		manager.Close(request.Name, request.Bearer, answer)
-	case "report":
-		reply(c.sessionReport(now, request))
-	case "explain":
+	case api.VerbHeartbeat:
+		reply(c.sessionHeartbeat(now, request))
+	case api.VerbExplain:
 		reply(c.explainSession(now, request.Name))
-	default:
+	default: // api.VerbShow
 		reply(c.showSessions(now, request))
 	}
 }
@@ -111,9 +105,7 @@
 
 // keepSession extends an attachment to a session.
 func (c *Controller) keepSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	var body struct {
-		Attachment uint64 `json:"attachment"`
-	}
+	var body keepAliveBody
 	if json.Unmarshal(request.Body, &body) != nil {
 		reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
 		return
@@ -121,8 +113,8 @@
 	reply(sessionReply(c.term.sessions.KeepAlive(now, request.Name, request.Bearer, body.Attachment)))
 }
 
-// sessionReport answers the heartbeat of a session's agent.
-func (c *Controller) sessionReport(now time.Duration, request api.LeaderRequest) api.Reply {
+// sessionHeartbeat answers the heartbeat of a session's agent.
+func (c *Controller) sessionHeartbeat(now time.Duration, request api.LeaderRequest) api.Reply {
 	heartbeat, err := sessions.ParseHeartbeat(request.Body)
 	if err != nil {
 		return api.Refuse(api.InvalidRequest, err.Error())
@@ -147,7 +139,7 @@
 // showSessions answers with one session or, without a name, with those of a user or a team.
 func (c *Controller) showSessions(now time.Duration, request api.LeaderRequest) api.Reply {
 	if request.Name == "" {
-		list := c.term.sessions.List(now, request.Query["user"], request.Query["team"])
+		list := c.term.sessions.List(now, request.Query.User, request.Query.Team)
 		return api.Reply{Status: http.StatusOK, Body: list}
 	}
 	view, ok := c.term.sessions.Show(now, request.Name)
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -1,18 +1,27 @@
 package drain
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 	"strings"
 )
 
+// Op is what a command does. Its value is the name on the wire.
+type Op string
+
+// The operations.
 const (
-	opDrain   = "drain"
-	opUndrain = "undrain"
+	OpDrain   Op = "drain"
+	OpUndrain Op = "undrain"
+)
+
+// Kind is the kind of what a command is about. Its value is the name on the wire.
+type Kind string
 
-	kindNode    = "node" // a controller
-	kindMachine = "machine"
+// The kinds.
+const (
+	KindNode    Kind = "node" // a controller
+	KindMachine Kind = "machine"
 )
 
 // maxNameLength bounds the names in a command, in bytes.
@@ -21,21 +30,11 @@
 // unlimited is the limit of machines' requests where these have keys of their own.
 const unlimited = 0
 
-// Reasons for refusing a command. Each is wrapped with what it is about.
-var (
-	// ErrMalformed is the refusal of a command that can't be carried out on any cluster, or for which there is no
-	// room.
-	ErrMalformed = errors.New("not a command")
-	// ErrUnknown is the refusal of a command about a controller or machine that doesn't exist.
-	ErrUnknown = errors.New("no such thing")
-	// ErrLastController is the refusal to drain the last controller that could serve.
-	ErrLastController = errors.New("nobody would be left")
-)
-
-// Command is what an operator requests, as it is sent over HTTP.
+// Command is what an operator requests: the wire type of a command over HTTP. AtMS isn't sent, the controller that
+// takes the command sets it.
 type Command struct {
-	Op   string `json:"op"`   // "drain" or "undrain"
-	Kind string `json:"kind"` // "node" or "machine"
+	Op   Op     `json:"op"`
+	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 	By   string `json:"by"`
 	Stop bool   `json:"stop"`
@@ -46,7 +45,7 @@
 
 // Cluster is what a command is checked against.
 type Cluster struct {
-	// Alive are the controllers that are heard and reach the state service; Nodes are all.
+	// Alive are the controllers whose statuses arrive and that reach the state service; Nodes are all.
 	Alive, Nodes []string
 	// Machine reports whether there is a machine with a name.
 	Machine func(name string) bool
@@ -54,8 +53,8 @@
 
 // validate checks what can be checked without the cluster.
 func (c Command) validate() error {
-	isOp := c.Op == opDrain || c.Op == opUndrain
-	isKind := c.Kind == kindNode || c.Kind == kindMachine
+	isOp := c.Op == OpDrain || c.Op == OpUndrain
+	isKind := c.Kind == KindNode || c.Kind == KindMachine
 	isNamed := c.Name != "" && len(c.Name) <= maxNameLength
 	if !isOp || !isKind || !isNamed || len(c.By) > maxNameLength {
 		return fmt.Errorf("%w: op must be drain or undrain, kind node or machine, "+
@@ -75,13 +74,13 @@
 	if err := command.validate(); err != nil {
 		return d, err
 	}
-	if command.Kind != kindMachine {
+	if command.Kind != KindMachine {
 		command.Stop = false
 	}
 	next := d.clone()
 	requests := next.requestsOf(command.Kind)
 	current, isRequested := (*requests)[command.Name]
-	if command.Op == opUndrain {
+	if command.Op == OpUndrain {
 		if !isRequested {
 			return d, nil
 		}
@@ -103,7 +102,7 @@
 
 // checkDrain returns why a controller or machine must not be drained.
 func (d Document) checkDrain(command Command, cluster Cluster, limit int) error {
-	if command.Kind == kindMachine {
+	if command.Kind == KindMachine {
 		return d.checkDrainMachine(command.Name, cluster, limit)
 	}
 	if !slices.Contains(cluster.Nodes, command.Name) {
--- a/internal/rollout/restart_test.go
+++ b/internal/rollout/restart_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRestartOrder: one controller at a time is restarted, followers first and the leader last, towards the former
-// release after an abort; none while another is down, the rollout is paused or there is no leader.
-func TestRestartOrder(t *testing.T) {
+// TestFollowersAreRestartedBeforeTheLeader: one controller at a time is restarted, followers first and the leader last,
+// towards the former release after an abort; none while another is down, the rollout is paused or there is no leader.
+func TestFollowersAreRestartedBeforeTheLeader(t *testing.T) {
 	const former, present, down = formerRelease, presentRelease, ""
 	supported := map[string]Level{former: Base, present: Paged}
 	for _, c := range []struct {
@@ -31,7 +31,7 @@
 					join(r, node, release, supported[release], uint64(i+1), uint64(i+2))
 				}
 			}
-			direct(r, Directive{Mode: c.mode}, 9)
+			direct(r, directiveRecord{Mode: c.mode}, 9)
 			r.Tick(0, 0, MigrationProgress{})
 			view := r.View(0, Cluster{Leader: c.leader})
 			if view.Restart != c.next || view.Why == "" {
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -18,7 +18,7 @@
 	Level      Level          `json:"level"`
 	Next       Level          `json:"next_level"`
 	SoakLeftS  float64        `json:"soak_left_s,omitempty"` // seconds
-	Missing    []string       `json:"missing"`               // what keeps the level from rising
+	Missing    []string       `json:"missing"`               // what prevents an upgrade of the level
 	Migration  *MigrationView `json:"migration,omitempty"`
 	Nodes      []NodeView     `json:"nodes"`
 	// Restart is the controller that may be restarted next, "" if none may. Why is the reason.
@@ -59,8 +59,8 @@
 func (r *Rollout) View(now time.Duration, cluster Cluster) View {
 	view := View{
 		Revision:   r.stored.directiveVersion,
-		Mode:       r.stored.directive.Mode,
-		By:         r.stored.directive.By,
+		Mode:       r.stored.directive.mode,
+		By:         r.stored.directive.operator,
 		State:      r.state.String(),
 		ReportedBy: r.cfg.Node,
 		Level:      r.Level(),
@@ -86,13 +86,13 @@
 
 // migrationView returns the progress of the migration, nil if there has been none.
 func (r *Rollout) migrationView(cluster Cluster) *MigrationView {
-	if !r.hasRisen() {
+	if !r.hasUpgraded() {
 		return nil
 	}
 	view := &MigrationView{
 		Done:    r.Migrated(),
-		Left:    r.stored.migration.Left,
-		Leaders: r.stored.migration.Leaders,
+		Left:    r.stored.migration.left,
+		Leaders: r.stored.migration.leaders,
 	}
 	if !view.Done && cluster.Leader == r.cfg.Node {
 		view.Left = cluster.Left
@@ -109,14 +109,14 @@
 		Leads:   peer.Node == cluster.Leader,
 	}
 	if peer.Announced() > 0 {
-		view.Release = peer.announcement.Release
+		view.Release = peer.release
 		view.Level = peer.AnnouncedLevel
 		view.Incompatible = !IsCompatible(peer.AnnouncedLevel, r.stored.level)
 	}
 	return view
 }
 
-// missing returns what keeps the level from rising, a sentence for each controller concerned.
+// missing returns what prevents an upgrade of the level, a sentence for each controller concerned.
 func (r *Rollout) missing(now time.Duration) []string {
 	reasons := []string{}
 	if r.stored.level >= r.cfg.MaxLevel {
@@ -130,7 +130,7 @@
 	return reasons
 }
 
-// missingOf returns why one controller keeps the level from rising, "" if it doesn't.
+// missingOf returns why one controller prevents an upgrade of the level, "" if it doesn't.
 func (r *Rollout) missingOf(now time.Duration, peer *peer) string {
 	switch {
 	case peer.unreadableCause != "":
@@ -141,11 +141,11 @@
 		return peer.Node + " runs a release that doesn't say what it knows: it is older than " + firstAnnouncingRelease
 	case peer.Announced() <= r.stored.level:
 		return fmt.Sprintf("%s runs %s, which knows no level above %d",
-			peer.Node, peer.announcement.Release, peer.AnnouncedLevel)
+			peer.Node, peer.release, peer.AnnouncedLevel)
 	case peer.isHealthy(now):
 		return ""
 	case !peer.isUp():
-		return peer.Node + " is down; it announced " + peer.announcement.Release
+		return peer.Node + " is down; it announced " + peer.release
 	}
 	return peer.Node + " is not well: it isn't heard, drains, or doesn't reach the state service"
 }
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -2,13 +2,12 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"strings"
 
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// HandleItem takes a changed key of any kind. Keys that the rollout doesn't depend on, and older versions, are
+// HandleItem applies a changed key of any kind. Keys that the rollout doesn't depend on, and older versions, are
 // ignored.
 func (r *Rollout) HandleItem(item store.Item) {
 	if item.Version <= r.keyVersions[item.Key] {
@@ -19,7 +18,7 @@
 	}
 }
 
-// apply takes over a newer version of a key and reports whether the version is to be remembered.
+// apply applies a newer version of a key and reports whether the version is to be remembered.
 func (r *Rollout) apply(item store.Item) bool {
 	switch item.Key {
 	case levelKey:
@@ -44,12 +43,12 @@
 	return false
 }
 
-// decode reads a record and keeps account of those that can't be read. On false the record may be read in part.
+// decode reads a record, and marks it as readable or unreadable. On false the record may be read in part.
 func (r *Rollout) decode(item store.Item, record versionedRecord) bool {
 	format, _ := RecordFormatOf(item.Key)
 	err := json.Unmarshal(item.Value, record)
 	if err == nil && record.recordFormat() > format.newestRead() {
-		err = fmt.Errorf("format %d", record.recordFormat())
+		err = &NewerFormatError{Format: record.recordFormat()}
 	}
 	if err != nil {
 		r.MarkUnreadable(item.Key, item.Value, err)
@@ -69,18 +68,19 @@
 }
 
 func (r *Rollout) applyDirective(item store.Item) {
-	var directive Directive
-	if !r.decode(item, &directive) {
-		directive = Directive{Mode: PausedByOperator, By: "a record that can't be read"}
+	var record directiveRecord
+	if r.decode(item, &record) {
+		r.stored.directive = record.directive()
+	} else {
+		r.stored.directive = directive{mode: PausedByOperator, operator: "a record that can't be read"}
 	}
-	r.stored.directive = directive
 	r.stored.directiveVersion = item.Version
 }
 
 func (r *Rollout) applyMigration(item store.Item) {
-	var migration Migration
-	if r.decode(item, &migration) {
-		r.stored.migration = migration
+	var record migrationRecord
+	if r.decode(item, &record) {
+		r.stored.migration = record.migration()
 	}
 	r.stored.migrationVersion = item.Version
 }
@@ -89,15 +89,16 @@
 	if peer == nil {
 		return false
 	}
-	var announcement Announcement
+	var record announcementRecord
 	peer.unreadableCause = ""
-	if !r.decode(item, &announcement) {
-		announcement = Announcement{}
+	if !r.decode(item, &record) {
+		record = announcementRecord{}
 		peer.unreadableCause = "its announcement can't be read"
 	}
-	peer.announcement = announcement
-	peer.AnnouncedLevel = announcement.Level
-	peer.AnnouncedLease = announcement.Lease
+	peer.release = record.Release
+	peer.startedAtMS = record.StartedAtMS
+	peer.AnnouncedLevel = record.Level
+	peer.AnnouncedLease = record.Lease
 	peer.AnnouncementVersion = item.Version
 	return true
 }
@@ -115,7 +116,7 @@
 	return true
 }
 
-// HandleDelete takes the deletion of a key, at a version.
+// HandleDelete applies the deletion of a key, at a version.
 func (r *Rollout) HandleDelete(key string, version uint64) {
 	if version <= r.keyVersions[key] {
 		return
@@ -132,7 +133,8 @@
 	r.MarkReadable(key)
 }
 
-// HandleReset takes a new listing of all followed keys: members that it lacks are gone. HandleItem takes the items.
+// HandleReset applies a new listing of all followed keys: members that it lacks are down, and records that it lacks are
+// no longer unreadable. The items themselves come through HandleItem.
 func (r *Rollout) HandleReset(items []store.Item) {
 	present := map[string]bool{}
 	for _, item := range items {
@@ -150,5 +152,5 @@
 	}
 }
 
-// HandleSynced takes note that all keys have been read.
+// HandleSynced records that all keys have been read.
 func (r *Rollout) HandleSynced() { r.synced = true }
