--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -1,10 +1,14 @@
 package controller
 
 import (
+	"fmt"
+	"math"
+	"strings"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/dependencies"
+	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
@@ -79,3 +83,47 @@
 	isFresh := now-c.watchCache.FreshAt() <= c.settings.StalenessBound()
 	return isFresh && !c.dependencies.graph.HasUnknownAncestor(id)
 }
+
+// maxNamedPredecessors bounds the predecessors that a pending reason names.
+const maxNamedPredecessors = 5
+
+// blockedReason returns why a blocked job waits.
+func (c *Controller) blockedReason(job *jobs.Job) fleet.PendingReason {
+	reason := fleet.PendingReason{Tasks: job.TaskCount, Cause: fleet.PredecessorsUnfinished}
+	if job.Doomed {
+		reason.Text = "a job before it is cancelled, and it is about to be"
+		return reason
+	}
+	ids, count := c.dependencies.graph.Unfinished(job.ID, maxNamedPredecessors)
+	names := strings.Join(ids, ", ")
+	if count > len(ids) {
+		names += " and others"
+	}
+	reason.Text = fmt.Sprintf("%d jobs that must be done before it aren't: %s", count, names)
+	return reason
+}
+
+// neededIn returns in how many seconds a live job must be done for the deadlines of the jobs that need it, nil if none
+// has one.
+func (c *Controller) neededIn(now time.Duration, job *jobs.Job) *float64 {
+	if job.State.Terminal() {
+		return nil
+	}
+	latestEnd, needed := c.dependencies.graph.LatestEnds(c.term.fleet.StageTime)(job)
+	if !needed {
+		return nil
+	}
+	seconds := math.Round((latestEnd - now).Seconds())
+	return &seconds
+}
+
+// blockedJobs returns the number of live jobs that wait for predecessors.
+func (c *Controller) blockedJobs() int {
+	count := 0
+	c.jobs.ForEachLive(func(job *jobs.Job) {
+		if job.Blocked {
+			count++
+		}
+	})
+	return count
+}
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -23,11 +23,12 @@
 		"priority": func(job *JobSummary) string { return job.Priority },
 	},
 	map[string]func(*JobSummary) float64{
-		"tasks":   func(job *JobSummary) float64 { return float64(job.Tasks) },
-		"done":    func(job *JobSummary) float64 { return float64(job.Done) },
-		"running": func(job *JobSummary) float64 { return float64(job.Running) },
-		"waiting": func(job *JobSummary) float64 { return float64(job.Waiting) },
-		"age_s":   func(job *JobSummary) float64 { return job.AgeS },
+		"tasks":        func(job *JobSummary) float64 { return float64(job.Tasks) },
+		"done":         func(job *JobSummary) float64 { return float64(job.Done) },
+		"running":      func(job *JobSummary) float64 { return float64(job.Running) },
+		"waiting":      func(job *JobSummary) float64 { return float64(job.Waiting) },
+		"predecessors": func(job *JobSummary) float64 { return float64(job.Predecessors) },
+		"age_s":        func(job *JobSummary) float64 { return job.AgeS },
 	},
 )
 
@@ -79,6 +80,9 @@
 		summary.Priority = spec.Priority
 		summary.AgeS = max(0, (now - job.SubmittedAt).Seconds())
 	}
+	if job.Blocked {
+		_, summary.Predecessors = c.dependencies.graph.Unfinished(job.ID, 0)
+	}
 	if job.State == jobs.Pending {
 		summary.Done, summary.Running = c.taskCounts(job)
 		summary.Waiting = job.TaskCount - summary.Done - summary.Running
--- a/internal/controller/lists_test.go
+++ b/internal/controller/lists_test.go
@@ -20,11 +20,11 @@
 func TestFilterFieldsReadTheirOwnValue(t *testing.T) {
 	job := JobSummary{
 		ID: "i", State: "s", Class: "c", Team: "t", Kind: "k", Priority: "p",
-		Tasks: 1, Done: 2, Running: 3, Waiting: 4, AgeS: 5,
+		Tasks: 1, Done: 2, Running: 3, Waiting: 4, AgeS: 5, Predecessors: 6,
 	}
 	for field, want := range map[string]string{
 		"id": "i", "stance": "s", "class": "c", "team": "t", "kind": "k", "priority": "p",
-		"tasks": "1", "done": "2", "running": "3", "waiting": "4", "age_s": "5",
+		"tasks": "1", "done": "2", "running": "3", "waiting": "4", "age_s": "5", "predecessors": "6",
 	} {
 		if !matches(t, jobFields, field+" = "+want, job) || matches(t, jobFields, field+" != "+want, job) {
 			t.Errorf("a job's %s isn't %s", field, want)
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -62,6 +62,7 @@
 		"Since when the state service has not carried out a request of ours.")
 	loopWaitDesc     = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
 	jobsDesc         = desc("jobs", "Jobs that are not over.")
+	blockedDesc      = desc("jobs_blocked", "Jobs that wait for others to be done.")
 	jobsInMemoryDesc = desc("jobs_known", "Jobs in this controller's memory: "+
 		"live ones, and ended ones that are not archived yet.")
 	cachedDesc   = desc("archive_cached", "Answers of archived jobs in this controller's memory.")
@@ -145,6 +146,7 @@
 	out.add(termDesc, float64(c.membership.Leader().Term))
 	out.add(loopWaitDesc, (now - requestedAt).Seconds())
 	out.add(jobsDesc, float64(c.liveJobs()))
+	out.add(blockedDesc, float64(c.blockedJobs()))
 	out.add(jobsInMemoryDesc, float64(c.jobs.Len()))
 	out.add(cachedDesc, float64(c.archive.reader.CacheLen()))
 }
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -32,6 +32,11 @@
 		Nearest: []string{},
 	}
 	view.Done, view.Running = c.taskCounts(job)
+	view.NeededInS = c.neededIn(now, job)
+	if job.State == jobs.Pending && job.Blocked {
+		view.Waiting = append(view.Waiting, c.blockedReason(job))
+		return view
+	}
 	if job.State != jobs.Pending || job.Tasks == nil {
 		return view
 	}
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -65,17 +65,19 @@
 
 // JobSummary is one job in a list.
 type JobSummary struct {
-	ID       string  `json:"name_id"`
-	State    string  `json:"stance"`
-	Class    string  `json:"breed,omitempty"`
-	Team     string  `json:"warren,omitempty"`
-	Kind     string  `json:"gait,omitempty"`
-	Priority string  `json:"urgency,omitempty"`
-	Tasks    int     `json:"tasks"`
-	Done     int     `json:"done"`
-	Running  int     `json:"running"`
-	Waiting  int     `json:"waiting"` // neither running nor done
-	AgeS     float64 `json:"age_s"`
+	ID       string `json:"name_id"`
+	State    string `json:"stance"`
+	Class    string `json:"breed,omitempty"`
+	Team     string `json:"warren,omitempty"`
+	Kind     string `json:"gait,omitempty"`
+	Priority string `json:"urgency,omitempty"`
+	Tasks    int    `json:"tasks"`
+	Done     int    `json:"done"`
+	Running  int    `json:"running"`
+	Waiting  int    `json:"waiting"` // neither running nor done
+	// Predecessors counts the jobs that must be done before it and aren't.
+	Predecessors int     `json:"predecessors,omitempty"`
+	AgeS         float64 `json:"age_s"`
 }
 
 // JobPendingView is why a job waits.
@@ -92,6 +94,9 @@
 	// Booting is how many machines that it may use are starting up, BootingS in how many seconds the first is expected.
 	Booting  int     `json:"booting"`
 	BootingS float64 `json:"booting_next_s"`
+	// NeededInS is in how many seconds it must be done, by the longest path behind it, for jobs that need it to meet
+	// their deadlines; absent if none has one.
+	NeededInS *float64 `json:"needed_in_s,omitempty"`
 }
 
 // EventPage is a page of events. First is the number of the oldest that is kept, Next where the next page begins: both
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -40,9 +40,9 @@
 // are each learned by a heartbeat.
 const stageHeartbeats = 2
 
-// stageTime returns the expected time from a job's release to its end, where there is room at once: the fetch of its
+// StageTime returns the expected time from a job's release to its end, where there is room at once: the fetch of its
 // image at the usual rate, its run time, and the heartbeats in between.
-func (f *Fleet) stageTime(job *jobs.Job) time.Duration {
+func (f *Fleet) StageTime(job *jobs.Job) time.Duration {
 	heartbeats := stageHeartbeats * f.Settings.Params.Workers.HeartbeatIntervalS
 	return jobs.Seconds(f.estimate(job) + job.Spec.ImageGB + heartbeats)
 }
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -19,21 +19,23 @@
 
 // The causes.
 const (
-	TeamLimit          PendingCause = "team_limit"       // its team may use no more
-	LicenceUnavailable PendingCause = "licence"          // units of a licence pool are missing
-	NoMachine          PendingCause = "no_machine"       // no machine that is up may take it
-	GangShort          PendingCause = "gang_short"       // too few machines have room for a gang at once
-	NoRoom             PendingCause = "no_room"          // no machine that may take a replica has room
-	RetryLater         PendingCause = "retry"            // it failed and is retried later
-	CrashLoopBackoff   PendingCause = "failing"          // it fails wherever it runs and is retried with back-off
-	SessionSuspended   PendingCause = "parked"           // its session was reclaimed
-	RecordUnreadable   PendingCause = "unreadable"       // something stored of it can't be read
-	ZoneLost           PendingCause = "zone_lost"        // on a machine of a lost zone that sends no heartbeats
-	PlanningBehind     PendingCause = "planning_behind"  // no scheduling cycle has reached it yet
-	QueuedOnMachine    PendingCause = "lane"             // in the queue of a machine that has no room now
-	PlanNotDurable     PendingCause = "plan_not_durable" // its plan is being written
-	GangStopping       PendingCause = "gang_leaving"     // the rest of its gang must be gone first
-	Arriving           PendingCause = "starting"         // sent to its machine, not running yet
+	TeamLimit          PendingCause = "team_limit" // its team may use no more
+	LicenceUnavailable PendingCause = "licence"    // units of a licence pool are missing
+	NoMachine          PendingCause = "no_machine" // no machine that is up may take it
+	GangShort          PendingCause = "gang_short" // too few machines have room for a gang at once
+	NoRoom             PendingCause = "no_room"    // no machine that may take a replica has room
+	RetryLater         PendingCause = "retry"      // it failed and is retried later
+	CrashLoopBackoff   PendingCause = "failing"    // it fails wherever it runs and is retried with back-off
+	SessionSuspended   PendingCause = "parked"     // its session was reclaimed
+	// PredecessorsUnfinished: jobs that must be done before it aren't, or it is to be cancelled with one of them.
+	PredecessorsUnfinished PendingCause = "predecessors"
+	RecordUnreadable       PendingCause = "unreadable"       // something stored of it can't be read
+	ZoneLost               PendingCause = "zone_lost"        // on a machine of a lost zone that sends no heartbeats
+	PlanningBehind         PendingCause = "planning_behind"  // no scheduling cycle has reached it yet
+	QueuedOnMachine        PendingCause = "lane"             // in the queue of a machine that has no room now
+	PlanNotDurable         PendingCause = "plan_not_durable" // its plan is being written
+	GangStopping           PendingCause = "gang_leaving"     // the rest of its gang must be gone first
+	Arriving               PendingCause = "starting"         // sent to its machine, not running yet
 )
 
 // pendingNote is what the last scheduling cycle decided about a job's unplanned tasks.
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -126,7 +126,7 @@
 	if f.LatestEnds == nil {
 		return
 	}
-	latestEndOf := f.LatestEnds(f.stageTime)
+	latestEndOf := f.LatestEnds(f.StageTime)
 	for _, job := range f.ranking.jobs {
 		if latestEnd, needed := latestEndOf(job); needed {
 			f.ranking.latestEnds[job.Index] = latestEnd
