--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -6,8 +6,6 @@
 	"slices"
 	"testing"
 	"time"
-
-	"github.com/harewalk/harewalk/internal/store"
 )
 
 // At no time do two controllers have authority, no term is led twice, and once all faults have ended there is a
@@ -37,14 +35,6 @@
 func (c *cluster) injectFault() {
 	n := c.nodes[c.rng.IntN(3)]
 	switch c.rng.IntN(8) {
-	case 6:
-		if n.membership != nil {
-			n.membership.Withdraw(c.service.Now)
-		}
-	case 7:
-		if n.membership != nil {
-			n.membership.Rejoin(c.service.Now)
-		}
 	case 0:
 		n.kill()
 	case 1:
@@ -54,6 +44,14 @@
 		if !c.service.Down {
 			c.service.Recover()
 		}
+	case 6:
+		if n.membership != nil {
+			n.membership.Withdraw(c.service.Now)
+		}
+	case 7:
+		if n.membership != nil {
+			n.membership.Rejoin(c.service.Now)
+		}
 	default:
 		if n.membership == nil {
 			n.start()
@@ -76,7 +74,7 @@
 
 // A leader that is cut from the state service alone has no authority before its lease can expire, and another one
 // takes over.
-func TestLeaderCutFromTheStateServiceAlone(t *testing.T) {
+func TestLeaderCutFromTheStateServiceLosesAuthority(t *testing.T) {
 	c := newCluster(t, 1)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
@@ -176,7 +174,7 @@
 // A campaign of a former process is carried out after the new process has revoked the old lease: the leader key
 // names a lease that the new process doesn't have. Without a revocation nobody would lead for as long as that lease
 // lives.
-func TestFormerCampaignLandsLate(t *testing.T) {
+func TestLateCampaignOfFormerProcessIsRevoked(t *testing.T) {
 	c, restarted := restartOnlyTheLeader(t, 3)
 	var granted struct {
 		ID uint64 `json:"tether"`
@@ -186,10 +184,7 @@
 		t.Fatal(err)
 	}
 	value, _ := json.Marshal(Leader{Node: restarted.name, Term: restarted.membership.Term() + 1, Lease: granted.ID})
-	txn, _ := json.Marshal(store.Txn{
-		If:   []store.Condition{},
-		Then: []store.Op{{Put: leaderKey, Value: value, Lease: granted.ID}},
-	})
+	txn := fmt.Appendf(nil, `{"if":[],"apply":[{"set":%q,"data":%s,"tether":%d}]}`, leaderKey, value, granted.ID)
 	if response := c.call("POST", "/txn", txn); response.Status != 200 {
 		t.Fatal(response.Status)
 	}
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -25,13 +25,13 @@
 	Mixed
 	// Soaking: all have announced it, but have not all been healthy for long enough.
 	Soaking
-	// Ready: the level may rise, by the leader's transaction or by a directive that the operators have yet to give.
+	// Ready: the level may be upgraded, once the leader's transaction or a directive of the operators follows.
 	Ready
 	// Paused: the operators have paused or aborted the rollout.
 	Paused
-	// Upgrading: the transaction that raises the level has been sent. Only the leader is ever in this state.
+	// Upgrading: the transaction that upgrades the level has been sent. Only the leader is ever in this state.
 	Upgrading
-	// Migrating: the level has risen, and records of a former format are being rewritten.
+	// Migrating: the level has been upgraded, and records of a former format are being rewritten.
 	Migrating
 	// Incompatible: the cluster's level, or a record, is newer than this release, which must not act.
 	Incompatible
@@ -44,13 +44,13 @@
 	}[s]
 }
 
-// Config is what a rollout is created with.
+// Config configures a Rollout.
 type Config struct {
 	Node     string       // this controller
 	Nodes    []NodeConfig // all controllers that the settings name, this one included
 	Release  string       // of this controller
 	MaxLevel Level        // the highest that it supports
-	// Auto lets the level rise without a directive once all controllers have been healthy for Soak.
+	// Auto lets the level be upgraded without a directive once all controllers have been healthy for Soak.
 	Auto bool
 	Soak time.Duration
 	// StartedAtMS is when this process started, in wall-clock milliseconds.
@@ -66,9 +66,9 @@
 type storedState struct {
 	level            Level // Base if there is no key
 	levelVersion     uint64
-	directive        Directive
+	directive        directive
 	directiveVersion uint64
-	migration        Migration
+	migration        migration
 	migrationVersion uint64
 	// bootstrapped is set if there has ever been a leader. A cluster without one starts at the newest level.
 	bootstrapped bool
@@ -138,16 +138,16 @@
 	return r.stored.level
 }
 
-// AllSupport reports whether all controllers have announced a level, whether or not the cluster has risen to it, and the
+// AllSupport reports whether all controllers have announced a level, whether or not the cluster has been upgraded to it, and the
 // operators don't keep it from rising. What came with the level and a release that lacks it reads as unreadable, so
 // that it neither acts on it nor overwrites it, may be written from then on: users may ask for it as soon as no
-// controller has the former release any more, while the rise itself waits until all have been healthy for long.
+// controller has the former release any more, while the upgrade itself waits until all have been healthy for long.
 func (r *Rollout) AllSupport(level Level) bool {
 	if r.Level() >= level {
 		return true
 	}
 	observed := r.observe()
-	return observed.NextLevel(r.cfg.MaxLevel) >= level && !observed.Mode.preventsRise()
+	return observed.NextLevel(r.cfg.MaxLevel) >= level && !observed.Mode.preventsUpgrade()
 }
 
 // needsBootstrap reports whether the cluster has neither a level nor ever had a leader.
@@ -191,47 +191,47 @@
 		return conditions, nil
 	}
 	level := levelRecord{Level: r.cfg.MaxLevel, By: r.cfg.Node, AtMS: r.cfg.StartedAtMS}
-	migration := Migration{Level: r.cfg.MaxLevel, Done: true}
+	nothingToMigrate := migration{level: r.cfg.MaxLevel, done: true}
 	return conditions, []store.Op{
 		{Put: levelKey, Value: encode(level)},
-		{Put: migrationKey, Value: encode(migration)},
+		{Put: migrationKey, Value: encode(newMigrationRecord(nothingToMigrate))},
 	}
 }
 
 // Announcement returns the write of this controller's announcement, which goes with that of its member key. lease
 // is that of its process.
 func (r *Rollout) Announcement(lease uint64) store.Op {
-	announcement := Announcement{
-		Node:    r.cfg.Node,
-		Release: r.cfg.Release,
-		Level:   r.cfg.MaxLevel,
-		Lease:   lease,
-		AtMS:    r.cfg.StartedAtMS,
-		Reads:   readFormats(),
-		Writes:  writtenFormats(r.cfg.MaxLevel),
+	record := announcementRecord{
+		Node:        r.cfg.Node,
+		Release:     r.cfg.Release,
+		Level:       r.cfg.MaxLevel,
+		Lease:       lease,
+		StartedAtMS: r.cfg.StartedAtMS,
+		Reads:       readFormats(),
+		Writes:      writtenFormats(r.cfg.MaxLevel),
 	}
 	if self := r.peer(r.cfg.Node); self != nil {
-		announcement.Zone = self.Zone
+		record.Zone = self.Zone
 	}
 	for level := Base; level <= r.cfg.MaxLevel; level++ {
-		announcement.Behaviours = append(announcement.Behaviours, levelBehaviours[level])
+		record.Behaviours = append(record.Behaviours, levelBehaviours[level])
 	}
-	return store.Op{Put: AnnounceKey(r.cfg.Node), Value: encode(announcement)}
+	return store.Op{Put: AnnounceKey(r.cfg.Node), Value: encode(record)}
 }
 
-// observe returns what has been read of all that a rise of the level depends on.
+// observe returns what has been read of all that an upgrade of the level depends on.
 func (r *Rollout) observe() Observation {
 	observed := Observation{
 		Level:            r.stored.level,
 		LevelVersion:     r.stored.levelVersion,
-		Mode:             r.stored.directive.Mode,
+		Mode:             r.stored.directive.mode,
 		DirectiveVersion: r.stored.directiveVersion,
 	}
 	for _, peer := range r.peers {
 		observed.Peers = append(observed.Peers, peer.PeerRecord)
 	}
-	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.stored.directive.Level {
-		observed.Mode = NoDirective // the directive was about an earlier rise
+	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.stored.directive.level {
+		observed.Mode = NoDirective // the directive was about an earlier upgrade
 	}
 	return observed
 }
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -338,6 +338,12 @@
 	h.taskIsStopping = false
 }
 
+// endTask ends the task and its agent.
+func (h *harness) endTask() {
+	h.agent = nil
+	h.taskIsStopping = false
+}
+
 func (h *harness) nextHeartbeat() Heartbeat {
 	agent := h.agent
 	agent.seq++
@@ -406,6 +412,16 @@
 	agent.checkpoint.Ref = ref
 }
 
+// respondTo sends a heartbeat and returns the response, on which the agent doesn't act.
+func (h *harness) respondTo(heartbeat Heartbeat) HeartbeatResponse {
+	h.t.Helper()
+	response, err := h.manager.HandleHeartbeat(h.now, id, agentToken, heartbeat)
+	if err != nil {
+		h.t.Fatalf("%v", err)
+	}
+	return response
+}
+
 // heartbeatWithoutResponse sends a heartbeat whose response the agent doesn't act on.
 func (h *harness) heartbeatWithoutResponse(heartbeat Heartbeat) {
 	_, _ = h.manager.HandleHeartbeat(h.now, id, agentToken, heartbeat)
@@ -427,9 +443,8 @@
 			h.deliver(h.nextHeartbeat(), false)
 		}
 		h.finishCommits(commitApplied)
-		if h.taskIsStopping { // the worker has stopped it
-			h.agent = nil
-			h.taskIsStopping = false
+		if h.taskIsStopping {
+			h.endTask() // the worker has stopped it
 		}
 		if h.agent == nil && !h.isSuspended && h.store[Key(id)].Version != 0 {
 			h.startTask()
