--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -104,7 +104,13 @@
 	return moment.Add(-sinceMidnight)
 }
 
-var errStartAtEndOfDay = errors.New("a window can't begin at 24:00; use 00:00 of the next day")
+// What Parse refuses. The errors that it returns wrap one of these, or the cause why a time zone can't be loaded.
+var (
+	ErrWeekday         = errors.New("is no day of the week (use Mon, Tue, Wed, Thu, Fri, Sat, Sun)")
+	ErrTimeOfDay       = errors.New("is no time of day (use HH:MM, 00:00 to 24:00)")
+	ErrStartAtEndOfDay = errors.New("a window can't begin at 24:00; use 00:00 of the next day")
+	ErrNoTimeZone      = errors.New(`name one, as in "Asia/Tokyo" or "UTC"`)
+)
 
 // Parse returns the window of some days ("Mon-Fri", "Fri,Sun", "daily"), two times of day ("18:00") and the name of a
 // time zone ("Asia/Tokyo"). The error names the argument that is wrong.
@@ -122,7 +128,7 @@
 		return Window{}, err
 	}
 	if start == minutesPerDay {
-		return Window{}, errStartAtEndOfDay
+		return Window{}, ErrStartAtEndOfDay
 	}
 	location, err := parseZone(zone)
 	if err != nil {
@@ -166,7 +172,7 @@
 			return time.Weekday(day), nil
 		}
 	}
-	return 0, fmt.Errorf("%q is no day of the week (use Mon, Tue, Wed, Thu, Fri, Sat, Sun)", text)
+	return 0, fmt.Errorf("%q %w", text, ErrWeekday)
 }
 
 // parseTimeOfDay returns the minute of the day of a text such as "18:00".
@@ -177,7 +183,7 @@
 	minute, minuteErr := strconv.Atoi(minuteText)
 	isNumeric := hasColon && len(minuteText) == 2 && hourErr == nil && minuteErr == nil
 	if !isNumeric || hour < 0 || minute < 0 || minute > 59 || hour*60+minute > minutesPerDay {
-		return 0, fmt.Errorf("%q is no time of day (use HH:MM, 00:00 to 24:00)", text)
+		return 0, fmt.Errorf("%q %w", text, ErrTimeOfDay)
 	}
 	return hour*60 + minute, nil
 }
@@ -185,7 +191,7 @@
 // parseZone loads a time zone. It refuses the machine's own zone, which differs from controller to controller.
 func parseZone(name string) (*time.Location, error) {
 	if name == "" || name == "Local" {
-		return nil, fmt.Errorf("time zone %q: name one, as in \"Asia/Tokyo\" or \"UTC\"", name)
+		return nil, fmt.Errorf("time zone %q: %w", name, ErrNoTimeZone)
 	}
 	location, err := time.LoadLocation(name)
 	if err != nil {
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -1,6 +1,7 @@
 package calendar
 
 import (
+	"errors"
 	"flag"
 	"os"
 	"strings"
@@ -122,19 +123,27 @@
 }
 
 func TestParseErrorsNameTheWrongArgument(t *testing.T) {
-	for _, c := range []struct{ days, from, to, zone, err string }{
-		{"Fry", "18:00", "23:00", "UTC", `"Fry" is no day`},
-		{"Mon-", "18:00", "23:00", "UTC", "no day"},
-		{"Fri", "18", "23:00", "UTC", `"18" is no time`},
-		{"Fri", "18:00", "24:01", "UTC", `"24:01"`},
-		{"Fri", "24:00", "01:00", "UTC", "24:00"},
-		{"Fri", "18:00", "23:00", "Mars/Base", `"Mars/Base"`},
-		{"Fri", "18:00", "23:00", "", "name one"},
-		{"Fri", "18:00", "23:00", "Local", "name one"},
+	for _, c := range []struct {
+		days, from, to, zone string
+		text                 string
+		cause                error // nil: of package time
+	}{
+		{"Fry", "18:00", "23:00", "UTC", `"Fry" is no day`, ErrWeekday},
+		{"Mon-", "18:00", "23:00", "UTC", "no day", ErrWeekday},
+		{"Fri", "18", "23:00", "UTC", `"18" is no time`, ErrTimeOfDay},
+		{"Fri", "18:00", "24:01", "UTC", `"24:01"`, ErrTimeOfDay},
+		{"Fri", "24:00", "01:00", "UTC", "24:00", ErrStartAtEndOfDay},
+		{"Fri", "18:00", "23:00", "Mars/Base", `"Mars/Base"`, nil},
+		{"Fri", "18:00", "23:00", "", "name one", ErrNoTimeZone},
+		{"Fri", "18:00", "23:00", "Local", "name one", ErrNoTimeZone},
 	} {
-		if _, err := Parse(c.days, c.from, c.to, c.zone); err == nil || !strings.Contains(err.Error(), c.err) {
+		_, err := Parse(c.days, c.from, c.to, c.zone)
+		if err == nil || !strings.Contains(err.Error(), c.text) {
 			t.Errorf("%v: error %v", c, err)
 		}
+		if c.cause != nil && !errors.Is(err, c.cause) {
+			t.Errorf("%v: error %v is not %v", c, err, c.cause)
+		}
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,8 +18,8 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// Load reads the platform's file and, if hclPath isn't empty, the operators' file. Errors name the file and the
-// setting.
+// Load reads the platform's file and, if hclPath isn't empty, the operators' file. Errors name the file and what is
+// refused in it, most as a *SettingError.
 func Load(path, hclPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -44,7 +44,7 @@
 	if err := json.Unmarshal(raw, settings); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, fmt.Errorf("setting %q: %s is not a %s", typeError.Field, typeError.Value, typeError.Type)
+			return nil, settingError(typeError.Field, "%s is not a %s", typeError.Value, typeError.Type)
 		}
 		return nil, fmt.Errorf("settings are not valid JSON: %w", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -107,9 +107,7 @@
 	dir := t.TempDir()
 	file := func(name, body string) string {
 		p := filepath.Join(dir, name)
-		if err := os.WriteFile(p, []byte(body), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, p, body)
 		return p
 	}
 	js := file("s.json", platformJSON)
@@ -137,9 +135,7 @@
 	load := func(body string) (*Settings, error) {
 		js, hcl := filepath.Join(dir, "s.json"), filepath.Join(dir, "o.hcl")
 		for name, raw := range map[string]string{js: platformJSON, hcl: body} {
-			if err := os.WriteFile(name, []byte(raw), 0o600); err != nil {
-				t.Fatal(err)
-			}
+			writeFile(t, name, raw)
 		}
 		return Load(js, hcl)
 	}
@@ -223,10 +219,15 @@
 func writePlatformFile(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.json")
-	if err := os.WriteFile(path, []byte(platformJSON), 0o600); err != nil {
+	writeFile(t, path, platformJSON)
+	return path
+}
+
+func writeFile(t *testing.T, path, content string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return path
 }
 
 func loadDeployFile(t *testing.T, name string) *Settings {
@@ -298,9 +299,7 @@
 		"sessions {\n policy \"t\" {\n idle = \"cell\"\n during \"x\" {\n days = \"Fri\"\n" +
 			" from = \"1\"\n to = \"2:00\"\n zone = \"UTC\"\n}\n}\n}\n": `during "x"`,
 	} {
-		if err := os.WriteFile(operatorFile, []byte(body), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, operatorFile, body)
 		if _, err := Load(platformFile, operatorFile); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v does not name %s", body, err, want)
 		}
--- /dev/null
+++ b/internal/config/errors_test.go
@@ -0,0 +1,133 @@
+package config
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// What is refused is a SettingError that can be told by kind and name, and its text is the one that operators know.
+func TestRefusalIsASettingErrorWithItsText(t *testing.T) {
+	const refusedFile = "o.hcl"
+	for _, c := range []struct {
+		platformOld, platformNew string // what is replaced in platformJSON
+		operator                 string // the operators' file; empty: none
+		kind                     Kind
+		name, text               string
+	}{
+		{
+			platformOld: `"txn_ops":24`, platformNew: `"txn_ops":"24"`,
+			kind: KindSetting, name: "params.state.txn_ops",
+			text: `setting "params.state.txn_ops": string is not a int`,
+		},
+		{
+			platformOld: `"lease_s":19.0`, platformNew: `"lease_s":0`,
+			kind: KindSetting, name: "params.workers.lease_s",
+			text: `setting "params.workers.lease_s": value 0 breaks the rule "gt 0"`,
+		},
+		{
+			platformOld: `"cancel_s":39.0`, platformNew: `"cancel_s":20`,
+			kind: KindSetting, name: "params.workers.cancel_s",
+			text: `setting "params.workers.cancel_s": 20 s leave no room for a lease of 19 s ("lease_s"): ` +
+				`a hold of at least 2s and 2.5s for commands under way come on top, so at least 23.5 s are needed`,
+		},
+		{
+			platformOld: `"teams":[{"name":"t",`, platformNew: `"teams":[{"name":"t"},{"name":"t",`,
+			kind: KindSetting, name: "params.teams",
+			text: `setting "params.teams": team "t" is named twice`,
+		},
+		{
+			operator: "hold_ttl_ms = 18000\n",
+			kind:     KindSetting, name: "hold_ttl_ms",
+			text: `o.hcl: setting "hold_ttl_ms": a hold of 18s is too long for "cancel_s" 39 and "lease_s" 19: ` +
+				`at most 17461`,
+		},
+		{
+			operator: "licence \"p\" {\n count = 1\n reserve = 2\n}\n",
+			kind:     KindLicencePool, name: "p",
+			text: `o.hcl: licence "p": reserve 2 is more than its count 1`,
+		},
+		{
+			operator: "licence \"p\" {\n count = 1\n team \"nobody\" {}\n}\n",
+			kind:     KindLicencePool, name: "p",
+			text: `o.hcl: licence "p": team "nobody" is not one of the platform's`,
+		},
+		{
+			operator: "licence \"p\" {\n count = 4\n team \"t\" {}\n team \"t\" {}\n}\n",
+			kind:     KindLicencePool, name: "p",
+			text: `o.hcl: licence "p": team "t" is named twice`,
+		},
+		{
+			operator: "licence \"p\" {\n count = 4\n team \"t\" {\n  guarantee = 3\n  most = 2\n }\n}\n",
+			kind:     KindLicencePool, name: "p",
+			text: `o.hcl: licence "p": team "t" is guaranteed 3 but may hold 2 at most`,
+		},
+		{
+			operator: "licence \"p\" {\n count = 4\n team \"t\" { guarantee = 5 }\n}\n",
+			kind:     KindLicencePool, name: "p",
+			text: `o.hcl: licence "p": teams are guaranteed 5 seats, and 4 of 4 can be given`,
+		},
+		{
+			operator: "sessions {\n policy \"x\" {}\n}\n",
+			kind:     KindSessionPolicy, name: "x",
+			text: `o.hcl: sessions, policy "x": that is not one of the platform's teams, nor "default"`,
+		},
+		{
+			operator: "sessions {\n policy \"t\" {}\n policy \"t\" {}\n}\n",
+			kind:     KindSessionPolicy, name: "t",
+			text: `o.hcl: sessions, policy "t": there are two`,
+		},
+	} {
+		settings, err := Parse([]byte(strings.Replace(platformJSON, c.platformOld, c.platformNew, 1)))
+		if err == nil && c.operator != "" {
+			err = settings.ReadOperator(refusedFile, []byte(c.operator))
+		}
+		var refused *SettingError
+		if !errors.As(err, &refused) {
+			t.Errorf("%s: the error is %v", c.text, err)
+			continue
+		}
+		if refused.Kind != c.kind || refused.Name != c.name || err.Error() != c.text {
+			t.Errorf("%s: the error is %q, of %s %q", c.text, err, refused.Kind, refused.Name)
+		}
+	}
+}
+
+// Errors that name a place in the operators' file have their cause, and the text that operators know.
+func TestRefusalsWithAPlaceWrapTheirCause(t *testing.T) {
+	for operator, want := range map[string]struct {
+		cause error
+		text  string
+	}{
+		"licence \"p\" { count = 1 }\nlicence \"p\" { count = 1 }\n": {
+			errDeclaredTwice, `o.hcl: licence "p" is declared twice`,
+		},
+		"sessions {\n policy \"t\" {\n  idle = true\n }\n}\n": {
+			errIdleRuleNotText, `o.hcl: sessions, policy "t": o.hcl:3,10: idle must be an expression in quotes`,
+		},
+	} {
+		settings, err := Parse([]byte(platformJSON))
+		if err != nil {
+			t.Fatal(err)
+		}
+		err = settings.ReadOperator("o.hcl", []byte(operator))
+		if !errors.Is(err, want.cause) || err.Error() != want.text {
+			t.Errorf("the error is %v, not %s", err, want.text)
+		}
+	}
+}
+
+// The operators' token has to be long enough to be one.
+func TestShortOperatorTokenIsRefused(t *testing.T) {
+	path := writePlatformFile(t) + ".token"
+	writeFile(t, path, "short\n")
+	settings, err := Parse([]byte(platformJSON))
+	if err != nil {
+		t.Fatal(err)
+	}
+	err = settings.ReadOperator("o.hcl", []byte(`operator_token_file = "`+path+`"`))
+	want := "o.hcl: operator_token_file " + path + ": a token has at least 16 characters"
+	if !errors.Is(err, errTokenTooShort) || err.Error() != want {
+		t.Errorf("the error is %v, not %s", err, want)
+	}
+}
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 
 	"github.com/harewalk/harewalk/internal/calendar"
@@ -47,6 +48,9 @@
 // LicencePools returns the declared licence pools.
 func (s *Settings) LicencePools() []*licences.Pool { return s.licencePools }
 
+// errDeclaredTwice: two licence pools have one name.
+var errDeclaredTwice = errors.New("is declared twice")
+
 // deriveLicencePools turns the declarations into pools. Its error names the bad one.
 func (s *Settings) deriveLicencePools() error {
 	s.licencePools = nil
@@ -55,7 +59,7 @@
 	for i := range s.Operator.Licences {
 		declared := &s.Operator.Licences[i]
 		if seen[declared.Name] {
-			return fmt.Errorf("licence %q is declared twice", declared.Name)
+			return fmt.Errorf("licence %q %w", declared.Name, errDeclaredTwice)
 		}
 		seen[declared.Name] = true
 		pool, err := declared.pool(teams)
@@ -70,7 +74,7 @@
 // pool returns the declared pool, checked.
 func (d *LicencePool) pool(teams map[string]bool) (*licences.Pool, error) {
 	if d.Reserve > d.Count {
-		return nil, fmt.Errorf("licence %q: reserve %d is more than its count %d", d.Name, d.Reserve, d.Count)
+		return nil, d.refuse("reserve %d is more than its count %d", d.Reserve, d.Count)
 	}
 	pool := &licences.Pool{
 		Name:           d.Name,
@@ -103,21 +107,24 @@
 		_, isRepeated := shares[team.Name]
 		switch {
 		case !teams[team.Name]:
-			return nil, fmt.Errorf("licence %q: team %q is not one of the platform's", d.Name, team.Name)
+			return nil, d.refuse("team %q is not one of the platform's", team.Name)
 		case isRepeated:
-			return nil, fmt.Errorf("licence %q: team %q is named twice", d.Name, team.Name)
+			return nil, d.refuse("team %q is named twice", team.Name)
 		case team.Max > 0 && team.Guarantee > team.Max:
-			return nil, fmt.Errorf(
-				"licence %q: team %q is guaranteed %d but may hold %d at most",
-				d.Name, team.Name, team.Guarantee, team.Max)
+			return nil, d.refuse("team %q is guaranteed %d but may hold %d at most",
+				team.Name, team.Guarantee, team.Max)
 		}
 		shares[team.Name] = licences.TeamQuota{Guarantee: team.Guarantee, Limit: team.Max}
 		guaranteed += team.Guarantee
 	}
 	if available := d.Count - d.Reserve; guaranteed > available {
-		return nil, fmt.Errorf(
-			"licence %q: teams are guaranteed %d seats, and %d of %d can be given",
-			d.Name, guaranteed, available, d.Count)
+		return nil, d.refuse("teams are guaranteed %d seats, and %d of %d can be given",
+			guaranteed, available, d.Count)
 	}
 	return shares, nil
 }
+
+// refuse returns the error that refuses the declaration, with a formatted reason.
+func (d *LicencePool) refuse(format string, values ...any) error {
+	return &SettingError{Kind: KindLicencePool, Name: d.Name, Reason: fmt.Sprintf(format, values...)}
+}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,8 +1,10 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"os"
+	"strconv"
 	"strings"
 
 	"github.com/harewalk/harewalk/internal/licences"
@@ -65,6 +67,8 @@
 // minOperatorTokenLength is the least length of the operators' token, in bytes.
 const minOperatorTokenLength = 16
 
+var errTokenTooShort = errors.New("a token has at least " + strconv.Itoa(minOperatorTokenLength) + " characters")
+
 // applyDefaults sets what the operators left open.
 func (s *Settings) applyDefaults() {
 	operator := &s.Operator
@@ -116,9 +120,7 @@
 	}
 	o.Token = strings.TrimSpace(string(raw))
 	if len(o.Token) < minOperatorTokenLength {
-		return fmt.Errorf(
-			"operator_token_file %s: a token has at least %d characters",
-			o.OperatorTokenFile, minOperatorTokenLength)
+		return fmt.Errorf("operator_token_file %s: %w", o.OperatorTokenFile, errTokenTooShort)
 	}
 	return nil
 }
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -109,19 +110,23 @@
 		name := policy.Team
 		switch {
 		case name != defaultPolicyName && !teams[name]:
-			return nil, fmt.Errorf(
-				"sessions, policy %q: that is not one of the platform's teams, nor \"default\"", name)
+			return nil, policy.refuse(`that is not one of the platform's teams, nor "default"`)
 		case compiled[name] != nil:
-			return nil, fmt.Errorf("sessions, policy %q: there are two", name)
+			return nil, policy.refuse("there are two")
 		}
 		var err error
 		if compiled[name], err = policy.compile(); err != nil {
-			return nil, fmt.Errorf("sessions, policy %q: %w", name, err)
+			return nil, fmt.Errorf("%s %q: %w", KindSessionPolicy, name, err)
 		}
 	}
 	return compiled, nil
 }
 
+// refuse returns the error that refuses the policy.
+func (p *SessionPolicy) refuse(reason string) error {
+	return &SettingError{Kind: KindSessionPolicy, Name: p.Team, Reason: reason}
+}
+
 func (p *SessionPolicy) compile() (*sessions.Policy, error) {
 	rule, err := compileIdleRule(p.IdleRule)
 	if err != nil {
@@ -165,6 +170,9 @@
 	return sessions.WindowLimits{Limits: limits, Window: window}, nil
 }
 
+// errIdleRuleNotText: the attribute of an idle rule isn't a constant text.
+var errIdleRuleNotText = errors.New("idle must be an expression in quotes")
+
 // compileIdleRule compiles the expression of an attribute, or the default rule if it is nil.
 func compileIdleRule(attribute *hcl.Attribute) (*sessions.Rule, error) {
 	if attribute == nil {
@@ -174,7 +182,7 @@
 	position := fmt.Sprintf("%s:%d,%d", attribute.Range.Filename, start.Line, start.Column)
 	value, diags := attribute.Expr.Value(nil)
 	if diags.HasErrors() || value.IsNull() || !value.IsKnown() || value.Type() != cty.String {
-		return nil, fmt.Errorf("%s: idle must be an expression in quotes", position)
+		return nil, fmt.Errorf("%s: %w", position, errIdleRuleNotText)
 	}
 	return sessions.CompileRule(value.AsString(), position)
 }
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -1,9 +1,6 @@
 package config
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // A cancelled job's tasks are gone in time only if everything that can keep one running after the cancellation was
 // confirmed fits in cancel_s:
@@ -71,14 +68,14 @@
 		forCommands := DirectCommandTimeout + timingSlack
 		neededS := workers.LeaseS*(1+clockDriftBound) +
 			(minControllerLeaseTTL+forCommands).Seconds()/(1-clockDriftBound)
-		return fmt.Errorf(
-			"setting \"params.workers.cancel_s\": %g s leave no room for a lease of %g s (\"lease_s\"): "+
+		return settingError("params.workers.cancel_s",
+			"%g s leave no room for a lease of %g s (\"lease_s\"): "+
 				"a hold of at least %v and %v for commands under way come on top, so at least %.1f s are needed",
 			workers.CancelS, workers.LeaseS, minControllerLeaseTTL, forCommands, neededS)
 	}
 	if s.ControllerLeaseTTL() > maxStaleness {
-		return fmt.Errorf(
-			"setting \"hold_ttl_ms\": a hold of %v is too long for \"cancel_s\" %g and \"lease_s\" %g: at most %d",
+		return settingError("hold_ttl_ms",
+			"a hold of %v is too long for \"cancel_s\" %g and \"lease_s\" %g: at most %d",
 			s.ControllerLeaseTTL(), workers.CancelS, workers.LeaseS, maxStaleness.Milliseconds())
 	}
 	return nil
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"reflect"
 	"strings"
 
@@ -38,7 +37,7 @@
 	return found && host != "" && port != "" && strings.Trim(port, "0123456789") == ""
 }
 
-// describeValidationError turns a validator's error into one line that names the setting.
+// describeValidationError returns the first setting that breaks its rule as a *SettingError.
 func describeValidationError(err error) error {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) || len(fields) == 0 {
@@ -50,7 +49,7 @@
 	if first.Param() != "" {
 		rule += " " + first.Param()
 	}
-	return fmt.Errorf("setting %q: value %v breaks the rule %q", path, first.Value(), rule)
+	return settingError(path, "value %v breaks the rule %q", first.Value(), rule)
 }
 
 // checkTeams refuses two teams of one name.
@@ -58,7 +57,7 @@
 	seen := map[string]bool{}
 	for _, team := range s.Params.Teams {
 		if seen[team.Name] {
-			return fmt.Errorf("setting \"params.teams\": team %q is named twice", team.Name)
+			return settingError("params.teams", "team %q is named twice", team.Name)
 		}
 		seen[team.Name] = true
 	}
