--- a/internal/access/users.go
+++ b/internal/access/users.go
@@ -46,7 +46,8 @@
 	current atomic.Pointer[map[tokenSum]*Identity]
 }
 
-// LoadUsers reads the users' file. A user's teams must be among the given ones.
+// LoadUsers reads the users' file. A user's teams must be among the given ones. A block that is refused is a
+// *UserError.
 func LoadUsers(path string, teams map[string]bool) (*Users, error) {
 	users := &Users{files: watchedFiles{paths: []string{path}}, teams: teams}
 	return users, users.load()
@@ -77,7 +78,7 @@
 	for i := range blocks {
 		block := &blocks[i]
 		if block.Name == "" || names[block.Name] {
-			return nil, block.errorf("a user has one block and a name")
+			return nil, block.refuse("a user has one block and a name")
 		}
 		names[block.Name] = true
 		if err := u.addTokens(byToken, block); err != nil {
@@ -90,32 +91,41 @@
 // addTokens adds a user's tokens to the index.
 func (u *Users) addTokens(byToken map[tokenSum]*Identity, block *userBlock) error {
 	if len(block.TokenSums) == 0 {
-		return block.errorf("tokens_sha256 is empty")
+		return block.refuse("tokens_sha256 is empty")
 	}
 	for _, team := range block.Teams {
 		if !u.teams[team] {
-			return block.errorf("there is no team %q", team)
+			return block.refuse("there is no team %q", team)
 		}
 	}
 	identity := &Identity{Name: block.Name, Operator: block.Operator, teams: block.Teams}
 	for _, text := range block.TokenSums {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != sha256.Size {
-			return block.errorf(
+			return block.refuse(
 				"tokens_sha256 takes sums of 64 hexadecimal digits, as `harewalk token new` prints them")
 		}
 		sum := tokenSum(raw)
 		if byToken[sum] != nil {
-			return block.errorf("its token is somebody's already")
+			return block.refuse("its token is somebody's already")
 		}
 		byToken[sum] = identity
 	}
 	return nil
 }
 
-// errorf returns an error that names the user.
-func (b *userBlock) errorf(format string, args ...any) error {
-	return fmt.Errorf("user %q: %s", b.Name, fmt.Sprintf(format, args...))
+// UserError is a user's block of the users' file that is refused.
+type UserError struct {
+	User   string
+	Reason string
+}
+
+// Error names the user, and why the block is refused.
+func (e *UserError) Error() string { return fmt.Sprintf("user %q: %s", e.User, e.Reason) }
+
+// refuse returns the error that refuses the block, with a formatted reason.
+func (b *userBlock) refuse(format string, values ...any) error {
+	return &UserError{User: b.Name, Reason: fmt.Sprintf(format, values...)}
 }
 
 // Reload takes over a file that has changed. On an error the former users stay.
--- a/internal/access/users_test.go
+++ b/internal/access/users_test.go
@@ -1,6 +1,7 @@
 package access
 
 import (
+	"errors"
 	"fmt"
 	"path/filepath"
 	"strings"
@@ -92,6 +93,18 @@
 	}
 }
 
+// A block that is refused is a UserError that can be told by its user.
+func TestRefusedBlockIsAUserError(t *testing.T) {
+	f := newUsersFixture(t)
+	f.write(t, strings.Replace(f.userBlock, "red", "green", 1))
+	err := f.users.Reload()
+	var refused *UserError
+	if !errors.As(err, &refused) || refused.User != "ada" ||
+		err.Error() != f.path+`: user "ada": there is no team "green"` {
+		t.Errorf("error %v", err)
+	}
+}
+
 func TestRemovedUserIsNoLongerAuthenticated(t *testing.T) {
 	f := newUsersFixture(t)
 	f.write(t, f.operatorBlock)
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -98,7 +98,7 @@
 	for atS := load.FromS + gap.Rand(); atS < endS; atS += gap.Rand() {
 		for range batch {
 			if len(all) == maxArrivals {
-				return nil, fmt.Errorf("more than %d jobs arrive", maxArrivals)
+				return nil, errTooManyArrivals
 			}
 			tasks := min(jobs.MaxTasks, max(1, int(math.Round(drawTasks()))))
 			taskS := min(maxTaskS, max(minTaskS, drawSeconds()))
--- a/internal/lab/distribution.go
+++ b/internal/lab/distribution.go
@@ -1,7 +1,6 @@
 package lab
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -18,35 +17,36 @@
 	distPareto      = "pareto"
 )
 
-// sampler returns a function that draws from the distribution. Its error names the parameter that is missing or wrong.
+// sampler returns a function that draws from the distribution. For a parameter that is missing or wrong it returns a
+// *DistributionError.
 func (d Distribution) sampler(source rand.Source) (func() float64, error) {
 	switch d.Kind {
 	case distFixed:
 		if d.Value <= 0 {
-			return nil, errors.New("fixed needs a value above 0")
+			return nil, &DistributionError{Kind: distFixed, Needs: "a value above 0"}
 		}
 		return func() float64 { return d.Value }, nil
 	case distUniform:
 		if d.Low <= 0 || d.High < d.Low {
-			return nil, errors.New("uniform needs 0 < low <= high")
+			return nil, &DistributionError{Kind: distUniform, Needs: "0 < low <= high"}
 		}
 		return distuv.Uniform{Min: d.Low, Max: d.High, Src: source}.Rand, nil
 	case distExponential:
 		if d.Median <= 0 {
-			return nil, errors.New("exponential needs a median above 0")
+			return nil, &DistributionError{Kind: distExponential, Needs: "a median above 0"}
 		}
 		return distuv.Exponential{Rate: math.Ln2 / d.Median, Src: source}.Rand, nil
 	case distLognormal:
 		if d.Median <= 0 || d.P95 < d.Median {
-			return nil, errors.New("lognormal needs 0 < median <= p95")
+			return nil, &DistributionError{Kind: distLognormal, Needs: "0 < median <= p95"}
 		}
 		sigma := math.Log(d.P95/d.Median) / distuv.UnitNormal.Quantile(0.95)
 		return distuv.LogNormal{Mu: math.Log(d.Median), Sigma: sigma, Src: source}.Rand, nil
 	case distPareto:
 		if d.Low <= 0 || d.Shape <= 0 {
-			return nil, errors.New("pareto needs low and shape above 0")
+			return nil, &DistributionError{Kind: distPareto, Needs: "low and shape above 0"}
 		}
 		return distuv.Pareto{Xm: d.Low, Alpha: d.Shape, Src: source}.Rand, nil
 	}
-	return nil, fmt.Errorf("no distribution %q", d.Kind)
+	return nil, fmt.Errorf("%w %q", errUnknownDistribution, d.Kind)
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -258,6 +258,58 @@
 	}
 }
 
+// A refusal that depends on more than one setting wraps its cause, and its text names the load or configuration.
+func TestParseErrorWrapsItsCause(t *testing.T) {
+	for _, c := range []struct {
+		valid, invalid string
+		cause          error
+		text           string
+	}{
+		{`team "red" {}`, `team "blue" {}`, errUnknownTeam, `small.hcl: load "arrays": there is no team "red"`},
+		{`load "licensed"`, `load "arrays"`, ErrDuplicate, `small.hcl: load "arrays": there are two`},
+		{`config "half the machines"`, `config "one"`, ErrDuplicate, `small.hcl: config "one": there are two`},
+	} {
+		_, err := Parse("small.hcl", []byte(strings.Replace(smallScenario, c.valid, c.invalid, 1)))
+		if !errors.Is(err, c.cause) || err.Error() != c.text {
+			t.Errorf("%s: error %v, want %s", c.invalid, err, c.text)
+		}
+	}
+}
+
+// Each kind of distribution names what it needs; an unknown kind is refused as such.
+func TestDistributionWithoutParametersIsRefused(t *testing.T) {
+	for kind, want := range map[string]string{
+		distFixed:       "fixed needs a value above 0",
+		distUniform:     "uniform needs 0 < low <= high",
+		distExponential: "exponential needs a median above 0",
+		distLognormal:   "lognormal needs 0 < median <= p95",
+		distPareto:      "pareto needs low and shape above 0",
+	} {
+		_, err := Distribution{Kind: kind}.sampler(nil)
+		var refused *DistributionError
+		if !errors.As(err, &refused) || refused.Kind != kind || err.Error() != want {
+			t.Errorf("%s: error %v, want %s", kind, err, want)
+		}
+	}
+	_, err := Distribution{Kind: "normal"}.sampler(nil)
+	if !errors.Is(err, errUnknownDistribution) || err.Error() != `no distribution "normal"` {
+		t.Errorf("error %v", err)
+	}
+}
+
+// A scenario whose loads are far too dense is refused while its jobs are drawn.
+func TestTooManyArrivalsAreRefused(t *testing.T) {
+	once := Distribution{Kind: distFixed, Value: 1}
+	scenario := &Scenario{
+		DurationS: 600,
+		Loads:     []Load{{Name: "dense", PerMinute: 1e6, Batch: 1000, Tasks: once, Seconds: once}},
+	}
+	_, err := scenario.arrivals(1)
+	if !errors.Is(err, errTooManyArrivals) || err.Error() != "more than 500000 jobs arrive" {
+		t.Errorf("error %v", err)
+	}
+}
+
 // The scenarios that come with the project can be read.
 func TestPublishedScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "lab", "*.hcl"))
--- a/internal/lab/parse.go
+++ b/internal/lab/parse.go
@@ -68,10 +68,10 @@
 	for i := range s.Loads {
 		load := &s.Loads[i]
 		if !teams[load.Team] {
-			return fmt.Errorf("load %q: there is no team %q", load.Name, load.Team)
+			return fmt.Errorf("load %q: %w %q", load.Name, errUnknownTeam, load.Team)
 		}
 		if seen[load.Name] {
-			return fmt.Errorf("load %q: there are two", load.Name)
+			return fmt.Errorf("load %q: %w", load.Name, ErrDuplicate)
 		}
 		seen[load.Name] = true
 		if err := load.check(); err != nil {
@@ -103,7 +103,7 @@
 	seen := map[string]bool{}
 	for _, config := range s.Configs {
 		if seen[config.Name] {
-			return fmt.Errorf("config %q: there are two", config.Name)
+			return fmt.Errorf("config %q: %w", config.Name, ErrDuplicate)
 		}
 		seen[config.Name] = true
 		if err := s.checkOperatorSettings(config); err != nil {
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -105,7 +105,7 @@
 	for i := range plan.Steps {
 		step := &plan.Steps[i]
 		if seen[step.Name] {
-			return nil, fmt.Errorf("%s: step %q: there are two", file, step.Name)
+			return nil, fmt.Errorf("%s: step %q: %w", file, step.Name, lab.ErrDuplicate)
 		}
 		seen[step.Name] = true
 		if step.Controllers == 0 {
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -68,6 +69,9 @@
 	}
 }
 
+// ErrNoSizes is wrapped by the error for a stored result that holds no sizes.
+var ErrNoSizes = errors.New("no sizes were measured")
+
 // ReadResult reads a result that WriteJSON has written, and fits the lines anew.
 func ReadResult(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
@@ -79,7 +83,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(result.Steps) == 0 {
-		return nil, fmt.Errorf("%s: no sizes were measured", path)
+		return nil, fmt.Errorf("%s: %w", path, ErrNoSizes)
 	}
 	result.Fits = nil
 	result.Unfitted = nil
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"fmt"
+	"io"
 	"math"
 	"math/rand/v2"
 	"os"
@@ -11,6 +12,8 @@
 	"strings"
 	"testing"
 	"text/tabwriter"
+
+	"github.com/harewalk/harewalk/internal/lab"
 )
 
 const smallPlan = `
@@ -53,6 +56,22 @@
 	if _, err := Read("no-such.hcl"); err == nil {
 		t.Error("a plan that isn't there was read")
 	}
+	_, err := Parse("small.hcl", []byte(strings.Replace(smallPlan, `step "a" {`, secondStep+`step "a" {`, 1)))
+	if !errors.Is(err, lab.ErrDuplicate) || err.Error() != `small.hcl: step "a": there are two` {
+		t.Errorf("two steps of one name: %v", err)
+	}
+}
+
+// A stored result without sizes has nothing to write tables from.
+func TestResultWithoutSizesIsRefused(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "scale.json")
+	if err := os.WriteFile(path, []byte(`{"plan":"x"}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := ReadResult(path)
+	if !errors.Is(err, ErrNoSizes) || err.Error() != path+": no sizes were measured" {
+		t.Errorf("error %v", err)
+	}
 }
 
 // The plan that the docs name is read, and fits a machine of the size on which it was measured.
@@ -209,6 +228,14 @@
 	}
 }
 
+// The state service's process ends with the cause if its input ends before its settings.
+func TestStateServiceWithoutSettingsEnds(t *testing.T) {
+	err := PlayState(strings.NewReader(""), io.Discard)
+	if !errors.Is(err, io.ErrUnexpectedEOF) || err.Error() != "no order came: unexpected EOF" {
+		t.Errorf("error %v", err)
+	}
+}
+
 // The usage of a running process is read; one that doesn't run is an error.
 func TestUsageOfProcess(t *testing.T) {
 	usage, err := usageOf(os.Getpid())
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -48,7 +49,7 @@
 	lines := bufio.NewScanner(in)
 	encoder := json.NewEncoder(out)
 	if !lines.Scan() {
-		return fmt.Errorf("no order came: %w", lines.Err())
+		return fmt.Errorf("no order came: %w", cmp.Or(lines.Err(), io.ErrUnexpectedEOF))
 	}
 	var settings stateSettings
 	if err := json.Unmarshal(lines.Bytes(), &settings); err != nil {
@@ -127,7 +128,7 @@
 		return err
 	}
 	if !p.stdout.Scan() {
-		return fmt.Errorf("no answer: %w", io.ErrUnexpectedEOF)
+		return fmt.Errorf("no answer: %w", cmp.Or(p.stdout.Err(), io.ErrUnexpectedEOF))
 	}
 	return json.Unmarshal(p.stdout.Bytes(), response)
 }
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -58,6 +58,15 @@
 	}, nil
 }
 
+// statError is a stat file of a process with too few fields for its processor time.
+type statError struct {
+	path   string
+	fields int // behind the name
+}
+
+// Error names the file, and how many fields it has.
+func (e *statError) Error() string { return fmt.Sprintf("%s has %d fields", e.path, e.fields) }
+
 func cpuSecondsOf(dir string) (float64, error) {
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
@@ -66,7 +75,7 @@
 	// The name in parentheses may hold anything.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= statSystem {
-		return 0, fmt.Errorf("%sstat has %d fields", dir, len(fields))
+		return 0, &statError{path: dir + "stat", fields: len(fields)}
 	}
 	seconds := 0.0
 	for _, field := range []string{fields[statUser], fields[statSystem]} {
