--- a/cmd/harewalk/job_why.go
+++ b/cmd/harewalk/job_why.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"strings"
 	"text/tabwriter"
 
@@ -12,22 +11,20 @@
 )
 
 func whyCmd(client *apiClient) *cobra.Command {
-	return &cobra.Command{
-		Use:   "why ID",
-		Short: "Say in plain words why each part of a job waits",
-		Args:  cobra.ExactArgs(1),
-		Long: "Say why each part of a job waits: as planning has decided it, not guessed anew. The leader answers; " +
-			"any\n" +
-			"controller names it. In JSON each part has a code: team_limit, licence, no_machine, " +
-			"gang_short, no_room, retry,\n" +
-			"parked, planning_behind, lane, plan_not_durable, gang_leaving or starting.",
-		Example: "  harewalk job why req-000412\n" +
-			"  harewalk job why req-000412 -o json",
-		RunE: func(cmd *cobra.Command, args []string) error {
-			req := request{method: http.MethodGet, path: jobPath(args[0]) + "/why"}
-			return callAndShow(client, cmd, req, writePendingReasons)
-		},
-	}
+	cmd := namedView[controller.JobPendingView]{
+		use:   "why ID",
+		short: "Say in plain words why each part of a job waits",
+		path:  func(id string) string { return jobPath(id) + "/why" },
+		write: writePendingReasons,
+	}.command(client)
+	cmd.Long = "Say why each part of a job waits: as planning has decided it, not guessed anew. The leader answers; " +
+		"any\n" +
+		"controller names it. In JSON each part has a code: team_limit, licence, no_machine, " +
+		"gang_short, no_room, retry,\n" +
+		"parked, planning_behind, lane, plan_not_durable, gang_leaving or starting."
+	cmd.Example = "  harewalk job why req-000412\n" +
+		"  harewalk job why req-000412 -o json"
+	return cmd
 }
 
 func writePendingReasons(table *tabwriter.Writer, job controller.JobPendingView) {
--- a/cmd/harewalk/licence.go
+++ b/cmd/harewalk/licence.go
@@ -14,6 +14,8 @@
 
 const licencesPath = "/v2/licences"
 
+func poolPath(pool string) string { return licencesPath + "/" + pool }
+
 // setCountCommand is the body of a request that changes a pool's count.
 type setCountCommand struct {
 	By      string `json:"by"`
@@ -34,23 +36,18 @@
 	}
 	client.addFlags(cmd)
 	cmd.AddCommand(
-		&cobra.Command{
-			Use:   "list",
-			Short: "List the pools: how many seats each has, who holds them, how many are free",
-			Args:  cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				return callAndShow(&client, cmd, request{method: http.MethodGet, path: licencesPath}, writePools)
-			},
-		},
-		&cobra.Command{
-			Use:   "show POOL",
-			Short: "Show one pool, with its teams",
-			Args:  cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				req := request{method: http.MethodGet, path: licencesPath + "/" + args[0]}
-				return callAndShow(&client, cmd, req, writePool)
-			},
-		},
+		view[[]licences.View]{
+			use:   "list",
+			short: "List the pools: how many seats each has, who holds them, how many are free",
+			path:  licencesPath,
+			write: writePools,
+		}.command(&client),
+		namedView[licences.View]{
+			use:   "show POOL",
+			short: "Show one pool, with its teams",
+			path:  poolPath,
+			write: writePool,
+		}.command(&client),
 		setCountCmd(&client),
 	)
 	return cmd
@@ -132,7 +129,7 @@
 				Reset:   reset,
 				Version: optionalNumber(version),
 			}
-			req := request{method: http.MethodPost, path: licencesPath + "/" + args[0], body: body}
+			req := request{method: http.MethodPost, path: poolPath(args[0]), body: body}
 			return callAndShow(client, cmd, req, writePool)
 		},
 	}
--- a/cmd/harewalk/rollout.go
+++ b/cmd/harewalk/rollout.go
@@ -43,30 +43,23 @@
 	abort.Long = "It is refused (exit 3) once the level has risen: the former release can't read what is stored then."
 	free := steerCmd(&client, "free", "Take hold, finish or abort back")
 	cmd.AddCommand(
-		rolloutViewCmd(&client, "status",
-			"Show who runs what, the level, what is missing for the next one, and how far a migration is",
-			writeRollout),
-		rolloutViewCmd(&client, "plan",
-			"Show which controller may be restarted next, and why not another", writeRolloutPlan),
+		view[rollout.View]{
+			use:   "status",
+			short: "Show who runs what, the level, what is missing for the next one, and how far a migration is",
+			path:  rolloutPath,
+			write: writeRollout,
+		}.command(&client),
+		view[rollout.View]{
+			use:   "plan",
+			short: "Show which controller may be restarted next, and why not another",
+			path:  rolloutPath,
+			write: writeRolloutPlan,
+		}.command(&client),
 		hold, finish, abort, free,
 	)
 	return cmd
 }
 
-// rolloutViewCmd returns a command that shows the rollout.
-func rolloutViewCmd(
-	client *apiClient, use, short string, write func(*tabwriter.Writer, rollout.View),
-) *cobra.Command {
-	return &cobra.Command{
-		Use:   use,
-		Short: short,
-		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return callAndShow(client, cmd, request{method: http.MethodGet, path: rolloutPath}, write)
-		},
-	}
-}
-
 // steerCmd returns the command of one operation on the rollout.
 func steerCmd(client *apiClient, op, short string) *cobra.Command {
 	var revision int64
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -22,6 +22,11 @@
 
 const sessionsPath = "/v2/sessions"
 
+// sessionPath is the path of an operation on a session.
+func sessionPath(id, operation string) string {
+	return sessionsPath + "/" + url.PathEscape(id) + "/" + operation
+}
+
 // minKeepAliveInterval bounds --every of `session keep` from below.
 const minKeepAliveInterval = time.Second
 
@@ -180,8 +185,8 @@
 	}
 	withToken := *client
 	withToken.bearer = bearer
-	path := sessionsPath + "/" + url.PathEscape(id) + "/" + operation
-	err = withToken.callLeader(request{method: http.MethodPost, path: path, body: body}, &view)
+	req := request{method: http.MethodPost, path: sessionPath(id, operation), body: body}
+	err = withToken.callLeader(req, &view)
 	return view, err
 }
 
@@ -242,15 +247,12 @@
 }
 
 func sessionExplainCmd(client *apiClient) *cobra.Command {
-	return &cobra.Command{
-		Use:   "explain ID",
-		Short: "Say in plain words why a session is or isn't to be reclaimed, and when",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			path := sessionsPath + "/" + url.PathEscape(args[0]) + "/explain"
-			return callAndShow(client, cmd, request{method: http.MethodGet, path: path}, writeExplanation)
-		},
-	}
+	return namedView[sessionExplanation]{
+		use:   "explain ID",
+		short: "Say in plain words why a session is or isn't to be reclaimed, and when",
+		path:  func(id string) string { return sessionPath(id, "explain") },
+		write: writeExplanation,
+	}.command(client)
 }
 
 func writeExplanation(table *tabwriter.Writer, explanation sessionExplanation) {
--- a/cmd/harewalk/zone.go
+++ b/cmd/harewalk/zone.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -23,23 +22,18 @@
 	}
 	client.addFlags(cmd)
 	cmd.AddCommand(
-		&cobra.Command{
-			Use:   "list",
-			Short: "List the zones: state, machines, what is not heard, what they take",
-			Args:  cobra.NoArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				return callAndShow(&client, cmd, request{method: http.MethodGet, path: zonesPath}, writeZones)
-			},
-		},
-		&cobra.Command{
-			Use:   "plan ZONE",
-			Short: "Show what would happen if a zone were lost now: who would wait, and for how long",
-			Args:  cobra.ExactArgs(1),
-			RunE: func(cmd *cobra.Command, args []string) error {
-				req := request{method: http.MethodGet, path: zonesPath + "/" + args[0]}
-				return callAndShow(&client, cmd, req, writeZoneLoss)
-			},
-		},
+		view[[]controller.ZoneView]{
+			use:   "list",
+			short: "List the zones: state, machines, what is not heard, what they take",
+			path:  zonesPath,
+			write: writeZones,
+		}.command(&client),
+		namedView[controller.ZoneView]{
+			use:   "plan ZONE",
+			short: "Show what would happen if a zone were lost now: who would wait, and for how long",
+			path:  func(zone string) string { return zonesPath + "/" + zone },
+			write: writeZoneLoss,
+		}.command(&client),
 	)
 	return cmd
 }
