--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -99,7 +98,7 @@
 				return usageError(err)
 			}
 			opened := openedSession{Token: rand.Text(), AgentToken: rand.Text()}
-			body, err := openBody(job, userName, opened)
+			body, err := newSessionBody(job, userName, opened)
 			if err != nil {
 				return usageError(fmt.Errorf("%s is not a JSON object: %w", args[0], err))
 			}
@@ -117,19 +116,6 @@
 	return cmd
 }
 
-// openBody adds a session's user and the digests of its tokens to the JSON object of its job. The object stays untyped,
-// so that settings which only the controllers understand are passed on.
-func openBody(job []byte, userName string, opened openedSession) (map[string]any, error) {
-	body := map[string]any{}
-	if err := json.Unmarshal(job, &body); err != nil {
-		return nil, err
-	}
-	body["user"] = userName
-	body["token_sha256"] = sessions.TokenDigest(opened.Token)
-	body["agent_sha256"] = sessions.TokenDigest(opened.AgentToken)
-	return body, nil
-}
-
 func sessionListCmd(client *apiClient) *cobra.Command {
 	var userName, team string
 	cmd := &cobra.Command{
--- /dev/null
+++ b/cmd/harewalk/session_body.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"maps"
+
+	"github.com/harewalk/harewalk/internal/sessions"
+)
+
+// sessionBody is the body of a request that opens a session: the fields of its job's JSON object, and those that the
+// command adds. The job's fields have no type here, so that those which only the controllers understand are passed on.
+type sessionBody struct {
+	job   map[string]canonicalJSON
+	added addedFields
+}
+
+// addedFields are the fields that the command adds to a job.
+type addedFields struct {
+	User        string `json:"user"`
+	TokenDigest string `json:"token_sha256"`
+	AgentDigest string `json:"agent_sha256"`
+}
+
+var errNullJob = errors.New("it is null")
+
+// newSessionBody returns the body that opens a session, from the JSON object of its job. It refuses anything else.
+func newSessionBody(job []byte, userName string, opened openedSession) (*sessionBody, error) {
+	body := &sessionBody{added: addedFields{
+		User:        userName,
+		TokenDigest: sessions.TokenDigest(opened.Token),
+		AgentDigest: sessions.TokenDigest(opened.AgentToken),
+	}}
+	if err := json.Unmarshal(job, &body.job); err != nil {
+		return nil, err
+	}
+	if body.job == nil {
+		return nil, errNullJob
+	}
+	return body, nil
+}
+
+// MarshalJSON returns one object with the job's fields and the command's own, which replace a job's of the same name.
+func (b *sessionBody) MarshalJSON() ([]byte, error) {
+	added, err := json.Marshal(b.added)
+	if err != nil {
+		return nil, err
+	}
+	object := maps.Clone(b.job)
+	if err := json.Unmarshal(added, &object); err != nil {
+		return nil, err
+	}
+	return json.Marshal(object)
+}
+
+// canonicalJSON is a JSON value as package json writes it. A whole number such as 1.0 becomes 1: the service refuses
+// the longer form for a count.
+type canonicalJSON json.RawMessage
+
+// UnmarshalJSON sets the value to the canonical form of any JSON.
+func (c *canonicalJSON) UnmarshalJSON(raw []byte) error {
+	var value any
+	if err := json.Unmarshal(raw, &value); err != nil {
+		return err
+	}
+	canonical, err := json.Marshal(value)
+	*c = canonical
+	return err
+}
+
+// MarshalJSON returns the canonical form.
+func (c canonicalJSON) MarshalJSON() ([]byte, error) { return c, nil }
