--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -87,7 +87,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			kind, name := args[0], args[1]
 			if kind != drainNode && kind != drainMachine {
-				return usageError(fmt.Errorf("%q is neither node nor machine", kind))
+				return usageError(&valueError{value: kind, problem: "is neither node nor machine"})
 			}
 			body := drainCommand{
 				By:       currentUser(),
--- a/cmd/harewalk/client.go
+++ b/cmd/harewalk/client.go
@@ -3,7 +3,6 @@
 import (
 	"crypto/tls"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"os"
 	"os/user"
@@ -56,17 +55,8 @@
 	return strings.TrimSpace(string(r.body))
 }
 
-// statusError is a response with a status that is no success.
-type statusError struct {
-	status  int
-	message string
-}
-
-// Error returns the status and the service's message.
-func (e statusError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.message) }
-
-func (r apiResponse) statusError() statusError {
-	return statusError{status: r.status, message: r.message()}
+func (r apiResponse) serviceError() *serviceError {
+	return &serviceError{status: r.status, message: r.message()}
 }
 
 func envOr(name, fallback string) string {
@@ -128,7 +118,7 @@
 func (c *apiClient) tlsConfig() (*tls.Config, error) {
 	if c.scheme != "https" {
 		if c.caFile != "" && os.Getenv("HAREWALK_CA") != c.caFile {
-			return nil, usageError(errors.New("--ca is for a --server that begins with https://"))
+			return nil, usageError(errCAWithoutTLS)
 		}
 		return nil, nil
 	}
--- a/cmd/harewalk/client_call.go
+++ b/cmd/harewalk/client_call.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// retryLimit is how long a request is repeated; error texts name it as "a minute".
+	// retryLimit is how long a request is repeated; errGivenUp names it as "a minute".
 	retryLimit = time.Minute
 	// leaderRetryDelay is the time between two attempts to reach the leader.
 	leaderRetryDelay = 500 * time.Millisecond
@@ -48,7 +48,7 @@
 			return nil, err
 		}
 		if time.Now().Add(resp.retryAfter).After(deadline) {
-			return nil, failure(fmt.Errorf("given up after a minute: %w", err))
+			return nil, failure(fmt.Errorf("%w: %w", errGivenUp, err))
 		}
 		time.Sleep(resp.retryAfter)
 	}
@@ -61,13 +61,13 @@
 	case r.status < http.StatusMultipleChoices:
 		return nil
 	case r.status == http.StatusBadRequest || r.status == http.StatusUnprocessableEntity:
-		return refusal(fmt.Errorf("refused with %w", r.statusError()))
+		return refusal(fmt.Errorf("%w with %w", errRefused, r.serviceError().withStatus()))
 	case r.status == http.StatusUnauthorized || r.status == http.StatusForbidden:
-		return usageError(errors.New(r.message()))
+		return usageError(r.serviceError())
 	case r.status != http.StatusTooManyRequests && r.status < http.StatusInternalServerError:
-		return failure(r.statusError())
+		return failure(r.serviceError().withStatus())
 	}
-	return r.statusError()
+	return r.serviceError().withStatus()
 }
 
 // callLeader sends a request to the leader, which any controller names, and decodes the response. A request that can't
@@ -95,7 +95,7 @@
 			return lastErr
 		}
 	}
-	return failure(fmt.Errorf("given up after a minute: %w", lastErr))
+	return failure(fmt.Errorf("%w: %w", errGivenUp, lastErr))
 }
 
 func isLeadersSuccess(status int) bool {
@@ -110,8 +110,7 @@
 	case isUntrusted(err):
 		return failure(err)
 	case isCommand:
-		const text = "no answer: look whether the command was carried out before giving it again: %w"
-		return failure(fmt.Errorf(text, err))
+		return failure(fmt.Errorf("%w: %w", errOutcomeUnknown, err))
 	}
 	return err
 }
@@ -122,21 +121,20 @@
 	switch resp.status {
 	case http.StatusMisdirectedRequest:
 		if leader := c.leaderNamedBy(resp.body); leader != "" {
-			return leader, fmt.Errorf("%s leads and does not answer", leader)
+			return leader, fmt.Errorf("%s %w", leader, errLeaderUnreachable)
 		}
-		return "", errors.New(resp.message())
+		return "", resp.serviceError()
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return "", errors.New(resp.message())
+		return "", resp.serviceError()
 	case http.StatusNotFound:
 		if !strings.HasPrefix(string(resp.body), "{") {
-			const text = "the cluster has no such thing; is it switched on in its operators' settings?"
-			return "", usageError(errors.New(text))
+			return "", usageError(errNotEnabled)
 		}
-		return "", usageError(errors.New(resp.message()))
+		return "", usageError(resp.serviceError())
 	case http.StatusBadRequest, http.StatusUnauthorized:
-		return "", usageError(errors.New(resp.message()))
+		return "", usageError(resp.serviceError())
 	}
-	return "", refusal(fmt.Errorf("%s (status %d)", resp.message(), resp.status))
+	return "", refusal(fmt.Errorf("%w (status %d)", resp.serviceError(), resp.status))
 }
 
 // leaderNamedBy returns the leader's address for the client's scheme; empty: the response names none.
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -86,13 +85,13 @@
 	isSpeedValid := d.speed > 0 && d.speed <= maxDevSpeed // false for NaN
 	switch {
 	case d.machines < 1 || d.machines > maxDevMachines:
-		return fmt.Errorf("--machines %d: 1 to %d", d.machines, maxDevMachines)
+		return &boundsError{"--machines", d.machines, fmt.Sprintf("1 to %d", maxDevMachines)}
 	case d.controllers < 1 || d.controllers > maxDevControllers:
-		return fmt.Errorf("--controllers %d: 1 to %d", d.controllers, maxDevControllers)
+		return &boundsError{"--controllers", d.controllers, fmt.Sprintf("1 to %d", maxDevControllers)}
 	case !isSpeedValid:
-		return fmt.Errorf("--speed %g: more than 0, at most %d", d.speed, maxDevSpeed)
+		return &boundsError{"--speed", d.speed, fmt.Sprintf("more than 0, at most %d", maxDevSpeed)}
 	case len(d.zones) == 0 || d.zones[0] == "":
-		return errors.New("--zones names no zone")
+		return errNoZones
 	}
 	return nil
 }
@@ -131,7 +130,7 @@
 	case <-ctx.Done():
 	}
 	if violations := sim.Violations(); len(violations) > 0 {
-		return failure(fmt.Errorf("%d rules did not hold; the first: %s", len(violations), violations[0]))
+		return failure(fmt.Errorf("%d %w; the first: %s", len(violations), errRulesNotKept, violations[0]))
 	}
 	fmt.Fprintln(out, "ended")
 	return nil
@@ -153,8 +152,7 @@
 	}
 	for _, fault := range script {
 		if fault.VirtualTimeOnly {
-			const text = "--script %s: %q is for `harewalk lab` only: here the controllers share one process"
-			return nil, fmt.Errorf(text, d.scriptFile, fault.Text)
+			return nil, fmt.Errorf("--script %s: %q %w", d.scriptFile, fault.Text, errVirtualTimeOnly)
 		}
 	}
 	return script, nil
@@ -211,7 +209,7 @@
 		deadline := time.Now().Add(devStartLimit)
 		for !isReady(sim.UserAddr(index)) {
 			if ctx.Err() != nil || time.Now().After(deadline) {
-				return fmt.Errorf("controller %d is not ready", index)
+				return fmt.Errorf("controller %d %w", index, errNotReady)
 			}
 			time.Sleep(devStartPoll)
 		}
--- a/cmd/harewalk/job.go
+++ b/cmd/harewalk/job.go
@@ -89,7 +89,7 @@
 	}
 	var job jobView
 	if err := json.Unmarshal(raw, &job); err != nil {
-		return failure(fmt.Errorf("an answer that is none: %w", err))
+		return failure(fmt.Errorf("%w: %w", errMalformedResponse, err))
 	}
 	return c.show(out, job, func(table *tabwriter.Writer) {
 		counts := ""
--- a/cmd/harewalk/job_watch.go
+++ b/cmd/harewalk/job_watch.go
@@ -64,7 +64,7 @@
 		case jobDone:
 			return nil
 		case jobCancelled:
-			return refusal(fmt.Errorf("%s is cancelled", progress.ID))
+			return refusal(fmt.Errorf("%s %w", progress.ID, errJobCancelled))
 		}
 	}
 }
@@ -80,10 +80,8 @@
 		return jobProgress{}, false, nil
 	}
 	if resp.status != http.StatusOK {
-		return jobProgress{}, false, failure(statusError{
-			status:  resp.status,
-			message: strings.TrimSpace(string(resp.body)),
-		})
+		refused := &serviceError{status: resp.status, message: strings.TrimSpace(string(resp.body))}
+		return jobProgress{}, false, failure(refused.withStatus())
 	}
 	if json.Unmarshal(resp.body, &progress) != nil {
 		return jobProgress{}, false, nil
--- a/cmd/harewalk/lab.go
+++ b/cmd/harewalk/lab.go
@@ -86,8 +86,8 @@
 	}
 	for _, config := range result.Configs {
 		if broken := config.Broken; len(broken) > 0 {
-			const text = "config %q: %d rules were broken; the first: %s"
-			return failure(fmt.Errorf(text, config.Name, len(broken), broken[0]))
+			run := fmt.Sprintf("config %q", config.Name)
+			return failure(&brokenRulesError{run: run, count: len(broken), first: broken[0]})
 		}
 	}
 	return nil
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -81,7 +81,7 @@
 				return run.rewrite(cmd.OutOrStdout())
 			}
 			if len(args) == 0 {
-				return usageError(errors.New("name a plan, or a run's file with --from"))
+				return usageError(errNoPlan)
 			}
 			return run.measure(cmd.Context(), args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
@@ -120,8 +120,8 @@
 	}
 	for _, step := range result.Steps {
 		if step.Broken > 0 {
-			const text = "size %q: %d rules were broken; the first: %s"
-			return failure(fmt.Errorf(text, step.Name, step.Broken, step.First))
+			run := fmt.Sprintf("size %q", step.Name)
+			return failure(&brokenRulesError{run: run, count: step.Broken, first: step.First})
 		}
 	}
 	return nil
--- a/cmd/harewalk/licence.go
+++ b/cmd/harewalk/licence.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"net/http"
 	"strconv"
@@ -144,14 +143,14 @@
 // countArgument returns the count that the arguments give, or nil where the count is to be reset.
 func countArgument(args []string, reset bool) (*int, error) {
 	if reset != (len(args) == 0) {
-		return nil, usageError(errors.New("give either a count or --reset"))
+		return nil, usageError(errCountOrReset)
 	}
 	if reset {
 		return nil, nil
 	}
 	count, err := strconv.Atoi(args[0])
 	if err != nil || count < 0 || strconv.Itoa(count) != args[0] {
-		return nil, usageError(fmt.Errorf("count %q is not a whole number", args[0]))
+		return nil, usageError(&valueError{source: "count", value: args[0], problem: "is not a whole number"})
 	}
 	return &count, nil
 }
--- a/cmd/harewalk/logging.go
+++ b/cmd/harewalk/logging.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"fmt"
 	"io"
 	"log/slog"
 	"os"
@@ -22,7 +21,7 @@
 	case "json":
 		slog.SetDefault(slog.New(slog.NewJSONHandler(out, options)))
 	default:
-		return fmt.Errorf("LOG_FORMAT %q is neither text nor json", format)
+		return &valueError{source: "LOG_FORMAT", value: format, problem: "is neither text nor json"}
 	}
 	return nil
 }
@@ -37,5 +36,5 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	}
-	return 0, fmt.Errorf("LOG_LEVEL %q is none of error, info, debug", name)
+	return 0, &valueError{source: "LOG_LEVEL", value: name, problem: "is none of error, info, debug"}
 }
--- a/cmd/harewalk/output.go
+++ b/cmd/harewalk/output.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"io"
 	"slices"
 	"strings"
@@ -31,7 +30,8 @@
 	if slices.Contains(outputFormats, format) {
 		return nil
 	}
-	return usageError(fmt.Errorf("--output %q is none of %s", format, strings.Join(outputFormats, ", ")))
+	problem := "is none of " + strings.Join(outputFormats, ", ")
+	return usageError(&valueError{source: "--output", value: format, problem: problem})
 }
 
 // printAs prints a value as JSON, as YAML with the names of the JSON, or as a table.
--- a/cmd/harewalk/serve.go
+++ b/cmd/harewalk/serve.go
@@ -79,7 +79,7 @@
 			return nil
 		case received := <-signals:
 			if drained != nil {
-				return failure(fmt.Errorf("ended by a second signal (%s) while it drained", received))
+				return failure(&secondSignalError{received})
 			}
 			slog.Info("signal", "name", received.String())
 			drained = node.Drain()
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -49,8 +48,7 @@
 	if token := os.Getenv("HAREWALK_SESSION_TOKEN"); token != "" {
 		return token, nil
 	}
-	const text = "the session's token is missing: give --session-token-file or $HAREWALK_SESSION_TOKEN"
-	return "", usageError(errors.New(text))
+	return "", usageError(errNoSessionToken)
 }
 
 func sessionCmd() *cobra.Command {
@@ -100,7 +98,7 @@
 			opened := openedSession{Token: rand.Text(), AgentToken: rand.Text()}
 			body, err := newSessionBody(job, userName, opened)
 			if err != nil {
-				return usageError(fmt.Errorf("%s is not a JSON object: %w", args[0], err))
+				return usageError(fmt.Errorf("%s %w: %w", args[0], errNotJSONObject, err))
 			}
 			req := request{method: http.MethodPost, path: sessionsPath, body: body}
 			if err := client.callLeader(req, &opened.View); err != nil {
