--- a/cmd/harewalk/lab.go
+++ b/cmd/harewalk/lab.go
@@ -168,7 +168,7 @@
 			wait := load.Wait
 			fmt.Fprintf(table, "%s\t%s\t%d\t", load.Name, config.Name, load.Jobs)
 			fmt.Fprintf(table, "%.2f s\t%.2f s\t%.2f s\t%.2f s\t", wait.P50, wait.P90, wait.P99, wait.Max)
-			fmt.Fprintf(table, "%.3f s\t%.1f s\t%.1f s\n", load.Accept.P99, load.Over.P50, load.Over.P99)
+			fmt.Fprintf(table, "%.3f s\t%.1f s\t%.1f s\n", load.Accept.P99, load.Completion.P50, load.Completion.P99)
 		}
 	}
 }
@@ -180,9 +180,9 @@
 		for _, config := range configs {
 			fault := config.Faults[index]
 			fmt.Fprintf(table, "%s\t%.0f s\t%s\t", first.Do, first.AtS, config.Name)
-			fmt.Fprintf(table, "%.2f s\t%.2f s\t", fault.NoStart, fault.NoStartMost)
-			fmt.Fprintf(table, "%.1f s\t%.0f s\t", fault.Unserved, fault.UnservedMost)
-			fmt.Fprintf(table, "%.1f\t%.1f\t%.1f\t%.2g\n", fault.Before, fault.During, fault.After, fault.Leads)
+			fmt.Fprintf(table, "%.2f s\t%.2f s\t", fault.NoStart, fault.MaxNoStart)
+			fmt.Fprintf(table, "%.1f s\t%.0f s\t", fault.Unserved, fault.MaxUnserved)
+			fmt.Fprintf(table, "%.1f\t%.1f\t%.1f\t%.2g\n", fault.Before, fault.During, fault.After, fault.LeaderChanges)
 		}
 	}
 }
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -24,30 +24,26 @@
 
 // Assumptions about a worker where a planned size doesn't give a figure.
 const (
-	reportIntervalS   = 5.0
-	tasksOfAMachine   = 8.0
-	fromTasksAMachine = 0.0 // in place of a number of running tasks: tasksOfAMachine for each machine
+	heartbeatIntervalS = 5.0
+	tasksPerMachine    = 8
 )
 
 // plannedSizes returns the sizes of docs/CAPACITY.md for which the fitted lines are evaluated: the users' large
 // deployment as it is, three times that, and the size that they plan for.
 func plannedSizes() []scale.Size {
 	return []scale.Size{
-		plannedSize("today", 1217, fromTasksAMachine, 75, 0.3),
-		plannedSize("x3", 3651, fromTasksAMachine, 227, 0.9),
+		plannedSize("today", 1217, 1217*tasksPerMachine, 75, 0.3),
+		plannedSize("x3", 3651, 3651*tasksPerMachine, 227, 0.9),
 		plannedSize("planned", 17_000, 380_000, 6900, 2.55),
 	}
 }
 
 func plannedSize(name string, machines, running, startsPerS, jobsPerS float64) scale.Size {
-	if running == fromTasksAMachine {
-		running = tasksOfAMachine * machines
-	}
 	return scale.Size{Name: name, Values: scale.Values{
 		"machines":             machines,
 		"tasks_running":        running,
-		"tasks_reported_per_s": running / reportIntervalS,
-		"reports_per_s":        machines / reportIntervalS,
+		"tasks_reported_per_s": running / heartbeatIntervalS,
+		"reports_per_s":        machines / heartbeatIntervalS,
 		"starts_per_s":         startsPerS,
 		"jobs_per_s":           jobsPerS,
 	}}
@@ -121,7 +117,7 @@
 	for _, step := range result.Steps {
 		if step.Broken > 0 {
 			run := fmt.Sprintf("size %q", step.Name)
-			return failure(&brokenRulesError{run: run, count: step.Broken, first: step.First})
+			return failure(&brokenRulesError{run: run, count: step.Broken, first: step.FirstBroken})
 		}
 	}
 	return nil
--- a/cmd/harewalk/lab_scale_test.go
+++ b/cmd/harewalk/lab_scale_test.go
@@ -74,9 +74,9 @@
 		t.Fatal(err)
 	}
 	step := result.Steps[0]
-	if step.Broken != 0 || step.Again != 0 {
+	if step.Broken != 0 || step.TasksRerun != 0 {
 		t.Errorf("%d rules were broken, the first: %s; %d tasks began again after they were done",
-			step.Broken, step.First, step.Again)
+			step.Broken, step.FirstBroken, step.TasksRerun)
 	}
 	for _, name := range []string{
 		"machines", "leader_rss", "follower_rss", "state_requests", "leader_read", "state_followed",
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -21,6 +21,8 @@
 	maxTaskS = 1e6
 	// minCancelDelayS is the shortest time from a job's arrival to its cancellation.
 	minCancelDelayS = 0.1
+	// maxCancelDelayTasks bounds that time, in the run time of one task: some jobs are cancelled after their end.
+	maxCancelDelayTasks = 2
 )
 
 // arrival is one job that a user submits.
@@ -105,7 +107,7 @@
 			id := fmt.Sprintf("req-%02d%07d", index+1, len(all)+1)
 			next := arrival{load: index, at: jobs.Seconds(atS), spec: load.spec(id, tasks, taskS)}
 			if rng.Float64() < load.CancelShare {
-				next.cancel = jobs.Seconds(minCancelDelayS + rng.Float64()*2*taskS)
+				next.cancel = jobs.Seconds(minCancelDelayS + rng.Float64()*maxCancelDelayTasks*taskS)
 			}
 			all = append(all, next)
 		}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -74,7 +74,7 @@
 			if histogram.TotalCount() == 0 {
 				break
 			}
-			waitS := float64(histogram.ValueAtQuantile(percent)) / millisOfASecond
+			waitS := float64(histogram.ValueAtQuantile(percent)) / millisPerSecond
 			x := math.Log10(max(minPlottedS, waitS))
 			waits.endX = max(waits.endX, x)
 			line = append(line, Point{x, percent / 100})
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -42,11 +42,11 @@
 
 // LoadResult summarizes the jobs of one load.
 type LoadResult struct {
-	Name   string    `json:"name"`
-	Jobs   int       `json:"jobs"`
-	Accept Quantiles `json:"accept_s"` // from the submission to its acceptance
-	Wait   Quantiles `json:"wait_s"`   // to the first start
-	Over   Quantiles `json:"over_s"`   // to the first response that it is done
+	Name       string    `json:"name"`
+	Jobs       int       `json:"jobs"`
+	Accept     Quantiles `json:"accept_s"` // from the submission to its acceptance
+	Wait       Quantiles `json:"wait_s"`   // to the first start
+	Completion Quantiles `json:"over_s"`   // to the first response that it is done
 }
 
 // Quantiles are the quantiles of N times, in seconds.
@@ -63,17 +63,18 @@
 	AtS float64 `json:"at_s"`
 	Do  string  `json:"do"`
 	// Before, During and After are task starts a second in three periods of the same length: before the fault, the
-	// period in which its effect is measured, and after that. Leads counts the changes of the leader in the second.
-	Before float64 `json:"starts_before"`
-	During float64 `json:"starts_during"`
-	After  float64 `json:"starts_after"`
-	Leads  float64 `json:"leads_passed"`
+	// period in which its effect is measured, and after that. LeaderChanges is how often the leader
+	// changed in the second.
+	Before        float64 `json:"starts_before"`
+	During        float64 `json:"starts_during"`
+	After         float64 `json:"starts_after"`
+	LeaderChanges float64 `json:"leads_passed"`
 	// NoStart is the longest time without any task start in the second period, whether or not there was work.
 	// Unserved is the time until nine of ten requests of each second were served again.
-	NoStart      float64 `json:"no_start_s"`
-	NoStartMost  float64 `json:"no_start_most_s"`
-	Unserved     float64 `json:"unserved_s"`
-	UnservedMost float64 `json:"unserved_most_s"`
+	NoStart     float64 `json:"no_start_s"`
+	MaxNoStart  float64 `json:"no_start_most_s"`
+	Unserved    float64 `json:"unserved_s"`
+	MaxUnserved float64 `json:"unserved_most_s"`
 }
 
 // RunResult is what may differ by seed, of one run.
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -156,6 +156,16 @@
 		observed.users = append(observed.users, user)
 		sim.After(arrival.at, user.arrive)
 	}
+	s.advance(sim, balancer, progress)
+	observed.finish(sim)
+	progress(1)
+	return observed, nil
+}
+
+// advance lets the simulated time pass: the duration, with samples of the use of machines, and then up to DrainS until
+// the last jobs are over.
+func (s *Scenario) advance(sim *simulator.Simulation, balancer *loadBalancer, progress Progress) {
+	observed := balancer.run
 	duration := jobs.Seconds(s.DurationS)
 	for i := range samples {
 		sim.Advance(duration / samples)
@@ -166,9 +176,6 @@
 	for waited := time.Duration(0); waited < drain && balancer.openJobs > 0; waited += drainStep {
 		sim.Advance(drainStep)
 	}
-	observed.finish(sim)
-	progress(1)
-	return observed, nil
 }
 
 // finish takes over what the simulation has recorded.
--- a/internal/lab/scale/cluster.go
+++ b/internal/lab/scale/cluster.go
@@ -17,8 +17,8 @@
 	readyTimeout = 30 * time.Second
 	// workerTick is the interval at which the simulated workers' time advances.
 	workerTick = 100 * time.Millisecond
-	// memoryGBOfATask is the memory of a machine for each of its cores.
-	memoryGBOfATask = 4
+	// memoryGBPerCore is the memory of a machine for each of its cores.
+	memoryGBPerCore = 4
 )
 
 // operatorSettings keep the machines that a step has, and serve the controllers' metrics.
@@ -139,7 +139,7 @@
 		Types: []capacity.MachineType{{
 			Name:    "hollow",
 			CPUs:    cores,
-			Mem:     memoryGBOfATask * cores,
+			Mem:     memoryGBPerCore * cores,
 			CacheGB: 100,
 			FetchGB: 2,
 			Price:   1,
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -35,9 +35,9 @@
 	Refused    int     `json:"refused"`
 	Settled    bool    `json:"settled"` // the machines were busy when the measurement began
 	Broken     int     `json:"broken"`  // rules of the protocol
-	Again      int     `json:"again"`   // tasks that started once more after they were done
-	// First is the first broken rule; empty: none was broken.
-	First string `json:"first_broken,omitempty"`
+	TasksRerun int     `json:"again"`   // tasks that started once more after they were done
+	// FirstBroken is the first broken rule; empty: none was broken.
+	FirstBroken string `json:"first_broken,omitempty"`
 }
 
 // Size is a size that isn't played, for which the lines are evaluated.
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -83,7 +83,7 @@
 
 // kilobytes returns by how many KB a number of bytes has grown, a second.
 func (i interval) kilobytes(before, after uint64) float64 {
-	return float64(after-before) / bytesOfKB / i.seconds()
+	return float64(after-before) / bytesPerKB / i.seconds()
 }
 
 // cores returns how many processors a process has used on average.
@@ -173,10 +173,10 @@
 		Waits:      times.waits.TotalCount(),
 		Refused:    measured.after.users.refused - measured.before.users.refused,
 		Broken:     len(violations),
-		Again:      measured.after.stats.TasksRerun,
+		TasksRerun: measured.after.stats.TasksRerun,
 	}
 	if len(violations) > 0 {
-		result.First = violations[0]
+		result.FirstBroken = violations[0]
 	}
 	return result
 }
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -23,7 +23,7 @@
 // ticksPerSecond is the unit of processor times in /proc on Linux.
 const ticksPerSecond = 100
 
-const bytesOfKB = 1024
+const bytesPerKB = 1024
 
 // Fields of /proc/PID/stat behind the name, from 0.
 const (
@@ -48,8 +48,8 @@
 	}
 	return Usage{
 		CPUSeconds: cpuSeconds,
-		RSSBytes:   status["VmRSS"] * bytesOfKB,
-		PeakBytes:  status["VmHWM"] * bytesOfKB,
+		RSSBytes:   status["VmRSS"] * bytesPerKB,
+		PeakBytes:  status["VmHWM"] * bytesPerKB,
 		Read:       io["rchar"],
 		Written:    io["wchar"],
 		ReadCalls:  io["syscr"],
@@ -127,7 +127,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return memory["MemTotal"] * bytesOfKB, nil
+	return memory["MemTotal"] * bytesPerKB, nil
 }
 
 // parseMetrics reads the metrics without labels of a controller's /metrics page.
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -21,7 +21,7 @@
 	// maxRecordedMS bounds the times of a histogram, which holds them in milliseconds.
 	maxRecordedMS   = 10 * 60 * 1000
 	histogramDigits = 3
-	millisOfASecond = 1000
+	millisPerSecond = 1000
 
 	requestTimeout   = 5 * time.Second
 	submitRetryDelay = 500 * time.Millisecond
@@ -67,7 +67,7 @@
 
 // seconds returns a quantile in seconds.
 func (h histogram) seconds(percent float64) float64 {
-	return float64(h.ValueAtQuantile(percent)) / millisOfASecond
+	return float64(h.ValueAtQuantile(percent)) / millisPerSecond
 }
 
 func newUsers(sim *simulator.Simulation, step Step, pollInterval time.Duration) *users {
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -12,7 +12,7 @@
 	// maxRecordedTime bounds the times of a histogram, which holds them in milliseconds.
 	maxRecordedTime    = 14 * 24 * time.Hour
 	histogramDigits    = 3
-	millisOfASecond    = 1000
+	millisPerSecond    = 1000
 	jobDone            = "done"
 	defaultRecovery    = time.Minute // how long after a fault its effect is measured
 	maxUnservedPercent = 10          // of the requests of a second in which the service counts as recovered
@@ -31,7 +31,7 @@
 	if histogram.TotalCount() == 0 {
 		return Quantiles{}
 	}
-	seconds := func(millis int64) float64 { return float64(millis) / millisOfASecond }
+	seconds := func(millis int64) float64 { return float64(millis) / millisPerSecond }
 	return Quantiles{
 		N:   histogram.TotalCount(),
 		P50: seconds(histogram.ValueAtQuantile(50)),
@@ -55,9 +55,9 @@
 
 // loadTimes are the times of the jobs of one load.
 type loadTimes struct {
-	accept *hdrhistogram.Histogram
-	wait   *hdrhistogram.Histogram
-	over   *hdrhistogram.Histogram
+	accept     *hdrhistogram.Histogram
+	wait       *hdrhistogram.Histogram
+	completion *hdrhistogram.Histogram
 }
 
 // configSummary builds the result of a configuration from its runs.
@@ -143,7 +143,7 @@
 		c.Ends.Refused++
 	case user.history.Final == jobDone:
 		c.Ends.Done++
-		record(times.over, user.endDelay)
+		record(times.completion, user.endDelay)
 	case user.history.Final == jobCancelled:
 		c.Ends.Cancelled++
 	default:
@@ -160,7 +160,7 @@
 		load := &c.Loads[i]
 		load.Accept = quantiles(times.accept)
 		load.Wait = quantiles(times.wait)
-		load.Over = quantiles(times.over)
+		load.Completion = quantiles(times.completion)
 		c.waits = append(c.waits, times.wait)
 	}
 }
@@ -197,13 +197,13 @@
 		result.Before += before.count(run.starts) / allSeconds
 		result.During += during.count(run.starts) / allSeconds
 		result.After += after.count(run.starts) / allSeconds
-		result.Leads += during.count(run.leaderChanges) / runCount
+		result.LeaderChanges += during.count(run.leaderChanges) / runCount
 		noStart := run.longestStartGap(during).Seconds()
 		result.NoStart += noStart / runCount
-		result.NoStartMost = max(result.NoStartMost, noStart)
+		result.MaxNoStart = max(result.MaxNoStart, noStart)
 		unserved := float64(run.unservedSeconds(during))
 		result.Unserved += unserved / runCount
-		result.UnservedMost = max(result.UnservedMost, unserved)
+		result.MaxUnserved = max(result.MaxUnserved, unserved)
 	}
 	return result
 }
--- a/internal/lab/user.go
+++ b/internal/lab/user.go
@@ -20,6 +20,8 @@
 	userRetryDelay  = time.Second
 	minPollInterval = 2 * time.Second
 	maxPollInterval = 30 * time.Second
+	// pollAgeDivisor sets the interval between two polls: this part of the job's age, within the bounds above.
+	pollAgeDivisor = 10
 	// finalPolls is how often a user sees a job's end: the later responses must not differ from the first.
 	finalPolls = 3
 )
@@ -182,7 +184,7 @@
 			u.balancer.openJobs--
 		}
 		if u.history.FinalAnswers < finalPolls {
-			interval := max(minPollInterval, min(u.sinceArrival()/10, maxPollInterval))
+			interval := max(minPollInterval, min(u.sinceArrival()/pollAgeDivisor, maxPollInterval))
 			u.balancer.after(interval, u.poll)
 		}
 	})
