--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -106,6 +106,7 @@
 func TestOperatorFileOverridesDefaultsAndErrorsNameTheLine(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, body string) string {
+		t.Helper()
 		p := filepath.Join(dir, name)
 		writeFile(t, p, body)
 		return p
@@ -133,6 +134,7 @@
 func TestLicencePoolsAreCheckedAtLoad(t *testing.T) {
 	dir := t.TempDir()
 	load := func(body string) (*Settings, error) {
+		t.Helper()
 		js, hcl := filepath.Join(dir, "s.json"), filepath.Join(dir, "o.hcl")
 		for name, raw := range map[string]string{js: platformJSON, hcl: body} {
 			writeFile(t, name, raw)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -28,6 +28,11 @@
 	// tasksPerMB is how many unfinished tasks are admitted for each MB: a task takes about 80 bytes, and twice that
 	// while plans are read after a failover.
 	tasksPerMB = 2000
+	// incomingSocketPercent of the sockets are for incoming connections, keepAlivePercent of these for those that are
+	// kept open. outgoingSocketPercent of the sockets are for requests to one kind of outside system.
+	incomingSocketPercent = 70
+	keepAlivePercent      = 75
+	outgoingSocketPercent = 10
 	// minOutgoing is how many requests to outside systems may be in flight on the smallest machine.
 	minOutgoing = 4
 )
@@ -38,22 +43,24 @@
 // MemoryLimitMB returns the memory that may be used, in MB.
 func (l ControllerLimits) MemoryLimitMB() float64 { return valueOr(l.MemMB, defaultMemoryMB) }
 
+func (l ControllerLimits) maxSockets() int { return valueOr(l.Sockets, defaultSockets) }
+
 // MaxConns returns how many incoming connections are accepted. Each may hold a request body of the largest size at
 // the same time, and those together leave memory for the rest.
 func (l ControllerLimits) MaxConns() int {
-	bySockets := valueOr(l.Sockets, defaultSockets) * 7 / 10
+	bySockets := l.maxSockets() * incomingSocketPercent / 100
 	byMemory := int(l.MemoryLimitMB() * bodiesMemoryShare * bytesPerMB / MaxBody)
 	return max(1, min(bySockets, byMemory))
 }
 
 // KeepAliveConns returns how many connections may be open while those of workers are kept open after a response.
 // The rest is left for new ones: of users, whom the load balancer spreads over all controllers, and of health checks.
-func (l ControllerLimits) KeepAliveConns() int { return max(1, l.MaxConns()*3/4) }
+func (l ControllerLimits) KeepAliveConns() int { return max(1, l.MaxConns()*keepAlivePercent/100) }
 
 // MaxOutgoing returns how many requests to one kind of outside system may be in flight: at most limit, fewer where
 // sockets are scarce.
 func (l ControllerLimits) MaxOutgoing(limit int) int {
-	return max(minOutgoing, min(limit, valueOr(l.Sockets, defaultSockets)/10))
+	return max(minOutgoing, min(limit, l.maxSockets()*outgoingSocketPercent/100))
 }
 
 // MaxTasks returns how many unfinished tasks are admitted.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -64,6 +64,12 @@
 	defaultNetworkFactor  = 1
 )
 
+// A machine is unheard after so many intervals of its heartbeat and a slack, where its lease allows that.
+const (
+	unheardHeartbeats = 3
+	unheardSlackS     = 4
+)
+
 // minOperatorTokenLength is the least length of the operators' token, in bytes.
 const minOperatorTokenLength = 16
 
@@ -80,7 +86,7 @@
 	}
 	if operator.MachineUnheardTimeoutS == 0 {
 		workers := s.Params.Workers
-		operator.MachineUnheardTimeoutS = min(workers.LeaseS, 3*workers.HeartbeatIntervalS+4)
+		operator.MachineUnheardTimeoutS = min(workers.LeaseS, unheardHeartbeats*workers.HeartbeatIntervalS+unheardSlackS)
 	}
 	if operator.Headroom == 0 {
 		operator.Headroom = defaultHeadroom
