--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -86,7 +86,8 @@
 	}
 	if operator.MachineUnheardTimeoutS == 0 {
 		workers := s.Params.Workers
-		operator.MachineUnheardTimeoutS = min(workers.LeaseS, unheardHeartbeats*workers.HeartbeatIntervalS+unheardSlackS)
+		unheardS := unheardHeartbeats*workers.HeartbeatIntervalS + unheardSlackS
+		operator.MachineUnheardTimeoutS = min(workers.LeaseS, unheardS)
 	}
 	if operator.Headroom == 0 {
 		operator.Headroom = defaultHeadroom
