--- a/cmd/harewalk/lab.go
+++ b/cmd/harewalk/lab.go
@@ -76,7 +76,8 @@
 		return failure(err)
 	}
 	if r.htmlFile != "" {
-		if err := writeReport(r.htmlFile, result); err != nil {
+		report := outputFile{flag: "--html", name: r.htmlFile, path: r.htmlFile, write: result.WriteHTML}
+		if err := report.create(); err != nil {
 			return failure(err)
 		}
 	}
@@ -131,18 +132,6 @@
 	}
 }
 
-func writeReport(name string, result *lab.Result) error {
-	file, err := os.Create(name)
-	if err != nil {
-		return fmt.Errorf("--html: %w", err)
-	}
-	if err := result.WriteHTML(file); err != nil {
-		_ = file.Close()
-		return fmt.Errorf("--html %s: %w", name, err)
-	}
-	return file.Close()
-}
-
 func writeLabResult(table *tabwriter.Writer, result *lab.Result) {
 	fmt.Fprintf(table, "%s: %d runs of %s for each configuration, simulated\n\n",
 		result.Scenario, result.Repetitions, formatSeconds(result.DurationS))
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -161,37 +161,20 @@
 	writeMarkdown := func(out io.Writer) error {
 		return result.WriteMarkdown(out, plannedSizes())
 	}
-	files := []struct {
-		name  string
-		write func(io.Writer) error
-	}{
-		{scaleJSON, result.WriteJSON},
-		{scaleMarkdown, writeMarkdown},
-		{scaleHTML, result.WriteHTML},
-	}
-	for _, file := range files {
-		if err := writeScaleFile(folder, file.name, file.write); err != nil {
+	for _, file := range []outputFile{
+		{name: scaleJSON, write: result.WriteJSON},
+		{name: scaleMarkdown, write: writeMarkdown},
+		{name: scaleHTML, write: result.WriteHTML},
+	} {
+		file.flag = "--out"
+		file.path = filepath.Join(folder, file.name)
+		if err := file.create(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func writeScaleFile(folder, name string, write func(io.Writer) error) error {
-	file, err := os.Create(filepath.Join(folder, name))
-	if err != nil {
-		return fmt.Errorf("--out: %w", err)
-	}
-	if err := write(file); err != nil {
-		_ = file.Close()
-		return fmt.Errorf("--out %s: %w", name, err)
-	}
-	if err := file.Close(); err != nil {
-		return fmt.Errorf("--out %s: %w", name, err)
-	}
-	return nil
-}
-
 // labStateCmd returns the hidden command that is the state service's process of a scale run.
 func labStateCmd() *cobra.Command {
 	return &cobra.Command{
--- a/cmd/harewalk/output.go
+++ b/cmd/harewalk/output.go
@@ -1,8 +1,11 @@
 package main
 
 import (
+	"cmp"
 	"encoding/json"
+	"fmt"
 	"io"
+	"os"
 	"slices"
 	"strings"
 	"text/tabwriter"
@@ -67,6 +70,28 @@
 	return err
 }
 
+// outputFile is a file that a flag asks for.
+type outputFile struct {
+	flag  string
+	name  string // as errors give it
+	path  string
+	write func(io.Writer) error
+}
+
+// create writes the file, in place of one that is there. Its errors name the flag.
+func (f outputFile) create() error {
+	file, err := os.Create(f.path)
+	if err != nil {
+		return fmt.Errorf("%s: %w", f.flag, err)
+	}
+	writeErr := f.write(file)
+	closeErr := file.Close()
+	if err := cmp.Or(writeErr, closeErr); err != nil {
+		return fmt.Errorf("%s %s: %w", f.flag, f.name, err)
+	}
+	return nil
+}
+
 // show prints a value in the format that the client's --output flag chose.
 func (c *apiClient) show(out io.Writer, value any, writeTable func(*tabwriter.Writer)) error {
 	return printAs(c.output, out, value, writeTable)
