--- a/cmd/harewalk/cluster_test.go
+++ b/cmd/harewalk/cluster_test.go
@@ -101,6 +101,24 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
+// expectExit runs the program, fails the test unless it ends with an exit code, and returns what it printed.
+func expectExit(t *testing.T, wantCode int, args ...string) string {
+	t.Helper()
+	out, code := runCommand(t, args...)
+	if code != wantCode {
+		t.Fatalf("%v: exit %d, want %d: %s", args, code, wantCode, out)
+	}
+	return out
+}
+
+// writeFile writes a file that a command is to read.
+func writeFile(t *testing.T, path, content string) {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // expectCommand runs the program and fails the test unless it ends with an exit code and prints a text.
 func expectCommand(t *testing.T, wantCode int, wantText string, args ...string) {
 	t.Helper()
--- a/cmd/harewalk/dev_test.go
+++ b/cmd/harewalk/dev_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"os"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -13,9 +12,7 @@
 // One command runs a whole cluster: its sample job is done, the faults of a script are played, and it ends cleanly.
 func TestDevRunsAWholeCluster(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "faults")
-	if err := os.WriteFile(script, []byte("100ms crash-task\n200ms outage 300ms\n"), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, script, "100ms crash-task\n200ms outage 300ms\n")
 	cluster := devCluster{
 		machines: 6, controllers: 3, zones: []string{"a", "b"}, seed: 1, speed: 40,
 		scriptFile: script, logLevel: "error",
--- a/cmd/harewalk/drain_test.go
+++ b/cmd/harewalk/drain_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -197,8 +198,9 @@
 	reportViolations(t, sim)
 }
 
-// Operators drain a controller and a machine through any controller. Of two commands that drain the last two controllers
-// one is refused, because none would be left or because of the other command. What is undrained serves again.
+// Operators drain a controller and a machine through any controller. Of two commands that drain the last two
+// controllers one is refused, because none would be left or because of the other command. What is undrained serves
+// again.
 func TestOperatorsDrain(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 26, MaxMachines: 4, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
@@ -212,11 +214,7 @@
 	waitUntil(t, "all run", func() bool { return sim.Stats().TaskStarts >= 20 })
 	admin := func(want int, args ...string) string {
 		t.Helper()
-		out, code := runCommand(t, append(append([]string{"admin"}, args...), "--server", sim.UserAddr(0))...)
-		if code != want {
-			t.Fatalf("admin %v: exit %d, want %d: %s", args, code, want, out)
-		}
-		return out
+		return expectExit(t, want, slices.Concat([]string{"admin"}, args, []string{"--server", sim.UserAddr(0)})...)
 	}
 	status := func() (s controller.Status) {
 		t.Helper()
--- a/cmd/harewalk/errors_test.go
+++ b/cmd/harewalk/errors_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"io"
-	"os"
 	"path/filepath"
 	"testing"
 )
@@ -30,9 +29,7 @@
 // refusedScript returns the error of `harewalk dev` for a script.
 func refusedScript(t *testing.T, path, script string) error {
 	t.Helper()
-	if err := os.WriteFile(path, []byte(script), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, path, script)
 	cluster := devCluster{scriptFile: path}
 	_, err := cluster.readScript()
 	return err
--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -24,9 +24,9 @@
 	large.Team = "blue"
 	gang := plainJob(3, 4, 600)
 	gang.Kind, gang.Team, gang.CPUs = jobs.Gang, "blue", 10
-	seats := plainJob(4, 9, 600)
-	seats.Licences, seats.Team, seats.Priority = map[string]int{"optimise": 2}, "blue", "prod"
-	for _, spec := range []*jobs.Spec{seats, limited, large, gang} {
+	licensed := plainJob(4, 9, 600)
+	licensed.Licences, licensed.Team, licensed.Priority = map[string]int{"optimise": 2}, "blue", "prod"
+	for _, spec := range []*jobs.Spec{licensed, limited, large, gang} {
 		if status := users.Submit(spec); status != 201 {
 			t.Fatalf("status %d", status)
 		}
@@ -47,18 +47,14 @@
 	expectCommand(t, 0, `"why": "gang_short"`, "job", "why", "req-000003", "-o", "json", "--server", sim.UserAddr(2))
 	expectCommand(t, 0, "why: gang_short", "job", "why", "req-000003", "-o", "yaml", "--server", sim.UserAddr(2))
 	expectCommand(t, 2, `"xml"`, "job", "list", "-o", "xml", "--server", sim.UserAddr(2))
-	out, code := runCommand(t, "job", "events", "req-000004",
+	out := expectExit(t, 0, "job", "events", "req-000004",
 		"--where", "event = task_running and task < 4", "--server", sim.UserAddr(1))
-	if code != 0 || strings.Count(out, "task_running") != 4 || !strings.Contains(out, "i-0000") {
-		t.Fatalf("exit %d: %s", code, out)
+	if strings.Count(out, "task_running") != 4 || !strings.Contains(out, "i-0000") {
+		t.Fatal(out)
 	}
 	list := func(want int, where string) string {
 		t.Helper()
-		out, code := runCommand(t, "job", "list", "--where", where, "--server", sim.UserAddr(2))
-		if code != want {
-			t.Fatalf("%s: exit %d: %s", where, code, out)
-		}
-		return out
+		return expectExit(t, want, "job", "list", "--where", where, "--server", sim.UserAddr(2))
 	}
 	out = list(0, `team = blue and (waiting >= 4 or class ~ nothing) and not tasks = 60`)
 	isOtherListed := strings.Contains(out, "req-000001") || strings.Contains(out, "req-000002")
--- a/cmd/harewalk/lab_scale_test.go
+++ b/cmd/harewalk/lab_scale_test.go
@@ -97,9 +97,7 @@
 func TestInterruptEndsScaleRun(t *testing.T) {
 	plan := filepath.Join(t.TempDir(), "long.hcl")
 	longPlan := strings.Replace(smallScale, "settle_s  = 6", "settle_s  = 300", 1)
-	if err := os.WriteFile(plan, []byte(longPlan), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, plan, longPlan)
 	cmd := exec.Command(os.Args[0], "lab", "scale", plan)
 	cmd.Env = append(os.Environ(), runProgramEnv+"=1")
 	var out bytes.Buffer
@@ -134,9 +132,7 @@
 	} {
 		path := filepath.Join(dir, name)
 		plan := strings.Replace(test.plan, "tasks_per_machine = 2", "tasks_per_machine = 64", 1)
-		if err := os.WriteFile(path, []byte(plan), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, path, plan)
 		out, code := runCommand(t, "lab", "scale", path)
 		if code != exitUsage || !strings.Contains(out, test.wantText) {
 			t.Errorf("%s: exit code %d: %s", name, code, out)
--- a/cmd/harewalk/lab_test.go
+++ b/cmd/harewalk/lab_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The lab shows no progress in a pipe, prints tables or JSON and writes a report; a wrong scenario has its own exit code
-// and its setting is named.
+// The lab shows no progress in a pipe, prints tables or JSON and writes a report; a wrong scenario has its own exit
+// code and its setting is named.
 func TestLabPrintsAndWritesReports(t *testing.T) {
 	dir := t.TempDir()
 	file, page := filepath.Join(dir, "s.hcl"), filepath.Join(dir, "report.html")
@@ -35,12 +35,7 @@
   do   = "drain-leader 5s"
 }
 `
-	write := func(text string) {
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(scenario)
+	writeFile(t, file, scenario)
 	out, code := runCommand(t, "lab", file, "--html", page)
 	if code != 0 || !strings.Contains(out, "drain-leader 5s") || strings.Contains(out, "\r") {
 		t.Fatalf("exit %d: %q", code, out)
@@ -53,7 +48,7 @@
 		t.Fatalf("exit %d: %s", code, out)
 	}
 	expectCommand(t, 0, "at_s=60", "lab", file, "--repetitions", "1", "--log-level", "info")
-	write(strings.Replace(scenario, "per_minute = 10", "per_minute = 0", 1))
+	writeFile(t, file, strings.Replace(scenario, "per_minute = 10", "per_minute = 0", 1))
 	expectCommand(t, 2, "PerMinute", "lab", file)
 	if _, code := runCommand(t, "lab", filepath.Join(dir, "none.hcl")); code != 2 {
 		t.Fatalf("exit %d for a scenario that isn't there", code)
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -18,7 +18,7 @@
 // Tasks, workers, controllers and the licence server crash, hang and restart; commands arrive late. The server, which
 // counts on its own, never has more licence units checked out than there are, every job comes to its end, and no unit
 // is lost.
-func TestSeatsThroughCrashes(t *testing.T) {
+func TestLicenceUnitsThroughCrashes(t *testing.T) {
 	const seed = uint64(1)
 	maxJobs, minStarts, faultRate := 40, 150, 2
 	if isLongRun() {
@@ -163,20 +163,16 @@
 	cluster := startCluster(t, sim, fmt.Sprintf(licencePools, sim.Licences.Addr))
 	pool := func(node int) (v licences.View) {
 		t.Helper()
-		out, code := runCommand(t, "licence", "show", "transcribe", "-o", "json", "--server", sim.UserAddr(node))
-		if err := json.Unmarshal([]byte(out), &v); code != 0 || err != nil {
-			t.Fatalf("exit %d, %v: %s", code, err, out)
+		out := expectExit(t, 0, "licence", "show", "transcribe", "-o", "json", "--server", sim.UserAddr(node))
+		if err := json.Unmarshal([]byte(out), &v); err != nil {
+			t.Fatalf("%v: %s", err, out)
 		}
 		return v
 	}
 	set := func(want int, args ...string) string {
 		t.Helper()
 		command := []string{"licence", "set-count", "transcribe", "--server", sim.UserAddr(1)}
-		out, code := runCommand(t, append(command, args...)...)
-		if code != want {
-			t.Fatalf("set-count %v: exit %d, want %d: %s", args, code, want, out)
-		}
-		return out
+		return expectExit(t, want, append(command, args...)...)
 	}
 	spec := &jobs.Spec{
 		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
--- a/cmd/harewalk/metrics_test.go
+++ b/cmd/harewalk/metrics_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -26,9 +25,7 @@
 	_ = listener.Close()
 	file := filepath.Join(t.TempDir(), "o.hcl")
 	operator := fmt.Sprintf("debug_addr = %q\n", addr) + fmt.Sprintf(licencePools, sim.Licences.Addr)
-	if err := os.WriteFile(file, []byte(operator), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, file, operator)
 	settings, err := config.Parse(sim.SettingsJSON(0))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"os"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -127,11 +126,12 @@
 }
 
 // Scripted cases of reclaim, save and attach that overlap, in one cluster at the same time.
-func TestSessionsHardCases(t *testing.T) {
+func TestOverlappingSessionOperations(t *testing.T) {
 	sim := newSessionSimulation(t, 12, 8)
 	startCluster(t, sim, sessionPolicy)
 	var wait sync.WaitGroup
 	script := func(n int, name string, f func(t *testing.T, session *simulator.InteractiveSession)) {
+		t.Helper()
 		nb := notebook(sim, n, 1)
 		if status := nb.Open(); status != 201 {
 			t.Fatalf("%s: status %d", name, status)
@@ -298,16 +298,10 @@
 	}
 	dir := t.TempDir()
 	file := filepath.Join(dir, "nb.json")
-	if err := os.WriteFile(file, raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, file, string(raw))
 	run := func(want int, args ...string) string {
 		t.Helper()
-		out, code := runCommand(t, append(append([]string{"session"}, args...), "--server", sim.UserAddr(2))...)
-		if code != want {
-			t.Fatalf("session %v: exit %d, want %d: %s", args, code, want, out)
-		}
-		return out
+		return expectExit(t, want, slices.Concat([]string{"session"}, args, []string{"--server", sim.UserAddr(2)})...)
 	}
 	var opened struct {
 		ID    string `json:"name_id"`
@@ -320,9 +314,7 @@
 	}
 	token := filepath.Join(dir, "token")
 	for name, text := range map[string]string{token: opened.Token, token + "2": opened.Agent} {
-		if err := os.WriteFile(name, []byte(text+"\n"), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, name, text+"\n")
 	}
 	if out := run(0, "list", "--user", "mio"); !strings.Contains(out, opened.ID) {
 		t.Fatal(out)
--- a/cmd/harewalk/tls_test.go
+++ b/cmd/harewalk/tls_test.go
@@ -32,24 +32,22 @@
 	keys := accesstest.Write(t, dir, "node-0", "node-1", "node-2")
 	users := filepath.Join(dir, "users.hcl")
 	newToken := func(name string, args ...string) (file, block string) {
-		out, code := runCommand(t, append([]string{"token", "new", name}, args...)...)
+		t.Helper()
+		out := expectExit(t, 0, append([]string{"token", "new", name}, args...)...)
 		token, block, ok := strings.Cut(out, "\n\n")
-		if code != 0 || !ok {
-			t.Fatalf("exit %d: %s", code, out)
+		if !ok {
+			t.Fatal(out)
 		}
 		file = filepath.Join(dir, name+".token")
-		if err := os.WriteFile(file, []byte(token+"\n"), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		writeFile(t, file, token+"\n")
 		return file, block
 	}
 	ada, adaBlock := newToken("ada", "--team", "red")
 	bob, bobBlock := newToken("bob", "--team", "blue")
 	ops, opsBlock := newToken("ops", "--operator")
 	write := func(blocks ...string) {
-		if err := os.WriteFile(users+".new", []byte(strings.Join(blocks, "\n")), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		t.Helper()
+		writeFile(t, users+".new", strings.Join(blocks, "\n"))
 		if err := os.Rename(users+".new", users); err != nil {
 			t.Fatal(err)
 		}
@@ -61,9 +59,7 @@
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "job.json")
-	if err := os.WriteFile(file, job, 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeFile(t, file, string(job))
 	overTLS := func(i int, ca string, args ...string) []string {
 		return append(args, "--server", "https://"+cluster.TLSAddrs[i], "--ca", ca)
 	}
