--- a/cmd/harewalk/lab.go
+++ b/cmd/harewalk/lab.go
@@ -76,7 +76,8 @@
 		return failure(err)
 	}
 	if r.htmlFile != "" {
-		if err := writeReport(r.htmlFile, result); err != nil {
+		report := outputFile{flag: "--html", name: r.htmlFile, path: r.htmlFile, write: result.WriteHTML}
+		if err := report.create(); err != nil {
 			return failure(err)
 		}
 	}
@@ -86,8 +87,8 @@
 	}
 	for _, config := range result.Configs {
 		if broken := config.Broken; len(broken) > 0 {
-			const text = "config %q: %d rules were broken; the first: %s"
-			return failure(fmt.Errorf(text, config.Name, len(broken), broken[0]))
+			run := fmt.Sprintf("config %q", config.Name)
+			return failure(&brokenRulesError{run: run, count: len(broken), first: broken[0]})
 		}
 	}
 	return nil
@@ -131,18 +132,6 @@
 	}
 }
 
-func writeReport(name string, result *lab.Result) error {
-	file, err := os.Create(name)
-	if err != nil {
-		return fmt.Errorf("--html: %w", err)
-	}
-	if err := result.WriteHTML(file); err != nil {
-		_ = file.Close()
-		return fmt.Errorf("--html %s: %w", name, err)
-	}
-	return file.Close()
-}
-
 func writeLabResult(table *tabwriter.Writer, result *lab.Result) {
 	fmt.Fprintf(table, "%s: %d runs of %s for each configuration, simulated\n\n",
 		result.Scenario, result.Repetitions, formatSeconds(result.DurationS))
@@ -168,7 +157,7 @@
 			wait := load.Wait
 			fmt.Fprintf(table, "%s\t%s\t%d\t", load.Name, config.Name, load.Jobs)
 			fmt.Fprintf(table, "%.2f s\t%.2f s\t%.2f s\t%.2f s\t", wait.P50, wait.P90, wait.P99, wait.Max)
-			fmt.Fprintf(table, "%.3f s\t%.1f s\t%.1f s\n", load.Accept.P99, load.Over.P50, load.Over.P99)
+			fmt.Fprintf(table, "%.3f s\t%.1f s\t%.1f s\n", load.Accept.P99, load.Completion.P50, load.Completion.P99)
 		}
 	}
 }
@@ -180,9 +169,9 @@
 		for _, config := range configs {
 			fault := config.Faults[index]
 			fmt.Fprintf(table, "%s\t%.0f s\t%s\t", first.Do, first.AtS, config.Name)
-			fmt.Fprintf(table, "%.2f s\t%.2f s\t", fault.NoStart, fault.NoStartMost)
-			fmt.Fprintf(table, "%.1f s\t%.0f s\t", fault.Unserved, fault.UnservedMost)
-			fmt.Fprintf(table, "%.1f\t%.1f\t%.1f\t%.2g\n", fault.Before, fault.During, fault.After, fault.Leads)
+			fmt.Fprintf(table, "%.2f s\t%.2f s\t", fault.NoStart, fault.MaxNoStart)
+			fmt.Fprintf(table, "%.1f s\t%.0f s\t", fault.Unserved, fault.MaxUnserved)
+			fmt.Fprintf(table, "%.1f\t%.1f\t%.1f\t%.2g\n", fault.Before, fault.During, fault.After, fault.LeaderChanges)
 		}
 	}
 }
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -24,30 +24,26 @@
 
 // Assumptions about a worker where a planned size doesn't give a figure.
 const (
-	reportIntervalS   = 5.0
-	tasksOfAMachine   = 8.0
-	fromTasksAMachine = 0.0 // in place of a number of running tasks: tasksOfAMachine for each machine
+	heartbeatIntervalS = 5.0
+	tasksPerMachine    = 8
 )
 
 // plannedSizes returns the sizes of docs/CAPACITY.md for which the fitted lines are evaluated: the users' large
 // deployment as it is, three times that, and the size that they plan for.
 func plannedSizes() []scale.Size {
 	return []scale.Size{
-		plannedSize("today", 1217, fromTasksAMachine, 75, 0.3),
-		plannedSize("x3", 3651, fromTasksAMachine, 227, 0.9),
+		plannedSize("today", 1217, 1217*tasksPerMachine, 75, 0.3),
+		plannedSize("x3", 3651, 3651*tasksPerMachine, 227, 0.9),
 		plannedSize("planned", 17_000, 380_000, 6900, 2.55),
 	}
 }
 
 func plannedSize(name string, machines, running, startsPerS, jobsPerS float64) scale.Size {
-	if running == fromTasksAMachine {
-		running = tasksOfAMachine * machines
-	}
 	return scale.Size{Name: name, Values: scale.Values{
 		"machines":             machines,
 		"tasks_running":        running,
-		"tasks_reported_per_s": running / reportIntervalS,
-		"reports_per_s":        machines / reportIntervalS,
+		"tasks_reported_per_s": running / heartbeatIntervalS,
+		"reports_per_s":        machines / heartbeatIntervalS,
 		"starts_per_s":         startsPerS,
 		"jobs_per_s":           jobsPerS,
 	}}
@@ -81,7 +77,7 @@
 				return run.rewrite(cmd.OutOrStdout())
 			}
 			if len(args) == 0 {
-				return usageError(errors.New("name a plan, or a run's file with --from"))
+				return usageError(errNoPlan)
 			}
 			return run.measure(cmd.Context(), args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
@@ -120,8 +116,8 @@
 	}
 	for _, step := range result.Steps {
 		if step.Broken > 0 {
-			const text = "size %q: %d rules were broken; the first: %s"
-			return failure(fmt.Errorf(text, step.Name, step.Broken, step.First))
+			run := fmt.Sprintf("size %q", step.Name)
+			return failure(&brokenRulesError{run: run, count: step.Broken, first: step.FirstBroken})
 		}
 	}
 	return nil
@@ -165,37 +161,20 @@
 	writeMarkdown := func(out io.Writer) error {
 		return result.WriteMarkdown(out, plannedSizes())
 	}
-	files := []struct {
-		name  string
-		write func(io.Writer) error
-	}{
-		{scaleJSON, result.WriteJSON},
-		{scaleMarkdown, writeMarkdown},
-		{scaleHTML, result.WriteHTML},
-	}
-	for _, file := range files {
-		if err := writeScaleFile(folder, file.name, file.write); err != nil {
+	for _, file := range []outputFile{
+		{name: scaleJSON, write: result.WriteJSON},
+		{name: scaleMarkdown, write: writeMarkdown},
+		{name: scaleHTML, write: result.WriteHTML},
+	} {
+		file.flag = "--out"
+		file.path = filepath.Join(folder, file.name)
+		if err := file.create(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func writeScaleFile(folder, name string, write func(io.Writer) error) error {
-	file, err := os.Create(filepath.Join(folder, name))
-	if err != nil {
-		return fmt.Errorf("--out: %w", err)
-	}
-	if err := write(file); err != nil {
-		_ = file.Close()
-		return fmt.Errorf("--out %s: %w", name, err)
-	}
-	if err := file.Close(); err != nil {
-		return fmt.Errorf("--out %s: %w", name, err)
-	}
-	return nil
-}
-
 // labStateCmd returns the hidden command that is the state service's process of a scale run.
 func labStateCmd() *cobra.Command {
 	return &cobra.Command{
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"crypto/rand"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -22,6 +20,11 @@
 
 const sessionsPath = "/v2/sessions"
 
+// sessionPath is the path of an operation on a session.
+func sessionPath(id, operation string) string {
+	return sessionsPath + "/" + url.PathEscape(id) + "/" + operation
+}
+
 // minKeepAliveInterval bounds --every of `session keep` from below.
 const minKeepAliveInterval = time.Second
 
@@ -45,8 +48,7 @@
 	if token := os.Getenv("HAREWALK_SESSION_TOKEN"); token != "" {
 		return token, nil
 	}
-	const text = "the session's token is missing: give --session-token-file or $HAREWALK_SESSION_TOKEN"
-	return "", usageError(errors.New(text))
+	return "", usageError(errNoSessionToken)
 }
 
 func sessionCmd() *cobra.Command {
@@ -94,9 +96,9 @@
 				return usageError(err)
 			}
 			opened := openedSession{Token: rand.Text(), AgentToken: rand.Text()}
-			body, err := openBody(job, userName, opened)
+			body, err := newSessionBody(job, userName, opened)
 			if err != nil {
-				return usageError(fmt.Errorf("%s is not a JSON object: %w", args[0], err))
+				return usageError(fmt.Errorf("%s %w: %w", args[0], errNotJSONObject, err))
 			}
 			req := request{method: http.MethodPost, path: sessionsPath, body: body}
 			if err := client.callLeader(req, &opened.View); err != nil {
@@ -112,19 +114,6 @@
 	return cmd
 }
 
-// openBody adds a session's user and the digests of its tokens to the JSON object of its job. The object stays untyped,
-// so that settings which only the controllers understand are passed on.
-func openBody(job []byte, userName string, opened openedSession) (map[string]any, error) {
-	body := map[string]any{}
-	if err := json.Unmarshal(job, &body); err != nil {
-		return nil, err
-	}
-	body["user"] = userName
-	body["token_sha256"] = sessions.TokenDigest(opened.Token)
-	body["agent_sha256"] = sessions.TokenDigest(opened.AgentToken)
-	return body, nil
-}
-
 func sessionListCmd(client *apiClient) *cobra.Command {
 	var userName, team string
 	cmd := &cobra.Command{
@@ -180,8 +169,8 @@
 	}
 	withToken := *client
 	withToken.bearer = bearer
-	path := sessionsPath + "/" + url.PathEscape(id) + "/" + operation
-	err = withToken.callLeader(request{method: http.MethodPost, path: path, body: body}, &view)
+	req := request{method: http.MethodPost, path: sessionPath(id, operation), body: body}
+	err = withToken.callLeader(req, &view)
 	return view, err
 }
 
@@ -242,15 +231,12 @@
 }
 
 func sessionExplainCmd(client *apiClient) *cobra.Command {
-	return &cobra.Command{
-		Use:   "explain ID",
-		Short: "Say in plain words why a session is or isn't to be reclaimed, and when",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			path := sessionsPath + "/" + url.PathEscape(args[0]) + "/explain"
-			return callAndShow(client, cmd, request{method: http.MethodGet, path: path}, writeExplanation)
-		},
-	}
+	return namedView[sessionExplanation]{
+		use:   "explain ID",
+		short: "Say in plain words why a session is or isn't to be reclaimed, and when",
+		path:  func(id string) string { return sessionPath(id, "explain") },
+		write: writeExplanation,
+	}.command(client)
 }
 
 func writeExplanation(table *tabwriter.Writer, explanation sessionExplanation) {
--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -21,6 +21,8 @@
 	maxTaskS = 1e6
 	// minCancelDelayS is the shortest time from a job's arrival to its cancellation.
 	minCancelDelayS = 0.1
+	// maxCancelDelayTasks bounds that time, in the run time of one task: some jobs are cancelled after their end.
+	maxCancelDelayTasks = 2
 )
 
 // arrival is one job that a user submits.
@@ -98,14 +100,14 @@
 	for atS := load.FromS + gap.Rand(); atS < endS; atS += gap.Rand() {
 		for range batch {
 			if len(all) == maxArrivals {
-				return nil, fmt.Errorf("more than %d jobs arrive", maxArrivals)
+				return nil, errTooManyArrivals
 			}
 			tasks := min(jobs.MaxTasks, max(1, int(math.Round(drawTasks()))))
 			taskS := min(maxTaskS, max(minTaskS, drawSeconds()))
 			id := fmt.Sprintf("req-%02d%07d", index+1, len(all)+1)
 			next := arrival{load: index, at: jobs.Seconds(atS), spec: load.spec(id, tasks, taskS)}
 			if rng.Float64() < load.CancelShare {
-				next.cancel = jobs.Seconds(minCancelDelayS + rng.Float64()*2*taskS)
+				next.cancel = jobs.Seconds(minCancelDelayS + rng.Float64()*maxCancelDelayTasks*taskS)
 			}
 			all = append(all, next)
 		}
--- a/internal/lab/scale/result.go
+++ b/internal/lab/scale/result.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -34,9 +35,9 @@
 	Refused    int     `json:"refused"`
 	Settled    bool    `json:"settled"` // the machines were busy when the measurement began
 	Broken     int     `json:"broken"`  // rules of the protocol
-	Again      int     `json:"again"`   // tasks that started once more after they were done
-	// First is the first broken rule; empty: none was broken.
-	First string `json:"first_broken,omitempty"`
+	TasksRerun int     `json:"again"`   // tasks that started once more after they were done
+	// FirstBroken is the first broken rule; empty: none was broken.
+	FirstBroken string `json:"first_broken,omitempty"`
 }
 
 // Size is a size that isn't played, for which the lines are evaluated.
@@ -68,6 +69,9 @@
 	}
 }
 
+// ErrNoSizes is wrapped by the error for a stored result that holds no sizes.
+var ErrNoSizes = errors.New("no sizes were measured")
+
 // ReadResult reads a result that WriteJSON has written, and fits the lines anew.
 func ReadResult(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
@@ -79,7 +83,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if len(result.Steps) == 0 {
-		return nil, fmt.Errorf("%s: no sizes were measured", path)
+		return nil, fmt.Errorf("%s: %w", path, ErrNoSizes)
 	}
 	result.Fits = nil
 	result.Unfitted = nil
