--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -140,7 +140,7 @@
 	commands fleet.DirectCommands,
 	done func(heartbeat *fleet.Heartbeat, ok bool),
 ) {
-	body, _ := json.Marshal(commands)
+	body, _ := json.Marshal(commands.Wire())
 	request := httpio.Request{
 		Method:  http.MethodPost,
 		Path:    "/orders",
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -29,9 +29,9 @@
 		reply(unavailable)
 		return
 	}
-	commands, outcome := c.term.fleet.HandleHeartbeat(now, heartbeat)
+	response, outcome := c.term.fleet.HandleHeartbeat(now, heartbeat)
 	if outcome == fleet.Accepted {
-		reply(api.Reply{Status: http.StatusOK, Body: commands})
+		reply(api.Reply{Status: http.StatusOK, Body: response.Wire()})
 		return
 	}
 	reply(unavailable)
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -33,7 +33,7 @@
 	}
 	var heartbeats [][]byte
 	for _, machine := range g.machines {
-		encoded, err := json.Marshal(Heartbeat{
+		heartbeat := Heartbeat{
 			Machine: machine.Name,
 			Addr:    machine.Addr,
 			Type:    "ty",
@@ -41,7 +41,8 @@
 			Session: 1,
 			Token:   fenced,
 			Tasks:   running[machine.Name],
-		})
+		}
+		encoded, err := json.Marshal(heartbeat.Wire())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -74,6 +75,37 @@
 	}
 }
 
+// BenchmarkHeartbeatExchange measures a heartbeat from its bytes to those of its response.
+func BenchmarkHeartbeatExchange(b *testing.B) {
+	g, heartbeats := loaded(b, 700, 60, 120)
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		if _, err := json.Marshal(g.respond(heartbeats[i%len(heartbeats)]).Wire()); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+// BenchmarkHeartbeatExchangeWithStops measures the same where all tasks of a heartbeat are to stop.
+func BenchmarkHeartbeatExchangeWithStops(b *testing.B) {
+	g, heartbeats := loaded(b, 700, 60, 120)
+	var live []*jobs.Job
+	g.Jobs.ForEachLive(func(job *jobs.Job) { live = append(live, job) })
+	for _, job := range live {
+		g.cancel(job)
+	}
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		response := g.respond(heartbeats[i%len(heartbeats)])
+		if len(response.Commands) == 0 {
+			b.Fatal("nothing is stopped")
+		}
+		if _, err := json.Marshal(response.Wire()); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
 func BenchmarkSchedulingCycle(b *testing.B) {
 	g, _ := loaded(b, 700, 60, 120)
 	b.ReportAllocs()
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -3,6 +3,7 @@
 // The commands in the response to a heartbeat.
 
 import (
+	"slices"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -12,7 +13,7 @@
 // exits whose outcome is durable, stop what must stop, send launches again that did not arrive, and start queued
 // tasks.
 func (f *Fleet) buildCommands(now time.Duration, machine *Machine, heartbeat *Heartbeat) []Command {
-	commands := []Command{}
+	commands := f.scratch.commands[:0]
 	for i := range heartbeat.Tasks {
 		report := &heartbeat.Tasks[i]
 		if report.State == taskExited {
@@ -25,11 +26,12 @@
 			commands = append(commands, stopCommand(report.Task, report.Attempt, graceS))
 		}
 	}
-	if machine.Condition != Ready {
-		return commands
+	if machine.Condition == Ready {
+		commands = f.appendRepeatedLaunches(commands, machine)
+		commands = f.appendStarts(commands, now, machine)
 	}
-	commands = f.appendRepeatedLaunches(commands, machine)
-	return append(commands, f.startCommands(now, machine)...)
+	f.scratch.commands = commands
+	return slices.Clone(commands)
 }
 
 // appendRepeatedLaunches appends the launches that were sent before and whose tasks the heartbeat does not list. A
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -27,7 +27,7 @@
 		if !f.takesDirectCommands(now, machine) {
 			continue
 		}
-		commands := f.startCommands(now, machine)
+		commands := f.appendStarts(nil, now, machine)
 		launches := len(commands)
 		if machine.hasStops {
 			commands = append(commands, f.stopCommands(now, machine)...)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -8,7 +8,7 @@
 // functions of Env, and time is an argument. The simulator and the tests drive it the same way.
 //
 // What it never does:
-//   - launch a task whose machine is not in the durable plan, see startCommands and jobs.Job.IsDurable;
+//   - launch a task whose machine is not in the durable plan, see appendStarts and jobs.Job.IsDurable;
 //   - act on a heartbeat below the machine's token: commands of a former leader may still arrive until then;
 //   - count a task as gone without proof: a heartbeat at the current token that lacks it, the cloud's confirmation that
 //     the machine is terminated, or an expired worker lease;
@@ -18,7 +18,7 @@
 //
 //	fleet.go, state.go, env.go          the Fleet, its state by concern, what it needs of the controller
 //	machine.go, lease.go, drain.go      a machine and its conditions; lease expiry and return; operators' drains
-//	messages.go                         the protocol's messages; the task states and operations on the wire
+//	messages.go, wire.go                the messages to and from workers; their JSON forms and the conversion
 //	heartbeat.go, reconcile.go          a heartbeat: is it current, what does it prove
 //	reachability.go                     one-way reachability, stale copies and restarted workers
 //	commands.go, dispatch.go, start.go  the response's commands, direct requests, which queued tasks start
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -66,13 +66,13 @@
 	return response
 }
 
-// stopCancelled returns stop commands for the listed tasks of cancelled jobs; it is never nil. Every response
-// extends the worker's lease, whether or not its machine is ever in contact again, so none may go out without these
-// commands, not even a new leader's first one, before the machine has seen its token. Otherwise a machine whose
-// last contact falls at the very end of a partition would run cancelled work for a lease longer than cancel_s
-// allows. A cancellation is final, so the command is never wrong.
+// stopCancelled returns stop commands for the listed tasks of cancelled jobs. Every response extends the worker's
+// lease, whether or not its machine is ever in contact again, so none may go out without these commands, not even a
+// new leader's first one, before the machine has seen its token. Otherwise a machine whose last contact falls at the
+// very end of a partition would run cancelled work for a lease longer than cancel_s allows. A cancellation is final,
+// so the command is never wrong.
 func (f *Fleet) stopCancelled(heartbeat *Heartbeat) []Command {
-	commands := []Command{}
+	var commands []Command
 	for i := range heartbeat.Tasks {
 		report := &heartbeat.Tasks[i]
 		job, _ := f.findTask(report.Task)
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -1,39 +1,36 @@
 package fleet
 
 import (
-	"errors"
 	"strconv"
 	"strings"
 
-	"github.com/go-json-experiment/json"
-
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// The types in this file are the protocol's messages. Their Go names are the field's terms; the tags hold the names
-// on the wire. Nothing else in the package depends on the latter.
+// The types in this file are the messages between the leader and the workers, as the package handles them. wire.go
+// converts them from and to the protocol's JSON.
 
 // Heartbeat is a worker's heartbeat with the status of its machine and tasks.
 type Heartbeat struct {
-	Machine string       `json:"den"`
-	Addr    string       `json:"address"` // for direct commands
-	Type    string       `json:"build"`
-	Zone    string       `json:"meadow"`
-	Spot    bool         `json:"stray"`
-	Session uint64       `json:"run"`       // 1 in a new incarnation of the worker, one more after each expired lease
-	Seq     uint64       `json:"tally"`     // counts heartbeats within an incarnation
-	Token   uint64       `json:"mark"`      // the highest fencing token that the worker has received
-	NoticeS *float64     `json:"warning_s"` // seconds until the cloud reclaims the machine; nil if unannounced
-	Tasks   []TaskReport `json:"hops"`
+	Machine string
+	Addr    string // for direct commands
+	Type    string
+	Zone    string
+	Spot    bool
+	Session uint64   // 1 in a new incarnation of the worker, one more after each expired lease
+	Seq     uint64   // counts heartbeats within an incarnation
+	Token   uint64   // the highest fencing token that the worker has received
+	NoticeS *float64 // seconds until the cloud reclaims the machine; nil if unannounced
+	Tasks   []TaskReport
 }
 
 // TaskReport is the status of one attempt at a task on a machine.
 type TaskReport struct {
-	Task      string       `json:"hop"` // as taskName returns it
-	Attempt   uint64       `json:"try"`
-	State     AttemptState `json:"stance"`
-	ExitCause ExitCause    `json:"cause"` // "" until it has exited
-	Saved     bool         `json:"kept"`  // it left a checkpoint when it exited
+	Task      string // as taskName returns it
+	Attempt   uint64
+	State     AttemptState
+	ExitCause ExitCause // "" until it has exited
+	Saved     bool      // it left a checkpoint when it exited
 
 	// The task in the job table, set by Fleet.resolveTaskReports; job is nil if it is not there.
 	job       *jobs.Job
@@ -87,10 +84,10 @@
 
 // Command is a leader's command to a worker about one attempt at a task.
 type Command struct {
-	Op      Operation `json:"call"`
-	Task    string    `json:"hop"`
-	Attempt uint64    `json:"try"`
-	GraceS  *float64  `json:"mercy_s,omitempty"` // of a stop: seconds to save a checkpoint before the task is killed
+	Op      Operation
+	Task    string
+	Attempt uint64
+	GraceS  float64 // of a stop: seconds to save a checkpoint before the task is killed
 }
 
 // Operation is what a command asks for, as on the wire.
@@ -110,7 +107,7 @@
 
 // stopCommand returns the command to stop an attempt at a task within a grace period in seconds.
 func stopCommand(task string, attempt uint64, graceS float64) Command {
-	return Command{Op: opStop, Task: task, Attempt: attempt, GraceS: &graceS}
+	return Command{Op: opStop, Task: task, Attempt: attempt, GraceS: graceS}
 }
 
 // forgetCommand returns the command to stop listing an attempt at a task that has exited.
@@ -120,43 +117,16 @@
 
 // HeartbeatResponse is the response to a heartbeat.
 type HeartbeatResponse struct {
-	Token    uint64    `json:"mark"`
-	Commands []Command `json:"calls"`
+	Token    uint64
+	Commands []Command
 }
 
 // DirectCommands is the request by which a leader sends commands without waiting for a heartbeat. The worker
 // refuses one for another session or below its highest token.
 type DirectCommands struct {
-	Token    uint64    `json:"mark"`
-	Session  uint64    `json:"run"`
-	Commands []Command `json:"calls"`
-}
-
-// maxMachineNameBytes bounds the name of a machine in a heartbeat.
-const maxMachineNameBytes = 200
-
-// errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or has an overlong
-// name.
-var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field")
-
-// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not valid JSON for it or lacks a required
-// field.
-//
-// It is the hottest decoder of a leader: with encoding/json it took a quarter of its processor time. This is the
-// second version of that package, as a module of its own until the standard library has it.
-func ParseHeartbeat(body []byte) (*Heartbeat, error) {
-	heartbeat := &Heartbeat{}
-	if err := json.Unmarshal(body, heartbeat); err != nil {
-		return nil, err
-	}
-	nameLength := len(heartbeat.Machine)
-	if nameLength == 0 || nameLength > maxMachineNameBytes {
-		return nil, errIncompleteHeartbeat
-	}
-	if heartbeat.Type == "" || heartbeat.Zone == "" || heartbeat.Session == 0 {
-		return nil, errIncompleteHeartbeat
-	}
-	return heartbeat, nil
+	Token    uint64
+	Session  uint64
+	Commands []Command
 }
 
 // taskName returns the name of a task in messages, such as "req-000412/3".
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -164,13 +164,14 @@
 	return startCommand(taskName(job, taskIndex), attempt)
 }
 
-// startCommands launches the tasks that are queued on a machine and fit it now, in priority order.
-func (f *Fleet) startCommands(now time.Duration, machine *Machine) []Command {
+// appendStarts launches the tasks that are queued on a machine and fit it now, in priority order, and appends their
+// commands.
+func (f *Fleet) appendStarts(commands []Command, now time.Duration, machine *Machine) []Command {
 	if f.startsStopped || machine.Condition != Ready || machine.Returning {
-		return nil
+		return commands
 	}
 	if machine.QueuedTasks == 0 || !machine.smallestQueued.Fits(machine.Free()) {
-		return nil
+		return commands
 	}
 	indices := f.scratch.jobIndices[:0]
 	for _, queue := range machine.queues {
@@ -182,11 +183,10 @@
 	f.scratch.jobIndices = indices
 	f.PlanningSteps += uint64(len(machine.queues))
 	f.sortIndicesByRank(indices)
-	var commands []Command
 	for _, jobIndex := range indices {
 		job := f.jobAt(jobIndex)
 		if job.Spec.Kind == jobs.Gang {
-			commands = append(commands, f.startGang(now, machine, job)...)
+			commands = f.appendGangStarts(commands, now, machine, job)
 		} else {
 			commands = f.appendQueuedStarts(commands, now, machine, job)
 		}
@@ -217,31 +217,31 @@
 	return commands
 }
 
-// startGang launches a gang's tasks on one machine, once the whole gang is planned durably and admitted by quota and
-// licences. All its tasks have the same attempt.
-func (f *Fleet) startGang(now time.Duration, machine *Machine, job *jobs.Job) []Command {
+// appendGangStarts launches a gang's tasks on one machine, once the whole gang is planned durably and admitted by quota
+// and licences, and appends their commands. All its tasks have the same attempt.
+func (f *Fleet) appendGangStarts(commands []Command, now time.Duration, machine *Machine, job *jobs.Job) []Command {
 	planned, mayStart := f.plannedGangTasks(now, job)
 	if !mayStart {
-		return nil
+		return commands
 	}
 	isFirst := job.TasksOnMachines() == 0
 	if isFirst {
 		if !f.mayStart(job, planned) {
-			return nil
+			return commands
 		}
 		f.beginGangStart(now, job)
 	}
 	if now < job.GangStartedAt+f.gangLaunchDelay(machine, job) {
-		return nil
+		return commands
 	}
-	var commands []Command
+	before := len(commands)
 	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
 		if job.Tasks[taskIndex].State == jobs.Planned && f.mayLaunch(now, machine, job, taskIndex) {
 			f.dequeue(job, taskIndex)
 			commands = append(commands, f.launch(now, machine, job, taskIndex, job.GangAttempt))
 		}
 	}
-	if isFirst && len(commands) > 0 {
+	if isFirst && len(commands) > before {
 		// The other tasks start on other machines, some of them seconds later: the quota and licences of all are
 		// taken now.
 		f.admitGang(now, job)
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -39,6 +39,7 @@
 	jobIndices  []jobs.Index
 	work        []planner.Work
 	taskRefs    []TaskRef
+	commands    []Command
 	listedTasks map[TaskRef]struct{} // live tasks in the heartbeat that is being processed
 }
 
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -114,7 +114,7 @@
 }
 
 func isHalt(raw json.RawMessage) bool {
-	var c fleet.Command
+	var c fleet.WireCommand
 	return json.Unmarshal(raw, &c) == nil && c.Op == "halt"
 }
 
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -19,7 +19,7 @@
 
 // countLostLaunches counts the launches in commands that are never received.
 func (sim *Simulation) countLostLaunches(body []byte) {
-	var lost fleet.HeartbeatResponse // direct commands have the same field
+	var lost fleet.WireResponse // direct commands have the same field
 	_ = json.Unmarshal(body, &lost)
 	for _, command := range lost.Commands {
 		if command.Op == commandLaunch {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -33,9 +33,9 @@
 
 // directCommands is the body of a request to a worker's own address.
 type directCommands struct {
-	Token    *uint64         `json:"mark"`
-	Session  *uint64         `json:"run"`
-	Commands []fleet.Command `json:"calls"`
+	Token    *uint64             `json:"mark"`
+	Session  *uint64             `json:"run"`
+	Commands []fleet.WireCommand `json:"calls"`
 }
 
 // redirect is the body of an answer that names the controller to turn to.
@@ -44,7 +44,7 @@
 }
 
 // heartbeat makes a worker's next heartbeat.
-func (sim *Simulation) heartbeat(now time.Duration, machine *Machine) fleet.Heartbeat {
+func (sim *Simulation) heartbeat(now time.Duration, machine *Machine) fleet.WireHeartbeat {
 	machine.seq++
 	heartbeat := fleet.Heartbeat{
 		Machine: machine.Name,
@@ -70,7 +70,7 @@
 			Saved:     task.saved,
 		})
 	}
-	return heartbeat
+	return heartbeat.Wire()
 }
 
 // serveCommands answers direct requests to a worker, each way delayed if commands are. A machine that hangs serves
@@ -137,8 +137,9 @@
 }
 
 // execute carries out commands. Those for what the machine doesn't have are ignored.
-func (sim *Simulation) execute(now time.Duration, machine *Machine, commands []fleet.Command) {
-	for _, command := range commands {
+func (sim *Simulation) execute(now time.Duration, machine *Machine, commands []fleet.WireCommand) {
+	for _, wire := range commands {
+		command := wire.Command()
 		i := slices.IndexFunc(machine.tasks, func(task *workerTask) bool {
 			return task.name == command.Task && task.attempt == command.Attempt
 		})
@@ -219,13 +220,9 @@
 	if session := sim.work.sessions[task.spec.ID]; session != nil && task.state == taskRunning {
 		session.processHalted(now, machine)
 	}
-	grace := 0.0
-	if command.GraceS != nil {
-		grace = *command.GraceS
-	}
-	canCheckpoint := task.spec.CheckpointS > 0 && grace >= task.spec.SaveS && task.spec.Kind != jobs.Gang
+	canCheckpoint := task.spec.CheckpointS > 0 && command.GraceS >= task.spec.SaveS && task.spec.Kind != jobs.Gang
 	switch {
-	case task.state == taskCheckpointing && grace > 0:
+	case task.state == taskCheckpointing && command.GraceS > 0:
 	case task.state == taskRunning && canCheckpoint:
 		task.state = taskCheckpointing
 		task.checkpointDoneAt = now + seconds(task.spec.SaveS)
@@ -371,7 +368,7 @@
 // heartbeatAccepted renews the worker's lease from when the heartbeat was sent, and carries out the answer's
 // commands.
 func (sim *Simulation) heartbeatAccepted(now time.Duration, machine *Machine, sentAt time.Duration, body []byte) {
-	var answer fleet.HeartbeatResponse
+	var answer fleet.WireResponse
 	if json.Unmarshal(body, &answer) != nil || answer.Token < machine.token {
 		return
 	}
