--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -99,10 +99,9 @@
 func (f *Fleet) noteCrashLoopBackoff(job *jobs.Job) {
 	loop := f.crashLooping(job)
 	f.setPendingNote(job, pendingNote{
-		cause: CrashLoopBackoff,
-		have:  loop.distinctMachines,
-		need:  loop.tries,
-		until: loop.retryAt,
+		cause:   CrashLoopBackoff,
+		retryAt: loop.retryAt,
+		backoff: crashBackoff{failedMachines: loop.distinctMachines, tries: loop.tries},
 	})
 }
 
@@ -112,7 +111,7 @@
 		f.noteCrashLoopBackoff(job)
 		return
 	}
-	f.setPendingNote(job, pendingNote{cause: RetryLater, until: until})
+	f.setPendingNote(job, pendingNote{cause: RetryLater, retryAt: until})
 }
 
 // recordFailure records that a task failed on a machine.
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -90,17 +90,17 @@
 		return
 	}
 	zone, start := f.earliestGangStart(job, list)
-	note := pendingNote{cause: GangShort, need: job.TaskCount, have: len(list.withRoom), start: start}
-	f.setPendingNote(job, note)
+	shortage := gangShortage{machinesWithRoom: len(list.withRoom), secondsToStart: start}
+	f.setPendingNote(job, pendingNote{cause: GangShort, gang: shortage})
 	if f.crashLooping(job) != nil {
 		return // no room is made or reserved for a job that fails wherever it runs
 	}
 	if start > f.secondsToWait(now, job) && f.preemptForGang(now, job, list.candidates, start) {
 		return
 	}
-	note.overdue = f.startOverdue(now, job)
-	note.held = f.reserveMachines(job, list, zone, note.overdue)
-	f.setPendingNote(job, note)
+	shortage.overdue = f.startOverdue(now, job)
+	shortage.reservedMachines = f.reserveMachines(job, list, zone, shortage.overdue)
+	f.setPendingNote(job, pendingNote{cause: GangShort, gang: shortage})
 }
 
 // mayPlaceGang reports whether a gang is to be placed now. If not, it notes why.
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -36,15 +36,28 @@
 	Arriving           PendingCause = "starting"         // sent to its machine, not running yet
 )
 
-// pendingNote is what the last scheduling cycle decided about a job's unplanned tasks.
+// pendingNote is what the last scheduling cycle decided about a job's unplanned tasks. Only the fields that are named
+// beside the cause are set.
 type pendingNote struct {
-	cause      PendingCause
-	denial     admission.Denial // LicenceUnavailable, TeamLimit
-	have, need int              // GangShort: machines with room, and tasks; CrashLoopBackoff: machines, and tries
-	held       int              // GangShort: machines that are reserved for it as they get room
-	overdue    bool             // GangShort: it goes first, since it has waited for long
-	until      time.Duration    // RetryLater, CrashLoopBackoff: not before
-	start      float64          // GangShort: estimated seconds until it could start; 0: unknown
+	cause   PendingCause
+	denial  admission.Denial // TeamLimit, LicenceUnavailable
+	retryAt time.Duration    // RetryLater, CrashLoopBackoff: not before
+	backoff crashBackoff     // CrashLoopBackoff
+	gang    gangShortage     // GangShort
+}
+
+// crashBackoff is how a job in a crash loop has failed.
+type crashBackoff struct {
+	failedMachines int // distinct ones
+	tries          int
+}
+
+// gangShortage is what a gang lacked that could not be placed.
+type gangShortage struct {
+	machinesWithRoom int
+	reservedMachines int     // kept for it as they get room
+	overdue          bool    // it has waited for long, and its reservations hold against all other jobs
+	secondsToStart   float64 // estimated; 0 or unknownRoomS and more: not known
 }
 
 // setPendingNote records what planning decided about a job's unplanned tasks.
@@ -132,37 +145,38 @@
 		reasons.add(tasks, GangStopping,
 			"the rest of its gang is still on machines, and has to be gone before it starts anew")
 	case GangShort:
-		addGangReason(reasons, tasks, note)
+		addGangReason(reasons, tasks, job.TaskCount, note.gang)
 	case NoRoom:
 		reasons.add(tasks, NoRoom, "no machine that may take a replica has room")
 	case CrashLoopBackoff:
 		reasons.add(tasks, CrashLoopBackoff,
 			"its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: "+
 				"it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s",
-			note.have, note.need, formatWait(note.until-now))
+			note.backoff.failedMachines, note.backoff.tries, formatWait(note.retryAt-now))
 	case RetryLater:
-		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(note.until-now))
+		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(note.retryAt-now))
 	default:
 		reasons.add(tasks, PlanningBehind, "planning has not come to it yet")
 	}
 }
 
-// addGangReason adds the reason of a gang for which too few machines have room.
-func addGangReason(reasons *pendingReasons, tasks int, note pendingNote) {
-	if note.need == 1 {
-		reasons.add(tasks, GangShort, "no machine that may take it has room now%s", formatExpectedRoom(note.start))
+// addGangReason adds the reason of a gang's waiting tasks where too few machines have room for all of the gang.
+func addGangReason(reasons *pendingReasons, waiting, gangSize int, shortage gangShortage) {
+	expectedRoom := formatExpectedRoom(shortage.secondsToStart)
+	if gangSize == 1 {
+		reasons.add(waiting, GangShort, "no machine that may take it has room now%s", expectedRoom)
 		return
 	}
 	details := ""
-	if note.held > 0 {
-		details = fmt.Sprintf("; %d machines are kept for it as they come free", note.held)
+	if shortage.reservedMachines > 0 {
+		details = fmt.Sprintf("; %d machines are kept for it as they come free", shortage.reservedMachines)
 	}
-	if note.overdue {
+	if shortage.overdue {
 		details += "; it goes first, having waited for half of begin_s"
 	}
-	reasons.add(tasks, GangShort,
+	reasons.add(waiting, GangShort,
 		"a gang of %d tasks needs as many places at once; %d machines have room now%s%s",
-		note.need, note.have, formatExpectedRoom(note.start), details)
+		gangSize, shortage.machinesWithRoom, expectedRoom, details)
 }
 
 // addPlannedReasons adds the reasons of the tasks that are planned and not launched.
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if task.NotBefore > now {
-			f.setPendingNote(job, pendingNote{cause: RetryLater, until: task.NotBefore})
+			f.setPendingNote(job, pendingNote{cause: RetryLater, retryAt: task.NotBefore})
 			continue
 		}
 		if !f.mayStart(job, 1) || job.TasksByState[jobs.Planned] >= f.grantedTasks(job, job.TaskCount) {
