--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -29,11 +29,11 @@
 		return
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoopBackoff(job)
+		f.recordCrashLoopBackoff(job)
 		return
 	}
 	if f.PlanningSteps-f.cycle.stepsAtStart > maxArraySteps {
-		f.setPendingNote(job, pendingNote{cause: PlanningBehind})
+		f.setUnplannedReason(job, unplannedReason{cause: PlanningBehind})
 		return
 	}
 	tasks := f.arrayTasksToPlan(now, job)
@@ -43,11 +43,11 @@
 	slots := f.findArraySlots(now, job)
 	if len(slots.machines) == 0 {
 		f.noMachineUntil[job.Index] = now + noMachineRetryDelay
-		f.setPendingNote(job, pendingNote{cause: NoMachine})
+		f.setUnplannedReason(job, unplannedReason{cause: NoMachine})
 		return
 	}
 	delete(f.noMachineUntil, job.Index)
-	f.setPendingNote(job, pendingNote{cause: PlanningBehind}) // for the rest, if this cycle plans only some tasks
+	f.setUnplannedReason(job, unplannedReason{cause: PlanningBehind}) // for the rest, if this cycle plans only some tasks
 	f.PlanningSteps += uint64(4 * len(slots.machines))
 	allocation := planner.Plan(f.arrayProblem(job, tasks, &slots), f.Random)
 	planned := 0
@@ -65,11 +65,11 @@
 		"makespan_s", int(allocation.Makespan), "term", f.Term)
 }
 
-// arrayTasksToPlan returns the tasks of an array that this cycle plans. If there are none it notes why.
+// arrayTasksToPlan returns the tasks of an array that this cycle plans. If there are none it records why.
 func (f *Fleet) arrayTasksToPlan(now time.Duration, job *jobs.Job) []int32 {
 	limit := f.arrayPlanLimit(job)
 	if limit <= 0 {
-		f.noteDenied(job, 1)
+		f.recordDenied(job, 1)
 		return nil
 	}
 	var tasks []int32
@@ -89,7 +89,7 @@
 		}
 	}
 	if len(tasks) == 0 {
-		f.noteRetryLater(job, retryAt)
+		f.recordRetryLater(job, retryAt)
 	}
 	return tasks
 }
--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -95,23 +95,23 @@
 	return job.Spec.Kind != jobs.Gang && job.TasksByState[jobs.Planned]+job.TasksOnMachines() > 0
 }
 
-// noteCrashLoopBackoff records the back-off of a job in a crash loop as its pending reason.
-func (f *Fleet) noteCrashLoopBackoff(job *jobs.Job) {
+// recordCrashLoopBackoff records the back-off of a job in a crash loop as its pending reason.
+func (f *Fleet) recordCrashLoopBackoff(job *jobs.Job) {
 	loop := f.crashLooping(job)
-	f.setPendingNote(job, pendingNote{
+	f.setUnplannedReason(job, unplannedReason{
 		cause:   CrashLoopBackoff,
 		retryAt: loop.retryAt,
 		backoff: crashBackoff{failedMachines: loop.distinctMachines, tries: loop.tries},
 	})
 }
 
-// noteRetryLater records as a job's pending reason that its tasks failed and are not tried again before a time.
-func (f *Fleet) noteRetryLater(job *jobs.Job, until time.Duration) {
+// recordRetryLater records as a job's pending reason that its tasks failed and are not tried again before a time.
+func (f *Fleet) recordRetryLater(job *jobs.Job, until time.Duration) {
 	if f.crashLooping(job) != nil {
-		f.noteCrashLoopBackoff(job)
+		f.recordCrashLoopBackoff(job)
 		return
 	}
-	f.setPendingNote(job, pendingNote{cause: RetryLater, retryAt: until})
+	f.setUnplannedReason(job, unplannedReason{cause: RetryLater, retryAt: until})
 }
 
 // recordFailure records that a task failed on a machine.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -89,37 +89,37 @@
 
 	// queuedOn holds, for each job with planned tasks, how many of them are queued on which machine, so that planning
 	// need not examine the whole fleet.
-	queuedOn       map[jobs.Index]map[int32]int
-	classes        map[int32]*classStats         // run-time statistics by job class
-	preemptedAt    map[jobs.Index]time.Duration  // when a job last preempted others
-	crashLoops     map[jobs.Index]*crashLoop     // for jobs with failed tasks
-	pendingNotes   map[jobs.Index]pendingNote    // why a job's unplanned tasks wait, as of the last cycle
-	licenceGrants  map[jobs.Index]licences.Grant // by the last cycle, for jobs that need licences
-	nextRoomCheck  time.Duration                 // when trackRoom is due again
-	noMachineUntil map[jobs.Index]time.Duration  // arrays for which no machine was found: when to plan them again
+	queuedOn         map[jobs.Index]map[int32]int
+	classes          map[int32]*classStats          // run-time statistics by job class
+	preemptedAt      map[jobs.Index]time.Duration   // when a job last preempted others
+	crashLoops       map[jobs.Index]*crashLoop      // for jobs with failed tasks
+	unplannedReasons map[jobs.Index]unplannedReason // why the last cycle left tasks of a job without a plan
+	licenceGrants    map[jobs.Index]licences.Grant  // by the last cycle, for jobs that need licences
+	nextRoomCheck    time.Duration                  // when updateRoomSince is due again
+	noMachineUntil   map[jobs.Index]time.Duration   // arrays for which no machine was found: when to plan them again
 }
 
 // New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans it launches
 // nothing and accepts heartbeats only to register machines and to hand out its token.
 func New(env Env, term uint64, now time.Duration) *Fleet {
 	f := &Fleet{
-		Env:            env,
-		Term:           term,
-		LastHeartbeat:  now,
-		termStartedAt:  now,
-		unreadableJobs: map[string]bool{},
-		byName:         map[string]*Machine{},
-		ranking:        newRanking(),
-		gpuReserve:     newGPUReserve(),
-		scratch:        scratch{listedTasks: map[TaskRef]struct{}{}},
-		hints:          hintCache{inherited: map[string][]cachedImage{}},
-		queuedOn:       map[jobs.Index]map[int32]int{},
-		classes:        map[int32]*classStats{},
-		preemptedAt:    map[jobs.Index]time.Duration{},
-		crashLoops:     map[jobs.Index]*crashLoop{},
-		pendingNotes:   map[jobs.Index]pendingNote{},
-		licenceGrants:  map[jobs.Index]licences.Grant{},
-		noMachineUntil: map[jobs.Index]time.Duration{},
+		Env:              env,
+		Term:             term,
+		LastHeartbeat:    now,
+		termStartedAt:    now,
+		unreadableJobs:   map[string]bool{},
+		byName:           map[string]*Machine{},
+		ranking:          newRanking(),
+		gpuReserve:       newGPUReserve(),
+		scratch:          scratch{listedTasks: map[TaskRef]struct{}{}},
+		hints:            hintCache{inherited: map[string][]cachedImage{}},
+		queuedOn:         map[jobs.Index]map[int32]int{},
+		classes:          map[int32]*classStats{},
+		preemptedAt:      map[jobs.Index]time.Duration{},
+		crashLoops:       map[jobs.Index]*crashLoop{},
+		unplannedReasons: map[jobs.Index]unplannedReason{},
+		licenceGrants:    map[jobs.Index]licences.Grant{},
+		noMachineUntil:   map[jobs.Index]time.Duration{},
 	}
 	if f.PlansInPages == nil {
 		f.PlansInPages = func() bool { return true }
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -83,7 +83,7 @@
 	}
 	list := f.candidatesFor(now, job)
 	if len(list.candidates) == 0 {
-		f.setPendingNote(job, pendingNote{cause: NoMachine})
+		f.setUnplannedReason(job, unplannedReason{cause: NoMachine})
 		return
 	}
 	if f.placeGangNow(now, job, list) {
@@ -91,7 +91,7 @@
 	}
 	zone, start := f.earliestGangStart(job, list)
 	shortage := gangShortage{machinesWithRoom: len(list.withRoom), secondsToStart: start}
-	f.setPendingNote(job, pendingNote{cause: GangShort, gang: shortage})
+	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
 	if f.crashLooping(job) != nil {
 		return // no room is made or reserved for a job that fails wherever it runs
 	}
@@ -100,28 +100,28 @@
 	}
 	shortage.overdue = f.startOverdue(now, job)
 	shortage.reservedMachines = f.reserveMachines(job, list, zone, shortage.overdue)
-	f.setPendingNote(job, pendingNote{cause: GangShort, gang: shortage})
+	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
 }
 
-// mayPlaceGang reports whether a gang is to be placed now. If not, it notes why.
+// mayPlaceGang reports whether a gang is to be placed now. If not, it records why.
 func (f *Fleet) mayPlaceGang(now time.Duration, job *jobs.Job) bool {
 	if job.TasksByState[jobs.Unplanned] < job.TaskCount {
 		// It is planned, running or finished, or some of its tasks have yet to stop.
-		f.setPendingNote(job, pendingNote{cause: GangStopping})
+		f.setUnplannedReason(job, unplannedReason{cause: GangStopping})
 		return false
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoopBackoff(job)
+		f.recordCrashLoopBackoff(job)
 		return false
 	}
 	for t := range job.Tasks {
 		if task := &job.Tasks[t]; task.NotBefore > now {
-			f.noteRetryLater(job, task.NotBefore)
+			f.recordRetryLater(job, task.NotBefore)
 			return false
 		}
 	}
 	if !f.mayStart(job, job.TaskCount) {
-		f.noteDenied(job, job.TaskCount)
+		f.recordDenied(job, job.TaskCount)
 		return false
 	}
 	return true
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -46,7 +46,7 @@
 	delete(f.preemptedAt, job.Index)
 	delete(f.crashLoops, job.Index)
 	delete(f.licenceGrants, job.Index)
-	delete(f.pendingNotes, job.Index)
+	delete(f.unplannedReasons, job.Index)
 	if job.Tasks == nil {
 		return
 	}
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -36,9 +36,9 @@
 	Arriving           PendingCause = "starting"         // sent to its machine, not running yet
 )
 
-// pendingNote is what the last scheduling cycle decided about a job's unplanned tasks. Only the fields that are named
-// beside the cause are set.
-type pendingNote struct {
+// unplannedReason is why the last scheduling cycle left tasks of a job without a plan. The other fields are set for the
+// causes that are named beside them.
+type unplannedReason struct {
 	cause   PendingCause
 	denial  admission.Denial // TeamLimit, LicenceUnavailable
 	retryAt time.Duration    // RetryLater, CrashLoopBackoff: not before
@@ -60,19 +60,21 @@
 	secondsToStart   float64 // estimated; 0 or unknownRoomS and more: not known
 }
 
-// setPendingNote records what planning decided about a job's unplanned tasks.
-func (f *Fleet) setPendingNote(job *jobs.Job, note pendingNote) { f.pendingNotes[job.Index] = note }
+// setUnplannedReason records why planning left tasks of a job without a plan.
+func (f *Fleet) setUnplannedReason(job *jobs.Job, reason unplannedReason) {
+	f.unplannedReasons[job.Index] = reason
+}
 
-// noteDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
+// recordDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
 // starting n tasks together.
-func (f *Fleet) noteDenied(job *jobs.Job, n int) {
+func (f *Fleet) recordDenied(job *jobs.Job, n int) {
 	if denial := f.Gate.Check(admissionClaim(job), n); denial.TeamLimit {
-		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: denial})
+		f.setUnplannedReason(job, unplannedReason{cause: TeamLimit, denial: denial})
 		return
 	}
 	grant := f.licenceGrants[job.Index]
 	denial := admission.Denial{Licence: grant.Denial, Pool: grant.Pool}
-	f.setPendingNote(job, pendingNote{cause: LicenceUnavailable, denial: denial})
+	f.setUnplannedReason(job, unplannedReason{cause: LicenceUnavailable, denial: denial})
 }
 
 // PendingReason is how many of a job's tasks wait for one cause.
@@ -118,15 +120,15 @@
 // addUnplannedReasons adds the reason of the tasks without a plan.
 func (f *Fleet) addUnplannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	tasks := job.TasksByState[jobs.Unplanned]
-	note, ok := f.pendingNotes[job.Index]
+	reason, ok := f.unplannedReasons[job.Index]
 	if tasks == 0 {
 		return
 	}
 	if !ok {
-		note.cause = PlanningBehind
+		reason.cause = PlanningBehind
 	}
 	size := job.Spec.Size()
-	switch note.cause {
+	switch reason.cause {
 	case TeamLimit:
 		team := f.Gate.Quota.Team(job.Team)
 		reasons.add(tasks, TeamLimit,
@@ -136,7 +138,7 @@
 			formatAmount(size.CPUs, size.GPUs),
 			formatAmount(team.Limit.CPUs, team.Limit.GPUs))
 	case LicenceUnavailable:
-		reasons.add(tasks, LicenceUnavailable, "licence %s: %s", f.poolName(note.denial.Pool), note.denial.Licence)
+		reasons.add(tasks, LicenceUnavailable, "licence %s: %s", f.poolName(reason.denial.Pool), reason.denial.Licence)
 	case NoMachine:
 		reasons.add(tasks, NoMachine,
 			"no machine that is up may take it (%s, %g GB for each task)",
@@ -145,16 +147,16 @@
 		reasons.add(tasks, GangStopping,
 			"the rest of its gang is still on machines, and has to be gone before it starts anew")
 	case GangShort:
-		addGangReason(reasons, tasks, job.TaskCount, note.gang)
+		addGangReason(reasons, tasks, job.TaskCount, reason.gang)
 	case NoRoom:
 		reasons.add(tasks, NoRoom, "no machine that may take a replica has room")
 	case CrashLoopBackoff:
 		reasons.add(tasks, CrashLoopBackoff,
 			"its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: "+
 				"it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s",
-			note.backoff.failedMachines, note.backoff.tries, formatWait(note.retryAt-now))
+			reason.backoff.failedMachines, reason.backoff.tries, formatWait(reason.retryAt-now))
 	case RetryLater:
-		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(note.retryAt-now))
+		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(reason.retryAt-now))
 	default:
 		reasons.add(tasks, PlanningBehind, "planning has not come to it yet")
 	}
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -137,7 +137,7 @@
 	txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imageHintsPrefix, shard), Value: hints})
 }
 
-// markInFlight notes at the job or segment that a write of it is in flight.
+// markInFlight records at the job or segment that a write of it is in flight.
 func (m *mutation) markInFlight() {
 	if m.kind == writeJobRecord {
 		m.job.FinalWriteInFlight = true
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -14,7 +14,7 @@
 		return
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoopBackoff(job)
+		f.recordCrashLoopBackoff(job)
 		return
 	}
 	list := f.candidatesFor(now, job)
@@ -25,16 +25,16 @@
 			continue
 		}
 		if task.NotBefore > now {
-			f.setPendingNote(job, pendingNote{cause: RetryLater, retryAt: task.NotBefore})
+			f.setUnplannedReason(job, unplannedReason{cause: RetryLater, retryAt: task.NotBefore})
 			continue
 		}
 		if !f.mayStart(job, 1) || job.TasksByState[jobs.Planned] >= f.grantedTasks(job, job.TaskCount) {
-			f.noteDenied(job, 1)
+			f.recordDenied(job, 1)
 			return
 		}
 		machine := f.chooseReplicaMachine(job, list, replicas)
 		if machine == nil {
-			f.setPendingNote(job, pendingNote{cause: NoRoom})
+			f.setUnplannedReason(job, unplannedReason{cause: NoRoom})
 			return
 		}
 		f.planTask(now, job, int32(t), machine)
