--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -107,7 +107,7 @@
 	if !c.term.loaded() || (!want.AnyMachine() && !c.term.fleet.HasDrains()) {
 		return
 	}
-	c.term.fleet.ApplyDrains(now, func(machine string) (on, stop bool, by string) {
+	c.term.fleet.ApplyDrains(func(machine string) (on, stop bool, by string) {
 		request, ok := want.Machine(machine)
 		return ok, request.Stop, request.By
 	})
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"github.com/harewalk/harewalk/internal/jobs"
 )
@@ -16,7 +15,7 @@
 // whether running tasks are to be stopped, and who made it. Nothing new starts on a machine that is drained; what
 // runs there ends by itself or is stopped with time to save a checkpoint, and then the machine is returned. A
 // machine whose request was withdrawn takes work again, unless it was returned meanwhile.
-func (f *Fleet) ApplyDrains(_ time.Duration, request func(machine string) (drain, stop bool, by string)) {
+func (f *Fleet) ApplyDrains(request func(machine string) (drain, stop bool, by string)) {
 	for _, machine := range f.machines {
 		drain, stop, by := request(machine.Name)
 		switch {
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -49,20 +49,6 @@
 	return false
 }
 
-// unplanTasks takes all planned tasks of a job off their machines' queues.
-func (f *Fleet) unplanTasks(job *jobs.Job) {
-	for t := range job.Tasks {
-		if job.Tasks[t].State == jobs.Planned {
-			f.unplanTask(job, int32(t))
-		}
-	}
-}
-
-func (f *Fleet) unplanTask(job *jobs.Job, taskIndex int32) {
-	f.dequeue(job, taskIndex)
-	f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
-}
-
 // stopRestOfGang stops the tasks of a gang that lost one: all must have stopped before the gang can start again.
 func (f *Fleet) stopRestOfGang(job *jobs.Job) {
 	for t := range job.Tasks {
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -190,7 +190,7 @@
 
 // earliestLicenceS estimates in how many seconds the next holder of a pool ends by itself.
 func (f *Fleet) earliestLicenceS(now time.Duration, pool int32) float64 {
-	earliest := unknownSeconds
+	earliest := unknownWaitSeconds
 	f.Jobs.ForEach(func(job *jobs.Job) {
 		if job.Spec == nil || job.Tasks == nil || job.TasksOnMachines() == 0 || unitsOfPool(job, pool) == 0 {
 			return
@@ -203,6 +203,3 @@
 	})
 	return earliest
 }
-
-// unknownSeconds stands for a time of which nothing is known, but that it is far away.
-const unknownSeconds = 1e6
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -181,22 +181,3 @@
 	f.licenceGrants[job.Index] = grant
 	f.dropPlans(job, job.TasksByState[jobs.Planned]-grant.Tasks)
 }
-
-// dropPlans makes n planned tasks of a job unplanned. It leaves gangs alone of which tasks are on machines.
-func (f *Fleet) dropPlans(job *jobs.Job, n int) {
-	if n <= 0 || (job.Spec.Kind == jobs.Gang && job.TasksOnMachines() > 0) {
-		return
-	}
-	for _, machineIndex := range f.queueMachines(job) {
-		for n > 0 {
-			queued := f.machines[machineIndex].queued(job.Index)
-			if len(queued) == 0 {
-				break
-			}
-			taskIndex := queued[len(queued)-1]
-			f.dequeue(job, taskIndex)
-			f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
-			n--
-		}
-	}
-}
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -15,10 +15,11 @@
 const (
 	// unknownWaitSeconds stands for a wait of which no end is expected.
 	unknownWaitSeconds = 1e6
-	// maxCredibleWaitSeconds is the longest wait that counts as an estimate.
+	// maxCredibleWaitSeconds is the longest wait that counts as an estimate. It is below unknownWaitSeconds.
 	maxCredibleWaitSeconds = 1e5
-	// preemptibleSeconds is the remaining time counted for work that may be preempted, and the least for any work.
-	preemptibleSeconds = 1.0
+	// minRemainingSeconds is the least remaining time counted for a task, and what counts for one that is being
+	// stopped or may be preempted.
+	minRemainingSeconds = 1.0
 	// noRank is below every rank: no queued work counts.
 	noRank = -1
 )
@@ -33,7 +34,7 @@
 	machine.endsValid = true
 	for ref := range machine.Tasks {
 		job := f.jobAt(ref.Job)
-		remaining := 1.0
+		remaining := minRemainingSeconds
 		if !job.State.Terminal() {
 			remaining = f.remainingSeconds(now, job, ref.Task)
 		}
@@ -58,7 +59,7 @@
 	for _, end := range f.expectedEnds(now, machine) {
 		free = free.Add(end.size)
 		if size.Fits(free) {
-			return max(1, (end.at - now).Seconds())
+			return max(minRemainingSeconds, (end.at - now).Seconds())
 		}
 	}
 	return unknownWaitSeconds
@@ -74,9 +75,9 @@
 	preemptor *jobs.Job,
 ) []planner.Work {
 	for _, end := range f.expectedEnds(now, machine) {
-		remaining := max(preemptibleSeconds, (end.at - now).Seconds())
+		remaining := max(minRemainingSeconds, (end.at - now).Seconds())
 		if preemptor != nil && f.mayPreempt(preemptor, f.jobAt(end.Job)) {
-			remaining = preemptibleSeconds
+			remaining = minRemainingSeconds
 		}
 		work = append(work, planner.Work{Size: end.size, Remaining: remaining})
 	}
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -57,7 +57,7 @@
 	machinesWithRoom int
 	reservedMachines int     // kept for it as they get room
 	overdue          bool    // it has waited for long, and its reservations hold against all other jobs
-	secondsToStart   float64 // estimated; 0 or unknownRoomS and more: not known
+	secondsToStart   float64 // estimated; 0 or maxCredibleWaitSeconds and more: not known
 }
 
 // setUnplannedReason records why planning left tasks of a job without a plan.
@@ -185,7 +185,7 @@
 func (f *Fleet) addPlannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	writing := 0
 	queued := 0
-	roomInS := 1e9 // until the first machine has room, of those in whose queues the tasks are
+	roomInS := unknownWaitSeconds // until the first machine has room, of those in whose queues the tasks are
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		switch {
@@ -269,12 +269,9 @@
 	return silentFor, leaseLeft
 }
 
-// unknownRoomS is from how many seconds on an estimate of when a machine has room is not reported.
-const unknownRoomS = 1e5
-
-// formatExpectedRoom formats in how many seconds room is expected, "" if that is now or not known.
+// formatExpectedRoom formats in how many seconds room is expected, "" if that is now or there is no credible estimate.
 func formatExpectedRoom(seconds float64) string {
-	if seconds <= 0 || seconds >= unknownRoomS {
+	if seconds <= 0 || seconds >= maxCredibleWaitSeconds {
 		return ""
 	}
 	return fmt.Sprintf("; room is expected in %s", time.Duration(seconds)*time.Second)
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -253,7 +253,7 @@
 	for _, machineIndex := range f.queueMachines(job) {
 		machine := f.machines[machineIndex]
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined {
+		if !takesWork(machine) {
 			continue
 		}
 		if f.fits(machine, job) || f.secondsUntilRoom(now, machine, job) < maxWaitS || !f.mayPlace(machine, job) {
--- a/internal/fleet/queues.go
+++ b/internal/fleet/queues.go
@@ -69,6 +69,39 @@
 	}
 }
 
+// unplanTask takes a planned task out of its machine's queue and makes it unplanned.
+func (f *Fleet) unplanTask(job *jobs.Job, taskIndex int32) {
+	f.dequeue(job, taskIndex)
+	f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
+}
+
+// unplanTasks makes all planned tasks of a job unplanned.
+func (f *Fleet) unplanTasks(job *jobs.Job) {
+	for t := range job.Tasks {
+		if job.Tasks[t].State == jobs.Planned {
+			f.unplanTask(job, int32(t))
+		}
+	}
+}
+
+// dropPlans makes n planned tasks of a job unplanned. It leaves gangs alone of which tasks are on machines.
+func (f *Fleet) dropPlans(job *jobs.Job, n int) {
+	if n <= 0 || (job.Spec.Kind == jobs.Gang && job.TasksOnMachines() > 0) {
+		return
+	}
+	for _, machineIndex := range f.queueMachines(job) {
+		for n > 0 {
+			queued := f.machines[machineIndex].queued(job.Index)
+			if len(queued) == 0 {
+				break
+			}
+			taskIndex := queued[len(queued)-1]
+			f.unplanTask(job, taskIndex)
+			n--
+		}
+	}
+}
+
 // clearQueues empties a machine's queues. The planned tasks in them become unplanned.
 func (f *Fleet) clearQueues(machine *Machine) {
 	for len(machine.queues) > 0 {
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -228,8 +228,7 @@
 	}
 	job.AvoidedMachines[machine.Index] = now + avoidDuration
 	for _, taskIndex := range slices.Clone(machine.queued(job.Index)) {
-		f.dequeue(job, taskIndex)
-		f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
+		f.unplanTask(job, taskIndex)
 	}
 }
 
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -21,7 +21,7 @@
 }
 
 // gpuReserve is how much of a machine's processors and memory is reserved beside its idle accelerators, for the
-// waiting tasks that need accelerators. Each scheduling cycle computes it once, in findGPUReserve.
+// waiting tasks that need accelerators. Each scheduling cycle computes it once, in computeGPUReserve.
 type gpuReserve struct {
 	perGPU          planner.Size   // processors and memory for each accelerator
 	withinGuarantee bool           // some of that work is within its team's guarantee
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -26,8 +26,7 @@
 	for t := range job.Tasks {
 		switch task := &job.Tasks[t]; {
 		case task.State == jobs.Planned:
-			f.dequeue(job, int32(t))
-			f.checkTransition(job.SetTaskState(int32(t), jobs.Unplanned))
+			f.unplanTask(job, int32(t))
 		case task.State.Occupies():
 			f.stopTask(job, int32(t))
 		}
@@ -86,10 +85,7 @@
 	room := 0 // tasks of the job that fit on the machines looked at
 	for _, machine := range f.machines {
 		f.PlanningSteps++
-		if machine.Condition != Ready || machine.Returning || machine.Quarantined {
-			continue
-		}
-		if !f.mayPlace(machine, job) || !f.fits(machine, job) {
+		if !takesWork(machine) || !f.mayPlace(machine, job) || !f.fits(machine, job) {
 			continue
 		}
 		room += job.Spec.Size().Copies(machine.Free())
--- a/internal/fleet/zoneloss.go
+++ b/internal/fleet/zoneloss.go
@@ -60,7 +60,7 @@
 			for ref := range machine.Tasks {
 				estimate.tasksInZone[ref.Job]++
 			}
-		case machine.Condition == Ready && !machine.Returning && !machine.Quarantined:
+		case takesWork(machine):
 			estimate.hosts = append(estimate.hosts, machine)
 			estimate.free[machine] = machine.Free().Sub(machine.queuedNeed)
 		}
