--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -13,6 +13,10 @@
 // noMachineRetryDelay is how long an array is not planned again after no machine was found that may take it.
 const noMachineRetryDelay = 500 * time.Millisecond
 
+// freeRoomWeight is how much free room for one task counts in the choice of a zone, against a machine that may take the
+// job.
+const freeRoomWeight = 4
+
 // arraySlots are the servers of Balance-Reduce for one array. A slot is room for one of the array's tasks on a
 // machine.
 type arraySlots struct {
@@ -186,7 +190,7 @@
 			continue
 		}
 		zone := machine.Zone
-		scores[zone] += 1 + 4*job.Spec.Size().Copies(machine.Free())
+		scores[zone] += 1 + freeRoomWeight*job.Spec.Size().Copies(machine.Free())
 		if scores[zone] > bestScore {
 			bestScore = scores[zone]
 			bestZone = zone
--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -115,6 +115,7 @@
 	return candidates
 }
 
+// compareCandidates orders candidates as findCandidates returns them.
 func compareCandidates(x, y candidate) int {
 	if x.score != y.score {
 		return cmp.Compare(x.score, y.score)
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -142,6 +142,7 @@
 		"tasks_waiting_by_class", waitingByClass)
 }
 
+// sumMachineUse sums up the machines other than those that are gone, or whose lease has expired.
 func (f *Fleet) sumMachineUse() machineUse {
 	var use machineUse
 	for _, machine := range f.machines {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -52,8 +52,8 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// Fleet is the state of one leader's term over the machines and the work on them. The fields are grouped by the
-// concern that changes them; each group is described in state.go. A Fleet is not safe for concurrent use.
+// Fleet is the state of one leader's term over the machines and the work on them. The fields are grouped by concern;
+// state.go has the types that hold most of it. A Fleet is not safe for concurrent use.
 type Fleet struct {
 	Env
 	// Term is the leader's term; the high bits of every token and attempt of this fleet hold it.
@@ -68,35 +68,40 @@
 	// LastHeartbeat is when the last heartbeat that proved contact with any machine was accepted.
 	LastHeartbeat time.Duration
 
+	// The term.
 	termStartedAt  time.Duration
 	plansLoaded    bool
 	startsStopped  bool            // no launches: leadership is being handed over
 	attemptCounter uint64          // of this term's launches
 	unreadableJobs map[string]bool // jobs whose records could not be read when the term began
 
+	// The machines and what is sent to them.
 	machines       []*Machine // by dense index
 	byName         map[string]*Machine
 	directRequests int // direct commands without a response yet
+	activity       activity
 
-	ranking    ranking
-	cycle      schedulingCycle
-	nextCycle  time.Duration
-	gpuReserve gpuReserve
-	scratch    scratch
-	writer     planWriter
-	hints      hintCache
-	activity   activity
+	// The scheduling cycle.
+	ranking       ranking
+	cycle         schedulingCycle
+	nextCycle     time.Duration
+	nextRoomCheck time.Duration // when updateRoomSince is due again
+	gpuReserve    gpuReserve
+	scratch       scratch
 
-	// queuedOn holds, for each job with planned tasks, how many of them are queued on which machine, so that planning
-	// need not examine the whole fleet.
+	// What planning keeps of each job from one cycle to the next. queuedOn holds, for each job with planned tasks, how
+	// many of them are queued on which machine, so that planning need not examine the whole fleet.
 	queuedOn         map[jobs.Index]map[int32]int
 	classes          map[int32]*classStats          // run-time statistics by job class
 	preemptedAt      map[jobs.Index]time.Duration   // when a job last preempted others
 	crashLoops       map[jobs.Index]*crashLoop      // for jobs with failed tasks
 	unplannedReasons map[jobs.Index]unplannedReason // why the last cycle left tasks of a job without a plan
 	licenceGrants    map[jobs.Index]licences.Grant  // by the last cycle, for jobs that need licences
-	nextRoomCheck    time.Duration                  // when updateRoomSince is due again
 	noMachineUntil   map[jobs.Index]time.Duration   // arrays for which no machine was found: when to plan them again
+
+	// What is stored.
+	writer planWriter
+	hints  hintCache
 }
 
 // New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans it launches
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -266,7 +266,7 @@
 }
 
 // A job that may preempt another ranks before it, whatever their priorities and guarantees.
-func TestPreemptionFollowsRank(t *testing.T) {
+func TestPreemptionFollowsPriorityOrder(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	rng := rand.New(rand.NewPCG(6, 6))
 	for i := range 40 {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -191,7 +191,7 @@
 	machine.LastHeartbeatAt = now
 	if machine.Condition == OneWayUnreachable || machine.Condition == LeaseExpired {
 		// It must confirm first that responses reach it. Otherwise a zone of machines that are unreachable one way
-		// would count as recovered with each of their new sessions, and more machines would be rented there.
+		// would count as recovered with each of their new sessions, and be scaled out.
 		return
 	}
 	f.recordContact(now, machine)
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -89,6 +89,7 @@
 	return nil
 }
 
+// stopHolders stops the tasks of holders of a pool, and logs the cause.
 func (f *Fleet) stopHolders(holders []licenceHolder, pool int32, cause string) {
 	for _, holder := range holders {
 		for _, taskIndex := range holder.tasks {
@@ -131,13 +132,13 @@
 // preemptForLicences stops tasks of others for a job that waits for licence units, by the same rules as for
 // machines: only after a delay, and only where waiting for tasks to end by themselves would miss an objective or a
 // guarantee. It stops holders in all pools that lack units, or in none.
-func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, ask licences.Request, grant licences.Grant) {
+func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, request licences.Request, grant licences.Grant) {
 	if grant.Denial != licences.NoFreeUnits && grant.Denial != licences.LowerPriority {
 		return
 	}
 	needed := 1 // tasks that must start together
-	if ask.IsGang {
-		needed = ask.Tasks
+	if request.IsGang {
+		needed = request.Tasks
 	}
 	guaranteed := f.Gate.Licences.IsWithinGuarantee(job.Team, job.LicenceUnits, needed)
 	if f.hasLowestPriority(job) && !guaranteed {
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -13,6 +13,7 @@
 // order, and a job plans, and asks for machines, only for tasks that are granted theirs. Whether a task may start is
 // decided by the admission gate when its launch is about to be sent.
 
+// licenceRef identifies a task as a holder of licence units.
 func licenceRef(job *jobs.Job, taskIndex int32) licences.TaskRef {
 	return licences.TaskRef{Job: int32(job.Index), Task: taskIndex}
 }
@@ -126,17 +127,17 @@
 func (f *Fleet) grantLicences(now time.Duration) {
 	f.releaseUnusedAdmissions(now)
 	clear(f.licenceGrants)
-	jobList, asks := f.licenceRequests()
+	jobList, requests := f.licenceRequests()
 	if len(jobList) == 0 {
 		return
 	}
-	for i, grant := range f.Gate.Licences.Allocate(asks) {
-		f.applyLicenceGrant(jobList[i], asks[i], grant)
+	for i, grant := range f.Gate.Licences.Allocate(requests) {
+		f.applyLicenceGrant(jobList[i], requests[i], grant)
 	}
 	f.PlanningSteps += uint64(4 * len(jobList))
 	for i, job := range jobList {
-		if grant := f.licenceGrants[job.Index]; grant.Tasks < asks[i].Tasks {
-			f.preemptForLicences(now, job, asks[i], grant)
+		if grant := f.licenceGrants[job.Index]; grant.Tasks < requests[i].Tasks {
+			f.preemptForLicences(now, job, requests[i], grant)
 		}
 	}
 	for _, pool := range f.Jobs.Names.Pools.Pools() {
@@ -149,33 +150,33 @@
 // licenceRequests returns the live jobs that need licences, in priority order, and what each asks for.
 func (f *Fleet) licenceRequests() ([]*jobs.Job, []licences.Request) {
 	var jobList []*jobs.Job
-	var asks []licences.Request
+	var requests []licences.Request
 	for _, job := range f.ranking.jobs {
 		if len(job.LicenceUnits) == 0 || job.FinishedTasks == job.TaskCount || job.Idle() {
 			continue
 		}
-		ask := licences.Request{
+		request := licences.Request{
 			Job:    int32(job.Index),
 			Team:   job.Team,
 			Needs:  job.LicenceUnits,
 			IsGang: job.Spec.Kind == jobs.Gang,
 			Tasks:  job.UnstartedTasks(),
 		}
-		if ask.IsGang && ask.Tasks < job.TaskCount {
-			ask.Tasks = 0 // some of the gang is still on machines, or about to start with its units reserved
+		if request.IsGang && request.Tasks < job.TaskCount {
+			request.Tasks = 0 // some of the gang is still on machines, or about to start with its units reserved
 		}
 		jobList = append(jobList, job)
-		asks = append(asks, ask)
+		requests = append(requests, request)
 	}
-	return jobList, asks
+	return jobList, requests
 }
 
 // applyLicenceGrant keeps a job's grant for this scheduling cycle and takes back plans beyond it.
-func (f *Fleet) applyLicenceGrant(job *jobs.Job, ask licences.Request, grant licences.Grant) {
+func (f *Fleet) applyLicenceGrant(job *jobs.Job, request licences.Request, grant licences.Grant) {
 	if job.LicenceDenial != grant.Denial {
 		job.LicenceDenial = grant.Denial
 		slog.Debug("licence grant changed",
-			"job", job.ID, "granted", grant.Tasks, "requested", ask.Tasks,
+			"job", job.ID, "granted", grant.Tasks, "requested", request.Tasks,
 			"cause", grant.Denial.String(), "term", f.Term)
 	}
 	f.licenceGrants[job.Index] = grant
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -59,7 +59,7 @@
 // tokenBits is the width of the part of a token that counts how often it was raised within a term.
 const tokenBits = 20
 
-// Machine is one rented machine.
+// Machine is one machine of the fleet.
 type Machine struct {
 	Index     int32 // dense, in the order of registration
 	Name      string
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -319,7 +319,7 @@
 
 // The rules are also kept with licences: no pool ever has more units taken than it has, those of crashed holders
 // included, while counts fall and rise and leaders change, and every unit is free at the end.
-func TestSeatsAgainstThePlainModel(t *testing.T) {
+func TestModelKeepsRulesWithLicences(t *testing.T) {
 	starts, ended, full := 0, 0, 0
 	for seed := uint64(1); seed <= seedCount(); seed++ {
 		m := newModel(seed, modelPools()...)
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -453,7 +453,7 @@
 		}
 		m.peakUnits[pool] = max(m.peakUnits[pool], units)
 		if units > m.maxUnits[pool] {
-			m.violation("seats: %d of %d of %s taken by a start of %s", units, m.maxUnits[pool], pool, spec.ID)
+			m.violation("licence units: %d of %d of %s taken by a start of %s", units, m.maxUnits[pool], pool, spec.ID)
 		}
 	}
 }
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -45,6 +45,7 @@
 }
 
 func newSingleMachine(t testing.TB, without string) *singleMachine {
+	t.Helper()
 	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: without}
 	s := spec(1, 1)
 	s.EstimateS = 1e5
@@ -288,6 +289,7 @@
 // exploreSequences plays every sequence that begins with some events and goes on with a number of others, until one
 // goes wrong.
 func exploreSequences(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
+	t.Helper()
 	run := make([]int, len(begins)+length)
 	for i, name := range begins {
 		run[i] = slices.IndexFunc(modelEvents, func(e modelEvent) bool { return e.name == name })
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -29,6 +29,7 @@
 
 // newRig returns a rig with one team that may use 4 CPUs.
 func newRig(t testing.TB, term uint64, kv map[string]json.RawMessage) *rig {
+	t.Helper()
 	return newRigOf(t, term, kv, []config.Team{{Name: "t", CPUsMax: 4}})
 }
 
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -234,7 +234,7 @@
 // Jobs without accelerators start on machines that all have them, although other work always waits for those:
 // either because their start is overdue, or because nothing is kept from starving jobs. Without both rules they
 // never start.
-func TestGuestsBeginBesideAccelerators(t *testing.T) {
+func TestJobsWithoutAcceleratorsStartBesideThem(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		beginS  float64
@@ -284,7 +284,7 @@
 
 // One task that waits for an accelerator, of which most are idle, doesn't keep the cores of all machines from work
 // without: of twenty idle machines some are left for it and for work still to come, the others are used.
-func TestFewWaitForAccelerators(t *testing.T) {
+func TestOneWaitingTaskKeepsFewCores(t *testing.T) {
 	g := mixed(t)
 	names := make([]string, 20)
 	for i := range names {
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -16,6 +16,7 @@
 	startDeadlineDue map[jobs.Index]bool // arrays and services whose first tasks rank before all other jobs
 }
 
+// newRanking returns the ranking of no jobs, which is out of date.
 func newRanking() ranking {
 	return ranking{withinGuarantee: map[jobs.Index]bool{}, startDeadlineDue: map[jobs.Index]bool{}}
 }
@@ -30,6 +31,7 @@
 	seenTypes       map[int32]bool // machine types of which a machine was registered in this term
 }
 
+// newGPUReserve returns a reserve of nothing.
 func newGPUReserve() gpuReserve {
 	return gpuReserve{onDemandTypes: map[int32]bool{}, seenTypes: map[int32]bool{}}
 }
@@ -81,7 +83,7 @@
 	writtenAt   time.Duration
 }
 
-// activity counts heartbeats and direct requests since the last summary in the log, see Summary.
+// activity counts heartbeats and direct requests since the last summary in the log, see LogSummary.
 type activity struct {
 	heartbeats, directRequests int
 	summarizedAt               time.Duration
