--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -17,6 +17,19 @@
 	minBootSamples = 4
 )
 
+// How bootTimes.expected follows from the cloud's usual boot time, in seconds, and from recent boots. Boots take 0.6 to
+// 1.5 times the usual time, and some several times.
+const (
+	// Without enough samples: a multiple of the usual time, and a constant.
+	defaultBootFactor = 2.2
+	defaultBootExtraS = 10
+	// With them: a multiple of what nine of ten took, between two bounds.
+	ninthDecileFactor = 1.25
+	minExpectedFactor = 1.5 // of the usual time, plus minExpectedExtraS
+	minExpectedExtraS = 5
+	maxExpectedFactor = 4 // of the time without samples
+)
+
 // pendingBoot is a machine that was rented and has sent no heartbeat yet.
 type pendingBoot struct {
 	offer
@@ -26,6 +39,7 @@
 // bootKind is what boot times depend on.
 type bootKind struct{ typeIndex, zone int32 }
 
+// bootKind returns what the boot time of a machine of an offer depends on.
 func (o offer) bootKind() bootKind { return bootKind{typeIndex: o.typeIndex, zone: o.zone} }
 
 // bootTimes are the durations of recent boots, in seconds, the newest last.
@@ -39,10 +53,9 @@
 }
 
 // expected is the time within which a boot usually completes: a quarter more than nine of ten recent boots of its
-// kind took. With too few samples it follows from bootS, the cloud's usual time: boots take 0.6 to 1.5 times it,
-// and some several times.
+// kind took. With too few samples it follows from bootS, the cloud's usual time.
 func (b bootTimes) expected(o offer, bootS float64) time.Duration {
-	defaultS := 2.2*bootS + 10
+	defaultS := defaultBootFactor*bootS + defaultBootExtraS
 	samples := b[o.bootKind()]
 	if len(samples) < minBootSamples {
 		return config.Seconds(defaultS)
@@ -50,7 +63,8 @@
 	sorted := slices.Clone(samples)
 	sort.Float64s(sorted)
 	ninthDecile := sorted[len(sorted)*9/10]
-	return config.Seconds(min(max(1.25*ninthDecile, 1.5*bootS+5), 4*defaultS))
+	atLeastS := minExpectedFactor*bootS + minExpectedExtraS
+	return config.Seconds(min(max(ninthDecileFactor*ninthDecile, atLeastS), maxExpectedFactor*defaultS))
 }
 
 // timeout is when a boot is abandoned and its machine returned: after waiting as long beyond the expected time as
@@ -97,6 +111,7 @@
 	return replaced
 }
 
+// groupOverdue returns the boots that take longer than expected, by offer.
 func (m *Manager) groupOverdue(now time.Duration) map[offer]*overdueGroup {
 	groups := map[offer]*overdueGroup{}
 	for name, boot := range m.boots {
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// fleetHealth counts the machines that should send heartbeats, and those of them that are idle or silent.
 func (m *Manager) fleetHealth(now time.Duration, isSteady bool) fleetHealth {
 	health := fleetHealth{silenceLimit: config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS), isSteady: isSteady}
 	for _, machine := range m.Fleet.Machines() {
@@ -98,6 +99,7 @@
 	}
 }
 
+// evaluateReady returns a ready machine that is silent. One that is faulty or surplus gets no more work first.
 func (m *Manager) evaluateReady(now time.Duration, machine *fleet.Machine, health fleetHealth) {
 	switch {
 	case m.isSilent(now, machine, health):
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -27,12 +27,13 @@
 // allowedFor reports whether a job's spec allows machines of the offer.
 func (o offer) allowedFor(job *jobs.Job) bool { return job.Allows(o.typeIndex, o.zone, o.isSpot) }
 
-// zoneSpread holds how many more tasks of a job may run in each zone.
+// zoneSpread counts the tasks of a job in each zone, against the limit for any one zone.
 type zoneSpread struct {
 	limit int           // of tasks in each zone, 0: none
 	tasks map[int32]int // by zone, nil without a limit
 }
 
+// zoneSpread returns the spread of a job's tasks, as Fleet.TasksByZone counts them.
 func (m *Manager) zoneSpread(job *jobs.Job) zoneSpread {
 	limit := job.Spec.ZoneLimit()
 	if limit <= 0 {
--- a/internal/capacity/scalein.go
+++ b/internal/capacity/scalein.go
@@ -17,6 +17,8 @@
 const (
 	// quiescentIdleLimitS is how long a machine is kept idle while there is no job at all, in seconds.
 	quiescentIdleLimitS = 30.0
+	// costObjectiveIdleFactor shortens the idle limit where the operators have set a cost objective.
+	costObjectiveIdleFactor = 0.5
 	// minIdleLimitFactor bounds how much the idle limit is shortened.
 	minIdleLimitFactor = 0.15
 	// maxReturnsPerRequest is how many machines are returned in one request.
@@ -33,7 +35,7 @@
 		seconds = m.secondsUntilUseful(machineType)
 	}
 	if m.Settings.HasCostObjective() {
-		seconds /= 2
+		seconds *= costObjectiveIdleFactor
 	}
 	seconds *= m.idleLimitFactor
 	if m.Fleet.Quiescent() {
@@ -65,6 +67,7 @@
 	idle  float64 // of those that boot or run nothing
 }
 
+// fleetCost sums up the prices of the machines at hand and of those that boot.
 func (m *Manager) fleetCost() fleetCost {
 	var cost fleetCost
 	for _, machine := range m.Fleet.Machines() {
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -58,6 +58,7 @@
 	m.rentHeadroom(now, plan.machines)
 }
 
+// planScaleOut packs the waiting work into the machines at hand and those that are still to be requested.
 func (m *Manager) planScaleOut(now time.Duration) *scaleOutPlan {
 	plan := &scaleOutPlan{manager: m, now: now, horizonS: m.planningHorizonS(), toRent: map[offer]int{}}
 	clear(m.machinesByZone)
