--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -16,12 +16,13 @@
 	startDeadlineDue map[jobs.Index]bool // arrays and services whose first tasks rank before all other jobs
 }
 
+// newRanking returns the ranking of no jobs, which is out of date.
 func newRanking() ranking {
 	return ranking{withinGuarantee: map[jobs.Index]bool{}, startDeadlineDue: map[jobs.Index]bool{}}
 }
 
 // gpuReserve is how much of a machine's processors and memory is reserved beside its idle accelerators, for the
-// waiting tasks that need accelerators. Each scheduling cycle computes it once, in findGPUReserve.
+// waiting tasks that need accelerators. Each scheduling cycle computes it once, in computeGPUReserve.
 type gpuReserve struct {
 	perGPU          planner.Size   // processors and memory for each accelerator
 	withinGuarantee bool           // some of that work is within its team's guarantee
@@ -30,6 +31,7 @@
 	seenTypes       map[int32]bool // machine types of which a machine was registered in this term
 }
 
+// newGPUReserve returns a reserve of nothing.
 func newGPUReserve() gpuReserve {
 	return gpuReserve{onDemandTypes: map[int32]bool{}, seenTypes: map[int32]bool{}}
 }
@@ -39,6 +41,7 @@
 	jobIndices  []jobs.Index
 	work        []planner.Work
 	taskRefs    []TaskRef
+	commands    []Command
 	listedTasks map[TaskRef]struct{} // live tasks in the heartbeat that is being processed
 }
 
@@ -80,7 +83,7 @@
 	writtenAt   time.Duration
 }
 
-// activity counts heartbeats and direct requests since the last summary in the log, see Summary.
+// activity counts heartbeats and direct requests since the last summary in the log, see LogSummary.
 type activity struct {
 	heartbeats, directRequests int
 	summarizedAt               time.Duration
