--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,8 +1,10 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"os"
+	"strconv"
 	"strings"
 
 	"github.com/harewalk/harewalk/internal/licences"
@@ -62,9 +64,17 @@
 	defaultNetworkFactor  = 1
 )
 
+// A machine is unheard after so many intervals of its heartbeat and a slack, where its lease allows that.
+const (
+	unheardHeartbeats = 3
+	unheardSlackS     = 4
+)
+
 // minOperatorTokenLength is the least length of the operators' token, in bytes.
 const minOperatorTokenLength = 16
 
+var errTokenTooShort = errors.New("a token has at least " + strconv.Itoa(minOperatorTokenLength) + " characters")
+
 // applyDefaults sets what the operators left open.
 func (s *Settings) applyDefaults() {
 	operator := &s.Operator
@@ -76,7 +86,8 @@
 	}
 	if operator.MachineUnheardTimeoutS == 0 {
 		workers := s.Params.Workers
-		operator.MachineUnheardTimeoutS = min(workers.LeaseS, 3*workers.HeartbeatIntervalS+4)
+		unheardS := unheardHeartbeats*workers.HeartbeatIntervalS + unheardSlackS
+		operator.MachineUnheardTimeoutS = min(workers.LeaseS, unheardS)
 	}
 	if operator.Headroom == 0 {
 		operator.Headroom = defaultHeadroom
@@ -116,9 +127,7 @@
 	}
 	o.Token = strings.TrimSpace(string(raw))
 	if len(o.Token) < minOperatorTokenLength {
-		return fmt.Errorf(
-			"operator_token_file %s: a token has at least %d characters",
-			o.OperatorTokenFile, minOperatorTokenLength)
+		return fmt.Errorf("operator_token_file %s: %w", o.OperatorTokenFile, errTokenTooShort)
 	}
 	return nil
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -8,7 +8,7 @@
 // functions of Env, and time is an argument. The simulator and the tests drive it the same way.
 //
 // What it never does:
-//   - launch a task whose machine is not in the durable plan, see startCommands and jobs.Job.IsDurable;
+//   - launch a task whose machine is not in the durable plan, see appendStarts and jobs.Job.IsDurable;
 //   - act on a heartbeat below the machine's token: commands of a former leader may still arrive until then;
 //   - count a task as gone without proof: a heartbeat at the current token that lacks it, the cloud's confirmation that
 //     the machine is terminated, or an expired worker lease;
@@ -18,7 +18,7 @@
 //
 //	fleet.go, state.go, env.go          the Fleet, its state by concern, what it needs of the controller
 //	machine.go, lease.go, drain.go      a machine and its conditions; lease expiry and return; operators' drains
-//	messages.go                         the protocol's messages; the task states and operations on the wire
+//	messages.go, wire.go                the messages to and from workers; their JSON forms and the conversion
 //	heartbeat.go, reconcile.go          a heartbeat: is it current, what does it prove
 //	reachability.go                     one-way reachability, stale copies and restarted workers
 //	commands.go, dispatch.go, start.go  the response's commands, direct requests, which queued tasks start
@@ -52,8 +52,8 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// Fleet is the state of one leader's term over the machines and the work on them. The fields are grouped by the
-// concern that changes them; each group is described in state.go. A Fleet is not safe for concurrent use.
+// Fleet is the state of one leader's term over the machines and the work on them. The fields are grouped by concern;
+// state.go has the types that hold most of it. A Fleet is not safe for concurrent use.
 type Fleet struct {
 	Env
 	// Term is the leader's term; the high bits of every token and attempt of this fleet hold it.
@@ -68,58 +68,63 @@
 	// LastHeartbeat is when the last heartbeat that proved contact with any machine was accepted.
 	LastHeartbeat time.Duration
 
+	// The term.
 	termStartedAt  time.Duration
 	plansLoaded    bool
 	startsStopped  bool            // no launches: leadership is being handed over
 	attemptCounter uint64          // of this term's launches
 	unreadableJobs map[string]bool // jobs whose records could not be read when the term began
 
+	// The machines and what is sent to them.
 	machines       []*Machine // by dense index
 	byName         map[string]*Machine
 	directRequests int // direct commands without a response yet
+	activity       activity
 
-	ranking    ranking
-	cycle      schedulingCycle
-	nextCycle  time.Duration
-	gpuReserve gpuReserve
-	scratch    scratch
-	writer     planWriter
-	hints      hintCache
-	activity   activity
+	// The scheduling cycle.
+	ranking       ranking
+	cycle         schedulingCycle
+	nextCycle     time.Duration
+	nextRoomCheck time.Duration // when updateRoomSince is due again
+	gpuReserve    gpuReserve
+	scratch       scratch
 
-	// queuedOn holds, for each job with planned tasks, how many of them are queued on which machine, so that planning
-	// need not examine the whole fleet.
-	queuedOn       map[jobs.Index]map[int32]int
-	classes        map[int32]*classStats         // run-time statistics by job class
-	preemptedAt    map[jobs.Index]time.Duration  // when a job last preempted others
-	crashLoops     map[jobs.Index]*crashLoop     // for jobs with failed tasks
-	pendingNotes   map[jobs.Index]pendingNote    // why a job's unplanned tasks wait, as of the last cycle
-	licenceGrants  map[jobs.Index]licences.Grant // by the last cycle, for jobs that need licences
-	nextRoomCheck  time.Duration                 // when trackRoom is due again
-	noMachineUntil map[jobs.Index]time.Duration  // arrays for which no machine was found: when to plan them again
+	// What planning keeps of each job from one cycle to the next. queuedOn holds, for each job with planned tasks, how
+	// many of them are queued on which machine, so that planning need not examine the whole fleet.
+	queuedOn         map[jobs.Index]map[int32]int
+	classes          map[int32]*classStats          // run-time statistics by job class
+	preemptedAt      map[jobs.Index]time.Duration   // when a job last preempted others
+	crashLoops       map[jobs.Index]*crashLoop      // for jobs with failed tasks
+	unplannedReasons map[jobs.Index]unplannedReason // why the last cycle left tasks of a job without a plan
+	licenceGrants    map[jobs.Index]licences.Grant  // by the last cycle, for jobs that need licences
+	noMachineUntil   map[jobs.Index]time.Duration   // arrays for which no machine was found: when to plan them again
+
+	// What is stored.
+	writer planWriter
+	hints  hintCache
 }
 
 // New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans it launches
 // nothing and accepts heartbeats only to register machines and to hand out its token.
 func New(env Env, term uint64, now time.Duration) *Fleet {
 	f := &Fleet{
-		Env:            env,
-		Term:           term,
-		LastHeartbeat:  now,
-		termStartedAt:  now,
-		unreadableJobs: map[string]bool{},
-		byName:         map[string]*Machine{},
-		ranking:        newRanking(),
-		gpuReserve:     newGPUReserve(),
-		scratch:        scratch{listedTasks: map[TaskRef]struct{}{}},
-		hints:          hintCache{inherited: map[string][]cachedImage{}},
-		queuedOn:       map[jobs.Index]map[int32]int{},
-		classes:        map[int32]*classStats{},
-		preemptedAt:    map[jobs.Index]time.Duration{},
-		crashLoops:     map[jobs.Index]*crashLoop{},
-		pendingNotes:   map[jobs.Index]pendingNote{},
-		licenceGrants:  map[jobs.Index]licences.Grant{},
-		noMachineUntil: map[jobs.Index]time.Duration{},
+		Env:              env,
+		Term:             term,
+		LastHeartbeat:    now,
+		termStartedAt:    now,
+		unreadableJobs:   map[string]bool{},
+		byName:           map[string]*Machine{},
+		ranking:          newRanking(),
+		gpuReserve:       newGPUReserve(),
+		scratch:          scratch{listedTasks: map[TaskRef]struct{}{}},
+		hints:            hintCache{inherited: map[string][]cachedImage{}},
+		queuedOn:         map[jobs.Index]map[int32]int{},
+		classes:          map[int32]*classStats{},
+		preemptedAt:      map[jobs.Index]time.Duration{},
+		crashLoops:       map[jobs.Index]*crashLoop{},
+		unplannedReasons: map[jobs.Index]unplannedReason{},
+		licenceGrants:    map[jobs.Index]licences.Grant{},
+		noMachineUntil:   map[jobs.Index]time.Duration{},
 	}
 	if f.PlansInPages == nil {
 		f.PlansInPages = func() bool { return true }
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -49,20 +49,6 @@
 	return false
 }
 
-// unplanTasks takes all planned tasks of a job off their machines' queues.
-func (f *Fleet) unplanTasks(job *jobs.Job) {
-	for t := range job.Tasks {
-		if job.Tasks[t].State == jobs.Planned {
-			f.unplanTask(job, int32(t))
-		}
-	}
-}
-
-func (f *Fleet) unplanTask(job *jobs.Job, taskIndex int32) {
-	f.dequeue(job, taskIndex)
-	f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
-}
-
 // stopRestOfGang stops the tasks of a gang that lost one: all must have stopped before the gang can start again.
 func (f *Fleet) stopRestOfGang(job *jobs.Job) {
 	for t := range job.Tasks {
@@ -83,45 +69,45 @@
 	}
 	list := f.candidatesFor(now, job)
 	if len(list.candidates) == 0 {
-		f.setPendingNote(job, pendingNote{cause: NoMachine})
+		f.setUnplannedReason(job, unplannedReason{cause: NoMachine})
 		return
 	}
 	if f.placeGangNow(now, job, list) {
 		return
 	}
 	zone, start := f.earliestGangStart(job, list)
-	note := pendingNote{cause: GangShort, need: job.TaskCount, have: len(list.withRoom), start: start}
-	f.setPendingNote(job, note)
+	shortage := gangShortage{machinesWithRoom: len(list.withRoom), secondsToStart: start}
+	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
 	if f.crashLooping(job) != nil {
 		return // no room is made or reserved for a job that fails wherever it runs
 	}
 	if start > f.secondsToWait(now, job) && f.preemptForGang(now, job, list.candidates, start) {
 		return
 	}
-	note.overdue = f.startOverdue(now, job)
-	note.held = f.reserveMachines(job, list, zone, note.overdue)
-	f.setPendingNote(job, note)
+	shortage.overdue = f.startOverdue(now, job)
+	shortage.reservedMachines = f.reserveMachines(job, list, zone, shortage.overdue)
+	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
 }
 
-// mayPlaceGang reports whether a gang is to be placed now. If not, it notes why.
+// mayPlaceGang reports whether a gang is to be placed now. If not, it records why.
 func (f *Fleet) mayPlaceGang(now time.Duration, job *jobs.Job) bool {
 	if job.TasksByState[jobs.Unplanned] < job.TaskCount {
 		// It is planned, running or finished, or some of its tasks have yet to stop.
-		f.setPendingNote(job, pendingNote{cause: GangStopping})
+		f.setUnplannedReason(job, unplannedReason{cause: GangStopping})
 		return false
 	}
 	if f.inBackoff(now, job) {
-		f.noteCrashLoopBackoff(job)
+		f.recordCrashLoopBackoff(job)
 		return false
 	}
 	for t := range job.Tasks {
 		if task := &job.Tasks[t]; task.NotBefore > now {
-			f.noteRetryLater(job, task.NotBefore)
+			f.recordRetryLater(job, task.NotBefore)
 			return false
 		}
 	}
 	if !f.mayStart(job, job.TaskCount) {
-		f.noteDenied(job, job.TaskCount)
+		f.recordDenied(job, job.TaskCount)
 		return false
 	}
 	return true
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -38,30 +38,45 @@
 	Arriving               PendingCause = "starting"         // sent to its machine, not running yet
 )
 
-// pendingNote is what the last scheduling cycle decided about a job's unplanned tasks.
-type pendingNote struct {
-	cause      PendingCause
-	denial     admission.Denial // LicenceUnavailable, TeamLimit
-	have, need int              // GangShort: machines with room, and tasks; CrashLoopBackoff: machines, and tries
-	held       int              // GangShort: machines that are reserved for it as they get room
-	overdue    bool             // GangShort: it goes first, since it has waited for long
-	until      time.Duration    // RetryLater, CrashLoopBackoff: not before
-	start      float64          // GangShort: estimated seconds until it could start; 0: unknown
+// unplannedReason is why the last scheduling cycle left tasks of a job without a plan. The other fields are set for the
+// causes that are named beside them.
+type unplannedReason struct {
+	cause   PendingCause
+	denial  admission.Denial // TeamLimit, LicenceUnavailable
+	retryAt time.Duration    // RetryLater, CrashLoopBackoff: not before
+	backoff crashBackoff     // CrashLoopBackoff
+	gang    gangShortage     // GangShort
 }
 
-// setPendingNote records what planning decided about a job's unplanned tasks.
-func (f *Fleet) setPendingNote(job *jobs.Job, note pendingNote) { f.pendingNotes[job.Index] = note }
+// crashBackoff is how a job in a crash loop has failed.
+type crashBackoff struct {
+	failedMachines int // distinct ones
+	tries          int
+}
+
+// gangShortage is what a gang lacked that could not be placed.
+type gangShortage struct {
+	machinesWithRoom int
+	reservedMachines int     // kept for it as they get room
+	overdue          bool    // it has waited for long, and its reservations hold against all other jobs
+	secondsToStart   float64 // estimated; 0 or maxCredibleWaitSeconds and more: not known
+}
 
-// noteDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
+// setUnplannedReason records why planning left tasks of a job without a plan.
+func (f *Fleet) setUnplannedReason(job *jobs.Job, reason unplannedReason) {
+	f.unplannedReasons[job.Index] = reason
+}
+
+// recordDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
 // starting n tasks together.
-func (f *Fleet) noteDenied(job *jobs.Job, n int) {
+func (f *Fleet) recordDenied(job *jobs.Job, n int) {
 	if denial := f.Gate.Check(admissionClaim(job), n); denial.TeamLimit {
-		f.setPendingNote(job, pendingNote{cause: TeamLimit, denial: denial})
+		f.setUnplannedReason(job, unplannedReason{cause: TeamLimit, denial: denial})
 		return
 	}
 	grant := f.licenceGrants[job.Index]
 	denial := admission.Denial{Licence: grant.Denial, Pool: grant.Pool}
-	f.setPendingNote(job, pendingNote{cause: LicenceUnavailable, denial: denial})
+	f.setUnplannedReason(job, unplannedReason{cause: LicenceUnavailable, denial: denial})
 }
 
 // PendingReason is how many of a job's tasks wait for one cause.
@@ -107,15 +122,15 @@
 // addUnplannedReasons adds the reason of the tasks without a plan.
 func (f *Fleet) addUnplannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	tasks := job.TasksByState[jobs.Unplanned]
-	note, ok := f.pendingNotes[job.Index]
+	reason, ok := f.unplannedReasons[job.Index]
 	if tasks == 0 {
 		return
 	}
 	if !ok {
-		note.cause = PlanningBehind
+		reason.cause = PlanningBehind
 	}
 	size := job.Spec.Size()
-	switch note.cause {
+	switch reason.cause {
 	case TeamLimit:
 		team := f.Gate.Quota.Team(job.Team)
 		reasons.add(tasks, TeamLimit,
@@ -125,7 +140,7 @@
 			formatAmount(size.CPUs, size.GPUs),
 			formatAmount(team.Limit.CPUs, team.Limit.GPUs))
 	case LicenceUnavailable:
-		reasons.add(tasks, LicenceUnavailable, "licence %s: %s", f.poolName(note.denial.Pool), note.denial.Licence)
+		reasons.add(tasks, LicenceUnavailable, "licence %s: %s", f.poolName(reason.denial.Pool), reason.denial.Licence)
 	case NoMachine:
 		reasons.add(tasks, NoMachine,
 			"no machine that is up may take it (%s, %g GB for each task)",
@@ -134,44 +149,45 @@
 		reasons.add(tasks, GangStopping,
 			"the rest of its gang is still on machines, and has to be gone before it starts anew")
 	case GangShort:
-		addGangReason(reasons, tasks, note)
+		addGangReason(reasons, tasks, job.TaskCount, reason.gang)
 	case NoRoom:
 		reasons.add(tasks, NoRoom, "no machine that may take a replica has room")
 	case CrashLoopBackoff:
 		reasons.add(tasks, CrashLoopBackoff,
 			"its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: "+
 				"it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s",
-			note.have, note.need, formatWait(note.until-now))
+			reason.backoff.failedMachines, reason.backoff.tries, formatWait(reason.retryAt-now))
 	case RetryLater:
-		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(note.until-now))
+		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(reason.retryAt-now))
 	default:
 		reasons.add(tasks, PlanningBehind, "planning has not come to it yet")
 	}
 }
 
-// addGangReason adds the reason of a gang for which too few machines have room.
-func addGangReason(reasons *pendingReasons, tasks int, note pendingNote) {
-	if note.need == 1 {
-		reasons.add(tasks, GangShort, "no machine that may take it has room now%s", formatExpectedRoom(note.start))
+// addGangReason adds the reason of a gang's waiting tasks where too few machines have room for all of the gang.
+func addGangReason(reasons *pendingReasons, waiting, gangSize int, shortage gangShortage) {
+	expectedRoom := formatExpectedRoom(shortage.secondsToStart)
+	if gangSize == 1 {
+		reasons.add(waiting, GangShort, "no machine that may take it has room now%s", expectedRoom)
 		return
 	}
 	details := ""
-	if note.held > 0 {
-		details = fmt.Sprintf("; %d machines are kept for it as they come free", note.held)
+	if shortage.reservedMachines > 0 {
+		details = fmt.Sprintf("; %d machines are kept for it as they come free", shortage.reservedMachines)
 	}
-	if note.overdue {
+	if shortage.overdue {
 		details += "; it goes first, having waited for half of begin_s"
 	}
-	reasons.add(tasks, GangShort,
+	reasons.add(waiting, GangShort,
 		"a gang of %d tasks needs as many places at once; %d machines have room now%s%s",
-		note.need, note.have, formatExpectedRoom(note.start), details)
+		gangSize, shortage.machinesWithRoom, expectedRoom, details)
 }
 
 // addPlannedReasons adds the reasons of the tasks that are planned and not launched.
 func (f *Fleet) addPlannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	writing := 0
 	queued := 0
-	roomInS := 1e9 // until the first machine has room, of those in whose queues the tasks are
+	roomInS := unknownWaitSeconds // until the first machine has room, of those in whose queues the tasks are
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		switch {
@@ -255,12 +271,9 @@
 	return silentFor, leaseLeft
 }
 
-// unknownRoomS is from how many seconds on an estimate of when a machine has room is not reported.
-const unknownRoomS = 1e5
-
-// formatExpectedRoom formats in how many seconds room is expected, "" if that is now or not known.
+// formatExpectedRoom formats in how many seconds room is expected, "" if that is now or there is no credible estimate.
 func formatExpectedRoom(seconds float64) string {
-	if seconds <= 0 || seconds >= unknownRoomS {
+	if seconds <= 0 || seconds >= maxCredibleWaitSeconds {
 		return ""
 	}
 	return fmt.Sprintf("; room is expected in %s", time.Duration(seconds)*time.Second)
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -23,7 +23,7 @@
 // ticksPerSecond is the unit of processor times in /proc on Linux.
 const ticksPerSecond = 100
 
-const bytesOfKB = 1024
+const bytesPerKB = 1024
 
 // Fields of /proc/PID/stat behind the name, from 0.
 const (
@@ -48,8 +48,8 @@
 	}
 	return Usage{
 		CPUSeconds: cpuSeconds,
-		RSSBytes:   status["VmRSS"] * bytesOfKB,
-		PeakBytes:  status["VmHWM"] * bytesOfKB,
+		RSSBytes:   status["VmRSS"] * bytesPerKB,
+		PeakBytes:  status["VmHWM"] * bytesPerKB,
 		Read:       io["rchar"],
 		Written:    io["wchar"],
 		ReadCalls:  io["syscr"],
@@ -58,6 +58,15 @@
 	}, nil
 }
 
+// statError is a stat file of a process with too few fields for its processor time.
+type statError struct {
+	path   string
+	fields int // behind the name
+}
+
+// Error names the file, and how many fields it has.
+func (e *statError) Error() string { return fmt.Sprintf("%s has %d fields", e.path, e.fields) }
+
 func cpuSecondsOf(dir string) (float64, error) {
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
@@ -66,7 +75,7 @@
 	// The name in parentheses may hold anything.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= statSystem {
-		return 0, fmt.Errorf("%sstat has %d fields", dir, len(fields))
+		return 0, &statError{path: dir + "stat", fields: len(fields)}
 	}
 	seconds := 0.0
 	for _, field := range []string{fields[statUser], fields[statSystem]} {
@@ -118,7 +127,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return memory["MemTotal"] * bytesOfKB, nil
+	return memory["MemTotal"] * bytesPerKB, nil
 }
 
 // parseMetrics reads the metrics without labels of a controller's /metrics page.
