--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -133,7 +133,7 @@
 }
 
 func writeMachines(table *tabwriter.Writer, status controller.Status) {
-	for _, condition := range []string{"known", "acting", "noticed", "lost"} {
+	for _, condition := range []string{"known", "acting", "noticed", "deaf", "lost"} {
 		if count := status.Machines[condition]; count > 0 {
 			fmt.Fprintf(table, "machines %s\t%d\n", condition, count)
 		}
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -35,6 +35,13 @@
 	`"gait":"sweep","hops":16,"meadow":null,"memory_gb":2,"name_id":"req-000001","pelt":"img-07","rest_s":0,` +
 	`"same_place":false,"size_gb":1.5,"stash_s":0,"stray":true,"stride_s":20,"urgency":"standard","warren":"vision"}`
 
+// sampleSuccessor is a job that starts once sampleJob is done: the second stage of a pipeline, whose deadline is the only
+// one.
+const sampleSuccessor = `{"accelerators":0,"apart":false,"breed":"train","builds":null,"cpus":1,"dusk_s":600,` +
+	`"follows":["req-000001"],"gait":"gang","hops":2,"meadow":null,"memory_gb":2,"name_id":"req-000002",` +
+	`"pelt":"img-07","rest_s":0,"same_place":true,"size_gb":1.5,"stash_s":0,"stray":true,"stride_s":10,` +
+	`"urgency":"urgent","warren":"vision"}`
+
 // devCluster is a simulated cluster in this process, in real time: the flags of `harewalk dev`.
 type devCluster struct {
 	machines     int
@@ -232,7 +239,10 @@
 	}
 	fmt.Fprintf(out, "  licence server %s\n\nTry, in another terminal:\n\n", sim.Licences.Addr)
 	fmt.Fprintf(out, "  echo '%s' > job.json\n\n", sampleJob)
+	fmt.Fprintf(out, "  echo '%s' > next.json\n\n", sampleSuccessor)
 	fmt.Fprintf(out, "  harewalk job submit job.json --server %s\n", sim.UserAddr(0))
+	fmt.Fprintf(out, "  harewalk job submit next.json --server %s\n", sim.UserAddr(1))
+	fmt.Fprintf(out, "  harewalk job why req-000002 --server %s\n", sim.UserAddr(0))
 	fmt.Fprintf(out, "  harewalk job get req-000001 --server %s\n", sim.UserAddr(1))
 	fmt.Fprintf(out, "  harewalk job cancel req-000001 --server %s\n", sim.UserAddr(2))
 	if d.operatorFile != "" {
--- a/cmd/harewalk/dev_test.go
+++ b/cmd/harewalk/dev_test.go
@@ -28,14 +28,20 @@
 	if !strings.HasPrefix(server, "127.0.0.1:") {
 		t.Fatalf("controller at %s", server)
 	}
-	resp, err := sendPlain("POST", "http://"+server+"/v2/runs", []byte(sampleJob))
-	if err != nil || resp.status != 201 {
-		t.Fatalf("status %d, %v: %s", resp.status, err, resp.body)
+	for _, sample := range []string{sampleJob, sampleSuccessor} {
+		resp, err := sendPlain("POST", "http://"+server+"/v2/runs", []byte(sample))
+		if err != nil || resp.status != 201 {
+			t.Fatalf("status %d, %v: %s", resp.status, err, resp.body)
+		}
 	}
 	waitUntil(t, "the sample is done", func() bool {
 		resp, _ := sendPlain("GET", "http://"+server+"/v2/runs/req-000001", nil)
 		return bytes.Contains(resp.body, []byte(`"done","done":16`))
 	})
+	waitUntil(t, "the job that follows the sample is done", func() bool {
+		resp, _ := sendPlain("GET", "http://"+server+"/v2/runs/req-000002", nil)
+		return bytes.Contains(resp.body, []byte(`"done","done":2`))
+	})
 	waitUntil(t, "faults are played", func() bool { return strings.Contains(errs.String(), "outage 300ms") })
 	stop()
 	if err := <-ended; err != nil {
--- a/cmd/harewalk/job_list.go
+++ b/cmd/harewalk/job_list.go
@@ -21,7 +21,7 @@
 		Long: "List jobs by id. --where takes comparisons joined by and, or, not and parentheses. Texts (id, " +
 			"stance, class, team,\n" +
 			"kind, priority) are compared with =, != and ~ (contains), numbers (tasks, done, running, " +
-			"waiting, age_s) with =, !=,\n" +
+			"waiting, predecessors, age_s) with =, !=,\n" +
 			"<, <=, > and >=. An error points at the column.",
 		Example: "  harewalk job list --where 'waiting > 0 and team = \"red\"'\n" +
 			"  harewalk job list --where 'stance = running and (class ~ audit or age_s > 3600)' -o json",
@@ -60,10 +60,11 @@
 }
 
 func writeJobs(table *tabwriter.Writer, jobs []controller.JobSummary) {
-	fmt.Fprintln(table, "JOB\tSTANCE\tTEAM\tCLASS\tPRIORITY\tTASKS\tDONE\tRUNNING\tWAITING\tAGE")
+	fmt.Fprintln(table, "JOB\tSTANCE\tTEAM\tCLASS\tPRIORITY\tTASKS\tDONE\tRUNNING\tWAITING\tPREDECESSORS\tAGE")
 	for _, job := range jobs {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t", job.ID, job.State, job.Team, job.Class, job.Priority)
-		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t", job.Tasks, job.Done, job.Running, job.Waiting)
+		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t",
+			job.Tasks, job.Done, job.Running, job.Waiting, job.Predecessors)
 		fmt.Fprintf(table, "%s\n", formatSeconds(job.AgeS))
 	}
 }
--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -26,7 +26,9 @@
 	gang.Kind, gang.Team, gang.CPUs = jobs.Gang, "blue", 10
 	licensed := plainJob(4, 9, 600)
 	licensed.Licences, licensed.Team, licensed.Priority = map[string]int{"optimise": 2}, "blue", "prod"
-	for _, spec := range []*jobs.Spec{licensed, limited, large, gang} {
+	following := plainJob(5, 4, 600)
+	following.Follows = []string{limited.ID, gang.ID}
+	for _, spec := range []*jobs.Spec{licensed, limited, large, gang, following} {
 		if status := users.Submit(spec); status != 201 {
 			t.Fatalf("status %d", status)
 		}
@@ -36,6 +38,7 @@
 		"req-000002": "in the lanes of what is there now",
 		"req-000003": "a gang of 4 tasks needs as many places",
 		"req-000004": "licence optimise: no seat is free",
+		"req-000005": "2 jobs that must be done before it aren't: req-000001, req-000003",
 	} {
 		out, code := "", 0
 		waitUntil(t, id+" is explained: "+want, func() bool {
@@ -46,6 +49,7 @@
 	expectCommand(t, 2, "no such job", "job", "why", "req-000099", "--server", sim.UserAddr(2))
 	expectCommand(t, 0, `"why": "gang_short"`, "job", "why", "req-000003", "-o", "json", "--server", sim.UserAddr(2))
 	expectCommand(t, 0, "why: gang_short", "job", "why", "req-000003", "-o", "yaml", "--server", sim.UserAddr(2))
+	expectCommand(t, 0, "req-000005", "job", "list", "--where", "predecessors = 2", "--server", sim.UserAddr(0))
 	expectCommand(t, 2, `"xml"`, "job", "list", "-o", "xml", "--server", sim.UserAddr(2))
 	out := expectExit(t, 0, "job", "events", "req-000004",
 		"--where", "event = task_running and task < 4", "--server", sim.UserAddr(1))
--- a/cmd/harewalk/job_why.go
+++ b/cmd/harewalk/job_why.go
@@ -21,7 +21,8 @@
 		"any\n" +
 		"controller names it. In JSON each part has a code: team_limit, licence, no_machine, " +
 		"gang_short, no_room, retry,\n" +
-		"parked, planning_behind, lane, plan_not_durable, gang_leaving or starting."
+		"predecessors, parked, failing, unreadable, zone_lost, planning_behind, lane, plan_not_durable, gang_leaving or\n" +
+		"starting."
 	cmd.Example = "  harewalk job why req-000412\n" +
 		"  harewalk job why req-000412 -o json"
 	return cmd
@@ -33,6 +34,9 @@
 	for _, part := range job.Waiting {
 		fmt.Fprintf(table, "%d wait:\t%s\n", part.Tasks, part.Text)
 	}
+	if job.NeededInS != nil {
+		fmt.Fprintf(table, "needed:\tin %g s, for the deadlines of the jobs that follow it\n", *job.NeededInS)
+	}
 	if len(job.Waiting) == 0 {
 		return
 	}
