--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -119,9 +119,7 @@
 			spec.Tasks = 2
 			spec.Kind = jobs.Array
 			spec.Licences = nil
-			user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
-			cluster.users = append(cluster.users, user)
-			user.submit()
+			cluster.submit(spec)
 			cluster.waitFor(
 				"moved",
 				30*time.Second,
@@ -393,9 +391,7 @@
 		cluster.KillController(i)
 	}
 	cluster.Advance(time.Second)
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitFor("led", 20*time.Second, func() bool { return len(cluster.ActingLeaders()) > 0 })
 	cluster.Advance(2 * time.Second)                 // plans are read
 	for _, machine := range cluster.cloud.machines { // their reports say nothing meanwhile
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -204,9 +204,7 @@
 	sim.MoveWallClock(rng.IntN(n), time.Duration(rng.IntN(3)-1)*time.Hour)
 	sim.Advance(faulty + 25*time.Second)
 	sim.SetNetwork(2*time.Millisecond, 0, 0, 0)
-	for i := range n {
-		sim.StartController(i)
-	}
+	sim.startControllers()
 	for end := sim.Now() + 10*time.Minute; sim.Now() < end; sim.Advance(5 * time.Second) {
 		open := 0
 		for _, user := range users {
@@ -411,9 +409,7 @@
 	if notes["error"] == 0 || kinds["task_lost"] == 0 || kinds["machine"] == 0 {
 		t.Errorf("not every kind was seen: %v, %v", kinds, notes)
 	}
-	for _, b := range sim.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, sim)
 }
 
 // TestRequestsAfterAuthorityEndedAreRedirected freezes a leader for longer than its lease. Its steady clock has
@@ -485,9 +481,7 @@
 		}
 	})
 	sim.Advance(time.Second)
-	for _, b := range sim.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, sim)
 }
 
 // TestFullBuffersShedLoad sends submissions and queries of far more users than buffers have room for, at one
@@ -541,7 +535,5 @@
 	if done != n || refused < n/2 || slowest > 3*time.Second {
 		t.Fatalf("%d of %d accepted, %d times refused, the slowest answer took %v", done, n, refused, slowest)
 	}
-	for _, b := range sim.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, sim)
 }
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -37,7 +37,7 @@
 		MaxMachines:    20,
 		Types:          types,
 		Controllers:    controllers,
-		Zones:          []string{"a", "b", "c"},
+		Zones:          zoneNames(),
 		TickInterval:   20 * time.Millisecond,
 		Workers:        workers,
 		VariedRunTimes: true,
@@ -83,7 +83,7 @@
 		Spot:      true,
 	}
 	if i%5 > 0 { // machines stand in all zones
-		spec.Zone = &[]string{"a", "b", "c"}[i%3]
+		spec.Zone = &zoneNames()[i%3]
 	}
 	switch i % 4 {
 	case 1:
@@ -93,10 +93,7 @@
 		spec.SaveS = 1.5
 	}
 	change(spec)
-	user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
-	r.users = append(r.users, user)
-	user.submit()
-	return user
+	return r.submit(spec)
 }
 
 // cancelAt lets a user's cancellation go through one controller, and elsewhere if that doesn't take it.
@@ -122,9 +119,7 @@
 // recoverAndCheck starts all controllers, waits for the end of all jobs, and checks the rules that apply then.
 func (r *testCluster) recoverAndCheck() {
 	r.t.Helper()
-	for i := range r.Controllers() {
-		r.StartController(i)
-	}
+	r.startControllers()
 	idleWait := r.WatchIdleCapacity()
 	r.waitUntilDone()
 	for _, n := range r.nodeNames() {
@@ -236,11 +231,7 @@
 				func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
 			)
 		}
-		cluster.waitFor(
-			"led from elsewhere",
-			14*time.Second,
-			func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l },
-		)
+		cluster.waitForOtherLeader(14*time.Second, l)
 		t.Logf("led from elsewhere after %v", cluster.Now()-from)
 		cluster.Advance(10 * time.Second)
 		cluster.StallWatches(l, false)
@@ -526,9 +517,7 @@
 				cluster.Advance(duration + 12*time.Second)
 				from := cluster.Now()
 				cluster.recoverAndCheck()
-				if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-					t.Errorf("no question about %s was answered for %v", job, gap)
-				}
+				cluster.checkAnswered(pollers, from, 30*time.Second)
 			})
 		}
 	}
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -128,7 +128,7 @@
 					} else {
 						spec.OneZone = true
 					}
-					user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+					user := cluster.newUser(spec)
 					cluster.users, bound = append(cluster.users, user), append(bound, user)
 					cluster.After(time.Duration(k)*600*time.Millisecond, user.submit)
 				}
@@ -382,9 +382,7 @@
 					cluster.PartitionZone(zone, Connected)
 					from := cluster.Now()
 					cluster.Advance(40 * time.Second)
-					if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-						t.Errorf("no question about %s was answered for %v", job, gap)
-					}
+					cluster.checkAnswered(pollers, from, 30*time.Second)
 					cluster.recoverAndCheck()
 				})
 			}
@@ -447,7 +445,5 @@
 	if refused > 0 {
 		t.Errorf("%d accepted jobs were refused for good", refused)
 	}
-	for _, b := range cluster.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, cluster.Simulation)
 }
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -347,7 +347,7 @@
 				MaxMachines:  12,
 				Types:        types,
 				Controllers:  controllers,
-				Zones:        []string{"a", "b", "c"},
+				Zones:        zoneNames(),
 				TickInterval: 20 * time.Millisecond,
 				Workers:      shortTimers,
 				State: config.State{
@@ -383,9 +383,7 @@
 						EstimateS: 5,
 						Spot:      true,
 					}
-					user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
-					cluster.users = append(cluster.users, user)
-					user.submit()
+					user := cluster.submit(spec)
 					if i%4 == 0 {
 						cluster.After(time.Duration(cluster.rng.IntN(6000))*time.Millisecond, user.cancel)
 					}
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -46,9 +46,7 @@
 	if s.reached != nil {
 		s.reached(cluster)
 	}
-	for _, b := range cluster.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, cluster.Simulation)
 	d, err := recorder.end()
 	if err != nil {
 		t.Fatal(err)
@@ -271,7 +269,7 @@
 // submitService submits a service whose replicas stand in different zones.
 func submitService(cluster *testCluster) {
 	spec := spreadServiceSpec()
-	(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
+	cluster.newUser(spec).submit()
 }
 
 // rolloutCommandAt gives the leader an operator's word about the rollout at a time.
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -65,7 +65,7 @@
 			case 'c':
 				s += " " + strconv.Itoa(1+rng.IntN(8))
 			case 'z':
-				s += " " + []string{"a", "b", "c"}[rng.IntN(3)]
+				s += " " + zoneNames()[rng.IntN(3)]
 			default:
 				s += " " + max(50*time.Millisecond, duration).String()
 			}
@@ -85,7 +85,7 @@
 		MaxMachines:    10,
 		Types:          types,
 		Controllers:    3,
-		Zones:          []string{"a", "b", "c"},
+		Zones:          zoneNames(),
 		TickInterval:   50 * time.Millisecond,
 		Workers:        shortTimers,
 		VariedRunTimes: true,
@@ -134,9 +134,7 @@
 	// The last fault has ended by then.
 	faultsEnd := 12*time.Second + 4*seconds(shortTimers.CancelS*1.5)
 	sim.Advance(faultsEnd)
-	for i := range sim.Controllers() {
-		sim.StartController(i)
-	}
+	sim.startControllers()
 	for end := sim.Now() + 3*time.Minute; sim.Now() < end; sim.Advance(2 * time.Second) {
 		if !slices.ContainsFunc(users, func(user *testUser) bool { return len(user.finalStates) < 4 }) {
 			break
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -1,6 +1,9 @@
 package simulator
 
 import (
+	"testing"
+	"time"
+
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
@@ -38,3 +41,57 @@
 		Spread:   true,
 	}
 }
+
+// zoneNames returns the zones of most tests' clouds.
+func zoneNames() []string { return []string{"a", "b", "c"} }
+
+// reportViolations reports every rule of the protocol that a simulation has seen broken.
+func reportViolations(t *testing.T, sim *Simulation) {
+	t.Helper()
+	for _, violation := range sim.Violations() {
+		t.Error(violation)
+	}
+}
+
+// startControllers starts every controller that doesn't run.
+func (sim *Simulation) startControllers() {
+	for i := range sim.Controllers() {
+		sim.StartController(i)
+	}
+}
+
+// newUser returns a user of a job, whom the checks at the end of a test don't include.
+func (r *testCluster) newUser(spec *jobs.Spec) *testUser {
+	return &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
+}
+
+// submit submits a job, and lets the checks at the end of a test include its user.
+func (r *testCluster) submit(spec *jobs.Spec) *testUser {
+	user := r.newUser(spec)
+	r.users = append(r.users, user)
+	user.submit()
+	return user
+}
+
+// waitForLoad waits until the machines of a wide cluster have work.
+func (r *testCluster) waitForLoad() {
+	r.t.Helper()
+	r.waitFor("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+}
+
+// waitForOtherLeader waits until a controller leads that isn't the former leader.
+func (r *testCluster) waitForOtherLeader(limit time.Duration, former int) {
+	r.t.Helper()
+	r.waitFor("led from elsewhere", limit, func() bool {
+		leader, _ := r.Leader()
+		return leader >= 0 && leader != former
+	})
+}
+
+// checkAnswered checks that since a time no job's queries stayed unanswered for longer than a limit.
+func (r *testCluster) checkAnswered(pollers *JobPollers, since, limit time.Duration) {
+	r.t.Helper()
+	if gap, job := pollers.LongestUnanswered(since, r.Now()); gap > limit {
+		r.t.Errorf("no question about %s was answered for %v", job, gap)
+	}
+}
--- a/internal/simulator/idle_capacity_test.go
+++ b/internal/simulator/idle_capacity_test.go
@@ -15,7 +15,7 @@
 // less than 90 s beside work that fits: gangs that can't start yet, or never, accelerators reserved for others, a
 // zone that came back, machines on which tasks failed.
 func TestNoCapacityIdleBesideWork(t *testing.T) {
-	zones := []string{"a", "b", "c"}
+	zones := zoneNames()
 	type put func(n int, change func(spec *jobs.Spec))
 	for what, c := range map[string]struct {
 		machines int
@@ -146,7 +146,7 @@
 						Spot:      true,
 					}
 					change(spec)
-					(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
+					cluster.newUser(spec).submit()
 				}
 				cluster.Advance(5 * time.Second)
 				for k := range 260 { // about as much as there is room for
@@ -159,9 +159,7 @@
 				cluster.Advance(380 * time.Second)
 				longest, job := idleWait()
 				t.Logf("%s waited %v beside idle capacity", job, longest)
-				for _, b := range cluster.Violations() {
-					t.Error(b)
-				}
+				reportViolations(t, cluster.Simulation)
 			})
 		}
 	}
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -97,9 +97,7 @@
 
 // endFaults ends all faults and waits until all jobs that are done are archived.
 func (m *manyJobs) endFaults() {
-	for i := range 3 {
-		m.StartController(i)
-	}
+	m.startControllers()
 	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.open > 0 || m.CountKeys(jobs.Prefix) > 0); {
 		m.Advance(time.Second)
 	}
@@ -198,9 +196,7 @@
 		}
 	}
 	m.checkAnswersEverywhere(checked)
-	for _, b := range m.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, m.Simulation)
 	s := m.Stats()
 	t.Logf(
 		"%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained",
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -22,7 +22,7 @@
 	balancer := cluster.Balance()
 	cluster.submitSmallJobs(24, 20)
 	cluster.submitJobs(60 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	cluster.Advance(3 * time.Second)
 	return cluster, balancer
 }
@@ -213,9 +213,7 @@
 			if now := term(); now != was && c != "rolling" {
 				t.Errorf("the lead changed from term %d to %d on the return", was, now)
 			}
-			if gap, job := pollers.LongestUnanswered(before, cluster.Now()); gap > 25*time.Second {
-				t.Errorf("no question about %s was answered for %v", job, gap)
-			}
+			cluster.checkAnswered(pollers, before, 25*time.Second)
 			cluster.waitUntilDone()
 		})
 	}
@@ -228,11 +226,7 @@
 	old, was := cluster.Leader()
 	cluster.CutLinks(old, WorkerLinks)
 	from := cluster.Now()
-	cluster.waitFor(
-		"led from elsewhere",
-		9*time.Second,
-		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
-	)
+	cluster.waitForOtherLeader(9*time.Second, old)
 	t.Logf("led from elsewhere after %v", cluster.Now()-from)
 	cluster.Advance(40 * time.Second)
 	if l, term := cluster.Leader(); term != was+1 || l == old {
@@ -442,7 +436,7 @@
 			"w-%d",
 			i,
 		), 2, 10, true
-		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+		user := cluster.newUser(spec)
 		cluster.FailJob(spec.ID)
 		user.submit()
 		wrong = append(wrong, user)
@@ -488,17 +482,11 @@
 	for range 3 {
 		l, _ := cluster.Leader()
 		cluster.FreezeController(l, 70*time.Second)
-		cluster.waitFor(
-			"led from elsewhere",
-			12*time.Second,
-			func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l },
-		)
+		cluster.waitForOtherLeader(12*time.Second, l)
 		cluster.Advance(10 * time.Second)
 	}
 	cluster.Advance(90 * time.Second)
-	if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-		t.Errorf("no question about %s was answered for %v", job, gap)
-	}
+	cluster.checkAnswered(pollers, from, 30*time.Second)
 	cluster.waitUntilDone()
 }
 
@@ -543,9 +531,7 @@
 	if n := cluster.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
 		t.Errorf("%d leases ran out under a flood of questions", n)
 	}
-	if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 20*time.Second {
-		t.Errorf("no question about %s was answered for %v", job, gap)
-	}
+	cluster.checkAnswered(pollers, from, 20*time.Second)
 	if statuses[200] == 0 || statuses[404] == 0 {
 		t.Errorf("answers %v", statuses)
 	}
@@ -712,9 +698,7 @@
 				left++
 			}
 		}
-		for _, b := range sim.Violations() {
-			t.Error(b)
-		}
+		reportViolations(t, sim)
 		return longest, left
 	}
 	longest, left := began("")
@@ -753,7 +737,7 @@
 	n := cluster.Controllers()
 	for at := 4 * time.Second; at < duration; at += time.Duration(rng.IntN(5000)) * time.Millisecond {
 		i, what, long := rng.IntN(n), rng.IntN(31), time.Duration(500+rng.IntN(15000))*time.Millisecond
-		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Links(1+rng.IntN(31)), rng.IntN(6)
+		zone, from, k := zoneNames()[rng.IntN(3)], Links(1+rng.IntN(31)), rng.IntN(6)
 		blink := time.Duration(50+rng.IntN(850)) * time.Millisecond
 		step := membershipStates()[rng.IntN(7)]
 		factor, never := []float64{0.01, 4, 10}[rng.IntN(3)], []float64{0, 0.3, 1}[rng.IntN(3)]
@@ -796,7 +780,7 @@
 				cluster.After(long, func() { cluster.SetBootFault(0, 0) })
 			case 11:
 				spec := drawJob(rng, 700000+len(mistakes))
-				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+				user := cluster.newUser(spec)
 				mistakes = append(mistakes, user)
 				cluster.FailJob(spec.ID)
 				user.submit()
@@ -867,7 +851,7 @@
 	cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
 	cluster.DuplicateMessages(0, 0, 0)
 	cluster.SetBootFault(0, 0)
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PartitionZone(z, Connected)
 	}
 	cluster.Advance(80 * time.Second)
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -62,7 +62,7 @@
 		MaxMachines:  machines,
 		Types:        types,
 		Controllers:  controllers,
-		Zones:        []string{"a", "b", "c"},
+		Zones:        zoneNames(),
 		LicencePools: map[string]int{"transcribe": 12},
 		TickInterval: 20 * time.Millisecond,
 		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
@@ -89,7 +89,7 @@
 		Seed:         seed,
 		MaxMachines:  30,
 		Controllers:  3,
-		Zones:        []string{"a", "b", "c"},
+		Zones:        zoneNames(),
 		TickInterval: 50 * time.Millisecond,
 		State: config.State{
 			RPS:      400,
@@ -122,9 +122,7 @@
 		if r.Now() >= r.submitUntil {
 			return
 		}
-		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: drawJob(r.rng, len(r.users)+1)}
-		r.users = append(r.users, user)
-		user.submit()
+		user := r.submit(drawJob(r.rng, len(r.users)+1))
 		if r.rng.IntN(8) == 0 {
 			r.After(time.Duration(r.rng.IntN(15000))*time.Millisecond, user.cancel)
 		}
@@ -252,9 +250,7 @@
 			break
 		}
 	}
-	for _, b := range r.Violations() {
-		r.t.Error(b)
-	}
+	reportViolations(r.t, r.Simulation)
 	for _, user := range r.users {
 		switch {
 		case len(user.finalStates) == 0:
@@ -535,7 +531,7 @@
 					EstimateS: 150,
 					Spot:      true,
 				}
-				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+				user := cluster.newUser(spec)
 				cluster.users = append(cluster.users, user)
 				cluster.After(time.Duration(i*100)*time.Millisecond, user.submit)
 			}
@@ -755,9 +751,7 @@
 		cluster.KillController(i)
 	}
 	cluster.Advance(time.Second)
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.Advance(5 * time.Second)
 	for n := range 6 {
 		submit(10 + n)
@@ -825,7 +819,7 @@
 		n := cluster.Controllers()
 		for at := time.Duration(0); at < 110*time.Second; at += time.Duration(rng.IntN(7000)) * time.Millisecond {
 			i, duration := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
-			what, zone, how := rng.IntN(14), []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5))
+			what, zone, how := rng.IntN(14), zoneNames()[rng.IntN(3)], Partition(1+rng.IntN(5))
 			level := rollout.Level(1 + rng.IntN(2))
 			if at > 60*time.Second {
 				level = rollout.Newest
@@ -877,7 +871,7 @@
 		cluster.StopRollingRestart()
 		cluster.Advance(15 * time.Second)
 		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-		for _, z := range []string{"a", "b", "c"} {
+		for _, z := range zoneNames() {
 			cluster.PartitionZone(z, Connected)
 		}
 		for i := range n {
@@ -915,14 +909,12 @@
 	cluster := newTestCluster(t, 61, 3, rollout.Newest, "")
 	cluster.submitJobs(20 * time.Second)
 	cluster.Advance(25 * time.Second)
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PowerOffZone(z)
 	}
 	cluster.Advance(5 * time.Second)
 	_, term := cluster.Leader()
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitUntilDone()
 	if _, now := cluster.Leader(); now > term+3 {
 		t.Errorf("the leader changed %d times", now-term)
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -71,9 +71,7 @@
 							EstimateS: 3,
 							Spot:      true,
 						}
-						user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
-						cluster.users = append(cluster.users, user)
-						user.submit()
+						cluster.submit(spec)
 					}
 					for n := range 60 { // twelve at a time, so that plans of many jobs are written together
 						cluster.After(time.Duration(n/12)*9*time.Second, func() { give(n + 1) })
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -202,7 +202,5 @@
 		t.Fatalf("only %d jobs were open", open)
 	}
 	cluster.waitFor("done", 10*time.Minute, func() bool { return pending() == 0 })
-	for _, b := range cluster.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, cluster.Simulation)
 }
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -66,16 +66,14 @@
 			EstimateS: seconds,
 			Spot:      true,
 		}
-		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
-		r.users = append(r.users, user)
-		user.submit()
+		r.submit(spec)
 	}
 }
 
 // zoneWithoutLeader is a zone that the leader isn't in.
 func (r *testCluster) zoneWithoutLeader() string {
 	l, _ := r.Leader()
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		if r.settings[l].Zone != z {
 			return z
 		}
@@ -92,7 +90,7 @@
 			cluster := newWideCluster(t, 71, 5)
 			cluster.submitSmallJobs(24, 20)
 			cluster.submitJobs(40 * time.Second)
-			cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+			cluster.waitForLoad()
 			cluster.Advance(5 * time.Second)
 			zone := cluster.zoneWithoutLeader()
 			there := cluster.zoneViews()[zone].Machines
@@ -131,7 +129,7 @@
 	cluster := newWideCluster(t, 72, 5)
 	cluster.submitSmallJobs(24, 20)
 	cluster.submitJobs(50 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	old, _ := cluster.Leader()
 	zone := cluster.settings[old].Zone
 	cluster.PartitionZone(zone, DelayBoth)
@@ -156,9 +154,7 @@
 		}
 	}
 	cluster.Advance(3 * time.Second)
-	for i := range 5 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitFor(
 		"known at once",
 		12*time.Second,
@@ -174,7 +170,7 @@
 	cluster := newWideCluster(t, 73, 5)
 	cluster.submitSmallJobs(24, 30)
 	cluster.submitJobs(60 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	zone := cluster.zoneWithoutLeader()
 	most, rented := 0, 0
 	for range 5 {
@@ -203,7 +199,7 @@
 	cluster := newWideCluster(t, 74, 5)
 	cluster.submitSmallJobs(24, 15)
 	cluster.submitJobs(60 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	cluster.PartitionZone("a", DelayBoth)
 	cluster.Advance(6 * time.Second)
 	cluster.PartitionZone("b", DropBoth)
@@ -217,9 +213,7 @@
 	cluster.PowerOffZone("c")
 	cluster.Advance(10 * time.Second)
 	cluster.SetCloudOutage(false)
-	for i := range 5 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitUntilDone()
 }
 
@@ -228,9 +222,9 @@
 func TestServicesAreSpread(t *testing.T) {
 	cluster := newWideCluster(t, 75, 3)
 	cluster.submitSmallJobs(24, 60) // machines in all zones
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	spec := spreadServiceSpec()
-	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+	user := cluster.newUser(spec)
 	user.submit()
 	on := func() map[string]int {
 		cluster.mu.Lock()
@@ -269,9 +263,7 @@
 		40*time.Second,
 		func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 },
 	)
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.Advance(3 * time.Second)
 	user.cancel()
 	cluster.waitUntilDone()
@@ -282,21 +274,19 @@
 func TestAllZonesEmptied(t *testing.T) {
 	cluster := newWideCluster(t, 76, 3)
 	cluster.submitSmallJobs(24, 15)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
-	for _, z := range []string{"a", "b", "c"} {
+	cluster.waitForLoad()
+	for _, z := range zoneNames() {
 		cluster.PartitionZone(z, DropBoth)
 		cluster.Advance(3 * time.Second)
 	}
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PowerOffZone(z)
 	}
 	cluster.Advance(20 * time.Second)
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PartitionZone(z, Connected)
 	}
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitUntilDone()
 }
 
@@ -315,7 +305,7 @@
 		cluster.submitJobs(90 * time.Second)
 		n := cluster.Controllers()
 		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
-			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Partition(
+			zone, how, duration := zoneNames()[rng.IntN(3)], Partition(
 				1+rng.IntN(5),
 			), time.Duration(
 				500+rng.IntN(20000),
@@ -333,9 +323,7 @@
 				case 5:
 					cluster.PowerOffZone(zone)
 					cluster.After(duration/4, func() {
-						for i := range n {
-							cluster.StartController(i)
-						}
+						cluster.startControllers()
 					})
 				case 6:
 					cluster.KillController(i)
@@ -354,13 +342,11 @@
 		}
 		cluster.Advance(120 * time.Second)
 		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-		for _, z := range []string{"a", "b", "c"} {
+		for _, z := range zoneNames() {
 			cluster.PartitionZone(z, Connected)
 		}
 		cluster.Advance(time.Second)
-		for i := range n {
-			cluster.StartController(i)
-		}
+		cluster.startControllers()
 		cluster.waitUntilDone()
 		jobsN += len(cluster.users)
 		for _, user := range cluster.users {
