--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -367,20 +367,9 @@
 	cluster := newTestCluster(t, 408, 3, rollout.Newest, "soak_s = 3")
 	moved := cluster.checkArchivedJobsAreGone()
 	cluster.Advance(3 * time.Second)
-	spec := &jobs.Spec{
-		ID:        "req-000001",
-		Class:     "c",
-		Team:      "blue",
-		Kind:      jobs.Array,
-		Priority:  "standard",
-		Tasks:     3,
-		CPUs:      1,
-		MemoryGB:  1,
-		Image:     "i",
-		ImageGB:   1,
-		EstimateS: 60,
-		Spot:      true,
-	}
+	spec := arraySpec("req-000001", "c", "blue")
+	spec.Tasks = 3
+	spec.EstimateS = 60
 	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec, cancelRequested: true}
 	cluster.users = append(cluster.users, user)
 	user.submit()
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -131,6 +131,11 @@
 }
 `
 
+// readChaosPools reads the licence pool and the archive of chaos runs into a controller's settings.
+func readChaosPools(settings *config.Settings) error {
+	return settings.ReadOperator("o.hcl", []byte(chaosPools))
+}
+
 // runChaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
 // and the network fail at random, several at once, then ends all faults, and returns the simulation and its users.
 func runChaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*testUser) {
@@ -143,7 +148,7 @@
 		TickInterval: 20 * time.Millisecond,
 		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
-		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
+		readChaosPools)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -421,24 +426,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	user := &testUser{
-		simulation: sim,
-		rng:        rand.New(rand.NewPCG(5, 5)),
-		spec: &jobs.Spec{
-			ID:        "req-000001",
-			Class:     "c",
-			Team:      "red",
-			Kind:      jobs.Array,
-			Priority:  "standard",
-			Tasks:     20,
-			CPUs:      1,
-			MemoryGB:  1,
-			Image:     "i",
-			ImageGB:   1,
-			EstimateS: 30,
-			Spot:      true,
-		},
-	}
+	spec := arraySpec("req-000001", "c", "red")
+	spec.Tasks = 20
+	spec.EstimateS = 30
+	user := &testUser{simulation: sim, rng: rand.New(rand.NewPCG(5, 5)), spec: spec}
 	sim.After(3*time.Second, user.submit)
 	sim.Advance(15 * time.Second)
 	old, _ := sim.Leader()
@@ -498,19 +489,10 @@
 	sim.Advance(3 * time.Second)
 	n, refused, slowest, done := 3000, 0, time.Duration(0), 0
 	for i := range n {
-		spec := &jobs.Spec{
-			ID:        fmt.Sprintf("req-%06d", i+1),
-			Class:     "c",
-			Team:      "red",
-			Kind:      jobs.Array,
-			Priority:  "standard",
-			Tasks:     1,
-			CPUs:      1,
-			MemoryGB:  1,
-			Image:     "i",
-			ImageGB:   0.1,
-			EstimateS: 1,
-		}
+		spec := arraySpec(fmt.Sprintf("req-%06d", i+1), "c", "red")
+		spec.ImageGB = 0.1
+		spec.EstimateS = 1
+		spec.Spot = false
 		body, _ := json.Marshal(spec)
 		sim.AddJob(spec)
 		var again func()
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -31,28 +30,13 @@
 	workers config.Workers,
 ) (*testCluster, *Balancer) {
 	t.Helper()
-	types := gpuMachineTypes(3)
-	sim, err := NewVirtualTime(Config{
-		Seed:           seed,
-		MaxMachines:    20,
-		Types:          types,
-		Controllers:    controllers,
-		Zones:          zoneNames(),
-		TickInterval:   20 * time.Millisecond,
-		Workers:        workers,
-		VariedRunTimes: true,
-		LicencePools: map[string]int{
-			"transcribe": 12,
-		},
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
-		Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
-	},
-		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 43))}
-	cluster.watchInvariants()
+	cfg := shortTimersConfig(seed, 20)
+	cfg.Controllers = controllers
+	cfg.TickInterval = 20 * time.Millisecond
+	cfg.Workers = workers
+	cfg.LicencePools = map[string]int{"transcribe": 12}
+	cfg.Teams = []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}}
+	cluster := startCluster(t, 43, cfg, readChaosPools)
 	balancer := cluster.Balance()
 	for i := range n {
 		cluster.submitLongJob(i, 20)
@@ -68,20 +52,10 @@
 
 // submitLongJobWith does so with something changed.
 func (r *testCluster) submitLongJobWith(i int, estimate float64, change func(*jobs.Spec)) *testUser {
-	spec := &jobs.Spec{
-		ID:        fmt.Sprintf("req-6%05d", i),
-		Class:     "long",
-		Team:      []string{"red", "blue"}[i%2],
-		Kind:      jobs.Array,
-		Priority:  "standard",
-		Tasks:     1 + i%3,
-		CPUs:      3,
-		MemoryGB:  1,
-		Image:     "i",
-		ImageGB:   1,
-		EstimateS: estimate,
-		Spot:      true,
-	}
+	spec := arraySpec(fmt.Sprintf("req-6%05d", i), "long", teamInTurn(i))
+	spec.Tasks = 1 + i%3
+	spec.CPUs = 3
+	spec.EstimateS = estimate
 	if i%5 > 0 { // machines stand in all zones
 		spec.Zone = &zoneNames()[i%3]
 	}
@@ -186,13 +160,8 @@
 					cluster.RefuseController(l, true)
 					cluster.After(refused, func() { cluster.RefuseController(l, false) })
 					cluster.After(300*time.Millisecond, func() { f(cluster, l) })
-					for k := range 8 {
-						user := cluster.users[8*gap+k]
-						cluster.After(
-							time.Duration(50+140*k)*time.Millisecond,
-							func() { cluster.cancelAt(user, (l+1+k%2)%3) },
-						)
-					}
+					users := cluster.users[8*gap : 8*gap+8]
+					cluster.cancelEach(users, 50*time.Millisecond, 140*time.Millisecond, cluster.othersInTurn(l))
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
 					cluster.Advance(1100*time.Millisecond + seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
@@ -225,12 +194,7 @@
 		if slow {
 			cluster.DelayStateAnswers(20*time.Millisecond, 900*time.Millisecond)
 		}
-		for k := range 12 {
-			cluster.After(
-				time.Duration(100+300*k)*time.Millisecond,
-				func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
-			)
-		}
+		cluster.cancelEach(cluster.users[:12], 100*time.Millisecond, 300*time.Millisecond, cluster.othersInTurn(l))
 		cluster.waitForOtherLeader(14*time.Second, l)
 		t.Logf("led from elsewhere after %v", cluster.Now()-from)
 		cluster.Advance(10 * time.Second)
@@ -272,9 +236,7 @@
 	zone := cluster.zoneWithoutLeader()
 	cluster.PartitionZone(zone, RefuseBoth)
 	from := cluster.Now()
-	for k, user := range cluster.users {
-		cluster.After(time.Duration(20*k)*time.Millisecond, func() { cluster.cancelAt(user, (l+1+k%2)%3) })
-	}
+	cluster.cancelEach(cluster.users, 0, 20*time.Millisecond, cluster.othersInTurn(l))
 	cluster.Advance(200 * time.Millisecond)
 	cluster.KillController(l)
 	cluster.After(30*time.Second, func() { cluster.StartController(l) })
@@ -369,12 +331,7 @@
 					cluster.PartitionZone(zone, how)
 					cluster.DropInbound(3, "", duration)
 					cluster.After(300*time.Millisecond, func() { end(cluster, l) })
-					for k := range 6 {
-						cluster.After(
-							time.Duration(400*k)*time.Millisecond,
-							func() { cluster.cancelAt(cluster.users[k], (l+1)%5) },
-						)
-					}
+					cluster.cancelEach(cluster.users[:6], 0, 400*time.Millisecond, func(int) int { return (l + 1) % 5 })
 					for k := range 10 { // those that wait for a place, at their teams' limits
 						cluster.submitLongJob(100+k, 4)
 					}
@@ -440,9 +397,7 @@
 			500*time.Millisecond,
 			[]time.Duration{3 * time.Second, 6 * time.Second}[seed%2],
 		)
-		for k := range 12 {
-			cluster.After(time.Duration(2+3*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%3) })
-		}
+		cluster.cancelEach(cluster.users[:12], 2*time.Second, 3*time.Second, cluster.inTurn(0))
 		cluster.After(12*time.Second, func() { cluster.onLeader(200*time.Millisecond, cluster.KillController) })
 		cluster.After(24*time.Second, func() { cluster.onLeader(time.Second, cluster.drainController) })
 		cluster.After(36*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
@@ -508,12 +463,7 @@
 				cluster.CutLinks(l, StateLink|PeerLinks)
 				cluster.After(duration, func() { cluster.CutLinks(l, 0) })
 				cluster.After(700*time.Millisecond, func() { f(cluster, l) })
-				for k := range 14 {
-					cluster.After(
-						time.Duration(100+450*k)*time.Millisecond,
-						func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:14], 100*time.Millisecond, 450*time.Millisecond, cluster.othersInTurn(l))
 				cluster.Advance(duration + 12*time.Second)
 				from := cluster.Now()
 				cluster.recoverAndCheck()
@@ -574,9 +524,7 @@
 			cluster.RefuseController(l, true)
 			cluster.After(12*time.Second, func() { cluster.RefuseController(l, false) })
 		}
-		for k := range 14 {
-			cluster.After(time.Duration(250*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], k%5) })
-		}
+		cluster.cancelEach(cluster.users[:14], 0, 250*time.Millisecond, cluster.inTurn(0))
 		cluster.Advance(3 * time.Second)
 		cluster.SetStateOutage(true)
 		cluster.Advance(seconds(1.3 * shortTimers.CancelS))
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -109,20 +109,11 @@
 				zone := cluster.zoneWithoutLeader()
 				var bound []*testUser
 				for k := range 18 {
-					spec := &jobs.Spec{
-						ID:        fmt.Sprintf("req-4%05d", k),
-						Class:     "bound",
-						Team:      []string{"red", "blue"}[k%2],
-						Kind:      []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3],
-						Priority:  "standard",
-						Tasks:     1 + k%4,
-						CPUs:      3,
-						MemoryGB:  1,
-						Image:     "i",
-						ImageGB:   1,
-						EstimateS: 8,
-						Spot:      true,
-					}
+					spec := arraySpec(fmt.Sprintf("req-4%05d", k), "bound", teamInTurn(k))
+					spec.Kind = []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3]
+					spec.Tasks = 1 + k%4
+					spec.CPUs = 3
+					spec.EstimateS = 8
 					if k%2 == 0 {
 						spec.Zone = &zone
 					} else {
@@ -242,12 +233,7 @@
 						cluster.After(at, func() { cluster.during(outage, cluster.SetStateOutage) })
 					}
 				}
-				for k := range 16 {
-					cluster.After(
-						time.Duration(3+7*k)*time.Second,
-						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:16], 3*time.Second, 7*time.Second, cluster.inTurn(0))
 				cluster.Advance(2 * time.Minute)
 				_, now := cluster.Leader()
 				if most := uint64(8); now < term+most && outage < 14*time.Second {
@@ -330,12 +316,7 @@
 				l := cluster.waitForLeader()
 				cluster.SetPollBursts(true)
 				cluster.After(time.Second, func() { cluster.RefuseController(l, true) })
-				for k := range 12 {
-					cluster.After(
-						time.Second+at+time.Duration(k)*time.Millisecond,
-						func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:12], time.Second+at, time.Millisecond, cluster.inTurn(l))
 				cluster.Advance(2 * time.Second)
 				cluster.SetStateOutage(true)
 				cluster.Advance(seconds(1.15 * shortTimers.CancelS))
@@ -371,12 +352,7 @@
 					}
 					cluster.SetPollBursts(true)
 					cluster.PartitionZone(zone, how)
-					for k := range 12 {
-						cluster.After(
-							time.Duration(50+400*k)*time.Millisecond,
-							func() { cluster.cancelAt(cluster.users[k], k%3) },
-						)
-					}
+					cluster.cancelEach(cluster.users[:12], 50*time.Millisecond, 400*time.Millisecond, cluster.inTurn(0))
 					cluster.submitJobs(6 * time.Second)
 					cluster.Advance(seconds(part * shortTimers.LeaseS))
 					cluster.PartitionZone(zone, Connected)
@@ -410,20 +386,9 @@
 	cluster.Advance(300 * time.Millisecond)
 	refused := 0
 	for k := range 12 {
-		spec := &jobs.Spec{
-			ID:        fmt.Sprintf("req-3%05d", k),
-			Class:     "big",
-			Team:      "red",
-			Kind:      jobs.Array,
-			Priority:  "standard",
-			Tasks:     1,
-			CPUs:      100,
-			MemoryGB:  1,
-			Image:     "i",
-			ImageGB:   1,
-			EstimateS: 3,
-			Spot:      true,
-		}
+		spec := arraySpec(fmt.Sprintf("req-3%05d", k), "big", "red")
+		spec.CPUs = 100
+		spec.EstimateS = 3
 		cluster.AddJob(spec)
 		body, _ := json.Marshal(spec)
 		cluster.Request(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -77,12 +75,7 @@
 				cluster.SetOddRequests(true)
 				f(cluster)
 				cluster.submitJobs(24 * time.Second)
-				for k := range 8 {
-					cluster.After(
-						time.Duration(2+2*k)*time.Second,
-						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:8], 2*time.Second, 2*time.Second, cluster.inTurn(0))
 				cluster.Advance(32 * time.Second)
 				cluster.LoseTxnAnswers(0)
 				cluster.DelayWrites(0, 0, 0)
@@ -110,12 +103,7 @@
 				cluster.SetPollBursts(true)
 				cluster.submitJobs(30 * time.Second)
 				cluster.LoseTxnAnswers(share)
-				for k := range 10 {
-					cluster.After(
-						time.Duration(1+2*k)*time.Second,
-						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:10], time.Second, 2*time.Second, cluster.inTurn(0))
 				for i, how := range []string{"killed", "drained", "all killed", "at once"} {
 					cluster.After(time.Duration(3+7*i)*time.Second, func() {
 						if l, _ := cluster.Leader(); l >= 0 {
@@ -212,12 +200,7 @@
 				cluster.submitJobs(12 * time.Second)
 				l := cluster.waitForLeader()
 				cluster.SetPollBursts(true)
-				for k := range 40 {
-					cluster.After(
-						time.Duration(100*k)*time.Millisecond,
-						func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:40], 0, 100*time.Millisecond, cluster.inTurn(l))
 				cluster.After(time.Second, func() { change(cluster, l) })
 				cluster.Advance(14 * time.Second)
 				cluster.recoverAndCheck()
@@ -341,48 +324,22 @@
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			t.Parallel()
-			types := gpuMachineTypes(3)
-			sim, err := NewVirtualTime(Config{
-				Seed:         307,
-				MaxMachines:  12,
-				Types:        types,
-				Controllers:  controllers,
-				Zones:        zoneNames(),
-				TickInterval: 20 * time.Millisecond,
-				Workers:      shortTimers,
-				State: config.State{
-					RPS:      120,
-					WriteRPS: 30,
-					ValueKB:  8,
-					TxnOps:   24,
-				},
-				Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
-			}, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(307, 43))}
-			cluster.watchInvariants()
+			cfg := shortTimersConfig(307, 12)
+			cfg.Controllers = controllers
+			cfg.TickInterval = 20 * time.Millisecond
+			cfg.VariedRunTimes = false
+			cfg.State.RPS = 120
+			cfg.State.WriteRPS = 30
+			cluster := startCluster(t, 43, cfg, nil)
 			cluster.waitForLeader()
 			cluster.SetPollBursts(true)
 			tries, latest := 0, time.Duration(0)
 			const n = 600
 			for i := range n {
 				cluster.After(time.Duration(i)*250*time.Millisecond, func() {
-					spec := &jobs.Spec{
-						ID:        fmt.Sprintf("req-5%05d", i),
-						Class:     "tiny",
-						Team:      []string{"red", "blue"}[i%2],
-						Kind:      jobs.Array,
-						Priority:  "standard",
-						Tasks:     1,
-						CPUs:      1,
-						MemoryGB:  1,
-						Image:     "i",
-						ImageGB:   0.5,
-						EstimateS: 5,
-						Spot:      true,
-					}
+					spec := arraySpec(fmt.Sprintf("req-5%05d", i), "tiny", teamInTurn(i))
+					spec.ImageGB = 0.5
+					spec.EstimateS = 5
 					user := cluster.submit(spec)
 					if i%4 == 0 {
 						cluster.After(time.Duration(cluster.rng.IntN(6000))*time.Millisecond, user.cancel)
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -79,25 +79,10 @@
 
 // play plays a run. It returns the rules that were broken, and how long a cancelled task stayed at most.
 func (m faultRun) play() (wrong []string, longest time.Duration) {
-	types := gpuMachineTypes(3)
-	sim, err := NewVirtualTime(Config{
-		Seed:           m.seed,
-		MaxMachines:    10,
-		Types:          types,
-		Controllers:    3,
-		Zones:          zoneNames(),
-		TickInterval:   50 * time.Millisecond,
-		Workers:        shortTimers,
-		VariedRunTimes: true,
-		LicencePools: map[string]int{
-			"transcribe": 12,
-		},
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
-		Teams: []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
-	},
-		func(settings *config.Settings) error {
-			return settings.ReadOperator("o.hcl", []byte(chaosPools))
-		})
+	cfg := shortTimersConfig(m.seed, 10)
+	cfg.LicencePools = map[string]int{"transcribe": 12}
+	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
+	sim, err := NewVirtualTime(cfg, readChaosPools)
 	if err != nil {
 		return []string{err.Error()}, 0
 	}
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -1,10 +1,12 @@
 package simulator
 
 import (
+	"math/rand/v2"
 	"testing"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/capacity"
+	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
@@ -95,3 +97,77 @@
 		r.t.Errorf("no question about %s was answered for %v", job, gap)
 	}
 }
+
+// teamInTurn returns one of the two teams of most tests, in turn.
+func teamInTurn(i int) string { return []string{"red", "blue"}[i%2] }
+
+// arraySpec returns an array of one small task that may run on spot machines. Tests set what matters to them.
+func arraySpec(id, class, team string) *jobs.Spec {
+	return &jobs.Spec{
+		ID:       id,
+		Class:    class,
+		Team:     team,
+		Kind:     jobs.Array,
+		Priority: "standard",
+		Tasks:    1,
+		CPUs:     1,
+		MemoryGB: 1,
+		Image:    "i",
+		ImageGB:  1,
+		Spot:     true,
+	}
+}
+
+// smallStateLimits returns the limits of a state service that takes few and small writes, so that they are queued and
+// split.
+func smallStateLimits() config.State {
+	return config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
+}
+
+// shortTimersConfig returns the configuration of three controllers whose workers' leases are short, with two teams
+// without limits. Tests change what matters to them.
+func shortTimersConfig(seed uint64, maxMachines int) Config {
+	return Config{
+		Seed:           seed,
+		MaxMachines:    maxMachines,
+		Types:          gpuMachineTypes(3),
+		Controllers:    3,
+		Zones:          zoneNames(),
+		TickInterval:   50 * time.Millisecond,
+		Workers:        shortTimers,
+		VariedRunTimes: true,
+		State:          smallStateLimits(),
+		Teams:          []config.Team{{Name: "red"}, {Name: "blue"}},
+	}
+}
+
+// startCluster starts a simulation and checks its invariants from then on. Its users draw from a random source of
+// their own, of the simulation's seed and a stream.
+func startCluster(t *testing.T, stream uint64, cfg Config, configure func(*config.Settings) error) *testCluster {
+	t.Helper()
+	sim, err := NewVirtualTime(cfg, configure)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(cfg.Seed, stream))}
+	cluster.watchInvariants()
+	return cluster
+}
+
+// cancelEach cancels the jobs of users one after the other, from a time on, each through the controller that via
+// returns for its place in the order.
+func (r *testCluster) cancelEach(users []*testUser, first, interval time.Duration, via func(k int) int) {
+	for k, user := range users {
+		r.After(first+time.Duration(k)*interval, func() { r.cancelAt(user, via(k)) })
+	}
+}
+
+// inTurn returns a choice of all controllers in turn, for cancelEach.
+func (r *testCluster) inTurn(first int) func(k int) int {
+	return func(k int) int { return (first + k) % r.Controllers() }
+}
+
+// othersInTurn returns a choice of the two controllers after one, in turn, for cancelEach.
+func (r *testCluster) othersInTurn(except int) func(k int) int {
+	return func(k int) int { return (except + 1 + k%2) % r.Controllers() }
+}
--- a/internal/simulator/idle_capacity_test.go
+++ b/internal/simulator/idle_capacity_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
@@ -15,7 +12,6 @@
 // less than 90 s beside work that fits: gangs that can't start yet, or never, accelerators reserved for others, a
 // zone that came back, machines on which tasks failed.
 func TestNoCapacityIdleBesideWork(t *testing.T) {
-	zones := zoneNames()
 	type put func(n int, change func(spec *jobs.Spec))
 	for what, c := range map[string]struct {
 		machines int
@@ -94,57 +90,12 @@
 		for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
 			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
 				t.Parallel()
-				types := []capacity.MachineType{
-					{
-						Name:    "g4",
-						CPUs:    16,
-						GPUs:    4,
-						Mem:     128,
-						CacheGB: 100,
-						FetchGB: 10,
-						Price:   4,
-						Spot:    1.5,
-						BootS:   3,
-						Zones:   zones,
-					},
-				}
-				sim, err := NewVirtualTime(Config{
-					Seed:           341,
-					MaxMachines:    c.machines,
-					Types:          types,
-					Controllers:    3,
-					Zones:          zones,
-					TickInterval:   50 * time.Millisecond,
-					Workers:        shortTimers,
-					VariedRunTimes: true,
-					State: config.State{
-						RPS:      400,
-						WriteRPS: 60,
-						ValueKB:  8,
-						TxnOps:   24,
-					},
-					Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
-				}, nil)
-				if err != nil {
-					t.Fatal(err)
-				}
-				cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(341, 43))}
-				cluster.watchInvariants()
+				cluster := startCluster(t, 43, shortTimersConfig(341, c.machines), nil)
 				give := func(n int, change func(spec *jobs.Spec)) {
-					spec := &jobs.Spec{
-						ID:        fmt.Sprintf("req-2%05d", n),
-						Class:     "small",
-						Team:      []string{"red", "blue"}[n%2],
-						Kind:      kind,
-						Priority:  "standard",
-						Tasks:     1,
-						CPUs:      6,
-						MemoryGB:  1,
-						Image:     "i",
-						ImageGB:   1,
-						EstimateS: 50,
-						Spot:      true,
-					}
+					spec := arraySpec(fmt.Sprintf("req-2%05d", n), "small", teamInTurn(n))
+					spec.Kind = kind
+					spec.CPUs = 6
+					spec.EstimateS = 50
 					change(spec)
 					cluster.newUser(spec).submit()
 				}
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -42,20 +42,10 @@
 
 // submit hands a job in until it is accepted.
 func (m *manyJobs) submit(n int) {
-	spec := &jobs.Spec{
-		ID:        fmt.Sprintf("req-%07d", n),
-		Class:     "c",
-		Team:      []string{"red", "blue"}[n%2],
-		Kind:      jobs.Array,
-		Priority:  "standard",
-		Tasks:     1 + n%2,
-		CPUs:      1,
-		MemoryGB:  1,
-		Image:     "i",
-		ImageGB:   0.1,
-		EstimateS: 0.5 + m.rng.Float64(),
-		Spot:      true,
-	}
+	spec := arraySpec(fmt.Sprintf("req-%07d", n), "c", teamInTurn(n))
+	spec.Tasks = 1 + n%2
+	spec.ImageGB = 0.1
+	spec.EstimateS = 0.5 + m.rng.Float64()
 	m.AddJob(spec)
 	body, _ := json.Marshal(spec)
 	m.open++
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -8,7 +8,6 @@
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/membership"
@@ -400,42 +399,28 @@
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 87, 3)
 	for i := range 40 { // so much that no machine is idle
-		user := &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-81%04d", i),
-				Class:     "long",
-				Team:      "blue",
-				Kind:      jobs.Array,
-				Priority:  "standard",
-				Tasks:     8,
-				CPUs:      4,
-				MemoryGB:  1,
-				Image:     "i",
-				ImageGB:   1,
-				EstimateS: 60,
-				Spot:      true,
-			},
-		}
-		cluster.users = append(cluster.users, user)
-		user.submit()
+		spec := arraySpec(fmt.Sprintf("req-81%04d", i), "long", "blue")
+		spec.Tasks = 8
+		spec.CPUs = 4
+		spec.EstimateS = 60
+		cluster.submit(spec)
 	}
 	cluster.Advance(20 * time.Second)
 	var wrong []*testUser
-	for i, spec := range []*jobs.Spec{
-		{Kind: jobs.Array, Tasks: 1},
-		{Kind: jobs.Gang, Tasks: 4},
-		{Kind: jobs.Array, Tasks: 2000},
+	for i, failing := range []struct {
+		kind  jobs.Kind
+		tasks int
+	}{
+		{jobs.Array, 1},
+		{jobs.Gang, 4},
+		{jobs.Array, 2000},
 	} {
-		spec.ID = fmt.Sprintf("req-90000%d", i)
-		spec.Class = "wrong"
-		spec.Team = "red"
-		spec.Priority = "standard"
-		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf(
-			"w-%d",
-			i,
-		), 2, 10, true
+		spec := arraySpec(fmt.Sprintf("req-90000%d", i), "wrong", "red")
+		spec.Kind = failing.kind
+		spec.Tasks = failing.tasks
+		spec.Image = fmt.Sprintf("w-%d", i)
+		spec.ImageGB = 2
+		spec.EstimateS = 10
 		user := cluster.newUser(spec)
 		cluster.FailJob(spec.ID)
 		user.submit()
@@ -563,44 +548,27 @@
 	)
 	cluster.submitSmallJobs(10, 15)
 	cluster.Advance(30 * time.Second)
-	give := func(user *testUser) *testUser {
-		cluster.users = append(cluster.users, user)
-		user.submit()
-		return user
-	}
-	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *testUser {
-		return &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-%06d", n),
-				Class:     class,
-				Team:      team,
-				Kind:      jobs.Array,
-				Priority:  priority,
-				Tasks:     tasks,
-				CPUs:      cpus,
-				MemoryGB:  0.4,
-				Image:     "i",
-				ImageGB:   0.5,
-				EstimateS: est,
-				Spot:      true,
-			},
-		}
-	}
-	give(job(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4))
-	give(job(500001, "guest", "idle", "best_effort", 60, 4, 30))
+	submit := func(n int, team, class, priority string, tasks int, cpus, estimateS float64) {
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), class, team)
+		spec.Priority = priority
+		spec.Tasks = tasks
+		spec.CPUs = cpus
+		spec.MemoryGB = 0.4
+		spec.ImageGB = 0.5
+		spec.EstimateS = estimateS
+		cluster.submit(spec)
+	}
+	submit(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4)
+	submit(500001, "guest", "idle", "best_effort", 60, 4, 30)
 	for i := range 200 {
-		cluster.After(
-			time.Duration(i)*300*time.Millisecond,
-			func() { give(job(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)) },
-		)
+		cluster.After(time.Duration(i)*300*time.Millisecond, func() {
+			submit(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)
+		})
 	}
 	for i := range 20 {
-		cluster.After(
-			time.Duration(3*i)*time.Second,
-			func() { give(job(520000+i, "red", "owed", "standard", 4, 4, 10)) },
-		)
+		cluster.After(time.Duration(3*i)*time.Second, func() {
+			submit(520000+i, "red", "owed", "standard", 4, 4, 10)
+		})
 	}
 	cluster.Advance(65 * time.Second)
 	cluster.waitUntilDone()
@@ -626,20 +594,8 @@
 // within four minutes of their submission under any leader. Without the rule they don't.
 func TestLargestJobsStartAcrossFailovers(t *testing.T) {
 	began := func(operator string) (longest time.Duration, left int) {
-		types := []capacity.MachineType{
-			{
-				Name:    "g4",
-				CPUs:    16,
-				GPUs:    4,
-				Mem:     128,
-				CacheGB: 100,
-				FetchGB: 10,
-				Price:   4,
-				Spot:    1.5,
-				BootS:   12,
-				Zones:   []string{"a", "b"},
-			},
-		}
+		types := gpuMachineTypes(12)
+		types[0].Zones = []string{"a", "b"}
 		sim, err := NewVirtualTime(
 			Config{
 				Seed:         93,
@@ -656,23 +612,14 @@
 		rng := rand.New(rand.NewPCG(93, 1))
 		var large []*testUser
 		submit := func(n, tasks int, priority string, est float64) *testUser {
-			user := &testUser{
-				simulation: sim,
-				rng:        rng,
-				spec: &jobs.Spec{
-					ID:        fmt.Sprintf("req-%06d", n),
-					Class:     priority,
-					Team:      "red",
-					Kind:      jobs.Gang,
-					Priority:  priority,
-					Tasks:     tasks,
-					CPUs:      12,
-					MemoryGB:  1,
-					Image:     "i",
-					ImageGB:   1,
-					EstimateS: est,
-				},
-			}
+			spec := arraySpec(fmt.Sprintf("req-%06d", n), priority, "red")
+			spec.Kind = jobs.Gang
+			spec.Priority = priority
+			spec.Tasks = tasks
+			spec.CPUs = 12
+			spec.EstimateS = est
+			spec.Spot = false
+			user := &testUser{simulation: sim, rng: rng, spec: spec}
 			user.submit()
 			return user
 		}
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -57,7 +57,7 @@
 	teams []config.Team,
 ) *testCluster {
 	t.Helper()
-	sim, err := NewVirtualTime(Config{
+	return startCluster(t, 41, Config{
 		Seed:         seed,
 		MaxMachines:  machines,
 		Types:        types,
@@ -65,7 +65,7 @@
 		Zones:        zoneNames(),
 		LicencePools: map[string]int{"transcribe": 12},
 		TickInterval: 20 * time.Millisecond,
-		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+		State:        smallStateLimits(),
 		Teams:        teams,
 	},
 		func(settings *config.Settings) error {
@@ -74,30 +74,19 @@
 			}
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
-	cluster.watchInvariants()
-	return cluster
 }
 
 // newTestClusterWith starts a cluster of three controllers whose settings are changed first.
 func newTestClusterWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *testCluster {
 	t.Helper()
-	sim, err := NewVirtualTime(Config{
+	return startCluster(t, 41, Config{
 		Seed:         seed,
 		MaxMachines:  30,
 		Controllers:  3,
 		Zones:        zoneNames(),
 		TickInterval: 50 * time.Millisecond,
-		State: config.State{
-			RPS:      400,
-			WriteRPS: 60,
-			ValueKB:  8,
-			TxnOps:   24,
-		},
-		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+		State:        smallStateLimits(),
+		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
 			if knows < rollout.Newest {
@@ -106,12 +95,6 @@
 			change(settings)
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
-	cluster.watchInvariants()
-	return cluster
 }
 
 // submitJobs lets jobs arrive for a time, about two a second.
@@ -517,20 +500,9 @@
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
-				spec := &jobs.Spec{
-					ID:        fmt.Sprintf("req-9%05d", i),
-					Class:     "c",
-					Team:      "blue",
-					Kind:      jobs.Array,
-					Priority:  "best_effort",
-					Tasks:     1,
-					CPUs:      1,
-					MemoryGB:  1,
-					Image:     "i",
-					ImageGB:   1,
-					EstimateS: 150,
-					Spot:      true,
-				}
+				spec := arraySpec(fmt.Sprintf("req-9%05d", i), "c", "blue")
+				spec.Priority = "best_effort"
+				spec.EstimateS = 150
 				user := cluster.newUser(spec)
 				cluster.users = append(cluster.users, user)
 				cluster.After(time.Duration(i*100)*time.Millisecond, user.submit)
@@ -659,24 +631,10 @@
 	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 
 	long := func(n int) *testUser {
-		user := &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-%06d", n),
-				Class:     "c",
-				Team:      "red",
-				Kind:      jobs.Array,
-				Priority:  "standard",
-				Tasks:     3,
-				CPUs:      1,
-				MemoryGB:  1,
-				Image:     "i",
-				ImageGB:   1,
-				EstimateS: 25,
-				Spot:      true,
-			},
-		}
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), "c", "red")
+		spec.Tasks = 3
+		spec.EstimateS = 25
+		user := cluster.newUser(spec)
 		user.submit()
 		return user
 	}
@@ -721,26 +679,10 @@
 	cluster := newTestCluster(t, 62, 3, rollout.Newest, "")
 	cluster.Advance(3 * time.Second)
 	submit := func(n int) {
-		user := &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-%06d", n),
-				Class:     "c",
-				Team:      "blue",
-				Kind:      jobs.Array,
-				Priority:  "standard",
-				Tasks:     3,
-				CPUs:      1,
-				MemoryGB:  1,
-				Image:     "i",
-				ImageGB:   1,
-				EstimateS: 30,
-				Spot:      true,
-			},
-		}
-		cluster.users = append(cluster.users, user)
-		user.submit()
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), "c", "blue")
+		spec.Tasks = 3
+		spec.EstimateS = 30
+		cluster.submit(spec)
 	}
 	submit(1)
 	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 3 })
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
-	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
@@ -57,20 +56,9 @@
 					})
 					cluster.Advance(10 * time.Second)
 					give := func(n int) {
-						spec := &jobs.Spec{
-							ID:        fmt.Sprintf("req-%06d", n),
-							Class:     "c",
-							Team:      []string{"red", "blue"}[n%2],
-							Kind:      jobs.Array,
-							Priority:  "standard",
-							Tasks:     150,
-							CPUs:      1,
-							MemoryGB:  1,
-							Image:     "i",
-							ImageGB:   1,
-							EstimateS: 3,
-							Spot:      true,
-						}
+						spec := arraySpec(fmt.Sprintf("req-%06d", n), "c", teamInTurn(n))
+						spec.Tasks = 150
+						spec.EstimateS = 3
 						cluster.submit(spec)
 					}
 					for n := range 60 { // twelve at a time, so that plans of many jobs are written together
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -10,7 +10,6 @@
 
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/controller"
-	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/zones"
 )
@@ -52,20 +51,10 @@
 // submitSmallJobs fills the cluster with work that goes on, so that machines stand in all zones.
 func (r *testCluster) submitSmallJobs(n int, seconds float64) {
 	for i := range n {
-		spec := &jobs.Spec{
-			ID:        fmt.Sprintf("req-8%05d", i),
-			Class:     "long",
-			Team:      []string{"red", "blue"}[i%2],
-			Kind:      jobs.Array,
-			Priority:  "standard",
-			Tasks:     4,
-			CPUs:      4,
-			MemoryGB:  1,
-			Image:     "i",
-			ImageGB:   1,
-			EstimateS: seconds,
-			Spot:      true,
-		}
+		spec := arraySpec(fmt.Sprintf("req-8%05d", i), "long", teamInTurn(i))
+		spec.Tasks = 4
+		spec.CPUs = 4
+		spec.EstimateS = seconds
 		r.submit(spec)
 	}
 }
