--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -136,9 +136,94 @@
 	return settings.ReadOperator("o.hcl", []byte(chaosPools))
 }
 
+// chaosFault is a random fault of a chaos run: what happens, to which controller, for how long.
+type chaosFault struct {
+	kind       int
+	controller int
+	duration   time.Duration
+}
+
+// chaosFaultKinds is the number of kinds that injectChaosFault knows.
+const chaosFaultKinds = 12
+
+// injectChaosFault begins a random fault.
+func (sim *Simulation) injectChaosFault(fault chaosFault) {
+	i, duration := fault.controller, fault.duration
+	switch fault.kind {
+	case 0:
+		sim.CrashTask()
+	case 1:
+		sim.KillMachine()
+	case 2:
+		sim.HangMachine(duration)
+	case 3:
+		sim.DelayMachineCommands(duration)
+	case 4:
+		sim.ReclaimSpotMachine(duration)
+	case 5:
+		sim.KillController(i)
+		sim.After(duration, func() { sim.StartController(i) })
+	case 6:
+		if leader, _ := sim.Leader(); leader >= 0 {
+			sim.KillController(leader)
+			sim.After(duration/3, func() { sim.StartController(leader) })
+		}
+	case 7:
+		if leader, _ := sim.Leader(); leader >= 0 && sim.ControllerRuns(leader) {
+			sim.FreezeController(leader, duration)
+		}
+	case 8:
+		sim.DrainController(i, func() { sim.After(duration/4, func() { sim.StartController(i) }) })
+	case 9:
+		sim.during(duration, sim.SetStateOutage)
+	case 10:
+		sim.during(duration, func(on bool) { sim.RefuseController(i, on) })
+	case 11:
+		sim.during(duration, sim.SetCloudOutage)
+	}
+}
+
+// scheduleChaosFaults draws faults, one every few seconds until an end.
+func (sim *Simulation) scheduleChaosFaults(rng *rand.Rand, end time.Duration) {
+	upTo := func(maxSeconds int) time.Duration {
+		return time.Duration(rng.IntN(maxSeconds*1000)) * time.Millisecond
+	}
+	for at := upTo(4); at < end; at += upTo(6) {
+		// The draws are one statement each, for the same seed has to draw the same run.
+		fault := chaosFault{controller: rng.IntN(sim.Controllers())}
+		fault.duration = 500*time.Millisecond + upTo(9)
+		fault.kind = rng.IntN(chaosFaultKinds)
+		sim.After(at, func() { sim.injectChaosFault(fault) })
+	}
+}
+
+// scheduleChaosUsers draws jobs of all kinds and the times of their submissions until an end. Every sixth or so is
+// cancelled.
+func (sim *Simulation) scheduleChaosUsers(rng *rand.Rand, count int, end time.Duration) []*testUser {
+	users := make([]*testUser, 0, count)
+	for i := range count {
+		user := &testUser{simulation: sim, rng: rng, spec: drawJob(rng, i+1)}
+		users = append(users, user)
+		at := time.Duration(rng.Int64N(int64(end)))
+		sim.After(at, user.submit)
+		if rng.IntN(6) == 0 {
+			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
+		}
+	}
+	return users
+}
+
+// advanceUntilOver advances time until every user has polled its job's final state four times, or to a limit.
+func (sim *Simulation) advanceUntilOver(users []*testUser, limit, step time.Duration) {
+	isOpen := func(user *testUser) bool { return len(user.finalStates) < 4 }
+	for end := sim.Now() + limit; sim.Now() < end && slices.ContainsFunc(users, isOpen); {
+		sim.Advance(step)
+	}
+}
+
 // runChaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
 // and the network fail at random, several at once, then ends all faults, and returns the simulation and its users.
-func runChaos(t *testing.T, seed uint64, njobs int, faulty time.Duration) (*Simulation, []*testUser) {
+func runChaos(t *testing.T, seed uint64, jobCount int, faulty time.Duration) (*Simulation, []*testUser) {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{
 		Seed:         seed,
@@ -147,80 +232,21 @@
 		LicencePools: map[string]int{"transcribe": 12},
 		TickInterval: 20 * time.Millisecond,
 		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
-	},
-		readChaosPools)
+	}, readChaosPools)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 31))
 	sim.SetNetwork(time.Duration(1+rng.IntN(20))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-	var users []*testUser
-	for i := range njobs {
-		user := &testUser{simulation: sim, rng: rng, spec: drawJob(rng, i+1)}
-		users = append(users, user)
-		at := time.Duration(rng.Int64N(int64(faulty)))
-		sim.After(at, user.submit)
-		if rng.IntN(6) == 0 {
-			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
-		}
-	}
-	secs := func(most int) time.Duration { return time.Duration(rng.IntN(most*1000)) * time.Millisecond }
-	n := sim.Controllers()
-	for at := secs(4); at < faulty; at += secs(6) {
-		i, duration := rng.IntN(n), 500*time.Millisecond+secs(9)
-		what := rng.IntN(12)
-		sim.After(at, func() {
-			switch what {
-			case 0:
-				sim.CrashTask()
-			case 1:
-				sim.KillMachine()
-			case 2:
-				sim.HangMachine(duration)
-			case 3:
-				sim.DelayMachineCommands(duration)
-			case 4:
-				sim.ReclaimSpotMachine(duration)
-			case 5:
-				sim.KillController(i)
-				sim.After(duration, func() { sim.StartController(i) })
-			case 6:
-				if l, _ := sim.Leader(); l >= 0 {
-					sim.KillController(l)
-					sim.After(duration/3, func() { sim.StartController(l) })
-				}
-			case 7:
-				if l, _ := sim.Leader(); l >= 0 && sim.ControllerRuns(l) {
-					sim.FreezeController(l, duration)
-				}
-			case 8:
-				sim.DrainController(i, func() { sim.After(duration/4, func() { sim.StartController(i) }) })
-			case 9:
-				sim.during(duration, sim.SetStateOutage)
-			case 10:
-				sim.during(duration, func(on bool) { sim.RefuseController(i, on) })
-			case 11:
-				sim.during(duration, sim.SetCloudOutage)
-			}
-		})
-	}
+	users := sim.scheduleChaosUsers(rng, jobCount, faulty)
+	sim.scheduleChaosFaults(rng, faulty)
 	sim.watchActingLeaders()
 	// A clock on the wall that is off by an hour, forward or back, from a controller's next start on.
-	sim.MoveWallClock(rng.IntN(n), time.Duration(rng.IntN(3)-1)*time.Hour)
+	sim.MoveWallClock(rng.IntN(sim.Controllers()), time.Duration(rng.IntN(3)-1)*time.Hour)
 	sim.Advance(faulty + 25*time.Second)
 	sim.SetNetwork(2*time.Millisecond, 0, 0, 0)
 	sim.startControllers()
-	for end := sim.Now() + 10*time.Minute; sim.Now() < end; sim.Advance(5 * time.Second) {
-		open := 0
-		for _, user := range users {
-			if len(user.finalStates) < 4 {
-				open++
-			}
-		}
-		if open == 0 {
-			break
-		}
-	}
+	sim.advanceUntilOver(users, 10*time.Minute, 5*time.Second)
 	return sim, users
 }
 
@@ -290,19 +316,160 @@
 	}
 }
 
+// reportedEvent is an event as users and operators read it.
+type reportedEvent struct {
+	Event, Note string
+	Job         string `json:"name_id"`
+	Task        *int
+	Attempt     uint64
+}
+
+// eventReader reads a leader's events page after page.
+type eventReader struct {
+	t      *testing.T
+	sim    *Simulation
+	since  string // the token of the next page
+	events []reportedEvent
+}
+
+// readAll reads until no further page is left.
+func (r *eventReader) readAll() {
+	r.t.Helper()
+	leader, _ := r.sim.Leader()
+	for more := true; more; {
+		r.sim.Request(leader, "GET", "/v2/events?since="+r.since, nil, func(status int, raw []byte) {
+			var page struct {
+				Term, Next uint64
+				Events     []reportedEvent
+				More       bool `json:"has_next"`
+			}
+			if err := json.Unmarshal(raw, &page); err != nil || status != 200 {
+				r.t.Fatalf("status %d: %v: %s", status, err, raw)
+			}
+			r.events = append(r.events, page.Events...)
+			r.since = fmt.Sprintf("%d-%d", page.Term, page.Next)
+			more = page.More
+		})
+		r.sim.Advance(200 * time.Millisecond)
+	}
+}
+
+// taskEventsBefore holds, for each event of a task, the events that may come directly before it; an empty one stands
+// for none.
+var taskEventsBefore = map[string][]string{
+	"task_sent":     {"", "task_ended", "task_vanished", "task_lost"},
+	"task_found":    {"task_sent"},
+	"task_running":  {"task_sent", "task_found"},
+	"task_stopping": {"task_sent", "task_found", "task_running"},
+	"task_ended":    {"task_sent", "task_found", "task_running", "task_stopping"},
+	"task_vanished": {"task_sent", "task_found", "task_running", "task_stopping"},
+	"task_lost":     {"task_sent", "task_found", "task_running", "task_stopping"},
+	"task_done":     {"task_sent", "task_found", "task_running", "task_stopping"},
+}
+
+// eventOrder is a plain automaton of jobs and their tasks, which checks the order of their events.
+type eventOrder struct {
+	t         *testing.T
+	state     map[string]string // of a job, and of a task by its job and number
+	doneTasks map[string]int    // by job
+	notes     map[string]int
+	kinds     map[string]int
+}
+
+func newEventOrder(t *testing.T) *eventOrder {
+	return &eventOrder{
+		t:         t,
+		state:     map[string]string{},
+		doneTasks: map[string]int{},
+		notes:     map[string]int{},
+		kinds:     map[string]int{},
+	}
+}
+
+// add checks the next event.
+func (o *eventOrder) add(e reportedEvent) {
+	o.t.Helper()
+	o.kinds[e.Event]++
+	switch e.Event {
+	case "term", "machine", "zone", "rollout":
+	case "job_accepted":
+		if o.state[e.Job] != "" {
+			o.t.Errorf("%s is accepted twice", e.Job)
+		}
+		o.state[e.Job] = "accepted"
+	case "job_done", "job_cancelled":
+		if o.state[e.Job] != "accepted" {
+			o.t.Errorf("%s ends and was %q", e.Job, o.state[e.Job])
+		}
+		o.state[e.Job] = e.Event
+	default:
+		o.addTaskEvent(e)
+	}
+}
+
+func (o *eventOrder) addTaskEvent(e reportedEvent) {
+	o.t.Helper()
+	name := fmt.Sprintf("%s/%d", e.Job, *e.Task)
+	if o.state[e.Job] != "accepted" && e.Event != "task_ended" {
+		o.t.Errorf("%s: %s, its job is %q", name, e.Event, o.state[e.Job])
+	}
+	was := o.state[name]
+	inOrder := was != "task_done" && slices.Contains(taskEventsBefore[e.Event], was)
+	// Of a gang's other tasks, and where it is done elsewhere, only the end is heard.
+	onlyItsEnd := e.Event == "task_done" && was != "task_done"
+	if !inOrder && !onlyItsEnd {
+		o.t.Errorf("%s: %s after %q", name, e.Event, was)
+	}
+	o.state[name] = e.Event
+	if e.Event == "task_done" {
+		o.doneTasks[e.Job]++
+	}
+	o.notes[e.Note]++
+}
+
+// checkUser checks that a user's job is done, in its answers and by the events.
+func (o *eventOrder) checkUser(user *testUser) {
+	o.t.Helper()
+	job, tasks := user.spec.ID, user.spec.Tasks
+	answeredDone := len(user.finalStates) > 0 && user.finalStates[0] == "done"
+	if !answeredDone || o.doneTasks[job] != tasks || o.state[job] != "job_done" {
+		o.t.Errorf(
+			"%s: answered %v, %d of %d tasks done, %s",
+			job,
+			user.finalStates,
+			o.doneTasks[job],
+			tasks,
+			o.state[job],
+		)
+	}
+}
+
+// scheduleMachineFaults crashes a task, kills a machine or hangs one, in turn, every five seconds.
+func scheduleMachineFaults(sim *Simulation) {
+	for i := range 12 {
+		sim.After(time.Duration(10+5*i)*time.Second, func() {
+			switch i % 3 {
+			case 0:
+				sim.CrashTask()
+			case 1:
+				sim.KillMachine()
+			default:
+				sim.HangMachine(8 * time.Second)
+			}
+		})
+	}
+}
+
 // TestEventsMatchWhatHappened compares events with a plain automaton: through crashes and killed and hung machines
 // each attempt of a task is sent, perhaps runs, and has one end, in this order; a job's acceptance comes first and
 // its end last; and as many tasks are reported done as there are.
 func TestEventsMatchWhatHappened(t *testing.T) {
-	sim, err := NewVirtualTime(
-		Config{
-			Seed:         3,
-			MaxMachines:  8,
-			TickInterval: 20 * time.Millisecond,
-			Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
-		},
-		nil,
-	)
+	sim, err := NewVirtualTime(Config{
+		Seed:         3,
+		MaxMachines:  8,
+		TickInterval: 20 * time.Millisecond,
+		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
+	}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -315,104 +482,24 @@
 		users = append(users, user)
 		sim.After(time.Duration(rng.IntN(60))*time.Second, user.submit)
 	}
-	for i := range 12 {
-		sim.After(time.Duration(10+5*i)*time.Second, func() {
-			switch i % 3 {
-			case 0:
-				sim.CrashTask()
-			case 1:
-				sim.KillMachine()
-			default:
-				sim.HangMachine(8 * time.Second)
-			}
-		})
-	}
-	type happened struct {
-		Event, Note string
-		Job         string `json:"name_id"`
-		Task        *int
-		Attempt     uint64
-	}
-	var all []happened
-	since := ""
+	scheduleMachineFaults(sim)
+	reader := &eventReader{t: t, sim: sim}
 	for range 40 {
 		sim.Advance(5 * time.Second)
-		l, _ := sim.Leader()
-		for more := true; more; {
-			sim.Request(l, "GET", "/v2/events?since="+since, nil, func(status int, raw []byte) {
-				var page struct {
-					Term, Next uint64
-					Events     []happened
-					More       bool `json:"has_next"`
-				}
-				if err := json.Unmarshal(raw, &page); err != nil || status != 200 {
-					t.Fatalf("status %d: %v: %s", status, err, raw)
-				}
-				all, since, more = append(all, page.Events...), fmt.Sprintf("%d-%d", page.Term, page.Next), page.More
-			})
-			sim.Advance(200 * time.Millisecond)
-		}
+		reader.readAll()
 	}
-	if len(all) == 0 || all[0].Event != "term" {
-		t.Fatalf("%d events, the first %+v", len(all), all)
-	}
-	state, done, notes, kinds := map[string]string{}, map[string]int{}, map[string]int{}, map[string]int{}
-	after := map[string]string{
-		"task_sent":     " task_ended task_vanished task_lost",
-		"task_found":    "task_sent",
-		"task_running":  "task_sent task_found",
-		"task_stopping": "task_sent task_found task_running",
-		"task_ended":    "task_sent task_found task_running task_stopping",
-		"task_vanished": "task_sent task_found task_running task_stopping",
-		"task_lost":     "task_sent task_found task_running task_stopping",
-		"task_done":     "task_sent task_found task_running task_stopping",
-	}
-	for _, e := range all {
-		kinds[e.Event]++
-		switch e.Event {
-		case "term", "machine", "zone", "rollout":
-		case "job_accepted":
-			if state[e.Job] != "" {
-				t.Errorf("%s is accepted twice", e.Job)
-			}
-			state[e.Job] = "accepted"
-		case "job_done", "job_cancelled":
-			if state[e.Job] != "accepted" {
-				t.Errorf("%s ends and was %q", e.Job, state[e.Job])
-			}
-			state[e.Job] = e.Event
-		default:
-			name := fmt.Sprintf("%s/%d", e.Job, *e.Task)
-			if state[e.Job] != "accepted" && e.Event != "task_ended" {
-				t.Errorf("%s: %s, its job is %q", name, e.Event, state[e.Job])
-			}
-			if was := state[name]; was == "task_done" || !slices.Contains(strings.Split(after[e.Event], " "), was) {
-				// Of a gang's other tasks, and where it is done elsewhere, only the end is heard.
-				if e.Event != "task_done" || was == "task_done" {
-					t.Errorf("%s: %s after %q", name, e.Event, was)
-				}
-			}
-			if state[name] = e.Event; e.Event == "task_done" {
-				done[e.Job]++
-			}
-			notes[e.Note]++
-		}
+	if len(reader.events) == 0 || reader.events[0].Event != "term" {
+		t.Fatalf("%d events, the first %+v", len(reader.events), reader.events)
+	}
+	order := newEventOrder(t)
+	for _, e := range reader.events {
+		order.add(e)
 	}
 	for _, user := range users {
-		if len(user.finalStates) == 0 || user.finalStates[0] != "done" || done[user.spec.ID] != user.spec.Tasks ||
-			state[user.spec.ID] != "job_done" {
-			t.Errorf(
-				"%s: answered %v, %d of %d tasks done, %s",
-				user.spec.ID,
-				user.finalStates,
-				done[user.spec.ID],
-				user.spec.Tasks,
-				state[user.spec.ID],
-			)
-		}
+		order.checkUser(user)
 	}
-	if notes["error"] == 0 || kinds["task_lost"] == 0 || kinds["machine"] == 0 {
-		t.Errorf("not every kind was seen: %v, %v", kinds, notes)
+	if order.notes["error"] == 0 || order.kinds["task_lost"] == 0 || order.kinds["machine"] == 0 {
+		t.Errorf("not every kind was seen: %v, %v", order.kinds, order.notes)
 	}
 	reportViolations(t, sim)
 }
