--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -42,13 +42,16 @@
 	})
 }
 
+// isAccepted returns whether the job's submission was accepted.
+func (u *testUser) isAccepted() bool { return u.status == 200 || u.status == 201 }
+
 func (u *testUser) submit() {
 	u.simulation.AddJob(u.spec)
 	body, _ := json.Marshal(u.spec)
 	var again func()
 	again = func() {
 		u.request("POST", "/v2/runs", body, func(status int, _ string) {
-			if u.status = status; status == 200 || status == 201 {
+			if u.status = status; u.isAccepted() {
 				u.history = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
 				u.poll()
 				return
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -347,7 +347,7 @@
 					at := cluster.Now()
 					var look func()
 					look = func() {
-						if user.status == 200 || user.status == 201 {
+						if user.isAccepted() {
 							latest = max(latest, cluster.Now()-at)
 							return
 						}
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -1,7 +1,9 @@
 package simulator
 
 import (
+	"errors"
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"os"
 	"runtime"
@@ -31,11 +33,14 @@
 	return fmt.Sprintf("HAREWALK_MEETING='%d|%d|%s'", m.seed, m.jobs, strings.Join(m.script, "|"))
 }
 
+// errNoFaultRun is returned for a text that describes no run of faults.
+var errNoFaultRun = errors.New("no run of faults")
+
 // parseFaultRun reads what String wrote.
 func parseFaultRun(s string) (m faultRun, err error) {
 	fs := strings.Split(s, "|")
 	if len(fs) < 2 {
-		return m, fmt.Errorf("%q is no run of faults", s)
+		return m, fmt.Errorf("%w: %q", errNoFaultRun, s)
 	}
 	if m.seed, err = strconv.ParseUint(fs[0], 10, 64); err == nil {
 		m.jobs, err = strconv.Atoi(fs[1])
@@ -92,8 +97,30 @@
 	}
 	sim.Play(script, func(Fault) {})
 	pollers := sim.Balance().JobPollers()
+	users := m.scheduleUsers(sim, pollers)
+	sim.watchActingLeaders()
+	// The last fault has ended by then.
+	faultsEnd := 12*time.Second + 4*seconds(shortTimers.CancelS*1.5)
+	sim.Advance(faultsEnd)
+	sim.startControllers()
+	sim.advanceUntilOver(users, 3*time.Minute, 2*time.Second)
+	wrong = append(sim.Violations(), openJobs(users)...)
+	for _, n := range sim.nodeNames() {
+		if sim.StoredItem("h/c/n/"+n).Version == 0 {
+			wrong = append(wrong, n+" is there and has no member key")
+		}
+	}
+	if gap, job := pollers.LongestUnanswered(faultsEnd, sim.Now()); gap >= 75*time.Second {
+		wrong = append(wrong, fmt.Sprintf("no question about %s was answered for %v", job, gap))
+	}
+	return wrong, sim.Stats().LongestRunAfterCancel
+}
+
+// scheduleUsers draws the run's jobs and the times at which they are submitted and some cancelled. Each is polled
+// from its acceptance on.
+func (m faultRun) scheduleUsers(sim *Simulation, pollers *JobPollers) []*testUser {
 	rng := rand.New(rand.NewPCG(m.seed, 51))
-	var users []*testUser
+	users := make([]*testUser, 0, m.jobs)
 	for i := range m.jobs {
 		spec := drawJob(rng, i+1)
 		spec.EstimateS = 2 + 18*rng.Float64()
@@ -105,41 +132,29 @@
 		if rng.IntN(5) < 2 {
 			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
 		}
-		var follow func()
-		follow = func() {
-			if user.status == 200 || user.status == 201 {
-				pollers.Follow(spec.ID, nil)
-				return
-			}
-			sim.After(time.Second, follow)
-		}
-		sim.After(at, follow)
+		sim.After(at, func() { user.pollOnceAccepted(pollers) })
 	}
-	sim.watchActingLeaders()
-	// The last fault has ended by then.
-	faultsEnd := 12*time.Second + 4*seconds(shortTimers.CancelS*1.5)
-	sim.Advance(faultsEnd)
-	sim.startControllers()
-	for end := sim.Now() + 3*time.Minute; sim.Now() < end; sim.Advance(2 * time.Second) {
-		if !slices.ContainsFunc(users, func(user *testUser) bool { return len(user.finalStates) < 4 }) {
-			break
-		}
+	return users
+}
+
+// pollOnceAccepted lets pollers follow a user's job as soon as its submission is accepted.
+func (u *testUser) pollOnceAccepted(pollers *JobPollers) {
+	if u.isAccepted() {
+		pollers.Follow(u.spec.ID, nil)
+		return
 	}
-	wrong = sim.Violations()
+	u.simulation.After(time.Second, func() { u.pollOnceAccepted(pollers) })
+}
+
+// openJobs describes the jobs that have no final state yet.
+func openJobs(users []*testUser) []string {
+	var open []string
 	for _, user := range users {
 		if len(user.finalStates) == 0 {
-			wrong = append(wrong, fmt.Sprintf("%s is not over (status %d)", user.spec.ID, user.status))
+			open = append(open, fmt.Sprintf("%s is not over (status %d)", user.spec.ID, user.status))
 		}
 	}
-	for _, n := range sim.nodeNames() {
-		if sim.StoredItem("h/c/n/"+n).Version == 0 {
-			wrong = append(wrong, n+" is there and has no member key")
-		}
-	}
-	if gap, job := pollers.LongestUnanswered(faultsEnd, sim.Now()); gap >= 75*time.Second {
-		wrong = append(wrong, fmt.Sprintf("no question about %s was answered for %v", job, gap))
-	}
-	return wrong, sim.Stats().LongestRunAfterCancel
+	return open
 }
 
 // shorten finds a smaller run that fails as well: with one fault, with fewer jobs.
@@ -158,27 +173,9 @@
 	return m
 }
 
-// TestPairsOfFaults runs every pair of the scripts' faults at overlapping times: no rule breaks, every job ends,
-// and no job's queries stay unanswered afterwards. HAREWALK_PAIRS=20 runs all pairs with 20 seeds each; otherwise a
-// fixed share of the pairs runs. A failing run is shortened, and HAREWALK_MEETING repeats it.
-func TestPairsOfFaults(t *testing.T) {
-	if s := os.Getenv("HAREWALK_MEETING"); s != "" {
-		m, err := parseFaultRun(s)
-		if err != nil {
-			t.Fatal(err)
-		}
-		wrong, longest := m.play()
-		t.Logf("%v: cancelled tasks stayed %v at most", m, longest)
-		for _, w := range wrong {
-			t.Error(w)
-		}
-		return
-	}
-	words := make([]string, 0, len(faultKinds))
-	for name := range faultKinds {
-		words = append(words, name)
-	}
-	slices.Sort(words)
+// selectFaultRuns returns the runs of all pairs of the scripts' faults, or of a fixed share of them. HAREWALK_PAIRS
+// sets the number of seeds for each of all pairs, HAREWALK_PAIRS_FROM the first seed.
+func selectFaultRuns() []faultRun {
 	seeds, share, first := 1, 12, 0
 	if s := os.Getenv("HAREWALK_PAIRS"); s != "" {
 		seeds, _ = strconv.Atoi(s)
@@ -187,54 +184,100 @@
 	if s := os.Getenv("HAREWALK_PAIRS_FROM"); s != "" {
 		first, _ = strconv.Atoi(s)
 	}
-	var ms []faultRun
+	words := slices.Sorted(maps.Keys(faultKinds))
+	var runs []faultRun
 	n := 0
 	for i, a := range words {
 		for _, b := range words[i:] {
 			for k := range seeds {
 				if n++; n%share == 0 {
-					ms = append(ms, drawFaultRun(a, b, uint64(1000*n+first+k)))
+					runs = append(runs, drawFaultRun(a, b, uint64(1000*n+first+k)))
 				}
 			}
 		}
 	}
-	var mu sync.Mutex
-	var wait sync.WaitGroup
-	longest, failed := time.Duration(0), 0
+	return runs
+}
+
+// maxShortenedRuns bounds how many failing runs are shortened, which takes many runs each.
+const maxShortenedRuns = 3
+
+// faultRunResults collects the results of runs that are played at the same time.
+type faultRunResults struct {
+	t       *testing.T
+	mu      sync.Mutex
+	longest time.Duration // a cancelled task stayed at most
+	failed  int
+}
+
+// play plays a run, reports what went wrong in it, and shortens it if it is one of the first to fail.
+func (r *faultRunResults) play(run faultRun) {
+	wrong, stayed := run.play()
+	if r.add(run, wrong, stayed) {
+		r.t.Logf("%v, shortened: %v", run, run.shorten())
+	}
+}
+
+// add counts a run's result and returns true if the run should be shortened.
+func (r *faultRunResults) add(run faultRun, wrong []string, stayed time.Duration) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.longest = max(r.longest, stayed)
+	if len(wrong) == 0 {
+		return false
+	}
+	r.failed++
+	r.t.Errorf("%v: %s", run, strings.Join(wrong[:min(3, len(wrong))], "; "))
+	return r.failed <= maxShortenedRuns
+}
+
+// repeatFaultRun plays the run that HAREWALK_MEETING describes.
+func repeatFaultRun(t *testing.T, description string) {
+	t.Helper()
+	run, err := parseFaultRun(description)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wrong, longest := run.play()
+	t.Logf("%v: cancelled tasks stayed %v at most", run, longest)
+	for _, w := range wrong {
+		t.Error(w)
+	}
+}
+
+// TestPairsOfFaults runs every pair of the scripts' faults at overlapping times: no rule breaks, every job ends,
+// and no job's queries stay unanswered afterwards. HAREWALK_PAIRS=20 runs all pairs with 20 seeds each; otherwise a
+// fixed share of the pairs runs. A failing run is shortened, and HAREWALK_MEETING repeats it.
+func TestPairsOfFaults(t *testing.T) {
+	if description := os.Getenv("HAREWALK_MEETING"); description != "" {
+		repeatFaultRun(t, description)
+		return
+	}
+	runs := selectFaultRuns()
+	results := &faultRunResults{t: t}
 	work := make(chan faultRun)
+	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
-		wait.Go(func() {
-			for m := range work {
-				wrong, stayed := m.play()
-				mu.Lock()
-				longest = max(longest, stayed)
-				if len(wrong) > 0 {
-					failed++
-					t.Errorf("%v: %s", m, strings.Join(wrong[:min(3, len(wrong))], "; "))
-				}
-				short := len(wrong) > 0 && failed <= 3
-				mu.Unlock()
-				if short {
-					s := m.shorten()
-					t.Logf("%v, shortened: %v", m, s)
-				}
+		workers.Go(func() {
+			for run := range work {
+				results.play(run)
 			}
 		})
 	}
-	for _, m := range ms {
-		work <- m
+	for _, run := range runs {
+		work <- run
 	}
 	close(work)
-	wait.Wait()
+	workers.Wait()
 	t.Logf(
 		"%d runs of %d faults, %d failed; cancelled tasks stayed %v at most, of %v",
-		len(ms),
-		len(words),
-		failed,
-		longest,
+		len(runs),
+		len(faultKinds),
+		results.failed,
+		results.longest,
 		seconds(shortTimers.CancelS),
 	)
-	if len(ms) < 40 || longest == 0 {
+	if len(runs) < 40 || results.longest == 0 {
 		t.Error("hardly anything overlapped")
 	}
 }
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -527,7 +527,7 @@
 func (r *testCluster) accepted(id string) bool {
 	return slices.ContainsFunc(
 		r.users,
-		func(user *testUser) bool { return user.spec.ID == id && (user.status == 200 || user.status == 201) },
+		func(user *testUser) bool { return user.spec.ID == id && user.isAccepted() },
 	)
 }
 
@@ -785,7 +785,7 @@
 	var follow func()
 	follow = func() {
 		for ; followed < len(cluster.users); followed++ {
-			if s := cluster.users[followed].status; s != 200 && s != 201 {
+			if !cluster.users[followed].isAccepted() {
 				break
 			}
 			pollers.Follow(cluster.users[followed].spec.ID, nil)
