--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -141,9 +141,9 @@
 
 // chaosFault is a random fault of a chaos run: what happens, to which controller, for how long.
 type chaosFault struct {
-	kind       int
 	controller int
 	duration   time.Duration
+	kind       int // below chaosFaultKinds
 }
 
 // chaosFaultKinds is the number of kinds that injectChaosFault knows.
@@ -192,10 +192,11 @@
 		return time.Duration(rng.IntN(maxSeconds*1000)) * time.Millisecond
 	}
 	for at := upTo(4); at < end; at += upTo(6) {
-		// The draws are one statement each, for the same seed has to draw the same run.
-		fault := chaosFault{controller: rng.IntN(sim.Controllers())}
-		fault.duration = 500*time.Millisecond + upTo(9)
-		fault.kind = rng.IntN(chaosFaultKinds)
+		fault := chaosFault{
+			controller: rng.IntN(sim.Controllers()),
+			duration:   500*time.Millisecond + upTo(9),
+			kind:       rng.IntN(chaosFaultKinds),
+		}
 		sim.After(at, func() { sim.injectChaosFault(fault) })
 	}
 }
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -171,3 +171,12 @@
 func (r *testCluster) othersInTurn(except int) func(k int) int {
 	return func(k int) int { return (except + 1 + k%2) % r.Controllers() }
 }
+
+// countEnds counts the jobs of users by their final states.
+func countEnds(ends map[string]int, users []*testUser) {
+	for _, user := range users {
+		if len(user.finalStates) > 0 {
+			ends[user.finalStates[0]]++
+		}
+	}
+}
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -830,11 +830,7 @@
 		cluster.waitFor("migrated", time.Minute, cluster.migrated)
 		risen++
 		cluster.waitUntilDone()
-		for _, user := range cluster.users {
-			if len(user.finalStates) > 0 {
-				ends[user.finalStates[0]]++
-			}
-		}
+		countEnds(ends, cluster.users)
 		s := cluster.Stats()
 		starts, kills = starts+s.TaskStarts, kills+s.ControllersKilled
 		if t.Failed() {
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -338,11 +338,7 @@
 		cluster.startControllers()
 		cluster.waitUntilDone()
 		jobsN += len(cluster.users)
-		for _, user := range cluster.users {
-			if len(user.finalStates) > 0 {
-				ends[user.finalStates[0]]++
-			}
-		}
+		countEnds(ends, cluster.users)
 		starts += cluster.Stats().TaskStarts
 		if t.Failed() {
 			t.Fatalf("seed %d", 400+seed)
