--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -45,10 +45,10 @@
 	}{
 		{1, false, 50 * time.Second, ""},
 		{6, false, 50 * time.Second, ""},
-		{99, true, 50 * time.Second, ""},
+		{wholeZone, true, 50 * time.Second, ""},
 		{6, false, 10 * time.Second, "killed"},
-		{99, true, 50 * time.Second, "killed"},
-		{99, true, 50 * time.Second, "drained"},
+		{wholeZone, true, 50 * time.Second, "killed"},
+		{wholeZone, true, 50 * time.Second, "drained"},
 	} {
 		t.Run(fmt.Sprint(c.n, " ", c.d, " ", c.how), func(t *testing.T) {
 			t.Parallel()
@@ -99,7 +99,7 @@
 		"flaps": func(cluster *testCluster, zone string) { cluster.flapZone(zone, 4*time.Second) },
 		"long":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DropBoth, 18*time.Second) },
 		"held":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DelayBoth, 9*time.Second) },
-		"deaf":  func(cluster *testCluster, zone string) { cluster.DropInbound(99, zone, 14*time.Second) },
+		"deaf":  func(cluster *testCluster, zone string) { cluster.DropInbound(wholeZone, zone, 14*time.Second) },
 	}
 	for what, lose := range losses {
 		for _, how := range []string{"", "killed"} {
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -47,6 +47,9 @@
 // zoneNames returns the zones of most tests' clouds.
 func zoneNames() []string { return []string{"a", "b", "c"} }
 
+// wholeZone stands for all machines, or all of a zone, where a number of machines is asked for.
+const wholeZone = 99
+
 // reportViolations reports every rule of the protocol that a simulation has seen broken.
 func reportViolations(t *testing.T, sim *Simulation) {
 	t.Helper()
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"testing"
@@ -54,8 +55,8 @@
 	}{
 		{"one", 1, false, 5 * time.Minute, false},
 		{"many", 14, false, 5 * time.Minute, false},
-		{"zone", 99, true, 5 * time.Minute, false},
-		{"zone and leader", 99, true, 5 * time.Minute, true},
+		{"zone", wholeZone, true, 5 * time.Minute, false},
+		{"zone and leader", wholeZone, true, 5 * time.Minute, true},
 		{"many for a while", 14, false, 12 * time.Second, false},
 		{"many and leader", 14, false, 5 * time.Minute, true},
 	} {
@@ -274,72 +275,84 @@
 	cluster.waitUntilDone()
 }
 
+// raiseHeartbeatSequences makes all machines look as if they had been up for hours.
+func (r *testCluster) raiseHeartbeatSequences() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, machine := range r.cloud.machines {
+		machine.seq += 100_000
+	}
+}
+
+// drawReadyMachines returns the names of up to a number of machines that are ready.
+func (r *testCluster) drawReadyMachines(limit int) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var names []string
+	for _, machine := range r.shuffledReadyMachines() {
+		if len(names) < limit {
+			names = append(names, machine.Name)
+		}
+	}
+	return names
+}
+
+// isHeardOrReturned returns whether a controller has a machine's last heartbeat, or the machine isn't rented any more.
+func (r *testCluster) isHeardOrReturned(name string, controller int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	machine := r.cloud.machineByName[name]
+	process := r.virtual.controllers[controller].process
+	return machine.dead || process != nil && process.Hears(name, machine.session, machine.seq)
+}
+
+// waitUntilHeardOrReturned advances time, at most a minute, until the leader has heard each machine once or the
+// machine is returned. It returns how many are left, and how long it took.
+func (r *testCluster) waitUntilHeardOrReturned(names []string) (left int, took time.Duration) {
+	open := map[string]bool{}
+	for _, name := range names {
+		open[name] = true
+	}
+	from := r.Now()
+	for ; r.Now() < from+time.Minute && len(open) > 0; r.Advance(250 * time.Millisecond) {
+		leader, _ := r.Leader()
+		if leader < 0 {
+			continue
+		}
+		maps.DeleteFunc(open, func(name string, _ bool) bool { return r.isHeardOrReturned(name, leader) })
+	}
+	return len(open), r.Now() - from
+}
+
 // TestMachinesThatRestartAtOnce restarts machines within a fraction of a second under their names, session and
-// sequence from the start, while copies of their earlier heartbeats are on their way: one, many, all of a zone,
-// all. They are used again or returned, soon.
+// sequence from the start, while copies of their earlier heartbeats are on their way: one, many, all. They are used
+// again or returned, soon.
 func TestMachinesThatRestartAtOnce(t *testing.T) {
-	for _, n := range []int{1, 12, 99} {
+	for _, n := range []int{1, 12, wholeZone} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			cluster, _ := newSteadyCluster(t, 85, 3)
 			cluster.DuplicateMessages(0.2, time.Second, 20*time.Second)
-			cluster.mu.Lock()
-			for _, machine := range cluster.cloud.machines {
-				machine.seq += 100_000 // they have been up for hours
-			}
-			cluster.mu.Unlock()
+			cluster.raiseHeartbeatSequences()
 			cluster.Advance(15 * time.Second)
-			var names []string
-			cluster.mu.Lock()
-			for _, machine := range cluster.shuffledReadyMachines() {
-				if len(names) < n {
-					names = append(names, machine.Name)
-				}
-			}
-			cluster.mu.Unlock()
+			names := cluster.drawReadyMachines(n)
 			for _, name := range names {
 				cluster.RestartMachine(name, time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
 			}
 			cluster.submitJobs(30 * time.Second)
-			left := map[string]bool{}
-			for _, name := range names {
-				left[name] = true
-			}
-			from, l := cluster.Now(), 0
-			end := cluster.Now() + time.Minute
-			for ; cluster.Now() < end && len(left) > 0; cluster.Advance(250 * time.Millisecond) {
-				if l, _ = cluster.Leader(); l < 0 {
-					continue
-				}
-				for name := range left {
-					cluster.mu.Lock()
-					machine := cluster.cloud.machineByName[name]
-					known := !machine.dead && cluster.virtual.controllers[l].process != nil &&
-						cluster.virtual.controllers[l].process.Hears(name, machine.session, machine.seq)
-					dead := machine.dead
-					cluster.mu.Unlock()
-					if dead || known {
-						delete(left, name)
-					}
-				}
-			}
+			left, took := cluster.waitUntilHeardOrReturned(names)
 			returned := 0
 			for _, name := range names {
 				if !cluster.machineAlive(name) {
 					returned++
 				}
 			}
-			t.Logf(
-				"%d machines: all heard or given back after %v, %d given back",
-				len(names),
-				cluster.Now()-from,
-				returned,
-			)
-			if duration := cluster.Now() - from; duration > 10*time.Second || returned > len(names)/4 {
+			t.Logf("%d machines: all heard or given back after %v, %d given back", len(names), took, returned)
+			if took > 10*time.Second || returned > len(names)/4 {
 				t.Errorf(
 					"%d of %d machines were neither heard nor given back within %v, %d given back",
-					len(left),
+					left,
 					len(names),
-					duration,
+					took,
 					returned,
 				)
 			}
--- a/internal/simulator/random_partial_faults_test.go
+++ b/internal/simulator/random_partial_faults_test.go
@@ -50,9 +50,6 @@
 	failingUsers []*testUser // of jobs that fail wherever they run, until they are cancelled
 }
 
-// wholeZone stands for all machines of a zone, where a number of machines is asked for.
-const wholeZone = 99
-
 // partialFaultKinds begin a fault each. Their order is part of what a seed draws.
 var partialFaultKinds = []func(*partialFaultRun, partialFault){
 	func(run *partialFaultRun, f partialFault) { run.DropInbound(1+f.count, "", f.duration) },
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/controller"
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/zones"
 )
@@ -206,6 +207,28 @@
 	cluster.waitUntilDone()
 }
 
+// replicasByZone counts the tasks of a job on machines that are rented, by their zones.
+func (r *testCluster) replicasByZone(spec *jobs.Spec) map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	replicas := map[string]int{}
+	for _, machine := range r.cloud.machines {
+		for _, task := range machine.tasks {
+			if task.spec == spec && task.state != taskExited && !machine.dead {
+				replicas[machine.zone]++
+			}
+		}
+	}
+	return replicas
+}
+
+func sum(counts map[string]int) (total int) {
+	for _, count := range counts {
+		total += count
+	}
+	return total
+}
+
 // TestServicesAreSpread checks that replicas of a service are spread, so that no zone has most of them where others
 // have room; with two zones left a service that must stay apart keeps its bound, and what can't be placed waits.
 func TestServicesAreSpread(t *testing.T) {
@@ -215,43 +238,20 @@
 	spec := spreadServiceSpec()
 	user := cluster.newUser(spec)
 	user.submit()
-	on := func() map[string]int {
-		cluster.mu.Lock()
-		defer cluster.mu.Unlock()
-		m := map[string]int{}
-		for _, x := range cluster.cloud.machines {
-			for _, task := range x.tasks {
-				if task.spec == spec && task.state != taskExited && !x.dead {
-					m[x.zone]++
-				}
-			}
-		}
-		return m
-	}
-	total := func() (n int) {
-		for _, v := range on() {
-			n += v
-		}
-		return n
-	}
-	cluster.waitFor("up", 40*time.Second, func() bool { return total() == 6 })
+	allUp := func() bool { return sum(cluster.replicasByZone(spec)) == 6 }
+	cluster.waitFor("up", 40*time.Second, allUp)
 	up := map[string]int{}
-	for z := range cluster.zoneViews() {
-		up[z] = on()[z]
-		if up[z] > 3 {
+	for zone := range cluster.zoneViews() {
+		up[zone] = cluster.replicasByZone(spec)[zone]
+		if up[zone] > 3 {
 			t.Errorf("%v", up)
 		}
 	}
-	if len(on()) < 2 {
-		t.Errorf("all replicas stand in one zone: %v", on())
+	if replicas := cluster.replicasByZone(spec); len(replicas) < 2 {
+		t.Errorf("all replicas stand in one zone: %v", replicas)
 	}
-	zone := cluster.zoneWithoutLeader()
-	cluster.PowerOffZone(zone)
-	cluster.waitFor(
-		"up again",
-		40*time.Second,
-		func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 },
-	)
+	cluster.PowerOffZone(cluster.zoneWithoutLeader())
+	cluster.waitFor("up again", 40*time.Second, allUp)
 	cluster.startControllers()
 	cluster.Advance(3 * time.Second)
 	user.cancel()
@@ -279,6 +279,75 @@
 	cluster.waitUntilDone()
 }
 
+// zoneFault is a random fault of a run in which zones are lost.
+type zoneFault struct {
+	zone       string
+	how        Partition
+	duration   time.Duration
+	controller int
+	kind       int // 0 to 9
+}
+
+// injectZoneFault begins a random fault, and returns whether it cuts a zone off.
+func (r *testCluster) injectZoneFault(fault zoneFault) (cutsZone bool) {
+	zone, duration, i := fault.zone, fault.duration, fault.controller
+	switch fault.kind {
+	case 0, 1, 2, 3:
+		r.PartitionZone(zone, fault.how)
+		r.After(duration, func() { r.PartitionZone(zone, Connected) })
+		return true
+	case 4:
+		r.flapZone(zone, duration/8)
+		return true
+	case 5:
+		r.PowerOffZone(zone)
+		r.After(duration/4, r.startControllers)
+	case 6:
+		r.KillController(i)
+		r.After(duration/4, func() { r.StartController(i) })
+	case 7:
+		r.DrainController(i, func() { r.After(duration/8, func() { r.StartController(i) }) })
+	case 8:
+		r.during(duration/3, r.SetStateOutage)
+	case 9:
+		r.during(duration/2, r.SetCloudOutage)
+	}
+	return false
+}
+
+// playRandomZoneFaults plays zone faults over a load, then ends all faults and waits for the end of all jobs. It
+// returns the cluster and how often a zone was cut off.
+func playRandomZoneFaults(t *testing.T, seed uint64, controllers int) (cluster *testCluster, zonesCut int) {
+	t.Helper()
+	cluster = newTestCluster(t, seed, controllers, rollout.Newest, "")
+	rng := cluster.rng
+	cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+	cluster.submitJobs(90 * time.Second)
+	for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
+		fault := zoneFault{
+			zone:       zoneNames()[rng.IntN(3)],
+			how:        Partition(1 + rng.IntN(5)),
+			duration:   time.Duration(500+rng.IntN(20000)) * time.Millisecond,
+			controller: rng.IntN(controllers),
+			kind:       rng.IntN(10),
+		}
+		cluster.After(at, func() {
+			if cluster.injectZoneFault(fault) {
+				zonesCut++
+			}
+		})
+	}
+	cluster.Advance(120 * time.Second)
+	cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
+	for _, zone := range zoneNames() {
+		cluster.PartitionZone(zone, Connected)
+	}
+	cluster.Advance(time.Second)
+	cluster.startControllers()
+	cluster.waitUntilDone()
+	return cluster, zonesCut
+}
+
 // TestRandomZoneFaults loses zones at random, flapping, without power and returning, over kills, drains, outages
 // and rolls, under load.
 func TestRandomZoneFaults(t *testing.T) {
@@ -286,63 +355,16 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
-	ends, starts, lost, jobsN := map[string]int{}, 0, 0, 0
+	ends, starts, lost, jobCount := map[string]int{}, 0, 0, 0
 	for seed := range seeds {
-		cluster := newTestCluster(t, uint64(400+seed), 3+2*(seed%2), rollout.Newest, "")
-		rng := cluster.rng
-		cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-		cluster.submitJobs(90 * time.Second)
-		n := cluster.Controllers()
-		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
-			zone, how, duration := zoneNames()[rng.IntN(3)], Partition(
-				1+rng.IntN(5),
-			), time.Duration(
-				500+rng.IntN(20000),
-			)*time.Millisecond
-			i, what := rng.IntN(n), rng.IntN(10)
-			cluster.After(at, func() {
-				switch what {
-				case 0, 1, 2, 3:
-					cluster.PartitionZone(zone, how)
-					cluster.After(duration, func() { cluster.PartitionZone(zone, Connected) })
-					lost++
-				case 4:
-					cluster.flapZone(zone, duration/8)
-					lost++
-				case 5:
-					cluster.PowerOffZone(zone)
-					cluster.After(duration/4, func() {
-						cluster.startControllers()
-					})
-				case 6:
-					cluster.KillController(i)
-					cluster.After(duration/4, func() { cluster.StartController(i) })
-				case 7:
-					cluster.DrainController(
-						i,
-						func() { cluster.After(duration/8, func() { cluster.StartController(i) }) },
-					)
-				case 8:
-					cluster.during(duration/3, cluster.SetStateOutage)
-				case 9:
-					cluster.during(duration/2, cluster.SetCloudOutage)
-				}
-			})
-		}
-		cluster.Advance(120 * time.Second)
-		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-		for _, z := range zoneNames() {
-			cluster.PartitionZone(z, Connected)
-		}
-		cluster.Advance(time.Second)
-		cluster.startControllers()
-		cluster.waitUntilDone()
-		jobsN += len(cluster.users)
+		cluster, zonesCut := playRandomZoneFaults(t, uint64(400+seed), 3+2*(seed%2))
+		lost += zonesCut
+		jobCount += len(cluster.users)
 		countEnds(ends, cluster.users)
 		starts += cluster.Stats().TaskStarts
 		if t.Failed() {
 			t.Fatalf("seed %d", 400+seed)
 		}
 	}
-	t.Logf("%d seeds: %d jobs, %v; %d starts, %d times a zone was cut off", seeds, jobsN, ends, starts, lost)
+	t.Logf("%d seeds: %d jobs, %v; %d starts, %d times a zone was cut off", seeds, jobCount, ends, starts, lost)
 }
