--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -197,8 +197,19 @@
 	_ = c.ports.close() // the ports are free whatever a listener's close reports
 }
 
-// WaitReady waits until a controller's health check passes. After a time limit it returns an error with the log's
-// end.
+// NotReadyError is returned for a controller whose health check didn't pass within a time limit.
+type NotReadyError struct {
+	Controller int
+	Limit      time.Duration
+	LogTail    string // the end of the controller's log
+}
+
+// Error implements error.
+func (e *NotReadyError) Error() string {
+	return fmt.Sprintf("controller %d is not ready after %v; its log ends with: %s", e.Controller, e.Limit, e.LogTail)
+}
+
+// WaitReady waits until a controller's health check passes. After a time limit it returns a *NotReadyError.
 func (c *Cluster) WaitReady(i int, limit time.Duration) error {
 	healthCheck := "http://" + c.simulation.UserAddr(i) + "/up"
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(readyPoll) {
@@ -209,5 +220,5 @@
 	}
 	log, _ := os.ReadFile(c.LogFile(i))
 	tail := log[max(0, len(log)-logTail):]
-	return fmt.Errorf("controller %d is not ready after %v; its log ends with: %s", i, limit, tail)
+	return &NotReadyError{Controller: i, Limit: limit, LogTail: string(tail)}
 }
--- a/internal/simulator/script.go
+++ b/internal/simulator/script.go
@@ -36,8 +36,43 @@
 	return words
 }
 
+// ScriptError is the error of one line of a script.
+type ScriptError struct {
+	Line int    // from 1
+	Text string // without its comment
+	Err  error  // what is wrong with it
+}
+
+// Error implements error.
+func (e *ScriptError) Error() string { return fmt.Sprintf("line %d: %q: %v", e.Line, e.Text, e.Err) }
+
+// Unwrap returns what is wrong with the line.
+func (e *ScriptError) Unwrap() error { return e.Err }
+
+var (
+	errNoTimeAndFault = errors.New("begin with a time and a fault, such as \"12s kill-machine\"")
+	errUnknownFault   = errors.New("no such fault")
+)
+
+// argumentCountError is returned for a fault with too few or too many arguments.
+type argumentCountError struct {
+	fault string
+	want  int
+}
+
+// Error implements error.
+func (e *argumentCountError) Error() string {
+	return fmt.Sprintf("%s takes %d arguments", e.fault, e.want)
+}
+
+// argumentError is returned for an argument that isn't of the kind that its fault takes.
+type argumentError struct{ value string }
+
+// Error implements error.
+func (e *argumentError) Error() string { return e.value + " is not what belongs there" }
+
 // ParseScript reads faults, one a line, such as "12s hang 5s"; "#" begins a comment. It returns them in the order of
-// their times. Its error names the line.
+// their times. The error of a line that isn't a fault is a *ScriptError.
 func ParseScript(r io.Reader) ([]Fault, error) {
 	var script []Fault
 	lines := bufio.NewScanner(r)
@@ -49,7 +84,7 @@
 		}
 		fault, err := parseFault(fields)
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %q: %w", number, strings.TrimSpace(text), err)
+			return nil, &ScriptError{Line: number, Text: strings.TrimSpace(text), Err: err}
 		}
 		script = append(script, fault)
 	}
@@ -61,20 +96,20 @@
 func parseFault(fields []string) (Fault, error) {
 	after, err := time.ParseDuration(fields[0])
 	if err != nil || after < 0 || len(fields) < 2 {
-		return Fault{}, errors.New("begin with a time and a fault, such as \"12s kill-machine\"")
+		return Fault{}, errNoTimeAndFault
 	}
 	name, values := fields[1], fields[2:]
 	kind, ok := faultKinds[name]
 	if !ok {
-		return Fault{}, fmt.Errorf("no such fault; there are %s", strings.Join(FaultWords(), ", "))
+		return Fault{}, fmt.Errorf("%w; there are %s", errUnknownFault, strings.Join(FaultWords(), ", "))
 	}
 	if len(values) != len(kind.args) {
-		return Fault{}, fmt.Errorf("%s takes %d arguments", name, len(kind.args))
+		return Fault{}, &argumentCountError{fault: name, want: len(kind.args)}
 	}
 	var args faultArgs
 	for i, argKind := range kind.args {
 		if !args.parse(argKind, values[i]) {
-			return Fault{}, fmt.Errorf("%s is not what belongs there", values[i])
+			return Fault{}, &argumentError{value: values[i]}
 		}
 	}
 	return Fault{
--- a/internal/simulator/script_test.go
+++ b/internal/simulator/script_test.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -26,3 +27,28 @@
 		}
 	}
 }
+
+// TestParseScriptErrorsAreTyped checks that a caller can read from an error the line and what is wrong with it.
+func TestParseScriptErrorsAreTyped(t *testing.T) {
+	_, err := ParseScript(strings.NewReader("12s hang 5s\n\n13s sleep 5s # at night\n"))
+	var lineError *ScriptError
+	if !errors.As(err, &lineError) || lineError.Line != 3 || lineError.Text != "13s sleep 5s" {
+		t.Errorf("error %#v names line and text otherwise", err)
+	}
+	if !errors.Is(err, errUnknownFault) {
+		t.Errorf("error %v is not that of an unknown fault", err)
+	}
+	_, err = ParseScript(strings.NewReader("12s hang"))
+	var countError *argumentCountError
+	if !errors.As(err, &countError) || countError.fault != "hang" || countError.want != 1 {
+		t.Errorf("error %#v is not that of a missing argument", err)
+	}
+	_, err = ParseScript(strings.NewReader("12s hang five"))
+	var valueError *argumentError
+	if !errors.As(err, &valueError) || valueError.value != "five" {
+		t.Errorf("error %#v is not that of a wrong argument", err)
+	}
+	if _, err = ParseScript(strings.NewReader("12s")); !errors.Is(err, errNoTimeAndFault) {
+		t.Errorf("error %v is not that of a missing fault", err)
+	}
+}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -189,7 +189,19 @@
 	history.FinalAnswers++
 }
 
-// Wait waits until all accepted jobs have ended. After a time limit it returns an error that names some that haven't.
+// OpenJobsError is returned when accepted jobs haven't ended within a time limit.
+type OpenJobsError struct {
+	Jobs  []string // in no order
+	Limit time.Duration
+}
+
+// Error implements error.
+func (e *OpenJobsError) Error() string {
+	listed := e.Jobs[:min(maxListedJobs, len(e.Jobs))]
+	return fmt.Sprintf("%d jobs are not over after %v: %v", len(e.Jobs), e.Limit, listed)
+}
+
+// Wait waits until all accepted jobs have ended. After a time limit it returns an *OpenJobsError.
 func (u *Users) Wait(limit time.Duration) error {
 	done := make(chan struct{})
 	go func() {
@@ -207,7 +219,7 @@
 	for job := range u.openJobs {
 		open = append(open, job)
 	}
-	return fmt.Errorf("%d jobs are not over after %v: %v", len(open), limit, open[:min(maxListedJobs, len(open))])
+	return &OpenJobsError{Jobs: open, Limit: limit}
 }
 
 // Check queries every controller about every job that has ended, and about jobs that nobody submitted, and records
