--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -251,7 +251,7 @@
 }
 
 // TestArchivingWaitsForTheLevel checks that nothing is archived before every controller can read the archive; after
-// the rise what earlier releases stored is archived under any leader, and found at every moment.
+// the upgrade what earlier releases stored is archived under any leader, and found at every moment.
 func TestArchivingWaitsForTheLevel(t *testing.T) {
 	cluster := newTestCluster(t, 405, 3, rollout.Paged, "soak_s = 3")
 	cluster.submitJobs(100 * time.Second)
@@ -272,7 +272,7 @@
 		}
 		cluster.Advance(200 * time.Millisecond)
 	}
-	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitFor("begun", 30*time.Second, func() bool { return cluster.CountKeys(archive.Prefix) > 5 })
 	l, _ := cluster.Leader()
 	cluster.KillController(l)
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -146,7 +146,7 @@
 	kind       int // below chaosFaultKinds
 }
 
-// chaosFaultKinds is the number of kinds that injectChaosFault knows.
+// chaosFaultKinds is the number of kinds of injectChaosFault.
 const chaosFaultKinds = 12
 
 // injectChaosFault begins a random fault.
@@ -419,7 +419,7 @@
 	}
 	was := o.state[name]
 	inOrder := was != "task_done" && slices.Contains(taskEventsBefore[e.Event], was)
-	// Of a gang's other tasks, and where it is done elsewhere, only the end is heard.
+	// Of a gang's other tasks, and where it is done elsewhere, only the end is reported.
 	onlyItsEnd := e.Event == "task_done" && was != "task_done"
 	if !inOrder && !onlyItsEnd {
 		o.t.Errorf("%s: %s after %q", name, e.Event, was)
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -13,7 +13,7 @@
 )
 
 // Tests of two faults that coincide, with the parameters of each varied. A controller's lease is 2 s here, a
-// worker's 6 s, and cancel_s 11.5 s, 1 s more than the least that the settings accept.
+// worker's 6 s, and cancel_s 11.5 s, 1 s more than the minimum that the settings accept.
 
 // newBusyCluster is a cluster on tight workers, with jobs of all kinds that run for long, so that something is to
 // be lost.
@@ -263,7 +263,7 @@
 		cluster.mu.Unlock()
 	}
 	if last == 0 {
-		t.Error("no machine heard of the new leader")
+		t.Error("no machine had an answer of the new leader")
 	}
 	cluster.recoverAndCheck()
 }
@@ -273,11 +273,13 @@
 func TestDelayedMessages(t *testing.T) {
 	const d = 12 * time.Second
 	delayFaults := map[string]func(cluster *testCluster, maxDelay time.Duration){
-		"commands": func(cluster *testCluster, most time.Duration) { cluster.DelayCommands(most/4, most) },
-		"answers":  func(cluster *testCluster, most time.Duration) { cluster.DelayHeartbeatAnswers(most/4, most) },
-		"both": func(cluster *testCluster, most time.Duration) {
-			cluster.DelayCommands(most/4, most)
-			cluster.DelayHeartbeatAnswers(most/8, most/2)
+		"commands": func(cluster *testCluster, maxDelay time.Duration) { cluster.DelayCommands(maxDelay/4, maxDelay) },
+		"answers": func(cluster *testCluster, maxDelay time.Duration) {
+			cluster.DelayHeartbeatAnswers(maxDelay/4, maxDelay)
+		},
+		"both": func(cluster *testCluster, maxDelay time.Duration) {
+			cluster.DelayCommands(maxDelay/4, maxDelay)
+			cluster.DelayHeartbeatAnswers(maxDelay/8, maxDelay/2)
 		},
 	}
 	meets := map[string]func(cluster *testCluster, k int){
@@ -297,8 +299,8 @@
 			t.Run(what+" "+with, func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 205, 3, 16)
 				cluster.submitJobs(d)
-				for k, most := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
-					cluster.After(time.Duration(k)*d/3, func() { delay(cluster, most) })
+				for k, maxDelay := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
+					cluster.After(time.Duration(k)*d/3, func() { delay(cluster, maxDelay) })
 				}
 				for k := range 6 {
 					cluster.After(time.Duration(k)*d/6+500*time.Millisecond, func() { f(cluster, k) })
@@ -490,11 +492,11 @@
 		"cut":     func(cluster *testCluster, k int) { cluster.partitionZoneFor("a", DelayBoth, 2*time.Second) },
 	}
 	for what, f := range meets {
-		for _, most := range []time.Duration{3 * time.Second, 24 * time.Second} {
-			t.Run(fmt.Sprint(what, " ", most), func(t *testing.T) {
+		for _, maxDelay := range []time.Duration{3 * time.Second, 24 * time.Second} {
+			t.Run(fmt.Sprint(what, " ", maxDelay), func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 216, 3, 16)
 				cluster.submitJobs(24 * time.Second)
-				cluster.DuplicateMessages(0.7, 100*time.Millisecond, most)
+				cluster.DuplicateMessages(0.7, 100*time.Millisecond, maxDelay)
 				for k := range 8 {
 					cluster.After(time.Duration(3*k)*time.Second, func() { f(cluster, k) })
 				}
@@ -534,7 +536,7 @@
 		from := cluster.Now()
 		cluster.Advance(75 * time.Second)
 		if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-			t.Errorf("%v: no question about %s was answered for %v", slow, job, gap)
+			t.Errorf("%v: no query of %s was answered for %v", slow, job, gap)
 		}
 		cluster.recoverAndCheck()
 	}
@@ -592,11 +594,11 @@
 				s.WorkerLeasesExpired,
 				s.TasksRerun,
 			)
-			most := 8 * time.Second
+			maxDelay := 8 * time.Second
 			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
-				most = 14 * time.Second
+				maxDelay = 14 * time.Second
 			}
-			if worst > most {
+			if worst > maxDelay {
 				t.Errorf("that a job is done was durable %v after its last task had ended", worst)
 			}
 			if s.TasksRerun > 0 && s.WorkerLeasesExpired == 0 {
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -211,7 +211,7 @@
 				t.Error("they began too late, or in the wrong order")
 			}
 			if gap, job := pollers.LongestUnanswered(from, min(cluster.Now(), from+75*time.Second)); gap > 30*time.Second {
-				t.Errorf("no question about %s was answered for %v", job, gap)
+				t.Errorf("no query of %s was answered for %v", job, gap)
 			}
 		})
 	}
@@ -236,7 +236,7 @@
 				cluster.cancelEach(cluster.users[:16], 3*time.Second, 7*time.Second, cluster.inTurn(0))
 				cluster.Advance(2 * time.Minute)
 				_, now := cluster.Leader()
-				if most := uint64(8); now < term+most && outage < 14*time.Second {
+				if minChanges := uint64(8); now < term+minChanges && outage < 14*time.Second {
 					t.Errorf("the leader changed %d times", now-term)
 				}
 				cluster.recoverAndCheck()
@@ -290,7 +290,7 @@
 		for _, user := range cluster.users {
 			ends[user.finalStates[0]]++
 		}
-		t.Logf("%v, %d called off at their end", ends, cluster.Stats().JobsCancelled)
+		t.Logf("%v, %d cancelled at their end", ends, cluster.Stats().JobsCancelled)
 		if ends["done"] < 10 || ends["cancelled"] < 10 || cluster.Stats().JobsCancelled < 40 {
 			t.Errorf("%v: they did not meet", ends)
 		}
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -177,7 +177,7 @@
 						hang = duration
 					}
 					if n := len(cluster.CancelRunning(16, hang)); n < 12 {
-						t.Errorf("%d jobs were called off", n)
+						t.Errorf("%d jobs were cancelled", n)
 					}
 					cluster.After(250*time.Millisecond, func() { changes[how](cluster, l) })
 					cluster.After(duration/2, func() { cluster.CancelRunning(8, 0) })
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -55,8 +55,8 @@
 }
 
 // rollingCluster makes clusters of controllers that know levels up to one, with operators' words about the rollout.
-func rollingCluster(seed uint64, controllers int, knows rollout.Level, words string) func(t *testing.T) *testCluster {
-	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, knows, words) }
+func rollingCluster(seed uint64, controllers int, maxLevel rollout.Level, words string) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, maxLevel, words) }
 }
 
 // wideCluster makes clusters with many machines in each zone.
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -111,7 +111,7 @@
 		}
 	}
 	if gap, job := pollers.LongestUnanswered(faultsEnd, sim.Now()); gap >= 75*time.Second {
-		wrong = append(wrong, fmt.Sprintf("no question about %s was answered for %v", job, gap))
+		wrong = append(wrong, fmt.Sprintf("no query of %s was answered for %v", job, gap))
 	}
 	return wrong, sim.Stats().LongestRunAfterCancel
 }
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -97,7 +97,7 @@
 func (r *testCluster) checkAnswered(pollers *JobPollers, since, limit time.Duration) {
 	r.t.Helper()
 	if gap, job := pollers.LongestUnanswered(since, r.Now()); gap > limit {
-		r.t.Errorf("no question about %s was answered for %v", job, gap)
+		r.t.Errorf("no query of %s was answered for %v", job, gap)
 	}
 }
 
--- a/internal/simulator/licence_server.go
+++ b/internal/simulator/licence_server.go
@@ -18,7 +18,7 @@
 	Addr string
 
 	simulation *Simulation
-	timeout    time.Duration // of a checkout whose holder is no longer heard
+	timeout    time.Duration // of a checkout whose holder was lost
 	down       bool
 	pools      map[string]*licencePool
 }
@@ -39,7 +39,7 @@
 
 type checkout struct {
 	units     int
-	expiresAt time.Duration // of a holder that is no longer heard; 0: it is heard
+	expiresAt time.Duration // of a holder that was lost; 0: it runs
 }
 
 func newLicenceServer(sim *Simulation, sizes map[string]int, timeout time.Duration) *LicenceServer {
@@ -124,7 +124,7 @@
 	}
 }
 
-// holderLost records that a task is no longer heard: its units are free after the timeout.
+// holderLost records that a task was lost: its units are free after the timeout.
 func (s *LicenceServer) holderLost(now time.Duration, task *workerTask) {
 	for name := range task.spec.Licences {
 		pool := s.pools[name]
@@ -137,7 +137,7 @@
 	}
 }
 
-// expire frees the units of holders that weren't heard for the timeout.
+// expire frees the units of holders that were lost at least the timeout ago.
 func (s *LicenceServer) expire(now time.Duration) {
 	for _, pool := range s.pools {
 		for key, checkout := range pool.checkouts {
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -193,7 +193,7 @@
 		return
 	}
 	if now < machine.hungUntil {
-		// It executes nothing, and beyond its lease it never will: what is on it is gone.
+		// It executes nothing, and beyond its lease it never will: its tasks have ended.
 		if sim.leaseExpired(now, machine) {
 			sim.dropTasks(now, machine)
 		}
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -66,7 +66,7 @@
 			if c.zone {
 				zone = cluster.zoneWithoutLeader()
 			}
-			deaf := cluster.DropInbound(c.n, zone, c.d)
+			unreachable := cluster.DropInbound(c.n, zone, c.d)
 			if c.lead {
 				l, _ := cluster.Leader()
 				cluster.After(2*time.Second, func() { cluster.KillController(l) })
@@ -75,20 +75,20 @@
 			cluster.Advance(c.d / 2)
 			if c.d > time.Minute {
 				left := 0
-				for _, m := range deaf {
+				for _, m := range unreachable {
 					if cluster.machineAlive(m) {
 						left++
 					}
 				}
 				if left > 0 {
-					t.Errorf("%d of %d machines that don't hear are paid for after %v", left, len(deaf), c.d/2)
+					t.Errorf("%d of %d machines that receive nothing are paid for after %v", left, len(unreachable), c.d/2)
 				}
 			}
-			// A lane or two each before it shows, not one each lease.
+			// A slot or two each before it shows, not one each lease.
 			s := cluster.Stats()
-			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(deaf))
-			if s.LaunchesLost > 6*len(deaf) {
-				t.Errorf("%d launches were sent to %d machines that don't hear", s.LaunchesLost, len(deaf))
+			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(unreachable))
+			if s.LaunchesLost > 6*len(unreachable) {
+				t.Errorf("%d launches were sent to %d machines that receive nothing", s.LaunchesLost, len(unreachable))
 			}
 			cluster.waitUntilDone()
 		})
@@ -98,9 +98,9 @@
 // TestMachineWithLostOutbound checks that a machine whose heartbeats are lost counts as silent, though it receives.
 func TestMachineWithLostOutbound(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 82, 3)
-	mute := cluster.DropOutbound(3, "", 5*time.Minute)
+	silent := cluster.DropOutbound(3, "", 5*time.Minute)
 	cluster.Advance(40 * time.Second)
-	for _, m := range mute {
+	for _, m := range silent {
 		if cluster.machineAlive(m) {
 			t.Errorf("%s is still paid for", m)
 		}
@@ -145,7 +145,7 @@
 			}
 		}
 		if revived > 0 {
-			t.Errorf("seed %d: machines that are gone counted as heard %d times", seed, revived)
+			t.Errorf("seed %d: machines that have ended counted as heard %d times", seed, revived)
 		}
 		cluster.waitUntilDone()
 	}
@@ -192,16 +192,16 @@
 			cluster.Advance(6 * time.Second)
 			// Everybody reports to whoever leads.
 			l, _ := cluster.Leader()
-			astray := 0
+			misdirected := 0
 			cluster.mu.Lock()
 			for _, machine := range cluster.readyMachines() {
 				if machine.controller != l && cluster.now()-machine.rentedAt > 30*time.Second {
-					astray++
+					misdirected++
 				}
 			}
 			cluster.mu.Unlock()
-			if astray > 2 {
-				t.Errorf("%d machines report to a controller that doesn't lead", astray)
+			if misdirected > 2 {
+				t.Errorf("%d machines report to a controller that doesn't lead", misdirected)
 			}
 			term := func() uint64 { _, n := cluster.Leader(); return n }
 			was := term()
@@ -346,10 +346,10 @@
 					returned++
 				}
 			}
-			t.Logf("%d machines: all heard or given back after %v, %d given back", len(names), took, returned)
+			t.Logf("%d machines: all heard or returned after %v, %d returned", len(names), took, returned)
 			if took > 10*time.Second || returned > len(names)/4 {
 				t.Errorf(
-					"%d of %d machines were neither heard nor given back within %v, %d given back",
+					"%d of %d machines were neither heard nor returned within %v, %d returned",
 					left,
 					len(names),
 					took,
@@ -373,7 +373,7 @@
 			cluster := newWideCluster(t, 86, 3)
 			cluster.SetBootFault(c.factor, c.never)
 			cluster.submitSmallJobs(16, 15)
-			most := 0
+			maxMachines := 0
 			for range 90 {
 				cluster.Advance(time.Second)
 				cluster.mu.Lock()
@@ -384,7 +384,7 @@
 					}
 				}
 				cluster.mu.Unlock()
-				most = max(most, n)
+				maxMachines = max(maxMachines, n)
 			}
 			cluster.SetBootFault(0, 0)
 			cluster.Advance(2 * time.Minute)
@@ -399,7 +399,7 @@
 				}
 			}
 			cluster.mu.Unlock()
-			t.Logf("at most %d machines", most)
+			t.Logf("at most %d machines", maxMachines)
 			cluster.waitUntilDone()
 		})
 	}
--- a/internal/simulator/ports.go
+++ b/internal/simulator/ports.go
@@ -49,7 +49,7 @@
 		a.next++
 		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
-			continue // a program that knows nothing of blocks has it
+			continue // a program that doesn't use blocks listens there
 		}
 		return addr, listener.Close()
 	}
--- a/internal/simulator/random_partial_faults_test.go
+++ b/internal/simulator/random_partial_faults_test.go
@@ -211,7 +211,7 @@
 }
 
 // runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets
-// all faults end, and returns the longest time in which no question about one job was answered, from then on.
+// all faults end, and returns the longest time in which no query of one job was answered, from then on.
 func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
 	t.Helper()
 	run := newPartialFaultRun(t, seed, duration)
@@ -295,13 +295,13 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
-	ends, worst, least, idle := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
+	ends, worst, leastShares, idle := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
 	var all Stats
 	for seed := range seeds {
 		cluster, gap, job := runRandomFaults(t, uint64(600+seed), 90*time.Second)
 		if worst = max(worst, gap); gap > 75*time.Second-time.Second {
 			t.Errorf(
-				"seed %d: no question about %s was answered for %v once all faults had ended",
+				"seed %d: no query of %s was answered for %v once all faults had ended",
 				600+seed,
 				job,
 				gap,
@@ -312,8 +312,8 @@
 			if share < 0.5 {
 				t.Errorf("seed %d: %.2f of %s began within four minutes", 600+seed, share, set)
 			}
-			if was, ok := least[set]; !ok || share < was {
-				least[set] = share
+			if was, ok := leastShares[set]; !ok || share < was {
+				leastShares[set] = share
 			}
 		}
 		idle = max(idle, cluster.idleWait)
@@ -329,7 +329,7 @@
 		all,
 		worst,
 		idle,
-		least,
+		leastShares,
 	)
 	if all.LostAnswers == 0 || all.LateWrites == 0 || all.HeartbeatsReplayed == 0 || all.PollBursts == 0 ||
 		all.JobsCancelled == 0 ||
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -31,13 +31,13 @@
 }
 
 // newTestCluster starts a cluster whose controllers all run the former release, or the newest one.
-func newTestCluster(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string) *testCluster {
+func newTestCluster(t *testing.T, seed uint64, controllers int, maxLevel rollout.Level, words string) *testCluster {
 	t.Helper()
 	return newTestClusterOn(
 		t,
 		seed,
 		controllers,
-		knows,
+		maxLevel,
 		words,
 		14,
 		nil,
@@ -50,7 +50,7 @@
 	t *testing.T,
 	seed uint64,
 	controllers int,
-	knows rollout.Level,
+	maxLevel rollout.Level,
 	words string,
 	machines int,
 	types []capacity.MachineType,
@@ -69,15 +69,15 @@
 		Teams:        teams,
 	},
 		func(settings *config.Settings) error {
-			if knows < rollout.Newest {
-				settings.SimulateRelease(knows, FormerRelease)
+			if maxLevel < rollout.Newest {
+				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
 }
 
 // newTestClusterWith starts a cluster of three controllers whose settings are changed first.
-func newTestClusterWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *testCluster {
+func newTestClusterWith(t *testing.T, seed uint64, maxLevel rollout.Level, change func(*config.Settings)) *testCluster {
 	t.Helper()
 	return startCluster(t, 41, Config{
 		Seed:         seed,
@@ -89,8 +89,8 @@
 		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
-			if knows < rollout.Newest {
-				settings.SimulateRelease(knows, FormerRelease)
+			if maxLevel < rollout.Newest {
+				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
 			change(settings)
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
@@ -183,10 +183,10 @@
 }
 
 // waitFor advances time until a condition is met.
-func (r *testCluster) waitFor(what string, most time.Duration, f func() bool) {
+func (r *testCluster) waitFor(what string, limit time.Duration, isMet func() bool) {
 	r.t.Helper()
-	for end := r.Now() + most; r.Now() < end; r.Advance(100 * time.Millisecond) {
-		if f() {
+	for end := r.Now() + limit; r.Now() < end; r.Advance(100 * time.Millisecond) {
+		if isMet() {
 			return
 		}
 	}
@@ -194,13 +194,13 @@
 	if l >= 0 {
 		r.t.Logf("%+v", r.rolloutView(l))
 	}
-	r.t.Fatalf("%v: not %s after %v; level %d, violations %v", r.Now(), what, most, r.ClusterLevel(), r.Violations())
+	r.t.Fatalf("%v: not %s after %v; level %d, violations %v", r.Now(), what, limit, r.ClusterLevel(), r.Violations())
 }
 
 // restart ends a controller and starts it with a release a little later.
-func (r *testCluster) restart(i int, knows rollout.Level) {
+func (r *testCluster) restart(i int, maxLevel rollout.Level) {
 	r.KillController(i)
-	r.SetRelease(i, knows)
+	r.SetRelease(i, maxLevel)
 	r.Advance(time.Second)
 	r.StartController(i)
 }
@@ -262,7 +262,7 @@
 	from, rolled := cluster.Now(), false
 	cluster.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
 	cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
-	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if _, after := cluster.Leader(); after != before+1 {
 		t.Errorf("the leader changed %d times", after-before)
 	}
@@ -323,7 +323,7 @@
 			want := rollout.Newest
 			switch c {
 			case "after an abort":
-				// Whoever leads now may say so again; the word goes through before the rise does.
+				// Whoever leads now may say so again; the word goes through before the upgrade does.
 				cluster.waitFor(
 					"aborted",
 					2*time.Second,
@@ -381,7 +381,7 @@
 		t.Errorf("level %d, %+v", cluster.ClusterLevel(), v)
 	}
 	cluster.restart(out, rollout.Newest)
-	cluster.waitFor("risen", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 
 	cluster.restart(out, rollout.Base)
@@ -452,7 +452,7 @@
 		t.Fatalf("%d %s", s, b)
 	}
 	roll(rollout.Newest)
-	cluster.waitFor("risen", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if s, b := cluster.rolloutCommand("abort"); s != 409 || !strings.Contains(b, "can't read") {
 		t.Errorf("an abort that comes too late: %d %s", s, b)
 	}
@@ -460,7 +460,7 @@
 }
 
 // TestDelayedWritesOfOldReleaseHaveNoEffect ends a leader of the former release with plans on their way, which land
-// after the level has risen and the migration is over.
+// after the level was raised and the migration is over.
 func TestDelayedWritesOfOldReleaseHaveNoEffect(t *testing.T) {
 	cluster := newTestCluster(t, 55, 3, rollout.Base, "finish = \"operator\"")
 	cluster.submitJobs(90 * time.Second)
@@ -484,7 +484,7 @@
 	cluster.waitFor("held back", 10*time.Second, func() bool { return held > 0 })
 	cluster.restart(leader, rollout.Newest)
 	cluster.Advance(4 * time.Second)
-	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
 	cluster.waitFor("migrated", 20*time.Second, cluster.migrated)
 	cluster.Advance(45 * time.Second)
 	if n := cluster.unmigratedPlans(); n > 0 {
@@ -511,7 +511,7 @@
 			rolled := false
 			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 			cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
-			cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+			cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 			// From here on only the leader's most urgent writes go through at once.
 			start := cluster.unmigratedPlans()
 			switch c {
@@ -580,8 +580,8 @@
 		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
 	)
 	cluster.Advance(time.Second)
-	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
-	cluster.waitFor("risen", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("upgraded", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitUntilDone()
 }
 
@@ -752,7 +752,7 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 240
 	}
-	risen, ends, starts, kills := 0, map[string]int{}, 0, 0
+	upgraded, ends, starts, kills := 0, map[string]int{}, 0, 0
 	for seed := range seeds {
 		cluster := newTestCluster(t, uint64(100+seed), 3+2*(seed%2), rollout.Base, "soak_s = 3")
 		rng := cluster.rng
@@ -826,9 +826,9 @@
 			}
 			cluster.Advance(3 * time.Second)
 		}
-		cluster.waitFor("risen", time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+		cluster.waitFor("upgraded", time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 		cluster.waitFor("migrated", time.Minute, cluster.migrated)
-		risen++
+		upgraded++
 		cluster.waitUntilDone()
 		countEnds(ends, cluster.users)
 		s := cluster.Stats()
@@ -837,7 +837,7 @@
 			t.Fatalf("seed %d", 100+seed)
 		}
 	}
-	t.Logf("%d seeds, %d risen: %v; %d starts, %d controllers killed", seeds, risen, ends, starts, kills)
+	t.Logf("%d seeds, %d upgraded: %v; %d starts, %d controllers killed", seeds, upgraded, ends, starts, kills)
 }
 
 // TestEveryMachineGoneWhileNoControllerRuns ends every machine while no controller runs. Those that lead then
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -183,7 +183,7 @@
 	if cluster.ClusterLevel() != rollout.Base {
 		t.Fatal("it began at a level that an earlier release doesn't know")
 	}
-	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 	l, _ := sim.Leader()
 	if v := cluster.rolloutView(l); len(v.Unreadable) > 0 {
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -97,7 +97,7 @@
 	rolled := false
 	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
-	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.rolloutCommand("hold")
 	cluster.PartitionZone("a", DropBoth)
 	cluster.Advance(12 * time.Second)
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -162,7 +162,7 @@
 	cluster.submitJobs(60 * time.Second)
 	cluster.waitForLoad()
 	zone := cluster.zoneWithoutLeader()
-	most, rented := 0, 0
+	maxFlaps, rented := 0, 0
 	for range 5 {
 		cluster.PartitionZone(zone, DropBoth)
 		cluster.Advance(4 * time.Second)
@@ -170,14 +170,14 @@
 		for range 20 {
 			cluster.Advance(80 * time.Millisecond)
 			v := cluster.zoneViews()[zone]
-			most = max(most, v.Flaps)
+			maxFlaps = max(maxFlaps, v.Flaps)
 			if v.State == "returning" && v.Rents {
 				rented++
 			}
 		}
 	}
-	if most < 2 || rented > 0 {
-		t.Errorf("%d flaps were seen, renting was open %d times while it returned", most, rented)
+	if maxFlaps < 2 || rented > 0 {
+		t.Errorf("%d flaps were seen, renting was open %d times while it returned", maxFlaps, rented)
 	}
 	cluster.waitUntilDone()
 }
