--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -542,6 +542,41 @@
 	}
 }
 
+// completionWatch records when the tasks of each job are done, and when the state service has the job as done.
+type completionWatch struct {
+	cluster      *testCluster
+	doneAt       map[string]time.Duration // by job
+	stored       map[string]bool
+	longestDelay time.Duration // from doneAt until it is stored
+}
+
+// watchCompletions watches all jobs from now on.
+func watchCompletions(cluster *testCluster) *completionWatch {
+	w := &completionWatch{cluster: cluster, doneAt: map[string]time.Duration{}, stored: map[string]bool{}}
+	w.check()
+	return w
+}
+
+func (w *completionWatch) check() {
+	for _, user := range w.cluster.users {
+		job := user.spec.ID
+		if _, ok := w.doneAt[job]; !ok && w.cluster.AllDone(job, user.spec.Tasks) {
+			w.doneAt[job] = w.cluster.Now()
+		}
+		if !w.stored[job] && w.isStoredAsDone(job) {
+			w.stored[job] = true
+			w.longestDelay = max(w.longestDelay, w.cluster.Now()-w.doneAt[job])
+		}
+	}
+	w.cluster.After(50*time.Millisecond, w.check)
+}
+
+func (w *completionWatch) isStoredAsDone(job string) bool {
+	var record jobs.Record
+	stored := w.cluster.StoredItem(jobs.RecordKey(job)).Value
+	return json.Unmarshal(stored, &record) == nil && record.State == jobs.Done.String()
+}
+
 // TestTasksThatEndFarApartAreNotRerun ends the tasks of small jobs far apart, across changes of the leader, one of
 // them without any leader: a job is done soon after all its tasks are, and nothing that is done starts again.
 func TestTasksThatEndFarApartAreNotRerun(t *testing.T) {
@@ -559,27 +594,10 @@
 			if what == "late writes" {
 				cluster.DelayWrites(0.2, 500*time.Millisecond, 3*time.Second)
 			}
-			done, stored, worst := map[string]time.Duration{}, map[string]bool{}, time.Duration(0)
 			for i := range 40 {
 				cluster.After(time.Duration(500*i)*time.Millisecond, func() { cluster.submitLongJob(i, 6) })
 			}
-			var look func()
-			look = func() {
-				for _, user := range cluster.users {
-					id := user.spec.ID
-					if _, ok := done[id]; !ok && cluster.AllDone(id, user.spec.Tasks) {
-						done[id] = cluster.Now()
-					}
-					var rec jobs.Record
-					if !stored[id] && json.Unmarshal(cluster.StoredItem(jobs.RecordKey(id)).Value, &rec) == nil &&
-						rec.State == jobs.Done.String() {
-						stored[id] = true
-						worst = max(worst, cluster.Now()-done[id])
-					}
-				}
-				cluster.After(50*time.Millisecond, look)
-			}
-			look()
+			completions := watchCompletions(cluster)
 			for range 5 {
 				cluster.Advance(5 * time.Second)
 				f(cluster, cluster.waitForLeader())
@@ -590,7 +608,7 @@
 			s := cluster.Stats()
 			t.Logf(
 				"done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again",
-				worst,
+				completions.longestDelay,
 				s.WorkerLeasesExpired,
 				s.TasksRerun,
 			)
@@ -598,8 +616,8 @@
 			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
 				maxDelay = 14 * time.Second
 			}
-			if worst > maxDelay {
-				t.Errorf("that a job is done was durable %v after its last task had ended", worst)
+			if completions.longestDelay > maxDelay {
+				t.Errorf("that a job is done was durable %v after its last task had ended", completions.longestDelay)
 			}
 			if s.TasksRerun > 0 && s.WorkerLeasesExpired == 0 {
 				t.Errorf("%d tasks began again though they were done", s.TasksRerun)
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -151,6 +151,20 @@
 	}
 }
 
+// countMisdirectedMachines counts the ready machines that send heartbeats to a controller that doesn't lead, those left
+// out that have been up only for a short time.
+func (r *testCluster) countMisdirectedMachines() (n int) {
+	leader, _ := r.Leader()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, machine := range r.readyMachines() {
+		if machine.controller != leader && r.now()-machine.rentedAt > 30*time.Second {
+			n++
+		}
+	}
+	return n
+}
+
 // TestControllerPartitionedWithItsWorkers cuts a controller off from the state service and its peers but not from
 // its workers, the leader or another, alone, two at once, and during a rollout: it accepts no heartbeat after its
 // lease, its workers and users are served elsewhere soon, and its return has no effect.
@@ -159,25 +173,25 @@
 		t.Run(c, func(t *testing.T) {
 			cluster, balancer := newSteadyCluster(t, 83, 5)
 			first, _ := cluster.Leader()
-			gone := []int{first}
+			partitioned := []int{first}
 			switch c {
 			case "other":
-				gone = []int{(first + 1) % 5}
+				partitioned = []int{(first + 1) % 5}
 			case "two":
-				gone = append(gone, (first+2)%5)
+				partitioned = append(partitioned, (first+2)%5)
 			case "rolling":
 				cluster.RollingRestart(rollout.Newest, time.Second, nil, func() {})
 				cluster.Advance(2 * time.Second)
 				first, _ = cluster.Leader()
-				gone = []int{first}
+				partitioned = []int{first}
 			}
 			pollers := cluster.startPolling(balancer)
 			before := cluster.Now()
-			for _, i := range gone {
+			for _, i := range partitioned {
 				cluster.CutLinks(i, StateLink|PeerLinks)
 			}
 			cluster.Advance(8 * time.Second)
-			for _, i := range gone {
+			for _, i := range partitioned {
 				if balancer.Healthy(i) && cluster.ControllerRuns(i) {
 					t.Errorf("controller %d is healthy after 8 s without state service and the others", i)
 				}
@@ -186,26 +200,16 @@
 				cluster.waitFor(
 					"led from elsewhere",
 					10*time.Second,
-					func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(gone, l) },
+					func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(partitioned, l) },
 				)
 			}
 			cluster.Advance(6 * time.Second)
-			// Everybody reports to whoever leads.
-			l, _ := cluster.Leader()
-			misdirected := 0
-			cluster.mu.Lock()
-			for _, machine := range cluster.readyMachines() {
-				if machine.controller != l && cluster.now()-machine.rentedAt > 30*time.Second {
-					misdirected++
-				}
-			}
-			cluster.mu.Unlock()
-			if misdirected > 2 {
+			if misdirected := cluster.countMisdirectedMachines(); misdirected > 2 {
 				t.Errorf("%d machines report to a controller that doesn't lead", misdirected)
 			}
 			term := func() uint64 { _, n := cluster.Leader(); return n }
 			was := term()
-			for _, i := range gone {
+			for _, i := range partitioned {
 				cluster.CutLinks(i, 0)
 			}
 			cluster.Advance(20 * time.Second)
@@ -601,71 +605,66 @@
 	)
 }
 
+// playLargeGangs submits gangs of half the machines under a stream of small urgent jobs, over a kill and a freeze of
+// the leader, with an operator's settings. It returns the longest time until one of the large gangs started, and how
+// many haven't.
+func playLargeGangs(t *testing.T, operator string) (longest time.Duration, left int) {
+	t.Helper()
+	types := gpuMachineTypes(12)
+	types[0].Zones = []string{"a", "b"}
+	sim, err := NewVirtualTime(Config{
+		Seed:         93,
+		MaxMachines:  16,
+		Types:        types,
+		TickInterval: 50 * time.Millisecond,
+		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
+	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	rng := rand.New(rand.NewPCG(93, 1))
+	submit := func(n, tasks int, priority string, estimateS float64) {
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), priority, "red")
+		spec.Kind = jobs.Gang
+		spec.Priority = priority
+		spec.Tasks = tasks
+		spec.CPUs = 12
+		spec.EstimateS = estimateS
+		spec.Spot = false
+		(&testUser{simulation: sim, rng: rng, spec: spec}).submit()
+	}
+	for i := range 300 { // 16 machines, of which these take some 13
+		sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
+	}
+	const largeGangs, firstLarge = 3, 900
+	for i := range largeGangs {
+		sim.After(time.Duration(60+70*i)*time.Second, func() { submit(firstLarge+i, 8, "standard", 10) })
+	}
+	sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
+	freeze := func(leader int) { sim.FreezeController(leader, 70*time.Second) }
+	sim.After(170*time.Second, func() { sim.onLeader(0, freeze) })
+	sim.Advance(450 * time.Second)
+	for i := range largeGangs {
+		if delay, ok := sim.FirstStart(fmt.Sprintf("req-%06d", firstLarge+i)); ok {
+			longest = max(longest, delay)
+		} else {
+			left++
+		}
+	}
+	reportViolations(t, sim)
+	return longest, left
+}
+
 // TestLargestJobsStartAcrossFailovers submits gangs that need half of all machines at once, under a constant stream
 // of small urgent jobs that takes most of them, while the leader is killed and the next one frozen: the gangs start
 // within four minutes of their submission under any leader. Without the rule they don't.
 func TestLargestJobsStartAcrossFailovers(t *testing.T) {
-	began := func(operator string) (longest time.Duration, left int) {
-		types := gpuMachineTypes(12)
-		types[0].Zones = []string{"a", "b"}
-		sim, err := NewVirtualTime(
-			Config{
-				Seed:         93,
-				MaxMachines:  16,
-				Types:        types,
-				TickInterval: 50 * time.Millisecond,
-				Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
-			},
-			func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) },
-		)
-		if err != nil {
-			t.Fatal(err)
-		}
-		rng := rand.New(rand.NewPCG(93, 1))
-		var large []*testUser
-		submit := func(n, tasks int, priority string, est float64) *testUser {
-			spec := arraySpec(fmt.Sprintf("req-%06d", n), priority, "red")
-			spec.Kind = jobs.Gang
-			spec.Priority = priority
-			spec.Tasks = tasks
-			spec.CPUs = 12
-			spec.EstimateS = est
-			spec.Spot = false
-			user := &testUser{simulation: sim, rng: rng, spec: spec}
-			user.submit()
-			return user
-		}
-		for i := range 300 { // 16 machines, of which these take some 13
-			sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
-		}
-		for i := range 3 {
-			sim.After(
-				time.Duration(60+70*i)*time.Second,
-				func() { large = append(large, submit(900+i, 8, "standard", 10)) },
-			)
-		}
-		sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
-		sim.After(
-			170*time.Second,
-			func() { sim.onLeader(0, func(i int) { sim.FreezeController(i, 70*time.Second) }) },
-		)
-		sim.Advance(450 * time.Second)
-		for _, user := range large {
-			if duration, ok := sim.FirstStart(user.spec.ID); ok {
-				longest = max(longest, duration)
-			} else {
-				left++
-			}
-		}
-		reportViolations(t, sim)
-		return longest, left
-	}
-	longest, left := began("")
+	longest, left := playLargeGangs(t, "")
 	t.Logf("the last begins after %v", longest)
 	if left > 0 || longest > 4*time.Minute {
 		t.Errorf("%d haven't begun, the last of the others after %v", left, longest)
 	}
-	if longest, left = began("begin_s = 1000000\n"); left == 0 && longest < 4*time.Minute {
+	if longest, left = playLargeGangs(t, "begin_s = 1000000\n"); left == 0 && longest < 4*time.Minute {
 		t.Errorf("without the rule the last begins after %v: the test shows nothing", longest)
 	}
 	t.Logf("without the rule %d don't begin, the last of the others after %v", left, longest)
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -130,7 +130,7 @@
 }
 
 const (
-	// rollPoll is the time between two questions about which controller to restart next.
+	// rollPoll is the time between two queries of which controller to restart next.
 	rollPoll = 500 * time.Millisecond
 	// drainBeforeKill is how long a controller drains that is killed meanwhile.
 	drainBeforeKill = 200 * time.Millisecond
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -745,6 +745,101 @@
 	cluster.waitUntilDone()
 }
 
+// rollFault is a random fault of a run in which controllers are rolled forward and back.
+type rollFault struct {
+	controller int
+	duration   time.Duration
+	kind       int // 0 to 13
+	zone       string
+	how        Partition
+	level      rollout.Level // of the release with which a controller starts
+}
+
+// drawRollFault draws a fault. Its release is the newest one in the second half of a run.
+func drawRollFault(rng *rand.Rand, controllers int, secondHalf bool) rollFault {
+	fault := rollFault{
+		controller: rng.IntN(controllers),
+		duration:   time.Duration(500+rng.IntN(9000)) * time.Millisecond,
+		kind:       rng.IntN(14),
+		zone:       zoneNames()[rng.IntN(3)],
+		how:        Partition(1 + rng.IntN(5)),
+		level:      rollout.Level(1 + rng.IntN(2)),
+	}
+	if secondHalf {
+		fault.level = rollout.Newest
+	}
+	return fault
+}
+
+// injectRollFault begins a random fault.
+func (r *testCluster) injectRollFault(fault rollFault) {
+	i, duration := fault.controller, fault.duration
+	startWithRelease := func() {
+		r.SetRelease(i, fault.level)
+		r.StartController(i)
+	}
+	switch fault.kind {
+	case 0, 1, 2:
+		r.KillController(i)
+		r.After(duration/3, startWithRelease)
+	case 3, 4:
+		r.DrainController(i, func() { r.After(duration/4, startWithRelease) })
+	case 5:
+		if leader, _ := r.Leader(); leader >= 0 && r.ControllerRuns(leader) {
+			r.FreezeController(leader, duration)
+		}
+	case 6:
+		r.during(duration, r.SetStateOutage)
+	case 7:
+		r.during(duration, func(on bool) { r.RefuseController(i, on) })
+	case 8, 9:
+		r.PartitionZone(fault.zone, fault.how)
+		r.After(duration, func() { r.PartitionZone(fault.zone, Connected) })
+	case 10:
+		r.sendRandomRolloutCommand()
+	case 11:
+		r.KillMachine()
+	case 12:
+		r.HangMachine(duration)
+	case 13:
+		r.RollingRestart(fault.level, duration/4, nil, func() {})
+	}
+}
+
+// sendRandomRolloutCommand draws an operator's command and sends it to the leader, if there is one.
+func (r *testCluster) sendRandomRolloutCommand() {
+	leader, _ := r.Leader()
+	if leader < 0 {
+		return
+	}
+	op := []string{"hold", "abort", "free", "finish"}[r.rng.IntN(4)]
+	body := fmt.Appendf(nil, `{"op":%q,"by":"chaos"}`, op)
+	r.Request(leader, "POST", "/v2/rollout", body, func(int, []byte) {})
+}
+
+// finishRollout ends all faults, restarts all controllers with the newest release, and waits for the migration's end.
+func (r *testCluster) finishRollout() {
+	r.t.Helper()
+	r.StopRollingRestart()
+	r.Advance(15 * time.Second)
+	r.SetNetwork(2*time.Millisecond, 0, 0, 0)
+	for _, zone := range zoneNames() {
+		r.PartitionZone(zone, Connected)
+	}
+	for i := range r.Controllers() {
+		r.restart(i, rollout.Newest)
+	}
+	r.Advance(10 * time.Second)
+	for range 5 {
+		if status, _ := r.rolloutCommand("free"); status == 200 {
+			break
+		}
+		r.Advance(3 * time.Second)
+	}
+	r.waitFor("upgraded", time.Minute, func() bool { return r.ClusterLevel() == rollout.Newest })
+	r.waitFor("migrated", time.Minute, r.migrated)
+}
+
 // TestRandomRollsUnderFaults rolls forward and back at random times that overlap with kills, drains, freezes, cut
 // links, outages and operators' commands, under load.
 func TestRandomRollsUnderFaults(t *testing.T) {
@@ -758,76 +853,12 @@
 		rng := cluster.rng
 		cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 		cluster.submitJobs(100 * time.Second)
-		n := cluster.Controllers()
 		for at := time.Duration(0); at < 110*time.Second; at += time.Duration(rng.IntN(7000)) * time.Millisecond {
-			i, duration := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
-			what, zone, how := rng.IntN(14), zoneNames()[rng.IntN(3)], Partition(1+rng.IntN(5))
-			level := rollout.Level(1 + rng.IntN(2))
-			if at > 60*time.Second {
-				level = rollout.Newest
-			}
-			cluster.After(at, func() {
-				switch what {
-				case 0, 1, 2:
-					cluster.KillController(i)
-					cluster.After(duration/3, func() { cluster.SetRelease(i, level); cluster.StartController(i) })
-				case 3, 4:
-					cluster.DrainController(
-						i,
-						func() { cluster.After(duration/4, func() { cluster.SetRelease(i, level); cluster.StartController(i) }) },
-					)
-				case 5:
-					if l, _ := cluster.Leader(); l >= 0 && cluster.ControllerRuns(l) {
-						cluster.FreezeController(l, duration)
-					}
-				case 6:
-					cluster.during(duration, cluster.SetStateOutage)
-				case 7:
-					cluster.during(duration, func(on bool) { cluster.RefuseController(i, on) })
-				case 8, 9:
-					cluster.PartitionZone(zone, how)
-					cluster.After(duration, func() { cluster.PartitionZone(zone, Connected) })
-				case 10:
-					if l, _ := cluster.Leader(); l >= 0 {
-						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
-						cluster.Request(
-							l,
-							"POST",
-							"/v2/rollout",
-							[]byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)),
-							func(int, []byte) {},
-						)
-					}
-				case 11:
-					cluster.KillMachine()
-				case 12:
-					cluster.HangMachine(duration)
-				case 13:
-					done := false
-					cluster.RollingRestart(level, duration/4, nil, func() { done = true })
-					_ = done
-				}
-			})
+			fault := drawRollFault(rng, cluster.Controllers(), at > 60*time.Second)
+			cluster.After(at, func() { cluster.injectRollFault(fault) })
 		}
 		cluster.Advance(135 * time.Second)
-		cluster.StopRollingRestart()
-		cluster.Advance(15 * time.Second)
-		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-		for _, z := range zoneNames() {
-			cluster.PartitionZone(z, Connected)
-		}
-		for i := range n {
-			cluster.restart(i, rollout.Newest)
-		}
-		cluster.Advance(10 * time.Second)
-		for range 5 {
-			if s, _ := cluster.rolloutCommand("free"); s == 200 {
-				break
-			}
-			cluster.Advance(3 * time.Second)
-		}
-		cluster.waitFor("upgraded", time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
-		cluster.waitFor("migrated", time.Minute, cluster.migrated)
+		cluster.finishRollout()
 		upgraded++
 		cluster.waitUntilDone()
 		countEnds(ends, cluster.users)
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// checkCancelledTask checks that a task is gone in time once the cancellation of its job was confirmed to a user.
+// checkCancelledTask checks that a task has ended in time once the cancellation of its job was confirmed to a user.
 func (sim *Simulation) checkCancelledTask(now time.Duration, machine *Machine, task *workerTask) {
 	cancelledAt, ok := sim.work.cancelledAt[task.spec.ID]
 	if !ok || !task.counted || task.state == taskExited {
