--- a/internal/simulator/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -39,6 +39,54 @@
 	return names
 }
 
+// storeDrainsOfUnknownMachines stores a document of the former release with requests for machines that no leader has,
+// as after a long time without one: they are requests like any other.
+func (r *testCluster) storeDrainsOfUnknownMachines(count int) drain.Document {
+	old := drain.Document{Machines: map[string]drain.Request{}, Last: "kana: drain machine i-old-19"}
+	for i := range count {
+		old.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
+	}
+	raw, _ := json.Marshal(old)
+	r.WriteKeys(store.Op{Put: drain.DocumentKey, Value: raw})
+	return old
+}
+
+// disturbDrainMigration injects the fault of a case of TestDrainRequestsWaitForTheLevel.
+func (r *testCluster) disturbDrainMigration(how string) {
+	r.t.Helper()
+	switch how {
+	case "leader killed":
+		r.waitFor("begun", 20*time.Second, func() bool { return r.CountKeys(drain.MachinePrefix) > 0 })
+		leader := r.waitForLeader()
+		r.KillController(leader)
+		r.Advance(8 * time.Second)
+		r.StartController(leader)
+	case "answers lost":
+		r.LoseTxnAnswers(0.3)
+		r.After(10*time.Second, func() { r.LoseTxnAnswers(0) })
+	case "limits shrink": // the document as it stands is larger than any value that is taken now
+		if n := len(r.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
+			r.t.Fatalf("a document of %d bytes", n)
+		}
+		r.LowerStateLimits(1.5, 5, 20)
+	case "late writes":
+		r.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
+		r.After(20*time.Second, func() { r.DelayWrites(0, 0, 0) })
+	}
+}
+
+// checkMigratedDrains checks that every request of a document has a key of its own, as it was.
+func (r *testCluster) checkMigratedDrains(old drain.Document) {
+	r.t.Helper()
+	for name, request := range old.Machines {
+		var got drain.MachineRecord
+		err := json.Unmarshal(r.StoredItem(drain.MachineKey(name)).Value, &got)
+		if err != nil || got.Request != request || got.Machine != name {
+			r.t.Errorf("%s: %+v, %v", name, got, err)
+		}
+	}
+}
+
 // TestDrainRequestsWaitForTheLevel checks that only the former release's document is written until every controller
 // reads the keys; then its requests are migrated, across the leader's end too, none is lost, and those of machines
 // that no longer exist are deleted.
@@ -46,14 +94,8 @@
 	for _, how := range []string{"calm", "leader killed", "answers lost", "late writes", "limits shrink"} {
 		t.Run(how, func(t *testing.T) {
 			cluster := newTestCluster(t, 451, 3, rollout.Archived, "soak_s = 3")
-			// Machines that no leader knows, as after a long time without one: they are requests like any other.
 			const unknown = 55
-			old := drain.Document{Machines: map[string]drain.Request{}, Last: "kana: drain machine i-old-19"}
-			for i := range unknown {
-				old.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
-			}
-			raw, _ := json.Marshal(old)
-			cluster.WriteKeys(store.Op{Put: drain.DocumentKey, Value: raw})
+			old := cluster.storeDrainsOfUnknownMachines(unknown)
 			cluster.submitJobs(100 * time.Second)
 			cluster.Advance(20 * time.Second)
 			names := cluster.machineNames(2)
@@ -78,40 +120,12 @@
 				}
 				cluster.Advance(100 * time.Millisecond)
 			}
-			switch how {
-			case "leader killed":
-				cluster.waitFor(
-					"begun",
-					20*time.Second,
-					func() bool { return cluster.CountKeys(drain.MachinePrefix) > 0 },
-				)
-				l := cluster.waitForLeader()
-				cluster.KillController(l)
-				cluster.Advance(8 * time.Second)
-				cluster.StartController(l)
-			case "answers lost":
-				cluster.LoseTxnAnswers(0.3)
-				cluster.After(10*time.Second, func() { cluster.LoseTxnAnswers(0) })
-			case "limits shrink": // the document as it stands is larger than any value that is taken now
-				if n := len(cluster.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
-					t.Fatalf("a document of %d bytes", n)
-				}
-				cluster.LowerStateLimits(1.5, 5, 20)
-			case "late writes":
-				cluster.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
-				cluster.After(20*time.Second, func() { cluster.DelayWrites(0, 0, 0) })
-			}
+			cluster.disturbDrainMigration(how)
 			cluster.waitFor("migrated", 2*time.Minute, cluster.migrated)
 			if n := len(cluster.drainDocument().Machines); n > 0 {
 				t.Errorf("%d requests are in the document", n)
 			}
-			for name, m := range old.Machines {
-				var got drain.MachineRecord
-				err := json.Unmarshal(cluster.StoredItem(drain.MachineKey(name)).Value, &got)
-				if err != nil || got.Request != m || got.Machine != name {
-					t.Errorf("%s: %+v, %v", name, got, err)
-				}
-			}
+			cluster.checkMigratedDrains(old)
 			cluster.Advance(25 * time.Second) // answers come in time again
 			if s := cluster.drainMachine("undrain", "i-old-07"); s != 200 ||
 				cluster.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -12,10 +12,11 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
+// condition is what a write of a key with a prefix must depend on.
 type condition struct {
 	prefix string
-	own    bool
-	others []string
+	own    bool     // its own version
+	others []string // prefixes of other keys
 }
 
 // conditions are what a write of a key must depend on, by the key's prefix, longest first: its own version, and
@@ -40,47 +41,59 @@
 	{prefix: "h/l/", own: true, others: []string{"h/c/leader"}},
 }
 
+// conditionChecks compares transactions with the table of conditions.
+type conditionChecks struct {
+	seen  map[string]int  // writes, by the prefix of their row
+	wrong map[string]bool // what is missing somewhere
+}
+
+// add checks a transaction, and leaves it as it is.
+func (c *conditionChecks) add(_ int, txn store.Txn) TxnOutcome {
+	for _, op := range txn.Then {
+		c.addWrite(txn, op)
+	}
+	return TxnOutcome{}
+}
+
+// addWrite checks one write of a transaction.
+func (c *conditionChecks) addWrite(txn store.Txn, op store.Op) {
+	key := op.Put + op.Delete
+	i := slices.IndexFunc(conditions, func(row condition) bool { return strings.HasPrefix(key, row.prefix) })
+	if i < 0 {
+		c.wrong[key+" has no row"] = true
+		return
+	}
+	row := conditions[i]
+	c.seen[row.prefix]++
+	// An old plan's key that is dropped is never written again.
+	dropped := op.Delete != "" && row.prefix == jobs.PlanPrefix
+	if row.own && !dropped && !dependsOn(txn, func(other string) bool { return other == key }) {
+		c.wrong[row.prefix+" doesn't depend on its own version"] = true
+	}
+	// A job's record is made only where the job isn't archived: a first submission may land long after its end.
+	made := row.prefix == jobs.Prefix && slices.Contains(txn.If, store.Condition{Key: op.Put})
+	if made && !slices.Contains(txn.If, archive.Absent(strings.TrimPrefix(op.Put, jobs.Prefix))) {
+		c.wrong[row.prefix+" is made without a look at the archive"] = true
+	}
+	for _, prefix := range row.others {
+		if !dependsOn(txn, func(other string) bool { return strings.HasPrefix(other, prefix) }) {
+			c.wrong[row.prefix+" doesn't depend on "+prefix] = true
+		}
+	}
+}
+
+// dependsOn returns whether a transaction has a condition on a key that matches.
+func dependsOn(txn store.Txn, matches func(key string) bool) bool {
+	return slices.ContainsFunc(txn.If, func(c store.Condition) bool { return matches(c.Key) })
+}
+
 // TestEveryWriteHasItsCondition checks that every transaction that controllers send, while jobs are submitted, end
 // and are cancelled, through failovers, a rollout, a lost zone and operators' commands, has the conditions that the
 // table requires; a write without a row in it fails.
 func TestEveryWriteHasItsCondition(t *testing.T) {
 	cluster := newTestCluster(t, 221, 3, rollout.Base, "soak_s = 3")
-	seen, wrong := map[string]int{}, map[string]bool{}
-	cluster.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
-		has := func(prefix string) bool {
-			return slices.ContainsFunc(
-				tx.If,
-				func(c store.Condition) bool { return strings.HasPrefix(c.Key, prefix) },
-			)
-		}
-		for _, o := range tx.Then {
-			key := o.Put + o.Delete
-			i := slices.IndexFunc(conditions, func(c condition) bool { return strings.HasPrefix(key, c.prefix) })
-			if i < 0 {
-				wrong[key+" has no row"] = true
-				continue
-			}
-			c := conditions[i]
-			seen[c.prefix]++
-			// An old plan's key that is dropped is never written again.
-			gone := o.Delete != "" && c.prefix == jobs.PlanPrefix
-			if c.own && !gone && !slices.ContainsFunc(tx.If, func(x store.Condition) bool { return x.Key == key }) {
-				wrong[c.prefix+" doesn't depend on its own version"] = true
-			}
-			// A job's record is made only where the job isn't archived: a first submission may land long after its
-			// end.
-			if made := slices.Contains(tx.If, store.Condition{Key: o.Put}); made && c.prefix == jobs.Prefix &&
-				!slices.Contains(tx.If, archive.Absent(strings.TrimPrefix(o.Put, jobs.Prefix))) {
-				wrong[c.prefix+" is made without a look at the archive"] = true
-			}
-			for _, other := range c.others {
-				if !has(other) {
-					wrong[c.prefix+" doesn't depend on "+other] = true
-				}
-			}
-		}
-		return TxnOutcome{}
-	})
+	checks := &conditionChecks{seen: map[string]int{}, wrong: map[string]bool{}}
+	cluster.InterceptTxns(checks.add)
 	cluster.submitJobs(80 * time.Second)
 	cluster.Advance(15 * time.Second)
 	cluster.After(2*time.Second, func() { cluster.onLeader(time.Second, cluster.KillController) })
@@ -105,10 +118,10 @@
 	cluster.Advance(70 * time.Second) // prices are asked for once a minute
 	cluster.InterceptTxns(nil)
 	cluster.waitUntilDone()
-	for w := range wrong {
-		t.Error(w)
+	for wrong := range checks.wrong {
+		t.Error(wrong)
 	}
-	for _, p := range []string{
+	for _, prefix := range []string{
 		jobs.PlanPagePrefix,
 		jobs.PlanPrefix,
 		"h/j/",
@@ -122,8 +135,8 @@
 		"h/z/",
 		"h/o/",
 	} {
-		if seen[p] == 0 {
-			t.Errorf("no write of %s was seen: %v", p, seen)
+		if checks.seen[prefix] == 0 {
+			t.Errorf("no write of %s was seen: %v", prefix, checks.seen)
 		}
 	}
 }
