--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -30,6 +30,15 @@
 	return machines
 }
 
+// drawReadyMachine returns one of the ready machines, nil if there is none.
+func (sim *Simulation) drawReadyMachine() *Machine {
+	machines := sim.shuffledReadyMachines()
+	if len(machines) == 0 {
+		return nil
+	}
+	return machines[0]
+}
+
 // CrashTask makes one running task fail. It returns false if none runs.
 func (sim *Simulation) CrashTask() bool {
 	sim.mu.Lock()
@@ -48,12 +57,12 @@
 func (sim *Simulation) KillMachine() bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	machines := sim.shuffledReadyMachines()
-	if len(machines) == 0 {
+	machine := sim.drawReadyMachine()
+	if machine == nil {
 		return false
 	}
 	sim.stats.MachinesKilled++
-	sim.terminate(sim.now(), machines[0])
+	sim.terminate(sim.now(), machine)
 	return true
 }
 
@@ -62,13 +71,13 @@
 func (sim *Simulation) HangMachine(duration time.Duration) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	machines := sim.shuffledReadyMachines()
-	if len(machines) == 0 {
+	machine := sim.drawReadyMachine()
+	if machine == nil {
 		return false
 	}
 	sim.stats.MachinesHung++
-	machines[0].hungUntil = sim.now() + duration
-	for _, task := range machines[0].tasks {
+	machine.hungUntil = sim.now() + duration
+	for _, task := range machine.tasks {
 		sim.Licences.holderLost(sim.now(), task)
 	}
 	return true
@@ -78,11 +87,11 @@
 func (sim *Simulation) DelayMachineCommands(duration time.Duration) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	machines := sim.shuffledReadyMachines()
-	if len(machines) == 0 {
+	machine := sim.drawReadyMachine()
+	if machine == nil {
 		return false
 	}
-	machines[0].commandDelay = duration
+	machine.commandDelay = duration
 	return true
 }
 
