--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -14,7 +13,7 @@
 )
 
 // Tests of two faults that coincide, with the parameters of each varied. A controller's lease is 2 s here, a
-// worker's 6 s, and cancel_s 11.5 s, 1 s more than the least that the settings accept.
+// worker's 6 s, and cancel_s 11.5 s, 1 s more than the minimum that the settings accept.
 
 // newBusyCluster is a cluster on tight workers, with jobs of all kinds that run for long, so that something is to
 // be lost.
@@ -31,28 +30,13 @@
 	workers config.Workers,
 ) (*testCluster, *Balancer) {
 	t.Helper()
-	types := gpuMachineTypes(3)
-	sim, err := NewVirtualTime(Config{
-		Seed:           seed,
-		MaxMachines:    20,
-		Types:          types,
-		Controllers:    controllers,
-		Zones:          []string{"a", "b", "c"},
-		TickInterval:   20 * time.Millisecond,
-		Workers:        workers,
-		VariedRunTimes: true,
-		LicencePools: map[string]int{
-			"transcribe": 12,
-		},
-		State: config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
-		Teams: []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}},
-	},
-		func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(chaosPools)) })
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 43))}
-	cluster.watchInvariants()
+	cfg := shortTimersConfig(seed, 20)
+	cfg.Controllers = controllers
+	cfg.TickInterval = 20 * time.Millisecond
+	cfg.Workers = workers
+	cfg.LicencePools = map[string]int{"transcribe": 12}
+	cfg.Teams = []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}}
+	cluster := startCluster(t, 43, cfg, readChaosPools)
 	balancer := cluster.Balance()
 	for i := range n {
 		cluster.submitLongJob(i, 20)
@@ -68,22 +52,12 @@
 
 // submitLongJobWith does so with something changed.
 func (r *testCluster) submitLongJobWith(i int, estimate float64, change func(*jobs.Spec)) *testUser {
-	spec := &jobs.Spec{
-		ID:        fmt.Sprintf("req-6%05d", i),
-		Class:     "long",
-		Team:      []string{"red", "blue"}[i%2],
-		Kind:      jobs.Array,
-		Priority:  "standard",
-		Tasks:     1 + i%3,
-		CPUs:      3,
-		MemoryGB:  1,
-		Image:     "i",
-		ImageGB:   1,
-		EstimateS: estimate,
-		Spot:      true,
-	}
+	spec := arraySpec(fmt.Sprintf("req-6%05d", i), "long", teamInTurn(i))
+	spec.Tasks = 1 + i%3
+	spec.CPUs = 3
+	spec.EstimateS = estimate
 	if i%5 > 0 { // machines stand in all zones
-		spec.Zone = &[]string{"a", "b", "c"}[i%3]
+		spec.Zone = &zoneNames()[i%3]
 	}
 	switch i % 4 {
 	case 1:
@@ -93,10 +67,7 @@
 		spec.SaveS = 1.5
 	}
 	change(spec)
-	user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
-	r.users = append(r.users, user)
-	user.submit()
-	return user
+	return r.submit(spec)
 }
 
 // cancelAt lets a user's cancellation go through one controller, and elsewhere if that doesn't take it.
@@ -122,9 +93,7 @@
 // recoverAndCheck starts all controllers, waits for the end of all jobs, and checks the rules that apply then.
 func (r *testCluster) recoverAndCheck() {
 	r.t.Helper()
-	for i := range r.Controllers() {
-		r.StartController(i)
-	}
+	r.startControllers()
 	idleWait := r.WatchIdleCapacity()
 	r.waitUntilDone()
 	for _, n := range r.nodeNames() {
@@ -191,13 +160,8 @@
 					cluster.RefuseController(l, true)
 					cluster.After(refused, func() { cluster.RefuseController(l, false) })
 					cluster.After(300*time.Millisecond, func() { f(cluster, l) })
-					for k := range 8 {
-						user := cluster.users[8*gap+k]
-						cluster.After(
-							time.Duration(50+140*k)*time.Millisecond,
-							func() { cluster.cancelAt(user, (l+1+k%2)%3) },
-						)
-					}
+					users := cluster.users[8*gap : 8*gap+8]
+					cluster.cancelEach(users, 50*time.Millisecond, 140*time.Millisecond, cluster.othersInTurn(l))
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
 					cluster.Advance(1100*time.Millisecond + seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
@@ -230,17 +194,8 @@
 		if slow {
 			cluster.DelayStateAnswers(20*time.Millisecond, 900*time.Millisecond)
 		}
-		for k := range 12 {
-			cluster.After(
-				time.Duration(100+300*k)*time.Millisecond,
-				func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
-			)
-		}
-		cluster.waitFor(
-			"led from elsewhere",
-			14*time.Second,
-			func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l },
-		)
+		cluster.cancelEach(cluster.users[:12], 100*time.Millisecond, 300*time.Millisecond, cluster.othersInTurn(l))
+		cluster.waitForOtherLeader(14*time.Second, l)
 		t.Logf("led from elsewhere after %v", cluster.Now()-from)
 		cluster.Advance(10 * time.Second)
 		cluster.StallWatches(l, false)
@@ -281,9 +236,7 @@
 	zone := cluster.zoneWithoutLeader()
 	cluster.PartitionZone(zone, RefuseBoth)
 	from := cluster.Now()
-	for k, user := range cluster.users {
-		cluster.After(time.Duration(20*k)*time.Millisecond, func() { cluster.cancelAt(user, (l+1+k%2)%3) })
-	}
+	cluster.cancelEach(cluster.users, 0, 20*time.Millisecond, cluster.othersInTurn(l))
 	cluster.Advance(200 * time.Millisecond)
 	cluster.KillController(l)
 	cluster.After(30*time.Second, func() { cluster.StartController(l) })
@@ -310,7 +263,7 @@
 		cluster.mu.Unlock()
 	}
 	if last == 0 {
-		t.Error("no machine heard of the new leader")
+		t.Error("no machine had an answer of the new leader")
 	}
 	cluster.recoverAndCheck()
 }
@@ -320,11 +273,13 @@
 func TestDelayedMessages(t *testing.T) {
 	const d = 12 * time.Second
 	delayFaults := map[string]func(cluster *testCluster, maxDelay time.Duration){
-		"commands": func(cluster *testCluster, most time.Duration) { cluster.DelayCommands(most/4, most) },
-		"answers":  func(cluster *testCluster, most time.Duration) { cluster.DelayHeartbeatAnswers(most/4, most) },
-		"both": func(cluster *testCluster, most time.Duration) {
-			cluster.DelayCommands(most/4, most)
-			cluster.DelayHeartbeatAnswers(most/8, most/2)
+		"commands": func(cluster *testCluster, maxDelay time.Duration) { cluster.DelayCommands(maxDelay/4, maxDelay) },
+		"answers": func(cluster *testCluster, maxDelay time.Duration) {
+			cluster.DelayHeartbeatAnswers(maxDelay/4, maxDelay)
+		},
+		"both": func(cluster *testCluster, maxDelay time.Duration) {
+			cluster.DelayCommands(maxDelay/4, maxDelay)
+			cluster.DelayHeartbeatAnswers(maxDelay/8, maxDelay/2)
 		},
 	}
 	meets := map[string]func(cluster *testCluster, k int){
@@ -344,8 +299,8 @@
 			t.Run(what+" "+with, func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 205, 3, 16)
 				cluster.submitJobs(d)
-				for k, most := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
-					cluster.After(time.Duration(k)*d/3, func() { delay(cluster, most) })
+				for k, maxDelay := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
+					cluster.After(time.Duration(k)*d/3, func() { delay(cluster, maxDelay) })
 				}
 				for k := range 6 {
 					cluster.After(time.Duration(k)*d/6+500*time.Millisecond, func() { f(cluster, k) })
@@ -378,12 +333,7 @@
 					cluster.PartitionZone(zone, how)
 					cluster.DropInbound(3, "", duration)
 					cluster.After(300*time.Millisecond, func() { end(cluster, l) })
-					for k := range 6 {
-						cluster.After(
-							time.Duration(400*k)*time.Millisecond,
-							func() { cluster.cancelAt(cluster.users[k], (l+1)%5) },
-						)
-					}
+					cluster.cancelEach(cluster.users[:6], 0, 400*time.Millisecond, func(int) int { return (l + 1) % 5 })
 					for k := range 10 { // those that wait for a place, at their teams' limits
 						cluster.submitLongJob(100+k, 4)
 					}
@@ -449,9 +399,7 @@
 			500*time.Millisecond,
 			[]time.Duration{3 * time.Second, 6 * time.Second}[seed%2],
 		)
-		for k := range 12 {
-			cluster.After(time.Duration(2+3*k)*time.Second, func() { cluster.cancelAt(cluster.users[k], k%3) })
-		}
+		cluster.cancelEach(cluster.users[:12], 2*time.Second, 3*time.Second, cluster.inTurn(0))
 		cluster.After(12*time.Second, func() { cluster.onLeader(200*time.Millisecond, cluster.KillController) })
 		cluster.After(24*time.Second, func() { cluster.onLeader(time.Second, cluster.drainController) })
 		cluster.After(36*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
@@ -517,18 +465,11 @@
 				cluster.CutLinks(l, StateLink|PeerLinks)
 				cluster.After(duration, func() { cluster.CutLinks(l, 0) })
 				cluster.After(700*time.Millisecond, func() { f(cluster, l) })
-				for k := range 14 {
-					cluster.After(
-						time.Duration(100+450*k)*time.Millisecond,
-						func() { cluster.cancelAt(cluster.users[k], (l+1+k%2)%3) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:14], 100*time.Millisecond, 450*time.Millisecond, cluster.othersInTurn(l))
 				cluster.Advance(duration + 12*time.Second)
 				from := cluster.Now()
 				cluster.recoverAndCheck()
-				if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-					t.Errorf("no question about %s was answered for %v", job, gap)
-				}
+				cluster.checkAnswered(pollers, from, 30*time.Second)
 			})
 		}
 	}
@@ -551,11 +492,11 @@
 		"cut":     func(cluster *testCluster, k int) { cluster.partitionZoneFor("a", DelayBoth, 2*time.Second) },
 	}
 	for what, f := range meets {
-		for _, most := range []time.Duration{3 * time.Second, 24 * time.Second} {
-			t.Run(fmt.Sprint(what, " ", most), func(t *testing.T) {
+		for _, maxDelay := range []time.Duration{3 * time.Second, 24 * time.Second} {
+			t.Run(fmt.Sprint(what, " ", maxDelay), func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 216, 3, 16)
 				cluster.submitJobs(24 * time.Second)
-				cluster.DuplicateMessages(0.7, 100*time.Millisecond, most)
+				cluster.DuplicateMessages(0.7, 100*time.Millisecond, maxDelay)
 				for k := range 8 {
 					cluster.After(time.Duration(3*k)*time.Second, func() { f(cluster, k) })
 				}
@@ -585,9 +526,7 @@
 			cluster.RefuseController(l, true)
 			cluster.After(12*time.Second, func() { cluster.RefuseController(l, false) })
 		}
-		for k := range 14 {
-			cluster.After(time.Duration(250*k)*time.Millisecond, func() { cluster.cancelAt(cluster.users[k], k%5) })
-		}
+		cluster.cancelEach(cluster.users[:14], 0, 250*time.Millisecond, cluster.inTurn(0))
 		cluster.Advance(3 * time.Second)
 		cluster.SetStateOutage(true)
 		cluster.Advance(seconds(1.3 * shortTimers.CancelS))
@@ -597,12 +536,47 @@
 		from := cluster.Now()
 		cluster.Advance(75 * time.Second)
 		if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-			t.Errorf("%v: no question about %s was answered for %v", slow, job, gap)
+			t.Errorf("%v: no query of %s was answered for %v", slow, job, gap)
 		}
 		cluster.recoverAndCheck()
 	}
 }
 
+// completionWatch records when the tasks of each job are done, and when the state service has the job as done.
+type completionWatch struct {
+	cluster      *testCluster
+	doneAt       map[string]time.Duration // by job
+	stored       map[string]bool
+	longestDelay time.Duration // from doneAt until it is stored
+}
+
+// watchCompletions watches all jobs from now on.
+func watchCompletions(cluster *testCluster) *completionWatch {
+	w := &completionWatch{cluster: cluster, doneAt: map[string]time.Duration{}, stored: map[string]bool{}}
+	w.check()
+	return w
+}
+
+func (w *completionWatch) check() {
+	for _, user := range w.cluster.users {
+		job := user.spec.ID
+		if _, ok := w.doneAt[job]; !ok && w.cluster.AllDone(job, user.spec.Tasks) {
+			w.doneAt[job] = w.cluster.Now()
+		}
+		if !w.stored[job] && w.isStoredAsDone(job) {
+			w.stored[job] = true
+			w.longestDelay = max(w.longestDelay, w.cluster.Now()-w.doneAt[job])
+		}
+	}
+	w.cluster.After(50*time.Millisecond, w.check)
+}
+
+func (w *completionWatch) isStoredAsDone(job string) bool {
+	var record jobs.Record
+	stored := w.cluster.StoredItem(jobs.RecordKey(job)).Value
+	return json.Unmarshal(stored, &record) == nil && record.State == jobs.Done.String()
+}
+
 // TestTasksThatEndFarApartAreNotRerun ends the tasks of small jobs far apart, across changes of the leader, one of
 // them without any leader: a job is done soon after all its tasks are, and nothing that is done starts again.
 func TestTasksThatEndFarApartAreNotRerun(t *testing.T) {
@@ -620,27 +594,10 @@
 			if what == "late writes" {
 				cluster.DelayWrites(0.2, 500*time.Millisecond, 3*time.Second)
 			}
-			done, stored, worst := map[string]time.Duration{}, map[string]bool{}, time.Duration(0)
 			for i := range 40 {
 				cluster.After(time.Duration(500*i)*time.Millisecond, func() { cluster.submitLongJob(i, 6) })
 			}
-			var look func()
-			look = func() {
-				for _, user := range cluster.users {
-					id := user.spec.ID
-					if _, ok := done[id]; !ok && cluster.AllDone(id, user.spec.Tasks) {
-						done[id] = cluster.Now()
-					}
-					var rec jobs.Record
-					if !stored[id] && json.Unmarshal(cluster.StoredItem(jobs.RecordKey(id)).Value, &rec) == nil &&
-						rec.State == jobs.Done.String() {
-						stored[id] = true
-						worst = max(worst, cluster.Now()-done[id])
-					}
-				}
-				cluster.After(50*time.Millisecond, look)
-			}
-			look()
+			completions := watchCompletions(cluster)
 			for range 5 {
 				cluster.Advance(5 * time.Second)
 				f(cluster, cluster.waitForLeader())
@@ -651,16 +608,16 @@
 			s := cluster.Stats()
 			t.Logf(
 				"done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again",
-				worst,
+				completions.longestDelay,
 				s.WorkerLeasesExpired,
 				s.TasksRerun,
 			)
-			most := 8 * time.Second
+			maxDelay := 8 * time.Second
 			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
-				most = 14 * time.Second
+				maxDelay = 14 * time.Second
 			}
-			if worst > most {
-				t.Errorf("that a job is done was durable %v after its last task had ended", worst)
+			if completions.longestDelay > maxDelay {
+				t.Errorf("that a job is done was durable %v after its last task had ended", completions.longestDelay)
 			}
 			if s.TasksRerun > 0 && s.WorkerLeasesExpired == 0 {
 				t.Errorf("%d tasks began again though they were done", s.TasksRerun)
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -46,9 +46,7 @@
 	if s.reached != nil {
 		s.reached(cluster)
 	}
-	for _, b := range cluster.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, cluster.Simulation)
 	d, err := recorder.end()
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +55,8 @@
 }
 
 // rollingCluster makes clusters of controllers that know levels up to one, with operators' words about the rollout.
-func rollingCluster(seed uint64, controllers int, knows rollout.Level, words string) func(t *testing.T) *testCluster {
-	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, knows, words) }
+func rollingCluster(seed uint64, controllers int, maxLevel rollout.Level, words string) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, maxLevel, words) }
 }
 
 // wideCluster makes clusters with many machines in each zone.
@@ -271,7 +269,7 @@
 // submitService submits a service whose replicas stand in different zones.
 func submitService(cluster *testCluster) {
 	spec := spreadServiceSpec()
-	(&testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}).submit()
+	cluster.newUser(spec).submit()
 }
 
 // rolloutCommandAt gives the leader an operator's word about the rollout at a time.
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -1,25 +1,21 @@
 package simulator
 
 import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
 	"github.com/harewalk/harewalk/internal/capacity"
+	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // gpuMachineTypes returns the one machine type of most tests' clouds: 16 processors and 4 accelerators, in the zones a,
 // b and c, ready after bootS seconds.
 func gpuMachineTypes(bootS float64) []capacity.MachineType {
-	return []capacity.MachineType{{
-		Name:    "g4",
-		CPUs:    16,
-		GPUs:    4,
-		Mem:     128,
-		CacheGB: 100,
-		FetchGB: 10,
-		Price:   4,
-		Spot:    1.5,
-		BootS:   bootS,
-		Zones:   []string{"a", "b", "c"},
-	}}
+	machineType := defaultMachineType(zoneNames())
+	machineType.BootS = bootS
+	return []capacity.MachineType{machineType}
 }
 
 // spreadServiceSpec returns a service of six replicas, at most half of which may be in one zone.
@@ -38,3 +34,143 @@
 		Spread:   true,
 	}
 }
+
+// zoneNames returns the zones of most tests' clouds.
+func zoneNames() []string { return []string{"a", "b", "c"} }
+
+// wholeZone stands for all machines, or all of a zone, where a number of machines is asked for.
+const wholeZone = 99
+
+// reportViolations reports every rule of the protocol that a simulation has seen broken.
+func reportViolations(t *testing.T, sim *Simulation) {
+	t.Helper()
+	for _, violation := range sim.Violations() {
+		t.Error(violation)
+	}
+}
+
+// startControllers starts every controller that doesn't run.
+func (sim *Simulation) startControllers() {
+	for i := range sim.Controllers() {
+		sim.StartController(i)
+	}
+}
+
+// newUser returns a user of a job, whom the checks at the end of a test don't include.
+func (r *testCluster) newUser(spec *jobs.Spec) *testUser {
+	return &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
+}
+
+// submit submits a job, and lets the checks at the end of a test include its user.
+func (r *testCluster) submit(spec *jobs.Spec) *testUser {
+	user := r.newUser(spec)
+	r.users = append(r.users, user)
+	user.submit()
+	return user
+}
+
+// waitForLoad waits until the machines of a wide cluster have work.
+func (r *testCluster) waitForLoad() {
+	r.t.Helper()
+	r.waitFor("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+}
+
+// waitForOtherLeader waits until a controller leads that isn't the former leader.
+func (r *testCluster) waitForOtherLeader(limit time.Duration, former int) {
+	r.t.Helper()
+	r.waitFor("led from elsewhere", limit, func() bool {
+		leader, _ := r.Leader()
+		return leader >= 0 && leader != former
+	})
+}
+
+// checkAnswered checks that since a time no job's queries stayed unanswered for longer than a limit.
+func (r *testCluster) checkAnswered(pollers *JobPollers, since, limit time.Duration) {
+	r.t.Helper()
+	if gap, job := pollers.LongestUnanswered(since, r.Now()); gap > limit {
+		r.t.Errorf("no query of %s was answered for %v", job, gap)
+	}
+}
+
+// teamInTurn returns one of the two teams of most tests, in turn.
+func teamInTurn(i int) string { return []string{"red", "blue"}[i%2] }
+
+// arraySpec returns an array of one small task that may run on spot machines. Tests set what matters to them.
+func arraySpec(id, class, team string) *jobs.Spec {
+	return &jobs.Spec{
+		ID:       id,
+		Class:    class,
+		Team:     team,
+		Kind:     jobs.Array,
+		Priority: "standard",
+		Tasks:    1,
+		CPUs:     1,
+		MemoryGB: 1,
+		Image:    "i",
+		ImageGB:  1,
+		Spot:     true,
+	}
+}
+
+// smallStateLimits returns the limits of a state service that takes few and small writes, so that they are queued and
+// split.
+func smallStateLimits() config.State {
+	return config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
+}
+
+// shortTimersConfig returns the configuration of three controllers whose workers' leases are short, with two teams
+// without limits. Tests change what matters to them.
+func shortTimersConfig(seed uint64, maxMachines int) Config {
+	return Config{
+		Seed:           seed,
+		MaxMachines:    maxMachines,
+		Types:          gpuMachineTypes(3),
+		Controllers:    3,
+		Zones:          zoneNames(),
+		TickInterval:   50 * time.Millisecond,
+		Workers:        shortTimers,
+		VariedRunTimes: true,
+		State:          smallStateLimits(),
+		Teams:          []config.Team{{Name: "red"}, {Name: "blue"}},
+	}
+}
+
+// startCluster starts a simulation and checks its invariants from then on. Its users draw from a random source of
+// their own, of the simulation's seed and a stream.
+func startCluster(t *testing.T, stream uint64, cfg Config, configure func(*config.Settings) error) *testCluster {
+	t.Helper()
+	sim, err := NewVirtualTime(cfg, configure)
+	if err != nil {
+		t.Fatal(err)
+	}
+	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(cfg.Seed, stream))}
+	cluster.watchInvariants()
+	return cluster
+}
+
+// cancelEach cancels the jobs of users one after the other, from a time on, each through the controller that via
+// returns for its place in the order.
+func (r *testCluster) cancelEach(users []*testUser, first, interval time.Duration, via func(k int) int) {
+	for k, user := range users {
+		r.After(first+time.Duration(k)*interval, func() { r.cancelAt(user, via(k)) })
+	}
+}
+
+// inTurn returns a choice of all controllers in turn, for cancelEach.
+func (r *testCluster) inTurn(first int) func(k int) int {
+	return func(k int) int { return (first + k) % r.Controllers() }
+}
+
+// othersInTurn returns a choice of the two controllers after one, in turn, for cancelEach.
+func (r *testCluster) othersInTurn(except int) func(k int) int {
+	return func(k int) int { return (except + 1 + k%2) % r.Controllers() }
+}
+
+// countEnds counts the jobs of users by their final states.
+func countEnds(ends map[string]int, users []*testUser) {
+	for _, user := range users {
+		if len(user.finalStates) > 0 {
+			ends[user.finalStates[0]]++
+		}
+	}
+}
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -52,30 +52,18 @@
 // submitSmallJobs fills the cluster with work that goes on, so that machines stand in all zones.
 func (r *testCluster) submitSmallJobs(n int, seconds float64) {
 	for i := range n {
-		spec := &jobs.Spec{
-			ID:        fmt.Sprintf("req-8%05d", i),
-			Class:     "long",
-			Team:      []string{"red", "blue"}[i%2],
-			Kind:      jobs.Array,
-			Priority:  "standard",
-			Tasks:     4,
-			CPUs:      4,
-			MemoryGB:  1,
-			Image:     "i",
-			ImageGB:   1,
-			EstimateS: seconds,
-			Spot:      true,
-		}
-		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
-		r.users = append(r.users, user)
-		user.submit()
+		spec := arraySpec(fmt.Sprintf("req-8%05d", i), "long", teamInTurn(i))
+		spec.Tasks = 4
+		spec.CPUs = 4
+		spec.EstimateS = seconds
+		r.submit(spec)
 	}
 }
 
 // zoneWithoutLeader is a zone that the leader isn't in.
 func (r *testCluster) zoneWithoutLeader() string {
 	l, _ := r.Leader()
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		if r.settings[l].Zone != z {
 			return z
 		}
@@ -92,7 +80,7 @@
 			cluster := newWideCluster(t, 71, 5)
 			cluster.submitSmallJobs(24, 20)
 			cluster.submitJobs(40 * time.Second)
-			cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+			cluster.waitForLoad()
 			cluster.Advance(5 * time.Second)
 			zone := cluster.zoneWithoutLeader()
 			there := cluster.zoneViews()[zone].Machines
@@ -131,7 +119,7 @@
 	cluster := newWideCluster(t, 72, 5)
 	cluster.submitSmallJobs(24, 20)
 	cluster.submitJobs(50 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	old, _ := cluster.Leader()
 	zone := cluster.settings[old].Zone
 	cluster.PartitionZone(zone, DelayBoth)
@@ -156,9 +144,7 @@
 		}
 	}
 	cluster.Advance(3 * time.Second)
-	for i := range 5 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitFor(
 		"known at once",
 		12*time.Second,
@@ -174,9 +160,9 @@
 	cluster := newWideCluster(t, 73, 5)
 	cluster.submitSmallJobs(24, 30)
 	cluster.submitJobs(60 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	zone := cluster.zoneWithoutLeader()
-	most, rented := 0, 0
+	maxFlaps, rented := 0, 0
 	for range 5 {
 		cluster.PartitionZone(zone, DropBoth)
 		cluster.Advance(4 * time.Second)
@@ -184,14 +170,14 @@
 		for range 20 {
 			cluster.Advance(80 * time.Millisecond)
 			v := cluster.zoneViews()[zone]
-			most = max(most, v.Flaps)
+			maxFlaps = max(maxFlaps, v.Flaps)
 			if v.State == "returning" && v.Rents {
 				rented++
 			}
 		}
 	}
-	if most < 2 || rented > 0 {
-		t.Errorf("%d flaps were seen, renting was open %d times while it returned", most, rented)
+	if maxFlaps < 2 || rented > 0 {
+		t.Errorf("%d flaps were seen, renting was open %d times while it returned", maxFlaps, rented)
 	}
 	cluster.waitUntilDone()
 }
@@ -203,7 +189,7 @@
 	cluster := newWideCluster(t, 74, 5)
 	cluster.submitSmallJobs(24, 15)
 	cluster.submitJobs(60 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	cluster.PartitionZone("a", DelayBoth)
 	cluster.Advance(6 * time.Second)
 	cluster.PartitionZone("b", DropBoth)
@@ -217,61 +203,56 @@
 	cluster.PowerOffZone("c")
 	cluster.Advance(10 * time.Second)
 	cluster.SetCloudOutage(false)
-	for i := range 5 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitUntilDone()
 }
 
+// replicasByZone counts the tasks of a job on machines that are rented, by their zones.
+func (r *testCluster) replicasByZone(spec *jobs.Spec) map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	replicas := map[string]int{}
+	for _, machine := range r.cloud.machines {
+		for _, task := range machine.tasks {
+			if task.spec == spec && task.state != taskExited && !machine.dead {
+				replicas[machine.zone]++
+			}
+		}
+	}
+	return replicas
+}
+
+func sum(counts map[string]int) (total int) {
+	for _, count := range counts {
+		total += count
+	}
+	return total
+}
+
 // TestServicesAreSpread checks that replicas of a service are spread, so that no zone has most of them where others
 // have room; with two zones left a service that must stay apart keeps its bound, and what can't be placed waits.
 func TestServicesAreSpread(t *testing.T) {
 	cluster := newWideCluster(t, 75, 3)
 	cluster.submitSmallJobs(24, 60) // machines in all zones
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	spec := spreadServiceSpec()
-	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+	user := cluster.newUser(spec)
 	user.submit()
-	on := func() map[string]int {
-		cluster.mu.Lock()
-		defer cluster.mu.Unlock()
-		m := map[string]int{}
-		for _, x := range cluster.cloud.machines {
-			for _, task := range x.tasks {
-				if task.spec == spec && task.state != taskExited && !x.dead {
-					m[x.zone]++
-				}
-			}
-		}
-		return m
-	}
-	total := func() (n int) {
-		for _, v := range on() {
-			n += v
-		}
-		return n
-	}
-	cluster.waitFor("up", 40*time.Second, func() bool { return total() == 6 })
+	allUp := func() bool { return sum(cluster.replicasByZone(spec)) == 6 }
+	cluster.waitFor("up", 40*time.Second, allUp)
 	up := map[string]int{}
-	for z := range cluster.zoneViews() {
-		up[z] = on()[z]
-		if up[z] > 3 {
+	for zone := range cluster.zoneViews() {
+		up[zone] = cluster.replicasByZone(spec)[zone]
+		if up[zone] > 3 {
 			t.Errorf("%v", up)
 		}
 	}
-	if len(on()) < 2 {
-		t.Errorf("all replicas stand in one zone: %v", on())
-	}
-	zone := cluster.zoneWithoutLeader()
-	cluster.PowerOffZone(zone)
-	cluster.waitFor(
-		"up again",
-		40*time.Second,
-		func() bool { return total() == 6 && on()[zone] == 0 || total() == 6 },
-	)
-	for i := range 3 {
-		cluster.StartController(i)
+	if replicas := cluster.replicasByZone(spec); len(replicas) < 2 {
+		t.Errorf("all replicas stand in one zone: %v", replicas)
 	}
+	cluster.PowerOffZone(cluster.zoneWithoutLeader())
+	cluster.waitFor("up again", 40*time.Second, allUp)
+	cluster.startControllers()
 	cluster.Advance(3 * time.Second)
 	user.cancel()
 	cluster.waitUntilDone()
@@ -282,22 +263,89 @@
 func TestAllZonesEmptied(t *testing.T) {
 	cluster := newWideCluster(t, 76, 3)
 	cluster.submitSmallJobs(24, 15)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
-	for _, z := range []string{"a", "b", "c"} {
+	cluster.waitForLoad()
+	for _, z := range zoneNames() {
 		cluster.PartitionZone(z, DropBoth)
 		cluster.Advance(3 * time.Second)
 	}
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PowerOffZone(z)
 	}
 	cluster.Advance(20 * time.Second)
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PartitionZone(z, Connected)
 	}
-	for i := range 3 {
-		cluster.StartController(i)
+	cluster.startControllers()
+	cluster.waitUntilDone()
+}
+
+// zoneFault is a random fault of a run in which zones are lost.
+type zoneFault struct {
+	zone       string
+	how        Partition
+	duration   time.Duration
+	controller int
+	kind       int // 0 to 9
+}
+
+// injectZoneFault begins a random fault, and returns whether it cuts a zone off.
+func (r *testCluster) injectZoneFault(fault zoneFault) (cutsZone bool) {
+	zone, duration, i := fault.zone, fault.duration, fault.controller
+	switch fault.kind {
+	case 0, 1, 2, 3:
+		r.PartitionZone(zone, fault.how)
+		r.After(duration, func() { r.PartitionZone(zone, Connected) })
+		return true
+	case 4:
+		r.flapZone(zone, duration/8)
+		return true
+	case 5:
+		r.PowerOffZone(zone)
+		r.After(duration/4, r.startControllers)
+	case 6:
+		r.KillController(i)
+		r.After(duration/4, func() { r.StartController(i) })
+	case 7:
+		r.DrainController(i, func() { r.After(duration/8, func() { r.StartController(i) }) })
+	case 8:
+		r.during(duration/3, r.SetStateOutage)
+	case 9:
+		r.during(duration/2, r.SetCloudOutage)
+	}
+	return false
+}
+
+// playRandomZoneFaults plays zone faults over a load, then ends all faults and waits for the end of all jobs. It
+// returns the cluster and how often a zone was cut off.
+func playRandomZoneFaults(t *testing.T, seed uint64, controllers int) (cluster *testCluster, zonesCut int) {
+	t.Helper()
+	cluster = newTestCluster(t, seed, controllers, rollout.Newest, "")
+	rng := cluster.rng
+	cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
+	cluster.submitJobs(90 * time.Second)
+	for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
+		fault := zoneFault{
+			zone:       zoneNames()[rng.IntN(3)],
+			how:        Partition(1 + rng.IntN(5)),
+			duration:   time.Duration(500+rng.IntN(20000)) * time.Millisecond,
+			controller: rng.IntN(controllers),
+			kind:       rng.IntN(10),
+		}
+		cluster.After(at, func() {
+			if cluster.injectZoneFault(fault) {
+				zonesCut++
+			}
+		})
+	}
+	cluster.Advance(120 * time.Second)
+	cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
+	for _, zone := range zoneNames() {
+		cluster.PartitionZone(zone, Connected)
 	}
+	cluster.Advance(time.Second)
+	cluster.startControllers()
 	cluster.waitUntilDone()
+	return cluster, zonesCut
 }
 
 // TestRandomZoneFaults loses zones at random, flapping, without power and returning, over kills, drains, outages
@@ -307,71 +355,16 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
-	ends, starts, lost, jobsN := map[string]int{}, 0, 0, 0
+	ends, starts, lost, jobCount := map[string]int{}, 0, 0, 0
 	for seed := range seeds {
-		cluster := newTestCluster(t, uint64(400+seed), 3+2*(seed%2), rollout.Newest, "")
-		rng := cluster.rng
-		cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-		cluster.submitJobs(90 * time.Second)
-		n := cluster.Controllers()
-		for at := 5 * time.Second; at < 95*time.Second; at += time.Duration(rng.IntN(6000)) * time.Millisecond {
-			zone, how, duration := []string{"a", "b", "c"}[rng.IntN(3)], Partition(
-				1+rng.IntN(5),
-			), time.Duration(
-				500+rng.IntN(20000),
-			)*time.Millisecond
-			i, what := rng.IntN(n), rng.IntN(10)
-			cluster.After(at, func() {
-				switch what {
-				case 0, 1, 2, 3:
-					cluster.PartitionZone(zone, how)
-					cluster.After(duration, func() { cluster.PartitionZone(zone, Connected) })
-					lost++
-				case 4:
-					cluster.flapZone(zone, duration/8)
-					lost++
-				case 5:
-					cluster.PowerOffZone(zone)
-					cluster.After(duration/4, func() {
-						for i := range n {
-							cluster.StartController(i)
-						}
-					})
-				case 6:
-					cluster.KillController(i)
-					cluster.After(duration/4, func() { cluster.StartController(i) })
-				case 7:
-					cluster.DrainController(
-						i,
-						func() { cluster.After(duration/8, func() { cluster.StartController(i) }) },
-					)
-				case 8:
-					cluster.during(duration/3, cluster.SetStateOutage)
-				case 9:
-					cluster.during(duration/2, cluster.SetCloudOutage)
-				}
-			})
-		}
-		cluster.Advance(120 * time.Second)
-		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-		for _, z := range []string{"a", "b", "c"} {
-			cluster.PartitionZone(z, Connected)
-		}
-		cluster.Advance(time.Second)
-		for i := range n {
-			cluster.StartController(i)
-		}
-		cluster.waitUntilDone()
-		jobsN += len(cluster.users)
-		for _, user := range cluster.users {
-			if len(user.finalStates) > 0 {
-				ends[user.finalStates[0]]++
-			}
-		}
+		cluster, zonesCut := playRandomZoneFaults(t, uint64(400+seed), 3+2*(seed%2))
+		lost += zonesCut
+		jobCount += len(cluster.users)
+		countEnds(ends, cluster.users)
 		starts += cluster.Stats().TaskStarts
 		if t.Failed() {
 			t.Fatalf("seed %d", 400+seed)
 		}
 	}
-	t.Logf("%d seeds: %d jobs, %v; %d starts, %d times a zone was cut off", seeds, jobsN, ends, starts, lost)
+	t.Logf("%d seeds: %d jobs, %v; %d starts, %d times a zone was cut off", seeds, jobCount, ends, starts, lost)
 }
