--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -119,9 +119,7 @@
 			spec.Tasks = 2
 			spec.Kind = jobs.Array
 			spec.Licences = nil
-			user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
-			cluster.users = append(cluster.users, user)
-			user.submit()
+			cluster.submit(spec)
 			cluster.waitFor(
 				"moved",
 				30*time.Second,
@@ -253,7 +251,7 @@
 }
 
 // TestArchivingWaitsForTheLevel checks that nothing is archived before every controller can read the archive; after
-// the rise what earlier releases stored is archived under any leader, and found at every moment.
+// the upgrade what earlier releases stored is archived under any leader, and found at every moment.
 func TestArchivingWaitsForTheLevel(t *testing.T) {
 	cluster := newTestCluster(t, 405, 3, rollout.Paged, "soak_s = 3")
 	cluster.submitJobs(100 * time.Second)
@@ -274,7 +272,7 @@
 		}
 		cluster.Advance(200 * time.Millisecond)
 	}
-	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitFor("begun", 30*time.Second, func() bool { return cluster.CountKeys(archive.Prefix) > 5 })
 	l, _ := cluster.Leader()
 	cluster.KillController(l)
@@ -369,20 +367,9 @@
 	cluster := newTestCluster(t, 408, 3, rollout.Newest, "soak_s = 3")
 	moved := cluster.checkArchivedJobsAreGone()
 	cluster.Advance(3 * time.Second)
-	spec := &jobs.Spec{
-		ID:        "req-000001",
-		Class:     "c",
-		Team:      "blue",
-		Kind:      jobs.Array,
-		Priority:  "standard",
-		Tasks:     3,
-		CPUs:      1,
-		MemoryGB:  1,
-		Image:     "i",
-		ImageGB:   1,
-		EstimateS: 60,
-		Spot:      true,
-	}
+	spec := arraySpec("req-000001", "c", "blue")
+	spec.Tasks = 3
+	spec.EstimateS = 60
 	user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec, cancelRequested: true}
 	cluster.users = append(cluster.users, user)
 	user.submit()
@@ -393,9 +380,7 @@
 		cluster.KillController(i)
 	}
 	cluster.Advance(time.Second)
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitFor("led", 20*time.Second, func() bool { return len(cluster.ActingLeaders()) > 0 })
 	cluster.Advance(2 * time.Second)                 // plans are read
 	for _, machine := range cluster.cloud.machines { // their reports say nothing meanwhile
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -45,10 +45,10 @@
 	}{
 		{1, false, 50 * time.Second, ""},
 		{6, false, 50 * time.Second, ""},
-		{99, true, 50 * time.Second, ""},
+		{wholeZone, true, 50 * time.Second, ""},
 		{6, false, 10 * time.Second, "killed"},
-		{99, true, 50 * time.Second, "killed"},
-		{99, true, 50 * time.Second, "drained"},
+		{wholeZone, true, 50 * time.Second, "killed"},
+		{wholeZone, true, 50 * time.Second, "drained"},
 	} {
 		t.Run(fmt.Sprint(c.n, " ", c.d, " ", c.how), func(t *testing.T) {
 			t.Parallel()
@@ -99,7 +99,7 @@
 		"flaps": func(cluster *testCluster, zone string) { cluster.flapZone(zone, 4*time.Second) },
 		"long":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DropBoth, 18*time.Second) },
 		"held":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DelayBoth, 9*time.Second) },
-		"deaf":  func(cluster *testCluster, zone string) { cluster.DropInbound(99, zone, 14*time.Second) },
+		"deaf":  func(cluster *testCluster, zone string) { cluster.DropInbound(wholeZone, zone, 14*time.Second) },
 	}
 	for what, lose := range losses {
 		for _, how := range []string{"", "killed"} {
@@ -109,26 +109,17 @@
 				zone := cluster.zoneWithoutLeader()
 				var bound []*testUser
 				for k := range 18 {
-					spec := &jobs.Spec{
-						ID:        fmt.Sprintf("req-4%05d", k),
-						Class:     "bound",
-						Team:      []string{"red", "blue"}[k%2],
-						Kind:      []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3],
-						Priority:  "standard",
-						Tasks:     1 + k%4,
-						CPUs:      3,
-						MemoryGB:  1,
-						Image:     "i",
-						ImageGB:   1,
-						EstimateS: 8,
-						Spot:      true,
-					}
+					spec := arraySpec(fmt.Sprintf("req-4%05d", k), "bound", teamInTurn(k))
+					spec.Kind = []jobs.Kind{jobs.Array, jobs.Gang, jobs.Array}[k%3]
+					spec.Tasks = 1 + k%4
+					spec.CPUs = 3
+					spec.EstimateS = 8
 					if k%2 == 0 {
 						spec.Zone = &zone
 					} else {
 						spec.OneZone = true
 					}
-					user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+					user := cluster.newUser(spec)
 					cluster.users, bound = append(cluster.users, user), append(bound, user)
 					cluster.After(time.Duration(k)*600*time.Millisecond, user.submit)
 				}
@@ -220,7 +211,7 @@
 				t.Error("they began too late, or in the wrong order")
 			}
 			if gap, job := pollers.LongestUnanswered(from, min(cluster.Now(), from+75*time.Second)); gap > 30*time.Second {
-				t.Errorf("no question about %s was answered for %v", job, gap)
+				t.Errorf("no query of %s was answered for %v", job, gap)
 			}
 		})
 	}
@@ -242,15 +233,10 @@
 						cluster.After(at, func() { cluster.during(outage, cluster.SetStateOutage) })
 					}
 				}
-				for k := range 16 {
-					cluster.After(
-						time.Duration(3+7*k)*time.Second,
-						func() { cluster.cancelAt(cluster.users[k], k%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:16], 3*time.Second, 7*time.Second, cluster.inTurn(0))
 				cluster.Advance(2 * time.Minute)
 				_, now := cluster.Leader()
-				if most := uint64(8); now < term+most && outage < 14*time.Second {
+				if minChanges := uint64(8); now < term+minChanges && outage < 14*time.Second {
 					t.Errorf("the leader changed %d times", now-term)
 				}
 				cluster.recoverAndCheck()
@@ -304,7 +290,7 @@
 		for _, user := range cluster.users {
 			ends[user.finalStates[0]]++
 		}
-		t.Logf("%v, %d called off at their end", ends, cluster.Stats().JobsCancelled)
+		t.Logf("%v, %d cancelled at their end", ends, cluster.Stats().JobsCancelled)
 		if ends["done"] < 10 || ends["cancelled"] < 10 || cluster.Stats().JobsCancelled < 40 {
 			t.Errorf("%v: they did not meet", ends)
 		}
@@ -330,12 +316,7 @@
 				l := cluster.waitForLeader()
 				cluster.SetPollBursts(true)
 				cluster.After(time.Second, func() { cluster.RefuseController(l, true) })
-				for k := range 12 {
-					cluster.After(
-						time.Second+at+time.Duration(k)*time.Millisecond,
-						func() { cluster.cancelAt(cluster.users[k], (l+k)%controllers) },
-					)
-				}
+				cluster.cancelEach(cluster.users[:12], time.Second+at, time.Millisecond, cluster.inTurn(l))
 				cluster.Advance(2 * time.Second)
 				cluster.SetStateOutage(true)
 				cluster.Advance(seconds(1.15 * shortTimers.CancelS))
@@ -371,20 +352,13 @@
 					}
 					cluster.SetPollBursts(true)
 					cluster.PartitionZone(zone, how)
-					for k := range 12 {
-						cluster.After(
-							time.Duration(50+400*k)*time.Millisecond,
-							func() { cluster.cancelAt(cluster.users[k], k%3) },
-						)
-					}
+					cluster.cancelEach(cluster.users[:12], 50*time.Millisecond, 400*time.Millisecond, cluster.inTurn(0))
 					cluster.submitJobs(6 * time.Second)
 					cluster.Advance(seconds(part * shortTimers.LeaseS))
 					cluster.PartitionZone(zone, Connected)
 					from := cluster.Now()
 					cluster.Advance(40 * time.Second)
-					if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-						t.Errorf("no question about %s was answered for %v", job, gap)
-					}
+					cluster.checkAnswered(pollers, from, 30*time.Second)
 					cluster.recoverAndCheck()
 				})
 			}
@@ -412,20 +386,9 @@
 	cluster.Advance(300 * time.Millisecond)
 	refused := 0
 	for k := range 12 {
-		spec := &jobs.Spec{
-			ID:        fmt.Sprintf("req-3%05d", k),
-			Class:     "big",
-			Team:      "red",
-			Kind:      jobs.Array,
-			Priority:  "standard",
-			Tasks:     1,
-			CPUs:      100,
-			MemoryGB:  1,
-			Image:     "i",
-			ImageGB:   1,
-			EstimateS: 3,
-			Spot:      true,
-		}
+		spec := arraySpec(fmt.Sprintf("req-3%05d", k), "big", "red")
+		spec.CPUs = 100
+		spec.EstimateS = 3
 		cluster.AddJob(spec)
 		body, _ := json.Marshal(spec)
 		cluster.Request(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
@@ -447,7 +410,5 @@
 	if refused > 0 {
 		t.Errorf("%d accepted jobs were refused for good", refused)
 	}
-	for _, b := range cluster.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, cluster.Simulation)
 }
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -42,20 +42,10 @@
 
 // submit hands a job in until it is accepted.
 func (m *manyJobs) submit(n int) {
-	spec := &jobs.Spec{
-		ID:        fmt.Sprintf("req-%07d", n),
-		Class:     "c",
-		Team:      []string{"red", "blue"}[n%2],
-		Kind:      jobs.Array,
-		Priority:  "standard",
-		Tasks:     1 + n%2,
-		CPUs:      1,
-		MemoryGB:  1,
-		Image:     "i",
-		ImageGB:   0.1,
-		EstimateS: 0.5 + m.rng.Float64(),
-		Spot:      true,
-	}
+	spec := arraySpec(fmt.Sprintf("req-%07d", n), "c", teamInTurn(n))
+	spec.Tasks = 1 + n%2
+	spec.ImageGB = 0.1
+	spec.EstimateS = 0.5 + m.rng.Float64()
 	m.AddJob(spec)
 	body, _ := json.Marshal(spec)
 	m.open++
@@ -97,9 +87,7 @@
 
 // endFaults ends all faults and waits until all jobs that are done are archived.
 func (m *manyJobs) endFaults() {
-	for i := range 3 {
-		m.StartController(i)
-	}
+	m.startControllers()
 	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.open > 0 || m.CountKeys(jobs.Prefix) > 0); {
 		m.Advance(time.Second)
 	}
@@ -198,9 +186,7 @@
 		}
 	}
 	m.checkAnswersEverywhere(checked)
-	for _, b := range m.Violations() {
-		t.Error(b)
-	}
+	reportViolations(t, m.Simulation)
 	s := m.Stats()
 	t.Logf(
 		"%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained",
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
-	"os"
 	"slices"
 	"testing"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/membership"
@@ -22,7 +21,7 @@
 	balancer := cluster.Balance()
 	cluster.submitSmallJobs(24, 20)
 	cluster.submitJobs(60 * time.Second)
-	cluster.waitFor("working", 60*time.Second, func() bool { return cluster.Utilization().Running > 60 })
+	cluster.waitForLoad()
 	cluster.Advance(3 * time.Second)
 	return cluster, balancer
 }
@@ -56,8 +55,8 @@
 	}{
 		{"one", 1, false, 5 * time.Minute, false},
 		{"many", 14, false, 5 * time.Minute, false},
-		{"zone", 99, true, 5 * time.Minute, false},
-		{"zone and leader", 99, true, 5 * time.Minute, true},
+		{"zone", wholeZone, true, 5 * time.Minute, false},
+		{"zone and leader", wholeZone, true, 5 * time.Minute, true},
 		{"many for a while", 14, false, 12 * time.Second, false},
 		{"many and leader", 14, false, 5 * time.Minute, true},
 	} {
@@ -67,7 +66,7 @@
 			if c.zone {
 				zone = cluster.zoneWithoutLeader()
 			}
-			deaf := cluster.DropInbound(c.n, zone, c.d)
+			unreachable := cluster.DropInbound(c.n, zone, c.d)
 			if c.lead {
 				l, _ := cluster.Leader()
 				cluster.After(2*time.Second, func() { cluster.KillController(l) })
@@ -76,20 +75,20 @@
 			cluster.Advance(c.d / 2)
 			if c.d > time.Minute {
 				left := 0
-				for _, m := range deaf {
+				for _, m := range unreachable {
 					if cluster.machineAlive(m) {
 						left++
 					}
 				}
 				if left > 0 {
-					t.Errorf("%d of %d machines that don't hear are paid for after %v", left, len(deaf), c.d/2)
+					t.Errorf("%d of %d machines that receive nothing are paid for after %v", left, len(unreachable), c.d/2)
 				}
 			}
-			// A lane or two each before it shows, not one each lease.
+			// A slot or two each before it shows, not one each lease.
 			s := cluster.Stats()
-			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(deaf))
-			if s.LaunchesLost > 6*len(deaf) {
-				t.Errorf("%d launches were sent to %d machines that don't hear", s.LaunchesLost, len(deaf))
+			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(unreachable))
+			if s.LaunchesLost > 6*len(unreachable) {
+				t.Errorf("%d launches were sent to %d machines that receive nothing", s.LaunchesLost, len(unreachable))
 			}
 			cluster.waitUntilDone()
 		})
@@ -99,9 +98,9 @@
 // TestMachineWithLostOutbound checks that a machine whose heartbeats are lost counts as silent, though it receives.
 func TestMachineWithLostOutbound(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 82, 3)
-	mute := cluster.DropOutbound(3, "", 5*time.Minute)
+	silent := cluster.DropOutbound(3, "", 5*time.Minute)
 	cluster.Advance(40 * time.Second)
-	for _, m := range mute {
+	for _, m := range silent {
 		if cluster.machineAlive(m) {
 			t.Errorf("%s is still paid for", m)
 		}
@@ -146,12 +145,26 @@
 			}
 		}
 		if revived > 0 {
-			t.Errorf("seed %d: machines that are gone counted as heard %d times", seed, revived)
+			t.Errorf("seed %d: machines that have ended counted as heard %d times", seed, revived)
 		}
 		cluster.waitUntilDone()
 	}
 }
 
+// countMisdirectedMachines counts the ready machines that send heartbeats to a controller that doesn't lead, those left
+// out that have been up only for a short time.
+func (r *testCluster) countMisdirectedMachines() (n int) {
+	leader, _ := r.Leader()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, machine := range r.readyMachines() {
+		if machine.controller != leader && r.now()-machine.rentedAt > 30*time.Second {
+			n++
+		}
+	}
+	return n
+}
+
 // TestControllerPartitionedWithItsWorkers cuts a controller off from the state service and its peers but not from
 // its workers, the leader or another, alone, two at once, and during a rollout: it accepts no heartbeat after its
 // lease, its workers and users are served elsewhere soon, and its return has no effect.
@@ -160,25 +173,25 @@
 		t.Run(c, func(t *testing.T) {
 			cluster, balancer := newSteadyCluster(t, 83, 5)
 			first, _ := cluster.Leader()
-			gone := []int{first}
+			partitioned := []int{first}
 			switch c {
 			case "other":
-				gone = []int{(first + 1) % 5}
+				partitioned = []int{(first + 1) % 5}
 			case "two":
-				gone = append(gone, (first+2)%5)
+				partitioned = append(partitioned, (first+2)%5)
 			case "rolling":
 				cluster.RollingRestart(rollout.Newest, time.Second, nil, func() {})
 				cluster.Advance(2 * time.Second)
 				first, _ = cluster.Leader()
-				gone = []int{first}
+				partitioned = []int{first}
 			}
 			pollers := cluster.startPolling(balancer)
 			before := cluster.Now()
-			for _, i := range gone {
+			for _, i := range partitioned {
 				cluster.CutLinks(i, StateLink|PeerLinks)
 			}
 			cluster.Advance(8 * time.Second)
-			for _, i := range gone {
+			for _, i := range partitioned {
 				if balancer.Healthy(i) && cluster.ControllerRuns(i) {
 					t.Errorf("controller %d is healthy after 8 s without state service and the others", i)
 				}
@@ -187,35 +200,23 @@
 				cluster.waitFor(
 					"led from elsewhere",
 					10*time.Second,
-					func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(gone, l) },
+					func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(partitioned, l) },
 				)
 			}
 			cluster.Advance(6 * time.Second)
-			// Everybody reports to whoever leads.
-			l, _ := cluster.Leader()
-			astray := 0
-			cluster.mu.Lock()
-			for _, machine := range cluster.readyMachines() {
-				if machine.controller != l && cluster.now()-machine.rentedAt > 30*time.Second {
-					astray++
-				}
-			}
-			cluster.mu.Unlock()
-			if astray > 2 {
-				t.Errorf("%d machines report to a controller that doesn't lead", astray)
+			if misdirected := cluster.countMisdirectedMachines(); misdirected > 2 {
+				t.Errorf("%d machines report to a controller that doesn't lead", misdirected)
 			}
 			term := func() uint64 { _, n := cluster.Leader(); return n }
 			was := term()
-			for _, i := range gone {
+			for _, i := range partitioned {
 				cluster.CutLinks(i, 0)
 			}
 			cluster.Advance(20 * time.Second)
 			if now := term(); now != was && c != "rolling" {
 				t.Errorf("the lead changed from term %d to %d on the return", was, now)
 			}
-			if gap, job := pollers.LongestUnanswered(before, cluster.Now()); gap > 25*time.Second {
-				t.Errorf("no question about %s was answered for %v", job, gap)
-			}
+			cluster.checkAnswered(pollers, before, 25*time.Second)
 			cluster.waitUntilDone()
 		})
 	}
@@ -228,11 +229,7 @@
 	old, was := cluster.Leader()
 	cluster.CutLinks(old, WorkerLinks)
 	from := cluster.Now()
-	cluster.waitFor(
-		"led from elsewhere",
-		9*time.Second,
-		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
-	)
+	cluster.waitForOtherLeader(9*time.Second, old)
 	t.Logf("led from elsewhere after %v", cluster.Now()-from)
 	cluster.Advance(40 * time.Second)
 	if l, term := cluster.Leader(); term != was+1 || l == old {
@@ -282,72 +279,84 @@
 	cluster.waitUntilDone()
 }
 
+// raiseHeartbeatSequences makes all machines look as if they had been up for hours.
+func (r *testCluster) raiseHeartbeatSequences() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, machine := range r.cloud.machines {
+		machine.seq += 100_000
+	}
+}
+
+// drawReadyMachines returns the names of up to a number of machines that are ready.
+func (r *testCluster) drawReadyMachines(limit int) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var names []string
+	for _, machine := range r.shuffledReadyMachines() {
+		if len(names) < limit {
+			names = append(names, machine.Name)
+		}
+	}
+	return names
+}
+
+// isHeardOrReturned returns whether a controller has a machine's last heartbeat, or the machine isn't rented any more.
+func (r *testCluster) isHeardOrReturned(name string, controller int) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	machine := r.cloud.machineByName[name]
+	process := r.virtual.controllers[controller].process
+	return machine.dead || process != nil && process.HasHeartbeat(name, machine.session, machine.seq)
+}
+
+// waitUntilHeardOrReturned advances time, at most a minute, until the leader has heard each machine once or the
+// machine is returned. It returns how many are left, and how long it took.
+func (r *testCluster) waitUntilHeardOrReturned(names []string) (left int, took time.Duration) {
+	open := map[string]bool{}
+	for _, name := range names {
+		open[name] = true
+	}
+	from := r.Now()
+	for ; r.Now() < from+time.Minute && len(open) > 0; r.Advance(250 * time.Millisecond) {
+		leader, _ := r.Leader()
+		if leader < 0 {
+			continue
+		}
+		maps.DeleteFunc(open, func(name string, _ bool) bool { return r.isHeardOrReturned(name, leader) })
+	}
+	return len(open), r.Now() - from
+}
+
 // TestMachinesThatRestartAtOnce restarts machines within a fraction of a second under their names, session and
-// sequence from the start, while copies of their earlier heartbeats are on their way: one, many, all of a zone,
-// all. They are used again or returned, soon.
+// sequence from the start, while copies of their earlier heartbeats are on their way: one, many, all. They are used
+// again or returned, soon.
 func TestMachinesThatRestartAtOnce(t *testing.T) {
-	for _, n := range []int{1, 12, 99} {
+	for _, n := range []int{1, 12, wholeZone} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			cluster, _ := newSteadyCluster(t, 85, 3)
 			cluster.DuplicateMessages(0.2, time.Second, 20*time.Second)
-			cluster.mu.Lock()
-			for _, machine := range cluster.cloud.machines {
-				machine.seq += 100_000 // they have been up for hours
-			}
-			cluster.mu.Unlock()
+			cluster.raiseHeartbeatSequences()
 			cluster.Advance(15 * time.Second)
-			var names []string
-			cluster.mu.Lock()
-			for _, machine := range cluster.shuffledReadyMachines() {
-				if len(names) < n {
-					names = append(names, machine.Name)
-				}
-			}
-			cluster.mu.Unlock()
+			names := cluster.drawReadyMachines(n)
 			for _, name := range names {
 				cluster.RestartMachine(name, time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
 			}
 			cluster.submitJobs(30 * time.Second)
-			left := map[string]bool{}
-			for _, name := range names {
-				left[name] = true
-			}
-			from, l := cluster.Now(), 0
-			end := cluster.Now() + time.Minute
-			for ; cluster.Now() < end && len(left) > 0; cluster.Advance(250 * time.Millisecond) {
-				if l, _ = cluster.Leader(); l < 0 {
-					continue
-				}
-				for name := range left {
-					cluster.mu.Lock()
-					machine := cluster.cloud.machineByName[name]
-					known := !machine.dead && cluster.virtual.controllers[l].process != nil &&
-						cluster.virtual.controllers[l].process.HasHeartbeat(name, machine.session, machine.seq)
-					dead := machine.dead
-					cluster.mu.Unlock()
-					if dead || known {
-						delete(left, name)
-					}
-				}
-			}
+			left, took := cluster.waitUntilHeardOrReturned(names)
 			returned := 0
 			for _, name := range names {
 				if !cluster.machineAlive(name) {
 					returned++
 				}
 			}
-			t.Logf(
-				"%d machines: all heard or given back after %v, %d given back",
-				len(names),
-				cluster.Now()-from,
-				returned,
-			)
-			if duration := cluster.Now() - from; duration > 10*time.Second || returned > len(names)/4 {
+			t.Logf("%d machines: all heard or returned after %v, %d returned", len(names), took, returned)
+			if took > 10*time.Second || returned > len(names)/4 {
 				t.Errorf(
-					"%d of %d machines were neither heard nor given back within %v, %d given back",
-					len(left),
+					"%d of %d machines were neither heard nor returned within %v, %d returned",
+					left,
 					len(names),
-					duration,
+					took,
 					returned,
 				)
 			}
@@ -368,7 +377,7 @@
 			cluster := newWideCluster(t, 86, 3)
 			cluster.SetBootFault(c.factor, c.never)
 			cluster.submitSmallJobs(16, 15)
-			most := 0
+			maxMachines := 0
 			for range 90 {
 				cluster.Advance(time.Second)
 				cluster.mu.Lock()
@@ -379,7 +388,7 @@
 					}
 				}
 				cluster.mu.Unlock()
-				most = max(most, n)
+				maxMachines = max(maxMachines, n)
 			}
 			cluster.SetBootFault(0, 0)
 			cluster.Advance(2 * time.Minute)
@@ -394,7 +403,7 @@
 				}
 			}
 			cluster.mu.Unlock()
-			t.Logf("at most %d machines", most)
+			t.Logf("at most %d machines", maxMachines)
 			cluster.waitUntilDone()
 		})
 	}
@@ -406,43 +415,29 @@
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 87, 3)
 	for i := range 40 { // so much that no machine is idle
-		user := &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-81%04d", i),
-				Class:     "long",
-				Team:      "blue",
-				Kind:      jobs.Array,
-				Priority:  "standard",
-				Tasks:     8,
-				CPUs:      4,
-				MemoryGB:  1,
-				Image:     "i",
-				ImageGB:   1,
-				EstimateS: 60,
-				Spot:      true,
-			},
-		}
-		cluster.users = append(cluster.users, user)
-		user.submit()
+		spec := arraySpec(fmt.Sprintf("req-81%04d", i), "long", "blue")
+		spec.Tasks = 8
+		spec.CPUs = 4
+		spec.EstimateS = 60
+		cluster.submit(spec)
 	}
 	cluster.Advance(20 * time.Second)
 	var wrong []*testUser
-	for i, spec := range []*jobs.Spec{
-		{Kind: jobs.Array, Tasks: 1},
-		{Kind: jobs.Gang, Tasks: 4},
-		{Kind: jobs.Array, Tasks: 2000},
+	for i, failing := range []struct {
+		kind  jobs.Kind
+		tasks int
+	}{
+		{jobs.Array, 1},
+		{jobs.Gang, 4},
+		{jobs.Array, 2000},
 	} {
-		spec.ID = fmt.Sprintf("req-90000%d", i)
-		spec.Class = "wrong"
-		spec.Team = "red"
-		spec.Priority = "standard"
-		spec.CPUs, spec.MemoryGB, spec.Image, spec.ImageGB, spec.EstimateS, spec.Spot = 1, 1, fmt.Sprintf(
-			"w-%d",
-			i,
-		), 2, 10, true
-		user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+		spec := arraySpec(fmt.Sprintf("req-90000%d", i), "wrong", "red")
+		spec.Kind = failing.kind
+		spec.Tasks = failing.tasks
+		spec.Image = fmt.Sprintf("w-%d", i)
+		spec.ImageGB = 2
+		spec.EstimateS = 10
+		user := cluster.newUser(spec)
 		cluster.FailJob(spec.ID)
 		user.submit()
 		wrong = append(wrong, user)
@@ -488,17 +483,11 @@
 	for range 3 {
 		l, _ := cluster.Leader()
 		cluster.FreezeController(l, 70*time.Second)
-		cluster.waitFor(
-			"led from elsewhere",
-			12*time.Second,
-			func() bool { n, _ := cluster.Leader(); return n >= 0 && n != l },
-		)
+		cluster.waitForOtherLeader(12*time.Second, l)
 		cluster.Advance(10 * time.Second)
 	}
 	cluster.Advance(90 * time.Second)
-	if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-		t.Errorf("no question about %s was answered for %v", job, gap)
-	}
+	cluster.checkAnswered(pollers, from, 30*time.Second)
 	cluster.waitUntilDone()
 }
 
@@ -543,9 +532,7 @@
 	if n := cluster.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
 		t.Errorf("%d leases ran out under a flood of questions", n)
 	}
-	if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 20*time.Second {
-		t.Errorf("no question about %s was answered for %v", job, gap)
-	}
+	cluster.checkAnswered(pollers, from, 20*time.Second)
 	if statuses[200] == 0 || statuses[404] == 0 {
 		t.Errorf("answers %v", statuses)
 	}
@@ -556,7 +543,7 @@
 func (r *testCluster) accepted(id string) bool {
 	return slices.ContainsFunc(
 		r.users,
-		func(user *testUser) bool { return user.spec.ID == id && (user.status == 200 || user.status == 201) },
+		func(user *testUser) bool { return user.spec.ID == id && user.isAccepted() },
 	)
 }
 
@@ -577,44 +564,27 @@
 	)
 	cluster.submitSmallJobs(10, 15)
 	cluster.Advance(30 * time.Second)
-	give := func(user *testUser) *testUser {
-		cluster.users = append(cluster.users, user)
-		user.submit()
-		return user
-	}
-	job := func(n int, team, class, priority string, tasks int, cpus, est float64) *testUser {
-		return &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-%06d", n),
-				Class:     class,
-				Team:      team,
-				Kind:      jobs.Array,
-				Priority:  priority,
-				Tasks:     tasks,
-				CPUs:      cpus,
-				MemoryGB:  0.4,
-				Image:     "i",
-				ImageGB:   0.5,
-				EstimateS: est,
-				Spot:      true,
-			},
-		}
-	}
-	give(job(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4))
-	give(job(500001, "guest", "idle", "best_effort", 60, 4, 30))
+	submit := func(n int, team, class, priority string, tasks int, cpus, estimateS float64) {
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), class, team)
+		spec.Priority = priority
+		spec.Tasks = tasks
+		spec.CPUs = cpus
+		spec.MemoryGB = 0.4
+		spec.ImageGB = 0.5
+		spec.EstimateS = estimateS
+		cluster.submit(spec)
+	}
+	submit(500000, "guest", "sweep", "best_effort", 4000, 0.25, 4)
+	submit(500001, "guest", "idle", "best_effort", 60, 4, 30)
 	for i := range 200 {
-		cluster.After(
-			time.Duration(i)*300*time.Millisecond,
-			func() { give(job(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)) },
-		)
+		cluster.After(time.Duration(i)*300*time.Millisecond, func() {
+			submit(510000+i, "guest", "tiny", "best_effort", 1, 0.5, 2)
+		})
 	}
 	for i := range 20 {
-		cluster.After(
-			time.Duration(3*i)*time.Second,
-			func() { give(job(520000+i, "red", "owed", "standard", 4, 4, 10)) },
-		)
+		cluster.After(time.Duration(3*i)*time.Second, func() {
+			submit(520000+i, "red", "owed", "standard", 4, 4, 10)
+		})
 	}
 	cluster.Advance(65 * time.Second)
 	cluster.waitUntilDone()
@@ -635,363 +605,67 @@
 	)
 }
 
+// playLargeGangs submits gangs of half the machines under a stream of small urgent jobs, over a kill and a freeze of
+// the leader, with an operator's settings. It returns the longest time until one of the large gangs started, and how
+// many haven't.
+func playLargeGangs(t *testing.T, operator string) (longest time.Duration, left int) {
+	t.Helper()
+	types := gpuMachineTypes(12)
+	types[0].Zones = []string{"a", "b"}
+	sim, err := NewVirtualTime(Config{
+		Seed:         93,
+		MaxMachines:  16,
+		Types:        types,
+		TickInterval: 50 * time.Millisecond,
+		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
+	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	rng := rand.New(rand.NewPCG(93, 1))
+	submit := func(n, tasks int, priority string, estimateS float64) {
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), priority, "red")
+		spec.Kind = jobs.Gang
+		spec.Priority = priority
+		spec.Tasks = tasks
+		spec.CPUs = 12
+		spec.EstimateS = estimateS
+		spec.Spot = false
+		(&testUser{simulation: sim, rng: rng, spec: spec}).submit()
+	}
+	for i := range 300 { // 16 machines, of which these take some 13
+		sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
+	}
+	const largeGangs, firstLarge = 3, 900
+	for i := range largeGangs {
+		sim.After(time.Duration(60+70*i)*time.Second, func() { submit(firstLarge+i, 8, "standard", 10) })
+	}
+	sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
+	freeze := func(leader int) { sim.FreezeController(leader, 70*time.Second) }
+	sim.After(170*time.Second, func() { sim.onLeader(0, freeze) })
+	sim.Advance(450 * time.Second)
+	for i := range largeGangs {
+		if delay, ok := sim.FirstStart(fmt.Sprintf("req-%06d", firstLarge+i)); ok {
+			longest = max(longest, delay)
+		} else {
+			left++
+		}
+	}
+	reportViolations(t, sim)
+	return longest, left
+}
+
 // TestLargestJobsStartAcrossFailovers submits gangs that need half of all machines at once, under a constant stream
 // of small urgent jobs that takes most of them, while the leader is killed and the next one frozen: the gangs start
 // within four minutes of their submission under any leader. Without the rule they don't.
 func TestLargestJobsStartAcrossFailovers(t *testing.T) {
-	began := func(operator string) (longest time.Duration, left int) {
-		types := []capacity.MachineType{
-			{
-				Name:    "g4",
-				CPUs:    16,
-				GPUs:    4,
-				Mem:     128,
-				CacheGB: 100,
-				FetchGB: 10,
-				Price:   4,
-				Spot:    1.5,
-				BootS:   12,
-				Zones:   []string{"a", "b"},
-			},
-		}
-		sim, err := NewVirtualTime(
-			Config{
-				Seed:         93,
-				MaxMachines:  16,
-				Types:        types,
-				TickInterval: 50 * time.Millisecond,
-				Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
-			},
-			func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) },
-		)
-		if err != nil {
-			t.Fatal(err)
-		}
-		rng := rand.New(rand.NewPCG(93, 1))
-		var large []*testUser
-		submit := func(n, tasks int, priority string, est float64) *testUser {
-			user := &testUser{
-				simulation: sim,
-				rng:        rng,
-				spec: &jobs.Spec{
-					ID:        fmt.Sprintf("req-%06d", n),
-					Class:     priority,
-					Team:      "red",
-					Kind:      jobs.Gang,
-					Priority:  priority,
-					Tasks:     tasks,
-					CPUs:      12,
-					MemoryGB:  1,
-					Image:     "i",
-					ImageGB:   1,
-					EstimateS: est,
-				},
-			}
-			user.submit()
-			return user
-		}
-		for i := range 300 { // 16 machines, of which these take some 13
-			sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
-		}
-		for i := range 3 {
-			sim.After(
-				time.Duration(60+70*i)*time.Second,
-				func() { large = append(large, submit(900+i, 8, "standard", 10)) },
-			)
-		}
-		sim.After(100*time.Second, func() { sim.onLeader(3*time.Second, sim.KillController) })
-		sim.After(
-			170*time.Second,
-			func() { sim.onLeader(0, func(i int) { sim.FreezeController(i, 70*time.Second) }) },
-		)
-		sim.Advance(450 * time.Second)
-		for _, user := range large {
-			if duration, ok := sim.FirstStart(user.spec.ID); ok {
-				longest = max(longest, duration)
-			} else {
-				left++
-			}
-		}
-		for _, b := range sim.Violations() {
-			t.Error(b)
-		}
-		return longest, left
-	}
-	longest, left := began("")
+	longest, left := playLargeGangs(t, "")
 	t.Logf("the last begins after %v", longest)
 	if left > 0 || longest > 4*time.Minute {
 		t.Errorf("%d haven't begun, the last of the others after %v", left, longest)
 	}
-	if longest, left = began("begin_s = 1000000\n"); left == 0 && longest < 4*time.Minute {
+	if longest, left = playLargeGangs(t, "begin_s = 1000000\n"); left == 0 && longest < 4*time.Minute {
 		t.Errorf("without the rule the last begins after %v: the test shows nothing", longest)
 	}
 	t.Logf("without the rule %d don't begin, the last of the others after %v", left, longest)
 }
-
-// runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets
-// all faults end, and returns the longest time in which no question about one job was answered, from then on.
-func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
-	t.Helper()
-	types := gpuMachineTypes(5)
-	cluster := newTestClusterOn(
-		t,
-		seed,
-		3+2*int(seed%2),
-		rollout.Newest,
-		"",
-		16,
-		types,
-		[]config.Team{{Name: "red", CPUs: 30, CPUsMax: 90}, {Name: "blue", CPUs: 30, CPUsMax: 120}},
-	)
-	rng := rand.New(rand.NewPCG(seed, 77))
-	cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
-	cluster.DuplicateMessages(0.1*rng.Float64(), time.Second, 30*time.Second)
-	balancer := cluster.Balance()
-	pollers := balancer.JobPollers()
-	cluster.submitJobs(duration)
-	var mistakes []*testUser
-	n := cluster.Controllers()
-	for at := 4 * time.Second; at < duration; at += time.Duration(rng.IntN(5000)) * time.Millisecond {
-		i, what, long := rng.IntN(n), rng.IntN(31), time.Duration(500+rng.IntN(15000))*time.Millisecond
-		zone, from, k := []string{"a", "b", "c"}[rng.IntN(3)], Links(1+rng.IntN(31)), rng.IntN(6)
-		blink := time.Duration(50+rng.IntN(850)) * time.Millisecond
-		step := membershipStates()[rng.IntN(7)]
-		factor, never := []float64{0.01, 4, 10}[rng.IntN(3)], []float64{0, 0.3, 1}[rng.IntN(3)]
-		cluster.After(at, func() {
-			switch what {
-			case 0:
-				cluster.DropInbound(1+k, "", long)
-			case 1:
-				cluster.DropInbound(99, zone, long)
-			case 2:
-				cluster.DropOutbound(1+k, "", long)
-			case 3, 4:
-				cluster.CutLinks(i, from)
-				cluster.After(long, func() { cluster.CutLinks(i, 0) })
-			case 5:
-				if l, _ := cluster.Leader(); l >= 0 {
-					cluster.CutLinks(l, StateLink|PeerLinks)
-					cluster.After(long, func() { cluster.CutLinks(l, 0) })
-				}
-			case 6:
-				for range 1 + k {
-					cluster.RestartMachine("", blink)
-				}
-			case 7:
-				for i := range n {
-					if k > 2 || i == k {
-						cluster.KillController(i)
-						cluster.After(blink, func() { cluster.StartController(i) })
-					}
-				}
-			case 8:
-				if l, _ := cluster.Leader(); l >= 0 {
-					cluster.KillController(l)
-					cluster.After(blink, func() { cluster.StartController(l) })
-				}
-			case 9:
-				cluster.RestartControllerAtStep(i, step, blink)
-			case 10:
-				cluster.SetBootFault(factor, never)
-				cluster.After(long, func() { cluster.SetBootFault(0, 0) })
-			case 11:
-				spec := drawJob(rng, 700000+len(mistakes))
-				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
-				mistakes = append(mistakes, user)
-				cluster.FailJob(spec.ID)
-				user.submit()
-				cluster.After(long, user.cancel)
-			case 12:
-				if l, _ := cluster.Leader(); l >= 0 {
-					cluster.FreezeController(l, 5*long)
-				}
-			case 13:
-				cluster.FreezeController(i, long)
-			case 14:
-				cluster.PartitionZone(zone, Partition(1+k%5))
-				cluster.After(long, func() { cluster.PartitionZone(zone, Connected) })
-			case 15:
-				cluster.during(long/2, cluster.SetStateOutage)
-			case 16:
-				cluster.during(long, func(on bool) { cluster.RefuseController(i, on) })
-			case 17:
-				cluster.DrainController(i, func() { cluster.After(blink, func() { cluster.StartController(i) }) })
-			case 18:
-				cluster.HangMachine(long)
-				cluster.KillMachine()
-			case 19:
-				cluster.DelayMachineCommands(long)
-			case 20:
-				cluster.RefuseOutbound(1+k, "", long)
-			case 21:
-				cluster.RefuseOutbound(99, zone, long)
-			case 22:
-				cluster.during(long, func(on bool) { cluster.LoseTxnAnswers(map[bool]float64{true: 0.3}[on]) })
-			case 23:
-				cluster.during(long, func(on bool) {
-					cluster.DelayWrites(map[bool]float64{true: 0.2}[on], 500*time.Millisecond, 5*time.Second)
-				})
-			case 24:
-				cluster.during(2*long, func(on bool) { cluster.ReplayHeartbeats(map[bool]float64{true: 0.3}[on]) })
-			case 25:
-				cluster.during(long, cluster.SetPollBursts)
-			case 26:
-				cluster.during(long, cluster.SetOddRequests)
-			case 27:
-				cluster.during(long, func(on bool) { cluster.CancelAtCompletion(map[bool]float64{true: 0.4}[on]) })
-			case 28:
-				cluster.CancelRunning(1+k, long/2)
-			case 29:
-				cluster.KillLeaders(2+k, long)
-			case 30:
-				cluster.during(long, func(on bool) {
-					cluster.DelayStateAnswers(0, map[bool]time.Duration{true: 900 * time.Millisecond}[on])
-				})
-			}
-		})
-	}
-	followed := 0
-	var follow func()
-	follow = func() {
-		for ; followed < len(cluster.users); followed++ {
-			if s := cluster.users[followed].status; s != 200 && s != 201 {
-				break
-			}
-			pollers.Follow(cluster.users[followed].spec.ID, nil)
-		}
-		cluster.After(time.Second, follow)
-	}
-	follow()
-	cluster.Advance(duration)
-	// All faults end; the last freeze ends by itself.
-	cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-	cluster.DuplicateMessages(0, 0, 0)
-	cluster.SetBootFault(0, 0)
-	for _, z := range []string{"a", "b", "c"} {
-		cluster.PartitionZone(z, Connected)
-	}
-	cluster.Advance(80 * time.Second)
-	for i := range n {
-		cluster.CutLinks(i, 0)
-		cluster.StartController(i)
-	}
-	faultsEnd := cluster.Now()
-	idleWait := cluster.WatchIdleCapacity()
-	cluster.Advance(75 * time.Second)
-	gap, job := pollers.LongestUnanswered(faultsEnd, cluster.Now())
-	cluster.users = append(cluster.users, mistakes...)
-	cluster.waitUntilDone()
-	cluster.idleWait, _ = idleWait()
-	return cluster, gap, job
-}
-
-// startedWork is the share of jobs that began within four minutes, by kind, by team, and of the largest quarter of
-// a kind; those that their users gave up don't count.
-func (r *testCluster) startedWork() map[string]float64 {
-	byKind := map[string][]*testUser{}
-	begun, all := map[string]int{}, map[string]int{}
-	count := func(set string, user *testUser) {
-		all[set]++
-		if duration, ok := r.FirstStart(user.spec.ID); ok && duration <= 4*time.Minute {
-			begun[set]++
-		}
-	}
-	for _, user := range r.users {
-		if user.cancelRequested || r.MayBeCancelled(user.spec.ID) {
-			continue
-		}
-		kind := string(user.spec.Kind)
-		byKind[kind] = append(byKind[kind], user)
-		count(kind, user)
-		count("team "+user.spec.Team, user)
-	}
-	for kind, users := range byKind {
-		slices.SortStableFunc(users, func(a, b *testUser) int {
-			return int(b.spec.CPUs)*b.spec.Tasks - int(a.spec.CPUs)*a.spec.Tasks
-		})
-		for _, user := range users[:(len(users)+3)/4] {
-			count("largest "+kind, user)
-		}
-	}
-	share := map[string]float64{}
-	for set, n := range all {
-		share[set] = float64(begun[set]) / float64(n)
-	}
-	return share
-}
-
-// TestRandomPartialFaults injects all of the faults of this file together, overlapping, in virtual time.
-func TestRandomPartialFaults(t *testing.T) {
-	seeds := 12
-	if os.Getenv("HAREWALK_LONG") != "" {
-		seeds = 200
-	}
-	ends, worst, least, idle := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
-	var all Stats
-	for seed := range seeds {
-		cluster, gap, job := runRandomFaults(t, uint64(600+seed), 90*time.Second)
-		if worst = max(worst, gap); gap > 75*time.Second-time.Second {
-			t.Errorf(
-				"seed %d: no question about %s was answered for %v once all faults had ended",
-				600+seed,
-				job,
-				gap,
-			)
-		}
-		for _, user := range cluster.users {
-			if len(user.finalStates) > 0 {
-				ends[user.finalStates[0]]++
-			}
-		}
-		for set, share := range cluster.startedWork() {
-			if share < 0.5 {
-				t.Errorf("seed %d: %.2f of %s began within four minutes", 600+seed, share, set)
-			}
-			if was, ok := least[set]; !ok || share < was {
-				least[set] = share
-			}
-		}
-		s := cluster.Stats()
-		idle = max(idle, cluster.idleWait)
-		all.LostAnswers += s.LostAnswers
-		all.LateWrites += s.LateWrites
-		all.HeartbeatsReplayed += s.HeartbeatsReplayed
-		all.PollBursts += s.PollBursts
-		all.JobsCancelled += s.JobsCancelled
-		all.OddRequests += s.OddRequests
-		all.OddRequestsRefused += s.OddRequestsRefused
-		all.StartsAfterCancel += s.StartsAfterCancel
-		all.DirectStartsAfterCancel += s.DirectStartsAfterCancel
-		all.LatestStartAfterCancel = max(all.LatestStartAfterCancel, s.LatestStartAfterCancel)
-		all.LongestRunAfterCancel = max(all.LongestRunAfterCancel, s.LongestRunAfterCancel)
-		all.TaskStarts += s.TaskStarts
-		all.OneWayFaults += s.OneWayFaults
-		all.DuplicatesSent += s.DuplicatesSent
-		all.MachinesRestarted += s.MachinesRestarted
-		all.LinksCut += s.LinksCut
-		all.ControllersKilled += s.ControllersKilled
-		all.ControllersFrozen += s.ControllersFrozen
-		if t.Failed() {
-			t.Fatalf("seed %d", 600+seed)
-		}
-	}
-	t.Logf(
-		"%d seeds: %v, %+v; the longest gap without an answer %v, the longest wait beside idle capacity %v; least shares that began within four minutes %v",
-		seeds,
-		ends,
-		all,
-		worst,
-		idle,
-		least,
-	)
-	if all.LostAnswers == 0 || all.LateWrites == 0 || all.HeartbeatsReplayed == 0 || all.PollBursts == 0 ||
-		all.JobsCancelled == 0 ||
-		all.OddRequestsRefused == 0 ||
-		all.OneWayFaults == 0 ||
-		all.DuplicatesSent == 0 ||
-		all.MachinesRestarted == 0 ||
-		all.LinksCut == 0 ||
-		all.ControllersFrozen == 0 {
-		t.Error("a kind of fault never came")
-	}
-}
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -31,13 +31,13 @@
 }
 
 // newTestCluster starts a cluster whose controllers all run the former release, or the newest one.
-func newTestCluster(t *testing.T, seed uint64, controllers int, knows rollout.Level, words string) *testCluster {
+func newTestCluster(t *testing.T, seed uint64, controllers int, maxLevel rollout.Level, words string) *testCluster {
 	t.Helper()
 	return newTestClusterOn(
 		t,
 		seed,
 		controllers,
-		knows,
+		maxLevel,
 		words,
 		14,
 		nil,
@@ -50,68 +50,51 @@
 	t *testing.T,
 	seed uint64,
 	controllers int,
-	knows rollout.Level,
+	maxLevel rollout.Level,
 	words string,
 	machines int,
 	types []capacity.MachineType,
 	teams []config.Team,
 ) *testCluster {
 	t.Helper()
-	sim, err := NewVirtualTime(Config{
+	return startCluster(t, 41, Config{
 		Seed:         seed,
 		MaxMachines:  machines,
 		Types:        types,
 		Controllers:  controllers,
-		Zones:        []string{"a", "b", "c"},
+		Zones:        zoneNames(),
 		LicencePools: map[string]int{"transcribe": 12},
 		TickInterval: 20 * time.Millisecond,
-		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
+		State:        smallStateLimits(),
 		Teams:        teams,
 	},
 		func(settings *config.Settings) error {
-			if knows < rollout.Newest {
-				settings.SimulateRelease(knows, FormerRelease)
+			if maxLevel < rollout.Newest {
+				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
 			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
 		})
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
-	cluster.watchInvariants()
-	return cluster
 }
 
 // newTestClusterWith starts a cluster of three controllers whose settings are changed first.
-func newTestClusterWith(t *testing.T, seed uint64, knows rollout.Level, change func(*config.Settings)) *testCluster {
+func newTestClusterWith(t *testing.T, seed uint64, maxLevel rollout.Level, change func(*config.Settings)) *testCluster {
 	t.Helper()
-	sim, err := NewVirtualTime(Config{
+	return startCluster(t, 41, Config{
 		Seed:         seed,
 		MaxMachines:  30,
 		Controllers:  3,
-		Zones:        []string{"a", "b", "c"},
+		Zones:        zoneNames(),
 		TickInterval: 50 * time.Millisecond,
-		State: config.State{
-			RPS:      400,
-			WriteRPS: 60,
-			ValueKB:  8,
-			TxnOps:   24,
-		},
-		Teams: []config.Team{{Name: "red"}, {Name: "blue"}},
+		State:        smallStateLimits(),
+		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
-			if knows < rollout.Newest {
-				settings.SimulateRelease(knows, FormerRelease)
+			if maxLevel < rollout.Newest {
+				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
 			change(settings)
 			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 41))}
-	cluster.watchInvariants()
-	return cluster
 }
 
 // submitJobs lets jobs arrive for a time, about two a second.
@@ -122,9 +105,7 @@
 		if r.Now() >= r.submitUntil {
 			return
 		}
-		user := &testUser{simulation: r.Simulation, rng: r.rng, spec: drawJob(r.rng, len(r.users)+1)}
-		r.users = append(r.users, user)
-		user.submit()
+		user := r.submit(drawJob(r.rng, len(r.users)+1))
 		if r.rng.IntN(8) == 0 {
 			r.After(time.Duration(r.rng.IntN(15000))*time.Millisecond, user.cancel)
 		}
@@ -203,10 +184,10 @@
 }
 
 // waitFor advances time until a condition is met.
-func (r *testCluster) waitFor(what string, most time.Duration, f func() bool) {
+func (r *testCluster) waitFor(what string, limit time.Duration, isMet func() bool) {
 	r.t.Helper()
-	for end := r.Now() + most; r.Now() < end; r.Advance(100 * time.Millisecond) {
-		if f() {
+	for end := r.Now() + limit; r.Now() < end; r.Advance(100 * time.Millisecond) {
+		if isMet() {
 			return
 		}
 	}
@@ -214,13 +195,13 @@
 	if l >= 0 {
 		r.t.Logf("%+v", r.rolloutView(l))
 	}
-	r.t.Fatalf("%v: not %s after %v; level %d, violations %v", r.Now(), what, most, r.ClusterLevel(), r.Violations())
+	r.t.Fatalf("%v: not %s after %v; level %d, violations %v", r.Now(), what, limit, r.ClusterLevel(), r.Violations())
 }
 
 // restart ends a controller and starts it with a release a little later.
-func (r *testCluster) restart(i int, knows rollout.Level) {
+func (r *testCluster) restart(i int, maxLevel rollout.Level) {
 	r.KillController(i)
-	r.SetRelease(i, knows)
+	r.SetRelease(i, maxLevel)
 	r.Advance(time.Second)
 	r.StartController(i)
 }
@@ -256,9 +237,7 @@
 			break
 		}
 	}
-	for _, b := range r.Violations() {
-		r.t.Error(b)
-	}
+	reportViolations(r.t, r.Simulation)
 	for _, user := range r.users {
 		switch {
 		case len(user.finalStates) == 0:
@@ -287,7 +266,7 @@
 	from, rolled := cluster.Now(), false
 	cluster.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
 	cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
-	cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if _, after := cluster.Leader(); after != before+1 {
 		t.Errorf("the leader changed %d times", after-before)
 	}
@@ -348,7 +327,7 @@
 			want := rollout.Newest
 			switch c {
 			case "after an abort":
-				// Whoever leads now may say so again; the word goes through before the rise does.
+				// Whoever leads now may say so again; the word goes through before the upgrade does.
 				cluster.waitFor(
 					"aborted",
 					2*time.Second,
@@ -406,7 +385,7 @@
 		t.Errorf("level %d, %+v", cluster.ClusterLevel(), v)
 	}
 	cluster.restart(out, rollout.Newest)
-	cluster.waitFor("risen", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 
 	cluster.restart(out, rollout.Base)
@@ -477,7 +456,7 @@
 		t.Fatalf("%d %s", s, b)
 	}
 	roll(rollout.Newest)
-	cluster.waitFor("risen", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("upgraded", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if s, b := cluster.rolloutCommand("abort"); s != 409 || !strings.Contains(b, "can't read") {
 		t.Errorf("an abort that comes too late: %d %s", s, b)
 	}
@@ -485,7 +464,7 @@
 }
 
 // TestDelayedWritesOfOldReleaseHaveNoEffect ends a leader of the former release with plans on their way, which land
-// after the level has risen and the migration is over.
+// after the level was raised and the migration is over.
 func TestDelayedWritesOfOldReleaseHaveNoEffect(t *testing.T) {
 	cluster := newTestCluster(t, 55, 3, rollout.Base, "finish = \"operator\"")
 	cluster.submitJobs(90 * time.Second)
@@ -509,7 +488,7 @@
 	cluster.waitFor("held back", 10*time.Second, func() bool { return held > 0 })
 	cluster.restart(leader, rollout.Newest)
 	cluster.Advance(4 * time.Second)
-	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
 	cluster.waitFor("migrated", 20*time.Second, cluster.migrated)
 	cluster.Advance(45 * time.Second)
 	if n := cluster.unmigratedPlans(); n > 0 {
@@ -525,21 +504,10 @@
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 56, 5, rollout.Base, "soak_s = 1")
 			for i := range 150 { // many long jobs: there is something to migrate
-				spec := &jobs.Spec{
-					ID:        fmt.Sprintf("req-9%05d", i),
-					Class:     "c",
-					Team:      "blue",
-					Kind:      jobs.Array,
-					Priority:  "best_effort",
-					Tasks:     1,
-					CPUs:      1,
-					MemoryGB:  1,
-					Image:     "i",
-					ImageGB:   1,
-					EstimateS: 150,
-					Spot:      true,
-				}
-				user := &testUser{simulation: cluster.Simulation, rng: cluster.rng, spec: spec}
+				spec := arraySpec(fmt.Sprintf("req-9%05d", i), "c", "blue")
+				spec.Priority = "best_effort"
+				spec.EstimateS = 150
+				user := cluster.newUser(spec)
 				cluster.users = append(cluster.users, user)
 				cluster.After(time.Duration(i*100)*time.Millisecond, user.submit)
 			}
@@ -547,7 +515,7 @@
 			rolled := false
 			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 			cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
-			cluster.waitFor("risen", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+			cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 			// From here on only the leader's most urgent writes go through at once.
 			start := cluster.unmigratedPlans()
 			switch c {
@@ -616,8 +584,8 @@
 		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
 	)
 	cluster.Advance(time.Second)
-	cluster.waitFor("told", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
-	cluster.waitFor("risen", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("upgraded", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitUntilDone()
 }
 
@@ -666,31 +634,14 @@
 	cluster.restart(other, rollout.Newest) // it announces it again
 	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
 
-	long := func(n int) *testUser {
-		user := &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-%06d", n),
-				Class:     "c",
-				Team:      "red",
-				Kind:      jobs.Array,
-				Priority:  "standard",
-				Tasks:     3,
-				CPUs:      1,
-				MemoryGB:  1,
-				Image:     "i",
-				ImageGB:   1,
-				EstimateS: 25,
-				Spot:      true,
-			},
-		}
-		user.submit()
-		return user
+	for n := range 2 {
+		spec := arraySpec(fmt.Sprintf("req-%06d", n+1), "c", "red")
+		spec.Tasks = 3
+		spec.EstimateS = 25
+		cluster.newUser(spec).submit()
 	}
-	a, b := long(1), long(2)
 	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 6 })
-	// Of a, the record is damaged; of both, the page with their plans. The next leader finds it so.
+	// Of the first job the record is damaged; of both, the page with their plans. The next leader finds it so.
 	cluster.WriteKeys(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
 	for k := range cluster.StoredItems(jobs.PlanPagePrefix) {
 		cluster.WriteKeys(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
@@ -716,10 +667,7 @@
 	if cluster.Stats().TaskStarts != starts || !strings.Contains(why, "unreadable") {
 		t.Errorf("%d starts on a guess; why: %s", cluster.Stats().TaskStarts-starts, why)
 	}
-	for _, x := range cluster.Violations() {
-		t.Error(x)
-	}
-	_, _ = a, b
+	reportViolations(t, cluster.Simulation)
 }
 
 // TestPlanOfAnUnreadableRecordStays damages a job's record and restarts every controller, so that none has ever
@@ -729,26 +677,10 @@
 	cluster := newTestCluster(t, 62, 3, rollout.Newest, "")
 	cluster.Advance(3 * time.Second)
 	submit := func(n int) {
-		user := &testUser{
-			simulation: cluster.Simulation,
-			rng:        cluster.rng,
-			spec: &jobs.Spec{
-				ID:        fmt.Sprintf("req-%06d", n),
-				Class:     "c",
-				Team:      "blue",
-				Kind:      jobs.Array,
-				Priority:  "standard",
-				Tasks:     3,
-				CPUs:      1,
-				MemoryGB:  1,
-				Image:     "i",
-				ImageGB:   1,
-				EstimateS: 30,
-				Spot:      true,
-			},
-		}
-		cluster.users = append(cluster.users, user)
-		user.submit()
+		spec := arraySpec(fmt.Sprintf("req-%06d", n), "c", "blue")
+		spec.Tasks = 3
+		spec.EstimateS = 30
+		cluster.submit(spec)
 	}
 	submit(1)
 	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 3 })
@@ -759,9 +691,7 @@
 		cluster.KillController(i)
 	}
 	cluster.Advance(time.Second)
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.Advance(5 * time.Second)
 	for n := range 6 {
 		submit(10 + n)
@@ -813,6 +743,101 @@
 	cluster.waitUntilDone()
 }
 
+// rollFault is a random fault of a run in which controllers are rolled forward and back.
+type rollFault struct {
+	controller int
+	duration   time.Duration
+	kind       int // 0 to 13
+	zone       string
+	how        Partition
+	level      rollout.Level // of the release with which a controller starts
+}
+
+// drawRollFault draws a fault. Its release is the newest one in the second half of a run.
+func drawRollFault(rng *rand.Rand, controllers int, secondHalf bool) rollFault {
+	fault := rollFault{
+		controller: rng.IntN(controllers),
+		duration:   time.Duration(500+rng.IntN(9000)) * time.Millisecond,
+		kind:       rng.IntN(14),
+		zone:       zoneNames()[rng.IntN(3)],
+		how:        Partition(1 + rng.IntN(5)),
+		level:      rollout.Level(1 + rng.IntN(2)),
+	}
+	if secondHalf {
+		fault.level = rollout.Newest
+	}
+	return fault
+}
+
+// injectRollFault begins a random fault.
+func (r *testCluster) injectRollFault(fault rollFault) {
+	i, duration := fault.controller, fault.duration
+	startWithRelease := func() {
+		r.SetRelease(i, fault.level)
+		r.StartController(i)
+	}
+	switch fault.kind {
+	case 0, 1, 2:
+		r.KillController(i)
+		r.After(duration/3, startWithRelease)
+	case 3, 4:
+		r.DrainController(i, func() { r.After(duration/4, startWithRelease) })
+	case 5:
+		if leader, _ := r.Leader(); leader >= 0 && r.ControllerRuns(leader) {
+			r.FreezeController(leader, duration)
+		}
+	case 6:
+		r.during(duration, r.SetStateOutage)
+	case 7:
+		r.during(duration, func(on bool) { r.RefuseController(i, on) })
+	case 8, 9:
+		r.PartitionZone(fault.zone, fault.how)
+		r.After(duration, func() { r.PartitionZone(fault.zone, Connected) })
+	case 10:
+		r.sendRandomRolloutCommand()
+	case 11:
+		r.KillMachine()
+	case 12:
+		r.HangMachine(duration)
+	case 13:
+		r.RollingRestart(fault.level, duration/4, nil, func() {})
+	}
+}
+
+// sendRandomRolloutCommand draws an operator's command and sends it to the leader, if there is one.
+func (r *testCluster) sendRandomRolloutCommand() {
+	leader, _ := r.Leader()
+	if leader < 0 {
+		return
+	}
+	op := []string{"hold", "abort", "free", "finish"}[r.rng.IntN(4)]
+	body := fmt.Appendf(nil, `{"op":%q,"by":"chaos"}`, op)
+	r.Request(leader, "POST", "/v2/rollout", body, func(int, []byte) {})
+}
+
+// finishRollout ends all faults, restarts all controllers with the newest release, and waits for the migration's end.
+func (r *testCluster) finishRollout() {
+	r.t.Helper()
+	r.StopRollingRestart()
+	r.Advance(15 * time.Second)
+	r.SetNetwork(2*time.Millisecond, 0, 0, 0)
+	for _, zone := range zoneNames() {
+		r.PartitionZone(zone, Connected)
+	}
+	for i := range r.Controllers() {
+		r.restart(i, rollout.Newest)
+	}
+	r.Advance(10 * time.Second)
+	for range 5 {
+		if status, _ := r.rolloutCommand("free"); status == 200 {
+			break
+		}
+		r.Advance(3 * time.Second)
+	}
+	r.waitFor("upgraded", time.Minute, func() bool { return r.ClusterLevel() == rollout.Newest })
+	r.waitFor("migrated", time.Minute, r.migrated)
+}
+
 // TestRandomRollsUnderFaults rolls forward and back at random times that overlap with kills, drains, freezes, cut
 // links, outages and operators' commands, under load.
 func TestRandomRollsUnderFaults(t *testing.T) {
@@ -820,96 +845,28 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 240
 	}
-	risen, ends, starts, kills := 0, map[string]int{}, 0, 0
+	upgraded, ends, starts, kills := 0, map[string]int{}, 0, 0
 	for seed := range seeds {
 		cluster := newTestCluster(t, uint64(100+seed), 3+2*(seed%2), rollout.Base, "soak_s = 3")
 		rng := cluster.rng
 		cluster.SetNetwork(time.Duration(1+rng.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 		cluster.submitJobs(100 * time.Second)
-		n := cluster.Controllers()
 		for at := time.Duration(0); at < 110*time.Second; at += time.Duration(rng.IntN(7000)) * time.Millisecond {
-			i, duration := rng.IntN(n), time.Duration(500+rng.IntN(9000))*time.Millisecond
-			what, zone, how := rng.IntN(14), []string{"a", "b", "c"}[rng.IntN(3)], Partition(1+rng.IntN(5))
-			level := rollout.Level(1 + rng.IntN(2))
-			if at > 60*time.Second {
-				level = rollout.Newest
-			}
-			cluster.After(at, func() {
-				switch what {
-				case 0, 1, 2:
-					cluster.KillController(i)
-					cluster.After(duration/3, func() { cluster.SetRelease(i, level); cluster.StartController(i) })
-				case 3, 4:
-					cluster.DrainController(
-						i,
-						func() { cluster.After(duration/4, func() { cluster.SetRelease(i, level); cluster.StartController(i) }) },
-					)
-				case 5:
-					if l, _ := cluster.Leader(); l >= 0 && cluster.ControllerRuns(l) {
-						cluster.FreezeController(l, duration)
-					}
-				case 6:
-					cluster.during(duration, cluster.SetStateOutage)
-				case 7:
-					cluster.during(duration, func(on bool) { cluster.RefuseController(i, on) })
-				case 8, 9:
-					cluster.PartitionZone(zone, how)
-					cluster.After(duration, func() { cluster.PartitionZone(zone, Connected) })
-				case 10:
-					if l, _ := cluster.Leader(); l >= 0 {
-						op := []string{"hold", "abort", "free", "finish"}[rng.IntN(4)]
-						cluster.Request(
-							l,
-							"POST",
-							"/v2/rollout",
-							[]byte(fmt.Sprintf(`{"op":%q,"by":"chaos"}`, op)),
-							func(int, []byte) {},
-						)
-					}
-				case 11:
-					cluster.KillMachine()
-				case 12:
-					cluster.HangMachine(duration)
-				case 13:
-					done := false
-					cluster.RollingRestart(level, duration/4, nil, func() { done = true })
-					_ = done
-				}
-			})
+			fault := drawRollFault(rng, cluster.Controllers(), at > 60*time.Second)
+			cluster.After(at, func() { cluster.injectRollFault(fault) })
 		}
 		cluster.Advance(135 * time.Second)
-		cluster.StopRollingRestart()
-		cluster.Advance(15 * time.Second)
-		cluster.SetNetwork(2*time.Millisecond, 0, 0, 0)
-		for _, z := range []string{"a", "b", "c"} {
-			cluster.PartitionZone(z, Connected)
-		}
-		for i := range n {
-			cluster.restart(i, rollout.Newest)
-		}
-		cluster.Advance(10 * time.Second)
-		for range 5 {
-			if s, _ := cluster.rolloutCommand("free"); s == 200 {
-				break
-			}
-			cluster.Advance(3 * time.Second)
-		}
-		cluster.waitFor("risen", time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
-		cluster.waitFor("migrated", time.Minute, cluster.migrated)
-		risen++
+		cluster.finishRollout()
+		upgraded++
 		cluster.waitUntilDone()
-		for _, user := range cluster.users {
-			if len(user.finalStates) > 0 {
-				ends[user.finalStates[0]]++
-			}
-		}
+		countEnds(ends, cluster.users)
 		s := cluster.Stats()
 		starts, kills = starts+s.TaskStarts, kills+s.ControllersKilled
 		if t.Failed() {
 			t.Fatalf("seed %d", 100+seed)
 		}
 	}
-	t.Logf("%d seeds, %d risen: %v; %d starts, %d controllers killed", seeds, risen, ends, starts, kills)
+	t.Logf("%d seeds, %d upgraded: %v; %d starts, %d controllers killed", seeds, upgraded, ends, starts, kills)
 }
 
 // TestEveryMachineGoneWhileNoControllerRuns ends every machine while no controller runs. Those that lead then
@@ -919,14 +876,12 @@
 	cluster := newTestCluster(t, 61, 3, rollout.Newest, "")
 	cluster.submitJobs(20 * time.Second)
 	cluster.Advance(25 * time.Second)
-	for _, z := range []string{"a", "b", "c"} {
+	for _, z := range zoneNames() {
 		cluster.PowerOffZone(z)
 	}
 	cluster.Advance(5 * time.Second)
 	_, term := cluster.Leader()
-	for i := range 3 {
-		cluster.StartController(i)
-	}
+	cluster.startControllers()
 	cluster.waitUntilDone()
 	if _, now := cluster.Leader(); now > term+3 {
 		t.Errorf("the leader changed %d times", now-term)
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// checkCancelledTask checks that a task is gone in time once the cancellation of its job, or of a job before it, was
+// checkCancelledTask checks that a task has ended in time once the cancellation of its job, or of a job before it, was
 // confirmed to a user.
 func (sim *Simulation) checkCancelledTask(now time.Duration, machine *Machine, task *workerTask) {
 	cancelledAt, ok := sim.firstCancellation(task.spec.ID)
