--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -15,6 +15,7 @@
 package dependencies
 
 import (
+	"container/list"
 	"maps"
 	"slices"
 	"time"
@@ -61,10 +62,11 @@
 type node struct {
 	id           string
 	state        State
-	job          *jobs.Job // nil unless its record is known
-	predecessors []*edge   // while it is live
-	successors   []*edge   // to live jobs
-	unfinished   int       // predecessors that aren't known to be done
+	job          *jobs.Job     // nil unless its record is known
+	predecessors []*edge       // while it is live
+	successors   []*edge       // to live jobs
+	unfinished   int           // predecessors that aren't known to be done
+	listed       *list.Element // in the graph's list of its state, nil if there is none
 	// latestEnd is valid in the ranking of latestEndStamp, see LatestEnds.
 	latestEnd      time.Duration
 	latestEndStamp uint64
@@ -81,8 +83,8 @@
 type Graph struct {
 	table *jobs.Table
 	nodes map[string]*node
-	// unknown and doomed list the nodes that got these states, and some that have left them since.
-	unknown, doomed []*node
+	// unknown and doomed list the nodes in these states, in the order in which they got them.
+	unknown, doomed *list.List
 	stamp           uint64 // of the newest ranking
 	// OnReleased is called when the last predecessor of a job that was blocked is done. Required.
 	OnReleased func(now time.Duration, job *jobs.Job)
@@ -90,7 +92,13 @@
 
 // New returns an empty graph of the jobs in a table.
 func New(table *jobs.Table, onReleased func(now time.Duration, job *jobs.Job)) *Graph {
-	return &Graph{table: table, nodes: map[string]*node{}, OnReleased: onReleased}
+	return &Graph{
+		table:      table,
+		nodes:      map[string]*node{},
+		unknown:    list.New(),
+		doomed:     list.New(),
+		OnReleased: onReleased,
+	}
 }
 
 // HandleJobChange takes over a job whose state is new in the table. For a job with predecessors it must be called
@@ -162,13 +170,13 @@
 	job := g.table.Get(id)
 	switch {
 	case job == nil:
-		g.unknown = append(g.unknown, made)
+		g.setState(made, Unknown)
 	case job.State.Terminal():
 		made.job = job
 		made.state = finalState(job.State)
 	case job.Blocked:
 		// HandleJobChange hasn't been called for it yet: a node with unfinished predecessors isn't forgotten.
-		g.unknown = append(g.unknown, made)
+		g.setState(made, Unknown)
 	default:
 		made.job = job
 		made.state = Released
@@ -230,17 +238,16 @@
 func (g *Graph) dropIfUnused(unused *node) {
 	if len(unused.successors) == 0 && len(unused.predecessors) == 0 && unused.state != Doomed {
 		delete(g.nodes, unused.id)
+		g.unlist(unused)
 	}
 }
 
 // setState is the only place where a node's state changes, and the jobs' fields with it.
 func (g *Graph) setState(changed *node, to State) {
+	g.unlist(changed)
 	changed.state = to
-	switch to {
-	case Unknown:
-		g.unknown = append(g.unknown, changed)
-	case Doomed:
-		g.doomed = append(g.doomed, changed)
+	if listOfState := g.listOf(to); listOfState != nil {
+		changed.listed = listOfState.PushBack(changed)
 	}
 	if changed.job != nil {
 		changed.job.Blocked = to == Blocked || to == Doomed
@@ -248,6 +255,25 @@
 	}
 }
 
+// listOf returns the list of the nodes in a state, nil if there is none.
+func (g *Graph) listOf(state State) *list.List {
+	switch state {
+	case Unknown:
+		return g.unknown
+	case Doomed:
+		return g.doomed
+	}
+	return nil
+}
+
+// unlist removes a node from the list of its state.
+func (g *Graph) unlist(listed *node) {
+	if listed.listed != nil {
+		g.listOf(listed.state).Remove(listed.listed)
+		listed.listed = nil
+	}
+}
+
 // settle takes over that a job has ended, and what follows from it for its successors.
 func (g *Graph) settle(now time.Duration, ended *node, final State) {
 	if ended.state == Done || ended.state == Cancelled {
@@ -344,38 +370,31 @@
 // ForEachUnknown calls visit for each job that is named as a predecessor and about which nothing was read, until visit
 // returns false.
 func (g *Graph) ForEachUnknown(visit func(id string) bool) {
-	g.unknown = visitInState(g.unknown, Unknown, func(found *node) bool { return visit(found.id) })
+	visitNodes(g.unknown, func(found *node) bool { return visit(found.id) })
 }
 
 // ForEachDoomed calls visit for each live job that is to be cancelled, the one that was doomed first at the beginning,
 // until visit returns false.
 func (g *Graph) ForEachDoomed(visit func(*jobs.Job) bool) {
-	g.doomed = visitInState(g.doomed, Doomed, func(found *node) bool { return visit(found.job) })
+	visitNodes(g.doomed, func(found *node) bool { return visit(found.job) })
 }
 
-// visitInState visits the nodes of a list that are in a state, until visit returns false, and returns the list without
-// the others.
-func visitInState(list []*node, state State, visit func(*node) bool) []*node {
-	kept := list[:0]
-	goOn := true
-	for _, listed := range list {
-		if listed.state != state {
-			continue
-		}
-		kept = append(kept, listed)
-		if goOn {
-			goOn = visit(listed)
+// visitNodes visits the nodes of a list until visit returns false. Visit may change the state of the visited node.
+func visitNodes(nodes *list.List, visit func(*node) bool) {
+	for element := nodes.Front(); element != nil; {
+		next := element.Next()
+		if !visit(element.Value.(*node)) {
+			return
 		}
+		element = next
 	}
-	clear(list[len(kept):])
-	return kept
 }
 
 // HasUnknownAncestor reports whether it is unknown of a job before this one, directly or through others, whether it is
 // cancelled.
 func (g *Graph) HasUnknownAncestor(id string) bool {
 	start, ok := g.nodes[id]
-	if !ok || len(g.unknown) == 0 {
+	if !ok || g.unknown.Len() == 0 {
 		return false
 	}
 	visited := map[*node]bool{start: true}
--- /dev/null
+++ b/internal/dependencies/graph_test.go
@@ -0,0 +1,55 @@
+package dependencies
+
+import (
+	"slices"
+	"testing"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+)
+
+// A predecessor about which nothing was read isn't searched for any more once no live job names it.
+func TestUnknownPredecessorIsForgottenWithItsSuccessor(t *testing.T) {
+	c := newController(t)
+	c.readNew(jobs.Pending, newSpec(2, 1))
+	if got := c.unknown(); !slices.Equal(got, []string{jobID(1)}) {
+		t.Fatalf("unknown %v", got)
+	}
+	c.readNew(jobs.Cancelled, newSpec(2, 1))
+	if got := c.unknown(); len(got) != 0 || c.graph.Len() != 0 {
+		t.Errorf("unknown %v, %d nodes", got, c.graph.Len())
+	}
+}
+
+// A live job that left the followed keys unseen, and that no other job names, isn't searched for.
+func TestRemovedJobWithoutSuccessorsIsForgotten(t *testing.T) {
+	c := newController(t)
+	c.readNew(jobs.Pending, newSpec(2, 1))
+	c.readNewDeletion(2)
+	if got := c.unknown(); len(got) != 0 {
+		t.Errorf("unknown %v", got)
+	}
+}
+
+// A controller that doesn't lead never visits the doomed jobs: it keeps none that has ended all the same.
+func TestEndedDoomedJobsAreNotKept(t *testing.T) {
+	c := newController(t)
+	c.readNew(jobs.Cancelled, newSpec(1))
+	for number := range 10 {
+		c.readNew(jobs.Pending, newSpec(number+2, 1))
+		c.readNew(jobs.Cancelled, newSpec(number+2, 1))
+	}
+	if kept := c.graph.doomed.Len(); kept != 0 {
+		t.Errorf("%d ended jobs are kept", kept)
+	}
+}
+
+// A job that is read a second time after it had left the followed keys is listed once.
+func TestJobIsVisitedOnce(t *testing.T) {
+	c := newController(t)
+	c.readNew(jobs.Pending, newSpec(2, 1))
+	c.readNew(jobs.Pending, newSpec(1))
+	c.readNewDeletion(1)
+	if got := c.unknown(); !slices.Equal(got, []string{jobID(1)}) {
+		t.Errorf("unknown %v", got)
+	}
+}
