--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -131,10 +131,11 @@
 	if !ok {
 		return
 	}
+	wasLive := removed.state.live()
 	removed.job = nil
-	if removed.state.live() {
-		g.detach(removed)
+	if wasLive {
 		g.setState(removed, Unknown)
+		g.detach(removed)
 	}
 	g.dropIfUnused(removed)
 }
@@ -218,7 +219,7 @@
 	to.predecessors = append(to.predecessors, linked)
 }
 
-// detach removes the edges from a node's predecessors to it.
+// detach removes all edges from a node's predecessors to it, before any of their priorities is computed anew.
 func (g *Graph) detach(detached *node) {
 	predecessors := detached.predecessors
 	detached.predecessors = nil
@@ -229,8 +230,10 @@
 		from.successors[removed.position] = last
 		last.position = removed.position
 		from.successors = from.successors[:len(from.successors)-1]
-		g.recomputePriorities(from)
-		g.dropIfUnused(from)
+	}
+	for _, removed := range predecessors {
+		g.recomputePriorities(removed.from)
+		g.dropIfUnused(removed.from)
 	}
 }
 
--- a/internal/dependencies/graph_test.go
+++ b/internal/dependencies/graph_test.go
@@ -53,3 +53,21 @@
 		t.Errorf("unknown %v", got)
 	}
 }
+
+// A live job leaves the followed keys unseen while two of its predecessors, of which one follows the other, have their
+// priority from it.
+func TestRemovedJobTakesBackItsPriority(t *testing.T) {
+	c := newController(t)
+	first := c.readNew(jobs.Pending, newSpec(2))
+	second := c.readNew(jobs.Pending, newSpec(1, 2))
+	last := newSpec(3, 1, 2)
+	last.Priority = "prod"
+	c.readNew(jobs.Pending, last)
+	if first.Priority != 3 || second.Priority != 3 {
+		t.Fatalf("priorities %d and %d", first.Priority, second.Priority)
+	}
+	c.readNewDeletion(3)
+	if first.Priority != 0 || second.Priority != 0 {
+		t.Errorf("priorities %d and %d", first.Priority, second.Priority)
+	}
+}
