--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -170,7 +170,7 @@
 	g.nodes[id] = made
 	job := g.table.Get(id)
 	switch {
-	case job == nil:
+	case job == nil || job.Archived && !job.State.Terminal():
 		g.setState(made, Unknown)
 	case job.State.Terminal():
 		made.job = job
--- a/internal/dependencies/graph_test.go
+++ b/internal/dependencies/graph_test.go
@@ -71,3 +71,19 @@
 		t.Errorf("priorities %d and %d", first.Priority, second.Priority)
 	}
 }
+
+// A live job that was archived elsewhere is kept in the table while its planner holds tasks of it. A job that names it
+// then waits until its end is known, and is released by that.
+func TestArchivedJobThatIsStillPlannedIsUnknown(t *testing.T) {
+	c := newController(t)
+	c.readNew(jobs.Pending, newSpec(1)).CreateTasks()
+	c.readNewDeletion(1)
+	c.readNew(jobs.Pending, newSpec(2, 1))
+	if state := c.graph.State(jobID(1)); state != Unknown || !slices.Equal(c.unknown(), []string{jobID(1)}) {
+		t.Errorf("%v, and %v are unknown", state, c.unknown())
+	}
+	c.graph.HandleArchived(c.now, jobID(1), jobs.Done)
+	if !slices.Equal(c.released, []string{jobID(2)}) {
+		t.Errorf("released %v", c.released)
+	}
+}
