--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -308,7 +308,9 @@
 // ended.
 func (g *Graph) release(now time.Duration, released *node) {
 	g.setState(released, Released)
-	released.job.ReleasedAt = now
+	if len(released.predecessors) > 0 {
+		released.job.ReleasedAt = now
+	}
 }
 
 // doom marks a blocked job and all its successors, direct or not, as to be cancelled.
--- a/internal/dependencies/graph_test.go
+++ b/internal/dependencies/graph_test.go
@@ -87,3 +87,19 @@
 		t.Errorf("released %v", c.released)
 	}
 }
+
+// A job without predecessors is ready from its submission on, whether it was read before its successor or after it.
+func TestReadingOrderDoesNotChangeWhenAJobIsReady(t *testing.T) {
+	for _, order := range [][]*jobs.Spec{
+		{newSpec(1), newSpec(2, 1)},
+		{newSpec(2, 1), newSpec(1)},
+	} {
+		c := newController(t)
+		for _, spec := range order {
+			c.readNew(jobs.Pending, spec)
+		}
+		if first := c.table.Get(jobID(1)); first.ReadyAt() != first.SubmittedAt {
+			t.Errorf("ready at %v, submitted at %v", first.ReadyAt(), first.SubmittedAt)
+		}
+	}
+}
