--- a/internal/dependencies/resolver.go
+++ b/internal/dependencies/resolver.go
@@ -1,6 +1,7 @@
 package dependencies
 
 import (
+	"maps"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
@@ -37,11 +38,12 @@
 	searchAt  time.Duration   // when unknown jobs are next searched for
 	inFlight  map[string]bool // by job
 	lastFound map[string]bool // jobs that were unknown at the last search
+	tried     map[string]bool // unknown jobs that were read since all others were
 }
 
 // NewResolver returns a Resolver for a graph.
 func NewResolver(graph *Graph, env ResolverEnv) *Resolver {
-	return &Resolver{env: env, graph: graph, inFlight: map[string]bool{}}
+	return &Resolver{env: env, graph: graph, inFlight: map[string]bool{}, tried: map[string]bool{}}
 }
 
 // Tick reads jobs that have been unknown for at least one search.
@@ -50,22 +52,37 @@
 		return
 	}
 	r.searchAt = now + resolveInterval
+	for _, id := range r.findDue() {
+		if len(r.inFlight) >= maxResolveReads || !r.env.CanRead() {
+			return
+		}
+		r.tried[id] = true
+		r.read(id)
+	}
+}
+
+// findDue returns the jobs that have been unknown since the last search and aren't being read. Those that were read before
+// come last, so that answers that can't be read hold up no others.
+func (r *Resolver) findDue() []string {
 	found := map[string]bool{}
-	var due []string
+	var untried, tried []string
 	r.graph.ForEachUnknown(func(id string) bool {
 		found[id] = true
-		if r.lastFound[id] && !r.inFlight[id] {
-			due = append(due, id)
+		switch {
+		case !r.lastFound[id] || r.inFlight[id]:
+		case r.tried[id]:
+			tried = append(tried, id)
+		default:
+			untried = append(untried, id)
 		}
-		return len(due) < maxResolveReads
+		return true
 	})
 	r.lastFound = found
-	for _, id := range due {
-		if len(r.inFlight) >= maxResolveReads || !r.env.CanRead() {
-			return
-		}
-		r.read(id)
+	maps.DeleteFunc(r.tried, func(id string, _ bool) bool { return !found[id] })
+	if len(untried) == 0 {
+		clear(r.tried)
 	}
+	return append(untried, tried...)
 }
 
 // read reads a job's record first and its archived answer second: a job only ever moves from the one to the other.
