--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -128,6 +128,28 @@
 	}
 }
 
+// The objectives on waiting and on guarantees count from the release: a job that waited for others longer than they allow
+// can still meet them.
+func TestWaitObjectivesCountFromTheRelease(t *testing.T) {
+	for _, objective := range []config.Objective{
+		{Kind: objectiveWait, Class: "c", WithinS: 30},
+		{Kind: objectiveGuarantee, WithinS: 30},
+		{Kind: objectiveFinished, Class: "c", WithinS: 40},
+	} {
+		g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t", CPUs: 8})
+		g.Settings.Params.Objectives = []config.Objective{objective}
+		first := g.read(jobs.Pending, spec(1, 1))
+		last := g.read(jobs.Pending, follower(2, 1, first.Spec))
+		g.now += 10 * time.Minute
+		g.read(jobs.Done, first.Spec)
+		g.RankJobs(g.now)
+		latestStart, attainable := g.latestUsefulStart(g.now, last)
+		if want := g.now + 30*time.Second; !attainable || latestStart != want {
+			t.Errorf("%s: latest start %v, attainable %v, want %v", objective.Kind, latestStart, attainable, want)
+		}
+	}
+}
+
 // A job ranks by the priority of the job that needs it, and by the deadline that leaves time for the jobs in between.
 func TestPredecessorRanksByItsSuccessors(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -51,7 +51,7 @@
 	for i := range f.Settings.Params.Objectives {
 		objective := &f.Settings.Params.Objectives[i]
 		if objective.Kind == objectiveGuarantee && f.ranking.withinGuarantee[job.Index] && !job.Started {
-			limit.add(job.SubmittedAt + config.Seconds(objective.WithinS))
+			limit.add(job.ReadyAt() + config.Seconds(objective.WithinS))
 		}
 		if objective.Class != job.Spec.Class {
 			continue
@@ -59,7 +59,7 @@
 		switch objective.Kind {
 		case objectiveWait:
 			if !job.Started {
-				limit.add(job.SubmittedAt + config.Seconds(objective.WithinS))
+				limit.add(job.ReadyAt() + config.Seconds(objective.WithinS))
 			}
 		case objectiveFinished:
 			limit.add(job.ReadyAt() + config.Seconds(objective.WithinS) - runTime)
