--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -226,3 +226,36 @@
 		t.Errorf("started %v after the release", commands)
 	}
 }
+
+// A new leader finds a gang of which one task is durably done, and doesn't know the gang's predecessor. Once it does, the
+// whole gang is done: its other task isn't started again when its machine is lost.
+func TestFinishedGangOfABlockedJobIsDone(t *testing.T) {
+	kv := map[string]json.RawMessage{}
+	team := config.Team{Name: "t"}
+	former := newDependentRig(t, 1, kv, team)
+	first := former.read(jobs.Pending, spec(1, 1))
+	gang := follower(2, 2, first.Spec)
+	gang.Kind = jobs.Gang
+	gang.CPUs = 3
+	former.heartbeat("m1", 1, fenced)
+	former.heartbeat("m2", 1, fenced)
+	last := former.read(jobs.Pending, gang)
+	former.read(jobs.Done, first.Spec)
+	former.settle(store.Committed)
+	former.heartbeat("m1", 1, fenced)
+	former.heartbeat("m2", 1, fenced)
+	firstMachine := former.machines[last.Tasks[0].Machine].Name
+	former.heartbeat(firstMachine, 1, fenced, doneReport(last))
+	former.settle(store.Committed)
+	delete(kv, jobs.RecordKey(first.ID)) // it was archived
+
+	g := newDependentRig(t, 2, kv, team)
+	job := g.Jobs.Get(last.ID)
+	if job.FinishedTasks != 1 || !job.Tasks[1].State.Occupies() {
+		t.Fatalf("%d tasks done, the other %v", job.FinishedTasks, job.Tasks[1].State)
+	}
+	g.graph.HandleArchived(g.now, first.ID, jobs.Done)
+	if !job.GangDone {
+		t.Error("the gang isn't done")
+	}
+}
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -26,7 +26,7 @@
 		"tasks", job.TaskCount, "predecessors", len(job.Spec.Follows), "term", f.Term)
 	f.addJobEvent(now, events.JobAccepted, job)
 	if !job.Blocked {
-		f.openJob(job)
+		f.openJob(now, job)
 	}
 }
 
@@ -38,12 +38,14 @@
 	}
 	slog.Info("job released", "job", job.ID, "waited_s", int((now - job.SubmittedAt).Seconds()), "term", f.Term)
 	f.addJobEvent(now, events.JobReleased, job)
-	f.openJob(job)
+	f.openJob(now, job)
 }
 
-// openJob makes a job available to planning.
-func (f *Fleet) openJob(job *jobs.Job) {
+// openJob makes a job available to planning. A job that was released may have tasks already, from the plans of an earlier
+// term.
+func (f *Fleet) openJob(now time.Duration, job *jobs.Job) {
 	job.CreateTasks()
+	f.finishRecoveredGang(now, job)
 	if f.unreadableJobs[job.ID] {
 		// Its plan was skipped when this term began, so which of its tasks run is unknown here. The next leader reads
 		// both the record and the plan.
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -34,9 +34,7 @@
 			return // HandleJobReleased creates its tasks
 		}
 		job.CreateTasks()
-		if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
-			f.finishGang(now, job)
-		}
+		f.finishRecoveredGang(now, job)
 	})
 	f.Jobs.ForEach(func(job *jobs.Job) {
 		if job.State.Terminal() && job.Tasks != nil {
@@ -49,6 +47,13 @@
 		"term", f.Term, "keys", len(items), "jobs", len(f.ranking.jobs), "machines", len(f.machines))
 }
 
+// finishRecoveredGang finishes a gang of which the plans say that a task is done.
+func (f *Fleet) finishRecoveredGang(now time.Duration, job *jobs.Job) {
+	if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
+		f.finishGang(now, job)
+	}
+}
+
 // loadSegments applies the newest stored value of every plan segment, and quarantines the segments that an unreadable
 // page may contain.
 func (f *Fleet) loadSegments(now time.Duration, items []store.Item) {
