--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -109,13 +109,6 @@
 	return true
 }
 
-// CancelRequested reports whether any user has asked to cancel a job.
-func (sim *Simulation) CancelRequested(job string) bool {
-	sim.mu.Lock()
-	defer sim.mu.Unlock()
-	return sim.users.cancelRequested[job]
-}
-
 // noteCancelRequest records a request for a job's cancellation as it is sent.
 func (sim *Simulation) noteCancelRequest(about userRequest) {
 	if about.cancels {
