--- a/internal/allocation/policy.go
+++ b/internal/allocation/policy.go
@@ -7,8 +7,8 @@
 
 // FairShares divides a limit by what each shard could use (max-min fairness): the smallest demands are met in full,
 // and the shards that demand more than is left share it evenly, with odd units to the first of them. Units that no
-// shard demands are spread evenly over all shards, so that new work finds some at each of them. Equal arguments give equal
-// shares on every controller.
+// shard demands are spread evenly over all shards, so that new work finds some at each of them. Equal arguments give
+// equal shares on every controller.
 func FairShares(limit int32, demand []int32) Shares {
 	shares := make(Shares, len(demand))
 	shards := make([]int, len(demand)) // by demand, the smallest first
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -51,7 +51,8 @@
 		return
 	}
 	delete(f.noMachineUntil, job.Index)
-	f.setUnplannedReason(job, unplannedReason{cause: PlanningBehind}) // for the rest, if this cycle plans only some tasks
+	// Of the rest, if this cycle plans only some tasks.
+	f.setUnplannedReason(job, unplannedReason{cause: PlanningBehind})
 	f.PlanningSteps += uint64(4 * len(slots.machines))
 	allocation := planner.Plan(f.arrayProblem(job, tasks, &slots), f.Random)
 	planned := 0
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -3,8 +3,9 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"strings"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // State is a job's state as it is stored and as users see it. A job that users see as running is Pending here:
@@ -35,7 +36,7 @@
 			return state, nil
 		}
 	}
-	return 0, fmt.Errorf("stance %q", name)
+	return 0, &UnknownStateError{Name: name}
 }
 
 // The formats of job records.
@@ -119,7 +120,7 @@
 		return record, 0, err
 	}
 	if record.Format > newestRecordFormat {
-		return record, 0, fmt.Errorf("record in format %d", record.Format)
+		return record, 0, &rollout.NewerFormatError{Record: "record", Format: record.Format}
 	}
 	state, err := parseState(record.State)
 	if err != nil {
--- a/internal/jobs/segmentcodec.go
+++ b/internal/jobs/segmentcodec.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"fmt"
 	"sort"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // newestSegmentFormat is the newest format of plan segments that this release reads.
@@ -144,7 +146,7 @@
 		return nil, nil, err
 	}
 	if record.Format > newestSegmentFormat {
-		return nil, nil, fmt.Errorf("plan in format %d", record.Format)
+		return nil, nil, &rollout.NewerFormatError{Record: "plan", Format: record.Format}
 	}
 	finished, err = record.decodeFinished(n)
 	if err != nil {
@@ -164,7 +166,7 @@
 		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks: %w", len(bitmap), n, err)
 	}
 	if len(bitmap) < bitmapBytes(n) {
-		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks", len(bitmap), n)
+		return nil, damagedSegment("bitmap of %d bytes for %d tasks", len(bitmap), n)
 	}
 	finished := make([]bool, n)
 	for i := range finished {
@@ -181,19 +183,19 @@
 		machine := None
 		if recordIndex >= 0 {
 			if int(recordIndex) >= len(r.Machines) {
-				return nil, fmt.Errorf("run names machine %d of %d", recordIndex, len(r.Machines))
+				return nil, damagedSegment("run names machine %d of %d", recordIndex, len(r.Machines))
 			}
 			machine = index(r.Machines[recordIndex])
 		}
 		for range length {
 			if len(machines) >= n {
-				return nil, fmt.Errorf("runs cover more than %d tasks", n)
+				return nil, damagedSegment("runs cover more than %d tasks", n)
 			}
 			machines = append(machines, machine)
 		}
 	}
 	if len(machines) != n {
-		return nil, fmt.Errorf("runs cover %d of %d tasks", len(machines), n)
+		return nil, damagedSegment("runs cover %d of %d tasks", len(machines), n)
 	}
 	return machines, nil
 }
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -1,7 +1,6 @@
 package jobs
 
 import (
-	"fmt"
 	"slices"
 	"time"
 )
@@ -81,7 +80,7 @@
 func (j *Job) SetTaskState(taskIndex int32, to TaskState) error {
 	task := &j.Tasks[taskIndex]
 	if !slices.Contains(taskTransitions[task.State], to) {
-		return fmt.Errorf("task %s/%d cannot go from %s to %s", j.ID, taskIndex, task.State, to)
+		return &TransitionError{Job: j.ID, Task: taskIndex, From: task.State, To: to}
 	}
 	switch to {
 	case Planned:
--- a/internal/planner/balance.go
+++ b/internal/planner/balance.go
@@ -30,7 +30,8 @@
 	// loads and taskCounts are each server's load and number of tasks so far.
 	loads      []float64
 	taskCounts []int32
-	// placed counts the tasks of a group by the server's position in its PreferredServers; waiting counts those without a server.
+	// placed counts the tasks of a group by the server's position in its PreferredServers; waiting counts those without
+	// a server.
 	placed  [][]int32
 	waiting []int32
 	// preferences are the edges of each server.
