--- a/internal/sessions/requests_test.go
+++ b/internal/sessions/requests_test.go
@@ -181,3 +181,28 @@
 		}
 	}
 }
+
+// Requests that arrive while the record of an ended session is being deleted got no reply at all. They get one whether
+// or not the deletion is carried out.
+func TestRequestsDuringDeletionAreAnswered(t *testing.T) {
+	for _, deletion := range []commitOutcome{commitApplied, commitNotApplied} {
+		h := newHarness(t, testPolicies(t))
+		h.openSession()
+		h.startTask()
+		h.advanceWithHeartbeats(2 * time.Second)
+		job := h.jobTable.Get(id)
+		h.revision++
+		_, _, _ = h.jobTable.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, job.Spec), h.revision)
+		h.advance(time.Minute)
+		if len(h.commits) == 0 {
+			t.Fatal("the record isn't being deleted")
+		}
+		attached, closed := noReply, noReply
+		h.manager.Attach(h.now, id, userToken, func(r Result, err error) { attached = outcomeOf(r, err) })
+		h.manager.Close(id, userToken, func(r Result, err error) { closed = outcomeOf(r, err) })
+		h.finishCommits(deletion)
+		if attached == noReply || closed == noReply {
+			t.Errorf("deletion outcome %v: attach got %q, close got %q", deletion, attached, closed)
+		}
+	}
+}
--- a/internal/sessions/write.go
+++ b/internal/sessions/write.go
@@ -138,5 +138,6 @@
 		} else {
 			m.queue.schedule(s, m.Now()+writeRetryDelay)
 		}
+		s.runDeferred() // requests that arrived meanwhile wait for their replies
 	})
 }
