--- a/cmd/harewalk/rollout_test.go
+++ b/cmd/harewalk/rollout_test.go
@@ -187,6 +187,10 @@
 	}
 	wave(back, true)
 	wave(now, true)
+	// All have the present revision, and the level hasn't risen: users may submit pipelines. One is cancelled at its head.
+	submitPipeline(t, users, 800_000, 4)
+	cancelled := submitPipeline(t, users, 800_100, 4)
+	users.Cancel(cancelled)
 	waitUntil(t, "the level rises", func() bool {
 		time.Sleep(time.Second)
 		return sim.ClusterLevel() == rollout.Newest
@@ -226,3 +230,25 @@
 	t.Logf("%d jobs: %v; %d starts, %d requests repeated, %d kills",
 		n, final, sim.Stats().TaskStarts, repeated, cluster.Killed)
 }
+
+// submitPipeline submits a chain of jobs, each as soon as the one before it is accepted, and returns the id of the
+// first.
+func submitPipeline(t *testing.T, users *simulator.Users, first, length int) string {
+	t.Helper()
+	head := ""
+	last := ""
+	for i := range length {
+		spec := plainJob(first+i, 4, 2)
+		if last != "" {
+			spec.Follows = []string{last}
+		}
+		if status := users.Submit(spec); status != 200 && status != 201 {
+			t.Fatalf("%s: status %d", spec.ID, status)
+		}
+		if head == "" {
+			head = spec.ID
+		}
+		last = spec.ID
+	}
+	return head
+}
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"strconv"
 )
 
 // The keys under h/r/ belong to this package. Those of the members and the term belong to package membership: an
@@ -142,8 +143,8 @@
 	if err := json.Unmarshal(raw, &record); err != nil {
 		return 0, err
 	}
-	var term uint64
-	if _, err := fmt.Sscan(record.Term.String(), &term); err != nil {
+	term, err := strconv.ParseUint(record.Term.String(), 10, 64)
+	if err != nil {
 		return 0, fmt.Errorf("term %q: %w", record.Term, err)
 	}
 	return term, nil
--- a/internal/rollout/records_test.go
+++ b/internal/rollout/records_test.go
@@ -67,3 +67,12 @@
 		t.Errorf("read as %+v, want %+v", r.stored.directive, want)
 	}
 }
+
+// TestDamagedTermIsRefused: a term that is no whole number was read as the digits that it begins with, a smaller term.
+func TestDamagedTermIsRefused(t *testing.T) {
+	for _, raw := range []string{`{"term":1.5}`, `{"term":1e3}`, `{"v":2,"term":"2.5"}`, `{"term":-1}`, `{}`} {
+		if term, err := DecodeTerm([]byte(raw)); err == nil {
+			t.Errorf("%s was read as term %d", raw, term)
+		}
+	}
+}
