--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -55,7 +55,7 @@
 		reply(refuseDrain(err))
 		return
 	}
-	c.writeDrainChange(change, func(result store.Result) { reply(c.drainCommandReply(command, result)) })
+	c.writeDrainChange(change, reply, func(result store.Result) { reply(c.drainCommandReply(command, result)) })
 }
 
 // drainCommandReply returns the answer to a command by its write's outcome.
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/drain"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
@@ -106,8 +107,9 @@
 	return store.Op{Put: drain.DocumentKey, Value: raw}
 }
 
-// writeDrainChange writes what a command changes, in one transaction of at most two changes.
-func (c *Controller) writeDrainChange(change drain.Change, done func(store.Result)) {
+// writeDrainChange writes what a command changes, in one transaction of at most two changes. It replies itself if the
+// term ends meanwhile.
+func (c *Controller) writeDrainChange(change drain.Change, reply func(api.Reply), done func(store.Result)) {
 	txn := store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(change.Document)}}
 	if change.Machine != "" {
 		key := drain.MachineKey(change.Machine)
@@ -119,7 +121,7 @@
 			txn.Then = append(txn.Then, store.Op{Delete: key})
 		}
 	}
-	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
+	c.commitCommand(txn, reply, func(result store.Result) {
 		if result.Outcome == store.Committed {
 			c.confirmDrainWrite(txn, result.Revision)
 		}
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -31,6 +31,15 @@
 // newFollowingController returns a controller that follows the keys of a state service, and a function that advances
 // the clock of both.
 func newFollowingController(t *testing.T) (c *Controller, service *state.Service, advance func(time.Duration)) {
+	t.Helper()
+	return newControllerOn(t, func(service *state.Service) httpio.Sender { return directSender{service} })
+}
+
+// newControllerOn returns a controller like newFollowingController's that reaches the state service through a sender.
+func newControllerOn(
+	t *testing.T,
+	newSender func(*state.Service) httpio.Sender,
+) (c *Controller, service *state.Service, advance func(time.Duration)) {
 	t.Helper()
 	settings, err := config.Parse([]byte(testSettings))
 	if err != nil {
@@ -40,7 +49,7 @@
 	now := time.Duration(0)
 	c = build(settings, Environment{
 		Now:    func() time.Duration { return now },
-		Sender: func(int) httpio.Sender { return directSender{service} },
+		Sender: func(int) httpio.Sender { return newSender(service) },
 	})
 	advance = func(duration time.Duration) {
 		now += duration
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -145,7 +145,7 @@
 		reply(api.Refuse(api.Conflict, err.Error()))
 		return
 	}
-	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
+	c.commitCommand(txn, reply, func(result store.Result) {
 		reply(c.rolloutCommandReply(command, txn, result))
 	})
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/capacity"
 	"github.com/harewalk/harewalk/internal/config"
@@ -134,6 +135,20 @@
 	})
 }
 
+// commitCommand sends a command's transaction like commitInTerm. If the term has ended when the outcome arrives, it
+// replies that the outcome isn't known, for nobody else would.
+func (c *Controller) commitCommand(txn store.Txn, reply func(api.Reply), done func(store.Result)) {
+	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
+	isSameTerm := c.termCheck()
+	c.store.Txn(txn, store.NormalPriority, func(result store.Result) {
+		if !isSameTerm() {
+			reply(refuseIndeterminateCommand())
+			return
+		}
+		done(result)
+	})
+}
+
 // readInTerm reads a key again. done is called unless the term has ended meanwhile.
 func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
 	isSameTerm := c.termCheck()
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -4,8 +4,11 @@
 	"errors"
 	"net/http"
 	"testing"
+	"time"
 
+	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/httpio"
+	"github.com/harewalk/harewalk/internal/simulator/state"
 )
 
 // The outcome of commands is known if the worker answered them, or can't have received or carried them out. Its
@@ -35,3 +38,53 @@
 		})
 	}
 }
+
+// endingSender answers like directSender, and calls a function between a transaction and its answer.
+type endingSender struct {
+	directSender
+	beforeAnswer func()
+}
+
+// Send implements httpio.Sender.
+func (e *endingSender) Send(addr string, request httpio.Request, done func(httpio.Response)) {
+	e.directSender.Send(addr, request, func(response httpio.Response) {
+		if e.beforeAnswer != nil && request.Path == state.TxnPath {
+			e.beforeAnswer()
+		}
+		done(response)
+	})
+}
+
+// A command whose term ends while its write is under way got no answer at all, and its operator waited for the time
+// limit: it is told that the outcome isn't known.
+func TestCommandAtTheEndOfATermIsAnswered(t *testing.T) {
+	sender := &endingSender{}
+	c, _, _ := newControllerOn(t, func(service *state.Service) httpio.Sender {
+		sender.directSender = directSender{service}
+		return sender
+	})
+	drainMachine := api.LeaderRequest{
+		Resource: api.ResourceAdmin,
+		Verb:     api.VerbSet,
+		Body:     []byte(`{"op":"drain","kind":"machine","name":"i-000001","by":"kana"}`),
+	}
+	hold := api.LeaderRequest{
+		Resource: api.ResourceRollout,
+		Verb:     api.VerbSet,
+		Body:     []byte(`{"op":"hold","by":"kana"}`),
+	}
+	for name, call := range map[string]func(reply func(api.Reply)){
+		"drain": func(reply func(api.Reply)) { c.adminCall(time.Second, drainMachine, reply) },
+		"hold":  func(reply func(api.Reply)) { c.rolloutCall(time.Second, hold, reply) },
+	} {
+		c.startTerm(time.Second, 1)
+		c.term.fleet.RegisterMachine(time.Second, "i-000001")
+		sender.beforeAnswer = func() { c.endTerm(time.Second) }
+		var got []api.Reply
+		call(func(reply api.Reply) { got = append(got, reply) })
+		sender.beforeAnswer = nil
+		if len(got) != 1 || got[0].Status != http.StatusServiceUnavailable {
+			t.Errorf("%s: answers %+v", name, got)
+		}
+	}
+}
