--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -41,9 +41,8 @@
 
 // The formats of job records.
 const (
-	plainRecordFormat = 1
-	// dependentRecordFormat is that of a pending job with predecessors. A release that doesn't know it must not start
-	// the job, so it has a number of its own.
+	// dependentRecordFormat is that of a pending job with predecessors; all others have format 1. A release that
+	// doesn't know it must not start the job, so it has a number of its own.
 	dependentRecordFormat = 2
 	// newestRecordFormat is the newest format that this release reads.
 	newestRecordFormat = dependentRecordFormat
