--- a/internal/api/predecessors_test.go
+++ b/internal/api/predecessors_test.go
@@ -202,6 +202,17 @@
 	}
 }
 
+// A predecessor is cancelled while the submission is being stored: the job is answered as cancelled, and that is durable.
+func TestPredecessorCancelledDuringSubmission(t *testing.T) {
+	s := newDependentService(state.New())
+	s.storeAndRead(jobs.Pending, job(1))
+	s.beforeResponse = func() { s.storeAndRead(jobs.Cancelled, job(1)) }
+	expectReply(t, s.submit(t, dependent(2, 1)), 200, "cancelled")
+	if stored := s.storedJob(t, 2); stored.State != jobs.Cancelled {
+		t.Errorf("stored as %v", stored.State)
+	}
+}
+
 // Below the level of dependencies, and while the followed keys are stale, jobs with predecessors get 503.
 func TestDependentJobsNeedTheLevelAndFreshKeys(t *testing.T) {
 	s := newDependentService(state.New())
--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -227,6 +227,25 @@
 	}
 }
 
+// A new leader leaves a blocked job without plans alone until it is released.
+func TestBlockedJobIsNotPlannedAfterTakeover(t *testing.T) {
+	kv := map[string]json.RawMessage{}
+	waiting := follower(2, 2, spec(1, 1))
+	kv[jobs.RecordKey(waiting.ID)] = jobs.EncodeRecord(jobs.Pending, 0, waiting.Tasks, waiting)
+	g := newDependentRig(t, 2, kv, config.Team{Name: "t"})
+	job := g.Jobs.Get(waiting.ID)
+	g.heartbeat("m", 1, 2*fenced)
+	g.settle(store.Committed)
+	if got := g.ranked(); job.Tasks != nil || len(got) != 0 || len(g.Demand(g.now)) != 0 {
+		t.Fatalf("%d tasks, ranked %v", len(job.Tasks), got)
+	}
+	g.graph.HandleArchived(g.now, spec(1, 1).ID, jobs.Done)
+	g.settle(store.Committed)
+	if commands := starts(g.heartbeat("m", 1, 2*fenced)); len(commands) != 2 {
+		t.Errorf("started %v after the release", commands)
+	}
+}
+
 // A new leader finds a gang of which one task is durably done, and doesn't know the gang's predecessor. Once it does, the
 // whole gang is done: its other task isn't started again when its machine is lost.
 func TestFinishedGangOfABlockedJobIsDone(t *testing.T) {
