--- a/internal/api/predecessors_test.go
+++ b/internal/api/predecessors_test.go
@@ -26,6 +26,7 @@
 func newDependentService(svc *state.Service) *dependentService {
 	s := &dependentService{testService: newTestService(svc), accepts: true, fresh: true}
 	s.graph = dependencies.New(s.Jobs, func(time.Duration, *jobs.Job) {})
+	s.Dependencies = s.graph.Edges
 	s.AcceptsDependencies = func() bool { return s.accepts }
 	s.IsBlockedCertain = func(_ time.Duration, id string) bool { return s.fresh && !s.graph.HasUnknownAncestor(id) }
 	s.OnJobRecord = func(now time.Duration, item store.Item) {
@@ -320,6 +321,20 @@
 	}
 }
 
+// Predecessors take memory on every controller: together with the unfinished tasks they are bounded.
+func TestPredecessorsAreBoundedWithTasks(t *testing.T) {
+	s := newDependentService(state.New())
+	s.storeAndRead(jobs.Pending, job(1))
+	s.storeAndRead(jobs.Pending, job(2))
+	s.MaxTasks = s.Jobs.LiveTasks() + 2*(job(3).Tasks+2) // room for two jobs that follow both
+	for n, status := range []int{201, 201, 429} {
+		reply := s.submit(t, dependent(n+3, 1, 2))
+		if reply.Status != status {
+			t.Errorf("job %d got %d, want %d", n+3, reply.Status, status)
+		}
+	}
+}
+
 // A cancellation of a blocked job at the moment when its predecessor is done is answered with what is durable.
 func TestCancellationOfBlockedJobIsDurable(t *testing.T) {
 	s := newDependentService(state.New())
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -64,13 +64,16 @@
 	// Limits returns the present limits of a transaction, which may be lower than TxnOps and MaxValue. Nil if they
 	// never are.
 	Limits func() store.Limits
-	// MaxTasks bounds the unfinished tasks of all jobs, which a leader keeps in memory.
+	// MaxTasks bounds the unfinished tasks and the predecessors of all jobs, which a leader keeps in memory.
 	MaxTasks int
 	// MaxBytes bounds the records of the submissions that wait to be stored, in bytes.
 	MaxBytes int
 	// MaxValue bounds the record of one job, in bytes.
 	MaxValue int
 
+	// Dependencies returns how many predecessors all unfinished jobs have together, which every controller keeps in
+	// memory; MaxTasks bounds them with the tasks. Nil if no job has any.
+	Dependencies func() int
 	// AcceptsDependencies reports whether jobs with predecessors may be stored. Nil if they never may.
 	AcceptsDependencies func() bool
 	// IsBlockedCertain reports whether this controller may answer that a blocked job waits: no cancellation of a job
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -97,12 +97,21 @@
 		return Refuse(Unavailable, "the state service takes no value as large as the job's description now"), true
 	}
 	// A job is accepted whatever its size if it is the only one.
-	if live := s.Jobs.LiveTasks(); live > 0 && live+spec.Tasks > s.MaxTasks {
+	live := s.Jobs.LiveTasks() + s.dependencies()
+	if live > 0 && live+spec.Tasks+len(spec.Follows) > s.MaxTasks {
 		return Refuse(TooManyRequests, "too many unfinished tasks"), true
 	}
 	return Reply{}, false
 }
 
+// dependencies returns how many predecessors all unfinished jobs have together.
+func (s *Service) dependencies() int {
+	if s.Dependencies == nil {
+		return 0
+	}
+	return s.Dependencies()
+}
+
 // enqueueSubmission queues a submission to be stored, or refuses it if the queue is full.
 func (s *Service) enqueueSubmission(now time.Duration, submission pendingSubmission) {
 	if len(s.submissions) >= maxWaitingSubmissions || s.submissionBytes+len(submission.record) > s.MaxBytes {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -228,6 +228,7 @@
 		MaxBytes:       c.settings.Params.Limits.MaxQueueBytes(),
 		MaxValue:       state.Limits().MaxValueBytes,
 
+		Dependencies:        c.dependencies.graph.Edges,
 		AcceptsDependencies: c.acceptsDependencies,
 		IsBlockedCertain:    c.isBlockedCertain,
 	})
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -23,7 +23,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// State is what the graph knows of a job.
+// State is the state of a job in the graph.
 type State uint8
 
 // The states of a job in the graph.
@@ -78,13 +78,14 @@
 	position int // in from.successors
 }
 
-// Graph is the dependency graph of all jobs that this controller knows. It sets the fields Blocked, Doomed, ReleasedAt
+// Graph is the dependency graph of all jobs in a controller's table. It sets the fields Blocked, Doomed, ReleasedAt
 // and Priority of the jobs in it.
 type Graph struct {
 	table *jobs.Table
 	nodes map[string]*node
 	// unknown and doomed list the nodes in these states, in the order in which they got them.
 	unknown, doomed *list.List
+	edges           int
 	stamp           uint64 // of the newest ranking
 	// OnReleased is called when the last predecessor of a job that was blocked is done. Required.
 	OnReleased func(now time.Duration, job *jobs.Job)
@@ -217,6 +218,7 @@
 	linked := &edge{from: from, to: to, position: len(from.successors)}
 	from.successors = append(from.successors, linked)
 	to.predecessors = append(to.predecessors, linked)
+	g.edges++
 }
 
 // detach removes all edges from a node's predecessors to it, before any of their priorities is computed anew.
@@ -224,6 +226,7 @@
 	predecessors := detached.predecessors
 	detached.predecessors = nil
 	detached.unfinished = 0
+	g.edges -= len(predecessors)
 	for _, removed := range predecessors {
 		from := removed.from
 		last := from.successors[len(from.successors)-1]
@@ -337,7 +340,7 @@
 	}
 }
 
-// State returns what the graph knows of a job. A job that it doesn't contain is Unknown.
+// State returns the state of a job in the graph. A job that it doesn't contain is Unknown.
 func (g *Graph) State(id string) State {
 	if found, ok := g.nodes[id]; ok {
 		return found.state
@@ -348,6 +351,9 @@
 // Len returns the number of jobs in the graph.
 func (g *Graph) Len() int { return len(g.nodes) }
 
+// Edges returns the number of edges in the graph: of predecessors of live jobs, each counted once for each successor.
+func (g *Graph) Edges() int { return g.edges }
+
 // HasSuccessors reports whether a live job names this one as its predecessor.
 func (g *Graph) HasSuccessors(id string) bool {
 	found, ok := g.nodes[id]
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -373,8 +373,8 @@
 		}
 		h.finish()
 		releases += h.releases
-		if h.graph.Len() != 0 || h.graph.unknown.Len()+h.graph.doomed.Len() != 0 {
-			t.Fatalf("seed %d: %d nodes left", seed, h.graph.Len())
+		if h.graph.Len() != 0 || h.graph.Edges() != 0 || h.graph.unknown.Len()+h.graph.doomed.Len() != 0 {
+			t.Fatalf("seed %d: %d nodes and %d edges left", seed, h.graph.Len(), h.graph.Edges())
 		}
 	}
 	t.Logf("%d releases", releases)
