--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -82,7 +82,7 @@
 // and Priority of the jobs in it.
 type Graph struct {
 	table *jobs.Table
-	nodes map[string]*node
+	nodes map[string]*node // by job id
 	// unknown and doomed list the nodes in these states, in the order in which they got them.
 	unknown, doomed *list.List
 	edges           int
@@ -155,6 +155,7 @@
 	}
 }
 
+// finalState returns the state in the graph of a job whose record is terminal.
 func finalState(state jobs.State) State {
 	if state == jobs.Done {
 		return Done
@@ -214,6 +215,7 @@
 	g.raisePriorities(added)
 }
 
+// link adds the edge from a predecessor to a successor.
 func (g *Graph) link(from, to *node) {
 	linked := &edge{from: from, to: to, position: len(from.successors)}
 	from.successors = append(from.successors, linked)
--- a/internal/dependencies/resolver.go
+++ b/internal/dependencies/resolver.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// findDue returns the jobs that have been unknown since the last search and aren't being read. Those that were read before
-// come last, so that answers that can't be read hold up no others.
+// findDue returns the jobs that have been unknown since the last search and aren't being read. Those that were read
+// before come last, so that answers that can't be read hold up no others.
 func (r *Resolver) findDue() []string {
 	found := map[string]bool{}
 	var untried, tried []string
--- a/internal/jobs/idpacking.go
+++ b/internal/jobs/idpacking.go
@@ -31,6 +31,7 @@
 	number uint64
 }
 
+// String returns the id as users write it.
 func (id numberedID) String() string { return fmt.Sprintf("%s%0*d", idPrefix, id.digits, id.number) }
 
 // packIDs returns the packed form of valid ids. Their order is not kept.
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -97,8 +97,8 @@
 	return j.Types == nil || slices.Contains(j.Types, machineType)
 }
 
-// ReadyAt returns since when nothing but room and its team's limit keeps its tasks from starting: its submission, or the
-// end of the last of its predecessors.
+// ReadyAt returns since when nothing but room and its team's limit keeps its tasks from starting: its submission, or
+// the end of the last of its predecessors.
 func (j *Job) ReadyAt() time.Duration { return max(j.SubmittedAt, j.ReleasedAt) }
 
 // Idle reports whether nothing of the job may be planned.
