--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -35,8 +35,8 @@
 	`"gait":"sweep","hops":16,"meadow":null,"memory_gb":2,"name_id":"req-000001","pelt":"img-07","rest_s":0,` +
 	`"same_place":false,"size_gb":1.5,"stash_s":0,"stray":true,"stride_s":20,"urgency":"standard","warren":"vision"}`
 
-// sampleSuccessor is a job that starts once sampleJob is done: the second stage of a pipeline, whose deadline is the only
-// one.
+// sampleSuccessor is a job that starts once sampleJob is done: the second stage of a pipeline, whose deadline is the
+// only one.
 const sampleSuccessor = `{"accelerators":0,"apart":false,"breed":"train","builds":null,"cpus":1,"dusk_s":600,` +
 	`"follows":["req-000001"],"gait":"gang","hops":2,"meadow":null,"memory_gb":2,"name_id":"req-000002",` +
 	`"pelt":"img-07","rest_s":0,"same_place":true,"size_gb":1.5,"stash_s":0,"stray":true,"stride_s":10,` +
--- a/cmd/harewalk/job_why.go
+++ b/cmd/harewalk/job_why.go
@@ -21,8 +21,8 @@
 		"any\n" +
 		"controller names it. In JSON each part has a code: team_limit, licence, no_machine, " +
 		"gang_short, no_room, retry,\n" +
-		"predecessors, parked, failing, unreadable, zone_lost, planning_behind, lane, plan_not_durable, gang_leaving or\n" +
-		"starting."
+		"predecessors, parked, failing, unreadable, zone_lost, planning_behind, lane, plan_not_durable,\n" +
+		"gang_leaving or starting."
 	cmd.Example = "  harewalk job why req-000412\n" +
 		"  harewalk job why req-000412 -o json"
 	return cmd
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -36,8 +36,8 @@
 	return job.Spec.EstimateS * f.classStatsOf(job.Class).ratio
 }
 
-// stageHeartbeats is how many heartbeat intervals a stage of a pipeline takes beside its run time: its start and its end
-// are each learned by a heartbeat.
+// stageHeartbeats is how many heartbeat intervals a stage of a pipeline takes beside its run time: its start and its
+// end are each learned by a heartbeat.
 const stageHeartbeats = 2
 
 // StageTime returns the expected time from a job's release to its end, where there is room at once: the fetch of its
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -41,8 +41,8 @@
 	f.openJob(now, job)
 }
 
-// openJob makes a job available to planning. A job that was released may have tasks already, from the plans of an earlier
-// term.
+// openJob makes a job available to planning. A job that was released may have tasks already, from the plans of an
+// earlier term.
 func (f *Fleet) openJob(now time.Duration, job *jobs.Job) {
 	job.CreateTasks()
 	f.finishRecoveredGang(now, job)
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -138,10 +138,10 @@
 	return r.stored.level
 }
 
-// AllSupport reports whether all controllers have announced a level, whether or not the cluster has been upgraded to it, and the
-// operators don't keep it from rising. What came with the level and a release that lacks it reads as unreadable, so
-// that it neither acts on it nor overwrites it, may be written from then on: users may ask for it as soon as no
-// controller has the former release any more, while the upgrade itself waits until all have been healthy for long.
+// AllSupport reports whether all controllers have announced a level, whether or not the cluster has been upgraded to
+// it, and the operators don't prevent the upgrade. What came with the level, and a release that lacks it quarantines,
+// may be written from then on: users may ask for it as soon as no controller has the former release any more, while the
+// upgrade itself waits until all have been healthy for long.
 func (r *Rollout) AllSupport(level Level) bool {
 	if r.Level() >= level {
 		return true
