--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -8,6 +8,7 @@
 
 	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/events"
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -31,6 +32,7 @@
 	if settings.SimulatedLevel > 0 {
 		cfg.MaxLevel = settings.SimulatedLevel
 		cfg.Release = settings.SimulatedRelease
+		c.jobs.LimitFormat(newestJobFormat(settings.SimulatedLevel))
 	}
 	for _, peer := range c.settings.Peers {
 		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: peer.Node, Zone: peer.Zone})
@@ -38,6 +40,12 @@
 	return rollout.New(cfg)
 }
 
+// newestJobFormat returns the newest format of job records that a release reads whose highest level is given.
+func newestJobFormat(level rollout.Level) int {
+	format, _ := rollout.RecordFormatOf(jobs.Prefix)
+	return format.WrittenAt(level)
+}
+
 // recordRolloutState adds a change of the rollout's state to the leader's events.
 func (c *Controller) recordRolloutState(now time.Duration, to rollout.State, cause string) {
 	if !c.term.active() {
--- a/internal/jobs/errors_test.go
+++ b/internal/jobs/errors_test.go
@@ -11,7 +11,7 @@
 // Callers can tell a record of a newer release from a damaged one, and operators read the cause.
 func TestUnreadableRecordsAreTypedErrors(t *testing.T) {
 	noMachine := func(string) int32 { return None }
-	_, _, newerRecord := decodeRecord(json.RawMessage(`{"v":99,"stance":"pending"}`))
+	_, _, newerRecord := decodeRecord(json.RawMessage(`{"v":99,"stance":"pending"}`), newestRecordFormat)
 	_, _, newerSegment := DecodeSegment(json.RawMessage(`{"v":99}`), 1, noMachine)
 	for err, text := range map[error]string{newerRecord: "record in format 99", newerSegment: "plan in format 99"} {
 		var newer *rollout.NewerFormatError
@@ -19,7 +19,7 @@
 			t.Errorf("error %v, want %q", err, text)
 		}
 	}
-	_, _, err := decodeRecord(json.RawMessage(`{"stance":"paused"}`))
+	_, _, err := decodeRecord(json.RawMessage(`{"stance":"paused"}`), newestRecordFormat)
 	var unknown *UnknownStateError
 	if !errors.As(err, &unknown) || unknown.Name != "paused" {
 		t.Errorf("error %v for an unknown state", err)
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -112,13 +112,13 @@
 	}
 }
 
-// decodeRecord reads a stored record. It refuses formats that this release doesn't read.
-func decodeRecord(raw json.RawMessage) (Record, State, error) {
+// decodeRecord reads a stored record. It refuses formats that are newer than one.
+func decodeRecord(raw json.RawMessage, newestFormat int) (Record, State, error) {
 	var record Record
 	if err := json.Unmarshal(raw, &record); err != nil {
 		return record, 0, err
 	}
-	if record.Format > newestRecordFormat {
+	if record.Format > newestFormat {
 		return record, 0, &rollout.NewerFormatError{Record: "record", Format: record.Format}
 	}
 	state, err := parseState(record.State)
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -212,7 +212,7 @@
 	spec := gangSpec(t, 2)
 	plain := EncodeRecord(Pending, 5, 2, spec)
 	spec.Follows = []string{"req-000398", "req-000405"}
-	record, state, err := decodeRecord(EncodeRecord(Pending, 5, 2, spec))
+	record, state, err := decodeRecord(EncodeRecord(Pending, 5, 2, spec), newestRecordFormat)
 	if err != nil || state != Pending || record.Format != dependentRecordFormat {
 		t.Fatalf("format %d, state %v, error %v", record.Format, state, err)
 	}
@@ -222,7 +222,7 @@
 	if len(spec.Follows) != 2 {
 		t.Error("encoding changed the specification")
 	}
-	record, _, err = decodeRecord(EncodeRecord(Cancelled, 5, 2, spec))
+	record, _, err = decodeRecord(EncodeRecord(Cancelled, 5, 2, spec), newestRecordFormat)
 	if err != nil || record.Format != 0 || record.Spec.Follows != nil {
 		t.Errorf("cancelled: format %d, predecessors %v, error %v", record.Format, record.Spec.Follows, err)
 	}
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -22,6 +22,8 @@
 	Names *NameIndex
 	// unreadable holds the version of the newest record of each job for which that record can't be read.
 	unreadable map[string]uint64
+	// newestFormat is the newest format of records that is read.
+	newestFormat int
 }
 
 // NewTable returns an empty table. epochMS is the wall clock at monotonic time 0, in milliseconds.
@@ -32,9 +34,14 @@
 		epochWallMS: epochMS,
 		Names:       &NameIndex{Pools: licences.NewCatalog(nil)},
 		unreadable:  map[string]uint64{},
+
+		newestFormat: newestRecordFormat,
 	}
 }
 
+// LimitFormat makes the table refuse records in newer formats than one, as that of a former release does.
+func (t *Table) LimitFormat(newest int) { t.newestFormat = min(newest, newestRecordFormat) }
+
 // ByIndex returns a job by its index, nil if it was removed. An index is never used for a second job.
 func (t *Table) ByIndex(index Index) *Job { return t.byIndex.at(index) }
 
@@ -99,7 +106,7 @@
 	if job != nil && (version <= job.Version || job.State.Terminal()) {
 		return job, false, nil
 	}
-	record, state, err := decodeRecord(raw)
+	record, state, err := decodeRecord(raw, t.newestFormat)
 	if err != nil {
 		t.markUnreadable(id, job, version)
 		return job, false, err
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"math/rand/v2"
 	"testing"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // TestJobStateOnlyGoesForward applies the versions of a record in random orders.
@@ -39,3 +42,22 @@
 		}
 	}
 }
+
+// TestTableOfFormerReleaseQuarantinesNewerFormat applies the record of a job with predecessors to a table that reads
+// format 1 only, and one in format 1 to the same job afterwards.
+func TestTableOfFormerReleaseQuarantinesNewerFormat(t *testing.T) {
+	spec := gangSpec(t, 2)
+	ended := EncodeRecord(Cancelled, 5, 2, spec)
+	spec.Follows = []string{"req-000009"}
+	table := NewTable(0)
+	table.LimitFormat(1)
+	job, _, err := table.Apply(spec.ID, EncodeRecord(Pending, 5, 2, spec), 3)
+	var newer *rollout.NewerFormatError
+	if !errors.As(err, &newer) || newer.Format != dependentRecordFormat || job != nil || !table.IsUnreadable(spec.ID) {
+		t.Errorf("job %v, error %v: format %d was read", job, err, dependentRecordFormat)
+	}
+	job, _, err = table.Apply(spec.ID, ended, 4)
+	if err != nil || job.State != Cancelled || table.IsUnreadable(spec.ID) {
+		t.Errorf("job %+v, error %v: format 1 was not read", job, err)
+	}
+}
