--- a/internal/simulator/pipelines_checks_test.go
+++ b/internal/simulator/pipelines_checks_test.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"encoding/json"
 	"fmt"
 	"net/http"
 	"slices"
@@ -159,6 +160,45 @@
 	wantViolations(t, sim, "orphaned", 2)
 }
 
+// TestOrphanedJobInListIsReported lets a user receive lists of jobs before and after cancel_s has passed.
+func TestOrphanedJobInListIsReported(t *testing.T) {
+	first, second, third := chainOfThree()
+	sim := newPipelineChecks(t, first, second, third)
+	receiveCancelled(sim, first.ID)
+	sim.Advance(seconds(sim.cfg.Workers.CancelS))
+	body, err := json.Marshal(jobListView{Jobs: []jobView{
+		{ID: first.ID, State: stateCancelled},
+		{ID: second.ID, State: statePending},
+		{ID: third.ID, State: stateRunning},
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sim.checkJobList(http.StatusOK, body)
+	wantViolations(t, sim, "orphaned", 0)
+	sim.Advance(time.Millisecond)
+	sim.checkJobList(http.StatusServiceUnavailable, body)
+	wantViolations(t, sim, "orphaned", 0)
+	sim.checkJobList(http.StatusOK, body)
+	wantViolations(t, sim, "orphaned", 2)
+}
+
+// TestJobListsAreRecognized checks which requests are lists of jobs.
+func TestJobListsAreRecognized(t *testing.T) {
+	for target, want := range map[string]bool{
+		"GET /v2/runs":            true,
+		"GET /v2/runs?limit=5":    true,
+		"GET /v2/runs/req-000001": false,
+		"POST /v2/runs":           false,
+		"GET /v2/zones":           false,
+	} {
+		method, path, _ := strings.Cut(target, " ")
+		if isJobList(method, path) != want {
+			t.Errorf("%s: a list of jobs is %v", target, !want)
+		}
+	}
+}
+
 // TestOrphanedCountsFromTheFirstCancellation cancels two jobs before one, at different times.
 func TestOrphanedCountsFromTheFirstCancellation(t *testing.T) {
 	first, second, third := chainOfThree()
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -655,6 +655,41 @@
 	}
 }
 
+// TestListsCallNoOrphansPending stalls the leader's watches, or nothing, cancels the first job of a chain through another
+// controller, and asks all controllers for lists of jobs for longer than cancel_s.
+func TestListsCallNoOrphansPending(t *testing.T) {
+	for _, stalled := range []bool{false, true} {
+		t.Run(fmt.Sprint("leader's watches stalled ", stalled), func(t *testing.T) {
+			t.Parallel()
+			cluster := newPipelineCluster(t, 624)
+			chain := cluster.addChain(4)
+			chain[0].spec.EstimateS = 60
+			cluster.submitAll()
+			cluster.waitUntilAccepted(chain...)
+			leader := cluster.waitForLeader()
+			cluster.StallWatches(leader, stalled)
+			cluster.cancelAt(chain[0], (leader+1)%cluster.Controllers())
+			lists := 0
+			limit := seconds(shortTimers.CancelS)
+			for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(250 * time.Millisecond) {
+				for i := range cluster.Controllers() {
+					cluster.Request(i, http.MethodGet, runsPath, nil, func(status int, _ []byte) {
+						if status == http.StatusOK {
+							lists++
+						}
+					})
+				}
+			}
+			if lists == 0 {
+				t.Error("no list was answered")
+			}
+			cluster.StallWatches(leader, false)
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateCancelled, chain...)
+		})
+	}
+}
+
 // TestNoControllerWithStaleStateCallsOrphansPending stalls the watches of all controllers but one that doesn't lead,
 // cancels the first job of a chain through that one, and kills it at its answer. The others are asked about the jobs
 // after it for longer than cancel_s: their reads succeed, and the records of these jobs haven't changed.
@@ -820,9 +855,10 @@
 	}
 }
 
-// askEverywhere queries every controller about jobs; the simulation checks the answers.
+// askEverywhere queries every controller about jobs and for a list of all jobs; the simulation checks the answers.
 func (r *testCluster) askEverywhere(users []*testUser) {
 	for i := range r.Controllers() {
+		r.Request(i, http.MethodGet, runsPath, nil, ignoreAnswer)
 		for _, user := range users {
 			r.Request(i, http.MethodGet, runsPath+"/"+user.spec.ID, nil, ignoreAnswer)
 		}
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -82,6 +82,30 @@
 	return about, false
 }
 
+// isJobList reports whether a request is one for a list of jobs.
+func isJobList(method, path string) bool {
+	resource, _, _ := strings.Cut(path, "?")
+	return method == http.MethodGet && resource == runsPath
+}
+
+// jobListView is a list of jobs in an answer to a user.
+type jobListView struct {
+	Jobs []jobView `json:"jobs"`
+}
+
+// checkJobList checks a list of jobs that was received now.
+func (sim *Simulation) checkJobList(status int, body []byte) {
+	var list jobListView
+	if status != http.StatusOK || json.Unmarshal(body, &list) != nil {
+		return
+	}
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, job := range list.Jobs {
+		sim.checkNotOrphaned(job.ID, job.State)
+	}
+}
+
 // AddJob records a job's submission, so that workers find its specification.
 func (sim *Simulation) AddJob(spec *jobs.Spec) {
 	sim.mu.Lock()
--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -198,6 +198,9 @@
 		if ofJob {
 			sim.checkUserAnswer(about, sentAt, status, raw)
 		}
+		if isJobList(method, path) {
+			sim.checkJobList(status, raw)
+		}
 		then(status, raw)
 	}
 	sim.virtual.roundTrip("", public, request, timeout, sim.virtual.linkCheck(public, UserLinks), answered)
