--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -61,6 +61,23 @@
 }
 `
 
+// pipelineStream is the sequence number of the random source of these tests' users.
+const pipelineStream = 47
+
+// pipelineConfig returns the configuration of these tests' clusters, in which cancel_s is short.
+func pipelineConfig(seed uint64) Config {
+	return Config{
+		Seed:         seed,
+		MaxMachines:  14,
+		Types:        gpuMachineTypes(1),
+		Zones:        zoneNames(),
+		TickInterval: 20 * time.Millisecond,
+		Workers:      shortTimers,
+		State:        smallStateLimits(),
+		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
+	}
+}
+
 // newPipelineCluster starts a cluster of three controllers at the newest level, in which cancel_s is short.
 func newPipelineCluster(t *testing.T, seed uint64) *testCluster {
 	t.Helper()
@@ -70,21 +87,9 @@
 // newPipelineClusterWith does so with other operators' settings.
 func newPipelineClusterWith(t *testing.T, seed uint64, operator string) *testCluster {
 	t.Helper()
-	sim, err := NewVirtualTime(Config{
-		Seed:         seed,
-		MaxMachines:  14,
-		Types:        gpuMachineTypes(1),
-		Zones:        []string{"a", "b", "c"},
-		TickInterval: 20 * time.Millisecond,
-		Workers:      shortTimers,
-		State:        config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24},
-		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
-	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
-	if err != nil {
-		t.Fatal(err)
-	}
-	cluster := &testCluster{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 47))}
-	cluster.watchInvariants()
+	cluster := startCluster(t, pipelineStream, pipelineConfig(seed), func(settings *config.Settings) error {
+		return settings.ReadOperator("o.hcl", []byte(operator))
+	})
 	cluster.waitFor("at the newest level", 30*time.Second, func() bool {
 		return cluster.ClusterLevel() == rollout.Newest && len(cluster.ActingLeaders()) == 1
 	})
--- /dev/null
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -0,0 +1,380 @@
+package simulator
+
+import (
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/rollout"
+)
+
+// Tests of pipelines in a cluster that is upgraded from the release before them. Simulated controllers of that release
+// don't read the records of jobs with predecessors. Users submit pipelines once all controllers run the newest release.
+
+// levelBeforePipelines is the highest level of the release before pipelines.
+const levelBeforePipelines = rollout.Dependencies - 1
+
+// newUpgradeCluster starts controllers of the release before pipelines, which archive jobs soon after their end. Once
+// all support a higher level, it waits for soak before the cluster's level rises.
+func newUpgradeCluster(t *testing.T, seed uint64, controllers int, soak string) *testCluster {
+	t.Helper()
+	cfg := pipelineConfig(seed)
+	cfg.Controllers = controllers
+	operator := strings.Replace(pipelineOperator, "soak_s = 1", "soak_s = "+soak, 1)
+	cluster := startCluster(t, pipelineStream, cfg, func(settings *config.Settings) error {
+		settings.SimulateRelease(levelBeforePipelines, FormerRelease)
+		return settings.ReadOperator("o.hcl", []byte(operator))
+	})
+	cluster.waitFor("at the former release's level", 30*time.Second, func() bool {
+		return cluster.ClusterLevel() == levelBeforePipelines && len(cluster.ActingLeaders()) == 1
+	})
+	return cluster
+}
+
+// submitPlainJobs submits jobs without predecessors, one every interval.
+func (r *testCluster) submitPlainJobs(count int, interval time.Duration) {
+	for i := range count {
+		user := r.addUser()
+		user.spec.EstimateS = 2
+		r.After(time.Duration(i)*interval, user.submit)
+	}
+}
+
+// addDiamond adds the users of a job, of two that follow it and of one that follows these.
+func (r *testCluster) addDiamond() []*testUser {
+	head := r.addUser()
+	left, right := r.addUser(head), r.addUser(head)
+	left.spec.Tasks = 3
+	right.spec.Kind = jobs.Gang
+	right.spec.Tasks = 2
+	return []*testUser{head, left, right, r.addUser(left, right)}
+}
+
+// cancelledPipelineShare is the number of pipelines of which one is cancelled at its head.
+const cancelledPipelineShare = 3
+
+// submitPipelines submits diamonds, one every interval. Every third is cancelled at its head.
+func (r *testCluster) submitPipelines(count int, interval time.Duration) (pipelines [][]*testUser) {
+	for i := range count {
+		pipeline := r.addDiamond()
+		pipelines = append(pipelines, pipeline)
+		r.After(time.Duration(i)*interval, func() {
+			for _, user := range pipeline {
+				user.submit()
+			}
+		})
+		if i%cancelledPipelineShare == 0 {
+			head := pipeline[0]
+			head.spec.EstimateS = 60
+			r.After(time.Duration(i)*interval+2*time.Second, head.cancel)
+		}
+	}
+	return pipelines
+}
+
+// upgradeFault is what happens while controllers are rolled.
+type upgradeFault struct {
+	// begin starts what goes on during the whole upgrade; nil for nothing.
+	begin func(cluster *testCluster)
+	// strike is called before each restart of the roll, and returns whether the controller is killed while it drains.
+	strike func(cluster *testCluster, controller int) (kill bool)
+}
+
+// notKilled is the strike of faults that leave the restarts of the roll alone.
+func notKilled(*testCluster, int) bool { return false }
+
+// upgradeFaults are the faults during upgrades, by name.
+var upgradeFaults = map[string]upgradeFault{
+	"none": {strike: notKilled},
+	"killed while draining": {
+		strike: func(_ *testCluster, controller int) bool { return controller%2 == 0 },
+	},
+	"leader dies at each step": {
+		// It comes back with the release that it had: the former one before its turn.
+		strike: func(cluster *testCluster, _ int) bool {
+			cluster.After(300*time.Millisecond, func() { cluster.onLeader(restartAfterKill, cluster.KillController) })
+			return false
+		},
+	},
+	"another dies at each step": {
+		strike: func(cluster *testCluster, controller int) bool {
+			other := (controller + 1) % cluster.Controllers()
+			cluster.KillController(other)
+			cluster.After(2*time.Second, func() { cluster.StartController(other) })
+			return false
+		},
+	},
+	"late writes": {
+		begin: func(cluster *testCluster) {
+			cluster.DelayWrites(0.2, 500*time.Millisecond, 4*time.Second)
+			cluster.LoseTxnAnswers(0.1)
+		},
+		strike: notKilled,
+	},
+	"late writes and leader dies": {
+		begin: func(cluster *testCluster) {
+			cluster.DelayWrites(0.2, 500*time.Millisecond, 4*time.Second)
+			cluster.DuplicateMessages(0.2, 100*time.Millisecond, 10*time.Second)
+		},
+		strike: func(cluster *testCluster, _ int) bool {
+			cluster.onLeader(restartAfterKill, cluster.KillController)
+			return false
+		},
+	},
+}
+
+// dependentRecords lists the jobs whose stored records have the format of pending jobs with predecessors.
+func (r *testCluster) dependentRecords() (ids []string) {
+	for key, item := range r.StoredItems(jobs.Prefix) {
+		if rollout.FormatOf(item.Value) == dependentJobFormat {
+			ids = append(ids, jobs.IDOfKey(key))
+		}
+	}
+	return ids
+}
+
+// endFaults ends delays of messages and writes, and starts the controllers that don't run.
+func (r *testCluster) endFaults() {
+	r.DelayWrites(0, 0, 0)
+	r.LoseTxnAnswers(0)
+	r.DuplicateMessages(0, 0, 0)
+	r.startAllControllers()
+}
+
+// checkPipelines checks that the pipelines that were cancelled at their heads have one outcome, and that the others are
+// done.
+func (r *testCluster) checkPipelines(pipelines [][]*testUser) {
+	r.t.Helper()
+	for _, pipeline := range pipelines {
+		want := stateDone
+		if pipeline[0].cancelRequested {
+			want = stateCancelled
+		}
+		r.wantFinalStates(want, pipeline...)
+	}
+}
+
+// TestUpgradeToPipelines rolls controllers from the former release to the newest under load. Pipelines are submitted as
+// soon as all run the newest release, before the cluster's level rises, and further on beyond that.
+func TestUpgradeToPipelines(t *testing.T) {
+	for name, fault := range upgradeFaults {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cluster := newUpgradeCluster(t, 630, 5, "6")
+			cluster.submitPlainJobs(40, time.Second)
+			if fault.begin != nil {
+				fault.begin(cluster)
+			}
+			cluster.Advance(5 * time.Second)
+			var pipelines [][]*testUser
+			kill := func(controller int) bool { return fault.strike(cluster, controller) }
+			rolled := false
+			cluster.RollingRestart(rollout.Newest, time.Second, kill, func() {
+				rolled = true
+				pipelines = cluster.submitPipelines(18, time.Second)
+			})
+			cluster.waitFor("rolled", 3*time.Minute, func() bool { return rolled })
+			storedBefore := 0
+			cluster.waitFor("upgraded", time.Minute, func() bool {
+				storedBefore = max(storedBefore, len(cluster.dependentRecords()))
+				return cluster.ClusterLevel() == rollout.Newest
+			})
+			if storedBefore == 0 {
+				t.Error("no job with predecessors was accepted before the level rose")
+			}
+			cluster.KillLeaders(2, 6*time.Second)
+			cluster.Advance(25 * time.Second)
+			cluster.endFaults()
+			cluster.waitUntilDone()
+			cluster.checkPipelines(pipelines)
+		})
+	}
+}
+
+// TestPipelinesWaitForAllControllers submits jobs with predecessors to every controller while one still runs the former
+// release: each is answered 503, and nothing of it is stored.
+func TestPipelinesWaitForAllControllers(t *testing.T) {
+	cluster := newUpgradeCluster(t, 631, 3, "600")
+	head := cluster.addUser()
+	head.submit()
+	cluster.waitUntilAccepted(head)
+	follower := cluster.addUser(head)
+	cluster.AddJob(follower.spec)
+	body := submission(t, follower.spec)
+	former := (cluster.waitForLeader() + 1) % cluster.Controllers()
+	for i := range cluster.Controllers() {
+		if i != former {
+			cluster.restart(i, rollout.Newest)
+			cluster.Advance(5 * time.Second)
+		}
+	}
+	for range 10 {
+		for i := range cluster.Controllers() {
+			cluster.Request(i, http.MethodPost, runsPath, body, func(status int, _ []byte) {
+				if status != http.StatusServiceUnavailable {
+					t.Errorf("controller %d: status %d, want 503", i, status)
+				}
+			})
+		}
+		cluster.Advance(time.Second)
+	}
+	if ids := cluster.dependentRecords(); len(ids) > 0 {
+		t.Errorf("%v are stored", ids)
+	}
+	cluster.restart(former, rollout.Newest)
+	follower.submit()
+	cluster.waitUntilDone()
+	cluster.wantFinalStates(stateDone, cluster.users...)
+}
+
+// formerReturn is how a controller comes back with the former release after pipelines were accepted.
+type formerReturn struct {
+	leads bool          // the others are down meanwhile
+	kill  bool          // it is killed in the end, otherwise drained
+	time  time.Duration // until it is replaced
+}
+
+// formerReturns are such mistakes, by name.
+var formerReturns = map[string]formerReturn{
+	"beside":                   {time: 20 * time.Second},
+	"leads":                    {leads: true, time: 10 * time.Second, kill: true},
+	"leads beyond cancel_s":    {leads: true, time: 25 * time.Second},
+	"leads for a whole minute": {leads: true, time: time.Minute, kill: true},
+}
+
+// mistakePipelines are the pipelines of a test in which the former release comes back.
+type mistakePipelines struct {
+	running   []*testUser // the second of its jobs runs
+	endsSoon  []*testUser // the first of its jobs ends meanwhile
+	cancelled []*testUser // the first of its jobs is cancelled meanwhile
+	gang      []*testUser // the second of its jobs is a gang that runs
+}
+
+func (p *mistakePipelines) all() (users []*testUser) {
+	for _, chain := range [][]*testUser{p.running, p.endsSoon, p.cancelled, p.gang} {
+		users = append(users, chain...)
+	}
+	return users
+}
+
+// submitMistakePipelines submits the pipelines, and waits until each is in its state.
+func (r *testCluster) submitMistakePipelines() *mistakePipelines {
+	r.t.Helper()
+	p := &mistakePipelines{
+		running:   r.addChain(3),
+		endsSoon:  r.addChain(3),
+		cancelled: r.addChain(4),
+		gang:      r.addChain(3),
+	}
+	p.running[1].spec.EstimateS = 50
+	p.endsSoon[0].spec.EstimateS = 20
+	p.cancelled[0].spec.EstimateS = 200
+	p.gang[1].spec.EstimateS = 40
+	p.gang[1].spec.Kind = jobs.Gang
+	p.gang[1].spec.Tasks = 3
+	for _, user := range p.all() {
+		user.submit()
+	}
+	r.waitUntilAccepted(p.all()...)
+	r.waitFor("running", 30*time.Second, func() bool {
+		return r.hasStarted(p.running[1]) && r.hasStarted(p.gang[1]) && r.hasStarted(p.endsSoon[0])
+	})
+	return p
+}
+
+// hasStarted reports whether a task of a user's job has started.
+func (r *testCluster) hasStarted(user *testUser) bool {
+	_, started := r.FirstStart(user.spec.ID)
+	return started
+}
+
+// TestFormerReleaseReturnsAfterPipelines lets a controller come back with the former release by mistake after pipelines
+// were accepted and before the level rose, beside the others or as the only one. It can't read the jobs: it starts
+// nothing of them, and once it is replaced all go on.
+func TestFormerReleaseReturnsAfterPipelines(t *testing.T) {
+	for name, mistake := range formerReturns {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			cluster := newUpgradeCluster(t, 632, 3, "600")
+			rolled := false
+			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
+			cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+			pipelines := cluster.submitMistakePipelines()
+			former := (cluster.waitForLeader() + 1) % cluster.Controllers()
+			cluster.restart(former, levelBeforePipelines)
+			cluster.Advance(2 * time.Second)
+			if mistake.leads {
+				cluster.killOthers(former)
+				cluster.waitFor("led by the former release", 30*time.Second, func() bool {
+					leader, _ := cluster.Leader()
+					return leader == former && len(cluster.ActingLeaders()) == 1
+				})
+			}
+			cluster.cancelAt(pipelines.cancelled[0], former)
+			cluster.checkQuarantined(former, pipelines, mistake.time)
+			cluster.replaceFormer(former, mistake)
+			cluster.waitFor("upgraded", 12*time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+			cluster.waitUntilDone()
+			cluster.wantFinalStates(stateCancelled, pipelines.cancelled...)
+			for _, chain := range [][]*testUser{pipelines.running, pipelines.endsSoon, pipelines.gang} {
+				cluster.wantFinalStates(stateDone, chain...)
+			}
+		})
+	}
+}
+
+// killOthers kills all controllers but one.
+func (r *testCluster) killOthers(controller int) {
+	for i := range r.Controllers() {
+		if i != controller {
+			r.KillController(i)
+		}
+	}
+}
+
+// replaceFormer gives a controller of the former release the newest, and starts the others.
+func (r *testCluster) replaceFormer(former int, mistake formerReturn) {
+	startAll := func() {
+		r.SetRelease(former, rollout.Newest)
+		r.startAllControllers()
+	}
+	if mistake.kill {
+		r.KillController(former)
+		startAll()
+		return
+	}
+	r.DrainController(former, startAll)
+	r.Advance(10 * time.Second)
+	r.startAllControllers()
+}
+
+// checkQuarantined asks all controllers about all jobs for a time, in which the former release answers 503 about jobs
+// whose records it can't read.
+func (r *testCluster) checkQuarantined(former int, pipelines *mistakePipelines, duration time.Duration) {
+	r.t.Helper()
+	refused := 0
+	for end := r.Now() + duration; r.Now() < end; r.Advance(500 * time.Millisecond) {
+		r.askEverywhere(pipelines.all())
+		for _, id := range r.dependentRecords() {
+			r.Request(former, http.MethodGet, runsPath+"/"+id, nil, func(status int, raw []byte) {
+				switch {
+				case status == http.StatusServiceUnavailable:
+					refused++
+				case status == http.StatusOK && r.isDependentRecord(id):
+					r.t.Errorf("%v: the former release answers 200 %s about %s", r.Now(), raw, id)
+				}
+			})
+		}
+	}
+	if refused == 0 {
+		r.t.Error("the former release answered 503 about no job")
+	}
+}
+
+// isDependentRecord reports whether a job's stored record is that of a pending job with predecessors.
+func (r *testCluster) isDependentRecord(id string) bool {
+	return rollout.FormatOf(r.StoredItem(jobs.RecordKey(id)).Value) == dependentJobFormat
+}
