--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -121,7 +121,7 @@
 			txn.Then = append(txn.Then, store.Op{Delete: key})
 		}
 	}
-	c.commitCommand(txn, reply, func(result store.Result) {
+	c.commitCommand(txn, refuseIndeterminateCommand(), reply, func(result store.Result) {
 		if result.Outcome == store.Committed {
 			c.confirmDrainWrite(txn, result.Revision)
 		}
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -173,22 +173,22 @@
 	op := c.licenceOp(now, index, command)
 	key := licences.Key(c.licencePools.Pools()[index].Name)
 	txn := store.Txn{
-		If:   []store.Condition{c.membership.LeaderCondition(), {Key: key, Version: version}},
+		If:   []store.Condition{{Key: key, Version: version}},
 		Then: []store.Op{op},
 	}
-	isSameTerm := c.termCheck()
-	c.store.Txn(txn, store.NormalPriority, func(result store.Result) {
-		switch {
-		case isSameTerm() && result.Outcome == store.Committed:
+	indeterminate := api.Refuse(
+		api.Unavailable,
+		"it is not known whether the count was set: look before setting it again",
+	)
+	c.commitCommand(txn, indeterminate, reply, func(result store.Result) {
+		switch result.Outcome {
+		case store.Committed:
 			c.confirmLicenceCount(index, op, command, result.Revision)
 			reply(api.Reply{Status: http.StatusOK, Body: c.licenceView(now, index)})
-		case isSameTerm() && result.Outcome == store.Conflict:
+		case store.Conflict:
 			reply(refuseLicenceConflict("another command", c.licenceView(now, index)))
 		default:
-			reply(api.Refuse(
-				api.Unavailable,
-				"it is not known whether the count was set: look before setting it again",
-			))
+			reply(indeterminate)
 		}
 	})
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -153,7 +153,7 @@
 		reply(api.Refuse(api.Conflict, err.Error()))
 		return
 	}
-	c.commitCommand(txn, reply, func(result store.Result) {
+	c.commitCommand(txn, refuseIndeterminateCommand(), reply, func(result store.Result) {
 		reply(c.rolloutCommandReply(command, txn, result))
 	})
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -126,26 +126,31 @@
 // commitInTerm sends a transaction that succeeds only while this controller leads. done is called unless the term has
 // ended meanwhile.
 func (c *Controller) commitInTerm(txn store.Txn, priority store.Priority, done func(store.Result)) {
-	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
-	isSameTerm := c.termCheck()
-	c.store.Txn(txn, priority, func(result store.Result) {
-		if isSameTerm() {
-			done(result)
-		}
-	})
+	c.commitOrEnd(txn, priority, done, func() {})
 }
 
 // commitCommand sends a command's transaction like commitInTerm. If the term has ended when the outcome arrives, it
-// replies that the outcome isn't known, for nobody else would.
-func (c *Controller) commitCommand(txn store.Txn, reply func(api.Reply), done func(store.Result)) {
+// replies with a refusal that says so, for nobody else would reply.
+func (c *Controller) commitCommand(
+	txn store.Txn,
+	indeterminate api.Reply,
+	reply func(api.Reply),
+	done func(store.Result),
+) {
+	c.commitOrEnd(txn, store.NormalPriority, done, func() { reply(indeterminate) })
+}
+
+// commitOrEnd sends a transaction that succeeds only while this controller leads. It calls done with the outcome, or
+// ended if the term has ended when that arrives.
+func (c *Controller) commitOrEnd(txn store.Txn, priority store.Priority, done func(store.Result), ended func()) {
 	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
 	isSameTerm := c.termCheck()
-	c.store.Txn(txn, store.NormalPriority, func(result store.Result) {
-		if !isSameTerm() {
-			reply(refuseIndeterminateCommand())
-			return
+	c.store.Txn(txn, priority, func(result store.Result) {
+		if isSameTerm() {
+			done(result)
+		} else {
+			ended()
 		}
-		done(result)
 	})
 }
 
