--- a/internal/drain/document.go
+++ b/internal/drain/document.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"maps"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // DocumentKey is where the document is stored.
@@ -26,12 +28,12 @@
 	Last string `json:"last,omitempty"`
 }
 
-// ParseDocument decodes the stored document. The error is a *FormatError, or that of the JSON.
+// ParseDocument decodes the stored document. The error is a *rollout.NewerFormatError, or that of the JSON.
 func ParseDocument(raw json.RawMessage) (Document, error) {
 	var document Document
 	err := json.Unmarshal(raw, &document)
 	if err == nil && document.Format > newestFormat {
-		err = &FormatError{Record: documentName, Format: document.Format}
+		err = &rollout.NewerFormatError{Record: documentName, Format: document.Format}
 	}
 	return document, err
 }
--- a/internal/drain/errors.go
+++ b/internal/drain/errors.go
@@ -16,15 +16,6 @@
 	ErrLastController = errors.New("nobody would be left")
 )
 
-// FormatError is the error of a record in a format that this release can't read.
-type FormatError struct {
-	Record string // what is stored there, as operators read it
-	Format int
-}
-
-// Error returns the text for logs and for operators.
-func (e *FormatError) Error() string { return fmt.Sprintf("%s in format %d", e.Record, e.Format) }
-
 // MachineMismatchError is the error of a machine's drain request that stands under the key of another machine.
 type MachineMismatchError struct{ Machine string }
 
--- a/internal/drain/errors_test.go
+++ b/internal/drain/errors_test.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"testing"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // What is stored in a newer format, or under the key of another machine, is refused with a typed error, whose text
@@ -15,7 +17,7 @@
 		documentErr: "wishes in format 2",
 		recordErr:   "drain request in format 2",
 	} {
-		var format *FormatError
+		var format *rollout.NewerFormatError
 		if !errors.As(err, &format) || format.Format != 2 || err.Error() != text {
 			t.Errorf("error %v, want %q", err, text)
 		}
--- a/internal/drain/machine_requests.go
+++ b/internal/drain/machine_requests.go
@@ -7,6 +7,8 @@
 	"maps"
 	"regexp"
 	"slices"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // MachinePrefix is where the drain requests of machines are stored, each under a key of its own, from the cluster's
@@ -62,7 +64,8 @@
 }
 
 // HandleItem takes over a stored request. Versions that are not newer than one seen already are ignored. The error
-// of a value that can't be read, which changes nothing, is a *FormatError, a *MachineMismatchError or that of the JSON.
+// of a value that can't be read, which changes nothing, is a *rollout.NewerFormatError, a *MachineMismatchError or that
+// of the JSON.
 func (r *MachineRequests) HandleItem(key string, raw json.RawMessage, version uint64) error {
 	if version <= r.deletedAt[key] || version <= r.byMachine[r.machineByKey[key]].Version {
 		return nil
@@ -72,7 +75,7 @@
 		return err
 	}
 	if record.Format > newestFormat {
-		return &FormatError{Record: machineRecordName, Format: record.Format}
+		return &rollout.NewerFormatError{Record: machineRecordName, Format: record.Format}
 	}
 	if MachineKey(record.Machine) != key {
 		return &MachineMismatchError{record.Machine}
--- a/internal/zones/record.go
+++ b/internal/zones/record.go
@@ -3,9 +3,10 @@
 import (
 	"cmp"
 	"encoding/json"
-	"fmt"
 	"slices"
 	"time"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // Prefix is where the keys of zones are stored.
@@ -17,12 +18,6 @@
 // newestFormat is the newest stored format that this release reads.
 const newestFormat = 1
 
-// FormatError is the error of a record in a format that this release can't read.
-type FormatError struct{ Format int }
-
-// Error returns the text for logs and for operators.
-func (e *FormatError) Error() string { return fmt.Sprintf("zones in format %d", e.Format) }
-
 // record is the stored form of Zones. Times are Unix times in milliseconds.
 type record struct {
 	Format int          `json:"v,omitempty"` // 0 means 1
@@ -74,7 +69,7 @@
 // Restore takes over what an earlier leader has stored. It is a hint: where heartbeats arrive, the zone returns
 // all the same. index returns the index of a zone by its name, monotonic the monotonic time of a Unix time in
 // milliseconds. If the value can't be read, nothing is taken over and the error is a
-// *FormatError or that of the JSON.
+// *rollout.NewerFormatError or that of the JSON.
 func (z *Zones) Restore(
 	raw json.RawMessage,
 	index func(string) int32,
@@ -85,7 +80,7 @@
 		return err
 	}
 	if stored.Format > newestFormat {
-		return &FormatError{stored.Format}
+		return &rollout.NewerFormatError{Record: "zones", Format: stored.Format}
 	}
 	for _, zone := range stored.Zones {
 		state, ok := parseState(zone.State)
--- a/internal/zones/record_test.go
+++ b/internal/zones/record_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 var testZones = []string{"a", "b", "c"}
@@ -48,7 +50,7 @@
 		if err == nil {
 			t.Errorf("%s is taken", raw)
 		}
-		var format *FormatError
+		var format *rollout.NewerFormatError
 		if errors.As(err, &format) != isNewer {
 			t.Errorf("%s: %v", raw, err)
 		}
