--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -74,7 +74,7 @@
 // writeCancelled stores the job's record as cancelled, unless the record has changed.
 func (s *Service) writeCancelled(c cancellation, job *jobs.Job) {
 	key := jobs.RecordKey(c.id)
-	record := jobs.EncodeRecord(jobs.Cancelled, s.Jobs.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
+	record := s.Jobs.CancelledRecord(job)
 	txn := store.Txn{
 		If:   s.withLevelCondition(store.Condition{Key: key, Version: job.Version}),
 		Then: []store.Op{{Put: key, Value: record}},
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -98,7 +98,7 @@
 		MaxMachines:   c.settings.Operator.MaxMachines,
 		MachinesBound: string(c.settings.Operator.MachinesBound),
 		Full:          c.term.capacity.AtMaxMachines(),
-		Jobs:          c.liveJobs(),
+		Jobs:          c.jobs.LiveJobs(),
 		Archive:       c.archiveStatus(),
 	}
 	cluster := c.drainCluster(now)
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -98,7 +98,7 @@
 func (c *Controller) archiveStatus() ArchiveStatus {
 	status := ArchiveStatus{
 		Moved:   c.term.mover.Stats.Moved,
-		Waiting: c.jobs.Len() - c.liveJobs(),
+		Waiting: c.jobs.Len() - c.jobs.LiveJobs(),
 		RetainS: c.archive.settings.Retain.Seconds(),
 		State:   c.term.mover.State().String(),
 	}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -47,7 +47,6 @@
 		Read:        c.readInTerm,
 		OnJobRecord: c.handleJobRead,
 		Now:         c.loop.Now,
-		WallMS:      c.jobs.WallMS,
 		MaxOps:      func() int { return c.store.Limits().MaxOps },
 	})
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -109,13 +109,6 @@
 	}
 }
 
-// liveJobs returns the number of jobs that have not ended.
-func (c *Controller) liveJobs() int {
-	live := 0
-	c.jobs.ForEachLive(func(*jobs.Job) { live++ })
-	return live
-}
-
 // metrics returns the present values of all metrics.
 func (c *Controller) metrics(now, requestedAt time.Duration) samples {
 	var out samples
@@ -145,7 +138,7 @@
 	out.addBool(leadingDesc, c.membership.State() == membership.Leading && c.membership.HasAuthority(now))
 	out.add(termDesc, float64(c.membership.Leader().Term))
 	out.add(loopWaitDesc, (now - requestedAt).Seconds())
-	out.add(jobsDesc, float64(c.liveJobs()))
+	out.add(jobsDesc, float64(c.jobs.LiveJobs()))
 	out.add(blockedDesc, float64(c.blockedJobs()))
 	out.add(jobsInMemoryDesc, float64(c.jobs.Len()))
 	out.add(cachedDesc, float64(c.archive.reader.CacheLen()))
--- a/internal/dependencies/canceller.go
+++ b/internal/dependencies/canceller.go
@@ -30,8 +30,6 @@
 	OnJobRecord func(now time.Duration, item store.Item)
 	// Now returns the monotonic time, for results.
 	Now func() time.Duration
-	// WallMS converts a monotonic time to the wall clock, in milliseconds.
-	WallMS func(time.Duration) int64
 	// MaxOps returns how many changes a transaction may have now.
 	MaxOps func() int
 }
@@ -88,9 +86,12 @@
 		if job.Quarantined {
 			return true // its newest record can't be read
 		}
-		record := jobs.EncodeRecord(jobs.Cancelled, c.env.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
+		if len(batch) == limit || !c.env.CanWrite(len(batch)+1) {
+			return false
+		}
+		record := c.graph.table.CancelledRecord(job)
 		size += len(record)
-		if len(batch) == limit || size > maxCancelBytes || !c.env.CanWrite(len(batch)+1) {
+		if size > maxCancelBytes {
 			return false
 		}
 		batch = append(batch, cancelledRecord{jobs.RecordKey(job.ID), job.Version, record})
--- a/internal/dependencies/canceller_test.go
+++ b/internal/dependencies/canceller_test.go
@@ -29,7 +29,6 @@
 		Read:        s.get,
 		OnJobRecord: s.onJobRecord,
 		Now:         func() time.Duration { return s.now },
-		WallMS:      s.table.WallMS,
 		MaxOps:      func() int { return s.maxOps },
 	})
 	return s
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -204,8 +204,8 @@
 	}
 	switch {
 	case doomed:
-		g.setState(added, Blocked)
-		g.doom(added)
+		g.setState(added, Doomed)
+		g.doomSuccessors(added)
 	case added.unfinished == 0:
 		g.release(now, added)
 	default:
@@ -318,15 +318,6 @@
 	}
 }
 
-// doom marks a blocked job and all its successors, direct or not, as to be cancelled.
-func (g *Graph) doom(first *node) {
-	if first.state != Blocked {
-		return
-	}
-	g.setState(first, Doomed)
-	g.doomSuccessors(first)
-}
-
 // doomSuccessors dooms all jobs that need one, directly or through others. Chains may be long: it doesn't recurse.
 func (g *Graph) doomSuccessors(start *node) {
 	pending := []*node{start}
--- a/internal/dependencies/urgency.go
+++ b/internal/dependencies/urgency.go
@@ -79,7 +79,10 @@
 		if !successor.state.live() || successor.state == Doomed {
 			continue
 		}
-		successorEnd := min(deadlineOf(successor.job), g.latestEndOf(successor, runTime))
+		successorEnd := g.latestEndOf(successor, runTime)
+		if deadline, ok := successor.job.Deadline(); ok {
+			successorEnd = min(successorEnd, deadline)
+		}
 		if successorEnd != never {
 			end = min(end, successorEnd-runTime(successor.job))
 		}
@@ -88,11 +91,3 @@
 	of.latestEndStamp = g.stamp
 	return end
 }
-
-// deadlineOf returns a job's own deadline, never if it has none.
-func deadlineOf(job *jobs.Job) time.Duration {
-	if job.Spec.DeadlineS == nil {
-		return never
-	}
-	return job.SubmittedAt + jobs.Seconds(*job.Spec.DeadlineS)
-}
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -42,8 +42,8 @@
 func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
 	limit := startLimit{now: now, earliest: never}
 	runTime := config.Seconds(f.estimate(job))
-	if job.Spec.DeadlineS != nil {
-		limit.add(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS) - runTime)
+	if deadline, ok := job.Deadline(); ok {
+		limit.add(deadline - runTime)
 	}
 	if latestEnd, needed := f.ranking.latestEnds[job.Index]; needed {
 		limit.add(latestEnd - runTime)
--- a/internal/jobs/idpacking.go
+++ b/internal/jobs/idpacking.go
@@ -16,12 +16,6 @@
 // base64. The ids of a user's jobs are mostly near to one another and take two to three bytes each, so that a job with
 // hundreds of predecessors fits in one value of the state service.
 
-// idPrefix begins every job id; digits follow.
-const idPrefix = "req-"
-
-// maxIDDigits is the most digits that an id has.
-const maxIDDigits = 18
-
 // errPackedIDs is wrapped by every error about ids in packed form that can't be read.
 var errPackedIDs = errors.New("packed job ids can't be read")
 
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -101,6 +101,14 @@
 // the end of the last of its predecessors.
 func (j *Job) ReadyAt() time.Duration { return max(j.SubmittedAt, j.ReleasedAt) }
 
+// Deadline returns when the job should be done; false if it has no deadline.
+func (j *Job) Deadline() (at time.Duration, ok bool) {
+	if j.Spec.DeadlineS == nil {
+		return 0, false
+	}
+	return j.SubmittedAt + Seconds(*j.Spec.DeadlineS), true
+}
+
 // Idle reports whether nothing of the job may be planned.
 func (j *Job) Idle() bool { return j.Suspended || j.Quarantined || j.Blocked }
 
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -81,35 +81,30 @@
 	record := Record{State: state.String(), Tasks: tasks}
 	if state != Done {
 		record.AtMS = submittedAtMS
-		record.Spec = (*WireSpec)(spec)
+		record.Spec = storedSpec(state, spec)
 	}
-	if spec != nil && len(spec.Follows) > 0 {
-		record.setPredecessors(state, spec)
-	}
-	if state == Cancelled && spec != nil {
-		// The resources of its tasks count until they are gone; where they might run doesn't matter any more. Without
-		// the list of machine types, the only part without a limit, the record fits into any value that the state
-		// service accepts.
-		withoutTypes := *record.Spec
-		withoutTypes.Types = nil
-		record.Spec = &withoutTypes
+	if state == Pending && spec != nil && len(spec.Follows) > 0 {
+		record.Format = dependentRecordFormat
+		record.Follows = packIDs(spec.Follows)
 	}
 	raw, _ := json.Marshal(record) // it can't fail: a specification has no NaN and no infinity
 	return raw
 }
 
-// setPredecessors moves the ids of a pending job's predecessors from the specification into their packed form. A
-// terminal job needs them no more.
-func (r *Record) setPredecessors(state State, spec *Spec) {
-	if r.Spec != nil {
-		withoutFollows := *r.Spec
-		withoutFollows.Follows = nil
-		r.Spec = &withoutFollows
+// storedSpec returns what a record keeps of a specification, nil for none. Predecessors are kept in packed form.
+func storedSpec(state State, spec *Spec) *WireSpec {
+	if spec == nil {
+		return nil
 	}
-	if state == Pending {
-		r.Format = dependentRecordFormat
-		r.Follows = packIDs(spec.Follows)
+	stored := WireSpec(*spec)
+	stored.Follows = nil
+	if state == Cancelled {
+		// The resources of its tasks count until they are gone; where they might run doesn't matter any more. Without
+		// the list of machine types, the only part without a limit, the record fits into any value that the state
+		// service accepts.
+		stored.Types = nil
 	}
+	return &stored
 }
 
 // decodeRecord reads a stored record. It refuses formats that are newer than one.
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"regexp"
 	"time"
 
@@ -80,7 +81,13 @@
 	return 0
 }
 
-var idPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
+// The form of a job id: a prefix and digits.
+const (
+	idPrefix    = "req-"
+	maxIDDigits = 18
+)
+
+var idPattern = regexp.MustCompile(fmt.Sprintf(`^%s[0-9]{1,%d}$`, idPrefix, maxIDDigits))
 
 // ValidID reports whether a job id has the protocol's form.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -61,6 +61,9 @@
 // Len returns the number of jobs in the table.
 func (t *Table) Len() int { return len(t.byID) }
 
+// LiveJobs returns the number of jobs that are not terminal.
+func (t *Table) LiveJobs() int { return len(t.live) }
+
 // LiveTasks returns the number of tasks of all jobs that are not terminal.
 func (t *Table) LiveTasks() int { return t.liveTasks }
 
@@ -90,6 +93,11 @@
 	}
 }
 
+// CancelledRecord returns the stored form of a job's record once it is cancelled.
+func (t *Table) CancelledRecord(job *Job) json.RawMessage {
+	return EncodeRecord(Cancelled, t.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
+}
+
 // WallMS converts a monotonic time to the wall clock, in milliseconds.
 func (t *Table) WallMS(now time.Duration) int64 { return t.epochWallMS + now.Milliseconds() }
 
--- a/internal/sessions/requests.go
+++ b/internal/sessions/requests.go
@@ -290,7 +290,7 @@
 		return
 	}
 	jobKey := jobs.RecordKey(s.id)
-	jobRecord := jobs.EncodeRecord(jobs.Cancelled, m.Jobs.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
+	jobRecord := m.Jobs.CancelledRecord(job)
 	txn := store.Txn{
 		If:   []store.Condition{{Key: jobKey, Version: job.Version}},
 		Then: []store.Op{{Put: jobKey, Value: jobRecord}, {Delete: Key(s.id)}},
