--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -58,8 +58,7 @@
 		}
 		c.retriesLeft--
 		if item.Version == 0 {
-			archived := lookup{id: c.id, withCounts: c.withCounts, absent: noSuchJob, reply: c.reply}
-			s.replyFromArchive(archived, func(*jobs.Job) { s.tryCancel(c) })
+			s.findArchivedAndCancel(c)
 			return
 		}
 		s.OnJobRecord(s.Store.Now(), item)
@@ -71,6 +70,18 @@
 	})
 }
 
+// findArchivedAndCancel replies from the job's archived answer, or tries again if the job was accepted meanwhile.
+func (s *Service) findArchivedAndCancel(c cancellation) {
+	archived := lookup{id: c.id, withCounts: c.withCounts, absent: noSuchJob, reply: c.reply}
+	s.findArchived(c.id, archived.priority(), func(result searchResult) {
+		if result.kind == inTable {
+			s.tryCancel(c)
+			return
+		}
+		s.replyWithResult(archived, result)
+	})
+}
+
 // writeCancelled stores the job's record as cancelled, unless the record has changed.
 func (s *Service) writeCancelled(c cancellation, job *jobs.Job) {
 	key := jobs.RecordKey(c.id)
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -54,47 +54,106 @@
 	return s.finalReply(id, withCounts)
 }
 
-// readAndReply replies from a fresh read of the job's record, or of its archived answer.
-func (s *Service) readAndReply(l lookup) {
-	replyAccepted := func(job *jobs.Job) { s.replyWithJob(job, l.withCounts, l.reply) }
-	s.Store.Get(jobs.RecordKey(l.id), l.priority(), func(item store.Item, err error) {
-		if err != nil {
-			l.reply(stateServiceUnavailable)
-			return
-		}
-		if item.Version == 0 {
-			s.replyFromArchive(l, replyAccepted)
+// searchResult is what a search for a job has found: one of a job of the job table, an archived answer, the proof that
+// there is neither, or why that can't be told.
+type searchResult struct {
+	job     *jobs.Job
+	answer  archive.Answer
+	kind    searchResultKind
+	refusal Reply
+}
+
+// searchResultKind tells which field of a searchResult is set.
+type searchResultKind uint8
+
+// The kinds of results.
+const (
+	inTable       searchResultKind = iota // job
+	inArchive                             // answer
+	neverAccepted                         // none: it wasn't accepted before the search began
+	undecided                             // refusal
+)
+
+// foundInTable is the result of a search that has found a job of the job table.
+func foundInTable(job *jobs.Job) searchResult { return searchResult{kind: inTable, job: job} }
+
+// refusedSearch is the result of a search that can't tell, with what its users are told.
+func refusedSearch(refusal Reply) searchResult { return searchResult{kind: undecided, refusal: refusal} }
+
+// find searches a job by a fresh read of its record, or of its archived answer.
+func (s *Service) find(id string, priority store.Priority, done func(searchResult)) {
+	s.Archive.Locate(id, priority, func(found archive.Location, err error) {
+		if err != nil || found.Record.Version == 0 {
+			done(s.searchResultOf(id, found.Answer, found.Archived, err))
 			return
 		}
-		s.OnJobRecord(s.Store.Now(), item)
-		switch job := s.Jobs.Get(l.id); {
-		case s.Jobs.IsUnreadable(l.id):
-			l.reply(unreadableRecord)
+		s.OnJobRecord(s.Store.Now(), found.Record)
+		switch job := s.Jobs.Get(id); {
+		case s.Jobs.IsUnreadable(id):
+			done(refusedSearch(unreadableRecord))
 		case job != nil:
-			replyAccepted(job)
+			done(foundInTable(job))
 		default:
-			// The watch has already delivered this record's deletion: it was archived after it was read.
-			l.absent = notStored
-			s.replyFromArchive(l, replyAccepted)
+			s.findAfterRecord(id, priority, done)
 		}
 	})
 }
 
-// replyFromArchive replies from a job's archived answer, after its record was read as absent. A job that was
-// accepted since that read is passed to onAccepted instead.
-func (s *Service) replyFromArchive(l lookup, onAccepted func(*jobs.Job)) {
-	s.Archive.Find(l.id, l.priority(), func(answer archive.Answer, found bool, err error) {
-		switch job := s.Jobs.Get(l.id); {
-		case errors.Is(err, archive.ErrUnreadable):
-			l.reply(unreadableRecord)
-		case err != nil:
-			l.reply(stateServiceUnavailable)
-		case found:
-			l.reply(archivedReply(l.id, answer, l.withCounts))
-		case job != nil:
-			onAccepted(job)
-		default:
-			l.reply(l.absent)
+// findAfterRecord searches the archive for a job whose record was read although the watch has already delivered its
+// deletion: it was archived after it was read.
+func (s *Service) findAfterRecord(id string, priority store.Priority, done func(searchResult)) {
+	s.findArchived(id, priority, func(result searchResult) {
+		if result.kind == neverAccepted {
+			result = refusedSearch(notStored)
 		}
+		done(result)
+	})
+}
+
+// findArchived searches a job by its archived answer, after its record was read as absent.
+func (s *Service) findArchived(id string, priority store.Priority, done func(searchResult)) {
+	s.Archive.Find(id, priority, func(answer archive.Answer, archived bool, err error) {
+		done(s.searchResultOf(id, answer, archived, err))
 	})
 }
+
+// searchResultOf returns the result of a search that found no record. A job that was accepted since is in the job
+// table.
+func (s *Service) searchResultOf(id string, answer archive.Answer, archived bool, err error) searchResult {
+	switch job := s.Jobs.Get(id); {
+	case errors.Is(err, archive.ErrUnreadable):
+		return refusedSearch(unreadableRecord)
+	case err != nil:
+		return refusedSearch(stateServiceUnavailable)
+	case archived:
+		return searchResult{kind: inArchive, answer: answer}
+	case job != nil:
+		return foundInTable(job)
+	default:
+		return searchResult{kind: neverAccepted}
+	}
+}
+
+// readAndReply replies from a fresh read of the job's record, or of its archived answer.
+func (s *Service) readAndReply(l lookup) {
+	s.find(l.id, l.priority(), func(result searchResult) { s.replyWithResult(l, result) })
+}
+
+// replyFromArchive replies from a job's archived answer, after its record was read as absent.
+func (s *Service) replyFromArchive(l lookup) {
+	s.findArchived(l.id, l.priority(), func(result searchResult) { s.replyWithResult(l, result) })
+}
+
+// replyWithResult replies to a lookup with what the search for its job has found.
+func (s *Service) replyWithResult(l lookup, result searchResult) {
+	switch result.kind {
+	case inTable:
+		s.replyWithJob(result.job, l.withCounts, l.reply)
+	case inArchive:
+		l.reply(archivedReply(l.id, result.answer, l.withCounts))
+	case neverAccepted:
+		l.reply(l.absent)
+	default:
+		l.reply(result.refusal)
+	}
+}
--- a/internal/api/predecessors.go
+++ b/internal/api/predecessors.go
@@ -1,11 +1,9 @@
 package api
 
 import (
-	"errors"
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/archive"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
@@ -32,7 +30,7 @@
 		reply(Refuse(Unavailable, "not every controller reads jobs with predecessors yet"))
 		return
 	}
-	if s.IsBlockedCertain != nil && !s.IsBlockedCertain(now, spec.ID) {
+	if !s.isBlockedCertain(now, spec.ID) {
 		reply(stateServiceUnavailable)
 		return
 	}
@@ -79,50 +77,37 @@
 	return answer.State, ok
 }
 
-// readPredecessor reads a job's record first and its archived answer second, and continues the check.
+// readPredecessor searches a predecessor that isn't in memory and continues the check.
 func (s *Service) readPredecessor(check *predecessorCheck, id string) {
 	check.reads++
 	if check.reads > maxPredecessorReads || !s.Store.CanWrite(0, store.NormalPriority) {
 		check.reply(stateServiceOverloaded)
 		return
 	}
-	s.Store.Get(jobs.RecordKey(id), store.NormalPriority, func(item store.Item, err error) {
-		if err != nil {
-			check.reply(stateServiceUnavailable)
+	s.find(id, store.NormalPriority, func(result searchResult) {
+		switch result.kind {
+		case inTable:
+			check.settle(id, result.job.State)
+		case inArchive:
+			check.settle(id, result.answer.State)
+		case neverAccepted:
+			check.reply(s.refuseUnknownPredecessor(id))
 			return
-		}
-		if item.Version != 0 {
-			s.OnJobRecord(s.Store.Now(), item)
-		}
-		if _, known := s.knownState(id); known {
-			s.continueCheck(s.Store.Now(), check)
+		default:
+			check.reply(result.refusal)
 			return
 		}
-		s.findArchivedPredecessor(check, id, item.Version == 0)
+		s.continueCheck(s.Store.Now(), check)
 	})
 }
 
-// findArchivedPredecessor continues the check with a job's archived answer. absent is whether its record was read as
-// absent before: if there is no answer either, the job was never accepted.
-func (s *Service) findArchivedPredecessor(check *predecessorCheck, id string, absent bool) {
-	s.Archive.Find(id, store.NormalPriority, func(answer archive.Answer, found bool, err error) {
-		_, known := s.knownState(id)
-		switch {
-		case errors.Is(err, archive.ErrUnreadable):
-			check.reply(unreadableRecord)
-		case err != nil:
-			check.reply(stateServiceUnavailable)
-		case found:
-			check.settle(id, answer.State)
-			s.continueCheck(s.Store.Now(), check)
-		case known:
-			s.continueCheck(s.Store.Now(), check)
-		case absent && !s.isBeingSubmitted(id):
-			check.reply(Refuse(Unprocessable, "follows names "+id+", which was never accepted"))
-		default:
-			check.reply(Refuse(Unavailable, "it isn't known yet whether "+id+" is accepted"))
-		}
-	})
+// refuseUnknownPredecessor returns the refusal of a submission that names a job of which neither record nor answer is
+// stored.
+func (s *Service) refuseUnknownPredecessor(id string) Reply {
+	if s.isBeingSubmitted(id) {
+		return Refuse(Unavailable, "it isn't known yet whether "+id+" is accepted")
+	}
+	return Refuse(Unprocessable, "follows names "+id+", which was never accepted")
 }
 
 // isBeingSubmitted reports whether a submission of the job waits here to be stored, or for the outcome of its write.
@@ -133,16 +118,20 @@
 
 // replyWithJob replies to a query or a submission with a job of the job table that is up to date.
 func (s *Service) replyWithJob(job *jobs.Job, withCounts bool, reply func(Reply)) {
+	waits := job.Blocked && !job.State.Terminal()
 	switch {
-	case job.State.Terminal() || !job.Blocked:
-		reply(s.jobReply(job, withCounts))
-	case job.Doomed:
+	case waits && job.Doomed:
 		// It will be cancelled, since a job before it is. Until that is durable another controller could still answer
 		// that it waits, so the cancellation is written first.
 		s.tryCancel(cancellation{id: job.ID, withCounts: withCounts, retriesLeft: maxCancelRetries, reply: reply})
-	case s.IsBlockedCertain != nil && !s.IsBlockedCertain(s.Store.Now(), job.ID):
+	case waits && !s.isBlockedCertain(s.Store.Now(), job.ID):
 		reply(stateServiceUnavailable)
 	default:
 		reply(s.jobReply(job, withCounts))
 	}
 }
+
+// isBlockedCertain reports whether this controller may answer that a blocked job waits.
+func (s *Service) isBlockedCertain(now time.Duration, id string) bool {
+	return s.IsBlockedCertain == nil || s.IsBlockedCertain(now, id)
+}
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -87,9 +87,8 @@
 	draining bool
 
 	submissions     []pendingSubmission
-	submissionBytes int // of the records in submissions
-	submitInFlight  bool
-	batchInFlight   []pendingSubmission // whose transaction is in flight
+	submissionBytes int                 // of the records in submissions
+	batchInFlight   []pendingSubmission // whose transaction is in flight; nil if there is none
 	lastRetryAt     time.Duration       // when the submission that was refused last may be sent again
 
 	queries       []statusQuery
@@ -108,7 +107,7 @@
 
 // Busy reports whether any submission or status query waits for an answer.
 func (s *Service) Busy() bool {
-	return s.submitInFlight || s.queryInFlight || len(s.submissions)+len(s.queries) > 0
+	return s.batchInFlight != nil || s.queryInFlight || len(s.submissions)+len(s.queries) > 0
 }
 
 // Tick checks status queries whose transaction was deferred.
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -158,7 +158,7 @@
 		query.reply(noSuchJob) // neither its record nor its archived answer existed, at one moment
 	case !recordFailed && query.version == 0:
 		// Its archived answer existed and its record didn't: one read is enough.
-		s.replyFromArchive(query.lookup, func(job *jobs.Job) { s.replyWithJob(job, query.withCounts, query.reply) })
+		s.replyFromArchive(query.lookup)
 	default:
 		// The record has changed, or the job was archived and left the job table during the check.
 		s.readAndReply(query.lookup)
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"slices"
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
@@ -126,7 +127,7 @@
 // storeSubmissions writes the waiting submissions in one transaction, as far as they fit; those that arrive
 // meanwhile form the next one.
 func (s *Service) storeSubmissions(now time.Duration) {
-	if s.submitInFlight || len(s.submissions) == 0 {
+	if s.batchInFlight != nil || len(s.submissions) == 0 {
 		return
 	}
 	count := s.submissionsThatFit()
@@ -138,10 +139,8 @@
 		}
 	}
 	batch := s.dequeueSubmissions(count)
-	s.submitInFlight = true
 	s.batchInFlight = batch
 	s.Store.Txn(s.submissionTxn(batch), store.NormalPriority, func(result store.Result) {
-		s.submitInFlight = false
 		s.batchInFlight = nil
 		s.replyToSubmissions(s.Store.Now(), batch, result)
 		s.storeSubmissions(s.Store.Now())
@@ -174,9 +173,9 @@
 	s.submissionBytes = 0
 }
 
-// dequeueSubmissions takes the first count submissions off the queue.
+// dequeueSubmissions takes the first count submissions off the queue. The result isn't nil.
 func (s *Service) dequeueSubmissions(count int) []pendingSubmission {
-	batch := append([]pendingSubmission(nil), s.submissions[:count]...)
+	batch := slices.Clone(s.submissions[:count])
 	s.submissions = s.submissions[count:]
 	for _, submission := range batch {
 		s.submissionBytes -= len(submission.record)
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -8,8 +8,8 @@
 //   - A write that creates a job's record depends on the answer's key being absent as well as the record's. A first
 //     submission whose transaction is carried out after the job has ended and been moved fails on that, however late
 //     it is.
-//   - A search for a job reads the record first and the answer second, or both in one transaction. In the other order
-//     a move between the two reads would look like a job that was never accepted.
+//   - A search for a job reads the record first and the answer second (Reader.Locate), or both in one transaction. In
+//     the other order a move between the two reads would look like a job that was never accepted.
 //
 // The package has no clock and no goroutine. A Mover belongs to the leader's event loop, a Reader to every
 // controller's. Neither decides which jobs have ended or for how long their records are retained: the controller
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -5,6 +5,7 @@
 
 	lru "github.com/hashicorp/golang-lru/v2"
 
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -66,6 +67,30 @@
 	})
 }
 
+// Location is where a job was found.
+type Location struct {
+	Record   store.Item // the job's record, with version 0 if there is none
+	Answer   Answer     // where Archived is set
+	Archived bool
+}
+
+// Absent reports whether the job was found nowhere: it wasn't accepted before the search began.
+func (l Location) Absent() bool { return l.Record.Version == 0 && !l.Archived }
+
+// Locate reads a job's record first and, where there is none, its answer second, and passes what it found to done. err
+// is as of Find.
+func (r *Reader) Locate(id string, class store.Priority, done func(found Location, err error)) {
+	r.store.Get(jobs.RecordKey(id), class, func(record store.Item, err error) {
+		if err != nil || record.Version != 0 {
+			done(Location{Record: record}, err)
+			return
+		}
+		r.Find(id, class, func(answer Answer, archived bool, err error) {
+			done(Location{Answer: answer, Archived: archived}, err)
+		})
+	})
+}
+
 // decode reads a stored answer and reports whether that was possible.
 func (r *Reader) decode(item store.Item) (Answer, error) {
 	answer, err := Decode(item.Value)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -25,11 +25,8 @@
 	graph := dependencies.New(c.jobs, c.handleJobReleased)
 	resolver := dependencies.NewResolver(graph, dependencies.ResolverEnv{
 		CanRead: func() bool { return c.store.CanWrite(0, store.NormalPriority) },
-		Read: func(key string, done func(store.Item, error)) {
-			c.store.Get(key, store.NormalPriority, done)
-		},
-		FindArchived: func(id string, done func(archive.Answer, bool, error)) {
-			c.archive.reader.Find(id, store.NormalPriority, done)
+		Locate: func(id string, done func(archive.Location, error)) {
+			c.archive.reader.Locate(id, store.NormalPriority, done)
 		},
 		OnJobRecord: c.handleJobRead,
 		Now:         c.loop.Now,
--- a/internal/dependencies/resolver.go
+++ b/internal/dependencies/resolver.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
-	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -20,10 +19,8 @@
 type ResolverEnv struct {
 	// CanRead reports whether one more read may be sent now.
 	CanRead func() bool
-	// Read reads one key; a missing key has version 0.
-	Read func(key string, done func(store.Item, error))
-	// FindArchived reads a job's archived answer.
-	FindArchived func(id string, done func(answer archive.Answer, found bool, err error))
+	// Locate reads a job's record, or its archived answer.
+	Locate func(id string, done func(found archive.Location, err error))
 	// OnJobRecord receives each record that was read.
 	OnJobRecord func(now time.Duration, item store.Item)
 	// Now returns the monotonic time, for results.
@@ -85,22 +82,17 @@
 	return append(untried, tried...)
 }
 
-// read reads a job's record first and its archived answer second: a job only ever moves from the one to the other.
+// read reads a job's record or its archived answer.
 func (r *Resolver) read(id string) {
 	r.inFlight[id] = true
-	r.env.Read(jobs.RecordKey(id), func(item store.Item, err error) {
-		if err != nil || item.Version != 0 {
-			delete(r.inFlight, id)
-			if err == nil {
-				r.env.OnJobRecord(r.env.Now(), item)
-			}
-			return
+	r.env.Locate(id, func(found archive.Location, err error) {
+		delete(r.inFlight, id)
+		switch {
+		case err != nil:
+		case found.Archived:
+			r.graph.HandleArchived(r.env.Now(), id, found.Answer.State)
+		case !found.Absent():
+			r.env.OnJobRecord(r.env.Now(), found.Record)
 		}
-		r.env.FindArchived(id, func(answer archive.Answer, found bool, err error) {
-			delete(r.inFlight, id)
-			if err == nil && found {
-				r.graph.HandleArchived(r.env.Now(), id, answer.State)
-			}
-		})
 	})
 }
--- a/internal/dependencies/resolver_test.go
+++ b/internal/dependencies/resolver_test.go
@@ -23,9 +23,8 @@
 	reader := archive.NewReader(s.client, 64)
 	s.resolver = NewResolver(s.graph, ResolverEnv{
 		CanRead: func() bool { return true },
-		Read:    s.get,
-		FindArchived: func(id string, done func(archive.Answer, bool, error)) {
-			reader.Find(id, store.NormalPriority, done)
+		Locate: func(id string, done func(archive.Location, error)) {
+			reader.Locate(id, store.NormalPriority, done)
 		},
 		OnJobRecord: s.onJobRecord,
 		Now:         func() time.Duration { return s.now },
