--- a/cmd/harewalk/output.go
+++ b/cmd/harewalk/output.go
@@ -14,6 +14,8 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 	"go.yaml.in/yaml/v3"
+
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // Values of the --output flag.
@@ -115,7 +117,7 @@
 
 // formatSeconds prints seconds as a duration, rounded to whole seconds.
 func formatSeconds(seconds float64) string {
-	return time.Duration(seconds * float64(time.Second)).Round(time.Second).String()
+	return jobs.Seconds(seconds).Round(time.Second).String()
 }
 
 // orDash returns a text, or "-" in place of an empty one.
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -78,7 +78,9 @@
 func foundInTable(job *jobs.Job) searchResult { return searchResult{kind: inTable, job: job} }
 
 // refusedSearch is the result of a search that can't tell, with what its users are told.
-func refusedSearch(refusal Reply) searchResult { return searchResult{kind: undecided, refusal: refusal} }
+func refusedSearch(refusal Reply) searchResult {
+	return searchResult{kind: undecided, refusal: refusal}
+}
 
 // find searches a job by a fresh read of its record, or of its archived answer.
 func (s *Service) find(id string, priority store.Priority, done func(searchResult)) {
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -144,13 +144,12 @@
 }
 
 // pause is how long a batch of jobs uses up the share of moves in the state service's writes.
-func (m *Mover) pause(jobs int, hasBacklog bool) time.Duration {
+func (m *Mover) pause(jobCount int, hasBacklog bool) time.Duration {
 	share := usualWriteShare
 	if hasBacklog {
 		share = backlogWriteShare
 	}
-	seconds := float64(opsPerMove*jobs) / (m.env.WritesPerS * share)
-	return time.Duration(seconds * float64(time.Second))
+	return jobs.Seconds(float64(opsPerMove*jobCount) / (m.env.WritesPerS * share))
 }
 
 // isBackedOff reports whether a job isn't to be tried yet.
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -6,7 +6,6 @@
 	"sort"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
@@ -58,13 +57,13 @@
 	defaultS := defaultBootFactor*bootS + defaultBootExtraS
 	samples := b[o.bootKind()]
 	if len(samples) < minBootSamples {
-		return config.Seconds(defaultS)
+		return jobs.Seconds(defaultS)
 	}
 	sorted := slices.Clone(samples)
 	sort.Float64s(sorted)
 	ninthDecile := sorted[len(sorted)*9/10]
 	atLeastS := minExpectedFactor*bootS + minExpectedExtraS
-	return config.Seconds(min(max(ninthDecileFactor*ninthDecile, atLeastS), maxExpectedFactor*defaultS))
+	return jobs.Seconds(min(max(ninthDecileFactor*ninthDecile, atLeastS), maxExpectedFactor*defaultS))
 }
 
 // timeout is when a boot is abandoned and its machine returned: after waiting as long beyond the expected time as
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // returnCause is why a machine is returned. Operators see it in logs and events.
@@ -58,7 +58,7 @@
 
 // fleetHealth counts the machines that should send heartbeats, and those of them that are idle or silent.
 func (m *Manager) fleetHealth(now time.Duration, isSteady bool) fleetHealth {
-	health := fleetHealth{silenceLimit: config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS), isSteady: isSteady}
+	health := fleetHealth{silenceLimit: jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS), isSteady: isSteady}
 	for _, machine := range m.Fleet.Machines() {
 		if !machine.Condition.ExpectsHeartbeats() {
 			continue
@@ -156,5 +156,5 @@
 	if machineType := m.machineType(machine.Type); machineType != nil {
 		seconds = m.secondsUntilUseful(machineType)
 	}
-	return config.Seconds(2 * seconds)
+	return jobs.Seconds(2 * seconds)
 }
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -4,7 +4,6 @@
 	"net/http"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -65,7 +64,7 @@
 		return
 	}
 	listed := m.inventory.machines
-	interval := config.Seconds(max(minListIntervalS, m.Settings.Params.Cloud.ListLagS/2))
+	interval := jobs.Seconds(max(minListIntervalS, m.Settings.Params.Cloud.ListLagS/2))
 	m.inventory.restart(now + interval)
 	m.inventory.readAt = now
 	m.reconcile(now, listed)
@@ -126,12 +125,12 @@
 		}}
 		m.boots[entry.Name] = boot
 	}
-	boot.startedAt = now - config.Seconds(entry.AgeS)
+	boot.startedAt = now - jobs.Seconds(entry.AgeS)
 }
 
 // reconcileUnlisted drops what has been missing from the list for longer than the list's lag explains.
 func (m *Manager) reconcileUnlisted(now time.Duration, isListed map[string]bool) {
-	lag := config.Seconds(2*m.Settings.Params.Cloud.ListLagS + 2)
+	lag := jobs.Seconds(2*m.Settings.Params.Cloud.ListLagS + 2)
 	for name, boot := range m.boots {
 		if !isListed[name] && now-boot.startedAt > lag+maxUnlistedBoot {
 			delete(m.boots, name)
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -119,7 +119,7 @@
 	}
 	if now >= m.nextEvaluation {
 		m.nextEvaluation = now + evaluationInterval
-		isSteady := now-authoritySince > config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS)
+		isSteady := now-authoritySince > jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS)
 		m.evaluateMachines(now, isSteady)
 	}
 	m.returnMachines()
--- a/internal/capacity/scalein.go
+++ b/internal/capacity/scalein.go
@@ -8,7 +8,6 @@
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -41,7 +40,7 @@
 	if m.Fleet.Quiescent() {
 		seconds = min(seconds, quiescentIdleLimitS)
 	}
-	return config.Seconds(seconds)
+	return jobs.Seconds(seconds)
 }
 
 // idleLimitFactor shortens the idle limit, up to 1, while more machines are idle than the headroom and chance call
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/events"
 	"github.com/harewalk/harewalk/internal/fleet"
 	"github.com/harewalk/harewalk/internal/jobs"
@@ -17,7 +16,7 @@
 
 // QuietFor returns after how long without a heartbeat a machine counts as quiet: one is late, and another one due.
 func (m *Manager) QuietFor() time.Duration {
-	return config.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
+	return jobs.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
 }
 
 // evaluateZones updates the zones' state, and then quarantines machines that send no heartbeats: returning them
@@ -46,7 +45,7 @@
 
 // countByZone counts the machines of each zone by how long they haven't been heard.
 func (m *Manager) countByZone(now time.Duration) map[int32]zones.Count {
-	silentLimit := config.Seconds(m.Settings.Operator.MachineUnheardTimeoutS * zoneSilenceFactor)
+	silentLimit := jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS * zoneSilenceFactor)
 	quietLimit := m.QuietFor()
 	counts := map[int32]zones.Count{}
 	for _, machine := range m.Fleet.Machines() {
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/archive"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // ArchiveSettings sets how ended jobs are archived, in HCL: archive { ... }.
@@ -39,7 +40,7 @@
 	}
 	limits := s.Params.State.Limits()
 	derived := Archive{
-		Retain:       durationOr(operator.RetainS, Seconds(s.Params.Workers.CancelS*retainCancelTimeouts)),
+		Retain:       durationOr(operator.RetainS, jobs.Seconds(s.Params.Workers.CancelS*retainCancelTimeouts)),
 		CacheEntries: operator.CacheEntries,
 		Unsupported:  archive.Fits(limits.MaxOps, limits.MaxValueBytes),
 	}
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"github.com/harewalk/harewalk/internal/calendar"
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
@@ -80,8 +81,8 @@
 		Name:           d.Name,
 		Count:          d.Count,
 		Server:         d.Server,
-		Poll:           Seconds(d.PollS),
-		ReleaseTimeout: Seconds(d.LingerS),
+		Poll:           jobs.Seconds(d.PollS),
+		ReleaseTimeout: jobs.Seconds(d.LingerS),
 		OutsideReserve: d.Reserve,
 		OnCountLowered: licences.LoweringPolicy(d.OnCountLowered),
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/access"
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/licences"
 	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/sessions"
@@ -144,7 +145,7 @@
 }
 
 // WorkerLease returns the workers' lease.
-func (s *Settings) WorkerLease() time.Duration { return Seconds(s.Params.Workers.LeaseS) }
+func (s *Settings) WorkerLease() time.Duration { return jobs.Seconds(s.Params.Workers.LeaseS) }
 
 // HasCostObjective reports whether an objective measures cost.
 func (s *Settings) HasCostObjective() bool {
@@ -164,6 +165,3 @@
 	}
 	return names
 }
-
-// Seconds converts a number of seconds, as on the wire and in the settings, to a duration.
-func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -9,6 +9,7 @@
 	"github.com/zclconf/go-cty/cty"
 
 	"github.com/harewalk/harewalk/internal/calendar"
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
@@ -132,9 +133,9 @@
 	if err != nil {
 		return nil, err
 	}
-	limits := sessions.Limits{Rule: rule, IdleLimit: Seconds(p.IdleLimitS), Source: p.Team}
+	limits := sessions.Limits{Rule: rule, IdleLimit: jobs.Seconds(p.IdleLimitS), Source: p.Team}
 	if p.ContendedLimitS != nil {
-		limits.ContendedLimit = Seconds(*p.ContendedLimitS)
+		limits.ContendedLimit = jobs.Seconds(*p.ContendedLimitS)
 	}
 	policy := &sessions.Policy{Limits: limits}
 	for i := range p.Windows {
@@ -158,10 +159,10 @@
 		limits.Rule = rule
 	}
 	if w.IdleLimitS != nil {
-		limits.IdleLimit = Seconds(*w.IdleLimitS)
+		limits.IdleLimit = jobs.Seconds(*w.IdleLimitS)
 	}
 	if w.ContendedLimitS != nil {
-		limits.ContendedLimit = Seconds(*w.ContendedLimitS)
+		limits.ContendedLimit = jobs.Seconds(*w.ContendedLimitS)
 	}
 	window, err := calendar.Parse(w.Days, w.From, w.To, w.Zone)
 	if err != nil {
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -1,6 +1,10 @@
 package config
 
-import "time"
+import (
+	"time"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+)
 
 // A cancelled job's tasks are gone in time only if everything that can keep one running after the cancellation was
 // confirmed fits in cancel_s:
@@ -46,7 +50,7 @@
 	workers := s.Params.Workers
 	leaseWithDriftS := workers.LeaseS * (1 + clockDriftBound)
 	remainingS := (workers.CancelS - leaseWithDriftS) * (1 - clockDriftBound)
-	return Seconds(remainingS) - DirectCommandTimeout - timingSlack
+	return jobs.Seconds(remainingS) - DirectCommandTimeout - timingSlack
 }
 
 // defaultControllerLeaseTTL returns the TTL of a controller's lease where operators don't set it: a third of a
@@ -55,7 +59,7 @@
 func (s *Settings) defaultControllerLeaseTTL() time.Duration {
 	ttl := min(
 		maxControllerLeaseTTL,
-		Seconds(s.Params.Workers.LeaseS/controllerTTLsPerWorkerLease),
+		jobs.Seconds(s.Params.Workers.LeaseS/controllerTTLsPerWorkerLease),
 		s.maxStaleness().Truncate(time.Millisecond))
 	return max(minControllerLeaseTTL, ttl)
 }
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // parseWithTiming returns the settings for these times of the workers and these operators' settings.
@@ -38,9 +40,9 @@
 				}
 				continue
 			}
-			worst := settings.StalenessBound() + Seconds(lease*1.0005) + 2*time.Second
+			worst := settings.StalenessBound() + jobs.Seconds(lease*1.0005) + 2*time.Second
 			staleness, ttl := settings.StalenessBound(), settings.ControllerLeaseTTL()
-			if worst > Seconds(cancel*0.9995) || staleness < ttl || ttl < 2*time.Second || ttl > 6*time.Second {
+			if worst > jobs.Seconds(cancel*0.9995) || staleness < ttl || ttl < 2*time.Second || ttl > 6*time.Second {
 				t.Errorf("lease %g, cancel %g: staleness %v, controller lease %v, gone after %v",
 					lease, cancel, staleness, ttl, worst)
 			}
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -1,6 +1,10 @@
 package config
 
-import "time"
+import (
+	"time"
+
+	"github.com/harewalk/harewalk/internal/jobs"
+)
 
 // ZoneSettings sets how a lost zone's return is handled, in HCL: zones { ... }.
 type ZoneSettings struct {
@@ -42,9 +46,9 @@
 	workers := s.Params.Workers
 	unheardTimeoutS := s.Operator.MachineUnheardTimeoutS
 	return Zones{
-		ReturnGrace:     durationOr(operator.ReturnGraceS, Seconds(returnGraceTimeouts*unheardTimeoutS)),
-		ProbationTime:   durationOr(operator.ProbationS, Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
-		FlapForgiveness: durationOr(operator.FlapForgivenessS, Seconds(flapForgivenessLease*workers.LeaseS)),
+		ReturnGrace:     durationOr(operator.ReturnGraceS, jobs.Seconds(returnGraceTimeouts*unheardTimeoutS)),
+		ProbationTime:   durationOr(operator.ProbationS, jobs.Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
+		FlapForgiveness: durationOr(operator.FlapForgivenessS, jobs.Seconds(flapForgivenessLease*workers.LeaseS)),
 		MaxProbation:    maxProbation,
 	}
 }
@@ -54,5 +58,5 @@
 	if seconds == 0 {
 		return fallback
 	}
-	return Seconds(seconds)
+	return jobs.Seconds(seconds)
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // This file holds why a leader resigns though nothing took the leadership from it: its workers don't reach it, or what
@@ -39,7 +39,7 @@
 // expired. A leader that resigned earlier, with every machine gone, would leave the next one to count the leases anew:
 // they would never expire, and no machine would be rented.
 func (s workerSilence) resignCause() string {
-	limit := config.Seconds(maxSilentIntervals*s.heartbeatInterval + maxSilenceMarginS)
+	limit := jobs.Seconds(maxSilentIntervals*s.heartbeatInterval + maxSilenceMarginS)
 	switch {
 	case s.expected == 0:
 		return ""
@@ -56,7 +56,7 @@
 // minSilence is how long no heartbeat must have arrived before a leader resigns because many workers reach others: for
 // each of them one heartbeat was due and the next one nearly.
 func minSilence(heartbeatInterval float64) time.Duration {
-	return config.Seconds(minSilentIntervals*heartbeatInterval + minSilenceMarginS)
+	return jobs.Seconds(minSilentIntervals*heartbeatInterval + minSilenceMarginS)
 }
 
 // resignIfUnreachable resigns when no worker reaches this leader although there must be some.
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/peers"
 )
@@ -115,7 +114,7 @@
 
 // status returns this controller's status: for a leader with the counts of as many jobs as a status may hold.
 func (c *Controller) status(now time.Duration) peers.Status {
-	heartbeatInterval := config.Seconds(c.settings.Params.Workers.HeartbeatIntervalS)
+	heartbeatInterval := jobs.Seconds(c.settings.Params.Workers.HeartbeatIntervalS)
 	status := peers.Status{
 		Node:                  c.settings.Node,
 		Leading:               c.term.active(),
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/api"
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // handleHeartbeat answers a worker: with its commands where this controller leads, with 503 where it leads without
 // the authority to act, and with 421 and the worker's owner, if that is known, where another controller leads.
 func (c *Controller) handleHeartbeat(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
 	if !c.isLeader() {
-		c.foreignHeartbeats.add(now, config.Seconds(c.settings.Params.Workers.HeartbeatIntervalS), 1)
+		c.foreignHeartbeats.add(now, jobs.Seconds(c.settings.Params.Workers.HeartbeatIntervalS), 1)
 		owner := notOwnerBody{c.ownerOf(now, heartbeat.Machine)}
 		reply(api.Reply{Status: http.StatusMisdirectedRequest, Body: owner})
 		return
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
@@ -229,7 +228,7 @@
 		if machine.Condition == ReclaimNoticed {
 			return
 		}
-		machine.ReclaimAt = now + config.Seconds(*heartbeat.NoticeS)
+		machine.ReclaimAt = now + jobs.Seconds(*heartbeat.NoticeS)
 		f.setCondition(machine, ReclaimNoticed, "spot notice")
 		f.clearQueues(machine)
 	case machine.Condition != Ready && origin == fromRequest:
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -7,7 +7,6 @@
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
 )
@@ -38,7 +37,7 @@
 		if !job.State.Terminal() {
 			remaining = f.remainingSeconds(now, job, ref.Task)
 		}
-		end := expectedEnd{ref, now + config.Seconds(remaining), job.Spec.Size()}
+		end := expectedEnd{ref, now + jobs.Seconds(remaining), job.Spec.Size()}
 		machine.expectedEnds = append(machine.expectedEnds, end)
 	}
 	f.PlanningSteps += uint64(len(machine.expectedEnds))
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
 )
@@ -338,7 +337,7 @@
 // runsCancelled returns whether a task runs longer than allowed after its job was cancelled.
 func (m *model) runsCancelled(task *modelTask) bool {
 	cancelledAt, ok := m.cancelledAt[task.job]
-	return ok && m.now > cancelledAt+config.Seconds(m.settings.Params.Workers.CancelS) && task.onMachine
+	return ok && m.now > cancelledAt+jobs.Seconds(m.settings.Params.Workers.CancelS) && task.onMachine
 }
 
 func (m *model) advanceFetching(worker *modelWorker, task *modelTask) {
@@ -360,7 +359,7 @@
 
 func (m *model) advanceWaiting(task *modelTask) {
 	switch {
-	case m.now-task.waitingSince > config.Seconds(m.settings.Params.Workers.GangWaitS):
+	case m.now-task.waitingSince > jobs.Seconds(m.settings.Params.Workers.GangWaitS):
 		task.exit(exitAlone)
 	case m.gangTasksOnMachines(task) == m.specs[task.job].Tasks:
 		task.state = taskRunning
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -8,7 +8,6 @@
 	"sort"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
 )
@@ -41,7 +40,7 @@
 // been missed, or there are none, it returns the time of submission and false.
 func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
 	limit := startLimit{now: now, earliest: never}
-	runTime := config.Seconds(f.estimate(job))
+	runTime := jobs.Seconds(f.estimate(job))
 	if deadline, ok := job.Deadline(); ok {
 		limit.add(deadline - runTime)
 	}
@@ -51,7 +50,7 @@
 	for i := range f.Settings.Params.Objectives {
 		objective := &f.Settings.Params.Objectives[i]
 		if objective.Kind == objectiveGuarantee && f.ranking.withinGuarantee[job.Index] && !job.Started {
-			limit.add(job.ReadyAt() + config.Seconds(objective.WithinS))
+			limit.add(job.ReadyAt() + jobs.Seconds(objective.WithinS))
 		}
 		if objective.Class != job.Spec.Class {
 			continue
@@ -59,13 +58,13 @@
 		switch objective.Kind {
 		case objectiveWait:
 			if !job.Started {
-				limit.add(job.ReadyAt() + config.Seconds(objective.WithinS))
+				limit.add(job.ReadyAt() + jobs.Seconds(objective.WithinS))
 			}
 		case objectiveFinished:
-			limit.add(job.ReadyAt() + config.Seconds(objective.WithinS) - runTime)
+			limit.add(job.ReadyAt() + jobs.Seconds(objective.WithinS) - runTime)
 		case objectiveDeadline:
 			if job.Spec.DeadlineS != nil && objective.Times > 1 {
-				limit.add(job.SubmittedAt + config.Seconds(*job.Spec.DeadlineS*objective.Times) - runTime)
+				limit.add(job.SubmittedAt + jobs.Seconds(*job.Spec.DeadlineS*objective.Times) - runTime)
 			}
 		}
 	}
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // The protocol's timeouts of a worker.
@@ -57,13 +57,13 @@
 // ReachabilityTimeout returns by when a heartbeat must have confirmed a response. A worker that misses one response
 // waits for it, tries another controller, is redirected, and sends one more heartbeat.
 func (f *Fleet) ReachabilityTimeout() time.Duration {
-	interval := config.Seconds(slowestHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
+	interval := jobs.Seconds(slowestHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
 	return workerResponseTimeout + workerRetryDelay + interval + reachabilityMargin
 }
 
 // overdueAfter returns how long after a machine's last contact its next heartbeat counts as missed.
 func (f *Fleet) overdueAfter() time.Duration {
-	return config.Seconds(overdueHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
+	return jobs.Seconds(overdueHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
 }
 
 // confirmsLastResponse reports whether a fenced heartbeat of the present session is consistent with its machine
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -8,7 +8,6 @@
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/planner"
 )
@@ -287,5 +286,5 @@
 // wait.
 func (f *Fleet) gangLaunchDelay(machine *Machine, job *jobs.Job) time.Duration {
 	delayS := job.FetchS - f.fetchSeconds(job, machine) - f.Settings.Params.Workers.GangWaitS/4
-	return config.Seconds(delayS)
+	return jobs.Seconds(delayS)
 }
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -8,7 +8,6 @@
 	"slices"
 	"time"
 
-	"github.com/harewalk/harewalk/internal/config"
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
@@ -38,7 +37,7 @@
 // counts from its submission, which is durable, so that it survives a failover; that of a job with predecessors counts
 // from the end of the last one, which every controller learns.
 func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
-	limit := config.Seconds(startDeadlineFraction * f.Settings.Operator.StartDeadlineS)
+	limit := jobs.Seconds(startDeadlineFraction * f.Settings.Operator.StartDeadlineS)
 	if limit <= 0 || now-job.ReadyAt() <= limit {
 		return false
 	}
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -92,5 +92,5 @@
 // ValidID reports whether a job id has the protocol's form.
 func ValidID(id string) bool { return idPattern.MatchString(id) }
 
-// Seconds converts the wire's seconds into a duration.
+// Seconds converts a number of seconds, as on the wire and in the settings, to a duration.
 func Seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
--- a/internal/sessions/heartbeat.go
+++ b/internal/sessions/heartbeat.go
@@ -74,13 +74,13 @@
 		heartbeatSeq: heartbeat.Seq,
 		lastHeardAt:  now,
 		// The user's return counts as input.
-		lastInputAt: max(now-seconds(heartbeat.SinceInputS), s.user.returnedAt),
+		lastInputAt: max(now-jobs.Seconds(heartbeat.SinceInputS), s.user.returnedAt),
 		cpu:         heartbeat.CPU,
 		gpu:         heartbeat.GPU,
 		unsavedMB:   heartbeat.UnsavedMB,
 	}
 	if heartbeat.CellRunning {
-		s.agent.cellRunningSince = max(1, now-seconds(heartbeat.CellRunningS))
+		s.agent.cellRunningSince = max(1, now-jobs.Seconds(heartbeat.CellRunningS))
 	}
 }
 
--- a/internal/sessions/policy.go
+++ b/internal/sessions/policy.go
@@ -71,6 +71,3 @@
 	}
 	return p.Default
 }
-
-// seconds converts a number of seconds to a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/sessions/rule.go
+++ b/internal/sessions/rule.go
@@ -10,6 +10,8 @@
 	"github.com/expr-lang/expr/ast"
 	"github.com/expr-lang/expr/parser"
 	"github.com/expr-lang/expr/vm"
+
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // Activity is the input of an idle rule. Times are in seconds.
@@ -144,7 +146,7 @@
 func (r *Rule) UnmetConditions(activity Activity) []string {
 	var unmet []string
 	if activity.CellRunning {
-		runningFor := seconds(activity.CellRunningS).Round(time.Second)
+		runningFor := jobs.Seconds(activity.CellRunningS).Round(time.Second)
 		unmet = append(unmet, fmt.Sprintf("a cell has been running for %s", runningFor))
 	}
 	for _, part := range r.conjuncts {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/capacity"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // Limits of the cloud's protocol.
@@ -110,7 +111,7 @@
 }
 
 func (sim *Simulation) listMachines(now time.Duration, request httpRequest) (status int, body any) {
-	lag := seconds(sim.cfg.Cloud.ListLagS)
+	lag := jobs.Seconds(sim.cfg.Cloud.ListLagS)
 	limit, _ := strconv.Atoi(request.query.Get("limit"))
 	after := request.query.Get("since")
 	listed := []cloudMachine{}
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -106,7 +106,7 @@
 	r.t.Logf(
 		"cancelled tasks stayed %v at most, of %v; %s waited %v beside idle capacity; %d tasks began after their cancellation, the latest %v",
 		s.LongestRunAfterCancel,
-		seconds(shortTimers.CancelS),
+		jobs.Seconds(shortTimers.CancelS),
 		job,
 		longest,
 		s.StartsAfterCancel,
@@ -163,7 +163,7 @@
 					users := cluster.users[8*gap : 8*gap+8]
 					cluster.cancelEach(users, 50*time.Millisecond, 140*time.Millisecond, cluster.othersInTurn(l))
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
-					cluster.Advance(1100*time.Millisecond + seconds(1.2*shortTimers.CancelS))
+					cluster.Advance(1100*time.Millisecond + jobs.Seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
 					if len(cluster.work.cancelledAt) < confirmed+4 {
 						t.Errorf(
@@ -529,7 +529,7 @@
 		cluster.cancelEach(cluster.users[:14], 0, 250*time.Millisecond, cluster.inTurn(0))
 		cluster.Advance(3 * time.Second)
 		cluster.SetStateOutage(true)
-		cluster.Advance(seconds(1.3 * shortTimers.CancelS))
+		cluster.Advance(jobs.Seconds(1.3 * shortTimers.CancelS))
 		cluster.SetStateOutage(false)
 		cluster.Advance(10 * time.Second)
 		cluster.DelayStateAnswers(0, 0)
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -262,9 +262,9 @@
 				}
 				cluster.After(
 					5*time.Millisecond,
-					func() { killAll(cluster.Simulation, seconds(part*shortTimers.LeaseS)) },
+					func() { killAll(cluster.Simulation, jobs.Seconds(part*shortTimers.LeaseS)) },
 				)
-				cluster.Advance(seconds(part*shortTimers.LeaseS) + 6*time.Second)
+				cluster.Advance(jobs.Seconds(part*shortTimers.LeaseS) + 6*time.Second)
 				if s := cluster.Stats(); part > 1 && s.WorkerLeasesExpired < 10 {
 					t.Errorf("%d leases ran out", s.WorkerLeasesExpired)
 				}
@@ -319,7 +319,7 @@
 				cluster.cancelEach(cluster.users[:12], time.Second+at, time.Millisecond, cluster.inTurn(l))
 				cluster.Advance(2 * time.Second)
 				cluster.SetStateOutage(true)
-				cluster.Advance(seconds(1.15 * shortTimers.CancelS))
+				cluster.Advance(jobs.Seconds(1.15 * shortTimers.CancelS))
 				cluster.SetStateOutage(false)
 				cluster.Advance(2 * time.Second)
 				cluster.RefuseController(l, false)
@@ -354,7 +354,7 @@
 					cluster.PartitionZone(zone, how)
 					cluster.cancelEach(cluster.users[:12], 50*time.Millisecond, 400*time.Millisecond, cluster.inTurn(0))
 					cluster.submitJobs(6 * time.Second)
-					cluster.Advance(seconds(part * shortTimers.LeaseS))
+					cluster.Advance(jobs.Seconds(part * shortTimers.LeaseS))
 					cluster.PartitionZone(zone, Connected)
 					from := cluster.Now()
 					cluster.Advance(40 * time.Second)
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/config"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // shortTimers are workers under which cancel_s leaves little more than the rule's inequality needs: what outlives
@@ -56,7 +57,7 @@
 	rng := rand.New(rand.NewPCG(seed, uint64(len(a))<<8|uint64(len(b))))
 	scale := []float64{0.1, 0.5, 2, 2.5, shortTimers.LeaseS, shortTimers.CancelS, shortTimers.CancelS * 1.25}
 	draw := func() time.Duration {
-		return seconds(scale[rng.IntN(len(scale))] * (0.8 + 0.4*rng.Float64())).Truncate(time.Millisecond)
+		return jobs.Seconds(scale[rng.IntN(len(scale))] * (0.8 + 0.4*rng.Float64())).Truncate(time.Millisecond)
 	}
 	line := func(at time.Duration, word string, duration time.Duration) string {
 		if word == "flap-zone" {
@@ -100,7 +101,7 @@
 	users := m.scheduleUsers(sim, pollers)
 	sim.watchActingLeaders()
 	// The last fault has ended by then.
-	faultsEnd := 12*time.Second + 4*seconds(shortTimers.CancelS*1.5)
+	faultsEnd := 12*time.Second + 4*jobs.Seconds(shortTimers.CancelS*1.5)
 	sim.Advance(faultsEnd)
 	sim.startControllers()
 	sim.advanceUntilOver(users, 3*time.Minute, 2*time.Second)
@@ -275,7 +276,7 @@
 		len(faultKinds),
 		results.failed,
 		results.longest,
-		seconds(shortTimers.CancelS),
+		jobs.Seconds(shortTimers.CancelS),
 	)
 	if len(runs) < 40 || results.longest == 0 {
 		t.Error("hardly anything overlapped")
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -170,7 +170,7 @@
 
 // leaseExpired reports whether the worker's lease has run out.
 func (sim *Simulation) leaseExpired(now time.Duration, machine *Machine) bool {
-	return now-machine.leaseBase > seconds(sim.cfg.Workers.LeaseS)
+	return now-machine.leaseBase > jobs.Seconds(sim.cfg.Workers.LeaseS)
 }
 
 // expireWorkerLease ends the session of a worker whose lease has run out.
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/capacity"
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // allMachines is a count above that of any simulation's machines.
@@ -223,7 +224,7 @@
 
 // bootTime draws how long a machine takes to boot.
 func (sim *Simulation) bootTime(machineType capacity.MachineType) time.Duration {
-	usual := seconds(machineType.BootS * (0.6 + 0.9*sim.rng.Float64()))
+	usual := jobs.Seconds(machineType.BootS * (0.6 + 0.9*sim.rng.Float64()))
 	fault := sim.cloud.bootFault
 	if !fault.on {
 		return usual
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/harewalk/harewalk/internal/fleet"
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -233,5 +234,5 @@
 // leaseFraction returns a part of a worker's lease, the unit of delays in scripts: they then mean the same with short
 // leases as with long ones.
 func (sim *Simulation) leaseFraction(part float64) time.Duration {
-	return seconds(part * sim.cfg.Workers.LeaseS)
+	return jobs.Seconds(part * sim.cfg.Workers.LeaseS)
 }
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -104,7 +104,7 @@
 	if !ok || state != statePending && state != stateRunning {
 		return
 	}
-	if since := sim.now() - at; since > seconds(sim.cfg.Workers.CancelS) {
+	if since := sim.now() - at; since > jobs.Seconds(sim.cfg.Workers.CancelS) {
 		sim.violate("orphaned: %s is called %s %v after the cancellation of a job before it", job, state, since)
 	}
 }
--- a/internal/simulator/pipelines_checks_test.go
+++ b/internal/simulator/pipelines_checks_test.go
@@ -146,7 +146,7 @@
 	sim := newPipelineChecks(t, first, second)
 	receiveCancelled(sim, first.ID)
 	sim.AddJob(third)
-	sim.Advance(seconds(sim.cfg.Workers.CancelS))
+	sim.Advance(jobs.Seconds(sim.cfg.Workers.CancelS))
 	receive(sim, second.ID, statePending)
 	receive(sim, third.ID, stateRunning)
 	wantViolations(t, sim, "orphaned", 0)
@@ -165,7 +165,7 @@
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
 	receiveCancelled(sim, first.ID)
-	sim.Advance(seconds(sim.cfg.Workers.CancelS))
+	sim.Advance(jobs.Seconds(sim.cfg.Workers.CancelS))
 	body, err := json.Marshal(jobListView{Jobs: []jobView{
 		{ID: first.ID, State: stateCancelled},
 		{ID: second.ID, State: statePending},
@@ -204,7 +204,7 @@
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
 	receiveCancelled(sim, first.ID)
-	sim.Advance(seconds(sim.cfg.Workers.CancelS))
+	sim.Advance(jobs.Seconds(sim.cfg.Workers.CancelS))
 	receiveCancelled(sim, second.ID)
 	sim.Advance(time.Second)
 	receive(sim, third.ID, statePending)
@@ -221,7 +221,7 @@
 	t.Cleanup(sim.Close)
 	sim.AddJob(first)
 	sim.AddJob(second)
-	longAgo := sim.Now() - seconds(sim.cfg.Workers.CancelS) - time.Second
+	longAgo := sim.Now() - jobs.Seconds(sim.cfg.Workers.CancelS) - time.Second
 	sim.mu.Lock()
 	sim.cancelSuccessors(first.ID, longAgo)
 	sim.mu.Unlock()
@@ -237,7 +237,7 @@
 	task := &workerTask{name: taskName(third.ID, 0), spec: third, state: taskRunning, counted: true}
 	machine := &Machine{Name: "m"}
 	receiveCancelled(sim, first.ID)
-	sim.Advance(seconds(sim.cfg.Workers.CancelS))
+	sim.Advance(jobs.Seconds(sim.cfg.Workers.CancelS))
 	sim.checkCancelledTask(sim.now(), machine, task)
 	wantViolations(t, sim, "ran_cancelled", 0)
 	sim.Advance(time.Millisecond)
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -159,7 +159,7 @@
 	t.Helper()
 	t.Logf("%s: release to start: %s", name, quantiles(d.releaseToStart))
 	t.Logf("%s: release to start without licences: %s", name, quantiles(d.unlicensed))
-	t.Logf("%s: cancellation to gone: %s (cancel_s %v)", name, quantiles(d.cancelToGone), seconds(shortTimers.CancelS))
+	t.Logf("%s: cancellation to gone: %s (cancel_s %v)", name, quantiles(d.cancelToGone), jobs.Seconds(shortTimers.CancelS))
 }
 
 // delays returns what has been measured.
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -322,7 +322,7 @@
 				cluster.Advance(2 * time.Second)
 				cluster.OnCancelled(func() { strike(cluster) })
 				chain[position].cancel()
-				cluster.Advance(seconds(shortTimers.CancelS) + 2*time.Second)
+				cluster.Advance(jobs.Seconds(shortTimers.CancelS) + 2*time.Second)
 				cluster.checkCancelledEverywhere(chain[position:]...)
 				cluster.waitUntilDone()
 				cluster.wantFinalStates(stateDone, chain[:position]...)
@@ -345,7 +345,7 @@
 	cluster.waitUntilAccepted(cluster.users...)
 	cluster.OnCancelled(func() { cluster.KillLeaders(3, 9*time.Second) })
 	head.cancel()
-	cluster.Advance(seconds(shortTimers.CancelS) + time.Second)
+	cluster.Advance(jobs.Seconds(shortTimers.CancelS) + time.Second)
 	cluster.startAllControllers()
 	for _, user := range cluster.users {
 		cluster.Request(0, http.MethodGet, runsPath+"/"+user.spec.ID, nil, ignoreAnswer)
@@ -406,7 +406,7 @@
 			}
 			cluster.OnCancelled(func() { strike(cluster) })
 			cluster.CancelJob(head.ID, 0)
-			cluster.Advance(seconds(shortTimers.CancelS))
+			cluster.Advance(jobs.Seconds(shortTimers.CancelS))
 			if pending := cluster.pendingJobs(); len(pending) > 0 {
 				t.Errorf("%d jobs are pending after cancel_s: %v", len(pending), pending)
 			}
@@ -442,7 +442,7 @@
 				}
 			}
 			cluster.waitUntilAccepted(followers...)
-			cluster.Advance(seconds(shortTimers.CancelS) + time.Second)
+			cluster.Advance(jobs.Seconds(shortTimers.CancelS) + time.Second)
 			cluster.checkCancelledEverywhere(followers...)
 			cluster.waitUntilDone()
 			cluster.wantFinalStates(stateCancelled, heads...)
@@ -460,7 +460,7 @@
 	head.submit()
 	cluster.waitUntilAccepted(head)
 	head.cancel()
-	cluster.Advance(seconds(shortTimers.CancelS) + time.Second)
+	cluster.Advance(jobs.Seconds(shortTimers.CancelS) + time.Second)
 	for round := range 2 {
 		for i := range cluster.Controllers() {
 			user := cluster.addUser(head)
@@ -644,7 +644,7 @@
 			}
 			forOthers(true)
 			cluster.cancelAt(chain[0], leader)
-			limit := seconds(shortTimers.CancelS)
+			limit := jobs.Seconds(shortTimers.CancelS)
 			for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(500 * time.Millisecond) {
 				cluster.askEverywhere(chain)
 			}
@@ -672,7 +672,7 @@
 			cluster.StallWatches(leader, stalled)
 			cluster.cancelAt(chain[0], (leader+1)%cluster.Controllers())
 			lists := 0
-			limit := seconds(shortTimers.CancelS)
+			limit := jobs.Seconds(shortTimers.CancelS)
 			for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(250 * time.Millisecond) {
 				for i := range cluster.Controllers() {
 					cluster.Request(i, http.MethodGet, runsPath, nil, func(status int, _ []byte) {
@@ -714,7 +714,7 @@
 	cluster.OnCancelled(func() { cluster.KillController(fresh) })
 	cluster.CancelJob(head.ID, fresh)
 	successors := []*testUser{{spec: second}, {spec: third}}
-	limit := seconds(shortTimers.CancelS)
+	limit := jobs.Seconds(shortTimers.CancelS)
 	for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(250 * time.Millisecond) {
 		cluster.askEverywhere(successors)
 	}
@@ -839,7 +839,7 @@
 			chain[0].spec.EstimateS = 60
 			cluster.submitAll()
 			cluster.waitUntilAccepted(chain...)
-			outage := seconds(1.5 * shortTimers.CancelS)
+			outage := jobs.Seconds(1.5 * shortTimers.CancelS)
 			cluster.OnCancelled(func() {
 				cluster.during(outage, cluster.SetStateOutage)
 				if strike := controllerFaults[fault]; strike != nil {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -308,6 +308,3 @@
 		sim.violations = append(sim.violations, at+fmt.Sprintf(format, args...))
 	}
 }
-
-// seconds converts a number of seconds, the unit of settings and job specifications.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -28,7 +28,7 @@
 		switch {
 		case sim.countGangMembers(task) == task.spec.Tasks:
 			sim.startRunning(now, task)
-		case now-task.gatheringSince > seconds(sim.cfg.Workers.GangWaitS):
+		case now-task.gatheringSince > jobs.Seconds(sim.cfg.Workers.GangWaitS):
 			sim.exitTask(now, task, reasonGangTimeout)
 		}
 	case taskRunning:
@@ -67,7 +67,7 @@
 		sim.exitTask(now, task, reasonDone)
 	case broken:
 		sim.exitTask(now, task, reasonGangPeers)
-	case task.spec.Kind != jobs.Service && ranFor >= seconds(task.remainingSeconds):
+	case task.spec.Kind != jobs.Service && ranFor >= jobs.Seconds(task.remainingSeconds):
 		sim.completeTask(now, task)
 	}
 }
@@ -215,7 +215,7 @@
 		return
 	}
 	sim.stats.LongestRunAfterCancel = max(sim.stats.LongestRunAfterCancel, now-cancelledAt)
-	if now > cancelledAt+seconds(sim.cfg.Workers.CancelS) {
+	if now > cancelledAt+jobs.Seconds(sim.cfg.Workers.CancelS) {
 		sim.violate("ran_cancelled: %s on %s", task.name, machine.Name)
 	}
 }
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -134,7 +134,7 @@
 				byID[job.id] = job
 				running = append(running, job)
 			}
-			job.remaining = max(job.remaining, seconds(task.remainingSeconds)-(now-task.runningSince))
+			job.remaining = max(job.remaining, jobs.Seconds(task.remainingSeconds)-(now-task.runningSince))
 			job.machines = append(job.machines, machine)
 		}
 	}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -192,7 +192,7 @@
 		return task
 	}
 	if !machine.images[task.spec.Image] {
-		task.imageReadyAt = now + seconds(task.spec.ImageGB/machine.machineType.FetchGB)
+		task.imageReadyAt = now + jobs.Seconds(task.spec.ImageGB/machine.machineType.FetchGB)
 	}
 	return task
 }
@@ -225,7 +225,7 @@
 	case task.state == taskCheckpointing && command.GraceS > 0:
 	case task.state == taskRunning && canCheckpoint:
 		task.state = taskCheckpointing
-		task.checkpointDoneAt = now + seconds(task.spec.SaveS)
+		task.checkpointDoneAt = now + jobs.Seconds(task.spec.SaveS)
 	default:
 		sim.exitTask(now, task, reasonHalted)
 	}
@@ -283,7 +283,7 @@
 
 // heartbeatDue reports whether it is time for the next heartbeat, which a change makes early.
 func (sim *Simulation) heartbeatDue(now time.Duration, machine *Machine) bool {
-	earlyGap := min(maxEarlyGap, seconds(sim.cfg.Workers.HeartbeatIntervalS/4))
+	earlyGap := min(maxEarlyGap, jobs.Seconds(sim.cfg.Workers.HeartbeatIntervalS/4))
 	changed := func() bool { return machine.summary() != machine.lastSummary }
 	return now >= machine.nextHeartbeat || (now-machine.lastHeartbeat >= earlyGap && changed())
 }
@@ -295,7 +295,7 @@
 	sim.stats.HeartbeatBytes += uint64(len(body))
 	machine.lastSummary = machine.summary()
 	machine.lastHeartbeat = now
-	machine.nextHeartbeat = now + seconds(sim.cfg.Workers.HeartbeatIntervalS*(0.75+0.5*sim.rng.Float64()))
+	machine.nextHeartbeat = now + jobs.Seconds(sim.cfg.Workers.HeartbeatIntervalS*(0.75+0.5*sim.rng.Float64()))
 	return body
 }
 
@@ -362,7 +362,7 @@
 		}
 	}
 	machine.controller = (machine.controller + 1) % sim.cfg.Controllers
-	machine.nextHeartbeat = now + seconds(min(maxRetryS, sim.cfg.Workers.HeartbeatIntervalS))
+	machine.nextHeartbeat = now + jobs.Seconds(min(maxRetryS, sim.cfg.Workers.HeartbeatIntervalS))
 }
 
 // heartbeatAccepted renews the worker's lease from when the heartbeat was sent, and carries out the answer's
