--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -9,24 +9,19 @@
 	"github.com/spf13/cobra"
 
 	"github.com/harewalk/harewalk/internal/controller"
+	"github.com/harewalk/harewalk/internal/drain"
 )
 
 const adminPath = "/v2/admin"
 
-// What can be drained.
-const (
-	drainNode    = "node"
-	drainMachine = "machine"
-)
-
 // drainCommand is the body of a request that drains or undrains a controller or a machine.
 type drainCommand struct {
-	By       string `json:"by"`
-	Kind     string `json:"kind"`
-	Name     string `json:"name"`
-	Op       string `json:"op"`
-	Revision *int64 `json:"revision,omitempty"` // the one that the command depends on; nil: any
-	Stop     bool   `json:"stop"`
+	By       string     `json:"by"`
+	Kind     drain.Kind `json:"kind"`
+	Name     string     `json:"name"`
+	Op       drain.Op   `json:"op"`
+	Revision *int64     `json:"revision,omitempty"` // the one that the command depends on; nil: any
+	Stop     bool       `json:"stop"`
 }
 
 // optionalNumber returns a flag's value, or nil for the negative one that stands for an absent flag.
@@ -47,16 +42,16 @@
 			"command is refused (exit 3) if somebody changed it since; the answer says who, and what.",
 	}
 	client.addFlags(cmd)
-	drain := drainCmd(&client, "drain", "Drain a controller, or a machine, which is then given back")
-	drain.Long = "A drained controller hands its lead over, takes no users and stays until it is undrained; the " +
+	drainOp := drainCmd(&client, drain.OpDrain, "Drain a controller, or a machine, which is then given back")
+	drainOp.Long = "A drained controller hands its lead over, takes no users and stays until it is undrained; the " +
 		"last one that could\n" +
 		"serve can't be drained. On a drained machine nothing new starts; when it is empty it is given back " +
 		"to the cloud."
-	drain.Example = "  harewalk admin drain node burrow-2\n" +
+	drainOp.Example = "  harewalk admin drain node burrow-2\n" +
 		"  harewalk admin drain machine i-000231 --stop"
-	undrain := drainCmd(&client, "undrain", "Let a controller or a machine take part again")
-	undrain.Example = "  harewalk admin undrain node burrow-2"
-	cmd.AddCommand(adminStatusCmd(&client), drain, undrain)
+	undrainOp := drainCmd(&client, drain.OpUndrain, "Let a controller or a machine take part again")
+	undrainOp.Example = "  harewalk admin undrain node burrow-2"
+	cmd.AddCommand(adminStatusCmd(&client), drainOp, undrainOp)
 	return cmd
 }
 
@@ -75,19 +70,19 @@
 	return cmd
 }
 
-// drainCmd returns the command of one operation, "drain" or "undrain".
-func drainCmd(client *apiClient, op, short string) *cobra.Command {
+// drainCmd returns the command of one operation.
+func drainCmd(client *apiClient, op drain.Op, short string) *cobra.Command {
 	var stop bool
 	var revision int64
 	cmd := &cobra.Command{
-		Use:       op + " node|machine NAME",
+		Use:       string(op) + " node|machine NAME",
 		Short:     short,
 		Args:      cobra.ExactArgs(2),
-		ValidArgs: []string{drainNode, drainMachine},
+		ValidArgs: []string{string(drain.KindNode), string(drain.KindMachine)},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			kind, name := args[0], args[1]
-			if kind != drainNode && kind != drainMachine {
-				return usageError(&valueError{value: kind, problem: "is neither node nor machine"})
+			kind, name := drain.Kind(args[0]), args[1]
+			if kind != drain.KindNode && kind != drain.KindMachine {
+				return usageError(&valueError{value: args[0], problem: "is neither node nor machine"})
 			}
 			body := drainCommand{
 				By:       currentUser(),
@@ -101,7 +96,7 @@
 		},
 	}
 	cmd.Flags().Int64Var(&revision, "revision", -1, "refuse the command unless this is still the revision")
-	if op == "drain" {
+	if op == drain.OpDrain {
 		cmd.Flags().BoolVar(&stop, "stop", false,
 			"stop a machine's tasks, with time to save, instead of waiting for their end")
 	}
--- a/cmd/harewalk/output.go
+++ b/cmd/harewalk/output.go
@@ -16,6 +16,7 @@
 	"go.yaml.in/yaml/v3"
 
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // Values of the --output flag.
@@ -128,10 +129,5 @@
 	return text
 }
 
-// orSomebody returns an operator's name, or "somebody" where it isn't known.
-func orSomebody(name string) string {
-	if name == "" {
-		return "somebody"
-	}
-	return name
-}
+// orSomebody returns an operator's name, or what stands for one that isn't known.
+func orSomebody(name string) string { return cmp.Or(name, rollout.UnnamedOperator) }
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"log/slog"
@@ -11,6 +12,7 @@
 	"github.com/harewalk/harewalk/internal/api"
 	"github.com/harewalk/harewalk/internal/httpio"
 	"github.com/harewalk/harewalk/internal/licences"
+	"github.com/harewalk/harewalk/internal/rollout"
 	"github.com/harewalk/harewalk/internal/store"
 )
 
@@ -51,7 +53,7 @@
 	answer, err := parseLicenceAnswer(response)
 	if err != nil {
 		slog.Debug("licence server query failed", "pool", pool, "error", err)
-		c.term.fleet.Gate.Licences.QueryFailed(at, pool)
+		c.term.fleet.Gate.Licences.QueryFailed(pool)
 		return
 	}
 	c.term.fleet.Gate.Licences.ApplyAnswer(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
@@ -106,9 +108,7 @@
 
 // refuseLicenceConflict returns the answer to such a command; changedBy "": unknown.
 func refuseLicenceConflict(changedBy string, view licences.View) api.Reply {
-	if changedBy == "" {
-		changedBy = "somebody"
-	}
+	changedBy = cmp.Or(changedBy, rollout.UnnamedOperator)
 	message := fmt.Sprintf("the count was changed by %s meanwhile: it is %d", changedBy, view.Count)
 	return api.Reply{Status: http.StatusConflict, Body: licenceConflict{message, view}}
 }
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -1,9 +1,12 @@
 package drain
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strings"
+
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // Op is what a command does. Its value is the name on the wire.
@@ -138,10 +141,7 @@
 
 // changedBy returns the document with a command as its last change.
 func (d Document) changedBy(command Command) Document {
-	by := command.By
-	if by == "" {
-		by = "somebody"
-	}
+	by := cmp.Or(command.By, rollout.UnnamedOperator)
 	d.Last = fmt.Sprintf("%s: %s %s %s", by, command.Op, command.Kind, command.Name)
 	return d
 }
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -29,8 +29,6 @@
 	// pausePerStep is the pause after a cycle for each of its planning steps, on a full core: about three times the
 	// cost of a step.
 	pausePerStep = 300 * time.Nanosecond
-	// lowestReservationRank is the rank of no reservation: every job ranks before it.
-	lowestReservationRank = 1 << 30
 )
 
 // The fraction of its run time for which a task may wait for a spot machine: a task of an array is moved again if an
@@ -86,7 +84,7 @@
 	}
 	for _, machine := range f.machines {
 		machine.reserved = planner.Size{}
-		machine.reservedRank = lowestReservationRank
+		machine.reservedRank = lowestRank
 		machine.reservedFirmly = false
 	}
 	for _, job := range f.ranking.jobs {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -167,13 +167,18 @@
 	size planner.Size
 }
 
+// raiseToken makes commands that were sent so far void once the machine has seen its new token.
+func (m *Machine) raiseToken() {
+	m.Token++
+	m.fencing = true
+}
+
 // raiseTokenIfIndeterminate raises the machine's token if direct launches are indeterminate: once a heartbeat
 // carries the new token, they can no longer be executed. Otherwise a launch that never arrived would count against
 // its team until the worker's session ends.
 func (m *Machine) raiseTokenIfIndeterminate() {
 	if len(m.indeterminateLaunches) > 0 && !m.directInFlight && !m.fencing {
-		m.Token++
-		m.fencing = true
+		m.raiseToken()
 	}
 }
 
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -117,8 +117,7 @@
 	machine.reachability.unconfirmedSince = now
 	machine.reachability.unconfirmedCommand = Command{}
 	if machine.reachability.highestToken >= machine.Token {
-		machine.Token++
-		machine.fencing = true
+		machine.raiseToken()
 	}
 	f.setCondition(machine, OneWayUnreachable, cause)
 	f.clearQueues(machine)
@@ -159,8 +158,7 @@
 // of all former ones, which have ended and can never receive it. A token that was sent earlier would not do: an
 // incarnation that has ended since may have received it, and its last heartbeat may still arrive.
 func (f *Fleet) challenge(now time.Duration, machine *Machine) {
-	machine.Token++
-	machine.fencing = true
+	machine.raiseToken()
 	machine.reachability.challengeToken = machine.Token
 	machine.reachability.challengedAt = now
 	// The lease of a new incarnation counts from its beginning, and the response extends it.
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -79,7 +79,8 @@
 	return size.Fits(free)
 }
 
-// lowestRank is the rank of jobs that are not in the priority order yet.
+// lowestRank is the rank of jobs that are not in the priority order yet, and that of no reservation: every ranked job
+// comes before it.
 const lowestRank = 1 << 30
 
 // rankOf returns a job's place in the priority order; 0 is the highest.
--- a/internal/licences/model_test.go
+++ b/internal/licences/model_test.go
@@ -177,7 +177,7 @@
 	query := e.queries[0]
 	e.queries = e.queries[1:]
 	if rapid.IntRange(0, 9).Draw(t, "lost") == 0 {
-		e.ledger.QueryFailed(e.now, e.pool.Name)
+		e.ledger.QueryFailed(e.pool.Name)
 		return
 	}
 	e.ledger.ApplyAnswer(e.now, query.sentAt, e.pool.Name, query.answer, taskByName)
@@ -249,7 +249,7 @@
 		e.ledger.Release(e.now, task.TaskRef, needs(1), task.end)
 	}
 	e.queries = nil
-	e.ledger.QueryFailed(e.now, e.pool.Name)
+	e.ledger.QueryFailed(e.pool.Name)
 	for range 20 {
 		e.now += 2 * time.Second
 		e.ledger.Tick(e.now, time.Unix(0, 0))
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -140,7 +140,7 @@
 }
 
 // QueryFailed ends a query that got no valid answer.
-func (l *Ledger) QueryFailed(_ time.Duration, pool string) {
+func (l *Ledger) QueryFailed(pool string) {
 	if index, ok := l.catalog.Index(pool); ok {
 		l.pools[index].server.isQueryInFlight = false
 	}
--- a/internal/membership/authority.go
+++ b/internal/membership/authority.go
@@ -25,11 +25,6 @@
 	return store.Condition{Key: leaderKey, Version: m.leaderVersion}
 }
 
-// Owns reports whether this controller leads and a machine lies in its shard.
-func (m *Membership) Owns(machine string) bool {
-	return m.state == Leading && m.shardMap.Owner(machine) == m.cfg.Node
-}
-
 // Owner returns the controller that a machine's worker should send its heartbeats to; "" if there is no leader.
 func (m *Membership) Owner(machine string) string {
 	if m.leader.Node == "" {
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -104,11 +104,11 @@
 	return store.Txn{
 		If: append([]store.Condition{
 			{Key: leaderKey},
-			{Key: termKey, Version: m.termVersion},
+			{Key: rollout.TermKey, Version: m.termVersion},
 		}, conditions...),
 		Then: append([]store.Op{
 			{Put: leaderKey, Value: won.leader, Lease: m.lease.id},
-			{Put: termKey, Value: won.term},
+			{Put: rollout.TermKey, Value: won.term},
 			{Put: shardMapKey, Value: won.shardMap},
 		}, ops...),
 	}
@@ -121,7 +121,7 @@
 	case store.Committed:
 		// The leader key comes last: it makes this controller the leader, of the new term and the new shard map.
 		for _, item := range []store.Item{
-			{Key: termKey, Value: won.term, Version: result.Revision},
+			{Key: rollout.TermKey, Value: won.term, Version: result.Revision},
 			{Key: shardMapKey, Value: won.shardMap, Version: result.Revision},
 			{Key: leaderKey, Value: won.leader, Version: result.Revision},
 		} {
--- a/internal/membership/followed.go
+++ b/internal/membership/followed.go
@@ -29,7 +29,7 @@
 	if !present[leaderKey] && m.leaderVersion != 0 {
 		m.HandleDelete(now, leaderKey, math.MaxUint64)
 	}
-	if !present[memberKeyPrefix+m.cfg.Node] {
+	if !present[m.memberKey()] {
 		m.registered = registration{}
 	}
 }
@@ -40,11 +40,11 @@
 	switch item.Key {
 	case leaderKey:
 		return m.handleLeaderItem(now, item)
-	case termKey:
+	case rollout.TermKey:
 		return m.handleTermItem(item)
 	case shardMapKey:
 		return m.handleShardMapItem(item)
-	case memberKeyPrefix + m.cfg.Node:
+	case m.memberKey():
 		m.handleMemberItem(item)
 	}
 	return nil
@@ -101,7 +101,7 @@
 
 // HandleDelete takes over the deletion of a key at a version.
 func (m *Membership) HandleDelete(now time.Duration, key string, version uint64) {
-	if key == memberKeyPrefix+m.cfg.Node && version > m.registered.version {
+	if key == m.memberKey() && version > m.registered.version {
 		m.registered = registration{}
 	}
 	if key != leaderKey || version <= m.leaderVersion {
--- a/internal/membership/followed_test.go
+++ b/internal/membership/followed_test.go
@@ -19,7 +19,7 @@
 		{"leader that isn't JSON", leaderKey, `{`, false},
 		{"shard map in a newer format", shardMapKey, `{"v":2,"term":7,"owners":["n-0"]}`, true},
 		{"shard map that isn't JSON", shardMapKey, `{`, false},
-		{"term that isn't JSON", termKey, `{`, false},
+		{"term that isn't JSON", rollout.TermKey, `{`, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Config{Node: "n-1"}, nil, nil)
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -50,7 +50,7 @@
 // which has ended: revoking it spares the cluster the wait for its expiry.
 func (m *Membership) revokeOldLease() {
 	m.requestPending = true
-	m.store.Get(memberKeyPrefix+m.cfg.Node, store.SafetyPriority, func(item store.Item, err error) {
+	m.store.Get(m.memberKey(), store.SafetyPriority, func(item store.Item, err error) {
 		if err != nil {
 			m.retryLater()
 			return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -22,12 +22,13 @@
 const Prefix = "h/c/"
 
 const (
-	leaderKey       = Prefix + "leader"
-	termKey         = Prefix + "term"
-	shardMapKey     = Prefix + "map"
-	memberKeyPrefix = Prefix + "n/" // followed by the controller's name
+	leaderKey   = Prefix + "leader"
+	shardMapKey = Prefix + "map"
 )
 
+// memberKey returns the key of this controller's membership.
+func (m *Membership) memberKey() string { return rollout.MemberKey(m.cfg.Node) }
+
 // retryDelay passes before a request that failed, or has no outcome, is sent again.
 const retryDelay = 300 * time.Millisecond
 
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -35,7 +35,7 @@
 func (m *Membership) register() {
 	m.requestPending = true
 	leaseID := m.lease.id
-	key := memberKeyPrefix + m.cfg.Node
+	key := m.memberKey()
 	value, _ := json.Marshal(memberValue{Node: m.cfg.Node, Lease: leaseID})
 	txn := store.Txn{
 		If: []store.Condition{{Key: key, Version: m.registered.version}},
@@ -72,7 +72,7 @@
 // have been written by the former process, or by this one with a request that was given up.
 func (m *Membership) readRegistration() {
 	leaseID := m.lease.id
-	m.store.Get(memberKeyPrefix+m.cfg.Node, store.SafetyPriority, func(item store.Item, err error) {
+	m.store.Get(m.memberKey(), store.SafetyPriority, func(item store.Item, err error) {
 		if m.lease.id != leaseID {
 			return
 		}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -1,6 +1,7 @@
 package rollout
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
@@ -13,8 +14,8 @@
 // maxOperatorBytes is the maximum length of an operator's name.
 const maxOperatorBytes = 100
 
-// unnamedOperator stands for an operator who gave no name.
-const unnamedOperator = "somebody"
+// UnnamedOperator stands for an operator who gave no name.
+const UnnamedOperator = "somebody"
 
 // Command is an operator's request to change the directive.
 type Command struct {
@@ -60,10 +61,7 @@
 	if err := r.checkMode(now, mode, next); err != nil {
 		return store.Txn{}, err
 	}
-	operator := command.By
-	if operator == "" {
-		operator = unnamedOperator
-	}
+	operator := cmp.Or(command.By, UnnamedOperator)
 	record := directiveRecord{Mode: mode, Level: next, By: operator, AtMS: wallMS}
 	// An upgrade in flight and an abort both depend on both versions: the one committed first makes the other fail.
 	return store.Txn{
--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -100,13 +100,13 @@
 	if r.Level() != Base {
 		t.Errorf("the level is %d, want %d", r.Level(), Base)
 	}
-	r.HandleDelete(memberKey("b"), 6)
+	r.HandleDelete(MemberKey("b"), 6)
 	expect("one is down", true)
 	direct(r, directiveRecord{Mode: AbortedByOperator, Level: Base}, 7)
 	expect("the rollout is aborted", false)
 	direct(r, directiveRecord{Mode: NoDirective, Level: Base}, 8)
 	expect("the abort is undone", true)
 	member := encode(map[string]any{"node": "b", "hold": 9})
-	r.HandleItem(store.Item{Key: memberKey("b"), Value: member, Version: 10})
+	r.HandleItem(store.Item{Key: MemberKey("b"), Value: member, Version: 10})
 	expect("one is back with a release that announces nothing", false)
 }
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -75,7 +75,7 @@
 		WriteFormat{Paged, 1, firstAnnouncingRelease}),
 	singleFormat("image-hints", "p/images", GuardAdvisory),
 	singleFormat("leader", "h/c/leader", GuardStandDown),
-	replacedFormats("term", termKey, GuardStandDown,
+	replacedFormats("term", TermKey, GuardStandDown,
 		WriteFormat{Base, 1, firstAnnouncingRelease},
 		WriteFormat{Paged, 2, firstAnnouncingRelease}),
 	singleFormat("part-map", "h/c/map", GuardStandDown),
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -82,7 +82,7 @@
 	for i, peer := range o.Peers {
 		conditions = append(conditions,
 			store.Condition{Key: AnnounceKey(nodes[i]), Version: peer.AnnouncementVersion},
-			store.Condition{Key: memberKey(nodes[i]), Version: peer.MemberVersion},
+			store.Condition{Key: MemberKey(nodes[i]), Version: peer.MemberVersion},
 		)
 	}
 	return conditions
--- a/internal/rollout/progress.go
+++ b/internal/rollout/progress.go
@@ -106,7 +106,7 @@
 		Then: []store.Op{
 			{Put: levelKey, Value: encode(level)},
 			{Put: migrationKey, Value: encode(newMigrationRecord(started))},
-			{Put: termKey, Value: EncodeTerm(next, term)},
+			{Put: TermKey, Value: EncodeTerm(next, term)},
 		},
 	}
 }
--- a/internal/rollout/progress_test.go
+++ b/internal/rollout/progress_test.go
@@ -38,7 +38,7 @@
 // is absent from a new listing; its announcement still counts.
 func TestDeletedMemberIsDown(t *testing.T) {
 	for name, remove := range map[string]func(*Rollout){
-		"deleted": func(r *Rollout) { r.HandleDelete(memberKey("b"), 9) },
+		"deleted": func(r *Rollout) { r.HandleDelete(MemberKey("b"), 9) },
 		"absent":  func(r *Rollout) { r.HandleReset(nil) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/rollout/records.go
+++ b/internal/rollout/records.go
@@ -15,7 +15,9 @@
 	migrationKey   = prefix + "migration"
 	announcePrefix = prefix + "n/"
 	memberPrefix   = "h/c/n/"
-	termKey        = "h/c/term"
+
+	// TermKey is where the term is stored.
+	TermKey = "h/c/term"
 
 	// followedPrefix is the prefix of all keys that controllers watch.
 	followedPrefix = "h/"
@@ -24,7 +26,8 @@
 // AnnounceKey returns the key of a controller's announcement.
 func AnnounceKey(node string) string { return announcePrefix + node }
 
-func memberKey(node string) string { return memberPrefix + node }
+// MemberKey returns the key of a controller's membership.
+func MemberKey(node string) string { return memberPrefix + node }
 
 // versionedRecord is a record that names the format in which it is written; 0 means 1.
 type versionedRecord interface{ recordFormat() int }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -26,7 +26,7 @@
 		Auto:     auto,
 		Soak:     testSoak,
 	})
-	r.HandleItem(store.Item{Key: termKey, Value: EncodeTerm(Base, 1), Version: 1})
+	r.HandleItem(store.Item{Key: TermKey, Value: EncodeTerm(Base, 1), Version: 1})
 	r.HandleSynced()
 	return r
 }
@@ -36,7 +36,7 @@
 func join(r *Rollout, node, release string, supported Level, lease, version uint64) {
 	announce(r, announcementRecord{Node: node, Release: release, Level: supported, Lease: lease}, version)
 	member := encode(map[string]any{"node": node, "hold": lease})
-	r.HandleItem(store.Item{Key: memberKey(node), Value: member, Version: version})
+	r.HandleItem(store.Item{Key: MemberKey(node), Value: member, Version: version})
 	r.HandleHealth(0, node, true)
 }
 
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -30,7 +30,7 @@
 	case migrationKey:
 		r.applyMigration(item)
 		return true
-	case termKey:
+	case TermKey:
 		r.stored.bootstrapped = true
 		return false
 	}
@@ -141,7 +141,7 @@
 		present[item.Key] = true
 	}
 	for _, peer := range r.peers {
-		if !present[memberKey(peer.Node)] {
+		if !present[MemberKey(peer.Node)] {
 			peer.markDown()
 		}
 	}
