--- a/cmd/harewalk/job_watch.go
+++ b/cmd/harewalk/job_watch.go
@@ -9,17 +9,13 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"github.com/harewalk/harewalk/internal/jobs"
 )
 
 // minPollInterval bounds --every from below.
 const minPollInterval = 200 * time.Millisecond
 
-// Job states of the service's responses that end a watch.
-const (
-	jobDone      = "done"
-	jobCancelled = "cancelled"
-)
-
 // jobProgress is what a line of `job watch` shows.
 type jobProgress struct {
 	ID      string `json:"name_id"`
@@ -61,9 +57,9 @@
 			previous = progress
 		}
 		switch progress.State {
-		case jobDone:
+		case jobs.Done.String():
 			return nil
-		case jobCancelled:
+		case jobs.Cancelled.String():
 			return refusal(fmt.Errorf("%s %w", progress.ID, errJobCancelled))
 		}
 	}
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -6,6 +6,7 @@
 	"fmt"
 
 	"github.com/harewalk/harewalk/internal/jobs"
+	"github.com/harewalk/harewalk/internal/rollout"
 )
 
 // newestFormat is the newest stored format that this release reads.
@@ -39,12 +40,14 @@
 		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	if stored.Format > newestFormat {
-		return Answer{}, fmt.Errorf("%w: format %d", ErrUnreadable, stored.Format)
+		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, &rollout.NewerFormatError{Format: stored.Format})
 	}
-	for _, state := range []jobs.State{jobs.Done, jobs.Cancelled} {
-		if stored.State == state.String() {
-			return Answer{State: state, Tasks: stored.Tasks, Done: stored.Done}, nil
-		}
+	state, err := jobs.ParseState(stored.State)
+	if err == nil && !state.Terminal() {
+		err = &jobs.UnknownStateError{Name: stored.State}
 	}
-	return Answer{}, fmt.Errorf("%w: stance %q", ErrUnreadable, stored.State)
+	if err != nil {
+		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
+	}
+	return Answer{State: state, Tasks: stored.Tasks, Done: stored.Done}, nil
 }
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -50,11 +50,6 @@
 	Cancelled
 )
 
-// String returns the state's name as operators see it.
-func (s State) String() string {
-	return [...]string{"unknown", "blocked", "doomed", "released", "done", "cancelled"}[s]
-}
-
 // live reports whether the state is that of a job with a pending record.
 func (s State) live() bool { return s == Blocked || s == Doomed || s == Released }
 
@@ -87,18 +82,19 @@
 	unknown, doomed *list.List
 	edges           int
 	stamp           uint64 // of the newest ranking
-	// OnReleased is called when the last predecessor of a job that was blocked is done. Required.
-	OnReleased func(now time.Duration, job *jobs.Job)
+	// onReleased is called when the last predecessor of a job that was blocked is done.
+	onReleased func(now time.Duration, job *jobs.Job)
 }
 
-// New returns an empty graph of the jobs in a table.
+// New returns an empty graph of the jobs in a table. onReleased is called when the last predecessor of a job that was
+// blocked is done.
 func New(table *jobs.Table, onReleased func(now time.Duration, job *jobs.Job)) *Graph {
 	return &Graph{
 		table:      table,
 		nodes:      map[string]*node{},
 		unknown:    list.New(),
 		doomed:     list.New(),
-		OnReleased: onReleased,
+		onReleased: onReleased,
 	}
 }
 
@@ -304,7 +300,7 @@
 		successor.unfinished--
 		if successor.unfinished == 0 && successor.state == Blocked {
 			g.release(now, successor)
-			g.OnReleased(now, successor.job)
+			g.onReleased(now, successor.job)
 		}
 	}
 }
@@ -333,17 +329,6 @@
 	}
 }
 
-// State returns the state of a job in the graph. A job that it doesn't contain is Unknown.
-func (g *Graph) State(id string) State {
-	if found, ok := g.nodes[id]; ok {
-		return found.state
-	}
-	return Unknown
-}
-
-// Len returns the number of jobs in the graph.
-func (g *Graph) Len() int { return len(g.nodes) }
-
 // Edges returns the number of edges in the graph: of predecessors of live jobs, each counted once for each successor.
 func (g *Graph) Edges() int { return g.edges }
 
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -30,7 +30,8 @@
 // Terminal reports whether the state can't change any more.
 func (s State) Terminal() bool { return s != Pending }
 
-func parseState(name string) (State, error) {
+// ParseState returns the state of a name in records and answers. Its error is an *UnknownStateError.
+func ParseState(name string) (State, error) {
 	for _, state := range []State{Pending, Done, Cancelled} {
 		if name == state.String() {
 			return state, nil
@@ -116,7 +117,7 @@
 	if record.Format > newestFormat {
 		return record, 0, &rollout.NewerFormatError{Record: "record", Format: record.Format}
 	}
-	state, err := parseState(record.State)
+	state, err := ParseState(record.State)
 	if err != nil {
 		return record, 0, err
 	}
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -34,9 +34,6 @@
 	imageCount = 20
 )
 
-// jobDone is the state of a job that is done in the service's responses.
-const jobDone = "done"
-
 // users keep a number of jobs open: each user submits a job, polls it until it is done, and submits the next one.
 type users struct {
 	sim          *simulator.Simulation
@@ -141,7 +138,7 @@
 	for ctx.Err() == nil {
 		sleep(ctx, u.pollInterval)
 		status, state := u.send(http.MethodGet, "/v2/runs/"+spec.ID, nil)
-		if status == http.StatusOK && state == jobDone {
+		if status == http.StatusOK && state == jobs.Done.String() {
 			u.noteEnded()
 			return
 		}
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -13,7 +13,6 @@
 	maxRecordedTime    = 14 * 24 * time.Hour
 	histogramDigits    = 3
 	millisPerSecond    = 1000
-	jobDone            = "done"
 	defaultRecovery    = time.Minute // how long after a fault its effect is measured
 	maxUnservedPercent = 10          // of the requests of a second in which the service counts as recovered
 )
@@ -141,10 +140,10 @@
 	switch {
 	case user.isRefused:
 		c.Ends.Refused++
-	case user.history.Final == jobDone:
+	case user.history.Final == jobs.Done.String():
 		c.Ends.Done++
 		record(times.completion, user.endDelay)
-	case user.history.Final == jobCancelled:
+	case user.history.Final == jobs.Cancelled.String():
 		c.Ends.Cancelled++
 	default:
 		c.Ends.Open++
--- a/internal/lab/user.go
+++ b/internal/lab/user.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"github.com/harewalk/harewalk/internal/jobs"
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
@@ -32,9 +33,6 @@
 	jitterRange = 0.5
 )
 
-// jobCancelled is the state of a cancelled job in the service's responses.
-const jobCancelled = "cancelled"
-
 // loadBalancer sends the requests of a run's users to controllers that pass its health checks. It records whether they
 // were served. It belongs to the simulation's single goroutine.
 type loadBalancer struct {
@@ -166,7 +164,7 @@
 		switch {
 		case status != http.StatusOK:
 			u.balancer.after(userRetryDelay, u.requestCancel)
-		case jobState == jobCancelled:
+		case jobState == jobs.Cancelled.String():
 			u.balancer.sim.ConfirmCancelled(u.spec.ID)
 		}
 	})
