--- a/internal/dependencies/bench_test.go
+++ b/internal/dependencies/bench_test.go
@@ -122,29 +122,19 @@
 }
 
 // BenchmarkRelease measures the ends of all jobs, one after the other, with the releases that follow from them.
-func BenchmarkRelease(b *testing.B) {
-	forEachSize(b, func(b *testing.B, records []storedRecord) {
-		for b.Loop() {
-			b.StopTimer()
-			table, graph := loadTable(records)
-			build(table, graph)
-			ended := markEnded(table, records, jobs.Done)
-			b.StartTimer()
-			for _, job := range ended {
-				graph.HandleJobChange(2*time.Second, job)
-			}
-		}
-	})
-}
+func BenchmarkRelease(b *testing.B) { benchmarkEnds(b, jobs.Done) }
 
 // BenchmarkCancel measures the cancellation of the first job, which dooms all others, and their own cancellations.
-func BenchmarkCancel(b *testing.B) {
+func BenchmarkCancel(b *testing.B) { benchmarkEnds(b, jobs.Cancelled) }
+
+// benchmarkEnds measures the ends of all jobs, one after the other.
+func benchmarkEnds(b *testing.B, final jobs.State) {
 	forEachSize(b, func(b *testing.B, records []storedRecord) {
 		for b.Loop() {
 			b.StopTimer()
 			table, graph := loadTable(records)
 			build(table, graph)
-			ended := markEnded(table, records, jobs.Cancelled)
+			ended := markEnded(table, records, final)
 			b.StartTimer()
 			for _, job := range ended {
 				graph.HandleJobChange(2*time.Second, job)
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -329,6 +329,14 @@
 	}
 }
 
+// State returns the state of a job in the graph. A job that it doesn't contain is Unknown.
+func (g *Graph) State(id string) State {
+	if found, ok := g.nodes[id]; ok {
+		return found.state
+	}
+	return Unknown
+}
+
 // Edges returns the number of edges in the graph: of predecessors of live jobs, each counted once for each successor.
 func (g *Graph) Edges() int { return g.edges }
 
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -321,6 +321,22 @@
 	h.taskIsStopping = true
 }
 
+// newHarnessInUse returns a harness with an open session whose agent has sent heartbeats for two seconds.
+func newHarnessInUse(t fataler) *harness {
+	h := newHarness(t, testPolicies(t))
+	h.openSession()
+	h.startTask()
+	h.advanceWithHeartbeats(2 * time.Second)
+	return h
+}
+
+// cancelJob has the table of jobs show that the session's job was cancelled otherwise.
+func (h *harness) cancelJob() {
+	job := h.jobTable.Get(id)
+	h.revision++
+	_, _, _ = h.jobTable.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, job.Spec), h.revision)
+}
+
 func (h *harness) openSession() {
 	h.t.Helper()
 	status := noReply
--- a/internal/sessions/reclaim_test.go
+++ b/internal/sessions/reclaim_test.go
@@ -91,10 +91,7 @@
 // A session whose machine is lost resumes from the last stored checkpoint that its agent made by itself, including one
 // from the time when its task was being stopped.
 func TestLostTaskResumesFromTheAgentsCheckpoint(t *testing.T) {
-	h := newHarness(t, testPolicies(t))
-	h.openSession()
-	h.startTask()
-	h.advanceWithHeartbeats(2 * time.Second)
+	h := newHarnessInUse(t)
 	saveByItself := func(work int) {
 		ref := fmt.Sprint("own-", work)
 		h.agent.work = work
@@ -189,10 +186,7 @@
 // startCheckpoint returns a session with unsaved work whose checkpoint was just ordered.
 func startCheckpoint(t *testing.T) *harness {
 	t.Helper()
-	h := newHarness(t, testPolicies(t))
-	h.openSession()
-	h.startTask()
-	h.advanceWithHeartbeats(2 * time.Second)
+	h := newHarnessInUse(t)
 	h.agent.work = 5
 	for h.state() != Checkpointing {
 		if h.now > 2*time.Hour {
--- a/internal/sessions/requests_test.go
+++ b/internal/sessions/requests_test.go
@@ -51,10 +51,7 @@
 
 // Of two attachments only the newer one's keep-alives are accepted, and those at most once a second.
 func TestOnlyTheNewestAttachmentKeepsAlive(t *testing.T) {
-	h := newHarness(t, testPolicies(t))
-	h.openSession()
-	h.startTask()
-	h.advanceWithHeartbeats(2 * time.Second)
+	h := newHarnessInUse(t)
 	var first, second Result
 	errNoReply := errors.New("no reply")
 	firstErr, secondErr := errNoReply, errNoReply
@@ -83,10 +80,7 @@
 
 // The user's and the agent's tokens aren't interchangeable, and a guess doesn't reveal whether a session exists.
 func TestTokensOpenOnlyTheirOwnSession(t *testing.T) {
-	h := newHarness(t, testPolicies(t))
-	h.openSession()
-	h.startTask()
-	h.advanceWithHeartbeats(2 * time.Second)
+	h := newHarnessInUse(t)
 	status := noReply
 	h.manager.Attach(h.now, id, agentToken, func(r Result, err error) { status = outcomeOf(r, err) })
 	if status != forbidden {
@@ -152,14 +146,9 @@
 // A closed session leaves no record and no count, nor does one whose job was cancelled otherwise.
 func TestCloseLeavesNoRecord(t *testing.T) {
 	for _, otherwise := range []bool{false, true} {
-		h := newHarness(t, testPolicies(t))
-		h.openSession()
-		h.startTask()
-		h.advanceWithHeartbeats(2 * time.Second)
+		h := newHarnessInUse(t)
 		if otherwise {
-			job := h.jobTable.Get(id)
-			h.revision++
-			_, _, _ = h.jobTable.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, job.Spec), h.revision)
+			h.cancelJob()
 			h.advance(time.Minute)
 			h.finishCommits(commitApplied)
 		} else {
@@ -186,13 +175,8 @@
 // or not the deletion is carried out.
 func TestRequestsDuringDeletionAreAnswered(t *testing.T) {
 	for _, deletion := range []commitOutcome{commitApplied, commitNotApplied} {
-		h := newHarness(t, testPolicies(t))
-		h.openSession()
-		h.startTask()
-		h.advanceWithHeartbeats(2 * time.Second)
-		job := h.jobTable.Get(id)
-		h.revision++
-		_, _, _ = h.jobTable.Apply(id, jobs.EncodeRecord(jobs.Cancelled, 0, 1, job.Spec), h.revision)
+		h := newHarnessInUse(t)
+		h.cancelJob()
 		h.advance(time.Minute)
 		if len(h.commits) == 0 {
 			t.Fatal("the record isn't being deleted")
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -161,6 +161,15 @@
 	return func(k int) int { return (first + k) % r.Controllers() }
 }
 
+// forOthers calls do for every controller but one, in their order.
+func (r *testCluster) forOthers(except int, do func(controller int)) {
+	for i := range r.Controllers() {
+		if i != except {
+			do(i)
+		}
+	}
+}
+
 // othersInTurn returns a choice of the two controllers after one, in turn, for cancelEach.
 func (r *testCluster) othersInTurn(except int) func(k int) int {
 	return func(k int) int { return (except + 1 + k%2) % r.Controllers() }
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -95,12 +95,22 @@
 
 // addUser adds the user of a job that follows others; the user submits nothing yet.
 func (r *testCluster) addUser(predecessors ...*testUser) *testUser {
-	user := &testUser{simulation: r.Simulation, rng: r.rng, spec: pipelineSpec(len(r.users) + 1)}
+	user := r.newUser(pipelineSpec(len(r.users) + 1))
 	user.follow(predecessors...)
 	r.users = append(r.users, user)
 	return user
 }
 
+// addDiamond adds the users of a job, of two that follow it and of one that follows these.
+func (r *testCluster) addDiamond() []*testUser {
+	head := r.addUser()
+	left, right := r.addUser(head), r.addUser(head)
+	left.spec.Tasks = 3
+	right.spec.Kind = jobs.Gang
+	right.spec.Tasks = 2
+	return []*testUser{head, left, right, r.addUser(left, right)}
+}
+
 // addChain adds the users of a chain of jobs, each of which follows the one before it.
 func (r *testCluster) addChain(n int) []*testUser {
 	chain := []*testUser{r.addUser()}
@@ -166,13 +176,6 @@
 	}
 }
 
-// startAllControllers starts the controllers that don't run.
-func (r *testCluster) startAllControllers() {
-	for i := range r.Controllers() {
-		r.StartController(i)
-	}
-}
-
 // submission returns the body of a job's submission.
 func submission(t *testing.T, spec *jobs.Spec) []byte {
 	t.Helper()
@@ -201,6 +204,15 @@
 	return status, state
 }
 
+// wantAcceptedAt submits a user's job to one controller, which has to accept it.
+func (r *testCluster) wantAcceptedAt(controller int, user *testUser) {
+	r.t.Helper()
+	r.AddJob(user.spec)
+	if status, _ := r.submitAt(controller, user.spec); !isAcceptance(status) {
+		r.t.Errorf("%v, controller %d: status %d", r.Now(), controller, status)
+	}
+}
+
 // isAcceptance reports whether a status accepts a submission.
 func isAcceptance(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
@@ -208,12 +220,7 @@
 func TestDiamondStartsInOrder(t *testing.T) {
 	cluster := newPipelineCluster(t, 601)
 	for range 4 {
-		top := cluster.addUser()
-		left, right := cluster.addUser(top), cluster.addUser(top)
-		left.spec.Tasks = 3
-		right.spec.Kind = jobs.Gang
-		right.spec.Tasks = 2
-		cluster.addUser(left, right)
+		cluster.addDiamond()
 	}
 	cluster.submitAll()
 	cluster.KillLeaders(3, 12*time.Second)
@@ -346,7 +353,7 @@
 	cluster.OnCancelled(func() { cluster.KillLeaders(3, 9*time.Second) })
 	head.cancel()
 	cluster.Advance(jobs.Seconds(shortTimers.CancelS) + time.Second)
-	cluster.startAllControllers()
+	cluster.startControllers()
 	for _, user := range cluster.users {
 		cluster.Request(0, http.MethodGet, runsPath+"/"+user.spec.ID, nil, ignoreAnswer)
 		cluster.Advance(10 * time.Millisecond)
@@ -410,9 +417,7 @@
 			if pending := cluster.pendingJobs(); len(pending) > 0 {
 				t.Errorf("%d jobs are pending after cancel_s: %v", len(pending), pending)
 			}
-			for _, violation := range cluster.Violations() {
-				t.Error(violation)
-			}
+			reportViolations(t, cluster.Simulation)
 		})
 	}
 }
@@ -461,13 +466,10 @@
 	cluster.waitUntilAccepted(head)
 	head.cancel()
 	cluster.Advance(jobs.Seconds(shortTimers.CancelS) + time.Second)
-	for round := range 2 {
+	for range 2 {
 		for i := range cluster.Controllers() {
 			user := cluster.addUser(head)
-			cluster.AddJob(user.spec)
-			if status, _ := cluster.submitAt(i, user.spec); !isAcceptance(status) {
-				t.Errorf("round %d, controller %d: status %d", round, i, status)
-			}
+			cluster.wantAcceptedAt(i, user)
 			cluster.checkCancelledEverywhere(user)
 			user.submit() // again, and followed
 		}
@@ -515,10 +517,7 @@
 	cluster.Advance(8 * time.Second)
 	for i := range cluster.Controllers() {
 		user := cluster.addUser(head)
-		cluster.AddJob(user.spec)
-		if status, _ := cluster.submitAt(i, user.spec); !isAcceptance(status) {
-			t.Errorf("controller %d: status %d", i, status)
-		}
+		cluster.wantAcceptedAt(i, user)
 		user.submit() // again, and followed
 	}
 	cluster.waitUntilDone()
@@ -635,20 +634,13 @@
 			cluster.submitAll()
 			cluster.waitUntilAccepted(chain...)
 			leader := cluster.waitForLeader()
-			forOthers := func(on bool) {
-				for i := range cluster.Controllers() {
-					if i != leader {
-						set(cluster, i, on)
-					}
-				}
-			}
-			forOthers(true)
+			cluster.forOthers(leader, func(i int) { set(cluster, i, true) })
 			cluster.cancelAt(chain[0], leader)
 			limit := jobs.Seconds(shortTimers.CancelS)
 			for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(500 * time.Millisecond) {
 				cluster.askEverywhere(chain)
 			}
-			forOthers(false)
+			cluster.forOthers(leader, func(i int) { set(cluster, i, false) })
 			cluster.Advance(5 * time.Second)
 			cluster.checkCancelledEverywhere(chain...)
 			cluster.waitUntilDone()
@@ -703,14 +695,7 @@
 		cluster.submitWithoutUser(spec)
 	}
 	fresh := (cluster.waitForLeader() + 1) % cluster.Controllers()
-	forOthers := func(on bool) {
-		for i := range cluster.Controllers() {
-			if i != fresh {
-				cluster.StallWatches(i, on)
-			}
-		}
-	}
-	forOthers(true)
+	cluster.forOthers(fresh, func(i int) { cluster.StallWatches(i, true) })
 	cluster.OnCancelled(func() { cluster.KillController(fresh) })
 	cluster.CancelJob(head.ID, fresh)
 	successors := []*testUser{{spec: second}, {spec: third}}
@@ -721,8 +706,8 @@
 	if got := cluster.pendingJobs(); !slices.Equal(got, []string{second.ID, third.ID}) {
 		t.Errorf("%v are pending: no controller has stale state", got)
 	}
-	forOthers(false)
-	cluster.startAllControllers()
+	cluster.forOthers(fresh, func(i int) { cluster.StallWatches(i, false) })
+	cluster.startControllers()
 	cluster.Advance(8 * time.Second)
 	cluster.checkCancelledEverywhere(successors...)
 	cluster.waitUntilDone()
@@ -749,7 +734,7 @@
 	cluster.Advance(15 * time.Second)
 	cluster.DelayWrites(0, 0, 0)
 	cluster.LoseTxnAnswers(0)
-	cluster.startAllControllers()
+	cluster.startControllers()
 	cluster.waitUntilDone()
 }
 
@@ -896,7 +881,7 @@
 		t.Fatal("the first job has ended too soon to show anything")
 	}
 	for _, other := range others {
-		if _, started := cluster.FirstStart(other.spec.ID); !started {
+		if !cluster.hasStarted(other) {
 			t.Errorf("%s has not started beside blocked jobs", other.spec.ID)
 		}
 	}
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -49,16 +49,6 @@
 	}
 }
 
-// addDiamond adds the users of a job, of two that follow it and of one that follows these.
-func (r *testCluster) addDiamond() []*testUser {
-	head := r.addUser()
-	left, right := r.addUser(head), r.addUser(head)
-	left.spec.Tasks = 3
-	right.spec.Kind = jobs.Gang
-	right.spec.Tasks = 2
-	return []*testUser{head, left, right, r.addUser(left, right)}
-}
-
 // cancelledPipelineShare is the number of pipelines of which one is cancelled at its head.
 const cancelledPipelineShare = 3
 
@@ -148,7 +138,7 @@
 	r.DelayWrites(0, 0, 0)
 	r.LoseTxnAnswers(0)
 	r.DuplicateMessages(0, 0, 0)
-	r.startAllControllers()
+	r.startControllers()
 }
 
 // checkPipelines checks that the pipelines that were cancelled at their heads have one outcome, and that the others are
@@ -212,12 +202,10 @@
 	cluster.AddJob(follower.spec)
 	body := submission(t, follower.spec)
 	former := (cluster.waitForLeader() + 1) % cluster.Controllers()
-	for i := range cluster.Controllers() {
-		if i != former {
-			cluster.restart(i, rollout.Newest)
-			cluster.Advance(5 * time.Second)
-		}
-	}
+	cluster.forOthers(former, func(i int) {
+		cluster.restart(i, rollout.Newest)
+		cluster.Advance(5 * time.Second)
+	})
 	for range 10 {
 		for i := range cluster.Controllers() {
 			cluster.Request(i, http.MethodPost, runsPath, body, func(status int, _ []byte) {
@@ -335,18 +323,14 @@
 
 // killOthers kills all controllers but one.
 func (r *testCluster) killOthers(controller int) {
-	for i := range r.Controllers() {
-		if i != controller {
-			r.KillController(i)
-		}
-	}
+	r.forOthers(controller, func(i int) { r.KillController(i) })
 }
 
 // replaceFormer gives a controller of the former release the newest, and starts the others.
 func (r *testCluster) replaceFormer(former int, mistake formerReturn) {
 	startAll := func() {
 		r.SetRelease(former, rollout.Newest)
-		r.startAllControllers()
+		r.startControllers()
 	}
 	if mistake.kill {
 		r.KillController(former)
@@ -355,7 +339,7 @@
 	}
 	r.DrainController(former, startAll)
 	r.Advance(10 * time.Second)
-	r.startAllControllers()
+	r.startControllers()
 }
 
 // checkQuarantined asks all controllers about all jobs for a time, in which the former release answers 503 about jobs
