--- a/internal/jobs/blocks.go
+++ b/internal/jobs/blocks.go
@@ -1,58 +1,58 @@
 package jobs
 
-// blockJobs is the number of consecutive indices that share one allocation.
-const blockJobs = 256
+// jobsPerBlock is the number of consecutive indices in one block.
+const jobsPerBlock = 256
 
-// jobBlocks finds jobs by dense index. An index is never used twice, so whoever still holds the index of a job that
-// was removed never gets another job for it. A block is freed when its last job was removed; one nil pointer stays.
+// jobBlocks maps dense indices to jobs. An index is never reused, so a stale index of a removed job never refers to
+// another job. A block is freed when all its indices were assigned and its last job is removed; its nil pointer stays.
 type jobBlocks struct {
 	blocks []*jobBlock
 	next   Index
 }
 
-// jobBlock holds the jobs of blockJobs consecutive indices.
+// jobBlock holds the jobs of jobsPerBlock consecutive indices.
 type jobBlock struct {
-	jobs  [blockJobs]*Job
-	count int // of the jobs that are not nil
+	jobs  [jobsPerBlock]*Job
+	count int // number of jobs that are not nil
 }
 
 // add assigns the next index to a job and stores the job under it.
 func (b *jobBlocks) add(job *Job) {
 	job.Index = b.next
 	b.next++
-	if int(job.Index)/blockJobs == len(b.blocks) {
+	if int(job.Index)/jobsPerBlock == len(b.blocks) {
 		b.blocks = append(b.blocks, &jobBlock{})
 	}
-	block := b.blocks[job.Index/blockJobs]
-	block.jobs[job.Index%blockJobs] = job
+	block := b.blocks[job.Index/jobsPerBlock]
+	block.jobs[job.Index%jobsPerBlock] = job
 	block.count++
 }
 
-// at returns the job of an index, nil if it was removed or never was.
+// at returns the job with an index, or nil if the job was removed or the index was never assigned.
 func (b *jobBlocks) at(index Index) *Job {
 	if index < 0 || index >= b.next {
 		return nil
 	}
-	block := b.blocks[index/blockJobs]
+	block := b.blocks[index/jobsPerBlock]
 	if block == nil {
 		return nil
 	}
-	return block.jobs[index%blockJobs]
+	return block.jobs[index%jobsPerBlock]
 }
 
-// remove deletes a job that was added.
+// remove deletes a job. The job must be present.
 func (b *jobBlocks) remove(job *Job) {
-	number := int(job.Index) / blockJobs
-	block := b.blocks[number]
-	block.jobs[job.Index%blockJobs] = nil
+	blockIndex := int(job.Index) / jobsPerBlock
+	block := b.blocks[blockIndex]
+	block.jobs[job.Index%jobsPerBlock] = nil
 	block.count--
-	assignedAll := int(b.next) >= (number+1)*blockJobs
-	if assignedAll && block.count == 0 {
-		b.blocks[number] = nil
+	fullyAssigned := int(b.next) >= (blockIndex+1)*jobsPerBlock
+	if fullyAssigned && block.count == 0 {
+		b.blocks[blockIndex] = nil
 	}
 }
 
-// forEach calls visit for every job in the order of their indices; visit may remove the job.
+// forEach calls visit for every job in ascending order of index. visit may remove the job that it receives.
 func (b *jobBlocks) forEach(visit func(*Job)) {
 	for _, block := range b.blocks {
 		if block == nil {
--- a/internal/jobs/ended.go
+++ b/internal/jobs/ended.go
@@ -1,34 +1,34 @@
 package jobs
 
-// minRemoved is the number of removed jobs that the queue may list however short it is.
-const minRemoved = 64
+// minRemovedToCompact is the number of removed jobs below which the queue is not compacted.
+const minRemovedToCompact = 64
 
-// endedQueue lists terminal jobs in the order in which this controller learned of their ends. Jobs that were
-// removed from the table stay listed until they are at least half of the queue; so removing one costs constant time
-// on average.
+// endedQueue lists terminal jobs in the order in which this controller read their terminal records. A job that was
+// removed from the table stays listed until removed jobs make up at least half of the queue, so that the amortized cost
+// of a removal is constant.
 type endedQueue struct {
 	jobs    []*Job
-	removed int // of the listed jobs, how many were removed from the table
+	removed int // number of listed jobs that were removed from the table
 }
 
 func (q *endedQueue) add(job *Job) { q.jobs = append(q.jobs, job) }
 
-// markRemoved counts a listed job that is being removed from the table.
+// markRemoved records that a listed job is being removed from the table, and compacts the queue if necessary.
 func (q *endedQueue) markRemoved() {
 	q.removed++
-	if q.removed < minRemoved || q.removed < len(q.jobs)/2 {
+	if q.removed < minRemovedToCompact || q.removed < len(q.jobs)/2 {
 		return
 	}
 	q.compact()
 }
 
 func (q *endedQueue) compact() {
-	kept := make([]*Job, 0, len(q.jobs)-q.removed)
+	remaining := make([]*Job, 0, len(q.jobs)-q.removed)
 	for _, job := range q.jobs {
 		if !job.removed {
-			kept = append(kept, job)
+			remaining = append(remaining, job)
 		}
 	}
-	q.jobs = kept
+	q.jobs = remaining
 	q.removed = 0
 }
--- a/internal/jobs/errors.go
+++ b/internal/jobs/errors.go
@@ -2,23 +2,25 @@
 
 import "fmt"
 
-// UnknownStateError is the error for a stored record whose state has a name that this release doesn't know.
+// UnknownStateError is returned for a job state whose name this release doesn't support.
 type UnknownStateError struct{ Name string }
 
-// Error returns the message, which operators read among the records that can't be read.
-func (e *UnknownStateError) Error() string { return fmt.Sprintf("stance %q", e.Name) }
+// Error returns the message, which is shown to operators in the list of unreadable records.
+func (e *UnknownStateError) Error() string { return fmt.Sprintf("stance %q is unknown", e.Name) }
 
-// DamagedSegmentError is the error for a stored plan segment that contradicts itself or its job's number of tasks.
+// DamagedSegmentError is returned for a stored plan segment that is inconsistent, or doesn't match the job's number of
+// tasks.
 type DamagedSegmentError struct{ Reason string }
 
-// Error returns the message, which operators read among the records that can't be read.
+// Error returns the message, which is shown to operators in the list of unreadable records.
 func (e *DamagedSegmentError) Error() string { return e.Reason }
 
 func damagedSegment(format string, args ...any) error {
 	return &DamagedSegmentError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// TransitionError is the error for a change of a task's state that its state machine doesn't allow: a defect.
+// TransitionError is returned for a change of a task's state that the state machine doesn't allow. It indicates a
+// defect in the controller.
 type TransitionError struct {
 	Job      string
 	Task     int32
--- a/internal/jobs/idpacking.go
+++ b/internal/jobs/idpacking.go
@@ -11,29 +11,30 @@
 	"strings"
 )
 
-// Job ids in packed form: sorted by the number of their digits and then by their number, each run of ids with equally
-// many digits as that number of digits, how many ids there are, and the differences between them, as varints in
-// base64. The ids of a user's jobs are mostly near to one another and take two to three bytes each, so that a job with
-// hundreds of predecessors fits in one value of the state service.
+// The packed form of job ids is a sequence of unsigned varints, encoded in base64. The ids are sorted by their number
+// of digits and then by value. Each run of ids with the same number of digits is stored as that number of digits, the
+// number of ids, and the difference of each id from the one before. The ids of a user's jobs are mostly close to one
+// another and take two to three bytes each, so a job with hundreds of predecessors fits in one value of the state
+// service.
 
-// errPackedIDs is wrapped by every error about ids in packed form that can't be read.
-var errPackedIDs = errors.New("packed job ids can't be read")
+// errPackedIDs is wrapped by every error of unpackIDs.
+var errPackedIDs = errors.New("invalid packed job ids")
 
-// numberedID is a valid job id as numbers.
+// numberedID is a job id as the number of its digits and their value.
 type numberedID struct {
 	digits int
 	number uint64
 }
 
-// String returns the id as users write it.
+// String returns the id as users write it, with leading zeros.
 func (id numberedID) String() string { return fmt.Sprintf("%s%0*d", idPrefix, id.digits, id.number) }
 
-// packIDs returns the packed form of valid ids. Their order is not kept.
+// packIDs returns the packed form of ids, all of which must be valid. Their order is not preserved.
 func packIDs(ids []string) string {
 	numbered := make([]numberedID, len(ids))
 	for i, id := range ids {
 		digits := strings.TrimPrefix(id, idPrefix)
-		number, _ := strconv.ParseUint(digits, 10, 64) // 18 digits fit
+		number, _ := strconv.ParseUint(digits, 10, 64) // can't fail: maxIDDigits digits fit in 64 bits
 		numbered[i] = numberedID{len(digits), number}
 	}
 	slices.SortFunc(numbered, func(a, b numberedID) int {
@@ -51,19 +52,19 @@
 	return base64.RawStdEncoding.EncodeToString(packed)
 }
 
-// appendRun appends sorted ids with equally many digits.
+// appendRun appends a run of sorted ids that have the same number of digits.
 func appendRun(packed []byte, run []numberedID) []byte {
 	packed = binary.AppendUvarint(packed, uint64(run[0].digits))
 	packed = binary.AppendUvarint(packed, uint64(len(run)))
-	last := uint64(0)
+	previous := uint64(0)
 	for _, id := range run {
-		packed = binary.AppendUvarint(packed, id.number-last)
-		last = id.number
+		packed = binary.AppendUvarint(packed, id.number-previous)
+		previous = id.number
 	}
 	return packed
 }
 
-// unpackIDs reads the packed form. Its error wraps errPackedIDs.
+// unpackIDs returns the sorted ids of a packed form. Its error wraps errPackedIDs.
 func unpackIDs(text string) ([]string, error) {
 	packed, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
@@ -76,7 +77,7 @@
 		count := reader.next()
 		number := uint64(0)
 		if digits < 1 || digits > maxIDDigits {
-			return nil, fmt.Errorf("%w: an id of %d digits", errPackedIDs, digits)
+			return nil, fmt.Errorf("%w: number of digits %d is out of range", errPackedIDs, digits)
 		}
 		for ; count > 0 && !reader.failed; count-- {
 			number += reader.next()
@@ -84,18 +85,18 @@
 		}
 	}
 	if reader.failed {
-		return nil, fmt.Errorf("%w: cut off", errPackedIDs)
+		return nil, fmt.Errorf("%w: truncated or oversized varint", errPackedIDs)
 	}
 	return ids, nil
 }
 
-// varintReader reads unsigned varints one after the other.
+// varintReader reads a sequence of unsigned varints.
 type varintReader struct {
 	rest   []byte
-	failed bool // there was no complete varint
+	failed bool // set when the next varint was incomplete or exceeded 64 bits
 }
 
-// next returns the next varint, 0 if there is none.
+// next returns the next varint. If none can be read, it sets failed and returns 0.
 func (r *varintReader) next() uint64 {
 	value, length := binary.Uvarint(r.rest)
 	if length <= 0 {
--- a/internal/jobs/idpacking_test.go
+++ b/internal/jobs/idpacking_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Packed ids are the same ids again, leading zeros included, whatever their number of digits.
-func TestPackedIDsAreRead(t *testing.T) {
+// Unpacking restores the packed ids, including leading zeros, for any number of digits.
+func TestPackedIDsRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		var ids []string
@@ -24,7 +24,7 @@
 		slices.Sort(ids)
 		slices.Sort(unpacked)
 		if !slices.Equal(ids, unpacked) {
-			t.Fatalf("%v became %v", ids, unpacked)
+			t.Fatalf("packed %v, unpacked %v, want the same ids", ids, unpacked)
 		}
 	}
 }
@@ -37,23 +37,23 @@
 	return product
 }
 
-// 500 predecessors fit in a record of 2 KiB.
-func TestPackedIDsAreSmall(t *testing.T) {
+// The record of a job with 500 predecessors is at most 2 KiB long.
+func TestRecordWith500PredecessorsFitsIn2KiB(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	spec := &Spec{ID: "req-999999", Class: "class", Team: "team", Kind: Gang, Priority: "prod", Tasks: 4, CPUs: 1}
 	for len(spec.Follows) < 500 {
 		spec.Follows = append(spec.Follows, fmt.Sprintf("req-%06d", rng.IntN(200_000)))
 	}
 	if size := len(EncodeRecord(Pending, 1_700_000_000_000, 4, spec)); size > 2<<10 {
-		t.Errorf("a record with 500 predecessors takes %d bytes, want at most 2 KiB", size)
+		t.Errorf("record with 500 predecessors: got %d bytes, want at most 2 KiB", size)
 	}
 }
 
-// Damaged ids are an error, never other ids without notice of a cut.
-func TestDamagedPackedIDs(t *testing.T) {
+// Damaged packed ids, truncated ones included, yield an error.
+func TestUnpackIDsRejectsDamagedInput(t *testing.T) {
 	for _, text := range []string{"?", "AQ", "gA", packIDs([]string{"req-1", "req-2"})[:3], "EwEB"} {
 		if ids, err := unpackIDs(text); !errors.Is(err, errPackedIDs) {
-			t.Errorf("%q was read as %v with error %v", text, ids, err)
+			t.Errorf("unpackIDs(%q): got ids %v, error %v, want errPackedIDs", text, ids, err)
 		}
 	}
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -7,83 +7,86 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Index is a job's dense index on this controller. It is never reused.
+// Index is a job's dense index in this controller's Table. It is never reused.
 type Index int32
 
-// Job is one job as this controller has read it. It has tasks only on the controller that plans it.
+// Job is a job as this controller has read it from the state service. Only the controller that plans the job, the
+// leader, has its Tasks and Segments.
 type Job struct {
 	Index       Index
 	ID          string
 	Spec        *Spec // nil if the job was terminal when it was first read and its record has none
 	State       State
-	Version     uint64 // of its record
+	Version     uint64 // version of the job's record
 	TaskCount   int
 	SubmittedAt time.Duration
-	// ReleasedAt is when this controller learned that the last of its predecessors is done; 0: it has none, or not all
-	// are done.
+	// ReleasedAt is when this controller read that the last predecessor is done. It is 0 if the job has no predecessors
+	// or not all of them are done.
 	ReleasedAt time.Duration
-	// RoomSince is when its planner first found room for it while none of its tasks was on a machine; 0: that
-	// isn't the case.
+	// RoomSince is the time since when the job, with no task on a machine, could have started on free resources of the
+	// machines. It is 0 if the job could not start or has a task on a machine.
 	RoomSince time.Duration
 
 	Tasks        []Task
 	Segments     []*PlanSegment
-	TasksByState [Finished + 1]int // kept by SetTaskState
-	RunningTasks int               // tasks in phase Running or Saving, kept by SetTaskPhase
+	TasksByState [Finished + 1]int // number of tasks in each state; maintained by SetTaskState
+	RunningTasks int               // number of tasks in phase Running or Saving; maintained by SetTaskPhase
 
-	FinishedTasks   int // as far as this controller has learned
-	ReportedRunning int // running tasks as another controller reported them; for display only
+	FinishedTasks   int // number of finished tasks, which lags behind on a controller that isn't the leader
+	ReportedRunning int // number of running tasks as reported by the leader; for display only
 
-	GangAttempt   uint64        // of a gang's current start
-	GangStartedAt time.Duration // when that start was made
-	FetchS        float64       // the longest image fetch that the gang waits for, in seconds
-	// Priority is the highest of its own and of those of the live jobs that need it. A higher one is scheduled first.
+	GangAttempt   uint64        // attempt number of the gang's current start
+	GangStartedAt time.Duration // time of the gang's current start
+	FetchS        float64       // longest expected image fetch among the gang's machines, in seconds
+	// Priority is the maximum of the job's own priority level and those of the live jobs that depend on it. A job with a
+	// higher value is scheduled first.
 	Priority int
 
-	// Dense indices of the names in the specification.
+	// Class, Team and Image are the dense indices of the names in the specification.
 	Class, Team, Image int32
-	Zone               int32   // the only zone that may run it, or None
-	Types              []int32 // the only machine types that may run it; nil: all
-	// LicenceUnits is what each task holds of the licence pools. A unit of an undeclared pool keeps the job waiting.
+	Zone               int32   // index of the only zone that may run the job, or None for any zone
+	Types              []int32 // indices of the machine types that may run the job; nil for all types
+	// LicenceUnits lists the licence units that each task needs. A unit of an undeclared pool can't be granted, so the
+	// job doesn't start.
 	LicenceUnits []licences.Unit
-	// LicenceDenial is why its planner got no licence units for its waiting tasks.
+	// LicenceDenial is the reason for which licence units were last denied to the job's waiting tasks.
 	LicenceDenial licences.Denial
 
-	// TasksByZone counts, by dense zone, the tasks that may be on a machine there.
+	// TasksByZone maps the index of a zone to the number of tasks that may be on a machine in that zone.
 	TasksByZone map[int32]int
 
-	// AvoidedMachines holds the machines on which a task of the job failed, and until when they are avoided. Mostly
-	// the machine is at fault, but a job that crash-loops fails on all of them.
+	// AvoidedMachines maps the index of each machine on which a task of the job failed to the time until which the job
+	// avoids the machine. Usually the machine is at fault, but a job that crash-loops fails on every machine.
 	AvoidedMachines map[int32]time.Duration
 
-	// GangDone is set when a task of the gang is done, which means that all are.
+	// GangDone is set when one task of the gang is done. All others are done then too.
 	GangDone bool
 
-	// Suspended keeps its tasks off machines: it is a session that was reclaimed.
+	// Suspended is set while the job is a reclaimed interactive session. Its tasks are kept off machines.
 	Suspended bool
-	// Quarantined is set when something stored of the job can't be read. Nothing of it is planned or started, and
-	// users get no answer about it.
+	// Quarantined is set when a stored value of the job can't be read (its record, a plan segment or a session record),
+	// or when another leader archived the job. The job is not planned or started, and users get no answer about it.
 	Quarantined bool
 
-	// Blocked is set while a predecessor isn't known to be done. Nothing of the job is planned or started then.
+	// Blocked is set until all predecessors are known to be done. A blocked job is not planned or started.
 	Blocked bool
-	// Doomed is set when a predecessor, direct or not, is cancelled: the job is to be cancelled too.
+	// Doomed is set when a direct or indirect predecessor is cancelled. The job is to be cancelled too.
 	Doomed bool
 
-	FinalWriteInFlight bool // the terminal record is being written
-	Started            bool // a task was launched at least once
+	FinalWriteInFlight bool // set while the write of the terminal record is in flight
+	Started            bool // set when the first task of the job is launched
 
-	// QueuePosition is its place among the live jobs of its planner, from 1; 0: it has none.
+	// QueuePosition is the job's rank among the live jobs on the controller that plans them, from 1; 0 if unranked.
 	QueuePosition int
-	// EndedAt is when this controller learned that the job is terminal.
+	// EndedAt is when this controller read that the job is terminal.
 	EndedAt time.Duration
-	// Archived is set when its record has left the followed keys. It leaves the table once its planner holds
-	// nothing of it.
+	// Archived is set when the job's record was moved out of the followed keys while the job still had Tasks.
+	// ResetPlanning removes such a job from the table.
 	Archived bool
-	removed  bool // from the table
+	removed  bool // set once the job was removed from the table
 }
 
-// Allows reports whether the job may run on machines of a type in a zone, spot machines or others.
+// Allows reports whether the job may run on machines of a type in a zone. spot tells whether they are spot machines.
 func (j *Job) Allows(machineType, zone int32, spot bool) bool {
 	if j.Spec == nil {
 		return false
@@ -97,11 +100,11 @@
 	return j.Types == nil || slices.Contains(j.Types, machineType)
 }
 
-// ReadyAt returns since when nothing but room and its team's limit keeps its tasks from starting: its submission, or
-// the end of the last of its predecessors.
+// ReadyAt returns the time from which the job's tasks could start, resources and the team's limit permitting: its
+// submission or, if later, the end of its last predecessor.
 func (j *Job) ReadyAt() time.Duration { return max(j.SubmittedAt, j.ReleasedAt) }
 
-// Deadline returns when the job should be done; false if it has no deadline.
+// Deadline returns the time by which the job should be done. ok is false if the job has no deadline.
 func (j *Job) Deadline() (at time.Duration, ok bool) {
 	if j.Spec.DeadlineS == nil {
 		return 0, false
@@ -109,10 +112,10 @@
 	return j.SubmittedAt + Seconds(*j.Spec.DeadlineS), true
 }
 
-// Idle reports whether nothing of the job may be planned.
+// Idle reports whether the job must not be planned.
 func (j *Job) Idle() bool { return j.Suspended || j.Quarantined || j.Blocked }
 
-// resetPlanning drops all that only the job's planner holds.
+// resetPlanning clears the state that only the controller that plans the job has.
 func (j *Job) resetPlanning() {
 	j.Tasks = nil
 	j.Segments = nil
--- a/internal/jobs/names.go
+++ b/internal/jobs/names.go
@@ -6,42 +6,42 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Names maps the names of one kind to dense indices, which are never reused. Its zero value is empty and ready to
-// use.
+// Names maps the names of one kind, such as zones, to dense indices, which are never reused. The zero value is empty
+// and ready to use.
 type Names struct {
 	indices map[string]int32
 	names   []string
 }
 
-// Index returns a name's index; a new name gets the next one.
+// Index returns a name's index. It assigns the next free index to a new name.
 func (n *Names) Index(name string) int32 {
-	if index, known := n.indices[name]; known {
+	if index, found := n.indices[name]; found {
 		return index
 	}
 	if n.indices == nil {
 		n.indices = map[string]int32{}
 	}
 	index := int32(len(n.names))
-	name = strings.Clone(name) // it may be a part of a large message
+	name = strings.Clone(name) // the name may be a substring of a large message, which it would keep in memory
 	n.names = append(n.names, name)
 	n.indices[name] = index
 	return index
 }
 
-// Name returns the name of an index that Index returned.
+// Name returns the name with an index. The index must come from Index.
 func (n *Names) Name(index int32) string { return n.names[index] }
 
 // Len returns the number of names.
 func (n *Names) Len() int { return len(n.names) }
 
-// NameIndex holds the tables of all kinds of names that specifications use.
+// NameIndex holds the indices of all kinds of names in specifications.
 type NameIndex struct {
 	Classes, Teams, Images, Zones, Types Names
-	// Pools finds the licence pools by name.
+	// Pools is the catalog of the declared licence pools.
 	Pools *licences.Catalog
 }
 
-// assign sets a job's indices by the names in its specification.
+// assign sets a job's indices and licence units from the names in its specification.
 func (x *NameIndex) assign(job *Job) {
 	spec := job.Spec
 	job.Class = x.Classes.Index(spec.Class)
@@ -58,9 +58,9 @@
 	job.LicenceUnits = x.licenceUnits(spec)
 }
 
-// licenceUnits returns what each task of a job holds of the licence pools. A job that names a pool which isn't
-// declared here was accepted by a controller that declares it: it must not start here, so it needs a unit of no
-// pool.
+// licenceUnits returns the licence units that each task of a job needs. If a pool isn't declared in this controller's
+// settings, the job was accepted by a controller that declares the pool and must not start here: the result is one unit
+// of pool None, which can't be granted.
 func (x *NameIndex) licenceUnits(spec *Spec) []licences.Unit {
 	if len(spec.Licences) == 0 {
 		return nil
--- a/internal/jobs/plan_test.go
+++ b/internal/jobs/plan_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestIndeterminateWritesPreventStarts: a write that moves a task and was given up may still become durable. The
-// task must not start where the older plan has it, or the next owner would take the plan that became durable for
-// the truth. Once a later write of the key has an outcome, the earlier ones don't count any more.
-func TestIndeterminateWritesPreventStarts(t *testing.T) {
+// TestIsDurableWithOutstandingWrites guards against starting a task on a machine that an outstanding write may replace.
+// An abandoned write that moves a task may still become durable, and the next leader would follow that plan while the
+// task runs on the machine of the older plan. Once a later write of the key has an outcome, earlier writes don't count.
+func TestIsDurableWithOutstandingWrites(t *testing.T) {
 	job := &Job{ID: "req-000001", TaskCount: 2}
 	job.CreateTasks()
 	segment := job.Segments[0]
@@ -14,23 +14,24 @@
 		segment.DurableMachines[i] = 4
 	}
 	if !job.IsDurable(0) || !job.IsDurable(1) {
-		t.Fatal("a durable plan doesn't count")
+		t.Fatal("IsDurable is false for a task whose machine the stored plan names, want true")
 	}
 
 	segment.AddIndeterminate([]int32{7, 4})
 	if job.IsDurable(0) || !job.IsDurable(1) {
-		t.Errorf("an indeterminate write moves the first task: durable %v, %v", job.IsDurable(0), job.IsDurable(1))
+		t.Errorf("indeterminate write moves task 0: IsDurable of both tasks: got %v, %v, want false, true",
+			job.IsDurable(0), job.IsDurable(1))
 	}
 	job.Tasks[0].Machine = 7
 	if job.IsDurable(0) {
-		t.Error("a machine that only an indeterminate write names counts as durable")
+		t.Error("IsDurable is true for a machine that only an indeterminate write names, want false")
 	}
 
 	segment.AddIndeterminate([]int32{4, 9})
 	for _, machine := range []int32{4, 7} {
 		job.Tasks[0].Machine = machine
 		if job.IsDurable(0) {
-			t.Errorf("two indeterminate writes conflict, and machine %d counts as durable", machine)
+			t.Errorf("two indeterminate writes conflict: IsDurable is true for machine %d, want false", machine)
 		}
 	}
 
@@ -38,6 +39,7 @@
 	segment.InFlight = []int32{4, 5}
 	job.Tasks[0].Machine = 4
 	if !job.IsDurable(0) || job.IsDurable(1) {
-		t.Errorf("a write in flight moves the second task: durable %v, %v", job.IsDurable(0), job.IsDurable(1))
+		t.Errorf("write in flight moves task 1: IsDurable of both tasks: got %v, %v, want true, false",
+			job.IsDurable(0), job.IsDurable(1))
 	}
 }
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// State is a job's state as it is stored and as users see it. A job that users see as running is Pending here:
-// running is derived from its tasks and isn't stored.
+// State is a job's stored state. A job that is shown to users as running has the state Pending: whether it runs is
+// derived from its tasks and isn't stored.
 type State uint8
 
 // The states of a job.
@@ -27,10 +27,10 @@
 // String returns the state's name in records and answers.
 func (s State) String() string { return [...]string{"pending", "done", "cancelled"}[s] }
 
-// Terminal reports whether the state can't change any more.
+// Terminal reports whether the state is final.
 func (s State) Terminal() bool { return s != Pending }
 
-// ParseState returns the state of a name in records and answers. Its error is an *UnknownStateError.
+// ParseState returns the state with a name in records and answers. Its error is an *UnknownStateError.
 func ParseState(name string) (State, error) {
 	for _, state := range []State{Pending, Done, Cancelled} {
 		if name == state.String() {
@@ -42,23 +42,23 @@
 
 // The formats of job records.
 const (
-	// dependentRecordFormat is that of a pending job with predecessors; all others have format 1. A release that
-	// doesn't know it must not start the job, so it has a number of its own.
+	// dependentRecordFormat is the format of the record of a pending job with predecessors. All other records have
+	// format 1. The separate number keeps a release without support for predecessors from starting the job too early.
 	dependentRecordFormat = 2
 	// newestRecordFormat is the newest format that this release reads.
 	newestRecordFormat = dependentRecordFormat
 )
 
-// Record is a job as the state service stores it. That of a done job has no specification. That of a cancelled one
-// keeps it: its tasks may still be on machines when another controller takes over, and count against the team's limit
-// until they are gone.
+// Record is a job as the state service stores it. The record of a done job has no specification. The record of a
+// cancelled job keeps it: its tasks may still be on machines when another controller takes over, and count against the
+// team's limit until they are gone.
 type Record struct {
 	Format int       `json:"v,omitempty"` // 0 means 1
 	State  string    `json:"stance"`
-	AtMS   int64     `json:"at_ms,omitempty"` // submission, in wall-clock milliseconds
-	Tasks  int       `json:"n"`
+	AtMS   int64     `json:"at_ms,omitempty"` // time of submission, in wall-clock milliseconds
+	Tasks  int       `json:"n"`               // number of tasks
 	Spec   *WireSpec `json:"spec,omitempty"`
-	// Follows holds Spec.Follows, which is left out there, in packed form.
+	// Follows is the packed form of Spec.Follows, which itself is not stored.
 	Follows string `json:"follows,omitempty"`
 }
 
@@ -68,7 +68,7 @@
 // RecordKey returns the key of a job's record.
 func RecordKey(id string) string { return Prefix + id }
 
-// IDOfKey returns the id of the job whose record stands at a key, "" if the key isn't that of a job's record.
+// IDOfKey returns the id of the job whose record has the given key, or "" if the key isn't that of a job's record.
 func IDOfKey(key string) string {
 	id, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
@@ -77,7 +77,8 @@
 	return id
 }
 
-// EncodeRecord returns the stored form of a job's record. submittedAtMS is in wall-clock milliseconds.
+// EncodeRecord returns the stored form of a job's record. submittedAtMS is the time of submission, in wall-clock
+// milliseconds.
 func EncodeRecord(state State, submittedAtMS int64, tasks int, spec *Spec) json.RawMessage {
 	record := Record{State: state.String(), Tasks: tasks}
 	if state != Done {
@@ -88,11 +89,12 @@
 		record.Format = dependentRecordFormat
 		record.Follows = packIDs(spec.Follows)
 	}
-	raw, _ := json.Marshal(record) // it can't fail: a specification has no NaN and no infinity
+	raw, _ := json.Marshal(record) // can't fail: a specification has no NaN and no infinity
 	return raw
 }
 
-// storedSpec returns what a record keeps of a specification, nil for none. Predecessors are kept in packed form.
+// storedSpec returns the part of a specification that a record stores, nil if spec is nil. It omits the predecessors,
+// which Record.Follows holds.
 func storedSpec(state State, spec *Spec) *WireSpec {
 	if spec == nil {
 		return nil
@@ -100,15 +102,15 @@
 	stored := WireSpec(*spec)
 	stored.Follows = nil
 	if state == Cancelled {
-		// The resources of its tasks count until they are gone; where they might run doesn't matter any more. Without
-		// the list of machine types, the only part without a limit, the record fits into any value that the state
-		// service accepts.
+		// The tasks' resources count against limits until the tasks are gone, but the machine types that they may use
+		// don't matter any more. Without this list, the only part of unlimited size, the record fits into any value
+		// that the state service accepts.
 		stored.Types = nil
 	}
 	return &stored
 }
 
-// decodeRecord reads a stored record. It refuses formats that are newer than one.
+// decodeRecord decodes a stored record. For a format above newestFormat it returns a *rollout.NewerFormatError.
 func decodeRecord(raw json.RawMessage, newestFormat int) (Record, State, error) {
 	var record Record
 	if err := json.Unmarshal(raw, &record); err != nil {
@@ -122,7 +124,7 @@
 		return record, 0, err
 	}
 	if state == Pending && record.Spec == nil {
-		return record, 0, errors.New("pending record without a spec")
+		return record, 0, errors.New("record of a pending job has no spec")
 	}
 	if record.Follows == "" {
 		return record, state, nil
--- a/internal/jobs/segmentcodec.go
+++ b/internal/jobs/segmentcodec.go
@@ -12,21 +12,21 @@
 // newestSegmentFormat is the newest format of plan segments that this release reads.
 const newestSegmentFormat = 1
 
-// segmentRecord is a plan segment as it is stored.
+// segmentRecord is the stored form of a plan segment.
 type segmentRecord struct {
 	Format   int      `json:"v,omitempty"` // 0 means 1
-	Term     uint64   `json:"term"`        // in which it was written
+	Term     uint64   `json:"term"`        // term in which the record was written
 	Done     string   `json:"done"`        // bitmap of the finished tasks, in base64
-	Machines []string `json:"on"`          // each machine once, by name
-	// Runs is the machine of each task, run-length encoded as pairs of a number of tasks and an index in Machines, -1
-	// for none.
+	Machines []string `json:"on"`          // names of the machines, each once
+	// Runs is the run-length encoded machine of each task: pairs of a number of tasks and an index in Machines, or
+	// noMachine.
 	Runs []int32 `json:"runs"`
 }
 
-// noMachine is the index in segmentRecord.Runs of tasks without a machine.
+// noMachine is the entry in segmentRecord.Runs for tasks without a machine.
 const noMachine int32 = -1
 
-// appendTask adds the next task's machine, as an index in Machines, to the runs.
+// appendTask appends the next task's machine, as an index in Machines or noMachine, to Runs.
 func (r *segmentRecord) appendTask(machine int32) {
 	last := len(r.Runs)
 	if last > 0 && r.Runs[last-1] == machine {
@@ -36,9 +36,8 @@
 	r.Runs = append(r.Runs, 1, machine)
 }
 
-// EncodeSegment returns the stored form of a plan segment and the machines that it names, as DurableMachines will
-// have them once it is stored. name maps a machine's index to its name. Finished tasks have no machine in the
-// stored form.
+// EncodeSegment returns the stored form of a plan segment, and a snapshot: the value of DurableMachines once the stored
+// form is written. name maps a machine's index to its name. In the stored form finished tasks have no machine.
 func (j *Job) EncodeSegment(
 	segment *PlanSegment,
 	term uint64,
@@ -49,7 +48,7 @@
 	finished := make([]byte, bitmapBytes(count))
 	snapshot := make([]int32, count)
 	record := segmentRecord{Term: term}
-	recordIndices := map[int32]int32{} // machine to its index in record.Machines
+	recordIndices := map[int32]int32{} // maps a machine to its index in record.Machines
 	for i := range count {
 		task := &j.Tasks[first+i]
 		if task.State == Finished {
@@ -72,13 +71,14 @@
 		record.appendTask(index)
 	}
 	record.Done = base64.StdEncoding.EncodeToString(finished)
-	raw, _ := json.Marshal(record) // it has nothing that can't be encoded
+	raw, _ := json.Marshal(record) // can't fail: all field types are encodable
 	return raw, snapshot
 }
 
-// EncodeSegmentWithin is EncodeSegment with a limit in bytes. If not all fits, planned tasks are left out, the last
-// ones first: the value names no machine for them, so they don't start until a later write, after others have
-// ended, names one. It returns false if the tasks that were launched exceed the limit by themselves.
+// EncodeSegmentWithin is like EncodeSegment, but limits the size of the stored form to limit bytes. If the segment is
+// larger, the stored form names no machine for some of the planned tasks, the last ones first. These tasks can't start
+// until a later write, after other tasks have ended, names a machine for them. The last result is false if the stored
+// form exceeds the limit even without any planned task.
 func (j *Job) EncodeSegmentWithin(
 	segment *PlanSegment,
 	term uint64,
@@ -90,7 +90,7 @@
 		return raw, snapshot, true
 	}
 	planned := j.plannedTasks(segment)
-	// Leaving a task out saves its machine and at most adds one run, so the size falls as more are left out.
+	// Omitting a task saves its machine and adds at most one run, so the size falls with the number of omitted tasks.
 	omitted := sort.Search(len(planned)+1, func(n int) bool {
 		raw, _ := j.encodeWithout(segment, term, name, planned[len(planned)-n:])
 		return len(raw) <= limit
@@ -115,7 +115,7 @@
 	return planned
 }
 
-// encodeWithout encodes a segment as if some of its tasks had no machine.
+// encodeWithout encodes a segment as if the omitted tasks, given by index in the job, had no machine.
 func (j *Job) encodeWithout(
 	segment *PlanSegment,
 	term uint64,
@@ -134,8 +134,9 @@
 	return raw, snapshot
 }
 
-// DecodeSegment reads the stored form of a segment of n tasks and returns the machine of each task and whether it is
-// finished. index maps a machine's name to its index.
+// DecodeSegment decodes the stored form of a segment of n tasks. It returns the machine of each task, and whether the
+// task is finished. index maps a machine's name to its index. The error is a *rollout.NewerFormatError for a newer
+// format and a *DamagedSegmentError for inconsistent contents.
 func DecodeSegment(
 	raw json.RawMessage,
 	n int,
@@ -159,11 +160,11 @@
 	return machines, finished, nil
 }
 
-// decodeFinished returns the first n bits of the bitmap.
+// decodeFinished returns the first n bits of the bitmap: whether each task is finished.
 func (r *segmentRecord) decodeFinished(n int) ([]bool, error) {
 	bitmap, err := base64.StdEncoding.DecodeString(r.Done)
 	if err != nil {
-		return nil, fmt.Errorf("bitmap of %d bytes for %d tasks: %w", len(bitmap), n, err)
+		return nil, fmt.Errorf("bitmap of %d decoded bytes for %d tasks: %w", len(bitmap), n, err)
 	}
 	if len(bitmap) < bitmapBytes(n) {
 		return nil, damagedSegment("bitmap of %d bytes for %d tasks", len(bitmap), n)
@@ -175,7 +176,7 @@
 	return finished, nil
 }
 
-// decodeMachines expands the runs, which must cover n tasks.
+// decodeMachines returns the machine of each task from the runs, which must cover exactly n tasks.
 func (r *segmentRecord) decodeMachines(n int, index func(name string) int32) ([]int32, error) {
 	machines := make([]int32, 0, n)
 	for i := 0; i+1 < len(r.Runs); i += 2 {
@@ -183,7 +184,7 @@
 		machine := None
 		if recordIndex >= 0 {
 			if int(recordIndex) >= len(r.Machines) {
-				return nil, damagedSegment("run names machine %d of %d", recordIndex, len(r.Machines))
+				return nil, damagedSegment("run refers to machine %d, but the segment lists %d", recordIndex, len(r.Machines))
 			}
 			machine = index(r.Machines[recordIndex])
 		}
@@ -195,12 +196,12 @@
 		}
 	}
 	if len(machines) != n {
-		return nil, damagedSegment("runs cover %d of %d tasks", len(machines), n)
+		return nil, damagedSegment("runs cover only %d of %d tasks", len(machines), n)
 	}
 	return machines, nil
 }
 
-// bitmapBytes returns the size of a bitmap of n bits.
+// bitmapBytes returns the size of a bitmap of n bits, in bytes.
 func bitmapBytes(n int) int { return (n + 7) / 8 }
 
 func setBit(bitmap []byte, i int) { bitmap[i/8] |= 1 << (i % 8) }
--- a/internal/jobs/segmentcodec_test.go
+++ b/internal/jobs/segmentcodec_test.go
@@ -15,8 +15,9 @@
 	return machine
 }
 
-// TestSegmentsSurviveTheStore: a segment is read back as it was written, for random plans, and its value is small.
-func TestSegmentsSurviveTheStore(t *testing.T) {
+// TestSegmentEncodingRoundTrip encodes and decodes segments of random plans. The decoded segment equals the encoded
+// one, and the value is at most 8 KiB long.
+func TestSegmentEncodingRoundTrip(t *testing.T) {
 	const maxValueBytes = 8 << 10
 	rng := rand.New(rand.NewPCG(8, 8))
 	for range 300 {
@@ -36,7 +37,7 @@
 		for _, segment := range job.Segments {
 			raw, snapshot := job.EncodeSegment(segment, 7, machineName)
 			if len(raw) > maxValueBytes {
-				t.Fatalf("value of %d bytes", len(raw))
+				t.Fatalf("encoded segment: got %d bytes, want at most 8 KiB", len(raw))
 			}
 			checkDecoded(t, job, segment, raw, snapshot)
 			decodeDamaged(rng, raw, len(segment.DurableMachines))
@@ -54,15 +55,15 @@
 	for i := range machines {
 		task := job.Tasks[segment.Number*SegmentTasks+i]
 		if finished[i] != (task.State == Finished) || (!finished[i] && machines[i] != task.Machine) {
-			t.Fatalf("task %d: machine %d, finished %v, want %+v", i, machines[i], finished[i], task)
+			t.Fatalf("task %d: decoded machine %d, finished %v, want %+v", i, machines[i], finished[i], task)
 		}
 		if finished[i] != (snapshot[i] == DurablyDone) {
-			t.Fatalf("snapshot %d of task %d", snapshot[i], i)
+			t.Fatalf("got snapshot %d for task %d, want DurablyDone if and only if the task is finished", snapshot[i], i)
 		}
 	}
 }
 
-// decodeDamaged decodes a value with random bytes changed: it is refused or read, and never panics.
+// decodeDamaged decodes a value with random bytes changed. DecodeSegment may accept or reject it, but must not panic.
 func decodeDamaged(rng *rand.Rand, raw []byte, tasks int) {
 	for range 30 {
 		damaged := append([]byte(nil), raw...)
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestEncodeSegmentWithinKeepsLaunchedTasks: a value that is too small leaves planned tasks out, never one that was
-// launched; it names no machine for those left out, and keeps as many as fit.
+// TestEncodeSegmentWithinKeepsLaunchedTasks encodes random segments with a limit. The value names the machine of every
+// launched task, names no machine for omitted tasks, and omits none if the whole segment fits.
 func TestEncodeSegmentWithinKeepsLaunchedTasks(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -83,12 +84,13 @@
 		raw, snapshot, ok := job.EncodeSegmentWithin(segment, 7, machineName, limit)
 		if !ok {
 			if len(whole) <= limit || launched == 0 {
-				t.Fatalf("seed %d: nothing is written within %d bytes, %d tasks were launched", seed, limit, launched)
+				t.Fatalf("seed %d: got no value for a limit of %d bytes with %d launched tasks, want a value",
+					seed, limit, launched)
 			}
 			continue
 		}
 		if len(raw) > limit {
-			t.Fatalf("seed %d: %d bytes, and the limit is %d", seed, len(raw), limit)
+			t.Fatalf("seed %d: got %d bytes, want at most %d", seed, len(raw), limit)
 		}
 		machines, finished, err := DecodeSegment(raw, job.TaskCount, machineIndex)
 		if err != nil {
@@ -98,26 +100,26 @@
 		for i := range job.Tasks {
 			task := &job.Tasks[i]
 			if finished[i] != (task.State == Finished) || !finished[i] && snapshot[i] != machines[i] {
-				t.Fatalf("seed %d, task %d: machine %d, finished %v, snapshot %d",
+				t.Fatalf("seed %d, task %d: decoded machine %d, finished %v, snapshot %d: they contradict one another or the task",
 					seed, i, machines[i], finished[i], snapshot[i])
 			}
 			if task.State == OnMachine && machines[i] != task.Machine {
-				t.Fatalf("seed %d: task %d is on machine %d, and the value names %d", seed, i, task.Machine, machines[i])
+				t.Fatalf("seed %d: task %d is on machine %d, but the value names %d", seed, i, task.Machine, machines[i])
 			}
 			if task.State == Planned && machines[i] == None {
 				omitted++
 			}
 			if task.State == Planned && task.Machine == None {
-				t.Fatalf("seed %d: task %d has lost its machine", seed, i)
+				t.Fatalf("seed %d: planned task %d has no machine after encoding, want its machine restored", seed, i)
 			}
 		}
 		if len(whole) <= limit && omitted > 0 {
-			t.Fatalf("seed %d: %d tasks are left out of what fits", seed, omitted)
+			t.Fatalf("seed %d: got %d omitted tasks, want none, since the whole segment fits", seed, omitted)
 		}
 	}
 }
 
-// randomSegmentJob returns a job of one segment with tasks in random states, and how many of them are on machines.
+// randomSegmentJob returns a job of one segment with tasks in random states, and the number of tasks on machines.
 func randomSegmentJob(rng *rand.Rand) (job *Job, launched int) {
 	job = &Job{ID: "req-000001", TaskCount: 1 + rng.IntN(SegmentTasks)}
 	job.CreateTasks()
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -8,8 +8,8 @@
 	"math"
 )
 
-// WireSpec is a Spec with the protocol's field names. Submissions and stored records have this form; everything else
-// uses Spec. A WireSpec and a Spec convert into one another, as their fields are the same.
+// WireSpec is a Spec with the protocol's field names. Submissions and stored records have this form. A WireSpec and a
+// Spec can be converted to one another, since they have the same fields.
 type WireSpec struct {
 	ID          string         `json:"name_id"`
 	Class       string         `json:"breed"`
@@ -35,7 +35,7 @@
 	Follows     []string       `json:"follows,omitempty"`
 }
 
-// requiredFields lists the wire names of the fields that a submission must have, other than null.
+// requiredFields lists the wire names of the fields that must be present in a submission and not null.
 var requiredFields = []string{
 	"name_id", "breed", "warren", "gait", "urgency", "hops", "cpus", "accelerators",
 	"memory_gb", "pelt", "size_gb", "same_place", "apart", "stray", "stride_s", "rest_s", "stash_s",
@@ -49,17 +49,17 @@
 	maxAmount           = 1e9
 	maxLicencePools     = 8
 	maxLicencePoolBytes = 64
-	maxLicenceUnits     = 100_000 // of one pool, for each task
+	maxLicenceUnits     = 100_000 // units of one pool for each task
 )
 
-// ErrMalformed is wrapped by every error about a submission that can't be accepted as it is written.
+// ErrMalformed is wrapped by every error of ParseSpec.
 var ErrMalformed = errors.New("malformed job")
 
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrMalformed, fmt.Sprintf(format, args...))
 }
 
-// ParseSpec reads and checks a submission. Its error wraps ErrMalformed and names the field.
+// ParseSpec decodes and validates a submission. Its error wraps ErrMalformed and names the invalid field.
 func ParseSpec(body []byte) (*Spec, error) {
 	wire, err := decodeSubmission(body)
 	if err != nil {
@@ -74,22 +74,22 @@
 			return nil, err
 		}
 	}
-	spec.Follows = withoutRepeats(spec.Follows)
+	spec.Follows = withoutDuplicates(spec.Follows)
 	return spec, nil
 }
 
-// decodeSubmission reads a submission's JSON and checks that the required fields are there.
+// decodeSubmission decodes a submission's JSON and checks that the required fields are present.
 func decodeSubmission(body []byte) (*WireSpec, error) {
 	if len(body) > maxSubmissionBytes {
-		return nil, malformed("body over 64 KiB")
+		return nil, malformed("body is larger than 64 KiB")
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil || fields == nil {
-		return nil, malformed("not a JSON object")
+		return nil, malformed("body is not a JSON object")
 	}
 	for _, name := range requiredFields {
-		value, present := fields[name]
-		if !present || bytes.Equal(bytes.TrimSpace(value), []byte("null")) {
+		value, found := fields[name]
+		if !found || bytes.Equal(bytes.TrimSpace(value), []byte("null")) {
 			return nil, malformed("field %s is missing", name)
 		}
 	}
@@ -106,7 +106,7 @@
 
 func checkIdentity(spec *Spec) error {
 	if !ValidID(spec.ID) {
-		return malformed("name_id is not an id")
+		return malformed("name_id is not a valid job id")
 	}
 	if !spec.Kind.known() {
 		return malformed("gait %q is unknown", spec.Kind)
@@ -148,7 +148,7 @@
 	}
 	for _, machineType := range spec.Types {
 		if !validName(machineType) {
-			return malformed("builds names no machine type")
+			return malformed("builds has a machine type that is not 1 to 200 characters long")
 		}
 	}
 	return nil
@@ -187,7 +187,7 @@
 		validPool := pool != "" && len(pool) <= maxLicencePoolBytes
 		if !validPool || units < 1 || units > maxLicenceUnits {
 			return malformed(
-				"licences: a task holds 1 to %d seats of a named pool, not %d of %q",
+				"licences: a task must hold 1 to %d units of a named pool, not %d of %q",
 				maxLicenceUnits, units, pool,
 			)
 		}
@@ -202,32 +202,33 @@
 	return nil
 }
 
-// checkPredecessors checks the ids of the jobs that must be done before this one. Their number is bounded by the size
-// of a submission only.
+// checkPredecessors checks the ids of a job's predecessors. Their number is bounded only by the maximum size of a
+// submission.
 func checkPredecessors(spec *Spec) error {
 	for _, id := range spec.Follows {
 		if !ValidID(id) {
-			return malformed("follows: %q is not an id", id)
+			return malformed("follows: %q is not a valid job id", id)
 		}
 		if id == spec.ID {
-			return malformed("follows names the job itself")
+			return malformed("follows contains the id of the job itself")
 		}
 	}
 	return nil
 }
 
-// withoutRepeats returns the ids in their order, each once; nil if there are none.
-func withoutRepeats(ids []string) []string {
+// withoutDuplicates returns the distinct ids in the order of their first occurrence, nil if ids is empty. It overwrites
+// ids.
+func withoutDuplicates(ids []string) []string {
 	if len(ids) == 0 {
 		return nil
 	}
-	seen := make(map[string]bool, len(ids))
+	included := make(map[string]bool, len(ids))
 	distinct := ids[:0]
 	for _, id := range ids {
-		if seen[id] {
+		if included[id] {
 			continue
 		}
-		seen[id] = true
+		included[id] = true
 		distinct = append(distinct, id)
 	}
 	return distinct
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -12,17 +12,17 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// gangSubmission is a valid submission with a field that this release doesn't have.
+// gangSubmission is a valid submission with an unknown field, "new".
 const gangSubmission = `{"name_id":"req-000412","breed":"train","warren":"vision","gait":"gang","urgency":"urgent",` +
 	`"hops":16,"cpus":8.0,"accelerators":1.0,"memory_gb":64.0,"pelt":"img-07","size_gb":6.2,"builds":["g8"],` +
 	`"meadow":null,"same_place":true,"apart":false,"stray":true,"stride_s":240.0,"rest_s":30.0,"stash_s":4.0,` +
 	`"dusk_s":900.0,"new":[1]}`
 
-// withReplaced returns gangSubmission with a part of it replaced.
+// withReplaced returns gangSubmission with one occurrence of part replaced.
 func withReplaced(t *testing.T, part, replacement string) string {
 	t.Helper()
 	if !strings.Contains(gangSubmission, part) {
-		t.Fatalf("no %s in the submission", part)
+		t.Fatalf("gangSubmission does not contain %s", part)
 	}
 	return strings.Replace(gangSubmission, part, replacement, 1)
 }
@@ -43,66 +43,67 @@
 		t.Fatal(err)
 	}
 	if spec.Tasks != 16 || spec.Zone != nil || *spec.DeadlineS != 900 || spec.PriorityLevel() != 2 {
-		t.Fatalf("read as %+v", spec)
+		t.Fatalf("got %+v, want 16 tasks, no zone, deadline 900 and priority level 2", spec)
 	}
 	for _, tasks := range []int{1, 100_000} {
-		if read := gangSpec(t, tasks); read.Tasks != tasks {
-			t.Errorf("%d tasks read as %d", tasks, read.Tasks)
+		if resized := gangSpec(t, tasks); resized.Tasks != tasks {
+			t.Errorf("want %d tasks, got %d", tasks, resized.Tasks)
 		}
 	}
 }
 
-func TestParseSpecRefusesMalformedSubmissions(t *testing.T) {
-	const extension = `"new":[1]` // where fields that users may omit are put
+func TestParseSpecRejectsMalformedSubmissions(t *testing.T) {
+	const optionalFields = `"new":[1]` // replaced by optional fields
 	for name, body := range map[string]string{
-		"cut off":              `{"name_id":`,
-		"bytes after the end":  gangSubmission + "x",
-		"an array":             `[1]`,
-		"null":                 `null`,
-		"no id":                withReplaced(t, `"name_id":"req-000412",`, ""),
-		"a null field":         withReplaced(t, `"cpus":8.0`, `"cpus":null`),
-		"another form of id":   withReplaced(t, "req-000412", "job-000412"),
-		"a path as id":         withReplaced(t, "req-000412", "req-0/../x"),
-		"a string as a number": withReplaced(t, `"hops":16`, `"hops":"16"`),
-		"half a task":          withReplaced(t, `"hops":16`, `"hops":1.5`),
-		"no tasks":             withReplaced(t, `"hops":16`, `"hops":0`),
-		"too many tasks":       withReplaced(t, `"hops":16`, `"hops":100001`),
-		"a negative amount":    withReplaced(t, `"cpus":8.0`, `"cpus":-8.0`),
-		"an unknown kind":      withReplaced(t, `"gang"`, `"band"`),
-		"an unknown priority":  withReplaced(t, `"urgent"`, `"soon"`),
-		"a number as a bool":   withReplaced(t, `"stray":true`, `"stray":1`),
-		"no licence units":     withReplaced(t, extension, `"licences":{"p":0}`),
-		"half a licence unit":  withReplaced(t, extension, `"licences":{"p":1.5}`),
-		"an unnamed pool":      withReplaced(t, extension, `"licences":{"":1}`),
-		"a list of pools":      withReplaced(t, extension, `"licences":[1]`),
-		"too many units":       withReplaced(t, extension, `"licences":{"p":100001}`),
-		"too many pools": withReplaced(t, extension,
+		"truncated JSON":     `{"name_id":`,
+		"trailing bytes":     gangSubmission + "x",
+		"array":              `[1]`,
+		"null":               `null`,
+		"missing id":         withReplaced(t, `"name_id":"req-000412",`, ""),
+		"null field":         withReplaced(t, `"cpus":8.0`, `"cpus":null`),
+		"wrong id prefix":    withReplaced(t, "req-000412", "job-000412"),
+		"path as id":         withReplaced(t, "req-000412", "req-0/../x"),
+		"string as number":   withReplaced(t, `"hops":16`, `"hops":"16"`),
+		"fractional tasks":   withReplaced(t, `"hops":16`, `"hops":1.5`),
+		"zero tasks":         withReplaced(t, `"hops":16`, `"hops":0`),
+		"too many tasks":     withReplaced(t, `"hops":16`, `"hops":100001`),
+		"negative amount":    withReplaced(t, `"cpus":8.0`, `"cpus":-8.0`),
+		"unknown kind":       withReplaced(t, `"gang"`, `"band"`),
+		"unknown priority":   withReplaced(t, `"urgent"`, `"soon"`),
+		"number as bool":     withReplaced(t, `"stray":true`, `"stray":1`),
+		"zero licence units": withReplaced(t, optionalFields, `"licences":{"p":0}`),
+		"fractional units":   withReplaced(t, optionalFields, `"licences":{"p":1.5}`),
+		"empty pool name":    withReplaced(t, optionalFields, `"licences":{"":1}`),
+		"list of pools":      withReplaced(t, optionalFields, `"licences":[1]`),
+		"too many units":     withReplaced(t, optionalFields, `"licences":{"p":100001}`),
+		"too many pools": withReplaced(t, optionalFields,
 			`"licences":{"1":1,"2":1,"3":1,"4":1,"5":1,"6":1,"7":1,"8":1,"9":1}`),
-		"no machine types": withReplaced(t, `["g8"]`, `[]`),
-		"too large":        withReplaced(t, "vision", strings.Repeat("v", 64<<10)),
+		"empty machine types": withReplaced(t, `["g8"]`, `[]`),
+		"body too large":      withReplaced(t, "vision", strings.Repeat("v", 64<<10)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := ParseSpec([]byte(body)); !errors.Is(err, ErrMalformed) {
-				t.Errorf("error %v, want %v", err, ErrMalformed)
+				t.Errorf("got error %v, want %v", err, ErrMalformed)
 			}
 		})
 	}
 }
 
-// TestParseSpecNamesTheFirstFault: of several faults the same one is reported each time.
-func TestParseSpecNamesTheFirstFault(t *testing.T) {
+// TestParseSpecReportsFirstInvalidField checks that a submission with several faults always yields the same error.
+func TestParseSpecReportsFirstInvalidField(t *testing.T) {
 	faults := strings.NewReplacer(`"train"`, `""`, `"vision"`, `""`, `"img-07"`, `""`, `"cpus":8.0`, `"cpus":-1`)
 	body := []byte(faults.Replace(gangSubmission))
 	const want = "malformed job: breed must have 1 to 200 characters"
 	for range 50 {
 		if _, err := ParseSpec(body); err == nil || err.Error() != want {
-			t.Fatalf("error %v, want %s", err, want)
+			t.Fatalf("got error %v, want %s", err, want)
 		}
 	}
 }
 
-// TestParseSpecKeepsLimitsForAnySubmission changes random bytes: each submission is refused or within the limits.
-func TestParseSpecKeepsLimitsForAnySubmission(t *testing.T) {
+// TestParseSpecEnforcesLimitsOnRandomSubmissions changes random bytes of a submission. ParseSpec must reject it or
+// return a specification within the limits.
+func TestParseSpecEnforcesLimitsOnRandomSubmissions(t *testing.T) {
 	const submissions = 20_000
 	rng := rand.New(rand.NewPCG(5, 5))
 	accepted := 0
@@ -117,16 +118,16 @@
 		}
 		accepted++
 		if spec.Tasks < 1 || spec.Tasks > MaxTasks || !ValidID(spec.ID) || spec.CPUs < 0 || spec.MemoryGB < 0 {
-			t.Fatalf("accepted: %+v from %s", spec, raw)
+			t.Fatalf("accepted a specification outside the limits: %+v from %s", spec, raw)
 		}
 	}
 	if accepted == 0 || accepted == submissions {
-		t.Fatalf("%d of %d accepted: the test decides nothing", accepted, submissions)
+		t.Fatalf("accepted %d of %d submissions, want some accepted and some rejected", accepted, submissions)
 	}
 }
 
-// TestSpecIsJSONWithTheProtocolsNames: clients encode a Spec as a submission, and it is read back the same.
-func TestSpecIsJSONWithTheProtocolsNames(t *testing.T) {
+// TestSpecJSONUsesProtocolFieldNames checks that a Spec is encoded as a submission, and that decoding restores it.
+func TestSpecJSONUsesProtocolFieldNames(t *testing.T) {
 	spec := gangSpec(t, 16)
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -137,51 +138,53 @@
 		`"meadow":null,"same_place":true,"apart":false,"stray":true,"stride_s":240,"rest_s":30,"stash_s":4,` +
 		`"dusk_s":900}`
 	if string(raw) != want {
-		t.Errorf("encoded as %s", raw)
+		t.Errorf("got encoded spec %s, want the fields of the submission", raw)
 	}
 	var decoded Spec
 	if err := json.Unmarshal(raw, &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if again, _ := json.Marshal(decoded); string(again) != want {
-		t.Errorf("decoded and encoded as %s", again)
+		t.Errorf("got %s after decoding and encoding again, want the same JSON", again)
 	}
 }
 
-// TestRecordWithoutLicencesIsStoredAsBeforeLicences: the stored bytes are those of releases that had none.
-func TestRecordWithoutLicencesIsStoredAsBeforeLicences(t *testing.T) {
+// TestRecordWithoutLicencesKeepsStoredForm checks that the record of a job without licences has the same bytes as in
+// releases without licence support.
+func TestRecordWithoutLicencesKeepsStoredForm(t *testing.T) {
 	const want = `{"stance":"pending","at_ms":5,"n":16,"spec":{"name_id":"req-000412","breed":"train",` +
 		`"warren":"vision","gait":"gang","urgency":"urgent","hops":16,"cpus":8,"accelerators":1,"memory_gb":64,` +
 		`"pelt":"img-07","size_gb":6.2,"builds":["g8"],"meadow":null,"same_place":true,"apart":false,` +
 		`"stray":true,"stride_s":240,"rest_s":30,"stash_s":4,"dusk_s":900}}`
 	if raw := string(EncodeRecord(Pending, 5, 16, gangSpec(t, 16))); raw != want {
-		t.Fatalf("stored as %s", raw)
+		t.Fatalf("got record %s, want the form without licences", raw)
 	}
 }
 
-// TestLicencesOfAJob: a job keeps its licence units; where its pool isn't declared nothing of it can start.
-func TestLicencesOfAJob(t *testing.T) {
+// TestApplyResolvesLicencePools checks that a job gets its licence units. If its pool isn't declared, the job gets a
+// unit of pool None, which can't be granted.
+func TestApplyResolvesLicencePools(t *testing.T) {
 	spec, err := ParseSpec([]byte(withReplaced(t, `"new":[1]`, `"licences":{"p":2}`)))
 	if err != nil || spec.Licences["p"] != 2 {
-		t.Fatalf("%+v, %v", spec, err)
+		t.Fatalf("got spec %+v, error %v, want 2 units of pool p", spec, err)
 	}
 	record := EncodeRecord(Pending, 5, 16, spec)
 
 	table := NewTable(0)
 	job, _, err := table.Apply(spec.ID, record, 1)
 	if err != nil || len(job.LicenceUnits) != 1 || job.LicenceUnits[0].Pool != None {
-		t.Fatalf("units %v of an undeclared pool, %v", job.LicenceUnits, err)
+		t.Fatalf("undeclared pool: got units %v, error %v, want one unit of pool None", job.LicenceUnits, err)
 	}
 
 	table = NewTable(0)
 	table.Names.Pools = licences.NewCatalog([]*licences.Pool{{Name: "o"}, {Name: "p"}})
 	job, _, err = table.Apply(spec.ID, record, 1)
 	if err != nil || job.LicenceUnits[0] != (licences.Unit{Pool: 1, N: 2}) {
-		t.Fatalf("units %v, %v", job.LicenceUnits, err)
+		t.Fatalf("declared pool: got units %v, error %v, want 2 units of pool 1", job.LicenceUnits, err)
 	}
 }
 
-// A submission names its predecessors, each once; none may be omitted or null.
+// ParseSpec returns each predecessor once, in order of first occurrence. The field may be missing, null or empty.
 func TestParseSpecReadsPredecessors(t *testing.T) {
 	for follows, want := range map[string][]string{
 		`"new":[1]`:                             nil,
@@ -192,42 +195,43 @@
 	} {
 		spec, err := ParseSpec([]byte(withReplaced(t, `"new":[1]`, follows)))
 		if err != nil || !slices.Equal(spec.Follows, want) {
-			t.Errorf("%s read as %v with error %v, want %v", follows, spec.Follows, err, want)
+			t.Errorf("%s: got predecessors %v, error %v, want %v", follows, spec.Follows, err, want)
 		}
 	}
 }
 
-func TestParseSpecRefusesMalformedPredecessors(t *testing.T) {
+func TestParseSpecRejectsMalformedPredecessors(t *testing.T) {
 	for _, follows := range []string{`"req-000398"`, `{}`, `1`, `[398]`, `[null]`, `["job-1"]`, `["req-000412"]`} {
 		_, err := ParseSpec([]byte(withReplaced(t, `"new":[1]`, `"follows":`+follows)))
 		if !errors.Is(err, ErrMalformed) {
-			t.Errorf("follows %s: error %v", follows, err)
+			t.Errorf("follows %s: got error %v, want ErrMalformed", follows, err)
 		}
 	}
 }
 
-// The record of a pending job with predecessors keeps them, under a format that former releases refuse; that of a
-// terminal one needs none.
+// The record of a pending job with predecessors contains them, in a format that former releases reject. The record of a
+// cancelled job omits them.
 func TestRecordKeepsPredecessors(t *testing.T) {
 	spec := gangSpec(t, 2)
 	plain := EncodeRecord(Pending, 5, 2, spec)
 	spec.Follows = []string{"req-000398", "req-000405"}
 	record, state, err := decodeRecord(EncodeRecord(Pending, 5, 2, spec), newestRecordFormat)
 	if err != nil || state != Pending || record.Format != dependentRecordFormat {
-		t.Fatalf("format %d, state %v, error %v", record.Format, state, err)
+		t.Fatalf("pending: got format %d, state %v, error %v, want format 2 and no error", record.Format, state, err)
 	}
 	if !slices.Equal(record.Spec.Follows, spec.Follows) {
-		t.Errorf("predecessors read as %v", record.Spec.Follows)
+		t.Errorf("got predecessors %v, want those of the specification", record.Spec.Follows)
 	}
 	if len(spec.Follows) != 2 {
-		t.Error("encoding changed the specification")
+		t.Error("EncodeRecord changed the predecessors in the specification")
 	}
 	record, _, err = decodeRecord(EncodeRecord(Cancelled, 5, 2, spec), newestRecordFormat)
 	if err != nil || record.Format != 0 || record.Spec.Follows != nil {
-		t.Errorf("cancelled: format %d, predecessors %v, error %v", record.Format, record.Spec.Follows, err)
+		t.Errorf("cancelled: got format %d, predecessors %v, error %v, want format 0 and none",
+			record.Format, record.Spec.Follows, err)
 	}
 	spec.Follows = nil
 	if string(EncodeRecord(Pending, 5, 2, spec)) != string(plain) {
-		t.Error("a job without predecessors is stored in another form than before")
+		t.Error("record of a job with empty Follows differs from the record of a job that never had predecessors")
 	}
 }
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -10,23 +10,23 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Table holds all jobs of this controller. A job's state in it only goes forward.
+// Table holds all jobs that this controller has read. A job never goes back from a terminal state to Pending.
 type Table struct {
 	byID        map[string]*Job
 	byIndex     jobBlocks
 	live        map[Index]*Job
 	ended       endedQueue
 	liveTasks   int
-	epochWallMS int64 // wall clock at monotonic time 0, in milliseconds
+	epochWallMS int64 // wall-clock time at monotonic time 0, in milliseconds
 	// Names maps the names in specifications to dense indices.
 	Names *NameIndex
-	// unreadable holds the version of the newest record of each job for which that record can't be read.
+	// unreadable maps the id of each job whose newest record can't be read to the version of that record.
 	unreadable map[string]uint64
-	// newestFormat is the newest format of records that is read.
+	// newestFormat is the newest record format that the table accepts.
 	newestFormat int
 }
 
-// NewTable returns an empty table. epochMS is the wall clock at monotonic time 0, in milliseconds.
+// NewTable returns an empty table. epochMS is the wall-clock time at monotonic time 0, in milliseconds.
 func NewTable(epochMS int64) *Table {
 	return &Table{
 		byID:        map[string]*Job{},
@@ -39,17 +39,17 @@
 	}
 }
 
-// LimitFormat makes the table refuse records in newer formats than one, as that of a former release does.
+// LimitFormat makes the table reject records in formats above newest, as the table of a former release does.
 func (t *Table) LimitFormat(newest int) { t.newestFormat = min(newest, newestRecordFormat) }
 
-// ByIndex returns a job by its index, nil if it was removed. An index is never used for a second job.
+// ByIndex returns the job with an index, or nil if the job was removed. An index is never reused for another job.
 func (t *Table) ByIndex(index Index) *Job { return t.byIndex.at(index) }
 
-// Get returns a job by its id, or nil.
+// Get returns the job with an id, or nil.
 func (t *Table) Get(id string) *Job { return t.byID[id] }
 
-// IsUnreadable reports whether the newest record of a job can't be read: nothing may be done with the job or answered
-// about it.
+// IsUnreadable reports whether the newest record of a job can't be read. Such a job must not be changed, and requests
+// about it must not be answered.
 func (t *Table) IsUnreadable(id string) bool {
 	_, unreadable := t.unreadable[id]
 	return unreadable
@@ -67,7 +67,7 @@
 // LiveTasks returns the number of tasks of all jobs that are not terminal.
 func (t *Table) LiveTasks() int { return t.liveTasks }
 
-// ForEach calls visit for every job in the order of their indices.
+// ForEach calls visit for every job in ascending order of index.
 func (t *Table) ForEach(visit func(*Job)) { t.byIndex.forEach(visit) }
 
 // ForEachLive calls visit for every job that is not terminal, in no defined order.
@@ -77,11 +77,11 @@
 	}
 }
 
-// ForEachEnded calls visit for each terminal job whose end was learned at or before a time, the earliest first, until
-// visit returns false.
-func (t *Table) ForEachEnded(by time.Duration, visit func(*Job) bool) {
+// ForEachEnded calls visit for each terminal job whose EndedAt is at most latest, the earliest first, until visit
+// returns false. It skips archived jobs.
+func (t *Table) ForEachEnded(latest time.Duration, visit func(*Job) bool) {
 	for _, job := range t.ended.jobs {
-		if job.EndedAt > by {
+		if job.EndedAt > latest {
 			return
 		}
 		if job.removed || job.Archived {
@@ -93,12 +93,12 @@
 	}
 }
 
-// CancelledRecord returns the stored form of a job's record once it is cancelled.
+// CancelledRecord returns the stored form of the record that cancels a job.
 func (t *Table) CancelledRecord(job *Job) json.RawMessage {
 	return EncodeRecord(Cancelled, t.WallMS(job.SubmittedAt), job.TaskCount, job.Spec)
 }
 
-// WallMS converts a monotonic time to the wall clock, in milliseconds.
+// WallMS converts a monotonic time to wall-clock time, in milliseconds.
 func (t *Table) WallMS(now time.Duration) int64 { return t.epochWallMS + now.Milliseconds() }
 
 // MonotonicAt converts wall-clock milliseconds to a monotonic time.
@@ -106,9 +106,10 @@
 	return time.Duration(wallMS-t.epochWallMS) * time.Millisecond
 }
 
-// Apply takes a record that was read or committed. It returns the job, nil if there is none yet, and whether its
-// state is new here. An older version, which a read concurrent with the watch may bring, is ignored, and a terminal
-// state stays. The error is about a record that can't be read: its job is quarantined.
+// Apply applies a record that was read or committed. It returns the job, nil if the table doesn't contain the job, and
+// whether the job is new or its state has changed. Apply ignores a version that is not newer than the job's, since a
+// read concurrent with the watch may return an older one, and any record after a terminal one. If the record can't be
+// read, Apply quarantines the job and returns an error.
 func (t *Table) Apply(id string, raw json.RawMessage, version uint64) (*Job, bool, error) {
 	job := t.Get(id)
 	if job != nil && (version <= job.Version || job.State.Terminal()) {
@@ -138,7 +139,7 @@
 		job.Priority = job.Spec.PriorityLevel()
 		t.Names.assign(job)
 		job.SubmittedAt = t.MonotonicAt(record.AtMS)
-		// Until the dependency graph has found all predecessors done.
+		// The dependency graph clears Blocked once all predecessors are done.
 		job.Blocked = state == Pending && len(job.Spec.Follows) > 0
 	}
 	return job, true, nil
@@ -165,7 +166,7 @@
 	return job
 }
 
-// setState is the only place where a job's state changes.
+// setState sets a job's state and updates the table's live and ended jobs. All changes of a job's state go through it.
 func (t *Table) setState(job *Job, to State) {
 	job.State = to
 	_, wasLive := t.live[job.Index]
@@ -187,8 +188,8 @@
 	job.ReportedRunning = 0
 }
 
-// Archive takes note that a job's record has left the followed keys, at a version of its key. The job leaves the
-// table at once, or at the end of the term if its planner still holds something of it.
+// Archive records that a job's record was moved out of the followed keys, at the given version of its key. The job is
+// removed from the table at once, or by ResetPlanning if it has Tasks.
 func (t *Table) Archive(id string, version uint64) {
 	delete(t.unreadable, id)
 	job := t.Get(id)
@@ -198,8 +199,8 @@
 	t.archive(job)
 }
 
-// Retain takes a new listing of all records, complete up to a version: jobs with a version up to that one that the
-// listing lacks have been archived meanwhile.
+// Retain archives the jobs that are missing from a listing of all records at the given version: jobs of that version or
+// older for which present returns false.
 func (t *Table) Retain(version uint64, present func(id string) bool) {
 	t.ForEach(func(job *Job) {
 		if job.Version <= version && !present(job.ID) {
@@ -213,14 +214,14 @@
 		t.remove(job)
 		return
 	}
-	// Only the leader archives, and only jobs of which it holds nothing. So another controller leads by now, and
-	// this one is behind: it must not plan or start anything more of the job.
+	// Only the leader archives jobs, and only those for which it has no tasks. So another controller is the leader by
+	// now, and this controller hasn't detected that yet: it must not plan or start the job any more.
 	job.Archived = true
 	job.Quarantined = true
 }
 
-// ResetPlanning drops what only the planner of the jobs holds, after this controller has lost the lead, and
-// removes the archived jobs that were kept for it.
+// ResetPlanning clears the state that only the leader has, after this controller has lost leadership, and removes the
+// archived jobs that are still in the table.
 func (t *Table) ResetPlanning() {
 	t.ForEach(func(job *Job) {
 		job.resetPlanning()
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -9,8 +9,9 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// TestJobStateOnlyGoesForward applies the versions of a record in random orders.
-func TestJobStateOnlyGoesForward(t *testing.T) {
+// TestApplyKeepsNewestVersion applies the versions of a record in random order. The job has the state of the newest
+// version applied so far.
+func TestApplyKeepsNewestVersion(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	spec := gangSpec(t, 2)
 	records := []struct {
@@ -32,20 +33,20 @@
 			newest = max(newest, i)
 			want := records[newest]
 			if job := table.Get(spec.ID); job.State != want.state || job.Version != want.version {
-				t.Fatalf("%v at version %d, want %v at %d", job.State, job.Version, want.state, want.version)
+				t.Fatalf("got state %v at version %d, want %v at %d", job.State, job.Version, want.state, want.version)
 			}
 		}
 		live := 0
 		table.ForEachLive(func(*Job) { live++ })
 		if live != 0 {
-			t.Fatal("a cancelled job is live")
+			t.Fatal("ForEachLive visits the cancelled job")
 		}
 	}
 }
 
-// TestTableOfFormerReleaseQuarantinesNewerFormat applies the record of a job with predecessors to a table that reads
-// format 1 only, and one in format 1 to the same job afterwards.
-func TestTableOfFormerReleaseQuarantinesNewerFormat(t *testing.T) {
+// TestLimitFormatRejectsNewerRecords applies the record of a job with predecessors, in format 2, to a table that
+// accepts only format 1. The record is rejected. A later record of the same job in format 1 is accepted.
+func TestLimitFormatRejectsNewerRecords(t *testing.T) {
 	spec := gangSpec(t, 2)
 	ended := EncodeRecord(Cancelled, 5, 2, spec)
 	spec.Follows = []string{"req-000009"}
@@ -54,10 +55,10 @@
 	job, _, err := table.Apply(spec.ID, EncodeRecord(Pending, 5, 2, spec), 3)
 	var newer *rollout.NewerFormatError
 	if !errors.As(err, &newer) || newer.Format != dependentRecordFormat || job != nil || !table.IsUnreadable(spec.ID) {
-		t.Errorf("job %v, error %v: format %d was read", job, err, dependentRecordFormat)
+		t.Errorf("got job %v, error %v, want no job and a NewerFormatError for format %d", job, err, dependentRecordFormat)
 	}
 	job, _, err = table.Apply(spec.ID, ended, 4)
 	if err != nil || job.State != Cancelled || table.IsUnreadable(spec.ID) {
-		t.Errorf("job %+v, error %v: format 1 was not read", job, err)
+		t.Errorf("record in format 1: got job %+v, error %v, want a readable cancelled job", job, err)
 	}
 }
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TaskState is a task's state as its planner sees it.
+// TaskState is a task's state on the controller that plans it.
 type TaskState uint8
 
 // The states of a task.
 //
 //	Unplanned -> Planned                         a plan names its machine
-//	Planned -> Unplanned                         planned elsewhere, or its machine is gone
+//	Planned -> Unplanned                         the plan was dropped, or the machine is gone
 //	Planned -> Launched                          a launch was sent, after the plan became durable
 //	Unplanned -> Recovered                       a durable plan of an earlier term names its machine, and no heartbeat
 //	                                             at this term's fencing token has confirmed or denied it yet
-//	Launched, Recovered -> OnMachine             a heartbeat lists it
-//	Launched, Recovered, OnMachine -> Unplanned  proven not to be on the machine any more
-//	any -> Finished                              a heartbeat reports it done, or the durable bitmap has it
+//	Launched, Recovered -> OnMachine             a heartbeat lists the task
+//	Launched, Recovered, OnMachine -> Unplanned  the task is proven not to be on the machine any more
+//	any -> Finished                              a heartbeat reports the task done, or the durable bitmap does
 const (
 	Unplanned TaskState = iota
 	Planned
@@ -35,38 +35,38 @@
 // Occupies reports whether a task in this state counts as being on its machine.
 func (s TaskState) Occupies() bool { return s == Launched || s == Recovered || s == OnMachine }
 
-// Phase is how far a task on a machine has come, as the machine's heartbeats report it.
+// Phase is the progress of a task on a machine, as reported in the machine's heartbeats.
 type Phase uint8
 
 // The phases of a task.
 const (
 	NoPhase  Phase = iota
-	Fetching       // its image is being fetched
-	Waiting        // for the other tasks of its gang
+	Fetching       // the task's image is being fetched
+	Waiting        // the task waits for the other tasks of its gang
 	Running
 	Saving // a checkpoint is being written
 )
 
-// None is the machine of a task that has none.
+// None is the index that stands for no machine, machine type, zone or licence pool.
 const None int32 = -1
 
-// Task is one task of a job that this controller plans.
+// Task is a task of a job that this controller plans.
 type Task struct {
 	State               TaskState
 	Phase               Phase
-	Stopping            bool // a stop was sent or is due
-	LaunchIndeterminate bool // a direct launch without an answer may still arrive
-	Done                bool // known to be done, while an attempt may still be on a machine
+	Stopping            bool // the task is to be stopped, whether or not the stop was sent
+	LaunchIndeterminate bool // a direct launch request without a response may still reach the machine
+	Done                bool // the task is known to be done, though an attempt may still be on a machine
 	Failures            uint8
-	Machine             int32
-	Attempt             uint64
+	Machine             int32  // index of the planned or current machine, or None
+	Attempt             uint64 // number of the attempt on a machine; 0 if there is none
 	LaunchedAt          time.Duration
-	RunningSince        time.Duration // first reported in phase Running
-	NotBefore           time.Duration // the earliest time of its next start
-	StopSentAt          time.Duration // when the last stop was sent
+	RunningSince        time.Duration // time of the first report in phase Running
+	NotBefore           time.Duration // earliest time of the next start
+	StopSentAt          time.Duration // time at which the last stop was sent
 }
 
-// taskTransitions lists the allowed transitions; an attempt at any other is a defect.
+// taskTransitions lists the states that may follow each state. Any other transition indicates a defect.
 var taskTransitions = map[TaskState][]TaskState{
 	Unplanned: {Planned, Recovered, OnMachine, Finished},
 	Planned:   {Unplanned, Planned, Launched, OnMachine, Finished},
@@ -76,7 +76,8 @@
 	Finished:  {},
 }
 
-// SetTaskState is the only place where a task's state changes. It refuses transitions that are not allowed.
+// SetTaskState sets a task's state and updates the counts that depend on it. All changes of a task's state go through
+// it. It returns a *TransitionError and changes nothing if taskTransitions doesn't list the transition.
 func (j *Job) SetTaskState(taskIndex int32, to TaskState) error {
 	task := &j.Tasks[taskIndex]
 	if !slices.Contains(taskTransitions[task.State], to) {
@@ -84,7 +85,7 @@
 	}
 	switch to {
 	case Planned:
-		task.Stopping = false // the stop was meant for an earlier start
+		task.Stopping = false // the stop was for an earlier start
 	case Unplanned:
 		j.leaveMachine(taskIndex)
 		task.Machine = None
@@ -99,7 +100,7 @@
 	return nil
 }
 
-// leaveMachine clears what belongs to a task's attempt on a machine.
+// leaveMachine clears the fields that describe a task's attempt on a machine.
 func (j *Job) leaveMachine(taskIndex int32) {
 	j.SetTaskPhase(taskIndex, NoPhase)
 	task := &j.Tasks[taskIndex]
@@ -108,7 +109,7 @@
 	task.Attempt = 0
 }
 
-// SetTaskPhase is the only place where a task's phase changes.
+// SetTaskPhase sets a task's phase and updates RunningTasks. All changes of a task's phase go through it.
 func (j *Job) SetTaskPhase(taskIndex int32, to Phase) {
 	task := &j.Tasks[taskIndex]
 	if task.Phase >= Running {
@@ -120,7 +121,8 @@
 	task.Phase = to
 }
 
-// CreateTasks creates a job's tasks and plan segments, all tasks unplanned. It does nothing if there are tasks already.
+// CreateTasks creates a job's tasks, all of them unplanned, and its plan segments. It does nothing if the job has tasks
+// already.
 func (j *Job) CreateTasks() {
 	if j.Tasks != nil {
 		return
@@ -138,10 +140,10 @@
 	j.TasksByState = [Finished + 1]int{Unplanned: j.TaskCount}
 }
 
-// UnstartedTasks returns the number of tasks that are not started.
+// UnstartedTasks returns the number of tasks in state Unplanned or Planned.
 func (j *Job) UnstartedTasks() int { return j.TasksByState[Unplanned] + j.TasksByState[Planned] }
 
-// TasksOnMachines returns the number of tasks that count as being on a machine.
+// TasksOnMachines returns the number of tasks that count as being on a machine (see TaskState.Occupies).
 func (j *Job) TasksOnMachines() int {
 	return j.TasksByState[Launched] + j.TasksByState[Recovered] + j.TasksByState[OnMachine]
 }
--- a/internal/jobs/task_test.go
+++ b/internal/jobs/task_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// TestTaskTransitionsAreGuarded: only the listed transitions of a task's state are possible.
-func TestTaskTransitionsAreGuarded(t *testing.T) {
+// TestSetTaskStateRejectsInvalidTransitions checks transitions that are allowed and some that are not.
+func TestSetTaskStateRejectsInvalidTransitions(t *testing.T) {
 	job := &Job{ID: "req-000001", TaskCount: 1, Spec: gangSpec(t, 1), TasksByZone: map[int32]int{}}
 	job.CreateTasks()
 	if job.SetTaskState(0, Launched) == nil {
-		t.Fatal("an unplanned task was launched")
+		t.Fatal("SetTaskState from unplanned to launched: got no error, want one")
 	}
 	if err := job.SetTaskState(0, OnMachine); err != nil {
 		t.Fatal(err)
@@ -17,7 +17,7 @@
 	}
 	for state := Unplanned; state <= Finished; state++ {
 		if job.SetTaskState(0, state) == nil {
-			t.Fatalf("a finished task became %v", state)
+			t.Fatalf("SetTaskState from finished to %v: got no error, want one", state)
 		}
 	}
 }
