--- a/internal/planner/balance.go
+++ b/internal/planner/balance.go
@@ -2,56 +2,57 @@
 
 import "container/heap"
 
-// Balance returns a balanced allocation in which every task runs on a server that it prefers (Algorithm 1). It
-// places the tasks one by one, each along an augmenting path that begins at the least-loaded server.
+// Balance returns a balanced allocation in which every task runs on a server that it prefers (Algorithm 1). It places
+// the tasks one by one, each along an augmenting path that begins at the least-loaded server from which there is one.
 func Balance(p *Problem) *Allocation {
 	b := newBalancer(p)
 	for range b.tasksToPlace() {
 		root, group, found := b.findPath()
 		if !found {
-			break // Doesn't happen: every task that is left prefers some server.
+			break // unreachable: every remaining task prefers some server
 		}
 		b.augment(root, group)
 	}
 	return b.allocation()
 }
 
-// preference is an edge of the flow network as a server sees it: a group that prefers the server, and the server's
-// position in the group's PreferredServers.
+// preference is an edge of the flow network from a server: a group that prefers the server, and the server's position
+// in the group's PreferredServers.
 type preference struct{ group, position int32 }
 
-// arrival is how a search reached a group: from a server, whose position in the group's PreferredServers goes with it.
-type arrival struct{ server, position int32 }
+// serverEdge is an edge of the flow network to a group: a server, and its position in the group's PreferredServers.
+type serverEdge struct{ server, position int32 }
 
-// balancer is the state of one run of Balance. The tasks of a group are interchangeable, so it counts them by
-// server, and only the result lists them.
+// balancer is the state of one run of Balance. The tasks of a group are interchangeable, so balancer only counts them
+// by server; allocation assigns the individual tasks.
 type balancer struct {
 	problem *Problem
-	// loads and taskCounts are each server's load and number of tasks so far.
+	// loads and taskCounts are the current load and number of tasks of each server.
 	loads      []float64
 	taskCounts []int32
-	// placed counts the tasks of a group by the server's position in its PreferredServers; waiting counts those without
-	// a server.
+	// placed is the number of placed tasks of each group by the server's position in its PreferredServers. waiting is
+	// the number of tasks of each group that are not placed yet.
 	placed  [][]int32
 	waiting []int32
-	// preferences are the edges of each server.
+	// preferences are the edges from each server.
 	preferences [][]preference
-	// candidates are the servers at which a path may begin: those that some task prefers, the least loaded first.
+	// candidates are the servers at which a path may begin: servers that some task prefers, the least loaded first.
 	candidates *loadHeap
 	search     pathSearch
 }
 
-// pathSearch is the state of the search for one augmenting path. Its slices are reused for the next one: what an
-// earlier round visited counts as not visited.
+// pathSearch is the state of the search for one augmenting path, a round. Its slices are reused in the next round: a
+// server or group is visited only if its round equals the current one.
 type pathSearch struct {
-	round int
-	// serverRound and groupRound are the last round that visited the server or group.
+	round int // number of the current round, from 1
+	// serverRound and groupRound are the last rounds in which each server or group was visited.
 	serverRound []int
 	groupRound  []int
-	// groupFrom and serverFrom are how this round reached a group, and through which group's task a server.
-	groupFrom  []arrival
-	serverFrom []preference
-	// roots are the servers that were taken from the candidates, queue the servers to look at.
+	// groupParents is the edge by which this round reached each group, serverParents the edge by which it reached each
+	// server.
+	groupParents  []serverEdge
+	serverParents []preference
+	// roots are the servers that this round removed from the candidates. queue holds the servers to expand.
 	roots []int32
 	queue []int32
 }
@@ -66,10 +67,10 @@
 		waiting:     make([]int32, groups),
 		preferences: make([][]preference, servers),
 		search: pathSearch{
-			serverRound: make([]int, servers),
-			groupRound:  make([]int, groups),
-			groupFrom:   make([]arrival, groups),
-			serverFrom:  make([]preference, servers),
+			serverRound:   make([]int, servers),
+			groupRound:    make([]int, groups),
+			groupParents:  make([]serverEdge, groups),
+			serverParents: make([]preference, servers),
 		},
 	}
 	for g := range p.Groups {
@@ -98,9 +99,9 @@
 	return total
 }
 
-// findPath looks for an augmenting path from the least-loaded server from which there is one. It returns the path's
-// root, and the group at its end, which has a task without a server. The roots that were tried leave the candidates
-// until augment puts them back.
+// findPath searches for an augmenting path from the least-loaded server from which there is one. It returns the path's
+// root, and the group at its end, which has a task that is not placed. findPath removes all roots that it tries from
+// the candidates; augment puts them back.
 func (b *balancer) findPath() (root, group int32, found bool) {
 	b.search.round++
 	b.search.roots = b.search.roots[:0]
@@ -117,7 +118,7 @@
 	return 0, 0, false
 }
 
-// searchFrom searches the flow network from a root, breadth first, for a group that has a task without a server.
+// searchFrom searches the flow network breadth first, from a root, for a group with a task that is not placed.
 func (b *balancer) searchFrom(root int32) (group int32, found bool) {
 	s := &b.search
 	s.serverRound[root] = s.round
@@ -129,7 +130,7 @@
 				continue
 			}
 			s.groupRound[edge.group] = s.round
-			s.groupFrom[edge.group] = arrival{server, edge.position}
+			s.groupParents[edge.group] = serverEdge{server, edge.position}
 			if b.waiting[edge.group] > 0 {
 				return edge.group, true
 			}
@@ -139,33 +140,33 @@
 	return 0, false
 }
 
-// enqueueServersOf adds the servers that have a task of the group and could give it away.
+// enqueueServersOf adds the unvisited servers that have a task of the group to the queue: such a task can be moved.
 func (b *balancer) enqueueServersOf(group int32) {
 	s := &b.search
-	prefer := b.problem.Groups[group].PreferredServers
+	preferred := b.problem.Groups[group].PreferredServers
 	for position, count := range b.placed[group] {
-		server := prefer[position]
+		server := preferred[position]
 		if count > 0 && s.serverRound[server] != s.round {
 			s.serverRound[server] = s.round
-			s.serverFrom[server] = preference{group, int32(position)}
+			s.serverParents[server] = preference{group, int32(position)}
 			s.queue = append(s.queue, server)
 		}
 	}
 }
 
-// augment places a task of the group at the end of the path that findPath returned. Each server on the path takes a
-// task, and all but the root give one away: only the root's load rises.
+// augment places a task of the group at the end of the path that findPath returned. Each server on the path receives a
+// task, and each but the root gives up one, so that only the root's load increases.
 func (b *balancer) augment(root, group int32) {
 	b.waiting[group]--
 	for {
-		reached := b.search.groupFrom[group]
+		reached := b.search.groupParents[group]
 		b.placed[group][reached.position]++
 		if reached.server == root {
 			break
 		}
-		given := b.search.serverFrom[reached.server]
-		b.placed[given.group][given.position]--
-		group = given.group
+		moved := b.search.serverParents[reached.server]
+		b.placed[moved.group][moved.position]--
+		group = moved.group
 	}
 	b.loads[root] += b.problem.LocalCost
 	b.taskCounts[root]++
@@ -174,7 +175,7 @@
 	}
 }
 
-// allocation lists the server of each task.
+// allocation returns the allocation that results from the counts in placed.
 func (b *balancer) allocation() *Allocation {
 	groups := b.problem.Groups
 	a := &Allocation{Server: make([][]int32, len(groups)), Remote: make([][]bool, len(groups))}
@@ -190,7 +191,8 @@
 	return a
 }
 
-// serversOfGroup lists the servers of a group's tasks in the order of its PreferredServers, then the tasks without one.
+// serversOfGroup returns the servers of a group's tasks, in the order of its PreferredServers and followed by unplaced
+// for each remaining task.
 func (b *balancer) serversOfGroup(g int) []int32 {
 	group := &b.problem.Groups[g]
 	servers := make([]int32, 0, len(group.Tasks))
--- a/internal/planner/balance_test.go
+++ b/internal/planner/balance_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Example 3: the third task is placed by an augmenting path that moves two others.
+// Example 3 of the paper: the third task is placed by an augmenting path that moves the other two.
 func TestPaperExample3AugmentingPath(t *testing.T) {
 	p := &Problem{
 		InitialLoads: []float64{3.1, 2.2, 1.9},
@@ -22,31 +22,32 @@
 	want := []int32{1, 2, 2}
 	for group, server := range want {
 		if a.Server[group][0] != server {
-			t.Fatalf("task %d on server %d, want %d", group+1, a.Server[group][0], server)
+			t.Fatalf("task %d: got server %d, want %d", group+1, a.Server[group][0], server)
 		}
 	}
 }
 
-// Theorem 1: no local allocation has a smaller makespan than a balanced one. The balance policy (9) holds for every
-// task, and Reduce never makes a plan worse.
-func TestBalanceAgainstExhaustiveSearch(t *testing.T) {
+// Theorem 1 of the paper: no local allocation has a smaller makespan than a balanced one. The test also checks that the
+// balance policy (9) holds for every task, and that Reduce doesn't increase the makespan.
+func TestBalanceMatchesExhaustiveSearch(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range 400 {
 		p := randomProblem(rng, 2+rng.IntN(3), 1+rng.IntN(7))
 		balanced := Balance(p)
 		if want := bestLocalMakespan(p); math.Abs(balanced.Makespan-want) > tolerance {
-			t.Fatalf("makespan %v, best local %v: %+v", balanced.Makespan, want, p)
+			t.Fatalf("balanced makespan: got %v, want %v, the best of all local allocations of %+v", balanced.Makespan, want, p)
 		}
 		checkBalancePolicy(t, p, balanced)
 		plan := Plan(p, rng)
 		recomputed := recomputeMakespan(p, plan)
 		if plan.Makespan > balanced.Makespan+tolerance || math.Abs(plan.Makespan-recomputed) > tolerance {
-			t.Fatalf("reduce: %v, balance %v, recomputed %v", plan.Makespan, balanced.Makespan, recomputed)
+			t.Fatalf("reduced makespan: got %v, want at most the balanced %v and equal to the recomputed %v",
+				plan.Makespan, balanced.Makespan, recomputed)
 		}
 	}
 }
 
-// bestLocalMakespan tries every local allocation.
+// bestLocalMakespan returns the smallest makespan of all local allocations, found by exhaustive search.
 func bestLocalMakespan(p *Problem) float64 {
 	var preferences [][]int32 // by task
 	for _, group := range p.Groups {
@@ -102,12 +103,12 @@
 			for _, other := range group.PreferredServers {
 				isPreferred = isPreferred || other == server
 				if loads[server]-p.LocalCost > loads[other]+tolerance {
-					t.Fatalf("policy (9) broken: server %d at %v, preferred %d at %v",
+					t.Fatalf("balance policy (9): a task is on server %d with load %v, but also prefers server %d with load %v",
 						server, loads[server], other, loads[other])
 				}
 			}
 			if !isPreferred {
-				t.Fatalf("task placed on server %d that it does not prefer", server)
+				t.Fatalf("got a task on server %d, want one of the task's preferred servers", server)
 			}
 		}
 	}
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// benchmarkServers and benchmarkTasks are the size of a large planning step: the leader plans at most 1,024 tasks
-// of a job at once, here on the lanes of some hundred machines.
+// benchmarkServers and benchmarkTasks are the size of a large planning step: the leader plans at most 1,024 tasks of a
+// job at once, here on the slots of a few hundred machines.
 const (
 	benchmarkServers = 2000
 	benchmarkTasks   = 1024
 )
 
-// benchmarkProblem has one group of tasks, whose input is on every fourth server.
+// benchmarkProblem returns a problem with one group of tasks, whose input is on every fourth server.
 func benchmarkProblem() *Problem {
 	p := &Problem{LocalCost: 10, MaxLoops: 256}
 	p.RemoteCost = func(remoteTasks int) float64 { return 10 + 0.01*float64(remoteTasks) }
--- a/internal/planner/first_fit.go
+++ b/internal/planner/first_fit.go
@@ -1,15 +1,15 @@
 package planner
 
-// Host is a machine that FirstFit may use.
+// Host is a machine on which FirstFit may place tasks.
 type Host struct {
 	ID   int32
 	Zone int32
 	Free Size
 }
 
-// FirstFit places count equal tasks, in the order of the hosts, and returns the host ID of each; it returns nil if
-// they don't all fit. perZone bounds the tasks in one zone, 0 means no bound. With oneZone set all tasks go to a
-// single zone: the first, by the order of the hosts, that has room.
+// FirstFit places count tasks of equal size on the hosts, in the order of the hosts, and returns the host ID of each
+// task. It returns nil if not all tasks fit. perZone is the maximum number of tasks in one zone; 0 means no limit. If
+// oneZone is set, all tasks are placed in one zone: the first zone, in the order of the hosts, where they fit.
 func FirstFit(hosts []Host, task Size, count int, oneZone bool, perZone int) []int32 {
 	if oneZone {
 		return firstFitInOneZone(hosts, task, count, perZone)
@@ -18,13 +18,13 @@
 }
 
 func firstFitInOneZone(hosts []Host, task Size, count, perZone int) []int32 {
-	tried := map[int32]bool{}
+	triedZones := map[int32]bool{}
 	for i := range hosts {
 		zone := hosts[i].Zone
-		if tried[zone] {
+		if triedZones[zone] {
 			continue
 		}
-		tried[zone] = true
+		triedZones[zone] = true
 		placed := firstFitAnywhere(hostsInZone(hosts, zone), task, count, perZone)
 		if placed != nil {
 			return placed
--- a/internal/planner/first_fit_test.go
+++ b/internal/planner/first_fit_test.go
@@ -19,11 +19,11 @@
 		perZone int
 		want    []int32
 	}{
-		{name: "five do not fit", count: 5, want: nil},
-		{name: "four fit", count: 4, want: []int32{1, 2, 2, 3}},
-		{name: "no zone takes three", count: 3, oneZone: true, want: nil},
-		{name: "zone 0 takes two", count: 2, oneZone: true, want: []int32{1, 3}},
-		{name: "one in each of two zones is two", count: 3, perZone: 1, want: nil},
+		{name: "too many tasks", count: 5, want: nil},
+		{name: "all hosts full", count: 4, want: []int32{1, 2, 2, 3}},
+		{name: "too many tasks for one zone", count: 3, oneZone: true, want: nil},
+		{name: "one zone full", count: 2, oneZone: true, want: []int32{1, 3}},
+		{name: "too many tasks for the limit per zone", count: 3, perZone: 1, want: nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/planner/load_heap.go
+++ b/internal/planner/load_heap.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// heapOrder is which server of a loadHeap comes first.
+// heapOrder is the order of the servers in a loadHeap.
 type heapOrder uint8
 
 const (
@@ -10,24 +10,24 @@
 	mostLoadedFirst
 )
 
-// notInHeap is the position of a server that the heap doesn't hold.
+// notInHeap is the position of a server that is not in the heap.
 const notInHeap int32 = -1
 
-// loadHeap is a heap.Interface over servers, ordered by load and, among equal loads, by number. It refers to the
-// loads and doesn't own them: whoever changes one calls heap.Fix.
+// loadHeap is a heap.Interface over servers, ordered by load and, among equal loads, by index. The loads are shared
+// with the caller, who must call heap.Fix after changing the load of a server in the heap.
 type loadHeap struct {
 	loads   []float64
 	servers []int32
 	order   heapOrder
-	// positions is each server's index in servers, or notInHeap. It is nil unless trackPositions was called.
+	// positions maps each server to its index in servers, or notInHeap. It is nil unless trackPositions was called.
 	positions []int32
 }
 
-// newLoadHeap returns a heap of the servers that keep accepts; a nil keep accepts all.
-func newLoadHeap(loads []float64, order heapOrder, keep func(server int32) bool) *loadHeap {
+// newLoadHeap returns a heap of the servers for which include returns true, or of all servers if include is nil.
+func newLoadHeap(loads []float64, order heapOrder, include func(server int32) bool) *loadHeap {
 	h := &loadHeap{loads: loads, order: order, servers: make([]int32, 0, len(loads))}
 	for server := range int32(len(loads)) {
-		if keep == nil || keep(server) {
+		if include == nil || include(server) {
 			h.servers = append(h.servers, server)
 		}
 	}
@@ -35,7 +35,7 @@
 	return h
 }
 
-// trackPositions makes the heap maintain positions. The heap's content must not change by Push or Pop afterwards.
+// trackPositions makes the heap maintain positions. heap.Push and heap.Pop must not be called on it afterwards.
 func (h *loadHeap) trackPositions() {
 	h.positions = make([]int32, len(h.loads))
 	for server := range h.positions {
@@ -46,7 +46,7 @@
 	}
 }
 
-// first returns the server that comes first. The heap must not be empty.
+// first returns the first server in the heap's order. The heap must not be empty.
 func (h *loadHeap) first() int32 { return h.servers[0] }
 
 // Len returns the number of servers in the heap.
--- a/internal/planner/problem_test.go
+++ b/internal/planner/problem_test.go
@@ -5,13 +5,15 @@
 	"math/rand/v2"
 )
 
-// This file has the problems that several tests plan, and what they measure plans with.
+// This file has the problems and the makespan calculation that several tests share.
 
 const tolerance = 1e-9 // seconds
 
-func near(a, b float64) bool { return math.Abs(a-b) < tolerance }
+// almostEqual reports whether a and b differ by less than tolerance.
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < tolerance }
 
-// paperProblem is the paper's running example: seven tasks and three servers, each task's input on two of them.
+// paperProblem returns the paper's running example: seven tasks and three servers, with each task's input on two
+// servers.
 func paperProblem() *Problem {
 	group := func(task int32, servers ...int32) Group {
 		return Group{Tasks: []int32{task}, PreferredServers: servers}
@@ -32,17 +34,17 @@
 	}
 }
 
-// randomProblem has the given numbers of servers and tasks; every group prefers at least one server.
+// randomProblem returns a problem with random loads and groups. Every group prefers at least one server.
 func randomProblem(rng *rand.Rand, servers, tasks int) *Problem {
-	fetch := rng.Float64()
+	fetchCost := rng.Float64()
 	p := &Problem{LocalCost: 1 + rng.Float64()*3}
-	p.RemoteCost = func(remoteTasks int) float64 { return p.LocalCost + fetch*float64(remoteTasks) }
+	p.RemoteCost = func(remoteTasks int) float64 { return p.LocalCost + fetchCost*float64(remoteTasks) }
 	for range servers {
 		p.InitialLoads = append(p.InitialLoads, rng.Float64()*6)
 	}
-	for left := tasks; left > 0; {
-		size := 1 + rng.IntN(left)
-		left -= size
+	for remaining := tasks; remaining > 0; {
+		size := 1 + rng.IntN(remaining)
+		remaining -= size
 		group := Group{Tasks: make([]int32, size)}
 		for server := range servers {
 			if rng.IntN(2) == 0 {
@@ -57,7 +59,7 @@
 	return p
 }
 
-// recomputeMakespan computes an allocation's makespan from the servers of its tasks alone.
+// recomputeMakespan computes an allocation's makespan from the servers of its tasks.
 func recomputeMakespan(p *Problem, a *Allocation) float64 {
 	loads := append([]float64(nil), p.InitialLoads...)
 	active := make([]bool, len(loads))
--- a/internal/planner/reduce.go
+++ b/internal/planner/reduce.go
@@ -5,17 +5,18 @@
 	"math/rand/v2"
 )
 
-// taskRef names a task by its group and its position in Group.Tasks.
+// taskRef identifies a task by its group and its position in Group.Tasks.
 type taskRef struct{ group, position int32 }
 
-// remotePlacement is where the tasks of the remote pool go: one server for each, in the order of the pool.
+// remotePlacement assigns a server to each task of the pool of remote tasks, in the order of the pool.
 type remotePlacement struct {
 	servers  []int32
 	makespan float64 // seconds
 }
 
-// reduce makes random tasks of the most-loaded server remote for as long as the expected makespan is met
-// (Algorithm 2), and returns the best plan it met, which is the balanced one where no task gains.
+// reduce repeatedly makes a random task of the most-loaded server remote, as long as the resulting makespan doesn't
+// exceed the expected one (Algorithm 2). It returns the best plan found, or the balanced one if no remote task lowers
+// the makespan.
 func reduce(p *Problem, balanced *Allocation, rng *rand.Rand) *Allocation {
 	r := newReducer(p, balanced)
 	if r.taskCount == 0 {
@@ -44,13 +45,13 @@
 
 // reducer is the state of one run of reduce.
 //
-// A loop changes the load of one server: two heaps that are kept from loop to loop find the most-loaded active
-// server and the least-loaded host. Looking at every server in every loop took a fifth of a busy leader's processor
-// time.
+// Each iteration changes the load of one server. Two heaps, which persist between iterations, give the most-loaded
+// active server and the least-loaded host. A scan of all servers in each iteration took a fifth of a busy leader's
+// processor time.
 type reducer struct {
 	problem   *Problem
 	taskCount int
-	// loads and tasks are each server's load and tasks without the pool.
+	// loads and tasks are the load and the tasks of each server, without the tasks in the pool.
 	loads []float64
 	tasks [][]taskRef
 	// active are the servers that have tasks, the most loaded first.
@@ -81,7 +82,7 @@
 	return r
 }
 
-// maxLoops returns the problem's bound on loops.
+// maxLoops returns the maximum number of iterations.
 func (r *reducer) maxLoops() int {
 	if r.problem.MaxLoops > 0 {
 		return r.problem.MaxLoops
@@ -89,7 +90,7 @@
 	return r.taskCount
 }
 
-// moveToPool takes a random task off the first active server.
+// moveToPool moves a random task of a server to the pool. The server must be the first active one.
 func (r *reducer) moveToPool(server int32, rng *rand.Rand) {
 	tasks := r.tasks[server]
 	last := len(tasks) - 1
@@ -106,8 +107,8 @@
 	r.hosts.setLoad(server, r.loads[server])
 }
 
-// expectedMakespan returns the highest load without the pool. Where every task is in the pool no server is active,
-// and nothing is expected but the pool itself.
+// expectedMakespan returns the highest load of the active servers, without the pool. It is 0 if all tasks are in the
+// pool, since no server is active then.
 func (r *reducer) expectedMakespan() float64 {
 	if r.active.Len() == 0 {
 		return 0
@@ -115,16 +116,16 @@
 	return max(0, r.loads[r.active.first()])
 }
 
-// placePool returns the placement of the pool and the makespan of the whole plan with it. ok is false if no server
-// accepts remote tasks.
+// placePool returns a placement of the pool. Its makespan is that of the whole plan. ok is false if no server accepts
+// remote tasks.
 func (r *reducer) placePool() (placement remotePlacement, ok bool) {
 	placement, ok = r.hosts.place(len(r.pool), r.problem.RemoteCost(len(r.pool)))
 	placement.makespan = max(placement.makespan, r.expectedMakespan())
 	return placement, ok
 }
 
-// apply returns a copy of the balanced allocation in which the first tasks of the pool run where the placement puts
-// them.
+// apply returns a copy of the balanced allocation in which the first tasks of the pool run on the servers of the
+// placement. The pool may have more tasks than the placement.
 func (r *reducer) apply(balanced *Allocation, placement remotePlacement) *Allocation {
 	a := &Allocation{
 		Server:      make([][]int32, len(balanced.Server)),
@@ -147,11 +148,11 @@
 // remoteHosts are the servers that accept remote tasks, the least loaded first.
 type remoteHosts struct {
 	byLoad *loadHeap
-	// savedLoads is used within place only.
+	// savedLoads is scratch space of place: the load of each chosen server before its task was placed.
 	savedLoads []float64
 }
 
-// newRemoteHosts copies the loads: those of the hosts change while place runs.
+// newRemoteHosts returns the servers that accept remote tasks. It copies the loads, since place changes its own.
 func newRemoteHosts(p *Problem, loads []float64) *remoteHosts {
 	var accepts func(server int32) bool
 	if p.AcceptsRemote != nil {
@@ -162,7 +163,7 @@
 	return &remoteHosts{byLoad: byLoad}
 }
 
-// setLoad sets a server's load without remote tasks.
+// setLoad sets a server's load, which doesn't include remote tasks.
 func (h *remoteHosts) setLoad(server int32, load float64) {
 	h.byLoad.loads[server] = load
 	if position := h.byLoad.positions[server]; position != notInHeap {
@@ -170,11 +171,11 @@
 	}
 }
 
-// place puts a number of remote tasks, one by one, each on the least-loaded host, and leaves the loads as they were.
-// The result's makespan is the highest load among the servers that took one. ok is false if there is no host.
+// place assigns a number of remote tasks, one by one, to the least-loaded host, and restores the loads afterwards. The
+// placement's makespan is the highest load of the servers that received a task. ok is false if there are no hosts.
 //
-// The paper takes a server whose load stays within the expected makespan, or the least-loaded one if there is none.
-// The least-loaded server serves both cases: it qualifies whenever any does.
+// The paper chooses a server whose load stays within the expected makespan, or else the least-loaded server. The
+// least-loaded server is correct in both cases: if any server stays within the expected makespan, it does.
 func (h *remoteHosts) place(tasks int, cost float64) (placement remotePlacement, ok bool) {
 	if h.byLoad.Len() == 0 {
 		return remotePlacement{}, false
--- a/internal/planner/reduce_test.go
+++ b/internal/planner/reduce_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Example 1: the load of an allocation with two remote tasks. Idle servers with a high initial load don't count.
+// Example 1 of the paper: the makespan of an allocation with two remote tasks. Servers without tasks don't count,
+// whatever their initial load.
 func TestPaperExample1Makespan(t *testing.T) {
 	p := paperProblem()
 	a := &Allocation{
@@ -16,34 +17,35 @@
 		Remote:      [][]bool{{false}, {false}, {false}, {false}, {true}, {false}, {true}},
 		RemoteTasks: 2,
 	}
-	if got := recomputeMakespan(p, a); !near(got, 7.2) {
-		t.Fatalf("makespan %v, want 7.2", got)
+	if got := recomputeMakespan(p, a); !almostEqual(got, 7.2) {
+		t.Fatalf("two remote tasks: got makespan %v, want 7.2", got)
 	}
 	a.Remote[0][0] = true
 	a.RemoteTasks = 3
-	if near(recomputeMakespan(p, a), 7.2) {
-		t.Fatal("a third remote task must cost something")
+	if almostEqual(recomputeMakespan(p, a), 7.2) {
+		t.Fatal("three remote tasks: got makespan 7.2, want another one")
 	}
 }
 
-// Examples 2 and 4: Reduce lowers the makespan of a balanced plan step by step, and stops when the expected makespan
-// is missed.
+// Examples 2 and 4 of the paper: Reduce lowers the makespan of a balanced plan in several iterations, and stops when
+// the makespan exceeds the expected one.
 func TestPaperExample4Reduce(t *testing.T) {
 	p := paperProblem()
 	balanced := Balance(p)
-	if !near(balanced.Makespan, 8.1) {
-		t.Fatalf("balanced makespan %v", balanced.Makespan)
+	if !almostEqual(balanced.Makespan, 8.1) {
+		t.Fatalf("balanced makespan: got %v, want 8.1", balanced.Makespan)
 	}
 	plan := Plan(p, rand.New(rand.NewPCG(1, 2)))
-	if !near(plan.Makespan, recomputeMakespan(p, plan)) {
-		t.Fatalf("claimed makespan %v, recomputed %v", plan.Makespan, recomputeMakespan(p, plan))
+	if !almostEqual(plan.Makespan, recomputeMakespan(p, plan)) {
+		t.Fatalf("plan's makespan: got %v, want the recomputed %v", plan.Makespan, recomputeMakespan(p, plan))
 	}
-	if !near(plan.Makespan, 6.2) || plan.RemoteTasks != 2 {
-		t.Fatalf("makespan %v with %d remote tasks, want 6.2 with 2", plan.Makespan, plan.RemoteTasks)
+	if !almostEqual(plan.Makespan, 6.2) || plan.RemoteTasks != 2 {
+		t.Fatalf("got makespan %v with %d remote tasks, want 6.2 with 2", plan.Makespan, plan.RemoteTasks)
 	}
 }
 
-// The largest job that the protocol allows must not stall the event loop. The test counts loops and measures no time.
+// Planning the largest job that the protocol allows must not block the event loop for long. The test checks the number
+// of iterations, not the time.
 func TestPlanLargestJobIsBounded(t *testing.T) {
 	p := &Problem{LocalCost: 10, MaxLoops: 200}
 	loops := 0
@@ -61,36 +63,37 @@
 	p.Groups = []Group{group}
 	plan := Plan(p, rand.New(rand.NewPCG(1, 1)))
 	if loops > 200 {
-		t.Fatalf("reduce ran %d loops, bound 200", loops)
+		t.Fatalf("got %d iterations of reduce, want at most 200", loops)
 	}
 	for _, server := range plan.Server[0] {
 		if server < 0 {
-			t.Fatal("a task was left out")
+			t.Fatal("got a task that is not placed, want a server for every task")
 		}
 	}
 }
 
-// Reduce keeps its servers in order from loop to loop. With the same random numbers it must return the very plan of
-// the plain model, which looks at every server in every loop, equal loads included.
-func TestReduceAgainstPlainModel(t *testing.T) {
-	moved := 0
+// With the same random numbers, reduce, which keeps its servers in heaps between iterations, must return the same plan
+// as the reference implementation, which scans all servers in each iteration. Problems with equal loads are included.
+func TestReduceMatchesReference(t *testing.T) {
+	remoteTasks := 0
 	for seed := range uint64(600) {
 		p := reduceProblem(seed)
 		balanced := Balance(p)
-		want := plainReduce(p, balanced, rand.New(rand.NewPCG(seed, 4)))
+		want := referenceReduce(p, balanced, rand.New(rand.NewPCG(seed, 4)))
 		got := reduce(p, balanced, rand.New(rand.NewPCG(seed, 4)))
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("seed %d: makespan %v with %d remote tasks, want %v with %d",
+			t.Fatalf("seed %d: got makespan %v with %d remote tasks, want %v with %d, or else the same assignment",
 				seed, got.Makespan, got.RemoteTasks, want.Makespan, want.RemoteTasks)
 		}
-		moved += got.RemoteTasks
+		remoteTasks += got.RemoteTasks
 	}
-	if moved < 600 {
-		t.Fatalf("only %d tasks were moved: the test decides nothing", moved)
+	if remoteTasks < 600 {
+		t.Fatalf("got %d remote tasks in all plans, want at least 600 for a meaningful comparison", remoteTasks)
 	}
 }
 
-// reduceProblem varies equal loads, the bound on loops and the servers that accept remote tasks with the seed.
+// reduceProblem returns a random problem. The seed decides whether it has many equal loads, a limit on iterations, and
+// servers that reject remote tasks.
 func reduceProblem(seed uint64) *Problem {
 	rng := rand.New(rand.NewPCG(seed, 21))
 	p := randomProblem(rng, 1+rng.IntN(40), 1+rng.IntN(120))
@@ -110,8 +113,8 @@
 	return p
 }
 
-// plainReduce is the slow plain model of reduce: it looks at every server in every loop.
-func plainReduce(p *Problem, balanced *Allocation, rng *rand.Rand) *Allocation {
+// referenceReduce is the slow reference implementation of reduce: it scans all servers in each iteration.
+func referenceReduce(p *Problem, balanced *Allocation, rng *rand.Rand) *Allocation {
 	loads := append([]float64(nil), p.InitialLoads...)
 	tasks := make([][]taskRef, len(loads))
 	taskCount := 0
@@ -135,7 +138,7 @@
 	var pool []taskRef
 	best := remotePlacement{makespan: balanced.Makespan}
 	for range loops {
-		mostLoaded := plainMostLoaded(loads, tasks)
+		mostLoaded := referenceMostLoaded(loads, tasks)
 		if mostLoaded < 0 {
 			break
 		}
@@ -152,7 +155,7 @@
 				expected = max(expected, loads[server])
 			}
 		}
-		servers, makespan := plainPlace(p, loads, len(pool), p.RemoteCost(len(pool)))
+		servers, makespan := referencePlace(p, loads, len(pool), p.RemoteCost(len(pool)))
 		if servers == nil {
 			break
 		}
@@ -165,11 +168,11 @@
 		}
 		best = remotePlacement{servers, makespan}
 	}
-	return plainApply(balanced, pool, best)
+	return referenceApply(balanced, pool, best)
 }
 
-// plainMostLoaded returns the first of the most-loaded servers that have tasks, or -1.
-func plainMostLoaded(loads []float64, tasks [][]taskRef) int {
+// referenceMostLoaded returns the first of the most-loaded servers that have tasks, or -1 if no server has any.
+func referenceMostLoaded(loads []float64, tasks [][]taskRef) int {
 	mostLoaded := -1
 	for server := range loads {
 		if len(tasks[server]) > 0 && (mostLoaded < 0 || loads[server] > loads[mostLoaded]) {
@@ -179,8 +182,8 @@
 	return mostLoaded
 }
 
-// plainPlace places a number of remote tasks, one by one, each on the least-loaded server, in a copy of the loads.
-func plainPlace(p *Problem, loads []float64, tasks int, cost float64) (servers []int32, makespan float64) {
+// referencePlace assigns a number of remote tasks, one by one, to the least-loaded server. It doesn't change loads.
+func referencePlace(p *Problem, loads []float64, tasks int, cost float64) (servers []int32, makespan float64) {
 	loads = append([]float64(nil), loads...)
 	hosts := newLoadHeap(loads, leastLoadedFirst, func(server int32) bool {
 		return p.AcceptsRemote == nil || p.AcceptsRemote(int(server))
@@ -199,7 +202,7 @@
 	return servers, makespan
 }
 
-func plainApply(balanced *Allocation, pool []taskRef, placement remotePlacement) *Allocation {
+func referenceApply(balanced *Allocation, pool []taskRef, placement remotePlacement) *Allocation {
 	a := &Allocation{
 		Server:      make([][]int32, len(balanced.Server)),
 		Remote:      make([][]bool, len(balanced.Server)),
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	// fitSlack forgives rounding of decimal amounts, in cores, accelerators or gigabytes.
-	fitSlack = 1e-6
-	// copiesSlack forgives rounding of the quotient of two amounts.
-	copiesSlack = 1e-6
-	// maxCopies is the highest result of Copies.
+	// fitTolerance allows for rounding errors of decimal amounts, in cores, accelerators or gigabytes.
+	fitTolerance = 1e-6
+	// copiesTolerance allows for rounding errors of the quotient of two amounts.
+	copiesTolerance = 1e-6
+	// maxCopies is the upper bound of the result of Copies.
 	maxCopies = 1 << 20
 )
 
-// Size is an amount of resources: what a task needs, or what a machine has.
+// Size is an amount of resources, such as the request of a task or the capacity of a machine.
 type Size struct {
 	CPUs float64 // cores
 	GPUs float64 // accelerators
@@ -20,10 +20,10 @@
 
 // Fits reports whether s fits into free.
 func (s Size) Fits(free Size) bool {
-	return s.CPUs <= free.CPUs+fitSlack && s.GPUs <= free.GPUs+fitSlack && s.Mem <= free.Mem+fitSlack
+	return s.CPUs <= free.CPUs+fitTolerance && s.GPUs <= free.GPUs+fitTolerance && s.Mem <= free.Mem+fitTolerance
 }
 
-// Sub returns s without other. Amounts may become negative.
+// Sub returns s minus other. The result may have negative amounts.
 func (s Size) Sub(other Size) Size {
 	return Size{s.CPUs - other.CPUs, s.GPUs - other.GPUs, s.Mem - other.Mem}
 }
@@ -43,8 +43,7 @@
 	return Size{s.CPUs * factor, s.GPUs * factor, s.Mem * factor}
 }
 
-// Copies returns how many of s fit side by side into total, at most 1<<20. Resources of which s needs none don't
-// count.
+// Copies returns how many times s fits into total, at most 1<<20. It ignores resources of which s needs none.
 func (s Size) Copies(total Size) int {
 	copies := math.Inf(1)
 	for _, amount := range [...]struct{ needed, total float64 }{
@@ -53,13 +52,14 @@
 		{s.Mem, total.Mem},
 	} {
 		if amount.needed > 0 {
-			copies = math.Min(copies, math.Floor(amount.total/amount.needed+copiesSlack))
+			copies = math.Min(copies, math.Floor(amount.total/amount.needed+copiesTolerance))
 		}
 	}
 	return int(math.Max(0, math.Min(copies, maxCopies)))
 }
 
-// largestShare returns the highest share that s has of any resource of total.
+// largestShare returns the largest ratio, over all resources, of the amount in s to the amount in total. It ignores
+// resources of which total has none.
 func (s Size) largestShare(total Size) float64 {
 	share := 0.0
 	for _, amount := range [...]struct{ used, total float64 }{
--- a/internal/planner/slots.go
+++ b/internal/planner/slots.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// maxSlots bounds the slots of one machine, however small the tasks are.
+// maxSlots is the maximum number of slots of one machine, for tasks of any size.
 const maxSlots = 256
 
-// Work is something that already loads a machine.
+// Work is a task that already runs or is queued on a machine.
 type Work struct {
 	Size      Size
 	Remaining float64 // remaining time in seconds
 }
 
-// SlotLoads divides a machine of the given size into slots for tasks of one size, one for each copy that fits, and
-// appends their loads, in seconds, to dst. The work loads the slots in the order given. A piece of work that is wider
-// than a slot loads several, the least-loaded ones, from when the last of them is free.
+// SlotLoads divides a machine of the given size into slots for tasks of one size, one slot for each task that fits, and
+// appends the load of each slot, in seconds, to dst. The elements of work are assigned in order, each to the
+// least-loaded slot. An element that is larger than a slot is assigned to several of the least-loaded slots, and starts
+// when all of them are free.
 func SlotLoads(dst []float64, machine, task Size, work []Work) []float64 {
 	count := min(task.Copies(machine), maxSlots)
 	for range count {
@@ -27,7 +28,7 @@
 	}
 	loads := dst[len(dst)-count:]
 	for i := range work {
-		width := slotsTaken(work[i].Size, machine, count)
+		width := slotsNeeded(work[i].Size, machine, count)
 		switch width {
 		case count:
 			occupyAll(loads, work[i].Remaining)
@@ -40,13 +41,13 @@
 	return dst
 }
 
-// slotsTaken returns how many of a machine's slots a piece of work takes.
-func slotsTaken(work, machine Size, slots int) int {
+// slotsNeeded returns the number of a machine's slots that a size occupies, at least one.
+func slotsNeeded(work, machine Size, slots int) int {
 	width := int(math.Round(work.largestShare(machine) * float64(slots)))
 	return min(slots, max(1, width))
 }
 
-// occupyAll loads all slots from when the last of them is free.
+// occupyAll adds work of a duration to all slots. The work starts when the last slot is free.
 func occupyAll(loads []float64, duration float64) {
 	end := slices.Max(loads) + duration
 	for i := range loads {
@@ -54,22 +55,23 @@
 	}
 }
 
-// occupyLeastLoaded loads the least-loaded slots from when the last of them is free.
+// occupyLeastLoaded adds work of a duration to the width least-loaded slots. The work starts when the last of them is
+// free.
 func occupyLeastLoaded(loads []float64, width int, duration float64) {
-	var taken [maxSlots]int
+	var chosen [maxSlots]int
 	start := 0.0
 	for i := range width {
 		slot := leastLoaded(loads)
-		taken[i] = slot
+		chosen[i] = slot
 		start = loads[slot]
-		loads[slot] = math.Inf(1) // so that the next search finds another
+		loads[slot] = math.Inf(1) // excludes the slot from the next search
 	}
-	for _, slot := range taken[:width] {
+	for _, slot := range chosen[:width] {
 		loads[slot] = start + duration
 	}
 }
 
-// leastLoaded returns the slot with the smallest load, the first among equals.
+// leastLoaded returns the index of the first slot with the smallest load.
 func leastLoaded(loads []float64) int {
 	least := 0
 	for i, load := range loads {
--- a/internal/planner/slots_test.go
+++ b/internal/planner/slots_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The loads of slots follow list scheduling, and wide work takes several slots.
+// SlotLoads assigns work by list scheduling, and an element of work that is larger than a slot to several slots.
 func TestSlotLoadsFollowListScheduling(t *testing.T) {
 	machine := Size{CPUs: 8, Mem: 16}
 	work := []Work{
@@ -16,22 +16,22 @@
 		{Size{CPUs: 2, Mem: 1}, 1},
 	}
 	loads := SlotLoads(nil, machine, Size{CPUs: 2, Mem: 1}, work)
-	missing := map[float64]int{5: 1, 3: 2, 1: 1} // slots by load
+	countDifferences := map[float64]int{5: 1, 3: 2, 1: 1} // wanted minus actual number of slots, by load
 	for _, load := range loads {
-		missing[load]--
+		countDifferences[load]--
 	}
-	for load, count := range missing {
+	for load, count := range countDifferences {
 		if count != 0 {
-			t.Fatalf("slots %v: load %v is off by %d", loads, load, count)
+			t.Fatalf("loads %v: number of slots with load %v: want minus got is %d, want 0", loads, load, count)
 		}
 	}
 	if len(SlotLoads(nil, machine, Size{GPUs: 1}, nil)) != 0 {
-		t.Fatal("a machine without GPUs has no slot for a GPU task")
+		t.Fatal("got slots for a GPU task on a machine without GPUs, want none")
 	}
 }
 
-// SlotLoads against the slow plain model.
-func TestSlotLoadsAgainstPlainModel(t *testing.T) {
+// SlotLoads returns the same loads as the slow reference implementation.
+func TestSlotLoadsMatchReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	for n := range 500 {
 		machine := Size{CPUs: float64(1 + rng.IntN(16)), Mem: float64(8 + rng.IntN(64))}
@@ -41,35 +41,36 @@
 			work = append(work, Work{Size{CPUs: machine.CPUs * rng.Float64()}, float64(rng.IntN(50))})
 		}
 		slots := task.Copies(machine)
-		want := plainSlotLoads(slots, machine, work)
+		want := referenceSlotLoads(slots, machine, work)
 		got := SlotLoads([]float64{7}, machine, task, work)
 		if len(got) != slots+1 || got[0] != 7 {
-			t.Fatalf("problem %d: %v, want %d slots appended", n, got, slots)
+			t.Fatalf("problem %d: got %v, want 7 followed by the loads of %d slots", n, got, slots)
 		}
 		for slot, load := range want {
-			if !near(got[slot+1], load) {
-				t.Fatalf("problem %d: slot %d is loaded %v, want %v", n, slot, got[slot+1], load)
+			if !almostEqual(got[slot+1], load) {
+				t.Fatalf("problem %d: slot %d: got load %v, want %v", n, slot, got[slot+1], load)
 			}
 		}
 	}
 }
 
-// plainSlotLoads sorts the slots anew for each piece of work, which differ in their cores only.
-func plainSlotLoads(slots int, machine Size, work []Work) []float64 {
+// referenceSlotLoads is the slow reference implementation of SlotLoads: it sorts the slots for each element of work,
+// and considers CPUs only.
+func referenceSlotLoads(slots int, machine Size, work []Work) []float64 {
 	loads := make([]float64, slots)
 	if slots == 0 {
 		return loads
 	}
-	for _, w := range work {
+	for _, element := range work {
 		byLoad := make([]int, slots)
 		for i := range byLoad {
 			byLoad[i] = i
 		}
 		sort.SliceStable(byLoad, func(a, b int) bool { return loads[byLoad[a]] < loads[byLoad[b]] })
-		width := min(slots, max(1, int(math.Round(w.Size.CPUs/machine.CPUs*float64(slots)))))
+		width := min(slots, max(1, int(math.Round(element.Size.CPUs/machine.CPUs*float64(slots)))))
 		start := loads[byLoad[width-1]]
 		for _, slot := range byLoad[:width] {
-			loads[slot] = start + w.Remaining
+			loads[slot] = start + element.Remaining
 		}
 	}
 	return loads
