--- a/internal/planner/slots.go
+++ b/internal/planner/slots.go
@@ -8,7 +8,7 @@
 // maxSlots is the maximum number of slots of one machine, for tasks of any size.
 const maxSlots = 256
 
-// Work is a task that already runs or is queued on a machine.
+// Work is load that a machine already has, such as a running or queued task.
 type Work struct {
 	Size      Size
 	Remaining float64 // remaining time in seconds
