--- a/internal/fleet/plandeletion.go
+++ b/internal/fleet/plandeletion.go
@@ -10,10 +10,10 @@
 
 // This file deletes the stored plans of jobs that have ended.
 
-// maxDeletions is how many keys one write deletes at most.
+// maxDeletions is the maximum number of keys that one write deletes.
 const maxDeletions = 8
 
-// deleteObsoletePlans deletes plans of ended jobs without tasks on machines, and pages without values.
+// deleteObsoletePlans deletes the plans of ended jobs that have no tasks on machines, and the pages without values.
 func (f *Fleet) deleteObsoletePlans() {
 	f.writer.endedJobs = slices.DeleteFunc(f.writer.endedJobs, f.discardPlan)
 	limit := min(f.maxOps(), maxDeletions)
@@ -37,7 +37,8 @@
 	f.Commit(txn, func(result store.Result) { f.handleDeletionOutcome(result, keyCount) })
 }
 
-// discardPlan makes an ended job's plan obsolete and returns true, unless tasks of it may still be on machines.
+// discardPlan marks an ended job's plan as obsolete and returns true. If tasks of the job may still be on machines it
+// changes nothing and returns false.
 func (f *Fleet) discardPlan(job *jobs.Job) bool {
 	if job.TasksOnMachines() > 0 {
 		return false
@@ -53,22 +54,22 @@
 	return true
 }
 
-// handleDeletionOutcome applies the outcome of a write that deletes the first keyCount obsolete keys, and pages. An
-// indeterminate outcome needs no reads: the deletion is sent again, which is harmless, since a page's number is not
-// used again in this term.
+// handleDeletionOutcome handles the outcome of a write that deletes the first keyCount obsolete keys, and pages. An
+// indeterminate outcome needs no reads: the deletion is sent again, which is harmless, since a page number is not used
+// again in this term.
 func (f *Fleet) handleDeletionOutcome(result store.Result, keyCount int) {
 	f.writer.state = writerIdle
 	switch result.Outcome {
 	case store.Committed:
 		f.writer.obsoleteKeys = f.writer.obsoleteKeys[keyCount:]
 		f.writer.pages.ConfirmRetired()
-	case store.Conflict: // an earlier try was applied
+	case store.Conflict: // an earlier attempt was applied
 		f.writer.pages.ConfirmRetired()
 	}
 }
 
-// Finalized returns whether nothing is left of an ended job: no task that may be on a machine, and no plan that is
-// stored or unreadable.
+// Finalized returns whether nothing is left of an ended job: no task that may be on a machine, and no plan, stored or
+// unreadable.
 func (f *Fleet) Finalized(job *jobs.Job) bool {
 	return f.plansLoaded && job.State.Terminal() && job.Tasks == nil && !job.Quarantined && !f.unreadableJobs[job.ID]
 }
--- a/internal/fleet/planmigration.go
+++ b/internal/fleet/planmigration.go
@@ -4,11 +4,11 @@
 
 // This file moves plan segments from keys of their own, the stored form of cluster version 1, into pages.
 
-// migrationBatch is how many plan segments one write moves into pages in the background.
-const migrationBatch = 8
+// maxMigratedSegments is how many plan segments one write of the background migration moves into pages.
+const maxMigratedSegments = 8
 
 // collectUnmigrated adds plan segments that still have a key of their own to a batch, if plans are stored in pages
-// and nothing more urgent needs the write budget. It returns whether it added any.
+// and the write budget has room to spare. It returns whether it added any.
 func (f *Fleet) collectUnmigrated(batch *writeBatch) bool {
 	if batch.pages == nil || f.writer.migrated || !f.HasSpareWrites() {
 		return false
@@ -20,7 +20,7 @@
 			if !movable || segment.Quarantined || segment.InFlight != nil {
 				continue
 			}
-			if added == migrationBatch || !batch.addSegment(job, segment) {
+			if added == maxMigratedSegments || !batch.addSegment(job, segment) {
 				return added > 0
 			}
 			added++
@@ -50,6 +50,6 @@
 	return segment.Version != 0 || segment.CreateIndeterminate
 }
 
-// Migrated returns whether this term has found that no plan segment has a key of its own any more. None is written
-// again once plans are stored in pages.
+// Migrated returns whether this term has found that no plan segment has a key of its own any more. Once plans are
+// stored in pages, no such key is written again.
 func (f *Fleet) Migrated() bool { return f.writer.migrated }
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -9,31 +9,31 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file decides what the next transaction contains and sends it. Its outcome is handled in writeoutcome.go.
+// This file composes the next transaction and sends it. Its outcome is handled in writeoutcome.go.
 
-// segmentWriteDelay is how long changes of a plan segment that no start waits for are collected before they are
-// written.
+// segmentWriteDelay is how long changes of a plan segment are collected before they are written, if no start waits
+// for them.
 const segmentWriteDelay = time.Second
 
-// WriteInFlight returns whether a write is in flight, its outcome not known or not resolved yet.
+// WriteInFlight returns whether a write is in flight or its outcome is still being resolved.
 func (f *Fleet) WriteInFlight() bool {
 	return f.writer.state == writerInFlight || f.writer.state == writerResolving
 }
 
-// WritesStuck returns whether writes with an indeterminate outcome can't be resolved in this term: the pages that
-// they contain need more operations than one transaction may hold since the limits of the state service shrank. The
-// writes of the next leader don't have to wait for them.
+// WritesStuck returns whether writes with an indeterminate outcome can't be resolved in this term: the limits of the
+// state service have shrunk, and one transaction can't hold all pages of these writes any more. The next leader's
+// writes don't have to wait for them.
 func (f *Fleet) WritesStuck() bool { return f.writer.state == writerStuck }
 
-// FlushWrites sends what is due in one transaction: job records that become done, plan segments and image hints.
-// When none of these is due it moves plans into pages or deletes obsolete ones. It does nothing while a write is in
-// flight, so an indeterminate outcome is resolved before the next write.
+// FlushWrites sends all writes that are due in one transaction: records of jobs that become done, plan segments and
+// image hints. If none of these is due it moves plans into pages or deletes obsolete plans. It does nothing while a
+// write is in flight, so an indeterminate outcome is resolved before the next write.
 func (f *Fleet) FlushWrites(now time.Duration) {
 	if f.WriteInFlight() || !f.plansLoaded {
 		return
 	}
 	batch := f.newWriteBatch()
-	if !batch.holdsIndeterminatePages() {
+	if !batch.fitsIndeterminatePages() {
 		f.writer.state = writerStuck
 		return
 	}
@@ -60,26 +60,25 @@
 	if len(txn.Then) == 0 {
 		return
 	}
-	// The outcome of a page decides that of the segments in it, so pages come first.
+	// The outcome of a page decides the outcome of the segments in it, so pages come first.
 	mutations := append(pageWrites, batch.mutations...)
 	f.writer.state = writerInFlight
 	f.Commit(txn, func(result store.Result) { f.handleOutcome(mutations, result) })
 }
 
-// collectWrites adds what is due to a batch, the most urgent first, until the batch is full.
+// collectWrites adds the writes that are due to a batch, the most urgent first, until the batch is full.
 func (f *Fleet) collectWrites(now time.Duration, batch *writeBatch) {
 	if !f.collectDoneRecords(batch) || !f.collectSegments(now, batch, true) {
 		return
 	}
-	// No start waits for the other segments: what is left of the write budget is for submissions, and for the
-	// urgent segments of the next second.
+	// No start waits for the other segments. Unless there is spare write budget, the rest of the budget is kept for
+	// submissions and for the urgent segments of the next second.
 	if f.HasSpareWrites() {
 		f.collectSegments(now, batch, false)
 	}
 }
 
-// collectDoneRecords adds the records of jobs of which all tasks are finished. It returns false when the batch is
-// full.
+// collectDoneRecords adds the records of jobs whose tasks have all finished. It returns false when the batch is full.
 func (f *Fleet) collectDoneRecords(batch *writeBatch) bool {
 	for _, job := range f.ranking.jobs {
 		allFinished := job.State == jobs.Pending && job.FinishedTasks == job.TaskCount
@@ -94,8 +93,8 @@
 	return true
 }
 
-// collectSegments adds the plan segments that are due and urgent, or due and not urgent. It returns false when the
-// batch is full.
+// collectSegments adds the plan segments whose write is due, either the urgent ones or the others. It returns false
+// when the batch is full.
 func (f *Fleet) collectSegments(now time.Duration, batch *writeBatch, urgent bool) bool {
 	for _, job := range f.ranking.jobs {
 		if job.State != jobs.Pending || job.FinishedTasks == job.TaskCount {
@@ -113,7 +112,8 @@
 	return true
 }
 
-// segmentDue returns whether a plan segment is to be written now as an urgent one, or as one that is not.
+// segmentDue returns whether a plan segment has the given urgency and has to be written now. Segments that are not
+// urgent are due after segmentWriteDelay.
 func segmentDue(now time.Duration, segment *jobs.PlanSegment, urgent bool) bool {
 	if !segment.Dirty || segment.Quarantined || segment.InFlight != nil || segment.Urgent != urgent {
 		return false
@@ -121,8 +121,8 @@
 	return urgent || now-segment.DirtySince >= segmentWriteDelay
 }
 
-// appendImageHints adds a shard of the image hints to a transaction if there is room for it. Hints have no condition:
-// a wrong or lost one costs a fetch.
+// appendImageHints adds a shard of the image hints to a transaction if there is room for it. Hints are written without
+// a condition: a wrong or lost hint only costs an image fetch.
 func (f *Fleet) appendImageHints(now time.Duration, txn *store.Txn, batch *writeBatch, shard int) {
 	if !batch.hasRoomFor(1) {
 		return
@@ -137,7 +137,7 @@
 	txn.Then = append(txn.Then, store.Op{Put: fmt.Sprintf("%s/%d", imageHintsPrefix, shard), Value: hints})
 }
 
-// markInFlight records at the job or segment that a write of it is in flight.
+// markInFlight records in the job or plan segment that its write is in flight.
 func (m *mutation) markInFlight() {
 	if m.kind == writeJobRecord {
 		m.job.FinalWriteInFlight = true
@@ -148,8 +148,8 @@
 	m.segment.InFlight = m.snapshot
 }
 
-// appendTo adds a mutation's operation to a transaction, with the condition that its key is unchanged. A segment in a
-// page has neither: they are those of its page.
+// appendTo adds a mutation's operation to a transaction, with the condition that its key is unchanged. A segment that
+// is written in a page adds neither: the page's mutation has both.
 func (m *mutation) appendTo(txn *store.Txn) {
 	condition := store.Condition{Key: m.key}
 	operation := store.Op{Put: m.key, Value: m.value}
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -14,11 +14,11 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file reads the durable plans at the start of a term.
+// This file loads the durable plans at the start of a term.
 
-// LoadPlans takes over the durable plans of earlier terms, and their image hints. A task counts as running on the
-// machine that its plan names until a heartbeat at this term's fencing token, or the expiry of the machine's lease,
-// shows otherwise. Nothing is planned or started before.
+// LoadPlans loads the durable plans and image hints of earlier terms. A task counts as running on the machine that its
+// plan names until a heartbeat at this term's fencing token, or the expiry of the machine's lease, shows otherwise.
+// Nothing is planned or started before LoadPlans returns.
 func (f *Fleet) LoadPlans(now time.Duration, items []store.Item) {
 	for _, item := range items {
 		if strings.HasPrefix(item.Key, imageHintsPrefix) {
@@ -47,7 +47,7 @@
 		"term", f.Term, "keys", len(items), "jobs", len(f.ranking.jobs), "machines", len(f.machines))
 }
 
-// finishRecoveredGang finishes a gang of which the plans say that a task is done.
+// finishRecoveredGang finishes a gang if its stored plan says that one of its tasks is done.
 func (f *Fleet) finishRecoveredGang(now time.Duration, job *jobs.Job) {
 	if job.Spec.Kind == jobs.Gang && job.FinishedTasks > 0 {
 		f.finishGang(now, job)
@@ -71,25 +71,25 @@
 	}
 }
 
-// storedSegment is the value of a plan segment as it was read, from a page or from a key of its own.
+// storedSegment is a stored value of a plan segment, from a page or from a key of its own.
 type storedSegment struct {
 	name    string
 	raw     json.RawMessage
-	version uint64 // of the page or key
-	page    int    // the page's number, or ownKey
+	version uint64 // version of the page or of the segment's own key
+	page    int    // number of the page, or ownKey
 }
 
-// ownKey is the page of a storedSegment that is not in a page.
+// ownKey is the page number of a storedSegment that has a key of its own.
 const ownKey = -1
 
-// storedPlans is what the state service holds of all plans.
+// storedPlans is the decoded content of all plan keys in the state service.
 type storedPlans struct {
-	segments         []storedSegment // a segment may occur in several places
+	segments         []storedSegment // may have several values of the same segment
 	pages            []pages.StoredPage
-	newestUnreadable uint64 // version of the newest page that can't be read; 0: all can
+	newestUnreadable uint64 // version of the newest page that can't be decoded; 0 if there is none
 }
 
-// decodePlans decodes the pages among some stored items and lists the plan segments in them and in keys of their own.
+// decodePlans decodes the pages among the stored items and lists the plan segments in pages and in keys of their own.
 func (f *Fleet) decodePlans(items []store.Item) storedPlans {
 	var stored storedPlans
 	for _, item := range items {
@@ -116,8 +116,8 @@
 	return stored
 }
 
-// newestSegments returns the values written last, one for each plan segment, ordered by name. Older values in keys of
-// their own become obsolete.
+// newestSegments returns the newest value of each plan segment, ordered by name. Keys of their own that hold older
+// values become obsolete.
 func (f *Fleet) newestSegments(all []storedSegment) []storedSegment {
 	slices.SortFunc(all, func(a, b storedSegment) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(b.version, a.version))
@@ -135,7 +135,7 @@
 	return newest
 }
 
-// loadPages passes the stored pages on, each with the values that are the newest of their segments.
+// loadPages passes the stored pages to the writer, each with its values that are the newest of their segments.
 func (f *Fleet) loadPages(storedPages []pages.StoredPage, newest []storedSegment) {
 	entries := map[int][]pages.Entry{}
 	for i, value := range newest {
@@ -148,8 +148,8 @@
 		case job != nil:
 			ref.Owner = int32(job.Index)
 		case f.Jobs.IsUnreadable(id):
-			// The plan of a job with an unreadable record stays, wherever its page is written, under a number that
-			// no job has.
+			// The plan of a job with an unreadable record is kept when its page is rewritten, under an owner number
+			// that no job has.
 			ref.Owner = -1 - int32(i)
 		default:
 			continue
@@ -161,8 +161,8 @@
 	}
 }
 
-// loadSegment applies the stored value of a plan segment and returns the segment. It returns nil if the value belongs
-// to no live or cancelled job: then it is obsolete, unless the record of its job is unreadable.
+// loadSegment applies the stored value of a plan segment and returns the segment. If the value belongs to no live or
+// cancelled job it returns nil, and the value is obsolete unless the job's record is unreadable.
 func (f *Fleet) loadSegment(now time.Duration, value storedSegment) *jobs.PlanSegment {
 	id, number, ok := splitSegmentName(value.name)
 	job := f.Jobs.Get(id)
@@ -190,7 +190,7 @@
 		return segment
 	}
 	for i := range machines {
-		taskIndex := segmentTask(segment, i)
+		taskIndex := segmentTaskIndex(segment, i)
 		switch {
 		case finished[i]:
 			segment.DurableMachines[i] = jobs.DurablyDone
@@ -205,7 +205,7 @@
 	return segment
 }
 
-// discardStoredSegment makes a stored plan segment obsolete. job is nil if there is none.
+// discardStoredSegment marks a stored plan segment as obsolete. job is nil if no job with its id is in memory.
 func (f *Fleet) discardStoredSegment(value storedSegment, job *jobs.Job, number int) {
 	switch {
 	case value.page == ownKey:
@@ -215,8 +215,8 @@
 	}
 }
 
-// segmentTask returns the index in its job of a plan segment's task at an offset.
-func segmentTask(segment *jobs.PlanSegment, offset int) int32 {
+// segmentTaskIndex returns the index, within the job, of the task at an offset in a plan segment.
+func segmentTaskIndex(segment *jobs.PlanSegment, offset int) int32 {
 	return int32(segment.Number*jobs.SegmentTasks + offset)
 }
 
--- a/internal/fleet/writebatch.go
+++ b/internal/fleet/writebatch.go
@@ -5,14 +5,14 @@
 	"github.com/harewalk/harewalk/internal/pages"
 )
 
-// mutationKind is what a mutation changes in the state service.
+// mutationKind is the kind of change that a mutation makes in the state service.
 type mutationKind uint8
 
 const (
 	writeJobRecord     mutationKind = iota // the record of a job that becomes done
 	writeSegmentKey                        // a plan segment in a key of its own
 	writeSegmentInPage                     // a plan segment whose value is in a page of the same transaction
-	moveSegmentToPage                      // the same, and the key that it had of its own is deleted
+	moveSegmentToPage                      // the same, and the segment's own key is deleted
 	writePage                              // a page of plan segments
 )
 
@@ -21,33 +21,33 @@
 	kind     mutationKind
 	key      string
 	value    []byte
-	job      *jobs.Job         // not set for a page
-	segment  *jobs.PlanSegment // set for the kinds of a plan segment
-	snapshot []int32           // the machines of the segment's tasks, as in value
-	page     *pages.PageWrite  // set for a page
+	job      *jobs.Job         // nil for a page
+	segment  *jobs.PlanSegment // nil for a page or a job record
+	snapshot []int32           // the machines of the segment's tasks, as encoded in value
+	page     *pages.PageWrite  // nil for all but a page
 }
 
 // inPage returns whether the value of a plan segment is in a page of the same transaction.
 func (m *mutation) inPage() bool { return m.kind == writeSegmentInPage || m.kind == moveSegmentToPage }
 
-// The sizes are estimates of the encoded transaction, in bytes.
+// Estimated sizes of an encoded transaction and its parts, in bytes.
 const (
-	maxTxnBytes            = 60 << 10 // of a whole transaction
-	txnOverheadBytes       = 2000     // for what surrounds the operations
-	operationOverheadBytes = 100      // for what surrounds a key and its value
-	minOperationBytes      = 64       // the part of it that must be left for an operation to be added
+	maxTxnBytes            = 60 << 10 // limit of a whole transaction
+	txnOverheadBytes       = 2000     // the transaction without its operations
+	operationOverheadBytes = 100      // an operation without its key and value
+	minOperationBytes      = 64       // the part of operationOverheadBytes that has to be free to add an operation
 )
 
-// writeBatch collects what one transaction changes, within the limits of the state service and the write budget.
+// writeBatch collects the changes of one transaction, within the limits of the state service and the write budget.
 type writeBatch struct {
 	fleet      *Fleet
 	mutations  []mutation
-	operations int          // of the mutations, without those of pages
-	bytes      int          // of the transaction, without its pages
-	pages      *pages.Batch // nil: plans are not stored in pages yet, every segment has a key of its own
+	operations int          // number of operations, without writes of pages
+	bytes      int          // estimated size of the transaction, without its pages
+	pages      *pages.Batch // nil while plans are not stored in pages: every segment has a key of its own
 }
 
-// newWriteBatch returns a batch with nothing but the pages of writes whose outcome is indeterminate.
+// newWriteBatch returns a batch that contains only the pages of writes whose outcome is indeterminate.
 func (f *Fleet) newWriteBatch() *writeBatch {
 	batch := &writeBatch{fleet: f, bytes: txnOverheadBytes}
 	if f.PlansInPages() {
@@ -57,9 +57,8 @@
 	return batch
 }
 
-// holdsIndeterminatePages returns whether one transaction may hold all pages of writes whose outcome is
-// indeterminate.
-func (b *writeBatch) holdsIndeterminatePages() bool {
+// fitsIndeterminatePages returns whether one transaction can hold all pages of writes whose outcome is indeterminate.
+func (b *writeBatch) fitsIndeterminatePages() bool {
 	return b.pages == nil || b.pages.Fits(b.fleet.maxOps())
 }
 
@@ -73,7 +72,7 @@
 	return total <= b.fleet.maxOps() && b.fleet.CanWrite(total)
 }
 
-// size returns about how many bytes the transaction has.
+// size returns the estimated size of the transaction in bytes.
 func (b *writeBatch) size() int {
 	if b.pages == nil {
 		return b.bytes
@@ -82,7 +81,7 @@
 	return b.bytes + maxPageBytes
 }
 
-// addKey adds a mutation of a key of its own. It returns false, and adds nothing, when the batch is full.
+// addKey adds a mutation that writes a key of its own. It returns false, and adds nothing, when the batch is full.
 func (b *writeBatch) addKey(change mutation) bool {
 	needed := len(change.value) + len(change.key) + minOperationBytes
 	if !b.hasRoomFor(1) || b.size()+needed > maxTxnBytes {
@@ -93,21 +92,21 @@
 	return true
 }
 
-// countOperation counts an operation and its condition, both of which name the key.
+// countOperation adds an operation to the batch's totals. Its key is counted twice, since the condition repeats it.
 func (b *writeBatch) countOperation(key string, valueBytes int) {
 	b.operations++
 	b.bytes += valueBytes + 2*len(key) + operationOverheadBytes
 }
 
-// addSegment adds a plan segment, in a page where plans are stored in pages. It returns false, and adds nothing, when
-// the batch is full.
+// addSegment adds a plan segment, to a page if plans are stored in pages. It returns false, and adds nothing, when the
+// batch is full.
 func (b *writeBatch) addSegment(job *jobs.Job, segment *jobs.PlanSegment) bool {
 	fleet := b.fleet
 	key := job.PlanKey(segment.Number)
 	machineName := func(index int32) string { return fleet.machines[index].Name }
 	raw, snapshot, ok := job.EncodeSegmentWithin(segment, fleet.Term, machineName, fleet.valueLimit()-len(key))
 	if !ok {
-		// Its tasks are on more machines than a value can name: it is written once some of them have ended.
+		// The tasks are on more machines than a value can name: the segment is written once some tasks have ended.
 		return true
 	}
 	change := mutation{kind: writeSegmentKey, job: job, segment: segment, snapshot: snapshot, key: key, value: raw}
--- a/internal/fleet/writelimits.go
+++ b/internal/fleet/writelimits.go
@@ -1,10 +1,10 @@
 package fleet
 
-// maxPageBytes bounds the size of one plan page. Values may be larger, but all of a page is sent with each write to
-// it.
+// maxPageBytes is the size limit of one plan page. The state service accepts larger values, but every write to a page
+// sends the whole page.
 const maxPageBytes = 6 << 10
 
-// maxOps returns how many operations a transaction may hold now.
+// maxOps returns how many operations a transaction may hold at present.
 func (f *Fleet) maxOps() int {
 	if f.Limits == nil {
 		return f.TxnOps
@@ -12,8 +12,8 @@
 	return min(f.TxnOps, f.Limits().MaxOps)
 }
 
-// valueLimit returns how many bytes a value that is composed of many entries may have now. It leaves an eighth of
-// what the state service accepts unused.
+// valueLimit returns how many bytes a value that is composed of many entries may have at present. It leaves an eighth
+// of the state service's limit unused.
 func (f *Fleet) valueLimit() int {
 	limit := f.Settings.Params.State.Limits().MaxValueBytes
 	if f.Limits != nil {
@@ -22,5 +22,5 @@
 	return limit * 7 / 8
 }
 
-// pageLimit returns how many bytes one plan page may have now.
+// pageLimit returns how many bytes one plan page may have at present.
 func (f *Fleet) pageLimit() int { return min(maxPageBytes, f.valueLimit()) }
--- a/internal/fleet/writeoutcome.go
+++ b/internal/fleet/writeoutcome.go
@@ -10,13 +10,13 @@
 )
 
 // This file handles the outcome of the write in flight. After a conflict or an indeterminate outcome every key of
-// the write is read again, the pages first, before anything else is written. A transaction that is applied after
-// that read fails on its conditions, since the next write of the same keys changes their versions.
+// the write is read again, the pages first, before anything else is written. The next write of the same keys changes
+// their versions, so the conditions of the earlier transaction fail if it arrives later still.
 
-// rereadRetryInterval is how long the writer waits before it repeats a read that failed.
+// rereadRetryInterval is the delay before a failed read is repeated.
 const rereadRetryInterval = 300 * time.Millisecond
 
-// handleOutcome applies the outcome of a write; the pages come first in mutations.
+// handleOutcome handles the outcome of a write. The pages come first in mutations.
 func (f *Fleet) handleOutcome(mutations []mutation, result store.Result) {
 	now := f.Now()
 	if result.Outcome == store.Committed {
@@ -46,8 +46,8 @@
 	f.rereadPages(mutations, nil)
 }
 
-// rereadPages reads the pages of a write that have not been read yet, one after the other, resolves them together and
-// goes on with the other keys. items are the pages that have been read.
+// rereadPages reads the pages of a write one after the other, resolves them together and continues with the write's
+// other keys. items are the pages read so far.
 func (f *Fleet) rereadPages(mutations []mutation, items []store.Item) {
 	next := len(items)
 	if next < len(mutations) && mutations[next].kind == writePage {
@@ -55,7 +55,7 @@
 		return
 	}
 	if len(items) > 0 && !f.resolvePages(mutations, items) {
-		f.rereadPages(mutations, nil) // the write was applied between two of the reads
+		f.rereadPages(mutations, nil) // the write was applied between two of the reads: read all pages again
 		return
 	}
 	f.rereadKeys(mutations[next:])
@@ -76,12 +76,12 @@
 	})
 }
 
-// resolvedWithPage returns whether nothing of a mutation is left to be read once its page is resolved.
+// resolvedWithPage returns whether a mutation needs no read of its own once its page is resolved.
 func resolvedWithPage(change *mutation) bool {
 	return change.kind == writeSegmentInPage || (change.kind == moveSegmentToPage && change.segment.Version == 0)
 }
 
-// reread reads a key until the state service answers, and passes the item on.
+// reread reads a key, repeats the read while it fails, and passes the item to done.
 func (f *Fleet) reread(key string, done func(store.Item)) {
 	f.Read(key, func(item store.Item, err error) {
 		if err != nil {
@@ -93,7 +93,7 @@
 	})
 }
 
-// resolveKey applies what was read of a key that is not a page.
+// resolveKey resolves a mutation by the item read from its key, which is not a page.
 func (f *Fleet) resolveKey(change mutation, item store.Item) {
 	now := f.Now()
 	switch change.kind {
@@ -117,8 +117,8 @@
 	}
 }
 
-// resolvePages applies what was read of a write's pages, which come first in mutations, to them and to the plan
-// segments in them. It returns false, and applies nothing, if the write was applied between two of the reads.
+// resolvePages resolves a write's pages, which come first in mutations, and the plan segments in them. items are the
+// stored pages as read. It returns false, and changes nothing, if the write was applied between two of the reads.
 func (f *Fleet) resolvePages(mutations []mutation, items []store.Item) bool {
 	appliedPages := 0
 	for i, item := range items {
@@ -156,7 +156,7 @@
 	return true
 }
 
-// pageEntries returns the values of a stored page that belong to jobs in memory.
+// pageEntries returns the entries of a stored page that belong to jobs in memory.
 func (f *Fleet) pageEntries(item store.Item) (entries []pages.Entry) {
 	stored, err := pages.Decode(jobs.PlanPagePrefix, item.Key, item.Value, item.Version)
 	if err != nil {
@@ -171,7 +171,7 @@
 	return entries
 }
 
-// segmentByName returns the plan segment with a name, and its job; nil if the job is not in memory.
+// segmentByName returns the plan segment with a name, and its job. Both are nil if the segment is not in memory.
 func (f *Fleet) segmentByName(name string) (*jobs.Job, *jobs.PlanSegment) {
 	id, number, ok := splitSegmentName(name)
 	job := f.Jobs.Get(id)
@@ -181,7 +181,7 @@
 	return job, job.Segments[number]
 }
 
-// confirmWrite records that a mutation is durable, at the version that its key has now.
+// confirmWrite records that a mutation is durable. version is the new version of its key.
 func (f *Fleet) confirmWrite(now time.Duration, change mutation, version uint64) {
 	f.writer.planBecameDurable = true
 	switch change.kind {
@@ -200,7 +200,7 @@
 	}
 }
 
-// revertWrite makes what a mutation would have written due again.
+// revertWrite marks the job or plan segment of a mutation to be written again.
 func (f *Fleet) revertWrite(now time.Duration, change mutation) {
 	switch change.kind {
 	case writePage:
