--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -16,30 +16,30 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// This file runs a Fleet, the real code, within a slow and plain model of all around it: workers, a state service,
-// and a network that loses, delays and repeats messages. One leader after another has a Fleet of its own. The model
+// This file runs the real Fleet within a simple model of its surroundings: workers, a state service, and a network
+// that loses, delays and duplicates messages. Leaders follow one another, each with a Fleet of its own. The model
 // holds the true state of every task and checks the protocol's rules whenever a task starts.
 
 const (
-	modelTick      = 50 * time.Millisecond  // workers and network
-	modelFleetTick = 100 * time.Millisecond // Fleet.Tick
-	faultRate      = 0.12                   // of messages and transactions, while faults are injected
+	modelTick      = 50 * time.Millisecond  // between two steps of the workers and the network
+	modelFleetTick = 100 * time.Millisecond // between two calls of Fleet.Tick
+	faultRate      = 0.12                   // share of messages and transactions that are faulty
 )
 
-// delayedEvent is something that happens later.
+// delayedEvent is an event scheduled for a later time.
 type delayedEvent struct {
 	at  time.Duration
 	run func()
 }
 
-// lingeringUnits are licence units of a crashed task that their server still counts.
+// lingeringUnits are licence units of a crashed task that the licence server still counts as taken.
 type lingeringUnits struct {
 	pool  string
 	units int
 	until time.Duration
 }
 
-// model is the state of everything but the Fleet.
+// model is the state of everything around the Fleet.
 type model struct {
 	seed       uint64
 	rng        *rand.Rand
@@ -47,39 +47,39 @@
 	now        time.Duration
 	events     []delayedEvent
 	faultRate  float64
-	violations []string // of the rules
+	violations []string // broken rules, with the time and the facts
 	afterTick  func()   // called after every tick of the fleet; may be nil
 
-	items    map[string]modelItem // of the state service
+	items    map[string]modelItem // content of the state service, by key
 	revision uint64
 
-	fleet      *Fleet // nil between two leaders
+	fleet      *Fleet // nil while there is no leader
 	jobs       *jobs.Table
 	term       uint64
 	nextTermAt time.Duration
 
 	submitted   int
 	specs       map[string]*jobs.Spec
-	finished    map[string]map[int32]bool // tasks, by job
+	finished    map[string]map[int32]bool // finished tasks, by job
 	cancelledAt map[string]time.Duration
 
 	workers    []*modelWorker
 	startCount int
 
-	// unreliableMachines: machines receive nothing for a while, restart under their names, and copies of heartbeats
-	// come late.
+	// unreliableMachines adds faults: machines receive nothing for a while or restart under their names, and copies of
+	// heartbeats arrive late.
 	unreliableMachines                       bool
 	unreachablePeriods, lateCopies, restarts int
 
 	pools           []*licences.Pool // nil: no job needs a licence
 	lingering       []lingeringUnits
 	nextCountChange time.Duration
-	maxUnits        map[string]int // the highest count of a pool in the last minute
-	peakUnits       map[string]int // the most units of a pool that were taken at once
+	maxUnits        map[string]int // by pool: the most units that may be in use
+	peakUnits       map[string]int // by pool: the most units that were in use at once
 
-	migrateAt    time.Duration // when plans begin to be written into pages; 0: not during the run
+	migrateAt    time.Duration // when the fleet begins to store plans in pages; 0: not during the run
 	plansInPages bool
-	migrated     bool // no plan has a key of its own any more
+	migrated     bool // no plan segment has a key of its own any more
 }
 
 func newModel(seed uint64, pools ...*licences.Pool) *model {
@@ -136,17 +136,17 @@
 	return settings
 }
 
-// violation records that a rule is broken, which ends the run.
+// violation records a broken rule, which ends the run.
 func (m *model) violation(format string, args ...any) {
 	m.violations = append(m.violations, fmt.Sprintf("%v: ", m.now)+fmt.Sprintf(format, args...))
 }
 
-// after lets something happen after a delay.
+// after schedules run for a time after a delay.
 func (m *model) after(delay time.Duration, run func()) {
 	m.events = append(m.events, delayedEvent{m.now + delay, run})
 }
 
-// networkDelay returns how long a message takes. Late ones arrive when nobody waits for them any more.
+// networkDelay returns the random delay of a message. Faults delay it by up to 25 s, far beyond the timeouts.
 func (m *model) networkDelay() time.Duration {
 	if m.rng.Float64() < m.faultRate {
 		return time.Duration(m.rng.Int64N(int64(25 * time.Second)))
@@ -169,8 +169,8 @@
 	slices.SortStableFunc(m.events, func(a, b delayedEvent) int { return cmp.Compare(a.at, b.at) })
 }
 
-// run injects faults until faultsEnd, then repairs everything, cancels the services and goes on until end, when all
-// jobs have to have ended. It stops at the first violation.
+// run injects faults until faultsEnd, then calls repair and continues until end, by when all jobs have to end. It
+// stops at the first violation.
 func (m *model) run(faultsEnd, end time.Duration) {
 	repaired := false
 	for ; m.now < end && len(m.violations) == 0; m.now += modelTick {
@@ -198,7 +198,7 @@
 	}
 }
 
-// repair ends all faults, gives all pools enough units and cancels the services, which don't end by themselves.
+// repair ends all faults, gives all pools enough units and cancels the services, which never end by themselves.
 func (m *model) repair() {
 	m.faultRate = 0
 	for _, pool := range m.pools {
@@ -228,7 +228,7 @@
 	}
 }
 
-// runAndCheck runs the model, checks that every rule was kept and that every job ended, and returns how many did.
+// runAndCheck runs the model and returns the number of jobs. The test fails if a rule is broken or a job never ends.
 func (m *model) runAndCheck(t *testing.T) (ended int) {
 	t.Helper()
 	m.run(150*time.Second, 420*time.Second)
@@ -237,18 +237,18 @@
 	}
 	for id := range m.specs {
 		if m.recordState(id) == "pending" {
-			m.failUnended(t, id)
+			m.failPending(t, id)
 		}
 		ended++
 	}
 	if m.plansInPages != m.migrated {
-		t.Fatalf("seed %d: %d plans have keys of their own at the end", m.seed, m.fleet.UnmigratedPlans())
+		t.Fatalf("seed %d: %d plan segments have keys of their own at the end, want 0", m.seed, m.fleet.UnmigratedPlans())
 	}
 	return ended
 }
 
-// failUnended fails the test for a job that has not ended, with the state of its tasks and of the workers.
-func (m *model) failUnended(t *testing.T, id string) {
+// failPending fails the test for a job that is still pending, and logs the state of its tasks and of the workers.
+func (m *model) failPending(t *testing.T, id string) {
 	t.Helper()
 	job := m.jobs.Get(id)
 	for i := range job.Tasks {
@@ -258,10 +258,10 @@
 	}
 	for _, worker := range m.workers {
 		for _, task := range worker.tasks {
-			t.Logf("%s (%+v) has %+v", worker.name, worker.capacity, *task)
+			t.Logf("worker %s with capacity %+v has task %+v", worker.name, worker.capacity, *task)
 		}
 	}
-	t.Fatalf("seed %d: %s (%+v) never ends: %s, %+v",
+	t.Fatalf("seed %d: job %s (%+v) still pending at the end: licence denial %s, reasons %+v",
 		m.seed, id, *m.specs[id], job.LicenceDenial, m.fleet.PendingReasons(m.now, job))
 }
 
@@ -270,7 +270,7 @@
 	os.Exit(m.Run())
 }
 
-// seedCount returns how many runs of the model a test makes.
+// seedCount returns the number of seeds, with one run of the model each.
 func seedCount() uint64 {
 	if os.Getenv("HAREWALK_LONG") != "" {
 		return 1500
@@ -278,13 +278,13 @@
 	return 60
 }
 
-// modelPools returns the licence pools of the model, one of which counts units of crashed tasks for a while.
+// modelPools returns the licence pools of the model. Pool q counts the units of crashed tasks as taken for 6 s.
 func modelPools() []*licences.Pool {
 	return []*licences.Pool{{Name: "p", Count: 6}, {Name: "q", Count: 5, ReleaseTimeout: 6 * time.Second}}
 }
 
-// The rules are kept whatever is lost, late, repeated, crashed or taken away, and every job ends once everything is
-// repaired.
+// No rule is broken while messages and writes are lost, late or repeated, machines crash or are reclaimed and leaders
+// change. Every job ends once all faults are repaired.
 func TestModelKeepsRules(t *testing.T) {
 	starts, ended := 0, 0
 	for seed := uint64(1); seed <= seedCount(); seed++ {
@@ -293,12 +293,12 @@
 		starts += m.startCount
 	}
 	if starts < 2000 || ended < 1000 {
-		t.Fatalf("only %d starts and %d jobs: the model does not exercise the code", starts, ended)
+		t.Fatalf("%d starts and %d ended jobs, want at least 2000 and 1000", starts, ended)
 	}
 }
 
-// The rules are also kept with machines that send heartbeats and receive nothing, that restart under their names with
-// session and sequence from the start, and with copies of heartbeats that come up to four leases late.
+// No rule is broken with machines that send heartbeats but receive nothing, machines that restart under their names
+// with session and sequence numbers from the start, and copies of heartbeats that arrive up to four leases late.
 func TestModelKeepsRulesWithUnreliableMachines(t *testing.T) {
 	starts, ended, unreachable, copies, restarts := 0, 0, 0, 0, 0
 	for seed := uint64(1); seed <= seedCount(); seed++ {
@@ -310,33 +310,33 @@
 		copies += m.lateCopies
 		restarts += m.restarts
 	}
-	t.Logf("%d starts, %d jobs, %d times unreachable, %d copies, %d restarts",
+	t.Logf("%d starts, %d ended jobs, %d unreachable periods, %d late copies, %d restarts",
 		starts, ended, unreachable, copies, restarts)
 	if starts < 2000 || ended < 1000 || unreachable < 100 || copies < 5000 || restarts < 100 {
-		t.Fatal("the model does not exercise the code")
+		t.Fatal("want at least 2000 starts, 1000 jobs, 100 unreachable periods, 5000 copies and 100 restarts")
 	}
 }
 
-// The rules are also kept with licences: no pool ever has more units taken than it has, those of crashed holders
-// included, while counts fall and rise and leaders change, and every unit is free at the end.
+// No rule is broken with licences: the units in use, those of crashed holders included, never exceed a pool's count
+// while counts fall and rise and leaders change. Every unit is free at the end.
 func TestModelKeepsRulesWithLicences(t *testing.T) {
-	starts, ended, full := 0, 0, 0
+	starts, ended, fullPools := 0, 0, 0
 	for seed := uint64(1); seed <= seedCount(); seed++ {
 		m := newModel(seed, modelPools()...)
 		ended += m.runAndCheck(t)
 		starts += m.startCount
 		for _, pool := range m.pools {
 			if m.peakUnits[pool.Name] >= 5 {
-				full++
+				fullPools++
 			}
 			index, _ := m.jobs.Names.Pools.Index(pool.Name)
 			view := m.fleet.Gate.Licences.View(m.now, index, func(int32) string { return "" })
 			if view.Free != pool.Count {
-				t.Fatalf("seed %d: pool %s is empty but %+v", m.seed, pool.Name, view)
+				t.Fatalf("seed %d: pool %s has units in use after all jobs ended: %+v", m.seed, pool.Name, view)
 			}
 		}
 	}
-	if starts < 1500 || ended < 1000 || full < 30 {
-		t.Fatalf("only %d starts, %d jobs and %d full pools: the model does not exercise the code", starts, ended, full)
+	if starts < 1500 || ended < 1000 || fullPools < 30 {
+		t.Fatalf("%d starts, %d ended jobs, %d full pools, want at least 1500, 1000, 30", starts, ended, fullPools)
 	}
 }
--- a/internal/fleet/modelfaults_test.go
+++ b/internal/fleet/modelfaults_test.go
@@ -10,14 +10,15 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file is what users, operators, the cloud and failures do to the model.
+// This file models users, operators, the cloud and failures.
 
-// chance returns true at random, so many times a second on average.
+// chance returns true at random. Called once each tick it returns true perSecond times a second on average.
 func (m *model) chance(perSecond float64) bool {
 	return m.rng.Float64() < perSecond*modelTick.Seconds()
 }
 
-// injectFaults lets what may happen at random happen in one tick.
+// injectFaults injects the random events of one tick: submissions, cancellations, changes of leader, worker faults and
+// changes of licence counts.
 func (m *model) injectFaults() {
 	if m.chance(0.25) {
 		m.submitJob()
@@ -36,10 +37,10 @@
 	m.changeLicenceCounts()
 }
 
-// injectWorkerFault lets at most one thing happen to a worker.
+// injectWorkerFault injects at most one random fault into a worker.
 func (m *model) injectWorkerFault(worker *modelWorker) {
 	switch {
-	case m.unreliableMachines && m.chance(0.006) && worker.alive && !worker.hung: // it receives nothing for a while
+	case m.unreliableMachines && m.chance(0.006) && worker.alive && !worker.hung: // receives nothing for a while
 		m.unreachablePeriods++
 		worker.unreachableUntil = m.now + time.Duration(m.rng.Int64N(int64(40*time.Second)))
 	case m.unreliableMachines && m.chance(0.008) && worker.alive && !worker.hung:
@@ -47,23 +48,23 @@
 	case m.chance(0.006) && worker.alive && !worker.hung: // hangs, and resumes before or after its lease expires
 		worker.hung = true
 		m.after(time.Duration(m.rng.Int64N(int64(15*time.Second))), func() { worker.hung = false })
-	case m.chance(0.003) && worker.alive: // dies
+	case m.chance(0.003) && worker.alive: // crashes permanently
 		m.killWorker(worker)
 		m.replaceWorker(worker)
-	case m.chance(0.004) && worker.alive && m.fleet != nil: // the cloud confirms its return
+	case m.chance(0.004) && worker.alive && m.fleet != nil: // terminated, confirmed by the cloud
 		if machine := m.fleet.FindMachine(worker.name); machine != nil {
 			m.killWorker(worker)
 			m.fleet.HandleReturned(m.now, machine, "returned")
 			m.replaceWorker(worker)
 		}
-	case m.chance(0.004) && worker.alive && worker.spot && worker.reclaimAt == 0: // the cloud reclaims it
+	case m.chance(0.004) && worker.alive && worker.spot && worker.reclaimAt == 0: // reclaimed by the cloud
 		worker.reclaimAt = m.now + 5*time.Second
 		m.after(5*time.Second, func() { m.killWorker(worker) })
 		m.replaceWorker(worker)
 	}
 }
 
-// restartWorker restarts a machine at once under its name, with session and sequence from the start.
+// restartWorker restarts a machine at once under its name, with session and sequence numbers from the start.
 func (m *model) restartWorker(worker *modelWorker) {
 	m.restarts++
 	m.crashTasks(worker.tasks)
@@ -78,14 +79,14 @@
 	worker.nextHeartbeat = m.now + time.Duration(m.rng.Int64N(int64(900*time.Millisecond)))
 }
 
-// killWorker ends a machine for good.
+// killWorker ends a machine permanently.
 func (m *model) killWorker(worker *modelWorker) {
 	worker.alive = false
 	m.crashTasks(worker.tasks)
 	worker.tasks = nil
 }
 
-// replaceWorker adds a machine like another, under a new name.
+// replaceWorker adds a machine of the same type as another, under a new name.
 func (m *model) replaceWorker(worker *modelWorker) {
 	replacement := *worker
 	replacement.name = fmt.Sprintf("i-%d", len(m.workers)+100)
@@ -102,7 +103,7 @@
 }
 
 // changeLicenceCounts changes the counts of the pools once a minute. For that minute the higher of the old and the
-// new count is allowed: what was admitted before may still be on its way.
+// new count is allowed: tasks admitted before the change may not have started yet.
 func (m *model) changeLicenceCounts() {
 	if m.pools == nil || m.now < m.nextCountChange {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// jobID returns the id of the nth job.
+// jobID returns the id of job number n.
 func jobID(n int) string { return fmt.Sprintf("req-%06d", n) }
 
 // submitJob submits a random job.
@@ -132,7 +133,7 @@
 	})
 }
 
-// randomSpec returns a random job that the model's machines can run.
+// randomSpec returns the spec of a random job that the model's machines can run.
 func (m *model) randomSpec(id string) *jobs.Spec {
 	kinds := []jobs.Kind{jobs.Array, jobs.Array, jobs.Gang, jobs.Service}
 	spec := &jobs.Spec{
@@ -157,7 +158,7 @@
 	m.addRandomConstraint(spec)
 	constrained := spec.OneZone || spec.GPUs > 0 || spec.Zone != nil || spec.Types != nil
 	if spec.Kind != jobs.Array && constrained {
-		// The model never scales out: it must fit on one machine.
+		// The model never scales out: the job must fit on one machine.
 		spec.Tasks = min(spec.Tasks, 2)
 		spec.CPUs = 1
 	}
@@ -170,7 +171,7 @@
 	return spec
 }
 
-// addRandomConstraint restricts where a job may run, or doesn't.
+// addRandomConstraint adds at most one random placement constraint to a job.
 func (m *model) addRandomConstraint(spec *jobs.Spec) {
 	switch m.rng.IntN(5) {
 	case 0:
@@ -187,7 +188,7 @@
 	}
 }
 
-// cancel is a user's cancellation of a job, as any controller carries it out.
+// cancel cancels a pending job for a user. Like any controller, it writes the job's record conditionally.
 func (m *model) cancel(id string) {
 	key := jobs.RecordKey(id)
 	item, ok := m.items[key]
--- a/internal/fleet/modelstore_test.go
+++ b/internal/fleet/modelstore_test.go
@@ -13,9 +13,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file is the model's state service, and the leaders that use it.
+// This file models the state service and the leaders that use it.
 
-// leaderKey is the key that guards every transaction of a leader.
+// leaderKey is the key whose version is a condition of every transaction of a leader.
 const leaderKey = "leader"
 
 // modelItem is a key's value in the model's state service.
@@ -24,7 +24,7 @@
 	version uint64
 }
 
-// commit applies a transaction and checks what it writes.
+// commit applies a transaction if its conditions hold, and checks the values that it writes.
 func (m *model) commit(txn store.Txn) store.Result {
 	var failed []string
 	for _, condition := range txn.If {
@@ -59,12 +59,13 @@
 	return len(key) > len(jobs.Prefix) && strings.HasPrefix(key, jobs.Prefix)
 }
 
-// watchDelay is how long after a commit the leader learns of it.
+// watchDelay returns the random delay between a commit and its delivery to the leader's watch.
 func (m *model) watchDelay() time.Duration {
 	return time.Duration(m.rng.Int64N(int64(400 * time.Millisecond)))
 }
 
-// checkRecord checks what users may be told of a job: the rules not_done and went_back.
+// checkRecord checks the job states that users see. Rule went_back: only a pending job changes its state. Rule
+// not_done: a job becomes done only if all its tasks have finished.
 func (m *model) checkRecord(key string, value json.RawMessage) {
 	if !strings.HasPrefix(key, jobs.Prefix) {
 		return
@@ -80,13 +81,13 @@
 	}
 	if after.State == "done" {
 		if n := len(m.finished[id]); n != m.specs[id].Tasks {
-			m.violation("not_done: %s is called done with %d of %d tasks", id, n, m.specs[id].Tasks)
+			m.violation("not_done: %s becomes done with %d of %d tasks finished", id, n, m.specs[id].Tasks)
 		}
 	}
 }
 
-// checkPlanKey checks that no plan segment of a pending job is written to a key of its own after the migration. Those
-// of ended jobs are never read.
+// checkPlanKey checks that no plan segment of a pending job is written to a key of its own after the migration. The
+// stored segments of ended jobs are never read.
 func (m *model) checkPlanKey(key string) {
 	name, ok := strings.CutPrefix(key, jobs.PlanPrefix)
 	if !ok || !m.migrated || strings.HasPrefix(key, jobs.PlanPagePrefix) || strings.HasPrefix(key, imageHintsPrefix) {
@@ -94,18 +95,18 @@
 	}
 	id, _, _ := splitSegmentName(name)
 	if m.recordState(id) == "pending" {
-		m.violation("%s is written with a key of its own, and the migration is over", name)
+		m.violation("plan segment %s is written to a key of its own after the migration", name)
 	}
 }
 
-// recordState returns the state of a job as it is stored, "" if there is no record.
+// recordState returns the stored state of a job, or "" if it has no record.
 func (m *model) recordState(id string) string {
 	var record jobs.Record
 	_ = json.Unmarshal(m.items[jobs.RecordKey(id)].value, &record)
 	return record.State
 }
 
-// applyRecord passes a job's record to the leader.
+// applyRecord applies a job's record to the leader's job table and fleet, if there is a leader.
 func (m *model) applyRecord(key string, value json.RawMessage, version uint64) {
 	if m.jobs == nil {
 		return
@@ -119,12 +120,12 @@
 	}
 }
 
-// segmentValue returns the stored value of a plan segment: the one written last, of those in pages and in a key of
-// its own.
+// segmentValue returns the newest stored value of a plan segment, from the pages and the segment's own key. It returns
+// nil if there is none.
 func (m *model) segmentValue(name string) json.RawMessage {
 	newest, ok := m.items[jobs.PlanPrefix+name]
 	if ok && m.migrated {
-		m.violation("%s has a key of its own, and the migration is over", name)
+		m.violation("plan segment %s has a key of its own after the migration", name)
 	}
 	for key, item := range m.items {
 		if !strings.HasPrefix(key, jobs.PlanPagePrefix) || item.version <= newest.version {
@@ -141,7 +142,7 @@
 	return newest.value
 }
 
-// durablyFinished returns whether it is stored that a task has finished, or that its job has ended.
+// durablyFinished returns whether a task is finished in the stored plan, or its job has ended by the stored record.
 func (m *model) durablyFinished(id string, taskIndex int32) bool {
 	if m.recordState(id) != "pending" {
 		return true
@@ -156,7 +157,7 @@
 	return err == nil && finished[int(taskIndex)%jobs.SegmentTasks]
 }
 
-// startTerm starts a new term of a leader that has nothing but what the state service holds.
+// startTerm starts the term of a new leader, whose only information is the content of the state service.
 func (m *model) startTerm() {
 	m.term++
 	m.revision++
@@ -183,7 +184,7 @@
 	m.fleet.LoadPlans(m.now, plans)
 }
 
-// env returns the surroundings of the fleet of a term. What is answered after the term's end is dropped.
+// env returns the Env of a term's fleet. Responses that arrive after the end of the term are dropped.
 func (m *model) env(term uint64, guard store.Condition) Env {
 	return Env{
 		Settings:       m.settings,
@@ -221,10 +222,10 @@
 	}
 }
 
-// leads returns whether a term still lasts.
+// leads returns whether a term is the current leader's.
 func (m *model) leads(term uint64) bool { return m.fleet != nil && m.fleet.Term == term }
 
-// machineType describes the machine types, by dense index.
+// machineType returns a machine type by its dense index, or nil for an unknown type.
 func (m *model) machineType(index int32) *MachineType {
 	switch m.jobs.Names.Types.Name(index) {
 	case "gpu":
@@ -235,7 +236,7 @@
 	return nil
 }
 
-// commitWithFaults applies a transaction after a delay. It may be lost, or applied late without a response.
+// commitWithFaults applies a transaction after a delay. A faulty one is rejected, lost, or applied without a response.
 func (m *model) commitWithFaults(txn store.Txn, done func(store.Result)) {
 	switch x := m.rng.Float64(); {
 	case x < m.faultRate/2:
@@ -251,7 +252,7 @@
 	}
 }
 
-// read passes a key's item on.
+// read passes a key's item to done.
 func (m *model) read(key string, done func(store.Item, error)) {
 	item := m.items[key]
 	done(store.Item{Key: key, Value: item.value, Version: item.version}, nil)
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -10,42 +10,42 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// This file is the model's workers: their heartbeats, leases and tasks, and the rules checked when a task starts.
+// This file models the workers, with their heartbeats, leases and tasks, and checks the rules when a task starts.
 
 const (
 	// heartbeatTimeout is how long a worker waits for a heartbeat's response.
 	heartbeatTimeout = 4 * time.Second
 	// directCommandTimeout is how long a leader waits for the response to direct commands.
 	directCommandTimeout = 2 * time.Second
-	// taskFailureRate is the share of finished tasks, not of gangs, that end with an error.
+	// taskFailureRate is the share of tasks that end with an error. Tasks of gangs never do.
 	taskFailureRate = 0.03
 
-	exitAlone     = "alone" // the rest of the gang did not come
-	exitPeersGone = "peers" // a task of the gang ended
+	exitAlone     = "alone" // the rest of the gang did not arrive in time
+	exitPeersGone = "peers" // another task of the gang ended
 )
 
-// modelTask is a task as its worker has it.
+// modelTask is an attempt of a task as its worker records it.
 type modelTask struct {
 	job          string
 	task         int32
 	attempt      uint64
 	state        AttemptState
-	exitReason   ExitCause
+	exitCause    ExitCause
 	imageReadyAt time.Duration
 	startedAt    time.Duration
 	runTime      time.Duration
-	waitingSince time.Duration // for the rest of its gang
-	onMachine    bool          // has its image and has not ended: the rules count it
+	waitingSince time.Duration // start of the wait for the rest of the gang
+	onMachine    bool          // has its image and has not ended; counted by the rules
 }
 
-// exit ends a task.
-func (t *modelTask) exit(reason ExitCause) {
+// exit ends a task with a cause.
+func (t *modelTask) exit(cause ExitCause) {
 	t.state = taskExited
-	t.exitReason = reason
+	t.exitCause = cause
 	t.onMachine = false
 }
 
-// modelWorker is a machine with its worker.
+// modelWorker is a machine and its worker process.
 type modelWorker struct {
 	name, machineType, zone string
 	spot                    bool
@@ -54,8 +54,8 @@
 
 	alive            bool
 	hung             bool
-	unreachableUntil time.Duration // no response or command arrives before
-	incarnation      int           // how often it was restarted under its name
+	unreachableUntil time.Duration // until this time no response or command arrives
+	incarnation      int           // number of restarts under the same name
 	reclaimAt        time.Duration // 0: no reclaim notice
 
 	session, seq uint64
@@ -67,12 +67,12 @@
 	nextHeartbeat     time.Duration
 }
 
-// sendCommands delivers direct commands to a worker. They or the response may be lost or late.
+// sendCommands delivers direct commands to a worker. The commands or the response may be lost or late.
 func (m *model) sendCommands(machine *Machine, commands DirectCommands, done func(*Heartbeat, bool)) {
-	answered := false
+	responded := false
 	finish := func(heartbeat *Heartbeat, ok bool) {
-		if !answered {
-			answered = true
+		if !responded {
+			responded = true
 			done(heartbeat, ok)
 		}
 	}
@@ -89,7 +89,7 @@
 		if worker == nil || !worker.alive || worker.incarnation != incarnation || m.now < worker.unreachableUntil {
 			return
 		}
-		if worker.hung { // it handles what waits once it resumes
+		if worker.hung { // it handles the commands once it resumes
 			m.after(3*time.Second, func() {
 				if worker.incarnation == incarnation {
 					m.handleCommands(worker, commands)
@@ -103,7 +103,7 @@
 	})
 }
 
-// findWorker returns the last worker with a name, or nil.
+// findWorker returns the newest worker with a name, or nil.
 func (m *model) findWorker(name string) *modelWorker {
 	for _, worker := range slices.Backward(m.workers) {
 		if worker.name == name {
@@ -113,7 +113,8 @@
 	return nil
 }
 
-// handleCommands is a worker's endpoint for direct commands.
+// handleCommands executes direct commands on a worker and returns the worker's response. It returns false if the worker
+// is dead.
 func (m *model) handleCommands(worker *modelWorker, commands DirectCommands) (*Heartbeat, bool) {
 	if !worker.alive {
 		return nil, false
@@ -148,13 +149,13 @@
 			Task:      fmt.Sprintf("%s/%d", task.job, task.task),
 			Attempt:   task.attempt,
 			State:     task.state,
-			ExitCause: task.exitReason,
+			ExitCause: task.exitCause,
 		})
 	}
 	return heartbeat
 }
 
-// sendHeartbeat sends a worker's heartbeat when it is due, and handles the response.
+// sendHeartbeat sends a worker's heartbeat if it is due, and delivers the response.
 func (m *model) sendHeartbeat(worker *modelWorker) {
 	if worker.heartbeatInFlight && m.now-worker.heartbeatSentAt > heartbeatTimeout {
 		worker.heartbeatInFlight = false
@@ -201,8 +202,8 @@
 	})
 }
 
-// handleResponse handles the response to the heartbeat that a worker sent at a time in an incarnation and session. It
-// drops one that is too late, or of an earlier session.
+// handleResponse handles the response to the heartbeat that a worker sent at sentAt in an incarnation and session. It
+// drops a response that is too late or belongs to an earlier incarnation or session.
 func (m *model) handleResponse(
 	worker *modelWorker,
 	incarnation int,
@@ -232,7 +233,7 @@
 	m.execute(worker, response.Commands)
 }
 
-// expireLease kills a worker's tasks and begins a new session when its lease is over.
+// expireLease kills a worker's tasks and begins a new session if the worker's lease has expired.
 func (m *model) expireLease(worker *modelWorker) {
 	if m.now-worker.leaseFrom <= m.settings.WorkerLease() {
 		return
@@ -244,7 +245,7 @@
 	worker.heartbeatInFlight = false
 }
 
-// crashTasks ends tasks without notice: a server may count their licence units for a while.
+// crashTasks ends tasks without notice: their licence units stay taken for the ReleaseTimeout of their pools.
 func (m *model) crashTasks(tasks []*modelTask) {
 	for _, task := range tasks {
 		if !task.onMachine {
@@ -260,28 +261,28 @@
 	}
 }
 
-// execute carries out commands on a worker.
+// execute executes commands on a worker.
 func (m *model) execute(worker *modelWorker, commands []Command) {
 	for _, command := range commands {
 		id, taskIndex, _ := parseTaskName(command.Task)
-		at := slices.IndexFunc(worker.tasks, func(task *modelTask) bool {
+		index := slices.IndexFunc(worker.tasks, func(task *modelTask) bool {
 			return task.job == id && task.task == taskIndex && task.attempt == command.Attempt
 		})
 		switch {
-		case command.Op == opStart && at < 0:
+		case command.Op == opStart && index < 0:
 			m.launch(worker, id, taskIndex, command.Attempt)
-		case command.Op == opStop && at >= 0 && worker.tasks[at].state != taskExited:
-			worker.tasks[at].exit(exitStopped)
-		case command.Op == opForget && at >= 0 && worker.tasks[at].state == taskExited:
-			if worker.tasks[at].exitReason == exitDone && !m.durablyFinished(id, taskIndex) {
-				m.violation("forgot %s before its end was durable", command.Task)
+		case command.Op == opStop && index >= 0 && worker.tasks[index].state != taskExited:
+			worker.tasks[index].exit(exitStopped)
+		case command.Op == opForget && index >= 0 && worker.tasks[index].state == taskExited:
+			if worker.tasks[index].exitCause == exitDone && !m.durablyFinished(id, taskIndex) {
+				m.violation("forget command for %s arrived before the task's end was durable", command.Task)
 			}
-			worker.tasks = slices.Delete(worker.tasks, at, at+1)
+			worker.tasks = slices.Delete(worker.tasks, index, index+1)
 		}
 	}
 }
 
-// launch makes a worker fetch the image of a new attempt of a task, or refuses it.
+// launch starts a new attempt of a task on a worker by fetching its image, or refuses the attempt.
 func (m *model) launch(worker *modelWorker, id string, taskIndex int32, attempt uint64) {
 	task := &modelTask{
 		job:          id,
@@ -311,7 +312,7 @@
 	worker.tasks = append(worker.tasks, task)
 }
 
-// advanceTasks moves a worker's tasks on to the present.
+// advanceTasks advances a worker's tasks to the present time.
 func (m *model) advanceTasks(worker *modelWorker) {
 	m.expireLease(worker)
 	for _, task := range worker.tasks {
@@ -334,7 +335,7 @@
 	}
 }
 
-// runsCancelled returns whether a task runs longer than allowed after its job was cancelled.
+// runsCancelled returns whether a task is on its machine longer than allowed after its job was cancelled.
 func (m *model) runsCancelled(task *modelTask) bool {
 	cancelledAt, ok := m.cancelledAt[task.job]
 	return ok && m.now > cancelledAt+jobs.Seconds(m.settings.Params.Workers.CancelS) && task.onMachine
@@ -390,7 +391,7 @@
 	}
 }
 
-// gangTasksOnMachines returns how many tasks of a task's gang attempt have their image, on machines that are up.
+// gangTasksOnMachines returns how many tasks of a task's gang attempt are on live machines with their image.
 func (m *model) gangTasksOnMachines(task *modelTask) int {
 	count := 0
 	for worker, other := range m.tasksOnMachines() {
@@ -415,7 +416,7 @@
 	}
 }
 
-// tasksOnMachines returns the tasks that the rules count, with their workers.
+// tasksOnMachines returns the tasks that the rules count as on a machine, with their workers.
 func (m *model) tasksOnMachines() iter.Seq2[*modelWorker, *modelTask] {
 	return func(yield func(*modelWorker, *modelTask) bool) {
 		for _, worker := range m.workers {
@@ -428,7 +429,7 @@
 	}
 }
 
-// checkStart counts a task as being on its machine, at the moment when it has its image, and checks the rules.
+// checkStart marks a task as on its machine once its image has been fetched, and checks the rules.
 func (m *model) checkStart(worker *modelWorker, task *modelTask) {
 	task.onMachine = true
 	m.startCount++
@@ -438,7 +439,7 @@
 	m.checkPlacement(worker, task)
 }
 
-// checkLicences checks that no more units of any pool are taken than there were in the last minute.
+// checkLicences checks that the units in use of each pool that a job needs are within maxUnits.
 func (m *model) checkLicences(spec *jobs.Spec) {
 	for pool := range spec.Licences {
 		units := 0
@@ -452,12 +453,12 @@
 		}
 		m.peakUnits[pool] = max(m.peakUnits[pool], units)
 		if units > m.maxUnits[pool] {
-			m.violation("licence units: %d of %d of %s taken by a start of %s", units, m.maxUnits[pool], pool, spec.ID)
+			m.violation("licences: %d of %d units of %s used at a start of %s", units, m.maxUnits[pool], pool, spec.ID)
 		}
 	}
 }
 
-// checkRunsOnce checks that a task is on no other machine.
+// checkRunsOnce checks that a task is on no other machine at the same time.
 func (m *model) checkRunsOnce(worker *modelWorker, task *modelTask) {
 	for otherWorker, other := range m.tasksOnMachines() {
 		if other.job == task.job && other.task == task.task && otherWorker != worker {
@@ -466,7 +467,7 @@
 	}
 }
 
-// checkTeamLimit checks that a task's team is within its limit.
+// checkTeamLimit checks that the CPUs in use by a task's team are within the team's limit.
 func (m *model) checkTeamLimit(worker *modelWorker, task *modelTask) {
 	team := m.specs[task.job].Team
 	used := planner.Size{}
@@ -481,7 +482,7 @@
 	}
 }
 
-// checkPlacement checks that a task may be on its machine, also beside the others of its job.
+// checkPlacement checks a task's machine against the placement constraints of its job.
 func (m *model) checkPlacement(worker *modelWorker, task *modelTask) {
 	spec := m.specs[task.job]
 	othersByZone := map[string]int{}
@@ -497,7 +498,7 @@
 	zonesMixed := spec.OneZone && len(othersByZone) > 0 && (len(othersByZone) > 1 || inZone == 0)
 	zoneCrowded := spec.Spread && inZone+1 > (spec.Tasks+1)/2
 	if wrongZone || wrongType || wrongSpot || zonesMixed || zoneCrowded {
-		m.violation("wrong_place: %s/%d on %s (%s, zone %s, spot %v), others in %v",
+		m.violation("wrong_place: %s/%d on %s (%s, zone %s, spot %v), other tasks by zone %v",
 			task.job, task.task, worker.name, worker.machineType, worker.zone, worker.spot, othersByZone)
 	}
 }
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -14,7 +14,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// rig is a fleet whose writes and direct requests the test completes.
+// rig is a Fleet under test. The test decides the outcome of its writes and direct requests.
 type rig struct {
 	*Fleet
 	t               testing.TB
@@ -33,7 +33,7 @@
 	return newRigOf(t, term, kv, []config.Team{{Name: "t", CPUsMax: 4}})
 }
 
-// newRigOf returns a rig whose fleet has loaded the plans stored in kv, with teams and licence pools.
+// newRigOf returns a rig with teams and licence pools, whose fleet has loaded the job records and plans in kv.
 func newRigOf(
 	t testing.TB, term uint64, kv map[string]json.RawMessage, teams []config.Team, pools ...*licences.Pool,
 ) *rig {
@@ -44,20 +44,20 @@
 	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 3, LeaseS: 20, GangWaitS: 20, GangPeerS: 5, CancelS: 40}
 	settings.Params.State.ValueKB = 8
 	settings.Operator.NetworkFactor = 1
-	book := jobs.NewTable(0)
-	book.Names.Pools = licences.NewCatalog(pools)
+	table := jobs.NewTable(0)
+	table.Names.Pools = licences.NewCatalog(pools)
 	var plans []store.Item
 	for k, v := range kv {
 		g.revision++
 		if k[:2] == jobs.PlanPrefix {
 			plans = append(plans, store.Item{Key: k, Value: v, Version: g.revision})
-		} else if _, _, err := book.Apply(k[len(jobs.Prefix):], v, g.revision); err != nil {
+		} else if _, _, err := table.Apply(k[len(jobs.Prefix):], v, g.revision); err != nil {
 			t.Fatal(err)
 		}
 	}
 	g.Fleet = New(Env{
 		Settings: settings,
-		Jobs:     book,
+		Jobs:     table,
 		Random:   rand.New(rand.NewPCG(1, 1)),
 		TxnOps:   20,
 		Now:      func() time.Duration { return g.now },
@@ -67,9 +67,9 @@
 		CanWrite:       func(int) bool { return true },
 		HasSpareWrites: func() bool { return true },
 		Commit: func(txn store.Txn, done func(store.Result)) {
-			g.pendingCommits = append(g.pendingCommits, func(o store.Outcome) {
+			g.pendingCommits = append(g.pendingCommits, func(outcome store.Outcome) {
 				g.revision++
-				if o == store.Committed {
+				if outcome == store.Committed {
 					for _, op := range txn.Then {
 						if op.Delete != "" {
 							delete(kv, op.Delete)
@@ -78,7 +78,7 @@
 						}
 					}
 				}
-				done(store.Result{Outcome: o, Revision: g.revision})
+				done(store.Result{Outcome: outcome, Revision: g.revision})
 			})
 		},
 		Read: func(key string, done func(store.Item, error)) {
@@ -88,8 +88,8 @@
 			}
 			done(item, nil)
 		},
-		SendCommands: func(_ *Machine, o DirectCommands, done func(*Heartbeat, bool)) {
-			g.sentDirect, g.directCallbacks = append(g.sentDirect, o), append(g.directCallbacks, done)
+		SendCommands: func(_ *Machine, commands DirectCommands, done func(*Heartbeat, bool)) {
+			g.sentDirect, g.directCallbacks = append(g.sentDirect, commands), append(g.directCallbacks, done)
 		},
 		OnJobRecord: func(now time.Duration, item store.Item) { g.applyRecord(item.Key, item.Value) },
 	}, term, 0)
@@ -97,7 +97,7 @@
 	return g
 }
 
-// applyRecord stores a job record and lets the job table and the fleet apply it.
+// applyRecord stores a job record and applies it to the job table and the fleet.
 func (g *rig) applyRecord(key string, raw json.RawMessage) {
 	g.revision++
 	g.kv[key] = raw
@@ -108,7 +108,7 @@
 	}
 }
 
-// spec returns a job array of tasks of one CPU each.
+// spec returns the spec of job number n: an array of tasks with one CPU each.
 func spec(n int, tasks int) *jobs.Spec {
 	return &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "t", Kind: jobs.Array, Priority: "standard", Tasks: tasks,
@@ -116,7 +116,7 @@
 	}
 }
 
-// submit accepts a job.
+// submit stores the record of a new job and returns the job.
 func (g *rig) submit(spec *jobs.Spec) *jobs.Job {
 	g.applyRecord(jobs.RecordKey(spec.ID), jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec))
 	return g.Jobs.Get(spec.ID)
@@ -127,18 +127,18 @@
 	g.applyRecord(jobs.RecordKey(job.ID), jobs.EncodeRecord(jobs.Cancelled, 0, job.TaskCount, job.Spec))
 }
 
-// heartbeat delivers a heartbeat of a machine at a token and returns the commands of the response.
+// heartbeat delivers a heartbeat of machine m at a fencing token and returns the commands in the response.
 func (g *rig) heartbeat(m string, session, token uint64, tasks ...TaskReport) []Command {
 	g.t.Helper()
 	g.seq++
 	response, result := g.HandleHeartbeat(g.now, newHeartbeat(m, session, g.seq, token, tasks...))
 	if result != Accepted {
-		g.t.Fatalf("heartbeat refused: %d", result)
+		g.t.Fatalf("HandleHeartbeat returned result %d, want Accepted", result)
 	}
 	return response.Commands
 }
 
-// newHeartbeat returns a heartbeat of a machine.
+// newHeartbeat returns a heartbeat of a machine of type "ty" in zone "z".
 func newHeartbeat(machine string, session, seq, token uint64, tasks ...TaskReport) *Heartbeat {
 	return &Heartbeat{
 		Machine: machine,
@@ -152,28 +152,28 @@
 	}
 }
 
-// settle completes all writes with an outcome, for enough ticks until nothing is written any more.
-func (g *rig) settle(o store.Outcome) { g.settleFor(20, o) }
+// settle completes all writes with an outcome during 20 ticks, after which nothing is written any more.
+func (g *rig) settle(outcome store.Outcome) { g.settleFor(20, outcome) }
 
-// settleFor does so for a number of ticks, a tenth of a second each.
-func (g *rig) settleFor(ticks int, o store.Outcome) {
+// settleFor completes all writes with an outcome during a number of ticks, 100 ms apart.
+func (g *rig) settleFor(ticks int, outcome store.Outcome) {
 	for range ticks {
 		g.now += 100 * time.Millisecond
 		g.Tick(g.now, false)
 		for len(g.pendingCommits) > 0 {
-			c := g.pendingCommits[0]
+			complete := g.pendingCommits[0]
 			g.pendingCommits = g.pendingCommits[1:]
-			c(o)
+			complete(outcome)
 		}
 	}
 }
 
 // starts returns the start commands among commands.
-func starts(cs []Command) (out []Command) {
-	for _, c := range cs {
-		if c.Op == opStart {
-			out = append(out, c)
+func starts(commands []Command) (startCommands []Command) {
+	for _, command := range commands {
+		if command.Op == opStart {
+			startCommands = append(startCommands, command)
 		}
 	}
-	return out
+	return startCommands
 }
--- a/internal/fleet/writeoutcome_test.go
+++ b/internal/fleet/writeoutcome_test.go
@@ -9,13 +9,14 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// sentWrite is a transaction that a fleet has sent, and the function that takes its outcome.
+// sentWrite is a transaction that a fleet has sent, and the callback for its result.
 type sentWrite struct {
 	txn  store.Txn
 	done func(store.Result)
 }
 
-// newWriteRig returns a rig with one planned task whose plan is being written, and the writes that are sent.
+// newWriteRig returns a rig with one planned task, the task's job, and the list of writes sent. The write of the
+// task's plan is in flight.
 func newWriteRig(t *testing.T) (*rig, *jobs.Job, *[]sentWrite) {
 	t.Helper()
 	g := newRig(t, 1, map[string]json.RawMessage{})
@@ -25,18 +26,18 @@
 	job := g.submit(spec(1, 1))
 	g.Tick(g.now, true)
 	if len(*writes) != 1 || len((*writes)[0].txn.Then) != 1 || g.writer.state != writerInFlight {
-		t.Fatalf("writes %+v in state %v, want one of one page", *writes, g.writer.state)
+		t.Fatalf("writes %+v in writer state %v, want one write of one page in flight", *writes, g.writer.state)
 	}
 	return g, job, writes
 }
 
 // A plan is durable only if its write was committed or is found applied. After a conflict or an indeterminate outcome
-// the write may still be applied later, and the segment keeps what it would make durable.
+// the write may still be applied later, so the segment keeps the machines that the write would make durable.
 func TestWriteOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		name              string
 		outcome           store.Outcome
-		foundApplied      bool // by the reads that resolve the outcome
+		foundApplied      bool // the reads that resolve the outcome return the written value
 		wantReads         int
 		wantDurable       bool
 		wantIndeterminate bool
@@ -47,7 +48,7 @@
 		{name: "conflict", outcome: store.Conflict, wantReads: 1, wantIndeterminate: true},
 		{name: "indeterminate", outcome: store.Indeterminate, wantReads: 1, wantIndeterminate: true},
 		{
-			name:         "indeterminate and applied",
+			name:         "indeterminate and found applied",
 			outcome:      store.Indeterminate,
 			foundApplied: true,
 			wantReads:    1,
@@ -70,29 +71,29 @@
 			write.done(store.Result{Outcome: test.outcome, Revision: 7})
 			segment := job.Segments[0]
 			if reads != test.wantReads || g.writer.state != writerIdle {
-				t.Errorf("%d reads and state %v, want %d and idle", reads, g.writer.state, test.wantReads)
+				t.Errorf("%d reads, writer state %v, want %d reads, idle", reads, g.writer.state, test.wantReads)
 			}
 			if durable := job.IsDurable(0); durable != test.wantDurable {
-				t.Errorf("the plan is durable: %v, want %v", durable, test.wantDurable)
+				t.Errorf("plan durable: %v, want %v", durable, test.wantDurable)
 			}
 			if indeterminate := segment.Indeterminate != nil; indeterminate != test.wantIndeterminate {
-				t.Errorf("the write may still be applied: %v, want %v", indeterminate, test.wantIndeterminate)
+				t.Errorf("segment has an indeterminate write: %v, want %v", indeterminate, test.wantIndeterminate)
 			}
 			if segment.InFlight != nil || segment.Dirty == test.wantDurable {
-				t.Errorf("in flight %v, dirty %v", segment.InFlight, segment.Dirty)
+				t.Errorf("in flight %v, dirty %v, want nil and dirty unless durable", segment.InFlight, segment.Dirty)
 			}
 		})
 	}
 }
 
-// While the reads that resolve an outcome fail they are repeated, and nothing else is written.
+// Failed reads of the keys of an indeterminate write are repeated, and nothing else is written until they succeed.
 func TestNothingIsWrittenWhileAnOutcomeIsUnresolved(t *testing.T) {
 	g, job, writes := newWriteRig(t)
-	answers := false
+	readsSucceed := false
 	reads := 0
 	g.Read = func(key string, done func(store.Item, error)) {
 		reads++
-		if answers {
+		if readsSucceed {
 			done(store.Item{Key: key}, nil)
 			return
 		}
@@ -104,16 +105,16 @@
 		g.Tick(g.now, true)
 	}
 	if reads != 6 || len(*writes) != 1 || g.writer.state != writerResolving || !g.WriteInFlight() {
-		t.Fatalf("%d reads, %d writes, state %v, want 6 reads and no second write", reads, len(*writes), g.writer.state)
+		t.Fatalf("%d reads, %d writes, state %v, want 6 reads, 1 write, resolving", reads, len(*writes), g.writer.state)
 	}
-	answers = true
+	readsSucceed = true
 	g.now += rereadRetryInterval
 	g.Tick(g.now, true)
 	if len(*writes) != 2 || g.writer.state != writerInFlight {
-		t.Fatalf("%d writes and state %v, want the plan written again", len(*writes), g.writer.state)
+		t.Fatalf("%d writes and writer state %v, want 2 writes, the second in flight", len(*writes), g.writer.state)
 	}
 	(*writes)[1].done(store.Result{Outcome: store.Committed, Revision: 8})
 	if !job.IsDurable(0) {
-		t.Fatal("the plan is not durable")
+		t.Fatal("plan not durable after its second write was committed")
 	}
 }
