--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides whether a task may start on a machine; nothing else does. It combines the team limits
-// and the licences: either all of them let a task start or nothing is taken, and what is taken and released of one
-// is taken and released of the other at the same moment.
+// Package admission decides whether a task may start on a machine. No other package does. It combines the team limits
+// and the licences: a task starts only if all of them allow it, and its claim is taken from and released to all of
+// them at the same time.
 //
-// A Gate belongs to the fleet of one term and is used by its event loop only. It has no clock, and neither sends
-// launches nor decides where tasks run.
+// A Gate belongs to the fleet of one term and is used only by the event loop that runs the fleet. It has no clock, and
+// neither sends launches nor decides where tasks run.
 package admission
 
 import (
@@ -14,29 +14,29 @@
 	"github.com/harewalk/harewalk/internal/quota"
 )
 
-// Claim is what one task takes while it may be on a machine.
+// Claim is the resources that one task takes while it may be on a machine.
 type Claim struct {
 	Team         int32 // dense index
 	Size         planner.Size
 	LicenceUnits []licences.Unit // nil: none
 }
 
-// Denial is what keeps a task from starting. The zero value denies nothing.
+// Denial is the reason why a task may not start. The zero value means that the task may start.
 type Denial struct {
-	TeamLimit bool            // the team's limit of processor cores or GPUs
+	TeamLimit bool            // the team's limit of CPUs or GPUs would be exceeded
 	Licence   licences.Denial // licences.Granted unless licence units are missing
-	Pool      int32           // of the missing units, by dense index
+	Pool      int32           // dense index of the pool that lacks units
 }
 
-// OK reports whether nothing is denied.
+// OK reports whether the task may start.
 func (d Denial) OK() bool { return !d.TeamLimit && d.Licence == licences.Granted }
 
-// Gate decides whether tasks may start and counts what those take that may be on machines.
+// Gate decides whether tasks may start and counts the claims of the tasks that may be on machines.
 //
 // A task's claim goes through these states:
 //
 //	none     -> acquired  Acquire: its launch is about to be sent, or it was found on a machine
-//	none     -> reserved  Reserve: its gang begins to start, its own launch follows
+//	none     -> reserved  Reserve: its gang begins to start and its own launch follows later
 //	reserved -> acquired  Acquire: its launch is about to be sent
 //	reserved -> none      ReleaseReserved: it will not be launched
 //	acquired -> none      Release: the task is certainly gone
@@ -48,12 +48,12 @@
 	reserved map[licences.TaskRef]Claim
 }
 
-// New returns a gate that takes from two ledgers.
+// New returns a gate that takes claims from the ledgers of the teams and the licence pools.
 func New(teams *quota.Ledger, pools *licences.Ledger) *Gate {
 	return &Gate{Quota: teams, Licences: pools, reserved: map[licences.TaskRef]Claim{}}
 }
 
-// Check returns what keeps n more tasks with a claim from starting together now.
+// Check returns the reason why n more tasks with a claim may not start together now, or the zero Denial if they may.
 func (g *Gate) Check(claim Claim, n int) Denial {
 	if !g.Quota.Fits(claim.Team, claim.Size, n) {
 		return Denial{TeamLimit: true}
@@ -77,9 +77,9 @@
 	return ok
 }
 
-// Reserve takes the claims of all tasks of a gang at once, so that no other job takes them between the launches of
-// its first and of its last task. The caller has asked for all of them together. Tasks that are reserved already are
-// left as they are.
+// Reserve reserves the claims of all tasks of a gang at once, so that no other job takes them between the launches of
+// the gang's first and last task. The caller has to call Check for all tasks together first. Claims that are reserved
+// already stay as they are.
 func (g *Gate) Reserve(now time.Duration, refs []licences.TaskRef, attempt uint64, claim Claim) {
 	for _, ref := range refs {
 		if g.Reserved(ref) {
@@ -91,7 +91,7 @@
 	}
 }
 
-// ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true: they will not be
+// ReleaseReserved releases the reserved claims of the tasks for which abandoned returns true. These tasks will not be
 // launched.
 func (g *Gate) ReleaseReserved(now time.Duration, abandoned func(licences.TaskRef) bool) {
 	for ref, claim := range g.reserved {
@@ -101,8 +101,8 @@
 	}
 }
 
-// Acquire takes a task's claim before its launch is sent, or makes a reserved one acquired. attempt is 0 where it is
-// not known.
+// Acquire takes a task's claim before the task's launch is sent. A reserved claim becomes acquired. attempt is 0 if it
+// is unknown.
 func (g *Gate) Acquire(now time.Duration, ref licences.TaskRef, attempt uint64, claim Claim) {
 	if g.Reserved(ref) {
 		delete(g.reserved, ref)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Release releases a task's claim once the task is certainly gone. end is how it ended, as far as its licence units
-// are concerned.
+// Release releases a task's claim once the task is certainly gone. end decides when the claim's licence units are free
+// again.
 func (g *Gate) Release(now time.Duration, ref licences.TaskRef, claim Claim, end licences.End) {
 	delete(g.reserved, ref)
 	g.Quota.Release(claim.Team, claim.Size)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,11 +10,11 @@
 	"github.com/harewalk/harewalk/internal/quota"
 )
 
-// now is the time of all calls: the gate's answers don't depend on it.
+// now is the time of all calls. The gate's decisions don't depend on it.
 const now time.Duration = 0
 
-// newGate returns a gate for one team with a limit of 10 processor cores and one pool of three licence units, and the
-// units that a task with one licence unit needs.
+// newGate returns a gate for one team with a limit of 10 CPUs and one pool of three licence units, and the licence
+// units of a task that needs one unit of the pool.
 func newGate(t *testing.T) (*Gate, []licences.Unit) {
 	t.Helper()
 	teamIndex := func(string) int32 { return 0 }
@@ -27,27 +27,27 @@
 	return New(teams, licences.New(catalog, teamIndex, now)), units
 }
 
-// What one limit denies is taken from no other, and claims are taken from and released to all limits at the same
-// moments, once, however often a task is acquired or reserved.
+// A claim that one limit denies is taken from no limit. Claims are taken from and released to all limits at the same
+// time, and only once if a task is reserved or acquired repeatedly.
 func TestClaimsAreTakenFromAllLimitsOrNone(t *testing.T) {
 	gate, units := newGate(t)
 	claim := Claim{Team: 0, Size: planner.Size{CPUs: 4}, LicenceUnits: units}
-	expect := func(usedCPUs float64, freeUnits int) {
+	expect := func(wantCPUs float64, wantFree int) {
 		t.Helper()
 		used := gate.Quota.Team(0).Used.CPUs
 		view := gate.Licences.View(now, 0, func(int32) string { return "" })
-		if used != usedCPUs || view.Free != freeUnits {
-			t.Fatalf("%v CPUs used and %d units free, want %v and %d", used, view.Free, usedCPUs, freeUnits)
+		if used != wantCPUs || view.Free != wantFree {
+			t.Fatalf("%v CPUs used and %d units free, want %v and %d", used, view.Free, wantCPUs, wantFree)
 		}
 	}
 	if denial := gate.Check(claim, 3); !denial.TeamLimit {
-		t.Fatalf("three tasks of 4 CPUs beyond a limit of 10: %+v", denial)
+		t.Fatalf("Check of 3 tasks of 4 CPUs with a limit of 10: %+v, want TeamLimit", denial)
 	}
 	small := claim
 	small.Size.CPUs = 1
 	denial := gate.Check(small, 4)
 	if denial.OK() || denial.TeamLimit || denial.Licence != licences.NoFreeUnits || denial.Pool != 0 {
-		t.Fatalf("four units of three: %+v", denial)
+		t.Fatalf("Check of 4 licence units with 3 free: %+v, want NoFreeUnits of pool 0", denial)
 	}
 	expect(0, 3)
 
@@ -57,12 +57,12 @@
 	gate.Reserve(now, []licences.TaskRef{second}, 7, claim)
 	expect(8, 1)
 	if !gate.Reserved(second) || gate.Reserved(first) || gate.Fits(claim, 1) {
-		t.Fatal("the limit of 10 has room for a third task of 4")
+		t.Fatal("want the second task reserved, the first not, and no room for a third task of 4 CPUs")
 	}
-	gate.Acquire(now, second, 7, claim) // its launch follows: it is counted already
+	gate.Acquire(now, second, 7, claim) // a reserved claim is counted already
 	expect(8, 1)
 	if gate.Reserved(second) {
-		t.Fatal("still reserved after its launch")
+		t.Fatal("the second task is still reserved after Acquire")
 	}
 	gate.Release(now, first, claim, licences.CleanExit)
 	expect(4, 2)
@@ -79,9 +79,9 @@
 func TestFitsWithoutLicenceUnits(t *testing.T) {
 	gate, _ := newGate(t)
 	if !gate.Fits(Claim{Team: 0, Size: planner.Size{CPUs: 10}}, 1) {
-		t.Fatal("a task without licence units is denied")
+		t.Fatal("Fits of 10 CPUs without licence units is false with a limit of 10, want true")
 	}
 	if gate.Fits(Claim{Team: 5}, 1) {
-		t.Fatal("a task of an unknown team is let in")
+		t.Fatal("Fits for an unknown team is true, want false")
 	}
 }
--- a/internal/allocation/policy_test.go
+++ b/internal/allocation/policy_test.go
@@ -16,13 +16,13 @@
 		limit := rapid.Int32Range(0, 60).Draw(t, "limit")
 		demand := rapid.SliceOfN(rapid.Int32Range(0, 40), 1, 6).Draw(t, "demand")
 		if got, want := FairShares(limit, demand), fairSharesByUnit(limit, demand); !slices.Equal(got, want) {
-			t.Fatalf("%d by %v: %v, want %v", limit, demand, got, want)
+			t.Fatalf("FairShares of limit %d for demands %v: %v, want %v", limit, demand, got, want)
 		}
 	})
 }
 
-// fairSharesByUnit hands units out one by one: each to the shard with the fewest among those that demand more, then,
-// when none does, to the one that was given the fewest beyond its demand.
+// fairSharesByUnit assigns the units of a limit one by one. Each goes to the shard with the fewest units among those
+// below their demand. If there is none, it goes to the shard with the fewest units beyond its demand.
 func fairSharesByUnit(limit int32, demand []int32) Shares {
 	shares := make(Shares, len(demand))
 	extra := make(Shares, len(demand))
@@ -52,13 +52,13 @@
 	return fewest
 }
 
-// Shards that act in any order, each on what it has read, come to their fair shares without ever sharing out more
-// than the limit or less than is in use, and then write no more.
+// Shards that act in any order, each on the document that it has read, converge to their fair shares and then stop
+// writing. The shares never exceed the limit, and no share is below the units in use.
 func TestShardsConvergeToFairShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSharing(t)
-		s.runUntilQuiet(t)
-		s.checkUse(t)
+		r := newConvergenceRun(t)
+		r.runUntilStable(t)
+		r.checkUse(t)
 	})
 }
 
@@ -67,12 +67,12 @@
 	demandInterval  = 12
 	lastDemandRound = 24
 	maxRounds       = 40
-	// quietRounds without a write end a run.
-	quietRounds = 3
+	// stableRounds is how many rounds without a write end a run.
+	stableRounds = 3
 )
 
-// sharing is a run of several shards that share one limit.
-type sharing struct {
+// convergenceRun is a run of several shards that share one limit.
+type convergenceRun struct {
 	limit   int32
 	policy  Policy
 	shares  Shares // the document
@@ -82,90 +82,91 @@
 	writes  int
 }
 
-// newSharing draws a limit, shared evenly at first, and its shards.
-func newSharing(t *rapid.T) *sharing {
+// newConvergenceRun draws the limit, policy and number of shards of a run. The limit is shared evenly at first.
+func newConvergenceRun(t *rapid.T) *convergenceRun {
 	count := rapid.IntRange(2, 5).Draw(t, "shards")
-	s := &sharing{
+	r := &convergenceRun{
 		limit:   rapid.Int32Range(0, 80).Draw(t, "limit"),
-		policy:  Policy{Batch: rapid.Int32Range(1, 8).Draw(t, "batch")},
+		policy:  Policy{MinChange: rapid.Int32Range(1, 8).Draw(t, "min change")},
 		shares:  make(Shares, count),
 		version: 1,
 		demand:  make([]int32, count),
 	}
 	for shard := range count {
-		s.shares[shard] = s.limit / int32(count)
-		s.quotas = append(s.quotas, NewShardQuota(shard, 0))
+		r.shares[shard] = r.limit / int32(count)
+		r.quotas = append(r.quotas, NewShardQuota(shard, 0))
 	}
-	return s
+	return r
 }
 
-func (s *sharing) runUntilQuiet(t *rapid.T) {
+func (r *convergenceRun) runUntilStable(t *rapid.T) {
 	t.Helper()
-	quiet := 0
-	for round := 0; quiet < quietRounds; round++ {
+	stable := 0
+	for round := 0; stable < stableRounds; round++ {
 		if round > maxRounds {
-			t.Fatalf("no end of writes: %v of %d, demand %v", s.shares, s.limit, s.demand)
+			t.Fatalf("still writing in the last round: shares %v of %d, demand %v", r.shares, r.limit, r.demand)
 		}
 		if round%demandInterval == 0 && round < lastDemandRound {
-			s.drawDemand(t)
+			r.drawDemand(t)
 		}
-		writesBefore := s.writes
-		for _, shard := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(s.quotas)]).Draw(t, "order") {
-			s.act(t, shard)
+		writesBefore := r.writes
+		for _, shard := range rapid.Permutation([]int{0, 1, 2, 3, 4}[:len(r.quotas)]).Draw(t, "order") {
+			r.runShard(t, shard)
 		}
-		quiet++
-		if s.writes != writesBefore || round < lastDemandRound {
-			quiet = 0
+		stable++
+		if r.writes != writesBefore || round < lastDemandRound {
+			stable = 0
 		}
 	}
 }
 
-func (s *sharing) drawDemand(t *rapid.T) {
-	for shard := range s.demand {
-		s.demand[shard] = max(s.quotas[shard].Reserved(), rapid.Int32Range(0, 60).Draw(t, "demand"))
+func (r *convergenceRun) drawDemand(t *rapid.T) {
+	for shard := range r.demand {
+		r.demand[shard] = max(r.quotas[shard].Reserved(), rapid.Int32Range(0, 60).Draw(t, "demand"))
 	}
 }
 
-// act lets a shard read the document, reserve what it can use, and write the change that the policy asks for.
-func (s *sharing) act(t *rapid.T, shard int) {
+// runShard lets a shard read the document, reserve up to its demand, and write the change that the policy requests.
+func (r *convergenceRun) runShard(t *rapid.T, shard int) {
 	t.Helper()
-	quota := s.quotas[shard]
-	quota.SharesRead(s.shares, s.version)
-	for quota.Reserved() < s.demand[shard] && quota.CanReserve(1) {
+	quota := r.quotas[shard]
+	quota.SharesRead(r.shares, r.version)
+	for quota.Reserved() < r.demand[shard] && quota.CanReserve(1) {
 		quota.Reserve(1)
 	}
-	target := s.policy.Target(shard, s.limit, s.shares, quota.Reserved(), s.demand)
-	change, ok := quota.Request(target, s.limit)
+	target := r.policy.Target(shard, r.limit, r.shares, quota.Reserved(), r.demand)
+	change, ok := quota.Request(target, r.limit)
 	if !ok {
 		return
 	}
-	s.shares = change.Shares
-	s.version++
-	s.writes++
-	quota.ChangeCommitted(change, s.version)
-	if s.shares.Sum() > s.limit || s.shares[shard] < quota.Reserved() {
-		t.Fatalf("%v of %d, shard %d uses %d", s.shares, s.limit, shard, quota.Reserved())
+	r.shares = change.Shares
+	r.version++
+	r.writes++
+	quota.ChangeCommitted(change, r.version)
+	if r.shares.Sum() > r.limit || r.shares[shard] < quota.Reserved() {
+		t.Fatalf("shares %v, limit %d, shard %d uses %d; want no more shared than the limit, no less than used",
+			r.shares, r.limit, shard, quota.Reserved())
 	}
 }
 
-// checkUse fails the test unless every shard uses its fair share, as far as it demands it. A shard may use less while
-// running work of others is beyond their fair shares.
-func (s *sharing) checkUse(t *rapid.T) {
+// checkUse fails the test unless every shard uses the smaller of its demand and its fair share. A shard may use less
+// while running work of other shards exceeds their fair shares.
+func (r *convergenceRun) checkUse(t *rapid.T) {
 	t.Helper()
-	fair := FairShares(s.limit, s.demand)
+	fair := FairShares(r.limit, r.demand)
 	total := int32(0)
 	usedBeyondFair := int32(0)
-	for shard, quota := range s.quotas {
+	for shard, quota := range r.quotas {
 		total += quota.Reserved()
 		usedBeyondFair += max(0, quota.Reserved()-fair[shard])
 	}
-	for shard, quota := range s.quotas {
-		if quota.Reserved() < min(s.demand[shard], fair[shard]) && usedBeyondFair == 0 {
-			t.Fatalf("shard %d uses %d, wants %d, its share is %d: %v of %d, demand %v",
-				shard, quota.Reserved(), s.demand[shard], fair[shard], s.shares, s.limit, s.demand)
+	for shard, quota := range r.quotas {
+		if quota.Reserved() < min(r.demand[shard], fair[shard]) && usedBeyondFair == 0 {
+			t.Fatalf("shard %d uses %d units, want %d or its fair share of %d: shares %v of %d, demand %v",
+				shard, quota.Reserved(), r.demand[shard], fair[shard], r.shares, r.limit, r.demand)
 		}
 	}
-	if total > s.limit {
-		t.Fatalf("%d in use of %d", total, s.limit)
+	if total > r.limit {
+		t.Fatalf("%d units in use, limit %d", total, r.limit)
 	}
 }
--- a/internal/allocation/shard_quota.go
+++ b/internal/allocation/shard_quota.go
@@ -1,14 +1,15 @@
 // Package allocation divides a limit (a team's cores, a licence pool's units) among the shards of the fleet, each with
 // a leader that plans alone. The division is one durable document, Shares. Together the shards never use more than
-// the limit, whatever is written late and whoever leads them.
+// the limit, even if changes are written late or leaders change.
 //
-// A ShardQuota is the protocol as one shard's leader runs it, and a Policy decides how much a shard requests. Both
-// are pure: they have no clock, I/O or goroutines. The package never writes the document; its caller does, with
-// each change conditional on the document's version and on its own leadership of the shard. Three rules make it safe:
+// A ShardQuota runs the protocol for one shard's leader, and a Policy decides how many units a shard requests. Both
+// are pure: they have no clock, I/O or goroutines. The package never writes the document. Its caller does, with each
+// change conditional on the document's version and on the caller's leadership of the shard. Three rules keep the
+// shards within the limit:
 //
-//   - a larger share counts only once it is known to be durable, a smaller one at once, before it is sent;
-//   - while the outcome of a change is indeterminate, the smaller of both shares counts, until a newer version of the
-//     document is read: a change that was lost may still be written as long as its version stands;
+//   - a larger share counts only once it is known to be durable; a smaller share counts at once, before it is sent;
+//   - while the outcome of a change is indeterminate, the smaller of the old and the requested share counts. Only a
+//     newer version of the document ends this: until then a change that seemed lost may still be written;
 //   - a change is void once its sender doesn't lead the shard any more.
 //
 // The controllers don't call the package yet; docs/owners-design.md describes what is missing.
@@ -20,7 +21,7 @@
 	"slices"
 )
 
-// ErrNotReserved means that more units were to be released than are reserved.
+// ErrNotReserved means that Release was called for more units than are reserved.
 var ErrNotReserved = errors.New("more units released than reserved")
 
 // Shares is the durable division of a limit: the units that each shard may use.
@@ -43,9 +44,9 @@
 //	Unread        -> Settled        the document was read
 //	Settled       -> Requesting     a change is sent
 //	Requesting    -> Settled        the change is durable
-//	Requesting    -> Indeterminate  the change was refused or not answered: it may be durable, or become so
+//	Requesting    -> Indeterminate  the change was refused or got no response: it may be durable, or become durable
 //	Indeterminate -> Requesting     the same change is sent again
-//	any           -> Settled        a newer version of the document was read, which decides what was open
+//	any           -> Settled        a newer version of the document was read, which decides any open outcome
 const (
 	Unread State = iota
 	Settled
@@ -63,27 +64,27 @@
 	}[s]
 }
 
-// Change replaces the document at a version, if that version still stands and the sender still leads its shard.
+// Change replaces the document, if the document still has this version and the sender still leads its shard.
 type Change struct {
 	Version uint64
 	Shares  Shares
 }
 
-// ShardQuota is what one shard may use of a limit, and what may be in use, as the shard's leader keeps it in one
-// term. It isn't safe for concurrent use.
+// ShardQuota holds the units of a limit that one shard may use and the units that may be in use. The shard's leader
+// has a ShardQuota for one term. It isn't safe for concurrent use.
 type ShardQuota struct {
 	shard   int
 	state   State
-	version uint64 // of shares
-	shares  Shares // as last read
-	// requested is the share of this shard in the change that is sent or indeterminate.
+	version uint64 // version of the document in shares
+	shares  Shares // the document as last read
+	// requested is this shard's share in the change that is in flight or indeterminate.
 	requested int32
-	// reserved is what may be in use: units are reserved before anything that uses them starts.
+	// reserved is the number of units that may be in use: units are reserved before a task that uses them starts.
 	reserved int32
 }
 
-// NewShardQuota returns the quota of a shard. inUse are the units that may be in use already by the durable plan. No
-// more can be reserved before the document was read.
+// NewShardQuota returns the quota of a shard. inUse is the number of units that may be in use already according to the
+// durable plan. No more can be reserved before the document has been read.
 func NewShardQuota(shard int, inUse int32) *ShardQuota {
 	return &ShardQuota{shard: shard, reserved: inUse}
 }
@@ -94,8 +95,8 @@
 // State returns the state.
 func (q *ShardQuota) State() State { return q.state }
 
-// Usable returns the units that the shard may use now: while a change is open, the smaller of its share and the share
-// that it requested.
+// Usable returns the units that the shard may use now. While the outcome of a change is open, they are the smaller of
+// the share that was read and the requested share.
 func (q *ShardQuota) Usable() int32 {
 	switch q.state {
 	case Unread:
@@ -109,14 +110,14 @@
 // Reserved returns the units that may be in use.
 func (q *ShardQuota) Reserved() int32 { return q.reserved }
 
-// CanReserve reports whether that many more units may be reserved.
+// CanReserve reports whether the given number of further units may be reserved.
 func (q *ShardQuota) CanReserve(units int32) bool { return q.reserved+units <= q.Usable() }
 
-// Reserve reserves units, before anything that uses them may start. The caller asks CanReserve first.
+// Reserve reserves units, before a task that uses them may start. The caller has to check CanReserve first.
 func (q *ShardQuota) Reserve(units int32) { q.reserved += units }
 
-// Release ends the reservation of units, once it is proven that they aren't in use any more. It returns an error that
-// wraps ErrNotReserved if fewer are reserved.
+// Release ends the reservation of units, once they are proven not to be in use any more. If fewer units are reserved
+// it changes nothing and returns an error that wraps ErrNotReserved.
 func (q *ShardQuota) Release(units int32) error {
 	if units > q.reserved {
 		return fmt.Errorf("shard %d: release %d of %d units: %w", q.shard, units, q.reserved, ErrNotReserved)
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// SharesRead records the document as it was read or followed. A version that isn't newer changes nothing.
+// SharesRead records the document as it was read or received from a watch. It ignores a version that isn't newer.
 func (q *ShardQuota) SharesRead(shares Shares, version uint64) {
 	if q.state != Unread && version <= q.version {
 		return
@@ -135,9 +136,9 @@
 	q.setState(Settled)
 }
 
-// Request returns the change that gives this shard the wanted units, as far as that is possible: never less than are
-// reserved, and no more than the limit leaves free. A smaller share counts from now on. ok is false if there is
-// nothing to change, or if the outcome of an earlier change is still open.
+// Request returns the change that sets this shard's share to the wanted units, but to at least the reserved units, and
+// to no more than the limit leaves free. A smaller share counts from now on. ok is false if the share would not change
+// or if the outcome of an earlier change is still open.
 func (q *ShardQuota) Request(wanted, limit int32) (change Change, ok bool) {
 	if q.state != Settled {
 		return Change{}, false
@@ -155,8 +156,8 @@
 	return q.sendChange(), true
 }
 
-// RetryRequest returns a change with an indeterminate outcome once more; ok is false if there is none. Whichever copy
-// is written first makes the other void.
+// RetryRequest returns the change with an indeterminate outcome again; ok is false if there is none. The copy that is
+// written first makes the other void.
 func (q *ShardQuota) RetryRequest() (change Change, ok bool) {
 	if q.state != Indeterminate {
 		return Change{}, false
@@ -178,15 +179,15 @@
 	}
 }
 
-// ChangeUnconfirmed records that a change was refused, not answered or not even sent. All are the same: an earlier
-// copy may still be written, so only a newer version of the document decides the outcome.
+// ChangeUnconfirmed records that a change was refused, got no response or was not sent. These cases are treated alike:
+// an earlier copy may still be written, so only a newer version of the document decides the outcome.
 func (q *ShardQuota) ChangeUnconfirmed(change Change) {
 	if q.isInFlight(change) {
 		q.setState(Indeterminate)
 	}
 }
 
-// isInFlight reports whether a change's outcome is awaited. It isn't after a newer version of the document was read.
+// isInFlight reports whether a change's outcome is awaited. Once a newer version of the document is read, it is not.
 func (q *ShardQuota) isInFlight(change Change) bool {
 	return q.state == Requesting && change.Version == q.version
 }
--- a/internal/allocation/shard_quota_model_test.go
+++ b/internal/allocation/shard_quota_model_test.go
@@ -5,55 +5,55 @@
 	"slices"
 )
 
-// A model of everything around the shard quotas: the document, the leader of each shard, the durable plans, and
-// changes in flight that are written late, once or never. TestEveryRunOfShardQuotas visits every state that it can
-// reach within the bounds below.
+// This file models the surroundings of the shard quotas: the document, the leader of each shard, the durable plans,
+// and changes in flight that are written late, once or never. TestEveryRunOfShardQuotas visits every state that the
+// model can reach within the bounds below.
 
 const (
 	modelLimit = 2
-	// maxFailovers bounds the failovers in one run; the bound on changes is an argument.
+	// maxFailovers bounds the failovers in one run. The bound on changes is the argument maxChanges.
 	maxFailovers = 1
 )
 
-// guard is a rule of the protocol that the model can leave out, to show that some run breaks without it.
+// guard is a rule of the protocol that the model can leave out, to show that some run then violates an invariant.
 type guard string
 
 const (
-	allGuards            guard = ""
-	guardMoreOnceDurable guard = "more once durable"
-	guardLessAtOnce      guard = "less at once"
-	guardIndeterminate   guard = "the smaller while indeterminate"
-	guardVersion         guard = "document version"
-	guardLeadership      guard = "leadership"
+	allGuards              guard = ""
+	guardLargerOnceDurable guard = "larger share once durable"
+	guardSmallerAtOnce     guard = "smaller share at once"
+	guardIndeterminate     guard = "smaller share while indeterminate"
+	guardVersion           guard = "document version"
+	guardLeadership        guard = "leadership"
 )
 
 // changeInFlight is a change that was sent and may be written.
 type changeInFlight struct {
 	shard   int
-	term    int8 // in which it was sent
+	term    int8 // the sender's term
 	change  Change
-	awaited bool // its sender waits for the answer
+	awaited bool // the sender waits for the response
 }
 
 // shardModel is one shard's leader and its durable plan.
 type shardModel struct {
 	term    int8
-	planned int32 // units that may be in use by the durable plan
+	planned int32 // units that may be in use according to the durable plan
 	quota   *ShardQuota
 }
 
-// model is one state.
+// model is one state of the model.
 type model struct {
 	shares   Shares
 	version  uint64
 	shards   []shardModel
 	inFlight []changeInFlight
-	// What has happened so far, against the bounds.
+	// The numbers of events so far, which are bounded.
 	changes   int
 	failovers int
 }
 
-// newModel returns the first state: shard 0 has the whole limit.
+// newModel returns the initial state: shard 0 has the whole limit.
 func newModel(shards int) *model {
 	m := &model{shares: make(Shares, shards), version: 1}
 	m.shares[0] = modelLimit
@@ -75,7 +75,7 @@
 	return &c
 }
 
-// key is equal for states that are equal. The order of the changes in flight means nothing.
+// key returns a key that is the same for equal states. The order of the changes in flight is irrelevant.
 func (m *model) key() string {
 	key := fmt.Appendf(nil, "%v %d %d %d|", m.shares, m.version, m.changes, m.failovers)
 	for _, s := range m.shards {
@@ -91,26 +91,26 @@
 	return string(fmt.Append(key, changes))
 }
 
-// violation returns the invariant that doesn't hold, "" if all do: the shards are within the limit, and no shard's
-// plan is beyond its share.
+// violation describes the invariant that the state violates, or returns "" if all hold: the shares and the units in
+// use are within the limit, and no shard's plan exceeds its share.
 func (m *model) violation() string {
 	if m.shares.Sum() > modelLimit {
-		return "the document gives more than the limit"
+		return "the shares exceed the limit"
 	}
 	total := int32(0)
 	for shard, s := range m.shards {
 		total += s.planned
 		if s.planned > m.shares[shard] {
-			return fmt.Sprintf("shard %d may have %d in use and has %d", shard, s.planned, m.shares[shard])
+			return fmt.Sprintf("shard %d may have %d units in use with a share of %d", shard, s.planned, m.shares[shard])
 		}
 	}
 	if total > modelLimit {
-		return "more is in use than the limit"
+		return "the units in use exceed the limit"
 	}
 	return ""
 }
 
-// explorer collects the states that can follow one state.
+// explorer collects the states that can follow a state.
 type explorer struct {
 	from       *model
 	without    guard
@@ -118,7 +118,7 @@
 	next       []*model
 }
 
-// step adds the state after a change.
+// step adds the state that a change of the first state leads to.
 func (e *explorer) step(change func(m *model)) {
 	m := e.from.clone()
 	change(m)
@@ -140,7 +140,8 @@
 	return e.next
 }
 
-// request sends a change for each number of units, or the one with an indeterminate outcome again.
+// request adds the states in which a shard sends a change, for each number of units, or sends an indeterminate change
+// again.
 func (e *explorer) request(shard int) {
 	if e.from.changes == e.maxChanges {
 		return
@@ -150,7 +151,7 @@
 		quota := m.shards[shard].quota
 		if change, ok := quota.Request(wanted, modelLimit); ok {
 			isSmaller := change.Shares[shard] < quota.shares[shard]
-			if e.without == guardLessAtOnce && isSmaller {
+			if e.without == guardSmallerAtOnce && isSmaller {
 				quota.requested = quota.shares[shard]
 			}
 			e.send(m, shard, change)
@@ -162,7 +163,7 @@
 	}
 }
 
-// send adds the state in which a change was sent.
+// send adds the state m, in which a change has been sent.
 func (e *explorer) send(m *model, shard int, change Change) {
 	m.changes++
 	m.inFlight = append(m.inFlight, changeInFlight{
@@ -181,10 +182,10 @@
 	}
 }
 
-// reserveAndRelease plans the use of one unit, or ends it.
+// reserveAndRelease adds the states in which a shard plans the use of one more unit, or releases one.
 func (e *explorer) reserveAndRelease(shard int) {
 	quota := e.from.shards[shard].quota
-	usesRequested := e.without == guardMoreOnceDurable && quota.state == Requesting &&
+	usesRequested := e.without == guardLargerOnceDurable && quota.state == Requesting &&
 		quota.reserved+1 <= quota.requested
 	if quota.CanReserve(1) || usesRequested {
 		e.step(func(m *model) {
@@ -200,8 +201,8 @@
 	}
 }
 
-// failOver lets another controller lead the shard. What the former leader sent is still in flight, and nobody waits
-// for the answers.
+// failOver adds the state in which another controller leads the shard. Changes that the former leader sent are still
+// in flight, and their responses are not awaited.
 func (e *explorer) failOver(shard int) {
 	if e.from.failovers == maxFailovers {
 		return
@@ -219,7 +220,7 @@
 	})
 }
 
-// deliver lets a change be written or refused, be lost, or be written after its sender gave up waiting.
+// deliver adds the states in which a change is written, refused or lost, or its sender's request times out before.
 func (e *explorer) deliver(index int, c changeInFlight) {
 	if c.awaited {
 		e.step(func(m *model) {
@@ -249,7 +250,7 @@
 
 func (m *model) remove(index int) { m.inFlight = slices.Delete(m.inFlight, index, index+1) }
 
-// changeUnconfirmed tells the sender that a change was refused or not answered, if it still waits.
+// changeUnconfirmed reports to the sender, if it still waits, that a change was refused or got no response.
 func (m *model) changeUnconfirmed(c changeInFlight, without guard) {
 	if !c.awaited {
 		return
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// handleCommands executes direct commands on a worker and returns the worker's response. It returns false if the worker
-// is dead.
+// handleCommands executes direct commands on a worker and returns the worker's response. It returns false if the
+// worker is dead.
 func (m *model) handleCommands(worker *modelWorker, commands DirectCommands) (*Heartbeat, bool) {
 	if !worker.alive {
 		return nil, false
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,7 +1,7 @@
-// Package quota counts what each team's tasks may be using, against the team's limit and its guarantee. A limit or
-// guarantee of 0 in the settings means that none is set.
+// Package quota counts the resources that each team's tasks may be using, against the team's limit and guarantee. A
+// limit or guarantee of 0 in the settings means that none is set.
 //
-// The admission gate of a fleet acquires and releases; the controller asks whether a submitted job can ever run. The
+// The fleet's admission gate calls Acquire and Release; the controller calls CouldEverFit for a submitted job. The
 // package doesn't decide whether a task has started or ended, and has no clock. A Ledger is used by one goroutine.
 package quota
 
@@ -20,7 +20,7 @@
 }
 
 // Ledger holds the accounts of all teams, by dense index. Its limits are the quota allocation of one controller: the
-// whole limit where the fleet is not sharded.
+// whole limit if the fleet is not sharded.
 type Ledger struct {
 	teams map[int32]*Team
 }
@@ -65,23 +65,23 @@
 	return account != nil && size.Scale(float64(n)).Fits(account.Limit)
 }
 
-// Acquire counts a task of a size that may be on a machine from now on.
+// Acquire counts the size of a task that may be on a machine from now on.
 func (l *Ledger) Acquire(team int32, size planner.Size) {
 	if account := l.teams[team]; account != nil {
 		account.Used = account.Used.Add(size)
 	}
 }
 
-// Release undoes one Acquire, once the task is certainly gone.
+// Release reverts one Acquire once the task is certainly gone.
 func (l *Ledger) Release(team int32, size planner.Size) {
 	if account := l.teams[team]; account != nil {
 		account.Used = account.Used.Sub(size)
 	}
 }
 
-// WithinGuarantee reports whether a job lies within its team's guarantee: the job uses a resource of which something is
-// guaranteed, and demand, that of the job and of those before it, exceeds the guarantee of no resource. A resource of
-// which nothing is guaranteed is left out.
+// WithinGuarantee reports whether a job is within its team's guarantee. The job has to use a guaranteed resource, and
+// demand, the sum over the job and the team's jobs before it, must not exceed the guarantee of any resource. Resources
+// without a guarantee are left out.
 func (l *Ledger) WithinGuarantee(team int32, job, demand planner.Size) bool {
 	account := l.teams[team]
 	if account == nil {
@@ -96,7 +96,7 @@
 	return withinGuarantee(demand.CPUs, guarantee.CPUs) && withinGuarantee(demand.GPUs, guarantee.GPUs)
 }
 
-// roundingTolerance is by how much a sum of demands may exceed a guarantee through rounding.
+// roundingTolerance is how far a sum of demands may exceed a guarantee because of rounding.
 const roundingTolerance = 1e-6
 
 func withinGuarantee(demand, guarantee float64) bool {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -23,8 +23,8 @@
 	return New(teams, func(name string) int32 { return indices[name] })
 }
 
-// Whatever is acquired and released, Fits allows just what stays within the limit, compared with a plain list of what
-// runs.
+// After any sequence of acquisitions and releases Fits agrees with the limit applied to a plain list of the running
+// tasks.
 func TestFitsAgainstPlainList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	ledger := newLedger()
@@ -43,7 +43,7 @@
 			gpus += other.GPUs
 		}
 		if fits := ledger.Fits(teamA, size, 1); fits != (gpus <= 6) {
-			t.Fatalf("Fits is %v with %v of 6 GPUs", fits, gpus)
+			t.Fatalf("Fits is %v for a total of %v of 6 GPUs", fits, gpus)
 		}
 		if gpus <= 6 {
 			ledger.Acquire(teamA, size)
@@ -53,14 +53,14 @@
 		}
 	}
 	if refused == 0 {
-		t.Fatal("the limit was never met")
+		t.Fatal("no task was refused, want some beyond the limit")
 	}
 }
 
 func TestUnknownTeamFitsNothing(t *testing.T) {
 	ledger := newLedger()
 	if ledger.Fits(unknownTeam, planner.Size{}, 1) || ledger.CouldEverFit(unknownTeam, planner.Size{}, 1) {
-		t.Fatal("an unknown team has no limit to stay within")
+		t.Fatal("Fits or CouldEverFit is true for an unknown team, want false")
 	}
 }
 
@@ -76,7 +76,7 @@
 	}{
 		{"GPUs within the guarantee", teamA, gpuJob, planner.Size{CPUs: 20, GPUs: 4}, true},
 		{"GPUs beyond the guarantee", teamA, gpuJob, planner.Size{CPUs: 20, GPUs: 5}, false},
-		{"nothing that the job uses is guaranteed", teamA, cpuJob, cpuJob, false},
+		{"no guarantee for the resources that the job uses", teamA, cpuJob, cpuJob, false},
 		{"CPUs within the guarantee", teamB, cpuJob, planner.Size{CPUs: 2}, true},
 		{"CPUs beyond the guarantee", teamB, cpuJob, planner.Size{CPUs: 3}, false},
 		{"unknown team", unknownTeam, cpuJob, cpuJob, false},
