--- a/internal/allocation/policy.go
+++ b/internal/allocation/policy.go
@@ -80,7 +80,7 @@
 	return current
 }
 
-// unmetElsewhere returns the units that the other shards demand and lack up to their fair shares.
+// unmetElsewhere returns the total unmet demand of the other shards, each limited to the shard's fair share.
 func unmetElsewhere(shard int, shares, fair Shares, demand []int32) int32 {
 	unmet := int32(0)
 	for other := range shares {
--- a/internal/allocation/policy_test.go
+++ b/internal/allocation/policy_test.go
@@ -63,7 +63,7 @@
 }
 
 const (
-	// The demand changes in rounds 0 and demandInterval, and the shards settle after lastDemandRound.
+	// The demand changes in rounds 0 and demandInterval. Stable rounds are counted from lastDemandRound on.
 	demandInterval  = 12
 	lastDemandRound = 24
 	maxRounds       = 40
--- a/internal/allocation/shard_quota_model_test.go
+++ b/internal/allocation/shard_quota_model_test.go
@@ -110,7 +110,7 @@
 	return ""
 }
 
-// explorer collects the states that can follow a state.
+// explorer collects the states that can follow the state from.
 type explorer struct {
 	from       *model
 	without    guard
@@ -118,7 +118,7 @@
 	next       []*model
 }
 
-// step adds the state that a change of the first state leads to.
+// step adds the state that results from a change of the state from.
 func (e *explorer) step(change func(m *model)) {
 	m := e.from.clone()
 	change(m)
@@ -220,7 +220,7 @@
 	})
 }
 
-// deliver adds the states in which a change is written, refused or lost, or its sender's request times out before.
+// deliver adds the states in which a change is written, refused or lost, or its sender stops waiting for the response.
 func (e *explorer) deliver(index int, c changeInFlight) {
 	if c.awaited {
 		e.step(func(m *model) {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -23,7 +23,7 @@
 const (
 	modelTick      = 50 * time.Millisecond  // between two steps of the workers and the network
 	modelFleetTick = 100 * time.Millisecond // between two calls of Fleet.Tick
-	faultRate      = 0.12                   // share of messages and transactions that are faulty
+	faultRate      = 0.12                   // share of faulty messages and transactions, while faults are injected
 )
 
 // delayedEvent is an event scheduled for a later time.
@@ -74,7 +74,7 @@
 	pools           []*licences.Pool // nil: no job needs a licence
 	lingering       []lingeringUnits
 	nextCountChange time.Duration
-	maxUnits        map[string]int // by pool: the most units that may be in use
+	maxUnits        map[string]int // by pool: the highest count in the last minute, which limits the units in use
 	peakUnits       map[string]int // by pool: the most units that were in use at once
 
 	migrateAt    time.Duration // when the fleet begins to store plans in pages; 0: not during the run
@@ -146,7 +146,7 @@
 	m.events = append(m.events, delayedEvent{m.now + delay, run})
 }
 
-// networkDelay returns the random delay of a message. Faults delay it by up to 25 s, far beyond the timeouts.
+// networkDelay returns the random delay of a message. A fault delays it by up to 25 s, so it may miss its timeout.
 func (m *model) networkDelay() time.Duration {
 	if m.rng.Float64() < m.faultRate {
 		return time.Duration(m.rng.Int64N(int64(25 * time.Second)))
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -439,7 +439,8 @@
 	m.checkPlacement(worker, task)
 }
 
-// checkLicences checks that the units in use of each pool that a job needs are within maxUnits.
+// checkLicences checks that the units in use of each pool that a job needs don't exceed the pool's highest count in
+// the last minute.
 func (m *model) checkLicences(spec *jobs.Spec) {
 	for pool := range spec.Licences {
 		units := 0
--- a/internal/fleet/planmigration.go
+++ b/internal/fleet/planmigration.go
@@ -4,7 +4,7 @@
 
 // This file moves plan segments from keys of their own, the stored form of cluster version 1, into pages.
 
-// maxMigratedSegments is how many plan segments one write of the background migration moves into pages.
+// maxMigratedSegments is the maximum number of plan segments that one write of the background migration moves.
 const maxMigratedSegments = 8
 
 // collectUnmigrated adds plan segments that still have a key of their own to a batch, if plans are stored in pages
--- a/internal/fleet/planwrites.go
+++ b/internal/fleet/planwrites.go
@@ -71,8 +71,8 @@
 	if !f.collectDoneRecords(batch) || !f.collectSegments(now, batch, true) {
 		return
 	}
-	// No start waits for the other segments. Unless there is spare write budget, the rest of the budget is kept for
-	// submissions and for the urgent segments of the next second.
+	// No start waits for the other segments. Without spare write budget they are not written: the rest of the budget
+	// is for submissions and for the urgent segments of the next second.
 	if f.HasSpareWrites() {
 		f.collectSegments(now, batch, false)
 	}
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -116,8 +116,8 @@
 	return stored
 }
 
-// newestSegments returns the newest value of each plan segment, ordered by name. Keys of their own that hold older
-// values become obsolete.
+// newestSegments returns the newest value of each plan segment, ordered by name. A segment's own key becomes obsolete
+// if it holds an older value.
 func (f *Fleet) newestSegments(all []storedSegment) []storedSegment {
 	slices.SortFunc(all, func(a, b storedSegment) int {
 		return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(b.version, a.version))
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// settle completes all writes with an outcome during 20 ticks, after which nothing is written any more.
+// settle completes all writes with an outcome during 20 ticks, which is enough to complete all pending writes.
 func (g *rig) settle(outcome store.Outcome) { g.settleFor(20, outcome) }
 
 // settleFor completes all writes with an outcome during a number of ticks, 100 ms apart.
--- a/internal/fleet/writebatch.go
+++ b/internal/fleet/writebatch.go
@@ -12,7 +12,7 @@
 	writeJobRecord     mutationKind = iota // the record of a job that becomes done
 	writeSegmentKey                        // a plan segment in a key of its own
 	writeSegmentInPage                     // a plan segment whose value is in a page of the same transaction
-	moveSegmentToPage                      // the same, and the segment's own key is deleted
+	moveSegmentToPage                      // like writeSegmentInPage, and the segment's own key is deleted
 	writePage                              // a page of plan segments
 )
 
@@ -24,7 +24,7 @@
 	job      *jobs.Job         // nil for a page
 	segment  *jobs.PlanSegment // nil for a page or a job record
 	snapshot []int32           // the machines of the segment's tasks, as encoded in value
-	page     *pages.PageWrite  // nil for all but a page
+	page     *pages.PageWrite  // nil unless the mutation is a page
 }
 
 // inPage returns whether the value of a plan segment is in a page of the same transaction.
--- a/internal/fleet/writeoutcome.go
+++ b/internal/fleet/writeoutcome.go
@@ -11,7 +11,7 @@
 
 // This file handles the outcome of the write in flight. After a conflict or an indeterminate outcome every key of
 // the write is read again, the pages first, before anything else is written. The next write of the same keys changes
-// their versions, so the conditions of the earlier transaction fail if it arrives later still.
+// their versions, so the earlier transaction fails on its conditions if it arrives after that write.
 
 // rereadRetryInterval is the delay before a failed read is repeated.
 const rereadRetryInterval = 300 * time.Millisecond
@@ -61,7 +61,8 @@
 	f.rereadKeys(mutations[next:])
 }
 
-// rereadKeys reads and resolves the keys of a write other than its pages, one after the other, and ends the write.
+// rereadKeys reads and resolves the keys of a write other than its pages, one after the other, and makes the writer
+// idle.
 func (f *Fleet) rereadKeys(mutations []mutation) {
 	for len(mutations) > 0 && resolvedWithPage(&mutations[0]) {
 		mutations = mutations[1:]
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -16,7 +16,7 @@
 type Team struct {
 	Limit     planner.Size // +Inf where none is set
 	Guarantee planner.Size // 0 where none is set
-	Used      planner.Size // by tasks that may be on a machine
+	Used      planner.Size // sum over the team's tasks that may be on a machine
 }
 
 // Ledger holds the accounts of all teams, by dense index. Its limits are the quota allocation of one controller: the
