--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -24,11 +24,11 @@
 	testStalenessBound = 9 * time.Second
 	stepInterval       = 20 * time.Millisecond
 	maxNetworkDelay    = 30 * time.Millisecond
-	// maxLateDelay bounds how late a request that its sender has given up is carried out.
+	// maxLateDelay bounds the delay of a request that is served although its sender gets a timeout.
 	maxLateDelay = 8 * time.Second
 )
 
-// delivery is a message on the network that arrives at a time.
+// delivery is a message on the network with its time of arrival.
 type delivery struct {
 	at      time.Duration
 	deliver func()
@@ -41,19 +41,19 @@
 	service  *state.Service
 	nodes    []*node
 	network  []delivery
-	leaders  map[uint64]string // by term
+	leaders  map[uint64]string // names of nodes with the number of the process, by term
 	lossRate float64
 }
 
-// node is a controller; it runs one process after the other.
+// node is a controller. It runs one process at a time.
 type node struct {
-	cluster    *cluster
-	name       string
-	process    int         // counts its processes
-	membership *Membership // nil: not running
-	syncedAt   time.Duration
-	versions   map[string]uint64 // of the followed keys, as last seen
-	isCut      bool              // from the state service
+	cluster        *cluster
+	name           string
+	process        int         // number of the process; start and kill increment it
+	membership     *Membership // nil: no process is running
+	syncedAt       time.Duration
+	versions       map[string]uint64 // versions of the followed keys as last passed to membership
+	isDisconnected bool              // requests to the state service get a timeout
 }
 
 func newCluster(t *testing.T, seed uint64) *cluster {
@@ -72,7 +72,7 @@
 	return c
 }
 
-// randomDuration returns a duration below a bound.
+// randomDuration returns a random duration below a bound.
 func (c *cluster) randomDuration(bound time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(bound)))
 }
@@ -81,7 +81,7 @@
 	c.network = append(c.network, delivery{at: c.service.Now + delay, deliver: deliver})
 }
 
-// leader returns the node that has authority; nil if none has.
+// leader returns the node that has authority, or nil if there is none.
 func (c *cluster) leader() *node {
 	for _, n := range c.nodes {
 		if n.membership != nil && n.membership.HasAuthority(c.service.Now) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// step advances the time, delivers messages and runs each controller. It fails the test if two have authority.
+// step advances the time, delivers messages and ticks each node. It fails the test if two nodes have authority.
 func (c *cluster) step() {
 	c.t.Helper()
 	c.service.Now += stepInterval
@@ -110,20 +110,20 @@
 			continue
 		}
 		if c.rng.IntN(4) == 0 {
-			n.follow()
+			n.pollKeys()
 		}
 		n.membership.Tick(c.service.Now)
 		if !n.membership.HasAuthority(c.service.Now) {
 			continue
 		}
 		if authority != "" {
-			c.t.Fatalf("%v: %s and %s both have authority", c.service.Now, authority, n.name)
+			c.t.Fatalf("at %v: %s and %s have authority, want at most one node", c.service.Now, authority, n.name)
 		}
 		authority = n.name
 	}
 }
 
-// deliverDue delivers the messages that are due, those included that a delivery adds.
+// deliverDue delivers the messages that are due, including due messages that are sent meanwhile.
 func (c *cluster) deliverDue() {
 	for i := 0; i < len(c.network); i++ {
 		if message := c.network[i]; message.at <= c.service.Now {
@@ -134,12 +134,12 @@
 	}
 }
 
-// call sends a request to the state service without the network.
+// call sends a request to the state service directly, without delay or loss.
 func (c *cluster) call(method, path string, body []byte) httpio.Response {
 	return c.service.Serve(httpio.Request{Method: method, Path: path, Body: body})
 }
 
-// start runs a new process of the node.
+// start starts a new process of the node.
 func (n *node) start() {
 	n.cluster.t.Helper()
 	n.process++
@@ -161,17 +161,17 @@
 	}, client, func() time.Duration { return n.syncedAt })
 }
 
-// kill ends the node's process: answers that are under way don't arrive any more.
+// kill ends the node's process. Responses to its requests in flight are dropped.
 func (n *node) kill() {
 	n.process++
 	n.membership = nil
 }
 
-// recordTerm fails the test if the term has a leader already.
+// recordTerm records this node as the leader of a term. It fails the test if the term already has a leader.
 func (n *node) recordTerm(_ time.Duration, term uint64) {
 	leaders := n.cluster.leaders
 	if other, ok := leaders[term]; ok {
-		n.cluster.t.Fatalf("term %d led by %s and %s", term, other, n.name)
+		n.cluster.t.Fatalf("term %d has leaders %s and %s, want one", term, other, n.name)
 	}
 	leaders[term] = fmt.Sprintf("%s.%d", n.name, n.process)
 }
@@ -179,29 +179,29 @@
 // Send implements httpio.Sender.
 func (n *node) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	c, process := n.cluster, n.process
-	answer := func(response httpio.Response) {
+	respond := func(response httpio.Response) {
 		if n.process == process {
 			done(response)
 		}
 	}
-	if n.isCut || c.rng.Float64() < c.lossRate {
-		if isLate := c.rng.IntN(2) == 0; isLate {
+	if n.isDisconnected || c.rng.Float64() < c.lossRate {
+		if isServedLate := c.rng.IntN(2) == 0; isServedLate {
 			c.deliverAfter(c.randomDuration(maxLateDelay), func() { c.service.Serve(request) })
 		}
-		c.deliverAfter(request.Timeout, func() { answer(httpio.Response{Err: httpio.ErrBusy}) })
+		c.deliverAfter(request.Timeout, func() { respond(httpio.Response{Err: httpio.ErrBusy}) })
 		return
 	}
 	c.deliverAfter(c.randomDuration(maxNetworkDelay), func() {
 		response := c.service.Serve(request)
-		c.deliverAfter(c.randomDuration(maxNetworkDelay), func() { answer(response) })
+		c.deliverAfter(c.randomDuration(maxNetworkDelay), func() { respond(response) })
 	})
 }
 
-// follow passes the present keys to the node, as its watch cache would.
-func (n *node) follow() {
+// pollKeys passes the changes of all keys to the node's membership, as its watch cache would.
+func (n *node) pollKeys() {
 	n.cluster.t.Helper()
 	service := n.cluster.service
-	if n.isCut || service.Down {
+	if n.isDisconnected || service.Down {
 		return
 	}
 	n.syncedAt = service.Now
@@ -223,7 +223,7 @@
 	n.membership.HandleSynced(service.Now)
 }
 
-// oneRelease is a Rollout of a cluster in which all controllers have the same release.
+// oneRelease is the Rollout of a node in a cluster whose controllers all have the same release.
 type oneRelease struct{ node string }
 
 func (oneRelease) Compatible() bool { return true }
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// maxCampaignJitter bounds the random delay of a campaign after the leader key was deleted.
+	// maxCampaignJitter bounds the random delay between the deletion of the leader key and a campaign.
 	maxCampaignJitter = 150 * time.Millisecond
-	// yieldDelay is how much longer a controller waits before a campaign for each other one that should lead rather
-	// than it: one that is up has been elected by then.
+	// yieldDelay is added to the delay of a campaign for each controller that is preferred as leader over this one: a
+	// preferred controller that is running has been elected by then.
 	yieldDelay = 300 * time.Millisecond
-	// maxYields bounds how many other controllers a campaign waits for.
+	// maxYields bounds the number of preferred controllers for which a campaign is delayed.
 	maxYields = 2
-	// campaignBackoff passes between a campaign that wasn't won and the next one.
+	// campaignBackoff is the delay between an unsuccessful campaign and the next one.
 	campaignBackoff = 300 * time.Millisecond
 )
 
@@ -30,14 +30,14 @@
 	Secure string `json:"secure,omitempty"`
 }
 
-// campaignDelay is how long this controller waits with a campaign after the leader key was deleted.
+// campaignDelay returns the delay between the deletion of the leader key and this controller's campaign.
 func (m *Membership) campaignDelay() time.Duration {
 	jitter := time.Duration(m.cfg.Rng.Int64N(int64(maxCampaignJitter)))
 	yields := min(m.cfg.Rollout.PreferredLeaders(), maxYields)
 	return jitter + yieldDelay*time.Duration(yields)
 }
 
-// mayCampaign reports whether a campaign is due.
+// mayCampaign reports whether this controller may campaign now.
 func (m *Membership) mayCampaign(now time.Duration) bool {
 	return m.leader.Node == "" &&
 		now >= m.campaignAt &&
@@ -46,11 +46,11 @@
 		m.cfg.Rollout.Compatible()
 }
 
-// follow is the step of a follower: it campaigns when there is no leader.
-func (m *Membership) follow(now time.Duration) {
+// tickFollower runs one tick of a follower. It campaigns if there is no leader.
+func (m *Membership) tickFollower(now time.Duration) {
 	if m.leader.Node == m.cfg.Node && m.leader.Lease != m.lease.id {
-		// A campaign of this controller's former process was carried out late. No running process uses the lease that
-		// it names, and no controller can lead until that lease has ended.
+		// A campaign of this controller's former process was committed late. No running process uses the lease that the
+		// leader key names, and no controller can lead until that lease has ended.
 		m.requestPending = true
 		m.store.RevokeLease(m.leader.Lease, func(bool) { m.retryLater() })
 		return
@@ -60,27 +60,27 @@
 	}
 }
 
-// campaign sends the one transaction that takes leadership, the next term and the shard map.
+// campaign sends the transaction that writes the leader key, the next term and the shard map.
 func (m *Membership) campaign(now time.Duration) {
 	m.requestPending = true
 	m.transition(now, Campaigning, "no leader")
-	won := m.leadershipValues()
+	values := m.encodeCampaignValues()
 	leaseID := m.lease.id
-	m.store.Txn(m.campaignTxn(won), store.SafetyPriority, func(result store.Result) {
+	m.store.Txn(m.campaignTxn(values), store.SafetyPriority, func(result store.Result) {
 		if m.state != Campaigning || m.lease.id != leaseID {
 			return
 		}
-		m.handleCampaignResult(won, result)
+		m.handleCampaignResult(values, result)
 	})
 }
 
-// leadership is the three values that a campaign writes, as they are stored.
-type leadership struct {
+// campaignValues are the encoded values that a campaign writes.
+type campaignValues struct {
 	leader, term, shardMap json.RawMessage
 }
 
-// leadershipValues encodes what a campaign in the next term writes.
-func (m *Membership) leadershipValues() leadership {
+// encodeCampaignValues returns the values for a campaign in the next term.
+func (m *Membership) encodeCampaignValues() campaignValues {
 	nextTerm := m.term + 1
 	leader, _ := json.Marshal(Leader{
 		Node:   m.cfg.Node,
@@ -90,16 +90,16 @@
 		Secure: m.cfg.Secure,
 	})
 	shardMap, _ := json.Marshal(ShardMap{Term: nextTerm, Owners: []string{m.cfg.Node}})
-	return leadership{
+	return campaignValues{
 		leader:   leader,
 		term:     rollout.EncodeTerm(m.cfg.Rollout.Level(), nextTerm),
 		shardMap: shardMap,
 	}
 }
 
-// campaignTxn depends on the absence of a leader, on the term as last seen, and on the cluster's level: a controller
-// that has missed a rise of the level must not lead.
-func (m *Membership) campaignTxn(won leadership) store.Txn {
+// campaignTxn returns the transaction of a campaign. It is conditional on the absence of a leader, on the term as last
+// read, and on the cluster's level: a controller that has missed a rise of the level must not lead.
+func (m *Membership) campaignTxn(values campaignValues) store.Txn {
 	conditions, ops := m.cfg.Rollout.BootstrapConditions()
 	return store.Txn{
 		If: append([]store.Condition{
@@ -107,39 +107,39 @@
 			{Key: rollout.TermKey, Version: m.termVersion},
 		}, conditions...),
 		Then: append([]store.Op{
-			{Put: leaderKey, Value: won.leader, Lease: m.lease.id},
-			{Put: rollout.TermKey, Value: won.term},
-			{Put: shardMapKey, Value: won.shardMap},
+			{Put: leaderKey, Value: values.leader, Lease: m.lease.id},
+			{Put: rollout.TermKey, Value: values.term},
+			{Put: shardMapKey, Value: values.shardMap},
 		}, ops...),
 	}
 }
 
-// handleCampaignResult takes over the outcome of the campaign under way.
-func (m *Membership) handleCampaignResult(won leadership, result store.Result) {
+// handleCampaignResult applies the outcome of the campaign in flight.
+func (m *Membership) handleCampaignResult(values campaignValues, result store.Result) {
 	now := m.store.Now()
 	switch result.Outcome {
 	case store.Committed:
-		// The leader key comes last: it makes this controller the leader, of the new term and the new shard map.
+		// The leader key comes last: this controller starts to lead with it, and must have the new term and shard map.
 		for _, item := range []store.Item{
-			{Key: rollout.TermKey, Value: won.term, Version: result.Revision},
-			{Key: shardMapKey, Value: won.shardMap, Version: result.Revision},
-			{Key: leaderKey, Value: won.leader, Version: result.Revision},
+			{Key: rollout.TermKey, Value: values.term, Version: result.Revision},
+			{Key: shardMapKey, Value: values.shardMap, Version: result.Revision},
+			{Key: leaderKey, Value: values.leader, Version: result.Revision},
 		} {
-			_ = m.HandleItem(now, item) // values that were encoded here can be decoded
+			_ = m.HandleItem(now, item) // no error: the values were encoded by this process
 		}
 	case store.LeaseExpired:
 		m.dropLease(now, "lease expired")
 	default:
-		// Lost, or indeterminate: the followed keys will show who leads.
+		// The campaign was lost, or its outcome is unknown: the followed keys will show the leader.
 		m.retryLater()
 		m.campaignAt = now + campaignBackoff
 		m.transition(now, Follower, "campaign not won")
 	}
 }
 
-// handleLeaderChange compares a new value of the leader key with this controller's state.
+// handleLeaderChange changes this controller's state after a new value of the leader key was read.
 func (m *Membership) handleLeaderChange(now time.Duration) {
-	// A campaign of this process may be carried out late: it counts as long as its lease is this controller's.
+	// A campaign of this process may commit late. It is valid as long as this controller still has the campaign's lease.
 	if m.leader.Node == m.cfg.Node && m.leader.Lease == m.lease.id && m.lease.id != 0 {
 		if m.state == Follower || m.state == Campaigning {
 			m.requestPending = false
--- a/internal/membership/election_test.go
+++ b/internal/membership/election_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// At no time do two controllers have authority, no term is led twice, and once all faults have ended there is a
-// leader: over crashes, restarts, cuts, outages, withdrawals and late transactions.
-func TestAtMostOneHasAuthority(t *testing.T) {
+// During crashes, restarts, disconnections, outages, withdrawals and late transactions, at most one controller has
+// authority at a time, and each term has at most one leader. After all faults have ended, a leader is elected.
+func TestAtMostOneControllerHasAuthority(t *testing.T) {
 	terms := 0
 	for seed := uint64(1); seed <= 25; seed++ {
 		c := newCluster(t, seed)
@@ -22,23 +22,23 @@
 		c.endFaults()
 		c.runFor(25 * time.Second)
 		if c.leader() == nil {
-			t.Fatalf("seed %d: nobody leads in the end", seed)
+			t.Fatalf("seed %d: no leader 25 s after the last fault, want one", seed)
 		}
 		terms += len(c.leaders)
 	}
 	if terms < 100 {
-		t.Fatalf("only %d terms: the test decides little", terms)
+		t.Fatalf("got %d terms in all runs, want at least 100 for a significant test", terms)
 	}
 }
 
-// injectFault changes the state of a random node, or of the state service.
+// injectFault starts or ends a fault of a random node or of the state service.
 func (c *cluster) injectFault() {
 	n := c.nodes[c.rng.IntN(3)]
 	switch c.rng.IntN(8) {
 	case 0:
 		n.kill()
 	case 1:
-		n.isCut = !n.isCut
+		n.isDisconnected = !n.isDisconnected
 	case 2:
 		c.service.Down = !c.service.Down
 		if !c.service.Down {
@@ -59,12 +59,12 @@
 	}
 }
 
-// endFaults has every node running, connected and taking part.
+// endFaults ends all faults: every node is running, connected and not withdrawn.
 func (c *cluster) endFaults() {
 	c.lossRate = 0
 	c.service.Down = false
 	for _, n := range c.nodes {
-		n.isCut = false
+		n.isDisconnected = false
 		if n.membership == nil {
 			n.start()
 		}
@@ -72,40 +72,40 @@
 	}
 }
 
-// A leader that is cut from the state service alone has no authority before its lease can expire, and another one
-// takes over.
-func TestLeaderCutFromTheStateServiceLosesAuthority(t *testing.T) {
+// If only the leader is disconnected from the state service, it loses its authority before its lease can expire, and
+// another controller is elected.
+func TestDisconnectedLeaderLosesAuthority(t *testing.T) {
 	c := newCluster(t, 1)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
 	if leader == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("no leader 3 s after the start, want one")
 	}
-	leader.isCut = true
+	leader.isDisconnected = true
 	c.runFor(testTTL)
 	if leader.membership.HasAuthority(c.service.Now) {
-		t.Fatal("still has authority after its lease has expired")
+		t.Fatal("the disconnected leader has authority after the lease's time to live, want none")
 	}
 	c.runFor(2 * time.Second)
 	if next := c.leader(); next == nil || next == leader {
-		t.Fatal("nobody took over")
+		t.Fatal("no other leader 2 s after the lease has expired, want one")
 	}
 }
 
-// A leader that withdraws has no authority from then on, and another leads without waiting for the lease's expiry. It
-// stays away until it rejoins.
-func TestWithdrawalHandsLeadershipOver(t *testing.T) {
+// A leader that withdraws loses its authority at once, and another controller is elected before the lease would have
+// expired. The withdrawn controller doesn't lead again until it rejoins.
+func TestWithdrawalTransfersLeadership(t *testing.T) {
 	c := newCluster(t, 3)
 	c.runFor(3 * time.Second)
 	leader := c.leader()
 	leader.membership.Withdraw(c.service.Now)
 	if leader.membership.HasAuthority(c.service.Now) {
-		t.Fatal("still has authority")
+		t.Fatal("the leader has authority after its withdrawal, want none")
 	}
 	c.runFor(800 * time.Millisecond)
 	next := c.leader()
 	if next == nil || next == leader {
-		t.Fatalf("nobody took over within 0.8 s of a lease that lives for %v", testTTL)
+		t.Fatalf("no other leader 0.8 s after the withdrawal, want one before the lease of %v expires", testTTL)
 	}
 	for _, n := range c.nodes {
 		if n != leader {
@@ -114,12 +114,12 @@
 	}
 	c.runFor(10 * time.Second)
 	if c.leader() != nil {
-		t.Fatal("one that has withdrawn leads again")
+		t.Fatal("the withdrawn controller leads, want no leader")
 	}
 	leader.membership.Rejoin(c.service.Now)
 	c.runFor(5 * time.Second)
 	if c.leader() != leader {
-		t.Fatal("back, and alone, it doesn't lead")
+		t.Fatal("the only running controller doesn't lead 5 s after it has rejoined")
 	}
 }
 
@@ -127,11 +127,12 @@
 func TestRestartedLeaderRevokesItsOldLease(t *testing.T) {
 	c, restarted := restartOnlyTheLeader(t, 2)
 	if c.leader() != restarted {
-		t.Fatal("the restarted leader waits for the expiry of its former lease")
+		t.Fatal("the restarted leader doesn't lead within a second, before its former lease expires")
 	}
 }
 
-// A restarted controller, leader or not, revokes the lease of its former process before it requests one of its own.
+// A restarted controller revokes the lease of its former process before it requests a new lease, whether it was the
+// leader or not.
 func TestOldLeaseIsRevokedBeforeANewOneIsAcquired(t *testing.T) {
 	for _, isLeader := range []bool{true, false} {
 		t.Run(fmt.Sprintf("leader=%v", isLeader), func(t *testing.T) {
@@ -142,22 +143,22 @@
 			oldLease := restarted.membership.lease.id
 			restarted.kill()
 			restarted.start()
-			deadline := c.service.Now + testTTL/2 // too soon for the old lease to expire
+			deadline := c.service.Now + testTTL/2 // before the old lease can expire
 			for restarted.membership.State() <= RevokingOldLease && c.service.Now < deadline {
 				c.step()
 			}
 			if state := restarted.membership.State(); state != AcquiringLease {
-				t.Fatalf("its state is %s", state)
+				t.Fatalf("got state %s after the restart, want acquiring_lease", state)
 			}
 			path := fmt.Sprintf("/holds/%d/touch", oldLease)
 			if response := c.call("POST", path, nil); response.Status != 404 {
-				t.Fatalf("renewing the old lease is answered with %d", response.Status)
+				t.Fatalf("renewal of the old lease got status %d, want 404", response.Status)
 			}
 		})
 	}
 }
 
-// restartOnlyTheLeader ends all controllers of a cluster and starts only the one that led again, a second ago.
+// restartOnlyTheLeader kills all controllers of a cluster, restarts only the leader, and lets it run for a second.
 func restartOnlyTheLeader(t *testing.T, seed uint64) (*cluster, *node) {
 	t.Helper()
 	c := newCluster(t, seed)
@@ -171,9 +172,9 @@
 	return c, leader
 }
 
-// A campaign of a former process is carried out after the new process has revoked the old lease: the leader key
-// names a lease that the new process doesn't have. Without a revocation nobody would lead for as long as that lease
-// lives.
+// A campaign of a former process is committed after the new process has revoked the old lease. The leader key then
+// names a lease that the new process doesn't have. If the new process didn't revoke this lease, the cluster would have
+// no leader until the lease's expiry.
 func TestLateCampaignOfFormerProcessIsRevoked(t *testing.T) {
 	c, restarted := restartOnlyTheLeader(t, 3)
 	var granted struct {
@@ -190,10 +191,10 @@
 	}
 	c.runFor(200 * time.Millisecond)
 	if c.leader() != nil {
-		t.Fatal("it acts in the name of its former process")
+		t.Fatal("the restarted controller has authority with the lease of its former process, want none")
 	}
 	c.runFor(3 * time.Second)
 	if c.leader() != restarted {
-		t.Fatal("its former process's lease keeps it from leading")
+		t.Fatal("the restarted controller doesn't lead, want the lease of its former process revoked")
 	}
 }
--- a/internal/membership/followed.go
+++ b/internal/membership/followed.go
@@ -12,7 +12,7 @@
 // newestFormat is the newest stored format of the leader key and the shard map that this release reads.
 const newestFormat = 1
 
-// HandleSynced takes over that the followed keys have been read completely.
+// HandleSynced records that all followed keys have been read.
 func (m *Membership) HandleSynced(now time.Duration) {
 	m.keysLoaded = true
 	if m.state == LoadingKeys {
@@ -20,7 +20,7 @@
 	}
 }
 
-// HandleReset takes over a new reading of all followed keys: keys it lacks were deleted.
+// HandleReset handles a new read of all followed keys: keys that items lacks were deleted.
 func (m *Membership) HandleReset(now time.Duration, items []store.Item) {
 	present := map[string]bool{}
 	for _, item := range items {
@@ -34,8 +34,8 @@
 	}
 }
 
-// HandleItem takes over one changed key. Keys of others and versions that were seen before are ignored. The error
-// tells why a value can't be read; its version doesn't count as seen then.
+// HandleItem applies a changed key. Keys of other packages and versions that aren't newer are ignored. If a value can't
+// be decoded, the error gives the reason, and the recorded value and version of the key stay.
 func (m *Membership) HandleItem(now time.Duration, item store.Item) error {
 	switch item.Key {
 	case leaderKey:
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// handleTermItem takes over the term. While it can't be read its version isn't taken over either, so that a
-// campaign of this controller fails.
+// handleTermItem applies a new term. If the term can't be decoded, the recorded version stays too, so that a campaign
+// of this controller fails.
 func (m *Membership) handleTermItem(item store.Item) error {
 	if item.Version <= m.termVersion {
 		return nil
@@ -84,14 +84,14 @@
 	if item.Version <= m.shardMapVersion {
 		return nil
 	}
-	if err := decode("part map", item.Value, &m.shardMap); err != nil {
+	if err := decode("shard map", item.Value, &m.shardMap); err != nil {
 		return err
 	}
 	m.shardMapVersion = item.Version
 	return nil
 }
 
-// decode reads a stored value. Its error for a newer format is a *rollout.NewerFormatError with the name.
+// decode decodes a stored value. For a newer format the error is a *rollout.NewerFormatError with the record's name.
 func decode(name string, raw json.RawMessage, value any) error {
 	if format := rollout.FormatOf(raw); format > newestFormat {
 		return &rollout.NewerFormatError{Record: name, Format: format}
@@ -99,7 +99,7 @@
 	return json.Unmarshal(raw, value)
 }
 
-// HandleDelete takes over the deletion of a key at a version.
+// HandleDelete applies the deletion of a key at a version.
 func (m *Membership) HandleDelete(now time.Duration, key string, version uint64) {
 	if key == m.memberKey() && version > m.registered.version {
 		m.registered = registration{}
--- a/internal/membership/followed_test.go
+++ b/internal/membership/followed_test.go
@@ -8,9 +8,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A value that this release can't read is refused, and its version doesn't count as seen. One in a newer format is
-// told from one that is damaged.
-func TestUnreadableValuesAreRefused(t *testing.T) {
+// If HandleItem can't decode a value, it returns an error and doesn't record the value's version. The error for a newer
+// format is a rollout.NewerFormatError; the error for an invalid value is not.
+func TestUndecodableValuesAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		name, key, value string
 		isNewer          bool
@@ -25,14 +25,14 @@
 			m := New(Config{Node: "n-1"}, nil, nil)
 			err := m.HandleItem(0, store.Item{Key: c.key, Value: []byte(c.value), Version: 5})
 			if err == nil {
-				t.Fatal("no error")
+				t.Fatal("got no error, want one")
 			}
 			var newer *rollout.NewerFormatError
 			if errors.As(err, &newer) != c.isNewer {
-				t.Errorf("error %v, in a newer format: %v", err, c.isNewer)
+				t.Errorf("got error %v, want a NewerFormatError: %v", err, c.isNewer)
 			}
 			if m.leaderVersion != 0 || m.termVersion != 0 || m.shardMapVersion != 0 {
-				t.Fatalf("versions are %d, %d and %d", m.leaderVersion, m.termVersion, m.shardMapVersion)
+				t.Fatalf("versions of leader, term, map: %d, %d, %d, want 0", m.leaderVersion, m.termVersion, m.shardMapVersion)
 			}
 		})
 	}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -12,42 +12,42 @@
 const (
 	// renewalsPerTTL is how many times a lease is renewed within its time to live.
 	renewalsPerTTL = 4
-	// renewRetryDelay passes before a renewal without an outcome is sent again.
+	// renewRetryDelay is the delay before a renewal without an outcome is sent again.
 	renewRetryDelay = 250 * time.Millisecond
 	// clockDriftDivisor bounds the drift between this controller's clock and the state service's: one part in 200.
 	clockDriftDivisor = 200
-	// authorityMargin is how long before the lease can expire authority ends, besides the clocks' drift.
+	// authorityMargin is the time between the end of authority and the earliest expiry of the lease, besides clock drift.
 	authorityMargin = 250 * time.Millisecond
-	// reacquireDelay passes between the loss of a lease and the request for the next one.
+	// reacquireDelay is the delay between the loss of a lease and the request for the next one.
 	reacquireDelay = 100 * time.Millisecond
-	// resignBackoff is for how long a controller doesn't campaign after it has resigned.
+	// resignBackoff is the time after a resignation during which the controller doesn't campaign.
 	resignBackoff = 15 * time.Second
 )
 
 // lease is this controller's lease at the state service.
 type lease struct {
-	id             uint64        // 0: none
+	id             uint64        // 0: no lease
 	authorityUntil time.Duration // 0: no authority
-	renewing       bool          // a renewal is under way
-	renewAt        time.Duration
+	renewing       bool          // a renewal is in flight
+	renewAt        time.Duration // the next renewal is not sent before this time
 }
 
 // withdrawal is the state of a controller between Withdraw and Rejoin.
 type withdrawal struct {
 	active   bool
-	leaseID  uint64 // still to be revoked; 0: none
-	revoking bool   // a revocation is under way
-	retryAt  time.Duration
+	leaseID  uint64        // the lease that is still to be revoked; 0: no lease
+	revoking bool          // a revocation is in flight
+	retryAt  time.Duration // the next revocation is not sent before this time
 }
 
-// extend takes over that the state service has granted or renewed the lease on a request sent at a time.
+// extend records that the state service has granted or renewed the lease in response to a request sent at sentAt.
 func (l *lease) extend(sentAt, ttl time.Duration) {
 	l.authorityUntil = sentAt + ttl - ttl/clockDriftDivisor - authorityMargin
 	l.renewAt = sentAt + ttl/renewalsPerTTL
 }
 
-// revokeOldLease revokes the lease that the member key names. It was held by this controller's former process,
-// which has ended: revoking it spares the cluster the wait for its expiry.
+// revokeOldLease revokes the lease that the member key names. This controller's former process held the lease and has
+// ended. Without the revocation the cluster would have to wait for the lease's expiry.
 func (m *Membership) revokeOldLease() {
 	m.requestPending = true
 	m.store.Get(m.memberKey(), store.SafetyPriority, func(item store.Item, err error) {
@@ -87,7 +87,7 @@
 	})
 }
 
-// renewLease renews the lease when that is due.
+// renewLease sends a renewal of the lease if one is due.
 func (m *Membership) renewLease(now time.Duration) {
 	if m.lease.id == 0 || m.lease.renewing || now < m.lease.renewAt {
 		return
@@ -110,7 +110,7 @@
 	})
 }
 
-// dropLease gives up the lease, and authority with it. It doesn't revoke the lease.
+// dropLease ends the use of the lease and this controller's authority. It doesn't revoke the lease.
 func (m *Membership) dropLease(now time.Duration, cause string) {
 	m.lease.id = 0
 	m.lease.authorityUntil = 0
@@ -120,7 +120,7 @@
 	m.transition(now, AcquiringLease, cause)
 }
 
-// Resign revokes the lease and keeps this controller from campaigning for 15 seconds. cause is for the log.
+// Resign revokes the lease and prevents campaigns of this controller for resignBackoff. cause is logged.
 func (m *Membership) Resign(now time.Duration, cause string) {
 	slog.Info("resigning leadership", "cause", cause, "term", m.leader.Term)
 	m.noCampaignBefore = now + resignBackoff
@@ -130,8 +130,8 @@
 	m.dropLease(now, cause)
 }
 
-// Withdraw revokes the lease and keeps this controller out of the cluster until Rejoin: whoever takes over need not
-// wait for the lease's expiry. Authority ends here, before the request goes out.
+// Withdraw revokes the lease and keeps this controller out of the cluster until Rejoin. Because of the revocation the
+// next leader need not wait for the lease's expiry. Authority ends before the revocation is sent.
 func (m *Membership) Withdraw(now time.Duration) {
 	slog.Info("withdrawing from the cluster", "term", m.leader.Term)
 	m.withdrawal.active = true
@@ -140,14 +140,14 @@
 	m.revokeWithdrawnLease(now)
 }
 
-// Rejoin takes part again after Withdraw. A lease that could not be revoked meanwhile is left to expire.
+// Rejoin ends a withdrawal. If the lease has not been revoked by then, it is left to expire.
 func (m *Membership) Rejoin(now time.Duration) {
 	slog.Info("rejoining the cluster", "term", m.term)
 	m.withdrawal = withdrawal{}
 	m.retryAt = now
 }
 
-// revokeWithdrawnLease revokes the lease that Withdraw gave up, again until that has succeeded.
+// revokeWithdrawnLease revokes the lease that Withdraw dropped. It is called on each tick until it has succeeded.
 func (m *Membership) revokeWithdrawnLease(now time.Duration) {
 	if m.withdrawal.leaseID == 0 || m.withdrawal.revoking || now < m.withdrawal.retryAt {
 		return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,13 +1,13 @@
-// Package membership decides which controller may act. It owns this controller's lease, its registration as a member,
-// leader election, the term and the shard map.
+// Package membership elects the controller that may answer heartbeats and send commands. It owns this controller's
+// lease, its registration as a member, leader election, the term and the shard map.
 //
-// Each controller has a lease at the state service and a member key bound to it. Leader, term and shard map change
-// only in one transaction, a campaign; every later write of the leader is conditional on its leader key, which is
-// bound to its lease.
+// Each controller has a lease at the state service and a member key bound to the lease. The leader key, the term and
+// the shard map are written together, in the transaction of a campaign. Every later write that the leader sends is
+// conditional on its leader key, which is bound to its lease.
 //
-// A Membership is a state machine without a goroutine or a clock: it belongs to the controller's event loop, which
-// passes it the time, the changes of the followed keys and the answers of the state service. It never contacts
-// workers or other controllers.
+// A Membership is a state machine without a goroutine or a clock. It belongs to the controller's event loop, which
+// passes in the time, the changes of the followed keys and the responses of the state service. The package never
+// contacts workers or other controllers.
 package membership
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Prefix is where the keys of membership are stored.
+// Prefix is the common prefix of the leader key and the shard map's key.
 const Prefix = "h/c/"
 
 const (
@@ -26,39 +26,39 @@
 	shardMapKey = Prefix + "map"
 )
 
-// memberKey returns the key of this controller's membership.
+// memberKey returns this controller's member key.
 func (m *Membership) memberKey() string { return rollout.MemberKey(m.cfg.Node) }
 
-// retryDelay passes before a request that failed, or has no outcome, is sent again.
+// retryDelay is the delay before a request that failed, or whose outcome is unknown, is sent again.
 const retryDelay = 300 * time.Millisecond
 
-// Config is what a Membership needs to run.
+// Config holds the settings and callbacks of a Membership.
 type Config struct {
 	// Node is this controller's name; Public and Secure are its addresses without and with TLS.
 	Node, Public, Secure string
 	// TTL is the lease's time to live.
 	TTL time.Duration
-	// StalenessBound is how old the followed keys may be while this controller has authority: it has not seen
-	// cancellations since.
+	// StalenessBound is the age of the followed keys at which authority ends: cancellations since then have not been
+	// read.
 	StalenessBound time.Duration
 	Rng            *rand.Rand
-	// OnElected and OnDeposed are called at the start and at the end of a term of this controller's own.
+	// OnElected and OnDeposed are called at the start and at the end of a term that this controller leads.
 	OnElected func(now time.Duration, term uint64)
 	OnDeposed func(now time.Duration)
 	Rollout   Rollout
 }
 
-// Rollout is what membership needs of package rollout.
+// Rollout is the part of package rollout that membership uses.
 type Rollout interface {
-	// Compatible reports whether this controller's release may act at the cluster's level.
+	// Compatible reports whether this controller may act: its release is not too old for the cluster's level and records.
 	Compatible() bool
 	// Level returns the cluster's level.
 	Level() rollout.Level
-	// Announcement returns the write of this controller's release that goes with its registration.
+	// Announcement returns the write that announces this controller's release. The registration's transaction includes it.
 	Announcement(lease uint64) store.Op
-	// PreferredLeaders counts the other controllers that should lead rather than this one.
+	// PreferredLeaders returns the number of controllers that are preferred as leader over this one.
 	PreferredLeaders() int
-	// BootstrapConditions returns further conditions and writes of a campaign.
+	// BootstrapConditions returns the conditions and writes that a campaign's transaction needs in addition.
 	BootstrapConditions() ([]store.Condition, []store.Op)
 }
 
@@ -66,35 +66,35 @@
 type Membership struct {
 	cfg     Config
 	store   *store.Client
-	freshAt func() time.Duration // when the followed keys were last complete for certain
+	freshAt func() time.Duration // returns the last time at which the followed keys were complete for certain
 
 	state          State
 	keysLoaded     bool
-	requestPending bool          // the request of the present state is under way
-	retryAt        time.Duration // the next request of the present state is not sent before
+	requestPending bool          // the request of the present state is in flight
+	retryAt        time.Duration // the next request of the present state is not sent before this time
 
 	lease      lease
 	withdrawal withdrawal
 	registered registration
 
-	campaignAt       time.Duration // no campaign before, since the last leader was lost or a campaign failed
-	noCampaignBefore time.Duration // no campaign before, since this controller resigned
+	campaignAt       time.Duration // no campaign before this time, after the leader key was deleted or a campaign failed
+	noCampaignBefore time.Duration // no campaign before this time, after this controller resigned
 
 	leader          Leader
 	leaderVersion   uint64
-	term            uint64 // the newest, whoever leads
+	term            uint64 // the newest term, of any leader
 	termVersion     uint64
 	shardMap        ShardMap
 	shardMapVersion uint64
 }
 
-// New returns a Membership in state LoadingKeys. freshAt returns when the followed keys were last complete for
-// certain.
+// New returns a Membership in state LoadingKeys. freshAt returns the last time at which the followed keys were complete
+// for certain.
 func New(cfg Config, client *store.Client, freshAt func() time.Duration) *Membership {
 	return &Membership{cfg: cfg, store: client, freshAt: freshAt}
 }
 
-// Tick renews the lease and sends the request of the present state, if they are due.
+// Tick sends the renewal of the lease and the request of the present state, each if it is due.
 func (m *Membership) Tick(now time.Duration) {
 	m.renewLease(now)
 	if m.withdrawal.active {
@@ -112,11 +112,11 @@
 	case Registering:
 		m.register()
 	case Follower:
-		m.follow(now)
+		m.tickFollower(now)
 	}
 }
 
-// retryLater ends the request under way: it is sent again after a delay.
+// retryLater records that the request in flight has ended and lets Tick send it again after retryDelay.
 func (m *Membership) retryLater() {
 	m.requestPending = false
 	m.retryAt = m.store.Now() + retryDelay
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -13,13 +13,13 @@
 	Lease uint64 `json:"hold"`
 }
 
-// registration is this controller's member key as last seen.
+// registration is this controller's member key as last read.
 type registration struct {
-	leaseID uint64 // the lease that the key names; 0: none
-	version uint64 // 0: there is no key
+	leaseID uint64 // the lease that the key names; 0: no lease
+	version uint64 // 0: the key doesn't exist
 }
 
-// handleMemberItem takes over this controller's own member key. A value that can't be read names no lease.
+// handleMemberItem applies a change of this controller's member key. A value that can't be decoded names no lease.
 func (m *Membership) handleMemberItem(item store.Item) {
 	if item.Version <= m.registered.version {
 		return
@@ -29,9 +29,9 @@
 	m.registered = registration{leaseID: member.Lease, version: item.Version}
 }
 
-// register writes the member key and the announcement on the condition that the key is as last seen: a late
-// registration of this controller's former process would otherwise delete the key when its lease ends, and this
-// controller would count as absent until it restarts.
+// register writes the member key and the announcement, on the condition that the member key is unchanged since it was
+// last read. Without the condition a late registration of this controller's former process could replace the member
+// key: the key would be deleted when the former lease ends, and this controller would count as absent until its restart.
 func (m *Membership) register() {
 	m.requestPending = true
 	leaseID := m.lease.id
@@ -46,13 +46,13 @@
 	}
 	m.store.Txn(txn, store.SafetyPriority, func(result store.Result) {
 		if m.lease.id != leaseID {
-			return // the lease was lost meanwhile, another attempt is under way
+			return // the lease was lost meanwhile: a registration with the next lease follows
 		}
 		m.handleRegistrationResult(value, result)
 	})
 }
 
-// handleRegistrationResult takes over the outcome of the registration under way, which writes value as the member key.
+// handleRegistrationResult applies the outcome of the registration in flight; value is the member key's value in it.
 func (m *Membership) handleRegistrationResult(value json.RawMessage, result store.Result) {
 	switch result.Outcome {
 	case store.Committed:
@@ -68,8 +68,8 @@
 	}
 }
 
-// readRegistration reads the member key after a registration that may or may not have been carried out: the key may
-// have been written by the former process, or by this one with a request that was given up.
+// readRegistration reads the member key after a registration that conflicted or whose outcome is unknown. The key may
+// have been written by the former process, or by an earlier request of this process that timed out.
 func (m *Membership) readRegistration() {
 	leaseID := m.lease.id
 	m.store.Get(m.memberKey(), store.SafetyPriority, func(item store.Item, err error) {
@@ -92,7 +92,7 @@
 	})
 }
 
-// finishRegistration goes on once the member key names this controller's lease.
+// finishRegistration makes this controller a follower, once the member key names its lease.
 func (m *Membership) finishRegistration(now time.Duration) {
 	if m.state == Registering {
 		m.transition(now, Follower, "registered")
--- a/internal/membership/shardmap.go
+++ b/internal/membership/shardmap.go
@@ -9,8 +9,8 @@
 	Owners []string `json:"owners"`
 }
 
-// Owner returns the controller that owns a machine, by rendezvous hashing; "" if the map has no owners. A change of
-// the owners moves only the machines of those that were added or removed.
+// Owner returns the controller that owns a machine, by rendezvous hashing, or "" if the map has no owners. When the
+// list of owners changes, machines move only to added owners and from removed ones.
 func (s ShardMap) Owner(machine string) string {
 	maxWeight, owner := uint64(0), ""
 	for _, candidate := range s.Owners {
@@ -22,13 +22,13 @@
 	return owner
 }
 
-// rendezvousWeight hashes an owner together with a machine.
+// rendezvousWeight returns the weight of an owner for a machine.
 func rendezvousWeight(owner, machine string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(owner))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(machine))
-	// FNV's high bits vary too little on short names: mix them.
+	// The high bits of an FNV hash vary too little for short names, so the bits are mixed.
 	weight := hash.Sum64()
 	weight ^= weight >> 33
 	weight *= 0xff51afd7ed558ccd
--- a/internal/membership/shardmap_test.go
+++ b/internal/membership/shardmap_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Rendezvous hashing divides machines evenly and moves only those of a lost owner.
-func TestShardMapMovesOnlyMachinesOfALostOwner(t *testing.T) {
+// Machines are divided evenly among the owners. When an owner is removed, only its machines move.
+func TestShardMapMovesOnlyMachinesOfRemovedOwner(t *testing.T) {
 	before := ShardMap{Owners: []string{"a", "b", "c"}}
 	after := ShardMap{Owners: []string{"a", "c"}}
 	machines := map[string]int{}
@@ -15,15 +15,15 @@
 		owner := before.Owner(machine)
 		machines[owner]++
 		if owner != "b" && after.Owner(machine) != owner {
-			t.Fatalf("%s moved from %s to %s although its owner stayed", machine, owner, after.Owner(machine))
+			t.Fatalf("%s moved from %s to %s, want no move while its owner remains", machine, owner, after.Owner(machine))
 		}
 	}
 	for owner, count := range machines {
 		if count < 800 || count > 1200 {
-			t.Fatalf("%s owns %d of 3000", owner, count)
+			t.Fatalf("%s owns %d of 3000 machines, want 800 to 1200", owner, count)
 		}
 	}
 	if (ShardMap{}).Owner("x") != "" {
-		t.Fatal("an empty map has no owner")
+		t.Fatal("a map without owners returns an owner, want an empty string")
 	}
 }
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -12,16 +12,16 @@
 //
 //	LoadingKeys -> RevokingOldLease -> AcquiringLease -> Registering -> Follower -> Campaigning -> Leading
 //
-// A campaign that fails leads back to Follower, a campaign that is found to have succeeded late from Follower to
-// Leading. A lost lease leads back to AcquiringLease from any state.
+// A failed campaign leads back to Follower. A campaign that turns out later to have been committed leads from Follower
+// to Leading. The loss of the lease leads back to AcquiringLease from any state.
 const (
-	LoadingKeys      State = iota // the followed keys have not been read yet
+	LoadingKeys      State = iota // waiting for the first complete read of the followed keys
 	RevokingOldLease              // revoking the lease of this controller's former process
 	AcquiringLease                // requesting a lease
 	Registering                   // writing the member key
 	Follower                      // registered, without the leader key
-	Campaigning                   // a campaign's outcome is open
-	Leading                       // holding the leader key, until the lease expires at the latest
+	Campaigning                   // waiting for the outcome of a campaign
+	Leading                       // the leader key names this controller, until the lease expires at the latest
 )
 
 // String returns the name of the state in log lines.
@@ -40,7 +40,7 @@
 // State returns the present state.
 func (m *Membership) State() State { return m.state }
 
-// transition is the only place where the state changes.
+// transition changes the state and calls OnElected or OnDeposed. No other function changes the state.
 func (m *Membership) transition(now time.Duration, to State, cause string) {
 	if to == m.state {
 		return
