--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -31,7 +31,8 @@
 
 // register writes the member key and the announcement, on the condition that the member key is unchanged since it was
 // last read. Without the condition a late registration of this controller's former process could replace the member
-// key: the key would be deleted when the former lease ends, and this controller would count as absent until its restart.
+// key. The key would then be deleted when the former lease ends, and this controller would count as absent until its
+// restart.
 func (m *Membership) register() {
 	m.requestPending = true
 	leaseID := m.lease.id
--- a/internal/shards/lease.go
+++ b/internal/shards/lease.go
@@ -7,9 +7,9 @@
 //
 //	NotOwned          -> AwaitingHeartbeat  the machine's record assigns it to this shard
 //	AwaitingHeartbeat -> Active             the machine sent a heartbeat at the lease's fencing token
-//	Active            -> Draining           another shard needs the machine: nothing new starts on it
+//	Active            -> Draining           another shard needs the machine: no task is started on it any more
 //	Draining          -> Active             the transfer was cancelled before it was sent
-//	Draining          -> Transferring       nothing of this shard can be on the machine: the transfer is sent
+//	Draining          -> Transferring       no task of this shard can be on the machine: the transfer is sent
 //	Transferring      -> NotOwned           the transfer is durable
 //	Transferring      -> Indeterminate      the transfer was refused or not answered: neither shard uses the machine
 //	Indeterminate     -> Transferring       the same transfer is sent again
@@ -42,25 +42,25 @@
 	Token uint64 `json:"token"`
 }
 
-// Transfer asks the state service to assign a machine to another shard. Its write is conditional on the version of
-// the record that it replaces and on the sender's leadership of the shard that gives the machine away. The token of
-// the new record is drawn from the counter of terms in the same transaction, so it is higher than any that the
-// machine has accepted.
+// Transfer is a request to the state service to assign a machine to another shard. Its write is conditional on the
+// version of the record that it replaces and on the sender's leadership of the shard that owns the machine. The token
+// of the new record is drawn from the counter of terms in the same transaction, so it is higher than any token that
+// the machine has accepted.
 type Transfer struct {
 	RecordVersion uint64
 	ToShard       int
 }
 
-// Lease is what a shard's leader may do with one machine. It is a state machine without clock and I/O: its caller
-// sends the transfers that it returns, and passes in what was read and which heartbeats came. It belongs to one term
-// of the shard; a new term begins with new leases.
+// Lease determines what a shard's leader may do with one machine. It is a state machine without clock and I/O: the
+// caller sends the transfers that the methods return, and passes in the machine's records and heartbeats. A lease
+// belongs to one term of the shard; a new term begins with new leases.
 type Lease struct {
 	shard         int
 	term          uint64
 	state         LeaseState
 	assignment    Assignment
-	recordVersion uint64 // of assignment; 0: there is no record
-	transferTo    int    // receiving shard of the transfer in Transferring and Indeterminate
+	recordVersion uint64 // version of assignment's record; 0: there is no record
+	transferTo    int    // receiving shard of the transfer; valid in Transferring and Indeterminate
 }
 
 // NewLease returns the lease of a machine in a term of a shard. The assignment and its version are the machine's
@@ -71,10 +71,10 @@
 	return l
 }
 
-// setState is the only place where the state changes.
+// setState changes the state. No other function does.
 func (l *Lease) setState(s LeaseState) { l.state = s }
 
-// followAssignment enters the state that follows from the record.
+// followAssignment enters the state that the assignment determines.
 func (l *Lease) followAssignment() {
 	if l.assignment.Shard == l.shard {
 		l.setState(AwaitingHeartbeat)
@@ -86,12 +86,13 @@
 // State returns the state.
 func (l *Lease) State() LeaseState { return l.state }
 
-// Token returns the fencing token that heartbeats of the machine must carry, and that commands and answers to it do:
-// the higher of the term's and the record's.
+// Token returns the fencing token that the machine's heartbeats must carry and that commands and responses to the
+// machine carry: the higher of the shard's term and the record's token.
 func (l *Lease) Token() uint64 { return max(l.term, l.assignment.Token) }
 
 // AcceptsHeartbeats reports whether the machine's heartbeats are answered with 200, which renews its worker's lease.
-// From the sending of a transfer until its outcome is known they aren't: the other shard may answer at a higher token.
+// From the sending of a transfer until its outcome is known it returns false: the other shard may already be answering
+// the heartbeats at a higher token.
 func (l *Lease) AcceptsHeartbeats() bool {
 	return l.state == AwaitingHeartbeat || l.state == Active || l.state == Draining
 }
@@ -106,7 +107,7 @@
 	}
 }
 
-// RecordRead records the machine's record as it was read or followed. A version that isn't newer changes nothing.
+// RecordRead applies a machine's record that was read or received from a watch. It ignores versions that aren't newer.
 func (l *Lease) RecordRead(assignment Assignment, version uint64) {
 	if version <= l.recordVersion {
 		return
@@ -116,14 +117,14 @@
 	l.followAssignment()
 }
 
-// Drain stops new starts on the machine, so that it can be transferred once it is empty.
+// Drain stops the start of tasks on the machine, so that the machine can be transferred once it is empty.
 func (l *Lease) Drain() {
 	if l.state == Active {
 		l.setState(Draining)
 	}
 }
 
-// CancelDrain allows new starts again.
+// CancelDrain allows the start of tasks again.
 func (l *Lease) CancelDrain() {
 	if l.state == Draining {
 		l.setState(Active)
@@ -131,8 +132,8 @@
 }
 
 // BeginTransfer returns the transfer of the machine to another shard; ok is false if it may not be sent now. empty
-// means that nothing of this shard can be on the machine: the durable plan has nothing there, a heartbeat at the
-// lease's token confirms it, and no command is on its way that might still arrive.
+// means that no task of this shard can be on the machine: the durable plan has none there, a heartbeat at the lease's
+// token confirms that, and no command that may still arrive is in flight.
 func (l *Lease) BeginTransfer(toShard int, empty bool) (transfer Transfer, ok bool) {
 	if l.state != Draining || !empty || toShard == l.shard {
 		return Transfer{}, false
@@ -141,8 +142,8 @@
 	return l.sendTransfer(), true
 }
 
-// RetryTransfer returns a transfer with an indeterminate outcome once more; ok is false if there is none. Whichever
-// copy is written first makes the other void.
+// RetryTransfer returns a transfer with an indeterminate outcome again; ok is false if there is none. Both copies are
+// conditional on the same version, so only the first one to arrive is written.
 func (l *Lease) RetryTransfer() (transfer Transfer, ok bool) {
 	if l.state != Indeterminate {
 		return Transfer{}, false
@@ -163,14 +164,14 @@
 }
 
 // TransferUnconfirmed records that a transfer was refused or not answered. A copy of it may still be written as long
-// as the version of the machine's record stands.
+// as the version of the machine's record is unchanged.
 func (l *Lease) TransferUnconfirmed(transfer Transfer) {
 	if l.isInFlight(transfer) {
 		l.setState(Indeterminate)
 	}
 }
 
-// isInFlight reports whether a transfer's outcome is awaited. It isn't after a newer record was read.
+// isInFlight reports whether a transfer's outcome is awaited. After a newer record was read it returns false.
 func (l *Lease) isInFlight(transfer Transfer) bool {
 	return l.state == Transferring && transfer.RecordVersion == l.recordVersion
 }
--- a/internal/shards/lease_model_test.go
+++ b/internal/shards/lease_model_test.go
@@ -6,58 +6,59 @@
 	"slices"
 )
 
-// A model of everything around the leases of one machine in two shards: the machine's durable record, the leader of
-// each shard, the durable plans, the machine with its token and tasks, and messages that arrive late, once or never.
-// TestEveryRunOfALease visits every state that it can reach within the bounds below.
+// This file models the environment of the leases of one machine in two shards: the machine's durable record, the leader
+// of each shard, the durable plans, the machine with its token and tasks, and messages that may be delayed or lost but
+// are not duplicated. TestLeaseInvariantsHoldInAllReachableStates visits every state that is reachable within the
+// bounds below.
 
 const (
 	modelShards = 2
-	// The bounds on how often each thing happens in one run; that on heartbeats is an argument.
+	// Bounds on the number of events of each kind in one run. The bound on heartbeats is an argument of explore.
 	maxLaunches  = 2
 	maxTransfers = 3
 	maxFailovers = 1
-	// maxInFlight bounds the messages that are in flight at once.
+	// maxInFlight bounds the number of messages that are in flight at the same time.
 	maxInFlight = 4
 )
 
-// guard is a rule of the protocol that the model can leave out, to show that some run breaks without it.
+// guard is a rule of the protocol that the model can leave out, to show that a run without it violates an invariant.
 type guard string
 
 const (
-	allGuards              guard = ""
-	guardEmptyMachine      guard = "empty machine"
-	guardLateCommands      guard = "late commands"
-	guardFreshHeartbeat    guard = "fresh heartbeat"
-	guardIndeterminate     guard = "indeterminate outcome"
-	guardLeadership        guard = "leadership"
-	guardFencingTokens     guard = "fencing tokens"
-	guardOldHeartbeatsVoid guard = "old heartbeats void"
-	guardRecordVersion     guard = "record version"
-	// guardHigherToken isn't in the test's list: without it no run within the bounds breaks an invariant.
+	noGuard               guard = ""
+	guardEmptyMachine     guard = "empty machine"
+	guardNoLaunchInFlight guard = "no launch in flight"
+	guardHeartbeatToken   guard = "heartbeat token"
+	guardIndeterminate    guard = "indeterminate outcome"
+	guardLeadership       guard = "leadership"
+	guardFencingTokens    guard = "fencing tokens"
+	guardHeartbeatOrder   guard = "heartbeat order"
+	guardRecordVersion    guard = "record version"
+	// guardHigherToken isn't in the test's list: without it no run within the bounds violates an invariant.
 	guardHigherToken guard = "higher token"
 )
 
 type messageKind uint8
 
 const (
-	answerMessage messageKind = iota // to a heartbeat; raises the machine's token
+	answerMessage messageKind = iota // answer to a heartbeat; raises the machine's token
 	transferMessage
 	launchMessage
 	heartbeatMessage
 )
 
-// message is one in flight. Fields that a kind doesn't have are zero.
+// message is a message in flight. Fields that its kind doesn't use are zero.
 type message struct {
 	kind  messageKind
-	shard int    // of the sender; not in heartbeats
-	term  uint64 // in which it was sent; not in heartbeats
-	token uint64 // not in transfers
-	// running and sequence belong to heartbeats.
+	shard int    // shard of the sender; unused in heartbeats
+	term  uint64 // sender's term when it sent the message; unused in heartbeats
+	token uint64 // fencing token; unused in transfers
+	// running and sequence are used in heartbeats only.
 	running  [modelShards]bool
 	sequence int
-	// transfer belongs to transfers.
+	// transfer is used in transfers only.
 	transfer Transfer
-	// awaited is set while the sender of a launch or transfer waits for the answer.
+	// awaited is set while the sender of a launch or transfer waits for the answer to it.
 	awaited bool
 }
 
@@ -79,34 +80,35 @@
 	lease Lease
 	// planned is set while the durable plan has a task on the machine.
 	planned bool
-	// launchesInFlight are the launches of this term that may still arrive.
+	// launchesInFlight is the number of launches of this term that may still arrive.
 	launchesInFlight int
 	// confirmedEmpty is set once a heartbeat at the lease's token lacked every task of the shard.
 	confirmedEmpty bool
-	// lastSequence is that of the last heartbeat received; older ones are void.
+	// lastSequence is the sequence number of the last heartbeat received; older heartbeats are ignored.
 	lastSequence int
 }
 
-// machineModel is the machine and what runs on it, by shard.
+// machineModel is the machine. running reports by shard whether a task of the shard runs on it.
 type machineModel struct {
 	token    uint64
 	running  [modelShards]bool
-	sequence int // of the last heartbeat
+	sequence int // sequence number of the last heartbeat sent
 }
 
-// model is one state. It is comparable, so that states that are equal are visited once.
+// model is one state of the model. It is comparable, so that equal states are visited only once.
 type model struct {
-	counter       uint64 // from which terms and tokens are drawn
+	counter       uint64 // the last term or token that was drawn
 	assignment    Assignment
 	recordVersion uint64
 	shards        [modelShards]shardModel
 	machine       machineModel
-	// inFlight are the messages in flight in its first inFlightCount places, sorted: their order means nothing.
+	// The first inFlightCount entries of inFlight are the messages in flight. They are sorted, so that states that differ
+	// only in the order of messages are equal.
 	inFlight      [maxInFlight]message
 	inFlightCount int
-	// overflow is set when a message more was sent than are visited: the run isn't followed.
+	// overflow is set if a message was sent while maxInFlight were in flight. The state is then not explored.
 	overflow bool
-	// What has happened so far, against the bounds.
+	// Numbers of events so far, to be compared with the bounds.
 	launches, heartbeats, transfers, failovers int
 }
 
@@ -144,14 +146,14 @@
 
 func (m *model) sortInFlight() { slices.SortFunc(m.messages(), compareMessages) }
 
-// messages are those in flight, in the model's own memory.
+// messages returns the messages in flight as a slice of the model's own array.
 func (m *model) messages() []message { return m.inFlight[:m.inFlightCount] }
 
-// violation returns the invariant that doesn't hold, "" if all do.
+// violation describes an invariant that doesn't hold; it returns "" if all hold.
 func (m *model) violation() string {
 	for shard := range m.shards {
 		if m.machine.running[shard] && !m.shards[shard].planned {
-			return fmt.Sprintf("a task of shard %d runs and is not in its plan", shard)
+			return fmt.Sprintf("a task of shard %d runs but is not in the shard's plan", shard)
 		}
 	}
 	switch {
@@ -163,7 +165,7 @@
 	return ""
 }
 
-// explorer collects the states that can follow one state.
+// explorer collects the successors of one state.
 type explorer struct {
 	from          *model
 	without       guard
@@ -171,7 +173,7 @@
 	next          []model
 }
 
-// step adds the state after a change, unless it has more messages in flight than are visited.
+// step adds the state that a change leads to, unless too many messages would be in flight.
 func (e *explorer) step(change func(m *model)) {
 	m := *e.from
 	change(&m)
@@ -180,7 +182,7 @@
 	}
 }
 
-// successors returns all states that can follow m.
+// successors returns all states that one event in state m can lead to.
 func (m *model) successors(without guard, maxHeartbeats int) []model {
 	e := &explorer{from: m, without: without, maxHeartbeats: maxHeartbeats}
 	e.sendHeartbeat()
@@ -198,7 +200,7 @@
 	return e.next
 }
 
-// sendHeartbeat lets the machine send a heartbeat; one at a time is in flight.
+// sendHeartbeat makes the machine send a heartbeat. At most one heartbeat is in flight.
 func (e *explorer) sendHeartbeat() {
 	isHeartbeat := func(msg message) bool { return msg.kind == heartbeatMessage }
 	if e.from.heartbeats == e.maxHeartbeats || slices.ContainsFunc(e.from.messages(), isHeartbeat) {
@@ -232,7 +234,7 @@
 	})
 }
 
-// launchTask plans a task durably and then sends its launch.
+// launchTask adds a task to the durable plan and sends its launch.
 func (e *explorer) launchTask(shard int) {
 	s := &e.from.shards[shard]
 	if !s.lease.MayStartTasks() || s.planned || e.from.launches == maxLaunches {
@@ -259,7 +261,7 @@
 	}
 }
 
-// transfer sends a transfer to the other shard, or the one with an indeterminate outcome again.
+// transfer sends a transfer to the other shard, or sends the transfer with an indeterminate outcome again.
 func (e *explorer) transfer(shard int) {
 	if e.from.transfers == maxTransfers {
 		return
@@ -278,8 +280,8 @@
 	})
 }
 
-// failOver lets another controller lead the shard. What the former leader sent is still in flight, and nobody waits
-// for the answers.
+// failOver makes another controller the leader of the shard. Messages of the former leader stay in flight, but their
+// answers are no longer awaited.
 func (e *explorer) failOver(shard int) {
 	if e.from.failovers == maxFailovers {
 		return
@@ -301,7 +303,8 @@
 	})
 }
 
-// deliver lets a message be lost, arrive, or, if it is a transfer, arrive after its sender gave up waiting.
+// deliver adds the states after a message is lost, after it arrives and, for a transfer, after its sender times out
+// while the message stays in flight.
 func (e *explorer) deliver(index int, msg message) {
 	e.step(func(m *model) { m.remove(index) })
 	e.step(func(m *model) {
@@ -321,11 +324,11 @@
 	lease := &m.shards[msg.shard].lease
 	lease.TransferUnconfirmed(msg.transfer)
 	if without == guardIndeterminate && lease.state == Indeterminate {
-		lease.setState(Draining) // as if the transfer had failed for certain
+		lease.setState(Draining) // as if the transfer had certainly failed
 	}
 }
 
-// receive is the arrival of a message at the machine, the leaders or the state service.
+// receive processes the arrival of a message at the machine, the leaders or the state service.
 func (m *model) receive(msg message, without guard) {
 	switch msg.kind {
 	case answerMessage, launchMessage:
@@ -339,7 +342,7 @@
 	}
 }
 
-// receiveCommand is the arrival of a launch, or of the answer to a heartbeat, at the machine.
+// receiveCommand processes the arrival of a launch, or of the answer to a heartbeat, at the machine.
 func (m *model) receiveCommand(msg message, without guard) {
 	if msg.token < m.machine.token && without != guardFencingTokens {
 		return
@@ -357,34 +360,34 @@
 	}
 }
 
-// receiveHeartbeat is the arrival of a heartbeat at a shard's leader.
+// receiveHeartbeat processes the arrival of a heartbeat at a shard's leader.
 func (m *model) receiveHeartbeat(shard int, msg message, without guard) {
 	s := &m.shards[shard]
-	isOld := msg.sequence <= s.lastSequence && without != guardOldHeartbeatsVoid
-	if !s.lease.AcceptsHeartbeats() || isOld {
+	isOutdated := msg.sequence <= s.lastSequence && without != guardHeartbeatOrder
+	if !s.lease.AcceptsHeartbeats() || isOutdated {
 		return
 	}
 	s.lastSequence = msg.sequence
-	ignoresToken := without == guardFreshHeartbeat
+	ignoresToken := without == guardHeartbeatToken
 	if msg.token < s.lease.Token() && !ignoresToken {
 		m.send(message{kind: answerMessage, shard: shard, term: s.term, token: s.lease.Token()})
 		return
 	}
 	s.lease.HeartbeatReceived(msg.token)
-	isFresh := msg.token == s.lease.Token() || ignoresToken
-	nothingInFlight := s.launchesInFlight == 0 || without == guardLateCommands
-	if isFresh && !msg.running[shard] && nothingInFlight {
+	hasToken := msg.token == s.lease.Token() || ignoresToken
+	nothingInFlight := s.launchesInFlight == 0 || without == guardNoLaunchInFlight
+	if hasToken && !msg.running[shard] && nothingInFlight {
 		s.planned = false
 		s.confirmedEmpty = true
 	}
 }
 
-// receiveTransfer is the arrival of a transfer at the state service.
+// receiveTransfer processes the arrival of a transfer at the state service.
 func (m *model) receiveTransfer(msg message, without guard) {
 	s := &m.shards[msg.shard]
-	versionStands := msg.transfer.RecordVersion == m.recordVersion || without == guardRecordVersion
+	isVersionUnchanged := msg.transfer.RecordVersion == m.recordVersion || without == guardRecordVersion
 	senderLeads := msg.term == s.term || without == guardLeadership
-	if !versionStands || !senderLeads {
+	if !isVersionUnchanged || !senderLeads {
 		if msg.awaited {
 			m.transferUnconfirmed(msg, without)
 		}
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -6,7 +6,7 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Inventory is what a shard has of one machine type in one zone, as its leader last reported.
+// Inventory sums up a shard's machines of one type in one zone, as the shard's leader last reported them.
 type Inventory struct {
 	Type int32
 	Zone int32
@@ -14,11 +14,11 @@
 	// Machines is the number of machines that are up; each has MachineSize.
 	Machines    int
 	MachineSize planner.Size
-	// Free is the sum over the machines.
+	// Free is the sum of the machines' free resources.
 	Free planner.Size
 }
 
-// JobRequest is what a new job needs of the shard that takes it.
+// JobRequest is what a new job requires of its shard.
 type JobRequest struct {
 	ID       string
 	Tasks    int
@@ -33,20 +33,21 @@
 	AllowsMachine func(machineType, zone int32, spot bool) bool
 }
 
-// Placement is the shard that takes a job.
+// Placement is the choice of a shard for a job.
 type Placement struct {
 	Shard int
-	// TasksToBorrow is the number of tasks for which the shard has no machine, occupied ones included. It must borrow
-	// machines or scale out for them.
+	// TasksToBorrow is the number of tasks that don't fit on the shard's machines even if all of these were empty. The
+	// shard must borrow machines or scale out for them.
 	TasksToBorrow int
 }
 
-// ChooseShard returns the shard for a new job. The inventories are by shard, nil for a shard without a leader.
+// ChooseShard returns the shard for a new job. inventories has an entry for each shard, nil if the shard has no leader.
+// ok is false if no shard has a leader.
 //
-// An array goes where most of its tasks fit now. A job whose tasks run all at once goes where all fit now, else where
-// all would fit on empty machines, else where least must be borrowed. Among equal shards a hash of the job's ID
-// decides, so that jobs spread and controllers with the same inventories choose the same shard. ok is false if no
-// shard has a leader.
+// An array goes to the shard where the most of its tasks fit now. A job with AllAtOnce goes to a shard where all tasks
+// fit now, else to one where all would fit on empty machines, else to the one that must borrow for the fewest tasks.
+// Equal shards are ordered by a hash of the job's ID: jobs spread over them, and controllers with the same inventories
+// choose the same shard.
 func (m Map) ChooseShard(job JobRequest, inventories [][]Inventory) (placement Placement, ok bool) {
 	var best candidate
 	for shard := range m {
@@ -65,13 +66,13 @@
 	return Placement{Shard: best.shard, TasksToBorrow: job.Tasks - best.totalSlots}, true
 }
 
-// candidate is what a shard offers a job.
+// candidate is a shard with the number of a job's tasks that it can hold.
 type candidate struct {
 	shard int
-	// freeSlots and totalSlots are the tasks that fit now, and that would fit on empty machines.
+	// freeSlots is the number of tasks that fit now, totalSlots the number that would fit on empty machines.
 	freeSlots  int
 	totalSlots int
-	// fitsNow and fitsEmpty are set where that is all tasks of a job that runs all at once.
+	// fitsNow and fitsEmpty report whether these are all tasks of the job. They are false unless the job has AllAtOnce.
 	fitsNow    bool
 	fitsEmpty  bool
 	tieBreaker float64
@@ -89,7 +90,7 @@
 	}
 }
 
-// betterThan compares two shards for a job.
+// betterThan reports whether c is the better shard for a job.
 func (c candidate) betterThan(other candidate, allAtOnce bool) bool {
 	switch {
 	case c.fitsNow != other.fitsNow:
@@ -106,11 +107,11 @@
 	return c.tieBreaker > other.tieBreaker
 }
 
-// zoneSlots are the tasks that fit in one zone now, and that would fit on its machines if they were empty.
+// zoneSlots are the numbers of tasks that fit in one zone now (free) and would fit if its machines were empty (total).
 type zoneSlots struct{ free, total int }
 
-// slots returns how many of the job's tasks a shard can hold now, and if its machines were empty, within the job's
-// rules on zones. Free resources are summed over the machines, so the first is an upper bound.
+// slots returns how many of the job's tasks a shard can hold now, and how many if its machines were empty, within the
+// job's rules on zones. free is an upper bound, since Inventory.Free is a sum over machines.
 func (j *JobRequest) slots(inventories []Inventory) (free, total int) {
 	for _, zone := range j.slotsByZone(inventories) {
 		zoneFree := j.limitPerZone(zone.free)
@@ -150,7 +151,7 @@
 	return tasks
 }
 
-// quotientSlack forgives rounding of the quotient of two amounts.
+// quotientSlack compensates for rounding errors in the quotient of two amounts.
 const quotientSlack = 1e-9
 
 // copiesIn returns how many tasks of a size fit into an amount of resources, 0 for a task without a size. Unlike
--- a/internal/shards/placement_test.go
+++ b/internal/shards/placement_test.go
@@ -10,20 +10,20 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// A fixed seed makes the outcome of the property tests repeatable.
+// The fixed seed makes the property tests deterministic.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// On empty machines the choice is checked against counting tasks one by one: a job that must run all at once goes
-// where it fits if it fits anywhere, the least possible number of tasks is borrowed for, an array goes where most of
-// it fits, and a shard without a leader takes nothing.
-func TestChooseShardAgainstCounting(t *testing.T) {
+// With empty machines, ChooseShard chooses a shard with a leader where the most of the job's tasks fit, as counted one
+// by one. So a job goes to a shard where all its tasks fit if there is one, and TasksToBorrow is the least possible
+// number.
+func TestChooseShardMaximizesTasksOnEmptyMachines(t *testing.T) {
 	shardMap := NewMap([]string{"a", "b", "c", "d"})
 	rapid.Check(t, func(t *rapid.T) {
 		job := drawJob(t)
 		inventories, led := drawInventories(t, len(shardMap))
 		placement, ok := shardMap.ChooseShard(job, inventories)
 		if ok != (led > 0) {
-			t.Fatalf("%v with %d shards led", ok, led)
+			t.Fatalf("got ok %v with %d shards that have a leader", ok, led)
 		}
 		if !ok {
 			return
@@ -36,11 +36,11 @@
 		}
 		chosen := inventories[placement.Shard]
 		if chosen == nil {
-			t.Fatalf("%+v goes to %+v, which has no leader", job, placement)
+			t.Fatalf("%+v: got %+v, a shard without a leader", job, placement)
 		}
 		fit := countTasksThatFit(job, chosen)
 		if fit != most || placement.TasksToBorrow != job.Tasks-most {
-			t.Fatalf("%+v goes to %+v, where %d fit; %d fit elsewhere", job, placement, fit, most)
+			t.Fatalf("%+v: got %+v, where %d tasks fit; want %d and the rest borrowed", job, placement, fit, most)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawInventories returns the inventories of empty machines by shard, and the number of shards that have a leader.
+// drawInventories returns inventories of empty machines by shard, and the number of shards that have a leader.
 func drawInventories(t *rapid.T, shards int) (inventories [][]Inventory, led int) {
 	inventories = make([][]Inventory, shards)
 	for shard := range inventories {
@@ -97,7 +97,7 @@
 	return inventory
 }
 
-// countTasksThatFit counts one by one how many tasks go onto empty machines, within the job's rules on zones.
+// countTasksThatFit counts how many of the job's tasks fit on empty machines, within its rules on zones.
 func countTasksThatFit(job JobRequest, inventories []Inventory) int {
 	byZone := map[int32]int{}
 	for _, inventory := range inventories {
@@ -105,7 +105,7 @@
 			continue
 		}
 		for range inventory.Machines {
-			for room := inventory.MachineSize; job.TaskSize.Fits(room); room = room.Sub(job.TaskSize) {
+			for free := inventory.MachineSize; job.TaskSize.Fits(free); free = free.Sub(job.TaskSize) {
 				byZone[inventory.Zone]++
 			}
 		}
@@ -124,7 +124,7 @@
 	return min(count, job.Tasks)
 }
 
-// machinesOf8 is an inventory of machines with 8 cores each, of which freeCPUs are free in all.
+// machinesOf8 returns an inventory of machines with 8 cores each. freeCPUs is the sum of their free cores.
 func machinesOf8(machines int, freeCPUs float64) []Inventory {
 	return []Inventory{{
 		MachineSize: planner.Size{CPUs: 8, Mem: 32},
@@ -133,7 +133,7 @@
 	}}
 }
 
-// singleCoreJob is a job whose tasks need one core each and may run anywhere.
+// singleCoreJob returns a job whose tasks need one core each and may run on any machine.
 func singleCoreJob(id string, tasks int, allAtOnce bool) JobRequest {
 	return JobRequest{
 		ID:            id,
@@ -153,25 +153,25 @@
 		want        Placement
 	}{
 		{
-			name:        "an array goes where most of it fits now",
+			name:        "array: shard where the most tasks fit now",
 			job:         singleCoreJob("req-1", 16, false),
 			inventories: [][]Inventory{machinesOf8(20, 3), machinesOf8(4, 9), machinesOf8(20, 0)},
 			want:        Placement{Shard: 1, TasksToBorrow: 0},
 		},
 		{
-			name:        "a gang goes where it fits now",
+			name:        "gang: shard where all tasks fit now",
 			job:         singleCoreJob("req-1", 16, true),
 			inventories: [][]Inventory{machinesOf8(20, 3), machinesOf8(4, 17), machinesOf8(1, 8)},
 			want:        Placement{Shard: 1, TasksToBorrow: 0},
 		},
 		{
-			name:        "a gang that fits nowhere now goes where it fits later",
+			name:        "gang that fits no shard now: shard where it fits on empty machines",
 			job:         singleCoreJob("req-1", 16, true),
 			inventories: [][]Inventory{machinesOf8(1, 8), machinesOf8(2, 0), nil},
 			want:        Placement{Shard: 1, TasksToBorrow: 0},
 		},
 		{
-			name:        "a gang that fits no shard goes where least must be borrowed",
+			name:        "gang larger than any shard: shard that must borrow for the fewest tasks",
 			job:         singleCoreJob("req-1", 40, true),
 			inventories: [][]Inventory{machinesOf8(1, 8), machinesOf8(4, 0), machinesOf8(3, 24)},
 			want:        Placement{Shard: 1, TasksToBorrow: 8},
@@ -180,7 +180,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got, ok := shardMap.ChooseShard(c.job, c.inventories); !ok || got != c.want {
-				t.Errorf("got %+v, %v, want %+v", got, ok, c.want)
+				t.Errorf("got %+v, ok %v, want %+v", got, ok, c.want)
 			}
 		})
 	}
@@ -197,7 +197,7 @@
 	}
 	for shard, count := range jobsByShard {
 		if count < 900 || count > 1100 {
-			t.Errorf("shard %d got %d of 3000 equal jobs", shard, count)
+			t.Errorf("shard %d got %d of 3000 equal jobs, want 900 to 1100", shard, count)
 		}
 	}
 }
--- a/internal/shards/shard_map.go
+++ b/internal/shards/shard_map.go
@@ -1,7 +1,8 @@
 // Package shards divides the machines of the fleet among several leaders. There are as many shards as controllers.
-// Each shard is led by one controller at a time, in a term of its own, and by preference by the controller that it
-// is named after. A machine's shard follows from its name, so a failover moves no machine: another controller leads
-// the same shard. A shard that needs more than its own machines borrows single ones by a durable transfer (Lease).
+// Each shard has one leader at a time and its own sequence of terms; its preferred leader is the controller that it is
+// named after. A machine's shard is computed from the machine's name. A failover moves no machine: another controller
+// becomes the leader of the same shard. A shard that needs more machines than it has borrows single machines by a
+// durable transfer (Lease).
 //
 // The package is pure: it has no clock, I/O or goroutines. It never sends a message, writes a record or elects a
 // leader. The controllers don't call it yet; docs/owners-design.md describes what is missing.
@@ -17,12 +18,12 @@
 type Shard struct {
 	// Node is the controller that the shard is named after, its preferred leader.
 	Node string
-	// Weight is the shard's share of the machines, relative to the weights of the others.
+	// Weight is the shard's share of the machines, relative to the weights of the other shards.
 	Weight float64
 }
 
-// Map is the list of all shards; a shard's number is its index. It follows from the settings alone and is the same
-// on every controller.
+// Map is the list of all shards; a shard's number is its index. The map is computed from the settings alone and is the
+// same on every controller.
 type Map []Shard
 
 // NewMap returns a map with a shard of equal weight for each controller, ordered by the controllers' names.
@@ -36,8 +37,8 @@
 	return m
 }
 
-// Home returns the shard that a machine belongs to. It uses weighted rendezvous hashing: when a weight changes or a
-// shard is added, only those machines move that must.
+// Home returns the shard that a machine belongs to. It uses weighted rendezvous hashing: when the weight of a shard
+// changes or a shard is added, machines move only to or from this shard.
 func (m Map) Home(machine string) int {
 	home := 0
 	highest := math.Inf(-1)
@@ -54,9 +55,9 @@
 	return home
 }
 
-// LeaderRank returns the place of a controller in the order in which controllers offer to lead a shard. The
-// preferred leader has rank 0. The order of the others differs by shard, so that the shards of a failed controller
-// are spread over them.
+// LeaderRank returns the place of a controller in the order in which controllers campaign for a shard. The preferred
+// leader has rank 0. The order of the other controllers differs by shard, so that the shards of a failed controller
+// are spread over all of them.
 func (m Map) LeaderRank(shard int, node string) int {
 	preferred := m[shard].Node
 	if preferred == node {
@@ -72,16 +73,16 @@
 	return rank
 }
 
-// leaderScore orders the controllers that may replace a shard's preferred leader, the highest first.
+// leaderScore orders the controllers that may replace a shard's preferred leader, highest score first.
 func leaderScore(node, preferred string) float64 { return hashFraction("lead "+node, preferred) }
 
 // fractionBits is the precision of hashFraction: a float64 holds this many bits exactly.
 const fractionBits = 53
 
-// hashFraction maps a pair of names evenly to the open interval from 0 to 1.
+// hashFraction maps a pair of names to a uniformly distributed number between 0 and 1, both excluded.
 func hashFraction(a, b string) float64 {
 	hash := fnv.New64a()
-	// A hash's Write returns no error.
+	// The Write method of a hash returns no error.
 	_, _ = hash.Write([]byte(a))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(b))
@@ -89,7 +90,7 @@
 	return (float64(mixed>>(64-fractionBits)) + 0.5) / (1 << fractionBits)
 }
 
-// mixBits is the finalizer of MurmurHash3: the high bits of FNV vary too little on short names.
+// mixBits is the finalizer of MurmurHash3. The high bits of an FNV hash vary too little for short names.
 func mixBits(v uint64) uint64 {
 	v ^= v >> 33
 	v *= 0xff51afd7ed558ccd
