--- a/internal/peers/frame.go
+++ b/internal/peers/frame.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxFrameBytes bounds the memory that a peer can make a controller allocate for one frame.
+	// maxFrameBytes bounds the content of a frame, and so the memory that a peer can make a controller allocate for it.
 	maxFrameBytes = 256 << 10
-	// frameHeaderBytes is the size of a frame's length, a big-endian uint32.
+	// frameHeaderBytes is the size of a frame's header: the length of the content as a big-endian uint32.
 	frameHeaderBytes = 4
 )
 
-// Reasons for not reading a frame or its content.
+// Errors of ReadFrame and Decode.
 var (
-	errFrameTooLarge = errors.New("frame above the limit")
-	errShortFrame    = errors.New("short frame")
-	errBrokenFrame   = errors.New("broken frame")
+	errFrameTooLarge = errors.New("frame exceeds the size limit")
+	errFrameTooShort = errors.New("frame too short for a status")
+	errInvalidFrame  = errors.New("frame content is not a valid status")
 )
 
 // WriteFrame writes one frame with the given content.
@@ -30,8 +30,8 @@
 	return err
 }
 
-// ReadFrame reads one frame and returns its content. The error of a frame above the limit, of which
-// nothing more is read, wraps errFrameTooLarge; any other is that of the reader.
+// ReadFrame reads one frame and returns its content. If the content exceeds maxFrameBytes, only the header is read and
+// the error wraps errFrameTooLarge. Other errors are those of r.
 func ReadFrame(r io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -12,40 +12,40 @@
 	writeTimeout = 2 * time.Second
 )
 
-// Dial connects to another controller, within 1.5 s.
+// Dial opens a connection to another controller, within dialTimeout.
 type Dial func() (net.Conn, error)
 
-// Plain returns a Dial without TLS.
+// Plain returns a Dial that connects without TLS.
 func Plain(addr string) Dial {
 	return func() (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
 }
 
-// Secure returns a Dial over TLS. config is called for each connection.
+// Secure returns a Dial that connects over TLS. config is called for each connection.
 func Secure(addr string, config func() *tls.Config) Dial {
 	return func() (net.Conn, error) {
 		return tls.DialWithDialer(&net.Dialer{Timeout: dialTimeout}, "tcp4", addr, config())
 	}
 }
 
-// Link sends frames to one other controller. Its queue has room for one frame: a newer one replaces one that
-// was not sent yet. Its goroutine, which owns the connection, runs as long as the process.
+// Link sends frames to one other controller. Its queue holds one frame: a newer frame replaces a frame that has not
+// been sent yet. The link's goroutine owns the connection and runs as long as the process.
 type Link struct {
 	dial  Dial
 	queue chan []byte
 
-	conn       net.Conn      // nil: none is open
+	conn       net.Conn      // nil: no connection is open
 	connClosed chan struct{} // closed when the peer has closed conn
 }
 
-// NewLink returns a link, and starts its goroutine. It dials whenever a frame is to be sent and no connection is
-// open.
+// NewLink returns a link and starts its goroutine. The goroutine dials whenever a frame is to be sent and no connection
+// is open.
 func NewLink(dial Dial) *Link {
 	l := &Link{dial: dial, queue: make(chan []byte, 1)}
 	go l.run()
 	return l
 }
 
-// Send queues the content of a frame, without waiting. It may be called from one goroutine only.
+// Send queues the content of a frame without blocking. Only one goroutine may call it.
 func (l *Link) Send(content []byte) {
 	select {
 	case <-l.queue:
@@ -70,11 +70,11 @@
 	}
 }
 
-// connect opens a connection and reports whether there is one.
+// connect dials and reports whether it has opened a connection.
 func (l *Link) connect() bool {
 	conn, err := l.dial()
 	if err != nil {
-		slog.Debug("peer not reached", "error", err)
+		slog.Debug("peer connection failed", "error", err)
 		return false
 	}
 	l.conn = conn
@@ -99,9 +99,9 @@
 	}
 }
 
-// waitForClose closes a channel when a connection, on which the peer sends nothing, was closed by either side.
-// Writing alone does not show that the peer has closed it: after a pause longer than the peer's read timeout, writes
-// succeed as long as the socket buffers them, and the peer gets none of the statuses.
+// waitForClose closes the channel closed when either side has closed the connection, on which the peer sends no data.
+// Write errors alone would show too late that the peer has closed the connection: after a pause longer than the peer's
+// read timeout, writes succeed as long as the socket buffers them, and the peer receives none of these statuses.
 func waitForClose(conn net.Conn, closed chan<- struct{}) {
 	defer close(closed)
 	buffer := make([]byte, 16)
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-func sample() Status {
+func sampleStatus() Status {
 	return Status{
 		Node: "n-1", Term: 7, Leading: true, StateServiceReachable: true, ForeignHeartbeats: 21,
 		Counts: []JobCount{{"req-000001", 3, 4}, {"req-000002", 0, 9}},
 	}
 }
 
-func TestFramesSurviveTheWire(t *testing.T) {
+func TestStatusesAreUnchangedByEncoding(t *testing.T) {
 	var buf bytes.Buffer
-	want := []Status{sample(), {Node: "n-2"}}
+	want := []Status{sampleStatus(), {Node: "n-2"}}
 	for _, s := range want {
 		if err := WriteFrame(&buf, Encode(s)); err != nil {
 			t.Fatal(err)
@@ -33,39 +33,41 @@
 		}
 		got, err := Decode(raw)
 		if err != nil || !reflect.DeepEqual(got, w) {
-			t.Fatalf("got %+v, %v; want %+v", got, err, w)
+			t.Fatalf("got %+v, error %v; want %+v", got, err, w)
 		}
 	}
 }
 
-// Whatever a peer sends, decoding returns: it neither panics nor allocates without bound.
-func TestHostileFrames(t *testing.T) {
+// For any content of a frame, Decode returns a status or one of its documented errors. It neither panics nor allocates
+// without bound.
+func TestDecodeOfCorruptFrames(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	good := Encode(sample())
-	refused := 0
+	valid := Encode(sampleStatus())
+	rejected := 0
 	for range 20_000 {
-		raw := append([]byte(nil), good...)
+		raw := append([]byte(nil), valid...)
 		for range 1 + rng.IntN(6) {
 			raw[rng.IntN(len(raw))] = byte(rng.Uint32())
 		}
 		if s, err := Decode(raw[:rng.IntN(len(raw)+1)]); err != nil {
-			if !errors.Is(err, errShortFrame) && !errors.Is(err, errBrokenFrame) {
-				t.Fatalf("an error without its reason: %v", err)
+			if !errors.Is(err, errFrameTooShort) && !errors.Is(err, errInvalidFrame) {
+				t.Fatalf("got error %v, want errFrameTooShort or errInvalidFrame", err)
 			}
-			refused++
+			rejected++
 		} else if len(s.Counts) > len(raw) {
-			t.Fatalf("%d counts from %d bytes", len(s.Counts), len(raw))
+			t.Fatalf("got %d job counts from at most %d bytes", len(s.Counts), len(raw))
 		}
 	}
-	if refused == 0 {
-		t.Fatal("no broken frame was refused")
+	if rejected == 0 {
+		t.Fatal("no corrupt frame was rejected, want at least one")
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1})); !errors.Is(err, errFrameTooLarge) {
-		t.Fatalf("a frame of 4 GiB: %v", err)
+		t.Fatalf("frame of 4 GiB: got error %v, want errFrameTooLarge", err)
 	}
 }
 
-// closableConn is a connection that takes whatever is written, also after the peer has closed it.
+// closableConn is a connection on which writes succeed even after the peer has closed it, as they do while the socket
+// buffers them.
 type closableConn struct {
 	net.Conn
 	closed chan struct{}
@@ -77,9 +79,9 @@
 func (c *closableConn) SetWriteDeadline(time.Time) error { return nil }
 func (c *closableConn) Close() error                     { return nil }
 
-// The peer closes a connection because nothing came for long: the next frame goes over a new connection, even where
-// the socket would still take it.
-func TestLinkReconnectsWhenThePeerCloses(t *testing.T) {
+// When the peer has closed the connection, for instance by its read timeout, the link sends the next frame over a new
+// connection, even if writes on the old one still succeed.
+func TestLinkReconnectsAfterPeerCloses(t *testing.T) {
 	wrote := make(chan []byte, 10)
 	dialled := make(chan *closableConn, 10)
 	l := NewLink(func() (net.Conn, error) {
@@ -91,7 +93,7 @@
 	first := <-dialled
 	<-wrote
 	close(first.closed)
-	for n := 0; ; n++ { // the close may be noticed a moment later
+	for n := 0; ; n++ { // the link's goroutine may detect the close later
 		l.Send([]byte("two"))
 		<-wrote
 		select {
@@ -99,7 +101,7 @@
 			return
 		default:
 			if n > 1000 {
-				t.Fatal("frames are still written to a closed connection")
+				t.Fatal("more than 1000 frames were written to the closed connection, want a new connection")
 			}
 			time.Sleep(time.Millisecond)
 		}
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// maxConns bounds the connections that peers may open.
+	// maxConns bounds the number of open connections from peers.
 	maxConns = 16
-	// acceptRetryDelay is the time between an accept that failed and the next one.
+	// acceptRetryDelay is the delay before the next accept after a failed one.
 	acceptRetryDelay = 50 * time.Millisecond
-	// readTimeout ends a connection on which nothing came for so long: a peer sends a status every second.
+	// readTimeout is the time without a complete frame after which a connection is closed. A peer sends a status every
+	// second.
 	readTimeout = 15 * time.Second
 )
 
-// Serve accepts connections of the other controllers and passes each status from them to deliver, which is called
-// from several goroutines. It returns when ln is closed; open connections end with their peer or by a timeout.
+// Serve accepts connections of the other controllers and calls deliver with each status that it receives. deliver is
+// called from several goroutines at once. Serve returns when ln is closed; open connections stay until the peer closes
+// them or readTimeout expires.
 func Serve(ln net.Listener, deliver func(Status)) {
 	slots := make(chan struct{}, maxConns)
 	for {
@@ -43,7 +45,7 @@
 	}
 }
 
-// receive delivers what comes on a connection until it ends, and closes it.
+// receive calls deliver with each status from a connection until reading fails, and closes the connection.
 func receive(conn net.Conn, deliver func(Status)) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -55,7 +57,7 @@
 		}
 		status, err := Decode(content)
 		if err != nil {
-			// It may be of another release: the frames after it may be readable.
+			// A peer of another release may have sent the frame. The frames after it may be readable.
 			slog.Debug("peer frame skipped", "error", err)
 			continue
 		}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -8,33 +8,34 @@
 	"github.com/harewalk/harewalk/internal/peers/wire"
 )
 
-// MaxJobCounts is the maximum number of jobs in a status. With ids of the greatest length they fit a frame.
+// MaxJobCounts is the maximum number of jobs in a status. A status with so many jobs fits into a frame, even if all job
+// IDs have the maximum length.
 const MaxJobCounts = 4096
 
-// JobCount is the number of tasks of one job that are done and running, as users see them.
+// JobCount is the number of done and of running tasks of one job, as shown to users.
 type JobCount struct {
 	Job           string
 	Done, Running uint32
 }
 
-// Status is one controller's state as it reports it.
+// Status is the state that a controller reports to its peers.
 type Status struct {
 	Node                  string
 	Term                  uint64
 	Leading               bool
-	StateServiceReachable bool   // the state service answers it
-	ForeignHeartbeats     uint32 // lately received of workers whose owner is another controller
-	Leaving               bool   // it drains
+	StateServiceReachable bool   // the state service answers the controller
+	ForeignHeartbeats     uint32 // recent heartbeats from workers whose owner is another controller
+	Leaving               bool   // the controller is draining
 	Counts                []JobCount
 }
 
-// Sizes of the buffer that a status is first encoded into.
+// Initial size of the buffer that a status is encoded into.
 const (
 	statusBufferBytes = 256
-	countBufferBytes  = 48 // for each count
+	countBufferBytes  = 48 // added for each JobCount
 )
 
-// Encode returns the content of a frame with a status.
+// Encode returns the content of a frame that carries the status.
 func Encode(status Status) []byte {
 	builder := flatbuffers.NewBuilder(statusBufferBytes + countBufferBytes*len(status.Counts))
 	counts := encodeCounts(builder, status.Counts)
@@ -51,7 +52,7 @@
 	return builder.FinishedBytes()
 }
 
-// encodeCounts writes the vector of counts and returns its offset.
+// encodeCounts writes the vector of job counts to the builder and returns its offset.
 func encodeCounts(builder *flatbuffers.Builder, counts []JobCount) flatbuffers.UOffsetT {
 	offsets := make([]flatbuffers.UOffsetT, len(counts))
 	for i, count := range counts {
@@ -69,19 +70,19 @@
 	return builder.EndVector(len(offsets))
 }
 
-// minStatusBytes is the least that the accessors of a status read.
+// minStatusBytes is the number of bytes that the accessors read of any status.
 const minStatusBytes = 8
 
-// Decode reads the content of a frame. FlatBuffers checks no offsets, so a frame that makes its accessors run out of
-// bounds panics there. The error is errShortFrame or wraps errBrokenFrame.
+// Decode decodes the content of a frame. FlatBuffers doesn't check offsets: if an offset is out of bounds, an accessor
+// panics, and Decode recovers. The error is errFrameTooShort or wraps errInvalidFrame.
 func Decode(raw []byte) (status Status, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = fmt.Errorf("%w: %v", errBrokenFrame, cause)
+			err = fmt.Errorf("%w: %v", errInvalidFrame, cause)
 		}
 	}()
 	if len(raw) < minStatusBytes {
-		return Status{}, errShortFrame
+		return Status{}, errFrameTooShort
 	}
 	encoded := wire.GetRootAsStatus(raw, 0)
 	status = Status{
@@ -93,8 +94,8 @@
 		Leaving:               encoded.Leaving(),
 	}
 	length := encoded.CountsLength()
-	if length < 0 || length > len(raw)/4 { // each count has an offset of four bytes
-		return Status{}, fmt.Errorf("%w: %d counts", errBrokenFrame, length)
+	if length < 0 || length > len(raw)/4 { // each job count takes an offset of four bytes
+		return Status{}, fmt.Errorf("%w: %d job counts exceed the frame", errInvalidFrame, length)
 	}
 	for i := range length {
 		var count wire.JobCount
