--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -6,24 +6,26 @@
 	"time"
 )
 
-// This file explores every run of a zone over the observations below. Each step is held against a plain model that
-// keeps what was observed and nothing else. Without any one of the guards some run breaks.
+// This file explores every sequence of the observations below for one zone. Each step of the real code is compared
+// with history, a simple model that depends only on the observations so far. If any one of the guards is left out of
+// the real code, some step differs from the model.
 
 const (
-	unit    = time.Second // of a step
-	testNow = 1000 * unit
+	stepLength = time.Second // time between two observations
+	testNow    = 1000 * stepLength
 
-	// The configuration, in steps.
+	// The configuration of Zones, in steps.
 	testReturnGrace     = 2
 	testProbationTime   = 1
 	testFlapForgiveness = 3
 	testMaxProbation    = 4
 
-	// manySteps is longer than any limit: ages are counted up to it.
-	manySteps = 18
+	// maxAge is greater than every limit on an age. Ages in steps are capped at maxAge, so that the number of states is
+	// finite.
+	maxAge = 18
 )
 
-// observation is what a zone may look like at one moment.
+// observation is the input of one step: the counts of a zone and whether other zones are reachable.
 type observation struct {
 	name            string
 	count           Count
@@ -31,17 +33,17 @@
 }
 
 var observations = []observation{
-	{"all heard", Count{8, 0, 0}, true},
-	{"a quarter and one quiet", Count{8, 3, 0}, true},
-	{"all quiet, others heard", Count{8, 8, 0}, true},
-	{"all quiet, as everywhere", Count{8, 8, 0}, false},
-	{"all silent for long", Count{8, 8, 8}, false},
-	{"half heard", Count{8, 4, 4}, true},
-	{"three machines, all quiet", Count{3, 3, 3}, true},
-	{"no machine left", Count{}, true},
+	{"8 machines, all reachable", Count{8, 0, 0}, true},
+	{"8 machines, 3 quiet", Count{8, 3, 0}, true},
+	{"8 machines, all quiet, others reachable", Count{8, 8, 0}, true},
+	{"8 machines, all quiet, others not reachable", Count{8, 8, 0}, false},
+	{"8 machines, all silent, others not reachable", Count{8, 8, 8}, false},
+	{"8 machines, 4 silent", Count{8, 4, 4}, true},
+	{"3 machines, all silent", Count{3, 3, 3}, true},
+	{"no machines", Count{}, true},
 }
 
-// isLoss reports whether the zone is silent, as far as can be told.
+// isLoss reports whether a zone with this observation must count as lost.
 func (o observation) isLoss() bool {
 	if o.count.Machines < minMachines {
 		return false
@@ -49,27 +51,27 @@
 	return 2*o.count.Silent > o.count.Machines || (o.othersReachable && 4*o.count.Quiet > 3*o.count.Machines)
 }
 
-// guard is a condition of the real code that a run is explored without.
+// guard is a rule of the real code that an exploration can leave out, to show that the model detects its absence.
 type guard string
 
 const (
 	noGuard              guard = ""
-	guardOthersReachable guard = "others are reachable"
+	guardOthersReachable guard = "other zones reachable"
 	guardReturnGrace     guard = "return grace"
 	guardProbation       guard = "probation"
 	guardFlaps           guard = "flaps"
 	guardForgiveness     guard = "flap forgiveness"
-	guardMaxProbation    guard = "longest probation"
-	guardMinimumCounts   guard = "enough machines"
+	guardMaxProbation    guard = "maximum probation"
+	guardMinMachines     guard = "minimum number of machines"
 )
 
-// config returns the configuration of the real code without a guard.
+// config returns a configuration with which the real code lacks the guard.
 func (g guard) config() Config {
 	cfg := Config{
-		ReturnGrace:     testReturnGrace * unit,
-		ProbationTime:   testProbationTime * unit,
-		FlapForgiveness: testFlapForgiveness * unit,
-		MaxProbation:    testMaxProbation * unit,
+		ReturnGrace:     testReturnGrace * stepLength,
+		ProbationTime:   testProbationTime * stepLength,
+		FlapForgiveness: testFlapForgiveness * stepLength,
+		MaxProbation:    testMaxProbation * stepLength,
 	}
 	switch g {
 	case guardReturnGrace:
@@ -84,151 +86,151 @@
 	return cfg
 }
 
-// observed returns what the real code is given of an observation without a guard.
-func (g guard) observed(seen observation) (count Count, othersReachable bool) {
-	count, othersReachable = seen.count, seen.othersReachable
+// inputs returns the arguments of evaluate for an observation. They are changed so that the real code lacks the guard.
+func (g guard) inputs(observed observation) (count Count, othersReachable bool) {
+	count, othersReachable = observed.count, observed.othersReachable
 	switch g {
 	case guardOthersReachable:
 		othersReachable = true
-	case guardMinimumCounts:
+	case guardMinMachines:
 		count = Count{Machines: 4 * count.Machines, Quiet: 4 * count.Quiet, Silent: 4 * count.Silent}
 	}
 	return count, othersReachable
 }
 
-// history is the plain model of a zone; its ages count steps.
+// history is the model of a zone. Its ages are in steps.
 type history struct {
-	isOut       bool // it fell silent, and half of it has not been heard since
-	sinceReturn int  // since half of it was heard again after that; -1: it was never out
-	onProbation int  // since nearly all were heard again, or the grace was over
-	flaps       int  // recent losses, beyond the first
-	sinceLoss   int  // since it fell silent last; manySteps: never, or long ago
-	isSettled   bool // it counts as healthy again
+	isLost       bool // the zone was lost, and half of its machines have not been reachable since
+	sinceReturn  int  // age of the last return from a loss; -1: not returned since the last loss, or never lost
+	onProbation  int  // steps on probation since it began
+	flaps        int  // recent losses, not counting the first
+	sinceLoss    int  // age of the last loss; maxAge: never, or long ago
+	hasRecovered bool // the zone has become healthy after its last loss
 }
 
-// observe takes over what a zone looks like. inState is the age of its state.
-func (h *history) observe(seen observation, inState int, missing guard) {
+// observe updates the history after an observation. stepsInState is the age of the zone's state.
+func (h *history) observe(observed observation, stepsInState int, missing guard) {
 	returnGrace := testReturnGrace
 	if missing == guardReturnGrace {
 		returnGrace = 0
 	}
-	isEmptyForLong := seen.count.Machines == 0 && inState >= returnGrace
-	isReachableAgain := seen.count.Machines > 0 && 2*seen.count.Quiet <= seen.count.Machines
+	isEmptyForLong := observed.count.Machines == 0 && stepsInState >= returnGrace
+	isReachableAgain := observed.count.Machines > 0 && 2*observed.count.Quiet <= observed.count.Machines
 	switch {
-	case seen.isLoss() && !h.isOut:
-		isReturning := h.sinceReturn >= 0 && !h.isSettled
+	case observed.isLoss() && !h.isLost:
+		isReturning := h.sinceReturn >= 0 && !h.hasRecovered
 		if isReturning || h.sinceLoss < testFlapForgiveness {
 			h.flaps = min(maxFlaps, h.flaps+1)
 		}
-		h.isOut = true
+		h.isLost = true
 		h.sinceReturn = -1
 		h.onProbation = 0
-		h.isSettled = false
+		h.hasRecovered = false
 		h.sinceLoss = 0
-	case h.isOut && (isReachableAgain || isEmptyForLong):
-		h.isOut = false
+	case h.isLost && (isReachableAgain || isEmptyForLong):
+		h.isLost = false
 		h.sinceReturn = 0
-	case h.sinceReturn >= 0 && !h.isOut && !h.isSettled:
-		h.sinceReturn = min(manySteps, h.sinceReturn+1)
+	case h.sinceReturn >= 0 && !h.isLost && !h.hasRecovered:
+		h.sinceReturn = min(maxAge, h.sinceReturn+1)
 	}
 }
 
-// checkPolicy compares a zone's state, and what may be done in the zone, with its history.
-func (h *history) checkPolicy(z *Zones, seen observation, before, after State) error {
+// checkPolicy compares a zone's state, and the decisions of Zones for this zone, with the history.
+func (h *history) checkPolicy(z *Zones, observed observation, before, after State) error {
 	acceptsGangs := z.AcceptsWork(testNow, 0, Gang)
 	acceptsAll := acceptsGangs && z.AcceptsWork(testNow, 0, Service)
-	isInGrace := !h.isOut && h.sinceReturn >= 0 && h.sinceReturn < testReturnGrace && !h.isSettled
+	isInGrace := !h.isLost && h.sinceReturn >= 0 && h.sinceReturn < testReturnGrace && !h.hasRecovered
 	switch {
-	case h.isOut != (after == Lost):
-		return fmt.Errorf("it is out: %v", h.isOut)
-	case h.isOut && z.AllowsRenting(0):
-		return fmt.Errorf("machines are rented in it")
-	case h.isOut && acceptsGangs:
-		return fmt.Errorf("gangs are sent there")
-	case !seen.isLoss() && before == Healthy && after == Lost:
-		return fmt.Errorf("it counts as lost, and silence is everywhere or of too few")
-	// Whatever its past, it takes work soon after its return.
-	case !h.isOut && h.sinceReturn >= testMaxProbation && !acceptsAll && after != Suspect:
-		return fmt.Errorf("it takes no work %d steps after its return", h.sinceReturn)
-	// A machine that isn't heard yet has time after the zone's return.
+	case h.isLost != (after == Lost):
+		return fmt.Errorf("state differs from the model, where lost is %v", h.isLost)
+	case h.isLost && z.AllowsRenting(0):
+		return fmt.Errorf("AllowsRenting is true for a lost zone, want false")
+	case h.isLost && acceptsGangs:
+		return fmt.Errorf("AcceptsWork is true for gangs in a lost zone, want false")
+	case !observed.isLoss() && before == Healthy && after == Lost:
+		return fmt.Errorf("a healthy zone became lost, want no loss from this observation")
+	// Regardless of its flaps, a zone accepts all work once testMaxProbation steps have passed since its return.
+	case !h.isLost && h.sinceReturn >= testMaxProbation && !acceptsAll && after != Suspect:
+		return fmt.Errorf("AcceptsWork is false for some kind %d steps after the return, want true", h.sinceReturn)
+	// After the zone's return, its machines have a grace period to send a heartbeat.
 	case isInGrace && !z.RetainsMachines(testNow, 0, 0):
-		return fmt.Errorf("machines that are not heard yet are given back %d steps after its return", h.sinceReturn)
+		return fmt.Errorf("RetainsMachines is false %d steps after the return, want true", h.sinceReturn)
 	}
 	return nil
 }
 
-// checkProbation follows a zone through its probation: it counts as healthy only after it has stayed heard for as
-// long as its flaps ask for, and flaps are forgiven only after a time. sinceForgiven is the age of the last
-// forgiveness.
+// checkProbation checks the end of a zone's probation and the count of its flaps: a zone becomes healthy only after the
+// probation that its flaps require, and the count is reduced only after testFlapForgiveness steps. sinceForgiven is the
+// age of the last reduction.
 func (h *history) checkProbation(before State, after Zone, sinceForgiven int, missing guard) error {
 	if after.State == OnProbation {
-		h.onProbation = min(manySteps, h.onProbation+1)
+		h.onProbation = min(maxAge, h.onProbation+1)
 		if before != OnProbation {
 			h.onProbation = 0
 		}
 	}
 	if after.State == Healthy && before == OnProbation {
 		if h.onProbation < testProbationTime<<h.flaps-1 {
-			return fmt.Errorf("it is healthy after %d steps and %d flaps", h.onProbation, h.flaps)
+			return fmt.Errorf("healthy after %d steps on probation with %d flaps, want more steps", h.onProbation, h.flaps)
 		}
-		h.isSettled = true
+		h.hasRecovered = true
 	}
-	if h.isSettled && after.State == Healthy && after.Flaps < h.flaps {
-		h.flaps = after.Flaps // forgiven
+	if h.hasRecovered && after.State == Healthy && after.Flaps < h.flaps {
+		h.flaps = after.Flaps // reduced after a healthy time
 		if sinceForgiven < testFlapForgiveness {
-			return fmt.Errorf("a flap is forgiven after %d steps", sinceForgiven)
+			return fmt.Errorf("flaps reduced %d steps after the last reduction, want more steps", sinceForgiven)
 		}
 	}
 	if after.Flaps != h.flaps && missing == noGuard {
-		return fmt.Errorf("%d flaps, there were %d", after.Flaps, h.flaps)
+		return fmt.Errorf("got %d flaps, want %d", after.Flaps, h.flaps)
 	}
 	return nil
 }
 
-// exploredState is a zone with its history. Its times are kept as ages, so that it can be compared.
+// exploredState is a zone with its history. Times are replaced by ages, so that equal states compare as equal.
 type exploredState struct {
 	zone          Zone
-	inState       int
+	stepsInState  int
 	sinceForgiven int
 	history       history
 }
 
-// realZones returns the Zones of a state at testNow.
+// realZones returns Zones in which zone 0 is in this state at testNow.
 func (s exploredState) realZones(missing guard) *Zones {
 	zone := s.zone
 	if missing == guardFlaps {
 		zone.Flaps = 0
 	}
-	zone.Since = testNow - time.Duration(s.inState)*unit
-	zone.forgivenAt = testNow - time.Duration(s.sinceForgiven)*unit
-	zone.LostAt = testNow - time.Duration(s.history.sinceLoss)*unit
-	zone.ReturnedAt = testNow - time.Duration(max(0, s.history.sinceReturn)+1)*unit
+	zone.Since = testNow - time.Duration(s.stepsInState)*stepLength
+	zone.forgivenAt = testNow - time.Duration(s.sinceForgiven)*stepLength
+	zone.LostAt = testNow - time.Duration(s.history.sinceLoss)*stepLength
+	zone.ReturnedAt = testNow - time.Duration(max(0, s.history.sinceReturn)+1)*stepLength
 	z := New(missing.config())
 	z.zones[0] = &zone
 	return z
 }
 
-// step evaluates one observation with the real code and the model.
-func (s exploredState) step(seen observation, missing guard) (exploredState, error) {
+// step applies one observation to the real code and to the model, and compares both.
+func (s exploredState) step(observed observation, missing guard) (exploredState, error) {
 	z := s.realZones(missing)
 	before := s.zone.State
-	count, othersReachable := missing.observed(seen)
+	count, othersReachable := missing.inputs(observed)
 	z.evaluate(testNow, 0, count, othersReachable)
 	after := z.Zone(0)
 
-	past := s.history
-	past.observe(seen, s.inState, missing)
-	err := past.checkPolicy(z, seen, before, after.State)
+	nextHistory := s.history
+	nextHistory.observe(observed, s.stepsInState, missing)
+	err := nextHistory.checkPolicy(z, observed, before, after.State)
 	if err == nil {
-		err = past.checkProbation(before, after, s.sinceForgiven, missing)
+		err = nextHistory.checkProbation(before, after, s.sinceForgiven, missing)
 	}
 	if err != nil {
-		return exploredState{}, fmt.Errorf("%s, %s -> %s: %w", seen.name, before, after.State, err)
+		return exploredState{}, fmt.Errorf("%s, %s -> %s: %w", observed.name, before, after.State, err)
 	}
-	past.sinceLoss = min(manySteps, past.sinceLoss+1)
+	nextHistory.sinceLoss = min(maxAge, nextHistory.sinceLoss+1)
 
-	next := exploredState{zone: after, history: past}
-	next.inState = ageAfterStep(after.Since)
+	next := exploredState{zone: after, history: nextHistory}
+	next.stepsInState = ageAfterStep(after.Since)
 	next.sinceForgiven = ageAfterStep(after.forgivenAt)
 	next.zone.Since = 0
 	next.zone.LostAt = 0
@@ -237,24 +239,25 @@
 	return next, nil
 }
 
-// ageAfterStep returns how many steps ago a moment is one step after testNow.
+// ageAfterStep returns the age in steps that a time will have one step after testNow.
 func ageAfterStep(at time.Duration) int {
-	return min(manySteps, int((testNow-at)/unit)+1)
+	return min(maxAge, int((testNow-at)/stepLength)+1)
 }
 
-// explore visits every state; it returns how many there are, or how many were visited before one that is wrong.
+// explore visits every reachable state, up to the first step in which the real code differs from the model. It returns
+// the number of states found and the difference.
 func explore(missing guard) (states int, err error) {
 	start := exploredState{
-		history:       history{sinceReturn: -1, sinceLoss: manySteps},
-		sinceForgiven: manySteps,
-		inState:       manySteps,
+		history:       history{sinceReturn: -1, sinceLoss: maxAge},
+		sinceForgiven: maxAge,
+		stepsInState:  maxAge,
 	}
 	visited := map[exploredState]struct{}{start: {}}
 	for queue := []exploredState{start}; len(queue) > 0; {
 		state := queue[0]
 		queue = queue[1:]
-		for _, seen := range observations {
-			next, err := state.step(seen, missing)
+		for _, observed := range observations {
+			next, err := state.step(observed, missing)
 			if err != nil {
 				return len(visited), err
 			}
@@ -267,17 +270,17 @@
 	return len(visited), nil
 }
 
-// Every run of a zone agrees with the plain model.
-func TestEveryRunOfAZone(t *testing.T) {
+// In every reachable state of a zone the real code agrees with the model.
+func TestZoneAgreesWithModelInAllReachableStates(t *testing.T) {
 	states, err := explore(noGuard)
 	t.Logf("%d states", states)
 	if err != nil || states < 500 {
-		t.Fatalf("%d states: %v", states, err)
+		t.Fatalf("got %d states, error %v; want at least 500 states and no error", states, err)
 	}
 }
 
-// Without any one of the guards some run breaks.
-func TestEveryGuardOfAZoneIsNeeded(t *testing.T) {
+// If any one of the guards is left out, the real code differs from the model in some reachable state.
+func TestZoneModelDetectsEveryMissingGuard(t *testing.T) {
 	for _, missing := range []guard{
 		guardOthersReachable,
 		guardReturnGrace,
@@ -285,13 +288,13 @@
 		guardFlaps,
 		guardForgiveness,
 		guardMaxProbation,
-		guardMinimumCounts,
+		guardMinMachines,
 	} {
 		t.Run(string(missing), func(t *testing.T) {
 			states, err := explore(missing)
-			t.Logf("after %d states: %v", states, err)
+			t.Logf("error after %d states: %v", states, err)
 			if err == nil {
-				t.Error("nothing breaks")
+				t.Error("got no difference from the model, want one")
 			}
 		})
 	}
--- a/internal/zones/policy.go
+++ b/internal/zones/policy.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// WorkKind is a kind of work, by what is lost with a machine.
+// WorkKind classifies work by the consequences of losing a machine.
 type WorkKind uint8
 
 // The kinds of work.
 const (
-	Array   WorkKind = iota // each task is restarted by itself
-	Gang                    // gangs: all tasks are lost with one
-	Service                 // services: their tasks stay where they are
+	Array   WorkKind = iota // arrays: lost tasks are restarted one by one
+	Gang                    // gangs: when one task is lost, all tasks of the gang are
+	Service                 // services: their tasks stay on their machines
 )
 
-// AcceptsWork reports whether new work of a kind may go to reachable machines of a zone: restartable work
-// always, gangs and then services as the zone recovers. A zone that flaps gets no gangs before it is healthy, but
-// not for longer than Config.MaxProbation: after four flaps its machines would be idle for three minutes beside
-// gangs that can run nowhere else.
+// AcceptsWork reports whether new work of a kind may be placed on the reachable machines of a zone: arrays always,
+// gangs and later services as the zone recovers. A zone with flaps gets no gangs until it is healthy or
+// Config.MaxProbation has passed since its return. Without this limit, after four flaps its machines would be idle for
+// three minutes while gangs wait that can't run elsewhere.
 func (z *Zones) AcceptsWork(now time.Duration, zone int32, kind WorkKind) bool {
 	health := z.Zone(zone)
 	isRecovering := health.State == Returning || health.State == OnProbation
@@ -34,8 +34,8 @@
 	return health.State == Healthy
 }
 
-// AllowsRenting reports whether machines may be rented in a zone: not where they would be unreachable, nor where it has
-// flapped and is still on probation.
+// AllowsRenting reports whether machines may be rented in a zone. It returns false if the zone is lost or returning, as
+// new machines might be unreachable, and if the zone has flaps and is on probation.
 func (z *Zones) AllowsRenting(zone int32) bool {
 	health := z.Zone(zone)
 	switch health.State {
@@ -47,19 +47,19 @@
 	return false
 }
 
-// RetainsMachines reports whether an unreachable machine of a zone is to be retained. While the zone is lost
-// that is so for maxRetention, after which a replacement is cheaper than the wait; once the zone returns the
-// machine has Config.ReturnGrace to send a heartbeat.
+// RetainsMachines reports whether unreachable machines of a zone are to be retained. While the zone is lost, they are
+// retained for maxRetention, after which replacing them is cheaper than waiting. Once the zone returns, they have
+// Config.ReturnGrace to send a heartbeat.
 func (z *Zones) RetainsMachines(now time.Duration, zone int32, maxRetention time.Duration) bool {
 	health := z.Zone(zone)
-	inState := now - health.Since
+	timeInState := now - health.Since
 	switch health.State {
 	case Lost:
-		return inState < maxRetention
+		return timeInState < maxRetention
 	case Returning:
 		return true
 	case OnProbation:
-		return inState < z.cfg.ReturnGrace
+		return timeInState < z.cfg.ReturnGrace
 	}
 	return false
 }
--- a/internal/zones/record.go
+++ b/internal/zones/record.go
@@ -9,10 +9,10 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// Prefix is where the keys of zones are stored.
+// Prefix is the prefix of the keys of zones.
 const Prefix = "h/z/"
 
-// Key is where the health of the zones is stored for the next leader.
+// Key is the key under which the health of all zones is stored for the next leader.
 const Key = Prefix + "zones"
 
 // newestFormat is the newest stored format that this release reads.
@@ -32,19 +32,19 @@
 	Flaps    int    `json:"flaps,omitempty"`
 }
 
-// Dirty reports whether there are changes that aren't stored.
+// Dirty reports whether there are changes that have not been stored.
 func (z *Zones) Dirty() bool { return z.isDirty }
 
-// MarkStored records that what was encoded last is being stored.
+// MarkStored records that the value last returned by Encode is being written.
 func (z *Zones) MarkStored() { z.isDirty = false }
 
-// MarkDirty records that it was not stored after all.
+// MarkDirty records that the write of that value has failed.
 func (z *Zones) MarkDirty() { z.isDirty = true }
 
-// Encode returns what is stored for the next leader: zones that are not healthy, or have flapped. name returns the
-// name of a zone by its index, unixMS the Unix time in milliseconds of a monotonic time.
+// Encode returns the value to be stored for the next leader: the zones that are not healthy or have flaps. name returns
+// the name of a zone by its index. unixMS converts a monotonic time to a Unix time in milliseconds.
 func (z *Zones) Encode(name func(int32) string, unixMS func(time.Duration) int64) json.RawMessage {
-	out := record{Zones: []zoneRecord{}}
+	stored := record{Zones: []zoneRecord{}}
 	for index, zone := range z.zones {
 		if zone.State == Healthy && zone.Flaps == 0 {
 			continue
@@ -53,7 +53,7 @@
 		if state == Suspect {
 			state = Healthy
 		}
-		out.Zones = append(out.Zones, zoneRecord{
+		stored.Zones = append(stored.Zones, zoneRecord{
 			Zone:     name(index),
 			State:    state.String(),
 			SinceMS:  unixMS(zone.Since),
@@ -61,15 +61,15 @@
 			Flaps:    zone.Flaps,
 		})
 	}
-	slices.SortFunc(out.Zones, func(a, b zoneRecord) int { return cmp.Compare(a.Zone, b.Zone) })
-	raw, _ := json.Marshal(out)
+	slices.SortFunc(stored.Zones, func(a, b zoneRecord) int { return cmp.Compare(a.Zone, b.Zone) })
+	raw, _ := json.Marshal(stored)
 	return raw
 }
 
-// Restore takes over what an earlier leader has stored. It is a hint: where heartbeats arrive, the zone returns
-// all the same. index returns the index of a zone by its name, monotonic the monotonic time of a Unix time in
-// milliseconds. If the value can't be read, nothing is taken over and the error is a
-// *rollout.NewerFormatError or that of the JSON.
+// Restore applies the value that an earlier leader has stored. The stored states are only a starting point: a lost zone
+// whose heartbeats arrive returns as usual. index returns the index of a zone by its name. monotonic converts a Unix
+// time in milliseconds to a monotonic time. If the value can't be decoded, Restore changes nothing and returns a
+// *rollout.NewerFormatError or the error of package json.
 func (z *Zones) Restore(
 	raw json.RawMessage,
 	index func(string) int32,
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// minMachines is how many machines it takes to tell the silence of a zone from that of single machines.
+	// minMachines is the least number of machines with which a zone can become suspect or lost. With fewer machines, the
+	// silence of a zone can't be distinguished from that of single machines.
 	minMachines = 4
-	// maxFlaps bounds the flaps that count: each doubles the probation.
+	// maxFlaps bounds Zone.Flaps, since each flap doubles the probation.
 	maxFlaps = 4
 )
 
@@ -18,13 +19,14 @@
 // The states of a zone.
 //
 //	Healthy     -> Suspect      more than a quarter of its machines are quiet
-//	Suspect     -> Healthy      they are reachable again
+//	Suspect     -> Healthy      at most a quarter of its machines are quiet
 //	Healthy, Suspect -> Lost    more than half of its machines have been silent for long; or more than three quarters
 //	                            are quiet while those of other zones are reachable
-//	Lost        -> Returning    half of them are reachable again; or none is left, for ReturnGrace
-//	Returning   -> OnProbation  nine tenths are reachable, or ReturnGrace has passed
-//	OnProbation -> Healthy      it has stayed so for ProbationTime, doubled with each flap
-//	Returning, OnProbation -> Lost  it falls silent again: a flap, as is any loss soon after the one before
+//	Lost        -> Returning    at least half of its machines are reachable; or it has no machines, and ReturnGrace has
+//	                            passed since the loss
+//	Returning   -> OnProbation  nine tenths of its machines are reachable, or ReturnGrace has passed since the return
+//	OnProbation -> Healthy      ProbationTime, doubled with each flap, has passed
+//	Returning, OnProbation -> Lost  as for Healthy; this loss is a flap, as is any loss soon after the previous one
 const (
 	Healthy State = iota
 	Suspect
@@ -33,12 +35,12 @@
 	OnProbation
 )
 
-// String returns the name of the state as it is stored and as operators read it over HTTP.
+// String returns the name of the state in stored records and in the HTTP API.
 func (s State) String() string {
 	return [...]string{"well", "doubted", "lost", "returning", "proving"}[s]
 }
 
-// parseState returns the state with a name.
+// parseState returns the state with the given name and whether there is one.
 func parseState(name string) (State, bool) {
 	for state := Healthy; state <= OnProbation; state++ {
 		if state.String() == name {
@@ -48,9 +50,9 @@
 	return Healthy, false
 }
 
-// transition is the only place where a zone's state changes.
+// transition changes a zone's state and calls Config.OnStateChange. Only transition and Restore set a zone's state.
 func (z *Zones) transition(now time.Duration, index int32, to State, count Count) {
-	zone := z.at(index)
+	zone := z.zoneForUpdate(index)
 	from := zone.State
 	switch {
 	case to == Lost:
@@ -62,7 +64,7 @@
 	}
 	zone.State = to
 	zone.Since = now
-	// A suspect zone is stored as healthy.
+	// Suspect zones are stored as healthy, so changes between Suspect and Healthy need no write.
 	if to == Lost || (to != Suspect && from != Suspect) {
 		z.isDirty = true
 	}
@@ -71,7 +73,8 @@
 	}
 }
 
-// recordLoss counts a loss as a flap if it comes soon after the one before.
+// recordLoss records a loss of the zone. The loss is a flap if the zone is returning or on probation, or if the previous
+// loss is less than FlapForgiveness ago.
 func (z *Zones) recordLoss(now time.Duration, zone *Zone) {
 	isReturning := zone.State == Returning || zone.State == OnProbation
 	isSoon := zone.wasLost && now-zone.LostAt < z.cfg.FlapForgiveness
@@ -82,7 +85,8 @@
 	zone.wasLost = true
 }
 
-// Evaluate changes the states of all zones by the present counts of their machines. A zone without a count has none.
+// Evaluate updates the states of all zones from the present counts of their machines. A zone that counts lacks has no
+// machines.
 func (z *Zones) Evaluate(now time.Duration, counts map[int32]Count) {
 	all := Count{}
 	indices := make([]int32, 0, len(counts))
@@ -99,42 +103,43 @@
 	slices.Sort(indices)
 	for _, index := range indices {
 		count := counts[index]
-		// Silence here while others are reachable is this zone's; silence everywhere may be the controller's.
+		// If the machines of other zones are reachable, silence is due to this zone. If all zones are silent, this
+		// controller may be the cause.
 		others := Count{Machines: all.Machines - count.Machines, Quiet: all.Quiet - count.Quiet}
 		z.evaluate(now, index, count, others.areReachable())
 	}
 }
 
-// evaluate changes the state of one zone. othersReachable is whether the machines of other zones are reachable.
+// evaluate updates the state of one zone. othersReachable reports whether the machines of other zones are reachable.
 func (z *Zones) evaluate(now time.Duration, index int32, count Count, othersReachable bool) {
-	zone := z.at(index)
-	if zone.State != Lost && count.isSilent(othersReachable) {
+	zone := z.zoneForUpdate(index)
+	if zone.State != Lost && count.isLost(othersReachable) {
 		z.transition(now, index, Lost, count)
 		return
 	}
-	inState := now - zone.Since
+	timeInState := now - zone.Since
 	switch zone.State {
 	case Healthy, Suspect:
 		z.evaluateInService(now, index, zone, count)
 	case Lost:
-		// An empty zone has no machine that could become reachable: after a while new ones are tried, or it would stay
-		// lost.
-		isEmptyForLong := count.Machines == 0 && inState >= z.cfg.ReturnGrace
+		// An empty zone has no machine that could become reachable. It returns after a while, so that machines are rented
+		// in it again: otherwise it would stay lost.
+		isEmptyForLong := count.Machines == 0 && timeInState >= z.cfg.ReturnGrace
 		if isEmptyForLong || count.isReachableAgain() {
 			z.transition(now, index, Returning, count)
 		}
 	case Returning:
-		if count.isNearlyAllReachable() || inState >= z.cfg.ReturnGrace {
+		if count.isNearlyAllReachable() || timeInState >= z.cfg.ReturnGrace {
 			z.transition(now, index, OnProbation, count)
 		}
 	case OnProbation:
-		if inState >= z.cfg.ProbationTime<<zone.Flaps {
+		if timeInState >= z.cfg.ProbationTime<<zone.Flaps {
 			z.transition(now, index, Healthy, count)
 		}
 	}
 }
 
-// evaluateInService changes the state of a zone that is healthy or suspect, and forgives its flaps.
+// evaluateInService updates the state of a zone that is healthy or suspect, and reduces its flaps over time.
 func (z *Zones) evaluateInService(now time.Duration, index int32, zone *Zone, count Count) {
 	isSuspect := count.isSuspect()
 	switch {
@@ -149,9 +154,9 @@
 	}
 }
 
-// isSilent reports whether a zone with this count is lost: more than half of its machines have been silent for
-// long, or more than three quarters are quiet while those of other zones are reachable.
-func (c Count) isSilent(othersReachable bool) bool {
+// isLost reports whether a zone with this count is lost: more than half of its machines have been silent for long, or
+// more than three quarters are quiet while machines of other zones are reachable.
+func (c Count) isLost(othersReachable bool) bool {
 	if c.Machines < minMachines {
 		return false
 	}
@@ -161,11 +166,11 @@
 // isSuspect reports whether more than a quarter of the machines are quiet.
 func (c Count) isSuspect() bool { return c.Machines >= minMachines && 4*c.Quiet > c.Machines }
 
-// isReachableAgain reports whether at least half of the machines, and one, are reachable.
+// isReachableAgain reports whether there are machines and at least half of them are reachable.
 func (c Count) isReachableAgain() bool { return c.Machines > 0 && 2*c.Quiet <= c.Machines }
 
-// isNearlyAllReachable reports whether at most a tenth of the machines is quiet.
+// isNearlyAllReachable reports whether at most a tenth of the machines are quiet.
 func (c Count) isNearlyAllReachable() bool { return 10*c.Quiet <= c.Machines }
 
-// areReachable reports whether there are enough machines, and less than three tenths of them are quiet.
+// areReachable reports whether there are at least minMachines and fewer than three tenths of them are quiet.
 func (c Count) areReachable() bool { return c.Machines >= minMachines && 10*c.Quiet < 3*c.Machines }
