--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// deliverDue delivers the messages that are due, including due messages that are sent meanwhile.
+// deliverDue delivers the messages that are due, including due messages that a delivery sends.
 func (c *cluster) deliverDue() {
 	for i := 0; i < len(c.network); i++ {
 		if message := c.network[i]; message.at <= c.service.Now {
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -47,7 +47,7 @@
 	}
 	m.store.Txn(txn, store.SafetyPriority, func(result store.Result) {
 		if m.lease.id != leaseID {
-			return // the lease was lost meanwhile: a registration with the next lease follows
+			return // the lease has been lost: a registration with the next lease follows
 		}
 		m.handleRegistrationResult(value, result)
 	})
--- a/internal/shards/lease.go
+++ b/internal/shards/lease.go
@@ -71,7 +71,7 @@
 	return l
 }
 
-// setState changes the state. No other function does.
+// setState changes the state. No other function changes it.
 func (l *Lease) setState(s LeaseState) { l.state = s }
 
 // followAssignment enters the state that the assignment determines.
@@ -143,7 +143,7 @@
 }
 
 // RetryTransfer returns a transfer with an indeterminate outcome again; ok is false if there is none. Both copies are
-// conditional on the same version, so only the first one to arrive is written.
+// conditional on the same version of the record, so at most one of them is written.
 func (l *Lease) RetryTransfer() (transfer Transfer, ok bool) {
 	if l.state != Indeterminate {
 		return Transfer{}, false
--- a/internal/shards/shard_map.go
+++ b/internal/shards/shard_map.go
@@ -1,5 +1,5 @@
 // Package shards divides the machines of the fleet among several leaders. There are as many shards as controllers.
-// Each shard has one leader at a time and its own sequence of terms; its preferred leader is the controller that it is
+// Each shard has one leader at a time, in a term of that shard. Its preferred leader is the controller that it is
 // named after. A machine's shard is computed from the machine's name. A failover moves no machine: another controller
 // becomes the leader of the same shard. A shard that needs more machines than it has borrows single machines by a
 // durable transfer (Lease).
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// recordLoss records a loss of the zone. The loss is a flap if the zone is returning or on probation, or if the previous
-// loss is less than FlapForgiveness ago.
+// recordLoss records a loss of the zone. The loss is a flap if the zone is returning or on probation, or if the
+// previous loss is less than FlapForgiveness ago.
 func (z *Zones) recordLoss(now time.Duration, zone *Zone) {
 	isReturning := zone.State == Returning || zone.State == OnProbation
 	isSoon := zone.wasLost && now-zone.LostAt < z.cfg.FlapForgiveness
