--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -11,10 +11,10 @@
 	return slices.ContainsFunc(f.machines, func(machine *Machine) bool { return machine.draining })
 }
 
-// ApplyDrains applies the operators' drain requests. The function request returns whether one stands for a machine,
-// whether running tasks are to be stopped, and who made it. Nothing new starts on a machine that is drained; what
-// runs there ends by itself or is stopped with time to save a checkpoint, and then the machine is returned. A
-// machine whose request was withdrawn takes work again, unless it was returned meanwhile.
+// ApplyDrains applies the operators' drain requests. The function request returns whether a machine is to be drained,
+// whether its running tasks are to be stopped, and who requested the drain. No task starts on a machine that is being
+// drained. Running tasks end by themselves or are stopped with time to save a checkpoint, and then the machine is
+// returned. If the request is withdrawn before the return, the machine accepts work again.
 func (f *Fleet) ApplyDrains(request func(machine string) (drain, stop bool, by string)) {
 	for _, machine := range f.machines {
 		drain, stop, by := request(machine.Name)
@@ -35,8 +35,8 @@
 	}
 }
 
-// stopTasksForDrain stops the tasks on a machine. A gang that loses a task loses its progress, so all of it stops
-// together.
+// stopTasksForDrain stops the tasks on a machine. A gang that loses one task loses its progress, so all tasks of the
+// gang stop together, on all machines.
 func (f *Fleet) stopTasksForDrain(machine *Machine) {
 	for ref := range machine.Tasks {
 		job := f.jobAt(ref.Job)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,30 +1,31 @@
-// Package fleet is the leader's side of the machines and of the work on them. It owns each machine's condition,
-// fencing token, lease and agent session, the placement of tasks, and the durable plan that records a task's
-// machine before the task is launched there.
+// Package fleet is the leader's side of machine and task management. It owns each machine's condition, fencing
+// token, lease and worker session, the placement of tasks, and the durable plan that records a task's machine before
+// the task is launched there.
 //
 // A Fleet lives for one term of one controller, or of one shard's leader. The controller's event loop is its only
-// caller: heartbeats, changes of the job table, ticks and the outcomes of writes arrive there one after the other.
-// The package has no goroutine, clock, lock or I/O of its own. Writes, reads and direct commands leave through the
-// functions of Env, and time is an argument. The simulator and the tests drive it the same way.
+// caller, and passes on heartbeats, changes of the job table, ticks and the outcomes of writes one after the other.
+// The package has no goroutine, clock, lock or I/O of its own. It sends writes, reads and direct commands through the
+// functions of Env, and receives the time as an argument. The simulator and the tests call it the same way.
 //
-// What it never does:
-//   - launch a task whose machine is not in the durable plan, see appendStarts and jobs.Job.IsDurable;
-//   - act on a heartbeat below the machine's token: commands of a former leader may still arrive until then;
-//   - count a task as gone without proof: a heartbeat at the current token that lacks it, the cloud's confirmation that
-//     the machine is terminated, or an expired worker lease;
-//   - use an attempt number twice, in any term.
+// Invariants:
+//   - A task is launched only if its machine is in the durable plan, see appendStarts and jobs.Job.IsDurable.
+//   - A heartbeat below the machine's token has no effect on tasks, since until a heartbeat carries the token, commands
+//     of a former leader may still arrive at the machine.
+//   - A task counts as on its machine until one of three proofs: a heartbeat at the current token that does not list
+//     the task, the cloud's confirmation that the machine is terminated, or an expired worker lease.
+//   - No attempt number is used twice, in any term.
 //
-// Where things are:
+// Files:
 //
-//	fleet.go, state.go, env.go          the Fleet, its state by concern, what it needs of the controller
+//	fleet.go, state.go, env.go          the Fleet, its state by concern, the functions that the controller supplies
 //	machine.go, lease.go, drain.go      a machine and its conditions; lease expiry and return; operators' drains
 //	messages.go, wire.go                the messages to and from workers; their JSON forms and the conversion
-//	heartbeat.go, reconcile.go          a heartbeat: is it current, what does it prove
-//	reachability.go                     one-way reachability, stale copies and restarted workers
-//	commands.go, dispatch.go, start.go  the response's commands, direct requests, which queued tasks start
-//	occupancy.go, images.go             what counts as on a machine; image cache hints
-//	crashloop.go, zoneloss.go           crash loops and faulty machines; what the loss of a zone would mean
-//	jobchange.go                        jobs that are accepted and that end
+//	heartbeat.go, reconcile.go          acceptance of heartbeats; reconciliation of the tasks they list
+//	reachability.go                     one-way unreachable machines, stale copies, restarted workers
+//	commands.go, dispatch.go, start.go  commands in responses and in direct requests; task launches
+//	occupancy.go, images.go             which tasks count as on a machine; image cache hints
+//	crashloop.go, zoneloss.go           crash loops and faulty machines; estimate of a zone's loss
+//	jobchange.go                        accepted, released and ended jobs
 //	cycle.go, priority.go, demand.go    the scheduling cycle, the priority order, the demand for machines
 //	array.go, gang.go, service.go       placement of job arrays, gangs and services
 //	candidates.go, packing.go           machines that may take a job, and the order in which they are filled
@@ -52,60 +53,61 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// Fleet is the state of one leader's term over the machines and the work on them. The fields are grouped by concern;
-// state.go has the types that hold most of it. A Fleet is not safe for concurrent use.
+// Fleet holds the machines and the tasks on them for one leader's term. The fields are grouped by concern; state.go
+// declares the types of most of them. A Fleet is not safe for concurrent use.
 type Fleet struct {
 	Env
-	// Term is the leader's term; the high bits of every token and attempt of this fleet hold it.
+	// Term is the leader's term. It is the high bits of every token and attempt number that this fleet issues.
 	Term uint64
-	// ZoneAcceptsWork reports whether a zone takes new work of a kind. If nil, all zones do.
+	// ZoneAcceptsWork reports whether a zone accepts new work of a kind. If nil, every zone accepts all work.
 	ZoneAcceptsWork func(zone int32, kind zones.WorkKind) bool
-	// Gate decides by quota and licences whether a task may start, and counts what may be on machines.
+	// Gate decides by quota and licences whether a task may start. It counts the quota and licence units of all tasks
+	// that may be on machines.
 	Gate *admission.Gate
-	// PlanningSteps counts the work of planning, in machines, queues and tasks examined. It spaces the scheduling
-	// cycles, and tests bound it.
+	// PlanningSteps counts the machines, queues and tasks that planning has examined. The interval between scheduling
+	// cycles depends on this count, and tests bound it.
 	PlanningSteps uint64
-	// LastHeartbeat is when the last heartbeat that proved contact with any machine was accepted.
+	// LastHeartbeat is the time of the last accepted heartbeat that proved contact with any machine.
 	LastHeartbeat time.Duration
 
 	// The term.
 	termStartedAt  time.Duration
 	plansLoaded    bool
-	startsStopped  bool            // no launches: leadership is being handed over
-	attemptCounter uint64          // of this term's launches
-	unreadableJobs map[string]bool // jobs whose records could not be read when the term began
+	startsStopped  bool            // leadership is being handed over: no task is launched
+	attemptCounter uint64          // number of attempts issued in this term
+	unreadableJobs map[string]bool // ids of jobs whose records were unreadable when the term began
 
-	// The machines and what is sent to them.
+	// The machines and the direct requests to them.
 	machines       []*Machine // by dense index
 	byName         map[string]*Machine
-	directRequests int // direct commands without a response yet
+	directRequests int // number of direct requests without a response yet
 	activity       activity
 
 	// The scheduling cycle.
 	ranking       ranking
 	cycle         schedulingCycle
 	nextCycle     time.Duration
-	nextRoomCheck time.Duration // when updateRoomSince is due again
+	nextRoomCheck time.Duration // time of the next updateRoomSince
 	gpuReserve    gpuReserve
 	scratch       scratch
 
-	// What planning keeps of each job from one cycle to the next. queuedOn holds, for each job with planned tasks, how
-	// many of them are queued on which machine, so that planning need not examine the whole fleet.
+	// Planning state of each job that outlives a scheduling cycle. queuedOn holds, for each job with planned tasks, how
+	// many of them are queued on each machine, so that planning need not examine the whole fleet.
 	queuedOn         map[jobs.Index]map[int32]int
-	classes          map[int32]*classStats          // run-time statistics by job class
-	preemptedAt      map[jobs.Index]time.Duration   // when a job last preempted others
-	crashLoops       map[jobs.Index]*crashLoop      // for jobs with failed tasks
-	unplannedReasons map[jobs.Index]unplannedReason // why the last cycle left tasks of a job without a plan
-	licenceGrants    map[jobs.Index]licences.Grant  // by the last cycle, for jobs that need licences
-	noMachineUntil   map[jobs.Index]time.Duration   // arrays for which no machine was found: when to plan them again
+	classes          map[int32]*classStats          // run-time statistics, by job class
+	preemptedAt      map[jobs.Index]time.Duration   // time at which a job last preempted others
+	crashLoops       map[jobs.Index]*crashLoop      // failure records of jobs with failed tasks
+	unplannedReasons map[jobs.Index]unplannedReason // reason why the last cycle left tasks of a job unplanned
+	licenceGrants    map[jobs.Index]licences.Grant  // grants of the last cycle to jobs that need licences
+	noMachineUntil   map[jobs.Index]time.Duration   // for arrays without a suitable machine: time of the next planning
 
-	// What is stored.
+	// Writes to the state service.
 	writer planWriter
 	hints  hintCache
 }
 
-// New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans it launches
-// nothing and accepts heartbeats only to register machines and to hand out its token.
+// New returns the fleet of a term that begins at now. Until LoadPlans has read the durable plans, the fleet launches no
+// task, and uses heartbeats only to register machines and to send them its token.
 func New(env Env, term uint64, now time.Duration) *Fleet {
 	f := &Fleet{
 		Env:              env,
@@ -136,23 +138,23 @@
 	return f
 }
 
-// StopStarting prevents all further launches in this term. Running tasks go on, and writes that are due are still
+// StopStarting prevents all further launches in this term. Running tasks continue, and pending writes are still
 // sent.
 func (f *Fleet) StopStarting() { f.startsStopped = true }
 
 // PlansLoaded reports whether LoadPlans has read the durable plans.
 func (f *Fleet) PlansLoaded() bool { return f.plansLoaded }
 
-// Machines returns all machines registered in this term, by index. The fleet owns the slice and the machines.
+// Machines returns all machines registered in this term, by index. The caller must not change the slice.
 func (f *Fleet) Machines() []*Machine { return f.machines }
 
-// checkTransition logs a change of state that the job's state machine does not allow: always a defect, never the
-// result of input.
+// checkTransition logs the error of a state change that the job's state machine does not allow. Such an error is
+// always a defect in this package, never the result of input.
 func (f *Fleet) checkTransition(err error) {
 	if err != nil {
 		slog.Error("state transition not allowed", "term", f.Term, "error", err)
 	}
 }
 
-// jobAt returns a job by its index, or nil if it has been swept.
+// jobAt returns the job with an index, or nil if the job has been removed from the table.
 func (f *Fleet) jobAt(jobIndex jobs.Index) *jobs.Job { return f.Jobs.ByIndex(jobIndex) }
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -7,33 +7,33 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// HeartbeatResult is whether a heartbeat was accepted.
+// HeartbeatResult tells whether a heartbeat was accepted.
 type HeartbeatResult uint8
 
 // The results of a heartbeat.
 const (
 	Accepted HeartbeatResult = iota
-	Stale                    // older than one that was accepted, or possibly a copy of one: it has no effect
-	Deposed                  // its token is of a later term: this controller is no longer the leader
+	Stale                    // it may be a delayed copy, or its machine is terminated: it has no effect
+	Deposed                  // its token is from a later term: this controller is no longer the leader
 )
 
-// heartbeatOrigin is how a heartbeat arrived.
+// heartbeatOrigin tells in which message a heartbeat arrived.
 type heartbeatOrigin uint8
 
 const (
-	// fromRequest is a worker's own request. It may be a delayed copy.
+	// fromRequest is the origin of a heartbeat that the worker sent as a request. It may be a delayed copy.
 	fromRequest heartbeatOrigin = iota
-	// fromResponse is the body of a response to a direct command. It may have been made while a response to an
-	// earlier request of the worker was in flight, and it proves nothing about whether the worker's own requests
+	// fromResponse is the origin of a heartbeat in the body of a response to direct commands. The worker may have made
+	// it while the response to one of its own requests was in flight. It does not prove that the worker's own requests
 	// arrive.
 	fromResponse
-	// fromRestartedWorker is the same, of a worker that has certainly restarted since its last heartbeat.
+	// fromRestartedWorker is like fromResponse, for a worker that has certainly restarted since its last heartbeat.
 	fromRestartedWorker
 )
 
-// HandleHeartbeat applies a heartbeat that came as a worker's request and returns the response to it, which is only
-// valid with the result Accepted. The caller has checked that this controller has authority; each accepted
-// heartbeat extends the worker's lease.
+// HandleHeartbeat applies a heartbeat that a worker sent as a request, and returns the response. The response is valid
+// only if the result is Accepted, and renews the worker's lease. The caller must have checked that this controller may
+// act as the leader.
 func (f *Fleet) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	f.activity.heartbeats++
 	machine, result := f.acceptHeartbeat(now, heartbeat, fromRequest)
@@ -52,7 +52,7 @@
 // buildResponse returns the response to a heartbeat that was just accepted.
 func (f *Fleet) buildResponse(now time.Duration, machine *Machine, heartbeat *Heartbeat) HeartbeatResponse {
 	if !f.isFenced(machine, heartbeat) {
-		// All other commands require a heartbeat at the machine's token first.
+		// All other commands require a heartbeat at the machine's token.
 		return HeartbeatResponse{Token: machine.Token, Commands: f.stopCancelled(heartbeat)}
 	}
 	machine.raiseTokenIfIndeterminate()
@@ -65,11 +65,11 @@
 	return response
 }
 
-// stopCancelled returns stop commands for the listed tasks of cancelled jobs. Every response extends the worker's
-// lease, whether or not its machine is ever in contact again, so none may go out without these commands, not even a
-// new leader's first one, before the machine has seen its token. Otherwise a machine whose last contact falls at the
-// very end of a partition would run cancelled work for a lease longer than cancel_s allows. A cancellation is final,
-// so the command is never wrong.
+// stopCancelled returns stop commands for the listed tasks of cancelled jobs. Every response renews the worker's lease
+// and may be the last one that reaches the machine. So every response must include these commands, also a new leader's
+// first response, which the worker receives before its token. Otherwise a machine whose last contact is at the very end
+// of a partition would run cancelled work for one lease longer than cancel_s allows. A cancellation is final, so the
+// command is correct whichever leader sends it.
 func (f *Fleet) stopCancelled(heartbeat *Heartbeat) []Command {
 	var commands []Command
 	for i := range heartbeat.Tasks {
@@ -82,7 +82,7 @@
 	return commands
 }
 
-// acceptHeartbeat updates a machine's state from a heartbeat. The machine is nil if the result is Deposed.
+// acceptHeartbeat updates the state of a heartbeat's machine, and returns the machine; nil if the result is Deposed.
 func (f *Fleet) acceptHeartbeat(
 	now time.Duration, heartbeat *Heartbeat, origin heartbeatOrigin,
 ) (*Machine, HeartbeatResult) {
@@ -91,7 +91,7 @@
 	}
 	machine := f.RegisterMachine(now, heartbeat.Machine)
 	if machine.Condition == Terminated {
-		return machine, Stale // the cloud confirmed the termination: the heartbeat was delayed for long
+		return machine, Stale // the heartbeat was sent before the termination
 	}
 	if origin == fromRestartedWorker {
 		f.challenge(now, machine)
@@ -110,8 +110,8 @@
 		return machine, Accepted
 	}
 	if origin == fromRequest {
-		// A machine that responds to direct commands while its own heartbeats do not arrive dies with its lease:
-		// only a heartbeat counts as contact.
+		// Only a worker's own heartbeat counts as contact. If its heartbeats do not arrive, its lease expires, even if
+		// it responds to direct commands.
 		f.recordContact(now, machine)
 	}
 	if machine.fencing {
@@ -123,15 +123,15 @@
 	return machine, Accepted
 }
 
-// isFenced reports whether a heartbeat carries the machine's present token, so that no command of a former leader or
-// session can arrive any more, and whether the plans that commands depend on are loaded.
+// isFenced reports whether a heartbeat carries the machine's present token and the durable plans, on which commands
+// depend, are loaded. After a heartbeat at this token, the worker refuses commands of a former leader or session.
 func (f *Fleet) isFenced(machine *Machine, heartbeat *Heartbeat) bool {
 	return heartbeat.Token >= machine.Token && f.plansLoaded
 }
 
-// checkIncarnation decides whether a heartbeat is certainly of the worker's present incarnation. If not, it has no
-// effect on the machine, and the result is what HandleHeartbeat returns or, if Accepted, responds to with nothing
-// but the token.
+// checkIncarnation decides whether a heartbeat is certainly from the worker's present incarnation. If isCurrent is
+// false, the heartbeat has no effect on the machine and result is the heartbeat's result. With the result Accepted, the
+// response carries the token and no commands but stops of cancelled tasks.
 func (f *Fleet) checkIncarnation(machine *Machine, heartbeat *Heartbeat) (isCurrent bool, result HeartbeatResult) {
 	isStale := machine.mayBeStaleCopy(heartbeat)
 	isChallenged := machine.reachability.challengeToken != 0
@@ -145,25 +145,25 @@
 	case isStale:
 		return false, Stale
 	case isChallenged && heartbeat.Session == machine.Session:
-		return false, Accepted // of which incarnation it is can't be determined until it carries the raised token
+		return false, Accepted // its incarnation can't be determined until it carries the raised token
 	}
 	machine.reachability.challengeToken = 0
 	machine.reachability.challengeUnsent = false
 	return true, Accepted
 }
 
-// updateSession records the session, sequence and details of a current heartbeat. With a new session, everything
-// that was sent to the former one is void.
+// updateSession records the session, sequence number and machine details of a heartbeat from the present incarnation. A
+// new session makes all commands to the former session void.
 func (f *Fleet) updateSession(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	isNewer := heartbeat.Session > machine.Session
-	// Its lease ran out although its heartbeats were answered.
+	// The worker's lease expired although the fleet responded to its heartbeats.
 	missedResponses := isNewer && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.WorkerLease()
 	if heartbeat.Session != machine.Session {
-		// Direct commands name their session: the worker refuses those of the former one.
+		// Direct commands name their session: the worker refuses commands for the former session.
 		f.clearIndeterminateLaunches(machine)
 		f.handleWorkerRestart(now, machine)
-		// The lease of a session counts from its beginning, even if none of its heartbeats was ever answered: a
-		// direct launch may run that long.
+		// The lease of a session counts from the session's beginning, even if none of its heartbeats ever got a
+		// response: a directly launched task may run until that lease expires.
 		machine.LastAnsweredAt = now
 	}
 	f.SetMachineDetails(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
@@ -175,29 +175,29 @@
 	machine.Seq = heartbeat.Seq
 	machine.reachability.highestToken = max(machine.reachability.highestToken, heartbeat.Token)
 	if missedResponses && origin == fromRequest {
-		f.markOneWayUnreachable(now, machine, "its lease ran out although it was answered")
+		f.markOneWayUnreachable(now, machine, "lease expired although heartbeats were answered")
 	}
 	f.checkTokenTimeout(now, machine, heartbeat)
 }
 
-// acceptUnfenced records contact with a machine whose heartbeat is below its token. A command of a former leader
-// may still arrive there, so nothing else follows: the response carries the token, and the next heartbeat returns
-// it.
+// acceptUnfenced records contact with a machine whose heartbeat is not fenced. The heartbeat has no other effect, since
+// a command of a former leader may still arrive at the machine. The response carries the token, and the worker's next
+// heartbeat returns it.
 func (f *Fleet) acceptUnfenced(now time.Duration, machine *Machine, origin heartbeatOrigin) {
 	if origin != fromRequest {
 		return
 	}
 	machine.LastHeartbeatAt = now
 	if machine.Condition == OneWayUnreachable || machine.Condition == LeaseExpired {
-		// It must confirm first that responses reach it. Otherwise a zone of machines that are unreachable one way
-		// would count as recovered with each of their new sessions, and be scaled out.
+		// Such a machine must first confirm that responses reach it. Otherwise a zone of machines that are
+		// unreachable one way would count as recovered with each of their new sessions, and would be scaled out.
 		return
 	}
 	f.recordContact(now, machine)
 }
 
-// confirmsReachability reports whether a fenced heartbeat shows that responses reach its machine. One that came in
-// response to a direct command does.
+// confirmsReachability reports whether a fenced heartbeat shows that responses reach its machine. A heartbeat in the
+// response to a direct request always shows that.
 func (f *Fleet) confirmsReachability(
 	now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin,
 ) bool {
@@ -208,8 +208,8 @@
 	return true
 }
 
-// recordContact records the heartbeat of a machine that counts as in contact. It is not called for one that is
-// unreachable one way, since nothing can be done with it.
+// recordContact records that a heartbeat proved contact with its machine. It is not called for a machine that is
+// unreachable one way, since no work can be sent to that machine.
 func (f *Fleet) recordContact(now time.Duration, machine *Machine) {
 	machine.LastContactAt = now
 	machine.LastHeartbeatAt = now
@@ -217,8 +217,8 @@
 	f.LastHeartbeat = now
 }
 
-// updateCondition changes a machine's condition after a fenced heartbeat: a reclaim notice stops new launches,
-// otherwise the machine is ready.
+// updateCondition changes a machine's condition after a fenced heartbeat. A reclaim notice stops new launches; without
+// a notice the machine becomes ready.
 func (f *Fleet) updateCondition(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	if machine.Returning {
 		return
@@ -239,7 +239,7 @@
 	}
 }
 
-// clearIndeterminateLaunches records that no direct launch sent so far can be executed any more.
+// clearIndeterminateLaunches records that the worker can no longer execute any direct launch sent so far.
 func (f *Fleet) clearIndeterminateLaunches(machine *Machine) {
 	clear(machine.indeterminateLaunches)
 	for ref := range machine.Tasks {
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The end of machines: leases that expired, machines that are returned or terminated.
+// Expired leases, and the return and termination of machines.
 
 import (
 	"time"
@@ -11,15 +11,15 @@
 )
 
 const (
-	// clockDriftBound is by how much a worker's clock may be slow: one part in this many.
+	// clockDriftBound is the inverse of the maximum drift of a worker's clock, which may be slow by one part in 500.
 	clockDriftBound = 500
-	// leaseExpiryMargin is added to the lease besides the drift, so that an expiry is certain.
+	// leaseExpiryMargin is added to the lease and the drift, so that the expiry is certain.
 	leaseExpiryMargin = time.Second
 )
 
-// expireLeases releases the tasks of machines whose workers' leases have certainly run out. A worker counts its
-// lease from when it sent its last answered heartbeat, which was before the response, on a clock that may be slow
-// by the drift bound.
+// expireLeases releases the tasks of machines whose workers' leases have certainly expired. A worker counts its lease
+// from the time at which it sent the last heartbeat that got a response, and so from before the response was sent. The
+// worker's clock may be slow by the maximum drift.
 func (f *Fleet) expireLeases(now time.Duration) {
 	lease := f.Settings.WorkerLease()
 	limit := lease + lease/clockDriftBound + leaseExpiryMargin
@@ -34,9 +34,9 @@
 	}
 }
 
-// Quarantine stops planning on a ready machine whose zone is lost and that is not in contact. Tasks that are queued
-// there are planned elsewhere; what may run there counts as before. The machine's next heartbeat ends the
-// quarantine.
+// Quarantine stops planning on a ready machine whose zone is lost and that is not in contact. Its queued tasks become
+// unplanned, so that they can be planned on other machines. Launched tasks still count as on the machine. The machine's
+// next heartbeat ends the quarantine.
 func (f *Fleet) Quarantine(machine *Machine) {
 	if machine.Quarantined || machine.Condition != Ready {
 		return
@@ -60,7 +60,7 @@
 	f.releaseAllTasks(now, machine)
 }
 
-// releaseAllTasks releases all tasks that count as on a machine, after proof that none is.
+// releaseAllTasks releases all tasks that count as on a machine. The caller has proof that none is on the machine.
 func (f *Fleet) releaseAllTasks(now time.Duration, machine *Machine) {
 	refs := make([]TaskRef, 0, len(machine.Tasks))
 	for ref := range machine.Tasks {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -10,21 +10,23 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Condition is the state of a machine, as its leader determines it.
+// Condition is the state of a machine as determined by the leader.
 type Condition uint8
 
 // The conditions of a machine and their transitions.
 //
-//	Registered        -> Ready              a heartbeat at the leader's token was accepted
+// A fenced heartbeat carries the machine's present token, see isFenced.
+//
+//	Registered        -> Ready              a fenced heartbeat was accepted
 //	any               -> ReclaimNoticed     a fenced heartbeat has a reclaim notice: no launches
 //	Ready             -> ReclaimNoticed     the machine is being returned: no launches
-//	ReclaimNoticed    -> Ready              a fenced heartbeat has no reclaim notice any more
+//	ReclaimNoticed    -> Ready              a fenced heartbeat no longer has a reclaim notice
 //	ReclaimNoticed    -> Registered         a drain request was withdrawn before the machine was returned
-//	Registered, Ready -> OneWayUnreachable  its heartbeats arrive, but nothing in them confirms that responses do
+//	Registered, Ready -> OneWayUnreachable  its heartbeats arrive, but do not confirm that responses reach it
 //	OneWayUnreachable -> Ready              a heartbeat at the raised token was accepted
-//	any               -> LeaseExpired       its worker's lease has certainly run out
-//	LeaseExpired      -> Ready              a heartbeat of a new session at the leader's token was accepted
-//	any               -> Terminated         the cloud confirmed that the machine is gone; final
+//	any               -> LeaseExpired       its worker's lease has certainly expired
+//	LeaseExpired      -> Ready              a fenced heartbeat of a new session was accepted
+//	any               -> Terminated         the cloud confirmed the termination; final
 const (
 	Registered Condition = iota
 	Ready
@@ -34,12 +36,12 @@
 	OneWayUnreachable
 )
 
-// String returns the condition's name in the operators' API and in events.
+// String returns the condition's name in the operators' API, in log lines and in events.
 func (c Condition) String() string {
 	return [...]string{"known", "acting", "noticed", "lost", "gone", "deaf"}[c]
 }
 
-// ExpectsHeartbeats reports whether a machine in this condition is expected to send heartbeats and to continue to.
+// ExpectsHeartbeats reports whether a machine in this condition is expected to send heartbeats, now and later.
 func (c Condition) ExpectsHeartbeats() bool {
 	return c == Registered || c == Ready || c == OneWayUnreachable
 }
@@ -56,83 +58,83 @@
 	attempt uint64
 }
 
-// tokenBits is the width of the part of a token that counts how often it was raised within a term.
+// tokenBits is the number of low bits of a token that count how often the token was raised within a term.
 const tokenBits = 20
 
 // Machine is one machine of the fleet.
 type Machine struct {
 	Index     int32 // dense, in the order of registration
 	Name      string
-	Addr      string // for direct commands; "" until a heartbeat or the cloud's list has it
-	Type      int32  // None until a heartbeat or the cloud's list has it
+	Addr      string // address for direct commands; "" until a heartbeat or the cloud's list has it
+	Type      int32  // machine type; None until a heartbeat or the cloud's list has it
 	Zone      int32  // None until a heartbeat or the cloud's list has it
 	Spot      bool
 	Condition Condition
 
-	// Token is the fencing token: the leader's term in the high bits and, in the low tokenBits, how often the token
-	// was raised in this term against launches of this leader that may arrive late.
+	// Token is the fencing token. The high bits are the leader's term. The low tokenBits count how often the token was
+	// raised in this term, which makes launches of this leader void that may still arrive late.
 	Token        uint64
-	Session, Seq uint64 // of the latest accepted heartbeat
+	Session, Seq uint64 // session and sequence number of the latest accepted heartbeat
 
-	FirstSeenAt     time.Duration // when it was registered
-	LastContactAt   time.Duration // last accepted heartbeat that counts as contact, see recordContact
-	LastHeartbeatAt time.Duration // last accepted heartbeat
-	LastAnsweredAt  time.Duration // last 200 that any leader may have sent; the worker's lease began no later
-	UpSince         time.Duration // when it first became Ready; 0 before
-	ReclaimAt       time.Duration // when the cloud takes it, while ReclaimNoticed
-	IdleSince       time.Duration // when its last task went or came
+	FirstSeenAt     time.Duration // time of registration
+	LastContactAt   time.Duration // time of the last heartbeat that counts as contact, see recordContact
+	LastHeartbeatAt time.Duration // time of the last accepted heartbeat
+	LastAnsweredAt  time.Duration // latest time at which the worker's lease may have begun or been renewed
+	UpSince         time.Duration // time at which the machine first became Ready; 0 before
+	ReclaimAt       time.Duration // time at which the cloud reclaims the machine, after a reclaim notice
+	IdleSince       time.Duration // time at which a task last came to the machine, or the last one left
 
-	Returning   bool // it is being returned to the cloud
-	Quarantined bool // its zone is lost and no heartbeat came since: nothing is planned here
-	draining    bool // operators asked for it to be drained
+	Returning   bool // the machine is being returned to the cloud
+	Quarantined bool // its zone is lost and no heartbeat arrived since: no task is planned here
+	draining    bool // operators have requested a drain
 
 	Capacity planner.Size
-	Used     planner.Size // by tasks that may be here
-	Tasks    map[TaskRef]struct{}
+	Used     planner.Size         // capacity used by Tasks
+	Tasks    map[TaskRef]struct{} // the tasks that count as on the machine, see release
 
-	// The planned tasks that wait here for their launch, by job, kept in step by Fleet.enqueue and
-	// Fleet.removeQueued.
+	// The planned tasks that wait here for their launch, by job, with their sums. Fleet.enqueue and Fleet.removeQueued
+	// keep the sums up to date.
 	queues              []taskQueue
-	QueuedTasks         int          // their number
-	queuedNeed          planner.Size // what they need together
+	QueuedTasks         int          // number of tasks in queues
+	queuedNeed          planner.Size // total need of the queued tasks
 	queuedWithoutArrays planner.Size // the part of queuedNeed that gangs and services need
-	smallestQueued      planner.Size // a lower bound of what each needs: with less room nothing can start here
+	smallestQueued      planner.Size // lower bound of each queued task's need: with less room, none can start
 
-	// expectedEnds caches when the tasks here are expected to end, earliest first. It is computed on demand and valid
-	// until the machine changes, or for expectedEndsValidFor.
+	// expectedEnds caches the expected ends of the tasks here, earliest first. It is computed on demand and valid until
+	// the machine changes, for at most expectedEndsValidFor.
 	expectedEnds   []expectedEnd
 	endsComputedAt time.Duration
 	endsValid      bool
 
-	cachedImages []cachedImage // inferred; most recently used last
+	cachedImages []cachedImage // inferred content of the image cache; most recently used last
 
 	// Direct commands.
-	directInFlight bool // a direct request has no response yet
-	dispatchedAt   time.Duration
-	hasStops       bool // some task here may need a stop by a direct command
-	fencing        bool // the token was raised and no heartbeat has carried it yet
+	directInFlight bool          // a direct request has no response yet
+	dispatchedAt   time.Duration // time of the last direct request
+	hasStops       bool          // a task here may have to be stopped by a direct command
+	fencing        bool          // the token was raised and no heartbeat has carried it yet
 	// indeterminateLaunches holds the attempts whose direct launch was not confirmed and may still arrive in this
 	// session.
 	indeterminateLaunches map[taskAttempt]struct{}
 	reachability          reachability
 
-	// What is kept free here for others.
-	keepsCPUsForGPUWork bool         // processors beside its accelerators, for work that needs accelerators
-	reserved            planner.Size // for a waiting gang
-	reservedRank        int          // the gang's place in the priority order
-	reservedFirmly      bool         // also against jobs that have waited long
+	// Capacity that is kept free here for waiting work.
+	keepsCPUsForGPUWork bool         // processors beside its accelerators are kept for GPU work
+	reserved            planner.Size // reservation for a waiting gang
+	reservedRank        int          // the gang's rank
+	reservedFirmly      bool         // the reservation also binds jobs that have waited long
 
-	failedJobs []jobs.Index // distinct jobs of which a task failed here since the last success
+	failedJobs []jobs.Index // distinct jobs with a task that failed here since the last success
 	slowdown   float64      // smoothed ratio of run time to estimate; 1 is normal
 }
 
-// taskQueue holds the tasks of one job that are planned on a machine and not launched.
+// taskQueue holds the tasks of one job that are planned on a machine and not yet launched.
 type taskQueue struct {
 	job   jobs.Index
 	tasks []int32
 }
 
-// queued returns the tasks of a job that are planned here and not launched.
+// queued returns the tasks of a job that are planned on the machine and not yet launched.
 func (m *Machine) queued(jobIndex jobs.Index) []int32 {
 	for i := range m.queues {
 		if m.queues[i].job == jobIndex {
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// setQueue replaces the queue of a job; an empty queue is removed. It does not update the sums, see
+// setQueue replaces the queue of a job; an empty queue is removed. The caller updates the sums, see
 // Fleet.removeQueued.
 func (m *Machine) setQueue(jobIndex jobs.Index, tasks []int32) {
 	for i := range m.queues {
@@ -167,15 +169,15 @@
 	size planner.Size
 }
 
-// raiseToken makes commands that were sent so far void once the machine has seen its new token.
+// raiseToken raises the token. Once the worker has received the new token, it refuses all commands sent before.
 func (m *Machine) raiseToken() {
 	m.Token++
 	m.fencing = true
 }
 
-// raiseTokenIfIndeterminate raises the machine's token if direct launches are indeterminate: once a heartbeat
-// carries the new token, they can no longer be executed. Otherwise a launch that never arrived would count against
-// its team until the worker's session ends.
+// raiseTokenIfIndeterminate raises the machine's token if the outcome of a direct launch is indeterminate. Once a
+// heartbeat carries the new token, that launch can no longer be executed. Without the new token, a launch that never
+// arrived would count against its team's quota until the worker's session ends.
 func (m *Machine) raiseTokenIfIndeterminate() {
 	if len(m.indeterminateLaunches) > 0 && !m.directInFlight && !m.fencing {
 		m.raiseToken()
@@ -185,7 +187,7 @@
 // Free returns the capacity that no task uses.
 func (m *Machine) Free() planner.Size { return m.Capacity.Sub(m.Used) }
 
-// RegisterMachine returns the machine of a name, registering it if it is new in this term.
+// RegisterMachine returns the machine with a name, and registers the name if it is new in this term.
 func (f *Fleet) RegisterMachine(now time.Duration, name string) *Machine {
 	if machine, ok := f.byName[name]; ok {
 		return machine
@@ -210,15 +212,15 @@
 	return machine
 }
 
-// FindMachine returns the machine of a name, or nil if none is registered.
+// FindMachine returns the machine with a name, or nil if none is registered.
 func (f *Fleet) FindMachine(name string) *Machine { return f.byName[name] }
 
-// SetMachineDetails sets what a heartbeat or the cloud's list contains about a machine.
+// SetMachineDetails sets the details of a machine that a heartbeat or the cloud's list contains.
 func (f *Fleet) SetMachineDetails(machine *Machine, addr, typ, zone string, spot bool) {
 	names := f.Jobs.Names
 	zoneIndex := names.Zones.Index(zone)
 	if machine.Zone == jobs.None {
-		// Recovered tasks were counted before their machine's zone was known.
+		// Tasks recovered from the plans were counted in zone None, before the machine's zone was available.
 		for ref := range machine.Tasks {
 			job := f.jobAt(ref.Job)
 			job.TasksByZone[jobs.None]--
@@ -240,7 +242,7 @@
 	}
 }
 
-// machineType returns the description of a machine's type, or nil while it is unknown.
+// machineType returns the description of a machine's type, or nil while the type or its description is not available.
 func (f *Fleet) machineType(machine *Machine) *MachineType {
 	if machine.Type == jobs.None {
 		return nil
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -7,17 +7,17 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// The types in this file are the messages between the leader and the workers, as the package handles them. wire.go
+// The types in this file are the messages between the leader and the workers as this package uses them. wire.go
 // converts them from and to the protocol's JSON.
 
 // Heartbeat is a worker's heartbeat with the status of its machine and tasks.
 type Heartbeat struct {
 	Machine string
-	Addr    string // for direct commands
+	Addr    string // address for direct commands
 	Type    string
 	Zone    string
 	Spot    bool
-	Session uint64   // 1 in a new incarnation of the worker, one more after each expired lease
+	Session uint64   // 1 in a new incarnation of the worker; the worker adds 1 after each expired lease
 	Seq     uint64   // counts heartbeats within an incarnation
 	Token   uint64   // the highest fencing token that the worker has received
 	NoticeS *float64 // seconds until the cloud reclaims the machine; nil if unannounced
@@ -26,34 +26,34 @@
 
 // TaskReport is the status of one attempt at a task on a machine.
 type TaskReport struct {
-	Task      string // as taskName returns it
+	Task      string // name of the task, see taskName
 	Attempt   uint64
 	State     AttemptState
-	ExitCause ExitCause // "" until it has exited
-	Saved     bool      // it left a checkpoint when it exited
+	ExitCause ExitCause // "" until the attempt has exited
+	Saved     bool      // the attempt left a checkpoint when it exited
 
-	// The task in the job table, set by Fleet.resolveTaskReports; job is nil if it is not there.
+	// The task's job and index, set by Fleet.resolveTaskReports; job is nil if the job table has no such task.
 	job       *jobs.Job
 	taskIndex int32
 }
 
-// ref returns the task of a report whose job was found.
+// ref returns the reference to a report's task. The report's job must not be nil.
 func (r *TaskReport) ref() TaskRef { return TaskRef{Job: r.job.Index, Task: r.taskIndex} }
 
-// AttemptState is the state of an attempt at a task on its machine, as on the wire.
+// AttemptState is the state of an attempt at a task on its machine. Its value is the state's name in the protocol.
 type AttemptState string
 
 // The states of an attempt.
 const (
-	taskFetching AttemptState = "pulling"   // downloads its image
-	taskWaiting  AttemptState = "gathering" // waits for the other tasks of its gang
+	taskFetching AttemptState = "pulling"   // its image is being downloaded
+	taskWaiting  AttemptState = "gathering" // it waits for the other tasks of its gang
 	taskRunning  AttemptState = "running"
-	taskSaving   AttemptState = "flushing" // writes a checkpoint before it stops
+	taskSaving   AttemptState = "flushing" // it writes a checkpoint before it stops
 	taskExited   AttemptState = "exited"
 )
 
-// taskPhase returns the phase of a task whose attempt is in a state, NoPhase if the state is not one of a live
-// task.
+// taskPhase returns the phase of a task by the state of its attempt. It returns NoPhase for an exited attempt and for
+// an unknown state.
 func taskPhase(state AttemptState) jobs.Phase {
 	switch state {
 	case taskFetching:
@@ -68,18 +68,18 @@
 	return jobs.NoPhase
 }
 
-// ExitCause is why an attempt at a task has exited, as on the wire. Workers also send causes that are not listed
-// here, such as that the other tasks of a gang did not start; these have no effect of their own.
+// ExitCause is the cause of an attempt's exit. Its value is the cause's name in the protocol. Workers also send causes
+// that are not listed here, for example if the other tasks of a gang did not start; the fleet handles all of them alike.
 type ExitCause string
 
-// The causes of an exit that the fleet distinguishes.
+// The causes of an exit that the fleet handles specially.
 const (
 	exitDone    ExitCause = "done"
 	exitStopped ExitCause = "halted"
 	exitError   ExitCause = "error"
 	exitNoRoom  ExitCause = "full"    // refused: the machine lacks the capacity
 	exitBusy    ExitCause = "in_use"  // refused: another attempt at the task is on the machine
-	exitUnknown ExitCause = "no_such" // refused: the worker found no such job
+	exitUnknown ExitCause = "no_such" // refused: the worker did not find the job
 )
 
 // Command is a leader's command to a worker about one attempt at a task.
@@ -87,10 +87,10 @@
 	Op      Operation
 	Task    string
 	Attempt uint64
-	GraceS  float64 // of a stop: seconds to save a checkpoint before the task is killed
+	GraceS  float64 // for a stop command: seconds to save a checkpoint before the task is killed
 }
 
-// Operation is what a command asks for, as on the wire.
+// Operation is the operation of a command. Its value is the operation's name in the protocol.
 type Operation string
 
 // The operations of a command.
@@ -100,17 +100,17 @@
 	opForget Operation = "forget" // stop listing an attempt that has exited
 )
 
-// startCommand returns the command to start an attempt at a task.
+// startCommand returns the command that starts an attempt at a task.
 func startCommand(task string, attempt uint64) Command {
 	return Command{Op: opStart, Task: task, Attempt: attempt}
 }
 
-// stopCommand returns the command to stop an attempt at a task within a grace period in seconds.
+// stopCommand returns the command that stops an attempt at a task, with a grace period in seconds.
 func stopCommand(task string, attempt uint64, graceS float64) Command {
 	return Command{Op: opStop, Task: task, Attempt: attempt, GraceS: graceS}
 }
 
-// forgetCommand returns the command to stop listing an attempt at a task that has exited.
+// forgetCommand returns the command that makes the worker stop listing an attempt that has exited.
 func forgetCommand(task string, attempt uint64) Command {
 	return Command{Op: opForget, Task: task, Attempt: attempt}
 }
@@ -121,21 +121,21 @@
 	Commands []Command
 }
 
-// DirectCommands is the request by which a leader sends commands without waiting for a heartbeat. The worker
-// refuses one for another session or below its highest token.
+// DirectCommands is the request by which a leader sends commands without waiting for a heartbeat. The worker refuses
+// a request that is for another session, or whose token is below the worker's highest token.
 type DirectCommands struct {
 	Token    uint64
 	Session  uint64
 	Commands []Command
 }
 
-// taskName returns the name of a task in messages, such as "req-000412/3".
+// taskName returns the name of a task in messages, for example "req-000412/3".
 func taskName(job *jobs.Job, taskIndex int32) string {
 	return job.ID + "/" + strconv.Itoa(int(taskIndex))
 }
 
-// parseTaskName splits a task's name into its job's id and its index. It is not ok if the name is not of taskName's
-// form.
+// parseTaskName splits a task's name into its job's id and its index. ok is false if the name does not have the form
+// that taskName returns.
 func parseTaskName(name string) (job string, taskIndex int32, ok bool) {
 	job, digits, ok := strings.Cut(name, "/")
 	if !ok {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -7,10 +7,10 @@
 	"github.com/go-json-experiment/json"
 )
 
-// The types in this file are the protocol's JSON forms of the messages in messages.go. They are converted once, where
-// a message is received or sent; nothing else in the package depends on the protocol's names.
+// The types in this file are the protocol's JSON forms of the messages in messages.go. A message is converted once,
+// where it is received or sent; no other file of the package depends on the protocol's names.
 
-// WireHeartbeat is a Heartbeat as on the wire.
+// WireHeartbeat is the protocol's JSON form of a Heartbeat.
 type WireHeartbeat struct {
 	Machine string           `json:"den"`
 	Addr    string           `json:"address"`
@@ -24,7 +24,7 @@
 	Tasks   []wireTaskReport `json:"hops"`
 }
 
-// wireTaskReport is a TaskReport as on the wire.
+// wireTaskReport is the protocol's JSON form of a TaskReport.
 type wireTaskReport struct {
 	Task      string       `json:"hop"`
 	Attempt   uint64       `json:"try"`
@@ -33,43 +33,43 @@
 	Saved     bool         `json:"kept"`
 }
 
-// WireCommand is a Command as on the wire.
+// WireCommand is the protocol's JSON form of a Command.
 type WireCommand struct {
 	Op      Operation `json:"call"`
 	Task    string    `json:"hop"`
 	Attempt uint64    `json:"try"`
-	GraceS  *float64  `json:"mercy_s,omitempty"` // nil unless it is a stop
+	GraceS  *float64  `json:"mercy_s,omitempty"` // nil unless the operation is a stop
 }
 
-// WireResponse is a HeartbeatResponse as on the wire.
+// WireResponse is the protocol's JSON form of a HeartbeatResponse.
 type WireResponse struct {
 	Token    uint64        `json:"mark"`
 	Commands []WireCommand `json:"calls"`
 }
 
-// WireDirectCommands is a DirectCommands as on the wire.
+// WireDirectCommands is the protocol's JSON form of a DirectCommands.
 type WireDirectCommands struct {
 	Token    uint64        `json:"mark"`
 	Session  uint64        `json:"run"`
 	Commands []WireCommand `json:"calls"`
 }
 
-// maxMachineNameBytes bounds the name of a machine in a heartbeat.
+// maxMachineNameBytes is the maximum length of a machine's name in a heartbeat.
 const maxMachineNameBytes = 200
 
-// errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or has an overlong
-// name.
+// errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or whose machine name
+// is too long.
 var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field")
 
-// wireHeartbeats holds WireHeartbeat values that ParseHeartbeat reuses, since the decoder fills their task lists
-// without growing them anew for each heartbeat.
+// wireHeartbeats holds WireHeartbeat values that ParseHeartbeat reuses, so that the decoder need not allocate and grow a
+// task list for each heartbeat.
 var wireHeartbeats = sync.Pool{New: func() any { return &WireHeartbeat{} }}
 
-// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not valid JSON for it or lacks a required
-// field. It may be called by several goroutines at once.
+// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not a heartbeat in valid JSON, lacks a required
+// field or has a machine name that is too long. Several goroutines may call it at once.
 //
-// It is the hottest decoder of a leader: with encoding/json it took a quarter of its processor time. This is the
-// second version of that package, as a module of its own until the standard library has it.
+// ParseHeartbeat is the hottest decoder of a leader: with encoding/json it used a quarter of the leader's processor
+// time. It uses the second version of that package, which is a separate module until the standard library includes it.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	wire := wireHeartbeats.Get().(*WireHeartbeat)
 	defer wireHeartbeats.Put(wire)
@@ -83,14 +83,13 @@
 	return wire.heartbeat(), nil
 }
 
-// isComplete reports whether a heartbeat has all required fields, and a name of acceptable length.
+// isComplete reports whether a heartbeat has all required fields, and a machine name that is not too long.
 func (w *WireHeartbeat) isComplete() bool {
 	hasName := w.Machine != "" && len(w.Machine) <= maxMachineNameBytes
 	return hasName && w.Type != "" && w.Zone != "" && w.Session != 0
 }
 
-// heartbeat converts a heartbeat from its form on the wire. The result shares no memory with it that a later decoding
-// into w changes.
+// heartbeat converts a heartbeat from the protocol's form. A later decoding into w does not change the result.
 func (w *WireHeartbeat) heartbeat() *Heartbeat {
 	heartbeat := &Heartbeat{
 		Machine: w.Machine,
@@ -117,7 +116,7 @@
 	return heartbeat
 }
 
-// Wire converts a heartbeat to its form on the wire.
+// Wire converts a heartbeat to the protocol's form.
 func (h *Heartbeat) Wire() WireHeartbeat {
 	wire := WireHeartbeat{
 		Machine: h.Machine,
@@ -144,18 +143,18 @@
 	return wire
 }
 
-// Wire converts a response to its form on the wire.
+// Wire converts a response to the protocol's form.
 func (r HeartbeatResponse) Wire() WireResponse {
 	return WireResponse{Token: r.Token, Commands: wireCommands(r.Commands)}
 }
 
-// Wire converts a request with direct commands to its form on the wire.
+// Wire converts a request with direct commands to the protocol's form.
 func (d DirectCommands) Wire() WireDirectCommands {
 	return WireDirectCommands{Token: d.Token, Session: d.Session, Commands: wireCommands(d.Commands)}
 }
 
-// wireCommands converts commands to their form on the wire, which is an empty list, not null, if there are none. The
-// result points into commands, which must not be changed before it is encoded.
+// wireCommands converts commands to the protocol's form. No commands give an empty list, not null. The result points
+// into commands, which must not be changed before the result is encoded.
 func wireCommands(commands []Command) []WireCommand {
 	wire := make([]WireCommand, len(commands))
 	for i := range commands {
@@ -168,7 +167,7 @@
 	return wire
 }
 
-// Command converts a command from its form on the wire.
+// Command converts a command from the protocol's form.
 func (w WireCommand) Command() Command {
 	command := Command{Op: w.Op, Task: w.Task, Attempt: w.Attempt}
 	if w.GraceS != nil {
