--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,9 +9,9 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// buildCommands returns the commands in response to a fenced heartbeat that reconcileTasks has just applied: forget
-// exits whose outcome is durable, stop what must stop, send launches again that did not arrive, and start queued
-// tasks.
+// buildCommands returns the commands in response to a fenced heartbeat that reconcileTasks has just applied. The
+// commands forget exited attempts whose outcome is durable, stop tasks that must stop, repeat launches that did not
+// arrive, and start queued tasks.
 func (f *Fleet) buildCommands(now time.Duration, machine *Machine, heartbeat *Heartbeat) []Command {
 	commands := f.scratch.commands[:0]
 	for i := range heartbeat.Tasks {
@@ -35,7 +35,7 @@
 }
 
 // appendRepeatedLaunches appends the launches that were sent before and whose tasks the heartbeat does not list. A
-// worker ignores the launch of an attempt that it has.
+// worker ignores a repeated launch of an attempt that it already lists.
 func (f *Fleet) appendRepeatedLaunches(commands []Command, machine *Machine) []Command {
 	refs := f.scratch.taskRefs[:0]
 	for ref := range machine.Tasks {
@@ -56,8 +56,9 @@
 	return commands
 }
 
-// mayForget reports whether a worker may stop listing an exited attempt. Its outcome must be durable, and no direct
-// launch of the same attempt may still arrive, since a worker that has forgotten an attempt would start it again.
+// mayForget reports whether a worker may stop listing an exited attempt. The attempt's outcome must be durable. No
+// direct launch of the same attempt may still arrive, since a worker that has forgotten an attempt would start it
+// again.
 func (f *Fleet) mayForget(machine *Machine, report *TaskReport) bool {
 	if machine.directInFlight {
 		return false
@@ -76,7 +77,7 @@
 	return job.Tasks != nil && job.IsDurablyDone(report.taskIndex)
 }
 
-// mustStop reports whether a live task has to leave its machine, and with how many seconds of grace.
+// mustStop reports whether a live task must be stopped, and returns its grace period in seconds.
 func (f *Fleet) mustStop(now time.Duration, machine *Machine, report *TaskReport) (graceS float64, mustStop bool) {
 	job := report.job
 	if job == nil || job.State.Terminal() || job.Tasks == nil {
@@ -102,17 +103,18 @@
 // saveGraceS returns the grace period, in seconds, that lets a task save a checkpoint.
 func saveGraceS(job *jobs.Job) float64 { return job.Spec.SaveS + 1 }
 
-// reclaimFinishShare is the share of the time until a reclaim within which a task must be expected to end to go on.
+// reclaimFinishShare is the share of the time until a reclaim within which a task must be expected to end; otherwise
+// the task is stopped.
 const reclaimFinishShare = 0.7
 
-// shouldStopBeforeReclaim decides whether a task should stop now on a machine that the cloud is about to reclaim. A
-// task that is expected to end in time goes on. All others stop while there is time to save a checkpoint, and start
-// elsewhere.
+// shouldStopBeforeReclaim reports whether a task should stop now on a machine that the cloud is about to reclaim. A
+// running task that is expected to end in time continues. All other tasks stop while there is time to save a
+// checkpoint, and are started again on other machines.
 func (f *Fleet) shouldStopBeforeReclaim(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
 	leftS := (machine.ReclaimAt - now).Seconds()
 	if job.Spec.Kind == jobs.Gang && job.TaskCount > 1 {
-		// A gang goes on or stops as a whole. It goes on only if there also was time for its tasks to save a
-		// checkpoint and for the timeout of their peers.
+		// A gang continues or stops as a whole. It continues only if the remaining time also suffices for its tasks to
+		// save a checkpoint and for the timeout of their peers.
 		hasTime := leftS > job.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1
 		if hasTime && f.remainingSeconds(now, job, taskIndex) < leftS*reclaimFinishShare {
 			return false
--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Crash loops and faulty machines. A job whose tasks fail on several machines is in a crash loop and is retried
-// with a growing back-off; a machine on which tasks of several jobs fail is faulty.
+// Crash loops and faulty machines. A job whose tasks fail on several machines is in a crash loop, and is retried with
+// exponential back-off. A machine on which tasks of several jobs fail is faulty.
 
 import (
 	"log/slog"
@@ -11,14 +11,14 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// CrashLoopState is what the exits of a job's tasks have shown about the job.
+// CrashLoopState is the health of a job, as inferred from the exits of its tasks.
 type CrashLoopState uint8
 
 // The crash loop states of a job and their transitions.
 //
-//	HealthUnknown -> Healthy       a task is done, or a replica ran for long
-//	HealthUnknown -> CrashLooping  tasks fail on several machines and none is done
-//	CrashLooping  -> Healthy       a task is done after all: the machines were at fault
+//	HealthUnknown -> Healthy       a task is done, or a replica ran for healthyAfter
+//	HealthUnknown -> CrashLooping  tasks failed on several machines and none is done
+//	CrashLooping  -> Healthy       a task is done, or a replica ran for healthyAfter: the machines were at fault
 const (
 	HealthUnknown CrashLoopState = iota
 	Healthy
@@ -31,34 +31,37 @@
 }
 
 const (
-	// crashLoopMachines is on how many machines a job must fail to be in a crash loop.
+	// crashLoopMachines is the number of machines on which a job must fail to be in a crash loop.
 	crashLoopMachines = 2
-	// minCrashLoopBackoff and maxCrashLoopBackoff bound the pause between two tries of a job in a crash loop, which
-	// doubles with each.
+	// minCrashLoopBackoff and maxCrashLoopBackoff are the bounds of the delay between two tries of a job in a crash
+	// loop. The delay doubles with each try.
 	minCrashLoopBackoff = 2 * time.Second
 	maxCrashLoopBackoff = 64 * time.Second
-	// maxBackoffShift bounds how often the pause is doubled, before the bound above applies.
+	// maxBackoffShift limits the doublings of the delay, so that the shift does not overflow before
+	// maxCrashLoopBackoff applies.
 	maxBackoffShift = 10
-	// triesPerNewMachine is how many tries such a job has before one may go to a machine on which it has not failed.
+	// triesPerNewMachine is the interval, in tries, at which a job in a crash loop is placed on machines on which it
+	// has not failed.
 	triesPerNewMachine = 3
-	// healthyAfter is how long a replica of a service must run to show that its job is healthy, since it is never
-	// done.
+	// healthyAfter is the run time of a service's replica after which its job counts as healthy, since a replica is
+	// never done.
 	healthyAfter = 30 * time.Second
-	// faultyThreshold is on how many jobs in a row a machine must fail to be faulty.
+	// faultyThreshold is the number of different jobs that must fail on a machine, without a success in between, for
+	// the machine to be faulty.
 	faultyThreshold = 2
 )
 
-// crashLoop is the record of a job of which tasks have failed.
+// crashLoop is the failure record of a job.
 type crashLoop struct {
 	state            CrashLoopState
-	failedOn         []int32       // the latest machines on which it failed, at most 2*crashLoopMachines
-	distinctMachines int           // on how many it failed, as far as failedOn tells them apart
-	tries            int           // since it is in a crash loop
-	retryAt          time.Duration // when the next try is due, while it is in a crash loop
+	failedOn         []int32       // latest machines on which the job failed, at most 2*crashLoopMachines
+	distinctMachines int           // number of machines on which it failed; those dropped from failedOn may count twice
+	tries            int           // number of tries since the crash loop began
+	retryAt          time.Duration // time of the next try, while the job is in a crash loop
 }
 
-// setCrashLoopState changes a job's state. Nothing else writes crashLoop.state. The failures of a job in a crash
-// loop do not count against machines.
+// setCrashLoopState changes the crash loop state of a job. Nothing else writes crashLoop.state, apart from the initial
+// state. The failures of a job in a crash loop do not count against machines.
 func (f *Fleet) setCrashLoopState(job *jobs.Job, loop *crashLoop, to CrashLoopState) {
 	slog.Info("crash loop state changed", "job", job.ID, "from", loop.state.String(), "to", to.String(),
 		"machines", len(loop.failedOn), "term", f.Term)
@@ -73,7 +76,7 @@
 	}
 }
 
-// crashLooping returns the record of a job that is in a crash loop, nil for any other.
+// crashLooping returns the failure record of a job that is in a crash loop, or nil for any other job.
 func (f *Fleet) crashLooping(job *jobs.Job) *crashLoop {
 	if loop := f.crashLoops[job.Index]; loop != nil && loop.state == CrashLooping {
 		return loop
@@ -81,9 +84,9 @@
 	return nil
 }
 
-// inBackoff reports whether a job in a crash loop must not be planned now: until its pause is over and, unless it
-// is a gang, while one of its tasks is planned or on a machine. Thousands of tasks that fail together, each with
-// its own pause, would take the launches of all other jobs.
+// inBackoff reports whether a job in a crash loop must not be planned now: until its delay has passed and, unless it is
+// a gang, while any of its tasks is planned or on a machine. Otherwise thousands of tasks that fail together, each with
+// its own delay, would use up the launches of all other jobs.
 func (f *Fleet) inBackoff(now time.Duration, job *jobs.Job) bool {
 	loop := f.crashLooping(job)
 	if loop == nil {
@@ -105,7 +108,7 @@
 	})
 }
 
-// recordRetryLater records as a job's pending reason that its tasks failed and are not tried again before a time.
+// recordRetryLater records as a job's pending reason that its tasks failed and are not launched again before a time.
 func (f *Fleet) recordRetryLater(job *jobs.Job, until time.Duration) {
 	if f.crashLooping(job) != nil {
 		f.recordCrashLoopBackoff(job)
@@ -132,12 +135,12 @@
 		f.setCrashLoopState(job, loop, CrashLooping)
 	}
 	if loop.state != CrashLooping || now < loop.retryAt {
-		return // tasks that were launched together and fail one after the other are one try
+		return // tasks that were launched together count as one try, though they fail one after the other
 	}
 	f.beginBackoff(now, job, loop)
 }
 
-// crashLoopOf returns the record of a job, adding it if there is none.
+// crashLoopOf returns the failure record of a job, and adds one if there is none.
 func (f *Fleet) crashLoopOf(job *jobs.Job) *crashLoop {
 	loop := f.crashLoops[job.Index]
 	if loop == nil {
@@ -150,7 +153,7 @@
 	return loop
 }
 
-// recordFailedJob records that a job failed on the machine. More than faultyThreshold jobs are not kept.
+// recordFailedJob records that a job failed on the machine. It keeps at most faultyThreshold jobs.
 func (m *Machine) recordFailedJob(jobIndex jobs.Index) {
 	if len(m.failedJobs) < faultyThreshold && !slices.Contains(m.failedJobs, jobIndex) {
 		m.failedJobs = append(m.failedJobs, jobIndex)
@@ -168,12 +171,12 @@
 	l.failedOn = l.failedOn[max(0, excess):]
 }
 
-// beginBackoff ends a try of a job in a crash loop: nothing of it is planned until the pause is over.
+// beginBackoff ends a try of a job in a crash loop. No task of the job is planned until the delay has passed.
 func (f *Fleet) beginBackoff(now time.Duration, job *jobs.Job, loop *crashLoop) {
 	loop.retryAt = now + min(maxCrashLoopBackoff, minCrashLoopBackoff<<min(loop.tries, maxBackoffShift))
 	loop.tries++
-	// The job stays on the machines that have its image, so that it is not downloaded everywhere, except for a try
-	// now and then.
+	// The job stays on the machines that have its image, so that the image is not downloaded on all machines. One of
+	// triesPerNewMachine tries avoids these machines.
 	clear(job.AvoidedMachines)
 	if loop.tries%triesPerNewMachine == 0 {
 		for _, machineIndex := range loop.failedOn {
@@ -183,7 +186,7 @@
 	f.dropPlans(job, job.TasksByState[jobs.Planned])
 }
 
-// recordSuccess records that a task is done, or that a replica ran for healthyAfter, on a machine.
+// recordSuccess records that a task of a job was done, or that a replica ran for healthyAfter, on a machine.
 func (f *Fleet) recordSuccess(job *jobs.Job, machine *Machine) {
 	machine.failedJobs = machine.failedJobs[:0]
 	loop := f.crashLoops[job.Index]
--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Direct commands: launches and stops that do not wait for the machine's next heartbeat.
+// Direct commands: launches and stops that are sent without waiting for the machine's next heartbeat.
 
 import (
 	"time"
@@ -9,9 +9,9 @@
 )
 
 const (
-	// directInterval is the least time between two direct requests to a machine.
+	// directInterval is the minimum time between two direct requests to a machine.
 	directInterval = 200 * time.Millisecond
-	// stopResendInterval is after how long a stop that had no effect is sent again.
+	// stopResendInterval is the time after which a stop without effect is sent again.
 	stopResendInterval = time.Second
 )
 
@@ -19,8 +19,8 @@
 func (f *Fleet) dispatch(now time.Duration) {
 	for _, machine := range f.machines {
 		if f.MaxDirectRequests > 0 && f.directRequests >= f.MaxDirectRequests {
-			// The other tasks stay in their queues, since a launch that can't be sent now must not count as sent.
-			// Dispatch goes on with the next tick.
+			// The tasks of the remaining machines stay in their queues, since a launch that can't be sent now must
+			// not count as sent. The next tick dispatches again.
 			f.writer.planBecameDurable = true
 			return
 		}
@@ -38,8 +38,8 @@
 	}
 }
 
-// takesDirectCommands reports whether a machine has tasks to start or stop and a direct request can be sent to it
-// now.
+// takesDirectCommands reports whether a machine has tasks to start or stop, and a direct request may be sent to the
+// machine now.
 func (f *Fleet) takesDirectCommands(now time.Duration, machine *Machine) bool {
 	switch {
 	case machine.Condition != Ready || machine.Addr == "":
@@ -52,7 +52,8 @@
 	return machine.QueuedTasks > 0 || machine.hasStops
 }
 
-// stopCommands returns the commands to stop those of a machine's tasks that must stop, unless one was sent lately.
+// stopCommands returns the commands that stop a machine's tasks marked Stopping. It omits tasks whose last stop command
+// was sent within stopResendInterval.
 func (f *Fleet) stopCommands(now time.Duration, machine *Machine) (commands []Command) {
 	machine.hasStops = false
 	for ref := range machine.Tasks {
@@ -76,8 +77,8 @@
 	return commands
 }
 
-// sendDirect sends one direct request, of which the first commands are launches. While it has no response, the
-// launches are indeterminate.
+// sendDirect sends one direct request. The given number of its first commands are launches, which are indeterminate
+// until the response arrives.
 func (f *Fleet) sendDirect(now time.Duration, machine *Machine, commands []Command, launches int) {
 	machine.directInFlight = true
 	machine.dispatchedAt = now
@@ -98,12 +99,12 @@
 // directRequest is a direct request that has no response yet.
 type directRequest struct {
 	machine      *Machine
-	session, seq uint64 // the machine's when it was sent
-	launches     []taskAttempt
+	session, seq uint64        // the machine's session and sequence number when the request was sent
+	launches     []taskAttempt // the attempts that the request launches
 }
 
-// handleDirectResponse handles the outcome of a direct request. The heartbeat is the response's body, nil if there
-// is none.
+// handleDirectResponse handles the outcome of a direct request. The heartbeat is the body of the response, or nil if
+// there is none. If ok is false, the outcome is indeterminate.
 func (f *Fleet) handleDirectResponse(request directRequest, heartbeat *Heartbeat, ok bool) {
 	machine := request.machine
 	machine.directInFlight = false
@@ -118,18 +119,18 @@
 	}
 	origin := fromResponse
 	if heartbeat.Session == request.session && heartbeat.Seq <= request.seq {
-		// A worker that had not restarted would have continued its sequence.
+		// The worker has restarted: otherwise its sequence number would have increased.
 		origin = fromRestartedWorker
 	}
 	f.acceptHeartbeat(f.Now(), heartbeat, origin)
 }
 
-// confirmLaunches records that launches have arrived.
+// confirmLaunches records that the worker received launches.
 func (f *Fleet) confirmLaunches(launches []taskAttempt) {
 	for _, launch := range launches {
 		job := f.jobAt(launch.Job)
 		if job == nil || job.Tasks == nil {
-			continue // it has ended and was swept while the request was in flight
+			continue // the job ended and its tasks were removed while the request was in flight
 		}
 		if task := &job.Tasks[launch.Task]; task.Attempt == launch.attempt {
 			task.LaunchIndeterminate = false
@@ -137,7 +138,7 @@
 	}
 }
 
-// recordIndeterminate records that a direct request may still arrive.
+// recordIndeterminate records that a direct request may still arrive at its machine.
 func (f *Fleet) recordIndeterminate(request directRequest) {
 	machine := request.machine
 	if machine.Session == request.session {
@@ -145,7 +146,7 @@
 			machine.indeterminateLaunches[launch] = struct{}{}
 		}
 	}
-	// The worker may have restarted before the request arrives. The lease of its new incarnation begins then, and
-	// what it starts counts that long.
+	// The worker may restart before the request arrives. The lease of its new incarnation begins with the restart, and
+	// the launched tasks count until that lease expires.
 	machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
 }
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -11,12 +11,12 @@
 
 // cachedImage is an image that is probably in a machine's cache.
 type cachedImage struct {
-	image int32
-	gb    float64
+	image int32   // index of the image's name
+	gb    float64 // size
 }
 
-// HasImage reports whether an image is probably in the machine's cache. The cache is inferred from the tasks sent
-// there.
+// HasImage reports whether an image is probably in the machine's cache. The content of the cache is inferred from the
+// tasks that were launched on the machine.
 func (m *Machine) HasImage(image int32) bool {
 	for _, c := range m.cachedImages {
 		if c.image == image {
@@ -26,8 +26,8 @@
 	return false
 }
 
-// touchImage records the use of an image, and drops the least recently used ones that no longer fit a cache of
-// cacheGB; 0 means no bound.
+// touchImage records the use of an image, and removes the least recently used images that exceed a cache of cacheGB. If
+// cacheGB is 0, the cache is unbounded.
 func (m *Machine) touchImage(image int32, gb, cacheGB float64) {
 	for i, c := range m.cachedImages {
 		if c.image == image {
@@ -46,26 +46,27 @@
 	}
 }
 
-// imageHintsPrefix is the prefix of the keys that keep the inferred caches for the next leader. They are hints: a
-// wrong or lost one costs a download, so their writes have no condition but the leader's.
+// imageHintsPrefix is the prefix of the keys that store the inferred caches for the next leader. These are hints: a
+// wrong or lost hint costs one download, so their writes are conditional on the leader key only.
 const imageHintsPrefix = jobs.PlanPrefix + "images"
 
-// imageHintsInterval is the least time between two writes of hints.
+// imageHintsInterval is the minimum time between two writes of hints.
 const imageHintsInterval = 4 * time.Second
 
-// hintShardMachines is how many machines share one key: the hints of a large fleet exceed the size limit of one
-// value.
+// hintShardMachines is the number of machines whose hints share one key. The hints of all machines of a large fleet
+// would exceed the size limit of one value.
 const hintShardMachines = 128
 
-// imageHintRecord is the stored form. Machines refer to images by their position in Images, least recently used
-// first.
+// imageHintRecord is the stored form of one shard of the hints. Machines lists, by machine name, the positions of
+// images in Images, least recently used first. GB has the sizes of the Images.
 type imageHintRecord struct {
 	Images   []string           `json:"images"`
 	GB       []float64          `json:"gb"`
 	Machines map[string][]int32 `json:"on"`
 }
 
-// nextHintShard returns the shard of hints that is due to be written, or -1.
+// nextHintShard returns the next shard of hints to write, or -1 if no shard has changed or the last write was less than
+// imageHintsInterval ago.
 func (f *Fleet) nextHintShard(now time.Duration) int {
 	if now-f.hints.writtenAt < imageHintsInterval {
 		return -1
@@ -79,7 +80,7 @@
 	return -1
 }
 
-// markHintsDirty records that a machine's inferred cache has changed since its shard was written.
+// markHintsDirty records that a machine's inferred cache has changed since the last write of its shard.
 func (f *Fleet) markHintsDirty(machine *Machine) {
 	shard := int(machine.Index) / hintShardMachines
 	for len(f.hints.dirtyShards) <= shard {
@@ -88,7 +89,8 @@
 	f.hints.dirtyShards[shard] = true
 }
 
-// encodeImageHints returns the stored form of a shard of the hints, up to the size limit of a value.
+// encodeImageHints returns the stored form of a shard of the hints. Hints that exceed the size limit of a value are
+// omitted.
 func (f *Fleet) encodeImageHints(shard int) json.RawMessage {
 	encoder := imageHintEncoder{
 		record:    imageHintRecord{Machines: map[string][]int32{}},
@@ -110,28 +112,28 @@
 	return raw
 }
 
-// Estimates of what the parts of an imageHintRecord take in JSON, besides names.
+// Estimated sizes in JSON of the parts of an imageHintRecord, without names.
 const (
 	imageHintBaseBytes    = 100
-	imageHintMachineBytes = 6
-	imageHintEntryBytes   = 4 // a machine's reference to an image
+	imageHintMachineBytes = 6 // one machine without its references to images
+	imageHintEntryBytes   = 4 // one machine's reference to an image
 	imageHintImageBytes   = 12
 )
 
 // imageHintEncoder builds an imageHintRecord within a size limit.
 type imageHintEncoder struct {
 	record      imageHintRecord
-	positions   map[int32]int32 // of images in record.Images
-	size, limit int
+	positions   map[int32]int32 // position in record.Images, by image
+	size, limit int             // estimated size of the record and its limit, in bytes
 }
 
-// reserve adds to the size and reports whether it is still within the limit.
+// reserve adds a number of bytes to the record's size, and reports whether the size is still within the limit.
 func (e *imageHintEncoder) reserve(bytes int) bool {
 	e.size += bytes
 	return e.size <= e.limit
 }
 
-// addMachine adds a machine's images, up to the first whose name exceeds the limit.
+// addMachine adds a machine's images, up to the first image whose name exceeds the limit.
 func (e *imageHintEncoder) addMachine(machine *Machine, names *jobs.Names) {
 	for _, cached := range machine.cachedImages {
 		position, ok := e.positions[cached.image]
@@ -149,8 +151,8 @@
 	}
 }
 
-// loadImageHints loads a shard of the hints that an earlier leader wrote. A record that cannot be decoded is
-// ignored, like references to images that it lacks.
+// loadImageHints loads a shard of the hints that an earlier leader wrote. It ignores a record that cannot be decoded,
+// and references to positions that are not in Images.
 func (f *Fleet) loadImageHints(item store.Item) {
 	var record imageHintRecord
 	if json.Unmarshal(item.Value, &record) != nil || len(record.GB) != len(record.Images) {
@@ -168,10 +170,10 @@
 	}
 }
 
-// dropUnfetchedImage removes an image from a machine's inferred cache after the last task there that waited for its
-// download has ended: the worker then gives the download up. Otherwise a gang would be started again and again, all
-// tasks at once, because of a machine that is believed to have an image whose download never completed, while the
-// other tasks wait for a shorter time than the download takes.
+// dropUnfetchedImage removes an image from a machine's inferred cache if no task with this image is left on the
+// machine, since the worker then cancels an incomplete download. Otherwise the fleet would count the machine as having
+// the image, and launch all tasks of a gang at once, again and again: the download takes longer than the gang's other
+// tasks wait for it.
 func (f *Fleet) dropUnfetchedImage(machine *Machine, image int32) {
 	for ref := range machine.Tasks {
 		if f.jobAt(ref.Job).Image == image {
--- a/internal/fleet/jobchange.go
+++ b/internal/fleet/jobchange.go
@@ -8,7 +8,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// HandleJobChange applies a change in the job table: the tasks of a new job are opened for planning, those of a job
+// HandleJobChange applies a change in the job table: a new job is made available to planning, and the tasks of a job
 // that has ended are stopped. Before the plans are loaded it does nothing, since LoadPlans reads the whole table.
 func (f *Fleet) HandleJobChange(now time.Duration, job *jobs.Job) {
 	switch {
@@ -20,7 +20,7 @@
 	}
 }
 
-// acceptJob records a new job and makes it available to planning, unless it waits for its predecessors.
+// acceptJob records a new job and makes it available to planning, unless it waits for its predecessor jobs.
 func (f *Fleet) acceptJob(now time.Duration, job *jobs.Job) {
 	slog.Info("job accepted", "job", job.ID, "class", job.Spec.Class, "kind", string(job.Spec.Kind),
 		"tasks", job.TaskCount, "predecessors", len(job.Spec.Follows), "term", f.Term)
@@ -30,8 +30,8 @@
 	}
 }
 
-// HandleJobReleased makes a job available to planning whose last predecessor is done. Before the plans are loaded it
-// does nothing, since LoadPlans reads the whole table.
+// HandleJobReleased makes a job available to planning after its last predecessor is done. Before the plans are loaded
+// it does nothing, since LoadPlans reads the whole table.
 func (f *Fleet) HandleJobReleased(now time.Duration, job *jobs.Job) {
 	if !f.plansLoaded {
 		return
@@ -41,20 +41,20 @@
 	f.openJob(now, job)
 }
 
-// openJob makes a job available to planning. A job that was released may have tasks already, from the plans of an
-// earlier term.
+// openJob makes a job available to planning. A released job may already have tasks, from the plans of an earlier
+// term.
 func (f *Fleet) openJob(now time.Duration, job *jobs.Job) {
 	job.CreateTasks()
 	f.finishRecoveredGang(now, job)
 	if f.unreadableJobs[job.ID] {
-		// Its plan was skipped when this term began, so which of its tasks run is unknown here. The next leader reads
-		// both the record and the plan.
+		// The job's plan was skipped when this term began, so this leader can't determine which of its tasks run. The
+		// next leader reads both the record and the plan.
 		job.Quarantined = true
 	}
 	f.ranking.at = 0
 }
 
-// closeJob drops what planning keeps of a job that is done or cancelled, and stops its tasks.
+// closeJob removes the planning state of a job that is done or cancelled, and stops its tasks.
 func (f *Fleet) closeJob(now time.Duration, job *jobs.Job) {
 	kind := events.JobDone
 	if job.State == jobs.Cancelled {
@@ -86,7 +86,7 @@
 	}
 }
 
-// stopAllTasks withdraws a job's planned tasks and stops those that may be on machines.
+// stopAllTasks makes a job's planned tasks unplanned, and marks those to be stopped that may be on machines.
 func (f *Fleet) stopAllTasks(job *jobs.Job) {
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
@@ -99,7 +99,7 @@
 	}
 }
 
-// addJobEvent records an event of a job as a whole.
+// addJobEvent records an event that concerns a job as a whole.
 func (f *Fleet) addJobEvent(now time.Duration, kind events.Kind, job *jobs.Job) {
 	f.Events.Add(events.Event{At: now, Kind: kind, Job: job.ID, Task: events.None, Machine: events.None})
 }
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -68,8 +68,8 @@
 	return jobs.NoPhase
 }
 
-// ExitCause is the cause of an attempt's exit. Its value is the cause's name in the protocol. Workers also send causes
-// that are not listed here, for example if the other tasks of a gang did not start; the fleet handles all of them alike.
+// ExitCause is the cause of an attempt's exit. Its value is the cause's name in the protocol. Workers also send other
+// causes than those below, for example if the other tasks of a gang did not start. The fleet handles all these alike.
 type ExitCause string
 
 // The causes of an exit that the fleet handles specially.
--- a/internal/fleet/occupancy.go
+++ b/internal/fleet/occupancy.go
@@ -9,10 +9,11 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Which tasks count as on a machine. From its launch on a task counts there, in the room that it takes, its team's
-// quota, its licences and its zone, until release is called with proof that it is gone.
+// The tasks that count as on a machine. A task counts from its launch, in the machine's used capacity, its team's
+// quota, its licences and its zone, until release is called after a proof that the task is not on the machine any
+// more.
 
-// setOnMachine changes a task's state to one that counts as on its machine.
+// setOnMachine changes a task's state to one in which the task counts as on its machine.
 func (f *Fleet) setOnMachine(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState) {
 	task := &job.Tasks[taskIndex]
 	if task.State.Occupies() {
@@ -41,8 +42,9 @@
 	machine.IdleSince = now
 }
 
-// release changes a task's state to one that does not count as on its machine, and returns what it took there. A task
-// that is known to be done is Finished instead. The end tells when its licence units are free again.
+// release changes a task's state to one in which the task does not count as on its machine, and frees the capacity,
+// quota and licence units that the task used. The state of a task that is done, or whose gang is done, becomes
+// Finished instead. The end determines when the licence units are free again.
 func (f *Fleet) release(now time.Duration, job *jobs.Job, taskIndex int32, to jobs.TaskState, end licences.End) {
 	task := &job.Tasks[taskIndex]
 	if to != jobs.Finished && (job.GangDone || task.Done) {
@@ -77,7 +79,8 @@
 	}
 }
 
-// stopTask marks a task to be stopped. The next response to a heartbeat or a direct command stops it.
+// stopTask marks a task to be stopped. The next heartbeat response or direct request to its machine carries the stop
+// command.
 func (f *Fleet) stopTask(job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if !task.Stopping {
@@ -91,7 +94,7 @@
 	}
 }
 
-// stopTasksOnMachines marks all of a job's tasks that count as on machines to be stopped.
+// stopTasksOnMachines marks those of a job's tasks to be stopped that count as on a machine.
 func (f *Fleet) stopTasksOnMachines(job *jobs.Job) {
 	for t := range job.Tasks {
 		if job.Tasks[t].State.Occupies() {
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -1,8 +1,8 @@
 package fleet
 
-// Reachability in both directions, stale copies of heartbeats, and restarted workers. A heartbeat that arrives
-// proves that it was sent. Only what later heartbeats contain proves that a response or command arrived: the raised
-// token, a launched task, or the lack of a forgotten one.
+// One-way unreachable machines, stale copies of heartbeats, and restarted workers. A heartbeat proves only that
+// messages from the worker arrive. The worker's later heartbeats show whether a response or command has reached it:
+// they carry the raised token, list the launched task, or no longer list the forgotten one.
 
 import (
 	"log/slog"
@@ -14,60 +14,62 @@
 
 // The protocol's timeouts of a worker.
 const (
-	workerResponseTimeout = 4 * time.Second // for the response to a heartbeat
-	workerRetryDelay      = time.Second     // until it then tries the next controller
+	workerResponseTimeout = 4 * time.Second // time for which a worker waits for the response to a heartbeat
+	workerRetryDelay      = time.Second     // delay after that timeout until the request to the next controller
 )
 
 const (
-	// reachabilityMargin is what ReachabilityTimeout allows for transmission and processing.
+	// reachabilityMargin is the part of ReachabilityTimeout for transmission and processing.
 	reachabilityMargin = 500 * time.Millisecond
-	// slowestHeartbeat is the longest interval between two heartbeats of a worker in contact, in terms of the nominal
-	// one.
+	// slowestHeartbeat is the maximum interval between two heartbeats of a worker in contact, as a multiple of the
+	// configured interval.
 	slowestHeartbeat = 1.25
-	// overdueHeartbeat is the interval, in the same terms, after which a heartbeat counts as missed.
+	// overdueHeartbeat is the interval after which a heartbeat counts as missed, as a multiple of the configured one.
 	overdueHeartbeat = 1.6
 )
 
-// reachability is what the heartbeats of a machine have shown of what reaches it.
+// reachability records what the heartbeats of a machine have shown about the messages that reach its worker.
 type reachability struct {
-	// unconfirmedSince is when the first response was sent whose arrival is not confirmed; 0: all are.
+	// unconfirmedSince is the time of the first response whose arrival is not confirmed; 0 if all are confirmed.
 	unconfirmedSince time.Duration
-	// unconfirmedCommand is a command of the last response, whose effect the next heartbeat must show; its Op is ""
-	// if none is.
+	// unconfirmedCommand is a command of the last response, whose effect the next heartbeat must show. Its Op is "" if
+	// there is no such command.
 	unconfirmedCommand Command
-	// highestToken is the highest token in any heartbeat of the worker's present incarnation, which never returns
-	// to a lower one.
+	// highestToken is the highest token in any heartbeat of the worker's present incarnation. The tokens of an
+	// incarnation never decrease.
 	highestToken uint64
-	// expiredSession is the last session whose lease has certainly run out.
+	// expiredSession is the last session whose lease has certainly expired.
 	expiredSession uint64
-	// challengeToken is the token that was raised to tell the heartbeats of a restarted worker from delayed copies of
-	// its former incarnation's, none of which can carry it. 0: there is no challenge, or it was answered.
+	// challengeToken is a raised token that distinguishes heartbeats of a restarted worker from delayed copies of its
+	// former incarnation's heartbeats: no such copy can carry it. 0 if no challenge is pending.
 	challengeToken uint64
-	challengedAt   time.Duration
-	// challengeUnsent is set while no response has carried the challenge of a worker that has certainly restarted.
+	challengedAt   time.Duration // time of the last challenge
+	// challengeUnsent is set while a worker that has certainly restarted has not been sent its challenge token.
 	challengeUnsent bool
 }
 
-// confirmResponses records that all responses so far have arrived or no longer matter.
+// confirmResponses records that no response sent so far needs a confirmation any more.
 func (r *reachability) confirmResponses() {
 	r.unconfirmedSince = 0
 	r.unconfirmedCommand = Command{}
 }
 
-// ReachabilityTimeout returns by when a heartbeat must have confirmed a response. A worker that misses one response
-// waits for it, tries another controller, is redirected, and sends one more heartbeat.
+// ReachabilityTimeout returns the time within which a heartbeat must confirm a response. A worker that misses one
+// response waits for the response timeout, sends a request to another controller, is redirected, and sends one more
+// heartbeat.
 func (f *Fleet) ReachabilityTimeout() time.Duration {
 	interval := jobs.Seconds(slowestHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
 	return workerResponseTimeout + workerRetryDelay + interval + reachabilityMargin
 }
 
-// overdueAfter returns how long after a machine's last contact its next heartbeat counts as missed.
+// overdueAfter returns the time after a machine's last contact at which its next heartbeat counts as missed.
 func (f *Fleet) overdueAfter() time.Duration {
 	return jobs.Seconds(overdueHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
 }
 
-// confirmsLastResponse reports whether a fenced heartbeat of the present session is consistent with its machine
-// having received the response before. If it was not for too long, the machine becomes OneWayUnreachable.
+// confirmsLastResponse reports whether the machine of a fenced heartbeat counts as reachable. The heartbeat confirms
+// the last response if it shows the effect of the unconfirmed command. A machine whose heartbeats have not confirmed a
+// response for ReachabilityTimeout becomes OneWayUnreachable.
 func (f *Fleet) confirmsLastResponse(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
 	state := &machine.reachability
 	if state.unconfirmedCommand.Op == "" || heartbeat.showsEffectOf(state.unconfirmedCommand) {
@@ -80,8 +82,8 @@
 	return machine.Condition != OneWayUnreachable
 }
 
-// showsEffectOf reports whether a heartbeat shows that a start or forget command was executed: it lists the started
-// attempt, or no longer lists the forgotten one.
+// showsEffectOf reports whether a heartbeat shows that the worker executed a start or forget command: it lists the
+// started attempt, or no longer lists the forgotten one.
 func (h *Heartbeat) showsEffectOf(command Command) bool {
 	for i := range h.Tasks {
 		if h.Tasks[i].Task == command.Task && h.Tasks[i].Attempt == command.Attempt {
@@ -91,7 +93,7 @@
 	return command.Op != opStart
 }
 
-// recordResponse records what a response contains that a later heartbeat must confirm.
+// recordResponse records the first command and a raised token of a response that a later heartbeat must confirm.
 func (m *Machine) recordResponse(now time.Duration, heartbeat *Heartbeat, response HeartbeatResponse) {
 	state := &m.reachability
 	first := slices.IndexFunc(response.Commands, func(command Command) bool {
@@ -107,9 +109,9 @@
 	}
 }
 
-// markOneWayUnreachable quarantines a machine whose heartbeats arrive while nothing confirms that responses do. Its
-// token is raised, so that the first heartbeat that carries it proves contact again. What may be on it counts as
-// before.
+// markOneWayUnreachable stops the use of a machine whose heartbeats arrive but do not confirm that responses reach it.
+// It raises the machine's token, so that the first heartbeat at the raised token proves contact again. Launched tasks
+// still count as on the machine.
 func (f *Fleet) markOneWayUnreachable(now time.Duration, machine *Machine, cause string) {
 	if machine.Condition != Ready && machine.Condition != Registered {
 		return
@@ -123,8 +125,8 @@
 	f.clearQueues(machine)
 }
 
-// checkTokenTimeout marks a machine as unreachable one way if a token was sent to it for longer than a heartbeat
-// takes to return it.
+// checkTokenTimeout marks a machine as unreachable one way if its heartbeats have not returned the token that responses
+// carry for longer than ReachabilityTimeout.
 func (f *Fleet) checkTokenTimeout(now time.Duration, machine *Machine, heartbeat *Heartbeat) {
 	since := machine.reachability.unconfirmedSince
 	if heartbeat.Token < machine.Token && since > 0 && now-since > f.ReachabilityTimeout() {
@@ -132,14 +134,14 @@
 	}
 }
 
-// mayBeStaleCopy reports whether a heartbeat may be a delayed copy: not newer than an accepted one, of a session
-// whose lease has certainly run out, or at a token below one that its machine has returned, whatever its session.
-// Such a heartbeat must have no effect: a copy from a former incarnation's higher session would otherwise release
-// launches of the present one.
+// mayBeStaleCopy reports whether a heartbeat may be a delayed copy of an earlier one: if it is not newer than the last
+// accepted heartbeat, if the lease of its session has certainly expired, or, in any session, if its token is below the
+// highest token that the machine has returned. Such a heartbeat must have no effect. Otherwise a copy from a former
+// incarnation with a higher session number would release launches of the present incarnation.
 func (m *Machine) mayBeStaleCopy(heartbeat *Heartbeat) bool {
 	switch {
 	case heartbeat.Token < m.reachability.highestToken:
-		return true // of a former incarnation, whose sessions may have been higher
+		return true // from a former incarnation, whose session numbers may have been higher
 	case heartbeat.Session != m.Session:
 		return heartbeat.Session < m.Session
 	case heartbeat.Seq <= m.Seq:
@@ -148,30 +150,29 @@
 	return heartbeat.Session <= m.reachability.expiredSession
 }
 
-// answersChallenge reports whether a heartbeat carries the token of the machine's challenge. Then it was made after
-// the challenge, whatever its session and sequence number.
+// answersChallenge reports whether a heartbeat carries the machine's challenge token. Such a heartbeat was made after
+// the challenge, whatever its session and sequence number are.
 func (m *Machine) answersChallenge(heartbeat *Heartbeat) bool {
 	return m.reachability.challengeToken != 0 && heartbeat.Token >= m.reachability.challengeToken
 }
 
-// challenge raises a machine's token so that heartbeats of its worker's present incarnation can be told from those
-// of all former ones, which have ended and can never receive it. A token that was sent earlier would not do: an
-// incarnation that has ended since may have received it, and its last heartbeat may still arrive.
+// challenge raises a machine's token to distinguish heartbeats of the worker's present incarnation from those of former
+// incarnations, which have ended and can never receive the raised token. A token that was sent earlier does not
+// suffice: an incarnation that has ended since may have received it, and its last heartbeat may still arrive.
 func (f *Fleet) challenge(now time.Duration, machine *Machine) {
 	machine.raiseToken()
 	machine.reachability.challengeToken = machine.Token
 	machine.reachability.challengedAt = now
-	// The lease of a new incarnation counts from its beginning, and the response extends it.
+	// The lease of a new incarnation counts from its beginning, and the response to this heartbeat renews the lease.
 	machine.LastAnsweredAt = now
 }
 
-// challengeStale decides whether a heartbeat with the result Stale is answered with a raised token and nothing
-// else, so that a worker that has restarted can prove its incarnation. The challenge is made if it is not under way
-// already.
+// challengeStale decides whether the response to a heartbeat with the result Stale carries a raised token, with which a
+// restarted worker can prove its incarnation. It raises the token unless an unsent challenge is pending.
 //
-// A challenge extends how long the tasks on the machine count. Where there are any, only a heartbeat that can't be
-// a copy from the midst of the present incarnation justifies it: one without tasks, below the highest token. A
-// machine in contact needs none.
+// A challenge extends the time for which the tasks on the machine count. If there are tasks, only a heartbeat that
+// can't be a copy from the present incarnation justifies a challenge: one without tasks and below the highest token.
+// A machine in contact needs no challenge.
 func (f *Fleet) challengeStale(now time.Duration, machine *Machine, heartbeat *Heartbeat) bool {
 	state := &machine.reachability
 	if !f.plansLoaded || machine.Condition == Terminated {
--- a/internal/fleet/reconcile.go
+++ b/internal/fleet/reconcile.go
@@ -12,18 +12,18 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Pauses after an attempt failed or was refused.
+// Delays after a failed or refused attempt.
 const (
-	// avoidDuration is how long a job is kept off a machine on which it failed.
+	// avoidDuration is the time for which a job is not placed on a machine on which it failed.
 	avoidDuration = 60 * time.Second
-	// maxFailureBackoffShift bounds the pause after failures, which doubles with each: 64 s.
+	// maxFailureBackoffShift limits the delay after failures, which doubles with each failure, to 64 s.
 	maxFailureBackoffShift = 6
-	// refusedRetryDelay is the pause after a worker refused a launch.
+	// refusedRetryDelay is the delay after a worker refused a launch.
 	refusedRetryDelay = 2 * time.Second
 )
 
-// reconcileTasks compares the tasks that a fenced heartbeat lists with those that count as on the machine, and
-// updates the latter. It leaves the listed live tasks in scratch.listedTasks for buildCommands.
+// reconcileTasks compares the tasks that a fenced heartbeat lists with the tasks that count as on the machine, and
+// updates the states of both. It leaves the listed live tasks in scratch.listedTasks for buildCommands.
 func (f *Fleet) reconcileTasks(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	f.resolveTaskReports(heartbeat)
 	for i := range heartbeat.Tasks {
@@ -49,8 +49,9 @@
 	}
 }
 
-// resolveTaskReports looks up the tasks that a heartbeat lists and collects the live ones in scratch.listedTasks.
-// All are collected before any is reconciled, since a refused attempt may be listed beside the one that runs.
+// resolveTaskReports finds the jobs of the tasks that a heartbeat lists, and collects the live tasks in
+// scratch.listedTasks. It runs before any task is reconciled, since a heartbeat may list a refused attempt at a task
+// beside the running one.
 func (f *Fleet) resolveTaskReports(heartbeat *Heartbeat) {
 	clear(f.scratch.listedTasks)
 	for i := range heartbeat.Tasks {
@@ -62,14 +63,14 @@
 	}
 }
 
-// sortRefs sorts tasks by job and task index, so that what is done in their order does not depend on that of a map.
+// sortRefs sorts tasks by job and task index, so that the order of actions does not depend on the order of a map.
 func sortRefs(refs []TaskRef) {
 	slices.SortFunc(refs, func(a, b TaskRef) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 	})
 }
 
-// findTask returns the job and index of a task by its name in messages; the job is nil if there is no such task.
+// findTask returns the job and index of the task with a name in messages. The job is nil if there is no such task.
 func (f *Fleet) findTask(name string) (*jobs.Job, int32) {
 	id, taskIndex, ok := parseTaskName(name)
 	if !ok {
@@ -82,12 +83,12 @@
 	return job, taskIndex
 }
 
-// reconcileLiveTask records that a task is on the machine.
+// reconcileLiveTask records that a task is on the machine whose heartbeat lists it.
 func (f *Fleet) reconcileLiveTask(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
 	if task.State == jobs.Finished {
-		return // buildCommands stops it
+		return // buildCommands stops the attempt
 	}
 	if task.State.Occupies() && task.Machine != machine.Index {
 		slog.Error("task listed by a machine that it was not sent to", "task", report.Task, "machine", machine.Name,
@@ -111,7 +112,7 @@
 	f.updatePhase(now, machine, report)
 }
 
-// adoptTask sets a task that is not known to be on any machine to be on this one.
+// adoptTask records that a task is on a machine, though the fleet had no record of it on any machine.
 func (f *Fleet) adoptTask(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
@@ -131,7 +132,7 @@
 	}
 }
 
-// updatePhase records what a live task does.
+// updatePhase records the phase of a live task.
 func (f *Fleet) updatePhase(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
@@ -147,9 +148,9 @@
 	machine.endsValid = false
 }
 
-// reconcileExitedTask records the end of an attempt.
+// reconcileExitedTask records the exit of an attempt.
 func (f *Fleet) reconcileExitedTask(now time.Duration, machine *Machine, report *TaskReport) {
-	// Another attempt at the task may be listed as live on the same machine.
+	// The heartbeat may list another attempt at the task as live.
 	_, isAlsoLive := f.scratch.listedTasks[report.ref()]
 	if report.ExitCause == exitDone {
 		f.reconcileDoneTask(now, machine, report, isAlsoLive)
@@ -162,12 +163,12 @@
 		return
 	}
 	if report.ExitCause == exitBusy {
-		return // another attempt is here: the next heartbeat lists it, or lists none
+		return // another attempt was on the machine: the next heartbeat shows whether it still is
 	}
 	f.reconcileFailedTask(now, machine, report)
 }
 
-// reconcileDoneTask records that an attempt succeeded, and with it its task.
+// reconcileDoneTask records that an attempt succeeded, and so its task is done.
 func (f *Fleet) reconcileDoneTask(now time.Duration, machine *Machine, report *TaskReport, isAlsoLive bool) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
@@ -180,7 +181,8 @@
 	}
 	launchMayArrive := task.LaunchIndeterminate && task.Attempt != report.Attempt
 	if task.State.Occupies() && (isElsewhere || isAlsoLive || launchMayArrive) {
-		// The task is done, but another attempt at it may be on a machine, and counts until it is proven to be gone.
+		// The task is done, but another attempt at it may be on a machine. The task counts there until a proof that
+		// the other attempt has ended.
 		task.Done = true
 		f.stopTask(job, taskIndex)
 		return
@@ -191,8 +193,8 @@
 	}
 }
 
-// reconcileFailedTask releases a task whose present attempt ended without success, and sets when and where it may
-// be tried again.
+// reconcileFailedTask releases a task whose present attempt ended without success, and sets when and where the task may
+// be launched again.
 func (f *Fleet) reconcileFailedTask(now time.Duration, machine *Machine, report *TaskReport) {
 	job, taskIndex := report.job, report.taskIndex
 	task := &job.Tasks[taskIndex]
@@ -221,7 +223,8 @@
 	}
 }
 
-// avoidMachine keeps a job off a machine on which one of its tasks failed, for avoidDuration.
+// avoidMachine excludes a machine on which a task of a job failed from the job's placement for avoidDuration, and
+// removes the job's tasks from the machine's queue.
 func (f *Fleet) avoidMachine(now time.Duration, machine *Machine, job *jobs.Job) {
 	if job.AvoidedMachines == nil {
 		job.AvoidedMachines = map[int32]time.Duration{}
@@ -232,9 +235,9 @@
 	}
 }
 
-// finishGang finishes all tasks of a gang of which one is done. Those that may still be on a machine count there
-// until they are proven to be gone: a task that is started again after its gang was done is on its machine for a
-// moment before it exits.
+// finishGang finishes the tasks of a gang after one of them is done. A task that may still be on a machine counts there
+// until a proof that it has left, since a task that is started again after its gang was done runs briefly before it
+// exits.
 func (f *Fleet) finishGang(now time.Duration, job *jobs.Job) {
 	job.GangDone = true
 	for t := range job.Tasks {
@@ -244,8 +247,8 @@
 	}
 }
 
-// finishTask records that a task is done. The machine is the one whose heartbeat listed its exit, nil if there was
-// none.
+// finishTask records that a task is done. The machine is the sender of the heartbeat that listed the task's exit, or
+// nil if no heartbeat did.
 func (f *Fleet) finishTask(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if task.State == jobs.Finished {
@@ -266,30 +269,30 @@
 	}
 }
 
-// How recordRunTime weighs one measured run time.
+// Bounds and weights of the run times in recordRunTime.
 const (
-	minMeasuredRunS   = 2.0 // shorter runs are not measured
-	minRunTimeRatio   = 0.1 // bounds of one measured ratio of run time to estimate
-	maxRunTimeRatio   = 8.0
-	minRunTimeRate    = 0.1 // share of a new measurement in the average, for a job of one task
-	slowdownRate      = 0.2 // the same for a machine's slowdown
-	minSlowdownSample = 0.5 // bounds of one measured slowdown
-	maxSlowdownSample = 6.0
+	minMeasuredRunS   = 2.0 // seconds; shorter run times are ignored
+	minRunTimeRatio   = 0.1 // lower bound of one measured ratio of run time to estimate
+	maxRunTimeRatio   = 8.0 // upper bound of that ratio
+	minRunTimeRate    = 0.1 // least weight of a new ratio in its class's average, for a job of one task
+	slowdownRate      = 0.2 // weight of a new slowdown in its machine's average
+	minSlowdownSample = 0.5 // lower bound of one measured slowdown
+	maxSlowdownSample = 6.0 // upper bound of one measured slowdown
 )
 
-// recordRunTime updates the estimate of a job's class and the slowdown of a machine by the run time of a task in
-// seconds.
+// recordRunTime updates the run-time ratio of a job's class and the slowdown of a machine from the run time of a task,
+// in seconds. It ignores tasks that failed before.
 func (f *Fleet) recordRunTime(job *jobs.Job, machine *Machine, ranS float64, neverFailed bool) {
 	spec := job.Spec
 	if spec.EstimateS <= 0 || ranS < minMeasuredRunS || !neverFailed {
 		return
 	}
 	if spec.CheckpointS > 0 && job.GangAttempt != 0 && ranS < spec.EstimateS/4 {
-		return // it continued from a checkpoint
+		return // the task probably continued from a checkpoint
 	}
 	class := f.classStatsOf(job.Class)
 	ratio := math.Min(maxRunTimeRatio, math.Max(minRunTimeRatio, ranS/spec.EstimateS))
-	// The tasks of a job share the error of its estimate, so a job counts once, not once for each task.
+	// All tasks of a job share the error of its estimate, so a job with more tasks gets a lower weight for each.
 	weight := 1 / math.Sqrt(float64(job.TaskCount))
 	rate := math.Max(weight/(class.samples+weight), weight*minRunTimeRate)
 	slowdown := math.Min(maxSlowdownSample, math.Max(minSlowdownSample, ratio/class.ratio))
@@ -298,14 +301,15 @@
 	class.samples += weight
 }
 
-// reconcileMissingTask handles a task that counts as on the machine but is not listed by a fenced heartbeat.
+// reconcileMissingTask handles a task that counts as on the machine but that a fenced heartbeat does not list.
 func (f *Fleet) reconcileMissingTask(now time.Duration, machine *Machine, ref TaskRef, origin heartbeatOrigin) {
 	job := f.jobAt(ref.Job)
 	switch task := &job.Tasks[ref.Task]; task.State {
 	case jobs.Launched:
-		// Its launch was sent directly, or in a response that is still in flight (the heartbeat in a direct
-		// response is no evidence of that), or in one that the worker dropped. Only in the last case is it certain
-		// that it will not start; then buildCommands sends it again, unless it is not wanted any more.
+		// The launch was sent in a direct request, or in a response that is still in flight or that the worker never
+		// received. The heartbeat of a direct response can't tell the latter two apart. Only if the worker never
+		// received the launch will it certainly not start the task. In that case buildCommands sends the launch again,
+		// unless the task must not start any more.
 		isUnwanted := job.State.Terminal() || machine.Condition != Ready
 		if isUnwanted && !task.LaunchIndeterminate && origin == fromRequest {
 			f.release(now, job, ref.Task, jobs.Unplanned, licences.NeverStarted)
@@ -315,10 +319,10 @@
 		if job.State.Terminal() || job.Spec.Kind != jobs.Array || machine.Condition != Ready {
 			to = jobs.Unplanned
 		}
-		// It may have run and crashed under the former leader.
+		// The task may have run and crashed under the former leader.
 		f.release(now, job, ref.Task, to, licences.Crashed)
 	case jobs.OnMachine:
-		slog.Info("task vanished", "job", job.ID, "task", ref.Task, "machine", machine.Name, "term", f.Term)
+		slog.Info("task missing from heartbeat", "job", job.ID, "task", ref.Task, "machine", machine.Name, "term", f.Term)
 		f.addTaskEvent(now, events.TaskMissing, job, ref.Task)
 		f.release(now, job, ref.Task, jobs.Unplanned, licences.Crashed)
 		if !job.State.Terminal() {
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Which tasks may start on a machine now, and how they are launched.
+// The conditions for the start of tasks on a machine, and their launch.
 
 import (
 	"cmp"
@@ -12,9 +12,10 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// reservedForGPUWork returns what tasks without an accelerator must leave free on a machine, so that work that
-// waits for accelerators can use the idle ones, idleGPUs in number. Otherwise small tasks that take each processor
-// as it becomes free would never let a large one start. A nil job stands for any.
+// reservedForGPUWork returns the processors and memory that a job's tasks must leave free on a machine, so that waiting
+// GPU work can use the idle accelerators, idleGPUs in number. Without this reserve, small tasks that occupy each
+// processor as it becomes free would keep a large task from ever starting. If job is nil, the result holds for any job
+// without accelerators.
 func (f *Fleet) reservedForGPUWork(machine *Machine, job *jobs.Job, idleGPUs float64) planner.Size {
 	switch {
 	case machine.Capacity.GPUs == 0 || f.gpuReserve.perGPU == (planner.Size{}):
@@ -22,15 +23,16 @@
 	case job != nil && f.ignoresGPUReserve(job):
 		return planner.Size{}
 	case job != nil && !machine.keepsCPUsForGPUWork && f.isPreemptibleByGPUWork(job):
-		// What such work may preempt need only be kept off as much as waits and may come.
+		// Waiting GPU work can preempt this job, so the job must leave room only on the machines that
+		// reserveCPUsForGPUWork has selected, for the work that waits and may arrive.
 		return planner.Size{}
 	}
 	return f.gpuReserve.perGPU.Scale(idleGPUs)
 }
 
-// ignoresGPUReserve reports whether a job leaves nothing free for work that waits for accelerators. One that ranks
-// before all such work, or is overdue, would preempt that work for room which was then kept for the same work,
-// again and again.
+// ignoresGPUReserve reports whether a job need not leave room for waiting GPU work. Otherwise a job that ranks before
+// all such work, or is overdue, would preempt GPU work for room that is then reserved for the same work, again and
+// again.
 func (f *Fleet) ignoresGPUReserve(job *jobs.Job) bool {
 	return job.Spec.GPUs > 0 ||
 		f.ranking.startDeadlineDue[job.Index] ||
@@ -38,12 +40,12 @@
 		f.isStarving(job)
 }
 
-// isPreemptibleByGPUWork reports whether some of the work that waits for accelerators may preempt a job.
+// isPreemptibleByGPUWork reports whether some waiting GPU work may preempt a job.
 func (f *Fleet) isPreemptibleByGPUWork(job *jobs.Job) bool {
 	return job.Priority < f.gpuReserve.priority && !f.ranking.withinGuarantee[job.Index]
 }
 
-// outranksGPUWork reports whether a job ranks before all work that waits for accelerators.
+// outranksGPUWork reports whether a job ranks before all waiting GPU work.
 func (f *Fleet) outranksGPUWork(job *jobs.Job) bool {
 	withinGuarantee := f.ranking.withinGuarantee[job.Index]
 	if withinGuarantee != f.gpuReserve.withinGuarantee {
@@ -52,8 +54,8 @@
 	return job.Priority > f.gpuReserve.priority
 }
 
-// spotWaitLimit returns for how many seconds a job that may use spot machines waits for one instead of using an
-// on-demand machine of a type that live jobs which must not use spot machines need.
+// spotWaitLimit returns for how many seconds a job that may use spot machines waits for a spot machine before it uses
+// the given on-demand machine. It is 0 unless live jobs that must not use spot machines need a machine of this type.
 func (f *Fleet) spotWaitLimit(machine *Machine, job *jobs.Job) float64 {
 	if machine.Spot || !job.Spec.Spot || !f.gpuReserve.onDemandTypes[machine.Type] {
 		return 0
@@ -73,14 +75,15 @@
 	}
 	free = free.Sub(f.reservedForGPUWork(machine, job, machine.Capacity.GPUs-machine.Used.GPUs))
 	if job.Spec.Kind == jobs.Array {
-		// Gangs and services that are planned here wait only until their plan is durable.
+		// Gangs and services that are queued here start as soon as their plan is durable, so arrays leave room for
+		// them.
 		free = free.Sub(machine.queuedWithoutArrays)
 	}
 	return size.Fits(free)
 }
 
-// lowestRank is the rank of jobs that are not in the priority order yet, and that of no reservation: every ranked job
-// comes before it.
+// lowestRank is the rank of jobs that are not in the priority order yet, and the reservedRank of machines without a
+// reservation. Every ranked job ranks before it.
 const lowestRank = 1 << 30
 
 // rankOf returns a job's place in the priority order; 0 is the highest.
@@ -98,8 +101,8 @@
 	})
 }
 
-// mayPlace reports whether the constraints of a job allow one more of its tasks on a machine, given where the
-// others are.
+// mayPlace reports whether the constraints of a job allow one more of its tasks on a machine, given the machines of its
+// other tasks.
 func (f *Fleet) mayPlace(machine *Machine, job *jobs.Job) bool {
 	if !job.Allows(machine.Type, machine.Zone, machine.Spot) {
 		return false
@@ -114,7 +117,7 @@
 	return limit <= 0 || job.TasksByZone[machine.Zone]+job.TasksByZone[jobs.None] < limit
 }
 
-// hasTasksOutside reports whether any of a job's tasks counts in a zone other than the given one.
+// hasTasksOutside reports whether any of a job's tasks counts in another zone than the given one.
 func hasTasksOutside(job *jobs.Job, zone int32) bool {
 	for taskZone, count := range job.TasksByZone {
 		if count > 0 && taskZone != zone {
@@ -139,16 +142,16 @@
 	return f.Gate.Reserved(licenceRef(job, taskIndex)) || f.Gate.Fits(admissionClaim(job), 1)
 }
 
-// attemptBits is the width of the part of an attempt that counts the launches of a term.
+// attemptBits is the number of low bits of an attempt number that count the attempts of a term.
 const attemptBits = 24
 
-// nextAttempt returns an attempt that was not used before, in any term.
+// nextAttempt returns an attempt number that was not used before, in any term.
 func (f *Fleet) nextAttempt() uint64 {
 	f.attemptCounter++
 	return f.Term<<attemptBits | f.attemptCounter
 }
 
-// launch sets a planned task to launched and returns the command that starts it.
+// launch changes a planned task's state to launched and returns the command that starts the task.
 func (f *Fleet) launch(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32, attempt uint64) Command {
 	task := &job.Tasks[taskIndex]
 	task.LaunchedAt = now
@@ -164,8 +167,7 @@
 	return startCommand(taskName(job, taskIndex), attempt)
 }
 
-// appendStarts launches the tasks that are queued on a machine and fit it now, in priority order, and appends their
-// commands.
+// appendStarts launches the queued tasks that fit a machine now, in priority order, and appends their start commands.
 func (f *Fleet) appendStarts(commands []Command, now time.Duration, machine *Machine) []Command {
 	if f.startsStopped || machine.Condition != Ready || machine.Returning {
 		return commands
@@ -194,8 +196,7 @@
 	return commands
 }
 
-// appendQueuedStarts launches as many of a job's tasks that are queued on a machine as fit, and appends their
-// commands.
+// appendQueuedStarts launches as many of a job's queued tasks as fit a machine now, and appends their start commands.
 func (f *Fleet) appendQueuedStarts(commands []Command, now time.Duration, machine *Machine, job *jobs.Job) []Command {
 	queued := machine.queued(job.Index)
 	left := queued[:0]
@@ -217,8 +218,8 @@
 	return commands
 }
 
-// appendGangStarts launches a gang's tasks on one machine, once the whole gang is planned durably and admitted by quota
-// and licences, and appends their commands. All its tasks have the same attempt.
+// appendGangStarts launches a gang's tasks on one machine and appends their start commands, once the whole gang has a
+// durable plan and is admitted by quota and licences. All tasks of the gang have the same attempt number.
 func (f *Fleet) appendGangStarts(commands []Command, now time.Duration, machine *Machine, job *jobs.Job) []Command {
 	planned, mayStart := f.plannedGangTasks(now, job)
 	if !mayStart {
@@ -242,15 +243,15 @@
 		}
 	}
 	if isFirst && len(commands) > before {
-		// The other tasks start on other machines, some of them seconds later: the quota and licences of all are
-		// taken now.
+		// The gang's other tasks start on other machines, some of them seconds later. The quota and licences of all
+		// tasks are taken now.
 		f.admitGang(now, job)
 	}
 	return commands
 }
 
-// plannedGangTasks returns how many of a gang's tasks are planned and not launched. It is not ok if the gang can't
-// start now: a task has no durable plan on a ready machine, is about to stop, or has to pause.
+// plannedGangTasks returns how many of a gang's tasks are planned and not yet launched. ok is false if the gang can't
+// start now because a task has no durable plan on a ready machine, is about to stop, or must not start yet.
 func (f *Fleet) plannedGangTasks(now time.Duration, job *jobs.Job) (planned int, ok bool) {
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
@@ -267,8 +268,8 @@
 	return planned, true
 }
 
-// beginGangStart sets the attempt of a gang that is about to start and the longest download that one of its tasks
-// needs.
+// beginGangStart sets the attempt number and start time of a gang that is about to start, and the longest image
+// download among its tasks.
 func (f *Fleet) beginGangStart(now time.Duration, job *jobs.Job) {
 	job.GangAttempt = f.nextAttempt()
 	job.GangStartedAt = now
@@ -281,10 +282,9 @@
 	}
 }
 
-// gangLaunchDelay returns by how much the launch of a gang's tasks on a machine is delayed. A task that has its
-// image waits gang_wait_s for the others and then gives up, which costs the whole gang its start. Where the image
-// is at hand, the launch therefore waits for as long as the others download it, less a quarter of what the task may
-// wait.
+// gangLaunchDelay returns the delay of the launch of a gang's tasks on a machine. A task that has its image waits for
+// gang_wait_s for the other tasks and then exits, and the start of the whole gang fails. So the launch on a machine
+// with a shorter download is delayed by the difference to the gang's longest download, less a quarter of gang_wait_s.
 func (f *Fleet) gangLaunchDelay(machine *Machine, job *jobs.Job) time.Duration {
 	delayS := job.FetchS - f.fetchSeconds(job, machine) - f.Settings.Params.Workers.GangWaitS/4
 	return jobs.Seconds(delayS)
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -61,12 +61,12 @@
 // is too long.
 var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field")
 
-// wireHeartbeats holds WireHeartbeat values that ParseHeartbeat reuses, so that the decoder need not allocate and grow a
-// task list for each heartbeat.
+// wireHeartbeats holds WireHeartbeat values that ParseHeartbeat reuses, so that the decoder need not allocate a task
+// list for each heartbeat.
 var wireHeartbeats = sync.Pool{New: func() any { return &WireHeartbeat{} }}
 
-// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not a heartbeat in valid JSON, lacks a required
-// field or has a machine name that is too long. Several goroutines may call it at once.
+// ParseHeartbeat decodes a heartbeat. It returns an error if the body is not a heartbeat in valid JSON, lacks a
+// required field or has a machine name that is too long. Several goroutines may call it at once.
 //
 // ParseHeartbeat is the hottest decoder of a leader: with encoding/json it used a quarter of the leader's processor
 // time. It uses the second version of that package, which is a separate module until the standard library includes it.
--- a/internal/fleet/zoneloss.go
+++ b/internal/fleet/zoneloss.go
@@ -1,6 +1,6 @@
 package fleet
 
-// An estimate of what the loss of a zone would mean.
+// An estimate of the effects of the loss of a zone.
 
 import (
 	"cmp"
@@ -10,16 +10,17 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// ZoneLoss is what the jobs of one class and team would lose with a zone.
+// ZoneLoss counts the tasks and jobs of one class and team that the loss of a zone would affect.
 type ZoneLoss struct {
 	Class, Team    int32
-	Tasks          int // on machines in the zone
-	PlaceableTasks int // how many of them have room elsewhere now
-	Jobs           int // with tasks in the zone
+	Tasks          int // tasks on machines in the zone
+	PlaceableTasks int // the part of Tasks that has room in other zones now
+	Jobs           int // jobs with tasks in the zone
 }
 
-// EstimateZoneLoss returns what the loss of a zone would mean now, by class and team. The tasks there are placed
-// into the free room elsewhere in priority order, gangs as a whole or not at all. It changes nothing.
+// EstimateZoneLoss returns the effects that the loss of a zone would have now, by class and team. It simulates the
+// placement of the zone's tasks into the free room of other zones, in priority order, and gangs as a whole or not at
+// all. It does not change the fleet.
 func (f *Fleet) EstimateZoneLoss(zone int32) []ZoneLoss {
 	estimate := f.newZoneLossEstimate(zone)
 	indices := make([]jobs.Index, 0, len(estimate.tasksInZone))
@@ -42,12 +43,12 @@
 // zoneLossEstimate is an EstimateZoneLoss in progress.
 type zoneLossEstimate struct {
 	tasksInZone map[jobs.Index]int
-	hosts       []*Machine // that could take tasks of the zone
-	free        map[*Machine]planner.Size
+	hosts       []*Machine                // machines in other zones that accept work
+	free        map[*Machine]planner.Size // free room of the hosts that is left
 	losses      map[zoneLossKey]*ZoneLoss
 }
 
-// newZoneLossEstimate counts the tasks in a zone and the free room elsewhere.
+// newZoneLossEstimate counts the tasks in a zone and the free room in other zones.
 func (f *Fleet) newZoneLossEstimate(zone int32) *zoneLossEstimate {
 	estimate := &zoneLossEstimate{
 		tasksInZone: map[jobs.Index]int{},
@@ -68,7 +69,7 @@
 	return estimate
 }
 
-// add adds a job with tasks in the zone.
+// add adds a job with tasks in the zone to the estimate.
 func (e *zoneLossEstimate) add(job *jobs.Job) {
 	key := zoneLossKey{job.Class, job.Team}
 	loss := e.losses[key]
@@ -82,9 +83,9 @@
 	loss.PlaceableTasks += e.place(job, count)
 }
 
-// place takes the room for a number of a job's tasks and returns how many of them fit. A gang that loses a task
-// starts again as a whole; its other tasks free the room where they are, so room is needed only for those in the
-// zone, and for all of these.
+// place takes room for a number of a job's tasks and returns how many of them fit. A gang that loses a task starts
+// again as a whole. Its tasks in other zones free their room, so room is needed only for its tasks in the zone, and for
+// all of them.
 func (e *zoneLossEstimate) place(job *jobs.Job, count int) int {
 	size := job.Spec.Size()
 	var taken []*Machine // one entry for each task
