--- a/internal/fleet/crashloop_test.go
+++ b/internal/fleet/crashloop_test.go
@@ -11,23 +11,23 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Failures on several machines are attributed to the job, failures of several jobs to the machine. A job with a
-// task that is done and a service that ran for long are healthy.
+// Failures on several machines must be attributed to the job, and then not count against the machines. A job with a
+// done task and a service that ran for a minute must count as healthy.
 func TestFailuresAreAttributedToJobOrMachine(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		kind     jobs.Kind
-		done     bool          // a task of it was done before
-		ran      time.Duration // before it fails
-		machines int           // on which it fails
+		done     bool          // another task of the job is done before the failures
+		ran      time.Duration // run time of the task before each failure
+		machines int           // number of machines on which the task fails
 		want     CrashLoopState
 	}{
-		{"once", jobs.Array, false, time.Second, 1, HealthUnknown},
-		{"on two machines", jobs.Array, false, time.Second, 2, CrashLooping},
-		{"on three", jobs.Gang, false, time.Second, 3, CrashLooping},
-		{"after one was done", jobs.Array, true, time.Second, 3, Healthy},
-		{"a service at once", jobs.Service, false, time.Second, 2, CrashLooping},
-		{"a service after a minute", jobs.Service, false, time.Minute, 3, Healthy},
+		{"array on one machine", jobs.Array, false, time.Second, 1, HealthUnknown},
+		{"array on two machines", jobs.Array, false, time.Second, 2, CrashLooping},
+		{"gang on three machines", jobs.Gang, false, time.Second, 3, CrashLooping},
+		{"array with a done task", jobs.Array, true, time.Second, 3, Healthy},
+		{"service after a second", jobs.Service, false, time.Second, 2, CrashLooping},
+		{"service after a minute", jobs.Service, false, time.Minute, 3, Healthy},
 	} {
 		g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 		s := spec(1, 3)
@@ -44,15 +44,16 @@
 			g.now += time.Second
 		}
 		if loop := g.crashLoops[job.Index]; loop == nil || loop.state != c.want {
-			t.Errorf("%s: %+v, want %s", c.name, loop, c.want)
+			t.Errorf("%s: got failure record %+v, want state %s", c.name, loop, c.want)
 		}
 		if machine := g.FindMachine("m0"); (len(machine.failedJobs) > 0) == (c.want == CrashLooping) {
-			t.Errorf("%s: the machine counts failures of %v", c.name, machine.failedJobs)
+			t.Errorf("%s: got failed jobs %v of the machine, want some only without a crash loop", c.name, machine.failedJobs)
 		}
 	}
 }
 
-// The pauses of a job in a crash loop double up to a bound, and nothing of it is planned between two tries.
+// The delays between the tries of a job in a crash loop must double up to maxCrashLoopBackoff, without launches in
+// between.
 func TestCrashLoopBackoffGrows(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	job := g.submit(spec(1, 100))
@@ -77,14 +78,14 @@
 	}
 	loop := g.crashLooping(job)
 	if loop == nil || len(gaps) < 3 || gaps[len(gaps)-1] < 16*time.Second {
-		t.Fatalf("%+v, gaps %v", loop, gaps)
+		t.Fatalf("got crash loop %+v, delays %v, want at least 3 delays, the last one of 16 s or more", loop, gaps)
 	}
 	for i, duration := range gaps {
 		if i > 0 && duration < gaps[i-1]-2*time.Second || duration > maxCrashLoopBackoff+3*time.Second {
-			t.Errorf("gaps %v", gaps)
+			t.Errorf("got delays %v, want increasing ones of at most about 64 s", gaps)
 		}
 	}
 	if why := g.PendingReasons(g.now, job); len(why) == 0 || why[0].Cause != CrashLoopBackoff {
-		t.Errorf("pending reasons %+v", why)
+		t.Errorf("got pending reasons %+v, want failing first", why)
 	}
 }
--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -12,13 +12,13 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// dependentRig is a rig whose controller keeps a dependency graph.
+// dependentRig is a rig with a dependency graph of its jobs.
 type dependentRig struct {
 	*rig
 	graph *dependencies.Graph
 }
 
-// newDependentRig returns a rig that has read the records and loaded the plans in kv.
+// newDependentRig returns a rig that has applied the job records and loaded the plans in kv.
 func newDependentRig(t testing.TB, term uint64, kv map[string]json.RawMessage, teams ...config.Team) *dependentRig {
 	t.Helper()
 	g := &dependentRig{rig: newRigOf(t, term, kv, teams)}
@@ -28,7 +28,7 @@
 	return g
 }
 
-// read stores a job's record, and lets the job table, the graph and the fleet apply it.
+// read stores a job's record and applies it to the job table, the graph and the fleet.
 func (g *dependentRig) read(state jobs.State, spec *jobs.Spec) *jobs.Job {
 	g.t.Helper()
 	g.revision++
@@ -45,7 +45,7 @@
 	return job
 }
 
-// follower returns the specification of a job that follows others.
+// follower returns the specification of a job with predecessors.
 func follower(n, tasks int, predecessors ...*jobs.Spec) *jobs.Spec {
 	s := spec(n, tasks)
 	for _, predecessor := range predecessors {
@@ -54,7 +54,7 @@
 	return s
 }
 
-// ranked returns the ids of the jobs in the priority order.
+// ranked returns the ids of the ranked jobs, highest priority first.
 func (g *dependentRig) ranked() []string {
 	g.RankJobs(g.now)
 	var ids []string
@@ -64,7 +64,8 @@
 	return ids
 }
 
-// A blocked job isn't ranked, planned or started, is no demand for machines, and has no overdue start.
+// A blocked job must not be ranked, planned or started, must not count as demand for machines, and must not have an
+// overdue start.
 func TestBlockedJobIsNotPlanned(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
 	g.Settings.Operator.StartDeadlineS = 10
@@ -74,24 +75,24 @@
 	g.settle(store.Committed)
 	commands := starts(g.heartbeat("m", 1, fenced))
 	if len(commands) != 1 || commands[0].Task != taskName(first, 0) || last.Tasks != nil {
-		t.Fatalf("started %v, tasks %v", commands, last.Tasks)
+		t.Fatalf("got starts %v, blocked job's tasks %v, want a start of the predecessor, no tasks", commands, last.Tasks)
 	}
 	if got := g.ranked(); !slices.Equal(got, []string{first.ID}) {
-		t.Errorf("ranked %v", got)
+		t.Errorf("got ranked jobs %v, want only the predecessor", got)
 	}
 	for _, need := range g.Demand(g.now) {
 		if need.Job == last {
-			t.Error("a blocked job is demand")
+			t.Error("got demand for machines from a blocked job, want none")
 		}
 	}
 	g.now += time.Minute
 	if g.startOverdue(g.now, last) {
-		t.Error("a blocked job's start is overdue")
+		t.Error("blocked job after a minute: got an overdue start, want none")
 	}
 }
 
-// A released job is planned and started at once. How long it has been ready counts from the release, so that its start
-// isn't overdue, however long ago it was submitted.
+// A released job must be planned and started at once. It counts as ready from its release, so its start must not be
+// overdue, however long ago it was submitted.
 func TestReleasedJobIsPlanned(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
 	g.Settings.Operator.StartDeadlineS = 60
@@ -102,19 +103,19 @@
 	releasedAt := g.now
 	g.read(jobs.Done, first.Spec)
 	if last.Blocked || last.ReadyAt() != releasedAt {
-		t.Fatalf("blocked %v, ready at %v, released at %v", last.Blocked, last.ReadyAt(), releasedAt)
+		t.Fatalf("got blocked %v, ready at %v, want false, %v", last.Blocked, last.ReadyAt(), releasedAt)
 	}
 	if g.startOverdue(g.now+29*time.Second, last) || !g.startOverdue(g.now+31*time.Second, last) {
-		t.Error("its start isn't overdue half of the time after the release")
+		t.Error("start with a deadline of 60 s: want overdue 31 s after the release, and not after 29 s")
 	}
 	g.heartbeat("m", 1, fenced)
 	g.settle(store.Committed)
 	if commands := starts(g.heartbeat("m", 1, fenced)); len(commands) != 2 {
-		t.Errorf("started %v", commands)
+		t.Errorf("got starts %v, want 2", commands)
 	}
 }
 
-// Blocked jobs hold nothing of their team's guarantee: a younger job of the team that can run is within it.
+// Blocked jobs must not use their team's guarantee: a younger job of the team that can run is within the guarantee.
 func TestBlockedJobHoldsNoGuarantee(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t", CPUs: 2})
 	first := spec(1, 1)
@@ -124,12 +125,12 @@
 	young := g.read(jobs.Pending, spec(200, 2))
 	g.RankJobs(g.now)
 	if !g.ranking.withinGuarantee[young.Index] || young.QueuePosition != 1 {
-		t.Errorf("within %v, position %d", g.ranking.withinGuarantee[young.Index], young.QueuePosition)
+		t.Errorf("got within guarantee %v at position %d, want true at 1", g.ranking.withinGuarantee[young.Index], young.QueuePosition)
 	}
 }
 
-// The objectives on waiting and on guarantees count from the release: a job that waited for others longer than they allow
-// can still meet them.
+// The objectives on waiting and on guarantees must count from the release. Otherwise a job that was blocked for longer
+// than the objective's time could never meet the objective.
 func TestWaitObjectivesCountFromTheRelease(t *testing.T) {
 	for _, objective := range []config.Objective{
 		{Kind: objectiveWait, Class: "c", WithinS: 30},
@@ -145,12 +146,13 @@
 		g.RankJobs(g.now)
 		latestStart, attainable := g.latestUsefulStart(g.now, last)
 		if want := g.now + 30*time.Second; !attainable || latestStart != want {
-			t.Errorf("%s: latest start %v, attainable %v, want %v", objective.Kind, latestStart, attainable, want)
+			t.Errorf("%s: got latest start %v, attainable %v, want %v, true", objective.Kind, latestStart, attainable, want)
 		}
 	}
 }
 
-// A job ranks by the priority of the job that needs it, and by the deadline that leaves time for the jobs in between.
+// A job must rank by the highest priority of the jobs that depend on it, and by their deadline less the time for the
+// jobs in between.
 func TestPredecessorRanksByItsSuccessors(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
 	alone := g.read(jobs.Pending, spec(1, 1))
@@ -160,28 +162,28 @@
 	last.Priority = "urgent"
 	g.read(jobs.Pending, last)
 	if got := g.ranked(); !slices.Equal(got, []string{first.ID, alone.ID}) {
-		t.Errorf("by priority: %v", got)
+		t.Errorf("successor with priority urgent: got ranked jobs %v, want the predecessor before the single job", got)
 	}
 	g.read(jobs.Cancelled, last)
 	if got := g.ranked(); !slices.Equal(got, []string{alone.ID, first.ID}) {
-		t.Errorf("without the last: %v", got)
+		t.Errorf("urgent successor cancelled: got ranked jobs %v, want the single job before the predecessor", got)
 	}
 	deadlineS := 1000.0
 	withDeadline := follower(5, 1, middle.Spec)
 	withDeadline.DeadlineS = &deadlineS
 	g.read(jobs.Pending, withDeadline)
 	if got := g.ranked(); !slices.Equal(got, []string{first.ID, alone.ID}) {
-		t.Errorf("by deadline: %v", got)
+		t.Errorf("successor with a deadline: got ranked jobs %v, want the predecessor before the single job", got)
 	}
 	latestStart, _ := g.latestUsefulStart(g.now, first)
-	// Two stages of 10 s, with a fetch of 1 s and two heartbeats of 3 s each, follow the 10 s of the first.
+	// Two stages of 17 s follow the first job's 10 s: a run of 10 s, a download of 1 s and two heartbeats of 3 s each.
 	if want := (1000 - 2*17 - 10) * time.Second; latestStart != want {
-		t.Errorf("latest start %v, want %v", latestStart, want)
+		t.Errorf("got latest start %v, want %v", latestStart, want)
 	}
 }
 
-// takenOver returns a rig of the next leader, which doesn't know yet what became of the predecessor of a job with a running
-// task and one that waits.
+// takenOver returns a rig of the next leader and a job with a running and a waiting task. The leader has no record of
+// the job's predecessor, which was archived.
 func takenOver(t *testing.T, kind jobs.Kind) (g *dependentRig, job *jobs.Job) {
 	t.Helper()
 	kv := map[string]json.RawMessage{}
@@ -196,38 +198,38 @@
 	former.read(jobs.Done, first.Spec)
 	former.settle(store.Committed)
 	if commands := starts(former.heartbeat("m", 1, fenced)); len(commands) != 2 {
-		t.Fatalf("started %v", commands)
+		t.Fatalf("got starts %v, want 2", commands)
 	}
-	delete(kv, jobs.RecordKey(first.ID)) // it was archived
+	delete(kv, jobs.RecordKey(first.ID)) // the predecessor was archived
 	g = newDependentRig(t, 2, kv, team)
 	return g, g.Jobs.Get(last.ID)
 }
 
-// A new leader that doesn't know a running job's predecessor keeps its tasks running and starts nothing of it; it goes on
-// once the predecessor is known.
+// A new leader without a record of a running job's predecessor must keep the job's tasks running and start no more of
+// them. It must start the others after the archive shows that the predecessor is done.
 func TestRecoveredTasksOfABlockedJobKeepRunning(t *testing.T) {
 	g, job := takenOver(t, jobs.Array)
 	if !job.Blocked || job.Tasks[0].State != jobs.Recovered {
-		t.Fatalf("blocked %v, task %v", job.Blocked, job.Tasks[0].State)
+		t.Fatalf("after takeover: got blocked %v, task state %v, want true, recovered", job.Blocked, job.Tasks[0].State)
 	}
 	running := TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskRunning}
 	for range 3 {
 		if commands := g.heartbeat("m", 1, 2*fenced, running); len(commands) != 0 {
-			t.Fatalf("commands %+v", commands)
+			t.Fatalf("blocked job's running task: got commands %+v, want none", commands)
 		}
 		g.settle(store.Committed)
 	}
 	if !job.Tasks[0].State.Occupies() || len(g.sentDirect) != 0 {
-		t.Errorf("task 0 %v, %d direct requests", job.Tasks[0].State, len(g.sentDirect))
+		t.Errorf("got task 0 in state %v, %d direct requests, want it on its machine, 0", job.Tasks[0].State, len(g.sentDirect))
 	}
 	g.graph.HandleArchived(g.now, "req-000001", jobs.Done)
 	g.settle(store.Committed)
 	if commands := starts(g.heartbeat("m", 1, 2*fenced, running)); len(commands) != 1 {
-		t.Errorf("started %v after the release", commands)
+		t.Errorf("after the release: got starts %v, want 1", commands)
 	}
 }
 
-// A new leader leaves a blocked job without plans alone until it is released.
+// A new leader must not plan a blocked job without plans until the job is released.
 func TestBlockedJobIsNotPlannedAfterTakeover(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	waiting := follower(2, 2, spec(1, 1))
@@ -237,17 +239,18 @@
 	g.heartbeat("m", 1, 2*fenced)
 	g.settle(store.Committed)
 	if got := g.ranked(); job.Tasks != nil || len(got) != 0 || len(g.Demand(g.now)) != 0 {
-		t.Fatalf("%d tasks, ranked %v", len(job.Tasks), got)
+		t.Fatalf("got %d tasks, ranked jobs %v, want none of either and no demand", len(job.Tasks), got)
 	}
 	g.graph.HandleArchived(g.now, spec(1, 1).ID, jobs.Done)
 	g.settle(store.Committed)
 	if commands := starts(g.heartbeat("m", 1, 2*fenced)); len(commands) != 2 {
-		t.Errorf("started %v after the release", commands)
+		t.Errorf("after the release: got starts %v, want 2", commands)
 	}
 }
 
-// A new leader finds a gang of which one task is durably done, and doesn't know the gang's predecessor. Once it does, the
-// whole gang is done: its other task isn't started again when its machine is lost.
+// A new leader reads the plan of a gang with one task durably done, and has no record of the gang's predecessor. After
+// the release, the whole gang must be done. Otherwise its other task would be started again after the loss of its
+// machine.
 func TestFinishedGangOfABlockedJobIsDone(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	team := config.Team{Name: "t"}
@@ -266,15 +269,16 @@
 	firstMachine := former.machines[last.Tasks[0].Machine].Name
 	former.heartbeat(firstMachine, 1, fenced, doneReport(last))
 	former.settle(store.Committed)
-	delete(kv, jobs.RecordKey(first.ID)) // it was archived
+	delete(kv, jobs.RecordKey(first.ID)) // the predecessor was archived
 
 	g := newDependentRig(t, 2, kv, team)
 	job := g.Jobs.Get(last.ID)
 	if job.FinishedTasks != 1 || !job.Tasks[1].State.Occupies() {
-		t.Fatalf("%d tasks done, the other %v", job.FinishedTasks, job.Tasks[1].State)
+		t.Fatalf("after takeover: got %d done tasks, the other in state %v, want 1, one on its machine",
+			job.FinishedTasks, job.Tasks[1].State)
 	}
 	g.graph.HandleArchived(g.now, first.ID, jobs.Done)
 	if !job.GangDone {
-		t.Error("the gang isn't done")
+		t.Error("after the release: got a gang that is not done, want done")
 	}
 }
--- a/internal/fleet/dispatch_test.go
+++ b/internal/fleet/dispatch_test.go
@@ -8,10 +8,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A machine whose heartbeats reach no controller responds to direct commands, one after the other. The responses
-// are no contact: it gets no new work once a heartbeat is overdue, its lease expires for the leader when it does
-// for the worker, and only a heartbeat brings it back. Otherwise the leader goes on sending it work that dies with
-// each lease.
+// A machine whose heartbeats reach no controller responds to direct requests. The responses must not count as contact:
+// the machine gets no new work once a heartbeat is overdue, its lease expires for the leader as it does for the worker,
+// and only a heartbeat makes it ready again. Otherwise the leader continues to launch tasks there, which end with each
+// lease.
 func TestDirectResponsesAreNotContact(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, 0)
@@ -37,7 +37,7 @@
 			session++
 			running = nil
 		}
-		for i := range running { // what ran is done by now
+		for i := range running { // the tasks launched so far are done
 			running[i].State = taskExited
 			running[i].ExitCause = exitDone
 		}
@@ -53,13 +53,13 @@
 		done(newHeartbeat("m", session, g.seq, request.Token, running...), true)
 	}
 	if sent == 0 || late > 0 {
-		t.Errorf("of %d tasks sent, %d went to a machine whose heartbeat was overdue", sent, late)
+		t.Errorf("got %d launched tasks, %d of them while a heartbeat was overdue, want some, 0", sent, late)
 	}
 	if machine.Condition != LeaseExpired || len(machine.Tasks) > 0 {
-		t.Errorf("70 s after its last heartbeat it is %v, with %d tasks", machine.Condition, len(machine.Tasks))
+		t.Errorf("70 s after the last heartbeat: got condition %v, %d tasks, want lost, 0", machine.Condition, len(machine.Tasks))
 	}
 	g.heartbeat("m", session+1, machine.Token)
 	if machine.Condition != Ready {
-		t.Errorf("it sends heartbeats again and is %v", machine.Condition)
+		t.Errorf("after a new heartbeat: got condition %v, want acting", machine.Condition)
 	}
 }
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -10,32 +10,35 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
+// fenced is the first token of term 1; n*fenced is the first token of term n.
 const fenced = uint64(1) << tokenBits
 
-// Write before act: otherwise a crash after a start that is not in the plan would start the task twice.
+// A task must start only after its plan is durable. Otherwise a leader that crashes after the start leaves no record of
+// it, and its successor starts the task twice.
 func TestNothingStartsBeforeItsPlanIsDurable(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 2))
 	g.Tick(g.now, true)
 	if job.Tasks[0].State != jobs.Planned || len(g.pendingCommits) != 1 {
-		t.Fatalf("state %v with %d writes, want a plan being written", job.Tasks[0].State, len(g.pendingCommits))
+		t.Fatalf("got state %v with %d pending writes, want planned with 1", job.Tasks[0].State, len(g.pendingCommits))
 	}
 	if cs := starts(g.heartbeat("m", 1, fenced)); len(cs) != 0 || len(g.sentDirect) != 0 {
-		t.Fatalf("started %v before the plan was durable", cs)
+		t.Fatalf("before the plan is durable: got starts %v or direct requests, want neither", cs)
 	}
 	g.pendingCommits[0](store.NotApplied)
 	g.pendingCommits = nil
 	if cs := starts(g.heartbeat("m", 1, fenced)); len(cs) != 0 {
-		t.Fatalf("started %v although the write was refused", cs)
+		t.Fatalf("after the write was not applied: got starts %v, want none", cs)
 	}
 	g.settle(store.Committed)
 	if cs := starts(g.heartbeat("m", 1, fenced)); len(cs) != 2 {
-		t.Fatalf("started %v, want both tasks", cs)
+		t.Fatalf("after the plan is durable: got starts %v, want both tasks", cs)
 	}
 }
 
-// While the outcome of a write that moves a task is indeterminate, a successor may read either machine.
+// While the outcome of a write that moves a task to another machine is indeterminate, a successor may read either
+// machine. So the plan must not count as durable, unless the write names the same machine.
 func TestIndeterminateMoveBlocksStartsOnBothMachines(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -45,15 +48,16 @@
 	m := job.Tasks[0].Machine
 	segment.InFlight = []int32{m + 1}
 	if job.IsDurable(0) {
-		t.Fatal("durable although an open write names another machine")
+		t.Fatal("write in flight names another machine: got durable, want not durable")
 	}
 	segment.InFlight = []int32{m}
 	if !job.IsDurable(0) {
-		t.Fatal("an open write that repeats the machine must not block it")
+		t.Fatal("write in flight names the same machine: got not durable, want durable")
 	}
 }
 
-// A new leader acts only on a heartbeat at its own token: commands of the former leader may arrive until then.
+// A new leader must act only on a heartbeat at its own token, since commands of the former leader may still arrive
+// before.
 func TestNewLeaderWaitsForAFencedHeartbeat(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newRig(t, 1, kv)
@@ -64,22 +68,23 @@
 	n := newRig(t, 2, kv)
 	job := n.Jobs.Get("req-000001")
 	if job.Tasks[0].State != jobs.Recovered || n.Gate.Quota.Team(job.Team).Used.CPUs != 1 {
-		t.Fatalf("state %v using %v, want recovered and counted", job.Tasks[0].State, n.Gate.Quota.Team(job.Team).Used)
+		t.Fatalf("after takeover: got state %v using %v, want recovered using 1 CPU",
+			job.Tasks[0].State, n.Gate.Quota.Team(job.Team).Used)
 	}
 	if cs := n.heartbeat("m", 1, fenced); len(cs) != 0 || job.Tasks[0].State != jobs.Recovered {
-		t.Fatalf("acted on a heartbeat at the former token: %v, %v", cs, job.Tasks[0].State)
+		t.Fatalf("heartbeat at the former token: got commands %v, state %v, want none, recovered", cs, job.Tasks[0].State)
 	}
 	if cs := starts(n.heartbeat("m", 1, 2*fenced)); len(cs) != 1 {
-		t.Fatalf("started %v, want the task that is certainly not there", cs)
+		t.Fatalf("heartbeat at the leader's token: got starts %v, want the task that it does not list", cs)
 	}
 }
 
-// doneReport returns the status of a job's first task that is done.
+// doneReport returns the report of a job's first task as done.
 func doneReport(job *jobs.Job) TaskReport {
 	return TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskExited, ExitCause: exitDone}
 }
 
-// launched returns a rig with a task whose direct launch was sent and has no response.
+// launched returns a rig and a job of one task, whose direct launch was sent and has no response yet.
 func launched(t *testing.T) (*rig, *jobs.Job) {
 	t.Helper()
 	g := newRig(t, 1, map[string]json.RawMessage{})
@@ -89,39 +94,40 @@
 	g.keepInContact()
 	g.Tick(g.now, true)
 	if len(g.sentDirect) != 1 || job.Tasks[0].State != jobs.Launched {
-		t.Fatalf("%d direct commands, state %v", len(g.sentDirect), job.Tasks[0].State)
+		t.Fatalf("got %d direct requests, state %v, want 1, launched", len(g.sentDirect), job.Tasks[0].State)
 	}
 	return g, job
 }
 
-// keepInContact makes all machines count as in contact now, without starting what is queued on them.
+// keepInContact makes all machines count as in contact now, without starting their queued tasks.
 func (g *rig) keepInContact() {
 	for _, machine := range g.machines {
 		machine.LastContactAt = g.now
 	}
 }
 
-// A direct launch whose outcome is indeterminate counts until a heartbeat carries a raised token, and its quota is
-// free afterwards.
+// A direct launch whose outcome is indeterminate must count against its team's quota until a heartbeat carries a raised
+// token.
 func TestIndeterminateLaunchCountsUntilFenced(t *testing.T) {
 	g, job := launched(t)
 	g.directCallbacks[0](nil, false)
 	g.cancel(job)
 	g.heartbeat("m", 1, fenced) // this response raises the token
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
-		t.Fatalf("uses %v, but the launch may still arrive", used)
+		t.Fatalf("launch may still arrive: got %v CPUs used, want 1", used)
 	}
 	g.heartbeat("m", 1, fenced)
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 1 {
-		t.Fatalf("uses %v, but no heartbeat carries the raised token yet", used)
+		t.Fatalf("no heartbeat at the raised token yet: got %v CPUs used, want 1", used)
 	}
 	g.heartbeat("m", 1, fenced+1)
 	if used := g.Gate.Quota.Team(job.Team).Used.CPUs; used != 0 {
-		t.Fatalf("uses %v, but nothing can arrive any more", used)
+		t.Fatalf("after a heartbeat at the raised token: got %v CPUs used, want 0", used)
 	}
 }
 
-// A worker that has forgotten an attempt would start it again if its launch arrived once more.
+// While a direct launch of an attempt may arrive, the attempt must not be forgotten: a worker that has forgotten it
+// would start it again.
 func TestForgetWaitsForAnIndeterminateLaunch(t *testing.T) {
 	g, job := launched(t)
 	at := job.Tasks[0].Attempt
@@ -135,18 +141,18 @@
 		return false
 	}
 	if has(g.heartbeat("m", 1, fenced, stopped)) {
-		t.Fatal("forgotten while its direct launch has no response")
+		t.Fatal("direct launch without a response: got a forget command, want none")
 	}
 	g.directCallbacks[0](nil, false)
 	if has(g.heartbeat("m", 1, fenced, stopped)) {
-		t.Fatal("forgotten while its direct launch may arrive")
+		t.Fatal("direct launch may still arrive: got a forget command, want none")
 	}
 	if !has(g.heartbeat("m", 1, fenced+1, stopped)) {
-		t.Fatal("never forgotten")
+		t.Fatal("after a heartbeat at the raised token: got no forget command, want one")
 	}
 }
 
-// The lease of a session counts from its beginning, not from the last response in the session before.
+// The lease of a session counts from the session's beginning, not from the last response in the session before.
 func TestLeaseOfANewSessionCountsFromItsBeginning(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -156,43 +162,43 @@
 	g.now = 30 * time.Second
 	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c == LeaseExpired {
-		t.Fatal("the lease expired 12 s into a session, it is 20 s")
+		t.Fatal("12 s into a session with a lease of 20 s: got an expired lease, want a valid one")
 	}
 	g.now = 40 * time.Second
 	g.expireLeases(g.now)
 	if c := g.machines[0].Condition; c != LeaseExpired {
-		t.Fatalf("condition %v, want an expired lease", c)
+		t.Fatalf("22 s into the session: got condition %v, want lost", c)
 	}
 }
 
-// A cancelled job's tasks still run after a failover, and count against their team's quota.
+// After a failover, a cancelled job's task that may still run must count against its team's quota and be stopped.
 func TestCancelledTasksCountAfterFailover(t *testing.T) {
 	g, job := launched(t)
 	g.cancel(job)
 	n := newRig(t, 2, g.kv)
 	if used := n.Gate.Quota.Team(n.Jobs.Names.Teams.Index("t")).Used.CPUs; used != 1 {
-		t.Fatalf("uses %v, want the cancelled task counted", used)
+		t.Fatalf("after failover: got %v CPUs used, want 1 for the cancelled task", used)
 	}
 	task := TaskReport{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: taskRunning}
 	cs := n.heartbeat("m", 1, 2*fenced, task)
 	if len(cs) != 1 || cs[0].Op != opStop {
-		t.Fatalf("commands %v, want a stop", cs)
+		t.Fatalf("got commands %v, want one stop", cs)
 	}
 }
 
-// The response to a direct request may come after its job has ended and was swept.
+// A response to a direct request that arrives after its job's tasks were removed must not cause a panic.
 func TestDirectResponseAfterItsJobWasSwept(t *testing.T) {
 	g, job := launched(t)
 	g.heartbeat("m", 1, fenced, doneReport(job))
 	g.settle(store.Committed)
 	if job.Tasks != nil || job.State != jobs.Done {
-		t.Fatalf("job not swept: %v", job.State)
+		t.Fatalf("got state %v, want done and the tasks removed", job.State)
 	}
 	g.directCallbacks[0](nil, true)
 }
 
-// A job's terminal record is conditional on the version that was read, so it can never overwrite an earlier
-// cancellation.
+// The write of a job's terminal record must be conditional on the version that was read, so that it can't overwrite an
+// earlier cancellation.
 func TestDoneNeverOverwritesACancellation(t *testing.T) {
 	g, job := launched(t)
 	g.heartbeat("m", 1, fenced, doneReport(job))
@@ -205,10 +211,10 @@
 			return
 		}
 	}
-	t.Fatalf("conditions %v lack %v", seen, want)
+	t.Fatalf("got conditions %v, want %v among them", seen, want)
 }
 
-// What machines have in their image caches is a hint for the next leader.
+// The next leader must load the hints about the machines' image caches, and ignore invalid positions in them.
 func TestImageHintsSurviveAFailover(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	g := newRig(t, 1, kv)
@@ -220,20 +226,19 @@
 	g.now += 10 * time.Second
 	g.settle(store.Committed)
 	if kv[imageHintsPrefix+"/0"] == nil {
-		t.Fatal("no hints written")
+		t.Fatal("got no stored hints, want some")
 	}
 	n := newRig(t, 2, kv)
 	if machine := n.RegisterMachine(0, "m"); !machine.HasImage(n.Jobs.Names.Images.Index("i")) {
-		t.Fatal("the next leader has no hint of the image")
+		t.Fatal("machine of the next leader: got no cached image, want the one of the hint")
 	}
 	kv[imageHintsPrefix+"/0"] = json.RawMessage(`{"images":["i"],"gb":[1],"on":{"m":[0,7,-1]}}`)
 	if machine := newRig(t, 3, kv).RegisterMachine(0, "m"); len(machine.cachedImages) != 1 {
-		t.Fatalf("images %v from a damaged hint", machine.cachedImages)
+		t.Fatalf("hint with invalid positions: got images %v, want 1", machine.cachedImages)
 	}
 }
 
-// A task that failed is retried on another machine after a pause, and what its job had queued on the machine moves
-// away too.
+// A failed task must be retried on another machine after a delay, and its job's queued tasks must leave the machine.
 func TestFailedTasksRunElsewhere(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -241,7 +246,7 @@
 	g.settle(store.Committed)
 	cs := starts(g.heartbeat("m", 1, fenced))
 	if len(cs) != 4 {
-		t.Fatalf("%d starts", len(cs))
+		t.Fatalf("got %d starts, want 4", len(cs))
 	}
 	failed := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: taskExited, ExitCause: exitError}
 	alive := func() (out []TaskReport) {
@@ -254,18 +259,18 @@
 	g.heartbeat("n", 1, fenced)
 	g.settle(store.Committed)
 	if again := starts(g.heartbeat("m", 1, fenced, alive()...)); len(again) != 0 {
-		t.Fatalf("started %v on the machine that failed the job", again)
+		t.Fatalf("machine on which the task failed: got starts %v, want none", again)
 	}
 	g.now += 5 * time.Second
 	g.keepInContact()
 	g.settle(store.Committed)
 	if other := starts(g.heartbeat("n", 1, fenced)); len(other) != 1 || job.Spec.Tasks != 6 {
 		// The team's limit of 4 CPUs leaves room for one.
-		t.Fatalf("started %v on the other machine, want one", other)
+		t.Fatalf("other machine: got starts %v, want 1", other)
 	}
 }
 
-// A job that may preempt another ranks before it, whatever their priorities and guarantees.
+// A job that may preempt another job must rank before that job, whatever their priorities and guarantees are.
 func TestPreemptionFollowsPriorityOrder(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	rng := rand.New(rand.NewPCG(6, 6))
@@ -287,19 +292,19 @@
 				if g.mayPreempt(x, y) {
 					preempts++
 					if a > b {
-						t.Fatalf("%s may preempt %s, which ranks before it", x.ID, y.ID)
+						t.Fatalf("%s may preempt %s, which ranks before: want no such preemption", x.ID, y.ID)
 					}
 				}
 			}
 		}
 	}
 	if preempts == 0 {
-		t.Fatal("nothing may preempt anything")
+		t.Fatal("got no pair of jobs of which one may preempt the other, want some")
 	}
 }
 
-// No two attempts are equal, in any term: a task that is launched again must not be taken for an earlier start, and
-// the tasks of a gang find each other by the number.
+// No attempt number may be used twice, in any term. A repeated launch of a task must be distinguishable from an earlier
+// one, and the tasks of a gang find each other by the attempt number.
 func TestAttemptsNeverRepeatAcrossTerms(t *testing.T) {
 	seen := map[uint64]uint64{}
 	for term := uint64(1); term < 5; term++ {
@@ -307,20 +312,20 @@
 		for range 1000 {
 			a := f.nextAttempt()
 			if was, ok := seen[a]; ok {
-				t.Fatalf("attempt %d is of terms %d and %d", a, was, term)
+				t.Fatalf("attempt %d was issued in term %d and again in term %d", a, was, term)
 			}
 			seen[a] = term
 		}
 	}
 }
 
-// A task that is stopped during the download of its image leaves no image behind, unless another task there still
-// waits for the same one. A task that ran does.
+// After a task is stopped during the download of its image, the machine must not count as having the image, unless
+// another task there still waits for it. After a task that ran, the machine must count as having it.
 func TestAbandonedDownloadLeavesNoImage(t *testing.T) {
 	for _, c := range []struct {
-		states []AttemptState
-		other  bool
-		has    bool
+		states []AttemptState // of the task's attempt, before it is stopped
+		other  bool           // another task of the job is downloading the image
+		has    bool           // the machine counts as having the image afterwards
 	}{
 		{states: []AttemptState{taskFetching}, other: false, has: false},
 		{states: []AttemptState{taskFetching, taskRunning}, other: false, has: true},
@@ -350,12 +355,12 @@
 			report(s, "")
 		}
 		if !machine.HasImage(job.Image) {
-			t.Fatalf("%v: the image isn't expected there while it is fetched", c.states)
+			t.Fatalf("%v: got no image while the task is on the machine, want one", c.states)
 		}
-		machine.Returning = true // nothing starts anew
+		machine.Returning = true // prevents further starts
 		report(taskExited, exitStopped)
 		if machine.HasImage(job.Image) != c.has {
-			t.Errorf("%v, another that waits %v: the machine counts as having the image: %v", c.states, c.other, !c.has)
+			t.Errorf("states %v, another task downloading %v: machine counts as having the image: %v, want the opposite", c.states, c.other, !c.has)
 		}
 	}
 }
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Whatever a worker, or a sender that claims to be one, sends is either refused or applied without a panic.
+// Any heartbeat, also from a sender that only claims to be a worker, must be refused or applied without a panic.
 func TestMalformedHeartbeatsAreHarmless(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -16,7 +16,7 @@
  "warning_s":null,"hops":[{"hop":"req-000001/1","try":2,"stance":"running"},{"hop":"req-000001/0","try":1,"stance":"exited","cause":"done"}]}`)
 	heartbeat, err := ParseHeartbeat(good)
 	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.NoticeS != nil {
-		t.Fatalf("%+v, %v", heartbeat, err)
+		t.Fatalf("well-formed heartbeat: got %+v, error %v, want 2 tasks, token 1048576, no notice", heartbeat, err)
 	}
 	rng := rand.New(rand.NewPCG(9, 9))
 	accepted, refused := 0, 0
@@ -35,16 +35,16 @@
 		g.HandleHeartbeat(g.now, heartbeat)
 	}
 	if accepted == 0 || refused == 0 {
-		t.Fatalf("%d accepted, %d refused: the test decides nothing", accepted, refused)
+		t.Fatalf("got %d accepted and %d refused heartbeats, want some of both", accepted, refused)
 	}
 	for _, name := range []string{"", "/", "req-1", "req-1/", "req-1/-1", "req-1/x", "req-1/99999999999"} {
 		if _, _, ok := parseTaskName(name); ok {
-			t.Errorf("%q names a task", name)
+			t.Errorf("parseTaskName(%q): got ok, want not ok", name)
 		}
 	}
 }
 
-// The messages have the protocol's names and forms, byte for byte.
+// The encoded messages must have the protocol's names and forms, byte for byte. Decoding must reverse the encoding.
 func TestMessagesOnTheWire(t *testing.T) {
 	notice := 29.5
 	heartbeat := Heartbeat{
@@ -97,26 +97,26 @@
 	for name, c := range cases {
 		encoded, err := json.Marshal(c.message)
 		if err != nil || string(encoded) != c.want {
-			t.Errorf("%s: %s, %v\nwant %s", name, encoded, err, c.want)
+			t.Errorf("%s: got %s, error %v\nwant %s", name, encoded, err, c.want)
 		}
 	}
 	decoded, err := ParseHeartbeat([]byte(cases["heartbeat"].want))
 	if err != nil || !reflect.DeepEqual(*decoded, heartbeat) {
-		t.Errorf("decoded %+v, %v, want %+v", decoded, err, heartbeat)
+		t.Errorf("decoded heartbeat: got %+v, error %v, want %+v", decoded, err, heartbeat)
 	}
 	var response WireResponse
 	err = json.Unmarshal([]byte(cases["response"].want), &response)
 	if err != nil || len(response.Commands) != len(commands) || response.Token != fenced {
-		t.Fatalf("decoded %+v, %v", response, err)
+		t.Fatalf("decoded response: got %+v, error %v, want 4 commands, token 1048576", response, err)
 	}
 	for i, wire := range response.Commands {
 		if command := wire.Command(); command != commands[i] {
-			t.Errorf("decoded %+v, want %+v", command, commands[i])
+			t.Errorf("decoded command: got %+v, want %+v", command, commands[i])
 		}
 	}
 }
 
-// A heartbeat holds nothing of those that were decoded before it.
+// A decoded heartbeat must not share data with heartbeats decoded before or after it, since the decoder reuses memory.
 func TestHeartbeatsAreDecodedIndependently(t *testing.T) {
 	parse := func(body string) *Heartbeat {
 		t.Helper()
@@ -129,16 +129,16 @@
 	full := parse(`{"den":"m","address":"x","build":"ty","meadow":"z","stray":true,"run":3,"tally":88,"mark":5,` +
 		`"warning_s":1,"hops":[{"hop":"a/0","try":2,"stance":"exited","cause":"done","kept":true},{"hop":"a/1"}]}`)
 	if _, err := ParseHeartbeat([]byte(`{"den":"other","warning_s":7,"hops":[{"hop":"b/0","try":1,`)); err == nil {
-		t.Fatal("a truncated heartbeat was accepted")
+		t.Fatal("truncated heartbeat: got no error, want one")
 	}
 	next := parse(`{"den":"n","build":"ty","meadow":"z","run":1,"hops":[{"hop":"c/0","try":9}]}`)
 	want := &Heartbeat{
 		Machine: "n", Type: "ty", Zone: "z", Session: 1, Tasks: []TaskReport{{Task: "c/0", Attempt: 9}},
 	}
 	if !reflect.DeepEqual(next, want) {
-		t.Errorf("%+v, want %+v", next, want)
+		t.Errorf("second heartbeat: got %+v, want %+v", next, want)
 	}
 	if len(full.Tasks) != 2 || full.Tasks[0].Task != "a/0" || full.Tasks[1].Task != "a/1" || *full.NoticeS != 1 {
-		t.Errorf("a later heartbeat changed an earlier one: %+v", full)
+		t.Errorf("first heartbeat after the second was decoded: got %+v, want it unchanged", full)
 	}
 }
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -13,37 +13,38 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// singleMachine models one machine by the protocol, to which the real fleet gives one task. It holds what is really
-// on the machine, so it can check that the fleet counts it there.
+// singleMachine is a model of one worker that follows the protocol, connected to a real fleet with one job of one task.
+// It holds the state of the worker, so that a test can check that the fleet counts a task that is on the machine.
 type singleMachine struct {
 	*rig
 	job                           *jobs.Job
 	session, seq                  uint64
 	token                         uint64
-	leaseStart                    time.Duration // from when its lease counts
-	runningAttempt                uint64        // of the task that is on it; 0: none
+	leaseStart                    time.Duration // time from which the worker's lease counts
+	runningAttempt                uint64        // attempt at the task that is on the machine; 0 if none is
 	isDead                        bool
-	incarnation, knownIncarnation int             // how often it restarted, in fact and by accepted heartbeats
-	history                       []sentHeartbeat // all heartbeats so far
-	removedGuard                  string          // the guard that the test removes, "" for none
-	copyEffect                    string          // what a copy changed, "" if nothing
+	incarnation, knownIncarnation int             // number of restarts, and their number at the last accepted heartbeat
+	history                       []sentHeartbeat // all heartbeats that were sent
+	removedGuard                  string          // the guard that the test removes; "" if none
+	copyEffect                    string          // description of a forbidden effect of a copy; "" if there was none
 }
 
-// The guards of the fleet that a test may remove, to show that it needs them.
+// The guards of the fleet that a test may remove, to show that each of them is necessary.
 const (
-	guardStaleHeartbeats     = "heartbeats that are not newer are stale"
-	guardExpiredSession      = "an expired session is over"
-	guardHighestToken        = "tokens of an incarnation never fall"
+	guardStaleHeartbeats     = "a heartbeat that is not newer than the last is stale"
+	guardExpiredSession      = "a heartbeat of an expired session is stale"
+	guardHighestToken        = "the tokens of an incarnation never decrease"
 	guardNewIncarnationLease = "the lease of a new incarnation counts from its beginning"
 )
 
-// sentHeartbeat is a heartbeat that was sent, and may come again as a copy.
+// sentHeartbeat is a heartbeat that was sent, and of which a copy may arrive later.
 type sentHeartbeat struct {
 	Heartbeat
 	incarnation int
 	arrived     bool
 }
 
+// newSingleMachine returns a machine that has sent two heartbeats, and whose fleet has planned one task.
 func newSingleMachine(t testing.TB, without string) *singleMachine {
 	t.Helper()
 	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: without}
@@ -56,15 +57,17 @@
 	return l
 }
 
-// settleBriefly lets three ticks pass, with all writes committed.
+// settleBriefly runs three ticks and commits all writes.
 func (l *singleMachine) settleBriefly() { l.settleFor(3, store.Committed) }
 
+// expireLease ends the worker's session and its task if its lease has expired.
 func (l *singleMachine) expireLease() {
 	if l.now-l.leaseStart > l.Settings.WorkerLease() {
 		l.runningAttempt, l.session, l.leaseStart = 0, l.session+1, l.now
 	}
 }
 
+// makeHeartbeat returns the worker's next heartbeat and records it as sent.
 func (l *singleMachine) makeHeartbeat() *Heartbeat {
 	l.seq++
 	heartbeat := newHeartbeat("m", l.session, l.seq, l.token)
@@ -75,7 +78,7 @@
 	return heartbeat
 }
 
-// removeGuard undoes, in the machine's state, what the guard that is removed protects.
+// removeGuard disables guardHighestToken, if this is the guard to remove, by clearing the state that it depends on.
 func (l *singleMachine) removeGuard() {
 	machine := l.machines[0]
 	switch l.removedGuard {
@@ -84,6 +87,7 @@
 	}
 }
 
+// deliver passes a heartbeat to the fleet, without the guard to remove.
 func (l *singleMachine) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
 	if len(l.machines) > 0 {
 		l.removeGuard()
@@ -99,9 +103,9 @@
 	return l.HandleHeartbeat(l.now, &c)
 }
 
-// deliverCopy delivers a copy of an earlier heartbeat. It must have no effect, unless the heartbeat itself never
-// arrived and is of the present incarnation, as far as the fleet can tell, in a session that has not certainly
-// ended.
+// deliverCopy delivers a copy of heartbeat i of the history. The copy must have no effect, unless the heartbeat itself
+// never arrived, is from the present incarnation as far as the fleet can determine, and is from a session that has not
+// certainly ended.
 func (l *singleMachine) deliverCopy(i int) {
 	machine := l.machines[0]
 	copied := &l.history[i]
@@ -112,17 +116,17 @@
 	l.deliver(&copied.Heartbeat)
 	after := l.describe()
 	if after != before && !mayHaveEffect && l.copyEffect == "" {
-		l.copyEffect = fmt.Sprintf("a copy changes %s to %s", before, after)
+		l.copyEffect = fmt.Sprintf("stale copy changed the state from %s to %s", before, after)
 	}
 }
 
-// describe returns the state of the machine and its task that a stale copy must not change.
+// describe formats the state of the machine and its task that a stale copy must not change.
 func (l *singleMachine) describe() string {
 	machine := l.machines[0]
 	return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.Condition, l.job.Tasks[0].State)
 }
 
-// sendHeartbeat sends a heartbeat that arrives; received is whether its response does.
+// sendHeartbeat sends a heartbeat that arrives at the fleet. The worker receives the response if received is set.
 func (l *singleMachine) sendHeartbeat(received bool) {
 	l.expireLease()
 	heartbeat, sent := l.makeHeartbeat(), l.now
@@ -139,6 +143,7 @@
 	l.execute(response.Commands)
 }
 
+// execute executes the commands of a response or a direct request.
 func (l *singleMachine) execute(cs []Command) {
 	for _, c := range cs {
 		switch {
@@ -150,8 +155,8 @@
 	}
 }
 
-// deliverDirect sends the direct request that is due, if any; arrives is whether it reaches the machine, received
-// whether the response reaches the fleet.
+// deliverDirect runs a tick and completes the direct request that it sends, if any. The request reaches the worker if
+// arrives is set, and the response reaches the fleet if received is set.
 func (l *singleMachine) deliverDirect(arrives, received bool) {
 	machine := l.machines[0]
 	answered := machine.LastAnsweredAt
@@ -170,7 +175,7 @@
 			l.execute(request.Commands)
 		}
 		heartbeat = l.makeHeartbeat()
-		l.history = l.history[:len(l.history)-1] // only requests come as copies
+		l.history = l.history[:len(l.history)-1] // a response is never delivered as a copy
 	}
 	if heartbeat == nil || !received {
 		l.now += 2 * time.Second
@@ -186,12 +191,13 @@
 	}
 }
 
+// modelEvent is an event of the model, which do applies.
 type modelEvent struct {
 	name string
 	do   func(l *singleMachine)
 }
 
-// modelEvents are the events that may happen next.
+// modelEvents are all events that can follow any other event.
 var modelEvents = []modelEvent{
 	{"heartbeat", func(l *singleMachine) {
 		if !l.isDead {
@@ -225,7 +231,8 @@
 	{"17 s", func(l *singleMachine) { l.now += 17 * time.Second }},
 }
 
-// violation returns what is wrong now, "" if nothing is: a task on the machine must count there.
+// violation describes a broken rule: a copy had a forbidden effect, or a task on the machine does not count there. It
+// returns "" if no rule is broken.
 func (l *singleMachine) violation() string {
 	if l.now-l.leaseStart > l.Settings.WorkerLease() {
 		l.expireLease()
@@ -234,12 +241,13 @@
 		return l.copyEffect
 	}
 	if task := &l.job.Tasks[0]; l.runningAttempt > 0 && !task.State.Occupies() {
-		return fmt.Sprintf("the task is on the machine but its state is %s", task.State)
+		return fmt.Sprintf("the task is on the machine: got state %s, want one that counts as on it", task.State)
 	}
 	return ""
 }
 
-// playSequence plays a sequence of events, lets everything recover, and returns what went wrong, "" if nothing did.
+// playSequence applies a sequence of events and lets the machine recover, or delivers copies if it died. It describes
+// the first broken rule, or returns "" if no rule was broken.
 func (l *singleMachine) playSequence(run []int) string {
 	for _, e := range run {
 		modelEvents[e].do(l)
@@ -253,19 +261,19 @@
 	}
 	machine := l.machines[0]
 	if l.isDead {
-		// Copies of all heartbeats, several leases late.
+		// Delivers copies of all heartbeats that arrived, several leases late.
 		l.now += 3 * l.Settings.WorkerLease()
 		l.settleBriefly()
 		lastContact := machine.LastContactAt
 		for i := range l.history {
-			// One that never arrived is the newest of its machine.
+			// A heartbeat that never arrived may be the machine's newest, and have an effect.
 			if r := &l.history[len(l.history)-1-i]; r.arrived {
 				l.deliver(&r.Heartbeat)
 				l.settleBriefly()
 			}
 		}
 		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastContactAt > lastContact {
-			return "copies bring a dead machine back"
+			return "copies of heartbeats made a dead machine ready or in contact, or kept its tasks"
 		}
 		return ""
 	}
@@ -282,12 +290,12 @@
 			return ""
 		}
 	}
-	return fmt.Sprintf("it has recovered and gets nothing: %s, task %s, %+v",
+	return fmt.Sprintf("60 s after recovery: got condition %s, task %s, want ready and on machine; %+v",
 		machine.Condition, l.job.Tasks[0].State, machine.reachability)
 }
 
-// exploreSequences plays every sequence that begins with some events and goes on with a number of others, until one
-// goes wrong.
+// exploreSequences plays, without a guard, every sequence that consists of the events in begins and length others,
+// until one breaks a rule. It returns the number of sequences played, and the failed sequence and its broken rule.
 func exploreSequences(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
 	t.Helper()
 	run := make([]int, len(begins)+length)
@@ -314,17 +322,17 @@
 	}
 }
 
-// All short sequences of events of one machine and the fleet: responses are lost, copies of heartbeats arrive at
-// any time, the worker restarts with session and sequence from the start, direct commands arrive or not, the
-// machine dies. What is on it counts, it gets work again once it recovered, and no copy brings it back. Without any
-// of the guards some sequence breaks that.
+// Plays all short sequences of events of one machine: lost messages, delayed copies of heartbeats, restarts of the
+// worker with its session and sequence number reset, direct requests, and the machine's death. A task on the machine
+// must count, a recovered machine must get work again, and no copy may make a dead machine ready. Without any one of
+// the guards, some sequence must break a rule.
 func TestAllEventSequencesOfOneMachine(t *testing.T) {
 	length := 4
 	if os.Getenv("HAREWALK_LONG") != "" {
 		length = 5
 	}
 	n, why := exploreSequences(t, "", length)
-	if t.Logf("%d runs", n); why != "" {
+	if t.Logf("played %d sequences", n); why != "" {
 		t.Fatal(why)
 	}
 	for _, g := range []struct {
@@ -337,18 +345,18 @@
 		{guardNewIncarnationLease, []string{"3 s", "restart"}},
 	} {
 		if n, why := exploreSequences(t, "", 2, g.begins...); why != "" {
-			t.Fatalf("after %d runs: %s", n, why)
+			t.Fatalf("with all guards: sequence %d failed: %s", n, why)
 		}
 		n, why := exploreSequences(t, g.without, 2, g.begins...)
-		if t.Logf("without %q: after %d runs, %s", g.without, n, why); why == "" {
-			t.Errorf("without %q nothing breaks", g.without)
+		if t.Logf("without the guard %q: sequence %d failed: %s", g.without, n, why); why == "" {
+			t.Errorf("without the guard %q: no sequence failed, want a failure", g.without)
 		}
 	}
 }
 
-// A machine whose lease expired is ready again with the second heartbeat of its new session: the response to the
-// first, at a former token, carries the leader's. Otherwise a whole zone that recovers waits for 5 s and counts as
-// lost again.
+// A machine whose lease expired must be ready again with the second heartbeat of its new session, since the response to
+// the first one, at a former token, carries the leader's token. Otherwise a whole zone that recovers waits for 5 s and
+// counts as lost again.
 func TestMachineIsReadyAgainAfterItsLeaseExpired(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
@@ -359,9 +367,9 @@
 		}
 		g.now += 30 * time.Second
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
-			t.Fatal(machine.Condition)
+			t.Fatalf("after 30 s without a heartbeat: got condition %s, want lost", machine.Condition)
 		}
-		tokens := []uint64{fenced, fenced, 2 * fenced} // the response to the first is lost
+		tokens := []uint64{fenced, fenced, 2 * fenced} // the response to the first heartbeat is lost
 		if known {
 			tokens = []uint64{2 * fenced, 2 * fenced, 2 * fenced} // a worker keeps its highest token in a new session
 		}
@@ -370,14 +378,14 @@
 			g.heartbeat("m", 2, token)
 		}
 		if machine.Condition != Ready {
-			t.Errorf("known before: %v: it is %s", known, machine.Condition)
+			t.Errorf("in contact before the expiry %v: got condition %s, want acting", known, machine.Condition)
 		}
 	}
 }
 
-// A worker has restarted, and its new incarnation was given a task with a licence by a direct launch that has no
-// response yet. A copy of a heartbeat of its former incarnation arrives, whose session was higher: it releases and
-// renews nothing and is no contact, and the heartbeats of the new incarnation go on counting.
+// A worker has restarted, and a direct launch to its new incarnation has no response yet. Then a copy of a heartbeat
+// from its former incarnation arrives, whose session number was higher. The copy must not release the launch, renew
+// the lease or count as contact, and the heartbeats of the new incarnation must still be accepted.
 func TestStaleCopyFromAFormerIncarnationHasNoEffect(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	old := newHeartbeat("m", 5, 900, 2*fenced)
@@ -387,7 +395,7 @@
 	}
 	g.now += 10 * time.Second
 	restarted := newHeartbeat("m", 1, 1, 0)
-	for restarted.Seq < 4 { // it is challenged and answers
+	for restarted.Seq < 4 { // the worker is challenged and returns the raised token
 		restarted.Seq++
 		g.now += time.Second
 		response, result := g.HandleHeartbeat(g.now, restarted)
@@ -397,7 +405,7 @@
 	}
 	machine := g.FindMachine("m")
 	if machine.Session != 1 || machine.Condition != Ready {
-		t.Fatalf("session %d, %v", machine.Session, machine.Condition)
+		t.Fatalf("after the restart: got session %d, condition %v, want 1, acting", machine.Session, machine.Condition)
 	}
 	machine.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
 	describe := func() string {
@@ -408,20 +416,20 @@
 	g.now += time.Second
 	old.Seq++
 	if _, result := g.HandleHeartbeat(g.now, old); result != Stale {
-		t.Errorf("the result of the copy is %d", result)
+		t.Errorf("stale copy: got result %d, want Stale", result)
 	}
 	if after := describe(); after != before {
-		t.Errorf("a copy changes %s to %s", before, after)
+		t.Errorf("stale copy changed the state from %s to %s", before, after)
 	}
 	restarted.Seq++
 	if _, result := g.HandleHeartbeat(g.now, restarted); result != Accepted {
-		t.Errorf("the result for the new incarnation is %d", result)
+		t.Errorf("heartbeat of the new incarnation: got result %d, want Accepted", result)
 	}
 }
 
-// A worker restarts, and its lease expires before any response: its session is higher than the last accepted one,
-// and it has no token. It can't be told from copies until it carries a token that none of them can, and is ready
-// soon all the same.
+// A worker restarts, and its lease expires before it receives a response. So its session number is higher than the last
+// accepted one, and it has no token. Its heartbeats can't be distinguished from copies until they carry a raised token.
+// The machine must be ready within 10 s.
 func TestRestartedWorkerWithAHigherSessionIsReadySoon(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, 2*fenced)
@@ -437,12 +445,13 @@
 		}
 	}
 	if duration := g.now - from; duration > 10*time.Second {
-		t.Errorf("session %d, %v after %v", machine.Session, machine.Condition, duration)
+		t.Errorf("got session %d, condition %v after %v, want 3, acting within 10 s", machine.Session, machine.Condition, duration)
 	}
 }
 
-// A machine's heartbeats never list the task that each response starts. While its lease may still be extended by the
-// responses, it gets nothing else and is not in contact. The first heartbeat at the raised token ends that.
+// A machine's heartbeats never list the task that each response starts. The machine must become unreachable one way: it
+// gets no more commands and is not in contact, though the responses may renew its lease. The first heartbeat at the
+// raised token must make it ready.
 func TestCommandsWithoutEffectMakeAMachineUnreachable(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	machine := g.RegisterMachine(0, "m")
@@ -459,16 +468,16 @@
 	sinceContact := g.now - machine.LastContactAt
 	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 ||
 		sinceContact < g.ReachabilityTimeout() {
-		t.Errorf("%v, %d commands sent to it lately, %d tasks queued on it, last contact %v ago",
+		t.Errorf("got condition %v, %d late commands, %d queued tasks, last contact %v ago, want deaf, 0, 0, more than the timeout",
 			machine.Condition, given, machine.QueuedTasks, sinceContact)
 	}
 	if g.heartbeat("m", 1, machine.Token); machine.Condition != Ready {
-		t.Errorf("%v though it carries the token that was raised", machine.Condition)
+		t.Errorf("after a heartbeat at the raised token: got condition %v, want acting", machine.Condition)
 	}
 }
 
-// A machine whose lease expired and that receives nothing sends heartbeats in one session after the other, at an
-// old token: that is no contact.
+// A machine whose lease expired and that receives no responses sends heartbeats at an old token, in a new session after
+// each expiry. These heartbeats must not count as contact.
 func TestUnreachableMachineWithExpiredLeaseIsNotInContact(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -477,11 +486,11 @@
 	for session := uint64(1); session < 6; session++ {
 		g.now += 30 * time.Second
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
-			t.Fatal(machine.Condition)
+			t.Fatalf("session %d: got condition %s, want lost", session, machine.Condition)
 		}
 		g.heartbeat("m", session+1, fenced)
 	}
 	if machine.LastContactAt != last || machine.LastHeartbeatAt != g.now {
-		t.Errorf("its last contact is at %v", machine.LastContactAt)
+		t.Errorf("got last contact at %v, want no contact after the expiry, and the last heartbeat recorded", machine.LastContactAt)
 	}
 }
