--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -111,17 +111,17 @@
 // running task that is expected to end in time continues. All other tasks stop while there is time to save a
 // checkpoint, and are started again on other machines.
 func (f *Fleet) shouldStopBeforeReclaim(now time.Duration, machine *Machine, job *jobs.Job, taskIndex int32) bool {
-	leftS := (machine.ReclaimAt - now).Seconds()
+	untilReclaimS := (machine.ReclaimAt - now).Seconds()
 	if job.Spec.Kind == jobs.Gang && job.TaskCount > 1 {
 		// A gang continues or stops as a whole. It continues only if the remaining time also suffices for its tasks to
 		// save a checkpoint and for the timeout of their peers.
-		hasTime := leftS > job.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1
-		if hasTime && f.remainingSeconds(now, job, taskIndex) < leftS*reclaimFinishShare {
+		hasTime := untilReclaimS > job.Spec.SaveS+f.Settings.Params.Workers.GangPeerS+1
+		if hasTime && f.remainingSeconds(now, job, taskIndex) < untilReclaimS*reclaimFinishShare {
 			return false
 		}
 		f.stopTasksOnMachines(job)
 		return true
 	}
 	isRunning := job.Tasks[taskIndex].Phase == jobs.Running
-	return !isRunning || f.remainingSeconds(now, job, taskIndex) >= leftS*reclaimFinishShare
+	return !isRunning || f.remainingSeconds(now, job, taskIndex) >= untilReclaimS*reclaimFinishShare
 }
--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -130,7 +130,7 @@
 	if loop.state == Healthy {
 		return
 	}
-	loop.recordMachine(machine.Index)
+	loop.recordFailedMachine(machine.Index)
 	if loop.state == HealthUnknown && len(loop.failedOn) >= crashLoopMachines {
 		f.setCrashLoopState(job, loop, CrashLooping)
 	}
@@ -160,8 +160,8 @@
 	}
 }
 
-// recordMachine records that the job failed on a machine.
-func (l *crashLoop) recordMachine(machineIndex int32) {
+// recordFailedMachine records that the job failed on a machine.
+func (l *crashLoop) recordFailedMachine(machineIndex int32) {
 	if slices.Contains(l.failedOn, machineIndex) {
 		return
 	}
--- a/internal/fleet/crashloop_test.go
+++ b/internal/fleet/crashloop_test.go
@@ -15,12 +15,12 @@
 // done task and a service that ran for a minute must count as healthy.
 func TestFailuresAreAttributedToJobOrMachine(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		kind     jobs.Kind
-		done     bool          // another task of the job is done before the failures
-		ran      time.Duration // run time of the task before each failure
-		machines int           // number of machines on which the task fails
-		want     CrashLoopState
+		name        string
+		kind        jobs.Kind
+		hasDoneTask bool          // another task of the job is done before the failures
+		ran         time.Duration // run time of the task before each failure
+		machines    int           // number of machines on which the task fails
+		want        CrashLoopState
 	}{
 		{"array on one machine", jobs.Array, false, time.Second, 1, HealthUnknown},
 		{"array on two machines", jobs.Array, false, time.Second, 2, CrashLooping},
@@ -34,7 +34,7 @@
 		s.Kind = c.kind
 		job := g.submit(s)
 		g.now = 5 * time.Minute
-		if c.done {
+		if c.hasDoneTask {
 			g.checkTransition(job.SetTaskState(0, jobs.Finished))
 		}
 		for i := range c.machines {
@@ -58,34 +58,34 @@
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	job := g.submit(spec(1, 100))
 	machineNames := []string{"m0", "m1", "m2"}
-	last, tries := time.Duration(0), 0
-	var gaps []time.Duration
+	lastStart, tries := time.Duration(0), 0
+	var delays []time.Duration
 	for range 400 {
 		g.now += 700 * time.Millisecond
 		for _, name := range machineNames {
 			for _, c := range starts(g.heartbeat(name, 1, fenced)) {
 				if tries++; tries > 12 {
-					gaps = append(gaps, g.now-last)
+					delays = append(delays, g.now-lastStart)
 				}
-				last = g.now
+				lastStart = g.now
 				g.now += 100 * time.Millisecond
-				gone := TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskExited, ExitCause: exitError}
-				g.heartbeat(name, 1, fenced, gone)
+				failed := TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskExited, ExitCause: exitError}
+				g.heartbeat(name, 1, fenced, failed)
 				g.heartbeat(name, 1, fenced)
 			}
 		}
 		g.settleFor(3, store.Committed)
 	}
 	loop := g.crashLooping(job)
-	if loop == nil || len(gaps) < 3 || gaps[len(gaps)-1] < 16*time.Second {
-		t.Fatalf("got crash loop %+v, delays %v, want at least 3 delays, the last one of 16 s or more", loop, gaps)
+	if loop == nil || len(delays) < 3 || delays[len(delays)-1] < 16*time.Second {
+		t.Fatalf("got crash loop %+v, delays %v, want at least 3 delays, the last one of 16 s or more", loop, delays)
 	}
-	for i, duration := range gaps {
-		if i > 0 && duration < gaps[i-1]-2*time.Second || duration > maxCrashLoopBackoff+3*time.Second {
-			t.Errorf("got delays %v, want increasing ones of at most about 64 s", gaps)
+	for i, duration := range delays {
+		if i > 0 && duration < delays[i-1]-2*time.Second || duration > maxCrashLoopBackoff+3*time.Second {
+			t.Errorf("got delays %v, want increasing ones of at most about 64 s", delays)
 		}
 	}
-	if why := g.PendingReasons(g.now, job); len(why) == 0 || why[0].Cause != CrashLoopBackoff {
-		t.Errorf("got pending reasons %+v, want failing first", why)
+	if reasons := g.PendingReasons(g.now, job); len(reasons) == 0 || reasons[0].Cause != CrashLoopBackoff {
+		t.Errorf("got pending reasons %+v, want failing first", reasons)
 	}
 }
--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -28,8 +28,8 @@
 	return g
 }
 
-// read stores a job's record and applies it to the job table, the graph and the fleet.
-func (g *dependentRig) read(state jobs.State, spec *jobs.Spec) *jobs.Job {
+// storeRecord stores a job's record and applies it to the job table, the graph and the fleet.
+func (g *dependentRig) storeRecord(state jobs.State, spec *jobs.Spec) *jobs.Job {
 	g.t.Helper()
 	g.revision++
 	key := jobs.RecordKey(spec.ID)
@@ -54,8 +54,8 @@
 	return s
 }
 
-// ranked returns the ids of the ranked jobs, highest priority first.
-func (g *dependentRig) ranked() []string {
+// rankedIDs returns the ids of the ranked jobs, highest priority first.
+func (g *dependentRig) rankedIDs() []string {
 	g.RankJobs(g.now)
 	var ids []string
 	for _, job := range g.ranking.jobs {
@@ -70,14 +70,14 @@
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
 	g.Settings.Operator.StartDeadlineS = 10
 	g.heartbeat("m", 1, fenced)
-	first := g.read(jobs.Pending, spec(1, 1))
-	last := g.read(jobs.Pending, follower(2, 2, first.Spec))
+	first := g.storeRecord(jobs.Pending, spec(1, 1))
+	last := g.storeRecord(jobs.Pending, follower(2, 2, first.Spec))
 	g.settle(store.Committed)
 	commands := starts(g.heartbeat("m", 1, fenced))
 	if len(commands) != 1 || commands[0].Task != taskName(first, 0) || last.Tasks != nil {
 		t.Fatalf("got starts %v, blocked job's tasks %v, want a start of the predecessor, no tasks", commands, last.Tasks)
 	}
-	if got := g.ranked(); !slices.Equal(got, []string{first.ID}) {
+	if got := g.rankedIDs(); !slices.Equal(got, []string{first.ID}) {
 		t.Errorf("got ranked jobs %v, want only the predecessor", got)
 	}
 	for _, need := range g.Demand(g.now) {
@@ -96,12 +96,12 @@
 func TestReleasedJobIsPlanned(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
 	g.Settings.Operator.StartDeadlineS = 60
-	first := g.read(jobs.Pending, spec(1, 1))
-	last := g.read(jobs.Pending, follower(2, 2, first.Spec))
+	first := g.storeRecord(jobs.Pending, spec(1, 1))
+	last := g.storeRecord(jobs.Pending, follower(2, 2, first.Spec))
 	g.settle(store.Committed)
 	g.now += 5 * time.Minute
 	releasedAt := g.now
-	g.read(jobs.Done, first.Spec)
+	g.storeRecord(jobs.Done, first.Spec)
 	if last.Blocked || last.ReadyAt() != releasedAt {
 		t.Fatalf("got blocked %v, ready at %v, want false, %v", last.Blocked, last.ReadyAt(), releasedAt)
 	}
@@ -120,9 +120,9 @@
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t", CPUs: 2})
 	first := spec(1, 1)
 	for n := range 100 {
-		g.read(jobs.Pending, follower(n+2, 4, first))
+		g.storeRecord(jobs.Pending, follower(n+2, 4, first))
 	}
-	young := g.read(jobs.Pending, spec(200, 2))
+	young := g.storeRecord(jobs.Pending, spec(200, 2))
 	g.RankJobs(g.now)
 	if !g.ranking.withinGuarantee[young.Index] || young.QueuePosition != 1 {
 		t.Errorf("got within guarantee %v at position %d, want true at 1", g.ranking.withinGuarantee[young.Index], young.QueuePosition)
@@ -139,10 +139,10 @@
 	} {
 		g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t", CPUs: 8})
 		g.Settings.Params.Objectives = []config.Objective{objective}
-		first := g.read(jobs.Pending, spec(1, 1))
-		last := g.read(jobs.Pending, follower(2, 1, first.Spec))
+		first := g.storeRecord(jobs.Pending, spec(1, 1))
+		last := g.storeRecord(jobs.Pending, follower(2, 1, first.Spec))
 		g.now += 10 * time.Minute
-		g.read(jobs.Done, first.Spec)
+		g.storeRecord(jobs.Done, first.Spec)
 		g.RankJobs(g.now)
 		latestStart, attainable := g.latestUsefulStart(g.now, last)
 		if want := g.now + 30*time.Second; !attainable || latestStart != want {
@@ -155,24 +155,24 @@
 // jobs in between.
 func TestPredecessorRanksByItsSuccessors(t *testing.T) {
 	g := newDependentRig(t, 1, map[string]json.RawMessage{}, config.Team{Name: "t"})
-	alone := g.read(jobs.Pending, spec(1, 1))
-	first := g.read(jobs.Pending, spec(2, 1))
-	middle := g.read(jobs.Pending, follower(3, 1, first.Spec))
+	alone := g.storeRecord(jobs.Pending, spec(1, 1))
+	first := g.storeRecord(jobs.Pending, spec(2, 1))
+	middle := g.storeRecord(jobs.Pending, follower(3, 1, first.Spec))
 	last := follower(4, 1, middle.Spec)
 	last.Priority = "urgent"
-	g.read(jobs.Pending, last)
-	if got := g.ranked(); !slices.Equal(got, []string{first.ID, alone.ID}) {
+	g.storeRecord(jobs.Pending, last)
+	if got := g.rankedIDs(); !slices.Equal(got, []string{first.ID, alone.ID}) {
 		t.Errorf("successor with priority urgent: got ranked jobs %v, want the predecessor before the single job", got)
 	}
-	g.read(jobs.Cancelled, last)
-	if got := g.ranked(); !slices.Equal(got, []string{alone.ID, first.ID}) {
+	g.storeRecord(jobs.Cancelled, last)
+	if got := g.rankedIDs(); !slices.Equal(got, []string{alone.ID, first.ID}) {
 		t.Errorf("urgent successor cancelled: got ranked jobs %v, want the single job before the predecessor", got)
 	}
 	deadlineS := 1000.0
 	withDeadline := follower(5, 1, middle.Spec)
 	withDeadline.DeadlineS = &deadlineS
-	g.read(jobs.Pending, withDeadline)
-	if got := g.ranked(); !slices.Equal(got, []string{first.ID, alone.ID}) {
+	g.storeRecord(jobs.Pending, withDeadline)
+	if got := g.rankedIDs(); !slices.Equal(got, []string{first.ID, alone.ID}) {
 		t.Errorf("successor with a deadline: got ranked jobs %v, want the predecessor before the single job", got)
 	}
 	latestStart, _ := g.latestUsefulStart(g.now, first)
@@ -182,20 +182,20 @@
 	}
 }
 
-// takenOver returns a rig of the next leader and a job with a running and a waiting task. The leader has no record of
-// the job's predecessor, which was archived.
-func takenOver(t *testing.T, kind jobs.Kind) (g *dependentRig, job *jobs.Job) {
+// newRigAfterTakeover returns a rig of the next leader and a job with a running and a waiting task. The leader has no
+// record of the job's predecessor, which was archived.
+func newRigAfterTakeover(t *testing.T, kind jobs.Kind) (g *dependentRig, job *jobs.Job) {
 	t.Helper()
 	kv := map[string]json.RawMessage{}
 	team := config.Team{Name: "t"}
 	former := newDependentRig(t, 1, kv, team)
 	former.heartbeat("m", 1, fenced)
-	first := former.read(jobs.Pending, spec(1, 1))
+	first := former.storeRecord(jobs.Pending, spec(1, 1))
 	last := follower(2, 2, first.Spec)
 	last.Kind = kind
 	last.CPUs = 2
-	former.read(jobs.Pending, last)
-	former.read(jobs.Done, first.Spec)
+	former.storeRecord(jobs.Pending, last)
+	former.storeRecord(jobs.Done, first.Spec)
 	former.settle(store.Committed)
 	if commands := starts(former.heartbeat("m", 1, fenced)); len(commands) != 2 {
 		t.Fatalf("got starts %v, want 2", commands)
@@ -208,7 +208,7 @@
 // A new leader without a record of a running job's predecessor must keep the job's tasks running and start no more of
 // them. It must start the others after the archive shows that the predecessor is done.
 func TestRecoveredTasksOfABlockedJobKeepRunning(t *testing.T) {
-	g, job := takenOver(t, jobs.Array)
+	g, job := newRigAfterTakeover(t, jobs.Array)
 	if !job.Blocked || job.Tasks[0].State != jobs.Recovered {
 		t.Fatalf("after takeover: got blocked %v, task state %v, want true, recovered", job.Blocked, job.Tasks[0].State)
 	}
@@ -238,7 +238,7 @@
 	job := g.Jobs.Get(waiting.ID)
 	g.heartbeat("m", 1, 2*fenced)
 	g.settle(store.Committed)
-	if got := g.ranked(); job.Tasks != nil || len(got) != 0 || len(g.Demand(g.now)) != 0 {
+	if got := g.rankedIDs(); job.Tasks != nil || len(got) != 0 || len(g.Demand(g.now)) != 0 {
 		t.Fatalf("got %d tasks, ranked jobs %v, want none of either and no demand", len(job.Tasks), got)
 	}
 	g.graph.HandleArchived(g.now, spec(1, 1).ID, jobs.Done)
@@ -255,14 +255,14 @@
 	kv := map[string]json.RawMessage{}
 	team := config.Team{Name: "t"}
 	former := newDependentRig(t, 1, kv, team)
-	first := former.read(jobs.Pending, spec(1, 1))
+	first := former.storeRecord(jobs.Pending, spec(1, 1))
 	gang := follower(2, 2, first.Spec)
 	gang.Kind = jobs.Gang
 	gang.CPUs = 3
 	former.heartbeat("m1", 1, fenced)
 	former.heartbeat("m2", 1, fenced)
-	last := former.read(jobs.Pending, gang)
-	former.read(jobs.Done, first.Spec)
+	last := former.storeRecord(jobs.Pending, gang)
+	former.storeRecord(jobs.Done, first.Spec)
 	former.settle(store.Committed)
 	former.heartbeat("m1", 1, fenced)
 	former.heartbeat("m2", 1, fenced)
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -39,7 +39,7 @@
 
 // While the outcome of a write that moves a task to another machine is indeterminate, a successor may read either
 // machine. So the plan must not count as durable, unless the write names the same machine.
-func TestIndeterminateMoveBlocksStartsOnBothMachines(t *testing.T) {
+func TestPlanIsNotDurableDuringAnIndeterminateMove(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 1))
@@ -84,8 +84,8 @@
 	return TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskExited, ExitCause: exitDone}
 }
 
-// launched returns a rig and a job of one task, whose direct launch was sent and has no response yet.
-func launched(t *testing.T) (*rig, *jobs.Job) {
+// newRigWithLaunch returns a rig and a job of one task, whose direct launch was sent and has no response yet.
+func newRigWithLaunch(t *testing.T) (*rig, *jobs.Job) {
 	t.Helper()
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -109,7 +109,7 @@
 // A direct launch whose outcome is indeterminate must count against its team's quota until a heartbeat carries a raised
 // token.
 func TestIndeterminateLaunchCountsUntilFenced(t *testing.T) {
-	g, job := launched(t)
+	g, job := newRigWithLaunch(t)
 	g.directCallbacks[0](nil, false)
 	g.cancel(job)
 	g.heartbeat("m", 1, fenced) // this response raises the token
@@ -129,10 +129,10 @@
 // While a direct launch of an attempt may arrive, the attempt must not be forgotten: a worker that has forgotten it
 // would start it again.
 func TestForgetWaitsForAnIndeterminateLaunch(t *testing.T) {
-	g, job := launched(t)
-	at := job.Tasks[0].Attempt
-	stopped := TaskReport{Task: "req-000001/0", Attempt: at, State: taskExited, ExitCause: exitError}
-	has := func(cs []Command) bool {
+	g, job := newRigWithLaunch(t)
+	attempt := job.Tasks[0].Attempt
+	stopped := TaskReport{Task: "req-000001/0", Attempt: attempt, State: taskExited, ExitCause: exitError}
+	hasForget := func(cs []Command) bool {
 		for _, c := range cs {
 			if c.Op == opForget {
 				return true
@@ -140,14 +140,14 @@
 		}
 		return false
 	}
-	if has(g.heartbeat("m", 1, fenced, stopped)) {
+	if hasForget(g.heartbeat("m", 1, fenced, stopped)) {
 		t.Fatal("direct launch without a response: got a forget command, want none")
 	}
 	g.directCallbacks[0](nil, false)
-	if has(g.heartbeat("m", 1, fenced, stopped)) {
+	if hasForget(g.heartbeat("m", 1, fenced, stopped)) {
 		t.Fatal("direct launch may still arrive: got a forget command, want none")
 	}
-	if !has(g.heartbeat("m", 1, fenced+1, stopped)) {
+	if !hasForget(g.heartbeat("m", 1, fenced+1, stopped)) {
 		t.Fatal("after a heartbeat at the raised token: got no forget command, want one")
 	}
 }
@@ -173,7 +173,7 @@
 
 // After a failover, a cancelled job's task that may still run must count against its team's quota and be stopped.
 func TestCancelledTasksCountAfterFailover(t *testing.T) {
-	g, job := launched(t)
+	g, job := newRigWithLaunch(t)
 	g.cancel(job)
 	n := newRig(t, 2, g.kv)
 	if used := n.Gate.Quota.Team(n.Jobs.Names.Teams.Index("t")).Used.CPUs; used != 1 {
@@ -187,8 +187,8 @@
 }
 
 // A response to a direct request that arrives after its job's tasks were removed must not cause a panic.
-func TestDirectResponseAfterItsJobWasSwept(t *testing.T) {
-	g, job := launched(t)
+func TestDirectResponseAfterTasksWereRemoved(t *testing.T) {
+	g, job := newRigWithLaunch(t)
 	g.heartbeat("m", 1, fenced, doneReport(job))
 	g.settle(store.Committed)
 	if job.Tasks != nil || job.State != jobs.Done {
@@ -199,19 +199,19 @@
 
 // The write of a job's terminal record must be conditional on the version that was read, so that it can't overwrite an
 // earlier cancellation.
-func TestDoneNeverOverwritesACancellation(t *testing.T) {
-	g, job := launched(t)
+func TestDoneRecordIsConditionalOnReadVersion(t *testing.T) {
+	g, job := newRigWithLaunch(t)
 	g.heartbeat("m", 1, fenced, doneReport(job))
-	var seen []store.Condition
-	g.Commit = func(tx store.Txn, done func(store.Result)) { seen = append(seen, tx.If...) }
+	var conditions []store.Condition
+	g.Commit = func(tx store.Txn, done func(store.Result)) { conditions = append(conditions, tx.If...) }
 	g.FlushWrites(g.now)
 	want := store.Condition{Key: jobs.RecordKey(job.ID), Version: job.Version}
-	for _, c := range seen {
+	for _, c := range conditions {
 		if c == want {
 			return
 		}
 	}
-	t.Fatalf("got conditions %v, want %v among them", seen, want)
+	t.Fatalf("got conditions %v, want %v among them", conditions, want)
 }
 
 // The next leader must load the hints about the machines' image caches, and ignore invalid positions in them.
@@ -239,7 +239,7 @@
 }
 
 // A failed task must be retried on another machine after a delay, and its job's queued tasks must leave the machine.
-func TestFailedTasksRunElsewhere(t *testing.T) {
+func TestFailedTaskIsRetriedOnAnotherMachine(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
 	job := g.submit(spec(1, 6)) // four run, two are queued
@@ -249,17 +249,17 @@
 		t.Fatalf("got %d starts, want 4", len(cs))
 	}
 	failed := TaskReport{Task: cs[0].Task, Attempt: cs[0].Attempt, State: taskExited, ExitCause: exitError}
-	alive := func() (out []TaskReport) {
+	running := func() (out []TaskReport) {
 		for _, c := range cs[1:] {
 			out = append(out, TaskReport{Task: c.Task, Attempt: c.Attempt, State: taskRunning})
 		}
 		return out
 	}
-	g.heartbeat("m", 1, fenced, append(alive(), failed)...)
+	g.heartbeat("m", 1, fenced, append(running(), failed)...)
 	g.heartbeat("n", 1, fenced)
 	g.settle(store.Committed)
-	if again := starts(g.heartbeat("m", 1, fenced, alive()...)); len(again) != 0 {
-		t.Fatalf("machine on which the task failed: got starts %v, want none", again)
+	if restarts := starts(g.heartbeat("m", 1, fenced, running()...)); len(restarts) != 0 {
+		t.Fatalf("machine on which the task failed: got starts %v, want none", restarts)
 	}
 	g.now += 5 * time.Second
 	g.keepInContact()
@@ -306,46 +306,46 @@
 // No attempt number may be used twice, in any term. A repeated launch of a task must be distinguishable from an earlier
 // one, and the tasks of a gang find each other by the attempt number.
 func TestAttemptsNeverRepeatAcrossTerms(t *testing.T) {
-	seen := map[uint64]uint64{}
+	termOf := map[uint64]uint64{}
 	for term := uint64(1); term < 5; term++ {
 		f := &Fleet{Term: term}
 		for range 1000 {
 			a := f.nextAttempt()
-			if was, ok := seen[a]; ok {
-				t.Fatalf("attempt %d was issued in term %d and again in term %d", a, was, term)
+			if earlier, ok := termOf[a]; ok {
+				t.Fatalf("attempt %d was issued in term %d and again in term %d", a, earlier, term)
 			}
-			seen[a] = term
+			termOf[a] = term
 		}
 	}
 }
 
 // After a task is stopped during the download of its image, the machine must not count as having the image, unless
 // another task there still waits for it. After a task that ran, the machine must count as having it.
-func TestAbandonedDownloadLeavesNoImage(t *testing.T) {
+func TestStoppedDownloadRemovesImageFromInferredCache(t *testing.T) {
 	for _, c := range []struct {
-		states []AttemptState // of the task's attempt, before it is stopped
-		other  bool           // another task of the job is downloading the image
-		has    bool           // the machine counts as having the image afterwards
+		states        []AttemptState // of the task's attempt, before it is stopped
+		otherFetching bool           // another task of the job is downloading the image
+		wantImage     bool           // the machine counts as having the image afterwards
 	}{
-		{states: []AttemptState{taskFetching}, other: false, has: false},
-		{states: []AttemptState{taskFetching, taskRunning}, other: false, has: true},
-		{states: []AttemptState{taskFetching}, other: true, has: true},
+		{states: []AttemptState{taskFetching}, otherFetching: false, wantImage: false},
+		{states: []AttemptState{taskFetching, taskRunning}, otherFetching: false, wantImage: true},
+		{states: []AttemptState{taskFetching}, otherFetching: true, wantImage: true},
 	} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
 		g.heartbeat("m", 1, 2*fenced)
 		n := 1
-		if c.other {
+		if c.otherFetching {
 			n = 2
 		}
 		job := g.submit(spec(1, n))
 		g.settle(store.Committed)
 		g.now += time.Second
 		g.heartbeat("m", 1, 2*fenced)
-		report := func(state AttemptState, why ExitCause) {
+		report := func(state AttemptState, cause ExitCause) {
 			g.now += time.Second
-			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, ExitCause: why}}
-			if c.other {
+			tasks := []TaskReport{{Task: "req-000001/0", Attempt: job.Tasks[0].Attempt, State: state, ExitCause: cause}}
+			if c.otherFetching {
 				second := TaskReport{Task: "req-000001/1", Attempt: job.Tasks[1].Attempt, State: taskFetching}
 				tasks = append(tasks, second)
 			}
@@ -359,8 +359,9 @@
 		}
 		machine.Returning = true // prevents further starts
 		report(taskExited, exitStopped)
-		if machine.HasImage(job.Image) != c.has {
-			t.Errorf("states %v, another task downloading %v: machine counts as having the image: %v, want the opposite", c.states, c.other, !c.has)
+		if machine.HasImage(job.Image) != c.wantImage {
+			t.Errorf("states %v, another task downloading %v: machine counts as having the image: %v, want the opposite",
+				c.states, c.otherFetching, !c.wantImage)
 		}
 	}
 }
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -53,9 +53,9 @@
 // imageHintsInterval is the minimum time between two writes of hints.
 const imageHintsInterval = 4 * time.Second
 
-// hintShardMachines is the number of machines whose hints share one key. The hints of all machines of a large fleet
+// machinesPerHintShard is the number of machines whose hints share one key. The hints of all machines of a large fleet
 // would exceed the size limit of one value.
-const hintShardMachines = 128
+const machinesPerHintShard = 128
 
 // imageHintRecord is the stored form of one shard of the hints. Machines lists, by machine name, the positions of
 // images in Images, least recently used first. GB has the sizes of the Images.
@@ -82,7 +82,7 @@
 
 // markHintsDirty records that a machine's inferred cache has changed since the last write of its shard.
 func (f *Fleet) markHintsDirty(machine *Machine) {
-	shard := int(machine.Index) / hintShardMachines
+	shard := int(machine.Index) / machinesPerHintShard
 	for len(f.hints.dirtyShards) <= shard {
 		f.hints.dirtyShards = append(f.hints.dirtyShards, false)
 	}
@@ -98,8 +98,8 @@
 		size:      imageHintBaseBytes,
 		limit:     f.valueLimit(),
 	}
-	first := shard * hintShardMachines
-	for _, machine := range f.machines[first:min(len(f.machines), first+hintShardMachines)] {
+	first := shard * machinesPerHintShard
+	for _, machine := range f.machines[first:min(len(f.machines), first+machinesPerHintShard)] {
 		if machine.Condition == Terminated || machine.Condition == LeaseExpired || len(machine.cachedImages) == 0 {
 			continue
 		}
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// clockDriftBound is the inverse of the maximum drift of a worker's clock, which may be slow by one part in 500.
-	clockDriftBound = 500
+	// clockDriftDivisor is the inverse of the maximum drift of a worker's clock, which may be slow by one part in 500.
+	clockDriftDivisor = 500
 	// leaseExpiryMargin is added to the lease and the drift, so that the expiry is certain.
 	leaseExpiryMargin = time.Second
 )
@@ -22,7 +22,7 @@
 // worker's clock may be slow by the maximum drift.
 func (f *Fleet) expireLeases(now time.Duration) {
 	lease := f.Settings.WorkerLease()
-	limit := lease + lease/clockDriftBound + leaseExpiryMargin
+	limit := lease + lease/clockDriftDivisor + leaseExpiryMargin
 	for _, machine := range f.machines {
 		isEnded := machine.Condition == LeaseExpired || machine.Condition == Terminated
 		if isEnded || now-machine.LastAnsweredAt <= limit {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -76,7 +76,7 @@
 	Token        uint64
 	Session, Seq uint64 // session and sequence number of the latest accepted heartbeat
 
-	FirstSeenAt     time.Duration // time of registration
+	RegisteredAt    time.Duration // time of registration
 	LastContactAt   time.Duration // time of the last heartbeat that counts as contact, see recordContact
 	LastHeartbeatAt time.Duration // time of the last accepted heartbeat
 	LastAnsweredAt  time.Duration // latest time at which the worker's lease may have begun or been renewed
@@ -198,7 +198,7 @@
 		Type:                  jobs.None,
 		Zone:                  jobs.None,
 		Token:                 f.Term << tokenBits,
-		FirstSeenAt:           now,
+		RegisteredAt:          now,
 		LastContactAt:         now,
 		LastAnsweredAt:        now,
 		IdleSince:             now,
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -8,20 +8,20 @@
 )
 
 // Any heartbeat, also from a sender that only claims to be a worker, must be refused or applied without a panic.
-func TestMalformedHeartbeatsAreHarmless(t *testing.T) {
+func TestMalformedHeartbeatsDoNotPanic(t *testing.T) {
 	g := newRig(t, 1, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
 	g.submit(spec(1, 3))
-	good := []byte(`{"den":"m","address":"10.1.0.2:9000","build":"ty","meadow":"z","stray":true,"run":1,"tally":88,"mark":1048576,
+	wellFormed := []byte(`{"den":"m","address":"10.1.0.2:9000","build":"ty","meadow":"z","stray":true,"run":1,"tally":88,"mark":1048576,
  "warning_s":null,"hops":[{"hop":"req-000001/1","try":2,"stance":"running"},{"hop":"req-000001/0","try":1,"stance":"exited","cause":"done"}]}`)
-	heartbeat, err := ParseHeartbeat(good)
+	heartbeat, err := ParseHeartbeat(wellFormed)
 	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.NoticeS != nil {
 		t.Fatalf("well-formed heartbeat: got %+v, error %v, want 2 tasks, token 1048576, no notice", heartbeat, err)
 	}
 	rng := rand.New(rand.NewPCG(9, 9))
 	accepted, refused := 0, 0
 	for i := range 20_000 {
-		raw := append([]byte(nil), good...)
+		raw := append([]byte(nil), wellFormed...)
 		for range 1 + rng.IntN(4) {
 			raw[rng.IntN(len(raw))] = byte(32 + rng.IntN(95))
 		}
@@ -45,7 +45,7 @@
 }
 
 // The encoded messages must have the protocol's names and forms, byte for byte. Decoding must reverse the encoding.
-func TestMessagesOnTheWire(t *testing.T) {
+func TestMessageEncoding(t *testing.T) {
 	notice := 29.5
 	heartbeat := Heartbeat{
 		Machine: "m", Addr: "10.1.0.2:9000", Type: "ty", Zone: "z", Spot: true, Session: 3, Seq: 88, Token: fenced,
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -21,11 +21,12 @@
 const (
 	// reachabilityMargin is the part of ReachabilityTimeout for transmission and processing.
 	reachabilityMargin = 500 * time.Millisecond
-	// slowestHeartbeat is the maximum interval between two heartbeats of a worker in contact, as a multiple of the
+	// maxIntervalFactor is the maximum interval between two heartbeats of a worker in contact, as a multiple of the
 	// configured interval.
-	slowestHeartbeat = 1.25
-	// overdueHeartbeat is the interval after which a heartbeat counts as missed, as a multiple of the configured one.
-	overdueHeartbeat = 1.6
+	maxIntervalFactor = 1.25
+	// overdueIntervalFactor is the interval after which a heartbeat counts as missed, as a multiple of the configured
+	// one.
+	overdueIntervalFactor = 1.6
 )
 
 // reachability records what the heartbeats of a machine have shown about the messages that reach its worker.
@@ -58,13 +59,13 @@
 // response waits for the response timeout, sends a request to another controller, is redirected, and sends one more
 // heartbeat.
 func (f *Fleet) ReachabilityTimeout() time.Duration {
-	interval := jobs.Seconds(slowestHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
+	interval := jobs.Seconds(maxIntervalFactor * f.Settings.Params.Workers.HeartbeatIntervalS)
 	return workerResponseTimeout + workerRetryDelay + interval + reachabilityMargin
 }
 
 // overdueAfter returns the time after a machine's last contact at which its next heartbeat counts as missed.
 func (f *Fleet) overdueAfter() time.Duration {
-	return jobs.Seconds(overdueHeartbeat * f.Settings.Params.Workers.HeartbeatIntervalS)
+	return jobs.Seconds(overdueIntervalFactor * f.Settings.Params.Workers.HeartbeatIntervalS)
 }
 
 // confirmsLastResponse reports whether the machine of a fenced heartbeat counts as reachable. The heartbeat confirms
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -24,7 +24,7 @@
 	runningAttempt                uint64        // attempt at the task that is on the machine; 0 if none is
 	isDead                        bool
 	incarnation, knownIncarnation int             // number of restarts, and their number at the last accepted heartbeat
-	history                       []sentHeartbeat // all heartbeats that were sent
+	sentHeartbeats                []sentHeartbeat // all heartbeats that were sent
 	removedGuard                  string          // the guard that the test removes; "" if none
 	copyEffect                    string          // description of a forbidden effect of a copy; "" if there was none
 }
@@ -45,9 +45,9 @@
 }
 
 // newSingleMachine returns a machine that has sent two heartbeats, and whose fleet has planned one task.
-func newSingleMachine(t testing.TB, without string) *singleMachine {
+func newSingleMachine(t testing.TB, removedGuard string) *singleMachine {
 	t.Helper()
-	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: without}
+	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: removedGuard}
 	s := spec(1, 1)
 	s.EstimateS = 1e5
 	l.sendHeartbeat(true)
@@ -74,7 +74,7 @@
 	if l.runningAttempt > 0 {
 		heartbeat.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.runningAttempt, State: taskRunning}}
 	}
-	l.history = append(l.history, sentHeartbeat{*heartbeat, l.incarnation, false})
+	l.sentHeartbeats = append(l.sentHeartbeats, sentHeartbeat{*heartbeat, l.incarnation, false})
 	return heartbeat
 }
 
@@ -103,12 +103,12 @@
 	return l.HandleHeartbeat(l.now, &c)
 }
 
-// deliverCopy delivers a copy of heartbeat i of the history. The copy must have no effect, unless the heartbeat itself
+// deliverCopy delivers a copy of sentHeartbeats[i]. The copy must have no effect, unless the heartbeat itself
 // never arrived, is from the present incarnation as far as the fleet can determine, and is from a session that has not
 // certainly ended.
 func (l *singleMachine) deliverCopy(i int) {
 	machine := l.machines[0]
-	copied := &l.history[i]
+	copied := &l.sentHeartbeats[i]
 	isLive := machine.Condition != LeaseExpired || copied.Session > machine.Session
 	mayHaveEffect := !copied.arrived && copied.incarnation >= l.knownIncarnation && isLive
 	copied.arrived = true
@@ -130,7 +130,7 @@
 func (l *singleMachine) sendHeartbeat(received bool) {
 	l.expireLease()
 	heartbeat, sent := l.makeHeartbeat(), l.now
-	l.history[len(l.history)-1].arrived = true
+	l.sentHeartbeats[len(l.sentHeartbeats)-1].arrived = true
 	response, result := l.deliver(heartbeat)
 	if machine := l.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
 		l.knownIncarnation = l.incarnation
@@ -175,7 +175,7 @@
 			l.execute(request.Commands)
 		}
 		heartbeat = l.makeHeartbeat()
-		l.history = l.history[:len(l.history)-1] // a response is never delivered as a copy
+		l.sentHeartbeats = l.sentHeartbeats[:len(l.sentHeartbeats)-1] // a response is never delivered as a copy
 	}
 	if heartbeat == nil || !received {
 		l.now += 2 * time.Second
@@ -191,10 +191,10 @@
 	}
 }
 
-// modelEvent is an event of the model, which do applies.
+// modelEvent is an event of the model, and the function that applies it.
 type modelEvent struct {
-	name string
-	do   func(l *singleMachine)
+	name  string
+	apply func(l *singleMachine)
 }
 
 // modelEvents are all events that can follow any other event.
@@ -215,8 +215,8 @@
 		}
 	}},
 	{"first copy", func(l *singleMachine) { l.deliverCopy(0) }},
-	{"middle copy", func(l *singleMachine) { l.deliverCopy(len(l.history) / 2) }},
-	{"last copy", func(l *singleMachine) { l.deliverCopy(len(l.history) - 1) }},
+	{"middle copy", func(l *singleMachine) { l.deliverCopy(len(l.sentHeartbeats) / 2) }},
+	{"last copy", func(l *singleMachine) { l.deliverCopy(len(l.sentHeartbeats) - 1) }},
 	{"restart", func(l *singleMachine) {
 		if !l.isDead {
 			l.session, l.seq, l.token, l.runningAttempt, l.leaseStart = 1, 0, 0, 0, l.now
@@ -248,9 +248,9 @@
 
 // playSequence applies a sequence of events and lets the machine recover, or delivers copies if it died. It describes
 // the first broken rule, or returns "" if no rule was broken.
-func (l *singleMachine) playSequence(run []int) string {
-	for _, e := range run {
-		modelEvents[e].do(l)
+func (l *singleMachine) playSequence(sequence []int) string {
+	for _, e := range sequence {
+		modelEvents[e].apply(l)
 		if why := l.violation(); why != "" {
 			return why
 		}
@@ -265,9 +265,9 @@
 		l.now += 3 * l.Settings.WorkerLease()
 		l.settleBriefly()
 		lastContact := machine.LastContactAt
-		for i := range l.history {
+		for i := range l.sentHeartbeats {
 			// A heartbeat that never arrived may be the machine's newest, and have an effect.
-			if r := &l.history[len(l.history)-1-i]; r.arrived {
+			if r := &l.sentHeartbeats[len(l.sentHeartbeats)-1-i]; r.arrived {
 				l.deliver(&r.Heartbeat)
 				l.settleBriefly()
 			}
@@ -277,8 +277,8 @@
 		}
 		return ""
 	}
-	from := l.now
-	for l.now-from < 60*time.Second {
+	recoveredAt := l.now
+	for l.now-recoveredAt < 60*time.Second {
 		l.now += time.Second
 		l.sendHeartbeat(true)
 		if why := l.violation(); why != "" {
@@ -294,31 +294,32 @@
 		machine.Condition, l.job.Tasks[0].State, machine.reachability)
 }
 
-// exploreSequences plays, without a guard, every sequence that consists of the events in begins and length others,
-// until one breaks a rule. It returns the number of sequences played, and the failed sequence and its broken rule.
-func exploreSequences(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
+// exploreSequences plays, with one guard removed ("": none), every sequence that consists of the events in prefix and
+// of length other events, until one breaks a rule. It returns the number of sequences played, and the failed sequence
+// and its broken rule.
+func exploreSequences(t testing.TB, removedGuard string, length int, prefix ...string) (played int, failure string) {
 	t.Helper()
-	run := make([]int, len(begins)+length)
-	for i, name := range begins {
-		run[i] = slices.IndexFunc(modelEvents, func(e modelEvent) bool { return e.name == name })
+	sequence := make([]int, len(prefix)+length)
+	for i, name := range prefix {
+		sequence[i] = slices.IndexFunc(modelEvents, func(e modelEvent) bool { return e.name == name })
 	}
 	for {
-		runs++
-		if w := newSingleMachine(t, without).playSequence(run); w != "" {
+		played++
+		if w := newSingleMachine(t, removedGuard).playSequence(sequence); w != "" {
 			var names []string
-			for _, e := range run {
+			for _, e := range sequence {
 				names = append(names, modelEvents[e].name)
 			}
-			return runs, strings.Join(names, ", ") + ": " + w
+			return played, strings.Join(names, ", ") + ": " + w
 		}
-		i := len(run) - 1
-		for ; i >= len(begins) && run[i] == len(modelEvents)-1; i-- {
-			run[i] = 0
+		i := len(sequence) - 1
+		for ; i >= len(prefix) && sequence[i] == len(modelEvents)-1; i-- {
+			sequence[i] = 0
 		}
-		if i < len(begins) {
-			return runs, ""
+		if i < len(prefix) {
+			return played, ""
 		}
-		run[i]++
+		sequence[i]++
 	}
 }
 
@@ -331,25 +332,25 @@
 	if os.Getenv("HAREWALK_LONG") != "" {
 		length = 5
 	}
-	n, why := exploreSequences(t, "", length)
-	if t.Logf("played %d sequences", n); why != "" {
-		t.Fatal(why)
+	n, failure := exploreSequences(t, "", length)
+	if t.Logf("played %d sequences", n); failure != "" {
+		t.Fatal(failure)
 	}
 	for _, g := range []struct {
-		without string
-		begins  []string
+		guard  string
+		prefix []string
 	}{
 		{guardStaleHeartbeats, nil},
 		{guardExpiredSession, []string{"lost heartbeat", "17 s"}},
 		{guardHighestToken, []string{"restart", "direct request", "heartbeat"}},
 		{guardNewIncarnationLease, []string{"3 s", "restart"}},
 	} {
-		if n, why := exploreSequences(t, "", 2, g.begins...); why != "" {
-			t.Fatalf("with all guards: sequence %d failed: %s", n, why)
+		if n, failure := exploreSequences(t, "", 2, g.prefix...); failure != "" {
+			t.Fatalf("with all guards: sequence %d failed: %s", n, failure)
 		}
-		n, why := exploreSequences(t, g.without, 2, g.begins...)
-		if t.Logf("without the guard %q: sequence %d failed: %s", g.without, n, why); why == "" {
-			t.Errorf("without the guard %q: no sequence failed, want a failure", g.without)
+		n, failure := exploreSequences(t, g.guard, 2, g.prefix...)
+		if t.Logf("without the guard %q: sequence %d failed: %s", g.guard, n, failure); failure == "" {
+			t.Errorf("without the guard %q: no sequence failed, want a failure", g.guard)
 		}
 	}
 }
@@ -358,10 +359,10 @@
 // the first one, at a former token, carries the leader's token. Otherwise a whole zone that recovers waits for 5 s and
 // counts as lost again.
 func TestMachineIsReadyAgainAfterItsLeaseExpired(t *testing.T) {
-	for _, known := range []bool{true, false} {
+	for _, wasReady := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
-		if known {
+		if wasReady {
 			g.heartbeat("m", 1, 2*fenced)
 			g.heartbeat("m", 1, 2*fenced)
 		}
@@ -370,7 +371,7 @@
 			t.Fatalf("after 30 s without a heartbeat: got condition %s, want lost", machine.Condition)
 		}
 		tokens := []uint64{fenced, fenced, 2 * fenced} // the response to the first heartbeat is lost
-		if known {
+		if wasReady {
 			tokens = []uint64{2 * fenced, 2 * fenced, 2 * fenced} // a worker keeps its highest token in a new session
 		}
 		for _, token := range tokens {
@@ -378,7 +379,7 @@
 			g.heartbeat("m", 2, token)
 		}
 		if machine.Condition != Ready {
-			t.Errorf("in contact before the expiry %v: got condition %s, want acting", known, machine.Condition)
+			t.Errorf("in contact before the expiry %v: got condition %s, want acting", wasReady, machine.Condition)
 		}
 	}
 }
@@ -388,10 +389,10 @@
 // the lease or count as contact, and the heartbeats of the new incarnation must still be accepted.
 func TestStaleCopyFromAFormerIncarnationHasNoEffect(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	old := newHeartbeat("m", 5, 900, 2*fenced)
+	former := newHeartbeat("m", 5, 900, 2*fenced)
 	for range 3 {
-		old.Seq++
-		g.HandleHeartbeat(g.now, old)
+		former.Seq++
+		g.HandleHeartbeat(g.now, former)
 	}
 	g.now += 10 * time.Second
 	restarted := newHeartbeat("m", 1, 1, 0)
@@ -414,8 +415,8 @@
 	}
 	before := describe()
 	g.now += time.Second
-	old.Seq++
-	if _, result := g.HandleHeartbeat(g.now, old); result != Stale {
+	former.Seq++
+	if _, result := g.HandleHeartbeat(g.now, former); result != Stale {
 		t.Errorf("stale copy: got result %d, want Stale", result)
 	}
 	if after := describe(); after != before {
@@ -430,7 +431,7 @@
 // A worker restarts, and its lease expires before it receives a response. So its session number is higher than the last
 // accepted one, and it has no token. Its heartbeats can't be distinguished from copies until they carry a raised token.
 // The machine must be ready within 10 s.
-func TestRestartedWorkerWithAHigherSessionIsReadySoon(t *testing.T) {
+func TestRestartedWorkerWithHigherSessionIsReadyWithin10s(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, 2*fenced)
 	g.heartbeat("m", 1, 2*fenced)
@@ -458,18 +459,18 @@
 	g.heartbeat("m", 1, 2*fenced)
 	g.submit(spec(1, 8))
 	g.settle(store.Committed)
-	given, from := 0, g.now
+	lateCommands, from := 0, g.now
 	for g.now-from < 3*g.ReachabilityTimeout() {
 		g.now += 500 * time.Millisecond
 		if cs := g.heartbeat("m", 1, 2*fenced); g.now-from > 2*g.ReachabilityTimeout() {
-			given += len(cs)
+			lateCommands += len(cs)
 		}
 	}
 	sinceContact := g.now - machine.LastContactAt
-	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 ||
+	if machine.Condition != OneWayUnreachable || lateCommands > 0 || machine.QueuedTasks > 0 ||
 		sinceContact < g.ReachabilityTimeout() {
 		t.Errorf("got condition %v, %d late commands, %d queued tasks, last contact %v ago, want deaf, 0, 0, more than the timeout",
-			machine.Condition, given, machine.QueuedTasks, sinceContact)
+			machine.Condition, lateCommands, machine.QueuedTasks, sinceContact)
 	}
 	if g.heartbeat("m", 1, machine.Token); machine.Condition != Ready {
 		t.Errorf("after a heartbeat at the raised token: got condition %v, want acting", machine.Condition)
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -199,20 +199,20 @@
 // appendQueuedStarts launches as many of a job's queued tasks as fit a machine now, and appends their start commands.
 func (f *Fleet) appendQueuedStarts(commands []Command, now time.Duration, machine *Machine, job *jobs.Job) []Command {
 	queued := machine.queued(job.Index)
-	left := queued[:0]
+	remaining := queued[:0]
 	for i, taskIndex := range queued {
 		if !f.fits(machine, job) {
-			left = append(left, queued[i:]...)
+			remaining = append(remaining, queued[i:]...)
 			break
 		}
 		if !f.mayLaunch(now, machine, job, taskIndex) {
-			left = append(left, taskIndex)
+			remaining = append(remaining, taskIndex)
 			continue
 		}
 		commands = append(commands, f.launch(now, machine, job, taskIndex, f.nextAttempt()))
 	}
-	if launched := len(queued) - len(left); launched > 0 {
-		machine.setQueue(job.Index, left)
+	if launched := len(queued) - len(remaining); launched > 0 {
+		machine.setQueue(job.Index, remaining)
 		f.removeQueued(machine, job, launched)
 	}
 	return commands
