--- a/internal/fleet/dispatch.go
+++ b/internal/fleet/dispatch.go
@@ -148,5 +148,5 @@
 	}
 	// The worker may restart before the request arrives. The lease of its new incarnation begins with the restart, and
 	// the launched tasks count until that lease expires.
-	machine.LastAnsweredAt = max(machine.LastAnsweredAt, f.Now())
+	machine.LeaseRenewedAt = max(machine.LeaseRenewedAt, f.Now())
 }
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -43,7 +43,7 @@
 	if result != Accepted {
 		return HeartbeatResponse{}, result
 	}
-	machine.LastAnsweredAt = now
+	machine.LeaseRenewedAt = now
 	response := f.buildResponse(now, machine, heartbeat)
 	machine.recordResponse(now, heartbeat, response)
 	return response, Accepted
@@ -157,14 +157,14 @@
 func (f *Fleet) updateSession(now time.Duration, machine *Machine, heartbeat *Heartbeat, origin heartbeatOrigin) {
 	isNewer := heartbeat.Session > machine.Session
 	// The worker's lease expired although the fleet responded to its heartbeats.
-	missedResponses := isNewer && machine.Session > 0 && now-machine.LastAnsweredAt < f.Settings.WorkerLease()
+	missedResponses := isNewer && machine.Session > 0 && now-machine.LeaseRenewedAt < f.Settings.WorkerLease()
 	if heartbeat.Session != machine.Session {
 		// Direct commands name their session: the worker refuses commands for the former session.
 		f.clearIndeterminateLaunches(machine)
 		f.handleWorkerRestart(now, machine)
 		// The lease of a session counts from the session's beginning, even if none of its heartbeats ever got a
 		// response: a directly launched task may run until that lease expires.
-		machine.LastAnsweredAt = now
+		machine.LeaseRenewedAt = now
 	}
 	f.SetMachineDetails(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
 	if isNewer {
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -25,7 +25,7 @@
 	limit := lease + lease/clockDriftDivisor + leaseExpiryMargin
 	for _, machine := range f.machines {
 		isEnded := machine.Condition == LeaseExpired || machine.Condition == Terminated
-		if isEnded || now-machine.LastAnsweredAt <= limit {
+		if isEnded || now-machine.LeaseRenewedAt <= limit {
 			continue
 		}
 		f.setCondition(machine, LeaseExpired, "lease expired")
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -79,7 +79,7 @@
 	RegisteredAt    time.Duration // time of registration
 	LastContactAt   time.Duration // time of the last heartbeat that counts as contact, see recordContact
 	LastHeartbeatAt time.Duration // time of the last accepted heartbeat
-	LastAnsweredAt  time.Duration // latest time at which the worker's lease may have begun or been renewed
+	LeaseRenewedAt  time.Duration // latest time at which the worker's lease may have begun or been renewed
 	UpSince         time.Duration // time at which the machine first became Ready; 0 before
 	ReclaimAt       time.Duration // time at which the cloud reclaims the machine, after a reclaim notice
 	IdleSince       time.Duration // time at which a task last came to the machine, or the last one left
@@ -200,7 +200,7 @@
 		Token:                 f.Term << tokenBits,
 		RegisteredAt:          now,
 		LastContactAt:         now,
-		LastAnsweredAt:        now,
+		LeaseRenewedAt:        now,
 		IdleSince:             now,
 		Tasks:                 map[TaskRef]struct{}{},
 		indeterminateLaunches: map[taskAttempt]struct{}{},
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -265,7 +265,7 @@
 	for _, machine := range f.machines {
 		if machine.Quarantined && machine.Zone == zone {
 			silentFor = max(silentFor, now-machine.LastContactAt)
-			leaseLeft = max(leaseLeft, machine.LastAnsweredAt+f.Settings.WorkerLease()-now)
+			leaseLeft = max(leaseLeft, machine.LeaseRenewedAt+f.Settings.WorkerLease()-now)
 		}
 	}
 	return silentFor, leaseLeft
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -165,7 +165,7 @@
 	machine.reachability.challengeToken = machine.Token
 	machine.reachability.challengedAt = now
 	// The lease of a new incarnation counts from its beginning, and the response to this heartbeat renews the lease.
-	machine.LastAnsweredAt = now
+	machine.LeaseRenewedAt = now
 }
 
 // challengeStale decides whether the response to a heartbeat with the result Stale carries a raised token, with which a
@@ -181,7 +181,7 @@
 	}
 	if state.challengeUnsent {
 		state.challengeUnsent = false
-		machine.LastAnsweredAt = now
+		machine.LeaseRenewedAt = now
 		return true
 	}
 	interval := f.overdueAfter()
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -159,7 +159,7 @@
 // arrives is set, and the response reaches the fleet if received is set.
 func (l *singleMachine) deliverDirect(arrives, received bool) {
 	machine := l.machines[0]
-	answered := machine.LastAnsweredAt
+	renewedAt := machine.LeaseRenewedAt
 	l.Tick(l.now, true)
 	if len(l.directCallbacks) == 0 {
 		return
@@ -181,13 +181,13 @@
 		l.now += 2 * time.Second
 		done(nil, false)
 		if l.removedGuard == guardNewIncarnationLease {
-			machine.LastAnsweredAt = answered
+			machine.LeaseRenewedAt = renewedAt
 		}
 		return
 	}
 	c := *heartbeat
-	if done(&c, true); l.removedGuard == guardNewIncarnationLease && machine.LastAnsweredAt == l.now {
-		machine.LastAnsweredAt = answered
+	if done(&c, true); l.removedGuard == guardNewIncarnationLease && machine.LeaseRenewedAt == l.now {
+		machine.LeaseRenewedAt = renewedAt
 	}
 }
 
@@ -410,7 +410,7 @@
 	}
 	machine.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
 	describe := func() string {
-		return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.LastAnsweredAt, machine.Condition,
+		return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.LeaseRenewedAt, machine.Condition,
 			machine.Token, len(machine.indeterminateLaunches))
 	}
 	before := describe()
