--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -9,8 +9,8 @@
 //
 // Invariants:
 //   - A task is launched only if its machine is in the durable plan, see appendStarts and jobs.Job.IsDurable.
-//   - A heartbeat below the machine's token has no effect on tasks, since until a heartbeat carries the token, commands
-//     of a former leader may still arrive at the machine.
+//   - A heartbeat below the machine's token does not change the state of any task. Until a heartbeat carries the token,
+//     commands of a former leader may still arrive at the machine.
 //   - A task counts as on its machine until one of three proofs: a heartbeat at the current token that does not list
 //     the task, the cloud's confirmation that the machine is terminated, or an expired worker lease.
 //   - No attempt number is used twice, in any term.
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -91,7 +91,7 @@
 	}
 	machine := f.RegisterMachine(now, heartbeat.Machine)
 	if machine.Condition == Terminated {
-		return machine, Stale // the heartbeat was sent before the termination
+		return machine, Stale // the heartbeat was sent before the confirmed termination
 	}
 	if origin == fromRestartedWorker {
 		f.challenge(now, machine)
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -47,146 +47,146 @@
 // newSingleMachine returns a machine that has sent two heartbeats, and whose fleet has planned one task.
 func newSingleMachine(t testing.TB, removedGuard string) *singleMachine {
 	t.Helper()
-	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: removedGuard}
+	m := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: removedGuard}
 	s := spec(1, 1)
 	s.EstimateS = 1e5
-	l.sendHeartbeat(true)
-	l.sendHeartbeat(true)
-	l.job = l.submit(s)
-	l.settleBriefly()
-	return l
+	m.sendHeartbeat(true)
+	m.sendHeartbeat(true)
+	m.job = m.submit(s)
+	m.settleBriefly()
+	return m
 }
 
 // settleBriefly runs three ticks and commits all writes.
-func (l *singleMachine) settleBriefly() { l.settleFor(3, store.Committed) }
+func (m *singleMachine) settleBriefly() { m.settleFor(3, store.Committed) }
 
 // expireLease ends the worker's session and its task if its lease has expired.
-func (l *singleMachine) expireLease() {
-	if l.now-l.leaseStart > l.Settings.WorkerLease() {
-		l.runningAttempt, l.session, l.leaseStart = 0, l.session+1, l.now
+func (m *singleMachine) expireLease() {
+	if m.now-m.leaseStart > m.Settings.WorkerLease() {
+		m.runningAttempt, m.session, m.leaseStart = 0, m.session+1, m.now
 	}
 }
 
 // makeHeartbeat returns the worker's next heartbeat and records it as sent.
-func (l *singleMachine) makeHeartbeat() *Heartbeat {
-	l.seq++
-	heartbeat := newHeartbeat("m", l.session, l.seq, l.token)
-	if l.runningAttempt > 0 {
-		heartbeat.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.runningAttempt, State: taskRunning}}
+func (m *singleMachine) makeHeartbeat() *Heartbeat {
+	m.seq++
+	heartbeat := newHeartbeat("m", m.session, m.seq, m.token)
+	if m.runningAttempt > 0 {
+		heartbeat.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: m.runningAttempt, State: taskRunning}}
 	}
-	l.sentHeartbeats = append(l.sentHeartbeats, sentHeartbeat{*heartbeat, l.incarnation, false})
+	m.sentHeartbeats = append(m.sentHeartbeats, sentHeartbeat{*heartbeat, m.incarnation, false})
 	return heartbeat
 }
 
 // removeGuard disables guardHighestToken, if this is the guard to remove, by clearing the state that it depends on.
-func (l *singleMachine) removeGuard() {
-	machine := l.machines[0]
-	switch l.removedGuard {
+func (m *singleMachine) removeGuard() {
+	machine := m.machines[0]
+	switch m.removedGuard {
 	case guardHighestToken:
 		machine.reachability.highestToken = 0
 	}
 }
 
 // deliver passes a heartbeat to the fleet, without the guard to remove.
-func (l *singleMachine) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
-	if len(l.machines) > 0 {
-		l.removeGuard()
+func (m *singleMachine) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
+	if len(m.machines) > 0 {
+		m.removeGuard()
 	}
 	c := *heartbeat
 	c.Tasks = append([]TaskReport(nil), heartbeat.Tasks...)
-	if l.removedGuard == guardStaleHeartbeats && len(l.machines) > 0 && c.Session == l.machines[0].Session {
-		c.Seq = l.machines[0].Seq + 1
+	if m.removedGuard == guardStaleHeartbeats && len(m.machines) > 0 && c.Session == m.machines[0].Session {
+		c.Seq = m.machines[0].Seq + 1
 	}
-	if machine := l.FindMachine("m"); l.removedGuard == guardExpiredSession && machine != nil {
+	if machine := m.FindMachine("m"); m.removedGuard == guardExpiredSession && machine != nil {
 		machine.reachability.expiredSession = 0
 	}
-	return l.HandleHeartbeat(l.now, &c)
+	return m.HandleHeartbeat(m.now, &c)
 }
 
 // deliverCopy delivers a copy of sentHeartbeats[i]. The copy must have no effect, unless the heartbeat itself
 // never arrived, is from the present incarnation as far as the fleet can determine, and is from a session that has not
 // certainly ended.
-func (l *singleMachine) deliverCopy(i int) {
-	machine := l.machines[0]
-	copied := &l.sentHeartbeats[i]
+func (m *singleMachine) deliverCopy(i int) {
+	machine := m.machines[0]
+	copied := &m.sentHeartbeats[i]
 	isLive := machine.Condition != LeaseExpired || copied.Session > machine.Session
-	mayHaveEffect := !copied.arrived && copied.incarnation >= l.knownIncarnation && isLive
+	mayHaveEffect := !copied.arrived && copied.incarnation >= m.knownIncarnation && isLive
 	copied.arrived = true
-	before := l.describe()
-	l.deliver(&copied.Heartbeat)
-	after := l.describe()
-	if after != before && !mayHaveEffect && l.copyEffect == "" {
-		l.copyEffect = fmt.Sprintf("stale copy changed the state from %s to %s", before, after)
+	before := m.describe()
+	m.deliver(&copied.Heartbeat)
+	after := m.describe()
+	if after != before && !mayHaveEffect && m.copyEffect == "" {
+		m.copyEffect = fmt.Sprintf("stale copy changed the state from %s to %s", before, after)
 	}
 }
 
 // describe formats the state of the machine and its task that a stale copy must not change.
-func (l *singleMachine) describe() string {
-	machine := l.machines[0]
-	return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.Condition, l.job.Tasks[0].State)
+func (m *singleMachine) describe() string {
+	machine := m.machines[0]
+	return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.Condition, m.job.Tasks[0].State)
 }
 
 // sendHeartbeat sends a heartbeat that arrives at the fleet. The worker receives the response if received is set.
-func (l *singleMachine) sendHeartbeat(received bool) {
-	l.expireLease()
-	heartbeat, sent := l.makeHeartbeat(), l.now
-	l.sentHeartbeats[len(l.sentHeartbeats)-1].arrived = true
-	response, result := l.deliver(heartbeat)
-	if machine := l.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
-		l.knownIncarnation = l.incarnation
-	}
-	if result != Accepted || !received || response.Token < l.token {
+func (m *singleMachine) sendHeartbeat(received bool) {
+	m.expireLease()
+	heartbeat, sent := m.makeHeartbeat(), m.now
+	m.sentHeartbeats[len(m.sentHeartbeats)-1].arrived = true
+	response, result := m.deliver(heartbeat)
+	if machine := m.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
+		m.knownIncarnation = m.incarnation
+	}
+	if result != Accepted || !received || response.Token < m.token {
 		return
 	}
-	l.token = response.Token
-	l.leaseStart = sent
-	l.execute(response.Commands)
+	m.token = response.Token
+	m.leaseStart = sent
+	m.execute(response.Commands)
 }
 
 // execute executes the commands of a response or a direct request.
-func (l *singleMachine) execute(cs []Command) {
+func (m *singleMachine) execute(cs []Command) {
 	for _, c := range cs {
 		switch {
-		case c.Op == opStart && l.runningAttempt == 0:
-			l.runningAttempt = c.Attempt
-		case c.Op == opStop && l.runningAttempt == c.Attempt:
-			l.runningAttempt = 0
+		case c.Op == opStart && m.runningAttempt == 0:
+			m.runningAttempt = c.Attempt
+		case c.Op == opStop && m.runningAttempt == c.Attempt:
+			m.runningAttempt = 0
 		}
 	}
 }
 
 // deliverDirect runs a tick and completes the direct request that it sends, if any. The request reaches the worker if
 // arrives is set, and the response reaches the fleet if received is set.
-func (l *singleMachine) deliverDirect(arrives, received bool) {
-	machine := l.machines[0]
+func (m *singleMachine) deliverDirect(arrives, received bool) {
+	machine := m.machines[0]
 	renewedAt := machine.LeaseRenewedAt
-	l.Tick(l.now, true)
-	if len(l.directCallbacks) == 0 {
+	m.Tick(m.now, true)
+	if len(m.directCallbacks) == 0 {
 		return
 	}
-	request := l.sentDirect[len(l.sentDirect)-1]
-	done := l.directCallbacks[len(l.directCallbacks)-1]
-	l.directCallbacks = nil
+	request := m.sentDirect[len(m.sentDirect)-1]
+	done := m.directCallbacks[len(m.directCallbacks)-1]
+	m.directCallbacks = nil
 	var heartbeat *Heartbeat
-	if arrives && !l.isDead {
-		l.expireLease()
-		if request.Token >= l.token && request.Session == l.session {
-			l.token = request.Token
-			l.execute(request.Commands)
+	if arrives && !m.isDead {
+		m.expireLease()
+		if request.Token >= m.token && request.Session == m.session {
+			m.token = request.Token
+			m.execute(request.Commands)
 		}
-		heartbeat = l.makeHeartbeat()
-		l.sentHeartbeats = l.sentHeartbeats[:len(l.sentHeartbeats)-1] // a response is never delivered as a copy
+		heartbeat = m.makeHeartbeat()
+		m.sentHeartbeats = m.sentHeartbeats[:len(m.sentHeartbeats)-1] // a response is never delivered as a copy
 	}
 	if heartbeat == nil || !received {
-		l.now += 2 * time.Second
+		m.now += 2 * time.Second
 		done(nil, false)
-		if l.removedGuard == guardNewIncarnationLease {
+		if m.removedGuard == guardNewIncarnationLease {
 			machine.LeaseRenewedAt = renewedAt
 		}
 		return
 	}
 	c := *heartbeat
-	if done(&c, true); l.removedGuard == guardNewIncarnationLease && machine.LeaseRenewedAt == l.now {
+	if done(&c, true); m.removedGuard == guardNewIncarnationLease && machine.LeaseRenewedAt == m.now {
 		machine.LeaseRenewedAt = renewedAt
 	}
 }
@@ -194,53 +194,53 @@
 // modelEvent is an event of the model, and the function that applies it.
 type modelEvent struct {
 	name  string
-	apply func(l *singleMachine)
+	apply func(m *singleMachine)
 }
 
 // modelEvents are all events that can follow any other event.
 var modelEvents = []modelEvent{
-	{"heartbeat", func(l *singleMachine) {
-		if !l.isDead {
-			l.sendHeartbeat(true)
+	{"heartbeat", func(m *singleMachine) {
+		if !m.isDead {
+			m.sendHeartbeat(true)
 		}
 	}},
-	{"lost response", func(l *singleMachine) {
-		if !l.isDead {
-			l.sendHeartbeat(false)
+	{"lost response", func(m *singleMachine) {
+		if !m.isDead {
+			m.sendHeartbeat(false)
 		}
 	}},
-	{"lost heartbeat", func(l *singleMachine) {
-		if !l.isDead {
-			l.makeHeartbeat()
+	{"lost heartbeat", func(m *singleMachine) {
+		if !m.isDead {
+			m.makeHeartbeat()
 		}
 	}},
-	{"first copy", func(l *singleMachine) { l.deliverCopy(0) }},
-	{"middle copy", func(l *singleMachine) { l.deliverCopy(len(l.sentHeartbeats) / 2) }},
-	{"last copy", func(l *singleMachine) { l.deliverCopy(len(l.sentHeartbeats) - 1) }},
-	{"restart", func(l *singleMachine) {
-		if !l.isDead {
-			l.session, l.seq, l.token, l.runningAttempt, l.leaseStart = 1, 0, 0, 0, l.now
-			l.incarnation++
+	{"first copy", func(m *singleMachine) { m.deliverCopy(0) }},
+	{"middle copy", func(m *singleMachine) { m.deliverCopy(len(m.sentHeartbeats) / 2) }},
+	{"last copy", func(m *singleMachine) { m.deliverCopy(len(m.sentHeartbeats) - 1) }},
+	{"restart", func(m *singleMachine) {
+		if !m.isDead {
+			m.session, m.seq, m.token, m.runningAttempt, m.leaseStart = 1, 0, 0, 0, m.now
+			m.incarnation++
 		}
 	}},
-	{"direct request", func(l *singleMachine) { l.deliverDirect(true, true) }},
-	{"direct request, lost response", func(l *singleMachine) { l.deliverDirect(true, false) }},
-	{"lost direct request", func(l *singleMachine) { l.deliverDirect(false, false) }},
-	{"death", func(l *singleMachine) { l.isDead, l.runningAttempt = true, 0 }},
-	{"3 s", func(l *singleMachine) { l.now += 3 * time.Second }},
-	{"17 s", func(l *singleMachine) { l.now += 17 * time.Second }},
+	{"direct request", func(m *singleMachine) { m.deliverDirect(true, true) }},
+	{"direct request, lost response", func(m *singleMachine) { m.deliverDirect(true, false) }},
+	{"lost direct request", func(m *singleMachine) { m.deliverDirect(false, false) }},
+	{"death", func(m *singleMachine) { m.isDead, m.runningAttempt = true, 0 }},
+	{"3 s", func(m *singleMachine) { m.now += 3 * time.Second }},
+	{"17 s", func(m *singleMachine) { m.now += 17 * time.Second }},
 }
 
 // violation describes a broken rule: a copy had a forbidden effect, or a task on the machine does not count there. It
 // returns "" if no rule is broken.
-func (l *singleMachine) violation() string {
-	if l.now-l.leaseStart > l.Settings.WorkerLease() {
-		l.expireLease()
+func (m *singleMachine) violation() string {
+	if m.now-m.leaseStart > m.Settings.WorkerLease() {
+		m.expireLease()
 	}
-	if l.copyEffect != "" {
-		return l.copyEffect
+	if m.copyEffect != "" {
+		return m.copyEffect
 	}
-	if task := &l.job.Tasks[0]; l.runningAttempt > 0 && !task.State.Occupies() {
+	if task := &m.job.Tasks[0]; m.runningAttempt > 0 && !task.State.Occupies() {
 		return fmt.Sprintf("the task is on the machine: got state %s, want one that counts as on it", task.State)
 	}
 	return ""
@@ -248,28 +248,28 @@
 
 // playSequence applies a sequence of events and lets the machine recover, or delivers copies if it died. It describes
 // the first broken rule, or returns "" if no rule was broken.
-func (l *singleMachine) playSequence(sequence []int) string {
+func (m *singleMachine) playSequence(sequence []int) string {
 	for _, e := range sequence {
-		modelEvents[e].apply(l)
-		if why := l.violation(); why != "" {
+		modelEvents[e].apply(m)
+		if why := m.violation(); why != "" {
 			return why
 		}
-		l.settleBriefly()
-		if why := l.violation(); why != "" {
+		m.settleBriefly()
+		if why := m.violation(); why != "" {
 			return why
 		}
 	}
-	machine := l.machines[0]
-	if l.isDead {
+	machine := m.machines[0]
+	if m.isDead {
 		// Delivers copies of all heartbeats that arrived, several leases late.
-		l.now += 3 * l.Settings.WorkerLease()
-		l.settleBriefly()
+		m.now += 3 * m.Settings.WorkerLease()
+		m.settleBriefly()
 		lastContact := machine.LastContactAt
-		for i := range l.sentHeartbeats {
+		for i := range m.sentHeartbeats {
 			// A heartbeat that never arrived may be the machine's newest, and have an effect.
-			if r := &l.sentHeartbeats[len(l.sentHeartbeats)-1-i]; r.arrived {
-				l.deliver(&r.Heartbeat)
-				l.settleBriefly()
+			if r := &m.sentHeartbeats[len(m.sentHeartbeats)-1-i]; r.arrived {
+				m.deliver(&r.Heartbeat)
+				m.settleBriefly()
 			}
 		}
 		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastContactAt > lastContact {
@@ -277,21 +277,21 @@
 		}
 		return ""
 	}
-	recoveredAt := l.now
-	for l.now-recoveredAt < 60*time.Second {
-		l.now += time.Second
-		l.sendHeartbeat(true)
-		if why := l.violation(); why != "" {
+	recoveredAt := m.now
+	for m.now-recoveredAt < 60*time.Second {
+		m.now += time.Second
+		m.sendHeartbeat(true)
+		if why := m.violation(); why != "" {
 			return why
 		}
-		l.settleBriefly()
-		isRunning := l.runningAttempt > 0 && l.job.Tasks[0].State == jobs.OnMachine
+		m.settleBriefly()
+		isRunning := m.runningAttempt > 0 && m.job.Tasks[0].State == jobs.OnMachine
 		if isRunning && machine.Condition == Ready {
 			return ""
 		}
 	}
-	return fmt.Sprintf("60 s after recovery: got condition %s, task %s, want ready and on machine; %+v",
-		machine.Condition, l.job.Tasks[0].State, machine.reachability)
+	return fmt.Sprintf("60 s after recovery: got condition %s, task %s, want acting, on machine; %+v",
+		machine.Condition, m.job.Tasks[0].State, machine.reachability)
 }
 
 // exploreSequences plays, with one guard removed ("": none), every sequence that consists of the events in prefix and
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -8,7 +8,7 @@
 )
 
 // The types in this file are the protocol's JSON forms of the messages in messages.go. A message is converted once,
-// where it is received or sent; no other file of the package depends on the protocol's names.
+// where it is received or sent; no other file of the package depends on the protocol's field names.
 
 // WireHeartbeat is the protocol's JSON form of a Heartbeat.
 type WireHeartbeat struct {
@@ -59,7 +59,7 @@
 
 // errIncompleteHeartbeat is returned by ParseHeartbeat for a message that lacks a required field or whose machine name
 // is too long.
-var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field")
+var errIncompleteHeartbeat = errors.New("heartbeat lacks a required field, or its machine name is too long")
 
 // wireHeartbeats holds WireHeartbeat values that ParseHeartbeat reuses, so that the decoder need not allocate a task
 // list for each heartbeat.
