--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -13,356 +13,365 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// singleMachine models one machine by the protocol, to which the real fleet gives one task. It holds what is really
-// on the machine, so it can check that the fleet counts it there.
+// singleMachine is a model of one worker that follows the protocol, connected to a real fleet with one job of one task.
+// It holds the state of the worker, so that a test can check that the fleet counts a task that is on the machine.
 type singleMachine struct {
 	*rig
 	job                           *jobs.Job
 	session, seq                  uint64
 	token                         uint64
-	leaseStart                    time.Duration // from when its lease counts
-	runningAttempt                uint64        // of the task that is on it; 0: none
+	leaseStart                    time.Duration // time from which the worker's lease counts
+	runningAttempt                uint64        // attempt at the task that is on the machine; 0 if none is
 	isDead                        bool
-	incarnation, knownIncarnation int             // how often it restarted, in fact and by accepted heartbeats
-	history                       []sentHeartbeat // all heartbeats so far
-	removedGuard                  string          // the guard that the test removes, "" for none
-	copyEffect                    string          // what a copy changed, "" if nothing
+	incarnation, knownIncarnation int             // number of restarts, and their number at the last accepted heartbeat
+	sentHeartbeats                []sentHeartbeat // all heartbeats that were sent
+	removedGuard                  string          // the guard that the test removes; "" if none
+	copyEffect                    string          // description of a forbidden effect of a copy; "" if there was none
 }
 
-// The guards of the fleet that a test may remove, to show that it needs them.
+// The guards of the fleet that a test may remove, to show that each of them is necessary.
 const (
-	guardStaleHeartbeats     = "heartbeats that are not newer are stale"
-	guardExpiredSession      = "an expired session is over"
-	guardHighestToken        = "tokens of an incarnation never fall"
+	guardStaleHeartbeats     = "a heartbeat that is not newer than the last is stale"
+	guardExpiredSession      = "a heartbeat of an expired session is stale"
+	guardHighestToken        = "the tokens of an incarnation never decrease"
 	guardNewIncarnationLease = "the lease of a new incarnation counts from its beginning"
 )
 
-// sentHeartbeat is a heartbeat that was sent, and may come again as a copy.
+// sentHeartbeat is a heartbeat that was sent, and of which a copy may arrive later.
 type sentHeartbeat struct {
 	Heartbeat
 	incarnation int
 	arrived     bool
 }
 
-func newSingleMachine(t testing.TB, without string) *singleMachine {
+// newSingleMachine returns a machine that has sent two heartbeats, and whose fleet has planned one task.
+func newSingleMachine(t testing.TB, removedGuard string) *singleMachine {
 	t.Helper()
-	l := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: without}
+	m := &singleMachine{rig: newRig(t, 1, map[string]json.RawMessage{}), session: 1, seq: 100, removedGuard: removedGuard}
 	s := spec(1, 1)
 	s.EstimateS = 1e5
-	l.sendHeartbeat(true)
-	l.sendHeartbeat(true)
-	l.job = l.submit(s)
-	l.settleBriefly()
-	return l
+	m.sendHeartbeat(true)
+	m.sendHeartbeat(true)
+	m.job = m.submit(s)
+	m.settleBriefly()
+	return m
 }
 
-// settleBriefly lets three ticks pass, with all writes committed.
-func (l *singleMachine) settleBriefly() { l.settleFor(3, store.Committed) }
+// settleBriefly runs three ticks and commits all writes.
+func (m *singleMachine) settleBriefly() { m.settleFor(3, store.Committed) }
 
-func (l *singleMachine) expireLease() {
-	if l.now-l.leaseStart > l.Settings.WorkerLease() {
-		l.runningAttempt, l.session, l.leaseStart = 0, l.session+1, l.now
+// expireLease ends the worker's session and its task if its lease has expired.
+func (m *singleMachine) expireLease() {
+	if m.now-m.leaseStart > m.Settings.WorkerLease() {
+		m.runningAttempt, m.session, m.leaseStart = 0, m.session+1, m.now
 	}
 }
 
-func (l *singleMachine) makeHeartbeat() *Heartbeat {
-	l.seq++
-	heartbeat := newHeartbeat("m", l.session, l.seq, l.token)
-	if l.runningAttempt > 0 {
-		heartbeat.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: l.runningAttempt, State: taskRunning}}
-	}
-	l.history = append(l.history, sentHeartbeat{*heartbeat, l.incarnation, false})
+// makeHeartbeat returns the worker's next heartbeat and records it as sent.
+func (m *singleMachine) makeHeartbeat() *Heartbeat {
+	m.seq++
+	heartbeat := newHeartbeat("m", m.session, m.seq, m.token)
+	if m.runningAttempt > 0 {
+		heartbeat.Tasks = []TaskReport{{Task: "req-000001/0", Attempt: m.runningAttempt, State: taskRunning}}
+	}
+	m.sentHeartbeats = append(m.sentHeartbeats, sentHeartbeat{*heartbeat, m.incarnation, false})
 	return heartbeat
 }
 
-// removeGuard undoes, in the machine's state, what the guard that is removed protects.
-func (l *singleMachine) removeGuard() {
-	machine := l.machines[0]
-	switch l.removedGuard {
+// removeGuard disables guardHighestToken, if this is the guard to remove, by clearing the state that it depends on.
+func (m *singleMachine) removeGuard() {
+	machine := m.machines[0]
+	switch m.removedGuard {
 	case guardHighestToken:
 		machine.reachability.highestToken = 0
 	}
 }
 
-func (l *singleMachine) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
-	if len(l.machines) > 0 {
-		l.removeGuard()
+// deliver passes a heartbeat to the fleet, without the guard to remove.
+func (m *singleMachine) deliver(heartbeat *Heartbeat) (HeartbeatResponse, HeartbeatResult) {
+	if len(m.machines) > 0 {
+		m.removeGuard()
 	}
 	c := *heartbeat
 	c.Tasks = append([]TaskReport(nil), heartbeat.Tasks...)
-	if l.removedGuard == guardStaleHeartbeats && len(l.machines) > 0 && c.Session == l.machines[0].Session {
-		c.Seq = l.machines[0].Seq + 1
+	if m.removedGuard == guardStaleHeartbeats && len(m.machines) > 0 && c.Session == m.machines[0].Session {
+		c.Seq = m.machines[0].Seq + 1
 	}
-	if machine := l.FindMachine("m"); l.removedGuard == guardExpiredSession && machine != nil {
+	if machine := m.FindMachine("m"); m.removedGuard == guardExpiredSession && machine != nil {
 		machine.reachability.expiredSession = 0
 	}
-	return l.HandleHeartbeat(l.now, &c)
+	return m.HandleHeartbeat(m.now, &c)
 }
 
-// deliverCopy delivers a copy of an earlier heartbeat. It must have no effect, unless the heartbeat itself never
-// arrived and is of the present incarnation, as far as the fleet can tell, in a session that has not certainly
-// ended.
-func (l *singleMachine) deliverCopy(i int) {
-	machine := l.machines[0]
-	copied := &l.history[i]
+// deliverCopy delivers a copy of sentHeartbeats[i]. The copy must have no effect, unless the heartbeat itself
+// never arrived, is from the present incarnation as far as the fleet can determine, and is from a session that has not
+// certainly ended.
+func (m *singleMachine) deliverCopy(i int) {
+	machine := m.machines[0]
+	copied := &m.sentHeartbeats[i]
 	isLive := machine.Condition != LeaseExpired || copied.Session > machine.Session
-	mayHaveEffect := !copied.arrived && copied.incarnation >= l.knownIncarnation && isLive
+	mayHaveEffect := !copied.arrived && copied.incarnation >= m.knownIncarnation && isLive
 	copied.arrived = true
-	before := l.describe()
-	l.deliver(&copied.Heartbeat)
-	after := l.describe()
-	if after != before && !mayHaveEffect && l.copyEffect == "" {
-		l.copyEffect = fmt.Sprintf("a copy changes %s to %s", before, after)
+	before := m.describe()
+	m.deliver(&copied.Heartbeat)
+	after := m.describe()
+	if after != before && !mayHaveEffect && m.copyEffect == "" {
+		m.copyEffect = fmt.Sprintf("stale copy changed the state from %s to %s", before, after)
 	}
 }
 
-// describe returns the state of the machine and its task that a stale copy must not change.
-func (l *singleMachine) describe() string {
-	machine := l.machines[0]
-	return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.Condition, l.job.Tasks[0].State)
+// describe formats the state of the machine and its task that a stale copy must not change.
+func (m *singleMachine) describe() string {
+	machine := m.machines[0]
+	return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.Condition, m.job.Tasks[0].State)
 }
 
-// sendHeartbeat sends a heartbeat that arrives; received is whether its response does.
-func (l *singleMachine) sendHeartbeat(received bool) {
-	l.expireLease()
-	heartbeat, sent := l.makeHeartbeat(), l.now
-	l.history[len(l.history)-1].arrived = true
-	response, result := l.deliver(heartbeat)
-	if machine := l.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
-		l.knownIncarnation = l.incarnation
-	}
-	if result != Accepted || !received || response.Token < l.token {
+// sendHeartbeat sends a heartbeat that arrives at the fleet. The worker receives the response if received is set.
+func (m *singleMachine) sendHeartbeat(received bool) {
+	m.expireLease()
+	heartbeat, sent := m.makeHeartbeat(), m.now
+	m.sentHeartbeats[len(m.sentHeartbeats)-1].arrived = true
+	response, result := m.deliver(heartbeat)
+	if machine := m.machines[0]; machine.Session == heartbeat.Session && machine.Seq == heartbeat.Seq {
+		m.knownIncarnation = m.incarnation
+	}
+	if result != Accepted || !received || response.Token < m.token {
 		return
 	}
-	l.token = response.Token
-	l.leaseStart = sent
-	l.execute(response.Commands)
+	m.token = response.Token
+	m.leaseStart = sent
+	m.execute(response.Commands)
 }
 
-func (l *singleMachine) execute(cs []Command) {
+// execute executes the commands of a response or a direct request.
+func (m *singleMachine) execute(cs []Command) {
 	for _, c := range cs {
 		switch {
-		case c.Op == opStart && l.runningAttempt == 0:
-			l.runningAttempt = c.Attempt
-		case c.Op == opStop && l.runningAttempt == c.Attempt:
-			l.runningAttempt = 0
+		case c.Op == opStart && m.runningAttempt == 0:
+			m.runningAttempt = c.Attempt
+		case c.Op == opStop && m.runningAttempt == c.Attempt:
+			m.runningAttempt = 0
 		}
 	}
 }
 
-// deliverDirect sends the direct request that is due, if any; arrives is whether it reaches the machine, received
-// whether the response reaches the fleet.
-func (l *singleMachine) deliverDirect(arrives, received bool) {
-	machine := l.machines[0]
-	answered := machine.LastAnsweredAt
-	l.Tick(l.now, true)
-	if len(l.directCallbacks) == 0 {
+// deliverDirect runs a tick and completes the direct request that it sends, if any. The request reaches the worker if
+// arrives is set, and the response reaches the fleet if received is set.
+func (m *singleMachine) deliverDirect(arrives, received bool) {
+	machine := m.machines[0]
+	renewedAt := machine.LeaseRenewedAt
+	m.Tick(m.now, true)
+	if len(m.directCallbacks) == 0 {
 		return
 	}
-	request := l.sentDirect[len(l.sentDirect)-1]
-	done := l.directCallbacks[len(l.directCallbacks)-1]
-	l.directCallbacks = nil
+	request := m.sentDirect[len(m.sentDirect)-1]
+	done := m.directCallbacks[len(m.directCallbacks)-1]
+	m.directCallbacks = nil
 	var heartbeat *Heartbeat
-	if arrives && !l.isDead {
-		l.expireLease()
-		if request.Token >= l.token && request.Session == l.session {
-			l.token = request.Token
-			l.execute(request.Commands)
+	if arrives && !m.isDead {
+		m.expireLease()
+		if request.Token >= m.token && request.Session == m.session {
+			m.token = request.Token
+			m.execute(request.Commands)
 		}
-		heartbeat = l.makeHeartbeat()
-		l.history = l.history[:len(l.history)-1] // only requests come as copies
+		heartbeat = m.makeHeartbeat()
+		m.sentHeartbeats = m.sentHeartbeats[:len(m.sentHeartbeats)-1] // a response is never delivered as a copy
 	}
 	if heartbeat == nil || !received {
-		l.now += 2 * time.Second
+		m.now += 2 * time.Second
 		done(nil, false)
-		if l.removedGuard == guardNewIncarnationLease {
-			machine.LastAnsweredAt = answered
+		if m.removedGuard == guardNewIncarnationLease {
+			machine.LeaseRenewedAt = renewedAt
 		}
 		return
 	}
 	c := *heartbeat
-	if done(&c, true); l.removedGuard == guardNewIncarnationLease && machine.LastAnsweredAt == l.now {
-		machine.LastAnsweredAt = answered
+	if done(&c, true); m.removedGuard == guardNewIncarnationLease && machine.LeaseRenewedAt == m.now {
+		machine.LeaseRenewedAt = renewedAt
 	}
 }
 
+// modelEvent is an event of the model, and the function that applies it.
 type modelEvent struct {
-	name string
-	do   func(l *singleMachine)
+	name  string
+	apply func(m *singleMachine)
 }
 
-// modelEvents are the events that may happen next.
+// modelEvents are all events that can follow any other event.
 var modelEvents = []modelEvent{
-	{"heartbeat", func(l *singleMachine) {
-		if !l.isDead {
-			l.sendHeartbeat(true)
+	{"heartbeat", func(m *singleMachine) {
+		if !m.isDead {
+			m.sendHeartbeat(true)
 		}
 	}},
-	{"lost response", func(l *singleMachine) {
-		if !l.isDead {
-			l.sendHeartbeat(false)
+	{"lost response", func(m *singleMachine) {
+		if !m.isDead {
+			m.sendHeartbeat(false)
 		}
 	}},
-	{"lost heartbeat", func(l *singleMachine) {
-		if !l.isDead {
-			l.makeHeartbeat()
+	{"lost heartbeat", func(m *singleMachine) {
+		if !m.isDead {
+			m.makeHeartbeat()
 		}
 	}},
-	{"first copy", func(l *singleMachine) { l.deliverCopy(0) }},
-	{"middle copy", func(l *singleMachine) { l.deliverCopy(len(l.history) / 2) }},
-	{"last copy", func(l *singleMachine) { l.deliverCopy(len(l.history) - 1) }},
-	{"restart", func(l *singleMachine) {
-		if !l.isDead {
-			l.session, l.seq, l.token, l.runningAttempt, l.leaseStart = 1, 0, 0, 0, l.now
-			l.incarnation++
+	{"first copy", func(m *singleMachine) { m.deliverCopy(0) }},
+	{"middle copy", func(m *singleMachine) { m.deliverCopy(len(m.sentHeartbeats) / 2) }},
+	{"last copy", func(m *singleMachine) { m.deliverCopy(len(m.sentHeartbeats) - 1) }},
+	{"restart", func(m *singleMachine) {
+		if !m.isDead {
+			m.session, m.seq, m.token, m.runningAttempt, m.leaseStart = 1, 0, 0, 0, m.now
+			m.incarnation++
 		}
 	}},
-	{"direct request", func(l *singleMachine) { l.deliverDirect(true, true) }},
-	{"direct request, lost response", func(l *singleMachine) { l.deliverDirect(true, false) }},
-	{"lost direct request", func(l *singleMachine) { l.deliverDirect(false, false) }},
-	{"death", func(l *singleMachine) { l.isDead, l.runningAttempt = true, 0 }},
-	{"3 s", func(l *singleMachine) { l.now += 3 * time.Second }},
-	{"17 s", func(l *singleMachine) { l.now += 17 * time.Second }},
+	{"direct request", func(m *singleMachine) { m.deliverDirect(true, true) }},
+	{"direct request, lost response", func(m *singleMachine) { m.deliverDirect(true, false) }},
+	{"lost direct request", func(m *singleMachine) { m.deliverDirect(false, false) }},
+	{"death", func(m *singleMachine) { m.isDead, m.runningAttempt = true, 0 }},
+	{"3 s", func(m *singleMachine) { m.now += 3 * time.Second }},
+	{"17 s", func(m *singleMachine) { m.now += 17 * time.Second }},
 }
 
-// violation returns what is wrong now, "" if nothing is: a task on the machine must count there.
-func (l *singleMachine) violation() string {
-	if l.now-l.leaseStart > l.Settings.WorkerLease() {
-		l.expireLease()
+// violation describes a broken rule: a copy had a forbidden effect, or a task on the machine does not count there. It
+// returns "" if no rule is broken.
+func (m *singleMachine) violation() string {
+	if m.now-m.leaseStart > m.Settings.WorkerLease() {
+		m.expireLease()
 	}
-	if l.copyEffect != "" {
-		return l.copyEffect
+	if m.copyEffect != "" {
+		return m.copyEffect
 	}
-	if task := &l.job.Tasks[0]; l.runningAttempt > 0 && !task.State.Occupies() {
-		return fmt.Sprintf("the task is on the machine but its state is %s", task.State)
+	if task := &m.job.Tasks[0]; m.runningAttempt > 0 && !task.State.Occupies() {
+		return fmt.Sprintf("the task is on the machine: got state %s, want one that counts as on it", task.State)
 	}
 	return ""
 }
 
-// playSequence plays a sequence of events, lets everything recover, and returns what went wrong, "" if nothing did.
-func (l *singleMachine) playSequence(run []int) string {
-	for _, e := range run {
-		modelEvents[e].do(l)
-		if why := l.violation(); why != "" {
+// playSequence applies a sequence of events and lets the machine recover, or delivers copies if it died. It describes
+// the first broken rule, or returns "" if no rule was broken.
+func (m *singleMachine) playSequence(sequence []int) string {
+	for _, e := range sequence {
+		modelEvents[e].apply(m)
+		if why := m.violation(); why != "" {
 			return why
 		}
-		l.settleBriefly()
-		if why := l.violation(); why != "" {
+		m.settleBriefly()
+		if why := m.violation(); why != "" {
 			return why
 		}
 	}
-	machine := l.machines[0]
-	if l.isDead {
-		// Copies of all heartbeats, several leases late.
-		l.now += 3 * l.Settings.WorkerLease()
-		l.settleBriefly()
+	machine := m.machines[0]
+	if m.isDead {
+		// Delivers copies of all heartbeats that arrived, several leases late.
+		m.now += 3 * m.Settings.WorkerLease()
+		m.settleBriefly()
 		lastContact := machine.LastContactAt
-		for i := range l.history {
-			// One that never arrived is the newest of its machine.
-			if r := &l.history[len(l.history)-1-i]; r.arrived {
-				l.deliver(&r.Heartbeat)
-				l.settleBriefly()
+		for i := range m.sentHeartbeats {
+			// A heartbeat that never arrived may be the machine's newest, and have an effect.
+			if r := &m.sentHeartbeats[len(m.sentHeartbeats)-1-i]; r.arrived {
+				m.deliver(&r.Heartbeat)
+				m.settleBriefly()
 			}
 		}
 		if machine.Condition == Ready || len(machine.Tasks) > 0 || machine.LastContactAt > lastContact {
-			return "copies bring a dead machine back"
+			return "copies of heartbeats made a dead machine ready or in contact, or kept its tasks"
 		}
 		return ""
 	}
-	from := l.now
-	for l.now-from < 60*time.Second {
-		l.now += time.Second
-		l.sendHeartbeat(true)
-		if why := l.violation(); why != "" {
+	recoveredAt := m.now
+	for m.now-recoveredAt < 60*time.Second {
+		m.now += time.Second
+		m.sendHeartbeat(true)
+		if why := m.violation(); why != "" {
 			return why
 		}
-		l.settleBriefly()
-		isRunning := l.runningAttempt > 0 && l.job.Tasks[0].State == jobs.OnMachine
+		m.settleBriefly()
+		isRunning := m.runningAttempt > 0 && m.job.Tasks[0].State == jobs.OnMachine
 		if isRunning && machine.Condition == Ready {
 			return ""
 		}
 	}
-	return fmt.Sprintf("it has recovered and gets nothing: %s, task %s, %+v",
-		machine.Condition, l.job.Tasks[0].State, machine.reachability)
+	return fmt.Sprintf("60 s after recovery: got condition %s, task %s, want acting, on machine; %+v",
+		machine.Condition, m.job.Tasks[0].State, machine.reachability)
 }
 
-// exploreSequences plays every sequence that begins with some events and goes on with a number of others, until one
-// goes wrong.
-func exploreSequences(t testing.TB, without string, length int, begins ...string) (runs int, why string) {
+// exploreSequences plays, with one guard removed ("": none), every sequence that consists of the events in prefix and
+// of length other events, until one breaks a rule. It returns the number of sequences played, and the failed sequence
+// and its broken rule.
+func exploreSequences(t testing.TB, removedGuard string, length int, prefix ...string) (played int, failure string) {
 	t.Helper()
-	run := make([]int, len(begins)+length)
-	for i, name := range begins {
-		run[i] = slices.IndexFunc(modelEvents, func(e modelEvent) bool { return e.name == name })
+	sequence := make([]int, len(prefix)+length)
+	for i, name := range prefix {
+		sequence[i] = slices.IndexFunc(modelEvents, func(e modelEvent) bool { return e.name == name })
 	}
 	for {
-		runs++
-		if w := newSingleMachine(t, without).playSequence(run); w != "" {
+		played++
+		if w := newSingleMachine(t, removedGuard).playSequence(sequence); w != "" {
 			var names []string
-			for _, e := range run {
+			for _, e := range sequence {
 				names = append(names, modelEvents[e].name)
 			}
-			return runs, strings.Join(names, ", ") + ": " + w
+			return played, strings.Join(names, ", ") + ": " + w
 		}
-		i := len(run) - 1
-		for ; i >= len(begins) && run[i] == len(modelEvents)-1; i-- {
-			run[i] = 0
+		i := len(sequence) - 1
+		for ; i >= len(prefix) && sequence[i] == len(modelEvents)-1; i-- {
+			sequence[i] = 0
 		}
-		if i < len(begins) {
-			return runs, ""
+		if i < len(prefix) {
+			return played, ""
 		}
-		run[i]++
+		sequence[i]++
 	}
 }
 
-// All short sequences of events of one machine and the fleet: responses are lost, copies of heartbeats arrive at
-// any time, the worker restarts with session and sequence from the start, direct commands arrive or not, the
-// machine dies. What is on it counts, it gets work again once it recovered, and no copy brings it back. Without any
-// of the guards some sequence breaks that.
+// Plays all short sequences of events of one machine: lost messages, delayed copies of heartbeats, restarts of the
+// worker with its session and sequence number reset, direct requests, and the machine's death. A task on the machine
+// must count, a recovered machine must get work again, and no copy may make a dead machine ready. Without any one of
+// the guards, some sequence must break a rule.
 func TestAllEventSequencesOfOneMachine(t *testing.T) {
 	length := 4
 	if os.Getenv("HAREWALK_LONG") != "" {
 		length = 5
 	}
-	n, why := exploreSequences(t, "", length)
-	if t.Logf("%d runs", n); why != "" {
-		t.Fatal(why)
+	n, failure := exploreSequences(t, "", length)
+	if t.Logf("played %d sequences", n); failure != "" {
+		t.Fatal(failure)
 	}
 	for _, g := range []struct {
-		without string
-		begins  []string
+		guard  string
+		prefix []string
 	}{
 		{guardStaleHeartbeats, nil},
 		{guardExpiredSession, []string{"lost heartbeat", "17 s"}},
 		{guardHighestToken, []string{"restart", "direct request", "heartbeat"}},
 		{guardNewIncarnationLease, []string{"3 s", "restart"}},
 	} {
-		if n, why := exploreSequences(t, "", 2, g.begins...); why != "" {
-			t.Fatalf("after %d runs: %s", n, why)
+		if n, failure := exploreSequences(t, "", 2, g.prefix...); failure != "" {
+			t.Fatalf("with all guards: sequence %d failed: %s", n, failure)
 		}
-		n, why := exploreSequences(t, g.without, 2, g.begins...)
-		if t.Logf("without %q: after %d runs, %s", g.without, n, why); why == "" {
-			t.Errorf("without %q nothing breaks", g.without)
+		n, failure := exploreSequences(t, g.guard, 2, g.prefix...)
+		if t.Logf("without the guard %q: sequence %d failed: %s", g.guard, n, failure); failure == "" {
+			t.Errorf("without the guard %q: no sequence failed, want a failure", g.guard)
 		}
 	}
 }
 
-// A machine whose lease expired is ready again with the second heartbeat of its new session: the response to the
-// first, at a former token, carries the leader's. Otherwise a whole zone that recovers waits for 5 s and counts as
-// lost again.
+// A machine whose lease expired must be ready again with the second heartbeat of its new session, since the response to
+// the first one, at a former token, carries the leader's token. Otherwise a whole zone that recovers waits for 5 s and
+// counts as lost again.
 func TestMachineIsReadyAgainAfterItsLeaseExpired(t *testing.T) {
-	for _, known := range []bool{true, false} {
+	for _, wasReady := range []bool{true, false} {
 		g := newRig(t, 2, map[string]json.RawMessage{})
 		machine := g.RegisterMachine(0, "m")
-		if known {
+		if wasReady {
 			g.heartbeat("m", 1, 2*fenced)
 			g.heartbeat("m", 1, 2*fenced)
 		}
 		g.now += 30 * time.Second
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
-			t.Fatal(machine.Condition)
+			t.Fatalf("after 30 s without a heartbeat: got condition %s, want lost", machine.Condition)
 		}
-		tokens := []uint64{fenced, fenced, 2 * fenced} // the response to the first is lost
-		if known {
+		tokens := []uint64{fenced, fenced, 2 * fenced} // the response to the first heartbeat is lost
+		if wasReady {
 			tokens = []uint64{2 * fenced, 2 * fenced, 2 * fenced} // a worker keeps its highest token in a new session
 		}
 		for _, token := range tokens {
@@ -370,24 +379,24 @@
 			g.heartbeat("m", 2, token)
 		}
 		if machine.Condition != Ready {
-			t.Errorf("known before: %v: it is %s", known, machine.Condition)
+			t.Errorf("in contact before the expiry %v: got condition %s, want acting", wasReady, machine.Condition)
 		}
 	}
 }
 
-// A worker has restarted, and its new incarnation was given a task with a licence by a direct launch that has no
-// response yet. A copy of a heartbeat of its former incarnation arrives, whose session was higher: it releases and
-// renews nothing and is no contact, and the heartbeats of the new incarnation go on counting.
+// A worker has restarted, and a direct launch to its new incarnation has no response yet. Then a copy of a heartbeat
+// from its former incarnation arrives, whose session number was higher. The copy must not release the launch, renew
+// the lease or count as contact, and the heartbeats of the new incarnation must still be accepted.
 func TestStaleCopyFromAFormerIncarnationHasNoEffect(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
-	old := newHeartbeat("m", 5, 900, 2*fenced)
+	former := newHeartbeat("m", 5, 900, 2*fenced)
 	for range 3 {
-		old.Seq++
-		g.HandleHeartbeat(g.now, old)
+		former.Seq++
+		g.HandleHeartbeat(g.now, former)
 	}
 	g.now += 10 * time.Second
 	restarted := newHeartbeat("m", 1, 1, 0)
-	for restarted.Seq < 4 { // it is challenged and answers
+	for restarted.Seq < 4 { // the worker is challenged and returns the raised token
 		restarted.Seq++
 		g.now += time.Second
 		response, result := g.HandleHeartbeat(g.now, restarted)
@@ -397,32 +406,32 @@
 	}
 	machine := g.FindMachine("m")
 	if machine.Session != 1 || machine.Condition != Ready {
-		t.Fatalf("session %d, %v", machine.Session, machine.Condition)
+		t.Fatalf("after the restart: got session %d, condition %v, want 1, acting", machine.Session, machine.Condition)
 	}
 	machine.indeterminateLaunches[taskAttempt{TaskRef{0, 0}, 7}] = struct{}{}
 	describe := func() string {
-		return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.LastAnsweredAt, machine.Condition,
+		return fmt.Sprint(machine.Session, machine.Seq, machine.LastContactAt, machine.LeaseRenewedAt, machine.Condition,
 			machine.Token, len(machine.indeterminateLaunches))
 	}
 	before := describe()
 	g.now += time.Second
-	old.Seq++
-	if _, result := g.HandleHeartbeat(g.now, old); result != Stale {
-		t.Errorf("the result of the copy is %d", result)
+	former.Seq++
+	if _, result := g.HandleHeartbeat(g.now, former); result != Stale {
+		t.Errorf("stale copy: got result %d, want Stale", result)
 	}
 	if after := describe(); after != before {
-		t.Errorf("a copy changes %s to %s", before, after)
+		t.Errorf("stale copy changed the state from %s to %s", before, after)
 	}
 	restarted.Seq++
 	if _, result := g.HandleHeartbeat(g.now, restarted); result != Accepted {
-		t.Errorf("the result for the new incarnation is %d", result)
+		t.Errorf("heartbeat of the new incarnation: got result %d, want Accepted", result)
 	}
 }
 
-// A worker restarts, and its lease expires before any response: its session is higher than the last accepted one,
-// and it has no token. It can't be told from copies until it carries a token that none of them can, and is ready
-// soon all the same.
-func TestRestartedWorkerWithAHigherSessionIsReadySoon(t *testing.T) {
+// A worker restarts, and its lease expires before it receives a response. So its session number is higher than the last
+// accepted one, and it has no token. Its heartbeats can't be distinguished from copies until they carry a raised token.
+// The machine must be ready within 10 s.
+func TestRestartedWorkerWithHigherSessionIsReadyWithin10s(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, 2*fenced)
 	g.heartbeat("m", 1, 2*fenced)
@@ -437,38 +446,39 @@
 		}
 	}
 	if duration := g.now - from; duration > 10*time.Second {
-		t.Errorf("session %d, %v after %v", machine.Session, machine.Condition, duration)
+		t.Errorf("got session %d, condition %v after %v, want 3, acting within 10 s", machine.Session, machine.Condition, duration)
 	}
 }
 
-// A machine's heartbeats never list the task that each response starts. While its lease may still be extended by the
-// responses, it gets nothing else and is not in contact. The first heartbeat at the raised token ends that.
+// A machine's heartbeats never list the task that each response starts. The machine must become unreachable one way: it
+// gets no more commands and is not in contact, though the responses may renew its lease. The first heartbeat at the
+// raised token must make it ready.
 func TestCommandsWithoutEffectMakeAMachineUnreachable(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	machine := g.RegisterMachine(0, "m")
 	g.heartbeat("m", 1, 2*fenced)
 	g.submit(spec(1, 8))
 	g.settle(store.Committed)
-	given, from := 0, g.now
+	lateCommands, from := 0, g.now
 	for g.now-from < 3*g.ReachabilityTimeout() {
 		g.now += 500 * time.Millisecond
 		if cs := g.heartbeat("m", 1, 2*fenced); g.now-from > 2*g.ReachabilityTimeout() {
-			given += len(cs)
+			lateCommands += len(cs)
 		}
 	}
 	sinceContact := g.now - machine.LastContactAt
-	if machine.Condition != OneWayUnreachable || given > 0 || machine.QueuedTasks > 0 ||
+	if machine.Condition != OneWayUnreachable || lateCommands > 0 || machine.QueuedTasks > 0 ||
 		sinceContact < g.ReachabilityTimeout() {
-		t.Errorf("%v, %d commands sent to it lately, %d tasks queued on it, last contact %v ago",
-			machine.Condition, given, machine.QueuedTasks, sinceContact)
+		t.Errorf("got condition %v, %d late commands, %d queued tasks, last contact %v ago, want deaf, 0, 0, more than the timeout",
+			machine.Condition, lateCommands, machine.QueuedTasks, sinceContact)
 	}
 	if g.heartbeat("m", 1, machine.Token); machine.Condition != Ready {
-		t.Errorf("%v though it carries the token that was raised", machine.Condition)
+		t.Errorf("after a heartbeat at the raised token: got condition %v, want acting", machine.Condition)
 	}
 }
 
-// A machine whose lease expired and that receives nothing sends heartbeats in one session after the other, at an
-// old token: that is no contact.
+// A machine whose lease expired and that receives no responses sends heartbeats at an old token, in a new session after
+// each expiry. These heartbeats must not count as contact.
 func TestUnreachableMachineWithExpiredLeaseIsNotInContact(t *testing.T) {
 	g := newRig(t, 2, map[string]json.RawMessage{})
 	g.heartbeat("m", 1, fenced)
@@ -477,11 +487,11 @@
 	for session := uint64(1); session < 6; session++ {
 		g.now += 30 * time.Second
 		if g.Tick(g.now, true); machine.Condition != LeaseExpired {
-			t.Fatal(machine.Condition)
+			t.Fatalf("session %d: got condition %s, want lost", session, machine.Condition)
 		}
 		g.heartbeat("m", session+1, fenced)
 	}
 	if machine.LastContactAt != last || machine.LastHeartbeatAt != g.now {
-		t.Errorf("its last contact is at %v", machine.LastContactAt)
+		t.Errorf("got last contact at %v, want no contact after the expiry, and the last heartbeat recorded", machine.LastContactAt)
 	}
 }
