--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -35,8 +35,8 @@
 	}
 	for id, want := range map[string]string{
 		"req-000001": "team red is at its limit",
-		"req-000002": "in the lanes of what is there now",
-		"req-000003": "a gang of 4 tasks needs as many places",
+		"req-000002": "behind the tasks there",
+		"req-000003": "a gang of 4 tasks needs room for all of them at once",
 		"req-000004": "licence optimise: no seat is free",
 		"req-000005": "2 jobs that must be done before it aren't: req-000001, req-000003",
 	} {
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Arrays: their tasks are planned by Balance-Reduce over the slots of all machines that may take them.
+// Placement of arrays: Balance-Reduce plans their tasks over the slots of all eligible machines.
 
 import (
 	"log/slog"
@@ -10,21 +10,19 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// noMachineRetryDelay is how long an array is not planned again after no machine was found that may take it.
+// noMachineRetryDelay is the time until an array is planned again after no eligible machine was found for it.
 const noMachineRetryDelay = 500 * time.Millisecond
 
-// freeRoomWeight is how much free room for one task counts in the choice of a zone, against a machine that may take the
-// job.
+// freeRoomWeight is the weight of free room for one task in the choice of a zone. An eligible machine has weight 1.
 const freeRoomWeight = 4
 
-// arraySlots are the servers of Balance-Reduce for one array. A slot is room for one of the array's tasks on a
-// machine.
+// arraySlots holds the servers of Balance-Reduce for one array. A slot is room for one task of the array on a machine.
 type arraySlots struct {
 	machines        []int32   // machine index by slot
 	load            []float64 // initial load by slot, in seconds
 	withImage       []int32   // slots on machines that have the array's image
-	machineCount    int
-	maxFetchSeconds float64 // of the image, on the slowest of the machines
+	machineCount    int       // machines that have at least one slot
+	maxFetchSeconds float64   // time to fetch the image on the slowest of these machines
 }
 
 // planArray plans an array's unplanned tasks.
@@ -51,7 +49,7 @@
 		return
 	}
 	delete(f.noMachineUntil, job.Index)
-	// Of the rest, if this cycle plans only some tasks.
+	// This reason is reported for the remaining tasks if this cycle plans only some of them.
 	f.setUnplannedReason(job, unplannedReason{cause: PlanningBehind})
 	f.PlanningSteps += uint64(4 * len(slots.machines))
 	allocation := planner.Plan(f.arrayProblem(job, tasks, &slots), f.Random)
@@ -70,7 +68,7 @@
 		"makespan_s", int(allocation.Makespan), "term", f.Term)
 }
 
-// arrayTasksToPlan returns the tasks of an array that this cycle plans. If there are none it records why.
+// arrayTasksToPlan returns the tasks of an array that this cycle plans. If there are none, it records the reason.
 func (f *Fleet) arrayTasksToPlan(now time.Duration, job *jobs.Job) []int32 {
 	limit := f.arrayPlanLimit(job)
 	if limit <= 0 {
@@ -112,8 +110,8 @@
 	return limit
 }
 
-// findArraySlots finds the slots of all machines that may take an array's tasks, with the load that tasks of the same
-// or an earlier rank put on them.
+// findArraySlots finds the slots of all machines that are eligible for an array. The initial load of a slot comes from
+// the tasks on its machine and from tasks queued there for jobs of the same or a better rank.
 func (f *Fleet) findArraySlots(now time.Duration, job *jobs.Job) arraySlots {
 	var slots arraySlots
 	size := job.Spec.Size()
@@ -147,7 +145,7 @@
 	return slots
 }
 
-// arrayProblem states the planning of an array's tasks over its slots as a problem of Balance-Reduce.
+// arrayProblem returns the Balance-Reduce problem of assigning an array's tasks to its slots.
 func (f *Fleet) arrayProblem(job *jobs.Job, tasks []int32, slots *arraySlots) *planner.Problem {
 	slotCount := len(slots.machines)
 	preferred := slots.withImage
@@ -158,22 +156,22 @@
 		}
 	}
 	local := f.estimate(job)
-	// A machine fetches an image once for all its tasks, so the remote tasks share the fetches: if there are as
-	// many as slots, the cost of each is one whole fetch.
+	// A machine fetches an image once for all its tasks, so remote tasks share the cost of the fetches. If there are
+	// as many remote tasks as slots, each of them costs one whole fetch.
 	costPerRemoteTask := f.Settings.Operator.NetworkFactor * slots.maxFetchSeconds / float64(slotCount)
 	return &planner.Problem{
 		InitialLoads: slots.load,
 		Groups:       []planner.Group{{Tasks: tasks, PreferredServers: preferred}},
 		LocalCost:    local,
 		RemoteCost:   func(remoteTasks int) float64 { return local + costPerRemoteTask*float64(remoteTasks) },
-		// A loop visits every slot, so many slots allow fewer loops.
+		// A loop visits every slot, so the number of loops is smaller if there are many slots.
 		MaxLoops: min(maxReduceLoops, max(minReduceLoops, maxSlotVisits/slotCount)),
 	}
 }
 
-// chooseZone returns the zone for a job that must stay in one: that of its tasks that are planned or on machines, or
-// else the one with the most room, where free room weighs more than room in use. It returns jobs.None for other jobs,
-// and if no machine may take the job.
+// chooseZone returns the zone for a job that must run in a single zone. If tasks of the job are planned or on
+// machines, it is their zone; otherwise it is the zone with the most eligible machines, where free room weighs more.
+// For a job that may span zones, or if no machine is eligible, chooseZone returns jobs.None.
 func (f *Fleet) chooseZone(job *jobs.Job) int32 {
 	if !job.Spec.OneZone {
 		return jobs.None
@@ -200,7 +198,7 @@
 	return bestZone
 }
 
-// planTask assigns a task to a machine and queues it there. It starts once that plan is durable.
+// planTask assigns a task to a machine and queues it there. The task starts once this plan is durable.
 func (f *Fleet) planTask(now time.Duration, job *jobs.Job, taskIndex int32, machine *Machine) {
 	f.checkTransition(job.SetTaskState(taskIndex, jobs.Planned))
 	job.Tasks[taskIndex].Machine = machine.Index
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Backfilling: a job that starves beside free room may use what is kept free for other work.
+// Backfilling: a job that has waited too long although there is free room may use room reserved for other work.
 
 import (
 	"time"
@@ -9,41 +9,43 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Free room may be kept from a job: by the reservation of a gang that waits for more of it, as processors beside
-// accelerators, as on-demand machines that others need, or because a busy machine would be the better choice. Each
-// of these may wait for what never comes, such as a gang larger than its zone or an estimate that is far too low. A
-// job that has waited for starvingAfter although there was room for it is starving: nothing is kept from it any
-// more, but for the firm reservations of gangs that are overdue to start themselves. Those hold until
-// firmReservationLimit, which is below the 90 s for which a job may wait so.
+// A job may be denied free room for four reasons: the room is reserved for a gang that waits for more, it is processor
+// room reserved beside accelerators, it is on an on-demand machine that other jobs need, or a busy machine is the
+// better choice. Each reason can last forever, for example if a gang is larger than its zone or an estimate is far too
+// low.
+// A job that has waited for starvingAfter while there was room is starving. It may use any free room except the firm
+// reservations of gangs whose own start is overdue. These are effective against the job until firmReservationLimit,
+// which is below the 90 s that a job may wait beside free room.
 //
-// Only the time with room counts, not the time waited: in an overload every job waits for long, and jobs would then
-// take all that comes free from large gangs, which once started after 873 s instead of 235 s.
+// Only the time with room counts, not the whole waiting time. In an overload every job waits for a long time, and all
+// of them would take room from large gangs: a large gang then started after 873 s instead of 235 s.
 const (
 	starvingAfter        = 40 * time.Second
 	firmReservationLimit = 75 * time.Second
 )
 
-// roomCheckInterval is the time between two checks for room.
+// roomCheckInterval is the time between two runs of updateRoomSince.
 const roomCheckInterval = time.Second
 
-// roomRequest is what jobs have in common for which there is room at the same time.
+// roomRequest is the part of a job that determines whether there is room for it. It is the key of cached results.
 type roomRequest struct {
 	jobShape
-	tasks   int // that must start together
+	tasks   int // number of tasks that must start together
 	oneZone bool
 }
 
-// updateRoomSince records, for each waiting job, since when there has been room for it, whatever that is kept for.
-// There is none for a job that its team's limit or its licences hold back.
+// updateRoomSince sets RoomSince of each job to the time since which the job has waited although there is room for it;
+// reserved room counts as room. It sets 0 if there is no room, or if the team's limit or missing licences keep the job
+// from starting.
 func (f *Fleet) updateRoomSince(now time.Duration) {
 	if now < f.nextRoomCheck {
 		return
 	}
 	f.nextRoomCheck = now + roomCheckInterval
-	known := map[roomRequest]bool{}
+	roomByRequest := map[roomRequest]bool{}
 	for _, job := range f.ranking.jobs {
 		switch {
-		case !f.waitsForRoom(job) || !f.hasRoom(job, known):
+		case !f.waitsForRoom(job) || !f.hasRoom(job, roomByRequest):
 			job.RoomSince = 0
 		case job.RoomSince == 0:
 			job.RoomSince = now
@@ -51,7 +53,7 @@
 	}
 }
 
-// waitsForRoom reports whether a job has nothing on machines, but tasks that may start if there is room.
+// waitsForRoom reports whether a job has no task on a machine, and has tasks that may start as soon as there is room.
 func (f *Fleet) waitsForRoom(job *jobs.Job) bool {
 	return job.TasksOnMachines() == 0 &&
 		job.UnstartedTasks() > 0 &&
@@ -60,7 +62,7 @@
 		f.mayStart(job, tasksToStart(job))
 }
 
-// tasksToStart returns how many tasks of a job must start together for it to start at all.
+// tasksToStart returns how many tasks of a job must start together: all tasks of a gang, one of any other job.
 func tasksToStart(job *jobs.Job) int {
 	if job.Spec.Kind == jobs.Gang {
 		return job.TaskCount
@@ -68,24 +70,24 @@
 	return 1
 }
 
-// hasRoom reports whether there is room for a job to start. Results are shared, in known, between jobs that may use
-// the same machines.
-func (f *Fleet) hasRoom(job *jobs.Job, known map[roomRequest]bool) bool {
+// hasRoom reports whether there is room for a job to start. It caches the result in roomByRequest for jobs with the
+// same request.
+func (f *Fleet) hasRoom(job *jobs.Job, roomByRequest map[roomRequest]bool) bool {
 	tasks := tasksToStart(job)
 	if len(job.AvoidedMachines) > 0 {
 		return f.findRoom(job, tasks)
 	}
 	request := roomRequest{shapeOf(job), tasks, job.Spec.OneZone}
-	request.image = 0 // any machine may fetch it
-	room, ok := known[request]
+	request.image = 0 // any machine can fetch the image
+	room, ok := roomByRequest[request]
 	if !ok {
 		room = f.findRoom(job, tasks)
-		known[request] = room
+		roomByRequest[request] = room
 	}
 	return room
 }
 
-// findRoom reports whether the free room of machines that may take a job is enough for a number of its tasks.
+// findRoom reports whether the machines that are eligible for a job have free room for a number of its tasks.
 func (f *Fleet) findRoom(job *jobs.Job, tasks int) bool {
 	size := job.Spec.Size()
 	placesByZone := map[int32]int{}
@@ -107,7 +109,7 @@
 	return false
 }
 
-// starvedFor returns how long a job has waited although there was room for it. A nil job has not.
+// starvedFor returns how long a job has waited while there was room for it. It returns 0 for a nil job.
 func (f *Fleet) starvedFor(job *jobs.Job) time.Duration {
 	if job == nil || job.RoomSince == 0 || job.TasksOnMachines() > 0 {
 		return 0
@@ -115,11 +117,11 @@
 	return f.Now() - job.RoomSince
 }
 
-// isStarving reports whether a job has waited beside free room for so long that only firm reservations are kept
-// from it.
+// isStarving reports whether a job has waited for more than starvingAfter while there was room for it. Such a job
+// ignores all reservations except firm ones.
 func (f *Fleet) isStarving(job *jobs.Job) bool { return f.starvedFor(job) > starvingAfter }
 
-// isReservedFrom reports whether the reservation on a machine holds against a job.
+// isReservedFrom reports whether the reservation on a machine keeps a job from using the reserved room.
 func (f *Fleet) isReservedFrom(machine *Machine, job *jobs.Job) bool {
 	if machine.reservedRank >= f.rankOf(job) {
 		return false
@@ -130,9 +132,10 @@
 	return !f.isStarving(job)
 }
 
-// spareRoom returns what a machine's queue leaves of its free room for a task that would be moved there. Queued
-// tasks may be held back by what does not hold back a starving job: against such a job only gangs, services and
-// other starving arrays count.
+// spareRoom returns the free room of a machine for tasks of a job that are moved there from another queue. Room for
+// the tasks in the machine's own queue is not included. For a starving job only queued tasks of gangs, services and
+// other starving arrays are deducted: other queued tasks may be waiting for reasons that don't apply to a starving
+// job.
 func (f *Fleet) spareRoom(machine *Machine, job *jobs.Job) planner.Size {
 	if !f.isStarving(job) {
 		return machine.Free().Sub(machine.queuedNeed)
@@ -144,7 +147,7 @@
 			continue
 		}
 		size := queuedJob.Spec.Size()
-		// Tasks for which there is no room now take none either.
+		// Queued tasks that don't fit now are not deducted.
 		startable := min(len(queue.tasks), max(0, size.Copies(free)))
 		free = free.Sub(size.Scale(float64(startable)))
 	}
--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Candidates: the machines that may take a gang's or a service's task, and in which order they are preferred.
+// Candidates: the machines that are eligible for a task of a gang or a service, in order of preference.
 
 import (
 	"cmp"
@@ -14,29 +14,30 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// waitWeight weighs the wait for room against a fetch. The time until a task ends is an estimate that is often
-// wrong by half, while the time of a fetch is certain, and a gang that waited in vain has to fetch all the same.
+// waitWeight is the weight of a second of waiting for room, relative to a second of fetching an image. The time until
+// a task ends is an estimate that is often wrong by half, while the time of a fetch is certain. A gang that waits
+// longer than estimated, and is then placed on another machine, has to fetch the image anyway.
 const waitWeight = 2.0
 
-// candidate is a machine that may take a job's task, and how soon.
+// candidate is a machine that is eligible for a task of a job, with the expected delays there.
 type candidate struct {
 	machine          *Machine
-	secondsUntilRoom float64 // 0: there is room now
+	secondsUntilRoom float64 // 0: the machine has room now
 	fetchSeconds     float64
-	score            float64 // in weighted seconds, the lowest is preferred
+	score            float64 // weighted seconds; the lowest score is preferred
 }
 
-// jobShape is what jobs have in common that may use the same machines equally well.
+// jobShape is the part of a job that determines its candidates. Jobs of the same shape share a candidate list.
 type jobShape struct {
 	size     planner.Size
 	image    int32
 	zone     int32
 	spot     bool
 	types    string // machine type indices, four bytes each
-	starving bool   // only firm reservations are kept from such jobs
+	starving bool   // the job ignores all reservations except firm ones
 }
 
-// preemptionShape is what jobs have in common for which the same tasks may be preempted.
+// preemptionShape is the part of a job that determines which tasks it may preempt.
 type preemptionShape struct {
 	jobShape
 	team            int32
@@ -46,17 +47,19 @@
 	oneZone         bool
 }
 
-// candidateList lists the machines that may take tasks of a shape, best first, as they were when the cycle first
-// needed the list. Within a cycle placing only takes room away, so a machine that once had too little is not looked
-// at again.
+// candidateList lists the machines that are eligible for tasks of a shape, best first. Room is as of the time when the
+// cycle built the list. Placing tasks during a cycle only uses up room, so a machine that had too little room is not
+// examined again in that cycle.
 type candidateList struct {
-	candidates   []candidate
-	firstOpen    int           // candidates before it have no room any more
-	withRoom     []int         // indices of the candidates that had room
-	reservedUpTo map[int32]int // by zone, None for any: the index up to which machines were considered for reservations
+	candidates []candidate
+	firstOpen  int   // index of the first candidate that may have room
+	withRoom   []int // indices of the candidates that had room when last checked
+	// reservedUpTo holds, by zone (jobs.None for any), the index of the first candidate that has not been considered for
+	// a reservation yet.
+	reservedUpTo map[int32]int
 }
 
-// shapeOf returns the shape of a job that is not starving.
+// shapeOf returns the shape of a job, with starving left false.
 func shapeOf(job *jobs.Job) jobShape {
 	types := make([]byte, 0, 4*len(job.Types))
 	for _, typeIndex := range job.Types {
@@ -71,8 +74,8 @@
 	}
 }
 
-// candidatesFor returns the candidates for a job, shared with other jobs of its shape in the same cycle. A job that
-// avoids some machines, or has tasks on machines, gets a list of its own.
+// candidatesFor returns the candidate list of a job. Jobs of the same shape share a list during a cycle. A job that
+// avoids some machines, or has tasks on machines, gets its own list.
 func (f *Fleet) candidatesFor(now time.Duration, job *jobs.Job) *candidateList {
 	shared := len(job.AvoidedMachines) == 0 && job.TasksOnMachines() == 0
 	shape := shapeOf(job)
@@ -92,8 +95,8 @@
 	return list
 }
 
-// findCandidates lists the machines that may take a job: those with the lowest score first, then spot machines, which
-// fewer jobs can use, then the tightest fit.
+// findCandidates returns the machines that are eligible for a job, ordered by score. At equal scores, spot machines
+// come first because fewer jobs can use them, then the machines with the least free room.
 func (f *Fleet) findCandidates(now time.Duration, job *jobs.Job) []candidate {
 	var candidates []candidate
 	size := job.Spec.Size()
@@ -105,7 +108,7 @@
 		if !f.fits(machine, job) {
 			option.secondsUntilRoom = f.secondsUntilRoom(now, machine, job)
 		}
-		// Differences below a second count for nothing.
+		// The score is in whole seconds, so that smaller differences have no effect.
 		wait := waitWeight * option.secondsUntilRoom
 		option.score = math.Floor(wait + option.fetchSeconds + f.spotWaitLimit(machine, job))
 		candidates = append(candidates, option)
@@ -115,7 +118,7 @@
 	return candidates
 }
 
-// compareCandidates orders candidates as findCandidates returns them.
+// compareCandidates orders candidates by preference, as findCandidates describes.
 func compareCandidates(x, y candidate) int {
 	if x.score != y.score {
 		return cmp.Compare(x.score, y.score)
@@ -135,7 +138,7 @@
 	)
 }
 
-// zoneAccepts reports whether a machine's zone takes new work of a job's kind now.
+// zoneAccepts reports whether the zone of a machine accepts new work of a job's kind now.
 func (f *Fleet) zoneAccepts(machine *Machine, job *jobs.Job) bool {
 	if f.ZoneAcceptsWork == nil || machine.Zone == jobs.None {
 		return true
@@ -149,8 +152,8 @@
 	return f.ZoneAcceptsWork(machine.Zone, zones.Array)
 }
 
-// availableRoom is what a job may take of a machine now: what is neither reserved for a job that ranks before it nor
-// planned for gangs and services.
+// availableRoom returns the free room of a machine that a job may use now. It excludes the room for queued tasks of
+// gangs and services, and the room reserved against the job.
 func (f *Fleet) availableRoom(machine *Machine, job *jobs.Job) planner.Size {
 	free := machine.Free().Sub(machine.queuedWithoutArrays)
 	if f.isReservedFrom(machine, job) {
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The scheduling cycle, and what is due at a time.
+// The scheduling cycle, and the periodic entry point Tick.
 
 import (
 	"math"
@@ -10,29 +10,29 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Bounds on the work of one scheduling cycle, so that no job however large stalls the event loop.
+// Bounds on the work of one scheduling cycle. They keep a large job from stalling the event loop.
 const (
-	maxTasksPerPlan       = 1024    // tasks of a job planned at once
-	maxSlotVisits         = 400_000 // slots visited by all loops of Reduce together
-	maxReduceLoops        = 256     // loops of Reduce for one plan
-	minReduceLoops        = 16      // loops of Reduce for one plan, however many slots there are
-	maxTasksListedSingly  = 64      // queued tasks of a job that load a machine one by one, not as a whole
-	maxArraySteps         = 40_000  // planning steps after which further arrays wait for the next cycle
-	maxPreemptionSearches = 8       // preemption searches for gangs
+	maxTasksPerPlan       = 1024    // tasks of one job that a cycle plans
+	maxSlotVisits         = 400_000 // slots visited by all loops of Reduce in one plan
+	maxReduceLoops        = 256     // upper bound on the loops of Reduce in one plan
+	minReduceLoops        = 16      // loops of Reduce allowed in one plan even if there are very many slots
+	maxTasksListedSingly  = 64      // above this, a job's queue on a machine counts as one aggregate load
+	maxArraySteps         = 40_000  // planning steps of a cycle after which no further array is planned in it
+	maxPreemptionSearches = 8       // preemption searches for gangs in one cycle
 )
 
 const (
-	// expectedEndsValidFor is how long the expected ends on a machine are used before they are estimated anew.
+	// expectedEndsValidFor is how long the estimated end times of a machine's tasks are cached.
 	expectedEndsValidFor = time.Second
-	// rankingValidFor is how long a priority order is used before jobs are ranked anew.
+	// rankingValidFor is how long the priority order is cached.
 	rankingValidFor = 500 * time.Millisecond
-	// pausePerStep is the pause after a cycle for each of its planning steps, on a full core: about three times the
-	// cost of a step.
+	// pausePerStep is the pause after a cycle for each of its planning steps, if one whole core is available. It is
+	// about three times the processor time of a step.
 	pausePerStep = 300 * time.Nanosecond
 )
 
-// The fraction of its run time for which a task may wait for a spot machine: a task of an array is moved again if an
-// on-demand machine stays free, a gang is not.
+// How long a task may wait for a spot machine while an on-demand machine is free, as a fraction of its run time. Gangs
+// wait less: work stealing moves a queued task of an array to an on-demand machine that stays free, but never a gang.
 const (
 	spotWaitFractionArray = 0.5
 	spotWaitFractionGang  = 0.1
@@ -41,11 +41,11 @@
 // schedulingCycle is the state of one scheduling cycle.
 type schedulingCycle struct {
 	candidatesByShape  map[jobShape]*candidateList
-	futilePreemptions  map[preemptionShape]bool // shapes for which a search found no set of victims
+	futilePreemptions  map[preemptionShape]bool // shapes for which a search found too few victims
 	preemptionSearches int
-	lowestPriority     int        // of all live jobs
-	packedMachines     []*Machine // see Fleet.packingOrder
-	stepsAtStart       uint64     // Fleet.PlanningSteps when the cycle began
+	lowestPriority     int        // lowest priority of all live jobs
+	packedMachines     []*Machine // cached result of Fleet.packingOrder; nil: not computed yet
+	stepsAtStart       uint64     // value of Fleet.PlanningSteps at the start of the cycle
 }
 
 // schedule runs one scheduling cycle: it plans unplanned tasks in priority order, then lets machines with free slots
@@ -70,8 +70,8 @@
 	f.steal(now)
 }
 
-// beginCycle resets the state of the cycle, and brings the priority order, the reservations and the licence grants up
-// to date.
+// beginCycle resets the state of the cycle, clears the reservations, and updates the priority order, the licence
+// grants and the accelerator reserve.
 func (f *Fleet) beginCycle(now time.Duration) {
 	f.cycle = schedulingCycle{
 		candidatesByShape: map[jobShape]*candidateList{},
@@ -96,8 +96,9 @@
 	f.PlanningSteps += uint64(len(f.machines) + 2*len(f.ranking.jobs))
 }
 
-// Tick does what is due at time now: it expires leases, runs a scheduling cycle, writes plans and, if this process
-// has the authority to act, dispatches commands.
+// Tick runs the periodic work of the fleet: it expires leases, runs a scheduling cycle if the pause after the last one
+// has passed, and writes plans. If this process has the authority to act, it also dispatches commands. Tick does
+// nothing until the durable plans are loaded.
 func (f *Fleet) Tick(now time.Duration, authority bool) {
 	if !f.plansLoaded {
 		return
@@ -115,8 +116,8 @@
 	if scheduled {
 		stepsBefore := f.PlanningSteps
 		f.schedule(now)
-		// Planning leaves most of the processor to heartbeats and lease renewals: the pause before the next cycle
-		// grows with the work of this one.
+		// The pause before the next cycle grows with the work of this cycle, so that most of the processor time is
+		// left for heartbeats and lease renewals.
 		cores := f.Settings.Params.Limits.UsableCores()
 		f.nextCycle = now + time.Duration(float64(f.PlanningSteps-stepsBefore)*float64(pausePerStep)/cores)
 	}
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Waiting work and the use of the fleet, as others need them: for scaling and for displays.
+// The waiting work and the utilization of the fleet, for the autoscaler, status displays and the log.
 
 import (
 	"fmt"
@@ -13,15 +13,15 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Need is work that waits for machines.
+// Need is the part of a job that waits for machines.
 type Need struct {
 	Job           *jobs.Job
 	Tasks         int
-	Seconds       float64 // expected run time of each task
-	StartTogether bool    // all tasks should start now rather than one after the other
+	Seconds       float64 // expected run time of one task
+	StartTogether bool    // all tasks need machines at the same time: gangs and services
 }
 
-// Demand lists the waiting work in priority order, as far as team limits and licences let it run.
+// Demand returns the waiting work that team limits and licences allow to run, in priority order.
 func (f *Fleet) Demand(now time.Duration) []Need {
 	var needs []Need
 	teamRoom := map[int32]planner.Size{}
@@ -37,16 +37,19 @@
 		if team == nil {
 			continue
 		}
-		left, known := teamRoom[job.Team]
-		if !known {
-			left = team.Limit.Sub(team.Used)
+		remaining, ok := teamRoom[job.Team]
+		if !ok {
+			remaining = team.Limit.Sub(team.Used)
 		}
 		size := job.Spec.Size()
-		tasks = min(tasks, max(0, size.Copies(left)))
+		tasks = min(tasks, max(0, size.Copies(remaining)))
 		if tasks == 0 {
 			continue
 		}
-		teamRoom[job.Team] = left.Sub(planner.Size{CPUs: size.CPUs * float64(tasks), GPUs: size.GPUs * float64(tasks)})
+		teamRoom[job.Team] = remaining.Sub(planner.Size{
+			CPUs: size.CPUs * float64(tasks),
+			GPUs: size.GPUs * float64(tasks),
+		})
 		needs = append(needs, Need{
 			Job:           job,
 			Tasks:         tasks,
@@ -57,8 +60,8 @@
 	return needs
 }
 
-// admissibleTasks returns how many of a job's unstarted tasks could use a machine now, whatever its team's limit:
-// none in a crash loop's back-off, and none that wait for a licence.
+// admissibleTasks returns how many of a job's unstarted tasks could use a machine now, without regard to the limit of
+// the job's team. Tasks that wait for licence units don't count, and during the back-off of a crash loop none do.
 func (f *Fleet) admissibleTasks(now time.Duration, job *jobs.Job) int {
 	unstarted := job.UnstartedTasks()
 	if unstarted == 0 || f.inBackoff(now, job) {
@@ -73,17 +76,17 @@
 // JobPerClass returns one live job of each class, in priority order.
 func (f *Fleet) JobPerClass() []*jobs.Job {
 	var representatives []*jobs.Job
-	seen := map[int32]bool{}
+	hasRepresentative := map[int32]bool{}
 	for _, job := range f.ranking.jobs {
-		if job.Spec != nil && !seen[job.Class] {
-			seen[job.Class] = true
+		if job.Spec != nil && !hasRepresentative[job.Class] {
+			hasRepresentative[job.Class] = true
 			representatives = append(representatives, job)
 		}
 	}
 	return representatives
 }
 
-// ImageGB returns the mean size in GB of the images that live jobs need, 0 if there are none.
+// ImageGB returns the mean image size of the live jobs in GB, or 0 if there are no live jobs.
 func (f *Fleet) ImageGB() float64 {
 	sum := 0.0
 	count := 0
@@ -99,25 +102,26 @@
 	return sum / float64(count)
 }
 
-// Quiescent reports whether there is no live job. It is false until the durable plans are loaded.
+// Quiescent reports whether the durable plans are loaded and there is no live job.
 func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranking.jobs) == 0 }
 
-// TaskCounts returns how many of a job's tasks are done and how many are running.
+// TaskCounts returns how many tasks of a job have finished and how many are running.
 func (f *Fleet) TaskCounts(job *jobs.Job) (done, running int) {
 	return job.FinishedTasks, job.RunningTasks
 }
 
-// machineUse sums up the machines of the fleet that exist.
+// machineUse holds totals over the machines that exist.
 type machineUse struct {
 	ready    int
 	notReady int
-	spot     int // of both
-	idle     int // of both
+	spot     int // ready or not
+	idle     int // ready or not, without tasks
 	capacity planner.Size
 	used     planner.Size
 }
 
-// LogSummary logs how full the fleet is, and the rates of heartbeats and direct requests since the last summary.
+// LogSummary logs the utilization of the fleet, and the rates of heartbeats and direct requests since the last
+// summary.
 func (f *Fleet) LogSummary(now time.Duration) {
 	machines := f.sumMachineUse()
 	waiting, waitingByClass := f.countWaitingTasks()
@@ -142,7 +146,7 @@
 		"tasks_waiting_by_class", waitingByClass)
 }
 
-// sumMachineUse sums up the machines other than those that are gone, or whose lease has expired.
+// sumMachineUse sums up all machines except terminated ones and those whose lease has expired.
 func (f *Fleet) sumMachineUse() machineUse {
 	var use machineUse
 	for _, machine := range f.machines {
@@ -166,7 +170,7 @@
 	return use
 }
 
-// countWaitingTasks returns how many tasks wait, in total and written out by class.
+// countWaitingTasks returns the number of unstarted tasks, in total and by class as "class:count" separated by spaces.
 func (f *Fleet) countWaitingTasks() (total int, byClass string) {
 	counts := map[int32]int{}
 	for _, job := range f.ranking.jobs {
--- a/internal/fleet/estimate.go
+++ b/internal/fleet/estimate.go
@@ -8,17 +8,17 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// overrunFraction is the part of its run time so far for which a task that exceeded its estimate is expected to go
-// on.
+// overrunFraction is the expected remaining time of a task that has exceeded its estimate, as a fraction of its run
+// time so far.
 const overrunFraction = 0.25
 
-// classStats corrects the estimates of a class of jobs by the run times seen.
+// classStats holds the correction of estimates for a class of jobs, derived from observed run times.
 type classStats struct {
-	ratio   float64 // of run time to estimate, smoothed
-	samples float64 // weight of the run times that ratio rests on
+	ratio   float64 // smoothed ratio of run time to estimate
+	samples float64 // total weight of the run times in ratio
 }
 
-// classStatsOf returns the record of a class, which it makes if there is none.
+// classStatsOf returns the statistics of a class. It creates them if there are none.
 func (f *Fleet) classStatsOf(class int32) *classStats {
 	stats := f.classes[class]
 	if stats == nil {
@@ -28,7 +28,8 @@
 	return stats
 }
 
-// estimate returns the expected run time of a job's task in seconds, corrected by its class.
+// estimate returns the expected run time of a job's task in seconds: the estimate in its spec, corrected by the
+// statistics of its class, or 1 if the spec has none.
 func (f *Fleet) estimate(job *jobs.Job) float64 {
 	if job.Spec.EstimateS <= 0 {
 		return 1
@@ -36,19 +37,19 @@
 	return job.Spec.EstimateS * f.classStatsOf(job.Class).ratio
 }
 
-// stageHeartbeats is how many heartbeat intervals a stage of a pipeline takes beside its run time: its start and its
-// end are each learned by a heartbeat.
+// stageHeartbeats is how many heartbeat intervals a stage of a pipeline takes in addition to its run time: one
+// heartbeat reports its start, and one its end.
 const stageHeartbeats = 2
 
-// StageTime returns the expected time from a job's release to its end, where there is room at once: the fetch of its
-// image at the usual rate, its run time, and the heartbeats in between.
+// StageTime returns the expected time from the release of a job to its end, if there is room for it at once. It is the
+// sum of the fetch of its image at 1 GB/s, its run time and stageHeartbeats heartbeat intervals.
 func (f *Fleet) StageTime(job *jobs.Job) time.Duration {
 	heartbeats := stageHeartbeats * f.Settings.Params.Workers.HeartbeatIntervalS
 	return jobs.Seconds(f.estimate(job) + job.Spec.ImageGB + heartbeats)
 }
 
-// fetchSeconds returns how long a machine takes to fetch a job's image: 0 if it has the image, or if its rate is
-// unknown.
+// fetchSeconds returns how many seconds a machine takes to fetch a job's image. It returns 0 if the machine has the
+// image or if its fetch rate is unknown.
 func (f *Fleet) fetchSeconds(job *jobs.Job, machine *Machine) float64 {
 	machineType := f.machineType(machine)
 	if machineType == nil || machineType.FetchGB <= 0 || machine.HasImage(job.Image) {
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Gangs: placed whole, on machines that have or will have room together.
+// Placement of gangs: all tasks of a gang are planned together, on machines that have or will have room for all.
 
 import (
 	"time"
@@ -9,8 +9,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// replanGang resets a gang that can't start as planned: one whose machine was lost or filled up before it started,
-// or one that lost a task while it was running.
+// replanGang resets a gang that can't start as planned. Either one of its machines was lost or filled up before the
+// start, or the running gang lost a task.
 func (f *Fleet) replanGang(job *jobs.Job) {
 	onMachines := job.TasksOnMachines()
 	if onMachines == 0 && f.gangPlanIsStale(job) {
@@ -22,9 +22,9 @@
 	}
 }
 
-// gangPlanIsStale reports whether a planned gang, none of whose tasks is on a machine, has to be placed anew: some
-// of it is unplanned, or a machine takes no work any more or has no room left because a heartbeat reported a task
-// there.
+// gangPlanIsStale reports whether a planned gang must be placed again. None of its tasks may be on a machine. The plan
+// is stale if some tasks are unplanned, or if a machine of the plan no longer takes work or is full because a
+// heartbeat reported another task there.
 func (f *Fleet) gangPlanIsStale(job *jobs.Job) bool {
 	if job.TasksByState[jobs.Planned] == 0 {
 		return false
@@ -41,7 +41,7 @@
 		if machine.Condition != Ready || machine.Returning {
 			return true
 		}
-		// A plan that isn't durable yet is not judged: its write is under way.
+		// The room for a task is checked only once its plan is durable: until then the write is in flight.
 		if job.IsDurable(int32(t)) && !f.fits(machine, job) {
 			return true
 		}
@@ -49,7 +49,8 @@
 	return false
 }
 
-// stopRestOfGang stops the tasks of a gang that lost one: all must have stopped before the gang can start again.
+// stopRestOfGang stops the remaining tasks of a gang that lost a task. The gang can start again once all of them have
+// stopped.
 func (f *Fleet) stopRestOfGang(job *jobs.Job) {
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
@@ -61,8 +62,8 @@
 	}
 }
 
-// placeGang plans an unplanned gang whole. If there is no room for it now, it preempts other work or reserves the
-// machines that will have room first, so that jobs after it in priority order don't take what comes free.
+// placeGang plans all tasks of an unplanned gang. If there is not enough room now, it preempts other work, or reserves
+// the machines that will have room first so that lower-ranked jobs don't take the room that becomes free.
 func (f *Fleet) placeGang(now time.Duration, job *jobs.Job) {
 	if !f.mayPlaceGang(now, job) {
 		return
@@ -79,7 +80,7 @@
 	shortage := gangShortage{machinesWithRoom: len(list.withRoom), secondsToStart: start}
 	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
 	if f.crashLooping(job) != nil {
-		return // no room is made or reserved for a job that fails wherever it runs
+		return // a job that fails on every machine neither preempts nor reserves
 	}
 	if start > f.secondsToWait(now, job) && f.preemptForGang(now, job, list.candidates, start) {
 		return
@@ -89,10 +90,10 @@
 	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
 }
 
-// mayPlaceGang reports whether a gang is to be placed now. If not, it records why.
+// mayPlaceGang reports whether a gang may be placed now. If not, it records the reason.
 func (f *Fleet) mayPlaceGang(now time.Duration, job *jobs.Job) bool {
 	if job.TasksByState[jobs.Unplanned] < job.TaskCount {
-		// It is planned, running or finished, or some of its tasks have yet to stop.
+		// The gang is planned, running or finished, or some of its tasks are still stopping.
 		f.setUnplannedReason(job, unplannedReason{cause: GangStopping})
 		return false
 	}
@@ -113,7 +114,7 @@
 	return true
 }
 
-// placeGangNow plans a gang on machines that have room now, and reports whether there were enough.
+// placeGangNow plans a gang on machines that have room now. It returns false if there are too few.
 func (f *Fleet) placeGangNow(now time.Duration, job *jobs.Job, list *candidateList) bool {
 	if job.TaskCount == 1 {
 		return f.placeSingleTask(now, job, list)
@@ -137,8 +138,9 @@
 	return placement != nil
 }
 
-// placeSingleTask plans a gang of one task on the best candidate if that has room now: a busy machine that is
-// preferred to those with room is worth the wait, unless the job is starving.
+// placeSingleTask plans a gang of one task on the best candidate if that machine has room now, and reports whether it
+// did. If the best candidate is busy, the job waits for it, unless the job is starving: then any machine with room
+// will do.
 func (f *Fleet) placeSingleTask(now time.Duration, job *jobs.Job, list *candidateList) bool {
 	size := job.Spec.Size()
 	for ; list.firstOpen < len(list.candidates); list.firstOpen++ {
@@ -163,8 +165,8 @@
 	return false
 }
 
-// earliestGangStart estimates in how many seconds enough machines will have room for a gang, one for each task, and
-// in which zone if it must stay in one.
+// earliestGangStart estimates in how many seconds enough machines will have room for a gang, one machine for each
+// task. It also returns the zone of these machines, or jobs.None if the gang may span zones.
 func (f *Fleet) earliestGangStart(job *jobs.Job, list *candidateList) (zone int32, start float64) {
 	machinesByZone := map[int32]int{}
 	for i := range list.candidates {
@@ -182,8 +184,8 @@
 	return zone, unknownWaitSeconds
 }
 
-// reserveMachines reserves the machines that will have room first for a gang, and returns how many it reserved. Firm
-// reservations hold against starving jobs too.
+// reserveMachines reserves for a gang the machines that will have room first, and returns how many it reserved. A firm
+// reservation is also effective against starving jobs.
 func (f *Fleet) reserveMachines(job *jobs.Job, list *candidateList, zone int32, firm bool) int {
 	rank := f.rankOf(job)
 	reserved := 0
--- a/internal/fleet/gpureserve.go
+++ b/internal/fleet/gpureserve.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Processors and memory that tasks without accelerators leave beside idle accelerators, for waiting work that needs
-// both.
+// The accelerator reserve: processors and memory beside idle accelerators that tasks without accelerators may not use,
+// so that waiting tasks with accelerators can start there.
 
 import (
 	"math"
@@ -10,17 +10,17 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// reservedGPUFraction is the fraction of all accelerators beside which processors stay free for work still to come.
+// reservedGPUFraction is the fraction of all accelerators whose processors stay reserved for future work.
 const reservedGPUFraction = 0.25
 
-// waitingGPUs counts the accelerators that waiting work needs, by where it may run.
+// waitingGPUs counts the accelerators that waiting tasks need, by the kind of machine they may use.
 type waitingGPUs struct {
-	anywhere float64 // on spot machines too
-	onDemand float64 // on on-demand machines only
+	anywhere float64 // tasks that may also use spot machines
+	onDemand float64 // tasks that may use only on-demand machines
 }
 
-// computeGPUReserve finds what waiting work takes of a machine besides each accelerator, and on which machines that
-// is kept free.
+// computeGPUReserve computes how much processor and memory waiting work needs for each accelerator, and on which
+// machines that amount is reserved.
 func (f *Fleet) computeGPUReserve() {
 	reserve := &f.gpuReserve
 	reserve.perGPU = planner.Size{}
@@ -42,7 +42,7 @@
 	}
 }
 
-// addOnDemandTypes adds the machine types on which a job that may not use spot machines may run.
+// addOnDemandTypes adds the machine types that a job without permission to use spot machines may run on.
 func (f *Fleet) addOnDemandTypes(job *jobs.Job) {
 	size := job.Spec.Size()
 	for typeIndex := range f.gpuReserve.seenTypes {
@@ -53,8 +53,8 @@
 	}
 }
 
-// addWaitingGPUs adds a job's unstarted tasks to the reserve if they need accelerators. A job that its team's limit
-// holds back needs no room, nor does one in a crash loop.
+// addWaitingGPUs adds the accelerators of a job's unstarted tasks to waiting, and raises the reserve to the needs of
+// the job. A job in a crash loop, or one that its team's limit or missing licences keep from starting, is ignored.
 func (f *Fleet) addWaitingGPUs(job *jobs.Job, waiting *waitingGPUs) {
 	size := job.Spec.Size()
 	if size.GPUs <= 0 {
@@ -81,18 +81,18 @@
 	}
 }
 
-// reserveCPUsForGPUWork marks the machines on which processors stay free beside idle accelerators: for twice the
-// accelerators that waiting work needs, and for a fraction of all accelerators for work still to come, on machines
-// that such work may use. To keep them on every machine as long as a single task waits would leave most of the
-// fleet idle.
+// reserveCPUsForGPUWork marks the machines on which processors are reserved beside idle accelerators. It marks enough
+// machines for twice the accelerators that waiting work needs, plus reservedGPUFraction of all accelerators for future
+// work, among the machines that such work may use. Marking every machine while a single task waits would leave most of
+// the fleet idle.
 func (f *Fleet) reserveCPUsForGPUWork(waiting waitingGPUs) {
-	total := map[bool]float64{} // accelerators, by whether on spot machines
+	total := map[bool]float64{} // accelerators; the key is Machine.Spot
 	for _, machine := range f.machines {
 		if machine.Condition == Ready && !machine.Returning {
 			total[machine.Spot] += machine.Capacity.GPUs
 		}
 	}
-	unreserved := map[bool]float64{ // idle accelerators still to be found, by whether on spot machines
+	unreserved := map[bool]float64{ // idle accelerators still to be reserved; the key is Machine.Spot
 		true:  2*waiting.anywhere + reservedGPUFraction*total[true],
 		false: 2*(waiting.anywhere+waiting.onDemand) + reservedGPUFraction*total[false],
 	}
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -10,19 +10,20 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// This file stops tasks for the licence units that they hold: for a job of higher priority, or because a pool has
-// fewer units than are in use.
+// Preemption for licences: stopping tasks that hold licence units, either for another job that needs them, or because
+// a pool has fewer units than are in use.
 
 // licenceHolder is a running task, or a whole gang, that may be stopped for its licence units.
 type licenceHolder struct {
 	job   *jobs.Job
 	tasks []int32
-	units int     // of the pool in question
-	lost  float64 // seconds of work that stopping it wastes
+	units int     // units that it holds of the pool for which it was found
+	lost  float64 // seconds of work that stopping it would waste
 }
 
-// licenceHolders returns the holders of units of a pool that are on machines and may be stopped, those that lose the
-// fewest seconds of work for each unit first, and how many units are held by tasks that are being stopped already.
+// licenceHolders returns the holders of units of a pool that are on machines and may be stopped, ordered by the
+// seconds of lost work for each unit. stoppingUnits is the number of units of tasks that have ended or are already
+// being stopped.
 func (f *Fleet) licenceHolders(
 	now time.Duration,
 	pool int32,
@@ -60,7 +61,7 @@
 	return holders, stoppingUnits
 }
 
-// compareHolders orders holders by the work lost for each unit, then by job and task.
+// compareHolders orders holders by the lost work for each unit, then by job and task.
 func compareHolders(a, b licenceHolder) int {
 	return cmp.Or(
 		cmp.Compare(a.lost/float64(a.units), b.lost/float64(b.units)),
@@ -78,7 +79,8 @@
 	return 0
 }
 
-// firstHolders returns the fewest first holders that together have as many units; nil if all have not.
+// firstHolders returns the shortest prefix of holders that together hold a number of units, or nil if all of them
+// together hold fewer.
 func firstHolders(holders []licenceHolder, units int) []licenceHolder {
 	for i := range holders {
 		units -= holders[i].units
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// stopHolders stops the tasks of holders of a pool, and logs the cause.
+// stopHolders stops the tasks of some holders of a pool, and logs the cause.
 func (f *Fleet) stopHolders(holders []licenceHolder, pool int32, cause string) {
 	for _, holder := range holders {
 		for _, taskIndex := range holder.tasks {
@@ -105,8 +107,8 @@
 	}
 }
 
-// stopExcess stops the holders that lose the least work after a pool's count fell below what is in use, if its
-// operators chose so.
+// stopExcess stops holders of a pool, those with the least lost work first, if more units are in use than the pool's
+// count allows and the pool is configured to preempt holders in this case.
 func (f *Fleet) stopExcess(now time.Duration, pool int32) {
 	excess := f.Gate.Licences.Excess(pool)
 	if excess == 0 {
@@ -118,25 +120,25 @@
 		return
 	}
 	if enough := firstHolders(holders, excess); enough != nil {
-		holders = enough // otherwise all of them: users of other systems hold more than the count
+		holders = enough // if nil, all holders are stopped: users outside the cluster hold more units than the count
 	}
 	f.stopHolders(holders, pool, "licence count lowered")
 }
 
-// poolHolders is what is to be stopped for the units of one pool.
+// poolHolders lists the holders to stop for the units of one pool.
 type poolHolders struct {
 	pool    int32
 	holders []licenceHolder
 }
 
-// preemptForLicences stops tasks of others for a job that waits for licence units, by the same rules as for
-// machines: only after a delay, and only where waiting for tasks to end by themselves would miss an objective or a
-// guarantee. It stops holders in all pools that lack units, or in none.
+// preemptForLicences stops tasks of other jobs for a job that waits for licence units. The rules are the same as for
+// machines: it preempts only after a delay, and only if waiting for tasks to end would miss an objective or a
+// guarantee. It stops holders either in all pools in which units are missing, or in none.
 func (f *Fleet) preemptForLicences(now time.Duration, job *jobs.Job, request licences.Request, grant licences.Grant) {
 	if grant.Denial != licences.NoFreeUnits && grant.Denial != licences.LowerPriority {
 		return
 	}
-	needed := 1 // tasks that must start together
+	needed := 1 // number of tasks that must start together
 	if request.IsGang {
 		needed = request.Tasks
 	}
@@ -148,7 +150,7 @@
 		return
 	}
 	if grant.Tasks >= needed {
-		return // it can start without stopping anybody
+		return // the job can start without preemption
 	}
 	maxWaitS := preemptionDelayS
 	if !guaranteed {
@@ -179,8 +181,9 @@
 	}
 }
 
-// exceedsLicenceGuarantee returns whether a job whose tasks can be stopped one by one belongs to a team, other than
-// the given one, that holds more of a pool than it is guaranteed.
+// exceedsLicenceGuarantee reports whether tasks of victim may be preempted for another team's guaranteed units of a
+// pool. The team of victim must differ from the given team and hold more units of the pool than its guarantee, and the
+// tasks of victim must be independent of each other.
 func (f *Fleet) exceedsLicenceGuarantee(victim *jobs.Job, team, pool int32) bool {
 	if victim.Team == team || !f.Gate.Licences.IsAboveGuarantee(pool, victim.Team) {
 		return false
@@ -189,7 +192,8 @@
 	return separateTasks && !f.Gate.Licences.IsWithinGuarantee(victim.Team, victim.LicenceUnits, 0)
 }
 
-// earliestLicenceS estimates in how many seconds the next holder of a pool ends by itself.
+// earliestLicenceS estimates in how many seconds the next task that holds units of a pool ends without being stopped.
+// It returns unknownWaitSeconds if there is no such task.
 func (f *Fleet) earliestLicenceS(now time.Duration, pool int32) float64 {
 	earliest := unknownWaitSeconds
 	f.Jobs.ForEach(func(job *jobs.Job) {
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -9,27 +9,27 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// This file connects the licences with planning: each scheduling cycle grants the free licence units in priority
-// order, and a job plans, and asks for machines, only for tasks that are granted theirs. Whether a task may start is
-// decided by the admission gate when its launch is about to be sent.
+// Licences in planning: each scheduling cycle grants the free licence units in priority order. Only tasks with granted
+// units are planned and count as demand for machines. Whether a task may start is decided by the admission gate, just
+// before its launch is sent.
 
 // licenceRef identifies a task as a holder of licence units.
 func licenceRef(job *jobs.Job, taskIndex int32) licences.TaskRef {
 	return licences.TaskRef{Job: int32(job.Index), Task: taskIndex}
 }
 
-// admissionClaim returns what one task of a job takes of all limits.
+// admissionClaim returns the resources that one task of a job needs: its size and its licence units.
 func admissionClaim(job *jobs.Job) admission.Claim {
 	return admission.Claim{Team: job.Team, Size: job.Spec.Size(), LicenceUnits: job.LicenceUnits}
 }
 
-// mayStart returns whether team limits and licences let n tasks of a job start together now.
+// mayStart reports whether team limits and licences allow n tasks of a job to start together now.
 func (f *Fleet) mayStart(job *jobs.Job, n int) bool {
 	return f.grantedTasks(job, n) >= n && f.Gate.Fits(admissionClaim(job), n)
 }
 
-// grantedTasks returns how many of n waiting tasks the last scheduling cycle granted their licence units: all, if
-// they need none.
+// grantedTasks returns how many of n waiting tasks of a job have been granted their licence units by the last
+// scheduling cycle. The result is n if the job needs no licences.
 func (f *Fleet) grantedTasks(job *jobs.Job, n int) int {
 	if len(job.LicenceUnits) == 0 {
 		return n
@@ -37,7 +37,8 @@
 	return min(n, f.licenceGrants[job.Index].Tasks)
 }
 
-// LicenceHolder finds the task with a name, by which a licence server lists it as a holder.
+// LicenceHolder returns the task with the name under which a licence server lists it as a holder. It returns false if
+// there is no such task.
 func (f *Fleet) LicenceHolder(task string) (licences.TaskRef, bool) {
 	job, taskIndex := f.findTask(task)
 	if job == nil {
@@ -46,8 +47,9 @@
 	return licenceRef(job, taskIndex), true
 }
 
-// LicenceDenial returns why a job's waiting tasks are not granted their licence units, and the index of the pool that
-// lacks them: licences.Granted and -1 if they are, or need none.
+// LicenceDenial returns the reason for which a job's waiting tasks are denied licence units, and the index of the pool
+// in which units are missing. If the last scheduling cycle did not process licences for the job, it returns
+// licences.Granted and -1.
 func (f *Fleet) LicenceDenial(job *jobs.Job) (licences.Denial, int32) {
 	grant, ok := f.licenceGrants[job.Index]
 	if !ok {
@@ -56,16 +58,16 @@
 	return grant.Denial, grant.Pool
 }
 
-// poolName returns the name of a licence pool.
+// poolName returns the name of a licence pool for logs and users.
 func (f *Fleet) poolName(index int32) string {
 	pools := f.Jobs.Names.Pools.Pools()
 	if index < 0 || int(index) >= len(pools) {
-		return "a pool that is not declared here"
+		return "(undeclared pool)"
 	}
 	return pools[index].Name
 }
 
-// admitGang reserves what a whole gang takes when its first task is about to be launched.
+// admitGang reserves the resources of all planned tasks of a gang, when the first of them is about to be launched.
 func (f *Fleet) admitGang(now time.Duration, job *jobs.Job) {
 	var refs []licences.TaskRef
 	for t := range job.Tasks {
@@ -76,8 +78,8 @@
 	f.Gate.Reserve(now, refs, job.GangAttempt, admissionClaim(job))
 }
 
-// releaseUnusedAdmissions releases what is reserved for tasks that will not be launched: their job ended, or their
-// gang lost its plan or one of its tasks.
+// releaseUnusedAdmissions releases the reservations of tasks that will not be launched because their job has ended, or
+// their gang has lost its plan or one of its tasks.
 func (f *Fleet) releaseUnusedAdmissions(now time.Duration) {
 	f.Gate.ReleaseReserved(now, func(ref licences.TaskRef) bool {
 		job := f.jobAt(jobs.Index(ref.Job))
@@ -88,8 +90,8 @@
 	})
 }
 
-// licenceEnd returns what the reason of a task's exit means for its licence units. A process that was stopped, or
-// that ended by itself, has returned them; one that failed may not have.
+// licenceEnd maps the cause of a task's exit to the way in which its licence units end. A process that was stopped, or
+// that exited normally, has returned its units. A process that failed may not have returned them.
 func licenceEnd(exitReason ExitCause) licences.End {
 	switch exitReason {
 	case exitNoRoom, exitUnknown:
@@ -100,10 +102,10 @@
 	return licences.CleanExit
 }
 
-// handleWorkerRestart releases the launched tasks that need licences when their worker's session has ended: the
-// worker has killed what it had started of them, and commands still on their way name the old session. The same
-// attempts are not sent again, as those of other tasks are, since two processes could then hold licence units in the
-// name of one attempt.
+// handleWorkerRestart releases the launched tasks that need licences after their worker's session has ended. The
+// worker has killed the processes of these tasks, and commands that are still in flight name the old session. Launches
+// of other tasks are sent again with the same attempt number. For tasks with licences this is not done: two processes
+// could then hold licence units under the same attempt.
 func (f *Fleet) handleWorkerRestart(now time.Duration, machine *Machine) {
 	if f.Gate.Licences.IsEmpty() || !f.plansLoaded {
 		return
@@ -121,9 +123,8 @@
 	}
 }
 
-// grantLicences grants the free licence units for this scheduling cycle. A job that is granted fewer than it has
-// planned loses the rest of its plan, so no more is planned than is granted. Where units are missing, tasks of others
-// may be stopped.
+// grantLicences grants the free licence units for this scheduling cycle. If a job has more planned tasks than granted
+// ones, the excess tasks become unplanned. If units are missing, tasks of other jobs may be preempted.
 func (f *Fleet) grantLicences(now time.Duration) {
 	f.releaseUnusedAdmissions(now)
 	clear(f.licenceGrants)
@@ -147,7 +148,7 @@
 	}
 }
 
-// licenceRequests returns the live jobs that need licences, in priority order, and what each asks for.
+// licenceRequests returns the live jobs that need licences, in priority order, and the request of each.
 func (f *Fleet) licenceRequests() ([]*jobs.Job, []licences.Request) {
 	var jobList []*jobs.Job
 	var requests []licences.Request
@@ -163,7 +164,7 @@
 			Tasks:  job.UnstartedTasks(),
 		}
 		if request.IsGang && request.Tasks < job.TaskCount {
-			request.Tasks = 0 // some of the gang is still on machines, or about to start with its units reserved
+			request.Tasks = 0 // tasks are still on machines, or the gang is starting with reserved units
 		}
 		jobList = append(jobList, job)
 		requests = append(requests, request)
@@ -171,7 +172,7 @@
 	return jobList, requests
 }
 
-// applyLicenceGrant keeps a job's grant for this scheduling cycle and takes back plans beyond it.
+// applyLicenceGrant stores a job's grant for this scheduling cycle, and makes planned tasks beyond it unplanned.
 func (f *Fleet) applyLicenceGrant(job *jobs.Job, request licences.Request, grant licences.Grant) {
 	if job.LicenceDenial != grant.Denial {
 		job.LicenceDenial = grant.Denial
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -1,6 +1,6 @@
 package fleet
 
-// What loads a machine, and when it is expected to have room.
+// The expected load of a machine, and estimates of when it will have room.
 
 import (
 	"cmp"
@@ -12,18 +12,19 @@
 )
 
 const (
-	// unknownWaitSeconds stands for a wait of which no end is expected.
+	// unknownWaitSeconds is the estimate for a wait without a foreseeable end.
 	unknownWaitSeconds = 1e6
-	// maxCredibleWaitSeconds is the longest wait that counts as an estimate. It is below unknownWaitSeconds.
+	// maxCredibleWaitSeconds is the longest wait that is treated as an estimate. It is less than unknownWaitSeconds.
 	maxCredibleWaitSeconds = 1e5
-	// minRemainingSeconds is the least remaining time counted for a task, and what counts for one that is being
-	// stopped or may be preempted.
+	// minRemainingSeconds is the lower bound of a task's remaining time. It is also used for tasks that may be preempted
+	// and for tasks of ended jobs.
 	minRemainingSeconds = 1.0
-	// noRank is below every rank: no queued work counts.
+	// noRank is before every rank: with it, appendMachineWork ignores queued tasks.
 	noRank = -1
 )
 
-// expectedEnds returns when each task on a machine is expected to end, earliest first. The machine keeps the result.
+// expectedEnds returns the expected end of each task on a machine, earliest first. The machine caches the result for
+// expectedEndsValidFor.
 func (f *Fleet) expectedEnds(now time.Duration, machine *Machine) []expectedEnd {
 	if machine.endsValid && now-machine.endsComputedAt < expectedEndsValidFor {
 		return machine.expectedEnds
@@ -47,8 +48,8 @@
 	return machine.expectedEnds
 }
 
-// secondsUntilRoom estimates when a machine will have room for a task of a job: unknownWaitSeconds if the end of
-// all its tasks does not make room.
+// secondsUntilRoom estimates in how many seconds tasks on a machine end and make room for a task of a job. It returns
+// unknownWaitSeconds if there would be too little room even after all of them have ended.
 func (f *Fleet) secondsUntilRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
 	free := machine.Free()
 	if f.isReservedFrom(machine, job) {
@@ -64,8 +65,8 @@
 	return unknownWaitSeconds
 }
 
-// appendMachineWork appends to work what loads a machine: the tasks on it, then the tasks queued there for jobs up
-// to a rank. Tasks that preemptor, which may be nil, may preempt hardly count.
+// appendMachineWork appends the load of a machine to work: the tasks on it, then the tasks queued there for jobs up to
+// rank. A task that preemptor may preempt counts with only minRemainingSeconds; preemptor may be nil.
 func (f *Fleet) appendMachineWork(
 	work []planner.Work,
 	now time.Duration,
@@ -87,7 +88,8 @@
 	return f.appendQueuedWork(work, machine, rank)
 }
 
-// appendQueuedWork appends the tasks that are queued on a machine for jobs up to a rank, in priority order.
+// appendQueuedWork appends the tasks that are queued on a machine for jobs up to rank, in priority order. More than
+// maxTasksListedSingly tasks of a job are appended as one load of the whole machine.
 func (f *Fleet) appendQueuedWork(work []planner.Work, machine *Machine, rank int) []planner.Work {
 	queuedJobs := f.scratch.jobIndices[:0]
 	for _, queue := range machine.queues {
@@ -117,8 +119,8 @@
 	return work
 }
 
-// ExpectedWork returns the tasks on a machine with their remaining times, in a buffer that is valid until the next
-// call.
+// ExpectedWork returns the tasks on a machine with their expected remaining times. The result is valid until the next
+// scheduling cycle or call.
 func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
 	f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, noRank, nil)
 	return f.scratch.work
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Overload: which deadlines are given up when not all can be met.
+// Overload: the choice of deadlines to abandon if not all deadlines can be met.
 
 import (
 	"cmp"
@@ -12,22 +12,23 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// plannableFraction is the part of the machines that deadlines may count on. Estimates are wrong, machines are lost
-// and slots never fill up quite: a set of jobs that only just fits would miss its deadlines one after the other.
+// plannableFraction is the fraction of the machines' capacity on which deadlines may rely. The rest is a margin for
+// wrong estimates, lost machines and slots that can't be filled completely. Without the margin, a set of jobs that
+// barely fits would miss one deadline after the other.
 const plannableFraction = 0.75
 
-// negligibleAmount is the amount of a resource below which it counts as none.
+// negligibleAmount is the amount of a resource up to which it is treated as zero.
 const negligibleAmount = 1e-9
 
 // deadlineJob is an array with a deadline that can still be met.
 type deadlineJob struct {
 	job         *jobs.Job
-	position    int           // in the priority order
-	latestStart time.Duration // of its last task
-	work        planner.Size  // to be done before that, in resource-seconds
+	position    int           // index in the priority order
+	latestStart time.Duration // latest start of its last task
+	work        planner.Size  // work of its unstarted tasks, in resource-seconds
 }
 
-// heaviestFirst is a heap of deadline jobs, the one with the most work in the scarcest resource first.
+// heaviestFirst is a heap of deadline jobs with the most work in its scarcest resource on top.
 type heaviestFirst struct {
 	jobs    []deadlineJob
 	pool    planner.Size
@@ -62,8 +63,8 @@
 	return last
 }
 
-// secondsOfWork returns how many seconds a pool of machines takes for an amount of work: those of the resource that
-// takes longest.
+// secondsOfWork returns how many seconds a pool of machines needs for an amount of work. This is the time of the
+// resource that takes longest.
 func secondsOfWork(work, pool planner.Size) float64 {
 	resources := [...]struct{ work, pool float64 }{
 		{work.CPUs, pool.CPUs},
@@ -79,12 +80,11 @@
 	return seconds
 }
 
-// unattainableDeadlines chooses the jobs whose deadlines are given up, so that a pool of machines meets as many of
-// the others as possible. It uses the algorithm of Moore and Hodgson: jobs are taken by latest start, and whenever
-// the work up to one takes too long, the heaviest job so far is given up. The result is true for each job that is
-// given up.
+// unattainableDeadlines chooses the jobs whose deadlines are abandoned, so that a pool of machines meets as many
+// deadlines as possible. It uses the Moore-Hodgson algorithm: jobs are added in the order of their latest starts, and
+// whenever the added work takes too long, the heaviest job so far is removed. The result is true for each removed job.
 func unattainableDeadlines(now time.Duration, deadlineJobs []deadlineJob, pool planner.Size) []bool {
-	givenUp := make([]bool, len(deadlineJobs))
+	abandoned := make([]bool, len(deadlineJobs))
 	order := make([]int, len(deadlineJobs))
 	for i := range order {
 		order[i] = i
@@ -100,31 +100,31 @@
 		available := (deadlineJobs[i].latestStart - now).Seconds()
 		for accepted.Len() > 0 && secondsOfWork(total, pool) > available {
 			heaviest := heap.Pop(accepted).(int)
-			givenUp[heaviest] = true
+			abandoned[heaviest] = true
 			total = total.Sub(deadlineJobs[heaviest].work)
 		}
 	}
-	return givenUp
+	return abandoned
 }
 
-// demoteUnattainableDeadlines lets the arrays whose deadlines are given up in an overload change places, in the
-// priority order, with arrays whose deadlines can still be met. All other jobs keep their ranks: to rank a given-up
-// array behind every job without a deadline would lose more than the overload does.
+// demoteUnattainableDeadlines swaps the ranks of arrays whose deadlines are abandoned in an overload with those of
+// lower-ranked arrays whose deadlines can still be met. All other jobs keep their ranks: ranking an abandoned array
+// behind every job without a deadline would lose more than the overload does.
 func (f *Fleet) demoteUnattainableDeadlines(now time.Duration, urgencies map[jobs.Index]urgency) {
 	deadlineJobs, pool := f.collectDeadlineJobs(urgencies)
-	givenUp := unattainableDeadlines(now, deadlineJobs, pool.Scale(plannableFraction))
+	abandoned := unattainableDeadlines(now, deadlineJobs, pool.Scale(plannableFraction))
 	for start := 0; start < len(deadlineJobs); {
 		end := start + 1
 		for end < len(deadlineJobs) && f.mayChangePlaces(deadlineJobs[start].job, deadlineJobs[end].job) {
 			end++
 		}
-		f.moveGivenUpLast(deadlineJobs[start:end], givenUp[start:end])
+		f.moveGivenUpLast(deadlineJobs[start:end], abandoned[start:end])
 		start = end
 	}
 }
 
-// collectDeadlineJobs returns the arrays with deadlines that can still be met, in priority order, and the capacity
-// that running tasks of other jobs leave for them. Jobs in a crash loop count on neither side.
+// collectDeadlineJobs returns the arrays with deadlines that can still be met, in priority order, and the capacity of
+// all machines without that of other jobs' running tasks. Jobs in a crash loop are ignored on both sides.
 func (f *Fleet) collectDeadlineJobs(urgencies map[jobs.Index]urgency) ([]deadlineJob, planner.Size) {
 	pool := planner.Size{}
 	for _, machine := range f.machines {
@@ -155,18 +155,18 @@
 	return deadlineJobs, pool
 }
 
-// mayChangePlaces reports whether two jobs may change places in the priority order: neither may preempt the other.
+// mayChangePlaces reports whether two jobs may swap ranks. This requires that neither may preempt the other.
 func (f *Fleet) mayChangePlaces(a, b *jobs.Job) bool {
 	return a.Priority == b.Priority && f.ranking.withinGuarantee[a.Index] == f.ranking.withinGuarantee[b.Index]
 }
 
-// moveGivenUpLast puts jobs whose deadlines are given up on the last of the positions that a group of jobs has in the
-// priority order, and the others on the first. Both keep their order among themselves.
-func (f *Fleet) moveGivenUpLast(group []deadlineJob, givenUp []bool) {
+// moveGivenUpLast redistributes the positions that a group of jobs has in the priority order. Jobs with abandoned
+// deadlines get the last positions and the others the first. Within each of the two sets the order is kept.
+func (f *Fleet) moveGivenUpLast(group []deadlineJob, abandoned []bool) {
 	next := 0
 	for _, last := range []bool{false, true} {
 		for i := range group {
-			if givenUp[i] == last {
+			if abandoned[i] == last {
 				f.ranking.jobs[group[next].position] = group[i].job
 				next++
 			}
--- a/internal/fleet/packing.go
+++ b/internal/fleet/packing.go
@@ -1,11 +1,11 @@
 package fleet
 
-// The order in which planning takes machines.
+// The order in which planning fills machines.
 
-// packingOrder returns the machines that take work, in the order for planning: spot machines, which fewer jobs can
-// use, and machines in use come first, so that others stay free to be returned. Between equally loaded slots the
-// planner takes the first. The order is made once a cycle, by counting: to sort the fleet in each cycle cost a
-// twentieth of a leader's processor time.
+// packingOrder returns the machines that take work, in the order in which planning fills them. Spot machines come
+// first because fewer jobs can use them, then machines with the most tasks, so that idle machines can be returned to
+// the cloud. Among equally loaded slots the planner chooses the first. The order is computed once a cycle with a
+// counting sort: sorting the fleet by comparison in each cycle used a twentieth of a leader's processor time.
 func (f *Fleet) packingOrder() []*Machine {
 	if f.cycle.packedMachines != nil {
 		return f.cycle.packedMachines
@@ -14,24 +14,24 @@
 	for _, machine := range f.machines {
 		maxTasks = max(maxTasks, len(machine.Tasks))
 	}
-	// Counting sort: first the number of machines of each class, then the place of the class's first machine.
-	places := make([]int, 2*(maxTasks+1)+1)
+	// Counting sort: offsets first holds the number of machines of each class, then the index of the next one.
+	offsets := make([]int, 2*(maxTasks+1)+1)
 	machineCount := 0
 	for _, machine := range f.machines {
 		if takesWork(machine) {
-			places[packingClass(machine, maxTasks)+1]++
+			offsets[packingClass(machine, maxTasks)+1]++
 			machineCount++
 		}
 	}
-	for class := 1; class < len(places); class++ {
-		places[class] += places[class-1]
+	for class := 1; class < len(offsets); class++ {
+		offsets[class] += offsets[class-1]
 	}
 	ordered := make([]*Machine, machineCount)
 	for _, machine := range f.machines {
 		if takesWork(machine) {
 			class := packingClass(machine, maxTasks)
-			ordered[places[class]] = machine
-			places[class]++
+			ordered[offsets[class]] = machine
+			offsets[class]++
 		}
 	}
 	f.PlanningSteps += uint64(2 * len(ordered))
@@ -39,8 +39,8 @@
 	return ordered
 }
 
-// packingClass numbers the classes of machines in packing order: spot machines first, and of each kind those with the
-// most tasks first.
+// packingClass returns the position of a machine's class in the packing order: spot machines before on-demand
+// machines, and among each of them machines with more tasks first.
 func packingClass(machine *Machine, maxTasks int) int {
 	class := maxTasks - len(machine.Tasks)
 	if !machine.Spot {
@@ -49,7 +49,7 @@
 	return class
 }
 
-// takesWork reports whether new work may be planned on a machine.
+// takesWork reports whether new tasks may be planned on a machine.
 func takesWork(machine *Machine) bool {
 	return machine.Condition == Ready && !machine.Returning && !machine.Quarantined
 }
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -11,64 +11,64 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// This file reports why tasks of a job wait. For tasks without a plan, the cause is recorded where planning decides,
-// so that a report shows what was decided.
+// The reasons for which tasks of a job wait. For unplanned tasks, planning records the cause when it makes the
+// decision, so that a report shows the actual decision.
 
-// PendingCause is why some of a job's tasks wait. Its values are part of the HTTP API.
+// PendingCause identifies why some tasks of a job wait. Its values are part of the HTTP API.
 type PendingCause string
 
-// The causes.
+// The causes. In the comments, "task" is a waiting task, and "job" and "team" are those of the task.
 const (
-	TeamLimit          PendingCause = "team_limit" // its team may use no more
+	TeamLimit          PendingCause = "team_limit" // the job would exceed the limit of its team
 	LicenceUnavailable PendingCause = "licence"    // units of a licence pool are missing
-	NoMachine          PendingCause = "no_machine" // no machine that is up may take it
-	GangShort          PendingCause = "gang_short" // too few machines have room for a gang at once
-	NoRoom             PendingCause = "no_room"    // no machine that may take a replica has room
-	RetryLater         PendingCause = "retry"      // it failed and is retried later
-	CrashLoopBackoff   PendingCause = "failing"    // it fails wherever it runs and is retried with back-off
-	SessionSuspended   PendingCause = "parked"     // its session was reclaimed
-	// PredecessorsUnfinished: jobs that must be done before it aren't, or it is to be cancelled with one of them.
+	NoMachine          PendingCause = "no_machine" // no machine that is up is eligible for the task
+	GangShort          PendingCause = "gang_short" // too few machines have room for all tasks of the gang at once
+	NoRoom             PendingCause = "no_room"    // no eligible machine has room for the replica
+	RetryLater         PendingCause = "retry"      // the task failed and is retried later
+	CrashLoopBackoff   PendingCause = "failing"    // the job fails on every machine and is retried with back-off
+	SessionSuspended   PendingCause = "parked"     // the session of the job was reclaimed
+	// PredecessorsUnfinished: predecessors of the job are unfinished, or the job will be cancelled with one of them.
 	PredecessorsUnfinished PendingCause = "predecessors"
-	RecordUnreadable       PendingCause = "unreadable"       // something stored of it can't be read
-	ZoneLost               PendingCause = "zone_lost"        // on a machine of a lost zone that sends no heartbeats
-	PlanningBehind         PendingCause = "planning_behind"  // no scheduling cycle has reached it yet
-	QueuedOnMachine        PendingCause = "lane"             // in the queue of a machine that has no room now
-	PlanNotDurable         PendingCause = "plan_not_durable" // its plan is being written
-	GangStopping           PendingCause = "gang_leaving"     // the rest of its gang must be gone first
-	Arriving               PendingCause = "starting"         // sent to its machine, not running yet
+	RecordUnreadable       PendingCause = "unreadable"       // a stored record of the job can't be read
+	ZoneLost               PendingCause = "zone_lost"        // the task is on a machine of a lost zone, without heartbeats
+	PlanningBehind         PendingCause = "planning_behind"  // no scheduling cycle has planned the task yet
+	QueuedOnMachine        PendingCause = "lane"             // the task is in the queue of a machine without free room
+	PlanNotDurable         PendingCause = "plan_not_durable" // the plan of the task is being written
+	GangStopping           PendingCause = "gang_leaving"     // other tasks of the gang must stop first
+	Arriving               PendingCause = "starting"         // the task was sent to its machine and is not running yet
 )
 
-// unplannedReason is why the last scheduling cycle left tasks of a job without a plan. The other fields are set for the
-// causes that are named beside them.
+// unplannedReason is why the last scheduling cycle left tasks of a job unplanned. Each field other than cause is set
+// only for the causes in its comment.
 type unplannedReason struct {
 	cause   PendingCause
 	denial  admission.Denial // TeamLimit, LicenceUnavailable
-	retryAt time.Duration    // RetryLater, CrashLoopBackoff: not before
+	retryAt time.Duration    // RetryLater, CrashLoopBackoff: time of the next attempt
 	backoff crashBackoff     // CrashLoopBackoff
 	gang    gangShortage     // GangShort
 }
 
-// crashBackoff is how a job in a crash loop has failed.
+// crashBackoff describes the failures of a job in a crash loop.
 type crashBackoff struct {
-	failedMachines int // distinct ones
-	tries          int
+	failedMachines int // distinct machines on which its tasks failed
+	tries          int // attempts since the crash loop began
 }
 
-// gangShortage is what a gang lacked that could not be placed.
+// gangShortage describes why a gang could not be placed.
 type gangShortage struct {
-	machinesWithRoom int
-	reservedMachines int     // kept for it as they get room
-	overdue          bool    // it has waited for long, and its reservations hold against all other jobs
-	secondsToStart   float64 // estimated; 0 or maxCredibleWaitSeconds and more: not known
+	machinesWithRoom int     // machines with room for a task of the gang now
+	reservedMachines int     // machines reserved for the gang
+	overdue          bool    // the start is overdue, so the reservations are firm
+	secondsToStart   float64 // estimate; unknown if 0 or at least maxCredibleWaitSeconds
 }
 
-// setUnplannedReason records why planning left tasks of a job without a plan.
+// setUnplannedReason records why planning left tasks of a job unplanned.
 func (f *Fleet) setUnplannedReason(job *jobs.Job, reason unplannedReason) {
 	f.unplannedReasons[job.Index] = reason
 }
 
-// recordDenied records that the admission gate, or the licence grants of this scheduling cycle, keep a job from
-// starting n tasks together.
+// recordDenied records why a job may not start n tasks together: the team limit as checked by the admission gate, or
+// else the licence grants of this scheduling cycle.
 func (f *Fleet) recordDenied(job *jobs.Job, n int) {
 	if denial := f.Gate.Check(admissionClaim(job), n); denial.TeamLimit {
 		f.setUnplannedReason(job, unplannedReason{cause: TeamLimit, denial: denial})
@@ -79,7 +79,7 @@
 	f.setUnplannedReason(job, unplannedReason{cause: LicenceUnavailable, denial: denial})
 }
 
-// PendingReason is how many of a job's tasks wait for one cause.
+// PendingReason is one cause for which tasks of a job wait, and the number of these tasks.
 type PendingReason struct {
 	Tasks int          `json:"tasks"`
 	Cause PendingCause `json:"why"`
@@ -89,15 +89,15 @@
 // pendingReasons collects the reasons of one job.
 type pendingReasons []PendingReason
 
-// add adds a reason unless it is that of no task.
+// add appends a reason for a number of tasks. It does nothing if the number is 0.
 func (r *pendingReasons) add(tasks int, cause PendingCause, format string, args ...any) {
 	if tasks > 0 {
 		*r = append(*r, PendingReason{tasks, cause, fmt.Sprintf(format, args...)})
 	}
 }
 
-// PendingReasons returns why the tasks of a job wait that neither run nor are finished: each of them counts in
-// exactly one reason. It returns nil for a job that has ended.
+// PendingReasons returns the reasons for which tasks of a job are neither running nor finished. Each such task counts
+// in exactly one reason. The result is nil for a job that has ended.
 func (f *Fleet) PendingReasons(now time.Duration, job *jobs.Job) []PendingReason {
 	if job.Tasks == nil || job.State.Terminal() {
 		return nil
@@ -106,8 +106,8 @@
 	switch {
 	case job.Quarantined:
 		reasons.add(job.TaskCount-job.TasksByState[jobs.Finished], RecordUnreadable,
-			"what is stored of it can't be read by this release or is damaged: `harewalk rollout status` says which "+
-				"record; nothing of it is started until it can be read, or the job is cancelled")
+			"a stored record of the job is damaged or can't be read by this release: `harewalk rollout status` names "+
+				"the record; no task is started until it can be read or the job is cancelled")
 	case job.Suspended:
 		reasons.add(job.UnstartedTasks(), SessionSuspended,
 			"its session was reclaimed; it resumes when its user attaches")
@@ -119,7 +119,7 @@
 	return reasons
 }
 
-// addUnplannedReasons adds the reason of the tasks without a plan.
+// addUnplannedReasons adds the reason for the unplanned tasks.
 func (f *Fleet) addUnplannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	tasks := job.TasksByState[jobs.Unplanned]
 	reason, ok := f.unplannedReasons[job.Index]
@@ -134,7 +134,7 @@
 	case TeamLimit:
 		team := f.Gate.Quota.Team(job.Team)
 		reasons.add(tasks, TeamLimit,
-			"team %s uses %s, and each task needs %s: that is beyond the team's limit of %s",
+			"team %s uses %s and each task needs %s, which exceeds the team's limit of %s",
 			job.Spec.Team,
 			formatAmount(team.Used.CPUs, team.Used.GPUs),
 			formatAmount(size.CPUs, size.GPUs),
@@ -143,51 +143,51 @@
 		reasons.add(tasks, LicenceUnavailable, "licence %s: %s", f.poolName(reason.denial.Pool), reason.denial.Licence)
 	case NoMachine:
 		reasons.add(tasks, NoMachine,
-			"no machine that is up may take it (%s, %g GB for each task)",
+			"no machine that is up is eligible (each task needs %s and %g GB of memory)",
 			formatAmount(size.CPUs, size.GPUs), size.Mem)
 	case GangStopping:
 		reasons.add(tasks, GangStopping,
-			"the rest of its gang is still on machines, and has to be gone before it starts anew")
+			"other tasks of the gang are still on machines; the gang starts again when they have stopped")
 	case GangShort:
 		addGangReason(reasons, tasks, job.TaskCount, reason.gang)
 	case NoRoom:
-		reasons.add(tasks, NoRoom, "no machine that may take a replica has room")
+		reasons.add(tasks, NoRoom, "no eligible machine has room for a replica")
 	case CrashLoopBackoff:
 		reasons.add(tasks, CrashLoopBackoff,
-			"its tasks have failed on %d machines and none is done, so the mistake is most likely in the job: "+
-				"it was tried %d times, with pauses that grow, one task at a time; the next try comes in %s",
+			"its tasks have failed on %d machines and none has succeeded, so the fault is most likely in the job: "+
+				"%d attempts were made, one task at a time with growing pauses; the next attempt is in %s",
 			reason.backoff.failedMachines, reason.backoff.tries, formatWait(reason.retryAt-now))
 	case RetryLater:
-		reasons.add(tasks, RetryLater, "a task failed; the next try comes in %s", formatWait(reason.retryAt-now))
+		reasons.add(tasks, RetryLater, "a task failed; the next attempt is in %s", formatWait(reason.retryAt-now))
 	default:
-		reasons.add(tasks, PlanningBehind, "planning has not come to it yet")
+		reasons.add(tasks, PlanningBehind, "no scheduling cycle has planned it yet")
 	}
 }
 
-// addGangReason adds the reason of a gang's waiting tasks where too few machines have room for all of the gang.
+// addGangReason adds the reason for a gang's waiting tasks if too few machines have room for the whole gang.
 func addGangReason(reasons *pendingReasons, waiting, gangSize int, shortage gangShortage) {
 	expectedRoom := formatExpectedRoom(shortage.secondsToStart)
 	if gangSize == 1 {
-		reasons.add(waiting, GangShort, "no machine that may take it has room now%s", expectedRoom)
+		reasons.add(waiting, GangShort, "no eligible machine has room now%s", expectedRoom)
 		return
 	}
 	details := ""
 	if shortage.reservedMachines > 0 {
-		details = fmt.Sprintf("; %d machines are kept for it as they come free", shortage.reservedMachines)
+		details = fmt.Sprintf("; %d machines are reserved for it as they become free", shortage.reservedMachines)
 	}
 	if shortage.overdue {
-		details += "; it goes first, having waited for half of begin_s"
+		details += "; it ranks first because it has waited for half of begin_s"
 	}
 	reasons.add(waiting, GangShort,
-		"a gang of %d tasks needs as many places at once; %d machines have room now%s%s",
+		"a gang of %d tasks needs room for all of them at once; %d machines have room now%s%s",
 		gangSize, shortage.machinesWithRoom, expectedRoom, details)
 }
 
-// addPlannedReasons adds the reasons of the tasks that are planned and not launched.
+// addPlannedReasons adds the reasons for the tasks that are planned and not launched.
 func (f *Fleet) addPlannedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	writing := 0
 	queued := 0
-	roomInS := unknownWaitSeconds // until the first machine has room, of those in whose queues the tasks are
+	roomInS := unknownWaitSeconds // seconds until the first of the machines with queued tasks has room
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		switch {
@@ -201,7 +201,7 @@
 			}
 		}
 	}
-	reasons.add(writing, PlanNotDurable, "planned; the plan is being written, and nothing starts before it is")
+	reasons.add(writing, PlanNotDurable, "planned; the plan is being written, and tasks start only when it is durable")
 	switch denial := f.Gate.Check(admissionClaim(job), 1); {
 	case denial.TeamLimit:
 		reasons.add(queued, TeamLimit, "planned, but team %s is at its limit", job.Spec.Team)
@@ -209,12 +209,13 @@
 		reasons.add(queued, LicenceUnavailable, "planned, but %s", denial.Licence)
 	default:
 		reasons.add(queued, QueuedOnMachine,
-			"planned on %d machines, in the lanes of what is there now%s",
+			"queued on %d machines behind the tasks there%s",
 			len(f.queuedOn[job.Index]), formatExpectedRoom(roomInS))
 	}
 }
 
-// secondsToRoom estimates in how many seconds a machine has room for a task of a job: 0 if it has room now.
+// secondsToRoom estimates in how many seconds a machine will have room for a task of a job. It returns 0 if the
+// machine has room now.
 func (f *Fleet) secondsToRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
 	if f.fits(machine, job) {
 		return 0
@@ -222,8 +223,8 @@
 	return f.secondsUntilRoom(now, machine, job)
 }
 
-// addLaunchedReasons adds the reasons of the tasks that may be on machines and don't run: their machine is
-// quarantined with its lost zone, or they are starting.
+// addLaunchedReasons adds the reasons for the tasks that may be on machines and are not running: either their machine
+// is quarantined because its zone is lost, or they are starting.
 func (f *Fleet) addLaunchedReasons(reasons *pendingReasons, now time.Duration, job *jobs.Job) {
 	starting := 0
 	lostByZone := map[int32]int{}
@@ -238,17 +239,17 @@
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(lostByZone)) {
-		silentFor, leaseLeft := f.zoneSilence(now, zone)
+		withoutContact, leaseLeft := f.zoneSilence(now, zone)
 		reasons.add(lostByZone[zone], ZoneLost,
-			"on machines of zone %s, which have not been heard for up to %.0f s: they may still run there, "+
-				"and start elsewhere when the leases are over, in at most %.0f s",
-			f.Jobs.Names.Zones.Name(zone), silentFor.Seconds(), leaseLeft.Seconds())
+			"on machines of zone %s, which have sent no heartbeat for up to %.0f s: the tasks may still run there; "+
+				"they start elsewhere when the leases of the machines expire, in at most %.0f s",
+			f.Jobs.Names.Zones.Name(zone), withoutContact.Seconds(), leaseLeft.Seconds())
 	}
 	reasons.add(starting, Arriving,
-		"sent to their machines: they start, fetch their image, or wait for the rest of their gang")
+		"sent to their machines: they are starting, fetching their image, or waiting for the rest of their gang")
 }
 
-// isStarting returns whether a task may be on its machine, and does not run yet.
+// isStarting reports whether a task may be on its machine and is not running yet.
 func isStarting(task *jobs.Task) bool {
 	switch task.State {
 	case jobs.Launched, jobs.Recovered:
@@ -259,19 +260,20 @@
 	return false
 }
 
-// zoneSilence returns how long the quarantined machine of a zone that was heard least recently has been silent, and
-// how long the last of their leases may still last.
-func (f *Fleet) zoneSilence(now time.Duration, zone int32) (silentFor, leaseLeft time.Duration) {
+// zoneSilence returns the longest time without contact among the quarantined machines of a zone, and the time until
+// the last of their leases expires.
+func (f *Fleet) zoneSilence(now time.Duration, zone int32) (withoutContact, leaseLeft time.Duration) {
 	for _, machine := range f.machines {
 		if machine.Quarantined && machine.Zone == zone {
-			silentFor = max(silentFor, now-machine.LastContactAt)
+			withoutContact = max(withoutContact, now-machine.LastContactAt)
 			leaseLeft = max(leaseLeft, machine.LastAnsweredAt+f.Settings.WorkerLease()-now)
 		}
 	}
-	return silentFor, leaseLeft
+	return withoutContact, leaseLeft
 }
 
-// formatExpectedRoom formats in how many seconds room is expected, "" if that is now or there is no credible estimate.
+// formatExpectedRoom formats the number of seconds until room is expected. It returns "" if there is room now or no
+// credible estimate.
 func formatExpectedRoom(seconds float64) string {
 	if seconds <= 0 || seconds >= maxCredibleWaitSeconds {
 		return ""
@@ -279,13 +281,13 @@
 	return fmt.Sprintf("; room is expected in %s", time.Duration(seconds)*time.Second)
 }
 
-// formatWait formats a time left to wait, in whole seconds.
+// formatWait formats a remaining waiting time, rounded to whole seconds.
 func formatWait(left time.Duration) string { return max(0, left).Round(time.Second).String() }
 
-// noGPULimit is a number of GPUs that stands for no limit.
+// noGPULimit is the number of GPUs from which on an amount means that there is no limit.
 const noGPULimit = 1e9
 
-// formatAmount formats an amount of processor cores and, if there are any, of GPUs.
+// formatAmount formats an amount of processor cores, and of GPUs unless there are none or no limit on them.
 func formatAmount(cpus, gpus float64) string {
 	if gpus > 0 && gpus < noGPULimit {
 		return fmt.Sprintf("%g cores and %g GPUs", cpus, gpus)
@@ -293,8 +295,8 @@
 	return fmt.Sprintf("%g cores", cpus)
 }
 
-// JobsAhead returns how many jobs with waiting tasks rank before a job, and the ids of the nearest of them, at most
-// maxIDs.
+// JobsAhead returns the number of jobs with waiting tasks that rank before a job, and the ids of up to maxIDs of them,
+// nearest first.
 func (f *Fleet) JobsAhead(job *jobs.Job, maxIDs int) (ids []string, count int) {
 	rank := min(f.rankOf(job), len(f.ranking.jobs))
 	for i := rank - 1; i >= 0; i-- {
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -10,51 +10,51 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// This file stops tasks to make room on machines for jobs of higher priority, and for jobs within their team's
+// Preemption: stopping tasks to make room on machines for jobs of higher priority and for jobs within their team's
 // guarantee.
 
-// preemptionDelayS is how many seconds a job always waits for tasks to end by themselves before it preempts.
+// preemptionDelayS is the least time, in seconds, for which a job waits for tasks to end before it preempts any.
 const preemptionDelayS = 3.0
 
 const preemptionDelay = time.Duration(preemptionDelayS * float64(time.Second))
 
-// preemptionCooldown is how long a job for which tasks were stopped waits for them to be gone before it may stop
-// more.
+// preemptionCooldown is the time after a preemption until the same job may preempt again. The preempted tasks need it
+// to stop.
 const preemptionCooldown = 5 * time.Second
 
-// guaranteedLossWeight is how much a second of lost work counts, against a second of delay, for a job within its
-// team's guarantee; for others they count the same.
+// guaranteedLossWeight is the weight of a second of lost work, relative to a second of delay, if the preempting job is
+// within its team's guarantee. For other jobs the weight is 1.
 const guaranteedLossWeight = 0.05
 
-// taskStartS is the estimated time, in seconds, from a machine having room to a task starting there, without the
-// fetch of its image.
+// taskStartS is the estimated time in seconds between room becoming free on a machine and the start of a task there,
+// without the fetch of its image.
 const taskStartS = 1
 
-// secondsToWait returns how many seconds a job may wait for tasks to end by themselves before it misses one of its
-// objectives. Preempting earlier would waste work without need.
+// secondsToWait returns how many seconds a job may wait for tasks to end before it has to preempt to meet its next
+// objective. Preempting earlier would waste work needlessly.
 func (f *Fleet) secondsToWait(now time.Duration, job *jobs.Job) float64 {
-	due, ok := f.latestUsefulStart(now, job)
+	latestStart, ok := f.latestUsefulStart(now, job)
 	if !ok || f.ranking.withinGuarantee[job.Index] {
 		return preemptionDelayS
 	}
-	return max(preemptionDelayS, (due-now).Seconds()-preemptionDelayS)
+	return max(preemptionDelayS, (latestStart-now).Seconds()-preemptionDelayS)
 }
 
-// preemptedRecently returns whether tasks stopped for a job may still be on their way out.
+// preemptedRecently reports whether tasks that were preempted for a job may still be stopping.
 func (f *Fleet) preemptedRecently(now time.Duration, job *jobs.Job) bool {
-	at, ok := f.preemptedAt[job.Index]
-	return ok && now-at < preemptionCooldown
+	preemptedAt, ok := f.preemptedAt[job.Index]
+	return ok && now-preemptedAt < preemptionCooldown
 }
 
-// hasLowestPriority returns whether there is no job that one may preempt: its priority is the lowest of all live
-// jobs, and no guarantee covers it.
+// hasLowestPriority reports whether a job has the lowest priority of all live jobs and is not within its team's
+// guarantee. Such a job may not preempt any other.
 func (f *Fleet) hasLowestPriority(job *jobs.Job) bool {
 	return job.Priority <= f.cycle.lowestPriority && !f.ranking.withinGuarantee[job.Index]
 }
 
-// mayPreempt returns whether a job may have another's tasks stopped: those of a lower priority and, if the job lies
-// within its team's guarantee, those that another team runs in excess of its own. Gangs and services of several tasks
-// are never preempted.
+// mayPreempt reports whether a job may preempt tasks of victim. The victim must have a lower priority or, if the job
+// is within its team's guarantee, belong to another team and be beyond that team's guarantee. Gangs and services with
+// several tasks are never preempted.
 func (f *Fleet) mayPreempt(job, victim *jobs.Job) bool {
 	if job == victim || victim.Spec == nil || job.Spec == nil {
 		return false
@@ -62,8 +62,8 @@
 	if victim.Spec.Kind != jobs.Array && victim.TaskCount > 1 {
 		return false
 	}
-	// This order must be that of RankJobs: otherwise two jobs can stop each other for ever, each taking the room that
-	// the other made.
+	// The rule must be consistent with the order of RankJobs. Otherwise two jobs could preempt each other forever, each
+	// taking the room that the other one freed.
 	jobGuaranteed := f.ranking.withinGuarantee[job.Index]
 	victimGuaranteed := f.ranking.withinGuarantee[victim.Index]
 	switch {
@@ -75,7 +75,7 @@
 	return false
 }
 
-// lostWork returns the work that stopping a task would waste, in seconds.
+// lostWork returns how many seconds of work would be lost if a task were stopped.
 func (f *Fleet) lostWork(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
 	task := &job.Tasks[taskIndex]
 	if task.Phase != jobs.Running {
@@ -87,10 +87,10 @@
 	return (now - task.RunningSince).Seconds()
 }
 
-// victim is a task that may be stopped, and the seconds of work that this would waste.
+// victim is a task that may be preempted.
 type victim struct {
 	TaskRef
-	lost float64
+	lost float64 // seconds of work that its preemption would waste
 }
 
 // compareVictims orders victims by the work lost, then by job and task.
@@ -98,8 +98,8 @@
 	return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 }
 
-// victims returns the tasks whose end would make room for one task of a job on a machine, at the least loss, and the
-// seconds of work that are lost; ok is false if there are no such tasks.
+// victims returns the tasks to preempt on a machine to make room for one task of a job, chosen by the least lost work,
+// and the seconds of work lost. If preemption can't make enough room there, ok is false.
 func (f *Fleet) victims(now time.Duration, machine *Machine, job *jobs.Job) (refs []TaskRef, lost float64, ok bool) {
 	free := f.availableRoom(machine, job)
 	var candidates []victim
@@ -108,7 +108,7 @@
 		task := &holder.Tasks[ref.Task]
 		switch {
 		case task.Stopping:
-			free = free.Add(holder.Spec.Size()) // it is on its way out already
+			free = free.Add(holder.Spec.Size()) // a stopping task needs no preemption
 		case task.State == jobs.OnMachine && f.mayPreempt(job, holder):
 			candidates = append(candidates, victim{ref, f.lostWork(now, holder, ref.Task)})
 		}
@@ -125,18 +125,17 @@
 	return refs, lost, f.fitsBesideReserve(machine, job, free)
 }
 
-// fitsBesideReserve returns whether a task of a job fits into what is free of a machine, without what is reserved
-// there for work that needs accelerators. If the reserve didn't count, room that the job may not use would be made
-// again and again.
+// fitsBesideReserve reports whether a task of a job fits into the free room of a machine without the accelerator
+// reserve. If the reserve were ignored, tasks would be preempted repeatedly for room that the job may not use.
 func (f *Fleet) fitsBesideReserve(machine *Machine, job *jobs.Job, free planner.Size) bool {
 	return job.Spec.Size().Fits(free.Sub(f.reservedForGPUWork(machine, job, free.GPUs)))
 }
 
-// preemptionOption is what it takes to make room for one task on a machine.
+// preemptionOption is a set of victims on a machine whose preemption makes room for one task.
 type preemptionOption struct {
 	machine *Machine
 	victims []TaskRef
-	cost    float64 // seconds until the task could start, with the lost work counted as delay
+	cost    float64 // seconds until the task could start, plus the weighted seconds of lost work
 }
 
 // comparePreemptionOptions orders options by cost, then by machine.
@@ -144,8 +143,8 @@
 	return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.machine.Index, b.machine.Index))
 }
 
-// selectOptions returns the first n options, at most maxPerZone of a zone (0: no bound). It returns nil if there are
-// fewer: room that a gang can't use whole would be made again and again.
+// selectOptions returns the first n options, with at most maxPerZone in a zone (0: no limit). It returns nil if there
+// are fewer than n: otherwise tasks would be preempted repeatedly for room that is too small for the whole gang.
 func selectOptions(options []preemptionOption, n, maxPerZone int) []preemptionOption {
 	perZone := map[int32]int{}
 	selected := make([]preemptionOption, 0, n)
@@ -164,9 +163,9 @@
 	return selected
 }
 
-// preemptForGang makes room for a gang on the machines where it can start soonest, one machine for each task and all
-// in one zone if it needs that. startS is in how many seconds it would start without preemption. It returns whether
-// any room was made.
+// preemptForGang preempts tasks for a gang on the machines where the gang can start at the least cost. It chooses one
+// machine for each task, all in one zone if the gang needs that. startS is the number of seconds until the gang would
+// start without preemption. The result is false if nothing was preempted.
 func (f *Fleet) preemptForGang(now time.Duration, job *jobs.Job, candidates []candidate, startS float64) bool {
 	withinGuarantee := f.ranking.withinGuarantee[job.Index]
 	shape := preemptionShape{shapeOf(job), job.Team, job.Priority, withinGuarantee, job.TaskCount, job.Spec.OneZone}
@@ -190,8 +189,8 @@
 	return true
 }
 
-// preemptionOptions returns, by zone (jobs.None for all where the job may span zones), the machines on which
-// preemption lets a task of a gang start earlier than in startS seconds.
+// preemptionOptions returns the machines on which preemption lets a task of a gang start earlier than in startS
+// seconds. The key is the zone, or jobs.None for all machines if the gang may span zones.
 func (f *Fleet) preemptionOptions(
 	now time.Duration,
 	job *jobs.Job,
@@ -220,8 +219,8 @@
 	return byZone
 }
 
-// cheapestOptions returns one option for each task of a gang, of the zone where the costliest of them costs least;
-// nil if no zone has enough.
+// cheapestOptions returns one option for each task of a gang. It chooses the zone where the most expensive of these
+// options is the cheapest. It returns nil if no zone has enough options.
 func cheapestOptions(job *jobs.Job, byZone map[int32][]preemptionOption) []preemptionOption {
 	var best []preemptionOption
 	for _, options := range byZone {
@@ -241,7 +240,7 @@
 	return best
 }
 
-// preemptForArray makes room for an array's planned tasks on the machines in whose queues they are.
+// preemptForArray preempts tasks for an array on the machines where tasks of the array are queued.
 func (f *Fleet) preemptForArray(now time.Duration, job *jobs.Job) {
 	if job.TasksByState[jobs.Planned] == 0 || f.hasLowestPriority(job) {
 		return
@@ -270,14 +269,14 @@
 	}
 }
 
-// reserveMachine reserves room for one task of a job on a machine, against jobs that rank after it.
+// reserveMachine reserves room for one task of a job on a machine, against jobs that rank after the job.
 func (f *Fleet) reserveMachine(machine *Machine, job *jobs.Job) {
 	machine.reserved = job.Spec.Size()
 	machine.reservedRank = f.rankOf(job)
 	machine.reservedFirmly = false
 }
 
-// stopVictims stops tasks on a machine for a job.
+// stopVictims stops the tasks on a machine that are preempted for a job.
 func (f *Fleet) stopVictims(machine *Machine, job *jobs.Job, refs []TaskRef) {
 	for _, ref := range refs {
 		f.stopTask(f.jobAt(ref.Job), ref.Task)
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -14,30 +14,30 @@
 
 // The kinds of objectives in the settings.
 const (
-	objectiveGuarantee = "guarantee" // a job within its team's guarantee starts within a time
-	objectiveWait      = "wait"      // a job of a class starts within a time
-	objectiveFinished  = "finished"  // a job of a class is done within a time
-	objectiveDeadline  = "deadline"  // a job of a class is done within a multiple of its deadline
+	objectiveGuarantee = "guarantee" // a job within its team's guarantee starts within WithinS
+	objectiveWait      = "wait"      // a job of the class starts within WithinS
+	objectiveFinished  = "finished"  // a job of the class ends within WithinS
+	objectiveDeadline  = "deadline"  // a job of the class ends within Times its deadline
 )
 
-// never is later than any time.
+// never is a time later than any other.
 const never = time.Duration(1 << 62)
 
-// startLimit finds the earliest of some latest starts that has not passed.
+// startLimit finds the earliest latest-start time that has not passed yet.
 type startLimit struct {
 	now      time.Duration
-	earliest time.Duration // never if there is none
+	earliest time.Duration // never if none was added or all have passed
 }
 
-// add considers one more latest start.
+// add adds a latest-start time. A time in the past is ignored.
 func (l *startLimit) add(latestStart time.Duration) {
 	if latestStart >= l.now {
 		l.earliest = min(l.earliest, latestStart)
 	}
 }
 
-// latestUsefulStart returns the latest time at which a job can start without missing another objective. If all have
-// been missed, or there are none, it returns the time of submission and false.
+// latestUsefulStart returns the latest time at which a job can start without missing a further objective or deadline.
+// If the job has none, or has missed them all, it returns the time of submission and false.
 func (f *Fleet) latestUsefulStart(now time.Duration, job *jobs.Job) (time.Duration, bool) {
 	limit := startLimit{now: now, earliest: never}
 	runTime := jobs.Seconds(f.estimate(job))
@@ -74,14 +74,15 @@
 	return limit.earliest, true
 }
 
-// urgency orders jobs of the same priority.
+// urgency is the sort key of jobs that have the same priority.
 type urgency struct {
 	latestStart time.Duration
-	attainable  bool // an objective can still be met
+	attainable  bool // the job can still meet an objective or deadline
 }
 
-// RankJobs makes the priority order of live jobs anew: first jobs within their team's guarantee, then by priority,
-// then by the latest start that still meets an objective. Jobs that can meet none any more come last, oldest first.
+// RankJobs rebuilds the priority order of live jobs. Jobs within their team's guarantee come first, then jobs are
+// ordered by priority, then by the latest start that still meets an objective. At equal priority, jobs that can no
+// longer meet an objective come last, oldest first.
 func (f *Fleet) RankJobs(now time.Duration) {
 	f.ranking.at = now
 	for _, job := range f.ranking.jobs {
@@ -119,7 +120,8 @@
 	})
 }
 
-// findLatestEnds finds the jobs on which others with deadlines wait, and when they must have ended for those.
+// findLatestEnds records, for each job on which jobs with deadlines depend, the latest end that still lets those
+// deadlines be met.
 func (f *Fleet) findLatestEnds() {
 	clear(f.ranking.latestEnds)
 	if f.LatestEnds == nil {
@@ -133,7 +135,8 @@
 	}
 }
 
-// findJobsWithinGuarantee finds the jobs that their team's guarantee covers, together with the team's older jobs.
+// findJobsWithinGuarantee marks the jobs that their team's guarantee covers. Each job is counted together with the
+// unfinished tasks of the team's older jobs.
 func (f *Fleet) findJobsWithinGuarantee() {
 	clear(f.ranking.withinGuarantee)
 	demandByTeam := map[int32]planner.Size{}
@@ -146,12 +149,13 @@
 	}
 }
 
-// sortByRank sorts jobs into priority order. Equal ones keep their order.
+// sortByRank sorts jobs into priority order. The sort is stable.
 func (f *Fleet) sortByRank(jobList []*jobs.Job, urgencies map[jobs.Index]urgency) {
 	sort.SliceStable(jobList, func(a, b int) bool {
 		x := jobList[a]
 		y := jobList[b]
-		// A job that may preempt another must also rank before it, or its victims would take the room it made again.
+		// A job must rank before every job that it may preempt: otherwise its victims would be started again in the
+		// room that it freed.
 		xWithin := f.ranking.withinGuarantee[x.Index]
 		if xWithin != f.ranking.withinGuarantee[y.Index] {
 			return xWithin
--- a/internal/fleet/queues.go
+++ b/internal/fleet/queues.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The work queues of machines: tasks that are planned there and not started.
+// The queues of machines: tasks that are planned there and have not been launched.
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// enqueue queues a planned task at its machine.
+// enqueue appends a planned task to the queue of its machine.
 func (f *Fleet) enqueue(machine *Machine, job *jobs.Job, taskIndex int32) {
 	machine.setQueue(job.Index, append(machine.queued(job.Index), taskIndex))
 	counts := f.queuedOn[job.Index]
@@ -30,7 +30,7 @@
 	}
 }
 
-// dequeue takes a task out of its machine's queue.
+// dequeue removes a task from the queue of its machine, if it is in it.
 func (f *Fleet) dequeue(job *jobs.Job, taskIndex int32) {
 	task := &job.Tasks[taskIndex]
 	if task.Machine == jobs.None {
@@ -44,7 +44,7 @@
 	}
 }
 
-// removeQueued updates the counts and sums of a machine's queues after count tasks of a job have left them.
+// removeQueued updates the counts and sums of a machine's queues after count tasks of a job have been removed.
 func (f *Fleet) removeQueued(machine *Machine, job *jobs.Job, count int) {
 	if counts := f.queuedOn[job.Index]; counts != nil {
 		counts[machine.Index] -= count
@@ -57,7 +57,7 @@
 	}
 	machine.QueuedTasks -= count
 	if machine.QueuedTasks == 0 {
-		// Exactly zero: sums and differences of decimal amounts leave a rounding error.
+		// Reset to exactly zero: adding and subtracting decimal amounts leaves a rounding error.
 		machine.queuedNeed = planner.Size{}
 		machine.queuedWithoutArrays = planner.Size{}
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// unplanTask takes a planned task out of its machine's queue and makes it unplanned.
+// unplanTask removes a planned task from its machine's queue and makes it unplanned.
 func (f *Fleet) unplanTask(job *jobs.Job, taskIndex int32) {
 	f.dequeue(job, taskIndex)
 	f.checkTransition(job.SetTaskState(taskIndex, jobs.Unplanned))
@@ -84,7 +84,7 @@
 	}
 }
 
-// dropPlans makes n planned tasks of a job unplanned. It leaves gangs alone of which tasks are on machines.
+// dropPlans makes n planned tasks of a job unplanned. It does nothing for a gang that has tasks on machines.
 func (f *Fleet) dropPlans(job *jobs.Job, n int) {
 	if n <= 0 || (job.Spec.Kind == jobs.Gang && job.TasksOnMachines() > 0) {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// clearQueues empties a machine's queues. The planned tasks in them become unplanned.
+// clearQueues empties a machine's queues and makes the planned tasks in them unplanned.
 func (f *Fleet) clearQueues(machine *Machine) {
 	for len(machine.queues) > 0 {
 		queue := machine.queues[len(machine.queues)-1]
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Services: their replicas are placed one by one and spread over the zones.
+// Placement of services: replicas are placed one by one and spread over the zones.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// placeService plans the replicas of a service that have no machine.
+// placeService plans the unplanned replicas of a service.
 func (f *Fleet) placeService(now time.Duration, job *jobs.Job) {
 	if job.TasksByState[jobs.Unplanned] == 0 {
 		return
@@ -46,9 +46,9 @@
 	}
 }
 
-// chooseReplicaMachine returns the best candidate with room in the zone with the fewest replicas, so that the loss
-// of a zone takes as little of the service as possible, or nil if there is none. Planned replicas count against a
-// zone's limit too: otherwise those beyond it would wait in the queues of one zone for ever.
+// chooseReplicaMachine returns the best candidate with room in the zone with the fewest replicas, or nil if no
+// candidate has room. Spreading the replicas limits the damage if a zone is lost. Planned replicas count toward a
+// zone's limit too: otherwise the replicas above the limit would wait forever in the queues of one zone.
 func (f *Fleet) chooseReplicaMachine(job *jobs.Job, list *candidateList, replicas map[int32]int) *Machine {
 	size := job.Spec.Size()
 	limit := job.Spec.ZoneLimit()
@@ -69,8 +69,8 @@
 	return best
 }
 
-// TasksByZone counts a job's tasks by zone, planned ones and those on machines, without those on quarantined
-// machines.
+// TasksByZone returns, by zone, how many tasks of a job are planned or on machines. Tasks on quarantined machines
+// don't count.
 func (f *Fleet) TasksByZone(job *jobs.Job) map[int32]int {
 	byZone := map[int32]int{}
 	for t := range job.Tasks {
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Start deadlines: every job, whatever its size and rank, starts within a time from its submission, or from the end of
-// its last predecessor.
+// Start deadlines: every job, regardless of its size and rank, shall start within a configured time from its
+// submission, or from the end of its last predecessor.
 
 import (
 	"cmp"
@@ -11,31 +11,31 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// startDeadlineTasks is how many tasks of an array or a service go before all other jobs once its start is overdue.
-// So few hardly take from any team's guarantee, and the rule ends with the first start.
+// startDeadlineTasks is how many tasks of an array or a service rank before all other jobs once its start is overdue.
+// The number is small so that the promotion takes little from any team's guarantee. It ends with the first start.
 const startDeadlineTasks = 2
 
-// startDeadlineFraction is the part of the time in which every job is to start after which its start is overdue.
-// The rest is left for a large gang's machines to come free.
+// startDeadlineFraction is the fraction of the start deadline after which a job's start is overdue. The rest of the
+// time is needed until enough machines become free for a large gang.
 const startDeadlineFraction = 0.5
 
-// startClass is a class of jobs in the priority order, by overdue starts. Lower classes rank first.
+// startClass groups the jobs of the priority order by overdue starts. Jobs of lower classes rank first.
 type startClass int
 
 const (
 	overdueTasks           startClass = iota // arrays and services with an overdue start
 	overdueWithinGuarantee                   // overdue gangs within their team's guarantee
 	withinGuarantee                          // other jobs within their team's guarantee
-	overdueBeyondGuarantee                   // overdue gangs beyond it
-	beyondGuarantee                          // other jobs beyond it
+	overdueBeyondGuarantee                   // overdue gangs beyond their team's guarantee
+	beyondGuarantee                          // other jobs beyond their team's guarantee
 )
 
 // isOverdue reports whether the jobs of a class have overdue starts.
 func (c startClass) isOverdue() bool { return c != withinGuarantee && c != beyondGuarantee }
 
-// startOverdue reports whether no task of a job has ever started although it has been ready for long. Its age
-// counts from its submission, which is durable, so that it survives a failover; that of a job with predecessors counts
-// from the end of the last one, which every controller learns.
+// startOverdue reports whether startDeadlineFraction of the start deadline has passed and no task of the job has ever
+// started. The time counts from the submission, which is durable, so that it survives a failover. For a job with
+// predecessors it counts from the end of the last one, which is also available to every controller.
 func (f *Fleet) startOverdue(now time.Duration, job *jobs.Job) bool {
 	limit := jobs.Seconds(startDeadlineFraction * f.Settings.Operator.StartDeadlineS)
 	if limit <= 0 || now-job.ReadyAt() <= limit {
@@ -45,14 +45,14 @@
 	return !hasStarted && f.crashLooping(job) == nil && !job.Idle()
 }
 
-// promoteOverdueJobs moves jobs with overdue starts forward in the priority order: a few tasks of arrays and
-// services before all jobs; gangs, which take more, before all others that are within their team's guarantee like
-// them, or beyond it.
+// promoteOverdueJobs moves jobs with overdue starts forward in the priority order. Arrays and services, of which only
+// startDeadlineTasks tasks are promoted, rank before all jobs. Gangs need more machines, so they rank only before the
+// jobs that are, like them, within or beyond their team's guarantee.
 //
-// Without it a large gang that has missed its objectives would rank behind every younger one that can still meet
-// them, for ever under a constant stream of those, and low priorities behind all others as long as any job waits.
-// The promotion ends with a job's first start, so that the job and another that may preempt it can't stop each
-// other in turn.
+// Without the promotion a large gang that has missed its objectives would rank behind every younger gang that can
+// still meet them, forever if there is a constant stream of such gangs, and jobs of low priority would rank last as
+// long as any other job waits. The promotion ends with a job's first start: otherwise the job, and another one that
+// may preempt it, could stop each other in turn.
 func (f *Fleet) promoteOverdueJobs(now time.Duration) {
 	clear(f.ranking.startDeadlineDue)
 	classes := make(map[jobs.Index]startClass, len(f.ranking.jobs))
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -193,8 +193,8 @@
 		reasons := c.PendingReasons(c.now, c.gang)
 		c.explained = c.explained || len(reasons) == 1 &&
 			reasons[0].Cause == GangShort &&
-			strings.Contains(reasons[0].Text, "kept for it") &&
-			strings.Contains(reasons[0].Text, "goes first")
+			strings.Contains(reasons[0].Text, "reserved for it") &&
+			strings.Contains(reasons[0].Text, "ranks first")
 	}
 	if c.gang.Started && c.gangAfter == 0 {
 		c.gangAfter = age
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -1,6 +1,7 @@
 package fleet
 
-// Work stealing: a machine with free slots takes queued tasks that would wait longest elsewhere.
+// Work stealing: tasks with the longest expected wait in other machines' queues are moved to a machine with free
+// slots.
 
 import (
 	"container/heap"
@@ -12,19 +13,19 @@
 )
 
 const (
-	// maxStolenTasks bounds the tasks of one job that a machine steals in one cycle.
+	// maxStolenTasks is how many tasks of one job may be moved to one machine in a cycle.
 	maxStolenTasks = 64
-	// minStealGainSeconds is how much sooner a task must start, fetch included, to be moved.
+	// minStealGainSeconds is how much sooner a task must start to be moved, the fetch of its image included.
 	minStealGainSeconds = 0.5
 )
 
 // delayedMachine is a machine on which tasks of a job are queued.
 type delayedMachine struct {
 	machine     *Machine
-	waitSeconds float64 // expected for the last of the tasks
+	waitSeconds float64 // expected wait of the last of these tasks
 }
 
-// delayHeap is a heap of machines, the one with the longest wait first.
+// delayHeap is a heap of machines with the longest wait on top.
 type delayHeap []delayedMachine
 
 // Len implements heap.Interface.
@@ -47,8 +48,8 @@
 	return last
 }
 
-// steal moves queued tasks of arrays from the machines furthest behind to machines with free slots, job by job in
-// priority order. It looks only at machines with room and, for each job, at the machines where it is queued.
+// steal moves queued tasks of arrays from machines with the longest waits to machines with free slots, job by job in
+// priority order. It examines only machines with room and, for each job, the machines where tasks of it are queued.
 func (f *Fleet) steal(now time.Duration) {
 	queuedJobs := f.queuedArrays()
 	if len(queuedJobs) == 0 {
@@ -85,8 +86,8 @@
 	return queuedJobs
 }
 
-// machinesWithRoom returns the machines that may have room for a task of any of some jobs besides what is queued
-// there.
+// machinesWithRoom returns the machines that may have room for a task of any of the given jobs in addition to the
+// tasks in their queues.
 func (f *Fleet) machinesWithRoom(queuedJobs []*jobs.Job) []*Machine {
 	smallest := planner.Size{CPUs: math.Inf(1), GPUs: math.Inf(1), Mem: math.Inf(1)}
 	anyStarving := false
@@ -106,7 +107,7 @@
 	return withRoom
 }
 
-// delayedMachines returns the machines where a job's tasks are queued and can be moved from.
+// delayedMachines returns the machines with queued tasks of a job that can be moved.
 func (f *Fleet) delayedMachines(now time.Duration, job *jobs.Job) delayHeap {
 	delayed := delayHeap{}
 	for _, machineIndex := range f.queueMachines(job) {
@@ -120,8 +121,8 @@
 	return delayed
 }
 
-// queueWaitSeconds estimates how long the last of a job's tasks in a machine's queue waits; ok is false if there is
-// none or its plan isn't durable, so that it can't be moved.
+// queueWaitSeconds estimates how long the last of a job's tasks in a machine's queue will wait. If the job has no task
+// there, or the plan of that task isn't durable, ok is false: the task can't be moved.
 func (f *Fleet) queueWaitSeconds(now time.Duration, job *jobs.Job, machine *Machine) (wait float64, ok bool) {
 	queued := machine.queued(job.Index)
 	if len(queued) == 0 || !job.IsDurable(queued[len(queued)-1]) {
@@ -135,16 +136,16 @@
 		}
 	}
 	slots := max(1, job.Spec.Size().Copies(machine.Capacity))
-	rounds := float64((len(queued) - 1) / slots) // of tasks that run side by side before the last
+	rounds := float64((len(queued) - 1) / slots) // batches of concurrent tasks that run before the last task
 	return wait + taskSeconds*machine.slowdown*rounds + f.fetchSeconds(job, machine), true
 }
 
-// stealTasks moves queued tasks of a job to a machine for as long as it has room and they would start sooner there.
+// stealTasks moves queued tasks of a job to a machine until it has no more room or tasks would not start sooner there.
 func (f *Fleet) stealTasks(now time.Duration, machine *Machine, job *jobs.Job, delayed *delayHeap) {
 	size := job.Spec.Size()
 	minWait := f.fetchSeconds(job, machine) + minStealGainSeconds + f.spotWaitLimit(machine, job)
 	if f.isStarving(job) {
-		minWait = 0 // the expected wait has been exceeded for long: any queued task may move
+		minWait = 0 // the job has waited far longer than estimated: any queued task may move
 	}
 	for range maxStolenTasks {
 		if len(*delayed) == 0 || (*delayed)[0].waitSeconds <= minWait {
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -8,11 +8,10 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// This file is the fleet's side of interactive sessions: it suspends their jobs, and finds the jobs that wait for
-// what a session holds.
+// Interactive sessions: suspending their jobs, and finding the jobs that wait for resources held by a session.
 
-// Suspend stops a job's tasks, with time to save a checkpoint, and keeps them off machines if suspended is true;
-// otherwise it lets the job be planned again.
+// Suspend suspends or resumes a job. If suspended is true, its tasks are stopped, with time to save a checkpoint, and
+// the job is not planned until it is resumed. If suspended is false, the job can be planned again.
 func (f *Fleet) Suspend(_ time.Duration, job *jobs.Job, suspended bool) {
 	job.Suspended = suspended
 	if job.Tasks == nil {
@@ -33,8 +32,8 @@
 	}
 }
 
-// SessionTask returns the state of the only task of a session's job. Until the plans are loaded it counts as being
-// on a machine.
+// SessionTask returns the state of the only task of a session's job. Until the plans are loaded, the task is reported
+// as being on a machine.
 func (f *Fleet) SessionTask(job *jobs.Job) sessions.Task {
 	if !f.plansLoaded || job.Tasks == nil {
 		return sessions.Task{OnMachine: !f.plansLoaded}
@@ -43,12 +42,12 @@
 	return sessions.Task{OnMachine: task.State.Occupies(), Stopping: task.Stopping, Attempt: task.Attempt}
 }
 
-// maxWaitingJobs is for how many waiting jobs sessions to be reclaimed are looked for.
+// maxWaitingJobs is how many waiting jobs WaitingJobsFor examines, in priority order.
 const maxWaitingJobs = 32
 
-// WaitingJobsFor returns, for each of the given sessions' jobs, the id of a job that waits for what it holds: room
-// on its machine, its licence units, or its part of the team's limit; "" if there is none. No waiting job is
-// returned for more sessions than it has waiting tasks.
+// WaitingJobsFor returns, for each of the given sessions' jobs, the id of a job that waits for resources of the
+// session, or "" if there is none. The resources are room on its machine, its licence units and its share of the
+// team's limit. A waiting job is returned for at most as many sessions as it has waiting tasks.
 func (f *Fleet) WaitingJobsFor(_ time.Duration, sessionJobs []*jobs.Job) []string {
 	waitingFor := make([]string, len(sessionJobs))
 	examined := 0
@@ -77,12 +76,12 @@
 	return waitingFor
 }
 
-// startsSoon returns whether all waiting tasks of a job can start without any other task ending.
+// startsSoon reports whether all waiting tasks of a job can start without the end of any other task.
 func (f *Fleet) startsSoon(job *jobs.Job) bool {
 	if !f.mayStart(job, 1) {
 		return false
 	}
-	room := 0 // tasks of the job that fit on the machines looked at
+	room := 0 // number of tasks of the job that fit on the machines examined so far
 	for _, machine := range f.machines {
 		f.PlanningSteps++
 		if !takesWork(machine) || !f.mayPlace(machine, job) || !f.fits(machine, job) {
@@ -96,7 +95,7 @@
 	return false
 }
 
-// wouldLetStart returns whether the end of a session's task would let a waiting job start one of its own.
+// wouldLetStart reports whether the end of a session's task would allow a waiting job to start a task.
 func (f *Fleet) wouldLetStart(job, sessionJob *jobs.Job) bool {
 	if sessionJob.Tasks == nil {
 		return false
@@ -109,7 +108,7 @@
 		if denial, pool := f.LicenceDenial(job); denial != licences.Granted {
 			return unitsOfPool(sessionJob, pool) > 0
 		}
-		return sessionJob.Team == job.Team // the team's limit keeps it waiting
+		return sessionJob.Team == job.Team // the waiting job is at its team's limit
 	}
 	machine := f.machines[task.Machine]
 	if machine.Condition != Ready || machine.Returning || !f.mayPlace(machine, job) {
