--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -132,11 +132,11 @@
 	return !f.isStarving(job)
 }
 
-// spareRoom returns the free room of a machine for tasks of a job that are moved there from another queue. Room for
-// the tasks in the machine's own queue is not included. For a starving job only queued tasks of gangs, services and
-// other starving arrays are deducted: other queued tasks may be waiting for reasons that don't apply to a starving
+// roomBesideQueue returns the free room of a machine for tasks of a job that are moved there from another queue. Room
+// for the tasks in the machine's own queue is not included. For a starving job only queued tasks of gangs, services
+// and other starving arrays are deducted: other queued tasks may be waiting for reasons that don't apply to a starving
 // job.
-func (f *Fleet) spareRoom(machine *Machine, job *jobs.Job) planner.Size {
+func (f *Fleet) roomBesideQueue(machine *Machine, job *jobs.Job) planner.Size {
 	if !f.isStarving(job) {
 		return machine.Free().Sub(machine.queuedNeed)
 	}
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -8,40 +8,41 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// betterChoice is a scenario with a busy machine that a job prefers and that is never free, and a free one that has
-// room.
-type betterChoice struct {
+// preferredMachineCase is a scenario with two machines: a busy one, which a job prefers and which never becomes free,
+// and a free one.
+type preferredMachineCase struct {
 	name       string
 	kind       jobs.Kind
-	imageGB    float64 // fetched at 1 GB a second
-	busyIsSpot bool    // and the free machine is an on-demand one, which other jobs need
+	imageGB    float64 // image size; machines fetch 1 GB a second
+	busyIsSpot bool    // the busy machine is a spot machine, and other jobs need the free on-demand machine
 }
 
-// betterChoiceRun is one run of a scenario.
-type betterChoiceRun struct {
+// preferredMachineRun is one run of a scenario on its own rig.
+type preferredMachineRun struct {
 	*rig
-	betterChoice
+	preferredMachineCase
 	running map[string][]TaskReport // by machine
 }
 
-func newBetterChoiceRun(t *testing.T, scenario betterChoice) *betterChoiceRun {
+func newPreferredMachineRun(t *testing.T, scenario preferredMachineCase) *preferredMachineRun {
 	t.Helper()
-	return &betterChoiceRun{rig: mixed(t), betterChoice: scenario, running: map[string][]TaskReport{}}
+	return &preferredMachineRun{rig: newMixedRig(t), preferredMachineCase: scenario, running: map[string][]TaskReport{}}
 }
 
-// heartbeat lets a machine start what its commands ask for, and report it.
-func (r *betterChoiceRun) heartbeat(machine string) {
+// heartbeat delivers a heartbeat of a machine, starts the tasks of its start commands, and reports them in another
+// heartbeat.
+func (r *preferredMachineRun) heartbeat(machine string) {
 	r.t.Helper()
 	spot := machine == "busy" && r.busyIsSpot
-	for _, command := range starts(r.see(machine, "cpu", spot, r.running[machine]...)) {
+	for _, command := range starts(r.heartbeatOfType(machine, "cpu", spot, r.running[machine]...)) {
 		report := TaskReport{Task: command.Task, Attempt: command.Attempt, State: taskRunning}
 		r.running[machine] = append(r.running[machine], report)
 	}
-	r.see(machine, "cpu", spot, r.running[machine]...)
+	r.heartbeatOfType(machine, "cpu", spot, r.running[machine]...)
 }
 
-// settleMachine lets a machine and the store settle.
-func (r *betterChoiceRun) settleMachine(machine string) {
+// settleMachine alternates ticks, writes and heartbeats of a machine until its queued tasks have started.
+func (r *preferredMachineRun) settleMachine(machine string) {
 	r.t.Helper()
 	for range 3 {
 		r.settleFor(3, store.Committed)
@@ -49,8 +50,9 @@
 	}
 }
 
-// submitNow submits a job that takes a whole machine and may use spot machines, but for what change says.
-func (r *betterChoiceRun) submitNow(n int, change func(*jobs.Spec)) *jobs.Job {
+// submitNow submits a job at the current time. By default the job takes a whole machine and may use spot machines;
+// change modifies its spec.
+func (r *preferredMachineRun) submitNow(n int, change func(*jobs.Spec)) *jobs.Job {
 	s := spec(n, 1)
 	s.CPUs = 8
 	s.ImageGB = r.imageGB
@@ -62,16 +64,16 @@
 	return job
 }
 
-// wait returns how long a job waits until it begins, at most 80 s and a little. If not starves, the time for which
-// it has waited beside room is reset again and again.
-func (r *betterChoiceRun) wait(starves bool) time.Duration {
+// measureWait returns how long a job waits for its start, up to about 80 s. If starves is false, the time for which
+// the job has waited beside free room is reset in each step, so that the job never counts as starving.
+func (r *preferredMachineRun) measureWait(starves bool) time.Duration {
 	r.t.Helper()
 	const limit = 80 * time.Second
 	r.heartbeat("busy")
-	r.submitNow(1, func(s *jobs.Spec) { s.EstimateS = 1 }) // it runs for far longer than that
+	r.submitNow(1, func(s *jobs.Spec) { s.EstimateS = 1 }) // this task runs far longer than its estimate
 	r.settleMachine("busy")
 	r.heartbeat("free")
-	if r.busyIsSpot { // what on-demand machines are needed for
+	if r.busyIsSpot { // a job that needs on-demand machines
 		r.submitNow(2, func(s *jobs.Spec) { s.Spot, s.CPUs = false, 1 })
 	}
 	r.settleMachine("free")
@@ -87,29 +89,29 @@
 		r.heartbeat("free")
 	}
 	if len(r.running["busy"]) != 1 {
-		r.t.Fatalf("on the busy machine is %v", r.running["busy"])
+		r.t.Fatalf("tasks on the busy machine: %v, want one", r.running["busy"])
 	}
 	return r.now - submittedAt
 }
 
-// A machine is free and has room, and a better choice is busy with a task that goes on and on: it has the job's
-// image, or the free one is an on-demand machine that others need. A job waits for the better choice for a bounded
-// time. Without the bound it waits for ever.
-func TestWaitForBetterChoiceIsBounded(t *testing.T) {
-	for _, scenario := range []betterChoice{
+// One machine is free. Another machine is preferred, because it has the job's image or because other jobs need the
+// free on-demand machine, but it runs a task that never ends. The job waits for the preferred machine for a bounded
+// time. Without the bound it would wait forever.
+func TestWaitForPreferredMachineIsBounded(t *testing.T) {
+	for _, scenario := range []preferredMachineCase{
 		{name: "array, image", kind: jobs.Array, imageGB: 90},
 		{name: "gang, image", kind: jobs.Gang, imageGB: 90},
 		{name: "array, on-demand machine", kind: jobs.Array, imageGB: 1, busyIsSpot: true},
 	} {
 		t.Run(scenario.name, func(t *testing.T) {
-			bounded := newBetterChoiceRun(t, scenario).wait(true)
-			unbounded := newBetterChoiceRun(t, scenario).wait(false)
-			t.Logf("it begins after %v, without the bound after %v", bounded, unbounded)
+			bounded := newPreferredMachineRun(t, scenario).measureWait(true)
+			unbounded := newPreferredMachineRun(t, scenario).measureWait(false)
+			t.Logf("wait with the bound: %v, without: %v", bounded, unbounded)
 			if bounded > 60*time.Second {
-				t.Errorf("it waits %v beside room", bounded)
+				t.Errorf("the job waited %v beside free room, want at most 60 s", bounded)
 			}
 			if unbounded < 80*time.Second {
-				t.Errorf("without the bound it waits %v only: the test shows nothing", unbounded)
+				t.Errorf("the job waited %v without the bound, want at least 80 s, or the scenario is ineffective", unbounded)
 			}
 		})
 	}
--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -11,14 +11,14 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// loaded returns a fleet as a leader has it in a burst: every slot of the machines is taken, and arrays times
-// perArray tasks are submitted in all. With it comes an encoded heartbeat of each machine.
-func loaded(t testing.TB, machines, arrays, perArray int) (*rig, [][]byte) {
+// newLoadedRig returns a rig under the load of a burst, and an encoded heartbeat of each machine. Every slot of the
+// machines is in use, and the given number of arrays with perArray tasks each have been submitted.
+func newLoadedRig(t testing.TB, machines, arrays, perArray int) (*rig, [][]byte) {
 	t.Helper()
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	running := map[string][]TaskReport{}
 	for i := range machines {
-		g.see(fmt.Sprintf("i-%06d", i), "ty", false)
+		g.heartbeatOfType(fmt.Sprintf("i-%06d", i), "ty", false)
 	}
 	for i := range arrays {
 		s := spec(i+1, perArray)
@@ -28,7 +28,7 @@
 	for range 4 {
 		g.settle(store.Committed)
 		for i := range machines {
-			g.runAll(fmt.Sprintf("i-%06d", i), "ty", running)
+			g.startTasks(fmt.Sprintf("i-%06d", i), "ty", running)
 		}
 	}
 	var heartbeats [][]byte
@@ -51,8 +51,8 @@
 	return g, heartbeats
 }
 
-// respond parses a heartbeat and responds to it, as a connection and the event loop do. It doesn't call Helper, which
-// benchmarks would measure.
+// respond parses a heartbeat and returns the response, as a connection and the event loop do. It doesn't call
+// t.Helper, because benchmarks would measure that call.
 func (g *rig) respond(encoded []byte) HeartbeatResponse {
 	heartbeat, err := ParseHeartbeat(encoded)
 	if err != nil {
@@ -68,16 +68,16 @@
 }
 
 func BenchmarkHeartbeat(b *testing.B) {
-	g, heartbeats := loaded(b, 700, 60, 120)
+	g, heartbeats := newLoadedRig(b, 700, 60, 120)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		g.respond(heartbeats[i%len(heartbeats)])
 	}
 }
 
-// BenchmarkHeartbeatExchange measures a heartbeat from its bytes to those of its response.
+// BenchmarkHeartbeatExchange measures the handling of a heartbeat from its encoded bytes to the encoded response.
 func BenchmarkHeartbeatExchange(b *testing.B) {
-	g, heartbeats := loaded(b, 700, 60, 120)
+	g, heartbeats := newLoadedRig(b, 700, 60, 120)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if _, err := json.Marshal(g.respond(heartbeats[i%len(heartbeats)]).Wire()); err != nil {
@@ -86,9 +86,10 @@
 	}
 }
 
-// BenchmarkHeartbeatExchangeWithStops measures the same where all tasks of a heartbeat are to stop.
+// BenchmarkHeartbeatExchangeWithStops measures the same as BenchmarkHeartbeatExchange, with stop commands for all
+// tasks of a heartbeat.
 func BenchmarkHeartbeatExchangeWithStops(b *testing.B) {
-	g, heartbeats := loaded(b, 700, 60, 120)
+	g, heartbeats := newLoadedRig(b, 700, 60, 120)
 	var live []*jobs.Job
 	g.Jobs.ForEachLive(func(job *jobs.Job) { live = append(live, job) })
 	for _, job := range live {
@@ -98,7 +99,7 @@
 	for i := 0; b.Loop(); i++ {
 		response := g.respond(heartbeats[i%len(heartbeats)])
 		if len(response.Commands) == 0 {
-			b.Fatal("nothing is stopped")
+			b.Fatal("the response has no commands, want stop commands")
 		}
 		if _, err := json.Marshal(response.Wire()); err != nil {
 			b.Fatal(err)
@@ -107,7 +108,7 @@
 }
 
 func BenchmarkSchedulingCycle(b *testing.B) {
-	g, _ := loaded(b, 700, 60, 120)
+	g, _ := newLoadedRig(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
 		g.now += 100 * time.Millisecond
@@ -116,7 +117,7 @@
 }
 
 func BenchmarkDispatch(b *testing.B) {
-	g, _ := loaded(b, 700, 60, 120)
+	g, _ := newLoadedRig(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
 		g.dispatch(g.now)
@@ -124,7 +125,7 @@
 }
 
 func BenchmarkPlanWrite(b *testing.B) {
-	g, _ := loaded(b, 700, 4, 2000)
+	g, _ := newLoadedRig(b, 700, 4, 2000)
 	job := g.Jobs.Get("req-000001")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -133,23 +134,23 @@
 }
 
 func BenchmarkLoadPlans(b *testing.B) {
-	g, _ := loaded(b, 700, 60, 120)
+	g, _ := newLoadedRig(b, 700, 60, 120)
 	b.ReportAllocs()
 	for b.Loop() {
 		next := newRig(b, 2, g.kv)
 		if len(next.machines) == 0 {
-			b.Fatal("nothing was loaded")
+			b.Fatal("no machine was loaded from the plans")
 		}
 	}
 }
 
-// The allocations for a heartbeat bound how many a second a leader can take: those for the names in it and for its
-// list of tasks, and little else.
-func TestAllocationsOfAHeartbeat(t *testing.T) {
-	g, heartbeats := loaded(t, 20, 4, 100)
+// The allocations for a heartbeat limit how many heartbeats a second a leader can handle. There are allocations for
+// the names in the heartbeat and for its list of tasks, and only a few others.
+func TestHeartbeatAllocationsAreBounded(t *testing.T) {
+	g, heartbeats := newLoadedRig(t, 20, 4, 100)
 	tasks := len(g.machines[0].Tasks)
 	if tasks < 4 {
-		t.Fatalf("%d tasks on a machine", tasks)
+		t.Fatalf("%d tasks on a machine, want at least 4", tasks)
 	}
 	allocations := testing.AllocsPerRun(200, func() { g.respond(heartbeats[0]) })
 	if limit := float64(12 + 2*tasks); allocations > limit {
@@ -157,9 +158,10 @@
 	}
 }
 
-// A direct dispatch doesn't look at the queues of machines without room, however many tasks wait there.
+// A direct dispatch doesn't examine the queues of machines without room, regardless of how many tasks are queued
+// there.
 func TestDispatchSkipsFullMachines(t *testing.T) {
-	g, _ := loaded(t, 40, 30, 100)
+	g, _ := newLoadedRig(t, 40, 30, 100)
 	queued := 0
 	for _, job := range g.ranking.jobs {
 		queued += job.TasksByState[jobs.Planned]
@@ -167,33 +169,34 @@
 	before := g.PlanningSteps
 	g.dispatch(g.now)
 	if steps := g.PlanningSteps - before; steps != 0 || queued < 1000 {
-		t.Fatalf("%d steps for machines without room, with %d queued tasks", steps, queued)
+		t.Fatalf("%d planning steps for machines without room, want 0; %d queued tasks, want at least 1000", steps, queued)
 	}
 }
 
-// Direct requests under way are bounded. Launches that can't be sent now stay planned, and are sent when the bound
-// allows.
-func TestDirectCommandsAreBounded(t *testing.T) {
+// The number of direct requests in flight is bounded. A task whose launch can't be sent now stays planned, and its
+// launch is sent as soon as the bound allows.
+func TestDirectRequestsAreBounded(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	g.MaxDirectRequests = 3
 	for i := range 10 {
-		g.see(fmt.Sprintf("m%d", i), "ty", false)
+		g.heartbeatOfType(fmt.Sprintf("m%d", i), "ty", false)
 	}
 	job := g.submit(spec(1, 40))
-	g.settle(store.Committed) // without authority: planned and durable, nothing sent
+	g.settle(store.Committed) // without authority to act: plans become durable, but no command is sent
 	answered := 0
 	for range 10 {
 		g.now += 100 * time.Millisecond
 		g.Tick(g.now, true)
 		launched := job.TasksByState[jobs.Launched]
-		if open := len(g.directCallbacks) - answered; open > 3 || launched != 4*len(g.sentDirect) {
-			t.Fatalf("%d requests under way, %d sent, %d tasks launched", open, len(g.sentDirect), launched)
+		if inFlight := len(g.directCallbacks) - answered; inFlight > 3 || launched != 4*len(g.sentDirect) {
+			t.Fatalf("%d requests in flight, want at most 3; %d requests sent, which launched %d tasks, want 4 by each",
+				inFlight, len(g.sentDirect), launched)
 		}
 		for ; answered < len(g.directCallbacks); answered++ {
 			g.directCallbacks[answered](nil, true)
 		}
 	}
 	if launched := job.TasksByState[jobs.Launched]; launched != 40 {
-		t.Fatalf("%d of 40 tasks launched", launched)
+		t.Fatalf("%d tasks launched, want 40", launched)
 	}
 }
--- a/internal/fleet/candidates.go
+++ b/internal/fleet/candidates.go
@@ -51,9 +51,9 @@
 // cycle built the list. Placing tasks during a cycle only uses up room, so a machine that had too little room is not
 // examined again in that cycle.
 type candidateList struct {
-	candidates []candidate
-	firstOpen  int   // index of the first candidate that may have room
-	withRoom   []int // indices of the candidates that had room when last checked
+	candidates    []candidate
+	firstWithRoom int   // index of the first candidate that may have room
+	withRoom      []int // indices of the candidates that had room when last checked
 	// reservedUpTo holds, by zone (jobs.None for any), the index of the first candidate that has not been considered for
 	// a reservation yet.
 	reservedUpTo map[int32]int
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -82,7 +82,7 @@
 	if f.crashLooping(job) != nil {
 		return // a job that fails on every machine neither preempts nor reserves
 	}
-	if start > f.secondsToWait(now, job) && f.preemptForGang(now, job, list.candidates, start) {
+	if start > f.maxWaitSeconds(now, job) && f.preemptForGang(now, job, list.candidates, start) {
 		return
 	}
 	shortage.overdue = f.startOverdue(now, job)
@@ -143,8 +143,8 @@
 // will do.
 func (f *Fleet) placeSingleTask(now time.Duration, job *jobs.Job, list *candidateList) bool {
 	size := job.Spec.Size()
-	for ; list.firstOpen < len(list.candidates); list.firstOpen++ {
-		best := &list.candidates[list.firstOpen]
+	for ; list.firstWithRoom < len(list.candidates); list.firstWithRoom++ {
+		best := &list.candidates[list.firstWithRoom]
 		if best.secondsUntilRoom != 0 {
 			break
 		}
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -15,10 +15,10 @@
 
 // licenceHolder is a running task, or a whole gang, that may be stopped for its licence units.
 type licenceHolder struct {
-	job   *jobs.Job
-	tasks []int32
-	units int     // units that it holds of the pool for which it was found
-	lost  float64 // seconds of work that stopping it would waste
+	job         *jobs.Job
+	tasks       []int32
+	units       int     // units that it holds of the pool for which it was found
+	lostSeconds float64 // seconds of work that stopping it would waste
 }
 
 // licenceHolders returns the holders of units of a pool that are on machines and may be stopped, ordered by the
@@ -46,9 +46,9 @@
 			case stoppable && job.Spec.Kind == jobs.Gang:
 				gang.tasks = append(gang.tasks, taskIndex)
 				gang.units += units
-				gang.lost += f.lostWork(now, job, taskIndex)
+				gang.lostSeconds += f.lostWorkSeconds(now, job, taskIndex)
 			case stoppable:
-				lost := f.lostWork(now, job, taskIndex)
+				lost := f.lostWorkSeconds(now, job, taskIndex)
 				holders = append(holders, licenceHolder{job, []int32{taskIndex}, units, lost})
 			}
 		}
@@ -64,7 +64,7 @@
 // compareHolders orders holders by the lost work for each unit, then by job and task.
 func compareHolders(a, b licenceHolder) int {
 	return cmp.Or(
-		cmp.Compare(a.lost/float64(a.units), b.lost/float64(b.units)),
+		cmp.Compare(a.lostSeconds/float64(a.units), b.lostSeconds/float64(b.units)),
 		cmp.Compare(a.job.Index, b.job.Index),
 		cmp.Compare(a.tasks[0], b.tasks[0]))
 }
@@ -107,9 +107,9 @@
 	}
 }
 
-// stopExcess stops holders of a pool, those with the least lost work first, if more units are in use than the pool's
-// count allows and the pool is configured to preempt holders in this case.
-func (f *Fleet) stopExcess(now time.Duration, pool int32) {
+// stopExcessHolders stops holders of a pool, those with the least lost work first, if more units are in use than the
+// pool's count allows and the pool is configured to preempt holders in this case.
+func (f *Fleet) stopExcessHolders(now time.Duration, pool int32) {
 	excess := f.Gate.Licences.Excess(pool)
 	if excess == 0 {
 		return
@@ -154,7 +154,7 @@
 	}
 	maxWaitS := preemptionDelayS
 	if !guaranteed {
-		maxWaitS = f.secondsToWait(now, job)
+		maxWaitS = f.maxWaitSeconds(now, job)
 	}
 	var victims []poolHolders
 	for _, unit := range job.LicenceUnits {
@@ -170,7 +170,7 @@
 			continue
 		}
 		chosen := firstHolders(holders, missing)
-		if chosen == nil || f.earliestLicenceS(now, unit.Pool) < maxWaitS {
+		if chosen == nil || f.secondsUntilHolderEnds(now, unit.Pool) < maxWaitS {
 			return
 		}
 		victims = append(victims, poolHolders{unit.Pool, chosen})
@@ -192,9 +192,9 @@
 	return separateTasks && !f.Gate.Licences.IsWithinGuarantee(victim.Team, victim.LicenceUnits, 0)
 }
 
-// earliestLicenceS estimates in how many seconds the next task that holds units of a pool ends without being stopped.
-// It returns unknownWaitSeconds if there is no such task.
-func (f *Fleet) earliestLicenceS(now time.Duration, pool int32) float64 {
+// secondsUntilHolderEnds estimates in how many seconds the next task that holds units of a pool ends without being
+// stopped. It returns unknownWaitSeconds if there is no such task.
+func (f *Fleet) secondsUntilHolderEnds(now time.Duration, pool int32) float64 {
 	earliest := unknownWaitSeconds
 	f.Jobs.ForEach(func(job *jobs.Job) {
 		if job.Spec == nil || job.Tasks == nil || job.TasksOnMachines() == 0 || unitsOfPool(job, pool) == 0 {
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -143,7 +143,7 @@
 	}
 	for _, pool := range f.Jobs.Names.Pools.Pools() {
 		if index, ok := f.Jobs.Names.Pools.Index(pool.Name); ok {
-			f.stopExcess(now, index)
+			f.stopExcessHolders(now, index)
 		}
 	}
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -115,10 +115,10 @@
 	abandoned := unattainableDeadlines(now, deadlineJobs, pool.Scale(plannableFraction))
 	for start := 0; start < len(deadlineJobs); {
 		end := start + 1
-		for end < len(deadlineJobs) && f.mayChangePlaces(deadlineJobs[start].job, deadlineJobs[end].job) {
+		for end < len(deadlineJobs) && f.maySwapRanks(deadlineJobs[start].job, deadlineJobs[end].job) {
 			end++
 		}
-		f.moveGivenUpLast(deadlineJobs[start:end], abandoned[start:end])
+		f.moveAbandonedLast(deadlineJobs[start:end], abandoned[start:end])
 		start = end
 	}
 }
@@ -155,14 +155,14 @@
 	return deadlineJobs, pool
 }
 
-// mayChangePlaces reports whether two jobs may swap ranks. This requires that neither may preempt the other.
-func (f *Fleet) mayChangePlaces(a, b *jobs.Job) bool {
+// maySwapRanks reports whether two jobs may swap ranks. This requires that neither may preempt the other.
+func (f *Fleet) maySwapRanks(a, b *jobs.Job) bool {
 	return a.Priority == b.Priority && f.ranking.withinGuarantee[a.Index] == f.ranking.withinGuarantee[b.Index]
 }
 
-// moveGivenUpLast redistributes the positions that a group of jobs has in the priority order. Jobs with abandoned
+// moveAbandonedLast redistributes the positions that a group of jobs has in the priority order. Jobs with abandoned
 // deadlines get the last positions and the others the first. Within each of the two sets the order is kept.
-func (f *Fleet) moveGivenUpLast(group []deadlineJob, abandoned []bool) {
+func (f *Fleet) moveAbandonedLast(group []deadlineJob, abandoned []bool) {
 	next := 0
 	for _, last := range []bool{false, true} {
 		for i := range group {
--- a/internal/fleet/overload_test.go
+++ b/internal/fleet/overload_test.go
@@ -13,8 +13,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// allAttainable is a slow, plain model: it reports whether all jobs of a set, given as a bit mask, can be done in
-// time if they are worked off by latest start.
+// allAttainable reports whether all jobs of a set, given as a bit mask, meet their deadlines if they are processed in
+// the order of their latest starts. It is a slow, simple reference implementation.
 func allAttainable(deadlineJobs []deadlineJob, set uint, pool planner.Size) bool {
 	var order []int
 	for i := range deadlineJobs {
@@ -33,9 +33,9 @@
 	return true
 }
 
-// As few deadlines as possible are given up, and the others can be met: compared with every possible choice, on a
-// pool with one scarce resource.
-func TestFewestDeadlinesAreGivenUp(t *testing.T) {
+// As few deadlines as possible are abandoned, and all others can be met. The choice is compared with all subsets of
+// the jobs, on a pool with one scarce resource.
+func TestFewestDeadlinesAreAbandoned(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	pool := planner.Size{CPUs: 10, Mem: 1000}
 	overloads := 0
@@ -55,26 +55,27 @@
 			}
 		}
 		kept := uint(0)
-		for i, givenUp := range unattainableDeadlines(0, deadlineJobs, pool) {
-			if !givenUp {
+		for i, abandoned := range unattainableDeadlines(0, deadlineJobs, pool) {
+			if !abandoned {
 				kept |= 1 << i
 			}
 		}
 		if !allAttainable(deadlineJobs, kept, pool) || bits.OnesCount(kept) != maxKept {
-			t.Fatalf("problem %d: %b kept of %v, %d are possible", problem, kept, deadlineJobs, maxKept)
+			t.Fatalf("problem %d: the set %b of %v is kept, want an attainable set of %d jobs",
+				problem, kept, deadlineJobs, maxKept)
 		}
 		if maxKept < len(deadlineJobs) {
 			overloads++
 		}
 	}
 	if overloads < 100 {
-		t.Fatalf("only %d problems were overloads", overloads)
+		t.Fatalf("%d problems were overloads, want at least 100", overloads)
 	}
 }
 
-// In an overload a large array changes places with a small one whose deadline can still be met, and a job without a
-// deadline between them keeps its rank.
-func TestGivenUpArraysChangePlaces(t *testing.T) {
+// In an overload a large array swaps ranks with a small one whose deadline can still be met. A job without a deadline
+// that ranks between them keeps its rank.
+func TestAbandonedArraysSwapRanks(t *testing.T) {
 	g := newRigOf(t, 1, map[string]json.RawMessage{}, []config.Team{{Name: "t"}})
 	g.heartbeat("m", 1, fenced)
 	submit := func(n, tasks int, deadline *float64) *jobs.Job {
@@ -83,17 +84,19 @@
 		return g.submit(s)
 	}
 	soon, later := 100.0, 130.0
-	large := submit(1, 100, &soon) // 1,000 core-seconds for 4 cores within 90 s
-	between := submit(2, 1, nil)   // has no objective: ranks last
-	small := submit(3, 10, &later) // 100 core-seconds within 120 s
+	large := submit(1, 100, &soon) // 1,000 core-seconds of work within 90 s on 4 cores
+	between := submit(2, 1, nil)   // no objective, so it ranks last
+	small := submit(3, 10, &later) // 100 core-seconds of work within 120 s
 	g.RankJobs(g.now)
 	if g.rankOf(small) != 0 || g.rankOf(large) != 1 || g.rankOf(between) != 2 {
-		t.Fatalf("small ranks %d, large %d, without a deadline %d", g.rankOf(small), g.rankOf(large), g.rankOf(between))
+		t.Fatalf("ranks: small %d, large %d, without a deadline %d; want 0, 1, 2",
+			g.rankOf(small), g.rankOf(large), g.rankOf(between))
 	}
 	g.Settings.Params.Objectives = []config.Objective{{Kind: "finished", Class: "d", WithinS: 120}}
-	between.Spec.Class = "d" // due between the two deadlines
+	between.Spec.Class = "d" // its objective is due between the two deadlines
 	g.RankJobs(g.now)
 	if g.rankOf(small) != 0 || g.rankOf(between) != 1 || g.rankOf(large) != 2 {
-		t.Fatalf("small ranks %d, due between %d, large %d", g.rankOf(small), g.rankOf(between), g.rankOf(large))
+		t.Fatalf("ranks: small %d, without a deadline %d, large %d; want 0, 1, 2",
+			g.rankOf(small), g.rankOf(between), g.rankOf(large))
 	}
 }
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -30,12 +30,12 @@
 	// PredecessorsUnfinished: predecessors of the job are unfinished, or the job will be cancelled with one of them.
 	PredecessorsUnfinished PendingCause = "predecessors"
 	RecordUnreadable       PendingCause = "unreadable"       // a stored record of the job can't be read
-	ZoneLost               PendingCause = "zone_lost"        // the task is on a machine of a lost zone, without heartbeats
+	ZoneLost               PendingCause = "zone_lost"        // the task is on a silent machine of a lost zone
 	PlanningBehind         PendingCause = "planning_behind"  // no scheduling cycle has planned the task yet
 	QueuedOnMachine        PendingCause = "lane"             // the task is in the queue of a machine without free room
 	PlanNotDurable         PendingCause = "plan_not_durable" // the plan of the task is being written
 	GangStopping           PendingCause = "gang_leaving"     // other tasks of the gang must stop first
-	Arriving               PendingCause = "starting"         // the task was sent to its machine and is not running yet
+	Starting               PendingCause = "starting"         // the task was sent to its machine and is not running yet
 )
 
 // unplannedReason is why the last scheduling cycle left tasks of a job unplanned. Each field other than cause is set
@@ -43,7 +43,7 @@
 type unplannedReason struct {
 	cause   PendingCause
 	denial  admission.Denial // TeamLimit, LicenceUnavailable
-	retryAt time.Duration    // RetryLater, CrashLoopBackoff: time of the next attempt
+	retryAt time.Duration    // RetryLater, CrashLoopBackoff: earliest time of the next attempt
 	backoff crashBackoff     // CrashLoopBackoff
 	gang    gangShortage     // GangShort
 }
@@ -197,7 +197,7 @@
 		default:
 			queued++
 			if roomInS > 0 {
-				roomInS = min(roomInS, f.secondsToRoom(now, f.machines[task.Machine], job))
+				roomInS = min(roomInS, f.roomWaitSeconds(now, f.machines[task.Machine], job))
 			}
 		}
 	}
@@ -214,9 +214,9 @@
 	}
 }
 
-// secondsToRoom estimates in how many seconds a machine will have room for a task of a job. It returns 0 if the
+// roomWaitSeconds estimates in how many seconds a machine will have room for a task of a job. It returns 0 if the
 // machine has room now.
-func (f *Fleet) secondsToRoom(now time.Duration, machine *Machine, job *jobs.Job) float64 {
+func (f *Fleet) roomWaitSeconds(now time.Duration, machine *Machine, job *jobs.Job) float64 {
 	if f.fits(machine, job) {
 		return 0
 	}
@@ -239,13 +239,13 @@
 		}
 	}
 	for _, zone := range slices.Sorted(maps.Keys(lostByZone)) {
-		withoutContact, leaseLeft := f.zoneSilence(now, zone)
+		withoutContact, leaseLeft := f.zoneContactLoss(now, zone)
 		reasons.add(lostByZone[zone], ZoneLost,
 			"on machines of zone %s, which have sent no heartbeat for up to %.0f s: the tasks may still run there; "+
 				"they start elsewhere when the leases of the machines expire, in at most %.0f s",
 			f.Jobs.Names.Zones.Name(zone), withoutContact.Seconds(), leaseLeft.Seconds())
 	}
-	reasons.add(starting, Arriving,
+	reasons.add(starting, Starting,
 		"sent to their machines: they are starting, fetching their image, or waiting for the rest of their gang")
 }
 
@@ -260,9 +260,9 @@
 	return false
 }
 
-// zoneSilence returns the longest time without contact among the quarantined machines of a zone, and the time until
-// the last of their leases expires.
-func (f *Fleet) zoneSilence(now time.Duration, zone int32) (withoutContact, leaseLeft time.Duration) {
+// zoneContactLoss returns the longest time without contact among the quarantined machines of a zone, and the time
+// until the last of their leases expires.
+func (f *Fleet) zoneContactLoss(now time.Duration, zone int32) (withoutContact, leaseLeft time.Duration) {
 	for _, machine := range f.machines {
 		if machine.Quarantined && machine.Zone == zone {
 			withoutContact = max(withoutContact, now-machine.LastContactAt)
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -10,7 +10,7 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// reasonCheck compares the pending reasons of one job with a plain look at the whole model.
+// reasonCheck compares the pending reasons of one job with a direct computation from the state of the whole model.
 type reasonCheck struct {
 	t     *testing.T
 	model *model
@@ -18,40 +18,40 @@
 	job   *jobs.Job
 }
 
-// run checks every reason of the job, and that each of its tasks runs, is finished, or has one reason. It counts the
-// causes in seen.
-func (c *reasonCheck) run(seen map[PendingCause]int) {
+// run checks every reason of the job, and that each of its tasks is running, finished, or has exactly one reason. It
+// adds the causes to countByCause.
+func (c *reasonCheck) run(countByCause map[PendingCause]int) {
 	c.t.Helper()
 	reasons := c.fleet.PendingReasons(c.model.now, c.job)
 	waiting := 0
 	for _, reason := range reasons {
 		waiting += reason.Tasks
-		seen[reason.Cause]++
+		countByCause[reason.Cause]++
 		if reason.Text == "" {
-			c.fail(reason, "there is no text")
+			c.fail(reason, "the text is empty")
 		}
 		c.check(reason)
 	}
 	if running := c.runningOrFinished(); waiting+running != c.job.TaskCount {
-		c.t.Fatalf("seed %d, %v: %s has %d tasks, %d run or are finished, %+v",
+		c.t.Fatalf("seed %d, %v: job %s has %d tasks, %d running or finished; want one reason for each other task, got %+v",
 			c.model.seed, c.model.now, c.job.ID, c.job.TaskCount, running, reasons)
 	}
 }
 
-// fail fails the test for a reason that is wrong.
-func (c *reasonCheck) fail(reason PendingReason, what string) {
+// fail fails the test for a wrong reason.
+func (c *reasonCheck) fail(reason PendingReason, problem string) {
 	c.t.Helper()
-	c.t.Fatalf("seed %d, %v: the reason of %s (%+v) is %+v, and %s",
-		c.model.seed, c.model.now, c.job.ID, *c.job.Spec, reason, what)
+	c.t.Fatalf("seed %d, %v: job %s (%+v) has the reason %+v, but %s",
+		c.model.seed, c.model.now, c.job.ID, *c.job.Spec, reason, problem)
 }
 
-// check checks the causes that can be seen by a plain look.
+// check checks a reason if its cause can be derived directly from the state of the model.
 func (c *reasonCheck) check(reason PendingReason) {
 	c.t.Helper()
 	switch reason.Cause {
 	case TeamLimit:
 		if c.teamHasRoom() {
-			c.fail(reason, "its team has room")
+			c.fail(reason, "the team's limit allows it to start")
 		}
 	case LicenceUnavailable:
 		if c.unitsAreFree() {
@@ -60,7 +60,7 @@
 	case NoMachine:
 		for _, machine := range c.fleet.machines {
 			if c.couldTake(machine) {
-				c.fail(reason, "machine "+machine.Name+" may take it")
+				c.fail(reason, "machine "+machine.Name+" is eligible")
 			}
 		}
 	case GangShort:
@@ -69,7 +69,7 @@
 		}
 	case PlanNotDurable:
 		if reason.Tasks != c.tasksBeingWritten() {
-			c.fail(reason, "another number is being written")
+			c.fail(reason, "its task count differs from the number of plans that are being written")
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	return count
 }
 
-// tasksStartedTogether returns how many tasks of the job must start at once.
+// tasksStartedTogether returns the number of tasks of the job that must start together.
 func (c *reasonCheck) tasksStartedTogether() int {
 	if c.job.Spec.Kind == jobs.Gang {
 		return c.job.TaskCount
@@ -103,8 +103,8 @@
 	return 1
 }
 
-// teamHasRoom returns whether the team's limit lets the job start. What is reserved for gangs counts against it,
-// beside what is on machines.
+// teamHasRoom reports whether the team's limit allows the job to start. Tasks on machines and reservations for gangs
+// count toward the limit.
 func (c *reasonCheck) teamHasRoom() bool {
 	used := planner.Size{}
 	for _, machine := range c.fleet.machines {
@@ -119,8 +119,8 @@
 	return usedCPUs+needed <= c.model.settings.Params.Teams[0].CPUsMax+1e-9
 }
 
-// unitsAreFree returns whether no task on a machine, no job of higher priority, no missing answer of a server and no
-// unit of a crashed task keeps the job from having its licence units.
+// unitsAreFree reports whether the job's licence units are free. They are not if tasks on machines hold them, a job of
+// higher priority needs them, the licence server is unavailable, or a crashed task may still hold them.
 func (c *reasonCheck) unitsAreFree() bool {
 	free := map[string]int{}
 	for _, pool := range c.model.pools {
@@ -142,7 +142,8 @@
 	return denial != licences.LowerPriority && denial != licences.ServerUnavailable && !hasUncountedUnits(c.fleet)
 }
 
-// couldTake returns whether a machine that has been up for a while could take a task of the job if it were empty.
+// couldTake reports whether a machine is eligible for a task of the job. The machine must have been up and in contact
+// for a while; the tasks on it are ignored.
 func (c *reasonCheck) couldTake(machine *Machine) bool {
 	now := c.model.now
 	if machine.Condition != Ready || machine.Returning {
@@ -158,7 +159,7 @@
 	return c.job.Spec.Size().Fits(machine.Capacity.Sub(reservedForGPUWork))
 }
 
-// gangHasRoom returns whether the machines have room for all tasks of a gang that may be anywhere.
+// gangHasRoom reports whether the machines have room for all tasks of a gang without zone constraints.
 func (c *reasonCheck) gangHasRoom() bool {
 	spec := c.job.Spec
 	room := 0
@@ -167,11 +168,11 @@
 			room += spec.Size().Copies(c.fleet.availableRoom(machine, c.job))
 		}
 	}
-	mayBeAnywhere := !spec.OneZone && spec.ZoneLimit() == 0
-	return room >= c.job.TaskCount && mayBeAnywhere && !hasReservedMachine(c.fleet)
+	hasNoZoneConstraint := !spec.OneZone && spec.ZoneLimit() == 0
+	return room >= c.job.TaskCount && hasNoZoneConstraint && !hasReservedMachine(c.fleet)
 }
 
-// hasUncountedUnits returns whether licence units are taken that no task on a machine holds, or may be.
+// hasUncountedUnits reports whether licence units are, or may be, in use that no task on a machine holds.
 func hasUncountedUnits(f *Fleet) bool {
 	for i := range f.Jobs.Names.Pools.Pools() {
 		view := f.Gate.Licences.View(0, int32(i), func(int32) string { return "" })
@@ -182,7 +183,8 @@
 	return false
 }
 
-// hasReservedMachine returns whether room on a machine is reserved, which a plain look at its tasks doesn't show.
+// hasReservedMachine reports whether room on a machine is reserved. Reservations can't be derived from the tasks on
+// the machine.
 func hasReservedMachine(f *Fleet) bool {
 	for _, machine := range f.machines {
 		if machine.reserved != (planner.Size{}) {
@@ -192,16 +194,17 @@
 	return false
 }
 
-// Whatever the model does, each waiting task of each job has exactly one reason, and the reason is true.
-func TestModelGivesTruePendingReasons(t *testing.T) {
-	seen := map[PendingCause]int{}
+// In every state of the model, each waiting task of each job has exactly one pending reason, and the reason is
+// correct.
+func TestPendingReasonsMatchModel(t *testing.T) {
+	countByCause := map[PendingCause]int{}
 	for seed := uint64(1); seed <= 25; seed++ {
 		m := newModel(seed, modelPools()...)
 		m.afterTick = func() {
 			for _, job := range m.fleet.ranking.jobs {
 				if !job.State.Terminal() {
 					check := reasonCheck{t: t, model: m, fleet: m.fleet, job: job}
-					check.run(seen)
+					check.run(countByCause)
 				}
 			}
 		}
@@ -209,14 +212,14 @@
 	}
 	expected := []PendingCause{
 		TeamLimit, LicenceUnavailable, NoMachine, GangShort, RetryLater,
-		QueuedOnMachine, PlanNotDurable, GangStopping, Arriving,
+		QueuedOnMachine, PlanNotDurable, GangStopping, Starting,
 	}
 	for _, cause := range expected {
-		if seen[cause] < 20 {
-			t.Errorf("%s was reported %d times: the model does not exercise the code", cause, seen[cause])
+		if countByCause[cause] < 20 {
+			t.Errorf("cause %s was reported %d times, want at least 20 so that it is covered", cause, countByCause[cause])
 		}
 	}
-	t.Logf("%v", seen)
+	t.Logf("reports by cause: %v", countByCause)
 }
 
 func TestJobsAheadNearestFirst(t *testing.T) {
@@ -229,6 +232,6 @@
 	g.settle(0)
 	ids, n := g.JobsAhead(g.Jobs.Get("req-000005"), 2)
 	if n != 4 || len(ids) != 2 || ids[0] != "req-000004" || ids[1] != "req-000003" {
-		t.Fatalf("%d ahead, %v", n, ids)
+		t.Fatalf("%d jobs ahead, nearest %v; want 4, nearest req-000004 and req-000003", n, ids)
 	}
 }
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -30,9 +30,9 @@
 // without the fetch of its image.
 const taskStartS = 1
 
-// secondsToWait returns how many seconds a job may wait for tasks to end before it has to preempt to meet its next
+// maxWaitSeconds returns how many seconds a job may wait for tasks to end before it has to preempt to meet its next
 // objective. Preempting earlier would waste work needlessly.
-func (f *Fleet) secondsToWait(now time.Duration, job *jobs.Job) float64 {
+func (f *Fleet) maxWaitSeconds(now time.Duration, job *jobs.Job) float64 {
 	latestStart, ok := f.latestUsefulStart(now, job)
 	if !ok || f.ranking.withinGuarantee[job.Index] {
 		return preemptionDelayS
@@ -75,8 +75,8 @@
 	return false
 }
 
-// lostWork returns how many seconds of work would be lost if a task were stopped.
-func (f *Fleet) lostWork(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
+// lostWorkSeconds returns how many seconds of work would be lost if a task were stopped.
+func (f *Fleet) lostWorkSeconds(now time.Duration, job *jobs.Job, taskIndex int32) float64 {
 	task := &job.Tasks[taskIndex]
 	if task.Phase != jobs.Running {
 		return 0
@@ -90,12 +90,12 @@
 // victim is a task that may be preempted.
 type victim struct {
 	TaskRef
-	lost float64 // seconds of work that its preemption would waste
+	lostSeconds float64 // seconds of work that its preemption would waste
 }
 
 // compareVictims orders victims by the work lost, then by job and task.
 func compareVictims(a, b victim) int {
-	return cmp.Or(cmp.Compare(a.lost, b.lost), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
+	return cmp.Or(cmp.Compare(a.lostSeconds, b.lostSeconds), cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 }
 
 // victims returns the tasks to preempt on a machine to make room for one task of a job, chosen by the least lost work,
@@ -110,7 +110,7 @@
 		case task.Stopping:
 			free = free.Add(holder.Spec.Size()) // a stopping task needs no preemption
 		case task.State == jobs.OnMachine && f.mayPreempt(job, holder):
-			candidates = append(candidates, victim{ref, f.lostWork(now, holder, ref.Task)})
+			candidates = append(candidates, victim{ref, f.lostWorkSeconds(now, holder, ref.Task)})
 		}
 	}
 	slices.SortFunc(candidates, compareVictims)
@@ -120,7 +120,7 @@
 		}
 		free = free.Add(f.jobAt(candidate.Job).Spec.Size())
 		refs = append(refs, candidate.TaskRef)
-		lost += candidate.lost
+		lost += candidate.lostSeconds
 	}
 	return refs, lost, f.fitsBesideReserve(machine, job, free)
 }
@@ -248,7 +248,7 @@
 	if f.crashLooping(job) != nil || !f.mayStart(job, 1) {
 		return
 	}
-	maxWaitS := f.secondsToWait(now, job)
+	maxWaitS := f.maxWaitSeconds(now, job)
 	for _, machineIndex := range f.queueMachines(job) {
 		machine := f.machines[machineIndex]
 		f.PlanningSteps++
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -23,7 +23,7 @@
 type startClass int
 
 const (
-	overdueTasks           startClass = iota // arrays and services with an overdue start
+	overdueArrayOrService  startClass = iota // arrays and services with an overdue start
 	overdueWithinGuarantee                   // overdue gangs within their team's guarantee
 	withinGuarantee                          // other jobs within their team's guarantee
 	overdueBeyondGuarantee                   // overdue gangs beyond their team's guarantee
@@ -60,7 +60,7 @@
 	for _, job := range f.ranking.jobs {
 		class := f.startClassOf(now, job)
 		classes[job.Index] = class
-		if class == overdueTasks {
+		if class == overdueArrayOrService {
 			f.ranking.startDeadlineDue[job.Index] = true
 		}
 		anyOverdue = anyOverdue || class.isOverdue()
@@ -86,7 +86,7 @@
 	within := f.ranking.withinGuarantee[job.Index]
 	switch {
 	case overdue && job.Spec.Kind != jobs.Gang:
-		return overdueTasks
+		return overdueArrayOrService
 	case within && overdue:
 		return overdueWithinGuarantee
 	case within:
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -14,7 +14,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// submitRandomJobs submits up to a dozen jobs of all kinds, priorities and ages, of which a third have started.
+// submitRandomJobs submits up to 12 jobs of random kinds, priorities, teams and ages. About a third of them have
+// started.
 func submitRandomJobs(g *rig, rng *rand.Rand) {
 	g.t.Helper()
 	for i := range 1 + rng.IntN(12) {
@@ -28,13 +29,13 @@
 	}
 }
 
-// promoteOverdueModel is a slow, plain model of the promotion of jobs that have not started and are older than an
-// age.
+// promoteOverdueModel returns ranked with the jobs promoted that have not started and are older than age. It is a
+// slow, simple reference implementation of promoteOverdueJobs.
 func promoteOverdueModel(g *rig, ranked []*jobs.Job, now, age time.Duration) []*jobs.Job {
 	var promoted []*jobs.Job
 	overdue := func(job *jobs.Job) bool { return !job.Started && now-job.SubmittedAt > age }
 	isGang := func(job *jobs.Job) bool { return job.Spec.Kind == jobs.Gang }
-	take := func(oldestFirst bool, accept func(*jobs.Job) bool) {
+	appendAccepted := func(oldestFirst bool, accept func(*jobs.Job) bool) {
 		var accepted []*jobs.Job
 		for _, job := range ranked {
 			if accept(job) {
@@ -48,21 +49,21 @@
 		}
 		promoted = append(promoted, accepted...)
 	}
-	take(true, func(job *jobs.Job) bool { return overdue(job) && !isGang(job) })
+	appendAccepted(true, func(job *jobs.Job) bool { return overdue(job) && !isGang(job) })
 	for _, within := range []bool{true, false} {
-		take(true, func(job *jobs.Job) bool {
+		appendAccepted(true, func(job *jobs.Job) bool {
 			return overdue(job) && isGang(job) && g.ranking.withinGuarantee[job.Index] == within
 		})
-		take(false, func(job *jobs.Job) bool {
+		appendAccepted(false, func(job *jobs.Job) bool {
 			return !overdue(job) && g.ranking.withinGuarantee[job.Index] == within
 		})
 	}
 	return promoted
 }
 
-// The priority order is that of a plain model: jobs with overdue starts are moved forward, all others keep the
-// order that they have without the rule, and no job that has started is moved.
-func TestOverdueStartsGoFirst(t *testing.T) {
+// The priority order equals that of a reference implementation: jobs with overdue starts are promoted, and all other
+// jobs, including those that have started, keep their order among themselves.
+func TestOverdueStartsArePromoted(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 4))
 	moved := 0
 	for range 300 {
@@ -76,31 +77,32 @@
 		g.RankJobs(now)
 		want := promoteOverdueModel(g, unpromoted, now, 120*time.Second)
 		if !slices.Equal(g.ranking.jobs, want) {
-			t.Fatal("the priority order differs from the model's")
+			t.Fatal("the priority order differs from that of the reference implementation")
 		}
 		if !slices.Equal(unpromoted, want) {
 			moved++
 		}
 	}
 	if moved < 100 {
-		t.Fatalf("only %d orders differ", moved)
+		t.Fatalf("the promotion changed %d of 300 orders, want at least 100", moved)
 	}
 }
 
-// contention is a constant stream of small gangs, more than the machines can run, that can all still meet an
-// objective. Beside them a gang that needs all machines at once and an array of the lowest priority wait.
+// contention is a scenario with a constant stream of small gangs that exceeds the capacity of the machines. All small
+// gangs can still meet an objective. A gang that needs all machines at once and an array of the lowest priority wait
+// at the same time.
 type contention struct {
 	*rig
 	rng      *rand.Rand
 	machines []string
-	reports  map[string][]TaskReport  // by machine
-	endsAt   map[string]time.Duration // by task
+	reports  map[string][]TaskReport  // reported tasks by machine
+	endsAt   map[string]time.Duration // end of each task by task name
 	gang     *jobs.Job
 	array    *jobs.Job
-	// gangAfter and arrayAfter are how long the two waited for their first start, 0 until then.
-	gangAfter  time.Duration
-	arrayAfter time.Duration
-	explained  bool // the gang's pending reason names the reservations and the promotion
+	// gangWait and arrayWait are the times from submission to the first start of gang and array; 0: not started.
+	gangWait  time.Duration
+	arrayWait time.Duration
+	explained bool // the pending reason of gang has named the reservations and the promotion
 }
 
 func newContention(t *testing.T, beginS float64) *contention {
@@ -117,11 +119,11 @@
 	}
 }
 
-// run runs 400 s of it.
+// run simulates 400 s of the scenario.
 func (c *contention) run() {
 	c.t.Helper()
 	for step := 0; c.now < 400*time.Second; step++ {
-		c.now += 700 * time.Millisecond // and 300 more while writes settle
+		c.now += 700 * time.Millisecond // settleFor adds another 300 ms
 		if step%3 == 0 {
 			c.submitSmallGang(step)
 		}
@@ -153,7 +155,7 @@
 }
 
 func (c *contention) submitWaitingJobs() {
-	c.gang = c.submitNow(gang4())
+	c.gang = c.submitNow(fourMachineGangSpec())
 	s := spec(2, 50)
 	s.Team = "guest"
 	s.Priority = "best_effort"
@@ -163,7 +165,8 @@
 	c.array = c.submitNow(s)
 }
 
-// heartbeat reports a machine's tasks, which end when their time has come, and starts and forgets tasks as commanded.
+// heartbeat ends the tasks of a machine that have reached their end, reports all its tasks, and executes the start and
+// forget commands of the response.
 func (c *contention) heartbeat(machine string) {
 	c.t.Helper()
 	reports := c.reports[machine]
@@ -173,7 +176,7 @@
 			report.ExitCause = exitDone
 		}
 	}
-	for _, command := range c.see(machine, "ty", false, reports...) {
+	for _, command := range c.heartbeatOfType(machine, "ty", false, reports...) {
 		switch command.Op {
 		case opStart:
 			reports = append(reports, TaskReport{Task: command.Task, Attempt: command.Attempt, State: taskRunning})
@@ -185,8 +188,8 @@
 	c.reports[machine] = reports
 }
 
-// observe records first starts, and whether the gang's pending reason explains its promotion once its start is
-// overdue.
+// observe records the first starts of gang and array, and whether the pending reason of gang explains its promotion
+// once its start is overdue.
 func (c *contention) observe() {
 	age := c.now - c.gang.SubmittedAt
 	if !c.gang.Started && c.Settings.Operator.StartDeadlineS > 0 && age > 125*time.Second {
@@ -196,68 +199,70 @@
 			strings.Contains(reasons[0].Text, "reserved for it") &&
 			strings.Contains(reasons[0].Text, "ranks first")
 	}
-	if c.gang.Started && c.gangAfter == 0 {
-		c.gangAfter = age
+	if c.gang.Started && c.gangWait == 0 {
+		c.gangWait = age
 	}
-	if c.array.Started && c.arrayAfter == 0 {
-		c.arrayAfter = c.now - c.array.SubmittedAt
+	if c.array.Started && c.arrayWait == 0 {
+		c.arrayWait = c.now - c.array.SubmittedAt
 	}
 }
 
-// Under a constant stream of small gangs that can still meet an objective, a gang that needs all machines at once,
-// and has missed its own, starts within the time. So does an array of the lowest priority. Without the rule not
-// both do.
-func TestLargestGangStartsInTime(t *testing.T) {
+// There is a constant stream of small gangs that can still meet an objective. A gang that needs all machines at once,
+// and has missed its objective, starts within the start deadline, and so does an array of the lowest priority. Without
+// the promotion of overdue starts at least one of them does not.
+func TestOverdueGangAndArrayStartWithinDeadline(t *testing.T) {
 	const limit = 240 * time.Second
 	promoted := newContention(t, limit.Seconds())
 	promoted.run()
-	t.Logf("with the rule the gang starts after %v, the array after %v", promoted.gangAfter, promoted.arrayAfter)
+	t.Logf("with promotion the gang waited %v, the array %v (0: never started)", promoted.gangWait, promoted.arrayWait)
 	if !promoted.explained {
-		t.Error("the gang's pending reason doesn't name the machines that are kept for it")
+		t.Error("the gang's pending reason doesn't name its reserved machines and its promotion")
 	}
-	gangInTime := promoted.gangAfter > 0 && promoted.gangAfter <= limit
-	arrayInTime := promoted.arrayAfter > 0 && promoted.arrayAfter <= limit
+	gangInTime := promoted.gangWait > 0 && promoted.gangWait <= limit
+	arrayInTime := promoted.arrayWait > 0 && promoted.arrayWait <= limit
 	if !gangInTime || !arrayInTime {
-		t.Errorf("the gang starts after %v, the array after %v", promoted.gangAfter, promoted.arrayAfter)
+		t.Errorf("the gang waited %v, the array %v (0: never started), want at most 4m0s",
+			promoted.gangWait, promoted.arrayWait)
 	}
-	plain := newContention(t, 0)
-	plain.run()
-	t.Logf("without the rule after %v and %v (0: never)", plain.gangAfter, plain.arrayAfter)
-	gangInTime = plain.gangAfter > 0 && plain.gangAfter < limit
-	arrayInTime = plain.arrayAfter > 0 && plain.arrayAfter < limit
+	unpromoted := newContention(t, 0)
+	unpromoted.run()
+	t.Logf("without promotion the gang waited %v, the array %v (0: never started)",
+		unpromoted.gangWait, unpromoted.arrayWait)
+	gangInTime = unpromoted.gangWait > 0 && unpromoted.gangWait < limit
+	arrayInTime = unpromoted.arrayWait > 0 && unpromoted.arrayWait < limit
 	if gangInTime && arrayInTime {
-		t.Errorf("without the rule they start too, after %v and %v: the test shows nothing",
-			plain.gangAfter, plain.arrayAfter)
+		t.Errorf("without promotion the gang waited %v and the array %v, want one of them not to start within 4m0s",
+			unpromoted.gangWait, unpromoted.arrayWait)
 	}
 }
 
-// Jobs without accelerators start on machines that all have them, although other work always waits for those:
-// either because their start is overdue, or because nothing is kept from starving jobs. Without both rules they
-// never start.
-func TestJobsWithoutAcceleratorsStartBesideThem(t *testing.T) {
+// All machines have accelerators, and other jobs always wait for accelerators. A job without accelerators still
+// starts, either because its start is overdue or because starving jobs ignore the accelerator reserve. Without both
+// rules it never starts.
+func TestJobsWithoutAcceleratorsStartOnAcceleratorMachines(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		beginS  float64
 		starves bool
-		want    bool // to have started
+		want    bool // whether the job starts
 	}{
 		{name: "overdue", beginS: 240, want: true},
 		{name: "starving", starves: true, want: true},
 		{name: "neither"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := mixed(t)
+			g := newMixedRig(t)
 			g.Settings.Operator.StartDeadlineS = c.beginS
 			running := map[string][]TaskReport{}
-			g.see("g1", "gpu", false)
-			for n, cpus := range []float64{5, 6} { // the larger ones wait for ever, and leave nothing beside them
+			g.heartbeatOfType("g1", "gpu", false)
+			for n, cpus := range []float64{5, 6} { // the larger tasks wait forever, and the reserve for them leaves no cores
 				s := spec(10+n, 2)
 				s.GPUs = 1
 				s.CPUs = cpus
 				s.EstimateS = 1000
 				g.submit(s)
 				g.settleFor(3, store.Committed)
-				g.runAll("g1", "gpu", running)
+				g.startTasks("g1", "gpu", running)
 			}
 			s := spec(2, 5)
 			s.Priority = "best_effort"
@@ -268,28 +273,29 @@
 				if !c.starves {
 					job.RoomSince = 0
 				}
-				g.runAll("g1", "gpu", running)
+				g.startTasks("g1", "gpu", running)
 				g.settleFor(3, store.Committed)
 				if c.starves && !job.Started && g.now-job.SubmittedAt > 90*time.Second {
-					t.Error("the job hasn't started after 90 s")
+					t.Error("the job has not started 90 s after its submission")
 					break
 				}
 			}
 			if job.Started != c.want {
-				t.Errorf("the job started: %v, want %v", job.Started, c.want)
+				t.Errorf("job started: %v, want %v", job.Started, c.want)
 			}
 		})
 	}
 }
 
-// One task that waits for an accelerator, of which most are idle, doesn't keep the cores of all machines from work
-// without: of twenty idle machines some are left for it and for work still to come, the others are used.
-func TestOneWaitingTaskKeepsFewCores(t *testing.T) {
-	g := mixed(t)
+// A single task that waits for accelerators, while most accelerators are idle, doesn't reserve the cores of all
+// machines. Of 20 idle machines, some are reserved for the task and for future work, and the others run tasks without
+// accelerators.
+func TestOneWaitingGPUTaskReservesFewMachines(t *testing.T) {
+	g := newMixedRig(t)
 	names := make([]string, 20)
 	for i := range names {
 		names[i] = fmt.Sprintf("g%02d", i)
-		g.see(names[i], "gpu", false)
+		g.heartbeatOfType(names[i], "gpu", false)
 	}
 	elsewhere := "y" // a zone without machines
 	waiting := spec(1, 1)
@@ -306,7 +312,7 @@
 	for range 6 {
 		g.settleFor(3, store.Committed)
 		for _, name := range names {
-			g.runAll(name, "gpu", running)
+			g.startTasks(name, "gpu", running)
 		}
 	}
 	used := 0
@@ -316,12 +322,13 @@
 		}
 	}
 	if used < 10 || used > 17 || job.TasksOnMachines() < 30 {
-		t.Errorf("%d of 20 machines are used, by %d tasks", used, job.TasksOnMachines())
+		t.Errorf("%d machines are used by %d tasks, want 10 to 17 of 20 machines and at least 30 tasks",
+			used, job.TasksOnMachines())
 	}
 }
 
-// gang4 is a gang that takes four whole machines.
-func gang4() *jobs.Spec {
+// fourMachineGangSpec returns the spec of a gang that takes four whole machines.
+func fourMachineGangSpec() *jobs.Spec {
 	s := spec(1, 4)
 	s.Kind = jobs.Gang
 	s.CPUs = 4
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -61,7 +61,7 @@
 		size := job.Spec.Size()
 		for _, machine := range withRoom {
 			f.PlanningSteps++
-			if !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) || !f.mayPlace(machine, job) {
+			if !size.Fits(f.roomBesideQueue(machine, job)) || !f.fits(machine, job) || !f.mayPlace(machine, job) {
 				continue
 			}
 			if delayed == nil {
@@ -151,7 +151,7 @@
 		if len(*delayed) == 0 || (*delayed)[0].waitSeconds <= minWait {
 			return
 		}
-		if !size.Fits(f.spareRoom(machine, job)) || !f.fits(machine, job) {
+		if !size.Fits(f.roomBesideQueue(machine, job)) || !f.fits(machine, job) {
 			return
 		}
 		source := (*delayed)[0].machine
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -60,7 +60,7 @@
 		if examined > maxWaitingJobs {
 			break
 		}
-		if f.startsSoon(job) {
+		if f.canStartNow(job) {
 			continue
 		}
 		for i, sessionJob := range sessionJobs {
@@ -76,8 +76,8 @@
 	return waitingFor
 }
 
-// startsSoon reports whether all waiting tasks of a job can start without the end of any other task.
-func (f *Fleet) startsSoon(job *jobs.Job) bool {
+// canStartNow reports whether all waiting tasks of a job can start without the end of any other task.
+func (f *Fleet) canStartNow(job *jobs.Job) bool {
 	if !f.mayStart(job, 1) {
 		return false
 	}
