--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -12,10 +12,9 @@
 // A job may be denied free room for four reasons: the room is reserved for a gang that waits for more, it is processor
 // room reserved beside accelerators, it is on an on-demand machine that other jobs need, or a busy machine is the
 // better choice. Each reason can last forever, for example if a gang is larger than its zone or an estimate is far too
-// low.
-// A job that has waited for starvingAfter while there was room is starving. It may use any free room except the firm
-// reservations of gangs whose own start is overdue. These are effective against the job until firmReservationLimit,
-// which is below the 90 s that a job may wait beside free room.
+// low. A job that has waited for starvingAfter while there was room is starving. It may use any free room except the
+// firm reservations of gangs whose own start is overdue. These are effective against the job until
+// firmReservationLimit, which is below the 90 s that a job may wait beside free room.
 //
 // Only the time with room counts, not the whole waiting time. In an overload every job waits for a long time, and all
 // of them would take room from large gangs: a large gang then started after 873 s instead of 235 s.
--- a/internal/fleet/gang.go
+++ b/internal/fleet/gang.go
@@ -78,7 +78,7 @@
 	}
 	zone, start := f.earliestGangStart(job, list)
 	shortage := gangShortage{machinesWithRoom: len(list.withRoom), secondsToStart: start}
-	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
+	f.setUnplannedReason(job, unplannedReason{cause: GangLacksRoom, gang: shortage})
 	if f.crashLooping(job) != nil {
 		return // a job that fails on every machine neither preempts nor reserves
 	}
@@ -87,7 +87,7 @@
 	}
 	shortage.overdue = f.startOverdue(now, job)
 	shortage.reservedMachines = f.reserveMachines(job, list, zone, shortage.overdue)
-	f.setUnplannedReason(job, unplannedReason{cause: GangShort, gang: shortage})
+	f.setUnplannedReason(job, unplannedReason{cause: GangLacksRoom, gang: shortage})
 }
 
 // mayPlaceGang reports whether a gang may be placed now. If not, it records the reason.
--- a/internal/fleet/gpureserve.go
+++ b/internal/fleet/gpureserve.go
@@ -1,7 +1,7 @@
 package fleet
 
-// The accelerator reserve: processors and memory beside idle accelerators that tasks without accelerators may not use,
-// so that waiting tasks with accelerators can start there.
+// The accelerator reserve: processors and memory beside idle accelerators that most tasks without accelerators may not
+// use, so that waiting tasks with accelerators can start there.
 
 import (
 	"math"
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -17,7 +17,7 @@
 type licenceHolder struct {
 	job         *jobs.Job
 	tasks       []int32
-	units       int     // units that it holds of the pool for which it was found
+	units       int     // held units of the pool that was searched
 	lostSeconds float64 // seconds of work that stopping it would waste
 }
 
@@ -48,8 +48,8 @@
 				gang.units += units
 				gang.lostSeconds += f.lostWorkSeconds(now, job, taskIndex)
 			case stoppable:
-				lost := f.lostWorkSeconds(now, job, taskIndex)
-				holders = append(holders, licenceHolder{job, []int32{taskIndex}, units, lost})
+				lostSeconds := f.lostWorkSeconds(now, job, taskIndex)
+				holders = append(holders, licenceHolder{job, []int32{taskIndex}, units, lostSeconds})
 			}
 		}
 		if gang.tasks != nil {
@@ -120,7 +120,7 @@
 		return
 	}
 	if enough := firstHolders(holders, excess); enough != nil {
-		holders = enough // if nil, all holders are stopped: users outside the cluster hold more units than the count
+		holders = enough // if nil, all holders are stopped: users of other systems hold more units than the count
 	}
 	f.stopHolders(holders, pool, "licence count lowered")
 }
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -48,7 +48,7 @@
 }
 
 // LicenceDenial returns the reason for which a job's waiting tasks are denied licence units, and the index of the pool
-// in which units are missing. If the last scheduling cycle did not process licences for the job, it returns
+// in which units are missing. For a job without a grant, such as one that needs no licences, it returns
 // licences.Granted and -1.
 func (f *Fleet) LicenceDenial(job *jobs.Job) (licences.Denial, int32) {
 	grant, ok := f.licenceGrants[job.Index]
@@ -58,7 +58,7 @@
 	return grant.Denial, grant.Pool
 }
 
-// poolName returns the name of a licence pool for logs and users.
+// poolName returns the name of a licence pool for logs and users, or a placeholder if the pool is not declared.
 func (f *Fleet) poolName(index int32) string {
 	pools := f.Jobs.Names.Pools.Pools()
 	if index < 0 || int(index) >= len(pools) {
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -22,7 +22,7 @@
 	TeamLimit          PendingCause = "team_limit" // the job would exceed the limit of its team
 	LicenceUnavailable PendingCause = "licence"    // units of a licence pool are missing
 	NoMachine          PendingCause = "no_machine" // no machine that is up is eligible for the task
-	GangShort          PendingCause = "gang_short" // too few machines have room for all tasks of the gang at once
+	GangLacksRoom      PendingCause = "gang_short" // too few machines have room for all tasks of the gang at once
 	NoRoom             PendingCause = "no_room"    // no eligible machine has room for the replica
 	RetryLater         PendingCause = "retry"      // the task failed and is retried later
 	CrashLoopBackoff   PendingCause = "failing"    // the job fails on every machine and is retried with back-off
@@ -45,7 +45,7 @@
 	denial  admission.Denial // TeamLimit, LicenceUnavailable
 	retryAt time.Duration    // RetryLater, CrashLoopBackoff: earliest time of the next attempt
 	backoff crashBackoff     // CrashLoopBackoff
-	gang    gangShortage     // GangShort
+	gang    gangShortage     // GangLacksRoom
 }
 
 // crashBackoff describes the failures of a job in a crash loop.
@@ -148,7 +148,7 @@
 	case GangStopping:
 		reasons.add(tasks, GangStopping,
 			"other tasks of the gang are still on machines; the gang starts again when they have stopped")
-	case GangShort:
+	case GangLacksRoom:
 		addGangReason(reasons, tasks, job.TaskCount, reason.gang)
 	case NoRoom:
 		reasons.add(tasks, NoRoom, "no eligible machine has room for a replica")
@@ -168,7 +168,7 @@
 func addGangReason(reasons *pendingReasons, waiting, gangSize int, shortage gangShortage) {
 	expectedRoom := formatExpectedRoom(shortage.secondsToStart)
 	if gangSize == 1 {
-		reasons.add(waiting, GangShort, "no eligible machine has room now%s", expectedRoom)
+		reasons.add(waiting, GangLacksRoom, "no eligible machine has room now%s", expectedRoom)
 		return
 	}
 	details := ""
@@ -178,7 +178,7 @@
 	if shortage.overdue {
 		details += "; it ranks first because it has waited for half of begin_s"
 	}
-	reasons.add(waiting, GangShort,
+	reasons.add(waiting, GangLacksRoom,
 		"a gang of %d tasks needs room for all of them at once; %d machines have room now%s%s",
 		gangSize, shortage.machinesWithRoom, expectedRoom, details)
 }
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -63,7 +63,7 @@
 				c.fail(reason, "machine "+machine.Name+" is eligible")
 			}
 		}
-	case GangShort:
+	case GangLacksRoom:
 		if c.gangHasRoom() {
 			c.fail(reason, "there is room for the whole gang")
 		}
@@ -211,7 +211,7 @@
 		m.run(100*time.Second, 160*time.Second)
 	}
 	expected := []PendingCause{
-		TeamLimit, LicenceUnavailable, NoMachine, GangShort, RetryLater,
+		TeamLimit, LicenceUnavailable, NoMachine, GangLacksRoom, RetryLater,
 		QueuedOnMachine, PlanNotDurable, GangStopping, Starting,
 	}
 	for _, cause := range expected {
--- a/internal/fleet/preempt.go
+++ b/internal/fleet/preempt.go
@@ -31,7 +31,8 @@
 const taskStartS = 1
 
 // maxWaitSeconds returns how many seconds a job may wait for tasks to end before it has to preempt to meet its next
-// objective. Preempting earlier would waste work needlessly.
+// objective. Preempting earlier would waste work needlessly. A job within its team's guarantee, or with no objective
+// that it can still meet, waits for preemptionDelayS.
 func (f *Fleet) maxWaitSeconds(now time.Duration, job *jobs.Job) float64 {
 	latestStart, ok := f.latestUsefulStart(now, job)
 	if !ok || f.ranking.withinGuarantee[job.Index] {
@@ -42,8 +43,8 @@
 
 // preemptedRecently reports whether tasks that were preempted for a job may still be stopping.
 func (f *Fleet) preemptedRecently(now time.Duration, job *jobs.Job) bool {
-	preemptedAt, ok := f.preemptedAt[job.Index]
-	return ok && now-preemptedAt < preemptionCooldown
+	lastPreemption, ok := f.preemptedAt[job.Index]
+	return ok && now-lastPreemption < preemptionCooldown
 }
 
 // hasLowestPriority reports whether a job has the lowest priority of all live jobs and is not within its team's
@@ -52,9 +53,10 @@
 	return job.Priority <= f.cycle.lowestPriority && !f.ranking.withinGuarantee[job.Index]
 }
 
-// mayPreempt reports whether a job may preempt tasks of victim. The victim must have a lower priority or, if the job
-// is within its team's guarantee, belong to another team and be beyond that team's guarantee. Gangs and services with
-// several tasks are never preempted.
+// mayPreempt reports whether a job may preempt tasks of victim. If both jobs are within their teams' guarantees, or
+// neither is, the victim must have a lower priority. If only the job is, the victim must have a lower priority or
+// belong to another team. If only the victim is, the job may not preempt it. Gangs and services with several tasks are
+// never preempted.
 func (f *Fleet) mayPreempt(job, victim *jobs.Job) bool {
 	if job == victim || victim.Spec == nil || job.Spec == nil {
 		return false
@@ -100,7 +102,11 @@
 
 // victims returns the tasks to preempt on a machine to make room for one task of a job, chosen by the least lost work,
 // and the seconds of work lost. If preemption can't make enough room there, ok is false.
-func (f *Fleet) victims(now time.Duration, machine *Machine, job *jobs.Job) (refs []TaskRef, lost float64, ok bool) {
+func (f *Fleet) victims(
+	now time.Duration,
+	machine *Machine,
+	job *jobs.Job,
+) (refs []TaskRef, lostSeconds float64, ok bool) {
 	free := f.availableRoom(machine, job)
 	var candidates []victim
 	for ref := range machine.Tasks {
@@ -120,9 +126,9 @@
 		}
 		free = free.Add(f.jobAt(candidate.Job).Spec.Size())
 		refs = append(refs, candidate.TaskRef)
-		lost += candidate.lostSeconds
+		lostSeconds += candidate.lostSeconds
 	}
-	return refs, lost, f.fitsBesideReserve(machine, job, free)
+	return refs, lostSeconds, f.fitsBesideReserve(machine, job, free)
 }
 
 // fitsBesideReserve reports whether a task of a job fits into the free room of a machine without the accelerator
@@ -204,9 +210,9 @@
 	byZone := map[int32][]preemptionOption{}
 	for _, candidate := range candidates {
 		machine := candidate.machine
-		refs, lost, ok := f.victims(now, machine, job)
+		refs, lostSeconds, ok := f.victims(now, machine, job)
 		f.PlanningSteps += uint64(len(machine.Tasks))
-		cost := taskStartS + candidate.fetchSeconds + lossWeight*lost
+		cost := taskStartS + candidate.fetchSeconds + lossWeight*lostSeconds
 		if !ok || cost >= startS-preemptionDelayS {
 			continue
 		}
--- a/internal/fleet/priority.go
+++ b/internal/fleet/priority.go
@@ -17,19 +17,19 @@
 	objectiveGuarantee = "guarantee" // a job within its team's guarantee starts within WithinS
 	objectiveWait      = "wait"      // a job of the class starts within WithinS
 	objectiveFinished  = "finished"  // a job of the class ends within WithinS
-	objectiveDeadline  = "deadline"  // a job of the class ends within Times its deadline
+	objectiveDeadline  = "deadline"  // a job of the class ends within Times * its deadline
 )
 
 // never is a time later than any other.
 const never = time.Duration(1 << 62)
 
-// startLimit finds the earliest latest-start time that has not passed yet.
+// startLimit computes the earliest of several latest starts. Those that have passed are ignored.
 type startLimit struct {
 	now      time.Duration
 	earliest time.Duration // never if none was added or all have passed
 }
 
-// add adds a latest-start time. A time in the past is ignored.
+// add adds a latest start. It ignores a time in the past.
 func (l *startLimit) add(latestStart time.Duration) {
 	if latestStart >= l.now {
 		l.earliest = min(l.earliest, latestStart)
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -195,7 +195,7 @@
 	if !c.gang.Started && c.Settings.Operator.StartDeadlineS > 0 && age > 125*time.Second {
 		reasons := c.PendingReasons(c.now, c.gang)
 		c.explained = c.explained || len(reasons) == 1 &&
-			reasons[0].Cause == GangShort &&
+			reasons[0].Cause == GangLacksRoom &&
 			strings.Contains(reasons[0].Text, "reserved for it") &&
 			strings.Contains(reasons[0].Text, "ranks first")
 	}
