--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -38,7 +38,7 @@
 		"req-000002": "in the lanes of what is there now",
 		"req-000003": "a gang of 4 tasks needs as many places",
 		"req-000004": "licence optimise: no seat is free",
-		"req-000005": "2 jobs that must be done before it aren't: req-000001, req-000003",
+		"req-000005": "2 predecessors are not done: req-000001, req-000003",
 	} {
 		out, code := "", 0
 		waitUntil(t, id+" is explained: "+want, func() bool {
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -14,7 +14,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// drainCluster returns the cluster as far as a drain command depends on it.
+// drainCluster returns the part of the cluster's state on which drain commands depend: its nodes, the nodes that are
+// alive, and which machines exist.
 func (c *Controller) drainCluster(now time.Duration) drain.Cluster {
 	cluster := drain.Cluster{
 		Nodes: []string{c.settings.Node},
@@ -26,7 +27,7 @@
 	}
 	for _, peer := range c.settings.Peers {
 		cluster.Nodes = append(cluster.Nodes, peer.Node)
-		if status, ok := c.peers.status[peer.Node]; ok && status.isFresh(now) && status.StateServiceReachable {
+		if status, ok := c.peers.statuses[peer.Node]; ok && status.isFresh(now) && status.StateServiceReachable {
 			cluster.Alive = append(cluster.Alive, peer.Node)
 		}
 	}
@@ -34,8 +35,8 @@
 	return cluster
 }
 
-// adminCall answers an operator: the cluster's status, or a command.
-func (c *Controller) adminCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// handleAdminRequest handles an operator's request: it returns the cluster's status or executes a drain command.
+func (c *Controller) handleAdminRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	if request.Verb == api.VerbShow {
 		reply(api.Reply{Status: http.StatusOK, Body: c.adminStatus(now, request.Query.Since)})
 		return
@@ -58,7 +59,7 @@
 	c.writeDrainChange(change, reply, func(result store.Result) { reply(c.drainCommandReply(command, result)) })
 }
 
-// drainCommandReply returns the answer to a command by its write's outcome.
+// drainCommandReply returns the response to a drain command whose write had the given result.
 func (c *Controller) drainCommandReply(command drain.Command, result store.Result) api.Reply {
 	switch result.Outcome {
 	case store.Committed:
@@ -76,7 +77,7 @@
 	}
 }
 
-// refuseDrain returns the answer to a drain command that can't be carried out.
+// refuseDrain returns the response to a drain command that failed with err.
 func refuseDrain(err error) api.Reply {
 	kind := api.Conflict
 	switch {
@@ -88,7 +89,7 @@
 	return api.Refuse(kind, err.Error())
 }
 
-// adminStatus returns the cluster's status with the page of drained machines after a name.
+// adminStatus returns the cluster's status with the page of draining machines whose names come after the given one.
 func (c *Controller) adminStatus(now time.Duration, after string) Status {
 	status := Status{
 		Revision:      c.drains.documentVersion,
@@ -119,11 +120,11 @@
 	return status
 }
 
-// drainPageSize bounds the machines of one answer: it stays within the largest body that users get.
+// drainPageSize is the maximum number of machines in one status. It keeps the response within the maximum body size.
 const drainPageSize = 200
 
-// drainStatus returns a page of the machines that are being drained, by name after the one given, and how many there
-// are in all.
+// drainStatus returns one page of the machines with drain requests, sorted by name and starting after the given name,
+// and the total number of these machines.
 func (c *Controller) drainStatus(after string) (page []MachineStatus, total int) {
 	requests := c.desiredDrains().Machines()
 	page = []MachineStatus{}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -31,10 +31,10 @@
 	return c.admitLicences(spec.Licences, spec.Team, tasksAtOnce)
 }
 
-// admitLicences checks whether a job's tasks can ever have their licences.
+// admitLicences checks whether the licence pools can ever provide the licences of tasksAtOnce tasks.
 func (c *Controller) admitLicences(perTask map[string]int, team string, tasksAtOnce int) api.AdmissionResult {
-	ok, why := c.licencePools.CanEverFit(perTask, team, tasksAtOnce)
-	return api.AdmissionResult{OK: ok, Known: true, Reason: why}
+	ok, reason := c.licencePools.CanEverFit(perTask, team, tasksAtOnce)
+	return api.AdmissionResult{OK: ok, Known: true, Reason: reason}
 }
 
 // fitsType reports whether a job's tasks may run on a machine type and have room there.
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -12,17 +12,17 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// archiveInterval spaces the searches for jobs that may be archived.
+// archiveInterval is the minimum time between two searches for jobs that may be archived.
 const archiveInterval = 100 * time.Millisecond
 
-// jobArchive is this controller's side of the archive of ended jobs.
+// jobArchive is the controller's state for the archive of ended jobs.
 type jobArchive struct {
-	settings  config.Archive
-	reader    *archive.Reader
-	checkedAt time.Duration // when ended jobs were last searched for
+	settings     config.Archive
+	reader       *archive.Reader
+	lastSearchAt time.Duration // time of the last search for ended jobs
 }
 
-// newArchiveReader makes the reader of archived jobs' answers.
+// newArchiveReader returns a reader of the archived answers of jobs that caches up to cacheEntries answers.
 func (c *Controller) newArchiveReader(cacheEntries int) *archive.Reader {
 	reader := archive.NewReader(c.store, cacheEntries)
 	reader.Unreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
@@ -30,8 +30,8 @@
 	return reader
 }
 
-// newArchiveMover makes a term's mover of ended jobs into the archive.
-func (c *Controller) newArchiveMover() *archive.Mover {
+// newArchiver returns the archiver of a leader term, which moves ended jobs into the archive.
+func (c *Controller) newArchiver() *archive.Mover {
 	return archive.NewMover(archive.Env{
 		CanWrite: func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
 		Commit: func(txn store.Txn, done func(store.Result)) {
@@ -44,26 +44,26 @@
 	})
 }
 
-// archiveEndedJobs archives ended jobs, once the cluster's level has every controller read the archive.
+// archiveEndedJobs archives ended jobs, if every controller can read the archive at the cluster's level.
 func (c *Controller) archiveEndedJobs(now time.Duration) {
-	if c.term.mover == nil || now-c.archive.checkedAt < archiveInterval {
+	if c.term.archiver == nil || now-c.archive.lastSearchAt < archiveInterval {
 		return
 	}
 	if c.archive.settings.Unsupported != nil || c.rollout.Level() < rollout.Archived {
 		return
 	}
-	c.archive.checkedAt = now
-	c.term.mover.Tick(now, c.isArchiveOverdue(now), func(take func(archive.Candidate) bool) {
+	c.archive.lastSearchAt = now
+	c.term.archiver.Tick(now, c.isArchiveOverdue(now), func(yield func(archive.Candidate) bool) {
 		c.jobs.ForEachEnded(now-c.archive.settings.Retain, func(job *jobs.Job) bool {
 			if !c.isArchivable(job) {
 				return true
 			}
-			return take(archiveCandidate(job))
+			return yield(archiveCandidate(job))
 		})
 	})
 }
 
-// archiveCandidate returns what the archive keeps of a job.
+// archiveCandidate returns the part of a job that the archive stores.
 func archiveCandidate(job *jobs.Job) archive.Candidate {
 	return archive.Candidate{
 		ID:      job.ID,
@@ -72,7 +72,7 @@
 	}
 }
 
-// isArchiveOverdue reports whether some ended job has waited for more than twice the time for which it is retained.
+// isArchiveOverdue reports whether a job that may be archived ended more than twice the retention time ago.
 func (c *Controller) isArchiveOverdue(now time.Duration) bool {
 	isOverdue := false
 	c.jobs.ForEachEnded(now-2*c.archive.settings.Retain, func(job *jobs.Job) bool {
@@ -82,8 +82,9 @@
 	return isOverdue
 }
 
-// isArchivable reports whether an ended job can't have a task on any machine, nothing else of it is stored, and no live
-// job names it as a predecessor: every later leader would have to read its answer.
+// isArchivable reports whether an ended job may be archived: none of its tasks can still be on a machine, no other
+// record of it is stored, and no live job has it as a predecessor. Every later leader would have to read an archived
+// predecessor's answer.
 func (c *Controller) isArchivable(job *jobs.Job) bool {
 	if c.dependencies.graph.HasSuccessors(job.ID) {
 		return false
@@ -94,24 +95,24 @@
 	return c.term.fleet.Finalized(job) && !c.jobs.IsUnreadable(job.ID)
 }
 
-// archiveStatus returns the leader's view of the archive.
+// archiveStatus returns the progress of archiving in this leader's term.
 func (c *Controller) archiveStatus() ArchiveStatus {
 	status := ArchiveStatus{
-		Moved:   c.term.mover.Stats.Moved,
+		Moved:   c.term.archiver.Stats.Moved,
 		Waiting: c.jobs.Len() - c.jobs.LiveJobs(),
 		RetainS: c.archive.settings.Retain.Seconds(),
-		State:   c.term.mover.State().String(),
+		State:   c.term.archiver.State().String(),
 	}
 	switch {
 	case c.archive.settings.Unsupported != nil:
 		status.Problem = c.archive.settings.Unsupported.Error()
 	case c.rollout.Level() < rollout.Archived:
-		status.Problem = "the cluster's level is below that of the archive: some controller can't read it yet"
+		status.Problem = "the cluster's level is too low for the archive: some controller can't read it yet"
 	}
 	return status
 }
 
-// logArchiveProblem logs why nothing will be archived, if that is so.
+// logArchiveProblem logs an error if the settings make archiving impossible.
 func (c *Controller) logArchiveProblem() {
 	if c.archive.settings.Unsupported != nil {
 		slog.Error("ended jobs are not archived, memory grows with each job", "error", c.archive.settings.Unsupported)
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -10,9 +10,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// The answer to a read arrives after the followed keys have shown that the job ended and was archived: it must not
-// bring the job back, with its tasks to be started.
-func TestLateReadOfAnArchivedJob(t *testing.T) {
+// A response to a read of a job's record that arrives after the job has ended and was archived must not restore the
+// job: its tasks would be started again.
+func TestLateReadDoesNotRestoreArchivedJob(t *testing.T) {
 	c, service, advance := newFollowingController(t)
 	spec := newSpec("req-000001")
 	key := jobs.RecordKey(spec.ID)
@@ -21,28 +21,28 @@
 	read := service.Keys[key]
 	advance(time.Second)
 	if c.jobs.Get(spec.ID) == nil {
-		t.Fatal("the job is not in the table")
+		t.Fatal("pending job is not in the table")
 	}
 	service.Apply([]store.Op{{Put: key, Value: jobs.EncodeRecord(jobs.Done, 0, 1, nil)}})
 	service.Apply([]store.Op{{Delete: key}})
 	advance(time.Second)
 	if c.jobs.Get(spec.ID) != nil || c.jobs.Len() != 0 {
-		t.Fatal("an archived job is in the table")
+		t.Fatal("archived job is in the table, want it removed")
 	}
 	if c.handleJobRead(c.loop.Now(), read); c.jobs.Get(spec.ID) != nil {
-		t.Error("a late answer brought an archived job back")
+		t.Error("archived job is in the table after a late read, want it removed")
 	}
 	// A record that is newer than the followed keys is applied.
 	newerKey := jobs.RecordKey("req-000002")
 	service.Apply([]store.Op{{Put: newerKey, Value: pending}})
 	if c.handleJobRead(c.loop.Now(), service.Keys[newerKey]); c.jobs.Get("req-000002") == nil {
-		t.Error("a job that was read before the followed keys showed it is not in the table")
+		t.Error("job whose record is newer than the followed keys is not in the table")
 	}
 }
 
-// A controller whose watch position was lost reads all keys again: jobs that were archived meanwhile leave its table,
-// others stay.
-func TestArchivedWhilePositionLost(t *testing.T) {
+// A controller whose watch position was lost lists all keys again. Jobs that were archived meanwhile must be removed
+// from its table, and all other jobs must stay.
+func TestResyncRemovesArchivedJobs(t *testing.T) {
 	c, service, advance := newFollowingController(t)
 	spec := newSpec("req-000001")
 	for _, id := range []string{"req-000001", "req-000002", "req-000003"} {
@@ -54,32 +54,33 @@
 	advance(time.Second)
 	advance(time.Second)
 	if c.jobs.Get("req-000002") != nil {
-		t.Error("an archived job is in the table")
+		t.Error("archived job is in the table, want it removed")
 	}
 	if c.jobs.Get("req-000001") == nil || c.jobs.Get("req-000003") == nil || c.jobs.Len() != 2 {
-		t.Errorf("%d jobs are in the table", c.jobs.Len())
+		t.Errorf("%d jobs in the table, want req-000001 and req-000003", c.jobs.Len())
 	}
 	if c.jobs.LiveTasks() != 2 {
-		t.Errorf("%d tasks count as live", c.jobs.LiveTasks())
+		t.Errorf("%d live tasks, want 2", c.jobs.LiveTasks())
 	}
 }
 
-// The table frees what jobs used that have left it, and never gives an index to a second job.
-func TestTableIsBoundedByWhatLives(t *testing.T) {
+// The job table frees the memory of removed jobs, and never assigns a removed job's index to another job.
+func TestJobTableFreesArchivedJobs(t *testing.T) {
 	const rounds, live = 3000, 40
 	table := jobs.NewTable(0)
 	pending := jobs.EncodeRecord(jobs.Pending, 0, 1, newSpec("x"))
 	done := jobs.EncodeRecord(jobs.Done, 0, 1, nil)
-	seen := map[jobs.Index]bool{}
+	usedIndexes := map[jobs.Index]bool{}
 	version := uint64(0)
 	idOf := func(round int) string { return fmt.Sprintf("req-%06d", round) }
 	for round := range rounds {
 		version++
 		job, _, err := table.Apply(idOf(round), pending, version)
-		if err != nil || seen[job.Index] {
-			t.Fatalf("job %d: %v, an index that was another's: %v", round, err, seen[job.Index])
+		if err != nil || usedIndexes[job.Index] {
+			t.Fatalf("job %d: error %v, index used before: %v; want no error and a new index",
+				round, err, usedIndexes[job.Index])
 		}
-		seen[job.Index] = true
+		usedIndexes[job.Index] = true
 		if round < live {
 			continue
 		}
@@ -90,21 +91,21 @@
 		index := table.Get(endedID).Index
 		table.Archive(endedID, version)
 		if table.ByIndex(index) != nil {
-			t.Fatal("an index of a job that has left finds one")
+			t.Fatal("a removed job's index finds a job, want nil")
 		}
 	}
 	count, ended := 0, 0
 	table.ForEach(func(*jobs.Job) { count++ })
 	table.ForEachEnded(time.Hour, func(*jobs.Job) bool { ended++; return true })
 	if count != live || table.Len() != live || table.LiveTasks() != live || ended != 0 {
-		t.Errorf("%d jobs, %d by id, %d live tasks, %d ended, and %d are live",
+		t.Errorf("%d jobs, %d by id, %d live tasks, %d ended jobs; want %d of each and no ended jobs",
 			count, table.Len(), table.LiveTasks(), ended, live)
 	}
 }
 
-// A job whose session is still recorded isn't archived, even if nothing else of it is left: the session would lose its
-// job for ever.
-func TestSessionKeepsItsJob(t *testing.T) {
+// A job whose session has a stored record must not be archived, even if no other state of the job is left: the
+// session would lose its job permanently.
+func TestJobOfStoredSessionIsNotArchived(t *testing.T) {
 	c, _, _ := newFollowingController(t)
 	c.term.sessions = sessions.New(sessions.Env{
 		Policies: &sessions.Policies{},
@@ -117,6 +118,6 @@
 		Version: 3,
 	}})
 	if c.isArchivable(&jobs.Job{ID: "req-000001", State: jobs.Done}) {
-		t.Error("the job of a session that is recorded may be archived")
+		t.Error("job of a stored session is archivable, want not archivable")
 	}
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -7,15 +7,16 @@
 	"github.com/harewalk/harewalk/internal/api"
 )
 
-// This file holds what the commands of operators have in common: their decoding and the refusals of a write.
+// This file holds the code that operator commands share: decoding, and the responses to writes that failed.
 
 const (
-	// changedMeanwhile is why a command that was based on an older state is refused.
-	changedMeanwhile = "something was changed meanwhile"
-	repeatAdvice     = ": look at the status, and give the command again if it is still right"
+	// changedMeanwhile is the reason for the refusal of a command that was based on an older state.
+	changedMeanwhile = "the state was changed meanwhile"
+	repeatAdvice     = ": check the status, and repeat the command if it still applies"
 )
 
-// decodeCommand decodes the body of a command, or returns the refusal of a malformed one.
+// decodeCommand decodes the body of a command into the value that command points to. If the body is malformed,
+// refused is true and refusal is the response.
 func decodeCommand(body []byte, command any) (refusal api.Reply, refused bool) {
 	if err := json.Unmarshal(body, command); err != nil {
 		return api.Refuse(api.InvalidRequest, "not a command: "+err.Error()), true
@@ -23,15 +24,16 @@
 	return api.Reply{}, false
 }
 
-// refuseStaleCommand returns the answer to a command that was based on an older state than the present.
+// refuseStaleCommand returns the response to a command that was based on an older state than the current one.
+// changedBy describes the change that came between.
 func refuseStaleCommand(changedBy string) api.Reply {
 	return api.Refuse(api.Conflict, fmt.Sprintf("%s (%s)%s", changedMeanwhile, changedBy, repeatAdvice))
 }
 
-// refuseIndeterminateCommand returns the answer to a command whose write has an indeterminate outcome.
+// refuseIndeterminateCommand returns the response to a command whose write has an indeterminate outcome.
 func refuseIndeterminateCommand() api.Reply {
 	return api.Refuse(
 		api.Unavailable,
-		"it is not known whether the command was taken: look at the status before giving it again",
+		"it is not known whether the command was applied: check the status before repeating it",
 	)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,9 @@
-// Package controller joins the other packages around one event loop and runs them as one process of the service.
+// Package controller connects the other packages around one event loop and runs them as one controller process.
 //
-// It owns the event loop and everything that only the loop may touch: the wiring between store, membership, rollout,
-// jobs, fleet, capacity, sessions and archive, the state of the present leader term, the controller's lifecycle, and
-// the answers to operators. It never plans tasks, never elects a leader and never interprets a stored record itself:
-// it passes events to the package that does. Commands in cmd/harewalk call New and Run; the simulator calls Simulate.
+// It owns the event loop and all state that only the loop may access: the wiring between store, membership, rollout,
+// jobs, fleet, capacity, sessions and archive, the state of the current leader term, the controller's lifecycle, and
+// the responses to operators. It never plans tasks, never elects a leader and never interprets a stored record: it
+// passes events to the package that does. Commands in cmd/harewalk call New and Run; the simulator calls Simulate.
 package controller
 
 import (
@@ -36,43 +36,43 @@
 	machineTypesKey = membership.Prefix + "types"
 )
 
-// leaderShare is the leader's share of the state service's rate: it writes the plans and reads more. The others divide
-// what is left evenly, however many they are, so that all together stay within the limit.
+// leaderShare is the leader's fraction of the state service's rate limits: the leader writes the plans and reads
+// more. The other controllers divide the remainder evenly, so that all controllers together stay within the limits.
 const leaderShare = 0.6
 
-// How many seconds' worth of its share a controller may use at once: the service allows one second's worth in all. The
-// leader's requests are many and even, while submissions come in bursts.
+// Maximum bursts of a controller, in seconds' worth of its share. The state service allows one second's worth for all
+// controllers together. The leader's requests are many and steady, while submissions come in bursts.
 const (
 	leaderBurstSeconds   = 0.8
 	followerBurstSeconds = 1.25
 )
 
-// Most requests in flight: to the state service and the cloud, and to workers. The two have separate limits, or workers
-// that hang behind a network partition would keep leases from being renewed.
+// Maximum numbers of requests in flight: to the state service and the cloud together, and to workers. The limits are
+// separate because requests to workers behind a network partition would otherwise block lease renewals.
 const (
 	maxStateRequests  = 48
 	maxWorkerRequests = 64
 )
 
-// cloudRateMargin is the part of the cloud's allowed request rate that is used.
+// cloudRateMargin is the fraction of the cloud's request rate limit that the controller uses.
 const cloudRateMargin = 0.9
 
-// memoryLimitMargin is the part of the process's memory limit above which the garbage collector works harder: the
-// process is ended at the limit itself.
+// memoryLimitMargin is the fraction of the process's memory limit above which the garbage collector runs more often.
+// At the limit itself the process is killed.
 const memoryLimitMargin = 0.7
 
 const bytesPerMB = 1 << 20
 
-// Controller is one process of the service. All fields belong to the event loop, except where their type is made for
-// concurrent use.
+// Controller is one controller process. Only the event loop may access its fields, except those whose types are safe
+// for concurrent use.
 type Controller struct {
 	settings *config.Settings
 	loop     *Loop
 	rng      *rand.Rand
 
-	stateSender   httpio.Sender // to the state service and the cloud
+	stateSender   httpio.Sender // requests to the state service and the cloud
 	workerSender  httpio.Sender
-	licenceSender httpio.Sender // to licence servers
+	licenceSender httpio.Sender // requests to licence servers
 
 	store      *store.Client
 	watchCache *store.WatchCache
@@ -102,7 +102,7 @@
 	nextSummaryAt    time.Duration
 }
 
-// New builds a controller that is not yet listening.
+// New returns a controller that is not yet listening.
 func New(settings *config.Settings) *Controller {
 	if settings.Params.Limits.MemMB != nil {
 		debug.SetMemoryLimit(int64(settings.Params.Limits.MemoryLimitMB() * memoryLimitMargin * bytesPerMB))
@@ -119,7 +119,7 @@
 	return c
 }
 
-// peerDialer returns how connections to another controller are opened.
+// peerDialer returns the function that opens connections to another controller.
 func peerDialer(settings *config.Settings, peer config.Peer) peers.Dial {
 	if tlsSettings := settings.Operator.TLS; tlsSettings != nil && tlsSettings.Peers {
 		return peers.Secure(peer.Addr, func() *tls.Config { return settings.Keys().PeerClientConfig(peer.Node) })
@@ -127,7 +127,8 @@
 	return peers.Plain(peer.Addr)
 }
 
-// build makes a controller on its environment. The parts are made in the order in which they depend on each other.
+// build returns a controller that runs in an environment. It creates the components in the order of their
+// dependencies.
 func build(settings *config.Settings, env Environment) *Controller {
 	c := &Controller{
 		settings:     settings,
@@ -136,7 +137,7 @@
 		machineTypes: machineTypes{byIndex: map[int32]*fleet.MachineType{}},
 		lifecycle:    lifecycle{ended: make(chan struct{})},
 		drains:       drainState{machines: drain.NewMachineRequests()},
-		peers:        peerSet{status: map[string]peerStatus{}},
+		peers:        peerSet{statuses: map[string]peerStatus{}},
 	}
 	c.buildClients(env)
 	c.buildTables(env)
@@ -154,14 +155,15 @@
 	return c
 }
 
-// newRand returns the controller's source of randomness: different for each node, and the same for the same seed.
+// newRand returns the controller's random number generator. Its sequence depends only on the node's name and the
+// seed.
 func newRand(node string, seed uint64) *rand.Rand {
 	nodeHash := fnv.New64a()
 	_, _ = nodeHash.Write([]byte(node))
 	return rand.New(rand.NewPCG(nodeHash.Sum64(), seed))
 }
 
-// buildClients makes the clients of the other services.
+// buildClients creates the clients of the state service and the cloud, and the senders of requests.
 func (c *Controller) buildClients(env Environment) {
 	newSender := env.Sender
 	if newSender == nil {
@@ -186,7 +188,7 @@
 	)
 }
 
-// buildTables makes the tables of jobs, licence pools and quotas.
+// buildTables creates the tables of jobs, licence pools and quotas.
 func (c *Controller) buildTables(env Environment) {
 	c.jobs = jobs.NewTable(env.EpochMS)
 	c.licencePools = licences.NewCatalog(c.settings.LicencePools())
@@ -194,7 +196,7 @@
 	c.quota = quota.New(c.settings.Params.Teams, c.jobs.Names.Teams.Index)
 }
 
-// newMembership makes this controller's part in the leader election.
+// newMembership returns this controller's membership, which takes part in the leader election.
 func (c *Controller) newMembership() *membership.Membership {
 	return membership.New(membership.Config{
 		Node:           c.settings.Node,
@@ -209,7 +211,7 @@
 	}, c.store, c.watchCache.FreshAt)
 }
 
-// newSubmissionAPI makes the service that answers users.
+// newSubmissionAPI returns the service that handles users' requests.
 func (c *Controller) newSubmissionAPI() *api.Service {
 	state := &c.settings.Params.State
 	return api.New(api.Env{
@@ -234,7 +236,7 @@
 	})
 }
 
-// rateShare returns this controller's share of the state service's rate.
+// rateShare returns this controller's share of the state service's rate limits, as the leader or as a follower.
 func (c *Controller) rateShare(leading bool) store.Share {
 	share, burst := leaderShare, leaderBurstSeconds
 	if others := len(c.settings.Peers); !leading && others > 0 {
@@ -247,7 +249,7 @@
 	}
 }
 
-// logStart logs what this controller serves.
+// logStart logs the start of service with the addresses and objectives.
 func (c *Controller) logStart() {
 	slog.Info("serving",
 		"node", c.settings.Node,
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -14,13 +14,13 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// jobDependencies is this controller's side of the jobs that wait for others.
+// jobDependencies is the controller's state for jobs that depend on other jobs.
 type jobDependencies struct {
 	graph    *dependencies.Graph
 	resolver *dependencies.Resolver
 }
 
-// newDependencies makes the dependency graph of all jobs, and what completes it.
+// newDependencies returns the dependency graph of all jobs, and the resolver of predecessors that were archived.
 func (c *Controller) newDependencies() jobDependencies {
 	graph := dependencies.New(c.jobs, c.handleJobReleased)
 	resolver := dependencies.NewResolver(graph, dependencies.ResolverEnv{
@@ -34,7 +34,7 @@
 	return jobDependencies{graph: graph, resolver: resolver}
 }
 
-// newCanceller makes a term's canceller of jobs with a cancelled predecessor.
+// newCanceller returns the canceller of a leader term, which cancels jobs with a cancelled predecessor.
 func (c *Controller) newCanceller() *dependencies.Canceller {
 	return dependencies.NewCanceller(c.dependencies.graph, dependencies.CancellerEnv{
 		CanWrite: func(ops int) bool { return c.store.CanWrite(ops, store.NormalPriority) },
@@ -48,22 +48,22 @@
 	})
 }
 
-// handleJobReleased hands a job whose last predecessor is done to the leader's planning.
+// handleJobReleased passes a job whose last predecessor is done to the fleet for planning, if this controller leads.
 func (c *Controller) handleJobReleased(now time.Duration, job *jobs.Job) {
 	if c.term.active() {
 		c.term.fleet.HandleJobReleased(now, job)
 	}
 }
 
-// tickDependencies does what is due for the dependency graph on every controller.
+// tickDependencies looks up archived predecessors. It runs on every controller.
 func (c *Controller) tickDependencies(now time.Duration) {
 	if c.watchCache.Synced() && c.rollout.Compatible() {
 		c.dependencies.resolver.Tick(now)
 	}
 }
 
-// cancelDoomedJobs cancels jobs with a cancelled predecessor, unless the term has ended within this tick.
-func (c *Controller) cancelDoomedJobs(now time.Duration) {
+// cancelDependentJobs cancels jobs with a cancelled predecessor, unless the term has ended within this tick.
+func (c *Controller) cancelDependentJobs(now time.Duration) {
 	if c.term.canceller != nil {
 		c.term.canceller.Tick(now)
 	}
@@ -72,22 +72,22 @@
 // acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
 func (c *Controller) acceptsDependencies() bool { return c.rollout.AllSupport(rollout.Dependencies) }
 
-// isBlockedCertain reports whether this controller may say of a blocked job that it waits. A cancellation of a job
-// before it must be known here within cancel_s after a user was told of it: the followed keys must be fresh enough, and
-// nothing before the job unknown.
+// isBlockedCertain reports whether this controller may report a blocked job as waiting. Within cancel_s after a
+// user's cancellation of a predecessor was confirmed, this controller must have received the cancellation. The
+// followed keys must therefore be fresh enough, and the state of every ancestor of the job must be known.
 func (c *Controller) isBlockedCertain(now time.Duration, id string) bool {
 	isFresh := now-c.watchCache.FreshAt() <= c.settings.StalenessBound()
 	return isFresh && !c.dependencies.graph.HasUnknownAncestor(id)
 }
 
-// maxNamedPredecessors bounds the predecessors that a pending reason names.
+// maxNamedPredecessors is the maximum number of predecessors that a pending reason lists.
 const maxNamedPredecessors = 5
 
-// blockedReason returns why a blocked job waits.
+// blockedReason returns the reason why a blocked job is pending.
 func (c *Controller) blockedReason(job *jobs.Job) fleet.PendingReason {
 	reason := fleet.PendingReason{Tasks: job.TaskCount, Cause: fleet.PredecessorsUnfinished}
 	if job.Doomed {
-		reason.Text = "a job before it is cancelled, and it is about to be"
+		reason.Text = "a predecessor is cancelled, and this job will be cancelled too"
 		return reason
 	}
 	ids, count := c.dependencies.graph.Unfinished(job.ID, maxNamedPredecessors)
@@ -95,13 +95,13 @@
 	if count > len(ids) {
 		names += " and others"
 	}
-	reason.Text = fmt.Sprintf("%d jobs that must be done before it aren't: %s", count, names)
+	reason.Text = fmt.Sprintf("%d predecessors are not done: %s", count, names)
 	return reason
 }
 
-// neededIn returns in how many seconds a live job must be done for the deadlines of the jobs that need it, nil if none
-// has one.
-func (c *Controller) neededIn(now time.Duration, job *jobs.Job) *float64 {
+// secondsUntilLatestEnd returns the number of seconds within which a live job must be done for its dependent jobs to
+// meet their deadlines. It returns nil if the job has ended or no dependent job has a deadline.
+func (c *Controller) secondsUntilLatestEnd(now time.Duration, job *jobs.Job) *float64 {
 	if job.State.Terminal() {
 		return nil
 	}
--- a/internal/controller/drain_upkeep.go
+++ b/internal/controller/drain_upkeep.go
@@ -12,72 +12,75 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file holds a leader's upkeep of stored drain requests: it moves those of machines out of the document once the
-// cluster's level allows that, and deletes those of machines that are gone.
+// This file holds a leader's background maintenance of stored drain requests: it moves the requests of machines out
+// of the drain document once the cluster's level allows, and deletes the requests of machines that no longer exist.
 
 const (
-	// drainSweepInterval spaces the searches for drain requests of machines that are gone, drainMoveInterval the steps
-	// that move requests out of the document.
-	drainSweepInterval = 30 * time.Second
-	drainMoveInterval  = 500 * time.Millisecond
-	// maxBackgroundDrainOps bounds the keys of one transaction that no operator waits for.
+	// drainSweepInterval is the time between two searches for stale drain requests, drainMigrationInterval the time
+	// between two steps that move requests out of the document.
+	drainSweepInterval     = 30 * time.Second
+	drainMigrationInterval = 500 * time.Millisecond
+	// maxBackgroundDrainOps is the maximum number of changes in one background transaction.
 	maxBackgroundDrainOps = 8
-	// unknownMachineTTL is for how long a leader must have found no machine of a name before the machine's drain
-	// request is dropped: the machine left while no controller led, or before an earlier leader.
+	// unknownMachineTTL is how long a machine must be missing from a leader's fleet before its drain request is
+	// deleted. Such a machine was terminated while no controller led, or during an earlier term.
 	unknownMachineTTL = time.Hour
 )
 
-// drainUpkeep is what a term does about drain requests in the background.
-type drainUpkeep struct {
-	writing      bool // a transaction is in flight
-	sweptAt      time.Duration
-	movedAt      time.Duration
-	unknownSince map[string]time.Duration // by the names of machines that are to be drained and aren't in the fleet
+// drainMaintenance is the state of a leader term's background maintenance of drain requests.
+type drainMaintenance struct {
+	writeInFlight   bool // a background transaction is in flight
+	lastSweepAt     time.Duration
+	lastMigrationAt time.Duration
+	unknownSince    map[string]time.Duration // when a machine was first missing from the fleet, by its name
 }
 
-// maintainDrainRequests takes the next step of the upkeep, if one is due and no other is in flight.
-func (c *Controller) maintainDrainRequests(now time.Duration, want drain.DesiredState) {
-	if c.drains.upkeep.writing || c.moveDrainRequests(now, want) {
+// maintainDrainRequests performs the next step of the maintenance, if one is due and no background transaction is in
+// flight.
+func (c *Controller) maintainDrainRequests(now time.Duration, desired drain.DesiredState) {
+	if c.drains.maintenance.writeInFlight || c.migrateDrainRequests(now, desired) {
 		return
 	}
-	if now-c.drains.upkeep.sweptAt >= drainSweepInterval {
-		c.drains.upkeep.sweptAt = now
-		c.deleteStaleDrainRequests(now, want)
+	if now-c.drains.maintenance.lastSweepAt >= drainSweepInterval {
+		c.drains.maintenance.lastSweepAt = now
+		c.deleteStaleDrainRequests(now, desired)
 	}
 }
 
-// unmovedDrainRequests returns how many drain requests stand in the document that belong under keys of their own.
-func (c *Controller) unmovedDrainRequests() int {
+// unmigratedDrainRequests returns the number of drain requests of machines that are still in the document although
+// the cluster's level requires keys of their own.
+func (c *Controller) unmigratedDrainRequests() int {
 	if c.rollout.Level() < rollout.DrainKeys {
 		return 0
 	}
 	return len(c.drains.document.Machines)
 }
 
-// moveDrainRequests takes the next step that moves requests out of the document and reports whether one was due.
-func (c *Controller) moveDrainRequests(now time.Duration, want drain.DesiredState) bool {
-	if now-c.drains.upkeep.movedAt < drainMoveInterval || c.unmovedDrainRequests() == 0 {
+// migrateDrainRequests performs the next step that moves requests out of the document, and reports whether it has
+// sent a transaction.
+func (c *Controller) migrateDrainRequests(now time.Duration, desired drain.DesiredState) bool {
+	if now-c.drains.maintenance.lastMigrationAt < drainMigrationInterval || c.unmigratedDrainRequests() == 0 {
 		return false
 	}
-	c.drains.upkeep.movedAt = now
+	c.drains.maintenance.lastMigrationAt = now
 	maxOps := c.backgroundDrainOps()
-	move, isDue := want.NextMigrationStep(maxOps, c.store.Limits().MaxValueBytes, c.isMachineGone)
+	step, isDue := desired.NextMigrationStep(maxOps, c.store.Limits().MaxValueBytes, c.isMachineGone)
 	if !isDue || maxOps == 0 {
 		return false
 	}
 	txn := store.Txn{If: c.documentConditions()}
-	for _, key := range slices.Sorted(maps.Keys(move.Keys)) {
+	for _, key := range slices.Sorted(maps.Keys(step.Keys)) {
 		txn.If = append(txn.If, store.Condition{Key: key})
-		txn.Then = append(txn.Then, store.Op{Put: key, Value: move.Keys[key]})
+		txn.Then = append(txn.Then, store.Op{Put: key, Value: step.Keys[key]})
 	}
 	if len(txn.Then) == 0 {
-		txn.Then = []store.Op{documentOp(move.Document)}
+		txn.Then = []store.Op{documentOp(step.Document)}
 	}
 	c.writeDrainsInBackground(txn)
 	return true
 }
 
-// backgroundDrainOps returns how many changes a transaction that no operator waits for may make now.
+// backgroundDrainOps returns the number of changes that a background transaction may make now.
 func (c *Controller) backgroundDrainOps() int {
 	ops := min(maxBackgroundDrainOps, c.store.Limits().MaxOps)
 	for ops > 0 && !c.store.HasSpareWritesFor(ops) {
@@ -86,10 +89,10 @@
 	return ops
 }
 
-// deleteStaleDrainRequests deletes the requests of machines that are gone.
-func (c *Controller) deleteStaleDrainRequests(now time.Duration, want drain.DesiredState) {
-	c.trackUnknownMachines(now, want)
-	if !want.UsesMachineKeys {
+// deleteStaleDrainRequests deletes the requests of machines that no longer exist.
+func (c *Controller) deleteStaleDrainRequests(now time.Duration, desired drain.DesiredState) {
+	c.trackUnknownMachines(now, desired)
+	if !desired.UsesMachineKeys {
 		if document, isChanged := c.drains.document.WithoutMachines(c.isMachineGone); isChanged {
 			c.writeDrainsInBackground(store.Txn{
 				If:   c.documentConditions(),
@@ -99,7 +102,7 @@
 		return
 	}
 	txn := store.Txn{If: []store.Condition{c.rollout.LevelCondition()}}
-	for _, machine := range want.StaleRequests(c.backgroundDrainOps(), c.isMachineGone) {
+	for _, machine := range desired.StaleRequests(c.backgroundDrainOps(), c.isMachineGone) {
 		request, _ := c.drains.machines.Get(machine)
 		key := drain.MachineKey(machine)
 		txn.If = append(txn.If, store.Condition{Key: key, Version: request.Version})
@@ -110,11 +113,11 @@
 	}
 }
 
-// trackUnknownMachines records which machines that are to be drained aren't in the fleet, and since when.
-func (c *Controller) trackUnknownMachines(now time.Duration, want drain.DesiredState) {
-	previous := c.drains.upkeep.unknownSince
+// trackUnknownMachines records which machines with drain requests are missing from the fleet, and since when.
+func (c *Controller) trackUnknownMachines(now time.Duration, desired drain.DesiredState) {
+	previous := c.drains.maintenance.unknownSince
 	unknownSince := map[string]time.Duration{}
-	for machine := range want.Machines() {
+	for machine := range desired.Machines() {
 		if c.term.fleet.FindMachine(machine) != nil {
 			continue
 		}
@@ -124,23 +127,23 @@
 		}
 		unknownSince[machine] = since
 	}
-	c.drains.upkeep.unknownSince = unknownSince
+	c.drains.maintenance.unknownSince = unknownSince
 }
 
-// isMachineGone reports whether a machine's drain request has lost its meaning.
+// isMachineGone reports whether a machine is terminated, or has been missing from the fleet for unknownMachineTTL.
 func (c *Controller) isMachineGone(name string) bool {
 	if machine := c.term.fleet.FindMachine(name); machine != nil {
 		return machine.Condition == fleet.Terminated
 	}
-	since, ok := c.drains.upkeep.unknownSince[name]
+	since, ok := c.drains.maintenance.unknownSince[name]
 	return ok && c.loop.Now()-since >= unknownMachineTTL
 }
 
-// writeDrainsInBackground sends a transaction that no operator waits for.
+// writeDrainsInBackground commits a background transaction on drain requests.
 func (c *Controller) writeDrainsInBackground(txn store.Txn) {
-	c.drains.upkeep.writing = true
+	c.drains.maintenance.writeInFlight = true
 	c.commitInTerm(txn, store.BulkPriority, func(result store.Result) {
-		c.drains.upkeep.writing = false
+		c.drains.maintenance.writeInFlight = false
 		if result.Outcome != store.Committed {
 			slog.Info("drain requests not written",
 				"outcome", result.Outcome.String(),
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -10,25 +10,26 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file follows and applies the operators' drain requests. Those of controllers stand in one document. Those of
-// machines stand there as well until the cluster's level is rollout.DrainKeys: from then on every controller reads them
-// under keys of their own, and a leader moves them there.
+// This file follows and applies the operators' drain requests. Requests for controllers are stored in one document.
+// Requests for machines are stored there too while the cluster's level is below rollout.DrainKeys. From that level
+// on, every controller reads them under one key per machine, and a leader moves them there.
 
-// drainState is the drain requests of operators, as far as they were followed, and a leader's upkeep of them.
+// drainState holds the operators' drain requests as received from the state service, and the state of a leader's
+// maintenance of the stored requests.
 type drainState struct {
 	document        drain.Document
 	documentVersion uint64
 	machines        *drain.MachineRequests
-	upkeep          drainUpkeep
+	maintenance     drainMaintenance
 }
 
-// isDrained reports whether operators want a controller drained.
+// isDrained reports whether a drain request for a controller exists.
 func (d *drainState) isDrained(node string) bool {
 	_, ok := d.document.Nodes[node]
 	return ok
 }
 
-// desiredDrains returns all that operators want drained, as far as it was followed.
+// desiredDrains returns all drain requests, as received from the state service.
 func (c *Controller) desiredDrains() drain.DesiredState {
 	return drain.DesiredState{
 		Document:        c.drains.document,
@@ -37,8 +38,8 @@
 	}
 }
 
-// applyDrainDocument applies the operators' document, raw nil: it was deleted. An older version than the last is
-// ignored.
+// applyDrainDocument applies a version of the drain document. raw is nil if the document was deleted. A version that
+// isn't newer than the last one is ignored.
 func (c *Controller) applyDrainDocument(raw json.RawMessage, version uint64) {
 	if version <= c.drains.documentVersion {
 		return
@@ -55,7 +56,7 @@
 	c.drains.documentVersion = version
 }
 
-// handleDrainRequest applies the drain request of a machine.
+// handleDrainRequest applies the stored drain request of a machine.
 func (c *Controller) handleDrainRequest(item store.Item) {
 	if err := c.drains.machines.HandleItem(item.Key, item.Value, item.Version); err != nil {
 		c.rollout.MarkUnreadable(item.Key, item.Value, err)
@@ -64,37 +65,37 @@
 	c.rollout.MarkReadable(item.Key)
 }
 
-// applyDrains makes the state what operators want: this controller drains or serves again, and a leader drains
-// machines.
+// applyDrains applies the drain requests: it drains this controller or returns it to service and, on the leader,
+// drains machines.
 func (c *Controller) applyDrains(now time.Duration) {
-	wantDrained := c.drains.isDrained(c.settings.Node)
+	shouldDrain := c.drains.isDrained(c.settings.Node)
 	switch {
-	case wantDrained && c.lifecycle.isServing():
-		c.lifecycle.staysWhenDrained = true
+	case shouldDrain && c.lifecycle.isServing():
+		c.lifecycle.runsAfterDrain = true
 		c.startDrain(now, "drained by operators")
-	case !wantDrained && c.lifecycle.state == drained:
+	case !shouldDrain && c.lifecycle.state == drained:
 		c.undoDrain(now, "undrained by operators")
 	}
 	c.drainMachines(now)
 }
 
-// drainMachines has the fleet drain the machines that operators want drained, and does the upkeep of their requests.
+// drainMachines applies the drain requests of machines to the fleet and maintains the stored requests.
 func (c *Controller) drainMachines(now time.Duration) {
-	want := c.desiredDrains()
-	if !c.term.loaded() || (!want.AnyMachine() && !c.term.fleet.HasDrains()) {
+	desired := c.desiredDrains()
+	if !c.term.loaded() || (!desired.AnyMachine() && !c.term.fleet.HasDrains()) {
 		return
 	}
-	c.term.fleet.ApplyDrains(func(machine string) (on, stop bool, by string) {
-		request, ok := want.Machine(machine)
+	c.term.fleet.ApplyDrains(func(machine string) (isRequested, stop bool, by string) {
+		request, ok := desired.Machine(machine)
 		return ok, request.Stop, request.By
 	})
 	if c.membership.HasAuthority(now) {
-		c.maintainDrainRequests(now, want)
+		c.maintainDrainRequests(now, desired)
 	}
 }
 
-// documentConditions returns the conditions of a write that was decided by the document: its version, and the level,
-// which decides where requests belong.
+// documentConditions returns the conditions of a write that was derived from the drain document: the document's
+// version, and the cluster's level, which determines where requests are stored.
 func (c *Controller) documentConditions() []store.Condition {
 	return []store.Condition{
 		c.rollout.LevelCondition(),
@@ -107,8 +108,8 @@
 	return store.Op{Put: drain.DocumentKey, Value: raw}
 }
 
-// writeDrainChange writes what a command changes, in one transaction of at most two changes. It replies itself if the
-// term ends meanwhile.
+// writeDrainChange commits the change of a command in one transaction of at most two operations and calls done with
+// the result. If the term ends before the result arrives, it replies to the operator instead.
 func (c *Controller) writeDrainChange(change drain.Change, reply func(api.Reply), done func(store.Result)) {
 	txn := store.Txn{If: c.documentConditions(), Then: []store.Op{documentOp(change.Document)}}
 	if change.Machine != "" {
@@ -129,7 +130,7 @@
 	})
 }
 
-// confirmDrainWrite applies a write of our own, unless the followed keys have shown it already.
+// confirmDrainWrite applies a committed write of this controller, unless the followed keys already include it.
 func (c *Controller) confirmDrainWrite(txn store.Txn, revision uint64) {
 	if revision <= c.watchCache.Revision() {
 		return
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -10,8 +10,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A large fleet whose machines are all drained is followed whole, and every answer about it stays within a line.
-func TestDrainsOfALargeFleetAreFollowedAndShown(t *testing.T) {
+// If all machines of a large fleet are drained, every request must be received, and every page of the status must
+// stay within 64 KiB.
+func TestDrainsOfLargeFleetAreLoadedAndPaged(t *testing.T) {
 	const machines = 4000
 	c, service, advance := newFollowingController(t)
 	for i := range machines {
@@ -25,7 +26,7 @@
 	for {
 		s := c.adminStatus(2*time.Second, after)
 		if raw, _ := json.Marshal(s); len(raw) > 64<<10 || s.DrainingTotal != machines {
-			t.Fatalf("%d bytes, %d machines in all", len(raw), s.DrainingTotal)
+			t.Fatalf("page of %d bytes, total of %d machines; want at most 64 KiB and 4000 machines", len(raw), s.DrainingTotal)
 		}
 		if len(s.Draining) == 0 {
 			break
@@ -34,12 +35,13 @@
 		after = s.Draining[len(s.Draining)-1].Machine
 	}
 	if shown != machines {
-		t.Fatalf("%d machines shown", shown)
+		t.Fatalf("%d machines on all pages, want 4000", shown)
 	}
 }
 
-// Requests that were deleted while a controller's position was lost are gone after it has read all keys again.
-func TestDrainsDeletedWhilePositionLost(t *testing.T) {
+// A controller whose watch position was lost lists all keys again. Drain requests that were deleted meanwhile must be
+// removed.
+func TestResyncRemovesDeletedDrainRequests(t *testing.T) {
 	c, service, advance := newFollowingController(t)
 	for _, name := range []string{"i-1", "i-2"} {
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name})
@@ -47,10 +49,10 @@
 	}
 	advance(time.Second)
 	if n := len(c.drains.machines.Names()); n != 2 {
-		t.Fatalf("%d requests are followed", n)
+		t.Fatalf("%d drain requests, want 2", n)
 	}
 	c.resetKeys([]store.Item{service.Keys[drain.MachineKey("i-2")]})
 	if all := c.drains.machines.Names(); len(all) != 1 || all[0] != "i-2" {
-		t.Fatalf("left are %v", all)
+		t.Fatalf("drain requests for %v, want i-2 only", all)
 	}
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -6,12 +6,13 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// Environment is a controller's clocks, randomness and outgoing connections.
+// Environment provides a controller's clocks, random seed and outgoing connections.
 type Environment struct {
-	// Now is a steady clock, EpochMS the wall clock in milliseconds since 1970 when the steady one stood at 0.
+	// Now returns the time on a monotonic clock. EpochMS is the wall-clock time at which the monotonic clock was 0,
+	// in milliseconds since 1970.
 	Now     func() time.Duration
 	EpochMS int64
 	Seed    uint64
-	// Sender makes a sender with at most limit requests in flight; nil: over sockets.
+	// Sender returns a sender with at most limit requests in flight. If Sender is nil, requests go over sockets.
 	Sender func(limit int) httpio.Sender
 }
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -12,14 +12,14 @@
 	"github.com/harewalk/harewalk/internal/query"
 )
 
-// Bounds of the events that a leader keeps, of some 70 bytes each.
+// Bounds of the number of events that a leader keeps, of some 70 bytes each.
 const (
 	minEvents   = 256
 	maxEvents   = 16384
-	eventsPerMB = 32 // of the memory that the process may use
+	eventsPerMB = 32 // per MB of the process's memory limit
 )
 
-// eventCapacity returns how many events a leader keeps.
+// eventCapacity returns the number of events that a leader keeps under a memory limit.
 func eventCapacity(memoryMB float64) int {
 	return max(minEvents, min(maxEvents, int(memoryMB*eventsPerMB)))
 }
@@ -41,7 +41,7 @@
 // EventFields are the names and kinds of the fields of a filter over events.
 var EventFields = eventFields.kinds
 
-// taskNumber returns the event's task for a filter, -1 if it is about none.
+// taskNumber returns the number of the event's task as filters read it, -1 if the event is not about a task.
 func (e *EventView) taskNumber() float64 {
 	if e.Task == nil {
 		return events.None
@@ -49,16 +49,16 @@
 	return float64(*e.Task)
 }
 
-// maxEventsScanned bounds the events that one request goes through, on the event loop.
+// maxEventsScanned is the maximum number of events that one request scans, since the scan runs on the event loop.
 const maxEventsScanned = 4096
 
-// jobNotInTable is the answer about a job that the leader's table lacks: it can't tell a job that was never accepted
-// from an archived one, of which only the answer is kept.
-const jobNotInTable = "no such job here: it was never accepted, or has ended and was archived; `job get` tells which"
+// jobNotInTable is the error about a job that is not in the leader's table. The leader can't distinguish a job that
+// was never accepted from an archived one, of which only the answer is stored.
+const jobNotInTable = "no such job here: it was never accepted, or it ended and was archived; `job get` shows which"
 
-// eventsCall answers with the events from a number on, of one job or of all.
-func (c *Controller) eventsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	filter, refusal, refused := c.startList(now, request, EventFields)
+// handleEventsRequest handles a request for the events from a position on, of one job or of all jobs.
+func (c *Controller) handleEventsRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	filter, refusal, refused := c.parseListRequest(now, request, EventFields)
 	if refused {
 		reply(refusal)
 		return
@@ -72,8 +72,8 @@
 	reply(api.Reply{Status: http.StatusOK, Body: page})
 }
 
-// eventPage returns the events that match a filter, with those of one job only, if job isn't "". isMentioned reports
-// whether some event was about that job.
+// eventPage returns a page of the events that match a filter, from a position on. If job isn't "", the page has only
+// that job's events and starts of terms, and isMentioned reports whether an event was about that job.
 func (c *Controller) eventPage(
 	now time.Duration,
 	since string,
@@ -108,8 +108,8 @@
 	return page, isMentioned
 }
 
-// parseEventPosition reads a position, TERM-SEQ, of an earlier answer. ok is false if it is malformed or of another
-// term: all events that this leader has kept are shown then.
+// parseEventPosition parses a position of the form TERM-SEQ from an earlier response. If it is malformed or belongs
+// to another term, ok is false, and the caller shows all events that this leader has kept.
 func parseEventPosition(position string, term uint64) (seq uint64, ok bool) {
 	termText, seqText, isSplit := strings.Cut(position, "-")
 	if !isSplit || termText != strconv.FormatUint(term, 10) {
--- a/internal/controller/failover_timing.go
+++ b/internal/controller/failover_timing.go
@@ -10,38 +10,38 @@
 	"github.com/harewalk/harewalk/internal/membership"
 )
 
-// failoverTiming logs a controller's progress, second by second, after it started or the leader changed: what users
-// and workers were answered, and where processor time, requests and writes went. Those seconds are the worst of the
-// service, and means don't show them.
+// failoverTiming is the state of a series of log lines, one a second, after the controller started or the leader
+// changed. The lines count the responses to users and workers, processor time, requests and writes. The service is at
+// its worst in these seconds, and mean values don't show them.
 type failoverTiming struct {
 	startedAt time.Duration
 	logUntil  time.Duration
 	nextLogAt time.Duration
 	term      uint64
-	previous  processCounters // at the last line, or at the start
+	previous  processCounters // at the last log line, or at the start of the series
 }
 
-// failoverLogFor is how long each second is logged.
-const failoverLogFor = 20 * time.Second
+// failoverLogDuration is the length of a series of log lines.
+const failoverLogDuration = 20 * time.Second
 
-// restart begins a new series of log lines. A start is never at 0, which means that there was none.
+// restart begins a new series of log lines. startedAt is at least 1, since 0 means that there was no series yet.
 func (t *failoverTiming) restart(now time.Duration, term uint64, counters processCounters) {
 	t.term = term
 	t.startedAt = max(1, now)
-	t.logUntil = now + failoverLogFor
+	t.logUntil = now + failoverLogDuration
 	t.nextLogAt = now + time.Second
 	t.previous = counters
 }
 
-// processCounters counts since the start of the process.
+// processCounters holds totals since the start of the process.
 type processCounters struct {
 	api.ResponseCounts
 	stateRequests uint64
-	writes        uint64 // of those requests
+	writes        uint64 // the part of stateRequests that are writes
 	cpu           time.Duration
 }
 
-// readCounters returns the counters as they are now.
+// readCounters returns the current totals.
 func (c *Controller) readCounters() processCounters {
 	counters := processCounters{ResponseCounts: c.responses.Read()}
 	counters.stateRequests, counters.writes = c.store.Sent()
@@ -52,7 +52,8 @@
 	return counters
 }
 
-// logFailoverTiming logs the last second, if it is one of those after a start or a change of the leader.
+// logFailoverTiming logs the counts of the last second during a series of log lines. A change of the leader's term
+// begins a new series.
 func (c *Controller) logFailoverTiming(now time.Duration) {
 	timing := &c.failoverTiming
 	if term := c.membership.Leader().Term; term != timing.term || timing.startedAt == 0 {
@@ -87,7 +88,8 @@
 	)
 }
 
-// countReadyMachines counts the machines that take commands, and those whose first heartbeat in this term is awaited.
+// countReadyMachines returns the number of machines that accept commands, and of those that haven't sent a heartbeat
+// in this term yet.
 func (c *Controller) countReadyMachines() (ready, registered int) {
 	for _, machine := range c.term.fleet.Machines() {
 		switch machine.Condition {
@@ -100,7 +102,7 @@
 	return ready, registered
 }
 
-// isLeader reports whether this controller leads and has a term of its own.
+// isLeader reports whether this controller is the leader and is in a leader term.
 func (c *Controller) isLeader() bool {
 	return c.term.active() && c.membership.State() == membership.Leading
 }
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -10,9 +10,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file passes each followed key of the state service to the part that owns it.
+// This file dispatches changes of the state service's followed keys to the components that own them.
 
-// handleItem applies a followed key that was written.
+// handleItem applies a write of a followed key.
 func (c *Controller) handleItem(now time.Duration, item store.Item) {
 	switch {
 	case strings.HasPrefix(item.Key, jobs.Prefix):
@@ -35,7 +35,7 @@
 	}
 }
 
-// handleDelete applies that a followed key was deleted.
+// handleDelete applies the deletion of a followed key.
 func (c *Controller) handleDelete(key string, version uint64) {
 	if strings.HasPrefix(key, jobs.Prefix) {
 		c.handleJobDeleted(key, version)
@@ -49,13 +49,13 @@
 	c.drains.machines.HandleDelete(key, version)
 }
 
-// handleSynced applies that all followed keys have been read.
+// handleSynced notifies the components that all followed keys have been read.
 func (c *Controller) handleSynced() {
 	c.rollout.HandleSynced()
 	c.membership.HandleSynced(c.loop.Now())
 }
 
-// resetKeys applies a new reading of all followed keys, in place of what was followed before: a key that it lacks was
+// resetKeys replaces the state of the followed keys by a complete new listing. A key that is missing from items was
 // deleted.
 func (c *Controller) resetKeys(items []store.Item) {
 	c.rollout.HandleReset(items)
@@ -71,8 +71,9 @@
 	c.dependencies.graph.Retain()
 }
 
-// handleJobRead applies a job's record that was read or written beside the followed keys. If they have passed its
-// version and the table lacks the job, it was archived since: a late answer must not bring it back.
+// handleJobRead applies a job's record that was read or written outside the followed keys. If the job isn't in the
+// table although the followed keys have reached the record's version, it was archived since: a late response must not
+// restore it.
 func (c *Controller) handleJobRead(now time.Duration, item store.Item) {
 	isKnown := c.jobs.Get(jobs.IDOfKey(item.Key)) != nil
 	if !isKnown && item.Version <= c.watchCache.Revision() {
@@ -81,7 +82,7 @@
 	c.applyJobRecord(now, item)
 }
 
-// applyJobRecord applies a job's record to the table of jobs and, in a term, to the fleet.
+// applyJobRecord applies a job's record to the job table, to the dependency graph and, on the leader, to the fleet.
 func (c *Controller) applyJobRecord(now time.Duration, item store.Item) {
 	job, changed, err := c.jobs.Apply(jobs.IDOfKey(item.Key), item.Value, item.Version)
 	if err != nil {
@@ -99,14 +100,14 @@
 	}
 }
 
-// handleJobDeleted applies that a job's record has left the followed keys.
+// handleJobDeleted applies the deletion of a job's record from the followed keys.
 func (c *Controller) handleJobDeleted(key string, version uint64) {
 	id := jobs.IDOfKey(key)
 	c.jobs.Archive(id, version)
 	if job := c.jobs.Get(id); job == nil || job.Archived {
 		c.dependencies.graph.HandleRemoved(id)
 	}
-	if c.term.mover != nil {
-		c.term.mover.ForgetBackoff(id)
+	if c.term.archiver != nil {
+		c.term.archiver.ForgetBackoff(id)
 	}
 }
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -6,99 +6,104 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// This file holds why a leader resigns though nothing took the leadership from it: its workers don't reach it, or what
-// it follows is too old to act on.
+// This file decides when a leader resigns although no other controller took the leadership: no worker reaches it, or
+// its followed keys are too old to act on.
 
-// staleCacheAnswerAge is how recently the state service must have answered for a stale cache to mean lost watches
-// rather than an outage.
+// staleCacheAnswerAge is the maximum age of the state service's last answer at which a stale cache means lost
+// watches. If the last answer is older, the service has an outage.
 const staleCacheAnswerAge = time.Second
 
-// Limits of how long no heartbeat reaches a leader: so many intervals between a worker's heartbeats, and so many
-// seconds more. Beyond the shorter limit other controllers' heartbeats decide, beyond the longer one the leader's own.
+// Timeouts of a leader that receives no heartbeats: a number of heartbeat intervals plus a margin in seconds. After
+// the short timeout the leader resigns if other controllers receive many heartbeats, after the long one if they
+// receive any.
 const (
-	minSilentIntervals = 1.25
-	minSilenceMarginS  = 2
-	maxSilentIntervals = 2
-	maxSilenceMarginS  = 4
+	shortTimeoutIntervals = 1.25
+	shortTimeoutMarginS   = 2
+	longTimeoutIntervals  = 2
+	longTimeoutMarginS    = 4
 )
 
-// manyReachedDivisor sets the part of the expected heartbeats, a quarter, above which other controllers receive many.
-const manyReachedDivisor = 4
+// manyHeartbeatsDivisor sets the fraction of the expected heartbeats, a quarter, above which other controllers
+// receive many.
+const manyHeartbeatsDivisor = 4
 
-// workerSilence is what a leader goes by when no worker's heartbeat has reached it for a while.
-type workerSilence struct {
-	silentFor         time.Duration // since the last heartbeat, or since authority began
-	heartbeatInterval float64       // of workers, in seconds
-	lease             time.Duration // of workers
-	expected          int           // machines of which heartbeats are expected
-	reachedByOthers   int           // heartbeats that other controllers received lately
+// heartbeatLoss is the input to the decision of a leader without recent heartbeats to resign.
+type heartbeatLoss struct {
+	sinceLastHeartbeat time.Duration // or since the leader gained authority, if that was later
+	heartbeatInterval  float64       // between a worker's heartbeats, in seconds
+	lease              time.Duration // duration of a worker's lease
+	expectedHeartbeats int           // number of machines that should send heartbeats
+	peerHeartbeats     int           // number of heartbeats that other controllers received recently
 }
 
-// resignCause returns why the leader should resign, "" if it should not: at once where other controllers receive many
-// of the heartbeats, one heartbeat later where they receive any, and otherwise only when the workers' leases have
-// expired. A leader that resigned earlier, with every machine gone, would leave the next one to count the leases anew:
-// they would never expire, and no machine would be rented.
-func (s workerSilence) resignCause() string {
-	limit := jobs.Seconds(maxSilentIntervals*s.heartbeatInterval + maxSilenceMarginS)
+// resignCause returns the reason why the leader should resign, "" if it should not. If other controllers receive many
+// of the heartbeats, it resigns at once; if they receive any, after the long timeout; otherwise only when the
+// workers' leases have expired. If every machine is gone and the leader resigned earlier, the next leader would count
+// the leases from the beginning: they would never expire, and no machine would be rented.
+func (s heartbeatLoss) resignCause() string {
+	longTimeout := jobs.Seconds(longTimeoutIntervals*s.heartbeatInterval + longTimeoutMarginS)
 	switch {
-	case s.expected == 0:
+	case s.expectedHeartbeats == 0:
 		return ""
-	case manyReachedDivisor*s.reachedByOthers > s.expected:
+	case manyHeartbeatsDivisor*s.peerHeartbeats > s.expectedHeartbeats:
 		return "workers reach other controllers"
-	case s.silentFor < limit:
+	case s.sinceLastHeartbeat < longTimeout:
 		return ""
-	case s.reachedByOthers > 0 || s.silentFor >= s.lease+2*limit:
+	case s.peerHeartbeats > 0 || s.sinceLastHeartbeat >= s.lease+2*longTimeout:
 		return "no worker reaches this leader"
 	}
 	return ""
 }
 
-// minSilence is how long no heartbeat must have arrived before a leader resigns because many workers reach others: for
-// each of them one heartbeat was due and the next one nearly.
-func minSilence(heartbeatInterval float64) time.Duration {
-	return jobs.Seconds(minSilentIntervals*heartbeatInterval + minSilenceMarginS)
+// shortHeartbeatTimeout returns how long a leader must have received no heartbeat before it resigns because many
+// workers reach other controllers. Within this time each worker should have sent one heartbeat and almost a second
+// one.
+func shortHeartbeatTimeout(heartbeatInterval float64) time.Duration {
+	return jobs.Seconds(shortTimeoutIntervals*heartbeatInterval + shortTimeoutMarginS)
 }
 
-// resignIfUnreachable resigns when no worker reaches this leader although there must be some.
+// resignIfUnreachable resigns if no worker reaches this leader although the fleet has machines that should send
+// heartbeats.
 func (c *Controller) resignIfUnreachable(now time.Duration) {
 	workers := &c.settings.Params.Workers
-	silentFor := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
-	if silentFor < minSilence(workers.HeartbeatIntervalS) {
+	sinceLastHeartbeat := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
+	if sinceLastHeartbeat < shortHeartbeatTimeout(workers.HeartbeatIntervalS) {
 		return
 	}
-	silence := workerSilence{
-		silentFor:         silentFor,
-		heartbeatInterval: workers.HeartbeatIntervalS,
-		lease:             c.settings.WorkerLease(),
-		reachedByOthers:   c.peers.foreignHeartbeats(now),
+	loss := heartbeatLoss{
+		sinceLastHeartbeat: sinceLastHeartbeat,
+		heartbeatInterval:  workers.HeartbeatIntervalS,
+		lease:              c.settings.WorkerLease(),
+		peerHeartbeats:     c.peers.foreignHeartbeats(now),
 	}
 	for _, machine := range c.term.fleet.Machines() {
 		if machine.Condition.ExpectsHeartbeats() {
-			silence.expected++
+			loss.expectedHeartbeats++
 		}
 	}
-	if cause := silence.resignCause(); cause != "" {
+	if cause := loss.resignCause(); cause != "" {
 		c.membership.Resign(now, cause)
 	}
 }
 
-// cacheTooStale reports whether the followed keys have been too old to act on for a while, though the service answers
-// and the lease is renewed: a leader whose watches are lost would keep all others from leading, and not act itself.
+// cacheTooStale reports whether the followed keys have been too old to act on for longer than a controller's lease,
+// although the state service answers. A leader that has lost its watches but renews its lease would neither act nor
+// let another controller lead.
 func (c *Controller) cacheTooStale(now time.Duration) bool {
 	maxAge := c.settings.StalenessBound() + c.settings.ControllerLeaseTTL()
 	isStale := now-c.watchCache.FreshAt() > maxAge
 	return isStale && now-c.store.LastSuccess() < staleCacheAnswerAge
 }
 
-// foreignHeartbeats counts the heartbeats that reached this controller though another leads: of workers that look for
-// their owner. It counts in windows of equal length.
+// foreignHeartbeats counts the heartbeats that this controller receives while another one leads. They come from
+// workers that are searching for their owner. The counts are for windows of equal length.
 type foreignHeartbeats struct {
 	windowStart time.Duration
-	current     uint32 // in the present window
-	previous    uint32 // in the one before
+	current     uint32 // in the current window
+	previous    uint32 // in the window before
 }
 
-// add adds n heartbeats and returns how many there were in this window and the one before.
+// add adds n heartbeats and returns the total of the current window and the one before.
 func (h *foreignHeartbeats) add(now, window time.Duration, n uint32) uint32 {
 	if age := now - h.windowStart; age >= window {
 		h.previous = h.current
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// A leader that receives no heartbeats resigns as early as other controllers' heartbeats show that workers are alive,
-// and without them only once the workers' leases have expired.
-func TestSilentLeaderResignsByWhatOthersReceive(t *testing.T) {
+// A leader that receives no heartbeats resigns early if other controllers receive heartbeats, since then workers are
+// alive. Otherwise it resigns only once the workers' leases have expired.
+func TestResignCauseWithoutHeartbeats(t *testing.T) {
 	const (
 		heartbeatInterval = 3.0
 		lease             = 20 * time.Second
-		limit             = 10 * time.Second // 2 * heartbeatInterval + 4 s
+		longTimeout       = 10 * time.Second // 2 * heartbeatInterval + 4 s
 	)
 	cases := []struct {
-		name            string
-		silentFor       time.Duration
-		expected        int
-		reachedByOthers int
-		want            string
+		name               string // by the share of heartbeats that other controllers receive
+		sinceLastHeartbeat time.Duration
+		expectedHeartbeats int
+		peerHeartbeats     int
+		want               string
 	}{
 		{"no machines", time.Hour, 0, 100, ""},
-		{"more than a quarter reach others", minSilence(heartbeatInterval), 100, 26, "workers reach other controllers"},
-		{"a quarter reaches others, early", limit - 1, 100, 25, ""},
-		{"few reach others, after the limit", limit, 100, 1, "no worker reaches this leader"},
-		{"none reaches others, after the limit", limit, 100, 0, ""},
-		{"none reaches others, leases not expired", lease + 2*limit - 1, 100, 0, ""},
-		{"none reaches others, leases expired", lease + 2*limit, 100, 0, "no worker reaches this leader"},
+		{"more than a quarter", shortHeartbeatTimeout(heartbeatInterval), 100, 26, "workers reach other controllers"},
+		{"a quarter, before the long timeout", longTimeout - 1, 100, 25, ""},
+		{"few, after the long timeout", longTimeout, 100, 1, "no worker reaches this leader"},
+		{"none, after the long timeout", longTimeout, 100, 0, ""},
+		{"none, leases not expired", lease + 2*longTimeout - 1, 100, 0, ""},
+		{"none, leases expired", lease + 2*longTimeout, 100, 0, "no worker reaches this leader"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			silence := workerSilence{
-				silentFor:         test.silentFor,
-				heartbeatInterval: heartbeatInterval,
-				lease:             lease,
-				expected:          test.expected,
-				reachedByOthers:   test.reachedByOthers,
+			loss := heartbeatLoss{
+				sinceLastHeartbeat: test.sinceLastHeartbeat,
+				heartbeatInterval:  heartbeatInterval,
+				lease:              lease,
+				expectedHeartbeats: test.expectedHeartbeats,
+				peerHeartbeats:     test.peerHeartbeats,
 			}
-			if got := silence.resignCause(); got != test.want {
+			if got := loss.resignCause(); got != test.want {
 				t.Errorf("cause %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// Heartbeats of other owners' workers count for the window they arrive in and the next one.
+// Heartbeats of another leader's workers count in the window in which they arrive and in the next one.
 func TestForeignHeartbeatsCountForTwoWindows(t *testing.T) {
 	const window = time.Second
 	var heartbeats foreignHeartbeats
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// healthyStoreAge is how recently the state service must have answered for a controller to be healthy by itself.
+// healthyStoreAge is the maximum age of the state service's last answer at which a controller is healthy regardless
+// of others.
 const healthyStoreAge = 3 * time.Second
 
-// healthy reports to the load balancer whether users are served well here. While the state service answers no
-// controller, each is as good as any other.
+// healthy returns the result of the load balancer's health check. While no controller reaches the state service, a
+// controller stays healthy unless it is cut off from the network.
 func (c *Controller) healthy() bool {
 	now := c.loop.Now()
 	isReady := c.watchCache.Synced() && len(c.machineTypes.list) > 0
@@ -20,7 +21,8 @@
 	if anyPeerReachesStore {
 		return false
 	}
-	// A controller that reaches neither the state service nor any other controller is cut off and must not keep its
-	// users. In an outage the service answers with 503, or other controllers report the same.
+	// A controller that reaches neither the state service nor any other controller is cut off and must not receive
+	// users' requests. In an outage the service answers with 503, or other controllers report that they don't reach
+	// it either.
 	return anyPeerAlive || len(c.settings.Peers) == 0 || now-c.store.LastResponse() < healthyStoreAge
 }
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -10,7 +10,7 @@
 	"github.com/harewalk/harewalk/internal/simulator/state"
 )
 
-// directSender carries requests to a simulated state service, which answers at once.
+// directSender passes requests to a simulated state service, which responds immediately.
 type directSender struct{ service *state.Service }
 
 // Send implements httpio.Sender.
@@ -60,7 +60,7 @@
 	return c, service, advance
 }
 
-// newSpec returns a job of one task.
+// newSpec returns the spec of a job with one task.
 func newSpec(id string) *jobs.Spec {
 	return &jobs.Spec{
 		ID:       id,
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -35,9 +35,10 @@
 // ListFields are the names and kinds of the fields of a filter over jobs.
 var ListFields = jobFields.kinds
 
-// listCall answers with a page of the jobs that match a filter, by id after the one named.
-func (c *Controller) listCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	filter, refusal, refused := c.startList(now, request, ListFields)
+// handleJobListRequest handles a request for a page of the jobs that match a filter, sorted by id and starting after
+// the given id.
+func (c *Controller) handleJobListRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+	filter, refusal, refused := c.parseListRequest(now, request, ListFields)
 	if refused {
 		reply(refusal)
 		return
@@ -51,7 +52,7 @@
 	reply(api.Reply{Status: http.StatusOK, Body: JobPage{Jobs: page, More: len(found) > size}})
 }
 
-// matchingJobs returns the jobs that match a filter and whose ids come after one, by id.
+// matchingJobs returns the jobs that match a filter and whose ids come after the given one, sorted by id.
 func (c *Controller) matchingJobs(now time.Duration, after string, filter query.Filter) []JobSummary {
 	var found []JobSummary
 	c.jobs.ForEach(func(job *jobs.Job) {
--- a/internal/controller/licences.go
+++ b/internal/controller/licences.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// maxLicenceRequests bounds the queries to licence servers in flight: a silent server must not keep others, or the
-	// state service, from being queried.
+	// maxLicenceRequests is the maximum number of licence server queries in flight: an unresponsive server must not
+	// block requests to other servers or to the state service.
 	maxLicenceRequests = 8
 	// maxLicenceCount is the largest count that can be set.
 	maxLicenceCount = 1_000_000
-	// maxLicenceByLength bounds the name of whoever sets a count, in bytes.
+	// maxLicenceByLength is the maximum length of the name of the operator who sets a count, in bytes.
 	maxLicenceByLength = 100
 )
 
-// queryLicenceServers queries the licence servers that are due.
+// queryLicenceServers sends the licence server queries that are due.
 func (c *Controller) queryLicenceServers(now time.Duration) {
 	ledger := c.term.fleet.Gate.Licences
 	if ledger.IsEmpty() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleLicenceAnswer applies a licence server's answer to a query that was sent at a time.
+// handleLicenceAnswer applies a licence server's response to the query that was sent at sentAt.
 func (c *Controller) handleLicenceAnswer(sentAt time.Duration, pool string, response httpio.Response) {
 	at := c.loop.Now()
 	answer, err := parseLicenceAnswer(response)
@@ -59,7 +59,7 @@
 	c.term.fleet.Gate.Licences.ApplyAnswer(at, sentAt, pool, answer, c.term.fleet.LicenceHolder)
 }
 
-// licenceServerError is the error of a licence server's answer with another status than 200.
+// licenceServerError reports a licence server's response with another status than 200.
 type licenceServerError struct{ status int }
 
 // Error returns the text for logs.
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("licence server answered %d", e.status)
 }
 
-// parseLicenceAnswer reads a licence server's answer. The error is a *licenceServerError, or that of the request or
-// of the answer's content.
+// parseLicenceAnswer parses a licence server's response. The error is a *licenceServerError, the request's error or
+// the parse error of the body.
 func parseLicenceAnswer(response httpio.Response) (licences.Answer, error) {
 	if response.Err != nil {
 		return licences.Answer{}, response.Err
@@ -86,7 +86,7 @@
 	}
 }
 
-// licenceCommandError is the error of a command whose field breaks a rule.
+// licenceCommandError reports a field of a command and the rule that its value violates.
 type licenceCommandError struct{ field, rule string }
 
 // Error returns the text for the operator.
@@ -106,15 +106,16 @@
 	return nil
 }
 
-// refuseLicenceConflict returns the answer to such a command; changedBy "": unknown.
+// refuseLicenceConflict returns the response to a command that was based on an older count. changedBy is the author
+// of the later change, "" if unknown.
 func refuseLicenceConflict(changedBy string, view licences.View) api.Reply {
 	changedBy = cmp.Or(changedBy, rollout.UnnamedOperator)
 	message := fmt.Sprintf("the count was changed by %s meanwhile: it is %d", changedBy, view.Count)
 	return api.Reply{Status: http.StatusConflict, Body: licenceConflict{message, view}}
 }
 
-// licenceCall answers an operator's request about pools: all of them, one, or a new count.
-func (c *Controller) licenceCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// handleLicenceRequest handles an operator's request: it shows all pools or one pool, or sets a pool's count.
+func (c *Controller) handleLicenceRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	if request.Name == "" {
 		views := []licences.View{}
 		for index := range c.licencePools.Pools() {
@@ -134,12 +135,12 @@
 	}
 }
 
-// licenceView returns a pool with the units that the fleet counts as in use.
+// licenceView returns a pool with the licence units that the fleet counts as in use.
 func (c *Controller) licenceView(now time.Duration, index int32) licences.View {
 	return c.term.fleet.Gate.Licences.View(now, index, c.jobs.Names.Teams.Name)
 }
 
-// setLicenceCount answers a command that sets a pool's count or resets it to the declared one.
+// setLicenceCount handles a command that sets a pool's count or resets it to the declared count.
 func (c *Controller) setLicenceCount(now time.Duration, index int32, body []byte, reply func(api.Reply)) {
 	var command licenceCommand
 	if refusal, refused := decodeCommand(body, &command); refused {
@@ -162,7 +163,7 @@
 	c.writeLicenceCount(now, index, version, &command, reply)
 }
 
-// writeLicenceCount writes a pool's count on the condition of its version, and answers by the write's outcome.
+// writeLicenceCount writes a pool's count on condition that its version is unchanged, and replies by the result.
 func (c *Controller) writeLicenceCount(
 	now time.Duration,
 	index int32,
@@ -178,7 +179,7 @@
 	}
 	indeterminate := api.Refuse(
 		api.Unavailable,
-		"it is not known whether the count was set: look before setting it again",
+		"it is not known whether the count was set: check the pool before setting it again",
 	)
 	c.commitCommand(txn, indeterminate, reply, func(result store.Result) {
 		switch result.Outcome {
@@ -193,7 +194,7 @@
 	})
 }
 
-// licenceOp returns the write that a command asks for.
+// licenceOp returns the store operation of a command.
 func (c *Controller) licenceOp(now time.Duration, index int32, command *licenceCommand) store.Op {
 	key := licences.Key(c.licencePools.Pools()[index].Name)
 	if command.Reset {
--- a/internal/controller/licences_test.go
+++ b/internal/controller/licences_test.go
@@ -9,14 +9,14 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// A malformed command is refused with its field and rule, as operators read them.
+// The error about a malformed command names the field and the rule that it violates.
 func TestMalformedLicenceCommandNamesItsField(t *testing.T) {
 	count, negative, tooMany := 5, -1, maxLicenceCount+1
 	const countRule = "count must be 0 to 1000000"
 	for _, test := range []struct {
 		name    string
 		command licenceCommand
-		want    string // "": it is well-formed
+		want    string // "" if the command is well-formed
 	}{
 		{"count", licenceCommand{Count: &count}, ""},
 		{"reset without a count", licenceCommand{Reset: true}, ""},
@@ -32,20 +32,20 @@
 			if err := test.command.validate(); errors.As(err, &invalid) {
 				got = invalid.Error()
 			} else if err != nil {
-				t.Fatalf("untyped error %v", err)
+				t.Fatalf("error %v, want a *licenceCommandError", err)
 			}
 			if got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("error %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// A licence server that answers with another status than 200 gives an error with that status.
+// A licence server's response with another status than 200 results in an error with this status.
 func TestLicenceServerErrorHasItsStatus(t *testing.T) {
 	_, err := parseLicenceAnswer(httpio.Response{Status: http.StatusTeapot})
 	var refused *licenceServerError
 	if !errors.As(err, &refused) || err.Error() != "licence server answered 418" {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a *licenceServerError with status 418", err)
 	}
 }
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// lifecycleState is a phase of a controller between its start and a planned end.
+// lifecycleState is a phase of a controller between its start and its planned end.
 type lifecycleState uint8
 
-// The states of a controller's life, and what leads from one to the next:
+// The lifecycle states and the causes of their transitions:
 //
-//	serving     -> flushing    drain while it leads: no new starts, writes in flight are settled
-//	serving     -> handingOver drain while another leads
-//	flushing    -> handingOver its writes are settled, or took too long: it resigns at once
-//	handingOver -> ended       its users are answered and another leads, or it took too long
-//	handingOver -> drained     the same, where operators drained it: the process goes on and does nothing
+//	serving     -> flushing    the leader is drained: it starts no more tasks and settles its writes in flight
+//	serving     -> handingOver a controller that doesn't lead is drained
+//	flushing    -> handingOver the writes are settled, or maxFlush has passed: the leader resigns at once
+//	handingOver -> ended       users are answered and another controller leads, or maxHandover has passed
+//	handingOver -> drained     the same, if operators requested the drain: the process keeps running, idle
 //	drained     -> serving     operators undo the drain
 //	drained     -> ended       the process is terminated
 const (
@@ -25,45 +25,45 @@
 	drained
 )
 
-// String returns the state as it is logged.
+// String returns the state's name in logs.
 func (s lifecycleState) String() string {
 	return [...]string{"serving", "flushing", "handing_over", "ended", "drained"}[s]
 }
 
-// Bounds of a drain.
+// Time limits of a drain.
 const (
-	maxFlush    = time.Second     // for a leader's writes in flight
-	maxHandover = 5 * time.Second // for users' answers, and until another leads
-	// minQuiescence is how long nothing must have been in flight: a load balancer takes two failed health checks, a
-	// second apart, to stop sending users.
+	maxFlush    = time.Second     // to settle a leader's writes in flight
+	maxHandover = 5 * time.Second // to answer users, and until another controller leads
+	// minQuiescence is how long no user's request must have been in flight. A load balancer stops sending users after
+	// two failed health checks, a second apart.
 	minQuiescence = 2 * time.Second
 )
 
-// lifecycle is this controller's phase between its start and a planned end. Only transition changes state.
+// lifecycle is the state of this controller between its start and its planned end. Only transition changes state.
 type lifecycle struct {
-	state            lifecycleState
-	since            time.Duration
-	quiescentSince   time.Duration // since when nothing has been in flight while handing over
-	staysWhenDrained bool          // drained by operators: the process stays instead of ending
-	ended            chan struct{} // closed on the transition to ended
+	state          lifecycleState
+	enteredAt      time.Duration
+	quiescentSince time.Duration // time since which no user's request has been in flight, while handing over
+	runsAfterDrain bool          // operators requested the drain: the process keeps running
+	ended          chan struct{} // closed on the transition to ended
 }
 
-// isServing reports whether the controller is in full service.
+// isServing reports whether the controller is neither drained nor being drained.
 func (l *lifecycle) isServing() bool { return l.state == serving }
 
-// transition changes the state.
+// transition changes the state and logs the change. The transition to ended closes the channel.
 func (l *lifecycle) transition(now time.Duration, to lifecycleState, cause string) {
 	slog.Info("lifecycle state changed", "from", l.state.String(), "to", to.String(), "cause", cause)
 	l.state = to
-	l.since = now
+	l.enteredAt = now
 	if to == ended {
 		close(l.ended)
 	}
 }
 
-// finishDrain ends a drain: the controller ends, or stays where operators drained it.
+// finishDrain completes a drain. If operators requested the drain, the new state is drained, otherwise ended.
 func (l *lifecycle) finishDrain(now time.Duration, cause string) {
-	if l.staysWhenDrained {
+	if l.runsAfterDrain {
 		l.transition(now, drained, cause)
 		return
 	}
@@ -78,9 +78,9 @@
 	return c.lifecycle.ended
 }
 
-// handleTermination drains the controller because its process is to end.
+// handleTermination drains the controller before its process ends.
 func (c *Controller) handleTermination() {
-	c.lifecycle.staysWhenDrained = false
+	c.lifecycle.runsAfterDrain = false
 	now := c.loop.Now()
 	switch c.lifecycle.state {
 	case serving:
@@ -103,21 +103,21 @@
 
 // undoDrain puts a drained controller back into service.
 func (c *Controller) undoDrain(now time.Duration, cause string) {
-	c.lifecycle.staysWhenDrained = false
+	c.lifecycle.runsAfterDrain = false
 	c.api.Resume()
 	c.membership.Rejoin(now)
 	c.lifecycle.transition(now, serving, cause)
 }
 
-// handOver gives up the leadership, or the lease of a controller that doesn't lead, so that no other controller waits
-// for it.
+// handOver releases the leadership, or the lease of a controller that doesn't lead, so that no other controller has
+// to wait until the lease expires.
 func (c *Controller) handOver(now time.Duration, cause string) {
 	c.lifecycle.transition(now, handingOver, cause)
 	c.membership.Withdraw(now)
 	c.lifecycle.quiescentSince = now
 }
 
-// advanceDrain takes the next step of a drain, if one is due.
+// advanceDrain performs the next step of a drain, if one is due.
 func (c *Controller) advanceDrain(now time.Duration) {
 	switch c.lifecycle.state {
 	case flushing:
@@ -134,12 +134,12 @@
 		c.handOver(now, "the leadership is lost")
 	case !c.term.fleet.WriteInFlight():
 		c.handOver(now, "all writes are settled")
-	case now-c.lifecycle.since > maxFlush:
+	case now-c.lifecycle.enteredAt > maxFlush:
 		c.handOver(now, "a write is still in flight: the next leader reads what is stored")
 	}
 }
 
-// advanceHandover finishes the drain once users are answered and another controller leads, or after maxHandover.
+// advanceHandover completes the drain once users are answered and another controller leads, or after maxHandover.
 func (c *Controller) advanceHandover(now time.Duration) {
 	if c.api.Busy() {
 		c.lifecycle.quiescentSince = now
@@ -150,7 +150,7 @@
 	switch {
 	case isQuiescent && (anotherLeads || len(c.settings.Peers) == 0):
 		c.lifecycle.finishDrain(now, "all requests are answered and another controller leads")
-	case now-c.lifecycle.since > maxHandover:
+	case now-c.lifecycle.enteredAt > maxHandover:
 		c.lifecycle.finishDrain(now, "the handover took too long")
 	}
 }
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -2,26 +2,27 @@
 
 import "testing"
 
-// A drain that operators asked for leaves the process running; any other ends it.
-func TestFinishedDrainStaysOnlyForOperators(t *testing.T) {
-	for _, stays := range []bool{true, false} {
-		life := lifecycle{ended: make(chan struct{}), staysWhenDrained: stays}
-		life.transition(1, handingOver, "test")
-		life.finishDrain(2, "test")
+// After a drain that operators requested, the process keeps running. Any other drain ends the process.
+func TestProcessRunsOnOnlyAfterOperatorDrain(t *testing.T) {
+	for _, byOperators := range []bool{true, false} {
+		phase := lifecycle{ended: make(chan struct{}), runsAfterDrain: byOperators}
+		phase.transition(1, handingOver, "test")
+		phase.finishDrain(2, "test")
 		hasEnded := false
 		select {
-		case <-life.ended:
+		case <-phase.ended:
 			hasEnded = true
 		default:
 		}
-		if hasEnded == stays {
-			t.Errorf("stays %v: ended %v in state %v", stays, hasEnded, life.state)
+		if hasEnded == byOperators {
+			t.Errorf("byOperators %v: ended %v in state %v, want ended only if byOperators is false",
+				byOperators, hasEnded, phase.state)
 		}
-		if isDrained := life.state == drained; isDrained != stays {
-			t.Errorf("stays %v: state %v", stays, life.state)
+		if isDrained := phase.state == drained; isDrained != byOperators {
+			t.Errorf("byOperators %v: state %v, want drained only if byOperators is true", byOperators, phase.state)
 		}
-		if life.since != 2 {
-			t.Errorf("in its state since %v, want 2ns", life.since)
+		if phase.enteredAt != 2 {
+			t.Errorf("time of the last transition %v, want 2ns", phase.enteredAt)
 		}
 	}
 }
--- a/internal/controller/lists.go
+++ b/internal/controller/lists.go
@@ -7,24 +7,24 @@
 	"github.com/harewalk/harewalk/internal/query"
 )
 
-// This file holds what the lists of jobs and of events have in common: their filters, pages and rate.
+// This file holds the code that the lists of jobs and of events share: filters, page size and rate limit.
 
 const (
-	// listInterval spaces the lists that are made: each goes through every job in memory, on the event loop.
+	// listInterval is the minimum time between two lists: each scans all jobs in memory, on the event loop.
 	listInterval = 100 * time.Millisecond
-	// pageSize bounds a page: it stays within the largest body that users get.
+	// pageSize is the maximum number of entries in a page. It keeps the response within the maximum body size.
 	pageSize = 200
 )
 
-// listFields are the fields of a filter over the entries of a list, by name: their kinds, and how the value of each is
-// read.
+// listFields are the fields that a filter over list entries may use, by name: their kinds, and the functions that
+// read their values.
 type listFields[Entry any] struct {
 	kinds   query.Fields
 	texts   map[string]func(*Entry) string
 	numbers map[string]func(*Entry) float64
 }
 
-// newListFields returns fields by how their values are read.
+// newListFields returns the text and number fields whose values the given functions read.
 func newListFields[Entry any](
 	texts map[string]func(*Entry) string,
 	numbers map[string]func(*Entry) float64,
@@ -44,7 +44,7 @@
 	return filter.Match(listRow[Entry]{f, entry}, f.kinds)
 }
 
-// listRow is an entry of a list as a filter reads it.
+// listRow adapts a list entry to query.Row.
 type listRow[Entry any] struct {
 	fields *listFields[Entry]
 	entry  *Entry
@@ -56,21 +56,21 @@
 // Number implements query.Row.
 func (r listRow[Entry]) Number(field string) float64 { return r.fields.numbers[field](r.entry) }
 
-// listLimiter bounds the rate of lists. Its zero value allows the first.
-type listLimiter struct{ lastAt time.Duration }
+// listLimiter limits the rate of lists. The zero value allows the first list.
+type listLimiter struct{ lastListAt time.Duration }
 
-// allow reports whether a list may be made now, and counts it if so.
+// allow reports whether a list may be made now and, if so, records the time.
 func (l *listLimiter) allow(now time.Duration) bool {
-	if l.lastAt > 0 && now-l.lastAt < listInterval {
+	if l.lastListAt > 0 && now-l.lastListAt < listInterval {
 		return false
 	}
-	l.lastAt = now
+	l.lastListAt = now
 	return true
 }
 
-// startList returns the filter of a request for a list, or the refusal if that is malformed or lists are requested too
-// often. A malformed request doesn't count as a list.
-func (c *Controller) startList(
+// parseListRequest returns the filter of a request for a list. If the filter is malformed or lists are requested too
+// often, refused is true and refusal is the response. A malformed request doesn't count towards the rate.
+func (c *Controller) parseListRequest(
 	now time.Duration,
 	request api.LeaderRequest,
 	fields query.Fields,
@@ -80,7 +80,7 @@
 		return filter, api.Refuse(api.InvalidRequest, "where: "+err.Error()), true
 	}
 	if !c.listLimiter.allow(now) {
-		return filter, api.Refuse(api.TooManyRequests, "too many lists"), true
+		return filter, api.Refuse(api.TooManyRequests, "too many list requests"), true
 	}
 	return filter, api.Reply{}, false
 }
--- a/internal/controller/lists_test.go
+++ b/internal/controller/lists_test.go
@@ -16,7 +16,7 @@
 	return fields.match(parsed, &entry)
 }
 
-// Each field of a filter reads its own value of a job and of an event. An event that is about no task has task -1.
+// Each field of a filter reads its own value of a job and of an event. An event that is not about a task has task -1.
 func TestFilterFieldsReadTheirOwnValue(t *testing.T) {
 	job := JobSummary{
 		ID: "i", State: "s", Class: "c", Team: "t", Kind: "k", Priority: "p",
@@ -27,7 +27,7 @@
 		"tasks": "1", "done": "2", "running": "3", "waiting": "4", "age_s": "5", "predecessors": "6",
 	} {
 		if !matches(t, jobFields, field+" = "+want, job) || matches(t, jobFields, field+" != "+want, job) {
-			t.Errorf("a job's %s isn't %s", field, want)
+			t.Errorf("filter on jobs: field %s doesn't read the value %s", field, want)
 		}
 	}
 	task := int32(7)
@@ -36,10 +36,10 @@
 		"event": "k", "id": "i", "machine": "m", "note": "n", "task": "7", "age_s": "8",
 	} {
 		if !matches(t, eventFields, field+" = "+want, event) || matches(t, eventFields, field+" != "+want, event) {
-			t.Errorf("an event's %s isn't %s", field, want)
+			t.Errorf("filter on events: field %s doesn't read the value %s", field, want)
 		}
 	}
 	if !matches(t, eventFields, "task = -1", EventView{}) {
-		t.Error("the task of an event that is about none isn't -1")
+		t.Error("filter on events: field task doesn't read -1 for an event without a task")
 	}
 }
--- a/internal/controller/loop_test.go
+++ b/internal/controller/loop_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// The heartbeats of a large fleet that arrive at once, after a failover, all find room.
-func TestHeartbeatsOfALargeFleetFindRoom(t *testing.T) {
+// The queue has room for the heartbeats of a large fleet that arrive at once after a failover.
+func TestHeartbeatQueueHoldsLargeFleet(t *testing.T) {
 	const machines = 4000
 	loop := NewLoop(func() time.Duration { return 0 })
 	for i := range machines {
 		if !loop.OfferWorker(func() {}) {
-			t.Fatalf("heartbeat %d of %d was refused", i, machines)
+			t.Fatalf("heartbeat %d of %d was refused, want room for all", i, machines)
 		}
 	}
 }
 
-// A controller that falls behind handles its own answers first, then heartbeats, then users, each in their order, and
-// refuses at once what it has no room for.
-func TestUrgentMessagesGoFirst(t *testing.T) {
+// A controller that falls behind handles responses to its own requests first, then heartbeats, then users' messages,
+// each class in order of arrival. A message for which its queue has no room is refused at once.
+func TestLoopHandlesUrgentMessagesFirst(t *testing.T) {
 	loop := NewLoop(func() time.Duration { return 0 })
 	var got strings.Builder
 	message := func(name string) func() { return func() { got.WriteString(name) } }
@@ -32,13 +32,13 @@
 		next()
 	}
 	if got.String() != "a w u1 u2 " {
-		t.Fatalf("order %q", got.String())
+		t.Fatalf("order %q, want \"a w u1 u2 \"", got.String())
 	}
 	accepted := 0
 	for loop.Offer(func() {}) {
 		accepted++
 	}
-	if accepted != maxQueue || !loop.OfferWorker(func() {}) {
-		t.Fatalf("%d messages of users accepted, and no heartbeat after them", accepted)
+	if accepted != maxQueuedMessages || !loop.OfferWorker(func() {}) {
+		t.Fatalf("%d users' messages accepted, want maxQueuedMessages and room for a heartbeat after them", accepted)
 	}
 }
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -10,15 +10,15 @@
 
 // machineTypes are the cloud's machine types and prices, as last fetched from the cloud or read from the store.
 type machineTypes struct {
-	list       []capacity.MachineType
-	byIndex    map[int32]*fleet.MachineType
-	raw        string // as stored
-	fetchedAt  time.Duration
-	requesting bool
-	version    uint64 // of the stored key
+	list            []capacity.MachineType
+	byIndex         map[int32]*fleet.MachineType
+	raw             string // as fetched or as stored, in JSON
+	fetchedAt       time.Duration
+	requestInFlight bool
+	version         uint64 // of the stored key, 0 if there is none
 }
 
-// How often machine types are fetched: until they are known, afterwards by the leader, and after a failure.
+// Times between fetches of the machine types: until the first success, afterwards on the leader, and after a failure.
 const (
 	firstTypesInterval = 5 * time.Second
 	typesInterval      = time.Minute
@@ -54,8 +54,8 @@
 	}
 }
 
-// refreshMachineTypes keeps the machine types and prices up to date: every controller fetches them until it has some,
-// the leader also later.
+// refreshMachineTypes fetches the machine types and prices when they are due: every controller until its first
+// success, and the leader from then on.
 func (c *Controller) refreshMachineTypes(now time.Duration) {
 	interval := firstTypesInterval
 	if len(c.machineTypes.list) > 0 {
@@ -64,13 +64,13 @@
 		}
 		interval = typesInterval
 	}
-	fetchedLately := c.machineTypes.fetchedAt > 0 && now-c.machineTypes.fetchedAt < interval
-	if c.machineTypes.requesting || !c.watchCache.Synced() || fetchedLately {
+	isFetchRecent := c.machineTypes.fetchedAt > 0 && now-c.machineTypes.fetchedAt < interval
+	if c.machineTypes.requestInFlight || !c.watchCache.Synced() || isFetchRecent {
 		return
 	}
 	c.machineTypes.fetchedAt = now
-	c.machineTypes.requesting = c.cloud.Types(func(raw []byte, types []capacity.MachineType) {
-		c.machineTypes.requesting = false
+	c.machineTypes.requestInFlight = c.cloud.Types(func(raw []byte, types []capacity.MachineType) {
+		c.machineTypes.requestInFlight = false
 		if types == nil {
 			c.machineTypes.fetchedAt = c.loop.Now() - interval + typesRetryBackoff
 			return
@@ -79,8 +79,8 @@
 	})
 }
 
-// handleFetchedMachineTypes applies the machine types that the cloud returned. The leader stores them, so that
-// controllers that start while the cloud fails have them too.
+// handleFetchedMachineTypes applies the machine types that the cloud returned. The leader stores them for controllers
+// that start during an outage of the cloud.
 func (c *Controller) handleFetchedMachineTypes(raw []byte, types []capacity.MachineType) {
 	isChanged := string(raw) != c.machineTypes.raw
 	c.setMachineTypes(string(raw), types)
@@ -90,7 +90,7 @@
 	txn := store.Txn{
 		If: []store.Condition{
 			c.membership.LeaderCondition(),
-			{Key: machineTypesKey, Version: c.machineTypes.version}, // older prices that land late change nothing
+			{Key: machineTypesKey, Version: c.machineTypes.version}, // a late write of older prices must fail
 		},
 		Then: []store.Op{{Put: machineTypesKey, Value: raw}},
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -17,13 +17,13 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// scrapeTimeout bounds how long a scrape waits for the event loop.
+// scrapeTimeout is the maximum time that a scrape waits for the event loop.
 const scrapeTimeout = 2 * time.Second
 
-// maxScrapes bounds the scrapes in flight.
+// maxScrapes is the maximum number of scrapes in flight.
 const maxScrapes = 2
 
-// debugReadHeaderTimeout bounds how long a request's headers may take on the debug address.
+// debugReadHeaderTimeout is the maximum time for reading a request's headers on the debug address.
 const debugReadHeaderTimeout = 5 * time.Second
 
 // sample is the value of one metric.
@@ -53,13 +53,13 @@
 	return prometheus.NewDesc("harewalk_"+name, help, labels, nil)
 }
 
-// The metrics. Names keep their meaning between versions.
+// Descriptions of the metrics. A metric's name keeps its meaning between versions.
 var (
 	upDesc       = desc("up", "1 if this controller passes its health check.")
 	leadingDesc  = desc("leading", "1 if this controller leads and has the authority to act.")
 	termDesc     = desc("term", "The term of the leader, as last seen.")
 	storeAgeDesc = desc("state_answer_age_seconds",
-		"Since when the state service has not carried out a request of ours.")
+		"Seconds since the state service last carried out a request of this controller.")
 	loopWaitDesc     = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
 	jobsDesc         = desc("jobs", "Jobs that are not over.")
 	blockedDesc      = desc("jobs_blocked", "Jobs that wait for others to be done.")
@@ -88,11 +88,12 @@
 // collector reads the metrics on the controller's event loop at each scrape.
 type collector struct{ c *Controller }
 
-// Describe implements prometheus.Collector. It describes nothing: the set of metrics depends on who leads.
+// Describe implements prometheus.Collector. It describes no metric: the set of metrics depends on which controller
+// leads.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
-func (k collector) Collect(out chan<- prometheus.Metric) {
+func (k collector) Collect(ch chan<- prometheus.Metric) {
 	requestedAt := k.c.loop.Now()
 	result := make(chan samples, 1)
 	if !k.c.loop.Offer(func() { result <- k.c.metrics(k.c.loop.Now(), requestedAt) }) {
@@ -103,67 +104,67 @@
 	select {
 	case all := <-result:
 		for _, s := range all {
-			out <- prometheus.MustNewConstMetric(s.desc, prometheus.GaugeValue, s.value, s.labels...)
+			ch <- prometheus.MustNewConstMetric(s.desc, prometheus.GaugeValue, s.value, s.labels...)
 		}
 	case <-timeout.C:
 	}
 }
 
-// metrics returns the present values of all metrics.
+// metrics returns the current values of all metrics.
 func (c *Controller) metrics(now, requestedAt time.Duration) samples {
-	var out samples
-	c.addControllerMetrics(&out, now, requestedAt)
-	c.addStoreMetrics(&out, now)
-	c.addRolloutMetrics(&out)
+	var collected samples
+	c.addControllerMetrics(&collected, now, requestedAt)
+	c.addStoreMetrics(&collected, now)
+	c.addRolloutMetrics(&collected)
 	if !c.term.loaded() {
-		return out
+		return collected
 	}
 	if c.rollout.State() == rollout.Migrating {
-		out.add(migrationDesc, float64(c.term.fleet.UnmigratedPlans()))
+		collected.add(migrationDesc, float64(c.term.fleet.UnmigratedPlans()))
 	}
-	out.add(archivedDesc, float64(c.term.mover.Stats.Moved))
-	c.addTaskMetrics(&out)
-	c.addMachineMetrics(&out)
-	c.addLicenceMetrics(&out, now)
+	collected.add(archivedDesc, float64(c.term.archiver.Stats.Moved))
+	c.addTaskMetrics(&collected)
+	c.addMachineMetrics(&collected)
+	c.addLicenceMetrics(&collected, now)
 	if c.term.sessions != nil {
 		for state, count := range c.term.sessions.CountByState() {
-			out.add(sessionsDesc, float64(count), state)
+			collected.add(sessionsDesc, float64(count), state)
 		}
 	}
-	return out
+	return collected
 }
 
-func (c *Controller) addControllerMetrics(out *samples, now, requestedAt time.Duration) {
-	out.addBool(upDesc, c.healthy())
-	out.addBool(leadingDesc, c.membership.State() == membership.Leading && c.membership.HasAuthority(now))
-	out.add(termDesc, float64(c.membership.Leader().Term))
-	out.add(loopWaitDesc, (now - requestedAt).Seconds())
-	out.add(jobsDesc, float64(c.jobs.LiveJobs()))
-	out.add(blockedDesc, float64(c.blockedJobs()))
-	out.add(jobsInMemoryDesc, float64(c.jobs.Len()))
-	out.add(cachedDesc, float64(c.archive.reader.CacheLen()))
+func (c *Controller) addControllerMetrics(collected *samples, now, requestedAt time.Duration) {
+	collected.addBool(upDesc, c.healthy())
+	collected.addBool(leadingDesc, c.membership.State() == membership.Leading && c.membership.HasAuthority(now))
+	collected.add(termDesc, float64(c.membership.Leader().Term))
+	collected.add(loopWaitDesc, (now - requestedAt).Seconds())
+	collected.add(jobsDesc, float64(c.jobs.LiveJobs()))
+	collected.add(blockedDesc, float64(c.blockedJobs()))
+	collected.add(jobsInMemoryDesc, float64(c.jobs.Len()))
+	collected.add(cachedDesc, float64(c.archive.reader.CacheLen()))
 }
 
-func (c *Controller) addStoreMetrics(out *samples, now time.Duration) {
-	out.add(storeAgeDesc, (now - c.store.LastSuccess()).Seconds())
+func (c *Controller) addStoreMetrics(collected *samples, now time.Duration) {
+	collected.add(storeAgeDesc, (now - c.store.LastSuccess()).Seconds())
 	limits := c.store.Limits()
-	out.add(limitDesc, float64(limits.MaxOps), "changes")
-	out.add(limitDesc, float64(limits.MaxValueBytes), "value_bytes")
+	collected.add(limitDesc, float64(limits.MaxOps), "changes")
+	collected.add(limitDesc, float64(limits.MaxValueBytes), "value_bytes")
 	forSize, forRate := c.store.Rejections()
-	out.add(refusedDesc, float64(forSize), "size")
-	out.add(refusedDesc, float64(forRate), "rate")
+	collected.add(refusedDesc, float64(forSize), "size")
+	collected.add(refusedDesc, float64(forRate), "rate")
 }
 
-func (c *Controller) addRolloutMetrics(out *samples) {
-	out.add(levelDesc, float64(c.rollout.Level()), "cluster")
-	out.add(levelDesc, float64(c.rollout.MaxLevel()), "known")
+func (c *Controller) addRolloutMetrics(collected *samples) {
+	collected.add(levelDesc, float64(c.rollout.Level()), "cluster")
+	collected.add(levelDesc, float64(c.rollout.MaxLevel()), "known")
 	for state := rollout.Loading; state <= rollout.Incompatible; state++ {
-		out.addBool(rolloutDesc, state == c.rollout.State(), state.String())
+		collected.addBool(rolloutDesc, state == c.rollout.State(), state.String())
 	}
-	out.add(unreadableDesc, float64(c.rollout.UnreadableCount()))
+	collected.add(unreadableDesc, float64(c.rollout.UnreadableCount()))
 }
 
-func (c *Controller) addTaskMetrics(out *samples) {
+func (c *Controller) addTaskMetrics(collected *samples) {
 	countByState := map[jobs.TaskState]int{}
 	c.jobs.ForEachLive(func(job *jobs.Job) {
 		for state, count := range job.TasksByState {
@@ -171,11 +172,11 @@
 		}
 	})
 	for state := jobs.Unplanned; state <= jobs.Finished; state++ {
-		out.add(tasksDesc, float64(countByState[state]), state.String())
+		collected.add(tasksDesc, float64(countByState[state]), state.String())
 	}
 }
 
-func (c *Controller) addMachineMetrics(out *samples) {
+func (c *Controller) addMachineMetrics(collected *samples) {
 	countByCondition := map[fleet.Condition]int{}
 	var cores, coresUsed, gpus, gpusUsed float64
 	for _, machine := range c.term.fleet.Machines() {
@@ -188,22 +189,22 @@
 		}
 	}
 	for condition := fleet.Registered; condition <= fleet.Terminated; condition++ {
-		out.add(machinesDesc, float64(countByCondition[condition]), condition.String())
+		collected.add(machinesDesc, float64(countByCondition[condition]), condition.String())
 	}
-	out.add(coresDesc, cores, "there")
-	out.add(coresDesc, coresUsed, "used")
-	out.add(gpusDesc, gpus, "there")
-	out.add(gpusDesc, gpusUsed, "used")
+	collected.add(coresDesc, cores, "there")
+	collected.add(coresDesc, coresUsed, "used")
+	collected.add(gpusDesc, gpus, "there")
+	collected.add(gpusDesc, gpusUsed, "used")
 }
 
-func (c *Controller) addLicenceMetrics(out *samples, now time.Duration) {
+func (c *Controller) addLicenceMetrics(collected *samples, now time.Duration) {
 	for index, pool := range c.licencePools.Pools() {
 		view := c.licenceView(now, int32(index))
-		out.add(licencesDesc, float64(view.Count), pool.Name, "count")
-		out.add(licencesDesc, float64(view.Held+view.Booked), pool.Name, "held")
-		out.add(licencesDesc, float64(view.AwaitingRelease), pool.Name, "lingering")
-		out.add(licencesDesc, float64(view.OutsideUnits), pool.Name, "others")
-		out.add(licencesDesc, float64(view.Free), pool.Name, "free")
+		collected.add(licencesDesc, float64(view.Count), pool.Name, "count")
+		collected.add(licencesDesc, float64(view.Held+view.Booked), pool.Name, "held")
+		collected.add(licencesDesc, float64(view.AwaitingRelease), pool.Name, "lingering")
+		collected.add(licencesDesc, float64(view.OutsideUnits), pool.Name, "others")
+		collected.add(licencesDesc, float64(view.Free), pool.Name, "free")
 	}
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// statusInterval spaces the statuses that are sent to other controllers.
+	// statusInterval is the time between two statuses that are sent to the other controllers.
 	statusInterval = time.Second
 	// peerStatusTTL is how long a controller counts as alive after its last status.
 	peerStatusTTL = 3 * time.Second
-	// statusStoreAge is how recently the state service must have answered for a status to report that it is reached.
-	statusStoreAge = 2500 * time.Millisecond
+	// reachableStoreAge is the maximum age of the state service's last answer at which a status reports the service
+	// as reachable.
+	reachableStoreAge = 2500 * time.Millisecond
 )
 
-// link carries statuses to one other controller, without waiting.
+// link sends statuses to one other controller without blocking.
 type link interface{ Send(raw []byte) }
 
-// peerSet is the connections to the other controllers and the last status of each.
+// peerSet holds the connections to the other controllers and each controller's last status.
 type peerSet struct {
 	links        []link
-	status       map[string]peerStatus // by node
+	statuses     map[string]peerStatus // last status of each controller, by node
 	statusSentAt time.Duration
 }
 
@@ -35,11 +36,11 @@
 // isFresh reports whether a status is recent enough for its sender to count as alive.
 func (s *peerStatus) isFresh(now time.Duration) bool { return now-s.receivedAt < peerStatusTTL }
 
-// leader returns the node that reports the highest term of its own, "" if none reports that it leads.
+// leader returns the node with the highest term among the live controllers that report to lead, "" if there is none.
 func (s *peerSet) leader(now time.Duration) string {
 	node := ""
 	term := uint64(0)
-	for _, status := range s.status {
+	for _, status := range s.statuses {
 		if status.Leading && status.Term > term && status.isFresh(now) {
 			node = status.Node
 			term = status.Term
@@ -48,11 +49,10 @@
 	return node
 }
 
-// foreignHeartbeats returns how many heartbeats of another leader's workers the controllers that are alive have
-// received lately.
+// foreignHeartbeats returns the number of heartbeats that live controllers have recently received while not leading.
 func (s *peerSet) foreignHeartbeats(now time.Duration) int {
 	heartbeats := 0
-	for _, status := range s.status {
+	for _, status := range s.statuses {
 		if status.isFresh(now) {
 			heartbeats += int(status.ForeignHeartbeats)
 		}
@@ -60,9 +60,9 @@
 	return heartbeats
 }
 
-// liveness reports whether any other controller is alive, and whether any of those reaches the state service.
+// liveness reports whether any other controller is alive, and whether any live one reaches the state service.
 func (s *peerSet) liveness(now time.Duration) (anyAlive, anyReachesStore bool) {
-	for _, status := range s.status {
+	for _, status := range s.statuses {
 		if status.isFresh(now) {
 			anyAlive = true
 			anyReachesStore = anyReachesStore || status.StateServiceReachable
@@ -74,12 +74,12 @@
 // handlePeerStatus applies a status of another controller.
 func (c *Controller) handlePeerStatus(status peers.Status) {
 	now := c.loop.Now()
-	c.peers.status[status.Node] = peerStatus{status, now}
+	c.peers.statuses[status.Node] = peerStatus{status, now}
 	c.rollout.HandleHealth(now, status.Node, status.StateServiceReachable && !status.Leaving)
 	c.applyLeaderCounts(status)
 }
 
-// applyLeaderCounts applies the leader's counts of tasks, for answers to users by a controller that doesn't lead.
+// applyLeaderCounts applies the leader's task counts. A controller that doesn't lead answers users with these counts.
 func (c *Controller) applyLeaderCounts(status peers.Status) {
 	if c.term.active() || !status.Leading || status.Term < c.membership.Leader().Term {
 		return
@@ -100,7 +100,7 @@
 	return job.FinishedTasks, job.ReportedRunning
 }
 
-// sendStatus sends this controller's status to the others, if it is due.
+// sendStatus sends this controller's status to the other controllers, if it is due.
 func (c *Controller) sendStatus(now time.Duration) {
 	if now-c.peers.statusSentAt < statusInterval {
 		return
@@ -112,13 +112,13 @@
 	}
 }
 
-// status returns this controller's status: for a leader with the counts of as many jobs as a status may hold.
+// status returns this controller's status. A leader's status has the task counts of up to peers.MaxJobCounts jobs.
 func (c *Controller) status(now time.Duration) peers.Status {
 	heartbeatInterval := jobs.Seconds(c.settings.Params.Workers.HeartbeatIntervalS)
 	status := peers.Status{
 		Node:                  c.settings.Node,
 		Leading:               c.term.active(),
-		StateServiceReachable: now-c.store.LastSuccess() < statusStoreAge,
+		StateServiceReachable: now-c.store.LastSuccess() < reachableStoreAge,
 		ForeignHeartbeats:     c.foreignHeartbeats.add(now, heartbeatInterval, 0),
 		Leaving:               !c.lifecycle.isServing(),
 	}
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -10,11 +10,11 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// maxNearestJobs bounds JobPendingView.Nearest.
+// maxNearestJobs is the maximum length of JobPendingView.Nearest.
 const maxNearestJobs = 5
 
-// pendingReasonsCall answers why a job waits, by the reasons that planning has recorded.
-func (c *Controller) pendingReasonsCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// handlePendingReasonsRequest handles a request for the reasons why a job is pending, as planning has recorded them.
+func (c *Controller) handlePendingReasonsRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	job := c.jobs.Get(request.Name)
 	if job == nil {
 		reply(api.Refuse(api.NotFound, jobNotInTable))
@@ -32,7 +32,7 @@
 		Nearest: []string{},
 	}
 	view.Done, view.Running = c.taskCounts(job)
-	view.NeededInS = c.neededIn(now, job)
+	view.NeededInS = c.secondsUntilLatestEnd(now, job)
 	if job.State == jobs.Pending && job.Blocked {
 		view.Waiting = append(view.Waiting, c.blockedReason(job))
 		return view
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -13,10 +13,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// rolloutInterval spaces the steps of a rollout.
+// rolloutInterval is the minimum time between two steps of a rollout.
 const rolloutInterval = 250 * time.Millisecond
 
-// newRollout makes this controller's side of rollouts.
+// newRollout returns this controller's state machine of rollouts.
 func (c *Controller) newRollout() *rollout.Rollout {
 	settings := c.settings.Rollout()
 	cfg := rollout.Config{
@@ -40,7 +40,7 @@
 	return rollout.New(cfg)
 }
 
-// newestJobFormat returns the newest format of job records that a release reads whose highest level is given.
+// newestJobFormat returns the newest format of job records that a release with the given highest level reads.
 func newestJobFormat(level rollout.Level) int {
 	format, _ := rollout.RecordFormatOf(jobs.Prefix)
 	return format.WrittenAt(level)
@@ -60,7 +60,7 @@
 	})
 }
 
-// membershipRollout is what package membership needs of rollouts.
+// membershipRollout implements membership.Rollout.
 type membershipRollout struct {
 	*rollout.Rollout
 	c *Controller
@@ -70,15 +70,16 @@
 func (m membershipRollout) PreferredLeaders() int {
 	wallMS := m.c.jobs.WallMS(m.c.loop.Now())
 	return m.Rollout.PreferredLeaders(wallMS, func(node string) bool {
-		status, isKnown := m.c.peers.status[node]
+		status, isKnown := m.c.peers.statuses[node]
 		return m.c.drains.isDrained(node) || (isKnown && status.Leaving)
 	})
 }
 
-// advanceRollout takes the next step of a rollout, if one is due: every controller evaluates its state, the leader
-// writes.
+// advanceRollout performs the next step of a rollout, if one is due. Every controller evaluates the rollout's state;
+// only the leader writes.
 func (c *Controller) advanceRollout(now time.Duration) {
-	// A controller that is behind, or has met a record that it can't read, gives up the leadership at once.
+	// A leader whose release is behind the cluster's level, or that has received an unreadable record, resigns at
+	// once.
 	if !c.rollout.Compatible() && c.term.active() {
 		c.membership.Resign(now, "this release is behind the cluster's stored state")
 	}
@@ -104,10 +105,11 @@
 	})
 }
 
-// migrationProgress returns how much is stored in former formats. The migration isn't done before the followed keys
-// have passed the version upgrade: until then a write that precedes it may not have been received.
+// migrationProgress returns the number of records in former formats and whether the migration is done. It isn't done
+// before the followed keys have passed the version upgrade: until then, earlier writes may not have been received
+// yet.
 func (c *Controller) migrationProgress() rollout.MigrationProgress {
-	drainRequests := c.unmovedDrainRequests()
+	drainRequests := c.unmigratedDrainRequests()
 	hasPassedUpgrade := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
 	return rollout.MigrationProgress{
 		Left: c.term.fleet.UnmigratedPlans() + drainRequests,
@@ -115,7 +117,7 @@
 	}
 }
 
-// rolloutView returns the rollout's progress, as far as this controller has followed it.
+// rolloutView returns the rollout's progress as this controller sees it.
 func (c *Controller) rolloutView(now time.Duration) rollout.View {
 	cluster := rollout.Cluster{Leader: c.membership.Leader().Node, Drained: map[string]bool{}}
 	for node := range c.drains.document.Nodes {
@@ -127,16 +129,16 @@
 	return c.rollout.View(now, cluster)
 }
 
-// rolloutShow answers with the rollout's progress. A controller that is behind, or follows no leader, answers with its
-// own view.
-func (c *Controller) rolloutShow(now time.Duration, reply func(api.Reply)) {
+// replyWithRollout replies with the rollout's progress. A controller whose release is behind, or that sees no leader,
+// replies with its own view.
+func (c *Controller) replyWithRollout(now time.Duration, reply func(api.Reply)) {
 	reply(api.Reply{Status: http.StatusOK, Body: c.rolloutView(now)})
 }
 
-// rolloutCall answers an operator: the rollout's progress, or a command.
-func (c *Controller) rolloutCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// handleRolloutRequest handles an operator's request: it shows the rollout's progress or executes a command.
+func (c *Controller) handleRolloutRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	if request.Verb == api.VerbShow {
-		c.rolloutShow(now, reply)
+		c.replyWithRollout(now, reply)
 		return
 	}
 	var command rollout.Command
@@ -158,7 +160,7 @@
 	})
 }
 
-// rolloutCommandReply returns the answer to a command by its write's outcome. It applies a write that was committed.
+// rolloutCommandReply applies the write of a command if it was committed, and returns the response to the command.
 func (c *Controller) rolloutCommandReply(command rollout.Command, txn store.Txn, result store.Result) api.Reply {
 	switch result.Outcome {
 	case store.Committed:
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -12,14 +12,15 @@
 	"github.com/harewalk/harewalk/internal/peers"
 )
 
-// fileCheckInterval is how often the files of TLS keys and users are looked at for changes.
+// fileCheckInterval is the time between two checks of the files of TLS keys and users for changes.
 const fileCheckInterval = 5 * time.Second
 
-// tlsConnectionDivisor sets the part of all connections that the TLS listener may take, where there is one.
+// tlsConnectionDivisor sets the fraction of all connections, a quarter, that the TLS listener may accept if TLS is
+// enabled.
 const tlsConnectionDivisor = 4
 
-// Run listens and serves until a listener fails, and returns that error. The goroutines it starts live as long as the
-// process.
+// Run listens and serves until a listener fails, and returns the listener's error. The goroutines that it starts run
+// until the process ends.
 func (c *Controller) Run() error {
 	publicListener, err := net.Listen("tcp4", c.settings.PublicAddr)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return <-failed
 }
 
-// listenForPeers opens the address at which other controllers connect.
+// listenForPeers opens the listener for other controllers' connections.
 func (c *Controller) listenForPeers() (net.Listener, error) {
 	listener, err := net.Listen("tcp4", c.settings.PeerAddr)
 	if err != nil {
@@ -64,7 +65,7 @@
 	return listener, nil
 }
 
-// routes returns what the public address serves.
+// routes returns the routes of the public address.
 func (c *Controller) routes() api.Routes {
 	return api.Routes{
 		Post:            c.loop.Offer,
@@ -73,7 +74,7 @@
 		Service:         c.api,
 		Healthy:         c.healthy,
 		HandleHeartbeat: c.handleHeartbeat,
-		Leader:          c.leaderCalls(),
+		Leader:          c.leaderAPI(),
 		MaxConns:        c.settings.Params.Limits.MaxConns(),
 		MaxKeptConns:    c.settings.Params.Limits.KeepAliveConns(),
 		Users:           c.settings.Users(),
@@ -81,8 +82,8 @@
 	}
 }
 
-// serveTLS starts the TLS listener of users and returns the routes that are left for the plain one: the two share the
-// connections that this process may take.
+// serveTLS starts the users' TLS listener and returns the routes of the plain listener with the connections that are
+// left for it: the two listeners share the connections that this process may accept.
 func (c *Controller) serveTLS(settings *config.TLSSettings, plain api.Routes, failed chan<- error) (api.Routes, error) {
 	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return plain, nil
 }
 
-// checkFiles applies changed TLS keys and users at each interval, until the process ends.
+// checkFiles reloads changed files of TLS keys and users at each interval, until the process ends.
 func (c *Controller) checkFiles(interval time.Duration) {
 	keys, users := c.settings.Keys(), c.settings.Users()
 	if keys == nil && users == nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// logFileCheck logs that a changed file was not applied; err nil means that there is nothing to log.
+// logFileCheck logs that a changed file was not applied. It does nothing if err is nil.
 func logFileCheck(file string, err error) {
 	if err != nil {
 		slog.Error("changed file not applied, the former content stays in force", "file", file, "error", err)
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -11,7 +11,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// newSessions makes a term's sessions, nil where they are off.
+// newSessions returns the session manager of a leader term, nil if sessions are disabled.
 func (c *Controller) newSessions(term uint64) *sessions.Manager {
 	policies := c.settings.Sessions()
 	if !policies.Enabled {
@@ -34,8 +34,8 @@
 	}, term)
 }
 
-// sessionCall answers a user, an operator or an agent about sessions.
-func (c *Controller) sessionCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// handleSessionRequest handles a request of a user, an operator or a session's agent.
+func (c *Controller) handleSessionRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	answer := func(result sessions.Result, err error) { reply(sessionReply(result, err)) }
 	manager := c.term.sessions
 	switch request.Verb {
@@ -44,7 +44,7 @@
 	case api.VerbAttach:
 		manager.Attach(now, request.Name, request.Bearer, answer)
 	case api.VerbKeepAlive:
-		c.keepSession(now, request, reply)
+		c.extendAttachment(now, request, reply)
 	case api.VerbClose:
 		manager.Close(request.Name, request.Bearer, answer)
 	case api.VerbHeartbeat:
@@ -56,7 +56,8 @@
 	}
 }
 
-// refusalKinds maps the reasons for which package sessions refuses requests; it alone decides their HTTP statuses.
+// refusalKinds maps the reasons for which package sessions refuses requests. Only this map determines their HTTP
+// statuses.
 var refusalKinds = [...]api.RefusalKind{
 	sessions.NotAuthorized: api.Forbidden,
 	sessions.Conflict:      api.Conflict,
@@ -80,7 +81,7 @@
 	}
 }
 
-// openSession opens a session, if the user may and the session's job can run.
+// openSession opens a session, if the user may act for the team and the session's job can run.
 func (c *Controller) openSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	opening, err := sessions.ParseRequest(request.Body)
 	if err != nil {
@@ -103,17 +104,17 @@
 	c.term.sessions.Open(now, opening, func(result sessions.Result, err error) { reply(sessionReply(result, err)) })
 }
 
-// keepSession extends an attachment to a session.
-func (c *Controller) keepSession(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// extendAttachment extends an attachment to a session.
+func (c *Controller) extendAttachment(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	var body keepAliveBody
 	if json.Unmarshal(request.Body, &body) != nil {
-		reply(api.Refuse(api.InvalidRequest, "attachment must be there"))
+		reply(api.Refuse(api.InvalidRequest, "the attachment is missing or malformed"))
 		return
 	}
 	reply(sessionReply(c.term.sessions.KeepAlive(now, request.Name, request.Bearer, body.Attachment)))
 }
 
-// sessionHeartbeat answers the heartbeat of a session's agent.
+// sessionHeartbeat handles the heartbeat of a session's agent.
 func (c *Controller) sessionHeartbeat(now time.Duration, request api.LeaderRequest) api.Reply {
 	heartbeat, err := sessions.ParseHeartbeat(request.Body)
 	if err != nil {
@@ -121,13 +122,13 @@
 	}
 	response, err := c.term.sessions.HandleHeartbeat(now, request.Name, request.Bearer, heartbeat)
 	if err != nil {
-		// Agents of unknown sessions and with other tokens get the same status as late heartbeats.
+		// An unknown session or another session's token gets the same status as a late heartbeat.
 		return api.Refuse(api.Conflict, err.Error())
 	}
 	return api.Reply{Status: http.StatusOK, Body: response}
 }
 
-// explainSession answers why a session is in its state.
+// explainSession returns the reasons for a session's state.
 func (c *Controller) explainSession(now time.Duration, id string) api.Reply {
 	lines, ok := c.term.sessions.Explain(now, id)
 	if !ok {
@@ -136,7 +137,7 @@
 	return api.Reply{Status: http.StatusOK, Body: sessionExplanation{ID: id, Why: lines}}
 }
 
-// showSessions answers with one session or, without a name, with those of a user or a team.
+// showSessions returns one session or, if the request has no name, the sessions of a user or a team.
 func (c *Controller) showSessions(now time.Duration, request api.LeaderRequest) api.Reply {
 	if request.Name == "" {
 		list := c.term.sessions.List(now, request.Query.User, request.Query.Team)
--- a/internal/controller/sessions_test.go
+++ b/internal/controller/sessions_test.go
@@ -8,7 +8,8 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// Each reason of package sessions has its HTTP status, and only those worth a retry carry a Retry-After.
+// Each refusal reason of package sessions maps to its HTTP status. Only the responses that are worth a retry have a
+// Retry-After.
 func TestSessionRefusalsHaveTheirStatus(t *testing.T) {
 	for _, c := range []struct {
 		reason sessions.Reason
@@ -24,20 +25,20 @@
 		t.Run(c.reason.String(), func(t *testing.T) {
 			reply := sessionReply(sessions.Result{}, &sessions.Error{Reason: c.reason, Message: "refused"})
 			if reply.Status != c.status || (reply.RetryAfter > 0) != c.retry {
-				t.Errorf("status %d, Retry-After %v", reply.Status, reply.RetryAfter)
+				t.Errorf("status %d, Retry-After %v; want those of the test case", reply.Status, reply.RetryAfter)
 			}
 		})
 	}
 	if reply := sessionReply(sessions.Result{}, errors.New("other")); reply.Status != http.StatusServiceUnavailable {
-		t.Errorf("status %d for an error without a reason", reply.Status)
+		t.Errorf("error without a reason: status %d, want 503", reply.Status)
 	}
 }
 
 func TestSessionReplyDistinguishesCreation(t *testing.T) {
 	if reply := sessionReply(sessions.Result{Created: true}, nil); reply.Status != http.StatusCreated {
-		t.Errorf("status %d for a session that was created", reply.Status)
+		t.Errorf("new session: status %d, want 201", reply.Status)
 	}
 	if reply := sessionReply(sessions.Result{}, nil); reply.Status != http.StatusOK {
-		t.Errorf("status %d for a session that existed", reply.Status)
+		t.Errorf("existing session: status %d, want 200", reply.Status)
 	}
 }
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -14,11 +14,11 @@
 	"github.com/harewalk/harewalk/internal/peers"
 )
 
-// Simulated is a controller without sockets, goroutines and clocks of its own: its owner calls its methods, one at a
-// time, and advances the clock. In all else it is the same as a controller of New.
+// Simulated is a controller without sockets, goroutines and a clock of its own. Its owner calls its methods, one at a
+// time, and advances the clock. In every other respect it is the same as a controller of New.
 type Simulated struct{ c *Controller }
 
-// Simulate makes a controller whose statuses go to the links.
+// Simulate returns a simulated controller that sends its statuses to the links.
 func Simulate(settings *config.Settings, env Environment, links ...func(raw []byte)) *Simulated {
 	c := build(settings, env)
 	for _, send := range links {
@@ -27,16 +27,16 @@
 	return &Simulated{c}
 }
 
-// sendFunc makes a function a link.
+// sendFunc adapts a function to a link.
 type sendFunc func([]byte)
 
 // Send implements link.
 func (f sendFunc) Send(raw []byte) { f(raw) }
 
-// Tick does all that is due.
+// Tick performs the periodic work that is due.
 func (s *Simulated) Tick() { s.c.tick(s.c.loop.Now()) }
 
-// HandleStatus applies a status of another controller. A malformed one is ignored.
+// HandleStatus applies a status of another controller. A malformed status is ignored.
 func (s *Simulated) HandleStatus(raw []byte) {
 	if status, err := peers.Decode(raw); err == nil {
 		s.c.handlePeerStatus(status)
@@ -60,8 +60,8 @@
 	return found != nil && found.Condition == fleet.Ready
 }
 
-// HasHeartbeat reports whether the controller counts a machine as ready by a session's heartbeat at a sequence number,
-// or by one of the two before.
+// HasHeartbeat reports whether the controller counts a machine as ready, and the machine's last received heartbeat is
+// the session's heartbeat with number seq or one of the two before.
 func (s *Simulated) HasHeartbeat(machine string, session, seq uint64) bool {
 	if !s.IsReady(machine) {
 		return false
@@ -70,13 +70,13 @@
 	return found.Session == session && found.Seq+2 >= seq && found.Seq <= seq
 }
 
-// Drain does what SIGTERM does to a process. The returned channel is closed when the controller may end.
+// Drain has the same effect as SIGTERM. The returned channel is closed when the controller may end.
 func (s *Simulated) Drain() <-chan struct{} {
 	s.c.handleTermination()
 	return s.c.lifecycle.ended
 }
 
-// Ask takes a request as the HTTP side does. reply is called once, unless the controller ends before.
+// Ask handles a request like the HTTP server. It calls reply once, unless the controller ends before.
 func (s *Simulated) Ask(method, path string, body []byte, reply func(status int, body []byte)) {
 	c, now := s.c, s.c.loop.Now()
 	send := encodeReply(reply)
@@ -94,14 +94,14 @@
 		s.submit(now, body, send)
 	default:
 		if request, ok := parseLeaderRequest(method, location, body); ok {
-			c.leaderCall(now, request, send)
+			c.handleLeaderRequest(now, request, send)
 			return
 		}
 		s.jobRequest(now, strings.TrimPrefix(location.Path, jobsPath+"/"), send)
 	}
 }
 
-// jobRequest takes a request about one job, by its path below that of all jobs.
+// jobRequest handles a request about one job. path is the part after the path of all jobs.
 func (s *Simulated) jobRequest(now time.Duration, path string, send func(api.Reply)) {
 	id, subresource, _ := strings.Cut(path, "/")
 	switch subresource {
@@ -115,11 +115,11 @@
 			send(api.Refuse(api.NotFound, "no such path"))
 			return
 		}
-		s.c.leaderCall(now, api.LeaderRequest{Resource: resource, Name: id, Verb: api.VerbShow}, send)
+		s.c.handleLeaderRequest(now, api.LeaderRequest{Resource: resource, Name: id, Verb: api.VerbShow}, send)
 	}
 }
 
-// health answers a health check.
+// health handles a health check.
 func (s *Simulated) health(reply func(status int, body []byte)) {
 	status := http.StatusServiceUnavailable
 	if s.c.healthy() {
@@ -151,7 +151,7 @@
 	zonesPath = "/v2/zones"
 )
 
-// leaderResources are the paths that the leader answers and that are about no single job or zone.
+// leaderResources maps the paths that the leader serves, except those of a single job or zone.
 var leaderResources = map[string]api.LeaderResource{
 	jobsPath:      api.ResourceJobs,
 	"/v2/events":  api.ResourceEvents,
@@ -159,14 +159,14 @@
 	"/v2/admin":   api.ResourceAdmin,
 }
 
-// leaderJobResources are the last parts of a job's paths that the leader answers.
+// leaderJobResources maps the last segments of a job's paths that the leader serves.
 var leaderJobResources = map[string]api.LeaderResource{
 	"why":    api.ResourcePendingReasons,
 	"events": api.ResourceEvents,
 }
 
-// parseLeaderRequest returns the request to the leader for a path that is about no single job. ok is false if it is
-// none.
+// parseLeaderRequest returns the request to the leader for a path, except a path of a single job. ok is false if the
+// path is not one of the leader's.
 func parseLeaderRequest(method string, location *url.URL, body []byte) (request api.LeaderRequest, ok bool) {
 	if zone, isZone := strings.CutPrefix(location.Path, zonesPath); isZone {
 		return api.LeaderRequest{
@@ -191,12 +191,12 @@
 	return request, true
 }
 
-// Call takes a request of operators, users of sessions or their agents to the leader.
+// Call handles a request to the leader by an operator, a user of a session or a session's agent.
 func (s *Simulated) Call(request api.LeaderRequest, reply func(status int, body []byte)) {
-	s.c.leaderCall(s.c.loop.Now(), request, encodeReply(reply))
+	s.c.handleLeaderRequest(s.c.loop.Now(), request, encodeReply(reply))
 }
 
-// encodeReply returns a function that passes replies on with their bodies as JSON.
+// encodeReply returns a function that encodes a response's body as JSON and passes it to reply.
 func encodeReply(reply func(status int, body []byte)) func(api.Reply) {
 	return func(r api.Reply) {
 		raw, _ := json.Marshal(r.Body)
@@ -204,5 +204,5 @@
 	}
 }
 
-// JobsInMemory returns how many jobs the controller has in memory, with ended ones that are not archived yet.
+// JobsInMemory returns the number of jobs in memory, including ended jobs that are not archived yet.
 func (s *Simulated) JobsInMemory() int { return s.c.jobs.Len() }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -19,39 +19,38 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// leaderTerm is what exists only while this controller leads. startTerm makes it and endTerm drops it. Answers that
-// arrive after the term in which they were requested are dropped: each term has a fleet of its own, by which late
-// answers are told apart.
+// leaderTerm is the state that exists only while this controller leads. startTerm creates it and endTerm discards it.
+// Each term has its own fleet, by which a response to a request of an earlier term is recognized and dropped.
 type leaderTerm struct {
 	fleet          *fleet.Fleet
 	capacity       *capacity.Manager
-	sessions       *sessions.Manager // nil where sessions are off
-	mover          *archive.Mover
+	sessions       *sessions.Manager // nil if sessions are disabled
+	archiver       *archive.Mover
 	canceller      *dependencies.Canceller
 	loading        bool
 	loadNotBefore  time.Duration
-	authoritySince time.Duration // since when authority has not been interrupted
+	authoritySince time.Duration // when the leader last gained the authority to act
 	hadAuthority   bool
 }
 
-// loadRetryBackoff is the pause after a failed read of the stored state.
+// loadRetryBackoff is the delay before the stored state is read again after a failure.
 const loadRetryBackoff = 200 * time.Millisecond
 
-// active reports whether this controller is in a term of its own.
+// active reports whether this controller is in a leader term.
 func (t *leaderTerm) active() bool { return t.fleet != nil }
 
-// loaded reports whether this controller is in a term of its own and has read the stored plans.
+// loaded reports whether this controller is in a leader term and has read the stored plans.
 func (t *leaderTerm) loaded() bool { return t.fleet != nil && t.fleet.PlansLoaded() }
 
-// noteAuthority records whether the leader has the authority to act, and since when.
-func (t *leaderTerm) noteAuthority(now time.Duration, hasAuthority bool) {
+// recordAuthority records whether the leader has the authority to act, and when it gained the authority.
+func (t *leaderTerm) recordAuthority(now time.Duration, hasAuthority bool) {
 	if hasAuthority && !t.hadAuthority {
 		t.authoritySince = now
 	}
 	t.hadAuthority = hasAuthority
 }
 
-// startTerm starts a term of this controller.
+// startTerm creates the state of a new leader term.
 func (c *Controller) startTerm(now time.Duration, term uint64) {
 	c.store.SetShare(c.rateShare(true))
 	c.jobs.ResetPlanning()
@@ -63,25 +62,25 @@
 		Machine: events.None,
 		Note:    c.settings.Node,
 	})
-	c.term.mover = c.newArchiveMover()
+	c.term.archiver = c.newArchiver()
 	c.term.canceller = c.newCanceller()
-	c.drains.upkeep = drainUpkeep{sweptAt: now}
+	c.drains.maintenance = drainMaintenance{lastSweepAt: now}
 	machineTypes := func() []capacity.MachineType { return c.machineTypes.list }
 	c.term.capacity = capacity.New(c.settings, c.cloud, c.term.fleet, c.jobs.Names, machineTypes, term)
-	c.storedZones.writing = false
+	c.storedZones.writeInFlight = false
 	c.restoreZones()
 	c.term.loading = false
 	c.term.loadNotBefore = now
 	c.term.hadAuthority = false
 }
 
-// fleetEnv returns what a term's fleet needs of this controller.
+// fleetEnv returns the environment of a term's fleet.
 func (c *Controller) fleetEnv() fleet.Env {
 	return fleet.Env{
 		Settings:          c.settings,
 		Jobs:              c.jobs,
 		Random:            c.rng,
-		TxnOps:            c.settings.Params.State.TxnOps - 1, // one is left for the leader's condition
+		TxnOps:            c.settings.Params.State.TxnOps - 1, // one operation is reserved for the leader's condition
 		Limits:            c.store.Limits,
 		MaxDirectRequests: c.settings.Params.Limits.MaxOutgoing(maxWorkerRequests),
 		Now:               c.loop.Now,
@@ -101,7 +100,7 @@
 	}
 }
 
-// endTerm ends a term: nothing of its state may be used any more.
+// endTerm discards the state of the leader term, which must not be used any more.
 func (c *Controller) endTerm(time.Duration) {
 	c.store.SetShare(c.rateShare(false))
 	if c.term.capacity != nil {
@@ -110,27 +109,27 @@
 	c.term.fleet = nil
 	c.term.capacity = nil
 	c.term.sessions = nil
-	c.term.mover = nil
+	c.term.archiver = nil
 	c.term.canceller = nil
 	c.term.loading = false
 	c.rollout.HandleLeadershipLost()
 	c.jobs.ResetPlanning()
 }
 
-// termCheck returns a function that reports whether the present term still lasts.
+// termCheck returns a function that reports whether the leader term in which termCheck was called still lasts.
 func (c *Controller) termCheck() func() bool {
 	termFleet := c.term.fleet
 	return func() bool { return c.term.fleet == termFleet }
 }
 
-// commitInTerm sends a transaction that succeeds only while this controller leads. done is called unless the term has
-// ended meanwhile.
+// commitInTerm sends a transaction that succeeds only while this controller leads. done is called only if the term
+// still lasts when the result arrives.
 func (c *Controller) commitInTerm(txn store.Txn, priority store.Priority, done func(store.Result)) {
 	c.commitOrEnd(txn, priority, done, func() {})
 }
 
-// commitCommand sends a command's transaction like commitInTerm. If the term has ended when the outcome arrives, it
-// replies with a refusal that says so, for nobody else would reply.
+// commitCommand sends a command's transaction like commitInTerm. If the term has ended when the result arrives, it
+// replies with indeterminate, since no other code replies to the command.
 func (c *Controller) commitCommand(
 	txn store.Txn,
 	indeterminate api.Reply,
@@ -140,8 +139,8 @@
 	c.commitOrEnd(txn, store.NormalPriority, done, func() { reply(indeterminate) })
 }
 
-// commitOrEnd sends a transaction that succeeds only while this controller leads. It calls done with the outcome, or
-// ended if the term has ended when that arrives.
+// commitOrEnd sends a transaction that succeeds only while this controller leads. When the result arrives, it calls
+// done if the term still lasts, and ended otherwise.
 func (c *Controller) commitOrEnd(txn store.Txn, priority store.Priority, done func(store.Result), ended func()) {
 	txn.If = append([]store.Condition{c.membership.LeaderCondition()}, txn.If...)
 	isSameTerm := c.termCheck()
@@ -154,7 +153,7 @@
 	})
 }
 
-// readInTerm reads a key again. done is called unless the term has ended meanwhile.
+// readInTerm reads a key again. done is called only if the term still lasts when the result arrives.
 func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
 	isSameTerm := c.termCheck()
 	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
@@ -164,8 +163,9 @@
 	})
 }
 
-// sendCommands sends commands directly to a machine. done is called unless the term has ended meanwhile, with the
-// heartbeat in the answer, if there is one, and with false if the outcome is indeterminate.
+// sendCommands sends commands directly to a machine. done receives the heartbeat in the response, nil if there is
+// none; ok is false if the outcome is indeterminate. done is called only if the term still lasts when the response
+// arrives.
 func (c *Controller) sendCommands(
 	machine *fleet.Machine,
 	commands fleet.DirectCommands,
@@ -177,7 +177,7 @@
 		Path:    "/orders",
 		Body:    body,
 		Timeout: config.DirectCommandTimeout,
-		Once:    true, // one connection each: a large fleet's idle ones would use up the sockets
+		Once:    true, // no reuse: a large fleet's idle connections would use up the sockets
 	}
 	isSameTerm := c.termCheck()
 	c.workerSender.Send(machine.Addr, request, func(response httpio.Response) {
@@ -188,8 +188,8 @@
 	})
 }
 
-// parseCommandAnswer reads a worker's answer to commands: the heartbeat in it, if there is one, and whether it is
-// certain what became of the commands.
+// parseCommandAnswer parses a worker's response to commands. It returns the heartbeat in the response, nil if there
+// is none. ok is false if it is uncertain whether the commands were executed.
 func parseCommandAnswer(response httpio.Response) (heartbeat *fleet.Heartbeat, ok bool) {
 	answered := response.Status == http.StatusOK || response.Status == http.StatusConflict
 	if response.Err != nil || !answered {
@@ -203,8 +203,8 @@
 	return heartbeat, true
 }
 
-// loadStoredState reads the sessions and then the plans that are stored, at the start of a term: which sessions are
-// reclaimed must be known before anything is planned.
+// loadStoredState reads the stored sessions and then the stored plans at the start of a term. Planning must not begin
+// before the sessions that are reclaimed have been read.
 func (c *Controller) loadStoredState(now time.Duration) {
 	if c.term.loading || now < c.term.loadNotBefore {
 		return
@@ -229,8 +229,8 @@
 	})
 }
 
-// listInTerm lists the keys under a prefix for loadStoredState. After a failure all is read again, loadRetryBackoff
-// later. done is called unless the term has ended meanwhile.
+// listInTerm lists the keys under a prefix for loadStoredState. After a failure, loadStoredState starts again from
+// the beginning, loadRetryBackoff later. done is called only if the term still lasts when the result arrives.
 func (c *Controller) listInTerm(prefix string, done func(at time.Duration, items []store.Item)) {
 	isSameTerm := c.termCheck()
 	c.store.List(prefix, func(items []store.Item, _ uint64, err error) {
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -11,8 +11,8 @@
 	"github.com/harewalk/harewalk/internal/simulator/state"
 )
 
-// The outcome of commands is known if the worker answered them, or can't have received or carried them out. Its
-// heartbeat is optional.
+// The outcome of commands is certain if the worker responded, or can't have received or executed the commands. The
+// heartbeat in the response is optional.
 func TestOutcomeOfDirectCommands(t *testing.T) {
 	const heartbeat = `{"den":"i-1","address":"x","build":"b","meadow":"a","run":1,"tally":1,"hops":[]}`
 	failure := errors.New("connection failed")
@@ -22,7 +22,7 @@
 		hasHeartbeat bool
 		isKnown      bool
 	}{
-		{"taken", httpio.Response{Status: http.StatusOK, Body: []byte(heartbeat)}, true, true},
+		{"accepted", httpio.Response{Status: http.StatusOK, Body: []byte(heartbeat)}, true, true},
 		{"conflict", httpio.Response{Status: http.StatusConflict, Body: []byte(heartbeat)}, true, true},
 		{"without a heartbeat", httpio.Response{Status: http.StatusOK, Body: []byte("{")}, false, true},
 		{"malformed", httpio.Response{Status: http.StatusBadRequest}, false, true},
@@ -33,20 +33,20 @@
 		t.Run(test.name, func(t *testing.T) {
 			received, isKnown := parseCommandAnswer(test.response)
 			if (received != nil) != test.hasHeartbeat || isKnown != test.isKnown {
-				t.Errorf("heartbeat %v, outcome known %v", received, isKnown)
+				t.Errorf("heartbeat %v, outcome known %v; want those of the test case", received, isKnown)
 			}
 		})
 	}
 }
 
-// endingSender answers like directSender, and calls a function between a transaction and its answer.
-type endingSender struct {
+// hookedSender responds like directSender, and calls beforeAnswer between a transaction and its response.
+type hookedSender struct {
 	directSender
 	beforeAnswer func()
 }
 
 // Send implements httpio.Sender.
-func (e *endingSender) Send(addr string, request httpio.Request, done func(httpio.Response)) {
+func (e *hookedSender) Send(addr string, request httpio.Request, done func(httpio.Response)) {
 	e.directSender.Send(addr, request, func(response httpio.Response) {
 		if e.beforeAnswer != nil && request.Path == state.TxnPath {
 			e.beforeAnswer()
@@ -55,10 +55,10 @@
 	})
 }
 
-// A command whose term ends while its write is under way got no answer at all, and its operator waited for the time
-// limit: it is told that the outcome isn't known.
-func TestCommandAtTheEndOfATermIsAnswered(t *testing.T) {
-	sender := &endingSender{}
+// A command whose leader term ends while its write is in flight must get the response that the outcome is unknown. It
+// once got no response, and the operator waited until the timeout.
+func TestCommandIsAnsweredWhenTermEnds(t *testing.T) {
+	sender := &hookedSender{}
 	c, _, _ := newControllerOn(t, func(service *state.Service) httpio.Sender {
 		sender.directSender = directSender{service}
 		return sender
@@ -68,14 +68,14 @@
 		Verb:     api.VerbSet,
 		Body:     []byte(`{"op":"drain","kind":"machine","name":"i-000001","by":"kana"}`),
 	}
-	hold := api.LeaderRequest{
+	holdRollout := api.LeaderRequest{
 		Resource: api.ResourceRollout,
 		Verb:     api.VerbSet,
 		Body:     []byte(`{"op":"hold","by":"kana"}`),
 	}
 	for name, call := range map[string]func(reply func(api.Reply)){
-		"drain": func(reply func(api.Reply)) { c.adminCall(time.Second, drainMachine, reply) },
-		"hold":  func(reply func(api.Reply)) { c.rolloutCall(time.Second, hold, reply) },
+		"drain": func(reply func(api.Reply)) { c.handleAdminRequest(time.Second, drainMachine, reply) },
+		"hold":  func(reply func(api.Reply)) { c.handleRolloutRequest(time.Second, holdRollout, reply) },
 	} {
 		c.startTerm(time.Second, 1)
 		c.term.fleet.RegisterMachine(time.Second, "i-000001")
@@ -84,7 +84,7 @@
 		call(func(reply api.Reply) { got = append(got, reply) })
 		sender.beforeAnswer = nil
 		if len(got) != 1 || got[0].Status != http.StatusServiceUnavailable {
-			t.Errorf("%s: answers %+v", name, got)
+			t.Errorf("%s: responses %+v, want one with status 503", name, got)
 		}
 	}
 }
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// TickEvery is the interval of a controller's event loop.
+// TickEvery is the time between two ticks of a controller's event loop.
 const TickEvery = 50 * time.Millisecond
 
-// summaryInterval spaces the log lines in which a leader sums up its fleet.
+// summaryInterval is the time between two log lines with a leader's summary of its fleet.
 const summaryInterval = 30 * time.Second
 
-// tick does all that is due at a time. The event loop calls it every TickEvery.
+// tick performs the periodic work that is due. The event loop calls it every TickEvery.
 func (c *Controller) tick(now time.Duration) {
 	c.watchCache.Tick(now)
 	c.membership.Tick(now)
@@ -27,7 +27,7 @@
 	}
 }
 
-// tickTerm does what is due in a leader's term, and resigns where the term can't go on.
+// tickTerm performs the periodic work of a leader term, and resigns if the term can't continue.
 func (c *Controller) tickTerm(now time.Duration) {
 	hasAuthority := c.membership.HasAuthority(now)
 	if !hasAuthority && c.cacheTooStale(now) {
@@ -46,14 +46,14 @@
 		c.nextSummaryAt = now + summaryInterval
 		c.term.fleet.LogSummary(now)
 	}
-	c.term.noteAuthority(now, hasAuthority)
+	c.term.recordAuthority(now, hasAuthority)
 	c.term.fleet.Tick(now, hasAuthority)
 	if hasAuthority {
 		c.tickAuthority(now)
 	}
 }
 
-// tickAuthority does what only a leader with the authority to act may do, after the fleet's own tick.
+// tickAuthority performs the periodic work that requires the authority to act. It runs after the fleet's tick.
 func (c *Controller) tickAuthority(now time.Duration) {
 	if c.term.sessions != nil {
 		c.term.sessions.Tick(now)
@@ -62,6 +62,6 @@
 	c.term.capacity.Tick(now, c.term.authoritySince)
 	c.storeZones(now)
 	c.resignIfUnreachable(now)
-	c.cancelDoomedJobs(now)
+	c.cancelDependentJobs(now)
 	c.archiveEndedJobs(now)
 }
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -5,22 +5,23 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// This file holds the wire types of the controller: the bodies of requests and answers on its HTTP routes, as the
-// protocol names their fields. Answers are made for one request each and are nothing else; the command line reads the
-// exported ones.
+// This file holds the controller's wire types: the bodies of requests and responses on its HTTP routes, with the
+// protocol's field names. A response is built for a single request and not used otherwise. The command line reads the
+// exported types.
 
-// Status is what operators are shown of a cluster.
+// Status is the cluster's status for operators.
 type Status struct {
-	Revision uint64       `json:"revision"` // of the drain document
+	Revision uint64       `json:"revision"` // version of the drain document
 	Last     string       `json:"last,omitempty"`
 	Term     uint64       `json:"term"`
 	Nodes    []NodeStatus `json:"nodes"`
-	// Draining are machines that are being drained, by name: a page of them, of DrainingTotal in all.
+	// Draining is a page of the machines that are being drained, sorted by name. DrainingTotal is the number of all
+	// of them.
 	Draining      []MachineStatus `json:"draining"`
 	DrainingTotal int             `json:"draining_total"`
 	Machines      map[string]int  `json:"machines"` // by condition
-	// MaxMachines bounds how many machines are rented, MachinesBound names the setting it comes from, and Full is set
-	// while it is reached.
+	// MaxMachines is the maximum number of rented machines, MachinesBound the setting that determines it. Full
+	// reports that the maximum is reached.
 	MaxMachines   int    `json:"max_machines"`
 	MachinesBound string `json:"machines_bound"`
 	Full          bool   `json:"full"`
@@ -33,7 +34,7 @@
 type NodeStatus struct {
 	Node    string `json:"node"`
 	Leads   bool   `json:"leads"`
-	Alive   bool   `json:"alive"` // its statuses arrive, and it reaches the state service
+	Alive   bool   `json:"alive"` // its statuses arrive, and report that it reaches the state service
 	Drained bool   `json:"drained"`
 	By      string `json:"by,omitempty"`
 }
@@ -42,22 +43,23 @@
 type MachineStatus struct {
 	Machine string `json:"machine"`
 	State   string `json:"stance"`
-	Tasks   int    `json:"tasks"` // that may still be on it
+	Tasks   int    `json:"tasks"` // number of tasks that may still be on the machine
 	By      string `json:"by,omitempty"`
 }
 
-// ArchiveStatus is what operators are shown of the archive.
+// ArchiveStatus is the status of the job archive for operators.
 type ArchiveStatus struct {
-	// Moved counts the jobs that this leader has archived in its term, Waiting the ended ones still in memory.
+	// Moved is the number of jobs that this leader has archived in its term, Waiting the number of ended jobs in
+	// memory.
 	Moved   uint64  `json:"moved"`
 	Waiting int     `json:"waiting"`
 	RetainS float64 `json:"retain_s"`
 	State   string  `json:"stance"`
-	// Problem is why nothing is archived, "" while jobs are.
+	// Problem is the reason why no jobs are archived, "" while archiving works.
 	Problem string `json:"problem,omitempty"`
 }
 
-// JobPage is a page of jobs, by id. More reports that others follow after the last.
+// JobPage is a page of jobs, sorted by id. More reports that there is a next page.
 type JobPage struct {
 	Jobs []JobSummary `json:"jobs"`
 	More bool         `json:"has_next"`
@@ -74,13 +76,13 @@
 	Tasks    int    `json:"tasks"`
 	Done     int    `json:"done"`
 	Running  int    `json:"running"`
-	Waiting  int    `json:"waiting"` // neither running nor done
-	// Predecessors counts the jobs that must be done before it and aren't.
+	Waiting  int    `json:"waiting"` // number of tasks that are neither running nor done
+	// Predecessors is the number of the job's predecessors that are not done.
 	Predecessors int     `json:"predecessors,omitempty"`
 	AgeS         float64 `json:"age_s"`
 }
 
-// JobPendingView is why a job waits.
+// JobPendingView describes why a job is pending.
 type JobPendingView struct {
 	ID      string                `json:"name_id"`
 	State   string                `json:"stance"`
@@ -88,19 +90,20 @@
 	Done    int                   `json:"done"`
 	Running int                   `json:"running"`
 	Waiting []fleet.PendingReason `json:"waiting"`
-	// Ahead is how many waiting jobs come before it in priority order, Nearest the ids of the nearest of them.
+	// Ahead is the number of waiting jobs before this one in priority order, Nearest the ids of the closest of them.
 	Ahead   int      `json:"ahead"`
 	Nearest []string `json:"nearest"`
-	// Booting is how many machines that it may use are starting up, BootingS in how many seconds the first is expected.
+	// Booting is the number of booting machines that the job may use. BootingS is the number of seconds until the
+	// first of them is expected to be ready.
 	Booting  int     `json:"booting"`
 	BootingS float64 `json:"booting_next_s"`
-	// NeededInS is in how many seconds it must be done, by the longest path behind it, for jobs that need it to meet
-	// their deadlines; absent if none has one.
+	// NeededInS is the number of seconds within which the job must be done for its dependent jobs to meet their
+	// deadlines, by the longest path of dependent jobs. It is absent if none of them has a deadline.
 	NeededInS *float64 `json:"needed_in_s,omitempty"`
 }
 
-// EventPage is a page of events. First is the number of the oldest that is kept, Next where the next page begins: both
-// count within the term. More reports that there is a next page.
+// EventPage is a page of events. First is the sequence number of the oldest event that is kept, Next that of the next
+// page's first event; both count from the start of the term. More reports that there is a next page.
 type EventPage struct {
 	Term   uint64      `json:"term"`
 	First  uint64      `json:"first"`
@@ -109,7 +112,7 @@
 	More   bool        `json:"has_next"`
 }
 
-// EventView is one event as users and operators are shown it.
+// EventView is one event for users and operators.
 type EventView struct {
 	Seq     uint64  `json:"seq"`
 	AgeS    float64 `json:"age_s"`
@@ -122,67 +125,68 @@
 	Saved   bool    `json:"saved,omitempty"`
 }
 
-// ZoneView is a zone as operators are shown it.
+// ZoneView is a zone for operators.
 type ZoneView struct {
 	Zone        string  `json:"zone"`
 	State       string  `json:"stance"`
-	ForS        float64 `json:"for_s"` // in this state, as far as it is known
+	ForS        float64 `json:"for_s"` // seconds in this state, as far as known
 	Flaps       int     `json:"flaps"`
 	Machines    int     `json:"machines"`
-	Overdue     int     `json:"quiet"` // whose heartbeat is overdue
-	Quarantined int     `json:"aside"` // quarantined: nothing is planned there until a heartbeat arrives
-	Tasks       int     `json:"tasks"` // that count as being on its machines
-	Held        int     `json:"held"`  // of them, on machines that are quarantined: until their leases end
+	Overdue     int     `json:"quiet"` // machines whose heartbeat is overdue
+	Quarantined int     `json:"aside"` // machines without new plans until a heartbeat arrives
+	Tasks       int     `json:"tasks"` // tasks that count as being on the zone's machines
+	Held        int     `json:"held"`  // the part of Tasks on quarantined machines, until their leases expire
 	Rents       bool    `json:"rents"`
-	AcceptsWork string  `json:"takes"` // the most that it gets of new work: arrays, gangs or all
-	// IfLost is what the zone's loss would mean now, BootS the boot time in seconds of machines rented instead, and
-	// LeaseS the seconds after which its tasks may start elsewhere. They are set only in the view of a single zone.
+	AcceptsWork string  `json:"takes"` // the new work that it accepts: arrays, gangs or all
+	// IfLost estimates the effect of the zone's loss at this time, BootS is the boot time in seconds of machines
+	// rented instead, and LeaseS the number of seconds after which the zone's tasks may start elsewhere. They are set
+	// only in the view of a single zone.
 	IfLost []LossView `json:"if_lost,omitempty"`
 	BootS  float64    `json:"boot_s,omitempty"`
 	LeaseS float64    `json:"lease_s,omitempty"`
 }
 
-// LossView is what one class of one team would lose.
+// LossView is the estimated effect of a zone's loss on one job class of one team.
 type LossView struct {
 	Class string `json:"breed"`
 	Team  string `json:"warren"`
 	Jobs  int    `json:"jobs"`
 	Tasks int    `json:"tasks"`
-	Fit   int    `json:"fit"`  // that would find room elsewhere at once
-	Wait  int    `json:"wait"` // that would wait for machines
+	Fit   int    `json:"fit"`  // tasks that could be placed elsewhere at once
+	Wait  int    `json:"wait"` // tasks that would wait for new machines
 }
 
-// sessionExplanation is the body of the answer to why a session is in its state.
+// sessionExplanation is the body of the response with the reasons for a session's state.
 type sessionExplanation struct {
 	ID  string   `json:"name_id"`
 	Why []string `json:"why"`
 }
 
-// licenceConflict is the body of the answer to a command that was based on an older count than the present.
+// licenceConflict is the body of the response to a command that was based on an older count than the current one.
 type licenceConflict struct {
 	Error string        `json:"error"`
 	Now   licences.View `json:"now"`
 }
 
-// notLeaderBody is the body of the answer to a request that only another controller, the leader, can answer.
+// notLeaderBody is the body of another controller's response to a request that only the leader can answer.
 type notLeaderBody struct {
 	Error     string `json:"error"`
 	Leader    string `json:"leader"`
 	LeaderTLS string `json:"leader_tls,omitempty"`
 }
 
-// notOwnerBody is the body of the answer to a worker whose owner is another controller.
+// notOwnerBody is the body of the response to a worker whose owner is another controller.
 type notOwnerBody struct {
 	Owner string `json:"keeper,omitempty"`
 }
 
-// licenceCommand is an operator's command: the body of a POST to a pool.
+// licenceCommand is the body of an operator's POST request to a licence pool.
 type licenceCommand struct {
 	Count   *int                    `json:"count"`
 	Lower   licences.LoweringPolicy `json:"on_lower"`
-	Version *uint64                 `json:"version"` // the command was based on; nil: any
+	Version *uint64                 `json:"version"` // version of the count that the command was based on; nil: any
 	By      string                  `json:"by"`
-	Reset   bool                    `json:"reset"` // back to what is declared
+	Reset   bool                    `json:"reset"` // back to the declared count
 }
 
 // keepAliveBody is the body of the request that extends an attachment to a session.
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -10,8 +10,9 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// handleHeartbeat answers a worker: with its commands where this controller leads, with 503 where it leads without
-// the authority to act, and with 421 and the worker's owner, if that is known, where another controller leads.
+// handleHeartbeat handles a worker's heartbeat. A leader responds with the worker's commands, or with 503 if it has
+// no authority to act. A controller that doesn't lead responds with 421 and the worker's owner, if the owner is
+// known.
 func (c *Controller) handleHeartbeat(now time.Duration, heartbeat *fleet.Heartbeat, reply func(api.Reply)) {
 	if !c.isLeader() {
 		c.foreignHeartbeats.add(now, jobs.Seconds(c.settings.Params.Workers.HeartbeatIntervalS), 1)
@@ -39,9 +40,10 @@
 	}
 }
 
-// ownerOf returns the controller to which a worker is sent, "" if it isn't known: the owner by the followed keys,
-// unless they are older than a lease lasts; then the controller that reports the highest term of its own. Two
-// controllers that were cut off with their workers would otherwise send them to one that lost the leadership long ago.
+// ownerOf returns the controller to which a worker is redirected, "" if unknown. It is the owner by the followed
+// keys, unless they are older than a controller's lease lasts: then it is the controller that reports the highest
+// term. Otherwise two controllers that were cut off together with their workers would redirect them to a controller
+// that lost the leadership long ago.
 func (c *Controller) ownerOf(now time.Duration, machine string) string {
 	if now-c.watchCache.FreshAt() <= c.settings.ControllerLeaseTTL() {
 		return c.membership.Owner(machine)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -15,14 +15,14 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// zonesWriteInterval spaces the writes of the zones' state.
+// zonesWriteInterval is the minimum time between two writes of the zones' state.
 const zonesWriteInterval = time.Second
 
-// storedZones is the zones' state as stored, from which this controller's next term begins.
+// storedZones is the zones' state as stored. This controller's next leader term starts with this state.
 type storedZones struct {
-	latest      store.Item
-	writing     bool
-	attemptedAt time.Duration // of the last write
+	latest        store.Item
+	writeInFlight bool
+	lastWriteAt   time.Duration // time of the last attempt to write
 }
 
 // handleItem applies the zones' stored state. An older version than the last is ignored.
@@ -35,7 +35,7 @@
 // isZoneKey reports whether a key belongs to zones.
 func isZoneKey(key string) bool { return strings.HasPrefix(key, zones.Prefix) }
 
-// restoreZones lets a term begin with the zones' state that an earlier leader has stored.
+// restoreZones initializes a term's zones from the state that an earlier leader has stored, if there is one.
 func (c *Controller) restoreZones() {
 	stored := c.storedZones.latest.Value
 	if stored == nil {
@@ -46,14 +46,15 @@
 	}
 }
 
-// storeZones stores the zones' state if it has changed, for the next leader: this one may be about to be cut off.
+// storeZones stores the zones' state for the next leader whenever it has changed, since this leader may be cut off at
+// any time.
 func (c *Controller) storeZones(now time.Duration) {
 	table := c.term.capacity.Zones
-	if !table.Dirty() || c.storedZones.writing || now-c.storedZones.attemptedAt < zonesWriteInterval {
+	if !table.Dirty() || c.storedZones.writeInFlight || now-c.storedZones.lastWriteAt < zonesWriteInterval {
 		return
 	}
-	c.storedZones.writing = true
-	c.storedZones.attemptedAt = now
+	c.storedZones.writeInFlight = true
+	c.storedZones.lastWriteAt = now
 	raw := table.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
 	table.MarkStored()
 	txn := store.Txn{
@@ -61,7 +62,7 @@
 		Then: []store.Op{{Put: zones.Key, Value: raw}},
 	}
 	c.commitInTerm(txn, store.NormalPriority, func(result store.Result) {
-		c.storedZones.writing = false
+		c.storedZones.writeInFlight = false
 		if result.Outcome == store.Committed {
 			c.storedZones.latest = store.Item{Key: zones.Key, Value: raw, Version: result.Revision}
 			return
@@ -71,15 +72,15 @@
 	})
 }
 
-// What a zone gets of new work at most, as ZoneView.AcceptsWork.
+// Values of ZoneView.AcceptsWork: the new work that a zone accepts.
 const (
-	takesAll    = "all"
-	takesGangs  = "gangs"
-	takesArrays = "arrays"
+	acceptsAll    = "all"
+	acceptsGangs  = "gangs"
+	acceptsArrays = "arrays"
 )
 
-// zoneCall answers about zones: all, or one with what its loss would mean.
-func (c *Controller) zoneCall(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
+// handleZonesRequest handles a request for all zones, or for one zone with the estimated effect of its loss.
+func (c *Controller) handleZonesRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
 	views := c.zoneViews(now)
 	if request.Name == "" {
 		reply(api.Reply{Status: http.StatusOK, Body: views})
@@ -95,7 +96,7 @@
 	reply(api.Reply{Status: http.StatusOK, Body: view})
 }
 
-// addZoneLoss adds what a zone's loss would mean now.
+// addZoneLoss adds the estimated effect of the zone's loss at this time.
 func (c *Controller) addZoneLoss(view *ZoneView) {
 	view.LeaseS = c.settings.Params.Workers.LeaseS
 	for _, machineType := range c.machineTypes.list {
@@ -114,7 +115,7 @@
 	}
 }
 
-// zoneViews returns the zones of the settings, by name.
+// zoneViews returns the zones of the settings, sorted by name.
 func (c *Controller) zoneViews(now time.Duration) []ZoneView {
 	names := slices.Sorted(slices.Values(c.settings.Params.Zones))
 	views := make([]ZoneView, len(names))
@@ -143,7 +144,7 @@
 	return views
 }
 
-// zoneView returns a zone without its machines.
+// zoneView returns a zone without the counts of its machines and tasks.
 func (c *Controller) zoneView(now time.Duration, name string, index int32) ZoneView {
 	table := c.term.capacity.Zones
 	zone := table.Zone(index)
@@ -153,13 +154,13 @@
 		ForS:        max(0, (now - zone.Since).Seconds()),
 		Flaps:       zone.Flaps,
 		Rents:       table.AllowsRenting(index),
-		AcceptsWork: takesAll,
+		AcceptsWork: acceptsAll,
 	}
 	switch {
 	case !table.AcceptsWork(now, index, zones.Gang):
-		view.AcceptsWork = takesArrays
+		view.AcceptsWork = acceptsArrays
 	case !table.AcceptsWork(now, index, zones.Service):
-		view.AcceptsWork = takesGangs
+		view.AcceptsWork = acceptsGangs
 	}
 	return view
 }
