--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -239,8 +239,8 @@
 // rateShare returns this controller's share of the state service's rate limits, as the leader or as a follower.
 func (c *Controller) rateShare(leading bool) store.Share {
 	share, burst := leaderShare, leaderBurstSeconds
-	if others := len(c.settings.Peers); !leading && others > 0 {
-		share, burst = (1-leaderShare)/float64(others), followerBurstSeconds
+	if followers := len(c.settings.Peers); !leading && followers > 0 {
+		share, burst = (1-leaderShare)/float64(followers), followerBurstSeconds
 	}
 	return store.Share{
 		RPS:          c.settings.Params.State.RPS * share,
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -72,9 +72,9 @@
 // acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
 func (c *Controller) acceptsDependencies() bool { return c.rollout.AllSupport(rollout.Dependencies) }
 
-// isBlockedCertain reports whether this controller may report a blocked job as waiting. Within cancel_s after a
-// user's cancellation of a predecessor was confirmed, this controller must have received the cancellation. The
-// followed keys must therefore be fresh enough, and the state of every ancestor of the job must be known.
+// isBlockedCertain reports whether this controller may answer a user that a blocked job is waiting. A cancellation of
+// a predecessor must have reached this controller within cancel_s after a user received its confirmation: the
+// followed keys must be fresh enough, and the state of every ancestor of the job must be known.
 func (c *Controller) isBlockedCertain(now time.Duration, id string) bool {
 	isFresh := now-c.watchCache.FreshAt() <= c.settings.StalenessBound()
 	return isFresh && !c.dependencies.graph.HasUnknownAncestor(id)
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -40,16 +40,16 @@
 // of the heartbeats, it resigns at once; if they receive any, after the long timeout; otherwise only when the
 // workers' leases have expired. If every machine is gone and the leader resigned earlier, the next leader would count
 // the leases from the beginning: they would never expire, and no machine would be rented.
-func (s heartbeatLoss) resignCause() string {
-	longTimeout := jobs.Seconds(longTimeoutIntervals*s.heartbeatInterval + longTimeoutMarginS)
+func (l heartbeatLoss) resignCause() string {
+	longTimeout := jobs.Seconds(longTimeoutIntervals*l.heartbeatInterval + longTimeoutMarginS)
 	switch {
-	case s.expectedHeartbeats == 0:
+	case l.expectedHeartbeats == 0:
 		return ""
-	case manyHeartbeatsDivisor*s.peerHeartbeats > s.expectedHeartbeats:
+	case manyHeartbeatsDivisor*l.peerHeartbeats > l.expectedHeartbeats:
 		return "workers reach other controllers"
-	case s.sinceLastHeartbeat < longTimeout:
+	case l.sinceLastHeartbeat < longTimeout:
 		return ""
-	case s.peerHeartbeats > 0 || s.sinceLastHeartbeat >= s.lease+2*longTimeout:
+	case l.peerHeartbeats > 0 || l.sinceLastHeartbeat >= l.lease+2*longTimeout:
 		return "no worker reaches this leader"
 	}
 	return ""
--- a/internal/controller/lifecycle_test.go
+++ b/internal/controller/lifecycle_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // After a drain that operators requested, the process keeps running. Any other drain ends the process.
-func TestProcessRunsOnOnlyAfterOperatorDrain(t *testing.T) {
+func TestProcessKeepsRunningOnlyAfterOperatorDrain(t *testing.T) {
 	for _, byOperators := range []bool{true, false} {
 		phase := lifecycle{ended: make(chan struct{}), runsAfterDrain: byOperators}
 		phase.transition(1, handingOver, "test")
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -59,7 +59,7 @@
 	leadingDesc  = desc("leading", "1 if this controller leads and has the authority to act.")
 	termDesc     = desc("term", "The term of the leader, as last seen.")
 	storeAgeDesc = desc("state_answer_age_seconds",
-		"Seconds since the state service last carried out a request of this controller.")
+		"Seconds since the state service last executed a request of this controller.")
 	loopWaitDesc     = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
 	jobsDesc         = desc("jobs", "Jobs that are not over.")
 	blockedDesc      = desc("jobs_blocked", "Jobs that wait for others to be done.")
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -20,7 +20,7 @@
 		name         string
 		response     httpio.Response
 		hasHeartbeat bool
-		isKnown      bool
+		isCertain    bool
 	}{
 		{"accepted", httpio.Response{Status: http.StatusOK, Body: []byte(heartbeat)}, true, true},
 		{"conflict", httpio.Response{Status: http.StatusConflict, Body: []byte(heartbeat)}, true, true},
@@ -31,9 +31,9 @@
 		{"connection lost", httpio.Response{Err: failure}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			received, isKnown := parseCommandAnswer(test.response)
-			if (received != nil) != test.hasHeartbeat || isKnown != test.isKnown {
-				t.Errorf("heartbeat %v, outcome known %v; want those of the test case", received, isKnown)
+			received, isCertain := parseCommandAnswer(test.response)
+			if (received != nil) != test.hasHeartbeat || isCertain != test.isCertain {
+				t.Errorf("heartbeat %v, outcome certain %v; want those of the test case", received, isCertain)
 			}
 		})
 	}
@@ -46,10 +46,10 @@
 }
 
 // Send implements httpio.Sender.
-func (e *hookedSender) Send(addr string, request httpio.Request, done func(httpio.Response)) {
-	e.directSender.Send(addr, request, func(response httpio.Response) {
-		if e.beforeAnswer != nil && request.Path == state.TxnPath {
-			e.beforeAnswer()
+func (s *hookedSender) Send(addr string, request httpio.Request, done func(httpio.Response)) {
+	s.directSender.Send(addr, request, func(response httpio.Response) {
+		if s.beforeAnswer != nil && request.Path == state.TxnPath {
+			s.beforeAnswer()
 		}
 		done(response)
 	})
