--- a/internal/dependencies/bench_test.go
+++ b/internal/dependencies/bench_test.go
@@ -11,25 +11,26 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// benchSizes are numbers of live jobs. Each job but the first two follows two others.
+// benchSizes are the numbers of live jobs. Each job except the first two has two predecessors.
 var benchSizes = []int{25_000, 50_000, 100_000}
 
-// storedRecord is a job's record as a listing has it.
+// storedRecord is a job record as a listing returns it.
 type storedRecord struct {
 	id  string
 	raw json.RawMessage
 }
 
-// benchRecords returns the records of live jobs, each of which follows two of the hundred before it.
+// benchRecords returns the records of count live jobs. Each job except the first two has two predecessors among the
+// hundred jobs before it.
 func benchRecords(count int) []storedRecord {
 	random := rand.New(rand.NewPCG(1, 1))
 	records := make([]storedRecord, count)
 	for i := range records {
 		spec := newSpec(i + 1)
 		if i >= 2 {
-			reach := min(i, 100)
-			near := random.IntN(reach - 1)
-			spec.Follows = []string{jobID(i - near), jobID(i - near - 1)}
+			window := min(i, 100)
+			distance := random.IntN(window - 1)
+			spec.Follows = []string{jobID(i - distance), jobID(i - distance - 1)}
 		}
 		spec.Priority = priorityNames[random.IntN(len(priorityNames))]
 		records[i] = storedRecord{spec.ID, jobs.EncodeRecord(jobs.Pending, 0, 1, spec)}
@@ -37,7 +38,7 @@
 	return records
 }
 
-// loadTable returns a table with all jobs, and the graph without them.
+// loadTable returns a table that contains all jobs, and an empty graph of that table.
 func loadTable(records []storedRecord) (*jobs.Table, *Graph) {
 	table := jobs.NewTable(0)
 	graph := New(table, func(time.Duration, *jobs.Job) {})
@@ -61,8 +62,8 @@
 	return stats.HeapAlloc
 }
 
-// forEachSize runs a benchmark for each number of jobs. One iteration takes all jobs, so that ns/job shows whether the cost
-// is linear.
+// forEachSize runs a benchmark for each number of jobs. One iteration processes all jobs, so ns/job shows whether the
+// cost is linear.
 func forEachSize(b *testing.B, run func(b *testing.B, records []storedRecord)) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("jobs=%d", size), func(b *testing.B) {
@@ -72,8 +73,8 @@
 	}
 }
 
-// BenchmarkBuild measures the building of the graph from the records of a job table, as a controller that reads all
-// followed keys does, and what the graph takes of memory.
+// BenchmarkBuild measures the time to build the graph from a job table, as a controller does after it has listed all
+// followed keys, and the memory that the graph uses per job.
 func BenchmarkBuild(b *testing.B) {
 	forEachSize(b, func(b *testing.B, records []storedRecord) {
 		var used uint64
@@ -92,7 +93,7 @@
 	})
 }
 
-// BenchmarkAccept measures the acceptance of one more job that follows two others, beside many live jobs.
+// BenchmarkAccept measures adding one job with two predecessors to a graph of many live jobs.
 func BenchmarkAccept(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("jobs=%d", size), func(b *testing.B) {
@@ -121,13 +122,14 @@
 	}
 }
 
-// BenchmarkRelease measures the ends of all jobs, one after the other, with the releases that follow from them.
+// BenchmarkRelease measures ending all jobs as done, one after the other, including the releases of their successors.
 func BenchmarkRelease(b *testing.B) { benchmarkEnds(b, jobs.Done) }
 
-// BenchmarkCancel measures the cancellation of the first job, which dooms all others, and their own cancellations.
+// BenchmarkCancel measures cancelling the first job, which marks all others for cancellation, and then cancelling the
+// others one after the other.
 func BenchmarkCancel(b *testing.B) { benchmarkEnds(b, jobs.Cancelled) }
 
-// benchmarkEnds measures the ends of all jobs, one after the other.
+// benchmarkEnds measures ending all jobs in the given state, one after the other.
 func benchmarkEnds(b *testing.B, final jobs.State) {
 	forEachSize(b, func(b *testing.B, records []storedRecord) {
 		for b.Loop() {
@@ -143,7 +145,7 @@
 	})
 }
 
-// markEnded has a table apply that all jobs have ended, and returns them.
+// markEnded applies a terminal record of every job to the table and returns the jobs.
 func markEnded(table *jobs.Table, records []storedRecord, final jobs.State) []*jobs.Job {
 	ended := make([]*jobs.Job, len(records))
 	for i, record := range records {
@@ -157,7 +159,7 @@
 	return ended
 }
 
-// BenchmarkLatestEnds measures the latest ends of all jobs, as each ranking computes them.
+// BenchmarkLatestEnds measures computing the latest ends of all jobs, which each ranking of the jobs does.
 func BenchmarkLatestEnds(b *testing.B) {
 	forEachSize(b, func(b *testing.B, records []storedRecord) {
 		table, graph := loadTable(records)
--- a/internal/dependencies/canceller.go
+++ b/internal/dependencies/canceller.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// maxCancelBatch bounds the jobs that one transaction cancels.
+	// maxCancelBatch is the maximum number of jobs that one transaction cancels.
 	maxCancelBatch = 32
-	// maxCancelBytes bounds the records in one transaction. The state service takes 64 KiB.
+	// maxCancelBytes limits the total size of the records in one transaction. The state service accepts 64 KiB.
 	maxCancelBytes = 48 << 10
-	// cancelRetryBackoff passes after a transaction that wasn't carried out, or whose outcome is indeterminate.
+	// cancelRetryBackoff is the delay after a transaction that wasn't committed, or whose outcome is indeterminate.
 	cancelRetryBackoff = 300 * time.Millisecond
 )
 
-// CancellerEnv is what a Canceller needs of the controller.
+// CancellerEnv holds the controller functions that a Canceller calls.
 type CancellerEnv struct {
 	// CanWrite reports whether a transaction with ops changes may be sent now.
 	CanWrite func(ops int) bool
-	// Commit sends a transaction on the condition that this controller still leads.
+	// Commit sends a transaction on the condition that this controller is still the leader.
 	Commit func(store.Txn, func(store.Result))
 	// Read reads one key; a missing key has version 0.
 	Read func(key string, done func(store.Item, error))
 	// OnJobRecord receives each record that was written or read.
 	OnJobRecord func(now time.Duration, item store.Item)
-	// Now returns the monotonic time, for results.
+	// Now returns the monotonic time. It is called when a result arrives.
 	Now func() time.Duration
-	// MaxOps returns how many changes a transaction may have now.
+	// MaxOps returns the current maximum number of changes in a transaction.
 	MaxOps func() int
 }
 
-// Canceller cancels the doomed jobs of a graph, for one term of a leader. What is left to cancel follows from the
-// records, so a later leader needs nothing from an earlier one.
+// Canceller cancels the jobs of a graph that are in state CancelPending, during one term of a leader. These jobs
+// follow from the stored records, so a new leader needs no data from its predecessor.
 //
-// A transaction without an answer may be carried out later, or after it was sent again. Both are harmless: each record
-// is written on the condition that it has the version of a pending job, and a doomed job can only be cancelled.
+// A transaction without a response may be committed later, even after it was sent again. Both are harmless: each
+// record is written on the condition that the pending record's version is unchanged, and a CancelPending job can only
+// be cancelled.
 type Canceller struct {
 	env        CancellerEnv
 	graph      *Graph
 	inFlight   bool
-	retryAt    time.Duration
-	batchLimit int // of jobs in the next transaction; shrinks after failures
-	// Cancelled counts the jobs that were cancelled in this term.
+	retryAt    time.Duration // no transaction is sent before this time
+	batchLimit int           // maximum number of jobs in the next transaction; halved after failures
+	// Cancelled counts the jobs that this Canceller has cancelled.
 	Cancelled uint64
 }
 
@@ -54,7 +55,7 @@
 	return &Canceller{env: env, graph: graph, batchLimit: maxCancelBatch}
 }
 
-// Tick sends a transaction if one is due.
+// Tick sends a transaction if there are jobs to cancel, no transaction is in flight and the backoff is over.
 func (c *Canceller) Tick(now time.Duration) {
 	if c.inFlight || now < c.retryAt {
 		return
@@ -70,21 +71,21 @@
 	})
 }
 
-// cancelledRecord is the record of a doomed job that is to be written.
+// cancelledRecord is the terminal record to be written for a CancelPending job.
 type cancelledRecord struct {
 	key     string
-	version uint64 // of the pending record
+	version uint64 // version of the pending record that is replaced
 	record  json.RawMessage
 }
 
-// nextBatch returns the records of the first doomed jobs, as many as may be written now.
+// nextBatch returns the records of the first CancelPending jobs, as many as may be written now.
 func (c *Canceller) nextBatch() []cancelledRecord {
 	limit := min(c.batchLimit, c.env.MaxOps())
 	size := 0
 	var batch []cancelledRecord
-	c.graph.ForEachDoomed(func(job *jobs.Job) bool {
+	c.graph.ForEachCancelPending(func(job *jobs.Job) bool {
 		if job.Quarantined {
-			return true // its newest record can't be read
+			return true // the job's newest record can't be read
 		}
 		if len(batch) == limit || !c.env.CanWrite(len(batch)+1) {
 			return false
@@ -100,7 +101,7 @@
 	return batch
 }
 
-// cancelTxn returns the transaction that writes a batch: all of it, or nothing.
+// cancelTxn returns the transaction that writes all records of a batch, or none.
 func cancelTxn(batch []cancelledRecord) store.Txn {
 	txn := store.Txn{}
 	for _, cancelled := range batch {
@@ -110,7 +111,7 @@
 	return txn
 }
 
-// handleResult takes over the outcome of the transaction under way.
+// handleResult handles the outcome of the transaction that was in flight.
 func (c *Canceller) handleResult(batch []cancelledRecord, result store.Result) {
 	now := c.env.Now()
 	if result.Outcome == store.Committed {
@@ -119,25 +120,25 @@
 		for _, written := range batch {
 			c.env.OnJobRecord(now, store.Item{Key: written.key, Value: written.record, Version: result.Revision})
 		}
-		slog.Info("jobs cancelled with a predecessor", "jobs", len(batch))
+		slog.Info("jobs cancelled because a predecessor was cancelled", "jobs", len(batch))
 		return
 	}
 	c.retryAt = now + cancelRetryBackoff
 	if result.Outcome == store.Conflict {
-		c.readAgain(result.FailedKeys)
+		c.rereadRecords(result.FailedKeys)
 		return
 	}
-	// A transaction that is larger than the service takes is refused like one beyond its rate.
+	// The service rejects an oversized transaction with the same outcome as one above its rate limit.
 	c.batchLimit = max(1, c.batchLimit/2)
-	slog.Debug("jobs with a cancelled predecessor not cancelled",
+	slog.Debug("cancellation batch not committed",
 		"outcome", result.Outcome.String(), "jobs", len(batch))
 }
 
-// readAgain reads the records whose versions weren't those of the graph's jobs.
-func (c *Canceller) readAgain(failedKeys []string) {
+// rereadRecords reads the job records whose versions differ from those in the graph.
+func (c *Canceller) rereadRecords(failedKeys []string) {
 	for _, key := range failedKeys {
 		if jobs.IDOfKey(key) == "" {
-			continue // the leader's condition
+			continue // the leader's key, whose condition Commit adds
 		}
 		c.env.Read(key, func(item store.Item, err error) {
 			if err == nil && item.Version != 0 {
--- a/internal/dependencies/canceller_test.go
+++ b/internal/dependencies/canceller_test.go
@@ -9,17 +9,17 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// cancellerTrial is a canceller in front of a simulated state service.
-type cancellerTrial struct {
+// cancellerTest is a canceller that writes to a simulated state service.
+type cancellerTest struct {
 	*stateClient
 	canceller *Canceller
 	maxOps    int
-	txns      []store.Txn // all that were sent
+	txns      []store.Txn // all transactions sent
 }
 
-func newCancellerTrial(t *testing.T) *cancellerTrial {
+func newCancellerTest(t *testing.T) *cancellerTest {
 	t.Helper()
-	s := &cancellerTrial{stateClient: newStateClient(t), maxOps: 64}
+	s := &cancellerTest{stateClient: newStateClient(t), maxOps: 64}
 	s.canceller = NewCanceller(s.graph, CancellerEnv{
 		CanWrite: func(int) bool { return true },
 		Commit: func(txn store.Txn, done func(store.Result)) {
@@ -34,8 +34,8 @@
 	return s
 }
 
-// storeDoomed stores jobs that follow job 1, which is cancelled.
-func (s *cancellerTrial) storeDoomed(numbers ...int) {
+// storeCancelPending stores pending jobs whose predecessor, job 1, is cancelled.
+func (s *cancellerTest) storeCancelPending(numbers ...int) {
 	s.t.Helper()
 	s.storeAndRead(jobs.Cancelled, newSpec(1))
 	for _, number := range numbers {
@@ -43,7 +43,7 @@
 	}
 }
 
-// numbers returns the numbers from first to last.
+// numbers returns the numbers from first to last, both included.
 func numbers(first, last int) []int {
 	var all []int
 	for number := first; number <= last; number++ {
@@ -52,14 +52,14 @@
 	return all
 }
 
-// tick lets the pause after a failure pass, and ticks.
-func (s *cancellerTrial) tick() {
+// tick advances the clock by the backoff after a failure and calls Tick.
+func (s *cancellerTest) tick() {
 	s.now += cancelRetryBackoff
 	s.canceller.Tick(s.now)
 }
 
-// batchSizes returns how many jobs each transaction cancels.
-func (s *cancellerTrial) batchSizes() []int {
+// batchSizes returns the number of jobs that each transaction cancels.
+func (s *cancellerTest) batchSizes() []int {
 	var sizes []int
 	for _, txn := range s.txns {
 		sizes = append(sizes, len(txn.Then))
@@ -67,9 +67,10 @@
 	return sizes
 }
 
-// A chain of any depth is cancelled with its head, each record on the condition that it is the pending one.
+// When the first job of a chain is cancelled, all jobs after it are cancelled too. Each record is written on the
+// condition that the pending record is unchanged.
 func TestCancellerCancelsWholeChain(t *testing.T) {
-	s := newCancellerTrial(t)
+	s := newCancellerTest(t)
 	s.storeAndRead(jobs.Cancelled, newSpec(1))
 	for _, number := range numbers(2, 51) {
 		s.storeAndRead(jobs.Pending, newSpec(number, number-1))
@@ -81,40 +82,40 @@
 	}
 	for _, number := range numbers(2, 51) {
 		if s.stored(number) != jobs.Cancelled || s.table.Get(jobID(number)).State != jobs.Cancelled {
-			t.Fatalf("job %d is %v", number, s.stored(number))
+			t.Fatalf("job %d: stored state %v, want cancelled there and in the table", number, s.stored(number))
 		}
 	}
 	if want := (store.Condition{Key: jobs.RecordKey(jobID(2)), Version: version}); s.txns[0].If[0] != want {
-		t.Errorf("condition %v, want %v", s.txns[0].If[0], want)
+		t.Errorf("first condition %v, want %v", s.txns[0].If[0], want)
 	}
-	if s.canceller.Cancelled != 50 || len(s.doomed()) != 0 {
-		t.Errorf("%d cancelled, %d left", s.canceller.Cancelled, len(s.doomed()))
+	if s.canceller.Cancelled != 50 || len(s.cancelPending()) != 0 {
+		t.Errorf("%d jobs counted as cancelled, %d still to be cancelled; want 50 and 0", s.canceller.Cancelled, len(s.cancelPending()))
 	}
 }
 
-// A transaction has no more jobs than maxCancelBatch, the state service's present limit, or the budget allow, and one
-// transaction is under way at a time.
+// A batch is limited by maxCancelBatch, by the state service's current limit and by the write budget. Only one
+// transaction is in flight at a time.
 func TestCancellerKeepsBatchLimits(t *testing.T) {
 	for _, c := range []struct{ maxOps, budget, want int }{
 		{64, 64, maxCancelBatch},
 		{8, 64, 8},
 		{64, 5, 5},
 	} {
-		s := newCancellerTrial(t)
+		s := newCancellerTest(t)
 		s.maxOps = c.maxOps
 		s.canceller.env.CanWrite = func(ops int) bool { return ops <= c.budget }
-		s.storeDoomed(numbers(2, 60)...)
+		s.storeCancelPending(numbers(2, 60)...)
 		s.tick()
 		s.tick()
 		if got := s.batchSizes(); !slices.Equal(got, []int{c.want}) {
-			t.Errorf("%+v: batches %v", c, got)
+			t.Errorf("%+v: batch sizes %v, want one batch of the wanted size", c, got)
 		}
 	}
 }
 
-// A transaction carries no more than maxCancelBytes.
+// The records in a transaction take at most maxCancelBytes, and at least half of that while more jobs remain.
 func TestCancellerKeepsSizeLimit(t *testing.T) {
-	s := newCancellerTrial(t)
+	s := newCancellerTest(t)
 	s.storeAndRead(jobs.Cancelled, newSpec(1))
 	for _, number := range numbers(2, 31) {
 		spec := newSpec(number, 1)
@@ -127,107 +128,109 @@
 		size += len(op.Value)
 	}
 	if size > maxCancelBytes || size < maxCancelBytes/2 {
-		t.Errorf("%d bytes", size)
+		t.Errorf("%d bytes of records in the transaction, want between half of maxCancelBytes and maxCancelBytes", size)
 	}
 }
 
-// A job that ended meanwhile fails the whole transaction; its record is read again, and the others are cancelled then.
-func TestCancellerReadsAgainAfterConflict(t *testing.T) {
-	s := newCancellerTrial(t)
-	s.storeDoomed(2, 3)
-	s.store(jobs.Cancelled, newSpec(2, 1)) // by its user
+// If one job of a batch has ended in the meantime, the whole transaction fails. The record of that job is read again,
+// and the next transaction cancels the others.
+func TestCancellerRereadsRecordsAfterConflict(t *testing.T) {
+	s := newCancellerTest(t)
+	s.storeCancelPending(2, 3)
+	s.store(jobs.Cancelled, newSpec(2, 1)) // cancelled by its user
 	s.tick()
 	s.deliverAll()
 	if s.stored(3) != jobs.Pending || s.table.Get(jobID(2)).State != jobs.Cancelled {
-		t.Fatalf("job 3 %v, job 2 %v here", s.stored(3), s.table.Get(jobID(2)).State)
+		t.Fatalf("after the conflict: job 3 stored as %v, want pending; job 2 in the table %v, want cancelled", s.stored(3), s.table.Get(jobID(2)).State)
 	}
 	s.tick()
 	s.deliverAll()
 	if s.stored(3) != jobs.Cancelled || !slices.Equal(s.batchSizes(), []int{2, 1}) {
-		t.Errorf("job 3 %v, batches %v", s.stored(3), s.batchSizes())
+		t.Errorf("job 3 stored as %v, want cancelled; batch sizes %v, want [2 1]", s.stored(3), s.batchSizes())
 	}
 }
 
-// Of the keys that failed, only those of jobs are read: the leader's isn't a record.
-func TestCancellerReadsOnlyJobsAgain(t *testing.T) {
-	s := newCancellerTrial(t)
-	s.storeDoomed(2)
+// After a conflict only the failed keys of job records are read. The leader's key is not a job record.
+func TestCancellerRereadsOnlyJobRecords(t *testing.T) {
+	s := newCancellerTest(t)
+	s.storeCancelPending(2)
 	s.canceller.env.Commit = func(_ store.Txn, done func(store.Result)) {
 		done(store.Result{Outcome: store.Conflict, FailedKeys: []string{"h/leader", jobs.RecordKey(jobID(2))}})
 	}
 	s.tick()
 	if want := []string{"/keys/" + jobs.RecordKey(jobID(2))}; !slices.Equal(s.sent, want) {
-		t.Errorf("requests %v", s.sent)
+		t.Errorf("requests %v, want only a read of job 2's record", s.sent)
 	}
 }
 
-// A transaction that was lost, or whose answer was, is followed by another after a pause, and no job is cancelled twice.
+// If a transaction or its response is lost, the next transaction is sent after the backoff. No job is cancelled twice.
 func TestCancellerRetriesIndeterminate(t *testing.T) {
-	for _, how := range []delivery{requestLost, answerLost} {
-		s := newCancellerTrial(t)
-		s.storeDoomed(2)
+	for _, fate := range []delivery{requestLost, responseLost} {
+		s := newCancellerTest(t)
+		s.storeCancelPending(2)
 		s.tick()
-		s.deliver(how)
+		s.deliver(fate)
 		s.canceller.Tick(s.now + cancelRetryBackoff - 1)
 		if len(s.queue) != 0 {
-			t.Errorf("%d requests within the pause", len(s.queue))
+			t.Errorf("%d requests sent within the backoff, want 0", len(s.queue))
 		}
 		revision := s.service.Revision
 		for range 2 {
 			s.tick()
 			s.deliverAll()
 		}
-		if s.stored(2) != jobs.Cancelled || len(s.doomed()) != 0 {
-			t.Errorf("delivery %d: %v, %d left", how, s.stored(2), len(s.doomed()))
+		if s.stored(2) != jobs.Cancelled || len(s.cancelPending()) != 0 {
+			t.Errorf("delivery %d: job 2 stored as %v, want cancelled; %d jobs still to be cancelled, want 0", fate, s.stored(2), len(s.cancelPending()))
 		}
-		if how == answerLost && s.service.Revision != revision {
-			t.Errorf("cancelled again")
+		if fate == responseLost && s.service.Revision != revision {
+			t.Errorf("the state service's revision changed: job 2 was cancelled twice")
 		}
 	}
 }
 
-// A late transaction of an earlier term changes nothing any more.
+// A transaction of an earlier term that arrives after the job was cancelled changes nothing.
 func TestLateCancellationIsHarmless(t *testing.T) {
-	s := newCancellerTrial(t)
-	s.storeDoomed(2)
+	s := newCancellerTest(t)
+	s.storeCancelPending(2)
 	s.tick()
-	late := s.queue[0]
+	lateRequest := s.queue[0]
 	s.queue = nil
-	later := NewCanceller(s.graph, s.canceller.env)
-	later.Tick(s.now)
+	newCanceller := NewCanceller(s.graph, s.canceller.env)
+	newCanceller.Tick(s.now)
 	s.deliverAll()
 	revision := s.service.Revision
-	late(carriedOut)
+	lateRequest(processed)
 	s.deliverAll()
-	if s.stored(2) != jobs.Cancelled || s.service.Revision != revision || later.Cancelled != 1 {
-		t.Errorf("%v, revisions %d to %d", s.stored(2), revision, s.service.Revision)
+	if s.stored(2) != jobs.Cancelled || s.service.Revision != revision || newCanceller.Cancelled != 1 {
+		t.Errorf("job 2 stored as %v, want cancelled and counted once; revision %d became %d, want no change",
+			s.stored(2), revision, s.service.Revision)
 	}
 }
 
-// A refusal for size halves the next transaction down to one job, and successes let it grow again.
-func TestCancellerShrinksRefusedBatches(t *testing.T) {
-	s := newCancellerTrial(t)
-	s.storeDoomed(numbers(2, 60)...)
+// Each rejected transaction halves the next batch, down to one job. Each committed one lets it grow by one job.
+func TestCancellerShrinksRejectedBatches(t *testing.T) {
+	s := newCancellerTest(t)
+	s.storeCancelPending(numbers(2, 60)...)
 	for range 6 {
 		s.tick()
-		s.deliver(requestDenied)
+		s.deliver(requestRejected)
 	}
 	s.tick()
 	s.deliverAll()
 	s.tick()
 	if got := s.batchSizes(); !slices.Equal(got, []int{32, 16, 8, 4, 2, 1, 1, 2}) {
-		t.Errorf("batches %v", got)
+		t.Errorf("batch sizes %v, want [32 16 8 4 2 1 1 2]", got)
 	}
 }
 
-// A job whose newest record can't be read is left alone, and holds up no other.
+// A job whose newest record can't be read is skipped, and the other jobs are cancelled.
 func TestCancellerSkipsQuarantinedJobs(t *testing.T) {
-	s := newCancellerTrial(t)
-	s.storeDoomed(2, 3)
+	s := newCancellerTest(t)
+	s.storeCancelPending(2, 3)
 	s.table.Get(jobID(2)).Quarantined = true
 	s.tick()
 	s.deliverAll()
 	if s.stored(2) != jobs.Pending || s.stored(3) != jobs.Cancelled {
-		t.Errorf("job 2 %v, job 3 %v", s.stored(2), s.stored(3))
+		t.Errorf("job 2 stored as %v, want pending; job 3 stored as %v, want cancelled", s.stored(2), s.stored(3))
 	}
 }
--- a/internal/dependencies/fixture_test.go
+++ b/internal/dependencies/fixture_test.go
@@ -16,12 +16,12 @@
 	os.Exit(m.Run())
 }
 
-// priorityNames are the names of the priorities by their levels.
+// priorityNames are the names of the priorities, indexed by level.
 var priorityNames = []string{"best_effort", "standard", "urgent", "prod"}
 
 func jobID(number int) string { return fmt.Sprintf("req-%06d", number) }
 
-// newSpec returns the specification of a job of one task, of the lowest priority.
+// newSpec returns the specification of a job with one task and the lowest priority.
 func newSpec(number int, predecessors ...int) *jobs.Spec {
 	spec := &jobs.Spec{
 		ID: jobID(number), Class: "c", Team: "t", Kind: jobs.Array, Priority: priorityNames[0], Tasks: 1, CPUs: 1, Image: "i",
@@ -32,14 +32,14 @@
 	return spec
 }
 
-// controller is a job table with its graph, as a controller has them.
+// controller holds the job table and the graph of a controller.
 type controller struct {
 	t        testing.TB
 	now      time.Duration
 	table    *jobs.Table
 	graph    *Graph
-	version  uint64   // of the newest record that a test made up
-	released []string // the jobs that OnReleased reported
+	version  uint64   // version of the newest record or deletion that the test generated
+	released []string // ids of the jobs that onReleased reported
 }
 
 func newController(t testing.TB) *controller {
@@ -49,7 +49,7 @@
 	return c
 }
 
-// read applies a record that was read.
+// read applies a job record at the given version.
 func (c *controller) read(id string, record json.RawMessage, version uint64) {
 	c.t.Helper()
 	job, changed, err := c.table.Apply(id, record, version)
@@ -61,7 +61,7 @@
 	}
 }
 
-// readNew applies a record at a version of its own.
+// readNew applies a job record at a new version.
 func (c *controller) readNew(state jobs.State, spec *jobs.Spec) *jobs.Job {
 	c.t.Helper()
 	c.version++
@@ -69,7 +69,7 @@
 	return c.table.Get(spec.ID)
 }
 
-// readDeletion applies that a job's record has left the followed keys.
+// readDeletion applies the deletion of a job's record at the given version.
 func (c *controller) readDeletion(id string, version uint64) {
 	c.table.Archive(id, version)
 	if job := c.table.Get(id); job == nil || job.Archived {
@@ -77,13 +77,13 @@
 	}
 }
 
-// readNewDeletion applies a deletion at a version of its own.
+// readNewDeletion applies the deletion of a job's record at a new version.
 func (c *controller) readNewDeletion(number int) {
 	c.version++
 	c.readDeletion(jobID(number), c.version)
 }
 
-// unknown returns the jobs that ForEachUnknown visits.
+// unknown returns the ids of the jobs that ForEachUnknown visits.
 func (c *controller) unknown() []string {
 	var ids []string
 	c.graph.ForEachUnknown(func(id string) bool {
@@ -93,10 +93,10 @@
 	return ids
 }
 
-// doomed returns the jobs that ForEachDoomed visits.
-func (c *controller) doomed() []string {
+// cancelPending returns the ids of the jobs that ForEachCancelPending visits.
+func (c *controller) cancelPending() []string {
 	var ids []string
-	c.graph.ForEachDoomed(func(job *jobs.Job) bool {
+	c.graph.ForEachCancelPending(func(job *jobs.Job) bool {
 		ids = append(ids, job.ID)
 		return true
 	})
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -1,17 +1,18 @@
-// Package dependencies keeps the graph of jobs that wait for other jobs: a job's predecessors must be done before any
-// of its tasks starts, and a job is cancelled when one of its predecessors is.
+// Package dependencies maintains the graph of dependencies between jobs. All predecessors of a job must be done before
+// any of its tasks starts. When a predecessor is cancelled, the job is cancelled too.
 //
-// The edges are stored in the successors' own job records, so there is no second record to keep consistent: every
-// controller builds the same graph from the records that it follows. What the graph derives (blocked, doomed,
-// released) is a function of durable records alone and goes one way only, as done and cancelled are final. So a
-// cancellation reaches all successors whichever controller leads and whatever ends in between: the cancelled record
-// and the successors' edges are durable, and each leader's Canceller goes on from there.
+// The edges are stored in the job records of the successors, so there is no second record to keep consistent. Every
+// controller builds the same graph from the records in the keys that it follows with a watch. The derived states
+// (Blocked, CancelPending, Released) are a function of durable records alone. They never revert, because done and
+// cancelled are final. A cancellation therefore reaches all successors whichever controller leads and whichever
+// process ends in between: the cancelled record and the successors' edges are durable, and each leader's Canceller
+// continues from them.
 //
-// There are no cycles: a job may name accepted jobs only, and its edges are written once, in the transaction that
-// accepts it. Of the jobs on a cycle the one that was accepted first would name one that wasn't accepted yet.
+// There are no cycles: a job may name only jobs that are already accepted, and its edges are written once, in the
+// transaction that accepts it. In a cycle, the job accepted first would name a job that wasn't accepted yet.
 //
-// Graph and Resolver belong to every controller's event loop, a Canceller to one term of a leader. The package has no
-// clock, plans nothing, and writes nothing but cancelled records.
+// Every controller's event loop has a Graph and a Resolver. A Canceller lives for one term of a leader. The package
+// has no clock and plans nothing. It writes only cancelled records.
 package dependencies
 
 import (
@@ -28,101 +29,105 @@
 
 // The states of a job in the graph.
 //
-//	Unknown  -> Blocked, Released, Done, Cancelled   its record, or its archived answer, was read
-//	Blocked  -> Released                             the last predecessor is done
-//	Blocked  -> Doomed                               a predecessor is cancelled or doomed
-//	Released -> Done, Cancelled                      its record is terminal
-//	Blocked, Doomed -> Cancelled                     its record is terminal
-//	Blocked, Released, Doomed -> Unknown             its record has left the followed keys: it has ended, and how is
-//	                                                 in the archive
+//	Unknown -> Blocked, CancelPending, Released,    the job's record or its archive entry was read
+//	           Done, Cancelled
+//	Blocked -> Released                             the last unfinished predecessor is done
+//	Blocked -> CancelPending                        a predecessor is Cancelled or CancelPending
+//	Released -> Done, Cancelled                     the job's record is terminal
+//	Blocked, CancelPending -> Cancelled             the job's record is terminal
+//	Blocked, CancelPending, Released -> Unknown     the job's record was removed from the followed keys: the job has
+//	                                                ended, and its final state is in the archive
 const (
-	// Unknown is a job that another one names and about which nothing was read yet.
+	// Unknown is the state of a predecessor of which neither a record nor an archive entry was read.
 	Unknown State = iota
-	// Blocked is a live job of which a predecessor isn't done as far as is known.
+	// Blocked is the state of a live job with a predecessor that isn't known to be done.
 	Blocked
-	// Doomed is a live job of which a predecessor is cancelled or doomed. It never runs, and is to be cancelled.
-	Doomed
-	// Released is a live job whose predecessors are all done, or that has none.
+	// CancelPending is the state of a live job with a predecessor that is Cancelled or CancelPending. The job never
+	// runs and is to be cancelled.
+	CancelPending
+	// Released is the state of a live job that has no predecessors or whose predecessors are all done.
 	Released
-	// Done is a job that is done.
+	// Done is the state of a job that was completed.
 	Done
-	// Cancelled is a job that is cancelled.
+	// Cancelled is the state of a job that was cancelled.
 	Cancelled
 )
 
-// live reports whether the state is that of a job with a pending record.
-func (s State) live() bool { return s == Blocked || s == Doomed || s == Released }
+// live reports whether a job in this state has a pending record.
+func (s State) live() bool { return s == Blocked || s == CancelPending || s == Released }
 
-// node is a job that has predecessors, or that a live job names as one.
+// node is a job that has predecessors, or that is a predecessor of a live job.
 type node struct {
 	id           string
 	state        State
-	job          *jobs.Job     // nil unless its record is known
-	predecessors []*edge       // while it is live
-	successors   []*edge       // to live jobs
-	unfinished   int           // predecessors that aren't known to be done
-	listed       *list.Element // in the graph's list of its state, nil if there is none
-	// latestEnd is valid in the ranking of latestEndStamp, see LatestEnds.
-	latestEnd      time.Duration
-	latestEndStamp uint64
+	job          *jobs.Job     // nil if no record of the job was read
+	predecessors []*edge       // edges from predecessors; empty unless the job is live
+	successors   []*edge       // edges to live successors
+	unfinished   int           // number of predecessors that aren't known to be done
+	listElement  *list.Element // element in the graph's list of nodes in this state; nil if the state has no list
+	// latestEnd is valid if latestEndRanking equals the graph's rankingNumber, see LatestEnds.
+	latestEnd        time.Duration
+	latestEndRanking uint64
 }
 
 // edge leads from a predecessor to a successor.
 type edge struct {
 	from, to *node
-	position int // in from.successors
+	position int // index in from.successors
 }
 
-// Graph is the dependency graph of all jobs in a controller's table. It sets the fields Blocked, Doomed, ReleasedAt
-// and Priority of the jobs in it.
+// Graph is the dependency graph of the jobs in a controller's table. It sets the fields Blocked, Doomed, ReleasedAt
+// and Priority of the jobs that it contains.
 type Graph struct {
 	table *jobs.Table
 	nodes map[string]*node // by job id
-	// unknown and doomed list the nodes in these states, in the order in which they got them.
-	unknown, doomed *list.List
-	edges           int
-	stamp           uint64 // of the newest ranking
-	// onReleased is called when the last predecessor of a job that was blocked is done.
+	// unknown and cancelPending list the nodes in states Unknown and CancelPending, in the order in which they entered
+	// them.
+	unknown, cancelPending *list.List
+	edges                  int
+	rankingNumber          uint64 // number of the newest ranking, counted by LatestEnds
+	// onReleased is called when a Blocked job becomes Released.
 	onReleased func(now time.Duration, job *jobs.Job)
 }
 
-// New returns an empty graph of the jobs in a table. onReleased is called when the last predecessor of a job that was
-// blocked is done.
+// New returns an empty graph of the jobs in a table. onReleased is called when a Blocked job becomes Released, because
+// its last unfinished predecessor is done.
 func New(table *jobs.Table, onReleased func(now time.Duration, job *jobs.Job)) *Graph {
 	return &Graph{
-		table:      table,
-		nodes:      map[string]*node{},
-		unknown:    list.New(),
-		doomed:     list.New(),
-		onReleased: onReleased,
+		table:         table,
+		nodes:         map[string]*node{},
+		unknown:       list.New(),
+		cancelPending: list.New(),
+		onReleased:    onReleased,
 	}
 }
 
-// HandleJobChange takes over a job whose state is new in the table. For a job with predecessors it must be called
-// before anything of the job is planned.
+// HandleJobChange updates the graph after a job was added to the table or changed its state there. For a job with
+// predecessors, it must be called before the job is planned.
 func (g *Graph) HandleJobChange(now time.Duration, job *jobs.Job) {
 	if job.State.Terminal() {
-		if end, ok := g.nodes[job.ID]; ok {
-			end.job = job
-			g.settle(now, end, finalState(job.State))
+		if ended, ok := g.nodes[job.ID]; ok {
+			ended.job = job
+			g.applyEnd(now, ended, finalState(job.State))
 		}
 		return
 	}
 	if len(job.Spec.Follows) == 0 && g.nodes[job.ID] == nil {
 		return
 	}
-	g.addLive(now, g.nodeOf(job.ID), job)
+	g.addLive(now, g.ensureNode(job.ID), job)
 }
 
-// HandleArchived takes over the archived answer about a job that was Unknown.
+// HandleArchived applies the final state from a job's archive entry. It ignores a job that is live in the graph or not
+// in it.
 func (g *Graph) HandleArchived(now time.Duration, id string, state jobs.State) {
 	if archived, ok := g.nodes[id]; ok && !archived.state.live() {
-		g.settle(now, archived, finalState(state))
+		g.applyEnd(now, archived, finalState(state))
 	}
 }
 
-// HandleRemoved takes note that a job's record has left the followed keys, which is to say that the job has ended and
-// was archived.
+// HandleRemoved updates the graph after a job's record was removed from the followed keys: the job has ended and was
+// archived.
 func (g *Graph) HandleRemoved(id string) {
 	removed, ok := g.nodes[id]
 	if !ok {
@@ -132,17 +137,17 @@
 	removed.job = nil
 	if wasLive {
 		g.setState(removed, Unknown)
-		g.detach(removed)
+		g.unlinkPredecessors(removed)
 	}
 	g.dropIfUnused(removed)
 }
 
-// Retain takes note of a new reading of all followed keys, once the table has: jobs that left the table, or are kept
-// there only until a term ends, have left the followed keys.
+// Retain removes the jobs that a new listing of all followed keys lacks. The table must have applied the listing
+// first: the missing jobs are no longer in the table, or remain there as archived until the term ends.
 func (g *Graph) Retain() {
 	for _, id := range slices.Sorted(maps.Keys(g.nodes)) {
-		kept := g.nodes[id]
-		if kept == nil || kept.job == nil {
+		existing := g.nodes[id]
+		if existing == nil || existing.job == nil {
 			continue
 		}
 		if job := g.table.Get(id); job == nil || job.Archived {
@@ -151,7 +156,7 @@
 	}
 }
 
-// finalState returns the state in the graph of a job whose record is terminal.
+// finalState returns the graph state for a terminal state of a record.
 func finalState(state jobs.State) State {
 	if state == jobs.Done {
 		return Done
@@ -159,49 +164,49 @@
 	return Cancelled
 }
 
-// nodeOf returns the node of a job, which it makes if there is none. What the table has of the job is taken over.
-func (g *Graph) nodeOf(id string) *node {
+// ensureNode returns the node of a job. If there is none, it creates one with the job's state from the table.
+func (g *Graph) ensureNode(id string) *node {
 	if existing, ok := g.nodes[id]; ok {
 		return existing
 	}
-	made := &node{id: id}
-	g.nodes[id] = made
+	created := &node{id: id}
+	g.nodes[id] = created
 	job := g.table.Get(id)
 	switch {
 	case job == nil || job.Archived && !job.State.Terminal():
-		g.setState(made, Unknown)
+		g.setState(created, Unknown)
 	case job.State.Terminal():
-		made.job = job
-		made.state = finalState(job.State)
+		created.job = job
+		created.state = finalState(job.State)
 	case job.Blocked:
-		// HandleJobChange hasn't been called for it yet: a node with unfinished predecessors isn't forgotten.
-		g.setState(made, Unknown)
+		// HandleJobChange wasn't called for this job yet: a node with unfinished predecessors stays in the graph.
+		g.setState(created, Unknown)
 	default:
-		made.job = job
-		made.state = Released
+		created.job = job
+		created.state = Released
 	}
-	return made
+	return created
 }
 
-// addLive links a pending job with its predecessors.
+// addLive links a pending job with its predecessors and derives its state and priority.
 func (g *Graph) addLive(now time.Duration, added *node, job *jobs.Job) {
 	if added.state != Unknown {
-		return // linked already
+		return // already linked
 	}
 	added.job = job
-	doomed := false
+	cancelPending := false
 	for _, id := range job.Spec.Follows {
-		predecessor := g.nodeOf(id)
+		predecessor := g.ensureNode(id)
 		if predecessor.state != Done {
 			added.unfinished++
 		}
-		doomed = doomed || predecessor.state == Doomed || predecessor.state == Cancelled
+		cancelPending = cancelPending || predecessor.state == CancelPending || predecessor.state == Cancelled
 		g.link(predecessor, added)
 	}
 	switch {
-	case doomed:
-		g.setState(added, Doomed)
-		g.doomSuccessors(added)
+	case cancelPending:
+		g.setState(added, CancelPending)
+		g.markSuccessorsCancelPending(added)
 	case added.unfinished == 0:
 		g.release(now, added)
 	default:
@@ -219,11 +224,12 @@
 	g.edges++
 }
 
-// detach removes all edges from a node's predecessors to it, before any of their priorities is computed anew.
-func (g *Graph) detach(detached *node) {
-	predecessors := detached.predecessors
-	detached.predecessors = nil
-	detached.unfinished = 0
+// unlinkPredecessors removes the edges from a node's predecessors. All edges are removed before any predecessor's
+// priority is recomputed.
+func (g *Graph) unlinkPredecessors(successor *node) {
+	predecessors := successor.predecessors
+	successor.predecessors = nil
+	successor.unfinished = 0
 	g.edges -= len(predecessors)
 	for _, removed := range predecessors {
 		from := removed.from
@@ -238,62 +244,63 @@
 	}
 }
 
-// dropIfUnused forgets a node that no live job names and that waits for nothing.
+// dropIfUnused deletes a node that has neither successors nor predecessors and isn't CancelPending.
 func (g *Graph) dropIfUnused(unused *node) {
-	if len(unused.successors) == 0 && len(unused.predecessors) == 0 && unused.state != Doomed {
+	if len(unused.successors) == 0 && len(unused.predecessors) == 0 && unused.state != CancelPending {
 		delete(g.nodes, unused.id)
-		g.unlist(unused)
+		g.removeFromStateList(unused)
 	}
 }
 
-// setState is the only place where a node's state changes, and the jobs' fields with it.
+// setState changes a node's state and the job's fields Blocked and Doomed. Only the initial state of a node may be set
+// elsewhere.
 func (g *Graph) setState(changed *node, to State) {
-	g.unlist(changed)
+	g.removeFromStateList(changed)
 	changed.state = to
 	if listOfState := g.listOf(to); listOfState != nil {
-		changed.listed = listOfState.PushBack(changed)
+		changed.listElement = listOfState.PushBack(changed)
 	}
 	if changed.job != nil {
-		changed.job.Blocked = to == Blocked || to == Doomed
-		changed.job.Doomed = to == Doomed
+		changed.job.Blocked = to == Blocked || to == CancelPending
+		changed.job.Doomed = to == CancelPending
 	}
 }
 
-// listOf returns the list of the nodes in a state, nil if there is none.
+// listOf returns the list of the nodes in a state, or nil if the state has no list.
 func (g *Graph) listOf(state State) *list.List {
 	switch state {
 	case Unknown:
 		return g.unknown
-	case Doomed:
-		return g.doomed
+	case CancelPending:
+		return g.cancelPending
 	}
 	return nil
 }
 
-// unlist removes a node from the list of its state.
-func (g *Graph) unlist(listed *node) {
-	if listed.listed != nil {
-		g.listOf(listed.state).Remove(listed.listed)
-		listed.listed = nil
+// removeFromStateList removes a node from the list of its state.
+func (g *Graph) removeFromStateList(removed *node) {
+	if removed.listElement != nil {
+		g.listOf(removed.state).Remove(removed.listElement)
+		removed.listElement = nil
 	}
 }
 
-// settle takes over that a job has ended, and what follows from it for its successors.
-func (g *Graph) settle(now time.Duration, ended *node, final State) {
+// applyEnd sets the final state of a job that has ended, and updates its successors.
+func (g *Graph) applyEnd(now time.Duration, ended *node, final State) {
 	if ended.state == Done || ended.state == Cancelled {
 		return
 	}
 	g.setState(ended, final)
-	g.detach(ended)
+	g.unlinkPredecessors(ended)
 	if final == Cancelled {
-		g.doomSuccessors(ended)
+		g.markSuccessorsCancelPending(ended)
 	} else {
 		g.releaseSuccessors(now, ended)
 	}
 	g.dropIfUnused(ended)
 }
 
-// releaseSuccessors releases those successors of a job that is done which wait for no other one.
+// releaseSuccessors releases the successors of a done job that have no other unfinished predecessor.
 func (g *Graph) releaseSuccessors(now time.Duration, done *node) {
 	for _, outgoing := range done.successors {
 		successor := outgoing.to
@@ -305,8 +312,8 @@
 	}
 }
 
-// release lets a job start. Its predecessors stay linked: its record names them, so they aren't archived before it has
-// ended.
+// release allows a job to start. The edges from its predecessors remain: as long as a live job's record names them,
+// the predecessors aren't archived.
 func (g *Graph) release(now time.Duration, released *node) {
 	g.setState(released, Released)
 	if len(released.predecessors) > 0 {
@@ -314,22 +321,23 @@
 	}
 }
 
-// doomSuccessors dooms all jobs that need one, directly or through others. Chains may be long: it doesn't recurse.
-func (g *Graph) doomSuccessors(start *node) {
+// markSuccessorsCancelPending sets all Blocked jobs that depend on a job, directly or transitively, to CancelPending.
+// It doesn't recurse, because chains may be long.
+func (g *Graph) markSuccessorsCancelPending(start *node) {
 	pending := []*node{start}
 	for len(pending) > 0 {
 		last := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		for _, outgoing := range last.successors {
 			if outgoing.to.state == Blocked {
-				g.setState(outgoing.to, Doomed)
+				g.setState(outgoing.to, CancelPending)
 				pending = append(pending, outgoing.to)
 			}
 		}
 	}
 }
 
-// State returns the state of a job in the graph. A job that it doesn't contain is Unknown.
+// State returns the state of a job in the graph, or Unknown if the graph doesn't contain the job.
 func (g *Graph) State(id string) State {
 	if found, ok := g.nodes[id]; ok {
 		return found.state
@@ -337,16 +345,17 @@
 	return Unknown
 }
 
-// Edges returns the number of edges in the graph: of predecessors of live jobs, each counted once for each successor.
+// Edges returns the number of edges in the graph. Each pair of a live job and one of its predecessors is one edge.
 func (g *Graph) Edges() int { return g.edges }
 
-// HasSuccessors reports whether a live job names this one as its predecessor.
+// HasSuccessors reports whether a live job names the job as a predecessor.
 func (g *Graph) HasSuccessors(id string) bool {
 	found, ok := g.nodes[id]
 	return ok && len(found.successors) > 0
 }
 
-// Unfinished returns up to limit ids of a live job's predecessors that aren't done, and how many there are.
+// Unfinished returns the ids of up to limit predecessors of a live job that aren't done, and the total number of such
+// predecessors.
 func (g *Graph) Unfinished(id string, limit int) (ids []string, count int) {
 	found, ok := g.nodes[id]
 	if !ok {
@@ -364,19 +373,19 @@
 	return ids, count
 }
 
-// ForEachUnknown calls visit for each job that is named as a predecessor and about which nothing was read, until visit
-// returns false.
+// ForEachUnknown calls visit for each job in state Unknown, in the order in which they entered that state, until
+// visit returns false.
 func (g *Graph) ForEachUnknown(visit func(id string) bool) {
 	visitNodes(g.unknown, func(found *node) bool { return visit(found.id) })
 }
 
-// ForEachDoomed calls visit for each live job that is to be cancelled, the one that was doomed first at the beginning,
+// ForEachCancelPending calls visit for each job in state CancelPending, in the order in which they entered that state,
 // until visit returns false.
-func (g *Graph) ForEachDoomed(visit func(*jobs.Job) bool) {
-	visitNodes(g.doomed, func(found *node) bool { return visit(found.job) })
+func (g *Graph) ForEachCancelPending(visit func(*jobs.Job) bool) {
+	visitNodes(g.cancelPending, func(found *node) bool { return visit(found.job) })
 }
 
-// visitNodes visits the nodes of a list until visit returns false. Visit may change the state of the visited node.
+// visitNodes calls visit for each node of a list until visit returns false. visit may change the state of the node.
 func visitNodes(nodes *list.List, visit func(*node) bool) {
 	for element := nodes.Front(); element != nil; {
 		next := element.Next()
@@ -387,8 +396,8 @@
 	}
 }
 
-// HasUnknownAncestor reports whether it is unknown of a job before this one, directly or through others, whether it is
-// cancelled.
+// HasUnknownAncestor reports whether a direct or transitive predecessor of the job is Unknown. Such a predecessor may
+// have been cancelled.
 func (g *Graph) HasUnknownAncestor(id string) bool {
 	start, ok := g.nodes[id]
 	if !ok || g.unknown.Len() == 0 {
--- a/internal/dependencies/graph_model_test.go
+++ b/internal/dependencies/graph_model_test.go
@@ -7,66 +7,66 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// view is what a controller was told of one job and may still know.
-type view struct {
-	follows     []string
-	ownPriority int
-	deadline    time.Duration // never: it has none
-	runTime     time.Duration
-	state       jobs.State // Done and Cancelled are known, Pending unless isLive is not
-	isLive      bool       // its pending record was read and hasn't left the followed keys
-	isDoomed    bool       // it was doomed in an earlier state: that is final
-	releasedAt  time.Duration
+// jobView is what a controller has read of one job and not discarded since.
+type jobView struct {
+	follows         []string
+	ownPriority     int
+	deadline        time.Duration // noDeadline if the job has none
+	runTime         time.Duration
+	state           jobs.State // Done or Cancelled if the end was read; otherwise Pending, also for an unknown job
+	isLive          bool       // whether its pending record was read and not removed from the followed keys
+	isCancelPending bool       // whether it was CancelPending in an earlier state, which is final for a live job
+	releasedAt      time.Duration
 }
 
-// model is a slow, plain model of the graph. It derives everything from the views, each time anew.
+// model is a slow and simple model of the graph. It derives every result from the views on each call.
 type model struct {
-	views map[string]*view
+	views map[string]*jobView
 }
 
-// viewOf returns the view of a job, which knows nothing at first.
-func (m *model) viewOf(id string) *view {
+// viewOf returns the view of a job. A new view is empty.
+func (m *model) viewOf(id string) *jobView {
 	if m.views[id] == nil {
-		m.views[id] = &view{}
+		m.views[id] = &jobView{}
 	}
 	return m.views[id]
 }
 
-// state returns what is known of a job.
+// state returns the state of a job in the graph.
 func (m *model) state(id string) State {
-	known := m.viewOf(id)
+	view := m.viewOf(id)
 	switch {
-	case known.state == jobs.Done:
+	case view.state == jobs.Done:
 		return Done
-	case known.state == jobs.Cancelled:
+	case view.state == jobs.Cancelled:
 		return Cancelled
-	case !known.isLive:
+	case !view.isLive:
 		return Unknown
 	}
-	states := make([]State, 0, len(known.follows))
-	for _, predecessor := range known.follows {
+	states := make([]State, 0, len(view.follows))
+	for _, predecessor := range view.follows {
 		states = append(states, m.state(predecessor))
 	}
 	switch {
-	case known.isDoomed || slices.Contains(states, Doomed) || slices.Contains(states, Cancelled):
-		return Doomed
+	case view.isCancelPending || slices.Contains(states, CancelPending) || slices.Contains(states, Cancelled):
+		return CancelPending
 	case slices.ContainsFunc(states, func(state State) bool { return state != Done }):
 		return Blocked
 	}
 	return Released
 }
 
-// isLive reports whether a job's pending record is known.
+// isLive reports whether a job's pending record was read and its end wasn't.
 func (m *model) isLive(id string) bool {
-	known := m.viewOf(id)
-	return known.isLive && known.state == jobs.Pending
+	view := m.viewOf(id)
+	return view.isLive && view.state == jobs.Pending
 }
 
-// successors returns the live jobs that name a job.
+// successors returns the live jobs that name a job as a predecessor.
 func (m *model) successors(id string) []string {
 	var found []string
-	for other, known := range m.views {
-		if m.isLive(other) && slices.Contains(known.follows, id) {
+	for other, view := range m.views {
+		if m.isLive(other) && slices.Contains(view.follows, id) {
 			found = append(found, other)
 		}
 	}
@@ -79,7 +79,7 @@
 	return len(m.successors(id)) > 0 || m.isLive(id) && len(m.viewOf(id).follows) > 0
 }
 
-// priority returns the highest priority of a live job and of all jobs that need it.
+// priority returns the highest priority of a live job and all jobs that depend on it.
 func (m *model) priority(id string) int {
 	highest := m.viewOf(id).ownPriority
 	for _, successor := range m.successors(id) {
@@ -102,7 +102,7 @@
 	return found
 }
 
-// hasUnknownAncestor reports whether a job before a live one, direct or not, is unknown.
+// hasUnknownAncestor reports whether a direct or transitive predecessor of a live job is Unknown.
 func (m *model) hasUnknownAncestor(id string) bool {
 	if !m.isLive(id) {
 		return false
@@ -112,44 +112,45 @@
 	})
 }
 
-// latestEnd returns the earliest of the latest ends that the single paths behind a job demand.
+// latestEnd returns the earliest of the latest ends that the paths from a job to its dependent jobs allow.
 func (m *model) latestEnd(id string) time.Duration {
-	earliest := never
+	earliest := noDeadline
 	m.forEachPath(id, 0, func(deadline, runTimes time.Duration) { earliest = min(earliest, deadline-runTimes) })
 	return earliest
 }
 
-// forEachPath visits all paths behind a job that lead to one with a deadline, each with that deadline and the sum of the
-// run times of its jobs.
+// forEachPath visits all paths from a job to a dependent job with a deadline. visit receives that deadline and the sum
+// of the run times on the path, without the run time of the first job.
 func (m *model) forEachPath(id string, runTimes time.Duration, visit func(deadline, runTimes time.Duration)) {
 	for _, successor := range m.successors(id) {
-		if m.state(successor) == Doomed {
+		if m.state(successor) == CancelPending {
 			continue
 		}
-		known := m.viewOf(successor)
-		if known.deadline != never {
-			visit(known.deadline, runTimes+known.runTime)
+		view := m.viewOf(successor)
+		if view.deadline != noDeadline {
+			visit(view.deadline, runTimes+view.runTime)
 		}
-		m.forEachPath(successor, runTimes+known.runTime, visit)
+		m.forEachPath(successor, runTimes+view.runTime, visit)
 	}
 }
 
-// update makes doomed jobs stay doomed, notes releases, and forgets the ends of jobs that are neither kept in the table
-// nor named by a live job. It returns the jobs that were released since the states before.
-func (m *model) update(now time.Duration, before map[string]State, isKept func(id string) bool) (released []string) {
+// update records which jobs are CancelPending, since they stay so, and which were released. It clears the views of
+// ended jobs that are neither in the table nor named by a live job. It returns the jobs that were Blocked in the
+// states before and are Released now.
+func (m *model) update(now time.Duration, before map[string]State, isInTable func(id string) bool) (released []string) {
 	after := m.states()
-	for id, known := range m.views {
-		known.isDoomed = after[id] == Doomed
-		if after[id] == Released && before[id] != Released && len(known.follows) > 0 {
-			known.releasedAt = now
+	for id, view := range m.views {
+		view.isCancelPending = after[id] == CancelPending
+		if after[id] == Released && before[id] != Released && len(view.follows) > 0 {
+			view.releasedAt = now
 			if before[id] == Blocked {
 				released = append(released, id)
 			}
 		}
 	}
-	for id, known := range m.views {
-		if known.state.Terminal() && !isKept(id) && len(m.successors(id)) == 0 {
-			*known = view{}
+	for id, view := range m.views {
+		if view.state.Terminal() && !isInTable(id) && len(m.successors(id)) == 0 {
+			*view = jobView{}
 		}
 	}
 	slices.Sort(released)
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -10,13 +10,13 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// storedJob is a job as the state service has it.
+// storedJob is a job's data at the state service.
 type storedJob struct {
 	spec       *jobs.Spec
 	state      jobs.State
-	records    []versionedRecord // all that were written, oldest first
-	deletedAt  uint64            // the version at which its record was moved to the archive, 0: it wasn't
-	isDeleted  bool              // the controller was told so
+	records    []versionedRecord // all records written, oldest first
+	deletedAt  uint64            // the version at which its record was moved to the archive; 0 if it wasn't
+	isDeleted  bool              // whether the controller has read the deletion
 	isArchived bool
 }
 
@@ -26,29 +26,29 @@
 	version uint64
 }
 
-// history is a random run of jobs at the state service, of which a controller is told parts in any order that the watch,
-// listings and single reads allow.
+// history is a random sequence of changes to jobs at the state service. A controller reads some of them, in any order
+// that the watch, listings and reads of single keys allow.
 type history struct {
 	*controller
 	random   *rand.Rand
 	revision uint64
 	jobs     []*storedJob
 	model    model
-	releases int // in all steps
+	releases int // number of releases in all steps
 }
 
 func newHistory(t *testing.T, random *rand.Rand) *history {
-	return &history{controller: newController(t), random: random, model: model{views: map[string]*view{}}}
+	return &history{controller: newController(t), random: random, model: model{views: map[string]*jobView{}}}
 }
 
-// write stores a job's record in its present state.
+// write stores a job's record with its current state.
 func (h *history) write(job *storedJob) {
 	h.revision++
 	raw := jobs.EncodeRecord(job.state, 0, job.spec.Tasks, job.spec)
 	job.records = append(job.records, versionedRecord{job.state, raw, h.revision})
 }
 
-// accept stores a new job that follows up to four others.
+// accept stores a new job with up to three predecessors.
 func (h *history) accept() {
 	spec := newSpec(len(h.jobs) + 1)
 	spec.ID = jobID(h.random.IntN(100)*1000 + len(h.jobs) + 1)
@@ -66,7 +66,7 @@
 	h.write(job)
 }
 
-// end stores the end of a job: cancelled, or done if all of its predecessors are.
+// end stores the end of a job: done if mayBeDone is set and all of its predecessors are done, otherwise cancelled.
 func (h *history) end(job *storedJob, mayBeDone bool) {
 	if job.state.Terminal() {
 		return
@@ -90,8 +90,8 @@
 	}
 }
 
-// readRecord tells the controller one of a job's records, mostly the newest. The controller ignores it by itself once it
-// knows of the deletion.
+// readRecord has the controller read one of a job's records: the first in one of three cases, otherwise the newest. It
+// does nothing once the controller has read the deletion.
 func (h *history) readRecord(job *storedJob) {
 	record := job.records[len(job.records)-1]
 	if h.random.IntN(3) == 0 {
@@ -101,57 +101,59 @@
 		return
 	}
 	h.read(job.spec.ID, record.raw, record.version)
-	h.noteRecord(job, record.state)
+	h.updateView(job, record.state)
 }
 
-// noteRecord tells the model a record.
-func (h *history) noteRecord(job *storedJob, state jobs.State) {
-	known := h.model.viewOf(job.spec.ID)
-	if known.state.Terminal() {
+// updateView applies a record to the model's view of the job.
+func (h *history) updateView(job *storedJob, state jobs.State) {
+	view := h.model.viewOf(job.spec.ID)
+	if view.state.Terminal() {
 		return
 	}
-	known.state = state
-	known.isLive = !state.Terminal()
-	if known.isLive {
-		known.follows = job.spec.Follows
-		known.ownPriority = job.spec.PriorityLevel()
-		known.runTime = runTimeOf(job.spec.Tasks)
-		known.deadline = never
+	view.state = state
+	view.isLive = !state.Terminal()
+	if view.isLive {
+		view.follows = job.spec.Follows
+		view.ownPriority = job.spec.PriorityLevel()
+		view.runTime = runTimeOf(job.spec.Tasks)
+		view.deadline = noDeadline
 		if job.spec.DeadlineS != nil {
-			known.deadline = jobs.Seconds(*job.spec.DeadlineS)
+			view.deadline = jobs.Seconds(*job.spec.DeadlineS)
 		}
 	}
 }
 
 func runTimeOf(tasks int) time.Duration { return time.Duration(tasks) * time.Second }
 
-// readArchiving tells the controller that a job's record has left the followed keys.
+// readArchiving has the controller read that a job's record was removed from the followed keys.
 func (h *history) readArchiving(job *storedJob) {
 	if !job.isArchived || job.isDeleted {
 		return
 	}
 	job.isDeleted = true
 	h.readDeletion(job.spec.ID, job.deletedAt)
-	h.noteRemoved(job)
+	h.clearView(job)
 }
 
-func (h *history) noteRemoved(job *storedJob) {
-	if known := h.model.viewOf(job.spec.ID); known.isLive {
-		*known = view{}
+// clearView clears the model's view of a job that it has as live.
+func (h *history) clearView(job *storedJob) {
+	if view := h.model.viewOf(job.spec.ID); view.isLive {
+		*view = jobView{}
 	}
 }
 
-// readAnswer tells the controller a job's archived answer if it is looking for that.
-func (h *history) readAnswer(job *storedJob) {
+// readArchiveEntry has the controller read a job's archive entry if the job is Unknown in the graph.
+func (h *history) readArchiveEntry(job *storedJob) {
 	if !job.isArchived || !slices.Contains(h.unknown(), job.spec.ID) {
 		return
 	}
-	job.isDeleted = true // the answer was read after the record was read as absent
+	job.isDeleted = true // the entry is read only after the record was found absent
 	h.graph.HandleArchived(h.now, job.spec.ID, job.state)
 	h.model.viewOf(job.spec.ID).state = job.state
 }
 
-// list tells the controller all records there are, in any order, and compares after each.
+// list has the controller read all existing records in a random order. It compares the graph with the model after each
+// record and after the end of the listing.
 func (h *history) list() {
 	h.t.Helper()
 	present := map[string]bool{}
@@ -164,26 +166,27 @@
 		present[job.spec.ID] = true
 		h.checkedStep(func() {
 			h.read(job.spec.ID, newest.raw, newest.version)
-			h.noteRecord(job, newest.state)
+			h.updateView(job, newest.state)
 		})
 	}
 	h.checkedStep(func() { h.retain(present) })
 }
 
-// retain tells the controller that there are no other records than those of some jobs.
+// retain has the controller remove the jobs that a listing lacks. present holds the ids of the listed jobs.
 func (h *history) retain(present map[string]bool) {
 	h.table.Retain(h.revision, func(id string) bool { return present[id] })
 	h.graph.Retain()
 	for _, job := range h.jobs {
 		if job.isArchived {
 			job.isDeleted = true
-			h.noteRemoved(job)
+			h.clearView(job)
 		}
 	}
 }
 
-// holdTasks has the controller plan all jobs that may run, as a leader does: it keeps them when they are archived.
-func (h *history) holdTasks() {
+// createTasks creates the tasks of all jobs that may run, as a leader does. The table keeps such jobs when they are
+// archived.
+func (h *history) createTasks() {
 	h.table.ForEachLive(func(job *jobs.Job) {
 		if !job.Blocked {
 			job.CreateTasks()
@@ -191,10 +194,10 @@
 	})
 }
 
-// anyJob returns a random job.
-func (h *history) anyJob() *storedJob { return h.jobs[h.random.IntN(len(h.jobs))] }
+// randomJob returns a random job.
+func (h *history) randomJob() *storedJob { return h.jobs[h.random.IntN(len(h.jobs))] }
 
-// step takes a random step of the state service or of the controller, and compares.
+// step performs a random step of the state service or the controller and compares the graph with the model.
 func (h *history) step() {
 	h.t.Helper()
 	h.now += time.Second
@@ -205,7 +208,7 @@
 	h.checkedStep(h.singleStep)
 }
 
-// singleStep takes a random step other than a listing.
+// singleStep performs a random step other than a listing.
 func (h *history) singleStep() {
 	if len(h.jobs) == 0 {
 		h.accept()
@@ -215,23 +218,23 @@
 	case 0, 1:
 		h.accept()
 	case 2, 3, 4:
-		h.end(h.anyJob(), h.random.IntN(8) > 0)
+		h.end(h.randomJob(), h.random.IntN(8) > 0)
 	case 5:
-		h.archive(h.anyJob())
+		h.archive(h.randomJob())
 	case 6:
-		h.readArchiving(h.anyJob())
+		h.readArchiving(h.randomJob())
 	case 7, 8:
-		h.readAnswer(h.anyJob())
+		h.readArchiveEntry(h.randomJob())
 	case 9:
-		h.holdTasks()
+		h.createTasks()
 	case 10:
 		h.table.ResetPlanning()
 	default:
-		h.readRecord(h.anyJob())
+		h.readRecord(h.randomJob())
 	}
 }
 
-// finish ends and archives all jobs and tells the controller.
+// finish ends and archives all jobs and has the controller list them.
 func (h *history) finish() {
 	for _, job := range h.jobs {
 		h.end(job, true)
@@ -241,13 +244,13 @@
 	h.checkedStep(h.table.ResetPlanning)
 }
 
-// hasEnd reports whether the job table has a job's end.
+// hasEnd reports whether a job is in the table with a terminal state.
 func (h *history) hasEnd(id string) bool {
 	job := h.table.Get(id)
 	return job != nil && job.State.Terminal()
 }
 
-// checkedStep takes a step and compares the graph with the model.
+// checkedStep performs a step and compares the graph with the model.
 func (h *history) checkedStep(step func()) {
 	h.t.Helper()
 	before := h.model.states()
@@ -257,7 +260,7 @@
 	released := h.model.update(h.now, before, h.hasEnd)
 	slices.Sort(h.released)
 	if !slices.Equal(h.released, released) {
-		h.t.Fatalf("released %v, the model %v", h.released, released)
+		h.t.Fatalf("released jobs %v, want %v", h.released, released)
 	}
 	h.checkGraph()
 	latestEndOf := h.graph.LatestEnds(func(job *jobs.Job) time.Duration { return runTimeOf(job.TaskCount) })
@@ -268,10 +271,10 @@
 	}
 }
 
-// checkGraph compares what the graph says of all jobs together.
+// checkGraph compares the results of the graph that cover all jobs with the model.
 func (h *history) checkGraph() {
 	h.t.Helper()
-	var unknown, doomed []string
+	var unknown, cancelPending []string
 	size := 0
 	for id, state := range h.model.states() {
 		if !h.model.isInGraph(id) {
@@ -281,24 +284,24 @@
 		switch state {
 		case Unknown:
 			unknown = append(unknown, id)
-		case Doomed:
-			doomed = append(doomed, id)
+		case CancelPending:
+			cancelPending = append(cancelPending, id)
 		}
 	}
 	slices.Sort(unknown)
-	slices.Sort(doomed)
+	slices.Sort(cancelPending)
 	if got := h.graph.Len(); got != size {
-		h.t.Fatalf("%d nodes, want %d", got, size)
+		h.t.Fatalf("%d nodes in the graph, want %d", got, size)
 	}
 	if got := slices.Sorted(slices.Values(h.unknown())); !slices.Equal(got, unknown) {
-		h.t.Fatalf("unknown %v, want %v", got, unknown)
+		h.t.Fatalf("unknown jobs %v, want %v", got, unknown)
 	}
-	if got := slices.Sorted(slices.Values(h.doomed())); !slices.Equal(got, doomed) {
-		h.t.Fatalf("doomed %v, want %v", got, doomed)
+	if got := slices.Sorted(slices.Values(h.cancelPending())); !slices.Equal(got, cancelPending) {
+		h.t.Fatalf("jobs to be cancelled %v, want %v", got, cancelPending)
 	}
 }
 
-// checkNode compares what the graph says of one job.
+// checkNode compares the results of the graph for one job with the model.
 func (h *history) checkNode(id string) {
 	h.t.Helper()
 	want := Unknown
@@ -306,27 +309,27 @@
 		want = h.model.state(id)
 	}
 	if got := h.graph.State(id); got != want {
-		h.t.Fatalf("%s is %v, want %v", id, got, want)
+		h.t.Fatalf("state of %s is %v, want %v", id, got, want)
 	}
 	if got, want := h.graph.HasSuccessors(id), len(h.model.successors(id)) > 0; got != want {
-		h.t.Fatalf("%s has successors: %v", id, got)
+		h.t.Fatalf("HasSuccessors(%s) = %v, want the opposite", id, got)
 	}
 	if got, want := h.graph.HasUnknownAncestor(id), h.model.hasUnknownAncestor(id); got != want {
-		h.t.Fatalf("%s has an unknown ancestor: %v", id, got)
+		h.t.Fatalf("HasUnknownAncestor(%s) = %v, want the opposite", id, got)
 	}
 	unfinished := h.model.unfinished(id)
 	ids, count := h.graph.Unfinished(id, 2)
 	if count != len(unfinished) || len(ids) != min(2, count) {
-		h.t.Fatalf("%s waits for %d, %v, want %v", id, count, ids, unfinished)
+		h.t.Fatalf("%s has %d unfinished predecessors, of which %v are returned; want two at most of %v", id, count, ids, unfinished)
 	}
 	for _, predecessor := range ids {
 		if !slices.Contains(unfinished, predecessor) {
-			h.t.Fatalf("%s waits for %v, want %v", id, ids, unfinished)
+			h.t.Fatalf("unfinished predecessors of %s: %v, want only jobs of %v", id, ids, unfinished)
 		}
 	}
 }
 
-// checkJob compares the fields that the graph sets of a live job.
+// checkJob compares the fields that the graph sets in a live job with the model.
 func (h *history) checkJob(id string) {
 	h.t.Helper()
 	if !h.model.isLive(id) {
@@ -334,8 +337,8 @@
 	}
 	job := h.table.Get(id)
 	state := h.model.state(id)
-	if job.Blocked != (state == Blocked || state == Doomed) || job.Doomed != (state == Doomed) {
-		h.t.Fatalf("%s is %v, and blocked %v, doomed %v", id, state, job.Blocked, job.Doomed)
+	if job.Blocked != (state == Blocked || state == CancelPending) || job.Doomed != (state == CancelPending) {
+		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and Doomed %v", id, state, job.Blocked, job.Doomed)
 	}
 	if want := h.model.viewOf(id).releasedAt; job.ReleasedAt != want {
 		h.t.Fatalf("%s released at %v, want %v", id, job.ReleasedAt, want)
@@ -345,7 +348,7 @@
 	}
 }
 
-// checkLatestEnd compares when a live job may end with what all paths behind it demand.
+// checkLatestEnd compares a live job's latest end with the model's, which follows all paths to dependent jobs.
 func (h *history) checkLatestEnd(id string, latestEndOf func(*jobs.Job) (time.Duration, bool)) {
 	h.t.Helper()
 	if !h.model.isLive(id) {
@@ -353,14 +356,14 @@
 	}
 	want := h.model.latestEnd(id)
 	got, found := latestEndOf(h.table.Get(id))
-	if found != (want != never) || found && got != want {
-		h.t.Fatalf("%s may end at %v, %v, want %v", id, got, found, want)
+	if found != (want != noDeadline) || found && got != want {
+		h.t.Fatalf("latest end of %s is %v, found %v; want %v", id, got, found, want)
 	}
 }
 
-// The graph says what a slow, plain model says, whatever jobs do and in whatever order a controller reads of it. Nothing
-// is left once all jobs have ended and left the followed keys.
-func TestGraphIsThatOfThePlainModel(t *testing.T) {
+// The graph returns the same results as a simple model for random changes of the jobs, read in random order. The graph
+// is empty after all jobs have ended and were removed from the followed keys.
+func TestGraphMatchesModel(t *testing.T) {
 	const (
 		histories = 3000
 		steps     = 60
@@ -373,12 +376,12 @@
 		}
 		h.finish()
 		releases += h.releases
-		if h.graph.Len() != 0 || h.graph.Edges() != 0 || h.graph.unknown.Len()+h.graph.doomed.Len() != 0 {
-			t.Fatalf("seed %d: %d nodes and %d edges left", seed, h.graph.Len(), h.graph.Edges())
+		if h.graph.Len() != 0 || h.graph.Edges() != 0 || h.graph.unknown.Len()+h.graph.cancelPending.Len() != 0 {
+			t.Fatalf("seed %d: %d nodes and %d edges after all jobs were archived, want an empty graph", seed, h.graph.Len(), h.graph.Edges())
 		}
 	}
-	t.Logf("%d releases", releases)
+	t.Logf("%d releases in all histories", releases)
 	if releases < histories/3 {
-		t.Errorf("only %d releases", releases)
+		t.Errorf("%d releases in all histories, want at least one in three histories", releases)
 	}
 }
--- a/internal/dependencies/graph_state_test.go
+++ b/internal/dependencies/graph_state_test.go
@@ -1,8 +1,8 @@
 package dependencies
 
-// String returns the state's name in messages of tests.
+// String returns the state's name for test failure messages.
 func (s State) String() string {
-	return [...]string{"unknown", "blocked", "doomed", "released", "done", "cancelled"}[s]
+	return [...]string{"unknown", "blocked", "cancel pending", "released", "done", "cancelled"}[s]
 }
 
 // Len returns the number of jobs in the graph.
--- a/internal/dependencies/resolver.go
+++ b/internal/dependencies/resolver.go
@@ -9,80 +9,82 @@
 )
 
 const (
-	// resolveInterval spaces the searches for jobs in state Unknown. The watch brings most of their records first.
+	// resolveInterval is the time between two searches for Unknown jobs. The watch delivers most of their records
+	// before that.
 	resolveInterval = 500 * time.Millisecond
-	// maxResolveReads bounds the reads in flight.
+	// maxResolveReads is the maximum number of jobs whose reads are in flight.
 	maxResolveReads = 8
 )
 
-// ResolverEnv is what a Resolver needs of the controller.
+// ResolverEnv holds the controller functions that a Resolver calls.
 type ResolverEnv struct {
 	// CanRead reports whether one more read may be sent now.
 	CanRead func() bool
-	// Locate reads a job's record, or its archived answer.
+	// Locate reads a job's record, or its archive entry if it has no record.
 	Locate func(id string, done func(found archive.Location, err error))
 	// OnJobRecord receives each record that was read.
 	OnJobRecord func(now time.Duration, item store.Item)
-	// Now returns the monotonic time, for results.
+	// Now returns the monotonic time. It is called when a result arrives.
 	Now func() time.Duration
 }
 
-// Resolver reads what became of jobs that are named as predecessors and whose records aren't among the followed keys:
-// they were archived before this controller read the successor's record.
+// Resolver reads the final states of predecessors whose records aren't in the followed keys, because they were
+// archived before this controller read the successor's record.
 type Resolver struct {
-	env       ResolverEnv
-	graph     *Graph
-	searchAt  time.Duration   // when unknown jobs are next searched for
-	inFlight  map[string]bool // by job
-	lastFound map[string]bool // jobs that were unknown at the last search
-	tried     map[string]bool // unknown jobs that were read since all others were
+	env          ResolverEnv
+	graph        *Graph
+	nextSearchAt time.Duration   // time of the next search
+	inFlight     map[string]bool // ids of the jobs that are being read
+	lastUnknown  map[string]bool // ids of the jobs that were Unknown at the last search
+	attempted    map[string]bool // ids of the Unknown jobs read in the current round; cleared when each of them was read
 }
 
 // NewResolver returns a Resolver for a graph.
 func NewResolver(graph *Graph, env ResolverEnv) *Resolver {
-	return &Resolver{env: env, graph: graph, inFlight: map[string]bool{}, tried: map[string]bool{}}
+	return &Resolver{env: env, graph: graph, inFlight: map[string]bool{}, attempted: map[string]bool{}}
 }
 
-// Tick reads jobs that have been unknown for at least one search.
+// Tick starts a search if one is due. It reads jobs that were already Unknown at the previous search, within the
+// limits of maxResolveReads and CanRead.
 func (r *Resolver) Tick(now time.Duration) {
-	if now < r.searchAt {
+	if now < r.nextSearchAt {
 		return
 	}
-	r.searchAt = now + resolveInterval
-	for _, id := range r.findDue() {
+	r.nextSearchAt = now + resolveInterval
+	for _, id := range r.jobsToRead() {
 		if len(r.inFlight) >= maxResolveReads || !r.env.CanRead() {
 			return
 		}
-		r.tried[id] = true
+		r.attempted[id] = true
 		r.read(id)
 	}
 }
 
-// findDue returns the jobs that have been unknown since the last search and aren't being read. Those that were read
-// before come last, so that answers that can't be read hold up no others.
-func (r *Resolver) findDue() []string {
-	found := map[string]bool{}
-	var untried, tried []string
+// jobsToRead returns the jobs that were already Unknown at the previous search and aren't being read. Jobs that were
+// read before come last, so that unreadable archive entries don't delay the reads of other jobs.
+func (r *Resolver) jobsToRead() []string {
+	unknown := map[string]bool{}
+	var unattempted, attempted []string
 	r.graph.ForEachUnknown(func(id string) bool {
-		found[id] = true
+		unknown[id] = true
 		switch {
-		case !r.lastFound[id] || r.inFlight[id]:
-		case r.tried[id]:
-			tried = append(tried, id)
+		case !r.lastUnknown[id] || r.inFlight[id]:
+		case r.attempted[id]:
+			attempted = append(attempted, id)
 		default:
-			untried = append(untried, id)
+			unattempted = append(unattempted, id)
 		}
 		return true
 	})
-	r.lastFound = found
-	maps.DeleteFunc(r.tried, func(id string, _ bool) bool { return !found[id] })
-	if len(untried) == 0 {
-		clear(r.tried)
+	r.lastUnknown = unknown
+	maps.DeleteFunc(r.attempted, func(id string, _ bool) bool { return !unknown[id] })
+	if len(unattempted) == 0 {
+		clear(r.attempted)
 	}
-	return append(untried, tried...)
+	return append(unattempted, attempted...)
 }
 
-// read reads a job's record or its archived answer.
+// read reads a job's record or its archive entry, and applies the result to the graph.
 func (r *Resolver) read(id string) {
 	r.inFlight[id] = true
 	r.env.Locate(id, func(found archive.Location, err error) {
--- a/internal/dependencies/resolver_test.go
+++ b/internal/dependencies/resolver_test.go
@@ -11,15 +11,15 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// resolverTrial is a resolver in front of a simulated state service.
-type resolverTrial struct {
+// resolverTest is a resolver that reads from a simulated state service.
+type resolverTest struct {
 	*stateClient
 	resolver *Resolver
 }
 
-func newResolverTrial(t *testing.T) *resolverTrial {
+func newResolverTest(t *testing.T) *resolverTest {
 	t.Helper()
-	s := &resolverTrial{stateClient: newStateClient(t)}
+	s := &resolverTest{stateClient: newStateClient(t)}
 	reader := archive.NewReader(s.client, 64)
 	s.resolver = NewResolver(s.graph, ResolverEnv{
 		CanRead: func() bool { return true },
@@ -32,28 +32,29 @@
 	return s
 }
 
-// search has the resolver search once.
-func (s *resolverTrial) search() {
+// search advances the clock by resolveInterval and calls Tick, which starts one search.
+func (s *resolverTest) search() {
 	s.now += resolveInterval
 	s.resolver.Tick(s.now)
 }
 
-// A job that is unknown for one search only isn't read: the watch brings most records.
-func TestResolverLeavesNewUnknownJobsToTheWatch(t *testing.T) {
-	s := newResolverTrial(t)
+// A job that was Unknown at only one search isn't read, because the watch delivers most records.
+func TestResolverDoesNotReadNewUnknownJobs(t *testing.T) {
+	s := newResolverTest(t)
 	s.storeAndRead(jobs.Pending, newSpec(2, 1))
 	s.search()
 	s.storeAndRead(jobs.Pending, newSpec(1))
 	s.search()
 	if len(s.sent) != 0 {
-		t.Errorf("requests %v", s.sent)
+		t.Errorf("requests %v, want none", s.sent)
 	}
 }
 
-// A job's record is read first and its answer second; the answer releases its successor or dooms it.
-func TestResolverReadsRecordThenAnswer(t *testing.T) {
-	for final, want := range map[jobs.State]State{jobs.Done: Released, jobs.Cancelled: Doomed} {
-		s := newResolverTrial(t)
+// A job's record is read first and its archive entry second. The entry's state decides whether the successor becomes
+// Released or CancelPending.
+func TestResolverReadsRecordThenArchiveEntry(t *testing.T) {
+	for final, want := range map[jobs.State]State{jobs.Done: Released, jobs.Cancelled: CancelPending} {
+		s := newResolverTest(t)
 		s.archive(1, final)
 		s.storeAndRead(jobs.Pending, newSpec(2, 1))
 		s.search()
@@ -61,70 +62,71 @@
 		s.deliverAll()
 		wantSent := []string{"/keys/" + jobs.RecordKey(jobID(1)), "/keys/" + archive.Key(jobID(1))}
 		if !slices.Equal(s.sent, wantSent) {
-			t.Errorf("requests %v", s.sent)
+			t.Errorf("requests %v, want the record and then the archive entry", s.sent)
 		}
 		if got := s.graph.State(jobID(2)); got != want {
-			t.Errorf("after %v: %v, want %v", final, got, want)
+			t.Errorf("predecessor %v: successor is %v, want %v", final, got, want)
 		}
 	}
 }
 
-// A job that is moved to the archive between the two reads is found; so is one whose record was there all along.
-func TestResolverFindsJobWhereverItIs(t *testing.T) {
-	s := newResolverTrial(t)
+// A job that is moved to the archive between the two reads is found, and a job whose record exists is found by the
+// first read.
+func TestResolverFindsJobMovedBetweenReads(t *testing.T) {
+	s := newResolverTest(t)
 	s.storeAndRead(jobs.Pending, newSpec(3, 1, 2))
 	s.store(jobs.Done, newSpec(1))
 	s.search()
 	s.search()
-	s.deliver(carriedOut) // job 1's record exists
-	s.deliver(carriedOut) // job 2's doesn't
+	s.deliver(processed) // read of job 1's record, which exists
+	s.deliver(processed) // read of job 2's record, which doesn't exist
 	s.archive(2, jobs.Done)
 	s.deliverAll()
 	if s.graph.State(jobID(1)) != Done || s.graph.State(jobID(2)) != Done || !slices.Equal(s.released, []string{jobID(3)}) {
-		t.Errorf("job 1 %v, job 2 %v, released %v", s.graph.State(jobID(1)), s.graph.State(jobID(2)), s.released)
+		t.Errorf("job 1 is %v, job 2 is %v, want both done; released jobs %v, want job 3", s.graph.State(jobID(1)), s.graph.State(jobID(2)), s.released)
 	}
 }
 
-// A read that failed is repeated at a later search, never twice at a time.
-func TestResolverRepeatsFailedReads(t *testing.T) {
-	s := newResolverTrial(t)
+// A failed read is repeated at a later search. A job has at most one read in flight.
+func TestResolverRetriesFailedReads(t *testing.T) {
+	s := newResolverTest(t)
 	s.archive(1, jobs.Done)
 	s.storeAndRead(jobs.Pending, newSpec(2, 1))
 	s.search()
 	s.search()
 	s.search()
 	if len(s.sent) != 1 {
-		t.Fatalf("requests %v", s.sent)
+		t.Fatalf("requests %v after three searches, want one", s.sent)
 	}
 	s.deliver(requestLost)
 	s.search()
-	s.deliver(carriedOut)
+	s.deliver(processed)
 	s.deliver(requestLost)
 	s.search()
 	s.deliverAll()
 	if s.graph.State(jobID(2)) != Released {
-		t.Errorf("%v after %v", s.graph.State(jobID(2)), s.sent)
+		t.Errorf("job 2 is %v after requests %v, want released", s.graph.State(jobID(2)), s.sent)
 	}
 }
 
-// No more reads are under way at a time than maxResolveReads, and none beyond the budget.
-func TestResolverBoundsItsReads(t *testing.T) {
+// At most maxResolveReads reads are in flight, and CanRead is obeyed.
+func TestResolverLimitsReads(t *testing.T) {
 	for _, budget := range []int{100, 3} {
-		s := newResolverTrial(t)
+		s := newResolverTest(t)
 		s.resolver.env.CanRead = func() bool { return len(s.sent) < budget }
 		s.storeAndRead(jobs.Pending, newSpec(50, numbers(1, 40)...))
 		for range 5 {
 			s.search()
 		}
 		if len(s.sent) != min(budget, maxResolveReads) {
-			t.Errorf("%d reads", len(s.sent))
+			t.Errorf("%d reads, want the smaller of the budget and maxResolveReads", len(s.sent))
 		}
 	}
 }
 
-// All of many archived jobs are found in the end.
+// The states of 40 archived predecessors are found, more than the reads of one search.
 func TestResolverFindsManyJobs(t *testing.T) {
-	s := newResolverTrial(t)
+	s := newResolverTest(t)
 	for _, number := range numbers(1, 40) {
 		s.archive(number, jobs.Done)
 	}
@@ -134,13 +136,13 @@
 		s.deliverAll()
 	}
 	if s.graph.State(jobID(50)) != Released {
-		t.Errorf("%v, %d unknown", s.graph.State(jobID(50)), len(s.unknown()))
+		t.Errorf("job 50 is %v with %d unknown predecessors, want released", s.graph.State(jobID(50)), len(s.unknown()))
 	}
 }
 
-// Jobs whose answers can't be read hold up no other.
-func TestResolverPassesUnreadableAnswers(t *testing.T) {
-	s := newResolverTrial(t)
+// Unreadable archive entries don't prevent the reads of other jobs.
+func TestUnreadableArchiveEntriesDoNotBlockResolver(t *testing.T) {
+	s := newResolverTest(t)
 	for _, number := range numbers(1, 10) {
 		unreadable := store.Op{Put: archive.Key(jobID(number)), Value: json.RawMessage(`{"v":9,"stance":"done"}`)}
 		s.service.Apply([]store.Op{unreadable})
@@ -153,6 +155,6 @@
 		s.deliverAll()
 	}
 	if s.graph.State(jobID(21)) != Released {
-		t.Errorf("%v after %d requests", s.graph.State(jobID(21)), len(s.sent))
+		t.Errorf("job 21 is %v after %d requests, want released", s.graph.State(jobID(21)), len(s.sent))
 	}
 }
--- a/internal/dependencies/runs_explore_test.go
+++ b/internal/dependencies/runs_explore_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// runGraph is a set of jobs by the predecessors that their users name. Its last job isn't accepted at the beginning.
+// runGraph is a set of jobs with their predecessors. The last job isn't accepted in the initial state.
 type runGraph struct {
-	name  string
-	needs []jobSet
+	name              string
+	namedPredecessors []jobSet // named by each job's user
 }
 
-// joinGraph is a job that needs two others.
+// joinGraph has one job with two predecessors.
 var joinGraph = runGraph{"join", []jobSet{0, 0, 0b011}}
 
-// runGraphs are the graphs that are explored.
+// runGraphs are the graphs that TestEveryRunOfDependentJobs explores.
 var runGraphs = []runGraph{
 	{"chain", []jobSet{0, 0b001, 0b010}},
 	joinGraph,
@@ -23,41 +23,42 @@
 	{"diamond", []jobSet{0, 0b0001, 0b0001, 0b0110}},
 }
 
-// shortRuns are the usual bounds, longRuns those that HAREWALK_LONG asks for.
+// shortRuns are the default bounds. longRuns are used if the environment variable HAREWALK_LONG is set.
 var (
 	shortRuns = runBounds{userCancels: 1, leaderChanges: 1, moves: 1, accepts: 1, sends: 2}
 	longRuns  = runBounds{userCancels: 1, leaderChanges: 2, moves: 1, accepts: 1, sends: 3}
 )
 
-// runExploration visits all states of a graph's runs.
+// runExploration visits all states that the runs of a graph reach.
 type runExploration struct {
-	graph   runGraph
-	bounds  runBounds
-	missing runGuards
-	visited map[runState]struct{}
-	queue   []runState
+	graph    runGraph
+	bounds   runBounds
+	disabled runGuards
+	visited  map[runState]struct{}
+	queue    []runState
 }
 
-// exploreRuns visits all states within the bounds until a property doesn't hold. It returns what doesn't, and how many
-// states there are.
-func exploreRuns(graph runGraph, bounds runBounds, missing runGuards) (wrong string, states int) {
-	e := runExploration{graph: graph, bounds: bounds, missing: missing, visited: map[runState]struct{}{}}
+// exploreRuns visits all states within the bounds until a property is violated. It returns the violation, or "" if
+// there is none, and the number of states visited.
+func exploreRuns(graph runGraph, bounds runBounds, disabled runGuards) (violation string, states int) {
+	e := runExploration{graph: graph, bounds: bounds, disabled: disabled, visited: map[runState]struct{}{}}
 	e.visit(graph.initial())
 	for len(e.queue) > 0 {
 		state := e.queue[len(e.queue)-1]
 		e.queue = e.queue[:len(e.queue)-1]
-		if wrong := e.check(state); wrong != "" {
-			return wrong, len(e.visited)
+		if violation := e.check(state); violation != "" {
+			return violation, len(e.visited)
 		}
 		e.expand(state)
 	}
 	return "", len(e.visited)
 }
 
-// initial returns the state in which all jobs but the last are accepted, and tasks of those without predecessors run.
+// initial returns the state in which all jobs except the last are accepted, and the accepted jobs without predecessors
+// have been started.
 func (g runGraph) initial() runState {
 	state := runState{term: 1}
-	for id, predecessors := range g.needs[:len(g.needs)-1] {
+	for id, predecessors := range g.namedPredecessors[:len(g.namedPredecessors)-1] {
 		job := &state.jobs[id]
 		job.predecessors = predecessors
 		state.write(job, contentPending)
@@ -68,108 +69,112 @@
 	return state
 }
 
-// visit queues a state that wasn't seen before.
+// visit queues a state unless it was visited before.
 func (e *runExploration) visit(state runState) {
 	state.canonicalize()
-	if _, known := e.visited[state]; !known {
+	if _, isVisited := e.visited[state]; !isVisited {
 		e.visited[state] = struct{}{}
 		e.queue = append(e.queue, state)
 	}
 }
 
-// check returns what is wrong with a state: something unsafe happened, or a successor of a cancelled job stays.
+// check returns the property that a state violates, or "": either a safety property, or that a job with a cancelled
+// predecessor is cancelled once the leader remains and its transactions are applied.
 func (e *runExploration) check(state runState) string {
-	if wrong := state.violation(e.graph.needs); wrong != "" {
-		return wrong
+	if violation := state.violation(e.graph.namedPredecessors); violation != "" {
+		return violation
 	}
-	state.settleFairly(e.missing)
-	if state.orphan(e.graph.needs) {
-		return "orphaned: a job whose predecessor is cancelled is never cancelled"
+	state.runFairly(e.disabled)
+	if state.hasOrphan(e.graph.namedPredecessors) {
+		return "orphaned: a job with a cancelled predecessor is never cancelled"
 	}
 	return ""
 }
 
-// expand visits the states that can follow a state.
+// expand visits the successor states of a state.
 func (e *runExploration) expand(state runState) {
-	e.carryOutOpen(state)
-	if state.spent.leaderChanges < e.bounds.leaderChanges {
+	e.deliverInFlight(state)
+	if state.steps.leaderChanges < e.bounds.leaderChanges {
 		next := state
-		next.spent.leaderChanges++
+		next.steps.leaderChanges++
 		next.term++
-		next.seenInTerm = 0
+		next.cancelledInTerm = 0
 		e.visit(next)
 	}
 	for controller := range runControllers {
-		for id := range e.graph.needs {
+		for id := range e.graph.namedPredecessors {
 			next := state
-			next.read(controller, id, e.missing)
+			next.read(controller, id, e.disabled)
 			e.visit(next)
 			e.cancelByUser(state, controller, id)
 		}
 		e.accept(state, controller)
 	}
-	for id := range e.graph.needs {
-		e.lead(state, id)
+	for id := range e.graph.namedPredecessors {
+		e.stepLeader(state, id)
 	}
 }
 
-// carryOutOpen has each open transaction be lost, carried out, or carried out for the first of two times.
-func (e *runExploration) carryOutOpen(state runState) {
-	for i, txn := range state.open {
+// deliverInFlight visits the states after each transaction in flight was lost, applied, or applied for the first of
+// two times.
+func (e *runExploration) deliverInFlight(state runState) {
+	for i, txn := range state.inFlight {
 		if txn.kind == noRunTxn {
 			continue
 		}
 		lost := state
-		lost.open[i] = runTxn{}
+		lost.inFlight[i] = runTxn{}
 		e.visit(lost)
-		if carried := lost; carried.carryOut(txn, e.missing) {
-			e.visit(carried)
+		if applied := lost; applied.apply(txn, e.disabled) {
+			e.visit(applied)
 			if !txn.repeated {
-				carried.open[i] = txn
-				carried.open[i].repeated = true
-				e.visit(carried)
+				applied.inFlight[i] = txn
+				applied.inFlight[i].repeated = true
+				e.visit(applied)
 			}
 		}
 	}
 }
 
-// sendCounted visits the state after a transaction was sent, if the bound for those without one of their own allows it.
-func (e *runExploration) sendCounted(state runState, txn runTxn) {
-	if state.spent.sends < e.bounds.sends {
-		state.spent.sends++
+// sendBounded visits the state after a transaction was sent, unless the bound sends is reached. It is used for the
+// transactions that have no bound of their own.
+func (e *runExploration) sendBounded(state runState, txn runTxn) {
+	if state.steps.sends < e.bounds.sends {
+		state.steps.sends++
 		e.send(state, txn)
 	}
 }
 
-// send visits the state after a transaction was sent, unless as many are open as can be.
+// send visits the state after a transaction was sent, unless maxTxnsInFlight transactions are in flight.
 func (e *runExploration) send(state runState, txn runTxn) {
-	for i := range state.open {
-		if state.open[i].kind == noRunTxn {
-			state.open[i] = txn
+	for i := range state.inFlight {
+		if state.inFlight[i].kind == noRunTxn {
+			state.inFlight[i] = txn
 			e.visit(state)
 			return
 		}
 	}
 }
 
-// cancelByUser has a user cancel a job at a controller.
+// cancelByUser visits the state after a controller sent a user's cancellation of a job.
 func (e *runExploration) cancelByUser(state runState, controller, id int) {
-	if state.spent.userCancels == e.bounds.userCancels || state.views[controller][id].content != contentPending {
+	if state.steps.userCancels == e.bounds.userCancels || state.views[controller][id].content != contentPending {
 		return
 	}
-	state.spent.userCancels++
+	state.steps.userCancels++
 	e.send(state, state.cancelTxn(controller, id, 0))
 }
 
-// accept has a controller that has read all predecessors of the last job store that.
+// accept visits the state after a controller sent the transaction that accepts the last job. The controller must have
+// read all predecessors of that job.
 func (e *runExploration) accept(state runState, controller int) {
-	if state.spent.accepts == e.bounds.accepts {
+	if state.steps.accepts == e.bounds.accepts {
 		return
 	}
-	last := len(e.graph.needs) - 1
+	last := len(e.graph.namedPredecessors) - 1
 	txn := runTxn{kind: txnAccept, job: int8(last), accepted: contentPending}
 	for predecessor := range last {
-		if !e.graph.needs[last].has(predecessor) {
+		if !e.graph.namedPredecessors[last].has(predecessor) {
 			continue
 		}
 		switch state.views[controller][predecessor].content {
@@ -178,7 +183,7 @@
 		case contentPending:
 			txn.predecessors = txn.predecessors.with(predecessor)
 		case contentCancelled:
-			if !e.missing.acceptDropsDoneOnly {
+			if !e.disabled.dropOnlyDone {
 				txn.accepted = contentCancelled
 			}
 		}
@@ -186,79 +191,80 @@
 	if txn.accepted == contentCancelled {
 		txn.predecessors = 0
 	}
-	state.spent.accepts++
+	state.steps.accepts++
 	e.send(state, txn)
 }
 
-// lead has the leader do with a job what it may: start it, end it, cancel it with its predecessor, or archive it.
-func (e *runExploration) lead(state runState, id int) {
+// stepLeader visits the states after each transaction that the leader may send for a job: to start it, to end it, to
+// cancel it after its predecessor, or to archive it.
+func (e *runExploration) stepLeader(state runState, id int) {
 	leader := state.leader()
-	known := state.views[leader][id]
-	if state.isReleased(leader, id, e.missing) && !state.started.has(id) {
-		e.sendCounted(state, runTxn{kind: txnStart, job: int8(id), term: state.term})
+	view := state.views[leader][id]
+	if state.isReleased(leader, id, e.disabled) && !state.started.has(id) {
+		e.sendBounded(state, runTxn{kind: txnStart, job: int8(id), term: state.term})
 	}
-	if state.started.has(id) && known.content == contentPending {
-		e.sendCounted(state, runTxn{kind: txnDone, job: int8(id), version: known.version, term: state.term})
+	if state.started.has(id) && view.content == contentPending {
+		e.sendBounded(state, runTxn{kind: txnDone, job: int8(id), version: view.version, term: state.term})
 	}
-	if state.doomed(leader, e.missing).has(id) {
+	if state.cancelPending(leader, e.disabled).has(id) {
 		next := state
 		next.cancelsSent = next.cancelsSent.with(id)
-		e.sendCounted(next, state.cancelTxn(leader, id, state.term))
+		e.sendBounded(next, state.cancelTxn(leader, id, state.term))
 	}
-	if known.content.final() && known.version != 0 && state.spent.moves < e.bounds.moves {
+	if view.content.final() && view.version != 0 && state.steps.moves < e.bounds.moves {
 		next := state
-		next.spent.moves++
-		e.send(next, runTxn{kind: txnMove, job: int8(id), version: known.version, term: state.term})
+		next.steps.moves++
+		e.send(next, runTxn{kind: txnMove, job: int8(id), version: view.version, term: state.term})
 	}
 }
 
-// In no run does a task start too early, does an ended job change its end, or is a successor of a cancelled job left: with
-// a user's cancellation beside completions, transactions that are carried out once, late, twice or never, and a leader
-// that changes between any two steps.
+// In every run, tasks start only after the predecessors are done, an ended job keeps its final state, and every
+// successor of a cancelled job is cancelled. The runs include a user's cancellation concurrent with completions,
+// transactions that are applied once, late, twice or never, and leader changes between any two steps.
 func TestEveryRunOfDependentJobs(t *testing.T) {
-	const minStates = 10_000 // fewer mean that the model can't move
+	const minStates = 10_000 // with fewer states the model lacks transitions
 	bounds := shortRuns
 	if os.Getenv("HAREWALK_LONG") != "" {
 		bounds = longRuns
 	}
 	for _, graph := range runGraphs {
 		bounds := bounds
-		if len(graph.needs) == maxRunJobs && bounds == shortRuns {
-			bounds.moves = 0 // the smaller graphs have them
+		if len(graph.namedPredecessors) == maxRunJobs && bounds == shortRuns {
+			bounds.moves = 0 // runs of the smaller graphs include moves to the archive
 		}
 		t.Run(graph.name, func(t *testing.T) {
 			t.Parallel()
-			wrong, states := exploreRuns(graph, bounds, runGuards{})
-			t.Logf("%d states", states)
-			if wrong != "" || states < minStates {
-				t.Errorf("%s, after %d states", wrong, states)
+			violation, states := exploreRuns(graph, bounds, runGuards{})
+			t.Logf("%d states visited", states)
+			if violation != "" || states < minStates {
+				t.Errorf("violation %q after %d states, want no violation and at least 10000 states", violation, states)
 			}
 		})
 	}
 }
 
-// Without any one of the guards something goes wrong in some run.
+// If any one of the guards is disabled, some run violates a property.
 func TestEveryGuardOfDependentJobsIsNeeded(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		missing runGuards
-		want    string
+		name     string
+		disabled runGuards
+		want     string
 	}{
-		{"release needs all", runGuards{releaseNeedsAll: true}, "too early"},
-		{"unknown is unfinished", runGuards{unknownIsUnfinished: true}, "too early"},
-		{"record version", runGuards{recordVersion: true}, "changed its end"},
-		{"accept drops done only", runGuards{acceptDropsDoneOnly: true}, "orphaned"},
-		{"accept on absence", runGuards{acceptOnAbsence: true}, "changed its end"},
-		{"doom from records", runGuards{doomFromRecords: true}, "orphaned"},
-		{"reads answers", runGuards{readsAnswers: true}, "orphaned"},
-		{"retries cancels", runGuards{retriesCancels: true}, "orphaned"},
+		{"release only after all predecessors", runGuards{releaseAfterAll: true}, "too early"},
+		{"unknown predecessor is unfinished", runGuards{unknownIsUnfinished: true}, "too early"},
+		{"end only on the pending record version", runGuards{recordVersion: true}, "changed its final state"},
+		{"submission drops only done predecessors", runGuards{dropOnlyDone: true}, "orphaned"},
+		{"submission only if absent", runGuards{acceptIfAbsent: true}, "changed its final state"},
+		{"cancel from all records", runGuards{cancelFromAllRecords: true}, "orphaned"},
+		{"read archive entries", runGuards{readArchive: true}, "orphaned"},
+		{"retry cancellations", runGuards{retryCancels: true}, "orphaned"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			wrong, states := exploreRuns(joinGraph, shortRuns, c.missing)
-			t.Logf("%q after %d states", wrong, states)
-			if !strings.Contains(wrong, c.want) {
-				t.Errorf("went wrong: %q, not %q", wrong, c.want)
+			violation, states := exploreRuns(joinGraph, shortRuns, c.disabled)
+			t.Logf("violation %q after %d states", violation, states)
+			if !strings.Contains(violation, c.want) {
+				t.Errorf("violation %q, want one that contains %q", violation, c.want)
 			}
 		})
 	}
--- a/internal/dependencies/runs_model_test.go
+++ b/internal/dependencies/runs_model_test.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// This file models a few jobs that depend on one another, their records at the state service, and two controllers that
-// read these one by one, lead in turn, and send transactions. A transaction is carried out at any later moment: once,
-// twice or never. The tests in runs_explore_test.go look at every run within bounds.
+// This file models a few jobs that depend on one another, their records at the state service, and two controllers. The
+// controllers read the records one by one, lead alternately, and send transactions. A transaction is applied at any
+// later time: once, twice or never. The tests in runs_explore_test.go explore every run within bounds.
 
 const (
-	maxRunJobs     = 4
-	runControllers = 2
-	maxOpenTxns    = 2
+	maxRunJobs      = 4
+	runControllers  = 2
+	maxTxnsInFlight = 2
 )
 
-// jobSet is a set of jobs, one bit for each.
+// jobSet is a set of jobs, with one bit per job.
 type jobSet uint8
 
 func (s jobSet) has(job int) bool    { return s&(1<<job) != 0 }
 func (s jobSet) with(job int) jobSet { return s | 1<<job }
 
-// content is what is stored, or known, of a job.
+// content is the content of a job's record or archive entry, as stored or as read by a controller.
 type content uint8
 
 const (
-	contentAbsent content = iota // of a view: unknown
+	contentAbsent content = iota // in a view: nothing was read
 	contentPending
 	contentDone
 	contentCancelled
@@ -30,20 +30,20 @@
 
 func (c content) final() bool { return c == contentDone || c == contentCancelled }
 
-// runJob is a job at the state service.
+// runJob is a job's data at the state service.
 type runJob struct {
 	record       content
-	version      uint8 // of the record, 0: there is none
-	writes       uint8 // all that were made of the record
+	version      uint8 // version of the record, 0 if there is none
+	writes       uint8 // number of writes of the record
 	predecessors jobSet
-	answer       content // in the archive
-	ended        content // how it ended first
+	archived     content // archive entry
+	firstFinal   content // first final content, contentAbsent if the job has not ended
 }
 
-// final returns how a job has durably ended, contentAbsent if it hasn't.
+// final returns the final content that is stored for a job, or contentAbsent if there is none.
 func (j *runJob) final() content {
-	if j.answer != contentAbsent {
-		return j.answer
+	if j.archived != contentAbsent {
+		return j.archived
 	}
 	if j.record.final() {
 		return j.record
@@ -51,14 +51,14 @@
 	return contentAbsent
 }
 
-// runView is what a controller has read of a job.
+// runView is a controller's view of a job: what it has read last.
 type runView struct {
 	content      content
 	version      uint8
 	predecessors jobSet
 }
 
-// runTxnKind is what a transaction does with its job.
+// runTxnKind is the kind of change that a transaction makes to its job.
 type runTxnKind uint8
 
 const (
@@ -70,53 +70,53 @@
 	txnMove
 )
 
-// runTxn is a transaction that may be carried out.
+// runTxn is a transaction that was sent.
 type runTxn struct {
 	kind         runTxnKind
 	job          int8
-	version      uint8 // of the record, a condition
-	term         uint8 // a condition, 0: none
-	accepted     content
+	version      uint8   // record version on which the transaction depends
+	term         uint8   // term on which the transaction depends, 0 for none
+	accepted     content // content of the record that txnAccept writes
 	predecessors jobSet
-	repeated     bool // it was carried out before
+	repeated     bool // whether it was applied before
 }
 
-// runGuards are the rules without which runs are explored.
+// runGuards are the rules that the explorations disable one by one. A field that is true disables its rule.
 type runGuards struct {
-	releaseNeedsAll     bool // a job is released when all of its predecessors are done, not just one
-	unknownIsUnfinished bool // a predecessor whose record has left the followed keys isn't taken for done
-	recordVersion       bool // the end of a job is written on the condition that its record is the pending one
-	acceptDropsDoneOnly bool // a submission drops only those predecessors that are done, not all that have ended
-	acceptOnAbsence     bool // a submission is stored on the condition that neither record nor answer exists
-	doomFromRecords     bool // a leader cancels what follows from all records, not only from what changes in its term
-	readsAnswers        bool // answers of unknown predecessors are read
-	retriesCancels      bool // a cancellation that wasn't carried out is sent again
+	releaseAfterAll      bool // a job is released when all of its predecessors are done, not just one of them
+	unknownIsUnfinished  bool // a predecessor whose record was removed from the followed keys isn't considered done
+	recordVersion        bool // the end of a job is written only over the pending record that was read
+	dropOnlyDone         bool // a submission drops only done predecessors, not cancelled ones
+	acceptIfAbsent       bool // a submission is stored on the condition that neither record nor archive entry exists
+	cancelFromAllRecords bool // a leader cancels for all cancelled records, not only for those first read in its term
+	readArchive          bool // archive entries of unknown predecessors are read
+	retryCancels         bool // a cancellation that wasn't applied is sent again
 }
 
-// runBounds limits the steps of each kind in a run.
+// runBounds counts the steps of each kind in a run, or limits their number.
 type runBounds struct{ userCancels, leaderChanges, moves, accepts, sends uint8 }
 
-// runState is a whole state. It is comparable, so that states that were seen aren't explored again.
+// runState is the complete state of the model. It is comparable, so that no state is visited twice.
 type runState struct {
-	jobs          [maxRunJobs]runJob
-	views         [runControllers][maxRunJobs]runView
-	open          [maxOpenTxns]runTxn
-	started       jobSet // jobs of which a task was started
-	term          uint8  // of the leader, from 1; odd terms are the first controller's
-	seenInTerm    jobSet // jobs that the leader learned to be cancelled in its term
-	cancelsSent   jobSet // by a canceller
-	spent         runBounds
-	violatedFinal bool // an ended job changed its end or lives again
+	jobs            [maxRunJobs]runJob
+	views           [runControllers][maxRunJobs]runView
+	inFlight        [maxTxnsInFlight]runTxn // transactions in flight
+	started         jobSet                  // jobs whose tasks have been started
+	term            uint8                   // current leader's term, from 1; the first controller leads in odd terms
+	cancelledInTerm jobSet                  // jobs that the leader has first read as cancelled in its term
+	cancelsSent     jobSet                  // jobs for which a leader has sent a cancellation
+	steps           runBounds               // number of steps so far
+	violatedFinal   bool                    // whether an ended job got another final state or became pending again
 }
 
 func (s *runState) leader() int { return int(s.term+1) % runControllers }
 
-// canonicalize gives equal states equal forms: the order of open transactions doesn't matter.
+// canonicalize sorts the transactions in flight, because states that differ only in their order are equal.
 func (s *runState) canonicalize() {
-	slices.SortFunc(s.open[:], func(a, b runTxn) int { return a.order() - b.order() })
+	slices.SortFunc(s.inFlight[:], func(a, b runTxn) int { return a.order() - b.order() })
 }
 
-// order is a number that differs between different transactions. Empty ones come last.
+// order returns a sort key that differs between different transactions. Empty slots come last.
 func (t runTxn) order() int {
 	if t.kind == noRunTxn {
 		return 1 << 30
@@ -129,8 +129,8 @@
 	return order
 }
 
-// carryOut applies a transaction if its conditions hold.
-func (s *runState) carryOut(txn runTxn, missing runGuards) bool {
+// apply applies a transaction if its conditions hold, and reports whether they do.
+func (s *runState) apply(txn runTxn, disabled runGuards) bool {
 	job := &s.jobs[txn.job]
 	if txn.term != 0 && txn.term != s.term {
 		return false
@@ -140,63 +140,63 @@
 		s.started = s.started.with(int(txn.job))
 		return true
 	case txnAccept:
-		if !missing.acceptOnAbsence && (job.version != 0 || job.answer != contentAbsent) {
+		if !disabled.acceptIfAbsent && (job.version != 0 || job.archived != contentAbsent) {
 			return false
 		}
 		job.predecessors = txn.predecessors
 		s.write(job, txn.accepted)
 		return true
 	case txnMove:
-		if txn.version != job.version || job.answer != contentAbsent {
+		if txn.version != job.version || job.archived != contentAbsent {
 			return false
 		}
-		job.answer = job.record
+		job.archived = job.record
 		job.record = contentAbsent
 		job.version = 0
 		return true
 	}
-	if txn.version != job.version && (!missing.recordVersion || job.version == 0) {
+	if txn.version != job.version && (!disabled.recordVersion || job.version == 0) {
 		return false
 	}
 	s.write(job, map[runTxnKind]content{txnDone: contentDone, txnCancel: contentCancelled}[txn.kind])
 	return true
 }
 
-// write stores a record of a job.
+// write stores a job's record.
 func (s *runState) write(job *runJob, record content) {
-	if job.ended != contentAbsent && record != job.ended {
+	if job.firstFinal != contentAbsent && record != job.firstFinal {
 		s.violatedFinal = true
 	}
 	job.writes++
 	job.version = job.writes
 	job.record = record
-	if record.final() && job.ended == contentAbsent {
-		job.ended = record
+	if record.final() && job.firstFinal == contentAbsent {
+		job.firstFinal = record
 	}
 }
 
-// read has a controller read what the state service has of a job. Of a job whose record is absent it knows nothing, unless
-// it knew its end, until it reads the archived answer.
-func (s *runState) read(controller, id int, missing runGuards) {
+// read has a controller read a job's data at the state service. A view with a final state never changes. Otherwise, if
+// the record is absent, a pending view is first cleared, and the next read reads the archive entry.
+func (s *runState) read(controller, id int, disabled runGuards) {
 	job := &s.jobs[id]
-	seen := &s.views[controller][id]
-	before := seen.content
+	view := &s.views[controller][id]
+	before := view.content
 	switch {
-	case seen.content.final():
+	case view.content.final():
 	case job.version != 0:
-		*seen = runView{job.record, job.version, job.predecessors}
-	case seen.content == contentPending:
-		*seen = runView{}
-	case job.answer != contentAbsent && !missing.readsAnswers:
-		*seen = runView{content: job.answer}
+		*view = runView{job.record, job.version, job.predecessors}
+	case view.content == contentPending:
+		*view = runView{}
+	case job.archived != contentAbsent && !disabled.readArchive:
+		*view = runView{content: job.archived}
 	}
-	if before != contentCancelled && seen.content == contentCancelled && controller == s.leader() {
-		s.seenInTerm = s.seenInTerm.with(id)
+	if before != contentCancelled && view.content == contentCancelled && controller == s.leader() {
+		s.cancelledInTerm = s.cancelledInTerm.with(id)
 	}
 }
 
-// isReleased reports whether a controller lets a job start.
-func (s *runState) isReleased(controller, id int, missing runGuards) bool {
+// isReleased reports whether a controller's views allow a job to start.
+func (s *runState) isReleased(controller, id int, disabled runGuards) bool {
 	views := &s.views[controller]
 	if views[id].content != contentPending {
 		return false
@@ -208,30 +208,30 @@
 			continue
 		}
 		predecessors++
-		known := views[predecessor].content
-		isDone := known == contentDone || missing.unknownIsUnfinished && known == contentAbsent
+		readContent := views[predecessor].content
+		isDone := readContent == contentDone || disabled.unknownIsUnfinished && readContent == contentAbsent
 		if !isDone {
 			unfinished++
 		}
 	}
-	return unfinished == 0 || missing.releaseNeedsAll && unfinished < predecessors
+	return unfinished == 0 || disabled.releaseAfterAll && unfinished < predecessors
 }
 
-// doomed returns the live jobs of which a controller knows a cancelled predecessor, direct or not. Jobs are numbered
-// after their predecessors.
-func (s *runState) doomed(controller int, missing runGuards) jobSet {
+// cancelPending returns the live jobs that have a direct or transitive predecessor that is cancelled in a controller's
+// views. A job has a higher number than its predecessors.
+func (s *runState) cancelPending(controller int, disabled runGuards) jobSet {
 	var found jobSet
 	for id := range maxRunJobs {
-		known := s.views[controller][id]
-		if known.content != contentPending {
+		view := s.views[controller][id]
+		if view.content != contentPending {
 			continue
 		}
 		for predecessor := range id {
-			if !known.predecessors.has(predecessor) {
+			if !view.predecessors.has(predecessor) {
 				continue
 			}
 			isCancelled := s.views[controller][predecessor].content == contentCancelled
-			if missing.doomFromRecords && !s.seenInTerm.has(predecessor) {
+			if disabled.cancelFromAllRecords && !s.cancelledInTerm.has(predecessor) {
 				isCancelled = false
 			}
 			if isCancelled || found.has(predecessor) {
@@ -242,28 +242,28 @@
 	return found
 }
 
-// violation returns which safety property doesn't hold, "" if all do. needs holds the predecessors that each job's user
-// named.
-func (s *runState) violation(needs []jobSet) string {
+// violation returns the safety property that the state violates, or "" if there is none. namedPredecessors
+// holds the predecessors that each job's user named.
+func (s *runState) violation(namedPredecessors []jobSet) string {
 	if s.violatedFinal {
-		return "an ended job changed its end"
+		return "an ended job changed its final state"
 	}
-	for id, predecessors := range needs {
+	for id, predecessors := range namedPredecessors {
 		for predecessor := range maxRunJobs {
 			if s.started.has(id) && predecessors.has(predecessor) && s.jobs[predecessor].final() != contentDone {
-				return "too early: a task started before a predecessor was done"
+				return "started too early: a predecessor was not done"
 			}
 		}
 	}
 	return ""
 }
 
-// orphan returns whether a job that was accepted isn't cancelled although one before it is.
-func (s *runState) orphan(needs []jobSet) bool {
+// hasOrphan reports whether an accepted job isn't cancelled although one of its predecessors is.
+func (s *runState) hasOrphan(namedPredecessors []jobSet) bool {
 	var cancelled jobSet
-	for id, predecessors := range needs {
+	for id, predecessors := range namedPredecessors {
 		job := &s.jobs[id]
-		if job.version == 0 && job.answer == contentAbsent {
+		if job.version == 0 && job.archived == contentAbsent {
 			continue
 		}
 		if job.final() == contentCancelled {
@@ -276,26 +276,27 @@
 	return false
 }
 
-// settleFairly has the leader stay, read everything, and its cancellations be carried out, until nothing changes.
-func (s *runState) settleFairly(missing runGuards) {
-	s.open = [maxOpenTxns]runTxn{}
+// runFairly drops the transactions in flight and lets the leader read all jobs and apply its cancellations, without a
+// leader change, until the state no longer changes.
+func (s *runState) runFairly(disabled runGuards) {
+	s.inFlight = [maxTxnsInFlight]runTxn{}
 	for before := (runState{}); before != *s; {
 		before = *s
 		for id := range maxRunJobs {
-			s.read(s.leader(), id, missing)
+			s.read(s.leader(), id, disabled)
 		}
-		doomed := s.doomed(s.leader(), missing)
+		cancelPending := s.cancelPending(s.leader(), disabled)
 		for id := range maxRunJobs {
-			if !doomed.has(id) || missing.retriesCancels && s.cancelsSent.has(id) {
+			if !cancelPending.has(id) || disabled.retryCancels && s.cancelsSent.has(id) {
 				continue
 			}
 			s.cancelsSent = s.cancelsSent.with(id)
-			s.carryOut(s.cancelTxn(s.leader(), id, s.term), missing)
+			s.apply(s.cancelTxn(s.leader(), id, s.term), disabled)
 		}
 	}
 }
 
-// cancelTxn returns the transaction that cancels a job as a controller knows it.
+// cancelTxn returns the transaction that cancels a job on the condition of the record version in a controller's view.
 func (s *runState) cancelTxn(controller, id int, term uint8) runTxn {
 	return runTxn{kind: txnCancel, job: int8(id), version: s.views[controller][id].version, term: term}
 }
--- a/internal/dependencies/storefixture_test.go
+++ b/internal/dependencies/storefixture_test.go
@@ -12,23 +12,23 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// delivery is what becomes of a request.
+// delivery is the fate of a request and its response.
 type delivery uint8
 
 const (
-	carriedOut    delivery = iota // and answered
-	requestLost                   // never carried out, not answered
-	answerLost                    // carried out, not answered
-	requestDenied                 // answered with 400, as what is too large is
+	processed       delivery = iota // processed and answered
+	requestLost                     // not processed, so there is no response
+	responseLost                    // processed, but the response is lost
+	requestRejected                 // answered with status 400, as an oversized request is
 )
 
-// stateClient is a controller whose requests to a simulated state service wait until the test delivers them.
+// stateClient is a controller with a simulated state service. Its requests are queued until the test delivers them.
 type stateClient struct {
 	*controller
 	service *state.Service
 	client  *store.Client
-	queue   []func(delivery)
-	sent    []string // the paths of all requests
+	queue   []func(delivery) // undelivered requests, oldest first
+	sent    []string         // paths of all requests
 }
 
 func newStateClient(t testing.TB) *stateClient {
@@ -47,13 +47,13 @@
 // Send implements httpio.Sender.
 func (s *stateClient) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	s.sent = append(s.sent, request.Path)
-	s.queue = append(s.queue, func(how delivery) {
-		switch how {
+	s.queue = append(s.queue, func(fate delivery) {
+		switch fate {
 		case requestLost:
 			done(httpio.Response{Err: httpio.ErrBusy})
-		case requestDenied:
+		case requestRejected:
 			done(httpio.Response{Status: http.StatusBadRequest})
-		case answerLost:
+		case responseLost:
 			s.service.Serve(request)
 			done(httpio.Response{Err: httpio.ErrBusy})
 		default:
@@ -62,32 +62,32 @@
 	})
 }
 
-// deliver delivers the request that has waited longest.
-func (s *stateClient) deliver(how delivery) {
+// deliver delivers the oldest queued request.
+func (s *stateClient) deliver(fate delivery) {
 	s.t.Helper()
 	if len(s.queue) == 0 {
-		s.t.Fatal("no request was sent")
+		s.t.Fatal("no request is queued")
 	}
 	next := s.queue[0]
 	s.queue = s.queue[1:]
-	next(how)
+	next(fate)
 }
 
-// deliverAll carries out all requests, those made meanwhile included.
+// deliverAll processes all queued requests, including those sent while it runs.
 func (s *stateClient) deliverAll() {
 	s.t.Helper()
 	for len(s.queue) > 0 {
-		s.deliver(carriedOut)
+		s.deliver(processed)
 	}
 }
 
-// store stores a job's record, as another controller does.
+// store writes a job's record at the state service, as another controller does.
 func (s *stateClient) store(state jobs.State, spec *jobs.Spec) {
 	record := jobs.EncodeRecord(state, 0, spec.Tasks, spec)
 	s.service.Apply([]store.Op{{Put: jobs.RecordKey(spec.ID), Value: record}})
 }
 
-// storeAndRead stores a job's record, and has this controller read it.
+// storeAndRead writes a job's record at the state service and has this controller read it.
 func (s *stateClient) storeAndRead(state jobs.State, spec *jobs.Spec) *jobs.Job {
 	s.t.Helper()
 	s.store(state, spec)
@@ -95,11 +95,11 @@
 	return s.table.Get(spec.ID)
 }
 
-// archive stores a job's answer in place of its record, as another controller does.
+// archive replaces a job's record with its archive entry at the state service, as another controller does.
 func (s *stateClient) archive(number int, final jobs.State) {
 	id := jobID(number)
-	answer := archive.Encode(archive.Answer{State: final, Tasks: 1})
-	s.service.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: answer}})
+	entry := archive.Encode(archive.Answer{State: final, Tasks: 1})
+	s.service.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: entry}})
 }
 
 // onJobRecord applies a record that was read or written.
--- a/internal/dependencies/urgency.go
+++ b/internal/dependencies/urgency.go
@@ -6,30 +6,30 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Users set the priority and the deadline that they care about on the last job of a pipeline only. So a job has the
-// priority of any live job that needs it, and must end early enough for the critical path behind it.
+// Users set a priority and a deadline only on the last job of a pipeline. A job therefore has at least the priority of
+// every live job that depends on it, and must end early enough for the critical path of its successors.
 
-// never is later than any time.
-const never = time.Duration(1 << 62)
+// noDeadline is later than any time. It is the latest end of a job without a deadline among its successors.
+const noDeadline = time.Duration(1 << 62)
 
-// raisePriorities gives the jobs before a new one at least its priority.
+// raisePriorities raises the priorities of a new job's direct and transitive predecessors to at least its priority.
 func (g *Graph) raisePriorities(added *node) {
 	pending := []*node{added}
 	for len(pending) > 0 {
 		last := pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		for _, incoming := range last.predecessors {
-			before := incoming.from
-			if before.state.live() && before.job.Priority < last.job.Priority {
-				before.job.Priority = last.job.Priority
-				pending = append(pending, before)
+			predecessor := incoming.from
+			if predecessor.state.live() && predecessor.job.Priority < last.job.Priority {
+				predecessor.job.Priority = last.job.Priority
+				pending = append(pending, predecessor)
 			}
 		}
 	}
 }
 
-// recomputePriorities gives a job the highest of its own priority and those of its live successors, and does the same
-// for the jobs before it as far as that changes them.
+// recomputePriorities sets a job's priority to the highest of its own priority and those of its live successors. If
+// that changes the priority, it does the same for the job's predecessors.
 func (g *Graph) recomputePriorities(start *node) {
 	pending := []*node{start}
 	for len(pending) > 0 {
@@ -52,42 +52,42 @@
 	}
 }
 
-// LatestEnds returns a function that gives the latest time at which a job may end if every job that needs it is still
-// to meet its deadline, by the longest path of run times behind it; false if nothing behind it has a deadline. Results
-// are kept between calls of the returned function, which must not be used once the graph has changed. runTime is the
-// time that a job takes from its release to its end.
+// LatestEnds returns a function that computes the latest time at which a job may end so that every job that depends on
+// it can meet its deadline, given the longest path of run times to that job. The function returns false if no
+// dependent job has a deadline. It caches results, so it must not be used after the graph has changed. runTime returns
+// the time that a job takes from its release to its end.
 func (g *Graph) LatestEnds(runTime func(*jobs.Job) time.Duration) func(*jobs.Job) (time.Duration, bool) {
-	g.stamp++
+	g.rankingNumber++
 	return func(job *jobs.Job) (time.Duration, bool) {
 		found, ok := g.nodes[job.ID]
 		if !ok {
 			return 0, false
 		}
 		end := g.latestEndOf(found, runTime)
-		return end, end != never
+		return end, end != noDeadline
 	}
 }
 
-// latestEndOf computes a node's latest end from those of its successors.
-func (g *Graph) latestEndOf(of *node, runTime func(*jobs.Job) time.Duration) time.Duration {
-	if of.latestEndStamp == g.stamp {
-		return of.latestEnd
+// latestEndOf computes a node's latest end from the latest ends and deadlines of its successors.
+func (g *Graph) latestEndOf(target *node, runTime func(*jobs.Job) time.Duration) time.Duration {
+	if target.latestEndRanking == g.rankingNumber {
+		return target.latestEnd
 	}
-	end := never
-	for _, outgoing := range of.successors {
+	end := noDeadline
+	for _, outgoing := range target.successors {
 		successor := outgoing.to
-		if !successor.state.live() || successor.state == Doomed {
+		if !successor.state.live() || successor.state == CancelPending {
 			continue
 		}
 		successorEnd := g.latestEndOf(successor, runTime)
 		if deadline, ok := successor.job.Deadline(); ok {
 			successorEnd = min(successorEnd, deadline)
 		}
-		if successorEnd != never {
+		if successorEnd != noDeadline {
 			end = min(end, successorEnd-runTime(successor.job))
 		}
 	}
-	of.latestEnd = end
-	of.latestEndStamp = g.stamp
+	target.latestEnd = end
+	target.latestEndRanking = g.rankingNumber
 	return end
 }
