--- a/internal/dependencies/canceller.go
+++ b/internal/dependencies/canceller.go
@@ -35,7 +35,7 @@
 }
 
 // Canceller cancels the jobs of a graph that are in state CancelPending, during one term of a leader. These jobs
-// follow from the stored records, so a new leader needs no data from its predecessor.
+// follow from the stored records, so a new leader needs no data from the previous one.
 //
 // A transaction without a response may be committed later, even after it was sent again. Both are harmless: each
 // record is written on the condition that the pending record's version is unchanged, and a CancelPending job can only
@@ -45,7 +45,7 @@
 	graph      *Graph
 	inFlight   bool
 	retryAt    time.Duration // no transaction is sent before this time
-	batchLimit int           // maximum number of jobs in the next transaction; halved after failures
+	batchLimit int           // limit of the next batch in jobs; halved after failures other than conflicts
 	// Cancelled counts the jobs that this Canceller has cancelled.
 	Cancelled uint64
 }
@@ -71,7 +71,7 @@
 	})
 }
 
-// cancelledRecord is the terminal record to be written for a CancelPending job.
+// cancelledRecord is the cancelled record to be written for a CancelPending job.
 type cancelledRecord struct {
 	key     string
 	version uint64 // version of the pending record that is replaced
--- a/internal/dependencies/canceller_test.go
+++ b/internal/dependencies/canceller_test.go
@@ -89,13 +89,14 @@
 		t.Errorf("first condition %v, want %v", s.txns[0].If[0], want)
 	}
 	if s.canceller.Cancelled != 50 || len(s.cancelPending()) != 0 {
-		t.Errorf("%d jobs counted as cancelled, %d still to be cancelled; want 50 and 0", s.canceller.Cancelled, len(s.cancelPending()))
+		t.Errorf("%d jobs counted as cancelled, %d still to be cancelled; want 50 and 0",
+			s.canceller.Cancelled, len(s.cancelPending()))
 	}
 }
 
 // A batch is limited by maxCancelBatch, by the state service's current limit and by the write budget. Only one
 // transaction is in flight at a time.
-func TestCancellerKeepsBatchLimits(t *testing.T) {
+func TestCancellerStaysWithinBatchLimits(t *testing.T) {
 	for _, c := range []struct{ maxOps, budget, want int }{
 		{64, 64, maxCancelBatch},
 		{8, 64, 8},
@@ -114,7 +115,7 @@
 }
 
 // The records in a transaction take at most maxCancelBytes, and at least half of that while more jobs remain.
-func TestCancellerKeepsSizeLimit(t *testing.T) {
+func TestCancellerStaysWithinSizeLimit(t *testing.T) {
 	s := newCancellerTest(t)
 	s.storeAndRead(jobs.Cancelled, newSpec(1))
 	for _, number := range numbers(2, 31) {
@@ -141,7 +142,8 @@
 	s.tick()
 	s.deliverAll()
 	if s.stored(3) != jobs.Pending || s.table.Get(jobID(2)).State != jobs.Cancelled {
-		t.Fatalf("after the conflict: job 3 stored as %v, want pending; job 2 in the table %v, want cancelled", s.stored(3), s.table.Get(jobID(2)).State)
+		t.Fatalf("after the conflict: job 3 stored as %v, want pending; job 2 in the table %v, want cancelled",
+			s.stored(3), s.table.Get(jobID(2)).State)
 	}
 	s.tick()
 	s.deliverAll()
@@ -165,11 +167,11 @@
 
 // If a transaction or its response is lost, the next transaction is sent after the backoff. No job is cancelled twice.
 func TestCancellerRetriesIndeterminate(t *testing.T) {
-	for _, fate := range []delivery{requestLost, responseLost} {
+	for _, mode := range []deliveryMode{requestLost, responseLost} {
 		s := newCancellerTest(t)
 		s.storeCancelPending(2)
 		s.tick()
-		s.deliver(fate)
+		s.deliver(mode)
 		s.canceller.Tick(s.now + cancelRetryBackoff - 1)
 		if len(s.queue) != 0 {
 			t.Errorf("%d requests sent within the backoff, want 0", len(s.queue))
@@ -180,9 +182,10 @@
 			s.deliverAll()
 		}
 		if s.stored(2) != jobs.Cancelled || len(s.cancelPending()) != 0 {
-			t.Errorf("delivery %d: job 2 stored as %v, want cancelled; %d jobs still to be cancelled, want 0", fate, s.stored(2), len(s.cancelPending()))
+			t.Errorf("delivery mode %d: job 2 stored as %v, want cancelled; %d jobs still to be cancelled, want 0",
+				mode, s.stored(2), len(s.cancelPending()))
 		}
-		if fate == responseLost && s.service.Revision != revision {
+		if mode == responseLost && s.service.Revision != revision {
 			t.Errorf("the state service's revision changed: job 2 was cancelled twice")
 		}
 	}
--- a/internal/dependencies/graph_model_test.go
+++ b/internal/dependencies/graph_model_test.go
@@ -135,9 +135,9 @@
 }
 
 // update records which jobs are CancelPending, since they stay so, and which were released. It clears the views of
-// ended jobs that are neither in the table nor named by a live job. It returns the jobs that were Blocked in the
-// states before and are Released now.
-func (m *model) update(now time.Duration, before map[string]State, isInTable func(id string) bool) (released []string) {
+// ended jobs that are neither in the table with a terminal state nor named by a live job. It returns the jobs that
+// were Blocked in the states before and are Released now.
+func (m *model) update(now time.Duration, before map[string]State, isEnded func(id string) bool) (released []string) {
 	after := m.states()
 	for id, view := range m.views {
 		view.isCancelPending = after[id] == CancelPending
@@ -149,7 +149,7 @@
 		}
 	}
 	for id, view := range m.views {
-		if view.state.Terminal() && !isInTable(id) && len(m.successors(id)) == 0 {
+		if view.state.Terminal() && !isEnded(id) && len(m.successors(id)) == 0 {
 			*view = jobView{}
 		}
 	}
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -12,12 +12,12 @@
 
 // storedJob is a job's data at the state service.
 type storedJob struct {
-	spec       *jobs.Spec
-	state      jobs.State
-	records    []versionedRecord // all records written, oldest first
-	deletedAt  uint64            // the version at which its record was moved to the archive; 0 if it wasn't
-	isDeleted  bool              // whether the controller has read the deletion
-	isArchived bool
+	spec         *jobs.Spec
+	state        jobs.State
+	records      []versionedRecord // all records written, oldest first
+	deletedAt    uint64            // version at which its record was moved to the archive; 0 if it wasn't
+	deletionRead bool              // whether the controller has read the deletion of the record
+	isArchived   bool              // whether the job was moved to the archive
 }
 
 type versionedRecord struct {
@@ -97,7 +97,7 @@
 	if h.random.IntN(3) == 0 {
 		record = job.records[0]
 	}
-	if job.isDeleted {
+	if job.deletionRead {
 		return
 	}
 	h.read(job.spec.ID, record.raw, record.version)
@@ -125,17 +125,17 @@
 
 func runTimeOf(tasks int) time.Duration { return time.Duration(tasks) * time.Second }
 
-// readArchiving has the controller read that a job's record was removed from the followed keys.
-func (h *history) readArchiving(job *storedJob) {
-	if !job.isArchived || job.isDeleted {
+// readRemoval has the controller read that a job's record was removed from the followed keys.
+func (h *history) readRemoval(job *storedJob) {
+	if !job.isArchived || job.deletionRead {
 		return
 	}
-	job.isDeleted = true
+	job.deletionRead = true
 	h.readDeletion(job.spec.ID, job.deletedAt)
 	h.clearView(job)
 }
 
-// clearView clears the model's view of a job that it has as live.
+// clearView clears the model's view of a job if that view is live.
 func (h *history) clearView(job *storedJob) {
 	if view := h.model.viewOf(job.spec.ID); view.isLive {
 		*view = jobView{}
@@ -147,7 +147,7 @@
 	if !job.isArchived || !slices.Contains(h.unknown(), job.spec.ID) {
 		return
 	}
-	job.isDeleted = true // the entry is read only after the record was found absent
+	job.deletionRead = true // the entry is read only after the record was found absent
 	h.graph.HandleArchived(h.now, job.spec.ID, job.state)
 	h.model.viewOf(job.spec.ID).state = job.state
 }
@@ -169,16 +169,16 @@
 			h.updateView(job, newest.state)
 		})
 	}
-	h.checkedStep(func() { h.retain(present) })
+	h.checkedStep(func() { h.removeMissing(present) })
 }
 
-// retain has the controller remove the jobs that a listing lacks. present holds the ids of the listed jobs.
-func (h *history) retain(present map[string]bool) {
+// removeMissing has the controller remove the jobs that a listing lacks. present holds the ids of the listed jobs.
+func (h *history) removeMissing(present map[string]bool) {
 	h.table.Retain(h.revision, func(id string) bool { return present[id] })
 	h.graph.Retain()
 	for _, job := range h.jobs {
 		if job.isArchived {
-			job.isDeleted = true
+			job.deletionRead = true
 			h.clearView(job)
 		}
 	}
@@ -222,7 +222,7 @@
 	case 5:
 		h.archive(h.randomJob())
 	case 6:
-		h.readArchiving(h.randomJob())
+		h.readRemoval(h.randomJob())
 	case 7, 8:
 		h.readArchiveEntry(h.randomJob())
 	case 9:
@@ -244,8 +244,8 @@
 	h.checkedStep(h.table.ResetPlanning)
 }
 
-// hasEnd reports whether a job is in the table with a terminal state.
-func (h *history) hasEnd(id string) bool {
+// hasTerminalState reports whether a job is in the table with a terminal state.
+func (h *history) hasTerminalState(id string) bool {
 	job := h.table.Get(id)
 	return job != nil && job.State.Terminal()
 }
@@ -257,7 +257,7 @@
 	h.released = nil
 	step()
 	h.releases += len(h.released)
-	released := h.model.update(h.now, before, h.hasEnd)
+	released := h.model.update(h.now, before, h.hasTerminalState)
 	slices.Sort(h.released)
 	if !slices.Equal(h.released, released) {
 		h.t.Fatalf("released jobs %v, want %v", h.released, released)
@@ -320,7 +320,8 @@
 	unfinished := h.model.unfinished(id)
 	ids, count := h.graph.Unfinished(id, 2)
 	if count != len(unfinished) || len(ids) != min(2, count) {
-		h.t.Fatalf("%s has %d unfinished predecessors, of which %v are returned; want two at most of %v", id, count, ids, unfinished)
+		h.t.Fatalf("Unfinished(%s) returned count %d and ids %v; want all of %v counted and up to 2 returned",
+			id, count, ids, unfinished)
 	}
 	for _, predecessor := range ids {
 		if !slices.Contains(unfinished, predecessor) {
@@ -377,11 +378,12 @@
 		h.finish()
 		releases += h.releases
 		if h.graph.Len() != 0 || h.graph.Edges() != 0 || h.graph.unknown.Len()+h.graph.cancelPending.Len() != 0 {
-			t.Fatalf("seed %d: %d nodes and %d edges after all jobs were archived, want an empty graph", seed, h.graph.Len(), h.graph.Edges())
+			t.Fatalf("seed %d: %d nodes and %d edges after all jobs were archived, want an empty graph",
+				seed, h.graph.Len(), h.graph.Edges())
 		}
 	}
 	t.Logf("%d releases in all histories", releases)
 	if releases < histories/3 {
-		t.Errorf("%d releases in all histories, want at least one in three histories", releases)
+		t.Errorf("%d releases in all histories, want at least a third of the number of histories", releases)
 	}
 }
--- a/internal/dependencies/resolver_test.go
+++ b/internal/dependencies/resolver_test.go
@@ -83,7 +83,8 @@
 	s.archive(2, jobs.Done)
 	s.deliverAll()
 	if s.graph.State(jobID(1)) != Done || s.graph.State(jobID(2)) != Done || !slices.Equal(s.released, []string{jobID(3)}) {
-		t.Errorf("job 1 is %v, job 2 is %v, want both done; released jobs %v, want job 3", s.graph.State(jobID(1)), s.graph.State(jobID(2)), s.released)
+		t.Errorf("job 1 is %v, job 2 is %v, want both done; released jobs %v, want job 3",
+			s.graph.State(jobID(1)), s.graph.State(jobID(2)), s.released)
 	}
 }
 
--- a/internal/dependencies/runs_explore_test.go
+++ b/internal/dependencies/runs_explore_test.go
@@ -9,7 +9,7 @@
 // runGraph is a set of jobs with their predecessors. The last job isn't accepted in the initial state.
 type runGraph struct {
 	name              string
-	namedPredecessors []jobSet // named by each job's user
+	namedPredecessors []jobSet // predecessors that the user named, by job
 }
 
 // joinGraph has one job with two predecessors.
--- a/internal/dependencies/runs_model_test.go
+++ b/internal/dependencies/runs_model_test.go
@@ -22,7 +22,7 @@
 type content uint8
 
 const (
-	contentAbsent content = iota // in a view: nothing was read
+	contentAbsent content = iota // in a view: the job's state is unknown
 	contentPending
 	contentDone
 	contentCancelled
@@ -88,7 +88,7 @@
 	recordVersion        bool // the end of a job is written only over the pending record that was read
 	dropOnlyDone         bool // a submission drops only done predecessors, not cancelled ones
 	acceptIfAbsent       bool // a submission is stored on the condition that neither record nor archive entry exists
-	cancelFromAllRecords bool // a leader cancels for all cancelled records, not only for those first read in its term
+	cancelFromAllRecords bool // a leader cancels successors of all cancelled jobs, not only of those it read in its term
 	readArchive          bool // archive entries of unknown predecessors are read
 	retryCancels         bool // a cancellation that wasn't applied is sent again
 }
@@ -242,8 +242,8 @@
 	return found
 }
 
-// violation returns the safety property that the state violates, or "" if there is none. namedPredecessors
-// holds the predecessors that each job's user named.
+// violation returns the safety property that the state violates, or "" if there is none. namedPredecessors holds the
+// predecessors that each job's user named.
 func (s *runState) violation(namedPredecessors []jobSet) string {
 	if s.violatedFinal {
 		return "an ended job changed its final state"
--- a/internal/dependencies/storefixture_test.go
+++ b/internal/dependencies/storefixture_test.go
@@ -12,14 +12,14 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// delivery is the fate of a request and its response.
-type delivery uint8
+// deliveryMode tells whether a request is processed and whether its response arrives.
+type deliveryMode uint8
 
 const (
-	processed       delivery = iota // processed and answered
-	requestLost                     // not processed, so there is no response
-	responseLost                    // processed, but the response is lost
-	requestRejected                 // answered with status 400, as an oversized request is
+	processed       deliveryMode = iota // processed and answered
+	requestLost                         // not processed, so there is no response
+	responseLost                        // processed, but the response is lost
+	requestRejected                     // answered with status 400, as an oversized request is
 )
 
 // stateClient is a controller with a simulated state service. Its requests are queued until the test delivers them.
@@ -27,8 +27,8 @@
 	*controller
 	service *state.Service
 	client  *store.Client
-	queue   []func(delivery) // undelivered requests, oldest first
-	sent    []string         // paths of all requests
+	queue   []func(deliveryMode) // undelivered requests, oldest first
+	sent    []string             // paths of all requests
 }
 
 func newStateClient(t testing.TB) *stateClient {
@@ -47,8 +47,8 @@
 // Send implements httpio.Sender.
 func (s *stateClient) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	s.sent = append(s.sent, request.Path)
-	s.queue = append(s.queue, func(fate delivery) {
-		switch fate {
+	s.queue = append(s.queue, func(mode deliveryMode) {
+		switch mode {
 		case requestLost:
 			done(httpio.Response{Err: httpio.ErrBusy})
 		case requestRejected:
@@ -63,14 +63,14 @@
 }
 
 // deliver delivers the oldest queued request.
-func (s *stateClient) deliver(fate delivery) {
+func (s *stateClient) deliver(mode deliveryMode) {
 	s.t.Helper()
 	if len(s.queue) == 0 {
 		s.t.Fatal("no request is queued")
 	}
 	next := s.queue[0]
 	s.queue = s.queue[1:]
-	next(fate)
+	next(mode)
 }
 
 // deliverAll processes all queued requests, including those sent while it runs.
--- a/internal/dependencies/urgency.go
+++ b/internal/dependencies/urgency.go
@@ -53,9 +53,9 @@
 }
 
 // LatestEnds returns a function that computes the latest time at which a job may end so that every job that depends on
-// it can meet its deadline, given the longest path of run times to that job. The function returns false if no
-// dependent job has a deadline. It caches results, so it must not be used after the graph has changed. runTime returns
-// the time that a job takes from its release to its end.
+// it can still meet its deadline, given the run times on the longest path between them. The function returns false if
+// no dependent job has a deadline. It caches results, so it must not be used after the graph has changed. runTime
+// returns the time that a job takes from its release to its end.
 func (g *Graph) LatestEnds(runTime func(*jobs.Job) time.Duration) func(*jobs.Job) (time.Duration, bool) {
 	g.rankingNumber++
 	return func(job *jobs.Job) (time.Duration, bool) {
