--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -1,19 +1,18 @@
-// Package archive keeps the answers about jobs that have ended, outside the keys that every controller follows, so
-// that what a controller holds, follows and reads at its start depends on live and lately ended jobs only.
+// Package archive stores ended jobs as small entries outside the keys that every controller follows with a watch. The
+// memory of a controller, its watch and its reads at startup therefore depend only on live and recently ended jobs.
 //
-// An ended job is stored in exactly one of two places: its record under jobs.Prefix, or its answer under Prefix. One
-// transaction moves it, and nothing moves it back. The place follows from the job's id alone, so an answer is found
-// with one read and there is no index. Two rules follow for all other packages:
+// An ended job is stored in exactly one of two places: as its record under jobs.Prefix, or as its archive entry under
+// Prefix. One transaction moves it to the archive, and no transaction moves it back. The entry's key follows from the
+// job's id, so an entry is found with one read and there is no index. Two rules follow for all other packages:
 //
-//   - A write that creates a job's record depends on the answer's key being absent as well as the record's. A first
-//     submission whose transaction is carried out after the job has ended and been moved fails on that, however late
-//     it is.
-//   - A search for a job reads the record first and the answer second (Reader.Locate), or both in one transaction. In
-//     the other order a move between the two reads would look like a job that was never accepted.
+//   - A write that creates a job's record depends on the absence of both the record's key and the entry's key. The
+//     transaction of a first submission thus fails if it arrives after the job has ended and was moved, no matter how
+//     late.
+//   - A search for a job reads the record first and the entry second (Reader.Locate), or both in one transaction. In
+//     the opposite order, a job that is moved between the two reads would look as if it had never been accepted.
 //
-// The package has no clock and no goroutine. A Mover belongs to the leader's event loop, a Reader to every
-// controller's. Neither decides which jobs have ended or for how long their records are retained: the controller
-// does.
+// The package has no clock and no goroutine. A Mover runs in the leader's event loop, a Reader in that of every
+// controller. The controller decides which jobs have ended and how long their records are retained.
 package archive
 
 import (
@@ -23,57 +22,58 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Prefix is where the answers of archived jobs are stored. No controller follows it.
+// Prefix is the key prefix of the archive entries. Controllers do not watch these keys.
 const Prefix = "a/"
 
-// Key returns the key of the answer about an archived job.
+// Key returns the key of a job's archive entry.
 func Key(id string) string { return Prefix + id }
 
-// Absent returns the condition that a job isn't archived. It goes with every write that creates a job's record.
+// Absent returns the condition that a job has no archive entry. Every write that creates a job's record needs it.
 func Absent(id string) store.Condition { return store.Condition{Key: Key(id)} }
 
-// Answer is all that is kept of an archived job.
+// Answer is a job's archive entry: all that is stored of an archived job.
 type Answer struct {
 	State jobs.State // jobs.Done or jobs.Cancelled
 	Tasks int
-	Done  int // tasks that were done when the job ended; for display
+	Done  int // number of tasks that were done when the job ended; for display only
 }
 
-// TxnLimitError is the error for a state service whose transactions are too small to move a job.
+// TxnLimitError is the error of Fits if the state service's transactions allow too few changes to move a job.
 type TxnLimitError struct {
-	Ops int // changes in one transaction, at most
+	Ops int // maximum number of changes in one transaction
 }
 
-// Error returns the message, which names the platform's setting.
+// Error returns a message that names the setting of the platform.
 func (e *TxnLimitError) Error() string {
 	return fmt.Sprintf(
-		`archive: "params.state.txn_ops" is %d, and moving a job takes %d changes in one transaction`,
+		`archive: "params.state.txn_ops" is %d, but moving a job takes %d changes in one transaction`,
 		e.Ops,
 		opsPerMove,
 	)
 }
 
-// ValueLimitError is the error for a state service whose values are too small for an answer.
+// ValueLimitError is the error of Fits if the state service's values are too small for an archive entry.
 type ValueLimitError struct {
-	Bytes int // of one value, at most
+	Bytes int // maximum size of one value
 }
 
-// Error returns the message, which names the platform's setting.
+// Error returns a message that names the setting of the platform.
 func (e *ValueLimitError) Error() string {
 	return fmt.Sprintf(
-		`archive: "params.state.value_kb" allows values of %d bytes, and an answer takes up to %d`,
+		`archive: "params.state.value_kb" allows values of %d bytes, but an archive entry takes up to %d`,
 		e.Bytes,
-		maxRecordBytes,
+		maxEntryBytes,
 	)
 }
 
-// Fits returns an error if jobs can't be archived within the state service's limits: changes in a transaction, and
-// bytes of a value. The error is a *TxnLimitError or a *ValueLimitError.
+// Fits returns an error if the state service's limits are too small for archiving a job. txnOps is the maximum number
+// of changes in a transaction, valueBytes the maximum size of a value. The error is a *TxnLimitError or a
+// *ValueLimitError.
 func Fits(txnOps, valueBytes int) error {
 	if txnOps < opsPerMove {
 		return &TxnLimitError{Ops: txnOps}
 	}
-	if valueBytes < maxRecordBytes {
+	if valueBytes < maxEntryBytes {
 		return &ValueLimitError{Bytes: valueBytes}
 	}
 	return nil
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -10,36 +10,36 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file explores every run of one job's life in the state service, within bounds: three submissions, its end,
-// two moves, whose transactions are carried out at any moment, once, or never, and a query that is answered by
-// reads at any moments. The transactions' conditions are those that the real code writes.
+// This file explores every run of one job at the state service, within bounds: three submissions, one end, two moves
+// to the archive, and one query. Each transaction is applied at any later time or never, and the reads of the query
+// happen at any time. The conditions of the submissions and moves are those of the real code.
 
 const (
 	modelID        = "req-1"
 	modelRecordKey = jobs.Prefix + modelID
-	modelAnswerKey = Prefix + modelID
+	modelEntryKey  = Prefix + modelID
 	maxSubmissions = 3
 	maxEnds        = 1
 	maxMoves       = 2
-	maxSent        = maxSubmissions + maxEnds + maxMoves // transactions in one run
+	maxSent        = maxSubmissions + maxEnds + maxMoves // maximum number of transactions in one run
 )
 
-// content is what a key of the model holds.
+// content is the content of a key.
 type content uint8
 
 const (
 	absent  content = iota
-	pending         // a live job's record
-	ended           // an ended job's record, or its answer
+	pending         // record of a live job
+	ended           // record or archive entry of an ended job
 )
 
-// cell is one key of the model. An absent one has version 0.
+// cell is the state of one key. An absent key has version 0.
 type cell struct {
 	content content
 	version uint64
 }
 
-// change is what a transaction makes of one key.
+// change is the change that a transaction makes to one key.
 type change uint8
 
 const (
@@ -49,7 +49,7 @@
 	putEnded
 )
 
-// apply returns a cell after a change at a revision.
+// apply returns the cell after the change at a revision.
 func (c change) apply(before cell, revision uint64) cell {
 	switch c {
 	case deleted:
@@ -71,128 +71,128 @@
 	move
 )
 
-// anyVersion is the condition that always holds.
+// anyVersion stands for no condition on the version of a key.
 const anyVersion = ^uint64(0)
 
-// modelTxn is a transaction that may still be carried out.
+// modelTxn is a transaction that was sent.
 type modelTxn struct {
-	kind                         txnKind
-	recordVersion, answerVersion uint64 // conditions
-	record, answer               change
+	kind                        txnKind
+	recordVersion, entryVersion uint64 // versions on which the transaction depends
+	record, entry               change // changes to the two keys
 }
 
-// modelOf returns the model's form of a real transaction.
+// modelOf converts a transaction of the real code to one of the model.
 func modelOf(kind txnKind, txn store.Txn) modelTxn {
-	out := modelTxn{kind: kind, recordVersion: anyVersion, answerVersion: anyVersion}
+	converted := modelTxn{kind: kind, recordVersion: anyVersion, entryVersion: anyVersion}
 	for _, condition := range txn.If {
 		switch condition.Key {
 		case modelRecordKey:
-			out.recordVersion = condition.Version
-		case modelAnswerKey:
-			out.answerVersion = condition.Version
+			converted.recordVersion = condition.Version
+		case modelEntryKey:
+			converted.entryVersion = condition.Version
 		}
 	}
 	for _, op := range txn.Then {
 		switch {
 		case op.Delete == modelRecordKey:
-			out.record = deleted
+			converted.record = deleted
 		case op.Put == modelRecordKey:
-			out.record = putPending
-		case op.Put == modelAnswerKey:
-			out.answer = putEnded
+			converted.record = putPending
+		case op.Put == modelEntryKey:
+			converted.entry = putEnded
 		}
 	}
-	return out
+	return converted
 }
 
 type queryStep uint8
 
 const (
-	notAsked queryStep = iota
-	asked
-	readOnce
-	answered
+	notStarted queryStep = iota
+	started
+	firstReadDone
+	finished
 )
 
-// query is a user's question about the job, answered by two reads.
+// query is a user's query for the job's state. Two reads determine the result.
 type query struct {
-	step          queryStep
-	first         content // what the first read found
-	knownAccepted bool    // acceptance may have been answered before
-	knownEnded    bool    // the end may have been answered before
+	step           queryStep
+	first          content // result of the first read
+	acceptedBefore bool    // whether a user may have received a confirmation of acceptance before the query
+	endedBefore    bool    // whether a user may have received the final state before the query
 }
 
-// modelState is a whole state. It is comparable, so that states that were seen are not explored again.
+// modelState is the complete state of the model. It is comparable, so that no state is explored twice.
 type modelState struct {
-	record, answer           cell
+	record, entry            cell
 	revision                 uint64
-	open                     [maxSent]modelTxn
-	sent                     int
-	submissions, ends, moves int
-	isAccepted               bool // some user may have received that answer
-	isEnded                  bool // some user may have received that answer
+	transactions             [maxSent]modelTxn // transactions sent; an empty one was lost
+	sent                     int               // number of transactions sent
+	submissions, ends, moves int               // numbers of transactions sent, by kind
+	acceptanceReported       bool              // whether a user may have received a confirmation of acceptance
+	endReported              bool              // whether a user may have received the final state
 	query                    query
 }
 
-// missingGuards are the conditions and orders without which a run is explored.
-type missingGuards struct {
-	submissionOnAnswer bool // a submission depends on the answer's absence
-	moveOnRecord       bool // a move depends on the record's version
-	moveOnAnswer       bool // a move depends on the answer's absence
-	recordReadFirst    bool // a query reads the record before the answer
-	moveEndedOnly      bool // jobs are moved after their end is durable
+// guards are the rules that the explorations disable. A field that is true disables its rule.
+type guards struct {
+	submissionWithoutEntry bool // a submission depends on the absence of the archive entry
+	moveWithRecord         bool // a move depends on the version of the record
+	moveWithoutEntry       bool // a move depends on the absence of the archive entry
+	recordReadFirst        bool // a query reads the record before the archive entry
+	moveOnlyEnded          bool // a job is moved only after its end is durable
 }
 
-// send adds a transaction that may be carried out at any later moment.
+// send returns the state after a transaction was sent. It may be applied at any later time.
 func (s modelState) send(txn modelTxn) modelState {
-	s.open[s.sent] = txn
+	s.transactions[s.sent] = txn
 	s.sent++
 	return s
 }
 
-// carryOut applies a transaction if its conditions hold.
-func (s modelState) carryOut(txn modelTxn) (modelState, bool) {
+// apply returns the state after a transaction was applied, and whether its conditions hold.
+func (s modelState) apply(txn modelTxn) (modelState, bool) {
 	if txn.recordVersion != anyVersion && txn.recordVersion != s.record.version {
 		return s, false
 	}
-	if txn.answerVersion != anyVersion && txn.answerVersion != s.answer.version {
+	if txn.entryVersion != anyVersion && txn.entryVersion != s.entry.version {
 		return s, false
 	}
 	s.revision++
 	s.record = txn.record.apply(s.record, s.revision)
-	s.answer = txn.answer.apply(s.answer, s.revision)
+	s.entry = txn.entry.apply(s.entry, s.revision)
 	return s, true
 }
 
-// next returns the states that may follow, or what went wrong.
-func (s modelState) next(missing missingGuards) (following []modelState, wrong string) {
-	following = s.sendings(missing)
+// next returns the successor states, or the property that a step violates.
+func (s modelState) next(disabled guards) (following []modelState, violation string) {
+	following = s.afterSend(disabled)
 	for i := range s.sent {
-		txn := s.open[i]
+		txn := s.transactions[i]
 		if txn.kind == noTxn {
 			continue
 		}
-		lost := s // never carried out
-		lost.open[i] = modelTxn{}
+		lost := s // the transaction is never applied
+		lost.transactions[i] = modelTxn{}
 		following = append(following, lost)
-		after, ok := lost.carryOut(txn)
+		after, ok := lost.apply(txn)
 		if !ok {
 			continue
 		}
-		if wrong := s.violation(txn.kind); wrong != "" {
-			return nil, wrong
+		if violation := s.violation(txn.kind); violation != "" {
+			return nil, violation
 		}
 		switch txn.kind {
 		case submission:
-			after.isAccepted = true
+			after.acceptanceReported = true
 		case end:
-			after.isEnded = true
+			after.endReported = true
 		}
 		following = append(following, after)
 	}
-	after, wrong := s.continueQuery(missing)
-	if wrong != "" {
-		return nil, wrong
+	after, violation := s.continueQuery(disabled)
+	if violation != "" {
+		return nil, violation
 	}
 	if after != s {
 		following = append(following, after)
@@ -200,25 +200,25 @@
 	return following, ""
 }
 
-// violation returns what is wrong with a transaction that is carried out in a state.
+// violation returns the property that is violated if a transaction of the given kind is applied in this state, or "".
 func (s modelState) violation(kind txnKind) string {
 	switch {
-	case kind == submission && s.isEnded:
-		return "a job that had ended lives again"
-	case kind == move && !s.isEnded:
+	case kind == submission && s.endReported:
+		return "an ended job became live again"
+	case kind == move && !s.endReported:
 		return "a live job was archived"
-	case kind == move && s.answer.content != absent:
-		return "an answer was written over"
+	case kind == move && s.entry.content != absent:
+		return "an archive entry was overwritten"
 	}
 	return ""
 }
 
-// sendings returns the states after each transaction that may be sent.
-func (s modelState) sendings(missing missingGuards) (following []modelState) {
+// afterSend returns the states after each transaction that may be sent now.
+func (s modelState) afterSend(disabled guards) (following []modelState) {
 	if s.submissions < maxSubmissions {
 		after := s
 		after.submissions++
-		following = append(following, after.send(submissionTxn(missing)))
+		following = append(following, after.send(submissionTxn(disabled)))
 	}
 	if s.record.content == pending && s.ends < maxEnds {
 		after := s
@@ -226,130 +226,132 @@
 		following = append(following, after.send(modelTxn{
 			kind:          end,
 			recordVersion: s.record.version,
-			answerVersion: anyVersion,
+			entryVersion:  anyVersion,
 			record:        putEnded,
 		}))
 	}
-	mayMove := s.record.content == ended || missing.moveEndedOnly && s.record.content == pending
+	mayMove := s.record.content == ended || disabled.moveOnlyEnded && s.record.content == pending
 	if mayMove && s.moves < maxMoves {
 		after := s
 		after.moves++
-		following = append(following, after.send(moveModelTxn(s.record.version, missing)))
+		following = append(following, after.send(moveModelTxn(s.record.version, disabled)))
 	}
 	return following
 }
 
-func submissionTxn(missing missingGuards) modelTxn {
+func submissionTxn(disabled guards) modelTxn {
 	txn := store.Txn{
 		If:   []store.Condition{{Key: modelRecordKey}, Absent(modelID)},
 		Then: []store.Op{{Put: modelRecordKey}},
 	}
-	if missing.submissionOnAnswer {
+	if disabled.submissionWithoutEntry {
 		txn.If = txn.If[:1]
 	}
 	return modelOf(submission, txn)
 }
 
-func moveModelTxn(recordVersion uint64, missing missingGuards) modelTxn {
+func moveModelTxn(recordVersion uint64, disabled guards) modelTxn {
 	txn := modelOf(move, moveTxn([]Candidate{{ID: modelID, Version: recordVersion}}))
-	if missing.moveOnRecord {
+	if disabled.moveWithRecord {
 		txn.recordVersion = anyVersion
 	}
-	if missing.moveOnAnswer {
-		txn.answerVersion = anyVersion
+	if disabled.moveWithoutEntry {
+		txn.entryVersion = anyVersion
 	}
 	return txn
 }
 
-// continueQuery takes the next step of the query: two reads, and the answer that follows from them.
-func (s modelState) continueQuery(missing missingGuards) (after modelState, wrong string) {
-	first, second := s.record.content, s.answer.content
-	if missing.recordReadFirst {
+// continueQuery performs the next step of the query: its start, the first read, or the second read with the result. It
+// returns the property that the result violates, or "".
+func (s modelState) continueQuery(disabled guards) (after modelState, violation string) {
+	first, second := s.record.content, s.entry.content
+	if disabled.recordReadFirst {
 		first, second = second, first
 	}
 	switch s.query.step {
-	case notAsked:
-		s.query = query{step: asked, knownAccepted: s.isAccepted, knownEnded: s.isEnded}
-	case asked:
-		s.query.step = readOnce
+	case notStarted:
+		s.query = query{step: started, acceptedBefore: s.acceptanceReported, endedBefore: s.endReported}
+	case started:
+		s.query.step = firstReadDone
 		s.query.first = first
-	case readOnce:
-		s.query.step = answered
-		answer := s.query.first
-		if answer == absent {
-			answer = second
+	case firstReadDone:
+		s.query.step = finished
+		result := s.query.first
+		if result == absent {
+			result = second
 		}
-		if answer == absent && s.query.knownAccepted {
-			return s, "an accepted job was answered as never submitted"
+		if result == absent && s.query.acceptedBefore {
+			return s, "an accepted job was reported as never submitted"
 		}
-		if answer == pending && s.query.knownEnded {
-			return s, "an ended job was answered as live"
+		if result == pending && s.query.endedBefore {
+			return s, "an ended job was reported as live"
 		}
 	}
 	return s, ""
 }
 
-// explore visits every state and returns the first thing that goes wrong, and how many states there are.
-func explore(missing missingGuards) (wrong string, states int) {
-	seen := map[modelState]bool{}
-	open := []modelState{{}}
-	for len(open) > 0 {
-		state := open[len(open)-1]
-		open = open[:len(open)-1]
-		if seen[state] {
+// explore visits every state until a property is violated. It returns the violation, or "" if there is none, and the
+// number of states visited.
+func explore(disabled guards) (violation string, states int) {
+	visited := map[modelState]bool{}
+	queue := []modelState{{}}
+	for len(queue) > 0 {
+		state := queue[len(queue)-1]
+		queue = queue[:len(queue)-1]
+		if visited[state] {
 			continue
 		}
-		seen[state] = true
-		if state.record.content != absent && state.answer.content != absent {
-			return "a job is stored in two places", len(seen)
+		visited[state] = true
+		if state.record.content != absent && state.entry.content != absent {
+			return "a job has both a record and an archive entry", len(visited)
 		}
-		following, wrong := state.next(missing)
-		if wrong != "" {
-			return wrong, len(seen)
+		following, violation := state.next(disabled)
+		if violation != "" {
+			return violation, len(visited)
 		}
-		open = append(open, following...)
+		queue = append(queue, following...)
 	}
-	return "", len(seen)
+	return "", len(visited)
 }
 
-// Nothing goes wrong in any run.
+// No run violates a property.
 func TestEveryRunOfAMove(t *testing.T) {
-	wrong, states := explore(missingGuards{})
-	t.Logf("%d states", states)
-	if wrong != "" || states < 1000 {
-		t.Errorf("%s, after %d states", wrong, states)
+	violation, states := explore(guards{})
+	t.Logf("%d states visited", states)
+	if violation != "" || states < 1000 {
+		t.Errorf("violation %q after %d states, want no violation and at least 1000 states", violation, states)
 	}
 }
 
-// Without any one of the guards something goes wrong.
+// If a guard is disabled, some run violates a property.
 func TestEveryGuardOfAMoveIsNeeded(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		missing missingGuards
-		want    string
+		name     string
+		disabled guards
+		want     string
 	}{
-		{"submission on answer", missingGuards{submissionOnAnswer: true}, "lives again"},
-		// Of a move's two conditions either is enough to let it be carried out once.
-		{"move on record and answer", missingGuards{moveOnRecord: true, moveOnAnswer: true}, "written over"},
-		{"record read first", missingGuards{recordReadFirst: true}, "as never submitted"},
-		{"move of ended jobs only", missingGuards{moveEndedOnly: true}, "a live job was archived"},
+		{"submission only without archive entry", guards{submissionWithoutEntry: true}, "became live again"},
+		// Either of the two conditions of a move is enough to apply only one move, so both are disabled.
+		{"move on record and archive entry", guards{moveWithRecord: true, moveWithoutEntry: true}, "overwritten"},
+		{"record read before archive entry", guards{recordReadFirst: true}, "reported as never submitted"},
+		{"move of ended jobs only", guards{moveOnlyEnded: true}, "a live job was archived"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if wrong, _ := explore(c.missing); !strings.Contains(wrong, c.want) {
-				t.Errorf("went wrong: %q, not %q", wrong, c.want)
+			if violation, _ := explore(c.disabled); !strings.Contains(violation, c.want) {
+				t.Errorf("violation %q, want one that contains %q", violation, c.want)
 			}
 		})
 	}
 }
 
-// The transactions of the real code have the conditions and changes of the model's.
-func TestConditionsOfAMove(t *testing.T) {
+// The transaction that moves a job has the conditions and changes that the model assumes.
+func TestMoveTransactionMatchesModel(t *testing.T) {
 	txn := moveTxn([]Candidate{{ID: modelID, Version: 7, Answer: Answer{State: jobs.Done, Tasks: 2, Done: 2}}})
-	want := []store.Condition{{Key: modelRecordKey, Version: 7}, {Key: modelAnswerKey}}
+	want := []store.Condition{{Key: modelRecordKey, Version: 7}, {Key: modelEntryKey}}
 	if !slices.Equal(txn.If, want) {
-		t.Errorf("conditions %v", txn.If)
+		t.Errorf("conditions %v, want the record's version and the absence of the archive entry", txn.If)
 	}
-	if got := fmt.Sprintf("%s %s", txn.Then[0].Put, txn.Then[1].Delete); got != modelAnswerKey+" "+modelRecordKey {
-		t.Errorf("changes %s", got)
+	if got := fmt.Sprintf("%s %s", txn.Then[0].Put, txn.Then[1].Delete); got != modelEntryKey+" "+modelRecordKey {
+		t.Errorf("changes %s, want a write of the archive entry and a deletion of the record", got)
 	}
 }
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -10,36 +10,37 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// opsPerMove is how many changes of a transaction the move of one job takes: its answer's key is written and its
-// record's key deleted together.
+// opsPerMove is the number of changes in a transaction that moves one job: the archive entry is written and the record
+// is deleted.
 const opsPerMove = 2
 
-// Shares of the state service's write rate that moves may use, of all controllers' together: the usual one, and the
-// one while ended jobs wait for more than twice the time for which they are retained. Without such a bound the
-// leader's moves take the writes that the other controllers' submissions need.
+// Shares of the state service's write rate for all controllers that moves may use. backlogWriteShare applies while
+// ended jobs have been waiting for more than twice their retention time. Without these limits the leader's moves use
+// up the writes that the other controllers need for submissions.
 const (
 	usualWriteShare   = 0.1
 	backlogWriteShare = 0.25
 )
 
 const (
-	// maxBatchJobs bounds the jobs in a batch.
+	// maxBatchJobs is the maximum number of jobs in a batch.
 	maxBatchJobs = 16
-	// failureBackoff passes after a batch that wasn't carried out.
+	// failureBackoff is the minimum delay between a failed batch and the next one.
 	failureBackoff = 2 * time.Second
-	// conflictBackoff is for how long a job isn't tried again whose move met a condition that didn't hold, or was
-	// carried out: an earlier move of it has succeeded, and the followed keys are about to show it.
+	// conflictBackoff is the time for which a job is left out of batches after its move was committed or one of its
+	// conditions failed. In both cases some move of the job has succeeded, and the watch will report that its record
+	// was deleted.
 	conflictBackoff = 30 * time.Second
 )
 
-// State is what a Mover is doing.
+// State is the state of a Mover.
 type State uint8
 
 // The states of a Mover.
 //
 //	Idle    -> Moving   a batch was sent
-//	Moving  -> Waiting  it is durable, and its share of the writes is used up for a while; or it wasn't carried out,
-//	                    met a condition that didn't hold, or its outcome is indeterminate
+//	Moving  -> Waiting  the batch was committed, and the write share is used up until the pause is over; or the batch
+//	                    was not applied, had a failed condition, or its outcome is indeterminate
 //	Waiting -> Idle     the pause is over
 const (
 	Idle State = iota
@@ -47,53 +48,53 @@
 	Waiting
 )
 
-// String returns the name of the state, as operators read it over HTTP.
+// String returns the name of the state, which the HTTP API shows to operators.
 func (s State) String() string { return [...]string{"idle", "moving", "waiting"}[s] }
 
-// Candidate is an ended job whose record may be moved: no task of it can be on a machine.
+// Candidate is an ended job whose record may be moved, because none of its tasks can be on a machine.
 type Candidate struct {
 	ID      string
-	Version uint64 // of its record
+	Version uint64 // version of its record
 	Answer  Answer
 }
 
-// Env is what a Mover needs of the controller.
+// Env holds the controller functions and the limits that a Mover uses.
 type Env struct {
-	// CanWrite reports whether a transaction with ops changes may be sent now without delaying the writes that users
-	// wait for.
+	// CanWrite reports whether a transaction with ops changes may be sent now without delaying writes for users'
+	// requests.
 	CanWrite func(ops int) bool
-	// Commit sends a transaction on the condition that this controller still leads.
+	// Commit sends a transaction on the condition that this controller is still the leader.
 	Commit func(store.Txn, func(store.Result))
-	// Now returns the monotonic time, for results.
+	// Now returns the monotonic time. It is called when a result arrives.
 	Now func() time.Duration
-	// OnArchived is called for each job whose move is durable.
-	OnArchived func(id string, answer Answer)
-	// TxnOps is the most changes in one transaction.
+	// OnArchived is called for each job whose move was committed.
+	OnArchived func(id string, entry Answer)
+	// TxnOps is the maximum number of changes in one transaction.
 	TxnOps int
-	// WritesPerS is how many writes per second the state service takes of all controllers.
+	// WritesPerS is the write rate of the state service for all controllers, in changes per second.
 	WritesPerS float64
 }
 
-// Stats counts what a Mover has done in its term.
+// Stats are the counters of a Mover.
 type Stats struct {
-	Moved   uint64 // jobs
-	Batches uint64 // transactions that were carried out
-	Failed  uint64 // transactions that weren't, or whose outcome is indeterminate
+	Moved   uint64 // jobs moved
+	Batches uint64 // transactions committed
+	Failed  uint64 // transactions not committed, or with an indeterminate outcome
 }
 
-// Mover moves ended jobs into the archive, a batch at a time, for one term of a leader. What is left to move follows
-// from the records that still exist, so a later leader needs nothing from an earlier one.
+// Mover moves ended jobs to the archive in batches, during one term of a leader. The jobs left to move follow from the
+// existing records, so a new leader needs no data from the previous one.
 //
-// A batch without an answer may be carried out later, or after it was sent again. Both are harmless: each job's move
-// depends on the version of its record and on the absence of its answer, so of all attempts one is carried out, and a
-// job that may be moved may always be moved.
+// A batch without a response may be committed later, even after it was sent again. Both are harmless: each move
+// depends on the version of the record and on the absence of the archive entry, so only one of several attempts is
+// committed, and a job that may be moved once may be moved at any later time.
 type Mover struct {
 	env         Env
 	state       State
-	pausedUntil time.Duration
-	batchLimit  int                      // of jobs in the next batch; shrinks after failures
-	retryAt     map[string]time.Duration // by job; for those that aren't tried before
-	// Stats may be read by the owner of the Mover.
+	pausedUntil time.Duration            // end of the pause of state Waiting
+	batchLimit  int                      // limit of the next batch in jobs; halved after failures other than conflicts
+	retryAt     map[string]time.Duration // job id to the time until which the job is left out of batches
+	// Stats may be read in the event loop of the Mover.
 	Stats Stats
 }
 
@@ -104,14 +105,14 @@
 	return m
 }
 
-// State returns what the mover is doing.
+// State returns the state of the mover.
 func (m *Mover) State() State { return m.state }
 
-// maxBatch is how many jobs a batch may hold within the limits of a transaction.
+// maxBatch returns the maximum number of jobs in a batch, given the limit on changes in a transaction.
 func (m *Mover) maxBatch() int { return min(maxBatchJobs, m.env.TxnOps/opsPerMove) }
 
-// Tick sends a batch if one is due. candidates are the jobs that may be moved, the one that ended first at the
-// beginning. hasBacklog is whether some have waited for much longer than they are to be retained.
+// Tick sends a batch if the mover is idle and CanWrite allows it. candidates are the jobs that may be moved, ordered
+// by the time of their end. hasBacklog tells whether some have been waiting for more than twice their retention time.
 func (m *Mover) Tick(now time.Duration, hasBacklog bool, candidates iter.Seq[Candidate]) {
 	if m.state == Waiting && now >= m.pausedUntil {
 		m.state = Idle
@@ -128,7 +129,7 @@
 	m.env.Commit(moveTxn(batch), func(result store.Result) { m.handleResult(batch, result) })
 }
 
-// nextBatch picks the first candidates that aren't backed off, as many as may be written now.
+// nextBatch returns the first candidates that aren't backed off, as many as may be written now.
 func (m *Mover) nextBatch(now time.Duration, candidates iter.Seq[Candidate]) []Candidate {
 	var batch []Candidate
 	for candidate := range candidates {
@@ -143,7 +144,7 @@
 	return batch
 }
 
-// pause is how long a batch of jobs uses up the share of moves in the state service's writes.
+// pause returns the time for which the changes of a batch use up the moves' share of the state service's write rate.
 func (m *Mover) pause(jobCount int, hasBacklog bool) time.Duration {
 	share := usualWriteShare
 	if hasBacklog {
@@ -152,7 +153,7 @@
 	return jobs.Seconds(float64(opsPerMove*jobCount) / (m.env.WritesPerS * share))
 }
 
-// isBackedOff reports whether a job isn't to be tried yet.
+// isBackedOff reports whether a job is still left out of batches. It deletes a backoff that is over.
 func (m *Mover) isBackedOff(now time.Duration, id string) bool {
 	retryAt, ok := m.retryAt[id]
 	if ok && now >= retryAt {
@@ -162,7 +163,7 @@
 	return ok
 }
 
-// moveTxn returns the transaction that moves a batch: all of it, or nothing.
+// moveTxn returns the transaction that moves all jobs of a batch, or none.
 func moveTxn(batch []Candidate) store.Txn {
 	txn := store.Txn{}
 	for _, candidate := range batch {
@@ -177,23 +178,23 @@
 	return txn
 }
 
-// handleResult takes over the outcome of the batch under way.
+// handleResult handles the outcome of the batch that was in flight.
 func (m *Mover) handleResult(batch []Candidate, result store.Result) {
 	now := m.env.Now()
 	if result.Outcome == store.Committed {
-		m.handleMoved(now, batch)
+		m.handleCommitted(now, batch)
 	} else {
 		m.handleFailure(now, batch, result)
 	}
 	m.state = Waiting
 }
 
-func (m *Mover) handleMoved(now time.Duration, batch []Candidate) {
+func (m *Mover) handleCommitted(now time.Duration, batch []Candidate) {
 	m.Stats.Moved += uint64(len(batch))
 	m.Stats.Batches++
 	m.batchLimit = min(m.maxBatch(), m.batchLimit+1)
 	for _, candidate := range batch {
-		m.retryAt[candidate.ID] = now + conflictBackoff // until its record is seen to be deleted
+		m.retryAt[candidate.ID] = now + conflictBackoff // ForgetBackoff ends it once the deletion was read
 		m.env.OnArchived(candidate.ID, candidate.Answer)
 	}
 }
@@ -203,8 +204,8 @@
 	if result.Outcome == store.Conflict {
 		m.backOffConflicts(now, batch, result.FailedKeys)
 	} else {
-		// A transaction that is larger than the service takes is refused like one beyond its rate. Its limits may
-		// shrink without notice, so the next batch is smaller.
+		// The service rejects an oversized transaction with the same outcome as one above its rate limit. Its limits
+		// may shrink without notice, so the next batch is smaller.
 		m.batchLimit = max(1, m.batchLimit/2)
 	}
 	slog.Debug("archive batch not committed",
@@ -212,16 +213,17 @@
 	m.pausedUntil = max(m.pausedUntil, now+failureBackoff)
 }
 
-// backOffConflicts leaves out the jobs whose conditions didn't hold for a while.
+// backOffConflicts backs off the jobs whose conditions failed, for conflictBackoff.
 func (m *Mover) backOffConflicts(now time.Duration, batch []Candidate, failedKeys []string) {
 	for _, candidate := range batch {
 		recordFailed := slices.Contains(failedKeys, jobs.RecordKey(candidate.ID))
-		answerFailed := slices.Contains(failedKeys, Key(candidate.ID))
-		if recordFailed || answerFailed {
+		entryFailed := slices.Contains(failedKeys, Key(candidate.ID))
+		if recordFailed || entryFailed {
 			m.retryAt[candidate.ID] = now + conflictBackoff
 		}
 	}
 }
 
-// ForgetBackoff ends the back-off of a job whose record is seen to be deleted.
+// ForgetBackoff ends the backoff of a job. The controller calls it after it has read that the job's record was
+// deleted.
 func (m *Mover) ForgetBackoff(id string) { delete(m.retryAt, id) }
--- a/internal/archive/mover_test.go
+++ b/internal/archive/mover_test.go
@@ -9,15 +9,15 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// moverTest is a Mover with its clock, its candidates, and what it sent.
+// moverTest is a Mover with a simulated clock, its candidates and a record of the transactions that it sent.
 type moverTest struct {
 	*Mover
 	now        time.Duration
 	sent       []store.Txn
-	done       func(store.Result) // of the last transaction
-	archived   []string
+	done       func(store.Result) // callback of the last transaction
+	archived   []string           // ids passed to OnArchived
 	candidates []Candidate
-	isBusy     bool // no write may be sent
+	isBusy     bool // whether CanWrite forbids all writes
 }
 
 func newMoverTest(txnOps, candidates int) *moverTest {
@@ -43,7 +43,8 @@
 	return m
 }
 
-// tickAfter calls Tick after a time; it returns how many jobs were sent in a batch.
+// tickAfter advances the clock by delay and calls Tick. It returns the number of jobs in the batch that Tick sent, and
+// 0 if it sent none.
 func (m *moverTest) tickAfter(delay time.Duration) int {
 	m.now += delay
 	before := len(m.sent)
@@ -54,54 +55,56 @@
 	return len(m.sent[before].Then) / opsPerMove
 }
 
-// A batch keeps within the limits, nothing else is sent while it is under way, and the rate is a part of what the
-// state service takes.
-func TestBatchesKeepTheWriteShare(t *testing.T) {
-	const first = 12 // as many as a transaction of 24 changes holds
-	m := newMoverTest(24, first+4)
-	if n := m.tickAfter(0); n != first || m.State() != Moving {
-		t.Fatalf("%d jobs in a batch, %s", n, m.State())
+// A batch stays within the transaction limit, only one is in flight at a time, and the pause after a batch keeps the
+// writes within the share of the state service's write rate.
+func TestBatchesStayWithinWriteShare(t *testing.T) {
+	const firstBatch = 12 // a transaction of 24 changes moves 12 jobs
+	m := newMoverTest(24, firstBatch+4)
+	if n := m.tickAfter(0); n != firstBatch || m.State() != Moving {
+		t.Fatalf("%d jobs in the first batch, state %s; want 12 and moving", n, m.State())
 	}
 	if n := m.tickAfter(time.Minute); n != 0 {
-		t.Errorf("a second batch of %d while one is under way", n)
+		t.Errorf("second batch of %d jobs while the first is in flight, want none", n)
 	}
 	m.now = 0
 	m.done(store.Result{Outcome: store.Committed, Revision: 50})
-	if len(m.archived) != first || m.Stats.Moved != first {
-		t.Errorf("archived %v, counted %d", m.archived, m.Stats.Moved)
+	if len(m.archived) != firstBatch || m.Stats.Moved != firstBatch {
+		t.Errorf("archived jobs %v, counted %d; want 12", m.archived, m.Stats.Moved)
 	}
-	// 24 writes at a tenth of 40 a second take six seconds.
+	// 24 writes at a tenth of 40 per second take six seconds.
 	if n := m.tickAfter(5900 * time.Millisecond); n != 0 {
-		t.Errorf("%d jobs moved before the pause is over", n)
+		t.Errorf("batch of %d jobs sent before the end of the pause, want none", n)
 	}
 	if n := m.tickAfter(200 * time.Millisecond); n != 4 {
-		t.Errorf("%d jobs moved, 4 are left", n)
+		t.Errorf("batch of %d jobs after the pause, want the remaining 4", n)
 	}
 }
 
-func TestBatchesKeepTheLimitsOfATransaction(t *testing.T) {
+// The size of a batch is limited by the changes in a transaction, and no batch is sent while CanWrite forbids it.
+func TestBatchSizeFollowsLimits(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		txnOps int
 		isBusy bool
 		want   int
 	}{
-		{"an odd number of changes", 5, false, 2},
-		{"too few changes for a move", 1, false, 0},
-		{"no write to spare", 24, true, 0},
+		{"odd number of changes", 5, false, 2},
+		{"too few changes for one move", 1, false, 0},
+		{"no write allowed", 24, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newMoverTest(c.txnOps, 12)
 			m.isBusy = c.isBusy
 			if got := m.tickAfter(0); got != c.want {
-				t.Errorf("a batch of %d, not %d", got, c.want)
+				t.Errorf("batch of %d jobs, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// A batch that is refused is tried again, smaller: the service's limits may have shrunk. It grows again.
-func TestRefusedBatchesShrink(t *testing.T) {
+// After a rejected batch the next one has half the size, because the service's limits may have shrunk. After a
+// committed batch the next one may have one job more.
+func TestRejectedBatchesShrink(t *testing.T) {
 	m := newMoverTest(16, 12)
 	var sizes []int
 	for range 5 {
@@ -109,44 +112,45 @@
 		m.done(store.Result{Outcome: store.NotApplied})
 	}
 	if !slices.Equal(sizes, []int{8, 4, 2, 1, 1}) {
-		t.Errorf("batches of %v", sizes)
+		t.Errorf("batch sizes %v, want [8 4 2 1 1]", sizes)
 	}
 	m.tickAfter(time.Minute)
 	m.done(store.Result{Outcome: store.Committed})
 	if n := m.tickAfter(time.Minute); n != 2 {
-		t.Errorf("a batch of %d after one that was carried out", n)
+		t.Errorf("batch of %d jobs after a committed batch of one job, want 2", n)
 	}
 }
 
-// A job whose move meets a condition that doesn't hold is left out for a while, the others of its batch go on. Once
-// its record is seen to be deleted nothing is kept of it.
+// After a conflict the jobs with failed conditions are backed off, and the other jobs of the batch are sent again.
+// ForgetBackoff deletes the backoff of a job.
 func TestConflictingJobsAreBackedOff(t *testing.T) {
 	m := newMoverTest(24, 3)
 	m.tickAfter(0)
 	m.done(store.Result{Outcome: store.Conflict, FailedKeys: []string{Key("req-b")}})
 	if n := m.tickAfter(failureBackoff); n != 2 {
-		t.Errorf("%d jobs in the next batch, and one of three was moved before", n)
+		t.Errorf("%d jobs in the next batch, want the 2 without a failed condition", n)
 	}
 	for _, condition := range m.sent[1].If {
 		if condition.Key == Key("req-b") {
-			t.Error("the job whose answer is stored is tried again at once")
+			t.Error("the next batch contains req-b, want it backed off because its archive entry exists")
 		}
 	}
 	m.ForgetBackoff("req-b")
 	if len(m.retryAt) != 0 {
-		t.Errorf("still backed off: %v", m.retryAt)
+		t.Errorf("backoffs %v after ForgetBackoff, want none", m.retryAt)
 	}
 }
 
-// A batch without an answer is sent again as it was: of the two one is carried out.
-func TestIndeterminateBatchIsSentAgain(t *testing.T) {
+// A batch with an indeterminate outcome is sent again with the same conditions, so that at most one of the two is
+// committed.
+func TestIndeterminateBatchIsRetried(t *testing.T) {
 	m := newMoverTest(24, 1)
 	m.tickAfter(0)
 	m.done(store.Result{Outcome: store.Indeterminate})
 	if m.tickAfter(failureBackoff/2) != 0 || m.tickAfter(failureBackoff) != 1 {
-		t.Error("not sent again after the pause")
+		t.Error("batch not sent again exactly once, after the backoff")
 	}
 	if !slices.Equal(m.sent[0].If, m.sent[1].If) {
-		t.Errorf("other conditions: %v, %v", m.sent[0].If, m.sent[1].If)
+		t.Errorf("conditions of the first batch %v and of the second %v, want them equal", m.sent[0].If, m.sent[1].If)
 	}
 }
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -9,47 +9,48 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Store is what a Reader needs of the state service's client.
+// Store is the part of the state service's client that a Reader uses.
 type Store interface {
 	// Get reads one key; a missing key has version 0.
 	Get(key string, class store.Priority, done func(store.Item, error))
 }
 
-// Reader finds answers. It keeps those it has found in a cache of bounded size: an answer never changes, so nothing
-// in the cache is ever out of date. The absence of an answer is not cached.
+// Reader reads archive entries. It keeps entries that it has read in a cache of bounded size. An entry never changes,
+// so the cache is never stale. The absence of an entry is not cached.
 type Reader struct {
 	store Store
 	cache *lru.Cache[string, Answer]
-	// Unreadable and Readable are called for stored answers that can't be read, and for those that can; nil for no
-	// call.
+	// Unreadable is called for each stored entry that can't be decoded, Readable for each that was decoded. Either may be
+	// nil.
 	Unreadable func(key string, raw json.RawMessage, cause error)
 	Readable   func(key string)
 }
 
-// NewReader returns a Reader that keeps at most size answers in memory, and at least one.
+// NewReader returns a Reader that caches up to size entries. A size below 1 is taken as 1.
 func NewReader(client Store, size int) *Reader {
 	cache, err := lru.New[string, Answer](max(1, size))
 	if err != nil {
-		panic(err) // only a size below 1 is refused
+		panic(err) // cannot happen: lru.New fails only for a size below 1
 	}
 	return &Reader{store: client, cache: cache}
 }
 
-// Cached returns an answer that is in the cache.
+// Cached returns a job's entry if it is in the cache.
 func (r *Reader) Cached(id string) (Answer, bool) { return r.cache.Get(id) }
 
-// Remember caches an answer that is durable.
-func (r *Reader) Remember(id string, answer Answer) { r.cache.Add(id, answer) }
+// Remember adds an entry to the cache. The entry must be durable.
+func (r *Reader) Remember(id string, entry Answer) { r.cache.Add(id, entry) }
 
-// CacheLen returns how many answers are in memory.
+// CacheLen returns the number of entries in the cache.
 func (r *Reader) CacheLen() int { return r.cache.Len() }
 
-// Find reads a job's answer and passes it to done, at once if it is cached. found is false if there was none when the
-// state service carried out the read; that shows that the job was never accepted only if its record was seen to be
-// absent before. err wraps ErrUnreadable if there is an answer that can't be read; any other error is the read's.
-func (r *Reader) Find(id string, class store.Priority, done func(answer Answer, found bool, err error)) {
-	if answer, ok := r.Cached(id); ok {
-		done(answer, true, nil)
+// Find reads a job's archive entry and passes it to done, before it returns if the entry is cached. found is false if
+// the entry didn't exist when the state service processed the read. That proves that the job was not accepted only if
+// its record was found absent before. err wraps ErrUnreadable if the entry exists but can't be decoded. Any other
+// error is that of the read.
+func (r *Reader) Find(id string, class store.Priority, done func(entry Answer, found bool, err error)) {
+	if entry, ok := r.Cached(id); ok {
+		done(entry, true, nil)
 		return
 	}
 	r.store.Get(Key(id), class, func(item store.Item, err error) {
@@ -57,48 +58,49 @@
 			done(Answer{}, false, err)
 			return
 		}
-		answer, err := r.decode(item)
+		entry, err := r.decode(item)
 		if err != nil {
 			done(Answer{}, false, err)
 			return
 		}
-		r.Remember(id, answer)
-		done(answer, true, nil)
+		r.Remember(id, entry)
+		done(entry, true, nil)
 	})
 }
 
-// Location is where a job was found.
+// Location is the result of Reader.Locate.
 type Location struct {
-	Record   store.Item // the job's record, with version 0 if there is none
-	Answer   Answer     // where Archived is set
+	Record   store.Item // the job's record; version 0 if there is none
+	Answer   Answer     // archive entry, if Archived is set
 	Archived bool
 }
 
-// Absent reports whether the job was found nowhere: it wasn't accepted before the search began.
+// Absent reports whether neither a record nor an archive entry was found: the job wasn't accepted before the search
+// began.
 func (l Location) Absent() bool { return l.Record.Version == 0 && !l.Archived }
 
-// Locate reads a job's record first and, where there is none, its answer second, and passes what it found to done. err
-// is as of Find.
+// Locate reads a job's record first. If there is none, it reads the job's archive entry second. It passes the result
+// to done, with an error as described at Find.
 func (r *Reader) Locate(id string, class store.Priority, done func(found Location, err error)) {
 	r.store.Get(jobs.RecordKey(id), class, func(record store.Item, err error) {
 		if err != nil || record.Version != 0 {
 			done(Location{Record: record}, err)
 			return
 		}
-		r.Find(id, class, func(answer Answer, archived bool, err error) {
-			done(Location{Answer: answer, Archived: archived}, err)
+		r.Find(id, class, func(entry Answer, archived bool, err error) {
+			done(Location{Answer: entry, Archived: archived}, err)
 		})
 	})
 }
 
-// decode reads a stored answer and reports whether that was possible.
+// decode decodes a stored entry and calls Unreadable or Readable.
 func (r *Reader) decode(item store.Item) (Answer, error) {
-	answer, err := Decode(item.Value)
+	entry, err := Decode(item.Value)
 	switch {
 	case err != nil && r.Unreadable != nil:
 		r.Unreadable(item.Key, item.Value, err)
 	case err == nil && r.Readable != nil:
 		r.Readable(item.Key)
 	}
-	return answer, err
+	return entry, err
 }
--- a/internal/archive/reader_test.go
+++ b/internal/archive/reader_test.go
@@ -9,11 +9,11 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// fakeStore is a Store with some keys.
+// fakeStore is a Store in memory that counts reads.
 type fakeStore struct {
 	items map[string]store.Item
 	reads int
-	err   error
+	err   error // result of every read, if not nil
 }
 
 func (s *fakeStore) Get(key string, _ store.Priority, done func(store.Item, error)) {
@@ -23,33 +23,34 @@
 	done(item, s.err)
 }
 
-// find calls Find on a Reader whose Store answers at once.
-func find(r *Reader, id string) (answer Answer, found bool, err error) {
+// find calls Find and returns its result. The Store of the Reader must respond before Get returns.
+func find(r *Reader, id string) (entry Answer, found bool, err error) {
 	r.Find(id, store.QueryPriority, func(a Answer, isFound bool, e error) {
-		answer, found, err = a, isFound, e
+		entry, found, err = a, isFound, e
 	})
-	return answer, found, err
+	return entry, found, err
 }
 
-// mustFind fails the test if there is no answer that can be read.
+// mustFind returns a job's archive entry. The test fails if the entry isn't found.
 func mustFind(t *testing.T, r *Reader, id string) Answer {
 	t.Helper()
-	answer, found, err := find(r, id)
+	entry, found, err := find(r, id)
 	if !found || err != nil {
-		t.Errorf("%s: %v, %v, %v", id, answer, found, err)
+		t.Errorf("Find(%s) = %v, found %v, error %v; want an entry", id, entry, found, err)
 	}
-	return answer
+	return entry
 }
 
-// An answer is read once; absence and failure are not cached, and the cache is bounded.
-func TestReaderCachesAnswersOnly(t *testing.T) {
+// An existing entry is read once and then cached. Absent entries and failed reads are not cached, and the cache is
+// bounded.
+func TestReaderCachesOnlyFoundEntries(t *testing.T) {
 	client := &fakeStore{items: map[string]store.Item{}}
 	r := NewReader(client, 2)
 	unreadable := 0
 	r.Unreadable = func(string, json.RawMessage, error) { unreadable++ }
 	for range 2 {
 		if _, found, err := find(r, "req-1"); found || err != nil {
-			t.Errorf("an absent answer: %v, %v", found, err)
+			t.Errorf("absent entry: found %v, error %v; want neither", found, err)
 		}
 	}
 	for _, id := range []string{"req-1", "req-2", "req-3"} {
@@ -59,26 +60,27 @@
 
 	client.reads = 0
 	for range 3 {
-		if answer := mustFind(t, r, "req-1"); answer.Tasks != 3 {
-			t.Errorf("%v", answer)
+		if entry := mustFind(t, r, "req-1"); entry.Tasks != 3 {
+			t.Errorf("entry %v, want 3 tasks", entry)
 		}
 	}
 	if client.reads != 1 {
-		t.Errorf("%d reads of an answer that never changes", client.reads)
+		t.Errorf("%d reads of one entry, want 1", client.reads)
 	}
 	for _, id := range []string{"req-2", "req-3"} {
 		mustFind(t, r, id)
 		if r.CacheLen() != 2 {
-			t.Errorf("%d answers are cached after %s, and the bound is 2", r.CacheLen(), id)
+			t.Errorf("%d entries cached after reading %s, want 2", r.CacheLen(), id)
 		}
 	}
 
 	client.items[Key("req-9")] = store.Item{Value: json.RawMessage(`{"v":9}`), Version: 6}
 	if _, found, err := find(r, "req-9"); found || !errors.Is(err, ErrUnreadable) || unreadable != 1 {
-		t.Errorf("an unreadable answer: %v, %v, reported %d times", found, err, unreadable)
+		t.Errorf("unreadable entry: found %v, error %v, Unreadable called %d times; want ErrUnreadable and one call",
+			found, err, unreadable)
 	}
-	client.err = errors.New("no answer")
+	client.err = errors.New("no response")
 	if _, found, err := find(r, "req-7"); found || err == nil {
-		t.Errorf("a failed read: %v, %v", found, err)
+		t.Errorf("failed read: found %v, error %v; want the error of the read", found, err)
 	}
 }
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -9,33 +9,33 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// newestFormat is the newest stored format that this release reads.
+// newestFormat is the newest format of stored entries that this release reads.
 const newestFormat = 1
 
-// maxRecordBytes is more than the largest stored answer takes.
-const maxRecordBytes = 96
+// maxEntryBytes is an upper bound for the size of a stored entry.
+const maxEntryBytes = 96
 
-// ErrUnreadable wraps every reason why a stored answer can't be read. Its job's state is unknown then: it must
-// neither be answered nor acted on.
-var ErrUnreadable = errors.New("an archived answer cannot be read")
+// ErrUnreadable is wrapped by every error about a stored entry that can't be decoded. The state of the job is unknown
+// then: a controller must neither report a state nor act on one.
+var ErrUnreadable = errors.New("archive entry cannot be decoded")
 
-// record is the stored form of an Answer, in format 1.
-type record struct {
-	Format int    `json:"v,omitempty"` // 0 means 1
+// storedEntry is the stored form of an Answer in format 1.
+type storedEntry struct {
+	Format int    `json:"v,omitempty"` // 0 means format 1
 	State  string `json:"stance"`
 	Tasks  int    `json:"n"`
 	Done   int    `json:"done"`
 }
 
-// Encode returns the stored form of an answer.
-func Encode(answer Answer) json.RawMessage {
-	raw, _ := json.Marshal(record{State: answer.State.String(), Tasks: answer.Tasks, Done: answer.Done})
+// Encode returns the stored form of an archive entry.
+func Encode(entry Answer) json.RawMessage {
+	raw, _ := json.Marshal(storedEntry{State: entry.State.String(), Tasks: entry.Tasks, Done: entry.Done})
 	return raw
 }
 
-// Decode reads a stored answer. Its error wraps ErrUnreadable.
+// Decode decodes a stored archive entry. Every error wraps ErrUnreadable.
 func Decode(raw json.RawMessage) (Answer, error) {
-	var stored record
+	var stored storedEntry
 	if err := json.Unmarshal(raw, &stored); err != nil {
 		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
--- a/internal/archive/record_test.go
+++ b/internal/archive/record_test.go
@@ -8,25 +8,25 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Every answer is decoded as it was encoded, and the largest fits maxRecordBytes.
-func TestAnswersAreDecodedAsEncoded(t *testing.T) {
-	for _, answer := range []Answer{
+// Decode returns the entry that was encoded. The largest entry takes at most maxEntryBytes.
+func TestEncodeDecodeRoundTrip(t *testing.T) {
+	for _, entry := range []Answer{
 		{State: jobs.Done, Tasks: 1, Done: 1},
 		{State: jobs.Cancelled, Tasks: jobs.MaxTasks, Done: jobs.MaxTasks},
 		{State: jobs.Cancelled, Tasks: 7, Done: 0},
 	} {
-		raw := Encode(answer)
-		if len(raw) > maxRecordBytes {
-			t.Errorf("%s takes %d bytes, more than %d", raw, len(raw), maxRecordBytes)
+		raw := Encode(entry)
+		if len(raw) > maxEntryBytes {
+			t.Errorf("%s takes %d bytes, want at most %d", raw, len(raw), maxEntryBytes)
 		}
-		if got, err := Decode(raw); err != nil || got != answer {
-			t.Errorf("%s was read as %v, %v", raw, got, err)
+		if got, err := Decode(raw); err != nil || got != entry {
+			t.Errorf("Decode(%s) = %v, %v; want the encoded entry", raw, got, err)
 		}
 	}
 }
 
-// What can't be read is an ErrUnreadable, never an answer.
-func TestUnreadableAnswersAreRefused(t *testing.T) {
+// Decode returns ErrUnreadable for malformed entries, newer formats and states that are not terminal.
+func TestDecodeRejectsUnreadableEntries(t *testing.T) {
 	for _, raw := range []string{
 		``,
 		`7`,
@@ -35,8 +35,8 @@
 		`{"v":2,"stance":"done","n":1}`,
 		`{"stance":"done","n":"x"}`,
 	} {
-		if answer, err := Decode(json.RawMessage(raw)); !errors.Is(err, ErrUnreadable) {
-			t.Errorf("%q was read as %v, %v", raw, answer, err)
+		if entry, err := Decode(json.RawMessage(raw)); !errors.Is(err, ErrUnreadable) {
+			t.Errorf("Decode(%q) = %v, %v; want ErrUnreadable", raw, entry, err)
 		}
 	}
 }
