--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -11,18 +11,18 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// fixedAnswer answers every request at once with one response.
-type fixedAnswer struct{ response httpio.Response }
+// fixedResponse answers every request at once with the same response.
+type fixedResponse struct{ response httpio.Response }
 
-func (f fixedAnswer) Send(_ string, _ httpio.Request, done func(httpio.Response)) { done(f.response) }
+func (f fixedResponse) Send(_ string, _ httpio.Request, done func(httpio.Response)) { done(f.response) }
 
-// newBenchClient returns a client with a budget that no benchmark exhausts, whose requests are all answered by body.
+// newBenchClient returns a client that gets body as the response to every request. No benchmark exhausts its budget.
 func newBenchClient(body []byte) *store.Client {
 	now := time.Duration(0)
-	return newClient(fixedAnswer{httpio.Response{Status: 200, Body: body}}, &now, 1e12)
+	return newClient(fixedResponse{httpio.Response{Status: 200, Body: body}}, &now, 1e12)
 }
 
-// BenchmarkTxn sends a transaction of ordinary size: some conditions and as many operations with values.
+// BenchmarkTxn sends a transaction with 24 conditions and 24 operations that write values.
 func BenchmarkTxn(b *testing.B) {
 	client := newBenchClient([]byte(`{"epoch":7}`))
 	value := json.RawMessage(`{"stance":"pending","note":"` + string(bytes.Repeat([]byte("x"), 200)) + `"}`)
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkList reads a page of keys.
+// BenchmarkList reads one page of 1,000 keys.
 func BenchmarkList(b *testing.B) {
 	pairs := joinNumbered(1000, `{"k":"h/j/%06d","data":{"stance":"pending"},"stamp":7,"tether":0}`)
 	client := newBenchClient(fmt.Appendf(nil, `{"epoch":7,"has_next":false,"pairs":[%s]}`, pairs))
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkWatch receives changes.
+// BenchmarkWatch receives 100 changes in one response.
 func BenchmarkWatch(b *testing.B) {
 	events := joinNumbered(100, `{"set":"h/j/%06d","data":{"stance":"pending"},"stamp":7,"drop":""}`)
 	client := newBenchClient(fmt.Appendf(nil, `{"epoch":7,"events":[%s]}`, events))
@@ -58,7 +58,7 @@
 	}
 }
 
-// joinNumbered returns a comma-separated list of n elements, each formatted with its number.
+// joinNumbered returns a comma-separated list of n elements. format is applied to each element's index.
 func joinNumbered(n int, format string) []byte {
 	elements := make([][]byte, n)
 	for i := range elements {
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -2,39 +2,43 @@
 
 import "time"
 
-// Priority orders requests when the budget runs low.
+// Priority is the rank of a request when the budget runs low.
 type Priority uint8
 
-// The priorities, from the highest to the lowest. Each one leaves a reserve of the budget to those above it.
+// The priorities, from the highest to the lowest. Requests of a lower priority leave a larger reserve of the budget
+// unused, for the higher priorities.
 const (
-	// SafetyPriority is for leases and for reads that authority depends on: it may use the whole budget.
+	// SafetyPriority is for leases and for reads on which a controller's authority depends. It may use the whole
+	// budget.
 	SafetyPriority Priority = iota
 	// NormalPriority is for writes that users wait for.
 	NormalPriority
-	// QueryPriority is for status queries, which clients repeat soon; it leaves room for submissions and
+	// QueryPriority is for status queries, which clients repeat soon. Its reserve keeps tokens for submissions and
 	// cancellations.
 	QueryPriority
-	// BulkPriority is for writes that come in floods, such as plans; it leaves room for all others.
+	// BulkPriority is for writes that come in large bursts, such as plans. Its reserve, the largest, keeps tokens
+	// for all other requests.
 	BulkPriority
 )
 
-// reserves is the fraction of the bucket that requests of each priority leave unused.
+// reserves is the fraction of the bucket's capacity that requests of each priority leave unused.
 var reserves = [...]float64{SafetyPriority: 0, NormalPriority: 0.1, QueryPriority: 0.3, BulkPriority: 0.35}
 
-// Budget is a token bucket with a reserve for each priority.
+// Budget is a token bucket with a reserve for each priority. Times are those of the steady clock.
 type Budget struct {
-	rate, burst, tokens float64 // tokens per second, capacity, and what is left
-	refilledAt          time.Duration
+	rate, burst, tokens float64       // tokens per second, capacity, and tokens left (negative: debt)
+	refilledAt          time.Duration // 0 before the first refill
 }
 
-// NewBudget returns a full bucket that is refilled at rate tokens per second and holds burstSeconds' worth of them,
-// at least one.
+// NewBudget returns a full bucket that is refilled at rate tokens per second. Its capacity is the refill of
+// burstSeconds, and at least one token.
 func NewBudget(rate, burstSeconds float64) *Budget {
 	burst := max(1, rate*burstSeconds)
 	return &Budget{rate: rate, burst: burst, tokens: burst}
 }
 
-// SetRate changes the rate, in tokens per second, and the capacity from now on.
+// SetRate changes the refill rate, in tokens per second, and the capacity. The time until now is refilled at the old
+// rate.
 func (b *Budget) SetRate(now time.Duration, rate, burstSeconds float64) {
 	b.refill(now)
 	b.rate = rate
@@ -49,20 +53,21 @@
 	}
 }
 
-// Allows reports whether n tokens may be taken now by a request of a priority.
+// Allows reports whether a request of the given priority may take n tokens now.
 func (b *Budget) Allows(now time.Duration, n float64, priority Priority) bool {
 	b.refill(now)
 	if n > b.burst {
-		// One transaction may be larger than the bucket: it waits for a full one.
+		// A transaction may need more tokens than the bucket holds: it is allowed once the bucket is full.
 		return b.tokens >= b.burst
 	}
 	return b.tokens >= min(b.burst, n+b.burst*reserves[priority])
 }
 
-// allowsHalf reports whether half of the capacity would be unused after n more tokens.
-func (b *Budget) allowsHalf(now time.Duration, n float64) bool {
+// leavesHalf reports whether half of the capacity would be left after n tokens were taken. If n is
+// more than the other half, a full bucket is enough.
+func (b *Budget) leavesHalf(now time.Duration, n float64) bool {
 	return b.Allows(now, b.burst/2+n, SafetyPriority)
 }
 
-// Take removes n tokens. The bucket may go into debt after an oversized transaction.
+// Take removes n tokens. After an oversized transaction the count of tokens may be negative.
 func (b *Budget) Take(n float64) { b.tokens -= n }
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -7,8 +7,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// spend takes single tokens while a priority may, and returns how many.
-func spend(b *store.Budget, now time.Duration, priority store.Priority) (n int) {
+// takeAllowed takes single tokens as long as the priority allows, and returns their number.
+func takeAllowed(b *store.Budget, now time.Duration, priority store.Priority) (n int) {
 	for b.Allows(now, 1, priority) {
 		b.Take(1)
 		n++
@@ -18,42 +18,43 @@
 
 func TestBudgetKeepsAReserveForSafety(t *testing.T) {
 	b := store.NewBudget(10, 0.8)
-	ordinary := spend(b, 0, store.NormalPriority)
-	safety := spend(b, 0, store.SafetyPriority)
+	ordinary := takeAllowed(b, 0, store.NormalPriority)
+	safety := takeAllowed(b, 0, store.SafetyPriority)
 	if ordinary < 5 || safety < 1 || ordinary+safety > 10 {
-		t.Fatalf("%d ordinary and %d safety requests of a burst of 10", ordinary, safety)
+		t.Fatalf("got %d normal and %d safety requests, want at least 5 and 1, at most 10 in total", ordinary, safety)
 	}
 	total := 0
 	for s := 1; s <= 100; s++ {
-		total += spend(b, time.Duration(s)*time.Second, store.SafetyPriority)
+		total += takeAllowed(b, time.Duration(s)*time.Second, store.SafetyPriority)
 	}
 	if total < 700 || total > 1000 {
-		t.Fatalf("%d requests in 100 s at 10 a second", total)
+		t.Fatalf("got %d requests in 100 s at 10 per second, want 700 to 1,000", total)
 	}
 }
 
-// One write larger than the bucket waits for a full one and is paid off afterwards.
+// A request that needs more tokens than the bucket holds is allowed once the bucket is full. Later requests wait until
+// the debt is refilled.
 func TestOversizedRequestNeedsAFullBucket(t *testing.T) {
 	b := store.NewBudget(10, 0.8)
-	spend(b, 100*time.Second, store.SafetyPriority)
+	takeAllowed(b, 100*time.Second, store.SafetyPriority)
 	if !b.Allows(200*time.Second, 30, store.SafetyPriority) {
-		t.Fatal("an oversized transaction is never sent")
+		t.Fatal("full bucket of 8 tokens refuses a request for 30, want it allowed")
 	}
 	b.Take(30)
 	if b.Allows(201*time.Second, 1, store.SafetyPriority) {
-		t.Fatal("the debt was forgiven")
+		t.Fatal("request allowed 1 s after a request for 30 tokens, want it refused until the debt is refilled")
 	}
 }
 
-// Floods of plan writes must leave room for submissions: without a reserve one in ten submissions to the leader got
-// 429 on a quiet day.
-func TestPlanWritesLeaveRoomForUsers(t *testing.T) {
+// Bursts of plan writes must leave tokens for submissions. Without a reserve, one in ten submissions to the leader got
+// status 429 on a day with little load.
+func TestBulkWritesLeaveRoomForNormalPriority(t *testing.T) {
 	b := store.NewBudget(18, 0.8)
-	spend(b, 0, store.BulkPriority)
-	if n := spend(b, 0, store.NormalPriority); n < 3 {
-		t.Fatalf("room for %d submissions after a flood of plan writes", n)
+	takeAllowed(b, 0, store.BulkPriority)
+	if n := takeAllowed(b, 0, store.NormalPriority); n < 3 {
+		t.Fatalf("got %d normal requests after a burst of bulk requests, want at least 3", n)
 	}
 	if !b.Allows(0, 1, store.SafetyPriority) {
-		t.Fatal("no room left for safety")
+		t.Fatal("safety request refused after normal and bulk requests, want it allowed")
 	}
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,13 +1,13 @@
 // Package store is the client of the state service, a consensus-backed key-value store: compare-and-swap
 // transactions, reads, leases, watches, and a cache that follows all keys with a prefix.
 //
-// The package owns the load on the service. Requests stay within a rate budget in which leases have the
-// highest priority, and transactions within size limits that are lowered when the service accepts less than the
-// settings allow. It never retries a request and never decides what an indeterminate outcome means: both are up to
-// its callers. It starts no goroutine and reads no clock of its own: requests go out through an httpio.Sender,
-// and every callback runs on the event loop, which also makes every call.
+// The package limits the load on the service. Requests stay within a rate budget in which leases have the highest
+// priority. Transactions stay within size limits, which are lowered when the service accepts less than the settings
+// allow. The package never retries a request and never interprets an indeterminate outcome: both are up to its
+// callers. It starts no goroutine and reads no clock of its own. Requests go out through an httpio.Sender. All calls
+// are made on the event loop, and all callbacks run there.
 //
-// It is called by the controller, membership, the submission API, the fleet's writer and the archive.
+// The callers are the controller, membership, the submission API, the fleet's writer and the archive.
 package store
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// Client sends requests to the state service. It belongs to the event loop: no method may be called from elsewhere.
+// Client sends requests to the state service. Its methods may be called only on the event loop.
 type Client struct {
 	addr          string
 	sender        httpio.Sender
@@ -28,18 +28,18 @@
 	limits        limitEstimator
 	throttle      writeThrottle
 	txnEncoder    txnEncoder
-	lastSuccess   time.Duration
-	lastResponse  time.Duration
+	lastSuccess   time.Duration // steady clock; 0: none yet
+	lastResponse  time.Duration // steady clock; 0: none yet
 
-	requestsSent, writesSent uint64
+	requestsSent, writesSent uint64 // since the start
 }
 
-// Share is the part of the service's rate limits that a controller may use: requests and writes per second, and how
-// many seconds' worth of them may be used at once.
+// Share is the part of the service's rate limits that one controller may use: requests and writes per second, and the
+// length of the largest burst, in seconds at these rates.
 type Share struct{ RPS, WriteRPS, BurstSeconds float64 }
 
-// New returns a client for the state service at addr that uses share of its rates and keeps transactions within
-// limits. now is the steady clock.
+// New returns a client for the state service at addr that stays within share of the service's rates. limits are the
+// configured limits of a transaction. now reads the steady clock.
 func New(addr string, sender httpio.Sender, now func() time.Duration, share Share, limits Limits) *Client {
 	return &Client{
 		addr:          addr,
@@ -54,7 +54,7 @@
 	}
 }
 
-// SetShare changes the rates, for example on becoming leader.
+// SetShare changes the rates, for example when the controller becomes leader.
 func (c *Client) SetShare(share Share) {
 	now := c.now()
 	c.share = share
@@ -62,7 +62,7 @@
 	c.adjustWriteRate(now)
 }
 
-// adjustWriteRate sets the rate of writes to what the service lets through.
+// adjustWriteRate sets the write budget to the configured rate times the throttle's factor.
 func (c *Client) adjustWriteRate(now time.Duration) {
 	if rate := c.share.WriteRPS * c.throttle.recoveredFactor(now); rate != c.writeBudget.rate {
 		c.writeBudget.SetRate(now, rate, c.share.BurstSeconds)
@@ -72,20 +72,21 @@
 // Now returns the time of the steady clock.
 func (c *Client) Now() time.Duration { return c.now() }
 
-// Limits returns the limits within which transactions are to be kept now.
+// Limits returns the current limits of a transaction, which may be below the configured ones.
 func (c *Client) Limits() Limits { return c.limits.current }
 
-// Sent returns how many requests were sent since the start, and how many writes were in them.
+// Sent returns the number of requests sent since the start, and the number of writes in them.
 func (c *Client) Sent() (requests, writes uint64) { return c.requestsSent, c.writesSent }
 
-// Rejections returns how many requests the service rejected since the start: transactions as too large, and writes
-// beyond its rate.
+// Rejections returns how many requests the service has rejected since the start: size counts transactions that were
+// too large, rate counts requests with writes beyond the rate limit.
 func (c *Client) Rejections() (size, rate int) { return c.limits.rejections, c.throttle.rejections }
 
-// LastResponse returns when the service last answered anything, rejections included.
+// LastResponse returns the time of the service's last response, whatever its status, or 0 before the first one.
 func (c *Client) LastResponse() time.Duration { return c.lastResponse }
 
-// LastSuccess returns when the service last carried out a request of this client.
+// LastSuccess returns the time of the service's last response with a status other than 429 and 503, or 0 before the
+// first one.
 func (c *Client) LastSuccess() time.Duration { return c.lastSuccess }
 
 // CanWrite reports whether a transaction with n writes would be within the budget now.
@@ -94,19 +95,21 @@
 	return c.requestBudget.Allows(now, 1, priority) && (n == 0 || c.writeBudget.Allows(now, float64(n), priority))
 }
 
-// HasSpareWrites reports whether half of the budget for writes is unused.
-func (c *Client) HasSpareWrites() bool { return c.writeBudget.allowsHalf(c.now(), 0) }
+// HasSpareWrites reports whether at least half of the write budget's capacity is left.
+func (c *Client) HasSpareWrites() bool { return c.writeBudget.leavesHalf(c.now(), 0) }
 
-// HasSpareWritesFor reports whether half of the budget for writes would be unused after n more.
+// HasSpareWritesFor reports whether the budget allows one bulk request with n writes now, and at least half of the
+// write budget's capacity would be left after it.
 func (c *Client) HasSpareWritesFor(n int) bool {
 	now := c.now()
-	return c.requestBudget.Allows(now, 1, BulkPriority) && c.writeBudget.allowsHalf(now, float64(n))
+	return c.requestBudget.Allows(now, 1, BulkPriority) && c.writeBudget.leavesHalf(now, float64(n))
 }
 
-// WriteRate returns how many writes per second the budget allows.
+// WriteRate returns the refill rate of the write budget, in writes per second.
 func (c *Client) WriteRate() float64 { return c.writeBudget.rate }
 
-// call sends a request with a number of writes in it, or answers it with ErrOverBudget at once.
+// call sends a request that contains the given number of writes. If the request exceeds the budget, it is not sent and
+// done gets ErrOverBudget at once.
 func (c *Client) call(request httpio.Request, writes int, priority Priority, done func(httpio.Response)) {
 	c.adjustWriteRate(c.now())
 	if !c.CanWrite(writes, priority) {
@@ -123,7 +126,7 @@
 	})
 }
 
-// recordResponse updates when the service last answered and the rate at which it takes writes.
+// recordResponse updates the times of the last response and success, and the write rate.
 func (c *Client) recordResponse(response httpio.Response, writes int) {
 	if response.Err != nil {
 		return
@@ -134,7 +137,7 @@
 	case http.StatusServiceUnavailable:
 	case http.StatusTooManyRequests:
 		if writes > 0 {
-			c.throttle.rejected(now)
+			c.throttle.writeRejected(now)
 			c.adjustWriteRate(now)
 		}
 	default:
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -17,15 +17,16 @@
 	os.Exit(m.Run())
 }
 
-// simulatedService answers each request at once, from the simulated state service or as the test sets it.
+// simulatedService answers each request at once. If intercept is set and returns true, its response is used; otherwise
+// the simulated state service handles the request.
 type simulatedService struct {
-	service *state.Service
-	answer  func(httpio.Request) (httpio.Response, bool)
+	service   *state.Service
+	intercept func(httpio.Request) (httpio.Response, bool)
 }
 
 func (s *simulatedService) Send(_ string, request httpio.Request, done func(httpio.Response)) {
-	if s.answer != nil {
-		if response, ok := s.answer(request); ok {
+	if s.intercept != nil {
+		if response, ok := s.intercept(request); ok {
 			done(response)
 			return
 		}
@@ -33,12 +34,12 @@
 	done(s.service.Serve(request))
 }
 
-// respond makes every request be answered by a response.
+// respond sets the response to all further requests.
 func (s *simulatedService) respond(response httpio.Response) {
-	s.answer = func(httpio.Request) (httpio.Response, bool) { return response, true }
+	s.intercept = func(httpio.Request) (httpio.Response, bool) { return response, true }
 }
 
-// newClient returns a client whose budget allows rps requests and as many writes per second.
+// newClient returns a client whose budget allows rps requests per second and rps writes per second.
 func newClient(sender httpio.Sender, now *time.Duration, rps float64) *store.Client {
 	return store.New(
 		"",
@@ -49,8 +50,9 @@
 	)
 }
 
-// A caller can tell an expired lease, a compacted revision, a spent budget and any other status apart.
-func TestCallersCanTellErrorsApart(t *testing.T) {
+// Errors distinguish an expired lease, a compacted revision, an exhausted budget, a lost response and any other
+// status.
+func TestErrorsIdentifyTheCause(t *testing.T) {
 	service := &simulatedService{service: state.New()}
 	now := time.Duration(0)
 	cases := []struct {
@@ -62,27 +64,27 @@
 	}{
 		{"renewal of an expired lease", 1000, httpio.Response{Status: 404}, renew, store.ErrLeaseExpired},
 		{"renewal", 1000, httpio.Response{Status: 200}, renew, nil},
-		{"renewal without an answer", 1000, httpio.Response{Err: httpio.ErrLost}, renew, httpio.ErrLost},
+		{"renewal without a response", 1000, httpio.Response{Err: httpio.ErrLost}, renew, httpio.ErrLost},
 		{"watch from a compacted revision", 1000, httpio.Response{Status: 410}, watch, store.ErrCompacted},
 		{"watch", 1000, httpio.Response{Status: 200, Body: []byte(`{"epoch":1}`)}, watch, nil},
-		{"budget spent", 0, httpio.Response{Status: 200}, renew, store.ErrOverBudget},
+		{"budget exhausted", 0, httpio.Response{Status: 200}, renew, store.ErrOverBudget},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			service.respond(tc.response)
 			client := newClient(service, &now, tc.rps)
 			if tc.rps == 0 {
-				renew(client, func(error) {}) // the one token that every bucket holds
+				renew(client, func(error) {}) // takes the one token that every new bucket holds
 			}
 			called := 0
 			tc.call(client, func(err error) {
 				called++
 				if !errors.Is(err, tc.want) {
-					t.Errorf("error %v, want %v", err, tc.want)
+					t.Errorf("got error %v, want %v", err, tc.want)
 				}
 			})
 			if called != 1 {
-				t.Errorf("%d answers, want 1", called)
+				t.Errorf("got %d callbacks, want 1", called)
 			}
 		})
 	}
@@ -91,7 +93,7 @@
 		renew(newClient(service, &now, 1000), func(err error) {
 			var status *store.StatusError
 			if !errors.As(err, &status) || status.Status != 503 {
-				t.Errorf("error %v, want one with status 503", err)
+				t.Errorf("got error %v, want a StatusError with status 503", err)
 			}
 		})
 	})
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -9,24 +9,26 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// Errors on which callers decide, to be tested with errors.Is.
+// Errors that callers distinguish with errors.Is.
 var (
-	// ErrOverBudget is returned for a request that was not sent because the client's budget is used up.
+	// ErrOverBudget is returned for a request that was not sent because it exceeds the client's budget.
 	ErrOverBudget = errors.New("state service: request exceeds the client's budget")
-	// ErrCompacted is returned by Watch when the state service no longer keeps the changes after the given
-	// revision: the keys have to be listed again.
-	ErrCompacted = errors.New("state service: revision was compacted")
-	// ErrLeaseExpired is returned by RenewLease when the state service has no such lease any more.
+	// ErrCompacted is returned by Watch if the state service no longer has the changes after the given revision. The
+	// caller has to list the keys again.
+	ErrCompacted = errors.New("state service: the changes after the revision were compacted")
+	// ErrLeaseExpired is returned by RenewLease if the lease no longer exists in the state service.
 	ErrLeaseExpired = errors.New("state service: lease expired")
 )
 
-// StatusError is returned when the state service answered with an HTTP status other than the expected one.
+// StatusError is returned when the state service responded with an unexpected HTTP status.
 type StatusError struct{ Status int }
 
-// Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("state service answered %d", e.Status) }
+// Error implements the error interface.
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("state service responded with status %d", e.Status)
+}
 
-// checkStatus returns an error unless the request was answered with status 200.
+// checkStatus returns nil for a response with status 200. Any other response gives Response.Err or a StatusError.
 func checkStatus(response httpio.Response) error {
 	if response.Err != nil {
 		return response.Err
@@ -37,7 +39,7 @@
 	return nil
 }
 
-// decode reads the body of a response with status 200 into body.
+// decode decodes the JSON body of a response into body. A status other than 200 is an error.
 func decode(response httpio.Response, body any) error {
 	if err := checkStatus(response); err != nil {
 		return err
@@ -48,7 +50,7 @@
 	return nil
 }
 
-// hasStatus reports whether the state service answered with the given HTTP status.
+// hasStatus reports whether a response was received and has the given HTTP status.
 func hasStatus(response httpio.Response, status int) bool {
 	return response.Err == nil && response.Status == status
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -12,10 +12,10 @@
 
 const leaseTimeout = 1500 * time.Millisecond
 
-// errNoLeaseID is returned when a lease was granted without a usable id.
-var errNoLeaseID = errors.New("state service: lease granted without an id")
+// errNoLeaseID is returned when the response to a grant has no id or id 0.
+var errNoLeaseID = errors.New("state service: response to a lease grant has no id")
 
-// GrantLease requests a lease that expires ttl after its last renewal, and returns its id.
+// GrantLease requests a lease that expires when ttl has passed since its last renewal. done gets the id of the lease.
 func (c *Client) GrantLease(ttl time.Duration, done func(id uint64, err error)) {
 	body, err := json.Marshal(grantRequest{TTLMillis: ttl.Milliseconds()})
 	if err != nil {
@@ -37,8 +37,8 @@
 	})
 }
 
-// RenewLease renews a lease. The error is ErrLeaseExpired if it has expired; after any other error it may have been
-// renewed or not.
+// RenewLease renews a lease. The error is ErrLeaseExpired if the lease has expired. After any other error the lease
+// may have been renewed or not.
 func (c *Client) RenewLease(id uint64, done func(error)) {
 	request := httpio.Request{
 		Method:  http.MethodPost,
@@ -55,8 +55,7 @@
 	})
 }
 
-// RevokeLease ends a lease at once and calls done with whether it is certain that it has ended, by this request or
-// before.
+// RevokeLease ends a lease at once. done gets true if the lease has certainly ended, by this request or earlier.
 func (c *Client) RevokeLease(id uint64, done func(ok bool)) {
 	request := httpio.Request{Method: http.MethodDelete, Path: leasePath(id), Timeout: leaseTimeout}
 	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -14,12 +14,12 @@
 	listTimeout = 4 * time.Second
 	// listPageItems is the maximum number of keys in one page of a list.
 	listPageItems = 1000
-	// watchTimeoutMargin is by how much the time limit of a watch exceeds its wait: an open watch may outlast an
+	// watchTimeoutMargin is added to the wait of a watch for its request timeout, so that an open watch may outlast an
 	// outage of the service.
 	watchTimeoutMargin = 20 * time.Second
 )
 
-// Get reads one key. A key that does not exist is returned with version 0 and no error.
+// Get reads one key. If the key does not exist, done gets an Item with version 0 and no error.
 func (c *Client) Get(key string, priority Priority, done func(Item, error)) {
 	request := httpio.Request{Method: http.MethodGet, Path: "/keys/" + key, Timeout: getTimeout}
 	c.call(request, 0, priority, func(response httpio.Response) {
@@ -31,23 +31,23 @@
 	})
 }
 
-// List reads all keys with a prefix, page by page, and returns them with the revision of the first page: a watch
-// from there delivers every change that later pages may have missed.
+// List reads all keys with a prefix, page by page. done gets the items and the revision of the first page. A watch
+// from this revision delivers every change that the list may have missed.
 func (c *Client) List(prefix string, done func(items []Item, revision uint64, err error)) {
 	request := &listRequest{client: c, prefix: prefix, done: done}
 	request.fetchPage("")
 }
 
-// listRequest is a List under way.
+// listRequest is the state of one List call between its pages.
 type listRequest struct {
 	client   *Client
 	prefix   string
-	items    []Item
-	revision uint64
+	items    []Item // of the pages read so far
+	revision uint64 // of the first page
 	done     func(items []Item, revision uint64, err error)
 }
 
-// fetchPage requests the page of the keys after a key, "" for the first page.
+// fetchPage requests the page that follows the key after. The first page has after "".
 func (l *listRequest) fetchPage(after string) {
 	path := "/keys?starts=" + url.QueryEscape(l.prefix) + "&limit=" + strconv.Itoa(listPageItems)
 	if after != "" {
@@ -76,9 +76,9 @@
 	l.done(l.items, l.revision, nil)
 }
 
-// Watch waits until keys with a prefix have changed after a revision, for at most the time given, and returns the
-// changes and the revision up to which they are complete. The error is ErrCompacted if the service no longer keeps
-// the changes after that revision.
+// Watch waits for changes of keys with a prefix after the revision after, for at most wait. done gets the changes and
+// the revision up to which they are complete. The error is ErrCompacted if the service no longer has the changes after
+// the given revision.
 func (c *Client) Watch(
 	prefix string,
 	after uint64,
--- a/internal/store/sizelimits.go
+++ b/internal/store/sizelimits.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Limits bounds one transaction: the number of its operations and the bytes of its largest value. The state service
-// takes ConditionsPerOp conditions for each operation.
+// Limits bounds one transaction: the number of its operations, and the bytes of its largest value. The number of its
+// conditions may be at most MaxOps times ConditionsPerOp.
 type Limits struct {
 	MaxOps        int
 	MaxValueBytes int
 }
 
-// ConditionsPerOp is how many conditions the state service takes for each operation that it takes.
+// ConditionsPerOp is the ratio of the state service's limit of conditions to its limit of operations.
 const ConditionsPerOp = 4
 
-// The limits that every state service is assumed to allow, however much it rejects.
+// The lower bounds of the estimated limits: every state service is assumed to accept them, even after rejections.
 const (
 	minMaxOps        = 4
 	minMaxValueBytes = 1 << 10
 )
 
 const (
-	// minRaiseDelay is the time without a rejection after which a limit is raised a little.
+	// minRaiseDelay is the minimum time without a rejection before one of the limits is raised by a step.
 	minRaiseDelay = 20 * time.Second
-	// maxRaiseDelay bounds that time, which doubles each time a raised limit is rejected.
+	// maxRaiseDelay bounds the delay before a raise, which doubles each time a raised limit is rejected.
 	maxRaiseDelay = 5 * time.Minute
-	// raisedOps is how many operations a raise adds.
+	// raisedOps is the number of operations by which a raise increases MaxOps.
 	raisedOps = 2
 )
 
-// requiredLimits returns the smallest limits within which a transaction is. Its conditions count as the operations
-// for which the state service takes as many.
+// requiredLimits returns the smallest limits that allow a transaction. ConditionsPerOp conditions count as one
+// operation.
 func requiredLimits(txn Txn) Limits {
 	conditionOps := (len(txn.If) + ConditionsPerOp - 1) / ConditionsPerOp
 	required := Limits{MaxOps: max(len(txn.Then), conditionOps)}
@@ -41,53 +41,53 @@
 	return required
 }
 
-// allow reports whether a transaction that requires the given limits is within l.
+// allow reports whether l allows a transaction that requires the given limits.
 func (l Limits) allow(required Limits) bool {
 	return required.MaxOps <= l.MaxOps && required.MaxValueBytes <= l.MaxValueBytes
 }
 
-// limitEstimator estimates the limits of the state service. They are those of the settings until the service
-// rejects a transaction as too large: its limits may shrink without notice, and the answer does not state which of
-// them was exceeded.
+// limitEstimator estimates the limits of the state service. The estimate is the configured limits until the service
+// rejects a transaction as too large. The service's limits may shrink without notice, and its response does not state
+// which limit was exceeded.
 //
-//	configured  as in the settings; a rejection lowers each limit that the rejected transaction needed and that
-//	            was not accepted lately
-//	lowered     after a while without rejections one limit at a time is raised a little; a rejection takes it
-//	            back to what was accepted
+//	configured  the estimate is the configured limits; a rejection lowers each limit for which the rejected
+//	            transaction required more than was accepted recently
+//	lowered     after raiseDelay without a rejection, one limit at a time is raised by a step; a rejection lowers
+//	            the limit again, but not below the size that was accepted
 type limitEstimator struct {
 	configured, current Limits
-	accepted            Limits // the largest accepted since the service was last seen to take less than before
-	rejections          int    // since the start
-	changedAt           time.Duration
+	accepted            Limits        // largest sizes accepted since the service's limits were last seen to shrink
+	rejections          int           // since the start
+	changedAt           time.Duration // when current last changed; 0: never
 	raiseDelay          time.Duration // from changedAt until the next raise
-	raised              bool          // the last change was a raise
-	raisedOpsLast       bool          // the last raise was of MaxOps
+	lastChangeWasRaise  bool          // the last change of current was a raise
+	lastRaiseWasOps     bool          // the last raise was of MaxOps, the next one is of MaxValueBytes
 }
 
 func newLimitEstimator(configured Limits) limitEstimator {
 	return limitEstimator{configured: configured, current: configured, raiseDelay: minRaiseDelay}
 }
 
-// transactionRejected handles the rejection of a transaction as too large.
+// transactionRejected lowers the limits after the service rejected a transaction as too large.
 func (e *limitEstimator) transactionRejected(now time.Duration, required Limits) {
 	e.rejections++
 	if e.accepted.allow(required) {
-		e.accepted = Limits{} // one as large was accepted before: the service's limits have shrunk
+		e.accepted = Limits{} // the same size was accepted before: the service's limits have shrunk
 	}
 	before := e.current
 	e.lower(required)
-	if e.raised {
-		e.raiseDelay = min(maxRaiseDelay, 2*e.raiseDelay) // the raise was too much
+	if e.lastChangeWasRaise {
+		e.raiseDelay = min(maxRaiseDelay, 2*e.raiseDelay) // the last raise exceeded the service's limit
 	}
 	e.changedAt = now
-	e.raised = false
+	e.lastChangeWasRaise = false
 	slog.Warn("transaction limits lowered after a rejection",
 		"required_ops", required.MaxOps, "required_value_bytes", required.MaxValueBytes,
 		"max_ops_before", before.MaxOps, "max_ops", e.current.MaxOps,
 		"max_value_bytes_before", before.MaxValueBytes, "max_value_bytes", e.current.MaxValueBytes)
 }
 
-// lower halves what a rejected transaction required, but not below what was accepted.
+// lower sets each limit to half of the size that a rejected transaction required, but not below the accepted size.
 func (e *limitEstimator) lower(required Limits) {
 	if required.MaxValueBytes > e.accepted.MaxValueBytes {
 		lowered := max(minMaxValueBytes, e.accepted.MaxValueBytes, required.MaxValueBytes/2)
@@ -99,7 +99,8 @@
 	}
 }
 
-// transactionAccepted handles a transaction that was not rejected for its size.
+// transactionAccepted records the size of a transaction that the service did not reject as too large, and raises a
+// limit if the raise delay has passed.
 func (e *limitEstimator) transactionAccepted(now time.Duration, required Limits) {
 	e.accepted.MaxOps = max(e.accepted.MaxOps, required.MaxOps)
 	e.accepted.MaxValueBytes = max(e.accepted.MaxValueBytes, required.MaxValueBytes)
@@ -107,17 +108,17 @@
 		return
 	}
 	e.changedAt = now
-	if e.raised {
-		e.raiseDelay = max(minRaiseDelay, e.raiseDelay/2) // the raise before was accepted
+	if e.lastChangeWasRaise {
+		e.raiseDelay = max(minRaiseDelay, e.raiseDelay/2) // the previous raise was not rejected
 	}
-	e.raised = true
+	e.lastChangeWasRaise = true
 	e.raise()
 }
 
-// raise raises one limit, alternately.
+// raise raises MaxOps and MaxValueBytes in turn, one of them for each call.
 func (e *limitEstimator) raise() {
-	e.raisedOpsLast = !e.raisedOpsLast
-	if e.raisedOpsLast {
+	e.lastRaiseWasOps = !e.lastRaiseWasOps
+	if e.lastRaiseWasOps {
 		e.current.MaxOps = min(e.configured.MaxOps, e.current.MaxOps+raisedOps)
 	} else {
 		e.current.MaxValueBytes = min(e.configured.MaxValueBytes, e.current.MaxValueBytes*5/4)
--- a/internal/store/sizelimits_test.go
+++ b/internal/store/sizelimits_test.go
@@ -9,17 +9,17 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// limitsTrial runs a limit estimator against a service of changing limits.
+// limitsTrial runs a limit estimator against a service whose limits change.
 type limitsTrial struct {
 	estimator limitEstimator
 	now       time.Duration
 }
 
-// run writes for a duration to a service that takes what is within the limits given, and counts its rejections.
+// run sends transactions for a duration to a service with the given limits, and returns the number of rejections.
 func (r *limitsTrial) run(service Limits, duration time.Duration) (rejections int) {
 	for end := r.now + duration; r.now < end; r.now += time.Second {
 		current := r.estimator.current
-		// What is written is as large as allowed, or smaller.
+		// The transactions are at or below the estimated limits.
 		for _, required := range []Limits{
 			current,
 			{current.MaxOps / 2, current.MaxValueBytes},
@@ -37,30 +37,32 @@
 	return rejections
 }
 
-// A service takes less from one moment on: after a few rejections everything fits, none follows but for rare tries,
-// and once it takes as much as before it is used in full again.
+// A service's limits shrink. After a few rejections the estimate is within the service's limits, and later rejections
+// come only from occasional raises. Once the service's limits are restored, the estimate returns to the configured
+// ones.
 func TestTransactionLimitsFollowTheService(t *testing.T) {
 	configured := Limits{MaxOps: 24, MaxValueBytes: 8 << 10}
 	for _, small := range []Limits{{8, 2 << 10}, {24, 1 << 10}, {5, 8 << 10}, {4, 1 << 10}} {
 		trial := limitsTrial{estimator: newLimitEstimator(configured)}
 		current := &trial.estimator.current
 		if n := trial.run(configured, time.Minute); n != 0 || *current != configured {
-			t.Errorf("%d rejections, %v, while all is accepted", n, *current)
+			t.Errorf("service at the configured limits: got %d rejections and limits %v, want none and no change", n, *current)
 		}
 		if n := trial.run(small, 5*time.Second); n > 12 || !small.allow(*current) {
-			t.Errorf("%v: %d rejections at first, then %v", small, n, *current)
+			t.Errorf("service limits %v: got %d rejections in 5 s and limits %v, want at most 12 and lower limits", small, n, *current)
 		}
 		n := trial.run(small, 30*time.Minute)
 		if n > 60 || current.MaxOps < small.MaxOps/2 || current.MaxValueBytes < small.MaxValueBytes/2 {
-			t.Errorf("%v: %d rejections in half an hour, %v", small, n, *current)
+			t.Errorf("service limits %v: got %d rejections in 30 min, limits %v; want at most 60, at least half",
+				small, n, *current)
 		}
 		if trial.run(configured, 12*time.Hour); *current != configured {
-			t.Errorf("%v: all is accepted again for hours, and %v is used", small, *current)
+			t.Errorf("12 h after the service's limits %v were lifted: got limits %v, want the configured ones", small, *current)
 		}
 	}
 }
 
-// decodeTxn reads the body of a transaction's request.
+// decodeTxn decodes the request body of a transaction.
 func decodeTxn(body []byte) Txn {
 	var request txnRequest
 	_ = json.Unmarshal(body, &request)
@@ -74,7 +76,7 @@
 	return txn
 }
 
-// limitedService is a state service that takes no transaction beyond its limits.
+// limitedService is a state service that rejects every transaction beyond its limits.
 type limitedService struct{ limits Limits }
 
 func (s *limitedService) Send(_ string, request httpio.Request, done func(httpio.Response)) {
@@ -85,7 +87,8 @@
 	done(httpio.Response{Status: 200, Body: []byte(`{"epoch":1}`)})
 }
 
-// A transaction that is rejected for its size wasn't applied, and the limits are lowered; conditions count too.
+// A transaction that the service rejects as too large is NotApplied, and the limits are lowered. The number of
+// conditions counts as well as the size of values.
 func TestOversizedTransactionLowersTheLimits(t *testing.T) {
 	service := &limitedService{limits: Limits{MaxOps: 8, MaxValueBytes: 2 << 10}}
 	client := New(
@@ -108,13 +111,13 @@
 		var outcome Outcome = 99
 		client.Txn(txn, NormalPriority, func(result Result) { outcome = result.Outcome })
 		if outcome != NotApplied || client.Limits() == before {
-			t.Errorf("outcome %s, limits %v", outcome, client.Limits())
+			t.Errorf("got outcome %s and limits %v, want not applied and lower limits", outcome, client.Limits())
 		}
 	}
 	if size, _ := client.Rejections(); size != 2 {
-		t.Errorf("%d rejections", size)
+		t.Errorf("got %d rejections for size, want 2", size)
 	}
 	if limits := client.Limits(); limits.MaxOps > 12 || limits.MaxValueBytes > 3000 {
-		t.Errorf("limits %v", limits)
+		t.Errorf("got limits %v, want at most 12 operations and 3,000 bytes", limits)
 	}
 }
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -10,14 +10,14 @@
 
 const (
 	txnTimeout = 2 * time.Second
-	// maxTxnBytes is the largest request body that the state service reads.
+	// maxTxnBytes is the largest request body that the state service accepts.
 	maxTxnBytes = 64 << 10
-	// noSuchLease is the service's error text for a transaction that names a lease which has expired.
+	// noSuchLease is the service's error text if a lease in the transaction has expired.
 	noSuchLease = "no such lease"
 )
 
-// Txn sends one transaction and calls done with its result, exactly once. It is not retried. One that can't be
-// encoded, is larger than the service reads or exceeds the budget is NotApplied.
+// Txn sends one transaction without retries, and calls done with its result exactly once. The outcome is NotApplied if
+// the transaction can't be encoded, is larger than the service accepts, or exceeds the budget.
 func (c *Client) Txn(txn Txn, priority Priority, done func(Result)) {
 	body, err := c.txnEncoder.encode(txn)
 	if err != nil || len(body) > maxTxnBytes {
@@ -32,7 +32,7 @@
 	})
 }
 
-// recordSize updates the size limits by whether the service took a transaction of a size.
+// recordSize updates the size limits after a response. required are the smallest limits that allow the transaction.
 func (c *Client) recordSize(required Limits, response httpio.Response, outcome Outcome) {
 	switch {
 	case outcome == Committed || outcome == Conflict:
@@ -42,8 +42,8 @@
 	}
 }
 
-// parseTxnResponse returns the result that a response stands for. Everything that doesn't rule out that the
-// transaction was or will be applied is Indeterminate.
+// parseTxnResponse returns the result of a transaction. The outcome is Indeterminate if the transaction may have been
+// applied, or may still be.
 func parseTxnResponse(response httpio.Response) Result {
 	switch {
 	case response.Refused:
@@ -52,7 +52,8 @@
 		return Result{Outcome: Indeterminate}
 	}
 	var body txnResponse
-	// The status alone decides on the outcome, so an unreadable body only lacks detail.
+	// An unreadable body leaves out only details: the outcome follows from the status. The one exception is an expired
+	// lease, which is then reported as NotApplied.
 	_ = json.Unmarshal(response.Body, &body)
 	switch response.Status {
 	case http.StatusOK:
--- a/internal/store/transactions_test.go
+++ b/internal/store/transactions_test.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// The outcome of a transaction follows from its answer alone.
-func TestOutcomeFollowsFromTheAnswer(t *testing.T) {
+// The outcome of a transaction depends only on the response.
+func TestTxnOutcomeForEachResponse(t *testing.T) {
 	now := time.Duration(0)
 	service := &simulatedService{service: state.New()}
 	client := newClient(service, &now, 1000)
@@ -22,24 +22,24 @@
 		lease uint64
 		want  store.Outcome
 	}{
-		{name: "a new key", key: "a", want: store.Committed},
-		{name: "the same again", key: "a", want: store.Conflict},
-		{name: "an expired lease", key: "b", lease: 99, want: store.LeaseExpired},
-		{name: "an outage", setUp: func() { service.service.Down = true }, key: "b", want: store.NotApplied},
+		{name: "key does not exist", key: "a", want: store.Committed},
+		{name: "key exists already", key: "a", want: store.Conflict},
+		{name: "lease has expired", key: "b", lease: 99, want: store.LeaseExpired},
+		{name: "outage", setUp: func() { service.service.Down = true }, key: "b", want: store.NotApplied},
 		{
-			name:  "no answer",
+			name:  "request without a response",
 			setUp: func() { service.respond(httpio.Response{Err: httpio.ErrBusy}) },
 			key:   "b",
 			want:  store.Indeterminate,
 		},
 		{
-			name:  "an unexpected status",
+			name:  "unexpected status",
 			setUp: func() { service.respond(httpio.Response{Status: 500}) },
 			key:   "b",
 			want:  store.Indeterminate,
 		},
 		{
-			name:  "a request that was never sent",
+			name:  "request not sent",
 			setUp: func() { service.respond(httpio.Response{Err: httpio.ErrBusy, Refused: true}) },
 			key:   "b",
 			want:  store.NotApplied,
@@ -56,7 +56,7 @@
 		var result store.Result
 		client.Txn(txn, store.SafetyPriority, func(r store.Result) { result = r })
 		if result.Outcome != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, result.Outcome, tc.want)
+			t.Errorf("%s: got outcome %v, want %v", tc.name, result.Outcome, tc.want)
 		}
 	}
 }
--- a/internal/store/watchcache.go
+++ b/internal/store/watchcache.go
@@ -16,78 +16,79 @@
 type watchState uint8
 
 const (
-	unsynced watchState = iota // the keys have to be listed, for the first time or because changes were missed
-	listing                    // a list of all keys is under way
-	watching                   // every change up to the revision was delivered, and a watch waits for more
+	unsynced watchState = iota // the keys have to be listed: for the first time, or because changes were missed
+	listing                    // a list of all keys is in flight
+	watching                   // every change up to the revision was delivered; later changes are watched for
 )
 
-// String returns the state as log lines show it.
+// String returns the state's name for log lines.
 func (s watchState) String() string {
 	return [...]string{"unsynced", "listing", "watching"}[s]
 }
 
 const (
-	// maxWatchWait is how long a watch stays open at most.
+	// maxWatchWait is the maximum time for which a watch waits for changes.
 	maxWatchWait = 1500 * time.Millisecond
-	// overdueMargin is by how much the answer to a watch may exceed its wait while the service answers other
-	// requests. Then the watch is lost, and to wait for its time limit would let the cache grow stale.
+	// overdueMargin is the time after the end of a watch's wait within which the response has to arrive. After it the
+	// watch counts as lost if the service answers other requests: to wait for the request timeout would let the cache
+	// become stale.
 	overdueMargin = time.Second
-	// listRetryDelay is the time between a list that failed and the next one.
+	// listRetryDelay is the time between a failed list and the next one.
 	listRetryDelay = 300 * time.Millisecond
-	// relistDelay is the time between a compacted revision and the list that follows. It bounds the load where
-	// the service reports compaction repeatedly.
+	// relistDelay is the time between the error ErrCompacted and the next list. It bounds the load if the service
+	// reports compaction repeatedly.
 	relistDelay = 100 * time.Millisecond
-	// watchRetryDelay is the time between a watch that failed and the next one.
+	// watchRetryDelay is the time between a failed watch and the next one.
 	watchRetryDelay = 250 * time.Millisecond
-	// watchDelay is the time between a watch that was answered and the next one. It gathers bursts of changes into
-	// one answer.
+	// watchDelay is the time between the response to a watch and the next watch. It lets one response deliver a burst
+	// of changes.
 	watchDelay = 15 * time.Millisecond
 )
 
-// WatchCache follows all keys with a prefix: it lists them once, then watches for changes, and lists them again if
-// the state service has compacted the changes since its revision. It delivers items and deletions to its callbacks
-// and keeps no values itself. Like the client it belongs to the event loop.
+// WatchCache follows all keys with a prefix. It lists the keys once and then watches for changes. It lists the keys
+// again if the state service has compacted the changes since the cache's revision. It passes items and deletions to
+// its callbacks and keeps no values itself. Like those of Client, its methods may be called only on the event loop.
 type WatchCache struct {
 	client   *Client
 	prefix   string
 	state    watchState
-	inFlight bool // a list or the watch last sent is under way
-	synced   bool
-	revision uint64        // every change up to it was delivered
+	inFlight bool          // no response yet to the list or to the last watch sent
+	synced   bool          // see Synced
+	revision uint64        // every change up to this revision was delivered
 	freshAt  time.Duration // see FreshAt
 
-	nextRequestAt time.Duration
-	watchWait     time.Duration // how long a watch stays open
-	watchSentAt   time.Duration
-	watchID       uint64 // number of the watch last sent: an earlier one was given up
-	skipWait      bool   // the watch before was lost: the next one is to be answered at once
+	nextRequestAt time.Duration // no list or watch is sent before this time
+	watchWait     time.Duration // how long the service waits for changes before it answers a watch
+	watchSentAt   time.Duration // when the last watch was sent
+	watchID       uint64        // number of the last watch sent; watches with lower numbers were answered or replaced
+	skipWait      bool          // the last watch was lost: the next one has a wait of 0
 
-	// OnItem, OnDelete, OnReset and OnSynced deliver what was read. OnReset comes before the items of a new list,
-	// OnSynced after them. OnItem and OnDelete are required.
+	// OnItem is called for each key listed or written, OnDelete for each key deleted. OnReset is called before the
+	// items of a new list, OnSynced after them. OnItem and OnDelete are required.
 	OnItem   func(Item)
 	OnDelete func(key string, version uint64)
 	OnReset  func(items []Item)
 	OnSynced func()
 }
 
-// NewWatchCache returns a watch cache that sends its first request at the first Tick. stalenessBound is the age that
-// its content may reach before callers stop acting on it. Watches stay open for at most a quarter of it: where
-// nothing changes, the content is two waits old when the next answer is due, and that answer may take as long again.
+// NewWatchCache returns a watch cache that sends its first request at the first Tick. stalenessBound is the age of the
+// cache's content at which callers stop acting on it. A watch waits for at most a quarter of stalenessBound: without
+// changes, the content is two waits old when the next response is due, and the response may take as long again.
 func NewWatchCache(client *Client, prefix string, stalenessBound time.Duration) *WatchCache {
 	return &WatchCache{client: client, prefix: prefix, watchWait: min(maxWatchWait, stalenessBound/4)}
 }
 
-// Synced reports whether the keys were ever read in full.
+// Synced reports whether all keys have been listed at least once.
 func (w *WatchCache) Synced() bool { return w.synced }
 
 // Revision returns the revision up to which every change was delivered.
 func (w *WatchCache) Revision() uint64 { return w.revision }
 
-// FreshAt returns a time at which the delivered content was certainly complete: when the request was sent whose
-// answer came last.
+// FreshAt returns a time at which the delivered content was certainly complete: the latest time at which a request was
+// sent that has been answered. It is 0 before the first response.
 func (w *WatchCache) FreshAt() time.Duration { return w.freshAt }
 
-// setState is the only place where the state changes.
+// setState changes the state and logs the change. All changes of state go through it.
 func (w *WatchCache) setState(next watchState, level slog.Level, cause string) {
 	slog.Log(context.Background(), level, "watch cache state changed",
 		"prefix", w.prefix, "from", w.state.String(), "to", next.String(), "cause", cause)
@@ -97,7 +98,7 @@
 // Tick sends the request that is due, if any.
 func (w *WatchCache) Tick(now time.Duration) {
 	if w.isWatchLost(now) {
-		slog.Info("watch lost, sending another", "prefix", w.prefix)
+		slog.Info("overdue watch replaced", "prefix", w.prefix)
 		w.inFlight = false
 		w.skipWait = true
 	}
@@ -109,12 +110,12 @@
 		w.sendList(now)
 	case watching:
 		w.sendWatch(now)
-	case listing: // its answer sets the next state
+	case listing: // the response to the list sets the next state
 	}
 }
 
-// isWatchLost reports whether the answer to a watch is overdue although the service has answered other requests
-// since it was due.
+// isWatchLost reports whether the response to the last watch is overdue, although the service has answered another
+// request after the watch's wait and half of the margin had passed.
 func (w *WatchCache) isWatchLost(now time.Duration) bool {
 	overdueAt := w.watchSentAt + w.watchWait + overdueMargin
 	return w.inFlight && w.state == watching &&
@@ -141,14 +142,14 @@
 	}
 	w.client.Watch(w.prefix, w.revision, wait, func(revision uint64, events []Event, err error) {
 		if id != w.watchID {
-			w.handleLateWatch(now, revision, events, err)
+			w.handleReplacedWatch(now, revision, events, err)
 			return
 		}
 		w.handleWatch(now, revision, events, err)
 	})
 }
 
-// handleList handles the answer to the list that was sent at a time.
+// handleList handles the response to the list that was sent at sentAt.
 func (w *WatchCache) handleList(sentAt time.Duration, items []Item, revision uint64, err error) {
 	w.inFlight = false
 	if err != nil {
@@ -172,7 +173,7 @@
 	w.Tick(w.client.now())
 }
 
-// handleWatch handles the answer to the watch that was sent last, at a time.
+// handleWatch handles the response to the last watch, which was sent at sentAt.
 func (w *WatchCache) handleWatch(sentAt time.Duration, revision uint64, events []Event, err error) {
 	w.inFlight = false
 	now := w.client.now()
@@ -184,23 +185,24 @@
 		w.nextRequestAt = now + watchRetryDelay
 		return
 	default:
-		w.apply(sentAt, revision, events)
+		w.deliver(sentAt, revision, events)
 		w.nextRequestAt = now + watchDelay
 	}
 	w.Tick(now)
 }
 
-// handleLateWatch handles the answer to a watch that was given up: its changes are as valid as those of any other.
-func (w *WatchCache) handleLateWatch(sentAt time.Duration, revision uint64, events []Event, err error) {
+// handleReplacedWatch handles the response to a watch that was replaced. Its changes are as valid as those of other
+// watches.
+func (w *WatchCache) handleReplacedWatch(sentAt time.Duration, revision uint64, events []Event, err error) {
 	if err == nil && w.state == watching {
-		w.apply(sentAt, revision, events)
+		w.deliver(sentAt, revision, events)
 	}
 }
 
-// apply delivers changes, each once and in their order, whichever watch brings them. A watch that was given up may
-// be answered long after newer ones: without the check of versions, an item in it would bring back a key that was
-// deleted since.
-func (w *WatchCache) apply(sentAt time.Duration, revision uint64, events []Event) {
+// deliver passes changes to the callbacks, each once and in order of version. The response to a replaced watch may
+// come long after those to newer watches: without the check of versions, an old item in it would restore a key that
+// has since been deleted.
+func (w *WatchCache) deliver(sentAt time.Duration, revision uint64, events []Event) {
 	w.freshAt = max(w.freshAt, sentAt)
 	for _, event := range events {
 		if event.Version <= w.revision {
--- a/internal/store/watchcache_test.go
+++ b/internal/store/watchcache_test.go
@@ -15,8 +15,8 @@
 
 func isWatch(request httpio.Request) bool { return strings.HasPrefix(request.Path, "/follow") }
 
-// A watch cache delivers every key over several pages, every change by watching, and lists all keys again when its
-// revision is compacted.
+// A watch cache delivers every key of a list of several pages and every watched change. It lists all keys again when
+// the changes after its revision are compacted.
 func TestWatchCacheDeliversEveryKey(t *testing.T) {
 	now := time.Duration(0)
 	service := &simulatedService{service: state.New()}
@@ -29,26 +29,26 @@
 		put(fmt.Sprintf("h/%05d", i), "x")
 	}
 	put("p/other", "y")
-	seen := map[string]string{}
+	values := map[string]string{}
 	cache := store.NewWatchCache(client, "h/", stalenessBound)
-	cache.OnItem = func(item store.Item) { seen[item.Key] = string(item.Value) }
+	cache.OnItem = func(item store.Item) { values[item.Key] = string(item.Value) }
 	cache.OnDelete = func(string, uint64) {}
 	watches := 0
-	service.answer = func(request httpio.Request) (httpio.Response, bool) {
+	service.intercept = func(request httpio.Request) (httpio.Response, bool) {
 		if isWatch(request) {
 			watches++
 		}
 		return httpio.Response{}, false
 	}
 	cache.Tick(now)
-	if len(seen) != 2500 || !cache.Synced() {
-		t.Fatalf("%d keys seen, want 2500", len(seen))
+	if len(values) != 2500 || !cache.Synced() {
+		t.Fatalf("got %d keys after the list, want 2500 and a synced cache", len(values))
 	}
 	put("h/00007", "new")
 	now += time.Second
 	cache.Tick(now)
-	if seen["h/00007"] != `"new"` || cache.FreshAt() != now {
-		t.Fatalf("a change was missed: %s", seen["h/00007"])
+	if values["h/00007"] != `"new"` || cache.FreshAt() != now {
+		t.Fatalf("after a change: got value %s, want \"new\", fresh at the time of the watch", values["h/00007"])
 	}
 	put("h/lost", "z")
 	service.service.CompactedRevision = service.service.Revision + 1
@@ -57,18 +57,18 @@
 	service.service.CompactedRevision = 0
 	now += time.Second
 	cache.Tick(now)
-	if seen["h/lost"] != `"z"` || watches < 3 {
-		t.Fatalf("the revision was compacted and a key was missed (%d watches)", watches)
+	if values["h/lost"] != `"z"` || watches < 3 {
+		t.Fatalf("key missing after compaction, or fewer than 3 watches (got %d)", watches)
 	}
 }
 
-// heldWatches answers watches only when the test does.
-type heldWatches struct {
+// deferredWatches leaves watches unanswered until the test calls respondTo.
+type deferredWatches struct {
 	simulatedService
 	watches []func(httpio.Response)
 }
 
-func (s *heldWatches) Send(addr string, request httpio.Request, done func(httpio.Response)) {
+func (s *deferredWatches) Send(addr string, request httpio.Request, done func(httpio.Response)) {
 	if isWatch(request) {
 		s.watches = append(s.watches, done)
 		return
@@ -76,18 +76,18 @@
 	s.simulatedService.Send(addr, request, done)
 }
 
-// respondTo answers the watch of an index with events, up to a revision.
-func (s *heldWatches) respondTo(index, revision int, events ...string) {
+// respondTo answers the watch at an index of watches with events that are complete up to a revision.
+func (s *deferredWatches) respondTo(index, revision int, events ...string) {
 	body := fmt.Appendf(nil, `{"epoch":%d,"events":[%s]}`, revision, strings.Join(events, ","))
 	s.watches[index](httpio.Response{Status: 200, Body: body})
 }
 
-// A watch gets no answer while the service answers other requests: once it is overdue, another one is sent. Its own
-// answer, which comes long after the newer one, delivers what is new and repeats nothing: a key that was deleted
-// meanwhile doesn't come back.
+// A watch gets no response while the service answers other requests. Once its response is overdue, a second watch is
+// sent. The late response to the first watch delivers only changes that were not delivered before, so that a key
+// deleted meanwhile stays deleted.
 func TestOverdueWatchIsReplaced(t *testing.T) {
 	now := time.Duration(0)
-	service := &heldWatches{simulatedService: simulatedService{service: state.New()}}
+	service := &deferredWatches{simulatedService: simulatedService{service: state.New()}}
 	client := newClient(service, &now, 1e6)
 	cache := store.NewWatchCache(client, "h/", stalenessBound)
 	keys, delivered := map[string]bool{}, 0
@@ -101,19 +101,19 @@
 	}
 	cache.Tick(now)
 	if len(service.watches) != 1 {
-		t.Fatalf("%d watches", len(service.watches))
+		t.Fatalf("got %d watches after the list, want 1", len(service.watches))
 	}
-	for range 30 { // in an outage it waits
+	for range 30 { // an outage: no other request is answered
 		now += 100 * time.Millisecond
 		cache.Tick(now)
 	}
 	if len(service.watches) != 1 {
-		t.Fatal("another watch was sent though the service answers nothing")
+		t.Fatal("second watch sent while the service answers no request, want one watch")
 	}
 	client.Get("x", store.SafetyPriority, func(store.Item, error) {})
 	cache.Tick(now)
 	if len(service.watches) != 2 {
-		t.Fatalf("%d watches: the lost one is still waited for", len(service.watches))
+		t.Fatalf("got %d watches after the service answered another request, want 2", len(service.watches))
 	}
 	const (
 		put      = `{"set":"h/a","data":1,"stamp":1}`
@@ -122,14 +122,14 @@
 	)
 	service.respondTo(1, 2, put, deletion)
 	freshAt := cache.FreshAt()
-	service.respondTo(0, 1, put) // the state before the deletion
+	service.respondTo(0, 1, put) // the change before the deletion
 	if keys["h/a"] || delivered != 2 || cache.FreshAt() != freshAt {
-		t.Errorf("an old answer counts: %v, %d changes delivered", keys, delivered)
+		t.Errorf("after an old response: got keys %v, %d changes; want no h/a, 2 changes, FreshAt as before", keys, delivered)
 	}
 	now += 50 * time.Millisecond
 	cache.Tick(now)
 	service.respondTo(0, 3, put, deletion, laterPut)
 	if !keys["h/b"] || keys["h/a"] || delivered != 3 {
-		t.Errorf("%v, %d changes delivered", keys, delivered)
+		t.Errorf("after a late response: got keys %v, %d changes; want only h/b, 3 changes", keys, delivered)
 	}
 }
--- a/internal/store/wire.go
+++ b/internal/store/wire.go
@@ -7,9 +7,9 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// The bodies of the state service's protocol, with the names that its fields have there. Each is converted here, once,
-// from or to the type that the rest of the program uses. The fields of an element are those of its type in types.go,
-// in the same order, which makes one convertible to the other.
+// The bodies of the state service's protocol, with the field names of the protocol. They are converted here to or from
+// the types that the rest of the program uses. conditionMessage, opMessage, itemMessage and eventMessage have the same
+// fields in the same order as their types in types.go, so that Go can convert one to the other.
 type (
 	grantRequest struct {
 		TTLMillis int64 `json:"ttl_ms"`
@@ -32,7 +32,7 @@
 	}
 
 	txnRequest struct {
-		If   []conditionMessage `json:"if"` // required: [] without conditions, never null
+		If   []conditionMessage `json:"if"` // required by the protocol: [] if there are no conditions, never null
 		Then []opMessage        `json:"apply,omitempty"`
 	}
 
@@ -68,7 +68,7 @@
 	}
 )
 
-// txnEncoder encodes transactions. It keeps the messages of one until the next, since a leader sends many.
+// txnEncoder encodes transactions. It reuses the slices of the last request, since a leader sends many transactions.
 type txnEncoder struct{ request txnRequest }
 
 func newTxnEncoder() txnEncoder {
@@ -82,7 +82,7 @@
 	for _, condition := range txn.If {
 		request.If = append(request.If, conditionMessage(condition))
 	}
-	clear(request.Then) // the values of the transaction before are no longer needed
+	clear(request.Then) // releases the values of the previous transaction
 	request.Then = request.Then[:0]
 	for _, op := range txn.Then {
 		request.Then = append(request.Then, opMessage(op))
@@ -90,7 +90,7 @@
 	return json.Marshal(request)
 }
 
-// decodeItem reads the answer to a read of one key.
+// decodeItem decodes the response to a read of one key.
 func decodeItem(response httpio.Response) (Item, error) {
 	var body itemMessage
 	if err := decode(response, &body); err != nil {
@@ -99,7 +99,7 @@
 	return Item(body), nil
 }
 
-// appendItems appends the items of a page.
+// appendItems converts the items of a page and appends them to items.
 func appendItems(items []Item, page []itemMessage) []Item {
 	items = slices.Grow(items, len(page))
 	for _, item := range page {
@@ -108,7 +108,7 @@
 	return items
 }
 
-// decodeWatch reads the answer to a watch.
+// decodeWatch decodes the response to a watch.
 func decodeWatch(response httpio.Response) (revision uint64, events []Event, err error) {
 	var body watchResponse
 	if err := decode(response, &body); err != nil {
--- a/internal/store/wire_test.go
+++ b/internal/store/wire_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A transaction has the names of the protocol on the wire, its conditions are a list even if there is none, and
-// nothing of the transaction encoded before is left in it.
+// A transaction is encoded with the protocol's field names. Its conditions are a list even if there are none. It
+// contains nothing of the transaction encoded before.
 func TestTransactionsFollowTheProtocol(t *testing.T) {
 	encoder := newTxnEncoder()
 	for _, tc := range []struct {
@@ -28,7 +28,7 @@
 		{Txn{}, `{"if":[]}`},
 	} {
 		if body, err := encoder.encode(tc.txn); err != nil || string(body) != tc.want {
-			t.Errorf("%s, error %v; want %s", body, err, tc.want)
+			t.Errorf("got %s, error %v; want %s", body, err, tc.want)
 		}
 	}
 }
