--- a/internal/pages/batch.go
+++ b/internal/pages/batch.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// PageWrite is one page of a batch: the value that its key gets, and the version of the key on which the write is to
-// be conditional.
+// PageWrite is the write of one page of a batch. The transaction has to be conditional on the page's key having
+// Version, and sets the key to Value.
 type PageWrite struct {
-	Number  int
-	Version uint64
+	Number  int    // of the page
+	Version uint64 // of the page's key before the write; 0: the key doesn't exist
 	Value   json.RawMessage
 	page    *page
-	entries []Entry
+	entries []Entry // encoded in Value
 }
 
-// Batch collects values that are written together, and picks the pages for them. It changes no page until its writes
-// are committed.
+// Batch collects values that are written in one transaction, and chooses the pages for them. It changes no stored
+// page: pages change when the caller reports the outcome of the writes.
 type Batch struct {
 	pages   *Pages
-	drafts  []*draft // in the order in which their pages were picked
+	drafts  []*draft // in the order in which their pages were chosen
 	draftOf map[*page]*draft
 	added   map[Ref]struct{}
-	bytes   int // of all drafts, with their overhead
+	bytes   int // size of all drafts with pageOverheadBytes each
 }
 
-// draft is a page of a batch as it will be written.
+// draft is the content of a page as the batch will write it.
 type draft struct {
 	page  *page
 	added []Entry
-	size  int // bytes of the added values and of the page's own that stay
+	size  int // bytes of the added entries and of the page's live entries that don't move
 }
 
-// Begin starts a batch. It includes every indeterminate page: each write that may still be applied names one of them.
-// What one of them holds beyond the limit moves to other pages, as far as a batch of maxPages pages has room.
+// Begin returns a new batch. The batch includes every indeterminate page, so that its transaction rules out all
+// earlier writes that may still be applied: each of these contains an indeterminate page. Values of an indeterminate
+// page beyond the size limit move to other pages, as far as a batch of maxPages pages has room.
 func (p *Pages) Begin(maxPages int) *Batch {
 	b := &Batch{pages: p, draftOf: map[*page]*draft{}, added: map[Ref]struct{}{}}
 	if p.indeterminateCount == 0 {
@@ -45,28 +46,29 @@
 			b.openDraft(page)
 		}
 	}
-	// Moving values opens further drafts: only those of indeterminate pages are gone through.
+	// moveExcess appends drafts of other pages, which are left out of this loop.
 	for _, draft := range b.drafts[:len(b.drafts):len(b.drafts)] {
 		b.moveExcess(draft, maxPages)
 	}
 	return b
 }
 
-// Fits reports whether the batch has at most maxPages pages and each is within its limit. A batch that exceeds them
-// when it begins can't be written by this owner at all.
+// Fits reports whether the batch has at most maxPages pages and each page is within its size limit. A new batch
+// that doesn't fit can't be written by this owner at all.
 func (b *Batch) Fits(maxPages int) bool {
 	return len(b.drafts) <= maxPages && !slices.ContainsFunc(b.drafts, b.exceedsLimit)
 }
 
-// exceedsLimit reports whether a page would hold more than it may. A large value alone may be on any page.
+// exceedsLimit reports whether a page would exceed the size limit. A page with a single value may have any size.
 func (b *Batch) exceedsLimit(draft *draft) bool {
 	return draft.size > b.pages.maxValueBytes && len(draft.page.live)+len(draft.added) > 1
 }
 
-// maxExcessBatchBytes bounds the bytes of a batch that moves what pages hold beyond their limit.
+// maxExcessBatchBytes is the size up to which a batch may grow by moving values from pages beyond the size limit.
 const maxExcessBatchBytes = 48 << 10
 
-// moveExcess moves what a page holds beyond the limit to other pages.
+// moveExcess moves values of a page to other pages, by name, until the page is within the size limit or the batch has
+// no more room.
 func (b *Batch) moveExcess(draft *draft, maxPages int) {
 	for _, entry := range sortedEntries(draft.page.live) {
 		if !b.exceedsLimit(draft) || !b.Add(entry, maxPages, maxExcessBatchBytes) {
@@ -75,7 +77,7 @@
 	}
 }
 
-// sortedEntries returns values by name.
+// sortedEntries returns live values sorted by name.
 func sortedEntries(live map[Ref]Entry) []Entry {
 	entries := make([]Entry, 0, len(live))
 	for _, entry := range live {
@@ -89,7 +91,7 @@
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// openDraft includes a page in the batch, with those of its values that stay on it.
+// openDraft includes a page in the batch. Its draft keeps the live values that the batch doesn't move.
 func (b *Batch) openDraft(page *page) *draft {
 	opened := &draft{page: page, size: b.remainingBytes(page)}
 	b.drafts = append(b.drafts, opened)
@@ -98,7 +100,7 @@
 	return opened
 }
 
-// remainingBytes returns the bytes of a page's live values that this batch does not move.
+// remainingBytes returns the size of a page's live values that the batch doesn't move.
 func (b *Batch) remainingBytes(page *page) int {
 	size := page.liveBytes
 	for ref, entry := range page.live {
@@ -109,12 +111,12 @@
 	return size
 }
 
-// Size returns how many pages the batch writes, and about how many bytes. A batch without added values still writes
-// the indeterminate pages.
+// Size returns the number of pages that the batch writes, and about how many bytes. A batch without added values still
+// writes the indeterminate pages.
 func (b *Batch) Size() (pages, bytes int) { return len(b.drafts), b.bytes }
 
-// Add includes a value in the batch and reports true, unless that would take more than maxPages pages or maxBytes
-// bytes.
+// Add includes a value in the batch. It returns false and adds nothing if the batch would exceed maxPages pages or
+// maxBytes bytes.
 func (b *Batch) Add(entry Entry, maxPages, maxBytes int) bool {
 	size := entry.size()
 	if b.bytes+size > maxBytes {
@@ -127,7 +129,7 @@
 	if target == nil {
 		return false
 	}
-	b.removeFormer(entry.Ref)
+	b.subtractFormerSize(entry.Ref)
 	b.added[entry.Ref] = struct{}{}
 	target.added = append(target.added, entry)
 	target.size += size
@@ -135,7 +137,7 @@
 	return true
 }
 
-// draftWithRoom returns the first draft that has room for size bytes, or nil. An empty one takes a value of any size.
+// draftWithRoom returns the first draft that has room for size bytes, or nil. An empty draft has room for any size.
 func (b *Batch) draftWithRoom(size int) *draft {
 	for _, draft := range b.drafts {
 		isEmpty := len(draft.added) == 0 && draft.size == 0
@@ -146,12 +148,13 @@
 	return nil
 }
 
-// openDraftFor includes one more page, with room for size bytes. It returns nil if the batch would exceed maxBytes.
+// openDraftFor includes one more page with room for size bytes, and returns its draft. If the batch would exceed
+// maxBytes, it returns nil.
 func (b *Batch) openDraftFor(size, maxBytes int) *draft {
-	withNewPage := b.bytes + size + pageOverheadBytes
+	bytesWithNewPage := b.bytes + size + pageOverheadBytes
 	page := b.leastOccupied(size)
-	if withNewPage+b.remainingBytes(page) > maxBytes {
-		if withNewPage > maxBytes {
+	if bytesWithNewPage+b.remainingBytes(page) > maxBytes {
+		if bytesWithNewPage > maxBytes {
 			return nil
 		}
 		page = b.pages.newPage()
@@ -159,8 +162,8 @@
 	return b.openDraft(page)
 }
 
-// removeFormer takes off the size of a value's former place if its page is in the batch too.
-func (b *Batch) removeFormer(ref Ref) {
+// subtractFormerSize subtracts the size of a value's former entry if the entry's page is in the batch.
+func (b *Batch) subtractFormerSize(ref Ref) {
 	page := b.pages.pageOf[ref]
 	if page == nil {
 		return
@@ -174,16 +177,16 @@
 	b.bytes -= former.size()
 }
 
-// leastOccupied returns the page outside the batch with the fewest live bytes, if it has room for size bytes beside
-// them, or else a new page. A value larger than a page gets an empty one.
+// leastOccupied returns the page outside the batch with the fewest live bytes, or a new page if no page has room for
+// size more bytes. A value larger than the size limit gets an empty page.
 func (b *Batch) leastOccupied(size int) *page {
 	var best *page
-	bound := max(1, b.pages.maxValueBytes-size+1) // live bytes have to be below it
+	bound := max(1, b.pages.maxValueBytes-size+1) // exclusive upper bound of the live bytes
 	for _, page := range b.pages.pages {
 		if _, inBatch := b.draftOf[page]; inBatch || page.retired {
 			continue
 		}
-		// The live bytes are an upper bound: what this batch moves away only makes them fewer.
+		// Values that this batch moves away still count here, so the page may have even more room.
 		if page.liveBytes >= bound {
 			continue
 		}
@@ -199,7 +202,7 @@
 	return best
 }
 
-// Writes returns the pages that the batch writes, all in one transaction.
+// Writes returns the writes of all pages of the batch, to be sent in one transaction.
 func (b *Batch) Writes() []PageWrite {
 	writes := make([]PageWrite, 0, len(b.drafts))
 	for _, draft := range b.drafts {
@@ -215,7 +218,8 @@
 	return writes
 }
 
-// entries returns the values that a page will hold, by name: the added ones and those that stay.
+// entries returns the values that a page will contain, sorted by name: the added values and the live values that don't
+// move.
 func (b *Batch) entries(draft *draft) []Entry {
 	entries := slices.Clone(draft.added)
 	for ref, entry := range draft.page.live {
--- a/internal/pages/model_test.go
+++ b/internal/pages/model_test.go
@@ -11,24 +11,25 @@
 
 const (
 	modelPrefix = "p/@/"
-	// A batch of the model has at most this many pages and bytes.
+	// The limits of a batch in the model.
 	modelMaxPages = 6
 	modelMaxBytes = 2000
 )
 
-// storedValue is what the simulated state service has under a page's key.
+// storedValue is the value and version of a page's key in the simulated state service.
 type storedValue struct {
 	raw     []byte
 	version uint64
 }
 
-// pageStore is a simulated state service with nothing but pages, by their numbers.
+// pageStore is a simulated state service that contains only pages.
 type pageStore struct {
 	revision uint64
-	keys     map[int]storedValue
+	keys     map[int]storedValue // by page number
 }
 
-// apply carries out a transaction, all of it or nothing, and reports which.
+// apply applies all writes of a transaction if every page has the expected version, and otherwise none. It reports
+// whether the writes were applied.
 func (s *pageStore) apply(writes []PageWrite) bool {
 	for _, write := range writes {
 		if s.keys[write.Number].version != write.Version {
@@ -42,7 +43,7 @@
 	return true
 }
 
-// read returns the values as a reader has them, of each the one written last, and all pages.
+// read returns all stored pages, and for each name the value of the page with the highest version, as a reader does.
 func (s *pageStore) read(t *rapid.T) (values map[string]string, stored []StoredPage) {
 	t.Helper()
 	values = map[string]string{}
@@ -55,7 +56,7 @@
 				newest[name] = page.Version
 				values[name] = string(raw)
 			} else if page.Version == newest[name] {
-				t.Fatalf("%s stands in two pages of one write", name)
+				t.Fatalf("%s is in two pages of one transaction, want one", name)
 			}
 		}
 	}
@@ -71,60 +72,60 @@
 	return page
 }
 
-// refOf returns the ref of a value that is named v and a number.
+// refOf returns the ref of a value whose name is "v" and a number.
 func refOf(name string) (ref Ref) {
 	_, _ = fmt.Sscanf(name, "v%d", &ref.Owner)
 	return ref
 }
 
-// fate is what happens to a write.
-type fate int
+// delivery is how the request and the response of a write are delivered.
+type delivery int
 
 const (
-	answered   fate = iota // applied if its conditions hold, and the outcome is known
-	lost                   // not applied, or late; the outcome is unknown
-	unanswered             // applied if its conditions hold, but the outcome is unknown
+	responseReceived delivery = iota // the write is applied if its conditions hold; the outcome is known
+	requestLost                      // the write is applied late or never; the outcome is unknown
+	responseLost                     // the write is applied if its conditions hold; the outcome is unknown
 )
 
-// pagesModel compares pages with a map of what was written.
+// pagesModel compares the stored pages with a map of the values written.
 type pagesModel struct {
-	limit   int
-	store   pageStore
-	pages   *Pages
-	durable map[string]string          // the value last known to be written
-	maybe   map[string]map[string]bool // values whose writes have no known outcome
-	ended   map[string]bool
-	seen    map[string]bool // was stored at some time
-	late    [][]PageWrite   // writes that may still be applied
-	writes  int
+	limit         int
+	store         pageStore
+	pages         *Pages
+	durable       map[string]string          // by name: the value last known to be written
+	indeterminate map[string]map[string]bool // by name: the values whose writes have an unknown outcome
+	dropped       map[string]bool
+	everStored    map[string]bool // by name: a value was stored at some time
+	delayed       [][]PageWrite   // writes that may still be applied
+	writes        int
 }
 
 func newPagesModel(limit int) *pagesModel {
 	return &pagesModel{
-		limit:   limit,
-		store:   pageStore{keys: map[int]storedValue{}},
-		pages:   New(limit),
-		durable: map[string]string{},
-		maybe:   map[string]map[string]bool{},
-		ended:   map[string]bool{},
-		seen:    map[string]bool{},
+		limit:         limit,
+		store:         pageStore{keys: map[int]storedValue{}},
+		pages:         New(limit),
+		durable:       map[string]string{},
+		indeterminate: map[string]map[string]bool{},
+		dropped:       map[string]bool{},
+		everStored:    map[string]bool{},
 	}
 }
 
-// write writes new values, as far as a batch has room for them.
-func (m *pagesModel) write(t *rapid.T, names []string, fate fate) {
+// write writes new values in one batch, up to the batch's limits.
+func (m *pagesModel) write(t *rapid.T, names []string, delivery delivery) {
 	t.Helper()
 	batch := m.pages.Begin(100)
 	values := m.addNewValues(batch, names)
 	writes := batch.Writes()
 	if len(writes) > modelMaxPages {
-		t.Fatalf("%d pages in a batch", len(writes))
+		t.Fatalf("got %d pages in a batch, want at most 6", len(writes))
 	}
-	applied := fate != lost && m.store.apply(writes)
-	if fate == lost && len(writes) > 0 {
-		m.late = append(m.late, writes)
+	applied := delivery != requestLost && m.store.apply(writes)
+	if delivery == requestLost && len(writes) > 0 {
+		m.delayed = append(m.delayed, writes)
 	}
-	if fate == answered && applied {
+	if delivery == responseReceived && applied {
 		for _, write := range writes {
 			m.pages.Commit(write, m.store.revision)
 		}
@@ -137,18 +138,18 @@
 		return
 	}
 	for name, raw := range values {
-		if m.maybe[name] == nil {
-			m.maybe[name] = map[string]bool{}
+		if m.indeterminate[name] == nil {
+			m.indeterminate[name] = map[string]bool{}
 		}
-		m.maybe[name][raw] = true
+		m.indeterminate[name][raw] = true
 	}
 }
 
-// addNewValues adds a new value for each name to a batch until it is full, and returns them.
+// addNewValues adds a new value for each name to a batch until the batch is full, and returns the values added.
 func (m *pagesModel) addNewValues(batch *Batch, names []string) map[string]string {
 	values := map[string]string{}
 	for _, name := range names {
-		if m.ended[name] {
+		if m.dropped[name] {
 			continue
 		}
 		m.writes++
@@ -164,11 +165,12 @@
 func (m *pagesModel) recordDurable(values map[string]string) {
 	for name, raw := range values {
 		m.durable[name] = raw
-		delete(m.maybe, name)
+		delete(m.indeterminate, name)
 	}
 }
 
-// resolve reads each page of a write again whose outcome is unknown, or was a conflict.
+// resolve reads each page of a transaction whose outcome is unknown or a conflict, and reports the result to the
+// pages.
 func (m *pagesModel) resolve(t *rapid.T, writes []PageWrite) {
 	t.Helper()
 	for _, write := range writes {
@@ -187,13 +189,13 @@
 	}
 }
 
-// end drops values, which callers do only while every outcome is known.
-func (m *pagesModel) end(names []string) {
+// drop drops values. It does nothing while an outcome is unknown, as callers must not drop values then.
+func (m *pagesModel) drop(names []string) {
 	if m.pages.HasIndeterminate() {
 		return
 	}
 	for _, name := range names {
-		m.ended[name] = true
+		m.dropped[name] = true
 		m.pages.Drop(refOf(name))
 	}
 }
@@ -207,17 +209,18 @@
 	}
 	for i, number := range numbers {
 		if m.store.keys[number].version != versions[i] {
-			t.Fatalf("page %d to be deleted has changed", number)
+			t.Fatalf("version of page %d to be deleted differs from the stored one, want the same", number)
 		}
 		delete(m.store.keys, number)
 	}
 	m.pages.ConfirmRetired()
 }
 
-// changeOwner reads everything again. Writes of the former owner fail on its lease from now on.
+// changeOwner replaces the pages by a new owner's, read from the store. Late writes of the former owner fail on its
+// lease from now on.
 func (m *pagesModel) changeOwner(t *rapid.T) {
 	t.Helper()
-	m.late = nil
+	m.delayed = nil
 	values, stored := m.store.read(t)
 	newest := map[string]uint64{}
 	for _, page := range stored {
@@ -229,48 +232,49 @@
 	for _, page := range stored {
 		var live []Entry
 		for name, raw := range page.Values {
-			if newest[name] == page.Version && !m.ended[name] {
+			if newest[name] == page.Version && !m.dropped[name] {
 				live = append(live, Entry{refOf(name), name, raw})
 			}
 		}
 		m.pages.Load(page.Number, page.Version, live)
 	}
 	maps.Copy(m.durable, values)
-	clear(m.maybe)
+	clear(m.indeterminate)
 }
 
-// check compares what a reader has with what was written: the value last known to be written, or one whose write has
-// no known outcome.
+// check compares the values that a reader gets with those written. Each must be the value last known to be written, or
+// a value whose write has an unknown outcome.
 func (m *pagesModel) check(t *rapid.T) {
 	t.Helper()
 	values, _ := m.store.read(t)
-	for name := range m.seen {
-		if values[name] == "" && !m.ended[name] {
-			t.Fatalf("%s was stored and is gone", name)
+	for name := range m.everStored {
+		if values[name] == "" && !m.dropped[name] {
+			t.Fatalf("%s was stored before and is missing now, want a value", name)
 		}
 	}
 	for name := range values {
-		m.seen[name] = true
+		m.everStored[name] = true
 	}
 	for name, want := range m.durable {
-		if !m.ended[name] && values[name] != want && !m.maybe[name][values[name]] {
-			t.Fatalf("%s is %s, last written %s", name, values[name], want)
+		if !m.dropped[name] && values[name] != want && !m.indeterminate[name][values[name]] {
+			t.Fatalf("got %s = %s, want the value last written, %s", name, values[name], want)
 		}
 	}
 }
 
-// settle writes until every outcome is known, and then each value again whose write had none.
-func (m *pagesModel) settle(t *rapid.T) {
+// resolveAll writes until every outcome is known. Then it writes each value again whose last write has an unknown
+// outcome.
+func (m *pagesModel) resolveAll(t *rapid.T) {
 	t.Helper()
 	for m.pages.HasIndeterminate() {
-		m.write(t, nil, answered)
+		m.write(t, nil, responseReceived)
 	}
-	for _, writes := range m.late { // each of them fails by now, or only writes dead values
+	for _, writes := range m.delayed { // each of these writes fails now, or writes only dead values
 		m.store.apply(writes)
 	}
-	unknown := slices.Collect(maps.Keys(m.maybe))
+	unknown := slices.Collect(maps.Keys(m.indeterminate))
 	for names := range slices.Chunk(unknown, 4) {
-		m.write(t, names, answered)
+		m.write(t, names, responseReceived)
 	}
 }
 
@@ -281,24 +285,24 @@
 	return names
 }
 
-// Values change, end and are written, by writes that fail, are applied late or whose answer is lost, and by owners
-// that read everything again. A reader has the value last known to be written, or one whose outcome is unknown; once
-// writes succeed again, exactly the last.
+// Values are written and dropped. Some writes fail, are applied late or lose their response, and new owners read all
+// pages again. A reader gets the value last known to be written, or a value whose write has an unknown outcome. Once
+// writes succeed again, a reader gets exactly the last value.
 func TestPagesKeepTheLastValue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPagesModel(100 + 20*rapid.IntRange(0, 20).Draw(t, "limit"))
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2, 3:
-				m.write(t, drawNames(t), answered)
+				m.write(t, drawNames(t), responseReceived)
 			case 4, 5:
-				m.write(t, drawNames(t), fate(rapid.IntRange(int(lost), int(unanswered)).Draw(t, "fate")))
-			case 6: // a lost write is applied after all
-				if len(m.late) > 0 {
-					m.store.apply(m.late[rapid.IntRange(0, len(m.late)-1).Draw(t, "late")])
+				m.write(t, drawNames(t), delivery(rapid.IntRange(int(requestLost), int(responseLost)).Draw(t, "delivery")))
+			case 6: // a write whose request was lost is applied late
+				if len(m.delayed) > 0 {
+					m.store.apply(m.delayed[rapid.IntRange(0, len(m.delayed)-1).Draw(t, "delayed")])
 				}
 			case 7:
-				m.end(drawNames(t))
+				m.drop(drawNames(t))
 			case 8:
 				m.retire(t)
 			case 9:
@@ -306,7 +310,7 @@
 			}
 			m.check(t)
 		}
-		m.settle(t)
+		m.resolveAll(t)
 		m.check(t)
 	})
 }
--- a/internal/pages/retire.go
+++ b/internal/pages/retire.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// spareEmptyPages is how many stored pages without live values are kept, to be written over next.
+// spareEmptyPages is the number of stored pages without live values that are kept, for later writes.
 const spareEmptyPages = 4
 
-// Retire picks stored pages without live values, beyond a few spare ones, whose keys are to be deleted: at most limit
-// of them, with the versions on which the deletions are to be conditional. The same pages are returned again until
-// ConfirmRetired is called.
+// Retire returns the numbers of at most limit stored pages without live values, whose keys the caller is to delete,
+// and the versions on which the deletions have to be conditional. It leaves spareEmptyPages such pages. Until
+// ConfirmRetired is called, it returns the same pages again, and possibly more.
 func (p *Pages) Retire(limit int) (numbers []int, versions []uint64) {
 	empty := 0
 	for _, page := range p.pages {
@@ -27,12 +27,12 @@
 	return numbers, versions
 }
 
-// isRetirable reports whether the page is stored, holds no live value, and no write of it may be applied late.
+// isRetirable reports whether the page is stored, has no live value, and has no write that may be applied late.
 func (p *page) isRetirable() bool {
 	return len(p.live) == 0 && p.version != 0 && !p.indeterminate && !p.createIndeterminate && !p.retired
 }
 
-// ConfirmRetired records that the keys of the pages last returned by Retire were deleted.
+// ConfirmRetired removes the pages last returned by Retire. The caller calls it once their keys are deleted.
 func (p *Pages) ConfirmRetired() {
 	p.pages = slices.DeleteFunc(p.pages, func(page *page) bool { return page.retired })
 	p.retired = nil
