--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -1,6 +1,6 @@
 // Package calendar implements weekly windows of wall-clock time in a named time zone, such as Monday to Friday from
 // 09:00 to 18:00 in Asia/Tokyo. A window follows the zone's local time across changes of daylight-saving time,
-// midnight and month ends. The package reads no clock: the time is an argument. The settings parse windows; licence
+// midnight and month ends. The package reads no clock: callers pass the time. Package config parses windows. Licence
 // pools and the policies of sessions evaluate them.
 package calendar
 
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	// Controllers have no disk: the time zones are part of the program.
+	// Controllers have no disk, so the time-zone database is part of the program.
 	_ "time/tzdata"
 )
 
@@ -20,28 +20,29 @@
 	hoursPerDay   = 24
 	minutesPerDay = hoursPerDay * 60
 
-	// searchHorizon bounds the search for a window's next change. A window has at least one day of the week, and a
-	// change of the clock can leave it out in one week.
+	// searchHorizon bounds the search for a window's next change. A window occurs at least once a week, except in a
+	// week in which a clock change skips it.
 	searchHorizon = 22 * hoursPerDay * time.Hour
 )
 
-// Window is a weekly window of wall-clock time. The zero value contains nothing.
+// Window is a weekly window of wall-clock time. The zero value contains no time.
 //
-// A window whose end isn't after its start runs over midnight and belongs to the day on which it starts. A local time
-// that a change of the clock skips isn't in the window; one that occurs twice is in it twice.
+// If the end of a window is at or before its start, the window runs past midnight and belongs to the day on which it
+// starts. A window doesn't contain a local time that a clock change skips. If a clock change repeats a local time in
+// the window, the window contains both occurrences.
 type Window struct {
-	days     [daysPerWeek]bool // by time.Weekday, on which the window starts
+	days     [daysPerWeek]bool // by time.Weekday: the window starts on this day
 	start    int               // minute of the day, below minutesPerDay
 	end      int               // minute of the day, at most minutesPerDay
 	location *time.Location    // nil in the zero value
 }
 
-// Contains reports whether a moment lies in the window.
-func (w Window) Contains(moment time.Time) bool {
+// Contains reports whether an instant lies in the window. The start is included, the end is not.
+func (w Window) Contains(instant time.Time) bool {
 	if w.location == nil {
 		return false
 	}
-	local := moment.In(w.location)
+	local := instant.In(w.location)
 	minute := local.Hour()*60 + local.Minute()
 	today := int(local.Weekday())
 	if w.start < w.end {
@@ -51,8 +52,8 @@
 	return (w.days[today] && minute >= w.start) || (w.days[yesterday] && minute < w.end)
 }
 
-// Next returns the first moment after a given one at which Contains changes. ok is false for a window that never
-// changes, such as one of every day from 00:00 to 00:00.
+// Next returns the first instant after the given one at which the result of Contains changes. ok is false if the
+// result never changes, such as for a daily window from 00:00 to 00:00.
 func (w Window) Next(after time.Time) (next time.Time, ok bool) {
 	if w.location == nil {
 		return time.Time{}, false
@@ -60,7 +61,7 @@
 	isInside := w.Contains(after)
 	horizon := after.Add(searchHorizon)
 	for from := after; from.Before(horizon); {
-		// Between two changes of the zone's offset, local time runs as evenly as absolute time.
+		// Between two changes of the zone's UTC offset, local time advances at the same rate as absolute time.
 		to := horizon
 		if _, offsetChange := from.In(w.location).ZoneBounds(); !offsetChange.IsZero() && offsetChange.Before(to) {
 			to = offsetChange
@@ -76,8 +77,8 @@
 	return time.Time{}, false
 }
 
-// nextAtFixedOffset returns the first moment between from and to, exclusive, at which Contains isn't isInside. The
-// zone's offset must not change in between.
+// nextAtFixedOffset returns the first instant after from and before to at which Contains differs from isInside. The
+// zone's UTC offset must not change between from and to.
 func (w Window) nextAtFixedOffset(from, to time.Time, isInside bool) (time.Time, bool) {
 	midnight := w.midnightBefore(from)
 	boundaries := [...]int{min(w.start, w.end), max(w.start, w.end)}
@@ -94,26 +95,26 @@
 	}
 }
 
-// midnightBefore returns the moment's last midnight, if the zone's offset were the same since.
-func (w Window) midnightBefore(moment time.Time) time.Time {
-	local := moment.In(w.location)
+// midnightBefore returns the last local midnight before an instant, computed with the UTC offset at the instant.
+func (w Window) midnightBefore(instant time.Time) time.Time {
+	local := instant.In(w.location)
 	sinceMidnight := time.Duration(local.Hour())*time.Hour +
 		time.Duration(local.Minute())*time.Minute +
 		time.Duration(local.Second())*time.Second +
 		time.Duration(local.Nanosecond())
-	return moment.Add(-sinceMidnight)
+	return instant.Add(-sinceMidnight)
 }
 
-// What Parse refuses. The errors that it returns wrap one of these, or the cause why a time zone can't be loaded.
+// Errors of Parse. Each error of Parse wraps one of them, or the error of time.LoadLocation for an unknown time zone.
 var (
-	ErrWeekday         = errors.New("is no day of the week (use Mon, Tue, Wed, Thu, Fri, Sat, Sun)")
-	ErrTimeOfDay       = errors.New("is no time of day (use HH:MM, 00:00 to 24:00)")
-	ErrStartAtEndOfDay = errors.New("a window can't begin at 24:00; use 00:00 of the next day")
-	ErrNoTimeZone      = errors.New(`name one, as in "Asia/Tokyo" or "UTC"`)
+	ErrWeekday         = errors.New("is not a day of the week (use Mon, Tue, Wed, Thu, Fri, Sat, Sun)")
+	ErrTimeOfDay       = errors.New("is not a time of day (use HH:MM, 00:00 to 24:00)")
+	ErrStartAtEndOfDay = errors.New("a window can't start at 24:00; use 00:00 of the next day")
+	ErrNoTimeZone      = errors.New(`a name of the time-zone database is required, such as "Asia/Tokyo" or "UTC"`)
 )
 
-// Parse returns the window of some days ("Mon-Fri", "Fri,Sun", "daily"), two times of day ("18:00") and the name of a
-// time zone ("Asia/Tokyo"). The error names the argument that is wrong.
+// Parse returns a window. days is a list of days and ranges ("Mon-Fri", "Fri,Sun") or "daily". from and to are times
+// of day ("18:00"). zone is the name of a time zone ("Asia/Tokyo"). The error contains the invalid argument.
 func Parse(days, from, to, zone string) (Window, error) {
 	startDays, err := parseDays(days)
 	if err != nil {
@@ -137,7 +138,7 @@
 	return Window{days: startDays, start: start, end: end, location: location}, nil
 }
 
-// parseDays parses a list of weekdays and ranges of them. A range may run over the end of the week.
+// parseDays parses a list of weekdays and ranges, or "daily". A range may extend past the end of the week.
 func parseDays(text string) (days [daysPerWeek]bool, err error) {
 	if strings.EqualFold(strings.TrimSpace(text), "daily") {
 		text = "Mon-Sun"
@@ -162,7 +163,7 @@
 	return days, nil
 }
 
-// weekdayNames are the names of the days by time.Weekday.
+// weekdayNames contains the names of the days, in lower case, by time.Weekday.
 var weekdayNames = [daysPerWeek]string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
 func parseWeekday(text string) (time.Weekday, error) {
@@ -175,7 +176,7 @@
 	return 0, fmt.Errorf("%q %w", text, ErrWeekday)
 }
 
-// parseTimeOfDay returns the minute of the day of a text such as "18:00".
+// parseTimeOfDay parses a time of day such as "18:00" and returns its minute of the day, from 0 to minutesPerDay.
 func parseTimeOfDay(text string) (int, error) {
 	text = strings.TrimSpace(text)
 	hourText, minuteText, hasColon := strings.Cut(text, ":")
@@ -188,7 +189,7 @@
 	return hour*60 + minute, nil
 }
 
-// parseZone loads a time zone. It refuses the machine's own zone, which differs from controller to controller.
+// parseZone loads a time zone. It refuses "Local", the machine's own zone, which may differ between controllers.
 func parseZone(name string) (*time.Location, error) {
 	if name == "" || name == "Local" {
 		return nil, fmt.Errorf("time zone %q: %w", name, ErrNoTimeZone)
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -11,33 +11,33 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain sets a fixed seed, so that a run gives the same result every time.
+// TestMain sets a fixed seed, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-// testZones include one that moves its clocks by half an hour.
+// testZones includes Australia/Lord_Howe, whose daylight-saving time is half an hour.
 var testZones = []string{"Asia/Tokyo", "America/New_York", "Australia/Lord_Howe", "Europe/Lisbon"}
 
-// testWindow is a window as it is declared; days are full lists.
+// testWindow contains the arguments of Parse. days lists every day by name, without ranges.
 type testWindow struct{ days, from, to string }
 
-// contains is the slow model of Window.Contains: it compares the texts that a local clock would print.
+// contains is a slow model of Window.Contains, which compares formatted local times.
 func (w testWindow) contains(local time.Time) bool {
 	isDay := func(day time.Time) bool { return strings.Contains(w.days, day.Format("Mon")) }
 	clock := local.Format("15:04")
 	if w.from < w.to {
 		return isDay(local) && clock >= w.from && clock < w.to
 	}
-	// The day before by the calendar, not 24 hours ago: days have 23 and 25 hours too.
+	// The previous calendar day, since a day may also have 23 or 25 hours.
 	yesterday := time.Date(local.Year(), local.Month(), local.Day()-1, 12, 0, 0, 0, local.Location())
 	return (isDay(local) && clock >= w.from) || (isDay(yesterday) && clock < w.to)
 }
 
 // Contains and Next agree with the model at every minute of two years in four zones.
-func TestEveryMinuteOfTwoYears(t *testing.T) {
+func TestWindowMatchesModelEveryMinute(t *testing.T) {
 	windows := []testWindow{
 		{"Fri", "18:00", "23:00"},
 		{"Mon,Tue,Wed,Thu,Fri", "09:00", "18:00"},
@@ -65,28 +65,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	moment := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	end := moment.AddDate(2, 0, 0)
-	wasInside := model.contains(moment.In(location))
-	next, ok := window.Next(moment)
-	for ; moment.Before(end); moment = moment.Add(time.Minute) {
-		local := moment.In(location)
+	instant := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	end := instant.AddDate(2, 0, 0)
+	wasInside := model.contains(instant.In(location))
+	next, ok := window.Next(instant)
+	for ; instant.Before(end); instant = instant.Add(time.Minute) {
+		local := instant.In(location)
 		isInside := model.contains(local)
-		if window.Contains(moment) != isInside {
-			t.Fatalf("%s %v at %s: in the window is %v, want %v", zone, model, local, !isInside, isInside)
+		if window.Contains(instant) != isInside {
+			t.Fatalf("%s %v at %s: got Contains %v, want %v", zone, model, local, !isInside, isInside)
 		}
 		if isInside == wasInside {
 			continue
 		}
-		if !ok || !next.Equal(moment) {
-			t.Fatalf("%s %v changes at %s, not at %s", zone, model, local, next.In(location))
+		if !ok || !next.Equal(instant) {
+			t.Fatalf("%s %v: want a change at %s, got Next %s", zone, model, local, next.In(location))
 		}
 		wasInside = isInside
-		next, ok = window.Next(moment)
+		next, ok = window.Next(instant)
 	}
 }
 
-// From any moment, Contains doesn't change before Next, and changes at Next.
+// From any instant on, Contains stays the same before Next and changes at Next.
 func TestNextIsTheFirstChange(t *testing.T) {
 	dayNames := []string{"Sun", "Mon", "Tue", "Wed", "Thu", "Fri", "Sat"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -102,17 +102,17 @@
 		next, ok := window.Next(after)
 		if !ok {
 			if window.start != window.end {
-				t.Fatal("a window that never changes")
+				t.Fatal("Next found no change for a window with different start and end, want one")
 			}
 			return
 		}
-		for moment := after; moment.Before(next); moment = moment.Add(7 * time.Minute) {
-			if window.Contains(moment) != isInside {
-				t.Fatalf("it changed before %s, at %s", next, moment)
+		for instant := after; instant.Before(next); instant = instant.Add(7 * time.Minute) {
+			if window.Contains(instant) != isInside {
+				t.Fatalf("got Next %s, but Contains changes at or before %s", next, instant)
 			}
 		}
 		if window.Contains(next) == isInside || window.Contains(next.Add(-time.Second)) != isInside {
-			t.Fatalf("no change at %s", next)
+			t.Fatalf("got Next %s, want an instant at which Contains changes", next)
 		}
 	})
 }
@@ -126,28 +126,28 @@
 	for _, c := range []struct {
 		days, from, to, zone string
 		text                 string
-		cause                error // nil: of package time
+		cause                error // nil: an error of package time
 	}{
-		{"Fry", "18:00", "23:00", "UTC", `"Fry" is no day`, ErrWeekday},
-		{"Mon-", "18:00", "23:00", "UTC", "no day", ErrWeekday},
-		{"Fri", "18", "23:00", "UTC", `"18" is no time`, ErrTimeOfDay},
+		{"Fry", "18:00", "23:00", "UTC", `"Fry" is not a day`, ErrWeekday},
+		{"Mon-", "18:00", "23:00", "UTC", "not a day", ErrWeekday},
+		{"Fri", "18", "23:00", "UTC", `"18" is not a time`, ErrTimeOfDay},
 		{"Fri", "18:00", "24:01", "UTC", `"24:01"`, ErrTimeOfDay},
 		{"Fri", "24:00", "01:00", "UTC", "24:00", ErrStartAtEndOfDay},
 		{"Fri", "18:00", "23:00", "Mars/Base", `"Mars/Base"`, nil},
-		{"Fri", "18:00", "23:00", "", "name one", ErrNoTimeZone},
-		{"Fri", "18:00", "23:00", "Local", "name one", ErrNoTimeZone},
+		{"Fri", "18:00", "23:00", "", "a name of the time-zone database is required", ErrNoTimeZone},
+		{"Fri", "18:00", "23:00", "Local", "a name of the time-zone database is required", ErrNoTimeZone},
 	} {
 		_, err := Parse(c.days, c.from, c.to, c.zone)
 		if err == nil || !strings.Contains(err.Error(), c.text) {
-			t.Errorf("%v: error %v", c, err)
+			t.Errorf("%v: got error %v, want the text of the case", c, err)
 		}
 		if c.cause != nil && !errors.Is(err, c.cause) {
-			t.Errorf("%v: error %v is not %v", c, err, c.cause)
+			t.Errorf("%v: got error %v, want one that wraps %v", c, err, c.cause)
 		}
 	}
 }
 
-// Days may be given as lists and ranges, also over the end of the week, in any case.
+// Days are lists and ranges, in upper or lower case. A range may extend past the end of the week.
 func TestParseDays(t *testing.T) {
 	for text, want := range map[string]string{
 		"Mon-Fri":         "Mon Tue Wed Thu Fri",
@@ -161,7 +161,7 @@
 	} {
 		days, err := parseDays(text)
 		if err != nil {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want none", text, err)
 		}
 		var names []string
 		for day, isSet := range days {
@@ -170,7 +170,7 @@
 			}
 		}
 		if got := strings.Join(names, " "); got != want {
-			t.Errorf("%q: %s, want %s", text, got, want)
+			t.Errorf("%q: got %s, want %s", text, got, want)
 		}
 	}
 }
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain sets a fixed seed, so that a run gives the same result every time.
+// TestMain sets a fixed seed, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
 	os.Exit(m.Run())
 }
 
-// listSince is the model of Log.Since on the list of all events ever added: it returns at most limit of the last size
-// ones, from a sequence number on, and the sequence number to continue at.
+// listSince is the model of Log.Since. all is the list of all events ever added. Of the last size events it returns at
+// most limit, from a sequence number on, and the sequence number at which to continue.
 func listSince(all []Event, size int, from uint64, limit int) (read []Event, next uint64) {
 	for _, event := range all[max(0, len(all)-size):] {
 		if event.Seq < from {
@@ -31,7 +31,8 @@
 	return read, uint64(len(all) + 1)
 }
 
-// logSince reads at most limit events from a log.
+// logSince reads at most limit events from a log, from a sequence number on, and returns the sequence number at which
+// to continue.
 func logSince(l *Log, from uint64, limit int) (read []Event, next uint64) {
 	next = l.Since(from, func(event *Event) bool {
 		if len(read) == limit {
@@ -43,8 +44,8 @@
 	return read, next
 }
 
-// After each addition, a reader from any sequence number gets the events that are left, in order, and where to
-// continue.
+// After each Add, Since returns the events still in the log from any sequence number on, in order, and the sequence
+// number at which to continue.
 func TestSinceMatchesPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
@@ -58,25 +59,25 @@
 			want, wantNext := listSince(all, size, from, limit)
 			got, gotNext := logSince(l, from, limit)
 			if !slices.Equal(got, want) || gotNext != wantNext {
-				t.Fatalf("from %d at most %d: %v up to %d, want %v up to %d", from, limit, got, gotNext, want, wantNext)
+				t.Fatalf("Since(%d), limit %d: got %v, next %d; want %v, next %d", from, limit, got, gotNext, want, wantNext)
 			}
 		}
 	})
 }
 
-// Tests of other packages have no log.
+// The tests of other packages use a nil log.
 func TestAddToNilLogDoesNothing(*testing.T) {
 	var l *Log
 	l.Add(Event{})
 }
 
-// Kind names are part of the API: every kind has one of its own.
+// Every kind has a distinct name, as the names are part of the API.
 func TestEveryKindHasItsOwnName(t *testing.T) {
 	seen := map[string]Kind{}
 	for kind := TermStarted; kind <= RolloutStateChanged; kind++ {
 		name := kind.String()
 		if other, ok := seen[name]; ok || name == "" {
-			t.Errorf("kind %d has the name %q, kind %d too", kind, name, other)
+			t.Errorf("kind %d: got the name %q, the same as kind %d or empty; want a distinct name", kind, name, other)
 		}
 		seen[name] = kind
 	}
--- a/internal/httpio/httpio.go
+++ b/internal/httpio/httpio.go
@@ -1,9 +1,9 @@
 // Package httpio sends outgoing HTTP requests and returns the responses to the event loop.
 //
-// The package owns the outgoing connections and one goroutine for each request in flight, which ends with the request
-// and passes its response on. It never retries a request and never interprets a response: a request without an answer
-// may have been carried out, and what that means is up to the caller. The controller makes its clients, for the state
-// service and the cloud, the workers, and licence servers.
+// The package owns the outgoing connections and one goroutine for each request in flight. The goroutine passes the
+// response on and ends with the request. The package never retries a request and never interprets a response. If a
+// request gets no response, the server may have processed it, and the caller decides how to proceed. The controller
+// creates a client each for the state service and the cloud, for the workers, and for licence servers.
 package httpio
 
 import (
@@ -18,13 +18,13 @@
 type Request struct {
 	Method  string
 	Path    string // path and query
-	Body    []byte // JSON; nil for none
+	Body    []byte // JSON; nil: no body
 	Timeout time.Duration
 	Once    bool // close the connection after the response
 }
 
-// Response is the outcome of a request. Err is set when no usable response came, in which case the request may or may
-// not have been carried out; with Refused it certainly was not.
+// Response is the outcome of a request. Err is set if no usable response was received. The server may then have
+// processed the request or not; if Refused is set, the request was certainly not processed.
 type Response struct {
 	Status  int
 	Body    []byte
@@ -32,15 +32,16 @@
 	Refused bool
 }
 
-// Errors of a Response, to be tested with errors.Is.
+// Errors of a Response, for errors.Is.
 var (
-	// ErrBusy is returned, with Refused, for a request that was not sent because too many are in flight.
+	// ErrBusy is returned, with Refused set, for a request that was not sent because the limit of requests in flight
+	// is reached.
 	ErrBusy = errors.New("too many requests in flight")
-	// ErrLost stands for a response that never came; simulated senders return it.
-	ErrLost = errors.New("no answer came")
+	// ErrLost is returned by simulated senders if the response is lost.
+	ErrLost = errors.New("no response received")
 )
 
-// Sender sends a request to the host at addr and calls done with its outcome, on the event loop, exactly once.
+// Sender sends a request to the host at addr, and calls done exactly once, on the event loop, with the outcome.
 type Sender interface {
 	Send(addr string, request Request, done func(Response))
 }
@@ -50,15 +51,15 @@
 	idleConnTimeout  = 20 * time.Second
 	bufferBytes      = 8 << 10
 	maxResponseBytes = 64 << 20
-	// minConnsPerHost is how many connections to one host are allowed, however low the limit of requests is.
+	// minConnsPerHost is the minimum of the limit of connections to one host, even if the limit of requests is lower.
 	minConnsPerHost = 8
 )
 
-// Client is the Sender on real sockets.
+// Client is a Sender that uses real sockets.
 type Client struct {
 	client *fasthttp.Client
-	post   func(func())
-	slots  chan struct{} // one for each request in flight
+	post   func(func())  // runs a function on the event loop
+	slots  chan struct{} // contains one element for each request in flight
 }
 
 // New returns a client that has at most limit requests in flight. post runs a function on the event loop.
@@ -80,13 +81,13 @@
 	}
 }
 
-// neverRetry keeps fasthttp from sending a request twice: a caller resolves an indeterminate outcome on the
-// assumption that its request was sent once at most.
+// neverRetry makes fasthttp send each request at most once. Callers rely on this when they resolve an indeterminate
+// outcome.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 func dial(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
 
-// Send implements Sender. Beyond the limit of requests in flight the outcome is ErrBusy, at once.
+// Send implements Sender. If the limit of requests in flight is reached, it posts ErrBusy at once.
 func (c *Client) Send(addr string, request Request, done func(Response)) {
 	select {
 	case c.slots <- struct{}{}:
@@ -101,7 +102,7 @@
 	}()
 }
 
-// roundTrip sends a request and waits for the response, for at most the request's timeout.
+// roundTrip sends a request and waits for the response for at most the request's timeout.
 func (c *Client) roundTrip(addr string, request Request) Response {
 	wireRequest := fasthttp.AcquireRequest()
 	wireResponse := fasthttp.AcquireResponse()
@@ -114,7 +115,8 @@
 		wireRequest.Header.SetContentType("application/json")
 		wireRequest.SetBody(request.Body)
 	}
-	// After a timeout fasthttp may still use both, so they are released only when the call has finished.
+	// After a timeout fasthttp may still use the request and the response. They are released only after a call without
+	// error.
 	if err := c.client.DoTimeout(wireRequest, wireResponse, request.Timeout); err != nil {
 		return Response{Err: err}
 	}
--- a/internal/httpio/httpio_test.go
+++ b/internal/httpio/httpio_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// runNow is an event loop that runs everything at once.
-func runNow(f func()) { f() }
+// runInline is an event loop that runs each function immediately.
+func runInline(f func()) { f() }
 
 // send sends one request and waits for its response.
 func send(t *testing.T, client *Client, addr string, request Request) Response {
@@ -22,12 +22,12 @@
 	case response := <-responses:
 		return response
 	case <-time.After(10 * time.Second):
-		t.Fatal("no response")
+		t.Fatal("no response within 10 s, want one")
 		return Response{}
 	}
 }
 
-// A request above the limit in flight is refused at once, and is not sent.
+// While the limit of requests in flight is reached, a request is refused at once and not sent.
 func TestRequestAboveTheLimitIsRefused(t *testing.T) {
 	arrived, release := make(chan struct{}, 2), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -36,7 +36,7 @@
 	}))
 	defer server.Close()
 	addr := server.Listener.Addr().String()
-	client := New(1, runNow)
+	client := New(1, runInline)
 	request := Request{Method: http.MethodGet, Path: "/", Timeout: 10 * time.Second}
 	first := make(chan Response, 1)
 	client.Send(addr, request, func(response Response) { first <- response })
@@ -44,18 +44,18 @@
 	second := send(t, client, addr, request)
 	close(release)
 	if !errors.Is(second.Err, ErrBusy) || !second.Refused {
-		t.Errorf("error %v, refused %v; want ErrBusy, refused", second.Err, second.Refused)
+		t.Errorf("got error %v, refused %v; want ErrBusy, refused", second.Err, second.Refused)
 	}
 	if response := <-first; response.Err != nil || response.Status != http.StatusOK {
-		t.Errorf("first request: status %d, error %v", response.Status, response.Err)
+		t.Errorf("first request: got status %d, error %v; want 200, no error", response.Status, response.Err)
 	}
 	if n := len(arrived); n != 0 {
-		t.Errorf("%d more requests arrived", n)
+		t.Errorf("got %d further requests at the server, want none", n)
 	}
 }
 
-// The server closes a connection without a response: the outcome is an error that leaves open whether the request was
-// carried out, and the request is not sent again.
+// The server closes a connection without a response. The outcome is an error without Refused, since the server may
+// have processed the request. The request is not sent again.
 func TestRequestWithoutResponseIsNotRepeated(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -76,12 +76,12 @@
 		}
 	}()
 	request := Request{Method: http.MethodGet, Path: "/", Timeout: 5 * time.Second}
-	response := send(t, New(4, runNow), listener.Addr().String(), request)
+	response := send(t, New(4, runInline), listener.Addr().String(), request)
 	if response.Err == nil || response.Refused {
-		t.Errorf("status %d, refused %v; want an error, not refused", response.Status, response.Refused)
+		t.Errorf("got status %d, refused %v; want an error, not refused", response.Status, response.Refused)
 	}
-	time.Sleep(50 * time.Millisecond) // a repetition would follow at once
+	time.Sleep(50 * time.Millisecond) // a second request would arrive at once
 	if n := requests.Load(); n != 1 {
-		t.Errorf("%d requests arrived, want 1", n)
+		t.Errorf("got %d requests at the server, want 1", n)
 	}
 }
