--- a/internal/pages/model_test.go
+++ b/internal/pages/model_test.go
@@ -94,9 +94,9 @@
 	pages         *Pages
 	durable       map[string]string          // by name: the value last known to be written
 	indeterminate map[string]map[string]bool // by name: the values whose writes have an unknown outcome
-	dropped       map[string]bool
-	everStored    map[string]bool // by name: a value was stored at some time
-	delayed       [][]PageWrite   // writes that may still be applied
+	dropped       map[string]bool            // by name: the value was dropped
+	everStored    map[string]bool            // by name: a value was stored at some time
+	delayed       [][]PageWrite              // writes that may still be applied
 	writes        int
 }
 
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -63,8 +63,8 @@
 	return b.tokens >= min(b.burst, n+b.burst*reserves[priority])
 }
 
-// leavesHalf reports whether half of the capacity would be left after n tokens were taken. If n is
-// more than the other half, a full bucket is enough.
+// leavesHalf reports whether at least half of the capacity would be left after n tokens were taken. If n is more than
+// half of the capacity, it reports whether the bucket is full.
 func (b *Budget) leavesHalf(now time.Duration, n float64) bool {
 	return b.Allows(now, b.burst/2+n, SafetyPriority)
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -98,8 +98,8 @@
 // HasSpareWrites reports whether at least half of the write budget's capacity is left.
 func (c *Client) HasSpareWrites() bool { return c.writeBudget.leavesHalf(c.now(), 0) }
 
-// HasSpareWritesFor reports whether the budget allows one bulk request with n writes now, and at least half of the
-// write budget's capacity would be left after it.
+// HasSpareWritesFor reports whether the budget allows a bulk request now, and at least half of the write budget's
+// capacity would be left after n writes. If n is more than half of the capacity, the write budget has to be full.
 func (c *Client) HasSpareWritesFor(n int) bool {
 	now := c.now()
 	return c.requestBudget.Allows(now, 1, BulkPriority) && c.writeBudget.leavesHalf(now, float64(n))
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -15,7 +15,7 @@
 	ErrOverBudget = errors.New("state service: request exceeds the client's budget")
 	// ErrCompacted is returned by Watch if the state service no longer has the changes after the given revision. The
 	// caller has to list the keys again.
-	ErrCompacted = errors.New("state service: the changes after the revision were compacted")
+	ErrCompacted = errors.New("state service: changes after the given revision were compacted")
 	// ErrLeaseExpired is returned by RenewLease if the lease no longer exists in the state service.
 	ErrLeaseExpired = errors.New("state service: lease expired")
 )
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -47,7 +47,7 @@
 	done     func(items []Item, revision uint64, err error)
 }
 
-// fetchPage requests the page that follows the key after. The first page has after "".
+// fetchPage requests the page of the keys that follow the key after, or the first page if after is "".
 func (l *listRequest) fetchPage(after string) {
 	path := "/keys?starts=" + url.QueryEscape(l.prefix) + "&limit=" + strconv.Itoa(listPageItems)
 	if after != "" {
@@ -76,9 +76,9 @@
 	l.done(l.items, l.revision, nil)
 }
 
-// Watch waits for changes of keys with a prefix after the revision after, for at most wait. done gets the changes and
-// the revision up to which they are complete. The error is ErrCompacted if the service no longer has the changes after
-// the given revision.
+// Watch waits for changes of keys with a prefix that are newer than the revision after, for at most wait. done gets
+// the changes and the revision up to which they are complete. The error is ErrCompacted if the service no longer has
+// the changes after that revision.
 func (c *Client) Watch(
 	prefix string,
 	after uint64,
--- a/internal/store/sizelimits.go
+++ b/internal/store/sizelimits.go
@@ -26,8 +26,8 @@
 	minRaiseDelay = 20 * time.Second
 	// maxRaiseDelay bounds the delay before a raise, which doubles each time a raised limit is rejected.
 	maxRaiseDelay = 5 * time.Minute
-	// raisedOps is the number of operations by which a raise increases MaxOps.
-	raisedOps = 2
+	// opsRaiseStep is the number of operations by which a raise increases MaxOps.
+	opsRaiseStep = 2
 )
 
 // requiredLimits returns the smallest limits that allow a transaction. ConditionsPerOp conditions count as one
@@ -46,11 +46,11 @@
 	return required.MaxOps <= l.MaxOps && required.MaxValueBytes <= l.MaxValueBytes
 }
 
-// limitEstimator estimates the limits of the state service. The estimate is the configured limits until the service
-// rejects a transaction as too large. The service's limits may shrink without notice, and its response does not state
-// which limit was exceeded.
+// limitEstimator estimates the limits of the state service. The estimate equals the configured limits until the
+// service rejects a transaction as too large. The service's limits may shrink without notice, and its response does
+// not state which limit was exceeded.
 //
-//	configured  the estimate is the configured limits; a rejection lowers each limit for which the rejected
+//	configured  the estimate equals the configured limits; a rejection lowers each limit for which the rejected
 //	            transaction required more than was accepted recently
 //	lowered     after raiseDelay without a rejection, one limit at a time is raised by a step; a rejection lowers
 //	            the limit again, but not below the size that was accepted
@@ -119,7 +119,7 @@
 func (e *limitEstimator) raise() {
 	e.lastRaiseWasOps = !e.lastRaiseWasOps
 	if e.lastRaiseWasOps {
-		e.current.MaxOps = min(e.configured.MaxOps, e.current.MaxOps+raisedOps)
+		e.current.MaxOps = min(e.configured.MaxOps, e.current.MaxOps+opsRaiseStep)
 	} else {
 		e.current.MaxValueBytes = min(e.configured.MaxValueBytes, e.current.MaxValueBytes*5/4)
 	}
--- a/internal/store/sizelimits_test.go
+++ b/internal/store/sizelimits_test.go
@@ -49,7 +49,7 @@
 			t.Errorf("service at the configured limits: got %d rejections and limits %v, want none and no change", n, *current)
 		}
 		if n := trial.run(small, 5*time.Second); n > 12 || !small.allow(*current) {
-			t.Errorf("service limits %v: got %d rejections in 5 s and limits %v, want at most 12 and lower limits", small, n, *current)
+			t.Errorf("service limits %v: got %d rejections in 5 s, limits %v; want at most 12, within", small, n, *current)
 		}
 		n := trial.run(small, 30*time.Minute)
 		if n > 60 || current.MaxOps < small.MaxOps/2 || current.MaxValueBytes < small.MaxValueBytes/2 {
--- a/internal/store/watchcache.go
+++ b/internal/store/watchcache.go
@@ -18,7 +18,7 @@
 const (
 	unsynced watchState = iota // the keys have to be listed: for the first time, or because changes were missed
 	listing                    // a list of all keys is in flight
-	watching                   // every change up to the revision was delivered; later changes are watched for
+	watching                   // every change up to the revision was delivered; the cache watches for later changes
 )
 
 // String returns the state's name for log lines.
@@ -84,8 +84,8 @@
 // Revision returns the revision up to which every change was delivered.
 func (w *WatchCache) Revision() uint64 { return w.revision }
 
-// FreshAt returns a time at which the delivered content was certainly complete: the latest time at which a request was
-// sent that has been answered. It is 0 before the first response.
+// FreshAt returns a time at which the delivered content was certainly complete: the time at which the last answered
+// request was sent, or 0 before the first response.
 func (w *WatchCache) FreshAt() time.Duration { return w.freshAt }
 
 // setState changes the state and logs the change. All changes of state go through it.
@@ -95,7 +95,7 @@
 	w.state = next
 }
 
-// Tick sends the request that is due, if any.
+// Tick sends the next list or watch if one is due, and replaces a lost watch.
 func (w *WatchCache) Tick(now time.Duration) {
 	if w.isWatchLost(now) {
 		slog.Info("overdue watch replaced", "prefix", w.prefix)
