--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxBootSamples is how many boots of a type in a zone are remembered.
+	// maxBootSamples is the number of recent boot times that are kept for each type in each zone.
 	maxBootSamples = 16
-	// minBootSamples is how many it takes to expect anything but the default.
+	// minBootSamples is the number of boot times below which the default is expected.
 	minBootSamples = 4
 )
 
-// How bootTimes.expected follows from the cloud's usual boot time, in seconds, and from recent boots. Boots take 0.6 to
-// 1.5 times the usual time, and some several times.
+// Parameters of bootTimes.expected, which follows from the cloud's usual boot time in seconds and from recent boots.
+// Most boots take 0.6 to 1.5 times the usual time; some take several times as long.
 const (
-	// Without enough samples: a multiple of the usual time, and a constant.
+	// With fewer than minBootSamples, the expected time is a multiple of the usual time plus a constant.
 	defaultBootFactor = 2.2
 	defaultBootExtraS = 10
-	// With them: a multiple of what nine of ten took, between two bounds.
+	// With enough samples, the expected time is a multiple of the ninth decile, between a minimum and a maximum.
 	ninthDecileFactor = 1.25
 	minExpectedFactor = 1.5 // of the usual time, plus minExpectedExtraS
 	minExpectedExtraS = 5
-	maxExpectedFactor = 4 // of the time without samples
+	maxExpectedFactor = 4 // of the expected time without samples
 )
 
 // pendingBoot is a machine that was rented and has sent no heartbeat yet.
@@ -35,24 +35,24 @@
 	startedAt time.Duration
 }
 
-// bootKind is what boot times depend on.
+// bootKind is the machine type and zone that boot times are grouped by.
 type bootKind struct{ typeIndex, zone int32 }
 
-// bootKind returns what the boot time of a machine of an offer depends on.
+// bootKind returns the group of the offer's boot times.
 func (o offer) bootKind() bootKind { return bootKind{typeIndex: o.typeIndex, zone: o.zone} }
 
 // bootTimes are the durations of recent boots, in seconds, the newest last.
 type bootTimes map[bootKind][]float64
 
-// record adds a boot that has completed.
+// record adds the duration of a completed boot and drops the oldest beyond maxBootSamples.
 func (b bootTimes) record(o offer, duration time.Duration) {
 	kind := o.bootKind()
 	samples := append(b[kind], duration.Seconds())
 	b[kind] = samples[max(0, len(samples)-maxBootSamples):]
 }
 
-// expected is the time within which a boot usually completes: a quarter more than nine of ten recent boots of its
-// kind took. With too few samples it follows from bootS, the cloud's usual time.
+// expected returns the time within which a boot of an offer usually completes: a quarter more than the ninth decile
+// of recent boots of its kind. With too few samples the time follows from bootS, the cloud's usual time in seconds.
 func (b bootTimes) expected(o offer, bootS float64) time.Duration {
 	defaultS := defaultBootFactor*bootS + defaultBootExtraS
 	samples := b[o.bootKind()]
@@ -66,12 +66,12 @@
 	return jobs.Seconds(min(max(ninthDecileFactor*ninthDecile, atLeastS), maxExpectedFactor*defaultS))
 }
 
-// timeout is when a boot is abandoned and its machine returned: after waiting as long beyond the expected time as
-// another boot takes, so that neither waiting for one that never completes nor abandoning one that would complete
-// late costs more than twice the best choice.
+// timeout returns how long a boot may take before its machine is returned. Beyond the expected time it waits as long
+// as another boot takes. So a boot that never completes, and a late boot that is abandoned, each cost at most twice
+// the best choice.
 func (b bootTimes) timeout(o offer, bootS float64) time.Duration { return 2 * b.expected(o, bootS) }
 
-// evaluateBoots records the boots that have completed, and returns the machines of those that have timed out.
+// evaluateBoots records the boots that have completed, and marks the machines whose boots have timed out for return.
 func (m *Manager) evaluateBoots(now time.Duration) {
 	for name, boot := range m.boots {
 		elapsed := now - boot.startedAt
@@ -87,15 +87,15 @@
 	}
 }
 
-// overdueGroup is the boots of one offer that are overdue.
+// overdueGroup holds the overdue boots of one offer, by machine name.
 type overdueGroup struct {
 	names      []string
 	maxOverdue time.Duration
 }
 
-// overdueBoots returns the boots that don't count as capacity any more. Those of one offer are replaced one after
-// the other, over as long again as the expected time: where a whole batch is late together, replacing all at once
-// would pay for both.
+// overdueBoots returns the names of the booting machines that no longer count as capacity, so that they are replaced.
+// The overdue boots of an offer are replaced gradually, over the expected time once more: if a whole batch is late,
+// replacing all machines at once would pay for both batches.
 func (m *Manager) overdueBoots(now time.Duration) map[string]bool {
 	replaced := map[string]bool{}
 	for o, group := range m.groupOverdue(now) {
@@ -110,7 +110,7 @@
 	return replaced
 }
 
-// groupOverdue returns the boots that take longer than expected, by offer.
+// groupOverdue returns the boots that have taken longer than expected, by offer.
 func (m *Manager) groupOverdue(now time.Duration) map[offer]*overdueGroup {
 	groups := map[offer]*overdueGroup{}
 	for name, boot := range m.boots {
@@ -133,8 +133,8 @@
 	return groups
 }
 
-// Booting returns how many machines that a job may use are booting, and in how many seconds the first is expected,
-// 0 if it is overdue.
+// Booting returns the number of booting machines that a job may use, and the seconds until the first of them is
+// expected to be up. nextS is 0 if that boot is overdue or no such machine is booting.
 func (m *Manager) Booting(now time.Duration, job *jobs.Job) (count int, nextS float64) {
 	nextS = math.Inf(1)
 	for _, boot := range m.boots {
--- a/internal/capacity/boots_test.go
+++ b/internal/capacity/boots_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// A machine that never boots is returned once, and the lagging list doesn't bring it back.
+// A machine that never boots is returned once, also if the lagging list still has it after its return.
 func TestBootThatNeverCompletesIsReturnedOnce(t *testing.T) {
 	f := newFixture()
 	f.cloud.available = map[cloudOffer]int{{"a", false}: 1}
 	f.submit(t, 1, false)
 	f.runFor(5 * time.Second)
 	if len(f.cloud.machines) != 1 {
-		t.Fatal("nothing rented")
+		t.Fatalf("%d machines rented, want 1", len(f.cloud.machines))
 	}
 	var rented listedMachine
 	for _, machine := range f.cloud.machines {
@@ -24,11 +24,12 @@
 	f.cloud.machines[rented.Name] = rented
 	f.runFor(20 * time.Second)
 	if f.cloud.returnRequests != 1 {
-		t.Fatalf("returned %d times, want once", f.cloud.returnRequests)
+		t.Fatalf("%d requests to return machines, want 1", f.cloud.returnRequests)
 	}
 }
 
-// After several long boots of a type in a zone, boots of that kind are given longer, and others aren't.
+// After several slow boots of a type in a zone, the expected boot time of that type in that zone is longer, and in
+// another zone it is unchanged. After many fast boots it is shorter than the default.
 func TestExpectedBootTimeFollowsRecentBoots(t *testing.T) {
 	f := newFixture()
 	machineType := f.Types()[0]
@@ -41,17 +42,18 @@
 		f.bootTimes.record(slow, 2*initial)
 	}
 	if got := expected(slow); got < 2*initial || got > 4*initial || expected(other) != initial {
-		t.Fatalf("expects %v there, %v elsewhere, %v at first", got, expected(other), initial)
+		t.Fatalf("after slow boots in zone a: expected boot time %v there, want 2 to 4 times %v; %v in zone b, want %v",
+			got, initial, expected(other), initial)
 	}
 	for range 30 {
 		f.bootTimes.record(slow, initial/4)
 	}
 	if got := expected(slow); got >= initial {
-		t.Fatalf("expects %v after many quick boots", got)
+		t.Fatalf("after many fast boots: expected boot time %v, want less than %v", got, initial)
 	}
 }
 
-// Boots that are overdue together are replaced one after the other, and all of them in the end.
+// If many boots become overdue at the same time, they are replaced gradually, and finally all of them.
 func TestOverdueBootsAreReplacedGradually(t *testing.T) {
 	f := newFixture()
 	machineType := f.Types()[0]
@@ -64,11 +66,11 @@
 	for now := expected - time.Second; now < 2*expected+2*time.Second; now += time.Second {
 		count := len(f.overdueBoots(now))
 		if count < replaced || count-replaced > 2 {
-			t.Fatalf("%v: %d boots are replaced at once", now, count-replaced)
+			t.Fatalf("at %v: %d more boots are replaced than a second before, want 0 to 2", now, count-replaced)
 		}
 		replaced = count
 	}
 	if replaced != 40 {
-		t.Fatalf("%d of 40 are replaced in the end", replaced)
+		t.Fatalf("%d boots are replaced in the end, want 40", replaced)
 	}
 }
--- a/internal/capacity/cloudapi.go
+++ b/internal/capacity/cloudapi.go
@@ -13,13 +13,13 @@
 
 const (
 	cloudTimeout = 5 * time.Second
-	// cloudBurstS is how many seconds of the cloud's rate may be used at once.
+	// cloudBurstS is the largest burst of requests, in seconds of the allowed rate.
 	cloudBurstS = 0.8
-	// listPageSize is the number of machines in one response of the list.
+	// listPageSize is the number of machines in one page of the cloud's list.
 	listPageSize = 500
 )
 
-// Cloud sends requests to the cloud's API within a rate.
+// Cloud is a client of the cloud's API that limits the rate of its requests.
 type Cloud struct {
 	addr   string
 	sender httpio.Sender
@@ -32,7 +32,8 @@
 	return &Cloud{addr: addr, sender: sender, now: now, budget: store.NewBudget(rps, cloudBurstS)}
 }
 
-// call sends a request unless the rate is used up; then it returns false, and done isn't called.
+// call sends a request and passes the response to done. If the rate limit is reached, call returns false and done isn't
+// called.
 func (c *Cloud) call(method, path string, body any, done func(httpio.Response)) bool {
 	if !c.budget.Allows(c.now(), 1, store.SafetyPriority) {
 		return false
@@ -46,8 +47,8 @@
 	return true
 }
 
-// Types requests the machine types. done gets the response's body and the types, both nil after any error. Types
-// returns false if the rate is used up; then done isn't called.
+// Types requests the machine types. It passes the response's body and the types to done, both nil after any error. If
+// the rate limit is reached, Types returns false and done isn't called.
 func (c *Cloud) Types(done func(raw []byte, types []MachineType)) bool {
 	return c.call(http.MethodGet, "/machine_types", nil, func(response httpio.Response) {
 		if !isOK(response) {
@@ -63,12 +64,12 @@
 	})
 }
 
-// isOK reports whether a request succeeded.
+// isOK reports whether a request succeeded with status 200.
 func isOK(response httpio.Response) bool {
 	return response.Err == nil && response.Status == http.StatusOK
 }
 
-// listedState is a machine's state in the cloud's list. All other values are of machines that run.
+// listedState is a machine's state in the cloud's list. A machine with any other value than the two below is running.
 type listedState string
 
 const (
@@ -117,7 +118,8 @@
 	return machines, body.HasMore, nil
 }
 
-// listPath is the path of the page after the machine with a name, "" for the first page.
+// listPath returns the path of the list page that begins after the machine of a name; the name is "" for the first
+// page.
 func listPath(after string) string {
 	path := "/machines?limit=" + strconv.Itoa(listPageSize)
 	if after != "" {
@@ -126,8 +128,8 @@
 	return path
 }
 
-// rentBody is the body of a request to rent machines. The cloud carries each claim out once, however often it
-// arrives.
+// rentBody is the body of a request to rent machines. Claim is an idempotency key: the cloud executes each claim once,
+// however often the request arrives.
 type rentBody struct {
 	Type   string `json:"build"`
 	Claim  string `json:"claim"`
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -22,24 +22,24 @@
 	os.Exit(m.Run())
 }
 
-// cloudOffer is what simulatedCloud has a number of machines of.
+// cloudOffer is the kind of machines by which simulatedCloud counts its available machines.
 type cloudOffer struct {
 	zone   string
 	isSpot bool
 }
 
-// simulatedCloud is a cloud whose machines boot forever. Responses wait until the test delivers them. Names of the
-// wire format are written out here, so that the tests notice a change of the package's.
+// simulatedCloud is a cloud whose machines never finish booting. Responses are queued until the test delivers them.
+// The names of the wire format are repeated here, so that tests fail if the package's names change.
 type simulatedCloud struct {
 	now            time.Duration
 	available      map[cloudOffer]int
-	machines       map[string]listedMachine
-	rentedAt       map[string]time.Duration
-	claims         map[string]bool
-	rented         int
-	responses      []func()
-	delayResponses bool
-	returnRequests int
+	machines       map[string]listedMachine // machines rented and not returned, by name
+	rentedAt       map[string]time.Duration // by machine name
+	claims         map[string]bool          // claims used so far
+	rented         int                      // number of machines rented so far
+	responses      []func()                 // deliver the queued responses, the oldest first
+	delayResponses bool                     // runFor doesn't deliver responses
+	returnRequests int                      // number of requests to return machines
 }
 
 // Send implements httpio.Sender.
@@ -48,14 +48,14 @@
 	c.responses = append(c.responses, func() { done(response) })
 }
 
-// deliverNext delivers the response that has waited longest.
+// deliverNext delivers the oldest queued response.
 func (c *simulatedCloud) deliverNext() {
 	next := c.responses[0]
 	c.responses = c.responses[1:]
 	next()
 }
 
-// deliverAll delivers all responses, those to requests made meanwhile included.
+// deliverAll delivers all queued responses, including responses to requests that are sent while it runs.
 func (c *simulatedCloud) deliverAll() {
 	for len(c.responses) > 0 {
 		c.deliverNext()
@@ -191,7 +191,7 @@
 	}
 }
 
-// submit adds a job whose tasks take a quarter of a machine each.
+// submit adds a job whose tasks take a quarter of a machine's CPUs each.
 func (f *fixture) submit(t *testing.T, tasks int, allowsSpot bool) {
 	t.Helper()
 	f.revision++
@@ -217,7 +217,7 @@
 	f.Fleet.RankJobs(f.cloud.now)
 }
 
-// heartbeat is one of machine i, which alternate between the zones a and b.
+// heartbeat returns a heartbeat of machine i. Machines with an even number are in zone a, the others in zone b.
 func heartbeat(i int, seq uint64) *fleet.Heartbeat {
 	return &fleet.Heartbeat{
 		Machine: fmt.Sprintf("i-%d", i),
@@ -230,7 +230,8 @@
 	}
 }
 
-// runFor lets time pass.
+// runFor advances the clock in steps of 100 ms, with a tick and, unless delayResponses is set, the delivery of all
+// responses at each step.
 func (f *fixture) runFor(duration time.Duration) {
 	for end := f.cloud.now + duration; f.cloud.now < end; f.cloud.now += 100 * time.Millisecond {
 		f.Tick(f.cloud.now, f.authoritySince)
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -7,44 +7,45 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// returnCause is why a machine is returned. Operators see it in logs and events.
+// returnCause is the reason for which a machine is returned, as shown in logs and events.
 type returnCause string
 
 // The causes of a return.
 const (
 	causeBootTimeout returnCause = "never came up"
-	causeFailed      returnCause = "failed" // by the cloud's list
+	causeFailed      returnCause = "failed" // the cloud's list has it as failed
 	causeUnlisted    returnCause = "no longer listed"
 	causeSilent      returnCause = "silent" // no heartbeats
-	// causeOneWay: its heartbeats arrive, and it gets no response.
+	// causeOneWay: the machine's heartbeats arrive, but responses don't reach it.
 	causeOneWay      returnCause = "deaf"
 	causeLeaseExpiry returnCause = "lost"
 	causeFaulty      returnCause = "faulty"
 	causeIdle        returnCause = "idle"
-	causeRetired     returnCause = "retired" // it was stopped for its return and runs nothing any more
+	causeRetired     returnCause = "retired" // it got no more tasks because of its return, and its last task has ended
 )
 
-// fleetHealth summarizes the machines that should send heartbeats.
+// fleetHealth counts the machines from which heartbeats are expected.
 type fleetHealth struct {
-	silenceLimit time.Duration // a machine without heartbeats for longer is silent
-	isSteady     bool          // the controller has had authority for long enough to hear every reachable worker
-	up           int
-	idle         int
-	silent       int
+	silenceLimit      time.Duration // a machine without heartbeats for longer is silent
+	authorityIsStable bool          // held for so long that every reachable worker has sent a heartbeat
+	up                int           // all machines from which heartbeats are expected
+	idle              int           // of these, the ones without tasks
+	silent            int           // of these, the ones without a heartbeat for silenceLimit
 }
 
-// fewSilent reports whether few machines are silent. Many at once are probably cut off rather than dead.
+// fewSilent reports whether at most a quarter of the machines, or one, is silent. If more are silent at once, they are
+// probably cut off by a network fault rather than dead.
 func (h fleetHealth) fewSilent() bool { return h.silent <= max(1, h.up/4) }
 
-// someHeard reports whether any machine isn't silent.
-func (h fleetHealth) someHeard() bool { return h.silent < h.up }
+// anyReachable reports whether at least one machine has sent heartbeats within the silence limit.
+func (h fleetHealth) anyReachable() bool { return h.silent < h.up }
 
-// evaluateMachines finds the machines to return: those that never boot, unreachable and faulty ones, and idle ones
-// beyond the headroom. isSteady is as in fleetHealth.
-func (m *Manager) evaluateMachines(now time.Duration, isSteady bool) {
+// evaluateMachines marks machines for return: those that never boot, unreachable and faulty machines, and idle machines
+// beyond the headroom. authorityIsStable has the meaning of the field of fleetHealth.
+func (m *Manager) evaluateMachines(now time.Duration, authorityIsStable bool) {
 	m.evaluateBoots(now)
 	m.evaluateZones(now)
-	health := m.fleetHealth(now, isSteady)
+	health := m.fleetHealth(now, authorityIsStable)
 	m.idleLimitFactor = idleLimitFactor(health.up, health.idle, m.Settings.Operator.Headroom)
 	for _, machine := range m.Fleet.Machines() {
 		silence := now - machine.LastContactAt
@@ -56,9 +57,12 @@
 	}
 }
 
-// fleetHealth counts the machines that should send heartbeats, and those of them that are idle or silent.
-func (m *Manager) fleetHealth(now time.Duration, isSteady bool) fleetHealth {
-	health := fleetHealth{silenceLimit: jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS), isSteady: isSteady}
+// fleetHealth counts the machines from which heartbeats are expected, and how many of them are idle or silent.
+func (m *Manager) fleetHealth(now time.Duration, authorityIsStable bool) fleetHealth {
+	health := fleetHealth{
+		silenceLimit:      jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS),
+		authorityIsStable: authorityIsStable,
+	}
 	for _, machine := range m.Fleet.Machines() {
 		if !machine.Condition.ExpectsHeartbeats() {
 			continue
@@ -77,32 +81,33 @@
 // isIdle reports whether a machine has no tasks, neither running nor queued.
 func isIdle(machine *fleet.Machine) bool { return len(machine.Tasks) == 0 && machine.QueuedTasks == 0 }
 
-// evaluateMachine returns a machine if there is a cause.
+// evaluateMachine marks a machine for return if there is a cause.
 func (m *Manager) evaluateMachine(now time.Duration, machine *fleet.Machine, health fleetHealth) {
 	switch machine.Condition {
 	case fleet.Ready:
 		m.evaluateReady(now, machine, health)
 	case fleet.Registered:
-		if m.isSilent(now, machine, health) {
+		if m.shouldReturnSilent(now, machine, health) {
 			m.toReturn[machine.Name] = causeSilent
 		}
 	case fleet.OneWayUnreachable:
 		m.evaluateOneWay(now, machine, health)
 	case fleet.LeaseExpired:
-		if m.isLost(now, machine, health) {
+		if m.shouldReturnExpired(now, machine, health) {
 			m.toReturn[machine.Name] = causeLeaseExpiry
 		}
 	}
-	// Also a machine that was stopped for its return just now.
+	// This includes a machine that the switch above has just set to returning.
 	if machine.Returning && machine.Condition == fleet.ReclaimNoticed && len(machine.Tasks) == 0 {
 		m.toReturn[machine.Name] = causeRetired
 	}
 }
 
-// evaluateReady returns a ready machine that is silent. One that is faulty or surplus gets no more work first.
+// evaluateReady marks a ready machine for return if it is silent. A faulty or surplus machine gets no more tasks from
+// now on, and is returned once it is empty.
 func (m *Manager) evaluateReady(now time.Duration, machine *fleet.Machine, health fleetHealth) {
 	switch {
-	case m.isSilent(now, machine, health):
+	case m.shouldReturnSilent(now, machine, health):
 		m.toReturn[machine.Name] = causeSilent
 	case m.Fleet.Faulty(machine):
 		m.Fleet.ReturnMachine(machine, string(causeFaulty))
@@ -111,35 +116,40 @@
 	}
 }
 
-// evaluateOneWay returns a machine that gets no responses once a replacement would have paid off. Since its
-// heartbeats arrive, it isn't the controller that is cut off.
+// evaluateOneWay marks a machine that responses don't reach for return, once a replacement would have paid off. Since
+// the machine's heartbeats arrive, the controller isn't cut off, so this applies even if many machines are silent.
 func (m *Manager) evaluateOneWay(now time.Duration, machine *fleet.Machine, health fleetHealth) {
 	limit := max(health.silenceLimit, m.retentionTime(machine))
 	switch {
-	case m.isSilent(now, machine, health):
+	case m.shouldReturnSilent(now, machine, health):
 		m.toReturn[machine.Name] = causeSilent
-	case health.isSteady && health.someHeard() && now-machine.LastContactAt > limit:
+	case health.authorityIsStable && health.anyReachable() && now-machine.LastContactAt > limit:
 		m.toReturn[machine.Name] = causeOneWay
 	}
 }
 
-// isSilent reports whether a machine has been silent for too long, and that isn't due to a cut.
-func (m *Manager) isSilent(now time.Duration, machine *fleet.Machine, health fleetHealth) bool {
-	return now-machine.LastContactAt > health.silenceLimit && health.isSteady && health.silent > 0 && health.fewSilent()
+// shouldReturnSilent reports whether a machine has been silent for too long, while so few machines are silent that a
+// network fault is unlikely.
+func (m *Manager) shouldReturnSilent(now time.Duration, machine *fleet.Machine, health fleetHealth) bool {
+	return now-machine.LastContactAt > health.silenceLimit &&
+		health.authorityIsStable &&
+		health.silent > 0 &&
+		health.fewSilent()
 }
 
-// isLost reports whether a machine whose lease has expired is to be returned. Even if many are silent, keeping one
-// for longer than its retention time costs more than it can save.
-func (m *Manager) isLost(now time.Duration, machine *fleet.Machine, health fleetHealth) bool {
+// shouldReturnExpired reports whether a machine whose lease has expired is to be returned. Even if many machines are
+// silent, keeping a machine for longer than its retention time costs more than it can save.
+func (m *Manager) shouldReturnExpired(now time.Duration, machine *fleet.Machine, health fleetHealth) bool {
 	silence := now - machine.LastContactAt
 	limit := 2 * health.silenceLimit
-	if !health.isSteady || silence <= limit || now-machine.LastHeartbeatAt <= health.silenceLimit {
+	if !health.authorityIsStable || silence <= limit || now-machine.LastHeartbeatAt <= health.silenceLimit {
 		return false
 	}
-	return health.fewSilent() || (silence > limit+m.retentionTime(machine) && health.someHeard())
+	return health.fewSilent() || (silence > limit+m.retentionTime(machine) && health.anyReachable())
 }
 
-// isSurplus reports whether a machine has been idle for too long, while more is idle than the headroom allows.
+// isSurplus reports whether a machine has been idle for longer than its idle limit, while the idle machines cost more
+// than the headroom allows and no zone is recovering.
 func (m *Manager) isSurplus(now time.Duration, machine *fleet.Machine) bool {
 	return isIdle(machine) &&
 		now-machine.IdleSince > m.idleLimit(machine) &&
@@ -147,10 +157,10 @@
 		!m.Zones.HasRecoveringZones()
 }
 
-// defaultUsefulS stands for the time until a machine of an unknown type is useful, in seconds.
+// defaultUsefulS is the assumed time until a new machine of an unknown type runs its first task, in seconds.
 const defaultUsefulS = 60.0
 
-// retentionTime is how long a machine that may be cut off is kept: twice as long as a replacement takes.
+// retentionTime returns how long a machine that may be cut off is kept: twice the time until a replacement runs a task.
 func (m *Manager) retentionTime(machine *fleet.Machine) time.Duration {
 	seconds := defaultUsefulS
 	if machineType := m.machineType(machine.Type); machineType != nil {
--- a/internal/capacity/health_test.go
+++ b/internal/capacity/health_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A lost zone keeps its machines, however many there are, while a single silent machine is returned.
+// The machines of a lost zone are not returned, although half of the fleet is silent. A single silent machine is
+// returned.
 func TestMachinesOfALostZoneAreKept(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -23,7 +24,7 @@
 				f.cloud.now += time.Second
 				for i := range 40 {
 					goesSilent := i == 1 || (c.isZoneLost && i%2 == 1)
-					// The heartbeats of those that go silent cease one after the other.
+					// The silent machines stop sending heartbeats one after the other.
 					if !goesSilent || second < i%4 {
 						seq++
 						f.Fleet.HandleHeartbeat(f.cloud.now, heartbeat(i, seq))
@@ -32,21 +33,22 @@
 				f.evaluateMachines(f.cloud.now, true)
 			}
 			if len(f.toReturn) != c.wantReturned {
-				t.Fatalf("%d machines to be returned, want %d: %v", len(f.toReturn), c.wantReturned, f.toReturn)
+				t.Fatalf("%d machines to return, want %d: %v", len(f.toReturn), c.wantReturned, f.toReturn)
 			}
 		})
 	}
 }
 
-// While a controller has no authority it hears no machine, and that isn't counted as the machines' silence.
+// A controller without authority receives no heartbeats. That time doesn't count as the machines' silence, so no zone
+// is found lost right after the controller gains its authority.
 func TestSilenceCountsFromAuthority(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		hadAuthority bool
 		wantLost     int
 	}{
-		{name: "authority regained just now", hadAuthority: false, wantLost: 0},
-		{name: "authority all the time", hadAuthority: true, wantLost: 2},
+		{name: "authority gained after the last heartbeats", hadAuthority: false, wantLost: 0},
+		{name: "authority held since before the heartbeats", hadAuthority: true, wantLost: 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
@@ -59,7 +61,7 @@
 			}
 			f.runFor(time.Second)
 			if lost := len(f.Zones.Lost()); lost != c.wantLost {
-				t.Fatalf("%d zones count as lost, want %d", lost, c.wantLost)
+				t.Fatalf("%d zones lost, want %d", lost, c.wantLost)
 			}
 		})
 	}
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -13,24 +13,24 @@
 	listRetryDelay = time.Second
 	// minListIntervalS is the minimum time between two reads of the list, in seconds.
 	minListIntervalS = 2.0
-	// Times by which a machine may be missing from the list beyond the list's lag.
-	maxUnlistedBoot    = 20 * time.Second
-	maxUnlistedExpired = 10 * time.Second
-	// returnedRetentionLags is for how many times the list's lag a returned machine is remembered: a list may be
-	// older than the one before, so its absence from one list isn't enough.
+	// Slack beyond the list's lag for which a booting machine, or a machine with an expired lease, may be unlisted.
+	unlistedBootSlack    = 20 * time.Second
+	unlistedExpiredSlack = 10 * time.Second
+	// returnedRetentionLags is how long a returned machine is remembered, in multiples of the list's lag. A list may be
+	// older than the list read before it, so a machine that is missing from one list may be in the next.
 	returnedRetentionLags = 10
 )
 
 // inventory is the progress of reading the cloud's list, page by page.
 type inventory struct {
-	requesting  bool // a request is in flight
-	nextRequest time.Duration
-	lastName    string // of the pages read so far, "" before the first
-	machines    []listedMachine
-	readAt      time.Duration // when the last whole list was read, 0: never
+	requesting  bool            // a request is in flight
+	nextRequest time.Duration   // when the next page may be requested
+	lastName    string          // the last machine of the pages read so far, "" before the first page
+	machines    []listedMachine // the machines of the pages read so far
+	readAt      time.Duration   // when the list was last read completely; 0: not yet
 }
 
-// restart drops the pages read so far.
+// restart drops the pages read so far. nextRequest is when the first page may be requested again.
 func (i *inventory) restart(nextRequest time.Duration) {
 	i.lastName = ""
 	i.machines = nil
@@ -46,7 +46,8 @@
 	})
 }
 
-// handleListPage adds a page, and reconciles the fleet with the list after the last one.
+// handleListPage adds a page to the list. After the last page it reconciles the fleet with the list. After an error it
+// reads the list again from the first page.
 func (m *Manager) handleListPage(now time.Duration, response httpio.Response) {
 	if !isOK(response) {
 		m.inventory.restart(now + listRetryDelay)
@@ -70,7 +71,7 @@
 	m.reconcile(now, listed)
 }
 
-// reconcile updates the fleet and the boots from the list.
+// reconcile updates the fleet and the boots from a complete list.
 func (m *Manager) reconcile(now time.Duration, listed []listedMachine) {
 	isListed := make(map[string]bool, len(listed))
 	for _, entry := range listed {
@@ -82,7 +83,7 @@
 	m.reconcileUnlisted(now, isListed)
 }
 
-// isReturned reports whether a machine was returned, so that a list which still shows it lags behind.
+// isReturned reports whether a machine was returned. A list that still has the machine lags behind.
 func (m *Manager) isReturned(name string) bool {
 	if machine := m.Fleet.FindMachine(name); machine != nil && machine.Condition == fleet.Terminated {
 		return true
@@ -110,7 +111,7 @@
 	}
 }
 
-// reconcileBoot updates a boot from its entry of the list, unless its machine has sent a heartbeat already.
+// reconcileBoot adds or updates a boot from the machine's entry in the list, unless the machine has sent a heartbeat.
 func (m *Manager) reconcileBoot(now time.Duration, entry listedMachine) {
 	machine := m.Fleet.FindMachine(entry.Name)
 	if machine != nil && machine.Session > 0 {
@@ -128,11 +129,12 @@
 	boot.startedAt = now - jobs.Seconds(entry.AgeS)
 }
 
-// reconcileUnlisted drops what has been missing from the list for longer than the list's lag explains.
+// reconcileUnlisted drops boots and machines with an expired lease that have been unlisted for longer than the list's
+// lag explains. It also drops the records of machines that were returned long ago.
 func (m *Manager) reconcileUnlisted(now time.Duration, isListed map[string]bool) {
 	lag := jobs.Seconds(2*m.Settings.Params.Cloud.ListLagS + 2)
 	for name, boot := range m.boots {
-		if !isListed[name] && now-boot.startedAt > lag+maxUnlistedBoot {
+		if !isListed[name] && now-boot.startedAt > lag+unlistedBootSlack {
 			delete(m.boots, name)
 		}
 	}
@@ -142,7 +144,7 @@
 		}
 	}
 	for _, machine := range m.Fleet.Machines() {
-		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastContactAt > lag+maxUnlistedExpired
+		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastContactAt > lag+unlistedExpiredSlack
 		if isExpired && !isListed[machine.Name] {
 			m.Fleet.HandleReturned(now, machine, string(causeUnlisted))
 		}
--- a/internal/capacity/machinetype.go
+++ b/internal/capacity/machinetype.go
@@ -16,13 +16,13 @@
 	Name    string
 	CPUs    float64
 	GPUs    float64
-	Mem     float64  // GB
-	CacheGB float64  // for images
-	FetchGB float64  // of images, per second
-	Price   float64  // per hour, on demand
-	Spot    float64  // per hour, as a spot instance
+	Mem     float64  // memory, GB
+	CacheGB float64  // size of the image cache
+	FetchGB float64  // rate at which images are fetched, GB per second
+	Price   float64  // on-demand price per hour
+	Spot    float64  // spot price per hour
 	BootS   float64  // usual boot time, seconds
-	Zones   []string // that offer it
+	Zones   []string // zones that offer the type
 }
 
 // machineTypeBody is a MachineType on the wire.
@@ -39,12 +39,12 @@
 	Zones   []string `json:"meadows"`
 }
 
-// machineTypesBody is the body of the cloud's response about its types.
+// machineTypesBody is the body of the cloud's response with its machine types.
 type machineTypesBody struct {
 	Types []machineTypeBody `json:"builds"`
 }
 
-// ParseTypes decodes the cloud's response about its types. It returns ErrNoMachineTypes if there are none.
+// ParseTypes decodes the cloud's response with its machine types. It returns ErrNoMachineTypes if there are none.
 func ParseTypes(raw []byte) ([]MachineType, error) {
 	var body machineTypesBody
 	if err := json.Unmarshal(raw, &body); err != nil {
@@ -60,13 +60,13 @@
 	return types, nil
 }
 
-// MarshalJSON encodes a type as the cloud sends it. Simulated clouds use it.
+// MarshalJSON encodes a type in the cloud's wire format, for simulated clouds.
 func (t MachineType) MarshalJSON() ([]byte, error) { return json.Marshal(machineTypeBody(t)) }
 
 // Size returns the resources of a machine of the type.
 func (t MachineType) Size() planner.Size { return planner.Size{CPUs: t.CPUs, GPUs: t.GPUs, Mem: t.Mem} }
 
-// hourlyPrice is the price of a machine of the type, as a spot instance or on demand.
+// hourlyPrice returns the spot or the on-demand price of a machine of the type.
 func (t MachineType) hourlyPrice(isSpot bool) float64 {
 	if isSpot {
 		return t.Spot
@@ -74,7 +74,7 @@
 	return t.Price
 }
 
-// machineType returns the type with an index, nil if the cloud doesn't offer it or the index is jobs.None.
+// machineType returns the type with an index, or nil if the cloud doesn't offer the type or the index is jobs.None.
 func (m *Manager) machineType(index int32) *MachineType {
 	if index == jobs.None {
 		return nil
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// secondsUntilUseful is how long a new machine of a type takes until it runs a task: its boot and the fetch of an
-// image of mean size.
+// secondsUntilUseful returns how long a new machine of a type takes until it runs its first task: the usual boot time
+// and the time to fetch an image of mean size.
 func (m *Manager) secondsUntilUseful(machineType *MachineType) float64 {
 	seconds := machineType.BootS
 	if machineType.FetchGB > 0 {
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -1,10 +1,11 @@
-// Package capacity scales the fleet out and in: it rents machines for the work that the present ones can't do
-// before a new one would be ready, and returns those that never boot, that are unreachable or faulty, or that are
-// idle. It reads the cloud's list of machines, learns how long boots take, and evaluates which zones are lost.
+// Package capacity scales the fleet out and in. It rents machines for work that the present machines can't do before a
+// new machine would be ready. It returns machines that never boot, are unreachable or faulty, or are idle. It reads the
+// cloud's list of machines, measures how long boots take, and determines which zones are lost.
 //
 // The leader makes one Manager for each of its terms, calls Tick on its event loop, and stops the Manager with the
-// term. The package never decides where a task runs, and a machine only counts as gone once the cloud has confirmed
-// its return or its list lacks an expired machine for long enough. The fleet then drops the machine's tasks.
+// term. The package never decides where a task runs. A machine counts as gone only once the cloud has confirmed its
+// return, or once the cloud's list has lacked a machine with an expired lease for long enough. The fleet then releases
+// the machine's tasks.
 package capacity
 
 import (
@@ -21,7 +22,7 @@
 const (
 	evaluationInterval = 250 * time.Millisecond
 	scaleOutInterval   = 700 * time.Millisecond
-	// scaleOutRequestInterval is the delay after a request that was sent: more may be needed at once.
+	// scaleOutRequestInterval is the shorter interval after a request to rent, since one request may not be enough.
 	scaleOutRequestInterval = 200 * time.Millisecond
 )
 
@@ -33,7 +34,7 @@
 	Names    *jobs.NameIndex
 	Types    func() []MachineType
 	Term     uint64
-	// Zones hold each zone's reachability.
+	// Zones tracks the reachability of each zone.
 	Zones *zones.Zones
 
 	stopped        bool
@@ -48,18 +49,19 @@
 	renting        bool // a request is in flight
 	nextScaleOut   time.Duration
 	claims         uint64                  // sent in this term; each claim is used once
-	refusedUntil   map[offer]time.Duration // offers of which the cloud had too few machines
+	refusedUntil   map[offer]time.Duration // end of the backoff after the cloud had too few machines of an offer
 	atLimit        bool                    // max_machines was reached when the last scale-out was planned
-	machinesByZone map[int32]int           // ready or booting when the last scale-out was planned
+	machinesByZone map[int32]int           // machines ready or booting when the last scale-out was planned
 
 	// Scale-in.
-	returning       bool                   // a request is in flight
-	toReturn        map[string]returnCause // by machine name
-	returnedAt      map[string]time.Duration
-	idleLimitFactor float64 // set by the function of this name
+	returning       bool                     // a request is in flight
+	toReturn        map[string]returnCause   // marked for return, by machine name
+	returnedAt      map[string]time.Duration // when the cloud confirmed the return, by machine name
+	idleLimitFactor float64                  // last result of the function idleLimitFactor
 }
 
-// New returns the manager of a term. The fleet asks it from now on which zones accept work.
+// New returns the manager of a term. It sets the fleet's ZoneAcceptsWork, so that the zones' state decides which zones
+// accept work.
 func New(
 	settings *config.Settings,
 	cloud *Cloud,
@@ -96,12 +98,12 @@
 	return m
 }
 
-// Stop ends the manager with its term. Responses that arrive later are ignored: the fleet's state ends with the
-// term.
+// Stop ends the manager with its term. Responses that arrive later are ignored, since the fleet's state ends with the
+// term too.
 func (m *Manager) Stop() { m.stopped = true }
 
-// call sends a request to the cloud. Its response is ignored after the term. It returns false if the cloud's rate
-// doesn't allow the request now.
+// call sends a request to the cloud. A response that arrives after Stop is ignored. If the rate limit is reached, call
+// returns false and done isn't called.
 func (m *Manager) call(method, path string, body any, done func(httpio.Response)) bool {
 	return m.Cloud.call(method, path, body, func(response httpio.Response) {
 		if !m.stopped {
@@ -110,8 +112,9 @@
 	})
 }
 
-// Tick does the work that is due. authoritySince is when this controller last gained its authority: no worker could
-// reach it before, so a machine's silence counts from then on.
+// Tick reads the list, evaluates machines, and sends requests to return and to rent, each when its interval has passed.
+// authoritySince is when this controller last gained its authority. Workers couldn't reach the controller before, so a
+// machine's silence counts from that time.
 func (m *Manager) Tick(now, authoritySince time.Duration) {
 	m.authoritySince = authoritySince
 	if !m.inventory.requesting && now >= m.inventory.nextRequest {
@@ -119,11 +122,11 @@
 	}
 	if now >= m.nextEvaluation {
 		m.nextEvaluation = now + evaluationInterval
-		isSteady := now-authoritySince > jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS)
-		m.evaluateMachines(now, isSteady)
+		authorityIsStable := now-authoritySince > jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS)
+		m.evaluateMachines(now, authorityIsStable)
 	}
 	m.returnMachines()
-	// Before the list was read once, machines that exist already would be rented again.
+	// Scale-out waits for the first complete list: without the list, existing machines would be rented again.
 	if m.inventory.readAt > 0 && !m.renting && now >= m.nextScaleOut {
 		m.nextScaleOut = now + scaleOutInterval
 		m.scaleOut(now)
--- a/internal/capacity/manager_test.go
+++ b/internal/capacity/manager_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Responses of the cloud that arrive after the term change nothing.
+// Responses of the cloud that arrive after Stop don't change the fleet.
 func TestResponsesAfterTheTermAreIgnored(t *testing.T) {
 	f := newFixture()
 	machine := f.Fleet.RegisterMachine(0, "i-000001")
@@ -20,12 +20,12 @@
 	f.toReturn[machine.Name] = causeFailed
 	f.runFor(time.Second)
 	if len(f.cloud.responses) < 2 {
-		t.Fatal("no requests were sent")
+		t.Fatalf("%d requests sent, want the list and the return", len(f.cloud.responses))
 	}
 	f.Stop()
-	before := machine.Condition
+	conditionAtStop := machine.Condition
 	f.cloud.deliverAll()
-	if machine.Condition != before {
-		t.Fatalf("condition became %v after the term", machine.Condition)
+	if machine.Condition != conditionAtStop {
+		t.Fatalf("condition after responses that arrived after Stop: %v, want %v", machine.Condition, conditionAtStop)
 	}
 }
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -7,13 +7,13 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// offer is a kind of machine that can be rented.
+// offer is a kind of machine that can be rented: a type in a zone, as a spot or an on-demand instance.
 type offer struct {
 	typeIndex, zone int32
 	isSpot          bool
 }
 
-// less orders offers, so that the choice between equal ones is deterministic.
+// less orders offers, so that the choice between offers of which equally many machines are needed is deterministic.
 func (o offer) less(other offer) bool {
 	if o.typeIndex != other.typeIndex {
 		return o.typeIndex < other.typeIndex
@@ -27,13 +27,13 @@
 // allowedFor reports whether a job's spec allows machines of the offer.
 func (o offer) allowedFor(job *jobs.Job) bool { return job.Allows(o.typeIndex, o.zone, o.isSpot) }
 
-// zoneSpread counts the tasks of a job in each zone, against the limit for any one zone.
+// zoneSpread counts the tasks of a job in each zone, if the job limits the tasks in a zone.
 type zoneSpread struct {
-	limit int           // of tasks in each zone, 0: none
-	tasks map[int32]int // by zone, nil without a limit
+	limit int           // maximum number of tasks in each zone, 0: unlimited
+	tasks map[int32]int // number of tasks by zone, nil without a limit
 }
 
-// zoneSpread returns the spread of a job's tasks, as Fleet.TasksByZone counts them.
+// zoneSpread returns the spread of a job's tasks over the zones, as Fleet.TasksByZone counts them.
 func (m *Manager) zoneSpread(job *jobs.Job) zoneSpread {
 	limit := job.Spec.ZoneLimit()
 	if limit <= 0 {
@@ -42,10 +42,10 @@
 	return zoneSpread{limit: limit, tasks: m.Fleet.TasksByZone(job)}
 }
 
-// isFull reports whether no more tasks may run in a zone.
+// isFull reports whether a zone has reached the limit on tasks.
 func (s zoneSpread) isFull(zone int32) bool { return s.limit > 0 && s.tasks[zone] >= s.limit }
 
-// place adds at most count tasks to a zone and returns how many.
+// place adds at most count tasks to a zone and returns the number of tasks added.
 func (s zoneSpread) place(zone int32, count int) int {
 	if s.limit == 0 {
 		return count
@@ -55,13 +55,15 @@
 	return placed
 }
 
-// zonePenalty raises the price of an offer for each machine in its zone. It only decides between offers of one
-// price: zones are filled evenly, so that no single cut takes all.
+// zonePenalty is added to the price of an offer for each machine in its zone. It is so small that it only decides
+// between offers of equal price. Machines are spread evenly over the zones, so that the loss of a zone doesn't cut off
+// all of them.
 const zonePenalty = 1e-6
 
-// chooseOffer returns the offer with the lowest price for one task of a job, among those that the job, its zone
-// limit and the zones' state allow and that the cloud hasn't refused lately. The price for a task is that of the
-// machine divided by the tasks that fit on it, so that a machine with GPUs isn't chosen for a task without.
+// chooseOffer returns the offer with the lowest price for one task of a job. It considers the offers that the job, its
+// zone limit and the zones' state allow and that aren't in the backoff after a refusal. The price for a task is the
+// price of the machine divided by the number of tasks that fit on it, so that a machine with GPUs isn't chosen for a
+// task without GPUs.
 func (m *Manager) chooseOffer(now time.Duration, job *jobs.Job, spread zoneSpread) (best offer, found bool) {
 	bestPrice := math.Inf(1)
 	for _, machineType := range m.Types() {
--- a/internal/capacity/scalein.go
+++ b/internal/capacity/scalein.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// quiescentIdleLimitS is how long a machine is kept idle while there is no job at all, in seconds.
+	// quiescentIdleLimitS is the maximum idle limit while there is no live job at all, in seconds.
 	quiescentIdleLimitS = 30.0
-	// costObjectiveIdleFactor shortens the idle limit where the operators have set a cost objective.
+	// costObjectiveIdleFactor shortens the idle limit if an objective measures cost.
 	costObjectiveIdleFactor = 0.5
-	// minIdleLimitFactor bounds how much the idle limit is shortened.
+	// minIdleLimitFactor is the minimum result of the function idleLimitFactor.
 	minIdleLimitFactor = 0.15
-	// maxReturnsPerRequest is how many machines are returned in one request.
+	// maxReturnsPerRequest is the maximum number of machines in one request to return machines.
 	maxReturnsPerRequest = 100
 )
 
-// idleLimit is how long a machine is kept idle. By default that is how long a new machine takes until it is useful:
-// the same money would be spent on replacing it. It isn't known whether work arrives before, and this bounds the
-// cost to twice that of the best choice.
+// idleLimit returns how long a machine is kept idle. The default is the time until a new machine would run a task:
+// replacing the machine would cost as much as keeping it for that time. Since it can't be predicted whether work
+// arrives before, this default bounds the cost to twice the cost of the best choice.
 func (m *Manager) idleLimit(machine *fleet.Machine) time.Duration {
 	seconds := m.Settings.Operator.MachineIdleTimeoutS
 	machineType := m.machineType(machine.Type)
@@ -43,15 +43,17 @@
 	return jobs.Seconds(seconds)
 }
 
-// idleLimitFactor shortens the idle limit, up to 1, while more machines are idle than the headroom and chance call
-// for. Several machines of a small fleet may be idle at once and be needed the next moment; the demand on a large
-// one varies by about the root of its size, and what is idle beyond that isn't needed soon.
+// idleLimitFactor returns the factor on the idle limit, from minIdleLimitFactor to 1. The factor is below 1 if more
+// machines are idle than the headroom and random variation of the demand call for. In a small fleet several machines
+// may be idle by chance and be needed soon after. The demand on a large fleet varies by about the square root of the
+// fleet's size; machines that are idle beyond this variation aren't needed soon.
 func idleLimitFactor(up, idle int, headroom float64) float64 {
 	target := max(headroom*float64(up), 2*math.Sqrt(float64(up)))
 	return min(1, max(minIdleLimitFactor, target/max(1, float64(idle))))
 }
 
-// idleExceedsHeadroom reports whether more is idle than the headroom allows.
+// idleExceedsHeadroom reports whether the idle machines cost more than the headroom allows. Without a live job it is
+// always true.
 func (m *Manager) idleExceedsHeadroom() bool {
 	if m.Fleet.Quiescent() {
 		return true
@@ -60,13 +62,13 @@
 	return cost.idle > m.Settings.Operator.Headroom*cost.total
 }
 
-// fleetCost is what the machines cost per hour.
+// fleetCost is the price of the machines per hour.
 type fleetCost struct {
 	total float64
-	idle  float64 // of those that boot or run nothing
+	idle  float64 // part of the total for machines that are booting or have no tasks
 }
 
-// fleetCost sums up the prices of the machines at hand and of those that boot.
+// fleetCost sums up the hourly prices of the present and the booting machines.
 func (m *Manager) fleetCost() fleetCost {
 	var cost fleetCost
 	for _, machine := range m.Fleet.Machines() {
@@ -88,7 +90,7 @@
 	return cost
 }
 
-// hourlyPrice is the price of a machine, 0 if its type isn't offered any more.
+// hourlyPrice returns the price of a machine, or 0 if the cloud no longer offers the machine's type.
 func (m *Manager) hourlyPrice(typeIndex int32, isSpot bool) float64 {
 	machineType := m.machineType(typeIndex)
 	if machineType == nil {
@@ -97,7 +99,8 @@
 	return machineType.hourlyPrice(isSpot)
 }
 
-// returnMachines requests the return of the machines for which there is a cause, the first by name.
+// returnMachines requests the return of the machines in toReturn, at most maxReturnsPerRequest of them, in the order of
+// their names. It sends one request at a time.
 func (m *Manager) returnMachines() {
 	if m.returning || len(m.toReturn) == 0 {
 		return
@@ -113,7 +116,7 @@
 	})
 }
 
-// handleReturned records that the cloud has confirmed the return of machines.
+// handleReturned logs and records that the cloud has confirmed the return of machines.
 func (m *Manager) handleReturned(names []string) {
 	now := m.Cloud.now()
 	for _, name := range names {
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// horizonFactor scales the planning horizon. Below 1, machines are rented for work that those at hand would get
-	// to before a new one is useful.
+	// horizonFactor scales the planning horizon. With a factor below 1, machines are also rented for work that the
+	// present machines would start before a new machine is useful.
 	horizonFactor = 0.25
 	// maxMachinesPerRequest is the cloud API's limit.
 	maxMachinesPerRequest = 50
 	// maxHeadroomPerRequest bounds the machines rented ahead of need in one request.
 	maxHeadroomPerRequest = 5
-	// refusalBackoff is for how long an offer isn't requested after the cloud had too little of it.
+	// refusalBackoff is for how long an offer isn't requested after the cloud had too few machines of it.
 	refusalBackoff = 20 * time.Second
 )
 
-// capacityBin is a machine, present, booting or to be rented, with the work that it can do within the horizon.
+// capacityBin is a machine, present, booting or to be rented, with the work that it can still do within the horizon.
 type capacityBin struct {
 	offer
 	free planner.Size // resource-seconds
 }
 
-// scaleOutPlan packs the waiting work into the present machines, as resource-seconds within a horizon, and adds
-// machines for what is left over.
+// scaleOutPlan packs the waiting work, in resource-seconds, into the present and booting machines within a horizon. It
+// adds machines for the work that doesn't fit.
 type scaleOutPlan struct {
 	manager  *Manager
 	now      time.Duration
-	horizonS float64 // seconds until a new machine would be useful, scaled
-	machines int     // present, booting and to be rented
+	horizonS float64 // seconds until a new machine would be useful, times horizonFactor
+	machines int     // number of machines: present, booting and to be rented
 	bins     []*capacityBin
-	toRent   map[offer]int
+	toRent   map[offer]int // number of machines to rent
 }
 
-// scaleOut requests the machines that the waiting work needs beyond those at hand, or else some ahead of need. It
-// sends one request at most.
+// scaleOut requests machines for the waiting work that the present and booting machines can't do. If there is no such
+// work, it rents machines ahead of need. It sends at most one request.
 func (m *Manager) scaleOut(now time.Duration) {
 	if len(m.Types()) == 0 || !m.Fleet.PlansLoaded() {
 		return
@@ -58,7 +58,7 @@
 	m.rentHeadroom(now, plan.machines)
 }
 
-// planScaleOut packs the waiting work into the machines at hand and those that are still to be requested.
+// planScaleOut packs the waiting work into the present and booting machines and into machines that are to be rented.
 func (m *Manager) planScaleOut(now time.Duration) *scaleOutPlan {
 	plan := &scaleOutPlan{manager: m, now: now, horizonS: m.planningHorizonS(), toRent: map[offer]int{}}
 	clear(m.machinesByZone)
@@ -71,7 +71,8 @@
 	return plan
 }
 
-// planningHorizonS is the scaled time until a new machine is useful, in seconds, by the slowest type.
+// planningHorizonS returns the planning horizon in seconds: the time until a new machine of the slowest type would be
+// useful, times horizonFactor.
 func (m *Manager) planningHorizonS() float64 {
 	horizonS := 0.0
 	for i := range m.Types() {
@@ -80,7 +81,7 @@
 	return horizonS * horizonFactor
 }
 
-// addMachines adds the present machines, less the work that they are expected to do.
+// addMachines adds the present machines, with their capacity less the work that they are expected to do.
 func (p *scaleOutPlan) addMachines() {
 	m := p.manager
 	for _, machine := range m.Fleet.Machines() {
@@ -103,23 +104,24 @@
 	}
 }
 
-// acceptsWork reports whether a present machine counts as capacity for waiting work.
+// acceptsWork reports whether a present machine counts as capacity for waiting work: its size is known, it isn't
+// quarantined, about to be reclaimed or returned, and responses reach it.
 func acceptsWork(machine *fleet.Machine) bool {
 	if machine.Condition == fleet.ReclaimNoticed || machine.Condition == fleet.OneWayUnreachable {
 		return false
 	}
-	isDescribed := machine.Type != jobs.None && machine.Capacity != (planner.Size{})
-	return isDescribed && !machine.Quarantined
+	isSizeKnown := machine.Type != jobs.None && machine.Capacity != (planner.Size{})
+	return isSizeKnown && !machine.Quarantined
 }
 
-// addBoots adds the machines that boot, but for the overdue ones, which are replaced.
+// addBoots adds the booting machines. Overdue machines that are to be replaced count as machines, but not as capacity.
 func (p *scaleOutPlan) addBoots() {
 	m := p.manager
 	p.machines += len(m.boots)
 	overdue := m.overdueBoots(p.now)
 	for _, name := range slices.Sorted(maps.Keys(m.boots)) { // sorted: the plan must be deterministic
 		boot := m.boots[name]
-		// Without this, one request after the other would go to the same zone.
+		// If booting machines weren't counted here, consecutive requests would all go to the same zone.
 		m.machinesByZone[boot.zone]++
 		if machineType := m.machineType(boot.typeIndex); machineType != nil && !overdue[name] {
 			bin := &capacityBin{offer: boot.offer, free: machineType.Size().Scale(p.horizonS)}
@@ -128,59 +130,61 @@
 	}
 }
 
-// pack places the tasks of a need on the planned machines, and adds machines for those that are left over.
+// pack places the tasks of a need on the planned machines, and adds machines for the tasks that don't fit.
 func (p *scaleOutPlan) pack(need fleet.Need) {
 	secondsPerTask := min(max(need.Seconds, 1), p.horizonS)
 	if need.StartTogether {
 		secondsPerTask = p.horizonS
 	}
-	work := need.Job.Spec.Size().Scale(secondsPerTask)
+	taskWork := need.Job.Spec.Size().Scale(secondsPerTask)
 	spread := p.manager.zoneSpread(need.Job)
-	left := p.packBins(need.Job, need.Tasks, work, spread)
-	p.packNewMachines(need.Job, left, work, spread)
+	remaining := p.packBins(need.Job, need.Tasks, taskWork, spread)
+	p.packNewMachines(need.Job, remaining, taskWork, spread)
 }
 
-// packBins places tasks on the planned machines and returns how many are left over. work is that of one task.
-func (p *scaleOutPlan) packBins(job *jobs.Job, tasks int, work planner.Size, spread zoneSpread) (left int) {
-	left = tasks
+// packBins places tasks on the planned machines and returns how many tasks remain. taskWork is the work of one task, in
+// resource-seconds.
+func (p *scaleOutPlan) packBins(job *jobs.Job, tasks int, taskWork planner.Size, spread zoneSpread) (remaining int) {
+	remaining = tasks
 	for _, bin := range p.bins {
-		if left == 0 {
+		if remaining == 0 {
 			break
 		}
-		if work.Fits(bin.free) && bin.allowedFor(job) && !spread.isFull(bin.zone) {
-			left -= bin.place(left, work, spread)
+		if taskWork.Fits(bin.free) && bin.allowedFor(job) && !spread.isFull(bin.zone) {
+			remaining -= bin.place(remaining, taskWork, spread)
 		}
 	}
-	return left
+	return remaining
 }
 
-// packNewMachines adds machines for tasks, up to the limit on machines.
-func (p *scaleOutPlan) packNewMachines(job *jobs.Job, tasks int, work planner.Size, spread zoneSpread) {
+// packNewMachines adds machines for tasks, up to max_machines. It stops if no offer is suitable.
+func (p *scaleOutPlan) packNewMachines(job *jobs.Job, tasks int, taskWork planner.Size, spread zoneSpread) {
 	m := p.manager
-	for left := tasks; left > 0 && p.machines < m.Settings.Operator.MaxMachines; {
+	for remaining := tasks; remaining > 0 && p.machines < m.Settings.Operator.MaxMachines; {
 		o, found := m.chooseOffer(p.now, job, spread)
 		if !found {
 			return
 		}
 		bin := &capacityBin{offer: o, free: m.machineType(o.typeIndex).Size().Scale(p.horizonS)}
-		if work.Copies(bin.free) <= 0 {
+		if taskWork.Copies(bin.free) <= 0 {
 			return
 		}
-		left -= bin.place(left, work, spread)
+		remaining -= bin.place(remaining, taskWork, spread)
 		p.machines++
 		p.bins = append(p.bins, bin)
 		p.toRent[o]++
 	}
 }
 
-// place takes the work of at most count tasks and returns how many it took.
-func (b *capacityBin) place(count int, work planner.Size, spread zoneSpread) int {
-	placed := spread.place(b.zone, min(count, work.Copies(b.free)))
-	b.free = b.free.Sub(work.Scale(float64(placed)))
+// place adds at most count tasks to a machine and returns the number of tasks added. taskWork is the work of each.
+func (b *capacityBin) place(count int, taskWork planner.Size, spread zoneSpread) int {
+	placed := spread.place(b.zone, min(count, taskWork.Copies(b.free)))
+	b.free = b.free.Sub(taskWork.Scale(float64(placed)))
 	return placed
 }
 
-// mostNeeded returns the offer of which most machines are to be rented, and how many; none if the count is 0.
+// mostNeeded returns the offer of which the most machines are to be rented, and their number. If the count is 0, no
+// machine is to be rented.
 func (p *scaleOutPlan) mostNeeded() (best offer, count int) {
 	for o, needed := range p.toRent {
 		if needed > count || (needed == count && o.less(best)) {
@@ -191,10 +195,11 @@
 	return best, count
 }
 
-// AtMaxMachines reports whether there are as many machines as max_machines allows, so that none are rented.
+// AtMaxMachines reports whether the number of machines has reached max_machines, so that no more are rented.
 func (m *Manager) AtMaxMachines() bool { return m.atLimit }
 
-// updateAtLimit logs when max_machines begins or ceases to bind, and which resource it follows from.
+// updateAtLimit logs when the number of machines reaches max_machines or falls below it. bound_by in the log is the
+// resource or setting from which max_machines follows.
 func (m *Manager) updateAtLimit(machines int) {
 	operator := m.Settings.Operator
 	atLimit := machines >= operator.MaxMachines
@@ -203,18 +208,19 @@
 	}
 	m.atLimit = atLimit
 	if atLimit {
-		slog.Warn("as many machines as are allowed: nothing more is rented",
+		slog.Warn("max_machines reached: no more machines are rented",
 			"machines", machines,
 			"max_machines", operator.MaxMachines,
 			"bound_by", string(operator.MachinesBound),
 		)
 		return
 	}
-	slog.Info("fewer machines than are allowed", "machines", machines, "max_machines", operator.MaxMachines)
+	slog.Info("number of machines below max_machines again", "machines", machines, "max_machines", operator.MaxMachines)
 }
 
-// rentHeadroom rents ahead of need: a part of what the fleet costs may be idle, so that a burst of jobs needn't
-// wait for boots. The first class of jobs for whose cheapest machine the budget suffices is served.
+// rentHeadroom rents machines ahead of need, so that a burst of jobs needn't wait for boots. Its budget is the part of
+// the fleet's hourly cost that may be idle. It rents for the first class of jobs whose cheapest machine the unused
+// budget pays for.
 func (m *Manager) rentHeadroom(now time.Duration, machines int) {
 	allowed := m.Settings.Operator.MaxMachines - machines
 	if allowed <= 0 {
@@ -236,8 +242,8 @@
 	}
 }
 
-// requestMachines requests machines of an offer, under a claim that was never used before. If the outcome is
-// indeterminate, any machines that were rented appear in the cloud's list.
+// requestMachines requests machines of an offer, under a claim that was never used before. If the request's outcome is
+// unknown, machines that were rented are found in the cloud's list.
 func (m *Manager) requestMachines(now time.Duration, o offer, count int) {
 	m.claims++
 	body := rentBody{
@@ -256,8 +262,8 @@
 	}
 }
 
-// handleRented adds the boots of a request that was sent at requestedAt, and backs off from an offer of which the
-// cloud has too little.
+// handleRented adds the boots of a request that was sent at requestedAt. If the request failed or the cloud had fewer
+// machines than requested, it starts the backoff for the offer; a response 429 starts none.
 func (m *Manager) handleRented(requestedAt time.Duration, o offer, request rentBody, response httpio.Response) {
 	now := m.Cloud.now()
 	if response.Err == nil && response.Status == http.StatusTooManyRequests {
--- a/internal/capacity/scaleout_test.go
+++ b/internal/capacity/scaleout_test.go
@@ -13,7 +13,7 @@
 	f.cloud.available = map[cloudOffer]int{{"a", true}: 1, {"b", true}: 2, {"a", false}: 9}
 	f.runFor(5 * time.Second)
 	if len(f.cloud.machines) != 0 {
-		t.Fatal("rented without work")
+		t.Fatalf("%d machines rented without a job, want 0", len(f.cloud.machines))
 	}
 	f.submit(t, 16, true)
 	f.runFor(15 * time.Second)
@@ -26,7 +26,7 @@
 		}
 	}
 	if spot != 3 || onDemand != 1 {
-		t.Fatalf("%d spot and %d on-demand machines, want all 3 spot ones and 1 more", spot, onDemand)
+		t.Fatalf("%d spot and %d on-demand machines rented, want 3 and 1", spot, onDemand)
 	}
 }
 
@@ -37,15 +37,15 @@
 	f.runFor(15 * time.Second)
 	for _, machine := range f.cloud.machines {
 		if machine.IsSpot {
-			t.Fatal("rented a spot machine for a job that forbids it")
+			t.Fatalf("spot machine %s rented for a job that doesn't allow spot machines", machine.Name)
 		}
 	}
 	if len(f.cloud.machines) != 1 {
-		t.Fatalf("%d machines for one machine's work", len(f.cloud.machines))
+		t.Fatalf("%d machines rented for tasks that fill one machine, want 1", len(f.cloud.machines))
 	}
 }
 
-// Beyond max_machines nothing is rented, neither for waiting work nor ahead of need.
+// No machines beyond max_machines are rented, neither for waiting work nor ahead of need.
 func TestMaxMachinesIsNeverExceeded(t *testing.T) {
 	for _, maxMachines := range []int{1, 7, 8} {
 		t.Run(fmt.Sprintf("%d machines", maxMachines), func(t *testing.T) {
@@ -64,14 +64,15 @@
 	f.submit(t, 400, true)
 	f.runFor(30 * time.Second)
 	if len(f.cloud.machines) != maxMachines {
-		t.Errorf("%d machines, at most %d are allowed", len(f.cloud.machines), maxMachines)
+		t.Errorf("%d machines rented for waiting work, want %d", len(f.cloud.machines), maxMachines)
 	}
 	if !f.AtMaxMachines() {
-		t.Error("the limit isn't reported as reached")
+		t.Error("AtMaxMachines() = false, want true")
 	}
 }
 
-// One machine less than the limit is present, and all are busy.
+// testMaxMachinesForHeadroom checks that a fleet of busy machines, one below the limit, grows by one machine. A fleet
+// without machines has no budget for headroom.
 func testMaxMachinesForHeadroom(t *testing.T, maxMachines int) {
 	t.Helper()
 	f := newFixture()
@@ -93,6 +94,7 @@
 	f.rentHeadroom(f.cloud.now, maxMachines-1)
 	f.cloud.deliverAll()
 	if rented := len(f.cloud.machines); rented != min(1, maxMachines-1) {
-		t.Errorf("%d rented ahead of need with %d of %d machines", rented, maxMachines-1, maxMachines)
+		t.Errorf("%d of %d machines present: %d rented ahead of need, want %d",
+			maxMachines-1, maxMachines, rented, min(1, maxMachines-1))
 	}
 }
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -10,27 +10,29 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// zoneSilenceFactor is the part of a machine's silence limit after which its zone counts it as silent: well before
-// the first machine is returned, or many would be gone when the zone is found lost.
+// zoneSilenceFactor is the part of the silence limit for machines after which a machine counts as silent for its zone.
+// A zone has to be found lost well before its first machine is returned: otherwise many would be returned by then.
 const zoneSilenceFactor = 0.6
 
-// QuietFor returns after how long without a heartbeat a machine counts as quiet: one is late, and another one due.
+// QuietFor returns how long after its last heartbeat a machine counts as quiet: the next heartbeat is overdue by 30% of
+// the interval and a second.
 func (m *Manager) QuietFor() time.Duration {
 	return jobs.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
 }
 
-// evaluateZones updates the zones' state, and then quarantines machines that send no heartbeats: returning them
-// would cost a boot and all cached images, and new work would wait there for its lease to expire.
+// evaluateZones updates the zones' state, and then quarantines machines that send no heartbeats. Returning them at once
+// would cost a boot and all cached images, and new tasks placed on them would wait for the machine's lease to expire.
 func (m *Manager) evaluateZones(now time.Duration) {
 	m.Zones.Evaluate(now, m.countByZone(now))
-	quietLimit := m.QuietFor()
+	overdueLimit := m.QuietFor()
 	reachabilityTimeout := m.Fleet.ReachabilityTimeout()
 	for _, machine := range m.Fleet.Machines() {
 		silence := m.observedSilence(now, machine)
-		if machine.Condition != fleet.Ready || silence <= quietLimit {
+		if machine.Condition != fleet.Ready || silence <= overdueLimit {
 			continue
 		}
-		// A single machine may be cut off as well, once it is silent for longer than one lost heartbeat explains.
+		// A single machine may be cut off in a healthy zone, too: its silence is then longer than one lost heartbeat
+		// explains.
 		state := m.Zones.Zone(machine.Zone).State
 		if state == zones.Lost || state == zones.Returning || silence > reachabilityTimeout {
 			m.Fleet.Quarantine(machine)
@@ -38,12 +40,13 @@
 	}
 }
 
-// observedSilence is how long a machine hasn't been heard while this controller could hear it.
+// observedSilence returns the time since a machine's last contact, or since this controller gained its authority if
+// that is later.
 func (m *Manager) observedSilence(now time.Duration, machine *fleet.Machine) time.Duration {
 	return now - max(machine.LastContactAt, m.authoritySince)
 }
 
-// countByZone counts the machines of each zone by how long they haven't been heard.
+// countByZone counts the machines of each zone, and how many of them are quiet or silent.
 func (m *Manager) countByZone(now time.Duration) map[int32]zones.Count {
 	silentLimit := jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS * zoneSilenceFactor)
 	quietLimit := m.QuietFor()
@@ -66,7 +69,7 @@
 	return counts
 }
 
-// onZoneStateChange logs a zone's change of state and adds it to the events.
+// onZoneStateChange logs a zone's change of state and adds an event.
 func (m *Manager) onZoneStateChange(now time.Duration, zone int32, from, to zones.State, count zones.Count) {
 	name := m.Names.Zones.Name(zone)
 	slog.Info("zone state changed",
--- a/internal/capacity/zones_test.go
+++ b/internal/capacity/zones_test.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/fleet"
 )
 
-// A machine that isn't heard for longer than one lost heartbeat explains is quarantined, long before its lease
-// expires; its next heartbeat ends that.
+// A machine without heartbeats for longer than one lost heartbeat explains is quarantined, long before its lease
+// expires. Its next heartbeat ends the quarantine.
 func TestSilentMachineIsQuarantined(t *testing.T) {
 	const silentMachine = 3
 	f := newFixture()
@@ -28,13 +28,13 @@
 			machine := f.Fleet.FindMachine(fmt.Sprintf("i-%d", i))
 			wantQuarantined := i == silentMachine && second >= 9
 			if machine.Quarantined != wantQuarantined || machine.Condition != fleet.Ready {
-				t.Fatalf("after %d s %s is %v, quarantined: %v",
-					second+1, machine.Name, machine.Condition, machine.Quarantined)
+				t.Fatalf("after %d s: %s is %v, quarantined: %v; want ready, quarantined: %v",
+					second+1, machine.Name, machine.Condition, machine.Quarantined, wantQuarantined)
 			}
 		}
 	}
 	f.Fleet.HandleHeartbeat(f.cloud.now, heartbeat(silentMachine, seq+1))
 	if f.Fleet.FindMachine(fmt.Sprintf("i-%d", silentMachine)).Quarantined {
-		t.Error("still quarantined after a heartbeat")
+		t.Error("machine quarantined after a new heartbeat, want not quarantined")
 	}
 }
