--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -10,10 +10,11 @@
 
 // ArchiveSettings sets how ended jobs are archived, in HCL: archive { ... }.
 type ArchiveSettings struct {
-	// RetainS is for how long an ended job stays in every controller's memory before it is archived, in seconds;
-	// 0: four times cancel_s. Until then status queries are answered without a read.
+	// RetainS is how long an ended job stays in every controller's memory before it is archived, in seconds; 0 means
+	// four times cancel_s. Status queries for a job in memory need no read from the state service.
 	RetainS float64 `hcl:"retain_s,optional" validate:"gte=0,lte=31536000"`
-	// CacheEntries is how many archived answers a controller caches; 0: eight for each MB that it may use.
+	// CacheEntries is the number of archived jobs' answers that a controller caches; 0 means eight for each MB of
+	// memory that the controller may use.
 	CacheEntries int `hcl:"cache_entries,optional" validate:"gte=0,lte=10000000"`
 }
 
@@ -24,15 +25,15 @@
 	minCacheEntries      = 64
 )
 
-// Archive holds how ended jobs are archived.
+// Archive holds the derived settings for archiving ended jobs.
 type Archive struct {
-	Retain       time.Duration
+	Retain       time.Duration // how long an ended job stays in memory
 	CacheEntries int
-	// Unsupported is why nothing can be archived within the state service's limits, nil if it can.
+	// Unsupported is the reason if the state service's limits don't allow an archive, and nil otherwise.
 	Unsupported error
 }
 
-// Archive returns how ended jobs are archived, from the operators' settings and the platform's.
+// Archive returns the settings for archiving ended jobs, derived from the operators' settings and the platform's.
 func (s *Settings) Archive() Archive {
 	var operator ArchiveSettings
 	if s.Operator.Archive != nil {
@@ -50,13 +51,13 @@
 	return derived
 }
 
-// checkArchive refuses operators' settings for an archive that doesn't fit the state service's limits.
+// checkArchive returns an error if operators configure an archive that the state service's limits don't allow.
 func (s *Settings) checkArchive() error {
 	if s.Operator.Archive == nil {
 		return nil
 	}
 	if err := s.Archive().Unsupported; err != nil {
-		return fmt.Errorf("archive is set, but nothing can be archived: %w", err)
+		return fmt.Errorf("archive is set, but the state service's limits don't allow an archive: %w", err)
 	}
 	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,10 @@
 // Package config reads the platform's JSON settings and the operators' own HCL file, validates both, and derives the
 // defaults and durations that other packages need.
 //
-// It owns the names, bounds and defaults of all settings, and refuses combinations under which a guarantee of the
-// controller can't be kept. It never writes a file and never reads a setting again after the start: a change takes a
-// restart. The files that settings name, of keys and users, are reread by package access. The commands and the
-// simulator call it once for each controller.
+// It owns the names, bounds and defaults of all settings. It rejects combinations under which the controller couldn't
+// keep a guarantee. It never writes a file. Settings are read once, at the start: a change takes a restart. Only the
+// files with keys and users that the settings name are reread, by package access. The commands and the simulator call
+// the package once for each controller.
 package config
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// Load reads the platform's file and, if hclPath isn't empty, the operators' file. Errors name the file and what is
-// refused in it, most as a *SettingError.
+// Load reads the platform's file and, if hclPath isn't empty, the operators' file. An error names the file and the
+// invalid setting; most are a *SettingError.
 func Load(path, hclPath string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return settings, nil
 }
 
-// Parse reads and validates the platform's settings. Until ReadOperator is called the operators' settings are the
-// defaults. Unknown fields are ignored: a newer platform may send them.
+// Parse reads and validates the platform's settings. The operators' settings have their defaults until ReadOperator is
+// called. Unknown fields are ignored, since a newer platform may send them.
 func Parse(raw []byte) (*Settings, error) {
 	settings := &Settings{}
 	if err := json.Unmarshal(raw, settings); err != nil {
@@ -62,7 +62,7 @@
 	return settings, nil
 }
 
-// LoadOperator adds the operators' own settings from a file.
+// LoadOperator reads the operators' own settings from a file, as ReadOperator does.
 func (s *Settings) LoadOperator(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return s.ReadOperator(path, raw)
 }
 
-// ReadOperator adds the operators' own settings from HCL, and reads the files that they name. The path isn't opened:
-// it ends in .hcl and is named in errors.
+// ReadOperator adds the operators' own settings from HCL, validates them, and reads the files that they name. The path
+// isn't opened: it is only named in errors, and has to end in .hcl.
 func (s *Settings) ReadOperator(path string, raw []byte) error {
 	if err := hclsimple.Decode(path, raw, nil, &s.Operator); err != nil {
 		return fmt.Errorf("operators' settings: %w", err)
@@ -87,7 +87,7 @@
 		s.deriveLicencePools,
 		s.deriveSessions,
 		s.Operator.readToken,
-		s.openAccess,
+		s.loadAccessFiles,
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// platformJSON is a valid file of the platform, with an unknown field.
+// platformJSON is a valid platform file with an unknown field, new_field.
 const platformJSON = `{"node":"n-0","site":"a","public_addr":"10.0.0.1:8080","back":"10.0.0.1:8081","new_field":{"x":1},
  "others":[{"node":"n-1","site":"b","endpoint":"10.0.0.2:8081"}],"services":{"cloud":"10.2.0.2:1","state":"10.2.0.1:2"},
  "params":{"nodes":3,"zones":["a"],"teams":[{"name":"t","cpus":0.0,"cpus_max":0.0,"gpus":4.0,"gpus_max":12.0}],
@@ -24,11 +24,13 @@
 	}
 	if s.ControllerLeaseTTL() != 6*time.Second || s.WorkerLease() != 19*time.Second ||
 		s.Operator.Headroom != 0.1 || s.HasCostObjective() {
-		t.Fatalf("derived: %+v", s.Operator)
+		t.Fatalf("controller lease %v, want 6s; worker lease %v, want 19s; headroom %g, want 0.1; "+
+			"cost objective %v, want false",
+			s.ControllerLeaseTTL(), s.WorkerLease(), s.Operator.Headroom, s.HasCostObjective())
 	}
 }
 
-func TestParseNamesTheBadSetting(t *testing.T) {
+func TestParseErrorNamesTheInvalidSetting(t *testing.T) {
 	for old, bad := range map[string][2]string{
 		`"node":"n-0"`:                  {`"node":""`, `"node"`},
 		`"lease_s":19.0`:                {`"lease_s":0`, `params.workers.lease_s`},
@@ -44,12 +46,12 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(platformJSON, old, bad[0], 1)))
 		if err == nil || !strings.Contains(err.Error(), bad[1]) {
-			t.Errorf("%s: error %v does not name %s", bad[0], err, bad[1])
+			t.Errorf("%s: error %v, want one that contains %s", bad[0], err, bad[1])
 		}
 	}
 }
 
-// parseWithLimits returns the settings of a controller on a machine with these limits, in JSON.
+// parseWithLimits returns platformJSON's settings with other machine_limits, which are given in JSON.
 func parseWithLimits(t *testing.T, limits string) *Settings {
 	t.Helper()
 	s, err := Parse([]byte(strings.Replace(platformJSON, `{"cores":0.3,"mem_mb":179.0,"sockets":1200}`, limits, 1)))
@@ -59,7 +61,8 @@
 	return s
 }
 
-// Sizes follow from the limits that are given: a small machine works, and a limit that isn't given isn't 0.
+// The numbers of connections, machines and tasks follow from the limits of the controller's machine. They are positive on
+// a small machine too, and without any given limits.
 func TestSizesFollowFromTheControllersMachine(t *testing.T) {
 	for _, c := range []struct {
 		limits          string
@@ -75,15 +78,17 @@
 		s := parseWithLimits(t, c.limits)
 		l, machines := s.Params.Limits, s.Operator.MaxMachines
 		if l.MaxConns() != c.conns || machines != c.machines || l.MaxTasks() < MaxBody/2 || l.UsableCores() <= 0 {
-			t.Errorf("%s: %d connections, %d machines, %d tasks", c.limits, l.MaxConns(), machines, l.MaxTasks())
+			t.Errorf("%s: %d connections, want %d; %d machines, want %d; %d tasks, want at least %d; "+
+				"%g cores, want more than 0", c.limits, l.MaxConns(), c.conns, machines, c.machines,
+				l.MaxTasks(), MaxBody/2, l.UsableCores())
 		}
 		if worst := float64(l.MaxConns()*MaxBody) / (1 << 20); worst > 0.61*l.MemoryLimitMB() {
-			t.Errorf("%s: bodies may take %.0f of %.0f MB", c.limits, worst, l.MemoryLimitMB())
+			t.Errorf("%s: request bodies may take %.0f of %.0f MB, want at most 61%%", c.limits, worst, l.MemoryLimitMB())
 		}
 	}
 }
 
-// The bound on the number of machines is named for operators, so that they can raise it.
+// MachinesBound names the resource or setting that bounds the number of machines, so that operators can raise it.
 func TestMachineBoundIsNamed(t *testing.T) {
 	for limits, want := range map[string]MachineBound{
 		`{"cores":0.18,"mem_mb":168.0,"sockets":2500}`: BoundByProcessor,
@@ -92,13 +97,14 @@
 	} {
 		s := parseWithLimits(t, limits)
 		if got := s.Operator.MachinesBound; got != want {
-			t.Errorf("%s: bound by %q, not %q", limits, got, want)
+			t.Errorf("%s: bound by %q, want %q", limits, got, want)
 		}
 		if err := s.ReadOperator("o.hcl", []byte("max_machines = 7")); err != nil {
 			t.Fatal(err)
 		}
 		if s.Operator.MaxMachines != 7 || s.Operator.MachinesBound != BoundBySettings {
-			t.Errorf("%d machines, bound by %q", s.Operator.MaxMachines, s.Operator.MachinesBound)
+			t.Errorf("max_machines = 7: %d machines, bound by %q, want 7, bound by %q",
+				s.Operator.MaxMachines, s.Operator.MachinesBound, BoundBySettings)
 		}
 	}
 }
@@ -117,7 +123,8 @@
 		t.Fatal(err)
 	}
 	if s.ControllerLeaseTTL() != 4*time.Second || s.Operator.MachineIdleTimeoutS != 20 || s.Operator.MaxMachines == 0 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("controller lease %v, want 4s; idle_s %g, want 20; max_machines %d, want the default",
+			s.ControllerLeaseTTL(), s.Operator.MachineIdleTimeoutS, s.Operator.MaxMachines)
 	}
 	for body, want := range map[string]string{
 		"hold_ttl_ms = 4000\nhold = 3\n": "bad.hcl:2",
@@ -125,12 +132,12 @@
 		"hold_ttl_ms = 10\n":             "hold_ttl_ms",
 	} {
 		if _, err := Load(js, file("bad.hcl", body)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v does not name %s", body, err, want)
+			t.Errorf("%q: error %v, want one that contains %s", body, err, want)
 		}
 	}
 }
 
-// Licence pools are checked when they are read, and an error names the bad one.
+// Load validates licence pools, and its error names the invalid pool or value.
 func TestLicencePoolsAreCheckedAtLoad(t *testing.T) {
 	dir := t.TempDir()
 	load := func(body string) (*Settings, error) {
@@ -167,7 +174,7 @@
 	friday := time.Date(2026, 12, 4, 10, 0, 0, 0, time.UTC)
 	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.OnCountLowered != "wait" ||
 		pool.Teams["t"].Limit != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
-		t.Fatalf("%+v", pool)
+		t.Fatalf("%d pools, want 2; the first: %+v", len(s.LicencePools()), pool)
 	}
 	for body, want := range map[string]string{
 		`licence "p" { count = -1 }`:  "count",
@@ -191,14 +198,14 @@
 		`licence "p" {
   count = 4
   team "t" { guarantee = 5 }
-}`: "guaranteed 5 seats",
+}`: "guaranteed 5 units",
 		`licence "p" {
   count = 4
   team "t" {
     guarantee = 3
     most = 2
   }
-}`: "2 at most",
+}`: "limited to 2",
 		`licence "p" {
   count = 4
   reserve_during "x" {
@@ -212,12 +219,12 @@
 		`operator_token_file = "/nowhere"`: "operator_token_file",
 	} {
 		if _, err := load(body); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v does not name %s", body, err, want)
+			t.Errorf("%s: error %v, want one that contains %s", body, err, want)
 		}
 	}
 }
 
-// writePlatformFile writes a valid file of the platform and returns its path.
+// writePlatformFile writes platformJSON to a file and returns its path.
 func writePlatformFile(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.json")
@@ -245,25 +252,25 @@
 	for _, name := range []string{"licences.hcl", "sessions.hcl"} {
 		s := loadDeployFile(t, name)
 		if len(s.LicencePools()) == 0 && !s.Sessions().Enabled {
-			t.Fatalf("%s enables nothing", name)
+			t.Fatalf("%s: no licence pools and no sessions, want either", name)
 		}
 	}
 }
 
-// Rollouts and zones have defaults that follow from the platform's settings.
+// Without operators' settings for them, rollouts and zones have positive default times.
 func TestRolloutAndZonesHaveDefaults(t *testing.T) {
 	s := loadDeployFile(t, "sessions.hcl")
 	rollout, zones := s.Rollout(), s.Zones()
 	if !rollout.Auto || rollout.Soak != time.Minute ||
 		zones.ProbationTime <= 0 || zones.ReturnGrace <= 0 || zones.FlapForgiveness <= 0 {
-		t.Fatalf("%+v %+v", rollout, zones)
+		t.Fatalf("rollout %+v, want automatic with a soak time of 1m; zones %+v, want positive times", rollout, zones)
 	}
 }
 
 func TestDeployFilesChangeRolloutAndZones(t *testing.T) {
 	s := loadDeployFile(t, "rollout.hcl")
 	if rollout := s.Rollout(); rollout.Auto || rollout.Soak != 10*time.Minute {
-		t.Errorf("%+v", rollout)
+		t.Errorf("rollout %+v, want not automatic, with a soak time of 10m", rollout)
 	}
 	want := Zones{
 		ReturnGrace:     time.Minute,
@@ -272,7 +279,7 @@
 		MaxProbation:    maxProbation,
 	}
 	if got := loadDeployFile(t, "zones.hcl").Zones(); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("zones %+v, want %+v", got, want)
 	}
 }
 
@@ -282,12 +289,13 @@
 	inWindow := time.Date(2026, 12, 4, 19, 0, 0, 0, tokyo)
 	after := time.Date(2026, 12, 4, 23, 0, 0, 0, tokyo)
 	if policy.At(inWindow).IdleLimit != 30*time.Minute || policy.At(after).IdleLimit != 2*time.Hour {
-		t.Fatalf("%+v", policy)
+		t.Fatalf("idle limit %v in the window, want 30m; %v after it, want 2h",
+			policy.At(inWindow).IdleLimit, policy.At(after).IdleLimit)
 	}
 }
 
-// A session policy is checked when it is read: the error names the policy, or file, line and column.
-func TestBadSessionPolicyIsNamed(t *testing.T) {
+// Load validates session policies, and its error names the policy, the setting, or file, line and column.
+func TestErrorNamesTheInvalidSessionPolicy(t *testing.T) {
 	platformFile := writePlatformFile(t)
 	operatorFile := filepath.Join(t.TempDir(), "bad.hcl")
 	for body, want := range map[string]string{
@@ -303,7 +311,7 @@
 	} {
 		writeFile(t, operatorFile, body)
 		if _, err := Load(platformFile, operatorFile); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v does not name %s", body, err, want)
+			t.Errorf("%s: error %v, want one that contains %s", body, err, want)
 		}
 	}
 }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// What is refused is a SettingError that can be told by kind and name, and its text is the one that operators know.
-func TestRefusalIsASettingErrorWithItsText(t *testing.T) {
-	const refusedFile = "o.hcl"
+// An invalid setting or declaration is reported as a SettingError with the right kind, name and text.
+func TestInvalidSettingIsASettingError(t *testing.T) {
+	const operatorFile = "o.hcl"
 	for _, c := range []struct {
-		platformOld, platformNew string // what is replaced in platformJSON
-		operator                 string // the operators' file; empty: none
+		platformOld, platformNew string // text in platformJSON and its replacement
+		operator                 string // content of the operators' file; "" means no file
 		kind                     Kind
 		name, text               string
 	}{
@@ -28,8 +28,8 @@
 		{
 			platformOld: `"cancel_s":39.0`, platformNew: `"cancel_s":20`,
 			kind: KindSetting, name: "params.workers.cancel_s",
-			text: `setting "params.workers.cancel_s": 20 s leave no room for a lease of 19 s ("lease_s"): ` +
-				`a hold of at least 2s and 2.5s for commands under way come on top, so at least 23.5 s are needed`,
+			text: `setting "params.workers.cancel_s": 20 s is too short for a worker lease of 19 s ("lease_s"), ` +
+				`a controller lease of at least 2s and 2.5s for commands in flight: at least 23.5 s is needed`,
 		},
 		{
 			platformOld: `"teams":[{"name":"t",`, platformNew: `"teams":[{"name":"t"},{"name":"t",`,
@@ -39,8 +39,8 @@
 		{
 			operator: "hold_ttl_ms = 18000\n",
 			kind:     KindSetting, name: "hold_ttl_ms",
-			text: `o.hcl: setting "hold_ttl_ms": a hold of 18s is too long for "cancel_s" 39 and "lease_s" 19: ` +
-				`at most 17461`,
+			text: `o.hcl: setting "hold_ttl_ms": a controller lease of 18s is too long for "cancel_s" 39 ` +
+				`and "lease_s" 19: at most 17461 ms is allowed`,
 		},
 		{
 			operator: "licence \"p\" {\n count = 1\n reserve = 2\n}\n",
@@ -50,7 +50,7 @@
 		{
 			operator: "licence \"p\" {\n count = 1\n team \"nobody\" {}\n}\n",
 			kind:     KindLicencePool, name: "p",
-			text: `o.hcl: licence "p": team "nobody" is not one of the platform's`,
+			text: `o.hcl: licence "p": team "nobody" is not one of the platform's teams`,
 		},
 		{
 			operator: "licence \"p\" {\n count = 4\n team \"t\" {}\n team \"t\" {}\n}\n",
@@ -60,41 +60,42 @@
 		{
 			operator: "licence \"p\" {\n count = 4\n team \"t\" {\n  guarantee = 3\n  most = 2\n }\n}\n",
 			kind:     KindLicencePool, name: "p",
-			text: `o.hcl: licence "p": team "t" is guaranteed 3 but may hold 2 at most`,
+			text: `o.hcl: licence "p": team "t" is guaranteed 3 units but limited to 2`,
 		},
 		{
 			operator: "licence \"p\" {\n count = 4\n team \"t\" { guarantee = 5 }\n}\n",
 			kind:     KindLicencePool, name: "p",
-			text: `o.hcl: licence "p": teams are guaranteed 5 seats, and 4 of 4 can be given`,
+			text: `o.hcl: licence "p": teams are guaranteed 5 units in all, but only 4 of 4 are available`,
 		},
 		{
 			operator: "sessions {\n policy \"x\" {}\n}\n",
 			kind:     KindSessionPolicy, name: "x",
-			text: `o.hcl: sessions, policy "x": that is not one of the platform's teams, nor "default"`,
+			text: `o.hcl: sessions, policy "x": the name is neither one of the platform's teams nor "default"`,
 		},
 		{
 			operator: "sessions {\n policy \"t\" {}\n policy \"t\" {}\n}\n",
 			kind:     KindSessionPolicy, name: "t",
-			text: `o.hcl: sessions, policy "t": there are two`,
+			text: `o.hcl: sessions, policy "t": there are two policies with this name`,
 		},
 	} {
 		settings, err := Parse([]byte(strings.Replace(platformJSON, c.platformOld, c.platformNew, 1)))
 		if err == nil && c.operator != "" {
-			err = settings.ReadOperator(refusedFile, []byte(c.operator))
+			err = settings.ReadOperator(operatorFile, []byte(c.operator))
 		}
 		var refused *SettingError
 		if !errors.As(err, &refused) {
-			t.Errorf("%s: the error is %v", c.text, err)
+			t.Errorf("error %v, want a SettingError with the text %s", err, c.text)
 			continue
 		}
 		if refused.Kind != c.kind || refused.Name != c.name || err.Error() != c.text {
-			t.Errorf("%s: the error is %q, of %s %q", c.text, err, refused.Kind, refused.Name)
+			t.Errorf("error %q of kind %q, name %q; want %q of kind %q, name %q",
+				err, refused.Kind, refused.Name, c.text, c.kind, c.name)
 		}
 	}
 }
 
-// Errors that name a place in the operators' file have their cause, and the text that operators know.
-func TestRefusalsWithAPlaceWrapTheirCause(t *testing.T) {
+// An error for a repeated licence pool or for an idle rule that isn't a string wraps its cause and has the right text.
+func TestErrorsWithAPositionWrapTheirCause(t *testing.T) {
 	for operator, want := range map[string]struct {
 		cause error
 		text  string
@@ -112,13 +113,13 @@
 		}
 		err = settings.ReadOperator("o.hcl", []byte(operator))
 		if !errors.Is(err, want.cause) || err.Error() != want.text {
-			t.Errorf("the error is %v, not %s", err, want.text)
+			t.Errorf("error %v, want %s, wrapping %q", err, want.text, want.cause)
 		}
 	}
 }
 
-// The operators' token has to be long enough to be one.
-func TestShortOperatorTokenIsRefused(t *testing.T) {
+// An operators' token below the minimum length is rejected with an error that names its file.
+func TestShortOperatorTokenIsRejected(t *testing.T) {
 	path := writePlatformFile(t) + ".token"
 	writeFile(t, path, "short\n")
 	settings, err := Parse([]byte(platformJSON))
@@ -126,8 +127,8 @@
 		t.Fatal(err)
 	}
 	err = settings.ReadOperator("o.hcl", []byte(`operator_token_file = "`+path+`"`))
-	want := "o.hcl: operator_token_file " + path + ": a token has at least 16 characters"
+	want := "o.hcl: operator_token_file " + path + ": the token must have at least 16 characters"
 	if !errors.Is(err, errTokenTooShort) || err.Error() != want {
-		t.Errorf("the error is %v, not %s", err, want)
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,6 +1,6 @@
 package config
 
-// ControllerLimits describes the machine that the controller itself runs on; nil where that isn't given. Below the
+// ControllerLimits holds the limits of the machine that the controller itself runs on; nil means not given. Below the
 // validated bounds a controller can't serve at all: it needs baseMemoryMB before any machine or job exists, and a
 // connection for each outside system and controller.
 type ControllerLimits struct {
@@ -9,7 +9,7 @@
 	Sockets *int     `json:"sockets" validate:"omitnil,gte=32"`
 }
 
-// Assumed of a machine for which the settings give no limit.
+// Limits that are assumed if the settings don't give them.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 512.0
@@ -28,12 +28,12 @@
 	// tasksPerMB is how many unfinished tasks are admitted for each MB: a task takes about 80 bytes, and twice that
 	// while plans are read after a failover.
 	tasksPerMB = 2000
-	// incomingSocketPercent of the sockets are for incoming connections, keepAlivePercent of these for those that are
-	// kept open. outgoingSocketPercent of the sockets are for requests to one kind of outside system.
+	// incomingSocketPercent of the sockets are for incoming connections, and keepAlivePercent of the incoming
+	// connections may be kept open. outgoingSocketPercent of the sockets are for requests to one kind of outside system.
 	incomingSocketPercent = 70
 	keepAlivePercent      = 75
 	outgoingSocketPercent = 10
-	// minOutgoing is how many requests to outside systems may be in flight on the smallest machine.
+	// minOutgoing is the number of requests to one kind of outside system that may always be in flight.
 	minOutgoing = 4
 )
 
@@ -45,28 +45,29 @@
 
 func (l ControllerLimits) maxSockets() int { return valueOr(l.Sockets, defaultSockets) }
 
-// MaxConns returns how many incoming connections are accepted. Each may hold a request body of the largest size at
-// the same time, and those together leave memory for the rest.
+// MaxConns returns the maximum number of incoming connections. Even if all hold a request body of the largest size at
+// the same time, these take at most bodiesMemoryShare of the memory.
 func (l ControllerLimits) MaxConns() int {
 	bySockets := l.maxSockets() * incomingSocketPercent / 100
 	byMemory := int(l.MemoryLimitMB() * bodiesMemoryShare * bytesPerMB / MaxBody)
 	return max(1, min(bySockets, byMemory))
 }
 
-// KeepAliveConns returns how many connections may be open while those of workers are kept open after a response.
-// The rest is left for new ones: of users, whom the load balancer spreads over all controllers, and of health checks.
+// KeepAliveConns returns the number of open connections up to which workers' connections are kept open after a
+// response. The rest is left for new connections: of users, whom the load balancer spreads over all controllers, and of
+// health checks.
 func (l ControllerLimits) KeepAliveConns() int { return max(1, l.MaxConns()*keepAlivePercent/100) }
 
-// MaxOutgoing returns how many requests to one kind of outside system may be in flight: at most limit, fewer where
-// sockets are scarce.
+// MaxOutgoing returns how many requests to one kind of outside system may be in flight: limit, or fewer if sockets are
+// scarce, but at least minOutgoing.
 func (l ControllerLimits) MaxOutgoing(limit int) int {
 	return max(minOutgoing, min(limit, l.maxSockets()*outgoingSocketPercent/100))
 }
 
-// MaxTasks returns how many unfinished tasks are admitted.
+// MaxTasks returns the number of unfinished tasks up to which jobs are admitted.
 func (l ControllerLimits) MaxTasks() int { return int(l.MemoryLimitMB() * tasksPerMB) }
 
-// MaxQueueBytes bounds the submissions that wait to be stored, in bytes.
+// MaxQueueBytes returns the maximum total size of the submissions that wait to be stored, in bytes.
 func (l ControllerLimits) MaxQueueBytes() int {
 	return int(l.MemoryLimitMB() * queueMemoryShare * bytesPerMB)
 }
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// The shares of a machine's sockets round down, and leave one connection and a few requests to the smallest machine.
-func TestSocketsAreShared(t *testing.T) {
+// The shares of a machine's sockets are rounded down. Even the smallest machine has connections and minOutgoing
+// outgoing requests.
+func TestSocketSharesAreRoundedDown(t *testing.T) {
 	for _, c := range []struct{ sockets, conns, keepAlive, outgoing int }{
 		{32, 22, 16, 4},
 		{33, 23, 17, 4},
@@ -15,7 +16,8 @@
 		limits := ControllerLimits{MemMB: &memoryMB, Sockets: &c.sockets}
 		conns, keepAlive, outgoing := limits.MaxConns(), limits.KeepAliveConns(), limits.MaxOutgoing(64)
 		if conns != c.conns || keepAlive != c.keepAlive || outgoing != c.outgoing {
-			t.Errorf("%d sockets: %d connections, %d kept open, %d outgoing", c.sockets, conns, keepAlive, outgoing)
+			t.Errorf("%d sockets: %d connections, %d kept open, %d outgoing; want %d, %d, %d",
+				c.sockets, conns, keepAlive, outgoing, c.conns, c.keepAlive, c.outgoing)
 		}
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,50 +10,51 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// Operator holds the operators' own settings, all optional, written in HCL.
+// Operator holds the operators' own settings, which are written in HCL. All of them are optional.
 type Operator struct {
-	// ControllerLeaseTTLMS is how long a controller's lease at the state service lives without renewal, in
-	// milliseconds.
+	// ControllerLeaseTTLMS is the time after which a controller's lease at the state service expires without renewal,
+	// in milliseconds. The default depends on the workers' lease and on cancel_s.
 	ControllerLeaseTTLMS int `hcl:"hold_ttl_ms,optional" validate:"gte=1000,lte=600000"`
-	// StartDeadlineS is the start deadline of every job, in seconds from its submission, whatever its size and
-	// priority, as far as there is capacity for it at all.
+	// StartDeadlineS is the time from submission within which every job should start, in seconds, whatever its size and
+	// priority, provided that there is capacity for the job at all. 0 means the default.
 	StartDeadlineS float64 `hcl:"begin_s,optional" validate:"gte=0"`
-	// MachineUnheardTimeoutS is how long a machine may send no heartbeat before it is returned, in seconds.
+	// MachineUnheardTimeoutS is how long a machine may send no heartbeat before it is returned, in seconds. 0 means a
+	// few heartbeat intervals, at most the workers' lease.
 	MachineUnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
-	// MachineIdleTimeoutS is how long a machine may be idle before it is returned, in seconds; 0 means as long as
-	// renting it again would take.
+	// MachineIdleTimeoutS is how long a machine may be idle before it is returned, in seconds. 0 means the time until a
+	// newly rented machine would run a task.
 	MachineIdleTimeoutS float64 `hcl:"idle_s,optional" validate:"gte=0"`
-	// Headroom is the part of the fleet's price that may be idle for bursts.
+	// Headroom is the part of the fleet's hourly price that may be idle to absorb bursts.
 	Headroom float64 `hcl:"headroom,optional" validate:"gte=0,lte=1"`
-	// MaxMachines bounds how many machines are rented in all.
+	// MaxMachines is the maximum number of machines. The default is the number that a leader can serve.
 	MaxMachines int `hcl:"max_machines,optional" validate:"gte=1"`
-	// MachinesBound names what MaxMachines follows from.
+	// MachinesBound names the resource or setting that MaxMachines follows from.
 	MachinesBound MachineBound
-	// NetworkFactor scales the planner's estimate of the time that fetching an image takes.
+	// NetworkFactor scales the planner's estimate of the time to fetch an image.
 	NetworkFactor float64 `hcl:"network_factor,optional" validate:"gte=0"`
-	// OperatorTokenFile holds the token that operators' commands must carry, on one line. Without it commands are
-	// accepted from the controller's own machine only.
+	// OperatorTokenFile is the path of a file with the token that operators' commands must carry, on one line. Without
+	// the file, commands are accepted only from the controller's own machine.
 	OperatorTokenFile string `hcl:"operator_token_file,optional"`
-	// DebugAddr serves /metrics and /debug/pprof; "" disables them. Whoever reaches it can read profiles: use an
-	// address of this machine alone, unless access to it is guarded otherwise.
+	// DebugAddr is the address that serves /metrics and /debug/pprof; "" disables them. Any client that reaches the
+	// address can read profiles: use a loopback address, unless access is restricted in another way.
 	DebugAddr string `hcl:"debug_addr,optional" validate:"omitempty,hostport"`
-	// UsersFile names the users' file; without it no user's token is required.
+	// UsersFile is the path of the users' file; with "" users need no token.
 	UsersFile string `hcl:"users_file,optional"`
-	// TLS serves users, and controllers among themselves, over TLS.
+	// TLS enables TLS for users, and optionally between controllers.
 	TLS *TLSSettings `hcl:"tls,block" validate:"omitnil"`
 	// Licences declares the pools of counted licences.
 	Licences []LicencePool `hcl:"licence,block" validate:"dive"`
 	// Sessions enables interactive sessions.
 	Sessions *SessionSettings `hcl:"sessions,block" validate:"omitnil"`
 
-	// Zones sets how a lost zone's return is handled.
+	// Zones sets the times for zones that return after they were lost.
 	Zones *ZoneSettings `hcl:"zones,block" validate:"omitnil"`
 	// Archive sets how ended jobs are archived.
 	Archive *ArchiveSettings `hcl:"archive,block" validate:"omitnil"`
 	// Rollout sets how version upgrades take effect.
 	Rollout *RolloutSettings `hcl:"rollout,block" validate:"omitnil"`
 
-	// Token is the content of OperatorTokenFile, "" without one.
+	// Token is the content of OperatorTokenFile, or "" without a file.
 	Token string
 }
 
@@ -64,18 +65,19 @@
 	defaultNetworkFactor  = 1
 )
 
-// A machine is unheard after so many intervals of its heartbeat and a slack, where its lease allows that.
+// The default of MachineUnheardTimeoutS is silenceHeartbeats heartbeat intervals plus silenceSlackS, in seconds, or the
+// workers' lease if that is shorter.
 const (
-	unheardHeartbeats = 3
-	unheardSlackS     = 4
+	silenceHeartbeats = 3
+	silenceSlackS     = 4
 )
 
-// minOperatorTokenLength is the least length of the operators' token, in bytes.
+// minOperatorTokenLength is the minimum length of the operators' token, in bytes.
 const minOperatorTokenLength = 16
 
-var errTokenTooShort = errors.New("a token has at least " + strconv.Itoa(minOperatorTokenLength) + " characters")
+var errTokenTooShort = errors.New("the token must have at least " + strconv.Itoa(minOperatorTokenLength) + " characters")
 
-// applyDefaults sets what the operators left open.
+// applyDefaults sets the defaults of the settings that operators haven't set.
 func (s *Settings) applyDefaults() {
 	operator := &s.Operator
 	if operator.ControllerLeaseTTLMS == 0 {
@@ -86,8 +88,8 @@
 	}
 	if operator.MachineUnheardTimeoutS == 0 {
 		workers := s.Params.Workers
-		unheardS := unheardHeartbeats*workers.HeartbeatIntervalS + unheardSlackS
-		operator.MachineUnheardTimeoutS = min(workers.LeaseS, unheardS)
+		silenceTimeoutS := silenceHeartbeats*workers.HeartbeatIntervalS + silenceSlackS
+		operator.MachineUnheardTimeoutS = min(workers.LeaseS, silenceTimeoutS)
 	}
 	if operator.Headroom == 0 {
 		operator.Headroom = defaultHeadroom
@@ -103,7 +105,7 @@
 	}
 }
 
-// applyMachineBound sets the largest number of machines, unless the operators did, and what it follows from.
+// applyMachineBound sets MaxMachines, unless operators have set it, and MachinesBound.
 func (s *Settings) applyMachineBound() {
 	operator := &s.Operator
 	machines, bound := s.Params.Limits.maxMachines(s.Params.Workers.HeartbeatIntervalS)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -11,8 +11,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Settings holds the platform's file of one controller, the operators' settings, and what is derived from both. It
-// isn't changed once it has been loaded.
+// Settings holds one controller's settings: the platform's file, the operators' settings, and the values derived from
+// both. It is immutable once it has been loaded.
 type Settings struct {
 	Node       string   `json:"node" validate:"required"`
 	Zone       string   `json:"site"`
@@ -22,10 +22,10 @@
 	Services   Services `json:"services"`
 	Params     Params   `json:"params"`
 
-	// Operator is never read from the platform's file.
+	// Operator holds the operators' settings, which are never read from the platform's file.
 	Operator Operator `json:"-"`
 
-	// Set by SimulateRelease only.
+	// The two fields below are set by SimulateRelease only.
 	simulatedLevel   rollout.Level
 	simulatedRelease string
 
@@ -49,7 +49,7 @@
 	State string `json:"state" validate:"required,hostport"`
 }
 
-// Params is the part of the settings that is equal on all controllers.
+// Params holds the settings that are the same on all controllers.
 type Params struct {
 	Zones      []string         `json:"zones"`
 	Teams      []Team           `json:"teams" validate:"dive"`
@@ -61,7 +61,8 @@
 	SkewMS     float64          `json:"skew_ms" validate:"gte=0"`
 }
 
-// Team holds a team's quota: what it is guaranteed and its limit, for CPU cores and GPUs; 0 means that none is set.
+// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits, where
+// 0 means no limit.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	CPUs    float64 `json:"cpus" validate:"gte=0"`
@@ -70,7 +71,7 @@
 	GPUsMax float64 `json:"gpus_max" validate:"gte=0"`
 }
 
-// Objective is one service-level objective. Which of its fields count depends on its kind.
+// Objective is one service-level objective. Kind determines which of the other fields apply.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
@@ -92,11 +93,11 @@
 	HeartbeatIntervalS float64 `json:"report_s" validate:"gt=0"`
 	// LeaseS is how long a worker keeps its tasks running after the last response 200 to a heartbeat.
 	LeaseS float64 `json:"lease_s" validate:"gt=0"`
-	// GangWaitS is how long a gang's task waits for the other tasks to start before it gives up.
+	// GangWaitS is how long a gang's task waits for the gang's other tasks to start before it fails.
 	GangWaitS float64 `json:"gang_wait_s" validate:"gt=0"`
-	// GangPeerS is how long a gang's other tasks may run on after one of them has ended.
+	// GangPeerS is how long a gang's other tasks may run on after one task has ended.
 	GangPeerS float64 `json:"gang_peer_s" validate:"gt=0"`
-	// CancelS is the time within which a cancelled job's tasks have to be gone.
+	// CancelS is the time within which all tasks of a cancelled job have to be gone.
 	CancelS float64 `json:"cancel_s" validate:"gt=0"`
 }
 
@@ -106,12 +107,12 @@
 	WriteRPS float64 `json:"write_rps" validate:"gt=0"`
 	ValueKB  float64 `json:"value_kb" validate:"gt=0"`
 	TxnOps   int     `json:"txn_ops" validate:"gt=0"`
-	// Next holds limits that the service will have from some later moment on, without notice; nil if none are
-	// announced.
+	// Next holds announced limits, which the service will apply from a later time on without further notice; nil if
+	// none are announced.
 	Next *NextState `json:"next" validate:"omitnil"`
 }
 
-// NextState holds announced limits of the state service; 0 where a limit isn't announced.
+// NextState holds announced limits of the state service; 0 means that the limit doesn't change.
 type NextState struct {
 	WriteRPS float64 `json:"write_rps" validate:"gte=0"`
 	ValueKB  float64 `json:"value_kb" validate:"gte=0"`
@@ -121,8 +122,8 @@
 // bytesPerKB converts the state service's value limit to bytes.
 const bytesPerKB = 1024
 
-// Limits returns the limits that every transaction keeps to: the smaller of the present and of the announced ones,
-// from the start, so that no stored value has to shrink when the announced ones take effect.
+// Limits returns the limits for every transaction: the smaller of each present and announced limit. Announced limits
+// apply from the start, so that no stored value has to shrink when they take effect.
 func (s State) Limits() store.Limits {
 	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
 	if s.Next == nil {
@@ -144,10 +145,10 @@
 	ListLagS float64 `json:"list_lag_s" validate:"gte=0"`
 }
 
-// WorkerLease returns the workers' lease.
+// WorkerLease returns LeaseS as a duration.
 func (s *Settings) WorkerLease() time.Duration { return jobs.Seconds(s.Params.Workers.LeaseS) }
 
-// HasCostObjective reports whether an objective measures cost.
+// HasCostObjective reports whether any objective measures cost.
 func (s *Settings) HasCostObjective() bool {
 	for _, objective := range s.Params.Objectives {
 		if objective.Kind == objectiveKindPrice || objective.Kind == objectiveKindUseful {
@@ -157,7 +158,7 @@
 	return false
 }
 
-// teamNames returns the set of the platform's teams.
+// teamNames returns the set of the names of the platform's teams.
 func (s *Settings) teamNames() map[string]bool {
 	names := map[string]bool{}
 	for _, team := range s.Params.Teams {
--- a/internal/config/rollout.go
+++ b/internal/config/rollout.go
@@ -9,30 +9,31 @@
 // RolloutSettings sets how the cluster's version is upgraded, in HCL: rollout { ... }.
 type RolloutSettings struct {
 	// Finish is "auto", which upgrades once all controllers have been healthy for the soak time, or "operator", which
-	// upgrades only on `harewalk rollout finish`.
+	// upgrades only on `harewalk rollout finish`. "" means "auto".
 	Finish string `hcl:"finish,optional" validate:"omitempty,oneof=auto operator"`
-	// SoakS is how long all controllers have to be healthy with the new release first, in seconds; 0: a minute.
+	// SoakS is how long all controllers have to be healthy with the new release before an automatic upgrade, in
+	// seconds; 0 means a minute.
 	SoakS float64 `hcl:"soak_s,optional" validate:"gte=0,lte=1000000"`
 }
 
 // finishByOperator is the value of RolloutSettings.Finish that leaves the upgrade to an operator.
 const finishByOperator = "operator"
 
-// Rollout holds how the cluster's version is upgraded.
+// Rollout holds the derived settings for upgrades of the cluster's version.
 type Rollout struct {
-	Auto bool
-	Soak time.Duration
-	// SimulatedLevel and SimulatedRelease make a simulated controller one of an earlier release; 0 and "" for this
+	Auto bool          // upgrade automatically after Soak
+	Soak time.Duration // how long all controllers have to be healthy before an automatic upgrade
+	// SimulatedLevel and SimulatedRelease make a simulated controller behave as an earlier release; 0 and "" mean this
 	// release.
 	SimulatedLevel   rollout.Level
 	SimulatedRelease string
 }
 
-// defaultSoak is how long all controllers have to be healthy before an automatic upgrade.
+// defaultSoak is the default of RolloutSettings.SoakS.
 const defaultSoak = time.Minute
 
-// Rollout returns how the cluster's version is upgraded: automatically, unless the operators' settings leave it to an
-// operator.
+// Rollout returns the settings for upgrades of the cluster's version. Upgrades are automatic, unless the operators'
+// settings leave them to an operator.
 func (s *Settings) Rollout() Rollout {
 	derived := Rollout{
 		Auto:             true,
@@ -47,7 +48,7 @@
 	return derived
 }
 
-// SimulateRelease makes the controller of these settings one of an earlier release, in a simulation.
+// SimulateRelease makes the controller with these settings behave as an earlier release, in a simulation.
 func (s *Settings) SimulateRelease(level rollout.Level, release string) {
 	s.simulatedLevel = level
 	s.simulatedRelease = release
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -15,35 +15,36 @@
 
 // SessionSettings enables interactive sessions, in HCL: sessions { ... }.
 type SessionSettings struct {
-	// WarningS is the time between the warning and the checkpoint, in seconds; 0: two minutes.
+	// WarningS is the time between the warning and the checkpoint, in seconds; 0 means two minutes.
 	WarningS float64 `hcl:"warn_s,optional" validate:"gte=0"`
-	// CheckpointTimeoutS is how long a checkpoint may take, in seconds; 0: a minute.
+	// CheckpointTimeoutS is how long a checkpoint may take, in seconds; 0 means a minute.
 	CheckpointTimeoutS float64 `hcl:"save_s,optional" validate:"gte=0"`
-	// UnheardTimeoutS is the time without a heartbeat after which the state of an agent is in doubt, in seconds; 0: 30.
+	// UnheardTimeoutS is the time without a heartbeat after which an agent's state counts as unknown, in seconds; 0
+	// means 30.
 	UnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
-	// RetentionDays is how long a reclaimed session is kept, 0: for ever.
+	// RetentionDays is how long a reclaimed session is kept, in days; 0 means without limit.
 	RetentionDays float64 `hcl:"keep_days,optional" validate:"gte=0"`
-	// MaxPerUser bounds a user's sessions, MaxPerTeam a team's sessions that aren't reclaimed; 0: unbounded.
+	// MaxPerUser bounds a user's sessions, and MaxPerTeam a team's sessions that aren't reclaimed; 0 means no limit.
 	MaxPerUser int `hcl:"per_user,optional" validate:"gte=0"`
 	MaxPerTeam int `hcl:"per_team,optional" validate:"gte=0"`
-	// Policies are by team; the one called "default" is for all other teams.
+	// Policies holds one policy for each team that has its own. The policy called "default" is for all other teams.
 	Policies []SessionPolicy `hcl:"policy,block" validate:"dive"`
 }
 
-// SessionPolicy sets when a team's sessions are idle and how long they may be.
+// SessionPolicy sets when a team's sessions count as idle and how long they may be idle.
 type SessionPolicy struct {
 	Team string `hcl:"team,label" validate:"required"`
-	// IdleRule is an expression in quotes; nil: the default rule.
+	// IdleRule is an expression in quotes that is true for an idle session; nil means the default rule.
 	IdleRule *hcl.Attribute `hcl:"idle,optional"`
-	// IdleLimitS is how long a session may be idle, in seconds; 0: for ever.
+	// IdleLimitS is how long a session may be idle, in seconds; 0 means without limit.
 	IdleLimitS float64 `hcl:"limit_s,optional" validate:"gte=0"`
-	// ContendedLimitS is how long a session may be idle while other work waits for what it holds, in seconds;
-	// negative: for ever.
+	// ContendedLimitS is how long a session may be idle while other work waits for the session's resources, in seconds;
+	// a negative value means without limit.
 	ContendedLimitS *float64        `hcl:"wanted_s,optional"`
 	Windows         []SessionWindow `hcl:"during,block" validate:"dive"`
 }
 
-// SessionWindow sets other limits for hours of the week in a time zone. What is nil is as in the policy.
+// SessionWindow sets other limits for some hours of the week in a time zone. A field that is nil has the policy's value.
 type SessionWindow struct {
 	Name            string         `hcl:"name,label" validate:"required"`
 	Days            string         `hcl:"days" validate:"required"`
@@ -63,15 +64,16 @@
 	defaultIdleRule          = "input_s > 900 && cpu < 0.1 && gpu < 0.1"
 )
 
-// defaultPolicyName is the policy of all teams that have none of their own.
+// defaultPolicyName is the name of the policy for all teams without a policy of their own.
 const defaultPolicyName = "default"
 
 const hoursPerDay = 24
 
-// Sessions returns the policies of interactive sessions. They are disabled unless operators set them.
+// Sessions returns the policies of interactive sessions. Sessions are disabled unless operators enable them.
 func (s *Settings) Sessions() *sessions.Policies { return s.sessions }
 
-// deriveSessions compiles and checks the policies. Its error names file, line and column of a bad rule.
+// deriveSessions compiles and checks the policies. An error names the policy, and for an invalid rule its file, line and
+// column.
 func (s *Settings) deriveSessions() error {
 	s.sessions = &sessions.Policies{}
 	settings := s.Operator.Sessions
@@ -103,7 +105,7 @@
 	return nil
 }
 
-// compilePolicies returns the policies by name, and refuses unknown teams and two policies for one team.
+// compilePolicies returns the policies by name. It returns an error for an unknown team and for two policies of one name.
 func (settings *SessionSettings) compilePolicies(teams map[string]bool) (map[string]*sessions.Policy, error) {
 	compiled := map[string]*sessions.Policy{}
 	for i := range settings.Policies {
@@ -111,9 +113,9 @@
 		name := policy.Team
 		switch {
 		case name != defaultPolicyName && !teams[name]:
-			return nil, policy.refuse(`that is not one of the platform's teams, nor "default"`)
+			return nil, policy.newError(`the name is neither one of the platform's teams nor "default"`)
 		case compiled[name] != nil:
-			return nil, policy.refuse("there are two")
+			return nil, policy.newError("there are two policies with this name")
 		}
 		var err error
 		if compiled[name], err = policy.compile(); err != nil {
@@ -123,8 +125,8 @@
 	return compiled, nil
 }
 
-// refuse returns the error that refuses the policy.
-func (p *SessionPolicy) refuse(reason string) error {
+// newError returns a *SettingError for the policy.
+func (p *SessionPolicy) newError(reason string) error {
 	return &SettingError{Kind: KindSessionPolicy, Name: p.Team, Reason: reason}
 }
 
@@ -148,7 +150,7 @@
 	return policy, nil
 }
 
-// compile returns the window's limits: those of its policy, with what the window sets itself.
+// compile returns the window's limits. limits are the policy's; values that the window sets replace them.
 func (w *SessionWindow) compile(limits sessions.Limits) (sessions.WindowLimits, error) {
 	limits.Source += ", " + w.Name
 	if w.IdleRule != nil {
@@ -171,10 +173,10 @@
 	return sessions.WindowLimits{Limits: limits, Window: window}, nil
 }
 
-// errIdleRuleNotText: the attribute of an idle rule isn't a constant text.
+// errIdleRuleNotText means that the attribute of an idle rule isn't a constant string.
 var errIdleRuleNotText = errors.New("idle must be an expression in quotes")
 
-// compileIdleRule compiles the expression of an attribute, or the default rule if it is nil.
+// compileIdleRule compiles the expression in an attribute, or the default rule if the attribute is nil.
 func compileIdleRule(attribute *hcl.Attribute) (*sessions.Rule, error) {
 	if attribute == nil {
 		return sessions.CompileRule(defaultIdleRule, "the default")
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -9,7 +9,8 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// parseWithTiming returns the settings for these times of the workers and these operators' settings.
+// parseWithTiming returns platformJSON's settings with another lease_s and cancel_s and, unless hcl is empty, with
+// operators' settings.
 func parseWithTiming(t *testing.T, leaseS, cancelS float64, hcl string) (*Settings, error) {
 	t.Helper()
 	const timing = `"lease_s":%.1f,"gang_wait_s":30.0,"gang_peer_s":5.0,"cancel_s":%.1f`
@@ -23,9 +24,9 @@
 	return s, err
 }
 
-// For every lease and cancel_s the settings are refused by name, or the inequality holds for what is derived: the
-// staleness bound, a worker's lease with its drift and the commands in flight fit in cancel_s, and a controller's lease
-// fits in the staleness bound.
+// For every lease_s and cancel_s, either the settings are rejected with an error that names cancel_s, or the derived
+// times satisfy two conditions. The staleness bound, a worker's lease with its drift and the commands in flight fit in
+// cancel_s together. A controller's lease fits in the staleness bound.
 func TestCancelledTasksAreGoneWithinCancelS(t *testing.T) {
 	refused := 0
 	for lease := 2.0; lease <= 90; lease += 4.25 {
@@ -36,20 +37,21 @@
 					t.Fatal(err)
 				}
 				if room := cancel - lease*1.001; room > 4.6 {
-					t.Errorf("lease %g, cancel %g: refused with %g s of room", lease, cancel, room)
+					t.Errorf("lease_s %g, cancel_s %g: rejected although cancel_s exceeds the lease by %g s, want accepted",
+						lease, cancel, room)
 				}
 				continue
 			}
 			worst := settings.StalenessBound() + jobs.Seconds(lease*1.0005) + 2*time.Second
 			staleness, ttl := settings.StalenessBound(), settings.ControllerLeaseTTL()
 			if worst > jobs.Seconds(cancel*0.9995) || staleness < ttl || ttl < 2*time.Second || ttl > 6*time.Second {
-				t.Errorf("lease %g, cancel %g: staleness %v, controller lease %v, gone after %v",
-					lease, cancel, staleness, ttl, worst)
+				t.Errorf("lease_s %g, cancel_s %g: tasks gone after %v, want at most cancel_s; controller lease %v, "+
+					"want 2 s to 6 s and at most the staleness bound %v", lease, cancel, worst, ttl, staleness)
 			}
 		}
 	}
 	if refused < 100 {
-		t.Errorf("%d settings were refused", refused)
+		t.Errorf("%d settings were rejected, want at least 100", refused)
 	}
 }
 
@@ -72,18 +74,19 @@
 		staleness := settings.StalenessBound()
 		const tolerance = 10 * time.Millisecond
 		if settings.ControllerLeaseTTL() != c.ttl || staleness.Round(tolerance) != c.staleness.Round(tolerance) {
-			t.Errorf("%+v: controller lease %v, staleness bound %v", c, settings.ControllerLeaseTTL(), staleness)
+			t.Errorf("lease_s %g, cancel_s %g: controller lease %v, want %v; staleness bound %v, want %v",
+				c.lease, c.cancel, settings.ControllerLeaseTTL(), c.ttl, staleness, c.staleness)
 		}
 	}
 }
 
-// A controller lease that operators set too long for cancel_s is refused by name, with the longest that is accepted.
-func TestTooLongControllerLeaseIsRefused(t *testing.T) {
+// A controller lease that is too long for cancel_s is rejected. The error names the setting and the maximum.
+func TestTooLongControllerLeaseIsRejected(t *testing.T) {
 	if _, err := parseWithTiming(t, 19, 39, "hold_ttl_ms = 17000\n"); err != nil {
 		t.Error(err)
 	}
 	_, err := parseWithTiming(t, 19, 39, "hold_ttl_ms = 18000\n")
 	if err == nil || !strings.Contains(err.Error(), `"hold_ttl_ms"`) || !strings.Contains(err.Error(), "at most 174") {
-		t.Errorf("%v", err)
+		t.Errorf("hold_ttl_ms = 18000: error %v, want one with \"hold_ttl_ms\" and \"at most 174\"", err)
 	}
 }
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -8,7 +8,8 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// newValidator returns a validator that names fields as the files do, and has the rule "hostport".
+// newValidator returns a validator whose errors have the fields' names in the files, and that supports the rule
+// "hostport".
 func newValidator() *validator.Validate {
 	validate := validator.New(validator.WithRequiredStructEnabled())
 	validate.RegisterTagNameFunc(settingName)
@@ -19,7 +20,7 @@
 	return validate
 }
 
-// settingName returns a field's name in JSON or HCL, or its Go name if it has neither.
+// settingName returns a field's name in JSON or HCL, or its Go name if it has no such tag.
 func settingName(field reflect.StructField) string {
 	for _, tag := range []string{"json", "hcl"} {
 		name, _, _ := strings.Cut(field.Tag.Get(tag), ",")
@@ -30,14 +31,15 @@
 	return field.Name
 }
 
-// isHostPort reports whether an address has a host and a numeric port. The platform gives hosts by IP address only;
-// host names are valid too.
+// isHostPort reports whether an address has a host and a numeric port. Host names are valid, although the platform's
+// addresses have IP addresses only.
 func isHostPort(address string) bool {
 	host, port, found := strings.Cut(address, ":")
 	return found && host != "" && port != "" && strings.Trim(port, "0123456789") == ""
 }
 
-// describeValidationError returns the first setting that breaks its rule as a *SettingError.
+// describeValidationError returns a *SettingError for the first setting in a validation error, and any other error
+// unchanged.
 func describeValidationError(err error) error {
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) || len(fields) == 0 {
@@ -52,14 +54,14 @@
 	return settingError(path, "value %v breaks the rule %q", first.Value(), rule)
 }
 
-// checkTeams refuses two teams of one name.
+// checkTeams returns an error if two teams have the same name.
 func (s *Settings) checkTeams() error {
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	for _, team := range s.Params.Teams {
-		if seen[team.Name] {
+		if names[team.Name] {
 			return settingError("params.teams", "team %q is named twice", team.Name)
 		}
-		seen[team.Name] = true
+		names[team.Name] = true
 	}
 	return nil
 }
