--- a/internal/access/accesstest/accesstest.go
+++ b/internal/access/accesstest/accesstest.go
@@ -1,4 +1,4 @@
-// Package accesstest makes authorities and certificates for tests.
+// Package accesstest creates authorities and certificates for tests.
 package accesstest
 
 import (
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// validity is how long the certificates are valid.
+// validity is how long the certificates are valid from their creation on.
 const validity = 24 * time.Hour
 
-// Files holds the paths of a certificate, its key and its authority, in PEM.
+// Files holds the paths of PEM files: a certificate, its private key, and the authority that signed it.
 type Files struct{ Cert, Key, CA string }
 
-// Write creates an authority and a certificate of it for the names and for the loopback address, and writes them to a
-// directory. Existing files are replaced, each at once.
+// Write creates an authority and a certificate that the authority has signed, and writes them to a directory. The
+// certificate is for the names and for the loopback address. Existing files are replaced, each atomically.
 func Write(t *testing.T, dir string, names ...string) Files {
 	t.Helper()
 	files := Files{
@@ -83,7 +83,7 @@
 	return der
 }
 
-// writePEM replaces a file at once, so that a reader never sees a part of it.
+// writePEM replaces a file atomically, so that a reader never reads an incomplete file.
 func writePEM(t *testing.T, path, blockType string, der []byte) {
 	t.Helper()
 	temporary := path + ".new"
--- a/internal/access/files.go
+++ b/internal/access/files.go
@@ -1,11 +1,12 @@
-// Package access authenticates connections and users: it holds the keys and certificates of TLS, and the users with
-// their tokens and teams.
+// Package access authenticates connections and users. It holds the TLS keys and certificates, and the users with their
+// tokens and teams.
 //
-// Both come from files that may change while the daemon runs. Reload takes changed files over as a whole, or returns an
-// error and keeps the former state. The package never decides whether a request is served: api and peers ask it who the
-// client is. Package config loads the files, and the controller calls Reload from time to time.
+// Both come from files that may change while the daemon runs. Reload applies changed files completely, or returns an
+// error and keeps the former state. The package never decides whether a request is served: it only tells packages api
+// and peers the client's identity. Package config loads the files, and the controller calls Reload periodically.
 //
-// The state is read by connection goroutines and replaced as one pointer; Reload is called by one goroutine at a time.
+// Connection goroutines read the state, which is replaced atomically as one pointer. Only one goroutine at a time may
+// call Reload.
 package access
 
 import (
@@ -13,13 +14,13 @@
 	"os"
 )
 
-// watchedFiles is a set of files that are read together.
+// watchedFiles is a set of files that are read together and checked for changes.
 type watchedFiles struct {
 	paths   []string
-	lastSum [sha256.Size]byte // of the last contents that were read, whether they were valid or not
+	lastSum [sha256.Size]byte // checksum of the contents read last, valid or not
 }
 
-// read returns the contents of the files, and whether any differs from the last time.
+// read returns the contents of the files, and whether any of them has changed since the last successful read.
 func (w *watchedFiles) read() (contents [][]byte, changed bool, err error) {
 	total := sha256.New()
 	for _, path := range w.paths {
@@ -28,7 +29,7 @@
 			return nil, false, err
 		}
 		contents = append(contents, content)
-		// A sum of each file: bytes that move from one file to the next are a change.
+		// The total is over a checksum of each file, so that it also changes if bytes move from one file to the next.
 		sum := sha256.Sum256(content)
 		total.Write(sum[:])
 	}
--- a/internal/access/keys.go
+++ b/internal/access/keys.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// minTLSVersion is the oldest version of TLS that is accepted and offered.
+// minTLSVersion is the oldest TLS version that servers accept and clients offer.
 const minTLSVersion = tls.VersionTLS13
 
-// Keys holds a controller's certificate with its key, and the authority that must have signed the other controllers'
-// certificates. It is safe for concurrent use, except for Reload.
+// Keys holds a controller's certificate with its private key, and the authority that must have signed the other
+// controllers' certificates. It is safe for concurrent use, except that calls of Reload must not overlap.
 type Keys struct {
 	files   watchedFiles
 	current atomic.Pointer[keyMaterial]
 }
 
-// keyMaterial is the result of one reading of the files. It isn't changed.
+// keyMaterial is the parsed content of the files. It is immutable.
 type keyMaterial struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// LoadKeys reads certificate, key and authority from PEM files.
+// LoadKeys reads a certificate, its private key and an authority from PEM files. An error names the invalid file.
 func LoadKeys(certPath, keyPath, authorityPath string) (*Keys, error) {
 	keys := &Keys{files: watchedFiles{paths: []string{certPath, keyPath, authorityPath}}}
 	return keys, keys.load()
@@ -50,10 +50,11 @@
 	return nil
 }
 
-// errNoCertificate: a PEM file of an authority holds no certificate.
-var errNoCertificate = errors.New("no certificate in it")
+// errNoCertificate means that an authority's PEM data contains no certificate.
+var errNoCertificate = errors.New("PEM data contains no certificate")
 
-// Reload takes over files that have changed. On an error the former keys stay. Open connections aren't affected.
+// Reload applies the files if they have changed. On an error the former keys stay in use. Open connections aren't
+// affected.
 func (k *Keys) Reload() error {
 	former := k.current.Load()
 	if err := k.load(); err != nil {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// NotAfter returns when the certificate expires.
+// NotAfter returns when the certificate expires, or the zero time if that is unknown.
 func (k *Keys) NotAfter() time.Time {
 	leaf := k.current.Load().certificate.Leaf
 	if leaf == nil {
@@ -74,12 +75,12 @@
 	return leaf.NotAfter
 }
 
-// UserListenerConfig returns the configuration of the listener for users, who need no certificate. It uses the current
-// keys for each connection.
+// UserListenerConfig returns the configuration of the listener for users, who need no client certificate. Each new
+// connection uses the keys that are current then.
 func (k *Keys) UserListenerConfig() *tls.Config { return k.serverConfig(tls.NoClientCert) }
 
 // PeerListenerConfig returns the configuration of the listener for the other controllers, which must have a certificate
-// of the authority. It uses the current keys for each connection.
+// signed by the authority. Each new connection uses the keys that are current then.
 func (k *Keys) PeerListenerConfig() *tls.Config {
 	return k.serverConfig(tls.RequireAndVerifyClientCert)
 }
@@ -94,15 +95,15 @@
 				Certificates: []tls.Certificate{current.certificate},
 				ClientAuth:   clientAuth,
 				ClientCAs:    current.authority,
-				// A session ticket would admit a peer by a former authority.
+				// A session ticket would admit a peer whose certificate was signed by a former authority.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
 	}
 }
 
-// PeerClientConfig returns the configuration for calls to another controller, with the current keys. Its certificate
-// must be of the authority and name the node.
+// PeerClientConfig returns the configuration for calls to another controller, with the current keys. The other
+// controller's certificate must be signed by the authority and name the node.
 func (k *Keys) PeerClientConfig(node string) *tls.Config {
 	current := k.current.Load()
 	return &tls.Config{
@@ -113,8 +114,8 @@
 	}
 }
 
-// ClientConfig returns the configuration for the command-line client's calls. The authority's certificates are in PEM;
-// nil stands for the system's authorities.
+// ClientConfig returns the configuration for the command-line client's calls. authorityPEM holds the certificates of the
+// authority that must have signed the server's; nil means the system's authorities.
 func ClientConfig(authorityPEM []byte) (*tls.Config, error) {
 	config := &tls.Config{MinVersion: minTLSVersion}
 	if authorityPEM == nil {
--- a/internal/access/keys_test.go
+++ b/internal/access/keys_test.go
@@ -10,7 +10,7 @@
 	"github.com/harewalk/harewalk/internal/access/accesstest"
 )
 
-// handshake connects a client to a server on loopback and returns each one's error.
+// handshake connects a client to a server on loopback and returns the error of each side.
 func handshake(t *testing.T, server, client *tls.Config) (serverErr, clientErr error) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -27,14 +27,15 @@
 	conn := tls.Client(raw, client)
 	clientErr = conn.Handshake()
 	if clientErr == nil {
-		// A server that refuses the client's certificate reports it after the client's handshake.
+		// The server verifies the client's certificate after the client's handshake has completed, so the client
+		// receives the error with the next read.
 		_, clientErr = conn.Read(make([]byte, 1))
 	}
 	_ = raw.Close()
 	return <-served, clientErr
 }
 
-// serveOne accepts one connection, and writes a byte after its handshake.
+// serveOne accepts one connection and writes a byte after the handshake.
 func serveOne(listener net.Listener, config *tls.Config) error {
 	raw, err := listener.Accept()
 	if err != nil {
@@ -49,11 +50,11 @@
 	return err
 }
 
-// requireHandshake fails the test if one of both ends refuses the other.
-func requireHandshake(t *testing.T, server, client *tls.Config, what string) {
+// requireHandshake fails the test if the handshake fails on either side.
+func requireHandshake(t *testing.T, server, client *tls.Config, description string) {
 	t.Helper()
 	if serverErr, clientErr := handshake(t, server, client); serverErr != nil || clientErr != nil {
-		t.Fatalf("%s: server %v, client %v", what, serverErr, clientErr)
+		t.Fatalf("handshake %s: server error %v, client error %v, want none", description, serverErr, clientErr)
 	}
 }
 
@@ -82,51 +83,53 @@
 	}
 }
 
-// Controllers accept only certificates of their authority that name the called node; others are refused on either side.
+// Controllers accept only certificates that their authority has signed, and as clients only those that name the called
+// node. A user needs no certificate.
 func TestPeersAuthenticateEachOther(t *testing.T) {
 	keys := mustLoadKeys(t, accesstest.Write(t, t.TempDir(), "node-0", "node-1"))
-	stranger := mustLoadKeys(t, accesstest.Write(t, t.TempDir(), "node-0", "node-1"))
-	requireHandshake(t, keys.PeerListenerConfig(), keys.PeerClientConfig("node-1"), "of one authority")
+	otherKeys := mustLoadKeys(t, accesstest.Write(t, t.TempDir(), "node-0", "node-1"))
+	requireHandshake(t, keys.PeerListenerConfig(), keys.PeerClientConfig("node-1"), "of peers with the same authority")
 	if _, err := handshake(t, keys.PeerListenerConfig(), keys.PeerClientConfig("node-2")); err == nil {
-		t.Error("a certificate that doesn't name the node was accepted")
+		t.Error("handshake with a server whose certificate doesn't name the node: no error, want one")
 	}
-	if _, err := handshake(t, stranger.PeerListenerConfig(), keys.PeerClientConfig("node-1")); err == nil {
-		t.Error("a server of another authority was accepted")
+	if _, err := handshake(t, otherKeys.PeerListenerConfig(), keys.PeerClientConfig("node-1")); err == nil {
+		t.Error("handshake with a server of another authority: no error, want one")
 	}
-	// A client that accepts the server, with a certificate of another authority or none.
-	client := stranger.PeerClientConfig("node-1")
+	// This client accepts the server, but has a certificate of another authority, and later no certificate.
+	client := otherKeys.PeerClientConfig("node-1")
 	client.RootCAs = keys.PeerClientConfig("node-1").RootCAs
 	serverErr, clientErr := handshake(t, keys.PeerListenerConfig(), client)
 	if serverErr == nil || clientErr == nil {
-		t.Error("a client of another authority was accepted")
+		t.Errorf("handshake with a client of another authority: server error %v, client error %v, want both",
+			serverErr, clientErr)
 	}
 	client.Certificates = nil
 	if serverErr, _ := handshake(t, keys.PeerListenerConfig(), client); serverErr == nil {
-		t.Error("a client without a certificate was accepted")
+		t.Error("handshake with a peer without a certificate: no server error, want one")
 	}
-	requireHandshake(t, keys.UserListenerConfig(), client, "a user without a certificate")
+	requireHandshake(t, keys.UserListenerConfig(), client, "of a user without a certificate")
 }
 
-// Changed keys are taken over without a restart. A pair that doesn't match, a change of one file, and a missing file
-// leave the former keys.
+// Reload applies changed keys to a running listener. If the certificate doesn't match the key, as while only one of the
+// files has been replaced, or if a file is missing, the former keys stay in use.
 func TestKeysAreReloaded(t *testing.T) {
 	dir := t.TempDir()
 	files := accesstest.Write(t, dir, "node-0")
 	keys := mustLoadKeys(t, files)
 	formerClient := keys.PeerClientConfig("node-0")
-	server := keys.UserListenerConfig() // a listener's, made once
+	server := keys.UserListenerConfig() // made once, as for a running listener
 	formerCert := readFile(t, files.Cert)
 	accesstest.Write(t, dir, "node-0")
 	newCert := readFile(t, files.Cert)
 
-	// One file of the change is there: the former certificate with the new key.
+	// Only the key has been replaced: the former certificate with the new key.
 	writeFile(t, files.Cert, formerCert)
 	if err := keys.Reload(); err == nil || !strings.Contains(err.Error(), files.Cert) {
-		t.Fatalf("a pair that doesn't match: %v", err)
+		t.Fatalf("reload of a key that doesn't match: error %v, want one that names %s", err, files.Cert)
 	}
-	requireHandshake(t, server, formerClient, "after a pair that doesn't match")
+	requireHandshake(t, server, formerClient, "after a reload of a key that doesn't match")
 	if err := keys.Reload(); err != nil {
-		t.Fatalf("unchanged files: %v", err)
+		t.Fatalf("reload of unchanged files: error %v, want none", err)
 	}
 
 	writeFile(t, files.Cert, newCert)
@@ -134,7 +137,7 @@
 		t.Fatal(err)
 	}
 	if _, err := handshake(t, server, formerClient); err == nil {
-		t.Fatal("the former key is still in use")
+		t.Fatal("handshake with the former authority after the reload: no error, want one")
 	}
 	requireHandshake(t, server, keys.PeerClientConfig("node-0"), "with the new keys")
 
@@ -142,7 +145,7 @@
 		t.Fatal(err)
 	}
 	if err := keys.Reload(); err == nil {
-		t.Fatal("a missing file is no error")
+		t.Fatal("reload with a missing file: no error, want one")
 	}
-	requireHandshake(t, server, keys.PeerClientConfig("node-0"), "with a file missing")
+	requireHandshake(t, server, keys.PeerClientConfig("node-0"), "after a reload with a missing file")
 }
--- a/internal/access/token.go
+++ b/internal/access/token.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// tokenPrefix marks harewalk's tokens, so that a leaked one can be recognized.
+	// tokenPrefix marks harewalk's tokens, so that a leaked token can be recognized.
 	tokenPrefix = "hw_"
 	// tokenBytes is the entropy of a token, in bytes.
 	tokenBytes = 32
 )
 
-// NewToken returns a new random token, and its sum in hexadecimal as the users' file takes it.
+// NewToken returns a new random token, and its SHA-256 sum in hexadecimal for the users' file.
 func NewToken() (token, sumHex string) {
 	raw := make([]byte, tokenBytes)
 	_, _ = rand.Read(raw) // never fails
--- a/internal/access/users.go
+++ b/internal/access/users.go
@@ -14,7 +14,7 @@
 // Identity is an authenticated user.
 type Identity struct {
 	Name     string
-	Operator bool // may give operators' commands, and act for every team
+	Operator bool // may run operators' commands, and act for every team
 	teams    []string
 }
 
@@ -29,8 +29,8 @@
 // userBlock is one user in the users' file.
 type userBlock struct {
 	Name string `hcl:"name,label"`
-	// TokenSums are SHA-256 sums, in hexadecimal: two while a token is being replaced. The file doesn't reveal the
-	// tokens, and a token has enough entropy that a slow hash would add nothing.
+	// TokenSums are the SHA-256 sums of the user's tokens, in hexadecimal. There are two while a token is being
+	// replaced. The file doesn't reveal the tokens. A slow hash isn't needed, since tokens have enough entropy.
 	TokenSums []string `hcl:"tokens_sha256"`
 	Teams     []string `hcl:"teams,optional"`
 	Operator  bool     `hcl:"operator,optional"`
@@ -39,14 +39,15 @@
 // tokenSum is the SHA-256 sum of a token.
 type tokenSum = [sha256.Size]byte
 
-// Users holds the users by their tokens. It is safe for concurrent use, except for Reload.
+// Users holds the users by their tokens' sums. It is safe for concurrent use, except that calls of Reload must not
+// overlap.
 type Users struct {
 	files   watchedFiles
 	teams   map[string]bool
 	current atomic.Pointer[map[tokenSum]*Identity]
 }
 
-// LoadUsers reads the users' file. A user's teams must be among the given ones. A block that is refused is a
+// LoadUsers reads the users' file. Each user's teams must be among the given teams. The error for an invalid block is a
 // *UserError.
 func LoadUsers(path string, teams map[string]bool) (*Users, error) {
 	users := &Users{files: watchedFiles{paths: []string{path}}, teams: teams}
@@ -71,14 +72,14 @@
 	return nil
 }
 
-// index returns the users by the sums of their tokens.
+// index returns the users by the sums of their tokens, or an error for the first invalid block.
 func (u *Users) index(blocks []userBlock) (map[tokenSum]*Identity, error) {
 	byToken := map[tokenSum]*Identity{}
 	names := map[string]bool{}
 	for i := range blocks {
 		block := &blocks[i]
 		if block.Name == "" || names[block.Name] {
-			return nil, block.refuse("a user has one block and a name")
+			return nil, block.errorf("a user needs a name and exactly one block")
 		}
 		names[block.Name] = true
 		if err := u.addTokens(byToken, block); err != nil {
@@ -88,47 +89,47 @@
 	return byToken, nil
 }
 
-// addTokens adds a user's tokens to the index.
+// addTokens adds the token sums of a user's block to the index, or returns an error if the block is invalid.
 func (u *Users) addTokens(byToken map[tokenSum]*Identity, block *userBlock) error {
 	if len(block.TokenSums) == 0 {
-		return block.refuse("tokens_sha256 is empty")
+		return block.errorf("tokens_sha256 is empty")
 	}
 	for _, team := range block.Teams {
 		if !u.teams[team] {
-			return block.refuse("there is no team %q", team)
+			return block.errorf("there is no team %q", team)
 		}
 	}
 	identity := &Identity{Name: block.Name, Operator: block.Operator, teams: block.Teams}
 	for _, text := range block.TokenSums {
 		raw, err := hex.DecodeString(text)
 		if err != nil || len(raw) != sha256.Size {
-			return block.refuse(
-				"tokens_sha256 takes sums of 64 hexadecimal digits, as `harewalk token new` prints them")
+			return block.errorf(
+				"tokens_sha256 must contain sums of 64 hexadecimal digits, as printed by `harewalk token new`")
 		}
 		sum := tokenSum(raw)
 		if byToken[sum] != nil {
-			return block.refuse("its token is somebody's already")
+			return block.errorf("a sum in tokens_sha256 occurs twice in the file")
 		}
 		byToken[sum] = identity
 	}
 	return nil
 }
 
-// UserError is a user's block of the users' file that is refused.
+// UserError reports an invalid block of the users' file.
 type UserError struct {
 	User   string
 	Reason string
 }
 
-// Error names the user, and why the block is refused.
+// Error returns the user's name and the reason why the block is invalid.
 func (e *UserError) Error() string { return fmt.Sprintf("user %q: %s", e.User, e.Reason) }
 
-// refuse returns the error that refuses the block, with a formatted reason.
-func (b *userBlock) refuse(format string, values ...any) error {
+// errorf returns a *UserError for the block, with a formatted reason.
+func (b *userBlock) errorf(format string, values ...any) error {
 	return &UserError{User: b.Name, Reason: fmt.Sprintf(format, values...)}
 }
 
-// Reload takes over a file that has changed. On an error the former users stay.
+// Reload applies the users' file if it has changed. On an error the former users stay.
 func (u *Users) Reload() error {
 	former := u.current.Load()
 	if err := u.load(); err != nil {
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// Authenticate returns the user of a token, nil if there is none. Only sums are compared, which a client can't choose,
-// so the time that it takes reveals nothing about the tokens.
+// Authenticate returns the user of a token, or nil if no user has the token. Only sums are compared. Since a client
+// can't choose a sum, the time of the comparison reveals nothing about the tokens.
 func (u *Users) Authenticate(token string) *Identity {
 	if token == "" {
 		return nil
--- a/internal/access/users_test.go
+++ b/internal/access/users_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// usersFixture is a users' file with a user of one team, who has two tokens, and an operator.
+// usersFixture is a users' file with the user ada, who has two tokens and the team red, and the operator ops.
 type usersFixture struct {
 	path                     string
-	first, second, operator  string // tokens
-	firstSum, operatorSum    string
-	userBlock, operatorBlock string
+	first, second, operator  string // ada's two tokens and the operator's token
+	firstSum, operatorSum    string // token sums, in hexadecimal
+	userBlock, operatorBlock string // blocks of the users' file
 	users                    *Users
 }
 
@@ -41,7 +41,8 @@
 	writeFile(t, f.path, []byte(text))
 }
 
-// While a token is replaced both authenticate; a sum, an extended and an empty token don't.
+// While a token is being replaced, the old and the new token both authenticate their user. A token sum, a token with an
+// additional character and an empty token authenticate nobody.
 func TestTokensAuthenticateTheirUser(t *testing.T) {
 	f := newUsersFixture(t)
 	for token, want := range map[string]string{
@@ -57,7 +58,7 @@
 			got = user.Name
 		}
 		if got != want {
-			t.Errorf("%q authenticates %q, want %q", token, got, want)
+			t.Errorf("token %q: user %q, want %q", token, got, want)
 		}
 	}
 }
@@ -65,43 +66,44 @@
 func TestUsersActForTheirTeamsAndOperatorsForAll(t *testing.T) {
 	f := newUsersFixture(t)
 	if user := f.users.Authenticate(f.first); !user.MayActFor("red") || user.MayActFor("blue") || user.Operator {
-		t.Errorf("%+v", user)
+		t.Errorf("user %+v, want one who may act for the team red only and isn't an operator", user)
 	}
 	if user := f.users.Authenticate(f.operator); !user.MayActFor("blue") || !user.Operator {
-		t.Errorf("%+v", user)
+		t.Errorf("user %+v, want an operator who may act for the team blue", user)
 	}
 }
 
-// A file with an error leaves the former users.
-func TestBadUsersFileIsNamedAndIgnored(t *testing.T) {
+// If the users' file becomes invalid, Reload returns an error that says what is wrong, and the former users stay.
+func TestInvalidUsersFileLeavesFormerUsers(t *testing.T) {
 	f := newUsersFixture(t)
 	for bad, want := range map[string]string{
 		f.operatorBlock + f.operatorBlock:                                            "one block",
 		strings.Replace(f.userBlock, "red", "green", 1):                              `no team "green"`,
 		strings.Replace(f.operatorBlock, f.operatorSum, f.operatorSum[1:], 1):        "64 hexadecimal",
-		f.userBlock + strings.Replace(f.operatorBlock, f.operatorSum, f.firstSum, 1): "somebody's already",
+		f.userBlock + strings.Replace(f.operatorBlock, f.operatorSum, f.firstSum, 1): "occurs twice",
 		"user \"x\" {\n":                  "users.hcl",
 		`user "x" { tokens_sha256 = [] }`: "empty",
 	} {
 		f.write(t, bad)
 		if err := f.users.Reload(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v does not contain %q", bad, err, want)
+			t.Errorf("%s: error %v, want one that contains %q", bad, err, want)
 		}
 		if f.users.Authenticate(f.first) == nil || f.users.Authenticate(f.operator) == nil {
-			t.Fatal("a file with an error locked users out")
+			t.Fatalf("after an invalid file: user %v, operator %v, want both authenticated",
+				f.users.Authenticate(f.first), f.users.Authenticate(f.operator))
 		}
 	}
 }
 
-// A block that is refused is a UserError that can be told by its user.
-func TestRefusedBlockIsAUserError(t *testing.T) {
+// The error for an invalid block is a UserError with the user's name.
+func TestInvalidBlockIsAUserError(t *testing.T) {
 	f := newUsersFixture(t)
 	f.write(t, strings.Replace(f.userBlock, "red", "green", 1))
 	err := f.users.Reload()
 	var refused *UserError
 	if !errors.As(err, &refused) || refused.User != "ada" ||
 		err.Error() != f.path+`: user "ada": there is no team "green"` {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a UserError for ada about the team green", err)
 	}
 }
 
@@ -112,6 +114,6 @@
 		t.Fatal(err)
 	}
 	if f.users.Authenticate(f.first) != nil || f.users.Authenticate(f.operator) == nil {
-		t.Fatalf("removed user %v, operator %v", f.users.Authenticate(f.first), f.users.Authenticate(f.operator))
+		t.Fatalf("removed user %v, want nil; operator %v, want one", f.users.Authenticate(f.first), f.users.Authenticate(f.operator))
 	}
 }
