--- a/internal/access/users_test.go
+++ b/internal/access/users_test.go
@@ -100,8 +100,8 @@
 	f := newUsersFixture(t)
 	f.write(t, strings.Replace(f.userBlock, "red", "green", 1))
 	err := f.users.Reload()
-	var refused *UserError
-	if !errors.As(err, &refused) || refused.User != "ada" ||
+	var userErr *UserError
+	if !errors.As(err, &userErr) || userErr.User != "ada" ||
 		err.Error() != f.path+`: user "ada": there is no team "green"` {
 		t.Errorf("error %v, want a UserError for ada about the team green", err)
 	}
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -66,9 +66,9 @@
 	return jobs.Seconds(min(max(ninthDecileFactor*ninthDecile, atLeastS), maxExpectedFactor*defaultS))
 }
 
-// timeout returns how long a boot may take before its machine is returned. Beyond the expected time it waits as long
-// as another boot takes. So a boot that never completes, and a late boot that is abandoned, each cost at most twice
-// the best choice.
+// timeout returns how long a boot may take before its machine is returned. The wait beyond the expected time is as long
+// as another boot takes. So waiting for a boot that never completes, and abandoning a boot that would complete late,
+// each cost at most twice the best choice.
 func (b bootTimes) timeout(o offer, bootS float64) time.Duration { return 2 * b.expected(o, bootS) }
 
 // evaluateBoots records the boots that have completed, and marks the machines whose boots have timed out for return.
@@ -87,10 +87,10 @@
 	}
 }
 
-// overdueGroup holds the overdue boots of one offer, by machine name.
+// overdueGroup holds the overdue boots of one offer.
 type overdueGroup struct {
-	names      []string
-	maxOverdue time.Duration
+	names      []string      // names of the machines
+	maxOverdue time.Duration // longest time that one of the boots has taken beyond the expected time
 }
 
 // overdueBoots returns the names of the booting machines that no longer count as capacity, so that they are replaced.
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -16,8 +16,8 @@
 	// Slack beyond the list's lag for which a booting machine, or a machine with an expired lease, may be unlisted.
 	unlistedBootSlack    = 20 * time.Second
 	unlistedExpiredSlack = 10 * time.Second
-	// returnedRetentionLags is how long a returned machine is remembered, in multiples of the list's lag. A list may be
-	// older than the list read before it, so a machine that is missing from one list may be in the next.
+	// returnedRetentionLags is how long a returned machine is remembered, in multiples of the list's lag limit. A list
+	// may be older than the list read before it, so a machine that is missing from one list may be in the next.
 	returnedRetentionLags = 10
 )
 
@@ -132,19 +132,19 @@
 // reconcileUnlisted drops boots and machines with an expired lease that have been unlisted for longer than the list's
 // lag explains. It also drops the records of machines that were returned long ago.
 func (m *Manager) reconcileUnlisted(now time.Duration, isListed map[string]bool) {
-	lag := jobs.Seconds(2*m.Settings.Params.Cloud.ListLagS + 2)
+	lagLimit := jobs.Seconds(2*m.Settings.Params.Cloud.ListLagS + 2)
 	for name, boot := range m.boots {
-		if !isListed[name] && now-boot.startedAt > lag+unlistedBootSlack {
+		if !isListed[name] && now-boot.startedAt > lagLimit+unlistedBootSlack {
 			delete(m.boots, name)
 		}
 	}
 	for name, returnedAt := range m.returnedAt {
-		if now-returnedAt > returnedRetentionLags*lag {
+		if now-returnedAt > returnedRetentionLags*lagLimit {
 			delete(m.returnedAt, name)
 		}
 	}
 	for _, machine := range m.Fleet.Machines() {
-		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastContactAt > lag+unlistedExpiredSlack
+		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastContactAt > lagLimit+unlistedExpiredSlack
 		if isExpired && !isListed[machine.Name] {
 			m.Fleet.HandleReturned(now, machine, string(causeUnlisted))
 		}
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -43,7 +43,7 @@
 
 	inventory inventory
 	boots     map[string]*pendingBoot // by machine name
-	bootTimes bootTimes
+	bootTimes bootTimes               // durations of recent boots
 
 	// Scale-out.
 	renting        bool // a request is in flight
--- a/internal/capacity/manager_test.go
+++ b/internal/capacity/manager_test.go
@@ -20,7 +20,7 @@
 	f.toReturn[machine.Name] = causeFailed
 	f.runFor(time.Second)
 	if len(f.cloud.responses) < 2 {
-		t.Fatalf("%d requests sent, want the list and the return", len(f.cloud.responses))
+		t.Fatalf("%d requests sent, want at least 2: for the list and for the return", len(f.cloud.responses))
 	}
 	f.Stop()
 	conditionAtStop := machine.Condition
--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -13,7 +13,7 @@
 	isSpot          bool
 }
 
-// less orders offers, so that the choice between offers of which equally many machines are needed is deterministic.
+// less orders offers. It makes the choice deterministic if equally many machines of several offers are needed.
 func (o offer) less(other offer) bool {
 	if o.typeIndex != other.typeIndex {
 		return o.typeIndex < other.typeIndex
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// acceptsWork reports whether a present machine counts as capacity for waiting work: its size is known, it isn't
-// quarantined, about to be reclaimed or returned, and responses reach it.
+// acceptsWork reports whether a present machine counts as capacity for waiting work. Its size has to be known, responses
+// have to reach it, and it must not be quarantined, about to be reclaimed, or about to be returned.
 func acceptsWork(machine *fleet.Machine) bool {
 	if machine.Condition == fleet.ReclaimNoticed || machine.Condition == fleet.OneWayUnreachable {
 		return false
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -14,8 +14,8 @@
 // A zone has to be found lost well before its first machine is returned: otherwise many would be returned by then.
 const zoneSilenceFactor = 0.6
 
-// QuietFor returns how long after its last heartbeat a machine counts as quiet: the next heartbeat is overdue by 30% of
-// the interval and a second.
+// QuietFor returns how long after its last heartbeat a machine counts as quiet: the next heartbeat is then overdue by
+// 30% of the heartbeat interval plus a second.
 func (m *Manager) QuietFor() time.Duration {
 	return jobs.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
 }
@@ -40,8 +40,8 @@
 	}
 }
 
-// observedSilence returns the time since a machine's last contact, or since this controller gained its authority if
-// that is later.
+// observedSilence returns the time since a machine's last contact or since this controller gained its authority,
+// whichever is later.
 func (m *Manager) observedSilence(now time.Duration, machine *fleet.Machine) time.Duration {
 	return now - max(machine.LastContactAt, m.authoritySince)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,8 +71,8 @@
 		{`{"cores":0.18,"mem_mb":130.0,"sockets":1200}`, 840, 1349},
 		{`{"cores":0.18,"mem_mb":168.0,"sockets":2500}`, 1612, 1349},
 		{`{"cores":0.01,"mem_mb":24.0,"sockets":32}`, 22, 75},
-		{`{"cores":1.0,"mem_mb":130.0,"sockets":4000}`, 1248, 1880}, // memory
-		{`{"cores":1.0,"mem_mb":512.0,"sockets":300}`, 210, 942},    // connections
+		{`{"cores":1.0,"mem_mb":130.0,"sockets":4000}`, 1248, 1880}, // bounded by memory
+		{`{"cores":1.0,"mem_mb":512.0,"sockets":300}`, 210, 942},    // bounded by connections
 		{`{}`, 716, 3222},
 	} {
 		s := parseWithLimits(t, c.limits)
@@ -82,8 +82,8 @@
 				"%g cores, want more than 0", c.limits, l.MaxConns(), c.conns, machines, c.machines,
 				l.MaxTasks(), MaxBody/2, l.UsableCores())
 		}
-		if worst := float64(l.MaxConns()*MaxBody) / (1 << 20); worst > 0.61*l.MemoryLimitMB() {
-			t.Errorf("%s: request bodies may take %.0f of %.0f MB, want at most 61%%", c.limits, worst, l.MemoryLimitMB())
+		if bodiesMB := float64(l.MaxConns()*MaxBody) / (1 << 20); bodiesMB > 0.61*l.MemoryLimitMB() {
+			t.Errorf("%s: request bodies may take %.0f of %.0f MB, want at most 61%%", c.limits, bodiesMB, l.MemoryLimitMB())
 		}
 	}
 }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -82,14 +82,14 @@
 		if err == nil && c.operator != "" {
 			err = settings.ReadOperator(operatorFile, []byte(c.operator))
 		}
-		var refused *SettingError
-		if !errors.As(err, &refused) {
+		var settingErr *SettingError
+		if !errors.As(err, &settingErr) {
 			t.Errorf("error %v, want a SettingError with the text %s", err, c.text)
 			continue
 		}
-		if refused.Kind != c.kind || refused.Name != c.name || err.Error() != c.text {
+		if settingErr.Kind != c.kind || settingErr.Name != c.name || err.Error() != c.text {
 			t.Errorf("error %q of kind %q, name %q; want %q of kind %q, name %q",
-				err, refused.Kind, refused.Name, c.text, c.kind, c.name)
+				err, settingErr.Kind, settingErr.Name, c.text, c.kind, c.name)
 		}
 	}
 }
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// pool returns the declared pool, or an error if the declaration is invalid. teams are the platform's.
+// pool returns the declared pool, or an error if the declaration is invalid. teams holds the names of the platform's
+// teams.
 func (d *LicencePool) pool(teams map[string]bool) (*licences.Pool, error) {
 	if d.Reserve > d.Count {
 		return nil, d.errorf("reserve %d is more than its count %d", d.Reserve, d.Count)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -61,8 +61,8 @@
 	SkewMS     float64          `json:"skew_ms" validate:"gte=0"`
 }
 
-// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits, where
-// 0 means no limit.
+// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits. 0 means
+// that no guarantee or limit is set.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	CPUs    float64 `json:"cpus" validate:"gte=0"`
@@ -93,7 +93,7 @@
 	HeartbeatIntervalS float64 `json:"report_s" validate:"gt=0"`
 	// LeaseS is how long a worker keeps its tasks running after the last response 200 to a heartbeat.
 	LeaseS float64 `json:"lease_s" validate:"gt=0"`
-	// GangWaitS is how long a gang's task waits for the gang's other tasks to start before it fails.
+	// GangWaitS is how long a gang's task waits for the gang's other tasks to start before it exits.
 	GangWaitS float64 `json:"gang_wait_s" validate:"gt=0"`
 	// GangPeerS is how long a gang's other tasks may run on after one task has ended.
 	GangPeerS float64 `json:"gang_peer_s" validate:"gt=0"`
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -28,12 +28,12 @@
 // times satisfy two conditions. The staleness bound, a worker's lease with its drift and the commands in flight fit in
 // cancel_s together. A controller's lease fits in the staleness bound.
 func TestCancelledTasksAreGoneWithinCancelS(t *testing.T) {
-	refused := 0
+	rejected := 0
 	for lease := 2.0; lease <= 90; lease += 4.25 {
 		for cancel := 1.0; cancel <= 150; cancel += 1.5 {
 			settings, err := parseWithTiming(t, lease, cancel, "")
 			if err != nil {
-				if refused++; !strings.Contains(err.Error(), `"params.workers.cancel_s"`) {
+				if rejected++; !strings.Contains(err.Error(), `"params.workers.cancel_s"`) {
 					t.Fatal(err)
 				}
 				if room := cancel - lease*1.001; room > 4.6 {
@@ -42,16 +42,16 @@
 				}
 				continue
 			}
-			worst := settings.StalenessBound() + jobs.Seconds(lease*1.0005) + 2*time.Second
+			goneAfter := settings.StalenessBound() + jobs.Seconds(lease*1.0005) + 2*time.Second
 			staleness, ttl := settings.StalenessBound(), settings.ControllerLeaseTTL()
-			if worst > jobs.Seconds(cancel*0.9995) || staleness < ttl || ttl < 2*time.Second || ttl > 6*time.Second {
+			if goneAfter > jobs.Seconds(cancel*0.9995) || staleness < ttl || ttl < 2*time.Second || ttl > 6*time.Second {
 				t.Errorf("lease_s %g, cancel_s %g: tasks gone after %v, want at most cancel_s; controller lease %v, "+
-					"want 2 s to 6 s and at most the staleness bound %v", lease, cancel, worst, ttl, staleness)
+					"want 2 s to 6 s and at most the staleness bound %v", lease, cancel, goneAfter, ttl, staleness)
 			}
 		}
 	}
-	if refused < 100 {
-		t.Errorf("%d settings were rejected, want at least 100", refused)
+	if rejected < 100 {
+		t.Errorf("%d settings were rejected, want at least 100", rejected)
 	}
 }
 
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -12,7 +12,7 @@
 	// twice silent_s.
 	ReturnGraceS float64 `hcl:"patience_s,optional" validate:"gte=0"`
 	// ProbationS is how long a returned zone has to stay reachable before it counts as healthy, in seconds. The time
-	// doubles with each flap, up to MaxProbation. 0 means two heartbeat intervals.
+	// doubles with each flap, up to maxProbation. 0 means two heartbeat intervals.
 	ProbationS float64 `hcl:"prove_s,optional" validate:"gte=0"`
 	// FlapForgivenessS is the healthy time after which the number of flaps decreases by one, in seconds; 0 means ten
 	// times lease_s.
@@ -27,8 +27,8 @@
 	MaxProbation    time.Duration
 }
 
-// maxProbation bounds how long free capacity in a zone on probation isn't used for waiting work. Together with the time
-// that a start takes, no job waits for 90 s while capacity that fits it is free.
+// maxProbation bounds how long free capacity in a zone on probation isn't used for waiting work that fits. Even with the
+// time that a start takes in addition, no job waits for 90 s while fitting capacity is free.
 const maxProbation = 45 * time.Second
 
 // Defaults of ZoneSettings.
