--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -9,7 +9,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// TestInvalidCommandsAreRefused: commands that come too early, at an old revision, or that are malformed.
+// TestInvalidCommandsAreRefused checks that Execute refuses commands that come too early, that are based on another
+// revision of the directive, or that are malformed.
 func TestInvalidCommandsAreRefused(t *testing.T) {
 	r := newTestRollout(false)
 	join(r, "a", presentRelease, Paged, 1, 2)
@@ -33,9 +34,9 @@
 	}
 }
 
-// TestLevelIsUpgradedByDirective follows a rollout that operators have to finish: the level isn't upgraded without
-// their directive, nor by one about an earlier upgrade; it is upgraded once; and each leader records the migration
-// once.
+// TestLevelIsUpgradedByDirective follows a rollout that needs an operator's directive. The level isn't upgraded without
+// a directive, or by a directive about an earlier upgrade. A directive upgrades the level once. Each leader records the
+// migration once when it starts and once when it is done.
 func TestLevelIsUpgradedByDirective(t *testing.T) {
 	r := newTestRollout(false)
 	join(r, "a", presentRelease, Paged, 1, 2)
@@ -48,7 +49,7 @@
 		}
 		mustNotTick(t, r, now, 1, MigrationProgress{}) // there is no directive
 	}
-	direct(r, directiveRecord{Mode: FinishRequested, Level: Base}, 10)
+	setDirective(r, directiveRecord{Mode: FinishRequested, Level: Base}, 10)
 	mustNotTick(t, r, time.Minute, 1, MigrationProgress{}) // the directive is about an earlier upgrade
 
 	finish, err := r.Execute(time.Minute, Command{Op: "finish", By: "ana"}, 0)
@@ -58,55 +59,56 @@
 	r.HandleItem(store.Item{Key: directiveKey, Value: finish.Then[0].Value, Version: 11})
 	upgrade := mustTick(t, r, time.Minute, 1, MigrationProgress{})
 	if upgrade.Then[0].Put != levelKey || len(upgrade.If) != 8 {
-		t.Fatalf("the level is upgraded by %+v", upgrade)
+		t.Fatalf("got upgrade transaction %+v, want 8 conditions and the level as the first write", upgrade)
 	}
 	commit(r, time.Minute, upgrade, 12)
 	if r.Level() != Paged || r.State() != Upgrading {
-		t.Fatalf("level %d, state %s", r.Level(), r.State())
+		t.Fatalf("after the upgrade: got level %d, state %s, want level 2, state raising", r.Level(), r.State())
 	}
 	if _, err := r.Execute(time.Minute, Command{Op: "abort"}, 0); !errors.Is(err, ErrTooLate) {
-		t.Errorf("an abort after the upgrade: %v", err)
+		t.Errorf("abort after the upgrade: got error %v, want ErrTooLate", err)
 	}
 
 	left := MigrationProgress{Left: 3}
-	mustNotTick(t, r, 2*time.Minute, 1, left) // the leader that upgraded the level is recorded already
+	mustNotTick(t, r, 2*time.Minute, 1, left) // the upgrade itself has recorded this term's leader
 	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, left), 13)
 	done := MigrationProgress{Done: true}
 	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, done), 14)
 	mustNotTick(t, r, 3*time.Minute, 2, done)
 	if !r.Migrated() || r.State() != Settled {
-		t.Errorf("migrated %v, state %s", r.Migrated(), r.State())
+		t.Errorf("after the migration: got migrated %v, state %s, want true, settled", r.Migrated(), r.State())
 	}
 }
 
-// TestAllSupport: a level is supported by all once each controller has announced it, before it rises and whether or not
-// all are healthy; not while operators abort the rollout, nor once a controller is back with its former release.
+// TestAllSupport checks when AllSupport reports a level: once all controllers have announced the level, even before the
+// upgrade and while some are unhealthy or down. AllSupport must not report the level while the rollout is aborted, or
+// after a controller has rejoined with its former release.
 func TestAllSupport(t *testing.T) {
 	r := newTestRollout(true)
 	expect := func(when string, want bool) {
 		t.Helper()
 		if r.AllSupport(Paged) != want {
-			t.Errorf("%s: all support the level: %v, want %v", when, !want, want)
+			t.Errorf("%s: AllSupport(Paged): got %v, want %v", when, !want, want)
 		}
 	}
 	join(r, "a", presentRelease, Paged, 1, 2)
 	join(r, "b", presentRelease, Paged, 2, 3)
-	expect("one controller has never been seen", false)
+	expect("one controller has never joined", false)
 	join(r, "c", formerRelease, Base, 3, 4)
-	expect("one runs the former release", false)
+	expect("one controller runs the former release", false)
 	join(r, "c", presentRelease, Paged, 4, 5)
 	r.HandleHealth(time.Second, "c", false)
-	expect("all have announced it, one isn't healthy", true)
+	expect("all controllers have announced the level, one is unhealthy", true)
 	if r.Level() != Base {
-		t.Errorf("the level is %d, want %d", r.Level(), Base)
+		t.Errorf("got level %d, want %d", r.Level(), Base)
 	}
 	r.HandleDelete(MemberKey("b"), 6)
-	expect("one is down", true)
-	direct(r, directiveRecord{Mode: AbortedByOperator, Level: Base}, 7)
+	expect("one controller is down", true)
+	setDirective(r, directiveRecord{Mode: AbortedByOperator, Level: Base}, 7)
 	expect("the rollout is aborted", false)
-	direct(r, directiveRecord{Mode: NoDirective, Level: Base}, 8)
-	expect("the abort is undone", true)
+	setDirective(r, directiveRecord{Mode: NoDirective, Level: Base}, 8)
+	expect("the abort is withdrawn", true)
 	member := encode(map[string]any{"node": "b", "hold": 9})
 	r.HandleItem(store.Item{Key: MemberKey("b"), Value: member, Version: 10})
-	expect("one is back with a release that announces nothing", false)
+	expect("one controller has rejoined with a release that announces nothing", false)
 }
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,11 +1,14 @@
-// Package rollout lets controllers of different releases share one cluster. It owns the formats of stored records and
-// the release that writes each, what each controller has announced of itself, the cluster's level, the migration that
-// follows an upgrade of the level, and the order in which controllers are restarted.
+// Package rollout lets controllers of different releases share one cluster. It owns:
+//   - the table of stored record formats and of the releases that introduced them;
+//   - the announcements, in which each controller publishes its release and the highest level that it supports;
+//   - the cluster's level and the progress of the migration that follows an upgrade of the level;
+//   - the order in which controllers are restarted.
 //
-// The level is upgraded by one guarded transaction, once all controllers that the settings name have announced it. A
-// new format is written from its level on, and the former one is read until the migration's end is durable.
+// The level is upgraded by one transaction under the leader's guard, once every controller in the settings has
+// announced the new level. From then on the formats of the new level are written; the former formats are read until the
+// end of the migration is durable.
 //
 // The package owns the keys under h/r/. It does no I/O, has no clock and starts no goroutine: the controller's
 // event loop passes in changed keys and times, and sends the transactions that Tick and Execute return under the
-// leader's guard. The package never decides who leads, and it never migrates records itself.
+// leader's guard. The package neither elects a leader nor migrates records itself.
 package rollout
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -6,48 +6,52 @@
 	"strings"
 )
 
-// Guard is what a controller does about a record that it can't read: a newer release wrote it, or it is damaged.
+// Guard is a controller's reaction to a record that it can't read, because a newer release wrote the record or because
+// the record is damaged.
 type Guard string
 
-// The guards, by their names in answers to operators.
+// The guards. The values are their names in answers to operators.
 const (
-	// GuardStandDown has a controller that reads a newer format give up the lead and stay out, as others can read
-	// it. A damaged record is kept as it is, and what depends on it waits.
+	// GuardStandDown makes a controller resign as leader and stop acting if the record's format is newer than its
+	// release, because other controllers can read the record. A damaged record is left unchanged, and work that
+	// depends on it waits.
 	GuardStandDown Guard = "stand-down"
-	// GuardQuarantine excludes the one job of the record: nothing of it is planned, started, answered or written.
+	// GuardQuarantine excludes the record's job: the job isn't planned, started, reported to users or written.
 	GuardQuarantine Guard = "seal"
-	// GuardIgnore treats the record as absent, where that is safe.
+	// GuardIgnore treats the record as absent, for kinds of record whose absence is safe.
 	GuardIgnore Guard = "unsaid"
 	// GuardAdvisory needs no action, since nothing depends on the record.
 	GuardAdvisory Guard = "hint"
 )
 
-// notWritten is the format of a kind of record that isn't written at a level.
+// notWritten is the WriteFormat.Format of a kind of record that isn't written from a level on.
 const notWritten = 0
 
 // WriteFormat is the format in which a kind of record is written from a level on.
 type WriteFormat struct {
 	From   Level
-	Format int    // or notWritten
-	Since  string // the release that introduced it
+	Format int    // notWritten: records of this kind are no longer, or not yet, written
+	Since  string // the release that introduced this format at this level
 }
 
-// RecordFormat is a kind of record: where it is stored, which formats this release reads, and which it writes.
+// RecordFormat describes a kind of record: where its records are stored, and in which formats this release reads and
+// writes them.
 type RecordFormat struct {
 	Kind         string
-	Prefix       string // of its keys
+	Prefix       string // prefix of the keys
 	ReadFormats  []int
 	WriteFormats []WriteFormat // by ascending level
-	Guard        Guard
+	Guard        Guard         // reaction to an unreadable record of this kind
 }
 
-// singleFormat returns a kind of record that has had one format at all levels.
+// singleFormat returns a kind of record that has the same format at all levels.
 func singleFormat(kind, prefix string, guard Guard) RecordFormat {
-	return replacedFormats(kind, prefix, guard, WriteFormat{Base, 1, firstAnnouncingRelease})
+	return formatsByLevel(kind, prefix, guard, WriteFormat{Base, 1, firstAnnouncingRelease})
 }
 
-// replacedFormats returns a kind of record that reads each format that it writes at some level.
-func replacedFormats(kind, prefix string, guard Guard, writes ...WriteFormat) RecordFormat {
+// formatsByLevel returns a kind of record whose format depends on the level. Every format that is written at some
+// level is read.
+func formatsByLevel(kind, prefix string, guard Guard, writes ...WriteFormat) RecordFormat {
 	var reads []int
 	for _, write := range writes {
 		if write.Format != notWritten {
@@ -59,23 +63,23 @@
 
 // RecordFormats lists every kind of record in the state service. A test compares it with the code of each package.
 var RecordFormats = []RecordFormat{
-	// A pending job with predecessors has format 2, all other jobs have format 1. Format 2 is written as soon as all
+	// A pending job with predecessors has format 2; all other jobs have format 1. Format 2 is written once all
 	// controllers support its level (Rollout.AllSupport): one of a former release would quarantine the job.
-	replacedFormats("job", "h/j/", GuardQuarantine,
+	formatsByLevel("job", "h/j/", GuardQuarantine,
 		WriteFormat{Base, 1, firstAnnouncingRelease},
 		WriteFormat{Dependencies, 2, firstDependencyRelease}),
-	replacedFormats("archived-job", "a/", GuardQuarantine,
+	formatsByLevel("archived-job", "a/", GuardQuarantine,
 		WriteFormat{Base, notWritten, firstAnnouncingRelease},
 		WriteFormat{Archived, 1, firstArchivingRelease}),
-	replacedFormats("plan", "p/", GuardQuarantine,
+	formatsByLevel("plan", "p/", GuardQuarantine,
 		WriteFormat{Base, 1, firstAnnouncingRelease},
-		WriteFormat{Paged, notWritten, firstAnnouncingRelease}), // it is a part of a plan page
-	replacedFormats("plan-page", "p/@/", GuardQuarantine,
+		WriteFormat{Paged, notWritten, firstAnnouncingRelease}), // plans are part of plan pages
+	formatsByLevel("plan-page", "p/@/", GuardQuarantine,
 		WriteFormat{Base, notWritten, firstAnnouncingRelease},
 		WriteFormat{Paged, 1, firstAnnouncingRelease}),
 	singleFormat("image-hints", "p/images", GuardAdvisory),
 	singleFormat("leader", "h/c/leader", GuardStandDown),
-	replacedFormats("term", TermKey, GuardStandDown,
+	formatsByLevel("term", TermKey, GuardStandDown,
 		WriteFormat{Base, 1, firstAnnouncingRelease},
 		WriteFormat{Paged, 2, firstAnnouncingRelease}),
 	singleFormat("part-map", "h/c/map", GuardStandDown),
@@ -84,7 +88,7 @@
 	singleFormat("licence-count", "h/l/", GuardStandDown),
 	singleFormat("session", "s/", GuardStandDown),
 	singleFormat("operators-wishes", "h/o/wishes", GuardStandDown),
-	replacedFormats("drain-request", "h/o/machines/", GuardStandDown,
+	formatsByLevel("drain-request", "h/o/machines/", GuardStandDown,
 		WriteFormat{Base, notWritten, firstAnnouncingRelease},
 		WriteFormat{DrainKeys, 1, firstDrainKeysRelease}),
 	singleFormat("zones", "h/z/", GuardAdvisory),
@@ -94,7 +98,7 @@
 	singleFormat("rollout-words", directiveKey, GuardStandDown),
 }
 
-// RecordFormatOf returns the kind of record of a key, the one with the longest prefix; false if there is none.
+// RecordFormatOf returns the kind of record with the longest prefix of a key, and false if no prefix matches.
 func RecordFormatOf(key string) (RecordFormat, bool) {
 	longest := -1
 	for i, format := range RecordFormats {
@@ -111,7 +115,7 @@
 	return RecordFormats[longest], true
 }
 
-// WrittenAt returns the format that is written at a level, 0 if none is.
+// WrittenAt returns the format that is written at a level, or 0 if records of this kind are not written then.
 func (f RecordFormat) WrittenAt(level Level) int {
 	format := notWritten
 	for _, write := range f.WriteFormats {
@@ -125,10 +129,10 @@
 // newestRead returns the newest format that this release reads.
 func (f RecordFormat) newestRead() int { return slices.Max(f.ReadFormats) }
 
-// Newer reports whether a record names a newer format than this release reads.
+// Newer reports whether a record's format is newer than all formats that this release reads.
 func (f RecordFormat) Newer(raw json.RawMessage) bool { return FormatOf(raw) > f.newestRead() }
 
-// FormatOf returns the format that a record names. One that names none, or isn't a JSON object, has format 1.
+// FormatOf returns the format that a record names. The format is 1 if the record names none or isn't a JSON object.
 func FormatOf(raw json.RawMessage) int {
 	var record struct {
 		Format int `json:"v"`
@@ -139,7 +143,7 @@
 	return record.Format
 }
 
-// readFormats returns the formats that this release reads, by kind of record.
+// readFormats returns the formats that this release reads, keyed by kind of record.
 func readFormats() map[string][]int {
 	formats := map[string][]int{}
 	for _, format := range RecordFormats {
@@ -148,7 +152,7 @@
 	return formats
 }
 
-// writtenFormats returns the formats that this release writes at a level, by kind of record.
+// writtenFormats returns the format that this release writes at a level, keyed by kind of record.
 func writtenFormats(level Level) map[string]int {
 	formats := map[string]int{}
 	for _, format := range RecordFormats {
--- a/internal/rollout/formats_test.go
+++ b/internal/rollout/formats_test.go
@@ -5,23 +5,24 @@
 	"testing"
 )
 
-// TestWrittenFormatsAreRead: the formats of each kind are among those that are read, and levels ascend.
+// TestWrittenFormatsAreRead checks for each kind of record that this release reads all formats that it writes, and that
+// the levels of its WriteFormats ascend.
 func TestWrittenFormatsAreRead(t *testing.T) {
 	for _, format := range RecordFormats {
 		last := Level(0)
 		for _, write := range format.WriteFormats {
 			if write.From <= last {
-				t.Errorf("%s: level %d follows level %d", format.Kind, write.From, last)
+				t.Errorf("%s: got level %d after level %d, want ascending levels", format.Kind, write.From, last)
 			}
 			last = write.From
 			if write.Format != notWritten && !slices.Contains(format.ReadFormats, write.Format) {
-				t.Errorf("%s writes format %d and doesn't read it", format.Kind, write.Format)
+				t.Errorf("%s: got written format %d, want one of ReadFormats", format.Kind, write.Format)
 			}
 		}
 	}
 }
 
-// TestLongestPrefixDecidesTheRecordKind: a key belongs to the most specific kind.
+// TestLongestPrefixDecidesTheRecordKind checks that a key belongs to the kind of record with the longest prefix.
 func TestLongestPrefixDecidesTheRecordKind(t *testing.T) {
 	for key, kind := range map[string]string{
 		"p/@/00003":        "plan-page",
@@ -32,15 +33,15 @@
 		"x":                "",
 	} {
 		if format, _ := RecordFormatOf(key); format.Kind != kind {
-			t.Errorf("%s is of kind %q, want %q", key, format.Kind, kind)
+			t.Errorf("key %s: got kind %q, want %q", key, format.Kind, kind)
 		}
 	}
 }
 
-// TestAnnouncementListsTheFormats: what a controller announces is what the table lists.
+// TestAnnouncementListsTheFormats checks that the announced formats are those listed in RecordFormats.
 func TestAnnouncementListsTheFormats(t *testing.T) {
 	if kinds := len(readFormats()); kinds != len(RecordFormats) {
-		t.Errorf("%d kinds are announced, want %d", kinds, len(RecordFormats))
+		t.Errorf("announced kinds of record: got %d, want %d", kinds, len(RecordFormats))
 	}
 	for _, c := range []struct {
 		kind    string
@@ -52,13 +53,13 @@
 		{"term", Paged, 2},
 	} {
 		if written := writtenFormats(c.level)[c.kind]; written != c.written {
-			t.Errorf("format %d of %s is written at level %d, want %d", written, c.kind, c.level, c.written)
+			t.Errorf("got written format %d of %s at level %d, want %d", written, c.kind, c.level, c.written)
 		}
 	}
 	reads := map[string][]int{"plan": {1}, "plan-page": {1}, "term": {1, 2}, "archived-job": {1}, "drain-request": {1}}
 	for kind, want := range reads {
 		if formats := readFormats()[kind]; !slices.Equal(formats, want) {
-			t.Errorf("formats %v of %s are read, want %v", formats, kind, want)
+			t.Errorf("got read formats %v of %s, want %v", formats, kind, want)
 		}
 	}
 }
--- a/internal/rollout/model_explore_test.go
+++ b/internal/rollout/model_explore_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// modelBounds limits the number of steps of each kind in a run.
+// modelBounds is the maximum number of steps of each kind in a run.
 type modelBounds struct{ starts, sends, directives, crashes, freezes uint8 }
 
-// successors lists the states that can follow a state.
+// successors collects the states that can follow a state.
 type successors struct {
-	of        *modelState
+	from      *modelState
 	removed   removedGuard
 	bounds    modelBounds
-	levelless bool // the former release has no levels
-	states    []modelState
+	levelless bool         // the former release has no levels: it announces nothing and ignores the level
+	states    []modelState // the result
 }
 
-// add adds the state after a step, unless the step returns false.
+// add adds the state after a step. A step that isn't possible returns false, and no state is added.
 func (s *successors) add(step func(next *modelState) bool) {
-	next := *s.of
+	next := *s.from
 	if step(&next) {
 		next.canonicalize()
 		s.states = append(s.states, next)
@@ -35,14 +35,15 @@
 	})
 }
 
-// addSend adds the state after a transaction was sent.
+// addSend adds the state after sending a transaction.
 func (s *successors) addSend(txn modelTxn) {
 	s.add(func(next *modelState) bool { return next.send(txn) })
 }
 
-// next returns all states that can follow. levelless: the former release announces nothing and ignores the level.
+// next returns all states that can follow a state. levelless means that the former release announces nothing and
+// ignores the level.
 func (m *modelState) next(removed removedGuard, bounds modelBounds, levelless bool) []modelState {
-	s := successors{of: m, removed: removed, bounds: bounds, levelless: levelless}
+	s := successors{from: m, removed: removed, bounds: bounds, levelless: levelless}
 	s.addOutcomes()
 	for node := range m.processes {
 		s.addProcessSteps(node)
@@ -57,9 +58,9 @@
 	return s.states
 }
 
-// addOutcomes has each transaction in flight carried out, or lost.
+// addOutcomes adds, for each transaction in flight, the states after it is committed and after it is lost.
 func (s *successors) addOutcomes() {
-	for i := range int(s.of.inFlightCount) {
+	for i := range int(s.from.inFlightCount) {
 		s.addAlways(func(next *modelState) {
 			txn := next.inFlight[i]
 			next.drop(i)
@@ -69,9 +70,9 @@
 	}
 }
 
-// addProcessSteps has a process start with either release, crash, or lose its lease.
+// addProcessSteps adds the states after a process starts with either release, crashes or loses its lease.
 func (s *successors) addProcessSteps(node int) {
-	m := s.of
+	m := s.from
 	process := &m.processes[node]
 	down := process.supported == 0
 	if down && m.starts < s.bounds.starts {
@@ -83,7 +84,7 @@
 		}
 	}
 	if !down && m.crashes < s.bounds.crashes {
-		s.addAlways(func(next *modelState) { // its lease lives on
+		s.addAlways(func(next *modelState) { // the lease remains until it expires
 			next.processes[node] = modelProcess{}
 			next.crashes++
 		})
@@ -91,10 +92,10 @@
 	s.addExpiry(node)
 }
 
-// addExpiry has the lease of a process expire that is down, was replaced, or leads and is frozen. By then it must
-// not act.
+// addExpiry adds the state after a lease expires: that of a process that is down or was replaced, or that of a leader
+// that freezes. A process must not act after its lease has expired.
 func (s *successors) addExpiry(node int) {
-	m := s.of
+	m := s.from
 	process := &m.processes[node]
 	replaced := process.supported == 0 || process.lease != m.keys.lease[node]
 	leads := m.keys.leader == uint8(node)+1
@@ -113,20 +114,20 @@
 	})
 }
 
-// addReads has a process register, or read all keys.
+// addReads adds the states after a process registers and after it reads all keys.
 func (s *successors) addReads(node int) {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	if process.lease == 0 && !process.frozen {
 		s.addAlways(func(next *modelState) { next.register(node) })
 	}
-	if process.view != s.of.keys {
+	if process.view != s.from.keys {
 		s.addAlways(func(next *modelState) { next.sync(node) })
 	}
 }
 
-// addWrites has a process send each transaction that it would send by what it has read.
+// addWrites adds, for each transaction that a process would send given its view, the state after sending it.
 func (s *successors) addWrites(node int) {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	compatible := IsCompatible(Level(process.supported), Level(process.view.level)) || s.removed == guardStandDown
 	if !compatible && !process.levelless {
 		return
@@ -142,21 +143,21 @@
 	s.addMigrationEnd(node)
 }
 
-// newTxn returns a transaction of a process under the leader's guard.
+// newTxn returns a transaction of a process under the leader's guard, without other conditions or a value.
 func (s *successors) newTxn(kind modelTxnKind, node int) modelTxn {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	return modelTxn{
 		kind: kind, sender: uint8(node), supported: process.supported, leaderVersion: process.term,
 	}
 }
 
 func (s *successors) addCampaign(node int) {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	if process.view.leaderVersion != 0 || process.lease == 0 {
 		return
 	}
-	// A release without levels reads the term as long as it is in that release's format.
-	readsTerm := !process.levelless || s.of.keys.level == 1 || s.removed == guardTermFormat
+	// A release without levels can read the term only while the term is in the format of level 1.
+	readsTerm := !process.levelless || s.from.keys.level == 1 || s.removed == guardTermFormat
 	if !readsTerm {
 		return
 	}
@@ -165,30 +166,30 @@
 	txn.lease = process.lease
 	txn.conditions[0] = process.view.levelVersion
 	if process.levelless {
-		txn.conditions[0] = s.of.keys.levelVersion // it has no such condition
+		txn.conditions[0] = s.from.keys.levelVersion // a release without levels has no condition on the level
 	}
 	s.addSend(txn)
 }
 
-// writtenFormat is the format that a process writes at the level that it has read.
+// writtenFormat returns the format that a process writes at the level in its view.
 func (p *modelProcess) writtenFormat() uint8 { return min(p.supported, p.view.level) }
 
-// addJobWrite: any process creates the record, and brings one to the present format.
+// addJobWrite adds the write by which any process creates the job record or rewrites it in the present format.
 func (s *successors) addJobWrite(node int) {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	if process.view.job >= process.writtenFormat() || process.levelless {
 		return
 	}
 	txn := s.newTxn(txnJob, node)
-	txn.leaderVersion = s.of.keys.leaderVersion // it isn't under the leader's guard
+	txn.leaderVersion = s.from.keys.leaderVersion // the transaction isn't under the leader's guard
 	txn.value = process.writtenFormat()
 	txn.conditions = [8]uint8{process.view.jobVersion, process.view.levelVersion}
 	s.addSend(txn)
 }
 
 func (s *successors) addUpgrade(node int) {
-	process := &s.of.processes[node]
-	observed := s.of.observe(node, s.removed)
+	process := &s.from.processes[node]
+	observed := s.from.observe(node, s.removed)
 	unannounced := s.removed == guardAllAnnounced &&
 		process.supported > uint8(observed.Level) && observed.Mode != AbortedByOperator
 	if !observed.MayUpgrade(Level(process.supported), true, true) && !unannounced {
@@ -202,10 +203,10 @@
 	s.addSend(txn)
 }
 
-// addDirective: operators abort the rollout, or withdraw that.
+// addDirective adds the directive by which operators abort the rollout or withdraw the abort.
 func (s *successors) addDirective(node int) {
-	view := &s.of.processes[node].view
-	if s.of.directives >= s.bounds.directives || view.level != 1 {
+	view := &s.from.processes[node].view
+	if s.from.directives >= s.bounds.directives || view.level != 1 {
 		return
 	}
 	txn := s.newTxn(txnDirective, node)
@@ -220,7 +221,7 @@
 }
 
 func (s *successors) addPlanWrite(node int) {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	view := &process.view
 	format := process.writtenFormat()
 	inFormerFormat := view.plan < format
@@ -236,7 +237,7 @@
 }
 
 func (s *successors) addMigrationEnd(node int) {
-	process := &s.of.processes[node]
+	process := &s.from.processes[node]
 	view := &process.view
 	if view.level != 2 || process.supported != 2 || view.migrated {
 		return
@@ -250,23 +251,24 @@
 	s.addSend(txn)
 }
 
-// formerReturns in place of a former release: all have announced the new one, and a process of the former one has
-// just come back, which read the keys while there was no leader.
-const formerReturns = 3
+// formerRejoins, as the level of the third controller, means another initial state: all controllers have announced
+// level 2, and the first one has just restarted with the former release and read the keys while there was no leader.
+const formerRejoins = 3
 
-// maxStates bounds the states of one exploration. No exploration whose properties hold comes near it.
+// maxStates is the maximum number of states of one exploration. Explorations without a violation stay far below it.
 const maxStates = 12_000_000
 
-// initialState returns a cluster whose third controller supports the level of the former release.
-func initialState(former uint8, levelless bool) modelState {
+// initialState returns the state in which the first two controllers support level 2, the third supports thirdLevel, and
+// the first leads. thirdLevel may also be formerRejoins.
+func initialState(thirdLevel uint8, levelless bool) modelState {
 	var m modelState
 	m.keys = modelKeys{level: 1, plan: 1}
-	for node, supported := range []uint8{2, 2, min(former, 2)} {
+	for node, supported := range []uint8{2, 2, min(thirdLevel, 2)} {
 		m.start(node, supported, levelless && supported == 1)
 		m.register(node)
 	}
 	m.keys.leader = 1
-	if former == formerReturns {
+	if thirdLevel == formerRejoins {
 		m.start(0, 1, levelless)
 		m.keys.leader = 2
 	}
@@ -281,9 +283,11 @@
 }
 
 // explore visits all states within the bounds, breadth first, until a property is violated. It returns the number of
-// states and the violation, "" for none.
-func explore(removed removedGuard, bounds modelBounds, former uint8, levelless bool) (states int, violation string) {
-	initial := initialState(former, levelless)
+// states found and the violation, or "" if no property is violated.
+func explore(
+	removed removedGuard, bounds modelBounds, thirdLevel uint8, levelless bool,
+) (states int, violation string) {
+	initial := initialState(thirdLevel, levelless)
 	visited := map[modelState]struct{}{initial: {}}
 	for queue := []modelState{initial}; len(queue) > 0; {
 		current := queue[0]
@@ -304,43 +308,45 @@
 	return len(visited), ""
 }
 
-// TestEveryUpgradeKeepsTheProperties explores every run within the bounds, from a cluster in which one controller has
-// the former release and from one in which none has: no property is violated. HAREWALK_LONG asks for longer runs.
+// TestEveryUpgradeKeepsTheProperties explores all runs within the bounds and checks that no property is violated. The
+// runs start with one controller on the former release, with none, or with one that has just returned to the former
+// release. HAREWALK_LONG allows longer runs.
 func TestEveryUpgradeKeepsTheProperties(t *testing.T) {
 	bounds := modelBounds{starts: 1, sends: 2, directives: 1, crashes: 1, freezes: 1}
 	if os.Getenv("HAREWALK_LONG") != "" {
 		bounds.sends = 3
 	}
-	const minStates = 20_000 // fewer mean that the model can't move
+	const minStates = 20_000 // with fewer states the model doesn't exercise the code
 	for _, c := range []struct {
-		former    uint8
-		levelless bool
-	}{{1, false}, {1, true}, {2, false}, {2, true}, {formerReturns, false}, {formerReturns, true}} {
-		t.Run(fmt.Sprintf("former %d levelless %v", c.former, c.levelless), func(t *testing.T) {
+		thirdLevel uint8
+		levelless  bool
+	}{{1, false}, {1, true}, {2, false}, {2, true}, {formerRejoins, false}, {formerRejoins, true}} {
+		t.Run(fmt.Sprintf("third level %d levelless %v", c.thirdLevel, c.levelless), func(t *testing.T) {
 			t.Parallel()
-			states, violation := explore("", bounds, c.former, c.levelless)
-			t.Logf("%d states: %q", states, violation)
+			states, violation := explore("", bounds, c.thirdLevel, c.levelless)
+			t.Logf("%d states, violation %q", states, violation)
 			if violation != "" || states < minStates || states >= maxStates {
-				t.Fatalf("%d states: %s", states, violation)
+				t.Fatalf("got %d states, violation %q, want minStates to maxStates, no violation", states, violation)
 			}
 		})
 	}
 }
 
-// TestEveryGuardIsNeeded: without any one of the guards some run violates a property, and with it none does.
+// TestEveryGuardIsNeeded checks for each guard that some run violates a property without the guard, and that no run
+// within the same bounds does with it.
 func TestEveryGuardIsNeeded(t *testing.T) {
 	for _, c := range []struct {
-		guard     removedGuard
-		former    uint8
-		levelless bool
-		bounds    modelBounds
+		guard      removedGuard
+		thirdLevel uint8
+		levelless  bool
+		bounds     modelBounds
 	}{
 		{guardLeader, 2, false, modelBounds{1, 2, 0, 1, 1}},
 		{guardMemberVersions, 2, false, modelBounds{1, 1, 0, 1, 0}},
 		{guardDirectiveVersion, 2, false, modelBounds{0, 2, 1, 0, 0}},
 		{guardPresentProcess, 2, true, modelBounds{1, 1, 0, 1, 0}},
 		{guardAllAnnounced, 1, false, modelBounds{0, 1, 0, 0, 0}},
-		{guardCampaignLevel, formerReturns, false, modelBounds{0, 2, 0, 0, 1}},
+		{guardCampaignLevel, formerRejoins, false, modelBounds{0, 2, 0, 0, 1}},
 		{guardWriteLevel, 2, false, modelBounds{0, 4, 0, 0, 0}},
 		{guardRecordVersion, 2, false, modelBounds{0, 4, 0, 0, 0}},
 		{guardNothingLeft, 2, false, modelBounds{0, 2, 0, 0, 0}},
@@ -349,13 +355,13 @@
 	} {
 		t.Run("without "+string(c.guard), func(t *testing.T) {
 			t.Parallel()
-			states, violation := explore(c.guard, c.bounds, c.former, c.levelless)
-			t.Logf("after %d states, %s", states, violation)
+			states, violation := explore(c.guard, c.bounds, c.thirdLevel, c.levelless)
+			t.Logf("%d states, violation %q", states, violation)
 			if violation == "" {
-				t.Error("no property is violated: the guard, or the model, is idle")
+				t.Error("without the guard: got no violation, want one: the guard is redundant or not exercised")
 			}
-			if states, violation := explore("", c.bounds, c.former, c.levelless); violation != "" {
-				t.Errorf("with it, after %d states: %s", states, violation)
+			if states, violation := explore("", c.bounds, c.thirdLevel, c.levelless); violation != "" {
+				t.Errorf("with the guard: after %d states got violation %q, want none", states, violation)
 			}
 		})
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -12,15 +12,16 @@
 	os.Exit(m.Run())
 }
 
-// A model of the environment of an upgrade of the level: three controllers of two releases, the keys that an
-// upgrade depends on, a record that the leader rewrites in a new format and one that any controller writes, and
-// transactions that are carried out at once, late or never, with or without an answer. The controllers decide by
-// the real code in observation.go. All runs are explored, within bounds on the number of each kind of step.
+// The model contains the environment of an upgrade of the level: three controllers of two releases, the keys that an
+// upgrade depends on, a record that the leader rewrites in a new format, and a record that any controller writes.
+// Transactions are committed at once, later or never, with or without an answer. The controllers decide by the real
+// code in observation.go. All runs are explored, within bounds on the number of steps of each kind.
 
-// modelNodes names the controllers of the model.
+// modelNodes are the names of the controllers.
 var modelNodes = []string{"a", "b", "c"}
 
-// modelKeys is the state service. Versions count changes; 0 means that a key is absent.
+// modelKeys contains the keys of the state service. A version is the revision of a key's last change; 0 means that the
+// key is absent.
 type modelKeys struct {
 	revision                                       uint8
 	level, levelVersion                            uint8
@@ -28,9 +29,9 @@
 	directiveVersion                               uint8
 	announced, announcedLease, announcementVersion [3]uint8
 	lease, memberVersion                           [3]uint8
-	leader, leaderVersion                          uint8 // the leader's number, counted from 1
-	plan, planVersion                              uint8 // the format of the record that the leader writes
-	job, jobVersion                                uint8 // the format of the record that anybody writes; 0: absent
+	leader, leaderVersion                          uint8 // leader: index of the leader plus 1; 0: there is none
+	plan, planVersion                              uint8 // plan: format of the record that the leader writes
+	job, jobVersion                                uint8 // job: format of the record that any controller writes
 	migrated                                       bool
 	migratedVersion                                uint8
 }
@@ -52,17 +53,17 @@
 	*version = k.revision
 }
 
-// modelProcess is one controller's process.
+// modelProcess is the process of one controller.
 type modelProcess struct {
-	supported uint8 // the highest level that it supports; 0: it is down
-	lease     uint8
-	view      modelKeys // what it has read so far
-	term      uint8     // the version of the leader key that it takes to be its own; 0: none
-	levelless bool      // its release announces nothing and ignores the level
-	frozen    bool      // it paused for so long that its lease expired
+	supported uint8     // highest level that the process supports; 0: it is down
+	lease     uint8     // 0: it has not registered, or its lease has expired
+	view      modelKeys // the keys as the process has last read them
+	term      uint8     // version of the leader key under which the process leads, by its view; 0: it doesn't lead
+	levelless bool      // the release announces nothing and ignores the level
+	frozen    bool      // the process paused for so long that its lease expired
 }
 
-// modelTxnKind is what a transaction is for.
+// modelTxnKind is the purpose of a transaction.
 type modelTxnKind byte
 
 const (
@@ -71,52 +72,52 @@
 	txnDirective modelTxnKind = 'w'
 	txnPlan      modelTxnKind = 'p' // writes the leader's record
 	txnMigrated  modelTxnKind = 'm' // records the end of the migration
-	txnJob       modelTxnKind = 'j' // writes the record that anybody writes
+	txnJob       modelTxnKind = 'j' // writes the record that any controller writes
 )
 
 // modelTxn is a transaction in flight: its conditions and its effect.
 type modelTxn struct {
 	kind          modelTxnKind
-	sender        uint8
-	supported     uint8    // by its sender
-	leaderVersion uint8    // on which it depends
-	conditions    [8]uint8 // versions on which it depends, by kind
-	value         uint8
-	lease         uint8 // of a campaign: its sender's
+	sender        uint8    // index of the sending controller
+	supported     uint8    // highest level that the sender supports
+	leaderVersion uint8    // expected version of the leader key
+	conditions    [8]uint8 // expected versions of other keys; which keys depends on the kind
+	value         uint8    // value to be written
+	lease         uint8    // lease of the sender, for a campaign
 }
 
-// modelState is one state of the model. It is comparable, and equal states have equal futures.
+// modelState is one state of the model. It is comparable, and equal states have the same successors.
 type modelState struct {
 	keys             modelKeys
 	processes        [3]modelProcess
 	inFlight         [2]modelTxn
 	inFlightCount    uint8
-	leases           uint8
-	starts           uint8
+	leases           uint8 // the last lease that was granted
+	starts           uint8 // this and the next four: number of steps so far, limited by modelBounds
 	sends            uint8
 	directives       uint8
 	crashes, freezes uint8
-	violation        string
+	violation        string // a property that a transaction violated; "": none
 }
 
-// removedGuard names a guard that an exploration leaves out, to show that the guard is needed; "" for none.
+// removedGuard names a guard that an exploration leaves out to show that the guard is needed; "" leaves out none.
 type removedGuard string
 
 const (
 	guardLeader           removedGuard = "the leader's guard"
-	guardMemberVersions   removedGuard = "the member versions"
+	guardMemberVersions   removedGuard = "the versions of members and announcements"
 	guardDirectiveVersion removedGuard = "the directive version"
 	guardPresentProcess   removedGuard = "the check of the present process"
 	guardAllAnnounced     removedGuard = "the check of all announcements"
-	guardCampaignLevel    removedGuard = "the level in campaigns"
-	guardWriteLevel       removedGuard = "the level in other writes"
+	guardCampaignLevel    removedGuard = "the level condition of campaigns"
+	guardWriteLevel       removedGuard = "the level condition of other writes"
 	guardRecordVersion    removedGuard = "the record version"
-	guardNothingLeft      removedGuard = "the check that nothing is left"
-	guardStandDown        removedGuard = "standing down"
+	guardNothingLeft      removedGuard = "the check that no former record is left"
+	guardStandDown        removedGuard = "standing down on incompatibility"
 	guardTermFormat       removedGuard = "the term format"
 )
 
-// observe returns what a controller has read, as the real code takes it.
+// observe returns a controller's view as an Observation, the input of the real code.
 func (m *modelState) observe(node int, removed removedGuard) Observation {
 	view := &m.processes[node].view
 	observed := Observation{
@@ -144,7 +145,7 @@
 	return observed
 }
 
-// send puts a transaction in flight, in a canonical order; false if too many are.
+// send adds a transaction to those in flight, in a canonical order. It returns false if there is no room for another.
 func (m *modelState) send(txn modelTxn) bool {
 	if int(m.inFlightCount) == len(m.inFlight) {
 		return false
@@ -165,7 +166,7 @@
 	m.inFlight[m.inFlightCount] = modelTxn{}
 }
 
-// commit carries a transaction out, if its conditions hold.
+// commit applies a transaction if its conditions hold.
 func (m *modelState) commit(txn modelTxn, removed removedGuard) {
 	if txn.leaderVersion != m.keys.leaderVersion && removed != guardLeader {
 		return
@@ -215,16 +216,16 @@
 		}
 	}
 	if keys.leader != txn.sender+1 {
-		m.violation = modelNodes[txn.sender] + " upgrades the level and doesn't lead"
+		m.violation = modelNodes[txn.sender] + " upgraded the level without being leader"
 	}
 	keys.level = txn.value
 	keys.bump(&keys.levelVersion)
 	if keys.aborted {
-		m.violation = "the level is upgraded after operators have aborted the rollout"
+		m.violation = "the level was upgraded after operators had aborted the rollout"
 	}
 	for n, process := range m.processes {
 		if process.lease > 0 && process.supported < keys.level {
-			m.violation = "the level is upgraded while a release that doesn't support it runs on " + modelNodes[n]
+			m.violation = "the level was upgraded while a release that doesn't support it ran on " + modelNodes[n]
 		}
 	}
 }
@@ -244,7 +245,7 @@
 		return
 	}
 	if keys.leader != txn.sender+1 {
-		m.violation = modelNodes[txn.sender] + " writes plans and doesn't lead"
+		m.violation = modelNodes[txn.sender] + " wrote a plan without being leader"
 	}
 	m.checkOverwrite(txn, keys.plan)
 	keys.plan = txn.value
@@ -273,14 +274,15 @@
 	keys.bump(&keys.jobVersion)
 }
 
-// checkOverwrite records a violation if a transaction overwrites a record in a format that its sender can't read.
+// checkOverwrite records a violation if the sender of a transaction can't read the format of the record that the
+// transaction overwrites.
 func (m *modelState) checkOverwrite(txn modelTxn, format uint8) {
 	if txn.supported < format {
-		m.violation = modelNodes[txn.sender] + " overwrites a record that it can't read"
+		m.violation = modelNodes[txn.sender] + " overwrote a record that it can't read"
 	}
 }
 
-// check returns which property is violated, "" for none.
+// check returns the violated property, or "" if none is violated.
 func (m *modelState) check() string {
 	if m.violation != "" {
 		return m.violation
@@ -294,18 +296,18 @@
 	}
 	formerLeft := keys.plan < keys.level || keys.job > 0 && keys.job < keys.level
 	if keys.migrated && formerLeft {
-		return "the migration is done, and a record is in the former format"
+		return "the migration is recorded as done while a record is in the former format"
 	}
 	return ""
 }
 
-// start begins a process that has read all keys; it ends the lease of its controller's former one.
+// start starts a process that has read all keys, and ends the lease of the controller's former process.
 func (m *modelState) start(node int, supported uint8, levelless bool) {
 	m.keys.endLease(node)
 	m.processes[node] = modelProcess{supported: supported, levelless: levelless, view: m.keys}
 }
 
-// register writes a process's member key and announcement; much may have changed since it read the keys.
+// register writes a process's member key and announcement. The keys may have changed since the process read them.
 func (m *modelState) register(node int) {
 	keys := &m.keys
 	process := &m.processes[node]
@@ -321,7 +323,7 @@
 	}
 }
 
-// sync has a process read all keys.
+// sync updates the view of a process to the current keys.
 func (m *modelState) sync(node int) {
 	process := &m.processes[node]
 	process.view = m.keys
@@ -331,8 +333,8 @@
 	}
 }
 
-// renumbering assigns new numbers by first appearance.
-type renumbering [128]uint8 // element 0 is the last number assigned
+// renumbering maps numbers to new ones, which are assigned in the order of first use.
+type renumbering [128]uint8 // by old number, 0: not assigned yet; element 0 is the last new number
 
 func (r *renumbering) apply(number *uint8) {
 	if *number == 0 {
@@ -345,8 +347,8 @@
 	*number = r[*number]
 }
 
-// canonicalize renumbers versions and leases: only whether two are equal matters, so states that differ by nothing
-// else become one.
+// canonicalize renumbers versions and leases. Only their equality matters, so states that differ only in these numbers
+// become equal.
 func (m *modelState) canonicalize() {
 	var versions, leases renumbering
 	canonicalizeKeys(&m.keys, &versions, &leases)
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -2,59 +2,60 @@
 
 import "github.com/harewalk/harewalk/internal/store"
 
-// This file decides whether the level may be upgraded, by pure functions of what a controller has read. model_test.go
-// explores all runs of them within bounds, with crashes, restarts and late transactions.
+// The functions in this file decide whether the level may be upgraded. They are pure functions of the keys that a
+// controller has read. model_test.go and model_explore_test.go explore all runs within bounds, with crashes, restarts
+// and delayed transactions.
 
-// Mode is what the operators' latest directive asks for.
+// Mode is the effect of the operators' latest directive on the rollout.
 type Mode string
 
 // The modes.
 const (
-	NoDirective       Mode = ""        // the settings decide
+	NoDirective       Mode = ""        // the settings decide whether the level is upgraded automatically
 	PausedByOperator  Mode = "held"    // the level isn't upgraded, and no controller should be restarted
 	AbortedByOperator Mode = "aborted" // the level isn't upgraded, and controllers return to the former release
-	FinishRequested   Mode = "finish"  // the level is upgraded as soon as all have announced the next one
+	FinishRequested   Mode = "finish"  // the level is upgraded once all controllers have announced the next one
 )
 
-// preventsUpgrade reports whether the level must not be upgraded in a mode.
+// preventsUpgrade reports whether the mode forbids an upgrade of the level.
 func (m Mode) preventsUpgrade() bool { return m == PausedByOperator || m == AbortedByOperator }
 
 // directive is the operators' latest directive about the rollout.
 type directive struct {
 	mode     Mode
-	level    Level // to which FinishRequested lets the cluster be upgraded
-	operator string
+	level    Level  // the highest level to which FinishRequested allows an upgrade
+	operator string // name of the operator who gave the directive
 }
 
-// PeerRecord is what a controller has read of one that the settings name.
+// PeerRecord is the part of the stored keys of one controller in the settings that an upgrade of the level depends on.
 type PeerRecord struct {
-	AnnouncedLevel      Level  // the highest level that it supports; 0: no readable announcement
-	AnnouncedLease      uint64 // the lease of the process that made the announcement
-	AnnouncementVersion uint64 // of its key; 0: there is none
-	Lease               uint64 // of its present process, by its member key; 0: there is none, it is down
-	MemberVersion       uint64 // of that key
+	AnnouncedLevel      Level  // highest level that the controller supports; 0: no readable announcement
+	AnnouncedLease      uint64 // lease of the process that made the announcement
+	AnnouncementVersion uint64 // version of the announcement's key; 0: there is no announcement
+	Lease               uint64 // lease in the member key; 0: the controller is down, or its member key is unreadable
+	MemberVersion       uint64 // version of the member key; 0: there is no member key, so the controller is down
 }
 
-// Announced returns the highest level that a controller has announced, 0 if no announcement counts. An announcement
-// counts for its own process and, after that has ended, until another process of the controller has joined.
+// Announced returns the highest level that a controller has announced, or 0 if it has no valid announcement. An
+// announcement stays valid after the process that made it has ended, until another process of the controller joins.
 func (p PeerRecord) Announced() Level {
 	if p.MemberVersion != 0 && p.Lease != p.AnnouncedLease {
-		return 0 // the present process has announced nothing: its release is older, or it has just joined
+		return 0 // the present process has announced nothing: its release has no levels, or it has just joined
 	}
 	return p.AnnouncedLevel
 }
 
-// Observation is what a controller has read of all keys that an upgrade of the level depends on.
+// Observation contains the values of all keys that an upgrade of the level depends on, as one controller has read them.
 type Observation struct {
 	Level            Level
-	LevelVersion     uint64 // 0: there is no key, which means Base
+	LevelVersion     uint64 // version of the level key; 0: there is no key, and the level is Base
 	Mode             Mode
-	DirectiveVersion uint64
-	Peers            []PeerRecord // in the order of the controllers' names
+	DirectiveVersion uint64       // version of the directive key; 0: there is no key
+	Peers            []PeerRecord // all controllers in the settings, sorted by name
 }
 
-// NextLevel returns the level to which the cluster can be upgraded: the highest that all have announced and that this
-// controller supports. It returns the present level if that is none.
+// NextLevel returns the level to which the cluster can be upgraded: the highest level that all controllers have
+// announced and that this controller supports. If no upgrade is possible, NextLevel returns the present level.
 func (o Observation) NextLevel(supported Level) Level {
 	next := supported
 	for _, peer := range o.Peers {
@@ -63,8 +64,8 @@
 	return max(next, o.Level)
 }
 
-// MayUpgrade reports whether the level may be upgraded now. soaked: all controllers have been healthy for long enough;
-// auto: the settings allow it without a directive.
+// MayUpgrade reports whether the level may be upgraded now. soaked means that all controllers have been healthy for the
+// soak time. auto means that the settings allow an upgrade without a directive.
 func (o Observation) MayUpgrade(supported Level, soaked, auto bool) bool {
 	if o.NextLevel(supported) <= o.Level || o.Mode.preventsUpgrade() {
 		return false
@@ -72,8 +73,8 @@
 	return o.Mode == FinishRequested || (auto && soaked)
 }
 
-// Conditions returns the conditions of the transaction that upgrades the level: nothing that the decision depends on
-// has changed since. nodes names the peers. The leader's guard is added by the sender.
+// Conditions returns the conditions of the transaction that upgrades the level: none of the keys that the decision
+// depends on has changed. nodes are the names of Peers, in the same order. The sender adds the leader's guard.
 func (o Observation) Conditions(nodes []string) []store.Condition {
 	conditions := []store.Condition{
 		{Key: levelKey, Version: o.LevelVersion},
--- a/internal/rollout/peers.go
+++ b/internal/rollout/peers.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// healthTTL is how long a controller's last health report counts.
+	// healthTTL is how long a controller's last health report is valid.
 	healthTTL = 3 * time.Second
-	// restartWindow is how long after a controller's start a rollout is taken to be under way.
+	// restartWindow is the time after its start during which a controller is preferred as leader to one that may be
+	// restarted next.
 	restartWindow = 2 * time.Minute
 )
 
-// peer is a controller that the settings name, by the keys that this one has read and the health reports that it got.
+// peer is the state of one controller in the settings, by the keys and health reports received here.
 type peer struct {
 	NodeConfig
 	PeerRecord
-	release         string // by its announcement
-	startedAtMS     int64  // start of its process by its announcement, in wall-clock milliseconds
-	unreadableCause string // why its announcement can't be read, or ""
-	healthy         bool   // by its last health report
-	healthAt        time.Duration
+	release         string        // release in the announcement
+	startedAtMS     int64         // start of the process in the announcement, in wall-clock milliseconds
+	unreadableCause string        // why the announcement can't be read; "" if it can
+	healthy         bool          // value of the last health report
+	healthAt        time.Duration // time of the last health report
 }
 
-// isHealthy reports whether the controller is up, reports itself healthy, and is the process that made the
-// announcement.
+// isHealthy reports whether the controller is up, has reported itself healthy within healthTTL, and runs the process
+// that made its announcement.
 func (p *peer) isHealthy(now time.Duration) bool {
 	if !p.healthy || now-p.healthAt > healthTTL {
 		return false
@@ -37,13 +38,13 @@
 // isUp reports whether the controller has a member key.
 func (p *peer) isUp() bool { return p.MemberVersion != 0 }
 
-// markDown records that the controller has no member key any more.
+// markDown records that the controller no longer has a member key.
 func (p *peer) markDown() {
 	p.Lease = 0
 	p.MemberVersion = 0
 }
 
-// peer returns a controller by its name, or nil.
+// peer returns a controller by name, or nil if the settings don't contain it.
 func (r *Rollout) peer(node string) *peer {
 	i := slices.IndexFunc(r.peers, func(p *peer) bool { return p.Node == node })
 	if i < 0 {
@@ -61,7 +62,7 @@
 	return names
 }
 
-// HandleHealth records a controller's report that it is healthy, or isn't. No safety property depends on it.
+// HandleHealth records a controller's health report. No safety property depends on health reports.
 func (r *Rollout) HandleHealth(now time.Duration, node string, healthy bool) {
 	peer := r.peer(node)
 	if peer == nil {
@@ -71,9 +72,10 @@
 	peer.healthy = healthy
 }
 
-// PreferredLeaders returns the number of controllers that should lead rather than this one: up, not drained, and of
-// a newer release; or, while controllers are being restarted, of the same release but restarted already, as this
-// one may be next. wallMS is the wall clock, in milliseconds.
+// PreferredLeaders returns the number of controllers that should lead instead of this one: those that are up, not
+// drained and of a newer release. While controllers are being restarted, a controller of the same release that has
+// already been restarted is preferred too, because this one may be restarted next. wallMS is the wall-clock time in
+// milliseconds.
 func (r *Rollout) PreferredLeaders(wallMS int64, drained func(node string) bool) int {
 	self := leaderCandidate{level: r.cfg.MaxLevel, release: r.cfg.Release, startedAtMS: r.cfg.StartedAtMS}
 	count := 0
@@ -92,14 +94,14 @@
 	return count
 }
 
-// leaderCandidate is what the choice of a leader depends on.
+// leaderCandidate contains the properties of a controller that decide whether it should lead.
 type leaderCandidate struct {
-	level       Level // the highest that it supports
+	level       Level // highest level that the controller supports
 	release     string
-	startedAtMS int64 // start of its process, in wall-clock milliseconds
+	startedAtMS int64 // start of the process, in wall-clock milliseconds
 }
 
-// isPreferredTo reports whether a controller should lead rather than another.
+// isPreferredTo reports whether controller c should lead instead of the other.
 func (c leaderCandidate) isPreferredTo(other leaderCandidate, wallMS int64) bool {
 	switch {
 	case c.level != other.level:
@@ -117,5 +119,5 @@
 	return wallMS-c.startedAtMS < restartWindow.Milliseconds()
 }
 
-// olderRelease reports whether release a comes before b. An empty release comes before all others.
+// olderRelease reports whether release a is older than b. An empty release is older than all others.
 func olderRelease(a, b string) bool { return semver.Compare(a, b) < 0 }
--- a/internal/rollout/peers_test.go
+++ b/internal/rollout/peers_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestNewestReleaseIsPreferredAsLeader: of the controllers that are up the one with the newest release should lead;
-// while controllers are being restarted, one that was restarted already.
+// TestNewestReleaseIsPreferredAsLeader checks that controllers of a newer release are preferred as leader and, while
+// controllers are being restarted, those that have already been restarted.
 func TestNewestReleaseIsPreferredAsLeader(t *testing.T) {
 	const nowMS, restartedMS = 1_000_000, 990_000
 	r := newTestRollout(true)
@@ -11,16 +11,16 @@
 		t.Helper()
 		count := r.PreferredLeaders(wallMS, func(node string) bool { return node == drained })
 		if count != want {
-			t.Errorf("%s: %d controllers are preferred, want %d", situation, count, want)
+			t.Errorf("%s: got %d preferred controllers, want %d", situation, count, want)
 		}
 	}
 	join(r, "a", presentRelease, Paged, 1, 2)
 	join(r, "b", presentRelease, Paged, 2, 3)
 	join(r, "c", formerRelease, Base, 3, 4)
-	check("none is newer", nowMS, "", 0)
+	check("no release is newer", nowMS, "", 0)
 	join(r, "b", nextRelease, Paged, 5, 6)
-	check("b is newer", nowMS, "", 1)
-	check("b is newer and drained", nowMS, "b", 0)
+	check("b runs a newer release", nowMS, "", 1)
+	check("b runs a newer release and is drained", nowMS, "b", 0)
 	restarted := announcementRecord{
 		Node: "b", Release: presentRelease, Level: Paged, Lease: 5, StartedAtMS: restartedMS,
 	}
--- a/internal/rollout/progress_test.go
+++ b/internal/rollout/progress_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
+// reportHealth has all controllers report that they are healthy; c reports the given value.
 func reportHealth(r *Rollout, now time.Duration, healthy bool) {
 	for _, node := range []string{"a", "b", "c"} {
 		r.HandleHealth(now, node, healthy || node != "c")
 	}
 }
 
-// TestLevelIsUpgradedAfterAnUnbrokenSoak: without a directive the level is upgraded once all controllers have been
-// healthy for the soak time, which starts again after a break.
+// TestLevelIsUpgradedAfterAnUnbrokenSoak checks that without a directive the level is upgraded once all controllers
+// have been healthy for the soak time. The soak time starts again after a controller was unhealthy.
 func TestLevelIsUpgradedAfterAnUnbrokenSoak(t *testing.T) {
 	r := newTestRollout(true)
 	for i, node := range []string{"a", "b", "c"} {
@@ -23,19 +24,19 @@
 		reportHealth(r, now, now != breakAt)
 		mustNotTick(t, r, now, 1, MigrationProgress{})
 		if r.State() != Soaking {
-			t.Fatalf("state %s after %v", r.State(), now)
+			t.Fatalf("got state %s after %v, want soaking", r.State(), now)
 		}
 	}
 	now := breakAt + testSoak + time.Second
 	reportHealth(r, now, true)
 	mustTick(t, r, now, 1, MigrationProgress{})
 	if r.State() != Upgrading {
-		t.Errorf("state %s", r.State())
+		t.Errorf("after the soak time: got state %s, want raising", r.State())
 	}
 }
 
-// TestDeletedMemberIsDown: a controller without a member key isn't up, whether its deletion is followed or the key
-// is absent from a new listing; its announcement still counts.
+// TestDeletedMemberIsDown checks that a controller is down after its member key was deleted, or was absent from a new
+// listing. Its announcement stays valid.
 func TestDeletedMemberIsDown(t *testing.T) {
 	for name, remove := range map[string]func(*Rollout){
 		"deleted": func(r *Rollout) { r.HandleDelete(MemberKey("b"), 9) },
@@ -45,14 +46,14 @@
 			r := newTestRollout(true)
 			join(r, "b", presentRelease, Paged, 2, 3)
 			if !r.peer("b").isUp() || !r.peer("b").isHealthy(0) {
-				t.Fatal("a controller with a member key isn't up and healthy")
+				t.Fatal("with a member key: got a controller that is down or unhealthy, want it up and healthy")
 			}
 			remove(r)
 			if r.peer("b").isUp() || r.peer("b").isHealthy(0) {
-				t.Error("a controller without a member key is up or healthy")
+				t.Error("without a member key: got a controller that is up or healthy, want it down and unhealthy")
 			}
 			if level := r.peer("b").Announced(); level != Paged {
-				t.Errorf("announced level %d, want %d", level, Paged)
+				t.Errorf("got announced level %d, want %d", level, Paged)
 			}
 		})
 	}
--- a/internal/rollout/restart.go
+++ b/internal/rollout/restart.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// planRestart sets which controller may be restarted next, and why no other may: one at a time, the leader last, so
-// that the lead moves once. While releases differ, those that run the target release already are left out.
+// planRestart sets in a view which controller may be restarted next, and for each other one the reason why it may not.
+// Controllers are restarted one at a time and the leader last, so that leadership changes only once. While releases
+// differ, controllers that already run the target release are skipped.
 func (r *Rollout) planRestart(view *View, cluster Cluster) {
 	if reason := r.restartBlocked(view, cluster); reason != "" {
 		view.Why = reason
@@ -30,7 +31,7 @@
 	}
 }
 
-// restartBlocked returns why no controller at all may be restarted now, "" if one may.
+// restartBlocked returns why no controller may be restarted now, or "" if one may.
 func (r *Rollout) restartBlocked(view *View, cluster Cluster) string {
 	down := lastDown(view.Nodes, cluster.Drained)
 	zone := lostZone(view.Nodes)
@@ -38,20 +39,21 @@
 	case r.state == Loading:
 		return "the keys have not been read yet"
 	case r.state == Upgrading:
-		return "the level is rising at this moment"
+		return "the level is being upgraded"
 	case view.Mode == PausedByOperator:
 		return fmt.Sprintf("%s holds the rollout", r.stored.directive.operator)
 	case down != "" && zone != "":
-		return fmt.Sprintf("no controller of zone %s is there: it may be lost", zone)
+		return fmt.Sprintf("all controllers of zone %s are down: the zone may be lost", zone)
 	case down != "":
 		return fmt.Sprintf("%s is out: two at once leave too few", down)
 	case cluster.Leader == "":
-		return "nobody leads"
+		return "there is no leader"
 	}
 	return ""
 }
 
-// chooseRestart returns the controller to restart next, nil if none is left, and sets the reasons of the others.
+// chooseRestart returns the controller to restart next, or nil if all run the target release. It sets the NotNextReason
+// of the others.
 func chooseRestart(nodes []NodeView, target string, inProgress bool) *NodeView {
 	var next, leader *NodeView
 	for i := range nodes {
@@ -91,7 +93,7 @@
 	return oldest, newest
 }
 
-// lastDown returns the last controller in the list that is down without a drain request, "" if there is none.
+// lastDown returns the last controller in the list that is down without a drain request, or "" if there is none.
 func lastDown(nodes []NodeView, drained map[string]bool) string {
 	down := ""
 	for _, node := range nodes {
@@ -102,7 +104,7 @@
 	return down
 }
 
-// lostZone returns a zone of several controllers all of which are down, "" if there is none.
+// lostZone returns a zone that has several controllers, all of them down, or "" if there is none.
 func lostZone(nodes []NodeView) string {
 	total := map[string]int{}
 	alive := map[string]int{}
@@ -120,10 +122,10 @@
 	return ""
 }
 
-// releaseName returns a release as operators read it.
+// releaseName returns the name of a release for operators.
 func releaseName(release string) string {
 	if release == "" {
-		return "a release that doesn't say which"
+		return "an unannounced release"
 	}
 	return release
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -14,18 +14,18 @@
 // State is the state of a rollout as one controller sees it.
 type State uint8
 
-// The states of a rollout. Any of them but Loading can follow any other, by what is read; Upgrading ends only when
-// the outcome of its transaction is known.
+// The states of a rollout. Depending on the keys read, any state but Loading can follow any other. Upgrading ends only
+// when the outcome of its transaction is known or the leadership is lost.
 const (
 	// Loading: the keys have not been read yet.
 	Loading State = iota
 	// Settled: the level is the highest that this release supports, and nothing is left to migrate.
 	Settled
-	// Mixed: some controller has not announced the next level.
+	// Mixed: some controller has not announced a higher level.
 	Mixed
-	// Soaking: all have announced it, but have not all been healthy for long enough.
+	// Soaking: all controllers have announced a higher level, but have not all been healthy for the soak time.
 	Soaking
-	// Ready: the level may be upgraded, once the leader's transaction or a directive of the operators follows.
+	// Ready: the level can be upgraded; the leader's transaction or a directive of the operators is still missing.
 	Ready
 	// Paused: the operators have paused or aborted the rollout.
 	Paused
@@ -33,11 +33,11 @@
 	Upgrading
 	// Migrating: the level has been upgraded, and records of a former format are being rewritten.
 	Migrating
-	// Incompatible: the cluster's level, or a record, is newer than this release, which must not act.
+	// Incompatible: the cluster's level or a record is newer than this release, so this controller must not act.
 	Incompatible
 )
 
-// String returns the state's name in metrics, events and answers to operators.
+// String returns the state's name in logs, metrics, events and answers to operators.
 func (s State) String() string {
 	return [...]string{
 		"reading", "settled", "mixed", "soaking", "ready", "stopped", "raising", "migrating", "behind",
@@ -46,47 +46,48 @@
 
 // Config configures a Rollout.
 type Config struct {
-	Node     string       // this controller
-	Nodes    []NodeConfig // all controllers that the settings name, this one included
-	Release  string       // of this controller
-	MaxLevel Level        // the highest that it supports
+	Node     string       // name of this controller
+	Nodes    []NodeConfig // all controllers in the settings, including this one
+	Release  string       // release of this controller
+	MaxLevel Level        // highest level that this controller supports
 	// Auto lets the level be upgraded without a directive once all controllers have been healthy for Soak.
 	Auto bool
-	Soak time.Duration
+	Soak time.Duration // time for which all controllers must have been healthy
 	// StartedAtMS is when this process started, in wall-clock milliseconds.
 	StartedAtMS int64
-	// OnStateChange is called at every change of state, if it isn't nil.
+	// OnStateChange, if not nil, is called at every change of state. why is the cause, for operators.
 	OnStateChange func(now time.Duration, to State, why string)
 }
 
-// NodeConfig is a controller in the settings.
+// NodeConfig is the name and zone of a controller in the settings.
 type NodeConfig struct{ Node, Zone string }
 
-// storedState is what a controller has read of the keys that concern the whole cluster.
+// storedState contains the values of the keys that concern the whole cluster, as this controller has read them.
 type storedState struct {
-	level            Level // Base if there is no key
-	levelVersion     uint64
+	level            Level  // Base if there is no level key
+	levelVersion     uint64 // this and the other versions: 0 if there is no key
 	directive        directive
 	directiveVersion uint64
 	migration        migration
 	migrationVersion uint64
-	// bootstrapped is set if there has ever been a leader. A cluster without one starts at the newest level.
+	// bootstrapped is set if the cluster has ever had a leader. A cluster that has never had one starts at the highest
+	// level that its first leader supports.
 	bootstrapped bool
 }
 
-// Rollout is the state machine of a rollout on one controller, whose event loop owns it.
+// Rollout is the state machine of a rollout on one controller. Only the controller's event loop may use it.
 type Rollout struct {
 	cfg    Config
 	state  State
-	synced bool    // all keys have been read
-	peers  []*peer // all controllers that the settings name, sorted by name
+	synced bool    // all keys have been read at least once
+	peers  []*peer // all controllers in the settings, sorted by name
 	stored storedState
 
 	keyVersions map[string]uint64           // the newest version read of each key
 	unreadable  map[string]UnreadableRecord // by key
 
-	txnInFlight bool // a transaction of this package was sent and its outcome isn't known
-	retryAt     time.Duration
+	txnInFlight bool          // the outcome of a transaction that Tick returned is still awaited
+	retryAt     time.Duration // Tick returns no transaction before this time
 	soak        soakTimer
 }
 
@@ -105,7 +106,7 @@
 	return r
 }
 
-// setState is the only place where the state changes.
+// setState sets, logs and reports a new state. The state is changed nowhere else.
 func (r *Rollout) setState(now time.Duration, to State, cause string) {
 	if to == r.state {
 		return
@@ -123,7 +124,7 @@
 	}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (r *Rollout) State() State { return r.state }
 
 // MaxLevel returns the highest level that this controller supports.
@@ -138,10 +139,10 @@
 	return r.stored.level
 }
 
-// AllSupport reports whether all controllers have announced a level, whether or not the cluster has been upgraded to
-// it, and the operators don't prevent the upgrade. What came with the level, and a release that lacks it quarantines,
-// may be written from then on: users may ask for it as soon as no controller has the former release any more, while the
-// upgrade itself waits until all have been healthy for long.
+// AllSupport reports whether the cluster is at a level, or all controllers have announced the level and the operators
+// don't prevent the upgrade. From then on, records that the level introduced and that a former release would quarantine
+// may be written. So users can use the level's features as soon as no controller runs a former release, while the
+// upgrade waits until all controllers have been healthy for the soak time.
 func (r *Rollout) AllSupport(level Level) bool {
 	if r.Level() >= level {
 		return true
@@ -150,26 +151,26 @@
 	return observed.NextLevel(r.cfg.MaxLevel) >= level && !observed.Mode.preventsUpgrade()
 }
 
-// needsBootstrap reports whether the cluster has neither a level nor ever had a leader.
+// needsBootstrap reports whether the cluster has no level and has never had a leader.
 func (r *Rollout) needsBootstrap() bool { return r.stored.levelVersion == 0 && !r.stored.bootstrapped }
 
-// Compatible reports whether this controller may act: neither the cluster's level nor a record that it depends on
-// is newer than its release.
+// Compatible reports whether this controller may act: neither the cluster's level nor a record with GuardStandDown is
+// newer than its release.
 func (r *Rollout) Compatible() bool { return r.incompatibility() == "" }
 
-// incompatibility returns why this controller must not act, "" if it may.
+// incompatibility returns why this controller must not act, or "" if it may.
 func (r *Rollout) incompatibility() string {
 	if !IsCompatible(r.cfg.MaxLevel, r.stored.level) {
 		return fmt.Sprintf(
-			"the cluster is at level %d, and release %s knows no level above %d: "+
-				"start this controller with a release that does",
+			"the cluster is at level %d, and release %s supports no level above %d: "+
+				"start this controller with a newer release",
 			r.stored.level, r.cfg.Release, r.cfg.MaxLevel)
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.unreadable)) {
 		record := r.unreadable[key]
 		if record.Newer && record.Guard == GuardStandDown {
 			return fmt.Sprintf(
-				"record %s is in a format that release %s doesn't know (%s): "+
+				"record %s is in a format that release %s can't read (%s): "+
 					"start this controller with a newer release",
 				key, r.cfg.Release, record.Cause)
 		}
@@ -177,14 +178,14 @@
 	return ""
 }
 
-// LevelCondition returns the condition that the level hasn't changed. It belongs to every transaction that was
-// decided by the level and isn't sent under the leader's guard.
+// LevelCondition returns the condition that the level hasn't changed. Every transaction that depends on the level needs
+// it, unless the transaction is sent under the leader's guard.
 func (r *Rollout) LevelCondition() store.Condition {
 	return store.Condition{Key: levelKey, Version: r.stored.levelVersion}
 }
 
-// BootstrapConditions returns what a campaign adds to its transaction: the level must not have changed, and the first
-// leader ever sets it.
+// BootstrapConditions returns the conditions and writes that a campaign adds to its transaction: the condition that the
+// level hasn't changed and, for the first leader of a new cluster, the writes that set the level.
 func (r *Rollout) BootstrapConditions() ([]store.Condition, []store.Op) {
 	conditions := []store.Condition{r.LevelCondition()}
 	if !r.needsBootstrap() {
@@ -198,8 +199,8 @@
 	}
 }
 
-// Announcement returns the write of this controller's announcement, which goes with that of its member key. lease
-// is that of its process.
+// Announcement returns the write of this controller's announcement, which belongs in the transaction that writes its
+// member key. lease is the lease of this process.
 func (r *Rollout) Announcement(lease uint64) store.Op {
 	record := announcementRecord{
 		Node:        r.cfg.Node,
@@ -219,7 +220,7 @@
 	return store.Op{Put: AnnounceKey(r.cfg.Node), Value: encode(record)}
 }
 
-// observe returns what has been read of all that an upgrade of the level depends on.
+// observe returns the contents of all keys that an upgrade of the level depends on, as read so far.
 func (r *Rollout) observe() Observation {
 	observed := Observation{
 		Level:            r.stored.level,
@@ -231,7 +232,7 @@
 		observed.Peers = append(observed.Peers, peer.PeerRecord)
 	}
 	if observed.Mode == FinishRequested && observed.NextLevel(r.cfg.MaxLevel) > r.stored.directive.level {
-		observed.Mode = NoDirective // the directive was about an earlier upgrade
+		observed.Mode = NoDirective // the directive allowed an upgrade to a lower level only
 	}
 	return observed
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -9,7 +9,7 @@
 
 const testSoak = 10 * time.Second
 
-// The releases of the tests' controllers: one without levels and two with them.
+// The releases of the tests' controllers: the first has no levels, the other two have them.
 const (
 	formerRelease  = "v0.20.9"
 	presentRelease = "v0.21.0"
@@ -31,7 +31,7 @@
 	return r
 }
 
-// join has a controller announce a release and the highest level that it supports, write its member key and be
+// join passes in a controller's announcement, its member key, both at the given version, and a report that it is
 // healthy.
 func join(r *Rollout, node, release string, supported Level, lease, version uint64) {
 	announce(r, announcementRecord{Node: node, Release: release, Level: supported, Lease: lease}, version)
@@ -40,32 +40,35 @@
 	r.HandleHealth(0, node, true)
 }
 
+// announce passes in a controller's announcement.
 func announce(r *Rollout, announcement announcementRecord, version uint64) {
 	r.HandleItem(store.Item{Key: AnnounceKey(announcement.Node), Value: encode(announcement), Version: version})
 }
 
-func direct(r *Rollout, directive directiveRecord, version uint64) {
+// setDirective passes in an operators' directive.
+func setDirective(r *Rollout, directive directiveRecord, version uint64) {
 	r.HandleItem(store.Item{Key: directiveKey, Value: encode(directive), Version: version})
 }
 
-// mustTick returns the transaction that a leader sends, and fails the test if none is due.
+// mustTick returns the transaction that the leader has to send, and fails the test if none is due.
 func mustTick(t *testing.T, r *Rollout, now time.Duration, term uint64, progress MigrationProgress) store.Txn {
 	t.Helper()
 	txn, due := r.Tick(now, term, progress)
 	if !due {
-		t.Fatalf("no transaction is due in state %s", r.State())
+		t.Fatalf("state %s: got no transaction, want one", r.State())
 	}
 	return txn
 }
 
-// mustNotTick fails the test if a leader has a transaction to send.
+// mustNotTick fails the test if the leader has a transaction to send.
 func mustNotTick(t *testing.T, r *Rollout, now time.Duration, term uint64, progress MigrationProgress) {
 	t.Helper()
 	if txn, due := r.Tick(now, term, progress); due {
-		t.Fatalf("in state %s a transaction is due: %+v", r.State(), txn)
+		t.Fatalf("state %s: got transaction %+v, want none", r.State(), txn)
 	}
 }
 
+// commit passes in the outcome of a transaction that was committed at a revision.
 func commit(r *Rollout, now time.Duration, txn store.Txn, revision uint64) {
 	r.HandleOutcome(now, txn, store.Result{Outcome: store.Committed, Revision: revision})
 }
--- a/internal/rollout/unreadable.go
+++ b/internal/rollout/unreadable.go
@@ -13,7 +13,7 @@
 	Key   string `json:"key"`
 	Kind  string `json:"kind"`
 	Cause string `json:"cause"`
-	Newer bool   `json:"newer"` // its format is newer than this release; otherwise it is damaged
+	Newer bool   `json:"newer"` // true: the format is newer than this release reads; false: the record is damaged
 	Guard Guard  `json:"guard"`
 }
 
@@ -31,7 +31,8 @@
 	}
 }
 
-// MarkUnreadable records that a stored record can't be read, whichever package has read it.
+// MarkUnreadable records that a stored record of any package can't be read. It logs the record unless the same record
+// is already marked with the same cause.
 func (r *Rollout) MarkUnreadable(key string, raw json.RawMessage, cause error) {
 	record := newUnreadableRecord(key, raw, cause)
 	if former, known := r.unreadable[key]; !known || former != record {
@@ -41,13 +42,13 @@
 	r.unreadable[key] = record
 }
 
-// MarkReadable records that a stored record can be read, or is gone.
+// MarkReadable records that a stored record can be read or has been deleted.
 func (r *Rollout) MarkReadable(key string) { delete(r.unreadable, key) }
 
-// UnreadableCount returns the number of stored records that can't be read here.
+// UnreadableCount returns the number of stored records that this controller can't read.
 func (r *Rollout) UnreadableCount() int { return len(r.unreadable) }
 
-// unreadableRecords returns the records that can't be read, sorted by key.
+// unreadableRecords returns the records that this controller can't read, sorted by key.
 func (r *Rollout) unreadableRecords() []UnreadableRecord {
 	records := []UnreadableRecord{}
 	for _, record := range r.unreadable {
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// modeFree is the mode in View when there is no directive.
+// modeFree is View.Mode if there is no directive.
 const modeFree Mode = "free"
 
-// View is the state of a rollout as operators read it.
+// View is the state of a rollout in answers to operators.
 type View struct {
-	Revision   uint64         `json:"revision"` // of the operators' directive
+	Revision   uint64         `json:"revision"` // version of the directive key; 0: there is no key
 	Mode       Mode           `json:"mode"`
 	By         string         `json:"by,omitempty"` // the operator who gave the directive
 	State      string         `json:"stance"`
-	ReportedBy string         `json:"told_by"` // the controller that answers
+	ReportedBy string         `json:"told_by"` // the controller that sends the answer
 	Level      Level          `json:"level"`
 	Next       Level          `json:"next_level"`
-	SoakLeftS  float64        `json:"soak_left_s,omitempty"` // seconds
-	Missing    []string       `json:"missing"`               // what prevents an upgrade of the level
+	SoakLeftS  float64        `json:"soak_left_s,omitempty"` // remaining soak time in seconds
+	Missing    []string       `json:"missing"`               // for each controller that prevents an upgrade, the reason
 	Migration  *MigrationView `json:"migration,omitempty"`
 	Nodes      []NodeView     `json:"nodes"`
-	// Restart is the controller that may be restarted next, "" if none may. Why is the reason.
+	// Restart is the controller that may be restarted next; "" if none may. Why is the reason in both cases.
 	Restart    string             `json:"restart,omitempty"`
 	Why        string             `json:"why"`
 	Unreadable []UnreadableRecord `json:"unreadable"`
@@ -30,32 +30,32 @@
 // MigrationView is the progress of a migration.
 type MigrationView struct {
 	Done    bool `json:"done"`
-	Left    int  `json:"left"`    // records
-	Leaders int  `json:"leaders"` // the number that have worked on it
+	Left    int  `json:"left"`    // number of records left
+	Leaders int  `json:"leaders"` // number of leaders that have worked on the migration
 }
 
-// NodeView is one controller.
+// NodeView is the state of one controller in answers to operators.
 type NodeView struct {
 	Node         string `json:"node"`
 	Zone         string `json:"zone,omitempty"`
-	Release      string `json:"release,omitempty"` // "": it has no announcement that counts
-	Level        Level  `json:"knows_level"`       // the highest that it supports
-	Alive        bool   `json:"alive"`             // it keeps a lease
+	Release      string `json:"release,omitempty"` // "": there is no valid announcement
+	Level        Level  `json:"knows_level"`       // highest level that it supports; 0: there is no valid announcement
+	Alive        bool   `json:"alive"`             // it has a member key
 	Healthy      bool   `json:"well"`
 	Leads        bool   `json:"leads"`
-	Incompatible bool   `json:"behind"` // the cluster's level is newer than its release: it must not act
-	// NotNextReason is why it should not be restarted now; "" for the one that may be.
+	Incompatible bool   `json:"behind"` // the cluster's level is higher than it supports, so it must not act
+	// NotNextReason is why it should not be restarted now; "" for the controller that may be restarted.
 	NotNextReason string `json:"not_now,omitempty"`
 }
 
-// Cluster is what a View contains of other packages' state.
+// Cluster is the state of other packages that a View needs.
 type Cluster struct {
-	Leader  string          // "": there is none
-	Left    int             // records left to migrate, as the leader counts them
+	Leader  string          // "": there is no leader
+	Left    int             // number of records left to migrate; used on the leader only
 	Drained map[string]bool // controllers with a drain request
 }
 
-// View returns the state of the rollout and the controller to restart next.
+// View returns the state of the rollout, including the controller to restart next.
 func (r *Rollout) View(now time.Duration, cluster Cluster) View {
 	view := View{
 		Revision:   r.stored.directiveVersion,
@@ -65,7 +65,7 @@
 		ReportedBy: r.cfg.Node,
 		Level:      r.Level(),
 		Next:       r.observe().NextLevel(r.cfg.MaxLevel),
-		Missing:    r.missing(now),
+		Missing:    r.upgradeObstacles(now),
 		Migration:  r.migrationView(cluster),
 		Unreadable: r.unreadableRecords(),
 	}
@@ -84,7 +84,7 @@
 	return view
 }
 
-// migrationView returns the progress of the migration, nil if there has been none.
+// migrationView returns the progress of the migration, or nil if the level is still Base.
 func (r *Rollout) migrationView(cluster Cluster) *MigrationView {
 	if !r.hasUpgraded() {
 		return nil
@@ -116,36 +116,36 @@
 	return view
 }
 
-// missing returns what prevents an upgrade of the level, a sentence for each controller concerned.
-func (r *Rollout) missing(now time.Duration) []string {
+// upgradeObstacles returns, for each controller that prevents an upgrade of the level, the reason.
+func (r *Rollout) upgradeObstacles(now time.Duration) []string {
 	reasons := []string{}
 	if r.stored.level >= r.cfg.MaxLevel {
 		return reasons
 	}
 	for _, peer := range r.peers {
-		if reason := r.missingOf(now, peer); reason != "" {
+		if reason := r.upgradeObstacle(now, peer); reason != "" {
 			reasons = append(reasons, reason)
 		}
 	}
 	return reasons
 }
 
-// missingOf returns why one controller prevents an upgrade of the level, "" if it doesn't.
-func (r *Rollout) missingOf(now time.Duration, peer *peer) string {
+// upgradeObstacle returns why one controller prevents an upgrade of the level, or "" if it doesn't.
+func (r *Rollout) upgradeObstacle(now time.Duration, peer *peer) string {
 	switch {
 	case peer.unreadableCause != "":
 		return fmt.Sprintf("%s: %s", peer.Node, peer.unreadableCause)
 	case peer.AnnouncementVersion == 0 && !peer.isUp():
-		return peer.Node + " was never seen with a release that says what it knows: start it"
+		return peer.Node + " is down and has never announced a release: start it"
 	case peer.Announced() == 0:
-		return peer.Node + " runs a release that doesn't say what it knows: it is older than " + firstAnnouncingRelease
+		return peer.Node + " runs a release that announces no level: it is older than " + firstAnnouncingRelease
 	case peer.Announced() <= r.stored.level:
 		return fmt.Sprintf("%s runs %s, which knows no level above %d",
 			peer.Node, peer.release, peer.AnnouncedLevel)
 	case peer.isHealthy(now):
 		return ""
 	case !peer.isUp():
-		return peer.Node + " is down; it announced " + peer.release
+		return peer.Node + " is down; it has announced " + peer.release
 	}
 	return peer.Node + " is not well: it isn't heard, drains, or doesn't reach the state service"
 }
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -7,8 +7,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// HandleItem applies a changed key of any kind. Keys that the rollout doesn't depend on, and older versions, are
-// ignored.
+// HandleItem applies a changed key of any kind. It ignores keys that the rollout doesn't depend on, and versions no
+// newer than the one applied last.
 func (r *Rollout) HandleItem(item store.Item) {
 	if item.Version <= r.keyVersions[item.Key] {
 		return
@@ -18,7 +18,7 @@
 	}
 }
 
-// apply applies a newer version of a key and reports whether the version is to be remembered.
+// apply applies a newer version of a key and reports whether HandleItem must store the version in keyVersions.
 func (r *Rollout) apply(item store.Item) bool {
 	switch item.Key {
 	case levelKey:
@@ -43,7 +43,8 @@
 	return false
 }
 
-// decode reads a record, and marks it as readable or unreadable. On false the record may be read in part.
+// decode decodes a record, marks it as readable or unreadable, and reports whether it is readable. An unreadable record
+// may be decoded in part.
 func (r *Rollout) decode(item store.Item, record versionedRecord) bool {
 	format, _ := RecordFormatOf(item.Key)
 	err := json.Unmarshal(item.Value, record)
@@ -60,7 +61,7 @@
 
 func (r *Rollout) applyLevel(item store.Item) {
 	var record levelRecord
-	// A newer release may write it in another format, but always with its level.
+	// The level can be read in newer formats too: they all have the field.
 	if r.decode(item, &record) || record.Level > 0 {
 		r.stored.level = record.Level
 	}
@@ -109,14 +110,14 @@
 	}
 	var member memberRecord
 	if !r.decode(item, &member) {
-		member.Lease = 0 // the controller is up, but no announcement counts for its process
+		member.Lease = 0 // the controller is up, but no announcement is valid for its process
 	}
 	peer.Lease = member.Lease
 	peer.MemberVersion = item.Version
 	return true
 }
 
-// HandleDelete applies the deletion of a key, at a version.
+// HandleDelete applies the deletion of a key. version is the version of the deletion.
 func (r *Rollout) HandleDelete(key string, version uint64) {
 	if version <= r.keyVersions[key] {
 		return
@@ -127,14 +128,14 @@
 			peer.markDown()
 		}
 	}
-	if isMember || strings.HasPrefix(key, prefix) {
+	if isMember || strings.HasPrefix(key, ownPrefix) {
 		r.keyVersions[key] = version
 	}
 	r.MarkReadable(key)
 }
 
-// HandleReset applies a new listing of all followed keys: members that it lacks are down, and records that it lacks are
-// no longer unreadable. The items themselves come through HandleItem.
+// HandleReset applies a new listing of all watched keys: controllers whose member key is absent are down, and absent
+// records are no longer unreadable. The caller passes the items to HandleItem as well.
 func (r *Rollout) HandleReset(items []store.Item) {
 	present := map[string]bool{}
 	for _, item := range items {
@@ -146,11 +147,11 @@
 		}
 	}
 	for key := range r.unreadable {
-		if strings.HasPrefix(key, followedPrefix) && !present[key] {
+		if strings.HasPrefix(key, watchedPrefix) && !present[key] {
 			r.MarkReadable(key)
 		}
 	}
 }
 
-// HandleSynced records that all keys have been read.
+// HandleSynced records that all watched keys have been read at least once.
 func (r *Rollout) HandleSynced() { r.synced = true }
