--- a/cmd/harewalk/drain_test.go
+++ b/cmd/harewalk/drain_test.go
@@ -270,7 +270,8 @@
 	wait.Wait()
 	isOneRefused := codes == [2]int{0, exitRefused} || codes == [2]int{exitRefused, 0}
 	printed := outputs[0] + outputs[1]
-	isReasonNamed := strings.Contains(printed, "nobody would be left") || strings.Contains(printed, "changed meanwhile")
+	isReasonNamed := strings.Contains(printed, "no controller would be left") ||
+		strings.Contains(printed, "changed meanwhile")
 	if !isOneRefused || !isReasonNamed {
 		t.Fatalf("exit codes %v: %v", codes, outputs)
 	}
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -9,7 +9,7 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// Op is what a command does. Its value is the name on the wire.
+// Op is the operation of a command. Its value is its name on the wire.
 type Op string
 
 // The operations.
@@ -18,7 +18,7 @@
 	OpUndrain Op = "undrain"
 )
 
-// Kind is the kind of what a command is about. Its value is the name on the wire.
+// Kind is the kind of target of a command. Its value is its name on the wire.
 type Kind string
 
 // The kinds.
@@ -27,52 +27,52 @@
 	KindMachine Kind = "machine"
 )
 
-// maxNameLength bounds the names in a command, in bytes.
+// maxNameLength is the maximum length of each name in a command, in bytes.
 const maxNameLength = 100
 
-// unlimited is the limit of machines' requests where these have keys of their own.
+// unlimited, as the limit of apply, means that the number of machines' requests isn't limited.
 const unlimited = 0
 
-// Command is what an operator requests: the wire type of a command over HTTP. AtMS isn't sent, the controller that
-// takes the command sets it.
+// Command is an operator's command, in its form over HTTP. The controller that receives the command sets AtMS.
 type Command struct {
 	Op   Op     `json:"op"`
 	Kind Kind   `json:"kind"`
-	Name string `json:"name"`
-	By   string `json:"by"`
-	Stop bool   `json:"stop"`
-	// Revision is the document's version that the command is based on; nil: any.
+	Name string `json:"name"` // controller or machine
+	By   string `json:"by"`   // name of the operator; "" means rollout.UnnamedOperator
+	Stop bool   `json:"stop"` // see Request.Stop; ignored for controllers
+	// Revision is the version of the document that the command is based on; nil means any version.
 	Revision *uint64 `json:"revision"`
-	AtMS     int64   `json:"-"` // Unix time in milliseconds
+	AtMS     int64   `json:"-"` // time of the command, Unix time in milliseconds
 }
 
-// Cluster is what a command is checked against.
+// Cluster is the state of the cluster against which a command is checked.
 type Cluster struct {
-	// Alive are the controllers whose statuses arrive and that reach the state service; Nodes are all.
+	// Nodes are the names of all controllers. Alive are those that send statuses and can reach the state service.
 	Alive, Nodes []string
-	// Machine reports whether there is a machine with a name.
+	// Machine reports whether a machine exists.
 	Machine func(name string) bool
 }
 
-// validate checks what can be checked without the cluster.
+// validate checks a command without regard to the cluster. The error wraps ErrMalformed.
 func (c Command) validate() error {
 	isOp := c.Op == OpDrain || c.Op == OpUndrain
 	isKind := c.Kind == KindNode || c.Kind == KindMachine
 	isNamed := c.Name != "" && len(c.Name) <= maxNameLength
 	if !isOp || !isKind || !isNamed || len(c.By) > maxNameLength {
 		return fmt.Errorf("%w: op must be drain or undrain, kind node or machine, "+
-			"and name and by at most 100 characters", ErrMalformed)
+			"name at most 100 bytes long and not empty, and by at most 100 bytes long", ErrMalformed)
 	}
 	return nil
 }
 
-// Apply returns the document after a command, where it holds machines' requests too. A command that changes nothing
-// returns the document as it was. The error wraps ErrMalformed, ErrUnknown or ErrLastController.
+// Apply returns the document after a command. The requests of machines must all be in the document. If the command
+// changes nothing, Apply returns the document unchanged. The error wraps ErrMalformed, ErrUnknown or ErrLastController.
 func (d Document) Apply(command Command, cluster Cluster) (Document, error) {
 	return d.apply(command, cluster, maxMachines)
 }
 
-// apply returns the document after a command, with at most limit machines, or unlimited.
+// apply returns the document after a command, like Apply. limit is the maximum number of machines' requests, or
+// unlimited.
 func (d Document) apply(command Command, cluster Cluster, limit int) (Document, error) {
 	if err := command.validate(); err != nil {
 		return d, err
@@ -88,7 +88,7 @@
 			return d, nil
 		}
 		delete(*requests, command.Name)
-		return next.changedBy(command), nil
+		return next.withLastChange(command), nil
 	}
 	if isRequested && current.Stop == command.Stop {
 		return d, nil
@@ -100,38 +100,38 @@
 		*requests = map[string]Request{}
 	}
 	(*requests)[command.Name] = Request{By: command.By, AtMS: command.AtMS, Stop: command.Stop}
-	return next.changedBy(command), nil
+	return next.withLastChange(command), nil
 }
 
-// checkDrain returns why a controller or machine must not be drained.
+// checkDrain returns an error if the controller or machine of a command must not be drained.
 func (d Document) checkDrain(command Command, cluster Cluster, limit int) error {
 	if command.Kind == KindMachine {
 		return d.checkDrainMachine(command.Name, cluster, limit)
 	}
 	if !slices.Contains(cluster.Nodes, command.Name) {
 		nodes := strings.Join(cluster.Nodes, ", ")
-		return fmt.Errorf("%w: controller %q is none of %s", ErrUnknown, command.Name, nodes)
+		return fmt.Errorf("%w: got controller %q, want one of %s", ErrUnknown, command.Name, nodes)
 	}
 	if !d.othersServe(command.Name, cluster) {
-		return fmt.Errorf("%w: no other controller is alive and not drained", ErrLastController)
+		return fmt.Errorf("%w: all other controllers are drained or not alive", ErrLastController)
 	}
 	return nil
 }
 
 func (d Document) checkDrainMachine(name string, cluster Cluster, limit int) error {
 	if !cluster.Machine(name) {
-		return fmt.Errorf("%w: machine %q is not known", ErrUnknown, name)
+		return fmt.Errorf("%w: machine %q doesn't exist", ErrUnknown, name)
 	}
 	_, isRequested := d.Machines[name]
 	if !isRequested && limit != unlimited && len(d.Machines) >= limit {
-		return fmt.Errorf("%w: %d machines are being drained already, "+
-			"and no more fit until the rollout is finished: "+
-			"then there is no such bound (`harewalk rollout status`)", ErrMalformed, limit)
+		return fmt.Errorf("%w: %d machines are already being drained, "+
+			"the maximum until the rollout is finished; "+
+			"after that there is no maximum (see `harewalk rollout status`)", ErrMalformed, limit)
 	}
 	return nil
 }
 
-// othersServe reports whether another controller is alive that isn't to be drained.
+// othersServe reports whether any other controller is alive and has no drain request.
 func (d Document) othersServe(name string, cluster Cluster) bool {
 	return slices.ContainsFunc(cluster.Alive, func(node string) bool {
 		_, isDrained := d.Nodes[node]
@@ -139,8 +139,8 @@
 	})
 }
 
-// changedBy returns the document with a command as its last change.
-func (d Document) changedBy(command Command) Document {
+// withLastChange returns the document with a command as the last change.
+func (d Document) withLastChange(command Command) Document {
 	by := cmp.Or(command.By, rollout.UnnamedOperator)
 	d.Last = fmt.Sprintf("%s: %s %s %s", by, command.Op, command.Kind, command.Name)
 	return d
--- a/internal/drain/command_test.go
+++ b/internal/drain/command_test.go
@@ -18,12 +18,13 @@
 	return Cluster{Machine: func(string) bool { return true }}
 }
 
-// drainMachine is the command to drain a machine.
+// drainMachine returns the command to drain a machine.
 func drainMachine(name string) Command {
 	return Command{Op: OpDrain, Kind: KindMachine, Name: name, By: "kana"}
 }
 
-// drawCommand draws a command about one of three controllers or machines, one of which doesn't exist.
+// drawCommand draws a command about one of the given controllers, or about one of three machines, of which "m-none"
+// doesn't exist.
 func drawCommand(t *rapid.T, nodes []string) Command {
 	command := Command{
 		Op:   rapid.SampledFrom([]Op{OpDrain, OpUndrain}).Draw(t, "op"),
@@ -38,14 +39,15 @@
 	return command
 }
 
-// Whatever is drained and undrained, alive or not, in whatever order: some controller that is alive is left, and the
-// document has as many requests as a plain model of the commands.
+// TestLastControllerIsNotDrained applies drawn commands in any order, with any controllers alive. It checks that a
+// controller is not drained if all others are drained or not alive, and that the document has as many requests as a
+// simple model of the commands.
 func TestLastControllerIsNotDrained(t *testing.T) {
 	nodes := []string{"n-0", "n-1", "n-2"}
 	refused := 0
 	rapid.Check(t, func(t *rapid.T) {
 		document := Document{}
-		drained := map[string]bool{} // the model
+		drained := map[string]bool{} // the model: names with a drain request
 		cluster := Cluster{Nodes: nodes, Alive: nodes, Machine: func(name string) bool { return name != "m-none" }}
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			cluster.Alive = rapid.SliceOfDistinct(rapid.SampledFrom(nodes), rapid.ID[string]).Draw(t, "alive")
@@ -57,7 +59,8 @@
 			isNewDrain := command.Op == OpDrain && !drained[command.Name]
 			isImpossible := command.Name == "m-none" || (command.Kind == KindNode && !othersServe)
 			if (err != nil) != (isNewDrain && isImpossible) {
-				t.Fatalf("%+v with %v alive and %v drained: %v", command, cluster.Alive, drained, err)
+				t.Fatalf("%+v with %v alive and %v drained: got error %v, want one only if the drain is impossible",
+					command, cluster.Alive, drained, err)
 			}
 			if err != nil {
 				refused++
@@ -73,35 +76,35 @@
 				delete(drained, command.Name)
 			}
 			if len(document.Nodes)+len(document.Machines) != len(drained) {
-				t.Fatalf("%+v, drained are %v", document, drained)
+				t.Fatalf("got document %+v, want requests for %v", document, drained)
 			}
 		}
 	})
 	if refused < 50 {
-		t.Fatalf("%d refused: the model does not exercise the code", refused)
+		t.Fatalf("got %d refused commands, want at least 50: the model does not exercise the code", refused)
 	}
 }
 
-// fullDocument returns a document with as many machines as it may hold, and checks that no more are taken.
+// fullDocument returns a document with maxMachines machines, and checks that a request for another one is refused.
 func fullDocument(t *testing.T) Document {
 	t.Helper()
 	document := Document{}
 	for i := range maxMachines + 1 {
 		command := drainMachine(fmt.Sprintf("i-%096d", i))
-		command.By = "somebody with a rather long name of his own"
+		command.By = "an operator with a rather long account name"
 		next, err := document.Apply(command, anyMachine())
 		if (err != nil) != (i == maxMachines) {
-			t.Fatalf("machine %d: %v", i, err)
+			t.Fatalf("after %d machines: got error %v, want one only after maxMachines", i, err)
 		}
 		document = next
 	}
 	return document
 }
 
-// A document with as many machines as it may hold fits a value.
-func TestDocumentIsBounded(t *testing.T) {
+// TestFullDocumentFitsAValue checks that a document with maxMachines machines fits into one value of the state service.
+func TestFullDocumentFitsAValue(t *testing.T) {
 	if raw, _ := json.Marshal(fullDocument(t)); len(raw) > 16<<10 {
-		t.Fatalf("a document of %d bytes", len(raw))
+		t.Fatalf("got a document of %d bytes, want at most 16 KiB", len(raw))
 	}
 }
 
@@ -110,7 +113,7 @@
 	gone := fmt.Sprintf("i-%096d", 7)
 	next, found := document.WithoutMachines(func(machine string) bool { return machine == gone })
 	if !found || len(next.Machines) != maxMachines-1 || len(document.Machines) != maxMachines {
-		t.Fatalf("%d left of %d", len(next.Machines), len(document.Machines))
+		t.Fatalf("got %d requests of %d, want one fewer in a new document", len(next.Machines), len(document.Machines))
 	}
 }
 
@@ -123,7 +126,7 @@
 		{Op: OpDrain, Kind: KindNode},
 	} {
 		if _, err := document.Apply(command, anyMachine()); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%+v: %v", command, err)
+			t.Errorf("%+v: got error %v, want ErrMalformed", command, err)
 		}
 	}
 }
--- a/internal/drain/desired_state.go
+++ b/internal/drain/desired_state.go
@@ -5,15 +5,16 @@
 	"maps"
 )
 
-// DesiredState is all that operators want to be drained: the document, and the requests that have keys of their own.
+// DesiredState is the whole desired state: the document and the requests that are stored under keys of their own.
 type DesiredState struct {
 	Document        Document
 	MachineRequests *MachineRequests
-	// UsesMachineKeys is whether machines' requests are written to keys of their own: the cluster's level allows it.
+	// UsesMachineKeys is whether machines' requests are written to keys of their own: the cluster's level is at least
+	// rollout.DrainKeys.
 	UsesMachineKeys bool
 }
 
-// Machine returns the drain request of a machine, wherever it is stored, and whether there is one.
+// Machine returns the drain request of a machine, from its own key or the document, and whether there is one.
 func (s DesiredState) Machine(name string) (Request, bool) {
 	if request, ok := s.MachineRequests.Get(name); ok {
 		return request.Request, true
@@ -22,12 +23,12 @@
 	return request, ok
 }
 
-// AnyMachine reports whether any machine is to be drained.
+// AnyMachine reports whether any machine has a drain request.
 func (s DesiredState) AnyMachine() bool {
 	return len(s.Document.Machines) > 0 || len(s.MachineRequests.byMachine) > 0
 }
 
-// Machines returns the requests of all machines that are to be drained, by name.
+// Machines returns the drain requests of all machines, by name.
 func (s DesiredState) Machines() map[string]Request {
 	all := make(map[string]Request, len(s.MachineRequests.byMachine)+len(s.Document.Machines))
 	maps.Copy(all, s.Document.Machines)
@@ -37,22 +38,22 @@
 	return all
 }
 
-// Change is what a command changes of what is stored. Its writes belong into one transaction.
+// Change is the change of the stored state by a command. Its writes belong in one transaction.
 type Change struct {
-	// Document is to be written, on the condition of its version.
+	// Document is the new document, to be written on condition of the version that the command was applied to.
 	Document Document
-	// Machine is whose request's key the change depends on as well, by the key's version, whether or not that key
-	// changes: a request may have been moved there meanwhile. "": no machine's.
+	// Machine is the machine on whose key (MachineKey) the transaction depends as well, even if the key isn't written:
+	// a migration step may have moved the request there meanwhile. "": the transaction depends on no such key.
 	Machine string
-	Version uint64
-	// Put is the request's new stored form if it changes; Delete is whether its key is to be deleted.
+	Version uint64 // expected version of the key; 0: the key must be absent
+	// Put is the new value of the key, nil if it isn't written. Delete is whether the key is to be deleted.
 	Put    json.RawMessage
 	Delete bool
 }
 
-// Apply returns what a command changes. Where machines' requests have keys of their own, a command about a machine
-// takes its request out of the document, and the document loses all requests that have keys already. The errors are
-// those of Document.Apply.
+// Apply returns the change that a command makes. If UsesMachineKeys is set, the new document doesn't contain the
+// request of the command's machine or any request that already has a key of its own. The errors are those of
+// Document.Apply.
 func (s DesiredState) Apply(command Command, cluster Cluster) (Change, error) {
 	if !s.UsesMachineKeys {
 		return s.applyToDocument(command, cluster)
@@ -78,15 +79,15 @@
 	return change, err
 }
 
-// applyToDocument returns what a command changes while there may be a controller that reads the document only.
-// Requests that have keys are left alone: the level never falls, so there are none.
+// applyToDocument returns the change that a command makes while some controllers may read only the document. No request
+// has a key of its own then, because the level is never lowered.
 func (s DesiredState) applyToDocument(command Command, cluster Cluster) (Change, error) {
 	next, err := s.Document.Apply(command, cluster)
 	return Change{Document: next}, err
 }
 
-// documentFor returns the document with the request of one machine at most, wherever it is stored: all that it
-// takes to check a command about that machine.
+// documentFor returns the document with the request of one machine, if it has one, as its only machine request. This is
+// sufficient to apply a command about that machine.
 func (s DesiredState) documentFor(machine string) Document {
 	document := s.Document
 	document.Machines = map[string]Request{}
@@ -96,18 +97,18 @@
 	return document
 }
 
-// requestsWithoutKey returns the document's requests that have no keys of their own yet.
+// requestsWithoutKey returns the machines' requests in the document that have no keys of their own yet.
 func (s DesiredState) requestsWithoutKey() map[string]Request {
-	out := map[string]Request{}
+	requests := map[string]Request{}
 	for name, request := range s.Document.Machines {
 		if _, ok := s.MachineRequests.Get(name); !ok {
-			out[name] = request
+			requests[name] = request
 		}
 	}
-	return out
+	return requests
 }
 
-// StaleRequests returns the machines that are gone and whose requests' keys are to be deleted, limit at most.
+// StaleRequests returns the machines that no longer exist and whose keys are to be deleted, at most limit of them.
 func (s DesiredState) StaleRequests(limit int, isGone func(machine string) bool) []string {
 	var names []string
 	for _, name := range s.MachineRequests.Names() {
--- a/internal/drain/desired_state_test.go
+++ b/internal/drain/desired_state_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// fleetSize is a fleet all of whose machines may be drained at once.
+// fleetSize is the number of machines in a large fleet.
 const fleetSize = 4000
 
-// fakeStore is a plain state service for the desired state: the document and the machines' keys with their
-// versions. It passes every change to the DesiredState at once.
+// fakeStore is a fake state service that contains the document's version and the versions of the machines' keys. It
+// applies every committed change to the DesiredState at once.
 type fakeStore struct {
 	revision        uint64
 	documentVersion uint64
-	keys            map[string]uint64 // versions
+	keys            map[string]uint64 // version by key
 	desired         DesiredState
 }
 
@@ -27,16 +27,16 @@
 	}
 }
 
-// fakeTxn is a transaction on the condition of the document's version and of those of some keys.
+// fakeTxn is a transaction whose conditions are the document's version and the versions of some keys.
 type fakeTxn struct {
-	documentVersion uint64
-	keyVersions     map[string]uint64
-	document        *Document // nil: unchanged
+	documentVersion uint64            // expected
+	keyVersions     map[string]uint64 // expected, by key; 0: absent
+	document        *Document         // new document; nil: unchanged
 	puts            map[string]json.RawMessage
 	deletes         []string
 }
 
-// commit carries out a transaction; it reports whether the conditions held.
+// commit applies a transaction if its conditions hold, and reports whether they do.
 func (s *fakeStore) commit(txn fakeTxn) bool {
 	for key, version := range txn.keyVersions {
 		if s.keys[key] != version {
@@ -64,7 +64,7 @@
 	return true
 }
 
-// changeTxn returns the transaction of a command, decided at a version of the document.
+// changeTxn returns the transaction for a Change that was computed at a version of the document.
 func changeTxn(documentVersion uint64, change Change) fakeTxn {
 	txn := fakeTxn{documentVersion: documentVersion, document: &change.Document}
 	if change.Machine == "" {
@@ -81,8 +81,8 @@
 	return txn
 }
 
-// All machines of a large fleet can be drained at once; the document doesn't grow with them, and each request is
-// small.
+// TestLargeFleetIsDrained checks that all machines of a large fleet can be drained at once, that the document doesn't
+// grow with their number, and that each request is small.
 func TestLargeFleetIsDrained(t *testing.T) {
 	s := newFakeStore()
 	s.desired.UsesMachineKeys = true
@@ -93,26 +93,27 @@
 		}
 		raw, _ := json.Marshal(change.Document)
 		if len(raw) > 200 || len(change.Put) > 200 {
-			t.Fatalf("machine %d: a document of %d bytes, a request of %d", i, len(raw), len(change.Put))
+			t.Fatalf("machine %d: got a document of %d bytes, a request of %d bytes, want at most 200 each",
+				i, len(raw), len(change.Put))
 		}
 		if !s.commit(changeTxn(s.documentVersion, change)) {
-			t.Fatal("not written")
+			t.Fatal("the transaction of a drain command was not committed")
 		}
 	}
 	if n := len(s.desired.Machines()); n != fleetSize {
-		t.Fatalf("%d are drained", n)
+		t.Fatalf("got %d drained machines, want fleetSize", n)
 	}
 }
 
-// Below the cluster's level at which requests have keys the document's bound holds, and the refusal names the end
-// of it.
-func TestBoundUntilTheRolloutIsFinished(t *testing.T) {
+// TestMachineLimitBeforeUpgrade checks that maxMachines applies while requests have no keys of their own, and that the
+// error says when the limit ends.
+func TestMachineLimitBeforeUpgrade(t *testing.T) {
 	s := newFakeStore()
 	for i := range maxMachines + 1 {
 		change, err := s.desired.Apply(drainMachine(fmt.Sprintf("i-%06d", i)), anyMachine())
 		if i < maxMachines {
 			if err != nil || change.Machine != "" || !s.commit(changeTxn(s.documentVersion, change)) {
-				t.Fatalf("machine %d: %v, key of %q", i, err, change.Machine)
+				t.Fatalf("machine %d: got error %v, key of %q, want a committed document only", i, err, change.Machine)
 			}
 			continue
 		}
--- a/internal/drain/document.go
+++ b/internal/drain/document.go
@@ -7,28 +7,28 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// DocumentKey is where the document is stored.
+// DocumentKey is the key of the document.
 const DocumentKey = "h/o/wishes"
 
-// documentName is the document in errors, which operators read.
+// documentName is the name of the document in errors for operators.
 const documentName = "wishes"
 
-// maxMachines bounds how many machines may be drained at once while their requests are part of the document, which
-// has to fit a value: until every controller reads those with keys of their own.
+// maxMachines is the maximum number of machines' requests in the document, which has to fit into one value of the state
+// service. The limit applies to commands below level rollout.DrainKeys.
 const maxMachines = 60
 
-// Document is the stored document: the drain requests by name. In the zero value there are none. A Document's maps
-// are not changed once it is made.
+// Document is the stored document: the drain requests, by name. The zero value has no requests. The maps of a Document
+// must not be changed.
 type Document struct {
-	Format int                `json:"v,omitempty"` // 0 means 1
-	Nodes  map[string]Request `json:"nodes,omitempty"`
-	// Machines are the requests that have no keys of their own.
+	Format int                `json:"v,omitempty"`     // 0 means 1
+	Nodes  map[string]Request `json:"nodes,omitempty"` // requests to drain controllers
+	// Machines are the requests to drain machines, apart from requests that are stored under keys of their own.
 	Machines map[string]Request `json:"machines,omitempty"`
-	// Last is the last change and who made it, for operators.
+	// Last describes the last change and names the operator who made it. It is shown to operators.
 	Last string `json:"last,omitempty"`
 }
 
-// ParseDocument decodes the stored document. The error is a *rollout.NewerFormatError, or that of the JSON.
+// ParseDocument decodes the stored document. The error is a *rollout.NewerFormatError or a JSON error.
 func ParseDocument(raw json.RawMessage) (Document, error) {
 	var document Document
 	err := json.Unmarshal(raw, &document)
@@ -38,7 +38,7 @@
 	return document, err
 }
 
-// clone returns a copy in today's format whose maps may be changed.
+// clone returns a copy in the present format whose maps may be changed.
 func (d Document) clone() Document {
 	return Document{
 		Nodes:    maps.Clone(d.Nodes),
@@ -47,7 +47,7 @@
 	}
 }
 
-// requestsOf returns the requests of a kind.
+// requestsOf returns the map of the requests of a kind.
 func (d *Document) requestsOf(kind Kind) *map[string]Request {
 	if kind == KindNode {
 		return &d.Nodes
@@ -55,7 +55,8 @@
 	return &d.Machines
 }
 
-// WithoutMachines returns the document without the requests of machines that are gone, and whether there were any.
+// WithoutMachines returns the document without the requests of machines that no longer exist, and whether the document
+// had any such request.
 func (d Document) WithoutMachines(isGone func(machine string) bool) (Document, bool) {
 	next := d.clone()
 	maps.DeleteFunc(next.Machines, func(name string, _ Request) bool { return isGone(name) })
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,20 +1,20 @@
-// Package drain keeps which controllers and machines operators want to be drained, the desired state.
+// Package drain contains the desired state of draining: the controllers and machines that operators want to be drained.
 //
-// Every controller follows it. It is one durable document that each command writes by transaction, so that of two
-// commands that conflict one is carried out and the other is refused with the cause; the drain requests of machines
-// have keys of their own beside the document, from the cluster's level on at which every controller reads them.
+// The desired state is stored in one durable document, which every controller watches and each command writes by a
+// transaction. So of two conflicting commands one is committed, and the other is refused with the cause. From level
+// rollout.DrainKeys on, the drain request of each machine is stored under a key of its own instead of in the document.
 //
-// The package decides what a command changes of the desired state. It neither writes that nor drains anything: the
-// controller does both. It has no clock and no goroutine; all of it belongs to the event loop.
+// The package decides how a command changes the desired state. The controller writes the change and drains controllers
+// and machines. The package has no clock and starts no goroutine; only the controller's event loop calls it.
 package drain
 
-// newestFormat is the newest stored format of the document and of a machine's request that this release reads.
+// newestFormat is the newest format of the document, and of a machine's record, that this release reads.
 const newestFormat = 1
 
-// Request is an operator's request to drain a controller or a machine: the wire type of what is stored.
+// Request is an operator's request to drain a controller or a machine, in its stored form.
 type Request struct {
-	By   string `json:"by,omitempty"`
-	AtMS int64  `json:"at_ms"` // Unix time in milliseconds
-	// Stop has a machine's tasks stopped, with time to save, instead of waiting for their end.
+	By   string `json:"by,omitempty"` // name of the operator; "": not given
+	AtMS int64  `json:"at_ms"`        // time of the command, Unix time in milliseconds
+	// Stop means that a machine's tasks are stopped, with time to save, instead of running to their end.
 	Stop bool `json:"stop,omitempty"`
 }
--- a/internal/drain/errors.go
+++ b/internal/drain/errors.go
@@ -5,21 +5,21 @@
 	"fmt"
 )
 
-// Reasons for refusing a command. Each is wrapped with what it is about.
+// Errors of Apply, which wraps each of them with details.
 var (
-	// ErrMalformed is the refusal of a command that can't be carried out on any cluster, or for which there is no
-	// room.
-	ErrMalformed = errors.New("not a command")
-	// ErrUnknown is the refusal of a command about a controller or machine that doesn't exist.
-	ErrUnknown = errors.New("no such thing")
-	// ErrLastController is the refusal to drain the last controller that could serve.
-	ErrLastController = errors.New("nobody would be left")
+	// ErrMalformed means that a command is invalid in any cluster, or that the document has no room for its request.
+	ErrMalformed = errors.New("invalid drain command")
+	// ErrUnknown means that the command's controller or machine doesn't exist.
+	ErrUnknown = errors.New("no such controller or machine")
+	// ErrLastController means that the command would drain the last controller that can serve.
+	ErrLastController = errors.New("no controller would be left")
 )
 
-// MachineMismatchError is the error of a machine's drain request that stands under the key of another machine.
+// MachineMismatchError is the error for a machine's drain request that is stored under the key of another machine.
+// Machine is the name in the request.
 type MachineMismatchError struct{ Machine string }
 
-// Error returns the text for logs and for operators.
+// Error returns the message for logs and operators.
 func (e *MachineMismatchError) Error() string {
-	return fmt.Sprintf("the drain request names machine %q", e.Machine)
+	return fmt.Sprintf("the drain request names another machine, %q", e.Machine)
 }
--- a/internal/drain/errors_test.go
+++ b/internal/drain/errors_test.go
@@ -7,8 +7,8 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// What is stored in a newer format, or under the key of another machine, is refused with a typed error, whose text
-// operators read, and changes nothing.
+// TestUnreadableRecordsAreTypedErrors checks that a record in a newer format, or under the key of another machine, is
+// refused with a typed error and changes nothing. Operators read the texts of these errors.
 func TestUnreadableRecordsAreTypedErrors(t *testing.T) {
 	_, documentErr := ParseDocument([]byte(`{"v":2}`))
 	requests := NewMachineRequests()
@@ -19,15 +19,15 @@
 	} {
 		var format *rollout.NewerFormatError
 		if !errors.As(err, &format) || format.Format != 2 || err.Error() != text {
-			t.Errorf("error %v, want %q", err, text)
+			t.Errorf("got error %v, want a NewerFormatError with format 2 and text %q", err, text)
 		}
 	}
 	err := requests.HandleItem(MachineKey("i-1"), []byte(`{"machine":"i-2"}`), 1)
 	var mismatch *MachineMismatchError
 	if !errors.As(err, &mismatch) || mismatch.Machine != "i-2" {
-		t.Errorf("error %v for the request of another machine", err)
+		t.Errorf("request of another machine: got error %v, want a MachineMismatchError about i-2", err)
 	}
 	if names := requests.Names(); len(names) > 0 {
-		t.Errorf("requests of %v were taken", names)
+		t.Errorf("got requests of %v, want none", names)
 	}
 }
--- a/internal/drain/machine_requests.go
+++ b/internal/drain/machine_requests.go
@@ -11,18 +11,18 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// MachinePrefix is where the drain requests of machines are stored, each under a key of its own, from the cluster's
-// level on at which every controller reads them. Before, they are part of the document.
+// MachinePrefix is the prefix of the keys of machines' drain requests, which are used from level rollout.DrainKeys on.
+// Below that level the requests are part of the document.
 const MachinePrefix = "h/o/machines/"
 
-// machineRecordName is a machine's record in errors, which operators read.
+// machineRecordName is the name of a machine's record in errors for operators.
 const machineRecordName = "drain request"
 
-// plainName matches the names of machines that can be part of a key as they are.
+// plainName matches the machine names that can be part of a key without encoding.
 var plainName = regexp.MustCompile(`^[A-Za-z0-9._:/-]{1,100}$`)
 
-// MachineKey returns the key of a machine's drain request. A name that doesn't fit a key is hashed: the record has
-// the machine's name.
+// MachineKey returns the key of a machine's drain request. A name that can't be part of a key is replaced by its hash;
+// the record contains the name itself.
 func MachineKey(machine string) string {
 	if plainName.MatchString(machine) {
 		return MachinePrefix + machine
@@ -44,13 +44,13 @@
 	Version uint64
 }
 
-// MachineRequests are the drain requests that have keys of their own, as far as they were followed or written by this
-// controller.
+// MachineRequests contains the drain requests that have keys of their own, as known from the watched keys and this
+// controller's own writes.
 type MachineRequests struct {
 	byMachine    map[string]VersionedRequest
 	machineByKey map[string]string
-	// deletedAt are the versions, by key, at which this controller's own writes deleted keys, until the followed keys
-	// show that.
+	// deletedAt maps a key to the version at which this controller's own write deleted the key. An entry is removed
+	// when the watched keys show the deletion.
 	deletedAt map[string]uint64
 }
 
@@ -63,9 +63,9 @@
 	}
 }
 
-// HandleItem takes over a stored request. Versions that are not newer than one seen already are ignored. The error
-// of a value that can't be read, which changes nothing, is a *rollout.NewerFormatError, a *MachineMismatchError or that
-// of the JSON.
+// HandleItem applies a stored request. It ignores versions that are not newer than the request or its deletion. If the
+// value can't be read, nothing changes and the error is a *rollout.NewerFormatError, a *MachineMismatchError or a JSON
+// error.
 func (r *MachineRequests) HandleItem(key string, raw json.RawMessage, version uint64) error {
 	if version <= r.deletedAt[key] || version <= r.byMachine[r.machineByKey[key]].Version {
 		return nil
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// HandleDelete takes over that the followed keys show a key as deleted.
+// HandleDelete applies the deletion of a key that the watched keys show. version is the version of the deletion.
 func (r *MachineRequests) HandleDelete(key string, version uint64) {
 	if version >= r.deletedAt[key] {
 		delete(r.deletedAt, key)
@@ -93,13 +93,13 @@
 	r.deleteBefore(key, version)
 }
 
-// ConfirmDelete takes over that an own write has deleted a key, before the followed keys show it.
+// ConfirmDelete applies the deletion of a key by an own write, before the watched keys show the deletion.
 func (r *MachineRequests) ConfirmDelete(key string, version uint64) {
 	r.deletedAt[key] = version
 	r.deleteBefore(key, version)
 }
 
-// Reset takes over a new reading of all keys, as of a revision: requests that it lacks were deleted.
+// Reset applies a new listing of all keys as of a revision: it deletes the requests whose keys are absent.
 func (r *MachineRequests) Reset(revision uint64, isPresent func(key string) bool) {
 	for key := range r.machineByKey {
 		if !isPresent(key) {
@@ -109,7 +109,7 @@
 	maps.DeleteFunc(r.deletedAt, func(_ string, version uint64) bool { return version <= revision })
 }
 
-// deleteBefore deletes the request of a key if its version is below the given one.
+// deleteBefore deletes the request of a key if the version of the request is lower than the given one.
 func (r *MachineRequests) deleteBefore(key string, version uint64) {
 	machine, ok := r.machineByKey[key]
 	if !ok || r.byMachine[machine].Version >= version {
@@ -125,5 +125,5 @@
 	return request, ok
 }
 
-// Names returns the machines that have a request, in the order of their names.
+// Names returns the names of the machines that have a request, sorted.
 func (r *MachineRequests) Names() []string { return slices.Sorted(maps.Keys(r.byMachine)) }
--- a/internal/drain/migration.go
+++ b/internal/drain/migration.go
@@ -6,16 +6,18 @@
 	"slices"
 )
 
-// MigrationStep is a step that moves requests out of the document. First they get keys, a few in each step; once all
-// have one the document is written without them. So no step is large, whatever the state service's limits are.
+// MigrationStep is a step that moves machines' requests out of the document. The first steps write a limited number of
+// keys each. Once all requests have keys, the last step writes the document without them. So each step fits the limits
+// of the state service.
 type MigrationStep struct {
-	Keys map[string]json.RawMessage // to be written on the condition that they are absent
-	// Document is to be written if there are no keys to be written.
+	Keys map[string]json.RawMessage // values to be written, by key, on condition that the keys are absent
+	// Document is the new document, to be written if Keys is empty.
 	Document Document
 }
 
-// NextMigrationStep returns the next step, with at most maxKeys keys, each of at most maxBytes; false if nothing is
-// to be done, or nothing can be done within these limits. Machines that are gone lose their requests.
+// NextMigrationStep returns the next step, with at most maxKeys keys whose values have at most maxBytes each. It
+// returns false if no request is left to move, or if none can be moved within these limits. Requests of machines that
+// no longer exist are dropped.
 func (s DesiredState) NextMigrationStep(
 	maxKeys, maxBytes int,
 	isGone func(machine string) bool,
