--- a/internal/query/check.go
+++ b/internal/query/check.go
@@ -43,13 +43,14 @@
 	kind, ok := c.fields[field]
 	switch {
 	case !ok:
-		return errorAt(column, "there is no field %q; there are %s", field, strings.Join(c.fields.names(), ", "))
+		return errorAt(column, "unknown field %q; the fields are %s", field, strings.Join(c.fields.names(), ", "))
 	case kind == Number && comparison.Op == opContains:
-		return errorAt(column, "%s is a number: ~ looks inside texts", field)
+		return errorAt(column, "%s is a number: ~ applies only to text fields", field)
 	case kind == Text && strings.ContainsAny(comparison.Op, "<>"):
-		return errorAt(column, "%s is a text: compare it with =, != or ~", field)
+		return errorAt(column, "%s is a text: it can only be compared with =, != or ~", field)
 	case kind == Number && comparison.Value.Number == nil:
-		return errorAt(comparison.Value.Pos.Column, "%s is a number, and %q is none", field, comparison.Value.text())
+		return errorAt(comparison.Value.Pos.Column, "%s is a number, but %q is not a number",
+			field, comparison.Value.text())
 	}
 	return nil
 }
--- a/internal/query/grammar.go
+++ b/internal/query/grammar.go
@@ -54,7 +54,7 @@
 	opContains       = "~"
 )
 
-// grammar is the parser. It has no state that parsing changes.
+// grammar is the parser. Parsing doesn't change it, so goroutines may share it.
 var grammar = participle.MustBuild[orTerm](
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Space", Pattern: `\s+`},
--- a/internal/query/match.go
+++ b/internal/query/match.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Match reports whether a row matches. The fields must be those that the filter was parsed with.
+// Match reports whether a row matches. fields must be the fields with which the filter was parsed.
 func (f Filter) Match(row Row, fields Fields) bool {
 	return f.root == nil || f.root.match(row, fields)
 }
@@ -45,35 +45,35 @@
 	return c.matchNumber(row.Number(c.Field))
 }
 
-func (c *comparison) matchText(actual string) bool {
-	want := c.Value.text()
+func (c *comparison) matchText(fieldValue string) bool {
+	operand := c.Value.text()
 	switch c.Op {
 	case opEqual:
-		return actual == want
+		return fieldValue == operand
 	case opNotEqual:
-		return actual != want
+		return fieldValue != operand
 	case opContains:
-		return strings.Contains(actual, want)
+		return strings.Contains(fieldValue, operand)
 	}
-	return false // the checker admits no other operator
+	return false // the checker allows no other operator
 }
 
-func (c *comparison) matchNumber(actual float64) bool {
-	// The lexer admits only numbers that can be parsed; one out of range is infinite.
-	want, _ := strconv.ParseFloat(*c.Value.Number, 64)
+func (c *comparison) matchNumber(fieldValue float64) bool {
+	// The lexer accepts only numbers that ParseFloat can parse; a number that is out of range becomes infinite.
+	operand, _ := strconv.ParseFloat(*c.Value.Number, 64)
 	switch c.Op {
 	case opEqual:
-		return actual == want
+		return fieldValue == operand
 	case opNotEqual:
-		return actual != want
+		return fieldValue != operand
 	case opLess:
-		return actual < want
+		return fieldValue < operand
 	case opLessOrEqual:
-		return actual <= want
+		return fieldValue <= operand
 	case opGreater:
-		return actual > want
+		return fieldValue > operand
 	case opGreaterOrEqual:
-		return actual >= want
+		return fieldValue >= operand
 	}
-	return false // the checker admits no other operator
+	return false // the checker allows no other operator
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -2,7 +2,7 @@
 //
 //	team = "red" and (waiting > 10 or class ~ "audit") and not stance = done
 //
-// and matches rows against them. The caller gives the fields' names and kinds, and the rows. Parsing and matching
+// and matches rows against them. The caller supplies the fields' names and kinds, and the rows. Parsing and matching
 // have no side effects; a Filter may be used by several goroutines at once. The controller filters its lists of jobs
 // and events, and the command line checks filters before it sends them.
 package query
@@ -34,41 +34,41 @@
 	Number(field string) float64
 }
 
-// Bounds of a filter, which comes from any caller.
+// Bounds of a filter, since any client may send one.
 const (
-	maxLength      = 2000 // bytes
-	maxComparisons = 64
-	maxDepth       = 32
+	maxFilterBytes  = 2000
+	maxComparisons  = 64
+	maxNestingDepth = 32
 )
 
 // Filter is a parsed and checked filter. The zero value matches every row.
 type Filter struct{ root *orTerm }
 
-// Error is the error of a filter that can't be parsed. Column is where it is wrong, from 1.
+// Error is the error of a filter that can't be parsed. Column is the position of the fault, counted from 1.
 type Error struct {
 	Column  int
 	Message string
 }
 
-// Error returns the text for the user.
+// Error returns the message for the user.
 func (e *Error) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.Message) }
 
-// errorAt returns an *Error with a formatted text.
+// errorAt returns an *Error with a formatted message.
 func errorAt(column int, format string, args ...any) *Error {
 	return &Error{column, fmt.Sprintf(format, args...)}
 }
 
-// Parse parses a filter over some fields. An empty text gives a filter that matches every row. The error is an
+// Parse parses a filter on the given fields. A blank text gives a filter that matches every row. Every error is an
 // *Error.
 func Parse(text string, fields Fields) (Filter, error) {
 	if strings.TrimSpace(text) == "" {
 		return Filter{}, nil
 	}
-	if len(text) > maxLength {
-		return Filter{}, errorAt(maxLength, "a filter has at most %d characters", maxLength)
+	if len(text) > maxFilterBytes {
+		return Filter{}, errorAt(maxFilterBytes, "a filter has at most %d bytes", maxFilterBytes)
 	}
-	if nestingDepth(text) > maxDepth {
-		return Filter{}, errorAt(1, "a filter nests at most %d deep", maxDepth)
+	if nestingDepth(text) > maxNestingDepth {
+		return Filter{}, errorAt(1, "a filter is nested at most %d levels deep", maxNestingDepth)
 	}
 	root, err := grammar.ParseString("", text)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return Filter{root}, nil
 }
 
-// syntaxError converts an error of the parser.
+// syntaxError converts an error of the parser to an *Error.
 func syntaxError(err error) *Error {
 	var parserError participle.Error
 	if errors.As(err, &parserError) {
@@ -90,18 +90,18 @@
 	return &Error{1, err.Error()}
 }
 
-// nestingDepth returns an upper bound of how deep a filter nests, without parsing it: the parser is recursive. Each
-// "not" counts as a level, as a parenthesis does.
+// nestingDepth returns an upper bound of a filter's nesting depth without parsing it, because the parser is
+// recursive. Each "not" counts as a level, like an opening parenthesis.
 func nestingDepth(text string) int {
-	open, maxOpen := 0, 0
+	openParens, maxOpenParens := 0, 0
 	for _, r := range text {
 		switch r {
 		case '(':
-			open++
+			openParens++
 		case ')':
-			open--
+			openParens--
 		}
-		maxOpen = max(maxOpen, open)
+		maxOpenParens = max(maxOpenParens, openParens)
 	}
-	return maxOpen + strings.Count(strings.ToLower(text), "not ")
+	return maxOpenParens + strings.Count(strings.ToLower(text), "not ")
 }
--- a/internal/query/query_test.go
+++ b/internal/query/query_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain sets a fixed seed, so that a run gives the same result every time.
+// TestMain sets a fixed seed, so that every run draws the same filters and rows.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -26,20 +26,20 @@
 	numbers map[string]float64
 }
 
-// Text panics for a field that isn't a text: a filter must not ask for one.
+// Text panics for a field that isn't of kind Text: a filter must never read one as a text.
 func (r testRow) Text(field string) string {
 	text, ok := r.texts[field]
 	if !ok {
-		panic("no text field " + field)
+		panic("not a text field: " + field)
 	}
 	return text
 }
 
-// Number panics for a field that isn't a number.
+// Number panics for a field that isn't of kind Number.
 func (r testRow) Number(field string) float64 {
 	number, ok := r.numbers[field]
 	if !ok {
-		panic("no number field " + field)
+		panic("not a number field: " + field)
 	}
 	return number
 }
@@ -51,10 +51,10 @@
 	}
 }
 
-// predicate is the model of a filter.
+// predicate reports whether a row matches; the tests compare a filter with it.
 type predicate func(testRow) bool
 
-// drawFilter draws a filter's text and the predicate that it stands for.
+// drawFilter draws a filter's text and the equivalent predicate.
 func drawFilter(t *rapid.T, depth int) (string, predicate) {
 	kind := rapid.IntRange(0, 5).Draw(t, "kind")
 	if kind < 3 || depth == 0 {
@@ -116,19 +116,19 @@
 	)
 }
 
-func TestFilterMatchesLikeItsPredicate(t *testing.T) {
+func TestFilterMatchesLikePredicate(t *testing.T) {
 	matched, unmatched := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		text, matches := drawFilter(t, 3)
 		filter, err := Parse(text, testFields)
 		if err != nil {
-			t.Fatalf("%s: %v", text, err)
+			t.Fatalf("%s: got error %v, want none", text, err)
 		}
 		for range 10 {
 			row := drawRow(t)
 			want := matches(row)
 			if filter.Match(row, testFields) != want {
-				t.Fatalf("%s matches %v: %v, want %v", text, row, !want, want)
+				t.Fatalf("%s matches %v: got %v, want %v", text, row, !want, want)
 			}
 			if want {
 				matched++
@@ -138,12 +138,13 @@
 		}
 	})
 	if matched < 100 || unmatched < 100 {
-		t.Fatalf("%d matched, %d not: the model does not exercise the code", matched, unmatched)
+		t.Fatalf("got %d rows that match and %d that don't, want at least 100 of each to test both results",
+			matched, unmatched)
 	}
 }
 
 // "not" binds more tightly than "and", which binds more tightly than "or"; an empty filter matches everything.
-func TestPrecedence(t *testing.T) {
+func TestOperatorPrecedence(t *testing.T) {
 	row := newTestRow("red", "audit", 1, 0)
 	for text, want := range map[string]bool{
 		"": true,
@@ -155,13 +156,13 @@
 	} {
 		filter, err := Parse(text, testFields)
 		if err != nil || filter.Match(row, testFields) != want {
-			t.Errorf("%q: %v, %v", text, filter.Match(row, testFields), err)
+			t.Errorf("%q: got match %v and error %v", text, filter.Match(row, testFields), err)
 		}
 	}
 }
 
-// An error has the column where the filter is wrong; filters that are too long or too deep are refused.
-func TestErrorsHaveTheColumn(t *testing.T) {
+// An error has the column of the fault. Filters that are too long or nested too deeply are refused.
+func TestParseErrorsHaveColumn(t *testing.T) {
 	for text, want := range map[string]int{
 		"team = ":                   8,
 		"teem = red":                1,
@@ -174,12 +175,12 @@
 		"team = red & done = 1":     12,
 		strings.Repeat("(", 100) + "done = 1" + strings.Repeat(")", 100): 1,
 		strings.Repeat("not ", 400) + "done = 1":                         1,
-		strings.Repeat("x", 3000):                                        maxLength,
+		strings.Repeat("x", 3000):                                        maxFilterBytes,
 	} {
 		_, err := Parse(text, testFields)
 		var filterError *Error
 		if !errors.As(err, &filterError) || filterError.Column != want {
-			t.Errorf("%.60q: %v, want column %d", text, err, want)
+			t.Errorf("%.60q: got error %v, want one in column %d", text, err, want)
 		}
 	}
 }
@@ -187,11 +188,11 @@
 func TestNumberOfComparisonsIsBounded(t *testing.T) {
 	_, err := Parse(strings.Repeat("done = 1 or ", 70)+"done = 1", testFields)
 	if err == nil || !strings.Contains(err.Error(), "at most 64") {
-		t.Errorf("70 comparisons: %v", err)
+		t.Errorf("filter with 71 comparisons: got error %v, want the bound of 64 in its text", err)
 	}
 }
 
-// Any text either parses to a filter that can match rows or gives an error with a column.
+// Every text either parses to a filter that can match rows or gives an error with a column.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{
 		"team = red",
@@ -207,7 +208,7 @@
 		filter, err := Parse(text, testFields)
 		var filterError *Error
 		if err != nil && (!errors.As(err, &filterError) || filterError.Column < 1) {
-			t.Fatalf("%q: error %v without a column", text, err)
+			t.Fatalf("%q: got error %v, want one with a column", text, err)
 		}
 		if err == nil {
 			filter.Match(newTestRow("", "", 0, 0), testFields)
