--- a/internal/api/accesscontrol.go
+++ b/internal/api/accesscontrol.go
@@ -12,10 +12,10 @@
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// Reasons why an operator's command is refused: by the last where users have tokens, else by one of the others.
+// Reasons for refusing an operator's command. errNotOperator applies where users have tokens, the others elsewhere.
 var (
 	errLocalCommandsOnly = errors.New(
-		"commands are taken from the controller's own machine only, since no operator_token_file is set")
+		"commands are accepted only from the controller's own machine, because operator_token_file is not set")
 	errOperatorToken = errors.New("the operators' token is missing or wrong")
 	errNotOperator   = errors.New("is no operator")
 )
@@ -23,8 +23,8 @@
 // userKey is the key under which a request's context holds its authenticated user.
 type userKey struct{}
 
-// addAccessControl refuses requests that need a user's token or another server. It covers the routes added after
-// it.
+// addAccessControl adds the handlers that refuse users' requests on a server for workers only, and requests without a
+// user's token where users have tokens. They apply only to routes that are added later.
 func (r Routes) addAccessControl(app *fiber.App) {
 	if r.WorkersOnly {
 		app.Use(func(c fiber.Ctx) error { return send(c, Refuse(Forbidden, "users are served over TLS only")) })
@@ -34,8 +34,8 @@
 	}
 }
 
-// authenticate refuses requests without a user's token. Commands to an existing session carry that session's own
-// token instead, which the leader checks; opening a session and reading any takes a user's.
+// authenticate refuses requests without a valid user token. A command to an existing session carries the session's
+// own token instead, which the leader checks. Opening a session and reading sessions require a user token.
 func (r Routes) authenticate(c fiber.Ctx) error {
 	if c.Method() == fiber.MethodPost && strings.HasPrefix(c.Path(), "/v2/sessions/") {
 		return c.Next()
@@ -48,13 +48,13 @@
 	return c.Next()
 }
 
-// authenticatedUser returns the user who sent a request, nil where no user's token is required.
+// authenticatedUser returns the user who sent a request, nil if no user token is required.
 func authenticatedUser(c fiber.Ctx) *access.Identity {
 	user, _ := c.Locals(userKey{}).(*access.Identity)
 	return user
 }
 
-// authorizeOperator returns why a request may not carry an operator's command, nil if it may.
+// authorizeOperator returns an error if the sender of a request may not issue operators' commands.
 func (l *LeaderAPI) authorizeOperator(c fiber.Ctx) error {
 	user := authenticatedUser(c)
 	if user == nil {
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// checkOperatorToken checks a command's token or, if the operators have none, its origin. It returns
-// errLocalCommandsOnly or errOperatorToken if the command is refused. The comparison takes the same time for all
-// tokens.
+// checkOperatorToken checks a command's token. If no operators' token is set, the command must come from a loopback
+// address instead. It returns errLocalCommandsOnly or errOperatorToken if the command is refused. The comparison
+// takes the same time for all tokens.
 func (l *LeaderAPI) checkOperatorToken(token, remoteIP string) error {
 	if l.Token == "" {
 		if ip := net.ParseIP(remoteIP); ip != nil && ip.IsLoopback() {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// bearerToken returns a copy of the bearer token of a request, "" if it has none.
+// bearerToken returns a copy of the bearer token of a request, "" if the request has none.
 func bearerToken(c fiber.Ctx) string {
 	token, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if !ok {
--- a/internal/api/accesscontrol_test.go
+++ b/internal/api/accesscontrol_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestOperatorCommandsNeedTheirTokenOrTheControllersMachine(t *testing.T) {
+func TestOperatorCommandsRequireTokenOrLoopback(t *testing.T) {
 	for _, c := range []struct {
 		configured, token, remoteIP string
 		want                        error
@@ -21,7 +21,7 @@
 		leader := LeaderAPI{Token: c.configured}
 		err := leader.checkOperatorToken(c.token, c.remoteIP)
 		if !errors.Is(err, c.want) || (err != nil && err.Error() == "") {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("%+v: got error %v", c, err)
 		}
 	}
 }
--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -9,19 +9,19 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// newServiceWithJobs is a controller whose job table holds n jobs and that has served no status queries.
-func newServiceWithJobs(n int) *testService {
+// newServiceWithJobs returns a controller's Service with count jobs in its job table and no status queries served.
+func newServiceWithJobs(count int) *testService {
 	service := newTestService(state.New())
 	service.MaxTasks = 1e6
-	for i := range n {
-		service.Submit(service.state.Now, job(i), func(Reply) {})
+	for i := range count {
+		service.Submit(service.state.Now, newSpec(i), func(Reply) {})
 		service.deliverAll()
 	}
 	return service
 }
 
-// BenchmarkStatusQueries serves a thousand simultaneous status queries, the simulated state service's work
-// included.
+// BenchmarkStatusQueries measures a thousand simultaneous status queries, including the time of the simulated state
+// service.
 func BenchmarkStatusQueries(b *testing.B) {
 	service := newServiceWithJobs(300)
 	b.ReportAllocs()
@@ -31,12 +31,12 @@
 			service.Query(service.state.Now, jobID(i%300), func(r Reply) { statusSum += r.Status })
 		}
 		if service.deliverAll(); statusSum != 1000*200 {
-			b.Fatalf("statuses add up to %d", statusSum)
+			b.Fatalf("got a sum of statuses of %d, want 1000 times 200", statusSum)
 		}
 	}
 }
 
-// BenchmarkApplyRecords adds the records of 300 new jobs to a job table, as every controller does.
+// BenchmarkApplyRecords measures adding the records of 300 new jobs to a job table, as every controller does.
 func BenchmarkApplyRecords(b *testing.B) {
 	var items []store.Item
 	for _, item := range newServiceWithJobs(300).state.Keys {
@@ -53,8 +53,8 @@
 	}
 }
 
-// However many status queries arrive at once, few requests go to the state service: one transaction checks many
-// jobs, each of them once.
+// Many simultaneous status queries need few requests to the state service: one transaction checks many jobs, and each
+// job once.
 func TestStatusQueriesShareTransactions(t *testing.T) {
 	service := newServiceWithJobs(50)
 	replies, requests := 0, 0
@@ -65,11 +65,12 @@
 			}
 		})
 	}
-	for len(service.queue) > 0 {
+	for len(service.pendingRequests) > 0 {
 		requests++
 		service.deliverNext()
 	}
 	if replies != 1000 || requests > 3 {
-		t.Fatalf("%d of 1000 queries served with %d requests", replies, requests)
+		t.Fatalf("got %d replies with status 200 and %d requests, want 1000 replies and at most 3 requests",
+			replies, requests)
 	}
 }
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -8,23 +8,23 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// maxCancelRetries bounds how often a cancellation is tried again after the job's record has changed.
+// maxCancelRetries bounds how often a cancellation is retried after a new read of the job's record.
 const maxCancelRetries = 4
 
 // cancellation is a cancellation in progress.
 type cancellation struct {
 	id          string
-	user        *access.Identity // nil: no user is authenticated, so every team's jobs may be cancelled
-	withCounts  bool             // the reply carries the counts of tasks: a status query met a doomed job
+	user        *access.Identity // nil if no user is authenticated: every team's jobs may be cancelled
+	withCounts  bool             // the reply has the task counts, because a status query started the cancellation
 	retriesLeft int
 	reply       func(Reply)
 }
 
-// Cancel cancels a job and replies once that is durable. A user who isn't of the job's team is refused; nil stands
-// for a controller without users' tokens, where everybody may cancel.
+// Cancel cancels a job and replies once the cancellation is durable. It refuses a user who may not act for the job's
+// team. A nil user, on a controller without user tokens, may cancel every job.
 func (s *Service) Cancel(now time.Duration, user *access.Identity, id string, reply func(Reply)) {
-	if settled, ok := s.replyWithoutRead(id, false); ok {
-		reply(settled)
+	if immediate, ok := s.replyWithoutRead(id, false); ok {
+		reply(immediate)
 		return
 	}
 	if s.stateServiceSilent(now) {
@@ -34,7 +34,7 @@
 	s.tryCancel(cancellation{id: id, user: user, retriesLeft: maxCancelRetries, reply: reply})
 }
 
-// tryCancel writes the cancellation if the job's record is in the job table, and reads the record otherwise.
+// tryCancel writes the cancellation if the job is in the job table; otherwise it reads the job's record first.
 func (s *Service) tryCancel(c cancellation) {
 	job := s.Jobs.Get(c.id)
 	switch {
@@ -45,11 +45,11 @@
 	case c.user != nil && !c.user.MayActFor(job.Spec.Team):
 		c.reply(Refuse(Forbidden, c.user.Name+" may not cancel jobs of team "+job.Spec.Team))
 	default:
-		s.writeCancelled(c, job)
+		s.writeCancellation(c, job)
 	}
 }
 
-// readAndCancel reads the job's record and tries again.
+// readAndCancel reads the job's record and retries the cancellation.
 func (s *Service) readAndCancel(c cancellation) {
 	s.Store.Get(jobs.RecordKey(c.id), store.NormalPriority, func(item store.Item, err error) {
 		if err != nil || c.retriesLeft == 0 {
@@ -58,7 +58,7 @@
 		}
 		c.retriesLeft--
 		if item.Version == 0 {
-			s.findArchivedAndCancel(c)
+			s.replyArchivedOrRetryCancel(c)
 			return
 		}
 		s.OnJobRecord(s.Store.Now(), item)
@@ -70,20 +70,21 @@
 	})
 }
 
-// findArchivedAndCancel replies from the job's archived answer, or tries again if the job was accepted meanwhile.
-func (s *Service) findArchivedAndCancel(c cancellation) {
-	archived := lookup{id: c.id, withCounts: c.withCounts, absent: noSuchJob, reply: c.reply}
-	s.findArchived(c.id, archived.priority(), func(result searchResult) {
+// replyArchivedOrRetryCancel replies with the job's archived final state. If the job was accepted in the meantime, it
+// retries the cancellation.
+func (s *Service) replyArchivedOrRetryCancel(c cancellation) {
+	archiveLookup := lookup{id: c.id, withCounts: c.withCounts, replyIfAbsent: noSuchJob, reply: c.reply}
+	s.findArchived(c.id, archiveLookup.priority(), func(result searchResult) {
 		if result.kind == inTable {
 			s.tryCancel(c)
 			return
 		}
-		s.replyWithResult(archived, result)
+		s.replyWithResult(archiveLookup, result)
 	})
 }
 
-// writeCancelled stores the job's record as cancelled, unless the record has changed.
-func (s *Service) writeCancelled(c cancellation, job *jobs.Job) {
+// writeCancellation stores the job's record as cancelled, on condition that the record hasn't changed.
+func (s *Service) writeCancellation(c cancellation, job *jobs.Job) {
 	key := jobs.RecordKey(c.id)
 	record := s.Jobs.CancelledRecord(job)
 	txn := store.Txn{
@@ -97,7 +98,7 @@
 			s.replyCancelled(c)
 		case store.Conflict, store.Indeterminate:
 			if c.retriesLeft == 0 {
-				c.reply(Refuse(Unavailable, "the job keeps changing"))
+				c.reply(Refuse(Unavailable, "the job's record kept changing during the cancellation"))
 				return
 			}
 			s.readAndCancel(c)
@@ -107,12 +108,12 @@
 	})
 }
 
-// replyCancelled replies to a cancellation that is durable. The job may have been archived before the write's
-// response arrived; then its answer is read.
+// replyCancelled replies to a cancellation that is durable. If the job was archived before the write's response
+// arrived, the archived answer is read.
 func (s *Service) replyCancelled(c cancellation) {
 	if final, ok := s.finalReply(c.id, c.withCounts); ok {
 		c.reply(final)
 		return
 	}
-	s.readAndReply(lookup{id: c.id, withCounts: c.withCounts, absent: notStored, reply: c.reply})
+	s.readAndReply(lookup{id: c.id, withCounts: c.withCounts, replyIfAbsent: notStored, reply: c.reply})
 }
--- a/internal/api/counter.go
+++ b/internal/api/counter.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// ResponseCounts are the numbers of responses since the start.
+// ResponseCounts are the numbers of responses since the process started.
 type ResponseCounts struct {
-	Served            uint64 // to users, neither 429 nor 5xx
+	Served            uint64 // to users: any status but 429 and 5xx
 	TooManyRequests   uint64 // to users: 429
 	ServerErrors      uint64 // to users: 5xx
 	Heartbeats        uint64 // to workers: 200
-	HeartbeatsRefused uint64 // to workers: anything else
+	HeartbeatsRefused uint64 // to workers: any other status
 }
 
-// ResponseCounter counts responses; connection goroutines use it concurrently. Its zero value is ready, and a nil
-// counter counts nothing.
+// ResponseCounter counts responses. It is safe for concurrent use. Its zero value is ready for use, and a nil counter
+// counts nothing.
 type ResponseCounter struct {
 	served, tooManyRequests, serverErrors atomic.Uint64 // to users
 	heartbeats, heartbeatsRefused         atomic.Uint64 // to workers
--- a/internal/api/counter_test.go
+++ b/internal/api/counter_test.go
@@ -18,7 +18,7 @@
 		HeartbeatsRefused: 2,
 	}
 	if got := counter.Read(); got != want {
-		t.Fatalf("%+v, want %+v", got, want)
+		t.Fatalf("got %+v, want %+v", got, want)
 	}
 }
 
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -21,23 +21,24 @@
 	os.Exit(m.Run())
 }
 
-// Teams whose jobs testService decides on in a particular way. It rejects jobs of rejectedTeam and all others.
+// Teams with a fixed admission decision: testService admits jobs of admittedTeam, leaves those of undecidedTeam
+// undecided, and rejects those of rejectedTeam and of every other team.
 const (
 	admittedTeam  = "t"
 	undecidedTeam = "unknown yet"
 	rejectedTeam  = "short of licences"
 )
 
-// testService is one controller's Service in front of a simulated state service. Requests wait until the test
-// delivers them.
+// testService is one controller's Service with a simulated state service. Requests to the state service are queued
+// until the test delivers them.
 type testService struct {
 	*Service
-	state          *state.Service
-	loseResponses  bool                 // responses to transactions are lost after these were carried out
-	dropRequests   bool                 // requests are lost
-	beforeResponse func()               // called once, after the next request was carried out and before its response
-	onRequest      func(httpio.Request) // receives each request, unless it is nil
-	queue          []func()
+	state           *state.Service
+	loseResponses   bool                 // responses to transactions are lost after the transactions were applied
+	dropRequests    bool                 // requests are lost before the state service receives them
+	beforeResponse  func()               // called once, between the next request and its response
+	onRequest       func(httpio.Request) // called with each request; nil for none
+	pendingRequests []func()
 }
 
 // Send implements httpio.Sender.
@@ -45,7 +46,7 @@
 	if s.onRequest != nil {
 		s.onRequest(request)
 	}
-	s.queue = append(s.queue, func() { s.deliver(request, done) })
+	s.pendingRequests = append(s.pendingRequests, func() { s.deliver(request, done) })
 }
 
 func (s *testService) deliver(request httpio.Request, done func(httpio.Response)) {
@@ -64,19 +65,19 @@
 	done(response)
 }
 
-// deliverNext delivers the request that has waited longest, and lets the pause between two transactions of status
-// queries pass.
+// deliverNext delivers the oldest pending request, and advances the time by the pause between two transactions of
+// status queries.
 func (s *testService) deliverNext() {
-	next := s.queue[0]
-	s.queue = s.queue[1:]
+	next := s.pendingRequests[0]
+	s.pendingRequests = s.pendingRequests[1:]
 	next()
 	s.state.Now += 50 * time.Millisecond
 	s.Tick(s.state.Now)
 }
 
-// deliverAll delivers all requests, those made meanwhile included.
+// deliverAll delivers all pending requests, including those that are sent during the call.
 func (s *testService) deliverAll() {
-	for len(s.queue) > 0 {
+	for len(s.pendingRequests) > 0 {
 		s.deliverNext()
 	}
 }
@@ -115,52 +116,53 @@
 	return s
 }
 
-// archiveElsewhere moves a job to the archive, as another controller does.
+// archiveElsewhere archives a job at the state service, as another controller does.
 func (s *testService) archiveElsewhere(id string, answer archive.Answer) {
 	s.state.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(answer)}})
 }
 
-// ignoreRecords makes the service ignore the records that it reads and writes, as if the watch had delivered newer
-// versions before.
+// ignoreRecords makes the Service ignore the records that it reads and writes, as if the watch had already delivered
+// newer versions.
 func (s *testService) ignoreRecords() {
 	s.OnJobRecord = func(time.Duration, store.Item) {}
 }
 
-// storedVersion is the version of a job's record at the state service, 0: there is none.
+// storedVersion returns the version of a job's record at the state service, 0 if there is none.
 func (s *testService) storedVersion(id string) uint64 {
 	return s.state.Keys[jobs.RecordKey(id)].Version
 }
 
-// oneReply makes a request, delivers all that it sends, and fails unless there is exactly one reply.
-func (s *testService) oneReply(t *testing.T, request func(reply func(Reply))) Reply {
+// expectOneReply makes a request, delivers all requests to the state service that follow from it, and fails the test
+// unless there is exactly one reply.
+func (s *testService) expectOneReply(t *testing.T, request func(reply func(Reply))) Reply {
 	t.Helper()
 	var replies []Reply
 	request(func(reply Reply) { replies = append(replies, reply) })
 	s.deliverAll()
 	if len(replies) != 1 {
-		t.Fatalf("%d replies", len(replies))
+		t.Fatalf("got %d replies, want 1", len(replies))
 	}
 	return replies[0]
 }
 
 func (s *testService) submit(t *testing.T, spec *jobs.Spec) Reply {
 	t.Helper()
-	return s.oneReply(t, func(reply func(Reply)) { s.Submit(s.state.Now, spec, reply) })
+	return s.expectOneReply(t, func(reply func(Reply)) { s.Submit(s.state.Now, spec, reply) })
 }
 
 func (s *testService) query(t *testing.T, id string) Reply {
 	t.Helper()
-	return s.oneReply(t, func(reply func(Reply)) { s.Query(s.state.Now, id, reply) })
+	return s.expectOneReply(t, func(reply func(Reply)) { s.Query(s.state.Now, id, reply) })
 }
 
 func (s *testService) cancel(t *testing.T, id string) Reply {
 	t.Helper()
-	return s.oneReply(t, func(reply func(Reply)) { s.Cancel(s.state.Now, nil, id, reply) })
+	return s.expectOneReply(t, func(reply func(Reply)) { s.Cancel(s.state.Now, nil, id, reply) })
 }
 
 func jobID(n int) string { return fmt.Sprintf("req-%06d", n) }
 
-func job(n int) *jobs.Spec {
+func newSpec(n int) *jobs.Spec {
 	return &jobs.Spec{
 		ID:       jobID(n),
 		Class:    "c",
@@ -173,8 +175,8 @@
 	}
 }
 
-// jobState is the job's state in the body of a reply.
-func jobState(reply Reply) string {
+// stateInReply returns the job's state in the body of a reply.
+func stateInReply(reply Reply) string {
 	raw, _ := json.Marshal(reply.Body)
 	var body struct {
 		State string `json:"stance"`
--- a/internal/api/leaderroutes.go
+++ b/internal/api/leaderroutes.go
@@ -9,13 +9,13 @@
 	"github.com/harewalk/harewalk/internal/access"
 )
 
-// LeaderResource is what a request to the leader is about. Its value is the name that the resource has in routes.
+// LeaderResource is the resource that a request to the leader reads or changes.
 type LeaderResource string
 
 // The resources of requests to the leader.
 const (
 	ResourcePendingReasons LeaderResource = "why"  // why a job is pending
-	ResourceJobs           LeaderResource = "list" // which jobs there are
+	ResourceJobs           LeaderResource = "list" // the list of jobs
 	ResourceEvents         LeaderResource = "events"
 	ResourceAdmin          LeaderResource = "admin" // the cluster's status and drain requests
 	ResourceRollout        LeaderResource = "rollout"
@@ -24,10 +24,12 @@
 	ResourceSessions       LeaderResource = "sessions"
 )
 
-// LeaderVerb is what a request to the leader does with its resource. VerbShow reads, all others are commands.
+// LeaderVerb is the operation that a request to the leader performs on its resource. VerbShow and VerbExplain read;
+// all others are commands.
 type LeaderVerb string
 
-// The verbs of requests to the leader. Those after VerbSet are for sessions only, and named as in their routes.
+// The verbs of requests to the leader. Those after VerbSet are for sessions only; from VerbExplain on, their values
+// are the last part of their routes' paths.
 const (
 	VerbShow      LeaderVerb = "show"
 	VerbSet       LeaderVerb = "set"
@@ -36,18 +38,18 @@
 	VerbAttach    LeaderVerb = "attach"
 	VerbKeepAlive LeaderVerb = "keep"
 	VerbClose     LeaderVerb = "close"
-	VerbHeartbeat LeaderVerb = "report" // of the session's agent
+	VerbHeartbeat LeaderVerb = "report" // a heartbeat of the session's agent
 )
 
-// LeaderQuery is the query parameters of a request to the leader, "" where there is none.
+// LeaderQuery holds the query parameters of a request to the leader. An absent parameter is "".
 type LeaderQuery struct {
-	User, Team string // whose sessions
+	User, Team string // the user or team whose sessions are listed
 	Where      string // a filter of package query
-	Since      string // where in a list the page begins
+	Since      string // the position in the list where the page begins
 	Limit      string // the maximum number of entries of a page
 }
 
-// NewLeaderQuery returns the query parameters by a function that returns the value of one.
+// NewLeaderQuery returns the query parameters of a request; parameter returns the value of one parameter.
 func NewLeaderQuery(parameter func(name string) string) LeaderQuery {
 	return LeaderQuery{
 		User:  parameter("user"),
@@ -61,25 +63,26 @@
 // LeaderRequest is a request that only the leader can answer.
 type LeaderRequest struct {
 	Resource LeaderResource
-	Name     string // of the job, zone, licence pool or session; "": all
+	Name     string // name of the job, zone, licence pool or session; "" for all
 	Verb     LeaderVerb
-	Body     []byte           // of a command
-	Bearer   string           // the bearer token, "": none
-	User     *access.Identity // the authenticated user, nil where no user's token is required
+	Body     []byte           // the body of a command, nil for reads
+	Bearer   string           // the bearer token, "" if there is none
+	User     *access.Identity // the authenticated user, nil if no user token is required
 	Query    LeaderQuery
 }
 
-// LeaderAPI holds the settings and the handler of leader requests. Operators' commands carry the operators' token
-// or, if that is empty, come from the controller's own machine; each session has tokens of its own.
+// LeaderAPI holds the handler of requests to the leader and its settings. Where users have no tokens, operators'
+// commands must carry Token or, if Token is empty, come from the controller's own machine. Each session has its own
+// tokens.
 type LeaderAPI struct {
-	Token string // the operators', "": none set
-	// Handle handles a request on the event loop, also on a controller that doesn't lead.
+	Token string // the operators' token, "" if none is set
+	// Handle handles a request on the event loop, also on a controller that isn't the leader.
 	Handle func(now time.Duration, request LeaderRequest, reply func(Reply))
-	// Licences and Sessions add the routes of these resources.
+	// Licences and Sessions enable the routes of these resources.
 	Licences, Sessions bool
 }
 
-// leaderRoute is a route to the leader.
+// leaderRoute is a route for requests that only the leader can answer.
 type leaderRoute struct {
 	method, path  string
 	resource      LeaderResource
@@ -87,7 +90,7 @@
 	operatorsOnly bool
 }
 
-// Routes to the leader.
+// The routes to the leader, grouped by the setting of LeaderAPI that enables them.
 var (
 	commonLeaderRoutes = []leaderRoute{
 		{method: fiber.MethodGet, path: "/v2/runs", resource: ResourceJobs, verb: VerbShow},
@@ -152,7 +155,8 @@
 	return r.serveUser(c, userTimeout, func(reply func(Reply)) { r.Leader.Handle(r.Now(), request, reply) })
 }
 
-// newLeaderRequest copies what the leader needs of an HTTP request, which is invalid once its handler returns.
+// newLeaderRequest copies an HTTP request, whose data is invalid once its handler returns, into a request to the
+// leader.
 func newLeaderRequest(c fiber.Ctx, route leaderRoute) LeaderRequest {
 	request := LeaderRequest{
 		Resource: route.resource,
--- a/internal/api/leaderroutes_test.go
+++ b/internal/api/leaderroutes_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A leader's route gives the request its resource, its verb and the name in its path, and passes on the query
-// parameters; of other methods than POST no body.
-func TestLeaderRoutesNameResourceAndVerb(t *testing.T) {
+// Each route to the leader sets the request's resource, its verb and the name in the path, and passes on the query
+// parameters. Only POST requests have a body.
+func TestLeaderRoutesSetResourceAndVerb(t *testing.T) {
 	var got LeaderRequest
 	address := startServer(t, Routes{
 		MaxConns:     10,
@@ -22,7 +22,7 @@
 			},
 		},
 	})
-	body := []byte("{}") // of every request that requestStatus sends
+	body := []byte("{}") // the body of every request that requestStatus sends
 	for route, want := range map[string]LeaderRequest{
 		"GET /v2/runs?where=a&since=b&limit=3": {
 			Resource: ResourceJobs,
@@ -55,7 +55,7 @@
 		"POST /v2/sessions/x/report": {Resource: ResourceSessions, Verb: VerbHeartbeat, Name: "x", Body: body},
 	} {
 		if status := requestStatus(t, address, route, ""); status != 200 || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: status %d, request %+v, want %+v", route, status, got, want)
+			t.Errorf("%s: got status %d and request %+v, want 200 and %+v", route, status, got, want)
 		}
 	}
 }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -8,17 +8,18 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// lookup finds a job that the job table doesn't settle: its record is read first and its archived answer second. A
-// job only ever moves from the one to the other, so one that was accepted before the first read is found by one of
-// the two.
+// lookup searches for a job whose current state the job table doesn't prove. It reads the job's record first and its
+// archived answer second. A job only ever moves from its record to the archive, so a job that was accepted before the
+// first read is found by one of the two reads.
 type lookup struct {
-	id         string
-	withCounts bool  // the reply carries the counts of tasks: it answers a status query
-	absent     Reply // sent if there is neither record nor archived answer
-	reply      func(Reply)
+	id            string
+	withCounts    bool  // the reply has the task counts, as for a status query
+	replyIfAbsent Reply // sent if neither the record nor the archived answer exists
+	reply         func(Reply)
 }
 
-// priority is that of the lookup's reads. Clients repeat status queries soon, so these come after all others.
+// priority returns the priority of the lookup's reads. Clients soon repeat status queries, so these come after all
+// other requests.
 func (l lookup) priority() store.Priority {
 	if l.withCounts {
 		return store.QueryPriority
@@ -26,8 +27,8 @@
 	return store.NormalPriority
 }
 
-// finalReply returns the reply about a job that is in memory and has ended. That never changes, so no read is
-// needed.
+// finalReply returns the reply about a job that has ended and is in memory, in the job table or as a cached answer. A
+// final state never changes, so no read is needed.
 func (s *Service) finalReply(id string, withCounts bool) (reply Reply, ended bool) {
 	if job := s.Jobs.Get(id); job != nil {
 		if !job.State.Terminal() {
@@ -42,8 +43,8 @@
 	return archivedReply(id, answer, withCounts), true
 }
 
-// replyWithoutRead returns the reply to a query or cancellation that needs no read: the id is invalid, this
-// controller can't answer, or the job has ended.
+// replyWithoutRead returns the reply to a status query or cancellation if no read is needed: the id is invalid, this
+// controller isn't ready, or the job has ended.
 func (s *Service) replyWithoutRead(id string, withCounts bool) (reply Reply, ok bool) {
 	if !jobs.ValidID(id) {
 		return noSuchJob, true
@@ -54,8 +55,8 @@
 	return s.finalReply(id, withCounts)
 }
 
-// searchResult is what a search for a job has found: one of a job of the job table, an archived answer, the proof that
-// there is neither, or why that can't be told.
+// searchResult is the result of a search for a job: a job of the job table, an archived answer, proof that the job
+// was never accepted, or the refusal to send if none of these is certain.
 type searchResult struct {
 	job     *jobs.Job
 	answer  archive.Answer
@@ -68,85 +69,87 @@
 
 // The kinds of results.
 const (
-	inTable       searchResultKind = iota // job
-	inArchive                             // answer
-	neverAccepted                         // none: it wasn't accepted before the search began
-	undecided                             // refusal
+	inTable       searchResultKind = iota // job is set
+	inArchive                             // answer is set
+	neverAccepted                         // no field is set: the job wasn't accepted before the search began
+	undecided                             // refusal is set
 )
 
-// foundInTable is the result of a search that has found a job of the job table.
-func foundInTable(job *jobs.Job) searchResult { return searchResult{kind: inTable, job: job} }
+// inTableResult returns the result of a search that has found a job in the job table.
+func inTableResult(job *jobs.Job) searchResult { return searchResult{kind: inTable, job: job} }
 
-// refusedSearch is the result of a search that can't tell, with what its users are told.
-func refusedSearch(refusal Reply) searchResult {
+// undecidedResult returns the result of a search that couldn't determine whether the job exists. Users get the
+// refusal.
+func undecidedResult(refusal Reply) searchResult {
 	return searchResult{kind: undecided, refusal: refusal}
 }
 
-// find searches a job by a fresh read of its record, or of its archived answer.
-func (s *Service) find(id string, priority store.Priority, done func(searchResult)) {
+// findJob searches for a job with a fresh read of its record and, if there is none, of its archived answer.
+func (s *Service) findJob(id string, priority store.Priority, done func(searchResult)) {
 	s.Archive.Locate(id, priority, func(found archive.Location, err error) {
 		if err != nil || found.Record.Version == 0 {
-			done(s.searchResultOf(id, found.Answer, found.Archived, err))
+			done(s.resultWithoutRecord(id, found.Answer, found.Archived, err))
 			return
 		}
 		s.OnJobRecord(s.Store.Now(), found.Record)
 		switch job := s.Jobs.Get(id); {
 		case s.Jobs.IsUnreadable(id):
-			done(refusedSearch(unreadableRecord))
+			done(undecidedResult(unreadableRecord))
 		case job != nil:
-			done(foundInTable(job))
+			done(inTableResult(job))
 		default:
-			s.findAfterRecord(id, priority, done)
+			s.findArchivedAfterRecordRead(id, priority, done)
 		}
 	})
 }
 
-// findAfterRecord searches the archive for a job whose record was read although the watch has already delivered its
-// deletion: it was archived after it was read.
-func (s *Service) findAfterRecord(id string, priority store.Priority, done func(searchResult)) {
+// findArchivedAfterRecordRead searches the archive for a job whose record was read although the watch has already
+// delivered the record's deletion: the job was archived after the read.
+func (s *Service) findArchivedAfterRecordRead(id string, priority store.Priority, done func(searchResult)) {
 	s.findArchived(id, priority, func(result searchResult) {
 		if result.kind == neverAccepted {
-			result = refusedSearch(notStored)
+			result = undecidedResult(notStored)
 		}
 		done(result)
 	})
 }
 
-// findArchived searches a job by its archived answer, after its record was read as absent.
+// findArchived searches for a job's archived answer, after its record was read as absent.
 func (s *Service) findArchived(id string, priority store.Priority, done func(searchResult)) {
 	s.Archive.Find(id, priority, func(answer archive.Answer, archived bool, err error) {
-		done(s.searchResultOf(id, answer, archived, err))
+		done(s.resultWithoutRecord(id, answer, archived, err))
 	})
 }
 
-// searchResultOf returns the result of a search that found no record. A job that was accepted since is in the job
-// table.
-func (s *Service) searchResultOf(id string, answer archive.Answer, archived bool, err error) searchResult {
+// resultWithoutRecord returns the result of a search that found no record. A job that was accepted in the meantime is
+// in the job table.
+func (s *Service) resultWithoutRecord(id string, answer archive.Answer, archived bool, err error) searchResult {
 	switch job := s.Jobs.Get(id); {
 	case errors.Is(err, archive.ErrUnreadable):
-		return refusedSearch(unreadableRecord)
+		return undecidedResult(unreadableRecord)
 	case err != nil:
-		return refusedSearch(stateServiceUnavailable)
+		return undecidedResult(stateServiceUnavailable)
 	case archived:
 		return searchResult{kind: inArchive, answer: answer}
 	case job != nil:
-		return foundInTable(job)
+		return inTableResult(job)
 	default:
 		return searchResult{kind: neverAccepted}
 	}
 }
 
-// readAndReply replies from a fresh read of the job's record, or of its archived answer.
+// readAndReply replies to a lookup from a fresh read of the job's record or, if there is none, of its archived
+// answer.
 func (s *Service) readAndReply(l lookup) {
-	s.find(l.id, l.priority(), func(result searchResult) { s.replyWithResult(l, result) })
+	s.findJob(l.id, l.priority(), func(result searchResult) { s.replyWithResult(l, result) })
 }
 
-// replyFromArchive replies from a job's archived answer, after its record was read as absent.
+// replyFromArchive replies to a lookup from the job's archived answer, after its record was read as absent.
 func (s *Service) replyFromArchive(l lookup) {
 	s.findArchived(l.id, l.priority(), func(result searchResult) { s.replyWithResult(l, result) })
 }
 
-// replyWithResult replies to a lookup with what the search for its job has found.
+// replyWithResult replies to a lookup with the result of its search.
 func (s *Service) replyWithResult(l lookup, result searchResult) {
 	switch result.kind {
 	case inTable:
@@ -154,7 +157,7 @@
 	case inArchive:
 		l.reply(archivedReply(l.id, result.answer, l.withCounts))
 	case neverAccepted:
-		l.reply(l.absent)
+		l.reply(l.replyIfAbsent)
 	default:
 		l.reply(result.refusal)
 	}
--- a/internal/api/refusal.go
+++ b/internal/api/refusal.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// RefusalKind is why a request is refused. It alone decides the HTTP status; callers never name one.
+// RefusalKind is the reason why a request is refused. It alone determines the HTTP status; callers never choose one.
 type RefusalKind uint8
 
 // The kinds of refusal.
@@ -13,13 +13,13 @@
 	Unauthenticated
 	// Forbidden: the client isn't authorized (403).
 	Forbidden
-	// NotFound: what the request names doesn't exist (404).
+	// NotFound: the named resource doesn't exist (404).
 	NotFound
-	// Conflict: the state has changed, or rules the request out (409).
+	// Conflict: the resource's state has changed, or doesn't allow the request (409).
 	Conflict
-	// Gone: what the request names has ended for good (410).
+	// Gone: the named resource has ended permanently (410).
 	Gone
-	// Unprocessable: the job is well-formed but can never run here (422).
+	// Unprocessable: the job is well-formed but can never run on this cluster (422).
 	Unprocessable
 	// TooManyRequests: this controller can serve the request later (429).
 	TooManyRequests
@@ -27,7 +27,7 @@
 	Unavailable
 )
 
-// statusByKind is the one place where a refusal becomes an HTTP status.
+// statusByKind maps each kind of refusal to its HTTP status. Nothing else does.
 var statusByKind = [...]int{
 	InvalidRequest:  http.StatusBadRequest,
 	Unauthenticated: http.StatusUnauthorized,
@@ -40,20 +40,20 @@
 	Unavailable:     http.StatusServiceUnavailable,
 }
 
-// defaultRetryAfter is the Retry-After of a refusal, in seconds, where no better estimate exists.
-const defaultRetryAfter = 1
+// defaultRetryAfterSeconds is the Retry-After of a refusal where no better estimate exists.
+const defaultRetryAfterSeconds = 1
 
 // errorBody is the body of every refusal.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// Refuse returns the reply to a refused request, with the message that the client gets. Kinds that are worth a
-// retry carry a Retry-After.
+// Refuse returns the reply to a refused request, with a message for the client. TooManyRequests and Unavailable carry
+// a Retry-After, because a retry may succeed.
 func Refuse(kind RefusalKind, message string) Reply {
 	reply := Reply{Status: statusByKind[kind], Body: errorBody{message}}
 	if kind == TooManyRequests || kind == Unavailable {
-		reply.RetryAfter = defaultRetryAfter
+		reply.RetryAfter = defaultRetryAfterSeconds
 	}
 	return reply
 }
--- a/internal/api/reply.go
+++ b/internal/api/reply.go
@@ -11,22 +11,22 @@
 type Reply struct {
 	Status     int
 	Body       any
-	RetryAfter int // seconds, 0: none
+	RetryAfter int // in seconds, 0 for none
 }
 
 // Refusals that several requests share.
 var (
 	noSuchJob = Refuse(NotFound, "no such job")
-	// notStored answers a submission whose record is absent: the write may still land later.
+	// notStored is for a submission whose record is absent. Its write may still be applied later.
 	notStored               = Refuse(Unavailable, "the job was not stored")
 	unreadableRecord        = Refuse(Unavailable, "the job's record cannot be read")
 	stateServiceUnavailable = Refuse(Unavailable, "the state service does not answer")
 	stateServiceOverloaded  = Refuse(Unavailable, "the state service is at its limit")
-	releaseTooOld           = Refuse(Unavailable, "this controller's release is behind the cluster's: ask another")
+	releaseTooOld           = Refuse(Unavailable, "this controller's release is older than the cluster's: ask another")
 	jobsNotLoaded           = Refuse(Unavailable, "still reading the jobs")
 )
 
-// StateRunning is the state that users see of a pending job with running tasks; records don't store it.
+// StateRunning is the state that users see for a pending job with running tasks. Records never contain it.
 const StateRunning = "running"
 
 // jobBody is the response body that describes a job.
@@ -37,7 +37,8 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// jobReply describes a job of the job table, with the counts of its tasks if a status query asks for them.
+// jobReply returns the reply that describes a job of the job table, with the counts of its tasks if withCounts is
+// set.
 func (s *Service) jobReply(job *jobs.Job, withCounts bool) Reply {
 	body := jobBody{ID: job.ID, State: job.State.String()}
 	done, running := job.FinishedTasks, 0
@@ -54,7 +55,7 @@
 	return Reply{Status: http.StatusOK, Body: body}
 }
 
-// archivedReply describes an archived job.
+// archivedReply returns the reply that describes an archived job, with the counts of its tasks if withCounts is set.
 func archivedReply(id string, answer archive.Answer, withCounts bool) Reply {
 	body := jobBody{ID: id, State: answer.State.String()}
 	if withCounts {
--- a/internal/api/retryafter_test.go
+++ b/internal/api/retryafter_test.go
@@ -9,33 +9,33 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Three hundred jobs are submitted at once where ten a second can be stored, and their clients obey Retry-After:
-// each is refused about once, not once a second, and all are accepted about as soon as the rate allows.
+// Three hundred jobs are submitted at once where ten a second can be stored, and their clients obey Retry-After. Each
+// job must be refused about once, not once a second, and all must be accepted about as soon as the rate allows.
 func TestRetryAfterSpreadsRefusedSubmissions(t *testing.T) {
-	const jobs, perSecond = 300, 10
+	const jobCount, writesPerSecond = 300, 10
 	svc := state.New()
 	service := newTestService(svc)
 	now := func() time.Duration { return svc.Now }
-	share := store.Share{RPS: 1e6, WriteRPS: perSecond, BurstSeconds: 1}
+	share := store.Share{RPS: 1e6, WriteRPS: writesPerSecond, BurstSeconds: 1}
 	service.Store = store.New("", service, now, share, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	service.Archive = archive.NewReader(service.Store, 8)
 	refused, accepted := 0, 0
 	lastAccepted := time.Duration(0)
-	due := map[int]time.Duration{}
-	for i := range jobs {
-		due[i] = 0
+	submitTimes := map[int]time.Duration{}
+	for i := range jobCount {
+		submitTimes[i] = 0
 	}
-	for svc.Now < 2*time.Minute && accepted < jobs {
-		for i := range jobs {
-			submitAt, isWaiting := due[i]
+	for svc.Now < 2*time.Minute && accepted < jobCount {
+		for i := range jobCount {
+			submitAt, isWaiting := submitTimes[i]
 			if !isWaiting || submitAt > svc.Now {
 				continue
 			}
-			delete(due, i)
-			service.Submit(svc.Now, job(i), func(r Reply) {
+			delete(submitTimes, i)
+			service.Submit(svc.Now, newSpec(i), func(r Reply) {
 				if r.Status == 429 {
 					refused++
-					due[i] = svc.Now + time.Duration(r.RetryAfter)*time.Second
+					submitTimes[i] = svc.Now + time.Duration(r.RetryAfter)*time.Second
 					return
 				}
 				accepted++
@@ -45,8 +45,9 @@
 		service.deliverAll()
 		svc.Now += 100 * time.Millisecond
 	}
-	t.Logf("%d refusals for %d jobs, the last accepted after %v", refused, jobs, lastAccepted)
-	if accepted != jobs || refused > 2*jobs || lastAccepted > 45*time.Second {
-		t.Errorf("%d accepted, %d refusals, the last accepted after %v", accepted, refused, lastAccepted)
+	t.Logf("%d refusals for %d jobs; the last job was accepted after %v", refused, jobCount, lastAccepted)
+	if accepted != jobCount || refused > 2*jobCount || lastAccepted > 45*time.Second {
+		t.Errorf("got %d jobs accepted, %d refusals, the last acceptance after %v; want 300, at most 600, at most 45s",
+			accepted, refused, lastAccepted)
 	}
 }
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -14,10 +14,10 @@
 	OK bool `json:"ok"`
 }
 
-// addHealthRoute adds the health check. It passes through the event loop, so it fails while that hangs.
+// addHealthRoute adds the health check. The check runs on the event loop, so it fails while the loop hangs.
 func (r Routes) addHealthRoute(app *fiber.App) {
 	app.Get("/up", func(c fiber.Ctx) error {
-		return r.serve(c, exchange{post: r.Post, timeout: userTimeout}, func(reply func(Reply)) {
+		return r.serve(c, eventLoopCall{post: r.Post, timeout: userTimeout}, func(reply func(Reply)) {
 			if !r.Healthy() {
 				reply(Refuse(Unavailable, "not ready"))
 				return
@@ -32,18 +32,18 @@
 	app.Post("/checkin", func(c fiber.Ctx) error {
 		heartbeat, err := fleet.ParseHeartbeat(c.Body())
 		if err != nil {
-			return send(c, Refuse(InvalidRequest, "not a report"))
+			return send(c, Refuse(InvalidRequest, "the body is not a valid heartbeat"))
 		}
-		// A fleet that is larger than the number of sockets has to open a connection for each heartbeat.
+		// If the fleet has more workers than there are sockets, each heartbeat needs a connection of its own.
 		if int(app.Server().GetOpenConnectionsCount()) > r.MaxKeptConns {
 			c.Response().SetConnectionClose()
 		}
-		e := exchange{post: r.PostHeartbeat, timeout: heartbeatTimeout, count: r.Counter.countWorker}
-		return r.serve(c, e, func(reply func(Reply)) { r.HandleHeartbeat(r.Now(), heartbeat, reply) })
+		call := eventLoopCall{post: r.PostHeartbeat, timeout: heartbeatTimeout, count: r.Counter.countWorker}
+		return r.serve(c, call, func(reply func(Reply)) { r.HandleHeartbeat(r.Now(), heartbeat, reply) })
 	})
 }
 
-// addJobRoutes adds submission, status query and cancellation.
+// addJobRoutes adds the routes for submissions, status queries and cancellations of jobs.
 func (r Routes) addJobRoutes(app *fiber.App) {
 	app.Post("/v2/runs", r.handleSubmission)
 	app.Get("/v2/runs/:id", func(c fiber.Ctx) error {
--- a/internal/api/scale_test.go
+++ b/internal/api/scale_test.go
@@ -10,48 +10,49 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// fleetSize is the number of machines whose load no fixed bound may limit.
+// fleetSize is the number of machines in a large fleet. No fixed bound may refuse a burst of one request per machine.
 const fleetSize = 4000
 
-// A burst of one job for each machine is accepted, as far as the bytes of waiting records allow it.
-func TestBurstOfALargeFleetIsAccepted(t *testing.T) {
+// A burst of one job per machine is accepted if MaxBytes allows the size of the waiting records.
+func TestBurstOfLargeFleetIsAccepted(t *testing.T) {
 	svc := state.New()
 	service := newTestService(svc)
 	service.MaxBytes = 16 << 20
 	replies := map[int]int{}
 	for i := range fleetSize {
-		service.Submit(svc.Now, job(i), func(r Reply) { replies[r.Status]++ })
+		service.Submit(svc.Now, newSpec(i), func(r Reply) { replies[r.Status]++ })
 	}
 	service.deliverAll()
 	if replies[201] != fleetSize {
-		t.Fatalf("replies %v", replies)
+		t.Fatalf("got counts of replies by status %v, want 201 for every job", replies)
 	}
 }
 
-// Whatever the count allows, the bytes of waiting records stay bounded, and submissions beyond get a Retry-After at
-// once.
-func TestBurstIsBoundedByItsBytes(t *testing.T) {
+// Even if the count of waiting submissions allows more, MaxBytes bounds the size of their records, and the
+// submissions beyond it get a Retry-After at once.
+func TestBurstIsBoundedByMaxBytes(t *testing.T) {
 	svc := state.New()
 	service := newTestService(svc)
 	service.MaxBytes = 64 << 10
 	refused := 0
 	for i := range fleetSize {
-		service.Submit(svc.Now, job(i), func(r Reply) {
+		service.Submit(svc.Now, newSpec(i), func(r Reply) {
 			if r.Status == 429 && r.RetryAfter > 0 {
 				refused++
 			}
 		})
 	}
 	if service.submissionBytes > service.MaxBytes || refused < fleetSize/2 {
-		t.Fatalf("%d bytes waiting, %d refused at once", service.submissionBytes, refused)
+		t.Fatalf("got %d bytes waiting and %d jobs refused at once, want at most MaxBytes and at least half the jobs",
+			service.submissionBytes, refused)
 	}
 	service.deliverAll()
 }
 
-// Status queries about as many jobs as a large fleet runs are served, and each transaction holds as many as fit its
-// bytes and the state service's limit of conditions, whatever the length of the ids.
-func TestStatusQueriesFillATransaction(t *testing.T) {
-	for _, length := range []int{10, 22} {
+// A burst of one status query per machine of a large fleet is served. Each transaction holds as many queries as fit
+// in its size and in the state service's limit of conditions, whatever the length of the ids.
+func TestStatusQueriesFillTransactions(t *testing.T) {
+	for _, idLength := range []int{10, 22} {
 		svc := state.New()
 		service := newTestService(svc)
 		service.TxnOps = 1 << 20
@@ -60,15 +61,16 @@
 		service.onRequest = func(request httpio.Request) {
 			txn, err := state.DecodeTxn(request.Body)
 			if err != nil || len(request.Body) > 64<<10 {
-				t.Fatalf("a transaction of %d bytes: %v", len(request.Body), err)
+				t.Fatalf("got a transaction of %d bytes and error %v, want at most 64 KiB and no error",
+					len(request.Body), err)
 			}
 			maxConditions = max(maxConditions, len(txn.If))
 		}
 		for i := range fleetSize {
-			id := fmt.Sprintf("req-%0*d", length-len("req-"), i)
+			id := fmt.Sprintf("req-%0*d", idLength-len("req-"), i)
 			service.Query(svc.Now, id, func(r Reply) {
 				if r.Status != 404 {
-					t.Errorf("%s: %+v", id, r)
+					t.Errorf("%s: got %+v, want 404", id, r)
 				}
 				replies++
 			})
@@ -78,10 +80,11 @@
 			svc.Now += 50 * time.Millisecond
 			service.Tick(svc.Now)
 		}
-		minQueries := 50 << 10 / (2 * (length + 2 + conditionOverhead))
+		minQueries := 50 << 10 / (2 * (idLength + 2 + conditionOverheadBytes))
 		maxQueries := maxConditions / conditionsPerQuery
 		if maxQueries < minQueries {
-			t.Errorf("ids of %d characters: %d jobs in a transaction, %d fit", length, maxQueries, minQueries)
+			t.Errorf("ids of %d characters: got at most %d jobs in a transaction, want at least %d",
+				idLength, maxQueries, minQueries)
 		}
 	}
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -16,10 +16,11 @@
 // connectionTimeout bounds how long a connection may be idle or take to send a request.
 const connectionTimeout = 90 * time.Second
 
-// Routes hold what a server needs to pass requests on to the event loop. All functions are called from connection
-// goroutines, except for Healthy and HandleHeartbeat, which are called on the event loop.
+// Routes holds a server's settings, and the functions that pass requests on to the event loop and handle them. All
+// functions are called from connection goroutines, except for Healthy and HandleHeartbeat, which are called on the
+// event loop.
 type Routes struct {
-	// Post and, for heartbeats, PostHeartbeat queue a function for the event loop. They return false if the queue is
+	// Post, and PostHeartbeat for heartbeats, queue a function for the event loop. They return false if the queue is
 	// full.
 	Post, PostHeartbeat func(func()) bool
 	Now                 func() time.Duration
@@ -30,18 +31,18 @@
 	HandleHeartbeat func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
 	// Leader handles requests that only the leader can answer.
 	Leader *LeaderAPI
-	// MaxConns bounds open connections. While more than MaxKeptConns are open, those of workers are closed with each
-	// reply.
+	// MaxConns bounds the open connections. While more than MaxKeptConns are open, the server closes a worker's
+	// connection after each reply.
 	MaxConns, MaxKeptConns int
-	// Counter counts replies to users and workers; nil for none.
+	// Counter counts replies to users and workers; nil if none are counted.
 	Counter *ResponseCounter
 	// Users authenticate by their tokens; nil if no tokens are required.
 	Users *access.Users
-	// WorkersOnly refuses all requests but heartbeats and health checks.
+	// WorkersOnly makes the server refuse all requests except heartbeats and health checks.
 	WorkersOnly bool
 }
 
-// Serve serves HTTP on a listener and returns once that is closed, with the listener's error.
+// Serve serves HTTP on a listener until the listener is closed, and returns the listener's error.
 func Serve(listener net.Listener, r Routes) error {
 	app := fiber.New(fiber.Config{
 		BodyLimit:    config.MaxBody + 1,
@@ -59,7 +60,7 @@
 	return app.Listener(listener, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// sendError sends an error that the HTTP server found, such as an unknown path.
+// sendError replies to a request that the HTTP server itself refuses, for instance because the path is unknown.
 func sendError(c fiber.Ctx, err error) error {
 	status := fiber.StatusInternalServerError
 	var serverError *fiber.Error
@@ -67,7 +68,7 @@
 		status = serverError.Code
 	}
 	if status == fiber.StatusRequestEntityTooLarge {
-		status = fiber.StatusBadRequest // the protocol has no status of its own for a body that is too large
+		status = fiber.StatusBadRequest // the API has no separate status for a body that is too large
 	}
 	return c.Status(status).JSON(errorBody{err.Error()})
 }
@@ -76,7 +77,7 @@
 func send(c fiber.Ctx, reply Reply) error {
 	if reply.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(reply.RetryAfter))
-		// The load balancer chooses again for a new connection, perhaps a controller that can serve the request.
+		// For a new connection the load balancer selects a controller again, perhaps one that can serve the request.
 		c.Response().SetConnectionClose()
 	}
 	return c.Status(reply.Status).JSON(reply.Body)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -15,8 +15,8 @@
 	"github.com/harewalk/harewalk/internal/simulator/state"
 )
 
-// startServer serves the routes until the test ends and returns its address. Requests run at once, on the
-// connection's goroutine, and heartbeats are answered 200.
+// startServer serves the routes until the test ends and returns the server's address. Requests run at once, on the
+// connection's goroutine, and every valid heartbeat gets 200.
 func startServer(t *testing.T, routes Routes) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -41,7 +41,7 @@
 	return listener.Addr().String()
 }
 
-// newUsers returns users of whom one, no operator, has the token.
+// newUsers returns a set with one user, who isn't an operator, and this user's token.
 func newUsers(t *testing.T) (users *access.Users, token string) {
 	t.Helper()
 	token, sum := access.NewToken()
@@ -57,7 +57,8 @@
 	return users, token
 }
 
-// requestStatus sends a request, given as method and path, with a bearer token unless that is empty.
+// requestStatus sends a request with the given method and path, and with a bearer token unless token is empty. It
+// returns the status.
 func requestStatus(t *testing.T, address, route, token string) int {
 	t.Helper()
 	method, path, _ := strings.Cut(route, " ")
@@ -76,9 +77,9 @@
 	return response.StatusCode
 }
 
-// Where users have tokens, every route for users needs one, however its path is spelled. Commands to existing
-// sessions, heartbeats and health checks need none.
-func TestUserRoutesNeedAToken(t *testing.T) {
+// Where users have tokens, every route for users requires one, however its path is spelled. Commands to existing
+// sessions, heartbeats and health checks require none.
+func TestUserRoutesRequireToken(t *testing.T) {
 	users, token := newUsers(t)
 	address := startServer(t, Routes{
 		MaxConns:     10,
@@ -116,10 +117,10 @@
 		"POST /v2/sessions/../runs/req-000001/abort",
 	} {
 		if got := requestStatus(t, address, route, ""); got != 401 && got != 404 {
-			t.Errorf("%s without a token: %d", route, got)
+			t.Errorf("%s without a token: got %d, want 401 or 404", route, got)
 		}
 		if got := requestStatus(t, address, route, token+"x"); got != 401 && got != 404 {
-			t.Errorf("%s with an unknown token: %d", route, got)
+			t.Errorf("%s with an unknown token: got %d, want 401 or 404", route, got)
 		}
 	}
 	for route, want := range map[string]int{
@@ -129,21 +130,21 @@
 		"POST /checkin":                       400,
 	} {
 		if got := requestStatus(t, address, route, ""); got != want {
-			t.Errorf("%s without a token: %d, want %d", route, got, want)
+			t.Errorf("%s without a token: got %d, want %d", route, got, want)
 		}
 	}
 	if got := requestStatus(t, address, "GET /v2/runs", token); got != 200 {
-		t.Errorf("with a token: %d", got)
+		t.Errorf("GET /v2/runs with a token: got %d, want 200", got)
 	}
 	if got := requestStatus(t, address, "POST /v2/admin", token); got != 403 {
-		t.Errorf("an operator's command of a user: %d", got)
+		t.Errorf("operator's command from a user who isn't an operator: got %d, want 403", got)
 	}
 }
 
-// While many connections are open, those of workers are closed with each reply, so that many more machines send
-// heartbeats than there are sockets; users' connections stay. A hundred heartbeats are served with twenty sockets,
-// ten of which may be open.
-func TestMoreWorkersThanSockets(t *testing.T) {
+// While more than MaxKeptConns connections are open, the server closes workers' connections after each reply, so that
+// more machines can send heartbeats than there are sockets; users' connections stay open. Here 100 heartbeats are
+// served with 20 sockets, 10 of which may stay open.
+func TestHeartbeatsFromMoreWorkersThanSockets(t *testing.T) {
 	address := startServer(t, Routes{MaxConns: 20, MaxKeptConns: 10})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	send := func(method, path, body string) (status int, closes bool) {
@@ -166,15 +167,15 @@
 		body := fmt.Sprintf(
 			`{"den":"i-%d","address":"x","build":"b","meadow":"a","run":1,"tally":%d,"hops":[]}`, i%50, i)
 		if status, closes := send("POST", "/checkin", body); status != 200 || !closes {
-			t.Fatalf("heartbeat %d: status %d, the connection is closed: %v", i, status, closes)
+			t.Fatalf("heartbeat %d: got status %d and connection closed %v, want 200 and true", i, status, closes)
 		}
 	}
 	if status, closes := send("GET", "/up", ""); status != 200 || closes {
-		t.Errorf("a user's connection is closed: %v, status %d", closes, status)
+		t.Errorf("user's request: got connection closed %v and status %d, want false and 200", closes, status)
 	}
 }
 
-// openConnection opens a connection that has been served and stays open until the test ends.
+// openConnection opens a connection, sends one request on it and leaves it open until the test ends.
 func openConnection(t *testing.T, address string) {
 	t.Helper()
 	connection, err := net.Dial("tcp4", address)
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -3,9 +3,9 @@
 //
 // Service owns the submissions and status queries that wait for the state service. It runs on the controller's
 // event loop and is never called from another goroutine; Routes bring requests there from connection goroutines.
-// The package schedules nothing and owns no job: it writes and reads job records, and hands each to
+// The package schedules nothing and owns no job: it writes and reads job records, and passes each to
 // Env.OnJobRecord, which updates the job table. Heartbeats and leader requests are passed on to the controller
-// unchanged. The controller makes one Service and one or two servers at its start.
+// unchanged. The controller creates one Service and one or two servers when it starts.
 package api
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Bounds of the queues, for a fleet of some 4,000 machines: a burst of that size is shed by the bytes that wait
+// Bounds of the queues for a fleet of about 4,000 machines. A burst of that size is limited by the bytes that wait
 // (Env.MaxBytes) and by the state service's rate, not by a count.
 const (
 	maxWaitingSubmissions = 4096
@@ -24,88 +24,91 @@
 )
 
 const (
-	// maxTxnBytes bounds the records or conditions that one transaction carries. The state service takes 64 KiB.
+	// maxTxnBytes bounds the size of the records or conditions in one transaction. The state service accepts 64 KiB.
 	maxTxnBytes = 60 << 10
-	// stateServiceTimeout is the silence after which no request goes to the state service on a user's behalf.
+	// stateServiceTimeout is the time without a successful request to the state service after which no users'
+	// requests are sent to it.
 	stateServiceTimeout = 3 * time.Second
 )
 
 // AdmissionResult is the decision whether a job can ever run.
 type AdmissionResult struct {
 	OK    bool
-	Known bool // false: not decided yet
-	// Reason is why the job is rejected or not decided on, for its user.
+	Known bool // false if the decision isn't possible yet
+	// Reason tells the user why the job is rejected or not decided on.
 	Reason string
 }
 
 // AdmitFunc decides whether a job can ever run.
 type AdmitFunc func(*jobs.Spec) AdmissionResult
 
-// Env holds what a Service uses of the controller. Fields are required unless their comment allows nil.
+// Env holds the parts of the controller that a Service uses. Fields are required unless their comment allows nil.
 type Env struct {
 	Store *store.Client
 	Jobs  *jobs.Table
-	// Archive reads the answers of jobs that ended long ago.
+	// Archive reads the answers of archived jobs, which ended long ago.
 	Archive *archive.Reader
 	Admit   AdmitFunc
-	// Ready reports whether the job table was read in full.
+	// Ready reports whether the job table has been loaded completely.
 	Ready func() bool
 	// Counts returns how many tasks of a pending job are shown as done and as running.
 	Counts func(*jobs.Job) (done, running int)
-	// OnJobRecord receives each record that was written or read here.
+	// OnJobRecord receives each record that the Service has written or read.
 	OnJobRecord func(now time.Duration, item store.Item)
-	// LevelCondition returns a condition that every write carries besides its own: the cluster's level hasn't
-	// changed. Nil if there are no levels.
+	// LevelCondition returns the condition that the cluster's level hasn't changed. It is added to the conditions of
+	// every write. Nil if there are no levels.
 	LevelCondition func() store.Condition
 	// Compatible reports whether this release may act at the cluster's level. Nil if there are no levels.
 	Compatible func() bool
 	// TxnOps is the maximum number of operations of a transaction.
 	TxnOps int
-	// Limits returns the present limits of a transaction, which may be lower than TxnOps and MaxValue. Nil if they
-	// never are.
+	// Limits returns the current limits of a transaction, which may be lower than TxnOps and MaxValue. Nil if they
+	// are never lower.
 	Limits func() store.Limits
-	// MaxTasks bounds the unfinished tasks and the predecessors of all jobs, which a leader keeps in memory.
+	// MaxTasks bounds the total number of unfinished tasks and predecessors of all jobs, which a leader keeps in
+	// memory.
 	MaxTasks int
-	// MaxBytes bounds the records of the submissions that wait to be stored, in bytes.
+	// MaxBytes bounds the total size of the records of the submissions that wait to be stored, in bytes.
 	MaxBytes int
-	// MaxValue bounds the record of one job, in bytes.
+	// MaxValue bounds the size of the record of one job, in bytes.
 	MaxValue int
 
-	// Dependencies returns how many predecessors all unfinished jobs have together, which every controller keeps in
-	// memory; MaxTasks bounds them with the tasks. Nil if no job has any.
+	// Dependencies returns the total number of predecessors of all unfinished jobs, which every controller keeps in
+	// memory. MaxTasks bounds the sum of these and the tasks. Nil if no job has predecessors.
 	Dependencies func() int
-	// AcceptsDependencies reports whether jobs with predecessors may be stored. Nil if they never may.
+	// AcceptsDependencies reports whether jobs with predecessors may be stored. Nil if they may never be stored.
 	AcceptsDependencies func() bool
-	// IsBlockedCertain reports whether this controller may answer that a blocked job waits: no cancellation of a job
-	// before it can have been told to a user for long without being known here. Nil if it always may.
+	// IsBlockedCertain reports whether this controller may reply that a blocked job is pending. It may not if another
+	// controller could have reported the cancellation of a job before it to a user some time ago, and this controller
+	// hasn't received the cancellation yet. Nil if it always may.
 	IsBlockedCertain func(now time.Duration, id string) bool
 }
 
-// Service answers requests about jobs, on the event loop.
+// Service handles requests about jobs, on the event loop.
 type Service struct {
 	Env
 	draining bool
 
 	submissions     []pendingSubmission
-	submissionBytes int                 // of the records in submissions
-	batchInFlight   []pendingSubmission // whose transaction is in flight; nil if there is none
-	lastRetryAt     time.Duration       // when the submission that was refused last may be sent again
+	submissionBytes int                 // total size of the records in submissions
+	batchInFlight   []pendingSubmission // submissions whose transaction is in flight; nil if there is none
+	lastRetryAt     time.Duration       // when the client of the last refused submission may retry
 
 	queries       []statusQuery
-	queryInFlight bool
-	nextQueryTxn  time.Duration // no status queries are checked before
+	queryInFlight bool          // whether a transaction that checks status queries is in flight
+	nextQueryTxn  time.Duration // earliest time of the next transaction that checks status queries
 }
 
-// New returns a Service without requests.
+// New returns a Service without pending requests.
 func New(env Env) *Service { return &Service{Env: env} }
 
-// Drain refuses submissions from now on; those that were taken are still stored and answered.
+// Drain makes the Service refuse new submissions. Submissions that are already queued are still stored and answered.
 func (s *Service) Drain() { s.draining = true }
 
-// Resume ends a drain.
+// Resume makes the Service accept submissions again after Drain.
 func (s *Service) Resume() { s.draining = false }
 
-// Busy reports whether any submission or status query waits for an answer.
+// Busy reports whether any submission or status query waits for a reply.
 func (s *Service) Busy() bool {
 	return s.batchInFlight != nil || s.queryInFlight || len(s.submissions)+len(s.queries) > 0
 }
@@ -113,27 +116,27 @@
 // Tick checks status queries whose transaction was deferred.
 func (s *Service) Tick(now time.Duration) { s.checkQueries(now) }
 
-// limits returns the present limits of a transaction.
+// limits returns the current limits of a transaction.
 func (s *Service) limits() store.Limits {
 	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: s.MaxValue}
 	if s.Limits == nil {
 		return limits
 	}
-	present := s.Limits()
+	current := s.Limits()
 	return store.Limits{
-		MaxOps:        min(limits.MaxOps, present.MaxOps),
-		MaxValueBytes: min(limits.MaxValueBytes, present.MaxValueBytes),
+		MaxOps:        min(limits.MaxOps, current.MaxOps),
+		MaxValueBytes: min(limits.MaxValueBytes, current.MaxValueBytes),
 	}
 }
 
-// stateServiceSilent reports whether the state service has been silent for so long that a request to it would only
-// delay the user's answer.
+// stateServiceSilent reports whether the last success of the state service is so long ago that a request to it would
+// only delay the user's reply.
 func (s *Service) stateServiceSilent(now time.Duration) bool {
 	return now-s.Store.LastSuccess() > stateServiceTimeout
 }
 
-// refuseUnlessReady returns the refusal of every request while this controller can't answer any: its release is
-// behind the cluster's, so that its reads and writes could be wrong, or its job table is incomplete.
+// refuseUnlessReady returns the refusal of every request while this controller can't serve any. Either its release is
+// older than the cluster's, so that its reads and writes could be wrong, or its job table is incomplete.
 func (s *Service) refuseUnlessReady() (refusal Reply, refused bool) {
 	if s.Compatible != nil && !s.Compatible() {
 		return releaseTooOld, true
@@ -144,7 +147,7 @@
 	return Reply{}, false
 }
 
-// withLevelCondition adds the condition on the cluster's level to those of a write.
+// withLevelCondition returns a write's conditions with the condition on the cluster's level added.
 func (s *Service) withLevelCondition(conditions ...store.Condition) []store.Condition {
 	if s.LevelCondition == nil {
 		return conditions
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -13,38 +13,38 @@
 // on its record and one on its archived answer.
 const (
 	conditionsPerQuery = 2
-	// conditionOverhead is what one condition takes beside its key, in bytes.
-	conditionOverhead = 40
+	// conditionOverheadBytes is the size of a condition without its key.
+	conditionOverheadBytes = 40
 )
 
 const (
-	// queryTxnInterval is the minimum time between two transactions, so that each checks many queries.
+	// queryTxnInterval is the minimum time between two of these transactions, so that each checks many queries.
 	queryTxnInterval = 40 * time.Millisecond
-	// queryTxnBackoff is the delay after the budget for requests was used up.
+	// queryTxnBackoff is the delay of the next check while the request budget is exhausted.
 	queryTxnBackoff = 50 * time.Millisecond
-	// maxDeferredQueries is how many queries may wait while the budget is used up.
+	// maxDeferredQueries is how many queries may wait while the request budget is exhausted.
 	maxDeferredQueries = 200
 )
 
 // statusQuery is a lookup that waits to be checked against the state service.
 type statusQuery struct {
 	lookup
-	version uint64 // of the job's record in the job table when it was checked, 0: none
+	version uint64 // of the job's record in the job table when the check was sent; 0 if there was none
 }
 
-// txnBytes is an upper bound of what the query takes in a transaction.
+// txnBytes returns an upper bound of the query's size in a transaction.
 func (q statusQuery) txnBytes() int {
-	return len(jobs.RecordKey(q.id)) + len(archive.Key(q.id)) + conditionsPerQuery*conditionOverhead
+	return len(jobs.RecordKey(q.id)) + len(archive.Key(q.id)) + conditionsPerQuery*conditionOverheadBytes
 }
 
-// Query replies with a job's state and counts. A state that can still change is checked against the state service,
-// many jobs in one transaction without changes.
+// Query replies with a job's state and the counts of its tasks. A state that can still change is checked with the
+// state service. One transaction without writes checks many jobs.
 func (s *Service) Query(now time.Duration, id string, reply func(Reply)) {
-	if settled, ok := s.replyWithoutRead(id, true); ok {
-		reply(settled)
+	if immediate, ok := s.replyWithoutRead(id, true); ok {
+		reply(immediate)
 		return
 	}
-	s.enqueueQuery(now, statusQuery{lookup: lookup{id: id, withCounts: true, absent: noSuchJob, reply: reply}})
+	s.enqueueQuery(now, statusQuery{lookup: lookup{id: id, withCounts: true, replyIfAbsent: noSuchJob, reply: reply}})
 }
 
 // enqueueQuery queues a query to be checked, or refuses it if the queue is full.
@@ -61,12 +61,14 @@
 	s.checkQueries(now)
 }
 
-// checkQueries checks the waiting queries in one transaction, as far as they fit and one is due.
+// checkQueries checks the waiting queries in one transaction, as many as fit in it. It does nothing while such a
+// transaction is in flight or before nextQueryTxn.
 func (s *Service) checkQueries(now time.Duration) {
 	if s.queryInFlight || len(s.queries) == 0 || now < s.nextQueryTxn {
 		return
 	}
-	// Queries have a share of their own: a flood of them must leave requests for submissions and cancellations.
+	// QueryPriority leaves a reserve of the request budget to submissions and cancellations, however many status
+	// queries arrive.
 	if !s.Store.CanWrite(0, store.QueryPriority) {
 		s.deferQueries(now)
 		return
@@ -81,7 +83,8 @@
 	})
 }
 
-// deferQueries backs off while the budget for requests is used up, and refuses a long queue.
+// deferQueries delays the next check because the request budget is exhausted. If more than maxDeferredQueries wait,
+// it refuses them all.
 func (s *Service) deferQueries(now time.Duration) {
 	s.nextQueryTxn = now + queryTxnBackoff
 	if len(s.queries) <= maxDeferredQueries {
@@ -93,17 +96,18 @@
 	s.queries = nil
 }
 
-// dequeueQueries takes the queries that fit in one transaction off the queue, with that transaction: it holds if
-// the job table is up to date on each of them. Queries about the same job share their conditions.
+// dequeueQueries removes the queries that fit in one transaction from the queue and returns them with the
+// transaction. The transaction commits only if the job table is up to date for each of them. Queries about the same job
+// share their conditions.
 func (s *Service) dequeueQueries() ([]statusQuery, store.Txn) {
 	var batch []statusQuery
 	txn := store.Txn{}
 	inTxn := map[string]bool{}
-	size := 0
+	totalBytes := 0
 	maxConditions := store.ConditionsPerOp * s.limits().MaxOps
 	for _, query := range s.queries {
-		size += query.txnBytes()
-		if len(txn.If)+conditionsPerQuery > maxConditions || size > maxTxnBytes {
+		totalBytes += query.txnBytes()
+		if len(txn.If)+conditionsPerQuery > maxConditions || totalBytes > maxTxnBytes {
 			break
 		}
 		if job := s.Jobs.Get(query.id); job != nil {
@@ -119,8 +123,8 @@
 	return batch, txn
 }
 
-// appendConditions adds the query's conditions: the record still has the version that was known, or neither record
-// nor archived answer exists.
+// appendConditions appends the query's conditions. The record must have the version of the job table; if the job
+// isn't in the job table, neither its record nor its archived answer may exist.
 func (q statusQuery) appendConditions(conditions []store.Condition) []store.Condition {
 	conditions = append(conditions, store.Condition{Key: jobs.RecordKey(q.id), Version: q.version})
 	if q.version == 0 {
@@ -144,8 +148,8 @@
 	}
 }
 
-// replyToQuery replies to a query that was checked. Its job table entry was the newest version unless one of the
-// query's keys failed; what has been learnt since is newer still.
+// replyToQuery replies to a query that was checked. If no condition on the query's keys failed, the job table was up
+// to date at the check; any later change of the job table is newer still.
 func (s *Service) replyToQuery(query statusQuery, failed map[string]bool) {
 	recordFailed := failed[jobs.RecordKey(query.id)]
 	archiveFailed := failed[archive.Key(query.id)]
@@ -155,9 +159,9 @@
 	case job != nil && (upToDate || job.State.Terminal()):
 		s.replyWithJob(job, query.withCounts, query.reply)
 	case upToDate && query.version == 0:
-		query.reply(noSuchJob) // neither its record nor its archived answer existed, at one moment
+		query.reply(noSuchJob) // neither the record nor the archived answer existed at the check
 	case !recordFailed && query.version == 0:
-		// Its archived answer existed and its record didn't: one read is enough.
+		// The archived answer existed and the record didn't: reading the archived answer is enough.
 		s.replyFromArchive(query.lookup)
 	default:
 		// The record has changed, or the job was archived and left the job table during the check.
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -10,11 +10,11 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Upper bounds of what a transaction takes beside the records of its submissions, in bytes.
+// Upper bounds of the size of a transaction without the records of its submissions.
 const (
-	submitTxnOverhead = 200
-	// submitOverhead is for each submission: its key and its conditions.
-	submitOverhead = 180
+	submitTxnOverheadBytes = 200
+	// submissionOverheadBytes is for the key and the conditions of each submission.
+	submissionOverheadBytes = 180
 )
 
 // pendingSubmission is a submission that waits to be stored.
@@ -24,8 +24,8 @@
 	reply  func(Reply)
 }
 
-// Submit stores a new job and replies once that is durable. A repeated submission gets the job's present state. The
-// service owns the specification from then on.
+// Submit stores a new job and replies once its record is durable. A repeated submission gets the job's current state.
+// The service owns spec after the call.
 func (s *Service) Submit(now time.Duration, spec *jobs.Spec, reply func(Reply)) {
 	if s.draining {
 		reply(Refuse(Unavailable, "this controller is being drained: ask another"))
@@ -40,7 +40,7 @@
 		return
 	}
 	if s.Jobs.Get(spec.ID) != nil {
-		s.enqueueQuery(now, statusQuery{lookup: lookup{id: spec.ID, absent: notStored, reply: reply}})
+		s.enqueueQuery(now, statusQuery{lookup: lookup{id: spec.ID, replyIfAbsent: notStored, reply: reply}})
 		return
 	}
 	if !s.admit(now, spec, reply) {
@@ -53,7 +53,7 @@
 	s.submitInState(now, jobs.Pending, spec, reply)
 }
 
-// submitInState queues a job that can run and whose predecessors are settled to be stored in a state.
+// submitInState queues a job to be stored in the given state. The job can run, and all its predecessors were checked.
 func (s *Service) submitInState(now time.Duration, state jobs.State, spec *jobs.Spec, reply func(Reply)) {
 	record := jobs.EncodeRecord(state, s.Jobs.WallMS(now), spec.Tasks, spec)
 	if refusal, refused := s.refuseOversized(spec, record); refused {
@@ -63,7 +63,7 @@
 	s.enqueueSubmission(now, pendingSubmission{spec: spec, record: record, reply: reply})
 }
 
-// admit reports whether a job can run and can be stored now, and replies if not.
+// admit reports whether a job can run and can be stored now. If not, it replies to the submission.
 func (s *Service) admit(now time.Duration, spec *jobs.Spec, reply func(Reply)) bool {
 	result := s.Admit(spec)
 	if !result.Known {
@@ -77,36 +77,36 @@
 		}
 		return true
 	}
-	// The job may have been accepted all the same: by another controller, before the number of licences fell or
-	// while a machine type was added, with its record on its way here; or under other settings, and archived since.
-	// Only a read distinguishes a rejection from a repeated submission.
+	// The job may have been accepted before. Another controller may have accepted it before the number of licences
+	// fell or while a machine type was added, and its record hasn't arrived here yet; or it was accepted under other
+	// settings and has been archived since. Only a read distinguishes a rejection from a repeated submission.
 	if s.stateServiceSilent(now) || !s.Store.CanWrite(0, store.NormalPriority) {
 		reply(stateServiceUnavailable)
 		return false
 	}
-	s.readAndReply(lookup{id: spec.ID, absent: Refuse(Unprocessable, result.Reason), reply: reply})
+	s.readAndReply(lookup{id: spec.ID, replyIfAbsent: Refuse(Unprocessable, result.Reason), reply: reply})
 	return false
 }
 
-// refuseOversized returns the refusal of a job whose record can't be stored, or whose tasks exceed what a leader
-// keeps in memory together with those of all other jobs.
+// refuseOversized returns the refusal of a job whose record is too large to be stored, or whose tasks and
+// predecessors, together with those of all other jobs, exceed what a leader keeps in memory.
 func (s *Service) refuseOversized(spec *jobs.Spec, record []byte) (refusal Reply, refused bool) {
 	if len(record) > s.MaxValue {
-		return Refuse(Unprocessable, "the job's description is larger than what can be stored of a job"), true
+		return Refuse(Unprocessable, "the job's description exceeds the maximum size of a job record"), true
 	}
 	if len(record) > s.limits().MaxValueBytes {
-		return Refuse(Unavailable, "the state service takes no value as large as the job's description now"), true
+		return Refuse(Unavailable, "the job's description exceeds the state service's current size limit"), true
 	}
-	// A job is accepted whatever its size if it is the only one.
-	live := s.Jobs.LiveTasks() + s.dependencies()
-	if live > 0 && live+spec.Tasks+len(spec.Follows) > s.MaxTasks {
+	// While no other job is unfinished, a job of any size is accepted.
+	liveTasksAndEdges := s.Jobs.LiveTasks() + s.dependencyEdges()
+	if liveTasksAndEdges > 0 && liveTasksAndEdges+spec.Tasks+len(spec.Follows) > s.MaxTasks {
 		return Refuse(TooManyRequests, "too many unfinished tasks"), true
 	}
 	return Reply{}, false
 }
 
-// dependencies returns how many predecessors all unfinished jobs have together.
-func (s *Service) dependencies() int {
+// dependencyEdges returns the total number of predecessors of all unfinished jobs.
+func (s *Service) dependencyEdges() int {
 	if s.Dependencies == nil {
 		return 0
 	}
@@ -124,8 +124,8 @@
 	s.storeSubmissions(now)
 }
 
-// storeSubmissions writes the waiting submissions in one transaction, as far as they fit; those that arrive
-// meanwhile form the next one.
+// storeSubmissions writes the waiting submissions in one transaction, as many as fit in it. Submissions that arrive
+// while it is in flight are written by the next transaction.
 func (s *Service) storeSubmissions(now time.Duration) {
 	if s.batchInFlight != nil || len(s.submissions) == 0 {
 		return
@@ -147,15 +147,15 @@
 	})
 }
 
-// submissionsThatFit returns how many waiting submissions fit in one transaction. No job occurs in it twice.
+// submissionsThatFit returns how many waiting submissions fit in one transaction, which never contains a job twice.
 func (s *Service) submissionsThatFit() int {
 	count := 0
-	size := submitTxnOverhead
+	totalBytes := submitTxnOverheadBytes
 	inTxn := map[string]bool{}
 	for count < len(s.submissions) && count < s.limits().MaxOps {
 		submission := s.submissions[count]
-		size += len(submission.record) + submitOverhead
-		if size > maxTxnBytes || inTxn[submission.spec.ID] {
+		totalBytes += len(submission.record) + submissionOverheadBytes
+		if totalBytes > maxTxnBytes || inTxn[submission.spec.ID] {
 			break
 		}
 		inTxn[submission.spec.ID] = true
@@ -164,7 +164,7 @@
 	return count
 }
 
-// refuseAllSubmissions empties the queue while the budget for writes is used up.
+// refuseAllSubmissions refuses all waiting submissions, because the write budget is exhausted.
 func (s *Service) refuseAllSubmissions(now time.Duration) {
 	for _, submission := range s.submissions {
 		submission.reply(s.refuseSubmission(now, "the state service is at its limit"))
@@ -173,7 +173,7 @@
 	s.submissionBytes = 0
 }
 
-// dequeueSubmissions takes the first count submissions off the queue. The result isn't nil.
+// dequeueSubmissions removes the first count submissions from the queue and returns them. The result is never nil.
 func (s *Service) dequeueSubmissions(count int) []pendingSubmission {
 	batch := slices.Clone(s.submissions[:count])
 	s.submissions = s.submissions[count:]
@@ -183,13 +183,13 @@
 	return batch
 }
 
-// submissionTxn is the transaction that stores a batch of new jobs.
+// submissionTxn returns the transaction that stores a batch of new jobs.
 func (s *Service) submissionTxn(batch []pendingSubmission) store.Txn {
 	txn := store.Txn{}
 	for _, submission := range batch {
 		id := submission.spec.ID
 		key := jobs.RecordKey(id)
-		// A write that lands late must not bring back a job that was accepted elsewhere, ended and was archived.
+		// A delayed write must not recreate a job that was accepted elsewhere, has ended and was archived.
 		txn.If = append(txn.If, store.Condition{Key: key}, archive.Absent(id))
 		txn.Then = append(txn.Then, store.Op{Put: key, Value: submission.record})
 	}
@@ -197,7 +197,8 @@
 	return txn
 }
 
-// replyToSubmissions replies to a batch whose transaction has an outcome, or queues its submissions again.
+// replyToSubmissions replies to the submissions of a batch according to the outcome of its transaction, or queues
+// them again.
 func (s *Service) replyToSubmissions(now time.Duration, batch []pendingSubmission, result store.Result) {
 	failed := failedKeys(result)
 	for _, submission := range batch {
@@ -209,22 +210,22 @@
 		case store.Conflict:
 			s.resolveConflict(now, submission, failed)
 		case store.Indeterminate:
-			// It may have been stored: only a read shows that. If not, it may be stored later; then the client's
-			// retry finds it.
-			s.readSubmission(submission)
+			// Only a read shows whether the job was stored. If it wasn't, the write may still be applied later; then
+			// the client's retry finds the job.
+			s.readAndReplyToSubmission(submission)
 		default:
 			submission.reply(Refuse(Unavailable, "the state service did not take the job"))
 		}
 	}
 }
 
-// resolveConflict settles a submission whose transaction changed nothing because conditions on the failed keys
-// didn't hold. If none of these concerns the submission, it is queued again.
+// resolveConflict handles a submission whose transaction wasn't applied because the conditions on the failed keys
+// didn't hold. If none of these keys concerns the submission, it is queued again.
 func (s *Service) resolveConflict(now time.Duration, submission pendingSubmission, failed map[string]bool) {
 	id := submission.spec.ID
 	switch {
 	case failed[jobs.RecordKey(id)] || failed[archive.Key(id)]:
-		s.readSubmission(submission)
+		s.readAndReplyToSubmission(submission)
 	case s.LevelCondition != nil && failed[s.LevelCondition().Key]:
 		submission.reply(Refuse(Unavailable, "the cluster's level has just changed"))
 	default:
@@ -232,14 +233,14 @@
 	}
 }
 
-// replyAccepted replies to a submission whose record is durable. Before the state service's response arrived,
-// others may have read the record, and the job may have been cancelled or even ended: the newest known state is
-// sent.
+// replyAccepted replies to a submission whose record is durable. Before the state service's response arrived, other
+// controllers may have read the record, and the job may have been cancelled or have ended. The reply has the newest
+// state in the job table.
 func (s *Service) replyAccepted(submission pendingSubmission) {
 	id := submission.spec.ID
 	switch job := s.Jobs.Get(id); {
 	case job == nil:
-		s.readSubmission(submission)
+		s.readAndReplyToSubmission(submission)
 	case job.State.Terminal() || job.Doomed:
 		s.replyWithJob(job, false, submission.reply)
 	default:
@@ -247,7 +248,7 @@
 	}
 }
 
-// readSubmission replies to a submission from a fresh read.
-func (s *Service) readSubmission(submission pendingSubmission) {
-	s.readAndReply(lookup{id: submission.spec.ID, absent: notStored, reply: submission.reply})
+// readAndReplyToSubmission replies to a submission from a fresh read.
+func (s *Service) readAndReplyToSubmission(submission pendingSubmission) {
+	s.readAndReply(lookup{id: submission.spec.ID, replyIfAbsent: notStored, reply: submission.reply})
 }
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -131,7 +131,7 @@
 func (s *Simulated) heartbeat(now time.Duration, body []byte, send func(api.Reply)) {
 	heartbeat, err := fleet.ParseHeartbeat(body)
 	if err != nil {
-		send(api.Refuse(api.InvalidRequest, "not a report"))
+		send(api.Refuse(api.InvalidRequest, "the body is not a valid heartbeat"))
 		return
 	}
 	s.c.handleHeartbeat(now, heartbeat, send)
