--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -82,12 +82,12 @@
 	}
 }
 
-func newTestService(svc *state.Service) *testService {
-	s := &testService{state: svc}
+func newTestService(stateService *state.Service) *testService {
+	s := &testService{state: stateService}
 	client := store.New(
 		"",
 		s,
-		func() time.Duration { return svc.Now },
+		func() time.Duration { return stateService.Now },
 		store.Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8},
 		store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10},
 	)
--- a/internal/api/predecessors_test.go
+++ b/internal/api/predecessors_test.go
@@ -23,8 +23,8 @@
 	readPaths           []string // the paths of all requests except transactions
 }
 
-func newDependentService(svc *state.Service) *dependentService {
-	s := &dependentService{testService: newTestService(svc), acceptsDependencies: true, watchedKeysFresh: true}
+func newDependentService(stateService *state.Service) *dependentService {
+	s := &dependentService{testService: newTestService(stateService), acceptsDependencies: true, watchedKeysFresh: true}
 	s.graph = dependencies.New(s.Jobs, func(time.Duration, *jobs.Job) {})
 	s.Dependencies = s.graph.Edges
 	s.AcceptsDependencies = func() bool { return s.acceptsDependencies }
--- a/internal/api/retryafter_test.go
+++ b/internal/api/retryafter_test.go
@@ -13,9 +13,9 @@
 // job must be refused about once, not once a second, and all must be accepted about as soon as the rate allows.
 func TestRetryAfterSpreadsRefusedSubmissions(t *testing.T) {
 	const jobCount, writesPerSecond = 300, 10
-	svc := state.New()
-	service := newTestService(svc)
-	now := func() time.Duration { return svc.Now }
+	stateService := state.New()
+	service := newTestService(stateService)
+	now := func() time.Duration { return stateService.Now }
 	share := store.Share{RPS: 1e6, WriteRPS: writesPerSecond, BurstSeconds: 1}
 	service.Store = store.New("", service, now, share, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	service.Archive = archive.NewReader(service.Store, 8)
@@ -25,25 +25,25 @@
 	for i := range jobCount {
 		submitTimes[i] = 0
 	}
-	for svc.Now < 2*time.Minute && accepted < jobCount {
+	for stateService.Now < 2*time.Minute && accepted < jobCount {
 		for i := range jobCount {
 			submitAt, isWaiting := submitTimes[i]
-			if !isWaiting || submitAt > svc.Now {
+			if !isWaiting || submitAt > stateService.Now {
 				continue
 			}
 			delete(submitTimes, i)
-			service.Submit(svc.Now, newSpec(i), func(r Reply) {
+			service.Submit(stateService.Now, newSpec(i), func(r Reply) {
 				if r.Status == 429 {
 					refused++
-					submitTimes[i] = svc.Now + time.Duration(r.RetryAfter)*time.Second
+					submitTimes[i] = stateService.Now + time.Duration(r.RetryAfter)*time.Second
 					return
 				}
 				accepted++
-				lastAccepted = svc.Now
+				lastAccepted = stateService.Now
 			})
 		}
 		service.deliverAll()
-		svc.Now += 100 * time.Millisecond
+		stateService.Now += 100 * time.Millisecond
 	}
 	t.Logf("%d refusals for %d jobs; the last job was accepted after %v", refused, jobCount, lastAccepted)
 	if accepted != jobCount || refused > 2*jobCount || lastAccepted > 45*time.Second {
--- a/internal/api/scale_test.go
+++ b/internal/api/scale_test.go
@@ -15,12 +15,12 @@
 
 // A burst of one job per machine is accepted if MaxBytes allows the size of the waiting records.
 func TestBurstOfLargeFleetIsAccepted(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	service.MaxBytes = 16 << 20
 	replies := map[int]int{}
 	for i := range fleetSize {
-		service.Submit(svc.Now, newSpec(i), func(r Reply) { replies[r.Status]++ })
+		service.Submit(stateService.Now, newSpec(i), func(r Reply) { replies[r.Status]++ })
 	}
 	service.deliverAll()
 	if replies[201] != fleetSize {
@@ -31,12 +31,12 @@
 // Even if the count of waiting submissions allows more, MaxBytes bounds the size of their records, and the
 // submissions beyond it get a Retry-After at once.
 func TestBurstIsBoundedByMaxBytes(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	service.MaxBytes = 64 << 10
 	refused := 0
 	for i := range fleetSize {
-		service.Submit(svc.Now, newSpec(i), func(r Reply) {
+		service.Submit(stateService.Now, newSpec(i), func(r Reply) {
 			if r.Status == 429 && r.RetryAfter > 0 {
 				refused++
 			}
@@ -53,8 +53,8 @@
 // in its size and in the state service's limit of conditions, whatever the length of the ids.
 func TestStatusQueriesFillTransactions(t *testing.T) {
 	for _, idLength := range []int{10, 22} {
-		svc := state.New()
-		service := newTestService(svc)
+		stateService := state.New()
+		service := newTestService(stateService)
 		service.TxnOps = 1 << 20
 		service.Limits = func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
 		maxConditions, replies := 0, 0
@@ -68,7 +68,7 @@
 		}
 		for i := range fleetSize {
 			id := fmt.Sprintf("req-%0*d", idLength-len("req-"), i)
-			service.Query(svc.Now, id, func(r Reply) {
+			service.Query(stateService.Now, id, func(r Reply) {
 				if r.Status != 404 {
 					t.Errorf("%s: got %+v, want 404", id, r)
 				}
@@ -77,8 +77,8 @@
 		}
 		for replies < fleetSize {
 			service.deliverAll()
-			svc.Now += 50 * time.Millisecond
-			service.Tick(svc.Now)
+			stateService.Now += 50 * time.Millisecond
+			service.Tick(stateService.Now)
 		}
 		minQueries := 50 << 10 / (2 * (idLength + 2 + conditionOverheadBytes))
 		maxQueries := maxConditions / conditionsPerQuery
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestSubmitQueryCancelOnSeveralControllers(t *testing.T) {
-	svc := state.New()
-	controllerA, controllerB := newTestService(svc), newTestService(svc)
+	stateService := state.New()
+	controllerA, controllerB := newTestService(stateService), newTestService(stateService)
 	if reply := controllerA.submit(t, newSpec(1)); reply.Status != 201 {
 		t.Fatalf("submission: got %+v, want 201", reply)
 	}
@@ -25,7 +25,7 @@
 	if reply := controllerB.query(t, "req-000001"); reply.Status != 200 {
 		t.Fatalf("status query on the second controller: got %+v, want 200", reply)
 	}
-	if reply := newTestService(svc).submit(t, newSpec(1)); reply.Status != 200 {
+	if reply := newTestService(stateService).submit(t, newSpec(1)); reply.Status != 200 {
 		t.Fatalf("repeated submission on a third controller: got %+v, want 200", reply)
 	}
 	if reply := controllerA.query(t, "req-000002"); reply.Status != 404 {
@@ -58,15 +58,15 @@
 // Between a submission's commit and its reply, another controller reads the record and cancels the job. The reply has
 // the newest state in the job table.
 func TestSubmissionCancelledElsewhereBeforeReply(t *testing.T) {
-	svc := state.New()
-	controllerA, controllerB := newTestService(svc), newTestService(svc)
+	stateService := state.New()
+	controllerA, controllerB := newTestService(stateService), newTestService(stateService)
 	controllerA.beforeResponse = func() {
 		if reply := controllerB.cancel(t, "req-000001"); stateInReply(reply) != "cancelled" {
 			t.Fatalf("cancellation on the other controller: got %+v, want cancelled", reply)
 		}
-		item := svc.Keys[jobs.RecordKey("req-000001")]
+		item := stateService.Keys[jobs.RecordKey("req-000001")]
 		// The watch delivers the cancelled record.
-		controllerA.OnJobRecord(svc.Now, store.Item{Key: item.Key, Value: item.Value, Version: item.Version})
+		controllerA.OnJobRecord(stateService.Now, store.Item{Key: item.Key, Value: item.Value, Version: item.Version})
 	}
 	if reply := controllerA.submit(t, newSpec(1)); reply.Status != 200 || stateInReply(reply) != "cancelled" {
 		t.Errorf("submission: got %+v, want 200 and cancelled", reply)
@@ -75,8 +75,8 @@
 
 // Jobs that a leader can't keep in memory or the state service can't store are refused at once.
 func TestOversizedJobsAreRefused(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	large := func(n, tasks int) *jobs.Spec {
 		spec := newSpec(n)
 		spec.Tasks = tasks
@@ -119,8 +119,8 @@
 // A job that would be rejected, for instance for lack of licences, may have been accepted before or by another
 // controller. It is rejected only after a fresh read.
 func TestRejectionRequiresRead(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	spec := newSpec(1)
 	spec.Team = rejectedTeam
 	if reply := service.submit(t, spec); reply.Status != 422 {
@@ -128,20 +128,20 @@
 	}
 	record := jobs.EncodeRecord(jobs.Pending, 0, spec.Tasks, spec)
 	txn := fmt.Sprintf(`{"if":[],"apply":[{"set":%q,"data":%s}]}`, jobs.RecordKey(spec.ID), record)
-	svc.Serve(httpio.Request{Method: "POST", Path: "/txn", Body: []byte(txn)})
+	stateService.Serve(httpio.Request{Method: "POST", Path: "/txn", Body: []byte(txn)})
 	if reply := service.submit(t, spec); reply.Status != 200 || stateInReply(reply) != "pending" {
 		t.Fatalf("job that another controller accepted: got %+v, want 200 and pending", reply)
 	}
-	svc.Down = true
-	if reply := newTestService(svc).submit(t, spec); reply.Status != 503 {
+	stateService.Down = true
+	if reply := newTestService(stateService).submit(t, spec); reply.Status != 503 {
 		t.Fatalf("while the state service is down: got %+v, want 503", reply)
 	}
 }
 
 // An indeterminate outcome is resolved by a read: 200 and 201 are sent only if the record is stored.
 func TestIndeterminateOutcomeIsResolvedByRead(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	service.loseResponses = true
 	if reply := service.submit(t, newSpec(1)); reply.Status != 200 || service.storedVersion("req-000001") == 0 {
 		t.Fatalf("submission stored, response lost: got %+v, want 200 and a stored record", reply)
@@ -158,12 +158,12 @@
 // During an outage of the state service, requests that need a read or write are refused at once. Final states are
 // still returned.
 func TestStateServiceOutage(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	service.submit(t, newSpec(1))
 	service.submit(t, newSpec(2))
 	service.cancel(t, "req-000002")
-	svc.Down = true
+	stateService.Down = true
 	for name, reply := range map[string]Reply{
 		"submit":  service.submit(t, newSpec(3)),
 		"query":   service.query(t, "req-000001"),
@@ -177,9 +177,9 @@
 	if reply := service.query(t, "req-000002"); stateInReply(reply) != "cancelled" {
 		t.Errorf("status query of an ended job during an outage: got %+v, want cancelled", reply)
 	}
-	svc.Now += 10 * time.Second
+	stateService.Now += 10 * time.Second
 	requestsBefore := len(service.pendingRequests)
-	service.Submit(svc.Now, newSpec(4), func(reply Reply) {
+	service.Submit(stateService.Now, newSpec(4), func(reply Reply) {
 		if reply.Status != 503 {
 			t.Errorf("submission 10 s after the last success: got %+v, want 503", reply)
 		}
@@ -191,12 +191,12 @@
 
 // The queue of submissions is bounded, and every submission gets a reply.
 func TestSubmissionQueueIsBounded(t *testing.T) {
-	svc := state.New()
-	service := newTestService(svc)
+	stateService := state.New()
+	service := newTestService(stateService)
 	service.MaxBytes = 16 << 20 // so that only maxWaitingSubmissions limits the queue
 	replies := map[int]int{}
 	for i := range 3 * maxWaitingSubmissions {
-		service.Submit(svc.Now, newSpec(i), func(reply Reply) { replies[reply.Status]++ })
+		service.Submit(stateService.Now, newSpec(i), func(reply Reply) { replies[reply.Status]++ })
 	}
 	service.deliverAll()
 	accepted, refused := replies[201], replies[429]
@@ -204,7 +204,8 @@
 		t.Fatalf("got counts of replies by status %v, want 201 for at least a full queue and 429 for the others",
 			replies)
 	}
-	if len(svc.Keys) != accepted {
-		t.Fatalf("got %d stored records and %d accepted submissions, want equal numbers", len(svc.Keys), accepted)
+	if len(stateService.Keys) != accepted {
+		t.Fatalf("got %d stored records and %d accepted submissions, want equal numbers",
+			len(stateService.Keys), accepted)
 	}
 }
