--- a/internal/sessions/agentapi.go
+++ b/internal/sessions/agentapi.go
@@ -5,29 +5,29 @@
 	"fmt"
 )
 
-// Heartbeat is the status that a session's agent sends, as docs/sessions.md publishes it. Times are ages in seconds:
-// the agent's clock doesn't count.
+// Heartbeat is the status that a session's agent sends, in the format that docs/sessions.md publishes. All times are
+// ages in seconds, so that the agent's clock doesn't matter.
 type Heartbeat struct {
-	Attempt      uint64            `json:"attempt"` // of the task, as its worker was given it
-	Seq          uint64            `json:"seq"`     // increases with every heartbeat of an attempt
+	Attempt      uint64            `json:"attempt"` // the task's attempt number, which its worker was given
+	Seq          uint64            `json:"seq"`     // sequence number, increases with every heartbeat of an attempt
 	SinceInputS  float64           `json:"input_s"`
 	CellRunning  bool              `json:"cell"`
 	CellRunningS float64           `json:"cell_s"`
-	CPU          float64           `json:"cpu"`
-	GPU          float64           `json:"gpu"`
+	CPU          float64           `json:"cpu"` // cores in use
+	GPU          float64           `json:"gpu"` // accelerators in use
 	UnsavedMB    float64           `json:"unsaved_mb"`
-	Frozen       bool              `json:"frozen"`  // it takes no input until it is thawed
-	Fresh        bool              `json:"fresh"`   // it was not thawed yet since it started
-	ResumedFrom  string            `json:"resumed"` // the checkpoint it has resumed from, while fresh
+	Frozen       bool              `json:"frozen"`  // the session takes no input until it is thawed
+	Fresh        bool              `json:"fresh"`   // the agent has not been thawed since it started
+	ResumedFrom  string            `json:"resumed"` // the checkpoint that a fresh agent has resumed from
 	Checkpoint   *CheckpointResult `json:"save"`
 }
 
-// CheckpointResult is the outcome of a checkpoint. One that was ordered is repeated while the agent is frozen, one that
-// the agent made by itself (Order 0) until a response names it.
+// CheckpointResult is the outcome of a checkpoint. The agent repeats the result of an ordered checkpoint while it is
+// frozen. It repeats the result of a checkpoint that it made by itself (Order 0) until a response names its reference.
 type CheckpointResult struct {
 	Order uint64  `json:"order"`
 	OK    bool    `json:"ok"`
-	Cause string  `json:"why,omitempty"` // of a failure
+	Cause string  `json:"why,omitempty"` // of a failed checkpoint
 	Ref   string  `json:"ref,omitempty"`
 	MB    float64 `json:"mb,omitempty"`
 }
@@ -35,42 +35,43 @@
 // HeartbeatResponse is the response to an agent's heartbeat.
 type HeartbeatResponse struct {
 	State string `json:"state"`
-	// ReclaimInS is in how many seconds the checkpoint of a warned session is ordered; Cause is why it is reclaimed.
+	// ReclaimInS is the time until the checkpoint of a warned session is ordered, in seconds. Cause is why the session
+	// is reclaimed.
 	ReclaimInS *float64 `json:"reclaim_in_s,omitempty"`
 	Cause      string   `json:"why,omitempty"`
-	// CheckpointOrder orders the agent to save all work, freeze, and report the result with this number; 0: no order.
+	// CheckpointOrder is the id of an order to save all work, freeze, and report the result with this id; 0: no order.
 	CheckpointOrder uint64 `json:"save,omitempty"`
-	// Thaw lets a frozen agent go on.
+	// Thaw orders a frozen agent to continue.
 	Thaw bool `json:"thaw,omitempty"`
-	// ResumeFrom is the checkpoint to resume from. It is sent until the agent reports that it has resumed, and until
-	// then the agent isn't thawed.
+	// ResumeFrom is the checkpoint to resume from. It is sent until the agent reports that it has resumed; the agent
+	// is thawed only afterwards.
 	ResumeFrom string `json:"resume,omitempty"`
-	// CheckpointRef is the checkpoint that a next start would resume from.
+	// CheckpointRef is the stored checkpoint, from which the next start would resume; "": none.
 	CheckpointRef string `json:"kept,omitempty"`
-	// NextHeartbeatS is within how many seconds the next heartbeat is expected.
+	// NextHeartbeatS is the time within which the next heartbeat is expected, in seconds.
 	NextHeartbeatS float64 `json:"report_s"`
 }
 
-// Bounds of what a heartbeat may carry.
+// Bounds of the values in a heartbeat.
 const (
-	maxHeartbeatValue  = 1e8  // of ages, in seconds, and of amounts
-	maxHeartbeatString = 1000 // of references and causes, in bytes
+	maxHeartbeatValue  = 1e8  // of ages in seconds, and of amounts in their units
+	maxHeartbeatString = 1000 // of references and causes together, in bytes
 )
 
-// InvalidFieldError is the error for a heartbeat with a value that no agent would send.
+// InvalidFieldError is the error for a heartbeat with an invalid value.
 type InvalidFieldError struct {
-	Field   string // as it is named on the wire; several are joined by a word
+	Field   string // the name in the JSON object; several names are joined by "and" or "or"
 	Problem string
 }
 
-// Error returns the message, which the agent gets.
+// Error returns the message, which is sent to the agent.
 func (e *InvalidFieldError) Error() string { return e.Field + " " + e.Problem }
 
-// ParseHeartbeat reads an agent's heartbeat. It returns an *InvalidFieldError for values that no agent would send.
+// ParseHeartbeat decodes and checks an agent's heartbeat. It returns an *InvalidFieldError for an invalid value.
 func ParseHeartbeat(raw []byte) (Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := json.Unmarshal(raw, &heartbeat); err != nil {
-		return heartbeat, fmt.Errorf("not a report: %w", err)
+		return heartbeat, fmt.Errorf("malformed heartbeat: %w", err)
 	}
 	return heartbeat, heartbeat.validate()
 }
@@ -91,7 +92,7 @@
 		}
 	}
 	if h.Attempt == 0 || h.Seq == 0 {
-		return &InvalidFieldError{Field: "attempt and seq", Problem: "must be there"}
+		return &InvalidFieldError{Field: "attempt and seq", Problem: "must be set"}
 	}
 	isTooLong := len(h.ResumedFrom) > maxHeartbeatString
 	if h.Checkpoint != nil && len(h.Checkpoint.Ref)+len(h.Checkpoint.Cause) > maxHeartbeatString {
--- a/internal/sessions/agentapi_test.go
+++ b/internal/sessions/agentapi_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// A heartbeat with a value that no agent would send is refused, and the error names the field.
-func TestInvalidHeartbeatsAreRefusedByField(t *testing.T) {
+// A heartbeat with an invalid value is refused with an error that names the field.
+func TestParseHeartbeatNamesInvalidField(t *testing.T) {
 	tooLong := strings.Repeat("x", maxHeartbeatString+1)
 	for _, c := range []struct {
 		name, body string
-		field      string // "": accepted
+		field      string // that the error names, "": no error
 	}{
-		{"smallest", `{"attempt":1,"seq":1}`, ""},
-		{"largest value", `{"attempt":1,"seq":1,"input_s":1e8}`, ""},
+		{"required fields only", `{"attempt":1,"seq":1}`, ""},
+		{"largest age", `{"attempt":1,"seq":1,"input_s":1e8}`, ""},
 		{"negative age", `{"attempt":1,"seq":1,"cell_s":-1}`, "cell_s"},
 		{"amount too large", `{"attempt":1,"seq":1,"unsaved_mb":1e9}`, "unsaved_mb"},
 		{"no attempt", `{"seq":1}`, "attempt and seq"},
@@ -32,7 +32,7 @@
 			}
 			var invalid *InvalidFieldError
 			if !errors.As(err, &invalid) || invalid.Field != c.field {
-				t.Errorf("error %v doesn't name %s", err, c.field)
+				t.Errorf("got error %v, want an InvalidFieldError for %q", err, c.field)
 			}
 		})
 	}
--- a/internal/sessions/errors.go
+++ b/internal/sessions/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Reason is why a request about a session is refused. The caller chooses the HTTP status by it.
+// Reason is why a request about a session is refused. The caller derives the HTTP status from it.
 type Reason uint8
 
 // The reasons of refusals.
 const (
-	// NotAuthorized: there is no such session, or the token isn't its own.
+	// NotAuthorized: there is no such session, or the token isn't the session's.
 	NotAuthorized Reason = iota + 1
-	// Conflict: the session's state, another session or a limit rules the request out.
+	// Conflict: the session's state, another job or session, or a limit rules out the request.
 	Conflict
-	// Ended: the session is closed for good.
+	// Ended: the session is closed and can't be reopened.
 	Ended
 	// TooFrequent: the request came too soon after the last of its kind.
 	TooFrequent
@@ -30,7 +30,7 @@
 // String returns the reason's name.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Error is the refusal of a request. Its message is for the client.
+// Error is the refusal of a request. Its message is sent to the client.
 type Error struct {
 	Reason  Reason
 	Message string
@@ -43,8 +43,8 @@
 	return &Error{Reason: reason, Message: fmt.Sprintf(format, args...)}
 }
 
-// notAuthorized is one error for sessions that don't exist and for those of other users, so that a guess reveals no
-// ids.
+// notAuthorized returns the same error for a session that doesn't exist and for another user's session, so that a
+// guess doesn't reveal which ids exist.
 func notAuthorized() error {
-	return refuse(NotAuthorized, "no such session, or the token is not its own")
+	return refuse(NotAuthorized, "no such session, or the token is not the session's")
 }
--- a/internal/sessions/explain.go
+++ b/internal/sessions/explain.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// explanation collects the sentences that explain a session's state at a moment.
+// explanation collects the sentences that explain a session's state at one time.
 type explanation struct {
-	now   time.Duration
-	wall  time.Time
+	now   time.Duration // steady clock
+	wall  time.Time     // time of day at now
 	lines []string
 }
 
@@ -16,16 +16,16 @@
 	e.lines = append(e.lines, fmt.Sprintf(format, args...))
 }
 
-// later describes a later time, from now and by the time of day.
-func (e *explanation) later(at time.Duration) string {
+// timeUntil returns a timeUntil time as text: the duration from now, and the time of day.
+func (e *explanation) timeUntil(at time.Duration) string {
 	timeOfDay := e.wall.Add(at - e.now).UTC().Format("15:04:05 MST")
 	return fmt.Sprintf("%s, at %s", wholeSeconds(max(0, at-e.now)), timeOfDay)
 }
 
 func wholeSeconds(d time.Duration) string { return d.Round(time.Second).String() }
 
-// Explain returns sentences on why a session is or isn't going to be reclaimed, and when; ok is false if there is no
-// session of that id.
+// Explain returns sentences that explain whether, why and when a session will be reclaimed. ok is false if there is no
+// session with that id.
 func (m *Manager) Explain(now time.Duration, id string) (lines []string, ok bool) {
 	s := m.byID[id]
 	if s == nil {
@@ -37,7 +37,7 @@
 		s.state, wholeSeconds(now-s.stateSince), limits.Source, limits.Rule.text)
 	switch s.state {
 	case Opening, Lost:
-		e.add("Its agent has not been heard since it started, so nothing is decided about it.")
+		e.add("No heartbeat of its current task has arrived, so it is not reclaimed.")
 	case Reclaimed:
 		e.add("It was reclaimed; what was saved (%s) is resumed when its user attaches.", s.record.Checkpoint.Ref)
 	case Active:
@@ -47,15 +47,16 @@
 	case Idle:
 		e.explainIdle(s, limits)
 	case Warned:
-		e.add("It was warned, since %s; its work is saved and it is reclaimed in %s, unless it is used before.",
-			s.reclaim.cause, e.later(s.stateSince+m.Policies.WarningTime))
+		e.add("It was warned, cause: %s; its work is saved and it is reclaimed in %s unless it is used before.",
+			s.reclaim.cause, e.timeUntil(s.stateSince+m.Policies.WarningTime))
 	case Checkpointing:
-		e.add("Its work is being saved, since %s; if that takes until %s, it is not reclaimed.",
-			s.reclaim.cause, e.later(s.stateSince+m.Policies.CheckpointTimeout))
+		e.add("Its work is being saved, cause: %s; if that is not done in %s, it is not reclaimed.",
+			s.reclaim.cause, e.timeUntil(s.stateSince+m.Policies.CheckpointTimeout))
 	}
-	unheardFor := now - s.agent.lastHeardAt
-	if unheardFor > m.Policies.UnheardTimeout && s.state != Reclaimed && s.state != Opening && s.state != Lost {
-		e.add("Its agent has not been heard for %s: it is not reclaimed on doubt.", wholeSeconds(unheardFor))
+	sinceHeartbeat := now - s.agent.lastHeartbeatAt
+	if sinceHeartbeat > m.Policies.UnheardTimeout && s.state != Reclaimed && s.state != Opening && s.state != Lost {
+		e.add("No heartbeat has arrived for %s: it is not reclaimed while its state is unknown.",
+			wholeSeconds(sinceHeartbeat))
 	}
 	return e.lines, true
 }
@@ -64,22 +65,22 @@
 func (e *explanation) explainIdle(s *session, limits Limits) {
 	noWarningBefore := s.reclaim.noWarningBefore
 	if e.now < noWarningBefore {
-		e.add("Its last save failed (%d in a row): no warning before another try in %s.",
-			s.reclaim.failedCheckpoints, e.later(noWarningBefore))
+		e.add("Its last checkpoint failed (%d in a row); it is not warned again for %s.",
+			s.reclaim.failedCheckpoints, e.timeUntil(noWarningBefore))
 	}
 	if limits.IdleLimit == 0 {
-		e.add("Its policy sets no limit to idleness.")
+		e.add("Its policy sets no idle limit.")
 	} else {
-		e.add("It will be warned at the latest in %s, when it has been idle for %s.",
-			e.later(max(s.stateSince+limits.IdleLimit, noWarningBefore)), wholeSeconds(limits.IdleLimit))
+		e.add("It will be warned in %s at the latest; its idle limit is %s.",
+			e.timeUntil(max(s.stateSince+limits.IdleLimit, noWarningBefore)), wholeSeconds(limits.IdleLimit))
 	}
 	switch {
 	case limits.ContendedLimit < 0:
-		e.add("It is not reclaimed for others who wait.")
+		e.add("It is not reclaimed for other jobs that wait.")
 	case e.now-s.stateSince < limits.ContendedLimit:
-		e.add("From %s on it is warned as soon as somebody waits for what it holds.",
-			e.later(s.stateSince+limits.ContendedLimit))
+		e.add("In %s it can be warned as soon as another job waits for resources that it holds.",
+			e.timeUntil(s.stateSince+limits.ContendedLimit))
 	default:
-		e.add("It is warned as soon as somebody waits for what it holds; nobody does.")
+		e.add("It is warned as soon as another job waits for resources that it holds; none does now.")
 	}
 }
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -16,7 +16,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// The seed is fixed, so that every run has the same result.
+// TestMain sets a fixed seed, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -34,60 +34,60 @@
 	agentToken = "agent"
 )
 
-// fakeAgent is the model of an agent and of its user's work, which is counted in steps.
+// fakeAgent is a model of an agent and of its user's work, which is counted in steps.
 type fakeAgent struct {
-	attempt, seq     uint64
-	work, saved      int // steps done, and of them saved
-	cellSince        time.Duration
-	lastInputAt      time.Duration
-	frozen           bool
-	checkpoint       *CheckpointResult // of an order
-	resumedFrom      string
-	fresh            bool
-	agentCheckpoint  string // the newest that it made by itself
-	storedCheckpoint string // the newest that the controller has confirmed
-}
-
-// harness is a manager with a user, an agent, a fleet and a state service that a test advances.
+	attempt, seq          uint64
+	stepsDone, stepsSaved int           // steps done, steps saved
+	cellSince             time.Duration // start of the running cell, 0: none
+	lastInputAt           time.Duration
+	frozen                bool
+	checkpoint            *CheckpointResult // result of the last ordered checkpoint
+	resumedFrom           string
+	fresh                 bool
+	agentCheckpoint       string // newest checkpoint that the agent made by itself
+	storedCheckpoint      string // stored checkpoint by the newest response
+}
+
+// harness is a manager with models of a user, an agent, a fleet and a state service, which a test advances.
 type harness struct {
 	t           fataler
 	now         time.Duration
 	manager     *Manager
 	term        uint64
 	jobTable    *jobs.Table
-	agent       *fakeAgent // of the attempt that runs, nil: none
+	agent       *fakeAgent // of the running attempt, nil: none
 	lastAttempt uint64
 
 	store      map[string]store.Item
 	revision   uint64
-	commits    []func(commitOutcome) // in flight
-	lateWrites []func()              // their response is lost, and they weren't applied yet
+	commits    []func(commitOutcome) // transactions in flight
+	lateWrites []func()              // transactions without a response that aren't applied yet
 
 	taskIsStopping    bool
 	isSuspended       bool
 	isContended       bool
-	suspensions       int
-	workByCheckpoint  map[string]int
+	suspensions       int            // number of calls that suspend the job
+	stepsByCheckpoint map[string]int // steps saved in each checkpoint, by its reference
 	delayedHeartbeats []Heartbeat
 }
 
-// fataler is what the harness needs of *testing.T, *testing.B and *rapid.T.
+// fataler holds the methods of *testing.T, *testing.B and *rapid.T that the harness uses.
 type fataler interface {
 	Fatalf(string, ...any)
 	Helper()
 }
 
-// commitOutcome is what happens to a transaction in flight.
+// commitOutcome is the simulated outcome of a transaction in flight.
 type commitOutcome int
 
 const (
-	commitApplied    commitOutcome = iota // and answered
-	commitNotApplied                      // and answered
+	commitApplied    commitOutcome = iota // applied, and the response arrives
+	commitNotApplied                      // not applied, and the response arrives
 	commitUnanswered                      // applied, but the response is lost
 	commitLost                            // the response is lost, and it may be applied later
 )
 
-// storeOutcomes are the outcomes as the manager gets them.
+// storeOutcomes maps each simulated outcome to the outcome that the manager gets.
 var storeOutcomes = [...]store.Outcome{
 	commitApplied:    store.Committed,
 	commitNotApplied: store.NotApplied,
@@ -95,7 +95,7 @@
 	commitLost:       store.Indeterminate,
 }
 
-// outcome is the outcome of a user's request: accepted, or the reason of its refusal.
+// outcome is the outcome of a user's request: no reply yet, created, accepted, or the reason of its refusal.
 type outcome string
 
 const (
@@ -127,7 +127,7 @@
 }
 
 func newHarness(t fataler, policies *Policies) *harness {
-	h := &harness{t: t, store: map[string]store.Item{}, workByCheckpoint: map[string]int{}, now: time.Hour}
+	h := &harness{t: t, store: map[string]store.Item{}, stepsByCheckpoint: map[string]int{}, now: time.Hour}
 	h.startTerm(policies)
 	return h
 }
@@ -160,14 +160,14 @@
 	}
 }
 
-// testSpec returns the job of a session.
+// testSpec returns the specification of a session's job.
 func testSpec(id, team string) *jobs.Spec {
 	return &jobs.Spec{
 		ID: id, Class: "c", Team: team, Kind: jobs.Service, Priority: "standard", Tasks: 1, CPUs: 1, Image: "i",
 	}
 }
 
-// testRequest returns a request to open a session of the test's user.
+// testRequest returns a request of the test's user to open a session.
 func testRequest(token string) *Request {
 	return &Request{
 		Spec:             testSpec(id, team),
@@ -177,11 +177,11 @@
 	}
 }
 
-// startTerm replaces the manager by a new leader's, which loads what is stored.
+// startTerm replaces the manager by that of a new leader, which loads the stored records.
 func (h *harness) startTerm(policies *Policies) {
 	h.term++
 	h.commits = nil
-	h.isSuspended = false // the new term's fleet suspends what the manager asks it to
+	h.isSuspended = false // the manager of the new term suspends the job again if needed
 	h.jobTable = jobs.NewTable(0)
 	var items []store.Item
 	for key, item := range h.store {
@@ -231,7 +231,7 @@
 	return Task{OnMachine: true, Stopping: h.taskIsStopping, Attempt: h.agent.attempt}
 }
 
-// finishCommit carries a transaction out. One of an earlier term fails at its guard.
+// finishCommit ends a transaction with an outcome. A transaction of an earlier term is never applied.
 func (h *harness) finishCommit(m *Manager, txn store.Txn, outcome commitOutcome, done func(store.Result)) {
 	if m != h.manager {
 		return
@@ -253,7 +253,7 @@
 	done(store.Result{Outcome: storeOutcomes[outcome], Revision: h.revision})
 }
 
-// finishCommits carries out all transactions in flight, and those that they cause.
+// finishCommits ends all transactions in flight, and those that they cause, with an outcome.
 func (h *harness) finishCommits(outcome commitOutcome) {
 	for len(h.commits) > 0 {
 		commit := h.commits[0]
@@ -262,7 +262,7 @@
 	}
 }
 
-// failedKeys returns the keys whose conditions don't hold.
+// failedKeys returns the keys of a transaction's conditions that don't hold.
 func (h *harness) failedKeys(txn store.Txn) []string {
 	var keys []string
 	for _, condition := range txn.If {
@@ -273,7 +273,7 @@
 	return keys
 }
 
-// apply carries out a transaction if its conditions hold.
+// apply applies a transaction if all its conditions hold, and reports whether they do.
 func (h *harness) apply(txn store.Txn) bool {
 	if len(h.failedKeys(txn)) > 0 {
 		return false
@@ -289,7 +289,7 @@
 	return true
 }
 
-// applyLateWrites carries out the writes whose responses were lost.
+// applyLateWrites applies the transactions whose responses were lost.
 func (h *harness) applyLateWrites() {
 	for _, apply := range h.lateWrites {
 		apply()
@@ -297,8 +297,8 @@
 	h.lateWrites = nil
 }
 
-// suspend is the fleet's side. It checks the package's main guarantee: a session is stopped only when nothing runs in
-// it and all its work is saved, durably.
+// suspend is the fleet's part of Env.Suspend. It checks the main guarantee of the package: a session is stopped only
+// when no cell is running and all its work is saved in a durably recorded checkpoint.
 func (h *harness) suspend(suspended bool) {
 	h.isSuspended = suspended
 	if !suspended {
@@ -308,20 +308,21 @@
 	var record Record
 	err := json.Unmarshal(h.store[Key(id)].Value, &record)
 	if err != nil || !record.Reclaimed || record.Checkpoint == nil {
-		h.t.Fatalf("suspended with the record %+v", record)
+		h.t.Fatalf("suspended with the stored record %+v, want it Reclaimed with a checkpoint", record)
 	}
 	if h.agent == nil {
 		return
 	}
 	agent := *h.agent
-	durable := h.workByCheckpoint[record.Checkpoint.Ref]
-	if !agent.frozen || agent.cellSince > 0 || agent.work != agent.saved || agent.work > durable {
-		h.t.Fatalf("suspended with %+v, saved %d", agent, durable)
+	durableSteps := h.stepsByCheckpoint[record.Checkpoint.Ref]
+	if !agent.frozen || agent.cellSince > 0 || agent.stepsDone != agent.stepsSaved || agent.stepsDone > durableSteps {
+		h.t.Fatalf("suspended with agent %+v and %d durable steps, want it frozen without a cell and with all steps durable",
+			agent, durableSteps)
 	}
 	h.taskIsStopping = true
 }
 
-// newHarnessInUse returns a harness with an open session whose agent has sent heartbeats for two seconds.
+// newHarnessInUse returns a harness with an open session whose agent has sent heartbeats for 2 seconds.
 func newHarnessInUse(t fataler) *harness {
 	h := newHarness(t, testPolicies(t))
 	h.openSession()
@@ -330,7 +331,7 @@
 	return h
 }
 
-// cancelJob has the table of jobs show that the session's job was cancelled otherwise.
+// cancelJob cancels the session's job in the table of jobs, without closing the session.
 func (h *harness) cancelJob() {
 	job := h.jobTable.Get(id)
 	h.revision++
@@ -343,11 +344,11 @@
 	h.manager.Open(h.now, testRequest(userToken), func(r Result, err error) { status = outcomeOf(r, err) })
 	h.finishCommits(commitApplied)
 	if status != created {
-		h.t.Fatalf("%s", status)
+		h.t.Fatalf("open: got %s, want created", status)
 	}
 }
 
-// startTask starts the task on some machine, from what was saved. It stays frozen until its first response.
+// startTask starts a new attempt of the task. Its agent stays frozen until a response thaws it.
 func (h *harness) startTask() {
 	h.lastAttempt++
 	h.agent = &fakeAgent{attempt: h.lastAttempt, lastInputAt: h.now, frozen: true, fresh: true}
@@ -367,7 +368,7 @@
 		Attempt:     agent.attempt,
 		Seq:         agent.seq,
 		SinceInputS: (h.now - agent.lastInputAt).Seconds(),
-		UnsavedMB:   float64(agent.work - agent.saved),
+		UnsavedMB:   float64(agent.stepsDone - agent.stepsSaved),
 		Frozen:      agent.frozen,
 		Checkpoint:  agent.checkpoint,
 		ResumedFrom: agent.resumedFrom,
@@ -397,8 +398,8 @@
 	}
 	agent.storedCheckpoint = response.CheckpointRef
 	if response.ResumeFrom != "" {
-		agent.work = h.workByCheckpoint[response.ResumeFrom]
-		agent.saved = agent.work
+		agent.stepsDone = h.stepsByCheckpoint[response.ResumeFrom]
+		agent.stepsSaved = agent.stepsDone
 		agent.resumedFrom = response.ResumeFrom
 	}
 	if response.Thaw {
@@ -412,33 +413,33 @@
 	}
 }
 
-// saveAndFreeze carries out an ordered checkpoint; it fails while a cell is running.
+// saveAndFreeze executes an ordered checkpoint, which fails while a cell is running.
 func (h *harness) saveAndFreeze(order uint64) {
 	agent := h.agent
 	agent.checkpoint = &CheckpointResult{Order: order}
 	if agent.cellSince > 0 {
-		agent.checkpoint.Cause = "a cell runs"
+		agent.checkpoint.Cause = "a cell is running"
 		return
 	}
-	ref := fmt.Sprintf("%d-%d-%d", agent.attempt, order, agent.work)
-	h.workByCheckpoint[ref] = agent.work
-	agent.saved = agent.work
+	ref := fmt.Sprintf("%d-%d-%d", agent.attempt, order, agent.stepsDone)
+	h.stepsByCheckpoint[ref] = agent.stepsDone
+	agent.stepsSaved = agent.stepsDone
 	agent.frozen = true
 	agent.checkpoint.OK = true
 	agent.checkpoint.Ref = ref
 }
 
-// respondTo sends a heartbeat and returns the response, on which the agent doesn't act.
+// respondTo sends a heartbeat and returns the response without applying it to the agent.
 func (h *harness) respondTo(heartbeat Heartbeat) HeartbeatResponse {
 	h.t.Helper()
 	response, err := h.manager.HandleHeartbeat(h.now, id, agentToken, heartbeat)
 	if err != nil {
-		h.t.Fatalf("%v", err)
+		h.t.Fatalf("heartbeat: got error %v, want none", err)
 	}
 	return response
 }
 
-// heartbeatWithoutResponse sends a heartbeat whose response the agent doesn't act on.
+// heartbeatWithoutResponse sends a heartbeat and ignores the response.
 func (h *harness) heartbeatWithoutResponse(heartbeat Heartbeat) {
 	_, _ = h.manager.HandleHeartbeat(h.now, id, agentToken, heartbeat)
 }
@@ -451,7 +452,7 @@
 	}
 }
 
-// advanceWithHeartbeats moves the clock while the agent sends heartbeats and nothing fails.
+// advanceWithHeartbeats moves the clock while the agent sends heartbeats and all writes are applied.
 func (h *harness) advanceWithHeartbeats(by time.Duration) {
 	for end := h.now + by; h.now < end; {
 		h.advance(time.Second)
@@ -460,7 +461,7 @@
 		}
 		h.finishCommits(commitApplied)
 		if h.taskIsStopping {
-			h.endTask() // the worker has stopped it
+			h.endTask() // the worker has stopped the task
 		}
 		if h.agent == nil && !h.isSuspended && h.store[Key(id)].Version != 0 {
 			h.startTask()
--- a/internal/sessions/heartbeat.go
+++ b/internal/sessions/heartbeat.go
@@ -6,11 +6,11 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// endingState is the state in responses to the agent of a task that is being stopped.
+// endingState is the value of HeartbeatResponse.State for the agent of a task that is being stopped.
 const endingState = "ending"
 
-// HandleHeartbeat applies a heartbeat of a session's agent and returns the response. It fails with an *Error if there
-// is no such session, the token isn't its agent's, or the heartbeat isn't the newest of the attempt that runs.
+// HandleHeartbeat applies a heartbeat of a session's agent and returns the response. It returns an *Error if there is
+// no such session, if the token isn't its agent's, or if the heartbeat isn't the newest one of the running attempt.
 func (m *Manager) HandleHeartbeat(
 	now time.Duration,
 	id, token string,
@@ -27,25 +27,25 @@
 	agent := &s.agent
 	isNewAttempt := heartbeat.Attempt != agent.attempt
 	if heartbeat.Attempt < agent.attempt || (!isNewAttempt && heartbeat.Seq <= agent.heartbeatSeq) {
-		return HeartbeatResponse{}, refuse(Conflict, "a newer report was heard")
+		return HeartbeatResponse{}, refuse(Conflict, "a newer heartbeat has arrived")
 	}
 	task := m.TaskOf(job)
 	if !task.OnMachine || (task.Attempt != 0 && task.Attempt != heartbeat.Attempt) {
-		return HeartbeatResponse{}, refuse(Conflict, "this attempt is not the one that runs")
+		return HeartbeatResponse{}, refuse(Conflict, "this attempt is not the running one")
 	}
 	if task.Stopping {
 		return m.respondToEnding(now, s, heartbeat), nil
 	}
 	if s.writePending && isNewAttempt {
-		// Its machine was lost during a write, perhaps the one that reclaims the session. Until its outcome is
-		// determined the new process stays frozen, as it started.
+		// The earlier attempt's machine was lost during a write, perhaps the write that reclaims the session. The new
+		// process starts frozen, and stays so until the outcome of the write is determined.
 		return HeartbeatResponse{
 			State:          s.state.String(),
 			NextHeartbeatS: urgentHeartbeatInterval.Seconds(),
 		}, nil
 	}
 	if isNewAttempt && agent.attempt != 0 && s.state.isRunning() {
-		s.setState(now, Lost, "another attempt runs")
+		s.setState(now, Lost, "another attempt is running")
 	}
 	s.applyHeartbeat(now, heartbeat)
 	if s.state == Opening || s.state == Lost {
@@ -54,8 +54,8 @@
 	return m.respond(now, s, job, heartbeat), nil
 }
 
-// respondToEnding handles the heartbeat of a task that is being stopped. Its agent must not be thawed for a user who
-// returns meanwhile, but its last checkpoint counts.
+// respondToEnding handles the heartbeat of a task that is being stopped. The agent must not be thawed, even if the user
+// returns meanwhile, but its last checkpoint is stored.
 func (m *Manager) respondToEnding(now time.Duration, s *session, heartbeat Heartbeat) HeartbeatResponse {
 	s.agent.attempt = heartbeat.Attempt
 	s.agent.heartbeatSeq = heartbeat.Seq
@@ -67,12 +67,12 @@
 	}
 }
 
-// applyHeartbeat takes over the agent's status.
+// applyHeartbeat replaces the agent's status by the one in its heartbeat.
 func (s *session) applyHeartbeat(now time.Duration, heartbeat Heartbeat) {
 	s.agent = agentStatus{
-		attempt:      heartbeat.Attempt,
-		heartbeatSeq: heartbeat.Seq,
-		lastHeardAt:  now,
+		attempt:         heartbeat.Attempt,
+		heartbeatSeq:    heartbeat.Seq,
+		lastHeartbeatAt: now,
 		// The user's return counts as input.
 		lastInputAt: max(now-jobs.Seconds(heartbeat.SinceInputS), s.user.returnedAt),
 		cpu:         heartbeat.CPU,
@@ -84,7 +84,7 @@
 	}
 }
 
-// respond makes the changes of state that follow from a heartbeat, and returns the response.
+// respond applies the state transitions that follow from a heartbeat, and returns the response.
 func (m *Manager) respond(now time.Duration, s *session, job *jobs.Job, heartbeat Heartbeat) HeartbeatResponse {
 	response := HeartbeatResponse{NextHeartbeatS: heartbeatInterval.Seconds()}
 	if heartbeat.Fresh && heartbeat.ResumedFrom != s.checkpointRef() {
@@ -111,8 +111,8 @@
 			response.CheckpointOrder = s.reclaim.checkpointOrder
 		}
 	}
-	// While the outcome of a reclaim is indeterminate the agent stays frozen: the session is then either suspended, or
-	// thawed by the next response.
+	// The agent stays frozen while the outcome of a reclaim is indeterminate. Afterwards the session is either suspended,
+	// or thawed by the next response.
 	response.Thaw = heartbeat.Frozen &&
 		response.ResumeFrom == "" &&
 		!s.writePending &&
@@ -133,8 +133,8 @@
 	}
 }
 
-// storeAgentCheckpoint records a checkpoint that the agent made by itself, to resume from when its machine is lost.
-// The writes are rate-limited; the last one is written at once.
+// storeAgentCheckpoint stores a checkpoint that the agent made by itself: the session resumes from it if the machine is
+// lost. The writes are rate-limited, except for the last one of a task that is being stopped (isLast).
 func (m *Manager) storeAgentCheckpoint(now time.Duration, s *session, heartbeat Heartbeat, isLast bool) {
 	result := heartbeat.Checkpoint
 	if result == nil || result.Order != 0 || !result.OK || result.Ref == "" || result.Ref == s.checkpointRef() {
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -1,11 +1,12 @@
 // Package sessions manages interactive sessions: jobs of one task that a user opens, attaches to and leaves, and that
 // are reclaimed when idle, after a warning and with a checkpoint of the work.
 //
-// It owns the sessions' activity and records, and decides when a session is warned, checkpointed and reclaimed. It
-// never places or stops a task: it asks the fleet to suspend a job once its work is durable and its agent has frozen
-// it, and to resume it. A session whose agent is unheard is never reclaimed.
+// The package owns the sessions' activity and records, and decides when a session is warned, checkpointed and
+// reclaimed. It never places or stops a task itself: the fleet suspends a session's job once the work is durable and
+// the agent has frozen the session, and later resumes the job. A session whose heartbeats are overdue is never
+// reclaimed.
 //
-// A Manager lives for one term of one leader, on the leader's event loop, and does no I/O. The controller calls it.
+// A Manager serves one term of one leader. The controller calls it on the leader's event loop. It does no I/O.
 package sessions
 
 import (
@@ -20,33 +21,33 @@
 
 // Task is the fleet's state of a session's task.
 type Task struct {
-	OnMachine bool   // it counts as being on a machine
-	Stopping  bool   // it was ordered to stop
-	Attempt   uint64 // 0: unknown
+	OnMachine bool   // the fleet counts the task as being on a machine
+	Stopping  bool   // the task was ordered to stop
+	Attempt   uint64 // the number of the attempt on the machine, 0: unknown
 }
 
-// Env is what a Manager needs of its surroundings. All functions are called on the event loop.
+// Env holds the dependencies of a Manager. All functions are called on the event loop.
 type Env struct {
 	Policies *Policies
 	Jobs     *jobs.Table
-	// Now returns the steady time, for callbacks that run later than the call that caused them.
+	// Now returns the time of the leader's steady clock, for callbacks that run after the call that started them.
 	Now func() time.Duration
-	// Wall returns the time of day at a steady time.
+	// Wall returns the time of day at a time of the steady clock.
 	Wall func(now time.Duration) time.Time
-	// Commit sends one transaction, guarded by the leader's key. The callback runs on the event loop.
+	// Commit sends one transaction, with the condition on the leader's key added. The callback runs on the event loop.
 	Commit func(store.Txn, func(store.Result))
 	// Read reads one key again after a write with an indeterminate outcome.
 	Read func(key string, done func(store.Item, error))
-	// OnJobRecord is called with each record of a job that the manager has written.
+	// OnJobRecord is called with each job record that the manager has written.
 	OnJobRecord func(now time.Duration, item store.Item)
-	// OnUnreadable is called with each record that can't be read; it may be nil.
+	// OnUnreadable is called with each session record that can't be decoded; it may be nil.
 	OnUnreadable func(key string, raw json.RawMessage, cause error)
 	// TaskOf returns the state of a session's task.
 	TaskOf func(*jobs.Job) Task
-	// Suspend stops a job's task and keeps it from being placed, or lets it run again.
+	// Suspend stops a job's task and prevents its placement, or, if suspended is false, allows it to run again.
 	Suspend func(now time.Duration, job *jobs.Job, suspended bool)
-	// WaitingFor returns which job waits for what each of some sessions' jobs holds, "" for none. It names no more
-	// than are needed to serve the jobs that wait.
+	// WaitingFor returns, for each of some sessions' jobs, the id of a job that waits for resources that it holds, or
+	// "". It returns ids for no more holders than have to be reclaimed to serve the waiting jobs.
 	WaitingFor func(now time.Duration, holders []*jobs.Job) []string
 }
 
@@ -54,41 +55,41 @@
 type Manager struct {
 	Env
 	term           uint64
-	lastOrder      uint64 // the counter in the ids of orders and attachments
+	idCounter      uint64 // the counter in the newest id of an order or attachment
 	byID           map[string]*session
 	queue          queue
-	sessionsByUser map[string]int // reclaimed ones included
-	sessionsByTeam map[string]int // without reclaimed ones
+	sessionsByUser map[string]int // reclaimed sessions included
+	sessionsByTeam map[string]int // without reclaimed sessions
 
-	// Opens whose write is in flight count against the limits too.
+	// Sessions whose first write is in flight also count against the limits.
 	pendingOpensByUser map[string]int
 	pendingOpensByTeam map[string]int
 
 	contentionCheckedAt  time.Duration
 	contentionCandidates []*session // reused by each tick
-	rereads              []reread   // by time
+	rereads              []reread   // the earliest first
 }
 
 // Timing.
 const (
-	heartbeatInterval       = 5 * time.Second // of agents
-	urgentHeartbeatInterval = time.Second     // of agents of sessions that are warned or checkpointing
+	heartbeatInterval       = 5 * time.Second // between heartbeats of an agent
+	urgentHeartbeatInterval = time.Second     // while the session is warned or checkpointing
 	minHeartbeatInterval    = 200 * time.Millisecond
-	checkInterval           = 30 * time.Second // of sessions for which nothing is due earlier
+	checkInterval           = 30 * time.Second // of a session that isn't scheduled earlier
 	contentionCheckInterval = time.Second
-	minKeepAliveInterval    = time.Second      // of a session's accepted keep-alives
-	agentCheckpointInterval = 10 * time.Second // of writes of checkpoints that an agent makes by itself, but the last
+	minKeepAliveInterval    = time.Second      // between accepted keep-alives of a session
+	agentCheckpointInterval = 10 * time.Second // between stored checkpoints that an agent made by itself, except the last
 	maxCheckpointBackoff    = time.Hour
 	maxBackoffDoublings     = 10
 	rereadDelay             = 300 * time.Millisecond
 	writeRetryDelay         = time.Second
 )
 
-// orderBits is the width of the counter in ids of orders and attachments; the term is above it, so that ids increase
-// over terms.
-const orderBits = 20
+// idCounterBits is the width of the counter in the low bits of an id of an order or attachment. The term is in the high
+// bits, so that the ids increase from term to term.
+const idCounterBits = 20
 
-// New returns the manager of a term.
+// New returns the manager for a term, without any sessions.
 func New(env Env, term uint64) *Manager {
 	return &Manager{
 		Env:                env,
@@ -101,8 +102,8 @@
 	}
 }
 
-// Load takes over the records of earlier terms. The jobs of reclaimed sessions are suspended before anything is
-// planned. Other activity is reported again by the agents, and warnings begin anew.
+// Load restores the sessions from the stored records and suspends the jobs of reclaimed sessions. The caller must call
+// it before any task is planned. Activity isn't stored: the agents report it again, and warnings start again.
 func (m *Manager) Load(now time.Duration, items []store.Item) {
 	for _, item := range items {
 		id := strings.TrimPrefix(item.Key, Prefix)
@@ -123,8 +124,8 @@
 	slog.Info("sessions loaded", "term", m.term, "sessions", len(m.byID))
 }
 
-// quarantine handles a record that can't be read. Whether the session was reclaimed is unknown: its running task goes
-// on, and no task is started.
+// quarantine handles a record that can't be decoded. As it is unknown whether the session was reclaimed, a running task
+// is left running, and no task is started.
 func (m *Manager) quarantine(id string, item store.Item, cause error) {
 	if job := m.Jobs.Get(id); job != nil {
 		job.Quarantined = true
@@ -134,7 +135,7 @@
 	}
 }
 
-// Exists reports whether a session of that id is recorded.
+// Exists reports whether there is a session with an id.
 func (m *Manager) Exists(id string) bool { return m.byID[id] != nil }
 
 // add adds a session in the state Opening.
@@ -145,7 +146,7 @@
 		version:    version,
 		state:      Opening,
 		stateSince: now,
-		agent:      agentStatus{lastInputAt: now, lastHeardAt: now},
+		agent:      agentStatus{lastInputAt: now, lastHeartbeatAt: now},
 		queueIndex: -1,
 	}
 	m.byID[id] = s
@@ -155,7 +156,7 @@
 	return s
 }
 
-// remove removes a session that has ended, once that is durable.
+// remove removes a session whose end is durable.
 func (m *Manager) remove(now time.Duration, s *session) {
 	if m.byID[s.id] != s {
 		return
@@ -169,7 +170,7 @@
 	delete(m.byID, s.id)
 }
 
-// Tick advances the sessions that are due. The controller calls it several times a second.
+// Tick advances the sessions that are scheduled until now. The controller calls it several times a second.
 func (m *Manager) Tick(now time.Duration) {
 	for len(m.rereads) > 0 && m.rereads[0].at <= now {
 		write := m.rereads[0].write
@@ -184,8 +185,8 @@
 	m.warnContended(now)
 }
 
-// nextOrderID returns a new id for an order or an attachment, larger than all earlier ones of any term.
-func (m *Manager) nextOrderID() uint64 {
-	m.lastOrder++
-	return m.term<<orderBits | m.lastOrder
+// nextID returns a new id for an order or an attachment, larger than all earlier ids of any term.
+func (m *Manager) nextID() uint64 {
+	m.idCounter++
+	return m.term<<idCounterBits | m.idCounter
 }
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -9,7 +9,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// BenchmarkTick measures a second of ten thousand open sessions whose agents send a heartbeat every five.
+// BenchmarkTick measures one simulated second of 10,000 open sessions whose agents send a heartbeat every 5 seconds.
 func BenchmarkTick(b *testing.B) {
 	p := testPolicies(b)
 	p.MaxPerUser = 0
@@ -21,7 +21,7 @@
 		Now:        func() time.Duration { return 0 },
 		Wall:       func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
 		TaskOf:     func(*jobs.Job) Task { return Task{OnMachine: true} },
-		WaitingFor: func(_ time.Duration, of []*jobs.Job) []string { return make([]string, len(of)) },
+		WaitingFor: func(_ time.Duration, holders []*jobs.Job) []string { return make([]string, len(holders)) },
 	}, 1)
 	const n = 10_000
 	ids := make([]string, n)
@@ -46,7 +46,7 @@
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	now, k := time.Duration(0), 0
+	now, heartbeats := time.Duration(0), 0
 	b.ReportAllocs()
 	for b.Loop() {
 		for range 20 {
@@ -54,9 +54,9 @@
 			m.Tick(now)
 		}
 		for range n / 5 {
-			k++
-			heartbeat := Heartbeat{Attempt: 1, Seq: uint64(k/n + 1), SinceInputS: float64(k % 3600)}
-			if _, err := m.HandleHeartbeat(now, ids[k%n], agentToken, heartbeat); err != nil {
+			heartbeats++
+			heartbeat := Heartbeat{Attempt: 1, Seq: uint64(heartbeats/n + 1), SinceInputS: float64(heartbeats % 3600)}
+			if _, err := m.HandleHeartbeat(now, ids[heartbeats%n], agentToken, heartbeat); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/sessions/model_test.go
+++ b/internal/sessions/model_test.go
@@ -9,16 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is lost, late, used, unheard or failed over: a reclaim never ends work that runs and never loses work that
-// was done, and once everything works again a user who returns gets the session or its checkpoint back.
+// With lost and late messages and writes, missing heartbeats, lost machines, failovers and use at any time, a reclaim
+// never ends running work and never loses finished work. After all faults have ended, a user who returns gets the
+// session, or one that has resumed from its checkpoint.
 func TestReclaimNeverLosesWork(t *testing.T) {
 	suspensions, resumed := 0, 0
-	quick := mustCompile(t, "input_s > 3")
+	shortIdleRule := mustCompile(t, "input_s > 3")
 	rapid.Check(t, func(t *rapid.T) {
 		policies := testPolicies(t)
 		policies.WarningTime = 2 * time.Second
 		policies.Default.IdleLimit = 3 * time.Second
-		policies.Default.Rule = quick
+		policies.Default.Rule = shortIdleRule
 		model := reclaimModel{newHarness(t, policies)}
 		model.openSession()
 		model.startTask()
@@ -29,12 +30,12 @@
 		}
 	})
 	if suspensions < 200 || resumed < 15 {
-		t.Fatalf("%d suspended, %d resumed: the model does not exercise the code", suspensions, resumed)
+		t.Fatalf("got %d suspensions, %d resumed sessions, want at least 200, 15: too little coverage", suspensions, resumed)
 	}
 }
 
-// reclaimModel draws what happens to a session: to its user, its agent, its machine, the network, the state service
-// and the leader. The harness checks each suspension.
+// reclaimModel draws random actions of a session's user, agent and machine, the network, the state service and the
+// leader. The harness checks each suspension.
 type reclaimModel struct{ *harness }
 
 // actions returns the steps of the model. An action with several names is drawn more often.
@@ -68,10 +69,10 @@
 	return actions
 }
 
-// skipUnlessOneIn skips an action that is to happen in one of a number of draws.
+// skipUnlessOneIn skips the present action except in one of the given number of draws.
 func skipUnlessOneIn(t *rapid.T, draws int) {
 	if rapid.IntRange(0, draws-1).Draw(t, "rarely") > 0 {
-		t.Skip("not now")
+		t.Skip("not drawn this time")
 	}
 }
 
@@ -80,23 +81,23 @@
 	m.doOneStep(t)
 }
 
-// doOneStep has the user do a step of work.
+// doOneStep makes the user do one step of work.
 func (m reclaimModel) doOneStep(t *rapid.T) {
 	if m.agent == nil || m.agent.frozen || m.taskIsStopping {
 		t.Skip("the session takes no input")
 	}
 	m.agent.lastInputAt = m.now
-	m.agent.work++
+	m.agent.stepsDone++
 }
 
 func (m reclaimModel) saveByItself(t *rapid.T) {
 	agent := m.agent
 	if agent == nil || agent.fresh || agent.frozen {
-		t.Skip("no agent that may save")
+		t.Skip("no thawed agent")
 	}
-	agent.agentCheckpoint = fmt.Sprintf("own-%d-%d", agent.attempt, agent.work)
-	m.workByCheckpoint[agent.agentCheckpoint] = agent.work
-	agent.saved = agent.work
+	agent.agentCheckpoint = fmt.Sprintf("own-%d-%d", agent.attempt, agent.stepsDone)
+	m.stepsByCheckpoint[agent.agentCheckpoint] = agent.stepsDone
+	agent.stepsSaved = agent.stepsDone
 }
 
 func (m reclaimModel) beginCell(t *rapid.T) {
@@ -107,9 +108,9 @@
 
 func (m reclaimModel) endCell(t *rapid.T) {
 	if m.agent == nil || m.agent.cellSince == 0 {
-		t.Skip("no cell runs")
+		t.Skip("no cell is running")
 	}
-	m.agent.work++
+	m.agent.stepsDone++
 	m.agent.cellSince = 0
 }
 
@@ -134,14 +135,14 @@
 
 func (m reclaimModel) deliverOldHeartbeat(t *rapid.T) {
 	if len(m.delayedHeartbeats) == 0 {
-		t.Skip("none is delayed")
+		t.Skip("no delayed heartbeat")
 	}
-	m.deliver(rapid.SampledFrom(m.delayedHeartbeats).Draw(t, "which"), true)
+	m.deliver(rapid.SampledFrom(m.delayedHeartbeats).Draw(t, "heartbeat"), true)
 }
 
 func (m reclaimModel) applyLateWrite(t *rapid.T) {
 	if len(m.lateWrites) == 0 {
-		t.Skip("none is late")
+		t.Skip("no late write")
 	}
 	m.applyLateWrites()
 }
@@ -163,7 +164,7 @@
 	m.advance(rapid.SampledFrom([]time.Duration{time.Second, time.Second, 3 * time.Second}).Draw(t, "by"))
 }
 
-// stopTask has the worker stop the task, as the fleet has ordered it to.
+// stopTask makes the worker stop the task, as ordered by the fleet.
 func (m reclaimModel) stopTask(t *rapid.T) {
 	if !m.taskIsStopping {
 		t.Skip("no order to stop")
@@ -173,7 +174,7 @@
 
 func (m reclaimModel) restartTask(t *rapid.T) {
 	if m.agent != nil || m.isSuspended {
-		t.Skip("not to be started")
+		t.Skip("the task runs or is suspended")
 	}
 	m.startTask()
 }
@@ -188,13 +189,13 @@
 	m.startTerm(m.manager.Policies)
 }
 
-// recover ends all faults and has the user return. It fails the test unless the user gets the session, with the work
-// of its last checkpoint if it was reclaimed, and reports whether it was.
+// recover ends all faults and makes the user return. It fails the test unless the user gets the session, with the work
+// of the stored checkpoint if the session was reclaimed. It reports whether the session was reclaimed.
 func (m reclaimModel) recover(t *rapid.T) (wasReclaimed bool) {
 	m.applyLateWrites()
 	m.finishCommits(commitApplied)
 	var record Record
-	_ = json.Unmarshal(m.store[Key(id)].Value, &record) // without a record nothing was reclaimed
+	_ = json.Unmarshal(m.store[Key(id)].Value, &record) // without a record the session wasn't reclaimed
 	m.advanceWithHeartbeats(5 * time.Second)
 	status := noReply
 	for range 5 {
@@ -202,13 +203,13 @@
 		m.advanceWithHeartbeats(3 * time.Second)
 	}
 	if status != accepted || m.state() != Active || m.agent == nil || m.agent.frozen {
-		t.Fatalf("%s, %s, agent %+v", status, m.state(), m.agent)
+		t.Fatalf("got %s, state %s, agent %+v, want accepted, active, a thawed agent", status, m.state(), m.agent)
 	}
 	if record.Checkpoint == nil || !record.Reclaimed {
 		return false
 	}
-	if saved := m.workByCheckpoint[record.Checkpoint.Ref]; m.agent.work != saved {
-		t.Fatalf("resumed with %d steps, %d were saved", m.agent.work, saved)
+	if saved := m.stepsByCheckpoint[record.Checkpoint.Ref]; m.agent.stepsDone != saved {
+		t.Fatalf("resumed with %d steps, want the %d that were saved", m.agent.stepsDone, saved)
 	}
 	return true
 }
--- a/internal/sessions/policy.go
+++ b/internal/sessions/policy.go
@@ -9,15 +9,16 @@
 // Limits sets when an idle session may be reclaimed.
 type Limits struct {
 	Rule *Rule
-	// IdleLimit is how long it may be idle at all, 0 for ever.
+	// IdleLimit is how long a session may be idle; 0: without limit.
 	IdleLimit time.Duration
-	// ContendedLimit is how long it may be idle while other work waits for what it holds, negative for ever.
+	// ContendedLimit is how long a session may be idle while other jobs wait for resources that it holds; negative:
+	// without limit.
 	ContendedLimit time.Duration
-	// Source names the policy and its window.
+	// Source names the policy, and its window if there is one, for explanations.
 	Source string
 }
 
-// WindowLimits holds other limits for hours of the week.
+// WindowLimits holds the limits that replace a policy's during a window of the week.
 type WindowLimits struct {
 	Limits
 	Window calendar.Window
@@ -26,10 +27,10 @@
 // Policy is a team's policy.
 type Policy struct {
 	Limits
-	Windows []WindowLimits // the first that contains a moment applies
+	Windows []WindowLimits // the first one that contains the time of day applies
 }
 
-// At returns the limits that apply at a moment.
+// At returns the limits that apply at a time of day.
 func (p *Policy) At(wall time.Time) Limits {
 	for _, window := range p.Windows {
 		if window.Window.Contains(wall) {
@@ -39,7 +40,7 @@
 	return p.Limits
 }
 
-// NextChange returns when other limits apply next; ok is false if never.
+// NextChange returns when the next window begins or ends; ok is false if there is no such time.
 func (p *Policy) NextChange(wall time.Time) (next time.Time, ok bool) {
 	for _, window := range p.Windows {
 		change, changes := window.Window.Next(wall)
@@ -54,17 +55,17 @@
 // Policies holds the operators' settings for sessions. The zero value disables sessions.
 type Policies struct {
 	Enabled           bool
-	WarningTime       time.Duration // from the warning to the checkpoint's order
-	CheckpointTimeout time.Duration
-	UnheardTimeout    time.Duration // without a heartbeat, until an agent's state is in doubt
-	Retention         time.Duration // of a reclaimed session, 0 for ever
-	MaxPerUser        int           // sessions of a user, reclaimed ones included; 0: unbounded
-	MaxPerTeam        int           // sessions of a team that aren't reclaimed; 0: unbounded
+	WarningTime       time.Duration // from the warning to the order of the checkpoint
+	CheckpointTimeout time.Duration // from the order of a checkpoint to its failure without a result
+	UnheardTimeout    time.Duration // without a heartbeat, after which an agent's state is unknown
+	Retention         time.Duration // of a reclaimed session, 0: without limit
+	MaxPerUser        int           // sessions of a user, reclaimed sessions included; 0: no limit
+	MaxPerTeam        int           // sessions of a team, without reclaimed sessions; 0: no limit
 	ByTeam            map[string]*Policy
 	Default           *Policy
 }
 
-// ForTeam returns a team's policy.
+// ForTeam returns a team's own policy, or the default policy.
 func (p *Policies) ForTeam(team string) *Policy {
 	if policy := p.ByTeam[team]; policy != nil {
 		return policy
--- a/internal/sessions/queue.go
+++ b/internal/sessions/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// queue is a heap of sessions by when they are next due, so that a tick costs nothing for those that aren't due.
+// queue is a heap of sessions by dueAt, so that a tick costs nothing for sessions that aren't due.
 type queue []*session
 
 // Len implements heap.Interface.
@@ -39,7 +39,7 @@
 	return s
 }
 
-// schedule makes a session due at a time, instead of at its earlier one.
+// schedule sets the time at which a session is due, in place of its former time.
 func (q *queue) schedule(s *session, dueAt time.Duration) {
 	s.dueAt = dueAt
 	if s.queueIndex < 0 {
--- a/internal/sessions/reclaim.go
+++ b/internal/sessions/reclaim.go
@@ -9,7 +9,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// advance makes the changes of a session's state that follow from time alone.
+// advance applies the state transitions of a session that follow from the passing of time.
 func (m *Manager) advance(now time.Duration, s *session) {
 	job := m.Jobs.Get(s.id)
 	if job == nil || s.writePending {
@@ -24,17 +24,17 @@
 		s.setState(now, Lost, "task is gone")
 		return
 	}
-	isUnheard := now-s.agent.lastHeardAt > m.Policies.UnheardTimeout
+	isHeartbeatOverdue := now-s.agent.lastHeartbeatAt > m.Policies.UnheardTimeout
 	switch s.state {
 	case Active:
-		if !isUnheard && m.isIdle(now, s) {
+		if !isHeartbeatOverdue && m.isIdle(now, s) {
 			s.setState(now, Idle, "idle by policy")
 			m.advance(now, s)
 		}
 	case Idle:
-		m.advanceIdle(now, s, isUnheard)
+		m.advanceIdle(now, s, isHeartbeatOverdue)
 	case Warned:
-		m.advanceWarned(now, s, job, isUnheard)
+		m.advanceWarned(now, s, job, isHeartbeatOverdue)
 	case Checkpointing:
 		if timeoutAt := s.stateSince + m.Policies.CheckpointTimeout; now >= timeoutAt {
 			m.checkpointFailed(now, s, "checkpoint timed out")
@@ -48,7 +48,7 @@
 	}
 }
 
-// taskIsGone reports whether the fleet has proof that the agent's attempt is gone; silence is none.
+// taskIsGone reports whether the fleet has proof that the agent's attempt is gone. Missing heartbeats are no proof.
 func (m *Manager) taskIsGone(s *session, job *jobs.Job) bool {
 	if s.agent.attempt == 0 {
 		return false
@@ -57,21 +57,21 @@
 	return !task.OnMachine || (task.Attempt != 0 && task.Attempt != s.agent.attempt)
 }
 
-// isExpired reports whether a reclaimed session was retained for long enough.
+// isExpired reports whether the retention time of a reclaimed session is over.
 func (m *Manager) isExpired(now time.Duration, s *session) bool {
 	retention := m.Policies.Retention
 	return retention > 0 && m.Wall(now).UnixMilli()-s.record.ReclaimedAtMS > retention.Milliseconds()
 }
 
-// isIdle reports whether a session is idle by its policy.
+// isIdle reports whether a session is idle by the rule of its policy.
 func (m *Manager) isIdle(now time.Duration, s *session) bool {
 	wall := m.Wall(now)
 	return m.Policies.ForTeam(s.record.Team).At(wall).Rule.Idle(s.activity(now, wall))
 }
 
-// advanceIdle warns an idle session whose idle limit is over. One whose contended limit is over becomes a candidate
-// for warnContended.
-func (m *Manager) advanceIdle(now time.Duration, s *session, isUnheard bool) {
+// advanceIdle warns an idle session whose idle limit is exceeded. A session whose contended limit is exceeded becomes a
+// candidate for warnContended.
+func (m *Manager) advanceIdle(now time.Duration, s *session, isHeartbeatOverdue bool) {
 	wall := m.Wall(now)
 	policy := m.Policies.ForTeam(s.record.Team)
 	limits := policy.At(wall)
@@ -79,7 +79,7 @@
 		s.setState(now, Active, "no longer idle")
 		return
 	}
-	if isUnheard {
+	if isHeartbeatOverdue {
 		return
 	}
 	next := now + checkInterval
@@ -109,7 +109,7 @@
 	m.queue.schedule(s, next)
 }
 
-// warnContended warns the candidates that hold what other jobs wait for, longest idle first.
+// warnContended warns the candidates that hold resources for which other jobs wait, the longest idle first.
 func (m *Manager) warnContended(now time.Duration) {
 	candidates := m.contentionCandidates
 	m.contentionCandidates = candidates[:0]
@@ -119,11 +119,11 @@
 	m.contentionCheckedAt = now
 	slices.SortStableFunc(candidates, func(a, b *session) int { return cmp.Compare(a.stateSince, b.stateSince) })
 	var holders []*jobs.Job
-	var idle []*session
+	var idleSessions []*session
 	for _, s := range candidates {
 		if job := m.Jobs.Get(s.id); job != nil && s.state == Idle {
 			holders = append(holders, job)
-			idle = append(idle, s)
+			idleSessions = append(idleSessions, s)
 		}
 	}
 	if len(holders) == 0 {
@@ -131,7 +131,7 @@
 	}
 	for i, waiting := range m.WaitingFor(now, holders) {
 		if waiting != "" {
-			m.warn(now, idle[i], waiting+" waits for what it holds", true)
+			m.warn(now, idleSessions[i], waiting+" waits for what it holds", true)
 		}
 	}
 }
@@ -143,12 +143,12 @@
 	m.queue.schedule(s, now+m.Policies.WarningTime)
 }
 
-// advanceWarned takes a warning back, or orders the checkpoint once the warning time is over.
-func (m *Manager) advanceWarned(now time.Duration, s *session, job *jobs.Job, isUnheard bool) {
+// advanceWarned withdraws a warning whose reason no longer holds, or orders the checkpoint after the warning time.
+func (m *Manager) advanceWarned(now time.Duration, s *session, job *jobs.Job, isHeartbeatOverdue bool) {
 	checkpointAt := s.stateSince + m.Policies.WarningTime
 	switch {
-	case isUnheard:
-		s.setState(now, Idle, "agent unheard")
+	case isHeartbeatOverdue:
+		s.setState(now, Idle, "agent heartbeats overdue")
 	case !m.isIdle(now, s):
 		s.setState(now, Active, "no longer idle")
 	case now < checkpointAt:
@@ -157,12 +157,12 @@
 		s.setState(now, Idle, "no longer contended")
 	default:
 		s.setState(now, Checkpointing, s.reclaim.cause)
-		s.reclaim.checkpointOrder = m.nextOrderID()
+		s.reclaim.checkpointOrder = m.nextID()
 		m.queue.schedule(s, now+m.Policies.CheckpointTimeout)
 	}
 }
 
-// checkpointFailed ends a reclaim after its checkpoint failed, with a back-off before the next warning.
+// checkpointFailed ends a reclaim after its checkpoint failed, with an exponential delay before the next warning.
 func (m *Manager) checkpointFailed(now time.Duration, s *session, cause string) {
 	s.reclaim.failedCheckpoints++
 	doublings := min(s.reclaim.failedCheckpoints, maxBackoffDoublings)
@@ -176,8 +176,8 @@
 	s.setState(now, Idle, "checkpoint failed: "+cause)
 }
 
-// finishCheckpoint handles the result of an ordered checkpoint. The session is reclaimed only if all its work is saved
-// and it is frozen, and once that is durable.
+// finishCheckpoint handles the result of an ordered checkpoint. The session is reclaimed only if it is frozen with all
+// its work saved, and only after its record is durable.
 func (m *Manager) finishCheckpoint(now time.Duration, s *session, job *jobs.Job, heartbeat Heartbeat) {
 	wasUsed := heartbeat.CellRunning ||
 		!heartbeat.Frozen ||
@@ -203,8 +203,8 @@
 	m.write(s, record, func(at time.Duration, ok bool) { m.finishReclaim(at, s, job, cause, ok) })
 }
 
-// finishReclaim suspends a session's job once its reclaim is durable. Whatever arrived during the write, the durable
-// record counts: a user who returns resumes from it.
+// finishReclaim suspends a session's job after the write of its reclaim (ok: the record is durable). The durable record
+// takes precedence over all requests that arrived during the write: a user who returns resumes from its checkpoint.
 func (m *Manager) finishReclaim(now time.Duration, s *session, job *jobs.Job, cause string, ok bool) {
 	if !ok {
 		if s.state == Checkpointing {
--- a/internal/sessions/reclaim_test.go
+++ b/internal/sessions/reclaim_test.go
@@ -11,46 +11,46 @@
 	h := newHarness(t, testPolicies(t))
 	h.openSession()
 	h.startTask()
-	h.agent.work = 7
-	want := func(s State) {
+	h.agent.stepsDone = 7
+	requireState := func(want State) {
 		t.Helper()
-		if h.state() != s {
-			t.Fatalf("%s, want %s: %v", h.state(), s, explanationOf(h))
+		if h.state() != want {
+			t.Fatalf("got state %s, want %s: %v", h.state(), want, explanationOf(h))
 		}
 	}
 	h.advanceWithHeartbeats(25 * time.Second)
-	want(Active)
+	requireState(Active)
 	h.advanceWithHeartbeats(10 * time.Second)
-	want(Idle)
+	requireState(Idle)
 	h.advanceWithHeartbeats(45 * time.Second)
-	want(Idle)
+	requireState(Idle)
 	h.advanceWithHeartbeats(16 * time.Second)
-	want(Warned)
-	if v, _ := h.manager.Show(h.now, id); v.ReclaimInS <= 0 || v.ReclaimInS > 10 || v.Cause == "" {
-		t.Fatalf("a warning without time and cause: %+v", v)
+	requireState(Warned)
+	if view, _ := h.manager.Show(h.now, id); view.ReclaimInS <= 0 || view.ReclaimInS > 10 || view.Cause == "" {
+		t.Fatalf("got view %+v, want a reclaim within 10 s and its cause", view)
 	}
 	h.advanceWithHeartbeats(15 * time.Second)
-	want(Reclaimed)
+	requireState(Reclaimed)
 	if h.agent != nil || h.suspensions != 1 {
-		t.Fatalf("the task is still there: %+v", h.agent)
+		t.Fatalf("after the reclaim: got agent %+v, want none, and the job suspended once", h.agent)
 	}
 	h.advanceWithHeartbeats(time.Hour)
 	h.manager.Attach(h.now, id, userToken, func(Result, error) {})
 	h.finishCommits(commitApplied)
-	want(Opening)
+	requireState(Opening)
 	h.advanceWithHeartbeats(3 * time.Second)
-	if want(Active); h.agent.work != 7 {
-		t.Fatalf("resumed with %d steps of 7", h.agent.work)
+	if requireState(Active); h.agent.stepsDone != 7 {
+		t.Fatalf("resumed with %d steps, want 7", h.agent.stepsDone)
 	}
 }
 
 func explanationOf(h *harness) []string {
-	out, _ := h.manager.Explain(h.now, id)
-	return out
+	lines, _ := h.manager.Explain(h.now, id)
+	return lines
 }
 
-// Contention shortens an idle session's limit but never ends a session in use, and nothing is reclaimed if nothing
-// waits any more at the end of the warning.
+// If other jobs wait, an idle session is warned after the shorter contended limit, but a session in use isn't warned.
+// The warning is withdrawn if no job waits at the end of the warning time.
 func TestContentionReclaimsOnlyIdleSessions(t *testing.T) {
 	h := newHarness(t, testPolicies(t))
 	h.openSession()
@@ -58,99 +58,99 @@
 	h.isContended = true
 	h.advanceWithHeartbeats(25 * time.Second)
 	if h.state() != Active {
-		t.Fatalf("%s while it is used", h.state())
+		t.Fatalf("in use: got state %s, want active", h.state())
 	}
 	h.advanceWithHeartbeats(15 * time.Second)
 	if h.state() != Warned || !strings.Contains(strings.Join(explanationOf(h), " "), "req-000009 waits") {
-		t.Fatalf("%s: %v", h.state(), explanationOf(h))
+		t.Fatalf("idle and contended: got state %s, want warned for req-000009: %v", h.state(), explanationOf(h))
 	}
 	h.isContended = false
 	if h.advanceWithHeartbeats(12 * time.Second); h.state() != Idle {
-		t.Fatalf("%s though nobody waits any more", h.state())
+		t.Fatalf("no longer contended: got state %s, want quiet", h.state())
 	}
 }
 
-// A session with a cell that runs for hours without input is not idle, whatever its policy.
+// A session with a cell that runs for hours without input isn't idle, whatever its policy.
 func TestSessionWithRunningCellIsNotIdle(t *testing.T) {
-	p := testPolicies(t)
-	p.Default.Rule = mustCompile(t, "input_s > 1")
-	h := newHarness(t, p)
+	policies := testPolicies(t)
+	policies.Default.Rule = mustCompile(t, "input_s > 1")
+	h := newHarness(t, policies)
 	h.openSession()
 	h.startTask()
 	h.agent.cellSince = h.now
 	for range 5 * 60 {
 		if h.advanceWithHeartbeats(time.Minute); h.state() != Active {
-			t.Fatalf("%s while a cell runs", h.state())
+			t.Fatalf("cell running: got state %s, want active", h.state())
 		}
 	}
-	if why := strings.Join(explanationOf(h), " "); !strings.Contains(why, "a cell has been running for 5h0m") {
-		t.Fatalf("explained as: %s", why)
+	if text := strings.Join(explanationOf(h), " "); !strings.Contains(text, "a cell has been running for 5h0m") {
+		t.Fatalf("got explanation %q, want the time that the cell has been running", text)
 	}
 }
 
-// A session whose machine is lost resumes from the last stored checkpoint that its agent made by itself, including one
-// from the time when its task was being stopped.
+// A session whose task is lost resumes from the last stored checkpoint that its agent made by itself, even if the agent
+// made it while the task was being stopped.
 func TestLostTaskResumesFromTheAgentsCheckpoint(t *testing.T) {
 	h := newHarnessInUse(t)
-	saveByItself := func(work int) {
-		ref := fmt.Sprint("own-", work)
-		h.agent.work = work
-		h.agent.saved = work
+	saveByItself := func(stepsDone int) {
+		ref := fmt.Sprint("own-", stepsDone)
+		h.agent.stepsDone = stepsDone
+		h.agent.stepsSaved = stepsDone
 		h.agent.agentCheckpoint = ref
 		h.agent.lastInputAt = h.now
-		h.workByCheckpoint[ref] = work
+		h.stepsByCheckpoint[ref] = stepsDone
 	}
 	saveByItself(3)
 	h.advanceWithHeartbeats(2 * time.Second)
 	saveByItself(4)
 	if h.advanceWithHeartbeats(2 * time.Second); h.agent.storedCheckpoint != "own-3" {
-		t.Fatalf("stored %q two seconds after the last", h.agent.storedCheckpoint)
+		t.Fatalf("2 s after the last write: got checkpoint %q stored, want own-3", h.agent.storedCheckpoint)
 	}
 	if h.advanceWithHeartbeats(10 * time.Second); h.agent.storedCheckpoint != "own-4" {
-		t.Fatalf("stored %q", h.agent.storedCheckpoint)
+		t.Fatalf("12 s after the last write: got checkpoint %q stored, want own-4", h.agent.storedCheckpoint)
 	}
 	saveByItself(5)
 	h.taskIsStopping = true
 	h.deliver(h.nextHeartbeat(), false)
 	h.finishCommits(commitApplied)
 	if h.deliver(h.nextHeartbeat(), false); h.agent.storedCheckpoint != "own-5" {
-		t.Fatalf("stored %q of the checkpoint at its end", h.agent.storedCheckpoint)
+		t.Fatalf("while the task is being stopped: got checkpoint %q stored, want own-5", h.agent.storedCheckpoint)
 	}
 	h.endTask()
-	if h.advanceWithHeartbeats(4 * time.Second); h.agent.work != 5 || h.state() != Active || h.agent.frozen {
-		t.Fatalf("%s with %+v", h.state(), h.agent)
+	if h.advanceWithHeartbeats(4 * time.Second); h.agent.stepsDone != 5 || h.state() != Active || h.agent.frozen {
+		t.Fatalf("got state %s, agent %+v, want active, thawed with 5 steps", h.state(), h.agent)
 	}
 }
 
-// Missing heartbeats are no idleness: nothing is reclaimed because of them, before or after the warning, and the session
-// is lost only once the fleet has proof that the task is gone.
-func TestUnheardAgentIsNotReclaimed(t *testing.T) {
+// A session is never reclaimed while its heartbeats are missing, neither before nor after the warning. It becomes Lost
+// only once the fleet has proof that its task is gone.
+func TestSessionWithoutHeartbeatsIsNotReclaimed(t *testing.T) {
 	h := newHarness(t, testPolicies(t))
 	h.openSession()
 	h.startTask()
 	h.advanceWithHeartbeats(40 * time.Second)
 	h.advance(30 * time.Minute)
 	if h.state() != Idle || h.suspensions > 0 {
-		t.Fatalf("%s: %v", h.state(), explanationOf(h))
+		t.Fatalf("30 minutes without heartbeats: got state %s, want quiet, never suspended: %v", h.state(), explanationOf(h))
 	}
-	if why := strings.Join(explanationOf(h), " "); !strings.Contains(why, "not reclaimed on doubt") {
-		t.Fatalf("explained as: %s", why)
+	if text := strings.Join(explanationOf(h), " "); !strings.Contains(text, "not reclaimed while its state is unknown") {
+		t.Fatalf("got explanation %q, want that the state is unknown", text)
 	}
 	h.advanceWithHeartbeats(time.Second)
 	if h.state() != Warned {
-		t.Fatalf("%s, heard again and idle beyond its limit", h.state())
+		t.Fatalf("after a heartbeat, idle beyond its limit: got state %s, want warned", h.state())
 	}
 	if h.advance(25 * time.Second); h.state() != Idle {
-		t.Fatalf("%s with an unheard agent", h.state())
+		t.Fatalf("25 s without heartbeats: got state %s, want quiet", h.state())
 	}
 	h.agent = nil
 	if h.advance(time.Minute); h.state() != Lost {
-		t.Fatalf("%s, its task is gone", h.state())
+		t.Fatalf("task gone: got state %s, want lost", h.state())
 	}
 }
 
-// A checkpoint that fails or times out ends the reclaim; the delay before the next one grows.
-func TestFailedCheckpointsBackOff(t *testing.T) {
+// A checkpoint that fails or times out ends the reclaim. The delay before the next attempt doubles with each failure.
+func TestFailedCheckpointsDelayTheNext(t *testing.T) {
 	h := newHarness(t, testPolicies(t))
 	h.openSession()
 	h.startTask()
@@ -160,25 +160,25 @@
 		h.heartbeatWithoutResponse(h.nextHeartbeat())
 	}
 	if h.advance(9 * time.Second); h.state() != Idle || h.suspensions > 0 {
-		t.Fatalf("%s after the checkpoint timed out", h.state())
+		t.Fatalf("checkpoint timed out: got state %s, want quiet, never suspended", h.state())
 	}
-	for try := 1; try <= 3; try++ {
+	for failure := 1; failure <= 3; failure++ {
 		from := h.now
 		for h.state() != Checkpointing {
 			if h.now-from > time.Hour {
-				t.Fatal("never tried again")
+				t.Fatal("got no new checkpoint order within an hour, want one")
 			}
 			h.advance(time.Second)
 			h.heartbeatWithoutResponse(h.nextHeartbeat())
 		}
-		if wait := h.now - from; wait < time.Duration(10<<try)*time.Second {
-			t.Fatalf("tried again after %v", wait)
+		if wait := h.now - from; wait < time.Duration(10<<failure)*time.Second {
+			t.Fatalf("got the next checkpoint order after %v, want 20 s at least, doubled after each failure", wait)
 		}
-		r := h.nextHeartbeat()
-		r.Checkpoint = &CheckpointResult{Order: h.manager.byID[id].reclaim.checkpointOrder, Cause: "disk full"}
-		h.heartbeatWithoutResponse(r)
+		heartbeat := h.nextHeartbeat()
+		heartbeat.Checkpoint = &CheckpointResult{Order: h.manager.byID[id].reclaim.checkpointOrder, Cause: "disk full"}
+		h.heartbeatWithoutResponse(heartbeat)
 		if h.state() != Idle {
-			t.Fatalf("%s after the checkpoint failed", h.state())
+			t.Fatalf("checkpoint failed: got state %s, want quiet", h.state())
 		}
 	}
 }
@@ -187,10 +187,10 @@
 func startCheckpoint(t *testing.T) *harness {
 	t.Helper()
 	h := newHarnessInUse(t)
-	h.agent.work = 5
+	h.agent.stepsDone = 5
 	for h.state() != Checkpointing {
 		if h.now > 2*time.Hour {
-			t.Fatal("no checkpoint was ordered")
+			t.Fatal("got no checkpoint order within an hour, want one")
 		}
 		h.advance(time.Second)
 		h.heartbeatWithoutResponse(h.nextHeartbeat())
@@ -198,80 +198,81 @@
 	return h
 }
 
-// A user who returns before the ordered checkpoint is done goes on with the session.
-func TestReturnDuringCheckpointEndsIt(t *testing.T) {
+// If the user returns before the ordered checkpoint is done, the checkpoint ends and the session continues.
+func TestAttachDuringCheckpointEndsIt(t *testing.T) {
 	h := startCheckpoint(t)
 	h.advance(time.Second)
-	back := noReply
-	h.manager.Attach(h.now, id, userToken, func(r Result, err error) { back = outcomeOf(r, err) })
-	if back != accepted || h.state() != Active {
-		t.Fatalf("%s, %s", back, h.state())
+	attached := noReply
+	h.manager.Attach(h.now, id, userToken, func(r Result, err error) { attached = outcomeOf(r, err) })
+	if attached != accepted || h.state() != Active {
+		t.Fatalf("attach: got %s, state %s, want accepted, active", attached, h.state())
 	}
-	h.agent.frozen = true // the order reached it before
+	h.agent.frozen = true // the agent got the order before the user returned
 	h.agent.fresh = false
 	if h.deliver(h.nextHeartbeat(), false); h.agent.frozen || h.suspensions > 0 {
-		t.Fatal("not thawed")
+		t.Fatal("got the agent frozen or its job suspended, want it thawed and never suspended")
 	}
 }
 
-// While the reclaim is being written the reply to a user who returns waits. The session then resumes with all its work,
-// and the process that is being stopped isn't thawed.
-func TestReturnDuringReclaimWriteResumesAllWork(t *testing.T) {
+// The reply to a user who returns while the reclaim is being written is deferred until the write ends. The session then
+// resumes with all its work, and the process that is being stopped isn't thawed.
+func TestAttachDuringReclaimWriteResumesAllWork(t *testing.T) {
 	h := startCheckpoint(t)
-	h.deliver(h.nextHeartbeat(), false) // it saves and freezes
-	h.deliver(h.nextHeartbeat(), false) // and reports it
+	h.deliver(h.nextHeartbeat(), false) // on the response the agent saves and freezes
+	h.deliver(h.nextHeartbeat(), false) // the heartbeat reports the checkpoint
 	if h.state() != Checkpointing || len(h.commits) != 1 {
-		t.Fatalf("%s with %d writes", h.state(), len(h.commits))
+		t.Fatalf("got state %s, %d writes in flight, want saving, 1", h.state(), len(h.commits))
 	}
 	if h.deliver(h.nextHeartbeat(), false); !h.agent.frozen {
-		t.Fatal("thawed while its reclaim is being written")
+		t.Fatal("got the agent thawed during the write of its reclaim, want frozen")
 	}
-	back := noReply
-	h.manager.Attach(h.now, id, userToken, func(r Result, err error) { back = outcomeOf(r, err) })
-	if back != noReply {
-		t.Fatalf("%s while the reclaim is open", back)
+	attached := noReply
+	h.manager.Attach(h.now, id, userToken, func(r Result, err error) { attached = outcomeOf(r, err) })
+	if attached != noReply {
+		t.Fatalf("attach during the write of the reclaim: got %s, want no reply", attached)
 	}
 	h.finishCommits(commitApplied)
-	if back != accepted || h.state() != Opening || h.isSuspended {
-		t.Fatalf("%s, %s, suspended %v", back, h.state(), h.isSuspended)
+	if attached != accepted || h.state() != Opening || h.isSuspended {
+		t.Fatalf("after the write: got %s, state %s, suspended %v, want accepted, opening, false",
+			attached, h.state(), h.isSuspended)
 	}
 	if h.deliver(h.nextHeartbeat(), false); !h.agent.frozen {
-		t.Fatal("the process that is being stopped was thawed")
+		t.Fatal("got the process that is being stopped thawed, want frozen")
 	}
-	if h.advanceWithHeartbeats(3 * time.Second); h.state() != Active || h.agent.work != 5 || h.agent.frozen {
-		t.Fatalf("%s with %+v", h.state(), h.agent)
+	if h.advanceWithHeartbeats(3 * time.Second); h.state() != Active || h.agent.stepsDone != 5 || h.agent.frozen {
+		t.Fatalf("got state %s, agent %+v, want active, thawed with 5 steps", h.state(), h.agent)
 	}
 }
 
-// The response to the write of a reclaim is lost, the session goes on, and the write would be applied late: the next
-// leader must not read it, or it would stop a session in use.
-func TestLateReclaimWriteIsHarmless(t *testing.T) {
+// The response to the write of a reclaim is lost, and the session continues. The write must not be applied later: the
+// next leader would read it and stop a session in use.
+func TestLateReclaimWriteIsNotApplied(t *testing.T) {
 	h := startCheckpoint(t)
 	h.deliver(h.nextHeartbeat(), false)
 	h.deliver(h.nextHeartbeat(), false)
 	h.finishCommits(commitLost)
 	if h.deliver(h.nextHeartbeat(), false); !h.agent.frozen {
-		t.Fatal("thawed while the outcome of the reclaim is indeterminate")
+		t.Fatal("got the agent thawed while the outcome of the reclaim is indeterminate, want frozen")
 	}
 	h.advance(time.Second)
 	h.finishCommits(commitApplied)
 	if h.state() != Idle {
-		t.Fatalf("%s after a write that was lost", h.state())
+		t.Fatalf("after the former record was written again: got state %s, want quiet", h.state())
 	}
 	h.deliver(h.nextHeartbeat(), false)
 	if h.agent.frozen {
-		t.Fatal("not thawed")
+		t.Fatal("got the agent frozen after the failed reclaim, want thawed")
 	}
-	h.agent.work++
+	h.agent.stepsDone++
 	h.applyLateWrites()
 	h.startTerm(h.manager.Policies)
 	if h.suspensions > 0 || h.state() != Opening {
-		t.Fatalf("suspended %d times, %s", h.suspensions, h.state())
+		t.Fatalf("next leader: got %d suspensions, state %s, want 0, opening", h.suspensions, h.state())
 	}
 }
 
-// The machine is lost while the reclaim is being written, and another process starts: it stays frozen until the outcome
-// is determined, and then the durable record counts.
+// The machine is lost while the reclaim is being written, and a new process starts. It stays frozen until the outcome
+// of the write is determined; the durable record then decides whether the session is reclaimed.
 func TestMachineLostDuringReclaimWrite(t *testing.T) {
 	for outcome, want := range map[commitOutcome]State{commitApplied: Reclaimed, commitNotApplied: Active} {
 		h := startCheckpoint(t)
@@ -279,52 +280,54 @@
 		h.deliver(h.nextHeartbeat(), false)
 		h.startTask()
 		if h.deliver(h.nextHeartbeat(), false); !h.agent.frozen {
-			t.Fatal("the new process was thawed")
+			t.Fatal("got the new process thawed during the write, want frozen")
 		}
 		h.finishCommits(outcome)
 		h.deliver(h.nextHeartbeat(), false)
 		wantReclaimed := want == Reclaimed
 		if h.state() != want || wantReclaimed != (h.suspensions == 1) || h.agent.frozen != wantReclaimed {
-			t.Fatalf("outcome %d: %s, suspended %d times, %+v", outcome, h.state(), h.suspensions, h.agent)
+			t.Fatalf("write outcome %d: got state %s, %d suspensions, agent %+v, want frozen and suspended only if applied",
+				outcome, h.state(), h.suspensions, h.agent)
 		}
 	}
 }
 
-// A session is reclaimed only by a new heartbeat with the result of the ordered checkpoint and nothing unsaved.
+// A session is reclaimed only by a new heartbeat of a frozen, unused agent without unsaved work that reports the result
+// of the ordered checkpoint.
 func TestHeartbeatsThatMustNotReclaim(t *testing.T) {
-	for name, change := range map[string]func(r *Heartbeat){
-		"another order": func(r *Heartbeat) { r.Checkpoint.Order-- },
-		"not frozen":    func(r *Heartbeat) { r.Frozen = false },
-		"unsaved work":  func(r *Heartbeat) { r.UnsavedMB = 0.1 },
-		"input":         func(r *Heartbeat) { r.SinceInputS = 0 },
-		"a cell":        func(r *Heartbeat) { r.CellRunning = true },
-		"a failed save": func(r *Heartbeat) { r.Checkpoint.OK = false },
-		"an old report": func(r *Heartbeat) { r.Seq-- },
-		"another task":  func(r *Heartbeat) { r.Attempt++ },
+	for name, change := range map[string]func(heartbeat *Heartbeat){
+		"another order":     func(heartbeat *Heartbeat) { heartbeat.Checkpoint.Order-- },
+		"not frozen":        func(heartbeat *Heartbeat) { heartbeat.Frozen = false },
+		"unsaved work":      func(heartbeat *Heartbeat) { heartbeat.UnsavedMB = 0.1 },
+		"new input":         func(heartbeat *Heartbeat) { heartbeat.SinceInputS = 0 },
+		"running cell":      func(heartbeat *Heartbeat) { heartbeat.CellRunning = true },
+		"failed checkpoint": func(heartbeat *Heartbeat) { heartbeat.Checkpoint.OK = false },
+		"old heartbeat":     func(heartbeat *Heartbeat) { heartbeat.Seq-- },
+		"another attempt":   func(heartbeat *Heartbeat) { heartbeat.Attempt++ },
 	} {
 		h := startCheckpoint(t)
 		h.advance(time.Second)
 		h.deliver(h.nextHeartbeat(), false)
-		r := h.nextHeartbeat()
-		result := *r.Checkpoint
-		r.Checkpoint = &result
-		change(&r)
-		h.heartbeatWithoutResponse(r)
+		heartbeat := h.nextHeartbeat()
+		result := *heartbeat.Checkpoint
+		heartbeat.Checkpoint = &result
+		change(&heartbeat)
+		h.heartbeatWithoutResponse(heartbeat)
 		if h.finishCommits(commitApplied); h.suspensions > 0 || h.state() == Reclaimed {
-			t.Errorf("reclaimed in spite of %s", name)
+			t.Errorf("%s: got the session reclaimed, want it not reclaimed", name)
 		}
 	}
 	h := startCheckpoint(t)
 	h.deliver(h.nextHeartbeat(), false)
 	h.heartbeatWithoutResponse(h.nextHeartbeat())
 	if h.finishCommits(commitApplied); h.suspensions != 1 {
-		t.Fatalf("%s without any of these", h.state())
+		t.Fatalf("unchanged heartbeat: got state %s, want reclaimed and suspended once", h.state())
 	}
 }
 
-// The allowed drift of an agent's clock, and a wrong or jumping time of day of the controller, change nothing: only ages
-// count, and only the controller's steady clock adds to them.
-func TestOnlyAgesOfTheSteadyClockCount(t *testing.T) {
+// Neither the allowed drift of an agent's clock nor jumps of the controller's time of day change when a session is
+// reclaimed. Only the ages in heartbeats and the controller's steady clock matter.
+func TestClockDriftAndJumpsDoNotChangeReclaimTime(t *testing.T) {
 	for _, drift := range []float64{0.9995, 1, 1.0005} {
 		h := newHarness(t, testPolicies(t))
 		jump := time.Duration(0)
@@ -337,23 +340,23 @@
 			jump = time.Duration(i%3-1) * time.Hour
 			h.agent.lastInputAt = h.now - time.Duration(float64(time.Second)*drift)
 			if h.deliver(h.nextHeartbeat(), false); h.state() != Active {
-				t.Fatalf("drift %v: %s while it is used", drift, h.state())
+				t.Fatalf("drift %v, in use: got state %s, want active", drift, h.state())
 			}
 		}
 		from := h.now
 		for h.state() != Reclaimed {
 			if h.advanceWithHeartbeats(time.Second); h.now-from > 2*time.Minute {
-				t.Fatalf("drift %v: %s two minutes later", drift, h.state())
+				t.Fatalf("drift %v: got state %s after 2 minutes, want reclaimed", drift, h.state())
 			}
 		}
 		if took := h.now - from; took < 99*time.Second || took > 106*time.Second {
-			t.Fatalf("drift %v: reclaimed after %v, idle for 30 s, limit 60 s, warning 10 s", drift, took)
+			t.Fatalf("drift %v: reclaimed after %v, want 99 to 106 s: 30 s until idle, limit 60 s, warning 10 s", drift, took)
 		}
 	}
 }
 
-// The response that orders an agent to resume a checkpoint doesn't thaw it: its user would work on in a session
-// without the work that was saved. It is thawed once it has reported that it has resumed.
+// The response that orders an agent to resume from a checkpoint doesn't thaw it: the user would continue in a session
+// without the saved work. The agent is thawed after it has reported that it has resumed.
 func TestAgentIsNotThawedBeforeItHasResumed(t *testing.T) {
 	h := startCheckpoint(t)
 	h.deliver(h.nextHeartbeat(), false)
@@ -365,20 +368,20 @@
 	h.startTask()
 	response := h.respondTo(h.nextHeartbeat())
 	if response.ResumeFrom == "" || response.Thaw {
-		t.Fatalf("before it has resumed: %+v", response)
+		t.Fatalf("before the agent has resumed: got %+v, want ResumeFrom and no Thaw", response)
 	}
 	h.agent.resumedFrom = response.ResumeFrom
 	if response = h.respondTo(h.nextHeartbeat()); response.ResumeFrom != "" || !response.Thaw {
-		t.Fatalf("after it has resumed: %+v", response)
+		t.Fatalf("after the agent has resumed: got %+v, want Thaw and no ResumeFrom", response)
 	}
 }
 
-// An agent that is frozen already, since an earlier order, isn't thawed by the response that orders a checkpoint.
+// An agent that is still frozen from an earlier order isn't thawed by the response that orders a checkpoint.
 func TestFrozenAgentIsNotThawedByACheckpointOrder(t *testing.T) {
 	h := startCheckpoint(t)
 	heartbeat := h.nextHeartbeat()
 	heartbeat.Frozen = true
 	if response := h.respondTo(heartbeat); response.CheckpointOrder == 0 || response.Thaw {
-		t.Fatalf("%+v", response)
+		t.Fatalf("got %+v, want CheckpointOrder and no Thaw", response)
 	}
 }
--- a/internal/sessions/record_test.go
+++ b/internal/sessions/record_test.go
@@ -8,13 +8,14 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// A record of a newer release is told from one that is damaged.
-func TestRecordInANewerFormatIsNamed(t *testing.T) {
+// Decoding fails with a *rollout.NewerFormatError for a record of a newer release, and with another error for a damaged
+// one.
+func TestDecodeRecordDistinguishesNewerFormat(t *testing.T) {
 	var newer *rollout.NewerFormatError
 	if _, err := decodeRecord(store.Item{Value: []byte(`{"v":2,"user":"kana"}`)}); !errors.As(err, &newer) {
-		t.Errorf("a newer record: %v", err)
+		t.Errorf("newer record: got error %v, want a NewerFormatError", err)
 	}
 	if _, err := decodeRecord(store.Item{Value: []byte(`{`)}); err == nil || errors.As(err, &newer) {
-		t.Errorf("a damaged record: %v", err)
+		t.Errorf("damaged record: got error %v, want one that is not a NewerFormatError", err)
 	}
 }
--- a/internal/sessions/requests.go
+++ b/internal/sessions/requests.go
@@ -23,16 +23,17 @@
 // Result is the outcome of a request that was accepted.
 type Result struct {
 	View    View
-	Created bool // the request has created the session
+	Created bool // by this request
 }
 
-// Reply receives the outcome of a request, on the event loop. The error is an *Error, nil if the request was accepted.
+// Reply is called with the outcome of a request, on the event loop. The error is an *Error, or nil if the request was
+// accepted.
 type Reply func(Result, error)
 
 const maxUserLength = 100
 
-// ParseRequest reads a request to open a session: a job of one replica, and its owner. Its errors wrap
-// jobs.ErrMalformed.
+// ParseRequest decodes and checks a request to open a session: a job of one task, and the session's owner. Its errors
+// wrap jobs.ErrMalformed.
 func ParseRequest(body []byte) (*Request, error) {
 	spec, err := jobs.ParseSpec(body)
 	if err != nil {
@@ -66,7 +67,7 @@
 	}, nil
 }
 
-// Open opens a session. It is idempotent: a repeated request of the same user and token gets the session.
+// Open opens a session. It is idempotent: a repeated request with the same user and token returns the same session.
 func (m *Manager) Open(now time.Duration, request *Request, reply Reply) {
 	id := request.Spec.ID
 	team := request.Spec.Team
@@ -79,7 +80,7 @@
 		return
 	}
 	if m.Jobs.Get(id) != nil {
-		// A job of that id, or this session: its write may have been applied after its response was lost.
+		// The job is another one, or that of this session if its write was applied after the response was lost.
 		m.replyFromStore(request, refuse(Conflict, "the id %s is taken by a job", id), reply)
 		return
 	}
@@ -94,22 +95,22 @@
 	m.create(now, request, reply)
 }
 
-// checkUserLimit refuses one more session of a user at the limit.
+// checkUserLimit returns an *Error if one more session would exceed the user's limit.
 func (m *Manager) checkUserLimit(user string) error {
 	limit := m.Policies.MaxPerUser
 	count := m.sessionsByUser[user] + m.pendingOpensByUser[user]
 	if limit > 0 && count >= limit {
-		return refuse(Conflict, "user %s has %d sessions, and may have %d: close one first", user, count, limit)
+		return refuse(Conflict, "user %s has %d sessions; the limit is %d: close one first", user, count, limit)
 	}
 	return nil
 }
 
-// checkTeamLimit refuses one more session of a team that has count sessions.
+// checkTeamLimit returns an *Error if one more session of a team, which has count of them, would exceed the limit.
 func (m *Manager) checkTeamLimit(team string, count int) error {
 	limit := m.Policies.MaxPerTeam
 	if limit > 0 && count >= limit {
 		return refuse(Conflict,
-			"team %s has %d sessions that are not reclaimed, and may have %d", team, count, limit)
+			"team %s has %d sessions that are not reclaimed; the limit is %d", team, count, limit)
 	}
 	return nil
 }
@@ -149,12 +150,12 @@
 			}
 			m.replyFromStore(request, absent, reply)
 		default:
-			reply(Result{}, refuse(Unavailable, "the state service did not take the session"))
+			reply(Result{}, refuse(Unavailable, "the state service did not store the session"))
 		}
 	})
 }
 
-// decrement decrements a count, and deletes it at 0.
+// decrement decrements a count, and deletes the entry when the count reaches 0.
 func decrement(counts map[string]int, key string) {
 	counts[key]--
 	if counts[key] == 0 {
@@ -162,9 +163,9 @@
 	}
 }
 
-// replyFromStore replies to a request to open a session from the stored record, after a write that may have been
-// applied. If there is no record, the reply is the error absent.
-func (m *Manager) replyFromStore(request *Request, absent error, reply Reply) {
+// replyFromStore reads the stored record to reply to a request to open a session whose write may have been applied. If
+// there is no record, it replies with errIfAbsent.
+func (m *Manager) replyFromStore(request *Request, errIfAbsent error, reply Reply) {
 	id := request.Spec.ID
 	m.Read(Key(id), func(item store.Item, err error) {
 		var record Record
@@ -172,7 +173,7 @@
 		case err != nil:
 			reply(Result{}, refuse(Unavailable, "the state service does not answer"))
 		case item.Version == 0:
-			reply(Result{}, absent)
+			reply(Result{}, errIfAbsent)
 		case json.Unmarshal(item.Value, &record) != nil || !record.isOwnedBy(request):
 			reply(Result{}, refuse(Conflict, "the id %s is taken", id))
 		default:
@@ -184,7 +185,7 @@
 	})
 }
 
-// authenticate returns the session of an id if the token is its user's, else nil.
+// authenticate returns the session with an id if the token is its user's, otherwise nil.
 func (m *Manager) authenticate(id, token string) *session {
 	s := m.byID[id]
 	if s == nil || !tokenMatches(token, s.record.UserTokenDigest) {
@@ -193,25 +194,25 @@
 	return s
 }
 
-// Attach registers a user's return. It takes a warning back and ends a checkpoint; a reclaimed session begins to
-// resume. Of two attachments only the newer one's keep-alives count.
+// Attach records that a user has returned. It withdraws a warning, ends a checkpoint, and starts to resume a reclaimed
+// session. Keep-alives of earlier attachments are refused from then on.
 func (m *Manager) Attach(now time.Duration, id, token string, reply Reply) {
 	s := m.authenticate(id, token)
 	if s == nil {
 		reply(Result{}, notAuthorized())
 		return
 	}
-	s.runAfterWrite(func() { m.attachSettled(m.Now(), s, reply) })
+	s.runAfterWrite(func() { m.attachAfterWrite(m.Now(), s, reply) })
 }
 
-// attachSettled is Attach for a session without a write in flight.
-func (m *Manager) attachSettled(now time.Duration, s *session, reply Reply) {
+// attachAfterWrite attaches to a session that has no write in flight.
+func (m *Manager) attachAfterWrite(now time.Duration, s *session, reply Reply) {
 	job := m.Jobs.Get(s.id)
 	if s.state == Closed || job == nil || job.State.Terminal() {
 		reply(Result{}, refuse(Ended, "the session is closed"))
 		return
 	}
-	s.user.attachmentID = m.nextOrderID()
+	s.user.attachmentID = m.nextID()
 	s.user.lastAttachedAt = max(now, 1)
 	s.user.returnedAt = now
 	if s.state == Reclaimed {
@@ -225,7 +226,7 @@
 	reply(Result{View: m.view(now, s)}, nil)
 }
 
-// resume lets the job of a reclaimed session run again, once that is durable.
+// resume stores that a session is no longer reclaimed, and then allows its job to run again.
 func (m *Manager) resume(s *session, job *jobs.Job, reply Reply) {
 	team := s.record.Team
 	if err := m.checkTeamLimit(team, m.sessionsByTeam[team]); err != nil {
@@ -237,36 +238,36 @@
 	record.ReclaimedAtMS = 0
 	m.write(s, record, func(at time.Duration, ok bool) {
 		if !ok {
-			reply(Result{}, refuse(Unavailable, "the state service did not take it"))
+			reply(Result{}, refuse(Unavailable, "the state service did not store the resumption of the session"))
 			return
 		}
 		s.setState(at, Opening, "user returned")
 		m.sessionsByTeam[team]++
 		s.agent.lastInputAt = at
-		s.agent.lastHeardAt = at
+		s.agent.lastHeartbeatAt = at
 		m.Suspend(at, job, false)
 		reply(Result{View: m.view(at, s)}, nil)
 	})
 }
 
-// KeepAlive registers that a client is still attached. It delays a reclaim only as far as the idle rule uses
-// attached_s, and is accepted at most once a second. Its error is an *Error.
+// KeepAlive records that a client is still attached. It delays a reclaim only if the idle rule uses attached_s, and is
+// accepted at most once a second. Its error is an *Error.
 func (m *Manager) KeepAlive(now time.Duration, id, token string, attachmentID uint64) (Result, error) {
 	s := m.authenticate(id, token)
 	switch {
 	case s == nil:
 		return Result{}, notAuthorized()
 	case attachmentID < s.user.attachmentID:
-		return Result{}, refuse(Conflict, "attached elsewhere since")
+		return Result{}, refuse(Conflict, "a newer attachment replaces this one")
 	case s.user.lastKeepAliveAt > 0 && now-s.user.lastKeepAliveAt < minKeepAliveInterval:
-		return Result{}, refuse(TooFrequent, "kept alive less than a second ago")
+		return Result{}, refuse(TooFrequent, "the last keep-alive was less than a second ago")
 	}
 	s.user.lastKeepAliveAt = max(now, 1)
 	s.user.lastAttachedAt = max(now, 1)
 	return Result{View: m.view(now, s)}, nil
 }
 
-// Close ends a session and its job. The reply follows once that is durable.
+// Close ends a session and its job. It replies after the end is durable.
 func (m *Manager) Close(id, token string, reply Reply) {
 	s := m.authenticate(id, token)
 	if s == nil {
@@ -276,7 +277,7 @@
 	s.runAfterWrite(func() { m.cancelJob(s, reply) })
 }
 
-// cancelJob cancels a session's job and deletes its record, in one transaction. The reply may be nil.
+// cancelJob cancels a session's job and deletes the session's record, in one transaction. reply may be nil.
 func (m *Manager) cancelJob(s *session, reply Reply) {
 	if reply == nil {
 		reply = func(Result, error) {}
@@ -305,7 +306,7 @@
 			reply(Result{View: s.closedView()}, nil)
 		} else {
 			m.queue.schedule(s, at+writeRetryDelay)
-			reply(Result{}, refuse(Unavailable, "it is not known whether the session was closed"))
+			reply(Result{}, refuse(Unavailable, "the state service did not confirm that the session was closed"))
 		}
 		s.runDeferred()
 	})
--- a/internal/sessions/rule.go
+++ b/internal/sessions/rule.go
@@ -28,14 +28,14 @@
 	User         string  `expr:"user"`
 }
 
-// maxRuleNodes bounds an expression's size. It has no loops, so its cost follows its size.
+// maxRuleNodes bounds the size of an expression, and so its cost, as an expression has no loops.
 const maxRuleNodes = 64
 
-// Rule is a compiled expression that is true for an idle session.
+// Rule is a compiled expression over an Activity that is true for an idle session.
 type Rule struct {
 	text      string
 	program   *vm.Program
-	conjuncts []conjunct // joined by &&, to explain which of them isn't met
+	conjuncts []conjunct // the operands of &&, each compiled to explain which of them is false
 }
 
 type conjunct struct {
@@ -43,15 +43,15 @@
 	program *vm.Program
 }
 
-// RuleError is the error for an expression that is not a rule.
+// RuleError is the error for an expression that isn't a valid rule.
 type RuleError struct {
 	Position string // of the expression in the settings
-	Text     string // of the expression
+	Text     string // the expression
 	Err      error
 }
 
-// Error returns the message, which begins with the position. The library's errors draw the position over several
-// lines: the message has only the first, which is the cause.
+// Error returns the message, which begins with the position. An error of the expression library has several lines; the
+// message contains only the first one, which is the cause.
 func (e *RuleError) Error() string {
 	cause, _, _ := strings.Cut(e.Err.Error(), "\n")
 	return fmt.Sprintf("%s: idle = %q: %s", e.Position, e.Text, cause)
@@ -60,10 +60,10 @@
 // Unwrap returns the cause.
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// ErrNotAllowed is wrapped by the errors for constructs of the expression language that rules may not use.
+// ErrNotAllowed is wrapped by errors for constructs of the expression language that a rule must not use.
 var ErrNotAllowed = errors.New("not allowed here")
 
-// restrictionVisitor finds operators and nodes that could run for long or hide their cost.
+// restrictionVisitor finds operators and nodes whose run time isn't bounded by the size of the expression.
 type restrictionVisitor struct{ err error }
 
 // Visit implements ast.Visitor.
@@ -79,7 +79,7 @@
 	}
 }
 
-// CompileRule checks and compiles an expression at a position of the settings. Its error is a *RuleError.
+// CompileRule checks and compiles an expression. position is its position in the settings. The error is a *RuleError.
 func CompileRule(text, position string) (*Rule, error) {
 	rule, err := compileRule(text)
 	if err != nil {
@@ -122,7 +122,7 @@
 	)
 }
 
-// splitConjuncts appends the expressions that a node joins by && to a list.
+// splitConjuncts appends to conjuncts the operands that a node joins by &&, or the node itself if there is no &&.
 func splitConjuncts(node ast.Node, conjuncts []string) []string {
 	binary, ok := node.(*ast.BinaryNode)
 	if ok && (binary.Operator == "&&" || binary.Operator == "and") {
@@ -131,8 +131,8 @@
 	return append(conjuncts, node.String())
 }
 
-// Idle reports whether a session is idle. A session with a running cell never is, whatever the rule, nor is one for
-// which the rule can't be evaluated.
+// Idle reports whether a session is idle. It is false if a cell is running, whatever the rule, and if the evaluation of
+// the rule fails.
 func (r *Rule) Idle(activity Activity) bool {
 	if activity.CellRunning {
 		return false
@@ -142,7 +142,7 @@
 	return err == nil && ok && idle
 }
 
-// UnmetConditions returns the parts of the rule that aren't met, as text for users.
+// UnmetConditions returns the conditions that prevent a session from being idle, as text for users.
 func (r *Rule) UnmetConditions(activity Activity) []string {
 	var unmet []string
 	if activity.CellRunning {
--- a/internal/sessions/view.go
+++ b/internal/sessions/view.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// View is a session as it is shown to users and operators.
+// View is the representation of a session for users and operators.
 type View struct {
 	ID           string      `json:"name_id"`
 	User         string      `json:"user"`
 	Team         string      `json:"team"`
 	State        string      `json:"stance"`
-	InStateS     float64     `json:"for_s"`
-	IdleS        float64     `json:"idle_s"`
+	InStateS     float64     `json:"for_s"`  // time in the state, in seconds
+	IdleS        float64     `json:"idle_s"` // time since the last input, in seconds; 0 unless idle
 	CellRunning  bool        `json:"cell,omitempty"`
 	UnsavedMB    float64     `json:"unsaved_mb,omitempty"`
 	Checkpoint   *Checkpoint `json:"saved,omitempty"`
 	AttachmentID uint64      `json:"attachment,omitempty"`
 	ReclaimInS   float64     `json:"reclaim_in_s,omitempty"`
-	Cause        string      `json:"why,omitempty"` // of the reclaim
+	Cause        string      `json:"why,omitempty"` // why the session is being reclaimed
 }
 
-// List returns the sessions of a user and a team, by id; "" stands for all.
+// List returns the sessions of a user and a team, sorted by id. "" selects all users or all teams.
 func (m *Manager) List(now time.Duration, user, team string) []View {
 	views := []View{}
 	for _, s := range m.byID {
@@ -34,7 +34,7 @@
 	return views
 }
 
-// CountByState returns the number of sessions by the name of their state.
+// CountByState returns the number of sessions in each state, by the state's name.
 func (m *Manager) CountByState() map[string]int {
 	counts := map[string]int{}
 	for _, s := range m.byID {
@@ -43,7 +43,7 @@
 	return counts
 }
 
-// Show returns one session; ok is false if there is none of that id.
+// Show returns the view of one session; ok is false if there is no session with that id.
 func (m *Manager) Show(now time.Duration, id string) (view View, ok bool) {
 	s := m.byID[id]
 	if s == nil {
--- a/internal/sessions/write.go
+++ b/internal/sessions/write.go
@@ -7,7 +7,7 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// recordWrite is a write of a session's record in flight.
+// recordWrite is a write of a session's record that is in flight.
 type recordWrite struct {
 	session         *session
 	record          Record
@@ -16,14 +16,14 @@
 	done            func(now time.Duration, ok bool)
 }
 
-// reread is a write whose outcome is to be determined by reading the record again.
+// reread is a scheduled read of a record, to determine the outcome of a write.
 type reread struct {
 	at    time.Duration
 	write *recordWrite
 }
 
-// write makes a session's record durable and calls done with whether it is. Until then nothing else about the session
-// is decided.
+// write stores a session's record and calls done with whether the record is durable. Until then writePending blocks all
+// other decisions about the session.
 func (m *Manager) write(s *session, record Record, done func(now time.Duration, ok bool)) {
 	write := &recordWrite{
 		session:         s,
@@ -45,7 +45,7 @@
 	})
 }
 
-// txn returns a transaction that stores a record if none was stored since.
+// txn returns a transaction that stores a record if the stored version is still previousVersion.
 func (w *recordWrite) txn(raw json.RawMessage) store.Txn {
 	key := Key(w.session.id)
 	return store.Txn{
@@ -72,9 +72,9 @@
 	}
 }
 
-// resolveWrite determines the outcome of an indeterminate write. A read that shows that it wasn't applied proves
-// nothing: it may be applied afterwards, and the next leader would stop a session in use. So the former record is
-// written again, which changes its version; then the indeterminate write can no longer be applied.
+// resolveWrite determines the outcome of an indeterminate write. If a read shows the former record, the write may still
+// be applied later, and the next leader would then stop a session in use. Therefore the former record is written again:
+// its version changes, and the indeterminate write can no longer be applied.
 func (m *Manager) resolveWrite(write *recordWrite) {
 	s := write.session
 	m.Read(Key(s.id), func(item store.Item, err error) {
@@ -92,7 +92,7 @@
 	})
 }
 
-// overwrite writes the former record again.
+// overwrite writes the former record again, so that an indeterminate write can no longer be applied.
 func (m *Manager) overwrite(write *recordWrite) {
 	s := write.session
 	m.Commit(write.txn(s.record.encode()), func(result store.Result) {
@@ -109,7 +109,7 @@
 	m.rereads = append(m.rereads, reread{at: m.Now() + rereadDelay, write: write})
 }
 
-// runAfterWrite calls a function now, or once the write in flight is settled.
+// runAfterWrite calls a function at once, or, if a write is in flight, after its outcome is determined.
 func (s *session) runAfterWrite(f func()) {
 	if s.writePending {
 		s.afterWrite = append(s.afterWrite, f)
@@ -118,7 +118,7 @@
 	f()
 }
 
-// runDeferred calls the functions that were deferred until the write in flight is settled.
+// runDeferred calls the functions that runAfterWrite has deferred.
 func (s *session) runDeferred() {
 	deferred := s.afterWrite
 	s.afterWrite = nil
@@ -127,7 +127,7 @@
 	}
 }
 
-// deleteRecord deletes the record of a session whose job has ended, and removes the session.
+// deleteRecord deletes the record of a session whose job has ended, and then removes the session.
 func (m *Manager) deleteRecord(s *session) {
 	s.writePending = true
 	txn := store.Txn{Then: []store.Op{{Delete: Key(s.id)}}}
@@ -138,6 +138,6 @@
 		} else {
 			m.queue.schedule(s, m.Now()+writeRetryDelay)
 		}
-		s.runDeferred() // requests that arrived meanwhile wait for their replies
+		s.runDeferred() // replies to requests that arrived during the deletion
 	})
 }
