--- a/internal/licences/allocation.go
+++ b/internal/licences/allocation.go
@@ -1,19 +1,19 @@
 package licences
 
-// Denial is why a task may not have its units. The zero value means that it may.
+// Denial is why a task is denied its units. The zero value, Granted, means that it isn't denied.
 type Denial uint8
 
 // The denials.
 const (
 	Granted           Denial = iota
-	UnknownPool              // the pool is not declared here
+	UnknownPool              // the pool isn't declared on this controller
 	NoFreeUnits              // all units are in use
-	TeamLimitReached         // the team uses as many units as it may
+	TeamLimitReached         // the units would exceed the team's limit
 	ServerUnavailable        // the licence server's state is unknown
-	LowerPriority            // units are free, but go to jobs of higher priority
+	LowerPriority            // units are free, but are kept for jobs of higher priority
 )
 
-// String returns the reason for users, as the API has it.
+// String returns the reason as text for users of the API.
 func (d Denial) String() string {
 	return [...]string{
 		"granted", "no such licence pool", "no seat is free", "the team holds as many seats as it may",
@@ -21,11 +21,11 @@
 	}[d]
 }
 
-// noPool stands for no pool in a result.
+// noPool is the pool index that means no pool in a result.
 const noPool int32 = -1
 
-// Fits reports whether a number of further tasks may all have their units now. If not, it returns the denial and
-// the index of the pool that causes it; otherwise Granted and -1.
+// Fits returns Granted and -1 if all of a number of further tasks may get their units now. If not, it returns the
+// denial and the index of the pool that causes it.
 func (l *Ledger) Fits(team int32, needs []Unit, tasks int) (Denial, int32) {
 	for _, unit := range needs {
 		pool := l.pool(unit.Pool)
@@ -39,7 +39,7 @@
 	return Granted, noPool
 }
 
-// fits returns Granted if a team may have further units now, and the denial if not.
+// fits returns Granted if a team may get a number of further units now, otherwise the denial.
 func (p *poolState) fits(team int32, units int) Denial {
 	if !p.server.isUsable() {
 		return ServerUnavailable
@@ -58,41 +58,41 @@
 type Request struct {
 	Job    int32  // dense index
 	Team   int32  // dense index
-	Needs  []Unit // of each task
-	Tasks  int    // that wait
-	IsGang bool   // all tasks must get their units at once: gang scheduling
+	Needs  []Unit // units that each task needs
+	Tasks  int    // number of waiting tasks
+	IsGang bool   // gang scheduling: all tasks must get their units at once
 }
 
-// Grant is the result of a Request: how many of its tasks may be planned and started and, if not all of them, why.
+// Grant is the result of a Request: how many of its tasks may be planned and started and, if not all, the denial.
 type Grant struct {
 	Tasks  int
 	Denial Denial
-	Pool   int32 // that causes the denial; -1: none
+	Pool   int32 // index of the pool that causes the denial; -1: none
 }
 
-// limit returns how many of a number of tasks can have their units of a pool if only so many units are available.
-// If they are fewer, it records the reason.
-func (g *Grant) limit(tasks int, unit Unit, available int, why Denial) int {
+// limit returns how many of a number of tasks can get their units of one pool from the available ones. If that is not
+// all tasks, it records the denial.
+func (g *Grant) limit(tasks int, unit Unit, available int, denial Denial) int {
 	fitting := max(0, available) / unit.N
 	if fitting >= tasks {
 		return tasks
 	}
-	g.Denial = why
+	g.Denial = denial
 	g.Pool = unit.Pool
 	return fitting
 }
 
-// allocation is what remains of all pools during one call of Allocate.
+// allocation is the remaining units of all pools during one call of Allocate.
 type allocation struct {
 	ledger    *Ledger
-	freeUnits []int           // by pool
-	teamUnits []map[int32]int // by pool and team: in use or granted
+	freeUnits []int           // units neither in use nor granted, by pool
+	teamUnits []map[int32]int // units in use or granted, by pool and team
 }
 
-// Allocate distributes the free units over jobs, which it takes in priority order, the highest first. It does two
-// rounds: first for jobs within their team's guarantee, then for all. A gang that can't have all its units yet
-// withholds the free ones of all its pools from the jobs behind it. A gang never gets a part of its units, so two
-// gangs that need the same two pools can't deadlock.
+// Allocate distributes the free units over the requests, which are in priority order, the highest first. It makes two
+// rounds: the first for jobs within their team's guarantee, the second for all jobs. A gang that can't get all its
+// units yet withholds free units of all its pools from the jobs after it. A gang never gets only a part of its units,
+// so two gangs that need the same two pools can't deadlock.
 func (l *Ledger) Allocate(requests []Request) []Grant {
 	remaining := l.newAllocation()
 	grants := make([]Grant, len(requests))
@@ -128,7 +128,7 @@
 	return a
 }
 
-// grant grants a job what it can have in one round, in addition to what an earlier round has granted.
+// grant grants a job the tasks that fit in one round, in addition to those granted in an earlier round.
 func (a *allocation) grant(request *Request, grant *Grant, guaranteed bool) {
 	waiting := request.Tasks - grant.Tasks
 	if waiting <= 0 || !a.areDeclared(request, grant) {
@@ -145,7 +145,7 @@
 	grant.Tasks += tasks
 }
 
-// areDeclared reports whether all pools of a job are declared here. If not, it records the denial.
+// areDeclared reports whether all pools of a job are declared on this controller. If not, it records the denial.
 func (a *allocation) areDeclared(request *Request, grant *Grant) bool {
 	for _, unit := range request.Needs {
 		if a.ledger.pool(unit.Pool) == nil {
@@ -157,8 +157,8 @@
 	return true
 }
 
-// grantable returns how many of a number of tasks can have their units now. If they are fewer, it records the
-// denial.
+// grantable returns how many of a number of tasks can get their units in one round. If that is not all tasks, it
+// records the denial. In the guaranteed round it returns 0 for a team without a guarantee for any of the pools.
 func (a *allocation) grantable(request *Request, tasks int, guaranteed bool, grant *Grant) int {
 	hasGuarantee := false
 	for _, unit := range request.Needs {
@@ -180,7 +180,7 @@
 	return tasks
 }
 
-// shortageReason returns why a task doesn't get its units where too few of them remain.
+// shortageReason returns the denial for a task that needs a number of units when too few remain.
 func (p *poolState) shortageReason(units int) Denial {
 	switch {
 	case !p.server.isUsable():
@@ -201,8 +201,8 @@
 	}
 }
 
-// withhold sets the units aside for which a gang waits. A gang that couldn't have them even without other holders
-// withholds nothing.
+// withhold reserves free units for a waiting gang during the rest of the call. A gang that couldn't get its units
+// even if there were no other holders withholds nothing.
 func (a *allocation) withhold(request *Request) {
 	for _, unit := range request.Needs {
 		if !a.canEverFit(request, unit) {
@@ -214,8 +214,8 @@
 	}
 }
 
-// canEverFit reports whether all tasks of a gang could have their units of one pool within the pool's count and,
-// beside what the team has already, within the team's limit.
+// canEverFit reports whether all tasks of a gang could get their units of one pool: within the pool's units that
+// aren't kept for outside holders and, together with the units the team has already, within the team's limit.
 func (a *allocation) canEverFit(request *Request, unit Unit) bool {
 	pool := a.ledger.pools[unit.Pool]
 	needed := unit.N * request.Tasks
--- a/internal/licences/allocation_test.go
+++ b/internal/licences/allocation_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// unitwiseAllocation is the slow model of Allocate: it grants units one task at a time.
+// unitwiseAllocation is a slow model of Allocate, which grants units to one task at a time.
 type unitwiseAllocation struct {
 	ledger    *Ledger
-	freeUnits []int
-	teamUnits map[poolTeam]int
+	freeUnits []int            // units neither in use nor granted, by pool
+	teamUnits map[poolTeam]int // units in use or granted
 }
 
 type poolTeam struct{ pool, team int32 }
@@ -28,7 +28,7 @@
 	return m
 }
 
-// allocate returns how many tasks of each job get their units, jobs within their guarantee first.
+// allocate returns how many tasks of each request get their units. Jobs within their team's guarantee come first.
 func (m *unitwiseAllocation) allocate(requests []Request) []int {
 	granted := make([]int, len(requests))
 	for _, guaranteed := range []bool{true, false} {
@@ -54,18 +54,18 @@
 func (m *unitwiseAllocation) fits(request Request, tasks int, guaranteed bool) bool {
 	hasGuarantee := false
 	for _, unit := range request.Needs {
-		share := TeamQuota{}
+		quota := TeamQuota{}
 		if usage := m.ledger.pools[unit.Pool].teams[request.Team]; usage != nil {
-			share = usage.TeamQuota
+			quota = usage.TeamQuota
 		}
 		units := tasks * unit.N
 		teamUnits := m.teamUnits[poolTeam{unit.Pool, request.Team}] + units
 		if units > m.freeUnits[unit.Pool] ||
-			(share.Limit > 0 && teamUnits > share.Limit) ||
-			(guaranteed && share.Guarantee > 0 && teamUnits > share.Guarantee) {
+			(quota.Limit > 0 && teamUnits > quota.Limit) ||
+			(guaranteed && quota.Guarantee > 0 && teamUnits > quota.Guarantee) {
 			return false
 		}
-		hasGuarantee = hasGuarantee || share.Guarantee > 0
+		hasGuarantee = hasGuarantee || quota.Guarantee > 0
 	}
 	return hasGuarantee || !guaranteed
 }
@@ -98,7 +98,7 @@
 	}
 }
 
-// drawPools draws one to three pools with a quota for each of the teams.
+// drawPools draws one to three pools, each with a quota for each team.
 func drawPools(t *rapid.T, teams []string) []*Pool {
 	var pools []*Pool
 	for i := range rapid.IntRange(1, 3).Draw(t, "pools") {
@@ -116,7 +116,7 @@
 	return pools
 }
 
-// drawNeeds draws the units that a task needs of each pool; nil: none.
+// drawNeeds draws the units that a task needs of each pool; it returns nil if the task needs none.
 func drawNeeds(t *rapid.T, pools []*Pool, label string) []Unit {
 	var needs []Unit
 	for i := range pools {
@@ -141,23 +141,23 @@
 			Team:   drawTeam(t),
 			Needs:  needs,
 			Tasks:  rapid.IntRange(0, 9).Draw(t, "tasks"),
-			IsGang: rapid.Bool().Draw(t, "whole"),
+			IsGang: rapid.Bool().Draw(t, "gang"),
 		})
 	}
 	return requests
 }
 
-// Allocate grants as many tasks as a model that grants them one at a time; no pool gives out more than is free, and a
-// gang gets all its units or none, of every pool it needs.
+// Allocate grants the same tasks as a model that grants them one at a time. It never grants more units of a pool than
+// are free, and a gang gets all its units of all pools or none.
 func TestAllocateMatchesUnitwiseModel(t *testing.T) {
 	teams := []string{"a", "b", "c"}
 	teamIndex := func(name string) int32 { return int32(slices.Index(teams, name)) }
 	rapid.Check(t, func(t *rapid.T) {
 		pools := drawPools(t, teams)
 		l := New(NewCatalog(pools), teamIndex, 0)
-		for i := range rapid.IntRange(0, 5).Draw(t, "held") {
+		for i := range rapid.IntRange(0, 5).Draw(t, "holders") {
 			team := drawTeam(t)
-			needs := drawNeeds(t, pools, "has")
+			needs := drawNeeds(t, pools, "needs of a holder")
 			if denial, _ := l.Fits(team, needs, 1); denial == Granted {
 				l.Acquire(0, TaskRef{int32(i), 0}, 1, team, needs, CheckedOut)
 			}
@@ -167,22 +167,23 @@
 		freeUnits := newUnitwiseAllocation(l).freeUnits
 		for i, grant := range l.Allocate(requests) {
 			if grant.Tasks != want[i] {
-				t.Fatalf("%+v was granted %d, one at a time %d", requests[i], grant.Tasks, want[i])
+				t.Fatalf("request %+v: got %d tasks granted, want %d as in the model", requests[i], grant.Tasks, want[i])
 			}
 			if (grant.Tasks < requests[i].Tasks) != (grant.Denial != Granted) {
-				t.Fatalf("%+v was granted %d with the reason %q", requests[i], grant.Tasks, grant.Denial)
+				t.Fatalf("request %+v: got %d tasks granted, denial %q, want a denial only if not all are granted",
+					requests[i], grant.Tasks, grant.Denial)
 			}
 			for _, unit := range requests[i].Needs {
 				if freeUnits[unit.Pool] -= unit.N * grant.Tasks; freeUnits[unit.Pool] < 0 {
-					t.Fatalf("more units of pool %d were granted than are free", unit.Pool)
+					t.Fatalf("pool %d: got more units granted than are free", unit.Pool)
 				}
 			}
 		}
 	})
 }
 
-// Of two gangs that need two pools, in opposite order, with room for one gang in each, one gets all it needs and
-// the other nothing. The second follows when the first is done.
+// Two gangs name the same two pools in opposite order, and each pool has enough units for one gang. The first gang
+// gets all its units and the second none, until the tasks of the first have ended.
 func TestGangsWithPoolsInOppositeOrderDoNotDeadlock(t *testing.T) {
 	catalog := NewCatalog([]*Pool{{Name: "x", Count: 4}, {Name: "y", Count: 4}})
 	l := New(catalog, singleTeam, 0)
@@ -197,18 +198,18 @@
 	}
 	grants := l.Allocate(requests)
 	if grants[0].Tasks != 3 || grants[1].Tasks != 0 || grants[1].Denial != LowerPriority {
-		t.Fatalf("granted %+v", grants)
+		t.Fatalf("got grants %+v, want 3 tasks for the first gang and LowerPriority for the second", grants)
 	}
 	for task := range int32(3) {
 		l.Acquire(0, TaskRef{1, task}, 1, 0, inOrder, CheckedOut)
 	}
 	if grants = l.Allocate(requests[1:]); grants[0].Tasks != 0 {
-		t.Fatalf("granted %+v beside the first", grants)
+		t.Fatalf("first gang running: got grants %+v, want no task for the second", grants)
 	}
 	for task := range int32(3) {
 		l.Release(0, TaskRef{1, task}, inOrder, CleanExit)
 	}
 	if grants = l.Allocate(requests[1:]); grants[0].Tasks != 3 {
-		t.Fatalf("granted %+v after the first", grants)
+		t.Fatalf("first gang ended: got grants %+v, want 3 tasks for the second", grants)
 	}
 }
--- a/internal/licences/answer.go
+++ b/internal/licences/answer.go
@@ -7,22 +7,22 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Answer is a licence server's answer about a pool, in the format that docs/licences.md publishes.
+// Answer is a licence server's answer to a query for a pool, in the format that docs/licences.md publishes.
 type Answer struct {
-	// Count is how many units the server has in total, 0 if it doesn't report that.
+	// Count is the total number of units that the server has; 0: not reported.
 	Count   int            `json:"count"`
 	Holders []AnswerHolder `json:"holders"`
 }
 
-// AnswerHolder is one holder in a server's answer. Task is the task's name for the cluster's own holders and any
-// other text for outside holders. Attempt is 0 if the server doesn't report attempts.
+// AnswerHolder is one holder in a server's answer. Task is the task's name for a holder of the cluster, and any other
+// text for an outside holder. Attempt is 0 if the server doesn't report attempts.
 type AnswerHolder struct {
 	Task    string `json:"holder"`
 	Attempt uint64 `json:"attempt"`
 	Units   int    `json:"units"`
 }
 
-// Bounds of an answer.
+// Bounds of the values in an answer.
 const (
 	maxHolders     = 100_000
 	maxHolderUnits = 1_000_000
@@ -44,7 +44,7 @@
 // Unwrap returns errOutOfBounds.
 func (e *holderUnitsError) Unwrap() error { return errOutOfBounds }
 
-// ParseAnswer decodes and checks a server's answer. An answer without the list of holders is an error.
+// ParseAnswer decodes and checks a server's answer. It returns an error if the list of holders is missing.
 func ParseAnswer(raw []byte) (Answer, error) {
 	var answer Answer
 	if err := json.Unmarshal(raw, &answer); err != nil {
--- a/internal/licences/answer_test.go
+++ b/internal/licences/answer_test.go
@@ -17,7 +17,7 @@
 		isOutOfBounds bool
 	}{
 		{"no holders", `{"count":3,"holders":[]}`, "", false},
-		{"largest holder", `{"holders":[{"holder":"a","attempt":1,"units":1000000}]}`, "", false},
+		{"largest units", `{"holders":[{"holder":"a","attempt":1,"units":1000000}]}`, "", false},
 		{"most holders", holders(maxHolders), "", false},
 		{"not JSON", `{`, "licence server: ", false},
 		{"list missing", `{"count":3}`, `no list "holders"`, false},
@@ -29,12 +29,12 @@
 		_, err := ParseAnswer([]byte(c.raw))
 		switch {
 		case c.err == "" && err != nil:
-			t.Errorf("%s: %v", c.name, err)
+			t.Errorf("%s: got error %v, want none", c.name, err)
 		case c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)):
-			t.Errorf("%s: error %v, want %q", c.name, err, c.err)
+			t.Errorf("%s: got error %v, want one with %q", c.name, err, c.err)
 		}
 		if errors.Is(err, errOutOfBounds) != c.isOutOfBounds {
-			t.Errorf("%s: error %v, out of bounds: %v", c.name, err, c.isOutOfBounds)
+			t.Errorf("%s: got error %v, want errOutOfBounds: %v", c.name, err, c.isOutOfBounds)
 		}
 	}
 }
--- a/internal/licences/catalog_test.go
+++ b/internal/licences/catalog_test.go
@@ -10,8 +10,8 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// newReserveCatalog returns the catalog of one pool of ten units that keeps one for outside holders, four on Friday
-// evenings in Tokyo.
+// newReserveCatalog returns the catalog of one pool of ten units, of which one is kept for outside holders, or four on
+// Friday evenings in Tokyo time.
 func newReserveCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	window, err := calendar.Parse("Fri", "18:00", "23:00", "Asia/Tokyo")
@@ -40,7 +40,7 @@
 		}
 		l.Tick(0, wall)
 		if free := l.pools[0].freeUnits(); free != want {
-			t.Errorf("%s: %d units free, want %d", at, free, want)
+			t.Errorf("at %s: got %d free units, want %d", at, free, want)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	for _, c := range []struct {
 		pool  string
 		tasks int
-		why   string // "": fits
+		why   string // "": the tasks fit
 	}{
 		{"p", 6, ""},
 		{"p", 7, "never gives it more than 6"},
@@ -58,13 +58,13 @@
 	} {
 		ok, why := catalog.CanEverFit(map[string]int{c.pool: 1}, "t", c.tasks)
 		if ok != (c.why == "") || !strings.Contains(why, c.why) {
-			t.Errorf("%d tasks of pool %s: %v, %q, want %q", c.tasks, c.pool, ok, why, c.why)
+			t.Errorf("%d tasks of pool %s: got %v, reason %q, want reason %q", c.tasks, c.pool, ok, why, c.why)
 		}
 	}
 }
 
-// A count set at run time replaces the declared one until it is deleted; outdated versions are ignored; a record
-// that can't be read leaves no units until the count is set again.
+// A count set at run time replaces the declared count until it is deleted. Outdated versions are ignored. After an
+// invalid record, the count is 0 until it is set again.
 func TestStoredCountReplacesDeclaredCount(t *testing.T) {
 	catalog := newReserveCatalog(t)
 	for _, step := range []struct {
@@ -88,12 +88,12 @@
 			err = catalog.ApplyRecord(Key("p"), []byte(step.record), step.version)
 		}
 		if (err != nil) != step.fails || catalog.Count(0) != step.count {
-			t.Fatalf("after %q at version %d: count %d, error %v, want count %d",
+			t.Fatalf("record %q at version %d: got count %d, error %v, want count %d",
 				step.record, step.version, catalog.Count(0), err, step.count)
 		}
 		var newer *rollout.NewerFormatError
 		if errors.As(err, &newer) != step.isNewer {
-			t.Errorf("after %q: error %v, in a newer format: %v", step.record, err, step.isNewer)
+			t.Errorf("record %q: got error %v, want a NewerFormatError: %v", step.record, err, step.isNewer)
 		}
 	}
 }
--- a/internal/licences/checkout.go
+++ b/internal/licences/checkout.go
@@ -8,8 +8,8 @@
 	Task int32
 }
 
-// Holder is one attempt of a task. Attempt is 0 while it is unknown: a new leader reads from the durable plan that
-// a task may run, but not as which attempt.
+// Holder is one attempt of a task. Attempt is 0 while it is unknown: the durable plan that a new leader reads contains
+// the tasks that may run, but not their attempts.
 type Holder struct {
 	TaskRef
 	Attempt uint64
@@ -20,14 +20,14 @@
 
 // The states of a checkout and its transitions:
 //
-//	Free            -> Reserved         the task's gang is about to start, its own launch is deferred
-//	Free            -> CheckedOut       the task's launch is about to be sent, or it was found on a machine
+//	Free            -> Reserved         the task's gang is about to start, the task's own launch is deferred
+//	Free            -> CheckedOut       the task's launch is about to be sent, or the task was found on a machine
 //	Reserved        -> CheckedOut       the launch is about to be sent
-//	Reserved        -> Free             the gang was given up before this launch was sent
-//	CheckedOut      -> Free             the task never started, or it is gone and the units are surely returned
+//	Reserved        -> Free             the start of the gang was cancelled before this launch was sent
+//	CheckedOut      -> Free             the task never started, or it is gone and its units are proven to be returned
 //	CheckedOut      -> AwaitingRelease  the task is gone, but its units may still be checked out
-//	AwaitingRelease -> Free             an answer queried after the end lacks the holder, or the deadline has passed
-//	AwaitingRelease -> CheckedOut       an attempt that was taken for gone was found on a machine
+//	AwaitingRelease -> Free             an answer to a query after the end lacks the holder, or the deadline has passed
+//	AwaitingRelease -> CheckedOut       an attempt that was believed to be gone was found on a machine
 const (
 	Free State = iota
 	Reserved
@@ -52,27 +52,27 @@
 	AwaitingRelease: {Free, CheckedOut},
 }
 
-// End is how a task left its machine, as far as its licence units are concerned.
+// End is how a task left its machine, which determines when its licence units are returned.
 type End uint8
 
-// The ways in which a task ends.
+// The ways in which a task leaves its machine.
 const (
-	NeverStarted End = iota // it surely never started
-	CleanExit               // it exited or was stopped, with time to return its units
-	Crashed                 // its process, machine or lease ended: the server may keep its units checked out
+	NeverStarted End = iota // it is proven that the task never started
+	CleanExit               // the task exited or was stopped, with time to return its units
+	Crashed                 // the process crashed, the machine failed or its lease expired: the units may stay checked out
 )
 
-// checkout is what one holder has of one pool.
+// checkout is the units that one holder has of one pool.
 type checkout struct {
 	state           State
 	team            int32         // dense index
-	units           int           // in the ledger's own count; 0 if Free
-	reportedUnits   int           // in the server's last answer
-	changedAt       time.Duration // of state
-	releaseDeadline time.Duration // when AwaitingRelease ends without an answer
+	units           int           // by the ledger's own count; 0 if Free
+	reportedUnits   int           // by the server's last answer
+	changedAt       time.Duration // time of the last change of state
+	releaseDeadline time.Duration // time at which AwaitingRelease ends if no answer ends it earlier
 	isMissing       bool          // CheckedOut, and the last answer lacks the holder although an earlier one had it
 }
 
-// countedUnits returns how many units of its pool the checkout uses. The ledger's own count and the server's are
-// of the same units, so the larger one applies.
+// countedUnits returns how many units of its pool the checkout uses. The ledger and the server count the same units,
+// so the larger count applies, not the sum.
 func (c *checkout) countedUnits() int { return max(c.units, c.reportedUnits) }
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Ledger counts the units of all pools for one term of one leader. It isn't safe for concurrent use.
+// Ledger counts the units in use of all pools during one term of one leader. It isn't safe for concurrent use.
 type Ledger struct {
 	catalog   *Catalog
 	pools     []*poolState // by dense index
 	startedAt time.Duration
 }
 
-// New returns the ledger of a term that begins at now. teamIndex maps a team's name to its dense index.
+// New returns the ledger for a term that begins at now. teamIndex returns the dense index of a team by its name.
 func New(catalog *Catalog, teamIndex func(string) int32, now time.Duration) *Ledger {
 	l := &Ledger{catalog: catalog, startedAt: now}
 	for i := range catalog.pools {
@@ -18,10 +18,10 @@
 	return l
 }
 
-// IsEmpty reports whether there are no pools at all.
+// IsEmpty reports whether no pools are declared.
 func (l *Ledger) IsEmpty() bool { return len(l.pools) == 0 }
 
-// pool returns the state of a pool, or nil if the pool isn't declared here.
+// pool returns the state of a pool by its dense index, or nil if there is no such pool.
 func (l *Ledger) pool(index int32) *poolState {
 	if index < 0 || int(index) >= len(l.pools) {
 		return nil
@@ -29,9 +29,9 @@
 	return l.pools[index]
 }
 
-// Acquire counts what a task holds from now on: before its launch is sent (to is CheckedOut), before its gang
-// starts (to is Reserved), or since it was found on a machine (CheckedOut). A further call for the same task
-// changes only the attempt and the state.
+// Acquire counts the units of a task as in use from now on. The state to is Reserved before the task's gang starts,
+// and CheckedOut before the task's launch is sent or after the task was found on a machine. A further call for the
+// same task changes only its attempt and state.
 func (l *Ledger) Acquire(now time.Duration, ref TaskRef, attempt uint64, team int32, needs []Unit, to State) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// SetAttempt sets which attempt of a task is on its machine, after a heartbeat has named it.
+// SetAttempt sets the attempt of a task that is on its machine, after a heartbeat has reported the attempt.
 func (l *Ledger) SetAttempt(now time.Duration, ref TaskRef, attempt uint64, needs []Unit) {
 	for _, unit := range needs {
 		pool := l.pool(unit.Pool)
@@ -53,18 +53,18 @@
 	}
 }
 
-// Release ends what a task holds once the task is proven to be gone: by a fenced heartbeat, the cloud's confirmation,
-// or the expiry of its worker's lease. Units that a server may still count are AwaitingRelease.
-func (l *Ledger) Release(now time.Duration, ref TaskRef, needs []Unit, how End) {
+// Release ends the use of a task's units. The task must be proven to be gone: by a fenced heartbeat, the cloud's
+// confirmation, or the expiry of its worker's lease. Units that a server may still count become AwaitingRelease.
+func (l *Ledger) Release(now time.Duration, ref TaskRef, needs []Unit, end End) {
 	for _, unit := range needs {
 		if pool := l.pool(unit.Pool); pool != nil {
-			pool.release(now, ref, how)
+			pool.release(now, ref, end)
 		}
 	}
 }
 
-// IsWithinGuarantee reports whether a team stays within its guarantee with a number of further tasks, in every
-// pool that they need and for which the team has a guarantee. Without any guarantee it is false.
+// IsWithinGuarantee reports whether a team stays within its guarantees if it starts a number of further tasks. It
+// checks each needed pool for which the team has a guarantee. It returns false if there is no such pool.
 func (l *Ledger) IsWithinGuarantee(team int32, needs []Unit, tasks int) bool {
 	hasGuarantee := false
 	for _, unit := range needs {
@@ -85,17 +85,17 @@
 }
 
 // IsAboveGuarantee reports whether a team holds more units of a pool than its guarantee.
-func (l *Ledger) IsAboveGuarantee(pool, team int32) bool {
-	state := l.pool(pool)
-	if state == nil {
+func (l *Ledger) IsAboveGuarantee(poolIndex, team int32) bool {
+	pool := l.pool(poolIndex)
+	if pool == nil {
 		return false
 	}
-	usage := state.teams[team]
+	usage := pool.teams[team]
 	return usage == nil || usage.units > usage.Guarantee
 }
 
-// Shortage returns how many units a number of further tasks lack of a pool, 0 if none or while the server's state is
-// unknown.
+// Shortage returns how many units of a pool are missing for a number of further tasks. It is 0 while the licence
+// server's state is unknown.
 func (l *Ledger) Shortage(unit Unit, tasks int) int {
 	pool := l.pool(unit.Pool)
 	if pool == nil || !pool.server.isUsable() {
@@ -104,13 +104,14 @@
 	return max(0, unit.N*tasks-pool.freeUnits())
 }
 
-// Excess returns how many units have to be preempted since a pool's count was lowered. It is 0 unless the pool's
-// policy is PreemptHolders, and while units of an earlier term's tasks are counted that may not run at all.
-func (l *Ledger) Excess(pool int32) int {
-	state := l.pool(pool)
-	if state == nil || state.unconfirmedUnits > 0 || l.catalog.Lowering(pool) != PreemptHolders {
+// Excess returns how many units have to be preempted because a pool's count was lowered. It is 0 unless the pool's
+// policy is PreemptHolders. It is also 0 while the ledger counts units of tasks that an earlier term has planned and
+// that may not be running.
+func (l *Ledger) Excess(poolIndex int32) int {
+	pool := l.pool(poolIndex)
+	if pool == nil || pool.unconfirmedUnits > 0 || l.catalog.Lowering(poolIndex) != PreemptHolders {
 		return 0
 	}
-	held := state.unitsByState[CheckedOut] + state.unitsByState[Reserved]
-	return min(held, max(0, held+state.server.outsideUnits-state.totalUnits()))
+	activeUnits := pool.unitsByState[CheckedOut] + pool.unitsByState[Reserved]
+	return min(activeUnits, max(0, activeUnits+pool.server.outsideUnits-pool.totalUnits()))
 }
--- a/internal/licences/main_test.go
+++ b/internal/licences/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestMain sets a fixed seed, so that a run gives the same result every time, and enough steps to fill a pool.
+// TestMain sets a fixed seed, so that every run has the same result, and enough steps to fill a pool.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
@@ -19,13 +19,13 @@
 	os.Exit(m.Run())
 }
 
-// oneUnit is what a task needs that holds one unit of the first pool.
+// oneUnit is the needs of a task that holds one unit of the first pool.
 var oneUnit = []Unit{{0, 1}}
 
 // singleTeam maps all names to one team.
 func singleTeam(string) int32 { return 0 }
 
-// taskName returns a holder's task name as a server reports it; taskByName is the inverse.
+// taskName returns the task's name that a server reports for a holder. taskByName is the inverse.
 func taskName(h Holder) string { return fmt.Sprintf("%d/%d", h.Job, h.Task) }
 
 func taskByName(name string) (TaskRef, bool) {
--- a/internal/licences/model_test.go
+++ b/internal/licences/model_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-// environment is the model of what surrounds a ledger: tasks on machines, a licence server that counts by itself,
-// outside holders within the units kept for them, and answers that are outdated when they arrive.
+// environment is a model of the environment of a ledger: tasks on machines, a licence server with its own count,
+// outside holders that use at most the units kept for them, and answers that are outdated when they arrive.
 type environment struct {
 	now          time.Duration
 	pool         *Pool
 	catalog      *Catalog
 	ledger       *Ledger
-	running      map[Holder]int // units that a task's process needs
-	nextJob      int32
+	running      map[Holder]int // needed units of each running task
+	nextJob      int32          // index of the last job started
 	checkedOut   map[Holder]*serverCheckout
 	outsideUnits int
 	queries      []serverQuery // in flight, the oldest first
-	maxCount     int           // the highest count so far: tasks may have started by it
-	maxInUse     int
-	ended        []endedTask // tasks that ended, of which the ledger has no proof yet
+	maxCount     int           // highest count so far, under which tasks may have started
+	maxInUse     int           // highest number of units in use so far
+	ended        []endedTask   // tasks whose end isn't proven to the ledger yet
 }
 
-// serverCheckout is a checkout as the server has it.
+// serverCheckout is a checkout in the model of the server.
 type serverCheckout struct {
 	units     int
-	expiresAt time.Duration // of a crashed holder; 0: the holder runs
+	expiresAt time.Duration // for a crashed holder; 0: the holder is running
 }
 
 type endedTask struct {
@@ -37,7 +37,7 @@
 	end End
 }
 
-// serverQuery is a query with the answer that the server gave when it was sent.
+// serverQuery is a query in flight, with the server's answer as of its send time.
 type serverQuery struct {
 	sentAt time.Duration
 	answer Answer
@@ -109,13 +109,13 @@
 
 func (e *environment) drawRunning(t *rapid.T) Holder {
 	if len(e.running) == 0 {
-		t.Skip("no task")
+		t.Skip("no running task")
 	}
 	holders := slices.SortedFunc(maps.Keys(e.running), func(a, b Holder) int { return int(a.Job - b.Job) })
 	return rapid.SampledFrom(holders).Draw(t, "task")
 }
 
-// checkOut makes a task check out its units, as it does some time after its launch.
+// checkOut makes a running task check out its units, which happens some time after its launch.
 func (e *environment) checkOut(t *rapid.T) {
 	holder := e.drawRunning(t)
 	if _, ok := e.checkedOut[holder]; ok {
@@ -124,7 +124,7 @@
 	e.checkedOut[holder] = &serverCheckout{units: e.running[holder]}
 	inUse := e.unitsInUse()
 	if inUse > e.maxCount {
-		t.Fatalf("%d units in use of %d", inUse, e.maxCount)
+		t.Fatalf("got %d units in use, want at most %d", inUse, e.maxCount)
 	}
 	e.maxInUse = max(e.maxInUse, inUse)
 }
@@ -145,10 +145,10 @@
 	e.ended = append(e.ended, endedTask{holder, Crashed})
 }
 
-// proveEnd gives the ledger the proof of an end: a fenced heartbeat, the cloud's confirmation or a lease expiry.
+// proveEnd releases a task whose end is proven: by a fenced heartbeat, the cloud's confirmation or a lease expiry.
 func (e *environment) proveEnd(t *rapid.T) {
 	if len(e.ended) == 0 {
-		t.Skip("nothing ended")
+		t.Skip("no ended task without proof")
 	}
 	task := e.ended[0]
 	e.ended = e.ended[1:]
@@ -165,7 +165,7 @@
 		answer.Holders = append(answer.Holders, entry)
 	}
 	if e.outsideUnits > 0 {
-		answer.Holders = append(answer.Holders, AnswerHolder{Task: "somebody", Units: e.outsideUnits})
+		answer.Holders = append(answer.Holders, AnswerHolder{Task: "outside", Units: e.outsideUnits})
 	}
 	e.queries = append(e.queries, serverQuery{e.now, answer})
 }
@@ -183,16 +183,16 @@
 	e.ledger.ApplyAnswer(e.now, query.sentAt, e.pool.Name, query.answer, taskByName)
 }
 
-// changeOutsideUnits makes an outside holder check out or return one unit, within the units kept for them.
+// changeOutsideUnits makes an outside holder check out or return one unit, within the units kept for outside holders.
 func (e *environment) changeOutsideUnits(t *rapid.T) {
-	if rapid.Bool().Draw(t, "takes") && e.outsideUnits < e.pool.OutsideReserve {
+	if rapid.Bool().Draw(t, "check out") && e.outsideUnits < e.pool.OutsideReserve {
 		e.outsideUnits++
 	} else {
 		e.outsideUnits = max(0, e.outsideUnits-1)
 	}
 }
 
-// restartServer makes the server lose all its checkouts until the holders check out again.
+// restartServer makes the server lose all its checkouts. The tasks check out their units again later.
 func (e *environment) restartServer(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "rarely") > 0 {
 		t.Skip("not now")
@@ -211,7 +211,7 @@
 	e.ledger.Tick(e.now, time.Unix(0, 0))
 }
 
-// failOver begins another leader's term: its ledger has the tasks that may run, but not their attempts.
+// failOver starts a new leader's term. Its ledger contains the tasks that may be running, but not their attempts.
 func (e *environment) failOver(t *rapid.T) {
 	if rapid.IntRange(0, 4).Draw(t, "rarely") > 0 {
 		t.Skip("not now")
@@ -231,13 +231,13 @@
 	e.ledger.SetAttempt(e.now, holder.TaskRef, holder.Attempt, needs(1))
 }
 
-// changeCount sets another count. Tasks that started by a higher one go on.
+// changeCount sets another count. Tasks that started under a higher count keep running.
 func (e *environment) changeCount(t *rapid.T) {
 	e.pool.Count = rapid.IntRange(3, 6).Draw(t, "count")
 	e.maxCount = max(e.maxCount, e.pool.Count)
 }
 
-// endAll ends all tasks with proof, returns the outside holders' units, and queries the server for 40 s.
+// endAll ends all tasks with proof, returns the outside holders' units, and queries the server for another 40 s.
 func (e *environment) endAll(t *rapid.T) {
 	for holder := range e.running {
 		e.ended = append(e.ended, endedTask{holder, CleanExit})
@@ -261,8 +261,8 @@
 	}
 }
 
-// In any order of starts, ends, crashes, answers and failovers, the server never has more units checked out than
-// there are; and when all tasks have ended, every unit is free again.
+// In any order of starts, ends, crashes, answers and failovers, the units in use never exceed the highest count so
+// far. After all tasks have ended, every unit that isn't kept for outside holders is free again.
 func TestUnitsInUseNeverExceedCount(t *testing.T) {
 	maxInUse := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -283,15 +283,15 @@
 		e.endAll(t)
 		if free := e.ledger.pools[0].freeUnits(); free != pool.Count-pool.OutsideReserve {
 			view := e.ledger.View(e.now, 0, func(int32) string { return "" })
-			t.Fatalf("all tasks have ended and %d of %d units are free: %+v", free, pool.Count-pool.OutsideReserve, view)
+			t.Fatalf("after all tasks ended: got %d free units, want %d: %+v", free, pool.Count-pool.OutsideReserve, view)
 		}
 	})
 	if maxInUse < 6 {
-		t.Fatalf("at most %d units were in use: the pool was never full", maxInUse)
+		t.Fatalf("got at most %d units in use, want 6 at least: the pool was never full", maxInUse)
 	}
 }
 
-// requireConsistentTotals recounts every pool's totals from its checkouts.
+// requireConsistentTotals fails the test if a pool's totals differ from a recount of its checkouts.
 func requireConsistentTotals(t *rapid.T, l *Ledger) {
 	t.Helper()
 	for _, pool := range l.pools {
@@ -311,18 +311,19 @@
 				missing++
 			}
 			if (c.state == CheckedOut || c.state == Reserved) != (pool.active[holder.TaskRef] == holder) {
-				t.Fatalf("checkout %v is %s, the active one is %v", holder, c.state, pool.active[holder.TaskRef])
+				t.Fatalf("checkout of %v: got state %s, active attempt %v, want it active only if Reserved or CheckedOut",
+					holder, c.state, pool.active[holder.TaskRef])
 			}
 		}
 		if unitsByState != pool.unitsByState || counted != pool.countedUnits ||
 			unconfirmed != pool.unconfirmedUnits || missing != pool.server.missingCheckouts {
-			t.Fatalf("kept %v, %d, %d, %d; recounted %v, %d, %d, %d",
+			t.Fatalf("got units by state %v, counted %d, unconfirmed %d, missing checkouts %d, want %v, %d, %d, %d",
 				pool.unitsByState, pool.countedUnits, pool.unconfirmedUnits, pool.server.missingCheckouts,
 				unitsByState, counted, unconfirmed, missing)
 		}
 		for team, usage := range pool.teams {
 			if usage.units != teams[team] {
-				t.Fatalf("team %d has %d units, recounted %d", team, usage.units, teams[team])
+				t.Fatalf("team %d: got %d units, want %d", team, usage.units, teams[team])
 			}
 		}
 	}
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -1,14 +1,14 @@
-// Package licences counts licences: units of a pool of which only a limited number may be in use at a time, by the
-// cluster's tasks and by outside holders together. It owns the pools' declarations and run-time counts (Catalog) and,
-// for one term of one leader, the units that each task holds, the last answers of the licence servers, and the
-// allocation of free units to waiting jobs (Ledger).
+// Package licences counts licences: pools of units of which only a limited number may be in use at a time, by the
+// cluster's tasks and by outside holders together. Catalog owns the pools' declarations and the counts set at run
+// time. Ledger owns, for one term of one leader, the units that each task holds, the last answers of the licence
+// servers, and the allocation of free units to waiting jobs.
 //
-// The package does no I/O and reads no clock: the controller sends the queries that are due, passes the answers in,
-// and gives the time as an argument. The caller serialises all calls: the controller's event loop is the only one.
-// Package admission records which tasks hold units; the fleet and the controller call all else.
+// The package does no I/O and reads no clock: the controller sends the queries that are due, and passes the answers
+// and the time as arguments. All calls come from the controller's event loop, one at a time. Package admission
+// records which tasks hold units; the fleet and the controller call the other functions.
 //
-// A pool is what is licensed, a unit is one licence of it, a holder is one attempt of a task, and a checkout is
-// what one holder has of one pool.
+// A pool is a licensed product, a unit is one licence of a pool, a holder is one attempt of a task, and a checkout is
+// the units that one holder has of one pool.
 package licences
 
 import (
@@ -32,23 +32,23 @@
 	PreemptHolders LoweringPolicy = "stop" // the least costly holders are preempted, with time to write a checkpoint
 )
 
-// TeamQuota is a team's quota of a pool, in units. A Guarantee of 0 means none, a Limit of 0 no limit.
+// TeamQuota is a team's quota of a pool, in units. A Guarantee of 0 means no guarantee, a Limit of 0 no limit.
 type TeamQuota struct{ Guarantee, Limit int }
 
 // ReserveWindow is a number of units kept for outside holders during a window of the week. It replaces the pool's
-// standing reserve where it is larger.
+// OutsideReserve if it is larger.
 type ReserveWindow struct {
 	Units  int
 	During calendar.Window
 }
 
-// Pool is a licence pool as the operators declare it.
+// Pool is the declaration of a licence pool in the operators' settings.
 type Pool struct {
 	Name  string
 	Count int // units in total, unless a count was set at run time
-	// Server is the licence server's address ("host:port"), "" if the pool has none.
+	// Server is the address of the licence server ("host:port"); "": the pool has no server.
 	Server string
-	Poll   time.Duration // between two queries to the server
+	Poll   time.Duration // interval of queries to the server; 0: the default
 	// ReleaseTimeout is how long a crashed holder's units may stay checked out after its task is proven to be gone.
 	ReleaseTimeout time.Duration
 	OutsideReserve int // units kept for outside holders at all times
@@ -57,8 +57,8 @@
 	Teams          map[string]TeamQuota // by team name
 }
 
-// ReserveAt returns the number of units kept for outside holders at a moment: the standing reserve, or that of the
-// largest window that contains the moment if it is larger.
+// ReserveAt returns the number of units kept for outside holders at a time of day: the largest of OutsideReserve and
+// the reserves of the windows that contain the time.
 func (p *Pool) ReserveAt(wall time.Time) int {
 	units := p.OutsideReserve
 	for _, window := range p.ReserveWindows {
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// poolState is the state of one pool in one term: its checkouts, their totals, and what its server last answered.
+// poolState is the state of one pool in one term: its checkouts, their totals, and the state of its licence server.
 type poolState struct {
 	*Pool
 	catalog        *Catalog
 	index          int32
 	checkouts      map[Holder]*checkout
-	active         map[TaskRef]Holder // the attempt of a task whose checkout is Reserved or CheckedOut
-	teams          map[int32]*teamUsage
-	outsideReserve int // units kept for outside holders at present
+	active         map[TaskRef]Holder   // by task, the attempt whose checkout is Reserved or CheckedOut
+	teams          map[int32]*teamUsage // by dense index
+	outsideReserve int                  // units that are currently kept for outside holders
 
-	countedUnits     int // of all checkouts
-	unitsByState     [stateCount]int
-	unconfirmedUnits int // CheckedOut by attempts that are still unknown
+	countedUnits     int             // sum of checkout.countedUnits over all checkouts
+	unitsByState     [stateCount]int // by the ledger's own count
+	unconfirmedUnits int             // CheckedOut by holders whose attempt is still unknown
 
 	server serverStatus
 }
 
-// teamUsage is a team's quota of a pool and what it uses.
+// teamUsage is a team's quota of a pool and the units that it uses.
 type teamUsage struct {
 	TeamQuota
-	units int // Reserved, CheckedOut or AwaitingRelease
+	units int // units that are Reserved, CheckedOut or AwaitingRelease
 }
 
 func newPoolState(catalog *Catalog, index int32, teamIndex func(string) int32, now time.Duration) *poolState {
@@ -41,16 +41,16 @@
 		outsideReserve: pool.OutsideReserve,
 		server:         serverStatus{changedAt: now, answeredAt: now},
 	}
-	for name, share := range pool.Teams {
-		p.teams[teamIndex(name)] = &teamUsage{TeamQuota: share}
+	for name, quota := range pool.Teams {
+		p.teams[teamIndex(name)] = &teamUsage{TeamQuota: quota}
 	}
 	if pool.Server == "" && pool.ReleaseTimeout == 0 {
-		p.server.state = serverReachable // no unit can still be checked out from an earlier term
+		p.server.state = serverReachable // no unit of an earlier term can still be checked out
 	}
 	return p
 }
 
-// acquire counts a holder's units from now on. If another attempt of its task is active, it takes that one's place.
+// acquire counts a holder's units from now on. If another attempt of its task is active, the holder replaces it.
 func (p *poolState) acquire(now time.Duration, holder Holder, team int32, units int, to State) {
 	if active, ok := p.active[holder.TaskRef]; ok {
 		p.acquireAgain(now, active, holder, to)
@@ -58,7 +58,7 @@
 	}
 	c := p.checkout(holder)
 	if c.state == AwaitingRelease {
-		// It was taken for gone and isn't.
+		// The attempt was believed to be gone, but is still on a machine.
 		p.setState(now, holder, c, CheckedOut)
 		return
 	}
@@ -69,8 +69,8 @@
 	p.setState(now, holder, c, to)
 }
 
-// acquireAgain applies a further acquire of a task of which an attempt is active. A task that is CheckedOut is never
-// Reserved again.
+// acquireAgain applies a further acquire for a task that has an active attempt. A checkout that is CheckedOut doesn't
+// become Reserved again.
 func (p *poolState) acquireAgain(now time.Duration, active, holder Holder, to State) {
 	if active != holder {
 		p.changeAttempt(now, active, holder.Attempt)
@@ -82,8 +82,9 @@
 	}
 }
 
-// changeAttempt moves an active checkout to another attempt of the same task: a heartbeat has named the attempt of
-// a task that was read from the durable plan. What the server reports for the old attempt remains counted.
+// changeAttempt moves an active checkout to another attempt of the same task, for example when a heartbeat reports
+// the attempt of a task that was read from the durable plan. Units that the server reports for the old attempt stay
+// counted.
 func (p *poolState) changeAttempt(now time.Duration, from Holder, attempt uint64) {
 	c := p.checkouts[from]
 	state, team, units := c.state, c.team, c.units
@@ -106,7 +107,7 @@
 	p.setState(now, holder, c, AwaitingRelease)
 }
 
-// isReturned reports whether the units of a task that ended are surely not checked out any more.
+// isReturned reports whether it is certain that the units of a task that ended are no longer checked out.
 func (p *poolState) isReturned(c *checkout, end End) bool {
 	if c.state == Reserved {
 		return true
@@ -117,8 +118,8 @@
 	return p.Server == "" && (end == CleanExit || p.ReleaseTimeout == 0)
 }
 
-// setState is the only place where a checkout's state changes. It keeps the totals, and removes a checkout that is
-// Free and that the server doesn't report.
+// setState changes a checkout's state; every transition goes through it. It updates the totals, and removes a checkout
+// that is Free and that the server doesn't report.
 func (p *poolState) setState(now time.Duration, holder Holder, c *checkout, to State) {
 	if c.state != to && !slices.Contains(transitions[c.state], to) {
 		slog.Error("invalid licence checkout transition", "pool", p.Name, "from", c.state.String(), "to", to.String())
@@ -154,7 +155,7 @@
 	}
 }
 
-// store keeps a checkout, or removes it if neither the ledger nor the server counts any units for it.
+// store stores a checkout, or removes it if neither the ledger nor the server counts any units for it.
 func (p *poolState) store(holder Holder, c *checkout) {
 	if c.state == Free && c.reportedUnits == 0 {
 		delete(p.checkouts, holder)
@@ -171,7 +172,7 @@
 	return &checkout{}
 }
 
-// team returns a team's usage, which it creates if need be.
+// team returns a team's usage, and creates an entry if there is none.
 func (p *poolState) team(index int32) *teamUsage {
 	usage := p.teams[index]
 	if usage == nil {
@@ -181,7 +182,7 @@
 	return usage
 }
 
-// quota returns a team's quota; the zero value means that it has none.
+// quota returns a team's quota, the zero value if the team has none.
 func (p *poolState) quota(team int32) TeamQuota {
 	if usage := p.teams[team]; usage != nil {
 		return usage.TeamQuota
@@ -189,7 +190,7 @@
 	return TeamQuota{}
 }
 
-// totalUnits returns how many units there are: the count, or the server's own count if that is less.
+// totalUnits returns the total number of units: the pool's count, or the server's own count if that is lower.
 func (p *poolState) totalUnits() int {
 	units := p.catalog.Count(p.index)
 	if p.server.count > 0 {
@@ -198,19 +199,18 @@
 	return units
 }
 
-// freeUnits returns how many units are known to be free, never less than 0. It is 0 while the server's state is
-// unknown.
+// freeUnits returns how many units are known to be free, 0 at least. It is 0 while the server isn't usable.
 func (p *poolState) freeUnits() int {
 	if !p.server.isUsable() {
 		return 0
 	}
-	// Outside holders use up the units that are kept for them first.
+	// Outside holders first use the units that are kept for them.
 	outside := max(p.outsideUnits(), p.outsideReserve)
 	return max(0, p.totalUnits()-p.countedUnits-outside)
 }
 
-// outsideUnits returns how many units outside holders have. While the server lacks checkouts that still exist, its
-// last figure may be too low too, and the highest recent one applies.
+// outsideUnits returns how many units outside holders have. While the server's answers lack checkouts that still
+// exist, its last figure for outside holders may be too low as well, so the highest recent figure applies.
 func (p *poolState) outsideUnits() int {
 	units := p.server.outsideUnits
 	if p.server.state != serverInconsistent && p.server.missingCheckouts == 0 {
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Timing of the queries to a server.
+// Timing of the queries to a licence server.
 const (
 	// QueryTimeout is the timeout of one query.
 	QueryTimeout = 2 * time.Second
 
 	defaultPollInterval = 2 * time.Second
-	urgentPollDivisor   = 16 // of the poll interval while an answer is urgent
+	urgentPollDivisor   = 16 // divides the poll interval while an answer is urgent
 	minPollInterval     = 100 * time.Millisecond
 
-	unreachableAfterPolls = 3 // poll intervals without an answer
+	unreachableAfterPolls = 3 // poll intervals without a valid answer
 	minUnreachableAfter   = 3 * time.Second
-	minSampleWindow       = 5 * time.Second // for which figures of earlier answers are kept
+	minSampleWindow       = 5 * time.Second // for which the figures of earlier answers are kept
 )
 
-// An answer is inconsistent if it lacks more than maxMissingTolerated running holders, which may just be ending,
-// and more than one in missingShareDivisor of all.
+// An answer is inconsistent if it lacks more than maxMissingTolerated running holders and more than one in
+// missingShareDivisor of them. Fewer missing holders may be tasks that are just ending.
 const (
 	maxMissingTolerated = 2
 	missingShareDivisor = 4
 )
 
-// serverState is how far a pool's licence server is reachable and its answers are consistent.
+// serverState is whether a pool's licence server is reachable, and whether its answers are consistent.
 type serverState uint8
 
 // The states of a server and its transitions:
@@ -34,13 +34,12 @@
 //	Unknown      -> Reachable     the first answer of the term
 //	Reachable    -> Unreachable   no valid answer for unreachableAfter: no task starts
 //	Unreachable  -> Reachable     an answer
-//	Reachable    -> Inconsistent  an answer lacks holders that surely still run: its figures of outside holders
-//	                              aren't taken as lower than recent ones
-//	Inconsistent -> Reachable     answers have listed them again, or they have ended, for a sample window
+//	Reachable    -> Inconsistent  an answer lacks many running holders: its figure for outside holders applies
+//	                              only if no recent figure is higher
+//	Inconsistent -> Reachable     a sample window has passed, and an answer no longer lacks many running holders
 //	Inconsistent -> Unreachable   no valid answer for unreachableAfter
 //
-// A pool without a server is Reachable from the start, or Unknown for as long as units of an earlier term may still
-// be checked out.
+// A pool without a server starts as Reachable, or as Unknown while units of an earlier term may still be checked out.
 const (
 	serverUnknown serverState = iota
 	serverReachable
@@ -48,21 +47,21 @@
 	serverInconsistent
 )
 
-// String returns the state's name in View.ServerState, where operators read it.
+// String returns the state's name for operators, in View.ServerState.
 func (s serverState) String() string { return [...]string{"unasked", "open", "silent", "doubted"}[s] }
 
-// serverStatus is what is known about a pool's licence server.
+// serverStatus is the last known status of a pool's licence server.
 type serverStatus struct {
 	state            serverState
-	changedAt        time.Duration // of state
-	answeredAt       time.Duration // when the query was sent that the newest valid answer is for
+	changedAt        time.Duration // time of the last change of state
+	answeredAt       time.Duration // send time of the newest query with a valid answer
 	isQueryInFlight  bool
-	queriedAt        time.Duration
-	isAnswerAwaited  bool // a job waits for units: the next query is urgent
-	count            int  // total units by the last answer, 0 if it doesn't report them
-	outsideUnits     int  // of outside holders by the last answer
-	outsideSamples   []outsideSample
-	missingCheckouts int // CheckedOut checkouts that the last answer lacks although an earlier one had them
+	queriedAt        time.Duration   // send time of the last query; 0: none in this term
+	isAnswerAwaited  bool            // a job waits for units: the next query is urgent
+	count            int             // total units by the last answer; 0: not reported
+	outsideUnits     int             // units of outside holders by the last answer
+	outsideSamples   []outsideSample // the oldest first
+	missingCheckouts int             // CheckedOut checkouts that the last answer lacks although an earlier one had them
 }
 
 // outsideSample is the number of units that outside holders had by one answer.
@@ -71,12 +70,12 @@
 	units int
 }
 
-// isUsable reports whether units may be given out by what the server has answered.
+// isUsable reports whether the server's answers suffice to grant units.
 func (s *serverStatus) isUsable() bool {
 	return s.state == serverReachable || s.state == serverInconsistent
 }
 
-// addOutsideSample records the units of outside holders by an answer, and drops samples older than window.
+// addOutsideSample records the units of outside holders in an answer, and drops samples older than window.
 func (s *serverStatus) addOutsideSample(now time.Duration, units int, window time.Duration) {
 	s.outsideUnits = units
 	s.outsideSamples = append(s.outsideSamples, outsideSample{now, units})
@@ -85,20 +84,20 @@
 	}
 }
 
-// StartDueQueries returns the pools whose servers are to be queried now. It marks their queries as in flight
-// until the answer or the failure of the query is applied. A server gets one query at a time: one in
-// every poll interval, and more often while units await release or a job waits for units.
+// StartDueQueries returns the pools whose servers are to be queried now. It marks their queries as in flight until
+// ApplyAnswer or QueryFailed is called. A server gets one query at a time: one in every poll interval, and more while
+// its state is unknown, units await release or a job waits for units.
 func (l *Ledger) StartDueQueries(now time.Duration) []*Pool {
-	var due []*Pool
+	var duePools []*Pool
 	for _, pool := range l.pools {
 		if pool.isQueryDue(now) {
 			pool.server.isQueryInFlight = true
 			pool.server.queriedAt = now
 			pool.server.isAnswerAwaited = false
-			due = append(due, pool.Pool)
+			duePools = append(duePools, pool.Pool)
 		}
 	}
-	return due
+	return duePools
 }
 
 func (p *poolState) isQueryDue(now time.Duration) bool {
@@ -120,15 +119,15 @@
 	return defaultPollInterval
 }
 
-// unreachableAfter returns how long a server may go without a valid answer.
+// unreachableAfter returns the time without a valid answer after which a server is Unreachable.
 func (p *poolState) unreachableAfter() time.Duration {
 	return max(unreachableAfterPolls*p.pollInterval(), minUnreachableAfter)
 }
 
-// sampleWindow returns for how long figures of earlier answers are kept.
+// sampleWindow returns how long the figures of earlier answers are kept.
 func (p *poolState) sampleWindow() time.Duration { return max(p.ReleaseTimeout, minSampleWindow) }
 
-// setServerState is the only place where a server's state changes.
+// setServerState changes a server's state; every transition goes through it.
 func (p *poolState) setServerState(now time.Duration, to serverState, cause string) {
 	if p.server.state == to {
 		return
@@ -139,27 +138,27 @@
 	p.server.changedAt = now
 }
 
-// QueryFailed ends a query that got no valid answer.
+// QueryFailed ends a pool's query in flight that got no valid answer.
 func (l *Ledger) QueryFailed(pool string) {
 	if index, ok := l.catalog.Index(pool); ok {
 		l.pools[index].server.isQueryInFlight = false
 	}
 }
 
-// ApplyAnswer applies a server's answer to a query that was sent at sentAt. known returns the task of one of the
-// cluster's own holders by its name; all other holders are outside ones.
+// ApplyAnswer applies a server's answer to a query that was sent at sentAt. ownTask returns the cluster's task with a
+// name, and false for the name of an outside holder.
 func (l *Ledger) ApplyAnswer(
 	now, sentAt time.Duration,
 	pool string,
 	answer Answer,
-	known func(task string) (TaskRef, bool),
+	ownTask func(task string) (TaskRef, bool),
 ) {
 	if index, ok := l.catalog.Index(pool); ok {
-		l.pools[index].applyAnswer(now, sentAt, answer, known)
+		l.pools[index].applyAnswer(now, sentAt, answer, ownTask)
 	}
 }
 
-func (p *poolState) applyAnswer(now, sentAt time.Duration, answer Answer, known func(task string) (TaskRef, bool)) {
+func (p *poolState) applyAnswer(now, sentAt time.Duration, answer Answer, ownTask func(task string) (TaskRef, bool)) {
 	p.server.isQueryInFlight = false
 	p.server.answeredAt = max(p.server.answeredAt, sentAt)
 	if !p.server.isUsable() {
@@ -169,7 +168,7 @@
 	reported := make(map[Holder]int, len(answer.Holders))
 	outsideUnits := 0
 	for _, entry := range answer.Holders {
-		ref, isOwn := known(entry.Task)
+		ref, isOwn := ownTask(entry.Task)
 		if !isOwn {
 			outsideUnits += entry.Units
 			continue
@@ -182,7 +181,7 @@
 	p.checkConsistency(now)
 }
 
-// reportedHolder returns the holder of an entry. Where a server doesn't report attempts, it is the active one.
+// reportedHolder returns the holder of an entry in an answer. If the entry has no attempt, it is the active holder.
 func (p *poolState) reportedHolder(ref TaskRef, attempt uint64) Holder {
 	if attempt == 0 {
 		if active, ok := p.active[ref]; ok && active.Attempt != 0 {
@@ -217,7 +216,7 @@
 	}
 }
 
-// setMissing sets whether the server lacks a checkout that it has reported earlier.
+// setMissing sets whether the last answer lacks a checkout that an earlier one had.
 func (p *poolState) setMissing(c *checkout, isMissing bool) {
 	if c.isMissing == isMissing {
 		return
@@ -230,8 +229,8 @@
 	}
 }
 
-// releaseReturned frees the checkouts that awaited release and that an answer lacks whose query was sent after
-// their task had ended. An answer that lacks running holders too proves nothing: then the deadline has to pass.
+// releaseReturned frees the checkouts AwaitingRelease that an answer lacks, if its query was sent after their task had
+// ended. An answer that also lacks running holders is no proof; then a checkout becomes Free only after its deadline.
 func (p *poolState) releaseReturned(now, sentAt time.Duration) {
 	for holder, c := range p.checkouts {
 		if c.state != AwaitingRelease || c.reportedUnits > 0 || sentAt <= c.changedAt {
@@ -243,13 +242,13 @@
 	}
 }
 
-// lacksRunningHolders reports whether the server lacks more of the running holders than those that may be ending.
+// lacksRunningHolders reports whether the last answer lacks more running holders than may just be ending.
 func (p *poolState) lacksRunningHolders() bool {
 	missing := p.server.missingCheckouts
 	return missing > maxMissingTolerated && missing*missingShareDivisor > len(p.active)
 }
 
-// checkConsistency sets the server's state by whether its answers list the running holders.
+// checkConsistency updates the server's state by whether the last answer lists the running holders.
 func (p *poolState) checkConsistency(now time.Duration) {
 	isConsistent := !p.lacksRunningHolders()
 	switch {
@@ -260,8 +259,8 @@
 	}
 }
 
-// Tick applies the time: servers become unreachable, units that await release become free, and the units kept for
-// outside holders follow the wall clock.
+// Tick applies the passing of time. It marks servers without recent answers as Unreachable, frees expired checkouts of
+// pools without a server, and updates the units kept for outside holders to the time of day.
 func (l *Ledger) Tick(now time.Duration, wall time.Time) {
 	for _, pool := range l.pools {
 		pool.outsideReserve = pool.ReserveAt(wall)
@@ -275,8 +274,8 @@
 	}
 }
 
-// releaseExpired frees the units of crashed holders of a pool without a server. Only Pool.ReleaseTimeout tells
-// when they are returned, also for those of an earlier term, of which this ledger has no record.
+// releaseExpired frees the units of crashed holders of a pool without a server after Pool.ReleaseTimeout. Units of an
+// earlier term, of which this ledger has no record, count as returned ReleaseTimeout after the start of the term.
 func (p *poolState) releaseExpired(now, termStartedAt time.Duration) {
 	if p.server.state == serverUnknown && now-termStartedAt >= p.ReleaseTimeout {
 		p.setServerState(now, serverReachable, "checkouts of earlier terms have expired")
--- a/internal/licences/view.go
+++ b/internal/licences/view.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// View is a pool as operators see it over HTTP.
+// View is the representation of a pool for operators. Counts are in units.
 type View struct {
 	Pool            string         `json:"pool"`
 	Count           int            `json:"count"`
 	Declared        int            `json:"declared"`
 	SetBy           string         `json:"set_by,omitempty"`
-	Version         uint64         `json:"version"` // of the count set at run time, 0: none
+	Version         uint64         `json:"version"` // of the key of the count set at run time; 0: no count is set
 	Lowering        LoweringPolicy `json:"on_lower"`
 	Reserve         int            `json:"reserve"`
-	Held            int            `json:"held"`
-	Booked          int            `json:"booked"`
-	AwaitingRelease int            `json:"lingering"` // awaiting release
-	OutsideUnits    int            `json:"others"`    // units of outside holders
+	Held            int            `json:"held"`   // CheckedOut
+	Booked          int            `json:"booked"` // Reserved
+	AwaitingRelease int            `json:"lingering"`
+	OutsideUnits    int            `json:"others"` // units of outside holders
 	Free            int            `json:"free"`
 	Server          string         `json:"server,omitempty"`
-	ServerState     string         `json:"line,omitempty"`         // state of the server
-	AgeS            float64        `json:"answer_age_s,omitempty"` // of the last valid answer, in seconds
+	ServerState     string         `json:"line,omitempty"`         // name of the server's state
+	AgeS            float64        `json:"answer_age_s,omitempty"` // age of the last valid answer, in seconds
 	Teams           []TeamView     `json:"teams,omitempty"`
 }
 
-// TeamView is a team's quota of a pool and its use, in units.
+// TeamView is a team's quota and usage of a pool, in units.
 type TeamView struct {
 	Team      string `json:"team"`
 	Units     int    `json:"units"`
 	Guarantee int    `json:"guarantee,omitempty"`
-	Limit     int    `json:"most,omitempty"` // the limit, 0: none
+	Limit     int    `json:"most,omitempty"` // 0: no limit
 }
 
-// declaredView returns the part of a pool's view that is the same on every controller.
+// declaredView returns the part of a pool's view that doesn't depend on the leader's counts.
 func (c *Catalog) declaredView(index int32) View {
 	pool := c.pools[index]
 	version, by := c.OverrideVersion(index)
@@ -50,7 +50,7 @@
 	}
 }
 
-// View returns a pool's view with the leader's counts. teamName returns a team's name by its dense index.
+// View returns a pool's view, including the leader's counts. teamName returns a team's name by its dense index.
 func (l *Ledger) View(now time.Duration, index int32, teamName func(int32) string) View {
 	pool := l.pools[index]
 	view := l.catalog.declaredView(index)
@@ -68,7 +68,7 @@
 	return view
 }
 
-// teamViews returns the teams that use units or have a quota, by name.
+// teamViews returns the teams that use units or have a quota, sorted by name.
 func (p *poolState) teamViews(teamName func(int32) string) []TeamView {
 	var views []TeamView
 	for team, usage := range p.teams {
