--- a/internal/sessions/agentapi.go
+++ b/internal/sessions/agentapi.go
@@ -55,7 +55,7 @@
 // Bounds of the values in a heartbeat.
 const (
 	maxHeartbeatValue  = 1e8  // of ages in seconds, and of amounts in their units
-	maxHeartbeatString = 1000 // of references and causes together, in bytes
+	maxHeartbeatString = 1000 // of a reference, and of a checkpoint's reference and cause together, in bytes
 )
 
 // InvalidFieldError is the error for a heartbeat with an invalid value.
--- a/internal/sessions/explain.go
+++ b/internal/sessions/explain.go
@@ -16,7 +16,7 @@
 	e.lines = append(e.lines, fmt.Sprintf(format, args...))
 }
 
-// timeUntil returns a timeUntil time as text: the duration from now, and the time of day.
+// timeUntil returns a later time as text: the duration until then, and the time of day.
 func (e *explanation) timeUntil(at time.Duration) string {
 	timeOfDay := e.wall.Add(at - e.now).UTC().Format("15:04:05 MST")
 	return fmt.Sprintf("%s, at %s", wholeSeconds(max(0, at-e.now)), timeOfDay)
@@ -65,7 +65,7 @@
 func (e *explanation) explainIdle(s *session, limits Limits) {
 	noWarningBefore := s.reclaim.noWarningBefore
 	if e.now < noWarningBefore {
-		e.add("Its last checkpoint failed (%d in a row); it is not warned again for %s.",
+		e.add("Its last checkpoint failed (%d in a row); it can be warned again in %s.",
 			s.reclaim.failedCheckpoints, e.timeUntil(noWarningBefore))
 	}
 	if limits.IdleLimit == 0 {
@@ -78,7 +78,7 @@
 	case limits.ContendedLimit < 0:
 		e.add("It is not reclaimed for other jobs that wait.")
 	case e.now-s.stateSince < limits.ContendedLimit:
-		e.add("In %s it can be warned as soon as another job waits for resources that it holds.",
+		e.add("If another job waits for resources that it holds, it can be warned in %s.",
 			e.timeUntil(s.stateSince+limits.ContendedLimit))
 	default:
 		e.add("It is warned as soon as another job waits for resources that it holds; none does now.")
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -37,7 +37,7 @@
 // fakeAgent is a model of an agent and of its user's work, which is counted in steps.
 type fakeAgent struct {
 	attempt, seq          uint64
-	stepsDone, stepsSaved int           // steps done, steps saved
+	stepsDone, stepsSaved int           // of the user's work
 	cellSince             time.Duration // start of the running cell, 0: none
 	lastInputAt           time.Duration
 	frozen                bool
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -85,8 +85,8 @@
 	writeRetryDelay         = time.Second
 )
 
-// idCounterBits is the width of the counter in the low bits of an id of an order or attachment. The term is in the high
-// bits, so that the ids increase from term to term.
+// idCounterBits is the width of the counter in the low bits of an id of an order or attachment. The term is in the
+// high bits, so that the ids increase from term to term.
 const idCounterBits = 20
 
 // New returns the manager for a term, without any sessions.
@@ -170,7 +170,7 @@
 	delete(m.byID, s.id)
 }
 
-// Tick advances the sessions that are scheduled until now. The controller calls it several times a second.
+// Tick advances the sessions that are due. The controller calls it several times a second.
 func (m *Manager) Tick(now time.Duration) {
 	for len(m.rereads) > 0 && m.rereads[0].at <= now {
 		write := m.rereads[0].write
--- a/internal/sessions/policy.go
+++ b/internal/sessions/policy.go
@@ -57,7 +57,7 @@
 	Enabled           bool
 	WarningTime       time.Duration // from the warning to the order of the checkpoint
 	CheckpointTimeout time.Duration // from the order of a checkpoint to its failure without a result
-	UnheardTimeout    time.Duration // without a heartbeat, after which an agent's state is unknown
+	UnheardTimeout    time.Duration // time without a heartbeat after which an agent's state is unknown
 	Retention         time.Duration // of a reclaimed session, 0: without limit
 	MaxPerUser        int           // sessions of a user, reclaimed sessions included; 0: no limit
 	MaxPerTeam        int           // sessions of a team, without reclaimed sessions; 0: no limit
--- a/internal/sessions/requests.go
+++ b/internal/sessions/requests.go
@@ -144,11 +144,11 @@
 			m.OnJobRecord(at, store.Item{Key: jobKey, Value: jobRecord, Version: result.Revision})
 			reply(Result{View: m.view(at, s), Created: true}, nil)
 		case store.Conflict, store.Indeterminate:
-			absent := refuse(Unavailable, "the session was not stored")
+			errIfAbsent := refuse(Unavailable, "the session was not stored")
 			if slices.Contains(result.FailedKeys, archive.Key(id)) {
-				absent = refuse(Conflict, "the id %s is taken by a job that has ended", id)
+				errIfAbsent = refuse(Conflict, "the id %s is taken by a job that has ended", id)
 			}
-			m.replyFromStore(request, absent, reply)
+			m.replyFromStore(request, errIfAbsent, reply)
 		default:
 			reply(Result{}, refuse(Unavailable, "the state service did not store the session"))
 		}
