--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -13,8 +13,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// checkAnswersEverywhere asks every controller about every job, and about jobs that nobody submitted: one answer
-// each.
+// checkAnswersEverywhere checks that every running controller gives the one final answer of each ended job, and 404
+// for a job that was never submitted.
 func (r *testCluster) checkAnswersEverywhere() {
 	r.t.Helper()
 	for _, user := range r.users {
@@ -26,8 +26,8 @@
 	r.checkAnswerEverywhere("req-999999", 404, "")
 }
 
-// checkAnswerEverywhere queries every running controller about a job until each has answered with another status
-// than 503.
+// checkAnswerEverywhere queries every running controller about a job, again after other statuses than 200 and 404,
+// and checks each controller's status and the job's state in its answer.
 func (r *testCluster) checkAnswerEverywhere(id string, status int, want string) {
 	r.t.Helper()
 	for i := range r.Controllers() {
@@ -40,15 +40,15 @@
 			r.Advance(200 * time.Millisecond)
 		}
 		if got != status || state != want {
-			r.t.Errorf("controller %d answers %d %q about %s, and it is %d %q", i, got, state, id, status, want)
+			r.t.Errorf("controller %d: answer %d %q for job %s, want %d %q", i, got, state, id, status, want)
 		}
 	}
 }
 
-// countRecords counts the jobs' records that every controller follows.
+// countRecords counts the jobs' records under the prefix that every controller watches.
 func (r *testCluster) countRecords() int { return r.CountKeys(jobs.Prefix) }
 
-// archivesJob tells whether a transaction moves jobs into the archive.
+// archivesJob reports whether a transaction moves jobs into the archive.
 func archivesJob(txn store.Txn) bool {
 	for _, o := range txn.Then {
 		if strings.HasPrefix(o.Put, archive.Prefix) {
@@ -58,7 +58,7 @@
 	return false
 }
 
-// createsJob tells whether a transaction makes a job's record.
+// createsJob reports whether a transaction writes a job's record.
 func createsJob(txn store.Txn, id string) bool {
 	for _, o := range txn.Then {
 		if o.Put == jobs.RecordKey(id) {
@@ -68,16 +68,17 @@
 	return false
 }
 
-// TestEndedJobsAreArchived checks that the records of all ended jobs leave the watched keys, that every controller
-// still answers for each, and that repeated submissions and cancellations of them are answered like status queries.
+// TestEndedJobsAreArchived checks that the records of all ended jobs leave the watched keys and that every controller
+// still answers queries about each job. Repeated submissions and cancellations of archived jobs must get the same
+// answer as a status query.
 func TestEndedJobsAreArchived(t *testing.T) {
 	cluster := newTestCluster(t, 401, 3, rollout.Newest, "soak_s = 3")
 	cluster.submitJobs(40 * time.Second)
 	cluster.Advance(40 * time.Second)
 	cluster.waitUntilDone()
-	cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
+	cluster.waitFor("all jobs archived", time.Minute, func() bool { return cluster.countRecords() == 0 })
 	if n := cluster.CountKeys(archive.Prefix); n != len(cluster.users) {
-		t.Errorf("%d answers are kept of %d jobs", n, len(cluster.users))
+		t.Errorf("%d archived answers, want %d, one per job", n, len(cluster.users))
 	}
 	cluster.checkAnswersEverywhere()
 	for i, user := range cluster.users {
@@ -87,29 +88,30 @@
 		}
 		cluster.Request(i%3, "POST", path, body, func(status int, raw []byte) {
 			if got := jobStateIn(raw); status != 200 || got != user.finalStates[0] {
-				t.Errorf("%s on %s: %d %q, and it is %s", path, user.spec.ID, status, got, user.finalStates[0])
+				t.Errorf("%s for job %s: got %d %q, want 200 %q", path, user.spec.ID, status, got, user.finalStates[0])
 			}
 		})
 		cluster.Advance(50 * time.Millisecond)
 	}
 	if n := cluster.countRecords(); n != 0 {
-		t.Errorf("%d records were made again", n)
+		t.Errorf("%d job records exist after repeated requests, want 0", n)
 	}
 }
 
-// TestDelayedSubmissionAfterArchivingCreatesNothing carries a first submission's transaction out long after its
-// user's retry was accepted elsewhere and the job has ended and been archived: it creates nothing.
+// TestDelayedSubmissionAfterArchivingCreatesNothing delays the transaction of a first submission until the user's
+// retry was accepted by another controller and the job has ended and been archived. The late transaction must create
+// no record and start no task.
 func TestDelayedSubmissionAfterArchivingCreatesNothing(t *testing.T) {
-	for _, late := range []time.Duration{25 * time.Second, 2 * time.Minute, 20 * time.Minute} {
-		t.Run(late.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{25 * time.Second, 2 * time.Minute, 20 * time.Minute} {
+		t.Run(delay.String(), func(t *testing.T) {
 			cluster := newTestCluster(t, 402, 3, rollout.Newest, "soak_s = 3")
 			cluster.Advance(12 * time.Second)
-			held := 0
+			delayed := 0
 			id := "req-000001"
 			cluster.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
-				if createsJob(tx, id) && held == 0 {
-					held++
-					return TxnOutcome{Delay: late}
+				if createsJob(tx, id) && delayed == 0 {
+					delayed++
+					return TxnOutcome{Delay: delay}
 				}
 				return TxnOutcome{}
 			})
@@ -121,21 +123,21 @@
 			spec.Licences = nil
 			cluster.submit(spec)
 			cluster.waitFor(
-				"moved",
+				"archived",
 				30*time.Second,
 				func() bool { return cluster.StoredItem(archive.Key(id)).Version != 0 },
 			)
-			moved := cluster.Now()
-			starts := cluster.Stats().TaskStarts
-			cluster.Advance(late + 10*time.Second)
-			if held != 1 || cluster.StoredItem(jobs.RecordKey(id)).Version != 0 ||
-				cluster.Stats().TaskStarts != starts {
+			archivedAt := cluster.Now()
+			startsBefore := cluster.Stats().TaskStarts
+			cluster.Advance(delay + 10*time.Second)
+			if delayed != 1 || cluster.StoredItem(jobs.RecordKey(id)).Version != 0 ||
+				cluster.Stats().TaskStarts != startsBefore {
 				t.Errorf(
-					"moved at %v; %d transactions were late; the record is at version %d; %d starts after the move",
-					moved,
-					held,
+					"archived at %v: %d delayed transactions, want 1; record at version %d, want 0; %d task starts later, want 0",
+					archivedAt,
+					delayed,
 					cluster.StoredItem(jobs.RecordKey(id)).Version,
-					cluster.Stats().TaskStarts-starts,
+					cluster.Stats().TaskStarts-startsBefore,
 				)
 			}
 			cluster.checkAnswerEverywhere(id, 200, "done")
@@ -144,38 +146,39 @@
 	}
 }
 
-// TestArchivingDuringFaults makes archiving transactions be lost, unanswered, late or repeated, with leaders that
-// are killed, frozen or hand over right after sending one, while watches lose their position or the state service
-// refuses a controller: every job keeps its one answer at every controller, and all are archived in the end.
+// TestArchivingDuringFaults drops, delays or leaves unanswered some archiving transactions. Right after one is sent,
+// its leader is killed, frozen or hands over, the history of changes is compacted, or another controller is refused by
+// the state service or its watches stall. Every job must keep its one answer at every controller, and all jobs must be
+// archived in the end.
 func TestArchivingDuringFaults(t *testing.T) {
-	fates := map[string]func(n int) TxnOutcome{
+	outcomes := map[string]func(n int) TxnOutcome{
 		"lost":       func(n int) TxnOutcome { return TxnOutcome{Dropped: n%2 == 0} },
 		"unanswered": func(n int) TxnOutcome { return TxnOutcome{Unanswered: n%2 == 0} },
 		"late":       func(n int) TxnOutcome { return TxnOutcome{Delay: time.Duration(n%3) * 4 * time.Second} },
 	}
-	around := map[string]func(cluster *testCluster, l int){
+	faults := map[string]func(cluster *testCluster, l int){
 		"nothing": func(*testCluster, int) {},
 		"leader killed": func(cluster *testCluster, l int) {
 			cluster.KillController(l)
 			cluster.After(3*time.Second, func() { cluster.StartController(l) })
 		},
-		"leader frozen": func(cluster *testCluster, l int) { cluster.FreezeController(l, 8*time.Second) },
-		"handed over":   func(cluster *testCluster, l int) { cluster.DrainController(l, func() { cluster.StartController(l) }) },
-		"positions":     func(cluster *testCluster, _ int) { cluster.CompactHistory() },
-		"refused": func(cluster *testCluster, l int) {
+		"leader frozen":     func(cluster *testCluster, l int) { cluster.FreezeController(l, 8*time.Second) },
+		"handed over":       func(cluster *testCluster, l int) { cluster.DrainController(l, func() { cluster.StartController(l) }) },
+		"history compacted": func(cluster *testCluster, _ int) { cluster.CompactHistory() },
+		"other refused": func(cluster *testCluster, l int) {
 			other := (l + 1) % cluster.Controllers()
 			cluster.RefuseController(other, true)
 			cluster.After(9*time.Second, func() { cluster.RefuseController(other, false) })
 		},
-		"watches stick": func(cluster *testCluster, l int) {
+		"watches stall": func(cluster *testCluster, l int) {
 			other := (l + 1) % cluster.Controllers()
 			cluster.StallWatches(other, true)
 			cluster.After(12*time.Second, func() { cluster.StallWatches(other, false) })
 		},
 	}
-	for fate, f := range fates {
-		for what, do := range around {
-			t.Run(fate+" "+what, func(t *testing.T) {
+	for outcomeName, outcome := range outcomes {
+		for faultName, inject := range faults {
+			t.Run(outcomeName+" "+faultName, func(t *testing.T) {
 				t.Parallel()
 				cluster := newTestCluster(t, 403, 3, rollout.Newest, "soak_s = 3")
 				cluster.SetPollBursts(true)
@@ -186,10 +189,10 @@
 					}
 					if cluster.Now() >= next {
 						next = cluster.Now() + 15*time.Second
-						cluster.After(time.Millisecond, func() { do(cluster, controller) })
+						cluster.After(time.Millisecond, func() { inject(cluster, controller) })
 					}
 					n++
-					return f(n)
+					return outcome(n)
 				})
 				cluster.submitJobs(50 * time.Second)
 				cluster.Advance(90 * time.Second)
@@ -197,67 +200,67 @@
 					cluster.StartController(i)
 				}
 				cluster.waitUntilDone()
-				cluster.waitFor("all moved", 2*time.Minute, func() bool { return cluster.countRecords() == 0 })
+				cluster.waitFor("all jobs archived", 2*time.Minute, func() bool { return cluster.countRecords() == 0 })
 				cluster.checkAnswersEverywhere()
 				if n < 3 {
-					t.Errorf("%d moves were sent", n)
+					t.Errorf("%d archiving transactions were sent, want at least 3", n)
 				}
 			})
 		}
 	}
 }
 
-// TestUnreadableArchivedAnswerIsUnavailable checks that no controller answers for a job whose archived answer can't
-// be read or decides anything about it, that all other jobs are answered as usual, and that the answer is given
-// once it can be read.
+// TestUnreadableArchivedAnswerIsUnavailable makes the archived answer of one job unreadable. Every request for that
+// job must get 503 and change nothing, other jobs must be answered as usual, and the answer must be given again once
+// it is readable.
 func TestUnreadableArchivedAnswerIsUnavailable(t *testing.T) {
 	cluster := newTestCluster(t, 404, 3, rollout.Newest, "soak_s = 3")
 	cluster.submitJobs(15 * time.Second)
 	cluster.Advance(15 * time.Second)
 	cluster.waitUntilDone()
-	cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
-	for i := range cluster.Controllers() { // nobody has it in memory any more
+	cluster.waitFor("all jobs archived", time.Minute, func() bool { return cluster.countRecords() == 0 })
+	for i := range cluster.Controllers() { // restarted, so that no controller has the answer in memory
 		cluster.KillController(i)
 		cluster.StartController(i)
 	}
 	cluster.Advance(12 * time.Second)
 	user := cluster.users[0]
 	key := archive.Key(user.spec.ID)
-	was := cluster.StoredItem(key).Value
+	original := cluster.StoredItem(key).Value
 	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":7,"stance":"done"}`)})
 	body, _ := json.Marshal(user.spec)
 	for i := range cluster.Controllers() {
 		for path, b := range map[string][]byte{"/v2/runs": body, "/v2/runs/" + user.spec.ID + "/abort": []byte("{}")} {
 			cluster.Request(i, "POST", path, b, func(status int, raw []byte) {
 				if status != 503 {
-					t.Errorf("controller %d answers %s with %d %s", i, path, status, raw)
+					t.Errorf("controller %d: POST %s: got %d %s, want 503", i, path, status, raw)
 				}
 			})
 			cluster.Advance(300 * time.Millisecond)
 		}
 		cluster.Request(i, "GET", "/v2/runs/"+user.spec.ID, nil, func(status int, raw []byte) {
 			if status != 503 {
-				t.Errorf("controller %d answers %d %s about what it can't read", i, status, raw)
+				t.Errorf("controller %d: GET of a job with an unreadable archived answer: got %d %s, want 503", i, status, raw)
 			}
 		})
 		cluster.Advance(300 * time.Millisecond)
 	}
-	if cluster.countRecords() != 0 || string(cluster.StoredItem(key).Value) == string(was) {
-		t.Error("something was decided on what can't be read")
+	if cluster.countRecords() != 0 || string(cluster.StoredItem(key).Value) == string(original) {
+		t.Error("a job record was created or the unreadable archived answer was overwritten, want no change")
 	}
 	cluster.checkAnswerEverywhere(cluster.users[1].spec.ID, 200, cluster.users[1].finalStates[0])
-	cluster.WriteKeys(store.Op{Put: key, Value: was})
+	cluster.WriteKeys(store.Op{Put: key, Value: original})
 	cluster.checkAnswersEverywhere()
 }
 
-// TestArchivingWaitsForTheLevel checks that nothing is archived before every controller can read the archive; after
-// the upgrade what earlier releases stored is archived under any leader, and found at every moment.
+// TestArchivingWaitsForTheLevel checks that no job is archived before every controller can read the archive. After
+// the upgrade, the jobs stored by earlier releases must be archived under any leader and be found at all times.
 func TestArchivingWaitsForTheLevel(t *testing.T) {
 	cluster := newTestCluster(t, 405, 3, rollout.Paged, "soak_s = 3")
 	cluster.submitJobs(100 * time.Second)
 	cluster.Advance(45 * time.Second)
 	if n := cluster.CountKeys(archive.Prefix); n != 0 || cluster.ClusterLevel() != rollout.Paged {
-		t.Fatalf("%d jobs are archived at level %d", n, cluster.ClusterLevel())
+		t.Fatalf("%d jobs archived at level %d, want 0 at rollout.Paged", n, cluster.ClusterLevel())
 	}
 	rolled := false
 	cluster.RollingRestart(
@@ -268,41 +271,41 @@
 	)
 	for !rolled {
 		if cluster.ClusterLevel() < rollout.Archived && cluster.CountKeys(archive.Prefix) > 0 {
-			t.Fatal("archived before the level")
+			t.Fatal("a job was archived below level rollout.Archived")
 		}
 		cluster.Advance(200 * time.Millisecond)
 	}
 	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
-	cluster.waitFor("begun", 30*time.Second, func() bool { return cluster.CountKeys(archive.Prefix) > 5 })
+	cluster.waitFor("archiving begun", 30*time.Second, func() bool { return cluster.CountKeys(archive.Prefix) > 5 })
 	l, _ := cluster.Leader()
 	cluster.KillController(l)
 	cluster.checkAnswersEverywhere()
 	cluster.StartController(l)
 	cluster.waitUntilDone()
-	cluster.waitFor("all moved", 2*time.Minute, func() bool { return cluster.countRecords() == 0 })
+	cluster.waitFor("all jobs archived", 2*time.Minute, func() bool { return cluster.countRecords() == 0 })
 	cluster.checkAnswersEverywhere()
 }
 
-// TestControllerMemoryIsBoundedByLiveJobs checks that what controllers keep of jobs that ended long ago doesn't
-// grow with their number, and that a controller that starts reads as little after many jobs as after few.
+// TestControllerMemoryIsBoundedByLiveJobs checks that the number of keys that controllers watch, and read when they
+// start, doesn't grow with the number of archived jobs.
 func TestControllerMemoryIsBoundedByLiveJobs(t *testing.T) {
 	cluster := newTestCluster(t, 406, 3, rollout.Newest, "soak_s = 3")
-	followed := func() int { return cluster.CountKeys("h/") }
-	var seen []int
+	watchedKeys := func() int { return cluster.CountKeys("h/") }
+	var keysPerRound []int
 	for range 4 {
 		cluster.submitJobs(60 * time.Second)
 		cluster.Advance(60 * time.Second)
 		cluster.waitUntilDone()
-		cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
-		seen = append(seen, followed())
+		cluster.waitFor("all jobs archived", time.Minute, func() bool { return cluster.countRecords() == 0 })
+		keysPerRound = append(keysPerRound, watchedKeys())
 	}
-	if fmt.Sprint(seen[1:]) != fmt.Sprint([]int{seen[1], seen[1], seen[1]}) {
-		t.Errorf("%d keys are followed after each of four rounds, %d jobs in all", seen, len(cluster.users))
+	if fmt.Sprint(keysPerRound[1:]) != fmt.Sprint([]int{keysPerRound[1], keysPerRound[1], keysPerRound[1]}) {
+		t.Errorf("keys watched after each of four rounds: %d, want the same from the second on; %d jobs in all", keysPerRound, len(cluster.users))
 	}
 	cluster.checkAnswersEverywhere()
 }
 
-// hasTasks reports whether a task of a job is on some machine, by the machines' true state.
+// hasTasks reports whether a task of a job is on a machine that is up, by the machines' true state.
 func (r *testCluster) hasTasks(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -316,27 +319,28 @@
 	return false
 }
 
-// checkArchivedJobsAreGone breaks the run if a job is moved of which a task is on a machine.
-func (r *testCluster) checkArchivedJobsAreGone() (moved *int) {
-	moved = new(int)
+// checkArchivedJobsAreGone reports a violation for every job that is archived while one of its tasks is on a machine,
+// and returns a running count of archived jobs.
+func (r *testCluster) checkArchivedJobsAreGone() (archived *int) {
+	archived = new(int)
 	r.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
 		for _, o := range tx.Then {
 			if id, ok := strings.CutPrefix(o.Put, archive.Prefix); ok {
-				if *moved++; r.hasTasks(id) {
-					r.ReportViolation("%s is archived, and a task of it is on a machine", id)
+				if *archived++; r.hasTasks(id) {
+					r.ReportViolation("%s is archived while one of its tasks is on a machine", id)
 				}
 			}
 		}
 		return TxnOutcome{}
 	})
-	return moved
+	return archived
 }
 
-// TestJobsWithTasksOnMachinesAreNotArchived cancels jobs while their machines hang or receive nothing, so that
-// their tasks stay for long, and changes the leader: no job is archived before the last of its tasks is gone.
+// TestJobsWithTasksOnMachinesAreNotArchived cancels jobs while their machines hang or receive nothing, so that their
+// tasks stay long after the cancellation, and kills leaders. No job may be archived before its last task is gone.
 func TestJobsWithTasksOnMachinesAreNotArchived(t *testing.T) {
 	cluster := newTestCluster(t, 407, 3, rollout.Newest, "soak_s = 3")
-	moved := cluster.checkArchivedJobsAreGone()
+	archived := cluster.checkArchivedJobsAreGone()
 	cluster.submitJobs(90 * time.Second)
 	for i := range 12 {
 		cluster.After(time.Duration(6*i+4)*time.Second, func() {
@@ -355,17 +359,18 @@
 	}
 	cluster.Advance(100 * time.Second)
 	cluster.waitUntilDone()
-	cluster.waitFor("all moved", time.Minute, func() bool { return cluster.countRecords() == 0 })
-	if *moved < 30 {
-		t.Errorf("%d jobs were moved", *moved)
+	cluster.waitFor("all jobs archived", time.Minute, func() bool { return cluster.countRecords() == 0 })
+	if *archived < 30 {
+		t.Errorf("%d jobs were archived, want at least 30", *archived)
 	}
 }
 
-// TestUnreadableRecordIsNotArchived makes a job's record unreadable as a term begins, so that its plan isn't read,
-// and readable again as that of a job that was cancelled while its tasks run: it isn't archived in that term.
+// TestUnreadableRecordIsNotArchived makes a running job's record unreadable while a new leader reads its state, so
+// that the leader doesn't read the job's plan. The record then becomes readable as that of a cancelled job whose tasks
+// still run. The job must not be archived in that term, but under the next leader.
 func TestUnreadableRecordIsNotArchived(t *testing.T) {
 	cluster := newTestCluster(t, 408, 3, rollout.Newest, "soak_s = 3")
-	moved := cluster.checkArchivedJobsAreGone()
+	archived := cluster.checkArchivedJobsAreGone()
 	cluster.Advance(3 * time.Second)
 	spec := arraySpec("req-000001", "c", "blue")
 	spec.Tasks = 3
@@ -381,21 +386,21 @@
 	}
 	cluster.Advance(time.Second)
 	cluster.startControllers()
-	cluster.waitFor("led", 20*time.Second, func() bool { return len(cluster.ActingLeaders()) > 0 })
-	cluster.Advance(2 * time.Second)                 // plans are read
-	for _, machine := range cluster.cloud.machines { // their reports say nothing meanwhile
+	cluster.waitFor("led by a controller", 20*time.Second, func() bool { return len(cluster.ActingLeaders()) > 0 })
+	cluster.Advance(2 * time.Second)                 // the leader has read the plans
+	for _, machine := range cluster.cloud.machines { // lose heartbeats meanwhile
 		machine.outboundLostUntil = cluster.Now() + 4*time.Second
 	}
 	cluster.WriteKeys(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
 	cluster.ConfirmCancelled(spec.ID)
 	cluster.Advance(20 * time.Second)
-	if *moved != 0 {
-		t.Errorf("%d jobs were moved by a leader that doesn't know their plans", *moved)
+	if *archived != 0 {
+		t.Errorf("%d jobs were archived by a leader without their plans, want 0", *archived)
 	}
 	l, _ := cluster.Leader()
 	cluster.KillController(l)
 	cluster.Advance(5 * time.Second)
 	cluster.StartController(l)
 	cluster.waitUntilDone()
-	cluster.waitFor("moved by the next", time.Minute, func() bool { return cluster.countRecords() == 0 })
+	cluster.waitFor("archived under the next leader", time.Minute, func() bool { return cluster.countRecords() == 0 })
 }
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -28,13 +28,13 @@
 	simulation      *Simulation
 	rng             *rand.Rand
 	spec            *jobs.Spec
-	finalStates     []string // final answers
+	finalStates     []string // the job's state in each final answer, in order
 	history         History
 	cancelRequested bool
 	status          int
-	submitAt        time.Duration // of a chaotic run
-	predecessors    []*testUser   // the job is submitted once theirs are accepted
-	onAccepted      []func()      // called once its job is accepted
+	submitAt        time.Duration // time of the first submission, set in chaos runs only
+	predecessors    []*testUser   // their jobs have to be accepted before this one is submitted
+	onAccepted      []func()      // called once the job is accepted
 }
 
 func (u *testUser) request(method, path string, body []byte, then func(int, string)) {
@@ -45,7 +45,7 @@
 	})
 }
 
-// isAccepted returns whether the job's submission was accepted.
+// isAccepted reports whether the job's submission was accepted.
 func (u *testUser) isAccepted() bool { return u.status == 200 || u.status == 201 }
 
 func (u *testUser) submit() {
@@ -54,8 +54,8 @@
 	}
 	u.simulation.AddJob(u.spec)
 	body, _ := json.Marshal(u.spec)
-	var again func()
-	again = func() {
+	var post func()
+	post = func() {
 		u.request("POST", "/v2/runs", body, func(status int, _ string) {
 			if u.status = status; u.isAccepted() {
 				u.history = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
@@ -63,10 +63,10 @@
 				u.poll()
 				return
 			}
-			u.simulation.After(time.Second, again)
+			u.simulation.After(time.Second, post)
 		})
 	}
-	again()
+	post()
 }
 
 func (u *testUser) cancel() {
@@ -93,7 +93,7 @@
 	})
 }
 
-// drawJob draws any kind of job that fits the machines and teams of a chaos run.
+// drawJob draws a job of any kind that fits the machines and teams of a chaos run.
 func drawJob(rng *rand.Rand, n int) *jobs.Spec {
 	spec := &jobs.Spec{
 		ID:        fmt.Sprintf("req-%06d", n),
@@ -122,10 +122,10 @@
 	return spec
 }
 
-// watchActingLeaders checks that at most one controller may act by its own state, at every moment.
+// watchActingLeaders checks every 20 ms that at most one controller considers itself the acting leader.
 func (sim *Simulation) watchActingLeaders() {
 	if leaders := sim.ActingLeaders(); len(leaders) > 1 {
-		sim.ReportViolation("controllers %v believe that they may act", leaders)
+		sim.ReportViolation("controllers %v all act as the leader, want at most one", leaders)
 	}
 	sim.After(20*time.Millisecond, sim.watchActingLeaders)
 }
@@ -141,19 +141,19 @@
 }
 `
 
-// readChaosPools reads the licence pool and the archive of chaos runs into a controller's settings.
+// readChaosPools reads the licence pool and the archive settings of chaos runs into a controller's settings.
 func readChaosPools(settings *config.Settings) error {
 	return settings.ReadOperator("o.hcl", []byte(chaosPools))
 }
 
-// chaosFault is a random fault of a chaos run: what happens, to which controller, for how long.
+// chaosFault is a random fault of a chaos run. The controller and the duration matter only to some kinds.
 type chaosFault struct {
 	controller int
 	duration   time.Duration
-	kind       int // below chaosFaultKinds
+	kind       int // 0 to chaosFaultKinds-1, see injectChaosFault
 }
 
-// chaosFaultKinds is the number of kinds of injectChaosFault.
+// chaosFaultKinds is the number of kinds that injectChaosFault distinguishes.
 const chaosFaultKinds = 12
 
 // injectChaosFault begins a random fault.
@@ -193,7 +193,7 @@
 	}
 }
 
-// scheduleChaosFaults draws faults, one every few seconds until an end.
+// scheduleChaosFaults draws and schedules faults, one every few seconds until an end.
 func (sim *Simulation) scheduleChaosFaults(rng *rand.Rand, end time.Duration) {
 	upTo := func(maxSeconds int) time.Duration {
 		return time.Duration(rng.IntN(maxSeconds*1000)) * time.Millisecond
@@ -208,8 +208,8 @@
 	}
 }
 
-// scheduleChaosUsers draws jobs of all kinds and the times of their submissions until an end. Every sixth or so is
-// cancelled.
+// scheduleChaosUsers draws jobs of all kinds and the times of their submissions until an end. About every sixth job
+// is cancelled.
 func (sim *Simulation) scheduleChaosUsers(rng *rand.Rand, count int, end time.Duration) []*testUser {
 	users := make([]*testUser, 0, count)
 	for i := range count {
@@ -225,22 +225,23 @@
 	return users
 }
 
-// advanceUntilOver advances time until every user has polled its job's final state four times, or to a limit.
+// advanceUntilOver advances time in steps until every user has read its job's final state four times, or a limit has
+// passed.
 func (sim *Simulation) advanceUntilOver(users []*testUser, limit, step time.Duration) {
-	isOpen := func(user *testUser) bool { return len(user.finalStates) < 4 }
-	for end := sim.Now() + limit; sim.Now() < end && slices.ContainsFunc(users, isOpen); {
+	isUnfinished := func(user *testUser) bool { return len(user.finalStates) < 4 }
+	for end := sim.Now() + limit; sim.Now() < end && slices.ContainsFunc(users, isUnfinished); {
 		sim.Advance(step)
 	}
 }
 
-// runChaos plays a few simulated minutes in which machines, controllers, the state service, the cloud
-// and the network fail at random, several at once, then ends all faults, and returns the simulation and its users.
+// runChaos simulates a period in which machines, controllers, the state service, the cloud and the network fail at
+// random, several at once. It then ends all faults, waits for all jobs, and returns the simulation and its users.
 func runChaos(t *testing.T, seed uint64, jobCount int, faulty time.Duration) (*Simulation, []*testUser) {
 	t.Helper()
 	return runChaosWith(t, seed, jobCount, faulty, func([]*testUser) {})
 }
 
-// runChaosWith does so with the users changed before they submit anything.
+// runChaosWith is runChaos with a function that may change the users before the simulation starts.
 func runChaosWith(
 	t *testing.T,
 	seed uint64,
@@ -266,7 +267,7 @@
 	change(users)
 	sim.scheduleChaosFaults(rng, faulty)
 	sim.watchActingLeaders()
-	// A clock on the wall that is off by an hour, forward or back, from a controller's next start on.
+	// From its next start on, one controller's wall clock is an hour fast, an hour slow, or right.
 	sim.MoveWallClock(rng.IntN(sim.Controllers()), time.Duration(rng.IntN(3)-1)*time.Hour)
 	sim.Advance(faulty + 25*time.Second)
 	sim.SetNetwork(2*time.Millisecond, 0, 0, 0)
@@ -275,14 +276,15 @@
 	return sim, users
 }
 
-// TestChaos runs the real code of all controllers through random faults that overlap, in virtual time: no rule of
-// the protocol breaks, every accepted job gets one final answer that never changes, and afterwards every job ends.
+// TestChaos runs the real code of all controllers in virtual time through random overlapping faults. No rule of the
+// protocol may break, every accepted job must get one final answer that never changes, and every job must end after
+// the faults.
 func TestChaos(t *testing.T) {
 	seeds := 12
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 400
 	}
-	var all Stats
+	var total Stats
 	ends := map[string]int{}
 	for seed := range seeds {
 		sim, users := runChaos(t, uint64(seed+1), 60, 2*time.Minute)
@@ -292,41 +294,42 @@
 		for _, user := range users {
 			switch {
 			case len(user.finalStates) == 0:
-				t.Errorf("seed %d: %s is not over (status %d)", seed+1, user.spec.ID, user.status)
+				t.Errorf("seed %d: %s has no final state (last status of its submission: %d)", seed+1, user.spec.ID, user.status)
 			case user.finalStates[0] == "cancelled" && !user.cancelRequested:
-				t.Errorf("seed %d: %s is cancelled, and nobody asked for it", seed+1, user.spec.ID)
+				t.Errorf("seed %d: %s is cancelled without a cancellation request", seed+1, user.spec.ID)
 			default:
 				ends[user.finalStates[0]]++
 			}
 			for _, s := range user.finalStates {
 				if s != user.finalStates[0] {
-					t.Errorf("seed %d: %s was answered %v", seed+1, user.spec.ID, user.finalStates)
+					t.Errorf("seed %d: %s: final states %v, want all equal", seed+1, user.spec.ID, user.finalStates)
 				}
 			}
 		}
 		s := sim.Stats()
-		all.TaskStarts += s.TaskStarts
-		all.TasksCrashed += s.TasksCrashed
-		all.MachinesKilled += s.MachinesKilled
-		all.MachinesHung += s.MachinesHung
-		all.ControllersKilled += s.ControllersKilled
-		all.ControllersFrozen += s.ControllersFrozen
-		all.ControllersDrained += s.ControllersDrained
-		all.CommandsDelayed += s.CommandsDelayed
+		total.TaskStarts += s.TaskStarts
+		total.TasksCrashed += s.TasksCrashed
+		total.MachinesKilled += s.MachinesKilled
+		total.MachinesHung += s.MachinesHung
+		total.ControllersKilled += s.ControllersKilled
+		total.ControllersFrozen += s.ControllersFrozen
+		total.ControllersDrained += s.ControllersDrained
+		total.CommandsDelayed += s.CommandsDelayed
 		if t.Failed() {
 			break
 		}
 	}
-	t.Logf("%d seeds: %v; %+v", seeds, ends, all)
-	if all.ControllersKilled == 0 || all.ControllersFrozen == 0 || all.ControllersDrained == 0 ||
-		all.MachinesHung == 0 ||
-		all.MachinesKilled == 0 ||
+	t.Logf("%d seeds: %v; %+v", seeds, ends, total)
+	if total.ControllersKilled == 0 || total.ControllersFrozen == 0 || total.ControllersDrained == 0 ||
+		total.MachinesHung == 0 ||
+		total.MachinesKilled == 0 ||
 		ends["cancelled"] == 0 {
-		t.Error("a kind of fault never came")
+		t.Error("a kind of fault or a cancellation never occurred, see the counts above")
 	}
 }
 
-// TestSameSeedGivesSameRun checks that the same seed gives the same run, to the last event.
+// TestSameSeedGivesSameRun checks that two runs with the same seed give the same statistics, start times and final
+// states.
 func TestSameSeedGivesSameRun(t *testing.T) {
 	digest := func() string {
 		sim, users := runChaos(t, 7, 25, 40*time.Second)
@@ -337,11 +340,11 @@
 		return s
 	}
 	if a, b := digest(), digest(); a != b {
-		t.Fatalf("two runs differ:\n%s\n%s", a, b)
+		t.Fatalf("two runs of the same seed differ:\n%s\n%s", a, b)
 	}
 }
 
-// reportedEvent is an event as users and operators read it.
+// reportedEvent is an event as the API returns it.
 type reportedEvent struct {
 	Event, Note string
 	Job         string `json:"name_id"`
@@ -349,7 +352,7 @@
 	Attempt     uint64
 }
 
-// eventReader reads a leader's events page after page.
+// eventReader reads a leader's events, page by page.
 type eventReader struct {
 	t      *testing.T
 	sim    *Simulation
@@ -357,7 +360,7 @@
 	events []reportedEvent
 }
 
-// readAll reads until no further page is left.
+// readAll reads the events since the last call, until no page is left.
 func (r *eventReader) readAll() {
 	r.t.Helper()
 	leader, _ := r.sim.Leader()
@@ -369,7 +372,7 @@
 				More       bool `json:"has_next"`
 			}
 			if err := json.Unmarshal(raw, &page); err != nil || status != 200 {
-				r.t.Fatalf("status %d: %v: %s", status, err, raw)
+				r.t.Fatalf("GET /v2/events: status %d, want 200; decoding error %v; body %s", status, err, raw)
 			}
 			r.events = append(r.events, page.Events...)
 			r.since = fmt.Sprintf("%d-%d", page.Term, page.Next)
@@ -379,8 +382,8 @@
 	}
 }
 
-// taskEventsBefore holds, for each event of a task, the events that may come directly before it; an empty one stands
-// for none.
+// taskEventsBefore lists, for each event of a task, the events that may directly precede it. An empty string means
+// that the event may be the task's first.
 var taskEventsBefore = map[string][]string{
 	"task_sent":     {"", "task_ended", "task_vanished", "task_lost"},
 	"task_found":    {"task_sent"},
@@ -392,13 +395,13 @@
 	"task_done":     {"task_sent", "task_found", "task_running", "task_stopping"},
 }
 
-// eventOrder is a plain automaton of jobs and their tasks, which checks the order of their events.
+// eventOrder is a state machine of jobs and their tasks that checks the order of their events.
 type eventOrder struct {
 	t         *testing.T
-	state     map[string]string // of a job, and of a task by its job and number
+	state     map[string]string // by job, and by "job/task number" the last event of a task
 	doneTasks map[string]int    // by job
-	notes     map[string]int
-	kinds     map[string]int
+	notes     map[string]int    // number of task events by note
+	kinds     map[string]int    // number of events by event name
 }
 
 func newEventOrder(t *testing.T) *eventOrder {
@@ -411,7 +414,7 @@
 	}
 }
 
-// add checks the next event.
+// add checks the next event and counts it.
 func (o *eventOrder) add(e reportedEvent) {
 	o.t.Helper()
 	o.kinds[e.Event]++
@@ -419,12 +422,12 @@
 	case "term", "machine", "zone", "rollout":
 	case "job_accepted":
 		if o.state[e.Job] != "" {
-			o.t.Errorf("%s is accepted twice", e.Job)
+			o.t.Errorf("%s: job_accepted is reported twice", e.Job)
 		}
 		o.state[e.Job] = "accepted"
 	case "job_done", "job_cancelled":
 		if o.state[e.Job] != "accepted" {
-			o.t.Errorf("%s ends and was %q", e.Job, o.state[e.Job])
+			o.t.Errorf("%s: the job ends in state %q, want \"accepted\"", e.Job, o.state[e.Job])
 		}
 		o.state[e.Job] = e.Event
 	default:
@@ -436,14 +439,14 @@
 	o.t.Helper()
 	name := fmt.Sprintf("%s/%d", e.Job, *e.Task)
 	if o.state[e.Job] != "accepted" && e.Event != "task_ended" {
-		o.t.Errorf("%s: %s, its job is %q", name, e.Event, o.state[e.Job])
+		o.t.Errorf("%s: event %s while the job is in state %q, want \"accepted\"", name, e.Event, o.state[e.Job])
 	}
 	was := o.state[name]
 	inOrder := was != "task_done" && slices.Contains(taskEventsBefore[e.Event], was)
-	// Of a gang's other tasks, and where it is done elsewhere, only the end is reported.
+	// For the other tasks of a gang, and for a task that is done on another machine, only the end is reported.
 	onlyItsEnd := e.Event == "task_done" && was != "task_done"
 	if !inOrder && !onlyItsEnd {
-		o.t.Errorf("%s: %s after %q", name, e.Event, was)
+		o.t.Errorf("%s: event %s directly after %q, which is out of order", name, e.Event, was)
 	}
 	o.state[name] = e.Event
 	if e.Event == "task_done" {
@@ -452,14 +455,14 @@
 	o.notes[e.Note]++
 }
 
-// checkUser checks that a user's job is done, in its answers and by the events.
+// checkUser checks that a user's job is done, by its answers and by its events.
 func (o *eventOrder) checkUser(user *testUser) {
 	o.t.Helper()
 	job, tasks := user.spec.ID, user.spec.Tasks
 	answeredDone := len(user.finalStates) > 0 && user.finalStates[0] == "done"
 	if !answeredDone || o.doneTasks[job] != tasks || o.state[job] != "job_done" {
 		o.t.Errorf(
-			"%s: answered %v, %d of %d tasks done, %s",
+			"%s: answers %v, want done; events report %d of %d tasks done and the job as %q, want job_done",
 			job,
 			user.finalStates,
 			o.doneTasks[job],
@@ -485,9 +488,9 @@
 	}
 }
 
-// TestEventsMatchWhatHappened compares events with a plain automaton: through crashes and killed and hung machines
-// each attempt of a task is sent, perhaps runs, and has one end, in this order; a job's acceptance comes first and
-// its end last; and as many tasks are reported done as there are.
+// TestEventsMatchWhatHappened checks the order of events against a state machine while tasks crash and machines are
+// killed or hang. Each attempt of a task must be sent, may run, and must have one end, in this order. A job's
+// acceptance must come first and its end last, and every task of a job must be reported done once.
 func TestEventsMatchWhatHappened(t *testing.T) {
 	sim, err := NewVirtualTime(Config{
 		Seed:         3,
@@ -514,7 +517,7 @@
 		reader.readAll()
 	}
 	if len(reader.events) == 0 || reader.events[0].Event != "term" {
-		t.Fatalf("%d events, the first %+v", len(reader.events), reader.events)
+		t.Fatalf("%d events, want the first to be \"term\": %+v", len(reader.events), reader.events)
 	}
 	order := newEventOrder(t)
 	for _, e := range reader.events {
@@ -524,15 +527,15 @@
 		order.checkUser(user)
 	}
 	if order.notes["error"] == 0 || order.kinds["task_lost"] == 0 || order.kinds["machine"] == 0 {
-		t.Errorf("not every kind was seen: %v, %v", order.kinds, order.notes)
+		t.Errorf("want events task_lost and machine and a note error; got events %v, notes %v", order.kinds, order.notes)
 	}
 	reportViolations(t, sim)
 }
 
-// TestRequestsAfterAuthorityEndedAreRedirected freezes a leader for longer than its lease. Its steady clock has
-// jumped when it goes on: requests of a worker, a user and an operator reach it before it has done anything else,
-// and it acts on none; nor does the present leader receive them. Users and operators get a retry or the leader's
-// address.
+// TestRequestsAfterAuthorityEndedAreRedirected freezes a leader for longer than its lease, so that its monotonic clock
+// has jumped when it resumes. Requests of a worker, a user and an operator reach it before it has done anything else.
+// It must act on none of them, nor forward them to the present leader. Users and operators must get a retry or the
+// leader's address.
 func TestRequestsAfterAuthorityEndedAreRedirected(t *testing.T) {
 	sim, err := NewVirtualTime(Config{Seed: 5, MaxMachines: 4, Teams: []config.Team{{Name: "red"}}}, nil)
 	if err != nil {
@@ -544,52 +547,51 @@
 	user := &testUser{simulation: sim, rng: rand.New(rand.NewPCG(5, 5)), spec: spec}
 	sim.After(3*time.Second, user.submit)
 	sim.Advance(15 * time.Second)
-	old, _ := sim.Leader()
-	sim.FreezeController(old, 12*time.Second)
-	said := map[string][]int{}
-	note := func(what string) func(int, []byte) {
-		return func(status int, _ []byte) { said[what] = append(said[what], status) }
+	frozen, _ := sim.Leader()
+	sim.FreezeController(frozen, 12*time.Second)
+	statuses := map[string][]int{}
+	record := func(request string) func(int, []byte) {
+		return func(status int, _ []byte) { statuses[request] = append(statuses[request], status) }
 	}
-	// They wait in its sockets and are the first that it sees.
+	// These requests wait in the frozen leader's sockets and are the first that it reads.
 	user.cancelRequested = true
 	sim.After(11*time.Second+900*time.Millisecond, func() {
-		sim.Request(old, "GET", "/v2/runs", nil, note("list"))
-		sim.Request(old, "GET", "/v2/runs/req-000001/why", nil, note("why"))
-		sim.Request(old, "POST", "/v2/runs/req-000001/abort", []byte("{}"), note("abort"))
-		sim.Request(old, "GET", "/v2/runs/req-000001", nil, note("get"))
+		sim.Request(frozen, "GET", "/v2/runs", nil, record("list"))
+		sim.Request(frozen, "GET", "/v2/runs/req-000001/why", nil, record("why"))
+		sim.Request(frozen, "POST", "/v2/runs/req-000001/abort", []byte("{}"), record("abort"))
+		sim.Request(frozen, "GET", "/v2/runs/req-000001", nil, record("get"))
 		machine := sim.cloud.machineByName[sim.BusiestMachine()]
 		body, _ := json.Marshal(sim.heartbeat(sim.now(), machine))
-		sim.Request(old, "POST", "/checkin", body, note("report"))
+		sim.Request(frozen, "POST", "/checkin", body, record("report"))
 	})
 	sim.Advance(13 * time.Second)
-	for what, ok := range map[string][]int{
+	for request, allowed := range map[string][]int{
 		"list":   {421, 503},
 		"why":    {421, 503},
 		"report": {421, 503},
 		"get":    {200, 503},
 		"abort":  {200, 503},
 	} {
-		if len(said[what]) != 1 || !slices.Contains(ok, said[what][0]) {
-			t.Errorf("%s was answered %v", what, said[what])
+		if len(statuses[request]) != 1 || !slices.Contains(allowed, statuses[request][0]) {
+			t.Errorf("%s: statuses %v, want exactly one of the allowed statuses", request, statuses[request])
 		}
 	}
 	sim.Advance(2 * time.Second)
-	l, _ := sim.Leader()
-	if l < 0 || l == old {
-		t.Fatalf("controller %d leads", l)
+	leader, _ := sim.Leader()
+	if leader < 0 || leader == frozen {
+		t.Fatalf("controller %d leads, want another one than the frozen leader", leader)
 	}
-	sim.Request(old, "GET", "/v2/runs", nil, func(status int, raw []byte) {
-		if status != 421 || !strings.Contains(string(raw), sim.UserAddr(l)) {
-			t.Errorf("who leads: %d %s", status, raw)
+	sim.Request(frozen, "GET", "/v2/runs", nil, func(status int, raw []byte) {
+		if status != 421 || !strings.Contains(string(raw), sim.UserAddr(leader)) {
+			t.Errorf("GET /v2/runs at the former leader: got %d %s, want 421 with the leader's address", status, raw)
 		}
 	})
 	sim.Advance(time.Second)
 	reportViolations(t, sim)
 }
 
-// TestFullBuffersShedLoad sends submissions and queries of far more users than buffers have room for, at one
-// moment, to one controller: each is answered at once, those not served with a retry, and in the end all are
-// served.
+// TestFullBuffersShedLoad sends far more submissions at once to one controller than its buffers hold. Each must be
+// answered within seconds, the rejected ones with a retry status, and all must be accepted in the end.
 func TestFullBuffersShedLoad(t *testing.T) {
 	sim, err := NewVirtualTime(
 		Config{Seed: 6, MaxMachines: 20, Teams: []config.Team{{Name: "red"}}, TickInterval: 50 * time.Millisecond},
@@ -599,7 +601,7 @@
 		t.Fatal(err)
 	}
 	sim.Advance(3 * time.Second)
-	n, refused, slowest, done := 3000, 0, time.Duration(0), 0
+	n, rejected, slowest, accepted := 3000, 0, time.Duration(0), 0
 	for i := range n {
 		spec := arraySpec(fmt.Sprintf("req-%06d", i+1), "c", "red")
 		spec.ImageGB = 0.1
@@ -607,27 +609,28 @@
 		spec.Spot = false
 		body, _ := json.Marshal(spec)
 		sim.AddJob(spec)
-		var again func()
-		again = func() {
+		var post func()
+		post = func() {
 			at := sim.Now()
 			sim.Request(0, "POST", "/v2/runs", body, func(status int, _ []byte) {
 				slowest = max(slowest, sim.Now()-at)
 				switch status {
 				case 200, 201:
-					done++
+					accepted++
 				case 429, 503:
-					refused++
-					sim.After(time.Duration(1000+i%700)*time.Millisecond, again)
+					rejected++
+					sim.After(time.Duration(1000+i%700)*time.Millisecond, post)
 				default:
-					t.Errorf("%s: status %d", spec.ID, status)
+					t.Errorf("%s: status %d, want 200, 201, 429 or 503", spec.ID, status)
 				}
 			})
 		}
-		again()
+		post()
 	}
 	sim.Advance(3 * time.Minute)
-	if done != n || refused < n/2 || slowest > 3*time.Second {
-		t.Fatalf("%d of %d accepted, %d times refused, the slowest answer took %v", done, n, refused, slowest)
+	if accepted != n || rejected < n/2 || slowest > 3*time.Second {
+		t.Fatalf("%d of %d jobs accepted, want all; %d rejections, want at least half as many; slowest answer %v, want 3s at most",
+			accepted, n, rejected, slowest)
 	}
 	reportViolations(t, sim)
 }
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -12,17 +12,17 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Tests of two faults that coincide, with the parameters of each varied. A controller's lease is 2 s here, a
-// worker's 6 s, and cancel_s 11.5 s, 1 s more than the minimum that the settings accept.
+// Tests of two overlapping faults, with the parameters of each varied. A controller's lease is 2 s here, a worker's
+// 6 s, and cancel_s 11.5 s, 1 s more than the minimum that the settings accept.
 
-// newBusyCluster is a cluster on tight workers, with jobs of all kinds that run for long, so that something is to
-// be lost.
+// newBusyCluster starts a cluster with short worker timers and n long jobs of all kinds, so that faults hit running
+// tasks.
 func newBusyCluster(t *testing.T, seed uint64, controllers, n int) (*testCluster, *Balancer) {
 	t.Helper()
 	return newBusyClusterOn(t, seed, controllers, n, shortTimers)
 }
 
-// newBusyClusterOn does so on other workers.
+// newBusyClusterOn is newBusyCluster with other worker settings.
 func newBusyClusterOn(
 	t *testing.T,
 	seed uint64,
@@ -41,22 +41,22 @@
 	for i := range n {
 		cluster.submitLongJob(i, 20)
 	}
-	cluster.waitFor("working", 40*time.Second, func() bool { return n == 0 || cluster.Utilization().Running > n })
+	cluster.waitFor("running more tasks than jobs", 40*time.Second, func() bool { return n == 0 || cluster.Utilization().Running > n })
 	return cluster, balancer
 }
 
-// submitLongJob submits a long job: an array, a gang, or an array that saves.
+// submitLongJob submits a long job: an array, a gang, or an array with checkpoints, in turn.
 func (r *testCluster) submitLongJob(i int, estimate float64) *testUser {
 	return r.submitLongJobWith(i, estimate, func(*jobs.Spec) {})
 }
 
-// submitLongJobWith does so with something changed.
+// submitLongJobWith is submitLongJob with a change to the job's spec.
 func (r *testCluster) submitLongJobWith(i int, estimate float64, change func(*jobs.Spec)) *testUser {
 	spec := arraySpec(fmt.Sprintf("req-6%05d", i), "long", teamInTurn(i))
 	spec.Tasks = 1 + i%3
 	spec.CPUs = 3
 	spec.EstimateS = estimate
-	if i%5 > 0 { // machines stand in all zones
+	if i%5 > 0 { // four of five jobs are bound to a zone, so that machines are rented in all zones
 		spec.Zone = &zoneNames()[i%3]
 	}
 	switch i % 4 {
@@ -70,7 +70,8 @@
 	return r.submit(spec)
 }
 
-// cancelAt lets a user's cancellation go through one controller, and elsewhere if that doesn't take it.
+// cancelAt sends a user's cancellation to controller i, and to random controllers from a second later on if
+// controller i doesn't accept the request.
 func (r *testCluster) cancelAt(user *testUser, i int) {
 	user.cancelRequested = true
 	r.Request(i, "POST", "/v2/runs/"+user.spec.ID+"/abort", []byte("{}"), func(status int, raw []byte) {
@@ -83,14 +84,15 @@
 	})
 }
 
-// waitForLeader names the controller that leads; one must.
+// waitForLeader waits until exactly one controller acts as the leader, and returns it.
 func (r *testCluster) waitForLeader() int {
 	r.t.Helper()
-	r.waitFor("led", 15*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
+	r.waitFor("led by one controller", 15*time.Second, func() bool { return len(r.ActingLeaders()) == 1 })
 	return r.ActingLeaders()[0]
 }
 
-// recoverAndCheck starts all controllers, waits for the end of all jobs, and checks the rules that apply then.
+// recoverAndCheck starts all controllers, waits until all jobs have ended, and checks that no rule was broken and
+// that every controller has its member key.
 func (r *testCluster) recoverAndCheck() {
 	r.t.Helper()
 	r.startControllers()
@@ -98,13 +100,13 @@
 	r.waitUntilDone()
 	for _, n := range r.nodeNames() {
 		if r.StoredItem("h/c/n/"+n).Version == 0 {
-			r.t.Errorf("%s is there and has no member key", n)
+			r.t.Errorf("%s runs without a member key, want one", n)
 		}
 	}
 	s := r.Stats()
 	longest, job := idleWait()
 	r.t.Logf(
-		"cancelled tasks stayed %v at most, of %v; %s waited %v beside idle capacity; %d tasks began after their cancellation, the latest %v",
+		"longest run after a cancellation %v, of %v allowed; %s waited %v beside idle capacity; %d tasks started after their cancellation, the latest %v",
 		s.LongestRunAfterCancel,
 		jobs.Seconds(shortTimers.CancelS),
 		job,
@@ -114,14 +116,14 @@
 	)
 }
 
-// gapFaults is what else goes on in a gap, by name; each is given the leader.
-var gapFaults = map[string]func(cluster *testCluster, l int){
+// concurrentFaults are further faults that tests inject during an outage, by name. The argument l is the leader.
+var concurrentFaults = map[string]func(cluster *testCluster, l int){
 	"nothing": func(*testCluster, int) {},
 	"leader killed": func(cluster *testCluster, l int) {
 		cluster.KillController(l)
 		cluster.After(4*time.Second, func() { cluster.StartController(l) })
 	},
-	"leader back at once": func(cluster *testCluster, l int) {
+	"leader restarted at once": func(cluster *testCluster, l int) {
 		cluster.KillController(l)
 		cluster.After(100*time.Millisecond, func() { cluster.StartController(l) })
 	},
@@ -132,43 +134,44 @@
 			cluster.HangMachine(5 * time.Second)
 		}
 	},
-	"machines deaf": func(cluster *testCluster, _ int) { cluster.DropInbound(8, "", 9*time.Second) },
-	"commands held": func(cluster *testCluster, _ int) {
+	"machines receive nothing": func(cluster *testCluster, _ int) { cluster.DropInbound(8, "", 9*time.Second) },
+	"commands delayed": func(cluster *testCluster, _ int) {
 		cluster.DelayCommands(time.Second, 5*time.Second)
 		cluster.After(6*time.Second, func() { cluster.DelayCommands(0, 0) })
 	},
-	"watches stick": func(cluster *testCluster, l int) {
+	"watches stall": func(cluster *testCluster, l int) {
 		cluster.StallWatches(l, true)
 		cluster.After(20*time.Second, func() { cluster.StallWatches(l, false) })
 	},
-	"copies": func(cluster *testCluster, _ int) {
+	"messages duplicated": func(cluster *testCluster, _ int) {
 		cluster.DuplicateMessages(0.4, 200*time.Millisecond, 20*time.Second)
 	},
 }
 
-// TestCancellationsAcrossStateOutages makes the state service refuse the leader alone while another controller
-// confirms cancellations, then fail for all for longer than cancel_s, while the workers keep sending heartbeats to
-// the old leader; and once more. The refusal ends before, in or after the outage, and another fault goes on inside.
+// TestCancellationsAcrossStateOutages makes the state service refuse only the leader while another controller confirms
+// cancellations, and then fail for all controllers for longer than cancel_s. Meanwhile the workers keep sending
+// heartbeats to the old leader. This happens twice. The refusal ends before, during or after the outage, and another
+// fault overlaps it.
 func TestCancellationsAcrossStateOutages(t *testing.T) {
-	for what, f := range gapFaults {
-		for _, refused := range []time.Duration{400 * time.Millisecond, 8 * time.Second, 22 * time.Second} {
-			t.Run(fmt.Sprint(what, " ", refused), func(t *testing.T) {
+	for name, inject := range concurrentFaults {
+		for _, refusal := range []time.Duration{400 * time.Millisecond, 8 * time.Second, 22 * time.Second} {
+			t.Run(fmt.Sprint(name, " ", refusal), func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 201, 3, 24)
 				confirmed := 0
-				for gap := range 2 {
-					l := cluster.waitForLeader()
-					cluster.RefuseController(l, true)
-					cluster.After(refused, func() { cluster.RefuseController(l, false) })
-					cluster.After(300*time.Millisecond, func() { f(cluster, l) })
-					users := cluster.users[8*gap : 8*gap+8]
-					cluster.cancelEach(users, 50*time.Millisecond, 140*time.Millisecond, cluster.othersInTurn(l))
+				for outage := range 2 {
+					leader := cluster.waitForLeader()
+					cluster.RefuseController(leader, true)
+					cluster.After(refusal, func() { cluster.RefuseController(leader, false) })
+					cluster.After(300*time.Millisecond, func() { inject(cluster, leader) })
+					users := cluster.users[8*outage : 8*outage+8]
+					cluster.cancelEach(users, 50*time.Millisecond, 140*time.Millisecond, cluster.othersInTurn(leader))
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
 					cluster.Advance(1100*time.Millisecond + jobs.Seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
 					if len(cluster.work.cancelledAt) < confirmed+4 {
 						t.Errorf(
-							"gap %d: %d cancellations were confirmed",
-							gap,
+							"outage %d: %d cancellations were confirmed, want at least 4",
+							outage,
 							len(cluster.work.cancelledAt)-confirmed,
 						)
 					}
@@ -183,32 +186,32 @@
 	}
 }
 
-// TestLeaderWithStaleStateStepsDown stalls the leader's watches while its renewals and reads succeed, and cancels
-// jobs through others: the leader stops acting when its state is too old for cancel_s, and hands over so that
-// another can lead.
+// TestLeaderWithStaleStateStepsDown stalls the leader's watches while its lease renewals and reads succeed, and
+// cancels jobs through other controllers. Once its state is too old for cancel_s, the leader must stop acting and
+// hand over to another controller.
 func TestLeaderWithStaleStateStepsDown(t *testing.T) {
-	for _, slow := range []bool{false, true} {
+	for _, slowState := range []bool{false, true} {
 		cluster, _ := newBusyCluster(t, 202, 3, 24)
-		l, from := cluster.waitForLeader(), cluster.Now()
-		cluster.StallWatches(l, true)
-		if slow {
+		leader, stalledAt := cluster.waitForLeader(), cluster.Now()
+		cluster.StallWatches(leader, true)
+		if slowState {
 			cluster.DelayStateAnswers(20*time.Millisecond, 900*time.Millisecond)
 		}
-		cluster.cancelEach(cluster.users[:12], 100*time.Millisecond, 300*time.Millisecond, cluster.othersInTurn(l))
-		cluster.waitForOtherLeader(14*time.Second, l)
-		t.Logf("led from elsewhere after %v", cluster.Now()-from)
+		cluster.cancelEach(cluster.users[:12], 100*time.Millisecond, 300*time.Millisecond, cluster.othersInTurn(leader))
+		cluster.waitForOtherLeader(14*time.Second, leader)
+		t.Logf("another controller led after %v", cluster.Now()-stalledAt)
 		cluster.Advance(10 * time.Second)
-		cluster.StallWatches(l, false)
+		cluster.StallWatches(leader, false)
 		cluster.DelayStateAnswers(0, 0)
 		cluster.recoverAndCheck()
 	}
 }
 
-// TestLostWatchIsReopened loses a watch of the leader while the state service answers everything else: the watch is
-// opened again, and the leader stays.
+// TestLostWatchIsReopened drops the watches of the state service for a short time while all other requests are
+// answered. They must be reopened, and the leader and its term must stay the same.
 func TestLostWatchIsReopened(t *testing.T) {
 	cluster, _ := newBusyCluster(t, 203, 3, 6)
-	l := cluster.waitForLeader()
+	leader := cluster.waitForLeader()
 	_, term := cluster.Leader()
 	cluster.mu.Lock()
 	cluster.state.dropWatches = true
@@ -218,63 +221,63 @@
 	cluster.state.dropWatches = false
 	cluster.mu.Unlock()
 	cluster.Advance(10 * time.Second)
-	if n, now := cluster.Leader(); n != l || now != term {
-		t.Errorf("controller %d leads in term %d, it was %d in %d", n, now, l, term)
+	if gotLeader, gotTerm := cluster.Leader(); gotLeader != leader || gotTerm != term {
+		t.Errorf("controller %d leads in term %d, want still %d in term %d", gotLeader, gotTerm, leader, term)
 	}
 	if len(cluster.ActingLeaders()) != 1 {
-		t.Error("nobody may act: the watch is waited for")
+		t.Error("not exactly one acting leader after the watches were lost: they were not reopened")
 	}
 	cluster.recoverAndCheck()
 }
 
-// TestFirstHeartbeatAnswerHaltsCancelledTasks makes the first answer of a new leader the last that a machine
-// receives: the machine doesn't have the new token yet, and what was cancelled on it must be halted by that answer,
-// for it extends the lease.
+// TestFirstHeartbeatAnswerHaltsCancelledTasks disconnects machines right after the first heartbeat answer of a new
+// leader. A machine doesn't have the new token before this answer, which extends the machine's lease. So the same
+// answer must halt the tasks that were cancelled on it.
 func TestFirstHeartbeatAnswerHaltsCancelledTasks(t *testing.T) {
 	cluster, _ := newBusyCluster(t, 204, 3, 30)
-	l := cluster.waitForLeader()
+	leader := cluster.waitForLeader()
 	zone := cluster.zoneWithoutLeader()
 	cluster.PartitionZone(zone, RefuseBoth)
-	from := cluster.Now()
-	cluster.cancelEach(cluster.users, 0, 20*time.Millisecond, cluster.othersInTurn(l))
+	partitionedAt := cluster.Now()
+	cluster.cancelEach(cluster.users, 0, 20*time.Millisecond, cluster.othersInTurn(leader))
 	cluster.Advance(200 * time.Millisecond)
-	cluster.KillController(l)
-	cluster.After(30*time.Second, func() { cluster.StartController(l) })
-	old := map[string]uint64{}
+	cluster.KillController(leader)
+	cluster.After(30*time.Second, func() { cluster.StartController(leader) })
+	oldTokens := map[string]uint64{}
 	cluster.mu.Lock()
 	for _, machine := range cluster.readyMachines() {
-		old[machine.Name] = machine.token
+		oldTokens[machine.Name] = machine.token
 	}
 	cluster.mu.Unlock()
-	cluster.Advance(5400*time.Millisecond - (cluster.Now() - from))
+	cluster.Advance(5400*time.Millisecond - (cluster.Now() - partitionedAt))
 	cluster.PartitionZone(zone, Connected)
-	last := 0
+	disconnected := 0
 	for range 800 {
 		cluster.Advance(time.Millisecond)
 		cluster.mu.Lock()
 		for _, machine := range cluster.readyMachines() {
-			if machine.zone == zone && machine.token > old[machine.Name] && machine.inboundLostUntil == 0 &&
-				old[machine.Name] > 0 {
+			if machine.zone == zone && machine.token > oldTokens[machine.Name] && machine.inboundLostUntil == 0 &&
+				oldTokens[machine.Name] > 0 {
 				machine.inboundLostUntil = cluster.now() + 40*time.Second
 				machine.outboundLostUntil = cluster.now() + 40*time.Second
-				last++
+				disconnected++
 			}
 		}
 		cluster.mu.Unlock()
 	}
-	if last == 0 {
-		t.Error("no machine had an answer of the new leader")
+	if disconnected == 0 {
+		t.Error("no machine received a heartbeat answer of the new leader")
 	}
 	cluster.recoverAndCheck()
 }
 
-// TestDelayedMessages delays a command or its answer, or the answer to a heartbeat, for up to a lease, and the
-// machine then goes on: across cancellations, moves of tasks, failovers, new sessions and new attempts.
+// TestDelayedMessages delays commands, their answers and the answers to heartbeats for up to a worker's lease, while
+// jobs are cancelled, tasks move, leaders fail over, and sessions and attempts are renewed.
 func TestDelayedMessages(t *testing.T) {
-	const d = 12 * time.Second
+	const length = 12 * time.Second
 	delayFaults := map[string]func(cluster *testCluster, maxDelay time.Duration){
 		"commands": func(cluster *testCluster, maxDelay time.Duration) { cluster.DelayCommands(maxDelay/4, maxDelay) },
-		"answers": func(cluster *testCluster, maxDelay time.Duration) {
+		"heartbeat answers": func(cluster *testCluster, maxDelay time.Duration) {
 			cluster.DelayHeartbeatAnswers(maxDelay/4, maxDelay)
 		},
 		"both": func(cluster *testCluster, maxDelay time.Duration) {
@@ -282,10 +285,10 @@
 			cluster.DelayHeartbeatAnswers(maxDelay/8, maxDelay/2)
 		},
 	}
-	meets := map[string]func(cluster *testCluster, k int){
+	events := map[string]func(cluster *testCluster, k int){
 		"cancel": func(cluster *testCluster, k int) { cluster.cancelAt(cluster.users[k], k%3) },
 		"move":   func(cluster *testCluster, k int) { cluster.ReclaimSpotMachine(2 * time.Second); cluster.KillMachine() },
-		"takeover": func(cluster *testCluster, k int) {
+		"failover": func(cluster *testCluster, k int) {
 			cluster.onLeader(time.Duration(100+k*300)*time.Millisecond, cluster.KillController)
 		},
 		"session": func(cluster *testCluster, k int) {
@@ -294,18 +297,18 @@
 		},
 		"attempt": func(cluster *testCluster, k int) { cluster.CrashTask(); cluster.CrashTask() },
 	}
-	for what, delay := range delayFaults {
-		for with, f := range meets {
-			t.Run(what+" "+with, func(t *testing.T) {
+	for delayName, delay := range delayFaults {
+		for eventName, trigger := range events {
+			t.Run(delayName+" "+eventName, func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 205, 3, 16)
-				cluster.submitJobs(d)
+				cluster.submitJobs(length)
 				for k, maxDelay := range []time.Duration{800 * time.Millisecond, 2500 * time.Millisecond, 6 * time.Second} {
-					cluster.After(time.Duration(k)*d/3, func() { delay(cluster, maxDelay) })
+					cluster.After(time.Duration(k)*length/3, func() { delay(cluster, maxDelay) })
 				}
 				for k := range 6 {
-					cluster.After(time.Duration(k)*d/6+500*time.Millisecond, func() { f(cluster, k) })
+					cluster.After(time.Duration(k)*length/6+500*time.Millisecond, func() { trigger(cluster, k) })
 				}
-				cluster.Advance(d)
+				cluster.Advance(length)
 				cluster.DelayCommands(0, 0)
 				cluster.DelayHeartbeatAnswers(0, 0)
 				cluster.Advance(2 * time.Second)
@@ -315,26 +318,27 @@
 	}
 }
 
-// TestLeaderKilledWhileMachinesAreUnreachable kills a leader while machines with long tasks can't be reached or
-// don't receive the next leader's answer, for less than a lease, more than one, and more than cancel_s: what is on
-// them counts until proof, with teams' limits and zones of gangs, and no longer.
+// TestLeaderKilledWhileMachinesAreUnreachable ends a leader while machines with long tasks are unreachable or don't
+// receive the next leader's answers, for less than a worker's lease, more than one, and more than cancel_s. Tasks on
+// these machines must count towards teams' limits and zones of gangs until they are proven to have ended, and no
+// longer.
 func TestLeaderKilledWhileMachinesAreUnreachable(t *testing.T) {
-	ends := map[string]func(cluster *testCluster, l int){
-		"killed":  gapFaults["leader killed"],
-		"frozen":  gapFaults["leader frozen"],
-		"drained": gapFaults["leader drained"],
+	ends := map[string]func(cluster *testCluster, leader int){
+		"killed":  concurrentFaults["leader killed"],
+		"frozen":  concurrentFaults["leader frozen"],
+		"drained": concurrentFaults["leader drained"],
 	}
-	for how := DropBoth; how <= DropOutOf; how++ {
+	for partition := DropBoth; partition <= DropOutOf; partition++ {
 		for _, duration := range []time.Duration{3 * time.Second, 8 * time.Second, 16 * time.Second} {
-			for what, end := range ends {
-				t.Run(fmt.Sprint(how, " ", duration, " ", what), func(t *testing.T) {
+			for endName, end := range ends {
+				t.Run(fmt.Sprint(partition, " ", duration, " ", endName), func(t *testing.T) {
 					cluster, _ := newBusyCluster(t, 206, 5, 30)
-					l, zone := cluster.waitForLeader(), cluster.zoneWithoutLeader()
-					cluster.PartitionZone(zone, how)
+					leader, zone := cluster.waitForLeader(), cluster.zoneWithoutLeader()
+					cluster.PartitionZone(zone, partition)
 					cluster.DropInbound(3, "", duration)
-					cluster.After(300*time.Millisecond, func() { end(cluster, l) })
-					cluster.cancelEach(cluster.users[:6], 0, 400*time.Millisecond, func(int) int { return (l + 1) % 5 })
-					for k := range 10 { // those that wait for a place, at their teams' limits
+					cluster.After(300*time.Millisecond, func() { end(cluster, leader) })
+					cluster.cancelEach(cluster.users[:6], 0, 400*time.Millisecond, func(int) int { return (leader + 1) % 5 })
+					for k := range 10 { // these jobs have to wait, for their teams are at their limits
 						cluster.submitLongJob(100+k, 4)
 					}
 					cluster.Advance(duration)
@@ -347,36 +351,36 @@
 	}
 }
 
-// TestRepeatedHandovers lets controllers hand over and back, and all of them end and one return, also within a
-// second, while their old requests, writes and heartbeats are still on their way: each time there is a leader soon,
-// every controller has its member key, and nothing runs twice.
+// TestRepeatedHandovers makes leadership pass back and forth, or kills all controllers and restarts one early, also
+// within a second, while messages and writes of earlier incarnations are still under way. Each time a controller must
+// lead soon, every controller must have its member key, and no task may run twice.
 func TestRepeatedHandovers(t *testing.T) {
-	for _, late := range []float64{0, 0.3} {
+	for _, lateShare := range []float64{0, 0.3} {
 		cluster, _ := newBusyCluster(t, 207, 3, 16)
 		cluster.submitJobs(40 * time.Second)
-		cluster.DelayWrites(late, 500*time.Millisecond, 4*time.Second)
+		cluster.DelayWrites(lateShare, 500*time.Millisecond, 4*time.Second)
 		cluster.DelayCommands(50*time.Millisecond, 3*time.Second)
 		cluster.DuplicateMessages(0.3, 100*time.Millisecond, 10*time.Second)
 		for round := range 9 {
-			l := cluster.waitForLeader()
-			back := time.Duration(50+cluster.rng.IntN(900)) * time.Millisecond
+			leader := cluster.waitForLeader()
+			restartAfter := time.Duration(50+cluster.rng.IntN(900)) * time.Millisecond
 			switch round % 3 {
-			case 0: // A to B
-				cluster.KillController(l)
-				cluster.After(back, func() { cluster.StartController(l) })
+			case 0: // the leader is killed and restarted
+				cluster.KillController(leader)
+				cluster.After(restartAfter, func() { cluster.StartController(leader) })
 			case 1:
-				cluster.DrainController(l, func() { cluster.After(back, func() { cluster.StartController(l) }) })
-			default: // all end, one returns, the others later
+				cluster.DrainController(leader, func() { cluster.After(restartAfter, func() { cluster.StartController(leader) }) })
+			default: // all are killed, the former leader is restarted first
 				for i := range 3 {
 					cluster.KillController(i)
-					cluster.After(back+time.Duration((i-l+3)%3)*2*time.Second, func() { cluster.StartController(i) })
+					cluster.After(restartAfter+time.Duration((i-leader+3)%3)*2*time.Second, func() { cluster.StartController(i) })
 				}
 			}
-			cluster.Advance(back + 500*time.Millisecond)
-			from := cluster.Now()
-			cluster.waitFor("led", 16*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
-			if duration := cluster.Now() - from; late == 0 && duration > 6*time.Second {
-				t.Errorf("round %d: %v without a leader", round, duration)
+			cluster.Advance(restartAfter + 500*time.Millisecond)
+			waitedFrom := cluster.Now()
+			cluster.waitFor("led by one controller", 16*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
+			if duration := cluster.Now() - waitedFrom; lateShare == 0 && duration > 6*time.Second {
+				t.Errorf("round %d: %v without an acting leader, want 6s at most", round, duration)
 			}
 			cluster.Advance(time.Second)
 		}
@@ -388,8 +392,9 @@
 	}
 }
 
-// TestDelayedWritesHaveNoEffect carries unanswered transactions out late, after newer ones of the same controller,
-// while jobs are submitted, end and are cancelled, machines are rented, and controllers restart.
+// TestDelayedWritesHaveNoEffect applies unanswered transactions late, after newer ones of the same controller, while
+// jobs are submitted, end and are cancelled, machines are rented, and controllers restart. The late transactions must
+// break no rule.
 func TestDelayedWritesHaveNoEffect(t *testing.T) {
 	for seed := range uint64(4) {
 		cluster, _ := newBusyCluster(t, 210+seed, 3, 16)
@@ -405,7 +410,7 @@
 		cluster.After(36*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
 		cluster.Advance(50 * time.Second)
 		if n := cluster.Stats().LateWrites; n < 30 {
-			t.Errorf("%d writes were late", n)
+			t.Errorf("%d delayed writes, want at least 30", n)
 		}
 		cluster.DelayWrites(0, 0, 0)
 		cluster.Advance(8 * time.Second)
@@ -413,34 +418,34 @@
 	}
 }
 
-// TestDelayedRegistrationOfFormerIncarnation leaves a controller's registration unanswered, kills the controller
-// and starts it at once, and lets the registration land after that of the new incarnation: the member key must stay
-// when the former lease ends.
+// TestDelayedRegistrationOfFormerIncarnation delays a controller's registration, kills the controller and restarts it
+// at once, so that the registration is applied after that of the new incarnation. The member key must remain when the
+// lease of the former incarnation ends.
 func TestDelayedRegistrationOfFormerIncarnation(t *testing.T) {
-	for _, after := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
+	for _, delay := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 		cluster, _ := newBusyCluster(t, 214, 3, 6)
-		i, caught := (cluster.waitForLeader()+1)%3, 0
+		i, delayed := (cluster.waitForLeader()+1)%3, 0
 		key := "h/c/n/" + cluster.nodeNames()[i]
 		cluster.KillController(i)
 		cluster.Advance(3 * time.Second)
 		cluster.InterceptTxns(func(from int, tx store.Txn) TxnOutcome {
-			if from == i && caught == 0 &&
+			if from == i && delayed == 0 &&
 				slices.ContainsFunc(tx.Then, func(o store.Op) bool { return o.Put == key }) {
-				caught++
+				delayed++
 				cluster.After(100*time.Millisecond, func() { cluster.KillController(i) })
 				cluster.After(150*time.Millisecond, func() { cluster.StartController(i) })
-				return TxnOutcome{Delay: after}
+				return TxnOutcome{Delay: delay}
 			}
 			return TxnOutcome{}
 		})
 		cluster.StartController(i)
 		cluster.Advance(8 * time.Second)
-		if caught == 0 {
-			t.Fatal("it did not register")
+		if delayed == 0 {
+			t.Fatal("the controller sent no registration")
 		}
-		var v struct{ Hold uint64 }
-		if _ = json.Unmarshal(cluster.StoredItem(key).Value, &v); v.Hold == 0 {
-			t.Errorf("%v: %s has no member key", after, key)
+		var member struct{ Hold uint64 }
+		if _ = json.Unmarshal(cluster.StoredItem(key).Value, &member); member.Hold == 0 {
+			t.Errorf("registration delayed by %v: no member key %s, want one with a lease", delay, key)
 		}
 		cluster.InterceptTxns(nil)
 		cluster.recoverAndCheck()
@@ -448,8 +453,8 @@
 }
 
 // TestDisconnectedLeaderAndCancellations cuts a leader off from the state service and its peers while workers and
-// users still reach it, and cancels jobs through the new leader: the old one never gives an older answer
-// afterwards, and what was cancelled is gone in time.
+// users still reach it, and cancels jobs through the other controllers. The old leader must never give an older answer
+// than one before, and cancelled tasks must end within cancel_s.
 func TestDisconnectedLeaderAndCancellations(t *testing.T) {
 	for _, duration := range []time.Duration{
 		1500 * time.Millisecond,
@@ -457,29 +462,29 @@
 		9 * time.Second,
 		25 * time.Second,
 	} {
-		for what, f := range gapFaults {
-			t.Run(fmt.Sprint(duration, " ", what), func(t *testing.T) {
+		for name, inject := range concurrentFaults {
+			t.Run(fmt.Sprint(duration, " ", name), func(t *testing.T) {
 				cluster, balancer := newBusyCluster(t, 215, 3, 24)
 				pollers := cluster.startPolling(balancer)
-				l := cluster.waitForLeader()
-				cluster.CutLinks(l, StateLink|PeerLinks)
-				cluster.After(duration, func() { cluster.CutLinks(l, 0) })
-				cluster.After(700*time.Millisecond, func() { f(cluster, l) })
-				cluster.cancelEach(cluster.users[:14], 100*time.Millisecond, 450*time.Millisecond, cluster.othersInTurn(l))
+				leader := cluster.waitForLeader()
+				cluster.CutLinks(leader, StateLink|PeerLinks)
+				cluster.After(duration, func() { cluster.CutLinks(leader, 0) })
+				cluster.After(700*time.Millisecond, func() { inject(cluster, leader) })
+				cluster.cancelEach(cluster.users[:14], 100*time.Millisecond, 450*time.Millisecond, cluster.othersInTurn(leader))
 				cluster.Advance(duration + 12*time.Second)
-				from := cluster.Now()
+				faultsEnd := cluster.Now()
 				cluster.recoverAndCheck()
-				cluster.checkAnswered(pollers, from, 30*time.Second)
+				cluster.checkAnswered(pollers, faultsEnd, 30*time.Second)
 			})
 		}
 	}
 }
 
-// TestOldHeartbeatsHaveNoEffect delivers an old heartbeat after newer ones, also of an earlier session or attempt:
-// before and after a failover, a move, a forget command and a restart of its machine.
+// TestOldHeartbeatsHaveNoEffect delivers old heartbeats after newer ones, also of earlier sessions or attempts, before
+// and after a failover, a move of tasks, a forget command, a restart of the machine and a partition.
 func TestOldHeartbeatsHaveNoEffect(t *testing.T) {
-	meets := map[string]func(cluster *testCluster, k int){
-		"takeover": func(cluster *testCluster, k int) {
+	events := map[string]func(cluster *testCluster, k int){
+		"failover": func(cluster *testCluster, k int) {
 			cluster.onLeader(time.Duration(100+k*300)*time.Millisecond, cluster.KillController)
 		},
 		"move":   func(cluster *testCluster, k int) { cluster.KillMachine(); cluster.ReclaimSpotMachine(time.Second) },
@@ -488,20 +493,20 @@
 			cluster.RestartMachine("", 200*time.Millisecond)
 			cluster.RestartMachine("", time.Second)
 		},
-		"session": func(cluster *testCluster, k int) { cluster.DropInbound(4, "", 7*time.Second) },
-		"cut":     func(cluster *testCluster, k int) { cluster.partitionZoneFor("a", DelayBoth, 2*time.Second) },
+		"session":   func(cluster *testCluster, k int) { cluster.DropInbound(4, "", 7*time.Second) },
+		"partition": func(cluster *testCluster, k int) { cluster.partitionZoneFor("a", DelayBoth, 2*time.Second) },
 	}
-	for what, f := range meets {
+	for name, trigger := range events {
 		for _, maxDelay := range []time.Duration{3 * time.Second, 24 * time.Second} {
-			t.Run(fmt.Sprint(what, " ", maxDelay), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " ", maxDelay), func(t *testing.T) {
 				cluster, _ := newBusyCluster(t, 216, 3, 16)
 				cluster.submitJobs(24 * time.Second)
 				cluster.DuplicateMessages(0.7, 100*time.Millisecond, maxDelay)
 				for k := range 8 {
-					cluster.After(time.Duration(3*k)*time.Second, func() { f(cluster, k) })
+					cluster.After(time.Duration(3*k)*time.Second, func() { trigger(cluster, k) })
 				}
 				cluster.Advance(25 * time.Second)
-				if what != "takeover" {
+				if name != "failover" {
 					cluster.DelayHeartbeatAnswers(100*time.Millisecond, 2*time.Second)
 					cluster.Advance(4 * time.Second)
 					cluster.DelayHeartbeatAnswers(0, 0)
@@ -512,19 +517,19 @@
 	}
 }
 
-// TestAnswersAfterSlowStateServiceFails makes the state service answer slowly, refuse the leader alone and then
-// everybody for longer than cancel_s, while users cancel and query: no answer is older than one before it or denies
-// a job, and soon afterwards all queries are answered.
+// TestAnswersAfterSlowStateServiceFails makes the state service answer slowly, then refuse the leader, and then fail
+// for all controllers for longer than cancel_s, while users cancel and query. No answer may be older than an earlier
+// one or deny that a job exists, and soon after the faults all queries must be answered.
 func TestAnswersAfterSlowStateServiceFails(t *testing.T) {
-	for _, slow := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 2200 * time.Millisecond} {
+	for _, maxDelay := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 2200 * time.Millisecond} {
 		cluster, balancer := newBusyCluster(t, 217, 5, 24)
 		pollers := cluster.startPolling(balancer)
 		cluster.submitJobs(30 * time.Second)
-		cluster.DelayStateAnswers(10*time.Millisecond, slow)
+		cluster.DelayStateAnswers(10*time.Millisecond, maxDelay)
 		cluster.Advance(4 * time.Second)
-		if l, _ := cluster.Leader(); l >= 0 {
-			cluster.RefuseController(l, true)
-			cluster.After(12*time.Second, func() { cluster.RefuseController(l, false) })
+		if leader, _ := cluster.Leader(); leader >= 0 {
+			cluster.RefuseController(leader, true)
+			cluster.After(12*time.Second, func() { cluster.RefuseController(leader, false) })
 		}
 		cluster.cancelEach(cluster.users[:14], 0, 250*time.Millisecond, cluster.inTurn(0))
 		cluster.Advance(3 * time.Second)
@@ -533,24 +538,24 @@
 		cluster.SetStateOutage(false)
 		cluster.Advance(10 * time.Second)
 		cluster.DelayStateAnswers(0, 0)
-		from := cluster.Now()
+		faultsEnd := cluster.Now()
 		cluster.Advance(75 * time.Second)
-		if gap, job := pollers.LongestUnanswered(from, cluster.Now()); gap > 30*time.Second {
-			t.Errorf("%v: no query of %s was answered for %v", slow, job, gap)
+		if gap, job := pollers.LongestUnanswered(faultsEnd, cluster.Now()); gap > 30*time.Second {
+			t.Errorf("state answers delayed by up to %v: queries of %s unanswered for %v, want 30s at most", maxDelay, job, gap)
 		}
 		cluster.recoverAndCheck()
 	}
 }
 
-// completionWatch records when the tasks of each job are done, and when the state service has the job as done.
+// completionWatch records when all tasks of each job are done, and when the state service stores the job as done.
 type completionWatch struct {
 	cluster      *testCluster
-	doneAt       map[string]time.Duration // by job
-	stored       map[string]bool
-	longestDelay time.Duration // from doneAt until it is stored
+	doneAt       map[string]time.Duration // when all tasks were done, by job
+	stored       map[string]bool          // whether the state service stores the job as done, by job
+	longestDelay time.Duration            // maximum over all jobs, from doneAt until the job is stored as done
 }
 
-// watchCompletions watches all jobs from now on.
+// watchCompletions returns a completionWatch of all jobs, which checks them every 50 ms.
 func watchCompletions(cluster *testCluster) *completionWatch {
 	w := &completionWatch{cluster: cluster, doneAt: map[string]time.Duration{}, stored: map[string]bool{}}
 	w.check()
@@ -577,21 +582,22 @@
 	return json.Unmarshal(stored, &record) == nil && record.State == jobs.Done.String()
 }
 
-// TestTasksThatEndFarApartAreNotRerun ends the tasks of small jobs far apart, across changes of the leader, one of
-// them without any leader: a job is done soon after all its tasks are, and nothing that is done starts again.
+// TestTasksThatEndFarApartAreNotRerun changes the leader while the tasks of small jobs end at different times, also
+// while no controller leads. A job must be stored as done soon after its last task, and no task that is done may start
+// again.
 func TestTasksThatEndFarApartAreNotRerun(t *testing.T) {
-	// For longer than its lease, and not for so long that workers, who wait 4 s for an answer, outwait their lease
-	// of 6.
-	frozen := func(cluster *testCluster, l int) { cluster.FreezeController(l, 2600*time.Millisecond) }
-	for what, f := range map[string]func(cluster *testCluster, l int){
-		"killed":      gapFaults["leader back at once"],
-		"frozen":      frozen,
-		"drained":     gapFaults["leader drained"],
-		"late writes": gapFaults["leader killed"],
+	// Longer than the controller's lease of 2 s, but short enough that workers, which wait 4 s for an answer, don't
+	// lose their lease of 6 s.
+	freeze := func(cluster *testCluster, leader int) { cluster.FreezeController(leader, 2600*time.Millisecond) }
+	for name, inject := range map[string]func(cluster *testCluster, leader int){
+		"killed":      concurrentFaults["leader restarted at once"],
+		"frozen":      freeze,
+		"drained":     concurrentFaults["leader drained"],
+		"late writes": concurrentFaults["leader killed"],
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			cluster, _ := newBusyCluster(t, 218, 3, 0)
-			if what == "late writes" {
+			if name == "late writes" {
 				cluster.DelayWrites(0.2, 500*time.Millisecond, 3*time.Second)
 			}
 			for i := range 40 {
@@ -600,27 +606,27 @@
 			completions := watchCompletions(cluster)
 			for range 5 {
 				cluster.Advance(5 * time.Second)
-				f(cluster, cluster.waitForLeader())
+				inject(cluster, cluster.waitForLeader())
 			}
 			cluster.Advance(6 * time.Second)
 			cluster.DelayWrites(0, 0, 0)
 			cluster.recoverAndCheck()
 			s := cluster.Stats()
 			t.Logf(
-				"done is durable %v after the last task ended at most, %d leases ran out, %d tasks that were done began again",
+				"jobs stored as done at most %v after their last task, %d worker leases expired, %d done tasks started again",
 				completions.longestDelay,
 				s.WorkerLeasesExpired,
 				s.TasksRerun,
 			)
 			maxDelay := 8 * time.Second
-			if what == "late writes" { // each costs 2 s until it is given up, and the next may be late too
+			if name == "late writes" { // a late write times out after 2 s, and the next may be late too
 				maxDelay = 14 * time.Second
 			}
 			if completions.longestDelay > maxDelay {
-				t.Errorf("that a job is done was durable %v after its last task had ended", completions.longestDelay)
+				t.Errorf("a job was stored as done %v after its last task, want 8s at most, 14s with late writes", completions.longestDelay)
 			}
 			if s.TasksRerun > 0 && s.WorkerLeasesExpired == 0 {
-				t.Errorf("%d tasks began again though they were done", s.TasksRerun)
+				t.Errorf("%d done tasks started again though no worker lease expired, want 0", s.TasksRerun)
 			}
 		})
 	}
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -12,10 +12,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Further tests of faults that coincide, with the cluster of coinciding_faults_test.go.
+// Further tests of overlapping faults, on the cluster of coinciding_faults_test.go.
 
-// countLaunched counts the tasks that some machines were given by a direct command or an answer since a time, and
-// got no further with.
+// countLaunched counts the tasks that the named machines were told to launch, by a direct command or a heartbeat
+// answer, since a time and still have.
 func (r *testCluster) countLaunched(names []string, since time.Duration) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,19 +29,17 @@
 	return n
 }
 
-// TestWorkersThatReachNoController refuses workers' connections to all controllers, while direct commands still
-// reach them and are answered: they end with their leases and soon get no new work, their tasks run elsewhere as
-// soon as proof allows, and they are used again when their heartbeats arrive. One worker, several, a whole zone;
-// with cancellations, and with a change of the leader.
+// TestWorkersThatReachNoController refuses the connections of one worker, several or a whole zone to all controllers,
+// while direct commands still reach them and are answered. Their tasks must end with their leases, they must soon get
+// no new tasks, and must be used again when their heartbeats arrive. Jobs are cancelled and the leader changes too.
 func TestWorkersThatReachNoController(t *testing.T) {
-	// Reports as far apart as on large deployments: between two of them many commands can be sent, and each is
-	// answered.
-	rare := config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, GangWaitS: 10, GangPeerS: 2, CancelS: 35}
+	// Heartbeats are as far apart as on large deployments, so that many commands are sent and answered between two.
+	rareHeartbeats := config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, GangWaitS: 10, GangPeerS: 2, CancelS: 35}
 	for _, c := range []struct {
-		n    int
-		zone bool
-		d    time.Duration
-		how  string
+		machines  int
+		inOneZone bool
+		duration  time.Duration
+		change    string
 	}{
 		{1, false, 50 * time.Second, ""},
 		{6, false, 50 * time.Second, ""},
@@ -50,60 +48,60 @@
 		{wholeZone, true, 50 * time.Second, "killed"},
 		{wholeZone, true, 50 * time.Second, "drained"},
 	} {
-		t.Run(fmt.Sprint(c.n, " ", c.d, " ", c.how), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.machines, " ", c.duration, " ", c.change), func(t *testing.T) {
 			t.Parallel()
-			cluster, _ := newBusyClusterOn(t, 321, 3, 24, rare)
-			for k := range 400 { // a stream of short tasks, so that there is always something to send
+			cluster, _ := newBusyClusterOn(t, 321, 3, 24, rareHeartbeats)
+			for k := range 400 { // a stream of short tasks, so that there is always one to launch
 				cluster.After(time.Duration(150*k)*time.Millisecond, func() { cluster.submitLongJob(100+k, 2) })
 			}
 			cluster.Advance(6 * time.Second)
-			l, zone := cluster.waitForLeader(), ""
-			if c.zone {
+			leader, zone := cluster.waitForLeader(), ""
+			if c.inOneZone {
 				zone = cluster.zoneWithoutLeader()
 			}
-			names := cluster.RefuseOutbound(c.n, zone, c.d)
-			from := cluster.Now()
+			names := cluster.RefuseOutbound(c.machines, zone, c.duration)
+			refusedAt := cluster.Now()
 			cluster.After(time.Second, func() { cluster.CancelRunning(6, 0) })
-			if c.how != "" {
-				cluster.After(2*time.Second, func() { changes[c.how](cluster, l) })
+			if c.change != "" {
+				cluster.After(2*time.Second, func() { leaderChanges[c.change](cluster, leader) })
 			}
-			if c.how == "" {
-				// Two reports have been missed by then.
+			if c.change == "" {
+				// Two heartbeats have been missed after 8 s.
 				cluster.Advance(8 * time.Second)
-				worst := 0
+				maxLaunched := 0
 				for range 80 {
 					cluster.Advance(500 * time.Millisecond)
-					worst = max(worst, cluster.countLaunched(names, from+7*time.Second))
+					maxLaunched = max(maxLaunched, cluster.countLaunched(names, refusedAt+7*time.Second))
 				}
-				if worst > 0 {
-					t.Errorf("%d tasks were sent to machines that reach nobody", worst)
+				if maxLaunched > 0 {
+					t.Errorf("%d tasks were launched on machines that reach no controller, want 0", maxLaunched)
 				}
 			}
-			cluster.Advance(c.d - (cluster.Now() - from) + time.Second)
+			cluster.Advance(c.duration - (cluster.Now() - refusedAt) + time.Second)
 			cluster.recoverAndCheck()
 		})
 	}
 }
 
-// TestZoneBoundJobsWaitForTheirZone takes machines from arrays, gangs and services that are bound to one zone,
-// once, again and again, or all of them: none of their tasks is anywhere else, and they go on in their zone soon
+// TestZoneBoundJobsWaitForTheirZone makes machines of a zone fail, some or all, once or repeatedly, while arrays and
+// gangs are bound to one zone. None of their tasks may run in another zone, and they must continue in their zone soon
 // after the faults.
 func TestZoneBoundJobsWaitForTheirZone(t *testing.T) {
 	losses := map[string]func(cluster *testCluster, zone string){
 		"some": func(cluster *testCluster, zone string) {
 			for i := range 12 {
-				cluster.After(time.Duration(i)*700*time.Millisecond, func() { cluster.killMachinesIn(zone) })
+				cluster.After(time.Duration(i)*700*time.Millisecond, func() { cluster.killOneMachineIn(zone) })
 			}
 		},
-		"all":   func(cluster *testCluster, zone string) { cluster.powerOffZoneFor(zone, 4*time.Second) },
-		"flaps": func(cluster *testCluster, zone string) { cluster.flapZone(zone, 4*time.Second) },
-		"long":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DropBoth, 18*time.Second) },
-		"held":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DelayBoth, 9*time.Second) },
-		"deaf":  func(cluster *testCluster, zone string) { cluster.DropInbound(wholeZone, zone, 14*time.Second) },
+		"all":                 func(cluster *testCluster, zone string) { cluster.powerOffZoneFor(zone, 4*time.Second) },
+		"flapping partition":  func(cluster *testCluster, zone string) { cluster.flapZone(zone, 4*time.Second) },
+		"long partition":      func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DropBoth, 18*time.Second) },
+		"delaying partition":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DelayBoth, 9*time.Second) },
+		"no inbound messages": func(cluster *testCluster, zone string) { cluster.DropInbound(wholeZone, zone, 14*time.Second) },
 	}
-	for what, lose := range losses {
-		for _, how := range []string{"", "killed"} {
-			t.Run(what+" "+how, func(t *testing.T) {
+	for loss, lose := range losses {
+		for _, change := range []string{"", "killed"} {
+			t.Run(loss+" "+change, func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 322, 3, 12)
 				zone := cluster.zoneWithoutLeader()
@@ -124,14 +122,14 @@
 					cluster.After(time.Duration(k)*600*time.Millisecond, user.submit)
 				}
 				cluster.Advance(4 * time.Second)
-				l := cluster.waitForLeader()
+				leader := cluster.waitForLeader()
 				lose(cluster, zone)
-				if how != "" {
-					cluster.After(time.Second, func() { changes[how](cluster, l) })
+				if change != "" {
+					cluster.After(time.Second, func() { leaderChanges[change](cluster, leader) })
 				}
 				for range 80 {
 					cluster.Advance(500 * time.Millisecond)
-					cluster.runsIn(bound, zone)
+					cluster.checkZones(bound, zone)
 				}
 				cluster.recoverAndCheck()
 			})
@@ -139,8 +137,8 @@
 	}
 }
 
-// killMachinesIn ends one machine of a zone.
-func (r *testCluster) killMachinesIn(zone string) {
+// killOneMachineIn kills a random ready machine of a zone.
+func (r *testCluster) killOneMachineIn(zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, machine := range r.shuffledReadyMachines() {
@@ -152,8 +150,8 @@
 	}
 }
 
-// runsIn checks that jobs run only where they may: all in their zone, or all in one.
-func (r *testCluster) runsIn(users []*testUser, zone string) {
+// checkZones reports a violation if a job's tasks run in more than one zone, or outside the zone that its spec sets.
+func (r *testCluster) checkZones(users []*testUser, zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, user := range users {
@@ -166,20 +164,20 @@
 			}
 		}
 		if len(in) > 1 || user.spec.Zone != nil && len(in) == 1 && !in[zone] {
-			r.violate("wrong_place: %s stands in %v", user.spec.ID, in)
+			r.violate("wrong_place: %s has tasks in zones %v", user.spec.ID, in)
 		}
 	}
 }
 
-// TestOverloadStartsEveryJob submits more work than there is room for, urgent and not, over slow links and a change
-// of the leader: urgent work goes first, every job starts within four minutes of its submission, and nothing is
-// forgotten.
+// TestOverloadStartsEveryJob submits more jobs of three priorities than fit, over slow links and a change of the
+// leader. Urgent jobs must start first, every job must start within four minutes of its submission, and queries must be
+// answered.
 func TestOverloadStartsEveryJob(t *testing.T) {
-	for _, mean := range []time.Duration{60 * time.Millisecond, 250 * time.Millisecond} {
-		t.Run(fmt.Sprint(mean), func(t *testing.T) {
+	for _, linkDelay := range []time.Duration{60 * time.Millisecond, 250 * time.Millisecond} {
+		t.Run(fmt.Sprint(linkDelay), func(t *testing.T) {
 			t.Parallel()
 			cluster, balancer := newBusyCluster(t, 323, 3, 0)
-			cluster.SetLinkDelay(mean)
+			cluster.SetLinkDelay(linkDelay)
 			pollers := balancer.JobPollers()
 			for k := range 150 {
 				cluster.After(time.Duration(300*k)*time.Millisecond, func() {
@@ -195,30 +193,30 @@
 				})
 			}
 			cluster.Advance(30 * time.Second)
-			l := cluster.waitForLeader()
-			changes["killed"](cluster, l)
+			leader := cluster.waitForLeader()
+			leaderChanges["killed"](cluster, leader)
 			cluster.Advance(20 * time.Second)
 			cluster.SetLinkDelay(0)
-			from := cluster.Now()
+			faultsEnd := cluster.Now()
 			cluster.recoverAndCheck()
-			urgent, rest := cluster.StartDelays(
+			urgent, others := cluster.StartDelays(
 				"urgent",
 			), append(
 				cluster.StartDelays("standard"),
 				cluster.StartDelays("best_effort")...)
-			t.Logf("urgent ones waited %v at most, the others %v", slices.Max(urgent), slices.Max(rest))
-			if slices.Max(rest) > 4*time.Minute || slices.Max(urgent) > slices.Max(rest) {
-				t.Error("they began too late, or in the wrong order")
+			t.Logf("longest start delay: urgent jobs %v, others %v", slices.Max(urgent), slices.Max(others))
+			if slices.Max(others) > 4*time.Minute || slices.Max(urgent) > slices.Max(others) {
+				t.Error("want start delays of 4m at most, and urgent jobs not later than the others (delays above)")
 			}
-			if gap, job := pollers.LongestUnanswered(from, min(cluster.Now(), from+75*time.Second)); gap > 30*time.Second {
-				t.Errorf("no query of %s was answered for %v", job, gap)
+			if gap, job := pollers.LongestUnanswered(faultsEnd, min(cluster.Now(), faultsEnd+75*time.Second)); gap > 30*time.Second {
+				t.Errorf("queries of %s unanswered for %v, want 30s at most", job, gap)
 			}
 		})
 	}
 }
 
-// TestTenLeaderChanges changes the leader ten times in two minutes, and inside an outage that is longer than a
-// lease too, while jobs are submitted, end and are cancelled.
+// TestTenLeaderChanges kills the leader ten times in two minutes while jobs are submitted, end and are cancelled,
+// also during outages of the state service that are longer than a controller's or a worker's lease.
 func TestTenLeaderChanges(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		for _, outage := range []time.Duration{0, 4 * time.Second, 14 * time.Second} {
@@ -226,7 +224,7 @@
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 324, controllers, 16)
 				cluster.submitJobs(2 * time.Minute)
-				_, term := cluster.Leader()
+				_, firstTerm := cluster.Leader()
 				cluster.KillLeaders(10, 2*time.Minute)
 				if outage > 0 {
 					for _, at := range []time.Duration{11 * time.Second, 46 * time.Second, 83 * time.Second} {
@@ -235,9 +233,9 @@
 				}
 				cluster.cancelEach(cluster.users[:16], 3*time.Second, 7*time.Second, cluster.inTurn(0))
 				cluster.Advance(2 * time.Minute)
-				_, now := cluster.Leader()
-				if minChanges := uint64(8); now < term+minChanges && outage < 14*time.Second {
-					t.Errorf("the leader changed %d times", now-term)
+				_, lastTerm := cluster.Leader()
+				if minChanges := uint64(8); lastTerm < firstTerm+minChanges && outage < 14*time.Second {
+					t.Errorf("the term rose by %d, want at least 8", lastTerm-firstTerm)
 				}
 				cluster.recoverAndCheck()
 			})
@@ -245,28 +243,28 @@
 	}
 }
 
-// TestAllControllersDown stops all controllers for longer than lease_s, with cancellations confirmed just before:
-// every worker's lease expires, nothing that was cancelled starts again, and everything else goes on.
+// TestAllControllersDown kills all controllers for less and more than lease_s, right after cancellations were sent.
+// Beyond lease_s the workers' leases must expire. No cancelled task may start again, and all other jobs must continue.
 func TestAllControllersDown(t *testing.T) {
-	for _, part := range []float64{0.3, 1.1, 2.2} { // the first: some leases outlive it
+	for _, leaseShare := range []float64{0.3, 1.1, 2.2} { // share of lease_s; with 0.3 some leases don't expire
 		for _, controllers := range []int{3, 5} {
-			t.Run(fmt.Sprint(part, " ", controllers), func(t *testing.T) {
+			t.Run(fmt.Sprint(leaseShare, " ", controllers), func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 325, controllers, 24)
 				for k := range 8 {
 					cluster.cancelAt(cluster.users[k], k%controllers)
 				}
 				cluster.Advance(30 * time.Millisecond)
-				for k := range 4 { // these meet the end of the controllers
+				for k := range 4 { // sent as the controllers are killed
 					cluster.cancelAt(cluster.users[8+k], k%controllers)
 				}
 				cluster.After(
 					5*time.Millisecond,
-					func() { killAll(cluster.Simulation, jobs.Seconds(part*shortTimers.LeaseS)) },
+					func() { killAll(cluster.Simulation, jobs.Seconds(leaseShare*shortTimers.LeaseS)) },
 				)
-				cluster.Advance(jobs.Seconds(part*shortTimers.LeaseS) + 6*time.Second)
-				if s := cluster.Stats(); part > 1 && s.WorkerLeasesExpired < 10 {
-					t.Errorf("%d leases ran out", s.WorkerLeasesExpired)
+				cluster.Advance(jobs.Seconds(leaseShare*shortTimers.LeaseS) + 6*time.Second)
+				if s := cluster.Stats(); leaseShare > 1 && s.WorkerLeasesExpired < 10 {
+					t.Errorf("%d worker leases expired, want at least 10", s.WorkerLeasesExpired)
 				}
 				cluster.recoverAndCheck()
 			})
@@ -274,8 +272,8 @@
 	}
 }
 
-// TestCancellationAtCompletionHasOneOutcome sends a cancellation, a query or a repeated submission at the end of a
-// job's last task, without any other fault: the job is done or cancelled, in every answer and for good.
+// TestCancellationAtCompletionHasOneOutcome sends a cancellation, a query or a repeated submission just as a job's
+// last task ends, without any other fault. Every answer must agree, permanently, whether the job is done or cancelled.
 func TestCancellationAtCompletionHasOneOutcome(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		cluster, _ := newBusyCluster(t, 326, controllers, 0)
@@ -290,19 +288,18 @@
 		for _, user := range cluster.users {
 			ends[user.finalStates[0]]++
 		}
-		t.Logf("%v, %d cancelled at their end", ends, cluster.Stats().JobsCancelled)
+		t.Logf("final states %v, %d jobs cancelled at their end", ends, cluster.Stats().JobsCancelled)
 		if ends["done"] < 10 || ends["cancelled"] < 10 || cluster.Stats().JobsCancelled < 40 {
-			t.Errorf("%v: they did not meet", ends)
+			t.Errorf("final states %v: want at least 10 done and 10 cancelled, of at least 40 cancellations", ends)
 		}
 	}
 }
 
-// TestCancelledWhileLeaderIsRefused cancels jobs at the moment at which the state service refuses the leader alone,
-// and stops the service a second later for longer than cancel_s; the workers send heartbeats to the old leader
-// throughout.
+// TestCancelledWhileLeaderIsRefused cancels jobs just as the state service begins to refuse only the leader, and stops
+// the service a second later for longer than cancel_s. The workers send heartbeats to the old leader throughout.
 func TestCancelledWhileLeaderIsRefused(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
-		for _, at := range []time.Duration{
+		for _, offset := range []time.Duration{
 			-20 * time.Millisecond,
 			-5 * time.Millisecond,
 			0,
@@ -310,24 +307,24 @@
 			10 * time.Millisecond,
 			50 * time.Millisecond,
 		} {
-			t.Run(fmt.Sprint(controllers, " ", at), func(t *testing.T) {
+			t.Run(fmt.Sprint(controllers, " ", offset), func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 327, controllers, 24)
-				l := cluster.waitForLeader()
+				leader := cluster.waitForLeader()
 				cluster.SetPollBursts(true)
-				cluster.After(time.Second, func() { cluster.RefuseController(l, true) })
-				cluster.cancelEach(cluster.users[:12], time.Second+at, time.Millisecond, cluster.inTurn(l))
+				cluster.After(time.Second, func() { cluster.RefuseController(leader, true) })
+				cluster.cancelEach(cluster.users[:12], time.Second+offset, time.Millisecond, cluster.inTurn(leader))
 				cluster.Advance(2 * time.Second)
 				cluster.SetStateOutage(true)
 				cluster.Advance(jobs.Seconds(1.15 * shortTimers.CancelS))
 				cluster.SetStateOutage(false)
 				cluster.Advance(2 * time.Second)
-				cluster.RefuseController(l, false)
+				cluster.RefuseController(leader, false)
 				cluster.mu.Lock()
 				n := len(cluster.work.cancelledAt)
 				cluster.mu.Unlock()
 				if n < 8 {
-					t.Errorf("%d cancellations were confirmed", n)
+					t.Errorf("%d cancellations were confirmed, want at least 8", n)
 				}
 				cluster.recoverAndCheck()
 			})
@@ -335,30 +332,30 @@
 	}
 }
 
-// TestPartitionedZoneWithItsController partitions a zone with workers and a controller, the leader or another, for
-// longer than lease_s, while jobs are cancelled outside and queried on both sides.
+// TestPartitionedZoneWithItsController partitions a zone with workers and a controller, the leader or a follower, for
+// longer than lease_s, while jobs are cancelled and queried. Soon afterwards all queries must be answered.
 func TestPartitionedZoneWithItsController(t *testing.T) {
-	for _, leads := range []bool{true, false} {
-		for _, how := range []Partition{DropBoth, DelayBoth, RefuseBoth} {
-			for _, part := range []float64{1.3, 2.5} {
-				t.Run(fmt.Sprint(leads, " ", how, " ", part), func(t *testing.T) {
+	for _, withLeader := range []bool{true, false} {
+		for _, partition := range []Partition{DropBoth, DelayBoth, RefuseBoth} {
+			for _, leaseShare := range []float64{1.3, 2.5} {
+				t.Run(fmt.Sprint(withLeader, " ", partition, " ", leaseShare), func(t *testing.T) {
 					t.Parallel()
 					cluster, balancer := newBusyCluster(t, 328, 3, 24)
 					pollers := cluster.startPolling(balancer)
-					l := cluster.waitForLeader()
-					zone := cluster.settings[l].Zone
-					if !leads {
+					leader := cluster.waitForLeader()
+					zone := cluster.settings[leader].Zone
+					if !withLeader {
 						zone = cluster.zoneWithoutLeader()
 					}
 					cluster.SetPollBursts(true)
-					cluster.PartitionZone(zone, how)
+					cluster.PartitionZone(zone, partition)
 					cluster.cancelEach(cluster.users[:12], 50*time.Millisecond, 400*time.Millisecond, cluster.inTurn(0))
 					cluster.submitJobs(6 * time.Second)
-					cluster.Advance(jobs.Seconds(part * shortTimers.LeaseS))
+					cluster.Advance(jobs.Seconds(leaseShare * shortTimers.LeaseS))
 					cluster.PartitionZone(zone, Connected)
-					from := cluster.Now()
+					healedAt := cluster.Now()
 					cluster.Advance(40 * time.Second)
-					cluster.checkAnswered(pollers, from, 30*time.Second)
+					cluster.checkAnswered(pollers, healedAt, 30*time.Second)
 					cluster.recoverAndCheck()
 				})
 			}
@@ -366,13 +363,13 @@
 	}
 }
 
-// TestValidationWhileMachineTypesDiffer adds a machine type that one controller hasn't read yet: a job that fits no
-// other type is accepted by the others, and that one, asked the same within milliseconds, refuses it neither for
-// good nor as unknown.
+// TestValidationWhileMachineTypesDiffer adds a machine type that one controller hasn't read yet. The leader must accept
+// jobs that fit no other type, and that controller, which gets the same submissions within milliseconds, must not
+// reject them permanently (400 or 422).
 func TestValidationWhileMachineTypesDiffer(t *testing.T) {
 	cluster, _ := newBusyCluster(t, 329, 3, 6)
-	l := cluster.waitForLeader()
-	behind := (l + 1) % 3
+	leader := cluster.waitForLeader()
+	behind := (leader + 1) % 3
 	cluster.StallWatches(behind, true)
 	cluster.SetPollBursts(true)
 	big := cluster.cfg.Types[0]
@@ -384,22 +381,22 @@
 	cluster.mu.Unlock()
 	cluster.WriteKeys(store.Op{Put: "h/c/types", Value: raw})
 	cluster.Advance(300 * time.Millisecond)
-	refused := 0
+	rejected := 0
 	for k := range 12 {
 		spec := arraySpec(fmt.Sprintf("req-3%05d", k), "big", "red")
 		spec.CPUs = 100
 		spec.EstimateS = 3
 		cluster.AddJob(spec)
 		body, _ := json.Marshal(spec)
-		cluster.Request(l, "POST", "/v2/runs", body, func(status int, _ []byte) {
+		cluster.Request(leader, "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status != 201 {
-				t.Errorf("%s is answered %d", spec.ID, status)
+				t.Errorf("submission of %s at the leader: status %d, want 201", spec.ID, status)
 			}
 		})
 		cluster.After(30*time.Millisecond, func() {
 			cluster.Request(behind, "POST", "/v2/runs", body, func(status int, _ []byte) {
 				if status == 400 || status == 422 {
-					refused++
+					rejected++
 				}
 			})
 		})
@@ -407,8 +404,8 @@
 	}
 	cluster.StallWatches(behind, false)
 	cluster.Advance(3 * time.Second)
-	if refused > 0 {
-		t.Errorf("%d accepted jobs were refused for good", refused)
+	if rejected > 0 {
+		t.Errorf("%d accepted jobs were rejected with 400 or 422 by another controller, want 0", rejected)
 	}
 	reportViolations(t, cluster.Simulation)
 }
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -10,27 +10,28 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Further tests of faults that coincide, with the cluster of coinciding_faults_test.go. Throughout, answers have to
-// be monotonic over all controllers, and no job may wait for long beside idle capacity once all faults have ended.
+// Further tests of overlapping faults, on the cluster of coinciding_faults_test.go. In all of them, answers must be
+// monotonic across all controllers, and no job may wait long beside idle capacity once all faults have ended.
 
-// changes are the ways in which one controller's work passes on to another, by name; each is given the leader.
-var changes = map[string]func(cluster *testCluster, l int){
-	"killed":  gapFaults["leader killed"],
-	"at once": gapFaults["leader back at once"],
-	"frozen":  gapFaults["leader frozen"],
-	"drained": gapFaults["leader drained"],
+// leaderChanges are faults that make the leader change, by name. The argument l is the leader.
+var leaderChanges = map[string]func(cluster *testCluster, l int){
+	"killed":            concurrentFaults["leader killed"],
+	"restarted at once": concurrentFaults["leader restarted at once"],
+	"frozen":            concurrentFaults["leader frozen"],
+	"drained":           concurrentFaults["leader drained"],
 	"refused": func(cluster *testCluster, l int) {
 		cluster.RefuseController(l, true)
 		cluster.After(6*time.Second, func() { cluster.RefuseController(l, false) })
 	},
 	"cut off":    func(cluster *testCluster, l int) { cluster.cutLinksFor(l, StateLink|PeerLinks, 6*time.Second) },
 	"all killed": func(cluster *testCluster, _ int) { killAll(cluster.Simulation, 300*time.Millisecond) },
-	"watch stuck": func(cluster *testCluster, l int) {
+	"watches stall": func(cluster *testCluster, l int) {
 		cluster.StallWatches(l, true)
 		cluster.After(12*time.Second, func() { cluster.StallWatches(l, false) })
 	},
 }
 
+// killAll kills all controllers and restarts them one after the other, the first after back.
 func killAll(sim *Simulation, back time.Duration) {
 	for i := range sim.Controllers() {
 		sim.KillController(i)
@@ -38,26 +39,26 @@
 	}
 }
 
-// TestAnswersAreMonotonicUnderPollBursts sends bursts of queries to all controllers within milliseconds, and
-// repeated submissions, right after a job was accepted, ended or confirmed as cancelled, some with a cancellation:
-// no answer is older than one before it. Without faults, while answers of the state service are lost, late or slow,
+// TestAnswersAreMonotonicUnderPollBursts sends bursts of queries and repeated submissions to all controllers within
+// milliseconds, some with a cancellation, right after a job was accepted, ended or confirmed as cancelled. No answer
+// may be older than an earlier one: without faults, while answers of the state service are lost or slow or writes late,
 // and while the leader changes.
 func TestAnswersAreMonotonicUnderPollBursts(t *testing.T) {
-	meets := map[string]func(cluster *testCluster){
+	faults := map[string]func(cluster *testCluster){
 		"nothing":      func(*testCluster) {},
 		"lost answers": func(cluster *testCluster) { cluster.LoseTxnAnswers(0.2) },
 		"late writes":  func(cluster *testCluster) { cluster.DelayWrites(0.15, 300*time.Millisecond, 3*time.Second) },
 		"slow state":   func(cluster *testCluster) { cluster.DelayStateAnswers(5*time.Millisecond, 700*time.Millisecond) },
 		"changes": func(cluster *testCluster) {
-			for i, how := range []string{"killed", "drained", "refused", "frozen"} {
+			for i, change := range []string{"killed", "drained", "refused", "frozen"} {
 				cluster.After(time.Duration(2+7*i)*time.Second, func() {
-					if l, _ := cluster.Leader(); l >= 0 {
-						changes[how](cluster, l)
+					if leader, _ := cluster.Leader(); leader >= 0 {
+						leaderChanges[change](cluster, leader)
 					}
 				})
 			}
 		},
-		"watches stick": func(cluster *testCluster) {
+		"watches stall": func(cluster *testCluster) {
 			for i := range cluster.Controllers() {
 				cluster.After(time.Duration(4*i)*time.Second, func() {
 					cluster.during(4*time.Second, func(on bool) { cluster.StallWatches(i, on) })
@@ -65,15 +66,15 @@
 			}
 		},
 	}
-	for what, f := range meets {
+	for name, inject := range faults {
 		for _, controllers := range []int{3, 5} {
-			t.Run(fmt.Sprint(what, " ", controllers), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " ", controllers), func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 301, controllers, 8)
 				cluster.SetPollBursts(true)
 				cluster.CancelAtCompletion(0.3)
 				cluster.SetOddRequests(true)
-				f(cluster)
+				inject(cluster)
 				cluster.submitJobs(24 * time.Second)
 				cluster.cancelEach(cluster.users[:8], 2*time.Second, 2*time.Second, cluster.inTurn(0))
 				cluster.Advance(32 * time.Second)
@@ -84,16 +85,16 @@
 				cluster.recoverAndCheck()
 				if s := cluster.Stats(); s.PollBursts < 40 || s.OddRequests < 60 || s.OddRequestsRefused < 10 ||
 					s.JobsCancelled < 4 {
-					t.Errorf("hardly anybody looked: %+v", s)
+					t.Errorf("want at least 40 poll bursts, 60 odd requests, 10 of them refused, and 4 cancelled jobs; got %+v", s)
 				}
 			})
 		}
 	}
 }
 
-// TestTransactionsWithLostAnswersTakeEffectOnce carries transactions out and loses only their answers, while the
-// other controllers read what they wrote: submissions, cancellations, ends, plans, elections and registrations.
-// Their authors neither undo nor repeat them.
+// TestTransactionsWithLostAnswersTakeEffectOnce applies transactions but loses their answers, while the other
+// controllers read what was written: submissions, cancellations, ends, plans, elections and registrations. The sending
+// controllers must neither undo nor repeat them.
 func TestTransactionsWithLostAnswersTakeEffectOnce(t *testing.T) {
 	for _, share := range []float64{0.15, 0.4, 0.8} {
 		for _, controllers := range []int{3, 5} {
@@ -104,16 +105,16 @@
 				cluster.submitJobs(30 * time.Second)
 				cluster.LoseTxnAnswers(share)
 				cluster.cancelEach(cluster.users[:10], time.Second, 2*time.Second, cluster.inTurn(0))
-				for i, how := range []string{"killed", "drained", "all killed", "at once"} {
+				for i, change := range []string{"killed", "drained", "all killed", "restarted at once"} {
 					cluster.After(time.Duration(3+7*i)*time.Second, func() {
-						if l, _ := cluster.Leader(); l >= 0 {
-							changes[how](cluster, l)
+						if leader, _ := cluster.Leader(); leader >= 0 {
+							leaderChanges[change](cluster, leader)
 						}
 					})
 				}
 				cluster.Advance(32 * time.Second)
 				if n := cluster.Stats().LostAnswers; n < 20 {
-					t.Errorf("%d answers were lost", n)
+					t.Errorf("%d answers were lost, want at least 20", n)
 				}
 				cluster.LoseTxnAnswers(0)
 				cluster.Advance(5 * time.Second)
@@ -123,8 +124,8 @@
 	}
 }
 
-// teamUse is how many processors a team's tasks take on machines, by the truth.
-func (r *testCluster) teamUse(team string) (cpus float64) {
+// cpusInUse returns how many processors a team's tasks use, by the machines' true state.
+func (r *testCluster) cpusInUse(team string) (cpus float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, machine := range r.cloud.machines {
@@ -138,48 +139,48 @@
 }
 
 // TestTeamLimitsHoldAcrossFailovers keeps every team at its limit and cancels jobs whose machines are partitioned,
-// receive nothing, reach nobody or hang, for less than a lease and for more, while the leader changes: what may
-// still run counts, and no longer than that.
+// receive nothing, reach no controller or hang, for less and more than a worker's lease, while the leader changes.
+// Tasks must count towards the limit as long as they may still run, and no longer.
 func TestTeamLimitsHoldAcrossFailovers(t *testing.T) {
-	outs := map[string]func(cluster *testCluster, zone string, duration time.Duration){
-		"cut": func(cluster *testCluster, zone string, duration time.Duration) {
+	faults := map[string]func(cluster *testCluster, zone string, duration time.Duration){
+		"partition": func(cluster *testCluster, zone string, duration time.Duration) {
 			cluster.partitionZoneFor(zone, DropBoth, duration)
 		},
-		"held": func(cluster *testCluster, zone string, duration time.Duration) {
+		"delaying partition": func(cluster *testCluster, zone string, duration time.Duration) {
 			cluster.partitionZoneFor(zone, DelayBoth, duration)
 		},
-		"deaf": func(cluster *testCluster, zone string, duration time.Duration) {
+		"no inbound messages": func(cluster *testCluster, zone string, duration time.Duration) {
 			cluster.DropInbound(9, zone, duration)
 		},
-		"shut": func(cluster *testCluster, zone string, duration time.Duration) {
+		"outbound refused": func(cluster *testCluster, zone string, duration time.Duration) {
 			cluster.RefuseOutbound(9, zone, duration)
 		},
 		"hang": func(*testCluster, string, time.Duration) {},
 	}
-	for what, out := range outs {
+	for name, inject := range faults {
 		for _, duration := range []time.Duration{4 * time.Second, 9 * time.Second} {
-			for _, how := range []string{"killed", "frozen", "drained"} {
-				t.Run(fmt.Sprint(what, " ", duration, " ", how), func(t *testing.T) {
+			for _, change := range []string{"killed", "frozen", "drained"} {
+				t.Run(fmt.Sprint(name, " ", duration, " ", change), func(t *testing.T) {
 					t.Parallel()
 					cluster, _ := newBusyCluster(t, 303, 3, 24)
-					for k := range 60 { // more than both teams may run
+					for k := range 60 { // more jobs than both teams may run at once
 						cluster.submitLongJob(100+k, 9)
 					}
 					cluster.waitFor(
-						"at the limits",
+						"at the teams' limits",
 						30*time.Second,
-						func() bool { return cluster.teamUse("red") > 120 && cluster.teamUse("blue") > 120 },
+						func() bool { return cluster.cpusInUse("red") > 120 && cluster.cpusInUse("blue") > 120 },
 					)
-					l, zone := cluster.waitForLeader(), cluster.zoneWithoutLeader()
-					out(cluster, zone, duration)
+					leader, zone := cluster.waitForLeader(), cluster.zoneWithoutLeader()
+					inject(cluster, zone, duration)
 					hang := time.Duration(0)
-					if what == "hang" {
+					if name == "hang" {
 						hang = duration
 					}
 					if n := len(cluster.CancelRunning(16, hang)); n < 12 {
-						t.Errorf("%d jobs were cancelled", n)
+						t.Errorf("%d jobs were cancelled, want at least 12", n)
 					}
-					cluster.After(250*time.Millisecond, func() { changes[how](cluster, l) })
+					cluster.After(250*time.Millisecond, func() { leaderChanges[change](cluster, leader) })
 					cluster.After(duration/2, func() { cluster.CancelRunning(8, 0) })
 					cluster.Advance(duration + 4*time.Second)
 					cluster.recoverAndCheck()
@@ -189,19 +190,19 @@
 	}
 }
 
-// TestCancelledJobsStopDuringHandovers cancels jobs in the seconds in which one controller's work passes to
-// another, at every tenth of a second of it, through all controllers, the one that hands over among them.
+// TestCancelledJobsStopDuringHandovers cancels a job every tenth of a second while leadership passes from one
+// controller to another, through all controllers, the former leader included.
 func TestCancelledJobsStopDuringHandovers(t *testing.T) {
-	for how, change := range changes {
+	for name, change := range leaderChanges {
 		for _, controllers := range []int{3, 5} {
-			t.Run(fmt.Sprint(how, " ", controllers), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " ", controllers), func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 304, controllers, 40)
 				cluster.submitJobs(12 * time.Second)
-				l := cluster.waitForLeader()
+				leader := cluster.waitForLeader()
 				cluster.SetPollBursts(true)
-				cluster.cancelEach(cluster.users[:40], 0, 100*time.Millisecond, cluster.inTurn(l))
-				cluster.After(time.Second, func() { change(cluster, l) })
+				cluster.cancelEach(cluster.users[:40], 0, 100*time.Millisecond, cluster.inTurn(leader))
+				cluster.After(time.Second, func() { change(cluster, leader) })
 				cluster.Advance(14 * time.Second)
 				cluster.recoverAndCheck()
 			})
@@ -209,22 +210,23 @@
 	}
 }
 
-// TestFastBootsStartOnlyPlannedTasks boots new machines within two seconds, which get work at once while writes are
-// slow, and ends the leader: nothing starts on them that their plan doesn't name, and nothing twice.
+// TestFastBootsStartOnlyPlannedTasks boots new machines within two seconds, so that they are assigned tasks at once
+// while writes are slow, and changes the leader. No task may start that the stored plan doesn't contain, and no task
+// may start twice.
 func TestFastBootsStartOnlyPlannedTasks(t *testing.T) {
-	lag := map[string]func(cluster *testCluster){
-		"late":  func(cluster *testCluster) { cluster.DelayWrites(0.35, 500*time.Millisecond, 4*time.Second) },
-		"slow":  func(cluster *testCluster) { cluster.DelayStateAnswers(100*time.Millisecond, 1500*time.Millisecond) },
-		"lost":  func(cluster *testCluster) { cluster.LoseTxnAnswers(0.5) },
-		"never": func(cluster *testCluster) { cluster.ignorePlans() },
+	writeFaults := map[string]func(cluster *testCluster){
+		"late":             func(cluster *testCluster) { cluster.DelayWrites(0.35, 500*time.Millisecond, 4*time.Second) },
+		"slow":             func(cluster *testCluster) { cluster.DelayStateAnswers(100*time.Millisecond, 1500*time.Millisecond) },
+		"lost":             func(cluster *testCluster) { cluster.LoseTxnAnswers(0.5) },
+		"plans unanswered": func(cluster *testCluster) { cluster.disruptPlanWrites() },
 	}
-	for what, f := range lag {
-		for _, how := range []string{"killed", "at once", "frozen"} {
-			t.Run(what+" "+how, func(t *testing.T) {
+	for name, inject := range writeFaults {
+		for _, change := range []string{"killed", "restarted at once", "frozen"} {
+			t.Run(name+" "+change, func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 305, 3, 24)
 				cluster.SetBootFault(0.01, 0)
-				f(cluster)
+				inject(cluster)
 				for range 3 {
 					for range 5 {
 						cluster.KillMachine()
@@ -233,8 +235,8 @@
 						cluster.submitLongJob(100+len(cluster.users)+k, 5)
 					}
 					cluster.Advance(1200 * time.Millisecond)
-					if l, _ := cluster.Leader(); l >= 0 {
-						changes[how](cluster, l)
+					if leader, _ := cluster.Leader(); leader >= 0 {
+						leaderChanges[change](cluster, leader)
 					}
 					cluster.Advance(7 * time.Second)
 				}
@@ -250,8 +252,8 @@
 	}
 }
 
-// ignorePlans lets every third write of plans get no answer: it is never carried out, or late.
-func (r *testCluster) ignorePlans() {
+// disruptPlanWrites drops every sixth write of plans, and delays another sixth by 2.5 s.
+func (r *testCluster) disruptPlanWrites() {
 	n := 0
 	r.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
 		if !slices.ContainsFunc(
@@ -270,45 +272,45 @@
 	})
 }
 
-// TestReplayedHeartbeatsDuringElectionHaveNoEffect delivers old heartbeats, of earlier sessions, incarnations and
-// attempts too, to every controller just as a new leader begins, and once it has acted: they have no effect, and
-// the machines they name go on.
+// TestReplayedHeartbeatsDuringElectionHaveNoEffect delivers old heartbeats to every controller just as a new leader is
+// elected, and again once the leader has acted. Some are of earlier sessions, incarnations and attempts. They must
+// have no effect, and their machines must continue.
 func TestReplayedHeartbeatsDuringElectionHaveNoEffect(t *testing.T) {
-	meets := map[string]func(cluster *testCluster){
+	faults := map[string]func(cluster *testCluster){
 		"nothing": func(*testCluster) {},
 		"sessions": func(cluster *testCluster) {
 			cluster.DropInbound(4, "", 7*time.Second)
 			cluster.RefuseOutbound(4, "", 7*time.Second)
 		},
-		"lives": func(cluster *testCluster) {
+		"incarnations": func(cluster *testCluster) {
 			cluster.RestartMachine("", 200*time.Millisecond)
 			cluster.RestartMachine("", 900*time.Millisecond)
 		},
-		"ends": func(cluster *testCluster) {
+		"task ends": func(cluster *testCluster) {
 			cluster.CrashTask()
 			cluster.KillMachine()
 			cluster.ReclaimSpotMachine(time.Second)
 		},
-		"cancel": func(cluster *testCluster) { cluster.CancelRunning(4, 3*time.Second) },
+		"cancellations": func(cluster *testCluster) { cluster.CancelRunning(4, 3*time.Second) },
 	}
-	for what, f := range meets {
-		for _, how := range []string{"killed", "drained", "all killed", "cut off"} {
-			t.Run(what+" "+how, func(t *testing.T) {
+	for name, inject := range faults {
+		for _, change := range []string{"killed", "drained", "all killed", "cut off"} {
+			t.Run(name+" "+change, func(t *testing.T) {
 				t.Parallel()
 				cluster, _ := newBusyCluster(t, 306, 3, 20)
 				cluster.submitJobs(40 * time.Second)
 				cluster.ReplayHeartbeats(0.6)
 				for range 5 {
-					f(cluster)
+					inject(cluster)
 					cluster.Advance(3 * time.Second)
-					if l, _ := cluster.Leader(); l >= 0 {
-						changes[how](cluster, l)
+					if leader, _ := cluster.Leader(); leader >= 0 {
+						leaderChanges[change](cluster, leader)
 					}
 					cluster.Advance(6 * time.Second)
 				}
 				cluster.ReplayHeartbeats(0)
 				if n := cluster.Stats().HeartbeatsReplayed; n < 100 {
-					t.Errorf("%d copies were kept", n)
+					t.Errorf("%d heartbeats were replayed, want at least 100", n)
 				}
 				cluster.Advance(6 * time.Second)
 				cluster.recoverAndCheck()
@@ -317,9 +319,9 @@
 	}
 }
 
-// TestStreamOfOneTaskJobsStartsSoon submits four one-task jobs a second for minutes, and cancels a quarter of them,
-// at the rates of a small state service (30 mutations a second): all are accepted at once and start soon, also
-// across two changes of the leader.
+// TestStreamOfOneTaskJobsStartsSoon submits four one-task jobs a second for 2.5 minutes and cancels a quarter of them,
+// with a state service limited to 30 writes a second. All jobs must be accepted and start soon, also across two changes
+// of the leader.
 func TestStreamOfOneTaskJobsStartsSoon(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
@@ -333,7 +335,7 @@
 			cluster := startCluster(t, 43, cfg, nil)
 			cluster.waitForLeader()
 			cluster.SetPollBursts(true)
-			tries, latest := 0, time.Duration(0)
+			tries, longestAcceptance := 0, time.Duration(0)
 			const n = 600
 			for i := range n {
 				cluster.After(time.Duration(i)*250*time.Millisecond, func() {
@@ -344,36 +346,36 @@
 					if i%4 == 0 {
 						cluster.After(time.Duration(cluster.rng.IntN(6000))*time.Millisecond, user.cancel)
 					}
-					at := cluster.Now()
-					var look func()
-					look = func() {
+					submittedAt := cluster.Now()
+					var checkAccepted func()
+					checkAccepted = func() {
 						if user.isAccepted() {
-							latest = max(latest, cluster.Now()-at)
+							longestAcceptance = max(longestAcceptance, cluster.Now()-submittedAt)
 							return
 						}
 						tries++
-						cluster.After(100*time.Millisecond, look)
+						cluster.After(100*time.Millisecond, checkAccepted)
 					}
-					cluster.After(50*time.Millisecond, look)
+					cluster.After(50*time.Millisecond, checkAccepted)
 				})
 			}
-			cluster.After(50*time.Second, func() { l := cluster.ActingLeaders(); changes["killed"](cluster, l[0]) })
-			cluster.After(100*time.Second, func() { l := cluster.ActingLeaders(); changes["drained"](cluster, l[0]) })
+			cluster.After(50*time.Second, func() { leaders := cluster.ActingLeaders(); leaderChanges["killed"](cluster, leaders[0]) })
+			cluster.After(100*time.Second, func() { leaders := cluster.ActingLeaders(); leaderChanges["drained"](cluster, leaders[0]) })
 			cluster.Advance(n * 250 * time.Millisecond)
 			cluster.recoverAndCheck()
-			waits := cluster.StartDelays("tiny")
-			slices.Sort(waits)
+			delays := cluster.StartDelays("tiny")
+			slices.Sort(delays)
 			t.Logf(
-				"%d began, half within %v, 98%% within %v, the last after %v; the latest was accepted after %v",
-				len(waits),
-				waits[len(waits)/2],
-				waits[len(waits)*98/100],
-				waits[len(waits)-1],
-				latest,
+				"%d jobs started, 50%% within %v, 98%% within %v, all within %v; all were accepted within %v",
+				len(delays),
+				delays[len(delays)/2],
+				delays[len(delays)*98/100],
+				delays[len(delays)-1],
+				longestAcceptance,
 			)
-			if len(waits) < n*3/4 || waits[len(waits)/2] > 2*time.Second || waits[len(waits)-1] > 30*time.Second ||
-				latest > 10*time.Second {
-				t.Errorf("%d began", len(waits))
+			if len(delays) < n*3/4 || delays[len(delays)/2] > 2*time.Second || delays[len(delays)-1] > 30*time.Second ||
+				longestAcceptance > 10*time.Second {
+				t.Errorf("%d jobs started; want at least 3/4, a median delay of 2s and a maximum of 30s, acceptance within 10s", len(delays))
 			}
 		})
 	}
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -16,15 +16,15 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// digestScenario is a simulation that is played for its digest: a cluster under load, a script of faults, and more.
+// digestScenario is a simulation whose behaviour is recorded as a digest: a cluster, its load and a script of faults.
 type digestScenario struct {
 	name    string
 	cluster func(t *testing.T) *testCluster
-	load    time.Duration // jobs arrive for so long
-	length  time.Duration
+	load    time.Duration // how long jobs are submitted; 0 for no jobs
+	length  time.Duration // simulated time of the whole scenario
 	script  string
-	begin   func(cluster *testCluster) // plans what no script can say; nil: nothing
-	reached func(cluster *testCluster) // checks that the scenario led to what it is for; nil: nothing to check
+	begin   func(cluster *testCluster) // schedules events that scripts don't support; may be nil
+	reached func(cluster *testCluster) // checks that the scenario reached its purpose; may be nil
 }
 
 func (s digestScenario) digest(t *testing.T) behaviourDigest {
@@ -54,17 +54,18 @@
 	return d
 }
 
-// rollingCluster makes clusters of controllers that know levels up to one, with operators' words about the rollout.
-func rollingCluster(seed uint64, controllers int, maxLevel rollout.Level, words string) func(t *testing.T) *testCluster {
-	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, maxLevel, words) }
+// rollingCluster returns a function that creates a cluster of controllers that support levels up to maxLevel, with
+// operators' rollout settings.
+func rollingCluster(seed uint64, controllers int, maxLevel rollout.Level, settings string) func(t *testing.T) *testCluster {
+	return func(t *testing.T) *testCluster { return newTestCluster(t, seed, controllers, maxLevel, settings) }
 }
 
-// wideCluster makes clusters with many machines in each zone.
+// wideCluster returns a function that creates a cluster with many machines in each zone.
 func wideCluster(seed uint64, controllers int) func(t *testing.T) *testCluster {
 	return func(t *testing.T) *testCluster { return newWideCluster(t, seed, controllers) }
 }
 
-// digestScenarios are played by TestBehaviourDigests.
+// digestScenarios are the scenarios of TestBehaviourDigests. Their names are the keys of digestsFile.
 var digestScenarios = []digestScenario{
 	{
 		name:    "calm load",
@@ -262,7 +263,7 @@
 
 func checkLevelRose(cluster *testCluster) {
 	if cluster.ClusterLevel() != rollout.Newest {
-		cluster.t.Errorf("level %d", cluster.ClusterLevel())
+		cluster.t.Errorf("cluster level %d, want rollout.Newest", cluster.ClusterLevel())
 	}
 }
 
@@ -272,51 +273,52 @@
 	cluster.newUser(spec).submit()
 }
 
-// rolloutCommandAt gives the leader an operator's word about the rollout at a time.
+// rolloutCommandAt sends the leader an operator's command for the rollout at a time.
 func (r *testCluster) rolloutCommandAt(at time.Duration, op string) {
 	r.requestLeaderAt(at, "POST", "/v2/rollout", fmt.Sprintf(`{"op":%q,"by":"test"}`, op))
 }
 
-// requestLeaderAt asks whoever leads at a time; nobody if no controller leads.
+// requestLeaderAt sends a request to the controller that leads after a delay, and none if no controller leads.
 func (r *testCluster) requestLeaderAt(at time.Duration, method, path, body string) {
 	r.After(at, func() {
-		if l, _ := r.Leader(); l >= 0 {
-			r.Request(l, method, path, []byte(body), func(int, []byte) {})
+		if leader, _ := r.Leader(); leader >= 0 {
+			r.Request(leader, method, path, []byte(body), func(int, []byte) {})
 		}
 	})
 }
 
-// finishAfterRolling gives the word to finish again and again, until the level has risen.
+// finishAfterRolling sends the command to finish the rollout every 5 s from 30 s to 75 s.
 func finishAfterRolling(cluster *testCluster) {
 	for at := 30 * time.Second; at < 80*time.Second; at += 5 * time.Second {
 		cluster.rolloutCommandAt(at, "finish")
 	}
 }
 
-// callLeader asks the leader what has no route for Ask; the answer comes at once, and a frozen leader gives none.
-func (r *testCluster) callLeader(q api.LeaderRequest, then func(status int, body []byte)) {
-	l, _ := r.Leader()
-	if l < 0 || !r.ControllerRuns(l) {
+// callLeader calls the leader directly with a request that has no HTTP route in the simulation. The answer comes
+// without delay. A frozen leader doesn't answer until it runs again. Without a running leader the status is 0.
+func (r *testCluster) callLeader(request api.LeaderRequest, then func(status int, body []byte)) {
+	leader, _ := r.Leader()
+	if leader < 0 || !r.ControllerRuns(leader) {
 		then(0, nil)
 		return
 	}
-	controller := r.virtual.controllers[l]
-	asked := httpRequest{
-		sender: valueOr(q.Bearer, senderUser),
-		method: string(q.Verb),
-		path:   string(q.Resource) + "/" + q.Name,
-		body:   q.Body,
+	controller := r.virtual.controllers[leader]
+	httpReq := httpRequest{
+		sender: valueOr(request.Bearer, senderUser),
+		method: string(request.Verb),
+		path:   string(request.Resource) + "/" + request.Name,
+		body:   request.Body,
 	}
-	r.virtual.recordMessage(requestTo(controller.settings.PublicAddr, asked))
+	r.virtual.recordMessage(requestTo(controller.settings.PublicAddr, httpReq))
 	controller.whileRunning(func() {
-		controller.process.Call(q, func(status int, body []byte) {
-			r.virtual.recordMessage(answerFrom(controller.settings.PublicAddr, asked, status, body))
+		controller.process.Call(request, func(status int, body []byte) {
+			r.virtual.recordMessage(answerFrom(controller.settings.PublicAddr, httpReq, status, body))
 			then(status, body)
 		})
 	})()
 }
 
-// changeLicences changes how many units the cluster may use, and then how many are used outside the cluster.
+// changeLicences changes how many licence units the cluster may use and how many are used outside the cluster.
 func changeLicences(cluster *testCluster) {
 	cluster.After(45*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 3) })
 	cluster.After(50*time.Second, func() { cluster.Licences.SetForeignUse("transcribe", 0) })
@@ -337,9 +339,9 @@
 	})
 }
 
-// queryArchivedJobs asks for jobs long after their end, and submits and cancels them once more.
+// queryArchivedJobs queries jobs long after their end, and submits or cancels each of them again.
 func queryArchivedJobs(cluster *testCluster) {
-	again := func() {
+	repeat := func() {
 		for i, user := range cluster.users {
 			path, body := "/v2/runs", []byte(nil)
 			if body, _ = json.Marshal(user.spec); i%2 == 0 {
@@ -349,13 +351,13 @@
 			cluster.Request(i%cluster.Controllers(), "POST", path, body, func(int, []byte) {})
 		}
 	}
-	cluster.After(45*time.Second, again)
-	cluster.After(65*time.Second, again)
+	cluster.After(45*time.Second, repeat)
+	cluster.After(65*time.Second, repeat)
 	cluster.requestLeaderAt(70*time.Second, "GET", "/v2/runs", "")
 	cluster.requestLeaderAt(71*time.Second, "GET", "/v2/events", "")
 }
 
-// drainByOperator drains machines and a controller, and takes it back.
+// drainByOperator drains two machines, and drains and undrains two controllers.
 func drainByOperator(cluster *testCluster) {
 	for i, c := range []drain.Command{
 		{Op: "drain", Kind: "machine"},
@@ -378,29 +380,29 @@
 	cluster.requestLeaderAt(31*time.Second, "GET", "/v2/zones", "")
 }
 
-// storedStateCluster makes clusters that start on what an earlier release has stored.
+// storedStateCluster returns a function that creates a cluster on the stored keys of an earlier release.
 func storedStateCluster(seed uint64) func(t *testing.T) *testCluster {
 	return func(t *testing.T) *testCluster {
-		all := storedBefore(t)
+		stored := storedBefore(t)
 		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
-			delete(all, key) // of leases that have expired, and of machines that this simulation doesn't have
+			delete(stored, key) // belong to expired leases, or to machines that this simulation doesn't have
 		}
 		cluster := clusterWithSettings(
 			t,
-			Config{Seed: seed, MaxMachines: 14, InitialKeys: all},
+			Config{Seed: seed, MaxMachines: 14, InitialKeys: stored},
 			"rollout { soak_s = 5 }\n",
 		)
-		for key, raw := range all {
-			var rec jobs.Record
-			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &rec) == nil && rec.Spec != nil {
-				cluster.AddJob((*jobs.Spec)(rec.Spec))
+		for key, raw := range stored {
+			var record jobs.Record
+			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &record) == nil && record.Spec != nil {
+				cluster.AddJob((*jobs.Spec)(record.Spec))
 			}
 		}
 		return cluster
 	}
 }
 
-// clusterWithSettings is a cluster with operators' settings beside those of licences and the archive.
+// clusterWithSettings starts a cluster with further operators' settings besides those of licences and the archive.
 func clusterWithSettings(t *testing.T, cfg Config, settings string) *testCluster {
 	t.Helper()
 	cfg.LicencePools = map[string]int{"transcribe": 12}
@@ -417,6 +419,7 @@
 	return cluster
 }
 
+// sessionPolicy are the session settings of sessionCluster.
 const sessionPolicy = `sessions {
   warn_s   = 1
   save_s   = 2
@@ -430,6 +433,7 @@
 }
 `
 
+// sessionCluster returns a function that creates a cluster with short timeouts of interactive sessions.
 func sessionCluster(seed uint64) func(t *testing.T) *testCluster {
 	return func(t *testing.T) *testCluster {
 		return clusterWithSettings(t, Config{Seed: seed, MaxMachines: 3}, sessionPolicy)
@@ -443,10 +447,10 @@
 	seq uint64
 }
 
-// agentEvery is the time between two reports of an agent.
-const agentEvery = 300 * time.Millisecond
+// testAgentInterval is the time between two reports of a session's agent.
+const testAgentInterval = 300 * time.Millisecond
 
-// openSessions opens sessions that are used, left alone, reclaimed and attached again, and closed at last.
+// openSessions schedules sessions that are opened, used, left idle, reclaimed, attached again and closed.
 func openSessions(cluster *testCluster) {
 	for i := range 5 {
 		spec := &jobs.Spec{
@@ -495,7 +499,7 @@
 		resumed += session.resumes
 	}
 	if resumed == 0 {
-		cluster.t.Error("no session was reclaimed and resumed")
+		cluster.t.Error("0 sessions were reclaimed and resumed, want at least 1")
 	}
 }
 
@@ -512,7 +516,7 @@
 	)
 }
 
-// open asks for the session until it is opened, and starts its agent.
+// open requests the session every second until it is opened, and then starts its agent.
 func (s *testSession) open() {
 	s.r.callLeader(
 		api.LeaderRequest{Resource: api.ResourceSessions, Verb: api.VerbOpen, Body: s.openRequest()},
@@ -526,7 +530,7 @@
 	)
 }
 
-// useSession is ten inputs, a second apart, and a cell at the end.
+// useSession schedules ten inputs, one a second, and then a cell that runs for 3 s.
 func (s *testSession) useSession() {
 	for i := range 10 {
 		s.r.After(time.Duration(i)*time.Second, func() { s.Input() })
@@ -534,9 +538,9 @@
 	s.r.After(10*time.Second, func() { s.RunCell(3 * time.Second) })
 }
 
-// runAgentInVirtualTime is the agent: it reports as long as a process of the session runs.
+// runAgentInVirtualTime simulates the session's agent, which reports while a process of the session runs.
 func (s *testSession) runAgentInVirtualTime() {
-	s.r.After(agentEvery, s.runAgentInVirtualTime)
+	s.r.After(testAgentInterval, s.runAgentInVirtualTime)
 	task := s.runningTask()
 	if task == nil {
 		return
@@ -548,14 +552,14 @@
 	report := s.report(s.r.Now(), s.seq)
 	raw, _ := json.Marshal(report)
 	s.call(api.VerbHeartbeat, s.agentToken, raw, func(status int, body []byte) {
-		var o sessions.HeartbeatResponse
-		if status == 200 && json.Unmarshal(body, &o) == nil {
-			s.applyOrder(s.r.Now(), task, o)
+		var order sessions.HeartbeatResponse
+		if status == 200 && json.Unmarshal(body, &order) == nil {
+			s.applyOrder(s.r.Now(), task, order)
 		}
 	})
 }
 
-// runningTask is the session's task that runs, nil if there is none.
+// runningTask returns the session's running task, or nil.
 func (s *testSession) runningTask() *workerTask {
 	for _, machine := range s.r.cloud.machines {
 		for _, task := range machine.tasks {
--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -26,7 +26,7 @@
 )
 
 var (
-	updateDigests = flag.Bool("update-digests", false, "write the digests of behaviour anew")
+	updateDigests = flag.Bool("update-digests", false, "replace the recorded digests of behaviour")
 	digestTrace   = flag.String(
 		"digest-trace",
 		"",
@@ -36,28 +36,29 @@
 
 const digestsFile = "testdata/digests.json"
 
-// behaviourDigest stands for all that passed the edges of a simulation. The counts tell how much differs.
+// behaviourDigest is a hash of all messages and stored changes of a simulation. The counts give a first measure of a
+// difference.
 type behaviourDigest struct {
 	Digest string `json:"digest"`
-	// Messages counts requests, answers and statuses between controllers, Changes the changes of stored keys.
+	// Messages counts requests, answers and statuses between controllers. Changes counts changes of stored keys.
 	Messages int `json:"messages"`
 	Changes  int `json:"changes"`
-	Bytes    int `json:"bytes"` // of both, as they are logged
+	Bytes    int `json:"bytes"` // total length of the logged messages and changes
 }
 
-// behaviourRecorder writes what passes the edges of a simulation, in its order, into a hash and a log.
+// behaviourRecorder writes the messages and stored changes of a simulation, in their order, into a hash and a log.
 type behaviourRecorder struct {
 	simulation *Simulation
 	hash       *xxhash.Digest
 	log        *bufio.Writer
-	seen       behaviourDigest
+	totals     behaviourDigest // counts so far; the hash is set by end
 }
 
-// recordBehaviour records a simulation that has not begun yet. The log may be io.Discard.
+// recordBehaviour starts recording a simulation, which must be at time 0. The log may be io.Discard.
 func recordBehaviour(t *testing.T, sim *Simulation, log io.Writer) *behaviourRecorder {
 	t.Helper()
 	if sim.Now() != 0 {
-		t.Fatalf("the recorder comes %v too late", sim.Now())
+		t.Fatalf("recording starts at %v, want 0", sim.Now())
 	}
 	r := &behaviourRecorder{simulation: sim, hash: xxhash.New(), log: bufio.NewWriter(log)}
 	sim.virtual.recorder = r.message
@@ -65,10 +66,10 @@
 	return r
 }
 
-// message records a message. Two things are sorted, for controllers send them in the order of a map: the counts of a
-// status, and halts next to each other. JSON objects need nothing, for encoding/json sorts the keys of maps.
+// message records a message. It sorts the counts of a status and adjacent halt commands, which controllers send in the
+// order of a map. JSON objects need no sorting, because encoding/json sorts the keys of maps.
 func (r *behaviourRecorder) message(t message) {
-	r.seen.Messages++
+	r.totals.Messages++
 	if t.kind == kindStatus {
 		t.body = normalStatus(t.body)
 	}
@@ -79,8 +80,8 @@
 		r.simulation.Now(), t.kind, t.from, t.to, t.method, t.path, t.status, t.body))
 }
 
-// normalStatus is a status as quoted text with its counts sorted by job. A controller sends them in the order of a
-// map, which differs from run to run, and whoever hears them puts them into a map, so the order changes nothing.
+// normalStatus returns a status as quoted text with its counts sorted by job. A controller sends the counts in the
+// order of a map, which differs from run to run. Their order has no effect, because receivers put them into a map.
 func normalStatus(raw []byte) []byte {
 	s, err := peers.Decode(raw)
 	if err != nil {
@@ -90,9 +91,8 @@
 	return strconv.AppendQuote(nil, string(peers.Encode(s)))
 }
 
-// normalCommands sorts the halts next to each other in a message to a worker. They concern different tasks, so a
-// worker that takes them in another order ends with the same. Launches keep their places: there may be room for the
-// first only.
+// normalCommands returns a message to a worker with adjacent halt commands sorted. They concern different tasks, so
+// their order has no effect on the worker. Launches keep their places, because only the first may fit.
 func normalCommands(raw []byte) []byte {
 	var message struct {
 		Commands json.RawMessage `json:"calls"`
@@ -101,13 +101,13 @@
 	if json.Unmarshal(raw, &message) != nil || json.Unmarshal(message.Commands, &commands) != nil {
 		return raw
 	}
-	for from := 0; from < len(commands); {
-		to := from
-		for to < len(commands) && isHalt(commands[to]) {
-			to++
+	for start := 0; start < len(commands); {
+		end := start
+		for end < len(commands) && isHalt(commands[end]) {
+			end++
 		}
-		slices.SortFunc(commands[from:to], func(a, b json.RawMessage) int { return bytes.Compare(a, b) })
-		from = to + 1
+		slices.SortFunc(commands[start:end], func(a, b json.RawMessage) int { return bytes.Compare(a, b) })
+		start = end + 1
 	}
 	sorted := slices.Concat([]byte("["), bytes.Join(rawBytes(commands), []byte(",")), []byte("]"))
 	return bytes.Replace(raw, message.Commands, sorted, 1)
@@ -125,9 +125,9 @@
 	return out
 }
 
-// change records a changed key.
+// change records the change or deletion of a key.
 func (r *behaviourRecorder) change(e store.Event) {
-	r.seen.Changes++
+	r.totals.Changes++
 	if e.Delete != "" {
 		r.write(fmt.Sprintf("%d delete %s %d\n", r.simulation.Now(), e.Delete, e.Version))
 		return
@@ -135,23 +135,24 @@
 	r.write(fmt.Sprintf("%d put %s %d %s\n", r.simulation.Now(), e.Put, e.Version, e.Value))
 }
 
-// write logs a line, in which the release has a name that stays when the next one is made.
+// write hashes and logs a line. The release's name is replaced by a fixed one, so that a new release leaves the digest
+// unchanged.
 func (r *behaviourRecorder) write(line string) {
 	line = strings.ReplaceAll(line, rollout.Release, "this-release")
-	r.seen.Bytes += len(line)
+	r.totals.Bytes += len(line)
 	_, _ = r.hash.WriteString(line)
 	_, _ = r.log.WriteString(line)
 }
 
-// end is the digest of what was recorded.
+// end stops recording and returns the digest.
 func (r *behaviourRecorder) end() (behaviourDigest, error) {
 	r.simulation.virtual.recorder = nil
 	r.simulation.state.service.Changed = nil
-	r.seen.Digest = fmt.Sprintf("%016x", r.hash.Sum64())
-	return r.seen, r.log.Flush()
+	r.totals.Digest = fmt.Sprintf("%016x", r.hash.Sum64())
+	return r.totals, r.log.Flush()
 }
 
-// traceFile opens the log of a scenario, io.Discard if none is asked for.
+// traceFile creates the log file of a scenario. Without the flag -digest-trace it returns io.Discard.
 func traceFile(t *testing.T, scenario string) io.Writer {
 	t.Helper()
 	if *digestTrace == "" {
@@ -188,18 +189,19 @@
 	return digests
 }
 
-// writeDigests replaces the digests of the scenarios that were played and drops those of scenarios that are gone.
+// writeDigests replaces the stored digests of the played scenarios, and drops digests of scenarios that no longer
+// exist.
 func writeDigests(t *testing.T, expected, played map[string]behaviourDigest) {
 	t.Helper()
-	kept := map[string]behaviourDigest{}
+	updated := map[string]behaviourDigest{}
 	for _, s := range digestScenarios {
 		if d, ok := played[s.name]; ok {
-			kept[s.name] = d
+			updated[s.name] = d
 		} else if d, ok := expected[s.name]; ok {
-			kept[s.name] = d
+			updated[s.name] = d
 		}
 	}
-	raw, err := json.MarshalIndent(kept, "", "  ")
+	raw, err := json.MarshalIndent(updated, "", "  ")
 	if err == nil {
 		err = os.WriteFile(digestsFile, append(raw, '\n'), 0o644)
 	}
@@ -209,8 +211,8 @@
 }
 
 // TestBehaviourDigests checks that the same seeds lead to the same messages and the same stored bytes as when the
-// digests were written. A difference is a change of behaviour: -digest-trace DIR writes what happened, so that the
-// logs of two revisions can be compared.
+// digests were written. A difference is a change of behaviour. To find it, compare the message logs of both revisions,
+// which -digest-trace DIR writes.
 func TestBehaviourDigests(t *testing.T) {
 	expected := readDigests(t)
 	played := map[string]behaviourDigest{}
@@ -235,17 +237,17 @@
 	}
 }
 
-// checkDigestNames checks that the file has a digest of each scenario and no others.
+// checkDigestNames checks that the file has a digest of each scenario and no other digests.
 func checkDigestNames(t *testing.T, expected map[string]behaviourDigest) {
 	t.Helper()
 	for name := range expected {
 		if !slices.ContainsFunc(digestScenarios, func(s digestScenario) bool { return s.name == name }) {
-			t.Errorf("%s has a digest of %q, which is no scenario", digestsFile, name)
+			t.Errorf("%s: digest of %q, want only digests of existing scenarios", digestsFile, name)
 		}
 	}
 	for _, s := range digestScenarios {
 		if _, ok := expected[s.name]; !ok {
-			t.Errorf("%s has no digest of %q", digestsFile, s.name)
+			t.Errorf("%s: no digest of scenario %q", digestsFile, s.name)
 		}
 	}
 }
--- a/internal/simulator/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -12,13 +12,13 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// drainDocument is the operators' document as it is stored.
-func (r *testCluster) drainDocument() (w drain.Document) {
-	_ = json.Unmarshal(r.StoredItem(drain.DocumentKey).Value, &w)
-	return w
+// drainDocument reads the stored document of drain requests.
+func (r *testCluster) drainDocument() (document drain.Document) {
+	_ = json.Unmarshal(r.StoredItem(drain.DocumentKey).Value, &document)
+	return document
 }
 
-// drainMachine asks the leader to drain a machine, or to take it back.
+// drainMachine sends the leader a drain or undrain request for a machine, and returns the status.
 func (r *testCluster) drainMachine(op, name string) (status int) {
 	r.t.Helper()
 	body := fmt.Sprintf(`{"op":%q,"kind":"machine","name":%q,"by":"test"}`, op, name)
@@ -27,7 +27,7 @@
 	return status
 }
 
-// machineNames are machines that act at the leader.
+// machineNames collects the names of up to n different machines that were the busiest at some time within a minute.
 func (r *testCluster) machineNames(n int) (names []string) {
 	seen := map[string]bool{}
 	for end := r.Now() + time.Minute; len(names) < n && r.Now() < end; r.Advance(200 * time.Millisecond) {
@@ -39,24 +39,24 @@
 	return names
 }
 
-// storeDrainsOfUnknownMachines stores a document of the former release with requests for machines that no leader has,
-// as after a long time without one: they are requests like any other.
+// storeDrainsOfUnknownMachines stores a document of the former release with requests for machines that no longer
+// exist, as after a long time without a leader, and returns it. The leader must handle them like all other requests.
 func (r *testCluster) storeDrainsOfUnknownMachines(count int) drain.Document {
-	old := drain.Document{Machines: map[string]drain.Request{}, Last: "kana: drain machine i-old-19"}
+	document := drain.Document{Machines: map[string]drain.Request{}, Last: "kana: drain machine i-old-19"}
 	for i := range count {
-		old.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
+		document.Machines[fmt.Sprintf("i-old-%02d", i)] = drain.Request{By: "kana", AtMS: 5, Stop: i%2 == 0}
 	}
-	raw, _ := json.Marshal(old)
+	raw, _ := json.Marshal(document)
 	r.WriteKeys(store.Op{Put: drain.DocumentKey, Value: raw})
-	return old
+	return document
 }
 
 // disturbDrainMigration injects the fault of a case of TestDrainRequestsWaitForTheLevel.
-func (r *testCluster) disturbDrainMigration(how string) {
+func (r *testCluster) disturbDrainMigration(fault string) {
 	r.t.Helper()
-	switch how {
+	switch fault {
 	case "leader killed":
-		r.waitFor("begun", 20*time.Second, func() bool { return r.CountKeys(drain.MachinePrefix) > 0 })
+		r.waitFor("migration begun", 20*time.Second, func() bool { return r.CountKeys(drain.MachinePrefix) > 0 })
 		leader := r.waitForLeader()
 		r.KillController(leader)
 		r.Advance(8 * time.Second)
@@ -64,9 +64,9 @@
 	case "answers lost":
 		r.LoseTxnAnswers(0.3)
 		r.After(10*time.Second, func() { r.LoseTxnAnswers(0) })
-	case "limits shrink": // the document as it stands is larger than any value that is taken now
+	case "limits shrink": // the stored document must exceed the value size allowed from now on
 		if n := len(r.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
-			r.t.Fatalf("a document of %d bytes", n)
+			r.t.Fatalf("document of %d bytes, want at least 2048", n)
 		}
 		r.LowerStateLimits(1.5, 5, 20)
 	case "late writes":
@@ -75,39 +75,39 @@
 	}
 }
 
-// checkMigratedDrains checks that every request of a document has a key of its own, as it was.
-func (r *testCluster) checkMigratedDrains(old drain.Document) {
+// checkMigratedDrains checks that every request of a document is stored unchanged under its machine's key.
+func (r *testCluster) checkMigratedDrains(document drain.Document) {
 	r.t.Helper()
-	for name, request := range old.Machines {
+	for name, request := range document.Machines {
 		var got drain.MachineRecord
 		err := json.Unmarshal(r.StoredItem(drain.MachineKey(name)).Value, &got)
 		if err != nil || got.Request != request || got.Machine != name {
-			r.t.Errorf("%s: %+v, %v", name, got, err)
+			r.t.Errorf("migrated request of %s: got %+v, decoding error %v, want the request of the document", name, got, err)
 		}
 	}
 }
 
-// TestDrainRequestsWaitForTheLevel checks that only the former release's document is written until every controller
-// reads the keys; then its requests are migrated, across the leader's end too, none is lost, and those of machines
-// that no longer exist are deleted.
+// TestDrainRequestsWaitForTheLevel checks that drain requests are stored in the former release's document until every
+// controller reads one key per machine. Then all requests must be migrated, also across a change of the leader or
+// faults of the state service, and requests for machines that no longer exist must be deleted later.
 func TestDrainRequestsWaitForTheLevel(t *testing.T) {
-	for _, how := range []string{"calm", "leader killed", "answers lost", "late writes", "limits shrink"} {
-		t.Run(how, func(t *testing.T) {
+	for _, fault := range []string{"no fault", "leader killed", "answers lost", "late writes", "limits shrink"} {
+		t.Run(fault, func(t *testing.T) {
 			cluster := newTestCluster(t, 451, 3, rollout.Archived, "soak_s = 3")
 			const unknown = 55
-			old := cluster.storeDrainsOfUnknownMachines(unknown)
+			stored := cluster.storeDrainsOfUnknownMachines(unknown)
 			cluster.submitJobs(100 * time.Second)
 			cluster.Advance(20 * time.Second)
 			names := cluster.machineNames(2)
 			if len(names) < 2 {
-				t.Fatalf("machines %v", names)
+				t.Fatalf("busiest machines %v, want 2", names)
 			}
-			if s := cluster.drainMachine("drain", names[0]); s != 200 {
-				t.Fatalf("status %d", s)
+			if status := cluster.drainMachine("drain", names[0]); status != 200 {
+				t.Fatalf("drain: status %d, want 200", status)
 			}
 			if cluster.CountKeys(drain.MachinePrefix) > 0 || len(cluster.drainDocument().Machines) != unknown+1 {
 				t.Fatalf(
-					"%d keys before the level, %d in the document",
+					"before level DrainKeys: %d keys, want 0; %d requests in the document, want one more than stored",
 					cluster.CountKeys(drain.MachinePrefix),
 					len(cluster.drainDocument().Machines),
 				)
@@ -116,25 +116,25 @@
 			cluster.RollingRestart(rollout.Newest, 2*time.Second, nil, func() { rolled = true })
 			for !rolled || cluster.ClusterLevel() < rollout.DrainKeys {
 				if cluster.ClusterLevel() < rollout.DrainKeys && cluster.CountKeys(drain.MachinePrefix) > 0 {
-					t.Fatal("a request has a key before the level")
+					t.Fatal("a drain request was stored under a key below level DrainKeys")
 				}
 				cluster.Advance(100 * time.Millisecond)
 			}
-			cluster.disturbDrainMigration(how)
+			cluster.disturbDrainMigration(fault)
 			cluster.waitFor("migrated", 2*time.Minute, cluster.migrated)
 			if n := len(cluster.drainDocument().Machines); n > 0 {
-				t.Errorf("%d requests are in the document", n)
+				t.Errorf("%d requests left in the document after the migration, want 0", n)
 			}
-			cluster.checkMigratedDrains(old)
-			cluster.Advance(25 * time.Second) // answers come in time again
-			if s := cluster.drainMachine("undrain", "i-old-07"); s != 200 ||
+			cluster.checkMigratedDrains(stored)
+			cluster.Advance(25 * time.Second) // until the injected faults have ended
+			if status := cluster.drainMachine("undrain", "i-old-07"); status != 200 ||
 				cluster.StoredItem(drain.MachineKey("i-old-07")).Version != 0 {
-				t.Errorf("status %d, and the request still stands", s)
+				t.Errorf("undrain of a migrated request: status %d, want 200 and its key deleted", status)
 			}
-			if s := cluster.drainMachine("drain", names[1]); s != 200 && s != 404 { // it may have been given back
-				t.Errorf("status %d", s)
+			if status := cluster.drainMachine("drain", names[1]); status != 200 && status != 404 { // the machine may have been released
+				t.Errorf("drain after the migration: status %d, want 200 or 404", status)
 			}
-			cluster.waitFor("swept", 3*time.Minute, func() bool {
+			cluster.waitFor("free of requests for unknown machines", 3*time.Minute, func() bool {
 				for key := range cluster.StoredItems(drain.MachinePrefix) {
 					if !strings.Contains(key, "i-old-") {
 						return false
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -18,12 +18,12 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// shortTimers are workers under which cancel_s leaves little more than the rule's inequality needs: what outlives
-// it is seen.
+// shortTimers are worker settings whose cancel_s is only little above the minimum that the settings accept, so that
+// tests notice tasks that outlive it.
 var shortTimers = config.Workers{HeartbeatIntervalS: 0.5, LeaseS: 6, GangWaitS: 10, GangPeerS: 2, CancelS: 11.5}
 
-// faultRun is one run of the search: faults of a script that overlap, over jobs that are submitted, cancelled and
-// asked about throughout. The same values give the same run.
+// faultRun is one run of the search for faults that break a rule: overlapping faults of a script, while jobs are
+// submitted, cancelled and queried. Equal values give identical runs.
 type faultRun struct {
 	seed   uint64
 	jobs   int
@@ -34,10 +34,10 @@
 	return fmt.Sprintf("HAREWALK_MEETING='%d|%d|%s'", m.seed, m.jobs, strings.Join(m.script, "|"))
 }
 
-// errNoFaultRun is returned for a text that describes no run of faults.
-var errNoFaultRun = errors.New("no run of faults")
+// errNoFaultRun is returned by parseFaultRun for a text without a seed and a number of jobs.
+var errNoFaultRun = errors.New("not a fault run of the form SEED|JOBS|FAULT|FAULT")
 
-// parseFaultRun reads what String wrote.
+// parseFaultRun parses the text between the quotes of faultRun.String.
 func parseFaultRun(s string) (m faultRun, err error) {
 	fs := strings.Split(s, "|")
 	if len(fs) < 2 {
@@ -50,21 +50,20 @@
 	return m, err
 }
 
-// drawFaultRun draws two faults that overlap: the second begins before, at or after the first's beginning or end,
-// by about a controller's or worker's lease, cancel_s or a step of a failover, and lasts about as long as one of
-// them.
+// drawFaultRun draws a run of two faults. The second begins before, at or after the beginning or end of the first.
+// The offset and both durations are about a controller's or worker's lease, cancel_s or a step of a failover.
 func drawFaultRun(a, b string, seed uint64) faultRun {
 	rng := rand.New(rand.NewPCG(seed, uint64(len(a))<<8|uint64(len(b))))
-	scale := []float64{0.1, 0.5, 2, 2.5, shortTimers.LeaseS, shortTimers.CancelS, shortTimers.CancelS * 1.25}
+	scales := []float64{0.1, 0.5, 2, 2.5, shortTimers.LeaseS, shortTimers.CancelS, shortTimers.CancelS * 1.25}
 	draw := func() time.Duration {
-		return jobs.Seconds(scale[rng.IntN(len(scale))] * (0.8 + 0.4*rng.Float64())).Truncate(time.Millisecond)
+		return jobs.Seconds(scales[rng.IntN(len(scales))] * (0.8 + 0.4*rng.Float64())).Truncate(time.Millisecond)
 	}
-	line := func(at time.Duration, word string, duration time.Duration) string {
-		if word == "flap-zone" {
-			duration /= 2 * flapCount // it lasts that many times as long as its argument
+	line := func(at time.Duration, fault string, duration time.Duration) string {
+		if fault == "flap-zone" {
+			duration /= 2 * flapCount // flap-zone lasts 2*flapCount times as long as its argument
 		}
-		s := at.String() + " " + word
-		for _, arg := range faultKinds[word].args {
+		s := at.String() + " " + fault
+		for _, arg := range faultKinds[fault].args {
 			switch arg {
 			case 'n':
 				s += " " + strconv.Itoa(rng.IntN(3))
@@ -78,13 +77,13 @@
 		}
 		return s
 	}
-	first, long := 12*time.Second, draw()
-	second := first + []time.Duration{0, long}[rng.IntN(2)] + time.Duration(rng.IntN(3)-1)*draw()
-	return faultRun{seed, 40, []string{line(first, a, long), line(max(4*time.Second, second), b, draw())}}
+	first, firstDuration := 12*time.Second, draw()
+	second := first + []time.Duration{0, firstDuration}[rng.IntN(2)] + time.Duration(rng.IntN(3)-1)*draw()
+	return faultRun{seed, 40, []string{line(first, a, firstDuration), line(max(4*time.Second, second), b, draw())}}
 }
 
-// play plays a run. It returns the rules that were broken, and how long a cancelled task stayed at most.
-func (m faultRun) play() (wrong []string, longest time.Duration) {
+// play plays a run. It returns the failures, and the longest time that a task ran after its job's cancellation.
+func (m faultRun) play() (failures []string, longest time.Duration) {
 	cfg := shortTimersConfig(m.seed, 10)
 	cfg.LicencePools = map[string]int{"transcribe": 12}
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
@@ -100,24 +99,24 @@
 	pollers := sim.Balance().JobPollers()
 	users := m.scheduleUsers(sim, pollers)
 	sim.watchActingLeaders()
-	// The last fault has ended by then.
+	// All faults have ended by faultsEnd.
 	faultsEnd := 12*time.Second + 4*jobs.Seconds(shortTimers.CancelS*1.5)
 	sim.Advance(faultsEnd)
 	sim.startControllers()
 	sim.advanceUntilOver(users, 3*time.Minute, 2*time.Second)
-	wrong = append(sim.Violations(), openJobs(users)...)
+	failures = append(sim.Violations(), unfinishedJobs(users)...)
 	for _, n := range sim.nodeNames() {
 		if sim.StoredItem("h/c/n/"+n).Version == 0 {
-			wrong = append(wrong, n+" is there and has no member key")
+			failures = append(failures, n+" runs without a member key")
 		}
 	}
 	if gap, job := pollers.LongestUnanswered(faultsEnd, sim.Now()); gap >= 75*time.Second {
-		wrong = append(wrong, fmt.Sprintf("no query of %s was answered for %v", job, gap))
+		failures = append(failures, fmt.Sprintf("queries of %s unanswered for %v, want less than 75s", job, gap))
 	}
-	return wrong, sim.Stats().LongestRunAfterCancel
+	return failures, sim.Stats().LongestRunAfterCancel
 }
 
-// scheduleUsers draws the run's jobs and the times at which they are submitted and some cancelled. Each is polled
+// scheduleUsers draws the run's jobs and the times of their submissions and of some cancellations. Each job is polled
 // from its acceptance on.
 func (m faultRun) scheduleUsers(sim *Simulation, pollers *JobPollers) []*testUser {
 	rng := rand.New(rand.NewPCG(m.seed, 51))
@@ -147,18 +146,18 @@
 	u.simulation.After(time.Second, func() { u.pollOnceAccepted(pollers) })
 }
 
-// openJobs describes the jobs that have no final state yet.
-func openJobs(users []*testUser) []string {
-	var open []string
+// unfinishedJobs describes the jobs that have no final state yet.
+func unfinishedJobs(users []*testUser) []string {
+	var unfinished []string
 	for _, user := range users {
 		if len(user.finalStates) == 0 {
-			open = append(open, fmt.Sprintf("%s is not over (status %d)", user.spec.ID, user.status))
+			unfinished = append(unfinished, fmt.Sprintf("%s has no final state (last status of its submission: %d)", user.spec.ID, user.status))
 		}
 	}
-	return open
+	return unfinished
 }
 
-// shorten finds a smaller run that fails as well: with one fault, with fewer jobs.
+// shorten returns a smaller run that also fails, with fewer faults or jobs, or the run itself if there is none.
 func (m faultRun) shorten() faultRun {
 	fails := func(n faultRun) bool { wrong, _ := n.play(); return len(wrong) > 0 }
 	for i := range m.script {
@@ -174,8 +173,8 @@
 	return m
 }
 
-// selectFaultRuns returns the runs of all pairs of the scripts' faults, or of a fixed share of them. HAREWALK_PAIRS
-// sets the number of seeds for each of all pairs, HAREWALK_PAIRS_FROM the first seed.
+// selectFaultRuns returns one run for a fixed twelfth of the pairs of the scripts' faults. If HAREWALK_PAIRS is set, it
+// returns runs of all pairs, with that number of seeds each. HAREWALK_PAIRS_FROM sets the first seed.
 func selectFaultRuns() []faultRun {
 	seeds, share, first := 1, 12, 0
 	if s := os.Getenv("HAREWALK_PAIRS"); s != "" {
@@ -185,14 +184,14 @@
 	if s := os.Getenv("HAREWALK_PAIRS_FROM"); s != "" {
 		first, _ = strconv.Atoi(s)
 	}
-	words := slices.Sorted(maps.Keys(faultKinds))
+	faultNames := slices.Sorted(maps.Keys(faultKinds))
 	var runs []faultRun
-	n := 0
-	for i, a := range words {
-		for _, b := range words[i:] {
-			for k := range seeds {
-				if n++; n%share == 0 {
-					runs = append(runs, drawFaultRun(a, b, uint64(1000*n+first+k)))
+	pair := 0
+	for i, a := range faultNames {
+		for _, b := range faultNames[i:] {
+			for seed := range seeds {
+				if pair++; pair%share == 0 {
+					runs = append(runs, drawFaultRun(a, b, uint64(1000*pair+first+seed)))
 				}
 			}
 		}
@@ -200,35 +199,35 @@
 	return runs
 }
 
-// maxShortenedRuns bounds how many failing runs are shortened, which takes many runs each.
+// maxShortenedRuns limits how many failing runs are shortened, because shortening one takes many further runs.
 const maxShortenedRuns = 3
 
-// faultRunResults collects the results of runs that are played at the same time.
+// faultRunResults collects the results of runs that are played concurrently.
 type faultRunResults struct {
 	t       *testing.T
 	mu      sync.Mutex
-	longest time.Duration // a cancelled task stayed at most
-	failed  int
+	longest time.Duration // longest time that a task ran after its job's cancellation
+	failed  int           // number of failed runs
 }
 
-// play plays a run, reports what went wrong in it, and shortens it if it is one of the first to fail.
+// play plays a run, reports its failures, and shortens the run if it is one of the first maxShortenedRuns that fail.
 func (r *faultRunResults) play(run faultRun) {
-	wrong, stayed := run.play()
-	if r.add(run, wrong, stayed) {
+	failures, ranFor := run.play()
+	if r.add(run, failures, ranFor) {
 		r.t.Logf("%v, shortened: %v", run, run.shorten())
 	}
 }
 
-// add counts a run's result and returns true if the run should be shortened.
-func (r *faultRunResults) add(run faultRun, wrong []string, stayed time.Duration) bool {
+// add records a run's result and reports whether the run should be shortened.
+func (r *faultRunResults) add(run faultRun, failures []string, ranFor time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.longest = max(r.longest, stayed)
-	if len(wrong) == 0 {
+	r.longest = max(r.longest, ranFor)
+	if len(failures) == 0 {
 		return false
 	}
 	r.failed++
-	r.t.Errorf("%v: %s", run, strings.Join(wrong[:min(3, len(wrong))], "; "))
+	r.t.Errorf("%v: %s", run, strings.Join(failures[:min(3, len(failures))], "; "))
 	return r.failed <= maxShortenedRuns
 }
 
@@ -239,16 +238,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrong, longest := run.play()
-	t.Logf("%v: cancelled tasks stayed %v at most", run, longest)
-	for _, w := range wrong {
-		t.Error(w)
+	failures, longest := run.play()
+	t.Logf("%v: longest run after a cancellation %v", run, longest)
+	for _, failure := range failures {
+		t.Error(failure)
 	}
 }
 
-// TestPairsOfFaults runs every pair of the scripts' faults at overlapping times: no rule breaks, every job ends,
-// and no job's queries stay unanswered afterwards. HAREWALK_PAIRS=20 runs all pairs with 20 seeds each; otherwise a
-// fixed share of the pairs runs. A failing run is shortened, and HAREWALK_MEETING repeats it.
+// TestPairsOfFaults runs pairs of the scripts' faults at overlapping times. No rule may break, every job must end, and
+// no job's queries may stay unanswered afterwards. A fixed share of the pairs runs; HAREWALK_PAIRS=20 runs all pairs
+// with 20 seeds each. A failing run is shortened. HAREWALK_MEETING, set as the failure prints it, repeats a run.
 func TestPairsOfFaults(t *testing.T) {
 	if description := os.Getenv("HAREWALK_MEETING"); description != "" {
 		repeatFaultRun(t, description)
@@ -256,22 +255,22 @@
 	}
 	runs := selectFaultRuns()
 	results := &faultRunResults{t: t}
-	work := make(chan faultRun)
+	queue := make(chan faultRun)
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			for run := range work {
+			for run := range queue {
 				results.play(run)
 			}
 		})
 	}
 	for _, run := range runs {
-		work <- run
+		queue <- run
 	}
-	close(work)
+	close(queue)
 	workers.Wait()
 	t.Logf(
-		"%d runs of %d faults, %d failed; cancelled tasks stayed %v at most, of %v",
+		"%d runs of pairs of %d faults, %d failed; longest run after a cancellation %v, of %v allowed",
 		len(runs),
 		len(faultKinds),
 		results.failed,
@@ -279,6 +278,6 @@
 		jobs.Seconds(shortTimers.CancelS),
 	)
 	if len(runs) < 40 || results.longest == 0 {
-		t.Error("hardly anything overlapped")
+		t.Error("want at least 40 runs and a task that ran after its cancellation (counts above)")
 	}
 }
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -38,10 +38,10 @@
 // zoneNames returns the zones of most tests' clouds.
 func zoneNames() []string { return []string{"a", "b", "c"} }
 
-// wholeZone stands for all machines, or all of a zone, where a number of machines is asked for.
+// wholeZone is a number of machines above any zone's and cloud's. As an argument it selects all machines.
 const wholeZone = 99
 
-// reportViolations reports every rule of the protocol that a simulation has seen broken.
+// reportViolations reports every violation of the protocol's rules that a simulation has recorded as a test error.
 func reportViolations(t *testing.T, sim *Simulation) {
 	t.Helper()
 	for _, violation := range sim.Violations() {
@@ -56,12 +56,12 @@
 	}
 }
 
-// newUser returns a user of a job, whom the checks at the end of a test don't include.
+// newUser returns a user of a job. The checks at the end of a test don't include this user.
 func (r *testCluster) newUser(spec *jobs.Spec) *testUser {
 	return &testUser{simulation: r.Simulation, rng: r.rng, spec: spec}
 }
 
-// submit submits a job, and lets the checks at the end of a test include its user.
+// submit submits a job and returns its user, which the checks at the end of a test include.
 func (r *testCluster) submit(spec *jobs.Spec) *testUser {
 	user := r.newUser(spec)
 	r.users = append(r.users, user)
@@ -69,33 +69,34 @@
 	return user
 }
 
-// waitForLoad waits until the machines of a wide cluster have work.
+// waitForLoad waits until more than 60 tasks run on a wide cluster.
 func (r *testCluster) waitForLoad() {
 	r.t.Helper()
-	r.waitFor("working", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
+	r.waitFor("running more than 60 tasks", 60*time.Second, func() bool { return r.Utilization().Running > 60 })
 }
 
-// waitForOtherLeader waits until a controller leads that isn't the former leader.
+// waitForOtherLeader waits until another controller than the former leader leads.
 func (r *testCluster) waitForOtherLeader(limit time.Duration, former int) {
 	r.t.Helper()
-	r.waitFor("led from elsewhere", limit, func() bool {
+	r.waitFor("led by another controller", limit, func() bool {
 		leader, _ := r.Leader()
 		return leader >= 0 && leader != former
 	})
 }
 
-// checkAnswered checks that since a time no job's queries stayed unanswered for longer than a limit.
+// checkAnswered checks that no job's queries have been unanswered for longer than a limit since a time.
 func (r *testCluster) checkAnswered(pollers *JobPollers, since, limit time.Duration) {
 	r.t.Helper()
 	if gap, job := pollers.LongestUnanswered(since, r.Now()); gap > limit {
-		r.t.Errorf("no query of %s was answered for %v", job, gap)
+		r.t.Errorf("queries of %s unanswered for %v, which exceeds the limit", job, gap)
 	}
 }
 
-// teamInTurn returns one of the two teams of most tests, in turn.
+// teamInTurn returns the teams red and blue of most tests in turn.
 func teamInTurn(i int) string { return []string{"red", "blue"}[i%2] }
 
-// arraySpec returns an array of one small task that may run on spot machines. Tests set what matters to them.
+// arraySpec returns an array of one small task that may run on spot machines. Tests change the fields that matter to
+// them.
 func arraySpec(id, class, team string) *jobs.Spec {
 	return &jobs.Spec{
 		ID:       id,
@@ -112,14 +113,14 @@
 	}
 }
 
-// smallStateLimits returns the limits of a state service that takes few and small writes, so that they are queued and
-// split.
+// smallStateLimits returns the limits of a state service that accepts only few and small writes, so that controllers
+// have to queue and split theirs.
 func smallStateLimits() config.State {
 	return config.State{RPS: 400, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
 }
 
 // shortTimersConfig returns the configuration of three controllers whose workers' leases are short, with two teams
-// without limits. Tests change what matters to them.
+// without limits. Tests change the fields that matter to them.
 func shortTimersConfig(seed uint64, maxMachines int) Config {
 	return Config{
 		Seed:           seed,
@@ -135,8 +136,8 @@
 	}
 }
 
-// startCluster starts a simulation and checks its invariants from then on. Its users draw from a random source of
-// their own, of the simulation's seed and a stream.
+// startCluster starts a simulation and checks its invariants continuously. Its users draw from a random source of
+// their own, seeded with the simulation's seed and a stream number.
 func startCluster(t *testing.T, stream uint64, cfg Config, configure func(*config.Settings) error) *testCluster {
 	t.Helper()
 	sim, err := NewVirtualTime(cfg, configure)
@@ -148,20 +149,20 @@
 	return cluster
 }
 
-// cancelEach cancels the jobs of users one after the other, from a time on, each through the controller that via
-// returns for its place in the order.
+// cancelEach cancels the jobs of users one after the other, the first after a delay. Job k is cancelled through
+// controller via(k).
 func (r *testCluster) cancelEach(users []*testUser, first, interval time.Duration, via func(k int) int) {
 	for k, user := range users {
 		r.After(first+time.Duration(k)*interval, func() { r.cancelAt(user, via(k)) })
 	}
 }
 
-// inTurn returns a choice of all controllers in turn, for cancelEach.
+// inTurn returns a function for cancelEach that selects all controllers in turn.
 func (r *testCluster) inTurn(first int) func(k int) int {
 	return func(k int) int { return (first + k) % r.Controllers() }
 }
 
-// forOthers calls do for every controller but one, in their order.
+// forOthers calls do for every controller except one, in their order.
 func (r *testCluster) forOthers(except int, do func(controller int)) {
 	for i := range r.Controllers() {
 		if i != except {
@@ -170,7 +171,7 @@
 	}
 }
 
-// othersInTurn returns a choice of the two controllers after one, in turn, for cancelEach.
+// othersInTurn returns a function for cancelEach that selects the two controllers after a given one in turn.
 func (r *testCluster) othersInTurn(except int) func(k int) int {
 	return func(k int) int { return (except + 1 + k%2) % r.Controllers() }
 }
--- a/internal/simulator/idle_capacity_test.go
+++ b/internal/simulator/idle_capacity_test.go
@@ -8,13 +8,13 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// idleLoad submits jobs of one kind to a cluster whose capacity something keeps free.
+// idleLoad submits jobs of one kind to a cluster in which part of the capacity is kept free.
 type idleLoad struct {
 	cluster *testCluster
 	kind    jobs.Kind
 }
 
-// submit submits a job that fits almost everywhere, after a change.
+// submit submits a job that fits on almost every machine, with a change to its spec.
 func (l *idleLoad) submit(n int, change func(spec *jobs.Spec)) {
 	spec := arraySpec(fmt.Sprintf("req-2%05d", n), "small", teamInTurn(n))
 	spec.Kind = l.kind
@@ -24,7 +24,7 @@
 	l.cluster.newUser(spec).submit()
 }
 
-// submitEvery submits a number of jobs, one each interval.
+// submitEvery submits count jobs, one per interval, numbered from first on.
 func (l *idleLoad) submitEvery(interval time.Duration, count, first int, change func(k int, spec *jobs.Spec)) {
 	for k := range count {
 		l.cluster.After(time.Duration(k)*interval, func() {
@@ -33,7 +33,7 @@
 	}
 }
 
-// submitGangThatNeverFits submits a gang that needs more machines of one zone than there will ever be.
+// submitGangThatNeverFits submits a gang that needs more machines of one zone than the cloud can provide.
 func (l *idleLoad) submitGangThatNeverFits() {
 	l.submit(1, func(spec *jobs.Spec) {
 		spec.Kind = jobs.Gang
@@ -45,7 +45,7 @@
 	})
 }
 
-// submitLargeGangs submits large gangs, one after the other, that begin whenever enough is free.
+// submitLargeGangs submits large gangs, one after the other, which start when enough machines are free.
 func (l *idleLoad) submitLargeGangs() {
 	l.submitEvery(40*time.Second, 8, 10, func(_ int, spec *jobs.Spec) {
 		spec.Kind = jobs.Gang
@@ -57,7 +57,7 @@
 	})
 }
 
-// submitAcceleratorGangs submits work for accelerators that can't begin: its type has none left in its only zone.
+// submitAcceleratorGangs submits gangs that can't start, because one zone hasn't enough accelerators of their type.
 func (l *idleLoad) submitAcceleratorGangs() {
 	for k := range 6 {
 		l.submit(20+k, func(spec *jobs.Spec) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// submitJobsForOnDemandMachines submits jobs that may not run on spot machines, which the others put off, with
-// estimates that are far too low.
+// submitJobsForOnDemandMachines submits jobs that may not run on spot machines and delay the other jobs. Many
+// run longer than their short estimates, up to twice as long.
 func (l *idleLoad) submitJobsForOnDemandMachines() {
 	l.submitEvery(8*time.Second, 60, 40, func(_ int, spec *jobs.Spec) {
 		spec.Spot = false
@@ -82,8 +82,8 @@
 	})
 }
 
-// submitJobsWithLargeImages submits jobs whose large images not every machine has: for a while a busy machine that
-// has it is the better choice.
+// submitJobsWithLargeImages submits jobs with large images that only some machines have. For a while, waiting for a
+// busy machine that has the image is better than using an idle one.
 func (l *idleLoad) submitJobsWithLargeImages() {
 	l.submitEvery(4*time.Second, 100, 400, func(k int, spec *jobs.Spec) {
 		spec.Image = fmt.Sprint("big", k%4)
@@ -94,31 +94,31 @@
 	})
 }
 
-// flapZone cuts a zone off and restores it, again and again.
+// flapZone partitions a zone and reconnects it, repeatedly.
 func (l *idleLoad) flapZone() { l.cluster.flapZone("b", 9*time.Second) }
 
-// TestNoCapacityIdleBesideWork checks that whatever keeps capacity free, each alone, does so for less than 90 s
-// beside work that fits: gangs that can't start yet, or never, accelerators reserved for others, on-demand machines,
-// large images, a zone that came back. The watch of idle capacity reports what lasts longer.
+// TestNoCapacityIdleBesideWork checks that capacity stays idle for less than 90 s while jobs that fit are waiting. Each
+// case has one reason to keep capacity free: gangs that can't start yet or ever, reserved accelerators, on-demand
+// machines, large images, or a zone that reconnects. WatchIdleCapacity reports violations.
 func TestNoCapacityIdleBesideWork(t *testing.T) {
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		machines int
 		begin    func(*idleLoad)
 	}{
-		"never in one zone":   {15, (*idleLoad).submitGangThatNeverFits},
-		"one after the other": {12, (*idleLoad).submitLargeGangs},
-		"accelerators":        {12, (*idleLoad).submitAcceleratorGangs},
-		"ordinary ones":       {12, (*idleLoad).submitJobsForOnDemandMachines},
-		"images":              {12, (*idleLoad).submitJobsWithLargeImages},
-		"a zone flaps":        {12, (*idleLoad).flapZone},
+		"gang that never fits": {15, (*idleLoad).submitGangThatNeverFits},
+		"large gangs":          {12, (*idleLoad).submitLargeGangs},
+		"accelerator gangs":    {12, (*idleLoad).submitAcceleratorGangs},
+		"on-demand jobs":       {12, (*idleLoad).submitJobsForOnDemandMachines},
+		"large images":         {12, (*idleLoad).submitJobsWithLargeImages},
+		"flapping zone":        {12, (*idleLoad).flapZone},
 	} {
 		for _, kind := range []jobs.Kind{jobs.Array, jobs.Gang} {
-			t.Run(fmt.Sprint(what, " ", kind), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " ", kind), func(t *testing.T) {
 				t.Parallel()
 				cluster := startCluster(t, 43, shortTimersConfig(341, c.machines), nil)
 				load := &idleLoad{cluster: cluster, kind: kind}
 				cluster.Advance(5 * time.Second)
-				// About as much as there is room for.
+				// This load is about as large as the capacity.
 				load.submitEvery(2*time.Second, 260, 1000, func(int, *jobs.Spec) {})
 				cluster.Advance(20 * time.Second)
 				c.begin(load)
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -13,16 +13,16 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// footprint is what controllers keep in memory and read at a start.
+// footprint measures what controllers keep in memory and read when they start.
 type footprint struct {
-	jobs     int // accepted so far
-	records  int // that every controller follows
-	known    int // jobs in the memory of the controller that knows most
-	requests int // to the state service, until a controller that starts can serve
-	heap     [3]float64
+	jobs         int        // jobs accepted so far
+	keys         int        // stored keys under the prefix that every controller watches
+	jobsInMemory int        // jobs in a controller's memory, the maximum over all controllers
+	requests     int        // requests to the state service around a controller's start, the maximum over all controllers
+	heap         [3]float64 // heap that each controller uses, in MB
 }
 
-// heapMB is what is in use after everything that can be given back was.
+// heapMB returns the heap in use after garbage collection, in MB.
 func heapMB() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -31,16 +31,16 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// manyJobs is a cluster that is given a great number of small jobs while it fails again and again.
+// manyJobs is a cluster that receives a large number of small jobs while faults are injected.
 type manyJobs struct {
 	*Simulation
 	t        *testing.T
 	rng      *rand.Rand
-	accepted []string
-	open     int
+	accepted []string // ids of the accepted jobs
+	pending  int      // number of submitted jobs that are not accepted yet
 }
 
-// submit hands a job in until it is accepted.
+// submit submits a job, again every second until it is accepted.
 func (m *manyJobs) submit(n int) {
 	spec := arraySpec(fmt.Sprintf("req-%07d", n), "c", teamInTurn(n))
 	spec.Tasks = 1 + n%2
@@ -48,13 +48,13 @@
 	spec.EstimateS = 0.5 + m.rng.Float64()
 	m.AddJob(spec)
 	body, _ := json.Marshal(spec)
-	m.open++
+	m.pending++
 	var again func()
 	again = func() {
 		m.Request(m.rng.IntN(3), "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status == 200 || status == 201 {
 				m.accepted = append(m.accepted, spec.ID)
-				m.open--
+				m.pending--
 				return
 			}
 			m.After(time.Second, again)
@@ -63,7 +63,7 @@
 	again()
 }
 
-// injectFaults injects a fault, and ends it.
+// injectFaults injects a random fault, which ends by itself.
 func (m *manyJobs) injectFaults() {
 	i := m.rng.IntN(3)
 	switch m.rng.IntN(6) {
@@ -85,47 +85,48 @@
 	}
 }
 
-// endFaults ends all faults and waits until all jobs that are done are archived.
+// endFaults starts all controllers, and waits until all jobs are accepted and archived, ten minutes at most.
 func (m *manyJobs) endFaults() {
 	m.startControllers()
-	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.open > 0 || m.CountKeys(jobs.Prefix) > 0); {
+	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.pending > 0 || m.CountKeys(jobs.Prefix) > 0); {
 		m.Advance(time.Second)
 	}
 	m.Advance(10 * time.Second)
 }
 
-// measure measures what controllers keep in memory and what a start takes: each is killed and started again in turn.
+// measure measures what controllers keep in memory and how many requests a start takes. It kills and restarts each
+// controller in turn.
 func (m *manyJobs) measure() footprint {
-	h := footprint{jobs: len(m.accepted), records: m.CountKeys("h/")}
+	measured := footprint{jobs: len(m.accepted), keys: m.CountKeys("h/")}
 	for i, controller := range m.virtual.controllers {
 		if controller.process == nil {
-			m.t.Fatalf("controller %d doesn't run", i)
+			m.t.Fatalf("controller %d doesn't run, want all running", i)
 		}
-		h.known = max(h.known, controller.process.JobsInMemory())
+		measured.jobsInMemory = max(measured.jobsInMemory, controller.process.JobsInMemory())
 	}
 	for i := range m.virtual.controllers {
-		before := heapMB()
+		heapBefore := heapMB()
 		m.KillController(i)
-		m.Advance(eventsOfEnded)
-		h.heap[i] = before - heapMB()
-		m.Advance(8 * time.Second) // its lease expires, another leads
-		asked := m.Stats().StateRequests
+		m.Advance(endedControllerTTL)
+		measured.heap[i] = heapBefore - heapMB()
+		m.Advance(8 * time.Second) // its lease expires, and another controller leads
+		requestsBefore := m.Stats().StateRequests
 		m.StartController(i)
 		m.Advance(5 * time.Second)
-		h.requests = max(h.requests, m.Stats().StateRequests-asked)
+		measured.requests = max(measured.requests, m.Stats().StateRequests-requestsBefore)
 	}
-	return h
+	return measured
 }
 
-// eventsOfEnded is how long events that were planned for an ended controller are kept; they keep it in memory.
-const eventsOfEnded = 2 * time.Minute
+// endedControllerTTL is how long scheduled events of an ended controller remain, which keep the controller in memory.
+const endedControllerTTL = 2 * time.Minute
 
-// TestManyJobs lets a great many jobs be accepted, run, end and be archived while controllers, the state service
-// and watches fail throughout: what controllers keep, watch and read at their start is the same after a tenth of
-// the jobs as after all, and every accepted job has its answer at every controller in the end. HAREWALK_LONG runs
-// 220,000 jobs, a day at the planned size, and compares the heap of each controller too.
+// TestManyJobs submits a large number of jobs, which run, end and are archived while controllers, the state service and
+// watches fail. The numbers of jobs in controllers' memory, of watched keys and of requests at a start must not grow
+// between a tenth of the jobs and all, and every controller must answer for every job in the end. HAREWALK_LONG runs
+// 220,000 jobs, a day at the planned size, and also compares each controller's heap.
 func TestManyJobs(t *testing.T) {
-	n, checked := 3000, 1
+	n, checkStep := 3000, 1
 	if os.Getenv("HAREWALK_LONG") != "" {
 		n = 220_000
 	}
@@ -144,52 +145,52 @@
 	}
 	m := &manyJobs{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(411, 47))}
 	m.Advance(10 * time.Second)
-	var seen []footprint
-	const every = 25 * time.Millisecond
+	var footprints []footprint
+	const interval = 25 * time.Millisecond
 	for i := range n {
 		m.submit(i)
-		m.Advance(every)
+		m.Advance(interval)
 		if i%1200 == 600 {
 			m.injectFaults()
 		}
 		if i == n/10 || i == n-1 {
 			m.endFaults()
-			h := m.measure()
+			measured := m.measure()
 			t.Logf(
-				"after %d jobs: %d keys followed, %d jobs in memory, %d requests around a start, controllers use %.2f MB",
-				h.jobs,
-				h.records,
-				h.known,
-				h.requests,
-				h.heap,
+				"after %d jobs: %d keys watched, %d jobs in memory, %d requests around a start, controllers use %.2f MB of heap",
+				measured.jobs,
+				measured.keys,
+				measured.jobsInMemory,
+				measured.requests,
+				measured.heap,
 			)
-			seen = append(seen, h)
+			footprints = append(footprints, measured)
 		}
 	}
-	few, all := seen[0], seen[1]
-	if all.jobs != n || all.records > few.records+2 || all.known > few.known+2 ||
-		float64(all.requests) > 1.1*float64(few.requests)+20 {
-		t.Errorf("what is kept grows with the number of jobs: %+v, %+v", few, all)
+	first, last := footprints[0], footprints[1]
+	if last.jobs != n || last.keys > first.keys+2 || last.jobsInMemory > first.jobsInMemory+2 ||
+		float64(last.requests) > 1.1*float64(first.requests)+20 {
+		t.Errorf("footprint grows with the number of jobs: first %+v, last %+v", first, last)
 	}
 	if n > 100_000 {
-		for i := range all.heap {
-			if all.heap[i] > 1.1*few.heap[i]+0.5 {
+		for i := range last.heap {
+			if last.heap[i] > 1.1*first.heap[i]+0.5 {
 				t.Errorf(
-					"controller %d uses %.2f MB after %d jobs, %.2f after %d",
+					"controller %d: heap %.2f MB after %d jobs, want about the %.2f MB after %d jobs",
 					i,
-					all.heap[i],
-					all.jobs,
-					few.heap[i],
-					few.jobs,
+					last.heap[i],
+					last.jobs,
+					first.heap[i],
+					first.jobs,
 				)
 			}
 		}
 	}
-	m.checkAnswersEverywhere(checked)
+	m.checkAnswersEverywhere(checkStep)
 	reportViolations(t, m.Simulation)
 	s := m.Stats()
 	t.Logf(
-		"%d jobs over %v simulated, %d starts; %d controllers killed, %d frozen, %d drained",
+		"%d jobs in %v of simulated time, %d task starts; %d controllers killed, %d frozen, %d drained",
 		n,
 		m.Now(),
 		s.TaskStarts,
@@ -199,39 +200,39 @@
 	)
 }
 
-// checkAnswersEverywhere asks every controller about every step-th job: each has one answer, done.
+// checkAnswersEverywhere queries every controller about every step-th job. Each answer must be that the job is done.
 func (m *manyJobs) checkAnswersEverywhere(step int) {
 	m.t.Helper()
-	right, wrong := 0, 0
+	correct, wrong := 0, 0
 	for i := range m.virtual.controllers {
 		for k := 0; k < len(m.accepted); k += step {
 			id, tries := m.accepted[k], 0
-			var ask func()
-			ask = func() {
+			var query func()
+			query = func() {
 				m.Request(i, "GET", "/v2/runs/"+id, nil, func(status int, raw []byte) {
 					switch {
 					case status == 200 && jobStateIn(raw) == "done":
-						right++
+						correct++
 					case status == 503 || status == 429 || status == 0:
 						if tries++; tries < 100 {
-							m.After(time.Second, ask)
+							m.After(time.Second, query)
 							return
 						}
 						fallthrough
 					default:
 						if wrong++; wrong < 10 {
-							m.t.Errorf("controller %d answers %d %s about %s", i, status, raw, id)
+							m.t.Errorf("controller %d: got %d %s for job %s, want 200 and state done", i, status, raw, id)
 						}
 					}
 				})
 			}
-			ask()
+			query()
 			m.Advance(2 * time.Millisecond)
 		}
 	}
 	m.Advance(2 * time.Minute)
-	if want := 3 * ((len(m.accepted) + step - 1) / step); right != want {
-		m.t.Errorf("%d right answers of %d", right, want)
+	if want := 3 * ((len(m.accepted) + step - 1) / step); correct != want {
+		m.t.Errorf("%d correct answers, want %d", correct, want)
 	}
-	m.t.Logf("%d right answers", right)
+	m.t.Logf("%d correct answers", correct)
 }
