--- a/internal/simulator/balancer.go
+++ b/internal/simulator/balancer.go
@@ -6,55 +6,55 @@
 	"time"
 )
 
-// The load balancer's protocol.
+// Parameters of the load balancer's protocol.
 const (
 	probeInterval  = time.Second
-	recentProbes   = 6 // those that count
-	maxFailedInRow = 2
-	maxFailed      = 3 // of the recent ones
-	minPassedInRow = 2 // before a controller comes back
+	recentProbes   = 6 // number of probes in the sliding window
+	maxFailedInRow = 2 // failed probes in a row that remove a controller
+	maxFailed      = 3 // failed probes in the sliding window that remove a controller
+	minPassedInRow = 2 // passed probes in a row before a removed controller returns
 
-	// A controller that was removed stays out for removalTime, doubled for each further removal within
-	// removalWindow, up to maxRemovalTime.
+	// A removed controller stays out for at least removalTime, doubled for each further removal within removalWindow,
+	// up to maxRemovalTime.
 	removalTime    = 3 * time.Second
 	maxRemovalTime = time.Minute
 	removalWindow  = 2 * time.Minute
 
-	maxRefusals     = 3 // connections in a row, before the controller is skipped
-	skipTime        = 3 * time.Second
+	maxRefusals     = 3               // refused connections in a row after which a controller is skipped
+	skipTime        = 3 * time.Second // time for which it is skipped
 	connectAttempts = 3
-	slowStart       = 10 * time.Second // until a controller that came back gets its full share of connections
-	minShare        = 0.1
-	closeRemoved    = 5 * time.Second // after its removal, a controller's connections are closed
+	slowStart       = 10 * time.Second // time until a new controller gets its full share of connections
+	minShare        = 0.1              // share of a controller at the beginning of slowStart
+	closeRemoved    = 5 * time.Second  // time after a controller's removal at which its connections are closed
 )
 
-// Balancer is the load balancer in front of the controllers in virtual time, by its protocol: health checks once a
-// second, removal times that double, connections that stay open.
+// Balancer simulates the load balancer in front of the controllers in virtual time, according to its protocol: health
+// checks once a second, removal times that double, and connections that stay open.
 type Balancer struct {
 	simulation *Simulation
 	backends   []*backend
 }
 
-// backend is one controller as the balancer sees it.
+// backend is the balancer's state of one controller.
 type backend struct {
 	healthy, everHealthy bool
-	stateSince           time.Duration // of being healthy or not
-	recentProbes         []bool        // whether they passed, the newest last
-	passed, failed       int           // probes in a row
-	removedAt            []time.Duration
-	connections          int
-	refusals             int // in a row
-	skippedUntil         time.Duration
+	stateSince           time.Duration   // time of the last change of healthy
+	recentProbes         []bool          // results of the recent probes since that change, newest last; true: passed
+	passed, failed       int             // number of passed or failed probes in a row
+	removedAt            []time.Duration // times of all removals
+	connections          int             // number of open connections
+	refusals             int             // number of refused connections in a row
+	skippedUntil         time.Duration   // end of the time for which the controller is skipped
 }
 
-// Connection is one user's connection; its zero value is none.
+// Connection is one user's connection to a controller; the zero value is a closed connection.
 type Connection struct {
 	controller int
 	open       bool
-	generation int // raised whenever it is closed
+	generation int // raised whenever the connection is closed
 }
 
-// Balance puts a load balancer in front of the controllers, and begins its health checks.
+// Balance returns a load balancer for the controllers, whose health checks have begun.
 func (sim *Simulation) Balance() *Balancer {
 	b := &Balancer{simulation: sim}
 	for range sim.cfg.Controllers {
@@ -64,7 +64,7 @@
 	return b
 }
 
-// probe checks every controller, and schedules the next check.
+// probe sends a health check to every controller, and schedules the next one.
 func (b *Balancer) probe() {
 	sim := b.simulation
 	for i := range b.backends {
@@ -75,22 +75,22 @@
 	sim.env.schedule(probeInterval, b.probe)
 }
 
-// minRemoval is how long a controller stays removed at least.
+// minRemoval returns the minimum time for which a removed controller stays out.
 func (n *backend) minRemoval(now time.Duration) time.Duration {
-	lately := 0
+	recentRemovals := 0
 	for _, at := range n.removedAt {
 		if now-at < removalWindow {
-			lately++
+			recentRemovals++
 		}
 	}
 	duration := removalTime
-	for range lately - 1 {
+	for range recentRemovals - 1 {
 		duration = min(2*duration, maxRemovalTime)
 	}
 	return duration
 }
 
-// recordProbe adds the result of a health check, and removes the controller or takes it back.
+// recordProbe records the result of a health check, and removes the controller or admits it again.
 func (n *backend) recordProbe(now time.Duration, passed bool) {
 	n.recentProbes = append(n.recentProbes, passed)
 	n.recentProbes = n.recentProbes[max(0, len(n.recentProbes)-recentProbes):]
@@ -131,17 +131,17 @@
 	return !n.everHealthy || n.passed >= minPassedInRow && now-n.stateSince >= n.minRemoval(now)
 }
 
-// load is a controller's connections, weighted up while it is new.
+// load returns a controller's number of connections including a new one, divided by its share during slowStart.
 func (n *backend) load(now time.Duration) float64 {
 	share := (now - n.stateSince).Seconds() / slowStart.Seconds()
 	return float64(n.connections+1) / min(1, max(minShare, share))
 }
 
-// Healthy reports whether a controller gets new connections.
+// Healthy reports whether the balancer considers a controller healthy, so that it gets new connections.
 func (b *Balancer) Healthy(i int) bool { return b.backends[i].healthy }
 
-// connect opens a connection to the healthy controller with the least load that accepts it. It returns false if none
-// does.
+// connect opens a connection to the least loaded healthy controller that accepts it. It returns false if the connection
+// attempts fail.
 func (b *Balancer) connect(connection *Connection) bool {
 	now := b.simulation.now()
 	var tried []int
@@ -168,7 +168,7 @@
 	return false
 }
 
-// leastLoaded returns the healthy controller with the least load that wasn't tried, -1 for none.
+// leastLoaded returns the least loaded controller that is healthy, not skipped and not in tried; -1 for none.
 func (b *Balancer) leastLoaded(now time.Duration, tried []int) int {
 	best := -1
 	for i, backend := range b.backends {
@@ -182,7 +182,7 @@
 	return best
 }
 
-// accepts reports whether a controller accepts connections at this moment.
+// accepts reports whether a controller accepts connections now.
 func (b *Balancer) accepts(now time.Duration, i int) bool {
 	env := b.simulation.virtual
 	c := env.controllers[i]
@@ -197,8 +197,9 @@
 	}
 }
 
-// Request sends a user's request over its connection, which is opened if it isn't; status 0 stands for no answer. A
-// refusal closes the connection, and so does the removal of its controller after a while.
+// Request sends a user's request over a connection, which is opened first if it is closed; status 0 stands for no
+// answer. A refused request closes the connection. A connection is also closed if its controller was removed more than
+// closeRemoved ago.
 func (b *Balancer) Request(
 	connection *Connection,
 	method, path string,
@@ -232,7 +233,7 @@
 	jobPollTimeout  = 2 * time.Second
 )
 
-// JobPollers query jobs as their users do, through the balancer, and record when each job's query was answered.
+// JobPollers polls jobs through the balancer as their users do, and records the times of the answers for each job.
 type JobPollers struct {
 	balancer *Balancer
 	jobs     map[string]*polledJob
@@ -240,16 +241,16 @@
 
 type polledJob struct {
 	connection Connection
-	answered   []time.Duration
+	answered   []time.Duration // times of the answers with status 200
 	onAnswer   func(status int, state string)
 }
 
-// JobPollers returns pollers of no jobs yet.
+// JobPollers returns pollers without jobs.
 func (b *Balancer) JobPollers() *JobPollers {
 	return &JobPollers{balancer: b, jobs: map[string]*polledJob{}}
 }
 
-// Follow polls an accepted job from now on; onAnswer, unless it is nil, gets every answer.
+// Follow polls an accepted job from now on and, unless onAnswer is nil, calls onAnswer with every answer.
 func (p *JobPollers) Follow(job string, onAnswer func(status int, state string)) {
 	polled := &polledJob{onAnswer: onAnswer}
 	p.jobs[job] = polled
@@ -270,17 +271,17 @@
 	sim.env.schedule(jobPollInterval, func() { p.poll(job, polled) })
 }
 
-// LongestUnanswered returns the longest time between two moments in which no query of some job was answered, and
-// the job.
-func (p *JobPollers) LongestUnanswered(from, to time.Duration) (gap time.Duration, job string) {
+// LongestUnanswered returns the longest period between the times from and to in which no query about a job was
+// answered, over all jobs, and the job.
+func (p *JobPollers) LongestUnanswered(from, to time.Duration) (longest time.Duration, job string) {
 	for id, polled := range p.jobs {
-		longest := polled.longestUnanswered(from, to)
-		if longest > gap || (longest == gap && id < job) {
-			gap = longest
+		unanswered := polled.longestUnanswered(from, to)
+		if unanswered > longest || (unanswered == longest && id < job) {
+			longest = unanswered
 			job = id
 		}
 	}
-	return gap, job
+	return longest, job
 }
 
 func (j *polledJob) longestUnanswered(from, to time.Duration) (longest time.Duration) {
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -18,21 +18,21 @@
 	maxReturnCount = 100
 )
 
-// failedStateDelay is how long after a machine's end the cloud lists it as failed.
+// failedStateDelay is the time after a machine's end at which the cloud begins to list it as failed.
 const failedStateDelay = 3 * time.Second
 
-// cloud is the cloud's machines, those that have ended included, and its faults.
+// cloud is the state of the simulated cloud: all machines, including those that have ended, and the injected faults.
 type cloud struct {
-	machines            []*Machine // in the order of their names
+	machines            []*Machine // sorted by name
 	machineByName       map[string]*Machine
-	claims              map[string][]string // machines rented, by claim
+	claims              map[string][]string // names of the machines rented, by claim
 	costOfEndedMachines float64
 
 	down      bool
 	bootFault bootFault
 }
 
-// Bodies of the cloud's protocol. Fields of answers are in alphabetical order of their tags.
+// Message bodies of the cloud's protocol. The fields of answers are in alphabetical order of their tags.
 type (
 	// cloudMachine is a machine as the cloud lists it.
 	cloudMachine struct {
@@ -58,7 +58,7 @@
 		Spot  bool   `json:"stray"`
 		Count int    `json:"how_many"`
 	}
-	// machineNames is the body of a request to return machines, and of the answer to a rent request.
+	// machineNames is the body of a request to return machines and of the answer to a rent request.
 	machineNames struct {
 		Names []string `json:"dens"`
 	}
@@ -68,7 +68,7 @@
 	}
 )
 
-// SetCloudOutage makes the cloud refuse every request, or serve again.
+// SetCloudOutage begins or ends an outage, in which the cloud refuses every request.
 func (sim *Simulation) SetCloudOutage(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -127,7 +127,7 @@
 	return http.StatusOK, listMachinesResponse{Machines: listed, More: more}
 }
 
-// listing is the machine as the cloud lists it.
+// listing returns the machine as the cloud lists it.
 func (m *Machine) listing(now time.Duration) cloudMachine {
 	state := "running"
 	switch {
@@ -147,8 +147,8 @@
 	}
 }
 
-// rentMachines rents machines, as many of those asked for as the cloud has. A claim that was served gets the same
-// answer again.
+// rentMachines rents the requested number of machines, or fewer if the cloud's capacity is exhausted. A repeated claim
+// gets the same answer as the first time.
 func (sim *Simulation) rentMachines(now time.Duration, request httpRequest) (status int, body any) {
 	var renting rentRequest
 	if json.Unmarshal(request.body, &renting) != nil || renting.Count < 1 || renting.Count > maxRentCount {
@@ -179,7 +179,7 @@
 	return http.StatusOK, machineNames{Names: names}
 }
 
-// liveMachines counts the machines that haven't ended, those that boot included.
+// liveMachines returns the number of machines that haven't ended, including those that are booting.
 func (sim *Simulation) liveMachines() (n int) {
 	for _, machine := range sim.cloud.machines {
 		if !machine.returned && !machine.dead {
--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	readyPoll    = 20 * time.Millisecond
-	readyTimeout = time.Second // of one health check
-	logTail      = 2000        // bytes of a log in an error
+	readyPoll    = 20 * time.Millisecond // time between two health checks of WaitReady
+	readyTimeout = time.Second           // timeout of one health check
+	logTail      = 2000                  // bytes of a controller's log in a NotReadyError
 	filePerm     = 0o600
 )
 
-// Cluster is the controllers of a simulation in real time, as processes of the operating system. Its methods are
-// safe for concurrent use.
+// Cluster runs the controllers of a real-time simulation as operating system processes. Its methods are safe for
+// concurrent use.
 type Cluster struct {
 	simulation          *Simulation
 	dir                 string
 	hasOperatorSettings bool
-	// TLSAddrs are free addresses, one for each controller, for {tls} in the operators' settings; DebugAddrs
-	// likewise for {debug}.
+	// TLSAddrs holds a free address for each controller, which replaces {tls} in the operators' settings. DebugAddrs
+	// holds those that replace {debug}.
 	TLSAddrs, DebugAddrs []string
-	ports                portAllocator // of TLSAddrs and DebugAddrs
+	ports                portAllocator // allocates TLSAddrs and DebugAddrs
 	// Killed counts the controllers that were killed.
 	Killed int
 
-	mu        sync.Mutex // guards Killed and all that follows
-	programs  []program  // by controller
-	processes []*exec.Cmd
+	mu        sync.Mutex  // guards Killed and the fields below
+	programs  []program   // by controller
+	processes []*exec.Cmd // by controller; nil: not running
 }
 
-// program is what a controller executes.
+// program is the command line and environment of a controller's process.
 type program struct{ argv, env []string }
 
-// NewCluster prepares the controllers, without starting them: each executes argv with "--config" and its settings
-// file, and with env beside the environment. The files are written to dir; operator is the operators' HCL, "" for
-// none. The caller closes the cluster.
+// NewCluster prepares the controllers without starting them. Each executes argv with "--config" and its settings
+// file, and with env added to the environment of this process. The settings files are written to dir. operator is the
+// operators' settings as HCL, "" for none. The caller must close the cluster.
 func (sim *Simulation) NewCluster(dir, operator string, env []string, argv ...string) (*Cluster, error) {
 	c := &Cluster{
 		simulation:          sim,
@@ -65,7 +65,7 @@
 	return c, nil
 }
 
-// addAddrs finds the next controller's free addresses.
+// addAddrs allocates the TLS and debug addresses of the next controller.
 func (c *Cluster) addAddrs() error {
 	for _, addrs := range []*[]string{&c.TLSAddrs, &c.DebugAddrs} {
 		addr, err := c.ports.allocate()
@@ -85,7 +85,7 @@
 	return os.WriteFile(c.settingsFile(i), c.simulation.SettingsJSON(i), filePerm)
 }
 
-// SetProgram changes what a controller executes, perhaps another build, from its next start on.
+// SetProgram sets the program that a controller executes from its next start on, for example another build.
 func (c *Cluster) SetProgram(i int, env []string, argv ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 // LogFile returns the file to which a controller's output is appended.
 func (c *Cluster) LogFile(i int) string { return filepath.Join(c.dir, fmt.Sprintf("node-%d.log", i)) }
 
-// Start starts a controller that doesn't run. Its process ends with this one.
+// Start starts a controller unless it is running. The operating system kills the controller when this process ends.
 func (c *Cluster) Start(i int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() //nolint:errcheck // nothing is written through this descriptor: the process has its own
+	defer log.Close() //nolint:errcheck // nothing is written through this descriptor: the process has a duplicate
 	executed := c.programs[i]
 	args := append([]string{}, executed.argv[1:]...)
 	args = append(args, "--config", c.settingsFile(i))
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// Kill ends a controller's process, if it has one, without notice.
+// Kill kills a controller's process with SIGKILL, if it is running.
 func (c *Cluster) Kill(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// PID returns the id of a controller's process, 0 if it has none.
+// PID returns the id of a controller's process, 0 if it isn't running.
 func (c *Cluster) PID(i int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,8 +162,8 @@
 	return c.processes[i] != nil
 }
 
-// Signal sends a controller's process a signal and, if wait isn't 0, waits up to that long for its end. It returns
-// the exit code, -1 if the process still runs, was killed, or doesn't exist.
+// Signal sends a signal to a controller's process and waits up to the duration wait for the process to exit; 0 means
+// no waiting. It returns the exit code, or -1 if the process is still running, was killed, or doesn't exist.
 func (c *Cluster) Signal(i int, signal syscall.Signal, wait time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,14 +194,14 @@
 	for i := range c.processes {
 		c.Kill(i)
 	}
-	_ = c.ports.close() // the ports are free whatever a listener's close reports
+	_ = c.ports.close() // the ports are free even if closing a listener reports an error
 }
 
-// NotReadyError is returned for a controller whose health check didn't pass within a time limit.
+// NotReadyError is returned for a controller whose health check didn't pass within the time limit.
 type NotReadyError struct {
 	Controller int
 	Limit      time.Duration
-	LogTail    string // the end of the controller's log
+	LogTail    string // the last bytes of the controller's log
 }
 
 // Error implements error.
@@ -209,7 +209,7 @@
 	return fmt.Sprintf("controller %d is not ready after %v; its log ends with: %s", e.Controller, e.Limit, e.LogTail)
 }
 
-// WaitReady waits until a controller's health check passes. After a time limit it returns a *NotReadyError.
+// WaitReady waits until a controller's health check passes. It returns a *NotReadyError after the time limit.
 func (c *Cluster) WaitReady(i int, limit time.Duration) error {
 	healthCheck := "http://" + c.simulation.UserAddr(i) + "/up"
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(readyPoll) {
--- a/internal/simulator/config.go
+++ b/internal/simulator/config.go
@@ -8,7 +8,7 @@
 	"github.com/harewalk/harewalk/internal/config"
 )
 
-// Config configures a simulation. Zero values are replaced by defaults that suit a test.
+// Config configures a simulation. Zero values of most fields are replaced by defaults that suit a test.
 type Config struct {
 	Seed        uint64
 	Controllers int
@@ -18,29 +18,29 @@
 	Workers     config.Workers
 	State       config.State
 	Cloud       config.Cloud
-	// MaxMachines bounds the machines that the cloud rents out at the same time.
+	// MaxMachines is the maximum number of machines that the cloud rents out at the same time.
 	MaxMachines int
 	// LicencePools are the sizes of the licence server's pools, by name.
 	LicencePools map[string]int
-	// Speed is how many times faster tasks run than their jobs estimate.
+	// Speed is the factor by which tasks run faster than their jobs' estimates.
 	Speed float64
-	// VariedRunTimes makes the tasks of a job run between a quarter and twice as long as estimated, instead of 0.8 to
-	// 1.2 times as long.
+	// VariedRunTimes makes the run times of tasks vary between 0.25 and 2 times the estimate, instead of between 0.8
+	// and 1.2 times.
 	VariedRunTimes bool
-	// TickInterval is the time between two steps of machines, leases and licence checkouts.
+	// TickInterval is the time between two updates of machines, leases and licence checkouts.
 	TickInterval time.Duration
-	// InitialKeys is what the state service stores at the start, by key.
+	// InitialKeys holds the values that the state service stores at the start, by key.
 	InitialKeys map[string]json.RawMessage
-	// LicenceTimeout is how long the licence server keeps the checkout of a task that it no longer hears from.
+	// LicenceTimeout is how long the licence server keeps the checkout of a lost task.
 	LicenceTimeout time.Duration
-	// StateAddrs are the addresses, one for each controller, of a state service in another process; nil: the
-	// simulation has its own.
+	// StateAddrs holds, for each controller, the address of a state service in another process. If it is nil, the
+	// simulation serves the state service.
 	StateAddrs []string
-	// Limits is what each controller may use of its machine.
+	// Limits are the resource limits of each controller on its machine.
 	Limits config.ControllerLimits
 }
 
-// valueOr returns the first value, or the second if the first is zero.
+// valueOr returns given, or otherwise if given is the zero value.
 func valueOr[T comparable](given, otherwise T) T {
 	var zero T
 	if given == zero {
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -10,23 +10,23 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// simulatedController is one controller in virtual time. It stays the same over restarts; process is what runs.
+// simulatedController is one controller in virtual time. The object outlives restarts; process is the running instance.
 type simulatedController struct {
 	env         *virtualTime
 	index       int
 	settings    *config.Settings
-	epochMS     int64 // of the wall clock at the simulation's start
+	epochMS     int64 // wall clock at the simulation's start, in milliseconds since the Unix epoch
 	incarnation int   // raised by each start
 
-	process     *controller.Simulated // nil while it doesn't run
+	process     *controller.Simulated // nil while the controller isn't running
 	startedAt   time.Duration
-	frozenUntil time.Duration // what arrives before waits
+	frozenUntil time.Duration // events before this time are deferred to it
 	draining    bool
-	maxLevel    rollout.Level // the highest that the process supports
+	maxLevel    rollout.Level // highest level that the process supports
 }
 
-// whileRunning returns a function that calls f in the controller's present incarnation: once it is no longer
-// frozen, and never if it has ended.
+// whileRunning returns a function that calls f unless the controller's current incarnation has ended. While the
+// controller is frozen the call is deferred.
 func (c *simulatedController) whileRunning(f func()) func() {
 	incarnation := c.incarnation
 	var guarded func()
@@ -42,7 +42,7 @@
 	return guarded
 }
 
-// serve is the controller's HTTP side.
+// serve passes an HTTP request to the controller; one that isn't running refuses the connection.
 func (c *simulatedController) serve(request httpRequest, reply replyFunc) {
 	if c.process == nil {
 		reply(0, nil)
@@ -54,10 +54,10 @@
 	})()
 }
 
-// controllerSender sends a controller's requests to the services and the workers. It belongs to one incarnation.
+// controllerSender sends the requests of one incarnation of a controller to the services and the workers.
 type controllerSender struct {
 	controller *simulatedController
-	limit      int // of requests in flight
+	limit      int // maximum number of requests in flight
 	inFlight   int
 }
 
@@ -72,7 +72,7 @@
 	s.inFlight++
 	target, err := url.Parse(outgoing.Path)
 	if err != nil {
-		panic(err) // a path of the controller's own making
+		panic(err) // the controller itself built the path
 	}
 	incarnation := c.incarnation
 	request := httpRequest{
@@ -96,7 +96,7 @@
 	})
 }
 
-// StartController starts a controller that doesn't run, with nothing but its settings.
+// StartController starts a controller unless it is running. The new process has only its settings.
 func (sim *Simulation) StartController(i int) {
 	env := sim.virtual
 	c := env.controllers[i]
@@ -127,22 +127,22 @@
 	env.schedule(jitter(env.rng, controller.TickEvery), tick)
 }
 
-// sendStatus sends a controller's status to a peer.
+// sendStatus sends a status message of the controller to a peer.
 func (c *simulatedController) sendStatus(peer *simulatedController, status []byte) {
 	env := c.env
 	env.recordMessage(statusTo(peer.settings.Node, c.settings.Node, status))
-	hear := func() {
+	receive := func() {
 		cut := env.linkCheck(c.settings.PublicAddr, PeerLinks)() || env.linkCheck(peer.settings.PublicAddr, PeerLinks)()
 		if peer.process != nil && !cut {
 			peer.whileRunning(func() { peer.process.HandleStatus(status) })()
 		}
 	}
 	env.schedule(jitter(env.rng, env.network.meanDelay), func() {
-		env.deliver(c.settings.Zone, peer.settings.Zone, hear, func() {})
+		env.deliver(c.settings.Zone, peer.settings.Zone, receive, func() {})
 	})
 }
 
-// KillController ends a controller without notice.
+// KillController ends a controller's process immediately, without a drain.
 func (sim *Simulation) KillController(i int) {
 	if c := sim.virtual.controllers[i]; c.process != nil {
 		c.process = nil
@@ -150,7 +150,7 @@
 	}
 }
 
-// DrainController does to a controller what SIGTERM does, and calls ended when its process has ended.
+// DrainController drains a controller as SIGTERM does, and calls ended once its process has ended.
 func (sim *Simulation) DrainController(i int, ended func()) {
 	c := sim.virtual.controllers[i]
 	if c.process == nil {
@@ -169,7 +169,7 @@
 			c.draining = false
 			ended()
 		default:
-			if c.process == nil || c.incarnation != incarnation { // killed while it drained
+			if c.process == nil || c.incarnation != incarnation { // killed during the drain
 				c.draining = false
 				ended()
 				return
@@ -180,22 +180,22 @@
 	poll()
 }
 
-// ControllerRuns reports whether a controller runs.
+// ControllerRuns reports whether a controller is running.
 func (sim *Simulation) ControllerRuns(i int) bool { return sim.virtual.controllers[i].process != nil }
 
-// FreezeController stops a controller for a time: what arrives waits, and its steady clock has jumped when it goes
-// on.
+// FreezeController suspends a controller for the duration. Incoming messages and timers are deferred, and the
+// controller's monotonic clock has advanced by the duration when it resumes.
 func (sim *Simulation) FreezeController(i int, duration time.Duration) {
 	sim.virtual.controllers[i].frozenUntil = sim.virtual.clock + duration
 	sim.stats.ControllersFrozen++
 }
 
-// MoveWallClock moves a controller's wall clock by a time, from the controller's next start on.
+// MoveWallClock shifts a controller's wall clock by a duration, from the controller's next start on.
 func (sim *Simulation) MoveWallClock(i int, by time.Duration) {
 	sim.virtual.controllers[i].epochMS += by.Milliseconds()
 }
 
-// ActingLeaders lists the controllers whose own state is that they lead and may act now.
+// ActingLeaders lists the running controllers that consider themselves the leader with the right to act now.
 func (sim *Simulation) ActingLeaders() (controllers []int) {
 	for i, c := range sim.virtual.controllers {
 		if c.process != nil && c.frozenUntil <= sim.virtual.clock && c.process.Leads() {
@@ -205,8 +205,7 @@
 	return controllers
 }
 
-// ControllerStep returns a controller's step between its start and leading, as its log names it; "" if it doesn't
-// run.
+// ControllerStep returns the name of a controller's membership state, as in its log; "" if it isn't running.
 func (sim *Simulation) ControllerStep(i int) string {
 	if c := sim.virtual.controllers[i]; c.process != nil {
 		return c.process.MembershipState()
@@ -214,10 +213,10 @@
 	return ""
 }
 
-// electionPoll is how often RestartControllerAtStep compares a controller's step.
+// electionPoll is the interval at which RestartControllerAtStep checks a controller's membership state.
 const electionPoll = time.Millisecond
 
-// RestartControllerAtStep kills a controller when it reaches a step of an election, and starts it again after a time.
+// RestartControllerAtStep kills a controller when it reaches a membership state, and starts it again after a delay.
 func (sim *Simulation) RestartControllerAtStep(i int, step string, after time.Duration) {
 	incarnation := sim.virtual.controllers[i].incarnation
 	var poll func()
--- a/internal/simulator/fault_kinds.go
+++ b/internal/simulator/fault_kinds.go
@@ -6,17 +6,17 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// faultArgs are the arguments of a fault in a script; those that it doesn't take are zero.
+// faultArgs holds the arguments of a fault in a script. Arguments that the fault doesn't take are zero.
 type faultArgs struct {
 	duration time.Duration
-	count    int // a count, or a controller's number
+	count    int // a number of objects, or the number of a controller
 	zone     string
 }
 
-// faultAction begins a fault, and schedules its end if it has one.
+// faultAction begins a fault and schedules its end, if the fault has one.
 type faultAction func(*Simulation, faultArgs)
 
-// Kinds of arguments, as faultKind.args lists them.
+// Kinds of arguments in faultKind.args.
 const (
 	argController = 'n'
 	argCount      = 'c'
@@ -26,26 +26,26 @@
 
 // faultKind is a fault that scripts can name.
 type faultKind struct {
-	args            string // the kinds of its arguments, in their order
-	virtualTimeOnly bool   // it does something to controllers or to users' requests
+	args            string // kinds of its arguments, in order
+	virtualTimeOnly bool   // the fault acts on controllers, zones or users' requests, which needs virtual time
 	apply           faultAction
 }
 
 // Parameters of faults in scripts.
 const (
-	lateBootFactor  = 5    // of the usual boot time
-	fastBootFactor  = 0.01 // all are up within two seconds
-	slowLinkDelay   = 150 * time.Millisecond
+	lateBootFactor  = 5                      // multiple of the usual boot time
+	fastBootFactor  = 0.01                   // multiple of the usual boot time; all machines are up within 2 s
+	slowLinkDelay   = 150 * time.Millisecond // mean delay of messages
 	leaderKillCount = 10
-	duplicateShare  = 0.2
-	lateWriteShare  = 0.2
-	lostAnswerShare = 0.3
-	replayShare     = 0.3
-	cancelShare     = 0.5
-	minDuplicateAge = time.Second
+	duplicateShare  = 0.2         // share of messages
+	lateWriteShare  = 0.2         // share of transactions
+	lostAnswerShare = 0.3         // share of transactions
+	replayShare     = 0.3         // share of heartbeats
+	cancelShare     = 0.5         // share of completing jobs
+	minDuplicateAge = time.Second // shortest delay of a duplicate
 )
 
-// faultKinds are the faults by their names in scripts, which docs/lab.md lists.
+// faultKinds maps the names of faults in scripts to the faults. docs/lab.md lists the names.
 var faultKinds = map[string]faultKind{
 	// Tasks and machines.
 	"crash-task":   {apply: func(sim *Simulation, _ faultArgs) { sim.CrashTask() }},
@@ -175,20 +175,20 @@
 	}},
 }
 
-// during switches something on, and off again after a time.
+// during calls set with true now and with false after the duration.
 func (sim *Simulation) during(duration time.Duration, set func(on bool)) {
 	set(true)
 	sim.env.schedule(duration, func() { set(false) })
 }
 
-// switched returns the fault that switches something on for a time.
+// switched returns a fault that calls set with true, and with false after the fault's duration.
 func switched(set func(sim *Simulation, on bool)) faultAction {
 	return func(sim *Simulation, args faultArgs) {
 		sim.during(args.duration, func(on bool) { set(sim, on) })
 	}
 }
 
-// shareIf returns the share if a fault is on, and otherwise 0.
+// shareIf returns share if on is true, and 0 otherwise.
 func shareIf(on bool, share float64) float64 {
 	if on {
 		return share
@@ -196,7 +196,8 @@
 	return 0
 }
 
-// delayFault returns the fault that delays messages of a kind by fractions of a worker's lease, for a time.
+// delayFault returns a fault that delays messages of a kind for its duration. The bounds of the delay are fractions of
+// a worker's lease.
 func delayFault(
 	set func(sim *Simulation, minDelay, maxDelay time.Duration),
 	minFraction, maxFraction float64,
@@ -210,12 +211,12 @@
 	})
 }
 
-// partitionFault returns the fault that partitions a zone for a time.
-func partitionFault(how Partition) faultAction {
-	return func(sim *Simulation, args faultArgs) { sim.partitionZoneFor(args.zone, how, args.duration) }
+// partitionFault returns a fault that partitions a zone for its duration.
+func partitionFault(partition Partition) faultAction {
+	return func(sim *Simulation, args faultArgs) { sim.partitionZoneFor(args.zone, partition, args.duration) }
 }
 
-// bootFaultFor returns the fault that changes the boot times of machines rented during a time.
+// bootFaultFor returns a fault that changes the boot times of the machines that are rented during the fault.
 func bootFaultFor(factor, neverShare float64) faultAction {
 	return func(sim *Simulation, args faultArgs) {
 		sim.SetBootFault(factor, neverShare)
--- a/internal/simulator/idle_capacity.go
+++ b/internal/simulator/idle_capacity.go
@@ -9,26 +9,26 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// This file checks that no capacity stays idle beside work: once all faults have ended, no job without a task on a
-// machine waits for long while its team is under its limit and ready machines that it allows have room. This is
-// judged by the machines' true state, not by what the leader believes.
+// This file checks that no capacity stays idle while jobs could use it. Once all faults have ended, a job without a
+// task on a machine must not wait for long while its team is under its limit and ready machines that the job allows
+// have room. The check uses the machines' true state, not the leader's view.
 
 const (
-	// maxIdleWait is how long a job may wait beside idle capacity.
+	// maxIdleWait is the longest time that a job may wait while idle capacity could run it.
 	maxIdleWait = 90 * time.Second
 	// idleCheckInterval is the time between two checks.
 	idleCheckInterval = time.Second
 )
 
-// idleCapacityWatch records since when each job has waited beside idle capacity.
+// idleCapacityWatch records how long jobs have waited while idle capacity could run them.
 type idleCapacityWatch struct {
-	waitingSince map[string]time.Duration
-	longest      time.Duration
-	longestJob   string
+	waitingSince map[string]time.Duration // start of the current wait, by job
+	longest      time.Duration            // longest wait so far
+	longestJob   string                   // job with the longest wait
 }
 
-// WatchIdleCapacity begins to check, from the moment when all faults have ended. It returns a function that returns
-// the longest wait of a job beside idle capacity so far, and the job. It needs virtual time.
+// WatchIdleCapacity begins the checks; the caller calls it once all faults have ended. It returns a function that
+// returns the longest wait of a job despite idle capacity so far, and the job. The simulation must be in virtual time.
 func (sim *Simulation) WatchIdleCapacity() func() (longest time.Duration, job string) {
 	watch := &idleCapacityWatch{waitingSince: map[string]time.Duration{}}
 	var check func()
@@ -42,14 +42,14 @@
 	return func() (time.Duration, string) { return watch.longest, watch.longestJob }
 }
 
-// capacityUse is the true use of the machines at one moment.
+// capacityUse is the true usage of the machines at one time.
 type capacityUse struct {
 	placed map[string]bool         // jobs with a task on a machine
-	byTeam map[string]planner.Size // what the team's tasks on machines need
+	byTeam map[string]planner.Size // resources of the tasks on machines, by team
 	ready  []candidateMachine
 }
 
-// candidateMachine is a machine that can take work, and its free room.
+// candidateMachine is a machine that accepts tasks, and its free resources.
 type candidateMachine struct {
 	machine *Machine
 	free    planner.Size
@@ -78,7 +78,7 @@
 	return use
 }
 
-// takesWork reports whether a machine has an owner, no fault and no notice.
+// takesWork reports whether a machine accepts tasks: it is up, has an owner, no fault and no notice.
 func (m *Machine) takesWork(now time.Duration) bool {
 	isUp := now >= m.upAt && now >= m.hungUntil
 	isConnected := now >= m.inboundLostUntil && now >= m.outboundLostUntil && now >= m.outboundRefusedUntil
@@ -104,19 +104,19 @@
 			watch.longestJob = job
 		}
 		if waited > maxIdleWait {
-			sim.violate("beside: %s waits for %v and there is room", job, waited)
-			watch.waitingSince[job] = math.MaxInt64 // reported once
+			sim.violate("beside: %s has waited for %v despite idle capacity", job, waited)
+			watch.waitingSince[job] = math.MaxInt64 // don't report this wait again
 		}
 	}
 }
 
-// waitsBesideCapacity reports whether a job is pending, has nothing on a machine, and could start now. Jobs that
-// wait for licences or other jobs, fail or are interactive aren't judged.
+// waitsBesideCapacity reports whether a job is pending, has no task on a machine, and could start now. It returns false
+// for jobs that need licences, wait for predecessors, fail on purpose, or are interactive sessions.
 func (sim *Simulation) waitsBesideCapacity(spec *jobs.Spec, use *capacityUse) bool {
 	job := spec.ID
 	item, stored := sim.state.service.Keys[jobs.RecordKey(job)]
-	notJudged := len(spec.Licences) > 0 || sim.faults.failingJobs[job] || sim.work.sessions[job] != nil
-	if !stored || use.placed[job] || notJudged || sim.unfinishedPredecessor(spec) != "" {
+	exempt := len(spec.Licences) > 0 || sim.faults.failingJobs[job] || sim.work.sessions[job] != nil
+	if !stored || use.placed[job] || exempt || sim.unfinishedPredecessor(spec) != "" {
 		return false
 	}
 	var record jobs.Record
@@ -129,7 +129,8 @@
 	return fits(spec, use.ready)
 }
 
-// startingTasks is how many tasks of a job start together: all of a gang, one of an array or a service.
+// startingTasks returns the number of tasks of a job that must start together: all tasks of a gang, one of an array or
+// a service.
 func startingTasks(spec *jobs.Spec) int {
 	if spec.Kind == jobs.Gang {
 		return spec.Tasks
@@ -137,7 +138,7 @@
 	return 1
 }
 
-// fits reports whether a job could start on some of the machines.
+// fits reports whether the tasks of a job that must start together fit the free resources of the machines.
 func fits(spec *jobs.Spec, ready []candidateMachine) bool {
 	zones := map[string]int32{}
 	var hosts []planner.Host
@@ -154,7 +155,7 @@
 	return planner.FirstFit(hosts, spec.Size(), startingTasks(spec), spec.OneZone, spec.ZoneLimit()) != nil
 }
 
-// underLimit reports whether a job's start would keep its team, which uses that much, within its limit.
+// underLimit reports whether a job's start would keep its team within its limit, given the team's current usage.
 func (sim *Simulation) underLimit(spec *jobs.Spec, used planner.Size) bool {
 	tasks := float64(startingTasks(spec))
 	for _, team := range sim.cfg.Teams {
--- a/internal/simulator/interactive_session.go
+++ b/internal/simulator/interactive_session.go
@@ -14,20 +14,20 @@
 	sessionsPath = "/v2/sessions"
 	// agentReportInterval is the time between two reports of an agent.
 	agentReportInterval = 300 * time.Millisecond
-	// sessionRetry is the time until a request that no leader answered is sent again, maxSessionRetry how long that
-	// goes on.
+	// sessionRetry is the delay between two attempts of a request to the leader; maxSessionRetry is the total time for
+	// all attempts.
 	sessionRetry    = 100 * time.Millisecond
 	maxSessionRetry = time.Minute
 )
 
-// Reasons why a save failed.
+// Causes of a failed save.
 const (
 	saveFailedDisk = "disk full"
 	saveFailedCell = "a cell runs"
 )
 
-// InteractiveSession is an interactive session in real time, with its user and its agent. Work is counted in steps;
-// what was saved outlives the machine.
+// InteractiveSession simulates an interactive session in real time, with its user and its agent. Work is counted in
+// steps; saved steps survive the loss of the machine.
 type InteractiveSession struct {
 	Spec *jobs.Spec
 	User string
@@ -36,36 +36,37 @@
 	userToken  string
 	agentToken string
 
-	savedSteps   map[string]int // by checkpoint; like all that follows guarded by the simulation's mutex
+	// The simulation's mutex guards the fields below.
+	savedSteps   map[string]int // by checkpoint
 	savesFail    bool
 	saveDuration time.Duration
-	closed       bool
-	reclaims     int // times the session was stopped with its work saved
-	resumes      int
+	closed       bool // the user has requested the session's end
+	reclaims     int  // number of times that controllers stopped the session to reclaim its machine
+	resumes      int  // number of times that the session resumed from a checkpoint
 
 	sessionProcess
 }
 
-// sessionProcess is the state of the session's process that runs now.
+// sessionProcess is the state of the session's current process.
 type sessionProcess struct {
 	attempt    uint64
-	steps      int
-	stepsSaved int
+	steps      int // steps of work done
+	stepsSaved int // steps in the newest checkpoint
 	lastInput  time.Duration
 	cellStart  time.Duration
 	cellEnd    time.Duration
 
-	frozen      bool   // it takes no input
-	fresh       bool   // it hasn't been thawed since its start
-	resumedFrom string // a checkpoint
+	frozen      bool   // the process accepts no input
+	fresh       bool   // the process hasn't been thawed since its start
+	resumedFrom string // checkpoint from which the process resumed, "" for none
 
-	save           *sessions.CheckpointResult // the newest that was ordered
-	saveDoneAt     time.Duration              // of a save under way; 0: there is none
-	ownCheckpoint  string                     // the newest without an order
-	keptCheckpoint string                     // the one that the controllers keep
+	save           *sessions.CheckpointResult // newest ordered save, nil for none
+	saveDoneAt     time.Duration              // end of the save in progress; 0: no save is in progress
+	ownCheckpoint  string                     // newest checkpoint that was saved without an order
+	keptCheckpoint string                     // checkpoint that the controllers have recorded
 }
 
-// InteractiveSession returns a session of a user that isn't open yet.
+// InteractiveSession returns a session of a user. The session isn't open yet.
 func (sim *Simulation) InteractiveSession(spec *jobs.Spec, user string) *InteractiveSession {
 	session := &InteractiveSession{
 		Spec:       spec,
@@ -82,15 +83,15 @@
 	return session
 }
 
-// processStarted begins a new process as the session's task runs, and its agent, which ends with the process or the
-// simulation.
+// processStarted starts a new process and its agent when the session's task begins to run. The agent stops when the
+// process or the simulation ends.
 func (s *InteractiveSession) processStarted(now time.Duration, task *workerTask) {
 	s.resetProcess(now, task.attempt)
 	s.simulation.sessionAgents.Add(1)
 	go s.runAgent(task)
 }
 
-// resetProcess replaces the process by a new one, frozen until an order names what to resume from.
+// resetProcess replaces the process by a new one, which stays frozen until an order thaws it.
 func (s *InteractiveSession) resetProcess(now time.Duration, attempt uint64) {
 	s.attempt = attempt
 	s.steps = 0
@@ -105,8 +106,9 @@
 	s.keptCheckpoint = ""
 }
 
-// processHalted checks a halt of the process by its worker. Unless the session was closed this is a reclaim, which
-// must not interrupt a cell or lose work.
+// processHalted checks the halt of the process by its worker. Unless its user closed the session, the halt is a reclaim
+// by the controllers, which must not interrupt a cell or lose work. Before the cloud reclaims the machine, the process
+// saves its work itself.
 func (s *InteractiveSession) processHalted(now time.Duration, machine *Machine) {
 	if s.closed {
 		return
@@ -116,7 +118,7 @@
 		return
 	}
 	if now < s.cellEnd {
-		s.simulation.violate("reclaim: %s was stopped while a cell runs", s.Spec.ID)
+		s.simulation.violate("reclaim: %s was stopped during a cell", s.Spec.ID)
 	}
 	if s.steps != s.stepsSaved || !s.frozen {
 		s.simulation.violate("reclaim: %s was stopped with %d steps, %d saved, frozen %v",
@@ -125,7 +127,7 @@
 	s.reclaims++
 }
 
-// saveBeforeReclaim saves what the process has while it is stopped, because the cloud reclaims its machine.
+// saveBeforeReclaim saves the process's work when the process is stopped because the cloud reclaims its machine.
 func (s *InteractiveSession) saveBeforeReclaim() {
 	if s.fresh {
 		return
@@ -142,14 +144,14 @@
 	Leader string `json:"leader"`
 }
 
-// leaderIn returns the leader's address in an answer, "" if there is none.
+// leaderIn returns the leader's address from the body of an answer, "" if there is none.
 func leaderIn(body []byte) string {
 	var redirected redirectToLeader
 	_ = json.Unmarshal(body, &redirected)
 	return redirected.Leader
 }
 
-// runAgent sends the agent's reports until its process has ended.
+// runAgent sends the agent's reports to the leader until the process or the simulation has ended.
 func (s *InteractiveSession) runAgent(task *workerTask) {
 	sim := s.simulation
 	defer sim.sessionAgents.Done()
@@ -208,7 +210,7 @@
 	return false
 }
 
-// report makes the agent's next report.
+// report returns the agent's next report.
 func (s *InteractiveSession) report(now time.Duration, seq uint64) sessions.Heartbeat {
 	if s.save != nil && s.saveDoneAt > 0 && now >= s.saveDoneAt {
 		s.finishSave()
@@ -237,7 +239,7 @@
 	return report
 }
 
-// finishSave ends the save under way.
+// finishSave ends the save in progress, with success or failure.
 func (s *InteractiveSession) finishSave() {
 	s.saveDoneAt = 0
 	if s.savesFail {
@@ -251,7 +253,7 @@
 	s.save.Ref = checkpoint
 }
 
-// applyOrder carries out the answer to a report.
+// applyOrder executes the orders in the answer to a report: resuming, thawing and saving.
 func (s *InteractiveSession) applyOrder(now time.Duration, task *workerTask, order sessions.HeartbeatResponse) {
 	if task.attempt != s.attempt {
 		return
@@ -274,9 +276,9 @@
 	}
 }
 
-// beginSave begins an ordered save, which fails at once while a cell runs.
-func (s *InteractiveSession) beginSave(now time.Duration, number uint64) {
-	s.save = &sessions.CheckpointResult{Order: number}
+// beginSave begins an ordered save. The save fails immediately while a cell runs.
+func (s *InteractiveSession) beginSave(now time.Duration, order uint64) {
+	s.save = &sessions.CheckpointResult{Order: order}
 	if now < s.cellEnd {
 		s.save.Cause = saveFailedCell
 		return
@@ -285,7 +287,7 @@
 	s.saveDoneAt = now + max(s.saveDuration, 1)
 }
 
-// Input is a user's input, which is one step of work. It returns false if no process takes it.
+// Input simulates an input of the user, which is one step of work. It returns false if no process accepts input.
 func (s *InteractiveSession) Input() bool {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
@@ -297,7 +299,7 @@
 	return true
 }
 
-// running reports whether the session's process runs on a machine.
+// running reports whether the session's process is running on a machine.
 func (s *InteractiveSession) running() bool {
 	for _, machine := range s.simulation.cloud.machines {
 		for _, task := range machine.tasks {
@@ -309,7 +311,7 @@
 	return false
 }
 
-// RunCell runs a cell for a time. It returns false if no process takes it.
+// RunCell runs a cell for the duration. It returns false if no process accepts input.
 func (s *InteractiveSession) RunCell(duration time.Duration) bool {
 	if !s.Input() {
 		return false
@@ -321,7 +323,7 @@
 	return true
 }
 
-// SetSaveBehavior makes saves fail or succeed, and take a time.
+// SetSaveBehavior sets whether saves fail, and how long a save takes.
 func (s *InteractiveSession) SetSaveBehavior(fail bool, duration time.Duration) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
@@ -329,22 +331,22 @@
 	s.saveDuration = duration
 }
 
-// Progress returns how many steps are done and not lost, and whether the process takes input.
+// Progress returns the number of steps that are done and not lost, and whether the process accepts input.
 func (s *InteractiveSession) Progress() (steps int, usable bool) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
 	return s.steps, s.running() && !s.frozen
 }
 
-// Counts returns how often the session was reclaimed and resumed.
+// Counts returns the number of times that the session was reclaimed and resumed.
 func (s *InteractiveSession) Counts() (reclaims, resumes int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
 	return s.reclaims, s.resumes
 }
 
-// ReclaimMachine gives the machine on which the session runs notice that the cloud reclaims it after a time. It
-// returns false if the session runs on none.
+// ReclaimMachine gives the session's machine notice that the cloud reclaims it after the given time. It returns false
+// if the session isn't running on a machine.
 func (s *InteractiveSession) ReclaimMachine(after time.Duration) bool {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
@@ -359,7 +361,7 @@
 	return false
 }
 
-// Open opens the session, and returns the answer's status.
+// Open opens the session, and returns the status of the answer, 0 for no answer.
 func (s *InteractiveSession) Open() int {
 	status, _ := s.requestLeader("", s.userToken, s.openRequest())
 	return status
@@ -377,19 +379,20 @@
 	return raw
 }
 
-// Attach attaches the user again, and returns the answer.
+// Attach attaches a client of the user to the session, and returns the answer; status 0 stands for no answer.
 func (s *InteractiveSession) Attach() (status int, view sessions.View) {
 	return s.requestLeader("/"+s.Spec.ID+"/attach", s.userToken, emptyBody)
 }
 
-// KeepAlive renews a client's attachment, and returns the answer's status.
+// KeepAlive renews a client's attachment through the first controller, and returns the status of the answer, 0 for no
+// answer.
 func (s *InteractiveSession) KeepAlive(attachment uint64) int {
 	body := fmt.Appendf(nil, `{"attachment":%d}`, attachment)
 	status, _ := s.requestOnce(s.simulation.UserAddr(0), "/"+s.Spec.ID+"/keep", s.userToken, body)
 	return status
 }
 
-// Close closes the session for good, and returns the answer's status.
+// Close closes the session permanently, and returns the status of the answer, 0 for no answer.
 func (s *InteractiveSession) Close() int {
 	s.simulation.mu.Lock()
 	s.closed = true
@@ -401,13 +404,13 @@
 	return status
 }
 
-// View returns the session as any user sees it.
+// View returns the session's view that is served without a token.
 func (s *InteractiveSession) View() sessions.View {
 	_, view := s.requestLeader("/"+s.Spec.ID, "", nil)
 	return view
 }
 
-// requestLeader sends a request until a leader answers it, for up to a minute; status 0 stands for no answer.
+// requestLeader sends a request and retries until a leader answers, for up to a minute; status 0 stands for no answer.
 func (s *InteractiveSession) requestLeader(path, token string, body []byte) (status int, view sessions.View) {
 	to := s.simulation.UserAddr(0)
 	end := time.Now().Add(maxSessionRetry)
--- a/internal/simulator/leader_faults.go
+++ b/internal/simulator/leader_faults.go
@@ -6,11 +6,11 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// restartAfterKill is how long after its end KillLeaders starts a controller again.
+// restartAfterKill is the time after which KillLeaders starts a killed controller again.
 const restartAfterKill = 700 * time.Millisecond
 
-// KillLeaders kills the leader n times, evenly over a time, and starts it again within a second. It needs virtual
-// time.
+// KillLeaders kills the current leader n times, evenly spread over the duration. Each killed controller is started
+// again after restartAfterKill. The simulation must be in virtual time.
 func (sim *Simulation) KillLeaders(n int, duration time.Duration) {
 	for i := range n {
 		sim.env.schedule(time.Duration(i)*duration/time.Duration(n), func() {
@@ -19,8 +19,8 @@
 	}
 }
 
-// onLeader does something to the controller that leads and, unless restartAfter is 0, starts it again after that
-// time.
+// onLeader calls do with the current leader, if there is one. Unless restartAfter is 0, it starts that controller again
+// after restartAfter, or once the controller's drain has ended.
 func (sim *Simulation) onLeader(restartAfter time.Duration, do func(controller int)) {
 	leader, _ := sim.Leader()
 	if leader < 0 {
@@ -40,7 +40,7 @@
 	sim.env.schedule(restartAfter, restart)
 }
 
-// RefuseLeader makes the state service refuse the controller that leads now, for a time.
+// RefuseLeader makes the state service refuse the current leader's requests for the duration.
 func (sim *Simulation) RefuseLeader(duration time.Duration) {
 	if leader, _ := sim.Leader(); leader >= 0 {
 		sim.RefuseController(leader, true)
@@ -48,15 +48,15 @@
 	}
 }
 
-// StallWatches makes a controller's watches of the state service stay open without an answer while its other requests
-// are served, or answers them again.
+// StallWatches stalls or resumes a controller's watches of the state service. Stalled watches stay open without an
+// answer, while the controller's other requests are served.
 func (sim *Simulation) StallWatches(controller int, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.state.watchesStalled[controller] = on
 }
 
-// stallLeaderWatches stalls the watches of the controller that leads now, for a time.
+// stallLeaderWatches stalls the watches of the current leader for the duration.
 func (sim *Simulation) stallLeaderWatches(duration time.Duration) {
 	if leader, _ := sim.Leader(); leader >= 0 {
 		sim.StallWatches(leader, true)
@@ -71,7 +71,7 @@
 	sim.env.schedule(duration, func() { sim.CutLinks(controller, 0) })
 }
 
-// killControllers kills all controllers, and starts them again after a time.
+// killControllers kills all controllers, and starts them again after the duration.
 func (sim *Simulation) killControllers(duration time.Duration) {
 	for i := range sim.cfg.Controllers {
 		sim.KillController(i)
@@ -79,7 +79,8 @@
 	}
 }
 
-// rollTo restarts the controllers one after the other with a release of a level.
-func (sim *Simulation) rollTo(level rollout.Level, gap time.Duration) {
-	sim.RollingRestart(level, gap, nil, func() {})
+// rollTo restarts the controllers one after the other with a release that supports the level. Each controller is down
+// for downtime after its drain.
+func (sim *Simulation) rollTo(level rollout.Level, downtime time.Duration) {
+	sim.RollingRestart(level, downtime, nil, func() {})
 }
--- a/internal/simulator/licence_server.go
+++ b/internal/simulator/licence_server.go
@@ -10,15 +10,15 @@
 	"github.com/harewalk/harewalk/internal/licences"
 )
 
-// foreignHolder is the holder of units that no task of the cluster uses.
+// foreignHolder is the holder that the server lists for units in use outside the cluster.
 const foreignHolder = "somebody else"
 
-// LicenceServer counts the units of licence pools by itself, as tasks check them out and in.
+// LicenceServer simulates a licence server. It counts the units of licence pools itself as tasks check them out and in.
 type LicenceServer struct {
 	Addr string
 
 	simulation *Simulation
-	timeout    time.Duration // of a checkout whose holder was lost
+	timeout    time.Duration // time until the checkout of a lost holder expires
 	down       bool
 	pools      map[string]*licencePool
 }
@@ -26,9 +26,9 @@
 type licencePool struct {
 	size         int
 	checkouts    map[checkoutKey]*checkout
-	foreignUnits int // used outside the cluster
-	peak         int // of the units in use
-	denied       int // checkouts that would have exceeded the size
+	foreignUnits int // units in use outside the cluster
+	peak         int // highest number of units in use so far
+	denied       int // number of checkouts denied because they would have exceeded the size
 }
 
 // checkoutKey identifies the attempt of a task that holds units.
@@ -39,7 +39,7 @@
 
 type checkout struct {
 	units     int
-	expiresAt time.Duration // of a holder that was lost; 0: it runs
+	expiresAt time.Duration // time of expiry after the holder was lost; 0: the holder is running
 }
 
 func newLicenceServer(sim *Simulation, sizes map[string]int, timeout time.Duration) *LicenceServer {
@@ -58,7 +58,7 @@
 	return units
 }
 
-// entries lists who holds units, in a fixed order.
+// entries lists the holders of units, sorted by task and attempt, with units in use outside the cluster last.
 func (p *licencePool) entries() []licences.AnswerHolder {
 	entries := []licences.AnswerHolder{}
 	for key, checkout := range p.checkouts {
@@ -73,7 +73,7 @@
 	return entries
 }
 
-// serve is the server's HTTP side, by docs/licences.md.
+// serve answers an HTTP request according to the protocol in docs/licences.md.
 func (s *LicenceServer) serve(request httpRequest) (status int, body any) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
@@ -87,8 +87,8 @@
 	return http.StatusOK, licences.Answer{Count: pool.size, Holders: pool.entries()}
 }
 
-// checkOut gives a running task its units, or keeps them its own. It returns false if there are too few. While the
-// server is down the task goes on and asks again.
+// checkOut checks out a running task's units, or renews its checkouts. It returns false if a pool has too few free
+// units. While the server is down checkOut returns true without a checkout, and the task repeats the call later.
 func (s *LicenceServer) checkOut(task *workerTask) bool {
 	if s.down {
 		return true
@@ -105,7 +105,7 @@
 		}
 		if used := pool.used(); used+units > pool.size {
 			pool.denied++
-			s.simulation.violate("seats: %s asks for %d of %s, %d of %d are taken",
+			s.simulation.violate("seats: %s checks out %d units of %s, %d of %d are in use",
 				task.name, units, name, used, pool.size)
 			return false
 		}
@@ -115,7 +115,7 @@
 	return true
 }
 
-// checkIn returns a task's units.
+// checkIn returns a task's units to their pools.
 func (s *LicenceServer) checkIn(task *workerTask) {
 	for name := range task.spec.Licences {
 		if pool := s.pools[name]; pool != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// holderLost records that a task was lost: its units are free after the timeout.
+// holderLost records that a task ended or hangs without a check-in: its checkouts expire after the timeout.
 func (s *LicenceServer) holderLost(now time.Duration, task *workerTask) {
 	for name := range task.spec.Licences {
 		pool := s.pools[name]
@@ -137,7 +137,7 @@
 	}
 }
 
-// expire frees the units of holders that were lost at least the timeout ago.
+// expire deletes the checkouts of lost holders whose timeout has passed.
 func (s *LicenceServer) expire(now time.Duration) {
 	for _, pool := range s.pools {
 		for key, checkout := range pool.checkouts {
@@ -148,7 +148,7 @@
 	}
 }
 
-// SetDown stops the server, which loses all checkouts, or starts it again.
+// SetDown stops or starts the server. A stopped server loses all checkouts.
 func (s *LicenceServer) SetDown(down bool) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
@@ -162,21 +162,21 @@
 	}
 }
 
-// SetCount changes the number of a pool's units.
+// SetCount sets the number of units in a pool.
 func (s *LicenceServer) SetCount(pool string, units int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
 	s.pools[pool].size = units
 }
 
-// SetForeignUse changes how many of a pool's units are used outside the cluster.
+// SetForeignUse sets the number of a pool's units in use outside the cluster.
 func (s *LicenceServer) SetForeignUse(pool string, units int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
 	s.pools[pool].foreignUnits = units
 }
 
-// Usage returns how many units of a pool are in use, the most that ever were, and how many checkouts were denied.
+// Usage returns the number of a pool's units in use, the highest number so far, and the number of denied checkouts.
 func (s *LicenceServer) Usage(pool string) (used, peak, denied int) {
 	s.simulation.mu.Lock()
 	defer s.simulation.mu.Unlock()
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -9,7 +9,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Machine is a rented machine and its worker.
+// Machine is a rented machine with its worker. Times are counted from the simulation's start.
 type Machine struct {
 	Name        string
 	addr        string
@@ -17,37 +17,38 @@
 	zone        string
 	spot        bool
 	rentedAt    time.Duration
-	upAt        time.Duration
+	upAt        time.Duration // end of the boot
 	dead        bool
-	diedAt      time.Duration
-	returned    bool
+	diedAt      time.Duration // valid if dead
+	returned    bool          // returned to the cloud
 	incarnation int           // raised by each restart under the same name
-	noticeAt    time.Duration // when the cloud reclaims it; 0: it doesn't
+	noticeAt    time.Duration // time at which the cloud reclaims the machine; 0: no notice was given
 
 	machineFaults
 	worker
 }
 
-// machineFaults is what is injected at a machine. Each time is when the fault ends.
+// machineFaults holds the faults injected into a machine. A field ending in Until is the time at which the fault ends;
+// zero values mean no fault.
 type machineFaults struct {
-	hungUntil            time.Duration // nothing is executed
-	commandDelay         time.Duration // the next direct commands are delayed so long
-	inboundLostUntil     time.Duration // messages to it are lost, those from it arrive
-	outboundLostUntil    time.Duration // messages from it are lost, those to it arrive
-	outboundRefusedUntil time.Duration // its connections are refused; direct commands reach it and are answered
-	faulty               bool          // every task fails on it
+	hungUntil            time.Duration // the machine executes nothing
+	commandDelay         time.Duration // delay of the next request with direct commands
+	inboundLostUntil     time.Duration // messages to the machine are lost, messages from it arrive
+	outboundLostUntil    time.Duration // messages from the machine are lost, messages to it arrive
+	outboundRefusedUntil time.Duration // connections from the machine are refused; direct commands still work
+	faulty               bool          // every task that starts on the machine fails
 }
 
 // worker is the state of a machine's worker.
 type worker struct {
 	session, seq, token uint64
-	leaseBase           time.Duration // its lease is counted from here
+	leaseBase           time.Duration // start of the worker's current lease
 	nextHeartbeat       time.Duration
 	lastHeartbeat       time.Duration
-	lastSummary         string // summary at the last heartbeat
-	controller          int    // heartbeats go to it
+	lastSummary         string // the machine's summary at the last heartbeat
+	controller          int    // controller that receives the heartbeats
 	tasks               []*workerTask
-	images              map[string]bool // in its cache
+	images              map[string]bool // cached images
 }
 
 // workerTask is one attempt of a task on a machine.
@@ -56,17 +57,17 @@
 	spec             *jobs.Spec
 	attempt          uint64
 	state            string
-	reason           string // why it exited
-	saved            bool   // it was checkpointed when it was halted
-	directLaunch     bool   // launched by a direct command
-	faulty           bool   // its machine was when it got its image
-	counted          bool   // it has its image and hasn't exited
+	reason           string // exit reason
+	saved            bool   // a checkpoint was saved when the task was halted
+	directLaunch     bool   // launched by a direct command instead of a heartbeat's answer
+	faulty           bool   // the machine was faulty when the image was ready
+	counted          bool   // the image is ready and the task hasn't exited
 	launchedAt       time.Duration
 	imageReadyAt     time.Duration
-	gatheringSince   time.Duration // it waits for its gang
+	gatheringSince   time.Duration // start of the wait for the other tasks of the gang
 	runningSince     time.Duration
-	remainingSeconds float64 // to run, counted from runningSince
-	checkpointDoneAt time.Duration
+	remainingSeconds float64       // run time needed from runningSince on
+	checkpointDoneAt time.Duration // end of the checkpoint in progress
 }
 
 // States of a task on the wire.
@@ -78,7 +79,7 @@
 	taskExited        = "exited"
 )
 
-// Reasons of an exit on the wire.
+// Exit reasons on the wire.
 const (
 	reasonDone        = "done"
 	reasonError       = "error"
@@ -90,7 +91,7 @@
 	reasonNoRoom      = "full"
 )
 
-// startMachine rents a machine. Its worker sends heartbeats once it is up.
+// startMachine rents a machine. The worker sends heartbeats once the machine is up.
 func (sim *Simulation) startMachine(
 	now time.Duration,
 	machineType capacity.MachineType,
@@ -118,7 +119,7 @@
 	return machine, nil
 }
 
-// newWorker returns the worker of a machine that boots, without tasks and images, for any controller.
+// newWorker returns the worker of a booting machine, without tasks or images, with a randomly drawn controller.
 func (sim *Simulation) newWorker(upAt time.Duration) worker {
 	return worker{
 		session:       1,
@@ -129,7 +130,7 @@
 	}
 }
 
-// terminate ends a machine with everything on it.
+// terminate ends a machine and the tasks on it.
 func (sim *Simulation) terminate(now time.Duration, machine *Machine) {
 	sim.dropTasks(now, machine)
 	if !machine.dead {
@@ -139,7 +140,7 @@
 	machine.diedAt = now
 }
 
-// cost is a machine's price from when it was rented.
+// cost returns the machine's accumulated price since it was rented.
 func (m *Machine) cost(now time.Duration) float64 {
 	price := m.machineType.Price
 	if m.spot {
@@ -148,7 +149,7 @@
 	return price * (now - m.rentedAt).Hours()
 }
 
-// summary is what of a heartbeat changes with the tasks: a change makes the next heartbeat early.
+// summary returns the machine's session, notice and task states. A changed summary makes the next heartbeat early.
 func (m *Machine) summary() string {
 	var b strings.Builder
 	fmt.Fprint(&b, m.session, m.noticeAt)
@@ -158,7 +159,7 @@
 	return b.String()
 }
 
-// dropTasks ends a machine's tasks without notice.
+// dropTasks removes all tasks from a machine without a clean exit: their licence units stay checked out.
 func (sim *Simulation) dropTasks(now time.Duration, machine *Machine) {
 	for _, task := range machine.tasks {
 		if task.state != taskExited {
@@ -184,7 +185,7 @@
 	machine.leaseBase = now
 }
 
-// advanceMachine brings a machine and its tasks up to now.
+// advanceMachine advances a machine and its tasks to now.
 func (sim *Simulation) advanceMachine(now time.Duration, machine *Machine) {
 	if machine.noticeAt > 0 && now >= machine.noticeAt && !machine.dead {
 		sim.terminate(now, machine)
@@ -193,7 +194,7 @@
 		return
 	}
 	if now < machine.hungUntil {
-		// It executes nothing, and beyond its lease it never will: its tasks have ended.
+		// A hung machine executes nothing. If its lease runs out meanwhile, its tasks never resume.
 		if sim.leaseExpired(now, machine) {
 			sim.dropTasks(now, machine)
 		}
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -8,13 +8,13 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// allMachines is a count above that of any simulation's machines.
+// allMachines is larger than the number of machines in any simulation.
 const allMachines = 1 << 30
 
-// neverBoots is the boot time of a machine that doesn't come up.
+// neverBoots is the boot time of a machine that never comes up: longer than any simulation.
 const neverBoots = 1000 * time.Hour
 
-// readyMachines lists the machines that are up and don't hang.
+// readyMachines lists the machines that are up and not hung.
 func (sim *Simulation) readyMachines() (machines []*Machine) {
 	now := sim.now()
 	for _, machine := range sim.cloud.machines {
@@ -31,7 +31,7 @@
 	return machines
 }
 
-// drawReadyMachine returns one of the ready machines, nil if there is none.
+// drawReadyMachine returns a random ready machine, nil if there is none.
 func (sim *Simulation) drawReadyMachine() *Machine {
 	machines := sim.shuffledReadyMachines()
 	if len(machines) == 0 {
@@ -40,7 +40,7 @@
 	return machines[0]
 }
 
-// CrashTask makes one running task fail. It returns false if none runs.
+// CrashTask makes one running task fail. It returns false if no task is running.
 func (sim *Simulation) CrashTask() bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -54,7 +54,7 @@
 	return false
 }
 
-// KillMachine ends one ready machine with everything on it. It returns false if there is none.
+// KillMachine ends one ready machine and the tasks on it. It returns false if no machine is ready.
 func (sim *Simulation) KillMachine() bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -67,8 +67,8 @@
 	return true
 }
 
-// HangMachine makes one ready machine hang for a time. What ran on it goes on afterwards, unless its lease has run
-// out meanwhile. It returns false if no machine is ready.
+// HangMachine makes one ready machine hang for the duration. Its tasks resume afterwards, unless the worker's lease has
+// expired meanwhile. It returns false if no machine is ready.
 func (sim *Simulation) HangMachine(duration time.Duration) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -84,7 +84,8 @@
 	return true
 }
 
-// DelayMachineCommands delays the next direct commands to one ready machine. It returns false if there is none.
+// DelayMachineCommands delays the next request with direct commands to one ready machine. It returns false if no
+// machine is ready.
 func (sim *Simulation) DelayMachineCommands(duration time.Duration) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -96,8 +97,8 @@
 	return true
 }
 
-// ReclaimSpotMachine gives one spot machine notice that the cloud reclaims it after a time. It returns false if
-// there is none.
+// ReclaimSpotMachine gives one ready spot machine notice that the cloud reclaims it after the given time. It returns
+// false if there is no such machine without a notice.
 func (sim *Simulation) ReclaimSpotMachine(after time.Duration) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -110,7 +111,7 @@
 	return false
 }
 
-// BusiestMachine returns the name of the ready machine with most tasks.
+// BusiestMachine returns the name of the ready machine with the most tasks, "" if no machine is ready.
 func (sim *Simulation) BusiestMachine() (name string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -124,7 +125,7 @@
 	return name
 }
 
-// MachineReturned reports whether a machine was returned to the cloud.
+// MachineReturned reports whether a machine has been returned to the cloud.
 func (sim *Simulation) MachineReturned(name string) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -132,24 +133,24 @@
 	return machine != nil && machine.returned
 }
 
-// DropInbound makes up to n ready machines of a zone ("" for any) receive nothing for a time, though what they send
-// arrives. It returns their names.
+// DropInbound drops, for the duration, all messages to up to n ready machines of a zone ("" for any). Messages from
+// them still arrive. It returns the machines' names.
 func (sim *Simulation) DropInbound(n int, zone string, duration time.Duration) []string {
 	return sim.affectMachines(n, zone, func(machine *Machine) {
 		machine.inboundLostUntil = sim.now() + duration
 	})
 }
 
-// DropOutbound makes what up to n ready machines of a zone ("" for any) send get lost for a time, though they
-// receive. It returns their names.
+// DropOutbound drops, for the duration, all messages from up to n ready machines of a zone ("" for any). Messages to
+// them still arrive. It returns the machines' names.
 func (sim *Simulation) DropOutbound(n int, zone string, duration time.Duration) []string {
 	return sim.affectMachines(n, zone, func(machine *Machine) {
 		machine.outboundLostUntil = sim.now() + duration
 	})
 }
 
-// RefuseOutbound makes the connections of up to n ready machines of a zone ("" for any) fail for a time, while direct
-// commands reach them and are answered. It returns their names.
+// RefuseOutbound refuses, for the duration, all connections from up to n ready machines of a zone ("" for any). Direct
+// commands still reach them and are answered. It returns the machines' names.
 func (sim *Simulation) RefuseOutbound(n int, zone string, duration time.Duration) []string {
 	return sim.affectMachines(n, zone, func(machine *Machine) {
 		machine.outboundRefusedUntil = sim.now() + duration
@@ -172,8 +173,9 @@
 	return names
 }
 
-// RestartMachine restarts a ready machine ("" for any) with nothing on it within a time, under its old name and
-// address, its session and sequence from the start. It returns its name, "" if there is none.
+// RestartMachine restarts a ready machine ("" for any), which is up again after the given time. The machine keeps its
+// name and address, loses its tasks and images, and restarts its session and sequence numbers. RestartMachine returns
+// the machine's name, "" if there is no such ready machine.
 func (sim *Simulation) RestartMachine(name string, after time.Duration) string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -193,7 +195,7 @@
 	return ""
 }
 
-// FailTasksOnMachine makes every task fail that starts on a machine from now on.
+// FailTasksOnMachine makes every task that starts on a machine from now on fail.
 func (sim *Simulation) FailTasksOnMachine(name string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -207,22 +209,22 @@
 	sim.faults.failingJobs[job] = true
 }
 
-// bootFault is what happens to machines that are rented while it is on.
+// bootFault changes the boot times of machines that are rented while the fault is on.
 type bootFault struct {
 	on         bool
-	factor     float64 // of the usual boot time
-	neverShare float64 // of machines that never come up
+	factor     float64 // multiple of the usual boot time
+	neverShare float64 // share of machines that never come up
 }
 
-// SetBootFault makes machines rented from now on boot in a multiple of their usual time, and a share of them never
-// come up; factor 0 ends it.
+// SetBootFault multiplies the boot times of machines rented from now on by factor, and prevents the share neverShare of
+// them from coming up; factor 0 ends the fault.
 func (sim *Simulation) SetBootFault(factor, neverShare float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.cloud.bootFault = bootFault{on: factor > 0, factor: factor, neverShare: neverShare}
 }
 
-// bootTime draws how long a machine takes to boot.
+// bootTime draws the boot time of a machine.
 func (sim *Simulation) bootTime(machineType capacity.MachineType) time.Duration {
 	usual := jobs.Seconds(machineType.BootS * (0.6 + 0.9*sim.rng.Float64()))
 	fault := sim.cloud.bootFault
--- a/internal/simulator/measurements.go
+++ b/internal/simulator/measurements.go
@@ -5,73 +5,73 @@
 	"time"
 )
 
-// Stats counts what happened since the start of a simulation.
+// Stats counts the events since the start of a simulation.
 type Stats struct {
-	// TaskStarts counts tasks that got their image, TasksDone those that completed, TasksCrashed those that failed,
-	// and TasksRerun those that started again after they had completed.
+	// TaskStarts counts the task starts, TasksDone the tasks that completed, TasksCrashed the tasks that failed, and
+	// TasksRerun the starts of tasks that had already completed. A task starts when its image is ready.
 	TaskStarts, TasksDone, TasksCrashed, TasksRerun int
-	// MachinesKilled counts machines that ended without notice, MachinesHung those that hung for a time, and
-	// MachinesRestarted those that were back at once under their old name.
+	// MachinesKilled counts the machines that were killed, MachinesHung the machines that hung for a time, and
+	// MachinesRestarted the machines that restarted under their old name.
 	MachinesKilled, MachinesHung, MachinesRestarted int
 	// WorkerLeasesExpired counts workers that ended their tasks because their lease had run out.
 	WorkerLeasesExpired int
-	// LicenceServerCrashes counts how often the licence server lost its checkouts.
+	// LicenceServerCrashes counts the crashes of the licence server, in which it lost its checkouts.
 	LicenceServerCrashes int
-	// ControllersKilled, ControllersFrozen and ControllersDrained count faults of controllers, in virtual time.
+	// ControllersKilled, ControllersFrozen and ControllersDrained count faults of controllers in virtual time.
 	ControllersKilled, ControllersFrozen, ControllersDrained int
 
-	// OneWayFaults counts machines that lost one direction of their connections, LinksCut controllers that were cut
-	// off from some of their counterparts.
+	// OneWayFaults counts the faults in one direction of a machine's connections, LinksCut the times that some of a
+	// controller's links were cut.
 	OneWayFaults, LinksCut int
 	// LaunchesLost counts the launch commands that were sent to machines and never received.
 	LaunchesLost int
-	// CommandsDelayed counts the direct commands to a machine that were delayed by DelayMachineCommands.
+	// CommandsDelayed counts the requests with direct commands that DelayMachineCommands delayed.
 	CommandsDelayed int
-	// DuplicatesSent counts late copies of messages, HeartbeatsReplayed copies of heartbeats that were kept for a new
-	// leader and delivered as its term began, or once it had acted.
+	// DuplicatesSent counts the duplicates of messages, HeartbeatsReplayed the copies of heartbeats that were kept for
+	// a new leader and delivered after its election.
 	DuplicatesSent, HeartbeatsReplayed int
-	// LateWrites counts the transactions without an answer that were carried out late, LostAnswers those carried
-	// out at once whose answer was lost.
+	// LateWrites counts the transactions that were applied late without an answer, LostAnswers the transactions that
+	// were applied immediately without an answer.
 	LateWrites, LostAnswers int
 
-	// Heartbeats counts those that were sent, HeartbeatBytes and HeartbeatAnswerBytes the bytes of their bodies and
-	// of their answers' bodies.
+	// Heartbeats counts the heartbeats sent, HeartbeatBytes and HeartbeatAnswerBytes the bytes of their bodies and of
+	// their answers' bodies.
 	Heartbeats                           int
 	HeartbeatBytes, HeartbeatAnswerBytes uint64
-	// StateRequests counts the requests to the state service, StateWrites the mutations carried out or tried, and
-	// StateRefused the requests refused by its rate limits.
+	// StateRequests counts the requests to the state service, StateWrites the mutations in transactions that passed the
+	// rate limits, and StateRefused the requests that the rate limits refused.
 	StateRequests, StateWrites, StateRefused int
 
 	// PollBursts counts the bursts of status queries, JobsCancelled the jobs that users cancelled as they ran or
-	// ended, OddRequests the odd requests, and OddRequestsRefused those of them that were refused for good.
+	// ended, OddRequests the odd requests, and OddRequestsRefused the invalid submissions that were rejected.
 	PollBursts, JobsCancelled, OddRequests, OddRequestsRefused int
-	// StartsAfterCancel counts the tasks that started after the cancellation of their job was confirmed to a user,
-	// DirectStartsAfterCancel those of them that were launched by a direct command; LatestStartAfterCancel is the
-	// longest time from a confirmation to such a start.
+	// StartsAfterCancel counts the tasks that started after a user received the cancellation of their job, and
+	// DirectStartsAfterCancel the subset launched by a direct command. LatestStartAfterCancel is the longest time from
+	// such a cancellation to a start.
 	StartsAfterCancel, DirectStartsAfterCancel int
 	LatestStartAfterCancel                     time.Duration
-	// LongestRunAfterCancel is the longest time that a task stayed on a machine after its job's cancellation was
-	// confirmed.
+	// LongestRunAfterCancel is the longest time that a task stayed on a machine after a user received the cancellation
+	// of its job or of one of the job's ancestors.
 	LongestRunAfterCancel time.Duration
 }
 
-// Stats returns the counters up to now.
+// Stats returns the current counters.
 func (sim *Simulation) Stats() Stats {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.stats
 }
 
-// Utilization is the use of the machines at one moment.
+// Utilization is the usage of the machines at one time.
 type Utilization struct {
-	Machines           int     // up
-	CPUs, GPUs         float64 // of machines that are up
-	UsedCPUs, UsedGPUs float64 // of tasks on machines
-	Running            int     // tasks on machines
-	Cost               float64 // of all machines so far, from when they were rented
+	Machines           int     // number of machines that are up
+	CPUs, GPUs         float64 // resources of the machines that are up
+	UsedCPUs, UsedGPUs float64 // resources of the running tasks
+	Running            int     // number of started tasks on machines
+	Cost               float64 // accumulated price of all machines since they were rented
 }
 
-// Utilization measures the use of the machines now.
+// Utilization returns the current usage of the machines.
 func (sim *Simulation) Utilization() (use Utilization) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -102,21 +102,21 @@
 	}
 }
 
-// StartTimes lists when tasks started, in their order.
+// StartTimes returns the start times of all tasks, in order.
 func (sim *Simulation) StartTimes() []time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.work.startTimes)
 }
 
-// LeaderChanges lists when a leader was elected, the first time included.
+// LeaderChanges returns the times at which a leader was elected, including the first election.
 func (sim *Simulation) LeaderChanges() []time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return slices.Clone(sim.state.leaderChanges)
 }
 
-// FirstStart returns how long after its submission a job's first task started, and false if none has.
+// FirstStart returns the time from a job's submission to the start of its first task, and false if no task has started.
 func (sim *Simulation) FirstStart(job string) (time.Duration, bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -124,7 +124,7 @@
 	return delay, ok
 }
 
-// LongestStartGap returns the longest time between two moments in which no task started.
+// LongestStartGap returns the longest period without a task start between the times from and to.
 func (sim *Simulation) LongestStartGap(from, to time.Duration) time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -139,7 +139,8 @@
 	return max(longest, to-last)
 }
 
-// StartDelays lists, for the jobs of a class, the time from their submission to their first start.
+// StartDelays returns the times from submission to first task start of the started jobs of a class, in no particular
+// order.
 func (sim *Simulation) StartDelays(class string) (delays []time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -10,17 +10,17 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// messageFaults is what is injected at messages and jobs.
+// messageFaults holds the faults injected into messages and jobs.
 type messageFaults struct {
 	failingJobs    map[string]bool // jobs whose tasks fail on any machine
 	duplication    duplication
 	delays         delays
-	keptHeartbeats []keptHeartbeat // they wait for the next leader
+	keptHeartbeats []keptHeartbeat // copies to be delivered to the next leader
 }
 
-// countLostLaunches counts the launches in commands that are never received.
+// countLostLaunches counts the launch commands in the body of a lost message.
 func (sim *Simulation) countLostLaunches(body []byte) {
-	var lost fleet.WireResponse // direct commands have the same field
+	var lost fleet.WireResponse // a request with direct commands has the same field
 	_ = json.Unmarshal(body, &lost)
 	for _, command := range lost.Commands {
 		if command.Op == commandLaunch {
@@ -29,55 +29,56 @@
 	}
 }
 
-// duplication is how often a message is delivered once more, and how late.
+// duplication is the share of messages that are delivered twice, and the delay of the duplicate.
 type duplication struct {
 	share float64
 	delay delayRange
 }
 
-// DuplicateMessages makes a share of the workers' heartbeats and of the users' requests arrive once more, at any
-// controller, between minDelay and maxDelay later, whatever has become of their senders; share 0 ends it.
+// DuplicateMessages delivers a share of the workers' heartbeats and of the users' requests a second time, to a randomly
+// drawn controller, between minDelay and maxDelay later, even if the sender has ended; share 0 ends the fault.
 func (sim *Simulation) DuplicateMessages(share float64, minDelay, maxDelay time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.faults.duplication = duplication{share: share, delay: delayRange{minDelay, maxDelay}}
 }
 
-// duplicate schedules a copy of a message, if one is drawn. The caller holds the mutex.
+// duplicate schedules a duplicate of a message, if the message is drawn. The caller holds the mutex.
 func (sim *Simulation) duplicate(zone, path string, body []byte) {
-	copies := sim.faults.duplication
-	if copies.share == 0 || sim.rng.Float64() >= copies.share {
+	fault := sim.faults.duplication
+	if fault.share == 0 || sim.rng.Float64() >= fault.share {
 		return
 	}
 	sim.stats.DuplicatesSent++
-	spread := float64(copies.delay.max - copies.delay.min)
-	delay := copies.delay.min + time.Duration(sim.rng.Float64()*spread)
+	spread := float64(fault.delay.max - fault.delay.min)
+	delay := fault.delay.min + time.Duration(sim.rng.Float64()*spread)
 	to := sim.settings[sim.rng.IntN(sim.cfg.Controllers)].PublicAddr
 	sim.env.schedule(delay, func() { sim.postCopy(zone, to, path, body) })
 }
 
-// postCopy sends a late copy, whose answer is dropped.
+// postCopy sends a copy of a message and drops the answer.
 func (sim *Simulation) postCopy(zone, to, path string, body []byte) {
 	sim.env.post("", zone, to, path, body, func(int, []byte) {})
 }
 
-// keptHeartbeat is a copy of a heartbeat that waits for the next leader.
+// keptHeartbeat is a copy of a heartbeat that is delivered to the next leader.
 type keptHeartbeat struct {
 	zone string
 	body []byte
 }
 
-// maxKeptHeartbeats bounds the copies that wait: the newest are kept.
+// maxKeptHeartbeats is the maximum number of copies; only the newest are kept.
 const maxKeptHeartbeats = 200
 
-// Delivery of kept heartbeats, after a leader's key was written: every second one comes early, the others late.
+// Times of delivery of the copies after a leader's key is written. Every second copy is late.
 const (
-	earlyReplayMS  = 800 // at the latest
-	lateReplayFrom = 1500 * time.Millisecond
+	earlyReplayMS  = 800                     // latest delivery of an early copy, in milliseconds
+	lateReplayFrom = 1500 * time.Millisecond // earliest delivery of a late copy
 )
 
-// ReplayHeartbeats keeps copies of a share of the workers' heartbeats for the next leader: half of them reach every
-// controller just as its term begins, the others once it has acted; 0 ends it.
+// ReplayHeartbeats copies a share of the workers' heartbeats and delivers the copies to every controller after the next
+// election: half of them just as the new leader's term begins, the others once the leader has acted. Share 0 ends the
+// fault and drops the copies.
 func (sim *Simulation) ReplayHeartbeats(share float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// keepHeartbeat keeps a copy of a heartbeat, if it is drawn. The caller holds the mutex.
+// keepHeartbeat keeps a copy of a heartbeat, if the heartbeat is drawn. The caller holds the mutex.
 func (sim *Simulation) keepHeartbeat(zone string, body []byte) {
 	delays := &sim.faults.delays
 	if delays.replayShare == 0 || delays.rng.Float64() >= delays.replayShare {
@@ -97,7 +98,8 @@
 	sim.faults.keptHeartbeats = kept[max(0, len(kept)-maxKeptHeartbeats):]
 }
 
-// replayHeartbeats schedules the kept heartbeats, as a leader's key is written. The caller holds the mutex.
+// replayHeartbeats schedules the delivery of the kept heartbeats when a leader's key is written. The caller holds the
+// mutex.
 func (sim *Simulation) replayHeartbeats() {
 	kept := sim.faults.keptHeartbeats
 	sim.faults.keptHeartbeats = nil
@@ -116,19 +118,19 @@
 	}
 }
 
-// delays are the times by which messages of each kind are late now.
+// delays holds the injected delays and losses by kind of message.
 type delays struct {
-	rng                  *rand.Rand // of its own: what is late doesn't change what else is drawn
-	txnDelay             delayRange // of transactions without an answer
-	txnDelayShare        float64    // of transactions that are carried out late, without an answer
-	txnAnswerLossShare   float64    // of transactions that are carried out at once, without an answer
-	replayShare          float64    // of heartbeats of which a copy is kept for the next leader
-	stateDelay           delayRange // of the state service's answers
-	commandDelay         delayRange // of direct commands, and of the answers to them
+	rng                  *rand.Rand // separate generator: the delays don't change the numbers drawn elsewhere
+	txnDelay             delayRange // delay of transactions that are applied late
+	txnDelayShare        float64    // share of transactions that are applied late, without an answer
+	txnAnswerLossShare   float64    // share of transactions that are applied immediately, without an answer
+	replayShare          float64    // share of heartbeats that are copied for the next leader
+	stateDelay           delayRange // delay of the state service's requests or answers
+	commandDelay         delayRange // delay of direct commands, and of the answers to them
 	heartbeatAnswerDelay delayRange
 }
 
-// delayRange is a range of delays; its zero value is none.
+// delayRange is a range of delays; the zero value means no delay.
 type delayRange struct{ min, max time.Duration }
 
 func (r delayRange) draw(rng *rand.Rand) time.Duration {
@@ -138,8 +140,8 @@
 	return r.min + time.Duration(rng.Int64N(int64(r.max-r.min)))
 }
 
-// DelayWrites makes a share of the transactions get no answer and be carried out between minDelay and maxDelay later,
-// after newer ones of the same controller; share 0 ends it.
+// DelayWrites applies a share of the transactions between minDelay and maxDelay late, perhaps after newer transactions
+// of the same controller, and sends no answer to them; share 0 ends the fault.
 func (sim *Simulation) DelayWrites(share float64, minDelay, maxDelay time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -147,14 +149,15 @@
 	sim.faults.delays.txnDelay = delayRange{minDelay, maxDelay}
 }
 
-// LoseTxnAnswers makes a share of the transactions be carried out at once without an answer; 0 ends it.
+// LoseTxnAnswers drops the answers to a share of the transactions, which are applied immediately; share 0 ends the
+// fault.
 func (sim *Simulation) LoseTxnAnswers(share float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.faults.delays.txnAnswerLossShare = share
 }
 
-// drawTxnOutcome draws what becomes of a transaction while writes are delayed or answers lost.
+// drawTxnOutcome draws whether a transaction is delayed or loses its answer.
 func (sim *Simulation) drawTxnOutcome(txn store.Txn) TxnOutcome {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -173,18 +176,19 @@
 	return TxnOutcome{Delay: delays.txnDelay.draw(delays.rng)}
 }
 
-// DelayStateAnswers delays every answer of the state service between minDelay and maxDelay, whether the request is
-// carried out at once or only then; maxDelay 0 ends it.
+// DelayStateAnswers delays every answer of the state service by between minDelay and maxDelay. Either the request is
+// handled late, or it is handled immediately and its answer is late. maxDelay 0 ends the fault.
 func (sim *Simulation) DelayStateAnswers(minDelay, maxDelay time.Duration) {
 	sim.setDelay(&sim.faults.delays.stateDelay, minDelay, maxDelay)
 }
 
-// DelayCommands delays direct commands, and the answers to them, between minDelay and maxDelay; maxDelay 0 ends it.
+// DelayCommands delays direct commands, and the answers to them, by between minDelay and maxDelay each; maxDelay 0 ends
+// the fault.
 func (sim *Simulation) DelayCommands(minDelay, maxDelay time.Duration) {
 	sim.setDelay(&sim.faults.delays.commandDelay, minDelay, maxDelay)
 }
 
-// DelayHeartbeatAnswers delays the answers to heartbeats between minDelay and maxDelay; maxDelay 0 ends it.
+// DelayHeartbeatAnswers delays the answers to heartbeats by between minDelay and maxDelay; maxDelay 0 ends the fault.
 func (sim *Simulation) DelayHeartbeatAnswers(minDelay, maxDelay time.Duration) {
 	sim.setDelay(&sim.faults.delays.heartbeatAnswerDelay, minDelay, maxDelay)
 }
@@ -195,7 +199,7 @@
 	*delays = delayRange{minDelay, maxDelay}
 }
 
-// drawDelay draws a message's delay, 0 if messages of its kind aren't delayed.
+// drawDelay draws the delay of a message; 0 if messages of this kind aren't delayed.
 func (sim *Simulation) drawDelay(delays *delayRange) time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -205,7 +209,7 @@
 	return delays.draw(sim.faults.delays.rng)
 }
 
-// afterDelay calls f after a delay, at once if that is 0.
+// afterDelay calls f after the delay; a delay of 0 calls f directly.
 func (sim *Simulation) afterDelay(delay time.Duration, f func()) {
 	if delay == 0 {
 		f()
@@ -214,25 +218,25 @@
 	sim.env.schedule(delay, f)
 }
 
-// withStateDelay carries out a request to the state service, and delays either the request or its answer.
-func (sim *Simulation) withStateDelay(carryOut func(replyFunc), reply replyFunc) {
+// withStateDelay handles a request to the state service, and delays either the request or its answer.
+func (sim *Simulation) withStateDelay(handle func(replyFunc), reply replyFunc) {
 	delay := sim.drawDelay(&sim.faults.delays.stateDelay)
 	if delay == 0 {
-		carryOut(reply)
+		handle(reply)
 		return
 	}
 	sim.mu.Lock()
 	delayRequest := sim.faults.delays.rng.IntN(2) == 0
 	sim.mu.Unlock()
 	if delayRequest {
-		sim.env.schedule(delay, func() { carryOut(reply) })
+		sim.env.schedule(delay, func() { handle(reply) })
 		return
 	}
-	carryOut(func(status int, body any) { sim.env.schedule(delay, func() { reply(status, body) }) })
+	handle(func(status int, body any) { sim.env.schedule(delay, func() { reply(status, body) }) })
 }
 
-// leaseFraction returns a part of a worker's lease, the unit of delays in scripts: they then mean the same with short
-// leases as with long ones.
-func (sim *Simulation) leaseFraction(part float64) time.Duration {
-	return jobs.Seconds(part * sim.cfg.Workers.LeaseS)
+// leaseFraction returns a fraction of a worker's lease. Delays of script faults are given in this unit, so that they
+// have the same effect with short leases as with long ones.
+func (sim *Simulation) leaseFraction(fraction float64) time.Duration {
+	return jobs.Seconds(fraction * sim.cfg.Workers.LeaseS)
 }
--- a/internal/simulator/partitions.go
+++ b/internal/simulator/partitions.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Partition is how a zone is partitioned from everything outside it. Inside, everything stays connected.
+// Partition is the way in which a zone is partitioned from everything outside the zone. Connections inside the zone are
+// never affected.
 type Partition uint8
 
 // The kinds of partition.
 const (
-	Connected  Partition = iota // none
+	Connected  Partition = iota // no partition
 	DropBoth                    // messages in both directions are lost
-	DelayBoth                   // messages in both directions wait, and arrive when the partition ends
-	RefuseBoth                  // connections in both directions are refused at once
-	DropInto                    // messages into the zone are lost, those out of it arrive
-	DropOutOf                   // messages out of the zone are lost, those into it arrive
+	DelayBoth                   // messages in both directions are delayed until the partition ends
+	RefuseBoth                  // connections in both directions are refused immediately
+	DropInto                    // messages into the zone are lost, messages out of the zone arrive
+	DropOutOf                   // messages out of the zone are lost, messages into the zone arrive
 )
 
-// delayedMessage is a message that waits for a partition's end.
+// delayedMessage is a message that is delivered when a partition ends.
 type delayedMessage struct {
-	from, to string // zones
+	from, to string // zones of the sender and of the receiver
 	deliver  func()
 }
 
-// PartitionZone partitions a zone or, with Connected, connects it again: messages that were delayed are then
-// delivered in their order, each after a time of its own. It needs virtual time.
-func (sim *Simulation) PartitionZone(zone string, how Partition) {
+// PartitionZone partitions a zone or, with Connected, ends its partition. When a partition ends, the delayed messages
+// are sent on in their order, each with a random delay. The simulation must be in virtual time.
+func (sim *Simulation) PartitionZone(zone string, partition Partition) {
 	network := &sim.virtual.network
-	network.partitions[zone] = how
-	if how != Connected {
+	network.partitions[zone] = partition
+	if partition != Connected {
 		return
 	}
 	waiting := network.delayed
@@ -39,7 +40,8 @@
 	}
 }
 
-// PowerOffZone ends all machines of a zone with what is on them, and its controllers. It needs virtual time.
+// PowerOffZone ends all machines of a zone, the tasks on them, and the zone's controllers. The simulation must be in
+// virtual time.
 func (sim *Simulation) PowerOffZone(zone string) {
 	sim.mu.Lock()
 	now := sim.now()
@@ -57,8 +59,8 @@
 	}
 }
 
-// between returns what happens to a message from one zone to another: Connected, DropBoth, DelayBoth or RefuseBoth.
-// What is in no zone ("") can't be partitioned.
+// between returns the effect of the partitions on a message from one zone to another: Connected, DropBoth, DelayBoth or
+// RefuseBoth. Senders and receivers that belong to no zone ("") can't be partitioned.
 func (n *network) between(from, to string) Partition {
 	if from == to {
 		return Connected
@@ -82,8 +84,8 @@
 	return Connected
 }
 
-// deliver calls arrive for a message from one zone to another, or does what a partition does to it; a refused
-// connection calls refuse.
+// deliver delivers a message from one zone to another: it calls arrive now or, for a delayed message, after the
+// partition's end. A refused connection calls refuse. A lost message calls neither.
 func (env *virtualTime) deliver(from, to string, arrive, refuse func()) {
 	switch env.network.between(from, to) {
 	case Connected:
@@ -96,10 +98,10 @@
 	}
 }
 
-// Links is a set of a controller's links to its counterparts.
+// Links is a set of a controller's network links, by the kind of the remote side.
 type Links uint8
 
-// The links of a controller. They can be combined.
+// The links of a controller. Values can be combined with |.
 const (
 	StateLink Links = 1 << iota
 	PeerLinks
@@ -108,8 +110,8 @@
 	CloudLink // to the cloud and the licence server
 )
 
-// CutLinks cuts some of a controller's links, and restores all others; 0 restores all. What is sent meanwhile is
-// lost. It needs virtual time.
+// CutLinks cuts some of a controller's links, and restores all others; 0 restores all. Messages over a cut link are
+// lost. The simulation must be in virtual time.
 func (sim *Simulation) CutLinks(controller int, links Links) {
 	public := sim.virtual.controllers[controller].settings.PublicAddr
 	sim.virtual.network.cutLinks[public] = links
@@ -118,8 +120,8 @@
 	}
 }
 
-// linkCheck returns a function that reports whether a link of the controller with that address for users is cut at
-// the moment of its call.
+// linkCheck returns a function that reports whether a link is cut at the time of its call. The controller is identified
+// by its address for users.
 func (env *virtualTime) linkCheck(public string, link Links) func() bool {
 	return func() bool { return env.network.cutLinks[public]&link != 0 }
 }
@@ -135,16 +137,16 @@
 	return WorkerLinks
 }
 
-// partitionZoneFor partitions a zone for a time.
-func (sim *Simulation) partitionZoneFor(zone string, how Partition, duration time.Duration) {
-	sim.PartitionZone(zone, how)
+// partitionZoneFor partitions a zone for the duration.
+func (sim *Simulation) partitionZoneFor(zone string, partition Partition, duration time.Duration) {
+	sim.PartitionZone(zone, partition)
 	sim.env.schedule(duration, func() { sim.PartitionZone(zone, Connected) })
 }
 
-// flapCount is how often flapZone partitions a zone.
+// flapCount is the number of partitions that flapZone causes.
 const flapCount = 5
 
-// flapZone partitions a zone several times, for a time and with that time between.
+// flapZone partitions a zone several times. Each partition lasts for the duration, and so does the time between two.
 func (sim *Simulation) flapZone(zone string, duration time.Duration) {
 	for i := range flapCount {
 		begin := time.Duration(2*i) * duration
@@ -153,7 +155,7 @@
 	}
 }
 
-// powerOffZoneFor ends a zone's machines and controllers, and starts the controllers again after a time.
+// powerOffZoneFor ends a zone's machines and controllers, and starts the controllers again after the duration.
 func (sim *Simulation) powerOffZoneFor(zone string, duration time.Duration) {
 	sim.PowerOffZone(zone)
 	sim.env.schedule(duration, func() {
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -7,21 +7,22 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// This file checks the rules of pipelines, which are jobs that follow others, by the simulator's own truth: what users
-// submitted and received, and which tasks have completed on machines.
+// This file checks the rules of pipelines, which are jobs that depend on other jobs. The checks use only the
+// simulator's own records: the jobs that users submitted, the answers that they received, and the tasks that completed
+// on machines.
 
-// States of a job in answers to users that may still change.
+// States of a job in answers to users that aren't final.
 const (
 	statePending = "pending"
 	stateRunning = "running"
 )
 
-// pipelineRecords is what is recorded of jobs that follow others.
+// pipelineRecords records the dependencies between jobs.
 type pipelineRecords struct {
-	// successors lists the submitted jobs that name a job as predecessor.
+	// successors lists, by job, the submitted jobs that name the job as a predecessor.
 	successors map[string][]string
-	// cancelledAbove is, by job, when a user first received that a job before it, directly or through others, is
-	// cancelled.
+	// cancelledAbove is, by job, the time at which a user first received the cancellation of one of its ancestors: its
+	// direct and indirect predecessors.
 	cancelledAbove map[string]time.Duration
 }
 
@@ -43,8 +44,8 @@
 	}
 }
 
-// addCancellation records that a job before this one was cancelled, unless an earlier cancellation is recorded. It
-// returns whether none was recorded before.
+// addCancellation records the cancellation of an ancestor of the job, unless an earlier one is recorded. It returns
+// whether no cancellation was recorded before.
 func (r *pipelineRecords) addCancellation(job string, at time.Duration) (isFirst bool) {
 	earlier, ok := r.cancelledAbove[job]
 	if !ok || at < earlier {
@@ -53,63 +54,65 @@
 	return !ok
 }
 
-// firstCancellation returns when a user first received that a job, or one before it, is cancelled.
+// firstCancellation returns the time at which a user first received the cancellation of a job or of one of its
+// ancestors; false if there was none.
 func (sim *Simulation) firstCancellation(job string) (at time.Duration, ok bool) {
 	at, ok = sim.work.cancelledAt[job]
-	above, hasAbove := sim.work.pipelines.cancelledAbove[job]
-	if hasAbove && (!ok || above < at) {
-		return above, true
+	ancestorAt, hasAncestor := sim.work.pipelines.cancelledAbove[job]
+	if hasAncestor && (!ok || ancestorAt < at) {
+		return ancestorAt, true
 	}
 	return at, ok
 }
 
-// cancelSuccessors records for all jobs after one, directly or through others, that it is cancelled.
+// cancelSuccessors records a job's cancellation for all its direct and indirect successors.
 func (sim *Simulation) cancelSuccessors(job string, at time.Duration) {
 	records := &sim.work.pipelines
-	open := []string{job}
-	for len(open) > 0 {
-		next := open[len(open)-1]
-		open = open[:len(open)-1]
+	stack := []string{job}
+	for len(stack) > 0 {
+		next := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
 		for _, successor := range records.successors[next] {
 			if records.addCancellation(successor, at) {
-				open = append(open, successor)
+				stack = append(stack, successor)
 			}
 		}
 	}
 }
 
-// unfinishedPredecessor returns a job that has to be done before a job starts and isn't, by the tasks that have
-// completed on machines; "" if there is none.
+// unfinishedPredecessor returns a predecessor of a job that isn't done according to the tasks that have completed on
+// machines, "" if all predecessors are done.
 func (sim *Simulation) unfinishedPredecessor(spec *jobs.Spec) string {
 	for _, predecessor := range spec.Follows {
-		former := sim.work.specs[predecessor]
-		if former == nil || !sim.allDone(predecessor, former.Tasks) {
+		predecessorSpec := sim.work.specs[predecessor]
+		if predecessorSpec == nil || !sim.allDone(predecessor, predecessorSpec.Tasks) {
 			return predecessor
 		}
 	}
 	return ""
 }
 
-// checkPredecessorsDone checks, as a task starts, that all jobs that its job follows are done.
+// checkPredecessorsDone checks, when a task starts, that all predecessors of its job are done.
 func (sim *Simulation) checkPredecessorsDone(machine *Machine, task *workerTask) {
 	if predecessor := sim.unfinishedPredecessor(task.spec); predecessor != "" {
-		sim.violate("too_early: %s starts on %s and %s is not done", task.name, machine.Name, predecessor)
+		sim.violate("too_early: %s starts on %s before its predecessor %s is done",
+			task.name, machine.Name, predecessor)
 	}
 }
 
-// checkNotOrphaned checks that an answer received now doesn't call a job pending or running for too long after a user
-// received that a job before it is cancelled.
+// checkNotOrphaned checks the state in an answer received now. Once the time limit has passed after a user received the
+// cancellation of an ancestor, the job must be neither pending nor running.
 func (sim *Simulation) checkNotOrphaned(job, state string) {
 	at, ok := sim.work.pipelines.cancelledAbove[job]
 	if !ok || state != statePending && state != stateRunning {
 		return
 	}
 	if since := sim.now() - at; since > jobs.Seconds(sim.cfg.Workers.CancelS) {
-		sim.violate("orphaned: %s is called %s %v after the cancellation of a job before it", job, state, since)
+		sim.violate("orphaned: %s is still %s %v after the cancellation of an ancestor", job, state, since)
 	}
 }
 
-// checkDirectAnswer is checkNotOrphaned in real time, where answers don't pass through Request.
+// checkDirectAnswer calls checkNotOrphaned in real time. In virtual time, Simulation.Request has already done so.
 func (sim *Simulation) checkDirectAnswer(job, state string) {
 	if sim.virtual != nil {
 		return
@@ -119,8 +122,8 @@
 	sim.checkNotOrphaned(job, state)
 }
 
-// checkPredecessorsKnown checks the answer to a submission with predecessors: it is refused if one of them was never
-// submitted, and is not refused if all of them were accepted before it was sent.
+// checkPredecessorsKnown checks the answer to a submission with predecessors. The submission must be rejected if a
+// predecessor was never submitted, and it must not be rejected if all predecessors were accepted before it was sent.
 func (sim *Simulation) checkPredecessorsKnown(about userRequest, sentAt time.Duration, status int) {
 	spec := sim.work.specs[about.job]
 	if !about.submits || spec == nil || len(spec.Follows) == 0 {
@@ -135,12 +138,12 @@
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if sim.canRun(spec) && sim.allAccepted(spec.Follows, sentAt) {
-			sim.violate("refused: %s is answered %d, and all that it follows were accepted", spec.ID, status)
+			sim.violate("refused: %s is answered %d after all its predecessors were accepted", spec.ID, status)
 		}
 	}
 }
 
-// allAccepted reports whether users had received that each of the jobs is accepted before a moment.
+// allAccepted reports whether users received the acceptance of each of the jobs before the given time.
 func (sim *Simulation) allAccepted(ids []string, before time.Duration) bool {
 	for _, id := range ids {
 		if answers := sim.users.jobs[id]; answers == nil || !answers.accepted || answers.acceptedAt >= before {
@@ -150,8 +153,8 @@
 	return true
 }
 
-// MayBeCancelled reports whether a job may be called cancelled: somebody asked to cancel it, or a job before it,
-// directly or through others, that no user received as done.
+// MayBeCancelled reports whether an answer may call a job cancelled: a user requested the cancellation of the job, or
+// of an ancestor that no answer to a user has called done.
 func (sim *Simulation) MayBeCancelled(job string) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -162,44 +165,45 @@
 	return sim.users.cancelRequested[job] || sim.mayBeCancelledByOther(job)
 }
 
-// mayBeCancelledByOther reports whether the cancellation of a job before this one may have been asked for and is not
-// known to have come too late.
+// mayBeCancelledByOther reports whether a user requested the cancellation of an ancestor that no answer has called
+// done. Jobs between the job and the ancestor must not have been called done either.
 func (sim *Simulation) mayBeCancelledByOther(job string) bool {
-	seen := map[string]bool{job: true}
-	open := []string{job}
-	for len(open) > 0 {
-		spec := sim.work.specs[open[len(open)-1]]
-		open = open[:len(open)-1]
+	visited := map[string]bool{job: true}
+	stack := []string{job}
+	for len(stack) > 0 {
+		spec := sim.work.specs[stack[len(stack)-1]]
+		stack = stack[:len(stack)-1]
 		if spec == nil {
 			continue
 		}
 		for _, predecessor := range spec.Follows {
-			if seen[predecessor] || sim.receivedDone(predecessor) {
+			if visited[predecessor] || sim.receivedDone(predecessor) {
 				continue
 			}
 			if sim.users.cancelRequested[predecessor] {
 				return true
 			}
-			seen[predecessor] = true
-			open = append(open, predecessor)
+			visited[predecessor] = true
+			stack = append(stack, predecessor)
 		}
 	}
 	return false
 }
 
-// receivedDone reports whether a user received that a job is done.
+// receivedDone reports whether a user received an answer that calls a job done.
 func (sim *Simulation) receivedDone(job string) bool {
 	answers := sim.users.jobs[job]
 	return answers != nil && answers.final == stateDone
 }
 
-// checkSuccessorsGoOn checks, as a user first receives that a job is done, that no job that names it was called
-// cancelled without another reason.
+// checkSuccessorsGoOn checks, when a user first receives that a job is done, that none of its successors was answered
+// as cancelled without another reason.
 func (sim *Simulation) checkSuccessorsGoOn(job string) {
 	for _, successor := range sim.work.pipelines.successors[job] {
 		answers := sim.users.jobs[successor]
 		if answers != nil && answers.final == stateCancelled && !sim.mayBeCancelled(successor) {
-			sim.violate("went_back: %s is called cancelled, and %s is done", successor, job)
+			sim.violate("went_back: %s was answered as cancelled without a request, but its predecessor %s is done",
+				successor, job)
 		}
 	}
 }
--- a/internal/simulator/ports.go
+++ b/internal/simulator/ports.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// Ports that controllers listen on are taken from below the range that the system assigns to sockets without a port,
-// in blocks. The first port of a block is its lock.
+// Ports for controllers are allocated in blocks, below the range of the system's ephemeral ports. The first port of a
+// block serves as its lock.
 const (
 	minPort          = 12_000
 	portsPerBlock    = 50
@@ -17,24 +17,24 @@
 	maxBlockAttempts = 2_000
 )
 
-// errNoPortBlock is returned when every block of ports that was tried belongs to somebody else.
+// errNoPortBlock is returned when all drawn blocks of ports are locked by other allocators.
 var errNoPortBlock = errors.New("no free block of loopback ports")
 
-// portAllocator hands out loopback ports to one simulation. A port is free when it is handed out, but its controller
-// listens there only later, and not at all while it is down. So that no simulation of another test, or of another
-// process, takes it meanwhile, the allocator listens on the first port of each block from which it allocates, until
-// it is closed: of two that draw the same block only one can.
+// portAllocator allocates loopback ports for one simulation. A port is free when it is allocated, but its controller
+// listens on the port only later, and not while the controller is down. The port must not be allocated meanwhile by a
+// simulation of another test or process. Therefore the allocator listens on the first port of each block that it uses,
+// until it is closed: only one of several allocators can lock a block in this way.
 type portAllocator struct {
 	mu    sync.Mutex
-	locks []net.Listener // of the blocks that are held
-	next  int            // the port that is tried next
-	end   int            // the port after the newest block's last
+	locks []net.Listener // listeners on the first ports of the locked blocks
+	next  int            // next port to try
+	end   int            // port after the last one of the newest block
 }
 
 // loopbackAddr returns the address of a loopback port.
 func loopbackAddr(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// allocate returns an address on which nothing listens and which no other allocator hands out until this one is
+// allocate returns an address on which no program listens and which no other allocator returns until this one is
 // closed.
 func (a *portAllocator) allocate() (string, error) {
 	a.mu.Lock()
@@ -49,13 +49,14 @@
 		a.next++
 		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
-			continue // a program that doesn't use blocks listens there
+			continue // the port is in use by a program that doesn't use the blocks
 		}
 		return addr, listener.Close()
 	}
 }
 
-// lockBlock makes a free block the one from which ports are allocated.
+// lockBlock locks a free block, from which the next ports are allocated. It returns errNoPortBlock after
+// maxBlockAttempts.
 func (a *portAllocator) lockBlock() error {
 	for range maxBlockAttempts {
 		first := minPort + portsPerBlock*rand.IntN(portBlocks)
@@ -71,7 +72,7 @@
 	return errNoPortBlock
 }
 
-// close gives all blocks back.
+// close releases all blocks.
 func (a *portAllocator) close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/simulator/rate_limit.go
+++ b/internal/simulator/rate_limit.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// rateLimit bounds a rate, with bursts of up to a second's worth.
+// rateLimit is a leaky bucket that allows bursts of up to the units of one second.
 type rateLimit struct {
-	rate  float64 // units a second
-	level float64 // units of the last second
-	at    time.Duration
+	rate  float64       // units a second
+	level float64       // units in the bucket at the time at
+	at    time.Duration // time of the last call of take
 }
 
-// take uses n units, and returns false if that would exceed the rate.
+// take uses n units. It returns false, and uses none, if they would exceed the rate.
 func (l *rateLimit) take(now time.Duration, n float64) bool {
 	l.level = max(0, l.level-l.rate*(now-l.at).Seconds())
 	l.at = now
--- a/internal/simulator/real_time.go
+++ b/internal/simulator/real_time.go
@@ -13,16 +13,16 @@
 const (
 	// idleTimeout is how long a connection may stay open without a request.
 	idleTimeout = 30 * time.Second
-	// shutdownTimeout is how long the server waits for requests that are being served.
+	// shutdownTimeout is how long a shutdown waits for requests that are being served.
 	shutdownTimeout = 100 * time.Millisecond
-	// maxServerConns is far above the connections of any simulation.
+	// maxServerConns is far above the number of connections in any simulation.
 	maxServerConns = 1 << 20
-	// maxConnsPerMachine bounds a machine's connections to a controller: one, and one that was given up.
+	// maxConnsPerMachine limits a machine's connections to a controller: one in use, and one whose request timed out.
 	maxConnsPerMachine = 2
 )
 
-// realTime is the environment of real time and loopback sockets. One server serves all addresses, and each machine
-// has a client of its own, as its worker has: thousands of machines fit one process, and controllers see as many
+// realTime is the environment in real time, on loopback sockets. One server serves all addresses, so that thousands of
+// machines fit one process. Each machine has its own client, as a real worker has, so that controllers have as many
 // connections as there are workers.
 type realTime struct {
 	start  time.Time
@@ -31,8 +31,8 @@
 	ports  portAllocator
 
 	mu       sync.Mutex
-	handlers map[string]handlerFunc // by address
-	clients  map[string]*fasthttp.Client
+	handlers map[string]handlerFunc      // by address
+	clients  map[string]*fasthttp.Client // by machine
 }
 
 func newRealTimeEnvironment() *realTime {
@@ -80,13 +80,13 @@
 	return addr, nil
 }
 
-// response is a handler's answer on its way to the server's goroutine.
+// response is a handler's answer, passed to the server's goroutine.
 type response struct {
 	status int
 	body   any
 }
 
-// serve answers a request by the handler of the address at which it arrived.
+// serve passes a request to the handler of the address at which it arrived, and sends the handler's answer.
 func (env *realTime) serve(ctx *fasthttp.RequestCtx) {
 	env.mu.Lock()
 	handler := env.handlers[ctx.LocalAddr().String()]
@@ -114,15 +114,15 @@
 	}
 }
 
-func (env *realTime) controllerAddrs(int) (public, back string, err error) {
+func (env *realTime) controllerAddrs(int) (public, peer string, err error) {
 	if public, err = env.ports.allocate(); err != nil {
 		return "", "", err
 	}
-	back, err = env.ports.allocate()
-	return public, back, err
+	peer, err = env.ports.allocate()
+	return public, peer, err
 }
 
-// client returns a machine's client, or for "" the one of all late copies.
+// client returns the client of a machine; "" stands for the shared client that sends the copies of messages.
 func (env *realTime) client(machine string) *fasthttp.Client {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -143,7 +143,7 @@
 	return client
 }
 
-// post sends the request on a goroutine that ends with the answer or the client's time limit.
+// post sends the request on a new goroutine, which ends with the answer or the client's timeout.
 func (env *realTime) post(machine, _, addr, path string, body []byte, then func(int, []byte)) {
 	client := env.client(machine)
 	go func() {
@@ -168,19 +168,19 @@
 	for _, client := range env.clients {
 		client.CloseIdleConnections()
 	}
-	_ = env.ports.close() // the ports are free whatever a listener's close reports
+	_ = env.ports.close() // the ports are free even if closing a listener reports an error
 }
 
 // sendTimeout is how long send waits for an answer.
 const sendTimeout = 4 * time.Second
 
-// newUserClient returns a client that sends each request once.
+// newUserClient returns a client that doesn't retry requests.
 func newUserClient() *fasthttp.Client {
 	return &fasthttp.Client{MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true}
 }
 
-// send sends a GET request or, with a body, a POST request, with a bearer token if there is one; status 0 stands
-// for no answer.
+// send sends a POST request if body isn't nil and a GET request otherwise, with the bearer token unless it is "";
+// status 0 stands for no answer.
 func send(client *fasthttp.Client, to, path, token string, body []byte) (status int, answer []byte) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/simulator/recorder.go
+++ b/internal/simulator/recorder.go
@@ -6,26 +6,25 @@
 const (
 	kindRequest messageKind = "request"
 	kindAnswer  messageKind = "answer"
-	kindStatus  messageKind = "status" // of one controller to another
+	kindStatus  messageKind = "status" // status message between controllers
 )
 
-// Senders of requests that have no address of their own.
+// Senders of requests that have no address.
 const (
 	senderUser      = "user"
-	senderDuplicate = "copy" // the network, which delivers a request once more
+	senderDuplicate = "copy" // the network, which delivers a request a second time
 )
 
-// message is one message as its sender hands it to the simulated network, whether or not it arrives. In an answer,
-// method and path are those of its request.
+// message is one message at the time when it is sent over the simulated network. It may be lost later.
 type message struct {
 	kind         messageKind
 	from, to     string
-	method, path string
-	status       int // of an answer
+	method, path string // of the request, also in the answer to a request
+	status       int    // HTTP status of an answer, 0 otherwise
 	body         []byte
 }
 
-// recordMessage passes a message to the recorder, if there is one. Nothing in the simulation depends on it.
+// recordMessage passes a message to the recorder, if there is one. The recorder has no influence on the simulation.
 func (env *virtualTime) recordMessage(m message) {
 	if env.recorder != nil {
 		env.recorder(m)
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -11,16 +11,16 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Controllers of several releases, in virtual time: a controller runs today's code, but supports no level above the
-// one that it is given, as an earlier release does.
+// This file simulates controllers of several releases, in virtual time. Every controller runs the current code, but
+// supports no level above its configured one, as an earlier release does.
 
-// FormerRelease is the release that a simulated controller announces where it stands for an earlier one.
+// FormerRelease is the release name that a controller announces when it simulates an earlier release.
 const FormerRelease = "v0.20.9"
 
-// levelKey is the stored key of the cluster's level.
+// levelKey is the key under which the state service stores the cluster's level.
 const levelKey = "h/r/level"
 
-// SetRelease makes a controller one of a release that supports levels up to one, from its next start on.
+// SetRelease makes a controller simulate a release that supports levels up to maxLevel, from its next start on.
 func (sim *Simulation) SetRelease(controller int, maxLevel rollout.Level) {
 	release := rollout.Release
 	if maxLevel < rollout.Newest {
@@ -29,7 +29,7 @@
 	sim.virtual.controllers[controller].settings.SimulateRelease(maxLevel, release)
 }
 
-// MaxLevel returns the highest level that a controller would support after its next start.
+// MaxLevel returns the highest level that a controller supports from its next start on.
 func (sim *Simulation) MaxLevel(controller int) rollout.Level {
 	if level := sim.virtual.controllers[controller].settings.Rollout().SimulatedLevel; level > 0 {
 		return level
@@ -37,7 +37,7 @@
 	return rollout.Newest
 }
 
-// StoredItems returns what the state service stores under a prefix, by key.
+// StoredItems returns the stored items with a prefix, by key.
 func (sim *Simulation) StoredItems(prefix string) map[string]store.Item {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -50,14 +50,14 @@
 	return items
 }
 
-// StoredItem returns one stored key, with version 0 if there is none.
+// StoredItem returns the stored item of a key; its version is 0 if the key doesn't exist.
 func (sim *Simulation) StoredItem(key string) store.Item {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return sim.state.service.Keys[key]
 }
 
-// WriteKeys changes keys without the controllers' knowledge, as damage or an operator does.
+// WriteKeys changes stored keys without a controller's request, to simulate damage or an operator's changes.
 func (sim *Simulation) WriteKeys(ops ...store.Op) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -67,7 +67,7 @@
 	sim.wakeWatchers(before)
 }
 
-// ClusterLevel returns the stored level of the cluster.
+// ClusterLevel returns the cluster's stored level, rollout.Base if none is stored.
 func (sim *Simulation) ClusterLevel() rollout.Level {
 	var stored struct {
 		Level rollout.Level `json:"level"`
@@ -79,23 +79,23 @@
 	return stored.Level
 }
 
-// TxnOutcome is what becomes of a transaction and of its answer. The zero value is the ordinary one.
+// TxnOutcome is the injected fault of a transaction. The zero value means that the transaction is applied and answered.
 type TxnOutcome struct {
-	// Dropped: it is not carried out, and there is no answer.
+	// Dropped transactions are neither applied nor answered.
 	Dropped bool
-	// Delay: it is carried out after this time, without an answer.
+	// Delay, unless it is 0, is the time after which the transaction is applied, without an answer.
 	Delay time.Duration
-	// Unanswered: it is carried out at once, without an answer.
+	// Unanswered transactions are applied immediately, without an answer.
 	Unanswered bool
 }
 
-// InterceptTxns sets the function that decides what becomes of each transaction; nil ends it. It is set before or
-// between events of a simulation in virtual time.
+// InterceptTxns sets the function that decides the outcome of each transaction; nil removes the function. In virtual
+// time it may be called before the simulation runs or between its events.
 func (sim *Simulation) InterceptTxns(decide func(controller int, txn store.Txn) TxnOutcome) {
 	sim.state.interceptTxn = decide
 }
 
-// intercepted does to a transaction what is injected. It returns false if the request goes its ordinary way.
+// intercepted applies the injected fault to a transaction. It returns false if the request must be handled normally.
 func (sim *Simulation) intercepted(controller int, request httpRequest) bool {
 	if request.path != state.TxnPath {
 		return false
@@ -108,7 +108,7 @@
 	if outcome == (TxnOutcome{}) && sim.state.interceptTxn != nil {
 		outcome = sim.state.interceptTxn(controller, txn)
 	}
-	carryOut := func() {
+	apply := func() {
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		_, _ = sim.applyStateRequest(controller, request)
@@ -116,17 +116,17 @@
 	switch {
 	case outcome.Dropped:
 	case outcome.Delay > 0:
-		sim.env.schedule(outcome.Delay, carryOut)
+		sim.env.schedule(outcome.Delay, apply)
 	case outcome.Unanswered:
-		carryOut()
+		apply()
 	default:
 		return false
 	}
 	return true
 }
 
-// CompactHistory makes every watch that is opened from now on, at a revision before the present one, fail because its
-// revision is no longer in the history.
+// CompactHistory drops the history of changes: watches from the current revision or an earlier one fail from now on
+// because the history no longer contains their revision.
 func (sim *Simulation) CompactHistory() {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -134,28 +134,29 @@
 }
 
 const (
-	// rollPoll is the time between two queries of which controller to restart next.
+	// rollPoll is the time between two queries for the next controller to restart.
 	rollPoll = 500 * time.Millisecond
-	// drainBeforeKill is how long a controller drains that is killed meanwhile.
+	// drainBeforeKill is the time after which a draining controller is killed.
 	drainBeforeKill = 200 * time.Millisecond
 )
 
 // rollingRestart restarts all controllers with another release.
 type rollingRestart struct {
 	sim        *Simulation
-	generation int // of virtualTime when it began: another one has ended it
+	generation int // virtualTime.rolloutGeneration at the start; a change of that counter stops this restart
 	level      rollout.Level
-	gap        time.Duration
+	downtime   time.Duration // time from a controller's end to its next start
 	kill       func(controller int) bool
 	done       func()
 }
 
-// RollingRestart restarts all controllers, one after the other in the order of the leader's plan, with a release
-// that supports levels up to one. Each is drained or, if kill isn't nil and returns true, killed while it drains,
-// and started again after gap. When all run the release, done is called. It needs virtual time.
+// RollingRestart restarts all controllers, one after the other in the order of the leader's plan, with a release that
+// supports levels up to level. Each controller is drained or, if kill isn't nil and returns true, killed during its
+// drain. It is started again after downtime. Once all controllers run the release, done is called. The simulation must
+// be in virtual time.
 func (sim *Simulation) RollingRestart(
 	level rollout.Level,
-	gap time.Duration,
+	downtime time.Duration,
 	kill func(controller int) bool,
 	done func(),
 ) {
@@ -164,17 +165,17 @@
 		sim:        sim,
 		generation: sim.virtual.rolloutGeneration,
 		level:      level,
-		gap:        gap,
+		downtime:   downtime,
 		kill:       kill,
 		done:       done,
 	}
 	rolling.next()
 }
 
-// StopRollingRestart ends a rolling restart after the restart that is under way.
+// StopRollingRestart stops a rolling restart; the controller that is being restarted is still started again.
 func (sim *Simulation) StopRollingRestart() { sim.virtual.rolloutGeneration++ }
 
-// next restarts the controller that the leader's plan names, and calls itself again until all run the release.
+// next restarts the controller that the leader's plan names, and reschedules itself until all run the release.
 func (r *rollingRestart) next() {
 	sim := r.sim
 	if sim.virtual.rolloutGeneration != r.generation {
@@ -219,7 +220,7 @@
 func (r *rollingRestart) restart(controller int) {
 	sim := r.sim
 	startAgain := func() {
-		sim.env.schedule(r.gap, func() {
+		sim.env.schedule(r.downtime, func() {
 			sim.SetRelease(controller, r.level)
 			sim.StartController(controller)
 			r.retry()
@@ -236,7 +237,7 @@
 	})
 }
 
-// runningLevel returns the highest level that a controller's process supports, 0 if there is none.
+// runningLevel returns the highest level that a controller's process supports, 0 if the controller isn't running.
 func (sim *Simulation) runningLevel(controller int) rollout.Level {
 	if !sim.ControllerRuns(controller) {
 		return 0
--- a/internal/simulator/script.go
+++ b/internal/simulator/script.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Fault is one line of a script.
+// Fault is a fault in a line of a script.
 type Fault struct {
-	After time.Duration // from the script's start
-	Text  string        // the fault and its arguments
-	Apply func(*Simulation)
-	// VirtualTimeOnly reports that the fault needs a simulation in virtual time.
+	After time.Duration     // time from the script's start
+	Text  string            // the fault's name and arguments
+	Apply func(*Simulation) // begins the fault
+	// VirtualTimeOnly reports whether the fault needs a simulation in virtual time.
 	VirtualTimeOnly bool
 }
 
-// FaultWords lists the faults that a script can name, each with its arguments, by name.
+// FaultWords returns the names of all faults in scripts, each followed by its arguments, sorted by name.
 func FaultWords() []string {
 	placeholders := strings.NewReplacer(
 		string(argController), "CONTROLLER ",
@@ -38,23 +38,23 @@
 
 // ScriptError is the error of one line of a script.
 type ScriptError struct {
-	Line int    // from 1
-	Text string // without its comment
-	Err  error  // what is wrong with it
+	Line int    // line number, starting at 1
+	Text string // the line without its comment
+	Err  error  // the error in the line
 }
 
 // Error implements error.
 func (e *ScriptError) Error() string { return fmt.Sprintf("line %d: %q: %v", e.Line, e.Text, e.Err) }
 
-// Unwrap returns what is wrong with the line.
+// Unwrap returns the error in the line.
 func (e *ScriptError) Unwrap() error { return e.Err }
 
 var (
-	errNoTimeAndFault = errors.New("begin with a time and a fault, such as \"12s kill-machine\"")
+	errNoTimeAndFault = errors.New("the line must begin with a time and a fault, such as \"12s kill-machine\"")
 	errUnknownFault   = errors.New("no such fault")
 )
 
-// argumentCountError is returned for a fault with too few or too many arguments.
+// argumentCountError is returned for a fault with the wrong number of arguments.
 type argumentCountError struct {
 	fault string
 	want  int
@@ -65,14 +65,14 @@
 	return fmt.Sprintf("%s takes %d arguments", e.fault, e.want)
 }
 
-// argumentError is returned for an argument that isn't of the kind that its fault takes.
+// argumentError is returned for an argument that isn't valid for its kind.
 type argumentError struct{ value string }
 
 // Error implements error.
-func (e *argumentError) Error() string { return e.value + " is not what belongs there" }
+func (e *argumentError) Error() string { return e.value + " is not a valid argument" }
 
-// ParseScript reads faults, one a line, such as "12s hang 5s"; "#" begins a comment. It returns them in the order of
-// their times. The error of a line that isn't a fault is a *ScriptError.
+// ParseScript parses a script with one fault per line, such as "12s hang 5s"; "#" begins a comment. It returns the
+// faults sorted by time. It returns a *ScriptError for an invalid line.
 func ParseScript(r io.Reader) ([]Fault, error) {
 	var script []Fault
 	lines := bufio.NewScanner(r)
@@ -92,7 +92,7 @@
 	return script, lines.Err()
 }
 
-// parseFault reads a time, a fault's name and its arguments.
+// parseFault parses the fields of a line: a time, a fault's name and its arguments.
 func parseFault(fields []string) (Fault, error) {
 	after, err := time.ParseDuration(fields[0])
 	if err != nil || after < 0 || len(fields) < 2 {
@@ -101,7 +101,7 @@
 	name, values := fields[1], fields[2:]
 	kind, ok := faultKinds[name]
 	if !ok {
-		return Fault{}, fmt.Errorf("%w; there are %s", errUnknownFault, strings.Join(FaultWords(), ", "))
+		return Fault{}, fmt.Errorf("%w; the faults are %s", errUnknownFault, strings.Join(FaultWords(), ", "))
 	}
 	if len(values) != len(kind.args) {
 		return Fault{}, &argumentCountError{fault: name, want: len(kind.args)}
@@ -120,7 +120,7 @@
 	}, nil
 }
 
-// parse sets the argument of a kind, and returns false if the value isn't one.
+// parse sets the argument of the kind to the value, and returns false if the value is invalid.
 func (args *faultArgs) parse(kind rune, value string) bool {
 	var err error
 	switch kind {
@@ -134,7 +134,7 @@
 	return err == nil && args.count >= 0 && args.duration >= 0
 }
 
-// Play schedules a script's faults from now on. It calls announce before each.
+// Play schedules the faults of a script, which starts now. It calls announce before each fault.
 func (sim *Simulation) Play(script []Fault, announce func(Fault)) {
 	for _, fault := range script {
 		sim.env.schedule(fault.After, func() {
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -1,15 +1,15 @@
-// Package simulator stands in for everything around the controllers, by the published protocols: the state service,
-// the cloud, machines with their workers, a licence server, a load balancer and users. It injects faults on
-// command, from a script or from a seed, and checks the rules of the protocol against the true state of the
-// machines; Violations lists those that didn't hold. It never decides anything for a controller and shares no state
+// Package simulator simulates the environment of the controllers according to the published protocols: the state
+// service, the cloud, machines with their workers, a licence server, a load balancer and users. It injects faults on
+// command, from a script or from a seed. It checks the protocol's rules against the true state of the machines, and
+// Violations lists the rules that were broken. The simulator makes no decision for a controller and shares no state
 // with one.
 //
-// Tests, the development cluster (harewalk dev) and the experiments of package lab use it. NewRealTime serves on
-// real time and loopback sockets, for controllers in processes of their own (Cluster). NewVirtualTime runs the
-// controllers too, on one goroutine in virtual time, in which hours pass in seconds and the same seed gives the
-// same run.
+// Tests, the development cluster (harewalk dev) and the experiments of package lab use the package. NewRealTime
+// simulates in real time on loopback sockets, for controllers that run as separate processes (Cluster).
+// NewVirtualTime also runs the controllers, on one goroutine in virtual time: hours are simulated in seconds, and the
+// same seed gives the same run.
 //
-// A Simulation belongs to no event loop: one mutex guards all of it.
+// A Simulation belongs to no event loop: one mutex guards all of its state.
 package simulator
 
 import (
@@ -27,17 +27,17 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Simulation is one simulated surroundings of a cluster of controllers. Its methods are safe for concurrent use in
-// real time; in virtual time all calls come from one goroutine.
+// Simulation is one simulated environment of a cluster of controllers. Its methods are safe for concurrent use in
+// real time. In virtual time all calls must come from one goroutine.
 type Simulation struct {
 	cfg           Config
 	env           environment
-	virtual       *virtualTime   // env, in virtual time; nil in real time
+	virtual       *virtualTime   // the same object as env in virtual time, nil in real time
 	closing       chan struct{}  // closed by Close
-	sessionAgents sync.WaitGroup // agents of interactive sessions, in real time; Close waits for them
+	sessionAgents sync.WaitGroup // running agents of interactive sessions (real time only); Close waits for them
 	settings      []config.Settings
 
-	mu         sync.Mutex // guards all that follows
+	mu         sync.Mutex // guards the fields below
 	rng        *rand.Rand
 	violations []string
 	stats      Stats
@@ -51,26 +51,26 @@
 	Licences *LicenceServer
 }
 
-// workRecords is what is recorded of jobs and tasks beside what is on machines.
+// workRecords records the jobs and tasks independently of the machines on which tasks run.
 type workRecords struct {
-	specs       map[string]*jobs.Spec
-	sessions    map[string]*InteractiveSession
-	progress    map[string]*progress     // by task name
-	submittedAt map[string]time.Duration // by job
-	startDelays map[string]time.Duration // by job: from its submission to its first task's start
-	startTimes  []time.Duration          // of all tasks
-	cancelledAt map[string]time.Duration // by job: when a user received the confirmation
+	specs       map[string]*jobs.Spec          // by job
+	sessions    map[string]*InteractiveSession // by job
+	progress    map[string]*progress           // by task name
+	submittedAt map[string]time.Duration       // by job
+	startDelays map[string]time.Duration       // time from a job's submission to the start of its first task, by job
+	startTimes  []time.Duration                // start times of all tasks, in order
+	cancelledAt map[string]time.Duration       // time at which a user received the job's cancellation, by job
 	pipelines   pipelineRecords
 }
 
-// progress is what outlives a task's machine.
+// progress is the part of a task's state that outlives its machine.
 type progress struct {
 	done         bool
-	savedSeconds float64 // work in the newest checkpoint
+	savedSeconds float64 // seconds of work saved in the newest checkpoint
 }
 
-// Sequence numbers of the random generators: each concern draws from its own, so that switching one on doesn't change
-// what the others draw.
+// Sequence numbers of the random generators. Each concern draws from its own generator, so that enabling one concern
+// doesn't change the numbers that the others draw.
 const (
 	simulationStream  = 7
 	userStream        = 11
@@ -79,8 +79,8 @@
 	userHabitStream   = 19
 )
 
-// NewRealTime starts a simulation on real time and loopback sockets, without machines. Its controllers are started
-// with NewCluster. The caller closes it.
+// NewRealTime starts a simulation in real time on loopback sockets, without machines. The controllers are started
+// through NewCluster. The caller must close the simulation.
 func NewRealTime(cfg Config) (*Simulation, error) {
 	return newSimulation(cfg, newRealTimeEnvironment())
 }
@@ -133,13 +133,13 @@
 		refused:        make([]bool, cfg.Controllers),
 		watchesStalled: make([]bool, cfg.Controllers),
 	}
-	for _, key := range slices.Sorted(maps.Keys(cfg.InitialKeys)) { // each has a revision of its own
+	for _, key := range slices.Sorted(maps.Keys(cfg.InitialKeys)) { // each key gets its own revision
 		server.service.Apply([]store.Op{{Put: key, Value: cfg.InitialKeys[key]}})
 	}
 	return server
 }
 
-// listen opens the addresses of all services and fills in the controllers' settings.
+// listen opens the addresses of all services and builds the controllers' settings.
 func (sim *Simulation) listen() error {
 	cloudAddr, err := sim.env.listen("cloud", "", immediate(sim.serveCloud))
 	if err != nil {
@@ -162,13 +162,14 @@
 	return nil
 }
 
-// controllerSettings are a controller's settings without its peers.
+// controllerSettings returns a controller's settings without its peers. It returns an error if an address can't be
+// opened.
 func (sim *Simulation) controllerSettings(controller int, cloudAddr string) (config.Settings, error) {
 	stateAddr, err := sim.listenState(controller)
 	if err != nil {
 		return config.Settings{}, err
 	}
-	public, back, err := sim.env.controllerAddrs(controller)
+	public, peer, err := sim.env.controllerAddrs(controller)
 	if err != nil {
 		return config.Settings{}, fmt.Errorf("no free port: %w", err)
 	}
@@ -177,7 +178,7 @@
 		Node:       fmt.Sprintf("node-%d", controller),
 		Zone:       cfg.Zones[controller%len(cfg.Zones)],
 		PublicAddr: public,
-		PeerAddr:   back,
+		PeerAddr:   peer,
 		Services:   config.Services{Cloud: cloudAddr, State: stateAddr},
 	}
 	settings.Params = config.Params{
@@ -215,8 +216,8 @@
 	return sim.settings[controller].Services.State
 }
 
-// BootMachines rents machines of the first type, spread over its zones, that are up at once. It returns an error if a
-// machine's address can't be opened.
+// BootMachines rents n machines of the first type, spread over its zones, without a boot time. It returns an error if
+// a machine's address can't be opened.
 func (sim *Simulation) BootMachines(n int) error {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -231,24 +232,24 @@
 	return nil
 }
 
-// immediate makes a handler of a function that returns its answer.
+// immediate returns a handler that replies with the result of serve before it returns.
 func immediate(serve func(httpRequest) (int, any)) handlerFunc {
 	return func(request httpRequest, reply replyFunc) { reply(serve(request)) }
 }
 
-// SettingsJSON returns the platform's settings file of a controller.
+// SettingsJSON returns the content of the platform's settings file for a controller.
 func (sim *Simulation) SettingsJSON(controller int) []byte {
 	raw, _ := json.Marshal(sim.settings[controller])
 	return raw
 }
 
-// Controllers returns the number of controllers, running or not.
+// Controllers returns the number of controllers, including those that aren't running.
 func (sim *Simulation) Controllers() int { return sim.cfg.Controllers }
 
-// UserAddr returns a controller's address for users and workers.
+// UserAddr returns the address at which a controller serves users and workers.
 func (sim *Simulation) UserAddr(controller int) string { return sim.settings[controller].PublicAddr }
 
-// nodeNames returns the controllers' names.
+// nodeNames returns the controllers' node names, by controller number.
 func (sim *Simulation) nodeNames() (names []string) {
 	for _, settings := range sim.settings {
 		names = append(names, settings.Node)
@@ -256,7 +257,7 @@
 	return names
 }
 
-// Close ends the simulation, its agents and its servers.
+// Close stops the simulation, its session agents and its servers.
 func (sim *Simulation) Close() {
 	close(sim.closing)
 	sim.sessionAgents.Wait()
@@ -268,10 +269,10 @@
 
 func (sim *Simulation) now() time.Duration { return sim.env.now() }
 
-// After calls f after a time, unless the simulation has been closed.
+// After calls f after the duration, unless the simulation has been closed by then.
 func (sim *Simulation) After(duration time.Duration, f func()) { sim.env.schedule(duration, f) }
 
-// tick advances leases, licence checkouts and machines, and schedules the next tick.
+// tick advances leases, licence checkouts and machines to the current time, and schedules the next tick.
 func (sim *Simulation) tick() {
 	sim.mu.Lock()
 	now := sim.now()
@@ -284,24 +285,24 @@
 	sim.env.schedule(sim.cfg.TickInterval, sim.tick)
 }
 
-// maxViolations bounds the violations that are kept: the first ones.
+// maxViolations is the number of violations that are recorded; later ones are dropped.
 const maxViolations = 100
 
-// Violations lists the rules that did not hold, each with its time, in their order.
+// Violations returns the recorded rule violations in chronological order, each with its time.
 func (sim *Simulation) Violations() []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	return append([]string(nil), sim.violations...)
 }
 
-// ReportViolation records that a rule did not hold, as a user observed.
+// ReportViolation records a rule violation that a simulated user observed.
 func (sim *Simulation) ReportViolation(format string, args ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.violate(format, args...)
 }
 
-// violate records that a rule did not hold. The caller holds the mutex.
+// violate records a rule violation. The caller holds the mutex.
 func (sim *Simulation) violate(format string, args ...any) {
 	if len(sim.violations) < maxViolations {
 		at := fmt.Sprintf("%.2f s: ", sim.now().Seconds())
--- a/internal/simulator/state/http.go
+++ b/internal/simulator/state/http.go
@@ -12,7 +12,7 @@
 	"github.com/harewalk/harewalk/internal/httpio"
 )
 
-// Serve carries out one request. A watch is answered at once, with what has changed so far.
+// Serve handles one request. A watch is answered immediately with the changes so far, which may be none.
 func (s *Service) Serve(request httpio.Request) httpio.Response {
 	s.Expire()
 	if s.Down {
@@ -64,7 +64,8 @@
 	return respond(http.StatusOK, nil)
 }
 
-// serveTxn applies a transaction if all its conditions are met; 409 names the keys whose conditions aren't.
+// serveTxn applies a transaction if all its conditions are met. Otherwise the answer has status 409 and lists the keys
+// whose conditions failed.
 func (s *Service) serveTxn(body []byte) httpio.Response {
 	txn, _ := DecodeTxn(body)
 	for _, op := range txn.Then {
@@ -93,7 +94,7 @@
 	return respond(http.StatusOK, itemMessage(item))
 }
 
-// serveList answers with a page of the keys with a prefix, by name, behind the one named by "since".
+// serveList answers with a page of the items whose keys have a prefix, sorted by key, after the key in "since".
 func (s *Service) serveList(query url.Values) httpio.Response {
 	prefix := query.Get("starts")
 	since := query.Get("since")
--- a/internal/simulator/state/state.go
+++ b/internal/simulator/state/state.go
@@ -1,7 +1,7 @@
-// Package state is a stand-in for the state service: a key-value store with leases, conditional transactions,
-// listings and watches, by its published protocol. It owns the stored keys, their revisions and the leases in
-// memory. It has no clock, no rate limits and no sockets of its own, and isn't safe for concurrent use: tests call
-// it directly, and package simulator serves it over HTTP with rate limits, waits and outages.
+// Package state simulates the state service: a key-value store with leases, conditional transactions, listings and
+// watches, according to its published protocol. It keeps the stored keys, their revisions and the leases in memory. It
+// has no clock, no rate limits and no sockets, and isn't safe for concurrent use. Tests call it directly, and package
+// simulator serves it over HTTP with rate limits, waiting watches and outages.
 package state
 
 import (
@@ -13,25 +13,25 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// minHistory is how many of the newest changes a watch can always start from.
+// minHistory is the minimum number of the newest changes that are kept for watches.
 const minHistory = 10_000
 
-// Service is the stand-in. Its caller sets Now before each call.
+// Service is the simulated state service. The caller sets Now before each call.
 type Service struct {
 	Now               time.Duration
-	Revision          uint64                // the revision of the newest change
-	Keys              map[string]store.Item // what is stored
-	Down              bool                  // an outage: every request is refused with 503
-	CompactedRevision uint64                // watches that start before this revision are refused with 410
-	// Changed is called for each change of a key, in their order, unless it is nil.
+	Revision          uint64                // revision of the newest change
+	Keys              map[string]store.Item // stored items
+	Down              bool                  // true during an outage: every request is refused with status 503
+	CompactedRevision uint64                // watches from before this revision are refused with status 410
+	// Changed, unless it is nil, is called for each change of a key, in order.
 	Changed func(store.Event)
 
 	leases    map[uint64]lease
 	lastLease uint64
-	history   []change // the newest changes, oldest first
+	history   []change // newest changes, oldest first
 }
 
-// lease is a lease with its time to live, counted from its latest renewal.
+// lease is a lease with its time to live, which is counted from the latest renewal.
 type lease struct {
 	expiresAt time.Duration
 	ttl       time.Duration
@@ -60,7 +60,7 @@
 	}
 }
 
-// Expire ends the leases whose time has run out, and deletes the keys bound to them.
+// Expire ends the expired leases and deletes the keys bound to them.
 func (s *Service) Expire() {
 	var expired []uint64
 	for id, l := range s.leases {
@@ -68,13 +68,13 @@
 			expired = append(expired, id)
 		}
 	}
-	slices.Sort(expired) // each deletion has a revision of its own: the same run has to give the same revisions
+	slices.Sort(expired) // each deletion gets its own revision: the order must be the same in every run
 	for _, id := range expired {
 		s.revoke(id)
 	}
 }
 
-// Apply carries out mutations, all at one revision.
+// Apply applies mutations, all at one revision.
 func (s *Service) Apply(ops []store.Op) {
 	if len(ops) > 0 {
 		s.Revision++
@@ -90,8 +90,8 @@
 	}
 }
 
-// Since lists the changes of keys with a prefix after a revision. It returns false if the history no longer reaches
-// back that far.
+// Since returns the changes of keys with a prefix after a revision. It returns false if the history no longer contains
+// all of them.
 func (s *Service) Since(prefix string, after uint64) (events []store.Event, ok bool) {
 	if after < s.CompactedRevision {
 		return nil, false
@@ -105,7 +105,7 @@
 	return events, true
 }
 
-// grant makes a lease and returns its id.
+// grant creates a lease and returns its id.
 func (s *Service) grant(ttl time.Duration) uint64 {
 	s.lastLease++
 	s.leases[s.lastLease] = lease{expiresAt: s.Now + ttl, ttl: ttl}
@@ -135,7 +135,7 @@
 	}
 }
 
-// recordChange appends to the history of changes, and drops its older half once it is twice the minimum.
+// recordChange appends a change to the history, and drops the older half once the history exceeds twice the minimum.
 func (s *Service) recordChange(key string, event store.Event) {
 	if s.Changed != nil {
 		s.Changed(event)
--- a/internal/simulator/state/wire.go
+++ b/internal/simulator/state/wire.go
@@ -9,9 +9,9 @@
 // TxnPath is the path of requests that carry a transaction.
 const TxnPath = "/txn"
 
-// The bodies of the protocol, written apart from those of the client: a test of the client against this package shows
-// that both follow the protocol. The fields of an answer are in alphabetical order of their tags; those of an element
-// are in the order of its type in package store.
+// Message bodies of the protocol. They are defined independently of the client's types, so that a test of the client
+// against this package shows that both follow the protocol. The fields of an answer are in alphabetical order of their
+// tags; the fields of a list element are in the order of its type in package store.
 type (
 	grantRequest struct {
 		TTLMS int64 `json:"ttl_ms"`
@@ -78,8 +78,8 @@
 	}
 )
 
-// DecodeTxn reads the body of a transaction's request. The error is that of package json; what was read before it is
-// returned with it.
+// DecodeTxn decodes the body of a transaction request. It returns an error of package json together with the part that
+// was decoded before the error.
 func DecodeTxn(body []byte) (store.Txn, error) {
 	var request txnRequest
 	err := json.Unmarshal(body, &request)
@@ -93,7 +93,7 @@
 	return txn, err
 }
 
-// NewWatchResponse returns the answer to a watch: the changes and the revision up to which they are complete.
+// NewWatchResponse returns the answer to a watch: the changes and the revision up to which the changes are complete.
 func NewWatchResponse(revision uint64, events []store.Event) WatchResponse {
 	messages := make([]eventMessage, 0, len(events))
 	for _, event := range events {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -15,26 +15,26 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// stateServer is the state service's HTTP side: rate limits, waiting watches, outages and what is injected.
+// stateServer serves the state service over HTTP, with rate limits, open watches, outages and injected faults.
 type stateServer struct {
 	service       *state.Service
-	waiters       []func() // called at the next change of a key
+	waiters       []func() // wake functions of open watches, called at the next change of a key
 	requestLimit  rateLimit
 	writeLimit    rateLimit
 	initialLimits config.State
-	leaderChanges []time.Duration
+	leaderChanges []time.Duration // times of the writes of the leader's key
 
 	down           bool
 	refused        []bool // by controller: all its requests are refused
-	watchesStalled []bool // by controller: its watches aren't answered, everything else is
-	dropWatches    bool   // a watch that comes in is never answered
+	watchesStalled []bool // by controller: its watches aren't answered, but all other requests are
+	dropWatches    bool   // new watches are never answered
 	interceptTxn   func(controller int, txn store.Txn) TxnOutcome
 }
 
-// stallRetry is how often a watch that can't be answered now is tried again.
+// stallRetry is the interval at which a stalled watch is polled.
 const stallRetry = 50 * time.Millisecond
 
-// SetStateOutage makes the state service refuse every request, or serve again.
+// SetStateOutage begins or ends an outage, in which the state service refuses every request.
 func (sim *Simulation) SetStateOutage(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -45,15 +45,15 @@
 	}
 }
 
-// RefuseController makes the state service refuse one controller, or serve it again.
+// RefuseController makes the state service refuse every request of one controller, or serve the controller again.
 func (sim *Simulation) RefuseController(controller int, on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.state.refused[controller] = on
 }
 
-// LowerStateLimits changes the state service's limits without notice; 0 leaves a limit as it is. What is stored stays
-// readable.
+// LowerStateLimits changes the state service's limits without notifying the controllers; 0 leaves a limit unchanged.
+// Stored values above a new limit stay readable.
 func (sim *Simulation) LowerStateLimits(valueKB float64, txnOps int, writeRPS float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -68,10 +68,10 @@
 const (
 	smallValueKB        = 2
 	smallTxnOps         = 8
-	smallWriteRateShare = 0.4 // of the initial rate of writes
+	smallWriteRateShare = 0.4 // share of the initial rate of writes
 )
 
-// SetSmallLimits lowers the state service's limits to a fraction, or restores the initial ones.
+// SetSmallLimits lowers the state service's limits to a fraction, or restores the initial limits.
 func (sim *Simulation) SetSmallLimits(on bool) {
 	initial := sim.state.initialLimits
 	if on {
@@ -81,7 +81,7 @@
 	sim.LowerStateLimits(initial.ValueKB, initial.TxnOps, initial.WriteRPS)
 }
 
-// CountKeys counts the stored keys with a prefix.
+// CountKeys returns the number of stored keys with a prefix.
 func (sim *Simulation) CountKeys(prefix string) (n int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -95,7 +95,7 @@
 
 const leaderKey = membership.Prefix + "leader"
 
-// Leader returns the stored leader's controller, -1 for none, and its term.
+// Leader returns the number of the controller that the state service stores as the leader, -1 for none, and its term.
 func (sim *Simulation) Leader() (controller int, term uint64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -104,7 +104,7 @@
 	return slices.Index(sim.nodeNames(), leader.Node), leader.Term
 }
 
-// expireLeases ends leases that have run out. An outage stops their time.
+// expireLeases ends the leases that have expired. No lease expires during an outage.
 func (sim *Simulation) expireLeases(now time.Duration) {
 	if sim.state.down {
 		return
@@ -115,7 +115,7 @@
 	sim.wakeWatchers(before)
 }
 
-// wakeWatchers schedules all waiting watches if a key has changed since a revision.
+// wakeWatchers wakes all open watches if a key has changed since the given revision.
 func (sim *Simulation) wakeWatchers(before uint64) {
 	if sim.state.service.Revision == before {
 		return
@@ -126,13 +126,13 @@
 	sim.state.waiters = nil
 }
 
-// serveState answers one controller's request to the state service, late if answers are delayed.
+// serveState answers one controller's request to the state service, with the injected delay.
 func (sim *Simulation) serveState(controller int, request httpRequest, reply replyFunc) {
-	carryOut := func(reply replyFunc) { sim.carryOutStateRequest(controller, request, reply) }
-	sim.withStateDelay(carryOut, reply)
+	handle := func(reply replyFunc) { sim.handleStateRequest(controller, request, reply) }
+	sim.withStateDelay(handle, reply)
 }
 
-func (sim *Simulation) carryOutStateRequest(controller int, request httpRequest, reply replyFunc) {
+func (sim *Simulation) handleStateRequest(controller int, request httpRequest, reply replyFunc) {
 	if request.path == "/follow" {
 		sim.serveWatch(controller, request, reply)
 		return
@@ -146,7 +146,7 @@
 	reply(status, body)
 }
 
-// applyStateRequest carries out a request other than a watch, within the limits. The caller holds the mutex.
+// applyStateRequest applies a request other than a watch, and refuses it beyond the limits. The caller holds the mutex.
 func (sim *Simulation) applyStateRequest(controller int, request httpRequest) (status int, body any) {
 	if sim.state.down || sim.state.refused[controller] {
 		return http.StatusServiceUnavailable, nil
@@ -203,15 +203,16 @@
 	sim        *Simulation
 	controller int
 	prefix     string
-	since      uint64
-	ends       time.Duration
+	since      uint64        // revision after which changes are reported
+	ends       time.Duration // time at which the watch is answered even without a change
 	reply      replyFunc
-	// waits counts the waits so far. A wait is ended by a change or by the watch's end, whichever is first; the other
-	// finds another number and does nothing.
+	// waits identifies the current wait. A change or the watch's end wakes the watch, whichever is first. The later of
+	// the two is ignored because waits has changed.
 	waits uint64
 }
 
-// serveWatch answers once a key with the prefix has changed, or the wait is over. An open watch outlasts an outage.
+// serveWatch answers once a key with the prefix has changed, or after the requested wait time. A watch stays open
+// during an outage.
 func (sim *Simulation) serveWatch(controller int, request httpRequest, reply replyFunc) {
 	since, _ := strconv.ParseUint(request.query.Get("since"), 10, 64)
 	waitMS, _ := strconv.Atoi(request.query.Get("wait_ms"))
@@ -227,7 +228,7 @@
 	if dropped {
 		return
 	}
-	open := &watch{
+	opened := &watch{
 		sim:        sim,
 		controller: controller,
 		prefix:     request.query.Get("starts"),
@@ -235,10 +236,10 @@
 		ends:       now + time.Duration(waitMS)*time.Millisecond,
 		reply:      reply,
 	}
-	open.poll()
+	opened.poll()
 }
 
-// poll answers the watch if it can be answered, and waits otherwise.
+// poll answers the watch if there are changes or its time is over, and otherwise waits for the next change.
 func (w *watch) poll() {
 	sim := w.sim
 	sim.mu.Lock()
@@ -265,7 +266,8 @@
 	}
 }
 
-// newWait returns a function that polls once more, if it is the first to end this wait. The caller holds the mutex.
+// newWait begins a wait and returns the function that wakes it. Only the first call of that function polls the watch.
+// The caller holds the mutex.
 func (w *watch) newWait() func() {
 	w.waits++
 	wait := w.waits
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -8,16 +8,17 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// failingTaskRunTime is how long a task runs that fails.
+// failingTaskRunTime is the run time after which a failing task exits.
 const failingTaskRunTime = 300 * time.Millisecond
 
-// minRunSeconds is the shortest time for which a task runs.
+// minRunSeconds is the shortest run time of a task, in seconds.
 const minRunSeconds = 0.01
 
-// limitTolerance is the rounding error accepted when a team's use is compared with its limit.
+// limitTolerance is the rounding error that is tolerated when a team's usage is compared with its limit.
 const limitTolerance = 1e-6
 
-// advanceTask brings one task up to now: pulling, then, for a gang, gathering, then running until it exits.
+// advanceTask advances one task to now. A task pulls its image, waits for the other tasks if it belongs to a gang, and
+// runs until it exits.
 func (sim *Simulation) advanceTask(now time.Duration, machine *Machine, task *workerTask) {
 	switch task.state {
 	case taskPulling:
@@ -40,7 +41,7 @@
 	}
 }
 
-// finishPull makes a task one that counts as running on its machine; a gang's waits for the others.
+// finishPull records that a task's image is ready: the task has started. A gang's task then waits for the others.
 func (sim *Simulation) finishPull(now time.Duration, machine *Machine, task *workerTask) {
 	machine.images[task.spec.Image] = true
 	sim.taskStarted(now, machine, task)
@@ -54,7 +55,7 @@
 
 func (sim *Simulation) advanceRunning(now time.Duration, task *workerTask) {
 	if !sim.Licences.checkOut(task) {
-		sim.exitTask(now, task, reasonError) // without a licence unit the program fails after its start
+		sim.exitTask(now, task, reasonError) // a program without its licence units fails after its start
 		return
 	}
 	ranFor := now - task.runningSince
@@ -72,7 +73,7 @@
 	}
 }
 
-// finishCheckpoint saves the work up to the checkpoint's start, and exits.
+// finishCheckpoint saves the work done before the checkpoint's start, and ends the task.
 func (sim *Simulation) finishCheckpoint(now time.Duration, task *workerTask) {
 	ran := (task.checkpointDoneAt - task.runningSince).Seconds()
 	p := sim.progressOf(task.name)
@@ -81,7 +82,7 @@
 	sim.exitTask(now, task, reasonHalted)
 }
 
-// progressOf returns what is recorded of a task beside its machine.
+// progressOf returns a task's progress, and creates the record if there is none.
 func (sim *Simulation) progressOf(name string) *progress {
 	p := sim.work.progress[name]
 	if p == nil {
@@ -105,7 +106,8 @@
 	task.remainingSeconds = max(minRunSeconds, remaining*factor/sim.cfg.Speed)
 }
 
-// exitTask ends a task. Its licence units are checked in, unless it fails: then the licence server has to notice.
+// exitTask ends a task. Its licence units are checked in, unless the task failed: then they expire on the licence
+// server.
 func (sim *Simulation) exitTask(now time.Duration, task *workerTask, reason string) {
 	task.state = taskExited
 	task.reason = reason
@@ -118,7 +120,7 @@
 	sim.Licences.checkIn(task)
 }
 
-// completeTask ends a task whose work is done; that of one member of a gang is that of all.
+// completeTask ends a task whose work is done. If it belongs to a gang, the work of all tasks of the gang is done.
 func (sim *Simulation) completeTask(now time.Duration, task *workerTask) {
 	sim.progressOf(task.name).done = true
 	sim.exitTask(now, task, reasonDone)
@@ -133,7 +135,7 @@
 
 func taskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// countGangMembers counts the tasks of a gang's attempt that have their image.
+// countGangMembers counts the tasks of a gang's attempt whose image is ready and that haven't exited.
 func (sim *Simulation) countGangMembers(task *workerTask) (n int) {
 	for _, machine := range sim.cloud.machines {
 		for _, other := range machine.tasks {
@@ -145,8 +147,8 @@
 	return n
 }
 
-// taskStarted records the start of a task, which is the moment when it has its image, and checks the rules that hold
-// for one.
+// taskStarted records the start of a task, which is the time at which its image is ready, and checks the rules that
+// apply to a start.
 func (sim *Simulation) taskStarted(now time.Duration, machine *Machine, task *workerTask) {
 	task.counted = true
 	sim.stats.TaskStarts++
@@ -173,8 +175,8 @@
 	sim.stats.LatestStartAfterCancel = max(sim.stats.LatestStartAfterCancel, after)
 }
 
-// checkSingleInstance checks that no other attempt of the task runs, and returns the use of its team.
-func (sim *Simulation) checkSingleInstance(machine *Machine, task *workerTask) (use planner.Size) {
+// checkSingleInstance checks that no other attempt of the task runs, and returns the resources that its team uses.
+func (sim *Simulation) checkSingleInstance(machine *Machine, task *workerTask) (teamUse planner.Size) {
 	for _, onMachine := range sim.cloud.machines {
 		if onMachine.dead {
 			continue
@@ -187,11 +189,11 @@
 				sim.violate("ran_twice: %s on %s and %s", task.name, onMachine.Name, machine.Name)
 			}
 			if other.spec.Team == task.spec.Team {
-				use = use.Add(other.spec.Size())
+				teamUse = teamUse.Add(other.spec.Size())
 			}
 		}
 	}
-	return use
+	return teamUse
 }
 
 func (sim *Simulation) checkTeamLimit(task *workerTask, use planner.Size) {
@@ -202,13 +204,13 @@
 		overCPUs := team.CPUsMax > 0 && use.CPUs > team.CPUsMax+limitTolerance
 		overGPUs := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+limitTolerance
 		if overCPUs || overGPUs {
-			sim.violate("quota: team %s uses %v with %s", team.Name, use, task.name)
+			sim.violate("quota: team %s exceeds its limit, using %v with %s", team.Name, use, task.name)
 		}
 	}
 }
 
-// checkCancelledTask checks that a task has ended in time once the cancellation of its job, or of a job before it, was
-// confirmed to a user.
+// checkCancelledTask checks that a task ends within the time limit after a user received the cancellation of its job or
+// of one of the job's predecessors.
 func (sim *Simulation) checkCancelledTask(now time.Duration, machine *Machine, task *workerTask) {
 	cancelledAt, ok := sim.firstCancellation(task.spec.ID)
 	if !ok || !task.counted || task.state == taskExited {
@@ -216,6 +218,6 @@
 	}
 	sim.stats.LongestRunAfterCancel = max(sim.stats.LongestRunAfterCancel, now-cancelledAt)
 	if now > cancelledAt+jobs.Seconds(sim.cfg.Workers.CancelS) {
-		sim.violate("ran_cancelled: %s on %s", task.name, machine.Name)
+		sim.violate("ran_cancelled: %s still runs on %s after the time limit", task.name, machine.Name)
 	}
 }
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -11,9 +11,9 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// This file checks that reads are monotonic over all controllers, by real time: a request that is sent after an
-// answer was received, from any controller, never gets an older one. Every answer to a user in virtual time is
-// compared with what users had received before its request was sent.
+// This file checks that reads are monotonic across all controllers: once a user has received an answer from any
+// controller, no request sent afterwards gets an older state. In virtual time, every answer to a user is compared with
+// the answers that users had received before the request was sent.
 
 // Paths of the users' interface.
 const (
@@ -27,7 +27,7 @@
 	stateCancelled = "cancelled"
 )
 
-// isFinal reports whether a job's state never changes.
+// isFinal reports whether a job's state is final, so that it must not change any more.
 func isFinal(state string) bool { return state == stateDone || state == stateCancelled }
 
 // jobView is a job in an answer to a user.
@@ -42,29 +42,29 @@
 	return view.State
 }
 
-// jobAnswers is what users received about one job.
+// jobAnswers summarizes the answers that users received about one job.
 type jobAnswers struct {
 	accepted   bool
-	acceptedAt time.Duration
-	final      string // the final state, once it was received
-	finalAt    time.Duration
+	acceptedAt time.Duration // time at which the job's acceptance was first received
+	final      string        // final state received; "" for none yet
+	finalAt    time.Duration // time at which the final state was first received
 }
 
-// userAnswers is what users received, and what they do.
+// userAnswers records the answers that users received, and configures the users' behavior.
 type userAnswers struct {
 	jobs            map[string]*jobAnswers
-	cancelRequested map[string]bool // jobs that somebody asked to cancel
-	onCancelled     []func()        // called at the next confirmation of a cancellation
+	cancelRequested map[string]bool // jobs whose cancellation a user requested
+	onCancelled     []func()        // called once, when the next cancellation of a job is confirmed
 	habits          userHabits
 }
 
-// userRequest is what a user's request is about.
+// userRequest identifies the job and the kind of a user's request.
 type userRequest struct {
 	job                       string
 	submits, queries, cancels bool
 }
 
-// parseUserRequest reads a user's request. It returns false unless that is about the state of one job.
+// parseUserRequest parses a user's request. It returns false unless the request concerns the state of one job.
 func parseUserRequest(method, path string, body []byte) (about userRequest, ok bool) {
 	rest, ofRuns := strings.CutPrefix(path, runsPath)
 	switch {
@@ -82,7 +82,7 @@
 	return about, false
 }
 
-// isJobList reports whether a request is one for a list of jobs.
+// isJobList reports whether a request asks for a list of jobs.
 func isJobList(method, path string) bool {
 	resource, _, _ := strings.Cut(path, "?")
 	return method == http.MethodGet && resource == runsPath
@@ -93,7 +93,7 @@
 	Jobs []jobView `json:"jobs"`
 }
 
-// checkJobList checks a list of jobs that was received now.
+// checkJobList checks the jobs in a list that a user received now.
 func (sim *Simulation) checkJobList(status int, body []byte) {
 	var list jobListView
 	if status != http.StatusOK || json.Unmarshal(body, &list) != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// AddJob records a job's submission, so that workers find its specification.
+// AddJob records the submission of a job. Workers look up the specification in this record.
 func (sim *Simulation) AddJob(spec *jobs.Spec) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -133,7 +133,7 @@
 	return true
 }
 
-// noteCancelRequest records a request for a job's cancellation as it is sent.
+// noteCancelRequest records a request for a job's cancellation when it is sent.
 func (sim *Simulation) noteCancelRequest(about userRequest) {
 	if about.cancels {
 		sim.mu.Lock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// OnCancelled calls f once, as soon as the next cancellation of a job is confirmed to a user.
+// OnCancelled calls f once, when the next cancellation of a job is confirmed to a user.
 func (sim *Simulation) OnCancelled(f func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -156,8 +156,8 @@
 	}
 }
 
-// recordCancelled records a confirmation, and returns what is to be called without the mutex.
-func (sim *Simulation) recordCancelled(job string) (waiting []func()) {
+// recordCancelled records a confirmation, and returns the callbacks, which must be called without the mutex.
+func (sim *Simulation) recordCancelled(job string) (callbacks []func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if _, ok := sim.work.cancelledAt[job]; ok {
@@ -165,12 +165,13 @@
 	}
 	sim.work.cancelledAt[job] = sim.now()
 	sim.cancelSuccessors(job, sim.now())
-	waiting = sim.users.onCancelled
+	callbacks = sim.users.onCancelled
 	sim.users.onCancelled = nil
-	return waiting
+	return callbacks
 }
 
-// checkUserAnswer compares an answer with what users had received when its request was sent, and records it.
+// checkUserAnswer compares an answer with the answers that users had received when its request was sent, and records
+// the answer.
 func (sim *Simulation) checkUserAnswer(about userRequest, sentAt time.Duration, status int, body []byte) {
 	sim.mu.Lock()
 	answers := sim.users.jobs[about.job]
@@ -189,7 +190,7 @@
 	sim.checkNotOrphaned(about.job, state)
 	if about.submits && !answers.accepted {
 		if spec := sim.work.specs[about.job]; spec != nil && !sim.canRun(spec) {
-			sim.violate("accepted: %s can't run", about.job)
+			sim.violate("accepted: %s is accepted and can't run", about.job)
 		}
 	}
 	isNew := answers.record(sim.now(), state)
@@ -205,7 +206,7 @@
 	}
 }
 
-// checkNotForgotten checks that a job is still known that was accepted before the request was sent.
+// checkNotForgotten checks that a job accepted before the request was sent is neither answered 404 nor rejected.
 func (sim *Simulation) checkNotForgotten(about userRequest, answers *jobAnswers, sentAt time.Duration, status int) {
 	if !answers.accepted || answers.acceptedAt >= sentAt {
 		return
@@ -219,17 +220,18 @@
 	}
 }
 
-// checkNotReverted checks that a final state that was received isn't followed by another.
+// checkNotReverted checks that no other state follows a final state that a user has received.
 func (sim *Simulation) checkNotReverted(job string, answers *jobAnswers, sentAt time.Duration, state string) {
 	if answers.final == "" || state == answers.final {
 		return
 	}
 	if isFinal(state) || answers.finalAt < sentAt {
-		sim.violate("went_back: %s was %s and is %s", job, answers.final, state)
+		sim.violate("went_back: the final state of %s changed from %s to %s", job, answers.final, state)
 	}
 }
 
-// record adds an answer with status 200 or 201. It returns whether it is the first one or the first final one.
+// record records an answer with status 200 or 201. It returns whether the answer is the first one or the first with a
+// final state.
 func (a *jobAnswers) record(now time.Duration, state string) (isNew bool) {
 	if !a.accepted {
 		a.accepted = true
@@ -244,8 +246,8 @@
 	return isNew
 }
 
-// canRun judges a job by the protocol: its team exists, a task fits a type that the job allows, and it needs no
-// more than its team's limit.
+// canRun reports whether a job is valid by the protocol: its team exists, a task fits a machine type that the job
+// allows, and the tasks that must run together need no more than the team's limit.
 func (sim *Simulation) canRun(spec *jobs.Spec) bool {
 	tasks := 1
 	if spec.Kind != jobs.Array {
@@ -264,10 +266,11 @@
 	})
 }
 
-// sizeTolerance is the rounding error accepted when a job's size is compared with its team's limit.
+// sizeTolerance is the rounding error that is tolerated when a job's size is compared with its team's limit.
 const sizeTolerance = 1e-9
 
-// allows reports whether a job's tasks may run on a kind of machine; zone "" stands for any of the type's.
+// allows reports whether a job's tasks may run on a machine of the type, in the zone, on spot capacity or not; zone ""
+// stands for any zone of the type.
 func allows(spec *jobs.Spec, machineType capacity.MachineType, zone string, spot bool) bool {
 	switch {
 	case spot && !spec.Spot:
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -12,44 +12,44 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// What users do, through the controllers and in virtual time, that coincides with faults: bursts of status queries,
-// odd requests, and cancellations while jobs run or at the moment of their end.
+// Users' behavior in virtual time that coincides with faults: bursts of status queries, odd requests, and
+// cancellations while jobs run or as they end.
 
 const (
-	// cancelRetry is the time until a cancellation that wasn't answered is sent to the next controller.
+	// cancelRetry is the delay after which a failed cancellation is sent to the next controller.
 	cancelRetry = time.Second
-	// burstCancelShare is the share of the jobs with a burst of queries that are then cancelled.
+	// burstCancelShare is the share of the bursts of queries after which the job is cancelled.
 	burstCancelShare = 0.15
-	// burstSubmitEvery is how many queries of a burst come with one repeated submission.
+	// burstSubmitEvery is the number of queries in a burst for each repeated submission.
 	burstSubmitEvery = 3
-	// maxHungMachines bounds the machines that CancelRunning makes hang.
+	// maxHungMachines is the maximum number of machines that CancelRunning makes hang.
 	maxHungMachines = 8
 )
 
 // emptyBody is the body of a request without parameters.
 var emptyBody = []byte("{}")
 
-// burstTimes are the times of a burst's queries to each controller, in milliseconds.
+// burstTimes are the times of a burst's queries to each controller, in milliseconds from the burst's start.
 var burstTimes = [...]int{0, 1, 3, 8, 20, 60, 150}
 
-// userHabits is what users do now.
+// userHabits configures the users' behavior.
 type userHabits struct {
-	rng                *rand.Rand // of its own: what users do besides doesn't change what else is drawn
+	rng                *rand.Rand // separate generator: the users' behavior doesn't change the numbers drawn elsewhere
 	pollBursts         bool
 	oddRequests        bool
-	cancelAtCompletion float64 // share of the jobs that are cancelled at the moment of their end
-	invalidJobs        int     // submitted so far
+	cancelAtCompletion float64 // share of the jobs that are cancelled as they complete
+	invalidJobs        int     // number of invalid jobs submitted so far
 }
 
-// drawMillis draws a time below n milliseconds.
+// drawMillis draws a duration below n milliseconds.
 func (h *userHabits) drawMillis(n int) time.Duration {
 	return time.Duration(h.rng.IntN(n)) * time.Millisecond
 }
 
 func ignoreAnswer(int, []byte) {}
 
-// SetPollBursts makes users query every controller, again and again within milliseconds, and repeat the submission,
-// right after a job was accepted, ended or confirmed as cancelled; some then cancel it.
+// SetPollBursts enables or disables bursts of requests. After a job is accepted or reaches a final state, users query
+// every controller repeatedly within milliseconds, repeat the submission, and cancel some of the jobs.
 func (sim *Simulation) SetPollBursts(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -62,7 +62,7 @@
 	controller int
 }
 
-// pollBurst is what users do right after they received something new about a job.
+// pollBurst schedules a burst of requests about a job, if bursts are enabled.
 func (sim *Simulation) pollBurst(job string) {
 	sim.mu.Lock()
 	habits := &sim.users.habits
@@ -101,7 +101,8 @@
 	return queries
 }
 
-// CancelJob lets a user cancel a job through a controller, and through the others until one answers.
+// CancelJob cancels a job as a user, through the given controller. It retries with the next controller until one
+// answers 200 or 404.
 func (sim *Simulation) CancelJob(job string, controller int) {
 	path := runsPath + "/" + job + abortSuffix
 	sim.Request(controller, http.MethodPost, path, emptyBody, func(status int, _ []byte) {
@@ -112,14 +113,14 @@
 	})
 }
 
-// runningJob is a job with tasks that run.
+// runningJob is a job with running tasks.
 type runningJob struct {
 	id        string
-	remaining time.Duration // of the task that has longest to run
-	machines  []*Machine    // one for each running task
+	remaining time.Duration // longest remaining run time of its tasks
+	machines  []*Machine    // machine of each running task
 }
 
-// runningJobs lists the jobs that run, services left out, those with longest to run first.
+// runningJobs lists the running jobs except services, in descending order of their remaining run time.
 func (sim *Simulation) runningJobs(now time.Duration) []*runningJob {
 	byID := map[string]*runningJob{}
 	var running []*runningJob
@@ -147,8 +148,8 @@
 	return running
 }
 
-// CancelRunning lets users cancel the n running jobs that have longest to run, within a fifth of a second. With hang,
-// some of their machines hang for that time from now on. It returns the jobs.
+// CancelRunning cancels, as users do, the n running jobs with the longest remaining run time, within 200 ms. If hang
+// isn't 0, some of their machines hang for that duration from now on. It returns the jobs.
 func (sim *Simulation) CancelRunning(n int, hang time.Duration) (cancelled []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -173,14 +174,15 @@
 	return cancelled
 }
 
-// CancelAtCompletion makes users cancel a share of the jobs that end at the moment of their end; 0 ends it.
+// CancelAtCompletion makes users cancel a share of the jobs as they complete; 0 disables this.
 func (sim *Simulation) CancelAtCompletion(share float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.users.habits.cancelAtCompletion = share
 }
 
-// jobCompleted lets users cancel a job as its last task completes, if it is drawn. The caller holds the mutex.
+// jobCompleted schedules a job's cancellation by a user if its last task has completed and the job is drawn. The
+// caller holds the mutex.
 func (sim *Simulation) jobCompleted(spec *jobs.Spec) {
 	habits := &sim.users.habits
 	if habits.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
@@ -198,14 +200,14 @@
 	sim.env.schedule(after, func() { sim.CancelJob(spec.ID, controller) })
 }
 
-// SetOddRequests makes users repeat submissions of unfinished jobs, cancel jobs that are done, and submit invalid
-// jobs.
+// SetOddRequests enables or disables odd requests: repeated submissions of unfinished jobs, cancellations of jobs that
+// are done, and submissions of invalid jobs.
 func (sim *Simulation) SetOddRequests(on bool) {
 	sim.mu.Lock()
-	was := sim.users.habits.oddRequests
+	wasOn := sim.users.habits.oddRequests
 	sim.users.habits.oddRequests = on
 	sim.mu.Unlock()
-	if on && !was {
+	if on && !wasOn {
 		sim.sendOddRequest()
 	}
 }
@@ -255,7 +257,7 @@
 	sim.env.schedule(next, sim.sendOddRequest)
 }
 
-// answeredJobs lists the jobs whose users received that they are done, and those that were accepted and aren't final.
+// answeredJobs lists the jobs that were answered as done, and the accepted jobs without a final answer.
 func (sim *Simulation) answeredJobs() (done, unfinished []string) {
 	for job, answers := range sim.users.jobs {
 		switch {
@@ -273,7 +275,7 @@
 func (sim *Simulation) invalidJobAnswered(job string, body []byte, status int) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
-		sim.ReportViolation("accepted: %s can't run: %s", job, body)
+		sim.ReportViolation("accepted: %s is accepted with an invalid submission: %s", job, body)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		sim.mu.Lock()
 		sim.stats.OddRequestsRefused++
@@ -281,7 +283,7 @@
 	}
 }
 
-// invalidity is what is wrong with an invalid submission.
+// invalidity is the defect of an invalid submission.
 type invalidity int
 
 const (
@@ -294,8 +296,8 @@
 	invalidities int = iota
 )
 
-// invalidSubmission returns a submission that no controller may accept.
-func (sim *Simulation) invalidSubmission(job string, wrong invalidity) []byte {
+// invalidSubmission returns a submission with a defect, which no controller may accept.
+func (sim *Simulation) invalidSubmission(job string, defect invalidity) []byte {
 	spec := &jobs.Spec{
 		ID:        job,
 		Class:     "odd",
@@ -311,7 +313,7 @@
 		Spot:      true,
 	}
 	const noTeam = "nobody"
-	switch wrong {
+	switch defect {
 	case fitsNoMachine:
 		spec.CPUs = 1e6
 	case unknownTeam:
@@ -329,7 +331,7 @@
 		spec.Zone = &zone
 	}
 	raw, _ := json.Marshal(spec)
-	if wrong == lacksField {
+	if defect == lacksField {
 		raw = []byte(strings.Replace(string(raw), `"hops":2,`, "", 1))
 	}
 	return raw
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	callTimeout      = 5 * time.Second
-	maxRetryTime     = time.Minute // of a submission or a cancellation
-	submitRetry      = 300 * time.Millisecond
-	followInterval   = 400 * time.Millisecond
-	finalAnswers     = 3 // after which a job is no longer followed
-	checkTimeout     = 3 * time.Second
-	checkRetry       = 100 * time.Millisecond
+	callTimeout      = 5 * time.Second        // timeout of one request
+	maxRetryTime     = time.Minute            // total time for the attempts of a submission or a cancellation
+	submitRetry      = 300 * time.Millisecond // time between two attempts of a submission or a cancellation
+	followInterval   = 400 * time.Millisecond // time between two status queries of a job
+	finalAnswers     = 3                      // number of final answers after which a job is no longer polled
+	checkTimeout     = 3 * time.Second        // timeout of one query of Users.Check
+	checkRetry       = 100 * time.Millisecond // time between two attempts of such a query
 	maxCheckAttempts = 50
-	maxListedJobs    = 5 // in an error
+	maxListedJobs    = 5 // maximum number of jobs that an error text lists
 )
 
-// Users submit jobs in real time, follow them to their end, and check that no answer contradicts another. Its
-// methods are safe for concurrent use.
+// Users simulates the users in a real-time simulation: they submit jobs, poll them until they end, and check that the
+// answers are consistent. Its methods are safe for concurrent use.
 type Users struct {
 	simulation *Simulation
 	client     *fasthttp.Client
-	pollers    sync.WaitGroup // a goroutine for each accepted job, until its end or the simulation's
+	pollers    sync.WaitGroup // one goroutine for each accepted job, until the job or the simulation ends
 
-	mu              sync.Mutex // guards all that follows
+	mu              sync.Mutex // guards the fields below
 	rng             *rand.Rand
-	finalStates     map[string]string // by accepted job that ended
-	openJobs        map[string]bool   // accepted, not ended
-	cancelRequested map[string]bool
-	retries         int
+	finalStates     map[string]string // final states of the accepted jobs that have ended, by job
+	openJobs        map[string]bool   // accepted jobs that haven't ended
+	cancelRequested map[string]bool   // jobs that a user asked to cancel
+	retries         int               // number of submissions that were repeated
 }
 
-// Users returns users that have submitted nothing yet.
+// Users returns simulated users without jobs. The seed determines the order in which they choose controllers.
 func (sim *Simulation) Users(seed uint64) *Users {
 	return &Users{
 		simulation:      sim,
@@ -59,7 +59,7 @@
 	return u.simulation.UserAddr(u.rng.IntN(u.simulation.cfg.Controllers))
 }
 
-// call sends a request to any controller; status 0 stands for no answer.
+// call sends a request to a randomly drawn controller; status 0 stands for no answer.
 func (u *Users) call(method, path string, body []byte) (status int, view jobView) {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -79,8 +79,8 @@
 	return response.StatusCode(), view
 }
 
-// Submit submits a job, again for up to a minute, and then follows it until it has ended or the simulation has. It
-// returns the first final status of the submission, 0 if there was none.
+// Submit submits a job and retries for up to a minute. If the job is accepted, it is polled until the job or the
+// simulation ends. Submit returns the status by which the job was accepted or rejected, 0 if there was none.
 func (u *Users) Submit(spec *jobs.Spec) int {
 	u.simulation.AddJob(spec)
 	body, _ := json.Marshal(spec)
@@ -108,8 +108,8 @@
 	go u.follow(spec)
 }
 
-// Cancel asks for a job's cancellation, again for up to a minute. It returns the job's state in the answer, "" if
-// there was none.
+// Cancel requests a job's cancellation and retries for up to a minute. It returns the job's state in the answer, ""
+// without an answer.
 func (u *Users) Cancel(job string) string {
 	u.mu.Lock()
 	u.cancelRequested[job] = true
@@ -128,7 +128,7 @@
 	return ""
 }
 
-// follow polls a job until it has ended, and some times more: its final state has to stay.
+// follow polls a job until it has ended, and then a few more times to check that its final state doesn't change.
 func (u *Users) follow(spec *jobs.Spec) {
 	defer u.pollers.Done()
 	history := History{ID: spec.ID, Tasks: spec.Tasks}
@@ -156,36 +156,36 @@
 	}
 }
 
-// History is the answers that one user received about a job.
+// History summarizes the answers that one user received about a job.
 type History struct {
 	ID           string
 	Tasks        int
-	Final        string // "done" or "cancelled", once it was received
-	FinalAnswers int    // how often it was
+	Final        string // final state received: "done", "cancelled", or "" for none yet
+	FinalAnswers int    // number of answers with a final state
 }
 
-// CheckAnswer adds an answer to a history and records the rules that don't hold by it: an accepted job isn't
-// forgotten, a final state never changes, a job is only done when its tasks are, and only cancelled when somebody
-// asked to cancel it or a job before it.
+// CheckAnswer adds an answer to a history and records the rules that the answer breaks. An accepted job must not be
+// lost, and its final state must not change. A job is done only if its tasks are, and it is cancelled only after a user
+// requested the cancellation of the job or of one of its predecessors.
 func (sim *Simulation) CheckAnswer(history *History, status int, state string, cancelRequested bool) {
 	switch {
 	case status == http.StatusNotFound:
-		sim.ReportViolation("forgotten: %s", history.ID)
+		sim.ReportViolation("forgotten: %s is answered 404 after it was accepted", history.ID)
 		return
 	case status != http.StatusOK:
 		return
 	case history.Final != "" && state != history.Final:
-		sim.ReportViolation("went_back: %s was %s and is %s", history.ID, history.Final, state)
+		sim.ReportViolation("went_back: the final state of %s changed from %s to %s", history.ID, history.Final, state)
 	}
 	sim.checkDirectAnswer(history.ID, state)
 	if !isFinal(state) {
 		return
 	}
 	if history.Final == "" && state == stateDone && !sim.AllDone(history.ID, history.Tasks) {
-		sim.ReportViolation("not_done: %s is called done", history.ID)
+		sim.ReportViolation("not_done: %s is answered as done with unfinished tasks", history.ID)
 	}
 	if state == stateCancelled && !cancelRequested && !sim.MayBeCancelled(history.ID) {
-		sim.ReportViolation("went_back: %s is called cancelled, and nobody asked for it", history.ID)
+		sim.ReportViolation("went_back: %s is answered as cancelled without a cancellation request", history.ID)
 	}
 	history.Final = state
 	history.FinalAnswers++
@@ -193,17 +193,17 @@
 
 // OpenJobsError is returned when accepted jobs haven't ended within a time limit.
 type OpenJobsError struct {
-	Jobs  []string // in no order
+	Jobs  []string // in no particular order
 	Limit time.Duration
 }
 
 // Error implements error.
 func (e *OpenJobsError) Error() string {
 	listed := e.Jobs[:min(maxListedJobs, len(e.Jobs))]
-	return fmt.Sprintf("%d jobs are not over after %v: %v", len(e.Jobs), e.Limit, listed)
+	return fmt.Sprintf("%d accepted jobs have not ended after %v: %v", len(e.Jobs), e.Limit, listed)
 }
 
-// Wait waits until all accepted jobs have ended. After a time limit it returns an *OpenJobsError.
+// Wait waits until all accepted jobs have ended. It returns an *OpenJobsError after the time limit.
 func (u *Users) Wait(limit time.Duration) error {
 	done := make(chan struct{})
 	go func() {
@@ -217,15 +217,15 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	var open []string
+	var unfinished []string
 	for job := range u.openJobs {
-		open = append(open, job)
+		unfinished = append(unfinished, job)
 	}
-	return &OpenJobsError{Jobs: open, Limit: limit}
+	return &OpenJobsError{Jobs: unfinished, Limit: limit}
 }
 
-// Check queries every controller about every job that has ended, and about jobs that nobody submitted, and records
-// the answers that differ from what their users received.
+// Check queries every controller about every job that has ended, and about two ids that were never submitted. It
+// records the answers that differ from those that the jobs' users received.
 func (u *Users) Check() {
 	u.mu.Lock()
 	finalStates := maps.Clone(u.finalStates)
@@ -233,19 +233,20 @@
 	for i := range u.simulation.cfg.Controllers {
 		for job, want := range finalStates {
 			if status, state := u.query(i, job); status != http.StatusOK || state != want {
-				u.simulation.ReportViolation("controller %d answers %d %q about %s, its user received %q",
+				u.simulation.ReportViolation("controller %d answers %d %q about %s, whose user received %q",
 					i, status, state, job, want)
 			}
 		}
 		for _, job := range []string{"req-999999", "req-888888"} {
 			if status, _ := u.query(i, job); status != http.StatusNotFound {
-				u.simulation.ReportViolation("invented: controller %d answers %d about %s", i, status, job)
+				u.simulation.ReportViolation("invented: controller %d answers %d about %s, which was never submitted",
+					i, status, job)
 			}
 		}
 	}
 }
 
-// query asks one controller about a job until it is answered; status 0 stands for no answer.
+// query queries one controller about a job and retries until it gets an answer; status 0 stands for no answer.
 func (u *Users) query(controller int, job string) (status int, state string) {
 	target := "http://" + u.simulation.UserAddr(controller) + runsPath + "/" + job
 	for range maxCheckAttempts {
@@ -258,7 +259,7 @@
 	return 0, ""
 }
 
-// Results counts the ended jobs by their final state, and the requests that had to be repeated.
+// Results returns the number of ended jobs by final state, and the number of submissions that were repeated.
 func (u *Users) Results() (byState map[string]int, retries int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
