--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -12,45 +12,44 @@
 )
 
 const (
-	// defaultMeanDelay is the mean time of a message on its way unless SetNetwork or SetLinkDelay changes it.
+	// defaultMeanDelay is the mean network delay of a message until SetNetwork or SetLinkDelay changes it.
 	defaultMeanDelay = 2 * time.Millisecond
 	// userTimeout is how long a user waits for an answer.
 	userTimeout = 5 * time.Second
-	// initialEpochMS is the controllers' wall clock at the start, in milliseconds since the Unix epoch.
+	// initialEpochMS is the controllers' wall clock at the simulation's start, in milliseconds since the Unix epoch.
 	initialEpochMS = 1_800_000_000_000
 )
 
-// virtualTime is the environment of virtual time: one queue of events, in which the simulation and the real code of
-// the controllers run on the goroutine that calls Advance. The same seed gives the same run. Processors take no
-// time in it.
+// virtualTime is the environment in virtual time. The simulation and the controllers' real code run as events of one
+// queue, on the goroutine that calls Advance. The same seed gives the same run. Computation takes no virtual time.
 type virtualTime struct {
 	clock       time.Duration
 	queue       eventQueue
 	nextSeq     uint64
 	rng         *rand.Rand
 	controllers []*simulatedController
-	recorder    func(message) // called for each message that is sent, unless it is nil
+	recorder    func(message) // unless nil, called for each message that is sent
 
 	handlers map[string]handlerFunc // by address
-	zoneOf   map[string]string      // by address; none for those that belong to no zone
+	zoneOf   map[string]string      // by address; "" for an address that belongs to no zone
 	network  network
 
-	rolloutGeneration int // raised when a rolling restart begins or is stopped
+	rolloutGeneration int // raised when a rolling restart begins or is stopped; stops the restarts before
 }
 
-// network is what happens to messages on their way.
+// network is the state of the simulated network.
 type network struct {
 	meanDelay   time.Duration
-	lossShare   float64       // of all messages
-	lateShare   float64       // of requests that arrive late, by up to maxLateness
-	maxLateness time.Duration // perhaps long after the sender gave up
-	partitions  map[string]Partition
-	delayed     []delayedMessage // by partitions
-	cutLinks    map[string]Links // by a controller's address for users
+	lossShare   float64              // share of messages that are lost
+	lateShare   float64              // share of requests with additional lateness
+	maxLateness time.Duration        // longest additional lateness; may exceed the sender's timeout
+	partitions  map[string]Partition // by zone
+	delayed     []delayedMessage     // messages that are delayed by partitions
+	cutLinks    map[string]Links     // by a controller's address for users
 }
 
-// SetNetwork changes what happens to messages from now on: their mean time on the way, the share of messages lost,
-// and the share of requests that arrive late, by up to maxLateness, perhaps long after the sender gave up.
+// SetNetwork sets, for messages from now on, the mean network delay, the share of messages that are lost, and the share
+// of requests that arrive late by up to maxLateness, which may exceed the sender's timeout.
 func (sim *Simulation) SetNetwork(mean time.Duration, lossShare, lateShare float64, maxLateness time.Duration) {
 	network := &sim.virtual.network
 	network.meanDelay = mean
@@ -59,19 +58,19 @@
 	network.maxLateness = maxLateness
 }
 
-// SetLinkDelay changes the mean time of messages on their way from now on; 0 restores the default.
+// SetLinkDelay sets the mean network delay of messages from now on. The default is the minimum; 0 restores it.
 func (sim *Simulation) SetLinkDelay(mean time.Duration) {
 	sim.virtual.network.meanDelay = max(mean, defaultMeanDelay)
 }
 
-// event is a call that is due at a time.
+// event is a scheduled function call.
 type event struct {
-	due time.Duration
-	seq uint64
+	due time.Duration // time of the call
+	seq uint64        // order among events with the same time
 	run func()
 }
 
-// eventQueue is a heap of events, ordered by when they are due and then by when they were scheduled.
+// eventQueue is a heap of events, ordered by time and then by the order in which they were scheduled.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -96,8 +95,9 @@
 	return last
 }
 
-// NewVirtualTime starts a simulation in virtual time, with its controllers. The function operator, unless it is
-// nil, adds operators' settings to each controller's; its error, like one of the settings, is returned.
+// NewVirtualTime starts a simulation in virtual time, with its controllers. The function operator, unless it is nil,
+// adds operators' settings to the settings of each controller. NewVirtualTime returns the error of that function or of
+// invalid settings.
 func NewVirtualTime(cfg Config, operator func(*config.Settings) error) (*Simulation, error) {
 	env := &virtualTime{
 		rng:      rand.New(rand.NewPCG(cfg.Seed, virtualTimeStream)),
@@ -153,13 +153,13 @@
 	return addr, nil
 }
 
-func (env *virtualTime) controllerAddrs(i int) (public, back string, err error) {
+func (env *virtualTime) controllerAddrs(i int) (public, peer string, err error) {
 	return fmt.Sprintf("node-%d:80", i), fmt.Sprintf("node-%d:81", i), nil
 }
 
 func (env *virtualTime) close() { env.queue = nil }
 
-// Advance runs all events of a time from now on.
+// Advance runs the simulation for the duration: it executes all events up to its end in order.
 func (sim *Simulation) Advance(duration time.Duration) {
 	env := sim.virtual
 	end := env.clock + duration
@@ -171,8 +171,8 @@
 	env.clock = end
 }
 
-// Request sends a user's request to a controller, and checks its answer against those that users had received;
-// status 0 stands for no answer.
+// Request sends a user's request to a controller, checks the answer against the answers that users had received before,
+// and calls then with the answer; status 0 stands for no answer.
 func (sim *Simulation) Request(
 	controller int,
 	method, path string,
@@ -222,13 +222,13 @@
 	zone    string
 	addr    string
 	request httpRequest
-	isCut   func() bool // whether the link is cut at this moment
+	isCut   func() bool // reports whether the link is cut at the time of the call
 	then    func(status int, body []byte)
-	over    bool
+	over    bool // then has been called
 }
 
-// roundTrip delivers a request from a zone, and the answer back, each after a time of its own. After the time limit
-// the answer is dropped, though the request may be carried out.
+// roundTrip delivers a request from a zone and passes the answer to then, each with a random network delay. An answer
+// after the time limit is dropped, although the request may have been handled.
 func (env *virtualTime) roundTrip(
 	zone, addr string,
 	request httpRequest,
@@ -250,7 +250,7 @@
 	env.schedule(delay, func() { env.deliver(zone, env.zoneOf[addr], x.requestArrived, x.fail) })
 }
 
-// finish passes an answer on, the first time that it is called.
+// finish passes an answer to the sender. Only the first call has an effect.
 func (x *exchange) finish(status int, body []byte) {
 	if !x.over {
 		x.over = true
@@ -272,7 +272,7 @@
 	handler(x.request, x.reply)
 }
 
-// reply sends the answer back.
+// reply sends an answer to the sender.
 func (x *exchange) reply(status int, body any) {
 	env := x.env
 	raw := encodeBody(body)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -14,11 +14,11 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// maxEarlyGap is the longest time after a heartbeat until a change may make the next one early.
+	// maxEarlyGap is the upper bound of the interval between a heartbeat and an early one, caused by a change.
 	maxEarlyGap = 500 * time.Millisecond
-	// newOwnerGap is the time to the next heartbeat after the machine got a higher token.
+	// newOwnerGap is the delay of the next heartbeat after an answer with a higher token.
 	newOwnerGap = 100 * time.Millisecond
-	// maxRetryS is the longest time, in seconds, to the next heartbeat after one that failed.
+	// maxRetryS is the longest delay of the next heartbeat after a failed one, in seconds.
 	maxRetryS = 1
 )
 
@@ -31,19 +31,19 @@
 	commandForget = "forget"
 )
 
-// directCommands is the body of a request to a worker's own address.
+// directCommands is the body of a request with commands that a controller sends to a worker's own address.
 type directCommands struct {
 	Token    *uint64             `json:"mark"`
 	Session  *uint64             `json:"run"`
 	Commands []fleet.WireCommand `json:"calls"`
 }
 
-// redirect is the body of an answer that names the controller to turn to.
+// redirect is the body of an answer that names the controller to which heartbeats must be sent.
 type redirect struct {
 	Node string `json:"keeper"`
 }
 
-// heartbeat makes a worker's next heartbeat.
+// heartbeat returns a worker's current state as a heartbeat with the next sequence number.
 func (sim *Simulation) heartbeat(now time.Duration, machine *Machine) fleet.WireHeartbeat {
 	machine.seq++
 	heartbeat := fleet.Heartbeat{
@@ -73,8 +73,9 @@
 	return heartbeat.Wire()
 }
 
-// serveCommands answers direct requests to a worker, each way delayed if commands are. A machine that hangs serves
-// what waits once it resumes, and delayed commands are carried out long after their sender gave up.
+// serveCommands answers direct requests to a worker. While commands are delayed, the request and the answer each get a
+// delay. A hung machine serves pending requests once it resumes. Delayed commands are executed even if their sender has
+// timed out long before.
 func (sim *Simulation) serveCommands(machine *Machine, request httpRequest, reply replyFunc) {
 	answerDelay := sim.drawDelay(&sim.faults.delays.commandDelay)
 	requestDelay := sim.drawDelay(&sim.faults.delays.commandDelay)
@@ -106,7 +107,7 @@
 		sim.env.schedule(wait, func() { sim.receiveCommands(machine, request, reply) })
 		return
 	}
-	status, body := sim.carryOutCommands(now, machine, request)
+	status, body := sim.applyDirectCommands(now, machine, request)
 	answerLost := now < machine.outboundLostUntil
 	sim.mu.Unlock()
 	if !answerLost {
@@ -114,8 +115,9 @@
 	}
 }
 
-// carryOutCommands answers with the worker's status, and 409 to commands of a former owner or for a former session.
-func (sim *Simulation) carryOutCommands(now time.Duration, machine *Machine, request httpRequest) (int, any) {
+// applyDirectCommands executes the commands of a request and answers with the worker's status. Commands with the token
+// of a former owner, or for another session, are refused with status 409.
+func (sim *Simulation) applyDirectCommands(now time.Duration, machine *Machine, request httpRequest) (int, any) {
 	sim.expireWorkerLease(now, machine)
 	if request.path == "/status" {
 		return http.StatusOK, sim.heartbeat(now, machine)
@@ -136,7 +138,7 @@
 	return http.StatusOK, sim.heartbeat(now, machine)
 }
 
-// execute carries out commands. Those for what the machine doesn't have are ignored.
+// execute executes commands. Commands to halt or forget an attempt that isn't on the machine are ignored.
 func (sim *Simulation) execute(now time.Duration, machine *Machine, commands []fleet.WireCommand) {
 	for _, wire := range commands {
 		command := wire.Command()
@@ -160,7 +162,7 @@
 	}
 }
 
-// launch returns the task that a command launches, exited already if it can't run.
+// launch returns the task for a launch command. A task that can't run has already exited.
 func (sim *Simulation) launch(now time.Duration, machine *Machine, command fleet.Command) *workerTask {
 	job, _, _ := strings.Cut(command.Task, "/")
 	task := &workerTask{
@@ -202,8 +204,8 @@
 	task.reason = reason
 }
 
-// spec finds a job's specification: as its user uploaded it or, where nobody did, as the state service stores it. It
-// returns nil if there is none.
+// spec returns a job's specification as its user submitted it or, without a recorded submission, as the state service
+// stores it. It returns nil if there is none.
 func (sim *Simulation) spec(job string) *jobs.Spec {
 	if sim.work.specs[job] == nil {
 		var record jobs.Record
@@ -215,7 +217,7 @@
 	return sim.work.specs[job]
 }
 
-// halt stops a task, after a checkpoint if its job can make one within the command's grace period.
+// halt stops a task. The task first saves a checkpoint if its job can do so within the command's grace period.
 func (sim *Simulation) halt(now time.Duration, machine *Machine, task *workerTask, command fleet.Command) {
 	if session := sim.work.sessions[task.spec.ID]; session != nil && task.state == taskRunning {
 		session.processHalted(now, machine)
@@ -231,7 +233,7 @@
 	}
 }
 
-// sentHeartbeat identifies a heartbeat on its way.
+// sentHeartbeat is a heartbeat whose answer is pending, with the machine's incarnation and session when it was sent.
 type sentHeartbeat struct {
 	sim         *Simulation
 	machine     *Machine
@@ -240,7 +242,7 @@
 	sentAt      time.Duration
 }
 
-// heartbeatLoop sends a worker's next heartbeat when it is due, and reschedules itself until the machine has ended.
+// heartbeatLoop sends a worker's next heartbeat if it is due, and reschedules itself until the machine has ended.
 func (sim *Simulation) heartbeatLoop(machine *Machine) {
 	sim.mu.Lock()
 	now := sim.now()
@@ -281,14 +283,14 @@
 	}
 }
 
-// heartbeatDue reports whether it is time for the next heartbeat, which a change makes early.
+// heartbeatDue reports whether the next heartbeat must be sent: at its regular time or, after a change, earlier.
 func (sim *Simulation) heartbeatDue(now time.Duration, machine *Machine) bool {
 	earlyGap := min(maxEarlyGap, jobs.Seconds(sim.cfg.Workers.HeartbeatIntervalS/4))
 	changed := func() bool { return machine.summary() != machine.lastSummary }
 	return now >= machine.nextHeartbeat || (now-machine.lastHeartbeat >= earlyGap && changed())
 }
 
-// nextHeartbeatBody makes and counts a heartbeat, and draws when the next is due.
+// nextHeartbeatBody returns the body of a heartbeat, counts it, and draws the time of the next one.
 func (sim *Simulation) nextHeartbeatBody(now time.Duration, machine *Machine) []byte {
 	body, _ := json.Marshal(sim.heartbeat(now, machine))
 	sim.stats.Heartbeats++
@@ -299,7 +301,7 @@
 	return body
 }
 
-// answerArrived passes an answer on to the worker, unless it is lost or later than the worker waits.
+// answerArrived passes an answer on to the worker. A lost answer, or one after the timeout, counts as no answer.
 func (h *sentHeartbeat) answerArrived(status int, body []byte) {
 	sim := h.sim
 	sim.mu.Lock()
@@ -320,14 +322,14 @@
 	sim.afterDelay(delay, func() { h.answered(status, body) })
 }
 
-// timeOut ends the heartbeat without an answer once the worker no longer waits.
+// timeOut ends the heartbeat without an answer when the worker's timeout expires.
 func (h *sentHeartbeat) timeOut() {
 	wait := max(0, h.sentAt+heartbeatTimeout-h.sim.now())
 	h.sim.env.schedule(wait, func() { h.answered(0, nil) })
 }
 
-// answered is the worker's handling of the answer to a heartbeat; status 0 stands for none. A machine that hangs
-// reads it once it resumes.
+// answered handles the answer to a heartbeat in the worker; status 0 stands for no answer. A hung machine handles the
+// answer once it resumes.
 func (h *sentHeartbeat) answered(status int, body []byte) {
 	sim, machine := h.sim, h.machine
 	sim.mu.Lock()
@@ -339,7 +341,7 @@
 	}
 	defer sim.env.schedule(sim.cfg.TickInterval, func() { sim.heartbeatLoop(machine) })
 	if machine.incarnation != h.incarnation {
-		machine.nextHeartbeat = now // the former incarnation's connection is gone
+		machine.nextHeartbeat = now // the connection of the former incarnation is lost
 		return
 	}
 	sim.expireWorkerLease(now, machine)
@@ -365,8 +367,8 @@
 	machine.nextHeartbeat = now + jobs.Seconds(min(maxRetryS, sim.cfg.Workers.HeartbeatIntervalS))
 }
 
-// heartbeatAccepted renews the worker's lease from when the heartbeat was sent, and carries out the answer's
-// commands.
+// heartbeatAccepted renews the worker's lease, counted from the time at which the heartbeat was sent, and executes the
+// answer's commands. An answer with a lower token is ignored.
 func (sim *Simulation) heartbeatAccepted(now time.Duration, machine *Machine, sentAt time.Duration, body []byte) {
 	var answer fleet.WireResponse
 	if json.Unmarshal(body, &answer) != nil || answer.Token < machine.token {
