--- a/internal/simulator/balancer.go
+++ b/internal/simulator/balancer.go
@@ -9,7 +9,7 @@
 // Parameters of the load balancer's protocol.
 const (
 	probeInterval  = time.Second
-	recentProbes   = 6 // number of probes in the sliding window
+	probeWindow    = 6 // number of probes in the sliding window
 	maxFailedInRow = 2 // failed probes in a row that remove a controller
 	maxFailed      = 3 // failed probes in the sliding window that remove a controller
 	minPassedInRow = 2 // passed probes in a row before a removed controller returns
@@ -20,12 +20,12 @@
 	maxRemovalTime = time.Minute
 	removalWindow  = 2 * time.Minute
 
-	maxRefusals     = 3               // refused connections in a row after which a controller is skipped
-	skipTime        = 3 * time.Second // time for which it is skipped
-	connectAttempts = 3
-	slowStart       = 10 * time.Second // time until a new controller gets its full share of connections
-	minShare        = 0.1              // share of a controller at the beginning of slowStart
-	closeRemoved    = 5 * time.Second  // time after a controller's removal at which its connections are closed
+	maxRefusals       = 3               // refused connections in a row after which a controller is skipped
+	skipTime          = 3 * time.Second // time for which it is skipped
+	connectAttempts   = 3
+	slowStart         = 10 * time.Second // time until a new controller gets its full share of connections
+	minShare          = 0.1              // share of a controller at the beginning of slowStart
+	removedCloseDelay = 5 * time.Second  // time after a controller's removal at which its connections are closed
 )
 
 // Balancer simulates the load balancer in front of the controllers in virtual time, according to its protocol: health
@@ -75,8 +75,8 @@
 	sim.env.schedule(probeInterval, b.probe)
 }
 
-// minRemoval returns the minimum time for which a removed controller stays out.
-func (n *backend) minRemoval(now time.Duration) time.Duration {
+// minRemovalTime returns the minimum time for which a removed controller stays out.
+func (n *backend) minRemovalTime(now time.Duration) time.Duration {
 	recentRemovals := 0
 	for _, at := range n.removedAt {
 		if now-at < removalWindow {
@@ -93,7 +93,7 @@
 // recordProbe records the result of a health check, and removes the controller or admits it again.
 func (n *backend) recordProbe(now time.Duration, passed bool) {
 	n.recentProbes = append(n.recentProbes, passed)
-	n.recentProbes = n.recentProbes[max(0, len(n.recentProbes)-recentProbes):]
+	n.recentProbes = n.recentProbes[max(0, len(n.recentProbes)-probeWindow):]
 	if passed {
 		n.passed++
 		n.failed = 0
@@ -128,7 +128,7 @@
 }
 
 func (n *backend) mayReturn(now time.Duration) bool {
-	return !n.everHealthy || n.passed >= minPassedInRow && now-n.stateSince >= n.minRemoval(now)
+	return !n.everHealthy || n.passed >= minPassedInRow && now-n.stateSince >= n.minRemovalTime(now)
 }
 
 // load returns a controller's number of connections including a new one, divided by its share during slowStart.
@@ -140,8 +140,8 @@
 // Healthy reports whether the balancer considers a controller healthy, so that it gets new connections.
 func (b *Balancer) Healthy(i int) bool { return b.backends[i].healthy }
 
-// connect opens a connection to the least loaded healthy controller that accepts it. It returns false if the connection
-// attempts fail.
+// connect opens a connection to the least loaded healthy controller that accepts it. It returns false if the
+// connection attempts fail.
 func (b *Balancer) connect(connection *Connection) bool {
 	now := b.simulation.now()
 	var tried []int
@@ -199,7 +199,7 @@
 
 // Request sends a user's request over a connection, which is opened first if it is closed; status 0 stands for no
 // answer. A refused request closes the connection. A connection is also closed if its controller was removed more than
-// closeRemoved ago.
+// removedCloseDelay ago.
 func (b *Balancer) Request(
 	connection *Connection,
 	method, path string,
@@ -210,7 +210,7 @@
 	sim := b.simulation
 	if connection.open {
 		backend := b.backends[connection.controller]
-		if !backend.healthy && sim.now()-backend.stateSince > closeRemoved {
+		if !backend.healthy && sim.now()-backend.stateSince > removedCloseDelay {
 			b.closeConnection(connection)
 		}
 	}
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -10,7 +10,8 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// simulatedController is one controller in virtual time. The object outlives restarts; process is the running instance.
+// simulatedController is one controller in virtual time. The object outlives restarts; process is the running
+// instance.
 type simulatedController struct {
 	env         *virtualTime
 	index       int
--- a/internal/simulator/fault_kinds.go
+++ b/internal/simulator/fault_kinds.go
@@ -80,10 +80,10 @@
 	"fast-boots": {args: "t", apply: bootFaultFor(fastBootFactor, 0)},
 
 	// Services.
-	"outage":         {args: "t", apply: switched((*Simulation).SetStateOutage)},
-	"cloud-outage":   {args: "t", apply: switched((*Simulation).SetCloudOutage)},
-	"licence-down":   {args: "t", apply: switched(func(sim *Simulation, on bool) { sim.Licences.SetDown(on) })},
-	"small-limits":   {args: "t", apply: switched((*Simulation).SetSmallLimits)},
+	"outage":         {args: "t", apply: toggledFault((*Simulation).SetStateOutage)},
+	"cloud-outage":   {args: "t", apply: toggledFault((*Simulation).SetCloudOutage)},
+	"licence-down":   {args: "t", apply: toggledFault(func(sim *Simulation, on bool) { sim.Licences.SetDown(on) })},
+	"small-limits":   {args: "t", apply: toggledFault((*Simulation).SetSmallLimits)},
 	"lose-positions": {args: "t", apply: func(sim *Simulation, _ faultArgs) { sim.CompactHistory() }},
 	"refuse": {args: "nt", apply: func(sim *Simulation, args faultArgs) {
 		if args.count < sim.cfg.Controllers {
@@ -99,22 +99,22 @@
 	}},
 
 	// Messages.
-	"copies": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"copies": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.DuplicateMessages(shareIf(on, duplicateShare), minDuplicateAge, sim.leaseFraction(2))
 	})},
-	"late-writes": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"late-writes": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.DelayWrites(shareIf(on, lateWriteShare), sim.leaseFraction(1./12), sim.leaseFraction(1./2))
 	})},
-	"lost-answers": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"lost-answers": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.LoseTxnAnswers(shareIf(on, lostAnswerShare))
 	})},
-	"keep-copies": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"keep-copies": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.ReplayHeartbeats(shareIf(on, replayShare))
 	})},
 	"slow-state":   {args: "t", apply: delayFault((*Simulation).DelayStateAnswers, 1./200, 1./5)},
 	"hold-orders":  {args: "t", apply: delayFault((*Simulation).DelayCommands, 1./50, 2./3)},
 	"hold-answers": {args: "t", apply: delayFault((*Simulation).DelayHeartbeatAnswers, 1./50, 2./3)},
-	"slow-links": {args: "t", virtualTimeOnly: true, apply: switched(func(sim *Simulation, on bool) {
+	"slow-links": {args: "t", virtualTimeOnly: true, apply: toggledFault(func(sim *Simulation, on bool) {
 		delay := time.Duration(0)
 		if on {
 			delay = slowLinkDelay
@@ -123,12 +123,12 @@
 	})},
 
 	// Users.
-	"close-looks":  {args: "t", virtualTimeOnly: true, apply: switched((*Simulation).SetPollBursts)},
-	"odd-requests": {args: "t", virtualTimeOnly: true, apply: switched((*Simulation).SetOddRequests)},
+	"close-looks":  {args: "t", virtualTimeOnly: true, apply: toggledFault((*Simulation).SetPollBursts)},
+	"odd-requests": {args: "t", virtualTimeOnly: true, apply: toggledFault((*Simulation).SetOddRequests)},
 	"cancel-now": {args: "ct", virtualTimeOnly: true, apply: func(sim *Simulation, args faultArgs) {
 		sim.CancelRunning(args.count, args.duration)
 	}},
-	"cancel-at-end": {args: "t", virtualTimeOnly: true, apply: switched(func(sim *Simulation, on bool) {
+	"cancel-at-end": {args: "t", virtualTimeOnly: true, apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.CancelAtCompletion(shareIf(on, cancelShare))
 	})},
 
@@ -181,8 +181,8 @@
 	sim.env.schedule(duration, func() { set(false) })
 }
 
-// switched returns a fault that calls set with true, and with false after the fault's duration.
-func switched(set func(sim *Simulation, on bool)) faultAction {
+// toggledFault returns a fault that calls set with true, and with false after the fault's duration.
+func toggledFault(set func(sim *Simulation, on bool)) faultAction {
 	return func(sim *Simulation, args faultArgs) {
 		sim.during(args.duration, func(on bool) { set(sim, on) })
 	}
@@ -202,7 +202,7 @@
 	set func(sim *Simulation, minDelay, maxDelay time.Duration),
 	minFraction, maxFraction float64,
 ) faultAction {
-	return switched(func(sim *Simulation, on bool) {
+	return toggledFault(func(sim *Simulation, on bool) {
 		if !on {
 			set(sim, 0, 0)
 			return
--- a/internal/simulator/idle_capacity.go
+++ b/internal/simulator/idle_capacity.go
@@ -20,8 +20,8 @@
 	idleCheckInterval = time.Second
 )
 
-// idleCapacityWatch records how long jobs have waited while idle capacity could run them.
-type idleCapacityWatch struct {
+// idleCapacityMonitor records how long jobs have waited while idle capacity could run them.
+type idleCapacityMonitor struct {
 	waitingSince map[string]time.Duration // start of the current wait, by job
 	longest      time.Duration            // longest wait so far
 	longestJob   string                   // job with the longest wait
@@ -30,16 +30,16 @@
 // WatchIdleCapacity begins the checks; the caller calls it once all faults have ended. It returns a function that
 // returns the longest wait of a job despite idle capacity so far, and the job. The simulation must be in virtual time.
 func (sim *Simulation) WatchIdleCapacity() func() (longest time.Duration, job string) {
-	watch := &idleCapacityWatch{waitingSince: map[string]time.Duration{}}
+	monitor := &idleCapacityMonitor{waitingSince: map[string]time.Duration{}}
 	var check func()
 	check = func() {
 		sim.mu.Lock()
-		sim.checkIdleCapacity(watch)
+		sim.checkIdleCapacity(monitor)
 		sim.mu.Unlock()
 		sim.env.schedule(idleCheckInterval, check)
 	}
 	sim.env.schedule(idleCheckInterval, check)
-	return func() (time.Duration, string) { return watch.longest, watch.longestJob }
+	return func() (time.Duration, string) { return monitor.longest, monitor.longestJob }
 }
 
 // capacityUse is the true usage of the machines at one time.
@@ -71,47 +71,47 @@
 			use.byTeam[task.spec.Team] = use.byTeam[task.spec.Team].Add(size)
 			free = free.Sub(size)
 		}
-		if machine.takesWork(now) {
+		if machine.acceptsTasks(now) {
 			use.ready = append(use.ready, candidateMachine{machine, free})
 		}
 	}
 	return use
 }
 
-// takesWork reports whether a machine accepts tasks: it is up, has an owner, no fault and no notice.
-func (m *Machine) takesWork(now time.Duration) bool {
+// acceptsTasks reports whether a machine accepts tasks: it is up, has an owner, no fault and no notice.
+func (m *Machine) acceptsTasks(now time.Duration) bool {
 	isUp := now >= m.upAt && now >= m.hungUntil
 	isConnected := now >= m.inboundLostUntil && now >= m.outboundLostUntil && now >= m.outboundRefusedUntil
 	return isUp && isConnected && m.noticeAt == 0 && !m.faulty && m.token > 0
 }
 
-func (sim *Simulation) checkIdleCapacity(watch *idleCapacityWatch) {
+func (sim *Simulation) checkIdleCapacity(monitor *idleCapacityMonitor) {
 	now := sim.now()
 	use := sim.capacityUse(now)
 	for job, spec := range sim.work.specs {
 		if !sim.waitsBesideCapacity(spec, &use) {
-			delete(watch.waitingSince, job)
+			delete(monitor.waitingSince, job)
 			continue
 		}
-		since, ok := watch.waitingSince[job]
+		since, ok := monitor.waitingSince[job]
 		if !ok {
 			since = now
-			watch.waitingSince[job] = now
+			monitor.waitingSince[job] = now
 		}
 		waited := now - since
-		if waited > watch.longest || waited == watch.longest && job < watch.longestJob {
-			watch.longest = waited
-			watch.longestJob = job
+		if waited > monitor.longest || waited == monitor.longest && job < monitor.longestJob {
+			monitor.longest = waited
+			monitor.longestJob = job
 		}
 		if waited > maxIdleWait {
 			sim.violate("beside: %s has waited for %v despite idle capacity", job, waited)
-			watch.waitingSince[job] = math.MaxInt64 // don't report this wait again
+			monitor.waitingSince[job] = math.MaxInt64 // don't report this wait again
 		}
 	}
 }
 
-// waitsBesideCapacity reports whether a job is pending, has no task on a machine, and could start now. It returns false
-// for jobs that need licences, wait for predecessors, fail on purpose, or are interactive sessions.
+// waitsBesideCapacity reports whether a job is pending, has no task on a machine, and could start now. It returns
+// false for jobs that need licences, wait for predecessors, fail on purpose, or are interactive sessions.
 func (sim *Simulation) waitsBesideCapacity(spec *jobs.Spec, use *capacityUse) bool {
 	job := spec.ID
 	item, stored := sim.state.service.Keys[jobs.RecordKey(job)]
--- a/internal/simulator/interactive_session.go
+++ b/internal/simulator/interactive_session.go
@@ -60,10 +60,10 @@
 	fresh       bool   // the process hasn't been thawed since its start
 	resumedFrom string // checkpoint from which the process resumed, "" for none
 
-	save           *sessions.CheckpointResult // newest ordered save, nil for none
-	saveDoneAt     time.Duration              // end of the save in progress; 0: no save is in progress
-	ownCheckpoint  string                     // newest checkpoint that was saved without an order
-	keptCheckpoint string                     // checkpoint that the controllers have recorded
+	orderedSave         *sessions.CheckpointResult // newest ordered save, nil for none
+	saveDoneAt          time.Duration              // end of the save in progress; 0: no save is in progress
+	unorderedCheckpoint string                     // newest checkpoint that was saved without an order
+	recordedCheckpoint  string                     // checkpoint that the controllers have recorded
 }
 
 // InteractiveSession returns a session of a user. The session isn't open yet.
@@ -101,14 +101,14 @@
 	s.frozen = true
 	s.fresh = true
 	s.resumedFrom = ""
-	s.save = nil
-	s.ownCheckpoint = ""
-	s.keptCheckpoint = ""
+	s.orderedSave = nil
+	s.unorderedCheckpoint = ""
+	s.recordedCheckpoint = ""
 }
 
-// processHalted checks the halt of the process by its worker. Unless its user closed the session, the halt is a reclaim
-// by the controllers, which must not interrupt a cell or lose work. Before the cloud reclaims the machine, the process
-// saves its work itself.
+// processHalted checks the halt of the process by its worker. Unless its user closed the session, the halt is a
+// reclaim by the controllers, which must not interrupt a cell or lose work. Before the cloud reclaims the machine,
+// the process saves its work itself.
 func (s *InteractiveSession) processHalted(now time.Duration, machine *Machine) {
 	if s.closed {
 		return
@@ -132,10 +132,10 @@
 	if s.fresh {
 		return
 	}
-	s.ownCheckpoint = fmt.Sprintf("%s-%d-end", s.Spec.ID, s.attempt)
+	s.unorderedCheckpoint = fmt.Sprintf("%s-%d-end", s.Spec.ID, s.attempt)
 	s.frozen = true
-	s.save = nil
-	s.savedSteps[s.ownCheckpoint] = s.steps
+	s.orderedSave = nil
+	s.savedSteps[s.unorderedCheckpoint] = s.steps
 	s.stepsSaved = s.steps
 }
 
@@ -212,7 +212,7 @@
 
 // report returns the agent's next report.
 func (s *InteractiveSession) report(now time.Duration, seq uint64) sessions.Heartbeat {
-	if s.save != nil && s.saveDoneAt > 0 && now >= s.saveDoneAt {
+	if s.orderedSave != nil && s.saveDoneAt > 0 && now >= s.saveDoneAt {
 		s.finishSave()
 	}
 	report := sessions.Heartbeat{
@@ -224,12 +224,12 @@
 		ResumedFrom: s.resumedFrom,
 		Fresh:       s.fresh,
 	}
-	if s.saveDoneAt == 0 && s.save != nil {
-		save := *s.save
+	if s.saveDoneAt == 0 && s.orderedSave != nil {
+		save := *s.orderedSave
 		report.Checkpoint = &save
 	}
-	if report.Checkpoint == nil && s.ownCheckpoint != s.keptCheckpoint && s.ownCheckpoint != "" {
-		report.Checkpoint = &sessions.CheckpointResult{OK: true, Ref: s.ownCheckpoint}
+	if report.Checkpoint == nil && s.unorderedCheckpoint != s.recordedCheckpoint && s.unorderedCheckpoint != "" {
+		report.Checkpoint = &sessions.CheckpointResult{OK: true, Ref: s.unorderedCheckpoint}
 	}
 	if now < s.cellEnd {
 		report.CellRunning = true
@@ -243,14 +243,14 @@
 func (s *InteractiveSession) finishSave() {
 	s.saveDoneAt = 0
 	if s.savesFail {
-		s.save.Cause = saveFailedDisk
+		s.orderedSave.Cause = saveFailedDisk
 		return
 	}
-	checkpoint := fmt.Sprintf("%s-%d-%d", s.Spec.ID, s.attempt, s.save.Order)
+	checkpoint := fmt.Sprintf("%s-%d-%d", s.Spec.ID, s.attempt, s.orderedSave.Order)
 	s.savedSteps[checkpoint] = s.steps
 	s.stepsSaved = s.steps
-	s.save.OK = true
-	s.save.Ref = checkpoint
+	s.orderedSave.OK = true
+	s.orderedSave.Ref = checkpoint
 }
 
 // applyOrder executes the orders in the answer to a report: resuming, thawing and saving.
@@ -258,7 +258,7 @@
 	if task.attempt != s.attempt {
 		return
 	}
-	s.keptCheckpoint = order.CheckpointRef
+	s.recordedCheckpoint = order.CheckpointRef
 	if order.ResumeFrom != "" && order.ResumeFrom != s.resumedFrom {
 		s.steps = s.savedSteps[order.ResumeFrom]
 		s.stepsSaved = s.steps
@@ -268,19 +268,19 @@
 	if order.Thaw {
 		s.frozen = false
 		s.fresh = false
-		s.save = nil
+		s.orderedSave = nil
 		s.saveDoneAt = 0
 	}
-	if order.CheckpointOrder != 0 && (s.save == nil || s.save.Order != order.CheckpointOrder) {
+	if order.CheckpointOrder != 0 && (s.orderedSave == nil || s.orderedSave.Order != order.CheckpointOrder) {
 		s.beginSave(now, order.CheckpointOrder)
 	}
 }
 
 // beginSave begins an ordered save. The save fails immediately while a cell runs.
 func (s *InteractiveSession) beginSave(now time.Duration, order uint64) {
-	s.save = &sessions.CheckpointResult{Order: order}
+	s.orderedSave = &sessions.CheckpointResult{Order: order}
 	if now < s.cellEnd {
-		s.save.Cause = saveFailedCell
+		s.orderedSave.Cause = saveFailedCell
 		return
 	}
 	s.frozen = true
--- a/internal/simulator/licence_server.go
+++ b/internal/simulator/licence_server.go
@@ -13,7 +13,8 @@
 // foreignHolder is the holder that the server lists for units in use outside the cluster.
 const foreignHolder = "somebody else"
 
-// LicenceServer simulates a licence server. It counts the units of licence pools itself as tasks check them out and in.
+// LicenceServer simulates a licence server. It counts the units of licence pools itself as tasks check them out and
+// in.
 type LicenceServer struct {
 	Addr string
 
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -67,8 +67,8 @@
 	return true
 }
 
-// HangMachine makes one ready machine hang for the duration. Its tasks resume afterwards, unless the worker's lease has
-// expired meanwhile. It returns false if no machine is ready.
+// HangMachine makes one ready machine hang for the duration. Its tasks resume afterwards, unless the worker's lease
+// has expired meanwhile. It returns false if no machine is ready.
 func (sim *Simulation) HangMachine(duration time.Duration) bool {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -216,8 +216,8 @@
 	neverShare float64 // share of machines that never come up
 }
 
-// SetBootFault multiplies the boot times of machines rented from now on by factor, and prevents the share neverShare of
-// them from coming up; factor 0 ends the fault.
+// SetBootFault multiplies the boot times of machines rented from now on by factor, and prevents the share neverShare
+// of them from coming up; factor 0 ends the fault.
 func (sim *Simulation) SetBootFault(factor, neverShare float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/measurements.go
+++ b/internal/simulator/measurements.go
@@ -38,8 +38,8 @@
 	// their answers' bodies.
 	Heartbeats                           int
 	HeartbeatBytes, HeartbeatAnswerBytes uint64
-	// StateRequests counts the requests to the state service, StateWrites the mutations in transactions that passed the
-	// rate limits, and StateRefused the requests that the rate limits refused.
+	// StateRequests counts the requests to the state service, StateWrites the mutations in transactions that passed
+	// the rate limits, and StateRefused the requests that the rate limits refused.
 	StateRequests, StateWrites, StateRefused int
 
 	// PollBursts counts the bursts of status queries, JobsCancelled the jobs that users cancelled as they ran or
@@ -116,7 +116,8 @@
 	return slices.Clone(sim.state.leaderChanges)
 }
 
-// FirstStart returns the time from a job's submission to the start of its first task, and false if no task has started.
+// FirstStart returns the time from a job's submission to the start of its first task, and false if no task has
+// started.
 func (sim *Simulation) FirstStart(job string) (time.Duration, bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
--- a/internal/simulator/message_faults.go
+++ b/internal/simulator/message_faults.go
@@ -12,10 +12,10 @@
 
 // messageFaults holds the faults injected into messages and jobs.
 type messageFaults struct {
-	failingJobs    map[string]bool // jobs whose tasks fail on any machine
-	duplication    duplication
-	delays         delays
-	keptHeartbeats []keptHeartbeat // copies to be delivered to the next leader
+	failingJobs     map[string]bool // jobs whose tasks fail on any machine
+	duplication     duplication
+	delays          delays
+	heartbeatCopies []heartbeatCopy // copies to be delivered to the next leader
 }
 
 // countLostLaunches counts the launch commands in the body of a lost message.
@@ -35,8 +35,9 @@
 	delay delayRange
 }
 
-// DuplicateMessages delivers a share of the workers' heartbeats and of the users' requests a second time, to a randomly
-// drawn controller, between minDelay and maxDelay later, even if the sender has ended; share 0 ends the fault.
+// DuplicateMessages delivers a share of the workers' heartbeats and of the users' requests a second time, to a
+// randomly drawn controller, between minDelay and maxDelay later, even if the sender has ended; share 0 ends the
+// fault.
 func (sim *Simulation) DuplicateMessages(share float64, minDelay, maxDelay time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -53,66 +54,66 @@
 	spread := float64(fault.delay.max - fault.delay.min)
 	delay := fault.delay.min + time.Duration(sim.rng.Float64()*spread)
 	to := sim.settings[sim.rng.IntN(sim.cfg.Controllers)].PublicAddr
-	sim.env.schedule(delay, func() { sim.postCopy(zone, to, path, body) })
+	sim.env.schedule(delay, func() { sim.postDuplicate(zone, to, path, body) })
 }
 
-// postCopy sends a copy of a message and drops the answer.
-func (sim *Simulation) postCopy(zone, to, path string, body []byte) {
+// postDuplicate sends a copy of a message and drops the answer.
+func (sim *Simulation) postDuplicate(zone, to, path string, body []byte) {
 	sim.env.post("", zone, to, path, body, func(int, []byte) {})
 }
 
-// keptHeartbeat is a copy of a heartbeat that is delivered to the next leader.
-type keptHeartbeat struct {
+// heartbeatCopy is a copy of a heartbeat that is delivered to the next leader.
+type heartbeatCopy struct {
 	zone string
 	body []byte
 }
 
-// maxKeptHeartbeats is the maximum number of copies; only the newest are kept.
-const maxKeptHeartbeats = 200
+// maxHeartbeatCopies is the maximum number of copies; only the newest are kept.
+const maxHeartbeatCopies = 200
 
 // Times of delivery of the copies after a leader's key is written. Every second copy is late.
 const (
-	earlyReplayMS  = 800                     // latest delivery of an early copy, in milliseconds
-	lateReplayFrom = 1500 * time.Millisecond // earliest delivery of a late copy
+	maxEarlyReplayMS   = 800                     // latest delivery of an early copy, in milliseconds
+	minLateReplayDelay = 1500 * time.Millisecond // earliest delivery of a late copy
 )
 
-// ReplayHeartbeats copies a share of the workers' heartbeats and delivers the copies to every controller after the next
-// election: half of them just as the new leader's term begins, the others once the leader has acted. Share 0 ends the
-// fault and drops the copies.
+// ReplayHeartbeats copies a share of the workers' heartbeats and delivers the copies to every controller after the
+// next election: half of them just as the new leader's term begins, the others once the leader has acted. Share 0
+// ends the fault and drops the copies.
 func (sim *Simulation) ReplayHeartbeats(share float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.faults.delays.replayShare = share
 	if share == 0 {
-		sim.faults.keptHeartbeats = nil
+		sim.faults.heartbeatCopies = nil
 	}
 }
 
-// keepHeartbeat keeps a copy of a heartbeat, if the heartbeat is drawn. The caller holds the mutex.
-func (sim *Simulation) keepHeartbeat(zone string, body []byte) {
+// copyHeartbeat keeps a copy of a heartbeat, if the heartbeat is drawn. The caller holds the mutex.
+func (sim *Simulation) copyHeartbeat(zone string, body []byte) {
 	delays := &sim.faults.delays
 	if delays.replayShare == 0 || delays.rng.Float64() >= delays.replayShare {
 		return
 	}
-	kept := append(sim.faults.keptHeartbeats, keptHeartbeat{zone, body})
-	sim.faults.keptHeartbeats = kept[max(0, len(kept)-maxKeptHeartbeats):]
+	copies := append(sim.faults.heartbeatCopies, heartbeatCopy{zone, body})
+	sim.faults.heartbeatCopies = copies[max(0, len(copies)-maxHeartbeatCopies):]
 }
 
 // replayHeartbeats schedules the delivery of the kept heartbeats when a leader's key is written. The caller holds the
 // mutex.
 func (sim *Simulation) replayHeartbeats() {
-	kept := sim.faults.keptHeartbeats
-	sim.faults.keptHeartbeats = nil
+	copies := sim.faults.heartbeatCopies
+	sim.faults.heartbeatCopies = nil
 	rng := sim.faults.delays.rng
-	for i, heartbeat := range kept {
+	for i, heartbeat := range copies {
 		sim.stats.HeartbeatsReplayed++
-		delay := time.Duration(rng.IntN(earlyReplayMS)) * time.Millisecond
+		delay := time.Duration(rng.IntN(maxEarlyReplayMS)) * time.Millisecond
 		if i%2 == 1 {
-			delay += lateReplayFrom + time.Duration(rng.Int64N(int64(sim.leaseFraction(1))))
+			delay += minLateReplayDelay + time.Duration(rng.Int64N(int64(sim.leaseFraction(1))))
 		}
 		for _, settings := range sim.settings {
 			sim.env.schedule(delay, func() {
-				sim.postCopy(heartbeat.zone, settings.PublicAddr, heartbeatPath, heartbeat.body)
+				sim.postDuplicate(heartbeat.zone, settings.PublicAddr, heartbeatPath, heartbeat.body)
 			})
 		}
 	}
@@ -182,8 +183,8 @@
 	sim.setDelay(&sim.faults.delays.stateDelay, minDelay, maxDelay)
 }
 
-// DelayCommands delays direct commands, and the answers to them, by between minDelay and maxDelay each; maxDelay 0 ends
-// the fault.
+// DelayCommands delays direct commands, and the answers to them, by between minDelay and maxDelay each; maxDelay 0
+// ends the fault.
 func (sim *Simulation) DelayCommands(minDelay, maxDelay time.Duration) {
 	sim.setDelay(&sim.faults.delays.commandDelay, minDelay, maxDelay)
 }
@@ -218,8 +219,8 @@
 	sim.env.schedule(delay, f)
 }
 
-// withStateDelay handles a request to the state service, and delays either the request or its answer.
-func (sim *Simulation) withStateDelay(handle func(replyFunc), reply replyFunc) {
+// handleWithStateDelay handles a request to the state service, and delays either the request or its answer.
+func (sim *Simulation) handleWithStateDelay(handle func(replyFunc), reply replyFunc) {
 	delay := sim.drawDelay(&sim.faults.delays.stateDelay)
 	if delay == 0 {
 		handle(reply)
--- a/internal/simulator/partitions.go
+++ b/internal/simulator/partitions.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Partition is the way in which a zone is partitioned from everything outside the zone. Connections inside the zone are
-// never affected.
+// Partition is the way in which a zone is partitioned from everything outside the zone. Connections inside the zone
+// are never affected.
 type Partition uint8
 
 // The kinds of partition.
@@ -59,8 +59,8 @@
 	}
 }
 
-// between returns the effect of the partitions on a message from one zone to another: Connected, DropBoth, DelayBoth or
-// RefuseBoth. Senders and receivers that belong to no zone ("") can't be partitioned.
+// between returns the effect of the partitions on a message from one zone to another: Connected, DropBoth, DelayBoth
+// or RefuseBoth. Senders and receivers that belong to no zone ("") can't be partitioned.
 func (n *network) between(from, to string) Partition {
 	if from == to {
 		return Connected
@@ -120,8 +120,8 @@
 	}
 }
 
-// linkCheck returns a function that reports whether a link is cut at the time of its call. The controller is identified
-// by its address for users.
+// linkCheck returns a function that reports whether a link is cut at the time of its call. The controller is
+// identified by its address for users.
 func (env *virtualTime) linkCheck(public string, link Links) func() bool {
 	return func() bool { return env.network.cutLinks[public]&link != 0 }
 }
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -39,14 +39,14 @@
 	for _, predecessor := range spec.Follows {
 		records.successors[predecessor] = append(records.successors[predecessor], spec.ID)
 		if at, ok := sim.firstCancellation(predecessor); ok {
-			records.addCancellation(spec.ID, at)
+			records.addAncestorCancellation(spec.ID, at)
 		}
 	}
 }
 
-// addCancellation records the cancellation of an ancestor of the job, unless an earlier one is recorded. It returns
-// whether no cancellation was recorded before.
-func (r *pipelineRecords) addCancellation(job string, at time.Duration) (isFirst bool) {
+// addAncestorCancellation records the cancellation of an ancestor of the job, unless an earlier one is recorded. It
+// returns whether no cancellation was recorded before.
+func (r *pipelineRecords) addAncestorCancellation(job string, at time.Duration) (isFirst bool) {
 	earlier, ok := r.cancelledAbove[job]
 	if !ok || at < earlier {
 		r.cancelledAbove[job] = at
@@ -73,7 +73,7 @@
 		next := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		for _, successor := range records.successors[next] {
-			if records.addCancellation(successor, at) {
+			if records.addAncestorCancellation(successor, at) {
 				stack = append(stack, successor)
 			}
 		}
@@ -100,8 +100,8 @@
 	}
 }
 
-// checkNotOrphaned checks the state in an answer received now. Once the time limit has passed after a user received the
-// cancellation of an ancestor, the job must be neither pending nor running.
+// checkNotOrphaned checks the state in an answer received now. Once the time limit has passed after a user received
+// the cancellation of an ancestor, the job must be neither pending nor running.
 func (sim *Simulation) checkNotOrphaned(job, state string) {
 	at, ok := sim.work.pipelines.cancelledAbove[job]
 	if !ok || state != statePending && state != stateRunning {
@@ -122,9 +122,9 @@
 	sim.checkNotOrphaned(job, state)
 }
 
-// checkPredecessorsKnown checks the answer to a submission with predecessors. The submission must be rejected if a
+// checkPredecessorsAccepted checks the answer to a submission with predecessors. The submission must be rejected if a
 // predecessor was never submitted, and it must not be rejected if all predecessors were accepted before it was sent.
-func (sim *Simulation) checkPredecessorsKnown(about userRequest, sentAt time.Duration, status int) {
+func (sim *Simulation) checkPredecessorsAccepted(about userRequest, sentAt time.Duration, status int) {
 	spec := sim.work.specs[about.job]
 	if !about.submits || spec == nil || len(spec.Follows) == 0 {
 		return
@@ -162,12 +162,12 @@
 }
 
 func (sim *Simulation) mayBeCancelled(job string) bool {
-	return sim.users.cancelRequested[job] || sim.mayBeCancelledByOther(job)
+	return sim.users.cancelRequested[job] || sim.mayBeCancelledByAncestor(job)
 }
 
-// mayBeCancelledByOther reports whether a user requested the cancellation of an ancestor that no answer has called
+// mayBeCancelledByAncestor reports whether a user requested the cancellation of an ancestor that no answer has called
 // done. Jobs between the job and the ancestor must not have been called done either.
-func (sim *Simulation) mayBeCancelledByOther(job string) bool {
+func (sim *Simulation) mayBeCancelledByAncestor(job string) bool {
 	visited := map[string]bool{job: true}
 	stack := []string{job}
 	for len(stack) > 0 {
@@ -196,9 +196,9 @@
 	return answers != nil && answers.final == stateDone
 }
 
-// checkSuccessorsGoOn checks, when a user first receives that a job is done, that none of its successors was answered
-// as cancelled without another reason.
-func (sim *Simulation) checkSuccessorsGoOn(job string) {
+// checkSuccessorsNotCancelled checks, when a user first receives that a job is done, that none of its successors was
+// answered as cancelled without another reason.
+func (sim *Simulation) checkSuccessorsNotCancelled(job string) {
 	for _, successor := range sim.work.pipelines.successors[job] {
 		answers := sim.users.jobs[successor]
 		if answers != nil && answers.final == stateCancelled && !sim.mayBeCancelled(successor) {
--- a/internal/simulator/rate_limit.go
+++ b/internal/simulator/rate_limit.go
@@ -9,8 +9,8 @@
 	at    time.Duration // time of the last call of take
 }
 
-// take uses n units. It returns false, and uses none, if they would exceed the rate.
-func (l *rateLimit) take(now time.Duration, n float64) bool {
+// allow uses n units. It returns false, and uses none, if they would exceed the rate.
+func (l *rateLimit) allow(now time.Duration, n float64) bool {
 	l.level = max(0, l.level-l.rate*(now-l.at).Seconds())
 	l.at = now
 	if l.level+n > l.rate {
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -79,7 +79,8 @@
 	return stored.Level
 }
 
-// TxnOutcome is the injected fault of a transaction. The zero value means that the transaction is applied and answered.
+// TxnOutcome is the injected fault of a transaction. The zero value means that the transaction is applied and
+// answered.
 type TxnOutcome struct {
 	// Dropped transactions are neither applied nor answered.
 	Dropped bool
@@ -95,8 +96,8 @@
 	sim.state.interceptTxn = decide
 }
 
-// intercepted applies the injected fault to a transaction. It returns false if the request must be handled normally.
-func (sim *Simulation) intercepted(controller int, request httpRequest) bool {
+// applyTxnFault applies the injected fault to a transaction. It returns false if the request must be handled normally.
+func (sim *Simulation) applyTxnFault(controller int, request httpRequest) bool {
 	if request.path != state.TxnPath {
 		return false
 	}
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -72,11 +72,11 @@
 // Sequence numbers of the random generators. Each concern draws from its own generator, so that enabling one concern
 // doesn't change the numbers that the others draw.
 const (
-	simulationStream  = 7
-	userStream        = 11
-	virtualTimeStream = 13
-	delayStream       = 17
-	userHabitStream   = 19
+	simulationStream   = 7
+	userStream         = 11
+	virtualTimeStream  = 13
+	delayStream        = 17
+	userBehaviorStream = 19
 )
 
 // NewRealTime starts a simulation in real time on loopback sockets, without machines. The controllers are started
@@ -109,7 +109,7 @@
 		users: userAnswers{
 			jobs:            map[string]*jobAnswers{},
 			cancelRequested: map[string]bool{},
-			habits:          userHabits{rng: rand.New(rand.NewPCG(cfg.Seed, userHabitStream))},
+			behavior:        userBehavior{rng: rand.New(rand.NewPCG(cfg.Seed, userBehaviorStream))},
 		},
 		faults: messageFaults{
 			failingJobs: map[string]bool{},
@@ -141,11 +141,11 @@
 
 // listen opens the addresses of all services and builds the controllers' settings.
 func (sim *Simulation) listen() error {
-	cloudAddr, err := sim.env.listen("cloud", "", immediate(sim.serveCloud))
+	cloudAddr, err := sim.env.listen("cloud", "", synchronousHandler(sim.serveCloud))
 	if err != nil {
 		return err
 	}
-	sim.Licences.Addr, err = sim.env.listen("licences", "", immediate(sim.Licences.serve))
+	sim.Licences.Addr, err = sim.env.listen("licences", "", synchronousHandler(sim.Licences.serve))
 	if err != nil {
 		return err
 	}
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// immediate returns a handler that replies with the result of serve before it returns.
-func immediate(serve func(httpRequest) (int, any)) handlerFunc {
+// synchronousHandler returns a handler that replies with the result of serve before it returns.
+func synchronousHandler(serve func(httpRequest) (int, any)) handlerFunc {
 	return func(request httpRequest, reply replyFunc) { reply(serve(request)) }
 }
 
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -31,8 +31,8 @@
 	interceptTxn   func(controller int, txn store.Txn) TxnOutcome
 }
 
-// stallRetry is the interval at which a stalled watch is polled.
-const stallRetry = 50 * time.Millisecond
+// stalledWatchPoll is the interval at which a stalled watch is polled.
+const stalledWatchPoll = 50 * time.Millisecond
 
 // SetStateOutage begins or ends an outage, in which the state service refuses every request.
 func (sim *Simulation) SetStateOutage(on bool) {
@@ -129,7 +129,7 @@
 // serveState answers one controller's request to the state service, with the injected delay.
 func (sim *Simulation) serveState(controller int, request httpRequest, reply replyFunc) {
 	handle := func(reply replyFunc) { sim.handleStateRequest(controller, request, reply) }
-	sim.withStateDelay(handle, reply)
+	sim.handleWithStateDelay(handle, reply)
 }
 
 func (sim *Simulation) handleStateRequest(controller int, request httpRequest, reply replyFunc) {
@@ -137,7 +137,7 @@
 		sim.serveWatch(controller, request, reply)
 		return
 	}
-	if sim.intercepted(controller, request) {
+	if sim.applyTxnFault(controller, request) {
 		return
 	}
 	sim.mu.Lock()
@@ -146,7 +146,8 @@
 	reply(status, body)
 }
 
-// applyStateRequest applies a request other than a watch, and refuses it beyond the limits. The caller holds the mutex.
+// applyStateRequest applies a request other than a watch, and refuses it beyond the limits. The caller holds the
+// mutex.
 func (sim *Simulation) applyStateRequest(controller int, request httpRequest) (status int, body any) {
 	if sim.state.down || sim.state.refused[controller] {
 		return http.StatusServiceUnavailable, nil
@@ -161,7 +162,7 @@
 	}
 	writes := len(txn.Then)
 	sim.stats.StateRequests++
-	if !sim.state.requestLimit.take(now, 1) || !sim.state.writeLimit.take(now, float64(writes)) {
+	if !sim.state.requestLimit.allow(now, 1) || !sim.state.writeLimit.allow(now, float64(writes)) {
 		sim.stats.StateRefused++
 		return http.StatusTooManyRequests, nil
 	}
@@ -218,7 +219,7 @@
 	waitMS, _ := strconv.Atoi(request.query.Get("wait_ms"))
 	sim.mu.Lock()
 	now := sim.now()
-	if sim.state.down || sim.state.refused[controller] || !sim.state.requestLimit.take(now, 1) {
+	if sim.state.down || sim.state.refused[controller] || !sim.state.requestLimit.allow(now, 1) {
 		sim.mu.Unlock()
 		reply(http.StatusServiceUnavailable, nil)
 		return
@@ -246,7 +247,7 @@
 	now := sim.now()
 	if sim.state.down || sim.state.refused[w.controller] || sim.state.watchesStalled[w.controller] {
 		sim.mu.Unlock()
-		sim.env.schedule(stallRetry, w.poll)
+		sim.env.schedule(stalledWatchPoll, w.poll)
 		return
 	}
 	events, ok := sim.state.service.Since(w.prefix, w.since)
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -14,8 +14,8 @@
 // minRunSeconds is the shortest run time of a task, in seconds.
 const minRunSeconds = 0.01
 
-// limitTolerance is the rounding error that is tolerated when a team's usage is compared with its limit.
-const limitTolerance = 1e-6
+// teamLimitTolerance is the rounding error that is tolerated when a team's usage is compared with its limit.
+const teamLimitTolerance = 1e-6
 
 // advanceTask advances one task to now. A task pulls its image, waits for the other tasks if it belongs to a gang, and
 // runs until it exits.
@@ -201,16 +201,16 @@
 		if team.Name != task.spec.Team {
 			continue
 		}
-		overCPUs := team.CPUsMax > 0 && use.CPUs > team.CPUsMax+limitTolerance
-		overGPUs := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+limitTolerance
+		overCPUs := team.CPUsMax > 0 && use.CPUs > team.CPUsMax+teamLimitTolerance
+		overGPUs := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+teamLimitTolerance
 		if overCPUs || overGPUs {
 			sim.violate("quota: team %s exceeds its limit, using %v with %s", team.Name, use, task.name)
 		}
 	}
 }
 
-// checkCancelledTask checks that a task ends within the time limit after a user received the cancellation of its job or
-// of one of the job's predecessors.
+// checkCancelledTask checks that a task ends within the time limit after a user received the cancellation of its job
+// or of one of the job's predecessors.
 func (sim *Simulation) checkCancelledTask(now time.Duration, machine *Machine, task *workerTask) {
 	cancelledAt, ok := sim.firstCancellation(task.spec.ID)
 	if !ok || !task.counted || task.state == taskExited {
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -55,7 +55,7 @@
 	jobs            map[string]*jobAnswers
 	cancelRequested map[string]bool // jobs whose cancellation a user requested
 	onCancelled     []func()        // called once, when the next cancellation of a job is confirmed
-	habits          userHabits
+	behavior        userBehavior
 }
 
 // userRequest identifies the job and the kind of a user's request.
@@ -180,7 +180,7 @@
 		sim.users.jobs[about.job] = answers
 	}
 	sim.checkNotForgotten(about, answers, sentAt, status)
-	sim.checkPredecessorsKnown(about, sentAt, status)
+	sim.checkPredecessorsAccepted(about, sentAt, status)
 	if status != http.StatusOK && status != http.StatusCreated {
 		sim.mu.Unlock()
 		return
@@ -195,7 +195,7 @@
 	}
 	isNew := answers.record(sim.now(), state)
 	if isNew && state == stateDone {
-		sim.checkSuccessorsGoOn(about.job)
+		sim.checkSuccessorsNotCancelled(about.job)
 	}
 	sim.mu.Unlock()
 	if state == stateCancelled {
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -32,8 +32,8 @@
 // burstTimes are the times of a burst's queries to each controller, in milliseconds from the burst's start.
 var burstTimes = [...]int{0, 1, 3, 8, 20, 60, 150}
 
-// userHabits configures the users' behavior.
-type userHabits struct {
+// userBehavior configures the users' behavior.
+type userBehavior struct {
 	rng                *rand.Rand // separate generator: the users' behavior doesn't change the numbers drawn elsewhere
 	pollBursts         bool
 	oddRequests        bool
@@ -42,8 +42,8 @@
 }
 
 // drawMillis draws a duration below n milliseconds.
-func (h *userHabits) drawMillis(n int) time.Duration {
-	return time.Duration(h.rng.IntN(n)) * time.Millisecond
+func (b *userBehavior) drawMillis(n int) time.Duration {
+	return time.Duration(b.rng.IntN(n)) * time.Millisecond
 }
 
 func ignoreAnswer(int, []byte) {}
@@ -53,7 +53,7 @@
 func (sim *Simulation) SetPollBursts(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.users.habits.pollBursts = on
+	sim.users.behavior.pollBursts = on
 }
 
 // scheduledQuery is one query of a burst.
@@ -65,18 +65,18 @@
 // pollBurst schedules a burst of requests about a job, if bursts are enabled.
 func (sim *Simulation) pollBurst(job string) {
 	sim.mu.Lock()
-	habits := &sim.users.habits
+	behavior := &sim.users.behavior
 	spec := sim.work.specs[job]
-	if !habits.pollBursts || spec == nil {
+	if !behavior.pollBursts || spec == nil {
 		sim.mu.Unlock()
 		return
 	}
 	sim.stats.PollBursts++
-	cancels := habits.rng.Float64() < burstCancelShare
+	cancels := behavior.rng.Float64() < burstCancelShare
 	submission, _ := json.Marshal(spec)
-	queries := habits.drawBurst(sim.cfg.Controllers)
-	cancelAfter := habits.drawMillis(5)
-	cancelAt := habits.rng.IntN(sim.cfg.Controllers)
+	queries := behavior.drawBurst(sim.cfg.Controllers)
+	cancelAfter := behavior.drawMillis(5)
+	cancelAt := behavior.rng.IntN(sim.cfg.Controllers)
 	sim.mu.Unlock()
 	for i, query := range queries {
 		sim.env.schedule(query.after, func() {
@@ -91,10 +91,10 @@
 	}
 }
 
-func (h *userHabits) drawBurst(controllers int) (queries []scheduledQuery) {
+func (b *userBehavior) drawBurst(controllers int) (queries []scheduledQuery) {
 	for controller := range controllers {
 		for _, ms := range burstTimes {
-			after := time.Duration(ms+h.rng.IntN(2)) * time.Millisecond
+			after := time.Duration(ms+b.rng.IntN(2)) * time.Millisecond
 			queries = append(queries, scheduledQuery{after, controller})
 		}
 	}
@@ -154,13 +154,13 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	now := sim.now()
-	habits := &sim.users.habits
+	behavior := &sim.users.behavior
 	running := sim.runningJobs(now)
 	hung := 0
 	for _, job := range running[:min(n, len(running))] {
 		cancelled = append(cancelled, job.id)
-		after := habits.drawMillis(200)
-		controller := habits.rng.IntN(sim.cfg.Controllers)
+		after := behavior.drawMillis(200)
+		controller := behavior.rng.IntN(sim.cfg.Controllers)
 		sim.env.schedule(after, func() { sim.CancelJob(job.id, controller) })
 		for _, machine := range job.machines {
 			if hang > 0 && hung < maxHungMachines && now >= machine.hungUntil {
@@ -178,24 +178,24 @@
 func (sim *Simulation) CancelAtCompletion(share float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.users.habits.cancelAtCompletion = share
+	sim.users.behavior.cancelAtCompletion = share
 }
 
 // jobCompleted schedules a job's cancellation by a user if its last task has completed and the job is drawn. The
 // caller holds the mutex.
 func (sim *Simulation) jobCompleted(spec *jobs.Spec) {
-	habits := &sim.users.habits
-	if habits.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
+	behavior := &sim.users.behavior
+	if behavior.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
 		return
 	}
-	if habits.rng.Float64() >= habits.cancelAtCompletion {
+	if behavior.rng.Float64() >= behavior.cancelAtCompletion {
 		return
 	}
 	sim.stats.JobsCancelled++
-	after := habits.drawMillis(700)
-	controller := habits.rng.IntN(sim.cfg.Controllers)
-	if habits.rng.IntN(2) == 0 {
-		after = habits.drawMillis(5)
+	after := behavior.drawMillis(700)
+	controller := behavior.rng.IntN(sim.cfg.Controllers)
+	if behavior.rng.IntN(2) == 0 {
+		after = behavior.drawMillis(5)
 	}
 	sim.env.schedule(after, func() { sim.CancelJob(spec.ID, controller) })
 }
@@ -204,8 +204,8 @@
 // are done, and submissions of invalid jobs.
 func (sim *Simulation) SetOddRequests(on bool) {
 	sim.mu.Lock()
-	wasOn := sim.users.habits.oddRequests
-	sim.users.habits.oddRequests = on
+	wasOn := sim.users.behavior.oddRequests
+	sim.users.behavior.oddRequests = on
 	sim.mu.Unlock()
 	if on && !wasOn {
 		sim.sendOddRequest()
@@ -225,33 +225,33 @@
 // sendOddRequest sends one odd request, and schedules the next.
 func (sim *Simulation) sendOddRequest() {
 	sim.mu.Lock()
-	habits := &sim.users.habits
-	if !habits.oddRequests {
+	behavior := &sim.users.behavior
+	if !behavior.oddRequests {
 		sim.mu.Unlock()
 		return
 	}
 	sim.stats.OddRequests++
-	controller := habits.rng.IntN(sim.cfg.Controllers)
-	kind := oddRequestKind(habits.rng.IntN(oddRequestKinds))
+	controller := behavior.rng.IntN(sim.cfg.Controllers)
+	kind := oddRequestKind(behavior.rng.IntN(oddRequestKinds))
 	done, unfinished := sim.answeredJobs()
 	path := runsPath
 	var body []byte
 	answered := ignoreAnswer
 	switch {
 	case kind == repeatSubmission && len(unfinished) > 0:
-		job := unfinished[habits.rng.IntN(len(unfinished))]
+		job := unfinished[behavior.rng.IntN(len(unfinished))]
 		body, _ = json.Marshal(sim.work.specs[job])
 	case kind == cancelDoneJob && len(done) > 0:
-		job := done[habits.rng.IntN(len(done))]
+		job := done[behavior.rng.IntN(len(done))]
 		path = runsPath + "/" + job + abortSuffix
 		body = emptyBody
 	default:
-		habits.invalidJobs++
-		job := fmt.Sprintf("req-77%04d", habits.invalidJobs)
-		body = sim.invalidSubmission(job, invalidity(habits.rng.IntN(invalidities)))
+		behavior.invalidJobs++
+		job := fmt.Sprintf("req-77%04d", behavior.invalidJobs)
+		body = sim.invalidSubmission(job, invalidity(behavior.rng.IntN(invalidities)))
 		answered = func(status int, _ []byte) { sim.invalidJobAnswered(job, body, status) }
 	}
-	next := time.Duration(100+habits.rng.IntN(400)) * time.Millisecond
+	next := time.Duration(100+behavior.rng.IntN(400)) * time.Millisecond
 	sim.mu.Unlock()
 	sim.Request(controller, http.MethodPost, path, body, answered)
 	sim.env.schedule(next, sim.sendOddRequest)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -165,8 +165,8 @@
 }
 
 // CheckAnswer adds an answer to a history and records the rules that the answer breaks. An accepted job must not be
-// lost, and its final state must not change. A job is done only if its tasks are, and it is cancelled only after a user
-// requested the cancellation of the job or of one of its predecessors.
+// lost, and its final state must not change. A job is done only if its tasks are, and it is cancelled only after a
+// user requested the cancellation of the job or of one of its predecessors.
 func (sim *Simulation) CheckAnswer(history *History, status int, state string, cancelRequested bool) {
 	switch {
 	case status == http.StatusNotFound:
--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -48,8 +48,8 @@
 	cutLinks    map[string]Links     // by a controller's address for users
 }
 
-// SetNetwork sets, for messages from now on, the mean network delay, the share of messages that are lost, and the share
-// of requests that arrive late by up to maxLateness, which may exceed the sender's timeout.
+// SetNetwork sets, for messages from now on, the mean network delay, the share of messages that are lost, and the
+// share of requests that arrive late by up to maxLateness, which may exceed the sender's timeout.
 func (sim *Simulation) SetNetwork(mean time.Duration, lossShare, lateShare float64, maxLateness time.Duration) {
 	network := &sim.virtual.network
 	network.meanDelay = mean
@@ -65,7 +65,7 @@
 
 // event is a scheduled function call.
 type event struct {
-	due time.Duration // time of the call
+	at  time.Duration // time of the call
 	seq uint64        // order among events with the same time
 	run func()
 }
@@ -78,7 +78,7 @@
 
 // Less implements heap.Interface.
 func (q eventQueue) Less(a, b int) bool {
-	return q[a].due < q[b].due || (q[a].due == q[b].due && q[a].seq < q[b].seq)
+	return q[a].at < q[b].at || (q[a].at == q[b].at && q[a].seq < q[b].seq)
 }
 
 // Swap implements heap.Interface.
@@ -143,7 +143,7 @@
 
 func (env *virtualTime) schedule(duration time.Duration, f func()) {
 	env.nextSeq++
-	heap.Push(&env.queue, event{due: env.clock + max(0, duration), seq: env.nextSeq, run: f})
+	heap.Push(&env.queue, event{at: env.clock + max(0, duration), seq: env.nextSeq, run: f})
 }
 
 func (env *virtualTime) listen(name, zone string, handler handlerFunc) (string, error) {
@@ -163,16 +163,16 @@
 func (sim *Simulation) Advance(duration time.Duration) {
 	env := sim.virtual
 	end := env.clock + duration
-	for len(env.queue) > 0 && env.queue[0].due <= end {
+	for len(env.queue) > 0 && env.queue[0].at <= end {
 		next := heap.Pop(&env.queue).(event)
-		env.clock = next.due
+		env.clock = next.at
 		next.run()
 	}
 	env.clock = end
 }
 
-// Request sends a user's request to a controller, checks the answer against the answers that users had received before,
-// and calls then with the answer; status 0 stands for no answer.
+// Request sends a user's request to a controller, checks the answer against the answers that users had received
+// before, and calls then with the answer; status 0 stands for no answer.
 func (sim *Simulation) Request(
 	controller int,
 	method, path string,
@@ -216,15 +216,15 @@
 	env.roundTrip(zone, addr, request, heartbeatTimeout, env.linkCheck(addr, WorkerLinks), then)
 }
 
-// exchange is one request from a zone to an address, and its answer.
-type exchange struct {
-	env     *virtualTime
-	zone    string
-	addr    string
-	request httpRequest
-	isCut   func() bool // reports whether the link is cut at the time of the call
-	then    func(status int, body []byte)
-	over    bool // then has been called
+// requestExchange is one request from a zone to an address, and its answer.
+type requestExchange struct {
+	env      *virtualTime
+	zone     string
+	addr     string
+	request  httpRequest
+	isCut    func() bool // reports whether the link is cut at the time of the call
+	then     func(status int, body []byte)
+	finished bool // then has been called
 }
 
 // roundTrip delivers a request from a zone and passes the answer to then, each with a random network delay. An answer
@@ -237,7 +237,7 @@
 	then func(int, []byte),
 ) {
 	env.recordMessage(requestTo(addr, request))
-	x := &exchange{env: env, zone: zone, addr: addr, request: request, isCut: isCut, then: then}
+	x := &requestExchange{env: env, zone: zone, addr: addr, request: request, isCut: isCut, then: then}
 	env.schedule(limit, x.fail)
 	network := &env.network
 	delay := jitter(env.rng, network.meanDelay)
@@ -251,16 +251,16 @@
 }
 
 // finish passes an answer to the sender. Only the first call has an effect.
-func (x *exchange) finish(status int, body []byte) {
-	if !x.over {
-		x.over = true
+func (x *requestExchange) finish(status int, body []byte) {
+	if !x.finished {
+		x.finished = true
 		x.then(status, body)
 	}
 }
 
-func (x *exchange) fail() { x.finish(0, nil) }
+func (x *requestExchange) fail() { x.finish(0, nil) }
 
-func (x *exchange) requestArrived() {
+func (x *requestExchange) requestArrived() {
 	if x.isCut() {
 		return
 	}
@@ -273,7 +273,7 @@
 }
 
 // reply sends an answer to the sender.
-func (x *exchange) reply(status int, body any) {
+func (x *requestExchange) reply(status int, body any) {
 	env := x.env
 	raw := encodeBody(body)
 	env.recordMessage(answerFrom(x.addr, x.request, status, raw))
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -14,12 +14,12 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// maxEarlyGap is the upper bound of the interval between a heartbeat and an early one, caused by a change.
-	maxEarlyGap = 500 * time.Millisecond
-	// newOwnerGap is the delay of the next heartbeat after an answer with a higher token.
-	newOwnerGap = 100 * time.Millisecond
-	// maxRetryS is the longest delay of the next heartbeat after a failed one, in seconds.
-	maxRetryS = 1
+	// maxEarlyInterval is the upper bound of the minimum time between a heartbeat and an early next one.
+	maxEarlyInterval = 500 * time.Millisecond
+	// newOwnerInterval is the delay of the next heartbeat after an answer with a higher token.
+	newOwnerInterval = 100 * time.Millisecond
+	// maxRetryIntervalS is the longest delay of the next heartbeat after a failed one, in seconds.
+	maxRetryIntervalS = 1
 )
 
 const heartbeatPath = "/checkin"
@@ -73,9 +73,9 @@
 	return heartbeat.Wire()
 }
 
-// serveCommands answers direct requests to a worker. While commands are delayed, the request and the answer each get a
-// delay. A hung machine serves pending requests once it resumes. Delayed commands are executed even if their sender has
-// timed out long before.
+// serveCommands answers direct requests to a worker. While commands are delayed, the request and the answer each get
+// a delay. A hung machine serves pending requests once it resumes. Delayed commands are executed even if their sender
+// has timed out long before.
 func (sim *Simulation) serveCommands(machine *Machine, request httpRequest, reply replyFunc) {
 	answerDelay := sim.drawDelay(&sim.faults.delays.commandDelay)
 	requestDelay := sim.drawDelay(&sim.faults.delays.commandDelay)
@@ -270,7 +270,7 @@
 	refused := now < machine.outboundRefusedUntil
 	if !refused {
 		sim.duplicate(machine.zone, heartbeatPath, body)
-		sim.keepHeartbeat(machine.zone, body)
+		sim.copyHeartbeat(machine.zone, body)
 	}
 	sim.mu.Unlock()
 	switch {
@@ -285,9 +285,9 @@
 
 // heartbeatDue reports whether the next heartbeat must be sent: at its regular time or, after a change, earlier.
 func (sim *Simulation) heartbeatDue(now time.Duration, machine *Machine) bool {
-	earlyGap := min(maxEarlyGap, jobs.Seconds(sim.cfg.Workers.HeartbeatIntervalS/4))
+	minInterval := min(maxEarlyInterval, jobs.Seconds(sim.cfg.Workers.HeartbeatIntervalS/4))
 	changed := func() bool { return machine.summary() != machine.lastSummary }
-	return now >= machine.nextHeartbeat || (now-machine.lastHeartbeat >= earlyGap && changed())
+	return now >= machine.nextHeartbeat || (now-machine.lastHeartbeat >= minInterval && changed())
 }
 
 // nextHeartbeatBody returns the body of a heartbeat, counts it, and draws the time of the next one.
@@ -364,7 +364,7 @@
 		}
 	}
 	machine.controller = (machine.controller + 1) % sim.cfg.Controllers
-	machine.nextHeartbeat = now + jobs.Seconds(min(maxRetryS, sim.cfg.Workers.HeartbeatIntervalS))
+	machine.nextHeartbeat = now + jobs.Seconds(min(maxRetryIntervalS, sim.cfg.Workers.HeartbeatIntervalS))
 }
 
 // heartbeatAccepted renews the worker's lease, counted from the time at which the heartbeat was sent, and executes the
@@ -375,7 +375,7 @@
 		return
 	}
 	if answer.Token > machine.token {
-		machine.nextHeartbeat = now + newOwnerGap
+		machine.nextHeartbeat = now + newOwnerInterval
 	}
 	machine.token = answer.Token
 	machine.leaseBase = sentAt
