--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -165,14 +165,14 @@
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
 					cluster.Advance(1100*time.Millisecond + jobs.Seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
-					if len(cluster.work.cancelledAt) < confirmed+4 {
+					if len(cluster.records.cancelledAt) < confirmed+4 {
 						t.Errorf(
 							"gap %d: %d cancellations were confirmed",
 							gap,
-							len(cluster.work.cancelledAt)-confirmed,
+							len(cluster.records.cancelledAt)-confirmed,
 						)
 					}
-					confirmed = len(cluster.work.cancelledAt)
+					confirmed = len(cluster.records.cancelledAt)
 					cluster.mu.Unlock()
 					cluster.SetStateOutage(false)
 					cluster.Advance(6 * time.Second)
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -160,13 +160,13 @@
 		in := map[string]bool{}
 		for _, machine := range r.cloud.machines {
 			for _, task := range machine.tasks {
-				if task.counted && !machine.dead && task.spec.ID == user.spec.ID {
+				if task.active && !machine.dead && task.spec.ID == user.spec.ID {
 					in[machine.zone] = true
 				}
 			}
 		}
 		if len(in) > 1 || user.spec.Zone != nil && len(in) == 1 && !in[zone] {
-			r.violate("wrong_place: %s stands in %v", user.spec.ID, in)
+			r.recordViolation("wrong_place: %s stands in %v", user.spec.ID, in)
 		}
 	}
 }
@@ -324,7 +324,7 @@
 				cluster.Advance(2 * time.Second)
 				cluster.RefuseController(l, false)
 				cluster.mu.Lock()
-				n := len(cluster.work.cancelledAt)
+				n := len(cluster.records.cancelledAt)
 				cluster.mu.Unlock()
 				if n < 8 {
 					t.Errorf("%d cancellations were confirmed", n)
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -129,7 +129,7 @@
 	defer r.mu.Unlock()
 	for _, machine := range r.cloud.machines {
 		for _, task := range machine.tasks {
-			if !machine.dead && task.counted && task.spec.Team == team {
+			if !machine.dead && task.active && task.spec.Team == team {
 				cpus += task.spec.CPUs
 			}
 		}
--- a/internal/simulator/idle_capacity.go
+++ b/internal/simulator/idle_capacity.go
@@ -88,8 +88,8 @@
 func (sim *Simulation) checkIdleCapacity(monitor *idleCapacityMonitor) {
 	now := sim.now()
 	use := sim.capacityUse(now)
-	for job, spec := range sim.work.specs {
-		if !sim.waitsBesideCapacity(spec, &use) {
+	for job, spec := range sim.records.specs {
+		if !sim.waitsDespiteCapacity(spec, &use) {
 			delete(monitor.waitingSince, job)
 			continue
 		}
@@ -104,18 +104,18 @@
 			monitor.longestJob = job
 		}
 		if waited > maxIdleWait {
-			sim.violate("beside: %s has waited for %v despite idle capacity", job, waited)
+			sim.recordViolation("beside: %s has waited for %v despite idle capacity", job, waited)
 			monitor.waitingSince[job] = math.MaxInt64 // don't report this wait again
 		}
 	}
 }
 
-// waitsBesideCapacity reports whether a job is pending, has no task on a machine, and could start now. It returns
+// waitsDespiteCapacity reports whether a job is pending, has no task on a machine, and could start now. It returns
 // false for jobs that need licences, wait for predecessors, fail on purpose, or are interactive sessions.
-func (sim *Simulation) waitsBesideCapacity(spec *jobs.Spec, use *capacityUse) bool {
+func (sim *Simulation) waitsDespiteCapacity(spec *jobs.Spec, use *capacityUse) bool {
 	job := spec.ID
 	item, stored := sim.state.service.Keys[jobs.RecordKey(job)]
-	exempt := len(spec.Licences) > 0 || sim.faults.failingJobs[job] || sim.work.sessions[job] != nil
+	exempt := len(spec.Licences) > 0 || sim.faults.failingJobs[job] || sim.records.sessions[job] != nil
 	if !stored || use.placed[job] || exempt || sim.unfinishedPredecessor(spec) != "" {
 		return false
 	}
--- a/internal/simulator/interactive_session.go
+++ b/internal/simulator/interactive_session.go
@@ -78,8 +78,8 @@
 	}
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.work.specs[spec.ID] = spec
-	sim.work.sessions[spec.ID] = session
+	sim.records.specs[spec.ID] = spec
+	sim.records.sessions[spec.ID] = session
 	return session
 }
 
@@ -118,10 +118,10 @@
 		return
 	}
 	if now < s.cellEnd {
-		s.simulation.violate("reclaim: %s was stopped during a cell", s.Spec.ID)
+		s.simulation.recordViolation("reclaim: %s was stopped during a cell", s.Spec.ID)
 	}
 	if s.steps != s.stepsSaved || !s.frozen {
-		s.simulation.violate("reclaim: %s was stopped with %d steps, %d saved, frozen %v",
+		s.simulation.recordViolation("reclaim: %s was stopped with %d steps, %d saved, frozen %v",
 			s.Spec.ID, s.steps, s.stepsSaved, s.frozen)
 	}
 	s.reclaims++
--- a/internal/simulator/licence_server.go
+++ b/internal/simulator/licence_server.go
@@ -106,7 +106,7 @@
 		}
 		if used := pool.used(); used+units > pool.size {
 			pool.denied++
-			s.simulation.violate("seats: %s checks out %d units of %s, %d of %d are in use",
+			s.simulation.recordViolation("seats: %s checks out %d units of %s, %d of %d are in use",
 				task.name, units, name, used, pool.size)
 			return false
 		}
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -61,7 +61,7 @@
 	saved            bool   // a checkpoint was saved when the task was halted
 	directLaunch     bool   // launched by a direct command instead of a heartbeat's answer
 	faulty           bool   // the machine was faulty when the image was ready
-	counted          bool   // the image is ready and the task hasn't exited
+	active           bool   // the image is ready and the task hasn't exited
 	launchedAt       time.Duration
 	imageReadyAt     time.Duration
 	gatheringSince   time.Duration // start of the wait for the other tasks of the gang
--- a/internal/simulator/measurements.go
+++ b/internal/simulator/measurements.go
@@ -94,7 +94,7 @@
 	use.CPUs += machine.machineType.CPUs
 	use.GPUs += machine.machineType.GPUs
 	for _, task := range machine.tasks {
-		if task.counted {
+		if task.active {
 			use.Running++
 			use.UsedCPUs += task.spec.CPUs
 			use.UsedGPUs += task.spec.GPUs
@@ -106,7 +106,7 @@
 func (sim *Simulation) StartTimes() []time.Duration {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	return slices.Clone(sim.work.startTimes)
+	return slices.Clone(sim.records.startTimes)
 }
 
 // LeaderChanges returns the times at which a leader was elected, including the first election.
@@ -121,7 +121,7 @@
 func (sim *Simulation) FirstStart(job string) (time.Duration, bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	delay, ok := sim.work.startDelays[job]
+	delay, ok := sim.records.startDelays[job]
 	return delay, ok
 }
 
@@ -131,7 +131,7 @@
 	defer sim.mu.Unlock()
 	last := from
 	longest := time.Duration(0)
-	for _, start := range sim.work.startTimes {
+	for _, start := range sim.records.startTimes {
 		if start >= from && start <= to {
 			longest = max(longest, start-last)
 			last = start
@@ -145,8 +145,8 @@
 func (sim *Simulation) StartDelays(class string) (delays []time.Duration) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for job, delay := range sim.work.startDelays {
-		if sim.work.specs[job].Class == class {
+	for job, delay := range sim.records.startDelays {
+		if sim.records.specs[job].Class == class {
 			delays = append(delays, delay)
 		}
 	}
--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -21,21 +21,21 @@
 type pipelineRecords struct {
 	// successors lists, by job, the submitted jobs that name the job as a predecessor.
 	successors map[string][]string
-	// cancelledAbove is, by job, the time at which a user first received the cancellation of one of its ancestors: its
+	// ancestorCancelledAt is, by job, the time at which a user first received the cancellation of one of its ancestors: its
 	// direct and indirect predecessors.
-	cancelledAbove map[string]time.Duration
+	ancestorCancelledAt map[string]time.Duration
 }
 
 func newPipelineRecords() pipelineRecords {
 	return pipelineRecords{
-		successors:     map[string][]string{},
-		cancelledAbove: map[string]time.Duration{},
+		successors:          map[string][]string{},
+		ancestorCancelledAt: map[string]time.Duration{},
 	}
 }
 
 // addToPipelines records the predecessors of a job that is submitted for the first time. The caller holds the mutex.
 func (sim *Simulation) addToPipelines(spec *jobs.Spec) {
-	records := &sim.work.pipelines
+	records := &sim.records.pipelines
 	for _, predecessor := range spec.Follows {
 		records.successors[predecessor] = append(records.successors[predecessor], spec.ID)
 		if at, ok := sim.firstCancellation(predecessor); ok {
@@ -47,9 +47,9 @@
 // addAncestorCancellation records the cancellation of an ancestor of the job, unless an earlier one is recorded. It
 // returns whether no cancellation was recorded before.
 func (r *pipelineRecords) addAncestorCancellation(job string, at time.Duration) (isFirst bool) {
-	earlier, ok := r.cancelledAbove[job]
+	earlier, ok := r.ancestorCancelledAt[job]
 	if !ok || at < earlier {
-		r.cancelledAbove[job] = at
+		r.ancestorCancelledAt[job] = at
 	}
 	return !ok
 }
@@ -57,17 +57,17 @@
 // firstCancellation returns the time at which a user first received the cancellation of a job or of one of its
 // ancestors; false if there was none.
 func (sim *Simulation) firstCancellation(job string) (at time.Duration, ok bool) {
-	at, ok = sim.work.cancelledAt[job]
-	ancestorAt, hasAncestor := sim.work.pipelines.cancelledAbove[job]
+	at, ok = sim.records.cancelledAt[job]
+	ancestorAt, hasAncestor := sim.records.pipelines.ancestorCancelledAt[job]
 	if hasAncestor && (!ok || ancestorAt < at) {
 		return ancestorAt, true
 	}
 	return at, ok
 }
 
-// cancelSuccessors records a job's cancellation for all its direct and indirect successors.
-func (sim *Simulation) cancelSuccessors(job string, at time.Duration) {
-	records := &sim.work.pipelines
+// recordSuccessorsCancelled records a job's cancellation for all its direct and indirect successors.
+func (sim *Simulation) recordSuccessorsCancelled(job string, at time.Duration) {
+	records := &sim.records.pipelines
 	stack := []string{job}
 	for len(stack) > 0 {
 		next := stack[len(stack)-1]
@@ -84,7 +84,7 @@
 // machines, "" if all predecessors are done.
 func (sim *Simulation) unfinishedPredecessor(spec *jobs.Spec) string {
 	for _, predecessor := range spec.Follows {
-		predecessorSpec := sim.work.specs[predecessor]
+		predecessorSpec := sim.records.specs[predecessor]
 		if predecessorSpec == nil || !sim.allDone(predecessor, predecessorSpec.Tasks) {
 			return predecessor
 		}
@@ -95,7 +95,7 @@
 // checkPredecessorsDone checks, when a task starts, that all predecessors of its job are done.
 func (sim *Simulation) checkPredecessorsDone(machine *Machine, task *workerTask) {
 	if predecessor := sim.unfinishedPredecessor(task.spec); predecessor != "" {
-		sim.violate("too_early: %s starts on %s before its predecessor %s is done",
+		sim.recordViolation("too_early: %s starts on %s before its predecessor %s is done",
 			task.name, machine.Name, predecessor)
 	}
 }
@@ -103,12 +103,12 @@
 // checkNotOrphaned checks the state in an answer received now. Once the time limit has passed after a user received
 // the cancellation of an ancestor, the job must be neither pending nor running.
 func (sim *Simulation) checkNotOrphaned(job, state string) {
-	at, ok := sim.work.pipelines.cancelledAbove[job]
+	at, ok := sim.records.pipelines.ancestorCancelledAt[job]
 	if !ok || state != statePending && state != stateRunning {
 		return
 	}
 	if since := sim.now() - at; since > jobs.Seconds(sim.cfg.Workers.CancelS) {
-		sim.violate("orphaned: %s is still %s %v after the cancellation of an ancestor", job, state, since)
+		sim.recordViolation("orphaned: %s is still %s %v after the cancellation of an ancestor", job, state, since)
 	}
 }
 
@@ -125,20 +125,20 @@
 // checkPredecessorsAccepted checks the answer to a submission with predecessors. The submission must be rejected if a
 // predecessor was never submitted, and it must not be rejected if all predecessors were accepted before it was sent.
 func (sim *Simulation) checkPredecessorsAccepted(about userRequest, sentAt time.Duration, status int) {
-	spec := sim.work.specs[about.job]
+	spec := sim.records.specs[about.job]
 	if !about.submits || spec == nil || len(spec.Follows) == 0 {
 		return
 	}
 	switch status {
 	case http.StatusOK, http.StatusCreated:
 		for _, predecessor := range spec.Follows {
-			if sim.work.specs[predecessor] == nil {
-				sim.violate("accepted: %s follows %s, which was never submitted", spec.ID, predecessor)
+			if sim.records.specs[predecessor] == nil {
+				sim.recordViolation("accepted: %s follows %s, which was never submitted", spec.ID, predecessor)
 			}
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if sim.canRun(spec) && sim.allAccepted(spec.Follows, sentAt) {
-			sim.violate("refused: %s is answered %d after all its predecessors were accepted", spec.ID, status)
+			sim.recordViolation("refused: %s is answered %d after all its predecessors were accepted", spec.ID, status)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	visited := map[string]bool{job: true}
 	stack := []string{job}
 	for len(stack) > 0 {
-		spec := sim.work.specs[stack[len(stack)-1]]
+		spec := sim.records.specs[stack[len(stack)-1]]
 		stack = stack[:len(stack)-1]
 		if spec == nil {
 			continue
@@ -199,10 +199,10 @@
 // checkSuccessorsNotCancelled checks, when a user first receives that a job is done, that none of its successors was
 // answered as cancelled without another reason.
 func (sim *Simulation) checkSuccessorsNotCancelled(job string) {
-	for _, successor := range sim.work.pipelines.successors[job] {
+	for _, successor := range sim.records.pipelines.successors[job] {
 		answers := sim.users.jobs[successor]
 		if answers != nil && answers.final == stateCancelled && !sim.mayBeCancelled(successor) {
-			sim.violate("went_back: %s was answered as cancelled without a request, but its predecessor %s is done",
+			sim.recordViolation("went_back: %s was answered as cancelled without a request, but its predecessor %s is done",
 				successor, job)
 		}
 	}
--- a/internal/simulator/pipelines_checks_test.go
+++ b/internal/simulator/pipelines_checks_test.go
@@ -103,7 +103,7 @@
 
 // requestCancel lets a user ask for a cancellation, without an answer.
 func requestCancel(sim *Simulation, job string) {
-	sim.noteCancelRequest(userRequest{job: job, cancels: true})
+	sim.recordCancelRequest(userRequest{job: job, cancels: true})
 }
 
 // receiveCancelled lets a user ask for a cancellation and receive its confirmation.
@@ -223,7 +223,7 @@
 	sim.AddJob(second)
 	longAgo := sim.Now() - jobs.Seconds(sim.cfg.Workers.CancelS) - time.Second
 	sim.mu.Lock()
-	sim.cancelSuccessors(first.ID, longAgo)
+	sim.recordSuccessorsCancelled(first.ID, longAgo)
 	sim.mu.Unlock()
 	sim.CheckAnswer(&History{ID: second.ID, Tasks: second.Tasks}, http.StatusOK, statePending, false)
 	wantViolations(t, sim, "orphaned", 1)
@@ -234,7 +234,7 @@
 func TestTasksOfOrphansAreReported(t *testing.T) {
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
-	task := &workerTask{name: taskName(third.ID, 0), spec: third, state: taskRunning, counted: true}
+	task := &workerTask{name: taskName(third.ID, 0), spec: third, state: taskRunning, active: true}
 	machine := &Machine{Name: "m"}
 	receiveCancelled(sim, first.ID)
 	sim.Advance(jobs.Seconds(sim.cfg.Workers.CancelS))
@@ -324,11 +324,11 @@
 	sim.state.service.Keys = pendingRecords(second)
 	machine := &Machine{Name: "m", machineType: sim.cfg.Types[0], zone: "a"}
 	use := &capacityUse{ready: []candidateMachine{{machine, machine.machineType.Size()}}}
-	if sim.waitsBesideCapacity(second, use) {
+	if sim.waitsDespiteCapacity(second, use) {
 		t.Error("a job that waits for another is judged")
 	}
 	completeTasks(sim, first, first.Tasks)
-	if !sim.waitsBesideCapacity(second, use) {
+	if !sim.waitsDespiteCapacity(second, use) {
 		t.Error("a job is not judged though the job that it follows is done")
 	}
 }
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -83,7 +83,7 @@
 // probe asks every controller about the jobs after cancelled ones until all have called them cancelled, again and again.
 func (m *pipelineMeter) probe() {
 	m.cluster.mu.Lock()
-	cancelledAbove := maps.Clone(m.cluster.work.pipelines.cancelledAbove)
+	cancelledAbove := maps.Clone(m.cluster.records.pipelines.ancestorCancelledAt)
 	m.cluster.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(cancelledAbove)) {
 		// Jobs that were accepted only afterwards are not measured.
@@ -167,13 +167,13 @@
 	sim := m.cluster.Simulation
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	for id, spec := range sim.work.specs {
+	for id, spec := range sim.records.specs {
 		releasedAt, measured := m.releasedAt(spec)
-		startDelay, started := sim.work.startDelays[id]
+		startDelay, started := sim.records.startDelays[id]
 		if !measured || !started {
 			continue
 		}
-		delay := sim.work.submittedAt[id] + startDelay - releasedAt
+		delay := sim.records.submittedAt[id] + startDelay - releasedAt
 		delays.releaseToStart = append(delays.releaseToStart, delay)
 		if len(spec.Licences) == 0 {
 			delays.unlicensed = append(delays.unlicensed, delay)
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -42,17 +42,17 @@
 	violations []string
 	stats      Stats
 
-	state  stateServer
-	cloud  cloud
-	work   workRecords
-	users  userAnswers
-	faults messageFaults
+	state   stateServer
+	cloud   cloud
+	records jobRecords
+	users   userAnswers
+	faults  messageFaults
 	// Licences is the licence server.
 	Licences *LicenceServer
 }
 
-// workRecords records the jobs and tasks independently of the machines on which tasks run.
-type workRecords struct {
+// jobRecords records the jobs and tasks independently of the machines on which tasks run.
+type jobRecords struct {
 	specs       map[string]*jobs.Spec          // by job
 	sessions    map[string]*InteractiveSession // by job
 	progress    map[string]*progress           // by task name
@@ -97,7 +97,7 @@
 			machineByName: map[string]*Machine{},
 			claims:        map[string][]string{},
 		},
-		work: workRecords{
+		records: jobRecords{
 			specs:       map[string]*jobs.Spec{},
 			sessions:    map[string]*InteractiveSession{},
 			progress:    map[string]*progress{},
@@ -299,11 +299,11 @@
 func (sim *Simulation) ReportViolation(format string, args ...any) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.violate(format, args...)
+	sim.recordViolation(format, args...)
 }
 
-// violate records a rule violation. The caller holds the mutex.
-func (sim *Simulation) violate(format string, args ...any) {
+// recordViolation records a rule violation. The caller holds the mutex.
+func (sim *Simulation) recordViolation(format string, args ...any) {
 	if len(sim.violations) < maxViolations {
 		at := fmt.Sprintf("%.2f s: ", sim.now().Seconds())
 		sim.violations = append(sim.violations, at+fmt.Sprintf(format, args...))
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -84,10 +84,10 @@
 
 // progressOf returns a task's progress, and creates the record if there is none.
 func (sim *Simulation) progressOf(name string) *progress {
-	p := sim.work.progress[name]
+	p := sim.records.progress[name]
 	if p == nil {
 		p = &progress{}
-		sim.work.progress[name] = p
+		sim.records.progress[name] = p
 	}
 	return p
 }
@@ -95,7 +95,7 @@
 func (sim *Simulation) startRunning(now time.Duration, task *workerTask) {
 	task.state = taskRunning
 	task.runningSince = now
-	if session := sim.work.sessions[task.spec.ID]; session != nil {
+	if session := sim.records.sessions[task.spec.ID]; session != nil {
 		session.processStarted(now, task)
 	}
 	factor := 0.8 + 0.4*sim.rng.Float64()
@@ -111,7 +111,7 @@
 func (sim *Simulation) exitTask(now time.Duration, task *workerTask, reason string) {
 	task.state = taskExited
 	task.reason = reason
-	task.counted = false
+	task.active = false
 	if reason == reasonError {
 		sim.stats.TasksCrashed++
 		sim.Licences.holderLost(now, task)
@@ -139,7 +139,7 @@
 func (sim *Simulation) countGangMembers(task *workerTask) (n int) {
 	for _, machine := range sim.cloud.machines {
 		for _, other := range machine.tasks {
-			if other.spec.ID == task.spec.ID && other.attempt == task.attempt && other.counted {
+			if other.spec.ID == task.spec.ID && other.attempt == task.attempt && other.active {
 				n++
 			}
 		}
@@ -150,14 +150,14 @@
 // taskStarted records the start of a task, which is the time at which its image is ready, and checks the rules that
 // apply to a start.
 func (sim *Simulation) taskStarted(now time.Duration, machine *Machine, task *workerTask) {
-	task.counted = true
+	task.active = true
 	sim.stats.TaskStarts++
-	sim.work.startTimes = append(sim.work.startTimes, now)
+	sim.records.startTimes = append(sim.records.startTimes, now)
 	job := task.spec.ID
-	if _, ok := sim.work.startDelays[job]; !ok {
-		sim.work.startDelays[job] = now - sim.work.submittedAt[job]
+	if _, ok := sim.records.startDelays[job]; !ok {
+		sim.records.startDelays[job] = now - sim.records.submittedAt[job]
 	}
-	if cancelledAt, ok := sim.work.cancelledAt[job]; ok {
+	if cancelledAt, ok := sim.records.cancelledAt[job]; ok {
 		sim.countStartAfterCancel(task, now-cancelledAt)
 	}
 	if sim.progressOf(task.name).done {
@@ -182,11 +182,11 @@
 			continue
 		}
 		for _, other := range onMachine.tasks {
-			if !other.counted {
+			if !other.active {
 				continue
 			}
 			if other.name == task.name && other != task {
-				sim.violate("ran_twice: %s on %s and %s", task.name, onMachine.Name, machine.Name)
+				sim.recordViolation("ran_twice: %s on %s and %s", task.name, onMachine.Name, machine.Name)
 			}
 			if other.spec.Team == task.spec.Team {
 				teamUse = teamUse.Add(other.spec.Size())
@@ -204,7 +204,7 @@
 		overCPUs := team.CPUsMax > 0 && use.CPUs > team.CPUsMax+teamLimitTolerance
 		overGPUs := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+teamLimitTolerance
 		if overCPUs || overGPUs {
-			sim.violate("quota: team %s exceeds its limit, using %v with %s", team.Name, use, task.name)
+			sim.recordViolation("quota: team %s exceeds its limit, using %v with %s", team.Name, use, task.name)
 		}
 	}
 }
@@ -213,11 +213,11 @@
 // or of one of the job's predecessors.
 func (sim *Simulation) checkCancelledTask(now time.Duration, machine *Machine, task *workerTask) {
 	cancelledAt, ok := sim.firstCancellation(task.spec.ID)
-	if !ok || !task.counted || task.state == taskExited {
+	if !ok || !task.active || task.state == taskExited {
 		return
 	}
 	sim.stats.LongestRunAfterCancel = max(sim.stats.LongestRunAfterCancel, now-cancelledAt)
 	if now > cancelledAt+jobs.Seconds(sim.cfg.Workers.CancelS) {
-		sim.violate("ran_cancelled: %s still runs on %s after the time limit", task.name, machine.Name)
+		sim.recordViolation("ran_cancelled: %s still runs on %s after the time limit", task.name, machine.Name)
 	}
 }
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -110,11 +110,11 @@
 func (sim *Simulation) AddJob(spec *jobs.Spec) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if sim.work.specs[spec.ID] == nil {
+	if sim.records.specs[spec.ID] == nil {
 		sim.addToPipelines(spec)
 	}
-	sim.work.specs[spec.ID] = spec
-	sim.work.submittedAt[spec.ID] = sim.now()
+	sim.records.specs[spec.ID] = spec
+	sim.records.submittedAt[spec.ID] = sim.now()
 }
 
 // AllDone reports whether every task of a job is done.
@@ -126,15 +126,15 @@
 
 func (sim *Simulation) allDone(job string, tasks int) bool {
 	for index := range tasks {
-		if p := sim.work.progress[taskName(job, index)]; p == nil || !p.done {
+		if p := sim.records.progress[taskName(job, index)]; p == nil || !p.done {
 			return false
 		}
 	}
 	return true
 }
 
-// noteCancelRequest records a request for a job's cancellation when it is sent.
-func (sim *Simulation) noteCancelRequest(about userRequest) {
+// recordCancelRequest records a request for a job's cancellation when it is sent.
+func (sim *Simulation) recordCancelRequest(about userRequest) {
 	if about.cancels {
 		sim.mu.Lock()
 		sim.users.cancelRequested[about.job] = true
@@ -160,11 +160,11 @@
 func (sim *Simulation) recordCancelled(job string) (callbacks []func()) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	if _, ok := sim.work.cancelledAt[job]; ok {
+	if _, ok := sim.records.cancelledAt[job]; ok {
 		return nil
 	}
-	sim.work.cancelledAt[job] = sim.now()
-	sim.cancelSuccessors(job, sim.now())
+	sim.records.cancelledAt[job] = sim.now()
+	sim.recordSuccessorsCancelled(job, sim.now())
 	callbacks = sim.users.onCancelled
 	sim.users.onCancelled = nil
 	return callbacks
@@ -189,8 +189,8 @@
 	sim.checkNotReverted(about.job, answers, sentAt, state)
 	sim.checkNotOrphaned(about.job, state)
 	if about.submits && !answers.accepted {
-		if spec := sim.work.specs[about.job]; spec != nil && !sim.canRun(spec) {
-			sim.violate("accepted: %s is accepted and can't run", about.job)
+		if spec := sim.records.specs[about.job]; spec != nil && !sim.canRun(spec) {
+			sim.recordViolation("accepted: %s is accepted and can't run", about.job)
 		}
 	}
 	isNew := answers.record(sim.now(), state)
@@ -214,9 +214,9 @@
 	rejected := status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 	switch {
 	case status == http.StatusNotFound && !about.submits:
-		sim.violate("forgotten: %s is answered 404 after it was accepted", about.job)
+		sim.recordViolation("forgotten: %s is answered 404 after it was accepted", about.job)
 	case about.submits && rejected:
-		sim.violate("forgotten: a repeated submission of %s is answered %d", about.job, status)
+		sim.recordViolation("forgotten: a repeated submission of %s is answered %d", about.job, status)
 	}
 }
 
@@ -226,7 +226,7 @@
 		return
 	}
 	if isFinal(state) || answers.finalAt < sentAt {
-		sim.violate("went_back: the final state of %s changed from %s to %s", job, answers.final, state)
+		sim.recordViolation("went_back: the final state of %s changed from %s to %s", job, answers.final, state)
 	}
 }
 
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -66,7 +66,7 @@
 func (sim *Simulation) pollBurst(job string) {
 	sim.mu.Lock()
 	behavior := &sim.users.behavior
-	spec := sim.work.specs[job]
+	spec := sim.records.specs[job]
 	if !behavior.pollBursts || spec == nil {
 		sim.mu.Unlock()
 		return
@@ -240,7 +240,7 @@
 	switch {
 	case kind == repeatSubmission && len(unfinished) > 0:
 		job := unfinished[behavior.rng.IntN(len(unfinished))]
-		body, _ = json.Marshal(sim.work.specs[job])
+		body, _ = json.Marshal(sim.records.specs[job])
 	case kind == cancelDoneJob && len(done) > 0:
 		job := done[behavior.rng.IntN(len(done))]
 		path = runsPath + "/" + job + abortSuffix
@@ -263,7 +263,7 @@
 		switch {
 		case answers.final == stateDone:
 			done = append(done, job)
-		case answers.accepted && answers.final == "" && sim.work.specs[job] != nil:
+		case answers.accepted && answers.final == "" && sim.records.specs[job] != nil:
 			unfinished = append(unfinished, job)
 		}
 	}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -114,7 +114,7 @@
 	u.mu.Lock()
 	u.cancelRequested[job] = true
 	u.mu.Unlock()
-	u.simulation.noteCancelRequest(userRequest{job: job, cancels: true})
+	u.simulation.recordCancelRequest(userRequest{job: job, cancels: true})
 	for end := time.Now().Add(maxRetryTime); time.Now().Before(end); time.Sleep(submitRetry) {
 		status, view := u.call(http.MethodPost, runsPath+"/"+job+abortSuffix, emptyBody)
 		if status != http.StatusOK {
--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -191,7 +191,7 @@
 ) {
 	sentAt := sim.now()
 	about, ofJob := parseUserRequest(method, path, body)
-	sim.noteCancelRequest(about)
+	sim.recordCancelRequest(about)
 	public := sim.virtual.controllers[controller].settings.PublicAddr
 	request := httpRequest{sender: senderUser, method: method, path: path, body: body}
 	answered := func(status int, raw []byte) {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -207,19 +207,19 @@
 // spec returns a job's specification as its user submitted it or, without a recorded submission, as the state service
 // stores it. It returns nil if there is none.
 func (sim *Simulation) spec(job string) *jobs.Spec {
-	if sim.work.specs[job] == nil {
+	if sim.records.specs[job] == nil {
 		var record jobs.Record
 		stored := sim.state.service.Keys[jobs.RecordKey(job)].Value
 		if json.Unmarshal(stored, &record) == nil && record.Spec != nil {
-			sim.work.specs[job] = (*jobs.Spec)(record.Spec)
+			sim.records.specs[job] = (*jobs.Spec)(record.Spec)
 		}
 	}
-	return sim.work.specs[job]
+	return sim.records.specs[job]
 }
 
 // halt stops a task. The task first saves a checkpoint if its job can do so within the command's grace period.
 func (sim *Simulation) halt(now time.Duration, machine *Machine, task *workerTask, command fleet.Command) {
-	if session := sim.work.sessions[task.spec.ID]; session != nil && task.state == taskRunning {
+	if session := sim.records.sessions[task.spec.ID]; session != nil && task.state == taskRunning {
 		session.processHalted(now, machine)
 	}
 	canCheckpoint := task.spec.CheckpointS > 0 && command.GraceS >= task.spec.SaveS && task.spec.Kind != jobs.Gang
