--- a/internal/simulator/pipelines.go
+++ b/internal/simulator/pipelines.go
@@ -21,8 +21,8 @@
 type pipelineRecords struct {
 	// successors lists, by job, the submitted jobs that name the job as a predecessor.
 	successors map[string][]string
-	// ancestorCancelledAt is, by job, the time at which a user first received the cancellation of one of its ancestors: its
-	// direct and indirect predecessors.
+	// ancestorCancelledAt is, by job, the time at which a user first received the cancellation of one of its
+	// ancestors: its direct and indirect predecessors.
 	ancestorCancelledAt map[string]time.Duration
 }
 
--- a/internal/simulator/rate_limit.go
+++ b/internal/simulator/rate_limit.go
@@ -6,7 +6,7 @@
 type rateLimit struct {
 	rate  float64       // units a second
 	level float64       // units in the bucket at the time at
-	at    time.Duration // time of the last call of take
+	at    time.Duration // time of the last call of allow
 }
 
 // allow uses n units. It returns false, and uses none, if they would exceed the rate.
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -205,7 +205,7 @@
 	controller int
 	prefix     string
 	since      uint64        // revision after which changes are reported
-	ends       time.Duration // time at which the watch is answered even without a change
+	endsAt     time.Duration // time at which the watch is answered even without a change
 	reply      replyFunc
 	// waits identifies the current wait. A change or the watch's end wakes the watch, whichever is first. The later of
 	// the two is ignored because waits has changed.
@@ -234,7 +234,7 @@
 		controller: controller,
 		prefix:     request.query.Get("starts"),
 		since:      since,
-		ends:       now + time.Duration(waitMS)*time.Millisecond,
+		endsAt:     now + time.Duration(waitMS)*time.Millisecond,
 		reply:      reply,
 	}
 	opened.poll()
@@ -256,14 +256,14 @@
 	case !ok:
 		sim.mu.Unlock()
 		w.reply(http.StatusGone, nil)
-	case len(events) > 0 || now >= w.ends:
+	case len(events) > 0 || now >= w.endsAt:
 		sim.mu.Unlock()
 		w.reply(http.StatusOK, state.NewWatchResponse(revision, events))
 	default:
 		wake := w.newWait()
 		sim.state.waiters = append(sim.state.waiters, wake)
 		sim.mu.Unlock()
-		sim.env.schedule(w.ends-now, wake)
+		sim.env.schedule(w.endsAt-now, wake)
 	}
 }
 
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -76,7 +76,7 @@
 	submission, _ := json.Marshal(spec)
 	queries := behavior.drawBurst(sim.cfg.Controllers)
 	cancelAfter := behavior.drawMillis(5)
-	cancelAt := behavior.rng.IntN(sim.cfg.Controllers)
+	cancelController := behavior.rng.IntN(sim.cfg.Controllers)
 	sim.mu.Unlock()
 	for i, query := range queries {
 		sim.env.schedule(query.after, func() {
@@ -87,7 +87,7 @@
 		})
 	}
 	if cancels {
-		sim.env.schedule(cancelAfter, func() { sim.CancelJob(job, cancelAt) })
+		sim.env.schedule(cancelAfter, func() { sim.CancelJob(job, cancelController) })
 	}
 }
 
