--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// rentMachines rents the requested number of machines, or fewer if the cloud's capacity is exhausted. A repeated claim
-// gets the same answer as the first time.
+// rentMachines rents the requested number of machines, or fewer if the cloud's capacity is exhausted. A repeated
+// request with a claim that has been served gets the same answer again.
 func (sim *Simulation) rentMachines(now time.Duration, request httpRequest) (status int, body any) {
 	var renting rentRequest
 	if json.Unmarshal(request.body, &renting) != nil || renting.Count < 1 || renting.Count > maxRentCount {
--- a/internal/simulator/leader_faults.go
+++ b/internal/simulator/leader_faults.go
@@ -20,7 +20,7 @@
 }
 
 // onLeader calls do with the current leader, if there is one. Unless restartAfter is 0, it starts that controller
-// again after restartAfter, or once the controller's drain has ended.
+// again after restartAfter, but not before the controller's drain has ended.
 func (sim *Simulation) onLeader(restartAfter time.Duration, do func(controller int)) {
 	leader, _ := sim.Leader()
 	if leader < 0 {
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -90,8 +90,8 @@
 	Unanswered bool
 }
 
-// InterceptTxns sets the function that decides the outcome of each transaction; nil removes the function. In virtual
-// time it may be called before the simulation runs or between its events.
+// InterceptTxns sets the function that decides the outcome of each transaction; nil removes the function. The
+// simulation must be in virtual time, and InterceptTxns must be called before its start or between its events.
 func (sim *Simulation) InterceptTxns(decide func(controller int, txn store.Txn) TxnOutcome) {
 	sim.state.interceptTxn = decide
 }
