--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -174,14 +174,14 @@
 					cluster.After(1100*time.Millisecond, func() { cluster.SetStateOutage(true) })
 					cluster.Advance(1100*time.Millisecond + jobs.Seconds(1.2*shortTimers.CancelS))
 					cluster.mu.Lock()
-					if len(cluster.work.cancelledAt) < confirmed+4 {
+					if len(cluster.records.cancelledAt) < confirmed+4 {
 						t.Errorf(
 							"outage %d: %d cancellations were confirmed, want at least 4",
 							outage,
-							len(cluster.work.cancelledAt)-confirmed,
+							len(cluster.records.cancelledAt)-confirmed,
 						)
 					}
-					confirmed = len(cluster.work.cancelledAt)
+					confirmed = len(cluster.records.cancelledAt)
 					cluster.mu.Unlock()
 					cluster.SetStateOutage(false)
 					cluster.Advance(6 * time.Second)
--- a/internal/simulator/fault_kinds.go
+++ b/internal/simulator/fault_kinds.go
@@ -6,17 +6,17 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// faultArgs are the arguments of a fault in a script; those that it doesn't take are zero.
+// faultArgs holds the arguments of a fault in a script. Arguments that the fault doesn't take are zero.
 type faultArgs struct {
 	duration time.Duration
-	count    int // a count, or a controller's number
+	count    int // a number of objects, or the number of a controller
 	zone     string
 }
 
-// faultAction begins a fault, and schedules its end if it has one.
+// faultAction begins a fault and schedules its end, if the fault has one.
 type faultAction func(*Simulation, faultArgs)
 
-// Kinds of arguments, as faultKind.args lists them.
+// Kinds of arguments in faultKind.args.
 const (
 	argController = 'n'
 	argCount      = 'c'
@@ -26,26 +26,26 @@
 
 // faultKind is a fault that scripts can name.
 type faultKind struct {
-	args            string // the kinds of its arguments, in their order
-	virtualTimeOnly bool   // it does something to controllers or to users' requests
+	args            string // kinds of its arguments, in order
+	virtualTimeOnly bool   // the fault acts on controllers, zones or users' requests, which needs virtual time
 	apply           faultAction
 }
 
 // Parameters of faults in scripts.
 const (
-	lateBootFactor  = 5    // of the usual boot time
-	fastBootFactor  = 0.01 // all are up within two seconds
-	slowLinkDelay   = 150 * time.Millisecond
+	lateBootFactor  = 5                      // multiple of the usual boot time
+	fastBootFactor  = 0.01                   // multiple of the usual boot time; all machines are up within 2 s
+	slowLinkDelay   = 150 * time.Millisecond // mean delay of messages
 	leaderKillCount = 10
-	duplicateShare  = 0.2
-	lateWriteShare  = 0.2
-	lostAnswerShare = 0.3
-	replayShare     = 0.3
-	cancelShare     = 0.5
-	minDuplicateAge = time.Second
+	duplicateShare  = 0.2         // share of messages
+	lateWriteShare  = 0.2         // share of transactions
+	lostAnswerShare = 0.3         // share of transactions
+	replayShare     = 0.3         // share of heartbeats
+	cancelShare     = 0.5         // share of completing jobs
+	minDuplicateAge = time.Second // shortest delay of a duplicate
 )
 
-// faultKinds are the faults by their names in scripts, which docs/lab.md lists.
+// faultKinds maps the names of faults in scripts to the faults. docs/lab.md lists the names.
 var faultKinds = map[string]faultKind{
 	// Tasks and machines.
 	"crash-task":   {apply: func(sim *Simulation, _ faultArgs) { sim.CrashTask() }},
@@ -80,10 +80,10 @@
 	"fast-boots": {args: "t", apply: bootFaultFor(fastBootFactor, 0)},
 
 	// Services.
-	"outage":         {args: "t", apply: switched((*Simulation).SetStateOutage)},
-	"cloud-outage":   {args: "t", apply: switched((*Simulation).SetCloudOutage)},
-	"licence-down":   {args: "t", apply: switched(func(sim *Simulation, on bool) { sim.Licences.SetDown(on) })},
-	"small-limits":   {args: "t", apply: switched((*Simulation).SetSmallLimits)},
+	"outage":         {args: "t", apply: toggledFault((*Simulation).SetStateOutage)},
+	"cloud-outage":   {args: "t", apply: toggledFault((*Simulation).SetCloudOutage)},
+	"licence-down":   {args: "t", apply: toggledFault(func(sim *Simulation, on bool) { sim.Licences.SetDown(on) })},
+	"small-limits":   {args: "t", apply: toggledFault((*Simulation).SetSmallLimits)},
 	"lose-positions": {args: "t", apply: func(sim *Simulation, _ faultArgs) { sim.CompactHistory() }},
 	"refuse": {args: "nt", apply: func(sim *Simulation, args faultArgs) {
 		if args.count < sim.cfg.Controllers {
@@ -99,22 +99,22 @@
 	}},
 
 	// Messages.
-	"copies": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"copies": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.DuplicateMessages(shareIf(on, duplicateShare), minDuplicateAge, sim.leaseFraction(2))
 	})},
-	"late-writes": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"late-writes": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.DelayWrites(shareIf(on, lateWriteShare), sim.leaseFraction(1./12), sim.leaseFraction(1./2))
 	})},
-	"lost-answers": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"lost-answers": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.LoseTxnAnswers(shareIf(on, lostAnswerShare))
 	})},
-	"keep-copies": {args: "t", apply: switched(func(sim *Simulation, on bool) {
+	"keep-copies": {args: "t", apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.ReplayHeartbeats(shareIf(on, replayShare))
 	})},
 	"slow-state":   {args: "t", apply: delayFault((*Simulation).DelayStateAnswers, 1./200, 1./5)},
 	"hold-orders":  {args: "t", apply: delayFault((*Simulation).DelayCommands, 1./50, 2./3)},
 	"hold-answers": {args: "t", apply: delayFault((*Simulation).DelayHeartbeatAnswers, 1./50, 2./3)},
-	"slow-links": {args: "t", virtualTimeOnly: true, apply: switched(func(sim *Simulation, on bool) {
+	"slow-links": {args: "t", virtualTimeOnly: true, apply: toggledFault(func(sim *Simulation, on bool) {
 		delay := time.Duration(0)
 		if on {
 			delay = slowLinkDelay
@@ -123,12 +123,12 @@
 	})},
 
 	// Users.
-	"close-looks":  {args: "t", virtualTimeOnly: true, apply: switched((*Simulation).SetPollBursts)},
-	"odd-requests": {args: "t", virtualTimeOnly: true, apply: switched((*Simulation).SetOddRequests)},
+	"close-looks":  {args: "t", virtualTimeOnly: true, apply: toggledFault((*Simulation).SetPollBursts)},
+	"odd-requests": {args: "t", virtualTimeOnly: true, apply: toggledFault((*Simulation).SetOddRequests)},
 	"cancel-now": {args: "ct", virtualTimeOnly: true, apply: func(sim *Simulation, args faultArgs) {
 		sim.CancelRunning(args.count, args.duration)
 	}},
-	"cancel-at-end": {args: "t", virtualTimeOnly: true, apply: switched(func(sim *Simulation, on bool) {
+	"cancel-at-end": {args: "t", virtualTimeOnly: true, apply: toggledFault(func(sim *Simulation, on bool) {
 		sim.CancelAtCompletion(shareIf(on, cancelShare))
 	})},
 
@@ -175,20 +175,20 @@
 	}},
 }
 
-// during switches something on, and off again after a time.
+// during calls set with true now and with false after the duration.
 func (sim *Simulation) during(duration time.Duration, set func(on bool)) {
 	set(true)
 	sim.env.schedule(duration, func() { set(false) })
 }
 
-// switched returns the fault that switches something on for a time.
-func switched(set func(sim *Simulation, on bool)) faultAction {
+// toggledFault returns a fault that calls set with true, and with false after the fault's duration.
+func toggledFault(set func(sim *Simulation, on bool)) faultAction {
 	return func(sim *Simulation, args faultArgs) {
 		sim.during(args.duration, func(on bool) { set(sim, on) })
 	}
 }
 
-// shareIf returns the share if a fault is on, and otherwise 0.
+// shareIf returns share if on is true, and 0 otherwise.
 func shareIf(on bool, share float64) float64 {
 	if on {
 		return share
@@ -196,12 +196,13 @@
 	return 0
 }
 
-// delayFault returns the fault that delays messages of a kind by fractions of a worker's lease, for a time.
+// delayFault returns a fault that delays messages of a kind for its duration. The bounds of the delay are fractions of
+// a worker's lease.
 func delayFault(
 	set func(sim *Simulation, minDelay, maxDelay time.Duration),
 	minFraction, maxFraction float64,
 ) faultAction {
-	return switched(func(sim *Simulation, on bool) {
+	return toggledFault(func(sim *Simulation, on bool) {
 		if !on {
 			set(sim, 0, 0)
 			return
@@ -210,12 +211,12 @@
 	})
 }
 
-// partitionFault returns the fault that partitions a zone for a time.
-func partitionFault(how Partition) faultAction {
-	return func(sim *Simulation, args faultArgs) { sim.partitionZoneFor(args.zone, how, args.duration) }
+// partitionFault returns a fault that partitions a zone for its duration.
+func partitionFault(partition Partition) faultAction {
+	return func(sim *Simulation, args faultArgs) { sim.partitionZoneFor(args.zone, partition, args.duration) }
 }
 
-// bootFaultFor returns the fault that changes the boot times of machines rented during a time.
+// bootFaultFor returns a fault that changes the boot times of the machines that are rented during the fault.
 func bootFaultFor(factor, neverShare float64) faultAction {
 	return func(sim *Simulation, args faultArgs) {
 		sim.SetBootFault(factor, neverShare)
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -8,16 +8,17 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// failingTaskRunTime is how long a task runs that fails.
+// failingTaskRunTime is the run time after which a failing task exits.
 const failingTaskRunTime = 300 * time.Millisecond
 
-// minRunSeconds is the shortest time for which a task runs.
+// minRunSeconds is the shortest run time of a task, in seconds.
 const minRunSeconds = 0.01
 
-// limitTolerance is the rounding error accepted when a team's use is compared with its limit.
-const limitTolerance = 1e-6
+// teamLimitTolerance is the rounding error that is tolerated when a team's usage is compared with its limit.
+const teamLimitTolerance = 1e-6
 
-// advanceTask brings one task up to now: pulling, then, for a gang, gathering, then running until it exits.
+// advanceTask advances one task to now. A task pulls its image, waits for the other tasks if it belongs to a gang, and
+// runs until it exits.
 func (sim *Simulation) advanceTask(now time.Duration, machine *Machine, task *workerTask) {
 	switch task.state {
 	case taskPulling:
@@ -40,7 +41,7 @@
 	}
 }
 
-// finishPull makes a task one that counts as running on its machine; a gang's waits for the others.
+// finishPull records that a task's image is ready: the task has started. A gang's task then waits for the others.
 func (sim *Simulation) finishPull(now time.Duration, machine *Machine, task *workerTask) {
 	machine.images[task.spec.Image] = true
 	sim.taskStarted(now, machine, task)
@@ -54,7 +55,7 @@
 
 func (sim *Simulation) advanceRunning(now time.Duration, task *workerTask) {
 	if !sim.Licences.checkOut(task) {
-		sim.exitTask(now, task, reasonError) // without a licence unit the program fails after its start
+		sim.exitTask(now, task, reasonError) // a program without its licence units fails after its start
 		return
 	}
 	ranFor := now - task.runningSince
@@ -72,7 +73,7 @@
 	}
 }
 
-// finishCheckpoint saves the work up to the checkpoint's start, and exits.
+// finishCheckpoint saves the work done before the checkpoint's start, and ends the task.
 func (sim *Simulation) finishCheckpoint(now time.Duration, task *workerTask) {
 	ran := (task.checkpointDoneAt - task.runningSince).Seconds()
 	p := sim.progressOf(task.name)
@@ -81,12 +82,12 @@
 	sim.exitTask(now, task, reasonHalted)
 }
 
-// progressOf returns what is recorded of a task beside its machine.
+// progressOf returns a task's progress, and creates the record if there is none.
 func (sim *Simulation) progressOf(name string) *progress {
-	p := sim.work.progress[name]
+	p := sim.records.progress[name]
 	if p == nil {
 		p = &progress{}
-		sim.work.progress[name] = p
+		sim.records.progress[name] = p
 	}
 	return p
 }
@@ -94,7 +95,7 @@
 func (sim *Simulation) startRunning(now time.Duration, task *workerTask) {
 	task.state = taskRunning
 	task.runningSince = now
-	if session := sim.work.sessions[task.spec.ID]; session != nil {
+	if session := sim.records.sessions[task.spec.ID]; session != nil {
 		session.processStarted(now, task)
 	}
 	factor := 0.8 + 0.4*sim.rng.Float64()
@@ -105,11 +106,12 @@
 	task.remainingSeconds = max(minRunSeconds, remaining*factor/sim.cfg.Speed)
 }
 
-// exitTask ends a task. Its licence units are checked in, unless it fails: then the licence server has to notice.
+// exitTask ends a task. Its licence units are checked in, unless the task failed: then they expire on the licence
+// server.
 func (sim *Simulation) exitTask(now time.Duration, task *workerTask, reason string) {
 	task.state = taskExited
 	task.reason = reason
-	task.counted = false
+	task.active = false
 	if reason == reasonError {
 		sim.stats.TasksCrashed++
 		sim.Licences.holderLost(now, task)
@@ -118,7 +120,7 @@
 	sim.Licences.checkIn(task)
 }
 
-// completeTask ends a task whose work is done; that of one member of a gang is that of all.
+// completeTask ends a task whose work is done. If it belongs to a gang, the work of all tasks of the gang is done.
 func (sim *Simulation) completeTask(now time.Duration, task *workerTask) {
 	sim.progressOf(task.name).done = true
 	sim.exitTask(now, task, reasonDone)
@@ -133,11 +135,11 @@
 
 func taskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// countGangMembers counts the tasks of a gang's attempt that have their image.
+// countGangMembers counts the tasks of a gang's attempt whose image is ready and that haven't exited.
 func (sim *Simulation) countGangMembers(task *workerTask) (n int) {
 	for _, machine := range sim.cloud.machines {
 		for _, other := range machine.tasks {
-			if other.spec.ID == task.spec.ID && other.attempt == task.attempt && other.counted {
+			if other.spec.ID == task.spec.ID && other.attempt == task.attempt && other.active {
 				n++
 			}
 		}
@@ -145,17 +147,17 @@
 	return n
 }
 
-// taskStarted records the start of a task, which is the moment when it has its image, and checks the rules that hold
-// for one.
+// taskStarted records the start of a task, which is the time at which its image is ready, and checks the rules that
+// apply to a start.
 func (sim *Simulation) taskStarted(now time.Duration, machine *Machine, task *workerTask) {
-	task.counted = true
+	task.active = true
 	sim.stats.TaskStarts++
-	sim.work.startTimes = append(sim.work.startTimes, now)
+	sim.records.startTimes = append(sim.records.startTimes, now)
 	job := task.spec.ID
-	if _, ok := sim.work.startDelays[job]; !ok {
-		sim.work.startDelays[job] = now - sim.work.submittedAt[job]
+	if _, ok := sim.records.startDelays[job]; !ok {
+		sim.records.startDelays[job] = now - sim.records.submittedAt[job]
 	}
-	if cancelledAt, ok := sim.work.cancelledAt[job]; ok {
+	if cancelledAt, ok := sim.records.cancelledAt[job]; ok {
 		sim.countStartAfterCancel(task, now-cancelledAt)
 	}
 	if sim.progressOf(task.name).done {
@@ -173,25 +175,25 @@
 	sim.stats.LatestStartAfterCancel = max(sim.stats.LatestStartAfterCancel, after)
 }
 
-// checkSingleInstance checks that no other attempt of the task runs, and returns the use of its team.
-func (sim *Simulation) checkSingleInstance(machine *Machine, task *workerTask) (use planner.Size) {
+// checkSingleInstance checks that no other attempt of the task runs, and returns the resources that its team uses.
+func (sim *Simulation) checkSingleInstance(machine *Machine, task *workerTask) (teamUse planner.Size) {
 	for _, onMachine := range sim.cloud.machines {
 		if onMachine.dead {
 			continue
 		}
 		for _, other := range onMachine.tasks {
-			if !other.counted {
+			if !other.active {
 				continue
 			}
 			if other.name == task.name && other != task {
-				sim.violate("ran_twice: %s on %s and %s", task.name, onMachine.Name, machine.Name)
+				sim.recordViolation("ran_twice: %s on %s and %s", task.name, onMachine.Name, machine.Name)
 			}
 			if other.spec.Team == task.spec.Team {
-				use = use.Add(other.spec.Size())
+				teamUse = teamUse.Add(other.spec.Size())
 			}
 		}
 	}
-	return use
+	return teamUse
 }
 
 func (sim *Simulation) checkTeamLimit(task *workerTask, use planner.Size) {
@@ -199,23 +201,23 @@
 		if team.Name != task.spec.Team {
 			continue
 		}
-		overCPUs := team.CPUsMax > 0 && use.CPUs > team.CPUsMax+limitTolerance
-		overGPUs := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+limitTolerance
+		overCPUs := team.CPUsMax > 0 && use.CPUs > team.CPUsMax+teamLimitTolerance
+		overGPUs := team.GPUsMax > 0 && use.GPUs > team.GPUsMax+teamLimitTolerance
 		if overCPUs || overGPUs {
-			sim.violate("quota: team %s uses %v with %s", team.Name, use, task.name)
+			sim.recordViolation("quota: team %s exceeds its limit, using %v with %s", team.Name, use, task.name)
 		}
 	}
 }
 
-// checkCancelledTask checks that a task has ended in time once the cancellation of its job, or of a job before it, was
-// confirmed to a user.
+// checkCancelledTask checks that a task ends within the time limit after a user received the cancellation of its job
+// or of one of the job's predecessors.
 func (sim *Simulation) checkCancelledTask(now time.Duration, machine *Machine, task *workerTask) {
 	cancelledAt, ok := sim.firstCancellation(task.spec.ID)
-	if !ok || !task.counted || task.state == taskExited {
+	if !ok || !task.active || task.state == taskExited {
 		return
 	}
 	sim.stats.LongestRunAfterCancel = max(sim.stats.LongestRunAfterCancel, now-cancelledAt)
 	if now > cancelledAt+jobs.Seconds(sim.cfg.Workers.CancelS) {
-		sim.violate("ran_cancelled: %s on %s", task.name, machine.Name)
+		sim.recordViolation("ran_cancelled: %s still runs on %s after the time limit", task.name, machine.Name)
 	}
 }
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -12,48 +12,48 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// What users do, through the controllers and in virtual time, that coincides with faults: bursts of status queries,
-// odd requests, and cancellations while jobs run or at the moment of their end.
+// Users' behavior in virtual time that coincides with faults: bursts of status queries, odd requests, and
+// cancellations while jobs run or as they end.
 
 const (
-	// cancelRetry is the time until a cancellation that wasn't answered is sent to the next controller.
+	// cancelRetry is the delay after which a failed cancellation is sent to the next controller.
 	cancelRetry = time.Second
-	// burstCancelShare is the share of the jobs with a burst of queries that are then cancelled.
+	// burstCancelShare is the share of the bursts of queries after which the job is cancelled.
 	burstCancelShare = 0.15
-	// burstSubmitEvery is how many queries of a burst come with one repeated submission.
+	// burstSubmitEvery is the number of queries in a burst for each repeated submission.
 	burstSubmitEvery = 3
-	// maxHungMachines bounds the machines that CancelRunning makes hang.
+	// maxHungMachines is the maximum number of machines that CancelRunning makes hang.
 	maxHungMachines = 8
 )
 
 // emptyBody is the body of a request without parameters.
 var emptyBody = []byte("{}")
 
-// burstTimes are the times of a burst's queries to each controller, in milliseconds.
+// burstTimes are the times of a burst's queries to each controller, in milliseconds from the burst's start.
 var burstTimes = [...]int{0, 1, 3, 8, 20, 60, 150}
 
-// userHabits is what users do now.
-type userHabits struct {
-	rng                *rand.Rand // of its own: what users do besides doesn't change what else is drawn
+// userBehavior configures the users' behavior.
+type userBehavior struct {
+	rng                *rand.Rand // separate generator: the users' behavior doesn't change the numbers drawn elsewhere
 	pollBursts         bool
 	oddRequests        bool
-	cancelAtCompletion float64 // share of the jobs that are cancelled at the moment of their end
-	invalidJobs        int     // submitted so far
+	cancelAtCompletion float64 // share of the jobs that are cancelled as they complete
+	invalidJobs        int     // number of invalid jobs submitted so far
 }
 
-// drawMillis draws a time below n milliseconds.
-func (h *userHabits) drawMillis(n int) time.Duration {
-	return time.Duration(h.rng.IntN(n)) * time.Millisecond
+// drawMillis draws a duration below n milliseconds.
+func (b *userBehavior) drawMillis(n int) time.Duration {
+	return time.Duration(b.rng.IntN(n)) * time.Millisecond
 }
 
 func ignoreAnswer(int, []byte) {}
 
-// SetPollBursts makes users query every controller, again and again within milliseconds, and repeat the submission,
-// right after a job was accepted, ended or confirmed as cancelled; some then cancel it.
+// SetPollBursts enables or disables bursts of requests. After a job is accepted or reaches a final state, users query
+// every controller repeatedly within milliseconds, repeat the submission, and cancel some of the jobs.
 func (sim *Simulation) SetPollBursts(on bool) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.users.habits.pollBursts = on
+	sim.users.behavior.pollBursts = on
 }
 
 // scheduledQuery is one query of a burst.
@@ -62,21 +62,21 @@
 	controller int
 }
 
-// pollBurst is what users do right after they received something new about a job.
+// pollBurst schedules a burst of requests about a job, if bursts are enabled.
 func (sim *Simulation) pollBurst(job string) {
 	sim.mu.Lock()
-	habits := &sim.users.habits
-	spec := sim.work.specs[job]
-	if !habits.pollBursts || spec == nil {
+	behavior := &sim.users.behavior
+	spec := sim.records.specs[job]
+	if !behavior.pollBursts || spec == nil {
 		sim.mu.Unlock()
 		return
 	}
 	sim.stats.PollBursts++
-	cancels := habits.rng.Float64() < burstCancelShare
+	cancels := behavior.rng.Float64() < burstCancelShare
 	submission, _ := json.Marshal(spec)
-	queries := habits.drawBurst(sim.cfg.Controllers)
-	cancelAfter := habits.drawMillis(5)
-	cancelAt := habits.rng.IntN(sim.cfg.Controllers)
+	queries := behavior.drawBurst(sim.cfg.Controllers)
+	cancelAfter := behavior.drawMillis(5)
+	cancelController := behavior.rng.IntN(sim.cfg.Controllers)
 	sim.mu.Unlock()
 	for i, query := range queries {
 		sim.env.schedule(query.after, func() {
@@ -87,21 +87,22 @@
 		})
 	}
 	if cancels {
-		sim.env.schedule(cancelAfter, func() { sim.CancelJob(job, cancelAt) })
+		sim.env.schedule(cancelAfter, func() { sim.CancelJob(job, cancelController) })
 	}
 }
 
-func (h *userHabits) drawBurst(controllers int) (queries []scheduledQuery) {
+func (b *userBehavior) drawBurst(controllers int) (queries []scheduledQuery) {
 	for controller := range controllers {
 		for _, ms := range burstTimes {
-			after := time.Duration(ms+h.rng.IntN(2)) * time.Millisecond
+			after := time.Duration(ms+b.rng.IntN(2)) * time.Millisecond
 			queries = append(queries, scheduledQuery{after, controller})
 		}
 	}
 	return queries
 }
 
-// CancelJob lets a user cancel a job through a controller, and through the others until one answers.
+// CancelJob cancels a job as a user, through the given controller. It retries with the next controller until one
+// answers 200 or 404.
 func (sim *Simulation) CancelJob(job string, controller int) {
 	path := runsPath + "/" + job + abortSuffix
 	sim.Request(controller, http.MethodPost, path, emptyBody, func(status int, _ []byte) {
@@ -112,14 +113,14 @@
 	})
 }
 
-// runningJob is a job with tasks that run.
+// runningJob is a job with running tasks.
 type runningJob struct {
 	id        string
-	remaining time.Duration // of the task that has longest to run
-	machines  []*Machine    // one for each running task
+	remaining time.Duration // longest remaining run time of its tasks
+	machines  []*Machine    // machine of each running task
 }
 
-// runningJobs lists the jobs that run, services left out, those with longest to run first.
+// runningJobs lists the running jobs except services, in descending order of their remaining run time.
 func (sim *Simulation) runningJobs(now time.Duration) []*runningJob {
 	byID := map[string]*runningJob{}
 	var running []*runningJob
@@ -147,19 +148,19 @@
 	return running
 }
 
-// CancelRunning lets users cancel the n running jobs that have longest to run, within a fifth of a second. With hang,
-// some of their machines hang for that time from now on. It returns the jobs.
+// CancelRunning cancels, as users do, the n running jobs with the longest remaining run time, within 200 ms. If hang
+// isn't 0, some of their machines hang for that duration from now on. It returns the jobs.
 func (sim *Simulation) CancelRunning(n int, hang time.Duration) (cancelled []string) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	now := sim.now()
-	habits := &sim.users.habits
+	behavior := &sim.users.behavior
 	running := sim.runningJobs(now)
 	hung := 0
 	for _, job := range running[:min(n, len(running))] {
 		cancelled = append(cancelled, job.id)
-		after := habits.drawMillis(200)
-		controller := habits.rng.IntN(sim.cfg.Controllers)
+		after := behavior.drawMillis(200)
+		controller := behavior.rng.IntN(sim.cfg.Controllers)
 		sim.env.schedule(after, func() { sim.CancelJob(job.id, controller) })
 		for _, machine := range job.machines {
 			if hang > 0 && hung < maxHungMachines && now >= machine.hungUntil {
@@ -173,39 +174,40 @@
 	return cancelled
 }
 
-// CancelAtCompletion makes users cancel a share of the jobs that end at the moment of their end; 0 ends it.
+// CancelAtCompletion makes users cancel a share of the jobs as they complete; 0 disables this.
 func (sim *Simulation) CancelAtCompletion(share float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
-	sim.users.habits.cancelAtCompletion = share
+	sim.users.behavior.cancelAtCompletion = share
 }
 
-// jobCompleted lets users cancel a job as its last task completes, if it is drawn. The caller holds the mutex.
+// jobCompleted schedules a job's cancellation by a user if its last task has completed and the job is drawn. The
+// caller holds the mutex.
 func (sim *Simulation) jobCompleted(spec *jobs.Spec) {
-	habits := &sim.users.habits
-	if habits.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
+	behavior := &sim.users.behavior
+	if behavior.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
 		return
 	}
-	if habits.rng.Float64() >= habits.cancelAtCompletion {
+	if behavior.rng.Float64() >= behavior.cancelAtCompletion {
 		return
 	}
 	sim.stats.JobsCancelled++
-	after := habits.drawMillis(700)
-	controller := habits.rng.IntN(sim.cfg.Controllers)
-	if habits.rng.IntN(2) == 0 {
-		after = habits.drawMillis(5)
+	after := behavior.drawMillis(700)
+	controller := behavior.rng.IntN(sim.cfg.Controllers)
+	if behavior.rng.IntN(2) == 0 {
+		after = behavior.drawMillis(5)
 	}
 	sim.env.schedule(after, func() { sim.CancelJob(spec.ID, controller) })
 }
 
-// SetOddRequests makes users repeat submissions of unfinished jobs, cancel jobs that are done, and submit invalid
-// jobs.
+// SetOddRequests enables or disables odd requests: repeated submissions of unfinished jobs, cancellations of jobs that
+// are done, and submissions of invalid jobs.
 func (sim *Simulation) SetOddRequests(on bool) {
 	sim.mu.Lock()
-	was := sim.users.habits.oddRequests
-	sim.users.habits.oddRequests = on
+	wasOn := sim.users.behavior.oddRequests
+	sim.users.behavior.oddRequests = on
 	sim.mu.Unlock()
-	if on && !was {
+	if on && !wasOn {
 		sim.sendOddRequest()
 	}
 }
@@ -223,45 +225,45 @@
 // sendOddRequest sends one odd request, and schedules the next.
 func (sim *Simulation) sendOddRequest() {
 	sim.mu.Lock()
-	habits := &sim.users.habits
-	if !habits.oddRequests {
+	behavior := &sim.users.behavior
+	if !behavior.oddRequests {
 		sim.mu.Unlock()
 		return
 	}
 	sim.stats.OddRequests++
-	controller := habits.rng.IntN(sim.cfg.Controllers)
-	kind := oddRequestKind(habits.rng.IntN(oddRequestKinds))
+	controller := behavior.rng.IntN(sim.cfg.Controllers)
+	kind := oddRequestKind(behavior.rng.IntN(oddRequestKinds))
 	done, unfinished := sim.answeredJobs()
 	path := runsPath
 	var body []byte
 	answered := ignoreAnswer
 	switch {
 	case kind == repeatSubmission && len(unfinished) > 0:
-		job := unfinished[habits.rng.IntN(len(unfinished))]
-		body, _ = json.Marshal(sim.work.specs[job])
+		job := unfinished[behavior.rng.IntN(len(unfinished))]
+		body, _ = json.Marshal(sim.records.specs[job])
 	case kind == cancelDoneJob && len(done) > 0:
-		job := done[habits.rng.IntN(len(done))]
+		job := done[behavior.rng.IntN(len(done))]
 		path = runsPath + "/" + job + abortSuffix
 		body = emptyBody
 	default:
-		habits.invalidJobs++
-		job := fmt.Sprintf("req-77%04d", habits.invalidJobs)
-		body = sim.invalidSubmission(job, invalidity(habits.rng.IntN(invalidities)))
+		behavior.invalidJobs++
+		job := fmt.Sprintf("req-77%04d", behavior.invalidJobs)
+		body = sim.invalidSubmission(job, invalidity(behavior.rng.IntN(invalidities)))
 		answered = func(status int, _ []byte) { sim.invalidJobAnswered(job, body, status) }
 	}
-	next := time.Duration(100+habits.rng.IntN(400)) * time.Millisecond
+	next := time.Duration(100+behavior.rng.IntN(400)) * time.Millisecond
 	sim.mu.Unlock()
 	sim.Request(controller, http.MethodPost, path, body, answered)
 	sim.env.schedule(next, sim.sendOddRequest)
 }
 
-// answeredJobs lists the jobs whose users received that they are done, and those that were accepted and aren't final.
+// answeredJobs lists the jobs that were answered as done, and the accepted jobs without a final answer.
 func (sim *Simulation) answeredJobs() (done, unfinished []string) {
 	for job, answers := range sim.users.jobs {
 		switch {
 		case answers.final == stateDone:
 			done = append(done, job)
-		case answers.accepted && answers.final == "" && sim.work.specs[job] != nil:
+		case answers.accepted && answers.final == "" && sim.records.specs[job] != nil:
 			unfinished = append(unfinished, job)
 		}
 	}
@@ -273,7 +275,7 @@
 func (sim *Simulation) invalidJobAnswered(job string, body []byte, status int) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
-		sim.ReportViolation("accepted: %s can't run: %s", job, body)
+		sim.ReportViolation("accepted: %s is accepted with an invalid submission: %s", job, body)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		sim.mu.Lock()
 		sim.stats.OddRequestsRefused++
@@ -281,7 +283,7 @@
 	}
 }
 
-// invalidity is what is wrong with an invalid submission.
+// invalidity is the defect of an invalid submission.
 type invalidity int
 
 const (
@@ -294,8 +296,8 @@
 	invalidities int = iota
 )
 
-// invalidSubmission returns a submission that no controller may accept.
-func (sim *Simulation) invalidSubmission(job string, wrong invalidity) []byte {
+// invalidSubmission returns a submission with a defect, which no controller may accept.
+func (sim *Simulation) invalidSubmission(job string, defect invalidity) []byte {
 	spec := &jobs.Spec{
 		ID:        job,
 		Class:     "odd",
@@ -311,7 +313,7 @@
 		Spot:      true,
 	}
 	const noTeam = "nobody"
-	switch wrong {
+	switch defect {
 	case fitsNoMachine:
 		spec.CPUs = 1e6
 	case unknownTeam:
@@ -329,7 +331,7 @@
 		spec.Zone = &zone
 	}
 	raw, _ := json.Marshal(spec)
-	if wrong == lacksField {
+	if defect == lacksField {
 		raw = []byte(strings.Replace(string(raw), `"hops":2,`, "", 1))
 	}
 	return raw
