--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(out)
 	}
 	out = list(2, "team = blue and waitin > 3")
-	if !strings.Contains(out, "column 17") || !strings.Contains(out, `no field "waitin"`) {
+	if !strings.Contains(out, "column 17") || !strings.Contains(out, `unknown field "waitin"`) {
 		t.Fatal(out)
 	}
 	for i := 1; i <= 4; i++ {
