--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -14,8 +14,8 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// newSteadyCluster is a cluster with machines in three zones that have long work, with users' questions through a
-// balancer.
+// newSteadyCluster starts a cluster with machines in three zones that run long tasks. The returned balancer forwards
+// users' requests to the controllers.
 func newSteadyCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
 	cluster := newWideCluster(t, seed, controllers)
 	balancer := cluster.Balance()
@@ -26,7 +26,7 @@
 	return cluster, balancer
 }
 
-// startPolling lets users ask about the jobs of the crowd from now on, through the balancer.
+// startPolling polls the states of the first 24 users' jobs through the balancer from now on.
 func (r *testCluster) startPolling(balancer *Balancer) *JobPollers {
 	pollers := balancer.JobPollers()
 	for _, user := range r.users[:24] {
@@ -35,29 +35,29 @@
 	return pollers
 }
 
-// machineAlive tells whether a machine is rented still.
+// machineAlive reports whether a machine is still rented.
 func (r *testCluster) machineAlive(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.cloud.machineByName[name].dead
 }
 
-// TestMachineWithLostInbound makes machines receive nothing while their heartbeats arrive: one, many, all of a
-// zone; the leader changes meanwhile, and some receive again. Few launches are lost, the machines are returned and
-// replaced, or used again when they receive, and all jobs end.
+// TestMachineWithLostInbound drops all messages to one machine, to many, or to all of a zone, while their heartbeats
+// still arrive. In some cases the leader changes meanwhile, or the fault ends early. Few launches may be lost, the
+// machines are returned and replaced, or used again once they receive messages, and all jobs end.
 func TestMachineWithLostInbound(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		n    int
 		zone bool
-		d    time.Duration
-		lead bool
+		d    time.Duration // of the fault
+		lead bool          // the leader restarts during the fault
 	}{
 		{"one", 1, false, 5 * time.Minute, false},
 		{"many", 14, false, 5 * time.Minute, false},
 		{"zone", wholeZone, true, 5 * time.Minute, false},
 		{"zone and leader", wholeZone, true, 5 * time.Minute, true},
-		{"many for a while", 14, false, 12 * time.Second, false},
+		{"many, short fault", 14, false, 12 * time.Second, false},
 		{"many and leader", 14, false, 5 * time.Minute, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,55 +74,56 @@
 			}
 			cluster.Advance(c.d / 2)
 			if c.d > time.Minute {
-				left := 0
+				rented := 0
 				for _, m := range unreachable {
 					if cluster.machineAlive(m) {
-						left++
+						rented++
 					}
 				}
-				if left > 0 {
-					t.Errorf("%d of %d machines that receive nothing are paid for after %v", left, len(unreachable), c.d/2)
+				if rented > 0 {
+					t.Errorf("got %d of %d unreachable machines still rented after %v, want 0", rented, len(unreachable), c.d/2)
 				}
 			}
-			// A slot or two each before it shows, not one each lease.
+			// A machine may lose a launch or two until the fault is detected, but not one launch per lease.
 			s := cluster.Stats()
-			t.Logf("%d launches sent in vain to %d machines", s.LaunchesLost, len(unreachable))
+			t.Logf("%d launches were lost on the way to %d unreachable machines", s.LaunchesLost, len(unreachable))
 			if s.LaunchesLost > 6*len(unreachable) {
-				t.Errorf("%d launches were sent to %d machines that receive nothing", s.LaunchesLost, len(unreachable))
+				t.Errorf("got %d launches to %d unreachable machines, want at most 6 per machine", s.LaunchesLost, len(unreachable))
 			}
 			cluster.waitUntilDone()
 		})
 	}
 }
 
-// TestMachineWithLostOutbound checks that a machine whose heartbeats are lost counts as silent, though it receives.
+// TestMachineWithLostOutbound checks that machines whose heartbeats are lost are returned, although they still receive
+// messages.
 func TestMachineWithLostOutbound(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 82, 3)
-	silent := cluster.DropOutbound(3, "", 5*time.Minute)
+	unreachable := cluster.DropOutbound(3, "", 5*time.Minute)
 	cluster.Advance(40 * time.Second)
-	for _, m := range silent {
+	for _, m := range unreachable {
 		if cluster.machineAlive(m) {
-			t.Errorf("%s is still paid for", m)
+			t.Errorf("machine %s is still rented 40 s after its heartbeats were lost, want returned", m)
 		}
 	}
 	cluster.waitUntilDone()
 }
 
-// TestDuplicatedMessagesHaveNoEffect delivers copies of heartbeats and requests from one second to several leases
-// late, at any controller, over killed machines, killed leaders and a lost zone: none revives, frees or finishes
-// anything.
+// TestDuplicatedMessagesHaveNoEffect delivers copies of heartbeats and requests to any controller, delayed by one
+// second to several lease durations, while machines and leaders are killed and a zone is cut off. No copy may make a
+// terminated machine ready again, free its slots or complete a task.
 func TestDuplicatedMessagesHaveNoEffect(t *testing.T) {
 	for seed := range uint64(3) {
 		cluster, _ := newSteadyCluster(t, 90+seed, 3)
 		cluster.DuplicateMessages(0.4, time.Second, 40*time.Second)
-		dead := map[string]time.Duration{}
+		terminatedAt := map[string]time.Duration{}
 		for i := range 8 {
 			cluster.After(time.Duration(4*i)*time.Second, func() {
 				if name := cluster.BusiestMachine(); name != "" {
 					cluster.mu.Lock()
 					cluster.terminate(cluster.now(), cluster.cloud.machineByName[name])
 					cluster.mu.Unlock()
-					dead[name] = cluster.Now()
+					terminatedAt[name] = cluster.Now()
 				}
 			})
 		}
@@ -137,7 +138,7 @@
 			if l < 0 {
 				continue
 			}
-			for name, at := range dead {
+			for name, at := range terminatedAt {
 				if c := cluster.virtual.controllers[l].process; c != nil && cluster.Now()-at > 40*time.Second &&
 					c.IsReady(name) {
 					revived++
@@ -145,14 +146,14 @@
 			}
 		}
 		if revived > 0 {
-			t.Errorf("seed %d: machines that have ended counted as heard %d times", seed, revived)
+			t.Errorf("seed %d: terminated machines were ready in %d checks, want 0", seed, revived)
 		}
 		cluster.waitUntilDone()
 	}
 }
 
-// countMisdirectedMachines counts the ready machines that send heartbeats to a controller that doesn't lead, those left
-// out that have been up only for a short time.
+// countMisdirectedMachines counts the ready machines that send heartbeats to a controller that isn't the leader.
+// Machines rented less than 30 s ago are left out.
 func (r *testCluster) countMisdirectedMachines() (n int) {
 	leader, _ := r.Leader()
 	r.mu.Lock()
@@ -165,9 +166,10 @@
 	return n
 }
 
-// TestControllerPartitionedWithItsWorkers cuts a controller off from the state service and its peers but not from
-// its workers, the leader or another, alone, two at once, and during a rollout: it accepts no heartbeat after its
-// lease, its workers and users are served elsewhere soon, and its return has no effect.
+// TestControllerPartitionedWithItsWorkers cuts controllers off from the state service and their peers but not from
+// their workers: the leader, a follower, both, or the leader during a rollout. They accept no heartbeats once their
+// lease has expired, other controllers soon serve their workers and users, and the leader doesn't change when the
+// links are restored.
 func TestControllerPartitionedWithItsWorkers(t *testing.T) {
 	for _, c := range []string{"leader", "other", "two", "rolling"} {
 		t.Run(c, func(t *testing.T) {
@@ -193,28 +195,28 @@
 			cluster.Advance(8 * time.Second)
 			for _, i := range partitioned {
 				if balancer.Healthy(i) && cluster.ControllerRuns(i) {
-					t.Errorf("controller %d is healthy after 8 s without state service and the others", i)
+					t.Errorf("controller %d is healthy 8 s after losing the state service and its peers, want unhealthy", i)
 				}
 			}
 			if c == "leader" || c == "two" {
 				cluster.waitFor(
-					"led from elsewhere",
+					"led by a connected controller",
 					10*time.Second,
 					func() bool { l, _ := cluster.Leader(); return l >= 0 && !slices.Contains(partitioned, l) },
 				)
 			}
 			cluster.Advance(6 * time.Second)
 			if misdirected := cluster.countMisdirectedMachines(); misdirected > 2 {
-				t.Errorf("%d machines report to a controller that doesn't lead", misdirected)
+				t.Errorf("got %d machines that send heartbeats to a non-leader, want at most 2", misdirected)
 			}
 			term := func() uint64 { _, n := cluster.Leader(); return n }
-			was := term()
+			termBefore := term()
 			for _, i := range partitioned {
 				cluster.CutLinks(i, 0)
 			}
 			cluster.Advance(20 * time.Second)
-			if now := term(); now != was && c != "rolling" {
-				t.Errorf("the lead changed from term %d to %d on the return", was, now)
+			if now := term(); now != termBefore && c != "rolling" {
+				t.Errorf("term changed from %d to %d after the links were restored, want no change", termBefore, now)
 			}
 			cluster.checkAnswered(pollers, before, 25*time.Second)
 			cluster.waitUntilDone()
@@ -222,24 +224,24 @@
 	}
 }
 
-// TestLeaderLosesItsWorkers cuts only the leader's links to its workers: another leads as soon as the workers ask
-// others, the former leader doesn't lead while the cut lasts, and the leader doesn't change again.
+// TestLeaderLosesItsWorkers cuts only the leader's links to its workers. Another controller becomes leader once the
+// workers contact other controllers, and the leader doesn't change again while the links are cut.
 func TestLeaderLosesItsWorkers(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 89, 5)
-	old, was := cluster.Leader()
+	old, oldTerm := cluster.Leader()
 	cluster.CutLinks(old, WorkerLinks)
 	from := cluster.Now()
 	cluster.waitForOtherLeader(9*time.Second, old)
-	t.Logf("led from elsewhere after %v", cluster.Now()-from)
+	t.Logf("another controller led after %v", cluster.Now()-from)
 	cluster.Advance(40 * time.Second)
-	if l, term := cluster.Leader(); term != was+1 || l == old {
-		t.Errorf("controller %d leads in term %d, the former one was %d", l, term, was)
+	if l, term := cluster.Leader(); term != oldTerm+1 || l == old {
+		t.Errorf("got leader %d in term %d, want another leader in term %d+1", l, term, oldTerm)
 	}
 	cluster.CutLinks(old, 0)
 	cluster.waitUntilDone()
 }
 
-// membershipStates returns the names of all states between a controller's start and its leadership, in their order.
+// membershipStates returns the names of all states from a controller's start to its leadership, in order.
 func membershipStates() []string {
 	var names []string
 	for state := membership.LoadingKeys; state <= membership.Leading; state++ {
@@ -248,8 +250,8 @@
 	return names
 }
 
-// TestControllersThatRestartAtOnce kills controllers and starts them within 50 to 900 ms, between all steps of an
-// election, again and again: there is a leader soon, one at most acts, and every job ends once.
+// TestControllersThatRestartAtOnce repeatedly kills controllers at each step of an election and restarts them after 50
+// to 900 ms. Each time exactly one leader acts within 14 s, and every job ends once.
 func TestControllersThatRestartAtOnce(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 84, 3)
 	steps := membershipStates()
@@ -270,7 +272,7 @@
 			time.Duration(50+cluster.rng.IntN(850))*time.Millisecond,
 		)
 		from := cluster.Now()
-		cluster.waitFor("led", 14*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
+		cluster.waitFor("one acting leader", 14*time.Second, func() bool { return len(cluster.ActingLeaders()) == 1 })
 		if duration := cluster.Now() - from; duration > 8*time.Second {
 			t.Logf("round %d: %v without a leader", round, duration)
 		}
@@ -279,7 +281,7 @@
 	cluster.waitUntilDone()
 }
 
-// raiseHeartbeatSequences makes all machines look as if they had been up for hours.
+// raiseHeartbeatSequences raises the heartbeat sequence numbers of all machines, as if they had been up for hours.
 func (r *testCluster) raiseHeartbeatSequences() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -288,7 +290,7 @@
 	}
 }
 
-// drawReadyMachines returns the names of up to a number of machines that are ready.
+// drawReadyMachines returns the names of up to limit ready machines, drawn at random.
 func (r *testCluster) drawReadyMachines(limit int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -301,7 +303,8 @@
 	return names
 }
 
-// isHeardOrReturned returns whether a controller has a machine's last heartbeat, or the machine isn't rented any more.
+// isHeardOrReturned reports whether a controller has received a machine's latest heartbeat, or the machine is no
+// longer rented.
 func (r *testCluster) isHeardOrReturned(name string, controller int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -310,27 +313,27 @@
 	return machine.dead || process != nil && process.HasHeartbeat(name, machine.session, machine.seq)
 }
 
-// waitUntilHeardOrReturned advances time, at most a minute, until the leader has heard each machine once or the
-// machine is returned. It returns how many are left, and how long it took.
-func (r *testCluster) waitUntilHeardOrReturned(names []string) (left int, took time.Duration) {
-	open := map[string]bool{}
+// waitUntilHeardOrReturned advances time until the leader has received a heartbeat from each machine or the machine is
+// returned, for at most a minute. It returns the number of remaining machines and the time it took.
+func (r *testCluster) waitUntilHeardOrReturned(names []string) (count int, took time.Duration) {
+	remaining := map[string]bool{}
 	for _, name := range names {
-		open[name] = true
+		remaining[name] = true
 	}
 	from := r.Now()
-	for ; r.Now() < from+time.Minute && len(open) > 0; r.Advance(250 * time.Millisecond) {
+	for ; r.Now() < from+time.Minute && len(remaining) > 0; r.Advance(250 * time.Millisecond) {
 		leader, _ := r.Leader()
 		if leader < 0 {
 			continue
 		}
-		maps.DeleteFunc(open, func(name string, _ bool) bool { return r.isHeardOrReturned(name, leader) })
+		maps.DeleteFunc(remaining, func(name string, _ bool) bool { return r.isHeardOrReturned(name, leader) })
 	}
-	return len(open), r.Now() - from
+	return len(remaining), r.Now() - from
 }
 
-// TestMachinesThatRestartAtOnce restarts machines within a fraction of a second under their names, session and
-// sequence from the start, while copies of their earlier heartbeats are on their way: one, many, all. They are used
-// again or returned, soon.
+// TestMachinesThatRestartAtOnce restarts one, many or all machines within a second, under the same names but with a
+// new session and sequence numbers from the start, while copies of their earlier heartbeats are in flight. They are
+// used again or returned within 10 s, and at most a quarter is returned.
 func TestMachinesThatRestartAtOnce(t *testing.T) {
 	for _, n := range []int{1, 12, wholeZone} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -343,18 +346,18 @@
 				cluster.RestartMachine(name, time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
 			}
 			cluster.submitJobs(30 * time.Second)
-			left, took := cluster.waitUntilHeardOrReturned(names)
+			remaining, took := cluster.waitUntilHeardOrReturned(names)
 			returned := 0
 			for _, name := range names {
 				if !cluster.machineAlive(name) {
 					returned++
 				}
 			}
-			t.Logf("%d machines: all heard or returned after %v, %d returned", len(names), took, returned)
+			t.Logf("%d machines: all reachable or returned after %v, %d returned", len(names), took, returned)
 			if took > 10*time.Second || returned > len(names)/4 {
 				t.Errorf(
-					"%d of %d machines were neither heard nor returned within %v, %d returned",
-					left,
+					"%d of %d machines sent no heartbeat and were not returned within %v (want 0 within 10 s), %d returned (want a quarter at most)",
+					remaining,
 					len(names),
 					took,
 					returned,
@@ -365,13 +368,12 @@
 	}
 }
 
-// TestMachinesThatBootLateOrNever makes machines boot late by a multiple of their time, never, or at once: those
-// that never come up are returned and replaced, and not rented again in a wave; those that are late are used or
-// returned.
+// TestMachinesThatBootLateOrNever makes machines boot several times slower, never, or at once. Machines that never
+// boot are returned and replaced, but not by a burst of rentals; late machines are used or returned.
 func TestMachinesThatBootLateOrNever(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		factor, never float64
+		factor, never float64 // multiple of the boot time; share of machines that never boot
 	}{{"late", 6, 0}, {"never", 1, 0.6}, {"at once", 0.01, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			cluster := newWideCluster(t, 86, 3)
@@ -396,25 +398,25 @@
 			for _, machine := range cluster.cloud.machines {
 				if !machine.dead && machine.upAt > cluster.now()+time.Hour {
 					t.Errorf(
-						"%s never comes up and is paid for after %v",
+						"machine %s never boots and is still rented after %v, want returned",
 						machine.Name,
 						cluster.now()-machine.rentedAt,
 					)
 				}
 			}
 			cluster.mu.Unlock()
-			t.Logf("at most %d machines", maxMachines)
+			t.Logf("at most %d machines were rented at once", maxMachines)
 			cluster.waitUntilDone()
 		})
 	}
 }
 
-// TestFailingJobsAndFaultyMachines submits jobs that fail on every machine until they are cancelled beside others:
-// single tasks, gangs and arrays. No machine is returned for them, the others don't wait for them, and a faulty
-// machine is detected all the same.
+// TestFailingJobsAndFaultyMachines submits jobs that fail on every machine until they are cancelled, beside other
+// jobs: a single task, a gang and an array. No machine is returned because of them, other jobs don't wait for them,
+// and a faulty machine is still detected.
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
 	cluster, _ := newSteadyCluster(t, 87, 3)
-	for i := range 40 { // so much that no machine is idle
+	for i := range 40 { // enough work that no machine is idle
 		spec := arraySpec(fmt.Sprintf("req-81%04d", i), "long", "blue")
 		spec.Tasks = 8
 		spec.CPUs = 4
@@ -422,7 +424,7 @@
 		cluster.submit(spec)
 	}
 	cluster.Advance(20 * time.Second)
-	var wrong []*testUser
+	var failingUsers []*testUser
 	for i, failing := range []struct {
 		kind  jobs.Kind
 		tasks int
@@ -440,7 +442,7 @@
 		user := cluster.newUser(spec)
 		cluster.FailJob(spec.ID)
 		user.submit()
-		wrong = append(wrong, user)
+		failingUsers = append(failingUsers, user)
 	}
 	before := cluster.Stats()
 	returned := func() (n int) {
@@ -453,28 +455,28 @@
 		}
 		return n
 	}
-	was := returned()
+	returnedBefore := returned()
 	cluster.Advance(60 * time.Second)
 	crashed := cluster.Stats().TasksCrashed - before.TasksCrashed
-	t.Logf("%d failures in 60 s, %d machines returned", crashed, returned()-was)
+	t.Logf("%d failures in 60 s, %d machines returned", crashed, returned()-returnedBefore)
 	if crashed > 120 {
-		t.Errorf("%d failures in a minute", crashed)
+		t.Errorf("got %d task failures in 60 s, want at most 120", crashed)
 	}
-	if n := returned() - was; n > 0 {
-		t.Errorf("%d machines were returned while only jobs were at fault", n)
+	if n := returned() - returnedBefore; n > 0 {
+		t.Errorf("got %d machines returned while only jobs failed, want 0", n)
 	}
-	bad := cluster.BusiestMachine()
-	cluster.FailTasksOnMachine(bad)
-	cluster.waitFor("faulty machine given back", 90*time.Second, func() bool { return !cluster.machineAlive(bad) })
-	for _, user := range wrong {
+	faulty := cluster.BusiestMachine()
+	cluster.FailTasksOnMachine(faulty)
+	cluster.waitFor("faulty machine returned", 90*time.Second, func() bool { return !cluster.machineAlive(faulty) })
+	for _, user := range failingUsers {
 		user.cancel()
 	}
-	cluster.users = append(cluster.users, wrong...)
+	cluster.users = append(cluster.users, failingUsers...)
 	cluster.waitUntilDone()
 }
 
-// TestLeadersFrozenForAMinute freezes a leader for more than a minute, and then the next one: each time another
-// leads within a lease, and a controller that goes on does nothing on its former authority.
+// TestLeadersFrozenForAMinute freezes the leader for more than a minute, three leaders in a row. Each time another
+// controller leads within 12 s, and a controller that resumes does nothing on its expired leadership.
 func TestLeadersFrozenForAMinute(t *testing.T) {
 	cluster, balancer := newSteadyCluster(t, 88, 5)
 	pollers := cluster.startPolling(balancer)
@@ -491,9 +493,9 @@
 	cluster.waitUntilDone()
 }
 
-// TestFloodOfQueriesIsShed multiplies users' queries, for jobs that run, that have ended and that nobody submitted,
-// while the leader is frozen: each is answered at once or with a retry, no lease expires because of it, submissions
-// are accepted and no job's queries starve.
+// TestFloodOfQueriesIsShed sends a thousand queries a second for running, ended and unknown jobs, while the leader is
+// frozen for a time. Each query is answered at once or with a request to retry, no worker lease expires, submissions
+// are accepted, and every job's queries are answered again and again.
 func TestFloodOfQueriesIsShed(t *testing.T) {
 	cluster, balancer := newSteadyCluster(t, 91, 3)
 	pollers := cluster.startPolling(balancer)
@@ -507,17 +509,17 @@
 			id, real = cluster.users[i%len(cluster.users)].spec.ID, true
 		}
 		cluster.After(time.Duration(i)*time.Millisecond, func() {
-			at, to := cluster.Now(), i%3
-			frozen := cluster.virtual.controllers[to].frozenUntil > at
+			sentAt, to := cluster.Now(), i%3
+			frozen := cluster.virtual.controllers[to].frozenUntil > sentAt
 			cluster.Request(to, "GET", "/v2/runs/"+id, nil, func(status int, _ []byte) {
 				statuses[status]++
 				if !frozen && status != 0 {
-					slowest = max(slowest, cluster.Now()-at)
+					slowest = max(slowest, cluster.Now()-sentAt)
 				}
 				if status == 200 && !real || status == 404 && real && cluster.accepted(id) {
-					t.Errorf("%s is answered %d", id, status)
+					t.Errorf("query of %s: got status %d, want 200 for accepted jobs and 404 for unknown ones", id, status)
 				}
-				if cluster.Now()-at > 2*time.Second {
+				if cluster.Now()-sentAt > 2*time.Second {
 					late++
 				}
 			})
@@ -528,18 +530,18 @@
 	})
 	cluster.submitJobs(60 * time.Second)
 	cluster.Advance(62 * time.Second)
-	t.Logf("answers %v, the slowest of a controller that isn't frozen %v, %d late", statuses, slowest, late)
+	t.Logf("answers by status %v, slowest from a controller that isn't frozen %v, %d later than 2 s", statuses, slowest, late)
 	if n := cluster.Stats().WorkerLeasesExpired - before.WorkerLeasesExpired; n > 0 {
-		t.Errorf("%d leases ran out under a flood of questions", n)
+		t.Errorf("got %d worker leases expired during the flood of queries, want 0", n)
 	}
 	cluster.checkAnswered(pollers, from, 20*time.Second)
 	if statuses[200] == 0 || statuses[404] == 0 {
-		t.Errorf("answers %v", statuses)
+		t.Errorf("got answers by status %v, want some of 200 and of 404", statuses)
 	}
 	cluster.waitUntilDone()
 }
 
-// accepted tells whether a user's submission was taken.
+// accepted reports whether the submission of the job was accepted.
 func (r *testCluster) accepted(id string) bool {
 	return slices.ContainsFunc(
 		r.users,
@@ -547,9 +549,9 @@
 	)
 }
 
-// TestJobsWithoutGuaranteeDoNotDelayOthers lets teams without a guarantee submit one array of thousands of short
-// tasks, a flood of tiny jobs and idle-time work: teams with a guarantee wait no longer for it, and the others are
-// served.
+// TestJobsWithoutGuaranteeDoNotDelayOthers submits an array of thousands of short tasks, many tiny jobs and
+// best-effort work for a team without a guarantee. Jobs within a guarantee start within 10 s all the same, and the
+// other team's jobs start within 4 minutes.
 func TestJobsWithoutGuaranteeDoNotDelayOthers(t *testing.T) {
 	types := gpuMachineTypes(12)
 	cluster := newTestClusterOn(
@@ -583,32 +585,32 @@
 	}
 	for i := range 20 {
 		cluster.After(time.Duration(3*i)*time.Second, func() {
-			submit(520000+i, "red", "owed", "standard", 4, 4, 10)
+			submit(520000+i, "red", "guaranteed", "standard", 4, 4, 10)
 		})
 	}
 	cluster.Advance(65 * time.Second)
 	cluster.waitUntilDone()
-	if n := len(cluster.StartDelays("owed")); n != 20 {
-		t.Fatalf("%d jobs with a guarantee began", n)
+	if n := len(cluster.StartDelays("guaranteed")); n != 20 {
+		t.Fatalf("got %d jobs within the guarantee started, want 20", n)
 	}
-	if w := slices.Max(cluster.StartDelays("owed")); w > 10*time.Second {
-		t.Errorf("a job within its guarantee waited %v", w)
+	if w := slices.Max(cluster.StartDelays("guaranteed")); w > 10*time.Second {
+		t.Errorf("longest start delay within the guarantee: got %v, want at most 10 s", w)
 	}
 	if w := slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)); w > 4*time.Minute {
-		t.Errorf("guests waited %v", w)
+		t.Errorf("longest start delay without a guarantee: got %v, want at most 4 m", w)
 	}
 	t.Logf(
-		"within the guarantee %v at most, guests %v, tiny ones %v",
-		slices.Max(cluster.StartDelays("owed")),
+		"longest start delays: within the guarantee %v, without a guarantee %v, tiny jobs %v",
+		slices.Max(cluster.StartDelays("guaranteed")),
 		slices.Max(append(cluster.StartDelays("sweep"), cluster.StartDelays("idle")...)),
 		slices.Max(cluster.StartDelays("tiny")),
 	)
 }
 
-// playLargeGangs submits gangs of half the machines under a stream of small urgent jobs, over a kill and a freeze of
-// the leader, with an operator's settings. It returns the longest time until one of the large gangs started, and how
-// many haven't.
-func playLargeGangs(t *testing.T, operator string) (longest time.Duration, left int) {
+// playLargeGangs submits gangs that need half of the machines during a stream of small urgent jobs, with an operator's
+// settings, while one leader is killed and the next frozen. It returns the longest start delay of the large gangs, and
+// the number that haven't started.
+func playLargeGangs(t *testing.T, operator string) (longest time.Duration, unstarted int) {
 	t.Helper()
 	types := gpuMachineTypes(12)
 	types[0].Zones = []string{"a", "b"}
@@ -633,7 +635,7 @@
 		spec.Spot = false
 		(&testUser{simulation: sim, rng: rng, spec: spec}).submit()
 	}
-	for i := range 300 { // 16 machines, of which these take some 13
+	for i := range 300 { // these jobs occupy about 13 of 16 machines
 		sim.After(time.Duration(i)*1500*time.Millisecond, func() { submit(i, 1, "urgent", 16+8*rng.Float64()) })
 	}
 	const largeGangs, firstLarge = 3, 900
@@ -648,24 +650,24 @@
 		if delay, ok := sim.FirstStart(fmt.Sprintf("req-%06d", firstLarge+i)); ok {
 			longest = max(longest, delay)
 		} else {
-			left++
+			unstarted++
 		}
 	}
 	reportViolations(t, sim)
-	return longest, left
+	return longest, unstarted
 }
 
-// TestLargestJobsStartAcrossFailovers submits gangs that need half of all machines at once, under a constant stream
-// of small urgent jobs that takes most of them, while the leader is killed and the next one frozen: the gangs start
-// within four minutes of their submission under any leader. Without the rule they don't.
+// TestLargestJobsStartAcrossFailovers submits gangs that need half of all machines at once, during a constant stream
+// of small urgent jobs that occupies most machines, while the leader is killed and the next one frozen. The gangs
+// start within four minutes of their submission despite the failovers. With begin_s practically unlimited they don't.
 func TestLargestJobsStartAcrossFailovers(t *testing.T) {
-	longest, left := playLargeGangs(t, "")
-	t.Logf("the last begins after %v", longest)
-	if left > 0 || longest > 4*time.Minute {
-		t.Errorf("%d haven't begun, the last of the others after %v", left, longest)
+	longest, unstarted := playLargeGangs(t, "")
+	t.Logf("the longest start delay is %v", longest)
+	if unstarted > 0 || longest > 4*time.Minute {
+		t.Errorf("got %d large gangs not started, longest start delay %v; want 0 and at most 4 m", unstarted, longest)
 	}
-	if longest, left = playLargeGangs(t, "begin_s = 1000000\n"); left == 0 && longest < 4*time.Minute {
-		t.Errorf("without the rule the last begins after %v: the test shows nothing", longest)
+	if longest, unstarted = playLargeGangs(t, "begin_s = 1000000\n"); unstarted == 0 && longest < 4*time.Minute {
+		t.Errorf("with begin_s unlimited all large gangs started, the last after %v; want a gang later than 4 m or not at all", longest)
 	}
-	t.Logf("without the rule %d don't begin, the last of the others after %v", left, longest)
+	t.Logf("with begin_s unlimited: %d large gangs not started, longest start delay of the others %v", unstarted, longest)
 }
--- a/internal/simulator/pipelines_cascade_test.go
+++ b/internal/simulator/pipelines_cascade_test.go
@@ -9,16 +9,16 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Tests of a cascade of cancellations whose leader ends at every one of its transactions.
+// Tests of a cascade of cancellations in which the leader is killed at every transaction of the cascade.
 
 // Sizes of the cascades.
 const (
-	cascadeJobs = 30
-	// cascadeTxnOps is how many changes a transaction has at most.
+	cascadeJobs = 30 // successors of the cancelled job
+	// cascadeTxnOps is the maximum number of operations in a transaction.
 	cascadeTxnOps = 4
 )
 
-// countCancellations counts the records of cancelled jobs in a transaction, without that of one job.
+// countCancellations counts the records of cancelled jobs that a transaction writes, except the record of one job.
 func countCancellations(txn store.Txn, except string) (count int) {
 	for _, op := range txn.Then {
 		var record jobs.Record
@@ -36,22 +36,23 @@
 // cascadeKiller kills the leader at the transactions of a cascade.
 type cascadeKiller struct {
 	cluster *testCluster
-	head    string // the job that a user cancels
-	// outcome is what becomes of each transaction at which the leader is killed.
+	head    string // ID of the job that a user cancels
+	// outcome applies to each transaction at which the leader is killed.
 	outcome TxnOutcome
-	// afterAnswer kills the leader only as it sends the next transaction, which is not carried out: it has received the
-	// answer to the one before.
+	// afterAnswer kills the leader only when it sends its next transaction, which is dropped: by then the leader has
+	// received the answer to the one before.
 	afterAnswer bool
 
-	answered map[int]bool // controllers that have sent a transaction since their start
+	answered map[int]bool // controllers that have sent a transaction of the cascade since their start
 	kills    int
-	largest  int // the most cancellations in a transaction
+	largest  int // largest number of cancellations in one transaction
 }
 
-// killRestart is how long after its end a leader starts again.
+// killRestart is the time from a leader's kill to its restart.
 const killRestart = 300 * time.Millisecond
 
-// intercept decides what becomes of a transaction.
+// intercept returns the outcome of a transaction, and kills and restarts the leader if the transaction is part of the
+// cascade.
 func (k *cascadeKiller) intercept(controller int, txn store.Txn) TxnOutcome {
 	cancellations := countCancellations(txn, k.head)
 	if cancellations == 0 {
@@ -69,13 +70,13 @@
 	return k.outcome
 }
 
-// TestLeaderDiesAtEveryTransactionOfCascade cancels a job that 30 others wait for, in a row or all at once, and kills the
-// leader at every transaction of the cascade: after its answer, before it, or long before it is carried out.
+// TestLeaderDiesAtEveryTransactionOfCascade cancels a job that has 30 successors, in a chain or all direct, and kills
+// the leader at every transaction of the cascade: after its answer, before its answer, or long before it is applied.
 func TestLeaderDiesAtEveryTransactionOfCascade(t *testing.T) {
 	killers := map[string]cascadeKiller{
 		"after the answer":  {afterAnswer: true, outcome: TxnOutcome{Dropped: true}},
 		"before the answer": {outcome: TxnOutcome{Unanswered: true}},
-		"carried out late":  {outcome: TxnOutcome{Delay: 3 * time.Second}},
+		"applied late":      {outcome: TxnOutcome{Delay: 3 * time.Second}},
 	}
 	graphs := map[string]func(cluster *testCluster) []*testUser{
 		"chain": func(cluster *testCluster) []*testUser { return cluster.addChain(cascadeJobs + 1) },
@@ -104,7 +105,7 @@
 				users[0].cancel()
 				for end := cluster.Now() + 4*time.Minute; len(cluster.pendingJobs()) > 0; cluster.Advance(250 * time.Millisecond) {
 					if cluster.Now() >= end {
-						t.Fatalf("%d jobs are pending, %d kills", len(cluster.pendingJobs()), kill.kills)
+						t.Fatalf("got %d jobs pending after 4 m and %d kills, want 0 pending", len(cluster.pendingJobs()), kill.kills)
 					}
 					cluster.askEverywhere(users)
 				}
@@ -113,14 +114,14 @@
 				cluster.wantFinalStates(stateCancelled, users...)
 				t.Logf("%d kills, at most %d cancellations in a transaction", kill.kills, kill.largest)
 				if kill.kills < cascadeJobs/cascadeTxnOps || kill.largest > cascadeTxnOps {
-					t.Errorf("%d kills, at most %d cancellations in a transaction", kill.kills, kill.largest)
+					t.Errorf("got %d kills and %d cancellations in a transaction, want at least 7 and at most 4", kill.kills, kill.largest)
 				}
 			})
 		}
 	}
 }
 
-// newCascadeCluster starts a cluster whose state service takes few changes in a transaction.
+// newCascadeCluster starts a cluster whose state service accepts at most cascadeTxnOps operations in a transaction.
 func newCascadeCluster(t *testing.T) *testCluster {
 	t.Helper()
 	cluster := newPipelineCluster(t, 641)
--- a/internal/simulator/pipelines_chaos_test.go
+++ b/internal/simulator/pipelines_chaos_test.go
@@ -11,16 +11,16 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// Chaotic runs with pipelines.
+// Runs with random faults and pipelines.
 
-// What of the jobs of a chaotic run follows others.
+// Dependencies between the jobs of a run with random faults.
 const (
-	chaosFollowerPercent = 60
-	chaosMaxPredecessors = 3
-	chaosFirstFollower   = 2 // the index of the first user whose job may follow others
+	chaosFollowerPercent = 60 // of the jobs, which follow others
+	chaosMaxPredecessors = 3  // of a job
+	chaosFirstFollower   = 2  // index of the first user whose job may follow others
 )
 
-// linkPipelines makes most users' jobs follow some that are submitted before them.
+// linkPipelines makes most users' jobs follow one or more jobs that are submitted earlier.
 func linkPipelines(rng *rand.Rand, users []*testUser) {
 	users = slices.SortedFunc(slices.Values(users), func(a, b *testUser) int {
 		return cmp.Compare(a.submitAt, b.submitAt)
@@ -36,36 +36,38 @@
 	}
 }
 
-// checkPipelineAnswers checks that every user of a chaotic run received one final state, and counts them.
-func checkPipelineAnswers(t *testing.T, sim *Simulation, users []*testUser, ends map[string]int) {
+// checkPipelineAnswers checks that every user received exactly one final state, and adds the states to counts, which
+// also counts the jobs that were cancelled with a predecessor.
+func checkPipelineAnswers(t *testing.T, sim *Simulation, users []*testUser, counts map[string]int) {
 	t.Helper()
 	for _, user := range users {
 		if len(user.finalStates) == 0 {
-			t.Errorf("%s is not over (status %d, follows %v)", user.spec.ID, user.status, user.spec.Follows)
+			t.Errorf("%s: got no final state (status %d, follows %v), want one", user.spec.ID, user.status, user.spec.Follows)
 			continue
 		}
-		ends[user.finalStates[0]]++
+		counts[user.finalStates[0]]++
 		if user.finalStates[0] == stateCancelled && !user.cancelRequested {
-			ends["cancelled with another"]++
+			counts["cancelled with a predecessor"]++
 			if !sim.MayBeCancelled(user.spec.ID) {
-				t.Errorf("%s is cancelled, and nobody asked for it", user.spec.ID)
+				t.Errorf("%s was cancelled without a request to cancel it or a predecessor", user.spec.ID)
 			}
 		}
 		for _, state := range user.finalStates {
 			if state != user.finalStates[0] {
-				t.Errorf("%s was answered %v", user.spec.ID, user.finalStates)
+				t.Errorf("%s: got final states %v, want all equal", user.spec.ID, user.finalStates)
 			}
 		}
 	}
 }
 
-// TestPipelineChaos is TestChaos with jobs that follow others: no rule breaks, and every accepted job ends.
+// TestPipelineChaos runs the random faults of TestChaos on jobs that follow others. No invariant is violated, and
+// every accepted job ends.
 func TestPipelineChaos(t *testing.T) {
 	seeds := 12
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
-	ends := map[string]int{}
+	counts := map[string]int{}
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(uint64(seed+1), 53))
 		link := func(users []*testUser) { linkPipelines(rng, users) }
@@ -73,48 +75,49 @@
 		for _, violation := range sim.Violations() {
 			t.Errorf("seed %d: %s", 1000+seed, violation)
 		}
-		checkPipelineAnswers(t, sim, users, ends)
+		checkPipelineAnswers(t, sim, users, counts)
 		if t.Failed() {
 			t.Fatalf("seed %d failed", 1000+seed)
 		}
 	}
-	t.Logf("%d seeds: %v", seeds, ends)
-	if ends[stateDone] == 0 || ends["cancelled with another"] == 0 {
-		t.Error("no job was done, or none was cancelled with one that it follows")
+	t.Logf("%d seeds: %v", seeds, counts)
+	if counts[stateDone] == 0 || counts["cancelled with a predecessor"] == 0 {
+		t.Error("got no done job, or no job cancelled with a predecessor; want some of each")
 	}
 }
 
-// What is submitted in a chaotic upgrade, and when.
+// Load of an upgrade with random faults.
 const (
-	upgradeChaosPlainJobs    = 20
-	upgradeChaosPlainTime    = 40 * time.Second
+	upgradeChaosPlainJobs    = 20               // jobs without predecessors
+	upgradeChaosPlainTime    = 40 * time.Second // in which the plain jobs are submitted
 	upgradeChaosPipelines    = 12
-	upgradeChaosPipelineJobs = 5 // of each pipeline
-	upgradeChaosPipelineTime = 50 * time.Second
-	upgradeChaosSubmitTime   = 300 * time.Millisecond // between the jobs of a pipeline
-	upgradeChaosRollAfter    = 10 * time.Second
-	upgradeChaosCancelTime   = 12 * time.Second // from a submission to its cancellation, at most
+	upgradeChaosPipelineJobs = 5                      // in each pipeline
+	upgradeChaosPipelineTime = 50 * time.Second       // in which the first jobs of pipelines are submitted
+	upgradeChaosSubmitTime   = 300 * time.Millisecond // between the submissions of a pipeline's jobs
+	upgradeChaosRollAfter    = 10 * time.Second       // from the start to the rolling restart
+	upgradeChaosCancelTime   = 12 * time.Second       // maximum time from a submission to its cancellation
 )
 
-// Shares of chaotic upgrades: of as many, one is affected.
+// Shares of an upgrade with random faults: one in this many is affected.
 const (
 	upgradeChaosCancelShare = 8 // jobs that are cancelled
-	upgradeChaosLateShare   = 3 // runs with faults in which writes are late
-	upgradeChaosKillShare   = 3 // restarts with faults that kill the controller while it drains
+	upgradeChaosLateShare   = 3 // faulty runs with delayed writes
+	upgradeChaosKillShare   = 3 // restarts in faulty runs in which the controller is killed while it drains
 )
 
-// upgradeChaos is a run in which a cluster is upgraded from the release before pipelines, with jobs without and, once all
-// controllers run the newest release, with predecessors.
+// upgradeChaos is a run that upgrades a cluster from the release before pipelines. Jobs without predecessors are
+// submitted from the start, pipelines once all controllers run the newest release.
 type upgradeChaos struct {
 	*testCluster
 	meter  *pipelineMeter
-	faulty bool
-	rolled bool
-	// returns counts the returns of the former release to stored pipelines, before the cluster's level had risen.
+	faulty bool // whether random faults are injected
+	rolled bool // whether all controllers run the newest release
+	// returns counts the restarts of a controller with the former release while pipelines were stored and the
+	// cluster's level had not risen.
 	returns int
 }
 
-// newUpgradeChaos starts the cluster of a run.
+// newUpgradeChaos starts the cluster of a run. The seed selects 3 or 5 controllers and the soak time.
 func newUpgradeChaos(t *testing.T, seed uint64, faulty bool) *upgradeChaos {
 	t.Helper()
 	cfg := pipelineConfig(seed)
@@ -125,12 +128,12 @@
 	return &upgradeChaos{testCluster: cluster, meter: newPipelineMeter(cluster), faulty: faulty}
 }
 
-// upTo draws a time.
+// upTo draws a duration less than limit.
 func (c *upgradeChaos) upTo(limit time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(limit)))
 }
 
-// drawUser draws a job of any kind, with or without predecessors, and when it is submitted.
+// drawUser draws a job of any kind, without predecessors, that is submitted at submitAt.
 func (c *upgradeChaos) drawUser(submitAt time.Duration) *testUser {
 	user := c.newUser(drawJob(c.rng, len(c.users)+1))
 	user.submitAt = submitAt
@@ -138,7 +141,7 @@
 	return user
 }
 
-// drawPlainUsers draws jobs without predecessors.
+// drawPlainUsers draws jobs without predecessors and their submission times.
 func (c *upgradeChaos) drawPlainUsers() (users []*testUser) {
 	for range upgradeChaosPlainJobs {
 		users = append(users, c.drawUser(c.upTo(upgradeChaosPlainTime)))
@@ -146,7 +149,7 @@
 	return users
 }
 
-// drawPipelines draws pipelines. Each job but the first follows some that were submitted before it in its pipeline.
+// drawPipelines draws pipelines. Each job except the first follows one or more earlier jobs of its pipeline.
 func (c *upgradeChaos) drawPipelines() (users []*testUser) {
 	for range upgradeChaosPipelines {
 		submitAt := c.upTo(upgradeChaosPipelineTime)
@@ -163,7 +166,7 @@
 	return users
 }
 
-// submitDrawn lets users submit at the times drawn. Some cancel their job.
+// submitDrawn schedules the submissions at the drawn times, and the cancellations of some of the jobs.
 func (c *upgradeChaos) submitDrawn(users []*testUser) {
 	for _, user := range users {
 		c.After(user.submitAt, user.submit)
@@ -173,7 +176,7 @@
 	}
 }
 
-// run plays the upgrade, with faults if it is faulty, ends the faults and waits until all jobs are over.
+// run performs the upgrade, with faults if c.faulty is set, then ends the faults and waits until all jobs have ended.
 func (c *upgradeChaos) run() {
 	c.t.Helper()
 	pipelines := c.drawPipelines()
@@ -190,13 +193,13 @@
 			c.After(c.upTo(upgradeChaosPipelineTime), c.returnToFormer)
 		}
 	})
-	c.waitFor("rolled", 5*time.Minute, func() bool { return c.rolled })
+	c.waitFor("all controllers restarted", 5*time.Minute, func() bool { return c.rolled })
 	c.Advance(upgradeChaosPipelineTime + upgradeChaosCancelTime)
 	c.endRun()
 	c.waitUntilDone()
 }
 
-// scheduleFaults draws faults until some time after the roll has probably ended.
+// scheduleFaults schedules random faults up to a time at which the rolling restart has probably ended.
 func (c *upgradeChaos) scheduleFaults() {
 	c.SetNetwork(time.Millisecond+c.upTo(20*time.Millisecond), 0.01, 0.01, 8*time.Second)
 	c.scheduleChaosFaults(c.rng, upgradeChaosRollAfter+2*upgradeChaosPipelineTime)
@@ -206,7 +209,8 @@
 	}
 }
 
-// returnToFormer restarts a controller with the former release by mistake, and with the newest some time later.
+// returnToFormer restarts a controller with the former release, as an operator might by mistake, and later with the
+// newest release.
 func (c *upgradeChaos) returnToFormer() {
 	if c.ClusterLevel() == levelBeforePipelines && len(c.dependentRecords()) > 0 {
 		c.returns++
@@ -222,23 +226,25 @@
 	})
 }
 
-// endRun ends all faults. All controllers run the newest release then, and the level rises.
+// endRun ends all faults, checks that all controllers run the newest release, and waits until the cluster's level
+// rises.
 func (c *upgradeChaos) endRun() {
 	c.t.Helper()
-	c.Advance(25 * time.Second) // faults that were begun end by themselves
+	c.Advance(25 * time.Second) // active faults end by themselves
 	c.SetNetwork(2*time.Millisecond, 0, 0, 0)
 	c.endFaults()
 	for i := range c.Controllers() {
 		if c.runningLevel(i) != rollout.Newest {
-			c.t.Errorf("controller %d has the former release", i)
+			c.t.Errorf("controller %d runs the former release, want the newest", i)
 		}
 	}
-	c.waitFor("upgraded", 2*time.Minute, func() bool { return c.ClusterLevel() == rollout.Newest })
+	c.waitFor("cluster at the newest level", 2*time.Minute, func() bool { return c.ClusterLevel() == rollout.Newest })
 }
 
-// TestPipelineUpgradeChaos upgrades clusters under random faults while pipelines are submitted and cancelled: no rule
-// breaks, and every accepted job ends. It logs how soon jobs start after those that they follow, and how soon no job
-// after a cancelled one is called pending.
+// TestPipelineUpgradeChaos upgrades clusters while pipelines are submitted and cancelled, with and without random
+// faults. No invariant is violated, and every accepted job ends. The test logs the delays from the end of
+// predecessors to a job's start, and from a cancellation to the last answer that calls a successor pending or
+// running.
 func TestPipelineUpgradeChaos(t *testing.T) {
 	for name, run := range map[string]struct {
 		faulty           bool
@@ -253,13 +259,13 @@
 			if os.Getenv("HAREWALK_LONG") != "" {
 				seeds = run.longSeeds
 			}
-			ends := map[string]int{}
+			counts := map[string]int{}
 			var delays pipelineDelays
 			var kills, starts, returns int
 			for seed := range seeds {
 				chaos := newUpgradeChaos(t, uint64(2000+seed), run.faulty)
 				chaos.run()
-				checkPipelineAnswers(t, chaos.Simulation, chaos.users, ends)
+				checkPipelineAnswers(t, chaos.Simulation, chaos.users, counts)
 				delays.add(chaos.meter.delays())
 				kills += chaos.Stats().ControllersKilled
 				starts += chaos.Stats().TaskStarts
@@ -268,14 +274,14 @@
 					t.Fatalf("seed %d failed", 2000+seed)
 				}
 			}
-			t.Logf("%d seeds: %v; %d starts, %d controllers killed, %d returns of the former release to pipelines",
-				seeds, ends, starts, kills, returns)
+			t.Logf("%d seeds: %v; %d starts, %d controllers killed, %d restarts with the former release while pipelines were stored",
+				seeds, counts, starts, kills, returns)
 			delays.log(t, name)
-			if ends[stateDone] == 0 || len(delays.releaseToStart) == 0 || len(delays.cancelToGone) == 0 {
-				t.Error("no job was done, none was released, or none was cancelled with one that it follows")
+			if counts[stateDone] == 0 || len(delays.releaseToStart) == 0 || len(delays.cancelToGone) == 0 {
+				t.Error("got no done job, no job started after its predecessors, or no job cancelled with one; want some of each")
 			}
 			if run.faulty && (kills == 0 || returns == 0) {
-				t.Error("no controller was killed, or the former release returned to no pipeline")
+				t.Error("got no killed controller, or no restart with the former release while pipelines were stored; want both")
 			}
 		})
 	}
--- a/internal/simulator/pipelines_checks_test.go
+++ b/internal/simulator/pipelines_checks_test.go
@@ -13,9 +13,10 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// The checks of pipelines, each fed with the events that violate it and with those that don't.
+// Tests of the simulation's invariant checks for pipelines. Each check receives events that violate it and events that
+// don't.
 
-// pipelineSpec returns a job of one short task that follows others.
+// pipelineSpec returns the specification of job number n, which has one short task and the given predecessors.
 func pipelineSpec(n int, follows ...string) *jobs.Spec {
 	return &jobs.Spec{
 		ID:        fmt.Sprintf("req-%06d", n),
@@ -34,7 +35,7 @@
 	}
 }
 
-// pendingRecords returns the stored records of pending jobs.
+// pendingRecords returns the records of jobs as pending, by key, as the state service stores them.
 func pendingRecords(specs ...*jobs.Spec) map[string]store.Item {
 	items := map[string]store.Item{}
 	for i, spec := range specs {
@@ -44,8 +45,8 @@
 	return items
 }
 
-// newPipelineChecks returns a simulation in which nobody submitted a job to a controller: the events come from the
-// test.
+// newPipelineChecks returns a simulation whose checks have the given jobs. No job is submitted to a controller: the
+// events come from the test.
 func newPipelineChecks(t *testing.T, specs ...*jobs.Spec) *Simulation {
 	t.Helper()
 	sim, err := NewVirtualTime(Config{Seed: 1}, nil)
@@ -58,8 +59,8 @@
 	return sim
 }
 
-// chainOfThree returns the specifications of req-000001, of req-000002, which follows it, and of req-000003, which
-// follows that.
+// chainOfThree returns the specifications of three jobs: req-000002 follows req-000001, and req-000003 follows
+// req-000002.
 func chainOfThree() (first, second, third *jobs.Spec) {
 	first = pipelineSpec(1)
 	second = pipelineSpec(2, first.ID)
@@ -67,17 +68,17 @@
 	return first, second, third
 }
 
-// wantViolations checks that the simulation has as many violations of a rule as wanted, and no others.
+// wantViolations checks that the simulation has reported want violations of a rule, and no violations of other rules.
 func wantViolations(t *testing.T, sim *Simulation, rule string, want int) {
 	t.Helper()
 	violations := sim.Violations()
 	isOther := func(violation string) bool { return !strings.Contains(violation, " s: "+rule+":") }
 	if len(violations) != want || slices.ContainsFunc(violations, isOther) {
-		t.Errorf("%d violations of %s, want %d: %v", len(violations), rule, want, violations)
+		t.Errorf("got %d violations, want only violations of rule %s and %d of them: %v", len(violations), rule, want, violations)
 	}
 }
 
-// startTask lets a task of a job get its image on a machine of its own.
+// startTask reports the start of a task on a new machine that runs only this task.
 func startTask(sim *Simulation, spec *jobs.Spec, index int) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -85,34 +86,35 @@
 	machine := &Machine{Name: "m-" + task.name, worker: worker{tasks: []*workerTask{task}}}
 	sim.cloud.machines = append(sim.cloud.machines, machine)
 	sim.taskStarted(sim.now(), machine, task)
-	machine.dead = true // it plays no further part
+	machine.dead = true // keeps the machine out of later checks
 }
 
-// completeTasks records the first tasks of a job as completed.
+// completeTasks records the first n tasks of a job as completed.
 func completeTasks(sim *Simulation, spec *jobs.Spec, n int) {
 	for index := range n {
 		sim.progressOf(taskName(spec.ID, index)).done = true
 	}
 }
 
-// receive lets a user receive the answer to a query of a job that was sent at the same moment.
+// receive passes a user's query of a job and its answer to the checks, both at the current time.
 func receive(sim *Simulation, job, state string) {
-	about := userRequest{job: job, queries: true}
-	sim.checkUserAnswer(about, sim.Now(), http.StatusOK, []byte(`{"stance":"`+state+`"}`))
+	request := userRequest{job: job, queries: true}
+	sim.checkUserAnswer(request, sim.Now(), http.StatusOK, []byte(`{"stance":"`+state+`"}`))
 }
 
-// requestCancel lets a user ask for a cancellation, without an answer.
+// requestCancel passes a user's cancellation request to the checks, without an answer.
 func requestCancel(sim *Simulation, job string) {
 	sim.noteCancelRequest(userRequest{job: job, cancels: true})
 }
 
-// receiveCancelled lets a user ask for a cancellation and receive its confirmation.
+// receiveCancelled passes a user's cancellation request and its confirmation to the checks.
 func receiveCancelled(sim *Simulation, job string) {
 	requestCancel(sim, job)
 	receive(sim, job, stateCancelled)
 }
 
-// TestTooEarlyStartIsReported starts a task before any, some and all tasks of its predecessors have completed.
+// TestTooEarlyStartIsReported starts a task when no, some and all tasks of its job's predecessors have completed.
+// Only the last start is no violation.
 func TestTooEarlyStartIsReported(t *testing.T) {
 	first, other := pipelineSpec(1), pipelineSpec(2)
 	first.Tasks = 2
@@ -131,7 +133,7 @@
 	wantViolations(t, sim, "too_early", 3)
 }
 
-// TestStartAfterUnknownJobIsReported starts a task whose job follows a job that nobody submitted.
+// TestStartAfterUnknownJobIsReported starts a task whose job follows a job that was never submitted.
 func TestStartAfterUnknownJobIsReported(t *testing.T) {
 	spec := pipelineSpec(2, "req-000001")
 	sim := newPipelineChecks(t, spec)
@@ -139,8 +141,9 @@
 	wantViolations(t, sim, "too_early", 1)
 }
 
-// TestOrphanedJobIsReported queries the jobs after a cancelled one until and after cancel_s: both a direct and an
-// indirect successor, also one that was submitted later, are reported when they are called pending or running.
+// TestOrphanedJobIsReported queries the successors of a cancelled job up to cancel_s and later. After cancel_s,
+// answers that call a direct or indirect successor pending or running are reported, even if the successor was
+// submitted after the cancellation.
 func TestOrphanedJobIsReported(t *testing.T) {
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second)
@@ -160,7 +163,8 @@
 	wantViolations(t, sim, "orphaned", 2)
 }
 
-// TestOrphanedJobInListIsReported lets a user receive lists of jobs before and after cancel_s has passed.
+// TestOrphanedJobInListIsReported passes lists with successors of a cancelled job to the checks before and after
+// cancel_s has passed. Only successful answers count.
 func TestOrphanedJobInListIsReported(t *testing.T) {
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
@@ -183,7 +187,7 @@
 	wantViolations(t, sim, "orphaned", 2)
 }
 
-// TestJobListsAreRecognized checks which requests are lists of jobs.
+// TestJobListsAreRecognized checks which requests isJobList counts as requests for a list of jobs.
 func TestJobListsAreRecognized(t *testing.T) {
 	for target, want := range map[string]bool{
 		"GET /v2/runs":            true,
@@ -194,12 +198,13 @@
 	} {
 		method, path, _ := strings.Cut(target, " ")
 		if isJobList(method, path) != want {
-			t.Errorf("%s: a list of jobs is %v", target, !want)
+			t.Errorf("isJobList(%s): got %v, want the opposite", target, !want)
 		}
 	}
 }
 
-// TestOrphanedCountsFromTheFirstCancellation cancels two jobs before one, at different times.
+// TestOrphanedCountsFromTheFirstCancellation cancels two predecessors of a job at different times. cancel_s counts
+// from the first cancellation.
 func TestOrphanedCountsFromTheFirstCancellation(t *testing.T) {
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
@@ -211,7 +216,7 @@
 	wantViolations(t, sim, "orphaned", 1)
 }
 
-// TestOrphanedJobIsReportedInRealTime feeds the answer to the users of real time.
+// TestOrphanedJobIsReportedInRealTime passes the answer to the check that simulations in real time use.
 func TestOrphanedJobIsReportedInRealTime(t *testing.T) {
 	first, second, _ := chainOfThree()
 	sim, err := NewRealTime(Config{Seed: 1})
@@ -229,8 +234,8 @@
 	wantViolations(t, sim, "orphaned", 1)
 }
 
-// TestTasksOfOrphansAreReported leaves a task of an indirect successor on its machine for longer than cancel_s after
-// a cancellation.
+// TestTasksOfOrphansAreReported leaves a task of an indirect successor of a cancelled job on its machine for longer
+// than cancel_s.
 func TestTasksOfOrphansAreReported(t *testing.T) {
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
@@ -245,14 +250,15 @@
 	wantViolations(t, sim, "ran_cancelled", 1)
 }
 
-// checkCancelledAnswer lets a user's history get the answer that a job is cancelled, which nobody asked for.
+// checkCancelledAnswer passes the answer that a job is cancelled to the checks in virtual and in real time, although
+// no user requested the cancellation of this job.
 func checkCancelledAnswer(sim *Simulation, spec *jobs.Spec) {
 	receive(sim, spec.ID, stateCancelled)
 	sim.CheckAnswer(&History{ID: spec.ID, Tasks: spec.Tasks}, http.StatusOK, stateCancelled, false)
 }
 
-// TestCancelledForNoReasonIsReported calls a job cancelled for which only a job after it, or none at all, was
-// cancelled; and one after a job whose cancellation was requested, which is no violation.
+// TestCancelledForNoReasonIsReported requests the cancellation of the second job of a chain. An answer that calls the
+// third job cancelled is no violation; one that calls the first cancelled is, since only a successor was cancelled.
 func TestCancelledForNoReasonIsReported(t *testing.T) {
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second, third)
@@ -263,8 +269,8 @@
 	wantViolations(t, sim, "went_back", 1)
 }
 
-// TestCancelledAfterDoneJobIsReported calls a job cancelled after its predecessor's cancellation was answered with
-// done.
+// TestCancelledAfterDoneJobIsReported answers a predecessor's cancellation with done, and then calls the successor
+// cancelled.
 func TestCancelledAfterDoneJobIsReported(t *testing.T) {
 	first, second, _ := chainOfThree()
 	sim := newPipelineChecks(t, first, second)
@@ -274,8 +280,8 @@
 	wantViolations(t, sim, "went_back", 1)
 }
 
-// TestCancelledBeforeDoneJobIsReported calls a job cancelled first, and then the job before it, whose cancellation was
-// requested, done.
+// TestCancelledBeforeDoneJobIsReported first calls a successor cancelled, and then its predecessor, whose cancellation
+// was requested, done.
 func TestCancelledBeforeDoneJobIsReported(t *testing.T) {
 	first, second, _ := chainOfThree()
 	sim := newPipelineChecks(t, first, second)
@@ -286,13 +292,13 @@
 	wantViolations(t, sim, "went_back", 1)
 }
 
-// receiveSubmitted lets a user receive a status for a submission that was sent at the same moment.
+// receiveSubmitted passes a submission and the status of its answer to the checks, both at the current time.
 func receiveSubmitted(sim *Simulation, spec *jobs.Spec, status int) {
-	about := userRequest{job: spec.ID, submits: true}
-	sim.checkUserAnswer(about, sim.Now(), status, []byte(`{"stance":"pending"}`))
+	request := userRequest{job: spec.ID, submits: true}
+	sim.checkUserAnswer(request, sim.Now(), status, []byte(`{"stance":"pending"}`))
 }
 
-// TestAcceptedFollowerOfUnknownJobIsReported accepts a job that follows one that nobody submitted.
+// TestAcceptedFollowerOfUnknownJobIsReported accepts a job whose predecessor was never submitted.
 func TestAcceptedFollowerOfUnknownJobIsReported(t *testing.T) {
 	spec := pipelineSpec(2, "req-000001")
 	sim := newPipelineChecks(t, spec)
@@ -302,22 +308,21 @@
 	wantViolations(t, sim, "accepted", 1)
 }
 
-// TestRefusedFollowerOfAcceptedJobIsReported refuses a job for good before and after the one that it follows is
-// accepted.
+// TestRefusedFollowerOfAcceptedJobIsReported rejects a job with 422 before and after its predecessor is accepted.
 func TestRefusedFollowerOfAcceptedJobIsReported(t *testing.T) {
 	first, second, _ := chainOfThree()
 	sim := newPipelineChecks(t, first, second)
 	receiveSubmitted(sim, second, http.StatusUnprocessableEntity)
 	receiveSubmitted(sim, first, http.StatusCreated)
-	receiveSubmitted(sim, second, http.StatusUnprocessableEntity) // sent before that answer was received
+	receiveSubmitted(sim, second, http.StatusUnprocessableEntity) // sent before the acceptance was received
 	wantViolations(t, sim, "refused", 0)
 	sim.Advance(time.Millisecond)
 	receiveSubmitted(sim, second, http.StatusUnprocessableEntity)
 	wantViolations(t, sim, "refused", 1)
 }
 
-// TestBlockedJobDoesNotWaitBesideCapacity judges a job beside an idle machine before and after the job that it follows
-// is done.
+// TestBlockedJobDoesNotWaitBesideCapacity checks that a pending job beside an idle machine counts as waiting only
+// once its predecessor is done.
 func TestBlockedJobDoesNotWaitBesideCapacity(t *testing.T) {
 	first, second, _ := chainOfThree()
 	sim := newPipelineChecks(t, first, second)
@@ -325,10 +330,10 @@
 	machine := &Machine{Name: "m", machineType: sim.cfg.Types[0], zone: "a"}
 	use := &capacityUse{ready: []candidateMachine{{machine, machine.machineType.Size()}}}
 	if sim.waitsBesideCapacity(second, use) {
-		t.Error("a job that waits for another is judged")
+		t.Error("waitsBesideCapacity is true for a job with an unfinished predecessor, want false")
 	}
 	completeTasks(sim, first, first.Tasks)
 	if !sim.waitsBesideCapacity(second, use) {
-		t.Error("a job is not judged though the job that it follows is done")
+		t.Error("waitsBesideCapacity is false for a job whose predecessor is done, want true")
 	}
 }
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -12,33 +12,34 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Measurements of pipelines beside a run: how soon a job starts after the last that it follows, and how soon no
-// controller calls a job pending after one before it is cancelled.
+// Measurements of pipelines during a run: the delay from the end of a job's last predecessor to its start, and from
+// the cancellation of a predecessor to the last answer that calls the job pending or running.
 
 const (
-	// recordInterval spaces the looks at the stored records, and bounds the error of a measured start.
+	// recordInterval is the time between reads of the stored records. It bounds the error of a measured start.
 	recordInterval = 10 * time.Millisecond
-	// questionInterval spaces the questions about jobs after a cancelled one, and bounds the error of a measured end.
-	questionInterval = 50 * time.Millisecond
+	// queryInterval is the time between queries of successors of cancelled jobs. It bounds the error of a measured
+	// end.
+	queryInterval = 50 * time.Millisecond
 )
 
-// pipelineMeter measures the pipelines of a cluster. It asks every controller, as a user does.
+// pipelineMeter measures the delays of a cluster's pipelines. It queries every controller as a user does.
 type pipelineMeter struct {
 	cluster    *testCluster
-	revision   uint64                   // up to which records were looked at
-	acceptedAt map[string]time.Duration // by job: when its pending record was durable
-	doneAt     map[string]time.Duration // by job: when its end was durable
-	probes     map[string]*cancelProbe  // by job after a cancelled one
+	revision   uint64                   // highest version of a record that was read
+	acceptedAt map[string]time.Duration // by job ID: time when the pending record was durable
+	doneAt     map[string]time.Duration // by job ID: time when the done record was durable
+	probes     map[string]*cancelProbe  // by ID of a successor of a cancelled job
 }
 
-// cancelProbe is what controllers answered about a job since a user received that one before it is cancelled.
+// cancelProbe holds the controllers' answers about a job since a user was informed that a predecessor is cancelled.
 type cancelProbe struct {
-	cancelledAt time.Duration
-	lastOpen    time.Duration // after cancelledAt, the last answer that called the job pending or running
-	settled     map[int]bool  // controllers that have called it cancelled
+	cancelledAt time.Duration // time of the first answer that a predecessor is cancelled
+	lastOpen    time.Duration // from cancelledAt to the last answer that called the job pending or running
+	settled     map[int]bool  // controllers that have called the job cancelled
 }
 
-// newPipelineMeter measures a cluster from now on.
+// newPipelineMeter returns a meter that measures a cluster from now on.
 func newPipelineMeter(cluster *testCluster) *pipelineMeter {
 	meter := &pipelineMeter{
 		cluster:    cluster,
@@ -51,7 +52,7 @@
 	return meter
 }
 
-// readRecords takes note of the records that were written since the last look, again and again.
+// readRecords stores the times of the records written since the last read. It repeats every recordInterval.
 func (m *pipelineMeter) readRecords() {
 	now := m.cluster.Now()
 	newest := m.revision
@@ -73,30 +74,32 @@
 	m.cluster.After(recordInterval, m.readRecords)
 }
 
-// setFirst records a moment unless an earlier one is recorded.
-func setFirst(moments map[string]time.Duration, id string, at time.Duration) {
-	if _, known := moments[id]; !known {
-		moments[id] = at
+// setFirst records the time at for a job unless an earlier one is recorded.
+func setFirst(times map[string]time.Duration, id string, at time.Duration) {
+	if _, recorded := times[id]; !recorded {
+		times[id] = at
 	}
 }
 
-// probe asks every controller about the jobs after cancelled ones until all have called them cancelled, again and again.
+// probe queries the successors of cancelled jobs at the controllers that haven't called them cancelled yet. It repeats
+// every queryInterval.
 func (m *pipelineMeter) probe() {
 	m.cluster.mu.Lock()
 	cancelledAbove := maps.Clone(m.cluster.work.pipelines.cancelledAbove)
 	m.cluster.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(cancelledAbove)) {
-		// Jobs that were accepted only afterwards are not measured.
+		// Jobs that were accepted after the cancellation are not measured.
 		if acceptedAt, accepted := m.acceptedAt[id]; accepted && acceptedAt < cancelledAbove[id] {
 			m.probeJob(id, cancelledAbove[id])
 		}
 	}
-	m.askForLists()
-	m.cluster.After(questionInterval, m.probe)
+	m.requestLists()
+	m.cluster.After(queryInterval, m.probe)
 }
 
-// askForLists asks the controllers for lists of jobs while one is asked about; the simulation checks them.
-func (m *pipelineMeter) askForLists() {
+// requestLists requests the list of jobs from each controller that still has a job to call cancelled. The simulation
+// checks the lists.
+func (m *pipelineMeter) requestLists() {
 	for i := range m.cluster.Controllers() {
 		for _, probe := range m.probes {
 			if !probe.settled[i] {
@@ -107,7 +110,7 @@
 	}
 }
 
-// probeJob asks the controllers about a job that haven't called it cancelled.
+// probeJob queries a job at the controllers that haven't called it cancelled.
 func (m *pipelineMeter) probeJob(id string, cancelledAt time.Duration) {
 	probe := m.probes[id]
 	if probe == nil {
@@ -124,7 +127,7 @@
 	}
 }
 
-// record takes note of a controller's answer.
+// record stores a controller's answer. Answers other than 200 are ignored.
 func (p *cancelProbe) record(controller int, now time.Duration, status int, state string) {
 	switch {
 	case status != http.StatusOK:
@@ -135,19 +138,19 @@
 	}
 }
 
-// pipelineDelays are what a meter has measured.
+// pipelineDelays are the delays that a meter has measured.
 type pipelineDelays struct {
-	// releaseToStart is, for each job that was accepted before the last of its predecessors had ended, the time from that
-	// end, when it was durable, to its first task that has its image on a machine.
+	// releaseToStart has, for each job that was accepted before its last predecessor ended, the time from when that
+	// end was durable until the job's first task has its image on a machine.
 	releaseToStart []time.Duration
-	// unlicensed are those of them that need no licence, of which a run has few.
+	// unlicensed has the part of releaseToStart of jobs that need no licence, since a run has few licences.
 	unlicensed []time.Duration
-	// cancelToGone is, for each job after a cancelled one, the time from the first answer that this was cancelled to the
-	// last that called the job pending or running.
+	// cancelToGone has, for each successor of a cancelled job, the time from the first answer that the job was
+	// cancelled to the last answer that called the successor pending or running.
 	cancelToGone []time.Duration
 }
 
-// add adds other measurements.
+// add appends the measurements of another run.
 func (d *pipelineDelays) add(other pipelineDelays) {
 	d.releaseToStart = append(d.releaseToStart, other.releaseToStart...)
 	d.unlicensed = append(d.unlicensed, other.unlicensed...)
@@ -159,10 +162,10 @@
 	t.Helper()
 	t.Logf("%s: release to start: %s", name, quantiles(d.releaseToStart))
 	t.Logf("%s: release to start without licences: %s", name, quantiles(d.unlicensed))
-	t.Logf("%s: cancellation to gone: %s (cancel_s %v)", name, quantiles(d.cancelToGone), jobs.Seconds(shortTimers.CancelS))
+	t.Logf("%s: cancellation to last open answer: %s (cancel_s %v)", name, quantiles(d.cancelToGone), jobs.Seconds(shortTimers.CancelS))
 }
 
-// delays returns what has been measured.
+// delays returns the delays measured so far.
 func (m *pipelineMeter) delays() (delays pipelineDelays) {
 	sim := m.cluster.Simulation
 	sim.mu.Lock()
@@ -185,8 +188,8 @@
 	return delays
 }
 
-// releasedAt returns when the end of the last predecessor of a job was durable. It returns false unless the job has
-// predecessors, all are done, and it was accepted before.
+// releasedAt returns the time when the end of a job's last predecessor was durable. It returns false unless the job
+// has predecessors, all of them are done, and the job was accepted before that time.
 func (m *pipelineMeter) releasedAt(spec *jobs.Spec) (last time.Duration, measured bool) {
 	for _, predecessor := range spec.Follows {
 		doneAt, done := m.doneAt[predecessor]
@@ -199,23 +202,23 @@
 	return last, accepted && acceptedAt < last
 }
 
-// delayQuantiles are quantiles of measured times.
+// delayQuantiles are the quantiles of measured delays.
 type delayQuantiles struct {
 	count         int
 	p50, p99, max time.Duration
 }
 
-// quantiles returns the quantiles of times.
-func quantiles(times []time.Duration) delayQuantiles {
-	if len(times) == 0 {
+// quantiles returns the quantiles of delays; zero values if there are none.
+func quantiles(delays []time.Duration) delayQuantiles {
+	if len(delays) == 0 {
 		return delayQuantiles{}
 	}
-	sorted := slices.Sorted(slices.Values(times))
+	sorted := slices.Sorted(slices.Values(delays))
 	rank := func(percent int) time.Duration { return sorted[(len(sorted)-1)*percent/100] }
 	return delayQuantiles{count: len(sorted), p50: rank(50), p99: rank(99), max: rank(100)}
 }
 
-// String returns the quantiles for the log.
+// String returns the quantiles in milliseconds precision for the log.
 func (q delayQuantiles) String() string {
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	return fmt.Sprintf("%d jobs, p50 %v, p99 %v, max %v", q.count, round(q.p50), round(q.p99), round(q.max))
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -16,11 +16,11 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// Tests of pipelines on several controllers that fail. Users submit each job as soon as those that it follows are
+// Tests of pipelines on several controllers that fail. Users submit each job once all of its predecessors are
 // accepted.
 
-// awaitsPredecessor reports whether a job that the user's job follows is not accepted yet. The user then submits when
-// it is.
+// awaitsPredecessor reports whether a predecessor of the user's job isn't accepted yet. If so, the user submits again
+// once that predecessor is accepted.
 func (u *testUser) awaitsPredecessor() bool {
 	for _, predecessor := range u.predecessors {
 		if predecessor.history.ID == "" {
@@ -31,7 +31,7 @@
 	return false
 }
 
-// callAccepted calls those that wait for the job's acceptance.
+// callAccepted calls and clears the functions that wait for the job's acceptance.
 func (u *testUser) callAccepted() {
 	waiting := u.onAccepted
 	u.onAccepted = nil
@@ -40,7 +40,7 @@
 	}
 }
 
-// follow makes the user's job follow the jobs of others.
+// follow adds the jobs of other users as predecessors of the user's job.
 func (u *testUser) follow(predecessors ...*testUser) {
 	for _, predecessor := range predecessors {
 		u.predecessors = append(u.predecessors, predecessor)
@@ -48,8 +48,8 @@
 	}
 }
 
-// pipelineOperator is the operators' settings of the tests of pipelines: jobs are archived soon after their end, and
-// the level rises soon after the start.
+// pipelineOperator holds the operators' settings for tests of pipelines: jobs are archived 2 s after their end, and
+// the cluster's level rises 1 s after all controllers support a higher one.
 const pipelineOperator = `archive {
   retain_s = 2
 }
@@ -58,10 +58,10 @@
 }
 `
 
-// pipelineStream is the sequence number of the random source of these tests' users.
+// pipelineStream selects the sequence of the random generator for these tests' users.
 const pipelineStream = 47
 
-// pipelineConfig returns the configuration of these tests' clusters, in which cancel_s is short.
+// pipelineConfig returns the configuration of these tests' clusters, with a short cancel_s.
 func pipelineConfig(seed uint64) Config {
 	return Config{
 		Seed:         seed,
@@ -75,25 +75,26 @@
 	}
 }
 
-// newPipelineCluster starts a cluster of three controllers at the newest level, in which cancel_s is short.
+// newPipelineCluster starts a cluster of three controllers with a short cancel_s, and waits until it is at the newest
+// level.
 func newPipelineCluster(t *testing.T, seed uint64) *testCluster {
 	t.Helper()
 	return newPipelineClusterWith(t, seed, pipelineOperator)
 }
 
-// newPipelineClusterWith does so with other operators' settings.
+// newPipelineClusterWith is newPipelineCluster with other operators' settings.
 func newPipelineClusterWith(t *testing.T, seed uint64, operator string) *testCluster {
 	t.Helper()
 	cluster := startCluster(t, pipelineStream, pipelineConfig(seed), func(settings *config.Settings) error {
 		return settings.ReadOperator("o.hcl", []byte(operator))
 	})
-	cluster.waitFor("at the newest level", 30*time.Second, func() bool {
+	cluster.waitFor("cluster at the newest level", 30*time.Second, func() bool {
 		return cluster.ClusterLevel() == rollout.Newest && len(cluster.ActingLeaders()) == 1
 	})
 	return cluster
 }
 
-// addUser adds the user of a job that follows others; the user submits nothing yet.
+// addUser adds the user of a job with the given predecessors. The user submits nothing yet.
 func (r *testCluster) addUser(predecessors ...*testUser) *testUser {
 	user := r.newUser(pipelineSpec(len(r.users) + 1))
 	user.follow(predecessors...)
@@ -101,7 +102,7 @@
 	return user
 }
 
-// addDiamond adds the users of a job, of two that follow it and of one that follows these.
+// addDiamond adds the users of four jobs: a head, two jobs that follow the head, and one that follows both of these.
 func (r *testCluster) addDiamond() []*testUser {
 	head := r.addUser()
 	left, right := r.addUser(head), r.addUser(head)
@@ -111,7 +112,7 @@
 	return []*testUser{head, left, right, r.addUser(left, right)}
 }
 
-// addChain adds the users of a chain of jobs, each of which follows the one before it.
+// addChain adds the users of n jobs, each of which follows the one before.
 func (r *testCluster) addChain(n int) []*testUser {
 	chain := []*testUser{r.addUser()}
 	for len(chain) < n {
@@ -120,17 +121,17 @@
 	return chain
 }
 
-// submitAll lets all users submit, each as soon as the jobs that its job follows are accepted.
+// submitAll makes all users submit, each once the predecessors of its job are accepted.
 func (r *testCluster) submitAll() {
 	for _, user := range r.users {
 		user.submit()
 	}
 }
 
-// waitUntilAccepted waits until jobs are accepted.
+// waitUntilAccepted waits until the users' jobs are accepted, for at most a minute.
 func (r *testCluster) waitUntilAccepted(users ...*testUser) {
 	r.t.Helper()
-	r.waitFor("accepted", time.Minute, func() bool {
+	r.waitFor("jobs accepted", time.Minute, func() bool {
 		for _, user := range users {
 			if user.history.ID == "" {
 				return false
@@ -143,20 +144,20 @@
 // isDone reports whether all tasks of a user's job have completed on machines.
 func (r *testCluster) isDone(user *testUser) bool { return r.AllDone(user.spec.ID, user.spec.Tasks) }
 
-// waitUntilCompleted waits until all tasks of a job have completed on machines.
+// waitUntilCompleted waits until all tasks of a job have completed on machines, for at most a minute.
 func (r *testCluster) waitUntilCompleted(user *testUser) {
 	r.t.Helper()
 	for end := r.Now() + time.Minute; !r.isDone(user); r.Advance(10 * time.Millisecond) {
 		if r.Now() >= end {
-			r.t.Fatalf("%v: %s has not completed (status %d)", r.Now(), user.spec.ID, user.status)
+			r.t.Fatalf("%v: %s has not completed within a minute (status %d)", r.Now(), user.spec.ID, user.status)
 		}
 	}
 }
 
-// waitUntilArchived waits until jobs are in the archive.
+// waitUntilArchived waits until the users' jobs are in the archive, for at most two minutes.
 func (r *testCluster) waitUntilArchived(users ...*testUser) {
 	r.t.Helper()
-	r.waitFor("archived", 2*time.Minute, func() bool {
+	r.waitFor("jobs archived", 2*time.Minute, func() bool {
 		for _, user := range users {
 			if r.StoredItem(archive.Key(user.spec.ID)).Version == 0 {
 				return false
@@ -166,17 +167,17 @@
 	})
 }
 
-// wantFinalStates checks that the users of jobs received a final state.
+// wantFinalStates checks that the users received want as their job's first final state.
 func (r *testCluster) wantFinalStates(want string, users ...*testUser) {
 	r.t.Helper()
 	for _, user := range users {
 		if len(user.finalStates) == 0 || user.finalStates[0] != want {
-			r.t.Errorf("%s: its user received %v, want %s", user.spec.ID, user.finalStates, want)
+			r.t.Errorf("%s: got final states %v, want %s", user.spec.ID, user.finalStates, want)
 		}
 	}
 }
 
-// submission returns the body of a job's submission.
+// submission returns the request body that submits a job.
 func submission(t *testing.T, spec *jobs.Spec) []byte {
 	t.Helper()
 	body, err := spec.MarshalJSON()
@@ -186,7 +187,8 @@
 	return body
 }
 
-// submitAt submits a job through one controller until that answers for good, and returns the answer.
+// submitAt submits a job through one controller and repeats the request on no answer, 429 and 503. It returns the
+// first other answer, or the last one after 60 requests.
 func (r *testCluster) submitAt(controller int, spec *jobs.Spec) (status int, state string) {
 	r.t.Helper()
 	body := submission(r.t, spec)
@@ -204,19 +206,19 @@
 	return status, state
 }
 
-// wantAcceptedAt submits a user's job to one controller, which has to accept it.
+// wantAcceptedAt checks that a controller accepts the submission of a user's job.
 func (r *testCluster) wantAcceptedAt(controller int, user *testUser) {
 	r.t.Helper()
 	r.AddJob(user.spec)
 	if status, _ := r.submitAt(controller, user.spec); !isAcceptance(status) {
-		r.t.Errorf("%v, controller %d: status %d", r.Now(), controller, status)
+		r.t.Errorf("%v, controller %d: got status %d for a submission, want 200 or 201", r.Now(), controller, status)
 	}
 }
 
-// isAcceptance reports whether a status accepts a submission.
+// isAcceptance reports whether an HTTP status means that a submission is accepted.
 func isAcceptance(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// TestDiamondStartsInOrder runs four diamonds while the leader is killed again and again.
+// TestDiamondStartsInOrder runs four diamonds while three leaders are killed. All jobs are done in the end.
 func TestDiamondStartsInOrder(t *testing.T) {
 	cluster := newPipelineCluster(t, 601)
 	for range 4 {
@@ -228,7 +230,8 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestChainOfFiftyRunsInOrder runs a chain of 50 short jobs while leaders are killed and machines end.
+// TestChainOfFiftyRunsInOrder runs a chain of 50 short jobs while leaders and machines are killed. All jobs are done
+// in the end.
 func TestChainOfFiftyRunsInOrder(t *testing.T) {
 	cluster := newPipelineCluster(t, 602)
 	for _, user := range cluster.addChain(50) {
@@ -243,8 +246,8 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestJobWithFiveHundredPredecessorsStartsLast submits 500 short jobs and one that follows them all, and kills the
-// leader while they run.
+// TestJobWithFiveHundredPredecessorsStartsLast submits 500 short jobs and one that follows all of them, and kills
+// leaders while they run. All jobs are done in the end.
 func TestJobWithFiveHundredPredecessorsStartsLast(t *testing.T) {
 	cluster := newPipelineCluster(t, 603)
 	for range 500 {
@@ -257,12 +260,12 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// dependentJobFormat is the format of the record of a pending job with predecessors. All other jobs have format 1, also
-// the same job once it has ended.
+// dependentJobFormat is the record format of a pending job with predecessors. All other job records have format 1,
+// also that of a job with predecessors that has ended.
 const dependentJobFormat = 2
 
-// endsDependentJob reports whether a record that replaces one in another format is that of a job with predecessors that
-// ends.
+// endsDependentJob reports whether a stored value ends a job with predecessors: it is a job's record in format 1 with
+// a final state, and replaces one in formerFormat, that of pending jobs with predecessors.
 func endsDependentJob(key string, value json.RawMessage, formerFormat int) bool {
 	var record jobs.Record
 	if !strings.HasPrefix(key, jobs.Prefix) || json.Unmarshal(value, &record) != nil {
@@ -271,14 +274,14 @@
 	return formerFormat == dependentJobFormat && isFinal(record.State) && rollout.FormatOf(value) == 1
 }
 
-// TestOnlyEndOfDependentJobLowersFormat checks which records may be in an older format than those that they replace.
+// TestOnlyEndOfDependentJobLowersFormat checks which records may replace a record in a newer format.
 func TestOnlyEndOfDependentJobLowersFormat(t *testing.T) {
 	spec := pipelineSpec(2, "req-000001")
 	pending := jobs.EncodeRecord(jobs.Pending, 0, 1, spec)
 	done := jobs.EncodeRecord(jobs.Done, 0, 1, nil)
 	withoutPredecessors := jobs.EncodeRecord(jobs.Pending, 0, 1, pipelineSpec(2))
 	if rollout.FormatOf(pending) != dependentJobFormat {
-		t.Fatalf("a pending job with predecessors has format %d", rollout.FormatOf(pending))
+		t.Fatalf("record of a pending job with predecessors: got format %d, want 2", rollout.FormatOf(pending))
 	}
 	for _, replacement := range []struct {
 		key          string
@@ -293,12 +296,12 @@
 		{jobs.PlanPrefix + spec.ID, done, dependentJobFormat, false},
 	} {
 		if got := endsDependentJob(replacement.key, replacement.value, replacement.formerFormat); got != replacement.allowed {
-			t.Errorf("%+v: allowed is %v", replacement, got)
+			t.Errorf("endsDependentJob for %+v: got %v, want the opposite", replacement, got)
 		}
 	}
 }
 
-// controllerFaults are what happens to controllers at a moment, by name.
+// controllerFaults are functions that kill controllers and restart them later, by name of the fault.
 var controllerFaults = map[string]func(cluster *testCluster){
 	"leader killed": func(cluster *testCluster) {
 		cluster.onLeader(4*time.Second, cluster.KillController)
@@ -306,7 +309,8 @@
 	"all killed": func(cluster *testCluster) { killAll(cluster.Simulation, 500*time.Millisecond) },
 }
 
-// checkCancelledEverywhere checks that every controller calls jobs cancelled, now that cancel_s has passed.
+// checkCancelledEverywhere checks that every controller answers that the users' jobs are cancelled. It is called after
+// cancel_s has passed.
 func (r *testCluster) checkCancelledEverywhere(users ...*testUser) {
 	r.t.Helper()
 	for _, user := range users {
@@ -314,8 +318,9 @@
 	}
 }
 
-// TestCancellationReachesAllSuccessors cancels the first, a middle and the last job of a chain, with the leader, or
-// all controllers, killed right after the answer. The jobs before the cancelled one are done, the others cancelled.
+// TestCancellationReachesAllSuccessors cancels the first, a middle or the last job of a chain, and kills the leader
+// or all controllers right after the answer. The predecessors of the cancelled job are done, the successors
+// cancelled.
 func TestCancellationReachesAllSuccessors(t *testing.T) {
 	for fault, strike := range controllerFaults {
 		for cancelled, position := range map[string]int{"head": 0, "middle": 3, "last": 6} {
@@ -339,8 +344,8 @@
 	}
 }
 
-// TestCancellationReachesWideGraph cancels a job that 150 others follow, each of which has a successor of its own, and
-// kills the leader three times right after the answer: no transaction holds that many changes.
+// TestCancellationReachesWideGraph cancels a job with 150 direct successors, each of which has a successor of its own,
+// and kills three leaders after the answer. The cancellations don't fit into one transaction.
 func TestCancellationReachesWideGraph(t *testing.T) {
 	cluster := newPipelineCluster(t, 605)
 	head := cluster.addUser()
@@ -362,7 +367,7 @@
 	cluster.wantFinalStates(stateCancelled, cluster.users...)
 }
 
-// pendingJobs lists the jobs whose stored records are pending.
+// pendingJobs returns the sorted IDs of the jobs whose stored records are pending or can't be decoded.
 func (r *testCluster) pendingJobs() (pending []string) {
 	for key, item := range r.StoredItems(jobs.Prefix) {
 		var record jobs.Record
@@ -374,7 +379,7 @@
 	return pending
 }
 
-// submitWithoutUser submits a job of which no user asks for the state.
+// submitWithoutUser submits a job that no user queries.
 func (r *testCluster) submitWithoutUser(spec *jobs.Spec) {
 	r.t.Helper()
 	r.AddJob(spec)
@@ -387,15 +392,15 @@
 			return
 		}
 	}
-	r.t.Fatalf("%s: status %d", spec.ID, status)
+	r.t.Fatalf("%s: got status %d for the last of 30 submissions, want 200 or 201", spec.ID, status)
 }
 
-// TestCancellationReachesJobsNobodyAsksAbout cancels a job that 120 others wait for, each of which has a successor. At
-// the answer nothing else happens, the leader is killed, or the state service takes less in one transaction from then
-// on: within cancel_s all records are cancelled, though no user asks about a job.
-func TestCancellationReachesJobsNobodyAsksAbout(t *testing.T) {
+// TestCancellationReachesUnqueriedJobs cancels a job with 120 direct successors, each of which has a successor, while
+// no user queries any job. At the answer the leader is killed, or the limits of the state service drop, or no fault
+// occurs. All records are cancelled within cancel_s.
+func TestCancellationReachesUnqueriedJobs(t *testing.T) {
 	strikes := map[string]func(cluster *testCluster){
-		"nothing":              func(*testCluster) {},
+		"no fault":             func(*testCluster) {},
 		"leader killed":        controllerFaults["leader killed"],
 		"smaller transactions": func(cluster *testCluster) { cluster.LowerStateLimits(2, 8, 60) },
 	}
@@ -415,15 +420,15 @@
 			cluster.CancelJob(head.ID, 0)
 			cluster.Advance(jobs.Seconds(shortTimers.CancelS))
 			if pending := cluster.pendingJobs(); len(pending) > 0 {
-				t.Errorf("%d jobs are pending after cancel_s: %v", len(pending), pending)
+				t.Errorf("got %d jobs pending after cancel_s, want 0: %v", len(pending), pending)
 			}
 			reportViolations(t, cluster.Simulation)
 		})
 	}
 }
 
-// TestCancellationMeetsAcceptanceOfSuccessor cancels jobs through one controller while another accepts a job that
-// follows each, within milliseconds before and after. The leader is killed on the way.
+// TestCancellationMeetsAcceptanceOfSuccessor cancels each of 24 jobs up to 24 ms before or after its successor is
+// submitted through another controller, with and without killed leaders. All successors are cancelled.
 func TestCancellationMeetsAcceptanceOfSuccessor(t *testing.T) {
 	for _, leaderKilled := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader killed ", leaderKilled), func(t *testing.T) {
@@ -456,8 +461,8 @@
 	}
 }
 
-// TestFollowerOfCancelledJobIsAcceptedAndCancelled submits jobs that follow a cancelled one, through every controller:
-// when cancel_s has passed and once the cancelled job is in the archive.
+// TestFollowerOfCancelledJobIsAcceptedAndCancelled submits successors of a cancelled job through every controller,
+// after cancel_s has passed and after the cancelled job is archived.
 func TestFollowerOfCancelledJobIsAcceptedAndCancelled(t *testing.T) {
 	cluster := newPipelineCluster(t, 607)
 	head := cluster.addUser()
@@ -471,7 +476,7 @@
 			user := cluster.addUser(head)
 			cluster.wantAcceptedAt(i, user)
 			cluster.checkCancelledEverywhere(user)
-			user.submit() // again, and followed
+			user.submit() // repeats the submission and polls the job
 		}
 		cluster.waitUntilArchived(head)
 		cluster.onLeader(time.Second, cluster.KillController)
@@ -481,8 +486,8 @@
 	cluster.wantFinalStates(stateCancelled, cluster.users...)
 }
 
-// TestFollowerOfUnknownJobIsRefused submits a job that follows one that was never accepted to every controller, before
-// and after the leader is killed; once that job is accepted, its follower is.
+// TestFollowerOfUnknownJobIsRefused submits a job with a predecessor that was never accepted to every controller,
+// before and after the leader is killed. The job is accepted only after that predecessor is.
 func TestFollowerOfUnknownJobIsRefused(t *testing.T) {
 	cluster := newPipelineCluster(t, 608)
 	known := cluster.addUser()
@@ -494,7 +499,7 @@
 	for range 2 {
 		for i := range cluster.Controllers() {
 			if status, _ := cluster.submitAt(i, follower.spec); status != http.StatusUnprocessableEntity {
-				t.Errorf("controller %d: status %d, want 422", i, status)
+				t.Errorf("controller %d: got status %d, want 422", i, status)
 			}
 		}
 		cluster.onLeader(time.Second, cluster.KillController)
@@ -505,8 +510,8 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestFollowerOfArchivedJobRuns submits through every controller jobs that follow one that ended long ago, after all
-// controllers were killed.
+// TestFollowerOfArchivedJobRuns submits successors of an archived job through every controller, after all controllers
+// were killed and restarted.
 func TestFollowerOfArchivedJobRuns(t *testing.T) {
 	cluster := newPipelineCluster(t, 609)
 	head := cluster.addUser()
@@ -518,15 +523,15 @@
 	for i := range cluster.Controllers() {
 		user := cluster.addUser(head)
 		cluster.wantAcceptedAt(i, user)
-		user.submit() // again, and followed
+		user.submit() // repeats the submission and polls the job
 	}
 	cluster.waitUntilDone()
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestFollowerAcceptedWhilePredecessorIsArchived stalls one controller's watches, lets a job end and be archived, and
-// submits one that follows it through that controller, which still takes it for pending. The others learn from the
-// archive what it waits for.
+// TestFollowerAcceptedWhilePredecessorIsArchived stalls one controller's watches while a job ends and is archived, and
+// submits a successor through that controller, whose state still has the job as pending. The other controllers read
+// the predecessor's final state from the archive.
 func TestFollowerAcceptedWhilePredecessorIsArchived(t *testing.T) {
 	for _, want := range []string{stateDone, stateCancelled} {
 		t.Run(want, func(t *testing.T) {
@@ -537,7 +542,7 @@
 			head.spec.EstimateS = 4
 			head.submit()
 			cluster.waitUntilAccepted(head)
-			cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 1 })
+			cluster.waitFor("one task running", 20*time.Second, func() bool { return cluster.Utilization().Running == 1 })
 			leader := cluster.waitForLeader()
 			stale := (leader + 1) % cluster.Controllers()
 			if want == stateDone {
@@ -554,18 +559,18 @@
 			cluster.Request(stale, http.MethodPost, runsPath, body, func(got int, _ []byte) { status = got })
 			cluster.Advance(time.Second)
 			if !isAcceptance(status) {
-				t.Errorf("%v: status %d: the stale controller did not accept the job", cluster.Now(), status)
+				t.Errorf("%v: got status %d from the controller with stalled watches, want 200 or 201", cluster.Now(), status)
 			}
 			cluster.StallWatches(stale, false)
-			follower.submit() // again, and followed
+			follower.submit() // repeats the submission and polls the job
 			cluster.waitUntilDone()
 			cluster.wantFinalStates(want, head, follower)
 		})
 	}
 }
 
-// TestFollowerOfJobWithOpenWriteIsNotRefused submits a job that follows one whose accepting transaction is carried out
-// late, to the controller that has sent that: the answer is not 422, and the job is accepted in the end.
+// TestFollowerOfJobWithOpenWriteIsNotRefused submits a job while the transaction that accepts its predecessor is
+// delayed, to the controller that sent the transaction. The answer is never 422, and the job is accepted in the end.
 func TestFollowerOfJobWithOpenWriteIsNotRefused(t *testing.T) {
 	cluster := newPipelineCluster(t, 623)
 	head := cluster.addUser()
@@ -573,10 +578,10 @@
 	for _, user := range cluster.users {
 		cluster.AddJob(user.spec)
 	}
-	held := 0
+	delayed := 0
 	cluster.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
-		if createsJob(txn, head.spec.ID) && held == 0 {
-			held++
+		if createsJob(txn, head.spec.ID) && delayed == 0 {
+			delayed++
 			return TxnOutcome{Delay: 1500 * time.Millisecond}
 		}
 		return TxnOutcome{}
@@ -587,21 +592,21 @@
 	for range 30 {
 		cluster.Request(0, http.MethodPost, runsPath, body, func(status int, raw []byte) {
 			if status == http.StatusUnprocessableEntity {
-				t.Errorf("%v: %d %s", cluster.Now(), status, raw)
+				t.Errorf("%v: got %d %s while the predecessor's write is open, want no 422", cluster.Now(), status, raw)
 			}
 		})
 		cluster.Advance(100 * time.Millisecond)
 	}
-	if held != 1 {
-		t.Errorf("%d transactions were late", held)
+	if delayed != 1 {
+		t.Errorf("got %d delayed transactions, want 1", delayed)
 	}
 	cluster.submitAll()
 	cluster.waitUntilDone()
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestFollowerOfManyArchivedJobsRuns submits a job that follows 250 archived ones, through controllers that have just
-// started and remember nothing of them.
+// TestFollowerOfManyArchivedJobsRuns submits a job that follows 250 archived jobs, after all controllers have
+// restarted and have none of these jobs in memory.
 func TestFollowerOfManyArchivedJobsRuns(t *testing.T) {
 	cluster := newPipelineCluster(t, 617)
 	for range 250 {
@@ -617,13 +622,13 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestStaleControllersDoNotCallOrphansPending stalls the watches of the controllers that don't lead, or cuts them off
-// from the state service, and cancels the first job of a chain through the leader. All controllers are asked for longer
-// than cancel_s.
+// TestStaleControllersDoNotCallOrphansPending stalls the watches of the followers, or cuts the followers off from the
+// state service, and cancels the first job of a chain through the leader. No controller, queried for twice cancel_s,
+// calls a successor pending later than cancel_s after the cancellation.
 func TestStaleControllersDoNotCallOrphansPending(t *testing.T) {
 	faults := map[string]func(cluster *testCluster, controller int, on bool){
 		"watches stalled": func(cluster *testCluster, i int, on bool) { cluster.StallWatches(i, on) },
-		"refused":         func(cluster *testCluster, i int, on bool) { cluster.RefuseController(i, on) },
+		"state refused":   func(cluster *testCluster, i int, on bool) { cluster.RefuseController(i, on) },
 	}
 	for name, set := range faults {
 		t.Run(name, func(t *testing.T) {
@@ -649,8 +654,9 @@
 	}
 }
 
-// TestListsCallNoOrphansPending stalls the leader's watches, or nothing, cancels the first job of a chain through another
-// controller, and asks all controllers for lists of jobs for longer than cancel_s.
+// TestListsCallNoOrphansPending cancels the first job of a chain through a follower, with and without stalled watches
+// at the leader. No list of jobs, requested from all controllers for twice cancel_s, calls a successor pending later
+// than cancel_s after the cancellation.
 func TestListsCallNoOrphansPending(t *testing.T) {
 	for _, stalled := range []bool{false, true} {
 		t.Run(fmt.Sprint("leader's watches stalled ", stalled), func(t *testing.T) {
@@ -675,7 +681,7 @@
 				}
 			}
 			if lists == 0 {
-				t.Error("no list was answered")
+				t.Error("got no successful answer with a list of jobs, want some")
 			}
 			cluster.StallWatches(leader, false)
 			cluster.waitUntilDone()
@@ -684,9 +690,10 @@
 	}
 }
 
-// TestNoControllerWithStaleStateCallsOrphansPending stalls the watches of all controllers but one that doesn't lead,
-// cancels the first job of a chain through that one, and kills it at its answer. The others are asked about the jobs
-// after it for longer than cancel_s: their reads succeed, and the records of these jobs haven't changed.
+// TestNoControllerWithStaleStateCallsOrphansPending stalls the watches of all controllers except one follower, cancels
+// the first job of a chain through that follower, and kills the follower at its answer. The other controllers are
+// queried about the successors for twice cancel_s. Their reads succeed, but the successors' records haven't changed;
+// still no controller may call a successor pending later than cancel_s after the cancellation.
 func TestNoControllerWithStaleStateCallsOrphansPending(t *testing.T) {
 	cluster := newPipelineCluster(t, 620)
 	head, second, third := chainOfThree()
@@ -704,7 +711,7 @@
 		cluster.askEverywhere(successors)
 	}
 	if got := cluster.pendingJobs(); !slices.Equal(got, []string{second.ID, third.ID}) {
-		t.Errorf("%v are pending: no controller has stale state", got)
+		t.Errorf("got pending records of %v, want both successors: otherwise no controller has stale state", got)
 	}
 	cluster.forOthers(fresh, func(i int) { cluster.StallWatches(i, false) })
 	cluster.startControllers()
@@ -713,7 +720,7 @@
 	cluster.waitUntilDone()
 }
 
-// TestPipelinesWithLateWrites runs chains, some of which are cancelled, while transactions are carried out late or lose
+// TestPipelinesWithLateWrites runs chains and cancels a job in some of them, while transactions are delayed or lose
 // their answers, messages are duplicated and leaders are killed.
 func TestPipelinesWithLateWrites(t *testing.T) {
 	cluster := newPipelineCluster(t, 619)
@@ -738,8 +745,8 @@
 	cluster.waitUntilDone()
 }
 
-// TestRepeatedSubmissionAfterPredecessorsEnded repeats the submissions of a diamond through every controller, when it
-// is done and once it is in the archive: each is answered 200 with the state.
+// TestRepeatedSubmissionAfterPredecessorsEnded repeats the submissions of a diamond through every controller, after
+// its jobs are done and after they are archived. Each answer is 200 with the state done.
 func TestRepeatedSubmissionAfterPredecessorsEnded(t *testing.T) {
 	cluster := newPipelineCluster(t, 610)
 	top := cluster.addUser()
@@ -750,7 +757,7 @@
 		for i := range cluster.Controllers() {
 			for _, user := range cluster.users {
 				if status, state := cluster.submitAt(i, user.spec); status != http.StatusOK || state != stateDone {
-					t.Errorf("%s at controller %d: %d %q, want 200 done", user.spec.ID, i, status, state)
+					t.Errorf("%s at controller %d: got %d %q, want 200 done", user.spec.ID, i, status, state)
 				}
 			}
 		}
@@ -761,8 +768,8 @@
 	cluster.waitUntilDone()
 }
 
-// TestRepeatedSubmissionWhilePredecessorRuns repeats the submission of a job while the job before it runs and after that
-// is done, before and after the leader changes: it is accepted each time.
+// TestRepeatedSubmissionWhilePredecessorRuns repeats the submission of a job while its predecessor runs, after the
+// predecessor is done, and after the leader has changed. Each answer is 200 with a state that isn't final.
 func TestRepeatedSubmissionWhilePredecessorRuns(t *testing.T) {
 	cluster := newPipelineCluster(t, 611)
 	head := cluster.addUser()
@@ -774,7 +781,7 @@
 		t.Helper()
 		for i := range cluster.Controllers() {
 			if status, state := cluster.submitAt(i, follower.spec); status != http.StatusOK || isFinal(state) {
-				t.Errorf("%v, controller %d: %d %q", cluster.Now(), i, status, state)
+				t.Errorf("%v, controller %d: got %d %q, want 200 and an open state", cluster.Now(), i, status, state)
 			}
 		}
 	}
@@ -787,8 +794,8 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestControllersEndBetweenPredecessorsEndAndRelease kills the leader, or all controllers, at several moments after
-// the last task of a job's predecessors has completed.
+// TestControllersEndBetweenPredecessorsEndAndRelease kills the leader or all controllers 0 to 1000 ms after the last
+// task of a job's predecessors has completed. The job must still be released and done.
 func TestControllersEndBetweenPredecessorsEndAndRelease(t *testing.T) {
 	for fault, strike := range controllerFaults {
 		t.Run(fault, func(t *testing.T) {
@@ -813,8 +820,9 @@
 	}
 }
 
-// TestStateOutageAfterCancellation stops the state service for longer than cancel_s right after a cancellation's
-// answer, with and without the controllers killed in it; the controllers are asked about all jobs throughout.
+// TestStateOutageAfterCancellation stops the state service for 1.5 times cancel_s right after the answer to a
+// cancellation, with and without controllers killed in the outage. All controllers are queried about all jobs
+// throughout, and all jobs are cancelled in the end.
 func TestStateOutageAfterCancellation(t *testing.T) {
 	for _, fault := range []string{"", "leader killed", "all killed"} {
 		t.Run("outage "+fault, func(t *testing.T) {
@@ -842,7 +850,8 @@
 	}
 }
 
-// askEverywhere queries every controller about jobs and for a list of all jobs; the simulation checks the answers.
+// askEverywhere queries every controller for the users' jobs and for the list of all jobs. The simulation checks the
+// answers.
 func (r *testCluster) askEverywhere(users []*testUser) {
 	for i := range r.Controllers() {
 		r.Request(i, http.MethodGet, runsPath, nil, ignoreAnswer)
@@ -852,8 +861,8 @@
 	}
 }
 
-// TestBlockedJobsTakeNoPartOfTeamLimit submits a hundred jobs that wait for a long one, as much work as their team's
-// limit several times over, and then other jobs of the team: those run at once.
+// TestBlockedJobsTakeNoPartOfTeamLimit submits a hundred jobs that wait for a long predecessor and need several times
+// their team's limit, and then other jobs of the team. The other jobs start within 15 s.
 func TestBlockedJobsTakeNoPartOfTeamLimit(t *testing.T) {
 	cluster := newPipelineCluster(t, 614)
 	head := cluster.addUser()
@@ -867,7 +876,7 @@
 	cluster.submitAll()
 	cluster.waitUntilAccepted(blocked...)
 	var others []*testUser
-	for range 14 { // with the first job, 57 of the team's 60 processors
+	for range 14 { // with the first job, 57 of the team's limit of 60 CPUs
 		other := cluster.addUser()
 		other.spec.CPUs = 4
 		other.spec.EstimateS = 20
@@ -878,19 +887,19 @@
 	cluster.onLeader(time.Second, cluster.KillController)
 	cluster.Advance(15 * time.Second)
 	if cluster.isDone(head) {
-		t.Fatal("the first job has ended too soon to show anything")
+		t.Fatal("the predecessor has ended before the check, want it still running")
 	}
 	for _, other := range others {
 		if !cluster.hasStarted(other) {
-			t.Errorf("%s has not started beside blocked jobs", other.spec.ID)
+			t.Errorf("%s has not started within 15 s beside blocked jobs of its team", other.spec.ID)
 		}
 	}
 	cluster.waitUntilDone()
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// TestCancellationAtPredecessorsEndHasOneOutcome cancels most jobs at the moment of their end, while others wait for
-// them: the jobs after one that is done go on, those after a cancelled one are cancelled.
+// TestCancellationAtPredecessorsEndHasOneOutcome cancels most predecessors at the time of their completion.
+// Successors of done jobs run, successors of cancelled jobs are cancelled.
 func TestCancellationAtPredecessorsEndHasOneOutcome(t *testing.T) {
 	cluster := newPipelineCluster(t, 615)
 	cluster.CancelAtCompletion(0.7)
@@ -905,24 +914,24 @@
 	cluster.KillLeaders(2, 4*time.Second)
 	cluster.Advance(8 * time.Second)
 	cluster.waitUntilDone()
-	ends := map[string]int{}
+	counts := map[string]int{}
 	for i := 0; i < len(cluster.users); i += 2 {
 		head, follower := cluster.users[i], cluster.users[i+1]
 		if len(head.finalStates) == 0 {
-			continue // reported
+			continue // waitUntilDone has reported the job
 		}
-		ends[head.finalStates[0]]++
+		counts[head.finalStates[0]]++
 		if head.finalStates[0] == stateCancelled {
 			cluster.wantFinalStates(stateCancelled, follower)
 		}
 	}
-	if ends[stateDone] < 5 || ends[stateCancelled] < 5 {
-		t.Errorf("%v: ends and cancellations did not meet", ends)
+	if counts[stateDone] < 5 || counts[stateCancelled] < 5 {
+		t.Errorf("got final states %v of predecessors, want at least 5 done and 5 cancelled", counts)
 	}
 }
 
-// TestLateReportOfPredecessorsEnd cuts off what machines send while the first jobs of chains end on them, for less
-// than a worker's lease and for more, and kills the leader meanwhile.
+// TestLateReportOfPredecessorsEnd drops the messages of four machines while predecessors end on them, for less and for
+// more than a worker's lease, and kills the leader meanwhile. All jobs are done in the end.
 func TestLateReportOfPredecessorsEnd(t *testing.T) {
 	for _, cut := range []time.Duration{4 * time.Second, 9 * time.Second} {
 		t.Run(cut.String(), func(t *testing.T) {
@@ -934,7 +943,7 @@
 				cluster.addUser(head)
 			}
 			cluster.submitAll()
-			cluster.waitFor("running", 30*time.Second, func() bool { return cluster.Utilization().Running >= 10 })
+			cluster.waitFor("ten tasks running", 30*time.Second, func() bool { return cluster.Utilization().Running >= 10 })
 			cluster.DropOutbound(4, "", cut)
 			cluster.Advance(2 * time.Second)
 			cluster.onLeader(time.Second, cluster.KillController)
--- a/internal/simulator/pipelines_unreadable_test.go
+++ b/internal/simulator/pipelines_unreadable_test.go
@@ -15,7 +15,7 @@
 // unknownFormat is a format of job records that no release writes.
 const unknownFormat = dependentJobFormat + 1
 
-// inUnknownFormat returns a stored record as a later release might have written it.
+// inUnknownFormat returns a stored record with the format number of a later release.
 func inUnknownFormat(t *testing.T, stored json.RawMessage) json.RawMessage {
 	t.Helper()
 	fields := map[string]any{}
@@ -30,14 +30,14 @@
 	return raw
 }
 
-// replaceRecord writes a job's record, in any format, without the controllers' knowledge.
+// replaceRecord writes a job's record directly to the state service. The record may have any format.
 func (r *testCluster) replaceRecord(id string, value json.RawMessage) {
 	key := jobs.RecordKey(id)
 	delete(r.formats, key)
 	r.WriteKeys(store.Op{Put: key, Value: value})
 }
 
-// askUntil queries every controller about jobs until a moment, and calls answered for each answer.
+// askUntil queries every controller for the users' jobs twice a second until end, and calls answered for each answer.
 func (r *testCluster) askUntil(end time.Duration, users []*testUser, answered func(user *testUser, status int, raw []byte)) {
 	for ; r.Now() < end; r.Advance(500 * time.Millisecond) {
 		for i := range r.Controllers() {
@@ -50,13 +50,14 @@
 	}
 }
 
-// TestJobInUnknownFormatBlocksItsSuccessors writes the record of a middle job of a chain in a format that no controller
-// reads, with controllers that have read it before and with ones that haven't. The job before it goes on, nothing of
-// it and of the jobs after it starts, and questions about it are answered 503. Once its record is as before, all goes
-// on, or is cancelled with the first job. A leader that began its term without the record doesn't know what runs of the
-// job, and leaves its start to the next one.
+// TestJobInUnknownFormatBlocksItsSuccessors replaces the record of a middle job of a chain by one in a format that no
+// controller reads, for controllers that have read the original record and for restarted ones that haven't. The job's
+// predecessor runs on, no task of the job or its successors starts, and queries of the job are answered 503. Once the
+// original record is back, the chain runs on, or is cancelled with its first job. A leader that couldn't read the
+// record at the start of its term doesn't have the job's running tasks, so that only the next leader may start the
+// job.
 func TestJobInUnknownFormatBlocksItsSuccessors(t *testing.T) {
-	for _, fault := range []string{"nothing", "leader killed", "all killed"} {
+	for _, fault := range []string{"no fault", "leader killed", "all killed"} {
 		for _, want := range []string{stateDone, stateCancelled} {
 			t.Run(fault+" "+want, func(t *testing.T) {
 				t.Parallel()
@@ -76,38 +77,38 @@
 					head.cancel()
 				}
 				cluster.Advance(5 * time.Second)
-				refused := 0
+				answers := 0
 				cluster.askUntil(cluster.Now()+30*time.Second, []*testUser{middle}, func(_ *testUser, status int, raw []byte) {
 					if status != http.StatusServiceUnavailable {
-						t.Errorf("%v: %d %s about a job whose record can't be read", cluster.Now(), status, raw)
+						t.Errorf("%v: got %d %s for a job whose record can't be read, want 503", cluster.Now(), status, raw)
 					}
-					refused++
+					answers++
 				})
-				if refused == 0 {
-					t.Error("no question was answered")
+				if answers == 0 {
+					t.Error("got no answer about the job whose record can't be read, want some")
 				}
 				for _, user := range chain[1:] {
 					if cluster.hasStarted(user) {
-						t.Errorf("%s has started after a job whose record can't be read", user.spec.ID)
+						t.Errorf("%s has started, want it blocked by a record that can't be read", user.spec.ID)
 					}
 				}
 				cluster.wantFinalStates(want, head)
 				if want == stateCancelled && fault != "all killed" {
-					// Controllers that have read the record before know what comes after the job.
+					// Controllers that have read the original record still have the job's successors.
 					cluster.wantFinalStates(want, chain[2:]...)
 				}
 				cluster.replaceRecord(middle.spec.ID, stored)
 				if fault == "all killed" {
 					cluster.Advance(10 * time.Second)
 					if cluster.hasStarted(middle) {
-						t.Errorf("%s was started by a leader that had not read its record", middle.spec.ID)
+						t.Errorf("%s was started by a leader that could not read its record at the start of its term", middle.spec.ID)
 					}
 					cluster.onLeader(restartAfterKill, cluster.KillController)
 				}
 				cluster.waitUntilDone()
 				cluster.wantFinalStates(want, chain...)
 				if cluster.hasStarted(last) != (want == stateDone) {
-					t.Errorf("%s has started: %v", last.spec.ID, cluster.hasStarted(last))
+					t.Errorf("%s: started is %v, want the opposite", last.spec.ID, cluster.hasStarted(last))
 				}
 			})
 		}
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -12,14 +12,15 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// Tests of pipelines in a cluster that is upgraded from the release before them. Simulated controllers of that release
-// don't read the records of jobs with predecessors. Users submit pipelines once all controllers run the newest release.
+// Tests of pipelines in a cluster that is upgraded from the release before pipelines (the former release). Simulated
+// controllers of the former release can't read the records of jobs with predecessors. Users submit pipelines once all
+// controllers run the newest release.
 
 // levelBeforePipelines is the highest level of the release before pipelines.
 const levelBeforePipelines = rollout.Dependencies - 1
 
-// newUpgradeCluster starts controllers of the release before pipelines, which archive jobs soon after their end. Once
-// all support a higher level, it waits for soak before the cluster's level rises.
+// newUpgradeCluster starts controllers of the former release, which archive jobs soon after their end. The cluster's
+// level rises soak seconds after all controllers support a higher level.
 func newUpgradeCluster(t *testing.T, seed uint64, controllers int, soak string) *testCluster {
 	t.Helper()
 	cfg := pipelineConfig(seed)
@@ -27,20 +28,20 @@
 	return newUpgradeClusterWith(t, cfg, strings.Replace(pipelineOperator, "soak_s = 1", "soak_s = "+soak, 1))
 }
 
-// newUpgradeClusterWith starts such controllers with a configuration and operators' settings.
+// newUpgradeClusterWith starts controllers of the former release with a configuration and operators' settings.
 func newUpgradeClusterWith(t *testing.T, cfg Config, operator string) *testCluster {
 	t.Helper()
 	cluster := startCluster(t, pipelineStream, cfg, func(settings *config.Settings) error {
 		settings.SimulateRelease(levelBeforePipelines, FormerRelease)
 		return settings.ReadOperator("o.hcl", []byte(operator))
 	})
-	cluster.waitFor("at the former release's level", 30*time.Second, func() bool {
+	cluster.waitFor("cluster at the former release's level", 30*time.Second, func() bool {
 		return cluster.ClusterLevel() == levelBeforePipelines && len(cluster.ActingLeaders()) == 1
 	})
 	return cluster
 }
 
-// submitPlainJobs submits jobs without predecessors, one every interval.
+// submitPlainJobs schedules the submissions of jobs without predecessors, one every interval.
 func (r *testCluster) submitPlainJobs(count int, interval time.Duration) {
 	for i := range count {
 		user := r.addUser()
@@ -49,10 +50,11 @@
 	}
 }
 
-// cancelledPipelineShare is the number of pipelines of which one is cancelled at its head.
+// cancelledPipelineShare is the share of pipelines whose head is cancelled: one in this many.
 const cancelledPipelineShare = 3
 
-// submitPipelines submits diamonds, one every interval. Every third is cancelled at its head.
+// submitPipelines schedules the submissions of diamonds, one every interval, and cancels the head of every third
+// diamond 2 s after its submission.
 func (r *testCluster) submitPipelines(count int, interval time.Duration) (pipelines [][]*testUser) {
 	for i := range count {
 		pipeline := r.addDiamond()
@@ -71,15 +73,15 @@
 	return pipelines
 }
 
-// upgradeFault is what happens while controllers are rolled.
+// upgradeFault is a fault during a rolling restart.
 type upgradeFault struct {
-	// begin starts what goes on during the whole upgrade; nil for nothing.
+	// begin starts faults that last for the whole upgrade. It may be nil.
 	begin func(cluster *testCluster)
-	// strike is called before each restart of the roll, and returns whether the controller is killed while it drains.
+	// strike is called before each restart. It returns whether the controller is killed while it drains.
 	strike func(cluster *testCluster, controller int) (kill bool)
 }
 
-// notKilled is the strike of faults that leave the restarts of the roll alone.
+// notKilled is the strike function of faults that don't affect the restarts.
 func notKilled(*testCluster, int) bool { return false }
 
 // upgradeFaults are the faults during upgrades, by name.
@@ -89,7 +91,7 @@
 		strike: func(_ *testCluster, controller int) bool { return controller%2 == 0 },
 	},
 	"leader dies at each step": {
-		// It comes back with the release that it had: the former one before its turn.
+		// The killed leader restarts with the release that it ran.
 		strike: func(cluster *testCluster, _ int) bool {
 			cluster.After(300*time.Millisecond, func() { cluster.onLeader(restartAfterKill, cluster.KillController) })
 			return false
@@ -122,7 +124,8 @@
 	},
 }
 
-// dependentRecords lists the jobs whose stored records have the format of pending jobs with predecessors.
+// dependentRecords returns the sorted IDs of jobs whose stored records have the format of pending jobs with
+// predecessors.
 func (r *testCluster) dependentRecords() (ids []string) {
 	for key, item := range r.StoredItems(jobs.Prefix) {
 		if rollout.FormatOf(item.Value) == dependentJobFormat {
@@ -133,7 +136,7 @@
 	return ids
 }
 
-// endFaults ends delays of messages and writes, and starts the controllers that don't run.
+// endFaults ends duplicated messages, delayed writes and lost answers, and starts the controllers that aren't running.
 func (r *testCluster) endFaults() {
 	r.DelayWrites(0, 0, 0)
 	r.LoseTxnAnswers(0)
@@ -141,7 +144,7 @@
 	r.startControllers()
 }
 
-// checkPipelines checks that the pipelines that were cancelled at their heads have one outcome, and that the others are
+// checkPipelines checks that pipelines whose head was cancelled are cancelled as a whole, and that the others are
 // done.
 func (r *testCluster) checkPipelines(pipelines [][]*testUser) {
 	r.t.Helper()
@@ -154,8 +157,9 @@
 	}
 }
 
-// TestUpgradeToPipelines rolls controllers from the former release to the newest under load. Pipelines are submitted as
-// soon as all run the newest release, before the cluster's level rises, and further on beyond that.
+// TestUpgradeToPipelines restarts controllers one by one from the former release to the newest, under load and with
+// each of the faults. Pipelines are submitted from when all controllers run the newest release, before and after the
+// cluster's level rises.
 func TestUpgradeToPipelines(t *testing.T) {
 	for name, fault := range upgradeFaults {
 		t.Run(name, func(t *testing.T) {
@@ -173,14 +177,14 @@
 				rolled = true
 				pipelines = cluster.submitPipelines(18, time.Second)
 			})
-			cluster.waitFor("rolled", 3*time.Minute, func() bool { return rolled })
+			cluster.waitFor("all controllers restarted", 3*time.Minute, func() bool { return rolled })
 			storedBefore := 0
-			cluster.waitFor("upgraded", time.Minute, func() bool {
+			cluster.waitFor("cluster at the newest level", time.Minute, func() bool {
 				storedBefore = max(storedBefore, len(cluster.dependentRecords()))
 				return cluster.ClusterLevel() == rollout.Newest
 			})
 			if storedBefore == 0 {
-				t.Error("no job with predecessors was accepted before the level rose")
+				t.Error("got no record of a job with predecessors before the level rose, want some")
 			}
 			cluster.KillLeaders(2, 6*time.Second)
 			cluster.Advance(25 * time.Second)
@@ -191,8 +195,8 @@
 	}
 }
 
-// TestPipelinesWaitForAllControllers submits jobs with predecessors to every controller while one still runs the former
-// release: each is answered 503, and nothing of it is stored.
+// TestPipelinesWaitForAllControllers submits a job with a predecessor to every controller while one controller still
+// runs the former release. Each answer is 503 and nothing is stored, until all controllers run the newest release.
 func TestPipelinesWaitForAllControllers(t *testing.T) {
 	cluster := newUpgradeCluster(t, 631, 3, "600")
 	head := cluster.addUser()
@@ -210,14 +214,14 @@
 		for i := range cluster.Controllers() {
 			cluster.Request(i, http.MethodPost, runsPath, body, func(status int, _ []byte) {
 				if status != http.StatusServiceUnavailable {
-					t.Errorf("controller %d: status %d, want 503", i, status)
+					t.Errorf("controller %d: got status %d, want 503", i, status)
 				}
 			})
 		}
 		cluster.Advance(time.Second)
 	}
 	if ids := cluster.dependentRecords(); len(ids) > 0 {
-		t.Errorf("%v are stored", ids)
+		t.Errorf("got stored records of jobs with predecessors %v, want none", ids)
 	}
 	cluster.restart(former, rollout.Newest)
 	follower.submit()
@@ -225,14 +229,14 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// formerReturn is how a controller comes back with the former release after pipelines were accepted.
+// formerReturn describes the mistaken restart of a controller with the former release after pipelines were accepted.
 type formerReturn struct {
-	leads bool          // the others are down meanwhile
-	kill  bool          // it is killed in the end, otherwise drained
-	time  time.Duration // until it is replaced
+	leads bool          // whether the other controllers are down, so that this one leads
+	kill  bool          // whether the controller is killed in the end instead of drained
+	time  time.Duration // from the restart until the controller gets the newest release
 }
 
-// formerReturns are such mistakes, by name.
+// formerReturns are the mistaken restarts under test, by name.
 var formerReturns = map[string]formerReturn{
 	"beside":                   {time: 20 * time.Second},
 	"leads":                    {leads: true, time: 10 * time.Second, kill: true},
@@ -240,14 +244,15 @@
 	"leads for a whole minute": {leads: true, time: time.Minute, kill: true},
 }
 
-// mistakePipelines are the pipelines of a test in which the former release comes back.
+// mistakePipelines are the pipelines of a test that restarts a controller with the former release.
 type mistakePipelines struct {
-	running   []*testUser // the second of its jobs runs
-	endsSoon  []*testUser // the first of its jobs ends meanwhile
-	cancelled []*testUser // the first of its jobs is cancelled meanwhile
-	gang      []*testUser // the second of its jobs is a gang that runs
+	running   []*testUser // its second job runs
+	endsSoon  []*testUser // its first job ends while the former release runs
+	cancelled []*testUser // its first job is cancelled while the former release runs
+	gang      []*testUser // its second job is a gang that runs
 }
 
+// all returns the users of all pipelines.
 func (p *mistakePipelines) all() (users []*testUser) {
 	for _, chain := range [][]*testUser{p.running, p.endsSoon, p.cancelled, p.gang} {
 		users = append(users, chain...)
@@ -255,7 +260,7 @@
 	return users
 }
 
-// submitMistakePipelines submits the pipelines, and waits until each is in its state.
+// submitMistakePipelines submits the pipelines, and waits until the jobs of each that should run have started.
 func (r *testCluster) submitMistakePipelines() *mistakePipelines {
 	r.t.Helper()
 	p := &mistakePipelines{
@@ -274,7 +279,7 @@
 		user.submit()
 	}
 	r.waitUntilAccepted(p.all()...)
-	r.waitFor("running", 30*time.Second, func() bool {
+	r.waitFor("jobs running", 30*time.Second, func() bool {
 		return r.hasStarted(p.running[1]) && r.hasStarted(p.gang[1]) && r.hasStarted(p.endsSoon[0])
 	})
 	return p
@@ -286,9 +291,10 @@
 	return started
 }
 
-// TestFormerReleaseReturnsAfterPipelines lets a controller come back with the former release by mistake after pipelines
-// were accepted and before the level rose, beside the others or as the only one. It can't read the jobs: it starts
-// nothing of them, and once it is replaced all go on.
+// TestFormerReleaseReturnsAfterPipelines restarts a controller with the former release by mistake, after pipelines
+// were accepted and before the level rose, beside the other controllers or as the only one. The controller can't read
+// the records of jobs with predecessors, so it must not start them. Once it runs the newest release all pipelines
+// end.
 func TestFormerReleaseReturnsAfterPipelines(t *testing.T) {
 	for name, mistake := range formerReturns {
 		t.Run(name, func(t *testing.T) {
@@ -296,7 +302,7 @@
 			cluster := newUpgradeCluster(t, 632, 3, "600")
 			rolled := false
 			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-			cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+			cluster.waitFor("all controllers restarted", time.Minute, func() bool { return rolled })
 			pipelines := cluster.submitMistakePipelines()
 			former := (cluster.waitForLeader() + 1) % cluster.Controllers()
 			cluster.restart(former, levelBeforePipelines)
@@ -311,7 +317,7 @@
 			cluster.cancelAt(pipelines.cancelled[0], former)
 			cluster.checkQuarantined(former, pipelines, mistake.time)
 			cluster.replaceFormer(former, mistake)
-			cluster.waitFor("upgraded", 12*time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+			cluster.waitFor("cluster at the newest level", 12*time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 			cluster.waitUntilDone()
 			cluster.wantFinalStates(stateCancelled, pipelines.cancelled...)
 			for _, chain := range [][]*testUser{pipelines.running, pipelines.endsSoon, pipelines.gang} {
@@ -321,12 +327,13 @@
 	}
 }
 
-// killOthers kills all controllers but one.
+// killOthers kills all controllers except the given one.
 func (r *testCluster) killOthers(controller int) {
 	r.forOthers(controller, func(i int) { r.KillController(i) })
 }
 
-// replaceFormer gives a controller of the former release the newest, and starts the others.
+// replaceFormer restarts a controller of the former release with the newest, after a kill or a drain, and starts the
+// other controllers.
 func (r *testCluster) replaceFormer(former int, mistake formerReturn) {
 	startAll := func() {
 		r.SetRelease(former, rollout.Newest)
@@ -342,8 +349,8 @@
 	r.startControllers()
 }
 
-// checkQuarantined asks all controllers about all jobs for a time, in which the former release answers 503 about jobs
-// whose records it can't read.
+// checkQuarantined queries all controllers about all jobs for a time, and checks that the former release answers
+// queries of jobs whose records it can't read with 503, never with 200.
 func (r *testCluster) checkQuarantined(former int, pipelines *mistakePipelines, duration time.Duration) {
 	r.t.Helper()
 	refused := 0
@@ -355,13 +362,13 @@
 				case status == http.StatusServiceUnavailable:
 					refused++
 				case status == http.StatusOK && r.isDependentRecord(id):
-					r.t.Errorf("%v: the former release answers 200 %s about %s", r.Now(), raw, id)
+					r.t.Errorf("%v: got 200 %s from the former release for %s, want 503", r.Now(), raw, id)
 				}
 			})
 		}
 	}
 	if refused == 0 {
-		r.t.Error("the former release answered 503 about no job")
+		r.t.Error("got no answer 503 from the former release, want some")
 	}
 }
 
--- a/internal/simulator/ports_test.go
+++ b/internal/simulator/ports_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Two test runs on one machine drew the same port while the first one's controller had not yet listened there, and
-// its controller ended with "address already in use".
-func TestAllocatedPortsAreNobodyElses(t *testing.T) {
+// TestAllocatedPortsAreUnique checks that no port is allocated twice before anything listens on it. Otherwise, two
+// test runs on one machine may get the same port, and a controller ends with "address already in use".
+func TestAllocatedPortsAreUnique(t *testing.T) {
 	const allocators, portsOfEach = 20, 3 * portsPerBlock
 	owner := map[string]int{}
 	for i := range allocators {
@@ -23,14 +23,15 @@
 				t.Fatal(err)
 			}
 			if other, taken := owner[addr]; taken {
-				t.Fatalf("%s was handed out to allocators %d and %d", addr, other, i)
+				t.Fatalf("%s was allocated by allocators %d and %d, want one owner", addr, other, i)
 			}
 			owner[addr] = i
 		}
 	}
 }
 
-// A port that any program listens on is passed over, and a closed allocator's blocks are free again.
+// TestPortsInUseArePassedOver checks that an allocator skips a port on which another listener is active, and that a
+// closed allocator's blocks are free again.
 func TestPortsInUseArePassedOver(t *testing.T) {
 	first := &portAllocator{}
 	addr, err := first.allocate()
@@ -39,9 +40,9 @@
 	}
 	locked := first.locks[0].Addr().String()
 	if _, err := net.Listen("tcp4", locked); err == nil {
-		t.Fatalf("the block of %s is not locked", addr)
+		t.Fatalf("the block of %s is not locked, want its lock port in use", addr)
 	}
-	first.next-- // the port that was handed out is tried again, in use by now
+	first.next-- // makes the allocator check the same port again, which is in use now
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +52,7 @@
 		t.Fatal(err)
 	}
 	if second == addr {
-		t.Errorf("%s was handed out while a listener has it", addr)
+		t.Errorf("%s was allocated while in use, want another port", addr)
 	}
 	if err := listener.Close(); err != nil {
 		t.Error(err)
@@ -61,7 +62,7 @@
 	}
 	unlocked, err := net.Listen("tcp4", locked)
 	if err != nil {
-		t.Fatalf("the block is locked after its allocator was closed: %v", err)
+		t.Fatalf("the block is still locked after its allocator was closed: %v", err)
 	}
 	if err := unlocked.Close(); err != nil {
 		t.Error(err)
--- a/internal/simulator/random_partial_faults_test.go
+++ b/internal/simulator/random_partial_faults_test.go
@@ -11,10 +11,10 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// partialFault is what a random fault draws. Each kind uses some of it.
+// partialFault holds the random parameters of a fault. Each kind of fault uses some of them.
 type partialFault struct {
 	controller      int
-	kind            int // in partialFaultKinds
+	kind            int // index into partialFaultKinds
 	duration        time.Duration
 	zone            string
 	links           Links
@@ -25,7 +25,7 @@
 	neverBootShare  float64
 }
 
-// drawPartialFault draws a fault. The order of the draws is that of the fields.
+// drawPartialFault draws a fault's parameters in the order of the fields, which is part of what a seed produces.
 func drawPartialFault(rng *rand.Rand, controllers int) partialFault {
 	return partialFault{
 		controller:      rng.IntN(controllers),
@@ -41,22 +41,22 @@
 	}
 }
 
-// partialFaultRun is a run of random faults over a load, with users' queries through a balancer.
+// partialFaultRun is a run with random faults under load, with users' queries through a balancer.
 type partialFaultRun struct {
 	*testCluster
-	draws        *rand.Rand // of the faults
+	draws        *rand.Rand // random source of the faults
 	pollers      *JobPollers
-	followed     int         // users whose jobs the pollers follow
-	failingUsers []*testUser // of jobs that fail wherever they run, until they are cancelled
+	followed     int         // number of users whose jobs the pollers follow
+	failingUsers []*testUser // users of jobs that fail on every machine until they are cancelled
 }
 
-// partialFaultKinds begin a fault each. Their order is part of what a seed draws.
+// partialFaultKinds are functions that begin a fault, one for each kind. Their order is part of what a seed produces.
 var partialFaultKinds = []func(*partialFaultRun, partialFault){
 	func(run *partialFaultRun, f partialFault) { run.DropInbound(1+f.count, "", f.duration) },
 	func(run *partialFaultRun, f partialFault) { run.DropInbound(wholeZone, f.zone, f.duration) },
 	func(run *partialFaultRun, f partialFault) { run.DropOutbound(1+f.count, "", f.duration) },
 	(*partialFaultRun).cutSomeLinks,
-	(*partialFaultRun).cutSomeLinks, // twice as often
+	(*partialFaultRun).cutSomeLinks, // listed twice to double its probability
 	(*partialFaultRun).cutLeaderFromState,
 	func(run *partialFaultRun, f partialFault) {
 		for range 1 + f.count {
@@ -118,18 +118,18 @@
 	},
 }
 
-// duringShare sets a share for a time, and then none.
+// duringShare sets a share of affected events for a duration, and then sets it to 0.
 func (run *partialFaultRun) duringShare(duration time.Duration, share float64, set func(float64)) {
 	run.during(duration, func(on bool) { set(map[bool]float64{true: share}[on]) })
 }
 
-// cutSomeLinks cuts a controller off from some of its counterparts.
+// cutSomeLinks cuts the drawn links of a controller for the fault's duration.
 func (run *partialFaultRun) cutSomeLinks(f partialFault) {
 	run.CutLinks(f.controller, f.links)
 	run.After(f.duration, func() { run.CutLinks(f.controller, 0) })
 }
 
-// cutLeaderFromState cuts the leader off from the state service and the other controllers.
+// cutLeaderFromState cuts the leader off from the state service and its peers for the fault's duration.
 func (run *partialFaultRun) cutLeaderFromState(f partialFault) {
 	if leader, _ := run.Leader(); leader >= 0 {
 		run.CutLinks(leader, StateLink|PeerLinks)
@@ -137,7 +137,7 @@
 	}
 }
 
-// restartControllers kills one controller or all, and starts them at once.
+// restartControllers kills one controller or all, and restarts them within a second.
 func (run *partialFaultRun) restartControllers(f partialFault) {
 	for i := range run.Controllers() {
 		if f.count > 2 || i == f.count {
@@ -147,7 +147,7 @@
 	}
 }
 
-// restartLeader kills the leader and starts it at once.
+// restartLeader kills the leader and restarts it within a second.
 func (run *partialFaultRun) restartLeader(f partialFault) {
 	if leader, _ := run.Leader(); leader >= 0 {
 		run.KillController(leader)
@@ -155,7 +155,7 @@
 	}
 }
 
-// submitFailingJob submits a job that fails wherever it runs, and cancels it after a time.
+// submitFailingJob submits a job that fails on every machine, and cancels the job after the fault's duration.
 func (run *partialFaultRun) submitFailingJob(f partialFault) {
 	spec := drawJob(run.draws, 700000+len(run.failingUsers))
 	user := run.newUser(spec)
@@ -165,8 +165,8 @@
 	run.After(f.duration, user.cancel)
 }
 
-// followAccepted lets the pollers follow all jobs in the order of their submissions, up to the first that isn't
-// accepted yet, and does so again every second.
+// followAccepted makes the pollers follow the jobs in the order of run.users, up to the first that isn't accepted
+// yet. It repeats every second.
 func (run *partialFaultRun) followAccepted() {
 	for ; run.followed < len(run.users) && run.users[run.followed].isAccepted(); run.followed++ {
 		run.pollers.Follow(run.users[run.followed].spec.ID, nil)
@@ -174,7 +174,7 @@
 	run.After(time.Second, run.followAccepted)
 }
 
-// endFaults ends all faults; the last freeze ends by itself.
+// endFaults ends all faults, and waits 80 s for freezes to end by themselves.
 func (run *partialFaultRun) endFaults() {
 	run.SetNetwork(2*time.Millisecond, 0, 0, 0)
 	run.DuplicateMessages(0, 0, 0)
@@ -189,7 +189,7 @@
 	}
 }
 
-// newPartialFaultRun starts a cluster with a load and a poor network.
+// newPartialFaultRun starts a cluster under load whose network delays, loses and duplicates messages.
 func newPartialFaultRun(t *testing.T, seed uint64, duration time.Duration) *partialFaultRun {
 	t.Helper()
 	cluster := newTestClusterOn(
@@ -210,8 +210,9 @@
 	return run
 }
 
-// runRandomFaults plays all of it together at random over kills, freezes, drains, cuts and outages, then lets
-// all faults end, and returns the longest time in which no query of one job was answered, from then on.
+// runRandomFaults injects overlapping random faults of all kinds, then ends them and waits until all jobs have ended.
+// It returns the cluster, the longest time after the faults in which no query of one job was answered, and that job's
+// ID.
 func runRandomFaults(t *testing.T, seed uint64, duration time.Duration) (*testCluster, time.Duration, string) {
 	t.Helper()
 	run := newPartialFaultRun(t, seed, duration)
@@ -225,22 +226,22 @@
 	faultsEnd := run.Now()
 	idleWait := run.WatchIdleCapacity()
 	run.Advance(75 * time.Second)
-	gap, job := run.pollers.LongestUnanswered(faultsEnd, run.Now())
+	longestUnanswered, job := run.pollers.LongestUnanswered(faultsEnd, run.Now())
 	run.users = append(run.users, run.failingUsers...)
 	run.waitUntilDone()
 	run.idleWait, _ = idleWait()
-	return run.testCluster, gap, job
+	return run.testCluster, longestUnanswered, job
 }
 
-// startedWork is the share of jobs that began within four minutes, by kind, by team, and of the largest quarter of
-// a kind; those that their users gave up don't count.
+// startedWork returns the share of jobs that started within four minutes: by kind, by team, and of the largest
+// quarter of each kind. Jobs that were cancelled or may be cancelled with a predecessor don't count.
 func (r *testCluster) startedWork() map[string]float64 {
 	byKind := map[string][]*testUser{}
-	begun, all := map[string]int{}, map[string]int{}
+	started, total := map[string]int{}, map[string]int{}
 	count := func(set string, user *testUser) {
-		all[set]++
+		total[set]++
 		if duration, ok := r.FirstStart(user.spec.ID); ok && duration <= 4*time.Minute {
-			begun[set]++
+			started[set]++
 		}
 	}
 	for _, user := range r.users {
@@ -261,84 +262,85 @@
 		}
 	}
 	share := map[string]float64{}
-	for set, n := range all {
-		share[set] = float64(begun[set]) / float64(n)
+	for set, n := range total {
+		share[set] = float64(started[set]) / float64(n)
 	}
 	return share
 }
 
-// addPartialFaultStats adds the counters that TestRandomPartialFaults logs and checks.
-func addPartialFaultStats(all *Stats, s Stats) {
-	all.LostAnswers += s.LostAnswers
-	all.LateWrites += s.LateWrites
-	all.HeartbeatsReplayed += s.HeartbeatsReplayed
-	all.PollBursts += s.PollBursts
-	all.JobsCancelled += s.JobsCancelled
-	all.OddRequests += s.OddRequests
-	all.OddRequestsRefused += s.OddRequestsRefused
-	all.StartsAfterCancel += s.StartsAfterCancel
-	all.DirectStartsAfterCancel += s.DirectStartsAfterCancel
-	all.LatestStartAfterCancel = max(all.LatestStartAfterCancel, s.LatestStartAfterCancel)
-	all.LongestRunAfterCancel = max(all.LongestRunAfterCancel, s.LongestRunAfterCancel)
-	all.TaskStarts += s.TaskStarts
-	all.OneWayFaults += s.OneWayFaults
-	all.DuplicatesSent += s.DuplicatesSent
-	all.MachinesRestarted += s.MachinesRestarted
-	all.LinksCut += s.LinksCut
-	all.ControllersKilled += s.ControllersKilled
-	all.ControllersFrozen += s.ControllersFrozen
+// addPartialFaultStats adds the counters that TestRandomPartialFaults logs and checks from s to total.
+func addPartialFaultStats(total *Stats, s Stats) {
+	total.LostAnswers += s.LostAnswers
+	total.LateWrites += s.LateWrites
+	total.HeartbeatsReplayed += s.HeartbeatsReplayed
+	total.PollBursts += s.PollBursts
+	total.JobsCancelled += s.JobsCancelled
+	total.OddRequests += s.OddRequests
+	total.OddRequestsRefused += s.OddRequestsRefused
+	total.StartsAfterCancel += s.StartsAfterCancel
+	total.DirectStartsAfterCancel += s.DirectStartsAfterCancel
+	total.LatestStartAfterCancel = max(total.LatestStartAfterCancel, s.LatestStartAfterCancel)
+	total.LongestRunAfterCancel = max(total.LongestRunAfterCancel, s.LongestRunAfterCancel)
+	total.TaskStarts += s.TaskStarts
+	total.OneWayFaults += s.OneWayFaults
+	total.DuplicatesSent += s.DuplicatesSent
+	total.MachinesRestarted += s.MachinesRestarted
+	total.LinksCut += s.LinksCut
+	total.ControllersKilled += s.ControllersKilled
+	total.ControllersFrozen += s.ControllersFrozen
 }
 
-// TestRandomPartialFaults injects all of the partial faults together, overlapping, in virtual time.
+// TestRandomPartialFaults injects overlapping random faults of all kinds in virtual time. After the faults every job's
+// queries are answered and all jobs end, and at least half of the jobs start within four minutes.
 func TestRandomPartialFaults(t *testing.T) {
 	seeds := 12
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 200
 	}
-	ends, worst, leastShares, idle := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
-	var all Stats
+	counts, longestUnanswered, leastShares, longestIdleWait := map[string]int{}, time.Duration(0), map[string]float64{}, time.Duration(0)
+	var total Stats
 	for seed := range seeds {
-		cluster, gap, job := runRandomFaults(t, uint64(600+seed), 90*time.Second)
-		if worst = max(worst, gap); gap > 75*time.Second-time.Second {
+		cluster, unanswered, job := runRandomFaults(t, uint64(600+seed), 90*time.Second)
+		if longestUnanswered = max(longestUnanswered, unanswered); unanswered > 75*time.Second-time.Second {
 			t.Errorf(
-				"seed %d: no query of %s was answered for %v once all faults had ended",
+				"seed %d: no query of %s was answered for %v after all faults had ended, want at most 74 s",
 				600+seed,
 				job,
-				gap,
+				unanswered,
 			)
 		}
-		countEnds(ends, cluster.users)
+		countEnds(counts, cluster.users)
 		for set, share := range cluster.startedWork() {
 			if share < 0.5 {
-				t.Errorf("seed %d: %.2f of %s began within four minutes", 600+seed, share, set)
+				t.Errorf("seed %d: got a share of %.2f of %s started within four minutes, want at least 0.5", 600+seed, share, set)
 			}
 			if was, ok := leastShares[set]; !ok || share < was {
 				leastShares[set] = share
 			}
 		}
-		idle = max(idle, cluster.idleWait)
-		addPartialFaultStats(&all, cluster.Stats())
+		longestIdleWait = max(longestIdleWait, cluster.idleWait)
+		addPartialFaultStats(&total, cluster.Stats())
 		if t.Failed() {
-			t.Fatalf("seed %d", 600+seed)
+			t.Fatalf("seed %d failed", 600+seed)
 		}
 	}
 	t.Logf(
-		"%d seeds: %v, %+v; the longest gap without an answer %v, the longest wait beside idle capacity %v; least shares that began within four minutes %v",
+		"%d seeds: %v, %+v; longest time without an answer %v, longest wait beside idle capacity %v; least shares started within four minutes %v",
 		seeds,
-		ends,
-		all,
-		worst,
-		idle,
+		counts,
+		total,
+		longestUnanswered,
+		longestIdleWait,
 		leastShares,
 	)
-	if all.LostAnswers == 0 || all.LateWrites == 0 || all.HeartbeatsReplayed == 0 || all.PollBursts == 0 ||
-		all.JobsCancelled == 0 ||
-		all.OddRequestsRefused == 0 ||
-		all.OneWayFaults == 0 ||
-		all.DuplicatesSent == 0 ||
-		all.MachinesRestarted == 0 ||
-		all.LinksCut == 0 ||
-		all.ControllersFrozen == 0 {
-		t.Error("a kind of fault never came")
+	if total.LostAnswers == 0 || total.LateWrites == 0 || total.HeartbeatsReplayed == 0 || total.PollBursts == 0 ||
+		total.JobsCancelled == 0 ||
+		total.OddRequestsRefused == 0 ||
+		total.OneWayFaults == 0 ||
+		total.DuplicatesSent == 0 ||
+		total.MachinesRestarted == 0 ||
+		total.LinksCut == 0 ||
+		total.ControllersFrozen == 0 {
+		t.Error("got a counter of 0 for a kind of fault, want all kinds injected")
 	}
 }
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -16,42 +16,43 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// testCluster is a simulated cluster through a rollout, with a load that goes on.
+// testCluster is a simulated cluster with users who submit jobs, and possibly a rollout.
 type testCluster struct {
-	idleWait time.Duration // the longest wait of a job beside idle capacity, after the faults
+	idleWait time.Duration // longest wait of a job beside idle capacity, measured after the faults
 	*Simulation
 	t           *testing.T
 	rng         *rand.Rand
 	users       []*testUser
-	submitUntil time.Duration // jobs arrive until then
+	submitUntil time.Duration // time until which jobs are submitted
 
-	formats map[string]int // of each key, as last seen
+	formats map[string]int // by key: format of the record when watchInvariants last read it
 
-	sessions []*testSession // interactive ones, of the scenarios that have any
+	sessions []*testSession // interactive sessions; nil in most scenarios
 }
 
-// newTestCluster starts a cluster whose controllers all run the former release, or the newest one.
-func newTestCluster(t *testing.T, seed uint64, controllers int, maxLevel rollout.Level, words string) *testCluster {
+// newTestCluster starts a cluster whose controllers support levels up to maxLevel, with settings for the operators'
+// rollout block.
+func newTestCluster(t *testing.T, seed uint64, controllers int, maxLevel rollout.Level, rolloutSettings string) *testCluster {
 	t.Helper()
 	return newTestClusterOn(
 		t,
 		seed,
 		controllers,
 		maxLevel,
-		words,
+		rolloutSettings,
 		14,
 		nil,
 		[]config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	)
 }
 
-// newTestClusterOn does so with a number of machines, types and teams.
+// newTestClusterOn is newTestCluster with a maximum number of machines, with machine types and with teams.
 func newTestClusterOn(
 	t *testing.T,
 	seed uint64,
 	controllers int,
 	maxLevel rollout.Level,
-	words string,
+	rolloutSettings string,
 	machines int,
 	types []capacity.MachineType,
 	teams []config.Team,
@@ -72,11 +73,11 @@
 			if maxLevel < rollout.Newest {
 				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
-			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+words+"\n}\n"))
+			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+rolloutSettings+"\n}\n"))
 		})
 }
 
-// newTestClusterWith starts a cluster of three controllers whose settings are changed first.
+// newTestClusterWith starts a cluster of three controllers whose settings the function change modifies first.
 func newTestClusterWith(t *testing.T, seed uint64, maxLevel rollout.Level, change func(*config.Settings)) *testCluster {
 	t.Helper()
 	return startCluster(t, 41, Config{
@@ -97,7 +98,7 @@
 		})
 }
 
-// submitJobs lets jobs arrive for a time, about two a second.
+// submitJobs submits random jobs for a duration, about two a second. One in eight is cancelled within 15 s.
 func (r *testCluster) submitJobs(duration time.Duration) {
 	r.submitUntil = r.Now() + duration
 	var arrive func()
@@ -114,8 +115,9 @@
 	arrive()
 }
 
-// watchInvariants checks at every moment that no controller acts at a level it doesn't support, at most one acts,
-// the level never falls, and no record falls back to a former format, but that of a job with predecessors as it ends.
+// watchInvariants checks every 20 ms that at most one controller acts as leader, that it supports the cluster's
+// level, that the level never falls, and that no record is replaced by one in an older format, except the record of a
+// job with predecessors when the job ends.
 func (r *testCluster) watchInvariants() {
 	r.formats = map[string]int{}
 	level, last := rollout.Base, uint64(0)
@@ -123,16 +125,16 @@
 	check = func() {
 		now := r.ClusterLevel()
 		if now < level {
-			r.ReportViolation("the level falls from %d to %d", level, now)
+			r.ReportViolation("the level fell from %d to %d", level, now)
 		}
 		level = now
 		ls := r.ActingLeaders()
 		if len(ls) > 1 {
-			r.ReportViolation("controllers %v may act by their own state", ls)
+			r.ReportViolation("controllers %v act as leader at the same time, want at most one", ls)
 		}
 		for _, i := range ls {
 			if r.runningLevel(i) < level {
-				r.ReportViolation("controller %d supports level %d and acts at level %d", i, r.runningLevel(i), level)
+				r.ReportViolation("controller %d supports level %d but acts at level %d", i, r.runningLevel(i), level)
 			}
 		}
 		newest := last
@@ -143,7 +145,7 @@
 			newest = max(newest, item.Version)
 			f := rollout.FormatOf(item.Value)
 			if f < r.formats[k] && !endsDependentJob(k, item.Value, r.formats[k]) {
-				r.ReportViolation("%s falls from format %d to %d", k, r.formats[k], f)
+				r.ReportViolation("%s fell from format %d to %d", k, r.formats[k], f)
 			} else {
 				r.formats[k] = f
 			}
@@ -154,23 +156,23 @@
 	check()
 }
 
-// rolloutView asks a controller where the rollout stands.
+// rolloutView requests the state of the rollout from a controller.
 func (r *testCluster) rolloutView(i int) (v rollout.View) {
 	r.t.Helper()
 	r.Request(i, "GET", "/v2/rollout", nil, func(status int, raw []byte) {
 		if err := json.Unmarshal(raw, &v); err != nil || status != 200 {
-			r.t.Errorf("status %d: %s", status, raw)
+			r.t.Errorf("GET /v2/rollout: got status %d and %s, want 200 and a rollout view", status, raw)
 		}
 	})
 	r.Advance(100 * time.Millisecond)
 	return v
 }
 
-// rolloutCommand gives an operator's word and returns the answer.
+// rolloutCommand sends an operator's command to the leader and returns the answer; status 503 if there is no leader.
 func (r *testCluster) rolloutCommand(op string) (status int, body string) {
 	l, _ := r.Leader()
 	if l < 0 {
-		return 503, "nobody leads"
+		return 503, "no leader"
 	}
 	r.Request(
 		l,
@@ -183,8 +185,8 @@
 	return status, body
 }
 
-// waitFor advances time until a condition is met.
-func (r *testCluster) waitFor(what string, limit time.Duration, isMet func() bool) {
+// waitFor advances time until a condition is met. The test fails if that takes longer than limit.
+func (r *testCluster) waitFor(condition string, limit time.Duration, isMet func() bool) {
 	r.t.Helper()
 	for end := r.Now() + limit; r.Now() < end; r.Advance(100 * time.Millisecond) {
 		if isMet() {
@@ -195,10 +197,10 @@
 	if l >= 0 {
 		r.t.Logf("%+v", r.rolloutView(l))
 	}
-	r.t.Fatalf("%v: not %s after %v; level %d, violations %v", r.Now(), what, limit, r.ClusterLevel(), r.Violations())
+	r.t.Fatalf("%v: condition %q not met within %v; level %d, violations %v", r.Now(), condition, limit, r.ClusterLevel(), r.Violations())
 }
 
-// restart ends a controller and starts it with a release a little later.
+// restart kills a controller and starts it a second later with the release of maxLevel.
 func (r *testCluster) restart(i int, maxLevel rollout.Level) {
 	r.KillController(i)
 	r.SetRelease(i, maxLevel)
@@ -206,7 +208,7 @@
 	r.StartController(i)
 }
 
-// migrated tells whether the migration's end is durable.
+// migrated reports whether the end of the migration to the newest level is stored.
 func (r *testCluster) migrated() bool {
 	var m struct {
 		Level rollout.Level `json:"level"`
@@ -215,7 +217,7 @@
 	return json.Unmarshal(r.StoredItem("h/r/migration").Value, &m) == nil && m.Done && m.Level == rollout.Newest
 }
 
-// unmigratedPlans counts the plans with a key of their own.
+// unmigratedPlans counts the plans in the form of the former release, with a key for each plan instead of pages.
 func (r *testCluster) unmigratedPlans() (n int) {
 	for k := range r.StoredItems(jobs.PlanPrefix) {
 		if !strings.HasPrefix(k, jobs.PlanPagePrefix) && !strings.HasPrefix(k, jobs.PlanPrefix+"images") {
@@ -225,15 +227,16 @@
 	return n
 }
 
-// waitUntilDone waits for the end of all jobs and checks the answers that users received.
+// waitUntilDone waits until all jobs have ended, for at most ten minutes. It reports violations and checks the answers
+// that users received.
 func (r *testCluster) waitUntilDone() {
 	r.t.Helper()
 	for end := r.Now() + 10*time.Minute; r.Now() < end; r.Advance(2 * time.Second) {
-		open := r.submitUntil > r.Now()
+		pending := r.submitUntil > r.Now()
 		for _, user := range r.users {
-			open = open || len(user.finalStates) < 4
+			pending = pending || len(user.finalStates) < 4
 		}
-		if !open {
+		if !pending {
 			break
 		}
 	}
@@ -241,70 +244,72 @@
 	for _, user := range r.users {
 		switch {
 		case len(user.finalStates) == 0:
-			r.t.Errorf("%s is not over (status %d)", user.spec.ID, user.status)
+			r.t.Errorf("%s: got no final state (status %d), want one", user.spec.ID, user.status)
 		case user.finalStates[0] == "cancelled" && !user.cancelRequested && !r.MayBeCancelled(user.spec.ID):
-			r.t.Errorf("%s is cancelled, and nobody asked for it", user.spec.ID)
+			r.t.Errorf("%s was cancelled without a request to cancel it or a predecessor", user.spec.ID)
 		}
 		for _, s := range user.finalStates {
 			if s != user.finalStates[0] {
-				r.t.Errorf("%s was answered %v", user.spec.ID, user.finalStates)
+				r.t.Errorf("%s: got final states %v, want all equal", user.spec.ID, user.finalStates)
 			}
 		}
 	}
 }
 
-// TestRollingUpgradeOfFive rolls five controllers in the order of the plan, under load: the leader changes once,
-// the level rises by itself after the soak time, everything migrates, and hardly a second passes without a start.
+// TestRollingUpgradeOfFive restarts five controllers with the newest release in the order of the plan, under load.
+// The leader changes once, the level rises by itself after the soak time, all plans migrate, and no 2 s pass without
+// a start.
 func TestRollingUpgradeOfFive(t *testing.T) {
 	cluster := newTestCluster(t, 51, 5, rollout.Base, "soak_s = 5")
 	cluster.submitJobs(3 * time.Minute)
 	cluster.Advance(30 * time.Second)
 	if cluster.ClusterLevel() != rollout.Base || cluster.unmigratedPlans() == 0 {
-		t.Fatalf("level %d, %d plans of the former form", cluster.ClusterLevel(), cluster.unmigratedPlans())
+		t.Fatalf("got level %d and %d plans in the former form, want the base level and some plans", cluster.ClusterLevel(), cluster.unmigratedPlans())
 	}
 	_, before := cluster.Leader()
 	from, rolled := cluster.Now(), false
 	cluster.RollingRestart(rollout.Newest, 3*time.Second, nil, func() { rolled = true })
-	cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
-	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("all controllers restarted", 2*time.Minute, func() bool { return rolled })
+	cluster.waitFor("cluster at the newest level", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if _, after := cluster.Leader(); after != before+1 {
-		t.Errorf("the leader changed %d times", after-before)
+		t.Errorf("got %d leader changes, want 1", after-before)
 	}
 	gap := cluster.LongestStartGap(from, cluster.Now())
-	cluster.waitFor("migrated", time.Minute, cluster.migrated)
+	cluster.waitFor("plans migrated", time.Minute, cluster.migrated)
 	if n := cluster.unmigratedPlans(); n > 0 {
-		t.Errorf("%d plans of the former form", n)
+		t.Errorf("got %d plans in the former form after the migration, want 0", n)
 	}
-	t.Logf("rolled in %v, the longest time without a start %v", cluster.Now()-from, gap)
+	t.Logf("restarted and migrated in %v, longest time without a start %v", cluster.Now()-from, gap)
 	if gap > 2*time.Second {
-		t.Errorf("nothing started for %v", gap)
+		t.Errorf("longest time without a start: got %v, want at most 2 s", gap)
 	}
 	cluster.waitUntilDone()
 }
 
-// TestRiseOfLevelWaits kills the leader between the transaction that raises the level and its answer, or lets the
-// transaction land only after operators have aborted, or after a controller has come back with the former release.
+// TestRiseOfLevelWaits interferes with the transaction that raises the level: its answer is lost, the leader is killed
+// before the answer, or the transaction is delayed until an operator has aborted the rollout or a controller has
+// restarted with the former release. In the delayed cases the level must not rise.
 func TestRiseOfLevelWaits(t *testing.T) {
 	for _, c := range []string{
 		"the leader dies before the answer",
 		"after an abort",
-		"after an old one came back",
+		"after a restart with the former release",
 		"the answer is lost",
 	} {
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 52, 3, rollout.Base, "finish = \"operator\"")
 			cluster.submitJobs(70 * time.Second)
-			rolled, caught := false, 0
+			rolled, intercepted := false, 0
 			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-			cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+			cluster.waitFor("all controllers restarted", time.Minute, func() bool { return rolled })
 			cluster.Advance(2 * time.Second)
 			leader, _ := cluster.Leader()
 			cluster.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
 				for _, o := range tx.Then {
-					if o.Put != "h/r/level" || caught > 0 {
+					if o.Put != "h/r/level" || intercepted > 0 {
 						continue
 					}
-					caught++
+					intercepted++
 					switch c {
 					case "the answer is lost":
 						return TxnOutcome{Unanswered: true}
@@ -314,27 +319,29 @@
 					}
 					return TxnOutcome{Delay: 1500 * time.Millisecond}
 				}
-				// The leader asks again after a second: that one must not hide what becomes of the first.
-				if caught > 0 && len(tx.Then) > 0 && tx.Then[0].Put == "h/r/level" {
+				// The leader repeats the transaction after a second. The repetition must not hide the outcome of the
+				// first one.
+				if intercepted > 0 && len(tx.Then) > 0 && tx.Then[0].Put == "h/r/level" {
 					return TxnOutcome{Dropped: true}
 				}
 				return TxnOutcome{}
 			})
 			if status, body := cluster.rolloutCommand("finish"); status != 200 {
-				t.Fatalf("%d %s", status, body)
+				t.Fatalf("command finish: got %d %s, want 200", status, body)
 			}
-			cluster.waitFor("sent", 5*time.Second, func() bool { return caught > 0 })
+			cluster.waitFor("level transaction sent", 5*time.Second, func() bool { return intercepted > 0 })
 			want := rollout.Newest
 			switch c {
 			case "after an abort":
-				// Whoever leads now may say so again; the word goes through before the upgrade does.
+				// The current leader may need the command again; the command is applied before the delayed
+				// transaction.
 				cluster.waitFor(
-					"aborted",
+					"command abort accepted",
 					2*time.Second,
 					func() bool { s, _ := cluster.rolloutCommand("abort"); return s == 200 },
 				)
 				want = rollout.Base
-			case "after an old one came back":
+			case "after a restart with the former release":
 				cluster.restart((leader+1)%3, rollout.Base)
 				want = rollout.Base
 			}
@@ -342,7 +349,7 @@
 			cluster.InterceptTxns(nil)
 			cluster.Advance(5 * time.Second)
 			if cluster.ClusterLevel() != want {
-				t.Fatalf("level %d", cluster.ClusterLevel())
+				t.Fatalf("got level %d, want the other one of base and newest", cluster.ClusterLevel())
 			}
 			for i := range 3 {
 				if !cluster.ControllerRuns(i) {
@@ -354,68 +361,69 @@
 	}
 }
 
-// TestOldReleaseStaysOutAfterUpgrade keeps a controller down while all others are rolled. It announced the former
-// release last: the level doesn't rise, and the status names the reason. It comes back as it was: the level doesn't
-// rise. Once it is new the level does; an old one that comes then stays out, doesn't end, and logs what to do.
+// TestOldReleaseStaysOutAfterUpgrade keeps a controller that announced the former release down while all others are
+// upgraded. The level doesn't rise, and the status names the controller; the same once the controller restarts with
+// the former release. When the controller runs the newest release, the level rises. A controller that restarts with
+// the former release after that must neither lead nor accept jobs, and its process keeps running.
 func TestOldReleaseStaysOutAfterUpgrade(t *testing.T) {
 	cluster := newTestCluster(t, 53, 3, rollout.Base, "soak_s = 2")
 	cluster.submitJobs(2 * time.Minute)
 	cluster.Advance(5 * time.Second)
 	leader, _ := cluster.Leader()
-	out := (leader + 1) % 3
-	cluster.KillController(out)
+	excluded := (leader + 1) % 3
+	cluster.KillController(excluded)
 	for i := range 3 {
-		if i != out {
+		if i != excluded {
 			cluster.restart(i, rollout.Newest)
 			cluster.Advance(10 * time.Second)
 		}
 	}
 	if cluster.ClusterLevel() != rollout.Base {
-		t.Fatal("the level rose, and one was down that doesn't know it")
+		t.Fatal("the level rose while a controller of the former release was down, want the base level")
 	}
 	if status, body := cluster.rolloutCommand("finish"); status != 409 ||
-		!strings.Contains(body, fmt.Sprintf("node-%d", out)) {
-		t.Errorf("%d %s", status, body)
+		!strings.Contains(body, fmt.Sprintf("node-%d", excluded)) {
+		t.Errorf("command finish: got %d %s, want 409 that names the stopped controller", status, body)
 	}
-	cluster.StartController(out)
+	cluster.StartController(excluded)
 	cluster.Advance(10 * time.Second)
 	l, _ := cluster.Leader()
 	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Missing) != 1 ||
-		v.Restart != fmt.Sprintf("node-%d", out) {
-		t.Errorf("level %d, %+v", cluster.ClusterLevel(), v)
+		v.Restart != fmt.Sprintf("node-%d", excluded) {
+		t.Errorf("got level %d, %+v; want the base level and the controller of the former release as missing", cluster.ClusterLevel(), v)
 	}
-	cluster.restart(out, rollout.Newest)
-	cluster.waitFor("upgraded", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
-	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
+	cluster.restart(excluded, rollout.Newest)
+	cluster.waitFor("cluster at the newest level", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("plans migrated", 30*time.Second, cluster.migrated)
 
-	cluster.restart(out, rollout.Base)
+	cluster.restart(excluded, rollout.Base)
 	cluster.Advance(8 * time.Second)
-	ups := 0
+	healthChecks := 0
 	for range 3 {
-		cluster.Request(out, "GET", "/up", nil, func(status int, _ []byte) {
-			if ups++; status != 503 {
-				t.Errorf("its health check passes: %d", status)
+		cluster.Request(excluded, "GET", "/up", nil, func(status int, _ []byte) {
+			if healthChecks++; status != 503 {
+				t.Errorf("health check of a controller below the cluster's level: got status %d, want 503", status)
 			}
 		})
-		cluster.Request(out, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
+		cluster.Request(excluded, "POST", "/v2/runs", []byte(`{}`), func(status int, _ []byte) {
 			if status == 201 {
-				t.Error("it took a job")
+				t.Error("a controller below the cluster's level accepted a job, want a rejection")
 			}
 		})
 		cluster.Advance(time.Second)
 	}
-	if v := cluster.rolloutView(out); ups != 3 || !cluster.ControllerRuns(out) || v.State != "behind" {
-		t.Errorf("%d answers, runs %v, %+v", ups, cluster.ControllerRuns(out), v)
+	if v := cluster.rolloutView(excluded); healthChecks != 3 || !cluster.ControllerRuns(excluded) || v.State != "behind" {
+		t.Errorf("got %d health checks answered, running %v, %+v; want 3, true and state behind", healthChecks, cluster.ControllerRuns(excluded), v)
 	}
-	// Both others end: nobody leads rather than one that can't read what is stored.
+	// With both other controllers down there is no leader, since this controller can't read the stored records.
 	for i := range 3 {
-		if i != out {
+		if i != excluded {
 			cluster.KillController(i)
 		}
 	}
 	cluster.Advance(15 * time.Second)
 	if l, _ := cluster.Leader(); l >= 0 {
-		t.Errorf("controller %d leads", l)
+		t.Errorf("controller %d of the former release leads, want no leader", l)
 	}
 	for i := range 3 {
 		cluster.restart(i, rollout.Newest)
@@ -423,22 +431,22 @@
 	cluster.waitUntilDone()
 }
 
-// TestRollForwardAndBack rolls forward, on hold, back, forward again, and back once more when it is too late, under
-// load all the time.
+// TestRollForwardAndBack upgrades all controllers after an abort, so that the level stays, then returns to the former
+// release, upgrades again until the level rises, and aborts once more, which is too late. All of it runs under load.
 func TestRollForwardAndBack(t *testing.T) {
 	cluster := newTestCluster(t, 54, 3, rollout.Base, "soak_s = 2")
 	cluster.submitJobs(3 * time.Minute)
 	roll := func(to rollout.Level) {
 		done := false
 		cluster.RollingRestart(to, time.Second, nil, func() { done = true })
-		cluster.waitFor("rolled", 2*time.Minute, func() bool { return done })
+		cluster.waitFor("all controllers restarted", 2*time.Minute, func() bool { return done })
 	}
 	if s, b := cluster.rolloutCommand("abort"); s != 503 && s != 200 {
-		t.Fatalf("%d %s", s, b)
+		t.Fatalf("command abort at the start: got %d %s, want 200 or 503", s, b)
 	}
 	cluster.Advance(5 * time.Second)
-	if s, b := cluster.rolloutCommand("abort"); s != 200 { // plan the way back from the start: nothing rises
-		t.Fatalf("%d %s", s, b)
+	if s, b := cluster.rolloutCommand("abort"); s != 200 { // aborts in advance, so that the level doesn't rise
+		t.Fatalf("command abort: got %d %s, want 200", s, b)
 	}
 	for i := range 3 {
 		cluster.restart(i, rollout.Newest)
@@ -446,25 +454,25 @@
 	}
 	cluster.Advance(10 * time.Second)
 	if cluster.ClusterLevel() != rollout.Base {
-		t.Fatal("it rose though it was aborted")
+		t.Fatal("the level rose after an abort, want the base level")
 	}
-	roll(rollout.Base) // nothing is lost
+	roll(rollout.Base) // all jobs must survive the return
 	if cluster.unmigratedPlans() == 0 {
-		t.Error("no plan stands in the form that the former release reads")
+		t.Error("got no plan in the form that the former release reads, want some")
 	}
 	if s, b := cluster.rolloutCommand("free"); s != 200 {
-		t.Fatalf("%d %s", s, b)
+		t.Fatalf("command free: got %d %s, want 200", s, b)
 	}
 	roll(rollout.Newest)
-	cluster.waitFor("upgraded", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("cluster at the newest level", 20*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	if s, b := cluster.rolloutCommand("abort"); s != 409 || !strings.Contains(b, "can't read") {
-		t.Errorf("an abort that comes too late: %d %s", s, b)
+		t.Errorf("abort after the level rose: got %d %s, want 409 that says what can't be read", s, b)
 	}
 	cluster.waitUntilDone()
 }
 
-// TestDelayedWritesOfOldReleaseHaveNoEffect ends a leader of the former release with plans on their way, which land
-// after the level was raised and the migration is over.
+// TestDelayedWritesOfOldReleaseHaveNoEffect kills a leader of the former release whose plan writes are delayed until
+// the level has risen and the migration has ended. The delayed writes must not restore plans in the former form.
 func TestDelayedWritesOfOldReleaseHaveNoEffect(t *testing.T) {
 	cluster := newTestCluster(t, 55, 3, rollout.Base, "finish = \"operator\"")
 	cluster.submitJobs(90 * time.Second)
@@ -476,34 +484,34 @@
 		}
 	}
 	cluster.Advance(5 * time.Second)
-	held := 0
+	delayed := 0
 	cluster.InterceptTxns(func(i int, tx store.Txn) TxnOutcome {
 		if i == leader && cluster.runningLevel(i) == rollout.Base && len(tx.Then) > 0 &&
 			strings.HasPrefix(tx.Then[0].Put, jobs.PlanPrefix) {
-			held++
+			delayed++
 			return TxnOutcome{Delay: 40 * time.Second}
 		}
 		return TxnOutcome{}
 	})
-	cluster.waitFor("held back", 10*time.Second, func() bool { return held > 0 })
+	cluster.waitFor("plan write delayed", 10*time.Second, func() bool { return delayed > 0 })
 	cluster.restart(leader, rollout.Newest)
 	cluster.Advance(4 * time.Second)
-	cluster.waitFor("accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
-	cluster.waitFor("migrated", 20*time.Second, cluster.migrated)
+	cluster.waitFor("command finish accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("plans migrated", 20*time.Second, cluster.migrated)
 	cluster.Advance(45 * time.Second)
 	if n := cluster.unmigratedPlans(); n > 0 {
-		t.Errorf("%d plans in the former form", n)
+		t.Errorf("got %d plans in the former form, want 0", n)
 	}
 	cluster.waitUntilDone()
 }
 
-// TestMigrationIsInterrupted checks that the migration resumes where it was, through three failovers, an outage of
-// the state service, and a partition of a zone with two of five controllers, the leader's among them.
+// TestMigrationIsInterrupted checks that the migration completes despite three failovers, an outage of the state
+// service, or a partition of the leader's zone, which has two of five controllers.
 func TestMigrationIsInterrupted(t *testing.T) {
 	for _, c := range []string{"takeovers", "outage", "zone"} {
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 56, 5, rollout.Base, "soak_s = 1")
-			for i := range 150 { // many long jobs: there is something to migrate
+			for i := range 150 { // many long jobs, so that there are plans to migrate
 				spec := arraySpec(fmt.Sprintf("req-9%05d", i), "c", "blue")
 				spec.Priority = "best_effort"
 				spec.EstimateS = 150
@@ -514,10 +522,10 @@
 			cluster.Advance(40 * time.Second)
 			rolled := false
 			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-			cluster.waitFor("rolled", 2*time.Minute, func() bool { return rolled })
-			cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
-			// From here on only the leader's most urgent writes go through at once.
-			start := cluster.unmigratedPlans()
+			cluster.waitFor("all controllers restarted", 2*time.Minute, func() bool { return rolled })
+			cluster.waitFor("cluster at the newest level", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+			// From here on the migration competes with the leader's more urgent writes.
+			plansToMigrate := cluster.unmigratedPlans()
 			switch c {
 			case "takeovers":
 				for range 3 {
@@ -537,21 +545,22 @@
 				cluster.PartitionZone(zone, DelayBoth)
 				cluster.Advance(20 * time.Second)
 				if n, _ := cluster.Leader(); n < 0 || cluster.settings[n].Zone == zone {
-					t.Errorf("controller %d leads, in a zone that is cut off", n)
+					t.Errorf("got leader %d, want a controller outside the partitioned zone", n)
 				}
 				cluster.PartitionZone(zone, Connected)
 			}
-			cluster.waitFor("migrated", 2*time.Minute, cluster.migrated)
-			t.Logf("%d plans in the former form when the level rose", start)
-			if start == 0 || cluster.unmigratedPlans() != 0 {
-				t.Errorf("%d plans to migrate, %d left", start, cluster.unmigratedPlans())
+			cluster.waitFor("plans migrated", 2*time.Minute, cluster.migrated)
+			t.Logf("%d plans in the former form when the level rose", plansToMigrate)
+			if plansToMigrate == 0 || cluster.unmigratedPlans() != 0 {
+				t.Errorf("got %d plans to migrate and %d remaining, want some and 0", plansToMigrate, cluster.unmigratedPlans())
 			}
 			cluster.waitUntilDone()
 		})
 	}
 }
 
-// TestRollWithKills kills every second controller of a rolling restart while it drains.
+// TestRollWithKills kills every second controller of a rolling restart while the controller drains. The migration and
+// all jobs still complete.
 func TestRollWithKills(t *testing.T) {
 	cluster := newTestCluster(t, 57, 5, rollout.Base, "soak_s = 3")
 	cluster.submitJobs(2 * time.Minute)
@@ -563,34 +572,34 @@
 		func(int) bool { n++; return n%2 == 0 },
 		func() { rolled = true },
 	)
-	cluster.waitFor("rolled", 3*time.Minute, func() bool { return rolled })
-	cluster.waitFor("migrated", time.Minute, cluster.migrated)
+	cluster.waitFor("all controllers restarted", 3*time.Minute, func() bool { return rolled })
+	cluster.waitFor("plans migrated", time.Minute, cluster.migrated)
 	cluster.waitUntilDone()
 }
 
-// TestRiseOfLevelWhileLeaderIsFrozen freezes the leader while another takes over and the level rises. When it goes
-// on its own state is, for a moment, that it leads at the former level: it acts on nothing.
+// TestRiseOfLevelWhileLeaderIsFrozen freezes the leader while another takes over and the level rises. When the former
+// leader resumes, its own state still says that it leads at the former level; it must not act on that state.
 func TestRiseOfLevelWhileLeaderIsFrozen(t *testing.T) {
 	cluster := newTestCluster(t, 58, 3, rollout.Base, "finish = \"operator\"")
 	cluster.submitJobs(80 * time.Second)
 	rolled := false
 	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+	cluster.waitFor("all controllers restarted", time.Minute, func() bool { return rolled })
 	old, _ := cluster.Leader()
 	cluster.FreezeController(old, 25*time.Second)
 	cluster.waitFor(
-		"led by another",
+		"led by another controller",
 		15*time.Second,
 		func() bool { l, _ := cluster.Leader(); return l >= 0 && l != old },
 	)
 	cluster.Advance(time.Second)
-	cluster.waitFor("accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
-	cluster.waitFor("upgraded", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("command finish accepted", 10*time.Second, func() bool { s, _ := cluster.rolloutCommand("finish"); return s == 200 })
+	cluster.waitFor("cluster at the newest level", 5*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 	cluster.waitUntilDone()
 }
 
-// TestSuccessorHasTheNewRelease loses the leader in the middle of a rollout: its successor has the new release, if
-// a controller that has it is running.
+// TestSuccessorHasTheNewRelease kills or drains the leader in the middle of a rollout. The next leader must be the one
+// running controller with the new release.
 func TestSuccessorHasTheNewRelease(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newTestCluster(t, 80+seed, 5, rollout.Base, "soak_s = 600")
@@ -606,14 +615,14 @@
 		}
 		cluster.Advance(12 * time.Second)
 		if l, _ := cluster.Leader(); l != newer {
-			t.Errorf("seed %d: controller %d leads, %d has the new release", 80+seed, l, newer)
+			t.Errorf("seed %d: got leader %d, want %d, which has the new release", 80+seed, l, newer)
 		}
 	}
 }
 
-// TestUnreadableRecords checks that what can't be read isn't skipped: a controller's announcement keeps the level
-// down, a job's record and a plan keep the job from starting anywhere else, and the status, metrics and `job why`
-// show it.
+// TestUnreadableRecords checks that records that can't be read aren't skipped. A controller's damaged announcement
+// keeps the level from rising. A job's damaged record or plan keeps the job from starting on other machines. The
+// rollout status and the explanation of the job (`job why`) name the records.
 func TestUnreadableRecords(t *testing.T) {
 	cluster := newTestCluster(t, 59, 3, rollout.Base, "soak_s = 2")
 	cluster.Advance(3 * time.Second)
@@ -622,17 +631,17 @@
 	key := rollout.AnnounceKey(fmt.Sprintf("node-%d", other))
 	rolled := false
 	cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
-	cluster.waitFor("rolled", time.Minute, func() bool { return rolled })
+	cluster.waitFor("all controllers restarted", time.Minute, func() bool { return rolled })
 	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"v":"?"}`)})
 	cluster.Advance(10 * time.Second)
 	l, _ := cluster.Leader()
 	if v := cluster.rolloutView(l); cluster.ClusterLevel() != rollout.Base || len(v.Unreadable) != 1 ||
 		v.Unreadable[0].Key != key ||
 		len(v.Missing) != 1 {
-		t.Fatalf("level %d, %+v", cluster.ClusterLevel(), v)
+		t.Fatalf("got level %d, %+v; want the base level and the damaged announcement as unreadable", cluster.ClusterLevel(), v)
 	}
-	cluster.restart(other, rollout.Newest) // it announces it again
-	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
+	cluster.restart(other, rollout.Newest) // writes its announcement again
+	cluster.waitFor("plans migrated", 30*time.Second, cluster.migrated)
 
 	for n := range 2 {
 		spec := arraySpec(fmt.Sprintf("req-%06d", n+1), "c", "red")
@@ -640,8 +649,9 @@
 		spec.EstimateS = 25
 		cluster.newUser(spec).submit()
 	}
-	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 6 })
-	// Of the first job the record is damaged; of both, the page with their plans. The next leader finds it so.
+	cluster.waitFor("six tasks running", 20*time.Second, func() bool { return cluster.Utilization().Running == 6 })
+	// Damages the record of the first job, and the pages with the plans of both jobs, before the next leader reads
+	// them.
 	cluster.WriteKeys(store.Op{Put: jobs.RecordKey("req-000001"), Value: json.RawMessage(`{"stance":"?"}`)})
 	for k := range cluster.StoredItems(jobs.PlanPagePrefix) {
 		cluster.WriteKeys(store.Op{Put: k, Value: json.RawMessage(`{"plans":7}`)})
@@ -649,30 +659,30 @@
 	l, _ = cluster.Leader()
 	cluster.KillController(l)
 	cluster.Advance(12 * time.Second)
-	l2, _ := cluster.Leader()
+	nextLeader, _ := cluster.Leader()
 	cluster.StartController(l)
 	starts := cluster.Stats().TaskStarts
-	v := cluster.rolloutView(l2)
+	v := cluster.rolloutView(nextLeader)
 	if len(v.Unreadable) < 2 {
-		t.Errorf("%+v", v.Unreadable)
+		t.Errorf("got unreadable records %+v, want at least 2", v.Unreadable)
 	}
 	why := ""
-	cluster.Request(l2, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
-	cluster.Request(l2, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
+	cluster.Request(nextLeader, "GET", "/v2/runs/req-000002/why", nil, func(_ int, raw []byte) { why = string(raw) })
+	cluster.Request(nextLeader, "GET", "/v2/runs/req-000001", nil, func(status int, _ []byte) {
 		if status != 503 {
-			t.Errorf("a job whose record can't be read is answered with status %d", status)
+			t.Errorf("query of a job whose record can't be read: got status %d, want 503", status)
 		}
 	})
 	cluster.Advance(40 * time.Second)
 	if cluster.Stats().TaskStarts != starts || !strings.Contains(why, "unreadable") {
-		t.Errorf("%d starts on a guess; why: %s", cluster.Stats().TaskStarts-starts, why)
+		t.Errorf("got %d starts of jobs with unreadable records and the explanation %s, want 0 and unreadable", cluster.Stats().TaskStarts-starts, why)
 	}
 	reportViolations(t, cluster.Simulation)
 }
 
-// TestPlanOfAnUnreadableRecordStays damages a job's record and restarts every controller, so that none has ever
-// read it. Its plan is in a page that is written again and again meanwhile; it is kept there, and counts when the
-// record can be read.
+// TestPlanOfAnUnreadableRecordStays damages a job's record and restarts all controllers, so that none has read the
+// original. The page with the job's plan is rewritten several times for other jobs. The plan must remain in the page,
+// and count again once the record can be read.
 func TestPlanOfAnUnreadableRecordStays(t *testing.T) {
 	cluster := newTestCluster(t, 62, 3, rollout.Newest, "")
 	cluster.Advance(3 * time.Second)
@@ -683,9 +693,9 @@
 		cluster.submit(spec)
 	}
 	submit(1)
-	cluster.waitFor("running", 20*time.Second, func() bool { return cluster.Utilization().Running == 3 })
+	cluster.waitFor("three tasks running", 20*time.Second, func() bool { return cluster.Utilization().Running == 3 })
 	key := jobs.RecordKey("req-000001")
-	was := cluster.StoredItem(key).Value
+	original := cluster.StoredItem(key).Value
 	cluster.WriteKeys(store.Op{Put: key, Value: json.RawMessage(`{"stance":"?"}`)})
 	for i := range 3 {
 		cluster.KillController(i)
@@ -702,17 +712,18 @@
 		kept = kept || strings.Contains(string(item.Value), `"req-000001/000"`)
 	}
 	if !kept {
-		t.Error("the plan of a job whose record can't be read was dropped")
+		t.Error("the plan of a job whose record can't be read was dropped from the pages, want it kept")
 	}
-	// It can be read again: this leader doesn't know what runs of it and starts nothing, the next one reads both.
-	cluster.WriteKeys(store.Op{Put: key, Value: was})
+	// The record can be read again. This leader doesn't have the job's running tasks, so it starts none. The next
+	// leader reads record and plan.
+	cluster.WriteKeys(store.Op{Put: key, Value: original})
 	cluster.Advance(time.Second)
 	l, _ := cluster.Leader()
 	why := ""
 	cluster.Request(l, "GET", "/v2/runs/req-000001/why", nil, func(_ int, raw []byte) { why = string(raw) })
 	cluster.Advance(time.Second)
 	if !strings.Contains(why, "unreadable") {
-		t.Errorf("planned without its plan: %s", why)
+		t.Errorf("explanation by a leader without the job's plan: got %s, want unreadable", why)
 	}
 	cluster.KillController(l)
 	cluster.Advance(5 * time.Second)
@@ -720,47 +731,47 @@
 	cluster.waitUntilDone()
 }
 
-// TestNewerFormatIsNotActedOn stores a record in the format of a later release: every leader steps down, all stay
-// out, and no process ends.
+// TestNewerFormatIsNotActedOn stores a migration record in the format of a later release. Every leader steps down, all
+// controllers report that they are behind, and their processes keep running.
 func TestNewerFormatIsNotActedOn(t *testing.T) {
 	cluster := newTestCluster(t, 60, 3, rollout.Newest, "")
 	cluster.submitJobs(5 * time.Second)
 	cluster.Advance(10 * time.Second)
-	was := cluster.StoredItem("h/r/migration").Value
+	original := cluster.StoredItem("h/r/migration").Value
 	cluster.WriteKeys(store.Op{Put: "h/r/migration", Value: json.RawMessage(`{"v":7,"level":2}`)})
 	cluster.Advance(10 * time.Second)
 	if ls := cluster.ActingLeaders(); len(ls) > 0 {
-		t.Errorf("controllers %v lead", ls)
+		t.Errorf("got acting leaders %v, want none", ls)
 	}
 	for i := range 3 {
 		if v := cluster.rolloutView(i); !cluster.ControllerRuns(i) || v.State != "behind" {
-			t.Errorf("controller %d: %+v", i, v)
+			t.Errorf("controller %d: got %+v, want it running and behind", i, v)
 		}
 	}
 	delete(cluster.formats, "h/r/migration")
-	cluster.WriteKeys(store.Op{Put: "h/r/migration", Value: was})
+	cluster.WriteKeys(store.Op{Put: "h/r/migration", Value: original})
 	cluster.Advance(20 * time.Second)
 	cluster.waitUntilDone()
 }
 
-// rollFault is a random fault of a run in which controllers are rolled forward and back.
+// rollFault is a random fault of a run that upgrades and downgrades controllers.
 type rollFault struct {
 	controller int
 	duration   time.Duration
-	kind       int // 0 to 13
+	kind       int // 0 to 13, see injectRollFault
 	zone       string
-	how        Partition
-	level      rollout.Level // of the release with which a controller starts
+	partition  Partition
+	level      rollout.Level // highest level of the release with which a controller restarts
 }
 
-// drawRollFault draws a fault. Its release is the newest one in the second half of a run.
+// drawRollFault draws a fault. In the second half of a run controllers restart with the newest release.
 func drawRollFault(rng *rand.Rand, controllers int, secondHalf bool) rollFault {
 	fault := rollFault{
 		controller: rng.IntN(controllers),
 		duration:   time.Duration(500+rng.IntN(9000)) * time.Millisecond,
 		kind:       rng.IntN(14),
 		zone:       zoneNames()[rng.IntN(3)],
-		how:        Partition(1 + rng.IntN(5)),
+		partition:  Partition(1 + rng.IntN(5)),
 		level:      rollout.Level(1 + rng.IntN(2)),
 	}
 	if secondHalf {
@@ -769,7 +780,7 @@
 	return fault
 }
 
-// injectRollFault begins a random fault.
+// injectRollFault starts a fault, which ends by itself.
 func (r *testCluster) injectRollFault(fault rollFault) {
 	i, duration := fault.controller, fault.duration
 	startWithRelease := func() {
@@ -791,7 +802,7 @@
 	case 7:
 		r.during(duration, func(on bool) { r.RefuseController(i, on) })
 	case 8, 9:
-		r.PartitionZone(fault.zone, fault.how)
+		r.PartitionZone(fault.zone, fault.partition)
 		r.After(duration, func() { r.PartitionZone(fault.zone, Connected) })
 	case 10:
 		r.sendRandomRolloutCommand()
@@ -804,7 +815,7 @@
 	}
 }
 
-// sendRandomRolloutCommand draws an operator's command and sends it to the leader, if there is one.
+// sendRandomRolloutCommand sends a random operator's command to the leader, if any.
 func (r *testCluster) sendRandomRolloutCommand() {
 	leader, _ := r.Leader()
 	if leader < 0 {
@@ -815,7 +826,8 @@
 	r.Request(leader, "POST", "/v2/rollout", body, func(int, []byte) {})
 }
 
-// finishRollout ends all faults, restarts all controllers with the newest release, and waits for the migration's end.
+// finishRollout ends all faults, restarts all controllers with the newest release, releases any hold or abort, and
+// waits for the end of the migration.
 func (r *testCluster) finishRollout() {
 	r.t.Helper()
 	r.StopRollingRestart()
@@ -834,18 +846,18 @@
 		}
 		r.Advance(3 * time.Second)
 	}
-	r.waitFor("upgraded", time.Minute, func() bool { return r.ClusterLevel() == rollout.Newest })
-	r.waitFor("migrated", time.Minute, r.migrated)
+	r.waitFor("cluster at the newest level", time.Minute, func() bool { return r.ClusterLevel() == rollout.Newest })
+	r.waitFor("plans migrated", time.Minute, r.migrated)
 }
 
-// TestRandomRollsUnderFaults rolls forward and back at random times that overlap with kills, drains, freezes, cut
-// links, outages and operators' commands, under load.
+// TestRandomRollsUnderFaults upgrades and downgrades controllers at random times under load, with overlapping kills,
+// drains, freezes, partitions, outages and operators' commands. All clusters reach the newest level and all jobs end.
 func TestRandomRollsUnderFaults(t *testing.T) {
 	seeds := 8
 	if os.Getenv("HAREWALK_LONG") != "" {
 		seeds = 240
 	}
-	upgraded, ends, starts, kills := 0, map[string]int{}, 0, 0
+	upgraded, counts, starts, kills := 0, map[string]int{}, 0, 0
 	for seed := range seeds {
 		cluster := newTestCluster(t, uint64(100+seed), 3+2*(seed%2), rollout.Base, "soak_s = 3")
 		rng := cluster.rng
@@ -859,19 +871,19 @@
 		cluster.finishRollout()
 		upgraded++
 		cluster.waitUntilDone()
-		countEnds(ends, cluster.users)
+		countEnds(counts, cluster.users)
 		s := cluster.Stats()
 		starts, kills = starts+s.TaskStarts, kills+s.ControllersKilled
 		if t.Failed() {
-			t.Fatalf("seed %d", 100+seed)
+			t.Fatalf("seed %d failed", 100+seed)
 		}
 	}
-	t.Logf("%d seeds, %d upgraded: %v; %d starts, %d controllers killed", seeds, upgraded, ends, starts, kills)
+	t.Logf("%d seeds, %d upgraded: %v; %d starts, %d controllers killed", seeds, upgraded, counts, starts, kills)
 }
 
-// TestEveryMachineGoneWhileNoControllerRuns ends every machine while no controller runs. Those that lead then
-// receive no heartbeat; they must not hand over to each other for ever, each counting the leases from its own
-// beginning, but rent again once the leases have expired.
+// TestEveryMachineGoneWhileNoControllerRuns powers off all zones, so that no machine and no controller runs. The
+// leaders after the restart receive no heartbeats. They must not hand over to each other endlessly, each counting the
+// machines' leases from its own start, but rent machines once the leases have expired.
 func TestEveryMachineGoneWhileNoControllerRuns(t *testing.T) {
 	cluster := newTestCluster(t, 61, 3, rollout.Newest, "")
 	cluster.submitJobs(20 * time.Second)
@@ -884,6 +896,6 @@
 	cluster.startControllers()
 	cluster.waitUntilDone()
 	if _, now := cluster.Leader(); now > term+3 {
-		t.Errorf("the leader changed %d times", now-term)
+		t.Errorf("got %d leader changes, want at most 3", now-term)
 	}
 }
--- a/internal/simulator/script_test.go
+++ b/internal/simulator/script_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// TestParseScript checks that faults are returned in the order of their times, and that an error names its line.
+// TestParseScript checks that faults are returned in the order of their times, and that errors name the line or the
+// wrong argument.
 func TestParseScript(t *testing.T) {
 	text := "# a bad minute\n30s outage 5s\n\n12s hang 5s # one machine\n1m refuse 2 3s\n12s crash-task\n"
 	s, err := ParseScript(strings.NewReader(text))
 	if err != nil || len(s) != 4 || s[0].Text != "hang 5s" || s[1].Text != "crash-task" || s[3].After != time.Minute {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("got faults %+v and error %v, want four faults in order of time", s, err)
 	}
 	for bad, want := range map[string]string{
 		"hang 5s":        "line 1",
@@ -23,32 +24,32 @@
 		"-1s crash-task": "begin with a time",
 	} {
 		if _, err := ParseScript(strings.NewReader(bad)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: error %v does not say %q", bad, err, want)
+			t.Errorf("%q: got error %v, want one that contains %q", bad, err, want)
 		}
 	}
 }
 
-// TestParseScriptErrorsAreTyped checks that a caller can read from an error the line and what is wrong with it.
+// TestParseScriptErrorsAreTyped checks that the types of errors give a caller the line, its text and the cause.
 func TestParseScriptErrorsAreTyped(t *testing.T) {
 	_, err := ParseScript(strings.NewReader("12s hang 5s\n\n13s sleep 5s # at night\n"))
 	var lineError *ScriptError
 	if !errors.As(err, &lineError) || lineError.Line != 3 || lineError.Text != "13s sleep 5s" {
-		t.Errorf("error %#v names line and text otherwise", err)
+		t.Errorf("got error %#v, want a ScriptError with line 3 and its text", err)
 	}
 	if !errors.Is(err, errUnknownFault) {
-		t.Errorf("error %v is not that of an unknown fault", err)
+		t.Errorf("got error %v, want errUnknownFault", err)
 	}
 	_, err = ParseScript(strings.NewReader("12s hang"))
 	var countError *argumentCountError
 	if !errors.As(err, &countError) || countError.fault != "hang" || countError.want != 1 {
-		t.Errorf("error %#v is not that of a missing argument", err)
+		t.Errorf("got error %#v, want an argumentCountError for hang with 1 argument", err)
 	}
 	_, err = ParseScript(strings.NewReader("12s hang five"))
 	var valueError *argumentError
 	if !errors.As(err, &valueError) || valueError.value != "five" {
-		t.Errorf("error %#v is not that of a wrong argument", err)
+		t.Errorf("got error %#v, want an argumentError for the value five", err)
 	}
 	if _, err = ParseScript(strings.NewReader("12s")); !errors.Is(err, errNoTimeAndFault) {
-		t.Errorf("error %v is not that of a missing fault", err)
+		t.Errorf("got error %v, want errNoTimeAndFault", err)
 	}
 }
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -17,7 +17,7 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// storedBefore is the state service as a release without levels left it (testdata/README.md).
+// storedBefore returns the records that a release without levels stored, by key (see testdata/README.md).
 func storedBefore(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/stored-before-levels.json")
@@ -31,97 +31,98 @@
 	return m
 }
 
-// same decodes a value into its type and writes it again.
-func same[T any](t *testing.T, key string, raw json.RawMessage) {
+// checkRoundTrip checks that a stored value, decoded as a T and encoded again, has the same bytes.
+func checkRoundTrip[T any](t *testing.T, key string, raw json.RawMessage) {
 	t.Helper()
 	var v T
 	if err := json.Unmarshal(raw, &v); err != nil {
-		t.Errorf("%s: %v", key, err)
+		t.Errorf("%s: decoding failed: %v", key, err)
 		return
 	}
 	if got, _ := json.Marshal(v); string(got) != string(raw) {
-		t.Errorf("%s was %s and is written as %s", key, raw, got)
+		t.Errorf("%s: stored %s, encoded again as %s, want equal bytes", key, raw, got)
 	}
 }
 
-// TestStoredStateOfEarlierReleasesIsRead checks that every record that an earlier release wrote is read, and at the
-// level of that release written back to the byte, so that the release can be returned to.
+// TestStoredStateOfEarlierReleasesIsRead checks that every record of an earlier release can be read, and that
+// encoding the record at that release's level gives the same bytes, so that the cluster can be downgraded to the
+// release.
 func TestStoredStateOfEarlierReleasesIsRead(t *testing.T) {
 	all := storedBefore(t)
 	kinds := map[string]int{}
-	book := jobs.NewTable(0)
+	table := jobs.NewTable(0)
 	for key, raw := range all {
 		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
-			if _, _, err := book.Apply(id, raw, 1); err != nil {
-				t.Errorf("%s: %v", key, err)
+			if _, _, err := table.Apply(id, raw, 1); err != nil {
+				t.Errorf("%s: applying the record failed: %v", key, err)
 			}
 		}
 	}
 	for key, raw := range all {
-		row, ok := rollout.RecordFormatOf(key)
+		format, ok := rollout.RecordFormatOf(key)
 		if !ok {
-			t.Errorf("%s: of no kind that is known", key)
+			t.Errorf("%s: no record format registered for this key", key)
 			continue
 		}
-		kinds[row.Kind]++
-		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(row.ReadFormats, f) ||
-			row.WrittenAt(rollout.Base) != 1 {
-			t.Errorf("%s: format %d, written at the first level: %d", key, f, row.WrittenAt(rollout.Base))
+		kinds[format.Kind]++
+		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(format.ReadFormats, f) ||
+			format.WrittenAt(rollout.Base) != 1 {
+			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1", key, f, format.WrittenAt(rollout.Base))
 		}
-		switch row.Kind {
+		switch format.Kind {
 		case "job":
 			var r jobs.Record
 			if err := json.Unmarshal(raw, &r); err != nil {
 				t.Fatal(err)
 			}
-			st := map[string]jobs.State{
+			state := map[string]jobs.State{
 				"pending":   jobs.Pending,
 				"done":      jobs.Done,
 				"cancelled": jobs.Cancelled,
 			}[r.State]
-			if got := jobs.EncodeRecord(st, r.AtMS, r.Tasks, (*jobs.Spec)(r.Spec)); string(got) != string(raw) {
-				t.Errorf("%s was %s and is written as %s", key, raw, got)
+			if got := jobs.EncodeRecord(state, r.AtMS, r.Tasks, (*jobs.Spec)(r.Spec)); string(got) != string(raw) {
+				t.Errorf("%s: stored %s, encoded again as %s, want equal bytes", key, raw, got)
 			}
 		case "plan":
 			name := strings.TrimPrefix(key, jobs.PlanPrefix)
-			job := book.Get(name[:strings.Index(name, "/")])
+			job := table.Get(name[:strings.Index(name, "/")])
 			if job.State == jobs.Done {
 				continue
 			}
 			job.CreateTasks()
-			no := int(name[len(name)-1] - '0')
-			segment := job.Segments[no]
+			segmentIndex := int(name[len(name)-1] - '0')
+			segment := job.Segments[segmentIndex]
 			var names jobs.Names
-			on, done, err := jobs.DecodeSegment(raw, len(segment.DurableMachines), names.Index)
+			machines, done, err := jobs.DecodeSegment(raw, len(segment.DurableMachines), names.Index)
 			if err != nil {
-				t.Errorf("%s: %v", key, err)
+				t.Errorf("%s: decoding the plan failed: %v", key, err)
 				continue
 			}
-			for i := range on {
-				task := int32(no*jobs.SegmentTasks + i)
-				job.Tasks[task].Machine = on[i]
+			for i := range machines {
+				task := int32(segmentIndex*jobs.SegmentTasks + i)
+				job.Tasks[task].Machine = machines[i]
 				if done[i] {
 					_ = job.SetTaskState(task, jobs.Finished)
 				}
 			}
 			if got, _ := job.EncodeSegment(segment, 1, names.Name); string(got) != string(raw) {
-				t.Errorf("%s was %s and is written as %s", key, raw, got)
+				t.Errorf("%s: stored %s, encoded again as %s, want equal bytes", key, raw, got)
 			}
 		case "term":
 			if term, err := rollout.DecodeTerm(raw); err != nil ||
 				string(rollout.EncodeTerm(rollout.Base, term)) != string(raw) {
-				t.Errorf("%s: %v", key, err)
+				t.Errorf("%s: not decoded and encoded to equal bytes: %v", key, err)
 			}
 		case "leader":
-			same[membership.Leader](t, key, raw)
+			checkRoundTrip[membership.Leader](t, key, raw)
 		case "part-map":
-			same[membership.ShardMap](t, key, raw)
+			checkRoundTrip[membership.ShardMap](t, key, raw)
 		case "licence-count":
-			same[licences.CountOverride](t, key, raw)
+			checkRoundTrip[licences.CountOverride](t, key, raw)
 		case "operators-wishes":
-			same[drain.Document](t, key, raw)
+			checkRoundTrip[drain.Document](t, key, raw)
 		case "session":
-			same[sessions.Record](t, key, raw)
+			checkRoundTrip[sessions.Record](t, key, raw)
 		}
 	}
 	for _, k := range []string{
@@ -137,23 +138,23 @@
 		"session",
 	} {
 		if kinds[k] == 0 {
-			t.Errorf("no record of kind %s is kept", k)
+			t.Errorf("got no stored record of kind %s, want at least one", k)
 		}
 	}
 }
 
-// pendingRecord decodes a job's record. It returns false unless that is readable and the job's state is pending.
+// pendingRecord decodes a job's record. It returns false unless the record can be decoded and the job is pending.
 func pendingRecord(raw []byte) (record jobs.Record, ok bool) {
 	err := json.Unmarshal(raw, &record)
 	return record, err == nil && record.State == "pending"
 }
 
-// TestStartOnStoredState starts a cluster of today's controllers on what an earlier release has stored: it goes on
-// at that release's level, is upgraded, migrates, and every job ends.
+// TestStartOnStoredState starts current controllers on the records that an earlier release stored. The cluster starts
+// at that release's level, is upgraded and migrated, and all jobs end.
 func TestStartOnStoredState(t *testing.T) {
 	all := storedBefore(t)
 	for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
-		delete(all, key) // of leases that have expired, and of machines that this simulation doesn't have
+		delete(all, key) // records of expired leases, and of machines that this simulation doesn't have
 	}
 	sim, err := NewVirtualTime(Config{
 		Seed:         8,
@@ -172,7 +173,7 @@
 	}
 	cluster := &testCluster{Simulation: sim, t: t}
 	cluster.watchInvariants()
-	open := 0
+	pendingJobs := 0
 	for key, raw := range all {
 		if !strings.HasPrefix(key, jobs.Prefix) {
 			continue
@@ -180,19 +181,19 @@
 		if record, ok := pendingRecord(raw); ok {
 			sim.AddJob((*jobs.Spec)(record.Spec))
 			if record.Spec.Kind != jobs.Service {
-				open++
+				pendingJobs++
 			}
 		}
 	}
 	sim.Advance(4 * time.Second)
 	if cluster.ClusterLevel() != rollout.Base {
-		t.Fatal("it began at a level that an earlier release doesn't know")
+		t.Fatal("the cluster started above the base level, which the earlier release doesn't support")
 	}
-	cluster.waitFor("upgraded", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
-	cluster.waitFor("migrated", 30*time.Second, cluster.migrated)
+	cluster.waitFor("cluster at the newest level", 30*time.Second, func() bool { return cluster.ClusterLevel() == rollout.Newest })
+	cluster.waitFor("plans migrated", 30*time.Second, cluster.migrated)
 	l, _ := sim.Leader()
 	if v := cluster.rolloutView(l); len(v.Unreadable) > 0 {
-		t.Errorf("%+v", v.Unreadable)
+		t.Errorf("got unreadable records %+v, want none", v.Unreadable)
 	}
 	pending := func() (n int) {
 		for _, item := range sim.StoredItems(jobs.Prefix) {
@@ -202,9 +203,9 @@
 		}
 		return n
 	}
-	if open < 10 {
-		t.Fatalf("only %d jobs were open", open)
+	if pendingJobs < 10 {
+		t.Fatalf("got %d pending jobs in the stored state, want at least 10", pendingJobs)
 	}
-	cluster.waitFor("done", 10*time.Minute, func() bool { return pending() == 0 })
+	cluster.waitFor("all jobs done", 10*time.Minute, func() bool { return pending() == 0 })
 	reportViolations(t, cluster.Simulation)
 }
