--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -35,8 +35,8 @@
 	return pollers
 }
 
-// machineAlive reports whether a machine is still rented.
-func (r *testCluster) machineAlive(name string) bool {
+// isRented reports whether a machine is still rented.
+func (r *testCluster) isRented(name string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.cloud.machineByName[name].dead
@@ -76,7 +76,7 @@
 			if c.d > time.Minute {
 				rented := 0
 				for _, m := range unreachable {
-					if cluster.machineAlive(m) {
+					if cluster.isRented(m) {
 						rented++
 					}
 				}
@@ -102,7 +102,7 @@
 	unreachable := cluster.DropOutbound(3, "", 5*time.Minute)
 	cluster.Advance(40 * time.Second)
 	for _, m := range unreachable {
-		if cluster.machineAlive(m) {
+		if cluster.isRented(m) {
 			t.Errorf("machine %s is still rented 40 s after its heartbeats were lost, want returned", m)
 		}
 	}
@@ -303,9 +303,9 @@
 	return names
 }
 
-// isHeardOrReturned reports whether a controller has received a machine's latest heartbeat, or the machine is no
+// isReachableOrReturned reports whether a controller has received a machine's latest heartbeat, or the machine is no
 // longer rented.
-func (r *testCluster) isHeardOrReturned(name string, controller int) bool {
+func (r *testCluster) isReachableOrReturned(name string, controller int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	machine := r.cloud.machineByName[name]
@@ -313,9 +313,9 @@
 	return machine.dead || process != nil && process.HasHeartbeat(name, machine.session, machine.seq)
 }
 
-// waitUntilHeardOrReturned advances time until the leader has received a heartbeat from each machine or the machine is
-// returned, for at most a minute. It returns the number of remaining machines and the time it took.
-func (r *testCluster) waitUntilHeardOrReturned(names []string) (count int, took time.Duration) {
+// waitUntilReachableOrReturned advances time until the leader has received a heartbeat from each machine or the
+// machine is returned, for at most a minute. It returns the number of remaining machines and the time it took.
+func (r *testCluster) waitUntilReachableOrReturned(names []string) (count int, took time.Duration) {
 	remaining := map[string]bool{}
 	for _, name := range names {
 		remaining[name] = true
@@ -326,7 +326,7 @@
 		if leader < 0 {
 			continue
 		}
-		maps.DeleteFunc(remaining, func(name string, _ bool) bool { return r.isHeardOrReturned(name, leader) })
+		maps.DeleteFunc(remaining, func(name string, _ bool) bool { return r.isReachableOrReturned(name, leader) })
 	}
 	return len(remaining), r.Now() - from
 }
@@ -346,10 +346,10 @@
 				cluster.RestartMachine(name, time.Duration(50+cluster.rng.IntN(850))*time.Millisecond)
 			}
 			cluster.submitJobs(30 * time.Second)
-			remaining, took := cluster.waitUntilHeardOrReturned(names)
+			remaining, took := cluster.waitUntilReachableOrReturned(names)
 			returned := 0
 			for _, name := range names {
-				if !cluster.machineAlive(name) {
+				if !cluster.isRented(name) {
 					returned++
 				}
 			}
@@ -467,7 +467,7 @@
 	}
 	faulty := cluster.BusiestMachine()
 	cluster.FailTasksOnMachine(faulty)
-	cluster.waitFor("faulty machine returned", 90*time.Second, func() bool { return !cluster.machineAlive(faulty) })
+	cluster.waitFor("faulty machine returned", 90*time.Second, func() bool { return !cluster.isRented(faulty) })
 	for _, user := range failingUsers {
 		user.cancel()
 	}
--- a/internal/simulator/pipelines_chaos_test.go
+++ b/internal/simulator/pipelines_chaos_test.go
@@ -15,8 +15,8 @@
 
 // Dependencies between the jobs of a run with random faults.
 const (
-	chaosFollowerPercent = 60 // of the jobs, which follow others
-	chaosMaxPredecessors = 3  // of a job
+	chaosFollowerPercent = 60 // percentage of jobs with predecessors
+	chaosMaxPredecessors = 3  // of one job
 	chaosFirstFollower   = 2  // index of the first user whose job may follow others
 )
 
@@ -36,8 +36,8 @@
 	}
 }
 
-// checkPipelineAnswers checks that every user received exactly one final state, and adds the states to counts, which
-// also counts the jobs that were cancelled with a predecessor.
+// checkPipelineAnswers checks that every user received a final state that never changed. It counts the final states,
+// and the jobs that were cancelled with a predecessor, in counts.
 func checkPipelineAnswers(t *testing.T, sim *Simulation, users []*testUser, counts map[string]int) {
 	t.Helper()
 	for _, user := range users {
@@ -277,7 +277,7 @@
 			t.Logf("%d seeds: %v; %d starts, %d controllers killed, %d restarts with the former release while pipelines were stored",
 				seeds, counts, starts, kills, returns)
 			delays.log(t, name)
-			if counts[stateDone] == 0 || len(delays.releaseToStart) == 0 || len(delays.cancelToGone) == 0 {
+			if counts[stateDone] == 0 || len(delays.releaseToStart) == 0 || len(delays.cancelToLastOpen) == 0 {
 				t.Error("got no done job, no job started after its predecessors, or no job cancelled with one; want some of each")
 			}
 			if run.faulty && (kills == 0 || returns == 0) {
--- a/internal/simulator/pipelines_checks_test.go
+++ b/internal/simulator/pipelines_checks_test.go
@@ -114,7 +114,7 @@
 }
 
 // TestTooEarlyStartIsReported starts a task when no, some and all tasks of its job's predecessors have completed.
-// Only the last start is no violation.
+// Only the last start is allowed.
 func TestTooEarlyStartIsReported(t *testing.T) {
 	first, other := pipelineSpec(1), pipelineSpec(2)
 	first.Tasks = 2
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -145,16 +145,16 @@
 	releaseToStart []time.Duration
 	// unlicensed has the part of releaseToStart of jobs that need no licence, since a run has few licences.
 	unlicensed []time.Duration
-	// cancelToGone has, for each successor of a cancelled job, the time from the first answer that the job was
+	// cancelToLastOpen has, for each successor of a cancelled job, the time from the first answer that the job was
 	// cancelled to the last answer that called the successor pending or running.
-	cancelToGone []time.Duration
+	cancelToLastOpen []time.Duration
 }
 
 // add appends the measurements of another run.
 func (d *pipelineDelays) add(other pipelineDelays) {
 	d.releaseToStart = append(d.releaseToStart, other.releaseToStart...)
 	d.unlicensed = append(d.unlicensed, other.unlicensed...)
-	d.cancelToGone = append(d.cancelToGone, other.cancelToGone...)
+	d.cancelToLastOpen = append(d.cancelToLastOpen, other.cancelToLastOpen...)
 }
 
 // log writes the quantiles of the measurements to the test's log.
@@ -162,7 +162,7 @@
 	t.Helper()
 	t.Logf("%s: release to start: %s", name, quantiles(d.releaseToStart))
 	t.Logf("%s: release to start without licences: %s", name, quantiles(d.unlicensed))
-	t.Logf("%s: cancellation to last open answer: %s (cancel_s %v)", name, quantiles(d.cancelToGone), jobs.Seconds(shortTimers.CancelS))
+	t.Logf("%s: cancellation to last open answer: %s (cancel_s %v)", name, quantiles(d.cancelToLastOpen), jobs.Seconds(shortTimers.CancelS))
 }
 
 // delays returns the delays measured so far.
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, probe := range m.probes {
-		delays.cancelToGone = append(delays.cancelToGone, probe.lastOpen)
+		delays.cancelToLastOpen = append(delays.cancelToLastOpen, probe.lastOpen)
 	}
 	return delays
 }
@@ -218,7 +218,7 @@
 	return delayQuantiles{count: len(sorted), p50: rank(50), p99: rank(99), max: rank(100)}
 }
 
-// String returns the quantiles in milliseconds precision for the log.
+// String returns the quantiles for the log, rounded to milliseconds.
 func (q delayQuantiles) String() string {
 	round := func(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 	return fmt.Sprintf("%d jobs, p50 %v, p99 %v, max %v", q.count, round(q.p50), round(q.p99), round(q.max))
--- a/internal/simulator/random_partial_faults_test.go
+++ b/internal/simulator/random_partial_faults_test.go
@@ -314,7 +314,7 @@
 			if share < 0.5 {
 				t.Errorf("seed %d: got a share of %.2f of %s started within four minutes, want at least 0.5", 600+seed, share, set)
 			}
-			if was, ok := leastShares[set]; !ok || share < was {
+			if least, ok := leastShares[set]; !ok || share < least {
 				leastShares[set] = share
 			}
 		}
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -257,8 +257,8 @@
 }
 
 // TestRollingUpgradeOfFive restarts five controllers with the newest release in the order of the plan, under load.
-// The leader changes once, the level rises by itself after the soak time, all plans migrate, and no 2 s pass without
-// a start.
+// The leader changes once, the level rises by itself after the soak time, all plans migrate, and at most 2 s pass
+// without a start.
 func TestRollingUpgradeOfFive(t *testing.T) {
 	cluster := newTestCluster(t, 51, 5, rollout.Base, "soak_s = 5")
 	cluster.submitJobs(3 * time.Minute)
@@ -362,9 +362,9 @@
 }
 
 // TestOldReleaseStaysOutAfterUpgrade keeps a controller that announced the former release down while all others are
-// upgraded. The level doesn't rise, and the status names the controller; the same once the controller restarts with
-// the former release. When the controller runs the newest release, the level rises. A controller that restarts with
-// the former release after that must neither lead nor accept jobs, and its process keeps running.
+// upgraded. The level doesn't rise, and the status names the controller, before and after the controller restarts
+// with the former release. When the controller runs the newest release, the level rises. A controller that restarts
+// with the former release after that must neither lead nor accept jobs, and its process keeps running.
 func TestOldReleaseStaysOutAfterUpgrade(t *testing.T) {
 	cluster := newTestCluster(t, 53, 3, rollout.Base, "soak_s = 2")
 	cluster.submitJobs(2 * time.Minute)
@@ -707,11 +707,11 @@
 		submit(10 + n)
 		cluster.Advance(time.Second)
 	}
-	kept := false
+	planStored := false
 	for _, item := range cluster.StoredItems(jobs.PlanPagePrefix) {
-		kept = kept || strings.Contains(string(item.Value), `"req-000001/000"`)
+		planStored = planStored || strings.Contains(string(item.Value), `"req-000001/000"`)
 	}
-	if !kept {
+	if !planStored {
 		t.Error("the plan of a job whose record can't be read was dropped from the pages, want it kept")
 	}
 	// The record can be read again. This leader doesn't have the job's running tasks, so it starts none. The next
@@ -780,7 +780,7 @@
 	return fault
 }
 
-// injectRollFault starts a fault, which ends by itself.
+// injectRollFault starts a fault. Faults with a duration end by themselves.
 func (r *testCluster) injectRollFault(fault rollFault) {
 	i, duration := fault.controller, fault.duration
 	startWithRelease := func() {
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -31,7 +31,7 @@
 	}
 	faults := map[string]func(cluster *testCluster){
 		"no fault": func(*testCluster) {},
-		"leader ends": func(cluster *testCluster) {
+		"leader killed": func(cluster *testCluster) {
 			cluster.After(5*time.Second, func() { cluster.onLeader(3*time.Second, cluster.KillController) })
 		},
 		"in a failover": func(cluster *testCluster) {
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -12,15 +12,15 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// condition says on which keys' versions a transaction must depend that writes a key with a prefix.
+// condition names the keys on whose versions a write of a key with the prefix must depend.
 type condition struct {
 	prefix string   // of the written key
 	own    bool     // whether the version of the written key is required
 	others []string // prefixes of other keys whose versions are required
 }
 
-// conditions are the required conditions of writes, by key prefix. A longer prefix stands before a shorter one that it
-// begins with. The table in docs/design.md says why each row is sufficient.
+// conditions are the required conditions of writes, by key prefix. Where several prefixes match a key, the longest
+// one stands first. The table in docs/design.md says why each row is sufficient.
 var conditions = []condition{
 	{prefix: "p/images", others: []string{"h/c/leader"}},
 	{prefix: jobs.PlanPagePrefix, own: true, others: []string{"h/c/leader"}},
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -49,7 +49,7 @@
 	)
 }
 
-// submitSmallJobs submits n arrays of long tasks, so that machines are rented in all zones.
+// submitSmallJobs submits n arrays whose tasks take some seconds, so that machines are rented in all zones.
 func (r *testCluster) submitSmallJobs(n int, seconds float64) {
 	for i := range n {
 		spec := arraySpec(fmt.Sprintf("req-8%05d", i), "long", teamInTurn(i))
