--- a/deploy/access.hcl
+++ b/deploy/access.hcl
@@ -1,4 +1,4 @@
-# Users over TLS, with tokens (docs/access.md). Paths and addresses are each controller's own.
+# TLS listener for users, who authenticate with tokens (docs/access.md). Paths and addresses differ per controller.
 users_file = "/etc/harewalk/users.hcl"
 
 tls {
--- a/deploy/lab/rollout.hcl
+++ b/deploy/lab/rollout.hcl
@@ -1,5 +1,5 @@
-# Five controllers are rolled under load, from the release before this one to this one: in the order of the plan, and
-# the same with controllers that are killed. The level rises by itself after the soak time.
+# Rolls five controllers under load from the previous release to this one, in the order of the rollout plan, and later
+# kills the leader. The level of the stored state rises automatically after the soak time.
 #   harewalk lab deploy/lab/rollout.hcl --html rollout.html
 name        = "a rollout"
 duration_s  = 1500
@@ -58,5 +58,5 @@
   operator = "rollout { soak_s = 30 }"
 }
 
-# Nothing is left to roll: what the same load does meanwhile without a rollout.
+# Control: the same load without a rollout, since all controllers already run this release.
 config "already rolled" {}
--- a/deploy/lab/scale.hcl
+++ b/deploy/lab/scale.hcl
@@ -1,4 +1,4 @@
-# What a cluster costs as it grows: real controllers, hollow workers. Takes some seven minutes.
+# Measures the cost of a growing cluster, with real controllers and simulated workers. Takes about seven minutes.
 #   harewalk lab scale deploy/lab/scale.hcl --out docs/capacity
 name      = "sizes"
 settle_s  = 40
--- a/deploy/lab/sizes.hcl
+++ b/deploy/lab/sizes.hcl
@@ -1,5 +1,6 @@
-# Whether the largest begin: gangs that need half of all machines at once, and guests' idle-time work, under a constant stream of
-# small gangs that takes nine tenths of the machines; a leader is killed and frozen on the way.
+# Measures whether the largest jobs start: gangs that need half of all machines at once, and best-effort jobs of
+# guests, under a constant stream of small gangs that takes nine tenths of the machines. One leader is killed and one
+# is frozen during the run.
 #   harewalk lab deploy/lab/sizes.hcl
 name        = "the largest begin"
 duration_s  = 900
--- a/deploy/lab/takeover.hcl
+++ b/deploy/lab/takeover.hcl
@@ -1,4 +1,5 @@
-# What a takeover costs where work always waits: the leader is killed, drained and frozen, and the hold's life varies.
+# Measures the cost of a takeover while work is always pending. The leader is killed, drained and frozen, and the state
+# service has an outage. The configurations differ in the TTL of the controllers' lease.
 #   harewalk lab deploy/lab/takeover.hcl --html takeover.html
 name        = "a leader goes"
 duration_s  = 1800
--- a/deploy/roll-revision.sh
+++ b/deploy/roll-revision.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Plays an earlier revision of this repository against the present one: real controllers on loopback, rolled forward,
-# back and forward again under load, with kills, until the level rises; then one comes back with the earlier one.
+# Tests a rollout from an earlier revision of this repository to the checked-out one. Real controllers on loopback are
+# rolled forward, back and forward again under load, with kills, until the level of the stored state rises. Afterwards
+# one controller is started with the earlier revision again; it must not become leader.
 # Usage, from the root of the repository: deploy/roll-revision.sh REVISION
 set -euo pipefail
-rev="${1:?a revision to play against}"
+rev="${1:?usage: deploy/roll-revision.sh REVISION}"
 dir="$(mktemp -d)"
 trap 'git worktree remove --force "$dir/tree" 2>/dev/null || true; rm -rf "$dir"' EXIT
 git worktree add --detach "$dir/tree" "$rev" >/dev/null
--- a/deploy/zones.hcl
+++ b/deploy/zones.hcl
@@ -1,9 +1,10 @@
-# How a zone that was lost comes back (docs/zones.md). What is left out follows from the workers' times.
+# Handling of a lost zone's return (docs/zones.md). Omitted settings are derived from the workers' timeouts.
 zones {
-  # Machines that are not heard are kept so long once their zone returns; by default twice silent_s.
+  # How long machines without heartbeats are kept once their zone returns. Default: twice silent_s.
   patience_s = 60
-  # A zone has to stay so long before it counts as well, twice as long with each flap; by default two reports.
+  # How long a returned zone has to stay reachable before it is healthy. Doubled with each flap. Default: two
+  # heartbeats.
   prove_s = 20
-  # So much quiet makes up for one flap; by default ten leases.
+  # Healthy time that makes up for one flap. Default: ten leases.
   calm_s = 600
 }
