--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -20,11 +20,11 @@
 	Kind     drain.Kind `json:"kind"`
 	Name     string     `json:"name"`
 	Op       drain.Op   `json:"op"`
-	Revision *int64     `json:"revision,omitempty"` // the one that the command depends on; nil: any
+	Revision *int64     `json:"revision,omitempty"` // the document's revision that the command requires; nil: any
 	Stop     bool       `json:"stop"`
 }
 
-// optionalNumber returns a flag's value, or nil for the negative one that stands for an absent flag.
+// optionalNumber returns a flag's value, or nil if it is negative: a negative default marks a flag that was not given.
 func optionalNumber(flag int64) *int64 {
 	if flag < 0 {
 		return nil
@@ -36,20 +36,20 @@
 	var client apiClient
 	cmd := &cobra.Command{
 		Use:   "admin",
-		Short: "Look at a cluster and drain its controllers and machines",
-		Long: "Commands change one durable document, which every controller follows. With --revision (from " +
+		Short: "Show a cluster's status and drain its controllers and machines",
+		Long: "Drain commands change one durable document, which every controller applies. With --revision (from " +
 			"`admin status`) a\n" +
-			"command is refused (exit 3) if somebody changed it since; the answer says who, and what.",
+			"command is refused (exit 3) if the document has changed since. The error names the last command and its user.",
 	}
 	client.addFlags(cmd)
-	drainOp := drainCmd(&client, drain.OpDrain, "Drain a controller, or a machine, which is then given back")
-	drainOp.Long = "A drained controller hands its lead over, takes no users and stays until it is undrained; the " +
-		"last one that could\n" +
-		"serve can't be drained. On a drained machine nothing new starts; when it is empty it is given back " +
+	drainOp := drainCmd(&client, drain.OpDrain, "Drain a controller, or drain a machine and return it to the cloud")
+	drainOp.Long = "A drained controller hands leadership over and refuses users' requests until it is undrained. The " +
+		"last controller in\n" +
+		"service can't be drained. No new task starts on a drained machine. Once the machine is empty, it is returned " +
 		"to the cloud."
 	drainOp.Example = "  harewalk admin drain node burrow-2\n" +
 		"  harewalk admin drain machine i-000231 --stop"
-	undrainOp := drainCmd(&client, drain.OpUndrain, "Let a controller or a machine take part again")
+	undrainOp := drainCmd(&client, drain.OpUndrain, "Put a drained controller or machine back into service")
 	undrainOp.Example = "  harewalk admin undrain node burrow-2"
 	cmd.AddCommand(adminStatusCmd(&client), drainOp, undrainOp)
 	return cmd
@@ -59,18 +59,18 @@
 	var since string
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show controllers, machines that are being drained, and the revision",
+		Short: "Show the controllers, the draining machines and the document's revision",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			req := request{method: http.MethodGet, path: adminPath + "?since=" + url.QueryEscape(since)}
 			return callAndShow(client, cmd, req, writeStatus)
 		},
 	}
-	cmd.Flags().StringVar(&since, "since", "", "show machines that are being drained after this one, by name")
+	cmd.Flags().StringVar(&since, "since", "", "show only draining machines whose names sort after this one")
 	return cmd
 }
 
-// drainCmd returns the command of one operation.
+// drainCmd returns the command for a drain operation.
 func drainCmd(client *apiClient, op drain.Op, short string) *cobra.Command {
 	var stop bool
 	var revision int64
@@ -95,20 +95,20 @@
 			return callAndShow(client, cmd, request{method: http.MethodPost, path: adminPath, body: body}, writeStatus)
 		},
 	}
-	cmd.Flags().Int64Var(&revision, "revision", -1, "refuse the command unless this is still the revision")
+	cmd.Flags().Int64Var(&revision, "revision", -1, "refuse the command if the document no longer has this revision")
 	if op == drain.OpDrain {
 		cmd.Flags().BoolVar(&stop, "stop", false,
-			"stop a machine's tasks, with time to save, instead of waiting for their end")
+			"stop the machine's tasks, with time to save a checkpoint, instead of waiting until they end")
 	}
 	return cmd
 }
 
 func writeStatus(table *tabwriter.Writer, status controller.Status) {
-	last := ""
+	lastCommand := ""
 	if status.Last != "" {
-		last = " (" + status.Last + ")"
+		lastCommand = " (" + status.Last + ")"
 	}
-	fmt.Fprintf(table, "revision\t%d%s\nterm\t%d\njobs\t%d\n", status.Revision, last, status.Term, status.Jobs)
+	fmt.Fprintf(table, "revision\t%d%s\nterm\t%d\njobs\t%d\n", status.Revision, lastCommand, status.Term, status.Jobs)
 	writeArchive(table, status.Archive)
 	for _, node := range status.Nodes {
 		condition := "alive"
@@ -120,7 +120,7 @@
 		case node.Leads:
 			condition = "leads"
 		case !node.Alive:
-			condition = "not heard, or without the state service"
+			condition = "no heartbeat, or no connection to the state service"
 		}
 		fmt.Fprintf(table, "controller %s\t%s\n", node.Node, condition)
 	}
@@ -134,24 +134,24 @@
 		}
 	}
 	if status.Full {
-		fmt.Fprintf(table, "machines at most\t%d, nothing more is rented; bound by %s\n",
+		fmt.Fprintf(table, "machines at most\t%d, limit reached, no more are rented; set by %s\n",
 			status.MaxMachines, status.MachinesBound)
 	}
 	if status.DrainingTotal > len(status.Draining) {
-		fmt.Fprintf(table, "draining\t%d machines, %d of them shown: --since NAME shows those after one\n",
+		fmt.Fprintf(table, "draining\t%d machines, %d of them shown; use --since NAME for the machines after NAME\n",
 			status.DrainingTotal, len(status.Draining))
 	}
 	for _, draining := range status.Draining {
-		fmt.Fprintf(table, "draining %s\t%s, %d tasks left, for %s\n",
-			draining.Machine, draining.State, draining.Tasks, orSomebody(draining.By))
+		fmt.Fprintf(table, "draining %s\t%s, %d tasks left, drained by %s\n",
+			draining.Machine, draining.State, draining.Tasks, orUnnamedOperator(draining.By))
 	}
 }
 
 func writeArchive(table *tabwriter.Writer, archive controller.ArchiveStatus) {
 	if archive.Problem != "" {
-		fmt.Fprintf(table, "archive\tnothing is moved: %s\n", archive.Problem)
+		fmt.Fprintf(table, "archive\tnothing is archived: %s\n", archive.Problem)
 		return
 	}
-	fmt.Fprintf(table, "archive\t%s, %d moved in this term, %d ended jobs in memory, each for %g s at least\n",
+	fmt.Fprintf(table, "archive\t%s, %d jobs archived in this term, %d ended ones in memory, each for at least %g s\n",
 		archive.State, archive.Moved, archive.Waiting, archive.RetainS)
 }
--- a/cmd/harewalk/client.go
+++ b/cmd/harewalk/client.go
@@ -18,23 +18,23 @@
 const (
 	// requestTimeout bounds one request and its response.
 	requestTimeout = 5 * time.Second
-	// minRetryDelay and maxRetryDelay bound what a response's Retry-After asks for.
+	// minRetryDelay and maxRetryDelay bound the delay that a response's Retry-After header requests.
 	minRetryDelay = time.Second
 	maxRetryDelay = 30 * time.Second
 )
 
-// apiClient sends the commands' requests to a cluster. The flags of a command set the first group of fields; connect
-// sets the second from them before the first request.
+// apiClient sends the commands' requests to a cluster. A command's flags set the first group of fields. From these,
+// connect sets the second group before the first request.
 type apiClient struct {
 	server    string
 	tokenFile string
 	caFile    string
 	output    string
-	bearer    string // used in place of the token in tokenFile; empty: none
+	bearer    string // token that replaces the one in tokenFile; empty: tokenFile is used
 
-	http    *fasthttp.Client // nil until the first request
+	http    *fasthttp.Client // nil before the first request
 	scheme  string
-	address string // of the server, without the scheme
+	address string // HOST:PORT of the server
 }
 
 // apiResponse is one response of a controller.
@@ -44,13 +44,13 @@
 	retryAfter time.Duration // between minRetryDelay and maxRetryDelay
 }
 
-// message returns the service's own text about what is wrong, or the whole body if there is none.
+// message returns the error text of the response, or the whole body if it has none.
 func (r apiResponse) message() string {
-	var failed struct {
+	var errorBody struct {
 		Error string `json:"error"`
 	}
-	if json.Unmarshal(r.body, &failed) == nil && failed.Error != "" {
-		return failed.Error
+	if json.Unmarshal(r.body, &errorBody) == nil && errorBody.Error != "" {
+		return errorBody.Error
 	}
 	return strings.TrimSpace(string(r.body))
 }
@@ -69,15 +69,15 @@
 func (c *apiClient) addFlags(cmd *cobra.Command) {
 	flags := cmd.PersistentFlags()
 	flags.StringVar(&c.server, "server", envOr("HAREWALK_SERVER", "127.0.0.1:8080"),
-		"address of a controller or of the load balancer, https://HOST:PORT for TLS (or $HAREWALK_SERVER)")
+		"address HOST:PORT of a controller or the load balancer; https://HOST:PORT for TLS (or $HAREWALK_SERVER)")
 	flags.StringVar(&c.tokenFile, "token-file", os.Getenv("HAREWALK_TOKEN_FILE"),
 		"file with your token (or $HAREWALK_TOKEN_FILE)")
 	flags.StringVar(&c.caFile, "ca", os.Getenv("HAREWALK_CA"),
-		"file with the authority of the controllers' certificates, PEM (or $HAREWALK_CA; default: the system's)")
+		"PEM file with the CA certificate of the controllers (or $HAREWALK_CA; default: the system's CAs)")
 	addOutputFlag(flags, &c.output)
 }
 
-// token returns the token to send; empty: none.
+// token returns the token to send, or "" if none is configured.
 func (c *apiClient) token() (string, error) {
 	if c.bearer != "" {
 		return c.bearer, nil
@@ -92,7 +92,7 @@
 	return strings.TrimSpace(string(raw)), nil
 }
 
-// connect checks the flags and makes the HTTP client, once.
+// connect checks the flags and creates the HTTP client on the first call. Later calls do nothing.
 func (c *apiClient) connect() error {
 	if c.http != nil {
 		return nil
@@ -114,7 +114,8 @@
 	return nil
 }
 
-// tlsConfig returns nil where the server is reached without TLS.
+// tlsConfig returns the TLS configuration, or nil if the server's address is not an https URL. A --ca flag without an
+// https URL is an error.
 func (c *apiClient) tlsConfig() (*tls.Config, error) {
 	if c.scheme != "https" {
 		if c.caFile != "" && os.Getenv("HAREWALK_CA") != c.caFile {
@@ -122,23 +123,22 @@
 		}
 		return nil, nil
 	}
-	var authority []byte
+	var caPEM []byte
 	if c.caFile != "" {
 		raw, err := os.ReadFile(c.caFile)
 		if err != nil {
 			return nil, usageError(fmt.Errorf("--ca: %w", err))
 		}
-		authority = raw
+		caPEM = raw
 	}
-	tlsConfig, err := access.ClientConfig(authority)
+	tlsConfig, err := access.ClientConfig(caPEM)
 	if err != nil {
 		return nil, usageError(fmt.Errorf("--ca %s: %w", c.caFile, err))
 	}
 	return tlsConfig, nil
 }
 
-// send sends a request once, to the controller at an address or, where that is empty, to the server that the flags
-// name.
+// send sends a request once. An empty address stands for the server of the --server flag.
 func (c *apiClient) send(method, address, path string, body []byte) (apiResponse, error) {
 	if err := c.connect(); err != nil {
 		return apiResponse{}, err
@@ -153,12 +153,12 @@
 	return exchange(c.http, method, c.scheme+"://"+address+path, token, body)
 }
 
-// sendPlain sends a request once, without TLS and token.
+// sendPlain sends a request once, without TLS and without a token.
 func sendPlain(method, url string, body []byte) (apiResponse, error) {
 	return exchange(&fasthttp.Client{MaxIdemponentCallAttempts: 1}, method, url, "", body)
 }
 
-// exchange sends one request, with a token if there is one, and returns a response that owns its body.
+// exchange sends one request and returns a response that owns its body. An empty token is not sent.
 func exchange(client *fasthttp.Client, method, url, token string, body []byte) (apiResponse, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -184,7 +184,7 @@
 	}, nil
 }
 
-// retryDelay returns the delay that a Retry-After header asks for, in seconds, within its bounds.
+// retryDelay returns the delay of a Retry-After header, which gives seconds, within minRetryDelay and maxRetryDelay.
 func retryDelay(header string) time.Duration {
 	delay, err := time.ParseDuration(header + "s")
 	if err != nil {
@@ -193,7 +193,7 @@
 	return min(max(delay, minRetryDelay), maxRetryDelay)
 }
 
-// currentUser returns the name of the user who runs the command; empty: not known.
+// currentUser returns the name of the user who runs the command, or "" if the system doesn't give it.
 func currentUser() string {
 	if current, err := user.Current(); err == nil {
 		return current.Username
--- a/cmd/harewalk/client_call.go
+++ b/cmd/harewalk/client_call.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// retryLimit is how long a request is repeated; errGivenUp names it as "a minute".
+	// retryLimit is how long a request is retried. The text of errRetryTimeout names it as one minute.
 	retryLimit = time.Minute
 	// leaderRetryDelay is the time between two attempts to reach the leader.
 	leaderRetryDelay = 500 * time.Millisecond
 )
 
-// isUntrusted reports whether the server's certificate was not accepted: repeating the request can't help.
+// isUntrusted reports whether an error is a failed verification of the server's certificate. A retry can't help then.
 func isUntrusted(err error) bool {
 	var certificate *tls.CertificateVerificationError
 	return errors.As(err, &certificate)
 }
 
-// isFinal reports whether an error has an exit code already, so that the request isn't repeated.
+// isFinal reports whether an error has an exit code. The request is not retried after such an error.
 func isFinal(err error) bool {
 	var exit exitError
 	return errors.As(err, &exit)
 }
 
-// callAny sends a request that any controller can serve. It is repeated while the service asks for it, until
-// retryLimit. The errors it returns have exit codes.
+// callAny sends a request that any controller can serve and returns the body of the response. It retries temporary
+// failures until retryLimit. Its errors have exit codes.
 func (c *apiClient) callAny(method, path string, body []byte) ([]byte, error) {
 	deadline := time.Now().Add(retryLimit)
 	for {
@@ -48,14 +48,14 @@
 			return nil, err
 		}
 		if time.Now().Add(resp.retryAfter).After(deadline) {
-			return nil, failure(fmt.Errorf("%w: %w", errGivenUp, err))
+			return nil, failure(fmt.Errorf("%w: %w", errRetryTimeout, err))
 		}
 		time.Sleep(resp.retryAfter)
 	}
 }
 
-// callError returns nil for a success, an error with an exit code where repeating the request can't help, and an error
-// without one otherwise.
+// callError returns nil for a success status. For a status that a retry can't change, it returns an error with an exit
+// code, for any other an error without one.
 func (r apiResponse) callError() error {
 	switch {
 	case r.status < http.StatusMultipleChoices:
@@ -70,19 +70,19 @@
 	return r.serviceError().withStatus()
 }
 
-// callLeader sends a request to the leader, which any controller names, and decodes the response. A request that can't
-// be served now is repeated until retryLimit. A command, which has a body, isn't repeated once its outcome is
-// indeterminate.
+// callLeader sends a request to the leader and decodes the response. Any controller responds with the leader's address.
+// A request that can't be served now is retried until retryLimit. A request with a body is a command: it is not
+// retried after a failure that leaves open whether it was applied.
 func (c *apiClient) callLeader(req request, into any) error {
 	var raw []byte
 	if req.body != nil {
 		raw, _ = json.Marshal(req.body)
 	}
-	leader := "" // its address; empty: not known
+	leader := "" // the leader's address; empty: unknown
 	var lastErr error
 	for deadline := time.Now().Add(retryLimit); time.Now().Before(deadline); time.Sleep(leaderRetryDelay) {
 		resp, err := c.send(req.method, leader, req.path, raw)
-		if err == nil && isLeadersSuccess(resp.status) {
+		if err == nil && isLeaderSuccess(resp.status) {
 			return json.Unmarshal(resp.body, into)
 		}
 		if err != nil {
@@ -95,14 +95,15 @@
 			return lastErr
 		}
 	}
-	return failure(fmt.Errorf("%w: %w", errGivenUp, lastErr))
+	return failure(fmt.Errorf("%w: %w", errRetryTimeout, lastErr))
 }
 
-func isLeadersSuccess(status int) bool {
+func isLeaderSuccess(status int) bool {
 	return status == http.StatusOK || status == http.StatusCreated
 }
 
-// sendError gives an exit code to the error of a request without a response, if the request must not be repeated.
+// sendError returns the error of a request that got no response. It adds an exit code if the request must not be
+// retried.
 func sendError(err error, isCommand bool) error {
 	switch {
 	case isFinal(err):
@@ -115,8 +116,8 @@
 	return err
 }
 
-// redirect returns the address to send a request to next, empty for the server of the flags, and what was wrong with
-// the response; the error has an exit code where the request must not be repeated.
+// redirect returns the address for the next attempt after a response without success, "" for the server of the --server
+// flag, and the error of the response. The error has an exit code if the request must not be retried.
 func (c *apiClient) redirect(resp apiResponse) (leader string, err error) {
 	switch resp.status {
 	case http.StatusMisdirectedRequest:
@@ -137,7 +138,7 @@
 	return "", refusal(fmt.Errorf("%w (status %d)", resp.serviceError(), resp.status))
 }
 
-// leaderNamedBy returns the leader's address for the client's scheme; empty: the response names none.
+// leaderNamedBy returns the leader's address for the client's scheme, or "" if the response has none.
 func (c *apiClient) leaderNamedBy(body []byte) string {
 	var named struct {
 		Plain string `json:"leader"`
--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// maxDevMachines bounds the machines of a cluster in one process: a larger number is a typing error.
+	// maxDevMachines bounds the machines of a cluster in one process. A larger number is taken for a typing error.
 	maxDevMachines    = 8192
 	maxDevControllers = 9
 	maxDevSpeed       = 1000
@@ -30,19 +30,19 @@
 	devStartPoll  = 50 * time.Millisecond
 )
 
-// sampleJob is the job that `harewalk dev` proposes to submit first.
+// sampleJob is the first job in the instructions that `harewalk dev` prints.
 const sampleJob = `{"accelerators":0,"apart":false,"breed":"train","builds":null,"cpus":1,"dusk_s":null,` +
 	`"gait":"sweep","hops":16,"meadow":null,"memory_gb":2,"name_id":"req-000001","pelt":"img-07","rest_s":0,` +
 	`"same_place":false,"size_gb":1.5,"stash_s":0,"stray":true,"stride_s":20,"urgency":"standard","warren":"vision"}`
 
-// sampleSuccessor is a job that starts once sampleJob is done: the second stage of a pipeline, whose deadline is the
-// only one.
+// sampleSuccessor is a job that starts once sampleJob is done: the second stage of a pipeline. Only this stage has a
+// deadline.
 const sampleSuccessor = `{"accelerators":0,"apart":false,"breed":"train","builds":null,"cpus":1,"dusk_s":600,` +
 	`"follows":["req-000001"],"gait":"gang","hops":2,"meadow":null,"memory_gb":2,"name_id":"req-000002",` +
 	`"pelt":"img-07","rest_s":0,"same_place":true,"size_gb":1.5,"stash_s":0,"stray":true,"stride_s":10,` +
 	`"urgency":"urgent","warren":"vision"}`
 
-// devCluster is a simulated cluster in this process, in real time: the flags of `harewalk dev`.
+// devCluster holds the flags of `harewalk dev`, which runs a simulated cluster in this process, in real time.
 type devCluster struct {
 	machines     int
 	controllers  int
@@ -58,14 +58,14 @@
 	var cluster devCluster
 	cmd := &cobra.Command{
 		Use:   "dev",
-		Short: "Run a whole cluster in this process, to try things out",
+		Short: "Run a whole simulated cluster in this process, to try out commands",
 		Args:  cobra.NoArgs,
-		Long: "Run a cluster that needs nothing else: controllers, and a stand-in state service, cloud, " +
+		Long: "Run a cluster without external services: real controllers with a simulated state service, cloud, " +
 			"workers and licence\n" +
-			"server, all in this process and on loopback addresses only. Machines are not real and tasks " +
-			"only wait; what is\n" +
-			"decided is. Ctrl-C ends it.\n\n" +
-			"A script has one fault a line, with its time: \"30s outage 5s\". Faults: " +
+			"server, all in this process and on loopback addresses only. The scheduling decisions are real. The " +
+			"machines are\n" +
+			"simulated, and a task only waits for its run time. Press Ctrl-C to stop the cluster.\n\n" +
+			"A script has one fault per line, with its time first: \"30s outage 5s\". Faults: " +
 			strings.Join(simulator.FaultWords(), ", ") + ".",
 		Example: "  harewalk dev\n" +
 			"  harewalk dev --machines 50 --zones a,b,c --speed 4 --script faults.txt --operator deploy/licences.hcl",
@@ -76,18 +76,18 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&cluster.machines, "machines", 20, "most machines that the cloud gives out")
-	flags.IntVar(&cluster.controllers, "controllers", 3, "how many controllers")
-	flags.StringSliceVar(&cluster.zones, "zones", []string{"a", "b"}, "zones")
-	flags.Uint64Var(&cluster.seed, "seed", 1, "seed of boot and run times and of faults")
-	flags.Float64Var(&cluster.speed, "speed", 1, "how many times faster tasks run than estimated")
-	flags.StringVar(&cluster.scriptFile, "script", "", "file with faults to play")
-	flags.StringVar(&cluster.operatorFile, "operator", "", "the operators' settings, an HCL file")
-	flags.StringVar(&cluster.logLevel, "log-level", "error", "what the controllers log: error, info or debug")
+	flags.IntVar(&cluster.machines, "machines", 20, "maximum number of machines that the cloud rents out")
+	flags.IntVar(&cluster.controllers, "controllers", 3, "number of controllers")
+	flags.StringSliceVar(&cluster.zones, "zones", []string{"a", "b"}, "names of the zones")
+	flags.Uint64Var(&cluster.seed, "seed", 1, "random seed for boot times, run times and faults")
+	flags.Float64Var(&cluster.speed, "speed", 1, "factor by which tasks run faster than their estimate")
+	flags.StringVar(&cluster.scriptFile, "script", "", "file with the faults to inject")
+	flags.StringVar(&cluster.operatorFile, "operator", "", "HCL file with the operators' settings")
+	flags.StringVar(&cluster.logLevel, "log-level", "error", "log level of the controllers: error, info or debug")
 	return cmd
 }
 
-// check returns an error that names the first flag whose value is out of bounds.
+// check returns an error for the first flag whose value is out of range.
 func (d *devCluster) check() error {
 	isSpeedValid := d.speed > 0 && d.speed <= maxDevSpeed // false for NaN
 	switch {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// run runs the cluster until the context ends or a controller fails.
+// run runs the cluster until the context is cancelled or a controller fails. A broken protocol rule is an error.
 func (d *devCluster) run(ctx context.Context, out, errOut io.Writer) error {
 	if err := d.check(); err != nil {
 		return usageError(err)
@@ -120,30 +120,30 @@
 		return failure(err)
 	}
 	defer sim.Close()
-	failed, err := d.startControllers(sim)
+	controllerErrors, err := d.startControllers(sim)
 	if err != nil {
 		return usageError(err)
 	}
 	if err := d.awaitReady(ctx, sim); err != nil {
 		return failure(err)
 	}
-	d.writeWelcome(out, sim)
+	d.writeInstructions(out, sim)
 	sim.Play(script, func(fault simulator.Fault) {
 		fmt.Fprintf(errOut, "fault at %v: %s\n", fault.After, fault.Text)
 	})
 	select {
-	case err := <-failed:
+	case err := <-controllerErrors:
 		return failure(err)
 	case <-ctx.Done():
 	}
 	if violations := sim.Violations(); len(violations) > 0 {
-		return failure(fmt.Errorf("%d %w; the first: %s", len(violations), errRulesNotKept, violations[0]))
+		return failure(fmt.Errorf("%d %w; the first: %s", len(violations), errRulesBroken, violations[0]))
 	}
 	fmt.Fprintln(out, "ended")
 	return nil
 }
 
-// readScript reads the faults to play; no file: none.
+// readScript reads the faults of the --script file; without a file it returns nil.
 func (d *devCluster) readScript() ([]simulator.Fault, error) {
 	if d.scriptFile == "" {
 		return nil, nil
@@ -188,21 +188,21 @@
 	}
 }
 
-// startControllers starts each controller in a goroutine, which ends with the process, and returns the channel of
-// their errors.
+// startControllers starts each controller in a goroutine and returns the channel of the errors that end them. The
+// goroutines run until the process ends.
 func (d *devCluster) startControllers(sim *simulator.Simulation) (<-chan error, error) {
-	failed := make(chan error, d.controllers)
+	controllerErrors := make(chan error, d.controllers)
 	for index := range d.controllers {
 		settings, err := d.settings(sim, index)
 		if err != nil {
 			return nil, err
 		}
-		go func() { failed <- controller.New(settings).Run() }()
+		go func() { controllerErrors <- controller.New(settings).Run() }()
 	}
-	return failed, nil
+	return controllerErrors, nil
 }
 
-// settings returns a controller's settings: the simulation's, with those of the operators' file on top.
+// settings returns a controller's settings. Those of the --operator file override those of the simulation.
 func (d *devCluster) settings(sim *simulator.Simulation, index int) (*config.Settings, error) {
 	settings, err := config.Parse(sim.SettingsJSON(index))
 	if err == nil && d.operatorFile != "" {
@@ -229,15 +229,15 @@
 	return err == nil && resp.status == http.StatusOK
 }
 
-// writeWelcome prints the addresses of the cluster and commands to begin with.
-func (d *devCluster) writeWelcome(out io.Writer, sim *simulator.Simulation) {
-	fmt.Fprintf(out, "A cluster of %d controllers runs here, ", d.controllers)
-	fmt.Fprintf(out, "with a stand-in cloud of up to %d machines in zones %s.\n\n",
+// writeInstructions prints the cluster's addresses and the commands to begin with.
+func (d *devCluster) writeInstructions(out io.Writer, sim *simulator.Simulation) {
+	fmt.Fprintf(out, "A cluster of %d controllers is running, ", d.controllers)
+	fmt.Fprintf(out, "with a simulated cloud of up to %d machines in zones %s.\n\n",
 		d.machines, strings.Join(d.zones, ", "))
 	for index := range d.controllers {
 		fmt.Fprintf(out, "  controller %d   %s\n", index, sim.UserAddr(index))
 	}
-	fmt.Fprintf(out, "  licence server %s\n\nTry, in another terminal:\n\n", sim.Licences.Addr)
+	fmt.Fprintf(out, "  licence server %s\n\nRun these commands in another terminal:\n\n", sim.Licences.Addr)
 	fmt.Fprintf(out, "  echo '%s' > job.json\n\n", sampleJob)
 	fmt.Fprintf(out, "  echo '%s' > next.json\n\n", sampleSuccessor)
 	fmt.Fprintf(out, "  harewalk job submit job.json --server %s\n", sim.UserAddr(0))
@@ -249,5 +249,5 @@
 		fmt.Fprintf(out, "  harewalk licence list --server %s\n", sim.UserAddr(0))
 		fmt.Fprintf(out, "  harewalk session list --server %s\n", sim.UserAddr(0))
 	}
-	fmt.Fprintf(out, "\nCtrl-C ends it.\n")
+	fmt.Fprintf(out, "\nPress Ctrl-C to stop the cluster.\n")
 }
--- a/cmd/harewalk/dev_test.go
+++ b/cmd/harewalk/dev_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// One command runs a whole cluster: its sample job is done, the faults of a script are played, and it ends cleanly.
+// `harewalk dev` runs a whole cluster: the sample jobs end, the script's faults are injected, and the cluster stops
+// without an error. Flags out of range are refused.
 func TestDevRunsAWholeCluster(t *testing.T) {
 	script := filepath.Join(t.TempDir(), "faults")
 	writeFile(t, script, "100ms crash-task\n200ms outage 300ms\n")
@@ -23,26 +24,28 @@
 	var out, errs lockedBuffer
 	ended := make(chan error, 1)
 	go func() { ended <- cluster.run(ctx, &out, &errs) }()
-	waitUntil(t, "welcome", func() bool { return strings.Contains(out.String(), "Ctrl-C ends it.") })
+	waitUntil(t, "the instructions are printed", func() bool {
+		return strings.Contains(out.String(), "Press Ctrl-C to stop the cluster.")
+	})
 	server := strings.Fields(out.String()[strings.Index(out.String(), "controller 0"):])[2]
 	if !strings.HasPrefix(server, "127.0.0.1:") {
-		t.Fatalf("controller at %s", server)
+		t.Fatalf("address of controller 0: got %s, want one at 127.0.0.1", server)
 	}
 	for _, sample := range []string{sampleJob, sampleSuccessor} {
 		resp, err := sendPlain("POST", "http://"+server+"/v2/runs", []byte(sample))
 		if err != nil || resp.status != 201 {
-			t.Fatalf("status %d, %v: %s", resp.status, err, resp.body)
+			t.Fatalf("submit: got status %d, error %v, want 201: %s", resp.status, err, resp.body)
 		}
 	}
-	waitUntil(t, "the sample is done", func() bool {
+	waitUntil(t, "the sample job is done", func() bool {
 		resp, _ := sendPlain("GET", "http://"+server+"/v2/runs/req-000001", nil)
 		return bytes.Contains(resp.body, []byte(`"done","done":16`))
 	})
-	waitUntil(t, "the job that follows the sample is done", func() bool {
+	waitUntil(t, "the sample job's successor is done", func() bool {
 		resp, _ := sendPlain("GET", "http://"+server+"/v2/runs/req-000002", nil)
 		return bytes.Contains(resp.body, []byte(`"done","done":2`))
 	})
-	waitUntil(t, "faults are played", func() bool { return strings.Contains(errs.String(), "outage 300ms") })
+	waitUntil(t, "the last fault is injected", func() bool { return strings.Contains(errs.String(), "outage 300ms") })
 	stop()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
@@ -53,12 +56,12 @@
 		{machines: 1, zones: []string{"a"}, speed: 1},
 	} {
 		if err := bad.run(ctx, &out, &errs); err == nil || !strings.HasPrefix(err.Error(), "--") {
-			t.Errorf("%+v: error %v names no flag", bad, err)
+			t.Errorf("%+v: got error %v, want one that names a flag", bad, err)
 		}
 	}
 }
 
-// lockedBuffer is a buffer that is written and read by several goroutines.
+// lockedBuffer is a buffer for concurrent writes and reads.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -76,7 +79,7 @@
 	return l.buffer.String()
 }
 
-// A fleet of the largest size that operators run is accepted; a number out of bounds is refused.
+// 4000 machines, the size of the operators' largest fleet, are accepted. A number out of range is refused.
 func TestDevAcceptsLargeFleets(t *testing.T) {
 	cluster := devCluster{machines: 4000, controllers: 3, speed: 1, zones: []string{"a"}}
 	if err := cluster.check(); err != nil {
@@ -84,7 +87,7 @@
 	}
 	for _, machines := range []int{-1, 0, maxDevMachines + 1} {
 		if cluster.machines = machines; cluster.check() == nil {
-			t.Errorf("%d machines were taken", machines)
+			t.Errorf("%d machines: got no error, want one for --machines", machines)
 		}
 	}
 }
--- a/cmd/harewalk/errors.go
+++ b/cmd/harewalk/errors.go
@@ -6,14 +6,14 @@
 	"os"
 )
 
-// valueError is a text, of a flag, an argument or a variable of the environment, that isn't accepted.
+// valueError reports an invalid value of a flag, an argument or an environment variable.
 type valueError struct {
-	source  string // what the text was given for; empty: plain from the text
+	source  string // the flag, argument or variable; empty: not named in the error text
 	value   string
-	problem string
+	problem string // the predicate of the error text, such as "is not a whole number"
 }
 
-// Error names the source, the value and what is wrong with it.
+// Error returns the source, the value and the problem.
 func (e *valueError) Error() string {
 	text := fmt.Sprintf("%q %s", e.value, e.problem)
 	if e.source == "" {
@@ -22,70 +22,72 @@
 	return e.source + " " + text
 }
 
-// boundsError is a flag's number that is out of its bounds.
+// boundsError reports a flag's number that is out of range.
 type boundsError struct {
 	flag   string
 	value  any
-	bounds string
+	bounds string // such as "1 to 9"
 }
 
-// Error names the flag, its value and the bounds.
-func (e *boundsError) Error() string { return fmt.Sprintf("%s %v: %s", e.flag, e.value, e.bounds) }
+// Error returns the flag, its value and the bounds.
+func (e *boundsError) Error() string {
+	return fmt.Sprintf("%s %v is out of range: must be %s", e.flag, e.value, e.bounds)
+}
 
-// brokenRulesError is a run in which rules of the protocol were broken.
+// brokenRulesError reports that a lab run broke rules of the protocol.
 type brokenRulesError struct {
-	run   string // "config" or "size", and its quoted name
+	run   string // "config" or "size", and the quoted name of the configuration or size
 	count int
 	first string // the first broken rule
 }
 
-// Error names the run, the number of broken rules and the first of them.
+// Error returns the run, the number of broken rules and the first of them.
 func (e *brokenRulesError) Error() string {
-	return fmt.Sprintf("%s: %d rules were broken; the first: %s", e.run, e.count, e.first)
+	return fmt.Sprintf("%s: %d protocol rules were broken; the first: %s", e.run, e.count, e.first)
 }
 
-// serviceError is a response with a status that is no success. Its text is the service's own.
+// serviceError reports a response whose status is not a success. Its text is that of the response.
 type serviceError struct {
 	status  int
 	message string
 }
 
-// Error returns the service's text.
+// Error returns the text of the response.
 func (e *serviceError) Error() string { return e.message }
 
-// withStatus returns the error with its status before the text.
+// withStatus returns the error with the status before its text.
 func (e *serviceError) withStatus() error { return fmt.Errorf("status %d: %w", e.status, e) }
 
-// secondSignalError is a second signal, which ends a controller while it drains.
+// secondSignalError reports that a second signal ended a controller while it drained.
 type secondSignalError struct{ signal os.Signal }
 
-// Error names the signal.
+// Error returns the text with the signal's name.
 func (e *secondSignalError) Error() string {
-	return fmt.Sprintf("ended by a second signal (%s) while it drained", e.signal)
+	return fmt.Sprintf("ended by a second signal (%s) before the drain was complete", e.signal)
 }
 
-// Wrong arguments and flags.
+// Errors of arguments and flags.
 var (
-	errCAWithoutTLS    = errors.New("--ca is for a --server that begins with https://")
+	errCAWithoutTLS    = errors.New("--ca requires a --server address that begins with https://")
 	errCountOrReset    = errors.New("give either a count or --reset")
-	errNoPlan          = errors.New("name a plan, or a run's file with --from")
+	errNoPlan          = errors.New("a plan file is required, or --from with the result file of an earlier run")
 	errNoZones         = errors.New("--zones names no zone")
 	errNotJSONObject   = errors.New("is not a JSON object")
-	errVirtualTimeOnly = errors.New("is for `harewalk lab` only: here the controllers share one process")
+	errVirtualTimeOnly = errors.New("is for `harewalk lab` only: the controllers of `harewalk dev` share one process")
 
 	errNoSessionToken = errors.New(
-		"the session's token is missing: give --session-token-file or $HAREWALK_SESSION_TOKEN")
+		"the session's token is missing: set --session-token-file or $HAREWALK_SESSION_TOKEN")
 )
 
-// What a cluster or its service didn't do.
+// Errors of a cluster and of requests to it.
 var (
-	errGivenUp           = errors.New("given up after a minute") // after retryLimit
+	errRetryTimeout      = errors.New("no success after retrying for one minute") // after retryLimit
 	errJobCancelled      = errors.New("is cancelled")
-	errLeaderUnreachable = errors.New("leads and does not answer")
-	errMalformedResponse = errors.New("an answer that is none")
-	errNotEnabled        = errors.New("the cluster has no such thing; is it switched on in its operators' settings?")
+	errLeaderUnreachable = errors.New("is the leader and does not respond")
+	errMalformedResponse = errors.New("malformed response")
+	errNotEnabled        = errors.New("the cluster does not serve this: enable the feature in the operators' settings")
 	errNotReady          = errors.New("is not ready")
-	errOutcomeUnknown    = errors.New("no answer: look whether the command was carried out before giving it again")
+	errOutcomeUnknown    = errors.New("no response: check whether the command was applied before you repeat it")
 	errRefused           = errors.New("refused")
-	errRulesNotKept      = errors.New("rules did not hold")
+	errRulesBroken       = errors.New("protocol rules were broken")
 )
--- a/cmd/harewalk/job.go
+++ b/cmd/harewalk/job.go
@@ -12,10 +12,10 @@
 	"github.com/spf13/cobra"
 )
 
-// maxStdinBytes bounds the job that is read from standard input.
+// maxStdinBytes is how many bytes of standard input are read at most. More are ignored.
 const maxStdinBytes = 1 << 20
 
-// jobView is a job as the service answers a user's request about it.
+// jobView is the part of a response about a job that the commands print.
 type jobView struct {
 	ID      string `json:"name_id"`
 	State   string `json:"stance"`
@@ -23,7 +23,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// jobPath is the path of a job in the service's API.
+// jobPath returns the path of a job in the service's API.
 func jobPath(id string) string { return "/v2/runs/" + url.PathEscape(id) }
 
 func jobCmd() *cobra.Command {
@@ -47,8 +47,8 @@
 		Use:   "submit FILE",
 		Short: "Submit the job in a JSON file (- for standard input)",
 		Args:  cobra.ExactArgs(1),
-		Long: "Submit a job. A job that can't be taken now is offered again for up to a minute,\n" +
-			"as the answer's Retry-After asks.",
+		Long: "Submit a job. If the service can't accept the job now, the request is retried for up to a minute,\n" +
+			"at the delays that the response's Retry-After header sets.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := readFile(args[0], cmd.InOrStdin())
 			if err != nil {
@@ -62,7 +62,7 @@
 func getCmd(client *apiClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   "get ID",
-		Short: "Show what has become of a job",
+		Short: "Show a job's state and how many of its tasks are done and running",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return client.showJob(cmd.OutOrStdout(), http.MethodGet, jobPath(args[0]), nil)
@@ -81,7 +81,7 @@
 	}
 }
 
-// showJob sends a request whose response is one job, and prints the job.
+// showJob sends a request whose response is a job, and prints the job.
 func (c *apiClient) showJob(out io.Writer, method, path string, body []byte) error {
 	raw, err := c.callAny(method, path, body)
 	if err != nil {
@@ -100,7 +100,7 @@
 	})
 }
 
-// readFile reads a file, or standard input where the name is "-".
+// readFile reads a file, or standard input if the name is "-".
 func readFile(name string, stdin io.Reader) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(io.LimitReader(stdin, maxStdinBytes))
--- a/cmd/harewalk/job_events.go
+++ b/cmd/harewalk/job_events.go
@@ -21,13 +21,13 @@
 	var interval time.Duration
 	cmd := &cobra.Command{
 		Use:   "events [ID]",
-		Short: "Tell what happened to a job, or to all, lately",
+		Short: "Show the recent events of a job, or of all jobs",
 		Args:  cobra.MaximumNArgs(1),
-		Long: "Tell what happened: the leader keeps the newest events of its term in memory. Where another " +
-			"has come to lead, its\n" +
-			"term event says so; what was before stands in the controllers' logs. --where compares event, " +
-			"id, machine and note\n" +
-			"with =, != and ~, task and age_s with =, !=, <, <=, > and >=. With -o json and --follow each line " +
+		Long: "Show events. The leader keeps the newest events of its term in memory. A term event marks a change " +
+			"of leader;\n" +
+			"earlier events are in the controllers' logs. In --where, event, id, machine and note are compared " +
+			"with =, != and ~\n" +
+			"(contains), task and age_s with =, !=, <, <=, > and >=. With -o json and --follow each line " +
 			"is one event.",
 		Example: "  harewalk job events req-000412 --follow\n" +
 			"  harewalk job events --where 'event = task_ended and note = error'",
@@ -45,9 +45,9 @@
 			return source.showAll(cmd.OutOrStdout())
 		},
 	}
-	cmd.Flags().StringVar(&where, "where", "", "only events that match")
-	cmd.Flags().BoolVar(&follow, "follow", false, "go on with what happens, until interrupted")
-	cmd.Flags().DurationVar(&interval, "every", time.Second, "time between two questions with --follow, at least 200ms")
+	cmd.Flags().StringVar(&where, "where", "", "show only events that match this filter")
+	cmd.Flags().BoolVar(&follow, "follow", false, "print new events until interrupted")
+	cmd.Flags().DurationVar(&interval, "every", time.Second, "time between two requests with --follow, at least 200ms")
 	return cmd
 }
 
@@ -56,10 +56,10 @@
 	client *apiClient
 	path   string
 	where  string
-	since  string // the position after the last page; empty: the beginning
+	since  string // position after the last page, as TERM-INDEX; empty: the first event
 }
 
-// next returns the next page and moves the position behind it.
+// next requests the next page and sets the position to its end.
 func (s *eventSource) next() (controller.EventPage, error) {
 	filter := url.Values{"where": {s.where}, "since": {s.since}}
 	var page controller.EventPage
@@ -71,7 +71,7 @@
 	return page, nil
 }
 
-// showAll prints all events up to now. The values beside the events are those of the last page.
+// showAll prints all events up to now. The fields of the printed page other than Events are those of the last page.
 func (s *eventSource) showAll(out io.Writer) error {
 	var all controller.EventPage
 	for more := true; more; {
@@ -91,7 +91,7 @@
 	})
 }
 
-// follow prints events as they happen, until a request fails for good.
+// follow polls for new events and prints them, until callLeader returns an error.
 func (s *eventSource) follow(out io.Writer, interval time.Duration) error {
 	for {
 		page, err := s.next()
--- a/cmd/harewalk/job_list.go
+++ b/cmd/harewalk/job_list.go
@@ -16,13 +16,13 @@
 	var where string
 	cmd := &cobra.Command{
 		Use:   "list",
-		Short: "List jobs, those that match a filter",
+		Short: "List all jobs, or those that match a filter",
 		Args:  cobra.NoArgs,
-		Long: "List jobs by id. --where takes comparisons joined by and, or, not and parentheses. Texts (id, " +
+		Long: "List jobs by id. --where takes comparisons joined by and, or, not and parentheses. Strings (id, " +
 			"stance, class, team,\n" +
 			"kind, priority) are compared with =, != and ~ (contains), numbers (tasks, done, running, " +
 			"waiting, predecessors, age_s) with =, !=,\n" +
-			"<, <=, > and >=. An error points at the column.",
+			"<, <=, > and >=. The error for a wrong filter names the column.",
 		Example: "  harewalk job list --where 'waiting > 0 and team = \"red\"'\n" +
 			"  harewalk job list --where 'stance = running and (class ~ audit or age_s > 3600)' -o json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -36,11 +36,11 @@
 			return client.show(cmd.OutOrStdout(), jobs, func(table *tabwriter.Writer) { writeJobs(table, jobs) })
 		},
 	}
-	cmd.Flags().StringVar(&where, "where", "", "only jobs that match")
+	cmd.Flags().StringVar(&where, "where", "", "show only jobs that match this filter")
 	return cmd
 }
 
-// listJobs requests all pages of the jobs that match a filter. The list it returns is never nil.
+// listJobs requests all pages of the jobs that match a filter. If no job matches, the list is empty, not nil.
 func (c *apiClient) listJobs(where string) ([]controller.JobSummary, error) {
 	jobs := []controller.JobSummary{}
 	lastID := ""
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkWhere checks a filter before any request is sent; its error names the column.
+// checkWhere parses a filter before any request is sent. Its error names the column of the mistake.
 func checkWhere(where string, fields query.Fields) error {
 	if _, err := query.Parse(where, fields); err != nil {
 		return usageError(fmt.Errorf("--where, %w\n  %s", err, where))
--- a/cmd/harewalk/job_watch.go
+++ b/cmd/harewalk/job_watch.go
@@ -13,10 +13,10 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// minPollInterval bounds --every from below.
+// minPollInterval is the lower bound of --every for `job watch` and `job events`.
 const minPollInterval = 200 * time.Millisecond
 
-// jobProgress is what a line of `job watch` shows.
+// jobProgress holds the values of one line of `job watch`.
 type jobProgress struct {
 	ID      string `json:"name_id"`
 	State   string `json:"stance"`
@@ -28,19 +28,19 @@
 	var interval time.Duration
 	cmd := &cobra.Command{
 		Use:   "watch ID",
-		Short: "Follow a job to its end, a line for each change",
+		Short: "Follow a job until it ends, with a line for each change",
 		Args:  cobra.ExactArgs(1),
-		Long: "Follow a job until it is done (exit 0) or cancelled (exit 3). An answer that doesn't come is " +
-			"asked for again.",
+		Long: "Follow a job until it is done (exit 0) or cancelled (exit 3). After a temporary failure the request is " +
+			"repeated.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return client.watch(cmd.OutOrStdout(), jobPath(args[0]), max(interval, minPollInterval))
 		},
 	}
-	cmd.Flags().DurationVar(&interval, "every", 2*time.Second, "time between two questions, at least 200ms")
+	cmd.Flags().DurationVar(&interval, "every", 2*time.Second, "time between two requests, at least 200ms")
 	return cmd
 }
 
-// watch polls a job and prints each change, until the job is done or cancelled.
+// watch polls a job and prints each change until the job is done or cancelled. A cancelled job is an error.
 func (c *apiClient) watch(out io.Writer, path string, interval time.Duration) error {
 	var previous jobProgress
 	for ; ; time.Sleep(interval) {
@@ -65,8 +65,8 @@
 	}
 }
 
-// pollJob requests a job's progress once. It returns false where the request failed for now and is to be repeated, and
-// an error where repeating it can't help.
+// pollJob requests a job's progress once. After a temporary failure it returns false without an error. It returns an
+// error if a retry can't succeed.
 func (c *apiClient) pollJob(path string) (progress jobProgress, ok bool, err error) {
 	resp, err := c.send(http.MethodGet, "", path, nil)
 	if isFinal(err) || isUntrusted(err) {
--- a/cmd/harewalk/job_why.go
+++ b/cmd/harewalk/job_why.go
@@ -11,15 +11,15 @@
 )
 
 func whyCmd(client *apiClient) *cobra.Command {
-	cmd := namedView[controller.JobPendingView]{
+	cmd := namedViewCommand[controller.JobPendingView]{
 		use:   "why ID",
-		short: "Say in plain words why each part of a job waits",
+		short: "Explain why each part of a job is waiting",
 		path:  func(id string) string { return jobPath(id) + "/why" },
 		write: writePendingReasons,
 	}.command(client)
-	cmd.Long = "Say why each part of a job waits: as planning has decided it, not guessed anew. The leader answers; " +
-		"any\n" +
-		"controller names it. In JSON each part has a code: team_limit, licence, no_machine, " +
+	cmd.Long = "Explain why each part of a job is waiting, with the reasons recorded by the planner. The request goes " +
+		"to the leader,\n" +
+		"through any controller. In JSON each part has a code: team_limit, licence, no_machine, " +
 		"gang_short, no_room, retry,\n" +
 		"predecessors, parked, failing, unreadable, zone_lost, planning_behind, lane, plan_not_durable,\n" +
 		"gang_leaving or starting."
@@ -32,20 +32,20 @@
 	fmt.Fprintf(table, "%s is %s: %d of %d tasks done, %d running\n",
 		job.ID, job.State, job.Done, job.Tasks, job.Running)
 	for _, part := range job.Waiting {
-		fmt.Fprintf(table, "%d wait:\t%s\n", part.Tasks, part.Text)
+		fmt.Fprintf(table, "%d waiting:\t%s\n", part.Tasks, part.Text)
 	}
 	if job.NeededInS != nil {
-		fmt.Fprintf(table, "needed:\tin %g s, for the deadlines of the jobs that follow it\n", *job.NeededInS)
+		fmt.Fprintf(table, "needed:\twithin %g s, for the deadlines of its successors\n", *job.NeededInS)
 	}
 	if len(job.Waiting) == 0 {
 		return
 	}
 	if job.Ahead > 0 {
-		fmt.Fprintf(table, "ahead:\t%d jobs that wait rank before it; the nearest: %s\n",
+		fmt.Fprintf(table, "ahead:\t%d waiting jobs rank before this one; the closest: %s\n",
 			job.Ahead, strings.Join(job.Nearest, ", "))
 	}
 	if job.Booting > 0 {
-		fmt.Fprintf(table, "machines:\t%d that it may use are on their way, the first is expected in %g s\n",
+		fmt.Fprintf(table, "machines:\t%d machines that the job may use are booting; the first is expected in %g s\n",
 			job.Booting, job.BootingS)
 	}
 }
--- a/cmd/harewalk/lab.go
+++ b/cmd/harewalk/lab.go
@@ -14,7 +14,7 @@
 	"github.com/harewalk/harewalk/internal/lab"
 )
 
-// labRun is a run of a scenario: the flags of `harewalk lab`.
+// labRun holds the flags of `harewalk lab`, which runs a scenario.
 type labRun struct {
 	output      string
 	repetitions int
@@ -27,33 +27,34 @@
 	var run labRun
 	cmd := &cobra.Command{
 		Use:   "lab SCENARIO.hcl",
-		Short: "Play loads and faults in simulated time, and compare configurations",
+		Short: "Run loads and faults in simulated time and compare configurations",
 		Args:  cobra.ExactArgs(1),
-		Long: "Play a scenario: loads drawn from distributions, faults at their times, several configurations " +
-			"side by side with the\n" +
-			"same loads and seeds (docs/lab.md). The controllers are the real code; everything around them " +
-			"is simulated, processors\n" +
-			"take no time, and an hour of a small cluster takes seconds. The same seed gives the same figures.\n\n" +
-			"Exit codes: 0 played, 1 a rule was broken or the report could not be written, 2 wrong scenario or " +
+		Long: "Run a scenario: loads drawn from distributions, faults at set times, and several configurations " +
+			"compared under the\n" +
+			"same loads and seeds (docs/lab.md). The controllers run the real code. Everything else is simulated: " +
+			"computing takes\n" +
+			"no simulated time, and an hour of a small cluster takes seconds. The same seed gives the same figures.\n\n" +
+			"Exit codes: 0 success, 1 a protocol rule was broken or the report could not be written, 2 wrong scenario or " +
 			"arguments.",
 		Example: "  harewalk lab deploy/lab/takeover.hcl\n" +
 			"  harewalk lab deploy/lab/takeover.hcl --repetitions 20 --html report.html -o json > report.json",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return run.play(args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
+			return run.execute(args[0], cmd.OutOrStdout(), cmd.ErrOrStderr())
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&run.repetitions, "repetitions", 0, "how many seeds, in place of the scenario's")
-	flags.IntVar(&run.parallel, "parallel", 0, "how many runs at a time, 0 for one a core")
-	flags.StringVar(&run.htmlFile, "html", "", "write a report with plots to this file")
-	flags.StringVar(&run.logLevel, "log-level", "error", "what the controllers log: error, info or debug")
+	flags.IntVar(&run.repetitions, "repetitions", 0, "number of seeds, replacing the scenario's; 0: as in the scenario")
+	flags.IntVar(&run.parallel, "parallel", 0, "number of runs at the same time; 0: one per core")
+	flags.StringVar(&run.htmlFile, "html", "", "write an HTML report with plots to this file")
+	flags.StringVar(&run.logLevel, "log-level", "error", "log level of the controllers: error, info or debug")
 	addOutputFlag(flags, &run.output)
 	cmd.AddCommand(labScaleCmd(), labStateCmd())
 	return cmd
 }
 
-// play plays the scenario of a file and prints its result. A broken rule is an error, after the result is printed.
-func (r *labRun) play(file string, out, errOut io.Writer) error {
+// execute runs the scenario of a file and prints the result. After printing, it returns an error if a run broke a
+// protocol rule.
+func (r *labRun) execute(file string, out, errOut io.Writer) error {
 	if err := configureLogging(errOut, r.logLevel); err != nil {
 		return usageError(err)
 	}
@@ -67,11 +68,11 @@
 	parallel := r.parallel
 	var useClock func(now func() time.Duration)
 	if r.logLevel != "error" {
-		// Log lines carry the simulated time of their run, so one run is played after the other.
+		// The default logger has the simulated clock of a single run, so the runs take place one after the other.
 		parallel = 1
 		useClock = logClock(errOut, r.logLevel)
 	}
-	result, err := scenario.Run(parallel, progressOn(errOut), useClock)
+	result, err := scenario.Run(parallel, progressPrinter(errOut), useClock)
 	if err != nil {
 		return failure(err)
 	}
@@ -94,10 +95,11 @@
 	return nil
 }
 
-// logClock returns a function that lets the default logger's lines carry the time of a clock in place of today's.
+// logClock returns a function that sets the clock of the default logger. Its lines then have the clock's time as at_s,
+// in seconds, in place of the wall time.
 func logClock(out io.Writer, levelName string) func(now func() time.Duration) {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(levelName)) // configureLogging has checked it
+	_ = level.UnmarshalText([]byte(levelName)) // configureLogging has checked the name
 	return func(now func() time.Duration) {
 		options := &slog.HandlerOptions{
 			Level: level,
@@ -112,8 +114,8 @@
 	}
 }
 
-// progressOn returns what shows the progress of the runs on a terminal; nil where the writer is none.
-func progressOn(out io.Writer) lab.Progress {
+// progressPrinter returns a function that prints the progress of the runs, or nil if the writer is not a terminal.
+func progressPrinter(out io.Writer) lab.Progress {
 	terminal, ok := out.(*os.File)
 	if !ok || !isatty.IsTerminal(terminal.Fd()) {
 		return nil
@@ -133,7 +135,7 @@
 }
 
 func writeLabResult(table *tabwriter.Writer, result *lab.Result) {
-	fmt.Fprintf(table, "%s: %d runs of %s for each configuration, simulated\n\n",
+	fmt.Fprintf(table, "%s: %d runs of %s of simulated time for each configuration\n\n",
 		result.Scenario, result.Repetitions, formatSeconds(result.DurationS))
 	fmt.Fprintln(table, "CONFIGURATION\tJOBS\tDONE\tCANCELLED\tREFUSED\tOPEN\tSERVED\tCORES USED\tCOST\tBROKEN")
 	for _, config := range result.Configs {
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -15,21 +15,21 @@
 	"github.com/harewalk/harewalk/internal/lab/scale"
 )
 
-// Files that are written into the folder of --out.
+// Names of the files in the --out folder.
 const (
 	scaleJSON     = "scale.json"
 	scaleMarkdown = "scale.md"
 	scaleHTML     = "scale.html"
 )
 
-// Assumptions about a worker where a planned size doesn't give a figure.
+// Assumed values of workers for planned sizes that don't specify them.
 const (
 	heartbeatIntervalS = 5.0
 	tasksPerMachine    = 8
 )
 
-// plannedSizes returns the sizes of docs/CAPACITY.md for which the fitted lines are evaluated: the users' large
-// deployment as it is, three times that, and the size that they plan for.
+// plannedSizes returns the sizes of docs/CAPACITY.md at which the fitted lines are evaluated: the users' present large
+// deployment, three times that size, and the size that the users plan for.
 func plannedSizes() []scale.Size {
 	return []scale.Size{
 		plannedSize("today", 1217, 1217*tasksPerMachine, 75, 0.3),
@@ -49,7 +49,7 @@
 	}}
 }
 
-// scaleRun is a measurement of a plan's sizes: the flags of `harewalk lab scale`.
+// scaleRun holds the flags of `harewalk lab scale`, which measures the sizes of a plan.
 type scaleRun struct {
 	output    string
 	quick     bool
@@ -61,14 +61,14 @@
 	var run scaleRun
 	cmd := &cobra.Command{
 		Use:   "scale PLAN.hcl",
-		Short: "Measure what a cluster costs as it grows, with real controllers and hollow workers",
+		Short: "Measure the resources that a growing cluster uses, with real controllers and simulated workers",
 		Args:  cobra.MaximumNArgs(1),
-		Long: "Play sizes one after the other: controllers as processes of their own, measured from outside, " +
-			"beside hollow workers and\n" +
-			"users in this process and the stand-in state service in another. Straight lines are fitted " +
-			"through the sizes; one that is\n" +
-			"held out is predicted first and measured then (docs/CAPACITY.md). Ctrl-C ends all processes.\n\n" +
-			"Exit codes: 0 measured, 1 a rule was broken or a process failed, 2 wrong plan, or one too " +
+		Long: "Run the plan's sizes one after the other. Each controller is a process, measured from outside. " +
+			"Simulated workers\n" +
+			"and users run in this process, the simulated state service in another. Straight lines are fitted " +
+			"to the measurements;\n" +
+			"a held-out size is predicted before it is measured (docs/CAPACITY.md). Ctrl-C ends all processes.\n\n" +
+			"Exit codes: 0 success, 1 a protocol rule was broken or a process failed, 2 wrong plan, or plan too " +
 			"large for this machine.",
 		Example: "  harewalk lab scale deploy/lab/scale.hcl --out docs/capacity\n" +
 			"  harewalk lab scale deploy/lab/scale.hcl --quick",
@@ -83,16 +83,17 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.BoolVar(&run.quick, "quick", false, "a tenth of each size and short times: ends within two minutes")
+	flags.BoolVar(&run.quick, "quick", false, "measure a tenth of each size with short times; takes less than two minutes")
 	flags.StringVar(&run.fromFile, "from", "",
-		"play nothing: write tables and page anew from the stored figures of this file")
+		"measure nothing; write the output again from this result file of an earlier run")
 	flags.StringVar(&run.outFolder, "out", "",
 		"write "+scaleJSON+", "+scaleMarkdown+" and "+scaleHTML+" into this folder")
 	addOutputFlag(flags, &run.output)
 	return cmd
 }
 
-// measure plays the sizes of a plan. A broken rule is an error, after the result is printed.
+// measure runs the sizes of a plan and prints the result. After printing, it returns an error if a size broke a
+// protocol rule.
 func (r *scaleRun) measure(parent context.Context, planFile string, out, errOut io.Writer) error {
 	plan, err := scale.Read(planFile)
 	if err != nil {
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// rewrite writes a run's tables anew from its stored figures.
+// rewrite writes the output again from the result file of an earlier run.
 func (r *scaleRun) rewrite(out io.Writer) error {
 	result, err := scale.ReadResult(r.fromFile)
 	if err != nil {
@@ -132,7 +133,7 @@
 	return r.write(out, result)
 }
 
-// write writes the files of --out, if it is given, and prints the result.
+// write writes the files of the --out folder, if the flag is set, and prints the result.
 func (r *scaleRun) write(out io.Writer, result *scale.Result) error {
 	if r.outFolder != "" {
 		if err := writeScaleFiles(r.outFolder, result); err != nil {
@@ -142,7 +143,7 @@
 	return printAs(r.output, out, result, result.WriteText)
 }
 
-// runScalePlan plays a plan with this program's own processes.
+// runScalePlan runs a plan with processes of this same executable.
 func runScalePlan(ctx context.Context, plan *scale.Plan, errOut io.Writer) (*scale.Result, error) {
 	program, err := os.Executable()
 	if err != nil {
@@ -175,13 +176,13 @@
 	return nil
 }
 
-// labStateCmd returns the hidden command that is the state service's process of a scale run.
+// labStateCmd returns the hidden command with which a scale run starts its state service's process.
 func labStateCmd() *cobra.Command {
 	return &cobra.Command{
 		Use:    scale.StateCommand,
 		Hidden: true,
 		Args:   cobra.NoArgs,
-		Short:  "Play a state service for a scale run",
+		Short:  "Run the simulated state service of a scale run",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return scale.PlayState(cmd.InOrStdin(), cmd.OutOrStdout())
 		},
--- a/cmd/harewalk/licence.go
+++ b/cmd/harewalk/licence.go
@@ -21,29 +21,29 @@
 	Count   *int   `json:"count,omitempty"`
 	OnLower string `json:"on_lower,omitempty"`
 	Reset   bool   `json:"reset,omitempty"`
-	Version *int64 `json:"version,omitempty"` // the one that the command depends on; nil: any
+	Version *int64 `json:"version,omitempty"` // the count's version that the command requires; nil: any
 }
 
 func licenceCmd() *cobra.Command {
 	var client apiClient
 	cmd := &cobra.Command{
 		Use:   "licence",
-		Short: "Look at the pools of counted licences and change their counts",
-		Long: "Licences are declared in the operators' settings (docs/licences.md). Counts that are set here " +
-			"are kept by\n" +
-			"the state service: they survive every controller, and go before what is declared until they are reset.",
+		Short: "Show the pools of counted licences and change their counts",
+		Long: "Licence pools are declared in the operators' settings (docs/licences.md). Counts that are set here " +
+			"are stored in\n" +
+			"the state service: they survive restarts and override the declared counts until they are reset.",
 	}
 	client.addFlags(cmd)
 	cmd.AddCommand(
-		view[[]licences.View]{
+		viewCommand[[]licences.View]{
 			use:   "list",
-			short: "List the pools: how many seats each has, who holds them, how many are free",
+			short: "List the pools with their licence units: how many there are, in use and free",
 			path:  licencesPath,
 			write: writePools,
 		}.command(&client),
-		namedView[licences.View]{
+		namedViewCommand[licences.View]{
 			use:   "show POOL",
-			short: "Show one pool, with its teams",
+			short: "Show one pool and the units of each team",
 			path:  poolPath,
 			write: writePool,
 		}.command(&client),
@@ -60,13 +60,13 @@
 	}
 }
 
-// serverState describes how a pool's licence server is reached, and how old its last response is.
+// serverState returns the state of a pool's licence server and the age of its last valid response.
 func serverState(pool licences.View) string {
 	if pool.Server == "" {
 		return "none"
 	}
 	if pool.AgeS > 0 {
-		return fmt.Sprintf("%s, heard %.1f s ago", pool.ServerState, pool.AgeS)
+		return fmt.Sprintf("%s, last response %.1f s ago", pool.ServerState, pool.AgeS)
 	}
 	return pool.ServerState
 }
@@ -75,24 +75,24 @@
 	fmt.Fprintf(table, "pool\t%s\n", pool.Pool)
 	origin := ""
 	if pool.Version > 0 {
-		origin = fmt.Sprintf(" (set by %s, version %d; declared: %d)",
-			orSomebody(pool.SetBy), pool.Version, pool.Declared)
+		origin = fmt.Sprintf(" (set by %s, version %d; declared count: %d)",
+			orUnnamedOperator(pool.SetBy), pool.Version, pool.Declared)
 	}
 	fmt.Fprintf(table, "count\t%d%s\n", pool.Count, origin)
 	fmt.Fprintf(table, "held\t%d, and %d booked for gangs that are starting\n", pool.Held, pool.Booked)
-	fmt.Fprintf(table, "lingering\t%d of tasks that are gone\n", pool.AwaitingRelease)
-	fmt.Fprintf(table, "others\t%d, %d kept for them\n", pool.OutsideUnits, pool.Reserve)
+	fmt.Fprintf(table, "lingering\t%d of ended tasks, not yet released\n", pool.AwaitingRelease)
+	fmt.Fprintf(table, "others\t%d in use outside the cluster, reserve %d\n", pool.OutsideUnits, pool.Reserve)
 	fmt.Fprintf(table, "free\t%d\n", pool.Free)
 	fmt.Fprintf(table, "server\t%s %s\n", pool.Server, serverState(pool))
 	fmt.Fprintf(table, "when lowered\t%s\n", pool.Lowering)
 	for _, team := range pool.Teams {
 		fmt.Fprintf(table, "team %s\t%d, guaranteed %d, at most %s\n",
-			team.Team, team.Units, team.Guarantee, orAnyNumber(team.Limit))
+			team.Team, team.Units, team.Guarantee, formatLimit(team.Limit))
 	}
 }
 
-// orAnyNumber returns a limit; 0 stands for none.
-func orAnyNumber(limit int) string {
+// formatLimit returns the text of a limit; 0 means that there is no limit.
+func formatLimit(limit int) string {
 	if limit == 0 {
 		return "any number"
 	}
@@ -105,14 +105,14 @@
 	var version int64
 	cmd := &cobra.Command{
 		Use:   "set-count POOL [N]",
-		Short: "Set how many seats a pool has, while the service runs",
+		Short: "Set a pool's count of licence units while the service runs",
 		Args:  cobra.RangeArgs(1, 2),
-		Long: "Set how many seats a pool has. If that is below what is in use, nothing new starts until it fits " +
-			"again;\n" +
-			"with --on-lower stop the least costly holders are stopped, with time to save. --version makes the " +
-			"command\n" +
-			"depend on the version that `licence show` gave: if somebody changed the count since, it is refused " +
-			"(exit 3).",
+		Long: "Set a pool's count of licence units. If more units than that are in use, no new task gets one until " +
+			"enough are\n" +
+			"released. With --on-lower stop the holders that cost least are stopped, with time to save. With " +
+			"--version\n" +
+			"(from `licence show`) the command is refused (exit 3) if the count has changed since that " +
+			"version.",
 		Example: "  harewalk licence set-count transcribe 30\n" +
 			"  harewalk licence set-count transcribe 12 --on-lower stop --version 812\n" +
 			"  harewalk licence set-count transcribe --reset",
@@ -134,13 +134,13 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&onLower, "on-lower", "",
-		"wait or stop, what happens to holders beyond the new count (default: as declared)")
-	flags.BoolVar(&reset, "reset", false, "go back to the count that is declared in the operators' settings")
-	flags.Int64Var(&version, "version", -1, "refuse the command unless the count's version is still this one")
+		"what happens to holders above the new count: wait or stop (default: as declared)")
+	flags.BoolVar(&reset, "reset", false, "return to the count that the operators' settings declare")
+	flags.Int64Var(&version, "version", -1, "refuse the command if the count no longer has this version")
 	return cmd
 }
 
-// countArgument returns the count that the arguments give, or nil where the count is to be reset.
+// countArgument returns the count in the arguments, or nil if --reset is set. Exactly one of both must be given.
 func countArgument(args []string, reset bool) (*int, error) {
 	if reset != (len(args) == 0) {
 		return nil, usageError(errCountOrReset)
--- a/cmd/harewalk/logging.go
+++ b/cmd/harewalk/logging.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// configureLogging lets the default logger write lines of a level and above. LOG_FORMAT in the environment chooses
-// between text and JSON.
+// configureLogging sets the default logger to write lines of the named level and above. The environment variable
+// LOG_FORMAT selects the format: text, which is the default, or json.
 func configureLogging(out io.Writer, levelName string) error {
 	level, err := parseLogLevel(levelName)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// parseLogLevel returns the level of a name; the empty name is the default, info.
+// parseLogLevel returns the level of a name in any case. The empty name means info.
 func parseLogLevel(name string) (slog.Level, error) {
 	switch strings.ToLower(name) {
 	case "error":
--- a/cmd/harewalk/main.go
+++ b/cmd/harewalk/main.go
@@ -1,8 +1,8 @@
 // Command harewalk is the cluster scheduler's daemon and its command-line client.
 //
-// It owns the commands, their flags, their output and their exit codes. It holds no scheduling logic: `serve` runs a
-// controller of package controller, the client's commands send requests to one over HTTP, and `dev` and `lab` run
-// simulated clusters of packages simulator and lab.
+// The package implements the commands, their flags, their output and their exit codes. It has no scheduling logic:
+// `serve` runs a controller of package controller, the client's commands send requests to a controller over HTTP, and
+// `dev` and `lab` run simulated clusters of packages simulator and lab.
 package main
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/harewalk/harewalk/internal/config"
 )
 
-// version is set by the release build.
+// version is the program's version. The release build sets it.
 var version = "0.1.0"
 
-// settingsHook may change a controller's settings after they were loaded and before the controller starts.
+// settingsHook changes a controller's settings after they are loaded and before the controller starts.
 type settingsHook func(*config.Settings)
 
 func main() {
 	os.Exit(execute(func(*config.Settings) {}))
 }
 
-// execute runs the command that the process's arguments name and returns its exit code.
+// execute runs the command in the process's arguments, prints its error and returns the exit code.
 func execute(adjust settingsHook) int {
 	err := rootCmd(adjust).Execute()
 	if err == nil {
@@ -42,11 +42,11 @@
 func rootCmd(adjust settingsHook) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "harewalk",
-		Short: "A cluster scheduler: rents machines, takes jobs and decides what runs where",
-		Long: "harewalk runs as three, five or more controllers that share a small state service. Users submit " +
+		Short: "A cluster scheduler: rents machines, accepts jobs and places their tasks on machines",
+		Long: "A cluster has three, five or more controllers that share a small state service. Users submit " +
 			"jobs\n" +
-			"over HTTP or with this command; workers on rented machines report to the controllers.\n\n" +
-			"Exit codes: 0 success, 1 failure, 2 wrong arguments or settings, 3 job refused.",
+			"over HTTP or with this command. Workers on the rented machines report to the controllers.\n\n" +
+			"Exit codes: 0 success, 1 failure, 2 wrong arguments or settings, 3 request refused.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/harewalk/output.go
+++ b/cmd/harewalk/output.go
@@ -40,7 +40,7 @@
 	return usageError(&valueError{source: "--output", value: format, problem: problem})
 }
 
-// printAs prints a value as JSON, as YAML with the names of the JSON, or as a table.
+// printAs prints a value as JSON, as YAML with the same field names, or as a table.
 func printAs(format string, out io.Writer, value any, writeTable func(*tabwriter.Writer)) error {
 	switch format {
 	case outputJSON:
@@ -55,7 +55,8 @@
 	return table.Flush()
 }
 
-// printYAML goes through JSON, so that both formats have the same names.
+// printYAML prints a value as YAML. It converts the value to JSON first, so that both formats have the same field
+// names.
 func printYAML(out io.Writer, value any) error {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -73,15 +74,15 @@
 	return err
 }
 
-// outputFile is a file that a flag asks for.
+// outputFile is a file that a command writes because a flag is set.
 type outputFile struct {
-	flag  string
-	name  string // as errors give it
+	flag  string // named by errors
+	name  string // short name of the file for errors
 	path  string
 	write func(io.Writer) error
 }
 
-// create writes the file, in place of one that is there. Its errors name the flag.
+// create writes the file and replaces an existing one. Its errors name the flag.
 func (f outputFile) create() error {
 	file, err := os.Create(f.path)
 	if err != nil {
@@ -95,19 +96,19 @@
 	return nil
 }
 
-// show prints a value in the format that the client's --output flag chose.
+// show prints a value in the format of the client's --output flag.
 func (c *apiClient) show(out io.Writer, value any, writeTable func(*tabwriter.Writer)) error {
 	return printAs(c.output, out, value, writeTable)
 }
 
-// request is what a command sends to the leader.
+// request is a request to the leader.
 type request struct {
 	method string
 	path   string
-	body   any // marshalled as JSON; nil: none
+	body   any // encoded as JSON; nil: the request has no body
 }
 
-// callAndShow sends a request to the leader and prints the response.
+// callAndShow sends a request to the leader and prints the decoded response.
 func callAndShow[T any](c *apiClient, cmd *cobra.Command, req request, writeTable func(*tabwriter.Writer, T)) error {
 	var value T
 	if err := c.callLeader(req, &value); err != nil {
@@ -116,12 +117,12 @@
 	return c.show(cmd.OutOrStdout(), value, func(table *tabwriter.Writer) { writeTable(table, value) })
 }
 
-// formatSeconds prints seconds as a duration, rounded to whole seconds.
+// formatSeconds returns seconds as a duration, rounded to whole seconds, such as "1m30s".
 func formatSeconds(seconds float64) string {
 	return jobs.Seconds(seconds).Round(time.Second).String()
 }
 
-// orDash returns a text, or "-" in place of an empty one.
+// orDash returns the text, or "-" if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
@@ -129,5 +130,5 @@
 	return text
 }
 
-// orSomebody returns an operator's name, or what stands for one that isn't known.
-func orSomebody(name string) string { return cmp.Or(name, rollout.UnnamedOperator) }
+// orUnnamedOperator returns an operator's name, or rollout.UnnamedOperator if the name is empty.
+func orUnnamedOperator(name string) string { return cmp.Or(name, rollout.UnnamedOperator) }
--- a/cmd/harewalk/rollout.go
+++ b/cmd/harewalk/rollout.go
@@ -13,45 +13,45 @@
 
 const rolloutPath = "/v2/rollout"
 
-// rolloutCommand is the body of a request that steers a rollout.
+// rolloutCommand is the body of a request that changes the operators' directive for a rollout.
 type rolloutCommand struct {
 	By       string `json:"by"`
 	Op       string `json:"op"`
-	Revision *int64 `json:"revision,omitempty"` // the one that the command depends on; nil: any
+	Revision *int64 `json:"revision,omitempty"` // the directive's revision that the command requires; nil: any
 }
 
 func rolloutCmd() *cobra.Command {
 	var client apiClient
 	cmd := &cobra.Command{
 		Use:   "rollout",
-		Short: "Look at a rollout of controllers and steer it",
-		Long: "Controllers are restarted with a new release one after the other, in the order that `rollout " +
-			"plan` gives. What is new\n" +
-			"in the stored state begins once all have it: the cluster's level rises then, by itself or on " +
-			"`rollout finish`.\n" +
-			"Until it has risen the former release can come back; docs/rollout.md says what to do when a rollout " +
-			"sticks.",
+		Short: "Show and control a rollout of a new release to the controllers",
+		Long: "Restart the controllers with the new release one after the other, in the order that `rollout " +
+			"plan` shows. New\n" +
+			"formats of stored state are used once all controllers have the release: the cluster's level rises then, " +
+			"by itself\n" +
+			"or on `rollout finish`. Before that, the former release can be restored. If a rollout makes no " +
+			"progress, see docs/rollout.md.",
 	}
 	client.addFlags(cmd)
-	hold := steerCmd(&client, "hold", "Let nothing rise and advise no restart until `rollout free`")
-	finish := steerCmd(&client, "finish",
-		"Let the level rise as soon as all have announced the next one, without waiting")
-	finish.Long = "It is refused (exit 3) while some controller hasn't announced the next level; the answer names " +
+	hold := rolloutOperationCmd(&client, "hold", "Pause: no level rise and no restart advice until `rollout free`")
+	finish := rolloutOperationCmd(&client, "finish",
+		"Raise the level once all controllers have announced the next one, without the soak time")
+	finish.Long = "The command is refused (exit 3) while a controller hasn't announced the next level; the error names " +
 		"it.\n" +
-		"A controller that is down counts with what it announced last."
-	abort := steerCmd(&client, "abort", "Go back: the level doesn't rise, and the plan is towards the former release")
-	abort.Long = "It is refused (exit 3) once the level has risen: the former release can't read what is stored then."
-	free := steerCmd(&client, "free", "Take hold, finish or abort back")
+		"The last announcement of a controller that is down still counts."
+	abort := rolloutOperationCmd(&client, "abort", "Roll back: keep the level and plan restarts with the former release")
+	abort.Long = "The command is refused (exit 3) once the level has risen: the former release can't read newer stored state."
+	free := rolloutOperationCmd(&client, "free", "Cancel an earlier hold, finish or abort")
 	cmd.AddCommand(
-		view[rollout.View]{
+		viewCommand[rollout.View]{
 			use:   "status",
-			short: "Show who runs what, the level, what is missing for the next one, and how far a migration is",
+			short: "Show the controllers' releases, the level, what prevents the next one, and the migration",
 			path:  rolloutPath,
 			write: writeRollout,
 		}.command(&client),
-		view[rollout.View]{
+		viewCommand[rollout.View]{
 			use:   "plan",
-			short: "Show which controller may be restarted next, and why not another",
+			short: "Show which controller to restart next, and why not each of the others",
 			path:  rolloutPath,
 			write: writeRolloutPlan,
 		}.command(&client),
@@ -60,8 +60,8 @@
 	return cmd
 }
 
-// steerCmd returns the command of one operation on the rollout.
-func steerCmd(client *apiClient, op, short string) *cobra.Command {
+// rolloutOperationCmd returns the command for an operation on the rollout.
+func rolloutOperationCmd(client *apiClient, op, short string) *cobra.Command {
 	var revision int64
 	cmd := &cobra.Command{
 		Use:     op,
@@ -75,14 +75,14 @@
 		},
 	}
 	cmd.Flags().Int64Var(&revision, "revision", -1,
-		"refuse the command unless this is still the revision (of `rollout status`)")
+		"refuse the command if this is no longer the revision (see `rollout status`)")
 	return cmd
 }
 
 func writeRollout(table *tabwriter.Writer, view rollout.View) {
-	fmt.Fprintf(table, "state\t%s (told by %s)\nlevel\t%d\n", view.State, view.ReportedBy, view.Level)
+	fmt.Fprintf(table, "state\t%s (reported by %s)\nlevel\t%d\n", view.State, view.ReportedBy, view.Level)
 	if view.Next > view.Level {
-		fmt.Fprintf(table, "next level\t%d, announced by all\n", view.Next)
+		fmt.Fprintf(table, "next level\t%d, announced by all controllers\n", view.Next)
 	}
 	mode := string(view.Mode)
 	if view.By != "" {
@@ -95,7 +95,7 @@
 	if migration := view.Migration; migration != nil {
 		progress := "done"
 		if !migration.Done {
-			progress = fmt.Sprintf("%d records left, %d leaders have worked on it", migration.Left, migration.Leaders)
+			progress = fmt.Sprintf("%d records left, %d leaders have taken part", migration.Left, migration.Leaders)
 		}
 		fmt.Fprintf(table, "migration\t%s\n", progress)
 	}
@@ -116,22 +116,22 @@
 		conditions = append(conditions, "leads")
 	}
 	if node.Incompatible {
-		conditions = append(conditions, "behind: it stays out")
+		conditions = append(conditions, "incompatible: release older than the cluster's level")
 	}
 	if !node.Alive {
 		conditions = append(conditions, "down")
 	}
 	if node.Alive && !node.Healthy {
-		conditions = append(conditions, "not well")
+		conditions = append(conditions, "not healthy")
 	}
 	if len(conditions) == 0 {
 		conditions = append(conditions, "well")
 	}
 	release := node.Release
 	if release == "" {
-		release = "not said"
+		release = "not announced"
 	}
-	fmt.Fprintf(table, "controller %s\t%s, knows level %d, zone %s: %s\n",
+	fmt.Fprintf(table, "controller %s\t%s, supports level %d, zone %s: %s\n",
 		node.Node, release, node.Level, node.Zone, strings.Join(conditions, ", "))
 }
 
--- a/cmd/harewalk/serve.go
+++ b/cmd/harewalk/serve.go
@@ -13,16 +13,16 @@
 	"github.com/harewalk/harewalk/internal/controller"
 )
 
-// settingsFiles names the two files that a controller's settings are read from.
+// settingsFiles holds the paths of the two files of a controller's settings.
 type settingsFiles struct {
 	platform string // JSON
-	operator string // HCL; empty: none
+	operator string // HCL; empty: the defaults apply
 }
 
 func (f *settingsFiles) addFlags(cmd *cobra.Command) {
-	cmd.Flags().StringVar(&f.platform, "config", "", "the platform's settings, a JSON file (required)")
+	cmd.Flags().StringVar(&f.platform, "config", "", "JSON file with the platform's settings (required)")
 	cmd.Flags().StringVar(&f.operator, "operator", os.Getenv("HAREWALK_OPERATOR"),
-		"the operators' settings, an HCL file (or $HAREWALK_OPERATOR)")
+		"HCL file with the operators' settings (or $HAREWALK_OPERATOR)")
 	_ = cmd.MarkFlagRequired("config")
 }
 
@@ -38,13 +38,13 @@
 	var files settingsFiles
 	cmd := &cobra.Command{
 		Use:   "serve --config FILE",
-		Short: "Run one controller until it is ended",
+		Short: "Run one controller until it is stopped",
 		Args:  cobra.NoArgs,
-		Long: "Run one controller. It keeps nothing on disk and may be ended at any time.\n" +
-			"SIGTERM drains it: it takes no new submissions, hands the lead over at once, answers what it was " +
-			"asked and\n" +
-			"ends with exit code 0 within ten seconds. A second signal ends it at once, with exit code 1.\n" +
-			"LOG_LEVEL sets what goes to standard error: error, info (default) or debug; LOG_FORMAT how: text or " +
+		Long: "Run one controller. It stores nothing on disk and may be stopped at any time.\n" +
+			"SIGTERM drains it: it refuses new submissions, hands leadership over at once, completes pending " +
+			"requests and\n" +
+			"exits with code 0 within ten seconds. A second signal ends it at once, with exit code 1.\n" +
+			"Logs go to standard error. LOG_LEVEL is error, info (default) or debug; LOG_FORMAT is text (default) or " +
 			"json.",
 		Example: "  harewalk serve --config /etc/harewalk/settings.json --operator /etc/harewalk/operator.hcl",
 		RunE: func(*cobra.Command, []string) error {
@@ -63,14 +63,14 @@
 	return cmd
 }
 
-// serve runs a controller until it fails, or until a signal has drained it. The controller's goroutine ends with the
-// process.
+// serve runs a controller until it fails or its drain is complete. The first signal drains it; a second signal is an
+// error. The controller's goroutine runs until the process ends.
 func serve(node *controller.Controller) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	failed := make(chan error, 1)
 	go func() { failed <- node.Run() }()
-	var drained <-chan struct{} // nil until the first signal
+	var drained <-chan struct{} // closed once the drain is complete; nil before the first signal
 	for {
 		select {
 		case err := <-failed:
@@ -91,7 +91,7 @@
 	var files settingsFiles
 	cmd := &cobra.Command{
 		Use:   "check-config --config FILE",
-		Short: "Check the settings and print what is derived from them",
+		Short: "Check the settings and print the effective values and limits",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			settings, err := files.load()
@@ -99,7 +99,7 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "settings of %s are good: %d others, %d teams, %d objectives\n",
+			fmt.Fprintf(out, "settings of %s are valid: %d other controllers, %d teams, %d objectives\n",
 				settings.Node, len(settings.Peers), len(settings.Params.Teams), len(settings.Params.Objectives))
 			operator := settings.Operator
 			fmt.Fprintf(out, "hold_ttl_ms = %d\nsilent_s = %g\nidle_s = %g\n",
@@ -107,7 +107,7 @@
 			fmt.Fprintf(out, "headroom = %g\nmax_machines = %d\nnetwork_factor = %g\n",
 				operator.Headroom, operator.MaxMachines, operator.NetworkFactor)
 			limits := settings.Params.Limits
-			fmt.Fprintf(out, "connections taken = %d\nunfinished tasks = %d\nbytes of waiting submissions = %d\n",
+			fmt.Fprintf(out, "max connections = %d\nmax unfinished tasks = %d\nmax bytes of queued submissions = %d\n",
 				limits.MaxConns(), limits.MaxTasks(), limits.MaxQueueBytes())
 			return nil
 		},
--- a/cmd/harewalk/session.go
+++ b/cmd/harewalk/session.go
@@ -20,15 +20,15 @@
 
 const sessionsPath = "/v2/sessions"
 
-// sessionPath is the path of an operation on a session.
+// sessionPath returns the path of an operation on a session in the service's API.
 func sessionPath(id, operation string) string {
 	return sessionsPath + "/" + url.PathEscape(id) + "/" + operation
 }
 
-// minKeepAliveInterval bounds --every of `session keep` from below.
+// minKeepAliveInterval is the lower bound of --every for `session keep`.
 const minKeepAliveInterval = time.Second
 
-// sessionToken is where the token of a session's user comes from.
+// sessionToken is the source of the token of a session's user: a file, or else the environment.
 type sessionToken struct{ file string }
 
 func (s *sessionToken) addFlag(cmd *cobra.Command) {
@@ -56,24 +56,24 @@
 	cmd := &cobra.Command{
 		Use:   "session",
 		Short: "Open, attach to and close interactive sessions",
-		Long: "A session is a job of one task that its user attaches to and leaves. After real idleness it is " +
-			"warned, its\n" +
-			"work is saved and its machine goes to others; attaching resumes it, with the same id " +
+		Long: "A session is a job of one task that its user can leave and attach to again. After a warning, an idle " +
+			"session is reclaimed:\n" +
+			"its work is saved and its machine is released. Attaching resumes the session, with the same id " +
 			"(docs/sessions.md).",
 	}
 	client.addFlags(cmd)
 	cmd.AddCommand(
 		sessionOpenCmd(&client),
 		sessionListCmd(&client),
-		sessionOperationCmd(&client, "attach", "Return to a session: takes a warning back, resumes a reclaimed one"),
-		sessionOperationCmd(&client, "close", "End a session for good"),
+		sessionOperationCmd(&client, "attach", "Attach to a session: cancels a warning, resumes a reclaimed session"),
+		sessionOperationCmd(&client, "close", "End a session permanently"),
 		sessionKeepCmd(&client),
 		sessionExplainCmd(&client),
 	)
 	return cmd
 }
 
-// openedSession is what `session open` prints: the session, and the tokens that are stored nowhere else.
+// openedSession is the output of `session open`: the session and its tokens, which are stored nowhere else.
 type openedSession struct {
 	sessions.View
 	Token      string `json:"token"`
@@ -86,9 +86,9 @@
 		Use:   "open FILE",
 		Short: "Open a session from a job in a JSON file (- for standard input)",
 		Args:  cobra.ExactArgs(1),
-		Long: "Open a session. The job is a `daemon` with one task. Two tokens are made here and printed " +
-			"once; the cluster\n" +
-			"keeps only their digests: the user's token attaches to the session, its agent reports with the other.",
+		Long: "Open a session. The job is a `daemon` with one task. The command generates two tokens and prints them " +
+			"once;\n" +
+			"the cluster stores only their digests. The user attaches with the token, the agent reports with the agent token.",
 		Example: "  harewalk session open notebook.json -o json > session.json",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			job, err := readFile(args[0], cmd.InOrStdin())
@@ -110,7 +110,7 @@
 			})
 		},
 	}
-	cmd.Flags().StringVar(&userName, "user", currentUser(), "whose session it is")
+	cmd.Flags().StringVar(&userName, "user", currentUser(), "name of the session's user")
 	return cmd
 }
 
@@ -126,8 +126,8 @@
 			return callAndShow(client, cmd, req, writeSessions)
 		},
 	}
-	cmd.Flags().StringVar(&userName, "user", "", "only this user's")
-	cmd.Flags().StringVar(&team, "team", "", "only this team's")
+	cmd.Flags().StringVar(&userName, "user", "", "list only this user's sessions")
+	cmd.Flags().StringVar(&team, "team", "", "list only this team's sessions")
 	return cmd
 }
 
@@ -140,7 +140,7 @@
 	}
 }
 
-// sessionOperationCmd returns the command of one operation of a session's user.
+// sessionOperationCmd returns the command for an operation of a session's user.
 func sessionOperationCmd(client *apiClient, operation, short string) *cobra.Command {
 	var token sessionToken
 	cmd := &cobra.Command{
@@ -159,7 +159,7 @@
 	return cmd
 }
 
-// callSession sends an operation of a session's user, with the session's token in place of the user's own.
+// callSession sends an operation of a session's user, with the session's token in place of the client's token.
 func callSession(
 	client *apiClient, token *sessionToken, id, operation string, body any,
 ) (view sessions.View, err error) {
@@ -167,15 +167,15 @@
 	if err != nil {
 		return view, err
 	}
-	withToken := *client
-	withToken.bearer = bearer
+	sessionClient := *client
+	sessionClient.bearer = bearer
 	req := request{method: http.MethodPost, path: sessionPath(id, operation), body: body}
-	err = withToken.callLeader(req, &view)
+	err = sessionClient.callLeader(req, &view)
 	return view, err
 }
 
-// keepAlive is the body of a request that keeps a session attached.
-type keepAlive struct {
+// keepAliveRequest is the body of a request that keeps a session attached.
+type keepAliveRequest struct {
 	Attachment uint64 `json:"attachment"`
 }
 
@@ -186,31 +186,34 @@
 		Use:   "keep ID",
 		Short: "Attach to a session and keep it alive until interrupted",
 		Args:  cobra.ExactArgs(1),
-		Long: "Attach to a session and tell the cluster again and again that somebody is there. How much that " +
-			"counts is up to\n" +
-			"the operators' policy (attached_s). It ends when the session is attached to from elsewhere or " +
-			"closed (exit 3).",
+		Long: "Attach to a session and send keep-alives. The operators' policy (attached_s) decides how they count " +
+			"towards\n" +
+			"activity. The command ends with exit code 3 when another client attaches or the session is " +
+			"closed.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return keepSession(client, &token, args[0], max(interval, minKeepAliveInterval), cmd.ErrOrStderr())
+			return keepSessionAlive(client, &token, args[0], max(interval, minKeepAliveInterval), cmd.ErrOrStderr())
 		},
 	}
 	token.addFlag(cmd)
-	cmd.Flags().DurationVar(&interval, "every", 10*time.Second, "time between two signs of life, at least 1s")
+	cmd.Flags().DurationVar(&interval, "every", 10*time.Second, "time between two keep-alives, at least 1s")
 	return cmd
 }
 
-// keepSession attaches to a session and sends keep-alives until it is interrupted or one is refused.
-func keepSession(client *apiClient, token *sessionToken, id string, interval time.Duration, warnings io.Writer) error {
+// keepSessionAlive attaches to a session and sends keep-alives until it is interrupted or a request fails. It prints a
+// warning for each response with a cause for a reclaim.
+func keepSessionAlive(
+	client *apiClient, token *sessionToken, id string, interval time.Duration, warnings io.Writer,
+) error {
 	view, err := callSession(client, token, id, "attach", struct{}{})
 	if err != nil {
 		return err
 	}
 	interrupted, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	body := keepAlive{Attachment: view.AttachmentID}
+	body := keepAliveRequest{Attachment: view.AttachmentID}
 	for {
 		if view.Cause != "" {
-			fmt.Fprintf(warnings, "%s: %s; reclaimed in %s\n", view.State, view.Cause, formatSeconds(view.ReclaimInS))
+			fmt.Fprintf(warnings, "%s: %s; to be reclaimed in %s\n", view.State, view.Cause, formatSeconds(view.ReclaimInS))
 		}
 		select {
 		case <-interrupted.Done():
@@ -224,16 +227,16 @@
 	}
 }
 
-// sessionExplanation is why a session is or isn't to be reclaimed.
+// sessionExplanation contains the reasons why a session is or isn't to be reclaimed.
 type sessionExplanation struct {
 	ID  string   `json:"name_id"`
 	Why []string `json:"why"`
 }
 
 func sessionExplainCmd(client *apiClient) *cobra.Command {
-	return namedView[sessionExplanation]{
+	return namedViewCommand[sessionExplanation]{
 		use:   "explain ID",
-		short: "Say in plain words why a session is or isn't to be reclaimed, and when",
+		short: "Explain whether, why and when a session is to be reclaimed",
 		path:  func(id string) string { return sessionPath(id, "explain") },
 		write: writeExplanation,
 	}.command(client)
--- a/cmd/harewalk/session_body.go
+++ b/cmd/harewalk/session_body.go
@@ -8,8 +8,8 @@
 	"github.com/harewalk/harewalk/internal/sessions"
 )
 
-// sessionBody is the body of a request that opens a session: the fields of its job's JSON object, and those that the
-// command adds. The job's fields have no type here, so that those which only the controllers understand are passed on.
+// sessionBody is the body of a request that opens a session: the fields of the job's JSON object and those that the
+// command adds. The job's fields are untyped, so that fields which this release of the client lacks are sent too.
 type sessionBody struct {
 	job   map[string]canonicalJSON
 	added addedFields
@@ -22,9 +22,9 @@
 	AgentDigest string `json:"agent_sha256"`
 }
 
-var errNullJob = errors.New("it is null")
+var errNullJob = errors.New("the value is null")
 
-// newSessionBody returns the body that opens a session, from the JSON object of its job. It refuses anything else.
+// newSessionBody returns the body that opens a session. It returns an error if the job is not a JSON object.
 func newSessionBody(job []byte, userName string, opened openedSession) (*sessionBody, error) {
 	body := &sessionBody{added: addedFields{
 		User:        userName,
@@ -40,7 +40,8 @@
 	return body, nil
 }
 
-// MarshalJSON returns one object with the job's fields and the command's own, which replace a job's of the same name.
+// MarshalJSON returns one object with the job's fields and the added ones. An added field replaces a job's field of the
+// same name.
 func (b *sessionBody) MarshalJSON() ([]byte, error) {
 	added, err := json.Marshal(b.added)
 	if err != nil {
@@ -53,11 +54,11 @@
 	return json.Marshal(object)
 }
 
-// canonicalJSON is a JSON value as package json writes it. A whole number such as 1.0 becomes 1: the service refuses
-// the longer form for a count.
+// canonicalJSON is a JSON value in the form that package json writes. A whole number such as 1.0 becomes 1, because the
+// service refuses 1.0 for a count.
 type canonicalJSON json.RawMessage
 
-// UnmarshalJSON sets the value to the canonical form of any JSON.
+// UnmarshalJSON sets the value to the canonical form of the JSON.
 func (c *canonicalJSON) UnmarshalJSON(raw []byte) error {
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
@@ -68,5 +69,5 @@
 	return err
 }
 
-// MarshalJSON returns the canonical form.
+// MarshalJSON returns the canonical form of the value.
 func (c canonicalJSON) MarshalJSON() ([]byte, error) { return c, nil }
--- a/cmd/harewalk/token.go
+++ b/cmd/harewalk/token.go
@@ -10,7 +10,7 @@
 )
 
 func tokenCmd() *cobra.Command {
-	cmd := &cobra.Command{Use: "token", Short: "Make tokens for users and operators"}
+	cmd := &cobra.Command{Use: "token", Short: "Generate tokens for users and operators"}
 	cmd.AddCommand(newTokenCmd())
 	return cmd
 }
@@ -20,13 +20,13 @@
 	var operator bool
 	cmd := &cobra.Command{
 		Use:   "new NAME",
-		Short: "Draw a token, and print it with its block for the users' file",
+		Short: "Generate a token and print it with its block for the users' file",
 		Args:  cobra.ExactArgs(1),
-		Long: "Draw a token. It is printed on the first line of standard output and nowhere else: give it to " +
-			"its user, who keeps it\n" +
-			"in a file for --token-file. The block that follows belongs into the users' file (users_file in the " +
+		Long: "Generate a token. It is printed on the first line of standard output and stored nowhere: give it to " +
+			"its user, who\n" +
+			"stores it in a file for --token-file. Add the block that follows to the users' file (users_file in the " +
 			"operators'\n" +
-			"settings), which holds the token's SHA-256 sum only. Controllers take a changed file over within " +
+			"settings). The block contains only the token's SHA-256 sum. Controllers apply a changed file within " +
 			"seconds.",
 		Example: "  harewalk token new ada --team vision\n" +
 			"  harewalk token new night-shift --operator",
@@ -37,7 +37,7 @@
 		},
 	}
 	cmd.Flags().StringSliceVar(&teams, "team", nil, "teams for which the user may submit and cancel jobs")
-	cmd.Flags().BoolVar(&operator, "operator", false, "may give operators' commands, and act for every team")
+	cmd.Flags().BoolVar(&operator, "operator", false, "allow operators' commands, and actions for every team")
 	return cmd
 }
 
--- a/cmd/harewalk/view.go
+++ b/cmd/harewalk/view.go
@@ -7,16 +7,16 @@
 	"github.com/spf13/cobra"
 )
 
-// view is a command that requests one document from the leader and prints it.
-type view[T any] struct {
+// viewCommand is a command that requests one document from the leader and prints it.
+type viewCommand[T any] struct {
 	use   string
 	short string
 	path  string
 	write func(*tabwriter.Writer, T)
 }
 
-// command returns the view's command, which takes no arguments.
-func (v view[T]) command(client *apiClient) *cobra.Command {
+// command returns the cobra command, which takes no arguments.
+func (v viewCommand[T]) command(client *apiClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   v.use,
 		Short: v.short,
@@ -27,16 +27,17 @@
 	}
 }
 
-// namedView is a command that requests a document about what its one argument names, and prints it.
-type namedView[T any] struct {
+// namedViewCommand is a command whose one argument is the name of an object, such as a job. It requests a document
+// about the object from the leader and prints it.
+type namedViewCommand[T any] struct {
 	use   string
 	short string
 	path  func(name string) string
 	write func(*tabwriter.Writer, T)
 }
 
-// command returns the view's command.
-func (v namedView[T]) command(client *apiClient) *cobra.Command {
+// command returns the cobra command.
+func (v namedViewCommand[T]) command(client *apiClient) *cobra.Command {
 	return &cobra.Command{
 		Use:   v.use,
 		Short: v.short,
--- a/cmd/harewalk/zone.go
+++ b/cmd/harewalk/zone.go
@@ -15,22 +15,22 @@
 	var client apiClient
 	cmd := &cobra.Command{
 		Use:   "zone",
-		Short: "Look at zones as domains of failure, and at what losing one would mean",
-		Long: "A zone is well, doubted, lost, returning or proving (docs/zones.md). What is on machines that " +
-			"are not heard counts as\n" +
-			"running there until their leases are over; new work goes elsewhere at once.",
+		Short: "Show the zones' states and what the loss of a zone would cause",
+		Long: "A zone is well, doubted, lost, returning or proving (docs/zones.md). Tasks on machines without " +
+			"heartbeats count as\n" +
+			"running there until the machines' leases expire. New tasks start on other machines at once.",
 	}
 	client.addFlags(cmd)
 	cmd.AddCommand(
-		view[[]controller.ZoneView]{
+		viewCommand[[]controller.ZoneView]{
 			use:   "list",
-			short: "List the zones: state, machines, what is not heard, what they take",
+			short: "List the zones: state, machines, overdue heartbeats, accepted work",
 			path:  zonesPath,
 			write: writeZones,
 		}.command(&client),
-		namedView[controller.ZoneView]{
+		namedViewCommand[controller.ZoneView]{
 			use:   "plan ZONE",
-			short: "Show what would happen if a zone were lost now: who would wait, and for how long",
+			short: "Show what would happen if a zone were lost now: which jobs would wait, and for how long",
 			path:  func(zone string) string { return zonesPath + "/" + zone },
 			write: writeZoneLoss,
 		}.command(&client),
@@ -47,11 +47,11 @@
 	}
 }
 
-// writeZoneLoss shows what would happen if the zone were lost now.
+// writeZoneLoss prints what would happen if the zone were lost now.
 func writeZoneLoss(table *tabwriter.Writer, zone controller.ZoneView) {
 	fmt.Fprintf(table, "zone %s\t%s, %d machines, %d tasks\n", zone.Zone, zone.State, zone.Machines, zone.Tasks)
-	fmt.Fprintf(table, "may start elsewhere\tafter the leases: %.0f s\n", zone.LeaseS)
-	fmt.Fprintf(table, "machines instead\tafter a boot: %.0f s, if the other zones have them\n", zone.BootS)
+	fmt.Fprintf(table, "tasks may start elsewhere\tafter the leases expire: %.0f s\n", zone.LeaseS)
+	fmt.Fprintf(table, "replacement machines\tafter a boot: %.0f s, if the other zones have capacity\n", zone.BootS)
 	fmt.Fprintln(table, "\nCLASS\tTEAM\tJOBS\tTASKS LOST\tROOM ELSEWHERE\tWOULD WAIT")
 	for _, lost := range zone.IfLost {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\n",
