--- a/cmd/harewalk/architecture_test.go
+++ b/cmd/harewalk/architecture_test.go
@@ -11,7 +11,7 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// architecturePage is the page of architecture, beside the repository's other documents.
+// architecturePage is the path of the architecture page.
 var architecturePage = filepath.Join("..", "..", "docs", "architecture.md")
 
 func readArchitecture(t *testing.T) string {
@@ -27,20 +27,20 @@
 	page := readArchitecture(t)
 	for _, format := range rollout.RecordFormats {
 		if !strings.Contains(page, "`"+format.Prefix+"`") {
-			t.Errorf("the table lacks %q, where records of kind %s stand", format.Prefix, format.Kind)
+			t.Errorf("the page does not name prefix %q of records of kind %s", format.Prefix, format.Kind)
 		}
 	}
 }
 
 func TestArchitectureNamesNoPrefixWithoutRecords(t *testing.T) {
 	prefix := regexp.MustCompile("`((?:h|p|a|s)/[a-z@/]*)`")
-	known := map[string]bool{"h/": true} // the prefix of all that is followed
+	known := map[string]bool{"h/": true} // the common prefix of all watched keys
 	for _, format := range rollout.RecordFormats {
 		known[format.Prefix] = true
 	}
 	for _, found := range prefix.FindAllStringSubmatch(readArchitecture(t), -1) {
 		if !known[found[1]] {
-			t.Errorf("the page names prefix %q, where no record stands", found[1])
+			t.Errorf("the page names prefix %q, but no record format has it", found[1])
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	for _, entry := range entries {
 		isNamed := strings.Contains(page, "`"+entry.Name()) || strings.Contains(page, "internal/"+entry.Name())
 		if entry.IsDir() && !isNamed {
-			t.Errorf("the page doesn't name package %s", entry.Name())
+			t.Errorf("the page does not name package %s", entry.Name())
 		}
 	}
 }
@@ -72,11 +72,11 @@
 	}
 }
 
-// repositoryRoot is the repository's root, seen from this package's tests.
+// repositoryRoot is the path of the repository's root from the working directory of this package's tests.
 var repositoryRoot = filepath.Join("..", "..")
 
-// docPages returns the pages that describe the present code, by path. The journal and the incidents are records of
-// what was, and are left out. Each pattern is relative to the repository's root.
+// docPages returns the texts of the pages that match the patterns, by path. Patterns are relative to the repository's
+// root. Callers leave out the journal and the incidents, which describe former states of the code.
 func docPages(t *testing.T, patterns ...string) map[string]string {
 	t.Helper()
 	pages := map[string]string{}
@@ -94,7 +94,7 @@
 		}
 	}
 	if len(pages) == 0 {
-		t.Fatalf("no page matches %q", patterns)
+		t.Fatalf("no page matches the patterns %q", patterns)
 	}
 	return pages
 }
@@ -136,7 +136,7 @@
 		}
 	}
 	if named == 0 {
-		t.Error("no page names a test: the expression finds none any more")
+		t.Error("no page names a test: the regular expression no longer matches")
 	}
 }
 
@@ -152,6 +152,6 @@
 		}
 	}
 	if named == 0 {
-		t.Error("no page names a path: the expression finds none any more")
+		t.Error("no page names a path: the regular expression no longer matches")
 	}
 }
--- a/cmd/harewalk/cluster_test.go
+++ b/cmd/harewalk/cluster_test.go
@@ -16,10 +16,11 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// runProgramEnv lets the test's own binary be the program: the controllers of a test are processes of it.
+// runProgramEnv, if set, makes the test binary run as the harewalk program. Tests start controllers and commands as
+// processes of the test binary.
 const runProgramEnv = "HAREWALK_TEST_AS_PROGRAM"
 
-// formerReleaseEnv lets the program be the release before this one.
+// formerReleaseEnv, if set, makes the program behave as the release before this one.
 const formerReleaseEnv = "HAREWALK_TEST_AS_FORMER"
 
 func TestMain(m *testing.M) {
@@ -35,7 +36,7 @@
 	}))
 }
 
-// newSimulation starts a simulation in real time, which the test's end closes.
+// newSimulation starts a simulation in real time and closes it at the end of the test.
 func newSimulation(t *testing.T, settings simulator.Config) *simulator.Simulation {
 	t.Helper()
 	sim, err := simulator.NewRealTime(settings)
@@ -46,7 +47,7 @@
 	return sim
 }
 
-// reportViolations fails the test for each rule of the protocol that was broken.
+// reportViolations marks the test as failed for each violation of a protocol rule.
 func reportViolations(t *testing.T, sim *simulator.Simulation) {
 	t.Helper()
 	for _, violation := range sim.Violations() {
@@ -54,7 +55,7 @@
 	}
 }
 
-// isLongRun reports whether HAREWALK_LONG is set: tests that take minutes run then.
+// isLongRun reports whether HAREWALK_LONG is set, which enables tests and test sizes that take minutes.
 func isLongRun() bool { return os.Getenv("HAREWALK_LONG") != "" }
 
 // startControllers starts the three controllers of a cluster and waits until they are ready.
@@ -72,12 +73,13 @@
 	}
 }
 
-// startCluster starts the controllers of a simulation and waits until they are ready.
+// startCluster starts the controllers of a simulation with the operators' settings and waits until they are ready. If
+// HAREWALK_KEEP is set, the cluster's files are written to that directory, so that they remain after the test.
 func startCluster(t *testing.T, sim *simulator.Simulation, operator string) *simulator.Cluster {
 	t.Helper()
 	dir := t.TempDir()
-	if keep := os.Getenv("HAREWALK_KEEP"); keep != "" {
-		dir = keep
+	if keptDir := os.Getenv("HAREWALK_KEEP"); keptDir != "" {
+		dir = keptDir
 	}
 	cluster, err := sim.NewCluster(dir, operator, []string{runProgramEnv + "=1", "LOG_LEVEL=info"}, os.Args[0], "serve")
 	if err != nil {
@@ -88,7 +90,8 @@
 	return cluster
 }
 
-// runCommand runs the program as an operator does; it returns what it printed and its exit code.
+// runCommand runs the program as an operator does. It returns the output, with that to standard error, and the exit
+// code.
 func runCommand(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -101,17 +104,17 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// expectExit runs the program, fails the test unless it ends with an exit code, and returns what it printed.
+// expectExit runs the program and returns the output. It fails the test unless the exit code is wantCode.
 func expectExit(t *testing.T, wantCode int, args ...string) string {
 	t.Helper()
 	out, code := runCommand(t, args...)
 	if code != wantCode {
-		t.Fatalf("%v: exit %d, want %d: %s", args, code, wantCode, out)
+		t.Fatalf("%v: exit code %d, want %d; output: %s", args, code, wantCode, out)
 	}
 	return out
 }
 
-// writeFile writes a file that a command is to read.
+// writeFile writes a file for a command to read.
 func writeFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
@@ -119,36 +122,36 @@
 	}
 }
 
-// expectCommand runs the program and fails the test unless it ends with an exit code and prints a text.
+// expectCommand runs the program. It fails the test unless the exit code is wantCode and the output contains wantText.
 func expectCommand(t *testing.T, wantCode int, wantText string, args ...string) {
 	t.Helper()
 	out, code := runCommand(t, args...)
 	if code != wantCode || !strings.Contains(out, wantText) {
-		t.Fatalf("%v: exit %d, want %d with %q: %s", args, code, wantCode, wantText, out)
+		t.Fatalf("%v: exit code %d, want %d and output with %q; output: %s", args, code, wantCode, wantText, out)
 	}
 }
 
-// waitUntil waits for a condition; its time limit is for what hangs, no measurement.
-func waitUntil(t *testing.T, what string, ok func() bool) {
+// waitUntil polls until a condition holds. Its time limit of 60 s is for a test that hangs; no test measures with it.
+func waitUntil(t *testing.T, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: never", what)
+			t.Fatalf("condition did not hold within 60 s: %s", condition)
 		}
 	}
 }
 
-// redAndBlue are teams without guarantees and limits.
+// redAndBlue returns two teams without guarantees and limits.
 func redAndBlue() []config.Team {
 	return []config.Team{{Name: "red"}, {Name: "blue"}}
 }
 
-// licenceCounts are the pools of the licence server, as licencePools declares them.
+// licenceCounts returns the count of each licence pool, the same as in licencePools.
 func licenceCounts() map[string]int {
 	return map[string]int{"transcribe": 24, "optimise": 8}
 }
 
-// plainJob is an array of team red without licences.
+// plainJob returns an array job of team red without licences.
 func plainJob(number, tasks int, estimateS float64) *jobs.Spec {
 	return &jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", number), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
@@ -156,13 +159,13 @@
 	}
 }
 
-// drainTimeout bounds how long a drain may take.
+// drainTimeout bounds how long a controller's drain may take.
 const drainTimeout = 12 * time.Second
 
-// randomJob draws a job: arrays and gangs that need one pool, both or none.
-func randomJob(rng *rand.Rand, n int) *jobs.Spec {
+// randomJob returns a random array or gang that needs licences of one pool, of both or of none.
+func randomJob(rng *rand.Rand, number int) *jobs.Spec {
 	spec := &jobs.Spec{
-		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
+		ID: fmt.Sprintf("req-%06d", number), Class: "c", Team: []string{"red", "blue"}[rng.IntN(2)], Kind: jobs.Array,
 		Priority: []string{"urgent", "standard", "best_effort"}[rng.IntN(3)],
 		Tasks:    2 + rng.IntN(12), CPUs: 1, MemoryGB: 2,
 		Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 1, EstimateS: 0.4 + 0.6*rng.Float64(),
@@ -186,6 +189,7 @@
 	return spec
 }
 
+// licencePools declares the licence pools in the operators' settings. Its argument is the licence server's address.
 const licencePools = `
 licence "transcribe" {
   count    = 24
--- a/cmd/harewalk/drain_test.go
+++ b/cmd/harewalk/drain_test.go
@@ -16,13 +16,13 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// Controllers are killed, drained and restarted at random moments while users submit, cancel and poll. Every accepted
-// job has exactly one final state, which every controller returns; no state is reverted or lost, and every drain ends
-// with exit code 0.
-func TestHistoryThroughKillsAndDrains(t *testing.T) {
-	n, seed := 60, uint64(21)
+// Controllers are killed, drained and restarted at random times while users submit, cancel and poll. Every accepted job
+// has exactly one final state, and every controller returns that state. No state is reverted or lost, and every drain
+// ends with exit code 0.
+func TestJobHistoryThroughKillsAndDrains(t *testing.T) {
+	jobCount, seed := 60, uint64(21)
 	if isLongRun() {
-		n = 600
+		jobCount = 600
 	}
 	sim := newSimulation(t, simulator.Config{Seed: seed, MaxMachines: 10, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
@@ -36,10 +36,10 @@
 		killAndDrain(t, cluster, stop, &drained)
 	}()
 	rng := rand.New(rand.NewPCG(seed, 10))
-	for i := range n {
+	for i := range jobCount {
 		spec := plainJob(i+1, 1+rng.IntN(8), 0.3+rng.Float64())
 		if status := users.Submit(spec); status != 200 && status != 201 {
-			t.Fatalf("%s: status %d", spec.ID, status)
+			t.Fatalf("submit %s: got status %d, want 200 or 201", spec.ID, status)
 		}
 		if rng.IntN(4) == 0 {
 			delay := time.Duration(rng.IntN(1000)) * time.Millisecond
@@ -53,7 +53,7 @@
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 	}
 	cancels.Wait()
-	waitUntil(t, "each kind of end", func() bool { return drained.Load() > 0 })
+	waitUntil(t, "at least one controller is drained", func() bool { return drained.Load() > 0 })
 	close(stop)
 	faults.Wait()
 	for i := range 3 {
@@ -67,14 +67,14 @@
 	users.Check()
 	reportViolations(t, sim)
 	final, repeated := users.Results()
-	if got := final["done"] + final["cancelled"]; got != n || final["done"] == 0 || final["cancelled"] == 0 {
-		t.Errorf("%d jobs, final answers %v", n, final)
+	if got := final["done"] + final["cancelled"]; got != jobCount || final["done"] == 0 || final["cancelled"] == 0 {
+		t.Errorf("final states of %d jobs: got %v, want all done or cancelled, some of each", jobCount, final)
 	}
 	t.Logf("%d jobs: %v; %d requests repeated; %d killed, %d drained",
-		n, final, repeated, cluster.Killed, drained.Load())
+		jobCount, final, repeated, cluster.Killed, drained.Load())
 }
 
-// killAndDrain kills, drains and restarts controllers at random moments until it is stopped, and counts the drains.
+// killAndDrain kills, drains and restarts controllers at random times until stop is closed. It counts the drains.
 func killAndDrain(t *testing.T, cluster *simulator.Cluster, stop <-chan struct{}, drained *atomic.Int32) {
 	rng := rand.New(rand.NewPCG(21, 9))
 	randomMillis := func(limit int) time.Duration { return time.Duration(rng.IntN(limit)) * time.Millisecond }
@@ -88,13 +88,13 @@
 		switch fault % 3 {
 		case 0:
 			cluster.Kill(controller)
-		case 1: // killed while it drains
+		case 1: // kill it while it drains
 			cluster.Signal(controller, syscall.SIGTERM, 0)
 			time.Sleep(randomMillis(1500))
 			cluster.Kill(controller)
 		default:
 			if code := cluster.Signal(controller, syscall.SIGTERM, drainTimeout); code != 0 {
-				t.Errorf("a drain ended with exit code %d", code)
+				t.Errorf("drained controller: got exit code %d, want 0", code)
 			}
 			drained.Add(1)
 		}
@@ -105,47 +105,47 @@
 	}
 }
 
-// The leader is drained while tasks start: another leads without waiting for its lease to expire. The longest time
-// without a task start is logged beside that for a leader that is killed.
+// A leader that is drained while tasks start hands leadership over: the next leader doesn't wait until the old lease
+// expires. The test logs the longest time without a task start after a drain and, for comparison, after a kill.
 func TestDrainedLeaderHandsOver(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 22, MaxMachines: 8, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
 	users := sim.Users(22)
 	for i := range 6 {
-		// More than can be done meanwhile, so that a time without starts is never for lack of work.
+		// The jobs have more tasks than can run meanwhile, so that a time without starts is never due to a lack of tasks.
 		if status := users.Submit(plainJob(i+1, 20_000, 0.5)); status != 201 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("submit: got status %d, want 201", status)
 		}
 	}
 	rounds := 1
 	if isLongRun() {
 		rounds = 5
 	}
-	waitUntil(t, "work flows", func() bool { return sim.Stats().TaskStarts > 100 })
+	waitUntil(t, "more than 100 tasks have started", func() bool { return sim.Stats().TaskStarts > 100 })
 	var drained, killed []time.Duration
 	for range rounds {
 		for _, kill := range []bool{false, true} {
 			leader, term := -1, uint64(0)
-			waitUntil(t, "a leader", func() bool {
+			waitUntil(t, "a running controller leads", func() bool {
 				leader, term = sim.Leader()
 				return leader >= 0 && cluster.Running(leader)
 			})
 			time.Sleep(3 * time.Second)
-			from := sim.Now()
+			start := sim.Now()
 			if kill {
 				cluster.Kill(leader)
 			} else if code := cluster.Signal(leader, syscall.SIGTERM, drainTimeout); code != 0 {
-				t.Fatalf("the leader's drain ended with exit code %d", code)
+				t.Fatalf("drained leader: got exit code %d, want 0", code)
 			}
-			waitUntil(t, "another leads", func() bool {
+			waitUntil(t, "a controller leads in a later term", func() bool {
 				current, currentTerm := sim.Leader()
 				return current >= 0 && currentTerm > term
 			})
 			time.Sleep(4 * time.Second)
-			if gap := sim.LongestStartGap(from, sim.Now()-time.Second); kill {
-				killed = append(killed, gap)
+			if pause := sim.LongestStartGap(start, sim.Now()-time.Second); kill {
+				killed = append(killed, pause)
 			} else {
-				drained = append(drained, gap)
+				drained = append(drained, pause)
 			}
 			if err := cluster.Start(leader); err != nil {
 				t.Fatal(err)
@@ -156,34 +156,34 @@
 		}
 	}
 	before := sim.Stats().TaskStarts
-	waitUntil(t, "work still flows at the end", func() bool { return sim.Stats().TaskStarts > before })
+	waitUntil(t, "tasks start after the last change of leader", func() bool { return sim.Stats().TaskStarts > before })
 	for i := range 6 {
 		users.Cancel(fmt.Sprintf("req-%06d", i+1))
 	}
 	reportViolations(t, sim)
-	t.Logf("longest time without a start: leader drained %v, leader killed %v (hold's life 2 s)", drained, killed)
+	t.Logf("longest time without a task start: leader drained %v, leader killed %v (leader's lease: 2 s)", drained, killed)
 }
 
-// The leader is drained while the state service is down: the drain ends within its bounds, and accepted jobs go on
-// afterwards. A second signal ends a drain at once.
-func TestDrainInAnOutage(t *testing.T) {
+// A leader that is drained while the state service is down ends within drainTimeout, and accepted jobs end after the
+// outage. A second signal ends a drain at once, with exit code 1.
+func TestDrainDuringStateServiceOutage(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 23, MaxMachines: 4, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
 	users := sim.Users(23)
 	if status := users.Submit(plainJob(1, 40, 0.5)); status != 201 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("submit: got status %d, want 201", status)
 	}
-	waitUntil(t, "work flows", func() bool { return sim.Stats().TaskStarts > 5 })
+	waitUntil(t, "more than 5 tasks have started", func() bool { return sim.Stats().TaskStarts > 5 })
 	leader, _ := sim.Leader()
 	sim.SetStateOutage(true)
 	if code := cluster.Signal(leader, syscall.SIGTERM, drainTimeout); code != 0 {
-		t.Fatalf("exit code %d", code)
+		t.Fatalf("leader drained during the outage: got exit code %d, want 0", code)
 	}
 	other := (leader + 1) % 3
 	cluster.Signal(other, syscall.SIGTERM, 0)
 	time.Sleep(200 * time.Millisecond)
 	if code := cluster.Signal(other, syscall.SIGTERM, drainTimeout); code != 1 {
-		t.Fatalf("exit code %d after a second signal", code)
+		t.Fatalf("controller after a second signal: got exit code %d, want 1", code)
 	}
 	sim.SetStateOutage(false)
 	for _, i := range []int{leader, other} {
@@ -198,10 +198,10 @@
 	reportViolations(t, sim)
 }
 
-// Operators drain a controller and a machine through any controller. Of two commands that drain the last two
-// controllers one is refused, because none would be left or because of the other command. What is undrained serves
-// again.
-func TestOperatorsDrain(t *testing.T) {
+// Operators drain controllers and a machine through any controller. If two commands drain the last two controllers in
+// service at the same time, one command is refused: no controller would be left, or the document has changed. Undrained
+// controllers serve again.
+func TestOperatorsDrainControllersAndMachines(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 26, MaxMachines: 4, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
 	users := sim.Users(26)
@@ -209,9 +209,9 @@
 	spec.CheckpointS = 1
 	spec.SaveS = 0.2
 	if status := users.Submit(spec); status != 201 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("submit: got status %d, want 201", status)
 	}
-	waitUntil(t, "all run", func() bool { return sim.Stats().TaskStarts >= 20 })
+	waitUntil(t, "all 20 tasks have started", func() bool { return sim.Stats().TaskStarts >= 20 })
 	admin := func(want int, args ...string) string {
 		t.Helper()
 		return expectExit(t, want, slices.Concat([]string{"admin"}, args, []string{"--server", sim.UserAddr(0)})...)
@@ -223,7 +223,7 @@
 		}
 		return s
 	}
-	waitUntil(t, "all controllers are heard", func() bool {
+	waitUntil(t, "the leader receives heartbeats of all controllers", func() bool {
 		for _, n := range status().Nodes {
 			if !n.Alive {
 				return false
@@ -236,20 +236,20 @@
 	admin(0, "drain", "machine", machine, "--stop", "--revision", fmt.Sprint(before.Revision))
 	out := admin(3, "drain", "machine", machine, "--revision", fmt.Sprint(before.Revision))
 	if !strings.Contains(out, "drain machine "+machine) {
-		t.Fatalf("of two conflicting commands the second is told: %s", out)
+		t.Fatalf("second of two conflicting commands: got %s, want an error that names the first", out)
 	}
-	waitUntil(t, "given back", func() bool { return sim.MachineReturned(machine) })
-	waitUntil(t, "its tasks run elsewhere", func() bool {
+	waitUntil(t, "the drained machine is returned to the cloud", func() bool { return sim.MachineReturned(machine) })
+	waitUntil(t, "all 20 tasks run on other machines", func() bool {
 		out, _ := runCommand(t, "job", "why", spec.ID, "-o", "json", "--server", sim.UserAddr(2))
 		return strings.Contains(out, `"running": 20`)
 	})
 	leader, term := sim.Leader()
 	admin(0, "drain", "node", fmt.Sprintf("node-%d", leader))
-	waitUntil(t, "another leads", func() bool {
+	waitUntil(t, "another controller leads", func() bool {
 		current, currentTerm := sim.Leader()
 		return current >= 0 && current != leader && currentTerm > term
 	})
-	waitUntil(t, "out of service", func() bool {
+	waitUntil(t, "the drained controller responds with 503", func() bool {
 		resp, err := sendPlain("GET", "http://"+sim.UserAddr(leader)+"/up", nil)
 		return err == nil && resp.status == 503
 	})
@@ -268,13 +268,14 @@
 		}()
 	}
 	wait.Wait()
-	isOneRefused := codes == [2]int{0, exitRefused} || codes == [2]int{exitRefused, 0}
+	isExactlyOneRefused := codes == [2]int{0, exitRefused} || codes == [2]int{exitRefused, 0}
 	printed := outputs[0] + outputs[1]
 	isReasonNamed := strings.Contains(printed, "nobody would be left") || strings.Contains(printed, "changed meanwhile")
-	if !isOneRefused || !isReasonNamed {
-		t.Fatalf("exit codes %v: %v", codes, outputs)
+	if !isExactlyOneRefused || !isReasonNamed {
+		t.Fatalf("drain of the last two controllers: got exit codes %v, want 0 and 3 with the reason; output: %v",
+			codes, outputs)
 	}
-	waitUntil(t, "somebody leads", func() bool {
+	waitUntil(t, "a controller that is not drained leads", func() bool {
 		current, _ := sim.Leader()
 		return current >= 0 && current != leader
 	})
@@ -289,7 +290,7 @@
 	admin(2, "drain", "node", "node-9")
 	admin(2, "drain", "zone", "a")
 	if code := cluster.Signal(leader, syscall.SIGTERM, drainTimeout); code != 0 {
-		t.Fatalf("exit code %d of one that was drained before", code)
+		t.Fatalf("controller that had been drained and undrained: got exit code %d, want 0", code)
 	}
 	users.Cancel(spec.ID)
 	reportViolations(t, sim)
--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -10,7 +10,8 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// Any controller returns the reasons why a job is pending; lists, events and watches show the jobs that match.
+// Every controller returns the reasons why a job is pending. Lists and events contain only what matches the filter, and
+// a wrong filter is refused with the column. The watch of a cancelled job ends with exit code 3.
 func TestJobCommandsExplainPendingJobs(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{
 		Seed:         24,
@@ -30,7 +31,7 @@
 	following.Follows = []string{limited.ID, gang.ID}
 	for _, spec := range []*jobs.Spec{licensed, limited, large, gang, following} {
 		if status := users.Submit(spec); status != 201 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("submit: got status %d, want 201", status)
 		}
 	}
 	for id, want := range map[string]string{
@@ -41,7 +42,7 @@
 		"req-000005": "2 jobs that must be done before it aren't: req-000001, req-000003",
 	} {
 		out, code := "", 0
-		waitUntil(t, id+" is explained: "+want, func() bool {
+		waitUntil(t, id+": `job why` prints: "+want, func() bool {
 			out, code = runCommand(t, "job", "why", id, "--server", sim.UserAddr(1))
 			return code == 0 && strings.Contains(out, want)
 		})
@@ -56,9 +57,9 @@
 	if strings.Count(out, "task_running") != 4 || !strings.Contains(out, "i-0000") {
 		t.Fatal(out)
 	}
-	list := func(want int, where string) string {
+	list := func(wantCode int, where string) string {
 		t.Helper()
-		return expectExit(t, want, "job", "list", "--where", where, "--server", sim.UserAddr(2))
+		return expectExit(t, wantCode, "job", "list", "--where", where, "--server", sim.UserAddr(2))
 	}
 	out = list(0, `team = blue and (waiting >= 4 or class ~ nothing) and not tasks = 60`)
 	isOtherListed := strings.Contains(out, "req-000001") || strings.Contains(out, "req-000002")
--- a/cmd/harewalk/lab_scale_test.go
+++ b/cmd/harewalk/lab_scale_test.go
@@ -14,6 +14,7 @@
 	"github.com/harewalk/harewalk/internal/lab/scale"
 )
 
+// smallScale is the plan of a scale run with one small size.
 const smallScale = `
 name      = "one small size"
 settle_s  = 6
@@ -36,19 +37,19 @@
 }
 `
 
-// childrenOf lists the processes that a process has started and that still run.
+// childrenOf returns the ids of the child processes of a process that still run.
 func childrenOf(t *testing.T, pid int) (pids []string) {
 	t.Helper()
 	stats, err := filepath.Glob("/proc/[0-9]*/stat")
 	if err != nil || len(stats) == 0 {
-		t.Fatalf("no processes are listed: %v", err)
+		t.Fatalf("list of processes in /proc: got none, error %v", err)
 	}
 	for _, stat := range stats {
 		raw, err := os.ReadFile(stat)
 		if err != nil {
-			continue // it has ended
+			continue // the process has ended
 		}
-		// The name is in parentheses and may hold anything; state and parent follow.
+		// The process name is in parentheses and may contain any character. State and parent id follow.
 		fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 		if len(fields) > 1 && fields[0] != "Z" && fields[1] == strconv.Itoa(pid) {
 			pids = append(pids, filepath.Base(filepath.Dir(stat)))
@@ -57,8 +58,8 @@
 	return pids
 }
 
-// One small size of a scale run: the rules hold, every task began once, jobs were done, every process is measured,
-// and none is left. The result doesn't depend on how fast this machine is.
+// A scale run of one small size breaks no protocol rule, starts no task again, measures every process and leaves none
+// behind. The checked values don't depend on the speed of the machine.
 func TestScaleRunMeasuresEveryProcess(t *testing.T) {
 	plan, err := scale.Parse("small.hcl", []byte(smallScale))
 	if err != nil {
@@ -75,25 +76,25 @@
 	}
 	step := result.Steps[0]
 	if step.Broken != 0 || step.TasksRerun != 0 {
-		t.Errorf("%d rules were broken, the first: %s; %d tasks began again after they were done",
+		t.Errorf("got %d broken rules, the first: %s; got %d tasks rerun after they were done; want 0 of both",
 			step.Broken, step.FirstBroken, step.TasksRerun)
 	}
 	for _, name := range []string{
 		"machines", "leader_rss", "follower_rss", "state_requests", "leader_read", "state_followed",
 	} {
 		if step.Values[name] <= 0 {
-			t.Errorf("%s is %v", name, step.Values[name])
+			t.Errorf("%s: got %v, want more than 0", name, step.Values[name])
 		}
 	}
 	if step.Values["machines"] != 20 || result.PeakProcesses != 5 {
-		t.Errorf("%v machines, %d processes", step.Values["machines"], result.PeakProcesses)
+		t.Errorf("got %v machines and %d processes, want 20 and 5", step.Values["machines"], result.PeakProcesses)
 	}
 	if after := len(childrenOf(t, os.Getpid())); after != before {
-		t.Errorf("%d processes are left of the run", after-before)
+		t.Errorf("child processes after the run: got %d more than before, want 0", after-before)
 	}
 }
 
-// Ctrl-C ends a run and all its processes.
+// An interrupt ends a scale run and all its processes.
 func TestInterruptEndsScaleRun(t *testing.T) {
 	plan := filepath.Join(t.TempDir(), "long.hcl")
 	longPlan := strings.Replace(smallScale, "settle_s  = 6", "settle_s  = 300", 1)
@@ -105,11 +106,11 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "its processes run", func() bool { return len(childrenOf(t, cmd.Process.Pid)) >= 4 })
+	waitUntil(t, "the run has at least 4 child processes", func() bool { return len(childrenOf(t, cmd.Process.Pid)) >= 4 })
 	started := childrenOf(t, cmd.Process.Pid)
 	_ = cmd.Process.Signal(os.Interrupt)
 	if err := cmd.Wait(); err == nil {
-		t.Error("an interrupted run ended well")
+		t.Error("interrupted run: got exit code 0, want an error")
 	}
 	for _, pid := range started {
 		waitUntil(t, "process "+pid+" has ended", func() bool {
@@ -123,7 +124,7 @@
 	}
 }
 
-// Wrong plans, and those that are too large, end with the exit code for wrong arguments and the cause.
+// A wrong plan and a plan that is too large end with exitUsage and an error that names the cause.
 func TestScaleRefusesWrongPlans(t *testing.T) {
 	dir := t.TempDir()
 	for name, test := range map[string]struct{ plan, wantText string }{
@@ -135,7 +136,7 @@
 		writeFile(t, path, plan)
 		out, code := runCommand(t, "lab", "scale", path)
 		if code != exitUsage || !strings.Contains(out, test.wantText) {
-			t.Errorf("%s: exit code %d: %s", name, code, out)
+			t.Errorf("%s: got exit code %d, want 2 with the cause; output: %s", name, code, out)
 		}
 	}
 }
--- a/cmd/harewalk/lab_test.go
+++ b/cmd/harewalk/lab_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The lab shows no progress in a pipe, prints tables or JSON and writes a report; a wrong scenario has its own exit
-// code and its setting is named.
+// `harewalk lab` prints tables or JSON, without progress in a pipe, and writes a report. A wrong scenario ends with
+// exit code 2 and an error that names the setting.
 func TestLabPrintsAndWritesReports(t *testing.T) {
 	dir := t.TempDir()
 	file, page := filepath.Join(dir, "s.hcl"), filepath.Join(dir, "report.html")
@@ -38,19 +38,19 @@
 	writeFile(t, file, scenario)
 	out, code := runCommand(t, "lab", file, "--html", page)
 	if code != 0 || !strings.Contains(out, "drain-leader 5s") || strings.Contains(out, "\r") {
-		t.Fatalf("exit %d: %q", code, out)
+		t.Fatalf("table: got exit code %d, want 0, the fault's row and no progress; output: %q", code, out)
 	}
 	if raw, err := os.ReadFile(page); err != nil || !strings.Contains(string(raw), "<svg") {
-		t.Fatalf("report: %v", err)
+		t.Fatalf("report: got error %v, want a file with <svg", err)
 	}
 	out, code = runCommand(t, "lab", file, "-o", "json", "--repetitions", "2")
 	if code != 0 || !strings.Contains(out, `"seeds": [`) || !strings.HasPrefix(out, "{") {
-		t.Fatalf("exit %d: %s", code, out)
+		t.Fatalf("JSON: got exit code %d, want 0 and an object with seeds; output: %s", code, out)
 	}
 	expectCommand(t, 0, "at_s=60", "lab", file, "--repetitions", "1", "--log-level", "info")
 	writeFile(t, file, strings.Replace(scenario, "per_minute = 10", "per_minute = 0", 1))
 	expectCommand(t, 2, "PerMinute", "lab", file)
 	if _, code := runCommand(t, "lab", filepath.Join(dir, "none.hcl")); code != 2 {
-		t.Fatalf("exit %d for a scenario that isn't there", code)
+		t.Fatalf("missing scenario file: got exit code %d, want 2", code)
 	}
 }
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -15,9 +15,9 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// Tasks, workers, controllers and the licence server crash, hang and restart; commands arrive late. The server, which
-// counts on its own, never has more licence units checked out than there are, every job comes to its end, and no unit
-// is lost.
+// Tasks, workers, controllers and the licence server crash, hang and restart, and commands to workers are delayed. The
+// licence server counts independently and refuses no checkout: the cluster never uses more units than there are. Every
+// job ends, and at the end all units are released.
 func TestLicenceUnitsThroughCrashes(t *testing.T) {
 	const seed = uint64(1)
 	maxJobs, minStarts, faultRate := 40, 150, 2
@@ -51,7 +51,7 @@
 		submitted++
 		spec := randomJob(rng, submitted)
 		if status := users.Submit(spec); status != 201 && status != 200 {
-			t.Fatalf("%s: status %d", spec.ID, status)
+			t.Fatalf("submit %s: got status %d, want 200 or 201", spec.ID, status)
 		}
 	}
 	close(stop)
@@ -62,9 +62,10 @@
 	reportViolations(t, sim)
 	for name, count := range licenceCounts() {
 		used, peak, denied := sim.Licences.Usage(name)
-		t.Logf("%s: %d seats, %d at the highest, %d refused, %d taken at the end", name, count, peak, denied, used)
+		t.Logf("%s: %d units, peak use %d, %d checkouts refused, %d units in use at the end", name, count, peak, denied, used)
 		if denied > 0 || used > 0 || peak < count/2 {
-			t.Errorf("%s: %d refused, %d taken, %d at the highest", name, denied, used, peak)
+			t.Errorf("%s: got %d checkouts refused, %d units in use at the end, peak use %d; want 0, 0, at least half",
+				name, denied, used, peak)
 		}
 	}
 	final, repeated := users.Results()
@@ -72,11 +73,12 @@
 		submitted, final, repeated, sim.Stats(), cluster.Killed)
 }
 
-// injectFaults plays faults until it is stopped, and then ends them. A higher rate means more of them.
+// injectFaults injects random faults until stop is closed. Then it restores the licence server and the controllers. The
+// frequency of faults is proportional to rate.
 func injectFaults(stop chan struct{}, sim *simulator.Simulation, cluster *simulator.Cluster, rate int) {
 	rng := rand.New(rand.NewPCG(5, 5))
-	var restartAt [3]time.Time // of killed controllers
-	var serverUpAt time.Time   // zero: the licence server runs
+	var restartAt [3]time.Time // when each killed controller is started again
+	var serverUpAt time.Time   // when the licence server's outage ends; zero: the server runs
 	for tick := 0; ; tick++ {
 		select {
 		case <-stop:
@@ -117,7 +119,7 @@
 	}
 }
 
-// The share of the wanted licence units that is in use when nothing fails: a measurement.
+// Without faults, at least 95 % of a saturated licence pool's units are in use on average. The test logs the share.
 func TestLicenceUseUnderSaturation(t *testing.T) {
 	if !isLongRun() {
 		t.Skip("a measurement: set HAREWALK_LONG")
@@ -137,10 +139,10 @@
 			Licences: map[string]int{"transcribe": 1},
 		}
 		if status := users.Submit(spec); status != 201 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("submit: got status %d, want 201", status)
 		}
 	}
-	time.Sleep(10 * time.Second) // boots, fetches
+	time.Sleep(10 * time.Second) // for boots and image fetches
 	const samples = 400
 	sum := 0
 	for range samples {
@@ -148,31 +150,31 @@
 		sum += used
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Logf("seats in use over seats wanted: %.3f (mean of %d samples of 40 seats, tasks of 5 s)",
+	t.Logf("share of 40 units in use: %.3f (mean of %d samples, tasks of 5 s)",
 		float64(sum)/float64(40*samples), samples)
 	if sum*100 < 95*40*samples {
-		t.Error("below 0.95")
+		t.Error("share of units in use: got less than 0.95, want at least 0.95")
 	}
 	reportViolations(t, sim)
 }
 
-// An operator changes the counts of pools through any controller while tasks run. The count survives a restart of all
-// controllers, and the second of two conflicting commands is refused with the first as the cause.
+// Operators change a pool's count through any controller while tasks run. The count survives a restart of all
+// controllers. Of two conflicting commands, the second is refused with an error that names the first.
 func TestOperatorsChangeLicenceCounts(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 3, MaxMachines: 4, LicencePools: licenceCounts()})
 	cluster := startCluster(t, sim, fmt.Sprintf(licencePools, sim.Licences.Addr))
-	pool := func(node int) (v licences.View) {
+	showPool := func(node int) (view licences.View) {
 		t.Helper()
 		out := expectExit(t, 0, "licence", "show", "transcribe", "-o", "json", "--server", sim.UserAddr(node))
-		if err := json.Unmarshal([]byte(out), &v); err != nil {
-			t.Fatalf("%v: %s", err, out)
+		if err := json.Unmarshal([]byte(out), &view); err != nil {
+			t.Fatalf("`licence show` printed invalid JSON: %v: %s", err, out)
 		}
-		return v
+		return view
 	}
-	set := func(want int, args ...string) string {
+	setCount := func(wantCode int, args ...string) string {
 		t.Helper()
 		command := []string{"licence", "set-count", "transcribe", "--server", sim.UserAddr(1)}
-		return expectExit(t, want, append(command, args...)...)
+		return expectExit(t, wantCode, append(command, args...)...)
 	}
 	spec := &jobs.Spec{
 		ID: "req-000001", Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
@@ -181,30 +183,30 @@
 	}
 	users := sim.Users(3)
 	if status := users.Submit(spec); status != 201 {
-		t.Fatalf("status %d", status)
+		t.Fatalf("submit: got status %d, want 201", status)
 	}
-	until := func(what string, ok func() bool) {
+	waitFor := func(condition string, ok func() bool) {
 		t.Helper()
 		for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: never; %+v", what, pool(0))
+				t.Fatalf("condition did not hold within 30 s: %s; pool: %+v", condition, showPool(0))
 			}
 		}
 	}
-	using := func(n int) func() bool {
-		return func() bool { used, _, _ := sim.Licences.Usage("transcribe"); return used == n }
+	unitsInUse := func(want int) func() bool {
+		return func() bool { used, _, _ := sim.Licences.Usage("transcribe"); return used == want }
 	}
-	until("all that may be given are in use", using(22))
-	before := pool(2)
+	waitFor("all 22 units outside the reserve are in use", unitsInUse(22))
+	before := showPool(2)
 	if before.Held != 22 || before.Count != 24 || before.Free != 0 || before.Version != 0 {
-		t.Fatalf("%+v", before)
+		t.Fatalf("pool before the change: got %+v, want 22 held of 24, none free, version 0", before)
 	}
 	expectCommand(t, 0, "transcribe  24", "licence", "list", "--server", sim.UserAddr(0))
-	set(0, "10", "--on-lower", "stop", "--version", "0")
-	until("stopped down to the new count", using(10))
+	setCount(0, "10", "--on-lower", "stop", "--version", "0")
+	waitFor("holders are stopped until 10 units are in use", unitsInUse(10))
 	sim.Licences.SetCount("transcribe", 10)
-	if out := set(3, "30", "--version", "0"); !strings.Contains(out, "changed by") {
-		t.Fatalf("the second of two conflicting commands is told: %s", out)
+	if out := setCount(3, "30", "--version", "0"); !strings.Contains(out, "changed by") {
+		t.Fatalf("second of two conflicting commands: got %s, want an error that names the first", out)
 	}
 	for i := range 3 {
 		cluster.Kill(i)
@@ -214,26 +216,26 @@
 			t.Fatal(err)
 		}
 	}
-	until("the count survives all controllers", func() bool {
-		view := pool(0)
+	waitFor("the count of 10 is in effect after the restart", func() bool {
+		view := showPool(0)
 		return view.Count == 10 && view.Held == 10 && view.Lowering == licences.PreemptHolders
 	})
 	sim.Licences.SetCount("transcribe", 14)
-	set(0, "14")
-	until("raised", using(12))
+	setCount(0, "14")
+	waitFor("12 units are in use after the raise to 14", unitsInUse(12))
 	sim.Licences.SetCount("transcribe", 24)
-	set(0, "--reset")
-	until("reset", using(22))
-	for _, bad := range [][]string{{}, {"x"}, {"-1"}, {"5", "--reset"}, {"5", "--on-lower", "kill"}} {
-		set(2, bad...)
+	setCount(0, "--reset")
+	waitFor("22 units are in use after the reset", unitsInUse(22))
+	for _, invalid := range [][]string{{}, {"x"}, {"-1"}, {"5", "--reset"}, {"5", "--on-lower", "kill"}} {
+		setCount(2, invalid...)
 	}
 	expectCommand(t, 2, `no licence pool "nothing"`, "licence", "show", "nothing", "--server", sim.UserAddr(0))
-	wrong := *spec
-	wrong.ID, wrong.Licences = "req-000002", map[string]int{"transcribe": 23}
-	if status := users.Submit(&wrong); status != 422 {
-		t.Fatalf("more than the pool could ever give: status %d", status)
+	tooLarge := *spec
+	tooLarge.ID, tooLarge.Licences = "req-000002", map[string]int{"transcribe": 23}
+	if status := users.Submit(&tooLarge); status != 422 {
+		t.Fatalf("submit of a task that needs more units than the pool can give: got status %d, want 422", status)
 	}
 	users.Cancel(spec.ID)
-	until("given back", using(0))
+	waitFor("all units are released after the cancellation", unitsInUse(0))
 	reportViolations(t, sim)
 }
--- a/cmd/harewalk/metrics_test.go
+++ b/cmd/harewalk/metrics_test.go
@@ -14,7 +14,7 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// A controller serves metrics and profiles on an address of their own; the leader has those of machines and licences.
+// A controller serves metrics and profiles on debug_addr. The leader's metrics include those of machines and licences.
 func TestMetricsAreServedOnDebugAddress(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 25, MaxMachines: 2, LicencePools: licenceCounts()})
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -53,6 +53,6 @@
 		waitUntil(t, want, func() bool { return strings.Contains(get("/metrics"), want) })
 	}
 	if !strings.Contains(get("/debug/pprof/"), "goroutine") {
-		t.Error("no profiles")
+		t.Error("/debug/pprof/ lists no goroutine profile")
 	}
 }
--- a/cmd/harewalk/oncall_test.go
+++ b/cmd/harewalk/oncall_test.go
@@ -15,25 +15,25 @@
 	"testing"
 )
 
-// onCallPage is the page for engineers on call.
+// onCallPage is the path of the page for engineers on call.
 var onCallPage = filepath.Join(repositoryRoot, "docs", "oncall.md")
 
 // logHeading is the heading of the page's table of log messages.
 const logHeading = "## Log messages"
 
-// slogLevels are the levels by the name of slog's function.
+// slogLevels maps the name of each of slog's functions to its level on the page.
 var slogLevels = map[string]string{"Debug": "debug", "Info": "info", "Warn": "warn", "Error": "error"}
 
-// logCall collects what all calls that log one message have in common.
+// logCall holds the levels and attributes of all calls that log the same message.
 type logCall struct {
-	levels     map[string]bool // at which it is logged; empty if the level is computed
+	levels     map[string]bool // levels of the calls; empty if the level is computed
 	attributes map[string]bool // string literals among the arguments after the message
 }
 
-// logCalls are the calls by their message.
+// logCalls maps each message to its calls.
 type logCalls map[string]*logCall
 
-// call returns the entry of a message, which it makes at the first use.
+// call returns the entry of a message and creates it on first use.
 func (c logCalls) call(message string) *logCall {
 	if c[message] == nil {
 		c[message] = &logCall{levels: map[string]bool{}, attributes: map[string]bool{}}
@@ -41,13 +41,13 @@
 	return c[message]
 }
 
-// add records a call whose message is the argument at messageIndex, and returns the message's entry. A message that
-// isn't a literal fails the test: messages are constant, so that they can be looked up.
+// add records a call whose message is the argument at messageIndex, and returns the message's entry. It fails the test
+// if the message is not a literal: messages are constant, so that engineers can look them up.
 func (c logCalls) add(t *testing.T, files *token.FileSet, call *ast.CallExpr, messageIndex int, levels []string) *logCall {
 	t.Helper()
 	message, isLiteral := stringLiteral(call.Args[messageIndex])
 	if !isLiteral {
-		t.Errorf("%s: the message is no literal", files.Position(call.Pos()))
+		t.Errorf("%s: the log message is not a string literal", files.Position(call.Pos()))
 		return &logCall{attributes: map[string]bool{}}
 	}
 	entry := c.call(message)
@@ -62,7 +62,7 @@
 	return entry
 }
 
-// stringLiteral returns the value of an expression that is a string literal.
+// stringLiteral returns the value of an expression if it is a string literal, and whether it is one.
 func stringLiteral(expression ast.Expr) (value string, isLiteral bool) {
 	literal, isLiteral := expression.(*ast.BasicLit)
 	if !isLiteral || literal.Kind != token.STRING {
@@ -72,7 +72,7 @@
 	return value, err == nil
 }
 
-// slogFunction returns the name of the function of package slog that an expression denotes, "" if it denotes none.
+// slogFunction returns the name of the slog function that an expression denotes, or "" if it denotes something else.
 func slogFunction(expression ast.Expr) string {
 	selector, isSelector := expression.(*ast.SelectorExpr)
 	if !isSelector {
@@ -84,7 +84,7 @@
 	return selector.Sel.Name
 }
 
-// slogVariables returns the levels of slog's functions that are assigned to each variable of a function.
+// slogVariables returns, for each variable of a function that holds slog functions, the levels of these slog functions.
 func slogVariables(function *ast.FuncDecl) map[string][]string {
 	levels := map[string][]string{}
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -103,7 +103,7 @@
 	return levels
 }
 
-// attributeVariables returns the string literals of the slices that are assigned to each variable of a function.
+// attributeVariables returns, for each variable of a function that slices are assigned to, their string literals.
 func attributeVariables(function *ast.FuncDecl) map[string][]string {
 	literals := map[string][]string{}
 	ast.Inspect(function, func(node ast.Node) bool {
@@ -126,7 +126,7 @@
 	return literals
 }
 
-// addFunction adds the logging calls of a function: of slog's functions, and of variables that hold one of them.
+// addFunction records the logging calls in a function: calls of slog's functions and of variables that hold them.
 func (c logCalls) addFunction(t *testing.T, files *token.FileSet, function *ast.FuncDecl) {
 	t.Helper()
 	variables := slogVariables(function)
@@ -158,7 +158,7 @@
 	})
 }
 
-// readLogCalls returns the logging calls of all sources that aren't tests.
+// readLogCalls returns the logging calls in all Go files except tests.
 func readLogCalls(t *testing.T) logCalls {
 	t.Helper()
 	calls := logCalls{}
@@ -195,21 +195,21 @@
 	return string(page)
 }
 
-// quoted matches what stands between backticks.
-var quoted = regexp.MustCompile("`([^`]+)`")
+// backticked matches a text between backticks.
+var backticked = regexp.MustCompile("`([^`]+)`")
 
-// logRow is a row of the page's table of log messages.
+// logRow is one row of the page's table of log messages. Every message of the row has its levels and attributes.
 type logRow struct {
 	levels     []string
 	messages   []string
 	attributes []string
 }
 
-// logRows returns the rows of the page's table of log messages: levels, messages, attributes, and prose.
+// logRows returns the rows of the page's table of log messages. Its columns are levels, messages, attributes and prose.
 func logRows(t *testing.T, page string) []logRow {
 	t.Helper()
-	_, section, isThere := strings.Cut(page, logHeading+"\n")
-	if !isThere {
+	_, section, isFound := strings.Cut(page, logHeading+"\n")
+	if !isFound {
 		t.Fatalf("the page lacks the heading %q", logHeading)
 	}
 	section, _, _ = strings.Cut(section, "\n## ")
@@ -217,13 +217,13 @@
 	for line := range strings.Lines(section) {
 		cells := strings.Split(line, "|")
 		if len(cells) < 4 || !strings.Contains(cells[2], "`") {
-			continue // prose, or the table's head
+			continue // not a row of the table, or its header
 		}
 		row := logRow{levels: strings.Split(strings.TrimSpace(cells[1]), ", ")}
-		for _, found := range quoted.FindAllStringSubmatch(cells[2], -1) {
+		for _, found := range backticked.FindAllStringSubmatch(cells[2], -1) {
 			row.messages = append(row.messages, found[1])
 		}
-		for _, found := range quoted.FindAllStringSubmatch(cells[3], -1) {
+		for _, found := range backticked.FindAllStringSubmatch(cells[3], -1) {
 			row.attributes = append(row.attributes, found[1])
 		}
 		rows = append(rows, row)
@@ -240,17 +240,18 @@
 		for _, message := range row.messages {
 			call := calls[message]
 			if call == nil {
-				t.Errorf("no code logs %q", message)
+				t.Errorf("the page names log message %q, which no code logs", message)
 				continue
 			}
 			for _, level := range row.levels {
 				if len(call.levels) > 0 && !call.levels[level] {
-					t.Errorf("%q is logged at %v, not at %s", message, slices.Sorted(maps.Keys(call.levels)), level)
+					t.Errorf("log message %q: got levels %v, want %s as on the page",
+						message, slices.Sorted(maps.Keys(call.levels)), level)
 				}
 			}
 			for _, attribute := range row.attributes {
 				if !call.attributes[attribute] {
-					t.Errorf("%q has no attribute %q", message, attribute)
+					t.Errorf("log message %q has no attribute %q, which the page names", message, attribute)
 				}
 			}
 		}
@@ -272,12 +273,12 @@
 			}
 			found++
 			if !slices.Contains(levelsOnPage[message], level) {
-				t.Errorf("the page's table lacks %q at level %s", message, level)
+				t.Errorf("the page's table does not name log message %q at level %s", message, level)
 			}
 		}
 	}
 	if found == 0 {
-		t.Error("the code logs no warning and no error: the search finds none any more")
+		t.Error("found no call that logs a warning or an error: the search no longer matches the code")
 	}
 }
 
@@ -301,24 +302,24 @@
 	}
 }
 
-// namesCommand reports whether words begin with a command of this program that does something by itself.
+// namesCommand reports whether words begin with a command of this program that can be run, not a group of commands.
 func namesCommand(words string) bool {
 	command, _, err := rootCmd(nil).Find(strings.Fields(strings.TrimPrefix(words, "harewalk ")))
 	return err == nil && command.Runnable() && !command.HasSubCommands()
 }
 
-// Whatever has several words between backticks is a log message, a command with its arguments, or a flag, or an
-// attribute with its value.
+// Each text of several words between backticks is a log message, a command with its arguments, a flag with its value,
+// or an attribute with its value.
 func TestOncallNamesCommandsAndMessagesThatExist(t *testing.T) {
-	valued := regexp.MustCompile(`^\w+=`)
+	attributeWithValue := regexp.MustCompile(`^\w+=`)
 	calls := readLogCalls(t)
-	for _, found := range quoted.FindAllStringSubmatch(readOnCall(t), -1) {
+	for _, found := range backticked.FindAllStringSubmatch(readOnCall(t), -1) {
 		name := found[1]
-		if !strings.Contains(name, " ") || valued.MatchString(name) || strings.HasPrefix(name, "-") {
+		if !strings.Contains(name, " ") || attributeWithValue.MatchString(name) || strings.HasPrefix(name, "-") {
 			continue
 		}
 		if calls[name] == nil && !namesCommand(name) {
-			t.Errorf("%q is neither a log message nor a command", name)
+			t.Errorf("the page names %q, which is neither a log message nor a command", name)
 		}
 	}
 }
--- a/cmd/harewalk/rollout_test.go
+++ b/cmd/harewalk/rollout_test.go
@@ -17,33 +17,34 @@
 )
 
 // rolloutPlan returns what `rollout plan` prints, from the first controller that responds.
-func rolloutPlan(t *testing.T, sim *simulator.Simulation) (v rollout.View) {
+func rolloutPlan(t *testing.T, sim *simulator.Simulation) (view rollout.View) {
 	t.Helper()
-	waitUntil(t, "a plan", func() bool {
+	waitUntil(t, "a controller returns a rollout plan", func() bool {
 		for i := range 3 {
 			out, code := runCommand(t, "rollout", "plan", "--server", sim.UserAddr(i), "-o", "json")
-			if code == 0 && json.Unmarshal([]byte(out), &v) == nil && v.ReportedBy != "" {
+			if code == 0 && json.Unmarshal([]byte(out), &view) == nil && view.ReportedBy != "" {
 				return true
 			}
 		}
 		return false
 	})
-	return v
+	return view
 }
 
-// restartByPlan restarts each controller once, in the order of the command line's plan; swap changes its program.
+// restartByPlan drains and restarts each controller once, in the order that `rollout plan` gives. Before a controller
+// is started again, swap changes its program.
 func restartByPlan(t *testing.T, sim *simulator.Simulation, cluster *simulator.Cluster, swap func(i int)) {
 	t.Helper()
 	for done := map[string]bool{}; len(done) < 3; {
-		v := rolloutPlan(t, sim)
-		if v.Restart == "" || done[v.Restart] {
+		plan := rolloutPlan(t, sim)
+		if plan.Restart == "" || done[plan.Restart] {
 			time.Sleep(200 * time.Millisecond)
 			continue
 		}
 		var i int
-		_, _ = fmt.Sscanf(v.Restart, "node-%d", &i)
+		_, _ = fmt.Sscanf(plan.Restart, "node-%d", &i)
 		if code := cluster.Signal(i, syscall.SIGTERM, drainTimeout); code != 0 {
-			t.Fatalf("a drain ended with exit code %d", code)
+			t.Fatalf("drained controller: got exit code %d, want 0", code)
 		}
 		swap(i)
 		if err := cluster.Start(i); err != nil {
@@ -52,12 +53,12 @@
 		if err := cluster.WaitReady(i, 20*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		done[v.Restart] = true
+		done[plan.Restart] = true
 	}
 }
 
-// Real processes of the former release are rolled to this one by the command line, under load: in the order of its
-// plan, held until an operator finishes it; after that it can't be aborted, and the responses name the cause.
+// Controller processes of the former release are restarted with this one under load, in the order of `rollout plan`.
+// The level stays until an operator runs `rollout finish`. After that, `rollout abort` is refused with the cause.
 func TestRolloutOfRealProcesses(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 31, MaxMachines: 10, Teams: redAndBlue()})
 	current := []string{runProgramEnv + "=1", "LOG_LEVEL=info"}
@@ -71,37 +72,37 @@
 	users := sim.Users(31)
 	for i := range 12 {
 		if status := users.Submit(plainJob(i+1, 60, 0.6)); status != 201 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("submit: got status %d, want 201", status)
 		}
 	}
-	waitUntil(t, "work flows", func() bool { return sim.Stats().TaskStarts > 20 })
-	_, before := sim.Leader()
+	waitUntil(t, "more than 20 tasks have started", func() bool { return sim.Stats().TaskStarts > 20 })
+	_, termBefore := sim.Leader()
 	restartByPlan(t, sim, cluster, func(i int) { cluster.SetProgram(i, current, os.Args[0], "serve") })
-	if _, after := sim.Leader(); after != before+1 {
-		t.Errorf("the lead moved %d times", after-before)
+	if _, term := sim.Leader(); term != termBefore+1 {
+		t.Errorf("changes of leader during the restarts: got %d, want 1", term-termBefore)
 	}
 	leader, _ := sim.Leader()
 	server := sim.UserAddr(leader)
-	waitUntil(t, "all have announced it", func() bool {
+	waitUntil(t, "all controllers have announced the next level", func() bool {
 		out, code := runCommand(t, "rollout", "status", "--server", server)
 		return code == 0 && strings.Contains(out, "announced by all")
 	})
-	if sim.ClusterLevel() != rollout.Newest-1 { // the former release's, at which it founded the cluster
-		t.Error("the level rose without an operator's word")
+	if sim.ClusterLevel() != rollout.Newest-1 { // the former release's level, at which the cluster was created
+		t.Error("the level rose before an operator ran `rollout finish`")
 	}
 	if out, code := runCommand(t, "rollout", "finish", "--server", server, "--revision", "7"); code != exitRefused {
-		t.Errorf("a command on an old revision: exit code %d: %s", code, out)
+		t.Errorf("finish with a wrong revision: got exit code %d, want 3; output: %s", code, out)
 	}
 	if out, code := runCommand(t, "rollout", "finish", "--server", server); code != 0 {
-		t.Fatalf("exit code %d: %s", code, out)
+		t.Fatalf("finish: got exit code %d, want 0; output: %s", code, out)
 	}
-	waitUntil(t, "the migration's end", func() bool {
+	waitUntil(t, "the level has risen and the migration is done", func() bool {
 		out, code := runCommand(t, "rollout", "status", "--server", server)
 		return code == 0 && sim.ClusterLevel() == rollout.Newest && strings.Contains(out, "done")
 	})
 	out, code := runCommand(t, "rollout", "abort", "--server", server)
 	if code != exitRefused || !strings.Contains(out, "can't read what is stored") {
-		t.Errorf("exit code %d: %s", code, out)
+		t.Errorf("abort after the level rose: got exit code %d, want 3 with the cause; output: %s", code, out)
 	}
 	if err := users.Wait(2 * time.Minute); err != nil {
 		t.Error(err)
@@ -110,33 +111,33 @@
 	reportViolations(t, sim)
 }
 
-// A program of another revision of this repository, named in the environment, is rolled forward to this one and, before
-// the level has risen, back and forward again, with kills between, under a load of all kinds of jobs. It is
-// played by deploy/roll-revision.sh, not where no such program is named.
+// HAREWALK_EARLIER names a program of an earlier revision. Under a load of all kinds of jobs, the controllers are
+// restarted with the present revision and, before the level rises, with the earlier one and the present one again, with
+// kills. deploy/roll-revision.sh runs this test; without HAREWALK_EARLIER it is skipped.
 func TestRollFromRevision(t *testing.T) {
 	earlier := os.Getenv("HAREWALK_EARLIER")
 	if earlier == "" {
-		t.Skip("HAREWALK_EARLIER names no program of an earlier revision")
+		t.Skip("HAREWALK_EARLIER is not set to a program of an earlier revision")
 	}
 	seed := uint64(77)
 	sim := newSimulation(t, simulator.Config{Seed: seed, MaxMachines: 12, Teams: redAndBlue()})
-	// No operators' settings: the earlier revision refuses those that it lacks.
+	// Without operators' settings, because the earlier revision refuses settings that it doesn't have.
 	cluster, err := sim.NewCluster(t.TempDir(), "", []string{"LOG_LEVEL=info"}, earlier, "serve")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(cluster.Close)
-	now := func(i int) {
+	usePresent := func(i int) {
 		cluster.SetProgram(i, []string{runProgramEnv + "=1", "LOG_LEVEL=info"}, os.Args[0], "serve")
 	}
-	back := func(i int) { cluster.SetProgram(i, []string{"LOG_LEVEL=info"}, earlier, "serve") }
+	useEarlier := func(i int) { cluster.SetProgram(i, []string{"LOG_LEVEL=info"}, earlier, "serve") }
 	startControllers(t, cluster)
 	users := sim.Users(seed)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	stop := make(chan struct{})
 	var loading sync.WaitGroup
 	loading.Add(1)
-	n := 0
+	submitted := 0
 	go func() {
 		defer loading.Done()
 		for {
@@ -145,23 +146,23 @@
 				return
 			case <-time.After(time.Duration(rng.IntN(800)) * time.Millisecond):
 			}
-			n++
-			spec := randomJob(rng, n)
+			submitted++
+			spec := randomJob(rng, submitted)
 			spec.Licences, spec.Class = nil, "c"
 			spec.EstimateS *= 4
-			if spec.Kind == jobs.Array && n%7 == 0 {
+			if spec.Kind == jobs.Array && submitted%7 == 0 {
 				spec.Tasks = 300
 				spec.EstimateS /= 8
 			}
 			if status := users.Submit(spec); status != 200 && status != 201 {
-				t.Errorf("%s: status %d", spec.ID, status)
+				t.Errorf("submit %s: got status %d, want 200 or 201", spec.ID, status)
 			}
-			if n%9 == 0 {
+			if submitted%9 == 0 {
 				go users.Cancel(spec.ID)
 			}
 		}
 	}()
-	wave := func(swap func(i int), kill bool) {
+	restartAll := func(swap func(i int), kill bool) {
 		for i := range 3 {
 			if kill {
 				cluster.Kill(i)
@@ -180,41 +181,43 @@
 		}
 	}
 	time.Sleep(3 * time.Second)
-	founded := sim.ClusterLevel() // the highest of the earlier revision
-	wave(now, false)
-	if sim.ClusterLevel() != founded || founded >= rollout.Newest {
-		t.Error("the level rose before the soak time was over")
-	}
-	wave(back, true)
-	wave(now, true)
-	// All have the present revision, and the level hasn't risen: users may submit pipelines. One is cancelled at its head.
+	initialLevel := sim.ClusterLevel() // the highest level of the earlier revision
+	restartAll(usePresent, false)
+	if sim.ClusterLevel() != initialLevel || initialLevel >= rollout.Newest {
+		t.Error("the level rose before the end of the soak time, or the earlier revision has the newest level already")
+	}
+	restartAll(useEarlier, true)
+	restartAll(usePresent, true)
+	// All controllers have the present revision and the level hasn't risen, so users may submit pipelines. One pipeline
+	// is cancelled at its first job.
 	submitPipeline(t, users, 800_000, 4)
-	cancelled := submitPipeline(t, users, 800_100, 4)
-	users.Cancel(cancelled)
-	waitUntil(t, "the level rises", func() bool {
+	cancelledID := submitPipeline(t, users, 800_100, 4)
+	users.Cancel(cancelledID)
+	waitUntil(t, "the level has risen to the newest", func() bool {
 		time.Sleep(time.Second)
 		return sim.ClusterLevel() == rollout.Newest
 	})
-	// One goes back to the earlier revision although it must not: that has no levels, and can't read the term.
+	// One controller is started with the earlier revision, which operators must not do once the level has risen. The
+	// earlier revision has no levels and can't read the term's record, so it must not lead.
 	leader, _ := sim.Leader()
-	old := (leader + 1) % 3
-	cluster.Kill(old)
-	back(old)
-	if err := cluster.Start(old); err != nil {
+	downgraded := (leader + 1) % 3
+	cluster.Kill(downgraded)
+	useEarlier(downgraded)
+	if err := cluster.Start(downgraded); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(3 * time.Second)
 	cluster.Kill(leader)
-	waitUntil(t, "another leads", func() bool {
+	waitUntil(t, "another controller leads", func() bool {
 		next, _ := sim.Leader()
 		return next >= 0 && next != leader
 	})
-	if next, _ := sim.Leader(); next == old {
-		t.Error("a release that knows nothing of levels leads")
+	if next, _ := sim.Leader(); next == downgraded {
+		t.Error("the controller of the earlier revision, which has no levels, became the leader")
 	}
-	cluster.Kill(old)
-	now(old)
-	for _, i := range []int{leader, old} {
+	cluster.Kill(downgraded)
+	usePresent(downgraded)
+	for _, i := range []int{leader, downgraded} {
 		if err := cluster.Start(i); err != nil {
 			t.Fatal(err)
 		}
@@ -228,27 +231,27 @@
 	reportViolations(t, sim)
 	final, repeated := users.Results()
 	t.Logf("%d jobs: %v; %d starts, %d requests repeated, %d kills",
-		n, final, sim.Stats().TaskStarts, repeated, cluster.Killed)
+		submitted, final, sim.Stats().TaskStarts, repeated, cluster.Killed)
 }
 
-// submitPipeline submits a chain of jobs, each as soon as the one before it is accepted, and returns the id of the
-// first.
+// submitPipeline submits a chain of jobs, each as soon as its predecessor is accepted, and returns the id of the first
+// job. The jobs' numbers begin with first.
 func submitPipeline(t *testing.T, users *simulator.Users, first, length int) string {
 	t.Helper()
-	head := ""
-	last := ""
+	firstID := ""
+	lastID := ""
 	for i := range length {
 		spec := plainJob(first+i, 4, 2)
-		if last != "" {
-			spec.Follows = []string{last}
+		if lastID != "" {
+			spec.Follows = []string{lastID}
 		}
 		if status := users.Submit(spec); status != 200 && status != 201 {
-			t.Fatalf("%s: status %d", spec.ID, status)
+			t.Fatalf("submit %s: got status %d, want 200 or 201", spec.ID, status)
 		}
-		if head == "" {
-			head = spec.ID
+		if firstID == "" {
+			firstID = spec.ID
 		}
-		last = spec.ID
+		lastID = spec.ID
 	}
-	return head
+	return firstID
 }
--- a/cmd/harewalk/session_body_test.go
+++ b/cmd/harewalk/session_body_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// The body that opens a session has all fields of its job, in canonical JSON, and the command's own.
-func TestSessionBodyPassesTheJobOn(t *testing.T) {
+// The body that opens a session has all fields of the job, in canonical JSON, and the added fields, which replace the
+// job's fields of the same name.
+func TestSessionBodyKeepsJobFields(t *testing.T) {
 	const job = `{"hops": 1.0, "user": "mallory", "new": {"b": [1e3, null], "a": "<"}, "dusk_s": null}`
 	opened := openedSession{Token: "user's token", AgentToken: "agent's token"}
 	body, err := newSessionBody([]byte(job), "kana", opened)
@@ -19,18 +20,18 @@
 		`"dusk_s":null,"hops":1,"new":{"a":"\u003c","b":[1000,null]},` +
 		`"token_sha256":"4f3869051b4bd01234e4a6f6d5aec89485a63ddebee4c6a3f1ec1ffa0a97f748","user":"kana"}`
 	if err != nil || string(raw) != want {
-		t.Errorf("%s, %v", raw, err)
+		t.Errorf("got body %s, error %v", raw, err)
 	}
 }
 
-// Anything but a JSON object is refused before a request is sent.
-func TestSessionBodyNeedsAnObject(t *testing.T) {
+// A job that is not a JSON object is refused.
+func TestSessionBodyRefusesNonObjects(t *testing.T) {
 	for _, job := range []string{"", "7", "[]", `"x"`, "{"} {
 		if _, err := newSessionBody([]byte(job), "kana", openedSession{}); err == nil {
-			t.Errorf("%q was taken", job)
+			t.Errorf("job %q: got no error, want one", job)
 		}
 	}
 	if _, err := newSessionBody([]byte("null"), "kana", openedSession{}); !errors.Is(err, errNullJob) {
-		t.Errorf("null: %v", err)
+		t.Errorf("job null: got error %v, want errNullJob", err)
 	}
 }
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -15,6 +15,7 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
+// sessionPolicy has short times, so that idle sessions are reclaimed within seconds.
 const sessionPolicy = `
 sessions {
   warn_s   = 1
@@ -29,6 +30,7 @@
 }
 `
 
+// notebook returns a session of user kana that is not open yet.
 func notebook(sim *simulator.Simulation, n int, cpus float64) *simulator.InteractiveSession {
 	return sim.InteractiveSession(&jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
@@ -36,6 +38,7 @@
 	}, "kana")
 }
 
+// newSessionSimulation starts a simulation in real time. The end of the test closes it and reports broken rules.
 func newSessionSimulation(t *testing.T, seed uint64, machines int) *simulator.Simulation {
 	t.Helper()
 	sim, err := simulator.NewRealTime(simulator.Config{
@@ -55,16 +58,18 @@
 	return sim
 }
 
+// inState returns the condition that a session is in one of the states.
 func inState(session *simulator.InteractiveSession, states ...string) func() bool {
 	return func() bool { return slices.Contains(states, session.View().State) }
 }
 
+// isUsable returns the condition that a session runs and reports its progress.
 func isUsable(session *simulator.InteractiveSession) func() bool {
 	return func() bool { _, ok := session.Progress(); return ok }
 }
 
-// Every controller is killed when a session enters a state, for each state on the way: no cell is ended, no step is
-// lost, and the user who attaches again has the session with all steps.
+// All controllers are killed when a session enters a state, once for each state. No step of the user's work is lost: a
+// user who attaches after the reclaim has all steps again.
 func TestSessionsThroughKills(t *testing.T) {
 	states := []string{"warned", "saving"}
 	if isLongRun() {
@@ -72,14 +77,14 @@
 	}
 	sim := newSessionSimulation(t, 11, 6)
 	cluster := startCluster(t, sim, sessionPolicy)
-	for i, kill := range states {
+	for i, killState := range states {
 		session := notebook(sim, i+1, 1)
 		if status := session.Open(); status != 201 && status != 200 {
-			t.Fatalf("%s: status %d", kill, status)
+			t.Fatalf("%s: open: got status %d, want 200 or 201", killState, status)
 		}
 		killed := false
-		at := func(state string) {
-			if state == kill && !killed {
+		killAllIn := func(state string) {
+			if state == killState && !killed {
 				killed = true
 				for k := range 3 {
 					cluster.Kill(k)
@@ -91,157 +96,158 @@
 				}
 			}
 		}
-		at("opening")
-		waitUntil(t, kill+": usable", isUsable(session))
+		killAllIn("opening")
+		waitUntil(t, killState+": the opened session is usable", isUsable(session))
 		steps := 0
 		for range 5 {
 			if session.Input() {
 				steps++
 			}
 		}
-		if kill == "saving" {
-			session.SetSaveBehavior(false, time.Second) // so that there is time to be killed in
+		if killState == "saving" {
+			session.SetSaveBehavior(false, time.Second) // long enough for a kill during the save
 		}
-		waitUntil(t, kill+": reclaimed", func() bool {
+		waitUntil(t, killState+": the session is reclaimed", func() bool {
 			state := session.View().State
-			at(state)
+			killAllIn(state)
 			return state == "reclaimed"
 		})
-		at("reclaimed")
-		waitUntil(t, kill+": stopped", func() bool { r, _ := session.Counts(); return r > 0 })
-		status, v := session.Attach()
+		killAllIn("reclaimed")
+		waitUntil(t, killState+": the session's task is stopped", func() bool { r, _ := session.Counts(); return r > 0 })
+		status, view := session.Attach()
 		if status != 200 {
-			t.Fatalf("%s: attached with status %d", kill, status)
+			t.Fatalf("%s: attach: got status %d, want 200", killState, status)
 		}
-		waitUntil(t, kill+": resumed", isUsable(session))
-		work, _ := session.Progress()
-		if work != steps || !killed {
-			t.Fatalf("%s: %d of %d steps are back, killed %v, attached to %+v", kill, work, steps, killed, v)
+		waitUntil(t, killState+": the resumed session is usable", isUsable(session))
+		restored, _ := session.Progress()
+		if restored != steps || !killed {
+			t.Fatalf("%s: got %d of %d steps after the attach, controllers killed %v, want true; attached to %+v",
+				killState, restored, steps, killed, view)
 		}
 		if status := session.Close(); status != 200 {
-			t.Fatalf("%s: closed with status %d", kill, status)
+			t.Fatalf("%s: close: got status %d, want 200", killState, status)
 		}
 	}
 	t.Logf("%d sessions, %d controllers killed", len(states), cluster.Killed)
 }
 
-// Scripted cases of reclaim, save and attach that overlap, in one cluster at the same time.
+// Overlapping reclaims, saves, attaches and keep-alives, one case per session, at the same time in one cluster.
 func TestOverlappingSessionOperations(t *testing.T) {
 	sim := newSessionSimulation(t, 12, 8)
 	startCluster(t, sim, sessionPolicy)
-	var wait sync.WaitGroup
-	script := func(n int, name string, f func(t *testing.T, session *simulator.InteractiveSession)) {
+	var cases sync.WaitGroup
+	runCase := func(n int, name string, test func(t *testing.T, session *simulator.InteractiveSession)) {
 		t.Helper()
-		nb := notebook(sim, n, 1)
-		if status := nb.Open(); status != 201 {
-			t.Fatalf("%s: status %d", name, status)
+		session := notebook(sim, n, 1)
+		if status := session.Open(); status != 201 {
+			t.Fatalf("%s: open: got status %d, want 201", name, status)
 		}
-		wait.Add(1)
+		cases.Add(1)
 		go func() {
-			defer wait.Done()
+			defer cases.Done()
 			t.Run(name, func(t *testing.T) {
-				waitUntil(t, "used", nb.Input)
-				f(t, nb)
+				waitUntil(t, "the session accepts input", session.Input)
+				test(t, session)
 			})
 		}()
 	}
-	script(1, "a long cell runs", func(t *testing.T, session *simulator.InteractiveSession) {
+	runCase(1, "no reclaim while a long cell runs", func(t *testing.T, session *simulator.InteractiveSession) {
 		if !session.RunCell(8 * time.Second) {
-			t.Fatal("no cell")
+			t.Fatal("the session did not start the cell")
 		}
 		for end := time.Now().Add(7 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			if r, _ := session.Counts(); r > 0 {
-				t.Fatal("reclaimed while a cell runs")
+				t.Fatal("the session was reclaimed while a cell was running")
 			}
 		}
-		waitUntil(t, "reclaimed after the cell", inState(session, "reclaimed"))
+		waitUntil(t, "the session is reclaimed after the cell", inState(session, "reclaimed"))
 	})
-	script(2, "the user returns before the save", func(t *testing.T, session *simulator.InteractiveSession) {
-		waitUntil(t, "warned", inState(session, "warned"))
-		if status, v := session.Attach(); status != 200 || v.State != "active" {
-			t.Fatalf("status %d, %+v", status, v)
+	runCase(2, "attach after the warning cancels the reclaim", func(t *testing.T, session *simulator.InteractiveSession) {
+		waitUntil(t, "the session is warned", inState(session, "warned"))
+		if status, view := session.Attach(); status != 200 || view.State != "active" {
+			t.Fatalf("attach: got status %d, session %+v, want 200 and state active", status, view)
 		}
-		waitUntil(t, "usable", isUsable(session))
-		if work, _ := session.Progress(); work != 1 {
-			t.Fatalf("%d steps", work)
+		waitUntil(t, "the session is usable", isUsable(session))
+		if steps, _ := session.Progress(); steps != 1 {
+			t.Fatalf("steps after the attach: got %d, want 1", steps)
 		}
 	})
-	script(3, "the user returns after the save was ordered", func(t *testing.T, session *simulator.InteractiveSession) {
+	runCase(3, "attach during the save", func(t *testing.T, session *simulator.InteractiveSession) {
 		session.SetSaveBehavior(false, 1500*time.Millisecond)
-		waitUntil(t, "saving", inState(session, "saving"))
+		waitUntil(t, "the session is being saved", inState(session, "saving"))
 		if status, _ := session.Attach(); status != 200 {
-			t.Fatalf("status %d", status)
+			t.Fatalf("attach: got status %d, want 200", status)
 		}
-		waitUntil(t, "usable", isUsable(session))
-		if work, _ := session.Progress(); work != 1 {
-			t.Fatalf("%d steps", work)
+		waitUntil(t, "the session is usable", isUsable(session))
+		if steps, _ := session.Progress(); steps != 1 {
+			t.Fatalf("steps after the attach: got %d, want 1", steps)
 		}
 	})
-	script(4, "the save fails", func(t *testing.T, session *simulator.InteractiveSession) {
+	runCase(4, "no reclaim after a failed save", func(t *testing.T, session *simulator.InteractiveSession) {
 		session.SetSaveBehavior(true, 0)
-		waitUntil(t, "saving", inState(session, "saving"))
-		waitUntil(t, "quiet again", inState(session, "quiet", "active"))
+		waitUntil(t, "the session is being saved", inState(session, "saving"))
+		waitUntil(t, "the session is quiet or active after the failed save", inState(session, "quiet", "active"))
 		if r, _ := session.Counts(); r > 0 {
-			t.Fatal("reclaimed although its save failed")
+			t.Fatal("the session was reclaimed although its save had failed")
 		}
 		session.SetSaveBehavior(false, 0)
-		waitUntil(t, "reclaimed once saves work", inState(session, "reclaimed"))
+		waitUntil(t, "the session is reclaimed after a successful save", inState(session, "reclaimed"))
 	})
-	script(5, "the save takes too long", func(t *testing.T, session *simulator.InteractiveSession) {
+	runCase(5, "no reclaim after a save that takes too long", func(t *testing.T, session *simulator.InteractiveSession) {
 		session.SetSaveBehavior(false, 30*time.Second)
-		waitUntil(t, "saving", inState(session, "saving"))
-		waitUntil(t, "given up", inState(session, "quiet", "active"))
-		waitUntil(t, "usable", isUsable(session))
+		waitUntil(t, "the session is being saved", inState(session, "saving"))
+		waitUntil(t, "the session is quiet or active after the save timed out", inState(session, "quiet", "active"))
+		waitUntil(t, "the session is usable", isUsable(session))
 		if r, _ := session.Counts(); r > 0 {
-			t.Fatal("reclaimed without its save")
+			t.Fatal("the session was reclaimed without a save")
 		}
 	})
-	const attachesAndKeepAlives = "two attaches at once, and a flood of keep-alives"
-	script(6, attachesAndKeepAlives, func(t *testing.T, session *simulator.InteractiveSession) {
+	const attachesAndKeepAlives = "two concurrent attaches, and too many keep-alives"
+	runCase(6, attachesAndKeepAlives, func(t *testing.T, session *simulator.InteractiveSession) {
 		var ids [2]uint64
-		var both sync.WaitGroup
+		var attaches sync.WaitGroup
 		for i := range ids {
-			both.Add(1)
+			attaches.Add(1)
 			go func() {
-				defer both.Done()
-				_, v := session.Attach()
-				ids[i] = v.AttachmentID
+				defer attaches.Done()
+				_, view := session.Attach()
+				ids[i] = view.AttachmentID
 			}()
 		}
-		both.Wait()
+		attaches.Wait()
 		if ids[0] == ids[1] || ids[0] == 0 || ids[1] == 0 {
-			t.Fatalf("attachments %v", ids)
+			t.Fatalf("got attachment ids %v, want two different ids other than 0", ids)
 		}
 		statuses := map[int]int{}
 		for range 200 {
 			statuses[session.KeepAlive(min(ids[0], ids[1]))]++
 		}
 		if statuses[200] > 0 {
-			t.Fatalf("the earlier attachment keeps it alive: %v", statuses)
+			t.Fatalf("keep-alives of the earlier attachment: got responses by status %v, want no 200", statuses)
 		}
 		for range 200 {
 			statuses[session.KeepAlive(max(ids[0], ids[1]))]++
 		}
 		if statuses[200] > 20 {
-			t.Fatalf("a flood was taken: %v", statuses)
+			t.Fatalf("200 keep-alives at once: got responses by status %v, want at most 20 times 200", statuses)
 		}
 	})
-	script(8, "spot notice while warned", func(t *testing.T, session *simulator.InteractiveSession) {
-		waitUntil(t, "warned", inState(session, "warned"))
-		session.ReclaimMachine(4 * time.Second) // or it was stopped already
-		waitUntil(t, "elsewhere", func() bool {
+	runCase(8, "spot notice after the warning", func(t *testing.T, session *simulator.InteractiveSession) {
+		waitUntil(t, "the session is warned", inState(session, "warned"))
+		session.ReclaimMachine(4 * time.Second) // does nothing if the task was stopped already
+		waitUntil(t, "the session is active with its step after the spot notice", func() bool {
 			if session.View().State == "reclaimed" {
 				session.Attach()
 			}
-			work, ok := session.Progress()
-			return ok && work == 1 && session.View().State == "active"
+			steps, ok := session.Progress()
+			return ok && steps == 1 && session.View().State == "active"
 		})
 	})
-	wait.Wait()
+	cases.Wait()
 }
 
-// Sessions left open hold most of the machines when a burst of jobs arrives. How long these wait, with and without
-// reclaim: a measurement.
+// Idle sessions occupy most of the cores when a series of jobs arrives. The test logs the jobs' time to start, with and
+// without reclaim of idle sessions.
 func TestStartDelaysBesideIdleSessions(t *testing.T) {
 	if !isLongRun() {
 		t.Skip("a measurement: set HAREWALK_LONG")
@@ -256,7 +262,7 @@
 		for i := range 24 {
 			session := notebook(sim, 1000+i, 1)
 			if status := session.Open(); status != 201 {
-				t.Fatalf("status %d", status)
+				t.Fatalf("open: got status %d, want 201", status)
 			}
 		}
 		time.Sleep(6 * time.Second)
@@ -269,7 +275,7 @@
 				CPUs:  4, MemoryGB: 4, Image: "m", ImageGB: 1, EstimateS: 4,
 			}
 			if status := users.Submit(spec); status != 201 {
-				t.Fatalf("status %d", status)
+				t.Fatalf("submit: got status %d, want 201", status)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -280,7 +286,7 @@
 			waits = append(waits, duration.Seconds())
 		}
 		slices.Sort(waits)
-		t.Logf("reclaim %v: %d jobs of 4 cores on 32, 24 of them held by notebooks: "+
+		t.Logf("reclaim %v: %d jobs of 4 cores on 32 cores, of which notebooks occupy 24: "+
 			"time to start p50 %.1f s, p95 %.1f s",
 			reclaim, len(waits), waits[len(waits)/2], waits[len(waits)*95/100])
 		cluster.Close()
@@ -291,7 +297,7 @@
 func TestSessionCommands(t *testing.T) {
 	sim := newSessionSimulation(t, 14, 2)
 	startCluster(t, sim, sessionPolicy)
-	session := notebook(sim, 1, 1) // its spec is known to the workers
+	session := notebook(sim, 1, 1) // registers the job's spec with the simulated workers
 	raw, err := json.Marshal(session.Spec)
 	if err != nil {
 		t.Fatal(err)
@@ -299,39 +305,39 @@
 	dir := t.TempDir()
 	file := filepath.Join(dir, "nb.json")
 	writeFile(t, file, string(raw))
-	run := func(want int, args ...string) string {
+	runSession := func(wantCode int, args ...string) string {
 		t.Helper()
-		return expectExit(t, want, slices.Concat([]string{"session"}, args, []string{"--server", sim.UserAddr(2)})...)
+		return expectExit(t, wantCode, slices.Concat([]string{"session"}, args, []string{"--server", sim.UserAddr(2)})...)
 	}
 	var opened struct {
 		ID    string `json:"name_id"`
 		Token string `json:"token"`
 		Agent string `json:"agent_token"`
 	}
-	err = json.Unmarshal([]byte(run(0, "open", file, "--user", "mio", "-o", "json")), &opened)
+	err = json.Unmarshal([]byte(runSession(0, "open", file, "--user", "mio", "-o", "json")), &opened)
 	if err != nil || opened.Token == "" || opened.Token == opened.Agent {
-		t.Fatalf("%+v, %v", opened, err)
+		t.Fatalf("opened session: got %+v, error %v, want two different tokens", opened, err)
 	}
 	token := filepath.Join(dir, "token")
 	for name, text := range map[string]string{token: opened.Token, token + "2": opened.Agent} {
 		writeFile(t, name, text+"\n")
 	}
-	if out := run(0, "list", "--user", "mio"); !strings.Contains(out, opened.ID) {
+	if out := runSession(0, "list", "--user", "mio"); !strings.Contains(out, opened.ID) {
 		t.Fatal(out)
 	}
-	if out := run(0, "list", "--user", "ren"); strings.Contains(out, opened.ID) {
+	if out := runSession(0, "list", "--user", "ren"); strings.Contains(out, opened.ID) {
 		t.Fatal(out)
 	}
-	if out := run(0, "explain", opened.ID); !strings.Contains(out, "policy \"default\"") {
+	if out := runSession(0, "explain", opened.ID); !strings.Contains(out, "policy \"default\"") {
 		t.Fatal(out)
 	}
-	run(0, "attach", opened.ID, "--session-token-file", token)
-	run(3, "attach", opened.ID, "--session-token-file", token+"2")
-	run(3, "close", opened.ID, "--session-token-file", token+"2")
-	run(2, "close", opened.ID)
-	run(2, "explain", "req-000099")
-	run(3, "open", file, "--user", "mio")
-	if out := run(0, "close", opened.ID, "--session-token-file", token); !strings.Contains(out, "closed") {
+	runSession(0, "attach", opened.ID, "--session-token-file", token)
+	runSession(3, "attach", opened.ID, "--session-token-file", token+"2")
+	runSession(3, "close", opened.ID, "--session-token-file", token+"2")
+	runSession(2, "close", opened.ID)
+	runSession(2, "explain", "req-000099")
+	runSession(3, "open", file, "--user", "mio")
+	if out := runSession(0, "close", opened.ID, "--session-token-file", token); !strings.Contains(out, "closed") {
 		t.Fatal(out)
 	}
 	sim.ConfirmCancelled(opened.ID)
