--- a/cmd/harewalk/rollout_test.go
+++ b/cmd/harewalk/rollout_test.go
@@ -112,8 +112,8 @@
 }
 
 // HAREWALK_EARLIER names a program of an earlier revision. Under a load of all kinds of jobs, the controllers are
-// restarted with the present revision and, before the level rises, with the earlier one and the present one again, with
-// kills. deploy/roll-revision.sh runs this test; without HAREWALK_EARLIER it is skipped.
+// restarted with the present revision. Before the level rises they are killed and restarted with the earlier revision,
+// then with the present one again. deploy/roll-revision.sh runs this test; without HAREWALK_EARLIER it is skipped.
 func TestRollFromRevision(t *testing.T) {
 	earlier := os.Getenv("HAREWALK_EARLIER")
 	if earlier == "" {
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -68,8 +68,8 @@
 	return func() bool { _, ok := session.Progress(); return ok }
 }
 
-// All controllers are killed when a session enters a state, once for each state. No step of the user's work is lost: a
-// user who attaches after the reclaim has all steps again.
+// All controllers are killed when a session enters a state, once for each state. No running cell is ended, and no step
+// of the user's work is lost: a user who attaches after the reclaim has all steps again.
 func TestSessionsThroughKills(t *testing.T) {
 	states := []string{"warned", "saving"}
 	if isLongRun() {
