--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// maxArrivals bounds the jobs of a run.
+	// maxArrivals is the largest number of jobs in a run.
 	maxArrivals = 500_000
-	// firstLoadStream is the stream of the first load's random numbers; each further load has the next one.
+	// firstLoadStream is the random number stream of the first load. Load number i, from 0, uses firstLoadStream + i.
 	firstLoadStream = 101
 
 	minTaskS = 0.1
 	maxTaskS = 1e6
 	// minCancelDelayS is the shortest time from a job's arrival to its cancellation.
 	minCancelDelayS = 0.1
-	// maxCancelDelayTasks bounds that time, in the run time of one task: some jobs are cancelled after their end.
-	maxCancelDelayTasks = 2
+	// maxCancelDelayTaskTimes is the longest time from a job's arrival to its cancellation, less minCancelDelayS, in
+	// run times of one task. It is above 1, so that some cancellations come after the end of the job.
+	maxCancelDelayTaskTimes = 2
 )
 
-// arrival is one job that a user submits.
+// arrival is a job and the time at which a user submits it.
 type arrival struct {
-	load   int // index into the scenario's loads
-	at     time.Duration
-	spec   *jobs.Spec
-	cancel time.Duration // after the arrival; 0: never
+	load        int // index into the scenario's loads
+	at          time.Duration
+	spec        *jobs.Spec
+	cancelDelay time.Duration // delay from the arrival to the cancellation; 0: not cancelled
 }
 
-// jobKinds maps a scenario's words to kinds of jobs.
+// jobKinds maps the values of a load's setting kind to kinds of jobs; the default is an array.
 var jobKinds = map[string]jobs.Kind{"": jobs.Array, "array": jobs.Array, "gang": jobs.Gang, "service": jobs.Service}
 
-// spec returns a job of the load; its tasks take so many seconds each.
+// spec returns the specification of a job of the load with the number of tasks, each of which runs for taskS seconds.
 func (l *Load) spec(id string, tasks int, taskS float64) *jobs.Spec {
 	spec := &jobs.Spec{
 		ID:          id,
@@ -64,8 +65,8 @@
 	return spec
 }
 
-// arrivals draws all jobs of a run. Each load has random numbers of its own, so that a change of one leaves the others
-// as they were.
+// arrivals draws all jobs of a run. Each load has its own random number stream, so that a change of one load doesn't
+// change the jobs of the others.
 func (s *Scenario) arrivals(seed uint64) ([]arrival, error) {
 	var all []arrival
 	for index := range s.Loads {
@@ -78,7 +79,7 @@
 	return all, nil
 }
 
-// appendArrivals draws the jobs of one load.
+// appendArrivals draws the jobs of the load with the index and appends them to all.
 func (s *Scenario) appendArrivals(all []arrival, index int, seed uint64) ([]arrival, error) {
 	load := &s.Loads[index]
 	source := rand.NewPCG(seed, firstLoadStream+uint64(index))
@@ -91,25 +92,25 @@
 	if err != nil {
 		return nil, err
 	}
-	batch := max(1, load.Batch)
-	gap := distuv.Exponential{Rate: load.PerMinute / 60 / float64(batch), Src: source}
+	batchSize := max(1, load.Batch)
+	interarrivalS := distuv.Exponential{Rate: load.PerMinute / 60 / float64(batchSize), Src: source}
 	endS := s.DurationS
 	if load.ToS > 0 {
 		endS = min(endS, load.ToS)
 	}
-	for atS := load.FromS + gap.Rand(); atS < endS; atS += gap.Rand() {
-		for range batch {
+	for atS := load.FromS + interarrivalS.Rand(); atS < endS; atS += interarrivalS.Rand() {
+		for range batchSize {
 			if len(all) == maxArrivals {
 				return nil, errTooManyArrivals
 			}
 			tasks := min(jobs.MaxTasks, max(1, int(math.Round(drawTasks()))))
 			taskS := min(maxTaskS, max(minTaskS, drawSeconds()))
 			id := fmt.Sprintf("req-%02d%07d", index+1, len(all)+1)
-			next := arrival{load: index, at: jobs.Seconds(atS), spec: load.spec(id, tasks, taskS)}
+			drawn := arrival{load: index, at: jobs.Seconds(atS), spec: load.spec(id, tasks, taskS)}
 			if rng.Float64() < load.CancelShare {
-				next.cancel = jobs.Seconds(minCancelDelayS + rng.Float64()*maxCancelDelayTasks*taskS)
+				drawn.cancelDelay = jobs.Seconds(minCancelDelayS + rng.Float64()*maxCancelDelayTaskTimes*taskS)
 			}
-			all = append(all, next)
+			all = append(all, drawn)
 		}
 	}
 	return all, nil
--- a/internal/lab/errors.go
+++ b/internal/lab/errors.go
@@ -5,20 +5,20 @@
 	"strconv"
 )
 
-// ErrDuplicate is wrapped by the errors for two loads, configurations or steps of one name.
-var ErrDuplicate = errors.New("there are two")
+// ErrDuplicate is wrapped by the errors for two loads, two configurations or two steps with the same name.
+var ErrDuplicate = errors.New("duplicate name")
 
 var (
-	errUnknownTeam         = errors.New("there is no team")
-	errUnknownDistribution = errors.New("no distribution")
-	errTooManyArrivals     = errors.New("more than " + strconv.Itoa(maxArrivals) + " jobs arrive")
+	errUnknownTeam         = errors.New("unknown team")
+	errUnknownDistribution = errors.New("unknown distribution")
+	errTooManyArrivals     = errors.New("the loads generate more than " + strconv.Itoa(maxArrivals) + " jobs")
 )
 
-// DistributionError is a distribution with a parameter that is missing or wrong.
+// DistributionError reports a distribution with a parameter that is missing or out of range.
 type DistributionError struct {
-	Kind  string
-	Needs string // what the kind's parameters have to be
+	Kind        string
+	Requirement string // condition that the parameters of the kind must meet
 }
 
-// Error names the kind of distribution, and what it needs.
-func (e *DistributionError) Error() string { return e.Kind + " needs " + e.Needs }
+// Error names the kind of the distribution and the condition that its parameters must meet.
+func (e *DistributionError) Error() string { return e.Kind + " needs " + e.Requirement }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -67,7 +67,7 @@
 }
 `
 
-// play plays the small scenario with two seeds.
+// play runs the small scenario with two seeds.
 func play(t *testing.T) (*Scenario, *Result) {
 	t.Helper()
 	scenario, err := Parse("small.hcl", []byte(smallScenario))
@@ -81,38 +81,41 @@
 		t.Fatal(err)
 	}
 	if lastProgress != 1 || len(result.Configs) != 2 || !result.Simulated {
-		t.Fatalf("progress ended at %v; %+v", lastProgress, result)
+		t.Fatalf("last progress %v, result %+v; want progress 1, 2 configurations, simulated true",
+			lastProgress, result)
 	}
 	return scenario, result
 }
 
-// A scenario is played with the same loads in every configuration, all jobs come to an end, and fewer machines make
-// the waits longer.
+// Every configuration gets the same loads, all jobs end, and a configuration with fewer machines has longer waits.
 func TestRunPlaysSameLoadsInEveryConfig(t *testing.T) {
 	_, result := play(t)
 	for _, config := range result.Configs {
 		ends := config.Ends
 		if len(config.Broken) > 0 || config.Jobs != result.Configs[0].Jobs {
-			t.Errorf("%s: %d jobs, broken %v", config.Name, config.Jobs, config.Broken)
+			t.Errorf("%s: got %d jobs, violations %v; want as many jobs as in the first configuration, no violations",
+				config.Name, config.Jobs, config.Broken)
 		}
 		if ends.Open+ends.Refused > 0 || ends.Cancelled == 0 || ends.Done+ends.Cancelled != config.Jobs {
-			t.Errorf("%s: %d jobs, %+v", config.Name, config.Jobs, ends)
+			t.Errorf("%s: %d jobs, got outcomes %+v; want all done or cancelled, some cancelled",
+				config.Name, config.Jobs, ends)
 		}
 		if fault := config.Faults[0]; fault.NoStart < 1 || fault.NoStart > 40 {
-			t.Errorf("%s: %+v", config.Name, fault)
+			t.Errorf("%s: got fault %+v, want NoStart from 1 to 40 s", config.Name, fault)
 		}
 		if config.UsedCPUs <= 0 || slices.Max(config.Used) > 1 || config.Cost <= 0 {
-			t.Errorf("%s: used %v, cost %v", config.Name, config.UsedCPUs, config.Cost)
+			t.Errorf("%s: got mean use of cores %v, cost %v; want both above 0, each sample of the use at most 1",
+				config.Name, config.UsedCPUs, config.Cost)
 		}
 	}
 	all, half := result.Configs[0], result.Configs[1]
 	if all.Loads[0].Wait.P90 >= half.Loads[0].Wait.P90 || slices.Max(half.Machines) > 3 {
-		t.Errorf("half the machines wait %v, all %v; up to %v machines",
+		t.Errorf("got waits %v with half the machines, %v with all, at most %v machines; want longer P90 with half, <= 3",
 			half.Loads[0].Wait, all.Loads[0].Wait, slices.Max(half.Machines))
 	}
 }
 
-// The same seeds give the same figures, one run at a time or several.
+// The same seeds give the same result, whether the runs are played one at a time or in parallel.
 func TestRunIsReproducible(t *testing.T) {
 	scenario, result := play(t)
 	again, err := scenario.Run(1, nil, nil)
@@ -122,12 +125,12 @@
 	first, _ := json.Marshal(result)
 	second, _ := json.Marshal(again)
 	if !bytes.Equal(first, second) {
-		t.Errorf("the same seeds gave\n%s\n%s", first, second)
+		t.Errorf("two results of the same seeds differ:\n%s\n%s", first, second)
 	}
 }
 
-// The report has a plot of machines, of cores and of each load's waits, with a line for each configuration, and needs
-// no other files.
+// The report has a plot of the machines, of the cores and of each load's waits, with one line for each configuration.
+// It refers to no other files.
 func TestReportHasPlots(t *testing.T) {
 	_, result := play(t)
 	var page bytes.Buffer
@@ -137,14 +140,14 @@
 	html := page.String()
 	plots, lines := strings.Count(html, "<svg"), strings.Count(html, "<polyline")
 	if plots != 4 || lines != 8 {
-		t.Errorf("the report has %d plots, %d lines", plots, lines)
+		t.Errorf("report has %d plots, %d lines; want 4, 8", plots, lines)
 	}
 	if strings.Contains(html, "src=") || !strings.Contains(html, "half the machines") {
-		t.Error("the report needs other files, or lacks a configuration")
+		t.Error("report refers to other files with src=, or lacks configuration \"half the machines\"")
 	}
 }
 
-// Drawn values have the quantiles of their distribution.
+// The drawn values have the median and the 95% quantile of their distribution, within 5%.
 func TestDistributionQuantiles(t *testing.T) {
 	for _, test := range []struct {
 		distribution Distribution
@@ -167,16 +170,17 @@
 		slices.Sort(values)
 		p50, p95 := values[10_000], values[19_000]
 		if math.Abs(p50/test.p50-1) > 0.05 || math.Abs(p95/test.p95-1) > 0.05 {
-			t.Errorf("%+v: median %.2f, 95%% quantile %.2f", test.distribution, p50, p95)
+			t.Errorf("%+v: got median %.2f, 95%% quantile %.2f; want those of the case within 5%%",
+				test.distribution, p50, p95)
 		}
 	}
 }
 
-// seconds is a time as the summary's cases write it.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// summaryCase is a run of 300 s with a fault at 100 s: ten jobs that started after 1 to 10 s, and requests from 100 s
-// to 129 s of which the first four seconds' are served in part only.
+// summaryCase returns a run of 300 s with a fault at 100 s. Ten jobs started 1 to 10 s after their arrival. Ten
+// requests were sent in each second from 100 s to 129 s; of those in seconds 100, 102 and 103, five were not served.
 func summaryCase() (*Scenario, *run) {
 	scenario := &Scenario{
 		Name:        "x",
@@ -207,77 +211,78 @@
 			observed.requests = append(observed.requests, request{seconds(float64(atS)), isServed})
 		}
 	}
-	for range samples {
+	for range sampleCount {
 		observed.utilization = append(observed.utilization, simulator.Utilization{CPUs: 10, UsedCPUs: 5})
 	}
 	return scenario, observed
 }
 
-// Quantiles, and how a fault was recovered from, are as counted by hand.
+// The summary of a run has the quantiles, outcomes and recovery times that were counted by hand.
 func TestSummaryOfOneRun(t *testing.T) {
 	scenario, observed := summaryCase()
 	config := scenario.summarize([][]*run{{observed}}).Configs[0]
 	if fault := config.Faults[0]; fault.NoStart != 7 || fault.Unserved != 4 {
-		t.Errorf("%+v", fault)
+		t.Errorf("got fault %+v, want NoStart 7, Unserved 4", fault)
 	}
 	wait := config.Loads[0].Wait
 	isNear := func(value, want float64) bool { return math.Abs(value-want) <= 0.02 }
 	if wait.N != 10 || !isNear(wait.P50, 5) || !isNear(wait.P90, 9) || !isNear(wait.Max, 10) {
-		t.Errorf("%+v", wait)
+		t.Errorf("got waits %+v, want N 10, P50 5, P90 9, Max 10, each within 0.02", wait)
 	}
 	if config.Ends.Done != 10 {
-		t.Errorf("%+v", config.Ends)
+		t.Errorf("got outcomes %+v, want 10 done", config.Ends)
 	}
 }
 
-// An error in a scenario names its place.
-func TestParseErrorNamesItsPlace(t *testing.T) {
+// The error for a wrong scenario names the setting, the load or configuration, or the line.
+func TestParseErrorNamesLocation(t *testing.T) {
 	for valid, test := range map[string]struct{ invalid, wantText string }{
 		`machines   = 6`:            {`machines = 0`, "Machines"},
 		`per_minute = 10`:           {`per_minute = "many"`, "small.hcl:17"},
-		`tasks "fixed" { value = 2`: {`tasks "fixed" { value = 0`, `load "licensed", tasks`},
+		`tasks "fixed" { value = 2`: {`tasks "fixed" { value = 0`, `load "licensed", distribution of tasks`},
 		`kill-leader 5s`:            {`kill-lead 5s`, "no such fault"},
-		`team "red" {}`:             {`team "blue" {}`, `there is no team "red"`},
+		`team "red" {}`:             {`team "blue" {}`, `unknown team "red"`},
 		`machines = 3`:              {`operators = 3`, "Unsupported argument"},
 		"count = 3":                 {"count = -1", "one"},
 	} {
 		text := strings.Replace(smallScenario, valid, test.invalid, 1)
 		if _, err := Parse("small.hcl", []byte(text)); err == nil || !strings.Contains(err.Error(), test.wantText) {
-			t.Errorf("%s: error %v does not name %q", test.invalid, err, test.wantText)
+			t.Errorf("%s: got error %v, want one that contains %q", test.invalid, err, test.wantText)
 		}
 	}
 }
 
-// A setting that breaks its rule is a SettingError.
+// The error for a setting that violates its rule is a SettingError with file and setting.
 func TestParseReturnsSettingError(t *testing.T) {
 	text := strings.Replace(smallScenario, "machines   = 6", "machines = 0", 1)
 	_, err := Parse("small.hcl", []byte(text))
-	var setting *SettingError
-	if !errors.As(err, &setting) || setting.Setting != "Machines" || setting.File != "small.hcl" {
-		t.Errorf("%v", err)
+	var settingError *SettingError
+	if !errors.As(err, &settingError) || settingError.Setting != "Machines" || settingError.File != "small.hcl" {
+		t.Errorf("got error %v, want a SettingError for Machines in small.hcl", err)
 	}
 }
 
-// A refusal that depends on more than one setting wraps its cause, and its text names the load or configuration.
-func TestParseErrorWrapsItsCause(t *testing.T) {
+// An error that involves more than one setting wraps its cause, and its text names the load or configuration.
+func TestParseErrorWrapsCause(t *testing.T) {
 	for _, c := range []struct {
 		valid, invalid string
 		cause          error
 		text           string
 	}{
-		{`team "red" {}`, `team "blue" {}`, errUnknownTeam, `small.hcl: load "arrays": there is no team "red"`},
-		{`load "licensed"`, `load "arrays"`, ErrDuplicate, `small.hcl: load "arrays": there are two`},
-		{`config "half the machines"`, `config "one"`, ErrDuplicate, `small.hcl: config "one": there are two`},
+		{`team "red" {}`, `team "blue" {}`, errUnknownTeam, `small.hcl: load "arrays": unknown team "red"`},
+		{`load "licensed"`, `load "arrays"`, ErrDuplicate, `small.hcl: load "arrays": duplicate name`},
+		{`config "half the machines"`, `config "one"`, ErrDuplicate, `small.hcl: config "one": duplicate name`},
 	} {
 		_, err := Parse("small.hcl", []byte(strings.Replace(smallScenario, c.valid, c.invalid, 1)))
 		if !errors.Is(err, c.cause) || err.Error() != c.text {
-			t.Errorf("%s: error %v, want %s", c.invalid, err, c.text)
+			t.Errorf("%s: got error %v, want %s", c.invalid, err, c.text)
 		}
 	}
 }
 
-// Each kind of distribution names what it needs; an unknown kind is refused as such.
-func TestDistributionWithoutParametersIsRefused(t *testing.T) {
+// A distribution without its parameters returns an error that names the condition on them. An unknown kind returns an
+// error that wraps errUnknownDistribution.
+func TestDistributionWithoutParametersReturnsError(t *testing.T) {
 	for kind, want := range map[string]string{
 		distFixed:       "fixed needs a value above 0",
 		distUniform:     "uniform needs 0 < low <= high",
@@ -286,39 +291,39 @@
 		distPareto:      "pareto needs low and shape above 0",
 	} {
 		_, err := Distribution{Kind: kind}.sampler(nil)
-		var refused *DistributionError
-		if !errors.As(err, &refused) || refused.Kind != kind || err.Error() != want {
-			t.Errorf("%s: error %v, want %s", kind, err, want)
+		var distributionError *DistributionError
+		if !errors.As(err, &distributionError) || distributionError.Kind != kind || err.Error() != want {
+			t.Errorf("%s: got error %v, want %s", kind, err, want)
 		}
 	}
 	_, err := Distribution{Kind: "normal"}.sampler(nil)
-	if !errors.Is(err, errUnknownDistribution) || err.Error() != `no distribution "normal"` {
-		t.Errorf("error %v", err)
+	if !errors.Is(err, errUnknownDistribution) || err.Error() != `unknown distribution "normal"` {
+		t.Errorf("kind normal: got error %v, want unknown distribution", err)
 	}
 }
 
-// A scenario whose loads are far too dense is refused while its jobs are drawn.
-func TestTooManyArrivalsAreRefused(t *testing.T) {
-	once := Distribution{Kind: distFixed, Value: 1}
+// Drawing the jobs of a scenario returns an error when the loads generate more than maxArrivals jobs.
+func TestTooManyArrivalsReturnError(t *testing.T) {
+	one := Distribution{Kind: distFixed, Value: 1}
 	scenario := &Scenario{
 		DurationS: 600,
-		Loads:     []Load{{Name: "dense", PerMinute: 1e6, Batch: 1000, Tasks: once, Seconds: once}},
+		Loads:     []Load{{Name: "dense", PerMinute: 1e6, Batch: 1000, Tasks: one, Seconds: one}},
 	}
 	_, err := scenario.arrivals(1)
-	if !errors.Is(err, errTooManyArrivals) || err.Error() != "more than 500000 jobs arrive" {
-		t.Errorf("error %v", err)
+	if !errors.Is(err, errTooManyArrivals) || err.Error() != "the loads generate more than 500000 jobs" {
+		t.Errorf("got error %v, want one for more than 500000 jobs", err)
 	}
 }
 
-// The scenarios that come with the project can be read.
+// The scenarios in deploy/lab are valid.
 func TestPublishedScenariosAreValid(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("..", "..", "deploy", "lab", "*.hcl"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("got files %v, error %v; want at least one file, no error", files, err)
 	}
 	for _, file := range files {
 		if filepath.Base(file) == "scale.hcl" {
-			continue // a plan of sizes, which package scale reads in a test of its own
+			continue // a plan, not a scenario; tested in package scale
 		}
 		if _, err := Read(file); err != nil {
 			t.Error(err)
--- a/internal/lab/parse.go
+++ b/internal/lab/parse.go
@@ -14,10 +14,10 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// LicenceServer is the address of the simulated licence server: ${licence_server} in a scenario.
+// LicenceServer is the address of the simulated licence server. Scenarios refer to it as ${licence_server}.
 const LicenceServer = "licences:80"
 
-// Read reads a scenario from a file. Its errors are those of Parse and of reading the file.
+// Read parses the scenario file at path. It returns the errors of os.ReadFile and of Parse.
 func Read(path string) (*Scenario, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a scenario. Its errors name the file with the setting, or with line and column.
+// Parse parses a scenario and fills in defaults. Every error names the file; an error of the HCL syntax or of a type
+// also names line and column, any other error names the setting, load or configuration.
 func Parse(file string, raw []byte) (*Scenario, error) {
 	scenario := &Scenario{DrainS: 600, Repetitions: 1, Seed: 1, Controllers: 3}
 	variables := map[string]cty.Value{"licence_server": cty.StringVal(LicenceServer)}
@@ -48,7 +49,7 @@
 	return scenario, nil
 }
 
-// check checks what depends on more than one setting.
+// check checks the rules that involve more than one setting.
 func (s *Scenario) check() error {
 	if err := s.checkLoads(); err != nil {
 		return err
@@ -60,20 +61,20 @@
 }
 
 func (s *Scenario) checkLoads() error {
-	teams := map[string]bool{}
+	teamNames := map[string]bool{}
 	for _, team := range s.Teams {
-		teams[team.Name] = true
+		teamNames[team.Name] = true
 	}
-	seen := map[string]bool{}
+	loadNames := map[string]bool{}
 	for i := range s.Loads {
 		load := &s.Loads[i]
-		if !teams[load.Team] {
+		if !teamNames[load.Team] {
 			return fmt.Errorf("load %q: %w %q", load.Name, errUnknownTeam, load.Team)
 		}
-		if seen[load.Name] {
+		if loadNames[load.Name] {
 			return fmt.Errorf("load %q: %w", load.Name, ErrDuplicate)
 		}
-		seen[load.Name] = true
+		loadNames[load.Name] = true
 		if err := load.check(); err != nil {
 			return err
 		}
@@ -81,13 +82,13 @@
 	return nil
 }
 
-// check checks a load's distributions, and that the service would accept its jobs.
+// check checks the load's distributions, and that jobs.ParseSpec accepts a job of the load.
 func (l *Load) check() error {
 	if _, err := l.Tasks.sampler(nil); err != nil {
-		return fmt.Errorf("load %q, tasks: %w", l.Name, err)
+		return fmt.Errorf("load %q, distribution of tasks: %w", l.Name, err)
 	}
 	if _, err := l.Seconds.sampler(nil); err != nil {
-		return fmt.Errorf("load %q, seconds: %w", l.Name, err)
+		return fmt.Errorf("load %q, distribution of seconds: %w", l.Name, err)
 	}
 	raw, err := json.Marshal(l.spec("req-000001", 1, 1))
 	if err != nil {
@@ -100,12 +101,12 @@
 }
 
 func (s *Scenario) checkConfigs() error {
-	seen := map[string]bool{}
+	configNames := map[string]bool{}
 	for _, config := range s.Configs {
-		if seen[config.Name] {
+		if configNames[config.Name] {
 			return fmt.Errorf("config %q: %w", config.Name, ErrDuplicate)
 		}
-		seen[config.Name] = true
+		configNames[config.Name] = true
 		if err := s.checkOperatorSettings(config); err != nil {
 			return fmt.Errorf("config %q: %w", config.Name, err)
 		}
@@ -113,7 +114,8 @@
 	return nil
 }
 
-// checkOperatorSettings loads a configuration's operators' settings into controllers that are never run.
+// checkOperatorSettings checks the operator settings of a configuration by loading them into controllers that are
+// created but never run.
 func (s *Scenario) checkOperatorSettings(config Config) error {
 	if config.Operator == "" {
 		return nil
@@ -122,7 +124,7 @@
 	return err
 }
 
-// script returns the faults by their times.
+// script returns the faults of the scenario as a fault script of the simulator.
 func (s *Scenario) script() ([]simulator.Fault, error) {
 	var lines strings.Builder
 	for _, fault := range s.Faults {
@@ -130,7 +132,7 @@
 	}
 	script, err := simulator.ParseScript(strings.NewReader(lines.String()))
 	if err != nil {
-		return nil, fmt.Errorf("faults, %w", err)
+		return nil, fmt.Errorf("faults: %w", err)
 	}
 	return script, nil
 }
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -8,7 +8,7 @@
 	svg "github.com/ajstarks/svgo"
 )
 
-// Size of a plot and of its margin, in pixels.
+// Size of a plot and width of its margin, in pixels.
 const (
 	plotWidth  = 900
 	plotHeight = 260
@@ -18,7 +18,7 @@
 const (
 	// plotHeadroom is the ratio of a plot's upper end to its highest value.
 	plotHeadroom = 1.05
-	gridLines    = 5
+	gridLines    = 5 // per axis
 )
 
 const (
@@ -28,41 +28,41 @@
 	lineStyle   = "fill:none;stroke-width:1.6;stroke:"
 )
 
-// lineColours tell the lines of a plot apart.
+// lineColours are the colours of a plot's lines, in order; a plot with more lines reuses the colours from the first.
 var lineColours = []string{"#2563a8", "#c4571b", "#2f8a4c", "#8a3fa0", "#a08a1b", "#4c5a6b"}
 
 func lineColour(index int) string { return lineColours[index%len(lineColours)] }
 
-// Point is a point of a curve.
+// Point is a point of a curve, in the units of the axes.
 type Point struct{ X, Y float64 }
 
-// Formatter formats a value for the label of an axis.
+// Formatter formats a value as a label of an axis.
 type Formatter func(value float64) string
 
-// Curves draws lines in one plot as SVG, with labels for the values on both axes, which begin at 0.
+// Curves returns one plot of all lines as an SVG element. Both axes begin at 0, and the formatters label their values.
 func Curves(lines [][]Point, formatX, formatY Formatter) template.HTML {
-	drawn := plot{formatX: formatX, formatY: formatY, lines: lines}
+	diagram := plot{formatX: formatX, formatY: formatY, lines: lines}
 	for _, line := range lines {
 		for _, point := range line {
-			drawn.endX = max(drawn.endX, point.X)
-			drawn.endY = max(drawn.endY, point.Y*plotHeadroom)
+			diagram.endX = max(diagram.endX, point.X)
+			diagram.endY = max(diagram.endY, point.Y*plotHeadroom)
 		}
 	}
-	return drawn.svg()
+	return diagram.svg()
 }
 
-// plot is a diagram with one line for each configuration. Its y axis begins at 0.
+// plot is a line diagram. Its y axis begins at 0.
 type plot struct {
 	lines   [][]Point
 	startX  float64
 	endX    float64
-	endY    float64 // 0: above the highest value
+	endY    float64 // upper end of the y axis; 0: computed by endYWithHeadroom
 	formatX Formatter
 	formatY Formatter
 }
 
-// evenly spreads values over a length of the x axis.
-func evenly(values []float64, length float64) []Point {
+// spreadEvenly returns a line of the values at equal distances on the x axis; the last value is at x = length.
+func spreadEvenly(values []float64, length float64) []Point {
 	var line []Point
 	for i, value := range values {
 		line = append(line, Point{length * float64(i+1) / float64(len(values)), value})
@@ -70,10 +70,10 @@
 	return line
 }
 
-// svg draws the plot, to be embedded in a page.
+// svg draws the plot as an SVG element to be embedded in an HTML page.
 func (p plot) svg() template.HTML {
 	if p.endY == 0 {
-		p.endY = p.yAboveHighest()
+		p.endY = p.endYWithHeadroom()
 	}
 	if p.endX <= p.startX {
 		p.endX = p.startX + 1
@@ -86,12 +86,13 @@
 		p.drawLine(canvas, line, lineStyle+lineColour(index))
 	}
 	canvas.End()
-	// What stands before the element is for files of their own.
+	// The XML declaration before the element belongs in a separate SVG file only.
 	_, element, _ := bytes.Cut(buffer.Bytes(), []byte("<svg"))
 	return template.HTML("<svg" + string(element))
 }
 
-func (p plot) yAboveHighest() float64 {
+// endYWithHeadroom returns the highest value of all lines plus the headroom, rounded up and at least 1.
+func (p plot) endYWithHeadroom() float64 {
 	highest := 0.0
 	for _, line := range p.lines {
 		for _, point := range line {
@@ -101,7 +102,7 @@
 	return max(1, math.Ceil(highest*plotHeadroom))
 }
 
-// pixel returns the position of a point on the canvas.
+// pixel returns the position of a point on the canvas, in pixels from the top left corner.
 func (p plot) pixel(point Point) (x, y int) {
 	x = plotMargin + int((point.X-p.startX)/(p.endX-p.startX)*(plotWidth-2*plotMargin))
 	y = plotHeight - plotMargin/2 - int(point.Y/p.endY*(plotHeight-plotMargin))
@@ -110,8 +111,8 @@
 
 func (p plot) drawGrid(canvas *svg.SVG) {
 	for i := range gridLines {
-		part := float64(i) / (gridLines - 1)
-		value := Point{p.startX + part*(p.endX-p.startX), part * p.endY}
+		fraction := float64(i) / (gridLines - 1)
+		value := Point{p.startX + fraction*(p.endX-p.startX), fraction * p.endY}
 		x, y := p.pixel(value)
 		canvas.Line(plotMargin, y, plotWidth-plotMargin, y, gridStyle)
 		canvas.Text(plotMargin-6, y+4, p.formatY(value.Y), yLabelStyle)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -13,14 +13,15 @@
 //go:embed report.html
 var reportTemplate string
 
-// Waits are plotted over the logarithm of time, from minPlottedS on.
+// The cumulative distribution of waits is plotted over the logarithm of time. Waits below minPlottedS are plotted at
+// minPlottedS.
 const (
-	minPlottedS      = 0.01
-	minPlottedLog    = -2 // log10 of minPlottedS
-	plottedQuantiles = 0.5
+	minPlottedS        = 0.01
+	minPlottedLog      = -2  // log10 of minPlottedS
+	plottedStepPercent = 0.5 // distance between two plotted quantiles
 )
 
-// reportPage is what the template shows.
+// reportPage is the data of the report's template.
 type reportPage struct {
 	Result   *Result
 	Used     template.HTML
@@ -28,19 +29,20 @@
 	Loads    []reportLoad
 }
 
-// reportLoad is what the page shows of one load.
+// reportLoad is the section of the report on one load.
 type reportLoad struct {
 	Name  string
 	Waits template.HTML
 	Rows  []reportRow
 }
 
+// reportRow is the result of a load in one configuration.
 type reportRow struct {
 	Config string
 	LoadResult
 }
 
-// WriteHTML writes a page with plots that needs no other files.
+// WriteHTML writes the report as one HTML page with embedded plots; the page refers to no other files.
 func (r *Result) WriteHTML(out io.Writer) error {
 	functions := template.FuncMap{"colour": lineColour, "seconds": formatSeconds, "percent": formatTenthsOfPercent}
 	parsed, err := template.New("page").Funcs(functions).Parse(reportTemplate)
@@ -50,8 +52,8 @@
 	used := plot{endX: r.DurationS, formatX: formatSeconds, formatY: formatPercent, endY: 1}
 	machines := plot{endX: r.DurationS, formatX: formatSeconds, formatY: formatWhole}
 	for _, config := range r.Configs {
-		used.lines = append(used.lines, evenly(config.Used, r.DurationS))
-		machines.lines = append(machines.lines, evenly(config.Machines, r.DurationS))
+		used.lines = append(used.lines, spreadEvenly(config.Used, r.DurationS))
+		machines.lines = append(machines.lines, spreadEvenly(config.Machines, r.DurationS))
 	}
 	var loads []reportLoad
 	if len(r.Configs) > 0 {
@@ -62,7 +64,8 @@
 	return parsed.Execute(out, reportPage{Result: r, Used: used.svg(), Machines: machines.svg(), Loads: loads})
 }
 
-// reportLoad returns one load's rows and the plot of its waits in all configurations.
+// reportLoad returns the section on the load with the index: its rows, and the plot of its waits in all
+// configurations.
 func (r *Result) reportLoad(index int, name string) reportLoad {
 	load := reportLoad{Name: name}
 	waits := plot{formatX: formatLogSeconds, formatY: formatPercent, endY: 1, startX: minPlottedLog}
@@ -70,7 +73,7 @@
 		load.Rows = append(load.Rows, reportRow{config.Name, config.Loads[index]})
 		var line []Point
 		histogram := config.waits[index]
-		for percent := plottedQuantiles; percent <= 100; percent += plottedQuantiles {
+		for percent := plottedStepPercent; percent <= 100; percent += plottedStepPercent {
 			if histogram.TotalCount() == 0 {
 				break
 			}
@@ -85,7 +88,7 @@
 	return load
 }
 
-// formatSeconds formats a time in seconds, with a unit by its length.
+// formatSeconds formats a duration given in seconds as seconds, minutes or hours, depending on its length.
 func formatSeconds(seconds float64) string {
 	duration := jobs.Seconds(seconds)
 	switch {
@@ -99,7 +102,7 @@
 	return fmt.Sprintf("%.1f h", duration.Hours())
 }
 
-// formatLogSeconds formats a time by the logarithm of its seconds.
+// formatLogSeconds formats a duration given as the base-10 logarithm of its seconds.
 func formatLogSeconds(exponent float64) string { return formatSeconds(math.Pow(10, exponent)) }
 
 func formatPercent(share float64) string { return fmt.Sprintf("%.0f %%", 100*share) }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// Result is the outcome of a scenario. Times are in simulated seconds.
+// Result is the result of playing a scenario. Times are in simulated seconds.
 type Result struct {
 	Scenario    string         `json:"scenario"`
 	Simulated   bool           `json:"simulated"` // always true: the figures are of a simulation
@@ -12,44 +12,45 @@
 	Configs     []ConfigResult `json:"configs"`
 }
 
-// ConfigResult summarizes the runs of one configuration.
+// ConfigResult summarizes the runs of one configuration. Counts are sums over all runs.
 type ConfigResult struct {
 	Name     string       `json:"name"`
 	Jobs     int          `json:"jobs"`
 	Ends     Ends         `json:"ends"`
 	Starts   int          `json:"starts"`
-	Served   float64      `json:"served"` // share of users' requests that were not refused or lost
-	Cost     float64      `json:"cost"`   // mean of the runs
-	UsedCPUs float64      `json:"used_cpus"`
+	Served   float64      `json:"served"`    // share of the users' requests with a status below 429
+	Cost     float64      `json:"cost"`      // mean over the runs
+	UsedCPUs float64      `json:"used_cpus"` // mean share of the rented cores in use
 	Loads    []LoadResult `json:"loads"`
-	// Used is the share of rented cores in use over time, Machines the number of machines: means of the runs.
+	// Used is the share of the rented cores in use, Machines the number of machines: each a series of samples over the
+	// run's duration, as means over the runs.
 	Used     []float64     `json:"used_over_time"`
 	Machines []float64     `json:"machines_over_time"`
 	Faults   []FaultResult `json:"faults"`
-	Broken   []string      `json:"broken_rules"`
+	Broken   []string      `json:"broken_rules"` // protocol violations of all runs
 	Runs     []RunResult   `json:"runs"`
 
-	waits []*hdrhistogram.Histogram // by load
+	waits []*hdrhistogram.Histogram // times to the first start, by load
 }
 
-// Ends counts the jobs by their outcome.
+// Ends counts the jobs by outcome.
 type Ends struct {
 	Done      int `json:"done"`
 	Cancelled int `json:"cancelled"`
 	Refused   int `json:"refused"`
-	Open      int `json:"open"` // when the run ended
+	Open      int `json:"open"` // neither ended nor refused when the run ended
 }
 
 // LoadResult summarizes the jobs of one load.
 type LoadResult struct {
 	Name       string    `json:"name"`
 	Jobs       int       `json:"jobs"`
-	Accept     Quantiles `json:"accept_s"` // from the submission to its acceptance
-	Wait       Quantiles `json:"wait_s"`   // to the first start
-	Completion Quantiles `json:"over_s"`   // to the first response that it is done
+	Accept     Quantiles `json:"accept_s"` // from the job's arrival to the response that accepts it
+	Wait       Quantiles `json:"wait_s"`   // from the job's arrival to its first start
+	Completion Quantiles `json:"over_s"`   // from the job's arrival to the first response that reports it as done
 }
 
-// Quantiles are the quantiles of N times, in seconds.
+// Quantiles are quantiles of N durations, in seconds.
 type Quantiles struct {
 	N   int64   `json:"n"`
 	P50 float64 `json:"p50"`
@@ -58,26 +59,26 @@
 	Max float64 `json:"max"`
 }
 
-// FaultResult is how the service recovered from a fault: means of the runs, and the worst of them.
+// FaultResult describes how the service recovered from a fault: means over the runs, and maxima over the runs.
 type FaultResult struct {
 	AtS float64 `json:"at_s"`
 	Do  string  `json:"do"`
-	// Before, During and After are task starts a second in three periods of the same length: before the fault, the
-	// period in which its effect is measured, and after that. LeaderChanges is how often the leader
-	// changed in the second.
+	// Before, During and After are rates of task starts, per second, in three consecutive periods of the same length:
+	// up to the fault, the recovery period that begins with the fault, and the period after the recovery period.
+	// LeaderChanges is the number of leader changes in the recovery period.
 	Before        float64 `json:"starts_before"`
 	During        float64 `json:"starts_during"`
 	After         float64 `json:"starts_after"`
 	LeaderChanges float64 `json:"leads_passed"`
-	// NoStart is the longest time without any task start in the second period, whether or not there was work.
-	// Unserved is the time until nine of ten requests of each second were served again.
+	// NoStart is the longest time without a task start in the recovery period, whether or not tasks were waiting.
+	// Unserved is the time from the fault until at least nine of ten requests of every second were served again.
 	NoStart     float64 `json:"no_start_s"`
 	MaxNoStart  float64 `json:"no_start_most_s"`
 	Unserved    float64 `json:"unserved_s"`
 	MaxUnserved float64 `json:"unserved_most_s"`
 }
 
-// RunResult is what may differ by seed, of one run.
+// RunResult holds the figures of one run that depend on its seed.
 type RunResult struct {
 	Seed    uint64  `json:"seed"`
 	Jobs    int     `json:"jobs"`
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -11,69 +11,71 @@
 )
 
 const (
-	// samples is how often the use of machines is sampled over a run's duration.
-	samples = 240
-	// loadShare is the part of a run's progress that is its duration; the rest is for the last jobs.
-	loadShare = 0.9
-	// drainStep is how often a run checks whether the last jobs are over.
-	drainStep = 10 * time.Second
+	// sampleCount is the number of samples of the machines' utilization over a run's duration.
+	sampleCount = 240
+	// arrivalProgressShare is the share of a run's progress that its duration accounts for; the rest is the drain
+	// time.
+	arrivalProgressShare = 0.9
+	// drainCheckInterval is the interval at which a run checks during the drain time whether all jobs have ended.
+	drainCheckInterval = 10 * time.Second
 	// minMessageDelay is the shortest mean delay of a message.
 	minMessageDelay = 100 * time.Microsecond
 )
 
-// Progress is called with the part of all runs that is done, from 0 to 1. Calls don't overlap.
+// Progress is called with the completed fraction of all runs, from 0 to 1. Calls don't overlap.
 type Progress func(done float64)
 
-// UseClock is called with the simulated clock of a run before the run starts.
+// UseClock is called with the simulated clock of each run before the run starts.
 type UseClock func(now func() time.Duration)
 
-// Run plays every configuration with every seed, so many runs at a time (less than 1: one a core), and summarizes them.
-// Progress and useClock may be nil; with a useClock, parallel must be 1.
+// Run plays every configuration with every seed and summarizes the runs. At most parallel runs are played at a time;
+// if parallel is below 1, one per processor core. Progress and useClock may be nil; with a useClock, parallel must be
+// 1.
 func (s *Scenario) Run(parallel int, progress Progress, useClock UseClock) (*Result, error) {
 	if parallel < 1 {
 		parallel = runtime.GOMAXPROCS(0)
 	}
-	all := newRunSet(s, progress)
-	free := make(chan struct{}, parallel)
+	set := newRunSet(s, progress)
+	slots := make(chan struct{}, parallel)
 	var running sync.WaitGroup
 	for repetition := range s.Repetitions {
 		for config := range s.Configs {
 			index := repetition*len(s.Configs) + config
 			running.Add(1)
-			free <- struct{}{}
+			slots <- struct{}{}
 			go func() {
 				defer running.Done()
-				defer func() { <-free }()
-				report := func(part float64) { all.report(index, part) }
+				defer func() { <-slots }()
+				report := func(fraction float64) { set.report(index, fraction) }
 				played, err := s.play(s.Configs[config], s.Seed+uint64(repetition), useClock, report)
-				all.add(config, repetition, played, err)
+				set.add(config, repetition, played, err)
 			}()
 		}
 	}
 	running.Wait()
-	if all.err != nil {
-		return nil, all.err
+	if set.err != nil {
+		return nil, set.err
 	}
-	return s.summarize(all.runs), nil
+	return s.summarize(set.runs), nil
 }
 
-// runSet collects runs that are played side by side.
+// runSet collects the results of runs that are played concurrently.
 type runSet struct {
 	scenario *Scenario
-	progress Progress // nil: none
+	progress Progress // nil: progress isn't reported
 
-	mu   sync.Mutex
-	runs [][]*run  // by configuration and repetition
-	done []float64 // part of each run that is done
-	err  error     // the first of a run
+	mu        sync.Mutex
+	runs      [][]*run  // by configuration and repetition; nil: not finished, or failed
+	fractions []float64 // completed fraction of each run
+	err       error     // of the first run that failed; nil: none has failed
 }
 
 func newRunSet(scenario *Scenario, progress Progress) *runSet {
 	set := &runSet{
-		scenario: scenario,
-		progress: progress,
-		runs:     make([][]*run, len(scenario.Configs)),
-		done:     make([]float64, len(scenario.Configs)*scenario.Repetitions),
+		scenario:  scenario,
+		progress:  progress,
+		runs:      make([][]*run, len(scenario.Configs)),
+		fractions: make([]float64, len(scenario.Configs)*scenario.Repetitions),
 	}
 	for config := range set.runs {
 		set.runs[config] = make([]*run, scenario.Repetitions)
@@ -81,22 +83,22 @@
 	return set
 }
 
-// report notes how much of one run is done, and reports the progress of all.
-func (r *runSet) report(index int, part float64) {
+// report records the completed fraction of one run and reports the mean over all runs.
+func (r *runSet) report(index int, fraction float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done[index] = part
+	r.fractions[index] = fraction
 	if r.progress == nil {
 		return
 	}
 	sum := 0.0
-	for _, done := range r.done {
-		sum += done
+	for _, completed := range r.fractions {
+		sum += completed
 	}
-	r.progress(sum / float64(len(r.done)))
+	r.progress(sum / float64(len(r.fractions)))
 }
 
-// add adds a run that has ended, or its error.
+// add records a finished run, or the error of a run that failed.
 func (r *runSet) add(config, repetition int, played *run, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,26 +109,26 @@
 	}
 }
 
-// run is what was observed in one run.
+// run holds the observations of one run.
 type run struct {
 	seed          uint64
 	users         []*user
-	utilization   []simulator.Utilization // samples over the duration
-	starts        []time.Duration         // times at which tasks started, in order
+	utilization   []simulator.Utilization // samples over the run's duration
+	starts        []time.Duration         // times of task starts, ascending
 	leaderChanges []time.Duration
 	requests      []request
 	stats         simulator.Stats
-	broken        []string // rules of the protocol
+	violations    []string // of the rules of the protocol
 	end           time.Duration
 }
 
-// request is one request of a user: when it was sent, and whether it was served.
+// request is one request of a user: the time at which it was sent, and whether it was served.
 type request struct {
 	at     time.Duration
 	served bool
 }
 
-// play plays one run.
+// play runs one configuration with one seed.
 func (s *Scenario) play(variant Config, seed uint64, useClock UseClock, progress Progress) (*run, error) {
 	sim, err := simulator.NewVirtualTime(s.simulation(variant, seed), variant.adjust)
 	if err != nil {
@@ -157,39 +159,40 @@
 		sim.After(arrival.at, user.arrive)
 	}
 	s.advance(sim, balancer, progress)
-	observed.finish(sim)
+	observed.collectOutcome(sim)
 	progress(1)
 	return observed, nil
 }
 
-// advance lets the simulated time pass: the duration, with samples of the use of machines, and then up to DrainS until
-// the last jobs are over.
+// advance advances the simulated time by the run's duration and samples the machines' utilization. Then it advances
+// the time until all jobs have ended, by at most DrainS.
 func (s *Scenario) advance(sim *simulator.Simulation, balancer *loadBalancer, progress Progress) {
 	observed := balancer.run
 	duration := jobs.Seconds(s.DurationS)
-	for i := range samples {
-		sim.Advance(duration / samples)
+	for i := range sampleCount {
+		sim.Advance(duration / sampleCount)
 		observed.utilization = append(observed.utilization, sim.Utilization())
-		progress(float64(i) / samples * loadShare)
+		progress(float64(i) / sampleCount * arrivalProgressShare)
 	}
 	drain := jobs.Seconds(s.DrainS)
-	for waited := time.Duration(0); waited < drain && balancer.openJobs > 0; waited += drainStep {
-		sim.Advance(drainStep)
+	for waited := time.Duration(0); waited < drain && balancer.openJobs > 0; waited += drainCheckInterval {
+		sim.Advance(drainCheckInterval)
 	}
 }
 
-// finish takes over what the simulation has recorded.
-func (r *run) finish(sim *simulator.Simulation) {
+// collectOutcome copies the records of the simulation into the run.
+func (r *run) collectOutcome(sim *simulator.Simulation) {
 	r.leaderChanges = sim.LeaderChanges()
 	r.starts = sim.StartTimes()
 	r.stats = sim.Stats()
-	r.broken = sim.Violations()
+	r.violations = sim.Violations()
 	r.end = sim.Now()
 	for _, user := range r.users {
 		user.startDelay, user.hasStarted = sim.FirstStart(user.spec.ID)
 	}
 }
 
+// apply configures the simulated network.
 func (n *Network) apply(sim *simulator.Simulation) {
 	mean := time.Duration(n.MeanMS * float64(time.Millisecond))
 	sim.SetNetwork(max(mean, minMessageDelay), n.Lost, n.Late, jobs.Seconds(n.LateS))
--- a/internal/lab/scale/cluster.go
+++ b/internal/lab/scale/cluster.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// readyTimeout bounds how long a controller may take until it is ready.
+	// readyTimeout is the longest time from a controller's start until it must be ready.
 	readyTimeout = 30 * time.Second
-	// workerTick is the interval at which the simulated workers' time advances.
+	// workerTick is the interval at which the time of the simulated workers advances.
 	workerTick = 100 * time.Millisecond
-	// memoryGBPerCore is the memory of a machine for each of its cores.
+	// memoryGBPerCore is the memory of a simulated machine per core.
 	memoryGBPerCore = 4
 )
 
-// operatorSettings keep the machines that a step has, and serve the controllers' metrics.
+// operatorSettings is the template of the operator settings. They keep the step's machines, since none is idle long
+// enough to be released, and make the controllers serve their metrics.
 const operatorSettings = `
 debug_addr   = "{debug}"
 idle_s       = 1000000
 max_machines = %d
 `
 
-// cluster is everything that plays one step: the state service and the controllers in processes of their own, workers
-// and users in this one.
+// cluster holds the parts of the cluster of one step: the state service and the controllers in separate processes,
+// workers and users in this process.
 type cluster struct {
 	state       *stateProcess
 	sim         *simulator.Simulation
@@ -39,7 +40,8 @@
 	stopUsers   context.CancelFunc
 }
 
-// startCluster starts the processes and users of a step. The users end with the context, everything with close.
+// startCluster starts the processes and users of a step. The users stop when the context ends. The caller must call
+// close on the returned cluster.
 func startCluster(ctx context.Context, plan *Plan, step Step, options Options) (*cluster, error) {
 	started := &cluster{}
 	if err := started.start(ctx, plan, step, options); err != nil {
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// startControllers starts the controllers' processes and waits until they are ready.
+// startControllers starts the controllers' processes and waits until all of them are ready.
 func (c *cluster) startControllers(step Step, options Options) error {
 	var err error
 	c.dir, err = os.MkdirTemp("", "harewalk-scale-")
@@ -105,7 +107,8 @@
 	return nil
 }
 
-// close ends everything that was started: users first, then the controllers, and last what these send requests to.
+// close stops the users first, then the controllers, and last the simulation and the state service, to which the
+// controllers send requests.
 func (c *cluster) close() {
 	if c.stopUsers != nil {
 		c.stopUsers()
@@ -124,7 +127,8 @@
 	}
 }
 
-// simulation returns the simulated surroundings of a step: machines with a core for each task slot, and no other limit.
+// simulation returns the settings of a step's simulated surroundings. Each machine has one core per task slot, and
+// memory and other limits don't restrict the tasks.
 func simulation(plan *Plan, step Step, limits config.State, stateAddresses []string) simulator.Config {
 	zones := []string{"a", "b", "c"}
 	cores := float64(step.TasksPerMachine)
@@ -162,7 +166,7 @@
 	return settings
 }
 
-// controllerLimits returns limits of a controller's machine that are too large to be what is measured.
+// controllerLimits returns limits of a controller's machine that are large enough not to affect the measurement.
 func controllerLimits() config.ControllerLimits {
 	cores := 1.0
 	memoryMB := 4096.0
--- a/internal/lab/scale/metric.go
+++ b/internal/lab/scale/metric.go
@@ -1,19 +1,19 @@
 package scale
 
-// Values are measurements by name: of metrics, and of what they depend on.
+// Values holds the measured values of metrics and predictors by name.
 type Values map[string]float64
 
-// Names of what metrics depend on. A task is reported with each heartbeat of its machine.
+// Names of predictors, on which metrics depend. Each heartbeat of a machine reports all tasks that run on the machine.
 const (
-	valueMachines      = "machines"
-	valueRunning       = "tasks_running"
-	valueHeartbeats    = "reports_per_s"
-	valueReportedTasks = "tasks_reported_per_s"
-	valueStarts        = "starts_per_s"
-	valueJobs          = "jobs_per_s"
+	predictorMachines      = "machines"
+	predictorRunningTasks  = "tasks_running"
+	predictorHeartbeats    = "reports_per_s"
+	predictorReportedTasks = "tasks_reported_per_s"
+	predictorStarts        = "starts_per_s"
+	predictorJobs          = "jobs_per_s"
 )
 
-// Names of metrics, some of which are measured and not fitted.
+// Names of metrics. Those that Metrics doesn't list are measured but not fitted.
 const (
 	metricLeaderCPU     = "leader_cpu"
 	metricLeaderRSS     = "leader_rss"
@@ -29,14 +29,14 @@
 	metricStateWrites   = "state_writes"
 	metricStateRefused  = "state_refused"
 	metricStateCPU      = "state_cpu"
-	metricStateFollowed = "state_followed"
+	metricStateWatched  = "state_followed"
 	metricStateKeys     = "state_keys"
 	metricWorkersBytes  = "workers_bytes"
 	metricWorkersCPU    = "workers_cpu"
 	metricWorkersRSS    = "workers_rss"
 )
 
-// Roles of processes.
+// Roles of the measured processes.
 const (
 	roleLeader   = "leader"
 	roleFollower = "other controllers"
@@ -44,7 +44,7 @@
 	roleWorkers  = "all workers and users"
 )
 
-// Metric is a measured value that is fitted by a straight line in each of its predictors.
+// Metric is a measured quantity that is fitted as a linear function of its predictors.
 type Metric struct {
 	Name       string   `json:"name"`
 	Role       string   `json:"role"`
@@ -52,21 +52,21 @@
 	Predictors []string `json:"predictors"`
 }
 
-// Metrics lists the metrics that are fitted.
+// Metrics lists the fitted metrics with their predictors.
 var Metrics = []Metric{
-	{metricLeaderCPU, roleLeader, "cores", []string{valueHeartbeats, valueStarts}},
-	{metricLeaderRSS, roleLeader, "MB", []string{valueMachines, valueRunning}},
-	{metricLeaderRead, roleLeader, "KB/s", []string{valueHeartbeats, valueReportedTasks}},
-	{metricLeaderWritten, roleLeader, "KB/s", []string{valueHeartbeats, valueStarts}},
-	{metricLeaderSockets, roleLeader, "sockets", []string{valueMachines}},
-	{metricFollowerCPU, roleFollower, "cores", []string{valueStarts, valueJobs}},
-	{metricFollowerRSS, roleFollower, "MB", []string{valueMachines}},
-	{metricFollowerRead, roleFollower, "KB/s", []string{valueStarts, valueJobs}},
-	{metricStateRequests, roleState, "1/s", []string{valueStarts, valueJobs}},
-	{metricStateWrites, roleState, "1/s", []string{valueStarts, valueJobs}},
-	{metricStateCPU, roleState, "cores", []string{valueStarts, valueJobs}},
-	{metricStateFollowed, roleState, "keys", []string{valueMachines, valueJobs}},
-	{metricWorkersBytes, roleWorkers, "KB/s", []string{valueHeartbeats, valueReportedTasks}},
-	{metricWorkersCPU, roleWorkers, "cores", []string{valueHeartbeats, valueStarts}},
-	{metricWorkersRSS, roleWorkers, "MB", []string{valueMachines, valueRunning}},
+	{metricLeaderCPU, roleLeader, "cores", []string{predictorHeartbeats, predictorStarts}},
+	{metricLeaderRSS, roleLeader, "MB", []string{predictorMachines, predictorRunningTasks}},
+	{metricLeaderRead, roleLeader, "KB/s", []string{predictorHeartbeats, predictorReportedTasks}},
+	{metricLeaderWritten, roleLeader, "KB/s", []string{predictorHeartbeats, predictorStarts}},
+	{metricLeaderSockets, roleLeader, "sockets", []string{predictorMachines}},
+	{metricFollowerCPU, roleFollower, "cores", []string{predictorStarts, predictorJobs}},
+	{metricFollowerRSS, roleFollower, "MB", []string{predictorMachines}},
+	{metricFollowerRead, roleFollower, "KB/s", []string{predictorStarts, predictorJobs}},
+	{metricStateRequests, roleState, "1/s", []string{predictorStarts, predictorJobs}},
+	{metricStateWrites, roleState, "1/s", []string{predictorStarts, predictorJobs}},
+	{metricStateCPU, roleState, "cores", []string{predictorStarts, predictorJobs}},
+	{metricStateWatched, roleState, "keys", []string{predictorMachines, predictorJobs}},
+	{metricWorkersBytes, roleWorkers, "KB/s", []string{predictorHeartbeats, predictorReportedTasks}},
+	{metricWorkersCPU, roleWorkers, "cores", []string{predictorHeartbeats, predictorStarts}},
+	{metricWorkersRSS, roleWorkers, "MB", []string{predictorMachines, predictorRunningTasks}},
 }
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -14,20 +14,20 @@
 //go:embed page.html
 var pageTemplate string
 
-// resultPage is what the template shows.
+// resultPage is the data of the page's template.
 type resultPage struct {
 	Result   *Result
 	Text     string
-	Drawings []drawing
+	Drawings []metricPlot
 }
 
-// drawing is the plot of one metric.
-type drawing struct {
+// metricPlot is the plot of one metric with its title.
+type metricPlot struct {
 	Title string
 	Plot  template.HTML
 }
 
-// WriteHTML writes a page with plots that needs no other files.
+// WriteHTML writes the result as one HTML page with embedded plots; the page refers to no other files.
 func (r *Result) WriteHTML(out io.Writer) error {
 	parsed, err := template.New("page").Parse(pageTemplate)
 	if err != nil {
@@ -46,8 +46,8 @@
 	return parsed.Execute(out, page)
 }
 
-// draw plots what was measured and the line, over the metric's first predictor.
-func (r *Result) draw(line Fit) drawing {
+// draw plots the measured values and the fitted line over the metric's first predictor.
+func (r *Result) draw(line Fit) metricPlot {
 	predictor := line.Predictors[0]
 	var measured, fitted []lab.Point
 	for _, step := range r.Steps {
@@ -55,7 +55,7 @@
 		measured = append(measured, lab.Point{X: x, Y: step.Values[line.Name]})
 		fitted = append(fitted, lab.Point{X: x, Y: line.At(step.Values)})
 	}
-	return drawing{
+	return metricPlot{
 		Title: fmt.Sprintf("%s: %s (%s) by %s, measured and fitted", line.Role, line.Name, line.Unit, predictor),
 		Plot:  lab.Curves([][]lab.Point{measured, fitted}, formatShort, formatShort),
 	}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -1,11 +1,11 @@
-// Package scale measures what a cluster costs as it grows: real controllers as processes of their own, which are
-// measured from outside, beside thousands of simulated workers and users, and a simulated state service in a process of
-// its own, so that its cost isn't added to another's. It fits straight lines through the measurements, predicts the
-// largest size from the smaller ones before it is played, and reports the error of the prediction.
+// Package scale measures the resource use of a cluster at several sizes. Real controllers run as separate processes,
+// which are measured from outside. Thousands of simulated workers and users run in this process. The simulated state
+// service has a process of its own, so that its resource use isn't added to another role's. The package fits straight
+// lines to the measurements of the smaller sizes, predicts the held-out size and reports the error of the prediction.
 //
-// It owns the format of plans and of their results, and ends all processes that it starts. Figures are of processes on
-// one machine: processors and sockets are real, the network is loopback, tasks only wait. The command `harewalk lab
-// scale` calls it.
+// The package owns the formats of plans and results, and ends all processes that it starts. All processes run on one
+// machine: processors and sockets are real, the network is the loopback interface, and tasks only wait. The command
+// `harewalk lab scale` calls this package.
 package scale
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/harewalk/harewalk/internal/lab"
 )
 
-// Plan is what is played. It is written in HCL; times are in seconds.
+// Plan describes the sizes to measure and how to measure them. Plan files are in HCL; times are in seconds.
 type Plan struct {
 	Name string `hcl:"name" validate:"required"`
-	// SettleS is how long a step may take until its machines are busy; MeasureS is how long it is then measured.
+	// SettleS is the time from the start of a step's users to the measurement, in which the machines should become
+	// busy. MeasureS is the duration of the measurement.
 	SettleS  float64 `hcl:"settle_s" validate:"gt=0,lte=3600"`
 	MeasureS float64 `hcl:"measure_s" validate:"gt=0,lte=3600"`
-	// Controllers and Teams are the defaults of the steps.
+	// Controllers and Teams are the defaults for steps that don't set them.
 	Controllers int     `hcl:"controllers,optional" validate:"gte=1,lte=9"`
 	Teams       int     `hcl:"teams,optional" validate:"gte=1,lte=5000"`
 	ReportS     float64 `hcl:"report_s,optional" validate:"gt=0,lte=60"`
@@ -36,7 +37,7 @@
 	Steps []Step  `hcl:"step,block" validate:"min=1,dive"`
 }
 
-// State holds the limits of the state service.
+// State holds the limits of the simulated state service.
 type State struct {
 	RPS      float64 `hcl:"rps" validate:"gt=0"`
 	WriteRPS float64 `hcl:"write_rps" validate:"gt=0"`
@@ -44,7 +45,7 @@
 	TxnOps   int     `hcl:"txn_ops" validate:"gt=0"`
 }
 
-// Step is one size of a cluster.
+// Step is one size of the cluster to measure. If Controllers or Teams is 0, Parse sets the plan's default.
 type Step struct {
 	Name            string  `hcl:"name,label" validate:"required" json:"name"`
 	Machines        int     `hcl:"machines" validate:"gte=1,lte=100000" json:"machines"`
@@ -53,25 +54,26 @@
 	TasksPerJob     int     `hcl:"tasks_per_job" validate:"gte=1,lte=100000" json:"tasks_per_job"`
 	Controllers     int     `hcl:"controllers,optional" validate:"gte=0,lte=9" json:"controllers"`
 	Teams           int     `hcl:"teams,optional" validate:"gte=0,lte=5000" json:"teams"`
-	// HeldOut leaves the step out of the fit: it is predicted first and measured then.
+	// HeldOut excludes the step from the fit, so that its measurement can be compared with the prediction.
 	HeldOut bool `hcl:"held_out,optional" json:"held_out"`
 }
 
-// Bounds of what is played on one machine.
+// Limits of a run on one machine, and estimates for them.
 const (
 	maxProcesses   = 300
 	maxMemoryShare = 0.5 // of the machine's memory
 
-	// Estimates before a run, in bytes: for a simulated worker with both ends of its connections, a task, a process.
+	// Estimated memory of a simulated worker with both ends of its connections, of a task, and of a process.
 	workerBytes  = 160 << 10
 	taskBytes    = 8 << 10
 	processBytes = 80 << 20
 
-	// otherProcesses are the state service, and this process with workers and users.
+	// otherProcesses counts the processes besides the controllers: the state service, and this process with workers
+	// and users.
 	otherProcesses = 2
 )
 
-// Bounds of a quick run.
+// Upper bounds of the times of a quick run, divisor of its sizes, and smallest number of machines.
 const (
 	quickSettleS     = 9
 	quickMeasureS    = 5
@@ -80,10 +82,10 @@
 	quickMinMachines = 4
 )
 
-// ErrTooLarge is wrapped by the errors for plans that need more than this machine has.
+// ErrTooLarge is wrapped by the errors for plans that exceed the limits of a run on this machine.
 var ErrTooLarge = errors.New("too large for this machine")
 
-// Read reads a plan from a file. Its errors are those of Parse and of reading the file.
+// Read parses the plan file at path. It returns the errors of os.ReadFile and of Parse.
 func Read(path string) (*Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -92,7 +94,8 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a plan. Its errors name the file with the setting, or with line and column.
+// Parse parses a plan and fills in defaults. Every error names the file; an error of the HCL syntax or of a type also
+// names line and column, any other error names the setting or step.
 func Parse(file string, raw []byte) (*Plan, error) {
 	plan := &Plan{Controllers: 3, Teams: 4, ReportS: 5, LeaseS: 30, CancelS: 60, PollS: 5}
 	if err := hclsimple.Decode(file, raw, nil, plan); err != nil {
@@ -101,13 +104,13 @@
 	if err := lab.Validate(file, plan); err != nil {
 		return nil, err
 	}
-	seen := map[string]bool{}
+	stepNames := map[string]bool{}
 	for i := range plan.Steps {
 		step := &plan.Steps[i]
-		if seen[step.Name] {
+		if stepNames[step.Name] {
 			return nil, fmt.Errorf("%s: step %q: %w", file, step.Name, lab.ErrDuplicate)
 		}
-		seen[step.Name] = true
+		stepNames[step.Name] = true
 		if step.Controllers == 0 {
 			step.Controllers = plan.Controllers
 		}
@@ -118,7 +121,8 @@
 	return plan, nil
 }
 
-// Quick reduces a plan to a tenth of each size and to short times, so that it ends within two minutes.
+// Quick reduces the plan to a tenth of the machines of each step and to short times, so that a run ends within two
+// minutes.
 func (p *Plan) Quick() {
 	p.SettleS = min(p.SettleS, quickSettleS)
 	p.MeasureS = min(p.MeasureS, quickMeasureS)
@@ -129,17 +133,18 @@
 	}
 }
 
-// Fits returns an error that wraps ErrTooLarge if the plan needs too much for a machine with so many bytes of memory.
+// Fits returns an error that wraps ErrTooLarge if a step needs too many processes, or more than maxMemoryShare of the
+// memory, which is given in bytes.
 func (p *Plan) Fits(memory uint64) error {
 	available := float64(memory) * maxMemoryShare
 	for _, step := range p.Steps {
 		processes := step.processes()
 		if processes > maxProcesses {
-			return fmt.Errorf("%w: step %q takes %d processes, and at most %d are allowed",
+			return fmt.Errorf("%w: step %q needs %d processes, at most %d are allowed",
 				ErrTooLarge, step.Name, processes, maxProcesses)
 		}
 		if needed := step.estimatedBytes(); float64(needed) > available {
-			return fmt.Errorf("%w: step %q takes about %d MB, and half of the memory is %d MB",
+			return fmt.Errorf("%w: step %q needs about %d MB, half of the memory is %d MB",
 				ErrTooLarge, step.Name, needed>>20, uint64(available)>>20)
 		}
 	}
@@ -153,5 +158,5 @@
 	return uint64(s.Machines)*machineBytes + uint64(s.processes())*processBytes
 }
 
-// taskSlots returns how many tasks run at once on all machines.
+// taskSlots returns the number of tasks that can run at the same time on all machines.
 func (s Step) taskSlots() int { return s.Machines * s.TasksPerMachine }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -12,24 +12,25 @@
 // minBusyShare is the share of the task slots that must be in use before a step counts as settled.
 const minBusyShare = 0.9
 
-// Options are how a plan is run on this machine.
+// Options configures the execution of a plan on this machine.
 type Options struct {
-	// Program is the command that runs harewalk, Env what its processes get beside the environment.
+	// Program is the command line that runs harewalk. Env holds variables that its processes get in addition to the
+	// environment of this process.
 	Program []string
 	Env     []string
-	// Progress is called with lines about the progress of the run; nil: it isn't reported.
+	// Progress is called with each line about the progress of the run; nil: progress isn't reported.
 	Progress func(line string)
 }
 
-// reportf reports the progress of the run.
+// reportf formats a line and passes it to Progress.
 func (o Options) reportf(format string, values ...any) {
 	if o.Progress != nil {
 		o.Progress(fmt.Sprintf(format, values...))
 	}
 }
 
-// Run plays all sizes, one after the other, and fits lines to what was measured. When the context ends, all processes
-// are ended and its error is returned. A plan that is too large is refused with an error that wraps ErrTooLarge.
+// Run measures all steps, one after the other, and fits lines to the measurements. If the context ends, Run ends all
+// processes and returns the context's error. For a plan that is too large it returns an error that wraps ErrTooLarge.
 func Run(ctx context.Context, plan *Plan, options Options) (*Result, error) {
 	memory, err := TotalMemory()
 	if err != nil {
@@ -57,13 +58,13 @@
 	return result, nil
 }
 
-// measurement is the result of a step, with the memory that its processes used at most.
+// measurement is the result of a step, with the sum of the peak memory of all its processes.
 type measurement struct {
 	StepResult
 	peakMB float64
 }
 
-// play plays one size: it starts a cluster, lets it settle, and measures it.
+// play runs one step: it starts a cluster, waits for SettleS, measures the cluster for MeasureS and closes it.
 func play(ctx context.Context, plan *Plan, step Step, options Options) (*measurement, error) {
 	cluster, err := startCluster(ctx, plan, step, options)
 	if err != nil {
@@ -77,7 +78,7 @@
 		return nil, err
 	}
 	cluster.users.startMeasuring()
-	options.reportf("  %d tasks run, settled %v: measuring for %g s",
+	options.reportf("  %d tasks running, settled %v: measuring for %g s",
 		cluster.sim.Utilization().Running, isSettled, plan.MeasureS)
 	sleep(ctx, jobs.Seconds(plan.MeasureS))
 	if ctx.Err() != nil {
@@ -92,12 +93,12 @@
 	return &measurement{StepResult: result, peakMB: after.peakMB()}, nil
 }
 
-// isBusy reports whether nearly as many tasks run as there are slots.
+// isBusy reports whether at least minBusyShare of the task slots are in use.
 func (c *cluster) isBusy(step Step) bool {
 	return c.sim.Utilization().Running >= int(minBusyShare*float64(step.taskSlots()))
 }
 
-// sleep waits for a time, or until the context ends.
+// sleep waits for the duration, or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -10,13 +10,13 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// Metrics of a controller's /metrics page.
+// Names of metrics on a controller's /metrics page.
 const (
-	controllerLeading   = "harewalk_leading"
-	controllerJobsKnown = "harewalk_jobs_known"
+	gaugeLeading   = "harewalk_leading"
+	gaugeJobsKnown = "harewalk_jobs_known"
 )
 
-// snapshot is what all processes have used, and what has happened, up to a moment.
+// snapshot holds the resource use of all processes, and the counters of the simulation and of the users, at a time.
 type snapshot struct {
 	at          time.Time
 	controllers []Usage
@@ -29,7 +29,7 @@
 	utilization simulator.Utilization
 }
 
-// peakMB returns the largest memory of all processes together.
+// peakMB returns the sum of the peak memory of all processes.
 func (s *snapshot) peakMB() float64 {
 	sum := s.self.PeakBytes + s.state.PeakBytes
 	for _, usage := range s.controllers {
@@ -40,23 +40,24 @@
 
 func megabytes(bytes uint64) float64 { return float64(bytes) / (1 << 20) }
 
+// snapshot reads the resource use of all processes, the controllers' metrics and the counters.
 func (c *cluster) snapshot() (*snapshot, error) {
-	taken := &snapshot{at: time.Now()}
+	current := &snapshot{at: time.Now()}
 	for i := range c.sim.Controllers() {
 		usage, err := usageOf(c.controllers.PID(i))
 		if err != nil {
 			return nil, fmt.Errorf("controller %d: %w", i, err)
 		}
-		taken.controllers = append(taken.controllers, usage)
+		current.controllers = append(current.controllers, usage)
 	}
 	var err error
-	if taken.self, err = usageOf(os.Getpid()); err != nil {
+	if current.self, err = usageOf(os.Getpid()); err != nil {
 		return nil, err
 	}
-	if taken.state, err = usageOf(c.state.cmd.Process.Pid); err != nil {
+	if current.state, err = usageOf(c.state.cmd.Process.Pid); err != nil {
 		return nil, err
 	}
-	if taken.stateStats, err = c.state.stats(); err != nil {
+	if current.stateStats, err = c.state.stats(); err != nil {
 		return nil, err
 	}
 	for i := range c.sim.Controllers() {
@@ -65,12 +66,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("controller %d: %w", i, err)
 		}
-		taken.metrics = append(taken.metrics, parseMetrics(page))
+		current.metrics = append(current.metrics, parseMetrics(page))
 	}
-	taken.utilization = c.sim.Utilization()
-	taken.stats = c.sim.Stats()
-	taken.users = c.users.counts()
-	return taken, nil
+	current.utilization = c.sim.Utilization()
+	current.stats = c.sim.Stats()
+	current.users = c.users.counts()
+	return current, nil
 }
 
 // interval is the time between two snapshots.
@@ -78,71 +79,73 @@
 
 func (i interval) seconds() float64 { return i.after.at.Sub(i.before.at).Seconds() }
 
-// rate returns how much a count has grown, a second.
+// rate returns the growth of a count per second.
 func (i interval) rate(before, after int) float64 { return float64(after-before) / i.seconds() }
 
-// kilobytes returns by how many KB a number of bytes has grown, a second.
-func (i interval) kilobytes(before, after uint64) float64 {
+// kilobytesPerSecond returns the growth of a number of bytes, in KB per second.
+func (i interval) kilobytesPerSecond(before, after uint64) float64 {
 	return float64(after-before) / bytesPerKB / i.seconds()
 }
 
-// cores returns how many processors a process has used on average.
-func (i interval) cores(before, after Usage) float64 {
+// averageCores returns the mean number of processor cores that a process has used.
+func (i interval) averageCores(before, after Usage) float64 {
 	return (after.CPUSeconds - before.CPUSeconds) / i.seconds()
 }
 
-// values returns what was measured in the interval.
+// values returns the values of all predictors and metrics over the interval.
 func (i interval) values() Values {
 	values := Values{}
 	i.addLoad(values)
 	i.addState(values)
 	i.addControllers(values)
 	before, after := i.before, i.after
-	values[metricWorkersBytes] = i.kilobytes(
+	values[metricWorkersBytes] = i.kilobytesPerSecond(
 		before.stats.HeartbeatBytes+before.stats.HeartbeatAnswerBytes,
 		after.stats.HeartbeatBytes+after.stats.HeartbeatAnswerBytes,
 	)
-	values[metricWorkersCPU] = i.cores(before.self, after.self)
+	values[metricWorkersCPU] = i.averageCores(before.self, after.self)
 	values[metricWorkersRSS] = megabytes(after.self.RSSBytes)
 	return values
 }
 
-// addLoad adds what metrics depend on.
+// addLoad adds the values of the predictors.
 func (i interval) addLoad(values Values) {
 	before, after := i.before, i.after
-	values[valueMachines] = float64(after.utilization.Machines)
-	values[valueRunning] = float64(after.utilization.Running)
-	values[valueHeartbeats] = i.rate(before.stats.Heartbeats, after.stats.Heartbeats)
-	values[valueStarts] = i.rate(before.stats.TaskStarts, after.stats.TaskStarts)
-	values[valueJobs] = i.rate(before.users.ended, after.users.ended)
-	values[valueReportedTasks] = values[valueHeartbeats] * values[valueRunning] / max(1, values[valueMachines])
+	values[predictorMachines] = float64(after.utilization.Machines)
+	values[predictorRunningTasks] = float64(after.utilization.Running)
+	values[predictorHeartbeats] = i.rate(before.stats.Heartbeats, after.stats.Heartbeats)
+	values[predictorStarts] = i.rate(before.stats.TaskStarts, after.stats.TaskStarts)
+	values[predictorJobs] = i.rate(before.users.ended, after.users.ended)
+	values[predictorReportedTasks] = values[predictorHeartbeats] *
+		values[predictorRunningTasks] / max(1, values[predictorMachines])
 }
 
+// addState adds the metrics of the state service.
 func (i interval) addState(values Values) {
 	before, after := i.before.stateStats, i.after.stateStats
 	values[metricStateRequests] = i.rate(before.Requests, after.Requests)
 	values[metricStateWrites] = i.rate(before.Writes, after.Writes)
 	values[metricStateRefused] = i.rate(before.Refused, after.Refused)
-	values[metricStateFollowed] = float64(after.Followed)
+	values[metricStateWatched] = float64(after.Watched)
 	values[metricStateKeys] = float64(after.Keys)
-	values[metricStateCPU] = i.cores(i.before.state, i.after.state)
+	values[metricStateCPU] = i.averageCores(i.before.state, i.after.state)
 }
 
-// addControllers adds the leader's metrics, and the means of the followers'.
+// addControllers adds the metrics of the leader, and the means of the metrics of the other controllers.
 func (i interval) addControllers(values Values) {
 	followers := 0
 	for controller, after := range i.after.controllers {
 		before := i.before.controllers[controller]
 		metrics := i.after.metrics[controller]
-		if metrics[controllerLeading] == 1 {
+		if metrics[gaugeLeading] == 1 {
 			i.addLeader(values, before, after)
-			values[metricJobsKnown] = metrics[controllerJobsKnown]
+			values[metricJobsKnown] = metrics[gaugeJobsKnown]
 			continue
 		}
 		followers++
-		values[metricFollowerCPU] += i.cores(before, after)
+		values[metricFollowerCPU] += i.averageCores(before, after)
 		values[metricFollowerRSS] += megabytes(after.RSSBytes)
-		values[metricFollowerRead] += i.kilobytes(before.Read, after.Read)
+		values[metricFollowerRead] += i.kilobytesPerSecond(before.Read, after.Read)
 	}
 	for _, name := range []string{metricFollowerCPU, metricFollowerRSS, metricFollowerRead} {
 		values[name] /= float64(max(1, followers))
@@ -151,15 +154,15 @@
 
 func (i interval) addLeader(values Values, before, after Usage) {
 	calls := after.ReadCalls + after.WriteCalls - before.ReadCalls - before.WriteCalls
-	values[metricLeaderCPU] = i.cores(before, after)
+	values[metricLeaderCPU] = i.averageCores(before, after)
 	values[metricLeaderRSS] = megabytes(after.RSSBytes)
 	values[metricLeaderSockets] = float64(after.Sockets)
-	values[metricLeaderRead] = i.kilobytes(before.Read, after.Read)
-	values[metricLeaderWritten] = i.kilobytes(before.Written, after.Written)
+	values[metricLeaderRead] = i.kilobytesPerSecond(before.Read, after.Read)
+	values[metricLeaderWritten] = i.kilobytesPerSecond(before.Written, after.Written)
 	values[metricLeaderCalls] = float64(calls) / i.seconds()
 }
 
-// result returns the result of a step that was measured over an interval.
+// result returns the result of a step that was measured over the interval.
 func (c *cluster) result(step Step, measured interval) StepResult {
 	violations := c.sim.Violations()
 	times := c.users.times()
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -14,46 +14,46 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// StateCommand is the hidden command of `harewalk lab` that runs the state service of a scale run.
+// StateCommand is the hidden subcommand of `harewalk lab` that runs the state service of a scale run.
 const StateCommand = "state-service"
 
-// stateSettings are the first line that the state service's process reads.
+// stateSettings is the JSON document in the first line that the state service's process reads.
 type stateSettings struct {
 	Controllers int          `json:"controllers"`
 	Limits      config.State `json:"limits"`
 }
 
-// stateReady is the first line that it writes.
+// stateReady is the JSON document in the first line that the state service's process writes.
 type stateReady struct {
 	Addresses []string `json:"addrs"`
 }
 
-// StateStats is what it writes for each further line that it reads.
+// StateStats is the JSON document that the state service's process writes for each further line that it reads.
 type StateStats struct {
 	Requests int `json:"requests"`
 	Writes   int `json:"writes"`
 	Refused  int `json:"refused"`
 	Keys     int `json:"keys"`
-	Followed int `json:"followed"` // keys that every controller follows
+	Watched  int `json:"followed"` // keys that every controller watches
 }
 
-// followedPrefix is the prefix of the keys that every controller follows.
-const followedPrefix = "h/"
+// watchedPrefix is the prefix of the keys that every controller watches.
+const watchedPrefix = "h/"
 
-// statsRequest is the line that asks for statistics; any line would.
+// statsRequest is the line that requests statistics. The state service doesn't check its content.
 const statsRequest = "figures"
 
-// PlayState runs a state service: it reads its settings, writes its addresses, and then writes statistics for every
-// line that it reads. It returns when its input ends.
+// PlayState runs a state service. It reads a line of settings, writes a line with its addresses, and then writes a
+// line of statistics for every line that it reads. It returns when the input ends.
 func PlayState(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	encoder := json.NewEncoder(out)
 	if !lines.Scan() {
-		return fmt.Errorf("no order came: %w", cmp.Or(lines.Err(), io.ErrUnexpectedEOF))
+		return fmt.Errorf("reading settings: %w", cmp.Or(lines.Err(), io.ErrUnexpectedEOF))
 	}
 	var settings stateSettings
 	if err := json.Unmarshal(lines.Bytes(), &settings); err != nil {
-		return fmt.Errorf("not an order: %w", err)
+		return fmt.Errorf("parsing settings: %w", err)
 	}
 	sim, err := simulator.NewRealTime(simulator.Config{Controllers: settings.Controllers, State: settings.Limits})
 	if err != nil {
@@ -82,11 +82,11 @@
 		Writes:   stats.StateWrites,
 		Refused:  stats.StateRefused,
 		Keys:     sim.CountKeys(""),
-		Followed: sim.CountKeys(followedPrefix),
+		Watched:  sim.CountKeys(watchedPrefix),
 	}
 }
 
-// stateProcess is a state service in a process of its own.
+// stateProcess is a state service that runs in a separate process.
 type stateProcess struct {
 	cmd       *exec.Cmd
 	stdin     io.WriteCloser
@@ -94,13 +94,14 @@
 	addresses []string
 }
 
-// startState starts a state service's process, which close ends, and waits for its addresses.
+// startState starts a state service in a separate process and waits for its addresses. The caller must call close on
+// the returned process.
 func startState(options Options, settings stateSettings) (*stateProcess, error) {
 	args := append(append([]string{}, options.Program[1:]...), "lab", StateCommand)
 	cmd := exec.Command(options.Program[0], args...)
 	cmd.Env = append(os.Environ(), options.Env...)
 	cmd.Stderr = os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive this process
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the child must not outlive this process
 	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -116,19 +117,19 @@
 	var ready stateReady
 	if err := process.request(settings, &ready); err != nil {
 		process.close()
-		return nil, fmt.Errorf("the state service's process: %w", err)
+		return nil, fmt.Errorf("starting the state service: %w", err)
 	}
 	process.addresses = ready.Addresses
 	return process, nil
 }
 
-// request writes a line and reads the one that responds to it.
+// request writes a line to the process and parses the line that the process responds with.
 func (p *stateProcess) request(line, response any) error {
 	if err := json.NewEncoder(p.stdin).Encode(line); err != nil {
 		return err
 	}
 	if !p.stdout.Scan() {
-		return fmt.Errorf("no answer: %w", cmp.Or(p.stdout.Err(), io.ErrUnexpectedEOF))
+		return fmt.Errorf("no response from the state service: %w", cmp.Or(p.stdout.Err(), io.ErrUnexpectedEOF))
 	}
 	return json.Unmarshal(p.stdout.Bytes(), response)
 }
@@ -139,7 +140,7 @@
 	return stats, err
 }
 
-// close ends the process and waits for its end.
+// close kills the process and waits until it has exited.
 func (p *stateProcess) close() {
 	_ = p.stdin.Close()
 	_ = p.cmd.Process.Kill()
--- a/internal/lab/scale/tables.go
+++ b/internal/lab/scale/tables.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// WriteText writes the tables for a terminal. Errors of the table's writer are returned by its Flush.
+// WriteText writes the tables for a terminal. The caller must flush the writer; Flush returns any error of writing.
 func (r *Result) WriteText(out *tabwriter.Writer) {
 	_, _ = io.WriteString(out, r.text())
 }
@@ -20,8 +20,9 @@
 		"LEADER CORES\tMB\tOTHERS CORES\tSTATE WRITES/S\tBROKEN\n")
 	for _, step := range r.Steps {
 		values := step.Values
-		fmt.Fprintf(&text, "%s\t%.0f\t%.0f\t", step.title(), values[valueMachines], values[valueRunning])
-		fmt.Fprintf(&text, "%.1f\t%.2f\t", values[valueStarts], values[valueJobs])
+		fmt.Fprintf(&text, "%s\t%.0f\t%.0f\t", step.title(),
+			values[predictorMachines], values[predictorRunningTasks])
+		fmt.Fprintf(&text, "%.1f\t%.2f\t", values[predictorStarts], values[predictorJobs])
 		fmt.Fprintf(&text, "%.2f s\t%.2f s\t%.3f s\t", step.WaitP50S, step.WaitP99S, step.AcceptP99S)
 		fmt.Fprintf(&text, "%.3f\t%.1f\t", values[metricLeaderCPU], values[metricLeaderRSS])
 		fmt.Fprintf(&text, "%.3f\t%.1f\t", values[metricFollowerCPU], values[metricStateWrites])
@@ -38,7 +39,7 @@
 	return text.String()
 }
 
-// title returns the name of the step, marked if it is held out.
+// title returns the name of the step, with a mark if the step is held out.
 func (s StepResult) title() string {
 	if s.HeldOut {
 		return s.Name + " (held out)"
@@ -54,7 +55,8 @@
 	return strings.Join(terms, " + ")
 }
 
-// formatHeldOut returns three cells: the predicted value, the measured one, and the error.
+// formatHeldOut returns three cells: the predicted value, the measured value and the error; dashes if no size was held
+// out.
 func (f Fit) formatHeldOut(separator string) string {
 	cells := []string{"-", "-", "-"}
 	if f.HeldOut != nil {
@@ -67,8 +69,8 @@
 	return strings.Join(cells, separator)
 }
 
-// WriteMarkdown writes the tables of docs/CAPACITY.md: the sizes that were played, the lines, and their values at sizes
-// that weren't played.
+// WriteMarkdown writes the tables of docs/CAPACITY.md: the measured steps, the fitted lines, and the lines' values at
+// the given sizes, which weren't measured.
 func (r *Result) WriteMarkdown(out io.Writer, sizes []Size) error {
 	_, err := io.WriteString(out, r.markdownSteps()+r.markdownFits(sizes))
 	return err
@@ -83,8 +85,9 @@
 	text.WriteString("|" + strings.Repeat(" --- |", 11) + "\n")
 	for _, step := range r.Steps {
 		values := step.Values
-		fmt.Fprintf(&text, "| %s | %.0f | %.0f | ", step.title(), values[valueMachines], values[valueRunning])
-		fmt.Fprintf(&text, "%.1f | %.2f | ", values[valueStarts], values[valueJobs])
+		fmt.Fprintf(&text, "| %s | %.0f | %.0f | ", step.title(),
+			values[predictorMachines], values[predictorRunningTasks])
+		fmt.Fprintf(&text, "%.1f | %.2f | ", values[predictorStarts], values[predictorJobs])
 		fmt.Fprintf(&text, "%.2f, %.2f s | %.3f s | ", step.WaitP50S, step.WaitP99S, step.AcceptP99S)
 		fmt.Fprintf(&text, "%.3f cores, %.0f MB | ", values[metricLeaderCPU], values[metricLeaderRSS])
 		fmt.Fprintf(&text, "%.3f cores, %.0f MB | ", values[metricFollowerCPU], values[metricFollowerRSS])
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// Usage is what a process has used, as the operating system counts it.
+// Usage is the resource use of a process, as counted by the operating system.
 type Usage struct {
-	CPUSeconds float64 // since its start, user and system
+	CPUSeconds float64 // user and system time since the process started
 	RSSBytes   uint64
 	PeakBytes  uint64 // the largest RSS so far
 	Read       uint64 // bytes, nearly all of them from sockets
@@ -20,15 +20,15 @@
 	Sockets    int
 }
 
-// ticksPerSecond is the unit of processor times in /proc on Linux.
+// ticksPerSecond is the number of clock ticks per second in the processor times in /proc on Linux.
 const ticksPerSecond = 100
 
 const bytesPerKB = 1024
 
-// Fields of /proc/PID/stat behind the name, from 0.
+// Indices of the fields of /proc/PID/stat after the process name, from 0.
 const (
-	statUser   = 11
-	statSystem = 12
+	statUserTicks   = 11
+	statSystemTicks = 12
 )
 
 // usageOf reads the usage of a running process.
@@ -38,11 +38,11 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	status, err := readFields(dir + "status")
+	status, err := readNumbers(dir + "status")
 	if err != nil {
 		return Usage{}, err
 	}
-	io, err := readFields(dir + "io")
+	io, err := readNumbers(dir + "io")
 	if err != nil {
 		return Usage{}, err
 	}
@@ -58,27 +58,30 @@
 	}, nil
 }
 
-// statError is a stat file of a process with too few fields for its processor time.
+// statError reports a /proc/PID/stat file with too few fields to contain the processor times.
 type statError struct {
 	path   string
-	fields int // behind the name
+	fields int // number of fields after the process name
 }
 
-// Error names the file, and how many fields it has.
-func (e *statError) Error() string { return fmt.Sprintf("%s has %d fields", e.path, e.fields) }
+// Error names the file and the number of its fields.
+func (e *statError) Error() string {
+	return fmt.Sprintf("%s has only %d fields after the process name", e.path, e.fields)
+}
 
+// cpuSecondsOf returns the user and system time of the process with the /proc directory.
 func cpuSecondsOf(dir string) (float64, error) {
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
 		return 0, err
 	}
-	// The name in parentheses may hold anything.
+	// The process name in parentheses may contain spaces and parentheses, so the fields begin after the last one.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	if len(fields) <= statSystem {
+	if len(fields) <= statSystemTicks {
 		return 0, &statError{path: dir + "stat", fields: len(fields)}
 	}
 	seconds := 0.0
-	for _, field := range []string{fields[statUser], fields[statSystem]} {
+	for _, field := range []string{fields[statUserTicks], fields[statSystemTicks]} {
 		ticks, err := strconv.ParseFloat(field, 64)
 		if err != nil {
 			return 0, fmt.Errorf("%sstat: %w", dir, err)
@@ -88,7 +91,7 @@
 	return seconds, nil
 }
 
-// socketsOf counts a process's open sockets. Those that are closed meanwhile don't count.
+// socketsOf returns the number of open sockets of a process. Sockets that are closed while it counts are left out.
 func socketsOf(dir string) int {
 	descriptors, _ := os.ReadDir(dir + "fd")
 	count := 0
@@ -101,8 +104,8 @@
 	return count
 }
 
-// readFields reads a file of lines "name: number ..."; other lines are left out.
-func readFields(path string) (map[string]uint64, error) {
+// readNumbers returns the numbers of a file with lines "name: number ...", by name. It skips other lines.
+func readNumbers(path string) (map[string]uint64, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -121,16 +124,16 @@
 	return values, nil
 }
 
-// TotalMemory returns the memory of this machine in bytes.
+// TotalMemory returns the total memory of this machine in bytes.
 func TotalMemory() (uint64, error) {
-	memory, err := readFields("/proc/meminfo")
+	memory, err := readNumbers("/proc/meminfo")
 	if err != nil {
 		return 0, err
 	}
 	return memory["MemTotal"] * bytesPerKB, nil
 }
 
-// parseMetrics reads the metrics without labels of a controller's /metrics page.
+// parseMetrics returns the metrics without labels on a controller's /metrics page, by name.
 func parseMetrics(page []byte) map[string]float64 {
 	values := map[string]float64{}
 	for line := range strings.Lines(string(page)) {
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -18,40 +18,42 @@
 )
 
 const (
-	// maxRecordedMS bounds the times of a histogram, which holds them in milliseconds.
+	// maxRecordedMS is the longest duration that a histogram records, in milliseconds.
 	maxRecordedMS   = 10 * 60 * 1000
 	histogramDigits = 3
 	millisPerSecond = 1000
 
 	requestTimeout   = 5 * time.Second
 	submitRetryDelay = 500 * time.Millisecond
-	maxConnections   = 4096 // of the users to a controller
+	maxConnections   = 4096 // from all users to one controller
 
-	// backlogFactor is by how much the tasks of open jobs exceed the task slots, so that work always waits.
+	// backlogFactor is the ratio of the tasks of open jobs to the task slots. It is above 1, so that tasks always
+	// wait.
 	backlogFactor = 1.3
 	minOpenJobs   = 2
-	// imageCount is how many images the jobs use.
+	// imageCount is the number of different images that the jobs use.
 	imageCount = 20
 )
 
-// users keep a number of jobs open: each user submits a job, polls it until it is done, and submits the next one.
+// users simulates users who keep a number of jobs open. Each user submits a job, polls it until it is done, and then
+// submits the next job.
 type users struct {
 	sim          *simulator.Simulation
 	client       *fasthttp.Client
 	step         Step
 	pollInterval time.Duration
 
-	mu           sync.Mutex
-	rng          *rand.Rand
-	lastJob      int // number of the last job
-	ended        int // jobs
-	refused      int // submissions
-	measuredFrom time.Time
-	acceptDelays map[string]time.Duration // of measured jobs, from submission to acceptance
-	accepts      histogram
+	mu            sync.Mutex
+	rng           *rand.Rand
+	lastJobNumber int                      // number of the last job that was created
+	ended         int                      // number of jobs that a user saw done
+	refused       int                      // number of submissions that were not accepted
+	measuredFrom  time.Time                // start of the measurement; zero: not started
+	acceptDelays  map[string]time.Duration // times from submission to acceptance of measured jobs, by job ID
+	accepts       histogram
 }
 
-// histogram holds times in milliseconds.
+// histogram records durations in milliseconds.
 type histogram struct{ *hdrhistogram.Histogram }
 
 func newHistogram() histogram {
@@ -62,7 +64,7 @@
 	_ = h.RecordValue(max(1, duration.Milliseconds()))
 }
 
-// seconds returns a quantile in seconds.
+// seconds returns the quantile at a percentage, in seconds.
 func (h histogram) seconds(percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / millisPerSecond
 }
@@ -83,13 +85,14 @@
 	}
 }
 
-// openJobs returns how many jobs keep all machines of a step busy, with work that waits.
+// openJobs returns the number of open jobs that keeps all machines of the step busy and a backlog of tasks waiting.
 func (s Step) openJobs() int {
 	tasks := backlogFactor * float64(s.taskSlots())
 	return max(minOpenJobs, int(tasks/float64(s.TasksPerJob))+1)
 }
 
-// start starts the users, spread over a time so that their jobs don't end together. They end with the context.
+// start starts the users. Their starts are spread over a time so that their jobs don't all end together. The users
+// stop when the context ends.
 func (u *users) start(ctx context.Context, spread time.Duration) {
 	count := u.step.openJobs()
 	for i := range count {
@@ -102,33 +105,33 @@
 	}
 }
 
-// nextSpec returns the next job to submit.
+// nextSpec creates the specification of the next job to submit.
 func (u *users) nextSpec() *jobs.Spec {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.lastJob++
+	u.lastJobNumber++
 	return &jobs.Spec{
-		ID:        fmt.Sprintf("req-%08d", u.lastJob),
+		ID:        fmt.Sprintf("req-%08d", u.lastJobNumber),
 		Class:     "hollow",
-		Team:      teamName(u.lastJob % u.step.Teams),
+		Team:      teamName(u.lastJobNumber % u.step.Teams),
 		Kind:      jobs.Array,
 		Priority:  "standard",
 		Tasks:     u.step.TasksPerJob,
 		CPUs:      1,
 		MemoryGB:  1,
-		Image:     fmt.Sprintf("image-%d", u.lastJob%imageCount),
+		Image:     fmt.Sprintf("image-%d", u.lastJobNumber%imageCount),
 		ImageGB:   1,
 		EstimateS: u.step.TaskS * (0.5 + u.rng.Float64()),
 	}
 }
 
-// runJob submits a job and polls it until it is done, or until the context ends.
+// runJob submits a job and polls its state until the job is done or the context ends.
 func (u *users) runJob(ctx context.Context) {
 	spec := u.nextSpec()
 	u.sim.AddJob(spec)
 	body, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // a job of this package's own making
+		panic(err) // can't happen: the specification comes from nextSpec
 	}
 	submitted := time.Now()
 	if !u.submit(ctx, body) {
@@ -145,7 +148,7 @@
 	}
 }
 
-// submit submits a job until it is accepted. It returns false if the context ended before.
+// submit submits a job and retries until the job is accepted. It returns false if the context ends first.
 func (u *users) submit(ctx context.Context, body []byte) bool {
 	for ctx.Err() == nil {
 		status, _ := u.send(http.MethodPost, "/v2/runs", body)
@@ -158,6 +161,7 @@
 	return false
 }
 
+// noteAccepted records the time to acceptance of a job that was submitted during the measurement.
 func (u *users) noteAccepted(id string, submitted time.Time) {
 	delay := time.Since(submitted)
 	u.mu.Lock()
@@ -181,7 +185,7 @@
 	u.refused++
 }
 
-// send sends a request to a random controller; status 0: there was no response.
+// send sends a request to a random controller. The status is 0 if there was no response.
 func (u *users) send(method, path string, body []byte) (status int, jobState string) {
 	u.mu.Lock()
 	address := u.sim.UserAddr(u.rng.IntN(u.step.Controllers))
@@ -206,7 +210,7 @@
 	return resp.StatusCode(), job.State
 }
 
-// userCounts is what users have counted so far.
+// userCounts holds the counts of ended jobs and of refused submissions.
 type userCounts struct{ ended, refused int }
 
 func (u *users) counts() userCounts {
@@ -215,17 +219,18 @@
 	return userCounts{ended: u.ended, refused: u.refused}
 }
 
-// startMeasuring measures the times of jobs that are submitted from now on.
+// startMeasuring starts the measurement. The times of jobs that are submitted later are recorded.
 func (u *users) startMeasuring() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.measuredFrom = time.Now()
 }
 
-// userTimes are the times of measured jobs: from submission to acceptance, and from there to the first start.
+// userTimes holds the times of measured jobs: accepts from submission to acceptance, waits from acceptance to the
+// first start.
 type userTimes struct{ accepts, waits histogram }
 
-// times returns the times of the jobs that were measured so far.
+// times returns the times of the jobs that have been measured so far.
 func (u *users) times() userTimes {
 	u.mu.Lock()
 	acceptDelays := maps.Clone(u.acceptDelays)
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -9,17 +9,17 @@
 	"github.com/harewalk/harewalk/internal/simulator"
 )
 
-// Image cache and download rate of every machine.
+// Size of the image cache and image download rate of every machine.
 const (
-	machineCacheGB = 200
-	machineFetchGB = 2 // a second
+	machineCacheGB     = 200
+	machineFetchGBPerS = 2
 )
 
-// operatorFile is the name that errors in a configuration's operators' settings give.
-const operatorFile = "operator.hcl"
+// operatorFileName is the file name in errors about the operator settings of a configuration.
+const operatorFileName = "operator.hcl"
 
-// simulation returns the simulated cluster that a configuration is played in. Times and limits are those of a service
-// in production, not those of short tests.
+// simulation returns the settings of the simulated cluster for a run of a configuration. Times and limits are those of
+// a production service, not the shorter ones of tests.
 func (s *Scenario) simulation(variant Config, seed uint64) simulator.Config {
 	settings := simulator.Config{
 		Seed:         seed,
@@ -45,7 +45,7 @@
 			GPUs:    machine.GPUs,
 			Mem:     machine.MemoryGB,
 			CacheGB: machineCacheGB,
-			FetchGB: machineFetchGB,
+			FetchGB: machineFetchGBPerS,
 			Price:   machine.Price,
 			Spot:    machine.SpotPrice,
 			BootS:   machine.BootS,
@@ -67,7 +67,7 @@
 	return settings
 }
 
-// adjust applies a configuration to the settings of a controller.
+// adjust applies the configuration to the settings of a controller.
 func (c Config) adjust(settings *config.Settings) error {
 	if c.Former {
 		settings.SimulateRelease(rollout.Newest-1, simulator.FormerRelease)
@@ -75,5 +75,5 @@
 	if c.Operator == "" {
 		return nil
 	}
-	return settings.ReadOperator(operatorFile, []byte(c.Operator))
+	return settings.ReadOperator(operatorFileName, []byte(c.Operator))
 }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxRecordedTime bounds the times of a histogram, which holds them in milliseconds.
+	// maxRecordedTime is the longest duration that a histogram records. Histograms hold milliseconds.
 	maxRecordedTime    = 14 * 24 * time.Hour
 	histogramDigits    = 3
 	millisPerSecond    = 1000
-	defaultRecovery    = time.Minute // how long after a fault its effect is measured
-	maxUnservedPercent = 10          // of the requests of a second in which the service counts as recovered
+	defaultRecovery    = time.Minute // length of the recovery period after a fault
+	maxUnservedPercent = 10          // of a second's requests; above, the service doesn't count as recovered
 )
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxRecordedTime.Milliseconds(), histogramDigits)
 }
 
-// record adds a time, within the bounds of the histogram.
+// record adds a duration, limited to the range of the histogram.
 func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	_ = histogram.RecordValue(min(max(1, duration.Milliseconds()), histogram.HighestTrackableValue()))
 }
@@ -40,7 +40,7 @@
 	}
 }
 
-// summarize summarizes runs, which are ordered by configuration and repetition.
+// summarize returns the result of all runs, which are indexed by configuration and repetition.
 func (s *Scenario) summarize(runs [][]*run) *Result {
 	result := &Result{Scenario: s.Name, Simulated: true, DurationS: s.DurationS, Repetitions: s.Repetitions}
 	for repetition := range s.Repetitions {
@@ -52,14 +52,14 @@
 	return result
 }
 
-// loadTimes are the times of the jobs of one load.
+// loadTimes holds the histograms of one load; LoadResult describes the durations.
 type loadTimes struct {
 	accept     *hdrhistogram.Histogram
 	wait       *hdrhistogram.Histogram
 	completion *hdrhistogram.Histogram
 }
 
-// configSummary builds the result of a configuration from its runs.
+// configSummary accumulates the result of a configuration over its runs.
 type configSummary struct {
 	ConfigResult
 	runCount float64
@@ -73,8 +73,8 @@
 		ConfigResult: ConfigResult{
 			Name:     name,
 			Broken:   []string{},
-			Used:     make([]float64, samples),
-			Machines: make([]float64, samples),
+			Used:     make([]float64, sampleCount),
+			Machines: make([]float64, sampleCount),
 		},
 		runCount: float64(len(runs)),
 	}
@@ -110,7 +110,7 @@
 		if sample.CPUs > 0 {
 			used := sample.UsedCPUs / sample.CPUs / c.runCount
 			c.Used[i] += used
-			c.UsedCPUs += used / samples
+			c.UsedCPUs += used / sampleCount
 		}
 		c.Machines[i] += float64(sample.Machines) / c.runCount
 	}
@@ -118,13 +118,13 @@
 	c.Jobs += len(run.users)
 	c.Starts += run.stats.TaskStarts
 	c.Cost += cost / c.runCount
-	c.Broken = append(c.Broken, run.broken...)
+	c.Broken = append(c.Broken, run.violations...)
 	c.Runs = append(c.Runs, RunResult{
 		Seed:    run.seed,
 		Jobs:    len(run.users),
 		WaitP90: quantiles(waits).P90,
 		Cost:    cost,
-		Broken:  len(run.broken),
+		Broken:  len(run.violations),
 	})
 }
 
@@ -150,7 +150,7 @@
 	}
 }
 
-// finish computes what depends on all runs.
+// finish computes the figures that need the sums over all runs.
 func (c *configSummary) finish() {
 	if c.requests > 0 {
 		c.Served = float64(c.served) / float64(c.requests)
@@ -164,12 +164,12 @@
 	}
 }
 
-// period is a time of a run, from its beginning up to its end, which is not in it.
+// period is a part of a run; from is included, to is excluded.
 type period struct{ from, to time.Duration }
 
 func (p period) contains(at time.Duration) bool { return at >= p.from && at < p.to }
 
-// count returns how many of the times are in the period.
+// count returns the number of times within the period.
 func (p period) count(times []time.Duration) float64 {
 	count := 0.0
 	for _, at := range times {
@@ -182,16 +182,16 @@
 
 func summarizeFault(fault Fault, runs []*run) FaultResult {
 	result := FaultResult{AtS: fault.AtS, Do: fault.Do}
-	length := defaultRecovery
+	periodLength := defaultRecovery
 	if fault.ForS > 0 {
-		length = jobs.Seconds(fault.ForS)
+		periodLength = jobs.Seconds(fault.ForS)
 	}
-	at := jobs.Seconds(fault.AtS)
-	before := period{at - length, at}
-	during := period{at, at + length}
-	after := period{at + length, at + 2*length}
+	faultAt := jobs.Seconds(fault.AtS)
+	before := period{faultAt - periodLength, faultAt}
+	during := period{faultAt, faultAt + periodLength}
+	after := period{faultAt + periodLength, faultAt + 2*periodLength}
 	runCount := float64(len(runs))
-	allSeconds := length.Seconds() * runCount
+	allSeconds := periodLength.Seconds() * runCount
 	for _, run := range runs {
 		result.Before += before.count(run.starts) / allSeconds
 		result.During += during.count(run.starts) / allSeconds
@@ -200,47 +200,48 @@
 		noStart := run.longestStartGap(during).Seconds()
 		result.NoStart += noStart / runCount
 		result.MaxNoStart = max(result.MaxNoStart, noStart)
-		unserved := float64(run.unservedSeconds(during))
+		unserved := float64(run.secondsUntilServed(during))
 		result.Unserved += unserved / runCount
 		result.MaxUnserved = max(result.MaxUnserved, unserved)
 	}
 	return result
 }
 
-// longestStartGap returns the longest time without a task start in a period, or in what the run has of it.
+// longestStartGap returns the longest time without a task start in a period, or up to the end of the run if the run
+// ends within the period.
 func (r *run) longestStartGap(within period) time.Duration {
 	longest := time.Duration(0)
-	last := within.from
+	lastStart := within.from
 	for _, start := range r.starts {
 		if start >= within.from && start <= within.to {
-			longest = max(longest, start-last)
-			last = start
+			longest = max(longest, start-lastStart)
+			lastStart = start
 		}
 	}
-	return max(longest, min(r.end, within.to)-last)
+	return max(longest, min(r.end, within.to)-lastStart)
 }
 
-// unservedSeconds returns how many seconds after the beginning of a period more than a tenth of the requests of a
-// second were not served for the last time.
-func (r *run) unservedSeconds(within period) int {
+// secondsUntilServed returns the number of seconds from the beginning of a period to the end of its last second in
+// which more than maxUnservedPercent of the requests were not served; 0 if the period has no such second.
+func (r *run) secondsUntilServed(within period) int {
 	seconds := int((within.to-within.from)/time.Second) + 1
-	all := make([]int, seconds)
+	sent := make([]int, seconds)
 	unserved := make([]int, seconds)
 	for _, request := range r.requests {
 		if !within.contains(request.at) {
 			continue
 		}
 		second := int((request.at - within.from) / time.Second)
-		all[second]++
+		sent[second]++
 		if !request.served {
 			unserved[second]++
 		}
 	}
-	last := 0
-	for second := range all {
-		if 100*unserved[second] > maxUnservedPercent*all[second] {
-			last = second + 1
+	recoveredAfter := 0
+	for second := range sent {
+		if 100*unserved[second] > maxUnservedPercent*sent[second] {
+			recoveredAfter = second + 1
 		}
 	}
-	return last
+	return recoveredAfter
 }
--- a/internal/lab/user.go
+++ b/internal/lab/user.go
@@ -11,36 +11,38 @@
 )
 
 const (
-	// A controller that fails maxFailedChecks health checks in a row gets no requests until it passes one.
+	// A controller that fails maxFailedChecks consecutive health checks gets no requests until it passes a check.
 	healthCheckInterval = time.Second
 	maxFailedChecks     = 2
 
-	// balancerStream is the stream of the load balancer's random numbers.
+	// balancerStream is the random number stream of the load balancer.
 	balancerStream = 17
 
 	userRetryDelay  = time.Second
 	minPollInterval = 2 * time.Second
 	maxPollInterval = 30 * time.Second
-	// pollAgeDivisor sets the interval between two polls: this part of the job's age, within the bounds above.
+	// pollAgeDivisor sets the interval between two polls: the job's age divided by pollAgeDivisor, but at least
+	// minPollInterval and at most maxPollInterval.
 	pollAgeDivisor = 10
-	// finalPolls is how often a user sees a job's end: the later responses must not differ from the first.
+	// finalPolls is the number of responses with the final state that a user polls for. The simulation checks that the
+	// later responses don't differ from the first.
 	finalPolls = 3
 )
 
-// Delays are drawn from minJitter to minJitter + jitterRange of their length.
+// Bounds of a random delay, as factors of its nominal length: minJitter and minJitter + jitterRange.
 const (
 	minJitter   = 0.75
 	jitterRange = 0.5
 )
 
-// loadBalancer sends the requests of a run's users to controllers that pass its health checks. It records whether they
-// were served. It belongs to the simulation's single goroutine.
+// loadBalancer sends the requests of a run's users to controllers that pass its health checks, and records whether
+// each request was served. It must be used from the simulation's single goroutine only.
 type loadBalancer struct {
 	sim          *simulator.Simulation
 	rng          *rand.Rand
 	run          *run
-	openJobs     int   // submitted and not over
-	failedChecks []int // in a row, by controller
+	openJobs     int   // jobs that arrived and have neither ended nor been refused
+	failedChecks []int // consecutive failed health checks, by controller
 }
 
 func newLoadBalancer(sim *simulator.Simulation, observed *run, seed uint64) *loadBalancer {
@@ -58,7 +60,7 @@
 	}
 }
 
-// checkHealth checks a controller now, and again after each interval.
+// checkHealth checks a controller now and then every healthCheckInterval.
 func (b *loadBalancer) checkHealth(controller int) {
 	b.sim.Request(controller, http.MethodGet, "/up", nil, func(status int, _ []byte) {
 		if status == http.StatusOK {
@@ -70,7 +72,7 @@
 	b.sim.After(healthCheckInterval, func() { b.checkHealth(controller) })
 }
 
-// pick draws a controller for the next request, any one where none is healthy.
+// pick returns a random healthy controller, or a random one of all controllers if none is healthy.
 func (b *loadBalancer) pick() int {
 	var healthy []int
 	for controller, failed := range b.failedChecks {
@@ -84,7 +86,7 @@
 	return healthy[b.rng.IntN(len(healthy))]
 }
 
-// send sends a request to a controller and calls handle with the response; status 0: there was none.
+// send sends a request to a controller and calls handle with the response. The status is 0 if there was no response.
 func (b *loadBalancer) send(method, path string, body []byte, handle func(status int, jobState string)) {
 	at := b.sim.Now()
 	b.sim.Request(b.pick(), method, path, body, func(status int, raw []byte) {
@@ -98,23 +100,23 @@
 	})
 }
 
-// after calls a function after about the given delay.
-func (b *loadBalancer) after(delay time.Duration, call func()) {
+// after calls a function after the delay with random jitter.
+func (b *loadBalancer) after(delay time.Duration, callback func()) {
 	jittered := (minJitter + jitterRange*b.rng.Float64()) * float64(delay)
-	b.sim.After(time.Duration(jittered), call)
+	b.sim.After(time.Duration(jittered), callback)
 }
 
-// user submits one job, may cancel it, and polls it until it is over. The simulation checks that no response
+// user submits one job, may cancel the job, and polls its state until it ends. The simulation checks that no response
 // contradicts an earlier one.
 type user struct {
 	arrival
 	balancer *loadBalancer
-	body     []byte // of the submission, until it is accepted
+	body     []byte // of the submission; nil after the job was accepted
 
-	// Times after the arrival; 0: not yet.
+	// Durations since the job's arrival; 0: the event hasn't happened.
 	acceptDelay time.Duration
 	startDelay  time.Duration
-	endDelay    time.Duration // until the user saw that the job is over
+	endDelay    time.Duration // to the first response with a final state
 
 	hasStarted      bool
 	isRefused       bool
@@ -126,17 +128,18 @@
 
 func (u *user) path() string { return "/v2/runs/" + u.spec.ID }
 
+// arrive submits the user's job and schedules its cancellation if the job is to be cancelled.
 func (u *user) arrive() {
 	u.body, _ = json.Marshal(u.spec)
 	u.balancer.sim.AddJob(u.spec)
 	u.balancer.openJobs++
 	u.submit()
-	if u.cancel > 0 {
-		u.balancer.sim.After(u.cancel, u.requestCancel)
+	if u.cancelDelay > 0 {
+		u.balancer.sim.After(u.cancelDelay, u.requestCancel)
 	}
 }
 
-// submit submits the job, again until it is accepted or refused.
+// submit submits the job and retries until the job is accepted or refused.
 func (u *user) submit() {
 	u.balancer.send(http.MethodPost, "/v2/runs", u.body, func(status int, _ string) {
 		switch status {
@@ -154,7 +157,8 @@
 	})
 }
 
-// requestCancel cancels the job, if it is accepted and not over, again until a controller responds.
+// requestCancel cancels the job and retries until a controller responds. It does nothing if the job is not yet
+// accepted or has ended.
 func (u *user) requestCancel() {
 	if u.acceptDelay == 0 || u.endDelay > 0 {
 		return
@@ -170,7 +174,7 @@
 	})
 }
 
-// poll requests the job's state, again until its end was seen finalPolls times.
+// poll requests the job's state repeatedly, until finalPolls responses had a final state.
 func (u *user) poll() {
 	u.balancer.send(http.MethodGet, u.path(), nil, func(status int, jobState string) {
 		u.balancer.sim.CheckAnswer(&u.history, status, jobState, u.cancelRequested)
--- a/internal/lab/validate.go
+++ b/internal/lab/validate.go
@@ -8,10 +8,10 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// SettingError is a setting of a file whose value breaks its rule.
+// SettingError reports a setting whose value violates its validation rule.
 type SettingError struct {
 	File    string
-	Setting string // its path within the file's document
+	Setting string // path of the setting within the document, such as Loads[0].CPUs
 	Value   any
 	Rule    string
 }
@@ -21,20 +21,20 @@
 	return fmt.Sprintf("%s: setting %s: value %v breaks the rule %q", e.File, e.Setting, e.Value, e.Rule)
 }
 
-// Validate checks a document, a pointer to a struct, by the rules in its tags. For the first setting that breaks one it
-// returns a *SettingError.
+// Validate checks a document, a pointer to a struct, against the rules in its validate tags. It returns a
+// *SettingError for the first setting that violates a rule.
 func Validate(file string, document any) error {
 	err := validator.New(validator.WithRequiredStructEnabled()).Struct(document)
-	var failed validator.ValidationErrors
-	if !errors.As(err, &failed) || len(failed) == 0 {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) || len(violations) == 0 {
 		return err
 	}
-	first := failed[0]
-	_, setting, _ := strings.Cut(first.Namespace(), ".") // without the name of the document's type
+	violation := violations[0]
+	_, setting, _ := strings.Cut(violation.Namespace(), ".") // cuts off the name of the document's type
 	return &SettingError{
 		File:    file,
 		Setting: setting,
-		Value:   first.Value(),
-		Rule:    strings.TrimSpace(first.Tag() + " " + first.Param()),
+		Value:   violation.Value(),
+		Rule:    strings.TrimSpace(violation.Tag() + " " + violation.Param()),
 	}
 }
