--- a/internal/lab/arrivals.go
+++ b/internal/lab/arrivals.go
@@ -65,22 +65,22 @@
 	return spec
 }
 
-// arrivals draws all jobs of a run. Each load has its own random number stream, so that a change of one load doesn't
-// change the jobs of the others.
-func (s *Scenario) arrivals(seed uint64) ([]arrival, error) {
-	var all []arrival
+// drawArrivals draws all jobs of a run. Each load has its own random number stream, so that a change of one load
+// doesn't change the jobs of the others.
+func (s *Scenario) drawArrivals(seed uint64) ([]arrival, error) {
+	var arrivals []arrival
 	for index := range s.Loads {
 		var err error
-		all, err = s.appendArrivals(all, index, seed)
+		arrivals, err = s.appendArrivals(arrivals, index, seed)
 		if err != nil {
 			return nil, err
 		}
 	}
-	return all, nil
+	return arrivals, nil
 }
 
-// appendArrivals draws the jobs of the load with the index and appends them to all.
-func (s *Scenario) appendArrivals(all []arrival, index int, seed uint64) ([]arrival, error) {
+// appendArrivals draws the jobs of the load with the index and appends them to arrivals.
+func (s *Scenario) appendArrivals(arrivals []arrival, index int, seed uint64) ([]arrival, error) {
 	load := &s.Loads[index]
 	source := rand.NewPCG(seed, firstLoadStream+uint64(index))
 	rng := rand.New(source)
@@ -100,18 +100,18 @@
 	}
 	for atS := load.FromS + interarrivalS.Rand(); atS < endS; atS += interarrivalS.Rand() {
 		for range batchSize {
-			if len(all) == maxArrivals {
+			if len(arrivals) == maxArrivals {
 				return nil, errTooManyArrivals
 			}
 			tasks := min(jobs.MaxTasks, max(1, int(math.Round(drawTasks()))))
 			taskS := min(maxTaskS, max(minTaskS, drawSeconds()))
-			id := fmt.Sprintf("req-%02d%07d", index+1, len(all)+1)
+			id := fmt.Sprintf("req-%02d%07d", index+1, len(arrivals)+1)
 			drawn := arrival{load: index, at: jobs.Seconds(atS), spec: load.spec(id, tasks, taskS)}
 			if rng.Float64() < load.CancelShare {
 				drawn.cancelDelay = jobs.Seconds(minCancelDelayS + rng.Float64()*maxCancelDelayTaskTimes*taskS)
 			}
-			all = append(all, drawn)
+			arrivals = append(arrivals, drawn)
 		}
 	}
-	return all, nil
+	return arrivals, nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -118,12 +118,12 @@
 // The same seeds give the same result, whether the runs are played one at a time or in parallel.
 func TestRunIsReproducible(t *testing.T) {
 	scenario, result := play(t)
-	again, err := scenario.Run(1, nil, nil)
+	repeated, err := scenario.Run(1, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, _ := json.Marshal(result)
-	second, _ := json.Marshal(again)
+	second, _ := json.Marshal(repeated)
 	if !bytes.Equal(first, second) {
 		t.Errorf("two results of the same seeds differ:\n%s\n%s", first, second)
 	}
@@ -309,7 +309,7 @@
 		DurationS: 600,
 		Loads:     []Load{{Name: "dense", PerMinute: 1e6, Batch: 1000, Tasks: one, Seconds: one}},
 	}
-	_, err := scenario.arrivals(1)
+	_, err := scenario.drawArrivals(1)
 	if !errors.Is(err, errTooManyArrivals) || err.Error() != "the loads generate more than 500000 jobs" {
 		t.Errorf("got error %v, want one for more than 500000 jobs", err)
 	}
--- a/internal/lab/parse.go
+++ b/internal/lab/parse.go
@@ -54,7 +54,7 @@
 	if err := s.checkLoads(); err != nil {
 		return err
 	}
-	if _, err := s.script(); err != nil {
+	if _, err := s.faultScript(); err != nil {
 		return err
 	}
 	return s.checkConfigs()
@@ -124,8 +124,8 @@
 	return err
 }
 
-// script returns the faults of the scenario as a fault script of the simulator.
-func (s *Scenario) script() ([]simulator.Fault, error) {
+// faultScript returns the faults of the scenario as a fault script of the simulator.
+func (s *Scenario) faultScript() ([]simulator.Fault, error) {
 	var lines strings.Builder
 	for _, fault := range s.Faults {
 		fmt.Fprintf(&lines, "%s %s\n", jobs.Seconds(fault.AtS), fault.Do)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -18,7 +18,7 @@
 	Jobs     int          `json:"jobs"`
 	Ends     Ends         `json:"ends"`
 	Starts   int          `json:"starts"`
-	Served   float64      `json:"served"`    // share of the users' requests with a status below 429
+	Served   float64      `json:"served"`    // share of the users' requests with a response and a status below 429
 	Cost     float64      `json:"cost"`      // mean over the runs
 	UsedCPUs float64      `json:"used_cpus"` // mean share of the rented cores in use
 	Loads    []LoadResult `json:"loads"`
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -25,13 +25,12 @@
 // Progress is called with the completed fraction of all runs, from 0 to 1. Calls don't overlap.
 type Progress func(done float64)
 
-// UseClock is called with the simulated clock of each run before the run starts.
-type UseClock func(now func() time.Duration)
+// ClockFunc is called with the simulated clock of each run before the run starts.
+type ClockFunc func(now func() time.Duration)
 
-// Run plays every configuration with every seed and summarizes the runs. At most parallel runs are played at a time;
-// if parallel is below 1, one per processor core. Progress and useClock may be nil; with a useClock, parallel must be
-// 1.
-func (s *Scenario) Run(parallel int, progress Progress, useClock UseClock) (*Result, error) {
+// Run plays every configuration with every seed and summarizes the runs. It plays up to parallel runs at a time, or
+// one per processor core if parallel is below 1. Both functions may be nil; with a useClock, parallel must be 1.
+func (s *Scenario) Run(parallel int, progress Progress, useClock ClockFunc) (*Result, error) {
 	if parallel < 1 {
 		parallel = runtime.GOMAXPROCS(0)
 	}
@@ -129,7 +128,7 @@
 }
 
 // play runs one configuration with one seed.
-func (s *Scenario) play(variant Config, seed uint64, useClock UseClock, progress Progress) (*run, error) {
+func (s *Scenario) play(variant Config, seed uint64, useClock ClockFunc, progress Progress) (*run, error) {
 	sim, err := simulator.NewVirtualTime(s.simulation(variant, seed), variant.adjust)
 	if err != nil {
 		return nil, err
@@ -138,11 +137,11 @@
 	if useClock != nil {
 		useClock(sim.Now)
 	}
-	arrivals, err := s.arrivals(seed)
+	arrivals, err := s.drawArrivals(seed)
 	if err != nil {
 		return nil, err
 	}
-	script, err := s.script()
+	script, err := s.faultScript()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -68,9 +68,9 @@
 	taskBytes    = 8 << 10
 	processBytes = 80 << 20
 
-	// otherProcesses counts the processes besides the controllers: the state service, and this process with workers
-	// and users.
-	otherProcesses = 2
+	// nonControllerProcesses counts the processes besides the controllers: the state service, and this process with
+	// workers and users.
+	nonControllerProcesses = 2
 )
 
 // Upper bounds of the times of a quick run, divisor of its sizes, and smallest number of machines.
@@ -133,9 +133,9 @@
 	}
 }
 
-// Fits returns an error that wraps ErrTooLarge if a step needs too many processes, or more than maxMemoryShare of the
-// memory, which is given in bytes.
-func (p *Plan) Fits(memory uint64) error {
+// CheckResources returns an error that wraps ErrTooLarge if a step needs too many processes, or more than
+// maxMemoryShare of the memory, which is given in bytes.
+func (p *Plan) CheckResources(memory uint64) error {
 	available := float64(memory) * maxMemoryShare
 	for _, step := range p.Steps {
 		processes := step.processes()
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (s Step) processes() int { return s.Controllers + otherProcesses }
+func (s Step) processes() int { return s.Controllers + nonControllerProcesses }
 
 func (s Step) estimatedBytes() uint64 {
 	machineBytes := workerBytes + uint64(s.TasksPerMachine)*taskBytes
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := plan.Fits(memory); err != nil {
+	if err := plan.CheckResources(memory); err != nil {
 		return nil, err
 	}
 	result := &Result{
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -93,7 +93,7 @@
 	if heldOut != 1 || fitted < minFittedSizes {
 		t.Errorf("got %d sizes held out, %d fitted; want 1 held out, at least minFittedSizes fitted", heldOut, fitted)
 	}
-	if err := plan.Fits(23 << 30); err != nil {
+	if err := plan.CheckResources(23 << 30); err != nil {
 		t.Error(err)
 	}
 	plan.Quick()
@@ -104,22 +104,22 @@
 
 // Fits refuses a plan that needs more than half of the memory or too many processes. The error names the step or
 // limit.
-func TestFitsRefusesTooLargePlans(t *testing.T) {
+func TestCheckResourcesRefusesTooLargePlans(t *testing.T) {
 	plan, err := Parse("small.hcl", []byte(smallPlan))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := plan.Fits(4 << 30); err != nil {
+	if err := plan.CheckResources(4 << 30); err != nil {
 		t.Error(err)
 	}
 	step := &plan.Steps[0]
 	step.Machines = 100_000
-	if err := plan.Fits(4 << 30); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), `"a"`) {
+	if err := plan.CheckResources(4 << 30); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), `"a"`) {
 		t.Errorf("100,000 machines in 4 GB: got error %v, want ErrTooLarge for step a", err)
 	}
 	step.Machines = 1
 	step.Controllers = 400
-	if err := plan.Fits(1 << 40); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), "processes") {
+	if err := plan.CheckResources(1 << 40); !errors.Is(err, ErrTooLarge) || !strings.Contains(err.Error(), "processes") {
 		t.Errorf("400 controllers: got error %v, want ErrTooLarge for the number of processes", err)
 	}
 }
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -95,7 +95,7 @@
 // values returns the values of all predictors and metrics over the interval.
 func (i interval) values() Values {
 	values := Values{}
-	i.addLoad(values)
+	i.addPredictors(values)
 	i.addState(values)
 	i.addControllers(values)
 	before, after := i.before, i.after
@@ -108,8 +108,8 @@
 	return values
 }
 
-// addLoad adds the values of the predictors.
-func (i interval) addLoad(values Values) {
+// addPredictors adds the values of the predictors.
+func (i interval) addPredictors(values Values) {
 	before, after := i.before, i.after
 	values[predictorMachines] = float64(after.utilization.Machines)
 	values[predictorRunningTasks] = float64(after.utilization.Running)
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -21,8 +21,8 @@
 	return hdrhistogram.New(1, maxRecordedTime.Milliseconds(), histogramDigits)
 }
 
-// record adds a duration, limited to the range of the histogram.
-func record(histogram *hdrhistogram.Histogram, duration time.Duration) {
+// recordDuration adds a duration, limited to the range of the histogram.
+func recordDuration(histogram *hdrhistogram.Histogram, duration time.Duration) {
 	_ = histogram.RecordValue(min(max(1, duration.Milliseconds()), histogram.HighestTrackableValue()))
 }
 
@@ -97,7 +97,7 @@
 	for _, user := range run.users {
 		c.addUser(user)
 		if user.hasStarted {
-			record(waits, user.startDelay)
+			recordDuration(waits, user.startDelay)
 		}
 	}
 	for _, request := range run.requests {
@@ -132,17 +132,17 @@
 	c.Loads[user.load].Jobs++
 	times := c.times[user.load]
 	if user.acceptDelay > 0 {
-		record(times.accept, user.acceptDelay)
+		recordDuration(times.accept, user.acceptDelay)
 	}
 	if user.hasStarted {
-		record(times.wait, user.startDelay)
+		recordDuration(times.wait, user.startDelay)
 	}
 	switch {
 	case user.isRefused:
 		c.Ends.Refused++
 	case user.history.Final == jobs.Done.String():
 		c.Ends.Done++
-		record(times.completion, user.endDelay)
+		recordDuration(times.completion, user.endDelay)
 	case user.history.Final == jobs.Cancelled.String():
 		c.Ends.Cancelled++
 	default:
