--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -20,7 +20,7 @@
 	Kind     drain.Kind `json:"kind"`
 	Name     string     `json:"name"`
 	Op       drain.Op   `json:"op"`
-	Revision *int64     `json:"revision,omitempty"` // the document's revision that the command requires; nil: any
+	Revision *int64     `json:"revision,omitempty"` // required revision of the drain document; nil: any
 	Stop     bool       `json:"stop"`
 }
 
@@ -59,7 +59,7 @@
 	var since string
 	cmd := &cobra.Command{
 		Use:   "status",
-		Short: "Show the controllers, the draining machines and the document's revision",
+		Short: "Show the controllers, the draining machines and the revision of the drain document",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			req := request{method: http.MethodGet, path: adminPath + "?since=" + url.QueryEscape(since)}
--- a/cmd/harewalk/client_call.go
+++ b/cmd/harewalk/client_call.go
@@ -141,7 +141,7 @@
 // leaderNamedBy returns the leader's address for the client's scheme, or "" if the response has none.
 func (c *apiClient) leaderNamedBy(body []byte) string {
 	var named struct {
-		Plain string `json:"leader"`
+		Plain string `json:"leader"` // address of the leader without TLS
 		TLS   string `json:"leader_tls"`
 	}
 	_ = json.Unmarshal(body, &named)
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -142,7 +142,7 @@
 			t.Fatalf("submit: got status %d, want 201", status)
 		}
 	}
-	time.Sleep(10 * time.Second) // for boots and image fetches
+	time.Sleep(10 * time.Second) // time for boots and image fetches
 	const samples = 400
 	sum := 0
 	for range samples {
--- a/cmd/harewalk/output.go
+++ b/cmd/harewalk/output.go
@@ -76,8 +76,8 @@
 
 // outputFile is a file that a command writes because a flag is set.
 type outputFile struct {
-	flag  string // named by errors
-	name  string // short name of the file for errors
+	flag  string // name of the flag, for errors
+	name  string // short name of the file, for errors
 	path  string
 	write func(io.Writer) error
 }
--- a/internal/licences/ledger_test.go
+++ b/internal/licences/ledger_test.go
@@ -47,11 +47,11 @@
 	r.answer(time.Second, AnswerHolder{"1/0", 7, 1})
 	r.Release(5*time.Second, TaskRef{1, 0}, oneUnit, Crashed)
 	r.ApplyAnswer(6*time.Second, 4*time.Second, "p", Answer{Holders: []AnswerHolder{}}, taskByName)
-	r.requireFree(t, 0, "after an answer to a query sent before the end")
+	r.requireFree(t, 0, "after an answer to a query sent before the task crashed")
 	r.answer(7*time.Second, AnswerHolder{"1/0", 7, 1})
-	r.requireFree(t, 0, "while the server reports the unit")
+	r.requireFree(t, 0, "while the server reports the unit of the crashed task")
 	r.answer(25 * time.Second)
-	r.requireFree(t, 1, "after an answer without the unit")
+	r.requireFree(t, 1, "after an answer without the unit of the crashed task")
 	if len(r.pool.checkouts) != 0 {
 		t.Fatalf("got checkouts %v, want none", r.pool.checkouts)
 	}
@@ -102,7 +102,7 @@
 		all = append(all, AnswerHolder{fmt.Sprintf("%d/0", job), 1, 1})
 	}
 	r.answer(time.Second, append(all, AnswerHolder{"outside", 0, 8})...)
-	r.requireFree(t, 6, "with eight outside units")
+	r.requireFree(t, 6, "after an answer with eight outside units")
 	r.Release(2*time.Second, TaskRef{0, 0}, oneUnit, Crashed)
 	r.answer(3 * time.Second) // the server was restarted
 	r.requireServer(t, serverInconsistent)
--- a/internal/sessions/agentapi.go
+++ b/internal/sessions/agentapi.go
@@ -27,7 +27,7 @@
 type CheckpointResult struct {
 	Order uint64  `json:"order"`
 	OK    bool    `json:"ok"`
-	Cause string  `json:"why,omitempty"` // of a failed checkpoint
+	Cause string  `json:"why,omitempty"` // cause of the failure; "" for a successful checkpoint
 	Ref   string  `json:"ref,omitempty"`
 	MB    float64 `json:"mb,omitempty"`
 }
@@ -52,10 +52,13 @@
 	NextHeartbeatS float64 `json:"report_s"`
 }
 
-// Bounds of the values in a heartbeat.
+// Limits of the values in a heartbeat.
 const (
-	maxHeartbeatValue  = 1e8  // of ages in seconds, and of amounts in their units
-	maxHeartbeatString = 1000 // of a reference, and of a checkpoint's reference and cause together, in bytes
+	// maxHeartbeatValue limits each number: ages in seconds, and amounts in their units.
+	maxHeartbeatValue = 1e8
+	// maxHeartbeatString is in bytes. It limits the reference of the resumed checkpoint, and the total length of the
+	// reference and the cause of a new checkpoint.
+	maxHeartbeatString = 1000
 )
 
 // InvalidFieldError is the error for a heartbeat with an invalid value.
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -37,7 +37,7 @@
 // fakeAgent is a model of an agent and of its user's work, which is counted in steps.
 type fakeAgent struct {
 	attempt, seq          uint64
-	stepsDone, stepsSaved int           // of the user's work
+	stepsDone, stepsSaved int           // steps of the user's work
 	cellSince             time.Duration // start of the running cell, 0: none
 	lastInputAt           time.Duration
 	frozen                bool
@@ -45,7 +45,7 @@
 	resumedFrom           string
 	fresh                 bool
 	agentCheckpoint       string // newest checkpoint that the agent made by itself
-	storedCheckpoint      string // stored checkpoint by the newest response
+	storedCheckpoint      string // checkpoint that the newest response calls stored
 }
 
 // harness is a manager with models of a user, an agent, a fleet and a state service, which a test advances.
@@ -55,7 +55,7 @@
 	manager     *Manager
 	term        uint64
 	jobTable    *jobs.Table
-	agent       *fakeAgent // of the running attempt, nil: none
+	agent       *fakeAgent // agent of the running attempt, nil: none
 	lastAttempt uint64
 
 	store      map[string]store.Item
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -72,13 +72,13 @@
 
 // Timing.
 const (
-	heartbeatInterval       = 5 * time.Second // between heartbeats of an agent
-	urgentHeartbeatInterval = time.Second     // while the session is warned or checkpointing
+	heartbeatInterval       = 5 * time.Second // time between heartbeats of an agent
+	urgentHeartbeatInterval = time.Second     // the same while the session is warned or checkpointing
 	minHeartbeatInterval    = 200 * time.Millisecond
-	checkInterval           = 30 * time.Second // of a session that isn't scheduled earlier
+	checkInterval           = 30 * time.Second // longest time between two checks of a session
 	contentionCheckInterval = time.Second
-	minKeepAliveInterval    = time.Second      // between accepted keep-alives of a session
-	agentCheckpointInterval = 10 * time.Second // between stored checkpoints that an agent made by itself, except the last
+	minKeepAliveInterval    = time.Second      // time between accepted keep-alives of a session
+	agentCheckpointInterval = 10 * time.Second // time between writes of agent-made checkpoints, except the last
 	maxCheckpointBackoff    = time.Hour
 	maxBackoffDoublings     = 10
 	rereadDelay             = 300 * time.Millisecond
--- a/internal/sessions/policy.go
+++ b/internal/sessions/policy.go
@@ -55,12 +55,12 @@
 // Policies holds the operators' settings for sessions. The zero value disables sessions.
 type Policies struct {
 	Enabled           bool
-	WarningTime       time.Duration // from the warning to the order of the checkpoint
-	CheckpointTimeout time.Duration // from the order of a checkpoint to its failure without a result
+	WarningTime       time.Duration // time from the warning to the order of the checkpoint
+	CheckpointTimeout time.Duration // time from the order of a checkpoint until it counts as failed without a result
 	UnheardTimeout    time.Duration // time without a heartbeat after which an agent's state is unknown
-	Retention         time.Duration // of a reclaimed session, 0: without limit
-	MaxPerUser        int           // sessions of a user, reclaimed sessions included; 0: no limit
-	MaxPerTeam        int           // sessions of a team, without reclaimed sessions; 0: no limit
+	Retention         time.Duration // time for which a reclaimed session is kept; 0: without limit
+	MaxPerUser        int           // maximum number of sessions of a user, reclaimed sessions included; 0: no limit
+	MaxPerTeam        int           // maximum number of sessions of a team, without reclaimed sessions; 0: no limit
 	ByTeam            map[string]*Policy
 	Default           *Policy
 }
--- a/internal/sessions/requests.go
+++ b/internal/sessions/requests.go
@@ -23,7 +23,7 @@
 // Result is the outcome of a request that was accepted.
 type Result struct {
 	View    View
-	Created bool // by this request
+	Created bool // true if this request created the session
 }
 
 // Reply is called with the outcome of a request, on the event loop. The error is an *Error, or nil if the request was
--- a/internal/sessions/rule.go
+++ b/internal/sessions/rule.go
@@ -16,8 +16,8 @@
 
 // Activity is the input of an idle rule. Times are in seconds.
 type Activity struct {
-	SinceInputS  float64 `expr:"input_s"`    // since the user's last input
-	SinceAttachS float64 `expr:"attached_s"` // since the user's last attach, keep-alive or input
+	SinceInputS  float64 `expr:"input_s"`    // time since the user's last input
+	SinceAttachS float64 `expr:"attached_s"` // time since the user's last attach, keep-alive or input
 	CellRunning  bool    `expr:"cell"`
 	CellRunningS float64 `expr:"cell_s"`
 	CPU          float64 `expr:"cpu"` // cores in use
@@ -45,7 +45,7 @@
 
 // RuleError is the error for an expression that isn't a valid rule.
 type RuleError struct {
-	Position string // of the expression in the settings
+	Position string // position of the expression in the settings
 	Text     string // the expression
 	Err      error
 }
--- a/internal/sessions/session.go
+++ b/internal/sessions/session.go
@@ -66,7 +66,7 @@
 type session struct {
 	id         string
 	record     Record
-	version    uint64 // of the stored record
+	version    uint64 // version of the stored record
 	state      State
 	stateSince time.Duration
 
@@ -84,18 +84,18 @@
 // agentStatus is the status in the last heartbeat of a session's agent. The ages in a heartbeat are converted on
 // arrival to times of the leader's steady clock, so that no other clock matters.
 type agentStatus struct {
-	attempt          uint64 // of the agent's task; 0: no heartbeat has arrived
+	attempt          uint64 // attempt of the agent's task; 0: no heartbeat has arrived
 	heartbeatSeq     uint64 // sequence number of the last heartbeat
 	lastHeartbeatAt  time.Duration
 	lastInputAt      time.Duration
-	cellRunningSince time.Duration // 0: no cell is running
+	cellRunningSince time.Duration // start time of the running cell; 0: no cell is running
 	cpu, gpu         float64
 	unsavedMB        float64
 }
 
 // userPresence records the attaches and keep-alives of a session's user in this term.
 type userPresence struct {
-	attachmentID    uint64        // of the newest attach; 0: none in this term
+	attachmentID    uint64        // ID of the newest attach; 0: none in this term
 	returnedAt      time.Duration // time of the newest attach; 0: none in this term
 	lastAttachedAt  time.Duration // time of the last attach or keep-alive; 0: none in this term
 	lastKeepAliveAt time.Duration // time of the last accepted keep-alive; 0: none in this term
--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -58,8 +58,8 @@
 	return false
 }
 
-// createsJob reports whether a transaction writes a job's record.
-func createsJob(txn store.Txn, id string) bool {
+// writesJobRecord reports whether a transaction writes a job's record.
+func writesJobRecord(txn store.Txn, id string) bool {
 	for _, o := range txn.Then {
 		if o.Put == jobs.RecordKey(id) {
 			return true
@@ -109,7 +109,7 @@
 			delayed := 0
 			id := "req-000001"
 			cluster.InterceptTxns(func(_ int, tx store.Txn) TxnOutcome {
-				if createsJob(tx, id) && delayed == 0 {
+				if writesJobRecord(tx, id) && delayed == 0 {
 					delayed++
 					return TxnOutcome{Delay: delay}
 				}
@@ -221,7 +221,7 @@
 	cluster.Advance(15 * time.Second)
 	cluster.waitUntilDone()
 	cluster.waitFor("all jobs archived", time.Minute, func() bool { return cluster.countRecords() == 0 })
-	for i := range cluster.Controllers() { // restarted, so that no controller has the answer in memory
+	for i := range cluster.Controllers() { // a restarted controller has no answer in memory
 		cluster.KillController(i)
 		cluster.StartController(i)
 	}
@@ -372,8 +372,8 @@
 }
 
 // TestUnreadableRecordIsNotArchived makes a running job's record unreadable while a new leader reads its state, so
-// that the leader doesn't read the job's plan. The record then becomes readable as that of a cancelled job whose tasks
-// still run. The job must not be archived in that term, but under the next leader.
+// that the leader doesn't read the job's plan. The record then becomes readable again: the job is cancelled, and its
+// tasks still run. The job must not be archived in that term, but under the next leader.
 func TestUnreadableRecordIsNotArchived(t *testing.T) {
 	cluster := newTestCluster(t, 408, 3, rollout.Newest, "soak_s = 3")
 	archived := cluster.checkArchivedJobsAreGone()
@@ -393,8 +393,8 @@
 	cluster.Advance(time.Second)
 	cluster.startControllers()
 	cluster.waitFor("led by a controller", 20*time.Second, func() bool { return len(cluster.ActingLeaders()) > 0 })
-	cluster.Advance(2 * time.Second)                 // the leader has read the plans
-	for _, machine := range cluster.cloud.machines { // lose heartbeats meanwhile
+	cluster.Advance(2 * time.Second)                 // enough time for the leader to read the plans
+	for _, machine := range cluster.cloud.machines { // every machine's heartbeats are lost for 4 s
 		machine.outboundLostUntil = cluster.Now() + 4*time.Second
 	}
 	cluster.WriteKeys(store.Op{Put: key, Value: jobs.EncodeRecord(jobs.Cancelled, 0, 3, spec)})
--- a/internal/simulator/balancer.go
+++ b/internal/simulator/balancer.go
@@ -21,7 +21,7 @@
 	removalWindow  = 2 * time.Minute
 
 	maxRefusals       = 3               // refused connections in a row after which a controller is skipped
-	skipTime          = 3 * time.Second // time for which it is skipped
+	skipTime          = 3 * time.Second // time for which the controller is skipped
 	connectAttempts   = 3
 	slowStart         = 10 * time.Second // time until a new controller gets its full share of connections
 	minShare          = 0.1              // share of a controller at the beginning of slowStart
@@ -39,7 +39,7 @@
 type backend struct {
 	healthy, everHealthy bool
 	stateSince           time.Duration   // time of the last change of healthy
-	recentProbes         []bool          // results of the recent probes since that change, newest last; true: passed
+	recentProbes         []bool          // results of the recent probes since stateSince, newest last; true: passed
 	passed, failed       int             // number of passed or failed probes in a row
 	removedAt            []time.Duration // times of all removals
 	connections          int             // number of open connections
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -31,8 +31,8 @@
 	finalStates     []string // the job's state in each final answer, in order
 	history         History
 	cancelRequested bool
-	status          int           // latest status of the submission; 0 before an answer
-	submitAt        time.Duration // time of the first submission, set in chaos runs only
+	status          int           // status of the latest answer to the submission; 0 before the first answer
+	submittedAt     time.Duration // time of the first submission, set in chaos runs only
 	predecessors    []*testUser   // their jobs have to be accepted before this one is submitted
 	onAccepted      []func()      // called once the job is accepted
 }
@@ -222,7 +222,7 @@
 		user := &testUser{simulation: sim, rng: rng, spec: drawJob(rng, i+1)}
 		users = append(users, user)
 		at := time.Duration(rng.Int64N(int64(end)))
-		user.submitAt = at
+		user.submittedAt = at
 		sim.After(at, user.submit)
 		if rng.IntN(6) == 0 {
 			sim.After(at+time.Duration(rng.IntN(20000))*time.Millisecond, user.cancel)
@@ -404,8 +404,8 @@
 // eventOrder is a state machine of jobs and their tasks that checks the order of their events.
 type eventOrder struct {
 	t         *testing.T
-	state     map[string]string // by job, and by "job/task number" the last event of a task
-	doneTasks map[string]int    // by job
+	state     map[string]string // last event of each job, by job ID, and of each task, by "job/task number"
+	doneTasks map[string]int    // number of tasks that are done, by job
 	notes     map[string]int    // number of task events by note
 	kinds     map[string]int    // number of events by event name
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -34,7 +34,7 @@
 
 // Message bodies of the cloud's protocol. The fields of answers are in alphabetical order of their tags.
 type (
-	// cloudMachine is a machine as the cloud lists it.
+	// cloudMachine is a machine as the cloud lists it. Type is the name of its machine type.
 	cloudMachine struct {
 		Name  string  `json:"name_id"`
 		Addr  string  `json:"address"`
@@ -51,6 +51,7 @@
 		Machines []cloudMachine `json:"dens"`
 		More     bool           `json:"has_next"`
 	}
+	// rentRequest is the body of a request to rent Count machines of a machine type in a zone.
 	rentRequest struct {
 		Claim string `json:"claim"`
 		Type  string `json:"build"`
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -19,11 +19,11 @@
 // tasks.
 func newBusyCluster(t *testing.T, seed uint64, controllers, n int) (*testCluster, *Balancer) {
 	t.Helper()
-	return newBusyClusterOn(t, seed, controllers, n, shortTimers)
+	return newBusyClusterWith(t, seed, controllers, n, shortTimers)
 }
 
-// newBusyClusterOn is newBusyCluster with other worker settings.
-func newBusyClusterOn(
+// newBusyClusterWith starts a cluster as newBusyCluster does, but with the given worker settings.
+func newBusyClusterWith(
 	t *testing.T,
 	seed uint64,
 	controllers, n int,
@@ -115,7 +115,7 @@
 		jobs.Seconds(shortTimers.CancelS),
 		job,
 		longest,
-		s.StartsAfterCancel,
+		s.TaskStartsAfterCancel,
 		s.LatestStartAfterCancel,
 	)
 }
@@ -231,7 +231,7 @@
 		t.Errorf("controller %d leads in term %d, want still %d in term %d", gotLeader, gotTerm, leader, term)
 	}
 	if len(cluster.ActingLeaders()) != 1 {
-		t.Error("not exactly one acting leader after the watches were lost: they were not reopened")
+		t.Error("got no or several acting leaders, want 1: the lost watches were not reopened")
 	}
 	cluster.recoverAndCheck()
 }
@@ -427,8 +427,8 @@
 }
 
 // TestDelayedRegistrationOfFormerIncarnation delays a controller's registration, kills the controller and restarts it
-// at once, so that the registration is applied after that of the new incarnation. The member key must remain when the
-// lease of the former incarnation ends.
+// at once, so that the new incarnation's registration is applied first. The member key must remain when the former
+// incarnation's lease ends.
 func TestDelayedRegistrationOfFormerIncarnation(t *testing.T) {
 	for _, delay := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1400 * time.Millisecond} {
 		cluster, _ := newBusyCluster(t, 214, 3, 6)
@@ -565,7 +565,7 @@
 	cluster      *testCluster
 	doneAt       map[string]time.Duration // when all tasks were done, by job
 	stored       map[string]bool          // whether the state service stores the job as done, by job
-	longestDelay time.Duration            // maximum over all jobs, from doneAt until the job is stored as done
+	longestDelay time.Duration            // longest time from doneAt until a job is stored as done
 }
 
 // watchCompletions returns a completionWatch of all jobs, which checks them every 50 ms.
@@ -632,7 +632,7 @@
 				s.TasksRerun,
 			)
 			maxDelay := 8 * time.Second
-			if name == "late writes" { // a late write times out after 2 s, and the next may be late too
+			if name == "late writes" { // a late write times out after 2 s, and its retry may be late too
 				maxDelay = 14 * time.Second
 			}
 			if completions.longestDelay > maxDelay {
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -44,14 +44,14 @@
 	}{
 		{1, false, 50 * time.Second, ""},
 		{6, false, 50 * time.Second, ""},
-		{wholeZone, true, 50 * time.Second, ""},
+		{allZoneMachines, true, 50 * time.Second, ""},
 		{6, false, 10 * time.Second, "killed"},
-		{wholeZone, true, 50 * time.Second, "killed"},
-		{wholeZone, true, 50 * time.Second, "drained"},
+		{allZoneMachines, true, 50 * time.Second, "killed"},
+		{allZoneMachines, true, 50 * time.Second, "drained"},
 	} {
 		t.Run(fmt.Sprint(c.machines, " ", c.duration, " ", c.change), func(t *testing.T) {
 			t.Parallel()
-			cluster, _ := newBusyClusterOn(t, 321, 3, 24, rareHeartbeats)
+			cluster, _ := newBusyClusterWith(t, 321, 3, 24, rareHeartbeats)
 			for k := range 400 { // a stream of short tasks, so that there is always one to launch
 				cluster.After(time.Duration(150*k)*time.Millisecond, func() { cluster.submitLongJob(100+k, 2) })
 			}
@@ -98,7 +98,7 @@
 		"flapping partition":  func(cluster *testCluster, zone string) { cluster.flapZone(zone, 4*time.Second) },
 		"long partition":      func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DropBoth, 18*time.Second) },
 		"delaying partition":  func(cluster *testCluster, zone string) { cluster.partitionZoneFor(zone, DelayBoth, 9*time.Second) },
-		"no inbound messages": func(cluster *testCluster, zone string) { cluster.DropInbound(wholeZone, zone, 14*time.Second) },
+		"no inbound messages": func(cluster *testCluster, zone string) { cluster.DropInbound(allZoneMachines, zone, 14*time.Second) },
 	}
 	for loss, lose := range losses {
 		for _, change := range []string{"", "killed"} {
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -21,7 +21,7 @@
 
 	process     *controller.Simulated // nil while the controller isn't running
 	startedAt   time.Duration
-	frozenUntil time.Duration // events before this time are deferred to it
+	frozenUntil time.Duration // events before this time are deferred to this time
 	draining    bool
 	maxLevel    rollout.Level // highest level that the process supports
 }
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -390,7 +390,7 @@
 	return func(t *testing.T) *testCluster {
 		stored := storedBefore(t)
 		for _, key := range []string{"h/c/leader", "h/c/n/node-0", "h/c/n/node-1", "h/c/n/node-2", drain.DocumentKey} {
-			delete(stored, key) // belong to expired leases, or to machines that this simulation doesn't have
+			delete(stored, key) // records of expired leases, or of machines that this simulation doesn't have
 		}
 		cluster := clusterWithSettings(
 			t,
--- a/internal/simulator/environment.go
+++ b/internal/simulator/environment.go
@@ -41,8 +41,8 @@
 	// controllerAddrs returns a controller's public address for users and workers, and its peer address for the other
 	// controllers.
 	controllerAddrs(controller int) (public, peer string, err error)
-	// post sends a request from a machine ("" for a copy of a message) in a zone to an address; status 0 stands for no
-	// answer.
+	// post sends a request to an address and passes the answer to then. Status 0 means that no answer arrived. The
+	// machine and the zone are those of the sender. For a duplicated message the machine is "".
 	post(machine, zone, addr, path string, body []byte, then func(status int, body []byte))
 	close()
 }
--- a/internal/simulator/fault_kinds.go
+++ b/internal/simulator/fault_kinds.go
@@ -37,11 +37,11 @@
 	fastBootFactor  = 0.01                   // multiple of the usual boot time; all machines are up within 2 s
 	slowLinkDelay   = 150 * time.Millisecond // mean delay of messages
 	leaderKillCount = 10
-	duplicateShare  = 0.2         // share of messages
-	lateWriteShare  = 0.2         // share of transactions
-	lostAnswerShare = 0.3         // share of transactions
-	replayShare     = 0.3         // share of heartbeats
-	cancelShare     = 0.5         // share of completing jobs
+	duplicateShare  = 0.2         // share of messages that are duplicated
+	lateWriteShare  = 0.2         // share of transactions that are applied late
+	lostAnswerShare = 0.3         // share of transactions whose answer is lost
+	replayShare     = 0.3         // share of heartbeats that are replayed
+	cancelShare     = 0.5         // share of completing jobs that are cancelled
 	minDuplicateAge = time.Second // shortest delay of a duplicate
 )
 
@@ -83,7 +83,7 @@
 	"outage":         {args: "t", apply: toggledFault((*Simulation).SetStateOutage)},
 	"cloud-outage":   {args: "t", apply: toggledFault((*Simulation).SetCloudOutage)},
 	"licence-down":   {args: "t", apply: toggledFault(func(sim *Simulation, on bool) { sim.Licences.SetDown(on) })},
-	"small-limits":   {args: "t", apply: toggledFault((*Simulation).SetSmallLimits)},
+	"small-limits":   {args: "t", apply: toggledFault((*Simulation).SetLowStateLimits)},
 	"lose-positions": {args: "t", apply: func(sim *Simulation, _ faultArgs) { sim.CompactHistory() }},
 	"refuse": {args: "nt", apply: func(sim *Simulation, args faultArgs) {
 		if args.count < sim.cfg.Controllers {
--- a/internal/simulator/fixtures_test.go
+++ b/internal/simulator/fixtures_test.go
@@ -38,8 +38,9 @@
 // zoneNames returns the zones of most tests' clouds.
 func zoneNames() []string { return []string{"a", "b", "c"} }
 
-// wholeZone is a number of machines above any zone's and cloud's. As an argument it selects all machines.
-const wholeZone = 99
+// allZoneMachines exceeds the number of machines in any test. As the count of a machine fault it selects all
+// machines.
+const allZoneMachines = 99
 
 // reportViolations reports every violation of the protocol's rules that a simulation has recorded as a test error.
 func reportViolations(t *testing.T, sim *Simulation) {
--- a/internal/simulator/measurements.go
+++ b/internal/simulator/measurements.go
@@ -45,11 +45,11 @@
 	// PollBursts counts the bursts of status queries, JobsCancelled the jobs that users cancelled as they ran or
 	// ended, OddRequests the odd requests, and OddRequestsRefused the invalid submissions that were rejected.
 	PollBursts, JobsCancelled, OddRequests, OddRequestsRefused int
-	// StartsAfterCancel counts the tasks that started after a user received the cancellation of their job, and
-	// DirectStartsAfterCancel the subset launched by a direct command. LatestStartAfterCancel is the longest time from
-	// such a cancellation to a start.
-	StartsAfterCancel, DirectStartsAfterCancel int
-	LatestStartAfterCancel                     time.Duration
+	// TaskStartsAfterCancel counts the tasks that started after a user received the cancellation of their job.
+	// DirectLaunchStartsAfterCancel counts those of them that a controller launched by a request to the machine, not
+	// in the answer to a heartbeat. LatestStartAfterCancel is the longest time from the cancellation to a start.
+	TaskStartsAfterCancel, DirectLaunchStartsAfterCancel int
+	LatestStartAfterCancel                               time.Duration
 	// LongestRunAfterCancel is the longest time that a task stayed on a machine after a user received the cancellation
 	// of its job or of one of the job's ancestors.
 	LongestRunAfterCancel time.Duration
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -14,9 +14,9 @@
 	"github.com/harewalk/harewalk/internal/rollout"
 )
 
-// newSteadyCluster starts a cluster with machines in three zones that run long tasks. The returned balancer forwards
-// users' requests to the controllers.
-func newSteadyCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
+// newThreeZoneLoadedCluster starts a cluster and returns once its machines in three zones run long tasks. The returned
+// balancer forwards users' requests to the controllers.
+func newThreeZoneLoadedCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
 	cluster := newWideCluster(t, seed, controllers)
 	balancer := cluster.Balance()
 	cluster.submitSmallJobs(24, 20)
@@ -47,33 +47,33 @@
 // machines are returned and replaced, or used again once they receive messages, and all jobs end.
 func TestMachineWithLostInbound(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		n    int
-		zone bool
-		d    time.Duration // of the fault
-		lead bool          // the leader restarts during the fault
+		name          string
+		n             int
+		zone          bool
+		duration      time.Duration // duration of the fault
+		restartLeader bool          // the leader restarts during the fault
 	}{
 		{"one", 1, false, 5 * time.Minute, false},
 		{"many", 14, false, 5 * time.Minute, false},
-		{"zone", wholeZone, true, 5 * time.Minute, false},
-		{"zone and leader", wholeZone, true, 5 * time.Minute, true},
+		{"zone", allZoneMachines, true, 5 * time.Minute, false},
+		{"zone and leader", allZoneMachines, true, 5 * time.Minute, true},
 		{"many, short fault", 14, false, 12 * time.Second, false},
 		{"many and leader", 14, false, 5 * time.Minute, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cluster, _ := newSteadyCluster(t, 81, 5)
+			cluster, _ := newThreeZoneLoadedCluster(t, 81, 5)
 			zone := ""
 			if c.zone {
 				zone = cluster.zoneWithoutLeader()
 			}
-			unreachable := cluster.DropInbound(c.n, zone, c.d)
-			if c.lead {
+			unreachable := cluster.DropInbound(c.n, zone, c.duration)
+			if c.restartLeader {
 				l, _ := cluster.Leader()
 				cluster.After(2*time.Second, func() { cluster.KillController(l) })
 				cluster.After(4*time.Second, func() { cluster.StartController(l) })
 			}
-			cluster.Advance(c.d / 2)
-			if c.d > time.Minute {
+			cluster.Advance(c.duration / 2)
+			if c.duration > time.Minute {
 				rented := 0
 				for _, m := range unreachable {
 					if cluster.isRented(m) {
@@ -81,7 +81,7 @@
 					}
 				}
 				if rented > 0 {
-					t.Errorf("got %d of %d unreachable machines still rented after %v, want 0", rented, len(unreachable), c.d/2)
+					t.Errorf("got %d of %d unreachable machines still rented after %v, want 0", rented, len(unreachable), c.duration/2)
 				}
 			}
 			// A machine may lose a launch or two until the fault is detected, but not one launch per lease.
@@ -98,7 +98,7 @@
 // TestMachineWithLostOutbound checks that machines whose heartbeats are lost are returned, although they still receive
 // messages.
 func TestMachineWithLostOutbound(t *testing.T) {
-	cluster, _ := newSteadyCluster(t, 82, 3)
+	cluster, _ := newThreeZoneLoadedCluster(t, 82, 3)
 	unreachable := cluster.DropOutbound(3, "", 5*time.Minute)
 	cluster.Advance(40 * time.Second)
 	for _, m := range unreachable {
@@ -114,7 +114,7 @@
 // terminated machine ready again, free its slots or complete a task.
 func TestDuplicatedMessagesHaveNoEffect(t *testing.T) {
 	for seed := range uint64(3) {
-		cluster, _ := newSteadyCluster(t, 90+seed, 3)
+		cluster, _ := newThreeZoneLoadedCluster(t, 90+seed, 3)
 		cluster.DuplicateMessages(0.4, time.Second, 40*time.Second)
 		terminatedAt := map[string]time.Duration{}
 		for i := range 8 {
@@ -173,7 +173,7 @@
 func TestControllerPartitionedWithItsWorkers(t *testing.T) {
 	for _, c := range []string{"leader", "other", "two", "rolling"} {
 		t.Run(c, func(t *testing.T) {
-			cluster, balancer := newSteadyCluster(t, 83, 5)
+			cluster, balancer := newThreeZoneLoadedCluster(t, 83, 5)
 			first, _ := cluster.Leader()
 			partitioned := []int{first}
 			switch c {
@@ -227,7 +227,7 @@
 // TestLeaderLosesItsWorkers cuts only the leader's links to its workers. Another controller becomes leader once the
 // workers contact other controllers, and the leader doesn't change again while the links are cut.
 func TestLeaderLosesItsWorkers(t *testing.T) {
-	cluster, _ := newSteadyCluster(t, 89, 5)
+	cluster, _ := newThreeZoneLoadedCluster(t, 89, 5)
 	old, oldTerm := cluster.Leader()
 	cluster.CutLinks(old, WorkerLinks)
 	from := cluster.Now()
@@ -253,7 +253,7 @@
 // TestControllersThatRestartAtOnce repeatedly kills controllers at each step of an election and restarts them after 50
 // to 900 ms. Each time exactly one leader acts within 14 s, and every job ends once.
 func TestControllersThatRestartAtOnce(t *testing.T) {
-	cluster, _ := newSteadyCluster(t, 84, 3)
+	cluster, _ := newThreeZoneLoadedCluster(t, 84, 3)
 	steps := membershipStates()
 	for round := range 14 {
 		all := round%3 == 2
@@ -335,9 +335,9 @@
 // new session and sequence numbers from the start, while copies of their earlier heartbeats are in flight. They are
 // used again or returned within 10 s, and at most a quarter is returned.
 func TestMachinesThatRestartAtOnce(t *testing.T) {
-	for _, n := range []int{1, 12, wholeZone} {
+	for _, n := range []int{1, 12, allZoneMachines} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
-			cluster, _ := newSteadyCluster(t, 85, 3)
+			cluster, _ := newThreeZoneLoadedCluster(t, 85, 3)
 			cluster.DuplicateMessages(0.2, time.Second, 20*time.Second)
 			cluster.raiseHeartbeatSequences()
 			cluster.Advance(15 * time.Second)
@@ -372,12 +372,12 @@
 // boot are returned and replaced, but not by a burst of rentals; late machines are used or returned.
 func TestMachinesThatBootLateOrNever(t *testing.T) {
 	for _, c := range []struct {
-		name          string
-		factor, never float64 // multiple of the boot time; share of machines that never boot
+		name               string
+		factor, neverShare float64 // factor multiplies the boot time; neverShare is the share of machines that never boot
 	}{{"late", 6, 0}, {"never", 1, 0.6}, {"at once", 0.01, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			cluster := newWideCluster(t, 86, 3)
-			cluster.SetBootFault(c.factor, c.never)
+			cluster.SetBootFault(c.factor, c.neverShare)
 			cluster.submitSmallJobs(16, 15)
 			maxMachines := 0
 			for range 90 {
@@ -415,8 +415,8 @@
 // jobs: a single task, a gang and an array. No machine is returned because of them, other jobs don't wait for them,
 // and a faulty machine is still detected.
 func TestFailingJobsAndFaultyMachines(t *testing.T) {
-	cluster, _ := newSteadyCluster(t, 87, 3)
-	for i := range 40 { // enough work that no machine is idle
+	cluster, _ := newThreeZoneLoadedCluster(t, 87, 3)
+	for i := range 40 { // enough jobs to keep every machine busy
 		spec := arraySpec(fmt.Sprintf("req-81%04d", i), "long", "blue")
 		spec.Tasks = 8
 		spec.CPUs = 4
@@ -478,7 +478,7 @@
 // TestLeadersFrozenForAMinute freezes the leader for more than a minute, three leaders in a row. Each time another
 // controller leads within 12 s, and a controller that resumes does nothing on its expired leadership.
 func TestLeadersFrozenForAMinute(t *testing.T) {
-	cluster, balancer := newSteadyCluster(t, 88, 5)
+	cluster, balancer := newThreeZoneLoadedCluster(t, 88, 5)
 	pollers := cluster.startPolling(balancer)
 	cluster.submitJobs(2 * time.Minute)
 	from := cluster.Now()
@@ -497,13 +497,13 @@
 // frozen for a time. Each query is answered at once or with a request to retry, no worker lease expires, submissions
 // are accepted, and every job's queries are answered again and again.
 func TestFloodOfQueriesIsShed(t *testing.T) {
-	cluster, balancer := newSteadyCluster(t, 91, 3)
+	cluster, balancer := newThreeZoneLoadedCluster(t, 91, 3)
 	pollers := cluster.startPolling(balancer)
 	cluster.Advance(20 * time.Second)
 	before, from := cluster.Stats(), cluster.Now()
 	statuses := map[int]int{}
 	slowest, late := time.Duration(0), 0
-	for i := range 60_000 { // a thousand a second
+	for i := range 60_000 { // 1000 jobs a second
 		id, real := fmt.Sprintf("req-7%05d", i%1000), false
 		if i%3 > 0 {
 			id, real = cluster.users[i%len(cluster.users)].spec.ID, true
@@ -554,7 +554,7 @@
 // other team's jobs start within 4 minutes.
 func TestJobsWithoutGuaranteeDoNotDelayOthers(t *testing.T) {
 	types := gpuMachineTypes(12)
-	cluster := newTestClusterOn(
+	cluster := newTestClusterWithMachines(
 		t,
 		92,
 		3,
--- a/internal/simulator/partitions.go
+++ b/internal/simulator/partitions.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// between returns the effect of the partitions on a message from one zone to another: Connected, DropBoth, DelayBoth
-// or RefuseBoth. Senders and receivers that belong to no zone ("") can't be partitioned.
-func (n *network) between(from, to string) Partition {
+// partitionBetween returns the effect of the partitions on a message from one zone to another: Connected, DropBoth,
+// DelayBoth or RefuseBoth. Senders and receivers that belong to no zone ("") can't be partitioned.
+func (n *network) partitionBetween(from, to string) Partition {
 	if from == to {
 		return Connected
 	}
@@ -87,7 +87,7 @@
 // deliver delivers a message from one zone to another: it calls arrive now or, for a delayed message, after the
 // partition's end. A refused connection calls refuse. A lost message calls neither.
 func (env *virtualTime) deliver(from, to string, arrive, refuse func()) {
-	switch env.network.between(from, to) {
+	switch env.network.partitionBetween(from, to) {
 	case Connected:
 		arrive()
 	case DelayBoth:
@@ -107,7 +107,7 @@
 	PeerLinks
 	WorkerLinks
 	UserLinks
-	CloudLink // to the cloud and the licence server
+	CloudLink // link to the cloud and the licence server
 )
 
 // CutLinks cuts some of a controller's links, and restores all others; 0 restores all. Messages over a cut link are
--- a/internal/simulator/pipelines_cascade_test.go
+++ b/internal/simulator/pipelines_cascade_test.go
@@ -13,7 +13,7 @@
 
 // Sizes of the cascades.
 const (
-	cascadeJobs = 30 // successors of the cancelled job
+	cascadeJobs = 30 // number of successors of the cancelled job
 	// cascadeTxnOps is the maximum number of operations in a transaction.
 	cascadeTxnOps = 4
 )
@@ -35,17 +35,17 @@
 
 // cascadeKiller kills the leader at the transactions of a cascade.
 type cascadeKiller struct {
-	cluster *testCluster
-	head    string // ID of the job that a user cancels
+	cluster      *testCluster
+	cancelledJob string // ID of the job that a user cancels
 	// outcome applies to each transaction at which the leader is killed.
 	outcome TxnOutcome
-	// afterAnswer kills the leader only when it sends its next transaction, which is dropped: by then the leader has
-	// received the answer to the one before.
+	// afterAnswer delays the kill until the leader sends its next transaction, which is dropped. By then the leader
+	// has received the answer to the previous transaction.
 	afterAnswer bool
 
-	answered map[int]bool // controllers that have sent a transaction of the cascade since their start
-	kills    int
-	largest  int // largest number of cancellations in one transaction
+	answered         map[int]bool // controllers that have sent a transaction of the cascade since their start
+	kills            int
+	maxCancellations int // largest number of cancellations in one transaction
 }
 
 // killRestart is the time from a leader's kill to its restart.
@@ -54,11 +54,11 @@
 // intercept returns the outcome of a transaction, and kills and restarts the leader if the transaction is part of the
 // cascade.
 func (k *cascadeKiller) intercept(controller int, txn store.Txn) TxnOutcome {
-	cancellations := countCancellations(txn, k.head)
+	cancellations := countCancellations(txn, k.cancelledJob)
 	if cancellations == 0 {
 		return TxnOutcome{}
 	}
-	k.largest = max(k.largest, cancellations)
+	k.maxCancellations = max(k.maxCancellations, cancellations)
 	if k.afterAnswer && !k.answered[controller] {
 		k.answered[controller] = true
 		return TxnOutcome{}
@@ -99,7 +99,7 @@
 				cluster.waitUntilAccepted(users...)
 				kill := killer
 				kill.cluster = cluster
-				kill.head = users[0].spec.ID
+				kill.cancelledJob = users[0].spec.ID
 				kill.answered = map[int]bool{}
 				cluster.InterceptTxns(kill.intercept)
 				users[0].cancel()
@@ -107,14 +107,14 @@
 					if cluster.Now() >= end {
 						t.Fatalf("got %d jobs pending after 4 m and %d kills, want 0 pending", len(cluster.pendingJobs()), kill.kills)
 					}
-					cluster.askEverywhere(users)
+					cluster.queryEverywhere(users)
 				}
 				cluster.InterceptTxns(nil)
 				cluster.waitUntilDone()
 				cluster.wantFinalStates(stateCancelled, users...)
-				t.Logf("%d kills, at most %d cancellations in a transaction", kill.kills, kill.largest)
-				if kill.kills < cascadeJobs/cascadeTxnOps || kill.largest > cascadeTxnOps {
-					t.Errorf("got %d kills and %d cancellations in a transaction, want at least 7 and at most 4", kill.kills, kill.largest)
+				t.Logf("%d kills, at most %d cancellations in a transaction", kill.kills, kill.maxCancellations)
+				if kill.kills < cascadeJobs/cascadeTxnOps || kill.maxCancellations > cascadeTxnOps {
+					t.Errorf("got %d kills and %d cancellations in a transaction, want at least 7 and at most 4", kill.kills, kill.maxCancellations)
 				}
 			})
 		}
--- a/internal/simulator/pipelines_chaos_test.go
+++ b/internal/simulator/pipelines_chaos_test.go
@@ -16,14 +16,14 @@
 // Dependencies between the jobs of a run with random faults.
 const (
 	chaosFollowerPercent = 60 // percentage of jobs with predecessors
-	chaosMaxPredecessors = 3  // of one job
+	chaosMaxPredecessors = 3  // maximum number of predecessors of one job
 	chaosFirstFollower   = 2  // index of the first user whose job may follow others
 )
 
 // linkPipelines makes most users' jobs follow one or more jobs that are submitted earlier.
 func linkPipelines(rng *rand.Rand, users []*testUser) {
 	users = slices.SortedFunc(slices.Values(users), func(a, b *testUser) int {
-		return cmp.Compare(a.submitAt, b.submitAt)
+		return cmp.Compare(a.submittedAt, b.submittedAt)
 	})
 	for i, user := range users {
 		if i < chaosFirstFollower || rng.IntN(100) >= chaosFollowerPercent {
@@ -88,30 +88,30 @@
 
 // Load of an upgrade with random faults.
 const (
-	upgradeChaosPlainJobs    = 20               // jobs without predecessors
-	upgradeChaosPlainTime    = 40 * time.Second // in which the plain jobs are submitted
+	upgradeChaosPlainJobs    = 20               // number of jobs without predecessors
+	upgradeChaosPlainTime    = 40 * time.Second // time in which the plain jobs are submitted
 	upgradeChaosPipelines    = 12
-	upgradeChaosPipelineJobs = 5                      // in each pipeline
-	upgradeChaosPipelineTime = 50 * time.Second       // in which the first jobs of pipelines are submitted
-	upgradeChaosSubmitTime   = 300 * time.Millisecond // between the submissions of a pipeline's jobs
-	upgradeChaosRollAfter    = 10 * time.Second       // from the start to the rolling restart
+	upgradeChaosPipelineJobs = 5                      // number of jobs in each pipeline
+	upgradeChaosPipelineTime = 50 * time.Second       // time in which the first jobs of pipelines are submitted
+	upgradeChaosSubmitTime   = 300 * time.Millisecond // time between the submissions of two jobs of a pipeline
+	upgradeChaosRollAfter    = 10 * time.Second       // time from the start to the rolling restart
 	upgradeChaosCancelTime   = 12 * time.Second       // maximum time from a submission to its cancellation
 )
 
-// Shares of an upgrade with random faults: one in this many is affected.
+// Shares in an upgrade with random faults: a value n means that one in n is affected.
 const (
-	upgradeChaosCancelShare = 8 // jobs that are cancelled
-	upgradeChaosLateShare   = 3 // faulty runs with delayed writes
-	upgradeChaosKillShare   = 3 // restarts in faulty runs in which the controller is killed while it drains
+	upgradeChaosCancelShare = 8 // one in this many jobs is cancelled
+	upgradeChaosLateShare   = 3 // one in this many faulty runs has delayed writes
+	upgradeChaosKillShare   = 3 // one in this many restarts of faulty runs kills the controller while it drains
 )
 
 // upgradeChaos is a run that upgrades a cluster from the release before pipelines. Jobs without predecessors are
 // submitted from the start, pipelines once all controllers run the newest release.
 type upgradeChaos struct {
 	*testCluster
-	meter  *pipelineMeter
-	faulty bool // whether random faults are injected
-	rolled bool // whether all controllers run the newest release
+	meter       *pipelineMeter
+	faulty      bool // whether random faults are injected
+	allUpgraded bool // whether all controllers run the newest release
 	// returns counts the restarts of a controller with the former release while pipelines were stored and the
 	// cluster's level had not risen.
 	returns int
@@ -128,15 +128,15 @@
 	return &upgradeChaos{testCluster: cluster, meter: newPipelineMeter(cluster), faulty: faulty}
 }
 
-// upTo draws a duration less than limit.
-func (c *upgradeChaos) upTo(limit time.Duration) time.Duration {
+// drawDuration draws a duration less than limit.
+func (c *upgradeChaos) drawDuration(limit time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(limit)))
 }
 
 // drawUser draws a job of any kind, without predecessors, that is submitted at submitAt.
 func (c *upgradeChaos) drawUser(submitAt time.Duration) *testUser {
 	user := c.newUser(drawJob(c.rng, len(c.users)+1))
-	user.submitAt = submitAt
+	user.submittedAt = submitAt
 	c.users = append(c.users, user)
 	return user
 }
@@ -144,7 +144,7 @@
 // drawPlainUsers draws jobs without predecessors and their submission times.
 func (c *upgradeChaos) drawPlainUsers() (users []*testUser) {
 	for range upgradeChaosPlainJobs {
-		users = append(users, c.drawUser(c.upTo(upgradeChaosPlainTime)))
+		users = append(users, c.drawUser(c.drawDuration(upgradeChaosPlainTime)))
 	}
 	return users
 }
@@ -152,7 +152,7 @@
 // drawPipelines draws pipelines. Each job except the first follows one or more earlier jobs of its pipeline.
 func (c *upgradeChaos) drawPipelines() (users []*testUser) {
 	for range upgradeChaosPipelines {
-		submitAt := c.upTo(upgradeChaosPipelineTime)
+		submitAt := c.drawDuration(upgradeChaosPipelineTime)
 		var pipeline []*testUser
 		for i := range upgradeChaosPipelineJobs {
 			user := c.drawUser(submitAt + time.Duration(i)*upgradeChaosSubmitTime)
@@ -166,12 +166,12 @@
 	return users
 }
 
-// submitDrawn schedules the submissions at the drawn times, and the cancellations of some of the jobs.
-func (c *upgradeChaos) submitDrawn(users []*testUser) {
+// scheduleUsers schedules the submissions at the drawn times, and the cancellations of some of the jobs.
+func (c *upgradeChaos) scheduleUsers(users []*testUser) {
 	for _, user := range users {
-		c.After(user.submitAt, user.submit)
+		c.After(user.submittedAt, user.submit)
 		if c.rng.IntN(upgradeChaosCancelShare) == 0 {
-			c.After(user.submitAt+c.upTo(upgradeChaosCancelTime), user.cancel)
+			c.After(user.submittedAt+c.drawDuration(upgradeChaosCancelTime), user.cancel)
 		}
 	}
 }
@@ -180,20 +180,20 @@
 func (c *upgradeChaos) run() {
 	c.t.Helper()
 	pipelines := c.drawPipelines()
-	c.submitDrawn(c.drawPlainUsers())
+	c.scheduleUsers(c.drawPlainUsers())
 	if c.faulty {
 		c.scheduleFaults()
 	}
 	c.Advance(upgradeChaosRollAfter)
 	kill := func(int) bool { return c.faulty && c.rng.IntN(upgradeChaosKillShare) == 0 }
 	c.RollingRestart(rollout.Newest, time.Second, kill, func() {
-		c.rolled = true
-		c.submitDrawn(pipelines)
+		c.allUpgraded = true
+		c.scheduleUsers(pipelines)
 		if c.faulty {
-			c.After(c.upTo(upgradeChaosPipelineTime), c.returnToFormer)
+			c.After(c.drawDuration(upgradeChaosPipelineTime), c.restartWithFormerRelease)
 		}
 	})
-	c.waitFor("all controllers restarted", 5*time.Minute, func() bool { return c.rolled })
+	c.waitFor("all controllers restarted", 5*time.Minute, func() bool { return c.allUpgraded })
 	c.Advance(upgradeChaosPipelineTime + upgradeChaosCancelTime)
 	c.endRun()
 	c.waitUntilDone()
@@ -201,7 +201,7 @@
 
 // scheduleFaults schedules random faults up to a time at which the rolling restart has probably ended.
 func (c *upgradeChaos) scheduleFaults() {
-	c.SetNetwork(time.Millisecond+c.upTo(20*time.Millisecond), 0.01, 0.01, 8*time.Second)
+	c.SetNetwork(time.Millisecond+c.drawDuration(20*time.Millisecond), 0.01, 0.01, 8*time.Second)
 	c.scheduleChaosFaults(c.rng, upgradeChaosRollAfter+2*upgradeChaosPipelineTime)
 	if c.rng.IntN(upgradeChaosLateShare) == 0 {
 		c.DelayWrites(0.1, 500*time.Millisecond, 4*time.Second)
@@ -209,9 +209,9 @@
 	}
 }
 
-// returnToFormer restarts a controller with the former release, as an operator might by mistake, and later with the
-// newest release.
-func (c *upgradeChaos) returnToFormer() {
+// restartWithFormerRelease restarts a controller with the former release, as an operator might by mistake, and later with
+// the newest release.
+func (c *upgradeChaos) restartWithFormerRelease() {
 	if c.ClusterLevel() == levelBeforePipelines && len(c.dependentRecords()) > 0 {
 		c.returns++
 	}
@@ -219,7 +219,7 @@
 	c.KillController(controller)
 	c.SetRelease(controller, levelBeforePipelines)
 	c.After(time.Second, func() { c.StartController(controller) })
-	c.After(time.Second+c.upTo(upgradeChaosCancelTime), func() {
+	c.After(time.Second+c.drawDuration(upgradeChaosCancelTime), func() {
 		c.KillController(controller)
 		c.SetRelease(controller, rollout.Newest)
 		c.StartController(controller)
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -12,14 +12,15 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// Measurements of pipelines during a run: the delay from the end of a job's last predecessor to its start, and from
-// the cancellation of a predecessor to the last answer that calls the job pending or running.
+// Measurements of pipelines during a run. The start delay of a job begins when its last predecessor has ended. The
+// cancellation delay of a job begins when a predecessor is cancelled, and ends with the last answer that calls the job
+// pending or running.
 
 const (
-	// recordInterval is the time between reads of the stored records. It bounds the error of a measured start.
+	// recordInterval is the time between reads of the stored records. It bounds the error of a start delay.
 	recordInterval = 10 * time.Millisecond
-	// queryInterval is the time between queries of successors of cancelled jobs. It bounds the error of a measured
-	// end.
+	// queryInterval is the time between two queries of a job with a cancelled predecessor. It bounds the error of a
+	// cancellation delay.
 	queryInterval = 50 * time.Millisecond
 )
 
@@ -29,14 +30,15 @@
 	revision   uint64                   // highest version of a record that was read
 	acceptedAt map[string]time.Duration // by job ID: time when the pending record was durable
 	doneAt     map[string]time.Duration // by job ID: time when the done record was durable
-	probes     map[string]*cancelProbe  // by ID of a successor of a cancelled job
+	probes     map[string]*cancelProbe  // by job ID: the probe of a job with a cancelled predecessor
 }
 
-// cancelProbe holds the controllers' answers about a job since a user was informed that a predecessor is cancelled.
+// cancelProbe holds the controllers' answers about a job with a cancelled predecessor. It begins when a user receives
+// the predecessor's cancellation.
 type cancelProbe struct {
-	cancelledAt time.Duration // time of the first answer that a predecessor is cancelled
-	lastOpen    time.Duration // from cancelledAt to the last answer that called the job pending or running
-	settled     map[int]bool  // controllers that have called the job cancelled
+	cancelledAt     time.Duration // time of the first answer that calls a predecessor cancelled
+	openFor         time.Duration // from cancelledAt to the last answer that called the job pending or running
+	calledCancelled map[int]bool  // controllers that have called the job cancelled
 }
 
 // newPipelineMeter returns a meter that measures a cluster from now on.
@@ -81,8 +83,8 @@
 	}
 }
 
-// probe queries the successors of cancelled jobs at the controllers that haven't called them cancelled yet. It repeats
-// every queryInterval.
+// probe queries each job with a cancelled predecessor, at the controllers that haven't called the job cancelled yet. It
+// repeats every queryInterval.
 func (m *pipelineMeter) probe() {
 	m.cluster.mu.Lock()
 	cancelledAbove := maps.Clone(m.cluster.records.pipelines.ancestorCancelledAt)
@@ -97,12 +99,12 @@
 	m.cluster.After(queryInterval, m.probe)
 }
 
-// requestLists requests the list of jobs from each controller that still has a job to call cancelled. The simulation
-// checks the lists.
+// requestLists requests the list of jobs from each controller that hasn't called every probed job cancelled. The
+// simulation checks the lists.
 func (m *pipelineMeter) requestLists() {
 	for i := range m.cluster.Controllers() {
 		for _, probe := range m.probes {
-			if !probe.settled[i] {
+			if !probe.calledCancelled[i] {
 				m.cluster.Request(i, http.MethodGet, runsPath, nil, ignoreAnswer)
 				break
 			}
@@ -114,11 +116,11 @@
 func (m *pipelineMeter) probeJob(id string, cancelledAt time.Duration) {
 	probe := m.probes[id]
 	if probe == nil {
-		probe = &cancelProbe{cancelledAt: cancelledAt, settled: map[int]bool{}}
+		probe = &cancelProbe{cancelledAt: cancelledAt, calledCancelled: map[int]bool{}}
 		m.probes[id] = probe
 	}
 	for i := range m.cluster.Controllers() {
-		if probe.settled[i] {
+		if probe.calledCancelled[i] {
 			continue
 		}
 		m.cluster.Request(i, http.MethodGet, runsPath+"/"+id, nil, func(status int, raw []byte) {
@@ -132,28 +134,30 @@
 	switch {
 	case status != http.StatusOK:
 	case state == stateCancelled:
-		p.settled[controller] = true
+		p.calledCancelled[controller] = true
 	default:
-		p.lastOpen = max(p.lastOpen, now-p.cancelledAt)
+		p.openFor = max(p.openFor, now-p.cancelledAt)
 	}
 }
 
 // pipelineDelays are the delays that a meter has measured.
 type pipelineDelays struct {
-	// releaseToStart has, for each job that was accepted before its last predecessor ended, the time from when that
-	// end was durable until the job's first task has its image on a machine.
+	// releaseToStart has the start delay of each job that was accepted before its last predecessor ended. The delay
+	// begins when the predecessor's end is durable. It ends when the job's first task has its image on a machine.
 	releaseToStart []time.Duration
-	// unlicensed has the part of releaseToStart of jobs that need no licence, since a run has few licences.
-	unlicensed []time.Duration
-	// cancelToLastOpen has, for each successor of a cancelled job, the time from the first answer that the job was
-	// cancelled to the last answer that called the successor pending or running.
+	// releaseToStartUnlicensed has the start delays of the jobs that need no licence: a run has few licences, so that other
+	// jobs also wait for one.
+	releaseToStartUnlicensed []time.Duration
+	// cancelToLastOpen has the cancellation delay of each job with a cancelled predecessor. The delay begins with the
+	// first answer that calls the predecessor cancelled. It ends with the last answer that calls the job pending or
+	// running.
 	cancelToLastOpen []time.Duration
 }
 
 // add appends the measurements of another run.
 func (d *pipelineDelays) add(other pipelineDelays) {
 	d.releaseToStart = append(d.releaseToStart, other.releaseToStart...)
-	d.unlicensed = append(d.unlicensed, other.unlicensed...)
+	d.releaseToStartUnlicensed = append(d.releaseToStartUnlicensed, other.releaseToStartUnlicensed...)
 	d.cancelToLastOpen = append(d.cancelToLastOpen, other.cancelToLastOpen...)
 }
 
@@ -161,7 +165,7 @@
 func (d *pipelineDelays) log(t *testing.T, name string) {
 	t.Helper()
 	t.Logf("%s: release to start: %s", name, quantiles(d.releaseToStart))
-	t.Logf("%s: release to start without licences: %s", name, quantiles(d.unlicensed))
+	t.Logf("%s: release to start without licences: %s", name, quantiles(d.releaseToStartUnlicensed))
 	t.Logf("%s: cancellation to last open answer: %s (cancel_s %v)", name, quantiles(d.cancelToLastOpen), jobs.Seconds(shortTimers.CancelS))
 }
 
@@ -179,17 +183,17 @@
 		delay := sim.records.submittedAt[id] + startDelay - releasedAt
 		delays.releaseToStart = append(delays.releaseToStart, delay)
 		if len(spec.Licences) == 0 {
-			delays.unlicensed = append(delays.unlicensed, delay)
+			delays.releaseToStartUnlicensed = append(delays.releaseToStartUnlicensed, delay)
 		}
 	}
 	for _, probe := range m.probes {
-		delays.cancelToLastOpen = append(delays.cancelToLastOpen, probe.lastOpen)
+		delays.cancelToLastOpen = append(delays.cancelToLastOpen, probe.openFor)
 	}
 	return delays
 }
 
-// releasedAt returns the time when the end of a job's last predecessor was durable. It returns false unless the job
-// has predecessors, all of them are done, and the job was accepted before that time.
+// releasedAt returns the time when the end of a job's last predecessor was durable. It returns true if the job has
+// predecessors, all of them are done, and the job was accepted before that time.
 func (m *pipelineMeter) releasedAt(spec *jobs.Spec) (last time.Duration, measured bool) {
 	for _, predecessor := range spec.Follows {
 		doneAt, done := m.doneAt[predecessor]
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -112,7 +112,7 @@
 	return []*testUser{head, left, right, r.addUser(left, right)}
 }
 
-// addChain adds the users of n jobs, each of which follows the one before.
+// addChain adds the users of n jobs. Each job follows the previous job.
 func (r *testCluster) addChain(n int) []*testUser {
 	chain := []*testUser{r.addUser()}
 	for len(chain) < n {
@@ -187,9 +187,9 @@
 	return body
 }
 
-// submitAt submits a job through one controller and repeats the request on no answer, 429 and 503. It returns the
+// submitThrough submits a job through one controller and repeats the request on no answer, 429 and 503. It returns the
 // first other answer, or the last one after 60 requests.
-func (r *testCluster) submitAt(controller int, spec *jobs.Spec) (status int, state string) {
+func (r *testCluster) submitThrough(controller int, spec *jobs.Spec) (status int, state string) {
 	r.t.Helper()
 	body := submission(r.t, spec)
 	for range 60 {
@@ -210,7 +210,7 @@
 func (r *testCluster) wantAcceptedAt(controller int, user *testUser) {
 	r.t.Helper()
 	r.AddJob(user.spec)
-	if status, _ := r.submitAt(controller, user.spec); !isAcceptance(status) {
+	if status, _ := r.submitThrough(controller, user.spec); !isAcceptance(status) {
 		r.t.Errorf("%v, controller %d: got status %d for a submission, want 200 or 201", r.Now(), controller, status)
 	}
 }
@@ -260,12 +260,12 @@
 	cluster.wantFinalStates(stateDone, cluster.users...)
 }
 
-// dependentJobFormat is the record format of a pending job with predecessors. All other job records have format 1,
-// also that of a job with predecessors that has ended.
+// dependentJobFormat is the record format of a pending job with predecessors. All other job records have format 1, also
+// the record of an ended job with predecessors.
 const dependentJobFormat = 2
 
-// endsDependentJob reports whether a stored value ends a job with predecessors: it is a job's record in format 1 with
-// a final state, and replaces one in formerFormat, that of pending jobs with predecessors.
+// endsDependentJob reports whether a write ends a job with predecessors. Such a write stores a job's record in format 1
+// with a final state and replaces a record in dependentJobFormat. The replaced record has formerFormat.
 func endsDependentJob(key string, value json.RawMessage, formerFormat int) bool {
 	var record jobs.Record
 	if !strings.HasPrefix(key, jobs.Prefix) || json.Unmarshal(value, &record) != nil {
@@ -498,7 +498,7 @@
 	cluster.AddJob(follower.spec)
 	for range 2 {
 		for i := range cluster.Controllers() {
-			if status, _ := cluster.submitAt(i, follower.spec); status != http.StatusUnprocessableEntity {
+			if status, _ := cluster.submitThrough(i, follower.spec); status != http.StatusUnprocessableEntity {
 				t.Errorf("controller %d: got status %d, want 422", i, status)
 			}
 		}
@@ -580,7 +580,7 @@
 	}
 	delayed := 0
 	cluster.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
-		if createsJob(txn, head.spec.ID) && delayed == 0 {
+		if writesJobRecord(txn, head.spec.ID) && delayed == 0 {
 			delayed++
 			return TxnOutcome{Delay: 1500 * time.Millisecond}
 		}
@@ -643,7 +643,7 @@
 			cluster.cancelAt(chain[0], leader)
 			limit := jobs.Seconds(shortTimers.CancelS)
 			for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(500 * time.Millisecond) {
-				cluster.askEverywhere(chain)
+				cluster.queryEverywhere(chain)
 			}
 			cluster.forOthers(leader, func(i int) { set(cluster, i, false) })
 			cluster.Advance(5 * time.Second)
@@ -708,7 +708,7 @@
 	successors := []*testUser{{spec: second}, {spec: third}}
 	limit := jobs.Seconds(shortTimers.CancelS)
 	for end := cluster.Now() + 2*limit; cluster.Now() < end; cluster.Advance(250 * time.Millisecond) {
-		cluster.askEverywhere(successors)
+		cluster.queryEverywhere(successors)
 	}
 	if got := cluster.pendingJobs(); !slices.Equal(got, []string{second.ID, third.ID}) {
 		t.Errorf("got pending records of %v, want both successors: otherwise no controller has stale state", got)
@@ -756,7 +756,7 @@
 	for range 2 {
 		for i := range cluster.Controllers() {
 			for _, user := range cluster.users {
-				if status, state := cluster.submitAt(i, user.spec); status != http.StatusOK || state != stateDone {
+				if status, state := cluster.submitThrough(i, user.spec); status != http.StatusOK || state != stateDone {
 					t.Errorf("%s at controller %d: got %d %q, want 200 done", user.spec.ID, i, status, state)
 				}
 			}
@@ -780,7 +780,7 @@
 	submitEverywhere := func() {
 		t.Helper()
 		for i := range cluster.Controllers() {
-			if status, state := cluster.submitAt(i, follower.spec); status != http.StatusOK || isFinal(state) {
+			if status, state := cluster.submitThrough(i, follower.spec); status != http.StatusOK || isFinal(state) {
 				t.Errorf("%v, controller %d: got %d %q, want 200 and an open state", cluster.Now(), i, status, state)
 			}
 		}
@@ -841,7 +841,7 @@
 			})
 			chain[0].cancel()
 			for end := cluster.Now() + outage + 5*time.Second; cluster.Now() < end; cluster.Advance(time.Second) {
-				cluster.askEverywhere(chain)
+				cluster.queryEverywhere(chain)
 			}
 			cluster.checkCancelledEverywhere(chain...)
 			cluster.waitUntilDone()
@@ -850,9 +850,9 @@
 	}
 }
 
-// askEverywhere queries every controller for the users' jobs and for the list of all jobs. The simulation checks the
+// queryEverywhere queries every controller for the users' jobs and for the list of all jobs. The simulation checks the
 // answers.
-func (r *testCluster) askEverywhere(users []*testUser) {
+func (r *testCluster) queryEverywhere(users []*testUser) {
 	for i := range r.Controllers() {
 		r.Request(i, http.MethodGet, runsPath, nil, ignoreAnswer)
 		for _, user := range users {
--- a/internal/simulator/pipelines_unreadable_test.go
+++ b/internal/simulator/pipelines_unreadable_test.go
@@ -37,8 +37,8 @@
 	r.WriteKeys(store.Op{Put: key, Value: value})
 }
 
-// askUntil queries every controller for the users' jobs twice a second until end, and calls answered for each answer.
-func (r *testCluster) askUntil(end time.Duration, users []*testUser, answered func(user *testUser, status int, raw []byte)) {
+// queryUntil queries every controller for the users' jobs twice a second until end, and calls answered for each answer.
+func (r *testCluster) queryUntil(end time.Duration, users []*testUser, answered func(user *testUser, status int, raw []byte)) {
 	for ; r.Now() < end; r.Advance(500 * time.Millisecond) {
 		for i := range r.Controllers() {
 			for _, user := range users {
@@ -78,7 +78,7 @@
 				}
 				cluster.Advance(5 * time.Second)
 				answers := 0
-				cluster.askUntil(cluster.Now()+30*time.Second, []*testUser{middle}, func(_ *testUser, status int, raw []byte) {
+				cluster.queryUntil(cluster.Now()+30*time.Second, []*testUser{middle}, func(_ *testUser, status int, raw []byte) {
 					if status != http.StatusServiceUnavailable {
 						t.Errorf("%v: got %d %s for a job whose record can't be read, want 503", cluster.Now(), status, raw)
 					}
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -231,25 +231,25 @@
 
 // formerReturn describes the mistaken restart of a controller with the former release after pipelines were accepted.
 type formerReturn struct {
-	leads bool          // whether the other controllers are down, so that this one leads
-	kill  bool          // whether the controller is killed in the end instead of drained
-	time  time.Duration // from the restart until the controller gets the newest release
+	othersDown bool          // whether the other controllers are down, so that this one leads
+	killAtEnd  bool          // whether the controller is finally killed instead of drained
+	runTime    time.Duration // time from the restart until the controller gets the newest release
 }
 
 // formerReturns are the mistaken restarts under test, by name.
 var formerReturns = map[string]formerReturn{
-	"beside":                   {time: 20 * time.Second},
-	"leads":                    {leads: true, time: 10 * time.Second, kill: true},
-	"leads beyond cancel_s":    {leads: true, time: 25 * time.Second},
-	"leads for a whole minute": {leads: true, time: time.Minute, kill: true},
+	"beside":                   {runTime: 20 * time.Second},
+	"leads":                    {othersDown: true, runTime: 10 * time.Second, killAtEnd: true},
+	"leads beyond cancel_s":    {othersDown: true, runTime: 25 * time.Second},
+	"leads for a whole minute": {othersDown: true, runTime: time.Minute, killAtEnd: true},
 }
 
 // mistakePipelines are the pipelines of a test that restarts a controller with the former release.
 type mistakePipelines struct {
-	running   []*testUser // its second job runs
-	endsSoon  []*testUser // its first job ends while the former release runs
-	cancelled []*testUser // its first job is cancelled while the former release runs
-	gang      []*testUser // its second job is a gang that runs
+	running   []*testUser // pipeline whose second job runs
+	endsSoon  []*testUser // pipeline whose first job ends while the former release runs
+	cancelled []*testUser // pipeline whose first job is cancelled while the former release runs
+	gang      []*testUser // pipeline whose second job is a running gang
 }
 
 // all returns the users of all pipelines.
@@ -307,7 +307,7 @@
 			former := (cluster.waitForLeader() + 1) % cluster.Controllers()
 			cluster.restart(former, levelBeforePipelines)
 			cluster.Advance(2 * time.Second)
-			if mistake.leads {
+			if mistake.othersDown {
 				cluster.killOthers(former)
 				cluster.waitFor("led by the former release", 30*time.Second, func() bool {
 					leader, _ := cluster.Leader()
@@ -315,7 +315,7 @@
 				})
 			}
 			cluster.cancelAt(pipelines.cancelled[0], former)
-			cluster.checkQuarantined(former, pipelines, mistake.time)
+			cluster.checkQuarantined(former, pipelines, mistake.runTime)
 			cluster.replaceFormer(former, mistake)
 			cluster.waitFor("cluster at the newest level", 12*time.Minute, func() bool { return cluster.ClusterLevel() == rollout.Newest })
 			cluster.waitUntilDone()
@@ -339,7 +339,7 @@
 		r.SetRelease(former, rollout.Newest)
 		r.startControllers()
 	}
-	if mistake.kill {
+	if mistake.killAtEnd {
 		r.KillController(former)
 		startAll()
 		return
@@ -355,7 +355,7 @@
 	r.t.Helper()
 	refused := 0
 	for end := r.Now() + duration; r.Now() < end; r.Advance(500 * time.Millisecond) {
-		r.askEverywhere(pipelines.all())
+		r.queryEverywhere(pipelines.all())
 		for _, id := range r.dependentRecords() {
 			r.Request(former, http.MethodGet, runsPath+"/"+id, nil, func(status int, raw []byte) {
 				switch {
@@ -372,7 +372,7 @@
 	}
 }
 
-// isDependentRecord reports whether a job's stored record is that of a pending job with predecessors.
+// isDependentRecord reports whether a job's stored record has the format of a pending job with predecessors.
 func (r *testCluster) isDependentRecord(id string) bool {
 	return rollout.FormatOf(r.StoredItem(jobs.RecordKey(id)).Value) == dependentJobFormat
 }
--- a/internal/simulator/random_partial_faults_test.go
+++ b/internal/simulator/random_partial_faults_test.go
@@ -18,7 +18,7 @@
 	duration        time.Duration
 	zone            string
 	links           Links
-	count           int           // 0 to 5
+	count           int           // 0 to 5; each kind derives a number of objects from it
 	restartDelay    time.Duration // less than a second
 	membershipState string
 	bootFactor      float64
@@ -53,7 +53,7 @@
 // partialFaultKinds are functions that begin a fault, one for each kind. Their order is part of what a seed produces.
 var partialFaultKinds = []func(*partialFaultRun, partialFault){
 	func(run *partialFaultRun, f partialFault) { run.DropInbound(1+f.count, "", f.duration) },
-	func(run *partialFaultRun, f partialFault) { run.DropInbound(wholeZone, f.zone, f.duration) },
+	func(run *partialFaultRun, f partialFault) { run.DropInbound(allZoneMachines, f.zone, f.duration) },
 	func(run *partialFaultRun, f partialFault) { run.DropOutbound(1+f.count, "", f.duration) },
 	(*partialFaultRun).cutSomeLinks,
 	(*partialFaultRun).cutSomeLinks, // listed twice to double its probability
@@ -98,7 +98,7 @@
 	},
 	func(run *partialFaultRun, f partialFault) { run.DelayMachineCommands(f.duration) },
 	func(run *partialFaultRun, f partialFault) { run.RefuseOutbound(1+f.count, "", f.duration) },
-	func(run *partialFaultRun, f partialFault) { run.RefuseOutbound(wholeZone, f.zone, f.duration) },
+	func(run *partialFaultRun, f partialFault) { run.RefuseOutbound(allZoneMachines, f.zone, f.duration) },
 	func(run *partialFaultRun, f partialFault) { run.duringShare(f.duration, 0.3, run.LoseTxnAnswers) },
 	func(run *partialFaultRun, f partialFault) {
 		run.duringShare(f.duration, 0.2, func(share float64) {
@@ -192,7 +192,7 @@
 // newPartialFaultRun starts a cluster under load whose network delays, loses and duplicates messages.
 func newPartialFaultRun(t *testing.T, seed uint64, duration time.Duration) *partialFaultRun {
 	t.Helper()
-	cluster := newTestClusterOn(
+	cluster := newTestClusterWithMachines(
 		t,
 		seed,
 		3+2*int(seed%2),
@@ -233,9 +233,9 @@
 	return run.testCluster, longestUnanswered, job
 }
 
-// startedWork returns the share of jobs that started within four minutes: by kind, by team, and of the largest
+// startedJobShares returns the share of jobs that started within four minutes: by kind, by team, and of the largest
 // quarter of each kind. Jobs that were cancelled or may be cancelled with a predecessor don't count.
-func (r *testCluster) startedWork() map[string]float64 {
+func (r *testCluster) startedJobShares() map[string]float64 {
 	byKind := map[string][]*testUser{}
 	started, total := map[string]int{}, map[string]int{}
 	count := func(set string, user *testUser) {
@@ -277,8 +277,8 @@
 	total.JobsCancelled += s.JobsCancelled
 	total.OddRequests += s.OddRequests
 	total.OddRequestsRefused += s.OddRequestsRefused
-	total.StartsAfterCancel += s.StartsAfterCancel
-	total.DirectStartsAfterCancel += s.DirectStartsAfterCancel
+	total.TaskStartsAfterCancel += s.TaskStartsAfterCancel
+	total.DirectLaunchStartsAfterCancel += s.DirectLaunchStartsAfterCancel
 	total.LatestStartAfterCancel = max(total.LatestStartAfterCancel, s.LatestStartAfterCancel)
 	total.LongestRunAfterCancel = max(total.LongestRunAfterCancel, s.LongestRunAfterCancel)
 	total.TaskStarts += s.TaskStarts
@@ -310,7 +310,7 @@
 			)
 		}
 		countEnds(counts, cluster.users)
-		for set, share := range cluster.startedWork() {
+		for set, share := range cluster.startedJobShares() {
 			if share < 0.5 {
 				t.Errorf("seed %d: got a share of %.2f of %s started within four minutes, want at least 0.5", 600+seed, share, set)
 			}
--- a/internal/simulator/recorder.go
+++ b/internal/simulator/recorder.go
@@ -19,7 +19,7 @@
 type message struct {
 	kind         messageKind
 	from, to     string
-	method, path string // of the request, also in the answer to a request
+	method, path string // method and path of the request; an answer has those of its request
 	status       int    // HTTP status of an answer, 0 otherwise
 	body         []byte
 }
--- a/internal/simulator/releases.go
+++ b/internal/simulator/releases.go
@@ -144,7 +144,7 @@
 // rollingRestart restarts all controllers with another release.
 type rollingRestart struct {
 	sim        *Simulation
-	generation int // virtualTime.rolloutGeneration at the start; a change of that counter stops this restart
+	generation int // virtualTime.rolloutGeneration at the start; the rolling restart stops once the counter changes
 	level      rollout.Level
 	downtime   time.Duration // time from a controller's end to its next start
 	kill       func(controller int) bool
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -18,7 +18,7 @@
 
 // testCluster is a simulated cluster with users who submit jobs, and possibly a rollout.
 type testCluster struct {
-	idleWait time.Duration // longest wait of a job beside idle capacity, measured after the faults
+	idleWait time.Duration // longest wait of a job while a machine had room for it, measured after the faults
 	*Simulation
 	t           *testing.T
 	rng         *rand.Rand
@@ -34,7 +34,7 @@
 // rollout block.
 func newTestCluster(t *testing.T, seed uint64, controllers int, maxLevel rollout.Level, rolloutSettings string) *testCluster {
 	t.Helper()
-	return newTestClusterOn(
+	return newTestClusterWithMachines(
 		t,
 		seed,
 		controllers,
@@ -46,8 +46,9 @@
 	)
 }
 
-// newTestClusterOn is newTestCluster with a maximum number of machines, with machine types and with teams.
-func newTestClusterOn(
+// newTestClusterWithMachines starts a cluster as newTestCluster does, but with the given maximum number of machines,
+// machine types and teams.
+func newTestClusterWithMachines(
 	t *testing.T,
 	seed uint64,
 	controllers int,
@@ -511,7 +512,7 @@
 	for _, c := range []string{"takeovers", "outage", "zone"} {
 		t.Run(c, func(t *testing.T) {
 			cluster := newTestCluster(t, 56, 5, rollout.Base, "soak_s = 1")
-			for i := range 150 { // many long jobs, so that there are plans to migrate
+			for i := range 150 { // enough long jobs that there are plans to migrate
 				spec := arraySpec(fmt.Sprintf("req-9%05d", i), "c", "blue")
 				spec.Priority = "best_effort"
 				spec.EstimateS = 150
--- a/internal/simulator/simulation.go
+++ b/internal/simulator/simulation.go
@@ -53,10 +53,10 @@
 
 // jobRecords records the jobs and tasks independently of the machines on which tasks run.
 type jobRecords struct {
-	specs       map[string]*jobs.Spec          // by job
-	sessions    map[string]*InteractiveSession // by job
+	specs       map[string]*jobs.Spec          // by job ID
+	sessions    map[string]*InteractiveSession // by job ID
 	progress    map[string]*progress           // by task name
-	submittedAt map[string]time.Duration       // by job
+	submittedAt map[string]time.Duration       // time of a job's submission, by job ID
 	startDelays map[string]time.Duration       // time from a job's submission to the start of its first task, by job
 	startTimes  []time.Duration                // start times of all tasks, in order
 	cancelledAt map[string]time.Duration       // time at which a user received the job's cancellation, by job
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -64,18 +64,19 @@
 	sim.state.writeLimit.rate = limits.WriteRPS
 }
 
-// Limits of the state service under SetSmallLimits.
+// Limits of the state service after SetLowStateLimits(true).
 const (
-	smallValueKB        = 2
-	smallTxnOps         = 8
-	smallWriteRateShare = 0.4 // share of the initial rate of writes
+	lowStateValueKB        = 2
+	lowStateTxnOps         = 8
+	lowStateWriteRateShare = 0.4 // share of the initial rate of writes
 )
 
-// SetSmallLimits lowers the state service's limits to a fraction, or restores the initial limits.
-func (sim *Simulation) SetSmallLimits(on bool) {
+// SetLowStateLimits lowers the state service's limits on the size of a value, on the operations of a transaction and
+// on the rate of writes, or restores the initial limits.
+func (sim *Simulation) SetLowStateLimits(on bool) {
 	initial := sim.state.initialLimits
 	if on {
-		sim.LowerStateLimits(smallValueKB, smallTxnOps, smallWriteRateShare*initial.WriteRPS)
+		sim.LowerStateLimits(lowStateValueKB, lowStateTxnOps, lowStateWriteRateShare*initial.WriteRPS)
 		return
 	}
 	sim.LowerStateLimits(initial.ValueKB, initial.TxnOps, initial.WriteRPS)
@@ -207,9 +208,9 @@
 	since      uint64        // revision after which changes are reported
 	endsAt     time.Duration // time at which the watch is answered even without a change
 	reply      replyFunc
-	// waits identifies the current wait. A change or the watch's end wakes the watch, whichever is first. The later of
-	// the two is ignored because waits has changed.
-	waits uint64
+	// waitID identifies the current wait. A change or the watch's end wakes the watch, whichever is first. The later
+	// of the two is ignored because waitID has changed.
+	waitID uint64
 }
 
 // serveWatch answers once a key with the prefix has changed, or after the requested wait time. A watch stays open
@@ -260,23 +261,23 @@
 		sim.mu.Unlock()
 		w.reply(http.StatusOK, state.NewWatchResponse(revision, events))
 	default:
-		wake := w.newWait()
+		wake := w.newWakeFunc()
 		sim.state.waiters = append(sim.state.waiters, wake)
 		sim.mu.Unlock()
 		sim.env.schedule(w.endsAt-now, wake)
 	}
 }
 
-// newWait begins a wait and returns the function that wakes it. Only the first call of that function polls the watch.
-// The caller holds the mutex.
-func (w *watch) newWait() func() {
-	w.waits++
-	wait := w.waits
+// newWakeFunc begins a wait for a change of a key or the watch's end. It returns the function that ends the wait and
+// polls the watch. Only the first call of that function has an effect. The caller holds the mutex.
+func (w *watch) newWakeFunc() func() {
+	w.waitID++
+	wait := w.waitID
 	return func() {
 		w.sim.mu.Lock()
-		first := w.waits == wait
+		first := w.waitID == wait
 		if first {
-			w.waits++
+			w.waitID++
 		}
 		w.sim.mu.Unlock()
 		if first {
--- a/internal/simulator/task.go
+++ b/internal/simulator/task.go
@@ -130,7 +130,7 @@
 			sim.progressOf(taskName(task.spec.ID, index)).done = true
 		}
 	}
-	sim.jobCompleted(task.spec)
+	sim.maybeCancelAtCompletion(task.spec)
 }
 
 func taskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
@@ -168,9 +168,9 @@
 }
 
 func (sim *Simulation) countStartAfterCancel(task *workerTask, after time.Duration) {
-	sim.stats.StartsAfterCancel++
+	sim.stats.TaskStartsAfterCancel++
 	if task.directLaunch {
-		sim.stats.DirectStartsAfterCancel++
+		sim.stats.DirectLaunchStartsAfterCancel++
 	}
 	sim.stats.LatestStartAfterCancel = max(sim.stats.LatestStartAfterCancel, after)
 }
--- a/internal/simulator/user_habits.go
+++ b/internal/simulator/user_habits.go
@@ -116,7 +116,7 @@
 // runningJob is a job with running tasks.
 type runningJob struct {
 	id        string
-	remaining time.Duration // longest remaining run time of its tasks
+	remaining time.Duration // longest remaining run time of the job's tasks
 	machines  []*Machine    // machine of each running task
 }
 
@@ -181,9 +181,9 @@
 	sim.users.behavior.cancelAtCompletion = share
 }
 
-// jobCompleted schedules a job's cancellation by a user if its last task has completed and the job is drawn. The
-// caller holds the mutex.
-func (sim *Simulation) jobCompleted(spec *jobs.Spec) {
+// maybeCancelAtCompletion schedules the cancellation of a job by a user if the job's last task has completed. It selects
+// the job with the probability cancelAtCompletion. The caller holds the mutex.
+func (sim *Simulation) maybeCancelAtCompletion(spec *jobs.Spec) {
 	behavior := &sim.users.behavior
 	if behavior.cancelAtCompletion == 0 || sim.virtual == nil || !sim.allDone(spec.ID, spec.Tasks) {
 		return
--- a/internal/simulator/virtual_time.go
+++ b/internal/simulator/virtual_time.go
@@ -34,7 +34,7 @@
 	zoneOf   map[string]string      // by address; "" for an address that belongs to no zone
 	network  network
 
-	rolloutGeneration int // raised when a rolling restart begins or is stopped; stops the restarts before
+	rolloutGeneration int // raised when a rolling restart begins or is stopped, which stops all earlier rolling restarts
 }
 
 // network is the state of the simulated network.
@@ -65,7 +65,7 @@
 
 // event is a scheduled function call.
 type event struct {
-	at  time.Duration // time of the call
+	at  time.Duration // time at which the event is due
 	seq uint64        // order among events with the same time
 	run func()
 }
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -14,31 +14,31 @@
 
 // condition names the keys on whose versions a write of a key with the prefix must depend.
 type condition struct {
-	prefix string   // of the written key
-	own    bool     // whether the version of the written key is required
-	others []string // prefixes of other keys whose versions are required
+	prefix        string   // prefix of the written key
+	ownVersion    bool     // whether the version of the written key is required
+	otherPrefixes []string // prefixes of other keys whose versions are required
 }
 
 // conditions are the required conditions of writes, by key prefix. Where several prefixes match a key, the longest
 // one stands first. The table in docs/design.md says why each row is sufficient.
 var conditions = []condition{
-	{prefix: "p/images", others: []string{"h/c/leader"}},
-	{prefix: jobs.PlanPagePrefix, own: true, others: []string{"h/c/leader"}},
-	{prefix: jobs.PlanPrefix, own: true, others: []string{"h/c/leader"}},
-	{prefix: "h/j/", own: true},
-	{prefix: archive.Prefix, own: true, others: []string{"h/c/leader", "h/j/"}},
-	{prefix: "h/c/leader", own: true, others: []string{"h/c/term"}},
-	{prefix: "h/c/term", others: []string{"h/c/leader"}},
-	{prefix: "h/c/map", others: []string{"h/c/leader", "h/c/term"}},
-	{prefix: "h/c/types", own: true, others: []string{"h/c/leader"}},
-	{prefix: "h/c/n/", own: true},
-	{prefix: "h/r/n/", others: []string{"h/c/n/"}},
-	{prefix: "h/r/level", own: true, others: []string{"h/c/leader"}},
-	{prefix: "h/r/migration", others: []string{"h/c/leader", "h/r/level"}},
-	{prefix: "h/r/words", own: true, others: []string{"h/c/leader"}},
-	{prefix: "h/z/", own: true, others: []string{"h/c/leader"}},
-	{prefix: "h/o/", own: true, others: []string{"h/c/leader"}},
-	{prefix: "h/l/", own: true, others: []string{"h/c/leader"}},
+	{prefix: "p/images", otherPrefixes: []string{"h/c/leader"}},
+	{prefix: jobs.PlanPagePrefix, ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: jobs.PlanPrefix, ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/j/", ownVersion: true},
+	{prefix: archive.Prefix, ownVersion: true, otherPrefixes: []string{"h/c/leader", "h/j/"}},
+	{prefix: "h/c/leader", ownVersion: true, otherPrefixes: []string{"h/c/term"}},
+	{prefix: "h/c/term", otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/c/map", otherPrefixes: []string{"h/c/leader", "h/c/term"}},
+	{prefix: "h/c/types", ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/c/n/", ownVersion: true},
+	{prefix: "h/r/n/", otherPrefixes: []string{"h/c/n/"}},
+	{prefix: "h/r/level", ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/r/migration", otherPrefixes: []string{"h/c/leader", "h/r/level"}},
+	{prefix: "h/r/words", ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/z/", ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/o/", ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
+	{prefix: "h/l/", ownVersion: true, otherPrefixes: []string{"h/c/leader"}},
 }
 
 // conditionChecks compares transactions with the table of conditions.
@@ -67,7 +67,7 @@
 	c.writes[row.prefix]++
 	// A deleted plan key is never written again, so that its delete needs no version.
 	deletesPlan := op.Delete != "" && row.prefix == jobs.PlanPrefix
-	if row.own && !deletesPlan && !dependsOn(txn, func(other string) bool { return other == key }) {
+	if row.ownVersion && !deletesPlan && !dependsOn(txn, func(other string) bool { return other == key }) {
 		c.failures[row.prefix+" doesn't depend on its own version"] = true
 	}
 	// A job's record may be created only if the job isn't archived: a first submission may be applied long after the
@@ -76,7 +76,7 @@
 	if creates && !slices.Contains(txn.If, archive.Absent(strings.TrimPrefix(op.Put, jobs.Prefix))) {
 		c.failures[row.prefix+" is created without the condition that the job is not archived"] = true
 	}
-	for _, prefix := range row.others {
+	for _, prefix := range row.otherPrefixes {
 		if !dependsOn(txn, func(other string) bool { return strings.HasPrefix(other, prefix) }) {
 			c.failures[row.prefix+" doesn't depend on "+prefix] = true
 		}
@@ -116,7 +116,7 @@
 	cluster.PartitionZone("a", DropBoth)
 	cluster.Advance(12 * time.Second)
 	cluster.PartitionZone("a", Connected)
-	cluster.Advance(70 * time.Second) // prices are requested once a minute
+	cluster.Advance(70 * time.Second) // the leader requests the prices once a minute
 	cluster.InterceptTxns(nil)
 	cluster.waitUntilDone()
 	for failure := range checks.failures {
--- a/internal/simulator/zones_test.go
+++ b/internal/simulator/zones_test.go
@@ -37,7 +37,7 @@
 // newWideCluster starts a cluster with many machines in each zone, which take 12 s to boot.
 func newWideCluster(t *testing.T, seed uint64, controllers int) *testCluster {
 	types := gpuMachineTypes(12)
-	return newTestClusterOn(
+	return newTestClusterWithMachines(
 		t,
 		seed,
 		controllers,
@@ -196,7 +196,7 @@
 	cluster.PartitionZone("b", DropBoth)
 	cluster.Advance(15 * time.Second)
 	cluster.PartitionZone("a", Connected)
-	cluster.SetStateOutage(true) // the state service is out while the zone returns
+	cluster.SetStateOutage(true) // the outage begins as zone a is reconnected
 	cluster.Advance(3 * time.Second)
 	cluster.SetStateOutage(false)
 	cluster.PartitionZone("b", Connected)
@@ -235,7 +235,7 @@
 // replicas still holds.
 func TestServicesAreSpread(t *testing.T) {
 	cluster := newWideCluster(t, 75, 3)
-	cluster.submitSmallJobs(24, 60) // machines in all zones
+	cluster.submitSmallJobs(24, 60) // enough jobs that machines are rented in all zones
 	cluster.waitForLoad()
 	spec := spreadServiceSpec()
 	user := cluster.newUser(spec)
