--- a/cmd/harewalk/client.go
+++ b/cmd/harewalk/client.go
@@ -41,7 +41,7 @@
 type apiResponse struct {
 	status     int
 	body       []byte
-	retryAfter time.Duration // between minRetryDelay and maxRetryDelay
+	retryAfter time.Duration // delay before a retry, between minRetryDelay and maxRetryDelay
 }
 
 // message returns the error text of the response, or the whole body if it has none.
--- a/cmd/harewalk/errors.go
+++ b/cmd/harewalk/errors.go
@@ -26,7 +26,7 @@
 type boundsError struct {
 	flag   string
 	value  any
-	bounds string // such as "1 to 9"
+	bounds string // allowed range, such as "1 to 9"
 }
 
 // Error returns the flag, its value and the bounds.
@@ -41,7 +41,7 @@
 	first string // the first broken rule
 }
 
-// Error returns the run, the number of broken rules and the first of them.
+// Error returns the run, the number of broken rules and the first broken rule.
 func (e *brokenRulesError) Error() string {
 	return fmt.Sprintf("%s: %d protocol rules were broken; the first: %s", e.run, e.count, e.first)
 }
--- a/internal/licences/checkout.go
+++ b/internal/licences/checkout.go
@@ -65,9 +65,9 @@
 // checkout is the units that one holder has of one pool.
 type checkout struct {
 	state           State
-	team            int32         // dense index
-	units           int           // by the ledger's own count; 0 if Free
-	reportedUnits   int           // by the server's last answer
+	team            int32         // dense index of the team
+	units           int           // units that the ledger counts; 0 if Free
+	reportedUnits   int           // units in the server's last answer; 0: none
 	changedAt       time.Duration // time of the last change of state
 	releaseDeadline time.Duration // time at which AwaitingRelease ends if no answer ends it earlier
 	isMissing       bool          // CheckedOut, and the last answer lacks the holder although an earlier one had it
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -12,13 +12,13 @@
 	catalog        *Catalog
 	index          int32
 	checkouts      map[Holder]*checkout
-	active         map[TaskRef]Holder   // by task, the attempt whose checkout is Reserved or CheckedOut
-	teams          map[int32]*teamUsage // by dense index
+	active         map[TaskRef]Holder   // by task: the attempt whose checkout is Reserved or CheckedOut
+	teams          map[int32]*teamUsage // by the dense index of the team
 	outsideReserve int                  // units that are currently kept for outside holders
 
 	countedUnits     int             // sum of checkout.countedUnits over all checkouts
-	unitsByState     [stateCount]int // by the ledger's own count
-	unconfirmedUnits int             // CheckedOut by holders whose attempt is still unknown
+	unitsByState     [stateCount]int // units that the ledger counts, by state
+	unconfirmedUnits int             // units that are CheckedOut by holders with unknown attempt
 
 	server serverStatus
 }
