--- a/internal/simulator/pipelines_chaos_test.go
+++ b/internal/simulator/pipelines_chaos_test.go
@@ -128,7 +128,7 @@
 	return &upgradeChaos{testCluster: cluster, meter: newPipelineMeter(cluster), faulty: faulty}
 }
 
-// drawDuration draws a duration less than limit.
+// drawDuration returns a random duration less than limit.
 func (c *upgradeChaos) drawDuration(limit time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(limit)))
 }
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -37,7 +37,7 @@
 // the predecessor's cancellation.
 type cancelProbe struct {
 	cancelledAt     time.Duration // time of the first answer that calls a predecessor cancelled
-	openFor         time.Duration // from cancelledAt to the last answer that called the job pending or running
+	openFor         time.Duration // time from cancelledAt to the last answer that called the job pending or running
 	calledCancelled map[int]bool  // controllers that have called the job cancelled
 }
 
@@ -145,8 +145,8 @@
 	// releaseToStart has the start delay of each job that was accepted before its last predecessor ended. The delay
 	// begins when the predecessor's end is durable. It ends when the job's first task has its image on a machine.
 	releaseToStart []time.Duration
-	// releaseToStartUnlicensed has the start delays of the jobs that need no licence: a run has few licences, so that other
-	// jobs also wait for one.
+	// releaseToStartUnlicensed has the start delays of the jobs that need no licence. A run has few licences, so that
+	// other jobs also wait for one.
 	releaseToStartUnlicensed []time.Duration
 	// cancelToLastOpen has the cancellation delay of each job with a cancelled predecessor. The delay begins with the
 	// first answer that calls the predecessor cancelled. It ends with the last answer that calls the job pending or
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -265,7 +265,7 @@
 const dependentJobFormat = 2
 
 // endsDependentJob reports whether a write ends a job with predecessors. Such a write stores a job's record in format 1
-// with a final state and replaces a record in dependentJobFormat. The replaced record has formerFormat.
+// with a final state and replaces a record in dependentJobFormat. formerFormat is the format of the replaced record.
 func endsDependentJob(key string, value json.RawMessage, formerFormat int) bool {
 	var record jobs.Record
 	if !strings.HasPrefix(key, jobs.Prefix) || json.Unmarshal(value, &record) != nil {
