--- a/internal/api/bench_test.go
+++ b/internal/api/bench_test.go
@@ -46,7 +46,7 @@
 	for b.Loop() {
 		table := jobs.NewTable(0)
 		for _, item := range items {
-			if _, _, err := table.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version); err != nil {
+			if _, _, err := table.Apply(strings.TrimPrefix(item.Key, jobs.RecordPrefix), item.Value, item.Version); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -110,7 +110,7 @@
 		},
 		Counts: func(job *jobs.Job) (int, int) { return job.FinishedTasks, job.ReportedRunning },
 		OnJobRecord: func(_ time.Duration, item store.Item) {
-			_, _, _ = table.Apply(strings.TrimPrefix(item.Key, jobs.Prefix), item.Value, item.Version)
+			_, _, _ = table.Apply(strings.TrimPrefix(item.Key, jobs.RecordPrefix), item.Value, item.Version)
 		},
 	})
 	return s
--- a/internal/api/predecessors.go
+++ b/internal/api/predecessors.go
@@ -122,7 +122,7 @@
 func (s *Service) replyWithJob(job *jobs.Job, withCounts bool, reply func(Reply)) {
 	blocked := job.Blocked && !job.State.Terminal()
 	switch {
-	case blocked && job.Doomed:
+	case blocked && job.CancelPending:
 		// The job will be cancelled, because a job before it is cancelled. Until its cancellation is durable, another
 		// controller could still reply that it is pending, so the cancellation is written first.
 		s.tryCancel(cancellation{id: job.ID, withCounts: withCounts, retriesLeft: maxCancelRetries, reply: reply})
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -241,7 +241,7 @@
 	switch job := s.Jobs.Get(id); {
 	case job == nil:
 		s.readAndReplyToSubmission(submission)
-	case job.State.Terminal() || job.Doomed:
+	case job.State.Terminal() || job.CancelPending:
 		s.replyWithJob(job, false, submission.reply)
 	default:
 		submission.reply(Reply{Status: http.StatusCreated, Body: jobBody{ID: id, State: jobs.Pending.String()}})
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -16,7 +16,7 @@
 
 const (
 	modelID        = "req-1"
-	modelRecordKey = jobs.Prefix + modelID
+	modelRecordKey = jobs.RecordPrefix + modelID
 	modelEntryKey  = Prefix + modelID
 	maxSubmissions = 3
 	maxEnds        = 1
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -172,14 +172,14 @@
 	now := func() time.Duration { return cloud.now }
 	fleetType := &fleet.MachineType{Size: types[0].Size(), CacheGB: 10, FetchGB: 1, BootS: 40}
 	f := fleet.New(fleet.Env{
-		Settings: settings,
-		Jobs:     table,
-		Random:   rand.New(rand.NewPCG(1, 1)),
-		TxnOps:   20,
-		Now:      now,
-		Types:    func(int32) *fleet.MachineType { return fleetType },
-		CanWrite: func(int) bool { return true },
-		Commit:   func(store.Txn, func(store.Result)) {},
+		Settings:  settings,
+		Jobs:      table,
+		Random:    rand.New(rand.NewPCG(1, 1)),
+		MaxTxnOps: 20,
+		Now:       now,
+		Types:     func(int32) *fleet.MachineType { return fleetType },
+		CanWrite:  func(int) bool { return true },
+		Commit:    func(store.Txn, func(store.Result)) {},
 	}, 1, 0)
 	f.LoadPlans(0, nil)
 	client := NewCloud("", cloud, now, 100)
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -109,7 +109,7 @@
 	switch {
 	case m.shouldReturnSilent(now, machine, health):
 		m.toReturn[machine.Name] = causeSilent
-	case m.Fleet.Faulty(machine):
+	case m.Fleet.IsFaulty(machine):
 		m.Fleet.ReturnMachine(machine, string(causeFaulty))
 	case m.isSurplus(now, machine):
 		m.Fleet.ReturnMachine(machine, string(causeIdle))
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -97,7 +97,7 @@
 	case listedFailed:
 		machine := m.Fleet.RegisterMachine(now, entry.Name)
 		m.Fleet.SetMachineDetails(machine, entry.Addr, entry.Type, entry.Zone, entry.IsSpot)
-		m.Fleet.HandleReturned(now, machine, string(causeFailed))
+		m.Fleet.HandleTerminated(now, machine, string(causeFailed))
 		m.toReturn[entry.Name] = causeFailed
 		delete(m.boots, entry.Name)
 	case listedBooting:
@@ -146,7 +146,7 @@
 	for _, machine := range m.Fleet.Machines() {
 		isExpired := machine.Condition == fleet.LeaseExpired && now-machine.LastContactAt > lagLimit+unlistedExpiredSlack
 		if isExpired && !isListed[machine.Name] {
-			m.Fleet.HandleReturned(now, machine, string(causeUnlisted))
+			m.Fleet.HandleTerminated(now, machine, string(causeUnlisted))
 		}
 	}
 }
--- a/internal/capacity/machinetype.go
+++ b/internal/capacity/machinetype.go
@@ -93,7 +93,7 @@
 func (m *Manager) secondsUntilUseful(machineType *MachineType) float64 {
 	seconds := machineType.BootS
 	if machineType.FetchGB > 0 {
-		seconds += m.Fleet.ImageGB() / machineType.FetchGB
+		seconds += m.Fleet.MeanImageGB() / machineType.FetchGB
 	}
 	return seconds
 }
--- a/internal/capacity/scalein.go
+++ b/internal/capacity/scalein.go
@@ -37,7 +37,7 @@
 		seconds *= costObjectiveIdleFactor
 	}
 	seconds *= m.idleLimitFactor
-	if m.Fleet.Quiescent() {
+	if m.Fleet.HasNoLiveJobs() {
 		seconds = min(seconds, quiescentIdleLimitS)
 	}
 	return jobs.Seconds(seconds)
@@ -55,7 +55,7 @@
 // idleExceedsHeadroom reports whether the idle machines cost more than the headroom allows. Without a live job it is
 // always true.
 func (m *Manager) idleExceedsHeadroom() bool {
-	if m.Fleet.Quiescent() {
+	if m.Fleet.HasNoLiveJobs() {
 		return true
 	}
 	cost := m.fleetCost()
@@ -123,7 +123,7 @@
 		cause := m.toReturn[name]
 		slog.Info("machine returned", "machine", name, "cause", string(cause), "term", m.Term)
 		if machine := m.Fleet.FindMachine(name); machine != nil {
-			m.Fleet.HandleReturned(now, machine, string(cause))
+			m.Fleet.HandleTerminated(now, machine, string(cause))
 		}
 		delete(m.toReturn, name)
 		delete(m.boots, name)
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// acceptsWork reports whether a present machine counts as capacity for waiting work. Its size has to be known, responses
-// have to reach it, and it must not be quarantined, about to be reclaimed, or about to be returned.
+// acceptsWork reports whether a present machine counts as capacity for waiting work. Its size has to be known,
+// responses have to reach it, and it must not be quarantined, about to be reclaimed, or about to be returned.
 func acceptsWork(machine *fleet.Machine) bool {
 	if machine.Condition == fleet.ReclaimNoticed || machine.Condition == fleet.OneWayUnreachable {
 		return false
@@ -131,7 +131,7 @@
 }
 
 // pack places the tasks of a need on the planned machines, and adds machines for the tasks that don't fit.
-func (p *scaleOutPlan) pack(need fleet.Need) {
+func (p *scaleOutPlan) pack(need fleet.TaskDemand) {
 	secondsPerTask := min(max(need.Seconds, 1), p.horizonS)
 	if need.StartTogether {
 		secondsPerTask = p.horizonS
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -86,7 +86,7 @@
 // blockedReason returns the reason why a blocked job is pending.
 func (c *Controller) blockedReason(job *jobs.Job) fleet.PendingReason {
 	reason := fleet.PendingReason{Tasks: job.TaskCount, Cause: fleet.PredecessorsUnfinished}
-	if job.Doomed {
+	if job.CancelPending {
 		reason.Text = "a predecessor is cancelled, and this job will be cancelled too"
 		return reason
 	}
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -15,7 +15,7 @@
 // handleItem applies a write of a followed key.
 func (c *Controller) handleItem(now time.Duration, item store.Item) {
 	switch {
-	case strings.HasPrefix(item.Key, jobs.Prefix):
+	case strings.HasPrefix(item.Key, jobs.RecordPrefix):
 		c.applyJobRecord(now, item)
 	case strings.HasPrefix(item.Key, licences.Prefix):
 		c.handleLicenceCount(item)
@@ -37,7 +37,7 @@
 
 // handleDelete applies the deletion of a followed key.
 func (c *Controller) handleDelete(key string, version uint64) {
-	if strings.HasPrefix(key, jobs.Prefix) {
+	if strings.HasPrefix(key, jobs.RecordPrefix) {
 		c.handleJobDeleted(key, version)
 	}
 	c.rollout.HandleDelete(key, version)
@@ -67,7 +67,7 @@
 	isPresent := func(key string) bool { return keys[key] }
 	c.licencePools.Reset(isPresent)
 	c.drains.machines.Reset(c.watchCache.Revision(), isPresent)
-	c.jobs.Retain(c.watchCache.Revision(), func(id string) bool { return keys[jobs.RecordKey(id)] })
+	c.jobs.ArchiveMissing(c.watchCache.Revision(), func(id string) bool { return keys[jobs.RecordKey(id)] })
 	c.dependencies.graph.Retain()
 }
 
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -66,7 +66,7 @@
 // heartbeats.
 func (c *Controller) resignIfUnreachable(now time.Duration) {
 	workers := &c.settings.Params.Workers
-	sinceLastHeartbeat := min(now-c.term.fleet.LastHeartbeat, now-c.term.authoritySince)
+	sinceLastHeartbeat := min(now-c.term.fleet.LastContactAt, now-c.term.authoritySince)
 	if sinceLastHeartbeat < shortHeartbeatTimeout(workers.HeartbeatIntervalS) {
 		return
 	}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -31,12 +31,12 @@
 	c.machineTypes.list = types
 	for _, machineType := range types {
 		c.machineTypes.byIndex[c.jobs.Names.Types.Index(machineType.Name)] = &fleet.MachineType{
-			Size:    machineType.Size(),
-			CacheGB: machineType.CacheGB,
-			FetchGB: machineType.FetchGB,
-			BootS:   machineType.BootS,
-			Price:   machineType.Price,
-			Spot:    machineType.Spot,
+			Size:          machineType.Size(),
+			CacheGB:       machineType.CacheGB,
+			FetchGB:       machineType.FetchGB,
+			BootS:         machineType.BootS,
+			OnDemandPrice: machineType.Price,
+			SpotPrice:     machineType.Spot,
 		}
 	}
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -120,7 +120,7 @@
 		return collected
 	}
 	if c.rollout.State() == rollout.Migrating {
-		collected.add(migrationDesc, float64(c.term.fleet.UnmigratedPlans()))
+		collected.add(migrationDesc, float64(c.term.fleet.UnmigratedSegments()))
 	}
 	collected.add(archivedDesc, float64(c.term.archiver.Stats.Moved))
 	c.addTaskMetrics(&collected)
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -32,7 +32,7 @@
 	if settings.SimulatedLevel > 0 {
 		cfg.MaxLevel = settings.SimulatedLevel
 		cfg.Release = settings.SimulatedRelease
-		c.jobs.LimitFormat(newestJobFormat(settings.SimulatedLevel))
+		c.jobs.LimitRecordFormat(newestJobFormat(settings.SimulatedLevel))
 	}
 	for _, peer := range c.settings.Peers {
 		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: peer.Node, Zone: peer.Zone})
@@ -42,7 +42,7 @@
 
 // newestJobFormat returns the newest format of job records that a release with the given highest level reads.
 func newestJobFormat(level rollout.Level) int {
-	format, _ := rollout.RecordFormatOf(jobs.Prefix)
+	format, _ := rollout.RecordFormatOf(jobs.RecordPrefix)
 	return format.WrittenAt(level)
 }
 
@@ -112,8 +112,8 @@
 	drainRequests := c.unmigratedDrainRequests()
 	hasPassedUpgrade := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
 	return rollout.MigrationProgress{
-		Left: c.term.fleet.UnmigratedPlans() + drainRequests,
-		Done: c.term.fleet.Migrated() && drainRequests == 0 && hasPassedUpgrade,
+		Left: c.term.fleet.UnmigratedSegments() + drainRequests,
+		Done: c.term.fleet.PlansMigrated() && drainRequests == 0 && hasPassedUpgrade,
 	}
 }
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -80,7 +80,7 @@
 		Settings:          c.settings,
 		Jobs:              c.jobs,
 		Random:            c.rng,
-		TxnOps:            c.settings.Params.State.TxnOps - 1, // one operation is reserved for the leader's condition
+		MaxTxnOps:         c.settings.Params.State.TxnOps - 1, // one operation is reserved for the leader's condition
 		Limits:            c.store.Limits,
 		MaxDirectRequests: c.settings.Params.Limits.MaxOutgoing(maxWorkerRequests),
 		Now:               c.loop.Now,
@@ -94,7 +94,7 @@
 		Commit: func(txn store.Txn, done func(store.Result)) {
 			c.commitInTerm(txn, store.BulkPriority, done)
 		},
-		Read:         c.readInTerm,
+		ReadKey:      c.readInTerm,
 		SendCommands: c.sendCommands,
 		Events:       events.New(eventCapacity(c.settings.Params.Limits.MemoryLimitMB())),
 	}
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -262,7 +262,7 @@
 	}
 	if changed.job != nil {
 		changed.job.Blocked = to == Blocked || to == CancelPending
-		changed.job.Doomed = to == CancelPending
+		changed.job.CancelPending = to == CancelPending
 	}
 }
 
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -174,7 +174,7 @@
 
 // removeMissing has the controller remove the jobs that a listing lacks. present holds the ids of the listed jobs.
 func (h *history) removeMissing(present map[string]bool) {
-	h.table.Retain(h.revision, func(id string) bool { return present[id] })
+	h.table.ArchiveMissing(h.revision, func(id string) bool { return present[id] })
 	h.graph.Retain()
 	for _, job := range h.jobs {
 		if job.isArchived {
@@ -338,8 +338,8 @@
 	}
 	job := h.table.Get(id)
 	state := h.model.state(id)
-	if job.Blocked != (state == Blocked || state == CancelPending) || job.Doomed != (state == CancelPending) {
-		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and Doomed %v", id, state, job.Blocked, job.Doomed)
+	if job.Blocked != (state == Blocked || state == CancelPending) || job.CancelPending != (state == CancelPending) {
+		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and Doomed %v", id, state, job.Blocked, job.CancelPending)
 	}
 	if want := h.model.viewOf(id).releasedAt; job.ReleasedAt != want {
 		h.t.Fatalf("%s released at %v, want %v", id, job.ReleasedAt, want)
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -45,9 +45,9 @@
 	for _, job := range f.ranking.jobs {
 		switch {
 		case !f.waitsForRoom(job) || !f.hasRoom(job, roomByRequest):
-			job.RoomSince = 0
-		case job.RoomSince == 0:
-			job.RoomSince = now
+			job.StartableSince = 0
+		case job.StartableSince == 0:
+			job.StartableSince = now
 		}
 	}
 }
@@ -56,7 +56,7 @@
 func (f *Fleet) waitsForRoom(job *jobs.Job) bool {
 	return job.TasksOnMachines() == 0 &&
 		job.UnstartedTasks() > 0 &&
-		!job.Idle() &&
+		!job.PlanningBlocked() &&
 		f.crashLooping(job) == nil &&
 		f.mayStart(job, tasksToStart(job))
 }
@@ -110,10 +110,10 @@
 
 // starvedFor returns how long a job has waited while there was room for it. It returns 0 for a nil job.
 func (f *Fleet) starvedFor(job *jobs.Job) time.Duration {
-	if job == nil || job.RoomSince == 0 || job.TasksOnMachines() > 0 {
+	if job == nil || job.StartableSince == 0 || job.TasksOnMachines() > 0 {
 		return 0
 	}
-	return f.Now() - job.RoomSince
+	return f.Now() - job.StartableSince
 }
 
 // isStarving reports whether a job has waited for more than starvingAfter while there was room for it. Such a job
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -82,7 +82,7 @@
 	for r.now-submittedAt < limit && job.TasksOnMachines() == 0 {
 		r.now += 700 * time.Millisecond
 		if !starves {
-			job.RoomSince = 0
+			job.StartableSince = 0
 		}
 		r.settleFor(3, store.Committed)
 		r.heartbeat("busy")
--- a/internal/fleet/crashloop.go
+++ b/internal/fleet/crashloop.go
@@ -204,5 +204,5 @@
 	f.writer.planBecameDurable = true
 }
 
-// Faulty reports whether tasks of several jobs in a row, none of them in a crash loop, failed on a machine.
-func (f *Fleet) Faulty(machine *Machine) bool { return len(machine.failedJobs) >= faultyThreshold }
+// IsFaulty reports whether tasks of several jobs in a row, none of them in a crash loop, failed on a machine.
+func (f *Fleet) IsFaulty(machine *Machine) bool { return len(machine.failedJobs) >= faultyThreshold }
--- a/internal/fleet/cycle.go
+++ b/internal/fleet/cycle.go
@@ -53,7 +53,7 @@
 func (f *Fleet) schedule(now time.Duration) {
 	f.beginCycle(now)
 	for _, job := range f.ranking.jobs {
-		if job.FinishedTasks == job.TaskCount || job.Idle() {
+		if job.FinishedTasks == job.TaskCount || job.PlanningBlocked() {
 			continue
 		}
 		switch job.Spec.Kind {
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -13,8 +13,8 @@
 	"github.com/harewalk/harewalk/internal/planner"
 )
 
-// Need is the part of a job that waits for machines.
-type Need struct {
+// TaskDemand is the part of a job that waits for machines.
+type TaskDemand struct {
 	Job           *jobs.Job
 	Tasks         int
 	Seconds       float64 // expected run time of one task
@@ -22,11 +22,11 @@
 }
 
 // Demand returns the waiting work that team limits and licences allow to run, in priority order.
-func (f *Fleet) Demand(now time.Duration) []Need {
-	var needs []Need
+func (f *Fleet) Demand(now time.Duration) []TaskDemand {
+	var needs []TaskDemand
 	teamRoom := map[int32]planner.Size{}
 	for _, job := range f.ranking.jobs {
-		if job.Tasks == nil || job.Spec == nil || job.State.Terminal() || job.Idle() {
+		if job.Tasks == nil || job.Spec == nil || job.State.Terminal() || job.PlanningBlocked() {
 			continue
 		}
 		tasks := f.admissibleTasks(now, job)
@@ -50,7 +50,7 @@
 			CPUs: size.CPUs * float64(tasks),
 			GPUs: size.GPUs * float64(tasks),
 		})
-		needs = append(needs, Need{
+		needs = append(needs, TaskDemand{
 			Job:           job,
 			Tasks:         tasks,
 			Seconds:       f.estimate(job),
@@ -86,8 +86,8 @@
 	return representatives
 }
 
-// ImageGB returns the mean image size of the live jobs in GB, or 0 if there are no live jobs.
-func (f *Fleet) ImageGB() float64 {
+// MeanImageGB returns the mean image size of the live jobs in GB, or 0 if there are no live jobs.
+func (f *Fleet) MeanImageGB() float64 {
 	sum := 0.0
 	count := 0
 	for _, job := range f.ranking.jobs {
@@ -102,8 +102,8 @@
 	return sum / float64(count)
 }
 
-// Quiescent reports whether the durable plans are loaded and there is no live job.
-func (f *Fleet) Quiescent() bool { return f.plansLoaded && len(f.ranking.jobs) == 0 }
+// HasNoLiveJobs reports whether the durable plans are loaded and there is no live job.
+func (f *Fleet) HasNoLiveJobs() bool { return f.plansLoaded && len(f.ranking.jobs) == 0 }
 
 // TaskCounts returns how many tasks of a job have finished and how many are running.
 func (f *Fleet) TaskCounts(job *jobs.Job) (done, running int) {
--- a/internal/fleet/env.go
+++ b/internal/fleet/env.go
@@ -14,12 +14,12 @@
 
 // MachineType describes a machine type, as far as placement needs it.
 type MachineType struct {
-	Size    planner.Size
-	CacheGB float64 // size of the image cache; 0 if unbounded
-	FetchGB float64 // image download rate, in GB per second
-	BootS   float64 // seconds from the order to the first heartbeat
-	Price   float64 // on-demand price
-	Spot    float64 // spot price; 0 if the type has none
+	Size          planner.Size
+	CacheGB       float64 // size of the image cache; 0 if unbounded
+	FetchGB       float64 // image download rate, in GB per second
+	BootS         float64 // seconds from the order to the first heartbeat
+	OnDemandPrice float64 // on-demand price
+	SpotPrice     float64 // spot price; 0 if the type has none
 }
 
 // Env holds the settings, tables and functions that the controller supplies to its Fleet. The fleet calls the functions
@@ -40,12 +40,12 @@
 	HasSpareWrites func() bool
 	// Commit sends one transaction that is conditional on the leader key.
 	Commit func(store.Txn, func(store.Result))
-	// Read reads one key again after a write that failed or whose outcome is indeterminate.
-	Read func(key string, done func(store.Item, error))
-	// TxnOps is the maximum number of operations in one transaction.
-	TxnOps int
-	// Limits returns the present limits of one transaction. They may be lower than TxnOps, since the state service can
-	// reduce its limits. If nil, TxnOps and the settings apply.
+	// ReadKey reads one key again after a write that failed or whose outcome is indeterminate.
+	ReadKey func(key string, done func(store.Item, error))
+	// MaxTxnOps is the maximum number of operations in one transaction.
+	MaxTxnOps int
+	// Limits returns the present limits of one transaction. They may be lower than MaxTxnOps, since the state service can
+	// reduce its limits. If nil, MaxTxnOps and the settings apply.
 	Limits func() store.Limits
 	// PlansInPages reports whether plans are written into pages that many jobs share, which level 2 of the stored state
 	// introduced. If nil, plans are written into pages.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -67,8 +67,8 @@
 	// PlanningSteps counts the machines, queues and tasks that planning has examined. The interval between scheduling
 	// cycles depends on this count, and tests bound it.
 	PlanningSteps uint64
-	// LastHeartbeat is the time of the last accepted heartbeat that proved contact with any machine.
-	LastHeartbeat time.Duration
+	// LastContactAt is the time of the last accepted heartbeat that proved contact with any machine.
+	LastContactAt time.Duration
 
 	// The term.
 	termStartedAt  time.Duration
@@ -112,7 +112,7 @@
 	f := &Fleet{
 		Env:              env,
 		Term:             term,
-		LastHeartbeat:    now,
+		LastContactAt:    now,
 		termStartedAt:    now,
 		unreadableJobs:   map[string]bool{},
 		byName:           map[string]*Machine{},
--- a/internal/fleet/gpureserve.go
+++ b/internal/fleet/gpureserve.go
@@ -29,7 +29,7 @@
 	clear(reserve.onDemandTypes)
 	var waiting waitingGPUs
 	for _, job := range f.ranking.jobs {
-		if job.Idle() {
+		if job.PlanningBlocked() {
 			continue
 		}
 		if !job.Spec.Spot {
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -214,7 +214,7 @@
 	machine.LastContactAt = now
 	machine.LastHeartbeatAt = now
 	machine.Quarantined = false
-	f.LastHeartbeat = now
+	f.LastContactAt = now
 }
 
 // updateCondition changes a machine's condition after a fenced heartbeat. A reclaim notice stops new launches; without
@@ -224,11 +224,11 @@
 		return
 	}
 	switch {
-	case heartbeat.NoticeS != nil:
+	case heartbeat.ReclaimInS != nil:
 		if machine.Condition == ReclaimNoticed {
 			return
 		}
-		machine.ReclaimAt = now + jobs.Seconds(*heartbeat.NoticeS)
+		machine.ReclaimAt = now + jobs.Seconds(*heartbeat.ReclaimInS)
 		f.setCondition(machine, ReclaimNoticed, "spot notice")
 		f.clearQueues(machine)
 	case machine.Condition != Ready && origin == fromRequest:
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -54,8 +54,8 @@
 	f.clearQueues(machine)
 }
 
-// HandleReturned records that the cloud confirmed the termination of a machine.
-func (f *Fleet) HandleReturned(now time.Duration, machine *Machine, cause string) {
+// HandleTerminated records that the cloud confirmed the termination of a machine.
+func (f *Fleet) HandleTerminated(now time.Duration, machine *Machine, cause string) {
 	f.setCondition(machine, Terminated, cause)
 	f.releaseAllTasks(now, machine)
 }
--- a/internal/fleet/licences.go
+++ b/internal/fleet/licences.go
@@ -153,7 +153,7 @@
 	var jobList []*jobs.Job
 	var requests []licences.Request
 	for _, job := range f.ranking.jobs {
-		if len(job.LicenceUnits) == 0 || job.FinishedTasks == job.TaskCount || job.Idle() {
+		if len(job.LicenceUnits) == 0 || job.FinishedTasks == job.TaskCount || job.PlanningBlocked() {
 			continue
 		}
 		request := licences.Request{
--- a/internal/fleet/licences_test.go
+++ b/internal/fleet/licences_test.go
@@ -262,7 +262,7 @@
 	g.settle(store.Committed)
 	first, second := g.machines[job.Tasks[0].Machine], g.machines[job.Tasks[1].Machine]
 	attempt := starts(g.heartbeat(first.Name, 1, fenced))[0].Attempt
-	g.HandleReturned(g.now, second, "gone")
+	g.HandleTerminated(g.now, second, "gone")
 	g.settle(store.Committed)
 	if used := g.usedCPUs(job); g.freeUnits(0) != 1 || used != 3 {
 		t.Fatalf("%d free units, want 1; the team uses %v CPUs, want 3", g.freeUnits(0), used)
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -12,16 +12,16 @@
 
 // Heartbeat is a worker's heartbeat with the status of its machine and tasks.
 type Heartbeat struct {
-	Machine string
-	Addr    string // address for direct commands
-	Type    string
-	Zone    string
-	Spot    bool
-	Session uint64   // 1 in a new incarnation of the worker; the worker adds 1 after each expired lease
-	Seq     uint64   // counts heartbeats within an incarnation
-	Token   uint64   // the highest fencing token that the worker has received
-	NoticeS *float64 // seconds until the cloud reclaims the machine; nil if unannounced
-	Tasks   []TaskReport
+	Machine    string
+	Addr       string // address for direct commands
+	Type       string
+	Zone       string
+	Spot       bool
+	Session    uint64   // 1 in a new incarnation of the worker; the worker adds 1 after each expired lease
+	Seq        uint64   // counts heartbeats within an incarnation
+	Token      uint64   // the highest fencing token that the worker has received
+	ReclaimInS *float64 // seconds until the cloud reclaims the machine; nil if unannounced
+	Tasks      []TaskReport
 }
 
 // TaskReport is the status of one attempt at a task on a machine.
--- a/internal/fleet/messages_test.go
+++ b/internal/fleet/messages_test.go
@@ -15,7 +15,7 @@
 	wellFormed := []byte(`{"den":"m","address":"10.1.0.2:9000","build":"ty","meadow":"z","stray":true,"run":1,"tally":88,"mark":1048576,
  "warning_s":null,"hops":[{"hop":"req-000001/1","try":2,"stance":"running"},{"hop":"req-000001/0","try":1,"stance":"exited","cause":"done"}]}`)
 	heartbeat, err := ParseHeartbeat(wellFormed)
-	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.NoticeS != nil {
+	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.Token != fenced || heartbeat.ReclaimInS != nil {
 		t.Fatalf("well-formed heartbeat: got %+v, error %v, want 2 tasks, token 1048576, no notice", heartbeat, err)
 	}
 	rng := rand.New(rand.NewPCG(9, 9))
@@ -49,7 +49,7 @@
 	notice := 29.5
 	heartbeat := Heartbeat{
 		Machine: "m", Addr: "10.1.0.2:9000", Type: "ty", Zone: "z", Spot: true, Session: 3, Seq: 88, Token: fenced,
-		NoticeS: &notice,
+		ReclaimInS: &notice,
 		Tasks: []TaskReport{
 			{Task: "req-000001/1", Attempt: 2, State: taskRunning},
 			{Task: "req-000001/0", Attempt: 1, State: taskExited, ExitCause: exitError, Saved: true},
@@ -138,7 +138,7 @@
 	if !reflect.DeepEqual(next, want) {
 		t.Errorf("second heartbeat: got %+v, want %+v", next, want)
 	}
-	if len(full.Tasks) != 2 || full.Tasks[0].Task != "a/0" || full.Tasks[1].Task != "a/1" || *full.NoticeS != 1 {
+	if len(full.Tasks) != 2 || full.Tasks[0].Task != "a/0" || full.Tasks[1].Task != "a/1" || *full.ReclaimInS != 1 {
 		t.Errorf("first heartbeat after the second was decoded: got %+v, want it unchanged", full)
 	}
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -222,7 +222,7 @@
 		m.plansInPages = true
 	}
 	m.fleet.Tick(m.now, true)
-	m.migrated = m.migrated || (m.plansInPages && m.fleet.Migrated())
+	m.migrated = m.migrated || (m.plansInPages && m.fleet.PlansMigrated())
 	if m.afterTick != nil {
 		m.afterTick()
 	}
@@ -242,7 +242,7 @@
 		ended++
 	}
 	if m.plansInPages != m.migrated {
-		t.Fatalf("seed %d: %d plan segments have keys of their own at the end, want 0", m.seed, m.fleet.UnmigratedPlans())
+		t.Fatalf("seed %d: %d plan segments have keys of their own at the end, want 0", m.seed, m.fleet.UnmigratedSegments())
 	}
 	return ended
 }
--- a/internal/fleet/modelfaults_test.go
+++ b/internal/fleet/modelfaults_test.go
@@ -54,7 +54,7 @@
 	case m.chance(0.004) && worker.alive && m.fleet != nil: // terminated, confirmed by the cloud
 		if machine := m.fleet.FindMachine(worker.name); machine != nil {
 			m.killWorker(worker)
-			m.fleet.HandleReturned(m.now, machine, "returned")
+			m.fleet.HandleTerminated(m.now, machine, "returned")
 			m.replaceWorker(worker)
 		}
 	case m.chance(0.004) && worker.alive && worker.spot && worker.reclaimAt == 0: // reclaimed by the cloud
--- a/internal/fleet/modelstore_test.go
+++ b/internal/fleet/modelstore_test.go
@@ -56,7 +56,7 @@
 
 // isRecordKey returns whether a key is that of a job's record.
 func isRecordKey(key string) bool {
-	return len(key) > len(jobs.Prefix) && strings.HasPrefix(key, jobs.Prefix)
+	return len(key) > len(jobs.RecordPrefix) && strings.HasPrefix(key, jobs.RecordPrefix)
 }
 
 // watchDelay returns the random delay between a commit and its delivery to the leader's watch.
@@ -67,10 +67,10 @@
 // checkRecord checks the job states that users see. Rule went_back: only a pending job changes its state. Rule
 // not_done: a job becomes done only if all its tasks have finished.
 func (m *model) checkRecord(key string, value json.RawMessage) {
-	if !strings.HasPrefix(key, jobs.Prefix) {
+	if !strings.HasPrefix(key, jobs.RecordPrefix) {
 		return
 	}
-	id := key[len(jobs.Prefix):]
+	id := key[len(jobs.RecordPrefix):]
 	var before, after jobs.Record
 	_ = json.Unmarshal(value, &after)
 	if old, ok := m.items[key]; ok {
@@ -111,7 +111,7 @@
 	if m.jobs == nil {
 		return
 	}
-	job, changed, err := m.jobs.Apply(key[len(jobs.Prefix):], value, version)
+	job, changed, err := m.jobs.Apply(key[len(jobs.RecordPrefix):], value, version)
 	if err != nil {
 		m.violation("record: %v", err)
 	}
@@ -190,7 +190,7 @@
 		Settings:       m.settings,
 		Jobs:           m.jobs,
 		Random:         m.rng,
-		TxnOps:         5,
+		MaxTxnOps:      5,
 		Now:            func() time.Duration { return m.now },
 		Types:          m.machineType,
 		PlansInPages:   func() bool { return m.plansInPages },
@@ -204,7 +204,7 @@
 				}
 			})
 		},
-		Read: func(key string, done func(store.Item, error)) {
+		ReadKey: func(key string, done func(store.Item, error)) {
 			m.after(10*time.Millisecond, func() {
 				if m.leads(term) {
 					m.read(key, done)
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -142,7 +142,7 @@
 	}
 	if worker.reclaimAt > 0 {
 		seconds := (worker.reclaimAt - m.now).Seconds()
-		heartbeat.NoticeS = &seconds
+		heartbeat.ReclaimInS = &seconds
 	}
 	for _, task := range worker.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{
--- a/internal/fleet/pendingreason.go
+++ b/internal/fleet/pendingreason.go
@@ -301,7 +301,7 @@
 	rank := min(f.rankOf(job), len(f.ranking.jobs))
 	for i := rank - 1; i >= 0; i-- {
 		ahead := f.ranking.jobs[i]
-		if ahead.UnstartedTasks() == 0 || ahead.Idle() {
+		if ahead.UnstartedTasks() == 0 || ahead.PlanningBlocked() {
 			continue
 		}
 		count++
--- a/internal/fleet/planmigration.go
+++ b/internal/fleet/planmigration.go
@@ -26,12 +26,12 @@
 			added++
 		}
 	}
-	f.writer.migrated = added == 0 && f.UnmigratedPlans() == 0
+	f.writer.migrated = added == 0 && f.UnmigratedSegments() == 0
 	return added > 0
 }
 
-// UnmigratedPlans returns how many plan segments have or may have a key of their own, those of ended jobs included.
-func (f *Fleet) UnmigratedPlans() int {
+// UnmigratedSegments returns how many plan segments have or may have a key of their own, those of ended jobs included.
+func (f *Fleet) UnmigratedSegments() int {
 	count := len(f.writer.obsoleteKeys)
 	for _, jobList := range [][]*jobs.Job{f.ranking.jobs, f.writer.endedJobs} {
 		for _, job := range jobList {
@@ -50,6 +50,6 @@
 	return segment.Version != 0 || segment.CreateIndeterminate
 }
 
-// Migrated returns whether this term has found that no plan segment has a key of its own any more. Once plans are
+// PlansMigrated returns whether this term has found that no plan segment has a key of its own any more. Once plans are
 // stored in pages, no such key is written again.
-func (f *Fleet) Migrated() bool { return f.writer.migrated }
+func (f *Fleet) PlansMigrated() bool { return f.writer.migrated }
--- a/internal/fleet/rig_test.go
+++ b/internal/fleet/rig_test.go
@@ -51,16 +51,16 @@
 		g.revision++
 		if k[:2] == jobs.PlanPrefix {
 			plans = append(plans, store.Item{Key: k, Value: v, Version: g.revision})
-		} else if _, _, err := table.Apply(k[len(jobs.Prefix):], v, g.revision); err != nil {
+		} else if _, _, err := table.Apply(k[len(jobs.RecordPrefix):], v, g.revision); err != nil {
 			t.Fatal(err)
 		}
 	}
 	g.Fleet = New(Env{
-		Settings: settings,
-		Jobs:     table,
-		Random:   rand.New(rand.NewPCG(1, 1)),
-		TxnOps:   20,
-		Now:      func() time.Duration { return g.now },
+		Settings:  settings,
+		Jobs:      table,
+		Random:    rand.New(rand.NewPCG(1, 1)),
+		MaxTxnOps: 20,
+		Now:       func() time.Duration { return g.now },
 		Types: func(int32) *MachineType {
 			return &MachineType{Size: planner.Size{CPUs: 4, Mem: 16}, CacheGB: 10, FetchGB: 1}
 		},
@@ -81,7 +81,7 @@
 				done(store.Result{Outcome: outcome, Revision: g.revision})
 			})
 		},
-		Read: func(key string, done func(store.Item, error)) {
+		ReadKey: func(key string, done func(store.Item, error)) {
 			item := store.Item{Key: key, Value: kv[key]}
 			if item.Value != nil {
 				item.Version = g.revision
@@ -101,7 +101,7 @@
 func (g *rig) applyRecord(key string, raw json.RawMessage) {
 	g.revision++
 	g.kv[key] = raw
-	if job, changed, err := g.Jobs.Apply(key[len(jobs.Prefix):], raw, g.revision); err != nil {
+	if job, changed, err := g.Jobs.Apply(key[len(jobs.RecordPrefix):], raw, g.revision); err != nil {
 		g.t.Fatal(err)
 	} else if changed {
 		g.HandleJobChange(g.now, job)
--- a/internal/fleet/start.go
+++ b/internal/fleet/start.go
@@ -273,11 +273,11 @@
 func (f *Fleet) beginGangStart(now time.Duration, job *jobs.Job) {
 	job.GangAttempt = f.nextAttempt()
 	job.GangStartedAt = now
-	job.FetchS = 0
+	job.GangFetchS = 0
 	for t := range job.Tasks {
 		task := &job.Tasks[t]
 		if task.State == jobs.Planned {
-			job.FetchS = max(job.FetchS, f.fetchSeconds(job, f.machines[task.Machine]))
+			job.GangFetchS = max(job.GangFetchS, f.fetchSeconds(job, f.machines[task.Machine]))
 		}
 	}
 }
@@ -286,6 +286,6 @@
 // gang_wait_s for the other tasks and then exits, and the start of the whole gang fails. So the launch on a machine
 // with a shorter download is delayed by the difference to the gang's longest download, less a quarter of gang_wait_s.
 func (f *Fleet) gangLaunchDelay(machine *Machine, job *jobs.Job) time.Duration {
-	delayS := job.FetchS - f.fetchSeconds(job, machine) - f.Settings.Params.Workers.GangWaitS/4
+	delayS := job.GangFetchS - f.fetchSeconds(job, machine) - f.Settings.Params.Workers.GangWaitS/4
 	return jobs.Seconds(delayS)
 }
--- a/internal/fleet/startdeadline.go
+++ b/internal/fleet/startdeadline.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	hasStarted := job.Started || job.FinishedTasks > 0 || job.TasksOnMachines() > 0
-	return !hasStarted && f.crashLooping(job) == nil && !job.Idle()
+	return !hasStarted && f.crashLooping(job) == nil && !job.PlanningBlocked()
 }
 
 // promoteOverdueJobs moves jobs with overdue starts forward in the priority order. Arrays and services, of which only
--- a/internal/fleet/startdeadline_test.go
+++ b/internal/fleet/startdeadline_test.go
@@ -271,7 +271,7 @@
 			for range 160 {
 				g.now += time.Second
 				if !c.starves {
-					job.RoomSince = 0
+					job.StartableSince = 0
 				}
 				g.startTasks("g1", "gpu", running)
 				g.settleFor(3, store.Committed)
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -53,7 +53,7 @@
 	examined := 0
 	for _, job := range f.ranking.jobs {
 		waitingTasks := job.UnstartedTasks()
-		if waitingTasks == 0 || job.Idle() || job.Spec == nil {
+		if waitingTasks == 0 || job.PlanningBlocked() || job.Spec == nil {
 			continue
 		}
 		examined++
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -92,16 +92,16 @@
 // heartbeat converts a heartbeat from the protocol's form. A later decoding into w does not change the result.
 func (w *WireHeartbeat) heartbeat() *Heartbeat {
 	heartbeat := &Heartbeat{
-		Machine: w.Machine,
-		Addr:    w.Addr,
-		Type:    w.Type,
-		Zone:    w.Zone,
-		Spot:    w.Spot,
-		Session: w.Session,
-		Seq:     w.Seq,
-		Token:   w.Token,
-		NoticeS: w.NoticeS,
-		Tasks:   make([]TaskReport, len(w.Tasks)),
+		Machine:    w.Machine,
+		Addr:       w.Addr,
+		Type:       w.Type,
+		Zone:       w.Zone,
+		Spot:       w.Spot,
+		Session:    w.Session,
+		Seq:        w.Seq,
+		Token:      w.Token,
+		ReclaimInS: w.NoticeS,
+		Tasks:      make([]TaskReport, len(w.Tasks)),
 	}
 	for i := range w.Tasks {
 		report := &w.Tasks[i]
@@ -127,7 +127,7 @@
 		Session: h.Session,
 		Seq:     h.Seq,
 		Token:   h.Token,
-		NoticeS: h.NoticeS,
+		NoticeS: h.ReclaimInS,
 		Tasks:   make([]wireTaskReport, len(h.Tasks)),
 	}
 	for i := range h.Tasks {
--- a/internal/fleet/writelimits.go
+++ b/internal/fleet/writelimits.go
@@ -7,9 +7,9 @@
 // maxOps returns how many operations a transaction may hold at present.
 func (f *Fleet) maxOps() int {
 	if f.Limits == nil {
-		return f.TxnOps
+		return f.MaxTxnOps
 	}
-	return min(f.TxnOps, f.Limits().MaxOps)
+	return min(f.MaxTxnOps, f.Limits().MaxOps)
 }
 
 // valueLimit returns how many bytes a value that is composed of many entries may have at present. It leaves an eighth
--- a/internal/fleet/writeoutcome.go
+++ b/internal/fleet/writeoutcome.go
@@ -84,7 +84,7 @@
 
 // reread reads a key, repeats the read while it fails, and passes the item to done.
 func (f *Fleet) reread(key string, done func(store.Item)) {
-	f.Read(key, func(item store.Item, err error) {
+	f.ReadKey(key, func(item store.Item, err error) {
 		if err != nil {
 			f.writer.retry = func(time.Duration) { f.reread(key, done) }
 			f.writer.retryAt = f.Now() + rereadRetryInterval
--- a/internal/fleet/writeoutcome_test.go
+++ b/internal/fleet/writeoutcome_test.go
@@ -59,7 +59,7 @@
 			g, job, writes := newWriteRig(t)
 			write := (*writes)[0]
 			reads := 0
-			g.Read = func(key string, done func(store.Item, error)) {
+			g.ReadKey = func(key string, done func(store.Item, error)) {
 				reads++
 				item := store.Item{Key: key}
 				if test.foundApplied {
@@ -91,7 +91,7 @@
 	g, job, writes := newWriteRig(t)
 	readsSucceed := false
 	reads := 0
-	g.Read = func(key string, done func(store.Item, error)) {
+	g.ReadKey = func(key string, done func(store.Item, error)) {
 		reads++
 		if readsSucceed {
 			done(store.Item{Key: key}, nil)
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -23,9 +23,9 @@
 	// ReleasedAt is when this controller read that the last predecessor is done. It is 0 if the job has no predecessors
 	// or not all of them are done.
 	ReleasedAt time.Duration
-	// RoomSince is the time since when the job, with no task on a machine, could have started on free resources of the
-	// machines. It is 0 if the job could not start or has a task on a machine.
-	RoomSince time.Duration
+	// StartableSince is the time since when the job, with no task on a machine, could have started on free resources of
+	// the machines. It is 0 if the job could not start or has a task on a machine.
+	StartableSince time.Duration
 
 	Tasks        []Task
 	Segments     []*PlanSegment
@@ -37,7 +37,7 @@
 
 	GangAttempt   uint64        // attempt number of the gang's current start
 	GangStartedAt time.Duration // time of the gang's current start
-	FetchS        float64       // longest expected image fetch among the gang's machines, in seconds
+	GangFetchS    float64       // longest expected image fetch among the gang's machines, in seconds
 	// Priority is the maximum of the job's own priority level and those of the live jobs that depend on it. A job with a
 	// higher value is scheduled first.
 	Priority int
@@ -70,8 +70,8 @@
 
 	// Blocked is set until all predecessors are known to be done. A blocked job is not planned or started.
 	Blocked bool
-	// Doomed is set when a direct or indirect predecessor is cancelled. The job is to be cancelled too.
-	Doomed bool
+	// CancelPending is set when a direct or indirect predecessor is cancelled. The job is to be cancelled too.
+	CancelPending bool
 
 	FinalWriteInFlight bool // set while the write of the terminal record is in flight
 	Started            bool // set when the first task of the job is launched
@@ -112,8 +112,8 @@
 	return j.SubmittedAt + Seconds(*j.Spec.DeadlineS), true
 }
 
-// Idle reports whether the job must not be planned.
-func (j *Job) Idle() bool { return j.Suspended || j.Quarantined || j.Blocked }
+// PlanningBlocked reports whether the job must not be planned.
+func (j *Job) PlanningBlocked() bool { return j.Suspended || j.Quarantined || j.Blocked }
 
 // resetPlanning clears the state that only the controller that plans the job has.
 func (j *Job) resetPlanning() {
@@ -121,7 +121,7 @@
 	j.Segments = nil
 	j.RunningTasks = 0
 	j.QueuePosition = 0
-	j.RoomSince = 0
+	j.StartableSince = 0
 	j.Suspended = false
 	j.FinalWriteInFlight = false
 	j.Started = false
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -62,15 +62,15 @@
 	Follows string `json:"follows,omitempty"`
 }
 
-// Prefix is the prefix of the keys of job records.
-const Prefix = "h/j/"
+// RecordPrefix is the prefix of the keys of job records.
+const RecordPrefix = "h/j/"
 
 // RecordKey returns the key of a job's record.
-func RecordKey(id string) string { return Prefix + id }
+func RecordKey(id string) string { return RecordPrefix + id }
 
 // IDOfKey returns the id of the job whose record has the given key, or "" if the key isn't that of a job's record.
 func IDOfKey(key string) string {
-	id, ok := strings.CutPrefix(key, Prefix)
+	id, ok := strings.CutPrefix(key, RecordPrefix)
 	if !ok {
 		return ""
 	}
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// LimitFormat makes the table reject records in formats above newest, as the table of a former release does.
-func (t *Table) LimitFormat(newest int) { t.newestFormat = min(newest, newestRecordFormat) }
+// LimitRecordFormat makes the table reject records in formats above newest, as the table of a former release does.
+func (t *Table) LimitRecordFormat(newest int) { t.newestFormat = min(newest, newestRecordFormat) }
 
 // ByIndex returns the job with an index, or nil if the job was removed. An index is never reused for another job.
 func (t *Table) ByIndex(index Index) *Job { return t.byIndex.at(index) }
@@ -199,9 +199,9 @@
 	t.archive(job)
 }
 
-// Retain archives the jobs that are missing from a listing of all records at the given version: jobs of that version or
-// older for which present returns false.
-func (t *Table) Retain(version uint64, present func(id string) bool) {
+// ArchiveMissing archives the jobs that are missing from a listing of all records at the given version: jobs of that
+// version or older for which present returns false.
+func (t *Table) ArchiveMissing(version uint64, present func(id string) bool) {
 	t.ForEach(func(job *Job) {
 		if job.Version <= version && !present(job.ID) {
 			t.archive(job)
--- a/internal/jobs/table_test.go
+++ b/internal/jobs/table_test.go
@@ -51,7 +51,7 @@
 	ended := EncodeRecord(Cancelled, 5, 2, spec)
 	spec.Follows = []string{"req-000009"}
 	table := NewTable(0)
-	table.LimitFormat(1)
+	table.LimitRecordFormat(1)
 	job, _, err := table.Apply(spec.ID, EncodeRecord(Pending, 5, 2, spec), 3)
 	var newer *rollout.NewerFormatError
 	if !errors.As(err, &newer) || newer.Format != dependentRecordFormat || job != nil || !table.IsUnreadable(spec.ID) {
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -221,7 +221,7 @@
 }
 
 func (h *harness) applyJobRecord(key string, item store.Item) {
-	_, _, _ = h.jobTable.Apply(strings.TrimPrefix(key, jobs.Prefix), item.Value, item.Version)
+	_, _, _ = h.jobTable.Apply(strings.TrimPrefix(key, jobs.RecordPrefix), item.Value, item.Version)
 }
 
 func (h *harness) task() Task {
--- a/internal/simulator/archive_test.go
+++ b/internal/simulator/archive_test.go
@@ -46,7 +46,7 @@
 }
 
 // countRecords counts the jobs' records under the prefix that every controller watches.
-func (r *testCluster) countRecords() int { return r.CountKeys(jobs.Prefix) }
+func (r *testCluster) countRecords() int { return r.CountKeys(jobs.RecordPrefix) }
 
 // archivesJob reports whether a transaction moves jobs into the archive.
 func archivesJob(txn store.Txn) bool {
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -399,7 +399,7 @@
 		)
 		for key, raw := range stored {
 			var record jobs.Record
-			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &record) == nil && record.Spec != nil {
+			if strings.HasPrefix(key, jobs.RecordPrefix) && json.Unmarshal(raw, &record) == nil && record.Spec != nil {
 				cluster.AddJob((*jobs.Spec)(record.Spec))
 			}
 		}
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -88,7 +88,7 @@
 // endFaults starts all controllers, and waits until all jobs are accepted and archived, ten minutes at most.
 func (m *manyJobs) endFaults() {
 	m.startControllers()
-	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.pending > 0 || m.CountKeys(jobs.Prefix) > 0); {
+	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.pending > 0 || m.CountKeys(jobs.RecordPrefix) > 0); {
 		m.Advance(time.Second)
 	}
 	m.Advance(10 * time.Second)
--- a/internal/simulator/pipelines_measurements_test.go
+++ b/internal/simulator/pipelines_measurements_test.go
@@ -56,7 +56,7 @@
 func (m *pipelineMeter) readRecords() {
 	now := m.cluster.Now()
 	newest := m.revision
-	for key, item := range m.cluster.StoredItems(jobs.Prefix) {
+	for key, item := range m.cluster.StoredItems(jobs.RecordPrefix) {
 		var record jobs.Record
 		if item.Version <= m.revision || json.Unmarshal(item.Value, &record) != nil {
 			continue
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -268,7 +268,7 @@
 // a final state, and replaces one in formerFormat, that of pending jobs with predecessors.
 func endsDependentJob(key string, value json.RawMessage, formerFormat int) bool {
 	var record jobs.Record
-	if !strings.HasPrefix(key, jobs.Prefix) || json.Unmarshal(value, &record) != nil {
+	if !strings.HasPrefix(key, jobs.RecordPrefix) || json.Unmarshal(value, &record) != nil {
 		return false
 	}
 	return formerFormat == dependentJobFormat && isFinal(record.State) && rollout.FormatOf(value) == 1
@@ -369,7 +369,7 @@
 
 // pendingJobs returns the sorted IDs of the jobs whose stored records are pending or can't be decoded.
 func (r *testCluster) pendingJobs() (pending []string) {
-	for key, item := range r.StoredItems(jobs.Prefix) {
+	for key, item := range r.StoredItems(jobs.RecordPrefix) {
 		var record jobs.Record
 		if json.Unmarshal(item.Value, &record) != nil || record.State == jobs.Pending.String() {
 			pending = append(pending, jobs.IDOfKey(key))
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -127,7 +127,7 @@
 // dependentRecords returns the sorted IDs of jobs whose stored records have the format of pending jobs with
 // predecessors.
 func (r *testCluster) dependentRecords() (ids []string) {
-	for key, item := range r.StoredItems(jobs.Prefix) {
+	for key, item := range r.StoredItems(jobs.RecordPrefix) {
 		if rollout.FormatOf(item.Value) == dependentJobFormat {
 			ids = append(ids, jobs.IDOfKey(key))
 		}
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -52,7 +52,7 @@
 	kinds := map[string]int{}
 	table := jobs.NewTable(0)
 	for key, raw := range all {
-		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
+		if id, ok := strings.CutPrefix(key, jobs.RecordPrefix); ok {
 			if _, _, err := table.Apply(id, raw, 1); err != nil {
 				t.Errorf("%s: applying the record failed: %v", key, err)
 			}
@@ -175,7 +175,7 @@
 	cluster.watchInvariants()
 	pendingJobs := 0
 	for key, raw := range all {
-		if !strings.HasPrefix(key, jobs.Prefix) {
+		if !strings.HasPrefix(key, jobs.RecordPrefix) {
 			continue
 		}
 		if record, ok := pendingRecord(raw); ok {
@@ -196,7 +196,7 @@
 		t.Errorf("got unreadable records %+v, want none", v.Unreadable)
 	}
 	pending := func() (n int) {
-		for _, item := range sim.StoredItems(jobs.Prefix) {
+		for _, item := range sim.StoredItems(jobs.RecordPrefix) {
 			if record, ok := pendingRecord(item.Value); ok && record.Spec.Kind != jobs.Service {
 				n++
 			}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -59,7 +59,7 @@
 	}
 	if machine.noticeAt > 0 {
 		remaining := (machine.noticeAt - now).Seconds()
-		heartbeat.NoticeS = &remaining
+		heartbeat.ReclaimInS = &remaining
 	}
 	for _, task := range machine.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskReport{
