--- a/cmd/harewalk/job_events.go
+++ b/cmd/harewalk/job_events.go
@@ -32,7 +32,7 @@
 		Example: "  harewalk job events req-000412 --follow\n" +
 			"  harewalk job events --where 'event = task_ended and note = error'",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := checkWhere(where, controller.EventFields); err != nil {
+			if err := checkWhere(where, controller.EventFilterFields); err != nil {
 				return err
 			}
 			source := eventSource{client: client, path: "/v2/events", where: where}
--- a/cmd/harewalk/job_list.go
+++ b/cmd/harewalk/job_list.go
@@ -26,7 +26,7 @@
 		Example: "  harewalk job list --where 'waiting > 0 and team = \"red\"'\n" +
 			"  harewalk job list --where 'stance = running and (class ~ audit or age_s > 3600)' -o json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := checkWhere(where, controller.ListFields); err != nil {
+			if err := checkWhere(where, controller.JobFilterFields); err != nil {
 				return err
 			}
 			jobs, err := client.listJobs(where)
--- a/cmd/harewalk/job_why.go
+++ b/cmd/harewalk/job_why.go
@@ -42,7 +42,7 @@
 	}
 	if job.Ahead > 0 {
 		fmt.Fprintf(table, "ahead:\t%d jobs that wait rank before it; the nearest: %s\n",
-			job.Ahead, strings.Join(job.Nearest, ", "))
+			job.Ahead, strings.Join(job.NearestAhead, ", "))
 	}
 	if job.Booting > 0 {
 		fmt.Fprintf(table, "machines:\t%d that it may use are on their way, the first is expected in %g s\n",
--- a/cmd/harewalk/zone.go
+++ b/cmd/harewalk/zone.go
@@ -43,7 +43,7 @@
 	for _, zone := range zones {
 		fmt.Fprintf(table, "%s\t%s\t%.0f s\t%d\t", zone.Zone, zone.State, zone.ForS, zone.Flaps)
 		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t", zone.Machines, zone.Overdue, zone.Quarantined, zone.Tasks)
-		fmt.Fprintf(table, "%d\t%v\t%s\n", zone.Held, zone.Rents, zone.AcceptsWork)
+		fmt.Fprintf(table, "%d\t%v\t%s\n", zone.TasksOnQuarantined, zone.Rents, zone.AcceptsWork)
 	}
 }
 
--- a/internal/api/archive_test.go
+++ b/internal/api/archive_test.go
@@ -19,7 +19,7 @@
 			"cancellation": func(service *testService) Reply { return service.cancel(t, jobID(1)) },
 		} {
 			service := newTestService(state.New())
-			service.archiveElsewhere(jobID(1), archive.Answer{State: final, Tasks: 3, Done: 2})
+			service.archiveElsewhere(jobID(1), archive.Entry{State: final, Tasks: 3, Done: 2})
 			for range 2 { // the first request reads the answer, the second gets it from the cache
 				if reply := request(service); reply.Status != 200 || stateInReply(reply) != final.String() {
 					t.Errorf("%s of a job that is archived as %s: got %d %q, want 200 and the archived state",
@@ -42,7 +42,7 @@
 	service := newTestService(state.New())
 	spec := newSpec(1)
 	spec.Team = "a team that the settings no longer name"
-	service.archiveElsewhere(spec.ID, archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+	service.archiveElsewhere(spec.ID, archive.Entry{State: jobs.Done, Tasks: 3, Done: 3})
 	if reply := service.submit(t, spec); reply.Status != 200 || stateInReply(reply) != "done" {
 		t.Errorf("repeated submission: got %d %q, want 200 \"done\"", reply.Status, stateInReply(reply))
 	}
@@ -76,7 +76,7 @@
 	service := newTestService(state.New())
 	service.state.Apply([]store.Op{{Put: jobs.RecordKey(jobID(1)), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
 	service.beforeResponse = func() {
-		service.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+		service.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Done, Tasks: 3, Done: 3})
 	}
 	if reply := service.query(t, jobID(1)); reply.Status != 200 || stateInReply(reply) != "done" {
 		t.Errorf("got %d %q, want 200 \"done\"", reply.Status, stateInReply(reply))
@@ -89,7 +89,7 @@
 	service := newTestService(state.New())
 	service.state.Apply([]store.Op{{Put: jobs.RecordKey(jobID(1)), Value: jobs.EncodeRecord(jobs.Done, 0, 3, nil)}})
 	service.ignoreRecords()
-	archiveJob := func() { service.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
+	archiveJob := func() { service.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Done, Tasks: 3, Done: 3}) }
 	afterCheck := func() { service.beforeResponse = archiveJob }
 	service.beforeResponse = afterCheck
 	if reply := service.query(t, jobID(1)); reply.Status != 200 || stateInReply(reply) != "done" {
@@ -103,7 +103,7 @@
 	service := newTestService(state.New())
 	service.ignoreRecords()
 	service.beforeResponse = func() {
-		service.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+		service.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Done, Tasks: 3, Done: 3})
 	}
 	if reply := service.submit(t, newSpec(1)); reply.Status != 200 || stateInReply(reply) != "done" {
 		t.Errorf("got %d %q, want 200 \"done\"", reply.Status, stateInReply(reply))
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -117,7 +117,7 @@
 }
 
 // archiveElsewhere archives a job at the state service, as another controller does.
-func (s *testService) archiveElsewhere(id string, answer archive.Answer) {
+func (s *testService) archiveElsewhere(id string, answer archive.Entry) {
 	s.state.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(answer)}})
 }
 
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -59,7 +59,7 @@
 // was never accepted, or the refusal to send if none of these is certain.
 type searchResult struct {
 	job     *jobs.Job
-	answer  archive.Answer
+	answer  archive.Entry
 	kind    searchResultKind
 	refusal Reply
 }
@@ -88,7 +88,7 @@
 func (s *Service) findJob(id string, priority store.Priority, done func(searchResult)) {
 	s.Archive.Locate(id, priority, func(found archive.Location, err error) {
 		if err != nil || found.Record.Version == 0 {
-			done(s.resultWithoutRecord(id, found.Answer, found.Archived, err))
+			done(s.resultWithoutRecord(id, found.Entry, found.Archived, err))
 			return
 		}
 		s.OnJobRecord(s.Store.Now(), found.Record)
@@ -116,14 +116,14 @@
 
 // findArchived searches for a job's archived answer, after its record was read as absent.
 func (s *Service) findArchived(id string, priority store.Priority, done func(searchResult)) {
-	s.Archive.Find(id, priority, func(answer archive.Answer, archived bool, err error) {
+	s.Archive.Find(id, priority, func(answer archive.Entry, archived bool, err error) {
 		done(s.resultWithoutRecord(id, answer, archived, err))
 	})
 }
 
 // resultWithoutRecord returns the result of a search that found no record. A job that was accepted in the meantime is
 // in the job table.
-func (s *Service) resultWithoutRecord(id string, answer archive.Answer, archived bool, err error) searchResult {
+func (s *Service) resultWithoutRecord(id string, answer archive.Entry, archived bool, err error) searchResult {
 	switch job := s.Jobs.Get(id); {
 	case errors.Is(err, archive.ErrUnreadable):
 		return undecidedResult(unreadableRecord)
--- a/internal/api/predecessors_test.go
+++ b/internal/api/predecessors_test.go
@@ -171,7 +171,7 @@
 	s := newDependentService(state.New())
 	s.ignoreRecords() // the watch has delivered the deletion before the response to the first read
 	s.storeElsewhere(jobs.Done, newSpec(1))
-	s.beforeResponse = func() { s.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3}) }
+	s.beforeResponse = func() { s.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Done, Tasks: 3, Done: 3}) }
 	s.submit(t, newDependentSpec(2, 1))
 	if follows := s.storedJob(t, 2).Spec.Follows; len(follows) != 0 {
 		t.Errorf("got stored predecessors %v, want none", follows)
@@ -181,7 +181,7 @@
 // Predecessors that are done, archived or not, are left out of the stored record: the job needn't wait for them.
 func TestDonePredecessorsAreNotStored(t *testing.T) {
 	s := newDependentService(state.New())
-	s.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+	s.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Done, Tasks: 3, Done: 3})
 	s.storeElsewhere(jobs.Done, newSpec(2))
 	s.storeElsewhere(jobs.Pending, newSpec(3))
 	expectReply(t, s.submit(t, newDependentSpec(4, 1, 2, 3)), 201, "pending")
@@ -200,7 +200,7 @@
 func TestJobAfterCancelledPredecessorIsStoredAsCancelled(t *testing.T) {
 	for name, prepare := range map[string]func(*dependentService){
 		"archived": func(s *dependentService) {
-			s.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Cancelled, Tasks: 3})
+			s.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Cancelled, Tasks: 3})
 		},
 		"read record":  func(s *dependentService) { s.storeElsewhere(jobs.Cancelled, newSpec(1)) },
 		"in the table": func(s *dependentService) { s.storeAndRead(jobs.Cancelled, newSpec(1)) },
@@ -303,7 +303,7 @@
 			expectReply(t, s.submit(t, newDependentSpec(2, 1)), 201, "pending")
 			s.storeAndRead(jobs.Done, newSpec(1))
 			if archived {
-				s.archiveElsewhere(jobID(1), archive.Answer{State: jobs.Done, Tasks: 3, Done: 3})
+				s.archiveElsewhere(jobID(1), archive.Entry{State: jobs.Done, Tasks: 3, Done: 3})
 			}
 			if final != jobs.Pending {
 				s.storeAndRead(final, newDependentSpec(2, 1))
--- a/internal/api/reply.go
+++ b/internal/api/reply.go
@@ -56,7 +56,7 @@
 }
 
 // archivedReply returns the reply that describes an archived job, with the counts of its tasks if withCounts is set.
-func archivedReply(id string, answer archive.Answer, withCounts bool) Reply {
+func archivedReply(id string, answer archive.Entry, withCounts bool) Reply {
 	body := jobBody{ID: id, State: answer.State.String()}
 	if withCounts {
 		running := 0
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -128,7 +128,7 @@
 func (q statusQuery) appendConditions(conditions []store.Condition) []store.Condition {
 	conditions = append(conditions, store.Condition{Key: jobs.RecordKey(q.id), Version: q.version})
 	if q.version == 0 {
-		conditions = append(conditions, archive.Absent(q.id))
+		conditions = append(conditions, archive.AbsentCondition(q.id))
 	}
 	return conditions
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -190,7 +190,7 @@
 		id := submission.spec.ID
 		key := jobs.RecordKey(id)
 		// A delayed write must not recreate a job that was accepted elsewhere, has ended and was archived.
-		txn.If = append(txn.If, store.Condition{Key: key}, archive.Absent(id))
+		txn.If = append(txn.If, store.Condition{Key: key}, archive.AbsentCondition(id))
 		txn.Then = append(txn.Then, store.Op{Put: key, Value: submission.record})
 	}
 	txn.If = s.withLevelCondition(txn.If...)
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -11,7 +11,7 @@
 //   - A search for a job reads the record first and the entry second (Reader.Locate), or both in one transaction. In
 //     the opposite order, a job that is moved between the two reads would look as if it had never been accepted.
 //
-// The package has no clock and no goroutine. A Mover runs in the leader's event loop, a Reader in that of every
+// The package has no clock and no goroutine. An Archiver runs in the leader's event loop, a Reader in that of every
 // controller. The controller decides which jobs have ended and how long their records are retained.
 package archive
 
@@ -28,17 +28,18 @@
 // Key returns the key of a job's archive entry.
 func Key(id string) string { return Prefix + id }
 
-// Absent returns the condition that a job has no archive entry. Every write that creates a job's record needs it.
-func Absent(id string) store.Condition { return store.Condition{Key: Key(id)} }
+// AbsentCondition returns the condition that a job has no archive entry. Every write that creates a job's record needs
+// it.
+func AbsentCondition(id string) store.Condition { return store.Condition{Key: Key(id)} }
 
-// Answer is a job's archive entry: all that is stored of an archived job.
-type Answer struct {
+// Entry is a job's archive entry: all that is stored of an archived job.
+type Entry struct {
 	State jobs.State // jobs.Done or jobs.Cancelled
 	Tasks int
 	Done  int // number of tasks that were done when the job ended; for display only
 }
 
-// TxnLimitError is the error of Fits if the state service's transactions allow too few changes to move a job.
+// TxnLimitError is the error of CheckLimits if the state service's transactions allow too few changes to move a job.
 type TxnLimitError struct {
 	Ops int // maximum number of changes in one transaction
 }
@@ -52,7 +53,7 @@
 	)
 }
 
-// ValueLimitError is the error of Fits if the state service's values are too small for an archive entry.
+// ValueLimitError is the error of CheckLimits if the state service's values are too small for an archive entry.
 type ValueLimitError struct {
 	Bytes int // maximum size of one value
 }
@@ -66,10 +67,10 @@
 	)
 }
 
-// Fits returns an error if the state service's limits are too small for archiving a job. txnOps is the maximum number
-// of changes in a transaction, valueBytes the maximum size of a value. The error is a *TxnLimitError or a
+// CheckLimits returns an error if the state service's limits are too small for archiving a job. txnOps is the maximum
+// number of changes in a transaction, valueBytes the maximum size of a value. The error is a *TxnLimitError or a
 // *ValueLimitError.
-func Fits(txnOps, valueBytes int) error {
+func CheckLimits(txnOps, valueBytes int) error {
 	if txnOps < opsPerMove {
 		return &TxnLimitError{Ops: txnOps}
 	}
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Fits rejects limits that are too small for a move. The error names the setting and has its own type.
+// CheckLimits rejects limits that are too small for a move. The error names the setting and has its own type.
 func TestFitsNamesTheLimitThatIsTooSmall(t *testing.T) {
 	for _, c := range []struct {
 		name               string
@@ -18,7 +18,7 @@
 		{"values too small", 24, maxEntryBytes - 1, "value_kb"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := Fits(c.txnOps, c.valueBytes)
+			err := CheckLimits(c.txnOps, c.valueBytes)
 			switch {
 			case c.setting == "" && err != nil:
 				t.Errorf("error %v, want none", err)
--- a/internal/archive/model_test.go
+++ b/internal/archive/model_test.go
@@ -241,7 +241,7 @@
 
 func submissionTxn(disabled guards) modelTxn {
 	txn := store.Txn{
-		If:   []store.Condition{{Key: modelRecordKey}, Absent(modelID)},
+		If:   []store.Condition{{Key: modelRecordKey}, AbsentCondition(modelID)},
 		Then: []store.Op{{Put: modelRecordKey}},
 	}
 	if disabled.submissionWithoutEntry {
@@ -346,7 +346,7 @@
 
 // The transaction that moves a job has the conditions and changes that the model assumes.
 func TestMoveTransactionMatchesModel(t *testing.T) {
-	txn := moveTxn([]Candidate{{ID: modelID, Version: 7, Answer: Answer{State: jobs.Done, Tasks: 2, Done: 2}}})
+	txn := moveTxn([]Candidate{{ID: modelID, Version: 7, Entry: Entry{State: jobs.Done, Tasks: 2, Done: 2}}})
 	want := []store.Condition{{Key: modelRecordKey, Version: 7}, {Key: modelEntryKey}}
 	if !slices.Equal(txn.If, want) {
 		t.Errorf("conditions %v, want the record's version and the absence of the archive entry", txn.If)
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -33,10 +33,10 @@
 	conflictBackoff = 30 * time.Second
 )
 
-// State is the state of a Mover.
+// State is the state of an Archiver.
 type State uint8
 
-// The states of a Mover.
+// The states of an Archiver.
 //
 //	Idle    -> Moving   a batch was sent
 //	Moving  -> Waiting  the batch was committed, and the write share is used up until the pause is over; or the batch
@@ -55,10 +55,10 @@
 type Candidate struct {
 	ID      string
 	Version uint64 // version of its record
-	Answer  Answer
+	Entry   Entry
 }
 
-// Env holds the controller functions and the limits that a Mover uses.
+// Env holds the controller functions and the limits that an Archiver uses.
 type Env struct {
 	// CanWrite reports whether a transaction with ops changes may be sent now without delaying writes for users'
 	// requests.
@@ -68,52 +68,52 @@
 	// Now returns the monotonic time. It is called when a result arrives.
 	Now func() time.Duration
 	// OnArchived is called for each job whose move was committed.
-	OnArchived func(id string, entry Answer)
+	OnArchived func(id string, entry Entry)
 	// TxnOps is the maximum number of changes in one transaction.
 	TxnOps int
 	// WritesPerS is the write rate of the state service for all controllers, in changes per second.
 	WritesPerS float64
 }
 
-// Stats are the counters of a Mover.
+// Stats are the counters of an Archiver.
 type Stats struct {
 	Moved   uint64 // jobs moved
 	Batches uint64 // transactions committed
 	Failed  uint64 // transactions not committed, or with an indeterminate outcome
 }
 
-// Mover moves ended jobs to the archive in batches, during one term of a leader. The jobs left to move follow from the
-// existing records, so a new leader needs no data from the previous one.
+// Archiver moves ended jobs to the archive in batches, during one term of a leader. The jobs left to move follow from
+// the existing records, so a new leader needs no data from the previous one.
 //
 // A batch without a response may be committed later, even after it was sent again. Both are harmless: each move
 // depends on the version of the record and on the absence of the archive entry, so only one of several attempts is
 // committed, and a job that may be moved once may be moved at any later time.
-type Mover struct {
+type Archiver struct {
 	env         Env
 	state       State
 	pausedUntil time.Duration            // end of the pause of state Waiting
 	batchLimit  int                      // limit of the next batch in jobs; halved after failures other than conflicts
 	retryAt     map[string]time.Duration // job id to the time until which the job is left out of batches
-	// Stats may be read in the event loop of the Mover.
+	// Stats may be read in the event loop of the Archiver.
 	Stats Stats
 }
 
-// NewMover returns a Mover for one term.
-func NewMover(env Env) *Mover {
-	m := &Mover{env: env, retryAt: map[string]time.Duration{}}
+// NewArchiver returns an Archiver for one term.
+func NewArchiver(env Env) *Archiver {
+	m := &Archiver{env: env, retryAt: map[string]time.Duration{}}
 	m.batchLimit = m.maxBatch()
 	return m
 }
 
 // State returns the state of the mover.
-func (m *Mover) State() State { return m.state }
+func (m *Archiver) State() State { return m.state }
 
 // maxBatch returns the maximum number of jobs in a batch, given the limit on changes in a transaction.
-func (m *Mover) maxBatch() int { return min(maxBatchJobs, m.env.TxnOps/opsPerMove) }
+func (m *Archiver) maxBatch() int { return min(maxBatchJobs, m.env.TxnOps/opsPerMove) }
 
 // Tick sends a batch if the mover is idle and CanWrite allows it. candidates are the jobs that may be moved, ordered
 // by the time of their end. hasBacklog tells whether some have been waiting for more than twice their retention time.
-func (m *Mover) Tick(now time.Duration, hasBacklog bool, candidates iter.Seq[Candidate]) {
+func (m *Archiver) Tick(now time.Duration, hasBacklog bool, candidates iter.Seq[Candidate]) {
 	if m.state == Waiting && now >= m.pausedUntil {
 		m.state = Idle
 	}
@@ -130,7 +130,7 @@
 }
 
 // nextBatch returns the first candidates that aren't backed off, as many as may be written now.
-func (m *Mover) nextBatch(now time.Duration, candidates iter.Seq[Candidate]) []Candidate {
+func (m *Archiver) nextBatch(now time.Duration, candidates iter.Seq[Candidate]) []Candidate {
 	var batch []Candidate
 	for candidate := range candidates {
 		if m.isBackedOff(now, candidate.ID) {
@@ -145,7 +145,7 @@
 }
 
 // pause returns the time for which the changes of a batch use up the moves' share of the state service's write rate.
-func (m *Mover) pause(jobCount int, hasBacklog bool) time.Duration {
+func (m *Archiver) pause(jobCount int, hasBacklog bool) time.Duration {
 	share := usualWriteShare
 	if hasBacklog {
 		share = backlogWriteShare
@@ -154,7 +154,7 @@
 }
 
 // isBackedOff reports whether a job is still left out of batches. It deletes a backoff that is over.
-func (m *Mover) isBackedOff(now time.Duration, id string) bool {
+func (m *Archiver) isBackedOff(now time.Duration, id string) bool {
 	retryAt, ok := m.retryAt[id]
 	if ok && now >= retryAt {
 		delete(m.retryAt, id)
@@ -170,16 +170,16 @@
 		recordKey := jobs.RecordKey(candidate.ID)
 		txn.If = append(txn.If,
 			store.Condition{Key: recordKey, Version: candidate.Version},
-			Absent(candidate.ID))
+			AbsentCondition(candidate.ID))
 		txn.Then = append(txn.Then,
-			store.Op{Put: Key(candidate.ID), Value: Encode(candidate.Answer)},
+			store.Op{Put: Key(candidate.ID), Value: Encode(candidate.Entry)},
 			store.Op{Delete: recordKey})
 	}
 	return txn
 }
 
 // handleResult handles the outcome of the batch that was in flight.
-func (m *Mover) handleResult(batch []Candidate, result store.Result) {
+func (m *Archiver) handleResult(batch []Candidate, result store.Result) {
 	now := m.env.Now()
 	if result.Outcome == store.Committed {
 		m.handleCommitted(now, batch)
@@ -189,17 +189,17 @@
 	m.state = Waiting
 }
 
-func (m *Mover) handleCommitted(now time.Duration, batch []Candidate) {
+func (m *Archiver) handleCommitted(now time.Duration, batch []Candidate) {
 	m.Stats.Moved += uint64(len(batch))
 	m.Stats.Batches++
 	m.batchLimit = min(m.maxBatch(), m.batchLimit+1)
 	for _, candidate := range batch {
 		m.retryAt[candidate.ID] = now + conflictBackoff // ForgetBackoff ends it once the deletion was read
-		m.env.OnArchived(candidate.ID, candidate.Answer)
+		m.env.OnArchived(candidate.ID, candidate.Entry)
 	}
 }
 
-func (m *Mover) handleFailure(now time.Duration, batch []Candidate, result store.Result) {
+func (m *Archiver) handleFailure(now time.Duration, batch []Candidate, result store.Result) {
 	m.Stats.Failed++
 	if result.Outcome == store.Conflict {
 		m.backOffConflicts(now, batch, result.FailedKeys)
@@ -214,7 +214,7 @@
 }
 
 // backOffConflicts backs off the jobs whose conditions failed, for conflictBackoff.
-func (m *Mover) backOffConflicts(now time.Duration, batch []Candidate, failedKeys []string) {
+func (m *Archiver) backOffConflicts(now time.Duration, batch []Candidate, failedKeys []string) {
 	for _, candidate := range batch {
 		recordFailed := slices.Contains(failedKeys, jobs.RecordKey(candidate.ID))
 		entryFailed := slices.Contains(failedKeys, Key(candidate.ID))
@@ -226,4 +226,4 @@
 
 // ForgetBackoff ends the backoff of a job. The controller calls it after it has read that the job's record was
 // deleted.
-func (m *Mover) ForgetBackoff(id string) { delete(m.retryAt, id) }
+func (m *Archiver) ForgetBackoff(id string) { delete(m.retryAt, id) }
--- a/internal/archive/mover_test.go
+++ b/internal/archive/mover_test.go
@@ -9,9 +9,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// moverTest is a Mover with a simulated clock, its candidates and a record of the transactions that it sent.
+// moverTest is an Archiver with a simulated clock, its candidates and a record of the transactions that it sent.
 type moverTest struct {
-	*Mover
+	*Archiver
 	now        time.Duration
 	sent       []store.Txn
 	done       func(store.Result) // callback of the last transaction
@@ -22,7 +22,7 @@
 
 func newMoverTest(txnOps, candidates int) *moverTest {
 	m := &moverTest{}
-	m.Mover = NewMover(Env{
+	m.Archiver = NewArchiver(Env{
 		Now:        func() time.Duration { return m.now },
 		TxnOps:     txnOps,
 		WritesPerS: 40,
@@ -31,13 +31,13 @@
 			m.sent = append(m.sent, txn)
 			m.done = done
 		},
-		OnArchived: func(id string, _ Answer) { m.archived = append(m.archived, id) },
+		OnArchived: func(id string, _ Entry) { m.archived = append(m.archived, id) },
 	})
 	for i := range candidates {
 		m.candidates = append(m.candidates, Candidate{
 			ID:      "req-" + string(rune('a'+i)),
 			Version: uint64(i + 1),
-			Answer:  Answer{State: jobs.Done, Tasks: 1, Done: 1},
+			Entry:   Entry{State: jobs.Done, Tasks: 1, Done: 1},
 		})
 	}
 	return m
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -19,16 +19,16 @@
 // so the cache is never stale. The absence of an entry is not cached.
 type Reader struct {
 	store Store
-	cache *lru.Cache[string, Answer]
-	// Unreadable is called for each stored entry that can't be decoded, Readable for each that was decoded. Either may be
-	// nil.
-	Unreadable func(key string, raw json.RawMessage, cause error)
-	Readable   func(key string)
+	cache *lru.Cache[string, Entry]
+	// OnUnreadable is called for each stored entry that can't be decoded, Readable for each that was decoded. Either may
+	// be nil.
+	OnUnreadable func(key string, raw json.RawMessage, cause error)
+	OnReadable   func(key string)
 }
 
 // NewReader returns a Reader that caches up to size entries. A size below 1 is taken as 1.
 func NewReader(client Store, size int) *Reader {
-	cache, err := lru.New[string, Answer](max(1, size))
+	cache, err := lru.New[string, Entry](max(1, size))
 	if err != nil {
 		panic(err) // cannot happen: lru.New fails only for a size below 1
 	}
@@ -36,10 +36,10 @@
 }
 
 // Cached returns a job's entry if it is in the cache.
-func (r *Reader) Cached(id string) (Answer, bool) { return r.cache.Get(id) }
+func (r *Reader) Cached(id string) (Entry, bool) { return r.cache.Get(id) }
 
 // Remember adds an entry to the cache. The entry must be durable.
-func (r *Reader) Remember(id string, entry Answer) { r.cache.Add(id, entry) }
+func (r *Reader) Remember(id string, entry Entry) { r.cache.Add(id, entry) }
 
 // CacheLen returns the number of entries in the cache.
 func (r *Reader) CacheLen() int { return r.cache.Len() }
@@ -48,19 +48,19 @@
 // the entry didn't exist when the state service processed the read. That proves that the job was not accepted only if
 // its record was found absent before. err wraps ErrUnreadable if the entry exists but can't be decoded. Any other
 // error is that of the read.
-func (r *Reader) Find(id string, class store.Priority, done func(entry Answer, found bool, err error)) {
+func (r *Reader) Find(id string, class store.Priority, done func(entry Entry, found bool, err error)) {
 	if entry, ok := r.Cached(id); ok {
 		done(entry, true, nil)
 		return
 	}
 	r.store.Get(Key(id), class, func(item store.Item, err error) {
 		if err != nil || item.Version == 0 {
-			done(Answer{}, false, err)
+			done(Entry{}, false, err)
 			return
 		}
 		entry, err := r.decode(item)
 		if err != nil {
-			done(Answer{}, false, err)
+			done(Entry{}, false, err)
 			return
 		}
 		r.Remember(id, entry)
@@ -71,7 +71,7 @@
 // Location is the result of Reader.Locate.
 type Location struct {
 	Record   store.Item // the job's record; version 0 if there is none
-	Answer   Answer     // archive entry, if Archived is set
+	Entry    Entry      // archive entry, if Archived is set
 	Archived bool
 }
 
@@ -87,20 +87,20 @@
 			done(Location{Record: record}, err)
 			return
 		}
-		r.Find(id, class, func(entry Answer, archived bool, err error) {
-			done(Location{Answer: entry, Archived: archived}, err)
+		r.Find(id, class, func(entry Entry, archived bool, err error) {
+			done(Location{Entry: entry, Archived: archived}, err)
 		})
 	})
 }
 
-// decode decodes a stored entry and calls Unreadable or Readable.
-func (r *Reader) decode(item store.Item) (Answer, error) {
+// decode decodes a stored entry and calls OnUnreadable or OnReadable.
+func (r *Reader) decode(item store.Item) (Entry, error) {
 	entry, err := Decode(item.Value)
 	switch {
-	case err != nil && r.Unreadable != nil:
-		r.Unreadable(item.Key, item.Value, err)
-	case err == nil && r.Readable != nil:
-		r.Readable(item.Key)
+	case err != nil && r.OnUnreadable != nil:
+		r.OnUnreadable(item.Key, item.Value, err)
+	case err == nil && r.OnReadable != nil:
+		r.OnReadable(item.Key)
 	}
 	return entry, err
 }
--- a/internal/archive/reader_test.go
+++ b/internal/archive/reader_test.go
@@ -24,15 +24,15 @@
 }
 
 // find calls Find and returns its result. The Store of the Reader must respond before Get returns.
-func find(r *Reader, id string) (entry Answer, found bool, err error) {
-	r.Find(id, store.QueryPriority, func(a Answer, isFound bool, e error) {
+func find(r *Reader, id string) (entry Entry, found bool, err error) {
+	r.Find(id, store.QueryPriority, func(a Entry, isFound bool, e error) {
 		entry, found, err = a, isFound, e
 	})
 	return entry, found, err
 }
 
 // mustFind returns a job's archive entry. The test fails if the entry isn't found.
-func mustFind(t *testing.T, r *Reader, id string) Answer {
+func mustFind(t *testing.T, r *Reader, id string) Entry {
 	t.Helper()
 	entry, found, err := find(r, id)
 	if !found || err != nil {
@@ -47,14 +47,14 @@
 	client := &fakeStore{items: map[string]store.Item{}}
 	r := NewReader(client, 2)
 	unreadable := 0
-	r.Unreadable = func(string, json.RawMessage, error) { unreadable++ }
+	r.OnUnreadable = func(string, json.RawMessage, error) { unreadable++ }
 	for range 2 {
 		if _, found, err := find(r, "req-1"); found || err != nil {
 			t.Errorf("absent entry: found %v, error %v; want neither", found, err)
 		}
 	}
 	for _, id := range []string{"req-1", "req-2", "req-3"} {
-		raw := Encode(Answer{State: jobs.Done, Tasks: 3, Done: 3})
+		raw := Encode(Entry{State: jobs.Done, Tasks: 3, Done: 3})
 		client.items[Key(id)] = store.Item{Value: raw, Version: 5}
 	}
 
--- a/internal/archive/record.go
+++ b/internal/archive/record.go
@@ -19,7 +19,7 @@
 // then: a controller must neither report a state nor act on one.
 var ErrUnreadable = errors.New("archive entry cannot be decoded")
 
-// storedEntry is the stored form of an Answer in format 1.
+// storedEntry is the stored form of an Entry in format 1.
 type storedEntry struct {
 	Format int    `json:"v,omitempty"` // 0 means format 1
 	State  string `json:"stance"`
@@ -28,26 +28,26 @@
 }
 
 // Encode returns the stored form of an archive entry.
-func Encode(entry Answer) json.RawMessage {
+func Encode(entry Entry) json.RawMessage {
 	raw, _ := json.Marshal(storedEntry{State: entry.State.String(), Tasks: entry.Tasks, Done: entry.Done})
 	return raw
 }
 
 // Decode decodes a stored archive entry. Every error wraps ErrUnreadable.
-func Decode(raw json.RawMessage) (Answer, error) {
+func Decode(raw json.RawMessage) (Entry, error) {
 	var stored storedEntry
 	if err := json.Unmarshal(raw, &stored); err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
+		return Entry{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	if stored.Format > newestFormat {
-		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, &rollout.NewerFormatError{Format: stored.Format})
+		return Entry{}, fmt.Errorf("%w: %w", ErrUnreadable, &rollout.NewerFormatError{Format: stored.Format})
 	}
 	state, err := jobs.ParseState(stored.State)
 	if err == nil && !state.Terminal() {
 		err = &jobs.UnknownStateError{Name: stored.State}
 	}
 	if err != nil {
-		return Answer{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
+		return Entry{}, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	return Answer{State: state, Tasks: stored.Tasks, Done: stored.Done}, nil
+	return Entry{State: state, Tasks: stored.Tasks, Done: stored.Done}, nil
 }
--- a/internal/archive/record_test.go
+++ b/internal/archive/record_test.go
@@ -10,7 +10,7 @@
 
 // Decode returns the entry that was encoded. The largest entry takes at most maxEntryBytes.
 func TestEncodeDecodeRoundTrip(t *testing.T) {
-	for _, entry := range []Answer{
+	for _, entry := range []Entry{
 		{State: jobs.Done, Tasks: 1, Done: 1},
 		{State: jobs.Cancelled, Tasks: jobs.MaxTasks, Done: jobs.MaxTasks},
 		{State: jobs.Cancelled, Tasks: 7, Done: 0},
--- a/internal/config/archive.go
+++ b/internal/config/archive.go
@@ -43,7 +43,7 @@
 	derived := Archive{
 		Retain:       durationOr(operator.RetainS, jobs.Seconds(s.Params.Workers.CancelS*retainCancelTimeouts)),
 		CacheEntries: operator.CacheEntries,
-		Unsupported:  archive.Fits(limits.MaxOps, limits.MaxValueBytes),
+		Unsupported:  archive.CheckLimits(limits.MaxOps, limits.MaxValueBytes),
 	}
 	if derived.CacheEntries == 0 {
 		derived.CacheEntries = max(minCacheEntries, int(s.Params.Limits.MemoryLimitMB()*cacheEntriesPerMB))
--- a/internal/controller/archive.go
+++ b/internal/controller/archive.go
@@ -25,14 +25,14 @@
 // newArchiveReader returns a reader of the archived answers of jobs that caches up to cacheEntries answers.
 func (c *Controller) newArchiveReader(cacheEntries int) *archive.Reader {
 	reader := archive.NewReader(c.store, cacheEntries)
-	reader.Unreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
-	reader.Readable = func(key string) { c.rollout.MarkReadable(key) }
+	reader.OnUnreadable = func(key string, raw json.RawMessage, cause error) { c.rollout.MarkUnreadable(key, raw, cause) }
+	reader.OnReadable = func(key string) { c.rollout.MarkReadable(key) }
 	return reader
 }
 
 // newArchiver returns the archiver of a leader term, which moves ended jobs into the archive.
-func (c *Controller) newArchiver() *archive.Mover {
-	return archive.NewMover(archive.Env{
+func (c *Controller) newArchiver() *archive.Archiver {
+	return archive.NewArchiver(archive.Env{
 		CanWrite: func(n int) bool { return n <= c.store.Limits().MaxOps && c.store.HasSpareWritesFor(n) },
 		Commit: func(txn store.Txn, done func(store.Result)) {
 			c.commitInTerm(txn, store.BulkPriority, done)
@@ -68,7 +68,7 @@
 	return archive.Candidate{
 		ID:      job.ID,
 		Version: job.Version,
-		Answer:  archive.Answer{State: job.State, Tasks: job.TaskCount, Done: job.FinishedTasks},
+		Entry:   archive.Entry{State: job.State, Tasks: job.TaskCount, Done: job.FinishedTasks},
 	}
 }
 
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -38,8 +38,8 @@
 	},
 )
 
-// EventFields are the names and kinds of the fields of a filter over events.
-var EventFields = eventFields.kinds
+// EventFilterFields are the names and kinds of the fields of a filter over events.
+var EventFilterFields = eventFields.kinds
 
 // taskNumber returns the number of the event's task as filters read it, -1 if the event is not about a task.
 func (e *EventView) taskNumber() float64 {
@@ -58,7 +58,7 @@
 
 // handleEventsRequest handles a request for the events from a position on, of one job or of all jobs.
 func (c *Controller) handleEventsRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	filter, refusal, refused := c.parseListRequest(now, request, EventFields)
+	filter, refusal, refused := c.parseListRequest(now, request, EventFilterFields)
 	if refused {
 		reply(refusal)
 		return
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -68,7 +68,7 @@
 	c.licencePools.Reset(isPresent)
 	c.drains.machines.Reset(c.watchCache.Revision(), isPresent)
 	c.jobs.ArchiveMissing(c.watchCache.Revision(), func(id string) bool { return keys[jobs.RecordKey(id)] })
-	c.dependencies.graph.Retain()
+	c.dependencies.graph.RemoveMissing()
 }
 
 // handleJobRead applies a job's record that was read or written outside the followed keys. If the job isn't in the
--- a/internal/controller/joblist.go
+++ b/internal/controller/joblist.go
@@ -32,13 +32,13 @@
 	},
 )
 
-// ListFields are the names and kinds of the fields of a filter over jobs.
-var ListFields = jobFields.kinds
+// JobFilterFields are the names and kinds of the fields of a filter over jobs.
+var JobFilterFields = jobFields.kinds
 
 // handleJobListRequest handles a request for a page of the jobs that match a filter, sorted by id and starting after
 // the given id.
 func (c *Controller) handleJobListRequest(now time.Duration, request api.LeaderRequest, reply func(api.Reply)) {
-	filter, refusal, refused := c.parseListRequest(now, request, ListFields)
+	filter, refusal, refused := c.parseListRequest(now, request, JobFilterFields)
 	if refused {
 		reply(refusal)
 		return
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -10,7 +10,7 @@
 	"github.com/harewalk/harewalk/internal/jobs"
 )
 
-// maxNearestJobs is the maximum length of JobPendingView.Nearest.
+// maxNearestJobs is the maximum length of JobPendingView.NearestAhead.
 const maxNearestJobs = 5
 
 // handlePendingReasonsRequest handles a request for the reasons why a job is pending, as planning has recorded them.
@@ -25,11 +25,11 @@
 
 func (c *Controller) pendingView(now time.Duration, job *jobs.Job) JobPendingView {
 	view := JobPendingView{
-		ID:      job.ID,
-		State:   job.State.String(),
-		Tasks:   job.TaskCount,
-		Waiting: []fleet.PendingReason{},
-		Nearest: []string{},
+		ID:           job.ID,
+		State:        job.State.String(),
+		Tasks:        job.TaskCount,
+		Waiting:      []fleet.PendingReason{},
+		NearestAhead: []string{},
 	}
 	view.Done, view.Running = c.taskCounts(job)
 	view.NeededInS = c.secondsUntilLatestEnd(now, job)
@@ -47,7 +47,7 @@
 		view.Waiting = reasons
 	}
 	if ids, count := c.term.fleet.JobsAhead(job, maxNearestJobs); count > 0 {
-		view.Nearest = ids
+		view.NearestAhead = ids
 		view.Ahead = count
 	}
 	view.Booting, view.BootingS = c.term.capacity.Booting(now, job)
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -49,7 +49,7 @@
 	go c.checkFiles(fileCheckInterval)
 	c.logArchiveProblem()
 	c.logStart()
-	go c.loop.Run(TickEvery, c.tick)
+	go c.loop.Run(TickInterval, c.tick)
 	return <-failed
 }
 
--- a/internal/controller/simulated.go
+++ b/internal/controller/simulated.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// Leads reports whether the controller leads and has the authority to act.
-func (s *Simulated) Leads() bool {
+// IsActiveLeader reports whether the controller leads and has the authority to act.
+func (s *Simulated) IsActiveLeader() bool {
 	return s.c.term.active() && s.c.membership.HasAuthority(s.c.loop.Now())
 }
 
@@ -76,8 +76,8 @@
 	return s.c.lifecycle.ended
 }
 
-// Ask handles a request like the HTTP server. It calls reply once, unless the controller ends before.
-func (s *Simulated) Ask(method, path string, body []byte, reply func(status int, body []byte)) {
+// HandleRequest handles a request like the HTTP server. It calls reply once, unless the controller ends before.
+func (s *Simulated) HandleRequest(method, path string, body []byte, reply func(status int, body []byte)) {
 	c, now := s.c, s.c.loop.Now()
 	send := encodeReply(reply)
 	location, err := url.Parse(path)
@@ -191,8 +191,8 @@
 	return request, true
 }
 
-// Call handles a request to the leader by an operator, a user of a session or a session's agent.
-func (s *Simulated) Call(request api.LeaderRequest, reply func(status int, body []byte)) {
+// HandleLeaderRequest handles a request to the leader by an operator, a user of a session or a session's agent.
+func (s *Simulated) HandleLeaderRequest(request api.LeaderRequest, reply func(status int, body []byte)) {
 	s.c.handleLeaderRequest(s.c.loop.Now(), request, encodeReply(reply))
 }
 
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -25,7 +25,7 @@
 	fleet          *fleet.Fleet
 	capacity       *capacity.Manager
 	sessions       *sessions.Manager // nil if sessions are disabled
-	archiver       *archive.Mover
+	archiver       *archive.Archiver
 	canceller      *dependencies.Canceller
 	loading        bool
 	loadNotBefore  time.Duration
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// TickEvery is the time between two ticks of a controller's event loop.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is the time between two ticks of a controller's event loop.
+const TickInterval = 50 * time.Millisecond
 
 // summaryInterval is the time between two log lines with a leader's summary of its fleet.
 const summaryInterval = 30 * time.Second
 
-// tick performs the periodic work that is due. The event loop calls it every TickEvery.
+// tick performs the periodic work that is due. The event loop calls it every TickInterval.
 func (c *Controller) tick(now time.Duration) {
 	c.watchCache.Tick(now)
 	c.membership.Tick(now)
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -90,9 +90,9 @@
 	Done    int                   `json:"done"`
 	Running int                   `json:"running"`
 	Waiting []fleet.PendingReason `json:"waiting"`
-	// Ahead is the number of waiting jobs before this one in priority order, Nearest the ids of the closest of them.
-	Ahead   int      `json:"ahead"`
-	Nearest []string `json:"nearest"`
+	// Ahead is the number of waiting jobs before this one in priority order, NearestAhead the ids of the closest of them.
+	Ahead        int      `json:"ahead"`
+	NearestAhead []string `json:"nearest"`
 	// Booting is the number of booting machines that the job may use. BootingS is the number of seconds until the
 	// first of them is expected to be ready.
 	Booting  int     `json:"booting"`
@@ -127,27 +127,27 @@
 
 // ZoneView is a zone for operators.
 type ZoneView struct {
-	Zone        string  `json:"zone"`
-	State       string  `json:"stance"`
-	ForS        float64 `json:"for_s"` // seconds in this state, as far as known
-	Flaps       int     `json:"flaps"`
-	Machines    int     `json:"machines"`
-	Overdue     int     `json:"quiet"` // machines whose heartbeat is overdue
-	Quarantined int     `json:"aside"` // machines without new plans until a heartbeat arrives
-	Tasks       int     `json:"tasks"` // tasks that count as being on the zone's machines
-	Held        int     `json:"held"`  // the part of Tasks on quarantined machines, until their leases expire
-	Rents       bool    `json:"rents"`
-	AcceptsWork string  `json:"takes"` // the new work that it accepts: arrays, gangs or all
+	Zone               string  `json:"zone"`
+	State              string  `json:"stance"`
+	ForS               float64 `json:"for_s"` // seconds in this state, as far as known
+	Flaps              int     `json:"flaps"`
+	Machines           int     `json:"machines"`
+	Overdue            int     `json:"quiet"` // machines whose heartbeat is overdue
+	Quarantined        int     `json:"aside"` // machines without new plans until a heartbeat arrives
+	Tasks              int     `json:"tasks"` // tasks that count as being on the zone's machines
+	TasksOnQuarantined int     `json:"held"`  // the part of Tasks on quarantined machines, until their leases expire
+	Rents              bool    `json:"rents"`
+	AcceptsWork        string  `json:"takes"` // the new work that it accepts: arrays, gangs or all
 	// IfLost estimates the effect of the zone's loss at this time, BootS is the boot time in seconds of machines
 	// rented instead, and LeaseS the number of seconds after which the zone's tasks may start elsewhere. They are set
 	// only in the view of a single zone.
-	IfLost []LossView `json:"if_lost,omitempty"`
-	BootS  float64    `json:"boot_s,omitempty"`
-	LeaseS float64    `json:"lease_s,omitempty"`
+	IfLost []ZoneLossView `json:"if_lost,omitempty"`
+	BootS  float64        `json:"boot_s,omitempty"`
+	LeaseS float64        `json:"lease_s,omitempty"`
 }
 
-// LossView is the estimated effect of a zone's loss on one job class of one team.
-type LossView struct {
+// ZoneLossView is the estimated effect of a zone's loss on one job class of one team.
+type ZoneLossView struct {
 	Class string `json:"breed"`
 	Team  string `json:"warren"`
 	Jobs  int    `json:"jobs"`
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -104,7 +104,7 @@
 	}
 	names := c.jobs.Names
 	for _, loss := range c.term.fleet.EstimateZoneLoss(names.Zones.Index(view.Zone)) {
-		view.IfLost = append(view.IfLost, LossView{
+		view.IfLost = append(view.IfLost, ZoneLossView{
 			Class: names.Classes.Name(loss.Class),
 			Team:  names.Teams.Name(loss.Team),
 			Jobs:  loss.Jobs,
@@ -138,7 +138,7 @@
 		}
 		if machine.Quarantined {
 			view.Quarantined++
-			view.Held += len(machine.Tasks)
+			view.TasksOnQuarantined += len(machine.Tasks)
 		}
 	}
 	return views
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -142,9 +142,9 @@
 	g.dropIfUnused(removed)
 }
 
-// Retain removes the jobs that a new listing of all followed keys lacks. The table must have applied the listing
+// RemoveMissing removes the jobs that a new listing of all followed keys lacks. The table must have applied the listing
 // first: the missing jobs are no longer in the table, or remain there as archived until the term ends.
-func (g *Graph) Retain() {
+func (g *Graph) RemoveMissing() {
 	for _, id := range slices.Sorted(maps.Keys(g.nodes)) {
 		existing := g.nodes[id]
 		if existing == nil || existing.job == nil {
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -175,7 +175,7 @@
 // removeMissing has the controller remove the jobs that a listing lacks. present holds the ids of the listed jobs.
 func (h *history) removeMissing(present map[string]bool) {
 	h.table.ArchiveMissing(h.revision, func(id string) bool { return present[id] })
-	h.graph.Retain()
+	h.graph.RemoveMissing()
 	for _, job := range h.jobs {
 		if job.isArchived {
 			job.deletionRead = true
--- a/internal/dependencies/resolver.go
+++ b/internal/dependencies/resolver.go
@@ -92,7 +92,7 @@
 		switch {
 		case err != nil:
 		case found.Archived:
-			r.graph.HandleArchived(r.env.Now(), id, found.Answer.State)
+			r.graph.HandleArchived(r.env.Now(), id, found.Entry.State)
 		case !found.Absent():
 			r.env.OnJobRecord(r.env.Now(), found.Record)
 		}
--- a/internal/dependencies/storefixture_test.go
+++ b/internal/dependencies/storefixture_test.go
@@ -98,7 +98,7 @@
 // archive replaces a job's record with its archive entry at the state service, as another controller does.
 func (s *stateClient) archive(number int, final jobs.State) {
 	id := jobID(number)
-	entry := archive.Encode(archive.Answer{State: final, Tasks: 1})
+	entry := archive.Encode(archive.Entry{State: final, Tasks: 1})
 	s.service.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: entry}})
 }
 
--- a/internal/sessions/requests.go
+++ b/internal/sessions/requests.go
@@ -129,7 +129,7 @@
 	jobKey := jobs.RecordKey(id)
 	jobRecord := jobs.EncodeRecord(jobs.Pending, m.Jobs.WallMS(now), 1, request.Spec)
 	txn := store.Txn{
-		If:   []store.Condition{{Key: jobKey}, archive.Absent(id), {Key: Key(id)}},
+		If:   []store.Condition{{Key: jobKey}, archive.AbsentCondition(id), {Key: Key(id)}},
 		Then: []store.Op{{Put: jobKey, Value: jobRecord}, {Put: Key(id), Value: record.encode()}},
 	}
 	m.pendingOpensByUser[request.User]++
--- a/internal/sessions/requests_test.go
+++ b/internal/sessions/requests_test.go
@@ -15,7 +15,7 @@
 func TestOpenRefusesIDOfArchivedJob(t *testing.T) {
 	h := newHarness(t, testPolicies(t))
 	h.revision++
-	archived := archive.Encode(archive.Answer{State: jobs.Done, Tasks: 1, Done: 1})
+	archived := archive.Encode(archive.Entry{State: jobs.Done, Tasks: 1, Done: 1})
 	h.store[archive.Key(id)] = store.Item{Key: archive.Key(id), Value: archived, Version: h.revision}
 	status := noReply
 	h.manager.Open(h.now, testRequest(userToken), func(r Result, err error) { status = outcomeOf(r, err) })
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -51,7 +51,7 @@
 	}
 	c.whileRunning(func() {
 		answer := func(status int, body []byte) { reply(status, body) }
-		c.process.Ask(request.method, request.path, request.body, answer)
+		c.process.HandleRequest(request.method, request.path, request.body, answer)
 	})()
 }
 
@@ -123,9 +123,9 @@
 	var tick func()
 	tick = c.whileRunning(func() {
 		c.process.Tick()
-		env.schedule(controller.TickEvery, tick)
+		env.schedule(controller.TickInterval, tick)
 	})
-	env.schedule(jitter(env.rng, controller.TickEvery), tick)
+	env.schedule(jitter(env.rng, controller.TickInterval), tick)
 }
 
 // sendStatus sends a status message of the controller to a peer.
@@ -199,7 +199,7 @@
 // ActingLeaders lists the running controllers that consider themselves the leader with the right to act now.
 func (sim *Simulation) ActingLeaders() (controllers []int) {
 	for i, c := range sim.virtual.controllers {
-		if c.process != nil && c.frozenUntil <= sim.virtual.clock && c.process.Leads() {
+		if c.process != nil && c.frozenUntil <= sim.virtual.clock && c.process.IsActiveLeader() {
 			controllers = append(controllers, i)
 		}
 	}
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -316,7 +316,7 @@
 	}
 	r.virtual.recordMessage(requestTo(controller.settings.PublicAddr, httpReq))
 	controller.whileRunning(func() {
-		controller.process.Call(request, func(status int, body []byte) {
+		controller.process.HandleLeaderRequest(request, func(status int, body []byte) {
 			r.virtual.recordMessage(answerFrom(controller.settings.PublicAddr, httpReq, status, body))
 			then(status, body)
 		})
--- a/internal/simulator/write_conditions_test.go
+++ b/internal/simulator/write_conditions_test.go
@@ -73,7 +73,7 @@
 	// A job's record may be created only if the job isn't archived: a first submission may be applied long after the
 	// job's end.
 	creates := row.prefix == jobs.RecordPrefix && slices.Contains(txn.If, store.Condition{Key: op.Put})
-	if creates && !slices.Contains(txn.If, archive.Absent(strings.TrimPrefix(op.Put, jobs.RecordPrefix))) {
+	if creates && !slices.Contains(txn.If, archive.AbsentCondition(strings.TrimPrefix(op.Put, jobs.RecordPrefix))) {
 		c.failures[row.prefix+" is created without the condition that the job is not archived"] = true
 	}
 	for _, prefix := range row.others {
