--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -167,12 +167,12 @@
 
 func (d *devCluster) simulation() simulator.Config {
 	small := capacity.MachineType{
-		Name: "small", CPUs: 8, Mem: 32, CacheGB: 50, FetchGB: 2,
-		Price: 0.4, Spot: 0.15, BootS: 3, Zones: d.zones,
+		Name: "small", CPUs: 8, MemoryGB: 32, CacheGB: 50, FetchGBPerS: 2,
+		OnDemandPrice: 0.4, SpotPrice: 0.15, BootS: 3, Zones: d.zones,
 	}
 	gpu := capacity.MachineType{
-		Name: "gpu", CPUs: 32, GPUs: 4, Mem: 256, CacheGB: 200, FetchGB: 2,
-		Price: 10, Spot: 4.5, BootS: 4, Zones: d.zones,
+		Name: "gpu", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 200, FetchGBPerS: 2,
+		OnDemandPrice: 10, SpotPrice: 4.5, BootS: 4, Zones: d.zones,
 	}
 	return simulator.Config{
 		Seed:        d.seed,
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -30,8 +30,8 @@
 		LicencePools:   licenceCounts(),
 		LicenceTimeout: 3 * time.Second,
 		Types: []capacity.MachineType{{
-			Name: "g4", CPUs: 8, GPUs: 2, Mem: 64, CacheGB: 100, FetchGB: 10,
-			Price: 4, Spot: 1.5, BootS: 1, Zones: []string{"a", "b"},
+			Name: "g4", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 10,
+			OnDemandPrice: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"},
 		}},
 		Teams: []config.Team{{Name: "red", CPUs: 10, CPUsMax: 60}, {Name: "blue", CPUs: 10, CPUsMax: 60}},
 	})
--- a/cmd/harewalk/serve.go
+++ b/cmd/harewalk/serve.go
@@ -103,7 +103,7 @@
 				settings.Node, len(settings.Peers), len(settings.Params.Teams), len(settings.Params.Objectives))
 			operator := settings.Operator
 			fmt.Fprintf(out, "hold_ttl_ms = %d\nsilent_s = %g\nidle_s = %g\n",
-				operator.ControllerLeaseTTLMS, operator.MachineUnheardTimeoutS, operator.MachineIdleTimeoutS)
+				operator.ControllerLeaseTTLMS, operator.MachineSilenceTimeoutS, operator.MachineIdleTimeoutS)
 			fmt.Fprintf(out, "headroom = %g\nmax_machines = %d\nnetwork_factor = %g\n",
 				operator.Headroom, operator.MaxMachines, operator.NetworkFactor)
 			limits := settings.Params.Limits
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -41,8 +41,8 @@
 	sim, err := simulator.NewRealTime(simulator.Config{
 		Seed: seed, MaxMachines: machines, Teams: redAndBlue(),
 		Types: []capacity.MachineType{{
-			Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10,
-			Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"},
+			Name: "c8", CPUs: 8, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 10,
+			OnDemandPrice: 4, SpotPrice: 1.5, BootS: 0.5, Zones: []string{"a", "b"},
 		}},
 	})
 	if err != nil {
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -133,9 +133,9 @@
 	return groups
 }
 
-// Booting returns the number of booting machines that a job may use, and the seconds until the first of them is
+// BootingMachines returns the number of booting machines that a job may use, and the seconds until the first of them is
 // expected to be up. nextS is 0 if that boot is overdue or no such machine is booting.
-func (m *Manager) Booting(now time.Duration, job *jobs.Job) (count int, nextS float64) {
+func (m *Manager) BootingMachines(now time.Duration, job *jobs.Job) (count int, nextS float64) {
 	nextS = math.Inf(1)
 	for _, boot := range m.boots {
 		machineType := m.machineType(boot.typeIndex)
--- a/internal/capacity/cloudapi.go
+++ b/internal/capacity/cloudapi.go
@@ -19,8 +19,8 @@
 	listPageSize = 500
 )
 
-// Cloud is a client of the cloud's API that limits the rate of its requests.
-type Cloud struct {
+// CloudClient is a client of the cloud's API that limits the rate of its requests.
+type CloudClient struct {
 	addr   string
 	sender httpio.Sender
 	now    func() time.Duration
@@ -28,13 +28,13 @@
 }
 
 // NewCloud returns a client that sends at most rps requests a second.
-func NewCloud(addr string, sender httpio.Sender, now func() time.Duration, rps float64) *Cloud {
-	return &Cloud{addr: addr, sender: sender, now: now, budget: store.NewBudget(rps, cloudBurstS)}
+func NewCloud(addr string, sender httpio.Sender, now func() time.Duration, rps float64) *CloudClient {
+	return &CloudClient{addr: addr, sender: sender, now: now, budget: store.NewBudget(rps, cloudBurstS)}
 }
 
 // call sends a request and passes the response to done. If the rate limit is reached, call returns false and done isn't
 // called.
-func (c *Cloud) call(method, path string, body any, done func(httpio.Response)) bool {
+func (c *CloudClient) call(method, path string, body any, done func(httpio.Response)) bool {
 	if !c.budget.Allows(c.now(), 1, store.SafetyPriority) {
 		return false
 	}
@@ -49,7 +49,7 @@
 
 // Types requests the machine types. It passes the response's body and the types to done, both nil after any error. If
 // the rate limit is reached, Types returns false and done isn't called.
-func (c *Cloud) Types(done func(raw []byte, types []MachineType)) bool {
+func (c *CloudClient) Types(done func(raw []byte, types []MachineType)) bool {
 	return c.call(http.MethodGet, "/machine_types", nil, func(response httpio.Response) {
 		if !isOK(response) {
 			done(nil, nil)
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -150,17 +150,17 @@
 	settings.Params.Teams = []config.Team{{Name: "t"}}
 	settings.Params.Workers = config.Workers{HeartbeatIntervalS: 3, LeaseS: 20}
 	settings.Params.Cloud = config.Cloud{RPS: 100, ListLagS: 4}
-	settings.Operator = config.Operator{MachineUnheardTimeoutS: 13, MaxMachines: 50, NetworkFactor: 1}
+	settings.Operator = config.Operator{MachineSilenceTimeoutS: 13, MaxMachines: 50, NetworkFactor: 1}
 	types := []MachineType{{
-		Name:    "m",
-		CPUs:    4,
-		Mem:     16,
-		CacheGB: 10,
-		FetchGB: 1,
-		Price:   2,
-		Spot:    1,
-		BootS:   40,
-		Zones:   []string{"a", "b"},
+		Name:          "m",
+		CPUs:          4,
+		MemoryGB:      16,
+		CacheGB:       10,
+		FetchGBPerS:   1,
+		OnDemandPrice: 2,
+		SpotPrice:     1,
+		BootS:         40,
+		Zones:         []string{"a", "b"},
 	}}
 	cloud := &simulatedCloud{
 		available: map[cloudOffer]int{},
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -60,7 +60,7 @@
 // fleetHealth counts the machines from which heartbeats are expected, and how many of them are idle or silent.
 func (m *Manager) fleetHealth(now time.Duration, authorityIsStable bool) fleetHealth {
 	health := fleetHealth{
-		silenceLimit:      jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS),
+		silenceLimit:      jobs.Seconds(m.Settings.Operator.MachineSilenceTimeoutS),
 		authorityIsStable: authorityIsStable,
 	}
 	for _, machine := range m.Fleet.Machines() {
--- a/internal/capacity/machinetype.go
+++ b/internal/capacity/machinetype.go
@@ -13,30 +13,30 @@
 
 // MachineType is a type of machine that the cloud offers.
 type MachineType struct {
-	Name    string
-	CPUs    float64
-	GPUs    float64
-	Mem     float64  // memory, GB
-	CacheGB float64  // size of the image cache
-	FetchGB float64  // rate at which images are fetched, GB per second
-	Price   float64  // on-demand price per hour
-	Spot    float64  // spot price per hour
-	BootS   float64  // usual boot time, seconds
-	Zones   []string // zones that offer the type
+	Name          string
+	CPUs          float64
+	GPUs          float64
+	MemoryGB      float64  // memory, GB
+	CacheGB       float64  // size of the image cache
+	FetchGBPerS   float64  // rate at which images are fetched, GB per second
+	OnDemandPrice float64  // on-demand price per hour
+	SpotPrice     float64  // spot price per hour
+	BootS         float64  // usual boot time, seconds
+	Zones         []string // zones that offer the type
 }
 
 // machineTypeBody is a MachineType on the wire.
 type machineTypeBody struct {
-	Name    string   `json:"name"`
-	CPUs    float64  `json:"cpus"`
-	GPUs    float64  `json:"accelerators"`
-	Mem     float64  `json:"memory_gb"`
-	CacheGB float64  `json:"cache_gb"`
-	FetchGB float64  `json:"fetch_gb_per_s"`
-	Price   float64  `json:"price"`
-	Spot    float64  `json:"low_price"`
-	BootS   float64  `json:"ready_s"`
-	Zones   []string `json:"meadows"`
+	Name          string   `json:"name"`
+	CPUs          float64  `json:"cpus"`
+	GPUs          float64  `json:"accelerators"`
+	MemoryGB      float64  `json:"memory_gb"`
+	CacheGB       float64  `json:"cache_gb"`
+	FetchGBPerS   float64  `json:"fetch_gb_per_s"`
+	OnDemandPrice float64  `json:"price"`
+	SpotPrice     float64  `json:"low_price"`
+	BootS         float64  `json:"ready_s"`
+	Zones         []string `json:"meadows"`
 }
 
 // machineTypesBody is the body of the cloud's response with its machine types.
@@ -64,14 +64,16 @@
 func (t MachineType) MarshalJSON() ([]byte, error) { return json.Marshal(machineTypeBody(t)) }
 
 // Size returns the resources of a machine of the type.
-func (t MachineType) Size() planner.Size { return planner.Size{CPUs: t.CPUs, GPUs: t.GPUs, Mem: t.Mem} }
+func (t MachineType) Size() planner.Size {
+	return planner.Size{CPUs: t.CPUs, GPUs: t.GPUs, Mem: t.MemoryGB}
+}
 
 // hourlyPrice returns the spot or the on-demand price of a machine of the type.
 func (t MachineType) hourlyPrice(isSpot bool) float64 {
 	if isSpot {
-		return t.Spot
+		return t.SpotPrice
 	}
-	return t.Price
+	return t.OnDemandPrice
 }
 
 // machineType returns the type with an index, or nil if the cloud doesn't offer the type or the index is jobs.None.
@@ -92,8 +94,8 @@
 // and the time to fetch an image of mean size.
 func (m *Manager) secondsUntilUseful(machineType *MachineType) float64 {
 	seconds := machineType.BootS
-	if machineType.FetchGB > 0 {
-		seconds += m.Fleet.MeanImageGB() / machineType.FetchGB
+	if machineType.FetchGBPerS > 0 {
+		seconds += m.Fleet.MeanImageGB() / machineType.FetchGBPerS
 	}
 	return seconds
 }
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -29,7 +29,7 @@
 // Manager scales the fleet during one term. It runs on the event loop.
 type Manager struct {
 	Settings *config.Settings
-	Cloud    *Cloud
+	Cloud    *CloudClient
 	Fleet    *fleet.Fleet
 	Names    *jobs.NameIndex
 	Types    func() []MachineType
@@ -64,7 +64,7 @@
 // accept work.
 func New(
 	settings *config.Settings,
-	cloud *Cloud,
+	cloud *CloudClient,
 	f *fleet.Fleet,
 	names *jobs.NameIndex,
 	types func() []MachineType,
@@ -86,11 +86,11 @@
 	}
 	zoneSettings := settings.Zones()
 	m.Zones = zones.New(zones.Config{
-		ReturnGrace:     zoneSettings.ReturnGrace,
-		ProbationTime:   zoneSettings.ProbationTime,
-		FlapForgiveness: zoneSettings.FlapForgiveness,
-		MaxProbation:    zoneSettings.MaxProbation,
-		OnStateChange:   m.onZoneStateChange,
+		ReturnGrace:   zoneSettings.ReturnGrace,
+		ProbationTime: zoneSettings.ProbationTime,
+		FlapDecayTime: zoneSettings.FlapDecayTime,
+		MaxProbation:  zoneSettings.MaxProbation,
+		OnStateChange: m.onZoneStateChange,
 	})
 	f.ZoneAcceptsWork = func(zone int32, kind zones.WorkKind) bool {
 		return m.Zones.AcceptsWork(f.Now(), zone, kind)
@@ -122,7 +122,7 @@
 	}
 	if now >= m.nextEvaluation {
 		m.nextEvaluation = now + evaluationInterval
-		authorityIsStable := now-authoritySince > jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS)
+		authorityIsStable := now-authoritySince > jobs.Seconds(m.Settings.Operator.MachineSilenceTimeoutS)
 		m.evaluateMachines(now, authorityIsStable)
 	}
 	m.returnMachines()
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -14,9 +14,9 @@
 // A zone has to be found lost well before its first machine is returned: otherwise many would be returned by then.
 const zoneSilenceFactor = 0.6
 
-// QuietFor returns how long after its last heartbeat a machine counts as quiet: the next heartbeat is then overdue by
-// 30% of the heartbeat interval plus a second.
-func (m *Manager) QuietFor() time.Duration {
+// HeartbeatOverdueLimit returns how long after its last heartbeat a machine counts as quiet: the next heartbeat is then
+// overdue by 30% of the heartbeat interval plus a second.
+func (m *Manager) HeartbeatOverdueLimit() time.Duration {
 	return jobs.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
 }
 
@@ -24,7 +24,7 @@
 // would cost a boot and all cached images, and new tasks placed on them would wait for the machine's lease to expire.
 func (m *Manager) evaluateZones(now time.Duration) {
 	m.Zones.Evaluate(now, m.countByZone(now))
-	overdueLimit := m.QuietFor()
+	overdueLimit := m.HeartbeatOverdueLimit()
 	reachabilityTimeout := m.Fleet.ReachabilityTimeout()
 	for _, machine := range m.Fleet.Machines() {
 		silence := m.observedSilence(now, machine)
@@ -48,8 +48,8 @@
 
 // countByZone counts the machines of each zone, and how many of them are quiet or silent.
 func (m *Manager) countByZone(now time.Duration) map[int32]zones.Count {
-	silentLimit := jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS * zoneSilenceFactor)
-	quietLimit := m.QuietFor()
+	silentLimit := jobs.Seconds(m.Settings.Operator.MachineSilenceTimeoutS * zoneSilenceFactor)
+	quietLimit := m.HeartbeatOverdueLimit()
 	counts := map[int32]zones.Count{}
 	for _, machine := range m.Fleet.Machines() {
 		if machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
@@ -59,10 +59,10 @@
 		count.Machines++
 		switch silence := m.observedSilence(now, machine); {
 		case silence > silentLimit:
-			count.Silent++
-			count.Quiet++
+			count.LongUnreachable++
+			count.Unreachable++
 		case silence > quietLimit:
-			count.Quiet++
+			count.Unreachable++
 		}
 		counts[machine.Zone] = count
 	}
@@ -77,8 +77,8 @@
 		"from", from.String(),
 		"to", to.String(),
 		"machines", count.Machines,
-		"quiet", count.Quiet,
-		"silent", count.Silent,
+		"quiet", count.Unreachable,
+		"silent", count.LongUnreachable,
 		"flaps", m.Zones.Zone(zone).Flaps,
 		"term", m.Term,
 	)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,7 +37,7 @@
 	return settings, nil
 }
 
-// Parse reads and validates the platform's settings. The operators' settings have their defaults until ReadOperator is
+// Parse reads and validates the platform's settings. The operators' settings have their defaults until ParseOperator is
 // called. Unknown fields are ignored, since a newer platform may send them.
 func Parse(raw []byte) (*Settings, error) {
 	settings := &Settings{}
@@ -62,18 +62,18 @@
 	return settings, nil
 }
 
-// LoadOperator reads the operators' own settings from a file, as ReadOperator does.
+// LoadOperator reads the operators' own settings from a file, as ParseOperator does.
 func (s *Settings) LoadOperator(path string) error {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("operators' settings: %w", err)
 	}
-	return s.ReadOperator(path, raw)
+	return s.ParseOperator(path, raw)
 }
 
-// ReadOperator adds the operators' own settings from HCL, validates them, and reads the files that they name. The path
+// ParseOperator adds the operators' own settings from HCL, validates them, and reads the files that they name. The path
 // isn't opened: it is only named in errors, and has to end in .hcl.
-func (s *Settings) ReadOperator(path string, raw []byte) error {
+func (s *Settings) ParseOperator(path string, raw []byte) error {
 	if err := hclsimple.Decode(path, raw, nil, &s.Operator); err != nil {
 		return fmt.Errorf("operators' settings: %w", err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,8 +61,8 @@
 	return s
 }
 
-// The numbers of connections, machines and tasks follow from the limits of the controller's machine. They are positive on
-// a small machine too, and without any given limits.
+// The numbers of connections, machines and tasks follow from the limits of the controller's machine. They are positive
+// on a small machine too, and without any given limits.
 func TestSizesFollowFromTheControllersMachine(t *testing.T) {
 	for _, c := range []struct {
 		limits          string
@@ -99,7 +99,7 @@
 		if got := s.Operator.MachinesBound; got != want {
 			t.Errorf("%s: bound by %q, want %q", limits, got, want)
 		}
-		if err := s.ReadOperator("o.hcl", []byte("max_machines = 7")); err != nil {
+		if err := s.ParseOperator("o.hcl", []byte("max_machines = 7")); err != nil {
 			t.Fatal(err)
 		}
 		if s.Operator.MaxMachines != 7 || s.Operator.MachinesBound != BoundBySettings {
@@ -262,7 +262,7 @@
 	s := loadDeployFile(t, "sessions.hcl")
 	rollout, zones := s.Rollout(), s.Zones()
 	if !rollout.Auto || rollout.Soak != time.Minute ||
-		zones.ProbationTime <= 0 || zones.ReturnGrace <= 0 || zones.FlapForgiveness <= 0 {
+		zones.ProbationTime <= 0 || zones.ReturnGrace <= 0 || zones.FlapDecayTime <= 0 {
 		t.Fatalf("rollout %+v, want automatic with a soak time of 1m; zones %+v, want positive times", rollout, zones)
 	}
 }
@@ -273,10 +273,10 @@
 		t.Errorf("rollout %+v, want not automatic, with a soak time of 10m", rollout)
 	}
 	want := Zones{
-		ReturnGrace:     time.Minute,
-		ProbationTime:   20 * time.Second,
-		FlapForgiveness: 10 * time.Minute,
-		MaxProbation:    maxProbation,
+		ReturnGrace:   time.Minute,
+		ProbationTime: 20 * time.Second,
+		FlapDecayTime: 10 * time.Minute,
+		MaxProbation:  maxProbation,
 	}
 	if got := loadDeployFile(t, "zones.hcl").Zones(); got != want {
 		t.Errorf("zones %+v, want %+v", got, want)
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -80,7 +80,7 @@
 	} {
 		settings, err := Parse([]byte(strings.Replace(platformJSON, c.platformOld, c.platformNew, 1)))
 		if err == nil && c.operator != "" {
-			err = settings.ReadOperator(operatorFile, []byte(c.operator))
+			err = settings.ParseOperator(operatorFile, []byte(c.operator))
 		}
 		var settingErr *SettingError
 		if !errors.As(err, &settingErr) {
@@ -111,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = settings.ReadOperator("o.hcl", []byte(operator))
+		err = settings.ParseOperator("o.hcl", []byte(operator))
 		if !errors.Is(err, want.cause) || err.Error() != want.text {
 			t.Errorf("error %v, want %s, wrapping %q", err, want.text, want.cause)
 		}
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = settings.ReadOperator("o.hcl", []byte(`operator_token_file = "`+path+`"`))
+	err = settings.ParseOperator("o.hcl", []byte(`operator_token_file = "`+path+`"`))
 	want := "o.hcl: operator_token_file " + path + ": the token must have at least 16 characters"
 	if !errors.Is(err, errTokenTooShort) || err.Error() != want {
 		t.Errorf("error %v, want %s", err, want)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -18,9 +18,9 @@
 	// StartDeadlineS is the time from submission within which every job should start, in seconds, whatever its size and
 	// priority, provided that there is capacity for the job at all. 0 means the default.
 	StartDeadlineS float64 `hcl:"begin_s,optional" validate:"gte=0"`
-	// MachineUnheardTimeoutS is how long a machine may send no heartbeat before it is returned, in seconds. 0 means a
+	// MachineSilenceTimeoutS is how long a machine may send no heartbeat before it is returned, in seconds. 0 means a
 	// few heartbeat intervals, at most the workers' lease.
-	MachineUnheardTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
+	MachineSilenceTimeoutS float64 `hcl:"silent_s,optional" validate:"gte=0"`
 	// MachineIdleTimeoutS is how long a machine may be idle before it is returned, in seconds. 0 means the time until a
 	// newly rented machine would run a task.
 	MachineIdleTimeoutS float64 `hcl:"idle_s,optional" validate:"gte=0"`
@@ -65,7 +65,7 @@
 	defaultNetworkFactor  = 1
 )
 
-// The default of MachineUnheardTimeoutS is silenceHeartbeats heartbeat intervals plus silenceSlackS, in seconds, or the
+// The default of MachineSilenceTimeoutS is silenceHeartbeats heartbeat intervals plus silenceSlackS, in seconds, or the
 // workers' lease if that is shorter.
 const (
 	silenceHeartbeats = 3
@@ -86,10 +86,10 @@
 	if operator.StartDeadlineS == 0 {
 		operator.StartDeadlineS = defaultStartDeadlineS
 	}
-	if operator.MachineUnheardTimeoutS == 0 {
+	if operator.MachineSilenceTimeoutS == 0 {
 		workers := s.Params.Workers
 		silenceTimeoutS := silenceHeartbeats*workers.HeartbeatIntervalS + silenceSlackS
-		operator.MachineUnheardTimeoutS = min(workers.LeaseS, silenceTimeoutS)
+		operator.MachineSilenceTimeoutS = min(workers.LeaseS, silenceTimeoutS)
 	}
 	if operator.Headroom == 0 {
 		operator.Headroom = defaultHeadroom
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -61,8 +61,8 @@
 	SkewMS     float64          `json:"skew_ms" validate:"gte=0"`
 }
 
-// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits. 0 means
-// that no guarantee or limit is set.
+// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits. 0
+// means that no guarantee or limit is set.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	CPUs    float64 `json:"cpus" validate:"gte=0"`
@@ -109,11 +109,11 @@
 	TxnOps   int     `json:"txn_ops" validate:"gt=0"`
 	// Next holds announced limits, which the service will apply from a later time on without further notice; nil if
 	// none are announced.
-	Next *NextState `json:"next" validate:"omitnil"`
+	Next *AnnouncedStateLimits `json:"next" validate:"omitnil"`
 }
 
-// NextState holds announced limits of the state service; 0 means that the limit doesn't change.
-type NextState struct {
+// AnnouncedStateLimits holds announced limits of the state service; 0 means that the limit doesn't change.
+type AnnouncedStateLimits struct {
 	WriteRPS float64 `json:"write_rps" validate:"gte=0"`
 	ValueKB  float64 `json:"value_kb" validate:"gte=0"`
 	TxnOps   int     `json:"txn_ops" validate:"gte=0"`
--- a/internal/config/timing_test.go
+++ b/internal/config/timing_test.go
@@ -19,7 +19,7 @@
 		fmt.Sprintf(strings.ReplaceAll(timing, "%.1f", "%g"), leaseS, cancelS), 1)
 	s, err := Parse([]byte(changed))
 	if err == nil && hcl != "" {
-		err = s.ReadOperator("o.hcl", []byte(hcl))
+		err = s.ParseOperator("o.hcl", []byte(hcl))
 	}
 	return s, err
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -21,14 +21,14 @@
 
 // Zones holds the derived times for zone health, as the fields of zones.Config with the same names.
 type Zones struct {
-	ReturnGrace     time.Duration
-	ProbationTime   time.Duration
-	FlapForgiveness time.Duration
-	MaxProbation    time.Duration
+	ReturnGrace   time.Duration
+	ProbationTime time.Duration
+	FlapDecayTime time.Duration
+	MaxProbation  time.Duration
 }
 
-// maxProbation bounds how long free capacity in a zone on probation isn't used for waiting work that fits. Even with the
-// time that a start takes in addition, no job waits for 90 s while fitting capacity is free.
+// maxProbation bounds how long free capacity in a zone on probation isn't used for waiting work that fits. Even with
+// the time that a start takes in addition, no job waits for 90 s while fitting capacity is free.
 const maxProbation = 45 * time.Second
 
 // Defaults of ZoneSettings.
@@ -45,12 +45,12 @@
 		operator = *s.Operator.Zones
 	}
 	workers := s.Params.Workers
-	silenceTimeoutS := s.Operator.MachineUnheardTimeoutS
+	silenceTimeoutS := s.Operator.MachineSilenceTimeoutS
 	return Zones{
-		ReturnGrace:     durationOr(operator.ReturnGraceS, jobs.Seconds(returnGraceTimeouts*silenceTimeoutS)),
-		ProbationTime:   durationOr(operator.ProbationS, jobs.Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
-		FlapForgiveness: durationOr(operator.FlapForgivenessS, jobs.Seconds(flapForgivenessLeases*workers.LeaseS)),
-		MaxProbation:    maxProbation,
+		ReturnGrace:   durationOr(operator.ReturnGraceS, jobs.Seconds(returnGraceTimeouts*silenceTimeoutS)),
+		ProbationTime: durationOr(operator.ProbationS, jobs.Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
+		FlapDecayTime: durationOr(operator.FlapForgivenessS, jobs.Seconds(flapForgivenessLeases*workers.LeaseS)),
+		MaxProbation:  maxProbation,
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,7 +80,7 @@
 	rollout    *rollout.Rollout
 	jobs       *jobs.Table
 	api        *api.Service
-	cloud      *capacity.Cloud
+	cloud      *capacity.CloudClient
 	quota      *quota.Ledger
 
 	licencePools *licences.Catalog
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -33,10 +33,10 @@
 		c.machineTypes.byIndex[c.jobs.Names.Types.Index(machineType.Name)] = &fleet.MachineType{
 			Size:          machineType.Size(),
 			CacheGB:       machineType.CacheGB,
-			FetchGB:       machineType.FetchGB,
+			FetchGB:       machineType.FetchGBPerS,
 			BootS:         machineType.BootS,
-			OnDemandPrice: machineType.Price,
-			SpotPrice:     machineType.Spot,
+			OnDemandPrice: machineType.OnDemandPrice,
+			SpotPrice:     machineType.SpotPrice,
 		}
 	}
 }
--- a/internal/controller/pending.go
+++ b/internal/controller/pending.go
@@ -50,7 +50,7 @@
 		view.NearestAhead = ids
 		view.Ahead = count
 	}
-	view.Booting, view.BootingS = c.term.capacity.Booting(now, job)
+	view.Booting, view.BootingS = c.term.capacity.BootingMachines(now, job)
 	view.BootingS = math.Round(view.BootingS)
 	return view
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -56,7 +56,7 @@
 	c.storedZones.writeInFlight = true
 	c.storedZones.lastWriteAt = now
 	raw := table.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
-	table.MarkStored()
+	table.MarkClean()
 	txn := store.Txn{
 		If:   []store.Condition{{Key: zones.Key, Version: c.storedZones.latest.Version}},
 		Then: []store.Op{{Put: zones.Key, Value: raw}},
@@ -125,7 +125,7 @@
 		views[i] = c.zoneView(now, name, index)
 		viewByIndex[index] = &views[i]
 	}
-	overdueAfter := c.term.capacity.QuietFor()
+	overdueAfter := c.term.capacity.HeartbeatOverdueLimit()
 	for _, machine := range c.term.fleet.Machines() {
 		view := viewByIndex[machine.Zone]
 		if view == nil || machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -68,18 +68,18 @@
 // appendMachineWork appends the load of a machine to work: the tasks on it, then the tasks queued there for jobs up to
 // rank. A task that preemptor may preempt counts with only minRemainingSeconds; preemptor may be nil.
 func (f *Fleet) appendMachineWork(
-	work []planner.Work,
+	work []planner.QueuedWork,
 	now time.Duration,
 	machine *Machine,
 	rank int,
 	preemptor *jobs.Job,
-) []planner.Work {
+) []planner.QueuedWork {
 	for _, end := range f.expectedEnds(now, machine) {
 		remaining := max(minRemainingSeconds, (end.at - now).Seconds())
 		if preemptor != nil && f.mayPreempt(preemptor, f.jobAt(end.Job)) {
 			remaining = minRemainingSeconds
 		}
-		work = append(work, planner.Work{Size: end.size, Remaining: remaining})
+		work = append(work, planner.QueuedWork{Size: end.size, Remaining: remaining})
 	}
 	f.PlanningSteps += uint64(len(machine.expectedEnds))
 	if rank <= noRank || len(machine.queues) == 0 {
@@ -90,7 +90,7 @@
 
 // appendQueuedWork appends the tasks that are queued on a machine for jobs up to rank, in priority order. More than
 // maxTasksListedSingly tasks of a job are appended as one load of the whole machine.
-func (f *Fleet) appendQueuedWork(work []planner.Work, machine *Machine, rank int) []planner.Work {
+func (f *Fleet) appendQueuedWork(work []planner.QueuedWork, machine *Machine, rank int) []planner.QueuedWork {
 	queuedJobs := f.scratch.jobIndices[:0]
 	for _, queue := range machine.queues {
 		if f.rankOf(f.jobAt(queue.job)) <= rank {
@@ -108,12 +108,12 @@
 		if taskCount > maxTasksListedSingly {
 			if copies := size.Copies(machine.Capacity); copies > 0 {
 				total := taskSeconds * float64(taskCount) / float64(copies)
-				work = append(work, planner.Work{Size: machine.Capacity, Remaining: total})
+				work = append(work, planner.QueuedWork{Size: machine.Capacity, Remaining: total})
 			}
 			continue
 		}
 		for range taskCount {
-			work = append(work, planner.Work{Size: size, Remaining: taskSeconds})
+			work = append(work, planner.QueuedWork{Size: size, Remaining: taskSeconds})
 		}
 	}
 	return work
@@ -121,7 +121,7 @@
 
 // ExpectedWork returns the tasks on a machine with their expected remaining times. The result is valid until the next
 // scheduling cycle or call.
-func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.Work {
+func (f *Fleet) ExpectedWork(now time.Duration, machine *Machine) []planner.QueuedWork {
 	f.scratch.work = f.appendMachineWork(f.scratch.work[:0], now, machine, noRank, nil)
 	return f.scratch.work
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -46,7 +46,7 @@
 // that uses the same buffer.
 type scratch struct {
 	jobIndices  []jobs.Index
-	work        []planner.Work
+	work        []planner.QueuedWork
 	taskRefs    []TaskRef
 	commands    []Command
 	listedTasks map[TaskRef]struct{} // live tasks in the heartbeat that is being processed
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -40,16 +40,16 @@
 	}
 	for _, machine := range s.Types {
 		settings.Types = append(settings.Types, capacity.MachineType{
-			Name:    machine.Name,
-			CPUs:    machine.CPUs,
-			GPUs:    machine.GPUs,
-			Mem:     machine.MemoryGB,
-			CacheGB: machineCacheGB,
-			FetchGB: machineFetchGB,
-			Price:   machine.Price,
-			Spot:    machine.SpotPrice,
-			BootS:   machine.BootS,
-			Zones:   s.Zones,
+			Name:          machine.Name,
+			CPUs:          machine.CPUs,
+			GPUs:          machine.GPUs,
+			MemoryGB:      machine.MemoryGB,
+			CacheGB:       machineCacheGB,
+			FetchGBPerS:   machineFetchGB,
+			OnDemandPrice: machine.Price,
+			SpotPrice:     machine.SpotPrice,
+			BootS:         machine.BootS,
+			Zones:         s.Zones,
 		})
 	}
 	for _, team := range s.Teams {
@@ -75,5 +75,5 @@
 	if c.Operator == "" {
 		return nil
 	}
-	return settings.ReadOperator(operatorFile, []byte(c.Operator))
+	return settings.ParseOperator(operatorFile, []byte(c.Operator))
 }
--- a/internal/planner/bench_test.go
+++ b/internal/planner/bench_test.go
@@ -51,9 +51,9 @@
 func BenchmarkSlotLoads(b *testing.B) {
 	machine := Size{CPUs: 64, GPUs: 8, Mem: 256}
 	task := Size{CPUs: 1, Mem: 2}
-	var work []Work
+	var work []QueuedWork
 	for i := range 48 {
-		work = append(work, Work{Size{CPUs: float64(1 + i%5), Mem: 4}, float64(i % 11)})
+		work = append(work, QueuedWork{Size{CPUs: float64(1 + i%5), Mem: 4}, float64(i % 11)})
 	}
 	var loads []float64
 	for b.Loop() {
--- a/internal/planner/slots.go
+++ b/internal/planner/slots.go
@@ -8,8 +8,8 @@
 // maxSlots is the maximum number of slots of one machine, for tasks of any size.
 const maxSlots = 256
 
-// Work is load that a machine already has, such as a running or queued task.
-type Work struct {
+// QueuedWork is load that a machine already has, such as a running or queued task.
+type QueuedWork struct {
 	Size      Size
 	Remaining float64 // remaining time in seconds
 }
@@ -18,7 +18,7 @@
 // appends the load of each slot, in seconds, to dst. The elements of work are assigned in order, each to the
 // least-loaded slot. An element that is larger than a slot is assigned to several of the least-loaded slots, and starts
 // when all of them are free.
-func SlotLoads(dst []float64, machine, task Size, work []Work) []float64 {
+func SlotLoads(dst []float64, machine, task Size, work []QueuedWork) []float64 {
 	count := min(task.Copies(machine), maxSlots)
 	for range count {
 		dst = append(dst, 0)
--- a/internal/planner/slots_test.go
+++ b/internal/planner/slots_test.go
@@ -10,7 +10,7 @@
 // SlotLoads assigns work by list scheduling, and an element of work that is larger than a slot to several slots.
 func TestSlotLoadsFollowListScheduling(t *testing.T) {
 	machine := Size{CPUs: 8, Mem: 16}
-	work := []Work{
+	work := []QueuedWork{
 		{Size{CPUs: 2, Mem: 1}, 5},
 		{Size{CPUs: 4, Mem: 1}, 3},
 		{Size{CPUs: 2, Mem: 1}, 1},
@@ -36,9 +36,9 @@
 	for n := range 500 {
 		machine := Size{CPUs: float64(1 + rng.IntN(16)), Mem: float64(8 + rng.IntN(64))}
 		task := Size{CPUs: 0.5 + 3*rng.Float64(), Mem: 1}
-		var work []Work
+		var work []QueuedWork
 		for range rng.IntN(20) {
-			work = append(work, Work{Size{CPUs: machine.CPUs * rng.Float64()}, float64(rng.IntN(50))})
+			work = append(work, QueuedWork{Size{CPUs: machine.CPUs * rng.Float64()}, float64(rng.IntN(50))})
 		}
 		slots := task.Copies(machine)
 		want := referenceSlotLoads(slots, machine, work)
@@ -56,7 +56,7 @@
 
 // referenceSlotLoads is the slow reference implementation of SlotLoads: it sorts the slots for each element of work,
 // and considers CPUs only.
-func referenceSlotLoads(slots int, machine Size, work []Work) []float64 {
+func referenceSlotLoads(slots int, machine Size, work []QueuedWork) []float64 {
 	loads := make([]float64, slots)
 	if slots == 0 {
 		return loads
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -149,7 +149,7 @@
 
 // readChaosPools reads the licence pool and the archive settings of chaos runs into a controller's settings.
 func readChaosPools(settings *config.Settings) error {
-	return settings.ReadOperator("o.hcl", []byte(chaosPools))
+	return settings.ParseOperator("o.hcl", []byte(chaosPools))
 }
 
 // chaosFault is a random fault of a chaos run. The controller and the duration matter only to some kinds.
--- a/internal/simulator/config.go
+++ b/internal/simulator/config.go
@@ -82,15 +82,15 @@
 
 func defaultMachineType(zones []string) capacity.MachineType {
 	return capacity.MachineType{
-		Name:    "g4",
-		CPUs:    16,
-		GPUs:    4,
-		Mem:     128,
-		CacheGB: 100,
-		FetchGB: 10,
-		Price:   4,
-		Spot:    1.5,
-		BootS:   1,
-		Zones:   zones,
+		Name:          "g4",
+		CPUs:          16,
+		GPUs:          4,
+		MemoryGB:      128,
+		CacheGB:       100,
+		FetchGBPerS:   10,
+		OnDemandPrice: 4,
+		SpotPrice:     1.5,
+		BootS:         1,
+		Zones:         zones,
 	}
 }
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -414,7 +414,7 @@
 	cfg.TickInterval = 20 * time.Millisecond
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
 	sim, err := NewVirtualTime(cfg, func(s *config.Settings) error {
-		return s.ReadOperator("o.hcl", []byte(chaosPools+settings))
+		return s.ParseOperator("o.hcl", []byte(chaosPools+settings))
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -142,9 +142,9 @@
 
 // cost returns the machine's accumulated price since it was rented.
 func (m *Machine) cost(now time.Duration) float64 {
-	price := m.machineType.Price
+	price := m.machineType.OnDemandPrice
 	if m.spot {
-		price = m.machineType.Spot
+		price = m.machineType.SpotPrice
 	}
 	return price * (now - m.rentedAt).Hours()
 }
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -138,7 +138,7 @@
 		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
-			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
+			return settings.ParseOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -620,7 +620,7 @@
 		Types:        types,
 		TickInterval: 50 * time.Millisecond,
 		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
-	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
+	}, func(settings *config.Settings) error { return settings.ParseOperator("o.hcl", []byte(operator)) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -86,7 +86,7 @@
 func newPipelineClusterWith(t *testing.T, seed uint64, operator string) *testCluster {
 	t.Helper()
 	cluster := startCluster(t, pipelineStream, pipelineConfig(seed), func(settings *config.Settings) error {
-		return settings.ReadOperator("o.hcl", []byte(operator))
+		return settings.ParseOperator("o.hcl", []byte(operator))
 	})
 	cluster.waitFor("cluster at the newest level", 30*time.Second, func() bool {
 		return cluster.ClusterLevel() == rollout.Newest && len(cluster.ActingLeaders()) == 1
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	cluster := startCluster(t, pipelineStream, cfg, func(settings *config.Settings) error {
 		settings.SimulateRelease(levelBeforePipelines, FormerRelease)
-		return settings.ReadOperator("o.hcl", []byte(operator))
+		return settings.ParseOperator("o.hcl", []byte(operator))
 	})
 	cluster.waitFor("cluster at the former release's level", 30*time.Second, func() bool {
 		return cluster.ClusterLevel() == levelBeforePipelines && len(cluster.ActingLeaders()) == 1
--- a/internal/simulator/rollout_test.go
+++ b/internal/simulator/rollout_test.go
@@ -73,7 +73,7 @@
 			if maxLevel < rollout.Newest {
 				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
-			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout {\n"+rolloutSettings+"\n}\n"))
+			return settings.ParseOperator("o.hcl", []byte(chaosPools+"rollout {\n"+rolloutSettings+"\n}\n"))
 		})
 }
 
@@ -94,7 +94,7 @@
 				settings.SimulateRelease(maxLevel, FormerRelease)
 			}
 			change(settings)
-			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
+			return settings.ParseOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
 }
 
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -22,7 +22,7 @@
 // and while transactions get no answer. Tasks start again within seconds, all jobs end, and no invariant is violated.
 // Arrays of 150 tasks on all machines make the stored values as large as they get.
 func TestLowerStateLimits(t *testing.T) {
-	lowered := map[string]config.NextState{
+	lowered := map[string]config.AnnouncedStateLimits{
 		"value":   {ValueKB: 2},
 		"changes": {TxnOps: 8},
 		"rate":    {WriteRPS: 24},
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -166,7 +166,7 @@
 		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error {
-			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
+			return settings.ParseOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -194,7 +194,7 @@
 		return task
 	}
 	if !machine.images[task.spec.Image] {
-		task.imageReadyAt = now + jobs.Seconds(task.spec.ImageGB/machine.machineType.FetchGB)
+		task.imageReadyAt = now + jobs.Seconds(task.spec.ImageGB/machine.machineType.FetchGBPerS)
 	}
 	return task
 }
--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -48,7 +48,7 @@
 	if o.count.Machines < minMachines {
 		return false
 	}
-	return 2*o.count.Silent > o.count.Machines || (o.othersReachable && 4*o.count.Quiet > 3*o.count.Machines)
+	return 2*o.count.LongUnreachable > o.count.Machines || (o.othersReachable && 4*o.count.Unreachable > 3*o.count.Machines)
 }
 
 // guard is a rule of the real code that an exploration can leave out, to show that the model detects its absence.
@@ -68,10 +68,10 @@
 // config returns a configuration with which the real code lacks the guard.
 func (g guard) config() Config {
 	cfg := Config{
-		ReturnGrace:     testReturnGrace * stepLength,
-		ProbationTime:   testProbationTime * stepLength,
-		FlapForgiveness: testFlapForgiveness * stepLength,
-		MaxProbation:    testMaxProbation * stepLength,
+		ReturnGrace:   testReturnGrace * stepLength,
+		ProbationTime: testProbationTime * stepLength,
+		FlapDecayTime: testFlapForgiveness * stepLength,
+		MaxProbation:  testMaxProbation * stepLength,
 	}
 	switch g {
 	case guardReturnGrace:
@@ -79,7 +79,7 @@
 	case guardProbation:
 		cfg.ProbationTime = 0
 	case guardForgiveness:
-		cfg.FlapForgiveness = 0
+		cfg.FlapDecayTime = 0
 	case guardMaxProbation:
 		cfg.MaxProbation = 0
 	}
@@ -93,7 +93,7 @@
 	case guardOthersReachable:
 		othersReachable = true
 	case guardMinMachines:
-		count = Count{Machines: 4 * count.Machines, Quiet: 4 * count.Quiet, Silent: 4 * count.Silent}
+		count = Count{Machines: 4 * count.Machines, Unreachable: 4 * count.Unreachable, LongUnreachable: 4 * count.LongUnreachable}
 	}
 	return count, othersReachable
 }
@@ -115,7 +115,7 @@
 		returnGrace = 0
 	}
 	isEmptyForLong := observed.count.Machines == 0 && stepsInState >= returnGrace
-	isReachableAgain := observed.count.Machines > 0 && 2*observed.count.Quiet <= observed.count.Machines
+	isReachableAgain := observed.count.Machines > 0 && 2*observed.count.Unreachable <= observed.count.Machines
 	switch {
 	case observed.isLoss() && !h.isLost:
 		isReturning := h.sinceReturn >= 0 && !h.hasRecovered
--- a/internal/zones/record.go
+++ b/internal/zones/record.go
@@ -35,8 +35,8 @@
 // Dirty reports whether there are changes that have not been stored.
 func (z *Zones) Dirty() bool { return z.isDirty }
 
-// MarkStored records that the value last returned by Encode is being written.
-func (z *Zones) MarkStored() { z.isDirty = false }
+// MarkClean records that the value last returned by Encode is being written.
+func (z *Zones) MarkClean() { z.isDirty = false }
 
 // MarkDirty records that the write of that value has failed.
 func (z *Zones) MarkDirty() { z.isDirty = true }
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -74,10 +74,10 @@
 }
 
 // recordLoss records a loss of the zone. The loss is a flap if the zone is returning or on probation, or if the
-// previous loss is less than FlapForgiveness ago.
+// previous loss is less than FlapDecayTime ago.
 func (z *Zones) recordLoss(now time.Duration, zone *Zone) {
 	isReturning := zone.State == Returning || zone.State == OnProbation
-	isSoon := zone.wasLost && now-zone.LostAt < z.cfg.FlapForgiveness
+	isSoon := zone.wasLost && now-zone.LostAt < z.cfg.FlapDecayTime
 	if isReturning || isSoon {
 		zone.Flaps = min(maxFlaps, zone.Flaps+1)
 	}
@@ -92,7 +92,7 @@
 	indices := make([]int32, 0, len(counts))
 	for index, count := range counts {
 		all.Machines += count.Machines
-		all.Quiet += count.Quiet
+		all.Unreachable += count.Unreachable
 		indices = append(indices, index)
 	}
 	for index := range z.zones {
@@ -105,7 +105,7 @@
 		count := counts[index]
 		// If the machines of other zones are reachable, silence is due to this zone. If all zones are silent, this
 		// controller may be the cause.
-		others := Count{Machines: all.Machines - count.Machines, Quiet: all.Quiet - count.Quiet}
+		others := Count{Machines: all.Machines - count.Machines, Unreachable: all.Unreachable - count.Unreachable}
 		z.evaluate(now, index, count, others.areReachable())
 	}
 }
@@ -147,7 +147,7 @@
 		z.transition(now, index, Suspect, count)
 	case zone.State == Suspect && !isSuspect:
 		z.transition(now, index, Healthy, count)
-	case zone.State == Healthy && zone.Flaps > 0 && now-zone.forgivenAt >= z.cfg.FlapForgiveness:
+	case zone.State == Healthy && zone.Flaps > 0 && now-zone.forgivenAt >= z.cfg.FlapDecayTime:
 		zone.Flaps--
 		zone.forgivenAt = now
 		z.isDirty = true
@@ -160,17 +160,19 @@
 	if c.Machines < minMachines {
 		return false
 	}
-	return 2*c.Silent > c.Machines || (othersReachable && 4*c.Quiet > 3*c.Machines)
+	return 2*c.LongUnreachable > c.Machines || (othersReachable && 4*c.Unreachable > 3*c.Machines)
 }
 
 // isSuspect reports whether more than a quarter of the machines are quiet.
-func (c Count) isSuspect() bool { return c.Machines >= minMachines && 4*c.Quiet > c.Machines }
+func (c Count) isSuspect() bool { return c.Machines >= minMachines && 4*c.Unreachable > c.Machines }
 
 // isReachableAgain reports whether there are machines and at least half of them are reachable.
-func (c Count) isReachableAgain() bool { return c.Machines > 0 && 2*c.Quiet <= c.Machines }
+func (c Count) isReachableAgain() bool { return c.Machines > 0 && 2*c.Unreachable <= c.Machines }
 
 // isNearlyAllReachable reports whether at most a tenth of the machines are quiet.
-func (c Count) isNearlyAllReachable() bool { return 10*c.Quiet <= c.Machines }
+func (c Count) isNearlyAllReachable() bool { return 10*c.Unreachable <= c.Machines }
 
 // areReachable reports whether there are at least minMachines and fewer than three tenths of them are quiet.
-func (c Count) areReachable() bool { return c.Machines >= minMachines && 10*c.Quiet < 3*c.Machines }
+func (c Count) areReachable() bool {
+	return c.Machines >= minMachines && 10*c.Unreachable < 3*c.Machines
+}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -13,9 +13,10 @@
 	"time"
 )
 
-// Count holds the numbers of machines in a zone: all machines (Machines), those that have missed a heartbeat (Quiet),
-// and those of the quiet machines whose last heartbeat is so old that they will soon be returned (Silent).
-type Count struct{ Machines, Quiet, Silent int }
+// Count holds the numbers of machines in a zone: all machines (Machines), those that have missed a heartbeat
+// (Unreachable), and those of the quiet machines whose last heartbeat is so old that they will soon be returned
+// (LongUnreachable).
+type Count struct{ Machines, Unreachable, LongUnreachable int }
 
 // Config holds the durations by which zones are evaluated, and a callback.
 type Config struct {
@@ -23,9 +24,9 @@
 	ReturnGrace time.Duration
 	// ProbationTime is how long a zone must stay reachable before it counts as healthy. It doubles with each flap.
 	ProbationTime time.Duration
-	// FlapForgiveness is how long a zone must be healthy before Zone.Flaps is reduced by one. A loss within this time
+	// FlapDecayTime is how long a zone must be healthy before Zone.Flaps is reduced by one. A loss within this time
 	// after the previous loss is a flap.
-	FlapForgiveness time.Duration
+	FlapDecayTime time.Duration
 	// MaxProbation limits how long after a zone's return any kind of work may be kept away from the zone, regardless of
 	// its flaps. 0 means that only the probation limits this time.
 	MaxProbation time.Duration
