--- a/internal/api/accesscontrol.go
+++ b/internal/api/accesscontrol.go
@@ -70,13 +70,13 @@
 // address instead. It returns errLocalCommandsOnly or errOperatorToken if the command is refused. The comparison
 // takes the same time for all tokens.
 func (l *LeaderAPI) checkOperatorToken(token, remoteIP string) error {
-	if l.Token == "" {
+	if l.OperatorToken == "" {
 		if ip := net.ParseIP(remoteIP); ip != nil && ip.IsLoopback() {
 			return nil
 		}
 		return errLocalCommandsOnly
 	}
-	if subtle.ConstantTimeCompare([]byte(token), []byte(l.Token)) != 1 {
+	if subtle.ConstantTimeCompare([]byte(token), []byte(l.OperatorToken)) != 1 {
 		return errOperatorToken
 	}
 	return nil
--- a/internal/api/accesscontrol_test.go
+++ b/internal/api/accesscontrol_test.go
@@ -18,7 +18,7 @@
 		{"secret-secret-secret", "", "127.0.0.1", errOperatorToken},
 		{"secret-secret-secret", "secret-secret-secreT", "127.0.0.1", errOperatorToken},
 	} {
-		leader := LeaderAPI{Token: c.configured}
+		leader := LeaderAPI{OperatorToken: c.configured}
 		err := leader.checkOperatorToken(c.token, c.remoteIP)
 		if !errors.Is(err, c.want) || (err != nil && err.Error() == "") {
 			t.Errorf("%+v: got error %v", c, err)
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -88,24 +88,24 @@
 		"",
 		s,
 		func() time.Duration { return stateService.Now },
-		store.Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8},
-		store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10},
+		store.RateShare{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8},
+		store.TxnLimits{MaxOps: 24, MaxValueBytes: 32 << 10},
 	)
 	table := jobs.NewTable(0)
 	s.Service = New(Env{
-		Store:    client,
-		Jobs:     table,
-		Archive:  archive.NewReader(client, 8),
-		Ready:    func() bool { return true },
-		TxnOps:   24,
-		MaxTasks: 3000,
-		MaxBytes: 1 << 20,
-		MaxValue: 8 << 10,
+		Store:          client,
+		Jobs:           table,
+		Archive:        archive.NewReader(client, 8),
+		Ready:          func() bool { return true },
+		MaxTxnOps:      24,
+		MaxTasks:       3000,
+		MaxQueuedBytes: 1 << 20,
+		MaxRecordBytes: 8 << 10,
 		Admit: func(spec *jobs.Spec) AdmissionResult {
 			return AdmissionResult{
-				OK:     spec.Team == admittedTeam,
-				Known:  spec.Team != undecidedTeam,
-				Reason: "team",
+				OK:      spec.Team == admittedTeam,
+				Decided: spec.Team != undecidedTeam,
+				Reason:  "team",
 			}
 		},
 		Counts: func(job *jobs.Job) (int, int) { return job.FinishedTasks, job.ReportedRunning },
--- a/internal/api/leaderroutes.go
+++ b/internal/api/leaderroutes.go
@@ -72,10 +72,10 @@
 }
 
 // LeaderAPI holds the handler of requests to the leader and its settings. Where users have no tokens, operators'
-// commands must carry Token or, if Token is empty, come from the controller's own machine. Each session has its own
-// tokens.
+// commands must carry OperatorToken or, if OperatorToken is empty, come from the controller's own machine. Each session
+// has its own tokens.
 type LeaderAPI struct {
-	Token string // the operators' token, "" if none is set
+	OperatorToken string // the operators' token, "" if none is set
 	// Handle handles a request on the event loop, also on a controller that isn't the leader.
 	Handle func(now time.Duration, request LeaderRequest, reply func(Reply))
 	// Licences and Sessions enable the routes of these resources.
--- a/internal/api/leaderroutes_test.go
+++ b/internal/api/leaderroutes_test.go
@@ -11,8 +11,8 @@
 func TestLeaderRoutesSetResourceAndVerb(t *testing.T) {
 	var got LeaderRequest
 	address := startServer(t, Routes{
-		MaxConns:     10,
-		MaxKeptConns: 10,
+		MaxConns:          10,
+		MaxKeepAliveConns: 10,
 		Leader: &LeaderAPI{
 			Licences: true,
 			Sessions: true,
--- a/internal/api/predecessors.go
+++ b/internal/api/predecessors.go
@@ -135,5 +135,5 @@
 
 // canReportBlocked reports whether this controller may reply that a blocked job is pending.
 func (s *Service) canReportBlocked(now time.Duration, id string) bool {
-	return s.IsBlockedCertain == nil || s.IsBlockedCertain(now, id)
+	return s.CanReportBlocked == nil || s.CanReportBlocked(now, id)
 }
--- a/internal/api/predecessors_test.go
+++ b/internal/api/predecessors_test.go
@@ -26,9 +26,9 @@
 func newDependentService(stateService *state.Service) *dependentService {
 	s := &dependentService{testService: newTestService(stateService), acceptsDependencies: true, watchedKeysFresh: true}
 	s.graph = dependencies.New(s.Jobs, func(time.Duration, *jobs.Job) {})
-	s.Dependencies = s.graph.Edges
+	s.DependencyEdges = s.graph.Edges
 	s.AcceptsDependencies = func() bool { return s.acceptsDependencies }
-	s.IsBlockedCertain = func(_ time.Duration, id string) bool {
+	s.CanReportBlocked = func(_ time.Duration, id string) bool {
 		return s.watchedKeysFresh && !s.graph.HasUnknownAncestor(id)
 	}
 	s.OnJobRecord = func(now time.Duration, item store.Item) {
--- a/internal/api/retryafter_test.go
+++ b/internal/api/retryafter_test.go
@@ -16,8 +16,8 @@
 	stateService := state.New()
 	service := newTestService(stateService)
 	now := func() time.Duration { return stateService.Now }
-	share := store.Share{RPS: 1e6, WriteRPS: writesPerSecond, BurstSeconds: 1}
-	service.Store = store.New("", service, now, share, store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10})
+	share := store.RateShare{RPS: 1e6, WriteRPS: writesPerSecond, BurstSeconds: 1}
+	service.Store = store.New("", service, now, share, store.TxnLimits{MaxOps: 24, MaxValueBytes: 32 << 10})
 	service.Archive = archive.NewReader(service.Store, 8)
 	refused, accepted := 0, 0
 	lastAccepted := time.Duration(0)
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -35,7 +35,7 @@
 			return send(c, Refuse(InvalidRequest, "the body is not a valid heartbeat"))
 		}
 		// If the fleet has more workers than there are sockets, each heartbeat needs a connection of its own.
-		if int(app.Server().GetOpenConnectionsCount()) > r.MaxKeptConns {
+		if int(app.Server().GetOpenConnectionsCount()) > r.MaxKeepAliveConns {
 			c.Response().SetConnectionClose()
 		}
 		call := eventLoopCall{post: r.PostHeartbeat, timeout: heartbeatTimeout, count: r.Counter.countWorker}
--- a/internal/api/scale_test.go
+++ b/internal/api/scale_test.go
@@ -13,11 +13,11 @@
 // fleetSize is the number of machines in a large fleet. No fixed bound may refuse a burst of one request per machine.
 const fleetSize = 4000
 
-// A burst of one job per machine is accepted if MaxBytes allows the size of the waiting records.
+// A burst of one job per machine is accepted if MaxQueuedBytes allows the size of the waiting records.
 func TestBurstOfLargeFleetIsAccepted(t *testing.T) {
 	stateService := state.New()
 	service := newTestService(stateService)
-	service.MaxBytes = 16 << 20
+	service.MaxQueuedBytes = 16 << 20
 	replies := map[int]int{}
 	for i := range fleetSize {
 		service.Submit(stateService.Now, newSpec(i), func(r Reply) { replies[r.Status]++ })
@@ -28,12 +28,12 @@
 	}
 }
 
-// Even if the count of waiting submissions allows more, MaxBytes bounds the size of their records, and the
+// Even if the count of waiting submissions allows more, MaxQueuedBytes bounds the size of their records, and the
 // submissions beyond it get a Retry-After at once.
-func TestBurstIsBoundedByMaxBytes(t *testing.T) {
+func TestBurstIsBoundedByMaxQueuedBytes(t *testing.T) {
 	stateService := state.New()
 	service := newTestService(stateService)
-	service.MaxBytes = 64 << 10
+	service.MaxQueuedBytes = 64 << 10
 	refused := 0
 	for i := range fleetSize {
 		service.Submit(stateService.Now, newSpec(i), func(r Reply) {
@@ -42,8 +42,8 @@
 			}
 		})
 	}
-	if service.submissionBytes > service.MaxBytes || refused < fleetSize/2 {
-		t.Fatalf("got %d bytes waiting and %d jobs refused at once, want at most MaxBytes and at least half the jobs",
+	if service.submissionBytes > service.MaxQueuedBytes || refused < fleetSize/2 {
+		t.Fatalf("got %d bytes waiting and %d jobs refused at once, want at most MaxQueuedBytes and at least half the jobs",
 			service.submissionBytes, refused)
 	}
 	service.deliverAll()
@@ -55,8 +55,8 @@
 	for _, idLength := range []int{10, 22} {
 		stateService := state.New()
 		service := newTestService(stateService)
-		service.TxnOps = 1 << 20
-		service.Limits = func() store.Limits { return store.Limits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
+		service.MaxTxnOps = 1 << 20
+		service.Limits = func() store.TxnLimits { return store.TxnLimits{MaxOps: 1 << 20, MaxValueBytes: 1 << 20} }
 		maxConditions, replies := 0, 0
 		service.onRequest = func(request httpio.Request) {
 			txn, err := state.DecodeTxn(request.Body)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -31,9 +31,9 @@
 	HandleHeartbeat func(now time.Duration, heartbeat *fleet.Heartbeat, reply func(Reply))
 	// Leader handles requests that only the leader can answer.
 	Leader *LeaderAPI
-	// MaxConns bounds the open connections. While more than MaxKeptConns are open, the server closes a worker's
+	// MaxConns bounds the open connections. While more than MaxKeepAliveConns are open, the server closes a worker's
 	// connection after each reply.
-	MaxConns, MaxKeptConns int
+	MaxConns, MaxKeepAliveConns int
 	// Counter counts replies to users and workers; nil if none are counted.
 	Counter *ResponseCounter
 	// Users authenticate by their tokens; nil if no tokens are required.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -82,9 +82,9 @@
 func TestUserRoutesRequireToken(t *testing.T) {
 	users, token := newUsers(t)
 	address := startServer(t, Routes{
-		MaxConns:     10,
-		MaxKeptConns: 10,
-		Users:        users,
+		MaxConns:          10,
+		MaxKeepAliveConns: 10,
+		Users:             users,
 		Leader: &LeaderAPI{
 			Licences: true,
 			Sessions: true,
@@ -141,11 +141,11 @@
 	}
 }
 
-// While more than MaxKeptConns connections are open, the server closes workers' connections after each reply, so that
-// more machines can send heartbeats than there are sockets; users' connections stay open. Here 100 heartbeats are
+// While more than MaxKeepAliveConns connections are open, the server closes workers' connections after each reply, so
+// that more machines can send heartbeats than there are sockets; users' connections stay open. Here 100 heartbeats are
 // served with 20 sockets, 10 of which may stay open.
 func TestHeartbeatsFromMoreWorkersThanSockets(t *testing.T) {
-	address := startServer(t, Routes{MaxConns: 20, MaxKeptConns: 10})
+	address := startServer(t, Routes{MaxConns: 20, MaxKeepAliveConns: 10})
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 200}}
 	send := func(method, path, body string) (status int, closes bool) {
 		t.Helper()
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -17,7 +17,7 @@
 )
 
 // Bounds of the queues for a fleet of about 4,000 machines. A burst of that size is limited by the bytes that wait
-// (Env.MaxBytes) and by the state service's rate, not by a count.
+// (Env.MaxQueuedBytes) and by the state service's rate, not by a count.
 const (
 	maxWaitingSubmissions = 4096
 	maxWaitingQueries     = 4096
@@ -33,8 +33,8 @@
 
 // AdmissionResult is the decision whether a job can ever run.
 type AdmissionResult struct {
-	OK    bool
-	Known bool // false if the decision isn't possible yet
+	OK      bool
+	Decided bool // false if the decision isn't possible yet
 	// Reason tells the user why the job is rejected or not decided on.
 	Reason string
 }
@@ -60,28 +60,28 @@
 	LevelCondition func() store.Condition
 	// Compatible reports whether this release may act at the cluster's level. Nil if there are no levels.
 	Compatible func() bool
-	// TxnOps is the maximum number of operations of a transaction.
-	TxnOps int
-	// Limits returns the current limits of a transaction, which may be lower than TxnOps and MaxValue. Nil if they
-	// are never lower.
-	Limits func() store.Limits
+	// MaxTxnOps is the maximum number of operations of a transaction.
+	MaxTxnOps int
+	// Limits returns the current limits of a transaction, which may be lower than MaxTxnOps and MaxRecordBytes. Nil if
+	// they are never lower.
+	Limits func() store.TxnLimits
 	// MaxTasks bounds the total number of unfinished tasks and predecessors of all jobs, which a leader keeps in
 	// memory.
 	MaxTasks int
-	// MaxBytes bounds the total size of the records of the submissions that wait to be stored, in bytes.
-	MaxBytes int
-	// MaxValue bounds the size of the record of one job, in bytes.
-	MaxValue int
+	// MaxQueuedBytes bounds the total size of the records of the submissions that wait to be stored, in bytes.
+	MaxQueuedBytes int
+	// MaxRecordBytes bounds the size of the record of one job, in bytes.
+	MaxRecordBytes int
 
-	// Dependencies returns the total number of predecessors of all unfinished jobs, which every controller keeps in
+	// DependencyEdges returns the total number of predecessors of all unfinished jobs, which every controller keeps in
 	// memory. MaxTasks bounds the sum of these and the tasks. Nil if no job has predecessors.
-	Dependencies func() int
+	DependencyEdges func() int
 	// AcceptsDependencies reports whether jobs with predecessors may be stored. Nil if they may never be stored.
 	AcceptsDependencies func() bool
-	// IsBlockedCertain reports whether this controller may reply that a blocked job is pending. It may not if another
+	// CanReportBlocked reports whether this controller may reply that a blocked job is pending. It may not if another
 	// controller could have reported the cancellation of a job before it to a user some time ago, and this controller
 	// hasn't received the cancellation yet. Nil if it always may.
-	IsBlockedCertain func(now time.Duration, id string) bool
+	CanReportBlocked func(now time.Duration, id string) bool
 }
 
 // Service handles requests about jobs, on the event loop.
@@ -117,13 +117,13 @@
 func (s *Service) Tick(now time.Duration) { s.checkQueries(now) }
 
 // limits returns the current limits of a transaction.
-func (s *Service) limits() store.Limits {
-	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: s.MaxValue}
+func (s *Service) limits() store.TxnLimits {
+	limits := store.TxnLimits{MaxOps: s.MaxTxnOps, MaxValueBytes: s.MaxRecordBytes}
 	if s.Limits == nil {
 		return limits
 	}
 	current := s.Limits()
-	return store.Limits{
+	return store.TxnLimits{
 		MaxOps:        min(limits.MaxOps, current.MaxOps),
 		MaxValueBytes: min(limits.MaxValueBytes, current.MaxValueBytes),
 	}
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -104,7 +104,7 @@
 	}
 	replies := map[int]int{}
 	small := newTestService(state.New())
-	small.MaxBytes = 20 * len(jobs.EncodeRecord(jobs.Pending, 0, 3, newSpec(1)))
+	small.MaxQueuedBytes = 20 * len(jobs.EncodeRecord(jobs.Pending, 0, 3, newSpec(1)))
 	for i := range 100 {
 		small.Submit(0, newSpec(i), func(reply Reply) { replies[reply.Status]++ })
 	}
@@ -193,7 +193,7 @@
 func TestSubmissionQueueIsBounded(t *testing.T) {
 	stateService := state.New()
 	service := newTestService(stateService)
-	service.MaxBytes = 16 << 20 // so that only maxWaitingSubmissions limits the queue
+	service.MaxQueuedBytes = 16 << 20 // so that only maxWaitingSubmissions limits the queue
 	replies := map[int]int{}
 	for i := range 3 * maxWaitingSubmissions {
 		service.Submit(stateService.Now, newSpec(i), func(reply Reply) { replies[reply.Status]++ })
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -66,7 +66,7 @@
 // admit reports whether a job can run and can be stored now. If not, it replies to the submission.
 func (s *Service) admit(now time.Duration, spec *jobs.Spec, reply func(Reply)) bool {
 	result := s.Admit(spec)
-	if !result.Known {
+	if !result.Decided {
 		reply(Refuse(Unavailable, result.Reason))
 		return false
 	}
@@ -91,7 +91,7 @@
 // refuseOversized returns the refusal of a job whose record is too large to be stored, or whose tasks and
 // predecessors, together with those of all other jobs, exceed what a leader keeps in memory.
 func (s *Service) refuseOversized(spec *jobs.Spec, record []byte) (refusal Reply, refused bool) {
-	if len(record) > s.MaxValue {
+	if len(record) > s.MaxRecordBytes {
 		return Refuse(Unprocessable, "the job's description exceeds the maximum size of a job record"), true
 	}
 	if len(record) > s.limits().MaxValueBytes {
@@ -107,15 +107,15 @@
 
 // dependencyEdges returns the total number of predecessors of all unfinished jobs.
 func (s *Service) dependencyEdges() int {
-	if s.Dependencies == nil {
+	if s.DependencyEdges == nil {
 		return 0
 	}
-	return s.Dependencies()
+	return s.DependencyEdges()
 }
 
 // enqueueSubmission queues a submission to be stored, or refuses it if the queue is full.
 func (s *Service) enqueueSubmission(now time.Duration, submission pendingSubmission) {
-	if len(s.submissions) >= maxWaitingSubmissions || s.submissionBytes+len(submission.record) > s.MaxBytes {
+	if len(s.submissions) >= maxWaitingSubmissions || s.submissionBytes+len(submission.record) > s.MaxQueuedBytes {
 		submission.reply(s.refuseSubmission(now, "too many submissions"))
 		return
 	}
--- a/internal/capacity/cloudapi.go
+++ b/internal/capacity/cloudapi.go
@@ -35,7 +35,7 @@
 // call sends a request and passes the response to done. If the rate limit is reached, call returns false and done isn't
 // called.
 func (c *CloudClient) call(method, path string, body any, done func(httpio.Response)) bool {
-	if !c.budget.Allows(c.now(), 1, store.SafetyPriority) {
+	if !c.budget.Allows(c.now(), 1, store.CriticalPriority) {
 		return false
 	}
 	c.budget.Take(1)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -124,8 +124,8 @@
 
 // Limits returns the limits for every transaction: the smaller of each present and announced limit. Announced limits
 // apply from the start, so that no stored value has to shrink when they take effect.
-func (s State) Limits() store.Limits {
-	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
+func (s State) Limits() store.TxnLimits {
+	limits := store.TxnLimits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
 	if s.Next == nil {
 		return limits
 	}
--- a/internal/controller/admission.go
+++ b/internal/controller/admission.go
@@ -12,7 +12,7 @@
 func (c *Controller) admit(spec *jobs.Spec) api.AdmissionResult {
 	team := c.jobs.Names.Teams.Index(spec.Team)
 	if c.quota.Team(team) == nil {
-		return api.AdmissionResult{Known: true, Reason: "unknown team"}
+		return api.AdmissionResult{Decided: true, Reason: "unknown team"}
 	}
 	if len(c.machineTypes.list) == 0 {
 		return api.AdmissionResult{Reason: "the machine types are not known yet"}
@@ -22,11 +22,11 @@
 		tasksAtOnce = spec.Tasks
 	}
 	if !c.quota.CouldEverFit(team, spec.Size(), tasksAtOnce) {
-		return api.AdmissionResult{Known: true, Reason: "the job needs more than the team's limit"}
+		return api.AdmissionResult{Decided: true, Reason: "the job needs more than the team's limit"}
 	}
 	fits := func(machineType capacity.MachineType) bool { return fitsType(spec, machineType) }
 	if !slices.ContainsFunc(c.machineTypes.list, fits) {
-		return api.AdmissionResult{Known: true, Reason: "a task fits no allowed machine type"}
+		return api.AdmissionResult{Decided: true, Reason: "a task fits no allowed machine type"}
 	}
 	return c.admitLicences(spec.Licences, spec.Team, tasksAtOnce)
 }
@@ -34,7 +34,7 @@
 // admitLicences checks whether the licence pools can ever provide the licences of tasksAtOnce tasks.
 func (c *Controller) admitLicences(perTask map[string]int, team string, tasksAtOnce int) api.AdmissionResult {
 	ok, reason := c.licencePools.CanEverFit(perTask, team, tasksAtOnce)
-	return api.AdmissionResult{OK: ok, Known: true, Reason: reason}
+	return api.AdmissionResult{OK: ok, Decided: true, Reason: reason}
 }
 
 // fitsType reports whether a job's tasks may run on a machine type and have room there.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -122,9 +122,9 @@
 // peerDialer returns the function that opens connections to another controller.
 func peerDialer(settings *config.Settings, peer config.Peer) peers.Dial {
 	if tlsSettings := settings.Operator.TLS; tlsSettings != nil && tlsSettings.Peers {
-		return peers.Secure(peer.Addr, func() *tls.Config { return settings.Keys().PeerClientConfig(peer.Node) })
+		return peers.DialTLS(peer.Addr, func() *tls.Config { return settings.Keys().PeerClientConfig(peer.Node) })
 	}
-	return peers.Plain(peer.Addr)
+	return peers.DialPlain(peer.Addr)
 }
 
 // build returns a controller that runs in an environment. It creates the components in the order of their
@@ -200,8 +200,8 @@
 func (c *Controller) newMembership() *membership.Membership {
 	return membership.New(membership.Config{
 		Node:           c.settings.Node,
-		Public:         c.settings.PublicAddr,
-		Secure:         c.settings.TLSAddr(),
+		PublicAddr:     c.settings.PublicAddr,
+		TLSAddr:        c.settings.TLSAddr(),
 		TTL:            c.settings.ControllerLeaseTTL(),
 		StalenessBound: c.settings.StalenessBound(),
 		Rng:            c.rng,
@@ -224,25 +224,25 @@
 		OnJobRecord:    c.handleJobRead,
 		LevelCondition: c.rollout.LevelCondition,
 		Compatible:     c.rollout.Compatible,
-		TxnOps:         state.TxnOps,
+		MaxTxnOps:      state.TxnOps,
 		Limits:         c.store.Limits,
 		MaxTasks:       c.settings.Params.Limits.MaxTasks(),
-		MaxBytes:       c.settings.Params.Limits.MaxQueueBytes(),
-		MaxValue:       state.Limits().MaxValueBytes,
+		MaxQueuedBytes: c.settings.Params.Limits.MaxQueueBytes(),
+		MaxRecordBytes: state.Limits().MaxValueBytes,
 
-		Dependencies:        c.dependencies.graph.Edges,
+		DependencyEdges:     c.dependencies.graph.Edges,
 		AcceptsDependencies: c.acceptsDependencies,
-		IsBlockedCertain:    c.isBlockedCertain,
+		CanReportBlocked:    c.isBlockedCertain,
 	})
 }
 
 // rateShare returns this controller's share of the state service's rate limits, as the leader or as a follower.
-func (c *Controller) rateShare(leading bool) store.Share {
+func (c *Controller) rateShare(leading bool) store.RateShare {
 	share, burst := leaderShare, leaderBurstSeconds
 	if followers := len(c.settings.Peers); !leading && followers > 0 {
 		share, burst = (1-leaderShare)/float64(followers), followerBurstSeconds
 	}
-	return store.Share{
+	return store.RateShare{
 		RPS:          c.settings.Params.State.RPS * share,
 		WriteRPS:     c.settings.Params.State.WriteRPS * share,
 		BurstSeconds: burst,
--- a/internal/controller/failover_timing.go
+++ b/internal/controller/failover_timing.go
@@ -44,7 +44,7 @@
 // readCounters returns the current totals.
 func (c *Controller) readCounters() processCounters {
 	counters := processCounters{ResponseCounts: c.responses.Read()}
-	counters.stateRequests, counters.writes = c.store.Sent()
+	counters.stateRequests, counters.writes = c.store.RequestCounts()
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
 		counters.cpu = time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/internal/controller/leaderapi.go
+++ b/internal/controller/leaderapi.go
@@ -10,10 +10,10 @@
 // leaderAPI returns the handler of the requests that only the leader can answer.
 func (c *Controller) leaderAPI() *api.LeaderAPI {
 	return &api.LeaderAPI{
-		Token:    c.settings.Operator.Token,
-		Handle:   c.handleLeaderRequest,
-		Licences: len(c.licencePools.Pools()) > 0,
-		Sessions: c.settings.Sessions().Enabled,
+		OperatorToken: c.settings.Operator.Token,
+		Handle:        c.handleLeaderRequest,
+		Licences:      len(c.licencePools.Pools()) > 0,
+		Sessions:      c.settings.Sessions().Enabled,
 	}
 }
 
@@ -41,7 +41,7 @@
 	}
 	return api.Reply{
 		Status: http.StatusMisdirectedRequest,
-		Body:   notLeaderBody{Error: "only the leader can answer", Leader: leader.Public, LeaderTLS: leader.Secure},
+		Body:   notLeaderBody{Error: "only the leader can answer", Leader: leader.Public, LeaderTLS: leader.TLSAddr},
 	}
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -75,7 +75,7 @@
 func (c *Controller) handlePeerStatus(status peers.Status) {
 	now := c.loop.Now()
 	c.peers.statuses[status.Node] = peerStatus{status, now}
-	c.rollout.HandleHealth(now, status.Node, status.StateServiceReachable && !status.Leaving)
+	c.rollout.HandleHealth(now, status.Node, status.StateServiceReachable && !status.Draining)
 	c.applyLeaderCounts(status)
 }
 
@@ -120,7 +120,7 @@
 		Leading:               c.term.active(),
 		StateServiceReachable: now-c.store.LastSuccess() < reachableStoreAge,
 		ForeignHeartbeats:     c.foreignHeartbeats.add(now, heartbeatInterval, 0),
-		Leaving:               !c.lifecycle.isServing(),
+		Draining:              !c.lifecycle.isServing(),
 	}
 	if !c.term.active() {
 		return status
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -71,7 +71,7 @@
 	wallMS := m.c.jobs.WallMS(m.c.loop.Now())
 	return m.Rollout.PreferredLeaders(wallMS, func(node string) bool {
 		status, isKnown := m.c.peers.statuses[node]
-		return m.c.drains.isDrained(node) || (isKnown && status.Leaving)
+		return m.c.drains.isDrained(node) || (isKnown && status.Draining)
 	})
 }
 
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -68,17 +68,17 @@
 // routes returns the routes of the public address.
 func (c *Controller) routes() api.Routes {
 	return api.Routes{
-		Post:            c.loop.Offer,
-		PostHeartbeat:   c.loop.OfferWorker,
-		Now:             c.loop.Now,
-		Service:         c.api,
-		Healthy:         c.healthy,
-		HandleHeartbeat: c.handleHeartbeat,
-		Leader:          c.leaderAPI(),
-		MaxConns:        c.settings.Params.Limits.MaxConns(),
-		MaxKeptConns:    c.settings.Params.Limits.KeepAliveConns(),
-		Users:           c.settings.Users(),
-		Counter:         &c.responses,
+		Post:              c.loop.Offer,
+		PostHeartbeat:     c.loop.OfferWorker,
+		Now:               c.loop.Now,
+		Service:           c.api,
+		Healthy:           c.healthy,
+		HandleHeartbeat:   c.handleHeartbeat,
+		Leader:            c.leaderAPI(),
+		MaxConns:          c.settings.Params.Limits.MaxConns(),
+		MaxKeepAliveConns: c.settings.Params.Limits.KeepAliveConns(),
+		Users:             c.settings.Users(),
+		Counter:           &c.responses,
 	}
 }
 
@@ -91,9 +91,9 @@
 	}
 	secure := plain
 	secure.MaxConns = max(1, plain.MaxConns/tlsConnectionDivisor)
-	secure.MaxKeptConns = max(1, plain.MaxKeptConns/tlsConnectionDivisor)
+	secure.MaxKeepAliveConns = max(1, plain.MaxKeepAliveConns/tlsConnectionDivisor)
 	plain.MaxConns -= secure.MaxConns
-	plain.MaxKeptConns = max(1, plain.MaxKeptConns-secure.MaxKeptConns)
+	plain.MaxKeepAliveConns = max(1, plain.MaxKeepAliveConns-secure.MaxKeepAliveConns)
 	plain.WorkersOnly = settings.PlainListener == "workers"
 	go func() { failed <- api.Serve(tls.NewListener(listener, c.settings.Keys().UserListenerConfig()), secure) }()
 	return plain, nil
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -95,7 +95,7 @@
 	}
 	if admission := c.admit(opening.Spec); !admission.OK {
 		kind := api.Unprocessable
-		if !admission.Known {
+		if !admission.Decided {
 			kind = api.Unavailable
 		}
 		reply(api.Refuse(kind, admission.Reason))
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -156,7 +156,7 @@
 // readInTerm reads a key again. done is called only if the term still lasts when the result arrives.
 func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
 	isSameTerm := c.termCheck()
-	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
+	c.store.Get(key, store.CriticalPriority, func(item store.Item, err error) {
 		if isSameTerm() {
 			done(item, err)
 		}
@@ -173,11 +173,11 @@
 ) {
 	body, _ := json.Marshal(commands.Wire())
 	request := httpio.Request{
-		Method:  http.MethodPost,
-		Path:    "/orders",
-		Body:    body,
-		Timeout: config.DirectCommandTimeout,
-		Once:    true, // no reuse: a large fleet's idle connections would use up the sockets
+		Method:          http.MethodPost,
+		Path:            "/orders",
+		Body:            body,
+		Timeout:         config.DirectCommandTimeout,
+		CloseConnection: true, // no reuse: a large fleet's idle connections would use up the sockets
 	}
 	isSameTerm := c.termCheck()
 	c.workerSender.Send(machine.Addr, request, func(response httpio.Response) {
--- a/internal/dependencies/storefixture_test.go
+++ b/internal/dependencies/storefixture_test.go
@@ -38,8 +38,8 @@
 		"",
 		s,
 		func() time.Duration { return s.now },
-		store.Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8},
-		store.Limits{MaxOps: 64, MaxValueBytes: 32 << 10},
+		store.RateShare{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8},
+		store.TxnLimits{MaxOps: 64, MaxValueBytes: 32 << 10},
 	)
 	return s
 }
--- a/internal/fleet/env.go
+++ b/internal/fleet/env.go
@@ -46,7 +46,7 @@
 	MaxTxnOps int
 	// Limits returns the present limits of one transaction. They may be lower than MaxTxnOps, since the state service can
 	// reduce its limits. If nil, MaxTxnOps and the settings apply.
-	Limits func() store.Limits
+	Limits func() store.TxnLimits
 	// PlansInPages reports whether plans are written into pages that many jobs share, which level 2 of the stored state
 	// introduced. If nil, plans are written into pages.
 	PlansInPages func() bool
--- a/internal/httpio/httpio.go
+++ b/internal/httpio/httpio.go
@@ -16,11 +16,11 @@
 
 // Request is one outgoing request.
 type Request struct {
-	Method  string
-	Path    string // path and query
-	Body    []byte // JSON; nil: no body
-	Timeout time.Duration
-	Once    bool // close the connection after the response
+	Method          string
+	Path            string // path and query
+	Body            []byte // JSON; nil: no body
+	Timeout         time.Duration
+	CloseConnection bool // close the connection after the response
 }
 
 // Response is the outcome of a request. Err is set if no usable response was received. The server may then have
@@ -108,7 +108,7 @@
 	wireResponse := fasthttp.AcquireResponse()
 	wireRequest.SetRequestURI("http://" + addr + request.Path)
 	wireRequest.Header.SetMethod(request.Method)
-	if request.Once {
+	if request.CloseConnection {
 		wireRequest.SetConnectionClose()
 	}
 	if request.Body != nil {
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -145,8 +145,8 @@
 	n.process++
 	c := n.cluster
 	now := func() time.Duration { return c.service.Now }
-	share := store.Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8}
-	limits := store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10}
+	share := store.RateShare{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 0.8}
+	limits := store.TxnLimits{MaxOps: 24, MaxValueBytes: 32 << 10}
 	client := store.New("", n, now, share, limits)
 	n.syncedAt = c.service.Now
 	n.versions = map[string]uint64{}
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -26,8 +26,8 @@
 	Term   uint64 `json:"term"`
 	Lease  uint64 `json:"hold"`
 	Public string `json:"public"`
-	// Secure is the leader's address with TLS; "" if it has none.
-	Secure string `json:"secure,omitempty"`
+	// TLSAddr is the leader's address with TLS; "" if it has none.
+	TLSAddr string `json:"secure,omitempty"`
 }
 
 // campaignDelay returns the delay between the deletion of the leader key and this controller's campaign.
@@ -66,7 +66,7 @@
 	m.transition(now, Campaigning, "no leader")
 	values := m.encodeCampaignValues()
 	leaseID := m.lease.id
-	m.store.Txn(m.campaignTxn(values), store.SafetyPriority, func(result store.Result) {
+	m.store.Txn(m.campaignTxn(values), store.CriticalPriority, func(result store.Result) {
 		if m.state != Campaigning || m.lease.id != leaseID {
 			return
 		}
@@ -83,11 +83,11 @@
 func (m *Membership) encodeCampaignValues() campaignValues {
 	nextTerm := m.term + 1
 	leader, _ := json.Marshal(Leader{
-		Node:   m.cfg.Node,
-		Term:   nextTerm,
-		Lease:  m.lease.id,
-		Public: m.cfg.Public,
-		Secure: m.cfg.Secure,
+		Node:    m.cfg.Node,
+		Term:    nextTerm,
+		Lease:   m.lease.id,
+		Public:  m.cfg.PublicAddr,
+		TLSAddr: m.cfg.TLSAddr,
 	})
 	shardMap, _ := json.Marshal(ShardMap{Term: nextTerm, Owners: []string{m.cfg.Node}})
 	return campaignValues{
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -50,7 +50,7 @@
 // ended. Without the revocation the cluster would have to wait for the lease's expiry.
 func (m *Membership) revokeOldLease() {
 	m.requestPending = true
-	m.store.Get(m.memberKey(), store.SafetyPriority, func(item store.Item, err error) {
+	m.store.Get(m.memberKey(), store.CriticalPriority, func(item store.Item, err error) {
 		if err != nil {
 			m.retryLater()
 			return
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -34,8 +34,8 @@
 
 // Config holds the settings and callbacks of a Membership.
 type Config struct {
-	// Node is this controller's name; Public and Secure are its addresses without and with TLS.
-	Node, Public, Secure string
+	// Node is this controller's name; PublicAddr and TLSAddr are its addresses without and with TLS.
+	Node, PublicAddr, TLSAddr string
 	// TTL is the lease's time to live.
 	TTL time.Duration
 	// StalenessBound is the age of the followed keys at which authority ends: cancellations since then have not been
--- a/internal/membership/registration.go
+++ b/internal/membership/registration.go
@@ -45,7 +45,7 @@
 			m.cfg.Rollout.Announcement(leaseID),
 		},
 	}
-	m.store.Txn(txn, store.SafetyPriority, func(result store.Result) {
+	m.store.Txn(txn, store.CriticalPriority, func(result store.Result) {
 		if m.lease.id != leaseID {
 			return // the lease has been lost: a registration with the next lease follows
 		}
@@ -73,7 +73,7 @@
 // have been written by the former process, or by an earlier request of this process that timed out.
 func (m *Membership) readRegistration() {
 	leaseID := m.lease.id
-	m.store.Get(m.memberKey(), store.SafetyPriority, func(item store.Item, err error) {
+	m.store.Get(m.memberKey(), store.CriticalPriority, func(item store.Item, err error) {
 		if m.lease.id != leaseID {
 			return
 		}
--- a/internal/peers/link.go
+++ b/internal/peers/link.go
@@ -15,13 +15,13 @@
 // Dial opens a connection to another controller, within dialTimeout.
 type Dial func() (net.Conn, error)
 
-// Plain returns a Dial that connects without TLS.
-func Plain(addr string) Dial {
+// DialPlain returns a Dial that connects without TLS.
+func DialPlain(addr string) Dial {
 	return func() (net.Conn, error) { return net.DialTimeout("tcp4", addr, dialTimeout) }
 }
 
-// Secure returns a Dial that connects over TLS. config is called for each connection.
-func Secure(addr string, config func() *tls.Config) Dial {
+// DialTLS returns a Dial that connects over TLS. config is called for each connection.
+func DialTLS(addr string, config func() *tls.Config) Dial {
 	return func() (net.Conn, error) {
 		return tls.DialWithDialer(&net.Dialer{Timeout: dialTimeout}, "tcp4", addr, config())
 	}
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -25,7 +25,7 @@
 	Leading               bool
 	StateServiceReachable bool   // the state service answers the controller
 	ForeignHeartbeats     uint32 // recent heartbeats from workers whose owner is another controller
-	Leaving               bool   // the controller is draining
+	Draining              bool   // the controller is draining
 	Counts                []JobCount
 }
 
@@ -47,7 +47,7 @@
 	wire.StatusAddStateOk(builder, status.StateServiceReachable)
 	wire.StatusAddWorkers(builder, status.ForeignHeartbeats)
 	wire.StatusAddCounts(builder, counts)
-	wire.StatusAddLeaving(builder, status.Leaving)
+	wire.StatusAddLeaving(builder, status.Draining)
 	builder.Finish(wire.StatusEnd(builder))
 	return builder.FinishedBytes()
 }
@@ -91,7 +91,7 @@
 		Leading:               encoded.Leading(),
 		StateServiceReachable: encoded.StateOk(),
 		ForeignHeartbeats:     encoded.Workers(),
-		Leaving:               encoded.Leaving(),
+		Draining:              encoded.Leaving(),
 	}
 	length := encoded.CountsLength()
 	if length < 0 || length > len(raw)/4 { // each job count takes an offset of four bytes
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -34,7 +34,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		client.Txn(txn, store.SafetyPriority, func(store.Result) {})
+		client.Txn(txn, store.CriticalPriority, func(store.Result) {})
 	}
 }
 
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -8,9 +8,9 @@
 // The priorities, from the highest to the lowest. Requests of a lower priority leave a larger reserve of the budget
 // unused, for the higher priorities.
 const (
-	// SafetyPriority is for leases and for reads on which a controller's authority depends. It may use the whole
+	// CriticalPriority is for leases and for reads on which a controller's authority depends. It may use the whole
 	// budget.
-	SafetyPriority Priority = iota
+	CriticalPriority Priority = iota
 	// NormalPriority is for writes that users wait for.
 	NormalPriority
 	// QueryPriority is for status queries, which clients repeat soon. Its reserve keeps tokens for submissions and
@@ -22,7 +22,7 @@
 )
 
 // reserves is the fraction of the bucket's capacity that requests of each priority leave unused.
-var reserves = [...]float64{SafetyPriority: 0, NormalPriority: 0.1, QueryPriority: 0.3, BulkPriority: 0.35}
+var reserves = [...]float64{CriticalPriority: 0, NormalPriority: 0.1, QueryPriority: 0.3, BulkPriority: 0.35}
 
 // Budget is a token bucket with a reserve for each priority. Times are those of the steady clock.
 type Budget struct {
@@ -66,7 +66,7 @@
 // leavesHalf reports whether at least half of the capacity would be left after n tokens were taken. If n is more than
 // half of the capacity, it reports whether the bucket is full.
 func (b *Budget) leavesHalf(now time.Duration, n float64) bool {
-	return b.Allows(now, b.burst/2+n, SafetyPriority)
+	return b.Allows(now, b.burst/2+n, CriticalPriority)
 }
 
 // Take removes n tokens. After an oversized transaction the count of tokens may be negative.
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -19,13 +19,13 @@
 func TestBudgetKeepsAReserveForSafety(t *testing.T) {
 	b := store.NewBudget(10, 0.8)
 	ordinary := takeAllowed(b, 0, store.NormalPriority)
-	safety := takeAllowed(b, 0, store.SafetyPriority)
+	safety := takeAllowed(b, 0, store.CriticalPriority)
 	if ordinary < 5 || safety < 1 || ordinary+safety > 10 {
 		t.Fatalf("got %d normal and %d safety requests, want at least 5 and 1, at most 10 in total", ordinary, safety)
 	}
 	total := 0
 	for s := 1; s <= 100; s++ {
-		total += takeAllowed(b, time.Duration(s)*time.Second, store.SafetyPriority)
+		total += takeAllowed(b, time.Duration(s)*time.Second, store.CriticalPriority)
 	}
 	if total < 700 || total > 1000 {
 		t.Fatalf("got %d requests in 100 s at 10 per second, want 700 to 1,000", total)
@@ -36,12 +36,12 @@
 // the debt is refilled.
 func TestOversizedRequestNeedsAFullBucket(t *testing.T) {
 	b := store.NewBudget(10, 0.8)
-	takeAllowed(b, 100*time.Second, store.SafetyPriority)
-	if !b.Allows(200*time.Second, 30, store.SafetyPriority) {
+	takeAllowed(b, 100*time.Second, store.CriticalPriority)
+	if !b.Allows(200*time.Second, 30, store.CriticalPriority) {
 		t.Fatal("full bucket of 8 tokens refuses a request for 30, want it allowed")
 	}
 	b.Take(30)
-	if b.Allows(201*time.Second, 1, store.SafetyPriority) {
+	if b.Allows(201*time.Second, 1, store.CriticalPriority) {
 		t.Fatal("request allowed 1 s after a request for 30 tokens, want it refused until the debt is refilled")
 	}
 }
@@ -54,7 +54,7 @@
 	if n := takeAllowed(b, 0, store.NormalPriority); n < 3 {
 		t.Fatalf("got %d normal requests after a burst of bulk requests, want at least 3", n)
 	}
-	if !b.Allows(0, 1, store.SafetyPriority) {
+	if !b.Allows(0, 1, store.CriticalPriority) {
 		t.Fatal("safety request refused after normal and bulk requests, want it allowed")
 	}
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -22,7 +22,7 @@
 	addr          string
 	sender        httpio.Sender
 	now           func() time.Duration
-	share         Share
+	share         RateShare
 	requestBudget *Budget
 	writeBudget   *Budget
 	limits        limitEstimator
@@ -34,13 +34,13 @@
 	requestsSent, writesSent uint64 // since the start
 }
 
-// Share is the part of the service's rate limits that one controller may use: requests and writes per second, and the
-// length of the largest burst, in seconds at these rates.
-type Share struct{ RPS, WriteRPS, BurstSeconds float64 }
+// RateShare is the part of the service's rate limits that one controller may use: requests and writes per second, and
+// the length of the largest burst, in seconds at these rates.
+type RateShare struct{ RPS, WriteRPS, BurstSeconds float64 }
 
 // New returns a client for the state service at addr that stays within share of the service's rates. limits are the
 // configured limits of a transaction. now reads the steady clock.
-func New(addr string, sender httpio.Sender, now func() time.Duration, share Share, limits Limits) *Client {
+func New(addr string, sender httpio.Sender, now func() time.Duration, share RateShare, limits TxnLimits) *Client {
 	return &Client{
 		addr:          addr,
 		sender:        sender,
@@ -55,7 +55,7 @@
 }
 
 // SetShare changes the rates, for example when the controller becomes leader.
-func (c *Client) SetShare(share Share) {
+func (c *Client) SetShare(share RateShare) {
 	now := c.now()
 	c.share = share
 	c.requestBudget.SetRate(now, share.RPS, share.BurstSeconds)
@@ -72,11 +72,11 @@
 // Now returns the time of the steady clock.
 func (c *Client) Now() time.Duration { return c.now() }
 
-// Limits returns the current limits of a transaction, which may be below the configured ones.
-func (c *Client) Limits() Limits { return c.limits.current }
+// TxnLimits returns the current limits of a transaction, which may be below the configured ones.
+func (c *Client) Limits() TxnLimits { return c.limits.current }
 
-// Sent returns the number of requests sent since the start, and the number of writes in them.
-func (c *Client) Sent() (requests, writes uint64) { return c.requestsSent, c.writesSent }
+// RequestCounts returns the number of requests sent since the start, and the number of writes in them.
+func (c *Client) RequestCounts() (requests, writes uint64) { return c.requestsSent, c.writesSent }
 
 // Rejections returns how many requests the service has rejected since the start: size counts transactions that were
 // too large, rate counts requests with writes beyond the rate limit.
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -45,8 +45,8 @@
 		"",
 		sender,
 		func() time.Duration { return *now },
-		store.Share{RPS: rps, WriteRPS: rps, BurstSeconds: 0.8},
-		store.Limits{MaxOps: 24, MaxValueBytes: 32 << 10},
+		store.RateShare{RPS: rps, WriteRPS: rps, BurstSeconds: 0.8},
+		store.TxnLimits{MaxOps: 24, MaxValueBytes: 32 << 10},
 	)
 }
 
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -23,7 +23,7 @@
 		return
 	}
 	request := httpio.Request{Method: http.MethodPost, Path: "/holds", Body: body, Timeout: leaseTimeout}
-	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+	c.call(request, 0, CriticalPriority, func(response httpio.Response) {
 		var granted grantResponse
 		if err := decode(response, &granted); err != nil {
 			done(0, err)
@@ -46,7 +46,7 @@
 		Body:    []byte("{}"),
 		Timeout: leaseTimeout,
 	}
-	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+	c.call(request, 0, CriticalPriority, func(response httpio.Response) {
 		if hasStatus(response, http.StatusNotFound) {
 			done(ErrLeaseExpired)
 			return
@@ -58,7 +58,7 @@
 // RevokeLease ends a lease at once. done gets true if the lease has certainly ended, by this request or earlier.
 func (c *Client) RevokeLease(id uint64, done func(ok bool)) {
 	request := httpio.Request{Method: http.MethodDelete, Path: leasePath(id), Timeout: leaseTimeout}
-	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+	c.call(request, 0, CriticalPriority, func(response httpio.Response) {
 		succeeded := response.Status/100 == 2 || response.Status == http.StatusNotFound
 		done(response.Err == nil && succeeded)
 	})
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -54,7 +54,7 @@
 		path += "&since=" + url.QueryEscape(after)
 	}
 	request := httpio.Request{Method: http.MethodGet, Path: path, Timeout: listTimeout}
-	l.client.call(request, 0, SafetyPriority, func(response httpio.Response) {
+	l.client.call(request, 0, CriticalPriority, func(response httpio.Response) {
 		var page listResponse
 		if err := decode(response, &page); err != nil {
 			l.done(nil, 0, err)
@@ -89,7 +89,7 @@
 		"&since=" + strconv.FormatUint(after, 10) +
 		"&wait_ms=" + strconv.FormatInt(wait.Milliseconds(), 10)
 	request := httpio.Request{Method: http.MethodGet, Path: path, Timeout: wait + watchTimeoutMargin}
-	c.call(request, 0, SafetyPriority, func(response httpio.Response) {
+	c.call(request, 0, CriticalPriority, func(response httpio.Response) {
 		if hasStatus(response, http.StatusGone) {
 			done(0, nil, ErrCompacted)
 			return
--- a/internal/store/sizelimits.go
+++ b/internal/store/sizelimits.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Limits bounds one transaction: the number of its operations, and the bytes of its largest value. The number of its
+// TxnLimits bounds one transaction: the number of its operations, and the bytes of its largest value. The number of its
 // conditions may be at most MaxOps times ConditionsPerOp.
-type Limits struct {
+type TxnLimits struct {
 	MaxOps        int
 	MaxValueBytes int
 }
@@ -32,9 +32,9 @@
 
 // requiredLimits returns the smallest limits that allow a transaction. ConditionsPerOp conditions count as one
 // operation.
-func requiredLimits(txn Txn) Limits {
+func requiredLimits(txn Txn) TxnLimits {
 	conditionOps := (len(txn.If) + ConditionsPerOp - 1) / ConditionsPerOp
-	required := Limits{MaxOps: max(len(txn.Then), conditionOps)}
+	required := TxnLimits{MaxOps: max(len(txn.Then), conditionOps)}
 	for _, op := range txn.Then {
 		required.MaxValueBytes = max(required.MaxValueBytes, len(op.Value))
 	}
@@ -42,7 +42,7 @@
 }
 
 // allow reports whether l allows a transaction that requires the given limits.
-func (l Limits) allow(required Limits) bool {
+func (l TxnLimits) allow(required TxnLimits) bool {
 	return required.MaxOps <= l.MaxOps && required.MaxValueBytes <= l.MaxValueBytes
 }
 
@@ -55,8 +55,8 @@
 //	lowered     after raiseDelay without a rejection, one limit at a time is raised by a step; a rejection lowers
 //	            the limit again, but not below the size that was accepted
 type limitEstimator struct {
-	configured, current Limits
-	accepted            Limits        // largest sizes accepted since the service's limits were last seen to shrink
+	configured, current TxnLimits
+	accepted            TxnLimits     // largest sizes accepted since the service's limits were last seen to shrink
 	rejections          int           // since the start
 	changedAt           time.Duration // when current last changed; 0: never
 	raiseDelay          time.Duration // from changedAt until the next raise
@@ -64,15 +64,15 @@
 	lastRaiseWasOps     bool          // the last raise was of MaxOps, the next one is of MaxValueBytes
 }
 
-func newLimitEstimator(configured Limits) limitEstimator {
+func newLimitEstimator(configured TxnLimits) limitEstimator {
 	return limitEstimator{configured: configured, current: configured, raiseDelay: minRaiseDelay}
 }
 
 // transactionRejected lowers the limits after the service rejected a transaction as too large.
-func (e *limitEstimator) transactionRejected(now time.Duration, required Limits) {
+func (e *limitEstimator) transactionRejected(now time.Duration, required TxnLimits) {
 	e.rejections++
 	if e.accepted.allow(required) {
-		e.accepted = Limits{} // the same size was accepted before: the service's limits have shrunk
+		e.accepted = TxnLimits{} // the same size was accepted before: the service's limits have shrunk
 	}
 	before := e.current
 	e.lower(required)
@@ -88,7 +88,7 @@
 }
 
 // lower sets each limit to half of the size that a rejected transaction required, but not below the accepted size.
-func (e *limitEstimator) lower(required Limits) {
+func (e *limitEstimator) lower(required TxnLimits) {
 	if required.MaxValueBytes > e.accepted.MaxValueBytes {
 		lowered := max(minMaxValueBytes, e.accepted.MaxValueBytes, required.MaxValueBytes/2)
 		e.current.MaxValueBytes = min(e.current.MaxValueBytes, lowered)
@@ -101,7 +101,7 @@
 
 // transactionAccepted records the size of a transaction that the service did not reject as too large, and raises a
 // limit if the raise delay has passed.
-func (e *limitEstimator) transactionAccepted(now time.Duration, required Limits) {
+func (e *limitEstimator) transactionAccepted(now time.Duration, required TxnLimits) {
 	e.accepted.MaxOps = max(e.accepted.MaxOps, required.MaxOps)
 	e.accepted.MaxValueBytes = max(e.accepted.MaxValueBytes, required.MaxValueBytes)
 	if e.current == e.configured || now-e.changedAt < e.raiseDelay {
--- a/internal/store/sizelimits_test.go
+++ b/internal/store/sizelimits_test.go
@@ -16,11 +16,11 @@
 }
 
 // run sends transactions for a duration to a service with the given limits, and returns the number of rejections.
-func (r *limitsTrial) run(service Limits, duration time.Duration) (rejections int) {
+func (r *limitsTrial) run(service TxnLimits, duration time.Duration) (rejections int) {
 	for end := r.now + duration; r.now < end; r.now += time.Second {
 		current := r.estimator.current
 		// The transactions are at or below the estimated limits.
-		for _, required := range []Limits{
+		for _, required := range []TxnLimits{
 			current,
 			{current.MaxOps / 2, current.MaxValueBytes},
 			{current.MaxOps, current.MaxValueBytes / 3},
@@ -41,8 +41,8 @@
 // come only from occasional raises. Once the service's limits are restored, the estimate returns to the configured
 // ones.
 func TestTransactionLimitsFollowTheService(t *testing.T) {
-	configured := Limits{MaxOps: 24, MaxValueBytes: 8 << 10}
-	for _, small := range []Limits{{8, 2 << 10}, {24, 1 << 10}, {5, 8 << 10}, {4, 1 << 10}} {
+	configured := TxnLimits{MaxOps: 24, MaxValueBytes: 8 << 10}
+	for _, small := range []TxnLimits{{8, 2 << 10}, {24, 1 << 10}, {5, 8 << 10}, {4, 1 << 10}} {
 		trial := limitsTrial{estimator: newLimitEstimator(configured)}
 		current := &trial.estimator.current
 		if n := trial.run(configured, time.Minute); n != 0 || *current != configured {
@@ -77,7 +77,7 @@
 }
 
 // limitedService is a state service that rejects every transaction beyond its limits.
-type limitedService struct{ limits Limits }
+type limitedService struct{ limits TxnLimits }
 
 func (s *limitedService) Send(_ string, request httpio.Request, done func(httpio.Response)) {
 	if !s.limits.allow(requiredLimits(decodeTxn(request.Body))) {
@@ -90,13 +90,13 @@
 // A transaction that the service rejects as too large is NotApplied, and the limits are lowered. The number of
 // conditions counts as well as the size of values.
 func TestOversizedTransactionLowersTheLimits(t *testing.T) {
-	service := &limitedService{limits: Limits{MaxOps: 8, MaxValueBytes: 2 << 10}}
+	service := &limitedService{limits: TxnLimits{MaxOps: 8, MaxValueBytes: 2 << 10}}
 	client := New(
 		"",
 		service,
 		func() time.Duration { return 0 },
-		Share{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 1},
-		Limits{MaxOps: 24, MaxValueBytes: 8 << 10},
+		RateShare{RPS: 1e6, WriteRPS: 1e6, BurstSeconds: 1},
+		TxnLimits{MaxOps: 24, MaxValueBytes: 8 << 10},
 	)
 	manyConditions := Txn{}
 	for range 90 {
--- a/internal/store/transactions.go
+++ b/internal/store/transactions.go
@@ -33,7 +33,7 @@
 }
 
 // recordSize updates the size limits after a response. required are the smallest limits that allow the transaction.
-func (c *Client) recordSize(required Limits, response httpio.Response, outcome Outcome) {
+func (c *Client) recordSize(required TxnLimits, response httpio.Response, outcome Outcome) {
 	switch {
 	case outcome == Committed || outcome == Conflict:
 		c.limits.transactionAccepted(c.now(), required)
--- a/internal/store/transactions_test.go
+++ b/internal/store/transactions_test.go
@@ -54,7 +54,7 @@
 			Then: []store.Op{{Put: tc.key, Value: json.RawMessage("1"), Lease: tc.lease}},
 		}
 		var result store.Result
-		client.Txn(txn, store.SafetyPriority, func(r store.Result) { result = r })
+		client.Txn(txn, store.CriticalPriority, func(r store.Result) { result = r })
 		if result.Outcome != tc.want {
 			t.Errorf("%s: got outcome %v, want %v", tc.name, result.Outcome, tc.want)
 		}
--- a/internal/store/watchcache_test.go
+++ b/internal/store/watchcache_test.go
@@ -110,7 +110,7 @@
 	if len(service.watches) != 1 {
 		t.Fatal("second watch sent while the service answers no request, want one watch")
 	}
-	client.Get("x", store.SafetyPriority, func(store.Item, error) {})
+	client.Get("x", store.CriticalPriority, func(store.Item, error) {})
 	cache.Tick(now)
 	if len(service.watches) != 2 {
 		t.Fatalf("got %d watches after the service answered another request, want 2", len(service.watches))
