--- a/cmd/harewalk/architecture_test.go
+++ b/cmd/harewalk/architecture_test.go
@@ -25,7 +25,7 @@
 
 func TestArchitectureNamesEveryKeyPrefix(t *testing.T) {
 	page := readArchitecture(t)
-	for _, format := range rollout.RecordFormats {
+	for _, format := range rollout.RecordKinds {
 		if !strings.Contains(page, "`"+format.Prefix+"`") {
 			t.Errorf("the table lacks %q, where records of kind %s stand", format.Prefix, format.Kind)
 		}
@@ -35,7 +35,7 @@
 func TestArchitectureNamesNoPrefixWithoutRecords(t *testing.T) {
 	prefix := regexp.MustCompile("`((?:h|p|a|s)/[a-z@/]*)`")
 	known := map[string]bool{"h/": true} // the prefix of all that is followed
-	for _, format := range rollout.RecordFormats {
+	for _, format := range rollout.RecordKinds {
 		known[format.Prefix] = true
 	}
 	for _, found := range prefix.FindAllStringSubmatch(readArchitecture(t), -1) {
--- a/cmd/harewalk/licence.go
+++ b/cmd/harewalk/licence.go
@@ -55,7 +55,7 @@
 func writePools(table *tabwriter.Writer, pools []licences.View) {
 	fmt.Fprintln(table, "POOL\tCOUNT\tHELD\tLINGERING\tOTHERS\tRESERVE\tFREE\tSERVER")
 	for _, pool := range pools {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t", pool.Pool, pool.Count, pool.Held+pool.Booked, pool.AwaitingRelease)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t", pool.Pool, pool.Count, pool.CheckedOut+pool.Reserved, pool.AwaitingRelease)
 		fmt.Fprintf(table, "%d\t%d\t%d\t%s\n", pool.OutsideUnits, pool.Reserve, pool.Free, serverState(pool))
 	}
 }
@@ -65,8 +65,8 @@
 	if pool.Server == "" {
 		return "none"
 	}
-	if pool.AgeS > 0 {
-		return fmt.Sprintf("%s, heard %.1f s ago", pool.ServerState, pool.AgeS)
+	if pool.AnswerAgeS > 0 {
+		return fmt.Sprintf("%s, heard %.1f s ago", pool.ServerState, pool.AnswerAgeS)
 	}
 	return pool.ServerState
 }
@@ -79,7 +79,7 @@
 			orSomebody(pool.SetBy), pool.Version, pool.Declared)
 	}
 	fmt.Fprintf(table, "count\t%d%s\n", pool.Count, origin)
-	fmt.Fprintf(table, "held\t%d, and %d booked for gangs that are starting\n", pool.Held, pool.Booked)
+	fmt.Fprintf(table, "held\t%d, and %d booked for gangs that are starting\n", pool.CheckedOut, pool.Reserved)
 	fmt.Fprintf(table, "lingering\t%d of tasks that are gone\n", pool.AwaitingRelease)
 	fmt.Fprintf(table, "others\t%d, %d kept for them\n", pool.OutsideUnits, pool.Reserve)
 	fmt.Fprintf(table, "free\t%d\n", pool.Free)
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -196,7 +196,7 @@
 	}
 	until("all that may be given are in use", using(22))
 	before := pool(2)
-	if before.Held != 22 || before.Count != 24 || before.Free != 0 || before.Version != 0 {
+	if before.CheckedOut != 22 || before.Count != 24 || before.Free != 0 || before.Version != 0 {
 		t.Fatalf("%+v", before)
 	}
 	expectCommand(t, 0, "transcribe  24", "licence", "list", "--server", sim.UserAddr(0))
@@ -216,7 +216,7 @@
 	}
 	until("the count survives all controllers", func() bool {
 		view := pool(0)
-		return view.Count == 10 && view.Held == 10 && view.Lowering == licences.PreemptHolders
+		return view.Count == 10 && view.CheckedOut == 10 && view.Lowering == licences.PreemptHolders
 	})
 	sim.Licences.SetCount("transcribe", 14)
 	set(0, "14")
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -18,7 +18,7 @@
 type Claim struct {
 	Team         int32 // dense index
 	Size         planner.Size
-	LicenceUnits []licences.Unit // nil: none
+	LicenceUnits []licences.Requirement // nil: none
 }
 
 // Denial is the reason why a task may not start. The zero value means that the task may start.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,7 +15,7 @@
 
 // newGate returns a gate for one team with a limit of 10 CPUs and one pool of three licence units, and the licence
 // units of a task that needs one unit of the pool.
-func newGate(t *testing.T) (*Gate, []licences.Unit) {
+func newGate(t *testing.T) (*Gate, []licences.Requirement) {
 	t.Helper()
 	teamIndex := func(string) int32 { return 0 }
 	catalog := licences.NewCatalog([]*licences.Pool{{Name: "p", Count: 3}})
--- a/internal/calendar/calendar.go
+++ b/internal/calendar/calendar.go
@@ -52,9 +52,9 @@
 	return (w.days[today] && minute >= w.start) || (w.days[yesterday] && minute < w.end)
 }
 
-// Next returns the first instant after the given one at which the result of Contains changes. ok is false if the
+// NextChange returns the first instant after the given one at which the result of Contains changes. ok is false if the
 // result never changes, such as for a daily window from 00:00 to 00:00.
-func (w Window) Next(after time.Time) (next time.Time, ok bool) {
+func (w Window) NextChange(after time.Time) (next time.Time, ok bool) {
 	if w.location == nil {
 		return time.Time{}, false
 	}
--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -36,7 +36,7 @@
 	return (isDay(local) && clock >= w.from) || (isDay(yesterday) && clock < w.to)
 }
 
-// Contains and Next agree with the model at every minute of two years in four zones.
+// Contains and NextChange agree with the model at every minute of two years in four zones.
 func TestWindowMatchesModelEveryMinute(t *testing.T) {
 	windows := []testWindow{
 		{"Fri", "18:00", "23:00"},
@@ -68,7 +68,7 @@
 	instant := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	end := instant.AddDate(2, 0, 0)
 	wasInside := model.contains(instant.In(location))
-	next, ok := window.Next(instant)
+	next, ok := window.NextChange(instant)
 	for ; instant.Before(end); instant = instant.Add(time.Minute) {
 		local := instant.In(location)
 		isInside := model.contains(local)
@@ -82,11 +82,11 @@
 			t.Fatalf("%s %v: want a change at %s, got Next %s", zone, model, local, next.In(location))
 		}
 		wasInside = isInside
-		next, ok = window.Next(instant)
+		next, ok = window.NextChange(instant)
 	}
 }
 
-// From any instant on, Contains stays the same before Next and changes at Next.
+// From any instant on, Contains stays the same before NextChange and changes at NextChange.
 func TestNextIsTheFirstChange(t *testing.T) {
 	dayNames := []string{"Sun", "Mon", "Tue", "Wed", "Thu", "Fri", "Sat"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -99,7 +99,7 @@
 		}
 		after := time.Unix(rapid.Int64Range(1.7e9, 1.9e9).Draw(t, "after"), 0)
 		isInside := window.Contains(after)
-		next, ok := window.Next(after)
+		next, ok := window.NextChange(after)
 		if !ok {
 			if window.start != window.end {
 				t.Fatal("Next found no change for a window with different start and end, want one")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -172,7 +172,7 @@
 	}
 	pool := s.LicencePools()[0]
 	friday := time.Date(2026, 12, 4, 10, 0, 0, 0, time.UTC)
-	if len(s.LicencePools()) != 2 || pool.Poll != 1500*time.Millisecond || pool.OnCountLowered != "wait" ||
+	if len(s.LicencePools()) != 2 || pool.PollInterval != 1500*time.Millisecond || pool.OnCountLowered != "wait" ||
 		pool.Teams["t"].Limit != 6 || pool.ReserveAt(friday) != 4 || pool.ReserveAt(friday.AddDate(0, 0, 1)) != 1 {
 		t.Fatalf("%d pools, want 2; the first: %+v", len(s.LicencePools()), pool)
 	}
--- a/internal/config/licences.go
+++ b/internal/config/licences.go
@@ -82,7 +82,7 @@
 		Name:           d.Name,
 		Count:          d.Count,
 		Server:         d.Server,
-		Poll:           jobs.Seconds(d.PollS),
+		PollInterval:   jobs.Seconds(d.PollS),
 		ReleaseTimeout: jobs.Seconds(d.LingerS),
 		OutsideReserve: d.Reserve,
 		OnCountLowered: licences.LoweringPolicy(d.OnCountLowered),
@@ -96,7 +96,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("licence %q, reserve_during %q: %w", d.Name, window.Name, err)
 		}
-		pool.ReserveWindows = append(pool.ReserveWindows, licences.ReserveWindow{Units: window.Units, During: hours})
+		pool.ReserveWindows = append(pool.ReserveWindows, licences.ReserveWindow{Units: window.Units, Window: hours})
 	}
 	return pool, nil
 }
--- a/internal/config/sessions.go
+++ b/internal/config/sessions.go
@@ -44,7 +44,8 @@
 	Windows         []SessionWindow `hcl:"during,block" validate:"dive"`
 }
 
-// SessionWindow sets other limits for some hours of the week in a time zone. A field that is nil has the policy's value.
+// SessionWindow sets other limits for some hours of the week in a time zone. A field that is nil has the policy's
+// value.
 type SessionWindow struct {
 	Name            string         `hcl:"name,label" validate:"required"`
 	Days            string         `hcl:"days" validate:"required"`
@@ -72,8 +73,8 @@
 // Sessions returns the policies of interactive sessions. Sessions are disabled unless operators enable them.
 func (s *Settings) Sessions() *sessions.Policies { return s.sessions }
 
-// deriveSessions compiles and checks the policies. An error names the policy, and for an invalid rule its file, line and
-// column.
+// deriveSessions compiles and checks the policies. An error names the policy, and for an invalid rule its file, line
+// and column.
 func (s *Settings) deriveSessions() error {
 	s.sessions = &sessions.Policies{}
 	settings := s.Operator.Sessions
@@ -88,7 +89,7 @@
 		Enabled:           true,
 		WarningTime:       durationOr(settings.WarningS, defaultWarningTime),
 		CheckpointTimeout: durationOr(settings.CheckpointTimeoutS, defaultCheckpointTimeout),
-		UnheardTimeout:    durationOr(settings.UnheardTimeoutS, defaultUnheardTimeout),
+		HeartbeatTimeout:  durationOr(settings.UnheardTimeoutS, defaultUnheardTimeout),
 		Retention:         time.Duration(settings.RetentionDays * hoursPerDay * float64(time.Hour)),
 		MaxPerUser:        settings.MaxPerUser,
 		MaxPerTeam:        settings.MaxPerTeam,
@@ -105,7 +106,8 @@
 	return nil
 }
 
-// compilePolicies returns the policies by name. It returns an error for an unknown team and for two policies of one name.
+// compilePolicies returns the policies by name. It returns an error for an unknown team and for two policies of one
+// name.
 func (settings *SessionSettings) compilePolicies(teams map[string]bool) (map[string]*sessions.Policy, error) {
 	compiled := map[string]*sessions.Policy{}
 	for i := range settings.Policies {
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -20,7 +20,7 @@
 	cluster := drain.Cluster{
 		Nodes: []string{c.settings.Node},
 		Alive: []string{c.settings.Node},
-		Machine: func(name string) bool {
+		HasMachine: func(name string) bool {
 			machine := c.term.fleet.FindMachine(name)
 			return machine != nil && machine.Condition != fleet.Terminated
 		},
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -70,7 +70,9 @@
 }
 
 // acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
-func (c *Controller) acceptsDependencies() bool { return c.rollout.AllSupport(rollout.Dependencies) }
+func (c *Controller) acceptsDependencies() bool {
+	return c.rollout.AllSupportLevel(rollout.Dependencies)
+}
 
 // isBlockedCertain reports whether this controller may answer a user that a blocked job is waiting. A cancellation of
 // a predecessor must have reached this controller within cancel_s after a user received its confirmation: the
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -142,7 +142,7 @@
 		case op.Put != "":
 			c.handleDrainRequest(store.Item{Key: op.Put, Value: op.Value, Version: revision})
 		default:
-			c.drains.machines.ConfirmDelete(op.Delete, revision)
+			c.drains.machines.HandleOwnDelete(op.Delete, revision)
 		}
 	}
 }
--- a/internal/controller/followed_keys.go
+++ b/internal/controller/followed_keys.go
@@ -66,7 +66,7 @@
 	}
 	isPresent := func(key string) bool { return keys[key] }
 	c.licencePools.Reset(isPresent)
-	c.drains.machines.Reset(c.watchCache.Revision(), isPresent)
+	c.drains.machines.HandleReset(c.watchCache.Revision(), isPresent)
 	c.jobs.ArchiveMissing(c.watchCache.Revision(), func(id string) bool { return keys[jobs.RecordKey(id)] })
 	c.dependencies.graph.RemoveMissing()
 }
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -201,7 +201,7 @@
 	for index, pool := range c.licencePools.Pools() {
 		view := c.licenceView(now, int32(index))
 		collected.add(licencesDesc, float64(view.Count), pool.Name, "count")
-		collected.add(licencesDesc, float64(view.Held+view.Booked), pool.Name, "held")
+		collected.add(licencesDesc, float64(view.CheckedOut+view.Reserved), pool.Name, "held")
 		collected.add(licencesDesc, float64(view.AwaitingRelease), pool.Name, "lingering")
 		collected.add(licencesDesc, float64(view.OutsideUnits), pool.Name, "others")
 		collected.add(licencesDesc, float64(view.Free), pool.Name, "free")
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -42,8 +42,8 @@
 
 // newestJobFormat returns the newest format of job records that a release with the given highest level reads.
 func newestJobFormat(level rollout.Level) int {
-	format, _ := rollout.RecordFormatOf(jobs.RecordPrefix)
-	return format.WrittenAt(level)
+	format, _ := rollout.RecordKindOf(jobs.RecordPrefix)
+	return format.FormatAtLevel(level)
 }
 
 // recordRolloutState adds a change of the rollout's state to the leader's events.
@@ -112,8 +112,8 @@
 	drainRequests := c.unmigratedDrainRequests()
 	hasPassedUpgrade := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
 	return rollout.MigrationProgress{
-		Left: c.term.fleet.UnmigratedSegments() + drainRequests,
-		Done: c.term.fleet.PlansMigrated() && drainRequests == 0 && hasPassedUpgrade,
+		RecordsLeft: c.term.fleet.UnmigratedSegments() + drainRequests,
+		Done:        c.term.fleet.PlansMigrated() && drainRequests == 0 && hasPassedUpgrade,
 	}
 }
 
@@ -124,7 +124,7 @@
 		cluster.Drained[node] = true
 	}
 	if c.term.loaded() {
-		cluster.Left = c.migrationProgress().Left
+		cluster.Left = c.migrationProgress().RecordsLeft
 	}
 	return c.rollout.View(now, cluster)
 }
--- a/internal/controller/sessions.go
+++ b/internal/controller/sessions.go
@@ -25,12 +25,12 @@
 		Commit: func(txn store.Txn, done func(store.Result)) {
 			c.commitInTerm(txn, store.NormalPriority, done)
 		},
-		Read:         c.readInTerm,
-		OnJobRecord:  c.handleJobRead,
-		OnUnreadable: c.rollout.MarkUnreadable,
-		TaskOf:       c.term.fleet.SessionTask,
-		Suspend:      c.term.fleet.Suspend,
-		WaitingFor:   c.term.fleet.WaitingJobsFor,
+		Read:           c.readInTerm,
+		OnJobRecord:    c.handleJobRead,
+		OnUnreadable:   c.rollout.MarkUnreadable,
+		TaskOf:         c.term.fleet.SessionTask,
+		Suspend:        c.term.fleet.Suspend,
+		WaitingJobsFor: c.term.fleet.WaitingJobsFor,
 	}, term)
 }
 
--- a/internal/drain/command.go
+++ b/internal/drain/command.go
@@ -49,8 +49,8 @@
 type Cluster struct {
 	// Nodes are the names of all controllers. Alive are those that send statuses and can reach the state service.
 	Alive, Nodes []string
-	// Machine reports whether a machine exists.
-	Machine func(name string) bool
+	// HasMachine reports whether a machine exists.
+	HasMachine func(name string) bool
 }
 
 // validate checks a command without regard to the cluster. The error wraps ErrMalformed.
@@ -119,7 +119,7 @@
 }
 
 func (d Document) checkDrainMachine(name string, cluster Cluster, limit int) error {
-	if !cluster.Machine(name) {
+	if !cluster.HasMachine(name) {
 		return fmt.Errorf("%w: machine %q doesn't exist", ErrUnknown, name)
 	}
 	_, isRequested := d.Machines[name]
--- a/internal/drain/command_test.go
+++ b/internal/drain/command_test.go
@@ -15,7 +15,7 @@
 
 // anyMachine is a cluster in which every machine exists.
 func anyMachine() Cluster {
-	return Cluster{Machine: func(string) bool { return true }}
+	return Cluster{HasMachine: func(string) bool { return true }}
 }
 
 // drainMachine returns the command to drain a machine.
@@ -48,7 +48,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		document := Document{}
 		drained := map[string]bool{} // the model: names with a drain request
-		cluster := Cluster{Nodes: nodes, Alive: nodes, Machine: func(name string) bool { return name != "m-none" }}
+		cluster := Cluster{Nodes: nodes, Alive: nodes, HasMachine: func(name string) bool { return name != "m-none" }}
 		for range rapid.IntRange(1, 30).Draw(t, "commands") {
 			cluster.Alive = rapid.SliceOfDistinct(rapid.SampledFrom(nodes), rapid.ID[string]).Draw(t, "alive")
 			command := drawCommand(t, nodes)
--- a/internal/drain/machine_requests.go
+++ b/internal/drain/machine_requests.go
@@ -93,14 +93,14 @@
 	r.deleteBefore(key, version)
 }
 
-// ConfirmDelete applies the deletion of a key by an own write, before the watched keys show the deletion.
-func (r *MachineRequests) ConfirmDelete(key string, version uint64) {
+// HandleOwnDelete applies the deletion of a key by an own write, before the watched keys show the deletion.
+func (r *MachineRequests) HandleOwnDelete(key string, version uint64) {
 	r.deletedAt[key] = version
 	r.deleteBefore(key, version)
 }
 
-// Reset applies a new listing of all keys as of a revision: it deletes the requests whose keys are absent.
-func (r *MachineRequests) Reset(revision uint64, isPresent func(key string) bool) {
+// HandleReset applies a new listing of all keys as of a revision: it deletes the requests whose keys are absent.
+func (r *MachineRequests) HandleReset(revision uint64, isPresent func(key string) bool) {
 	for key := range r.machineByKey {
 		if !isPresent(key) {
 			r.deleteBefore(key, revision+1)
--- a/internal/drain/machine_requests_test.go
+++ b/internal/drain/machine_requests_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("%s: got no error, want one", raw)
 		}
 	}
-	requests.ConfirmDelete(key, 30) // an own write deleted the key; the watched keys don't show it yet
+	requests.HandleOwnDelete(key, 30) // an own write deleted the key; the watched keys don't show it yet
 	if err := handle(`{"machine":"i-1"}`, 20); err != nil || len(requests.Names()) > 0 {
 		t.Fatalf("version older than the deletion: got requests of %v, error %v, want none", requests.Names(), err)
 	}
@@ -35,11 +35,11 @@
 		t.Fatal(err)
 	}
 	nonePresent := func(string) bool { return false }
-	requests.Reset(35, nonePresent) // a listing as of a revision before the request
+	requests.HandleReset(35, nonePresent) // a listing as of a revision before the request
 	if !slices.Equal(requests.Names(), []string{"i-1"}) {
 		t.Fatal("a listing older than the request deleted the request")
 	}
-	requests.Reset(45, nonePresent)
+	requests.HandleReset(45, nonePresent)
 	if len(requests.Names()) > 0 {
 		t.Fatal("a newer listing without the request did not delete the request")
 	}
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -73,7 +73,7 @@
 func unitsOfPool(job *jobs.Job, pool int32) int {
 	for _, unit := range job.LicenceUnits {
 		if unit.Pool == pool {
-			return unit.N
+			return unit.Units
 		}
 	}
 	return 0
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -176,7 +176,7 @@
 func hasUncountedUnits(f *Fleet) bool {
 	for i := range f.Jobs.Names.Pools.Pools() {
 		view := f.Gate.Licences.View(0, int32(i), func(int32) string { return "" })
-		if view.AwaitingRelease > 0 || view.ServerState != "open" || view.Booked > 0 {
+		if view.AwaitingRelease > 0 || view.ServerState != "open" || view.Reserved > 0 {
 			return true
 		}
 	}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -48,7 +48,7 @@
 	Types              []int32 // indices of the machine types that may run the job; nil for all types
 	// LicenceUnits lists the licence units that each task needs. A unit of an undeclared pool can't be granted, so the
 	// job doesn't start.
-	LicenceUnits []licences.Unit
+	LicenceUnits []licences.Requirement
 	// LicenceDenial is the reason for which licence units were last denied to the job's waiting tasks.
 	LicenceDenial licences.Denial
 
--- a/internal/jobs/names.go
+++ b/internal/jobs/names.go
@@ -61,13 +61,13 @@
 // licenceUnits returns the licence units that each task of a job needs. If a pool isn't declared in this controller's
 // settings, the job was accepted by a controller that declares the pool and must not start here: the result is one unit
 // of pool None, which can't be granted.
-func (x *NameIndex) licenceUnits(spec *Spec) []licences.Unit {
+func (x *NameIndex) licenceUnits(spec *Spec) []licences.Requirement {
 	if len(spec.Licences) == 0 {
 		return nil
 	}
 	units, err := x.Pools.UnitsByIndex(spec.Licences)
 	if err != nil {
-		return []licences.Unit{{Pool: None, N: 1}}
+		return []licences.Requirement{{Pool: None, Units: 1}}
 	}
 	return units
 }
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -179,7 +179,7 @@
 	table = NewTable(0)
 	table.Names.Pools = licences.NewCatalog([]*licences.Pool{{Name: "o"}, {Name: "p"}})
 	job, _, err = table.Apply(spec.ID, record, 1)
-	if err != nil || job.LicenceUnits[0] != (licences.Unit{Pool: 1, N: 2}) {
+	if err != nil || job.LicenceUnits[0] != (licences.Requirement{Pool: 1, Units: 2}) {
 		t.Fatalf("declared pool: got units %v, error %v, want 2 units of pool 1", job.LicenceUnits, err)
 	}
 }
--- a/internal/licences/allocation.go
+++ b/internal/licences/allocation.go
@@ -26,13 +26,13 @@
 
 // Fits returns Granted and -1 if all of a number of further tasks may get their units now. If not, it returns the
 // denial and the index of the pool that causes it.
-func (l *Ledger) Fits(team int32, needs []Unit, tasks int) (Denial, int32) {
+func (l *Ledger) Fits(team int32, needs []Requirement, tasks int) (Denial, int32) {
 	for _, unit := range needs {
 		pool := l.pool(unit.Pool)
 		if pool == nil {
 			return UnknownPool, unit.Pool
 		}
-		if denial := pool.fits(team, unit.N*tasks); denial != Granted {
+		if denial := pool.fits(team, unit.Units*tasks); denial != Granted {
 			return denial, unit.Pool
 		}
 	}
@@ -56,11 +56,11 @@
 
 // Request is a live job that waits for licence units.
 type Request struct {
-	Job    int32  // dense index
-	Team   int32  // dense index
-	Needs  []Unit // units that each task needs
-	Tasks  int    // number of waiting tasks
-	IsGang bool   // gang scheduling: all tasks must get their units at once
+	Job    int32         // dense index
+	Team   int32         // dense index
+	Needs  []Requirement // units that each task needs
+	Tasks  int           // number of waiting tasks
+	IsGang bool          // gang scheduling: all tasks must get their units at once
 }
 
 // Grant is the result of a Request: how many of its tasks may be planned and started and, if not all, the denial.
@@ -72,8 +72,8 @@
 
 // limit returns how many of a number of tasks can get their units of one pool from the available ones. If that is not
 // all tasks, it records the denial.
-func (g *Grant) limit(tasks int, unit Unit, available int, denial Denial) int {
-	fitting := max(0, available) / unit.N
+func (g *Grant) limit(tasks int, unit Requirement, available int, denial Denial) int {
+	fitting := max(0, available) / unit.Units
 	if fitting >= tasks {
 		return tasks
 	}
@@ -172,7 +172,7 @@
 		if quota.Limit > 0 {
 			tasks = grant.limit(tasks, unit, quota.Limit-used, TeamLimitReached)
 		}
-		tasks = grant.limit(tasks, unit, a.freeUnits[unit.Pool], pool.shortageReason(unit.N))
+		tasks = grant.limit(tasks, unit, a.freeUnits[unit.Pool], pool.shortageReason(unit.Units))
 	}
 	if guaranteed && !hasGuarantee {
 		return 0
@@ -196,8 +196,8 @@
 		return
 	}
 	for _, unit := range request.Needs {
-		a.freeUnits[unit.Pool] -= tasks * unit.N
-		a.teamUnits[unit.Pool][request.Team] += tasks * unit.N
+		a.freeUnits[unit.Pool] -= tasks * unit.Units
+		a.teamUnits[unit.Pool][request.Team] += tasks * unit.Units
 	}
 }
 
@@ -210,15 +210,15 @@
 		}
 	}
 	for _, unit := range request.Needs {
-		a.freeUnits[unit.Pool] = max(0, a.freeUnits[unit.Pool]-unit.N*request.Tasks)
+		a.freeUnits[unit.Pool] = max(0, a.freeUnits[unit.Pool]-unit.Units*request.Tasks)
 	}
 }
 
 // canEverFit reports whether all tasks of a gang could get their units of one pool: within the pool's units that
 // aren't kept for outside holders and, together with the units the team has already, within the team's limit.
-func (a *allocation) canEverFit(request *Request, unit Unit) bool {
+func (a *allocation) canEverFit(request *Request, unit Requirement) bool {
 	pool := a.ledger.pools[unit.Pool]
-	needed := unit.N * request.Tasks
+	needed := unit.Units * request.Tasks
 	if needed > pool.totalUnits()-pool.outsideReserve {
 		return false
 	}
--- a/internal/licences/allocation_test.go
+++ b/internal/licences/allocation_test.go
@@ -58,7 +58,7 @@
 		if usage := m.ledger.pools[unit.Pool].teams[request.Team]; usage != nil {
 			quota = usage.TeamQuota
 		}
-		units := tasks * unit.N
+		units := tasks * unit.Units
 		teamUnits := m.teamUnits[poolTeam{unit.Pool, request.Team}] + units
 		if units > m.freeUnits[unit.Pool] ||
 			(quota.Limit > 0 && teamUnits > quota.Limit) ||
@@ -72,15 +72,15 @@
 
 func (m *unitwiseAllocation) take(request Request, tasks int) {
 	for _, unit := range request.Needs {
-		m.freeUnits[unit.Pool] -= tasks * unit.N
-		m.teamUnits[poolTeam{unit.Pool, request.Team}] += tasks * unit.N
+		m.freeUnits[unit.Pool] -= tasks * unit.Units
+		m.teamUnits[poolTeam{unit.Pool, request.Team}] += tasks * unit.Units
 	}
 }
 
 func (m *unitwiseAllocation) canEverFit(request Request) bool {
 	for _, unit := range request.Needs {
 		pool := m.ledger.pools[unit.Pool]
-		units := unit.N * request.Tasks
+		units := unit.Units * request.Tasks
 		if units > pool.totalUnits()-pool.outsideReserve {
 			return false
 		}
@@ -94,7 +94,7 @@
 
 func (m *unitwiseAllocation) withhold(request Request) {
 	for _, unit := range request.Needs {
-		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.N*request.Tasks)
+		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.Units*request.Tasks)
 	}
 }
 
@@ -117,11 +117,11 @@
 }
 
 // drawNeeds draws the units that a task needs of each pool; it returns nil if the task needs none.
-func drawNeeds(t *rapid.T, pools []*Pool, label string) []Unit {
-	var needs []Unit
+func drawNeeds(t *rapid.T, pools []*Pool, label string) []Requirement {
+	var needs []Requirement
 	for i := range pools {
 		if units := rapid.IntRange(0, 3).Draw(t, label); units > 0 {
-			needs = append(needs, Unit{int32(i), units})
+			needs = append(needs, Requirement{int32(i), units})
 		}
 	}
 	return needs
@@ -174,7 +174,7 @@
 					requests[i], grant.Tasks, grant.Denial)
 			}
 			for _, unit := range requests[i].Needs {
-				if freeUnits[unit.Pool] -= unit.N * grant.Tasks; freeUnits[unit.Pool] < 0 {
+				if freeUnits[unit.Pool] -= unit.Units * grant.Tasks; freeUnits[unit.Pool] < 0 {
 					t.Fatalf("pool %d: got more units granted than are free", unit.Pool)
 				}
 			}
@@ -191,7 +191,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reversed := []Unit{inOrder[1], inOrder[0]}
+	reversed := []Requirement{inOrder[1], inOrder[0]}
 	requests := []Request{
 		{Job: 1, Needs: inOrder, Tasks: 3, IsGang: true},
 		{Job: 2, Needs: reversed, Tasks: 3, IsGang: true},
--- a/internal/licences/catalog.go
+++ b/internal/licences/catalog.go
@@ -154,17 +154,17 @@
 
 // UnitsByIndex converts the units that each task of a job needs, by pool name, to a list sorted by the pools' dense
 // indices. It returns an *UnknownPoolError for a pool that isn't declared on this controller.
-func (c *Catalog) UnitsByIndex(unitsByPool map[string]int) ([]Unit, error) {
+func (c *Catalog) UnitsByIndex(unitsByPool map[string]int) ([]Requirement, error) {
 	if len(unitsByPool) == 0 {
 		return nil, nil
 	}
-	needs := make([]Unit, 0, len(unitsByPool))
+	needs := make([]Requirement, 0, len(unitsByPool))
 	for name, units := range unitsByPool {
 		index, ok := c.byName[name]
 		if !ok {
 			return nil, &UnknownPoolError{Pool: name}
 		}
-		needs = append(needs, Unit{index, units})
+		needs = append(needs, Requirement{index, units})
 	}
 	sort.Slice(needs, func(a, b int) bool { return needs[a].Pool < needs[b].Pool })
 	return needs, nil
@@ -183,7 +183,7 @@
 		if teamLimit := pool.Teams[team].Limit; teamLimit > 0 {
 			limit = min(limit, teamLimit)
 		}
-		if needed := unit.N * tasks; needed > limit {
+		if needed := unit.Units * tasks; needed > limit {
 			return false, fmt.Sprintf("the job needs %d seats of %q at once, which never gives it more than %d",
 				needed, pool.Name, max(0, limit))
 		}
--- a/internal/licences/ledger_test.go
+++ b/internal/licences/ledger_test.go
@@ -17,7 +17,7 @@
 		Name:           "p",
 		Count:          count,
 		Server:         "s",
-		Poll:           2 * time.Second,
+		PollInterval:   2 * time.Second,
 		ReleaseTimeout: 20 * time.Second,
 		OnCountLowered: PreemptHolders,
 	}
--- a/internal/licences/main_test.go
+++ b/internal/licences/main_test.go
@@ -20,7 +20,7 @@
 }
 
 // oneUnit is the needs of a task that holds one unit of the first pool.
-var oneUnit = []Unit{{0, 1}}
+var oneUnit = []Requirement{{0, 1}}
 
 // singleTeam maps all names to one team.
 func singleTeam(string) int32 { return 0 }
--- a/internal/licences/model_test.go
+++ b/internal/licences/model_test.go
@@ -94,7 +94,7 @@
 	return units
 }
 
-func needs(units int) []Unit { return []Unit{{0, units}} }
+func needs(units int) []Requirement { return []Requirement{{0, units}} }
 
 func (e *environment) start(t *rapid.T) {
 	units := rapid.IntRange(1, 2).Draw(t, "units")
@@ -270,7 +270,7 @@
 			Name:           "p",
 			Count:          4,
 			Server:         "s",
-			Poll:           100 * time.Millisecond,
+			PollInterval:   100 * time.Millisecond,
 			ReleaseTimeout: 5 * time.Second,
 			OutsideReserve: rapid.IntRange(0, 2).Draw(t, "reserve"),
 			OnCountLowered: WaitForRelease,
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -17,10 +17,10 @@
 	"github.com/harewalk/harewalk/internal/calendar"
 )
 
-// Unit is the number of units of one pool that a task holds while it is on a machine.
-type Unit struct {
-	Pool int32 // dense index of the pool
-	N    int   // units, at least 1
+// Requirement is the number of units of one pool that a task holds while it is on a machine.
+type Requirement struct {
+	Pool  int32 // dense index of the pool
+	Units int   // units, at least 1
 }
 
 // LoweringPolicy is the policy for holders when a pool's count falls below the units in use.
@@ -39,7 +39,7 @@
 // OutsideReserve if it is larger.
 type ReserveWindow struct {
 	Units  int
-	During calendar.Window
+	Window calendar.Window
 }
 
 // Pool is the declaration of a licence pool in the operators' settings.
@@ -47,8 +47,8 @@
 	Name  string
 	Count int // units in total, unless a count was set at run time
 	// Server is the address of the licence server ("host:port"); "": the pool has no server.
-	Server string
-	Poll   time.Duration // interval of queries to the server; 0: the default
+	Server       string
+	PollInterval time.Duration // interval of queries to the server; 0: the default
 	// ReleaseTimeout is how long a crashed holder's units may stay checked out after its task is proven to be gone.
 	ReleaseTimeout time.Duration
 	OutsideReserve int // units kept for outside holders at all times
@@ -62,7 +62,7 @@
 func (p *Pool) ReserveAt(wall time.Time) int {
 	units := p.OutsideReserve
 	for _, window := range p.ReserveWindows {
-		if window.Units > units && window.During.Contains(wall) {
+		if window.Units > units && window.Window.Contains(wall) {
 			units = window.Units
 		}
 	}
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -113,8 +113,8 @@
 }
 
 func (p *poolState) pollInterval() time.Duration {
-	if p.Poll > 0 {
-		return p.Poll
+	if p.PollInterval > 0 {
+		return p.PollInterval
 	}
 	return defaultPollInterval
 }
--- a/internal/licences/view.go
+++ b/internal/licences/view.go
@@ -15,14 +15,14 @@
 	Version         uint64         `json:"version"` // of the key of the count set at run time; 0: no count is set
 	Lowering        LoweringPolicy `json:"on_lower"`
 	Reserve         int            `json:"reserve"`
-	Held            int            `json:"held"`   // CheckedOut
-	Booked          int            `json:"booked"` // Reserved
+	CheckedOut      int            `json:"held"`   // CheckedOut
+	Reserved        int            `json:"booked"` // Reserved
 	AwaitingRelease int            `json:"lingering"`
 	OutsideUnits    int            `json:"others"` // units of outside holders
 	Free            int            `json:"free"`
 	Server          string         `json:"server,omitempty"`
 	ServerState     string         `json:"line,omitempty"`         // name of the server's state
-	AgeS            float64        `json:"answer_age_s,omitempty"` // age of the last valid answer, in seconds
+	AnswerAgeS      float64        `json:"answer_age_s,omitempty"` // age of the last valid answer, in seconds
 	Teams           []TeamView     `json:"teams,omitempty"`
 }
 
@@ -55,14 +55,14 @@
 	pool := l.pools[index]
 	view := l.catalog.declaredView(index)
 	view.Reserve = pool.outsideReserve
-	view.Held = pool.unitsByState[CheckedOut]
-	view.Booked = pool.unitsByState[Reserved]
+	view.CheckedOut = pool.unitsByState[CheckedOut]
+	view.Reserved = pool.unitsByState[Reserved]
 	view.AwaitingRelease = pool.unitsByState[AwaitingRelease]
 	view.OutsideUnits = pool.outsideUnits()
 	view.Free = pool.freeUnits()
 	view.ServerState = pool.server.state.String()
 	if pool.Server != "" && pool.server.state != serverUnknown {
-		view.AgeS = (now - pool.server.answeredAt).Seconds()
+		view.AnswerAgeS = (now - pool.server.answeredAt).Seconds()
 	}
 	view.Teams = pool.teamViews(teamName)
 	return view
--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -69,7 +69,7 @@
 		t.Errorf("abort after the upgrade: got error %v, want ErrTooLate", err)
 	}
 
-	left := MigrationProgress{Left: 3}
+	left := MigrationProgress{RecordsLeft: 3}
 	mustNotTick(t, r, 2*time.Minute, 1, left) // the upgrade itself has recorded this term's leader
 	commit(r, 2*time.Minute, mustTick(t, r, 2*time.Minute, 2, left), 13)
 	done := MigrationProgress{Done: true}
@@ -80,14 +80,14 @@
 	}
 }
 
-// TestAllSupport checks when AllSupport reports a level: once all controllers have announced the level, even before the
-// upgrade and while some are unhealthy or down. AllSupport must not report the level while the rollout is aborted, or
-// after a controller has rejoined with its former release.
+// TestAllSupport checks when AllSupportLevel reports a level: once all controllers have announced the level, even
+// before the upgrade and while some are unhealthy or down. AllSupportLevel must not report the level while the rollout
+// is aborted, or after a controller has rejoined with its former release.
 func TestAllSupport(t *testing.T) {
 	r := newTestRollout(true)
 	expect := func(when string, want bool) {
 		t.Helper()
-		if r.AllSupport(Paged) != want {
+		if r.AllSupportLevel(Paged) != want {
 			t.Errorf("%s: AllSupport(Paged): got %v, want %v", when, !want, want)
 		}
 	}
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -34,9 +34,9 @@
 	Since  string // the release that introduced this format at this level
 }
 
-// RecordFormat describes a kind of record: where its records are stored, and in which formats this release reads and
+// RecordKind describes a kind of record: where its records are stored, and in which formats this release reads and
 // writes them.
-type RecordFormat struct {
+type RecordKind struct {
 	Kind         string
 	Prefix       string // prefix of the keys
 	ReadFormats  []int
@@ -45,26 +45,26 @@
 }
 
 // singleFormat returns a kind of record that has the same format at all levels.
-func singleFormat(kind, prefix string, guard Guard) RecordFormat {
+func singleFormat(kind, prefix string, guard Guard) RecordKind {
 	return formatsByLevel(kind, prefix, guard, WriteFormat{Base, 1, firstAnnouncingRelease})
 }
 
 // formatsByLevel returns a kind of record whose format depends on the level. Every format that is written at some
 // level is read.
-func formatsByLevel(kind, prefix string, guard Guard, writes ...WriteFormat) RecordFormat {
+func formatsByLevel(kind, prefix string, guard Guard, writes ...WriteFormat) RecordKind {
 	var reads []int
 	for _, write := range writes {
 		if write.Format != notWritten {
 			reads = append(reads, write.Format)
 		}
 	}
-	return RecordFormat{Kind: kind, Prefix: prefix, ReadFormats: reads, WriteFormats: writes, Guard: guard}
+	return RecordKind{Kind: kind, Prefix: prefix, ReadFormats: reads, WriteFormats: writes, Guard: guard}
 }
 
-// RecordFormats lists every kind of record in the state service. A test compares it with the code of each package.
-var RecordFormats = []RecordFormat{
+// RecordKinds lists every kind of record in the state service. A test compares it with the code of each package.
+var RecordKinds = []RecordKind{
 	// A pending job with predecessors has format 2; all other jobs have format 1. Format 2 is written once all
-	// controllers support its level (Rollout.AllSupport): one of a former release would quarantine the job.
+	// controllers support its level (Rollout.AllSupportLevel): one of a former release would quarantine the job.
 	formatsByLevel("job", "h/j/", GuardQuarantine,
 		WriteFormat{Base, 1, firstAnnouncingRelease},
 		WriteFormat{Dependencies, 2, firstDependencyRelease}),
@@ -98,25 +98,25 @@
 	singleFormat("rollout-words", directiveKey, GuardStandDown),
 }
 
-// RecordFormatOf returns the kind of record with the longest prefix of a key, and false if no prefix matches.
-func RecordFormatOf(key string) (RecordFormat, bool) {
+// RecordKindOf returns the kind of record with the longest prefix of a key, and false if no prefix matches.
+func RecordKindOf(key string) (RecordKind, bool) {
 	longest := -1
-	for i, format := range RecordFormats {
+	for i, format := range RecordKinds {
 		if !strings.HasPrefix(key, format.Prefix) {
 			continue
 		}
-		if longest < 0 || len(format.Prefix) > len(RecordFormats[longest].Prefix) {
+		if longest < 0 || len(format.Prefix) > len(RecordKinds[longest].Prefix) {
 			longest = i
 		}
 	}
 	if longest < 0 {
-		return RecordFormat{}, false
+		return RecordKind{}, false
 	}
-	return RecordFormats[longest], true
+	return RecordKinds[longest], true
 }
 
-// WrittenAt returns the format that is written at a level, or 0 if records of this kind are not written then.
-func (f RecordFormat) WrittenAt(level Level) int {
+// FormatAtLevel returns the format that is written at a level, or 0 if records of this kind are not written then.
+func (f RecordKind) FormatAtLevel(level Level) int {
 	format := notWritten
 	for _, write := range f.WriteFormats {
 		if write.From <= level {
@@ -127,10 +127,10 @@
 }
 
 // newestRead returns the newest format that this release reads.
-func (f RecordFormat) newestRead() int { return slices.Max(f.ReadFormats) }
+func (f RecordKind) newestRead() int { return slices.Max(f.ReadFormats) }
 
 // Newer reports whether a record's format is newer than all formats that this release reads.
-func (f RecordFormat) Newer(raw json.RawMessage) bool { return FormatOf(raw) > f.newestRead() }
+func (f RecordKind) Newer(raw json.RawMessage) bool { return FormatOf(raw) > f.newestRead() }
 
 // FormatOf returns the format that a record names. The format is 1 if the record names none or isn't a JSON object.
 func FormatOf(raw json.RawMessage) int {
@@ -146,7 +146,7 @@
 // readFormats returns the formats that this release reads, keyed by kind of record.
 func readFormats() map[string][]int {
 	formats := map[string][]int{}
-	for _, format := range RecordFormats {
+	for _, format := range RecordKinds {
 		formats[format.Kind] = format.ReadFormats
 	}
 	return formats
@@ -155,8 +155,8 @@
 // writtenFormats returns the format that this release writes at a level, keyed by kind of record.
 func writtenFormats(level Level) map[string]int {
 	formats := map[string]int{}
-	for _, format := range RecordFormats {
-		if written := format.WrittenAt(level); written != notWritten {
+	for _, format := range RecordKinds {
+		if written := format.FormatAtLevel(level); written != notWritten {
 			formats[format.Kind] = written
 		}
 	}
--- a/internal/rollout/formats_test.go
+++ b/internal/rollout/formats_test.go
@@ -8,7 +8,7 @@
 // TestWrittenFormatsAreRead checks for each kind of record that this release reads all formats that it writes, and that
 // the levels of its WriteFormats ascend.
 func TestWrittenFormatsAreRead(t *testing.T) {
-	for _, format := range RecordFormats {
+	for _, format := range RecordKinds {
 		last := Level(0)
 		for _, write := range format.WriteFormats {
 			if write.From <= last {
@@ -32,16 +32,16 @@
 		"h/r/n/a":          "announcement",
 		"x":                "",
 	} {
-		if format, _ := RecordFormatOf(key); format.Kind != kind {
+		if format, _ := RecordKindOf(key); format.Kind != kind {
 			t.Errorf("key %s: got kind %q, want %q", key, format.Kind, kind)
 		}
 	}
 }
 
-// TestAnnouncementListsTheFormats checks that the announced formats are those listed in RecordFormats.
+// TestAnnouncementListsTheFormats checks that the announced formats are those listed in RecordKinds.
 func TestAnnouncementListsTheFormats(t *testing.T) {
-	if kinds := len(readFormats()); kinds != len(RecordFormats) {
-		t.Errorf("announced kinds of record: got %d, want %d", kinds, len(RecordFormats))
+	if kinds := len(readFormats()); kinds != len(RecordKinds) {
+		t.Errorf("announced kinds of record: got %d, want %d", kinds, len(RecordKinds))
 	}
 	for _, c := range []struct {
 		kind    string
--- a/internal/rollout/migration.go
+++ b/internal/rollout/migration.go
@@ -4,8 +4,8 @@
 
 // MigrationProgress is a leader's count of the records that are still in a former format.
 type MigrationProgress struct {
-	Left int  // number of records still to be rewritten
-	Done bool // no record is left in a former format
+	RecordsLeft int  // number of records still to be rewritten
+	Done        bool // no record is left in a former format
 }
 
 // migration is the stored progress of rewriting the records of a former format. Which records are left isn't stored: a
@@ -45,7 +45,7 @@
 		next.leaders++
 	}
 	next.term = term
-	next.left = progress.Left
+	next.left = progress.RecordsLeft
 	next.done = progress.Done
 	r.txnInFlight = true
 	return store.Txn{
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -139,11 +139,11 @@
 	return r.stored.level
 }
 
-// AllSupport reports whether the cluster is at a level, or all controllers have announced the level and the operators
-// don't prevent the upgrade. From then on, records that the level introduced and that a former release would quarantine
-// may be written. So users can use the level's features as soon as no controller runs a former release, while the
-// upgrade waits until all controllers have been healthy for the soak time.
-func (r *Rollout) AllSupport(level Level) bool {
+// AllSupportLevel reports whether the cluster is at a level, or all controllers have announced the level and the
+// operators don't prevent the upgrade. From then on, records that the level introduced and that a former release would
+// quarantine may be written. So users can use the level's features as soon as no controller runs a former release,
+// while the upgrade waits until all controllers have been healthy for the soak time.
+func (r *Rollout) AllSupportLevel(level Level) bool {
 	if r.Level() >= level {
 		return true
 	}
--- a/internal/rollout/unreadable.go
+++ b/internal/rollout/unreadable.go
@@ -18,9 +18,9 @@
 }
 
 func newUnreadableRecord(key string, raw json.RawMessage, cause error) UnreadableRecord {
-	format, known := RecordFormatOf(key)
+	format, known := RecordKindOf(key)
 	if !known {
-		format = RecordFormat{Kind: "unknown", Guard: GuardAdvisory}
+		format = RecordKind{Kind: "unknown", Guard: GuardAdvisory}
 	}
 	return UnreadableRecord{
 		Key:   key,
--- a/internal/sessions/explain.go
+++ b/internal/sessions/explain.go
@@ -54,7 +54,7 @@
 			s.reclaim.cause, e.timeUntil(s.stateSince+m.Policies.CheckpointTimeout))
 	}
 	sinceHeartbeat := now - s.agent.lastHeartbeatAt
-	if sinceHeartbeat > m.Policies.UnheardTimeout && s.state != Reclaimed && s.state != Opening && s.state != Lost {
+	if sinceHeartbeat > m.Policies.HeartbeatTimeout && s.state != Reclaimed && s.state != Opening && s.state != Lost {
 		e.add("No heartbeat has arrived for %s: it is not reclaimed while its state is unknown.",
 			wholeSeconds(sinceHeartbeat))
 	}
--- a/internal/sessions/harness_test.go
+++ b/internal/sessions/harness_test.go
@@ -147,7 +147,7 @@
 		Enabled:           true,
 		WarningTime:       10 * time.Second,
 		CheckpointTimeout: 8 * time.Second,
-		UnheardTimeout:    20 * time.Second,
+		HeartbeatTimeout:  20 * time.Second,
 		MaxPerUser:        2,
 		MaxPerTeam:        3,
 		ByTeam:            map[string]*Policy{},
@@ -208,7 +208,7 @@
 		OnJobRecord: func(_ time.Duration, item store.Item) { h.applyJobRecord(item.Key, item) },
 		TaskOf:      func(*jobs.Job) Task { return h.task() },
 		Suspend:     func(_ time.Duration, _ *jobs.Job, suspended bool) { h.suspend(suspended) },
-		WaitingFor: func(_ time.Duration, holders []*jobs.Job) []string {
+		WaitingJobsFor: func(_ time.Duration, holders []*jobs.Job) []string {
 			waiting := make([]string, len(holders))
 			if h.isContended {
 				waiting[0] = "req-000009"
--- a/internal/sessions/manager.go
+++ b/internal/sessions/manager.go
@@ -46,9 +46,9 @@
 	TaskOf func(*jobs.Job) Task
 	// Suspend stops a job's task and prevents its placement, or, if suspended is false, allows it to run again.
 	Suspend func(now time.Duration, job *jobs.Job, suspended bool)
-	// WaitingFor returns, for each of some sessions' jobs, the id of a job that waits for resources that it holds, or
+	// WaitingJobsFor returns, for each of some sessions' jobs, the id of a job that waits for resources that it holds, or
 	// "". It returns ids for no more holders than have to be reclaimed to serve the waiting jobs.
-	WaitingFor func(now time.Duration, holders []*jobs.Job) []string
+	WaitingJobsFor func(now time.Duration, holders []*jobs.Job) []string
 }
 
 // Manager manages all sessions for one term.
--- a/internal/sessions/manager_test.go
+++ b/internal/sessions/manager_test.go
@@ -16,12 +16,12 @@
 	p.MaxPerTeam = 0
 	p.Default.IdleLimit = time.Hour
 	m := New(Env{
-		Policies:   p,
-		Jobs:       jobs.NewTable(0),
-		Now:        func() time.Duration { return 0 },
-		Wall:       func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
-		TaskOf:     func(*jobs.Job) Task { return Task{OnMachine: true} },
-		WaitingFor: func(_ time.Duration, holders []*jobs.Job) []string { return make([]string, len(holders)) },
+		Policies:       p,
+		Jobs:           jobs.NewTable(0),
+		Now:            func() time.Duration { return 0 },
+		Wall:           func(now time.Duration) time.Time { return time.Unix(0, 0).Add(now) },
+		TaskOf:         func(*jobs.Job) Task { return Task{OnMachine: true} },
+		WaitingJobsFor: func(_ time.Duration, holders []*jobs.Job) []string { return make([]string, len(holders)) },
 	}, 1)
 	const n = 10_000
 	ids := make([]string, n)
--- a/internal/sessions/policy.go
+++ b/internal/sessions/policy.go
@@ -43,7 +43,7 @@
 // NextChange returns when the next window begins or ends; ok is false if there is no such time.
 func (p *Policy) NextChange(wall time.Time) (next time.Time, ok bool) {
 	for _, window := range p.Windows {
-		change, changes := window.Window.Next(wall)
+		change, changes := window.Window.NextChange(wall)
 		if changes && (!ok || change.Before(next)) {
 			next = change
 			ok = true
@@ -57,7 +57,7 @@
 	Enabled           bool
 	WarningTime       time.Duration // from the warning to the order of the checkpoint
 	CheckpointTimeout time.Duration // from the order of a checkpoint to its failure without a result
-	UnheardTimeout    time.Duration // time without a heartbeat after which an agent's state is unknown
+	HeartbeatTimeout  time.Duration // time without a heartbeat after which an agent's state is unknown
 	Retention         time.Duration // of a reclaimed session, 0: without limit
 	MaxPerUser        int           // sessions of a user, reclaimed sessions included; 0: no limit
 	MaxPerTeam        int           // sessions of a team, without reclaimed sessions; 0: no limit
--- a/internal/sessions/reclaim.go
+++ b/internal/sessions/reclaim.go
@@ -24,7 +24,7 @@
 		s.setState(now, Lost, "task is gone")
 		return
 	}
-	isHeartbeatOverdue := now-s.agent.lastHeartbeatAt > m.Policies.UnheardTimeout
+	isHeartbeatOverdue := now-s.agent.lastHeartbeatAt > m.Policies.HeartbeatTimeout
 	switch s.state {
 	case Active:
 		if !isHeartbeatOverdue && m.isIdle(now, s) {
@@ -129,7 +129,7 @@
 	if len(holders) == 0 {
 		return
 	}
-	for i, waiting := range m.WaitingFor(now, holders) {
+	for i, waiting := range m.WaitingJobsFor(now, holders) {
 		if waiting != "" {
 			m.warn(now, idleSessions[i], waiting+" waits for what it holds", true)
 		}
@@ -153,7 +153,7 @@
 		s.setState(now, Active, "no longer idle")
 	case now < checkpointAt:
 		m.queue.schedule(s, checkpointAt)
-	case s.reclaim.isContended && m.WaitingFor(now, []*jobs.Job{job})[0] == "":
+	case s.reclaim.isContended && m.WaitingJobsFor(now, []*jobs.Job{job})[0] == "":
 		s.setState(now, Idle, "no longer contended")
 	default:
 		s.setState(now, Checkpointing, s.reclaim.cause)
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -59,15 +59,15 @@
 		}
 	}
 	for key, raw := range all {
-		format, ok := rollout.RecordFormatOf(key)
+		format, ok := rollout.RecordKindOf(key)
 		if !ok {
 			t.Errorf("%s: no record format registered for this key", key)
 			continue
 		}
 		kinds[format.Kind]++
 		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(format.ReadFormats, f) ||
-			format.WrittenAt(rollout.Base) != 1 {
-			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1", key, f, format.WrittenAt(rollout.Base))
+			format.FormatAtLevel(rollout.Base) != 1 {
+			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1", key, f, format.FormatAtLevel(rollout.Base))
 		}
 		switch format.Kind {
 		case "job":
