--- a/cmd/harewalk/dev.go
+++ b/cmd/harewalk/dev.go
@@ -66,7 +66,7 @@
 			"only wait; what is\n" +
 			"decided is. Ctrl-C ends it.\n\n" +
 			"A script has one fault a line, with its time: \"30s outage 5s\". Faults: " +
-			strings.Join(simulator.FaultWords(), ", ") + ".",
+			strings.Join(simulator.FaultUsages(), ", ") + ".",
 		Example: "  harewalk dev\n" +
 			"  harewalk dev --machines 50 --zones a,b,c --speed 4 --script faults.txt --operator deploy/licences.hcl",
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/harewalk/drain_test.go
+++ b/cmd/harewalk/drain_test.go
@@ -26,7 +26,7 @@
 	}
 	sim := newSimulation(t, simulator.Config{Seed: seed, MaxMachines: 10, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
-	users := sim.Users(seed)
+	users := sim.NewUsers(seed)
 	stop := make(chan struct{})
 	var faults, cancels sync.WaitGroup
 	var drained atomic.Int32
@@ -110,7 +110,7 @@
 func TestDrainedLeaderHandsOver(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 22, MaxMachines: 8, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
-	users := sim.Users(22)
+	users := sim.NewUsers(22)
 	for i := range 6 {
 		// More than can be done meanwhile, so that a time without starts is never for lack of work.
 		if status := users.Submit(plainJob(i+1, 20_000, 0.5)); status != 201 {
@@ -169,7 +169,7 @@
 func TestDrainInAnOutage(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 23, MaxMachines: 4, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
-	users := sim.Users(23)
+	users := sim.NewUsers(23)
 	if status := users.Submit(plainJob(1, 40, 0.5)); status != 201 {
 		t.Fatalf("status %d", status)
 	}
@@ -204,7 +204,7 @@
 func TestOperatorsDrain(t *testing.T) {
 	sim := newSimulation(t, simulator.Config{Seed: 26, MaxMachines: 4, Teams: redAndBlue()})
 	cluster := startCluster(t, sim, "")
-	users := sim.Users(26)
+	users := sim.NewUsers(26)
 	spec := plainJob(1, 20, 600)
 	spec.CheckpointS = 1
 	spec.SaveS = 0.2
--- a/cmd/harewalk/job_test.go
+++ b/cmd/harewalk/job_test.go
@@ -19,7 +19,7 @@
 		LicencePools: licenceCounts(),
 	})
 	startCluster(t, sim, fmt.Sprintf(licencePools, sim.Licences.Addr))
-	users := sim.Users(24)
+	users := sim.NewUsers(24)
 	limited, large := plainJob(1, 10, 600), plainJob(2, 60, 600)
 	large.Team = "blue"
 	gang := plainJob(3, 4, 600)
--- a/cmd/harewalk/lab_scale.go
+++ b/cmd/harewalk/lab_scale.go
@@ -99,7 +99,7 @@
 		return usageError(err)
 	}
 	if r.quick {
-		plan.Quick()
+		plan.ReduceForQuickRun()
 	}
 	ctx, stop := signal.NotifyContext(parent, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -183,7 +183,7 @@
 		Args:   cobra.NoArgs,
 		Short:  "Play a state service for a scale run",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return scale.PlayState(cmd.InOrStdin(), cmd.OutOrStdout())
+			return scale.ServeState(cmd.InOrStdin(), cmd.OutOrStdout())
 		},
 	}
 }
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -36,7 +36,7 @@
 		Teams: []config.Team{{Name: "red", CPUs: 10, CPUsMax: 60}, {Name: "blue", CPUs: 10, CPUsMax: 60}},
 	})
 	cluster := startCluster(t, sim, fmt.Sprintf(licencePools, sim.Licences.Addr))
-	users := sim.Users(seed)
+	users := sim.NewUsers(seed)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -129,7 +129,7 @@
 	})
 	withoutReserve := strings.NewReplacer("count    = 24", "count    = 40", "reserve  = 2", "").Replace(licencePools)
 	startCluster(t, sim, fmt.Sprintf(withoutReserve, sim.Licences.Addr))
-	users := sim.Users(2)
+	users := sim.NewUsers(2)
 	for n := range 6 {
 		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
@@ -179,7 +179,7 @@
 		Tasks: 30, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimateS: 600, CheckpointS: 5, SaveS: 0.2, Licences: map[string]int{"transcribe": 1},
 	}
-	users := sim.Users(3)
+	users := sim.NewUsers(3)
 	if status := users.Submit(spec); status != 201 {
 		t.Fatalf("status %d", status)
 	}
--- a/cmd/harewalk/rollout_test.go
+++ b/cmd/harewalk/rollout_test.go
@@ -68,7 +68,7 @@
 	}
 	t.Cleanup(cluster.Close)
 	startControllers(t, cluster)
-	users := sim.Users(31)
+	users := sim.NewUsers(31)
 	for i := range 12 {
 		if status := users.Submit(plainJob(i+1, 60, 0.6)); status != 201 {
 			t.Fatalf("status %d", status)
@@ -131,7 +131,7 @@
 	}
 	back := func(i int) { cluster.SetProgram(i, []string{"LOG_LEVEL=info"}, earlier, "serve") }
 	startControllers(t, cluster)
-	users := sim.Users(seed)
+	users := sim.NewUsers(seed)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	stop := make(chan struct{})
 	var loading sync.WaitGroup
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -30,7 +30,7 @@
 `
 
 func notebook(sim *simulator.Simulation, n int, cpus float64) *simulator.InteractiveSession {
-	return sim.InteractiveSession(&jobs.Spec{
+	return sim.NewInteractiveSession(&jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
 		Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
 	}, "kana")
@@ -260,7 +260,7 @@
 			}
 		}
 		time.Sleep(6 * time.Second)
-		users := sim.Users(13)
+		users := sim.NewUsers(13)
 		var waits []float64
 		for i := range 30 {
 			spec := &jobs.Spec{
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -200,7 +200,7 @@
 			hasStarted:  true,
 			acceptDelay: seconds(0.01),
 			endDelay:    seconds(20),
-			history:     simulator.History{Final: "done"},
+			history:     simulator.AnswerHistory{Final: "done"},
 		})
 		for atS := 100; atS < 130; atS++ {
 			isServed := atS >= 104 || i < 5 || atS == 101
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -39,8 +39,8 @@
 // Formatter formats a value for the label of an axis.
 type Formatter func(value float64) string
 
-// Curves draws lines in one plot as SVG, with labels for the values on both axes, which begin at 0.
-func Curves(lines [][]Point, formatX, formatY Formatter) template.HTML {
+// PlotCurves draws lines in one plot as SVG, with labels for the values on both axes, which begin at 0.
+func PlotCurves(lines [][]Point, formatX, formatY Formatter) template.HTML {
 	drawn := plot{formatX: formatX, formatY: formatY, lines: lines}
 	for _, line := range lines {
 		for _, point := range line {
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -57,7 +57,7 @@
 	}
 	return drawing{
 		Title: fmt.Sprintf("%s: %s (%s) by %s, measured and fitted", line.Role, line.Name, line.Unit, predictor),
-		Plot:  lab.Curves([][]lab.Point{measured, fitted}, formatShort, formatShort),
+		Plot:  lab.PlotCurves([][]lab.Point{measured, fitted}, formatShort, formatShort),
 	}
 }
 
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -118,8 +118,8 @@
 	return plan, nil
 }
 
-// Quick reduces a plan to a tenth of each size and to short times, so that it ends within two minutes.
-func (p *Plan) Quick() {
+// ReduceForQuickRun reduces a plan to a tenth of each size and to short times, so that it ends within two minutes.
+func (p *Plan) ReduceForQuickRun() {
 	p.SettleS = min(p.SettleS, quickSettleS)
 	p.MeasureS = min(p.MeasureS, quickMeasureS)
 	for i := range p.Steps {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -94,7 +94,7 @@
 	if err := plan.Fits(23 << 30); err != nil {
 		t.Error(err)
 	}
-	plan.Quick()
+	plan.ReduceForQuickRun()
 	if total := (plan.SettleS + plan.MeasureS) * float64(len(plan.Steps)); total > 110 {
 		t.Errorf("a quick run takes %v s", total)
 	}
@@ -230,7 +230,7 @@
 
 // The state service's process ends with the cause if its input ends before its settings.
 func TestStateServiceWithoutSettingsEnds(t *testing.T) {
-	err := PlayState(strings.NewReader(""), io.Discard)
+	err := ServeState(strings.NewReader(""), io.Discard)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || err.Error() != "no order came: unexpected EOF" {
 		t.Errorf("error %v", err)
 	}
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -43,9 +43,9 @@
 // statsRequest is the line that asks for statistics; any line would.
 const statsRequest = "figures"
 
-// PlayState runs a state service: it reads its settings, writes its addresses, and then writes statistics for every
+// ServeState runs a state service: it reads its settings, writes its addresses, and then writes statistics for every
 // line that it reads. It returns when its input ends.
-func PlayState(in io.Reader, out io.Writer) error {
+func ServeState(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	encoder := json.NewEncoder(out)
 	if !lines.Scan() {
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -125,7 +125,7 @@
 // runJob submits a job and polls it until it is done, or until the context ends.
 func (u *users) runJob(ctx context.Context) {
 	spec := u.nextSpec()
-	u.sim.AddJob(spec)
+	u.sim.RecordSubmission(spec)
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // a job of this package's own making
--- a/internal/lab/user.go
+++ b/internal/lab/user.go
@@ -118,7 +118,7 @@
 
 	hasStarted      bool
 	isRefused       bool
-	history         simulator.History
+	history         simulator.AnswerHistory
 	cancelRequested bool
 }
 
@@ -128,7 +128,7 @@
 
 func (u *user) arrive() {
 	u.body, _ = json.Marshal(u.spec)
-	u.balancer.sim.AddJob(u.spec)
+	u.balancer.sim.RecordSubmission(u.spec)
 	u.balancer.openJobs++
 	u.submit()
 	if u.cancel > 0 {
@@ -143,7 +143,7 @@
 		case http.StatusOK, http.StatusCreated:
 			u.acceptDelay = max(1, u.sinceArrival())
 			u.body = nil
-			u.history = simulator.History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+			u.history = simulator.AnswerHistory{ID: u.spec.ID, Tasks: u.spec.Tasks}
 			u.balancer.after(minPollInterval, u.poll)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			u.isRefused = true
--- a/internal/simulator/balancer.go
+++ b/internal/simulator/balancer.go
@@ -54,8 +54,8 @@
 	generation int // raised whenever the connection is closed
 }
 
-// Balance returns a load balancer for the controllers, whose health checks have begun.
-func (sim *Simulation) Balance() *Balancer {
+// NewBalancer returns a load balancer for the controllers, whose health checks have begun.
+func (sim *Simulation) NewBalancer() *Balancer {
 	b := &Balancer{simulation: sim}
 	for range sim.cfg.Controllers {
 		b.backends = append(b.backends, &backend{})
@@ -245,8 +245,8 @@
 	onAnswer   func(status int, state string)
 }
 
-// JobPollers returns pollers without jobs.
-func (b *Balancer) JobPollers() *JobPollers {
+// NewJobPollers returns pollers without jobs.
+func (b *Balancer) NewJobPollers() *JobPollers {
 	return &JobPollers{balancer: b, jobs: map[string]*polledJob{}}
 }
 
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -29,7 +29,7 @@
 	rng             *rand.Rand
 	spec            *jobs.Spec
 	finalStates     []string // the job's state in each final answer, in order
-	history         History
+	history         AnswerHistory
 	cancelRequested bool
 	status          int           // latest status of the submission; 0 before an answer
 	submitAt        time.Duration // time of the first submission, set in chaos runs only
@@ -55,13 +55,13 @@
 	if u.awaitsPredecessor() {
 		return
 	}
-	u.simulation.AddJob(u.spec)
+	u.simulation.RecordSubmission(u.spec)
 	body, _ := json.Marshal(u.spec)
 	var post func()
 	post = func() {
 		u.request("POST", "/v2/runs", body, func(status int, _ string) {
 			if u.status = status; u.isAccepted() {
-				u.history = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+				u.history = AnswerHistory{ID: u.spec.ID, Tasks: u.spec.Tasks}
 				u.callAccepted()
 				u.poll()
 				return
@@ -618,7 +618,7 @@
 		spec.EstimateS = 1
 		spec.Spot = false
 		body, _ := json.Marshal(spec)
-		sim.AddJob(spec)
+		sim.RecordSubmission(spec)
 		var post func()
 		post = func() {
 			at := sim.Now()
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -37,7 +37,7 @@
 	cfg.LicencePools = map[string]int{"transcribe": 12}
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 60, CPUsMax: 130}, {Name: "blue", CPUs: 60, CPUsMax: 130}}
 	cluster := startCluster(t, 43, cfg, readChaosPools)
-	balancer := cluster.Balance()
+	balancer := cluster.NewBalancer()
 	for i := range n {
 		cluster.submitLongJob(i, 20)
 	}
--- a/internal/simulator/combined_faults_test.go
+++ b/internal/simulator/combined_faults_test.go
@@ -179,7 +179,7 @@
 			t.Parallel()
 			cluster, balancer := newBusyCluster(t, 323, 3, 0)
 			cluster.SetLinkDelay(linkDelay)
-			pollers := balancer.JobPollers()
+			pollers := balancer.NewJobPollers()
 			for k := range 150 {
 				cluster.After(time.Duration(300*k)*time.Millisecond, func() {
 					user := cluster.submitLongJobWith(k, 14, func(spec *jobs.Spec) {
@@ -390,7 +390,7 @@
 		spec := arraySpec(fmt.Sprintf("req-3%05d", k), "big", "red")
 		spec.CPUs = 100
 		spec.EstimateS = 3
-		cluster.AddJob(spec)
+		cluster.RecordSubmission(spec)
 		body, _ := json.Marshal(spec)
 		cluster.Request(leader, "POST", "/v2/runs", body, func(status int, _ []byte) {
 			if status != 201 {
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -206,8 +206,8 @@
 	return controllers
 }
 
-// ControllerStep returns the name of a controller's membership state, as in its log; "" if it isn't running.
-func (sim *Simulation) ControllerStep(i int) string {
+// MembershipState returns the name of a controller's membership state, as in its log; "" if it isn't running.
+func (sim *Simulation) MembershipState(i int) string {
 	if c := sim.virtual.controllers[i]; c.process != nil {
 		return c.process.MembershipState()
 	}
@@ -224,7 +224,7 @@
 	poll = func() {
 		switch {
 		case sim.virtual.controllers[i].incarnation != incarnation:
-		case sim.ControllerStep(i) == step:
+		case sim.MembershipState(i) == step:
 			sim.KillController(i)
 			sim.env.schedule(after, func() { sim.StartController(i) })
 		default:
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -400,7 +400,7 @@
 		for key, raw := range stored {
 			var record jobs.Record
 			if strings.HasPrefix(key, jobs.RecordPrefix) && json.Unmarshal(raw, &record) == nil && record.Spec != nil {
-				cluster.AddJob((*jobs.Spec)(record.Spec))
+				cluster.RecordSubmission((*jobs.Spec)(record.Spec))
 			}
 		}
 		return cluster
@@ -470,7 +470,7 @@
 			Image:    "n",
 			ImageGB:  1,
 		}
-		cluster.AddJob(spec)
+		cluster.RecordSubmission(spec)
 		session := &testSession{
 			r: cluster,
 			InteractiveSession: &InteractiveSession{
--- a/internal/simulator/drains_test.go
+++ b/internal/simulator/drains_test.go
@@ -69,7 +69,7 @@
 		if n := len(r.StoredItem(drain.DocumentKey).Value); n < 2<<10 {
 			r.t.Fatalf("document of %d bytes, want at least 2048", n)
 		}
-		r.LowerStateLimits(1.5, 5, 20)
+		r.SetStateLimits(1.5, 5, 20)
 	case "late writes":
 		r.DelayWrites(0.3, 500*time.Millisecond, 4*time.Second)
 		r.After(20*time.Second, func() { r.DelayWrites(0, 0, 0) })
--- a/internal/simulator/fault_pairs_test.go
+++ b/internal/simulator/fault_pairs_test.go
@@ -96,7 +96,7 @@
 		return []string{err.Error()}, 0
 	}
 	sim.Play(script, func(Fault) {})
-	pollers := sim.Balance().JobPollers()
+	pollers := sim.NewBalancer().NewJobPollers()
 	users := m.scheduleUsers(sim, pollers)
 	sim.watchActingLeaders()
 	// All faults have ended by faultsEnd.
--- a/internal/simulator/interactive_session.go
+++ b/internal/simulator/interactive_session.go
@@ -66,8 +66,8 @@
 	recordedCheckpoint  string                     // checkpoint that the controllers have recorded
 }
 
-// InteractiveSession returns a session of a user. The session isn't open yet.
-func (sim *Simulation) InteractiveSession(spec *jobs.Spec, user string) *InteractiveSession {
+// NewInteractiveSession returns a session of a user. The session isn't open yet.
+func (sim *Simulation) NewInteractiveSession(spec *jobs.Spec, user string) *InteractiveSession {
 	session := &InteractiveSession{
 		Spec:       spec,
 		User:       user,
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -46,7 +46,7 @@
 	spec.Tasks = 1 + n%2
 	spec.ImageGB = 0.1
 	spec.EstimateS = 0.5 + m.rng.Float64()
-	m.AddJob(spec)
+	m.RecordSubmission(spec)
 	body, _ := json.Marshal(spec)
 	m.pending++
 	var again func()
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -18,7 +18,7 @@
 // users' requests to the controllers.
 func newSteadyCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
 	cluster := newWideCluster(t, seed, controllers)
-	balancer := cluster.Balance()
+	balancer := cluster.NewBalancer()
 	cluster.submitSmallJobs(24, 20)
 	cluster.submitJobs(60 * time.Second)
 	cluster.waitForLoad()
@@ -28,7 +28,7 @@
 
 // startPolling polls the states of the first 24 users' jobs through the balancer from now on.
 func (r *testCluster) startPolling(balancer *Balancer) *JobPollers {
-	pollers := balancer.JobPollers()
+	pollers := balancer.NewJobPollers()
 	for _, user := range r.users[:24] {
 		pollers.Follow(user.spec.ID, nil)
 	}
--- a/internal/simulator/pipelines_cascade_test.go
+++ b/internal/simulator/pipelines_cascade_test.go
@@ -126,6 +126,6 @@
 	t.Helper()
 	cluster := newPipelineCluster(t, 641)
 	limits := cluster.state.initialLimits
-	cluster.LowerStateLimits(limits.ValueKB, cascadeTxnOps, limits.WriteRPS)
+	cluster.SetStateLimits(limits.ValueKB, cascadeTxnOps, limits.WriteRPS)
 	return cluster
 }
--- a/internal/simulator/pipelines_checks_test.go
+++ b/internal/simulator/pipelines_checks_test.go
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	for _, spec := range specs {
-		sim.AddJob(spec)
+		sim.RecordSubmission(spec)
 	}
 	return sim
 }
@@ -148,7 +148,7 @@
 	first, second, third := chainOfThree()
 	sim := newPipelineChecks(t, first, second)
 	receiveCancelled(sim, first.ID)
-	sim.AddJob(third)
+	sim.RecordSubmission(third)
 	sim.Advance(jobs.Seconds(sim.cfg.Workers.CancelS))
 	receive(sim, second.ID, statePending)
 	receive(sim, third.ID, stateRunning)
@@ -224,13 +224,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(sim.Close)
-	sim.AddJob(first)
-	sim.AddJob(second)
+	sim.RecordSubmission(first)
+	sim.RecordSubmission(second)
 	longAgo := sim.Now() - jobs.Seconds(sim.cfg.Workers.CancelS) - time.Second
 	sim.mu.Lock()
 	sim.recordSuccessorsCancelled(first.ID, longAgo)
 	sim.mu.Unlock()
-	sim.CheckAnswer(&History{ID: second.ID, Tasks: second.Tasks}, http.StatusOK, statePending, false)
+	sim.CheckAnswer(&AnswerHistory{ID: second.ID, Tasks: second.Tasks}, http.StatusOK, statePending, false)
 	wantViolations(t, sim, "orphaned", 1)
 }
 
@@ -254,7 +254,7 @@
 // no user requested the cancellation of this job.
 func checkCancelledAnswer(sim *Simulation, spec *jobs.Spec) {
 	receive(sim, spec.ID, stateCancelled)
-	sim.CheckAnswer(&History{ID: spec.ID, Tasks: spec.Tasks}, http.StatusOK, stateCancelled, false)
+	sim.CheckAnswer(&AnswerHistory{ID: spec.ID, Tasks: spec.Tasks}, http.StatusOK, stateCancelled, false)
 }
 
 // TestCancelledForNoReasonIsReported requests the cancellation of the second job of a chain. An answer that calls the
--- a/internal/simulator/pipelines_test.go
+++ b/internal/simulator/pipelines_test.go
@@ -209,7 +209,7 @@
 // wantAcceptedAt checks that a controller accepts the submission of a user's job.
 func (r *testCluster) wantAcceptedAt(controller int, user *testUser) {
 	r.t.Helper()
-	r.AddJob(user.spec)
+	r.RecordSubmission(user.spec)
 	if status, _ := r.submitAt(controller, user.spec); !isAcceptance(status) {
 		r.t.Errorf("%v, controller %d: got status %d for a submission, want 200 or 201", r.Now(), controller, status)
 	}
@@ -382,7 +382,7 @@
 // submitWithoutUser submits a job that no user queries.
 func (r *testCluster) submitWithoutUser(spec *jobs.Spec) {
 	r.t.Helper()
-	r.AddJob(spec)
+	r.RecordSubmission(spec)
 	status := 0
 	body := submission(r.t, spec)
 	for range 30 {
@@ -402,7 +402,7 @@
 	strikes := map[string]func(cluster *testCluster){
 		"no fault":             func(*testCluster) {},
 		"leader killed":        controllerFaults["leader killed"],
-		"smaller transactions": func(cluster *testCluster) { cluster.LowerStateLimits(2, 8, 60) },
+		"smaller transactions": func(cluster *testCluster) { cluster.SetStateLimits(2, 8, 60) },
 	}
 	for name, strike := range strikes {
 		t.Run(name, func(t *testing.T) {
@@ -495,7 +495,7 @@
 	cluster.waitUntilAccepted(known)
 	unknown := cluster.addUser()
 	follower := cluster.addUser(known, unknown)
-	cluster.AddJob(follower.spec)
+	cluster.RecordSubmission(follower.spec)
 	for range 2 {
 		for i := range cluster.Controllers() {
 			if status, _ := cluster.submitAt(i, follower.spec); status != http.StatusUnprocessableEntity {
@@ -553,7 +553,7 @@
 			cluster.StallWatches(stale, true)
 			cluster.waitUntilArchived(head)
 			follower := cluster.addUser(head)
-			cluster.AddJob(follower.spec)
+			cluster.RecordSubmission(follower.spec)
 			status := 0
 			body := submission(t, follower.spec)
 			cluster.Request(stale, http.MethodPost, runsPath, body, func(got int, _ []byte) { status = got })
@@ -576,7 +576,7 @@
 	head := cluster.addUser()
 	follower := cluster.addUser(head)
 	for _, user := range cluster.users {
-		cluster.AddJob(user.spec)
+		cluster.RecordSubmission(user.spec)
 	}
 	delayed := 0
 	cluster.InterceptTxns(func(_ int, txn store.Txn) TxnOutcome {
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -203,7 +203,7 @@
 	head.submit()
 	cluster.waitUntilAccepted(head)
 	follower := cluster.addUser(head)
-	cluster.AddJob(follower.spec)
+	cluster.RecordSubmission(follower.spec)
 	body := submission(t, follower.spec)
 	former := (cluster.waitForLeader() + 1) % cluster.Controllers()
 	cluster.forOthers(former, func(i int) {
--- a/internal/simulator/random_partial_faults_test.go
+++ b/internal/simulator/random_partial_faults_test.go
@@ -205,7 +205,7 @@
 	run := &partialFaultRun{testCluster: cluster, draws: rand.New(rand.NewPCG(seed, 77))}
 	run.SetNetwork(time.Duration(1+run.draws.IntN(15))*time.Millisecond, 0.01, 0.01, 8*time.Second)
 	run.DuplicateMessages(0.1*run.draws.Float64(), time.Second, 30*time.Second)
-	run.pollers = run.Balance().JobPollers()
+	run.pollers = run.NewBalancer().NewJobPollers()
 	run.submitJobs(duration)
 	return run
 }
--- a/internal/simulator/script.go
+++ b/internal/simulator/script.go
@@ -20,8 +20,8 @@
 	VirtualTimeOnly bool
 }
 
-// FaultWords returns the names of all faults in scripts, each followed by its arguments, sorted by name.
-func FaultWords() []string {
+// FaultUsages returns the names of all faults in scripts, each followed by its arguments, sorted by name.
+func FaultUsages() []string {
 	placeholders := strings.NewReplacer(
 		string(argController), "CONTROLLER ",
 		string(argCount), "COUNT ",
@@ -101,7 +101,7 @@
 	name, values := fields[1], fields[2:]
 	kind, ok := faultKinds[name]
 	if !ok {
-		return Fault{}, fmt.Errorf("%w; the faults are %s", errUnknownFault, strings.Join(FaultWords(), ", "))
+		return Fault{}, fmt.Errorf("%w; the faults are %s", errUnknownFault, strings.Join(FaultUsages(), ", "))
 	}
 	if len(values) != len(kind.args) {
 		return Fault{}, &argumentCountError{fault: name, want: len(kind.args)}
--- a/internal/simulator/state/http.go
+++ b/internal/simulator/state/http.go
@@ -115,7 +115,7 @@
 
 func (s *Service) serveWatch(query url.Values) httpio.Response {
 	after, _ := strconv.ParseUint(query.Get("since"), 10, 64)
-	events, ok := s.Since(query.Get("starts"), after)
+	events, ok := s.ChangesSince(query.Get("starts"), after)
 	if !ok {
 		return respond(http.StatusGone, nil)
 	}
--- a/internal/simulator/state/state.go
+++ b/internal/simulator/state/state.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Since returns the changes of keys with a prefix after a revision. It returns false if the history no longer contains
-// all of them.
-func (s *Service) Since(prefix string, after uint64) (events []store.Event, ok bool) {
+// ChangesSince returns the changes of keys with a prefix after a revision. It returns false if the history no longer
+// contains all of them.
+func (s *Service) ChangesSince(prefix string, after uint64) (events []store.Event, ok bool) {
 	if after < s.CompactedRevision {
 		return nil, false
 	}
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -65,7 +65,7 @@
 					}
 					cluster.Advance(20 * time.Second)
 					loweredAt := cluster.Now()
-					cluster.LowerStateLimits(limits.ValueKB, limits.TxnOps, limits.WriteRPS)
+					cluster.SetStateLimits(limits.ValueKB, limits.TxnOps, limits.WriteRPS)
 					begin(cluster)
 					cluster.Advance(30 * time.Second)
 					if gap := cluster.LongestStartGap(loweredAt+14*time.Second, loweredAt+30*time.Second); gap > 6*time.Second {
--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -52,9 +52,9 @@
 	sim.state.refused[controller] = on
 }
 
-// LowerStateLimits changes the state service's limits without notifying the controllers; 0 leaves a limit unchanged.
+// SetStateLimits changes the state service's limits without notifying the controllers; 0 leaves a limit unchanged.
 // Stored values above a new limit stay readable.
-func (sim *Simulation) LowerStateLimits(valueKB float64, txnOps int, writeRPS float64) {
+func (sim *Simulation) SetStateLimits(valueKB float64, txnOps int, writeRPS float64) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	limits := &sim.cfg.State
@@ -75,10 +75,10 @@
 func (sim *Simulation) SetSmallLimits(on bool) {
 	initial := sim.state.initialLimits
 	if on {
-		sim.LowerStateLimits(smallValueKB, smallTxnOps, smallWriteRateShare*initial.WriteRPS)
+		sim.SetStateLimits(smallValueKB, smallTxnOps, smallWriteRateShare*initial.WriteRPS)
 		return
 	}
-	sim.LowerStateLimits(initial.ValueKB, initial.TxnOps, initial.WriteRPS)
+	sim.SetStateLimits(initial.ValueKB, initial.TxnOps, initial.WriteRPS)
 }
 
 // CountKeys returns the number of stored keys with a prefix.
@@ -250,7 +250,7 @@
 		sim.env.schedule(stalledWatchPoll, w.poll)
 		return
 	}
-	events, ok := sim.state.service.Since(w.prefix, w.since)
+	events, ok := sim.state.service.ChangesSince(w.prefix, w.since)
 	revision := sim.state.service.Revision
 	switch {
 	case !ok:
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -179,7 +179,7 @@
 			continue
 		}
 		if record, ok := pendingRecord(raw); ok {
-			sim.AddJob((*jobs.Spec)(record.Spec))
+			sim.RecordSubmission((*jobs.Spec)(record.Spec))
 			if record.Spec.Kind != jobs.Service {
 				pendingJobs++
 			}
--- a/internal/simulator/user_answers.go
+++ b/internal/simulator/user_answers.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// AddJob records the submission of a job. Workers look up the specification in this record.
-func (sim *Simulation) AddJob(spec *jobs.Spec) {
+// RecordSubmission records the submission of a job. Workers look up the specification in this record.
+func (sim *Simulation) RecordSubmission(spec *jobs.Spec) {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	if sim.records.specs[spec.ID] == nil {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -41,8 +41,8 @@
 	retries         int               // number of submissions that were repeated
 }
 
-// Users returns simulated users without jobs. The seed determines the order in which they choose controllers.
-func (sim *Simulation) Users(seed uint64) *Users {
+// NewUsers returns simulated users without jobs. The seed determines the order in which they choose controllers.
+func (sim *Simulation) NewUsers(seed uint64) *Users {
 	return &Users{
 		simulation:      sim,
 		client:          newUserClient(),
@@ -82,7 +82,7 @@
 // Submit submits a job and retries for up to a minute. If the job is accepted, it is polled until the job or the
 // simulation ends. Submit returns the status by which the job was accepted or rejected, 0 if there was none.
 func (u *Users) Submit(spec *jobs.Spec) int {
-	u.simulation.AddJob(spec)
+	u.simulation.RecordSubmission(spec)
 	body, _ := json.Marshal(spec)
 	for end := time.Now().Add(maxRetryTime); time.Now().Before(end); time.Sleep(submitRetry) {
 		status, _ := u.call(http.MethodPost, runsPath, body)
@@ -131,7 +131,7 @@
 // follow polls a job until it has ended, and then a few more times to check that its final state doesn't change.
 func (u *Users) follow(spec *jobs.Spec) {
 	defer u.pollers.Done()
-	history := History{ID: spec.ID, Tasks: spec.Tasks}
+	history := AnswerHistory{ID: spec.ID, Tasks: spec.Tasks}
 	for {
 		select {
 		case <-u.simulation.closing:
@@ -156,8 +156,8 @@
 	}
 }
 
-// History summarizes the answers that one user received about a job.
-type History struct {
+// AnswerHistory summarizes the answers that one user received about a job.
+type AnswerHistory struct {
 	ID           string
 	Tasks        int
 	Final        string // final state received: "done", "cancelled", or "" for none yet
@@ -167,7 +167,7 @@
 // CheckAnswer adds an answer to a history and records the rules that the answer breaks. An accepted job must not be
 // lost, and its final state must not change. A job is done only if its tasks are, and it is cancelled only after a
 // user requested the cancellation of the job or of one of its predecessors.
-func (sim *Simulation) CheckAnswer(history *History, status int, state string, cancelRequested bool) {
+func (sim *Simulation) CheckAnswer(history *AnswerHistory, status int, state string, cancelRequested bool) {
 	switch {
 	case status == http.StatusNotFound:
 		sim.ReportViolation("forgotten: %s is answered 404 after it was accepted", history.ID)
