--- a/internal/allocation/shard_quota_model_test.go
+++ b/internal/allocation/shard_quota_model_test.go
@@ -20,11 +20,11 @@
 
 const (
 	allGuards              guard = ""
-	guardLargerOnceDurable guard = "larger share once durable"
-	guardSmallerAtOnce     guard = "smaller share at once"
-	guardIndeterminate     guard = "smaller share while indeterminate"
-	guardVersion           guard = "document version"
-	guardLeadership        guard = "leadership"
+	guardLargerOnceDurable guard = "a larger share applies only once it is durable"
+	guardSmallerAtOnce     guard = "a smaller share applies when it is requested"
+	guardIndeterminate     guard = "the smaller share applies while the outcome is indeterminate"
+	guardVersion           guard = "a change depends on the version of the document"
+	guardLeadership        guard = "a change depends on the leadership of its sender"
 )
 
 // changeInFlight is a change that was sent and may be written.
--- a/internal/api/accesscontrol_test.go
+++ b/internal/api/accesscontrol_test.go
@@ -21,7 +21,8 @@
 		leader := LeaderAPI{OperatorToken: c.configured}
 		err := leader.checkOperatorToken(c.token, c.remoteIP)
 		if !errors.Is(err, c.want) || (err != nil && err.Error() == "") {
-			t.Errorf("%+v: got error %v", c, err)
+			t.Errorf("configured %q, token %q, remote IP %q: got error %v, want %v with a non-empty text",
+				c.configured, c.token, c.remoteIP, err, c.want)
 		}
 	}
 }
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -117,8 +117,8 @@
 }
 
 // archiveElsewhere archives a job at the state service, as another controller does.
-func (s *testService) archiveElsewhere(id string, answer archive.Entry) {
-	s.state.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(answer)}})
+func (s *testService) archiveElsewhere(id string, entry archive.Entry) {
+	s.state.Apply([]store.Op{{Delete: jobs.RecordKey(id)}, {Put: archive.Key(id), Value: archive.Encode(entry)}})
 }
 
 // ignoreRecords makes the Service ignore the records that it reads and writes, as if the watch had already delivered
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -36,11 +36,11 @@
 		}
 		return s.jobReply(job, withCounts), true
 	}
-	answer, ok := s.Archive.Cached(id)
+	entry, ok := s.Archive.Cached(id)
 	if !ok {
 		return Reply{}, false
 	}
-	return archivedReply(id, answer, withCounts), true
+	return archivedReply(id, entry, withCounts), true
 }
 
 // replyWithoutRead returns the reply to a status query or cancellation if no read is needed: the id is invalid, this
@@ -116,21 +116,21 @@
 
 // findArchived searches for a job's archived answer, after its record was read as absent.
 func (s *Service) findArchived(id string, priority store.Priority, done func(searchResult)) {
-	s.Archive.Find(id, priority, func(answer archive.Entry, archived bool, err error) {
-		done(s.resultWithoutRecord(id, answer, archived, err))
+	s.Archive.Find(id, priority, func(entry archive.Entry, archived bool, err error) {
+		done(s.resultWithoutRecord(id, entry, archived, err))
 	})
 }
 
 // resultWithoutRecord returns the result of a search that found no record. A job that was accepted in the meantime is
 // in the job table.
-func (s *Service) resultWithoutRecord(id string, answer archive.Entry, archived bool, err error) searchResult {
+func (s *Service) resultWithoutRecord(id string, entry archive.Entry, archived bool, err error) searchResult {
 	switch job := s.Jobs.Get(id); {
 	case errors.Is(err, archive.ErrUnreadable):
 		return undecidedResult(unreadableRecord)
 	case err != nil:
 		return undecidedResult(stateServiceUnavailable)
 	case archived:
-		return searchResult{kind: inArchive, answer: answer}
+		return searchResult{kind: inArchive, answer: entry}
 	case job != nil:
 		return inTableResult(job)
 	default:
--- a/internal/api/predecessors.go
+++ b/internal/api/predecessors.go
@@ -75,8 +75,8 @@
 	if job := s.Jobs.Get(id); job != nil {
 		return job.State, true
 	}
-	answer, ok := s.Archive.Cached(id)
-	return answer.State, ok
+	entry, ok := s.Archive.Cached(id)
+	return entry.State, ok
 }
 
 // readPredecessor searches for a predecessor that isn't in memory and continues the check.
--- a/internal/api/reply.go
+++ b/internal/api/reply.go
@@ -56,11 +56,11 @@
 }
 
 // archivedReply returns the reply that describes an archived job, with the counts of its tasks if withCounts is set.
-func archivedReply(id string, answer archive.Entry, withCounts bool) Reply {
-	body := jobBody{ID: id, State: answer.State.String()}
+func archivedReply(id string, entry archive.Entry, withCounts bool) Reply {
+	body := jobBody{ID: id, State: entry.State.String()}
 	if withCounts {
 		running := 0
-		body.Done = &answer.Done
+		body.Done = &entry.Done
 		body.Running = &running
 	}
 	return Reply{Status: http.StatusOK, Body: body}
--- a/internal/api/service_test.go
+++ b/internal/api/service_test.go
@@ -100,7 +100,7 @@
 	oversized := newSpec(9)
 	oversized.Class = strings.Repeat("c", 9<<10)
 	if reply := newTestService(state.New()).submit(t, oversized); reply.Status != 422 {
-		t.Fatalf("record larger than MaxValue: got %+v, want 422", reply)
+		t.Fatalf("record larger than MaxRecordBytes: got %+v, want 422", reply)
 	}
 	replies := map[int]int{}
 	small := newTestService(state.New())
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -1,9 +1,9 @@
 // Package archive stores ended jobs as small entries outside the keys that every controller follows with a watch. The
 // memory of a controller, its watch and its reads at startup therefore depend only on live and recently ended jobs.
 //
-// An ended job is stored in exactly one of two places: as its record under jobs.Prefix, or as its archive entry under
-// Prefix. One transaction moves it to the archive, and no transaction moves it back. The entry's key follows from the
-// job's id, so an entry is found with one read and there is no index. Two rules follow for all other packages:
+// An ended job is stored in exactly one of two places: as its record under jobs.RecordPrefix, or as its archive entry
+// under Prefix. One transaction moves it to the archive, and no transaction moves it back. The entry's key follows from
+// the job's id, so an entry is found with one read and there is no index. Two rules follow for all other packages:
 //
 //   - A write that creates a job's record depends on the absence of both the record's key and the entry's key. The
 //     transaction of a first submission thus fails if it arrives after the job has ended and was moved, no matter how
--- a/internal/archive/mover.go
+++ b/internal/archive/mover.go
@@ -105,13 +105,13 @@
 	return m
 }
 
-// State returns the state of the mover.
+// State returns the state of the archiver.
 func (m *Archiver) State() State { return m.state }
 
 // maxBatch returns the maximum number of jobs in a batch, given the limit on changes in a transaction.
 func (m *Archiver) maxBatch() int { return min(maxBatchJobs, m.env.TxnOps/opsPerMove) }
 
-// Tick sends a batch if the mover is idle and CanWrite allows it. candidates are the jobs that may be moved, ordered
+// Tick sends a batch if the archiver is idle and CanWrite allows it. candidates are the jobs that may be moved, ordered
 // by the time of their end. hasBacklog tells whether some have been waiting for more than twice their retention time.
 func (m *Archiver) Tick(now time.Duration, hasBacklog bool, candidates iter.Seq[Candidate]) {
 	if m.state == Waiting && now >= m.pausedUntil {
--- a/internal/archive/mover_test.go
+++ b/internal/archive/mover_test.go
@@ -9,8 +9,8 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// moverTest is an Archiver with a simulated clock, its candidates and a record of the transactions that it sent.
-type moverTest struct {
+// archiverTest holds an Archiver, a simulated clock, the candidates and the transactions that the Archiver sent.
+type archiverTest struct {
 	*Archiver
 	now        time.Duration
 	sent       []store.Txn
@@ -20,8 +20,8 @@
 	isBusy     bool // whether CanWrite forbids all writes
 }
 
-func newMoverTest(txnOps, candidates int) *moverTest {
-	m := &moverTest{}
+func newArchiverTest(txnOps, candidates int) *archiverTest {
+	m := &archiverTest{}
 	m.Archiver = NewArchiver(Env{
 		Now:        func() time.Duration { return m.now },
 		TxnOps:     txnOps,
@@ -45,7 +45,7 @@
 
 // tickAfter advances the clock by delay and calls Tick. It returns the number of jobs in the batch that Tick sent, and
 // 0 if it sent none.
-func (m *moverTest) tickAfter(delay time.Duration) int {
+func (m *archiverTest) tickAfter(delay time.Duration) int {
 	m.now += delay
 	before := len(m.sent)
 	m.Tick(m.now, false, slices.Values(m.candidates))
@@ -59,7 +59,7 @@
 // writes within the share of the state service's write rate.
 func TestBatchesStayWithinWriteShare(t *testing.T) {
 	const firstBatch = 12 // a transaction of 24 changes moves 12 jobs
-	m := newMoverTest(24, firstBatch+4)
+	m := newArchiverTest(24, firstBatch+4)
 	if n := m.tickAfter(0); n != firstBatch || m.State() != Moving {
 		t.Fatalf("%d jobs in the first batch, state %s; want 12 and moving", n, m.State())
 	}
@@ -93,7 +93,7 @@
 		{"no write allowed", 24, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newMoverTest(c.txnOps, 12)
+			m := newArchiverTest(c.txnOps, 12)
 			m.isBusy = c.isBusy
 			if got := m.tickAfter(0); got != c.want {
 				t.Errorf("batch of %d jobs, want %d", got, c.want)
@@ -105,7 +105,7 @@
 // After a rejected batch the next one has half the size, because the service's limits may have shrunk. After a
 // committed batch the next one may have one job more.
 func TestRejectedBatchesShrink(t *testing.T) {
-	m := newMoverTest(16, 12)
+	m := newArchiverTest(16, 12)
 	var sizes []int
 	for range 5 {
 		sizes = append(sizes, m.tickAfter(time.Minute))
@@ -124,7 +124,7 @@
 // After a conflict the jobs with failed conditions are backed off, and the other jobs of the batch are sent again.
 // ForgetBackoff deletes the backoff of a job.
 func TestConflictingJobsAreBackedOff(t *testing.T) {
-	m := newMoverTest(24, 3)
+	m := newArchiverTest(24, 3)
 	m.tickAfter(0)
 	m.done(store.Result{Outcome: store.Conflict, FailedKeys: []string{Key("req-b")}})
 	if n := m.tickAfter(failureBackoff); n != 2 {
@@ -144,7 +144,7 @@
 // A batch with an indeterminate outcome is sent again with the same conditions, so that at most one of the two is
 // committed.
 func TestIndeterminateBatchIsRetried(t *testing.T) {
-	m := newMoverTest(24, 1)
+	m := newArchiverTest(24, 1)
 	m.tickAfter(0)
 	m.done(store.Result{Outcome: store.Indeterminate})
 	if m.tickAfter(failureBackoff/2) != 0 || m.tickAfter(failureBackoff) != 1 {
--- a/internal/archive/reader.go
+++ b/internal/archive/reader.go
@@ -20,7 +20,7 @@
 type Reader struct {
 	store Store
 	cache *lru.Cache[string, Entry]
-	// OnUnreadable is called for each stored entry that can't be decoded, Readable for each that was decoded. Either may
+	// OnUnreadable is called for each stored entry that can't be decoded, OnReadable for each that was decoded. Either may
 	// be nil.
 	OnUnreadable func(key string, raw json.RawMessage, cause error)
 	OnReadable   func(key string)
--- a/internal/archive/reader_test.go
+++ b/internal/archive/reader_test.go
@@ -76,7 +76,7 @@
 
 	client.items[Key("req-9")] = store.Item{Value: json.RawMessage(`{"v":9}`), Version: 6}
 	if _, found, err := find(r, "req-9"); found || !errors.Is(err, ErrUnreadable) || unreadable != 1 {
-		t.Errorf("unreadable entry: found %v, error %v, Unreadable called %d times; want ErrUnreadable and one call",
+		t.Errorf("unreadable entry: found %v, error %v, OnUnreadable called %d times; want ErrUnreadable and one call",
 			found, err, unreadable)
 	}
 	client.err = errors.New("no response")
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -65,8 +65,8 @@
 	plan.addMachines()
 	plan.addBoots()
 	m.updateAtLimit(plan.machines)
-	for _, need := range m.Fleet.Demand(now) {
-		plan.pack(need)
+	for _, demand := range m.Fleet.Demand(now) {
+		plan.pack(demand)
 	}
 	return plan
 }
@@ -131,15 +131,15 @@
 }
 
 // pack places the tasks of a need on the planned machines, and adds machines for the tasks that don't fit.
-func (p *scaleOutPlan) pack(need fleet.TaskDemand) {
-	secondsPerTask := min(max(need.Seconds, 1), p.horizonS)
-	if need.StartTogether {
+func (p *scaleOutPlan) pack(demand fleet.TaskDemand) {
+	secondsPerTask := min(max(demand.Seconds, 1), p.horizonS)
+	if demand.StartTogether {
 		secondsPerTask = p.horizonS
 	}
-	taskWork := need.Job.Spec.Size().Scale(secondsPerTask)
-	spread := p.manager.zoneSpread(need.Job)
-	remaining := p.packBins(need.Job, need.Tasks, taskWork, spread)
-	p.packNewMachines(need.Job, remaining, taskWork, spread)
+	taskWork := demand.Job.Spec.Size().Scale(secondsPerTask)
+	spread := p.manager.zoneSpread(demand.Job)
+	remaining := p.packBins(demand.Job, demand.Tasks, taskWork, spread)
+	p.packNewMachines(demand.Job, remaining, taskWork, spread)
 }
 
 // packBins places tasks on the planned machines and returns how many tasks remain. taskWork is the work of one task, in
--- a/internal/capacity/zones.go
+++ b/internal/capacity/zones.go
@@ -10,12 +10,13 @@
 	"github.com/harewalk/harewalk/internal/zones"
 )
 
-// zoneSilenceFactor is the part of the silence limit for machines after which a machine counts as silent for its zone.
-// A zone has to be found lost well before its first machine is returned: otherwise many would be returned by then.
+// zoneSilenceFactor is the part of the silence limit for machines after which a machine counts as long unreachable in
+// its zone. A zone has to be found lost well before its first machine is returned: otherwise many would be returned by
+// then.
 const zoneSilenceFactor = 0.6
 
-// HeartbeatOverdueLimit returns how long after its last heartbeat a machine counts as quiet: the next heartbeat is then
-// overdue by 30% of the heartbeat interval plus a second.
+// HeartbeatOverdueLimit returns how long after its last heartbeat a machine counts as unreachable: the next heartbeat
+// is then overdue by 30% of the heartbeat interval plus a second.
 func (m *Manager) HeartbeatOverdueLimit() time.Duration {
 	return jobs.Seconds(1.3*m.Settings.Params.Workers.HeartbeatIntervalS + 1)
 }
@@ -46,10 +47,10 @@
 	return now - max(machine.LastContactAt, m.authoritySince)
 }
 
-// countByZone counts the machines of each zone, and how many of them are quiet or silent.
+// countByZone counts the machines of each zone, and how many of them are unreachable or long unreachable.
 func (m *Manager) countByZone(now time.Duration) map[int32]zones.Count {
-	silentLimit := jobs.Seconds(m.Settings.Operator.MachineSilenceTimeoutS * zoneSilenceFactor)
-	quietLimit := m.HeartbeatOverdueLimit()
+	longUnreachableLimit := jobs.Seconds(m.Settings.Operator.MachineSilenceTimeoutS * zoneSilenceFactor)
+	unreachableLimit := m.HeartbeatOverdueLimit()
 	counts := map[int32]zones.Count{}
 	for _, machine := range m.Fleet.Machines() {
 		if machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
@@ -58,10 +59,10 @@
 		count := counts[machine.Zone]
 		count.Machines++
 		switch silence := m.observedSilence(now, machine); {
-		case silence > silentLimit:
+		case silence > longUnreachableLimit:
 			count.LongUnreachable++
 			count.Unreachable++
-		case silence > quietLimit:
+		case silence > unreachableLimit:
 			count.Unreachable++
 		}
 		counts[machine.Zone] = count
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -14,9 +14,9 @@
 	// ProbationS is how long a returned zone has to stay reachable before it counts as healthy, in seconds. The time
 	// doubles with each flap, up to maxProbation. 0 means two heartbeat intervals.
 	ProbationS float64 `hcl:"prove_s,optional" validate:"gte=0"`
-	// FlapForgivenessS is the healthy time after which the number of flaps decreases by one, in seconds; 0 means ten
+	// FlapDecayTimeS is the healthy time after which the number of flaps decreases by one, in seconds; 0 means ten
 	// times lease_s.
-	FlapForgivenessS float64 `hcl:"calm_s,optional" validate:"gte=0"`
+	FlapDecayTimeS float64 `hcl:"calm_s,optional" validate:"gte=0"`
 }
 
 // Zones holds the derived times for zone health, as the fields of zones.Config with the same names.
@@ -33,9 +33,9 @@
 
 // Defaults of ZoneSettings.
 const (
-	returnGraceTimeouts   = 2  // times silent_s
-	probationHeartbeats   = 2  // times report_s
-	flapForgivenessLeases = 10 // times lease_s
+	returnGraceTimeouts = 2  // ReturnGrace in multiples of silent_s
+	probationHeartbeats = 2  // ProbationTime in multiples of report_s
+	flapDecayLeases     = 10 // FlapDecayTime in multiples of lease_s
 )
 
 // Zones returns the times for zone health, derived from the operators' settings and the workers' timing.
@@ -49,7 +49,7 @@
 	return Zones{
 		ReturnGrace:   durationOr(operator.ReturnGraceS, jobs.Seconds(returnGraceTimeouts*silenceTimeoutS)),
 		ProbationTime: durationOr(operator.ProbationS, jobs.Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
-		FlapDecayTime: durationOr(operator.FlapForgivenessS, jobs.Seconds(flapForgivenessLeases*workers.LeaseS)),
+		FlapDecayTime: durationOr(operator.FlapDecayTimeS, jobs.Seconds(flapDecayLeases*workers.LeaseS)),
 		MaxProbation:  maxProbation,
 	}
 }
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -42,8 +42,8 @@
 
 // newestJobFormat returns the newest format of job records that a release with the given highest level reads.
 func newestJobFormat(level rollout.Level) int {
-	format, _ := rollout.RecordKindOf(jobs.RecordPrefix)
-	return format.FormatAtLevel(level)
+	kind, _ := rollout.RecordKindOf(jobs.RecordPrefix)
+	return kind.FormatAtLevel(level)
 }
 
 // recordRolloutState adds a change of the rollout's state to the leader's events.
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -339,7 +339,8 @@
 	job := h.table.Get(id)
 	state := h.model.state(id)
 	if job.Blocked != (state == Blocked || state == CancelPending) || job.CancelPending != (state == CancelPending) {
-		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and Doomed %v", id, state, job.Blocked, job.CancelPending)
+		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and CancelPending %v",
+			id, state, job.Blocked, job.CancelPending)
 	}
 	if want := h.model.viewOf(id).releasedAt; job.ReleasedAt != want {
 		h.t.Fatalf("%s released at %v, want %v", id, job.ReleasedAt, want)
--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -80,8 +80,8 @@
 	if got := g.rankedIDs(); !slices.Equal(got, []string{first.ID}) {
 		t.Errorf("got ranked jobs %v, want only the predecessor", got)
 	}
-	for _, need := range g.Demand(g.now) {
-		if need.Job == last {
+	for _, demand := range g.Demand(g.now) {
+		if demand.Job == last {
 			t.Error("got demand for machines from a blocked job, want none")
 		}
 	}
--- a/internal/fleet/licencepreempt.go
+++ b/internal/fleet/licencepreempt.go
@@ -71,9 +71,9 @@
 
 // unitsOfPool returns how many units of a pool each task of a job needs.
 func unitsOfPool(job *jobs.Job, pool int32) int {
-	for _, unit := range job.LicenceUnits {
-		if unit.Pool == pool {
-			return unit.Units
+	for _, requirement := range job.LicenceUnits {
+		if requirement.Pool == pool {
+			return requirement.Units
 		}
 	}
 	return 0
@@ -157,23 +157,23 @@
 		maxWaitS = f.maxWaitSeconds(now, job)
 	}
 	var victims []poolHolders
-	for _, unit := range job.LicenceUnits {
-		missing := f.Gate.Licences.Shortage(unit, needed)
+	for _, requirement := range job.LicenceUnits {
+		missing := f.Gate.Licences.Shortage(requirement, needed)
 		if missing == 0 {
 			continue
 		}
-		holders, stoppingUnits := f.licenceHolders(now, unit.Pool, func(victim *jobs.Job) bool {
-			return f.mayPreempt(job, victim) || (guaranteed && f.exceedsLicenceGuarantee(victim, job.Team, unit.Pool))
+		holders, stoppingUnits := f.licenceHolders(now, requirement.Pool, func(victim *jobs.Job) bool {
+			return f.mayPreempt(job, victim) || (guaranteed && f.exceedsLicenceGuarantee(victim, job.Team, requirement.Pool))
 		})
 		missing -= stoppingUnits
 		if missing <= 0 {
 			continue
 		}
 		chosen := firstHolders(holders, missing)
-		if chosen == nil || f.secondsUntilHolderEnds(now, unit.Pool) < maxWaitS {
+		if chosen == nil || f.secondsUntilHolderEnds(now, requirement.Pool) < maxWaitS {
 			return
 		}
-		victims = append(victims, poolHolders{unit.Pool, chosen})
+		victims = append(victims, poolHolders{requirement.Pool, chosen})
 	}
 	for _, victim := range victims {
 		f.preemptedAt[job.Index] = now
--- a/internal/licences/allocation.go
+++ b/internal/licences/allocation.go
@@ -27,13 +27,13 @@
 // Fits returns Granted and -1 if all of a number of further tasks may get their units now. If not, it returns the
 // denial and the index of the pool that causes it.
 func (l *Ledger) Fits(team int32, needs []Requirement, tasks int) (Denial, int32) {
-	for _, unit := range needs {
-		pool := l.pool(unit.Pool)
+	for _, requirement := range needs {
+		pool := l.pool(requirement.Pool)
 		if pool == nil {
-			return UnknownPool, unit.Pool
+			return UnknownPool, requirement.Pool
 		}
-		if denial := pool.fits(team, unit.Units*tasks); denial != Granted {
-			return denial, unit.Pool
+		if denial := pool.fits(team, requirement.Units*tasks); denial != Granted {
+			return denial, requirement.Pool
 		}
 	}
 	return Granted, noPool
@@ -72,13 +72,13 @@
 
 // limit returns how many of a number of tasks can get their units of one pool from the available ones. If that is not
 // all tasks, it records the denial.
-func (g *Grant) limit(tasks int, unit Requirement, available int, denial Denial) int {
-	fitting := max(0, available) / unit.Units
+func (g *Grant) limit(tasks int, requirement Requirement, available int, denial Denial) int {
+	fitting := max(0, available) / requirement.Units
 	if fitting >= tasks {
 		return tasks
 	}
 	g.Denial = denial
-	g.Pool = unit.Pool
+	g.Pool = requirement.Pool
 	return fitting
 }
 
@@ -147,10 +147,10 @@
 
 // areDeclared reports whether all pools of a job are declared on this controller. If not, it records the denial.
 func (a *allocation) areDeclared(request *Request, grant *Grant) bool {
-	for _, unit := range request.Needs {
-		if a.ledger.pool(unit.Pool) == nil {
+	for _, requirement := range request.Needs {
+		if a.ledger.pool(requirement.Pool) == nil {
 			grant.Denial = UnknownPool
-			grant.Pool = unit.Pool
+			grant.Pool = requirement.Pool
 			return false
 		}
 	}
@@ -161,18 +161,18 @@
 // records the denial. In the guaranteed round it returns 0 for a team without a guarantee for any of the pools.
 func (a *allocation) grantable(request *Request, tasks int, guaranteed bool, grant *Grant) int {
 	hasGuarantee := false
-	for _, unit := range request.Needs {
-		pool := a.ledger.pools[unit.Pool]
+	for _, requirement := range request.Needs {
+		pool := a.ledger.pools[requirement.Pool]
 		quota := pool.quota(request.Team)
-		used := a.teamUnits[unit.Pool][request.Team]
+		used := a.teamUnits[requirement.Pool][request.Team]
 		if guaranteed && quota.Guarantee > 0 {
 			hasGuarantee = true
-			tasks = grant.limit(tasks, unit, quota.Guarantee-used, LowerPriority)
+			tasks = grant.limit(tasks, requirement, quota.Guarantee-used, LowerPriority)
 		}
 		if quota.Limit > 0 {
-			tasks = grant.limit(tasks, unit, quota.Limit-used, TeamLimitReached)
+			tasks = grant.limit(tasks, requirement, quota.Limit-used, TeamLimitReached)
 		}
-		tasks = grant.limit(tasks, unit, a.freeUnits[unit.Pool], pool.shortageReason(unit.Units))
+		tasks = grant.limit(tasks, requirement, a.freeUnits[requirement.Pool], pool.shortageReason(requirement.Units))
 	}
 	if guaranteed && !hasGuarantee {
 		return 0
@@ -195,33 +195,33 @@
 	if tasks == 0 {
 		return
 	}
-	for _, unit := range request.Needs {
-		a.freeUnits[unit.Pool] -= tasks * unit.Units
-		a.teamUnits[unit.Pool][request.Team] += tasks * unit.Units
+	for _, requirement := range request.Needs {
+		a.freeUnits[requirement.Pool] -= tasks * requirement.Units
+		a.teamUnits[requirement.Pool][request.Team] += tasks * requirement.Units
 	}
 }
 
 // withhold reserves free units for a waiting gang during the rest of the call. A gang that couldn't get its units
 // even if there were no other holders withholds nothing.
 func (a *allocation) withhold(request *Request) {
-	for _, unit := range request.Needs {
-		if !a.canEverFit(request, unit) {
+	for _, requirement := range request.Needs {
+		if !a.canEverFit(request, requirement) {
 			return
 		}
 	}
-	for _, unit := range request.Needs {
-		a.freeUnits[unit.Pool] = max(0, a.freeUnits[unit.Pool]-unit.Units*request.Tasks)
+	for _, requirement := range request.Needs {
+		a.freeUnits[requirement.Pool] = max(0, a.freeUnits[requirement.Pool]-requirement.Units*request.Tasks)
 	}
 }
 
 // canEverFit reports whether all tasks of a gang could get their units of one pool: within the pool's units that
 // aren't kept for outside holders and, together with the units the team has already, within the team's limit.
-func (a *allocation) canEverFit(request *Request, unit Requirement) bool {
-	pool := a.ledger.pools[unit.Pool]
-	needed := unit.Units * request.Tasks
+func (a *allocation) canEverFit(request *Request, requirement Requirement) bool {
+	pool := a.ledger.pools[requirement.Pool]
+	needed := requirement.Units * request.Tasks
 	if needed > pool.totalUnits()-pool.outsideReserve {
 		return false
 	}
 	limit := pool.quota(request.Team).Limit
-	return limit <= 0 || a.teamUnits[unit.Pool][request.Team]+needed <= limit
+	return limit <= 0 || a.teamUnits[requirement.Pool][request.Team]+needed <= limit
 }
--- a/internal/licences/allocation_test.go
+++ b/internal/licences/allocation_test.go
@@ -53,14 +53,14 @@
 
 func (m *unitwiseAllocation) fits(request Request, tasks int, guaranteed bool) bool {
 	hasGuarantee := false
-	for _, unit := range request.Needs {
+	for _, requirement := range request.Needs {
 		quota := TeamQuota{}
-		if usage := m.ledger.pools[unit.Pool].teams[request.Team]; usage != nil {
+		if usage := m.ledger.pools[requirement.Pool].teams[request.Team]; usage != nil {
 			quota = usage.TeamQuota
 		}
-		units := tasks * unit.Units
-		teamUnits := m.teamUnits[poolTeam{unit.Pool, request.Team}] + units
-		if units > m.freeUnits[unit.Pool] ||
+		units := tasks * requirement.Units
+		teamUnits := m.teamUnits[poolTeam{requirement.Pool, request.Team}] + units
+		if units > m.freeUnits[requirement.Pool] ||
 			(quota.Limit > 0 && teamUnits > quota.Limit) ||
 			(guaranteed && quota.Guarantee > 0 && teamUnits > quota.Guarantee) {
 			return false
@@ -71,21 +71,21 @@
 }
 
 func (m *unitwiseAllocation) take(request Request, tasks int) {
-	for _, unit := range request.Needs {
-		m.freeUnits[unit.Pool] -= tasks * unit.Units
-		m.teamUnits[poolTeam{unit.Pool, request.Team}] += tasks * unit.Units
+	for _, requirement := range request.Needs {
+		m.freeUnits[requirement.Pool] -= tasks * requirement.Units
+		m.teamUnits[poolTeam{requirement.Pool, request.Team}] += tasks * requirement.Units
 	}
 }
 
 func (m *unitwiseAllocation) canEverFit(request Request) bool {
-	for _, unit := range request.Needs {
-		pool := m.ledger.pools[unit.Pool]
-		units := unit.Units * request.Tasks
+	for _, requirement := range request.Needs {
+		pool := m.ledger.pools[requirement.Pool]
+		units := requirement.Units * request.Tasks
 		if units > pool.totalUnits()-pool.outsideReserve {
 			return false
 		}
 		usage := pool.teams[request.Team]
-		if usage != nil && usage.Limit > 0 && m.teamUnits[poolTeam{unit.Pool, request.Team}]+units > usage.Limit {
+		if usage != nil && usage.Limit > 0 && m.teamUnits[poolTeam{requirement.Pool, request.Team}]+units > usage.Limit {
 			return false
 		}
 	}
@@ -93,8 +93,8 @@
 }
 
 func (m *unitwiseAllocation) withhold(request Request) {
-	for _, unit := range request.Needs {
-		m.freeUnits[unit.Pool] = max(0, m.freeUnits[unit.Pool]-unit.Units*request.Tasks)
+	for _, requirement := range request.Needs {
+		m.freeUnits[requirement.Pool] = max(0, m.freeUnits[requirement.Pool]-requirement.Units*request.Tasks)
 	}
 }
 
@@ -173,9 +173,9 @@
 				t.Fatalf("request %+v: got %d tasks granted, denial %q, want a denial only if not all are granted",
 					requests[i], grant.Tasks, grant.Denial)
 			}
-			for _, unit := range requests[i].Needs {
-				if freeUnits[unit.Pool] -= unit.Units * grant.Tasks; freeUnits[unit.Pool] < 0 {
-					t.Fatalf("pool %d: got more units granted than are free", unit.Pool)
+			for _, requirement := range requests[i].Needs {
+				if freeUnits[requirement.Pool] -= requirement.Units * grant.Tasks; freeUnits[requirement.Pool] < 0 {
+					t.Fatalf("pool %d: got more units granted than are free", requirement.Pool)
 				}
 			}
 		}
--- a/internal/licences/catalog.go
+++ b/internal/licences/catalog.go
@@ -177,13 +177,13 @@
 	if err != nil {
 		return false, err.Error()
 	}
-	for _, unit := range needs {
-		pool := c.pools[unit.Pool]
-		limit := c.Count(unit.Pool) - pool.OutsideReserve
+	for _, requirement := range needs {
+		pool := c.pools[requirement.Pool]
+		limit := c.Count(requirement.Pool) - pool.OutsideReserve
 		if teamLimit := pool.Teams[team].Limit; teamLimit > 0 {
 			limit = min(limit, teamLimit)
 		}
-		if needed := unit.Units * tasks; needed > limit {
+		if needed := requirement.Units * tasks; needed > limit {
 			return false, fmt.Sprintf("the job needs %d seats of %q at once, which never gives it more than %d",
 				needed, pool.Name, max(0, limit))
 		}
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -33,17 +33,17 @@
 // and CheckedOut before the task's launch is sent or after the task was found on a machine. A further call for the
 // same task changes only its attempt and state.
 func (l *Ledger) Acquire(now time.Duration, ref TaskRef, attempt uint64, team int32, needs []Requirement, to State) {
-	for _, unit := range needs {
-		if pool := l.pool(unit.Pool); pool != nil {
-			pool.acquire(now, Holder{ref, attempt}, team, unit.Units, to)
+	for _, requirement := range needs {
+		if pool := l.pool(requirement.Pool); pool != nil {
+			pool.acquire(now, Holder{ref, attempt}, team, requirement.Units, to)
 		}
 	}
 }
 
 // SetAttempt sets the attempt of a task that is on its machine, after a heartbeat has reported the attempt.
 func (l *Ledger) SetAttempt(now time.Duration, ref TaskRef, attempt uint64, needs []Requirement) {
-	for _, unit := range needs {
-		pool := l.pool(unit.Pool)
+	for _, requirement := range needs {
+		pool := l.pool(requirement.Pool)
 		if pool == nil {
 			continue
 		}
@@ -56,8 +56,8 @@
 // Release ends the use of a task's units. The task must be proven to be gone: by a fenced heartbeat, the cloud's
 // confirmation, or the expiry of its worker's lease. Units that a server may still count become AwaitingRelease.
 func (l *Ledger) Release(now time.Duration, ref TaskRef, needs []Requirement, end End) {
-	for _, unit := range needs {
-		if pool := l.pool(unit.Pool); pool != nil {
+	for _, requirement := range needs {
+		if pool := l.pool(requirement.Pool); pool != nil {
 			pool.release(now, ref, end)
 		}
 	}
@@ -67,8 +67,8 @@
 // checks each needed pool for which the team has a guarantee. It returns false if there is no such pool.
 func (l *Ledger) IsWithinGuarantee(team int32, needs []Requirement, tasks int) bool {
 	hasGuarantee := false
-	for _, unit := range needs {
-		pool := l.pool(unit.Pool)
+	for _, requirement := range needs {
+		pool := l.pool(requirement.Pool)
 		if pool == nil {
 			return false
 		}
@@ -76,7 +76,7 @@
 		if usage == nil || usage.Guarantee <= 0 {
 			continue
 		}
-		if usage.units+unit.Units*tasks > usage.Guarantee {
+		if usage.units+requirement.Units*tasks > usage.Guarantee {
 			return false
 		}
 		hasGuarantee = true
@@ -96,12 +96,12 @@
 
 // Shortage returns how many units of a pool are missing for a number of further tasks. It is 0 while the licence
 // server's state is unknown.
-func (l *Ledger) Shortage(unit Requirement, tasks int) int {
-	pool := l.pool(unit.Pool)
+func (l *Ledger) Shortage(requirement Requirement, tasks int) int {
+	pool := l.pool(requirement.Pool)
 	if pool == nil || !pool.server.isUsable() {
 		return 0
 	}
-	return max(0, unit.Units*tasks-pool.freeUnits())
+	return max(0, requirement.Units*tasks-pool.freeUnits())
 }
 
 // Excess returns how many units have to be preempted because a pool's count was lowered. It is 0 unless the pool's
--- a/internal/pages/batch.go
+++ b/internal/pages/batch.go
@@ -19,15 +19,15 @@
 // Batch collects values that are written in one transaction, and chooses the pages for them. It changes no stored
 // page: pages change when the caller reports the outcome of the writes.
 type Batch struct {
-	pages   *Pages
-	drafts  []*draft // in the order in which their pages were chosen
-	draftOf map[*page]*draft
-	added   map[Ref]struct{}
-	bytes   int // size of all drafts with pageOverheadBytes each
+	pages     *Pages
+	contents  []*pageContent // of the pages in the batch, in the order in which the pages were chosen
+	contentOf map[*page]*pageContent
+	added     map[Ref]struct{}
+	bytes     int // size of all contents with pageOverheadBytes each
 }
 
-// draft is the content of a page as the batch will write it.
-type draft struct {
+// pageContent is the content of a page as the batch will write it.
+type pageContent struct {
 	page  *page
 	added []Entry
 	size  int // bytes of the added entries and of the page's live entries that don't move
@@ -37,18 +37,18 @@
 // earlier writes that may still be applied: each of these contains an indeterminate page. Values of an indeterminate
 // page beyond the size limit move to other pages, as far as a batch of maxPages pages has room.
 func (p *Pages) Begin(maxPages int) *Batch {
-	b := &Batch{pages: p, draftOf: map[*page]*draft{}, added: map[Ref]struct{}{}}
+	b := &Batch{pages: p, contentOf: map[*page]*pageContent{}, added: map[Ref]struct{}{}}
 	if p.indeterminateCount == 0 {
 		return b
 	}
 	for _, page := range p.pages {
 		if page.indeterminate {
-			b.openDraft(page)
+			b.addPage(page)
 		}
 	}
-	// moveExcess appends drafts of other pages, which are left out of this loop.
-	for _, draft := range b.drafts[:len(b.drafts):len(b.drafts)] {
-		b.moveExcess(draft, maxPages)
+	// moveExcess appends other pages' contents, which this loop skips.
+	for _, content := range b.contents[:len(b.contents):len(b.contents)] {
+		b.moveExcess(content, maxPages)
 	}
 	return b
 }
@@ -56,12 +56,12 @@
 // Fits reports whether the batch has at most maxPages pages and each page is within its size limit. A new batch
 // that doesn't fit can't be written by this owner at all.
 func (b *Batch) Fits(maxPages int) bool {
-	return len(b.drafts) <= maxPages && !slices.ContainsFunc(b.drafts, b.exceedsLimit)
+	return len(b.contents) <= maxPages && !slices.ContainsFunc(b.contents, b.exceedsLimit)
 }
 
 // exceedsLimit reports whether a page would exceed the size limit. A page with a single value may have any size.
-func (b *Batch) exceedsLimit(draft *draft) bool {
-	return draft.size > b.pages.maxValueBytes && len(draft.page.live)+len(draft.added) > 1
+func (b *Batch) exceedsLimit(content *pageContent) bool {
+	return content.size > b.pages.maxValueBytes && len(content.page.live)+len(content.added) > 1
 }
 
 // maxExcessBatchBytes is the size up to which a batch may grow by moving values from pages beyond the size limit.
@@ -69,9 +69,9 @@
 
 // moveExcess moves values of a page to other pages, by name, until the page is within the size limit or the batch has
 // no more room.
-func (b *Batch) moveExcess(draft *draft, maxPages int) {
-	for _, entry := range sortedEntries(draft.page.live) {
-		if !b.exceedsLimit(draft) || !b.Add(entry, maxPages, maxExcessBatchBytes) {
+func (b *Batch) moveExcess(content *pageContent, maxPages int) {
+	for _, entry := range sortedEntries(content.page.live) {
+		if !b.exceedsLimit(content) || !b.Add(entry, maxPages, maxExcessBatchBytes) {
 			return
 		}
 	}
@@ -91,13 +91,13 @@
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// openDraft includes a page in the batch. Its draft keeps the live values that the batch doesn't move.
-func (b *Batch) openDraft(page *page) *draft {
-	opened := &draft{page: page, size: b.remainingBytes(page)}
-	b.drafts = append(b.drafts, opened)
-	b.draftOf[page] = opened
-	b.bytes += opened.size + pageOverheadBytes
-	return opened
+// addPage includes a page in the batch. Its content keeps the live values that the batch doesn't move.
+func (b *Batch) addPage(page *page) *pageContent {
+	content := &pageContent{page: page, size: b.remainingBytes(page)}
+	b.contents = append(b.contents, content)
+	b.contentOf[page] = content
+	b.bytes += content.size + pageOverheadBytes
+	return content
 }
 
 // remainingBytes returns the size of a page's live values that the batch doesn't move.
@@ -113,7 +113,7 @@
 
 // Size returns the number of pages that the batch writes, and about how many bytes. A batch without added values still
 // writes the indeterminate pages.
-func (b *Batch) Size() (pages, bytes int) { return len(b.drafts), b.bytes }
+func (b *Batch) Size() (pages, bytes int) { return len(b.contents), b.bytes }
 
 // Add includes a value in the batch. It returns false and adds nothing if the batch would exceed maxPages pages or
 // maxBytes bytes.
@@ -122,9 +122,9 @@
 	if b.bytes+size > maxBytes {
 		return false
 	}
-	target := b.draftWithRoom(size)
-	if target == nil && len(b.drafts) < maxPages {
-		target = b.openDraftFor(size, maxBytes)
+	target := b.pageWithRoom(size)
+	if target == nil && len(b.contents) < maxPages {
+		target = b.addPageWithRoom(size, maxBytes)
 	}
 	if target == nil {
 		return false
@@ -137,20 +137,21 @@
 	return true
 }
 
-// draftWithRoom returns the first draft that has room for size bytes, or nil. An empty draft has room for any size.
-func (b *Batch) draftWithRoom(size int) *draft {
-	for _, draft := range b.drafts {
-		isEmpty := len(draft.added) == 0 && draft.size == 0
-		if isEmpty || draft.size+size <= b.pages.maxValueBytes {
-			return draft
+// pageWithRoom returns the content of the first page that has room for size bytes, or nil. A page without values has
+// room for any size.
+func (b *Batch) pageWithRoom(size int) *pageContent {
+	for _, content := range b.contents {
+		isEmpty := len(content.added) == 0 && content.size == 0
+		if isEmpty || content.size+size <= b.pages.maxValueBytes {
+			return content
 		}
 	}
 	return nil
 }
 
-// openDraftFor includes one more page with room for size bytes, and returns its draft. If the batch would exceed
+// addPageWithRoom includes one more page with room for size bytes, and returns its content. If the batch would exceed
 // maxBytes, it returns nil.
-func (b *Batch) openDraftFor(size, maxBytes int) *draft {
+func (b *Batch) addPageWithRoom(size, maxBytes int) *pageContent {
 	bytesWithNewPage := b.bytes + size + pageOverheadBytes
 	page := b.leastOccupied(size)
 	if bytesWithNewPage+b.remainingBytes(page) > maxBytes {
@@ -159,7 +160,7 @@
 		}
 		page = b.pages.newPage()
 	}
-	return b.openDraft(page)
+	return b.addPage(page)
 }
 
 // subtractFormerSize subtracts the size of a value's former entry if the entry's page is in the batch.
@@ -168,12 +169,12 @@
 	if page == nil {
 		return
 	}
-	draft, ok := b.draftOf[page]
+	content, ok := b.contentOf[page]
 	if !ok {
 		return
 	}
 	former := page.live[ref]
-	draft.size -= former.size()
+	content.size -= former.size()
 	b.bytes -= former.size()
 }
 
@@ -183,7 +184,7 @@
 	var best *page
 	bound := max(1, b.pages.maxValueBytes-size+1) // exclusive upper bound of the live bytes
 	for _, page := range b.pages.pages {
-		if _, inBatch := b.draftOf[page]; inBatch || page.retired {
+		if _, inBatch := b.contentOf[page]; inBatch || page.retired {
 			continue
 		}
 		// Values that this batch moves away still count here, so the page may have even more room.
@@ -204,14 +205,14 @@
 
 // Writes returns the writes of all pages of the batch, to be sent in one transaction.
 func (b *Batch) Writes() []PageWrite {
-	writes := make([]PageWrite, 0, len(b.drafts))
-	for _, draft := range b.drafts {
-		entries := b.entries(draft)
+	writes := make([]PageWrite, 0, len(b.contents))
+	for _, content := range b.contents {
+		entries := b.entries(content)
 		writes = append(writes, PageWrite{
-			Number:  draft.page.number,
-			Version: draft.page.version,
+			Number:  content.page.number,
+			Version: content.page.version,
 			Value:   encode(entries),
-			page:    draft.page,
+			page:    content.page,
 			entries: entries,
 		})
 	}
@@ -220,9 +221,9 @@
 
 // entries returns the values that a page will contain, sorted by name: the added values and the live values that don't
 // move.
-func (b *Batch) entries(draft *draft) []Entry {
-	entries := slices.Clone(draft.added)
-	for ref, entry := range draft.page.live {
+func (b *Batch) entries(content *pageContent) []Entry {
+	entries := slices.Clone(content.added)
+	for ref, entry := range content.page.live {
 		if _, ok := b.added[ref]; !ok {
 			entries = append(entries, entry)
 		}
--- a/internal/planner/balance.go
+++ b/internal/planner/balance.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // Balance returns a balanced allocation in which every task runs on a server that it prefers (Algorithm 1). It places
-// the tasks one by one, each along an augmenting path that begins at the least-loaded server from which there is one.
+// the tasks one by one. Each task's augmenting path begins at the least-loaded server that has an augmenting path.
 func Balance(p *Problem) *Allocation {
 	b := newBalancer(p)
 	for range b.tasksToPlace() {
@@ -99,9 +99,9 @@
 	return total
 }
 
-// findPath searches for an augmenting path from the least-loaded server from which there is one. It returns the path's
-// root, and the group at its end, which has a task that is not placed. findPath removes all roots that it tries from
-// the candidates; augment puts them back.
+// findPath searches for an augmenting path from each server, the least-loaded server first, and returns the first
+// path's root and the group at the path's end. That group has a task that is not placed. findPath removes every
+// searched root from the candidates; augment puts these roots back.
 func (b *balancer) findPath() (root, group int32, found bool) {
 	b.search.round++
 	b.search.roots = b.search.roots[:0]
--- a/internal/rollout/command_test.go
+++ b/internal/rollout/command_test.go
@@ -88,7 +88,7 @@
 	expect := func(when string, want bool) {
 		t.Helper()
 		if r.AllSupportLevel(Paged) != want {
-			t.Errorf("%s: AllSupport(Paged): got %v, want %v", when, !want, want)
+			t.Errorf("%s: AllSupportLevel(Paged): got %v, want %v", when, !want, want)
 		}
 	}
 	join(r, "a", presentRelease, Paged, 1, 2)
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -101,11 +101,11 @@
 // RecordKindOf returns the kind of record with the longest prefix of a key, and false if no prefix matches.
 func RecordKindOf(key string) (RecordKind, bool) {
 	longest := -1
-	for i, format := range RecordKinds {
-		if !strings.HasPrefix(key, format.Prefix) {
+	for i, kind := range RecordKinds {
+		if !strings.HasPrefix(key, kind.Prefix) {
 			continue
 		}
-		if longest < 0 || len(format.Prefix) > len(RecordKinds[longest].Prefix) {
+		if longest < 0 || len(kind.Prefix) > len(RecordKinds[longest].Prefix) {
 			longest = i
 		}
 	}
@@ -146,8 +146,8 @@
 // readFormats returns the formats that this release reads, keyed by kind of record.
 func readFormats() map[string][]int {
 	formats := map[string][]int{}
-	for _, format := range RecordKinds {
-		formats[format.Kind] = format.ReadFormats
+	for _, kind := range RecordKinds {
+		formats[kind.Kind] = kind.ReadFormats
 	}
 	return formats
 }
@@ -155,9 +155,9 @@
 // writtenFormats returns the format that this release writes at a level, keyed by kind of record.
 func writtenFormats(level Level) map[string]int {
 	formats := map[string]int{}
-	for _, format := range RecordKinds {
-		if written := format.FormatAtLevel(level); written != notWritten {
-			formats[format.Kind] = written
+	for _, kind := range RecordKinds {
+		if written := kind.FormatAtLevel(level); written != notWritten {
+			formats[kind.Kind] = written
 		}
 	}
 	return formats
--- a/internal/rollout/formats_test.go
+++ b/internal/rollout/formats_test.go
@@ -8,15 +8,15 @@
 // TestWrittenFormatsAreRead checks for each kind of record that this release reads all formats that it writes, and that
 // the levels of its WriteFormats ascend.
 func TestWrittenFormatsAreRead(t *testing.T) {
-	for _, format := range RecordKinds {
+	for _, kind := range RecordKinds {
 		last := Level(0)
-		for _, write := range format.WriteFormats {
+		for _, write := range kind.WriteFormats {
 			if write.From <= last {
-				t.Errorf("%s: got level %d after level %d, want ascending levels", format.Kind, write.From, last)
+				t.Errorf("%s: got level %d after level %d, want ascending levels", kind.Kind, write.From, last)
 			}
 			last = write.From
-			if write.Format != notWritten && !slices.Contains(format.ReadFormats, write.Format) {
-				t.Errorf("%s: got written format %d, want one of ReadFormats", format.Kind, write.Format)
+			if write.Format != notWritten && !slices.Contains(kind.ReadFormats, write.Format) {
+				t.Errorf("%s: got written format %d, want one of ReadFormats", kind.Kind, write.Format)
 			}
 		}
 	}
--- a/internal/rollout/model_explore_test.go
+++ b/internal/rollout/model_explore_test.go
@@ -11,11 +11,11 @@
 
 // successors collects the states that can follow a state.
 type successors struct {
-	from      *modelState
-	removed   removedGuard
-	bounds    modelBounds
-	levelless bool         // the former release has no levels: it announces nothing and ignores the level
-	states    []modelState // the result
+	from         *modelState
+	removed      removedGuard
+	bounds       modelBounds
+	ignoresLevel bool         // the former release has no levels: it announces nothing and ignores the level
+	states       []modelState // the result
 }
 
 // add adds the state after a step. A step that isn't possible returns false, and no state is added.
@@ -40,10 +40,10 @@
 	s.add(func(next *modelState) bool { return next.send(txn) })
 }
 
-// next returns all states that can follow a state. levelless means that the former release announces nothing and
+// next returns all states that can follow a state. ignoresLevel means that the former release announces nothing and
 // ignores the level.
-func (m *modelState) next(removed removedGuard, bounds modelBounds, levelless bool) []modelState {
-	s := successors{from: m, removed: removed, bounds: bounds, levelless: levelless}
+func (m *modelState) next(removed removedGuard, bounds modelBounds, ignoresLevel bool) []modelState {
+	s := successors{from: m, removed: removed, bounds: bounds, ignoresLevel: ignoresLevel}
 	s.addOutcomes()
 	for node := range m.processes {
 		s.addProcessSteps(node)
@@ -79,7 +79,7 @@
 		for _, supported := range []uint8{1, 2} {
 			s.addAlways(func(next *modelState) {
 				next.starts++
-				next.start(node, supported, s.levelless && supported == 1)
+				next.start(node, supported, s.ignoresLevel && supported == 1)
 			})
 		}
 	}
@@ -129,7 +129,7 @@
 func (s *successors) addWrites(node int) {
 	process := &s.from.processes[node]
 	compatible := IsCompatible(Level(process.supported), Level(process.view.level)) || s.removed == guardStandDown
-	if !compatible && !process.levelless {
+	if !compatible && !process.ignoresLevel {
 		return
 	}
 	s.addCampaign(node)
@@ -157,7 +157,7 @@
 		return
 	}
 	// A release without levels can read the term only while the term is in the format of level 1.
-	readsTerm := !process.levelless || s.from.keys.level == 1 || s.removed == guardTermFormat
+	readsTerm := !process.ignoresLevel || s.from.keys.level == 1 || s.removed == guardTermFormat
 	if !readsTerm {
 		return
 	}
@@ -165,7 +165,7 @@
 	txn.leaderVersion = 0
 	txn.lease = process.lease
 	txn.conditions[0] = process.view.levelVersion
-	if process.levelless {
+	if process.ignoresLevel {
 		txn.conditions[0] = s.from.keys.levelVersion // a release without levels has no condition on the level
 	}
 	s.addSend(txn)
@@ -177,7 +177,7 @@
 // addJobWrite adds the write by which any process creates the job record or rewrites it in the present format.
 func (s *successors) addJobWrite(node int) {
 	process := &s.from.processes[node]
-	if process.view.job >= process.writtenFormat() || process.levelless {
+	if process.view.job >= process.writtenFormat() || process.ignoresLevel {
 		return
 	}
 	txn := s.newTxn(txnJob, node)
@@ -258,18 +258,18 @@
 // maxStates is the maximum number of states of one exploration. Explorations without a violation stay far below it.
 const maxStates = 12_000_000
 
-// initialState returns the state in which the first two controllers support level 2, the third supports thirdLevel, and
-// the first leads. thirdLevel may also be formerRejoins.
-func initialState(thirdLevel uint8, levelless bool) modelState {
+// initialState returns the state in which the first two controllers support level 2, the third supports thirdSupported,
+// and the first leads. thirdSupported may also be formerRejoins.
+func initialState(thirdSupported uint8, ignoresLevel bool) modelState {
 	var m modelState
 	m.keys = modelKeys{level: 1, plan: 1}
-	for node, supported := range []uint8{2, 2, min(thirdLevel, 2)} {
-		m.start(node, supported, levelless && supported == 1)
+	for node, supported := range []uint8{2, 2, min(thirdSupported, 2)} {
+		m.start(node, supported, ignoresLevel && supported == 1)
 		m.register(node)
 	}
 	m.keys.leader = 1
-	if thirdLevel == formerRejoins {
-		m.start(0, 1, levelless)
+	if thirdSupported == formerRejoins {
+		m.start(0, 1, ignoresLevel)
 		m.keys.leader = 2
 	}
 	m.keys.bump(&m.keys.leaderVersion)
@@ -285,9 +285,9 @@
 // explore visits all states within the bounds, breadth first, until a property is violated. It returns the number of
 // states found and the violation, or "" if no property is violated.
 func explore(
-	removed removedGuard, bounds modelBounds, thirdLevel uint8, levelless bool,
+	removed removedGuard, bounds modelBounds, thirdSupported uint8, ignoresLevel bool,
 ) (states int, violation string) {
-	initial := initialState(thirdLevel, levelless)
+	initial := initialState(thirdSupported, ignoresLevel)
 	visited := map[modelState]struct{}{initial: {}}
 	for queue := []modelState{initial}; len(queue) > 0; {
 		current := queue[0]
@@ -298,7 +298,7 @@
 		if len(visited) > maxStates {
 			return len(visited), ""
 		}
-		for _, next := range current.next(removed, bounds, levelless) {
+		for _, next := range current.next(removed, bounds, ignoresLevel) {
 			if _, known := visited[next]; !known {
 				visited[next] = struct{}{}
 				queue = append(queue, next)
@@ -318,12 +318,12 @@
 	}
 	const minStates = 20_000 // with fewer states the model doesn't exercise the code
 	for _, c := range []struct {
-		thirdLevel uint8
-		levelless  bool
+		thirdSupported uint8
+		ignoresLevel   bool
 	}{{1, false}, {1, true}, {2, false}, {2, true}, {formerRejoins, false}, {formerRejoins, true}} {
-		t.Run(fmt.Sprintf("third level %d levelless %v", c.thirdLevel, c.levelless), func(t *testing.T) {
+		t.Run(fmt.Sprintf("third level %d ignoresLevel %v", c.thirdSupported, c.ignoresLevel), func(t *testing.T) {
 			t.Parallel()
-			states, violation := explore("", bounds, c.thirdLevel, c.levelless)
+			states, violation := explore("", bounds, c.thirdSupported, c.ignoresLevel)
 			t.Logf("%d states, violation %q", states, violation)
 			if violation != "" || states < minStates || states >= maxStates {
 				t.Fatalf("got %d states, violation %q, want minStates to maxStates, no violation", states, violation)
@@ -336,10 +336,10 @@
 // within the same bounds does with it.
 func TestEveryGuardIsNeeded(t *testing.T) {
 	for _, c := range []struct {
-		guard      removedGuard
-		thirdLevel uint8
-		levelless  bool
-		bounds     modelBounds
+		guard          removedGuard
+		thirdSupported uint8
+		ignoresLevel   bool
+		bounds         modelBounds
 	}{
 		{guardLeader, 2, false, modelBounds{1, 2, 0, 1, 1}},
 		{guardMemberVersions, 2, false, modelBounds{1, 1, 0, 1, 0}},
@@ -355,12 +355,12 @@
 	} {
 		t.Run("without "+string(c.guard), func(t *testing.T) {
 			t.Parallel()
-			states, violation := explore(c.guard, c.bounds, c.thirdLevel, c.levelless)
+			states, violation := explore(c.guard, c.bounds, c.thirdSupported, c.ignoresLevel)
 			t.Logf("%d states, violation %q", states, violation)
 			if violation == "" {
 				t.Error("without the guard: got no violation, want one: the guard is redundant or not exercised")
 			}
-			if states, violation := explore("", c.bounds, c.thirdLevel, c.levelless); violation != "" {
+			if states, violation := explore("", c.bounds, c.thirdSupported, c.ignoresLevel); violation != "" {
 				t.Errorf("with the guard: after %d states got violation %q, want none", states, violation)
 			}
 		})
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -55,12 +55,12 @@
 
 // modelProcess is the process of one controller.
 type modelProcess struct {
-	supported uint8     // highest level that the process supports; 0: it is down
-	lease     uint8     // 0: it has not registered, or its lease has expired
-	view      modelKeys // the keys as the process has last read them
-	term      uint8     // version of the leader key under which the process leads, by its view; 0: it doesn't lead
-	levelless bool      // the release announces nothing and ignores the level
-	frozen    bool      // the process paused for so long that its lease expired
+	supported    uint8     // highest level that the process supports; 0: it is down
+	lease        uint8     // 0: it has not registered, or its lease has expired
+	view         modelKeys // the keys as the process has last read them
+	term         uint8     // version of the leader key under which the process leads, by its view; 0: it doesn't lead
+	ignoresLevel bool      // the release announces nothing and ignores the level
+	frozen       bool      // the process paused for so long that its lease expired
 }
 
 // modelTxnKind is the purpose of a transaction.
@@ -302,9 +302,9 @@
 }
 
 // start starts a process that has read all keys, and ends the lease of the controller's former process.
-func (m *modelState) start(node int, supported uint8, levelless bool) {
+func (m *modelState) start(node int, supported uint8, ignoresLevel bool) {
 	m.keys.endLease(node)
-	m.processes[node] = modelProcess{supported: supported, levelless: levelless, view: m.keys}
+	m.processes[node] = modelProcess{supported: supported, ignoresLevel: ignoresLevel, view: m.keys}
 }
 
 // register writes a process's member key and announcement. The keys may have changed since the process read them.
@@ -316,7 +316,7 @@
 	process.lease = m.leases
 	keys.lease[node] = m.leases
 	keys.memberVersion[node] = keys.revision
-	if !process.levelless {
+	if !process.ignoresLevel {
 		keys.announced[node] = process.supported
 		keys.announcedLease[node] = m.leases
 		keys.announcementVersion[node] = keys.revision
--- a/internal/rollout/unreadable.go
+++ b/internal/rollout/unreadable.go
@@ -18,16 +18,16 @@
 }
 
 func newUnreadableRecord(key string, raw json.RawMessage, cause error) UnreadableRecord {
-	format, known := RecordKindOf(key)
+	kind, known := RecordKindOf(key)
 	if !known {
-		format = RecordKind{Kind: "unknown", Guard: GuardAdvisory}
+		kind = RecordKind{Kind: "unknown", Guard: GuardAdvisory}
 	}
 	return UnreadableRecord{
 		Key:   key,
-		Kind:  format.Kind,
+		Kind:  kind.Kind,
 		Cause: fmt.Sprint(cause),
-		Newer: known && format.Newer(raw),
-		Guard: format.Guard,
+		Newer: known && kind.Newer(raw),
+		Guard: kind.Guard,
 	}
 }
 
--- a/internal/rollout/watch.go
+++ b/internal/rollout/watch.go
@@ -46,9 +46,9 @@
 // decode decodes a record, marks it as readable or unreadable, and reports whether it is readable. An unreadable record
 // may be decoded in part.
 func (r *Rollout) decode(item store.Item, record versionedRecord) bool {
-	format, _ := RecordKindOf(item.Key)
+	kind, _ := RecordKindOf(item.Key)
 	err := json.Unmarshal(item.Value, record)
-	if err == nil && record.recordFormat() > format.newestRead() {
+	if err == nil && record.recordFormat() > kind.newestRead() {
 		err = &NewerFormatError{Format: record.recordFormat()}
 	}
 	if err != nil {
--- a/internal/shards/placement_test.go
+++ b/internal/shards/placement_test.go
@@ -124,8 +124,8 @@
 	return min(count, job.Tasks)
 }
 
-// machinesOf8 returns an inventory of machines with 8 cores each. freeCPUs is the sum of their free cores.
-func machinesOf8(machines int, freeCPUs float64) []Inventory {
+// machinesWith8Cores returns an inventory of machines with 8 cores each. freeCPUs is the sum of their free cores.
+func machinesWith8Cores(machines int, freeCPUs float64) []Inventory {
 	return []Inventory{{
 		MachineSize: planner.Size{CPUs: 8, Mem: 32},
 		Machines:    machines,
@@ -155,25 +155,25 @@
 		{
 			name:        "array: shard where the most tasks fit now",
 			job:         singleCoreJob("req-1", 16, false),
-			inventories: [][]Inventory{machinesOf8(20, 3), machinesOf8(4, 9), machinesOf8(20, 0)},
+			inventories: [][]Inventory{machinesWith8Cores(20, 3), machinesWith8Cores(4, 9), machinesWith8Cores(20, 0)},
 			want:        Placement{Shard: 1, TasksToBorrow: 0},
 		},
 		{
 			name:        "gang: shard where all tasks fit now",
 			job:         singleCoreJob("req-1", 16, true),
-			inventories: [][]Inventory{machinesOf8(20, 3), machinesOf8(4, 17), machinesOf8(1, 8)},
+			inventories: [][]Inventory{machinesWith8Cores(20, 3), machinesWith8Cores(4, 17), machinesWith8Cores(1, 8)},
 			want:        Placement{Shard: 1, TasksToBorrow: 0},
 		},
 		{
 			name:        "gang that fits no shard now: shard where it fits on empty machines",
 			job:         singleCoreJob("req-1", 16, true),
-			inventories: [][]Inventory{machinesOf8(1, 8), machinesOf8(2, 0), nil},
+			inventories: [][]Inventory{machinesWith8Cores(1, 8), machinesWith8Cores(2, 0), nil},
 			want:        Placement{Shard: 1, TasksToBorrow: 0},
 		},
 		{
 			name:        "gang larger than any shard: shard that must borrow for the fewest tasks",
 			job:         singleCoreJob("req-1", 40, true),
-			inventories: [][]Inventory{machinesOf8(1, 8), machinesOf8(4, 0), machinesOf8(3, 24)},
+			inventories: [][]Inventory{machinesWith8Cores(1, 8), machinesWith8Cores(4, 0), machinesWith8Cores(3, 24)},
 			want:        Placement{Shard: 1, TasksToBorrow: 8},
 		},
 	}
@@ -188,7 +188,7 @@
 
 func TestChooseShardSpreadsJobsOverEqualShards(t *testing.T) {
 	shardMap := NewMap([]string{"a", "b", "c"})
-	inventories := [][]Inventory{machinesOf8(5, 40), machinesOf8(5, 40), machinesOf8(5, 40)}
+	inventories := [][]Inventory{machinesWith8Cores(5, 40), machinesWith8Cores(5, 40), machinesWith8Cores(5, 40)}
 	jobsByShard := make([]int, len(shardMap))
 	for i := range 3000 {
 		job := singleCoreJob(fmt.Sprintf("req-%d", i), 40, true)
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -59,17 +59,18 @@
 		}
 	}
 	for key, raw := range all {
-		format, ok := rollout.RecordKindOf(key)
+		kind, ok := rollout.RecordKindOf(key)
 		if !ok {
 			t.Errorf("%s: no record format registered for this key", key)
 			continue
 		}
-		kinds[format.Kind]++
-		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(format.ReadFormats, f) ||
-			format.FormatAtLevel(rollout.Base) != 1 {
-			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1", key, f, format.FormatAtLevel(rollout.Base))
+		kinds[kind.Kind]++
+		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(kind.ReadFormats, f) ||
+			kind.FormatAtLevel(rollout.Base) != 1 {
+			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1",
+				key, f, kind.FormatAtLevel(rollout.Base))
 		}
-		switch format.Kind {
+		switch kind.Kind {
 		case "job":
 			var r jobs.Record
 			if err := json.Unmarshal(raw, &r); err != nil {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -72,7 +72,7 @@
 // Now returns the time of the steady clock.
 func (c *Client) Now() time.Duration { return c.now() }
 
-// TxnLimits returns the current limits of a transaction, which may be below the configured ones.
+// Limits returns the current limits of a transaction, which may be below the configured ones.
 func (c *Client) Limits() TxnLimits { return c.limits.current }
 
 // RequestCounts returns the number of requests sent since the start, and the number of writes in them.
--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -15,10 +15,10 @@
 	testNow    = 1000 * stepLength
 
 	// The configuration of Zones, in steps.
-	testReturnGrace     = 2
-	testProbationTime   = 1
-	testFlapForgiveness = 3
-	testMaxProbation    = 4
+	testReturnGrace   = 2
+	testProbationTime = 1
+	testFlapDecayTime = 3
+	testMaxProbation  = 4
 
 	// maxAge is greater than every limit on an age. Ages in steps are capped at maxAge, so that the number of states is
 	// finite.
@@ -34,12 +34,12 @@
 
 var observations = []observation{
 	{"8 machines, all reachable", Count{8, 0, 0}, true},
-	{"8 machines, 3 quiet", Count{8, 3, 0}, true},
-	{"8 machines, all quiet, others reachable", Count{8, 8, 0}, true},
-	{"8 machines, all quiet, others not reachable", Count{8, 8, 0}, false},
-	{"8 machines, all silent, others not reachable", Count{8, 8, 8}, false},
-	{"8 machines, 4 silent", Count{8, 4, 4}, true},
-	{"3 machines, all silent", Count{3, 3, 3}, true},
+	{"8 machines, 3 unreachable", Count{8, 3, 0}, true},
+	{"8 machines, all unreachable, others reachable", Count{8, 8, 0}, true},
+	{"8 machines, all unreachable, others not reachable", Count{8, 8, 0}, false},
+	{"8 machines, all long unreachable, others not reachable", Count{8, 8, 8}, false},
+	{"8 machines, 4 long unreachable", Count{8, 4, 4}, true},
+	{"3 machines, all long unreachable", Count{3, 3, 3}, true},
 	{"no machines", Count{}, true},
 }
 
@@ -60,7 +60,7 @@
 	guardReturnGrace     guard = "return grace"
 	guardProbation       guard = "probation"
 	guardFlaps           guard = "flaps"
-	guardForgiveness     guard = "flap forgiveness"
+	guardFlapDecay       guard = "flap decay"
 	guardMaxProbation    guard = "maximum probation"
 	guardMinMachines     guard = "minimum number of machines"
 )
@@ -70,7 +70,7 @@
 	cfg := Config{
 		ReturnGrace:   testReturnGrace * stepLength,
 		ProbationTime: testProbationTime * stepLength,
-		FlapDecayTime: testFlapForgiveness * stepLength,
+		FlapDecayTime: testFlapDecayTime * stepLength,
 		MaxProbation:  testMaxProbation * stepLength,
 	}
 	switch g {
@@ -78,7 +78,7 @@
 		cfg.ReturnGrace = 0
 	case guardProbation:
 		cfg.ProbationTime = 0
-	case guardForgiveness:
+	case guardFlapDecay:
 		cfg.FlapDecayTime = 0
 	case guardMaxProbation:
 		cfg.MaxProbation = 0
@@ -93,7 +93,11 @@
 	case guardOthersReachable:
 		othersReachable = true
 	case guardMinMachines:
-		count = Count{Machines: 4 * count.Machines, Unreachable: 4 * count.Unreachable, LongUnreachable: 4 * count.LongUnreachable}
+		count = Count{
+			Machines:        4 * count.Machines,
+			Unreachable:     4 * count.Unreachable,
+			LongUnreachable: 4 * count.LongUnreachable,
+		}
 	}
 	return count, othersReachable
 }
@@ -119,7 +123,7 @@
 	switch {
 	case observed.isLoss() && !h.isLost:
 		isReturning := h.sinceReturn >= 0 && !h.hasRecovered
-		if isReturning || h.sinceLoss < testFlapForgiveness {
+		if isReturning || h.sinceLoss < testFlapDecayTime {
 			h.flaps = min(maxFlaps, h.flaps+1)
 		}
 		h.isLost = true
@@ -160,9 +164,9 @@
 }
 
 // checkProbation checks the end of a zone's probation and the count of its flaps: a zone becomes healthy only after the
-// probation that its flaps require, and the count is reduced only after testFlapForgiveness steps. sinceForgiven is the
+// probation that its flaps require, and the count is reduced only after testFlapDecayTime steps. sinceDecay is the
 // age of the last reduction.
-func (h *history) checkProbation(before State, after Zone, sinceForgiven int, missing guard) error {
+func (h *history) checkProbation(before State, after Zone, sinceDecay int, missing guard) error {
 	if after.State == OnProbation {
 		h.onProbation = min(maxAge, h.onProbation+1)
 		if before != OnProbation {
@@ -177,8 +181,8 @@
 	}
 	if h.hasRecovered && after.State == Healthy && after.Flaps < h.flaps {
 		h.flaps = after.Flaps // reduced after a healthy time
-		if sinceForgiven < testFlapForgiveness {
-			return fmt.Errorf("flaps reduced %d steps after the last reduction, want more steps", sinceForgiven)
+		if sinceDecay < testFlapDecayTime {
+			return fmt.Errorf("flaps reduced %d steps after the last reduction, want more steps", sinceDecay)
 		}
 	}
 	if after.Flaps != h.flaps && missing == noGuard {
@@ -189,10 +193,10 @@
 
 // exploredState is a zone with its history. Times are replaced by ages, so that equal states compare as equal.
 type exploredState struct {
-	zone          Zone
-	stepsInState  int
-	sinceForgiven int
-	history       history
+	zone         Zone
+	stepsInState int
+	sinceDecay   int
+	history      history
 }
 
 // realZones returns Zones in which zone 0 is in this state at testNow.
@@ -202,7 +206,7 @@
 		zone.Flaps = 0
 	}
 	zone.Since = testNow - time.Duration(s.stepsInState)*stepLength
-	zone.forgivenAt = testNow - time.Duration(s.sinceForgiven)*stepLength
+	zone.flapDecayStart = testNow - time.Duration(s.sinceDecay)*stepLength
 	zone.LostAt = testNow - time.Duration(s.history.sinceLoss)*stepLength
 	zone.ReturnedAt = testNow - time.Duration(max(0, s.history.sinceReturn)+1)*stepLength
 	z := New(missing.config())
@@ -222,7 +226,7 @@
 	nextHistory.observe(observed, s.stepsInState, missing)
 	err := nextHistory.checkPolicy(z, observed, before, after.State)
 	if err == nil {
-		err = nextHistory.checkProbation(before, after, s.sinceForgiven, missing)
+		err = nextHistory.checkProbation(before, after, s.sinceDecay, missing)
 	}
 	if err != nil {
 		return exploredState{}, fmt.Errorf("%s, %s -> %s: %w", observed.name, before, after.State, err)
@@ -231,11 +235,11 @@
 
 	next := exploredState{zone: after, history: nextHistory}
 	next.stepsInState = ageAfterStep(after.Since)
-	next.sinceForgiven = ageAfterStep(after.forgivenAt)
+	next.sinceDecay = ageAfterStep(after.flapDecayStart)
 	next.zone.Since = 0
 	next.zone.LostAt = 0
 	next.zone.ReturnedAt = 0
-	next.zone.forgivenAt = 0
+	next.zone.flapDecayStart = 0
 	return next, nil
 }
 
@@ -248,9 +252,9 @@
 // the number of states found and the difference.
 func explore(missing guard) (states int, err error) {
 	start := exploredState{
-		history:       history{sinceReturn: -1, sinceLoss: maxAge},
-		sinceForgiven: maxAge,
-		stepsInState:  maxAge,
+		history:      history{sinceReturn: -1, sinceLoss: maxAge},
+		sinceDecay:   maxAge,
+		stepsInState: maxAge,
 	}
 	visited := map[exploredState]struct{}{start: {}}
 	for queue := []exploredState{start}; len(queue) > 0; {
@@ -286,7 +290,7 @@
 		guardReturnGrace,
 		guardProbation,
 		guardFlaps,
-		guardForgiveness,
+		guardFlapDecay,
 		guardMaxProbation,
 		guardMinMachines,
 	} {
--- a/internal/zones/record_test.go
+++ b/internal/zones/record_test.go
@@ -20,7 +20,11 @@
 func TestNextLeaderRestoresZones(t *testing.T) {
 	z := New(Config{ProbationTime: time.Second})
 	allReachable := Count{Machines: 8}
-	lostCounts := map[int32]Count{0: {Machines: 8, Unreachable: 8, LongUnreachable: 8}, 1: allReachable, 2: {Machines: 8, Unreachable: 3}}
+	lostCounts := map[int32]Count{
+		0: {Machines: 8, Unreachable: 8, LongUnreachable: 8},
+		1: allReachable,
+		2: {Machines: 8, Unreachable: 3},
+	}
 	reachableCounts := map[int32]Count{0: allReachable, 1: allReachable, 2: allReachable}
 	z.Evaluate(10*time.Second, lostCounts)
 	z.Evaluate(20*time.Second, reachableCounts)
--- a/internal/zones/state.go
+++ b/internal/zones/state.go
@@ -18,10 +18,10 @@
 
 // The states of a zone.
 //
-//	Healthy     -> Suspect      more than a quarter of its machines are quiet
-//	Suspect     -> Healthy      at most a quarter of its machines are quiet
-//	Healthy, Suspect -> Lost    more than half of its machines have been silent for long; or more than three quarters
-//	                            are quiet while those of other zones are reachable
+//	Healthy     -> Suspect      more than a quarter of its machines are unreachable
+//	Suspect     -> Healthy      at most a quarter of its machines are unreachable
+//	Healthy, Suspect -> Lost    more than half of its machines have long been unreachable; or more than three quarters
+//	                            are unreachable while those of other zones are reachable
 //	Lost        -> Returning    at least half of its machines are reachable; or it has no machines, and ReturnGrace has
 //	                            passed since the loss
 //	Returning   -> OnProbation  nine tenths of its machines are reachable, or ReturnGrace has passed since the return
@@ -60,7 +60,7 @@
 	case to == Returning:
 		zone.ReturnedAt = now
 	case to == Healthy && from == OnProbation:
-		zone.forgivenAt = now
+		zone.flapDecayStart = now
 	}
 	zone.State = to
 	zone.Since = now
@@ -85,8 +85,8 @@
 	zone.wasLost = true
 }
 
-// Evaluate updates the states of all zones from the present counts of their machines. A zone that counts lacks has no
-// machines.
+// Evaluate updates the states of all zones from the present counts of their machines. A zone without an entry in counts
+// has no machines.
 func (z *Zones) Evaluate(now time.Duration, counts map[int32]Count) {
 	all := Count{}
 	indices := make([]int32, 0, len(counts))
@@ -103,7 +103,7 @@
 	slices.Sort(indices)
 	for _, index := range indices {
 		count := counts[index]
-		// If the machines of other zones are reachable, silence is due to this zone. If all zones are silent, this
+		// If the machines of other zones are reachable, the cause lies in this zone. If all zones are unreachable, this
 		// controller may be the cause.
 		others := Count{Machines: all.Machines - count.Machines, Unreachable: all.Unreachable - count.Unreachable}
 		z.evaluate(now, index, count, others.areReachable())
@@ -147,15 +147,15 @@
 		z.transition(now, index, Suspect, count)
 	case zone.State == Suspect && !isSuspect:
 		z.transition(now, index, Healthy, count)
-	case zone.State == Healthy && zone.Flaps > 0 && now-zone.forgivenAt >= z.cfg.FlapDecayTime:
+	case zone.State == Healthy && zone.Flaps > 0 && now-zone.flapDecayStart >= z.cfg.FlapDecayTime:
 		zone.Flaps--
-		zone.forgivenAt = now
+		zone.flapDecayStart = now
 		z.isDirty = true
 	}
 }
 
-// isLost reports whether a zone with this count is lost: more than half of its machines have been silent for long, or
-// more than three quarters are quiet while machines of other zones are reachable.
+// isLost reports whether a zone with this count is lost: more than half of its machines have long been unreachable, or
+// more than three quarters are unreachable while machines of other zones are reachable.
 func (c Count) isLost(othersReachable bool) bool {
 	if c.Machines < minMachines {
 		return false
@@ -163,16 +163,16 @@
 	return 2*c.LongUnreachable > c.Machines || (othersReachable && 4*c.Unreachable > 3*c.Machines)
 }
 
-// isSuspect reports whether more than a quarter of the machines are quiet.
+// isSuspect reports whether more than a quarter of the machines are unreachable.
 func (c Count) isSuspect() bool { return c.Machines >= minMachines && 4*c.Unreachable > c.Machines }
 
 // isReachableAgain reports whether there are machines and at least half of them are reachable.
 func (c Count) isReachableAgain() bool { return c.Machines > 0 && 2*c.Unreachable <= c.Machines }
 
-// isNearlyAllReachable reports whether at most a tenth of the machines are quiet.
+// isNearlyAllReachable reports whether at most a tenth of the machines are unreachable.
 func (c Count) isNearlyAllReachable() bool { return 10*c.Unreachable <= c.Machines }
 
-// areReachable reports whether there are at least minMachines and fewer than three tenths of them are quiet.
+// areReachable reports whether there are at least minMachines and fewer than three tenths of them are unreachable.
 func (c Count) areReachable() bool {
 	return c.Machines >= minMachines && 10*c.Unreachable < 3*c.Machines
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Count holds the numbers of machines in a zone: all machines (Machines), those that have missed a heartbeat
-// (Unreachable), and those of the quiet machines whose last heartbeat is so old that they will soon be returned
+// Count holds the numbers of machines in a zone: all machines (Machines), the machines that have missed a heartbeat
+// (Unreachable), and the unreachable machines whose last heartbeat is so old that they will soon be returned
 // (LongUnreachable).
 type Count struct{ Machines, Unreachable, LongUnreachable int }
 
@@ -36,13 +36,13 @@
 
 // Zone is the health of one zone. The zero value is a healthy zone.
 type Zone struct {
-	State      State
-	Since      time.Duration // when the state was entered
-	LostAt     time.Duration // when the zone was lost last
-	ReturnedAt time.Duration // when the zone became reachable again last
-	Flaps      int           // recent losses, not counting the first
-	forgivenAt time.Duration // when Flaps was reduced last, or the zone became healthy after probation
-	wasLost    bool          // the zone has been lost before: LostAt is valid
+	State          State
+	Since          time.Duration // when the state was entered
+	LostAt         time.Duration // when the zone was lost last
+	ReturnedAt     time.Duration // when the zone became reachable again last
+	Flaps          int           // recent losses, not counting the first
+	flapDecayStart time.Duration // when Flaps was reduced last, or the zone became healthy after probation
+	wasLost        bool          // the zone has been lost before: LostAt is valid
 }
 
 // Zones is the health of all zones, by their index. It belongs to the event loop of the leader of a term.
