--- a/cmd/harewalk/architecture_test.go
+++ b/cmd/harewalk/architecture_test.go
@@ -25,7 +25,7 @@
 
 func TestArchitectureNamesEveryKeyPrefix(t *testing.T) {
 	page := readArchitecture(t)
-	for _, format := range rollout.RecordFormats {
+	for _, format := range rollout.RecordKinds {
 		if !strings.Contains(page, "`"+format.Prefix+"`") {
 			t.Errorf("the page does not name prefix %q of records of kind %s", format.Prefix, format.Kind)
 		}
@@ -35,7 +35,7 @@
 func TestArchitectureNamesNoPrefixWithoutRecords(t *testing.T) {
 	prefix := regexp.MustCompile("`((?:h|p|a|s)/[a-z@/]*)`")
 	known := map[string]bool{"h/": true} // the common prefix of all watched keys
-	for _, format := range rollout.RecordFormats {
+	for _, format := range rollout.RecordKinds {
 		known[format.Prefix] = true
 	}
 	for _, found := range prefix.FindAllStringSubmatch(readArchitecture(t), -1) {
--- a/cmd/harewalk/job_why.go
+++ b/cmd/harewalk/job_why.go
@@ -42,7 +42,7 @@
 	}
 	if job.Ahead > 0 {
 		fmt.Fprintf(table, "ahead:\t%d waiting jobs rank before this one; the closest: %s\n",
-			job.Ahead, strings.Join(job.Nearest, ", "))
+			job.Ahead, strings.Join(job.NearestAhead, ", "))
 	}
 	if job.Booting > 0 {
 		fmt.Fprintf(table, "machines:\t%d machines that the job may use are booting; the first is expected in %g s\n",
--- a/cmd/harewalk/licence_test.go
+++ b/cmd/harewalk/licence_test.go
@@ -30,13 +30,13 @@
 		LicencePools:   licenceCounts(),
 		LicenceTimeout: 3 * time.Second,
 		Types: []capacity.MachineType{{
-			Name: "g4", CPUs: 8, GPUs: 2, Mem: 64, CacheGB: 100, FetchGB: 10,
-			Price: 4, Spot: 1.5, BootS: 1, Zones: []string{"a", "b"},
+			Name: "g4", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 10,
+			OnDemandPrice: 4, SpotPrice: 1.5, BootS: 1, Zones: []string{"a", "b"},
 		}},
 		Teams: []config.Team{{Name: "red", CPUs: 10, CPUsMax: 60}, {Name: "blue", CPUs: 10, CPUsMax: 60}},
 	})
 	cluster := startCluster(t, sim, fmt.Sprintf(licencePools, sim.Licences.Addr))
-	users := sim.Users(seed)
+	users := sim.NewUsers(seed)
 	rng := rand.New(rand.NewPCG(seed, 3))
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -131,7 +131,7 @@
 	})
 	withoutReserve := strings.NewReplacer("count    = 24", "count    = 40", "reserve  = 2", "").Replace(licencePools)
 	startCluster(t, sim, fmt.Sprintf(withoutReserve, sim.Licences.Addr))
-	users := sim.Users(2)
+	users := sim.NewUsers(2)
 	for n := range 6 {
 		spec := &jobs.Spec{
 			ID: fmt.Sprintf("req-%06d", n+1), Class: "c", Team: "red", Kind: jobs.Array, Priority: "standard",
@@ -181,7 +181,7 @@
 		Tasks: 30, CPUs: 1, MemoryGB: 1,
 		Image: "i", ImageGB: 1, EstimateS: 600, CheckpointS: 5, SaveS: 0.2, Licences: map[string]int{"transcribe": 1},
 	}
-	users := sim.Users(3)
+	users := sim.NewUsers(3)
 	if status := users.Submit(spec); status != 201 {
 		t.Fatalf("submit: got status %d, want 201", status)
 	}
@@ -198,7 +198,7 @@
 	}
 	waitFor("all 22 units outside the reserve are in use", unitsInUse(22))
 	before := showPool(2)
-	if before.Held != 22 || before.Count != 24 || before.Free != 0 || before.Version != 0 {
+	if before.CheckedOut != 22 || before.Count != 24 || before.Free != 0 || before.Version != 0 {
 		t.Fatalf("pool before the change: got %+v, want 22 held of 24, none free, version 0", before)
 	}
 	expectCommand(t, 0, "transcribe  24", "licence", "list", "--server", sim.UserAddr(0))
@@ -218,7 +218,7 @@
 	}
 	waitFor("the count of 10 is in effect after the restart", func() bool {
 		view := showPool(0)
-		return view.Count == 10 && view.Held == 10 && view.Lowering == licences.PreemptHolders
+		return view.Count == 10 && view.CheckedOut == 10 && view.Lowering == licences.PreemptHolders
 	})
 	sim.Licences.SetCount("transcribe", 14)
 	setCount(0, "14")
--- a/cmd/harewalk/session_test.go
+++ b/cmd/harewalk/session_test.go
@@ -32,7 +32,7 @@
 
 // notebook returns a session of user kana that is not open yet.
 func notebook(sim *simulator.Simulation, n int, cpus float64) *simulator.InteractiveSession {
-	return sim.InteractiveSession(&jobs.Spec{
+	return sim.NewInteractiveSession(&jobs.Spec{
 		ID: fmt.Sprintf("req-%06d", n), Class: "notebook", Team: "red", Kind: jobs.Service, Priority: "standard",
 		Tasks: 1, CPUs: cpus, MemoryGB: 1, Image: "nb", ImageGB: 0.5, Spot: n%2 == 0, SaveS: 1, CheckpointS: 1,
 	}, "kana")
@@ -44,8 +44,8 @@
 	sim, err := simulator.NewRealTime(simulator.Config{
 		Seed: seed, MaxMachines: machines, Teams: redAndBlue(),
 		Types: []capacity.MachineType{{
-			Name: "c8", CPUs: 8, Mem: 64, CacheGB: 100, FetchGB: 10,
-			Price: 4, Spot: 1.5, BootS: 0.5, Zones: []string{"a", "b"},
+			Name: "c8", CPUs: 8, MemoryGB: 64, CacheGB: 100, FetchGBPerS: 10,
+			OnDemandPrice: 4, SpotPrice: 1.5, BootS: 0.5, Zones: []string{"a", "b"},
 		}},
 	})
 	if err != nil {
@@ -266,7 +266,7 @@
 			}
 		}
 		time.Sleep(6 * time.Second)
-		users := sim.Users(13)
+		users := sim.NewUsers(13)
 		var waits []float64
 		for i := range 30 {
 			spec := &jobs.Spec{
--- a/internal/api/accesscontrol_test.go
+++ b/internal/api/accesscontrol_test.go
@@ -18,10 +18,11 @@
 		{"secret-secret-secret", "", "127.0.0.1", errOperatorToken},
 		{"secret-secret-secret", "secret-secret-secreT", "127.0.0.1", errOperatorToken},
 	} {
-		leader := LeaderAPI{Token: c.configured}
+		leader := LeaderAPI{OperatorToken: c.configured}
 		err := leader.checkOperatorToken(c.token, c.remoteIP)
 		if !errors.Is(err, c.want) || (err != nil && err.Error() == "") {
-			t.Errorf("%+v: got error %v", c, err)
+			t.Errorf("configured %q, token %q, remote IP %q: got error %v, want %v with a non-empty text",
+				c.configured, c.token, c.remoteIP, err, c.want)
 		}
 	}
 }
--- a/internal/api/predecessors.go
+++ b/internal/api/predecessors.go
@@ -75,8 +75,8 @@
 	if job := s.Jobs.Get(id); job != nil {
 		return job.State, true
 	}
-	answer, ok := s.Archive.Cached(id)
-	return answer.State, ok
+	entry, ok := s.Archive.Cached(id)
+	return entry.State, ok
 }
 
 // readPredecessor searches for a predecessor that isn't in memory and continues the check.
@@ -122,7 +122,7 @@
 func (s *Service) replyWithJob(job *jobs.Job, withCounts bool, reply func(Reply)) {
 	blocked := job.Blocked && !job.State.Terminal()
 	switch {
-	case blocked && job.Doomed:
+	case blocked && job.CancelPending:
 		// The job will be cancelled, because a job before it is cancelled. Until its cancellation is durable, another
 		// controller could still reply that it is pending, so the cancellation is written first.
 		s.tryCancel(cancellation{id: job.ID, withCounts: withCounts, retriesLeft: maxCancelRetries, reply: reply})
@@ -135,5 +135,5 @@
 
 // canReportBlocked reports whether this controller may reply that a blocked job is pending.
 func (s *Service) canReportBlocked(now time.Duration, id string) bool {
-	return s.IsBlockedCertain == nil || s.IsBlockedCertain(now, id)
+	return s.CanReportBlocked == nil || s.CanReportBlocked(now, id)
 }
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -60,7 +60,7 @@
 // fleetHealth counts the machines from which heartbeats are expected, and how many of them are idle or silent.
 func (m *Manager) fleetHealth(now time.Duration, authorityIsStable bool) fleetHealth {
 	health := fleetHealth{
-		silenceLimit:      jobs.Seconds(m.Settings.Operator.MachineUnheardTimeoutS),
+		silenceLimit:      jobs.Seconds(m.Settings.Operator.MachineSilenceTimeoutS),
 		authorityIsStable: authorityIsStable,
 	}
 	for _, machine := range m.Fleet.Machines() {
@@ -109,7 +109,7 @@
 	switch {
 	case m.shouldReturnSilent(now, machine, health):
 		m.toReturn[machine.Name] = causeSilent
-	case m.Fleet.Faulty(machine):
+	case m.Fleet.IsFaulty(machine):
 		m.Fleet.ReturnMachine(machine, string(causeFaulty))
 	case m.isSurplus(now, machine):
 		m.Fleet.ReturnMachine(machine, string(causeIdle))
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -61,8 +61,8 @@
 	SkewMS     float64          `json:"skew_ms" validate:"gte=0"`
 }
 
-// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits. 0 means
-// that no guarantee or limit is set.
+// Team holds a team's quota of CPU cores and GPUs. CPUs and GPUs are guarantees; CPUsMax and GPUsMax are limits. 0
+// means that no guarantee or limit is set.
 type Team struct {
 	Name    string  `json:"name" validate:"required"`
 	CPUs    float64 `json:"cpus" validate:"gte=0"`
@@ -109,11 +109,11 @@
 	TxnOps   int     `json:"txn_ops" validate:"gt=0"`
 	// Next holds announced limits, which the service will apply from a later time on without further notice; nil if
 	// none are announced.
-	Next *NextState `json:"next" validate:"omitnil"`
+	Next *AnnouncedStateLimits `json:"next" validate:"omitnil"`
 }
 
-// NextState holds announced limits of the state service; 0 means that the limit doesn't change.
-type NextState struct {
+// AnnouncedStateLimits holds announced limits of the state service; 0 means that the limit doesn't change.
+type AnnouncedStateLimits struct {
 	WriteRPS float64 `json:"write_rps" validate:"gte=0"`
 	ValueKB  float64 `json:"value_kb" validate:"gte=0"`
 	TxnOps   int     `json:"txn_ops" validate:"gte=0"`
@@ -124,8 +124,8 @@
 
 // Limits returns the limits for every transaction: the smaller of each present and announced limit. Announced limits
 // apply from the start, so that no stored value has to shrink when they take effect.
-func (s State) Limits() store.Limits {
-	limits := store.Limits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
+func (s State) Limits() store.TxnLimits {
+	limits := store.TxnLimits{MaxOps: s.TxnOps, MaxValueBytes: int(s.ValueKB * bytesPerKB)}
 	if s.Next == nil {
 		return limits
 	}
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -14,28 +14,28 @@
 	// ProbationS is how long a returned zone has to stay reachable before it counts as healthy, in seconds. The time
 	// doubles with each flap, up to maxProbation. 0 means two heartbeat intervals.
 	ProbationS float64 `hcl:"prove_s,optional" validate:"gte=0"`
-	// FlapForgivenessS is the healthy time after which the number of flaps decreases by one, in seconds; 0 means ten
+	// FlapDecayTimeS is the healthy time after which the number of flaps decreases by one, in seconds; 0 means ten
 	// times lease_s.
-	FlapForgivenessS float64 `hcl:"calm_s,optional" validate:"gte=0"`
+	FlapDecayTimeS float64 `hcl:"calm_s,optional" validate:"gte=0"`
 }
 
 // Zones holds the derived times for zone health, as the fields of zones.Config with the same names.
 type Zones struct {
-	ReturnGrace     time.Duration
-	ProbationTime   time.Duration
-	FlapForgiveness time.Duration
-	MaxProbation    time.Duration
+	ReturnGrace   time.Duration
+	ProbationTime time.Duration
+	FlapDecayTime time.Duration
+	MaxProbation  time.Duration
 }
 
-// maxProbation bounds how long free capacity in a zone on probation isn't used for waiting work that fits. Even with the
-// time that a start takes in addition, no job waits for 90 s while fitting capacity is free.
+// maxProbation bounds how long free capacity in a zone on probation isn't used for waiting work that fits. Even with
+// the time that a start takes in addition, no job waits for 90 s while fitting capacity is free.
 const maxProbation = 45 * time.Second
 
 // Defaults of ZoneSettings.
 const (
-	returnGraceTimeouts   = 2  // times silent_s
-	probationHeartbeats   = 2  // times report_s
-	flapForgivenessLeases = 10 // times lease_s
+	returnGraceTimeouts = 2  // ReturnGrace in multiples of silent_s
+	probationHeartbeats = 2  // ProbationTime in multiples of report_s
+	flapDecayLeases     = 10 // FlapDecayTime in multiples of lease_s
 )
 
 // Zones returns the times for zone health, derived from the operators' settings and the workers' timing.
@@ -45,12 +45,12 @@
 		operator = *s.Operator.Zones
 	}
 	workers := s.Params.Workers
-	silenceTimeoutS := s.Operator.MachineUnheardTimeoutS
+	silenceTimeoutS := s.Operator.MachineSilenceTimeoutS
 	return Zones{
-		ReturnGrace:     durationOr(operator.ReturnGraceS, jobs.Seconds(returnGraceTimeouts*silenceTimeoutS)),
-		ProbationTime:   durationOr(operator.ProbationS, jobs.Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
-		FlapForgiveness: durationOr(operator.FlapForgivenessS, jobs.Seconds(flapForgivenessLeases*workers.LeaseS)),
-		MaxProbation:    maxProbation,
+		ReturnGrace:   durationOr(operator.ReturnGraceS, jobs.Seconds(returnGraceTimeouts*silenceTimeoutS)),
+		ProbationTime: durationOr(operator.ProbationS, jobs.Seconds(probationHeartbeats*workers.HeartbeatIntervalS)),
+		FlapDecayTime: durationOr(operator.FlapDecayTimeS, jobs.Seconds(flapDecayLeases*workers.LeaseS)),
+		MaxProbation:  maxProbation,
 	}
 }
 
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -70,7 +70,9 @@
 }
 
 // acceptsDependencies reports whether jobs with predecessors may be stored: every controller can read their records.
-func (c *Controller) acceptsDependencies() bool { return c.rollout.AllSupport(rollout.Dependencies) }
+func (c *Controller) acceptsDependencies() bool {
+	return c.rollout.AllSupportLevel(rollout.Dependencies)
+}
 
 // isBlockedCertain reports whether this controller may answer a user that a blocked job is waiting. A cancellation of
 // a predecessor must have reached this controller within cancel_s after a user received its confirmation: the
@@ -86,7 +88,7 @@
 // blockedReason returns the reason why a blocked job is pending.
 func (c *Controller) blockedReason(job *jobs.Job) fleet.PendingReason {
 	reason := fleet.PendingReason{Tasks: job.TaskCount, Cause: fleet.PredecessorsUnfinished}
-	if job.Doomed {
+	if job.CancelPending {
 		reason.Text = "a predecessor is cancelled, and this job will be cancelled too"
 		return reason
 	}
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -120,7 +120,7 @@
 		return collected
 	}
 	if c.rollout.State() == rollout.Migrating {
-		collected.add(migrationDesc, float64(c.term.fleet.UnmigratedPlans()))
+		collected.add(migrationDesc, float64(c.term.fleet.UnmigratedSegments()))
 	}
 	collected.add(archivedDesc, float64(c.term.archiver.Stats.Moved))
 	c.addTaskMetrics(&collected)
@@ -201,7 +201,7 @@
 	for index, pool := range c.licencePools.Pools() {
 		view := c.licenceView(now, int32(index))
 		collected.add(licencesDesc, float64(view.Count), pool.Name, "count")
-		collected.add(licencesDesc, float64(view.Held+view.Booked), pool.Name, "held")
+		collected.add(licencesDesc, float64(view.CheckedOut+view.Reserved), pool.Name, "held")
 		collected.add(licencesDesc, float64(view.AwaitingRelease), pool.Name, "lingering")
 		collected.add(licencesDesc, float64(view.OutsideUnits), pool.Name, "others")
 		collected.add(licencesDesc, float64(view.Free), pool.Name, "free")
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -32,7 +32,7 @@
 	if settings.SimulatedLevel > 0 {
 		cfg.MaxLevel = settings.SimulatedLevel
 		cfg.Release = settings.SimulatedRelease
-		c.jobs.LimitFormat(newestJobFormat(settings.SimulatedLevel))
+		c.jobs.LimitRecordFormat(newestJobFormat(settings.SimulatedLevel))
 	}
 	for _, peer := range c.settings.Peers {
 		cfg.Nodes = append(cfg.Nodes, rollout.NodeConfig{Node: peer.Node, Zone: peer.Zone})
@@ -42,8 +42,8 @@
 
 // newestJobFormat returns the newest format of job records that a release with the given highest level reads.
 func newestJobFormat(level rollout.Level) int {
-	format, _ := rollout.RecordFormatOf(jobs.Prefix)
-	return format.WrittenAt(level)
+	kind, _ := rollout.RecordKindOf(jobs.RecordPrefix)
+	return kind.FormatAtLevel(level)
 }
 
 // recordRolloutState adds a change of the rollout's state to the leader's events.
@@ -71,7 +71,7 @@
 	wallMS := m.c.jobs.WallMS(m.c.loop.Now())
 	return m.Rollout.PreferredLeaders(wallMS, func(node string) bool {
 		status, isKnown := m.c.peers.statuses[node]
-		return m.c.drains.isDrained(node) || (isKnown && status.Leaving)
+		return m.c.drains.isDrained(node) || (isKnown && status.Draining)
 	})
 }
 
@@ -112,8 +112,8 @@
 	drainRequests := c.unmigratedDrainRequests()
 	hasPassedUpgrade := c.watchCache.Revision() >= c.rollout.LevelCondition().Version
 	return rollout.MigrationProgress{
-		Left: c.term.fleet.UnmigratedPlans() + drainRequests,
-		Done: c.term.fleet.Migrated() && drainRequests == 0 && hasPassedUpgrade,
+		RecordsLeft: c.term.fleet.UnmigratedSegments() + drainRequests,
+		Done:        c.term.fleet.PlansMigrated() && drainRequests == 0 && hasPassedUpgrade,
 	}
 }
 
@@ -124,7 +124,7 @@
 		cluster.Drained[node] = true
 	}
 	if c.term.loaded() {
-		cluster.Left = c.migrationProgress().Left
+		cluster.Left = c.migrationProgress().RecordsLeft
 	}
 	return c.rollout.View(now, cluster)
 }
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -25,7 +25,7 @@
 	fleet          *fleet.Fleet
 	capacity       *capacity.Manager
 	sessions       *sessions.Manager // nil if sessions are disabled
-	archiver       *archive.Mover
+	archiver       *archive.Archiver
 	canceller      *dependencies.Canceller
 	loading        bool
 	loadNotBefore  time.Duration
@@ -80,7 +80,7 @@
 		Settings:          c.settings,
 		Jobs:              c.jobs,
 		Random:            c.rng,
-		TxnOps:            c.settings.Params.State.TxnOps - 1, // one operation is reserved for the leader's condition
+		MaxTxnOps:         c.settings.Params.State.TxnOps - 1, // one operation is reserved for the leader's condition
 		Limits:            c.store.Limits,
 		MaxDirectRequests: c.settings.Params.Limits.MaxOutgoing(maxWorkerRequests),
 		Now:               c.loop.Now,
@@ -94,7 +94,7 @@
 		Commit: func(txn store.Txn, done func(store.Result)) {
 			c.commitInTerm(txn, store.BulkPriority, done)
 		},
-		Read:         c.readInTerm,
+		ReadKey:      c.readInTerm,
 		SendCommands: c.sendCommands,
 		Events:       events.New(eventCapacity(c.settings.Params.Limits.MemoryLimitMB())),
 	}
@@ -156,7 +156,7 @@
 // readInTerm reads a key again. done is called only if the term still lasts when the result arrives.
 func (c *Controller) readInTerm(key string, done func(store.Item, error)) {
 	isSameTerm := c.termCheck()
-	c.store.Get(key, store.SafetyPriority, func(item store.Item, err error) {
+	c.store.Get(key, store.CriticalPriority, func(item store.Item, err error) {
 		if isSameTerm() {
 			done(item, err)
 		}
@@ -173,11 +173,11 @@
 ) {
 	body, _ := json.Marshal(commands.Wire())
 	request := httpio.Request{
-		Method:  http.MethodPost,
-		Path:    "/orders",
-		Body:    body,
-		Timeout: config.DirectCommandTimeout,
-		Once:    true, // no reuse: a large fleet's idle connections would use up the sockets
+		Method:          http.MethodPost,
+		Path:            "/orders",
+		Body:            body,
+		Timeout:         config.DirectCommandTimeout,
+		CloseConnection: true, // no reuse: a large fleet's idle connections would use up the sockets
 	}
 	isSameTerm := c.termCheck()
 	c.workerSender.Send(machine.Addr, request, func(response httpio.Response) {
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -56,7 +56,7 @@
 	c.storedZones.writeInFlight = true
 	c.storedZones.lastWriteAt = now
 	raw := table.Encode(c.jobs.Names.Zones.Name, c.jobs.WallMS)
-	table.MarkStored()
+	table.MarkClean()
 	txn := store.Txn{
 		If:   []store.Condition{{Key: zones.Key, Version: c.storedZones.latest.Version}},
 		Then: []store.Op{{Put: zones.Key, Value: raw}},
@@ -104,7 +104,7 @@
 	}
 	names := c.jobs.Names
 	for _, loss := range c.term.fleet.EstimateZoneLoss(names.Zones.Index(view.Zone)) {
-		view.IfLost = append(view.IfLost, LossView{
+		view.IfLost = append(view.IfLost, ZoneLossView{
 			Class: names.Classes.Name(loss.Class),
 			Team:  names.Teams.Name(loss.Team),
 			Jobs:  loss.Jobs,
@@ -125,7 +125,7 @@
 		views[i] = c.zoneView(now, name, index)
 		viewByIndex[index] = &views[i]
 	}
-	overdueAfter := c.term.capacity.QuietFor()
+	overdueAfter := c.term.capacity.HeartbeatOverdueLimit()
 	for _, machine := range c.term.fleet.Machines() {
 		view := viewByIndex[machine.Zone]
 		if view == nil || machine.Condition == fleet.Terminated || machine.Zone == jobs.None {
@@ -138,7 +138,7 @@
 		}
 		if machine.Quarantined {
 			view.Quarantined++
-			view.Held += len(machine.Tasks)
+			view.TasksOnQuarantined += len(machine.Tasks)
 		}
 	}
 	return views
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -174,8 +174,8 @@
 
 // removeMissing has the controller remove the jobs that a listing lacks. present holds the ids of the listed jobs.
 func (h *history) removeMissing(present map[string]bool) {
-	h.table.Retain(h.revision, func(id string) bool { return present[id] })
-	h.graph.Retain()
+	h.table.ArchiveMissing(h.revision, func(id string) bool { return present[id] })
+	h.graph.RemoveMissing()
 	for _, job := range h.jobs {
 		if job.isArchived {
 			job.deletionRead = true
@@ -338,8 +338,9 @@
 	}
 	job := h.table.Get(id)
 	state := h.model.state(id)
-	if job.Blocked != (state == Blocked || state == CancelPending) || job.Doomed != (state == CancelPending) {
-		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and Doomed %v", id, state, job.Blocked, job.Doomed)
+	if job.Blocked != (state == Blocked || state == CancelPending) || job.CancelPending != (state == CancelPending) {
+		h.t.Fatalf("%s has state %v in the model, but fields Blocked %v and CancelPending %v",
+			id, state, job.Blocked, job.CancelPending)
 	}
 	if want := h.model.viewOf(id).releasedAt; job.ReleasedAt != want {
 		h.t.Fatalf("%s released at %v, want %v", id, job.ReleasedAt, want)
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -39,8 +39,8 @@
 // Formatter formats a value as a label of an axis.
 type Formatter func(value float64) string
 
-// Curves returns one plot of all lines as an SVG element. Both axes begin at 0, and the formatters label their values.
-func Curves(lines [][]Point, formatX, formatY Formatter) template.HTML {
+// PlotCurves returns one plot of all lines as an SVG element. Both axes begin at 0, and the formatters label their values.
+func PlotCurves(lines [][]Point, formatX, formatY Formatter) template.HTML {
 	diagram := plot{formatX: formatX, formatY: formatY, lines: lines}
 	for _, line := range lines {
 		for _, point := range line {
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -121,9 +121,9 @@
 	return plan, nil
 }
 
-// Quick reduces the plan to a tenth of the machines of each step and to short times, so that a run ends within two
+// ReduceForQuickRun reduces the plan to a tenth of the machines of each step and to short times, so that a run ends within two
 // minutes.
-func (p *Plan) Quick() {
+func (p *Plan) ReduceForQuickRun() {
 	p.SettleS = min(p.SettleS, quickSettleS)
 	p.MeasureS = min(p.MeasureS, quickMeasureS)
 	for i := range p.Steps {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -96,7 +96,7 @@
 	if err := plan.CheckResources(23 << 30); err != nil {
 		t.Error(err)
 	}
-	plan.Quick()
+	plan.ReduceForQuickRun()
 	if total := (plan.SettleS + plan.MeasureS) * float64(len(plan.Steps)); total > 110 {
 		t.Errorf("a quick run takes %v s, want at most 110 s", total)
 	}
@@ -235,8 +235,8 @@
 }
 
 // The state service returns an error with the cause if its input ends before the settings line.
-func TestPlayStateWithoutSettingsReturnsError(t *testing.T) {
-	err := PlayState(strings.NewReader(""), io.Discard)
+func TestServeStateWithoutSettingsReturnsError(t *testing.T) {
+	err := ServeState(strings.NewReader(""), io.Discard)
 	if !errors.Is(err, io.ErrUnexpectedEOF) || err.Error() != "reading settings: unexpected EOF" {
 		t.Errorf("got error %v, want one for missing settings that wraps unexpected EOF", err)
 	}
--- a/internal/lab/scale/state.go
+++ b/internal/lab/scale/state.go
@@ -43,9 +43,9 @@
 // statsRequest is the line that requests statistics. The state service doesn't check its content.
 const statsRequest = "figures"
 
-// PlayState runs a state service. It reads a line of settings, writes a line with its addresses, and then writes a
+// ServeState runs a state service. It reads a line of settings, writes a line with its addresses, and then writes a
 // line of statistics for every line that it reads. It returns when the input ends.
-func PlayState(in io.Reader, out io.Writer) error {
+func ServeState(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	encoder := json.NewEncoder(out)
 	if !lines.Scan() {
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -128,7 +128,7 @@
 // runJob submits a job and polls its state until the job is done or the context ends.
 func (u *users) runJob(ctx context.Context) {
 	spec := u.nextSpec()
-	u.sim.AddJob(spec)
+	u.sim.RecordSubmission(spec)
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // can't happen: the specification comes from nextSpec
--- a/internal/lab/user.go
+++ b/internal/lab/user.go
@@ -120,7 +120,7 @@
 
 	hasStarted      bool
 	isRefused       bool
-	history         simulator.History
+	history         simulator.AnswerHistory
 	cancelRequested bool
 }
 
@@ -131,7 +131,7 @@
 // arrive submits the user's job and schedules its cancellation if the job is to be cancelled.
 func (u *user) arrive() {
 	u.body, _ = json.Marshal(u.spec)
-	u.balancer.sim.AddJob(u.spec)
+	u.balancer.sim.RecordSubmission(u.spec)
 	u.balancer.openJobs++
 	u.submit()
 	if u.cancelDelay > 0 {
@@ -146,7 +146,7 @@
 		case http.StatusOK, http.StatusCreated:
 			u.acceptDelay = max(1, u.sinceArrival())
 			u.body = nil
-			u.history = simulator.History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+			u.history = simulator.AnswerHistory{ID: u.spec.ID, Tasks: u.spec.Tasks}
 			u.balancer.after(minPollInterval, u.poll)
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			u.isRefused = true
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -29,7 +29,7 @@
 	rng             *rand.Rand
 	spec            *jobs.Spec
 	finalStates     []string // the job's state in each final answer, in order
-	history         History
+	history         AnswerHistory
 	cancelRequested bool
 	status          int           // status of the latest answer to the submission; 0 before the first answer
 	submittedAt     time.Duration // time of the first submission, set in chaos runs only
@@ -55,13 +55,13 @@
 	if u.awaitsPredecessor() {
 		return
 	}
-	u.simulation.AddJob(u.spec)
+	u.simulation.RecordSubmission(u.spec)
 	body, _ := json.Marshal(u.spec)
 	var post func()
 	post = func() {
 		u.request("POST", "/v2/runs", body, func(status int, _ string) {
 			if u.status = status; u.isAccepted() {
-				u.history = History{ID: u.spec.ID, Tasks: u.spec.Tasks}
+				u.history = AnswerHistory{ID: u.spec.ID, Tasks: u.spec.Tasks}
 				u.callAccepted()
 				u.poll()
 				return
@@ -149,7 +149,7 @@
 
 // readChaosPools reads the licence pool and the archive settings of chaos runs into a controller's settings.
 func readChaosPools(settings *config.Settings) error {
-	return settings.ReadOperator("o.hcl", []byte(chaosPools))
+	return settings.ParseOperator("o.hcl", []byte(chaosPools))
 }
 
 // chaosFault is a random fault of a chaos run. The controller and the duration matter only to some kinds.
@@ -618,7 +618,7 @@
 		spec.EstimateS = 1
 		spec.Spot = false
 		body, _ := json.Marshal(spec)
-		sim.AddJob(spec)
+		sim.RecordSubmission(spec)
 		var post func()
 		post = func() {
 			at := sim.Now()
--- a/internal/simulator/controllers.go
+++ b/internal/simulator/controllers.go
@@ -51,7 +51,7 @@
 	}
 	c.whileRunning(func() {
 		answer := func(status int, body []byte) { reply(status, body) }
-		c.process.Ask(request.method, request.path, request.body, answer)
+		c.process.HandleRequest(request.method, request.path, request.body, answer)
 	})()
 }
 
@@ -123,9 +123,9 @@
 	var tick func()
 	tick = c.whileRunning(func() {
 		c.process.Tick()
-		env.schedule(controller.TickEvery, tick)
+		env.schedule(controller.TickInterval, tick)
 	})
-	env.schedule(jitter(env.rng, controller.TickEvery), tick)
+	env.schedule(jitter(env.rng, controller.TickInterval), tick)
 }
 
 // sendStatus sends a status message of the controller to a peer.
@@ -199,15 +199,15 @@
 // ActingLeaders lists the running controllers that consider themselves the leader with the right to act now.
 func (sim *Simulation) ActingLeaders() (controllers []int) {
 	for i, c := range sim.virtual.controllers {
-		if c.process != nil && c.frozenUntil <= sim.virtual.clock && c.process.Leads() {
+		if c.process != nil && c.frozenUntil <= sim.virtual.clock && c.process.IsActiveLeader() {
 			controllers = append(controllers, i)
 		}
 	}
 	return controllers
 }
 
-// ControllerStep returns the name of a controller's membership state, as in its log; "" if it isn't running.
-func (sim *Simulation) ControllerStep(i int) string {
+// MembershipState returns the name of a controller's membership state, as in its log; "" if it isn't running.
+func (sim *Simulation) MembershipState(i int) string {
 	if c := sim.virtual.controllers[i]; c.process != nil {
 		return c.process.MembershipState()
 	}
@@ -224,7 +224,7 @@
 	poll = func() {
 		switch {
 		case sim.virtual.controllers[i].incarnation != incarnation:
-		case sim.ControllerStep(i) == step:
+		case sim.MembershipState(i) == step:
 			sim.KillController(i)
 			sim.env.schedule(after, func() { sim.StartController(i) })
 		default:
--- a/internal/simulator/digest_scenarios_test.go
+++ b/internal/simulator/digest_scenarios_test.go
@@ -316,7 +316,7 @@
 	}
 	r.virtual.recordMessage(requestTo(controller.settings.PublicAddr, httpReq))
 	controller.whileRunning(func() {
-		controller.process.Call(request, func(status int, body []byte) {
+		controller.process.HandleLeaderRequest(request, func(status int, body []byte) {
 			r.virtual.recordMessage(answerFrom(controller.settings.PublicAddr, httpReq, status, body))
 			then(status, body)
 		})
@@ -399,8 +399,8 @@
 		)
 		for key, raw := range stored {
 			var record jobs.Record
-			if strings.HasPrefix(key, jobs.Prefix) && json.Unmarshal(raw, &record) == nil && record.Spec != nil {
-				cluster.AddJob((*jobs.Spec)(record.Spec))
+			if strings.HasPrefix(key, jobs.RecordPrefix) && json.Unmarshal(raw, &record) == nil && record.Spec != nil {
+				cluster.RecordSubmission((*jobs.Spec)(record.Spec))
 			}
 		}
 		return cluster
@@ -414,7 +414,7 @@
 	cfg.TickInterval = 20 * time.Millisecond
 	cfg.Teams = []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}}
 	sim, err := NewVirtualTime(cfg, func(s *config.Settings) error {
-		return s.ReadOperator("o.hcl", []byte(chaosPools+settings))
+		return s.ParseOperator("o.hcl", []byte(chaosPools+settings))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -470,7 +470,7 @@
 			Image:    "n",
 			ImageGB:  1,
 		}
-		cluster.AddJob(spec)
+		cluster.RecordSubmission(spec)
 		session := &testSession{
 			r: cluster,
 			InteractiveSession: &InteractiveSession{
--- a/internal/simulator/many_jobs_test.go
+++ b/internal/simulator/many_jobs_test.go
@@ -46,7 +46,7 @@
 	spec.Tasks = 1 + n%2
 	spec.ImageGB = 0.1
 	spec.EstimateS = 0.5 + m.rng.Float64()
-	m.AddJob(spec)
+	m.RecordSubmission(spec)
 	body, _ := json.Marshal(spec)
 	m.pending++
 	var again func()
@@ -88,7 +88,7 @@
 // endFaults starts all controllers, and waits until all jobs are accepted and archived, ten minutes at most.
 func (m *manyJobs) endFaults() {
 	m.startControllers()
-	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.pending > 0 || m.CountKeys(jobs.Prefix) > 0); {
+	for end := m.Now() + 10*time.Minute; m.Now() < end && (m.pending > 0 || m.CountKeys(jobs.RecordPrefix) > 0); {
 		m.Advance(time.Second)
 	}
 	m.Advance(10 * time.Second)
@@ -138,7 +138,7 @@
 		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
 	},
 		func(settings *config.Settings) error {
-			return settings.ReadOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
+			return settings.ParseOperator("o.hcl", []byte("archive {\n retain_s = 5\n}\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulator/partial_faults_test.go
+++ b/internal/simulator/partial_faults_test.go
@@ -18,7 +18,7 @@
 // balancer forwards users' requests to the controllers.
 func newThreeZoneLoadedCluster(t *testing.T, seed uint64, controllers int) (*testCluster, *Balancer) {
 	cluster := newWideCluster(t, seed, controllers)
-	balancer := cluster.Balance()
+	balancer := cluster.NewBalancer()
 	cluster.submitSmallJobs(24, 20)
 	cluster.submitJobs(60 * time.Second)
 	cluster.waitForLoad()
@@ -28,7 +28,7 @@
 
 // startPolling polls the states of the first 24 users' jobs through the balancer from now on.
 func (r *testCluster) startPolling(balancer *Balancer) *JobPollers {
-	pollers := balancer.JobPollers()
+	pollers := balancer.NewJobPollers()
 	for _, user := range r.users[:24] {
 		pollers.Follow(user.spec.ID, nil)
 	}
@@ -620,7 +620,7 @@
 		Types:        types,
 		TickInterval: 50 * time.Millisecond,
 		Teams:        []config.Team{{Name: "red"}, {Name: "blue"}},
-	}, func(settings *config.Settings) error { return settings.ReadOperator("o.hcl", []byte(operator)) })
+	}, func(settings *config.Settings) error { return settings.ParseOperator("o.hcl", []byte(operator)) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	cluster := startCluster(t, pipelineStream, cfg, func(settings *config.Settings) error {
 		settings.SimulateRelease(levelBeforePipelines, FormerRelease)
-		return settings.ReadOperator("o.hcl", []byte(operator))
+		return settings.ParseOperator("o.hcl", []byte(operator))
 	})
 	cluster.waitFor("cluster at the former release's level", 30*time.Second, func() bool {
 		return cluster.ClusterLevel() == levelBeforePipelines && len(cluster.ActingLeaders()) == 1
@@ -127,7 +127,7 @@
 // dependentRecords returns the sorted IDs of jobs whose stored records have the format of pending jobs with
 // predecessors.
 func (r *testCluster) dependentRecords() (ids []string) {
-	for key, item := range r.StoredItems(jobs.Prefix) {
+	for key, item := range r.StoredItems(jobs.RecordPrefix) {
 		if rollout.FormatOf(item.Value) == dependentJobFormat {
 			ids = append(ids, jobs.IDOfKey(key))
 		}
@@ -203,7 +203,7 @@
 	head.submit()
 	cluster.waitUntilAccepted(head)
 	follower := cluster.addUser(head)
-	cluster.AddJob(follower.spec)
+	cluster.RecordSubmission(follower.spec)
 	body := submission(t, follower.spec)
 	former := (cluster.waitForLeader() + 1) % cluster.Controllers()
 	cluster.forOthers(former, func(i int) {
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -22,7 +22,7 @@
 // and while transactions get no answer. Tasks start again within seconds, all jobs end, and no invariant is violated.
 // Arrays of 150 tasks on all machines make the stored values as large as they get.
 func TestLowerStateLimits(t *testing.T) {
-	lowered := map[string]config.NextState{
+	lowered := map[string]config.AnnouncedStateLimits{
 		"value":   {ValueKB: 2},
 		"changes": {TxnOps: 8},
 		"rate":    {WriteRPS: 24},
@@ -65,7 +65,7 @@
 					}
 					cluster.Advance(20 * time.Second)
 					loweredAt := cluster.Now()
-					cluster.LowerStateLimits(limits.ValueKB, limits.TxnOps, limits.WriteRPS)
+					cluster.SetStateLimits(limits.ValueKB, limits.TxnOps, limits.WriteRPS)
 					begin(cluster)
 					cluster.Advance(30 * time.Second)
 					if gap := cluster.LongestStartGap(loweredAt+14*time.Second, loweredAt+30*time.Second); gap > 6*time.Second {
--- a/internal/simulator/stored_formats_test.go
+++ b/internal/simulator/stored_formats_test.go
@@ -52,24 +52,25 @@
 	kinds := map[string]int{}
 	table := jobs.NewTable(0)
 	for key, raw := range all {
-		if id, ok := strings.CutPrefix(key, jobs.Prefix); ok {
+		if id, ok := strings.CutPrefix(key, jobs.RecordPrefix); ok {
 			if _, _, err := table.Apply(id, raw, 1); err != nil {
 				t.Errorf("%s: applying the record failed: %v", key, err)
 			}
 		}
 	}
 	for key, raw := range all {
-		format, ok := rollout.RecordFormatOf(key)
+		kind, ok := rollout.RecordKindOf(key)
 		if !ok {
 			t.Errorf("%s: no record format registered for this key", key)
 			continue
 		}
-		kinds[format.Kind]++
-		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(format.ReadFormats, f) ||
-			format.WrittenAt(rollout.Base) != 1 {
-			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1", key, f, format.WrittenAt(rollout.Base))
+		kinds[kind.Kind]++
+		if f := rollout.FormatOf(raw); f != 1 || !slices.Contains(kind.ReadFormats, f) ||
+			kind.FormatAtLevel(rollout.Base) != 1 {
+			t.Errorf("%s: got format %d, and format %d written at the base level; want a readable format 1 and 1",
+				key, f, kind.FormatAtLevel(rollout.Base))
 		}
-		switch format.Kind {
+		switch kind.Kind {
 		case "job":
 			var r jobs.Record
 			if err := json.Unmarshal(raw, &r); err != nil {
@@ -166,7 +167,7 @@
 		Teams:        []config.Team{{Name: "red", CPUs: 20, CPUsMax: 60}, {Name: "blue", CPUs: 20, CPUsMax: 100}},
 	},
 		func(settings *config.Settings) error {
-			return settings.ReadOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
+			return settings.ParseOperator("o.hcl", []byte(chaosPools+"rollout { soak_s = 5 }\n"))
 		})
 	if err != nil {
 		t.Fatal(err)
@@ -175,11 +176,11 @@
 	cluster.watchInvariants()
 	pendingJobs := 0
 	for key, raw := range all {
-		if !strings.HasPrefix(key, jobs.Prefix) {
+		if !strings.HasPrefix(key, jobs.RecordPrefix) {
 			continue
 		}
 		if record, ok := pendingRecord(raw); ok {
-			sim.AddJob((*jobs.Spec)(record.Spec))
+			sim.RecordSubmission((*jobs.Spec)(record.Spec))
 			if record.Spec.Kind != jobs.Service {
 				pendingJobs++
 			}
@@ -196,7 +197,7 @@
 		t.Errorf("got unreadable records %+v, want none", v.Unreadable)
 	}
 	pending := func() (n int) {
-		for _, item := range sim.StoredItems(jobs.Prefix) {
+		for _, item := range sim.StoredItems(jobs.RecordPrefix) {
 			if record, ok := pendingRecord(item.Value); ok && record.Spec.Kind != jobs.Service {
 				n++
 			}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -59,7 +59,7 @@
 	}
 	if machine.noticeAt > 0 {
 		remaining := (machine.noticeAt - now).Seconds()
-		heartbeat.NoticeS = &remaining
+		heartbeat.ReclaimInS = &remaining
 	}
 	for _, task := range machine.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, fleet.TaskReport{
@@ -194,7 +194,7 @@
 		return task
 	}
 	if !machine.images[task.spec.Image] {
-		task.imageReadyAt = now + jobs.Seconds(task.spec.ImageGB/machine.machineType.FetchGB)
+		task.imageReadyAt = now + jobs.Seconds(task.spec.ImageGB/machine.machineType.FetchGBPerS)
 	}
 	return task
 }
