--- a/cmd/harewalk/admin.go
+++ b/cmd/harewalk/admin.go
@@ -134,7 +134,7 @@
 		}
 	}
 	if status.Full {
-		fmt.Fprintf(table, "machines at most\t%d, limit reached, no more are rented; set by %s\n",
+		fmt.Fprintf(table, "machine limit\t%d reached, no more machines are rented; set by %s\n",
 			status.MaxMachines, status.MachinesBound)
 	}
 	if status.DrainingTotal > len(status.Draining) {
--- a/internal/allocation/policy.go
+++ b/internal/allocation/policy.go
@@ -11,7 +11,7 @@
 // Equal arguments give equal shares on every controller.
 func FairShares(limit int32, demand []int32) Shares {
 	shares := make(Shares, len(demand))
-	shards := make([]int, len(demand)) // by demand, the smallest first
+	shards := make([]int, len(demand)) // shards in ascending order of demand
 	for shard := range shards {
 		shards[shard] = shard
 	}
--- a/internal/api/counter.go
+++ b/internal/api/counter.go
@@ -7,17 +7,17 @@
 
 // ResponseCounts are the numbers of responses since the process started.
 type ResponseCounts struct {
-	Served            uint64 // to users: any status but 429 and 5xx
-	TooManyRequests   uint64 // to users: 429
-	ServerErrors      uint64 // to users: 5xx
-	Heartbeats        uint64 // to workers: 200
-	HeartbeatsRefused uint64 // to workers: any other status
+	Served            uint64 // responses to users with any status but 429 and 5xx
+	TooManyRequests   uint64 // responses to users with status 429
+	ServerErrors      uint64 // responses to users with status 5xx
+	Heartbeats        uint64 // responses to workers with status 200
+	HeartbeatsRefused uint64 // responses to workers with any other status
 }
 
 // ResponseCounter counts responses. It is safe for concurrent use. Its zero value is ready for use, and a nil counter
 // counts nothing.
 type ResponseCounter struct {
-	served, tooManyRequests, serverErrors atomic.Uint64 // to users
+	served, tooManyRequests, serverErrors atomic.Uint64 // responses to users
 	heartbeats, heartbeatsRefused         atomic.Uint64 // to workers
 }
 
--- a/internal/api/predecessors.go
+++ b/internal/api/predecessors.go
@@ -19,9 +19,9 @@
 	spec         *jobs.Spec
 	reply        func(Reply)
 	unchecked    []string
-	unfinished   []string // accepted, and not known to be done
+	unfinished   []string // accepted predecessors that are not known to be done
 	anyCancelled bool     // a predecessor is cancelled, so the job is stored as cancelled
-	reads        int      // how many predecessors were read
+	reads        int      // number of predecessors that were read
 }
 
 // checkPredecessors stores a job if all its predecessors have been accepted. A job with a predecessor that was never
--- a/internal/api/reply.go
+++ b/internal/api/reply.go
@@ -11,7 +11,7 @@
 type Reply struct {
 	Status     int
 	Body       any
-	RetryAfter int // in seconds, 0 for none
+	RetryAfter int // seconds until the client may retry, 0 for none
 }
 
 // Refusals that several requests share.
--- a/internal/api/service.go
+++ b/internal/api/service.go
@@ -92,7 +92,7 @@
 	submissions     []pendingSubmission
 	submissionBytes int                 // total size of the records in submissions
 	batchInFlight   []pendingSubmission // submissions whose transaction is in flight; nil if there is none
-	lastRetryAt     time.Duration       // when the client of the last refused submission may retry
+	lastRetryAt     time.Duration       // time at which the client of the last refused submission may retry
 
 	queries       []statusQuery
 	queryInFlight bool          // whether a transaction that checks status queries is in flight
--- a/internal/api/statusquery.go
+++ b/internal/api/statusquery.go
@@ -29,7 +29,7 @@
 // statusQuery is a lookup that waits to be checked against the state service.
 type statusQuery struct {
 	lookup
-	version uint64 // of the job's record in the job table when the check was sent; 0 if there was none
+	version uint64 // version of the record in the job table when the check was sent; 0: no record
 }
 
 // txnBytes returns an upper bound of the query's size in a transaction.
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -24,9 +24,9 @@
 	defaultBootExtraS = 10
 	// With enough samples, the expected time is a multiple of the ninth decile, between a minimum and a maximum.
 	ninthDecileFactor = 1.25
-	minExpectedFactor = 1.5 // of the usual time, plus minExpectedExtraS
+	minExpectedFactor = 1.5 // multiple of the usual time, to which minExpectedExtraS is added
 	minExpectedExtraS = 5
-	maxExpectedFactor = 4 // of the expected time without samples
+	maxExpectedFactor = 4 // multiple of the expected time without samples
 )
 
 // pendingBoot is a machine that was rented and has sent no heartbeat yet.
--- a/internal/capacity/fixture_test.go
+++ b/internal/capacity/fixture_test.go
@@ -34,7 +34,7 @@
 	now            time.Duration
 	available      map[cloudOffer]int
 	machines       map[string]listedMachine // machines rented and not returned, by name
-	rentedAt       map[string]time.Duration // by machine name
+	rentedAt       map[string]time.Duration // time of renting by machine name
 	claims         map[string]bool          // claims used so far
 	rented         int                      // number of machines rented so far
 	responses      []func()                 // deliver the queued responses, the oldest first
--- a/internal/capacity/health.go
+++ b/internal/capacity/health.go
@@ -21,16 +21,16 @@
 	causeLeaseExpiry returnCause = "lost"
 	causeFaulty      returnCause = "faulty"
 	causeIdle        returnCause = "idle"
-	causeRetired     returnCause = "retired" // it got no more tasks because of its return, and its last task has ended
+	causeRetired     returnCause = "retired" // no new tasks because of the return, and the last task has ended
 )
 
 // fleetHealth counts the machines from which heartbeats are expected.
 type fleetHealth struct {
 	silenceLimit      time.Duration // a machine without heartbeats for longer is silent
-	authorityIsStable bool          // held for so long that every reachable worker has sent a heartbeat
+	authorityIsStable bool          // authority was held long enough for a heartbeat of every reachable worker
 	up                int           // all machines from which heartbeats are expected
-	idle              int           // of these, the ones without tasks
-	silent            int           // of these, the ones without a heartbeat for silenceLimit
+	idle              int           // machines of up without tasks
+	silent            int           // machines of up without a heartbeat for silenceLimit
 }
 
 // fewSilent reports whether at most a quarter of the machines, or one, is silent. If more are silent at once, they are
--- a/internal/capacity/inventory.go
+++ b/internal/capacity/inventory.go
@@ -24,10 +24,10 @@
 // inventory is the progress of reading the cloud's list, page by page.
 type inventory struct {
 	requesting  bool            // a request is in flight
-	nextRequest time.Duration   // when the next page may be requested
+	nextRequest time.Duration   // earliest time of the next page request
 	lastName    string          // the last machine of the pages read so far, "" before the first page
 	machines    []listedMachine // the machines of the pages read so far
-	readAt      time.Duration   // when the list was last read completely; 0: not yet
+	readAt      time.Duration   // time at which the list was last read completely; 0: not yet
 }
 
 // restart drops the pages read so far. nextRequest is when the first page may be requested again.
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -42,21 +42,21 @@
 	nextEvaluation time.Duration
 
 	inventory inventory
-	boots     map[string]*pendingBoot // by machine name
+	boots     map[string]*pendingBoot // pending boots by machine name
 	bootTimes bootTimes               // durations of recent boots
 
 	// Scale-out.
 	renting        bool // a request is in flight
 	nextScaleOut   time.Duration
-	claims         uint64                  // sent in this term; each claim is used once
+	claims         uint64                  // claims sent in this term; each claim is used once
 	refusedUntil   map[offer]time.Duration // end of the backoff after the cloud had too few machines of an offer
 	atLimit        bool                    // max_machines was reached when the last scale-out was planned
 	machinesByZone map[int32]int           // machines ready or booting when the last scale-out was planned
 
 	// Scale-in.
 	returning       bool                     // a request is in flight
-	toReturn        map[string]returnCause   // marked for return, by machine name
-	returnedAt      map[string]time.Duration // when the cloud confirmed the return, by machine name
+	toReturn        map[string]returnCause   // cause of each machine marked for return, by name
+	returnedAt      map[string]time.Duration // time at which the cloud confirmed the return, by machine name
 	idleLimitFactor float64                  // last result of the function idleLimitFactor
 }
 
--- a/internal/config/access.go
+++ b/internal/config/access.go
@@ -12,7 +12,7 @@
 type TLSSettings struct {
 	// Listen is the address on which users are served over TLS.
 	Listen string `hcl:"listen" validate:"required,hostport"`
-	// Advertise is the TLS address that users are told to call. The default is the host of the platform's public
+	// Advertise is the TLS address that is advertised to users. The default is the host of the platform's public
 	// address with the port of Listen.
 	Advertise string `hcl:"advertise,optional" validate:"omitempty,hostport"`
 	// Cert, Key and CA are the paths of PEM files. Cert is the certificate; it names the node and every host name that
@@ -33,7 +33,7 @@
 // Users returns the users and their tokens, or nil if users need no token.
 func (s *Settings) Users() *access.Users { return s.users }
 
-// TLSAddr returns the address that users are told to call over TLS, or "" without TLS.
+// TLSAddr returns the address that is advertised to users for TLS, or "" without TLS.
 func (s *Settings) TLSAddr() string {
 	settings := s.Operator.TLS
 	if settings == nil {
--- a/internal/controller/archive_test.go
+++ b/internal/controller/archive_test.go
@@ -13,7 +13,7 @@
 // A response to a read of a job's record that arrives after the job has ended and was archived must not restore the
 // job: its tasks would be started again.
 func TestLateReadDoesNotRestoreArchivedJob(t *testing.T) {
-	c, service, advance := newFollowingController(t)
+	c, service, advance := newWatchingController(t)
 	spec := newSpec("req-000001")
 	key := jobs.RecordKey(spec.ID)
 	pending := jobs.EncodeRecord(jobs.Pending, 0, 1, spec)
@@ -32,18 +32,18 @@
 	if c.handleJobRead(c.loop.Now(), read); c.jobs.Get(spec.ID) != nil {
 		t.Error("archived job is in the table after a late read, want it removed")
 	}
-	// A record that is newer than the followed keys is applied.
+	// A record that is newer than the watched keys is applied.
 	newerKey := jobs.RecordKey("req-000002")
 	service.Apply([]store.Op{{Put: newerKey, Value: pending}})
 	if c.handleJobRead(c.loop.Now(), service.Keys[newerKey]); c.jobs.Get("req-000002") == nil {
-		t.Error("job whose record is newer than the followed keys is not in the table")
+		t.Error("job whose record is newer than the watched keys is not in the table")
 	}
 }
 
-// A controller whose watch position was lost lists all keys again. Jobs that were archived meanwhile must be removed
+// A controller whose watch position was lost lists all keys again. Jobs archived in the meantime must be removed
 // from its table, and all other jobs must stay.
 func TestResyncRemovesArchivedJobs(t *testing.T) {
-	c, service, advance := newFollowingController(t)
+	c, service, advance := newWatchingController(t)
 	spec := newSpec("req-000001")
 	for _, id := range []string{"req-000001", "req-000002", "req-000003"} {
 		service.Apply([]store.Op{{Put: jobs.RecordKey(id), Value: jobs.EncodeRecord(jobs.Pending, 0, 1, spec)}})
@@ -106,7 +106,7 @@
 // A job whose session has a stored record must not be archived, even if no other state of the job is left: the
 // session would lose its job permanently.
 func TestJobOfStoredSessionIsNotArchived(t *testing.T) {
-	c, _, _ := newFollowingController(t)
+	c, _, _ := newWatchingController(t)
 	c.term.sessions = sessions.New(sessions.Env{
 		Policies: &sessions.Policies{},
 		Jobs:     c.jobs,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,8 +31,8 @@
 
 // Keys of the state service that this package handles itself.
 const (
-	// followedPrefix is the prefix of the keys that every controller follows.
-	followedPrefix  = "h/"
+	// watchedPrefix is the prefix of the keys that every controller watches.
+	watchedPrefix   = "h/"
 	machineTypesKey = membership.Prefix + "types"
 )
 
@@ -141,7 +141,7 @@
 	}
 	c.buildClients(env)
 	c.buildTables(env)
-	c.watchCache = store.NewWatchCache(c.store, followedPrefix, settings.StalenessBound())
+	c.watchCache = store.NewWatchCache(c.store, watchedPrefix, settings.StalenessBound())
 	c.rollout = c.newRollout()
 	c.membership = c.newMembership()
 	c.watchCache.OnItem = func(item store.Item) { c.handleItem(c.loop.Now(), item) }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -74,7 +74,7 @@
 
 // isBlockedCertain reports whether this controller may answer a user that a blocked job is waiting. A cancellation of
 // a predecessor must have reached this controller within cancel_s after a user received its confirmation: the
-// followed keys must be fresh enough, and the state of every ancestor of the job must be known.
+// watched keys must be fresh enough, and the state of every ancestor of the job must be known.
 func (c *Controller) isBlockedCertain(now time.Duration, id string) bool {
 	isFresh := now-c.watchCache.FreshAt() <= c.settings.StalenessBound()
 	return isFresh && !c.dependencies.graph.HasUnknownAncestor(id)
--- a/internal/controller/drain_maintenance.go
+++ b/internal/controller/drain_maintenance.go
@@ -32,7 +32,7 @@
 	writeInFlight   bool // a background transaction is in flight
 	lastSweepAt     time.Duration
 	lastMigrationAt time.Duration
-	unknownSince    map[string]time.Duration // when a machine was first missing from the fleet, by its name
+	unknownSince    map[string]time.Duration // time since which a machine is missing from the fleet, by name
 }
 
 // maintainDrainRequests performs the next step of the maintenance, if one is due and no background transaction is in
--- a/internal/controller/drains.go
+++ b/internal/controller/drains.go
@@ -130,7 +130,7 @@
 	})
 }
 
-// confirmDrainWrite applies a committed write of this controller, unless the followed keys already include it.
+// confirmDrainWrite applies a committed write of this controller, unless the watched keys already include it.
 func (c *Controller) confirmDrainWrite(txn store.Txn, revision uint64) {
 	if revision <= c.watchCache.Revision() {
 		return
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -14,7 +14,7 @@
 // stay within 64 KiB.
 func TestDrainsOfLargeFleetAreLoadedAndPaged(t *testing.T) {
 	const machines = 4000
-	c, service, advance := newFollowingController(t)
+	c, service, advance := newWatchingController(t)
 	for i := range machines {
 		name := fmt.Sprintf("i-%06d", i)
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name, Request: drain.Request{By: "kana", AtMS: 5}})
@@ -39,10 +39,10 @@
 	}
 }
 
-// A controller whose watch position was lost lists all keys again. Drain requests that were deleted meanwhile must be
+// A controller whose watch position was lost lists all keys again. Drain requests deleted in the meantime must be
 // removed.
 func TestResyncRemovesDeletedDrainRequests(t *testing.T) {
-	c, service, advance := newFollowingController(t)
+	c, service, advance := newWatchingController(t)
 	for _, name := range []string{"i-1", "i-2"} {
 		raw, _ := json.Marshal(drain.MachineRecord{Machine: name})
 		service.Apply([]store.Op{{Put: drain.MachineKey(name), Value: raw}})
--- a/internal/controller/events.go
+++ b/internal/controller/events.go
@@ -16,7 +16,7 @@
 const (
 	minEvents   = 256
 	maxEvents   = 16384
-	eventsPerMB = 32 // per MB of the process's memory limit
+	eventsPerMB = 32 // events per MB of the process's memory limit
 )
 
 // eventCapacity returns the number of events that a leader keeps under a memory limit.
--- a/internal/controller/failover_timing.go
+++ b/internal/controller/failover_timing.go
@@ -18,7 +18,7 @@
 	logUntil  time.Duration
 	nextLogAt time.Duration
 	term      uint64
-	previous  processCounters // at the last log line, or at the start of the series
+	previous  processCounters // counters at the last log line, or at the start of the series
 }
 
 // failoverLogDuration is the length of a series of log lines.
--- a/internal/controller/handover.go
+++ b/internal/controller/handover.go
@@ -7,7 +7,7 @@
 )
 
 // This file decides when a leader resigns although no other controller took the leadership: no worker reaches it, or
-// its followed keys are too old to act on.
+// its watched keys are too old to act on.
 
 // staleCacheAnswerAge is the maximum age of the state service's last answer at which a stale cache means lost
 // watches. If the last answer is older, the service has an outage.
@@ -29,8 +29,8 @@
 
 // heartbeatLoss is the input to the decision of a leader without recent heartbeats to resign.
 type heartbeatLoss struct {
-	sinceLastHeartbeat time.Duration // or since the leader gained authority, if that was later
-	heartbeatInterval  float64       // between a worker's heartbeats, in seconds
+	sinceLastHeartbeat time.Duration // time since the last heartbeat or, if later, the start of authority
+	heartbeatInterval  float64       // seconds between a worker's heartbeats
 	lease              time.Duration // duration of a worker's lease
 	expectedHeartbeats int           // number of machines that should send heartbeats
 	peerHeartbeats     int           // number of heartbeats that other controllers received recently
@@ -86,7 +86,7 @@
 	}
 }
 
-// cacheTooStale reports whether the followed keys have been too old to act on for longer than a controller's lease,
+// cacheTooStale reports whether the watched keys have been too old to act on for longer than a controller's lease,
 // although the state service answers. A leader that has lost its watches but renews its lease would neither act nor
 // let another controller lead.
 func (c *Controller) cacheTooStale(now time.Duration) bool {
@@ -99,8 +99,8 @@
 // workers that are searching for their owner. The counts are for windows of equal length.
 type foreignHeartbeats struct {
 	windowStart time.Duration
-	current     uint32 // in the current window
-	previous    uint32 // in the window before
+	current     uint32 // heartbeats in the current window
+	previous    uint32 // heartbeats in the previous window
 }
 
 // add adds n heartbeats and returns the total of the current window and the one before.
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -14,7 +14,7 @@
 		longTimeout       = 10 * time.Second // 2 * heartbeatInterval + 4 s
 	)
 	cases := []struct {
-		name               string // by the share of heartbeats that other controllers receive
+		name               string // names the share of heartbeats that other controllers receive
 		sinceLastHeartbeat time.Duration
 		expectedHeartbeats int
 		peerHeartbeats     int
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -28,14 +28,14 @@
 	}
 }`
 
-// newFollowingController returns a controller that follows the keys of a state service, and a function that advances
+// newWatchingController returns a controller that watches the keys of a state service, and a function that advances
 // the clock of both.
-func newFollowingController(t *testing.T) (c *Controller, service *state.Service, advance func(time.Duration)) {
+func newWatchingController(t *testing.T) (c *Controller, service *state.Service, advance func(time.Duration)) {
 	t.Helper()
 	return newControllerOn(t, func(service *state.Service) httpio.Sender { return directSender{service} })
 }
 
-// newControllerOn returns a controller like newFollowingController's that reaches the state service through a sender.
+// newControllerOn returns a controller like newWatchingController's that reaches the state service through a sender.
 func newControllerOn(
 	t *testing.T,
 	newSender func(*state.Service) httpio.Sender,
--- a/internal/controller/lifecycle.go
+++ b/internal/controller/lifecycle.go
@@ -32,8 +32,8 @@
 
 // Time limits of a drain.
 const (
-	maxFlush    = time.Second     // to settle a leader's writes in flight
-	maxHandover = 5 * time.Second // to answer users, and until another controller leads
+	maxFlush    = time.Second     // maximum time to settle a leader's writes in flight
+	maxHandover = 5 * time.Second // maximum time to answer users and wait for another leader
 	// minQuiescence is how long no user's request must have been in flight. A load balancer stops sending users after
 	// two failed health checks, a second apart.
 	minQuiescence = 2 * time.Second
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -12,10 +12,10 @@
 type machineTypes struct {
 	list            []capacity.MachineType
 	byIndex         map[int32]*fleet.MachineType
-	raw             string // as fetched or as stored, in JSON
+	raw             string // list as fetched or as stored, in JSON
 	fetchedAt       time.Duration
 	requestInFlight bool
-	version         uint64 // of the stored key, 0 if there is none
+	version         uint64 // version of the stored key, 0 if there is none
 }
 
 // Times between fetches of the machine types: until the first success, afterwards on the leader, and after a failure.
--- a/internal/controller/metrics.go
+++ b/internal/controller/metrics.go
@@ -57,32 +57,32 @@
 var (
 	upDesc       = desc("up", "1 if this controller passes its health check.")
 	leadingDesc  = desc("leading", "1 if this controller leads and has the authority to act.")
-	termDesc     = desc("term", "The term of the leader, as last seen.")
+	termDesc     = desc("term", "Term of the leader, as last read from the state service.")
 	storeAgeDesc = desc("state_answer_age_seconds",
 		"Seconds since the state service last executed a request of this controller.")
-	loopWaitDesc     = desc("loop_wait_seconds", "How long this scrape waited for the event loop.")
-	jobsDesc         = desc("jobs", "Jobs that are not over.")
-	blockedDesc      = desc("jobs_blocked", "Jobs that wait for others to be done.")
+	loopWaitDesc     = desc("loop_wait_seconds", "Seconds that this scrape waited for the event loop.")
+	jobsDesc         = desc("jobs", "Jobs that have not ended.")
+	blockedDesc      = desc("jobs_blocked", "Jobs that wait for their predecessors to be done.")
 	jobsInMemoryDesc = desc("jobs_known", "Jobs in this controller's memory: "+
 		"live ones, and ended ones that are not archived yet.")
-	cachedDesc   = desc("archive_cached", "Answers of archived jobs in this controller's memory.")
+	cachedDesc   = desc("archive_cached", "Answers of archived jobs that are cached in this controller's memory.")
 	archivedDesc = desc("archive_moved",
-		"Ended jobs that this leader has archived in its term; only the leader tells.")
-	limitDesc = desc("state_limit", "What a transaction may hold now: changes, and bytes of a value. "+
-		"Less than in the settings: the service has refused more.", "what")
-	refusedDesc = desc("state_refused", "Transactions that the state service refused since the start, "+
-		"for their size or beyond its rate.", "why")
-	tasksDesc    = desc("tasks", "Tasks of those jobs by state; only the leader tells.", "state")
-	machinesDesc = desc("machines", "Machines by condition; only the leader tells.", "condition")
-	coresDesc    = desc("cores", "Cores of machines that act, and what is in use.", "what")
-	gpusDesc     = desc("gpus", "Accelerators of machines that act, and what is in use.", "what")
-	licencesDesc = desc("licence_seats", "Seats of each licence pool.", "pool", "what")
-	levelDesc    = desc("level", "The level of the cluster's stored state, "+
-		"and the highest that this controller's release knows.", "of")
-	rolloutDesc    = desc("rollout_state", "1 for the state in which this controller sees the rollout.", "state")
-	migrationDesc  = desc("migration_left", "Records that stand in a former format; only the leader tells.")
-	unreadableDesc = desc("unreadable_records", "Stored records that can't be read here.")
-	sessionsDesc   = desc("sessions", "Sessions by state.", "state")
+		"Ended jobs that this leader has archived in its term. Only the leader exports it.")
+	limitDesc = desc("state_limit", "Current limits of a transaction: number of changes, and bytes of a value. "+
+		"Lower than in the settings if the state service has refused larger transactions.", "what")
+	refusedDesc = desc("state_refused", "Transactions that the state service refused since the process started, "+
+		"because of their size or rate.", "why")
+	tasksDesc    = desc("tasks", "Tasks of live jobs by state. Only the leader exports it.", "state")
+	machinesDesc = desc("machines", "Machines by condition. Only the leader exports it.", "condition")
+	coresDesc    = desc("cores", "Cores of ready machines: total and in use. Only the leader exports it.", "what")
+	gpusDesc     = desc("gpus", "Accelerators of ready machines: total and in use. Only the leader exports it.", "what")
+	licencesDesc = desc("licence_seats", "Units of each licence pool. Only the leader exports it.", "pool", "what")
+	levelDesc    = desc("level", "Level of the cluster's stored state, "+
+		"and highest level that this controller's release supports.", "of")
+	rolloutDesc    = desc("rollout_state", "1 for the current state of the rollout by this controller's view.", "state")
+	migrationDesc  = desc("migration_left", "Records still stored in a former format. Only the leader exports it.")
+	unreadableDesc = desc("unreadable_records", "Stored records that this controller can't read.")
+	sessionsDesc   = desc("sessions", "Sessions by state. Only the leader exports it.", "state")
 )
 
 // collector reads the metrics on the controller's event loop at each scrape.
--- a/internal/controller/rollout.go
+++ b/internal/controller/rollout.go
@@ -106,7 +106,7 @@
 }
 
 // migrationProgress returns the number of records in former formats and whether the migration is done. It isn't done
-// before the followed keys have passed the version upgrade: until then, earlier writes may not have been received
+// before the watched keys have passed the version upgrade: until then, earlier writes may not have been received
 // yet.
 func (c *Controller) migrationProgress() rollout.MigrationProgress {
 	drainRequests := c.unmigratedDrainRequests()
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -29,7 +29,7 @@
 	canceller      *dependencies.Canceller
 	loading        bool
 	loadNotBefore  time.Duration
-	authoritySince time.Duration // when the leader last gained the authority to act
+	authoritySince time.Duration // time at which the leader last gained the authority to act
 	hadAuthority   bool
 }
 
--- a/internal/controller/tick.go
+++ b/internal/controller/tick.go
@@ -31,7 +31,7 @@
 func (c *Controller) tickTerm(now time.Duration) {
 	hasAuthority := c.membership.HasAuthority(now)
 	if !hasAuthority && c.cacheTooStale(now) {
-		c.membership.Resign(now, "the followed keys are too old")
+		c.membership.Resign(now, "the watched keys are too old")
 		return
 	}
 	if !c.term.loaded() {
--- a/internal/controller/watched_keys.go
+++ b/internal/controller/watched_keys.go
@@ -10,9 +10,9 @@
 	"github.com/harewalk/harewalk/internal/store"
 )
 
-// This file dispatches changes of the state service's followed keys to the components that own them.
+// This file dispatches changes of the state service's watched keys to the components that own them.
 
-// handleItem applies a write of a followed key.
+// handleItem applies a write of a watched key.
 func (c *Controller) handleItem(now time.Duration, item store.Item) {
 	switch {
 	case strings.HasPrefix(item.Key, jobs.Prefix):
@@ -35,7 +35,7 @@
 	}
 }
 
-// handleDelete applies the deletion of a followed key.
+// handleDelete applies the deletion of a watched key.
 func (c *Controller) handleDelete(key string, version uint64) {
 	if strings.HasPrefix(key, jobs.Prefix) {
 		c.handleJobDeleted(key, version)
@@ -49,13 +49,13 @@
 	c.drains.machines.HandleDelete(key, version)
 }
 
-// handleSynced notifies the components that all followed keys have been read.
+// handleSynced notifies the components that all watched keys have been read.
 func (c *Controller) handleSynced() {
 	c.rollout.HandleSynced()
 	c.membership.HandleSynced(c.loop.Now())
 }
 
-// resetKeys replaces the state of the followed keys by a complete new listing. A key that is missing from items was
+// resetKeys replaces the state of the watched keys by a complete new listing. A key that is missing from items was
 // deleted.
 func (c *Controller) resetKeys(items []store.Item) {
 	c.rollout.HandleReset(items)
@@ -71,8 +71,8 @@
 	c.dependencies.graph.Retain()
 }
 
-// handleJobRead applies a job's record that was read or written outside the followed keys. If the job isn't in the
-// table although the followed keys have reached the record's version, it was archived since: a late response must not
+// handleJobRead applies a job's record that was read or written outside the watched keys. If the job isn't in the
+// table although the watched keys have reached the record's version, it was archived since: a late response must not
 // restore it.
 func (c *Controller) handleJobRead(now time.Duration, item store.Item) {
 	isKnown := c.jobs.Get(jobs.IDOfKey(item.Key)) != nil
@@ -100,7 +100,7 @@
 	}
 }
 
-// handleJobDeleted applies the deletion of a job's record from the followed keys.
+// handleJobDeleted applies the deletion of a job's record from the watched keys.
 func (c *Controller) handleJobDeleted(key string, version uint64) {
 	id := jobs.IDOfKey(key)
 	c.jobs.Archive(id, version)
--- a/internal/controller/wire.go
+++ b/internal/controller/wire.go
@@ -19,7 +19,7 @@
 	// of them.
 	Draining      []MachineStatus `json:"draining"`
 	DrainingTotal int             `json:"draining_total"`
-	Machines      map[string]int  `json:"machines"` // by condition
+	Machines      map[string]int  `json:"machines"` // number of machines by condition
 	// MaxMachines is the maximum number of rented machines, MachinesBound the setting that determines it. Full
 	// reports that the maximum is reached.
 	MaxMachines   int    `json:"max_machines"`
@@ -34,7 +34,7 @@
 type NodeStatus struct {
 	Node    string `json:"node"`
 	Leads   bool   `json:"leads"`
-	Alive   bool   `json:"alive"` // its statuses arrive, and report that it reaches the state service
+	Alive   bool   `json:"alive"` // the controller's statuses arrive and report that it reaches the state service
 	Drained bool   `json:"drained"`
 	By      string `json:"by,omitempty"`
 }
@@ -137,7 +137,7 @@
 	Tasks       int     `json:"tasks"` // tasks that count as being on the zone's machines
 	Held        int     `json:"held"`  // the part of Tasks on quarantined machines, until their leases expire
 	Rents       bool    `json:"rents"`
-	AcceptsWork string  `json:"takes"` // the new work that it accepts: arrays, gangs or all
+	AcceptsWork string  `json:"takes"` // the new work that the zone accepts: arrays, gangs or all
 	// IfLost estimates the effect of the zone's loss at this time, BootS is the boot time in seconds of machines
 	// rented instead, and LeaseS the number of seconds after which the zone's tasks may start elsewhere. They are set
 	// only in the view of a single zone.
--- a/internal/controller/workers.go
+++ b/internal/controller/workers.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// ownerOf returns the controller to which a worker is redirected, "" if unknown. It is the owner by the followed
+// ownerOf returns the controller to which a worker is redirected, "" if unknown. It is the owner by the watched
 // keys, unless they are older than a controller's lease lasts: then it is the controller that reports the highest
 // term. Otherwise two controllers that were cut off together with their workers would redirect them to a controller
 // that lost the leadership long ago.
--- a/internal/dependencies/bench_test.go
+++ b/internal/dependencies/bench_test.go
@@ -74,7 +74,7 @@
 }
 
 // BenchmarkBuild measures the time to build the graph from a job table, as a controller does after it has listed all
-// followed keys, and the memory that the graph uses per job.
+// watched keys, and the memory that the graph uses per job.
 func BenchmarkBuild(b *testing.B) {
 	forEachSize(b, func(b *testing.B, records []storedRecord) {
 		var used uint64
--- a/internal/dependencies/graph.go
+++ b/internal/dependencies/graph.go
@@ -35,7 +35,7 @@
 //	Blocked -> CancelPending                        a predecessor is Cancelled or CancelPending
 //	Released -> Done, Cancelled                     the job's record is terminal
 //	Blocked, CancelPending -> Cancelled             the job's record is terminal
-//	Blocked, CancelPending, Released -> Unknown     the job's record was removed from the followed keys: the job has
+//	Blocked, CancelPending, Released -> Unknown     the job's record was removed from the watched keys: the job has
 //	                                                ended, and its final state is in the archive
 const (
 	// Unknown is the state of a predecessor of which neither a record nor an archive entry was read.
@@ -80,7 +80,7 @@
 // and Priority of the jobs that it contains.
 type Graph struct {
 	table *jobs.Table
-	nodes map[string]*node // by job id
+	nodes map[string]*node // nodes by job id
 	// unknown and cancelPending list the nodes in states Unknown and CancelPending, in the order in which they entered
 	// them.
 	unknown, cancelPending *list.List
@@ -126,7 +126,7 @@
 	}
 }
 
-// HandleRemoved updates the graph after a job's record was removed from the followed keys: the job has ended and was
+// HandleRemoved updates the graph after a job's record was removed from the watched keys: the job has ended and was
 // archived.
 func (g *Graph) HandleRemoved(id string) {
 	removed, ok := g.nodes[id]
@@ -142,7 +142,7 @@
 	g.dropIfUnused(removed)
 }
 
-// Retain removes the jobs that a new listing of all followed keys lacks. The table must have applied the listing
+// Retain removes the jobs that a new listing of all watched keys lacks. The table must have applied the listing
 // first: the missing jobs are no longer in the table, or remain there as archived until the term ends.
 func (g *Graph) Retain() {
 	for _, id := range slices.Sorted(maps.Keys(g.nodes)) {
--- a/internal/dependencies/graph_model_test.go
+++ b/internal/dependencies/graph_model_test.go
@@ -14,7 +14,7 @@
 	deadline        time.Duration // noDeadline if the job has none
 	runTime         time.Duration
 	state           jobs.State // Done or Cancelled if the end was read; otherwise Pending, also for an unknown job
-	isLive          bool       // whether its pending record was read and not removed from the followed keys
+	isLive          bool       // whether its pending record was read and not removed from the watched keys
 	isCancelPending bool       // whether it was CancelPending in an earlier state, which is final for a live job
 	releasedAt      time.Duration
 }
--- a/internal/dependencies/graph_property_test.go
+++ b/internal/dependencies/graph_property_test.go
@@ -125,7 +125,7 @@
 
 func runTimeOf(tasks int) time.Duration { return time.Duration(tasks) * time.Second }
 
-// readRemoval has the controller read that a job's record was removed from the followed keys.
+// readRemoval has the controller read that a job's record was removed from the watched keys.
 func (h *history) readRemoval(job *storedJob) {
 	if !job.isArchived || job.deletionRead {
 		return
@@ -363,7 +363,7 @@
 }
 
 // The graph returns the same results as a simple model for random changes of the jobs, read in random order. The graph
-// is empty after all jobs have ended and were removed from the followed keys.
+// is empty after all jobs have ended and were removed from the watched keys.
 func TestGraphMatchesModel(t *testing.T) {
 	const (
 		histories = 3000
--- a/internal/dependencies/graph_test.go
+++ b/internal/dependencies/graph_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// If a live job's record is removed from the followed keys before its end was read, and no other job names the job, it
+// If a live job's record is removed from the watched keys before its end was read, and no other job names the job, it
 // isn't listed as Unknown.
 func TestRemovedJobWithoutSuccessorsIsNotUnknown(t *testing.T) {
 	c := newController(t)
--- a/internal/dependencies/resolver.go
+++ b/internal/dependencies/resolver.go
@@ -28,7 +28,7 @@
 	Now func() time.Duration
 }
 
-// Resolver reads the final states of predecessors whose records aren't in the followed keys, because they were
+// Resolver reads the final states of predecessors whose records aren't in the watched keys, because they were
 // archived before this controller read the successor's record.
 type Resolver struct {
 	env          ResolverEnv
--- a/internal/dependencies/runs_model_test.go
+++ b/internal/dependencies/runs_model_test.go
@@ -84,7 +84,7 @@
 // runGuards are the rules that the explorations disable one by one. A field that is true disables its rule.
 type runGuards struct {
 	releaseAfterAll      bool // a job is released when all of its predecessors are done, not just one of them
-	unknownIsUnfinished  bool // a predecessor whose record was removed from the followed keys isn't considered done
+	unknownIsUnfinished  bool // a predecessor whose record was removed from the watched keys isn't considered done
 	recordVersion        bool // the end of a job is written only over the pending record that was read
 	dropOnlyDone         bool // a submission drops only done predecessors, not cancelled ones
 	acceptIfAbsent       bool // a submission is stored on the condition that neither record nor archive entry exists
--- a/internal/drain/desired_state.go
+++ b/internal/drain/desired_state.go
@@ -43,7 +43,7 @@
 	// Document is the new document, to be written on condition of the version that the command was applied to.
 	Document Document
 	// Machine is the machine on whose key (MachineKey) the transaction depends as well, even if the key isn't written:
-	// a migration step may have moved the request there meanwhile. "": the transaction depends on no such key.
+	// a migration step may have moved the request there. "": the transaction depends on no such key.
 	Machine string
 	Version uint64 // expected version of the key; 0: the key must be absent
 	// Put is the new value of the key, nil if it isn't written. Delete is whether the key is to be deleted.
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain contains the desired state of draining: the controllers and machines that operators want to be drained.
+// Package drain contains the desired state of draining: the controllers and machines with operators' drain requests.
 //
 // The desired state is stored in one durable document, which every controller watches and each command writes by a
 // transaction. So of two conflicting commands one is committed, and the other is refused with the cause. From level
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -57,13 +57,13 @@
 // Event is one event of the log.
 type Event struct {
 	Seq           uint64        // sequence number within the term, from 1; set by Log.Add
-	At            time.Duration // on the leader's monotonic clock
+	At            time.Duration // time on the leader's monotonic clock
 	Kind          Kind
 	HasCheckpoint bool   // TaskEnded: the task wrote a checkpoint
 	Job           string // the job's id, "" if none; an index would be invalid after the job is archived
 	Task          int32  // the task's index in the job, or None
 	Machine       int32  // the machine's dense index in the leader's fleet, or None
-	Attempt       uint64 // of the task, 0 if none
+	Attempt       uint64 // attempt number of the task, 0 if none
 	Note          string // see Kind, "" if none
 }
 
--- a/internal/fleet/backfill_test.go
+++ b/internal/fleet/backfill_test.go
@@ -21,7 +21,7 @@
 type preferredMachineRun struct {
 	*rig
 	preferredMachineCase
-	running map[string][]TaskReport // by machine
+	running map[string][]TaskReport // running tasks by machine
 }
 
 func newPreferredMachineRun(t *testing.T, scenario preferredMachineCase) *preferredMachineRun {
--- a/internal/fleet/dependencies_test.go
+++ b/internal/fleet/dependencies_test.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// newRigAfterTakeover returns a rig of the next leader and a job with a running and a waiting task. The leader has no
+// newRigAfterFailover returns a rig of the next leader and a job with a running and a waiting task. The leader has no
 // record of the job's predecessor, which was archived.
-func newRigAfterTakeover(t *testing.T, kind jobs.Kind) (g *dependentRig, job *jobs.Job) {
+func newRigAfterFailover(t *testing.T, kind jobs.Kind) (g *dependentRig, job *jobs.Job) {
 	t.Helper()
 	kv := map[string]json.RawMessage{}
 	team := config.Team{Name: "t"}
@@ -208,9 +208,9 @@
 // A new leader without a record of a running job's predecessor must keep the job's tasks running and start no more of
 // them. It must start the others after the archive shows that the predecessor is done.
 func TestRecoveredTasksOfABlockedJobKeepRunning(t *testing.T) {
-	g, job := newRigAfterTakeover(t, jobs.Array)
+	g, job := newRigAfterFailover(t, jobs.Array)
 	if !job.Blocked || job.Tasks[0].State != jobs.Recovered {
-		t.Fatalf("after takeover: got blocked %v, task state %v, want true, recovered", job.Blocked, job.Tasks[0].State)
+		t.Fatalf("after failover: got blocked %v, task state %v, want true, recovered", job.Blocked, job.Tasks[0].State)
 	}
 	running := TaskReport{Task: taskName(job, 0), Attempt: job.Tasks[0].Attempt, State: taskRunning}
 	for range 3 {
@@ -230,7 +230,7 @@
 }
 
 // A new leader must not plan a blocked job without plans until the job is released.
-func TestBlockedJobIsNotPlannedAfterTakeover(t *testing.T) {
+func TestBlockedJobIsNotPlannedAfterFailover(t *testing.T) {
 	kv := map[string]json.RawMessage{}
 	waiting := follower(2, 2, spec(1, 1))
 	kv[jobs.RecordKey(waiting.ID)] = jobs.EncodeRecord(jobs.Pending, 0, waiting.Tasks, waiting)
@@ -274,7 +274,7 @@
 	g := newDependentRig(t, 2, kv, team)
 	job := g.Jobs.Get(last.ID)
 	if job.FinishedTasks != 1 || !job.Tasks[1].State.Occupies() {
-		t.Fatalf("after takeover: got %d done tasks, the other in state %v, want 1, one on its machine",
+		t.Fatalf("after failover: got %d done tasks, the other in state %v, want 1, one on its machine",
 			job.FinishedTasks, job.Tasks[1].State)
 	}
 	g.graph.HandleArchived(g.now, first.ID, jobs.Done)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -78,7 +78,7 @@
 	unreadableJobs map[string]bool // ids of jobs whose records were unreadable when the term began
 
 	// The machines and the direct requests to them.
-	machines       []*Machine // by dense index
+	machines       []*Machine // machines by dense index
 	byName         map[string]*Machine
 	directRequests int // number of direct requests without a response yet
 	activity       activity
@@ -99,7 +99,7 @@
 	crashLoops       map[jobs.Index]*crashLoop      // failure records of jobs with failed tasks
 	unplannedReasons map[jobs.Index]unplannedReason // reason why the last cycle left tasks of a job unplanned
 	licenceGrants    map[jobs.Index]licences.Grant  // grants of the last cycle to jobs that need licences
-	noMachineUntil   map[jobs.Index]time.Duration   // for arrays without a suitable machine: time of the next planning
+	noMachineUntil   map[jobs.Index]time.Duration   // time of the next planning of an array without a suitable machine
 
 	// Writes to the state service.
 	writer planWriter
--- a/internal/fleet/guards_test.go
+++ b/internal/fleet/guards_test.go
@@ -68,7 +68,7 @@
 	n := newRig(t, 2, kv)
 	job := n.Jobs.Get("req-000001")
 	if job.Tasks[0].State != jobs.Recovered || n.Gate.Quota.Team(job.Team).Used.CPUs != 1 {
-		t.Fatalf("after takeover: got state %v using %v, want recovered using 1 CPU",
+		t.Fatalf("after failover: got state %v using %v, want recovered using 1 CPU",
 			job.Tasks[0].State, n.Gate.Quota.Team(job.Team).Used)
 	}
 	if cs := n.heartbeat("m", 1, fenced); len(cs) != 0 || job.Tasks[0].State != jobs.Recovered {
@@ -323,7 +323,7 @@
 // another task there still waits for it. After a task that ran, the machine must count as having it.
 func TestStoppedDownloadRemovesImageFromInferredCache(t *testing.T) {
 	for _, c := range []struct {
-		states        []AttemptState // of the task's attempt, before it is stopped
+		states        []AttemptState // states of the task's attempt before the attempt is stopped
 		otherFetching bool           // another task of the job is downloading the image
 		wantImage     bool           // the machine counts as having the image afterwards
 	}{
--- a/internal/fleet/heartbeat.go
+++ b/internal/fleet/heartbeat.go
@@ -13,8 +13,8 @@
 // The results of a heartbeat.
 const (
 	Accepted HeartbeatResult = iota
-	Stale                    // it may be a delayed copy, or its machine is terminated: it has no effect
-	Deposed                  // its token is from a later term: this controller is no longer the leader
+	Stale                    // possibly a delayed copy, or from a terminated machine: without effect
+	Deposed                  // the token is from a later term: this controller is no longer the leader
 )
 
 // heartbeatOrigin tells in which message a heartbeat arrived.
@@ -145,7 +145,7 @@
 	case isStale:
 		return false, Stale
 	case isChallenged && heartbeat.Session == machine.Session:
-		return false, Accepted // its incarnation can't be determined until it carries the raised token
+		return false, Accepted // the incarnation is unknown until a heartbeat carries the raised token
 	}
 	machine.reachability.challengeToken = 0
 	machine.reachability.challengeUnsent = false
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -85,7 +85,7 @@
 	IdleSince       time.Duration // time at which a task last came to the machine, or the last one left
 
 	Returning   bool // the machine is being returned to the cloud
-	Quarantined bool // its zone is lost and no heartbeat arrived since: no task is planned here
+	Quarantined bool // the zone is lost and no heartbeat arrived since: no task is planned here
 	draining    bool // operators have requested a drain
 
 	Capacity planner.Size
--- a/internal/fleet/messages.go
+++ b/internal/fleet/messages.go
@@ -45,10 +45,10 @@
 
 // The states of an attempt.
 const (
-	taskFetching AttemptState = "pulling"   // its image is being downloaded
-	taskWaiting  AttemptState = "gathering" // it waits for the other tasks of its gang
+	taskFetching AttemptState = "pulling"   // the task's image is being downloaded
+	taskWaiting  AttemptState = "gathering" // the task waits for the other tasks of its gang
 	taskRunning  AttemptState = "running"
-	taskSaving   AttemptState = "flushing" // it writes a checkpoint before it stops
+	taskSaving   AttemptState = "flushing" // the task writes a checkpoint before it stops
 	taskExited   AttemptState = "exited"
 )
 
@@ -87,7 +87,7 @@
 	Op      Operation
 	Task    string
 	Attempt uint64
-	GraceS  float64 // for a stop command: seconds to save a checkpoint before the task is killed
+	GraceS  float64 // seconds in which a stopped task may save a checkpoint before it is killed
 }
 
 // Operation is the operation of a command. Its value is the operation's name in the protocol.
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -74,10 +74,10 @@
 	pools           []*licences.Pool // nil: no job needs a licence
 	lingering       []lingeringUnits
 	nextCountChange time.Duration
-	maxUnits        map[string]int // by pool: the highest count in the last minute, which limits the units in use
-	peakUnits       map[string]int // by pool: the most units that were in use at once
+	maxUnits        map[string]int // highest count of each pool in the last minute: the limit of the units in use
+	peakUnits       map[string]int // most units of each pool that were in use at once
 
-	migrateAt    time.Duration // when the fleet begins to store plans in pages; 0: not during the run
+	migrateAt    time.Duration // time at which the fleet begins to store plans in pages; 0: not during the run
 	plansInPages bool
 	migrated     bool // no plan segment has a key of its own any more
 }
--- a/internal/fleet/modelworkers_test.go
+++ b/internal/fleet/modelworkers_test.go
@@ -54,7 +54,7 @@
 
 	alive            bool
 	hung             bool
-	unreachableUntil time.Duration // until this time no response or command arrives
+	unreachableUntil time.Duration // no response or command arrives before this time
 	incarnation      int           // number of restarts under the same name
 	reclaimAt        time.Duration // 0: no reclaim notice
 
@@ -89,7 +89,7 @@
 		if worker == nil || !worker.alive || worker.incarnation != incarnation || m.now < worker.unreachableUntil {
 			return
 		}
-		if worker.hung { // it handles the commands once it resumes
+		if worker.hung { // the worker handles the commands once it resumes
 			m.after(3*time.Second, func() {
 				if worker.incarnation == incarnation {
 					m.handleCommands(worker, commands)
--- a/internal/fleet/reachability.go
+++ b/internal/fleet/reachability.go
@@ -142,7 +142,7 @@
 func (m *Machine) mayBeStaleCopy(heartbeat *Heartbeat) bool {
 	switch {
 	case heartbeat.Token < m.reachability.highestToken:
-		return true // from a former incarnation, whose session numbers may have been higher
+		return true // sent by a former incarnation, whose session numbers may have been higher
 	case heartbeat.Session != m.Session:
 		return heartbeat.Session < m.Session
 	case heartbeat.Seq <= m.Seq:
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -85,7 +85,7 @@
 // hintCache is the state of the stored image hints: the hints loaded from earlier terms, which apply once their machine
 // is registered, and the shards that changed since their last write.
 type hintCache struct {
-	inherited   map[string][]cachedImage // by machine name
+	inherited   map[string][]cachedImage // images of earlier terms by machine name
 	dirtyShards []bool
 	lastShard   int           // shard of the last write
 	writtenAt   time.Duration // time of the last write
--- a/internal/fleet/writeoutcome.go
+++ b/internal/fleet/writeoutcome.go
@@ -99,7 +99,7 @@
 	now := f.Now()
 	switch change.kind {
 	case moveSegmentToPage:
-		// The move was not applied. An earlier write may have deleted the segment's own key meanwhile.
+		// The move was not applied. An earlier write may have deleted the segment's own key.
 		change.segment.Version = item.Version
 	case writeJobRecord:
 		change.job.FinalWriteInFlight = false
@@ -140,7 +140,7 @@
 		case item.Version == write.Version:
 			f.writer.pages.MarkIndeterminate(write)
 		default:
-			// An earlier write of the page, with an indeterminate outcome, was applied meanwhile.
+			// An earlier write of the page, with an indeterminate outcome, has been applied.
 			f.writer.pages.Reload(write, item.Version, f.pageEntries(item))
 		}
 	}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -80,7 +80,7 @@
 	QueuePosition int
 	// EndedAt is when this controller read that the job is terminal.
 	EndedAt time.Duration
-	// Archived is set when the job's record was moved out of the followed keys while the job still had Tasks.
+	// Archived is set when the job's record was moved out of the watched keys while the job still had Tasks.
 	// ResetPlanning removes such a job from the table.
 	Archived bool
 	removed  bool // set once the job was removed from the table
--- a/internal/jobs/record.go
+++ b/internal/jobs/record.go
@@ -50,8 +50,8 @@
 )
 
 // Record is a job as the state service stores it. The record of a done job has no specification. The record of a
-// cancelled job keeps it: its tasks may still be on machines when another controller takes over, and count against the
-// team's limit until they are gone.
+// cancelled job keeps it: after a failover its tasks may still be on machines, and they count against the team's limit
+// until they are gone.
 type Record struct {
 	Format int       `json:"v,omitempty"` // 0 means 1
 	State  string    `json:"stance"`
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -39,9 +39,9 @@
 	Kind        Kind
 	Priority    string
 	Tasks       int
-	CPUs        float64  // of each task
-	GPUs        float64  // of each task
-	MemoryGB    float64  // of each task
+	CPUs        float64  // cores of each task
+	GPUs        float64  // accelerators of each task
+	MemoryGB    float64  // memory of each task, in gigabytes
 	Image       string   // the container image
 	ImageGB     float64  // size of the image, in gigabytes
 	Types       []string // the machine types that may run the job; nil for all
--- a/internal/jobs/table.go
+++ b/internal/jobs/table.go
@@ -188,7 +188,7 @@
 	job.ReportedRunning = 0
 }
 
-// Archive records that a job's record was moved out of the followed keys, at the given version of its key. The job is
+// Archive records that a job's record was moved out of the watched keys, at the given version of its key. The job is
 // removed from the table at once, or by ResetPlanning if it has Tasks.
 func (t *Table) Archive(id string, version uint64) {
 	delete(t.unreadable, id)
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -18,7 +18,7 @@
 const (
 	// plotHeadroom is the ratio of a plot's upper end to its highest value.
 	plotHeadroom = 1.05
-	gridLines    = 5 // per axis
+	gridLines    = 5 // grid lines per axis
 )
 
 const (
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -45,9 +45,9 @@
 type LoadResult struct {
 	Name       string    `json:"name"`
 	Jobs       int       `json:"jobs"`
-	Accept     Quantiles `json:"accept_s"` // from the job's arrival to the response that accepts it
-	Wait       Quantiles `json:"wait_s"`   // from the job's arrival to its first start
-	Completion Quantiles `json:"over_s"`   // from the job's arrival to the first response that reports it as done
+	Accept     Quantiles `json:"accept_s"` // time from the job's arrival to the response that accepts it
+	Wait       Quantiles `json:"wait_s"`   // time from the job's arrival to its first start
+	Completion Quantiles `json:"over_s"`   // time from the job's arrival to the first response that reports it as done
 }
 
 // Quantiles are quantiles of N durations, in seconds.
--- a/internal/lab/run.go
+++ b/internal/lab/run.go
@@ -64,9 +64,9 @@
 	progress Progress // nil: progress isn't reported
 
 	mu        sync.Mutex
-	runs      [][]*run  // by configuration and repetition; nil: not finished, or failed
+	runs      [][]*run  // runs by configuration and repetition; nil: not finished, or failed
 	fractions []float64 // completed fraction of each run
-	err       error     // of the first run that failed; nil: none has failed
+	err       error     // error of the first run that failed; nil: none has failed
 }
 
 func newRunSet(scenario *Scenario, progress Progress) *runSet {
@@ -117,7 +117,7 @@
 	leaderChanges []time.Duration
 	requests      []request
 	stats         simulator.Stats
-	violations    []string // of the rules of the protocol
+	violations    []string // violations of the protocol's rules
 	end           time.Duration
 }
 
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -61,7 +61,7 @@
 // Limits of a run on one machine, and estimates for them.
 const (
 	maxProcesses   = 300
-	maxMemoryShare = 0.5 // of the machine's memory
+	maxMemoryShare = 0.5 // fraction of the machine's memory
 
 	// Estimated memory of a simulated worker with both ends of its connections, of a task, and of a process.
 	workerBytes  = 160 << 10
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -23,7 +23,7 @@
 	self        Usage
 	state       Usage
 	stateStats  StateStats
-	metrics     []map[string]float64 // by controller
+	metrics     []map[string]float64 // metrics of each controller
 	stats       simulator.Stats
 	users       userCounts
 	utilization simulator.Utilization
--- a/internal/lab/scale/users.go
+++ b/internal/lab/scale/users.go
@@ -25,7 +25,7 @@
 
 	requestTimeout   = 5 * time.Second
 	submitRetryDelay = 500 * time.Millisecond
-	maxConnections   = 4096 // from all users to one controller
+	maxConnections   = 4096 // connections from all users to one controller
 
 	// backlogFactor is the ratio of the tasks of open jobs to the task slots. It is above 1, so that tasks always
 	// wait.
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -34,7 +34,7 @@
 	CPUs      float64 `hcl:"cpus" validate:"gt=0"`
 	GPUs      float64 `hcl:"gpus,optional" validate:"gte=0"`
 	MemoryGB  float64 `hcl:"memory_gb" validate:"gt=0"`
-	Price     float64 `hcl:"price" validate:"gt=0"` // per hour
+	Price     float64 `hcl:"price" validate:"gt=0"` // price per hour
 	SpotPrice float64 `hcl:"spot_price,optional" validate:"gte=0"`
 	BootS     float64 `hcl:"boot_s" validate:"gt=0"`
 }
--- a/internal/lab/summary.go
+++ b/internal/lab/summary.go
@@ -14,7 +14,7 @@
 	histogramDigits    = 3
 	millisPerSecond    = 1000
 	defaultRecovery    = time.Minute // length of the recovery period after a fault
-	maxUnservedPercent = 10          // of a second's requests; above, the service doesn't count as recovered
+	maxUnservedPercent = 10          // percentage of a second's requests; above it the service isn't recovered
 )
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -63,7 +63,7 @@
 type configSummary struct {
 	ConfigResult
 	runCount float64
-	times    []loadTimes // by load
+	times    []loadTimes // times of each load
 	requests int
 	served   int
 }
--- a/internal/lab/user.go
+++ b/internal/lab/user.go
@@ -111,12 +111,12 @@
 type user struct {
 	arrival
 	balancer *loadBalancer
-	body     []byte // of the submission; nil after the job was accepted
+	body     []byte // body of the submission; nil after the job was accepted
 
 	// Durations since the job's arrival; 0: the event hasn't happened.
 	acceptDelay time.Duration
 	startDelay  time.Duration
-	endDelay    time.Duration // to the first response with a final state
+	endDelay    time.Duration // delay until the first response with a final state
 
 	hasStarted      bool
 	isRefused       bool
--- a/internal/licences/checkout.go
+++ b/internal/licences/checkout.go
@@ -66,8 +66,8 @@
 type checkout struct {
 	state           State
 	team            int32         // dense index
-	units           int           // by the ledger's own count; 0 if Free
-	reportedUnits   int           // by the server's last answer
+	units           int           // units by the ledger's own count; 0 if Free
+	reportedUnits   int           // units by the server's last answer
 	changedAt       time.Duration // time of the last change of state
 	releaseDeadline time.Duration // time at which AwaitingRelease ends if no answer ends it earlier
 	isMissing       bool          // CheckedOut, and the last answer lacks the holder although an earlier one had it
--- a/internal/licences/ledger.go
+++ b/internal/licences/ledger.go
@@ -5,7 +5,7 @@
 // Ledger counts the units in use of all pools during one term of one leader. It isn't safe for concurrent use.
 type Ledger struct {
 	catalog   *Catalog
-	pools     []*poolState // by dense index
+	pools     []*poolState // pools by dense index
 	startedAt time.Duration
 }
 
--- a/internal/licences/model_test.go
+++ b/internal/licences/model_test.go
@@ -20,7 +20,7 @@
 	nextJob      int32          // index of the last job started
 	checkedOut   map[Holder]*serverCheckout
 	outsideUnits int
-	queries      []serverQuery // in flight, the oldest first
+	queries      []serverQuery // queries in flight, the oldest first
 	maxCount     int           // highest count so far, under which tasks may have started
 	maxInUse     int           // highest number of units in use so far
 	ended        []endedTask   // tasks whose end isn't proven to the ledger yet
@@ -29,7 +29,7 @@
 // serverCheckout is a checkout in the model of the server.
 type serverCheckout struct {
 	units     int
-	expiresAt time.Duration // for a crashed holder; 0: the holder is running
+	expiresAt time.Duration // time at which a crashed holder's checkout ends; 0: the holder is running
 }
 
 type endedTask struct {
--- a/internal/licences/pool.go
+++ b/internal/licences/pool.go
@@ -54,7 +54,7 @@
 	OutsideReserve int // units kept for outside holders at all times
 	ReserveWindows []ReserveWindow
 	OnCountLowered LoweringPolicy
-	Teams          map[string]TeamQuota // by team name
+	Teams          map[string]TeamQuota // quotas by team name
 }
 
 // ReserveAt returns the number of units kept for outside holders at a time of day: the largest of OutsideReserve and
--- a/internal/licences/poolstate.go
+++ b/internal/licences/poolstate.go
@@ -12,12 +12,12 @@
 	catalog        *Catalog
 	index          int32
 	checkouts      map[Holder]*checkout
-	active         map[TaskRef]Holder   // by task, the attempt whose checkout is Reserved or CheckedOut
-	teams          map[int32]*teamUsage // by dense index
+	active         map[TaskRef]Holder   // attempt of each task whose checkout is Reserved or CheckedOut
+	teams          map[int32]*teamUsage // usage of each team, by dense index
 	outsideReserve int                  // units that are currently kept for outside holders
 
 	countedUnits     int             // sum of checkout.countedUnits over all checkouts
-	unitsByState     [stateCount]int // by the ledger's own count
+	unitsByState     [stateCount]int // units by the ledger's own count
 	unconfirmedUnits int             // CheckedOut by holders whose attempt is still unknown
 
 	server serverStatus
--- a/internal/licences/server.go
+++ b/internal/licences/server.go
@@ -16,7 +16,7 @@
 
 	unreachableAfterPolls = 3 // poll intervals without a valid answer
 	minUnreachableAfter   = 3 * time.Second
-	minSampleWindow       = 5 * time.Second // for which the figures of earlier answers are kept
+	minSampleWindow       = 5 * time.Second // minimum time for which the figures of earlier answers are kept
 )
 
 // An answer is inconsistent if it lacks more than maxMissingTolerated running holders and more than one in
--- a/internal/licences/view.go
+++ b/internal/licences/view.go
@@ -12,7 +12,7 @@
 	Count           int            `json:"count"`
 	Declared        int            `json:"declared"`
 	SetBy           string         `json:"set_by,omitempty"`
-	Version         uint64         `json:"version"` // of the key of the count set at run time; 0: no count is set
+	Version         uint64         `json:"version"` // version of the key of a count set at run time; 0: none
 	Lowering        LoweringPolicy `json:"on_lower"`
 	Reserve         int            `json:"reserve"`
 	Held            int            `json:"held"`   // CheckedOut
--- a/internal/membership/authority.go
+++ b/internal/membership/authority.go
@@ -8,7 +8,7 @@
 
 // HasAuthority reports whether this controller may answer heartbeats and send commands. Authority ends a margin before
 // the lease can expire. The lease's time to live counts from when the last successful renewal was sent. Authority also
-// ends when the followed keys are older than Config.StalenessBound: neither a successful renewal nor a lease that
+// ends when the watched keys are older than Config.StalenessBound: neither a successful renewal nor a lease that
 // outlives an outage refreshes the keys.
 func (m *Membership) HasAuthority(now time.Duration) bool {
 	return m.state == Leading && now < m.lease.authorityUntil && now-m.freshAt() < m.cfg.StalenessBound
--- a/internal/membership/cluster_test.go
+++ b/internal/membership/cluster_test.go
@@ -52,7 +52,7 @@
 	process        int         // number of the process; start and kill increment it
 	membership     *Membership // nil: no process is running
 	syncedAt       time.Duration
-	versions       map[string]uint64 // versions of the followed keys as last passed to membership
+	versions       map[string]uint64 // versions of the watched keys as last passed to membership
 	isDisconnected bool              // requests to the state service get a timeout
 }
 
--- a/internal/membership/election.go
+++ b/internal/membership/election.go
@@ -130,7 +130,7 @@
 	case store.LeaseExpired:
 		m.dropLease(now, "lease expired")
 	default:
-		// The campaign was lost, or its outcome is unknown: the followed keys will show the leader.
+		// The campaign was lost, or its outcome is unknown: the watched keys will show the leader.
 		m.retryLater()
 		m.campaignAt = now + campaignBackoff
 		m.transition(now, Follower, "campaign not won")
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -6,7 +6,7 @@
 // conditional on its leader key, which is bound to its lease.
 //
 // A Membership is a state machine without a goroutine or a clock. It belongs to the controller's event loop, which
-// passes in the time, the changes of the followed keys and the responses of the state service. The package never
+// passes in the time, the changes of the watched keys and the responses of the state service. The package never
 // contacts workers or other controllers.
 package membership
 
@@ -38,7 +38,7 @@
 	Node, Public, Secure string
 	// TTL is the lease's time to live.
 	TTL time.Duration
-	// StalenessBound is the age of the followed keys at which authority ends: cancellations since then have not been
+	// StalenessBound is the age of the watched keys at which authority ends: cancellations since then have not been
 	// read.
 	StalenessBound time.Duration
 	Rng            *rand.Rand
@@ -66,7 +66,7 @@
 type Membership struct {
 	cfg     Config
 	store   *store.Client
-	freshAt func() time.Duration // returns the last time at which the followed keys were complete for certain
+	freshAt func() time.Duration // returns the last time at which the watched keys were complete for certain
 
 	state          State
 	keysLoaded     bool
@@ -88,7 +88,7 @@
 	shardMapVersion uint64
 }
 
-// New returns a Membership in state LoadingKeys. freshAt returns the last time at which the followed keys were complete
+// New returns a Membership in state LoadingKeys. freshAt returns the last time at which the watched keys were complete
 // for certain.
 func New(cfg Config, client *store.Client, freshAt func() time.Duration) *Membership {
 	return &Membership{cfg: cfg, store: client, freshAt: freshAt}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -15,7 +15,7 @@
 // A failed campaign leads back to Follower. A campaign that turns out later to have been committed leads from Follower
 // to Leading. The loss of the lease leads back to AcquiringLease from any state.
 const (
-	LoadingKeys      State = iota // waiting for the first complete read of the followed keys
+	LoadingKeys      State = iota // waiting for the first complete read of the watched keys
 	RevokingOldLease              // revoking the lease of this controller's former process
 	AcquiringLease                // requesting a lease
 	Registering                   // writing the member key
--- a/internal/membership/watched.go
+++ b/internal/membership/watched.go
@@ -12,7 +12,7 @@
 // newestFormat is the newest stored format of the leader key and the shard map that this release reads.
 const newestFormat = 1
 
-// HandleSynced records that all followed keys have been read.
+// HandleSynced records that all watched keys have been read.
 func (m *Membership) HandleSynced(now time.Duration) {
 	m.keysLoaded = true
 	if m.state == LoadingKeys {
@@ -20,7 +20,7 @@
 	}
 }
 
-// HandleReset handles a new read of all followed keys: keys that items lacks were deleted.
+// HandleReset handles a new read of all watched keys: keys that items lacks were deleted.
 func (m *Membership) HandleReset(now time.Duration, items []store.Item) {
 	present := map[string]bool{}
 	for _, item := range items {
--- a/internal/pages/batch.go
+++ b/internal/pages/batch.go
@@ -9,8 +9,8 @@
 // PageWrite is the write of one page of a batch. The transaction has to be conditional on the page's key having
 // Version, and sets the key to Value.
 type PageWrite struct {
-	Number  int    // of the page
-	Version uint64 // of the page's key before the write; 0: the key doesn't exist
+	Number  int    // number of the page
+	Version uint64 // version of the page's key before the write; 0: the key doesn't exist
 	Value   json.RawMessage
 	page    *page
 	entries []Entry // encoded in Value
@@ -20,7 +20,7 @@
 // page: pages change when the caller reports the outcome of the writes.
 type Batch struct {
 	pages   *Pages
-	drafts  []*draft // in the order in which their pages were chosen
+	drafts  []*draft // drafts in the order in which their pages were chosen
 	draftOf map[*page]*draft
 	added   map[Ref]struct{}
 	bytes   int // size of all drafts with pageOverheadBytes each
--- a/internal/pages/format.go
+++ b/internal/pages/format.go
@@ -13,8 +13,8 @@
 // StoredPage is a page as read from the state service.
 type StoredPage struct {
 	Number  int
-	Version uint64                     // of the page's key
-	Values  map[string]json.RawMessage // by name
+	Version uint64                     // version of the page's key
+	Values  map[string]json.RawMessage // values by name
 }
 
 // pageRecord is the value of a page's key in the state service.
--- a/internal/pages/model_test.go
+++ b/internal/pages/model_test.go
@@ -25,7 +25,7 @@
 // pageStore is a simulated state service that contains only pages.
 type pageStore struct {
 	revision uint64
-	keys     map[int]storedValue // by page number
+	keys     map[int]storedValue // stored values by page number
 }
 
 // apply applies all writes of a transaction if every page has the expected version, and otherwise none. It reports
@@ -92,10 +92,10 @@
 	limit         int
 	store         pageStore
 	pages         *Pages
-	durable       map[string]string          // by name: the value last known to be written
-	indeterminate map[string]map[string]bool // by name: the values whose writes have an unknown outcome
-	dropped       map[string]bool            // by name: the value was dropped
-	everStored    map[string]bool            // by name: a value was stored at some time
+	durable       map[string]string          // value of each name that was last known to be written
+	indeterminate map[string]map[string]bool // values of each name whose writes have an unknown outcome
+	dropped       map[string]bool            // names whose value was dropped
+	everStored    map[string]bool            // names of which a value was stored at some time
 	delayed       [][]PageWrite              // writes that may still be applied
 	writes        int
 }
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -35,7 +35,7 @@
 //	retired        the page has no live value and its key is to be deleted; its number is never used again
 type page struct {
 	number        int
-	version       uint64 // of the key; 0: not stored
+	version       uint64 // version of the page's key; 0: not stored
 	live          map[Ref]Entry
 	liveBytes     int // size of the live entries
 	indeterminate bool
--- a/internal/planner/balance.go
+++ b/internal/planner/balance.go
@@ -155,7 +155,7 @@
 }
 
 // augment places a task of the group at the end of the path that findPath returned. Each server on the path receives a
-// task, and each but the root gives up one, so that only the root's load increases.
+// task, and each but the root passes one on, so that only the root's load increases.
 func (b *balancer) augment(root, group int32) {
 	b.waiting[group]--
 	for {
--- a/internal/planner/balance_test.go
+++ b/internal/planner/balance_test.go
@@ -49,7 +49,7 @@
 
 // bestLocalMakespan returns the smallest makespan of all local allocations, found by exhaustive search.
 func bestLocalMakespan(p *Problem) float64 {
-	var preferences [][]int32 // by task
+	var preferences [][]int32 // preferred servers by task
 	for _, group := range p.Groups {
 		for range group.Tasks {
 			preferences = append(preferences, group.PreferredServers)
--- a/internal/rollout/formats.go
+++ b/internal/rollout/formats.go
@@ -40,7 +40,7 @@
 	Kind         string
 	Prefix       string // prefix of the keys
 	ReadFormats  []int
-	WriteFormats []WriteFormat // by ascending level
+	WriteFormats []WriteFormat // formats in ascending order of level
 	Guard        Guard         // reaction to an unreadable record of this kind
 }
 
--- a/internal/rollout/model_explore_test.go
+++ b/internal/rollout/model_explore_test.go
@@ -15,7 +15,7 @@
 	removed   removedGuard
 	bounds    modelBounds
 	levelless bool         // the former release has no levels: it announces nothing and ignores the level
-	states    []modelState // the result
+	states    []modelState // states collected so far
 }
 
 // add adds the state after a step. A step that isn't possible returns false, and no state is added.
--- a/internal/rollout/restart_test.go
+++ b/internal/rollout/restart_test.go
@@ -10,7 +10,7 @@
 	supported := map[string]Level{former: Base, present: Paged}
 	for _, c := range []struct {
 		name     string
-		releases [3]string // of a, b and c
+		releases [3]string // releases of controllers a, b and c
 		mode     Mode
 		leader   string
 		next     string // controller to restart next; "": none
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -84,7 +84,7 @@
 	stored storedState
 
 	keyVersions map[string]uint64           // the newest version read of each key
-	unreadable  map[string]UnreadableRecord // by key
+	unreadable  map[string]UnreadableRecord // unreadable records by key
 
 	txnInFlight bool          // the outcome of a transaction that Tick returned is still awaited
 	retryAt     time.Duration // Tick returns no transaction before this time
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -18,7 +18,7 @@
 	Level      Level          `json:"level"`
 	Next       Level          `json:"next_level"`
 	SoakLeftS  float64        `json:"soak_left_s,omitempty"` // remaining soak time in seconds
-	Missing    []string       `json:"missing"`               // for each controller that prevents an upgrade, the reason
+	Missing    []string       `json:"missing"`               // reason of each controller that prevents an upgrade
 	Migration  *MigrationView `json:"migration,omitempty"`
 	Nodes      []NodeView     `json:"nodes"`
 	// Restart is the controller that may be restarted next; "" if none may. Why is the reason in both cases.
@@ -39,11 +39,11 @@
 	Node         string `json:"node"`
 	Zone         string `json:"zone,omitempty"`
 	Release      string `json:"release,omitempty"` // "": there is no valid announcement
-	Level        Level  `json:"knows_level"`       // highest level that it supports; 0: there is no valid announcement
-	Alive        bool   `json:"alive"`             // it has a member key
+	Level        Level  `json:"knows_level"`       // highest supported level; 0: there is no valid announcement
+	Alive        bool   `json:"alive"`             // the controller has a member key
 	Healthy      bool   `json:"well"`
 	Leads        bool   `json:"leads"`
-	Incompatible bool   `json:"behind"` // the cluster's level is higher than it supports, so it must not act
+	Incompatible bool   `json:"behind"` // the cluster's level is too high for the controller, which must not act
 	// NotNextReason is why it should not be restarted now; "" for the controller that may be restarted.
 	NotNextReason string `json:"not_now,omitempty"`
 }
--- a/internal/store/reads.go
+++ b/internal/store/reads.go
@@ -42,8 +42,8 @@
 type listRequest struct {
 	client   *Client
 	prefix   string
-	items    []Item // of the pages read so far
-	revision uint64 // of the first page
+	items    []Item // items of the pages read so far
+	revision uint64 // revision of the first page
 	done     func(items []Item, revision uint64, err error)
 }
 
--- a/internal/store/sizelimits.go
+++ b/internal/store/sizelimits.go
@@ -57,9 +57,9 @@
 type limitEstimator struct {
 	configured, current Limits
 	accepted            Limits        // largest sizes accepted since the service's limits were last seen to shrink
-	rejections          int           // since the start
-	changedAt           time.Duration // when current last changed; 0: never
-	raiseDelay          time.Duration // from changedAt until the next raise
+	rejections          int           // number of rejections since the start
+	changedAt           time.Duration // time at which current last changed; 0: never
+	raiseDelay          time.Duration // delay from changedAt until the next raise
 	lastChangeWasRaise  bool          // the last change of current was a raise
 	lastRaiseWasOps     bool          // the last raise was of MaxOps, the next one is of MaxValueBytes
 }
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -24,7 +24,7 @@
 type writeThrottle struct {
 	factor     float64       // fraction of the configured write rate in use, at most 1
 	adjustedAt time.Duration // last change of factor; after an increase, its time less throttleRecoveryDelay
-	rejections int           // since the start
+	rejections int           // number of rejections since the start
 }
 
 func newWriteThrottle() writeThrottle { return writeThrottle{factor: 1} }
--- a/internal/store/watchcache.go
+++ b/internal/store/watchcache.go
@@ -58,8 +58,8 @@
 	freshAt  time.Duration // see FreshAt
 
 	nextRequestAt time.Duration // no list or watch is sent before this time
-	watchWait     time.Duration // how long the service waits for changes before it answers a watch
-	watchSentAt   time.Duration // when the last watch was sent
+	watchWait     time.Duration // time that the service waits for changes before it answers a watch
+	watchSentAt   time.Duration // time at which the last watch was sent
 	watchID       uint64        // number of the last watch sent; watches with lower numbers were answered or replaced
 	skipWait      bool          // the last watch was lost: the next one has a wait of 0
 
--- a/internal/store/watchcache_test.go
+++ b/internal/store/watchcache_test.go
@@ -84,7 +84,7 @@
 
 // A watch gets no response while the service answers other requests. Once its response is overdue, a second watch is
 // sent. The late response to the first watch delivers only changes that were not delivered before, so that a key
-// deleted meanwhile stays deleted.
+// deleted in the meantime stays deleted.
 func TestOverdueWatchIsReplaced(t *testing.T) {
 	now := time.Duration(0)
 	service := &deferredWatches{simulatedService: simulatedService{service: state.New()}}
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -36,11 +36,11 @@
 // Zone is the health of one zone. The zero value is a healthy zone.
 type Zone struct {
 	State      State
-	Since      time.Duration // when the state was entered
-	LostAt     time.Duration // when the zone was lost last
-	ReturnedAt time.Duration // when the zone became reachable again last
+	Since      time.Duration // time at which the state was entered
+	LostAt     time.Duration // time at which the zone was last lost
+	ReturnedAt time.Duration // time at which the zone last became reachable again
 	Flaps      int           // recent losses, not counting the first
-	forgivenAt time.Duration // when Flaps was reduced last, or the zone became healthy after probation
+	forgivenAt time.Duration // time at which Flaps was last reduced, or the zone became healthy after probation
 	wasLost    bool          // the zone has been lost before: LostAt is valid
 }
 
