--- a/internal/dependencies/runs_model_test.go
+++ b/internal/dependencies/runs_model_test.go
@@ -78,7 +78,7 @@
 	term         uint8   // term on which the transaction depends, 0 for none
 	accepted     content // content of the record that txnAccept writes
 	predecessors jobSet
-	repeated     bool // whether it was applied before
+	repeated     bool // whether the transaction was applied before
 }
 
 // runGuards are the rules that the explorations disable one by one. A field that is true disables its rule.
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -114,8 +114,8 @@
 type machineUse struct {
 	ready    int
 	notReady int
-	spot     int // ready or not
-	idle     int // ready or not, without tasks
+	spot     int // spot machines, ready or not
+	idle     int // machines without tasks, ready or not
 	capacity planner.Size
 	used     planner.Size
 }
--- a/internal/fleet/images.go
+++ b/internal/fleet/images.go
@@ -12,7 +12,7 @@
 // cachedImage is an image that is probably in a machine's cache.
 type cachedImage struct {
 	image int32   // index of the image's name
-	gb    float64 // size
+	gb    float64 // size of the image
 }
 
 // HasImage reports whether an image is probably in the machine's cache. The content of the cache is inferred from the
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -21,8 +21,8 @@
 // holds the true state of every task and checks the protocol's rules whenever a task starts.
 
 const (
-	modelTick      = 50 * time.Millisecond  // between two steps of the workers and the network
-	modelFleetTick = 100 * time.Millisecond // between two calls of Fleet.Tick
+	modelTick      = 50 * time.Millisecond  // interval between steps of the workers and the network
+	modelFleetTick = 100 * time.Millisecond // interval between calls of Fleet.Tick
 	faultRate      = 0.12                   // share of faulty messages and transactions, while faults are injected
 )
 
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -32,7 +32,7 @@
 type heaviestFirst struct {
 	jobs    []deadlineJob
 	pool    planner.Size
-	indices []int // into jobs
+	indices []int // indices into jobs
 }
 
 // Len implements heap.Interface.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -19,7 +19,7 @@
 	Ends     Ends         `json:"ends"`
 	Starts   int          `json:"starts"`
 	Served   float64      `json:"served"`    // share of the users' requests with a response and a status below 429
-	Cost     float64      `json:"cost"`      // mean over the runs
+	Cost     float64      `json:"cost"`      // mean cost of the runs
 	UsedCPUs float64      `json:"used_cpus"` // mean share of the rented cores in use
 	Loads    []LoadResult `json:"loads"`
 	// Used is the share of the rented cores in use, Machines the number of machines: each a series of samples over the
@@ -38,7 +38,7 @@
 	Done      int `json:"done"`
 	Cancelled int `json:"cancelled"`
 	Refused   int `json:"refused"`
-	Open      int `json:"open"` // neither ended nor refused when the run ended
+	Open      int `json:"open"` // jobs that had neither ended nor been refused when the run ended
 }
 
 // LoadResult summarizes the jobs of one load.
