--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -21,8 +21,8 @@
 // holds the true state of every task and checks the protocol's rules whenever a task starts.
 
 const (
-	modelTick      = 50 * time.Millisecond  // between two steps of the workers and the network
-	modelFleetTick = 100 * time.Millisecond // between two calls of Fleet.Tick
+	modelTick      = 50 * time.Millisecond  // interval between steps of the workers and the network
+	modelFleetTick = 100 * time.Millisecond // interval between calls of Fleet.Tick
 	faultRate      = 0.12                   // share of faulty messages and transactions, while faults are injected
 )
 
@@ -74,10 +74,10 @@
 	pools           []*licences.Pool // nil: no job needs a licence
 	lingering       []lingeringUnits
 	nextCountChange time.Duration
-	maxUnits        map[string]int // by pool: the highest count in the last minute, which limits the units in use
-	peakUnits       map[string]int // by pool: the most units that were in use at once
+	maxUnits        map[string]int // highest count of each pool in the last minute: the limit of the units in use
+	peakUnits       map[string]int // most units of each pool that were in use at once
 
-	migrateAt    time.Duration // when the fleet begins to store plans in pages; 0: not during the run
+	migrateAt    time.Duration // time at which the fleet begins to store plans in pages; 0: not during the run
 	plansInPages bool
 	migrated     bool // no plan segment has a key of its own any more
 }
--- a/internal/pages/batch.go
+++ b/internal/pages/batch.go
@@ -9,8 +9,8 @@
 // PageWrite is the write of one page of a batch. The transaction has to be conditional on the page's key having
 // Version, and sets the key to Value.
 type PageWrite struct {
-	Number  int    // of the page
-	Version uint64 // of the page's key before the write; 0: the key doesn't exist
+	Number  int    // number of the page
+	Version uint64 // version of the page's key before the write; 0: the key doesn't exist
 	Value   json.RawMessage
 	page    *page
 	entries []Entry // encoded in Value
