--- a/internal/capacity/offer.go
+++ b/internal/capacity/offer.go
@@ -67,7 +67,7 @@
 func (m *Manager) chooseOffer(now time.Duration, job *jobs.Job, spread zoneSpread) (best offer, found bool) {
 	bestPrice := math.Inf(1)
 	for _, machineType := range m.Types() {
-		tasks := job.Spec.Size().Copies(machineType.Size())
+		tasks := job.Spec.Size().FitCount(machineType.Size())
 		if tasks <= 0 {
 			continue
 		}
--- a/internal/capacity/scaleout.go
+++ b/internal/capacity/scaleout.go
@@ -166,7 +166,7 @@
 			return
 		}
 		bin := &capacityBin{offer: o, free: m.machineType(o.typeIndex).Size().Scale(p.horizonS)}
-		if taskWork.Copies(bin.free) <= 0 {
+		if taskWork.FitCount(bin.free) <= 0 {
 			return
 		}
 		remaining -= bin.place(remaining, taskWork, spread)
@@ -178,7 +178,7 @@
 
 // place adds at most count tasks to a machine and returns the number of tasks added. taskWork is the work of each.
 func (b *capacityBin) place(count int, taskWork planner.Size, spread zoneSpread) int {
-	placed := spread.place(b.zone, min(count, taskWork.Copies(b.free)))
+	placed := spread.place(b.zone, min(count, taskWork.FitCount(b.free)))
 	b.free = b.free.Sub(taskWork.Scale(float64(placed)))
 	return placed
 }
--- a/internal/controller/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -14,19 +14,19 @@
 		longTimeout       = 10 * time.Second // 2 * heartbeatInterval + 4 s
 	)
 	cases := []struct {
-		name               string // says how many heartbeats the other controllers receive
+		name               string // how many heartbeats the other controllers receive, and when
 		sinceLastHeartbeat time.Duration
 		expectedHeartbeats int
 		peerHeartbeats     int
 		want               string
 	}{
 		{"no machines", time.Hour, 0, 100, ""},
-		{"more than a quarter", shortHeartbeatTimeout(heartbeatInterval), 100, 26, "workers reach other controllers"},
-		{"a quarter, before the long timeout", longTimeout - 1, 100, 25, ""},
-		{"few, after the long timeout", longTimeout, 100, 1, "no worker reaches this leader"},
-		{"none, after the long timeout", longTimeout, 100, 0, ""},
-		{"none, leases not expired", lease + 2*longTimeout - 1, 100, 0, ""},
-		{"none, leases expired", lease + 2*longTimeout, 100, 0, "no worker reaches this leader"},
+		{"over a quarter of the heartbeats", shortHeartbeatTimeout(heartbeatInterval), 100, 26, "workers reach other controllers"},
+		{"a quarter of the heartbeats, before the long timeout", longTimeout - 1, 100, 25, ""},
+		{"few heartbeats, after the long timeout", longTimeout, 100, 1, "no worker reaches this leader"},
+		{"no heartbeats, after the long timeout", longTimeout, 100, 0, ""},
+		{"no heartbeats, before the workers' leases expire", lease + 2*longTimeout - 1, 100, 0, ""},
+		{"no heartbeats, after the workers' leases expire", lease + 2*longTimeout, 100, 0, "no worker reaches this leader"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/fleet/array.go
+++ b/internal/fleet/array.go
@@ -189,7 +189,7 @@
 			continue
 		}
 		zone := machine.Zone
-		scores[zone] += 1 + freeRoomWeight*job.Spec.Size().Copies(machine.Free())
+		scores[zone] += 1 + freeRoomWeight*job.Spec.Size().FitCount(machine.Free())
 		if scores[zone] > bestScore {
 			bestScore = scores[zone]
 			bestZone = zone
--- a/internal/fleet/backfill.go
+++ b/internal/fleet/backfill.go
@@ -100,7 +100,7 @@
 		if job.Spec.OneZone {
 			zone = machine.Zone
 		}
-		placesByZone[zone] += size.Copies(free)
+		placesByZone[zone] += size.FitCount(free)
 		if placesByZone[zone] >= tasks {
 			return true
 		}
@@ -147,7 +147,7 @@
 		}
 		size := queuedJob.Spec.Size()
 		// Queued tasks that don't fit now are not deducted.
-		startable := min(len(queue.tasks), max(0, size.Copies(free)))
+		startable := min(len(queue.tasks), max(0, size.FitCount(free)))
 		free = free.Sub(size.Scale(float64(startable)))
 	}
 	f.PlanningSteps += uint64(len(machine.queues))
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -42,7 +42,7 @@
 			remaining = team.Limit.Sub(team.Used)
 		}
 		size := job.Spec.Size()
-		tasks = min(tasks, max(0, size.Copies(remaining)))
+		tasks = min(tasks, max(0, size.FitCount(remaining)))
 		if tasks == 0 {
 			continue
 		}
--- a/internal/fleet/machineload.go
+++ b/internal/fleet/machineload.go
@@ -106,7 +106,7 @@
 		taskCount := len(machine.queued(jobIndex))
 		taskSeconds := f.estimate(job) * machine.slowdown
 		if taskCount > maxTasksListedSingly {
-			if copies := size.Copies(machine.Capacity); copies > 0 {
+			if copies := size.FitCount(machine.Capacity); copies > 0 {
 				total := taskSeconds * float64(taskCount) / float64(copies)
 				work = append(work, planner.QueuedWork{Size: machine.Capacity, Remaining: total})
 			}
--- a/internal/fleet/pendingreason_test.go
+++ b/internal/fleet/pendingreason_test.go
@@ -165,7 +165,7 @@
 	room := 0
 	for _, machine := range c.fleet.machines {
 		if machine.Condition == Ready && !machine.Returning && c.fleet.mayPlace(machine, c.job) {
-			room += spec.Size().Copies(c.fleet.availableRoom(machine, c.job))
+			room += spec.Size().FitCount(c.fleet.availableRoom(machine, c.job))
 		}
 	}
 	hasNoZoneConstraint := !spec.OneZone && spec.ZoneLimit() == 0
--- a/internal/fleet/reachability_test.go
+++ b/internal/fleet/reachability_test.go
@@ -266,7 +266,7 @@
 		m.settleBriefly()
 		lastContact := machine.LastContactAt
 		for i := range m.sentHeartbeats {
-			// A heartbeat that never arrived may be the machine's newest, and have an effect.
+			// Lost heartbeats are left out: one may be newer than all that arrived, and then the fleet would apply it.
 			if r := &m.sentHeartbeats[len(m.sentHeartbeats)-1-i]; r.arrived {
 				m.deliver(&r.Heartbeat)
 				m.settleBriefly()
--- a/internal/fleet/steal.go
+++ b/internal/fleet/steal.go
@@ -135,7 +135,7 @@
 			wait = taskSeconds
 		}
 	}
-	slots := max(1, job.Spec.Size().Copies(machine.Capacity))
+	slots := max(1, job.Spec.Size().FitCount(machine.Capacity))
 	rounds := float64((len(queued) - 1) / slots) // batches of concurrent tasks that run before the last task
 	return wait + taskSeconds*machine.slowdown*rounds + f.fetchSeconds(job, machine), true
 }
--- a/internal/fleet/suspend.go
+++ b/internal/fleet/suspend.go
@@ -87,7 +87,7 @@
 		if !takesWork(machine) || !f.mayPlace(machine, job) || !f.fits(machine, job) {
 			continue
 		}
-		room += job.Spec.Size().Copies(machine.Free())
+		room += job.Spec.Size().FitCount(machine.Free())
 		if room >= job.UnstartedTasks() {
 			return true
 		}
--- a/internal/planner/size.go
+++ b/internal/planner/size.go
@@ -5,10 +5,10 @@
 const (
 	// fitTolerance allows for rounding errors of decimal amounts, in cores, accelerators or gigabytes.
 	fitTolerance = 1e-6
-	// copiesTolerance allows for rounding errors of the quotient of two amounts.
-	copiesTolerance = 1e-6
-	// maxCopies is the upper bound of the result of Copies.
-	maxCopies = 1 << 20
+	// fitCountTolerance allows for rounding errors of the quotient of two amounts.
+	fitCountTolerance = 1e-6
+	// maxFitCount is the upper bound of the result of FitCount.
+	maxFitCount = 1 << 20
 )
 
 // Size is an amount of resources, such as the request of a task or the capacity of a machine.
@@ -43,19 +43,19 @@
 	return Size{s.CPUs * factor, s.GPUs * factor, s.Mem * factor}
 }
 
-// Copies returns how many times s fits into total, at most 1<<20. It ignores resources of which s needs none.
-func (s Size) Copies(total Size) int {
-	copies := math.Inf(1)
+// FitCount returns how many times s fits into total, at most 1<<20. It ignores resources of which s needs none.
+func (s Size) FitCount(total Size) int {
+	count := math.Inf(1)
 	for _, amount := range [...]struct{ needed, total float64 }{
 		{s.CPUs, total.CPUs},
 		{s.GPUs, total.GPUs},
 		{s.Mem, total.Mem},
 	} {
 		if amount.needed > 0 {
-			copies = math.Min(copies, math.Floor(amount.total/amount.needed+copiesTolerance))
+			count = math.Min(count, math.Floor(amount.total/amount.needed+fitCountTolerance))
 		}
 	}
-	return int(math.Max(0, math.Min(copies, maxCopies)))
+	return int(math.Max(0, math.Min(count, maxFitCount)))
 }
 
 // largestShare returns the largest ratio, over all resources, of the amount in s to the amount in total. It ignores
--- a/internal/planner/slots.go
+++ b/internal/planner/slots.go
@@ -19,7 +19,7 @@
 // least-loaded slot. An element that is larger than a slot is assigned to several of the least-loaded slots, and starts
 // when all of them are free.
 func SlotLoads(dst []float64, machine, task Size, work []QueuedWork) []float64 {
-	count := min(task.Copies(machine), maxSlots)
+	count := min(task.FitCount(machine), maxSlots)
 	for range count {
 		dst = append(dst, 0)
 	}
--- a/internal/planner/slots_test.go
+++ b/internal/planner/slots_test.go
@@ -40,7 +40,7 @@
 		for range rng.IntN(20) {
 			work = append(work, QueuedWork{Size{CPUs: machine.CPUs * rng.Float64()}, float64(rng.IntN(50))})
 		}
-		slots := task.Copies(machine)
+		slots := task.FitCount(machine)
 		want := referenceSlotLoads(slots, machine, work)
 		got := SlotLoads([]float64{7}, machine, task, work)
 		if len(got) != slots+1 || got[0] != 7 {
--- a/internal/rollout/model_explore_test.go
+++ b/internal/rollout/model_explore_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// addAlways adds the state after a step that is always possible.
-func (s *successors) addAlways(step func(next *modelState)) {
+// addUnconditional adds the state after a step that is always possible.
+func (s *successors) addUnconditional(step func(next *modelState)) {
 	s.add(func(next *modelState) bool {
 		step(next)
 		return true
@@ -61,12 +61,12 @@
 // addOutcomes adds, for each transaction in flight, the states after it is committed and after it is lost.
 func (s *successors) addOutcomes() {
 	for i := range int(s.from.inFlightCount) {
-		s.addAlways(func(next *modelState) {
+		s.addUnconditional(func(next *modelState) {
 			txn := next.inFlight[i]
 			next.drop(i)
 			next.commit(txn, s.removed)
 		})
-		s.addAlways(func(next *modelState) { next.drop(i) })
+		s.addUnconditional(func(next *modelState) { next.drop(i) })
 	}
 }
 
@@ -77,14 +77,14 @@
 	down := process.supported == 0
 	if down && m.starts < s.bounds.starts {
 		for _, supported := range []uint8{1, 2} {
-			s.addAlways(func(next *modelState) {
+			s.addUnconditional(func(next *modelState) {
 				next.starts++
 				next.start(node, supported, s.ignoresLevel && supported == 1)
 			})
 		}
 	}
 	if !down && m.crashes < s.bounds.crashes {
-		s.addAlways(func(next *modelState) { // the lease remains until it expires
+		s.addUnconditional(func(next *modelState) { // the lease remains until it expires
 			next.processes[node] = modelProcess{}
 			next.crashes++
 		})
@@ -104,7 +104,7 @@
 	if m.keys.memberVersion[node] == 0 || !expires {
 		return
 	}
-	s.addAlways(func(next *modelState) {
+	s.addUnconditional(func(next *modelState) {
 		next.keys.endLease(node)
 		if freezes {
 			next.freezes++
@@ -118,10 +118,10 @@
 func (s *successors) addReads(node int) {
 	process := &s.from.processes[node]
 	if process.lease == 0 && !process.frozen {
-		s.addAlways(func(next *modelState) { next.register(node) })
+		s.addUnconditional(func(next *modelState) { next.register(node) })
 	}
 	if process.view != s.from.keys {
-		s.addAlways(func(next *modelState) { next.sync(node) })
+		s.addUnconditional(func(next *modelState) { next.sync(node) })
 	}
 }
 
--- a/internal/rollout/observation.go
+++ b/internal/rollout/observation.go
@@ -9,7 +9,7 @@
 // Mode is the effect of the operators' latest directive on the rollout.
 type Mode string
 
-// The modes.
+// Effects of the operators' latest directive.
 const (
 	NoDirective       Mode = ""        // the settings decide whether the level is upgraded automatically
 	PausedByOperator  Mode = "held"    // the level isn't upgraded, and no controller should be restarted
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -155,7 +155,7 @@
 const quotientSlack = 1e-9
 
 // copiesIn returns how many tasks of a size fit into an amount of resources, 0 for a task without a size. Unlike
-// planner.Size.Copies it has no upper bound, since the amount may be that of many machines.
+// planner.Size.FitCount it has no upper bound, since the amount may be that of many machines.
 func copiesIn(total, task planner.Size) int {
 	copies := math.Inf(1)
 	for _, amount := range [...]struct{ total, needed float64 }{
--- a/internal/simulator/consistency_test.go
+++ b/internal/simulator/consistency_test.go
@@ -88,7 +88,7 @@
 				cluster.recoverAndCheck()
 				if s := cluster.Stats(); s.PollBursts < 40 || s.OddRequests < 60 || s.OddRequestsRefused < 10 ||
 					s.JobsCancelled < 4 {
-					t.Errorf("want at least 40 poll bursts, 60 odd requests, 10 of them refused, and 4 cancelled jobs; got %+v", s)
+					t.Errorf("got %+v, want at least 40 poll bursts, 60 repeated or invalid requests, 10 refused, 4 cancelled jobs", s)
 				}
 			})
 		}
--- a/internal/simulator/measurements.go
+++ b/internal/simulator/measurements.go
@@ -43,7 +43,8 @@
 	StateRequests, StateWrites, StateRefused int
 
 	// PollBursts counts the bursts of status queries, JobsCancelled the jobs that users cancelled as they ran or
-	// ended, OddRequests the odd requests, and OddRequestsRefused the invalid submissions that were rejected.
+	// ended, OddRequests the requests that SetOddRequests enables, and OddRequestsRefused the invalid submissions that
+	// were rejected.
 	PollBursts, JobsCancelled, OddRequests, OddRequestsRefused int
 	// TaskStartsAfterCancel counts the tasks that started after a user received the cancellation of their job.
 	// DirectLaunchStartsAfterCancel counts those of them that a controller launched by a request to the machine, not
--- a/internal/simulator/pipelines_upgrades_test.go
+++ b/internal/simulator/pipelines_upgrades_test.go
@@ -244,8 +244,8 @@
 	"leads for a whole minute": {othersDown: true, runTime: time.Minute, killAtEnd: true},
 }
 
-// mistakePipelines are the pipelines of a test that restarts a controller with the former release.
-type mistakePipelines struct {
+// formerReleasePipelines are the pipelines of a test that restarts a controller with the former release.
+type formerReleasePipelines struct {
 	running   []*testUser // pipeline whose second job runs
 	endsSoon  []*testUser // pipeline whose first job ends while the former release runs
 	cancelled []*testUser // pipeline whose first job is cancelled while the former release runs
@@ -253,17 +253,17 @@
 }
 
 // all returns the users of all pipelines.
-func (p *mistakePipelines) all() (users []*testUser) {
+func (p *formerReleasePipelines) all() (users []*testUser) {
 	for _, chain := range [][]*testUser{p.running, p.endsSoon, p.cancelled, p.gang} {
 		users = append(users, chain...)
 	}
 	return users
 }
 
-// submitMistakePipelines submits the pipelines, and waits until the jobs of each that should run have started.
-func (r *testCluster) submitMistakePipelines() *mistakePipelines {
+// submitFormerReleasePipelines submits the pipelines, and waits until the jobs of each that should run have started.
+func (r *testCluster) submitFormerReleasePipelines() *formerReleasePipelines {
 	r.t.Helper()
-	p := &mistakePipelines{
+	p := &formerReleasePipelines{
 		running:   r.addChain(3),
 		endsSoon:  r.addChain(3),
 		cancelled: r.addChain(4),
@@ -303,7 +303,7 @@
 			rolled := false
 			cluster.RollingRestart(rollout.Newest, time.Second, nil, func() { rolled = true })
 			cluster.waitFor("all controllers restarted", time.Minute, func() bool { return rolled })
-			pipelines := cluster.submitMistakePipelines()
+			pipelines := cluster.submitFormerReleasePipelines()
 			former := (cluster.waitForLeader() + 1) % cluster.Controllers()
 			cluster.restart(former, levelBeforePipelines)
 			cluster.Advance(2 * time.Second)
@@ -351,7 +351,7 @@
 
 // checkQuarantined queries all controllers about all jobs for a time, and checks that the former release answers
 // queries of jobs whose records it can't read with 503, never with 200.
-func (r *testCluster) checkQuarantined(former int, pipelines *mistakePipelines, duration time.Duration) {
+func (r *testCluster) checkQuarantined(former int, pipelines *formerReleasePipelines, duration time.Duration) {
 	r.t.Helper()
 	refused := 0
 	for end := r.Now() + duration; r.Now() < end; r.Advance(500 * time.Millisecond) {
--- a/internal/zones/model_test.go
+++ b/internal/zones/model_test.go
@@ -164,9 +164,9 @@
 }
 
 // checkProbation checks the end of a zone's probation and the count of its flaps: a zone becomes healthy only after the
-// probation that its flaps require, and the count is reduced only after testFlapDecayTime steps. sinceDecay is the
-// age of the last reduction.
-func (h *history) checkProbation(before State, after Zone, sinceDecay int, missing guard) error {
+// probation that its flaps require, and the count is reduced only after testFlapDecayTime steps. sinceReduction is
+// the number of steps since the last reduction.
+func (h *history) checkProbation(before State, after Zone, sinceReduction int, missing guard) error {
 	if after.State == OnProbation {
 		h.onProbation = min(maxAge, h.onProbation+1)
 		if before != OnProbation {
@@ -181,8 +181,8 @@
 	}
 	if h.hasRecovered && after.State == Healthy && after.Flaps < h.flaps {
 		h.flaps = after.Flaps // reduced after a healthy time
-		if sinceDecay < testFlapDecayTime {
-			return fmt.Errorf("flaps reduced %d steps after the last reduction, want more steps", sinceDecay)
+		if sinceReduction < testFlapDecayTime {
+			return fmt.Errorf("flaps reduced %d steps after the last reduction, want more steps", sinceReduction)
 		}
 	}
 	if after.Flaps != h.flaps && missing == noGuard {
@@ -193,10 +193,10 @@
 
 // exploredState is a zone with its history. Times are replaced by ages, so that equal states compare as equal.
 type exploredState struct {
-	zone         Zone
-	stepsInState int
-	sinceDecay   int
-	history      history
+	zone           Zone
+	stepsInState   int
+	sinceReduction int
+	history        history
 }
 
 // realZones returns Zones in which zone 0 is in this state at testNow.
@@ -206,7 +206,7 @@
 		zone.Flaps = 0
 	}
 	zone.Since = testNow - time.Duration(s.stepsInState)*stepLength
-	zone.flapDecayStart = testNow - time.Duration(s.sinceDecay)*stepLength
+	zone.flapDecayStart = testNow - time.Duration(s.sinceReduction)*stepLength
 	zone.LostAt = testNow - time.Duration(s.history.sinceLoss)*stepLength
 	zone.ReturnedAt = testNow - time.Duration(max(0, s.history.sinceReturn)+1)*stepLength
 	z := New(missing.config())
@@ -226,7 +226,7 @@
 	nextHistory.observe(observed, s.stepsInState, missing)
 	err := nextHistory.checkPolicy(z, observed, before, after.State)
 	if err == nil {
-		err = nextHistory.checkProbation(before, after, s.sinceDecay, missing)
+		err = nextHistory.checkProbation(before, after, s.sinceReduction, missing)
 	}
 	if err != nil {
 		return exploredState{}, fmt.Errorf("%s, %s -> %s: %w", observed.name, before, after.State, err)
@@ -235,7 +235,7 @@
 
 	next := exploredState{zone: after, history: nextHistory}
 	next.stepsInState = ageAfterStep(after.Since)
-	next.sinceDecay = ageAfterStep(after.flapDecayStart)
+	next.sinceReduction = ageAfterStep(after.flapDecayStart)
 	next.zone.Since = 0
 	next.zone.LostAt = 0
 	next.zone.ReturnedAt = 0
@@ -252,9 +252,9 @@
 // the number of states found and the difference.
 func explore(missing guard) (states int, err error) {
 	start := exploredState{
-		history:      history{sinceReturn: -1, sinceLoss: maxAge},
-		sinceDecay:   maxAge,
-		stepsInState: maxAge,
+		history:        history{sinceReturn: -1, sinceLoss: maxAge},
+		sinceReduction: maxAge,
+		stepsInState:   maxAge,
 	}
 	visited := map[exploredState]struct{}{start: {}}
 	for queue := []exploredState{start}; len(queue) > 0; {
